--- /dev/null
+++ b/internal/exchange/classmark/golden_test.go
@@ -0,0 +1,367 @@
+package classmark
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/juju/errors"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"hollyspur/internal/exchange/jack"
+)
+
+// goldenRecord is what the package decides, in order. Texts for people are hashed apart from the decisions, so that a change
+// of wording shows as just that. Only values go in, and JSON as it is stored: no name of the code.
+type goldenRecord struct {
+	decisions, texts hash.Hash
+	counts           map[string]int
+}
+
+func newGoldenRecord() *goldenRecord {
+	return &goldenRecord{decisions: sha256.New(), texts: sha256.New(), counts: map[string]int{}}
+}
+
+func (g *goldenRecord) decide(values ...any) { fmt.Fprintln(g.decisions, values...) }
+
+func (g *goldenRecord) say(text string) { fmt.Fprintf(g.texts, "%q\n", text) }
+
+func (g *goldenRecord) count(what string) { g.counts[what]++ }
+
+// asJSON is a value as it is stored or sent.
+func asJSON(v any) string {
+	text, err := json.Marshal(v)
+	if err != nil {
+		panic(err)
+	}
+	return string(text)
+}
+
+// TestGoldenDecisions compares decisions on drawn namespaces, rules, routes, changes and two-step activations with
+// testdata/golden.json.
+func TestGoldenDecisions(t *testing.T) {
+	type section struct {
+		Decisions string         `json:"decisions"`
+		Texts     string         `json:"texts"`
+		Counts    map[string]int `json:"counts"`
+	}
+	got := map[string]section{}
+	for name, play := range map[string]func(*rand.Rand, *goldenRecord){"checks": goldenChecks, "merged": goldenMerged,
+		"changes": goldenChanges, "steps": goldenSteps} {
+		g := newGoldenRecord()
+		for seed := range uint64(200) {
+			play(rand.New(rand.NewPCG(seed, 57)), g)
+		}
+		got[name] = section{hex.EncodeToString(g.decisions.Sum(nil)), hex.EncodeToString(g.texts.Sum(nil)), g.counts}
+	}
+	text, err := json.MarshalIndent(got, "", "  ")
+	assert.NilError(t, err)
+	golden.Assert(t, string(text)+"\n", "golden.json")
+}
+
+func pick[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
+
+// some draws a subset, in order; mostly of few.
+func some(r *rand.Rand, values ...string) (out []string) {
+	for _, v := range values {
+		if r.IntN(3) == 0 {
+			out = append(out, v)
+		}
+	}
+	return out
+}
+
+var goldenServices = []string{"send", "book", "quota", "free"}
+
+func drawNamespaces(r *rand.Rand) []Namespace {
+	l := []Namespace{{Name: "dispatch", Owners: []string{"ana", "bo"}, Services: []string{"send"}, Hosts: []string{"push.example"}},
+		{Name: "devicebook", Owners: []string{"cy"}, Services: []string{"book"}, Prefixes: []Place{{"push.example", "/tokens/"}}}}
+	if r.IntN(4) > 0 {
+		l = append(l, Namespace{Name: "quota", Owners: []string{"di", "ana"}, Within: pick(r, "devicebook", "devicebook", "devicebook", "", "", "none"), Services: []string{"quota"},
+			Prefixes: []Place{{"Push.example", pick(r, "/tokens/all/", "/tokens/all/", "/send/", "/send/", "/tokens/")}}})
+	}
+	if r.IntN(16) == 0 {
+		l[0].Within = "quota"
+	}
+	if r.IntN(16) == 0 {
+		l[1].Services = append(l[1].Services, "send")
+	}
+	return l
+}
+
+func drawRuling(r *rand.Rand, name string) Ruling {
+	u := Ruling{Name: name, ConfigVersion: int64(1 + r.IntN(3)), Namespace: pick(r, "dispatch", "devicebook", "quota", Mesh, "dispatch", "devicebook", "dispatch", "devicebook", "quota")}
+	if r.IntN(24) == 0 {
+		u.Namespace = "nobody"
+	}
+	services, routes := goldenServices, []string{"send", "tokens", "quota", "later"}
+	if r.IntN(12) > 0 { // what is surely its namespace's
+		services, routes = map[string][]string{"dispatch": {"send"}, "devicebook": {"book", "book"}, "quota": {"quota"}}[u.Namespace], []string{"later"}
+		if u.Namespace == "devicebook" {
+			routes = append(routes, "tokens")
+		}
+	}
+	switch r.IntN(4) {
+	case 0:
+		u.On.Routes = some(r, routes...)
+	case 1:
+		u.On.Services = some(r, services...)
+	case 2:
+		u.On.Callers = some(r, services...)
+	}
+	if r.IntN(2) == 0 {
+		u.Tries = r.IntN(4)
+	}
+	if r.IntN(3) == 0 {
+		again := r.IntN(2) == 0
+		u.KeyedAgain = &again
+	}
+	if r.IntN(3) == 0 {
+		endings := some(r, "refused", "unreachable", "failed", "broken", "timed_out")
+		u.RetryOn = &endings
+	}
+	if r.IntN(2) == 0 {
+		u.TimeoutS = pick(r, 0.5, 1, 2, 3.5)
+	}
+	if r.IntN(4) == 0 {
+		u.NeedsS = pick(r, 0.25, 0.75, 1.5)
+	}
+	if r.IntN(3) == 0 {
+		ratio := pick(r, 0, 0.1, 0.5)
+		u.RetryRatio = &ratio
+	}
+	if r.IntN(3) == 0 {
+		priority := r.IntN(4)
+		u.Priority = &priority
+	}
+	if r.IntN(3) == 0 {
+		u.Callers = Callers{Allow: append(some(r, goldenServices...), "send"), Deny: some(r, "free"), Need: some(r, "book", "quota")}
+	}
+	return u
+}
+
+func drawRulings(r *rand.Rand, most int) (l []Ruling) {
+	for n := range r.IntN(most + 1) {
+		l = append(l, drawRuling(r, fmt.Sprint("ruling-", n)))
+	}
+	return l
+}
+
+func goldenRoutes() []Route {
+	return []Route{
+		{Name: "send", Host: "Push.example", Prefix: "/send/", Version: 1, Services: []string{"send", "book"}, TimeoutS: 2, Tries: 3, Priority: 1, Once: true},
+		{Name: "tokens", Host: "push.example", Prefix: "/tokens/all/", Version: 1, Services: []string{"book"}, TimeoutS: 5, Tries: 2, Priority: 2},
+		{Name: "quota", Host: "other.example", Prefix: "/", Version: 4, Services: []string{"quota", "free"}, TimeoutS: 1, Tries: 2, Priority: 2},
+	}
+}
+
+// goldenChecks looks at items by themselves, and at sets of them.
+func goldenChecks(r *rand.Rand, g *goldenRecord) {
+	for n := range 20 {
+		u := drawRuling(r, pick(r, "x", "x", "x", ""))
+		if r.IntN(8) == 0 {
+			u.Tries = -1
+		}
+		g.fault(u.Check())
+		l := drawNamespaces(r)
+		s := l[n%len(l)]
+		switch r.IntN(6) {
+		case 0:
+			s.Owners = nil
+		case 1:
+			s.Within = s.Name
+		case 2:
+			s.Name = Mesh
+		case 3:
+			s.Prefixes = []Place{{"h", "p"}}
+		}
+		g.fault(s.Check())
+	}
+	_, err := Judge(NewSet(nil, nil, nil), NewSet(drawNamespaces(r), drawRulings(r, 4), goldenRoutes()), Change{})
+	g.decide(errors.Is(err, ErrUnfit))
+	if err != nil {
+		g.say(err.Error())
+	}
+	l := drawRulings(r, 6)
+	g.decide(PrintOf(len(l), func(n int) (string, int64, []byte) { return l[n].Name, l[n].ConfigVersion, []byte(asJSON(l[n])) }))
+}
+
+func (g *goldenRecord) fault(f *jack.Fault) {
+	if f == nil {
+		g.count("valid")
+		g.decide("valid")
+		return
+	}
+	g.count("invalid")
+	g.decide(f.Field)
+	g.say(f.Text)
+}
+
+// goldenMerged looks at merged rules, what follows of them and how they are told.
+func goldenMerged(r *rand.Rand, g *goldenRecord) {
+	s := NewSet(drawNamespaces(r), drawRulings(r, 6), goldenRoutes())
+	for _, route := range s.Routes() {
+		g.decide(route.Name, s.OwnerOfRoute(route))
+		for _, service := range route.Services {
+			g.decide(s.OwnerOfService(service), s.OwnersOfService(service))
+			for _, caller := range append([]string{""}, goldenServices...) {
+				g.merged(s, route, service, caller)
+			}
+		}
+	}
+	report := s.Report()
+	g.decide(asJSON(report))
+	var text strings.Builder
+	report.Text(&text)
+	g.say(text.String())
+}
+
+func (g *goldenRecord) merged(s *Set, route Route, service, caller string) {
+	words, ruled := s.Words(route, service, caller)
+	if ruled {
+		g.count("ruled")
+	} else {
+		g.count("not ruled")
+	}
+	m := words.Mark(route, caller)
+	g.decide(ruled, asJSON(words), words.Print(), m.Print, m.Tries, m.Timeout, m.Priority, m.Ratio, m.RetryOn, m.AnyRetry)
+	if m.Denied != nil {
+		g.count("denied")
+		g.decide("denied", asJSON(m.Denied))
+		g.say(m.Denied.String())
+	}
+	for _, ending := range []string{"refused", "broken", "timed_out"} {
+		g.decide(m.Again(ending))
+	}
+	x := s.Explain(route, service, caller)
+	g.decide(asJSON(x))
+	var text strings.Builder
+	x.Text(&text)
+	g.say(text.String())
+}
+
+// goldenChanges has changes judged.
+func goldenChanges(r *rand.Rand, g *goldenRecord) {
+	for range 20 {
+		spaces := drawNamespaces(r)
+		rulings := drawRulings(r, 5)
+		if r.IntN(2) == 0 { // of an agreed set most fit
+			rulings = nil
+		}
+		before := NewSet(spaces, rulings, goldenRoutes())
+		c := Change{By: pick(r, "", "", "ana", "cy", "ana", "cy", "di", "eve"), Consents: some(r, "dispatch:ana", "devicebook:cy", "quota:di", "mesh:x")}
+		next, routes := drawChange(r, rulings, &c)
+		after := NewSet(spaces, next, routes)
+		effects, err := Judge(before, after, c)
+		kind := "other"
+		var conflict *Conflict
+		switch {
+		case err == nil:
+			kind = "taken"
+		case errors.Is(err, ErrUnfit):
+			kind = "unfit"
+		case errors.As(err, &conflict):
+			kind = "conflict"
+			g.decide(asJSON([]Word{conflict.A, conflict.B}), conflict.Route, conflict.Service, conflict.Caller)
+		case errors.Is(err, ErrForeign):
+			kind = "foreign"
+		case errors.Is(err, ErrConsent):
+			kind = "consent"
+		}
+		g.count(kind)
+		if err != nil {
+			g.say(err.Error())
+		}
+		g.decide(kind, errors.Is(err, ErrConflict), asJSON(effects))
+		for _, e := range effects {
+			g.say(e.String())
+		}
+	}
+}
+
+// drawChange draws what a change makes of rulings and routes, and names it.
+func drawChange(r *rand.Rand, rulings []Ruling, c *Change) ([]Ruling, []Route) {
+	next := append([]Ruling(nil), rulings...)
+	routes := goldenRoutes()
+	name := fmt.Sprint("ruling-", r.IntN(6))
+	switch r.IntN(5) {
+	case 0:
+		route := &routes[r.IntN(len(routes))]
+		route.Version, route.TimeoutS, route.Tries = route.Version+1, pick(r, 0.5, 4), 1+r.IntN(4)
+		c.Routes = []string{route.Name}
+		return next, routes
+	case 1:
+		if len(next) > 0 {
+			c.Rulings = []string{next[len(next)-1].Name}
+			return next[:len(next)-1], routes
+		}
+	case 2:
+		c.Spaces = some(r, "dispatch", "quota")
+		c.Others = some(r, "limits")
+	}
+	u := drawRuling(r, name)
+	u.ConfigVersion += 3
+	c.Rulings = append(c.Rulings, name)
+	for n := range next {
+		if next[n].Name == name {
+			next[n] = u
+			return next, routes
+		}
+	}
+	return append(next, u), routes
+}
+
+// goldenSteps plays the two steps by which a set comes to bind: at the leader and at three lines.
+func goldenSteps(r *rand.Rand, g *goldenRecord) {
+	var b Board
+	leaves := make([]Leaf, 3)
+	var at uint64
+	var now, since time.Duration
+	set := func() string { return pick(r, "", "s1", "s2", "s3") }
+	for range 60 {
+		now += time.Duration(r.IntN(1500)) * time.Millisecond
+		n := r.IntN(len(leaves))
+		switch r.IntN(7) {
+		case 0:
+			at++
+			b, since = b.Changed(set(), at), now
+		case 1:
+			at++
+			var bound bool
+			b, bound = b.Bind(pick(r, b.Held, set()), at)
+			g.decide(bound)
+		case 2:
+			leaves[n] = leaves[n].Holds(pick(r, b.Held, set()))
+		case 3:
+			var take, ask bool
+			leaves[n], take, ask = leaves[n].Binds(b.Bound, uint64(r.IntN(int(at)+2)))
+			g.decide(take, ask)
+		case 4:
+			leaves[n] = leaves[n].Restored(b.Bound, b.BoundAt, now-time.Second)
+		case 5:
+			var same bool
+			leaves[n], same = leaves[n].Confirmed(pick(r, b.Bound, set()), b.BoundAt, b.Held, now-time.Duration(r.IntN(2000))*time.Millisecond)
+			g.decide(same)
+		}
+		var seen []Seen
+		for i, l := range leaves {
+			seen = append(seen, Seen{fmt.Sprint("line-", i), l.Held, r.IntN(8) == 0})
+			g.decide(l.Held, l.Bound, l.At, l.Told, l.Known, l.Fenced(now))
+		}
+		ok, waits := b.Ready(seen, now-since)
+		if ok {
+			g.count("ready")
+		} else if b.Pending() {
+			g.count("waits")
+		}
+		g.decide(ok, b.Pending(), asJSON(b))
+		g.say(waits)
+	}
+}
--- /dev/null
+++ b/internal/exchange/night/encoding_test.go
@@ -0,0 +1,61 @@
+package night
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// TestStoredForms pins the JSON of each type that is stored in replicated state, sent in operators' calls or set as a
+// configuration item: its names are data, and stay whatever the code calls them.
+func TestStoredForms(t *testing.T) {
+	day := time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC)
+	now := Now{day, day.Add(time.Second)}
+	contract := Contract{Name: "cellar", ConfigVersion: 3, TimeZone: "Australia/Hobart", Covers: Covers{[]string{"log"}, []string{"z0"}, []string{"weigh"}, []string{"crews"}},
+		Weekly: []Weekly{{[]string{"Mon"}, "22:00", "24:00"}}, Dates: []Span{{"2026-12-24 08:00", "2026-12-24 12:00"}},
+		Barred: []Days{{"2026-03-01", "2026-04-15", "vintage"}}, MostOut: MostOut{1, 2}, LeastReady: 0.5, Approvers: []string{"ana"}}
+	order := Order{ID: "o", Machines: []string{"l0", "l1"}, At: 1, Step: Out, Seq: 7, Length: time.Minute, By: "ana", Reason: "smoke", Override: true,
+		Names: []string{"a", "b"}, Asked: true, Approved: "bo", Until: day, Heir: "l2", Since: now, OutAt: now, Abort: true, Back: true,
+		Record: []Event{{now, "b", Leading, "nothing runs there"}}}
+	change := Change{ID: "o", After: 7, Step: Waiting, Next: true, Until: day, Heir: "l2", Abort: true, Back: true, Approve: "bo", Text: "back"}
+	verdict := Verdict{Approved: true, Reasons: []Reason{{"cellar", "outside its hours", day}}, Contracts: []string{"cellar"}, Takes: time.Second, Until: day,
+		Next: []Interval{{day, day.Add(time.Hour)}}, Approvers: []string{"ana"}}
+	const bounds = `{"Earliest":"2026-06-01T12:00:00Z","Latest":"2026-06-01T12:00:01Z"}`
+	for _, x := range []struct {
+		name string
+		v    any
+		want string
+	}{
+		{"contract", contract, `{"Name":"cellar","ConfigVersion":3,"Covers":{"Services":["log"],"Zones":["z0"],"Routes":["weigh"],"Namespaces":["crews"]},` +
+			`"TimeZone":"Australia/Hobart","Weekly":[{"Days":["Mon"],"From":"22:00","To":"24:00"}],"Dates":[{"From":"2026-12-24 08:00","To":"2026-12-24 12:00"}],` +
+			`"Barred":[{"From":"2026-03-01","To":"2026-04-15","Why":"vintage"}],"MostOut":{"Service":1,"Zone":2},"LeastReady":0.5,"Approvers":["ana"]}`},
+		{"contract that says nothing", Contract{}, `{"Name":"","ConfigVersion":0,"Covers":{"Services":null,"Zones":null,"Routes":null},"TimeZone":"","Weekly":null,"Dates":null,` +
+			`"Barred":null,"MostOut":{"Service":0,"Zone":0},"LeastReady":0,"Approvers":null}`},
+		{"order", order, `{"id":"o","machines":["l0","l1"],"at":1,"step":"out","seq":7,"length":60000000000,"by":"ana","reason":"smoke","override":true,` +
+			`"names":["a","b"],"asked":true,"approved":"bo","until":"2026-06-01T12:00:00Z","heir":"l2","since":` + bounds + `,"outAt":` + bounds +
+			`,"abort":true,"back":true,"record":[{"at":` + bounds + `,"machine":"b","step":"leading","text":"nothing runs there"}]}`},
+		{"order that says nothing", Order{}, `{"id":"","machines":null,"at":0,"step":"","seq":0,"length":0,"by":"","since":{"Earliest":"0001-01-01T00:00:00Z","Latest":"0001-01-01T00:00:00Z"},` +
+			`"outAt":{"Earliest":"0001-01-01T00:00:00Z","Latest":"0001-01-01T00:00:00Z"},"record":null}`},
+		{"orders", Book{Orders: []Order{}}, `{"Orders":[]}`},
+		{"no orders", Book{}, `{"Orders":null}`},
+		{"change", change, `{"id":"o","after":7,"step":"waiting","next":true,"until":"2026-06-01T12:00:00Z","heir":"l2","abort":true,"back":true,"approve":"bo","text":"back"}`},
+		{"change that says nothing", Change{}, `{"id":"","after":0,"text":""}`},
+		{"agreed time", Clock{Stamp: time.Minute, Earliest: now.Earliest, Latest: now.Latest, Doubt: true, Steady: now},
+			`{"Stamp":60000000000,"Earliest":"2026-06-01T12:00:00Z","Latest":"2026-06-01T12:00:01Z","Doubt":true,"Steady":` + bounds + `}`},
+		{"verdict", verdict, `{"approved":true,"reasons":[{"contract":"cellar","text":"outside its hours","until":"2026-06-01T12:00:00Z"}],"contracts":["cellar"],"takes":1000000000,` +
+			`"until":"2026-06-01T12:00:00Z","next":[{"From":"2026-06-01T12:00:00Z","To":"2026-06-01T13:00:00Z"}],"approvers":["ana"]}`},
+		{"steps", []Step{Draining, Leading, Out, Returning, Waiting, Done, Aborted}, `["draining","leading","out","returning","waiting","done","aborted"]`},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			text, err := json.Marshal(x.v)
+			assert.NilError(t, err)
+			assert.Equal(t, string(text), x.want)
+			back := reflect.New(reflect.TypeOf(x.v))
+			assert.NilError(t, json.Unmarshal(text, back.Interface()))
+			assert.DeepEqual(t, back.Elem().Interface(), x.v)
+		})
+	}
+}
