--- a/internal/exchange/classmark/classmark_test.go
+++ b/internal/exchange/classmark/classmark_test.go
@@ -229,10 +229,12 @@
 	assert.Assert(t, errors.Is(err, ErrUnfit), "%v", err)
 }
 
+type checker interface{ Check() *jack.Fault }
+
 // What a namespace or a ruling says wrong by itself is named with its field.
 func TestMistakes(t *testing.T) {
 	two := 2.0
-	for want, x := range map[string]interface{ Check() *jack.Fault }{
+	for want, x := range map[string]checker{
 		"Owners":                       Namespace{Name: "a"},
 		"Within is the namespace":      Namespace{Name: "a", Owners: []string{"x"}, Within: "a"},
 		"Services the mesh's own":      Namespace{Name: Mesh, Owners: []string{"x"}, Services: []string{"s"}},
--- a/internal/exchange/night/agree.go
+++ b/internal/exchange/night/agree.go
@@ -28,14 +28,15 @@
 // Clock is what time of day it was at a log time: between the two, and surely so while fewer than half of the clocks are
 // wrong. It is agreed on; the zero Clock is of nothing.
 type Clock struct {
-	Stamp            time.Duration
-	Earliest, Latest time.Time
+	Stamp    time.Duration `json:"Stamp"`
+	Earliest time.Time     `json:"Earliest"`
+	Latest   time.Time     `json:"Latest"`
 	// Doubt: a majority of clocks says something that can't be, going by what was agreed on before. The two bounds then
 	// hold both, so that no window opens before it is open by either, and none is used that has ended by either. Steady is
 	// what was agreed on before, carried on by the log's time: what clocks say later is held against that, and not against
 	// what they said themselves.
-	Doubt  bool
-	Steady Now
+	Doubt  bool `json:"Doubt"`
+	Steady Now  `json:"Steady"`
 }
 
 // Known says that there is any.
--- a/internal/exchange/night/contract.go
+++ b/internal/exchange/night/contract.go
@@ -212,7 +212,10 @@
 }
 
 // Interval is from a time to a later one, which is no more in it.
-type Interval struct{ From, To time.Time }
+type Interval struct {
+	From time.Time `json:"From"`
+	To   time.Time `json:"To"`
+}
 
 // Holds says that all of o is in it.
 func (i Interval) Holds(o Interval) bool { return !o.From.Before(i.From) && !o.To.After(i.To) }
--- a/internal/exchange/night/order.go
+++ b/internal/exchange/night/order.go
@@ -98,7 +98,9 @@
 )
 
 // Book is all orders, the latest last. It is never changed once made.
-type Book struct{ Orders []Order }
+type Book struct {
+	Orders []Order `json:"Orders"`
+}
 
 // Find is an order; false: there is none.
 func (b Book) Find(id string) (Order, bool) {
--- a/internal/exchange/night/plan.go
+++ b/internal/exchange/night/plan.go
@@ -45,7 +45,10 @@
 }
 
 // Now is what time it may be: the clocks of the core agree on no more (agree.go).
-type Now struct{ Earliest, Latest time.Time }
+type Now struct {
+	Earliest time.Time `json:"Earliest"`
+	Latest   time.Time `json:"Latest"`
+}
 
 // Reason is why a machine may not come out now.
 type Reason struct {
