--- a/internal/rig/mesh/mesh.go
+++ b/internal/rig/mesh/mesh.go
@@ -35,6 +35,7 @@
 	App      *App         // of a line
 	of       *Mesh
 	program  string
+	programs string // folder of its program
 	set      map[string]any
 	listen   map[string]string // never changed once made
 	lives    int
@@ -110,7 +111,7 @@
 // AddRegister starts another register.
 func (m *Mesh) AddRegister(first bool) (*Machine, error) {
 	n := len(m.Registers)
-	x := &Machine{Name: fmt.Sprintf("core-%d", n+1), IP: fmt.Sprintf("%s.%d", m.net, 10+n), of: m, program: "register"}
+	x := &Machine{Name: fmt.Sprintf("core-%d", n+1), IP: fmt.Sprintf("%s.%d", m.net, 10+n), of: m, program: "register", programs: m.Dir}
 	x.set = m.settings(x.Name, x.IP, fmt.Sprintf("zone-%d", n%3))
 	x.listen = map[string]string{"ControlPlane": fmt.Sprintf("%s:%d", x.IP, m.ports[0])}
 	x.set["ListenAddrs"] = x.listen
@@ -126,7 +127,7 @@
 // AddLine starts another line with a server of that service beside it.
 func (m *Mesh) AddLine(service string) (*Machine, error) {
 	n := len(m.Lines)
-	x := &Machine{Name: fmt.Sprintf("side-%d", n+1), IP: fmt.Sprintf("%s.%d", m.net, 100+n), of: m, program: "line"}
+	x := &Machine{Name: fmt.Sprintf("side-%d", n+1), IP: fmt.Sprintf("%s.%d", m.net, 100+n), of: m, program: "line", programs: m.Dir}
 	zone := fmt.Sprintf("zone-%d", n%3)
 	at := func(i int) string { return fmt.Sprintf("%s:%d", x.IP, m.ports[i]) }
 	x.set = m.settings(x.Name, x.IP, zone)
@@ -167,13 +168,16 @@
 	return file, os.WriteFile(file, text, 0o600)
 }
 
+// UsePrograms names the folder that holds the machine's program from its next start on.
+func (x *Machine) UsePrograms(dir string) { x.programs = dir }
+
 // Start starts the machine's program, with the settings as they are now.
 func (x *Machine) Start() error {
 	file, err := x.write()
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(filepath.Join(x.of.Dir, x.program), append([]string{"-v"}, x.Args...)...)
+	cmd := exec.Command(filepath.Join(x.programs, x.program), append([]string{"-v"}, x.Args...)...)
 	cmd.Env = append(os.Environ(), settings.Env+"="+file)
 	x.Process, err = rig.StartCommand(cmd, file)
 	x.set["FirstStart"] = false
--- a/internal/rig/mesh/mesh_test.go
+++ b/internal/rig/mesh/mesh_test.go
@@ -39,10 +39,16 @@
 
 // start starts a mesh of real processes with two services and three routes.
 func start(t *testing.T, services ...string) *Mesh {
+	t.Helper()
+	return startPrograms(t, programs, services...)
+}
+
+// startPrograms is start with the programs of a folder.
+func startPrograms(t *testing.T, from string, services ...string) *Mesh {
 	t.Helper()
 	dir := t.TempDir()
 	for _, p := range []string{"line", "register"} {
-		assert.NilError(t, os.Link(programs+"/"+p, dir+"/"+p))
+		assert.NilError(t, os.Symlink(from+"/"+p, dir+"/"+p))
 	}
 	m, err := New(dir, 3, services...)
 	if m != nil {
--- /dev/null
+++ b/internal/rig/mesh/mixed_test.go
@@ -0,0 +1,272 @@
+package mesh
+
+import (
+	"fmt"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"hollyspur/internal/rig"
+)
+
+const (
+	// previousBinEnv names a folder with the programs of the build before this one, under their names of then.
+	previousBinEnv = "MESH_PREVIOUS_BIN"
+	// previousCommit is the commit that is built where the variable is not set.
+	previousCommit = "54ffd36"
+)
+
+// programNames are the programs of a mesh, and previousNames the same by their names in the build before.
+var (
+	programNames  = []string{"line", "register"}
+	previousNames = [2]string{"line", "register"}
+)
+
+// TestMixedVersions replaces the processes of a mesh one by one under keyed and plain traffic, first from the build before to
+// this one and then back, so that both builds share one wire in every mixture. After each replacement the configuration that was
+// acknowledged stands everywhere, a change is acknowledged and comes into force at each sidecar, and keys are answered as before.
+// No request is lost and no key runs twice.
+func TestMixedVersions(t *testing.T) {
+	previous := previousPrograms(t)
+	for _, test := range []struct {
+		name         string
+		membersFirst bool
+	}{
+		{"members first", true},
+		{"sidecars first", false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			m := startPrograms(t, previous, "stock", "stock", "orders", "orders")
+			r := &rollingReplacement{cluster: m, away: make([]atomic.Bool, len(m.Lines)), version: 1}
+			stop := r.startTraffic()
+			machines := append(append([]*Machine(nil), m.Registers...), m.Lines...)
+			if !test.membersFirst {
+				machines = append(append([]*Machine(nil), m.Lines...), m.Registers...)
+			}
+			for _, x := range machines {
+				r.replace(t, x, programs)
+			}
+			for _, x := range machines {
+				r.replace(t, x, previous)
+			}
+			stop()
+			t.Logf("%d requests; by status: plain %v, keyed %v, repeated %v", r.plain.count()+r.keyed.count()+r.repeated.count(), r.plain.byStatus, r.keyed.byStatus, r.repeated.byStatus)
+			r.assertNothingLost(t)
+			m.clean(t)
+		})
+	}
+}
+
+// previousPrograms is a folder with the programs of the build before this one, under their names of today. It builds them from
+// the history where no folder is named, and skips the test where the history does not reach so far.
+func previousPrograms(t *testing.T) string {
+	t.Helper()
+	built := os.Getenv(previousBinEnv)
+	if built == "" {
+		built = buildPrevious(t)
+	}
+	dir := t.TempDir()
+	for i, then := range previousNames {
+		here := filepath.Join(dir, programNames[i])
+		assert.NilError(t, os.Symlink(filepath.Join(built, then), here))
+		_, err := os.Stat(here)
+		assert.NilError(t, err, "%s is to hold the program %s", built, then)
+	}
+	return dir
+}
+
+// buildPrevious builds the programs of previousCommit.
+func buildPrevious(t *testing.T) string {
+	t.Helper()
+	root, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
+	if err != nil {
+		t.Skipf("the build before is not known: %s is not set, and there is no history: %v", previousBinEnv, err)
+	}
+	git := func(args ...string) *exec.Cmd {
+		return exec.Command("git", append([]string{"-C", strings.TrimSpace(string(root))}, args...)...)
+	}
+	if err := git("cat-file", "-e", previousCommit+"^{commit}").Run(); err != nil {
+		t.Skipf("the build before is not known: %s is not set, and the history does not hold commit %s", previousBinEnv, previousCommit)
+	}
+	source, bin := t.TempDir(), t.TempDir()
+	archive := filepath.Join(source, "source.tar")
+	run := func(cmd *exec.Cmd) {
+		out, err := cmd.CombinedOutput()
+		assert.NilError(t, err, "%v: %s", cmd.Args, out)
+	}
+	run(git("archive", "--format=tar", "--output="+archive, previousCommit, ":(glob)*.go", "go.mod", "go.sum", "cmd", "internal"))
+	run(exec.Command("tar", "-xf", archive, "-C", source))
+	build := exec.Command("go", "build", "-o", bin+"/")
+	for _, then := range previousNames {
+		build.Args = append(build.Args, "./cmd/"+then)
+	}
+	build.Dir = source
+	run(build)
+	return bin
+}
+
+// rollingReplacement replaces the programs of a mesh one machine after the other under traffic.
+type rollingReplacement struct {
+	cluster *Mesh
+	away    []atomic.Bool // by sidecar: its callers go elsewhere, for it is about to end
+	version int           // of the latest change
+	seq     atomic.Int64  // of requests
+
+	plain, keyed, repeated outcomes
+
+	keptKey string
+	kept    Told
+}
+
+// outcomes counts what became of requests, and keeps those that were lost.
+type outcomes struct {
+	mu       sync.Mutex // guards below
+	byStatus map[int]int
+	lost     []string
+}
+
+func (o *outcomes) add(what string, told Told, accepted ...int) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.byStatus == nil {
+		o.byStatus = map[int]int{}
+	}
+	o.byStatus[told.Status]++
+	for _, s := range accepted {
+		if told.Status == s {
+			return
+		}
+	}
+	o.lost = append(o.lost, fmt.Sprintf("%s: answered %d %.200s", what, told.Status, told.Body))
+}
+
+func (o *outcomes) count() (n int) {
+	for _, c := range o.byStatus {
+		n += c
+	}
+	return n
+}
+
+// startTraffic sends plain and keyed requests through every sidecar that is not about to end. Each key is sent again through
+// another sidecar.
+func (r *rollingReplacement) startTraffic() (stop func()) {
+	done := make(chan struct{})
+	var all sync.WaitGroup
+	for i := range r.cluster.Lines {
+		all.Go(func() {
+			for {
+				select {
+				case <-done:
+					return
+				case <-time.After(5 * time.Millisecond):
+				}
+				if !r.away[i].Load() {
+					r.sendThrough(i)
+				}
+			}
+		})
+	}
+	return func() { close(done); all.Wait() }
+}
+
+// sendThrough sends a plain request and a keyed one through a sidecar, and the key once more through the next that is there.
+func (r *rollingReplacement) sendThrough(i int) {
+	x, n := r.cluster.Lines[i], r.seq.Add(1)
+	r.plain.add(x.Name, x.Call("GET", fmt.Sprint("/read/", n), "", nil), http.StatusOK)
+	key := fmt.Sprint("mixed-", n)
+	first := x.Call("POST", "/send/x", key, []byte("body"))
+	r.keyed.add(x.Name+" "+key, first, http.StatusOK, http.StatusServiceUnavailable)
+	other := r.cluster.Lines[(i+1)%len(r.cluster.Lines)]
+	if r.away[(i+1)%len(r.cluster.Lines)].Load() {
+		other = x
+	}
+	again := other.Call("POST", "/send/x", key, []byte("body"))
+	r.repeated.add(other.Name+" "+key+" again", again, http.StatusOK, http.StatusServiceUnavailable, http.StatusConflict)
+	if first.Status == http.StatusOK && again.Status == http.StatusOK && (first.Body != again.Body || first.Seal != again.Seal) {
+		r.cluster.Record.fault("CHANGED: %s is answered %q first and %q then", key, first.Body, again.Body)
+	}
+}
+
+func (r *rollingReplacement) assertNothingLost(t *testing.T) {
+	t.Helper()
+	for _, o := range []*outcomes{&r.plain, &r.keyed, &r.repeated} {
+		assert.Assert(t, len(o.lost) == 0, "%d lost: %v", len(o.lost), o.lost[:min(5, len(o.lost))])
+		assert.Assert(t, o.byStatus[http.StatusOK] > 0)
+	}
+}
+
+// replace ends a machine's program by SIGTERM, starts that of a folder in its place, and checks what is to hold then.
+func (r *rollingReplacement) replace(t *testing.T, x *Machine, programs string) {
+	t.Helper()
+	m := r.cluster
+	r.keep(t, x)
+	for i, line := range m.Lines {
+		if line == x {
+			r.away[i].Store(true)
+			defer r.away[i].Store(false)
+		}
+	}
+	x.Process.Stop()
+	assert.Assert(t, !x.Process.Crashed())
+	x.UsePrograms(programs)
+	assert.NilError(t, x.Start())
+	r.awaitComplete(t)
+	assert.Assert(t, m.Ready(patience), "the sidecars are not ready")
+	for _, y := range m.Registers {
+		y.holds(t, fmt.Sprintf(`"/mixed-%d/"`, r.version))
+	}
+	for _, y := range m.Lines {
+		again := y.served(t, "POST", "/send/x", r.keptKey)
+		assert.Assert(t, again.Body == r.kept.Body && again.Seal == r.kept.Seal, "%s has %v, first %v", y.Name, again, r.kept)
+	}
+}
+
+// keep has a change acknowledged and in force at each sidecar, and a key answered; both are to outlive the replacement of next.
+// The sidecar beside a server keeps the answers that the server gave, in memory: so the key runs elsewhere.
+func (r *rollingReplacement) keep(t *testing.T, next *Machine) {
+	t.Helper()
+	m := r.cluster
+	r.version++
+	path := fmt.Sprintf("/mixed-%d/", r.version)
+	m.change(t, r.version, Route("mixed", "idempotent", path, "stock", r.version))
+	for _, x := range m.Lines {
+		x.served(t, "GET", path, "")
+	}
+	assert.Assert(t, rig.Await(patience, func() bool {
+		r.keptKey = fmt.Sprint("kept-", r.version, "-", r.seq.Add(1))
+		r.kept = m.Lines[r.version%len(m.Lines)].served(t, "POST", "/send/x", r.keptKey)
+		return next.App == nil || !strings.Contains(r.kept.Body, " "+next.App.Instance+" ")
+	}), "no key runs but beside %s", next.Name)
+}
+
+// awaitComplete waits until all members follow one leader and hold all that it holds, and all sidecars are in contact.
+func (r *rollingReplacement) awaitComplete(t *testing.T) {
+	t.Helper()
+	assert.Assert(t, rig.Await(patience, func() bool {
+		leaders, terms := 0, map[uint64]bool{}
+		for _, x := range r.cluster.Registers {
+			s, err := x.Status()
+			if err != nil || !s.Touch || s.Outside || len(s.Members) != len(r.cluster.Registers) {
+				return false
+			}
+			terms[s.Term] = true
+			if s.Leads {
+				leaders++
+			}
+		}
+		for _, x := range r.cluster.Lines {
+			if s, err := x.Status(); err != nil || !s.Touch || s.Home == "" {
+				return false
+			}
+		}
+		return leaders == 1 && len(terms) == 1
+	}), "the mesh does not settle")
+}
