--- a/internal/exchange/ticket/ticket_test.go
+++ b/internal/exchange/ticket/ticket_test.go
@@ -68,3 +68,55 @@
 	again.Take(4*time.Minute, Claim{Key: "last", Ticket: "t", Window: time.Minute})
 	assert.Equal(t, again.Len(), 1, "what is past its window is forgotten")
 }
+
+// Of one ticket the later attempt takes the key over from the earlier one, never the other way round, whoever holds it; and only
+// the attempt that holds it gives it back.
+func TestAttemptsOfOneToken(t *testing.T) {
+	holds := Claim{Key: "k", Ticket: "a", Nth: 1, Holder: "x", Window: time.Minute}
+	for _, x := range []struct {
+		name    string
+		claim   Claim
+		granted bool
+		free    bool // afterwards
+	}{
+		{"asked again", Claim{Nth: 1, Holder: "x"}, true, false},
+		{"another holder", Claim{Nth: 1, Holder: "y"}, false, false},
+		{"an earlier attempt", Claim{Nth: 0, Holder: "x"}, false, false},
+		{"a later attempt", Claim{Nth: 2, Holder: "y"}, true, false},
+		{"release by the holder", Claim{Nth: 1, Holder: "x", Release: true}, true, true},
+		{"release by an earlier attempt", Claim{Nth: 0, Holder: "x", Release: true}, true, false},
+		{"release by a later attempt", Claim{Nth: 2, Holder: "y", Release: true}, true, false},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			b := New()
+			assert.Assert(t, b.Take(0, holds).Granted)
+			x.claim.Key, x.claim.Ticket, x.claim.Window = "k", "a", time.Minute
+			assert.Equal(t, b.Take(time.Second, x.claim).Granted, x.granted)
+			assert.Equal(t, b.Take(2*time.Second, Claim{Key: "k", Ticket: "b", Holder: "z", Window: time.Minute}).Granted, x.free)
+		})
+	}
+}
+
+// A claim that names no window, as earlier versions send it, holds its key for ten minutes, sweeps or not.
+func TestDefaultWindow(t *testing.T) {
+	b := New()
+	assert.Assert(t, b.Take(time.Second, Claim{Key: "k", Ticket: "a", Holder: "x"}).Granted)
+	other := Claim{Key: "k", Ticket: "b", Holder: "y"}
+	assert.Assert(t, b.Take(2*time.Second, Claim{Key: "short", Ticket: "a", Holder: "x", Window: time.Second}).Granted)
+	for now := 2 * time.Second; now <= unnamed+time.Second; now += 4 * time.Second {
+		assert.Assert(t, !b.Take(now, other).Granted, "at %v", now)
+	}
+	assert.Assert(t, b.Take(unnamed+time.Second+1, other).Granted)
+}
+
+// A full book grants nothing, and says so by naming nobody; it is swept before it refuses.
+func TestFullStoreGrantsNothing(t *testing.T) {
+	b := New()
+	for n := range MostHeld {
+		assert.Assert(t, b.Take(time.Second, Claim{Key: fmt.Sprint(n), Ticket: "t", Holder: "x", Window: time.Second}).Granted)
+	}
+	one := Claim{Key: "one", Ticket: "t", Holder: "x", Window: time.Minute}
+	assert.Equal(t, b.Take(2*time.Second, one), Grant{})
+	assert.Assert(t, b.Take(2*time.Second+1, one).Granted)
+	assert.Equal(t, b.Len(), 1)
+}
--- a/internal/mesh/operations/operations_test.go
+++ b/internal/mesh/operations/operations_test.go
@@ -77,3 +77,16 @@
 	_, err := Decode(encoded)
 	assert.Assert(t, errors.Is(err, ErrEncoding))
 }
+
+// Whatever the order in which operations are forgotten, nothing up to the highest of their versions is taken for new.
+func TestForgettingInAnyOrder(t *testing.T) {
+	for _, order := range [][]int64{{2, 5}, {5, 2}} {
+		h := (*History)(nil).With(operation(2, "x")).With(operation(5, "x")).With(operation(9, "x"))
+		for _, version := range order {
+			h = h.Without(version)
+		}
+		for version, want := range map[int64]Verdict{1: Unknown, 2: Unknown, 4: Unknown, 5: Unknown, 6: New, 9: Repeated} {
+			assert.Equal(t, h.Judge(version, DigestOf([]byte("x"))), want, "version %d after %v", version, order)
+		}
+	}
+}
--- /dev/null
+++ b/internal/mesh/replica/golden_test.go
@@ -0,0 +1,317 @@
+package replica
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+
+	"hollyspur/internal/exchange/directory"
+	"hollyspur/internal/exchange/patch"
+	"hollyspur/internal/exchange/trunk"
+	"hollyspur/internal/exchange/trunk/wire"
+	"hollyspur/internal/testkit"
+)
+
+// Size of the golden record.
+const (
+	goldenSeeds          = 12
+	goldenSeedsUnderRace = 2
+	goldenSteps          = 4000
+)
+
+// goldenRun is what one seed came to.
+type goldenRun struct {
+	Seed  uint64         `json:"seed"`
+	Hash  string         `json:"hash"`  // over each action and answer, in order, and the states at the end
+	State string         `json:"state"` // over the states at the end alone
+	Count map[string]int `json:"count"`
+}
+
+// TestGolden plays clusters by seed, with drawn calls, faults and changes of all kinds, and compares what each replica did, in
+// order, and its state at the end with the record under testdata. The hashes are over values and bytes alone, so that they outlast
+// any renaming; of answers other than OK only the status counts. After a change that is meant: go test -run TestGolden -update.
+func TestGolden(t *testing.T) {
+	seeds := uint64(goldenSeeds)
+	if testkit.Race { // which takes ten times as long, and looks for other things
+		seeds = goldenSeedsUnderRace
+	}
+	var runs []goldenRun
+	for seed := range seeds {
+		runs = append(runs, playGolden(seed))
+	}
+	if testkit.Race {
+		var recorded []goldenRun
+		assert.NilError(t, json.Unmarshal(golden.Get(t, "golden.json"), &recorded))
+		assert.DeepEqual(t, runs, recorded[:seeds])
+		return
+	}
+	text, err := json.MarshalIndent(runs, "", " ")
+	assert.NilError(t, err)
+	golden.Assert(t, string(text)+"\n", "golden.json")
+}
+
+func playGolden(seed uint64) goldenRun {
+	p := &goldenPlay{cluster: newCluster(seed, 1+int(seed%2))}
+	for range goldenSteps {
+		p.step(time.Duration(p.random.Int64N(int64(10 * time.Millisecond))))
+		p.draw()
+	}
+	states := newActionRecord()
+	for _, n := range p.nodes {
+		if n.replica != nil {
+			states.add("state", n.address, n.replica.Applied(), n.replica.State().Save())
+		}
+	}
+	p.record.add("states", states.hash())
+	return goldenRun{Seed: seed, Hash: p.record.hash(), State: states.hash(), Count: p.record.Count}
+}
+
+// goldenPlay draws what befalls a cluster.
+type goldenPlay struct {
+	*cluster
+	version int
+	orders  int
+}
+
+// draw has something happen, or nothing.
+func (p *goldenPlay) draw() {
+	n := p.nodes[p.random.IntN(len(p.nodes))]
+	switch x := p.random.IntN(1000); {
+	case x < 60:
+		p.modify(n)
+	case x < 120:
+		p.claim(n)
+	case x < 150:
+		p.read(n)
+	case x < 180:
+		p.tellRecords(n)
+	case x < 200:
+		p.maintain()
+	case x < 215:
+		p.bind()
+	case x < 230:
+		p.confirm(n)
+	case x < 245:
+		p.fault(n)
+	}
+}
+
+// reply records an answer; of one that is not OK only the status.
+func (p *goldenPlay) reply(kind string) func(Reply) {
+	return func(reply Reply) {
+		body, push := []byte(nil), []byte(nil)
+		if reply.Status == http.StatusOK {
+			body = reply.Body
+		}
+		if reply.Push != nil {
+			push = trunk.Encode(reply.Push)
+		}
+		p.record.add(fmt.Sprint(kind, " ", reply.Status), body, push)
+	}
+}
+
+// modify sends an operator's call, of few items in few versions.
+func (p *goldenPlay) modify(n *clusterNode) {
+	if p.random.IntN(3) == 0 {
+		p.version++
+	}
+	version := max(1, p.version-p.random.IntN(6))
+	route, service := fmt.Sprint("route-", p.random.IntN(4)), fmt.Sprint("service-", p.random.IntN(3))
+	var body string
+	switch x := p.random.IntN(20); {
+	case x < 8:
+		body = string(order(version, service, route))
+	case x < 12:
+		body = fmt.Sprintf(`{"Upsert":{"UpstreamGroups":[{"Name":%q,"ConfigVersion":%d}]}}`, service, version)
+	case x < 14:
+		body = fmt.Sprintf(`{"Remove":{"RouteTable":[{"Name":%q,"ConfigVersion":%d}]}}`, route, version)
+	case x < 15:
+		body = fmt.Sprintf(`{"Remove":{"UpstreamGroups":[{"Name":%q,"ConfigVersion":%d}]}}`, service, version)
+	case x < 17:
+		body = fmt.Sprintf(`{"Upsert":{"NamespaceList":[{"Name":"space","ConfigVersion":%d,"Owners":["ana"],"Services":[%q]}]}}`, version, service)
+	case x < 19:
+		by := []string{"ana", "eve", ""}[p.random.IntN(3)]
+		body = fmt.Sprintf(`{"By":%q,"Upsert":{"RulingList":[{"Name":"ruling","Namespace":"space","ConfigVersion":%d,"Tries":%d}]}}`, by, version, 1+p.random.IntN(4))
+	default:
+		body = "{"
+	}
+	n.call(func(r *Replica) { r.Modify(p.now, []byte(body), p.reply("modify")) })
+}
+
+// claim sends claims on few keys, as a sidecar does.
+func (p *goldenPlay) claim(n *clusterNode) {
+	t := &wire.ClaimsT{}
+	for range 1 + p.random.IntN(3) {
+		window := []time.Duration{0, 200 * time.Millisecond, 2 * time.Second}[p.random.IntN(3)]
+		t.List = append(t.List, &wire.ClaimT{Key: fmt.Sprint("key-", p.random.IntN(6)), Ticket: fmt.Sprint("ticket-", p.random.IntN(4)),
+			Nth: uint32(p.random.IntN(2)), Holder: fmt.Sprint("holder-", p.random.IntN(2)), Release: p.random.IntN(5) == 0, Window: window.Microseconds()})
+	}
+	body := trunk.Bytes(t)
+	if p.random.IntN(30) == 0 {
+		body = body[:3]
+	}
+	n.call(func(r *Replica) { r.Answer(p.now, trunk.AskClaims, body, true, p.reply("lease")) })
+}
+
+// read asks for what is agreed on.
+func (p *goldenPlay) read(n *clusterNode) {
+	kind := []byte{trunk.AskTable, trunk.AskBound, trunk.AskRead, trunk.AskStatus, 0}[p.random.IntN(5)]
+	if kind != 0 {
+		n.call(func(r *Replica) { r.Answer(p.now, kind, nil, true, p.reply(fmt.Sprint("read ", kind))) })
+		return
+	}
+	n.call(func(r *Replica) {
+		r.Fetch(p.now, func(set patch.Set, ok bool) {
+			text, err := json.Marshal(set)
+			if err != nil {
+				panic(err)
+			}
+			p.record.add("fetched", ok, text)
+		})
+	})
+}
+
+// tellRecords sends records of few sidecars, some of them of lives that have ended, or has one greeted.
+func (p *goldenPlay) tellRecords(n *clusterNode) {
+	if p.random.IntN(4) == 0 {
+		n.call(func(r *Replica) {
+			for _, m := range r.Greeting() {
+				p.record.add("initial message", trunk.Encode(m))
+			}
+		})
+		return
+	}
+	sidecar := p.random.IntN(3)
+	t := &wire.RecordsT{List: []*wire.RecordT{{Node: fmt.Sprint("node-", sidecar), Life: uint64(1 + p.random.IntN(3)), Seq: uint64(p.random.IntN(20)),
+		Addr: fmt.Sprint("sidecar-", sidecar), Service: "service-0"}}}
+	n.call(func(r *Replica) {
+		for _, record := range r.TakeRecords(p.now, directory.Of(t), p.random.IntN(2) == 0) {
+			p.record.add("newer record", trunk.Encode(directory.Wire([]directory.Record{record})))
+		}
+	})
+}
+
+// maintain proposes a change of the maintenance state at the leader, in the form that is stored.
+func (p *goldenPlay) maintain() {
+	n := p.leader()
+	if n == nil {
+		return
+	}
+	var kind byte
+	var text string
+	id := fmt.Sprint("order-", max(1, p.orders-p.random.IntN(2)))
+	switch p.random.IntN(8) {
+	case 0, 1:
+		p.orders++
+		kind, text = MaintenancePlace, fmt.Sprintf(`{"id":"order-%d","machines":[%q,"sidecar-1"],"by":"ana"}`, p.orders, p.nodes[p.random.IntN(len(p.nodes))].address)
+	case 2, 3, 4, 5:
+		step := []string{"draining", "leading", "out", "returning", "waiting", "done", "aborted"}[p.random.IntN(7)]
+		kind, text = MaintenanceWord, fmt.Sprintf(`{"id":%q,"step":%q,"next":true,"heir":"sidecar-2","text":"drawn"}`, id, step)
+	default:
+		at := time.Unix(1_000_000, 0).UTC().Add(p.now)
+		kind, text = MaintenanceTime, fmt.Sprintf(`{"Stamp":%d,"Earliest":%q,"Latest":%q,"Doubt":false}`, n.replica.Stamp(p.now),
+			at.Format(time.RFC3339Nano), at.Add(time.Second).Format(time.RFC3339Nano))
+	}
+	p.propose(n, "maintenance", Change(ChangeMaintenance, &wire.NightT{Kind: kind, Text: []byte(text)}))
+}
+
+// bind proposes that the rules that are agreed on bind, or others.
+func (p *goldenPlay) bind() {
+	n := p.leader()
+	if n == nil {
+		return
+	}
+	fingerprint := n.replica.State().Rules.Board.Held
+	if p.random.IntN(4) == 0 {
+		fingerprint = "of another set"
+	}
+	p.propose(n, "activate", Change(ChangeBound, &wire.BoundT{Print: fingerprint}))
+}
+
+func (p *goldenPlay) propose(n *clusterNode, kind string, data []byte) {
+	n.call(func(r *Replica) {
+		taken := r.Propose(p.now, data, func(o Outcome, known bool) {
+			p.record.add(kind+" agreed", known, o.Err != nil, o.Bound, o.Maintenance, len(o.Raised), len(o.Grants))
+		})
+		p.record.add(kind+" proposed", taken)
+	})
+}
+
+// confirm finds out what has to be applied.
+func (p *goldenPlay) confirm(n *clusterNode) {
+	n.call(func(r *Replica) {
+		r.Confirm(p.now, func(index uint64, ok bool) {
+			p.record.add("read index", binary.BigEndian.AppendUint64(nil, index), ok)
+		})
+	})
+}
+
+// fault has a replica, its disk or its connections fail, or end as planned.
+func (p *goldenPlay) fault(n *clusterNode) {
+	rest := p.between(10*time.Millisecond, 3*time.Second)
+	switch p.random.IntN(8) {
+	case 0:
+		p.restart(n, rest)
+	case 1:
+		p.wipe(n, rest)
+	case 2:
+		n.frozen = p.now + rest
+	case 3:
+		n.fullUntil = p.now + rest/2
+	case 4:
+		p.isolate(n)
+		p.after(rest, p.heal)
+	case 5:
+		if leader := p.leader(); leader != nil {
+			p.isolate(leader)
+			p.after(rest, p.heal)
+		}
+	case 6:
+		p.exit(n)
+	case 7:
+		n.call(func(r *Replica) { r.Leave(p.now) })
+		n.later(rest, func() { p.restart(n, time.Second) })
+	}
+}
+
+func (p *goldenPlay) restart(n *clusterNode, rest time.Duration) {
+	if n.replica == nil {
+		return
+	}
+	n.stop()
+	p.after(rest, func() {
+		if n.replica == nil {
+			n.start()
+		}
+	})
+}
+
+// wipe has a replica lose its disk, so that it is a new one. All must be well otherwise: two at once would end the cluster.
+func (p *goldenPlay) wipe(n *clusterNode, rest time.Duration) {
+	for _, o := range p.nodes {
+		if !o.running() || o.replica.Touched() == 0 {
+			return
+		}
+	}
+	n.disk = Beginning{Address: n.address, Seeds: n.seeds, NewID: p.newID()}.Held()
+	p.restart(n, rest)
+}
+
+// exit ends a replica's process, which the others notice by its host.
+func (p *goldenPlay) exit(n *clusterNode) {
+	p.restart(n, time.Second)
+	for _, o := range p.nodes {
+		o.call(func(r *Replica) {
+			if wait, isLeader := r.PeerGone(p.now, n.address); isLeader {
+				p.record.add("leader exited", o.address, wait)
+				o.later(wait, func() { o.call(func(r *Replica) { r.Tick(p.now) }) })
+			}
+		})
+	}
+}
--- a/internal/mesh/replica/modify_test.go
+++ b/internal/mesh/replica/modify_test.go
@@ -104,10 +104,14 @@
 // What another term proposed holds no call back.
 func TestModifyingOfATerm(t *testing.T) {
 	r, now := leading(t)
+	service := []byte(`{"Upsert":{"UpstreamGroups":[{"Name":"a","ConfigVersion":1}]}}`)
 	r.modifying.propose(r.core.Term()-1, r.core.LastIndex()+100, callOf(t, order(5, "a", "r")))
-	r.Modify(now, []byte(`{"Upsert":{"UpstreamGroups":[{"Name":"a","ConfigVersion":1}]}}`), func(Reply) {})
-	r.Turn()
+	r.modifying.propose(r.core.Term()-1, r.core.LastIndex()+100, callOf(t, service))
 	status := 0
+	r.Modify(now, service, func(reply Reply) { status = reply.Status })
+	r.Turn()
+	assert.Equal(t, status, http.StatusOK)
+	status = 0
 	r.Modify(now, order(5, "a", "r"), func(reply Reply) { status = reply.Status })
 	r.Turn()
 	assert.Equal(t, status, http.StatusOK)
