--- /dev/null
+++ b/internal/mesh/follower/golden_test.go
@@ -0,0 +1,147 @@
+package follower
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+)
+
+const (
+	goldenSeeds  = 64
+	goldenEvents = 2000
+	// goldenStaleShare is one event in so many that names a connection which has been closed.
+	goldenStaleShare = 8
+)
+
+// goldenRun draws events for one decider and hashes every action and every answer that it gives, in order. What is hashed are
+// values only (times, numbers, addresses), so that a rename of identifiers or a reworded reason leaves the record as it is:
+// reasons count by the order in which they first appear.
+type goldenRun struct {
+	rng      *rand.Rand
+	selector *Follower
+	now      time.Duration
+	events   uint64
+	open     []DialID
+	seen     []DialID
+	reasons  map[string]int
+	hash     hash.Hash
+}
+
+var goldenAddresses = []string{"a", "b", "c", "d", "e"}
+
+func newGoldenRun(seed uint64) *goldenRun {
+	g := &goldenRun{rng: rand.New(rand.NewPCG(seed, 57)), reasons: map[string]int{"": 0}, hash: sha256.New()}
+	g.selector = New(0, goldenAddresses[:3])
+	g.record()
+	return g
+}
+
+// record takes the actions and hashes them with what the decider answers now.
+func (g *goldenRun) record() {
+	for _, a := range g.selector.Take() {
+		text := fmt.Sprint(a.Reason)
+		reason, known := g.reasons[text]
+		if !known {
+			reason = len(g.reasons)
+			g.reasons[text] = reason
+		}
+		fmt.Fprintln(g.hash, "action", int64(g.now), uint8(a.Kind), uint64(a.ID), a.Addr, reason)
+		switch a.Kind {
+		case Dial:
+			g.open = append(g.open, a.ID)
+			g.seen = append(g.seen, a.ID)
+		case Drop:
+			g.forget(a.ID)
+		}
+	}
+	reachable, until := g.selector.Reachable()
+	fmt.Fprintln(g.hash, "state", int64(g.now), uint64(g.selector.Home()), reachable, int64(until), int64(g.selector.Next()))
+}
+
+func (g *goldenRun) forget(id DialID) {
+	for i, o := range g.open {
+		if o == id {
+			g.open = append(g.open[:i:i], g.open[i+1:]...)
+			return
+		}
+	}
+}
+
+// drawID draws a connection: mostly one that is open, now and then any that ever was.
+func (g *goldenRun) drawID() DialID {
+	if len(g.open) == 0 || g.rng.IntN(goldenStaleShare) == 0 {
+		return g.seen[g.rng.IntN(len(g.seen))]
+	}
+	return g.open[g.rng.IntN(len(g.open))]
+}
+
+// drawTime lets time pass: to the decider's own time for half of the events, by up to 200 ms for the others.
+func (g *goldenRun) drawTime() {
+	at := g.now + time.Duration(g.rng.Int64N(int64(200*time.Millisecond)))
+	if next := g.selector.Next(); g.rng.IntN(2) == 0 && next < g.now+time.Minute {
+		at = next
+	}
+	g.now = max(g.now, at)
+}
+
+func (g *goldenRun) event() {
+	g.events++
+	g.drawTime()
+	switch g.rng.IntN(14) {
+	case 0, 1, 2:
+		g.selector.Spoke(g.now, g.drawID())
+	case 3, 4:
+		g.selector.Heartbeat(g.now, g.drawID(), true)
+	case 5:
+		g.selector.Heartbeat(g.now, g.drawID(), false)
+	case 6:
+		g.selector.Heard(g.now, g.drawID(), g.now-time.Duration(g.rng.Int64N(int64(100*time.Millisecond))))
+	case 7:
+		id := g.drawID()
+		g.forget(id)
+		g.selector.Closed(g.now, id)
+	case 8:
+		g.selector.Waiting(g.now, g.rng.IntN(2) == 0)
+	case 9:
+		g.selector.Members(g.now, g.events/8+g.rng.Uint64N(10), g.drawAddresses())
+	case 10:
+		g.selector.Seeds(g.now, g.drawAddresses())
+	case 11, 12:
+		g.selector.Confirmed(g.now, g.drawID(), g.rng.IntN(2) == 0)
+	case 13:
+		g.selector.Tick(g.now - time.Duration(g.rng.Int64N(int64(50*time.Millisecond))))
+	}
+	g.record()
+}
+
+// drawAddresses draws some of the addresses, possibly none and possibly one twice.
+func (g *goldenRun) drawAddresses() (l []string) {
+	for range g.rng.IntN(len(goldenAddresses) + 1) {
+		l = append(l, goldenAddresses[g.rng.IntN(len(goldenAddresses))])
+	}
+	return l
+}
+
+// The same events give the same actions as when testdata/golden.json was written. Written anew with -update, which only a change
+// of behaviour justifies.
+func TestGoldenActions(t *testing.T) {
+	record := map[string]string{}
+	for seed := range uint64(goldenSeeds) {
+		g := newGoldenRun(seed)
+		for range goldenEvents {
+			g.event()
+		}
+		record[fmt.Sprintf("seed %02d", seed)] = hex.EncodeToString(g.hash.Sum(nil)[:16])
+	}
+	text, err := json.MarshalIndent(record, "", "\t")
+	assert.NilError(t, err)
+	golden.Assert(t, string(text)+"\n", "golden.json")
+}
