--- a/internal/exchange/register/vault_test.go
+++ b/internal/exchange/register/vault_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"github.com/rs/zerolog"
-	"github.com/syndtr/goleveldb/leveldb/storage"
+	ldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 	"gotest.tools/v3/assert"
 
 	"hollyspur/internal/exchange/core"
@@ -47,7 +47,7 @@
 func damage(t *testing.T, d *disk.Disk) {
 	files, err := d.Open(false)
 	assert.NilError(t, err)
-	journals, err := files.List(storage.TypeJournal)
+	journals, err := files.List(ldbstorage.TypeJournal)
 	assert.NilError(t, err)
 	w, err := files.Create(journals[0])
 	assert.NilError(t, err)
--- /dev/null
+++ b/internal/mesh/replica/landed_disk_test.go
@@ -0,0 +1,230 @@
+package replica
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/syndtr/goleveldb/leveldb"
+	"github.com/syndtr/goleveldb/leveldb/opt"
+	ldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
+	"gotest.tools/v3/assert"
+
+	"hollyspur/internal/exchange/core"
+	"hollyspur/internal/exchange/patch"
+	"hollyspur/internal/exchange/vault"
+	"hollyspur/internal/mesh/sim/disk"
+)
+
+// landedDisk is the data folder of a control-plane member of an earlier build; see its README.md.
+const landedDisk = "testdata/store-format-1-member"
+
+// recordLanded has the contents of landedDisk written beside it. It is for a new fixture only, with the build that wrote it.
+var recordLanded = flag.Bool("record-landed-disk", false, "write contents.json of the recorded data folder, if there is none")
+
+// The recorded contents of a data folder. Their JSON is the tests' own: it names what a field means, whatever the code calls it.
+type (
+	recordedContents struct {
+		Self     uint64           `json:"self"`
+		Term     uint64           `json:"term"`
+		Vote     uint64           `json:"vote"`
+		Snapshot recordedSnapshot `json:"snapshot"`
+		CatchUp  []recordedEntry  `json:"catchUpEntries"`
+		Entries  []recordedEntry  `json:"entries"`
+		State    recordedState    `json:"state"`
+	}
+	recordedSnapshot struct {
+		Index       uint64           `json:"index"`
+		Term        uint64           `json:"term"`
+		LogTime     time.Duration    `json:"logTimeNs"`
+		ConfigIndex uint64           `json:"configurationIndex"`
+		Members     []recordedMember `json:"members"`
+		Outgoing    []recordedMember `json:"outgoing"`
+		RaftVersion uint32           `json:"raftVersion"`
+		DataBytes   int              `json:"dataBytes"`
+		DataSHA256  string           `json:"dataSHA256"`
+	}
+	recordedMember struct {
+		ID   uint64 `json:"id"`
+		Addr string `json:"addr"`
+	}
+	recordedEntry struct {
+		Index       uint64           `json:"index"`
+		Term        uint64           `json:"term"`
+		Kind        uint8            `json:"kind"`
+		LogTime     time.Duration    `json:"logTimeNs"`
+		Data        []byte           `json:"data,omitempty"`
+		Members     []recordedMember `json:"members,omitempty"`
+		Outgoing    []recordedMember `json:"outgoing,omitempty"`
+		RaftVersion uint32           `json:"raftVersion,omitempty"`
+	}
+	// recordedState is the replicated state with all entries of the log applied. Maintenance and policy are JSON as the
+	// snapshot stores it.
+	recordedState struct {
+		Items        []recordedItem  `json:"items"`
+		KeyLeases    []recordedLease `json:"keyLeases"`
+		Maintenance  json.RawMessage `json:"maintenance"`
+		ActivePolicy []recordedItem  `json:"activePolicy"`
+		Policy       json.RawMessage `json:"policy"`
+		SHA256       string          `json:"encodedSHA256"` // of the state as a snapshot stores it
+	}
+	recordedItem struct {
+		Kind    uint8         `json:"kind"`
+		Name    string        `json:"name"`
+		Version int64         `json:"version"`
+		Deleted bool          `json:"deleted,omitempty"`
+		Host    string        `json:"host,omitempty"`
+		Body    string        `json:"body,omitempty"`
+		LogTime time.Duration `json:"logTimeNs"`
+		History []byte        `json:"history,omitempty"`
+	}
+	recordedLease struct {
+		Key       string        `json:"key"`
+		Token     string        `json:"token"`
+		Attempt   uint32        `json:"attempt"`
+		Holder    string        `json:"holder"`
+		GrantedAt time.Duration `json:"grantedAtNs"`
+		Window    time.Duration `json:"windowNs"`
+	}
+)
+
+func recordMembers(members []core.Member) (recorded []recordedMember) {
+	for _, m := range members {
+		recorded = append(recorded, recordedMember{ID: uint64(m.ID), Addr: m.Addr})
+	}
+	return recorded
+}
+
+func recordEntries(entries []core.Entry) (recorded []recordedEntry) {
+	for _, e := range entries {
+		recorded = append(recorded, recordedEntry{Index: e.Index, Term: e.Term, Kind: uint8(e.Kind), LogTime: e.Stamp, Data: e.Data,
+			Members: recordMembers(e.Members), Outgoing: recordMembers(e.Outgoing), RaftVersion: e.Version})
+	}
+	return recorded
+}
+
+func recordItems(table patch.Table) (recorded []recordedItem) {
+	for _, i := range patch.Stored(table) {
+		recorded = append(recorded, recordedItem{Kind: i.Kind, Name: i.Name, Version: i.Version, Deleted: i.Dropped, Host: i.Host, Body: string(i.Body),
+			LogTime: time.Duration(i.Stamp), History: i.Past})
+	}
+	return recorded
+}
+
+func recordState(t *testing.T, s *State) recordedState {
+	t.Helper()
+	maintenance, err := json.Marshal(s.Maintenance)
+	assert.NilError(t, err)
+	policy, err := json.Marshal(s.Rules)
+	assert.NilError(t, err)
+	recorded := recordedState{Items: recordItems(s.Items), Maintenance: maintenance, ActivePolicy: recordItems(s.Bound), Policy: policy, SHA256: sha256Of(s.Save())}
+	for _, h := range s.Keys.All() {
+		recorded.KeyLeases = append(recorded.KeyLeases, recordedLease{Key: h.Key, Token: h.Ticket, Attempt: h.Nth, Holder: h.Holder, GrantedAt: h.Stamp, Window: h.Window})
+	}
+	return recorded
+}
+
+func recordContents(t *testing.T, held vault.Held) recordedContents {
+	t.Helper()
+	var s State
+	assert.NilError(t, s.Load(held.Snapshot.Data))
+	assert.Assert(t, bytes.Equal(s.Save(), held.Snapshot.Data), "the state of the snapshot is stored as it was")
+	for _, e := range held.Log {
+		if e.Kind == core.Change {
+			s.Apply(e)
+		}
+	}
+	snapshot := held.Snapshot
+	return recordedContents{Self: uint64(held.Self), Term: held.Hard.Term, Vote: uint64(held.Hard.Vote),
+		Snapshot: recordedSnapshot{Index: snapshot.Index, Term: snapshot.Term, LogTime: snapshot.Stamp, ConfigIndex: snapshot.View,
+			Members: recordMembers(snapshot.Members), Outgoing: recordMembers(snapshot.Outgoing), RaftVersion: snapshot.Version,
+			DataBytes: len(snapshot.Data), DataSHA256: sha256Of(snapshot.Data)},
+		CatchUp: recordEntries(held.Tail), Entries: recordEntries(held.Log), State: recordState(t, &s)}
+}
+
+func sha256Of(p []byte) string {
+	sum := sha256.Sum256(p)
+	return hex.EncodeToString(sum[:])
+}
+
+// copiedDisk is a copy of a data folder, which opening it may change.
+func copiedDisk(t *testing.T, from string) string {
+	t.Helper()
+	dir := t.TempDir()
+	assert.NilError(t, os.CopyFS(dir, os.DirFS(from)))
+	return dir
+}
+
+// rawRecords are the keys and values of a data folder as goleveldb has them, without the storage's own reading of them.
+func rawRecords(t *testing.T, files ldbstorage.Storage) map[string]string {
+	t.Helper()
+	db, err := leveldb.Open(files, &opt.Options{ErrorIfMissing: true})
+	assert.NilError(t, err)
+	defer db.Close()
+	it := db.NewIterator(nil, nil)
+	defer it.Release()
+	records := map[string]string{}
+	for it.Next() {
+		records[string(it.Key())] = hex.EncodeToString(it.Value())
+	}
+	assert.NilError(t, it.Error())
+	return records
+}
+
+// Everything that a member of an earlier build had on its disk is read: the log entry by entry, and the state that its snapshot
+// and the log make.
+func TestDiskOfLandedBuildIsReadInFull(t *testing.T) {
+	v, held, empty, err := vault.Open(copiedDisk(t, landedDisk))
+	assert.NilError(t, err)
+	defer v.Close()
+	assert.Assert(t, !empty)
+	got, err := json.MarshalIndent(recordContents(t, held), "", " ")
+	assert.NilError(t, err)
+	path := landedDisk + "/contents.json"
+	if _, err := os.Stat(path); os.IsNotExist(err) && *recordLanded {
+		assert.NilError(t, os.WriteFile(path, append(got, '\n'), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	assert.NilError(t, err)
+	assert.Equal(t, string(got)+"\n", string(want))
+	assert.Assert(t, len(held.Log) > 300 && held.Snapshot.Index > 4000, "%d entries behind the snapshot of entry %d", len(held.Log), held.Snapshot.Index)
+}
+
+// What was read is written as it was: a new data folder of the same contents has the same keys with the same bytes.
+func TestDiskOfLandedBuildIsWrittenTheSame(t *testing.T) {
+	dir := copiedDisk(t, landedDisk)
+	held, _, err := vault.OpenReadOnly(dir)
+	assert.NilError(t, err)
+	files, err := vault.Directory(dir).Open(false)
+	assert.NilError(t, err)
+	want := rawRecords(t, files)
+	assert.NilError(t, files.Close())
+
+	d := disk.New()
+	v, _, _, err := vault.OpenIn(d, vault.Options{})
+	assert.NilError(t, err)
+	assert.NilError(t, v.Begin(held.Self, held.Snapshot))
+	assert.NilError(t, v.Save(core.Ready{Hard: &held.Hard, Entries: append(held.Tail, held.Log...)}, 0))
+	v.Close()
+	again, err := d.Open(false)
+	assert.NilError(t, err)
+	assert.DeepEqual(t, rawRecords(t, again), want)
+}
+
+// A member starts from such a disk: it knows its id, its term and its fellow members.
+func TestMemberStartsFromDiskOfLandedBuild(t *testing.T) {
+	held, _, err := vault.OpenReadOnly(copiedDisk(t, landedDisk))
+	assert.NilError(t, err)
+	r, err := New(Config{Address: "127.0.0.1:7380", Held: held}, alone{}, 0)
+	assert.NilError(t, err)
+	assert.Equal(t, r.Self().ID, held.Self)
+	assert.Equal(t, r.Term(), held.Hard.Term)
+	members, _ := r.Members()
+	assert.Equal(t, len(members), 3)
+	assert.Equal(t, r.Logged(), held.Snapshot.Index+uint64(len(held.Log)))
+}
