--- /dev/null
+++ b/internal/exchange/core/golden_test.go
@@ -0,0 +1,217 @@
+package core
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+)
+
+// goldenRecord is what one run did: how many Readys it gave, and a hash of all of them in order.
+type goldenRecord struct {
+	Run    string `json:"run"`
+	Readys int    `json:"readys"`
+	SHA256 string `json:"sha256"` // the first 16 hexadecimal digits
+}
+
+// recorder hashes actions by their values only, numbers and bytes, so that no identifier of the code is part of the hash.
+type recorder struct {
+	hash   hash.Hash
+	buffer []byte
+	readys int
+}
+
+func newRecorder() *recorder { return &recorder{hash: sha256.New()} }
+
+// record ends one run.
+func (r *recorder) record(run string) goldenRecord {
+	return goldenRecord{Run: run, Readys: r.readys, SHA256: hex.EncodeToString(r.hash.Sum(nil))[:16]}
+}
+
+func (r *recorder) numbers(values ...uint64) {
+	for _, value := range values {
+		r.buffer = binary.AppendUvarint(r.buffer, value)
+	}
+}
+
+func (r *recorder) flags(values ...bool) {
+	for _, value := range values {
+		if value {
+			r.numbers(1)
+		} else {
+			r.numbers(0)
+		}
+	}
+}
+
+func (r *recorder) bytes(data []byte) {
+	r.numbers(uint64(len(data)))
+	r.buffer = append(r.buffer, data...)
+}
+
+func (r *recorder) duration(d time.Duration) { r.buffer = binary.AppendVarint(r.buffer, int64(d)) }
+
+func (r *recorder) members(members []Member) {
+	r.numbers(uint64(len(members)))
+	for _, member := range members {
+		r.numbers(uint64(member.ID))
+		r.bytes([]byte(member.Addr))
+	}
+}
+
+func (r *recorder) entries(entries []Entry) {
+	r.numbers(uint64(len(entries)))
+	for _, entry := range entries {
+		r.numbers(entry.Index, entry.Term, uint64(entry.Kind), uint64(entry.Version))
+		r.duration(entry.Stamp)
+		r.bytes(entry.Data)
+		r.members(entry.Members)
+		r.members(entry.Outgoing)
+	}
+}
+
+func (r *recorder) snapshot(snapshot *Snapshot) {
+	r.flags(snapshot != nil)
+	if snapshot == nil {
+		return
+	}
+	r.numbers(snapshot.Index, snapshot.Term, snapshot.View, uint64(snapshot.Version))
+	r.duration(snapshot.Stamp)
+	r.bytes(snapshot.Data)
+	r.members(snapshot.Members)
+	r.members(snapshot.Outgoing)
+}
+
+func (r *recorder) messages(messages []Message) {
+	r.numbers(uint64(len(messages)))
+	for _, message := range messages {
+		r.numbers(uint64(message.Kind), uint64(message.From), uint64(message.To), message.Term, message.Index, message.LogTerm,
+			message.Commit, message.Hint, message.Seq, message.View, uint64(message.Version), message.Offset, message.Total, uint64(message.Sum))
+		r.flags(message.Reject, message.Leaving)
+		r.bytes([]byte(message.Addr))
+		r.entries(message.Entries)
+		r.snapshot(message.Snapshot)
+		r.members(message.Members)
+	}
+}
+
+// ready hashes what one member is to do.
+func (r *recorder) ready(id ID, ready Ready) {
+	r.readys++
+	r.numbers(uint64(id))
+	r.messages(ready.Before)
+	r.messages(ready.After)
+	r.flags(ready.Hard != nil, ready.Must())
+	if ready.Hard != nil {
+		r.numbers(ready.Hard.Term, uint64(ready.Hard.Vote))
+	}
+	r.entries(ready.Entries)
+	r.snapshot(ready.Snapshot)
+	r.entries(ready.Committed)
+	r.numbers(uint64(len(ready.Reads)))
+	for _, read := range ready.Reads {
+		r.numbers(read.ID, read.Index)
+	}
+	r.flush()
+}
+
+// state hashes what one member says of itself.
+func (r *recorder) state(id ID, c *Core, now time.Duration) {
+	members, index := c.Members()
+	r.numbers(uint64(id), c.Term(), uint64(c.Leader()), c.Applied(), c.LastIndex(), index, uint64(c.Logged()), c.Kept())
+	r.members(members)
+	r.flags(c.Leads(), c.InTouch(now), c.Outside(), c.MayLeave(), c.Current())
+	for _, member := range members {
+		r.bytes([]byte(c.Addr(member.ID)))
+		r.flags(c.Hears(member.ID))
+	}
+	r.flush()
+}
+
+func (r *recorder) flush() {
+	r.hash.Write(r.buffer)
+	r.buffer = r.buffer[:0]
+}
+
+// goldenSchedule plays a random schedule, and between its events has members hand over leadership, tell of what is committed, and
+// hear that the leader's process has ended, whether or not that is so.
+func goldenSchedule(t *testing.T, seed uint64) goldenRecord {
+	recorder := newRecorder()
+	schedule := newSchedule(seed, 3, 2)
+	schedule.observe = func(member *node, ready Ready) { recorder.ready(member.self.ID, ready) }
+	random := rand.New(rand.NewPCG(seed, 0x601d))
+	for event := range 1500 {
+		assert.NilError(t, schedule.event(), "seed %d", seed)
+		i := random.IntN(len(schedule.nodes))
+		member := schedule.nodes[i]
+		if schedule.frozen[i] {
+			continue
+		}
+		switch random.IntN(100) {
+		case 0:
+			member.c.Yield(schedule.now)
+		case 1:
+			member.c.Tell(schedule.now)
+		case 2:
+			wait, followed := member.c.LeaderGone(schedule.now, member.c.Leader())
+			recorder.duration(wait)
+			recorder.flags(followed)
+		case 3:
+			recorder.duration(member.c.Stamp(schedule.now))
+		}
+		assert.NilError(t, schedule.turn(i, whole, plant{}), "seed %d", seed)
+		if event%50 == 0 {
+			recorder.state(member.self.ID, member.c, schedule.now)
+		}
+	}
+	return recorder.record(fmt.Sprint("schedule ", seed))
+}
+
+// goldenMixedVersions plays members of both protocol versions on links that lose messages: members that lag are sent a snapshot,
+// one loses its disk, and one is told to end.
+func goldenMixedVersions(t *testing.T, mask int) goldenRecord {
+	recorder := newRecorder()
+	f := newFleet(t, uint64(900+mask), "a", "b", "c")
+	f.observe = func(member *node, ready Ready) { recorder.ready(member.self.ID, ready) }
+	for i, addr := range f.addrs() {
+		if f.nodes[addr].first = mask>>i&1 == 1; f.nodes[addr].first {
+			f.nodes[addr].start()
+		}
+	}
+	f.loss = 0.05
+	lags := f.cutOff(30, 5, 10<<10)
+	delete(f.cut, lags)
+	f.run(4 * time.Second)
+	f.write("after the snapshot")
+	f.join(lags, 50)
+	f.run(4 * time.Second)
+	f.write("after the loss of a disk")
+	f.leave(f.follower(), time.Second)
+	f.run(2 * time.Second)
+	for _, addr := range f.addrs() {
+		recorder.state(f.nodes[addr].self.ID, f.nodes[addr].c, f.now)
+	}
+	return recorder.record(fmt.Sprintf("versions %03b", mask))
+}
+
+// The same events give the same actions as when the golden file was written, byte for byte.
+func TestGolden(t *testing.T) {
+	var records []goldenRecord
+	for seed := range uint64(40) {
+		records = append(records, goldenSchedule(t, seed))
+	}
+	for mask := range 8 {
+		records = append(records, goldenMixedVersions(t, mask))
+	}
+	text, err := json.MarshalIndent(records, "", "\t")
+	assert.NilError(t, err)
+	golden.Assert(t, string(text)+"\n", "golden.json") // -update writes it anew
+}
--- a/internal/exchange/core/members_test.go
+++ b/internal/exchange/core/members_test.go
@@ -27,6 +27,8 @@
 	sent  func(to string, m Message) // called with each message that is sent; nil: nothing is
 	drop  func(m Message) bool       // loses what it says so of; nil: nothing
 	each  func()                     // called after each step; nil: nothing is
+
+	observe func(*node, Ready) // called with each Ready before it is carried out; nil: nobody looks
 }
 
 type timed struct {
@@ -58,7 +60,7 @@
 
 func (f *fleet) turn(addr string) {
 	n := f.nodes[addr]
-	w := &world{nodes: []*node{n}, applied: f.seen, leaders: f.terms, configs: map[uint64]Configuration{}}
+	w := &world{nodes: []*node{n}, applied: f.seen, leaders: f.terms, configs: map[uint64]Configuration{}, observe: f.observe}
 	if err := w.turn(0, whole, plant{}); err != nil {
 		f.t.Fatal(err)
 	}
