--- a/cmd/line/main.go
+++ b/cmd/line/main.go
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	os.Exit(switchroom.Main("line", func(s settings.Settings, log zerolog.Logger, ring *howler.Howler, _ switchroom.Options) (switchroom.Role, error) {
+	os.Exit(switchroom.Main("line", func(s settings.Settings, log zerolog.Logger, ring *howler.Ring, _ switchroom.Options) (switchroom.Role, error) {
 		return line.New(s, log, ring)
 	}))
 }
--- a/cmd/register/main.go
+++ b/cmd/register/main.go
@@ -14,10 +14,10 @@
 )
 
 func main() {
-	os.Exit(switchroom.Main("register", func(s settings.Settings, log zerolog.Logger, ring *howler.Howler, o switchroom.Options) (switchroom.Role, error) {
-		r, err := register.New(s, log, ring, o.Standing)
+	os.Exit(switchroom.Main("register", func(s settings.Settings, log zerolog.Logger, ring *howler.Ring, o switchroom.Options) (switchroom.Role, error) {
+		r, err := register.New(s, log, ring, o.InitialOrders)
 		if err == nil {
-			r.Ahead(o.Ahead)
+			r.SetClockOffset(o.ClockOffset)
 		}
 		return r, err
 	}))
--- a/cmd/switchboard/campaign.go
+++ b/cmd/switchboard/campaign.go
@@ -15,9 +15,9 @@
 	"hollyspur/internal/rig/mesh"
 )
 
-// dispute is two teams whose rules meet: the first owns a service and the host, the second a service that the first's routes
+// policyDemo is two teams whose rules meet: the first owns a service and the host, the second a service that the first's routes
 // go to as well.
-type dispute struct {
+type policyDemo struct {
 	Length        time.Duration `long:"for" default:"12s" description:"how long the traffic runs"`
 	first, second string
 	owners        [2]string
@@ -27,7 +27,7 @@
 }
 
 // setBy is a set of rules as a request's answer named it.
-type seenRule struct {
+type observedPolicy struct {
 	at, end         time.Time
 	line, route     string
 	rule, set, from string
@@ -35,9 +35,9 @@
 
 // Execute has both teams change their rules against each other while traffic runs, and audits every request: what it was
 // decided by, on every line, and what became of it.
-func (d *dispute) Execute([]string) error {
+func (d *policyDemo) Execute([]string) error {
 	route := func(name, kind, to string) map[string]any {
-		r := mesh.Route(name, kind, "/"+name+"/", to, 1)
+		r := mesh.RouteItem(name, kind, "/"+name+"/", to, 1)
 		r["ForwardAction"].(map[string]any)["RetryCount"] = 3
 		return r
 	}
@@ -45,38 +45,38 @@
 	if d.whole != "" {
 		routes = append(routes, route(d.whole, "download", d.second))
 	}
-	m, err := raise([]string{d.first, d.first, d.first, d.second, d.second, d.second}, routes...)
+	m, err := startDemo([]string{d.first, d.first, d.first, d.second, d.second, d.second}, routes...)
 	if err != nil {
 		return err
 	}
-	defer m.drop()
+	defer m.closeAndRemove()
 	spaces := map[string]any{"Upsert": map[string]any{"NamespaceList": []classmark.Namespace{
 		{Name: d.first, ConfigVersion: 1, Owners: []string{d.owners[0]}, Services: []string{d.first}, Hosts: []string{mesh.Host}},
 		{Name: d.second, ConfigVersion: 1, Owners: []string{d.owners[1]}, Services: []string{d.second}}}}}
 	text, _ := json.Marshal(spaces)
-	if err := m.operate(text); err != nil {
+	if err := m.modify(text); err != nil {
 		return err
 	}
 	fmt.Printf("\n%s owns the routes, %s the service that %s goes to; both set rules while traffic runs\n", d.first, d.second, d.read)
 
 	var mu sync.Mutex // guards seen and dropped
-	var seen []seenRule
+	var seen []observedPolicy
 	var dropped []string
-	traced := func(x *mesh.Machine, method, path, key string) mesh.Told {
+	traced := func(x *mesh.Machine, method, path, key string) mesh.Response {
 		began := time.Now()
-		told := x.Call(method, path, key, []byte("one"))
-		if told.Status != 0 && told.Trace != "" {
-			rule, set, _ := strings.Cut(told.Trace, " ")
+		told := x.Send(method, path, key, []byte("one"))
+		if told.Status != 0 && told.PolicyTrace != "" {
+			rule, set, _ := strings.Cut(told.PolicyTrace, " ")
 			mu.Lock()
 			defer mu.Unlock()
-			seen = append(seen, seenRule{began, time.Now(), x.Name, strings.Split(path, "/")[1], rule, set, x.App.Service})
+			seen = append(seen, observedPolicy{began, time.Now(), x.Name, strings.Split(path, "/")[1], rule, set, x.App.Service})
 		}
 		return told
 	}
-	m.play(d.keyed, 8*time.Millisecond, func(n int) (told mesh.Told, whole bool) {
+	m.startCalls(d.keyed, 8*time.Millisecond, func(n int) (told mesh.Response, whole bool) {
 		key := fmt.Sprint("k-", n)
 		for try := range 20 { // as clients do: what has not run, or is at work, comes again, at any line
-			told = traced(m.line(n+try), "POST", "/"+d.keyed+"/new", key)
+			told = traced(m.sidecar(n+try), "POST", "/"+d.keyed+"/new", key)
 			if told.Status == 200 {
 				return told, true
 			}
@@ -87,32 +87,32 @@
 		dropped = append(dropped, key)
 		return told, true
 	})
-	m.play(d.read, 8*time.Millisecond, func(n int) (mesh.Told, bool) {
-		return traced(m.line(n), "GET", fmt.Sprintf("/%s/%d", d.read, n), ""), true
+	m.startCalls(d.read, 8*time.Millisecond, func(n int) (mesh.Response, bool) {
+		return traced(m.sidecar(n), "GET", fmt.Sprintf("/%s/%d", d.read, n), ""), true
 	})
 	const long = 200_000
 	if d.whole != "" {
-		m.play(d.whole, 40*time.Millisecond, func(n int) (mesh.Told, bool) {
-			told := traced(m.line(n), "GET", fmt.Sprintf("/%s/%d?bytes=%d", d.whole, n, long), "")
+		m.startCalls(d.whole, 40*time.Millisecond, func(n int) (mesh.Response, bool) {
+			told := traced(m.sidecar(n), "GET", fmt.Sprintf("/%s/%d?bytes=%d", d.whole, n, long), "")
 			return told, len(told.Body) > long
 		})
 	}
-	verdicts, err := d.quarrel(m)
-	m.end()
+	verdicts, err := d.changePolicies(m)
+	m.stopCalls()
 	if err != nil {
 		return err
 	}
-	fault := m.table("")
+	fault := m.printOutcomes("")
 	fmt.Println("503 and 403 have not run")
 	for _, v := range verdicts {
 		fmt.Println(v)
 	}
-	differences, sets, widest := audit(seen)
-	fmt.Printf("\n%d requests named their rule, by %d sets; a line went by a set for %v at the most once another had shown the next (%v is stated)\n", len(seen), sets, widest.Round(time.Millisecond), classmark.Fence)
+	differences, sets, widest := auditPolicies(seen)
+	fmt.Printf("\n%d requests named their rule, by %d sets; a line went by a set for %v at the most once another had shown the next (%v is stated)\n", len(seen), sets, widest.Round(time.Millisecond), classmark.FenceTimeout)
 	for _, x := range differences[:min(5, len(differences))] {
 		fmt.Println("  " + x)
 	}
-	switch err := m.clean(); {
+	switch err := m.checkRecords(); {
 	case err != nil:
 		return err
 	case len(dropped) > 0:
@@ -128,19 +128,19 @@
 	return nil
 }
 
-// quarrel is the teams' changes: one after the other, at the same moment at two registers, one that the other's rule refuses,
+// changePolicies is the teams' changes: one after the other, at the same moment at two registers, one that the other's rule refuses,
 // one that loosens without consent and then with it; a register is killed and comes back, a line stands still.
-func (d *dispute) quarrel(m *stage) (verdicts []string, err error) {
+func (d *policyDemo) changePolicies(m *demoCluster) (verdicts []string, err error) {
 	step := d.Length / 10
 	version := 1
-	ruling := func(n int, r classmark.Ruling, consents ...string) []byte {
+	ruling := func(n int, r classmark.Policy, consents ...string) []byte {
 		version++
 		r.ConfigVersion, r.Namespace = int64(version), []string{d.first, d.second}[n]
-		text, _ := json.Marshal(map[string]any{"Upsert": map[string]any{"RulingList": []classmark.Ruling{r}}, "By": d.owners[n], "Consents": consents})
+		text, _ := json.Marshal(map[string]any{"Upsert": map[string]any{"RulingList": []classmark.Policy{r}}, "By": d.owners[n], "Consents": consents})
 		return text
 	}
 	refused := func(why string, r *mesh.Machine, body []byte, want int) error {
-		status, text := r.Operate(body)
+		status, text := r.Modify(body)
 		if status != want {
 			return errors.Errorf("%s: answered %d %s, and not %d", why, status, text, want)
 		}
@@ -151,15 +151,15 @@
 	time.Sleep(step)
 	steps := []func() error{
 		func() error {
-			return m.operate(ruling(0, classmark.Ruling{Name: "patience", TimeoutS: 2, NeedsS: 0.5, Tries: 2}))
+			return m.modify(ruling(0, classmark.Policy{Name: "patience", TimeoutS: 2, NeedsS: 0.5, Tries: 2}))
 		},
-		func() error { return m.operate(ruling(1, classmark.Ruling{Name: "shelter", TimeoutS: 1.5, Tries: 1})) },
+		func() error { return m.modify(ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 1.5, Tries: 1})) },
 		func() error { // both at the same moment, at two registers
-			a, b := ruling(0, classmark.Ruling{Name: "keys", KeyedAgain: &no, On: classmark.On{Routes: []string{d.keyed}}}), ruling(1, classmark.Ruling{Name: "shelter", TimeoutS: 1, Tries: 1})
+			a, b := ruling(0, classmark.Policy{Name: "keys", KeyedAgain: &no, On: classmark.Selector{Routes: []string{d.keyed}}}), ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 1, Tries: 1})
 			var both sync.WaitGroup
 			var errs [2]error
-			both.Go(func() { errs[0] = m.operate(a) })
-			both.Go(func() { errs[1] = m.operate(b) })
+			both.Go(func() { errs[0] = m.modify(a) })
+			both.Go(func() { errs[1] = m.modify(b) })
 			both.Wait()
 			if errs[0] != nil {
 				return errs[0]
@@ -167,17 +167,17 @@
 			return errs[1]
 		},
 		func() error {
-			return refused("less time than the other's requests need", m.Registers[1], ruling(1, classmark.Ruling{Name: "shelter", TimeoutS: 0.2, Tries: 1}), 409)
+			return refused("less time than the other's requests need", m.Members[1], ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 0.2, Tries: 1}), 409)
 		},
 		func() error {
-			return refused("more tries than the other's rule let through, without consent", m.Registers[2], ruling(1, classmark.Ruling{Name: "shelter", TimeoutS: 1, Tries: 2}), 403)
+			return refused("more tries than the other's rule let through, without consent", m.Members[2], ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 1, Tries: 2}), 403)
 		},
 		func() error {
-			return m.operate(ruling(1, classmark.Ruling{Name: "shelter", TimeoutS: 1, Tries: 2}, d.first+":"+d.owners[0]))
+			return m.modify(ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 1, Tries: 2}, d.first+":"+d.owners[0]))
 		},
 		func() error { // a set is agreed on, and the register that leads is killed before it binds or just after
-			lead := m.leads()
-			if err := m.operate(ruling(0, classmark.Ruling{Name: "patience", TimeoutS: 1.2, NeedsS: 0.5, Tries: 2})); err != nil || lead == nil {
+			lead := m.leader()
+			if err := m.modify(ruling(0, classmark.Policy{Name: "patience", TimeoutS: 1.2, NeedsS: 0.5, Tries: 2})); err != nil || lead == nil {
 				return err
 			}
 			lead.Kill()
@@ -185,10 +185,10 @@
 			return lead.Start()
 		},
 		func() error { // a line stands still while another set binds without it
-			x := m.Lines[5]
+			x := m.Sidecars[5]
 			x.Process.Pause()
 			defer x.Process.Resume()
-			return m.operate(ruling(1, classmark.Ruling{Name: "shelter", TimeoutS: 0.9, Tries: 1}))
+			return m.modify(ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 0.9, Tries: 1}))
 		},
 	}
 	for _, f := range steps {
@@ -197,13 +197,13 @@
 		}
 		time.Sleep(step)
 	}
-	return verdicts, awaitBound(m.Registers[1].At("ControlPlane"))
+	return verdicts, awaitPolicyActive(m.Members[1].Addr("ControlPlane"))
 }
 
-// leads is the register that leads; nil: none says so.
-func (s *stage) leads() *mesh.Machine {
-	t, err := callRules(s.Registers[0].At("ControlPlane"), register.RulesCall{})
-	for _, r := range s.Registers {
+// leader is the register that leads; nil: none says so.
+func (s *demoCluster) leader() *mesh.Machine {
+	t, err := callPolicy(s.Members[0].Addr("ControlPlane"), register.PolicyRequest{})
+	for _, r := range s.Members {
 		if err == nil && r.Process != nil && r.Process.Addr == t.Leader {
 			return r
 		}
@@ -211,12 +211,12 @@
 	return nil
 }
 
-// audit compares what requests were decided by: under one set one route has one merged rule for one who calls, on every line;
+// auditPolicies compares what requests were decided by: under one set one route has one merged rule for one who calls, on every line;
 // and no line goes by a set for longer than the fence after another has shown the next one. widest is for how long two
 // lines did differ.
-func audit(seen []seenRule) (differences []string, sets int, widest time.Duration) {
+func auditPolicies(seen []observedPolicy) (differences []string, sets int, widest time.Duration) {
 	sort.Slice(seen, func(i, j int) bool { return seen[i].at.Before(seen[j].at) })
-	rules := map[string]seenRule{}
+	rules := map[string]observedPolicy{}
 	first := map[string]time.Time{} // when a set was first seen in force, at the latest
 	var order []string
 	for _, x := range seen {
@@ -241,7 +241,7 @@
 		if after, is := next[x.set]; is {
 			if late := x.at.Sub(first[after]); late > 0 {
 				widest = max(widest, late)
-				if late > classmark.Fence {
+				if late > classmark.FenceTimeout {
 					differences = append(differences, fmt.Sprintf("%s goes by set %s %v after set %s was in force elsewhere", x.line, x.set, late, after))
 				}
 			}
--- a/cmd/switchboard/config.go
+++ b/cmd/switchboard/config.go
@@ -18,7 +18,7 @@
 	"hollyspur/internal/exchange/trunk"
 )
 
-type get struct {
+type getCommand struct {
 	Args struct {
 		Control string   `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
 		Names   []string `positional-arg-name:"NAME" description:"of a route or a service, or \"limits\"; none: all"`
@@ -26,8 +26,8 @@
 }
 
 // Execute prints items.
-func (g *get) Execute([]string) error {
-	text, table, err := standing(g.Args.Control)
+func (g *getCommand) Execute([]string) error {
+	text, table, err := fetchConfig(g.Args.Control)
 	if err != nil {
 		return err
 	}
@@ -37,7 +37,7 @@
 	for _, name := range g.Args.Names {
 		found := false
 		for _, i := range table.Items() {
-			if i.Name.Name == name || i.Kind == patch.Limits && name == "limits" {
+			if i.Key.Name == name || i.Kind == patch.KindLimits && name == "limits" {
 				found = true
 				if err := indent(i.Body); err != nil {
 					return err
@@ -60,13 +60,13 @@
 	return nil
 }
 
-// standing is the configuration, confirmed by a majority.
-func standing(addr string) ([]byte, patch.Table, error) {
-	text, err := call(http.MethodGet, addr, "/v1/configuration/fetch", nil)
+// fetchConfig is the configuration, confirmed by a majority.
+func fetchConfig(addr string) ([]byte, patch.Table, error) {
+	text, err := callAPI(http.MethodGet, addr, "/v1/configuration/fetch", nil)
 	if err != nil {
 		return nil, patch.Table{}, err
 	}
-	items, err := patch.Read([]byte(`{"Upsert":` + string(text) + `}`))
+	items, err := patch.ParseItems([]byte(`{"Upsert":` + string(text) + `}`))
 	if err != nil {
 		return nil, patch.Table{}, errors.Annotate(err, "what came back")
 	}
@@ -74,14 +74,14 @@
 	return text, t, nil
 }
 
-type checkFile struct {
+type checkCommand struct {
 	Args struct {
 		File string `positional-arg-name:"FILE" description:"settings in YAML, or a call of /v1/configuration/modify in JSON"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 // Execute checks a file by itself.
-func (c *checkFile) Execute([]string) error {
+func (c *checkCommand) Execute([]string) error {
 	text, err := os.ReadFile(c.Args.File)
 	if err != nil {
 		return err
@@ -91,22 +91,22 @@
 		if err != nil {
 			return errors.Annotate(err, c.Args.File)
 		}
-		return tell(s, func() { fmt.Printf("%s: settings of %s\n", c.Args.File, s.NodeName) })
+		return printResult(s, func() { fmt.Printf("%s: settings of %s\n", c.Args.File, s.NodeName) })
 	}
-	items, err := patch.Read(text)
+	items, err := patch.ParseItems(text)
 	if err != nil {
 		return errors.Annotate(err, c.Args.File)
 	}
-	return list(items)
+	return printItems(items)
 }
 
-// list tells the items of a call.
-func list(items []patch.Item) error {
+// printItems tells the items of a call.
+func printItems(items []patch.Item) error {
 	l := patch.Diff(patch.Table{}, items)
-	return tell(l, func() {
+	return printResult(l, func() {
 		for _, d := range l {
 			verb := "sets"
-			if d.Verb == patch.Drops {
+			if d.Action == patch.ActionDelete {
 				verb = "drops"
 			}
 			fmt.Printf("%s %s %s, version %d\n", verb, d.Kind, d.Name, d.To)
@@ -114,7 +114,7 @@
 	})
 }
 
-type diff struct {
+type diffCommand struct {
 	Args struct {
 		Control string `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
 		File    string `positional-arg-name:"FILE" description:"a call of /v1/configuration/modify, as JSON"`
@@ -122,43 +122,43 @@
 }
 
 // Execute tells what a change would do.
-func (d *diff) Execute([]string) error {
+func (d *diffCommand) Execute([]string) error {
 	text, err := os.ReadFile(d.Args.File)
 	if err != nil {
 		return err
 	}
-	items, err := patch.Read(text)
+	items, err := patch.ParseItems(text)
 	if err != nil {
 		return errors.Annotate(err, d.Args.File)
 	}
-	_, table, err := standing(d.Args.Control)
+	_, table, err := fetchConfig(d.Args.Control)
 	if err != nil {
 		return err
 	}
 	l := patch.Diff(table, items)
-	if err := tell(l, func() {
+	if err := printResult(l, func() {
 		for _, x := range l {
-			fmt.Printf("%-9s %s %s, version %d -> %d\n", x.Verb, x.Kind, x.Name, x.From, x.To)
-			for _, f := range x.Field {
-				fmt.Printf("            %s: %v -> %v\n", f.Path, f.Was, f.Is)
+			fmt.Printf("%-9s %s %s, version %d -> %d\n", x.Action, x.Kind, x.Name, x.From, x.To)
+			for _, f := range x.Fields {
+				fmt.Printf("            %s: %v -> %v\n", f.Path, f.Before, f.After)
 			}
 		}
 	}); err != nil {
 		return err
 	}
-	if _, _, err := table.Apply(items); err != nil {
+	if _, _, err := table.ApplyItems(items); err != nil {
 		return errors.Annotate(err, "it would be refused")
 	}
 	for _, x := range l {
-		if x.Verb != patch.Leaves && x.Verb != patch.Late {
-			return errStands
+		if x.Action != patch.ActionNone && x.Action != patch.ActionOutdated {
+			return errNotWell
 		}
 	}
 	return nil
 }
 
-type apply struct {
-	author
+type applyCommand struct {
+	changeAuthor
 	Check  bool `long:"check" description:"only check the call, as far as that can be told from it alone"`
 	DryRun bool `long:"dry-run" description:"only tell what it would do to the rules of other namespaces, and whether it would be turned down"`
 	Wait   bool `long:"wait" description:"until the namespaces' rules that it changes bind"`
@@ -169,41 +169,41 @@
 }
 
 // Execute checks a change and has it agreed on.
-func (a *apply) Execute([]string) error {
+func (a *applyCommand) Execute([]string) error {
 	text, err := os.ReadFile(a.Args.File)
 	if err != nil {
 		return err
 	}
-	c, err := a.author.read(a.Args.File)
+	c, err := a.changeAuthor.read(a.Args.File)
 	if err != nil {
 		return err
 	}
 	items := c.Items
 	switch {
 	case a.Check:
-		return list(items)
+		return printItems(items)
 	case a.DryRun:
-		_, table, err := standing(a.Args.Control)
+		_, table, err := fetchConfig(a.Args.Control)
 		if err != nil {
 			return err
 		}
-		return judged(table, c)
+		return printEffects(table, c)
 	}
-	if text, err = a.author.on(text); err != nil {
+	if text, err = a.changeAuthor.addTo(text); err != nil {
 		return err
 	}
-	if _, err := call(http.MethodPost, a.Args.Control, "/v1/configuration/modify", text); err != nil {
+	if _, err := callAPI(http.MethodPost, a.Args.Control, "/v1/configuration/modify", text); err != nil {
 		return err
 	}
 	if a.Wait {
-		if err := awaitBound(a.Args.Control); err != nil {
+		if err := awaitPolicyActive(a.Args.Control); err != nil {
 			return err
 		}
 	}
-	return tell(map[string]int{"acknowledged": len(items)}, func() { fmt.Printf("%d items acknowledged\n", len(items)) })
+	return printResult(map[string]int{"acknowledged": len(items)}, func() { fmt.Printf("%d items acknowledged\n", len(items)) })
 }
 
-type backup struct {
+type backupCommand struct {
 	Args struct {
 		Control string `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
 		File    string `positional-arg-name:"FILE" description:"is written anew; restore reads it"`
@@ -211,8 +211,8 @@
 }
 
 // Execute writes the configuration, confirmed by a majority, as a call that brings it back.
-func (b *backup) Execute([]string) error {
-	text, table, err := standing(b.Args.Control)
+func (b *backupCommand) Execute([]string) error {
+	text, table, err := fetchConfig(b.Args.Control)
 	if err != nil {
 		return err
 	}
@@ -220,38 +220,38 @@
 	if err != nil {
 		return err
 	}
-	if err := replace(b.Args.File, append(text, '\n')); err != nil {
+	if err := replaceFile(b.Args.File, append(text, '\n')); err != nil {
 		return err
 	}
-	return tell(map[string]int{"items": table.Len()}, func() { fmt.Printf("%d items in %s\n", table.Len(), b.Args.File) })
+	return printResult(map[string]int{"items": table.Len()}, func() { fmt.Printf("%d items in %s\n", table.Len(), b.Args.File) })
 }
 
-// call is an operator's. A register that answers nothing, or that it can't say, is ErrSilent.
-func call(method, addr, path string, body []byte) ([]byte, error) {
+// callAPI is an operator's. A register that answers nothing, or that it can't say, is ErrSilent.
+func callAPI(method, addr, path string, body []byte) ([]byte, error) {
 	r, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
 	r.Header.Set("Content-Type", "application/json")
-	resp, err := (&http.Client{Timeout: common.Within}).Do(r)
+	resp, err := (&http.Client{Timeout: globalOptions.Within}).Do(r)
 	if err != nil {
-		return nil, errors.WithType(err, trunk.ErrSilent)
+		return nil, errors.WithType(err, trunk.ErrNoReply)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 64<<20))
 	if err != nil {
-		return nil, errors.WithType(err, trunk.ErrSilent)
+		return nil, errors.WithType(err, trunk.ErrNoReply)
 	}
 	if resp.StatusCode != http.StatusOK {
 		err = errors.Errorf("%s answers %s: %s", addr, resp.Status, strings.TrimSpace(string(text)))
 		if resp.StatusCode == http.StatusServiceUnavailable {
-			err = errors.WithType(err, trunk.ErrSilent)
+			err = errors.WithType(err, trunk.ErrNoReply)
 		}
 	}
 	return text, err
 }
 
-type rescue struct {
+type recoverCommand struct {
 	Args struct {
 		Dir  string `positional-arg-name:"DIR" description:"a register's DataDir; the register must not run"`
 		File string `positional-arg-name:"FILE" description:"is written anew; restore reads it"`
@@ -259,8 +259,8 @@
 }
 
 // Execute writes the configuration that a register's disk holds, as a call that brings it back.
-func (r *rescue) Execute([]string) error {
-	m, err := register.Rescue(r.Args.Dir)
+func (r *recoverCommand) Execute([]string) error {
+	m, err := register.RecoverConfiguration(r.Args.Dir)
 	if err != nil {
 		return err
 	}
@@ -268,18 +268,18 @@
 	if err != nil {
 		return err
 	}
-	items, err := patch.Read(text)
+	items, err := patch.ParseItems(text)
 	if err != nil {
 		return errors.Annotate(err, "what the disk holds")
 	}
-	if err := replace(r.Args.File, append(text, '\n')); err != nil {
+	if err := replaceFile(r.Args.File, append(text, '\n')); err != nil {
 		return err
 	}
-	return tell(map[string]int{"items": len(items)}, func() { fmt.Printf("%d items in %s\n", len(items), r.Args.File) })
+	return printResult(map[string]int{"items": len(items)}, func() { fmt.Printf("%d items in %s\n", len(items), r.Args.File) })
 }
 
-// replace writes a file anew, synced: one that breaks off leaves the one before.
-func replace(file string, text []byte) error {
+// replaceFile writes a file anew, synced: one that breaks off leaves the one before.
+func replaceFile(file string, text []byte) error {
 	beside := file + ".new" // a backup that breaks off leaves the one before
 	f, err := os.OpenFile(beside, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
--- a/cmd/switchboard/look.go
+++ b/cmd/switchboard/look.go
@@ -9,40 +9,40 @@
 	"hollyspur/internal/exchange/trunk"
 )
 
-// place names a running mesh by one register of it.
-type place struct {
+// memberAddr names a running mesh by one register of it.
+type memberAddr struct {
 	Register string `positional-arg-name:"ADDR" description:"trunks of a register: its ip and the first port of InternalPortRange"`
 }
 
-type status struct {
-	Args place `positional-args:"yes" required:"yes"`
+type statusCommand struct {
+	Args memberAddr `positional-args:"yes" required:"yes"`
 }
 
-// told is status as JSON: the topology, and what stands out.
-type told struct {
-	Signs []string `json:"signs"`
+// statusResult is status as JSON: the topology, and what stands out.
+type statusResult struct {
+	Warnings []string `json:"signs"`
 	plant.Topology
 }
 
 // Execute tells how a mesh is.
-func (s *status) Execute([]string) error {
-	ctx, cancel := within()
+func (s *statusCommand) Execute([]string) error {
+	ctx, cancel := withTimeout()
 	defer cancel()
-	t, err := plant.Look(ctx, s.Args.Register)
+	t, err := plant.Collect(ctx, s.Args.Register)
 	if err != nil {
 		return err
 	}
-	signs := t.Signs()
-	if err := tell(told{append([]string{}, signs...), t}, func() { t.Report(os.Stdout) }); err != nil {
+	signs := t.Warnings()
+	if err := printResult(statusResult{append([]string{}, signs...), t}, func() { t.WriteReport(os.Stdout) }); err != nil {
 		return err
 	}
 	if len(signs) > 0 {
-		return errStands
+		return errNotWell
 	}
 	return nil
 }
 
-type draw struct {
+type topologyCommand struct {
 	Dot  bool   `long:"dot" description:"for Graphviz, instead of a tree"`
 	SVG  bool   `long:"svg" description:"as a picture, instead of a tree"`
 	Save string `long:"save" value-name:"FILE" description:"and keep what was found, for --from"`
@@ -53,7 +53,7 @@
 }
 
 // Execute draws the topology.
-func (d *draw) Execute([]string) error {
+func (d *topologyCommand) Execute([]string) error {
 	var t plant.Topology
 	switch {
 	case (d.From == "") == (d.Args.Register == ""):
@@ -68,10 +68,10 @@
 			return errors.Annotate(err, d.From)
 		}
 	default:
-		ctx, cancel := within()
+		ctx, cancel := withTimeout()
 		defer cancel()
 		var err error
-		if t, err = plant.Look(ctx, d.Args.Register); err != nil {
+		if t, err = plant.Collect(ctx, d.Args.Register); err != nil {
 			return err
 		}
 	}
@@ -90,26 +90,26 @@
 	}
 	switch {
 	case d.SVG:
-		t.SVG(os.Stdout)
+		t.WriteSVG(os.Stdout)
 	case d.Dot:
-		t.Dot(os.Stdout)
+		t.WriteDOT(os.Stdout)
 	default:
-		return tell(t, func() { t.Text(os.Stdout) })
+		return printResult(t, func() { t.WriteText(os.Stdout) })
 	}
 	return nil
 }
 
-type ring struct {
+type logsCommand struct {
 	Args struct {
 		Addr string `positional-arg-name:"ADDR" description:"trunk of a register or a line: the latter's Inbound"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 // Execute prints a process's log: lines of JSON already, with or without --json.
-func (r *ring) Execute([]string) error {
-	ctx, cancel := within()
+func (r *logsCommand) Execute([]string) error {
+	ctx, cancel := withTimeout()
 	defer cancel()
-	text, err := trunk.AskOne(ctx, r.Args.Addr, plant.Name, trunk.AskRing, nil)
+	text, err := trunk.CallOnce(ctx, r.Args.Addr, plant.ClientName, trunk.CallLogRing, nil)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	return err
 }
 
-type drain struct {
+type drainCommand struct {
 	Undo bool `long:"undo" description:"let it in again"`
 	Args struct {
 		Line string `positional-arg-name:"ADDR" description:"trunk of the line beside the server: its Inbound"`
@@ -125,13 +125,13 @@
 }
 
 // Execute takes a server out for as long as its line runs, or lets it in again.
-func (d *drain) Execute([]string) error {
-	ctx, cancel := within()
+func (d *drainCommand) Execute([]string) error {
+	ctx, cancel := withTimeout()
 	defer cancel()
 	var body []byte
 	if !d.Undo {
 		body = []byte{1}
 	}
-	_, err := trunk.AskOne(ctx, d.Args.Line, plant.Name, trunk.AskHold, body)
+	_, err := trunk.CallOnce(ctx, d.Args.Line, plant.ClientName, trunk.CallDrain, body)
 	return err
 }
--- a/cmd/switchboard/main.go
+++ b/cmd/switchboard/main.go
@@ -27,22 +27,22 @@
 	exitSilent  = 3
 )
 
-// errStands is the outcome of a command that has said what there is to say, and it was not that all is well.
-const errStands = errors.ConstError("")
+// errNotWell is the outcome of a command that has said what there is to say, and it was not that all is well.
+const errNotWell = errors.ConstError("")
 
-// common are the options of every command.
-var common struct {
+// globalOptions are the options of every command.
+var globalOptions struct {
 	JSON   bool          `long:"json" description:"tell it as JSON"`
 	Within time.Duration `long:"within" default:"3s" description:"how long an answer is waited for"`
 }
 
-func within() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), common.Within)
+func withTimeout() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), globalOptions.Within)
 }
 
-// tell prints an outcome: as JSON, or by the function that words it.
-func tell(v any, text func()) error {
-	if !common.JSON {
+// printResult prints an outcome: as JSON, or by the function that words it.
+func printResult(v any, text func()) error {
+	if !globalOptions.JSON {
 		text()
 		return nil
 	}
@@ -51,50 +51,50 @@
 	return e.Encode(v)
 }
 
-type inspect struct {
+type inspectCommand struct {
 	Args struct {
 		Dir string `positional-arg-name:"DIR" description:"a register's DataDir; the register must not run"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 // Execute tells what a register's disk holds.
-func (i *inspect) Execute([]string) error {
+func (i *inspectCommand) Execute([]string) error {
 	h, err := register.Inspect(i.Args.Dir)
 	if err != nil {
 		return err
 	}
-	return tell(h, func() { h.Text(os.Stdout) })
+	return printResult(h, func() { h.WriteText(os.Stdout) })
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
 func run(args []string) int {
-	p := flags.NewParser(&common, flags.HelpFlag|flags.PassDoubleDash)
+	p := flags.NewParser(&globalOptions, flags.HelpFlag|flags.PassDoubleDash)
 	add := func(name, about string, c any) {
 		if _, err := p.AddCommand(name, about, about, c); err != nil {
 			panic(err)
 		}
 	}
-	add("status", "tell how a running mesh is: what stands out, who leads, who lags, which servers are out and why", &status{})
-	add("draw", "draw the topology, of a running mesh or as it was saved", &draw{})
-	add("get", "print items of the configuration, confirmed by a majority", &get{})
-	add("check", "check a settings file or a change of the configuration; names line and field", &checkFile{})
-	add("diff", "tell what a change would do to the configuration that stands", &diff{})
-	add("apply", "check a change of the configuration and have it agreed on", &apply{})
-	add("backup", "write the configuration to a file", &backup{})
-	add("restore", "bring the items of a backup back, where no newer versions stand", &apply{})
-	add("drain", "take the server beside a line out, or let it in again", &drain{})
-	add("night", "maintenance: machines come out within the hours that contracts approve", &nightCommands{})
-	add("rules", "namespaces' rules: what holds on a request and by whom, where they meet, which set binds", &ruleCommands{})
-	add("ring", "print the log that a process still has in memory", &ring{})
-	add("rescue", "write the configuration that a stopped register's disk holds, after more was lost than the core bears", &rescue{})
-	add("inspect", "tell what a register's disk holds, changing nothing", &inspect{})
-	add("maintenance", "play a drain in approved hours on live traffic, and audit every request", &maintenance{})
-	add("campaign", "play two teams' rules against each other while sends run, and audit every request", &dispute{first: "dispatch", second: "devicebook",
+	add("status", "tell how a running mesh is: what stands out, who leads, who lags, which servers are out and why", &statusCommand{})
+	add("draw", "draw the topology, of a running mesh or as it was saved", &topologyCommand{})
+	add("get", "print items of the configuration, confirmed by a majority", &getCommand{})
+	add("check", "check a settings file or a change of the configuration; names line and field", &checkCommand{})
+	add("diff", "tell what a change would do to the configuration that stands", &diffCommand{})
+	add("apply", "check a change of the configuration and have it agreed on", &applyCommand{})
+	add("backup", "write the configuration to a file", &backupCommand{})
+	add("restore", "bring the items of a backup back, where no newer versions stand", &applyCommand{})
+	add("drain", "take the server beside a line out, or let it in again", &drainCommand{})
+	add("night", "maintenance: machines come out within the hours that contracts approve", &maintenanceCommands{})
+	add("rules", "namespaces' rules: what holds on a request and by whom, where they meet, which set binds", &policyCommands{})
+	add("ring", "print the log that a process still has in memory", &logsCommand{})
+	add("rescue", "write the configuration that a stopped register's disk holds, after more was lost than the core bears", &recoverCommand{})
+	add("inspect", "tell what a register's disk holds, changing nothing", &inspectCommand{})
+	add("maintenance", "play a drain in approved hours on live traffic, and audit every request", &maintenanceDemo{})
+	add("campaign", "play two teams' rules against each other while sends run, and audit every request", &policyDemo{first: "dispatch", second: "devicebook",
 		owners: [2]string{"ana", "cy"}, keyed: "send", read: "tokens"})
-	add("intake", "the same of an intake day: weighings, lookups and exports", &dispute{first: "crew-log", second: "cellar-ledger",
+	add("intake", "the same of an intake day: weighings, lookups and exports", &policyDemo{first: "crew-log", second: "cellar-ledger",
 		owners: [2]string{"kit", "lou"}, keyed: "weighing", read: "block", whole: "export"})
-	add("tour", "start a small mesh on loopback, play traffic through it, tell what became of every request", &tour{})
+	add("tour", "start a small mesh on loopback, play traffic through it, tell what became of every request", &failoverDemo{})
 	_, err := p.ParseArgs(args)
 	var bad *flags.Error
 	switch {
@@ -106,11 +106,11 @@
 	case errors.As(err, &bad):
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
-	case errors.Is(err, errStands):
+	case errors.Is(err, errNotWell):
 		return exitRefused
 	}
 	fmt.Fprintf(os.Stderr, "switchboard: %v\n", err)
-	if errors.Is(err, trunk.ErrSilent) {
+	if errors.Is(err, trunk.ErrNoReply) {
 		return exitSilent
 	}
 	return exitRefused
--- a/cmd/switchboard/main_test.go
+++ b/cmd/switchboard/main_test.go
@@ -18,10 +18,10 @@
 	"hollyspur/internal/rig/mesh"
 )
 
-// said runs a command and gives its exit code and what it printed.
-func said(t *testing.T, args ...string) (int, string) {
+// runCommand runs a command and gives its exit code and what it printed.
+func runCommand(t *testing.T, args ...string) (int, string) {
 	t.Helper()
-	common.JSON, common.Within = false, 0
+	globalOptions.JSON, globalOptions.Within = false, 0
 	r, w, err := os.Pipe()
 	assert.NilError(t, err)
 	out, errOut := os.Stdout, os.Stderr
@@ -37,26 +37,26 @@
 // Every command against a running mesh: what it prints, as text and as JSON, and its exit code.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
-	assert.NilError(t, mesh.Build(dir))
+	assert.NilError(t, mesh.BuildPrograms(dir))
 	m, err := mesh.New(dir, 3, "stock", "orders", "stock")
 	if m != nil {
 		t.Cleanup(m.Close)
 	}
 	assert.NilError(t, err)
-	control, trunk := m.Registers[0].At("ControlPlane"), m.Registers[0].Process.Addr
+	control, trunk := m.Members[0].Addr("ControlPlane"), m.Members[0].Process.Addr
 	file := func(name string, text []byte) string {
 		path := filepath.Join(dir, name)
 		assert.NilError(t, os.WriteFile(path, text, 0o600))
 		return path
 	}
-	call := file("call.json", mesh.Modify(3, []string{"stock", "orders"}, mesh.Route("read", "idempotent", "/read/", "stock", 3)))
+	call := file("call.json", mesh.ModifyCall(3, []string{"stock", "orders"}, mesh.RouteItem("read", "idempotent", "/read/", "stock", 3)))
 	const patience = 20 * time.Second
 	var code int
 	var text string
-	assert.Assert(t, rig.Await(patience, func() bool { code, text = said(t, "apply", control, call); return code == 0 }), text)
-	assert.Assert(t, m.Ready(patience))
-	assert.Assert(t, rig.Await(patience, func() bool { code, text = said(t, "status", trunk); return code == 0 }), text)
-	_, all := said(t, "--json", "status", trunk)
+	assert.Assert(t, rig.Await(patience, func() bool { code, text = runCommand(t, "apply", control, call); return code == 0 }), text)
+	assert.Assert(t, m.AwaitReady(patience))
+	assert.Assert(t, rig.Await(patience, func() bool { code, text = runCommand(t, "status", trunk); return code == 0 }), text)
+	_, all := runCommand(t, "--json", "status", trunk)
 	assert.Assert(t, strings.Contains(all, `"purpose": "records"`), all)
 	assert.Assert(t, strings.HasPrefix(text, "all is well\n3 registers, 3 lines, 3 items, 1 routes") && strings.Contains(text, "LEADS"), text)
 
@@ -70,29 +70,29 @@
 		{1, `no route or service "none"`, []string{"get", control, "none"}},
 		{0, "sets route read, version 3", []string{"check", call}},
 		{0, "settings of side-1", []string{"check", filepath.Join(dir, "side-1.yaml")}},
-		{1, "line 2: route bad: ForwardAction.TimeoutS is 0", []string{"check", file("bad.json", bytes.Replace(mesh.Modify(4, nil,
-			mesh.Route("bad", "idempotent", "/bad/", "stock", 4)), []byte(`"TimeoutS":3`), []byte("\n"+`"TimeoutS":0`), 1))}},
+		{1, "line 2: route bad: ForwardAction.TimeoutS is 0", []string{"check", file("bad.json", bytes.Replace(mesh.ModifyCall(4, nil,
+			mesh.RouteItem("bad", "idempotent", "/bad/", "stock", 4)), []byte(`"TimeoutS":3`), []byte("\n"+`"TimeoutS":0`), 1))}},
 		{1, "line 1: NodeName", []string{"check", file("bad.yaml", []byte("NodeName: \"\"\nIpAddress: 127.0.0.1\nInternalPortRange: [1, 9]\n"))}},
 		{0, "leaves    route read, version 3 -> 3", []string{"diff", control, call}},
-		{1, "ForwardAction.Service: stock -> orders", []string{"diff", control, file("more.json", mesh.Modify(5, nil, mesh.Route("read", "idempotent", "/read/", "orders", 5)))}},
-		{1, `the service "nobody" is not known`, []string{"diff", control, file("unknown.json", mesh.Modify(5, nil, mesh.Route("read", "idempotent", "/read/", "nobody", 5)))}},
-		{1, "409", []string{"apply", control, file("other.json", mesh.Modify(3, nil, mesh.Route("read", "idempotent", "/read/", "orders", 3)))}},
+		{1, "ForwardAction.Service: stock -> orders", []string{"diff", control, file("more.json", mesh.ModifyCall(5, nil, mesh.RouteItem("read", "idempotent", "/read/", "orders", 5)))}},
+		{1, `the service "nobody" is not known`, []string{"diff", control, file("unknown.json", mesh.ModifyCall(5, nil, mesh.RouteItem("read", "idempotent", "/read/", "nobody", 5)))}},
+		{1, "409", []string{"apply", control, file("other.json", mesh.ModifyCall(3, nil, mesh.RouteItem("read", "idempotent", "/read/", "orders", 3)))}},
 		{0, "3 items in", []string{"backup", control, filepath.Join(dir, "kept.json")}},
 		{0, "3 items acknowledged", []string{"restore", control, filepath.Join(dir, "kept.json")}},
 		{2, "Unknown command", []string{"nonsense"}},
 		{2, "ADDR", []string{"status"}},
-		{3, "trunk to", []string{"--within", "300ms", "status", m.Registers[0].IP + ":1"}},
-		{0, `"message":"home"`, []string{"ring", m.Lines[0].At("Inbound")}},
+		{3, "trunk to", []string{"--within", "300ms", "status", m.Members[0].IP + ":1"}},
+		{0, `"message":"home"`, []string{"ring", m.Sidecars[0].Addr("Inbound")}},
 		{0, "stock 100 %", []string{"draw", trunk, "--save", filepath.Join(dir, "mesh.json")}},
 		{0, "subgraph cluster_core", []string{"draw", "--dot", "--from", filepath.Join(dir, "mesh.json")}},
 		{0, "</svg>", []string{"draw", "--svg", "--from", filepath.Join(dir, "mesh.json")}},
 		{1, "either ADDR or --from", []string{"draw"}},
-		{0, "", []string{"drain", m.Lines[0].At("Inbound")}},
+		{0, "", []string{"drain", m.Sidecars[0].Addr("Inbound")}},
 	} {
-		code, text := said(t, x.args...)
+		code, text := runCommand(t, x.args...)
 		assert.Assert(t, code == x.code && strings.Contains(text, x.want), "%v: %d, wanted %d and %q:\n%s", x.args, code, x.code, x.want, text)
 		if x.args[0] != "ring" && x.args[0] != "drain" && x.code == 0 && !strings.Contains(strings.Join(x.args, " "), "--dot") && !strings.Contains(strings.Join(x.args, " "), "--svg") {
-			_, text := said(t, append([]string{"--json"}, x.args...)...)
+			_, text := runCommand(t, append([]string{"--json"}, x.args...)...)
 			assert.Assert(t, json.Valid([]byte(text)), "%v: %s", x.args, text)
 		}
 	}
@@ -112,7 +112,7 @@
 		{1, "403", []string{"apply", "--by", "ana", control, ruling}},
 		{0, "1 items acknowledged", []string{"apply", "--wait", "--by", "bo", control, ruling}},
 		{0, "binds, by entry", []string{"rules", "status", control}},
-		{0, "over 3 of route read of mesh, version 3 (as item)", []string{"rules", "explain", "--line", m.Lines[1].At("Inbound"), control, mesh.Host, "/read/x"}},
+		{0, "over 3 of route read of mesh, version 3 (as item)", []string{"rules", "explain", "--line", m.Sidecars[1].Addr("Inbound"), control, mesh.Host, "/read/x"}},
 		{0, "with the change:\n", []string{"rules", "explain", "--with", looser, "--caller", "orders", control, mesh.Host, "/read/x"}},
 		{1, "no route takes", []string{"rules", "explain", control, mesh.Host, "/nowhere/"}},
 		{0, "service stock is of store: bo", []string{"rules", "owner", control, "read"}},
@@ -122,62 +122,62 @@
 		{1, "shop has to consent", []string{"rules", "check", "--against", filepath.Join(dir, "saved.json"), "--by", "bo", looser}},
 		{0, "LOOSENS route read to stock, of shop: Tries 1 -> 2", []string{"rules", "check", "--against", filepath.Join(dir, "saved.json"), "--by", "bo", "--consent", "shop:ana", looser}},
 	} {
-		code, text := said(t, x.args...)
+		code, text := runCommand(t, x.args...)
 		assert.Assert(t, code == x.code && strings.Contains(text, x.want), "%v: %d, wanted %d and %q:\n%s", x.args, code, x.code, x.want, text)
 		if x.code == 0 && x.args[0] == "rules" {
-			_, text := said(t, append([]string{"--json"}, x.args...)...)
+			_, text := runCommand(t, append([]string{"--json"}, x.args...)...)
 			assert.Assert(t, json.Valid([]byte(text)), "%v: %s", x.args, text)
 		}
 	}
 	// The server taken out by hand is told so, is not sent to, and comes back.
-	code, text = said(t, "status", trunk)
+	code, text = runCommand(t, "status", trunk)
 	assert.Assert(t, code == 1 && strings.Contains(text, "is out (draining): taken out by hand"), text)
 	for range 10 {
-		got := m.Lines[1].Call("GET", "/read/", "", nil)
+		got := m.Sidecars[1].Send("GET", "/read/", "", nil)
 		assert.Assert(t, got.Status == 200 && strings.Contains(got.Body, "i-side-3-1"), "%v", got)
 	}
-	code, _ = said(t, "drain", "--undo", m.Lines[0].At("Inbound"))
+	code, _ = runCommand(t, "drain", "--undo", m.Sidecars[0].Addr("Inbound"))
 	assert.Equal(t, code, 0)
-	assert.Assert(t, rig.Await(patience, func() bool { return strings.Contains(m.Lines[1].Call("GET", "/read/", "", nil).Body, "i-side-1-1") }))
+	assert.Assert(t, rig.Await(patience, func() bool { return strings.Contains(m.Sidecars[1].Send("GET", "/read/", "", nil).Body, "i-side-1-1") }))
 	// A register that stands still, and a line that is gone, are told apart from those that are well.
-	m.Registers[2].Process.Pause()
-	code, text = said(t, "--within", "1500ms", "status", trunk)
-	assert.Assert(t, code == 1 && strings.Contains(text, "! register "+m.Registers[2].Process.Addr+" does not answer"), text)
-	m.Registers[2].Process.Resume()
-	m.Lines[1].Kill()
-	code, text = said(t, "--within", "1500ms", "status", trunk)
+	m.Members[2].Process.Pause()
+	code, text = runCommand(t, "--within", "1500ms", "status", trunk)
+	assert.Assert(t, code == 1 && strings.Contains(text, "! register "+m.Members[2].Process.Addr+" does not answer"), text)
+	m.Members[2].Process.Resume()
+	m.Sidecars[1].Kill()
+	code, text = runCommand(t, "--within", "1500ms", "status", trunk)
 	assert.Assert(t, code == 1 && strings.Contains(text, "! line side-2 does not answer"), text)
 	// A register's disk, at rest.
-	m.Registers[1].Kill()
-	code, text = said(t, "inspect", m.Registers[1].Data())
+	m.Members[1].Kill()
+	code, text = runCommand(t, "inspect", m.Members[1].DataDir())
 	assert.Assert(t, code == 0 && strings.Contains(text, "route read version 3, stands"), text)
 	kept := filepath.Join(dir, "rescued.json")
-	code, text = said(t, "rescue", m.Registers[1].Data(), kept)
+	code, text = runCommand(t, "rescue", m.Members[1].DataDir(), kept)
 	assert.Assert(t, code == 0 && strings.Contains(text, "6 items in"), text)
-	code, text = said(t, "check", kept)
+	code, text = runCommand(t, "check", kept)
 	assert.Assert(t, code == 0 && strings.Contains(text, "sets route read, version 3"), text)
-	code, _ = said(t, "inspect", dir)
+	code, _ = runCommand(t, "inspect", dir)
 	assert.Equal(t, code, 1)
-	assert.Assert(t, len(m.Record.Faults()) == 0, "%v", m.Record.Faults())
+	assert.Assert(t, len(m.Recorder.Violations()) == 0, "%v", m.Recorder.Violations())
 }
 
 // What a topology shows at 16 and at 80 machines: every machine, route and sign is in the picture, and nothing lies beyond it.
-func TestDrawn(t *testing.T) {
+func TestDrawingShowsEverything(t *testing.T) {
 	for _, n := range []int{13, 77} {
-		top := sample(n)
+		top := sampleTopology(n)
 		var b bytes.Buffer
-		top.SVG(&b)
+		top.WriteSVG(&b)
 		text := b.String()
-		for _, l := range top.Lines {
+		for _, l := range top.Sidecars {
 			assert.Assert(t, strings.Contains(text, ">"+l.Name+"<"), l.Name)
 		}
 		for _, r := range top.Routes {
 			assert.Assert(t, strings.Contains(text, r.Host+r.Prefix))
 		}
-		for i, r := range top.Registers {
+		for i, r := range top.Members {
 			assert.Assert(t, strings.Contains(text, map[bool]string{true: ">leader ", false: ">register "}[i == 1]+r.Name+"<"))
 		}
-		for _, s := range top.Signs() {
+		for _, s := range top.Warnings() {
 			assert.Assert(t, strings.Contains(text, ">"+s+"<"), s)
 		}
 		if dir := os.Getenv("SWITCHBOARD_DRAW"); dir != "" {
@@ -186,31 +186,31 @@
 	}
 }
 
-// sample is a mesh of so many lines with some of them out.
-func sample(n int) plant.Topology {
-	top := plant.Topology{Asked: "10.1.0.42:7380", Touch: true, View: 5, Items: []plant.Held{{Kind: "route", Name: "r-1", Version: 7}}}
+// sampleTopology is a mesh of so many lines with some of them out.
+func sampleTopology(n int) plant.Topology {
+	top := plant.Topology{AskedMember: "10.1.0.42:7380", QuorumContact: true, ConfigurationIndex: 5, Items: []plant.ItemVersion{{Kind: "route", Name: "r-1", Version: 7}}}
 	for i := range 3 {
 		addr := fmt.Sprintf("10.%d.0.42:7380", i+1)
-		top.Registers = append(top.Registers, plant.Register{Process: plant.Process{Name: fmt.Sprint("core-", i+1), Addr: addr, Zone: fmt.Sprint("hall-", i%3), Touch: true}, Member: true, Leads: i == 1, Term: 4, Applied: 1200})
+		top.Members = append(top.Members, plant.Member{Process: plant.Process{Name: fmt.Sprint("core-", i+1), Addr: addr, Zone: fmt.Sprint("hall-", i%3), QuorumContact: true}, IsMember: true, IsLeader: i == 1, Term: 4, AppliedIndex: 1200})
 	}
 	for i := range n {
-		l := plant.Line{Process: plant.Process{Name: fmt.Sprintf("sidecar-hall-%d-%d", i%3, i), Addr: fmt.Sprintf("10.%d.0.%d:7381", i%3+1, i), Zone: fmt.Sprint("hall-", i%3), Touch: true},
-			Home: fmt.Sprintf("10.%d.0.42:7380", i%3+1), Ready: true, Service: fmt.Sprint("service-", i%4), Server: fmt.Sprintf("i-%06x", i*7919), State: "ready", Slots: 12}
+		l := plant.Sidecar{Process: plant.Process{Name: fmt.Sprintf("sidecar-hall-%d-%d", i%3, i), Addr: fmt.Sprintf("10.%d.0.%d:7381", i%3+1, i), Zone: fmt.Sprint("hall-", i%3), QuorumContact: true},
+			FollowedMember: fmt.Sprintf("10.%d.0.42:7380", i%3+1), Ready: true, Service: fmt.Sprint("service-", i%4), ServerID: fmt.Sprintf("i-%06x", i*7919), State: "ready", Slots: 12}
 		switch i {
 		case 2:
-			l.State, l.Why = "draining", "it said that it leaves"
+			l.State, l.StateReason = "draining", "it said that it leaves"
 		case 5:
-			l.State, l.Why = "down", "it has not beaten for 5s"
+			l.State, l.StateReason = "down", "it has not beaten for 5s"
 		case 7:
-			l.Silent = "no answer"
+			l.Unreachable = "no answer"
 		case 8:
-			l.Behind = top.Items
+			l.StaleItems = top.Items
 		}
-		top.Lines = append(top.Lines, l)
+		top.Sidecars = append(top.Sidecars, l)
 	}
 	for i := range 8 {
-		top.Routes = append(top.Routes, plant.Route{Name: fmt.Sprint("r-", i), Host: "push.example", Prefix: fmt.Sprintf("/p%d/", i), Kind: "idempotent", Version: 7, TimeoutS: 2, Attempts: 2,
-			Split: []plant.Part{{Service: fmt.Sprint("service-", i%4), Share: 0.9}, {Service: fmt.Sprint("service-", (i+1)%4), Share: 0.1}}})
+		top.Routes = append(top.Routes, plant.Route{Name: fmt.Sprint("r-", i), Host: "push.example", Prefix: fmt.Sprintf("/p%d/", i), Kind: "idempotent", Version: 7, TimeoutS: 2, MaxAttempts: 2,
+			Destinations: []plant.WeightedService{{Service: fmt.Sprint("service-", i%4), Share: 0.9}, {Service: fmt.Sprint("service-", (i+1)%4), Share: 0.1}}})
 	}
 	return top
 }
--- a/cmd/switchboard/maintenance.go
+++ b/cmd/switchboard/maintenance.go
@@ -13,29 +13,29 @@
 	"hollyspur/internal/rig/mesh"
 )
 
-type maintenance struct {
+type maintenanceDemo struct {
 	Length time.Duration `long:"length" default:"4s" description:"of the maintenance itself"`
 }
 
 // Execute plays a drain in approved hours on live traffic, and one outside them, and audits every request.
-func (o *maintenance) Execute([]string) error {
-	m, err := raise([]string{"orders", "orders", "orders", "stock", "stock", "stock"}, mesh.Route("lookup", "idempotent", "/lookup/", "stock", 1),
-		mesh.Route("export", "download", "/export/", "stock", 1), mesh.Route("order", "keyed", "/order/", "orders", 1))
+func (o *maintenanceDemo) Execute([]string) error {
+	m, err := startDemo([]string{"orders", "orders", "orders", "stock", "stock", "stock"}, mesh.RouteItem("lookup", "idempotent", "/lookup/", "stock", 1),
+		mesh.RouteItem("export", "download", "/export/", "stock", 1), mesh.RouteItem("order", "keyed", "/order/", "orders", 1))
 	if err != nil {
 		return err
 	}
-	defer m.drop()
-	r := m.Registers[0]
+	defer m.closeAndRemove()
+	r := m.Members[0]
 	now := time.Now()
-	if err := m.operate(mesh.Contract("vintage", 1, now.Add(24*time.Hour), now.Add(26*time.Hour), nil)); err != nil {
+	if err := m.modify(mesh.ContractCall("vintage", 1, now.Add(24*time.Hour), now.Add(26*time.Hour), nil)); err != nil {
 		return err
 	}
-	out := m.Lines[0]
+	out := m.Sidecars[0]
 	fmt.Printf("\na contract approves two hours tomorrow; may %s come out now?\n", out.Name)
-	var t register.NightTold
-	if !rig.Await(upWithin, func() bool {
-		t, _, _ = r.Night(register.NightCall{Machine: out.Name, LengthS: 60})
-		return t.Known && t.Verdict != nil
+	var t register.MaintenanceResponse
+	if !rig.Await(startTimeout, func() bool {
+		t, _, _ = r.CallMaintenance(register.MaintenanceRequest{Machine: out.Name, LengthSeconds: 60})
+		return t.TimeAgreed && t.Verdict != nil
 	}) {
 		return errors.New("no time of day is agreed on")
 	}
@@ -45,55 +45,55 @@
 	if t.Verdict.Approved {
 		return errors.New("it was approved outside the contract's hours")
 	}
-	if err := m.operate(mesh.Contract("vintage", 2, now.Add(-time.Hour), now.Add(3*time.Hour), nil)); err != nil {
+	if err := m.modify(mesh.ContractCall("vintage", 2, now.Add(-time.Hour), now.Add(3*time.Hour), nil)); err != nil {
 		return err
 	}
 
 	fmt.Println("\nthe contract approves the present hours; traffic of all kinds begins")
 	const export = 200_000
-	m.play("lookup", 5*time.Millisecond, func(n int) (mesh.Told, bool) {
-		return m.line(n).Call("GET", fmt.Sprint("/lookup/", n), "", nil), true
+	m.startCalls("lookup", 5*time.Millisecond, func(n int) (mesh.Response, bool) {
+		return m.sidecar(n).Send("GET", fmt.Sprint("/lookup/", n), "", nil), true
 	})
-	m.play("export", 40*time.Millisecond, func(n int) (mesh.Told, bool) {
-		told := m.line(n).Call("GET", fmt.Sprintf("/export/%d?bytes=%d", n, export), "", nil)
+	m.startCalls("export", 40*time.Millisecond, func(n int) (mesh.Response, bool) {
+		told := m.sidecar(n).Send("GET", fmt.Sprintf("/export/%d?bytes=%d", n, export), "", nil)
 		return told, len(told.Body) > export
 	})
-	m.play("order", 10*time.Millisecond, func(n int) (mesh.Told, bool) {
-		return m.line(n).Call("POST", "/order/new", fmt.Sprint("k-", n), []byte("one")), true
+	m.startCalls("order", 10*time.Millisecond, func(n int) (mesh.Response, bool) {
+		return m.sidecar(n).Send("POST", "/order/new", fmt.Sprint("k-", n), []byte("one")), true
 	})
-	m.play("order, again elsewhere", 20*time.Millisecond, func(n int) (mesh.Told, bool) {
-		return m.line(n+1).Call("POST", "/order/new", fmt.Sprint("k-", 2*n), []byte("one")), true
+	m.startCalls("order, again elsewhere", 20*time.Millisecond, func(n int) (mesh.Response, bool) {
+		return m.sidecar(n+1).Send("POST", "/order/new", fmt.Sprint("k-", 2*n), []byte("one")), true
 	})
 	time.Sleep(o.Length)
-	m.second()
-	if _, status, text := r.Night(register.NightCall{Order: &night.Order{ID: "rack-7", Machines: []string{out.Name}, Length: o.Length, By: "ana", Reason: "a disk"}}); status != 200 {
+	m.startSecondPhase()
+	if _, status, text := r.CallMaintenance(register.MaintenanceRequest{Order: &night.Order{ID: "rack-7", Machines: []string{out.Name}, Duration: o.Length, PlacedBy: "ana", Reason: "a disk"}}); status != 200 {
 		return errors.Errorf("the order was not taken: %d %s", status, text)
 	}
 	var mu sync.Mutex // guards ran
 	ran := -1
 	go func() { // what runs at its server while the machine is out
 		for {
-			t, _, _ := r.Night(register.NightCall{})
-			if b := (night.Book{Orders: t.Orders}); len(b.Orders) > 0 && b.Orders[0].Step == night.Out {
+			t, _, _ := r.CallMaintenance(register.MaintenanceRequest{})
+			if b := (night.OrderTable{Orders: t.Orders}); len(b.Orders) > 0 && b.Orders[0].Step == night.StepInMaintenance {
 				mu.Lock()
-				ran = m.Record.By(out.App.Instance)
+				ran = m.Recorder.RunsBy(out.App.Instance)
 				mu.Unlock()
 				return
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 	}()
-	before := m.Record.By(out.App.Instance)
-	err = watch(r.At("ControlPlane"), "rack-7")
-	m.end()
+	before := m.Recorder.RunsBy(out.App.Instance)
+	err = watchOrder(r.Addr("ControlPlane"), "rack-7")
+	m.stopCalls()
 	if err != nil {
 		return err
 	}
-	fault := m.table("from the drain on")
+	fault := m.printOutcomes("from the drain on")
 	mu.Lock()
 	defer mu.Unlock()
-	fmt.Printf("\n%s ran %d requests before it was drained, %d when it was out, %d in all\n", out.App.Instance, before, ran, m.Record.By(out.App.Instance))
-	if err := m.clean(); err != nil {
+	fmt.Printf("\n%s ran %d requests before it was drained, %d when it was out, %d in all\n", out.App.Instance, before, ran, m.Recorder.RunsBy(out.App.Instance))
+	if err := m.checkRecords(); err != nil {
 		return err
 	}
 	if fault {
--- a/cmd/switchboard/night.go
+++ b/cmd/switchboard/night.go
@@ -16,32 +16,32 @@
 	"hollyspur/internal/exchange/register"
 )
 
-// nightCommands are those of `switchboard night`.
-type nightCommands struct {
-	Plan  nightPlan  `command:"plan" description:"say whether a machine may come out now, and why not"`
-	Start nightStart `command:"start" description:"order machines out, one after the other, as contracts approve"`
-	OK    nightOK    `command:"approve" description:"approve an order that was placed with --ask; another than who placed it has to"`
-	Watch nightWatch `command:"watch" description:"follow an order until it is over"`
-	Abort nightAbort `command:"abort" description:"let the machine in again, and end the order"`
-	Back  nightBack  `command:"back" description:"say that the maintenance of the machine that is out is done"`
-	Trust nightTrust `command:"trust-clocks" description:"say that the registers' clocks are right, where they contradict what was agreed on"`
-	List  nightList  `command:"list" description:"print orders and the record of each"`
-}
-
-// callNight is a call of the night service, at whichever register; it leads on to the leader.
-func callNight(addr string, c register.NightCall) (t register.NightTold, err error) {
+// maintenanceCommands are those of `switchboard night`.
+type maintenanceCommands struct {
+	Plan  maintenancePlan        `command:"plan" description:"say whether a machine may come out now, and why not"`
+	Start maintenanceStart       `command:"start" description:"order machines out, one after the other, as contracts approve"`
+	OK    maintenanceApprove     `command:"approve" description:"approve an order that was placed with --ask; another than who placed it has to"`
+	Watch maintenanceWatch       `command:"watch" description:"follow an order until it is over"`
+	Abort maintenanceAbort       `command:"abort" description:"let the machine in again, and end the order"`
+	Back  maintenanceComplete    `command:"back" description:"say that the maintenance of the machine that is out is done"`
+	Trust maintenanceTrustClocks `command:"trust-clocks" description:"say that the registers' clocks are right, where they contradict what was agreed on"`
+	List  maintenanceList        `command:"list" description:"print orders and the record of each"`
+}
+
+// callMaintenance is a call of the night service, at whichever register; it leads on to the leader.
+func callMaintenance(addr string, c register.MaintenanceRequest) (t register.MaintenanceResponse, err error) {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return t, err
 	}
-	text, err := call(http.MethodPost, addr, "/v1/night", body)
+	text, err := callAPI(http.MethodPost, addr, "/v1/night", body)
 	if err != nil {
 		return t, err
 	}
 	return t, errors.Annotate(json.NewDecoder(bytes.NewReader(text)).Decode(&t), "what came back")
 }
 
-type nightPlan struct {
+type maintenancePlan struct {
 	Length time.Duration `long:"length" default:"5m" description:"that the maintenance itself takes"`
 	Args   struct {
 		Control string `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
@@ -50,23 +50,23 @@
 }
 
 // Execute says whether a machine may come out; the exit code is 1 if it may not.
-func (x *nightPlan) Execute([]string) error {
-	t, err := callNight(x.Args.Control, register.NightCall{Machine: x.Args.Machine, LengthS: x.Length.Seconds()})
+func (x *maintenancePlan) Execute([]string) error {
+	t, err := callMaintenance(x.Args.Control, register.MaintenanceRequest{Machine: x.Args.Machine, LengthSeconds: x.Length.Seconds()})
 	if err != nil {
 		return err
 	}
 	d := t.Verdict
-	if err := tell(t, func() {
-		fmt.Printf("it is %s (%v apart)%s\n", t.Now.Earliest.UTC().Format("2006-01-02 15:04:05 MST"), t.Now.Latest.Sub(t.Now.Earliest).Round(time.Millisecond), map[bool]string{true: "; THE CLOCKS ARE IN DOUBT"}[t.Doubt])
+	if err := printResult(t, func() {
+		fmt.Printf("it is %s (%v apart)%s\n", t.Now.Earliest.UTC().Format("2006-01-02 15:04:05 MST"), t.Now.Latest.Sub(t.Now.Earliest).Round(time.Millisecond), map[bool]string{true: "; THE CLOCKS ARE IN DOUBT"}[t.ClocksDisagree])
 		if d.Approved {
-			fmt.Printf("approved by %s until %s; out and back takes up to %v besides\n", strings.Join(d.Contracts, ", "), d.Until.UTC().Format("2006-01-02 15:04 MST"), d.Takes)
+			fmt.Printf("approved by %s until %s; out and back takes up to %v besides\n", strings.Join(d.Contracts, ", "), d.ReturnBy.UTC().Format("2006-01-02 15:04 MST"), d.TransitionTime)
 		} else {
 			fmt.Println("not now")
 		}
 		for _, r := range d.Reasons {
 			fmt.Println("  " + r.String())
 		}
-		for _, n := range d.Next {
+		for _, n := range d.NextWindows {
 			fmt.Printf("hours: %s to %s\n", n.From.UTC().Format("2006-01-02 15:04"), n.To.UTC().Format("2006-01-02 15:04 MST"))
 		}
 		if len(d.Approvers) > 0 {
@@ -76,12 +76,12 @@
 		return err
 	}
 	if !d.Approved {
-		return errStands
+		return errNotWell
 	}
 	return nil
 }
 
-type nightStart struct {
+type maintenanceStart struct {
 	ID       string        `long:"id" description:"of the order; else one is made"`
 	Length   time.Duration `long:"length" default:"5m" description:"that the maintenance itself takes, for each machine"`
 	By       string        `long:"by" required:"yes" description:"who orders it; the contracts name who may"`
@@ -96,108 +96,108 @@
 }
 
 // Execute places an order. Placed twice under one id it is one.
-func (x *nightStart) Execute([]string) error {
+func (x *maintenanceStart) Execute([]string) error {
 	if x.ID == "" {
 		var p [4]byte
 		crand.Read(p[:])
 		x.ID = "order-" + hex.EncodeToString(p[:])
 	}
-	o := night.Order{ID: x.ID, Machines: x.Args.Machines, Length: x.Length, By: x.By, Reason: x.Reason, Override: x.Override, Asked: x.Ask}
-	t, err := callNight(x.Args.Control, register.NightCall{Order: &o})
+	o := night.Order{ID: x.ID, Machines: x.Args.Machines, Duration: x.Length, PlacedBy: x.By, Reason: x.Reason, Override: x.Override, NeedsApproval: x.Ask}
+	t, err := callMaintenance(x.Args.Control, register.MaintenanceRequest{Order: &o})
 	if err != nil {
 		return err
 	}
 	if x.Watch {
-		return watch(x.Args.Control, x.ID)
+		return watchOrder(x.Args.Control, x.ID)
 	}
-	return tell(t, func() { fmt.Printf("%s is placed\n", x.ID) })
+	return printResult(t, func() { fmt.Printf("%s is placed\n", x.ID) })
 }
 
-type nightOne struct {
+type orderArgs struct {
 	Control string `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
 	ID      string `positional-arg-name:"ORDER"`
 }
 
-type nightWatch struct {
-	Args nightOne `positional-args:"yes" required:"yes"`
+type maintenanceWatch struct {
+	Args orderArgs `positional-args:"yes" required:"yes"`
 }
 
 // Execute follows an order.
-func (x *nightWatch) Execute([]string) error { return watch(x.Args.Control, x.Args.ID) }
+func (x *maintenanceWatch) Execute([]string) error { return watchOrder(x.Args.Control, x.Args.ID) }
 
-// watch prints each step of an order as it is made, and what it waits for. It ends with the order; the exit code is 1 if it
+// watchOrder prints each step of an order as it is made, and what it waits for. It ends with the order; the exit code is 1 if it
 // was aborted or turned back.
-func watch(addr, id string) error {
+func watchOrder(addr, id string) error {
 	shown, last := 0, ""
 	for {
-		t, err := callNight(addr, register.NightCall{})
+		t, err := callMaintenance(addr, register.MaintenanceRequest{})
 		if err != nil {
 			return err
 		}
-		b := night.Book{Orders: t.Orders}
+		b := night.OrderTable{Orders: t.Orders}
 		o, is := b.Find(id)
 		if !is {
 			return errors.Errorf("no order %q", id)
 		}
-		for _, e := range o.Record[min(shown, len(o.Record)):] {
-			fmt.Printf("%s  %-24s %-10s %s\n", e.At.Earliest.UTC().Format("15:04:05.0"), e.Machine, e.Step, e.Text)
+		for _, e := range o.Events[min(shown, len(o.Events)):] {
+			fmt.Printf("%s  %-24s %-10s %s\n", e.Time.Earliest.UTC().Format("15:04:05.0"), e.Machine, e.Step, e.Text)
 		}
-		shown = len(o.Record)
-		if o.Step.Over() {
-			if o.Step == night.Aborted {
-				return errStands
+		shown = len(o.Events)
+		if o.Step.IsFinished() {
+			if o.Step == night.StepAborted {
+				return errNotWell
 			}
 			return nil
 		}
-		if w := t.Waits[id]; w != "" && w != last {
+		if w := t.WaitingFor[id]; w != "" && w != last {
 			last = w
-			fmt.Printf("%10s  %-24s %-10s waits: %s\n", "", o.Name(), o.Step, w)
+			fmt.Printf("%10s  %-24s %-10s waits: %s\n", "", o.CurrentMachineName(), o.Step, w)
 		}
-		time.Sleep(watchEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-const watchEvery = 200 * time.Millisecond
+const pollInterval = 200 * time.Millisecond
 
-type nightAbort struct {
-	By   string   `long:"by" required:"yes" description:"who says so"`
-	Args nightOne `positional-args:"yes" required:"yes"`
+type maintenanceAbort struct {
+	By   string    `long:"by" required:"yes" description:"who says so"`
+	Args orderArgs `positional-args:"yes" required:"yes"`
 }
 
 // Execute aborts an order.
-func (x *nightAbort) Execute([]string) error {
-	return word(x.Args.Control, night.Change{ID: x.Args.ID, Abort: true, Text: "aborted by " + x.By})
+func (x *maintenanceAbort) Execute([]string) error {
+	return changeOrder(x.Args.Control, night.OrderChange{OrderID: x.Args.ID, Abort: true, Text: "aborted by " + x.By})
 }
 
-type nightOK struct {
-	By   string   `long:"by" required:"yes" description:"who approves it; the contracts name who may"`
-	Args nightOne `positional-args:"yes" required:"yes"`
+type maintenanceApprove struct {
+	By   string    `long:"by" required:"yes" description:"who approves it; the contracts name who may"`
+	Args orderArgs `positional-args:"yes" required:"yes"`
 }
 
 // Execute approves an order.
-func (x *nightOK) Execute([]string) error {
-	return word(x.Args.Control, night.Change{ID: x.Args.ID, Approve: x.By, Text: "approved by " + x.By})
+func (x *maintenanceApprove) Execute([]string) error {
+	return changeOrder(x.Args.Control, night.OrderChange{OrderID: x.Args.ID, ApprovedBy: x.By, Text: "approved by " + x.By})
 }
 
-type nightBack struct {
-	By   string   `long:"by" required:"yes" description:"who says so"`
-	Args nightOne `positional-args:"yes" required:"yes"`
+type maintenanceComplete struct {
+	By   string    `long:"by" required:"yes" description:"who says so"`
+	Args orderArgs `positional-args:"yes" required:"yes"`
 }
 
 // Execute says that the maintenance is done.
-func (x *nightBack) Execute([]string) error {
-	return word(x.Args.Control, night.Change{ID: x.Args.ID, Back: true, Text: "the maintenance is done, says " + x.By})
+func (x *maintenanceComplete) Execute([]string) error {
+	return changeOrder(x.Args.Control, night.OrderChange{OrderID: x.Args.ID, MaintenanceDone: true, Text: "the maintenance is done, says " + x.By})
 }
 
-func word(addr string, c night.Change) error {
-	t, err := callNight(addr, register.NightCall{Word: &c})
+func changeOrder(addr string, c night.OrderChange) error {
+	t, err := callMaintenance(addr, register.MaintenanceRequest{Change: &c})
 	if err != nil {
 		return err
 	}
-	return tell(t, func() { fmt.Printf("%s: %s\n", c.ID, c.Text) })
+	return printResult(t, func() { fmt.Printf("%s: %s\n", c.OrderID, c.Text) })
 }
 
-type nightTrust struct {
+type maintenanceTrustClocks struct {
 	By   string `long:"by" required:"yes" description:"who says so"`
 	Args struct {
 		Control string `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
@@ -205,31 +205,31 @@
 }
 
 // Execute has the time of day be agreed on anew, by the clocks alone.
-func (x *nightTrust) Execute([]string) error {
-	t, err := callNight(x.Args.Control, register.NightCall{Trust: true, By: x.By})
+func (x *maintenanceTrustClocks) Execute([]string) error {
+	t, err := callMaintenance(x.Args.Control, register.MaintenanceRequest{TrustClocks: true, By: x.By})
 	if err != nil {
 		return err
 	}
-	return tell(t, func() { fmt.Println("the time of day is agreed on anew") })
+	return printResult(t, func() { fmt.Println("the time of day is agreed on anew") })
 }
 
-type nightList struct {
+type maintenanceList struct {
 	Args struct {
 		Control string `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 // Execute prints all orders with their records.
-func (x *nightList) Execute([]string) error {
-	t, err := callNight(x.Args.Control, register.NightCall{})
+func (x *maintenanceList) Execute([]string) error {
+	t, err := callMaintenance(x.Args.Control, register.MaintenanceRequest{})
 	if err != nil {
 		return err
 	}
-	return tell(t, func() {
+	return printResult(t, func() {
 		for _, o := range t.Orders {
-			fmt.Printf("%s by %s: %s, %d of %d machines%s\n", o.ID, o.By, o.Step, min(o.At+1, len(o.Machines)), len(o.Machines), map[bool]string{true: ", OVERRIDE: " + o.Reason}[o.Override])
-			for _, e := range o.Record {
-				fmt.Printf("  %s  %-24s %-10s %s\n", e.At.Earliest.UTC().Format("2006-01-02 15:04:05"), e.Machine, e.Step, e.Text)
+			fmt.Printf("%s by %s: %s, %d of %d machines%s\n", o.ID, o.PlacedBy, o.Step, min(o.Position+1, len(o.Machines)), len(o.Machines), map[bool]string{true: ", OVERRIDE: " + o.Reason}[o.Override])
+			for _, e := range o.Events {
+				fmt.Printf("  %s  %-24s %-10s %s\n", e.Time.Earliest.UTC().Format("2006-01-02 15:04:05"), e.Machine, e.Step, e.Text)
 			}
 		}
 	})
--- a/cmd/switchboard/rules.go
+++ b/cmd/switchboard/rules.go
@@ -19,24 +19,24 @@
 	"hollyspur/internal/exchange/trunk"
 )
 
-// ruleCommands are those of `switchboard rules`.
-type ruleCommands struct {
-	Explain ruleExplain `command:"explain" description:"tell the merged rule that a request meets, field by field, and from whom"`
-	Owner   ruleOwner   `command:"owner" description:"tell whose a route and its services are"`
-	Report  ruleReport  `command:"report" description:"tell every route on which namespaces meet"`
-	Check   ruleCheck   `command:"check" description:"judge a change against a saved configuration, without a mesh"`
-	Status  ruleStatus  `command:"status" description:"tell which set of rules is agreed on, which binds, and what it waits for"`
-	Told    ruleTold    `command:"told" description:"tell an owner what others' changes did to their rules"`
+// policyCommands are those of `switchboard rules`.
+type policyCommands struct {
+	Explain policyExplain `command:"explain" description:"tell the merged rule that a request meets, field by field, and from whom"`
+	Owner   policyOwner   `command:"owner" description:"tell whose a route and its services are"`
+	Report  policyReport  `command:"report" description:"tell every route on which namespaces meet"`
+	Check   policyCheck   `command:"check" description:"judge a change against a saved configuration, without a mesh"`
+	Status  policyStatus  `command:"status" description:"tell which set of rules is agreed on, which binds, and what it waits for"`
+	Told    policyNotices `command:"told" description:"tell an owner what others' changes did to their rules"`
 }
 
-// author is who makes a change, as options.
-type author struct {
+// changeAuthor is who makes a change, as options.
+type changeAuthor struct {
 	By       string   `long:"by" value-name:"NAME" description:"an owner of the namespaces that are changed; else it is the mesh's operator"`
 	Consents []string `long:"consent" value-name:"NAMESPACE:NAME" description:"of an owner of what the change loosens"`
 }
 
-// on is a call as that author makes it.
-func (a author) on(text []byte) ([]byte, error) {
+// addTo is a call as that author makes it.
+func (a changeAuthor) addTo(text []byte) ([]byte, error) {
 	if a.By == "" && len(a.Consents) == 0 {
 		return text, nil
 	}
@@ -53,16 +53,16 @@
 	return json.Marshal(m)
 }
 
-// judged tells what a call would do to others' rules; the error: why it would be turned down.
-func judged(table patch.Table, c patch.Call) error {
-	_, raised, effects, err := table.Take(c)
+// printEffects tells what a call would do to others' rules; the error: why it would be turned down.
+func printEffects(table patch.Table, c patch.Update) error {
+	_, raised, effects, err := table.ApplyUpdate(c)
 	if err != nil {
 		return errors.Annotate(err, "it would be refused")
 	}
 	if effects == nil {
 		effects = []classmark.Effect{}
 	}
-	return tell(effects, func() {
+	return printResult(effects, func() {
 		for _, e := range effects {
 			fmt.Println(e)
 		}
@@ -70,44 +70,44 @@
 	})
 }
 
-// rulesAt are the rules as they bind, or as they are agreed on.
-func rulesAt(control string, held bool) (set *classmark.Set, table patch.Table, told register.RulesTold, err error) {
-	_, table, err = standing(control)
+// fetchPolicies are the rules as they bind, or as they are agreed on.
+func fetchPolicies(control string, held bool) (set *classmark.Set, table patch.Table, told register.PolicyResponse, err error) {
+	_, table, err = fetchConfig(control)
 	if err != nil {
 		return nil, table, told, err
 	}
-	if told, err = callRules(control, register.RulesCall{}); err != nil {
+	if told, err = callPolicy(control, register.PolicyRequest{}); err != nil {
 		return nil, table, told, err
 	}
 	rules := table
-	if told.Bound != nil && !held {
-		text, err := json.Marshal(patch.Modify{Upsert: told.Bound})
+	if told.Active != nil && !held {
+		text, err := json.Marshal(patch.ModifyRequest{Upsert: told.Active})
 		if err != nil {
 			return nil, table, told, err
 		}
-		items, err := patch.Read(text)
+		items, err := patch.ParseItems(text)
 		if err != nil {
 			return nil, table, told, errors.Annotate(err, "what binds")
 		}
 		rules, _ = patch.Table{}.Merge(items)
 	}
-	return patch.Marks(table, rules), table, told, nil
+	return patch.NewPolicySet(table, rules), table, told, nil
 }
 
-// callRules is a call about rules, at whichever register; it leads on to the leader.
-func callRules(addr string, c register.RulesCall) (t register.RulesTold, err error) {
+// callPolicy is a call about rules, at whichever register; it leads on to the leader.
+func callPolicy(addr string, c register.PolicyRequest) (t register.PolicyResponse, err error) {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return t, err
 	}
-	text, err := call(http.MethodPost, addr, "/v1/rules", body)
+	text, err := callAPI(http.MethodPost, addr, "/v1/rules", body)
 	if err != nil {
 		return t, err
 	}
 	return t, errors.Annotate(json.NewDecoder(bytes.NewReader(text)).Decode(&t), "what came back")
 }
 
-type ruleExplain struct {
+type policyExplain struct {
 	Caller string `long:"caller" value-name:"SERVICE" description:"that calls; else whoever does"`
 	Held   bool   `long:"held" description:"as it is agreed on, though it may not bind yet"`
 	With   string `long:"with" value-name:"FILE" description:"and what would hold with this change"`
@@ -119,32 +119,32 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// explained is what explain tells.
-type explained struct {
-	Board   classmark.Board       `json:"board"`
-	Rules   []classmark.Explained `json:"rules"`
-	With    []classmark.Explained `json:"with,omitempty"`
-	Line    string                `json:"line,omitempty"`
-	Bound   string                `json:"bound,omitempty"` // that the line goes by
-	BoundAt uint64                `json:"boundAt,omitempty"`
-	SinceS  float64               `json:"sinceS,omitempty"`
-	Fenced  bool                  `json:"fenced,omitempty"`
+// explainResult is what explain tells.
+type explainResult struct {
+	Board   classmark.Rollout       `json:"board"`
+	Rules   []classmark.Explanation `json:"rules"`
+	With    []classmark.Explanation `json:"with,omitempty"`
+	Line    string                  `json:"line,omitempty"`
+	Bound   string                  `json:"bound,omitempty"` // that the line goes by
+	BoundAt uint64                  `json:"boundAt,omitempty"`
+	SinceS  float64                 `json:"sinceS,omitempty"`
+	Fenced  bool                    `json:"fenced,omitempty"`
 }
 
 // Execute explains a request.
-func (x *ruleExplain) Execute([]string) error {
-	set, table, told, err := rulesAt(x.Args.Control, x.Held)
+func (x *policyExplain) Execute([]string) error {
+	set, table, told, err := fetchPolicies(x.Args.Control, x.Held)
 	if err != nil {
 		return err
 	}
-	out := explained{Board: told.Board}
-	at := func(table patch.Table, set *classmark.Set) (l []classmark.Explained) {
-		r := dialplan.Make(table).Find(x.Args.Host, x.Args.Path)
+	out := explainResult{Board: told.Rollout}
+	at := func(table patch.Table, set *classmark.Set) (l []classmark.Explanation) {
+		r := dialplan.NewTable(table).Match(x.Args.Host, x.Args.Path)
 		if r == nil {
 			return nil
 		}
 		route, _ := set.Route(r.Name)
-		for _, s := range r.Split {
+		for _, s := range r.Destinations {
 			l = append(l, set.Explain(route, s.Service, x.Caller))
 		}
 		return l
@@ -157,17 +157,17 @@
 		if err != nil {
 			return err
 		}
-		items, err := patch.Read(text)
+		items, err := patch.ParseItems(text)
 		if err != nil {
 			return errors.Annotate(err, x.With)
 		}
 		next, _ := table.Merge(items)
-		out.With = at(next, patch.Marks(next, next))
+		out.With = at(next, patch.NewPolicySet(next, next))
 	}
 	if x.Line != "" {
-		ctx, cancel := within()
+		ctx, cancel := withTimeout()
 		defer cancel()
-		c, err := trunk.Call(ctx, x.Line, "switchboard", nil)
+		c, err := trunk.DialClient(ctx, x.Line, "switchboard", nil)
 		if err != nil {
 			return err
 		}
@@ -176,30 +176,30 @@
 		if err != nil {
 			return err
 		}
-		out.Line, out.Bound, out.BoundAt, out.SinceS, out.Fenced = s.Name, s.RulesBound, s.BoundAt, time.Duration(s.BoundFor*1000).Seconds(), s.Fenced
+		out.Line, out.Bound, out.BoundAt, out.SinceS, out.Fenced = s.Name, s.ActivePolicy, s.ActivePolicyIndex, time.Duration(s.ActivePolicyAgeUs*1000).Seconds(), s.Fenced
 	}
-	return tell(out, func() {
+	return printResult(out, func() {
 		for _, r := range out.Rules {
-			r.Text(os.Stdout)
+			r.WriteText(os.Stdout)
 		}
-		if told.Board.Pending() {
-			fmt.Printf("set %q is agreed on and does not bind yet, but %q does: %s\n", told.Board.Held, told.Board.Bound, told.Waits)
+		if told.Rollout.IsPending() {
+			fmt.Printf("set %q is agreed on and does not bind yet, but %q does: %s\n", told.Rollout.Agreed, told.Rollout.Active, told.WaitingFor)
 		}
 		if out.Line != "" {
 			since := math.Round(10*out.SinceS) / 10
-			fmt.Printf("line %s goes by set %q, of entry %d, since %g s%s%s\n", out.Line, out.Bound, out.BoundAt, since, map[bool]string{true: "; THE SET THAT BINDS IS ANOTHER"}[out.Bound != told.Board.Bound],
+			fmt.Printf("line %s goes by set %q, of entry %d, since %g s%s%s\n", out.Line, out.Bound, out.BoundAt, since, map[bool]string{true: "; THE SET THAT BINDS IS ANOTHER"}[out.Bound != told.Rollout.Active],
 				map[bool]string{true: "; FENCED: it could not confirm that"}[out.Fenced])
 		}
 		if out.With != nil {
 			fmt.Println("with the change:")
 			for _, r := range out.With {
-				r.Text(os.Stdout)
+				r.WriteText(os.Stdout)
 			}
 		}
 	})
 }
 
-type ruleOwner struct {
+type policyOwner struct {
 	Args struct {
 		Control string `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
 		Route   string `positional-arg-name:"ROUTE"`
@@ -207,8 +207,8 @@
 }
 
 // Execute tells whose a route is, and who may change it.
-func (x *ruleOwner) Execute([]string) error {
-	set, _, _, err := rulesAt(x.Args.Control, true)
+func (x *policyOwner) Execute([]string) error {
+	set, _, _, err := fetchPolicies(x.Args.Control, true)
 	if err != nil {
 		return err
 	}
@@ -222,7 +222,7 @@
 		Owners []string `json:"owners"`
 	}
 	people := map[string][]string{}
-	for _, n := range set.Spaces() {
+	for _, n := range set.Namespaces() {
 		people[n.Name] = n.Owners
 	}
 	of := set.OwnerOfRoute(route)
@@ -231,7 +231,7 @@
 		of := set.OwnerOfService(s)
 		l = append(l, owner{"service " + s, of, people[of]})
 	}
-	return tell(l, func() {
+	return printResult(l, func() {
 		for _, o := range l {
 			who := strings.Join(o.Owners, ", ")
 			if who == "" {
@@ -242,24 +242,24 @@
 	})
 }
 
-type ruleReport struct {
+type policyReport struct {
 	Args struct {
 		Control string `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 // Execute tells where namespaces meet.
-func (x *ruleReport) Execute([]string) error {
-	set, _, _, err := rulesAt(x.Args.Control, true)
+func (x *policyReport) Execute([]string) error {
+	set, _, _, err := fetchPolicies(x.Args.Control, true)
 	if err != nil {
 		return err
 	}
 	r := set.Report()
-	return tell(r, func() { r.Text(os.Stdout) })
+	return printResult(r, func() { r.WriteText(os.Stdout) })
 }
 
-type ruleCheck struct {
-	author
+type policyCheck struct {
+	changeAuthor
 	Against string `long:"against" required:"yes" value-name:"FILE" description:"what switchboard backup wrote"`
 	Args    struct {
 		File string `positional-arg-name:"FILE" description:"a call of /v1/configuration/modify, as JSON"`
@@ -267,71 +267,71 @@
 }
 
 // Execute judges a change without a mesh; the exit code is 1 if it would be turned down.
-func (x *ruleCheck) Execute([]string) error {
+func (x *policyCheck) Execute([]string) error {
 	saved, err := os.ReadFile(x.Against)
 	if err != nil {
 		return err
 	}
-	items, err := patch.Read(saved)
+	items, err := patch.ParseItems(saved)
 	if err != nil {
 		return errors.Annotate(err, x.Against)
 	}
 	table, _ := patch.Table{}.Merge(items)
-	c, err := x.author.read(x.Args.File)
+	c, err := x.changeAuthor.read(x.Args.File)
 	if err != nil {
 		return err
 	}
-	return judged(table, c)
+	return printEffects(table, c)
 }
 
 // read reads a call as that author makes it.
-func (a author) read(file string) (c patch.Call, err error) {
+func (a changeAuthor) read(file string) (c patch.Update, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return c, err
 	}
-	if c, err = patch.ReadCall(text); err != nil {
+	if c, err = patch.ParseUpdate(text); err != nil {
 		return c, errors.Annotate(err, file)
 	}
 	if a.By != "" {
-		c.By = a.By
+		c.Author = a.By
 	}
 	c.Consents = append(c.Consents, a.Consents...)
 	return c, nil
 }
 
-type ruleStatus struct {
+type policyStatus struct {
 	Args struct {
 		Control string `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
 	} `positional-args:"yes" required:"yes"`
 }
 
 // Execute tells which set binds; the exit code is 1 while another is agreed on.
-func (x *ruleStatus) Execute([]string) error {
-	t, err := callRules(x.Args.Control, register.RulesCall{})
+func (x *policyStatus) Execute([]string) error {
+	t, err := callPolicy(x.Args.Control, register.PolicyRequest{})
 	if err != nil {
 		return err
 	}
-	if err := tell(t, func() {
-		b := t.Board
+	if err := printResult(t, func() {
+		b := t.Rollout
 		switch {
-		case b.Pending():
-			fmt.Printf("set %q is agreed on by entry %d and does not bind yet: %s\n", b.Held, b.HeldAt, t.Waits)
-		case b.Bound == "":
+		case b.IsPending():
+			fmt.Printf("set %q is agreed on by entry %d and does not bind yet: %s\n", b.Agreed, b.AgreedIndex, t.WaitingFor)
+		case b.Active == "":
 			fmt.Println("no namespace has set any rule")
 		default:
-			fmt.Printf("set %q binds, by entry %d\n", b.Bound, b.BoundAt)
+			fmt.Printf("set %q binds, by entry %d\n", b.Active, b.ActiveIndex)
 		}
 	}); err != nil {
 		return err
 	}
-	if t.Board.Pending() {
-		return errStands
+	if t.Rollout.IsPending() {
+		return errNotWell
 	}
 	return nil
 }
 
-type ruleTold struct {
+type policyNotices struct {
 	Args struct {
 		Control   string `positional-arg-name:"ADDR" description:"ControlPlane of a register"`
 		Namespace string `positional-arg-name:"NAMESPACE"`
@@ -339,12 +339,12 @@
 }
 
 // Execute tells the latest notices of a namespace.
-func (x *ruleTold) Execute([]string) error {
-	t, err := callRules(x.Args.Control, register.RulesCall{Namespace: x.Args.Namespace})
+func (x *policyNotices) Execute([]string) error {
+	t, err := callPolicy(x.Args.Control, register.PolicyRequest{Namespace: x.Args.Namespace})
 	if err != nil {
 		return err
 	}
-	return tell(t.Notices, func() {
+	return printResult(t.Notices, func() {
 		for _, n := range t.Notices {
 			by := n.By
 			if by == "" {
@@ -355,20 +355,20 @@
 	})
 }
 
-// awaitBound waits until what is agreed on binds.
-func awaitBound(control string) error {
-	for end := time.Now().Add(bindWithin); ; time.Sleep(watchEvery) {
-		t, err := callRules(control, register.RulesCall{})
+// awaitPolicyActive waits until what is agreed on binds.
+func awaitPolicyActive(control string) error {
+	for end := time.Now().Add(policyActiveTimeout); ; time.Sleep(pollInterval) {
+		t, err := callPolicy(control, register.PolicyRequest{})
 		switch {
-		case err == nil && !t.Board.Pending():
+		case err == nil && !t.Rollout.IsPending():
 			return nil
 		case time.Now().After(end) && err != nil:
 			return err
 		case time.Now().After(end):
-			return errors.Errorf("agreed on, and does not bind yet: %s", t.Waits)
+			return errors.Errorf("agreed on, and does not bind yet: %s", t.WaitingFor)
 		}
 	}
 }
 
-// bindWithin is far beyond what a set waits for lines that do not answer.
-const bindWithin = 15 * time.Second
+// policyActiveTimeout is far beyond what a set waits for lines that do not answer.
+const policyActiveTimeout = 15 * time.Second
--- a/cmd/switchboard/stage.go
+++ b/cmd/switchboard/stage.go
@@ -13,70 +13,70 @@
 	"hollyspur/internal/rig/mesh"
 )
 
-// stage is a small mesh on loopback with traffic of several kinds, for what is shown to people.
-type stage struct {
-	*mesh.Mesh
+// demoCluster is a small mesh on loopback with traffic of several kinds, for what is shown to people.
+type demoCluster struct {
+	*mesh.Cluster
 	dir string
 
 	mu         sync.Mutex // guards below
-	kinds      map[string]*played
+	kinds      map[string]*callOutcomes
 	order      []string // of kinds
 	phase      int
 	stop       chan struct{}
 	all, calls sync.WaitGroup
 }
 
-// played is what became of one kind of requests, in each phase.
-type played struct {
+// callOutcomes is what became of one kind of requests, in each phase.
+type callOutcomes struct {
 	status [2]map[int]int
 	took   [2][]time.Duration
 	broken int // answers that did not come whole
 }
 
-const upWithin = 20 * time.Second
+const startTimeout = 20 * time.Second
 
-// raise builds the programs and starts three registers and a line for each service named, with the routes.
-func raise(services []string, routes ...map[string]any) (*stage, error) {
+// startDemo builds the programs and starts three registers and a line for each service named, with the routes.
+func startDemo(services []string, routes ...map[string]any) (*demoCluster, error) {
 	dir, err := os.MkdirTemp("", "mesh")
 	if err != nil {
 		return nil, err
 	}
-	s := &stage{dir: dir, kinds: map[string]*played{}, stop: make(chan struct{})}
+	s := &demoCluster{dir: dir, kinds: map[string]*callOutcomes{}, stop: make(chan struct{})}
 	fmt.Printf("three registers, %d lines with stand-in servers: %v\n", len(services), services)
-	if err = mesh.Build(dir); err == nil {
-		s.Mesh, err = mesh.New(dir, 3, services...)
+	if err = mesh.BuildPrograms(dir); err == nil {
+		s.Cluster, err = mesh.New(dir, 3, services...)
 	}
 	if err == nil {
 		known := slices.Clone(services)
 		slices.Sort(known)
-		err = s.operate(mesh.Modify(1, slices.Compact(known), routes...))
+		err = s.modify(mesh.ModifyCall(1, slices.Compact(known), routes...))
 	}
-	if err == nil && !s.Ready(upWithin) {
+	if err == nil && !s.AwaitReady(startTimeout) {
 		err = errors.New("the lines do not get ready")
 	}
 	if err != nil {
-		s.drop()
+		s.closeAndRemove()
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *stage) drop() {
-	if s.Mesh != nil {
+func (s *demoCluster) closeAndRemove() {
+	if s.Cluster != nil {
 		s.Close()
 	}
 	os.RemoveAll(s.dir)
 }
 
-// operate has a change acknowledged by whichever register does.
-func (s *stage) operate(body []byte) error {
+// modify has a change acknowledged by whichever register does.
+func (s *demoCluster) modify(body []byte) error {
 	status, text := 0, ""
-	if !rig.Await(upWithin, func() bool {
-		for _, r := range s.Registers {
+	if !rig.Await(startTimeout, func() bool {
+		for _, r := range s.Members {
 			if r.Process == nil {
 				continue
 			}
-			if status, text = r.Operate(body); status == 200 {
+			if status, text = r.Modify(body); status == 200 {
 				return true
 			}
 		}
@@ -87,13 +87,13 @@
 	return nil
 }
 
-// line is one of the lines, in turn.
-func (s *stage) line(n int) *mesh.Machine { return s.Lines[n%len(s.Lines)] }
+// sidecar is one of the lines, in turn.
+func (s *demoCluster) sidecar(n int) *mesh.Machine { return s.Sidecars[n%len(s.Sidecars)] }
 
-// play begins requests of a kind, one every so often whether or not those before are answered, until the end. f gives what
+// startCalls begins requests of a kind, one every so often whether or not those before are answered, until the end. f gives what
 // became of the nth, and whether its answer was whole.
-func (s *stage) play(kind string, every time.Duration, f func(n int) (mesh.Told, bool)) {
-	s.kinds[kind] = &played{status: [2]map[int]int{{}, {}}}
+func (s *demoCluster) startCalls(kind string, every time.Duration, f func(n int) (mesh.Response, bool)) {
+	s.kinds[kind] = &callOutcomes{status: [2]map[int]int{{}, {}}}
 	s.order = append(s.order, kind)
 	s.all.Go(func() {
 		tick := time.NewTicker(every)
@@ -126,22 +126,22 @@
 	})
 }
 
-// second has what begins from now on be of the second phase.
-func (s *stage) second() {
+// startSecondPhase has what begins from now on be of the second phase.
+func (s *demoCluster) startSecondPhase() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.phase = 1
 }
 
-// end ends the traffic and waits for what is under way.
-func (s *stage) end() {
+// stopCalls ends the traffic and waits for what is under way.
+func (s *demoCluster) stopCalls() {
 	close(s.stop)
 	s.all.Wait()
 	s.calls.Wait()
 }
 
-// table tells what became of each kind. fault: some were lost, failed or cut short.
-func (s *stage) table(second string) (fault bool) {
+// printOutcomes tells what became of each kind. fault: some were lost, failed or cut short.
+func (s *demoCluster) printOutcomes(second string) (fault bool) {
 	fmt.Printf("\n%-26s %-36s", "", "answers by status, p99")
 	if second != "" {
 		fmt.Printf(" %-36s %s", second, "p99, times that before")
@@ -166,9 +166,9 @@
 	return fault
 }
 
-// clean is what the servers' and callers' own records say of the rules.
-func (s *stage) clean() error {
-	if l := s.Record.Faults(); len(l) > 0 {
+// checkRecords is what the servers' and callers' own records say of the rules.
+func (s *demoCluster) checkRecords() error {
+	if l := s.Recorder.Violations(); len(l) > 0 {
 		return errors.Errorf("broken: %v", l)
 	}
 	return nil
--- a/cmd/switchboard/tour.go
+++ b/cmd/switchboard/tour.go
@@ -9,53 +9,53 @@
 	"hollyspur/internal/rig/mesh"
 )
 
-type tour struct {
+type failoverDemo struct {
 	Stay bool `long:"stay" description:"keep it up until interrupted, to play with"`
 }
 
 // Execute plays the tour.
-func (o *tour) Execute([]string) error {
-	m, err := raise([]string{"orders", "orders", "stock", "stock"}, mesh.Route("lookup", "idempotent", "/lookup/", "stock", 1), mesh.Route("order", "keyed", "/order/", "orders", 1))
+func (o *failoverDemo) Execute([]string) error {
+	m, err := startDemo([]string{"orders", "orders", "stock", "stock"}, mesh.RouteItem("lookup", "idempotent", "/lookup/", "stock", 1), mesh.RouteItem("order", "keyed", "/order/", "orders", 1))
 	if err != nil {
 		return err
 	}
-	defer m.drop()
-	ctx, cancel := within()
+	defer m.closeAndRemove()
+	ctx, cancel := withTimeout()
 	defer cancel()
-	t, err := plant.Look(ctx, trunkOf(m.Registers[0]))
+	t, err := plant.Collect(ctx, transportAddr(m.Members[0]))
 	if err != nil {
 		return err
 	}
-	t.Text(os.Stdout)
+	t.WriteText(os.Stdout)
 	fmt.Println("\nfour seconds of traffic; a register is killed, one server drains, one crashes")
-	m.play("lookup", 4*time.Millisecond, func(n int) (mesh.Told, bool) {
-		return m.line(n).Call("GET", fmt.Sprint("/lookup/", n), "", nil), true
+	m.startCalls("lookup", 4*time.Millisecond, func(n int) (mesh.Response, bool) {
+		return m.sidecar(n).Send("GET", fmt.Sprint("/lookup/", n), "", nil), true
 	})
-	m.play("order", 4*time.Millisecond, func(n int) (mesh.Told, bool) {
-		return m.line(n).Call("POST", "/order/new", fmt.Sprint("k-", n), []byte("one")), true
+	m.startCalls("order", 4*time.Millisecond, func(n int) (mesh.Response, bool) {
+		return m.sidecar(n).Send("POST", "/order/new", fmt.Sprint("k-", n), []byte("one")), true
 	})
-	m.play("order, again elsewhere", 20*time.Millisecond, func(n int) (mesh.Told, bool) {
-		return m.line(n+1).Call("POST", "/order/new", fmt.Sprint("k-", 5*n), []byte("one")), true
+	m.startCalls("order, again elsewhere", 20*time.Millisecond, func(n int) (mesh.Response, bool) {
+		return m.sidecar(n+1).Send("POST", "/order/new", fmt.Sprint("k-", 5*n), []byte("one")), true
 	})
 	time.Sleep(time.Second)
-	m.Registers[0].Kill()
+	m.Members[0].Kill()
 	time.Sleep(700 * time.Millisecond)
-	m.Lines[2].App.Drain()
+	m.Sidecars[2].App.Drain()
 	time.Sleep(time.Second)
-	m.Lines[1].App.Crash()
+	m.Sidecars[1].App.Crash()
 	time.Sleep(1300 * time.Millisecond)
-	m.end()
-	m.table("")
+	m.stopCalls()
+	m.printOutcomes("")
 	fmt.Println("503 has not run, 409 is at work, 502 and 504 may have run")
-	if err := m.clean(); err != nil {
+	if err := m.checkRecords(); err != nil {
 		return err
 	}
 	fmt.Println("by the servers' own record no order ran twice, and every answer belongs to its request")
 	if o.Stay {
-		fmt.Printf("operators call %s; callers %s with Host: %s; end it with Ctrl-C\n", m.Registers[1].At("ControlPlane"), m.Lines[0].At("Outbound"), mesh.Host)
+		fmt.Printf("operators call %s; callers %s with Host: %s; end it with Ctrl-C\n", m.Members[1].Addr("ControlPlane"), m.Sidecars[0].Addr("Outbound"), mesh.Host)
 		select {}
 	}
 	return nil
 }
 
-func trunkOf(x *mesh.Machine) string { return x.Process.Addr }
+func transportAddr(x *mesh.Machine) string { return x.Process.Addr }
--- a/internal/exchange/classmark/bind_test.go
+++ b/internal/exchange/classmark/bind_test.go
@@ -9,178 +9,178 @@
 	"gotest.tools/v3/assert"
 )
 
-// told is a frame from a line's home, in the order in which they were said.
-type told struct {
-	kind   byte // i: items, b: it binds, a: answer to an asking, t: the whole table
-	held   int  // i, t: the set among the items
-	print  int  // b, a, t: the set that binds
-	agreed int  // a: the one that is agreed on
-	at     uint64
-	asked  int // a, t: when it was asked for
+// frame is a frame from a line's home, in the order in which they were said.
+type frame struct {
+	kind     byte // i: items, b: it binds, a: answer to an asking, t: the whole table
+	received int  // i, t: the set among the items
+	active   int  // b, a, t: the set that binds
+	agreed   int  // a: the one that is agreed on
+	index    uint64
+	askedAt  int // a, t: when it was asked for
 }
 
-// seat is a line in the search.
-type seat struct {
-	leaf    Leaf
-	held    int // the set among its items
-	queue   []told
-	ready   bool // it has had its first table
-	wrongly bool // it goes by a set that it held only half, or that never bound
+// sidecarModel is a line in the search.
+type sidecarModel struct {
+	state    SidecarState
+	received int // the set among its items
+	queue    []frame
+	ready    bool // it has had its first table
+	violated bool // it goes by a set that it held only half, or that never bound
 }
 
-// floor is the whole of the search: sets are numbered from 0, and so are seconds.
-type floor struct {
-	board Board
-	held  int
-	at    uint64 // entries so far
-	bound []int  // which set each entry had bind, by its number; -1: none
-	since int    // the leader knows it
-	now   int
-	over  int // when the set before the one that binds ceased to
-	seats []seat
-	lost  bool // a frame was
-	trail string
+// rolloutModel is the whole of the search: sets are numbered from 0, and so are seconds.
+type rolloutModel struct {
+	rollout    Rollout
+	agreed     int
+	index      uint64 // entries so far
+	activated  []int  // which set each entry had bind, by its number; -1: none
+	agreedAt   int    // the leader knows it
+	now        int
+	replacedAt int // when the set before the one that binds ceased to
+	sidecars   []sidecarModel
+	frameLost  bool // a frame was
+	trail      string
 }
 
-func print(n int) string {
+func setName(n int) string {
 	if n == 0 {
 		return ""
 	}
 	return fmt.Sprint(n)
 }
 
-const latest = 9 // seconds, and 3 sets
+const lastSecond = 9 // seconds, and 3 sets
 
-// steps are all that may happen next. plant is an error: "early" binds at once, "arrival" has the fence run from an answer's
+// successors are all that may happen next. plant is an error: "early" binds at once, "arrival" has the fence run from an answer's
 // arrival, "half" takes what binds whether it is held or not, "table" has a line that starts go by what it holds.
-func (f floor) steps(plant string) (l []floor) {
-	add := func(name string, g floor) {
+func (f rolloutModel) successors(plant string) (l []rolloutModel) {
+	add := func(name string, g rolloutModel) {
 		g.trail += " " + name
 		l = append(l, g)
 	}
-	seat := func(g *floor, i int) *seat {
-		g.seats = slices.Clone(g.seats)
-		g.seats[i].queue = slices.Clone(g.seats[i].queue)
-		return &g.seats[i]
+	editSidecar := func(g *rolloutModel, i int) *sidecarModel {
+		g.sidecars = slices.Clone(g.sidecars)
+		g.sidecars[i].queue = slices.Clone(g.sidecars[i].queue)
+		return &g.sidecars[i]
 	}
-	if f.now < latest {
+	if f.now < lastSecond {
 		g := f
 		g.now++
 		add("tick", g)
 	}
-	if f.held < 2 {
+	if f.agreed < 2 {
 		g := f
-		g.held++
-		g.at++
-		g.board = g.board.Changed(print(g.held), g.at)
-		g.bound = append(slices.Clone(f.bound), -1)
-		g.since = g.now
-		for i := range g.seats {
-			if s := seat(&g, i); s.ready {
-				s.queue = append(s.queue, told{kind: 'i', held: g.held})
+		g.agreed++
+		g.index++
+		g.rollout = g.rollout.Agree(setName(g.agreed), g.index)
+		g.activated = append(slices.Clone(f.activated), -1)
+		g.agreedAt = g.now
+		for i := range g.sidecars {
+			if s := editSidecar(&g, i); s.ready {
+				s.queue = append(s.queue, frame{kind: 'i', received: g.agreed})
 			}
 		}
 		add("change", g)
 	}
-	var seen []Seen
-	for _, s := range f.seats {
-		seen = append(seen, Seen{Held: s.leaf.Held})
+	var seen []SidecarReport
+	for _, s := range f.sidecars {
+		seen = append(seen, SidecarReport{Received: s.state.Received})
 	}
 	// Where the leader may not hear of a line, it only waits longer.
-	ok, _ := f.board.Ready(seen, time.Duration(f.now-f.since)*time.Second)
-	if ok || plant == "early" && f.board.Pending() {
+	ok, _ := f.rollout.CanActivate(seen, time.Duration(f.now-f.agreedAt)*time.Second)
+	if ok || plant == "early" && f.rollout.IsPending() {
 		g := f
-		g.at++
+		g.index++
 		var did bool
-		g.board, did = g.board.Bind(print(g.held), g.at)
+		g.rollout, did = g.rollout.Activate(setName(g.agreed), g.index)
 		if did {
-			g.bound = append(slices.Clone(f.bound), g.held)
-			g.over = g.now
-			for i := range g.seats {
-				if s := seat(&g, i); s.ready {
-					s.queue = append(s.queue, told{kind: 'b', print: g.held, at: g.at})
+			g.activated = append(slices.Clone(f.activated), g.agreed)
+			g.replacedAt = g.now
+			for i := range g.sidecars {
+				if s := editSidecar(&g, i); s.ready {
+					s.queue = append(s.queue, frame{kind: 'b', active: g.agreed, index: g.index})
 				}
 			}
 			add("bind", g)
 		}
 	}
-	if f.board.Pending() && f.since < f.now { // another leader, which begins to wait anew
+	if f.rollout.IsPending() && f.agreedAt < f.now { // another leader, which begins to wait anew
 		g := f
-		g.since = g.now
+		g.agreedAt = g.now
 		add("lead", g)
 	}
 	binds := 0
-	for _, b := range f.bound {
+	for _, b := range f.activated {
 		if b >= 0 {
 			binds = b
 		}
 	}
-	for i, s := range f.seats {
+	for i, s := range f.sidecars {
 		if len(s.queue) < 3 {
 			g := f
-			x := seat(&g, i)
-			if s.ready && !slices.ContainsFunc(s.queue, func(m told) bool { return m.kind == 'a' }) {
-				x.queue = append(x.queue, told{kind: 'a', print: binds, agreed: f.held, at: f.board.BoundAt, asked: f.now})
+			x := editSidecar(&g, i)
+			if s.ready && !slices.ContainsFunc(s.queue, func(m frame) bool { return m.kind == 'a' }) {
+				x.queue = append(x.queue, frame{kind: 'a', active: binds, agreed: f.agreed, index: f.rollout.ActiveIndex, askedAt: f.now})
 				add(fmt.Sprint("ask", i), g)
 			}
 			g = f
-			x = seat(&g, i)
-			if !s.ready || s.leaf.Bound != f.board.Bound || s.leaf.Held != f.board.Held { // another home, or it asks anew
-				x.queue = []told{{kind: 't', held: f.held, print: binds, at: f.board.BoundAt, asked: f.now}}
+			x = editSidecar(&g, i)
+			if !s.ready || s.state.Active != f.rollout.Active || s.state.Received != f.rollout.Agreed { // another home, or it asks anew
+				x.queue = []frame{{kind: 't', received: f.agreed, active: binds, index: f.rollout.ActiveIndex, askedAt: f.now}}
 				add(fmt.Sprint("table", i), g)
 			}
 		}
 		if s.ready && len(f.trail) < 40 { // it starts again, and has forgotten all
 			g := f
-			seat(&g, i).restart()
+			editSidecar(&g, i).restart()
 			add(fmt.Sprint("start", i), g)
 		}
 		if len(s.queue) == 0 {
 			continue
 		}
-		if !f.lost && s.queue[0].kind != 't' { // a frame that it could not read
+		if !f.frameLost && s.queue[0].kind != 't' { // a frame that it could not read
 			g := f
-			g.lost = true
-			x := seat(&g, i)
+			g.frameLost = true
+			x := editSidecar(&g, i)
 			x.queue = x.queue[1:]
 			add(fmt.Sprint("lost", i), g)
 		}
 		g := f
-		x := seat(&g, i)
+		x := editSidecar(&g, i)
 		m := x.queue[0]
 		x.queue = x.queue[1:]
-		asked := time.Duration(m.asked) * time.Second
+		asked := time.Duration(m.askedAt) * time.Second
 		if plant == "arrival" {
 			asked = time.Duration(f.now) * time.Second
 		}
 		switch m.kind {
 		case 'i':
-			x.held = max(x.held, m.held)
-			x.leaf = x.leaf.Holds(print(x.held))
+			x.received = max(x.received, m.received)
+			x.state = x.state.Receive(setName(x.received))
 		case 'b':
 			if plant == "half" {
-				x.leaf.Bound, x.leaf.At = print(m.print), max(m.at, x.leaf.At)
-				x.wrongly = x.wrongly || x.held != m.print
+				x.state.Active, x.state.ActiveIndex = setName(m.active), max(m.index, x.state.ActiveIndex)
+				x.violated = x.violated || x.received != m.active
 				break
 			}
 			var take bool
-			was := x.leaf
-			if x.leaf, take, _ = x.leaf.Binds(print(m.print), m.at); take {
-				x.wrongly = x.wrongly || x.held != m.print || m.at < was.At
+			was := x.state
+			if x.state, take, _ = x.state.Activate(setName(m.active), m.index); take {
+				x.violated = x.violated || x.received != m.active || m.index < was.ActiveIndex
 			}
 		case 'a':
-			agreed := print(m.agreed)
+			agreed := setName(m.agreed)
 			if plant == "half" {
-				agreed = x.leaf.Held
+				agreed = x.state.Received
 			}
-			x.leaf, _ = x.leaf.Confirmed(print(m.print), m.at, agreed, asked)
+			x.state, _ = x.state.Confirm(setName(m.active), m.index, agreed, asked)
 		case 't':
-			x.held = max(x.held, m.held)
-			x.leaf = x.leaf.Holds(print(x.held))
+			x.received = max(x.received, m.received)
+			x.state = x.state.Receive(setName(x.received))
 			if plant == "table" {
-				m.print = x.held
+				m.active = x.received
 			}
-			x.leaf = x.leaf.Restored(print(m.print), m.at, asked)
+			x.state = x.state.Restore(setName(m.active), m.index, asked)
 			x.ready = true
 		}
 		add(fmt.Sprintf("%c%d", m.kind, i), g)
@@ -188,31 +188,31 @@
 	return l
 }
 
-func (s *seat) restart() { *s = seat{} }
+func (s *sidecarModel) restart() { *s = sidecarModel{} }
 
-// breach is what is wrong; "": nothing.
-func (f floor) breach() string {
-	for i, s := range f.seats {
-		if !s.ready || s.leaf.Fenced(time.Duration(f.now)*time.Second) {
+// violation is what is wrong; "": nothing.
+func (f rolloutModel) violation() string {
+	for i, s := range f.sidecars {
+		if !s.ready || s.state.IsFenced(time.Duration(f.now)*time.Second) {
 			continue
 		}
 		switch {
-		case s.wrongly:
+		case s.violated:
 			return fmt.Sprintf("line %d goes by a set that it does not hold, or back", i)
-		case s.leaf.At > 0 && (int(s.leaf.At) > len(f.bound) || print(max(0, f.bound[s.leaf.At-1])) != s.leaf.Bound):
-			return fmt.Sprintf("line %d goes by %q, which never bound by entry %d", i, s.leaf.Bound, s.leaf.At)
-		case s.leaf.At == 0 && s.leaf.Bound != "":
-			return fmt.Sprintf("line %d goes by %q, and nothing binds", i, s.leaf.Bound)
-		case s.leaf.Known && s.leaf.Bound != f.board.Bound && time.Duration(f.now-f.over)*time.Second > Fence:
-			return fmt.Sprintf("line %d goes by %q, and %q has bound for %d s", i, s.leaf.Bound, f.board.Bound, f.now-f.over)
-		case f.board.BoundAt > 0 && s.held < slices.Max(f.bound) && f.now == f.over:
+		case s.state.ActiveIndex > 0 && (int(s.state.ActiveIndex) > len(f.activated) || setName(max(0, f.activated[s.state.ActiveIndex-1])) != s.state.Active):
+			return fmt.Sprintf("line %d goes by %q, which never bound by entry %d", i, s.state.Active, s.state.ActiveIndex)
+		case s.state.ActiveIndex == 0 && s.state.Active != "":
+			return fmt.Sprintf("line %d goes by %q, and nothing binds", i, s.state.Active)
+		case s.state.HasPolicies && s.state.Active != f.rollout.Active && time.Duration(f.now-f.replacedAt)*time.Second > FenceTimeout:
+			return fmt.Sprintf("line %d goes by %q, and %q has bound for %d s", i, s.state.Active, f.rollout.Active, f.now-f.replacedAt)
+		case f.rollout.ActiveIndex > 0 && s.received < slices.Max(f.activated) && f.now == f.replacedAt:
 			return fmt.Sprintf("line %d does not hold what has just bound, and is not fenced", i)
 		}
 	}
 	return ""
 }
 
-func (f floor) key() string {
+func (f rolloutModel) key() string {
 	f.trail = ""
 	return fmt.Sprint(f)
 }
@@ -220,20 +220,20 @@
 // Two lines, three sets, a leader that may change, lines that start again and homes that change: all orders of what is told,
 // asked and answered, with time in between. Nothing binds that a line does not hold or that never bound, no line goes back,
 // and none goes by a set that has been over for longer than the fence. Each planted error is found.
-func TestStepsAllOrders(t *testing.T) {
+func TestRolloutEveryInterleaving(t *testing.T) {
 	search := func(plant string, lines, most int) (states int, breach, trail string) {
 		seen := map[string]bool{}
-		for list := []floor{{seats: make([]seat, lines)}}; len(list) > 0 && len(seen) < most; list = list[1:] {
+		for list := []rolloutModel{{sidecars: make([]sidecarModel, lines)}}; len(list) > 0 && len(seen) < most; list = list[1:] {
 			f := list[0]
 			k := f.key()
 			if seen[k] {
 				continue
 			}
 			seen[k] = true
-			if b := f.breach(); b != "" {
+			if b := f.violation(); b != "" {
 				return len(seen), b, f.trail
 			}
-			list = append(list, f.steps(plant)...)
+			list = append(list, f.successors(plant)...)
 		}
 		return len(seen), "", ""
 	}
--- a/internal/exchange/classmark/change.go
+++ b/internal/exchange/classmark/change.go
@@ -10,25 +10,25 @@
 
 // Errors of changes.
 const (
-	ErrUnfit    = errors.ConstError("the items do not fit together")
-	ErrConflict = errors.ConstError("two rules refuse each other")
-	ErrForeign  = errors.ConstError("it is not theirs to change")
-	ErrConsent  = errors.ConstError("it loosens another's rule without consent")
+	ErrInvalidSet      = errors.ConstError("the items do not fit together")
+	ErrConflict        = errors.ConstError("two rules refuse each other")
+	ErrNotOwner        = errors.ConstError("it is not theirs to change")
+	ErrConsentRequired = errors.ConstError("it loosens another's rule without consent")
 )
 
 // Change is which items a call changes, by name, and who made it.
 type Change struct {
-	Spaces   []string
-	Rulings  []string
-	Routes   []string
-	Others   []string // services, limits and the like, which are the mesh's
-	By       string   // "": the mesh's operator, who may change whatever there is
-	Consents []string // as namespace:name, the name one of its owners
+	Namespaces []string
+	Policies   []string
+	Routes     []string
+	Others     []string // services, limits and the like, which are the mesh's
+	Author     string   // "": the mesh's operator, who may change whatever there is
+	Consents   []string // as namespace:name, the name one of its owners
 }
 
 // Conflict is two words that refuse each other on a request.
 type Conflict struct {
-	A, B                   Word
+	A, B                   Clause
 	Route, Service, Caller string
 	Example, Text          string
 }
@@ -36,7 +36,7 @@
 // Error names both owners, both items, the route and a request.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("route %s to %s: %s: %s says %s %s, and %s says %s %s; for example %s", c.Route, c.Service, c.Text,
-		c.A.From, c.A.Field, c.A.Value(), c.B.From, c.B.Field, c.B.Value(), c.Example)
+		c.A.Source, c.A.Field, c.A.Value(), c.B.Source, c.B.Field, c.B.Value(), c.Example)
 }
 
 // Is has a Conflict be an ErrConflict.
@@ -47,10 +47,10 @@
 	Route   string   `json:"route"`
 	Service string   `json:"service"`
 	Field   Field    `json:"field"`
-	Was     string   `json:"was"` // "-": nobody said anything
-	Is      string   `json:"is"`
+	Before  string   `json:"was"` // "-": nobody said anything
+	After   string   `json:"is"`
 	Loosens bool     `json:"loosens"`
-	From    Source   `json:"from"` // of the word that holds now, or did
+	Source  Source   `json:"from"` // of the word that holds now, or did
 	Owners  []string `json:"owners"`
 }
 
@@ -60,20 +60,20 @@
 	if e.Loosens {
 		verb = "LOOSENS"
 	}
-	return fmt.Sprintf("%s route %s to %s, of %s: %s %s -> %s, by %s", verb, e.Route, e.Service, strings.Join(e.Owners, " and "), e.Field, e.Was, e.Is, e.From)
+	return fmt.Sprintf("%s route %s to %s, of %s: %s %s -> %s, by %s", verb, e.Route, e.Service, strings.Join(e.Owners, " and "), e.Field, e.Before, e.After, e.Source)
 }
 
-// Judge says what a change does to merged rules, or why it is turned down. The error is of this package.
-func Judge(before, after *Set, c Change) ([]Effect, error) {
-	if item, text := after.Check(); item != "" {
-		return nil, errors.Annotatef(ErrUnfit, "%s: %s", item, text)
+// Evaluate says what a change does to merged rules, or why it is turned down. The error is of this package.
+func Evaluate(before, after *Set, c Change) ([]Effect, error) {
+	if item, text := after.validate(); item != "" {
+		return nil, errors.Annotatef(ErrInvalidSet, "%s: %s", item, text)
 	}
-	mine := before.of(c.By)
-	if err := c.theirs(before, after, mine); err != nil {
+	mine := before.namespacesOwnedBy(c.Author)
+	if err := c.checkOwnership(before, after, mine); err != nil {
 		return nil, err
 	}
-	touched := c.touched(before, after)
-	if x := after.conflict(touched); x != nil {
+	touched := c.affectedRoutes(before, after)
+	if x := after.firstConflict(touched); x != nil {
 		return nil, x
 	}
 	effects := effectsOf(before, after, touched)
@@ -83,10 +83,10 @@
 		if len(e.Owners) == 0 {
 			continue
 		}
-		if c.By != "" && e.Loosens {
+		if c.Author != "" && e.Loosens {
 			for _, n := range e.Owners {
-				if !after.consents(c.Consents, n) {
-					return nil, errors.Annotatef(ErrConsent, "%s: %s has to consent; for example %s", e, n, after.routes[e.Route].Example(""))
+				if !after.hasConsent(c.Consents, n) {
+					return nil, errors.Annotatef(ErrConsentRequired, "%s: %s has to consent; for example %s", e, n, after.routes[e.Route].Example(""))
 				}
 			}
 		}
@@ -95,12 +95,12 @@
 	return out, nil
 }
 
-// of are the namespaces that somebody is an owner of.
-func (s *Set) of(by string) (l []string) {
+// namespacesOwnedBy are the namespaces that somebody is an owner of.
+func (s *Set) namespacesOwnedBy(by string) (l []string) {
 	if by == "" {
-		return []string{Mesh}
+		return []string{MeshNamespace}
 	}
-	for _, n := range s.Spaces() {
+	for _, n := range s.Namespaces() {
 		if slices.Contains(n.Owners, by) {
 			l = append(l, n.Name)
 		}
@@ -108,26 +108,26 @@
 	return l
 }
 
-func (s *Set) consents(given []string, namespace string) bool {
+func (s *Set) hasConsent(given []string, namespace string) bool {
 	return slices.ContainsFunc(given, func(g string) bool {
 		n, name, _ := strings.Cut(g, ":")
-		return n == namespace && slices.Contains(s.spaces[n].Owners, name)
+		return n == namespace && slices.Contains(s.namespaces[n].Owners, name)
 	})
 }
 
-// ruling is one by its name.
-func (s *Set) ruling(name string) (Ruling, bool) {
-	for _, r := range s.rulings {
+// policyByName is one by its name.
+func (s *Set) policyByName(name string) (Policy, bool) {
+	for _, r := range s.policies {
 		if r.Name == name {
 			return r, true
 		}
 	}
-	return Ruling{}, false
+	return Policy{}, false
 }
 
-// theirs sees that whoever made a change may change each of its items.
-func (c Change) theirs(before, after *Set, mine []string) error {
-	if c.By == "" {
+// checkOwnership sees that whoever made a change may change each of its items.
+func (c Change) checkOwnership(before, after *Set, mine []string) error {
+	if c.Author == "" {
 		return nil
 	}
 	owns := strings.Join(mine, ", ")
@@ -135,17 +135,17 @@
 		owns = "nothing"
 	}
 	no := func(item, of string) error {
-		return errors.Annotatef(ErrForeign, "%s is of %s, and %s owns %s", item, of, c.By, owns)
+		return errors.Annotatef(ErrNotOwner, "%s is of %s, and %s owns %s", item, of, c.Author, owns)
 	}
-	for _, n := range c.Spaces {
-		return no("namespace "+n, Mesh)
+	for _, n := range c.Namespaces {
+		return no("namespace "+n, MeshNamespace)
 	}
 	for _, n := range c.Others {
-		return no(n, Mesh)
+		return no(n, MeshNamespace)
 	}
 	for _, s := range []*Set{before, after} {
-		for _, n := range c.Rulings {
-			if r, is := s.ruling(n); is && !slices.Contains(mine, r.Namespace) {
+		for _, n := range c.Policies {
+			if r, is := s.policyByName(n); is && !slices.Contains(mine, r.Namespace) {
 				return no("ruling "+n, r.Namespace)
 			}
 		}
@@ -158,15 +158,15 @@
 	return nil
 }
 
-// touched says which merged rules a change may have hold otherwise.
-func (c Change) touched(before, after *Set) func(Route, string) bool {
-	if len(c.Spaces) > 0 {
+// affectedRoutes says which merged rules a change may have hold otherwise.
+func (c Change) affectedRoutes(before, after *Set) func(Route, string) bool {
+	if len(c.Namespaces) > 0 {
 		return func(Route, string) bool { return true }
 	}
-	var rulings []Ruling
+	var rulings []Policy
 	for _, s := range []*Set{before, after} {
-		for _, n := range c.Rulings {
-			if r, is := s.ruling(n); is {
+		for _, n := range c.Policies {
+			if r, is := s.policyByName(n); is {
 				rulings = append(rulings, r)
 			}
 		}
@@ -176,10 +176,10 @@
 		routes[n] = true
 	}
 	return func(route Route, service string) bool {
-		return routes[route.Name] || slices.ContainsFunc(rulings, func(r Ruling) bool {
+		return routes[route.Name] || slices.ContainsFunc(rulings, func(r Policy) bool {
 			switch {
-			case r.On.none():
-				return after.owns(r.Namespace, after.OwnerOfRoute(route)) || after.owns(r.Namespace, after.OwnerOfService(service))
+			case r.On.isEmpty():
+				return after.governs(r.Namespace, after.OwnerOfRoute(route)) || after.governs(r.Namespace, after.OwnerOfService(service))
 			case len(r.On.Callers) > 0: // it may meet any route that names them
 				return true
 			}
@@ -188,35 +188,35 @@
 	}
 }
 
-// conflict is the first of those in which a rule refuses another; nil: there is none. A caller's own words count where the
+// firstConflict is the first of those in which a rule refuses another; nil: there is none. A caller's own words count where the
 // route's name the caller: whom nobody named goes by the tightest.
-func (s *Set) conflict(touched func(Route, string) bool) *Conflict {
+func (s *Set) firstConflict(touched func(Route, string) bool) *Conflict {
 	for _, route := range s.Routes() {
 		for _, service := range route.Services {
 			if !touched(route, service) {
 				continue
 			}
-			words, ruled := s.Words(route, service, "")
+			words, ruled := s.ClausesFor(route, service, "")
 			if !ruled {
 				continue
 			}
-			if x := words.conflict(); x != nil {
-				return x.on(route, service, "")
+			if x := words.firstConflict(); x != nil {
+				return x.at(route, service, "")
 			}
 			var named []string
 			for _, w := range words {
-				if w.Field == Allow || w.Field == Need {
-					named = append(named, w.Set...)
+				if w.Field == FieldAllow || w.Field == FieldNeed {
+					named = append(named, w.Values...)
 				}
 			}
 			slices.Sort(named)
 			for _, c := range slices.Compact(named) {
-				if len(s.on[OfCaller][c]) == 0 && s.OwnerOfService(c) == Mesh {
+				if len(s.targeted[RoleCallerOwner][c]) == 0 && s.OwnerOfService(c) == MeshNamespace {
 					continue
 				}
-				of, _ := s.Words(route, service, c)
-				if x := of.conflict(); x != nil {
-					return x.on(route, service, c)
+				of, _ := s.ClausesFor(route, service, c)
+				if x := of.firstConflict(); x != nil {
+					return x.at(route, service, c)
 				}
 			}
 		}
@@ -224,38 +224,38 @@
 	return nil
 }
 
-func (c *Conflict) on(route Route, service, caller string) *Conflict {
+func (c *Conflict) at(route Route, service, caller string) *Conflict {
 	c.Route, c.Service, c.Caller = route.Name, service, caller
-	if c.Caller == "" && len(c.A.Set) > 0 {
-		caller = c.A.Set[0]
+	if c.Caller == "" && len(c.A.Values) > 0 {
+		caller = c.A.Values[0]
 	}
 	c.Example = route.Example(caller)
 	return c
 }
 
-// conflict is two words of a merged rule that refuse each other; nil: there are none.
-func (l Words) conflict() *Conflict {
-	if needs, is := l.Field(Needs); is {
-		if limit, is := l.Field(Timeout); is && needs.Num > limit.Num {
-			return &Conflict{A: needs.Word, B: limit.Word, Text: "less time than it needs"}
+// firstConflict is two words of a merged rule that refuse each other; nil: there are none.
+func (l Clauses) firstConflict() *Conflict {
+	if needs, is := l.Effective(FieldNeeds); is {
+		if limit, is := l.Effective(FieldTimeout); is && needs.Number > limit.Number {
+			return &Conflict{A: needs.Clause, B: limit.Clause, Text: "less time than it needs"}
 		}
 	}
 	var left []string // that all have allowed so far
-	var allow *Word   // the latest of them
+	var allow *Clause // the latest of them
 	for i, w := range l {
 		switch {
-		case w.Field == Need:
-			for _, c := range w.Set {
-				if from, denied := l.Denies(c); denied {
-					j := slices.IndexFunc(l, func(o Word) bool { return o.From == from && (o.Field == Deny || o.Field == Allow) })
-					return &Conflict{A: Word{Field: Need, Set: []string{c}, From: w.From}, B: l[j], Text: "a caller that must be let in is not"}
+		case w.Field == FieldNeed:
+			for _, c := range w.Values {
+				if from, denied := l.DeniedBy(c); denied {
+					j := slices.IndexFunc(l, func(o Clause) bool { return o.Source == from && (o.Field == FieldDeny || o.Field == FieldAllow) })
+					return &Conflict{A: Clause{Field: FieldNeed, Values: []string{c}, Source: w.Source}, B: l[j], Text: "a caller that must be let in is not"}
 				}
 			}
-		case w.Field == Allow:
+		case w.Field == FieldAllow:
 			if allow == nil {
-				left = w.Set
+				left = w.Values
 			} else {
-				left = slices.DeleteFunc(slices.Clone(left), func(c string) bool { return !slices.Contains(w.Set, c) })
+				left = slices.DeleteFunc(slices.Clone(left), func(c string) bool { return !slices.Contains(w.Values, c) })
 			}
 			if allow != nil && len(left) == 0 {
 				return &Conflict{A: *allow, B: l[i], Text: "together with what else is allowed they let nobody call"}
@@ -277,12 +277,12 @@
 			if !slices.Contains(was.Services, service) || !touched(route, service) {
 				continue
 			}
-			a, _ := before.Words(was, service, "")
-			b, _ := after.Words(route, service, "")
-			for _, f := range Fields {
-				if e, is := effect(f, a, b); is {
+			a, _ := before.ClausesFor(was, service, "")
+			b, _ := after.ClausesFor(route, service, "")
+			for _, f := range AllFields {
+				if e, is := fieldEffect(f, a, b); is {
 					e.Route, e.Service = route.Name, service
-					e.Owners = after.concerned(route, service, f, a, b)
+					e.Owners = after.affectedOwners(route, service, f, a, b)
 					l = append(l, e)
 				}
 			}
@@ -291,13 +291,13 @@
 	return l
 }
 
-// concerned are the owners of a route, of the service it goes to, and of those who may call no longer.
-func (s *Set) concerned(route Route, service string, f Field, was, is Words) []string {
+// affectedOwners are the owners of a route, of the service it goes to, and of those who may call no longer.
+func (s *Set) affectedOwners(route Route, service string, f Field, was, is Clauses) []string {
 	l := []string{s.OwnerOfRoute(route), s.OwnerOfService(service)}
-	if f == Allow || f == Deny {
-		for _, c := range slices.Concat(named(was, Allow), named(is, Deny)) {
-			if _, before := was.Denies(c); !before {
-				if _, now := is.Denies(c); now {
+	if f == FieldAllow || f == FieldDeny {
+		for _, c := range slices.Concat(effectiveValues(was, FieldAllow), effectiveValues(is, FieldDeny)) {
+			if _, before := was.DeniedBy(c); !before {
+				if _, now := is.DeniedBy(c); now {
 					l = append(l, s.OwnerOfService(c))
 				}
 			}
@@ -307,41 +307,41 @@
 	return slices.Compact(l)
 }
 
-func named(l Words, f Field) []string {
-	h, _ := l.Field(f)
-	return h.Set
+func effectiveValues(l Clauses, f Field) []string {
+	h, _ := l.Effective(f)
+	return h.Values
 }
 
-// effect is how a field holds otherwise; false: it does not.
-func effect(f Field, was, is Words) (e Effect, changed bool) {
-	a, hadA := was.Field(f)
-	b, hadB := is.Field(f)
-	e = Effect{Field: f, Was: "-", Is: "-"}
+// fieldEffect is how a field holds otherwise; false: it does not.
+func fieldEffect(f Field, was, is Clauses) (e Effect, changed bool) {
+	a, hadA := was.Effective(f)
+	b, hadB := is.Effective(f)
+	e = Effect{Field: f, Before: "-", After: "-"}
 	if hadA {
-		e.Was, e.From = a.Value(), a.From
+		e.Before, e.Source = a.Value(), a.Source
 	}
 	if hadB {
-		e.Is, e.From = b.Value(), b.From
+		e.After, e.Source = b.Value(), b.Source
 	}
-	if e.Was == e.Is {
+	if e.Before == e.After {
 		return e, false
 	}
 	more := func(x, y []string) bool {
 		return slices.ContainsFunc(x, func(c string) bool { return !slices.Contains(y, c) })
 	}
 	switch {
-	case f == Needs || f == Need: // what somebody asks for holds nobody back
+	case f == FieldNeeds || f == FieldNeed: // what somebody asks for holds nobody back
 	case !hadA:
 	case !hadB:
 		e.Loosens = true
-	case kinds[f] == least:
-		e.Loosens = b.Num > a.Num
-	case kinds[f] == most:
-		e.Loosens = b.Num < a.Num
-	case kinds[f] == inAll:
-		e.Loosens = more(b.Set, a.Set)
+	case mergeKinds[f] == minimum:
+		e.Loosens = b.Number > a.Number
+	case mergeKinds[f] == maximum:
+		e.Loosens = b.Number < a.Number
+	case mergeKinds[f] == intersection:
+		e.Loosens = more(b.Values, a.Values)
 	default:
-		e.Loosens = more(a.Set, b.Set)
+		e.Loosens = more(a.Values, b.Values)
 	}
 	return e, true
 }
--- a/internal/exchange/classmark/explain.go
+++ b/internal/exchange/classmark/explain.go
@@ -8,116 +8,116 @@
 	"strings"
 )
 
-// Explained is a merged rule as it is told to people.
-type Explained struct {
-	Route        string  `json:"route"`
-	Host         string  `json:"host"`
-	Prefix       string  `json:"prefix"`
-	Owner        string  `json:"owner"` // of the route
-	Service      string  `json:"service"`
-	ServiceOwner string  `json:"serviceOwner"`
-	Caller       string  `json:"caller,omitempty"` // "": whoever calls
-	CallerOwner  string  `json:"callerOwner,omitempty"`
-	Print        string  `json:"print"`
-	Denied       *Source `json:"denied,omitempty"`
-	Fields       []Held  `json:"fields"`
+// Explanation is a merged rule as it is told to people.
+type Explanation struct {
+	Route        string            `json:"route"`
+	Host         string            `json:"host"`
+	Prefix       string            `json:"prefix"`
+	Owner        string            `json:"owner"` // of the route
+	Service      string            `json:"service"`
+	ServiceOwner string            `json:"serviceOwner"`
+	Caller       string            `json:"caller,omitempty"` // "": whoever calls
+	CallerOwner  string            `json:"callerOwner,omitempty"`
+	Fingerprint  string            `json:"print"`
+	DeniedBy     *Source           `json:"denied,omitempty"`
+	Fields       []EffectiveClause `json:"fields"`
 }
 
 // Explain tells a merged rule field by field.
-func (s *Set) Explain(route Route, service, caller string) Explained {
-	words, _ := s.Words(route, service, caller)
-	x := Explained{Route: route.Name, Host: route.Host, Prefix: route.Prefix, Owner: s.OwnerOfRoute(route), Service: service, ServiceOwner: s.OwnerOfService(service),
-		Caller: caller, Print: words.Print()}
+func (s *Set) Explain(route Route, service, caller string) Explanation {
+	words, _ := s.ClausesFor(route, service, caller)
+	x := Explanation{Route: route.Name, Host: route.Host, Prefix: route.Prefix, Owner: s.OwnerOfRoute(route), Service: service, ServiceOwner: s.OwnerOfService(service),
+		Caller: caller, Fingerprint: words.Fingerprint()}
 	if caller != "" {
 		x.CallerOwner = s.OwnerOfService(caller)
-		if from, is := words.Denies(caller); is {
-			x.Denied = &from
+		if from, is := words.DeniedBy(caller); is {
+			x.DeniedBy = &from
 		}
 	}
-	for _, f := range Fields {
-		if h, is := words.Field(f); is {
+	for _, f := range AllFields {
+		if h, is := words.Effective(f); is {
 			x.Fields = append(x.Fields, h)
 		}
 	}
 	return x
 }
 
-// Text tells it.
-func (x Explained) Text(w io.Writer) {
+// WriteText tells it.
+func (x Explanation) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "route %s (%s%s) of %s, to service %s of %s", x.Route, x.Host, x.Prefix, x.Owner, x.Service, x.ServiceOwner)
 	if x.Caller != "" {
 		fmt.Fprintf(w, ", from %s of %s", x.Caller, x.CallerOwner)
 	}
-	fmt.Fprintf(w, "; rule %s\n", x.Print)
-	if x.Denied != nil {
-		fmt.Fprintf(w, "  %s may not call it, by %s\n", x.Caller, x.Denied)
+	fmt.Fprintf(w, "; rule %s\n", x.Fingerprint)
+	if x.DeniedBy != nil {
+		fmt.Fprintf(w, "  %s may not call it, by %s\n", x.Caller, x.DeniedBy)
 	}
 	for _, h := range x.Fields {
-		fmt.Fprintf(w, "  %-14s %-24s by %s\n", h.Field, h.Value(), h.From)
-		for _, o := range h.Over {
-			fmt.Fprintf(w, "  %-14s %-24s    over %s of %s\n", "", "", o.Value(), o.From)
+		fmt.Fprintf(w, "  %-14s %-24s by %s\n", h.Field, h.Value(), h.Source)
+		for _, o := range h.Overridden {
+			fmt.Fprintf(w, "  %-14s %-24s    over %s of %s\n", "", "", o.Value(), o.Source)
 		}
 	}
 }
 
-// Meeting is a route on which several namespaces have a word.
-type Meeting struct {
-	Route      string   `json:"route"`
-	Service    string   `json:"service"`
-	Namespaces []string `json:"namespaces"`
-	Rulings    []string `json:"rulings"`
-	Print      string   `json:"print"`
+// Overlap is a route on which several namespaces have a word.
+type Overlap struct {
+	Route       string   `json:"route"`
+	Service     string   `json:"service"`
+	Namespaces  []string `json:"namespaces"`
+	Policies    []string `json:"rulings"`
+	Fingerprint string   `json:"print"`
 }
 
 // Report is where namespaces meet, and which rulings say nothing of anything that stands.
 type Report struct {
-	Meetings []Meeting `json:"meetings"`
-	Idle     []string  `json:"idle"`
+	Overlaps []Overlap `json:"meetings"`
+	Unused   []string  `json:"idle"`
 }
 
 // Report looks at all routes.
 func (s *Set) Report() (r Report) {
 	said := map[string]bool{}
-	r.Meetings, r.Idle = []Meeting{}, []string{}
+	r.Overlaps, r.Unused = []Overlap{}, []string{}
 	for _, route := range s.Routes() {
 		for _, service := range route.Services {
-			words, _ := s.Words(route, service, "")
-			m := Meeting{Route: route.Name, Service: service, Print: words.Print()}
+			words, _ := s.ClausesFor(route, service, "")
+			m := Overlap{Route: route.Name, Service: service, Fingerprint: words.Fingerprint()}
 			for _, w := range words {
-				if w.From.Role == OfItem {
+				if w.Source.Role == RoleItem {
 					continue
 				}
-				said[w.From.Item] = true
-				m.Namespaces, m.Rulings = append(m.Namespaces, w.From.Namespace), append(m.Rulings, w.From.Item)
+				said[w.Source.Item] = true
+				m.Namespaces, m.Policies = append(m.Namespaces, w.Source.Namespace), append(m.Policies, w.Source.Item)
 			}
-			m.Namespaces, m.Rulings = once(m.Namespaces), once(m.Rulings)
+			m.Namespaces, m.Policies = sortedUnique(m.Namespaces), sortedUnique(m.Policies)
 			if len(m.Namespaces) > 1 {
-				r.Meetings = append(r.Meetings, m)
+				r.Overlaps = append(r.Overlaps, m)
 			}
 		}
 	}
-	for _, x := range s.rulings {
+	for _, x := range s.policies {
 		if len(x.On.Callers) == 0 && !said["ruling "+x.Name] {
-			r.Idle = append(r.Idle, x.Name)
+			r.Unused = append(r.Unused, x.Name)
 		}
 	}
 	return r
 }
 
-func once(l []string) []string {
+func sortedUnique(l []string) []string {
 	sort.Strings(l)
 	return slices.Compact(l)
 }
 
-// Text tells it.
-func (r Report) Text(w io.Writer) {
-	for _, m := range r.Meetings {
-		fmt.Fprintf(w, "route %s to %s: %s meet (%s); rule %s\n", m.Route, m.Service, strings.Join(m.Namespaces, " and "), strings.Join(m.Rulings, ", "), m.Print)
+// WriteText tells it.
+func (r Report) WriteText(w io.Writer) {
+	for _, m := range r.Overlaps {
+		fmt.Fprintf(w, "route %s to %s: %s meet (%s); rule %s\n", m.Route, m.Service, strings.Join(m.Namespaces, " and "), strings.Join(m.Policies, ", "), m.Fingerprint)
 	}
-	for _, x := range r.Idle {
+	for _, x := range r.Unused {
 		fmt.Fprintf(w, "ruling %s says nothing of any route that stands\n", x)
 	}
-	if len(r.Meetings)+len(r.Idle) == 0 {
+	if len(r.Overlaps)+len(r.Unused) == 0 {
 		fmt.Fprintln(w, "no two namespaces meet on a route")
 	}
 }
--- a/internal/exchange/classmark/golden_test.go
+++ b/internal/exchange/classmark/golden_test.go
@@ -82,10 +82,10 @@
 
 func drawNamespaces(r *rand.Rand) []Namespace {
 	l := []Namespace{{Name: "dispatch", Owners: []string{"ana", "bo"}, Services: []string{"send"}, Hosts: []string{"push.example"}},
-		{Name: "devicebook", Owners: []string{"cy"}, Services: []string{"book"}, Prefixes: []Place{{"push.example", "/tokens/"}}}}
+		{Name: "devicebook", Owners: []string{"cy"}, Services: []string{"book"}, Prefixes: []HostPrefix{{"push.example", "/tokens/"}}}}
 	if r.IntN(4) > 0 {
 		l = append(l, Namespace{Name: "quota", Owners: []string{"di", "ana"}, Within: pick(r, "devicebook", "devicebook", "devicebook", "", "", "none"), Services: []string{"quota"},
-			Prefixes: []Place{{"Push.example", pick(r, "/tokens/all/", "/tokens/all/", "/send/", "/send/", "/tokens/")}}})
+			Prefixes: []HostPrefix{{"Push.example", pick(r, "/tokens/all/", "/tokens/all/", "/send/", "/send/", "/tokens/")}}})
 	}
 	if r.IntN(16) == 0 {
 		l[0].Within = "quota"
@@ -96,8 +96,8 @@
 	return l
 }
 
-func drawRuling(r *rand.Rand, name string) Ruling {
-	u := Ruling{Name: name, ConfigVersion: int64(1 + r.IntN(3)), Namespace: pick(r, "dispatch", "devicebook", "quota", Mesh, "dispatch", "devicebook", "dispatch", "devicebook", "quota")}
+func drawRuling(r *rand.Rand, name string) Policy {
+	u := Policy{Name: name, ConfigVersion: int64(1 + r.IntN(3)), Namespace: pick(r, "dispatch", "devicebook", "quota", MeshNamespace, "dispatch", "devicebook", "dispatch", "devicebook", "quota")}
 	if r.IntN(24) == 0 {
 		u.Namespace = "nobody"
 	}
@@ -142,12 +142,12 @@
 		u.Priority = &priority
 	}
 	if r.IntN(3) == 0 {
-		u.Callers = Callers{Allow: append(some(r, goldenServices...), "send"), Deny: some(r, "free"), Need: some(r, "book", "quota")}
+		u.Callers = CallerRules{Allow: append(some(r, goldenServices...), "send"), Deny: some(r, "free"), Need: some(r, "book", "quota")}
 	}
 	return u
 }
 
-func drawRulings(r *rand.Rand, most int) (l []Ruling) {
+func drawRulings(r *rand.Rand, most int) (l []Policy) {
 	for n := range r.IntN(most + 1) {
 		l = append(l, drawRuling(r, fmt.Sprint("ruling-", n)))
 	}
@@ -156,9 +156,9 @@
 
 func goldenRoutes() []Route {
 	return []Route{
-		{Name: "send", Host: "Push.example", Prefix: "/send/", Version: 1, Services: []string{"send", "book"}, TimeoutS: 2, Tries: 3, Priority: 1, Once: true},
-		{Name: "tokens", Host: "push.example", Prefix: "/tokens/all/", Version: 1, Services: []string{"book"}, TimeoutS: 5, Tries: 2, Priority: 2},
-		{Name: "quota", Host: "other.example", Prefix: "/", Version: 4, Services: []string{"quota", "free"}, TimeoutS: 1, Tries: 2, Priority: 2},
+		{Name: "send", Host: "Push.example", Prefix: "/send/", Version: 1, Services: []string{"send", "book"}, TimeoutS: 2, MaxAttempts: 3, Priority: 1, AtMostOnce: true},
+		{Name: "tokens", Host: "push.example", Prefix: "/tokens/all/", Version: 1, Services: []string{"book"}, TimeoutS: 5, MaxAttempts: 2, Priority: 2},
+		{Name: "quota", Host: "other.example", Prefix: "/", Version: 4, Services: []string{"quota", "free"}, TimeoutS: 1, MaxAttempts: 2, Priority: 2},
 	}
 }
 
@@ -169,7 +169,7 @@
 		if r.IntN(8) == 0 {
 			u.Tries = -1
 		}
-		g.fault(u.Check())
+		g.fault(u.Validate())
 		l := drawNamespaces(r)
 		s := l[n%len(l)]
 		switch r.IntN(6) {
@@ -178,19 +178,19 @@
 		case 1:
 			s.Within = s.Name
 		case 2:
-			s.Name = Mesh
+			s.Name = MeshNamespace
 		case 3:
-			s.Prefixes = []Place{{"h", "p"}}
+			s.Prefixes = []HostPrefix{{"h", "p"}}
 		}
-		g.fault(s.Check())
+		g.fault(s.Validate())
 	}
-	_, err := Judge(NewSet(nil, nil, nil), NewSet(drawNamespaces(r), drawRulings(r, 4), goldenRoutes()), Change{})
-	g.decide(errors.Is(err, ErrUnfit))
+	_, err := Evaluate(NewSet(nil, nil, nil), NewSet(drawNamespaces(r), drawRulings(r, 4), goldenRoutes()), Change{})
+	g.decide(errors.Is(err, ErrInvalidSet))
 	if err != nil {
 		g.say(err.Error())
 	}
 	l := drawRulings(r, 6)
-	g.decide(PrintOf(len(l), func(n int) (string, int64, []byte) { return l[n].Name, l[n].ConfigVersion, []byte(asJSON(l[n])) }))
+	g.decide(Fingerprint(len(l), func(n int) (string, int64, []byte) { return l[n].Name, l[n].ConfigVersion, []byte(asJSON(l[n])) }))
 }
 
 func (g *goldenRecord) fault(f *jack.Fault) {
@@ -219,31 +219,31 @@
 	report := s.Report()
 	g.decide(asJSON(report))
 	var text strings.Builder
-	report.Text(&text)
+	report.WriteText(&text)
 	g.say(text.String())
 }
 
 func (g *goldenRecord) merged(s *Set, route Route, service, caller string) {
-	words, ruled := s.Words(route, service, caller)
+	words, ruled := s.ClausesFor(route, service, caller)
 	if ruled {
 		g.count("ruled")
 	} else {
 		g.count("not ruled")
 	}
-	m := words.Mark(route, caller)
-	g.decide(ruled, asJSON(words), words.Print(), m.Print, m.Tries, m.Timeout, m.Priority, m.Ratio, m.RetryOn, m.AnyRetry)
-	if m.Denied != nil {
+	m := words.Decide(route, caller)
+	g.decide(ruled, asJSON(words), words.Fingerprint(), m.Fingerprint, m.MaxAttempts, m.Timeout, m.Priority, m.RetryRatio, m.RetryOn, m.RetryOnAny)
+	if m.DeniedBy != nil {
 		g.count("denied")
-		g.decide("denied", asJSON(m.Denied))
-		g.say(m.Denied.String())
+		g.decide("denied", asJSON(m.DeniedBy))
+		g.say(m.DeniedBy.String())
 	}
 	for _, ending := range []string{"refused", "broken", "timed_out"} {
-		g.decide(m.Again(ending))
+		g.decide(m.MayRetry(ending))
 	}
 	x := s.Explain(route, service, caller)
 	g.decide(asJSON(x))
 	var text strings.Builder
-	x.Text(&text)
+	x.WriteText(&text)
 	g.say(text.String())
 }
 
@@ -256,23 +256,23 @@
 			rulings = nil
 		}
 		before := NewSet(spaces, rulings, goldenRoutes())
-		c := Change{By: pick(r, "", "", "ana", "cy", "ana", "cy", "di", "eve"), Consents: some(r, "dispatch:ana", "devicebook:cy", "quota:di", "mesh:x")}
+		c := Change{Author: pick(r, "", "", "ana", "cy", "ana", "cy", "di", "eve"), Consents: some(r, "dispatch:ana", "devicebook:cy", "quota:di", "mesh:x")}
 		next, routes := drawChange(r, rulings, &c)
 		after := NewSet(spaces, next, routes)
-		effects, err := Judge(before, after, c)
+		effects, err := Evaluate(before, after, c)
 		kind := "other"
 		var conflict *Conflict
 		switch {
 		case err == nil:
 			kind = "taken"
-		case errors.Is(err, ErrUnfit):
+		case errors.Is(err, ErrInvalidSet):
 			kind = "unfit"
 		case errors.As(err, &conflict):
 			kind = "conflict"
-			g.decide(asJSON([]Word{conflict.A, conflict.B}), conflict.Route, conflict.Service, conflict.Caller)
-		case errors.Is(err, ErrForeign):
+			g.decide(asJSON([]Clause{conflict.A, conflict.B}), conflict.Route, conflict.Service, conflict.Caller)
+		case errors.Is(err, ErrNotOwner):
 			kind = "foreign"
-		case errors.Is(err, ErrConsent):
+		case errors.Is(err, ErrConsentRequired):
 			kind = "consent"
 		}
 		g.count(kind)
@@ -287,28 +287,28 @@
 }
 
 // drawChange draws what a change makes of rulings and routes, and names it.
-func drawChange(r *rand.Rand, rulings []Ruling, c *Change) ([]Ruling, []Route) {
-	next := append([]Ruling(nil), rulings...)
+func drawChange(r *rand.Rand, rulings []Policy, c *Change) ([]Policy, []Route) {
+	next := append([]Policy(nil), rulings...)
 	routes := goldenRoutes()
 	name := fmt.Sprint("ruling-", r.IntN(6))
 	switch r.IntN(5) {
 	case 0:
 		route := &routes[r.IntN(len(routes))]
-		route.Version, route.TimeoutS, route.Tries = route.Version+1, pick(r, 0.5, 4), 1+r.IntN(4)
+		route.Version, route.TimeoutS, route.MaxAttempts = route.Version+1, pick(r, 0.5, 4), 1+r.IntN(4)
 		c.Routes = []string{route.Name}
 		return next, routes
 	case 1:
 		if len(next) > 0 {
-			c.Rulings = []string{next[len(next)-1].Name}
+			c.Policies = []string{next[len(next)-1].Name}
 			return next[:len(next)-1], routes
 		}
 	case 2:
-		c.Spaces = some(r, "dispatch", "quota")
+		c.Namespaces = some(r, "dispatch", "quota")
 		c.Others = some(r, "limits")
 	}
 	u := drawRuling(r, name)
 	u.ConfigVersion += 3
-	c.Rulings = append(c.Rulings, name)
+	c.Policies = append(c.Policies, name)
 	for n := range next {
 		if next[n].Name == name {
 			next[n] = u
@@ -320,8 +320,8 @@
 
 // goldenSteps plays the two steps by which a set comes to bind: at the leader and at three lines.
 func goldenSteps(r *rand.Rand, g *goldenRecord) {
-	var b Board
-	leaves := make([]Leaf, 3)
+	var b Rollout
+	leaves := make([]SidecarState, 3)
 	var at uint64
 	var now, since time.Duration
 	set := func() string { return pick(r, "", "s1", "s2", "s3") }
@@ -331,37 +331,37 @@
 		switch r.IntN(7) {
 		case 0:
 			at++
-			b, since = b.Changed(set(), at), now
+			b, since = b.Agree(set(), at), now
 		case 1:
 			at++
 			var bound bool
-			b, bound = b.Bind(pick(r, b.Held, set()), at)
+			b, bound = b.Activate(pick(r, b.Agreed, set()), at)
 			g.decide(bound)
 		case 2:
-			leaves[n] = leaves[n].Holds(pick(r, b.Held, set()))
+			leaves[n] = leaves[n].Receive(pick(r, b.Agreed, set()))
 		case 3:
 			var take, ask bool
-			leaves[n], take, ask = leaves[n].Binds(b.Bound, uint64(r.IntN(int(at)+2)))
+			leaves[n], take, ask = leaves[n].Activate(b.Active, uint64(r.IntN(int(at)+2)))
 			g.decide(take, ask)
 		case 4:
-			leaves[n] = leaves[n].Restored(b.Bound, b.BoundAt, now-time.Second)
+			leaves[n] = leaves[n].Restore(b.Active, b.ActiveIndex, now-time.Second)
 		case 5:
 			var same bool
-			leaves[n], same = leaves[n].Confirmed(pick(r, b.Bound, set()), b.BoundAt, b.Held, now-time.Duration(r.IntN(2000))*time.Millisecond)
+			leaves[n], same = leaves[n].Confirm(pick(r, b.Active, set()), b.ActiveIndex, b.Agreed, now-time.Duration(r.IntN(2000))*time.Millisecond)
 			g.decide(same)
 		}
-		var seen []Seen
+		var seen []SidecarReport
 		for i, l := range leaves {
-			seen = append(seen, Seen{fmt.Sprint("line-", i), l.Held, r.IntN(8) == 0})
-			g.decide(l.Held, l.Bound, l.At, l.Told, l.Known, l.Fenced(now))
+			seen = append(seen, SidecarReport{fmt.Sprint("line-", i), l.Received, r.IntN(8) == 0})
+			g.decide(l.Received, l.Active, l.ActiveIndex, l.ConfirmedAt, l.HasPolicies, l.IsFenced(now))
 		}
-		ok, waits := b.Ready(seen, now-since)
+		ok, waits := b.CanActivate(seen, now-since)
 		if ok {
 			g.count("ready")
-		} else if b.Pending() {
+		} else if b.IsPending() {
 			g.count("waits")
 		}
-		g.decide(ok, b.Pending(), asJSON(b))
+		g.decide(ok, b.IsPending(), asJSON(b))
 		g.say(waits)
 	}
 }
--- a/internal/exchange/control/control_test.go
+++ b/internal/exchange/control/control_test.go
@@ -16,12 +16,12 @@
 func TestHandle(t *testing.T) {
 	type call struct{ A int }
 	type told struct{ B int }
-	h := Handle(20, time.Minute, func(_ context.Context, _ *http.Request, c call) (told, error) {
+	h := NewHandler(20, time.Minute, func(_ context.Context, _ *http.Request, c call) (told, error) {
 		switch c.A {
 		case 1:
-			return told{}, errors.Annotate(Fault(http.StatusConflict, "not twice"), "call")
+			return told{}, errors.Annotate(NewError(http.StatusConflict, "not twice"), "call")
 		case 2:
-			return told{}, Fault(http.StatusServiceUnavailable, "later")
+			return told{}, NewError(http.StatusServiceUnavailable, "later")
 		}
 		return told{c.A}, nil
 	})
@@ -51,11 +51,11 @@
 // The time that a call is given runs from when it has come whole: one that takes long to come is answered as any other.
 func TestSlowBody(t *testing.T) {
 	const within = 100 * time.Millisecond
-	h := Handle(20, within, func(ctx context.Context, _ *http.Request, _ Raw) (None, error) {
+	h := NewHandler(20, within, func(ctx context.Context, _ *http.Request, _ RawBody) (Empty, error) {
 		if ctx.Err() != nil {
-			return None{}, Fault(http.StatusServiceUnavailable, "no time is left")
+			return Empty{}, NewError(http.StatusServiceUnavailable, "no time is left")
 		}
-		return None{}, nil
+		return Empty{}, nil
 	})
 	w := httptest.NewRecorder()
 	h(w, httptest.NewRequest("POST", "/", &slowBody{strings.NewReader("call"), 2 * within}))
@@ -64,15 +64,15 @@
 
 // A small call has its time, and a large one more of it in proportion.
 func TestTimeFor(t *testing.T) {
-	assert.Equal(t, TimeFor(time.Second, 0), time.Second)
-	assert.Equal(t, TimeFor(time.Second, 1000), time.Second+4*time.Millisecond)
-	assert.Equal(t, TimeFor(time.Second, 4<<20), time.Second+16777216*time.Microsecond)
+	assert.Equal(t, TimeoutFor(time.Second, 0), time.Second)
+	assert.Equal(t, TimeoutFor(time.Second, 1000), time.Second+4*time.Millisecond)
+	assert.Equal(t, TimeoutFor(time.Second, 4<<20), time.Second+16777216*time.Microsecond)
 }
 
 // A caller that is sent to another address follows with the same call: the answer says where, and is no other redirect.
 func TestElsewhere(t *testing.T) {
 	const target = "http://10.0.0.4:8080/path"
-	h := Handle(20, time.Minute, func(context.Context, *http.Request, Raw) (None, error) { return None{}, Elsewhere(target) })
+	h := NewHandler(20, time.Minute, func(context.Context, *http.Request, RawBody) (Empty, error) { return Empty{}, Redirect(target) })
 	w := httptest.NewRecorder()
 	h(w, httptest.NewRequest("POST", "/path", strings.NewReader("call")))
 	assert.Equal(t, w.Code, http.StatusTemporaryRedirect)
--- a/internal/exchange/core/departure.go
+++ b/internal/exchange/core/departure.go
@@ -10,148 +10,150 @@
 // whatever is committed is held by a majority of those that stay, and what this one holds from then on does not count. A leader
 // that is told to end hands over first and then leaves as a follower. How long to wait at most is the caller's to say.
 
-// Leave says that this one is told to end. It goes on as before until MayLeave.
-func (c *Core) Leave(now time.Duration) {
+// BeginLeave says that this one is told to end. It goes on as before until MayLeave.
+func (c *Raft) BeginLeave(now time.Duration) {
 	c.now = max(c.now, now)
 	c.leaving = true
-	c.depart()
+	c.advanceLeave()
 }
 
 // MayLeave says that a member that was told to end holds nothing that is not held by a majority of those that stay, or that
 // nobody can tell: it is no voter, all others leave as well, or the leader is of a build that does not know of departures.
-func (c *Core) MayLeave() bool {
+func (c *Raft) MayLeave() bool {
 	if !c.leaving {
 		return false
 	}
-	self := c.cfg.Self.ID
-	return c.released || !c.config.votes(self) && c.settled() || c.config.alone(self) || c.role == leader && c.nobodyStays() ||
-		c.role == follower && c.lead != 0 && c.leaderVersion < 1
+	self := c.config.Self.ID
+	return c.leaveGranted || !c.configuration.isVoter(self) && c.isConfigurationSettled() || c.configuration.isSoleVoter(self) || c.role == leader && c.areAllVotersLeaving() ||
+		c.role == follower && c.leaderID != 0 && c.leaderProtocolVersion < 1
 }
 
-// depart says Leave to the leader, or has another lead.
-func (c *Core) depart() {
-	if c.leaveSaid > 0 && c.now-c.leaveSaid < c.cfg.Election/8 {
+// advanceLeave says Leave to the leader, or has another lead.
+func (c *Raft) advanceLeave() {
+	if c.leaveRequestedAt > 0 && c.now-c.leaveRequestedAt < c.config.ElectionTimeout/8 {
 		return
 	}
 	switch {
-	case c.role == leader && c.config.Index > c.commit: // one that takes over now may not know of the change
-	case c.role == leader && c.givesPlace(c.cfg.Self.ID):
-		c.tend() // it hands over once it is a member no more
+	case c.role == leader && c.configuration.Index > c.committed: // one that takes over now may not know of the change
+	case c.role == leader && c.isReplacementReady(c.config.Self.ID):
+		c.maintainMembership() // it hands over once it is a member no more
 	case c.role == leader:
-		if p := c.successor(); p != nil && p.match >= c.commit && !c.handingOver() {
-			c.leaveSaid = max(c.now, 1)
-			c.Yield(c.now)
+		if p := c.transferTarget(); p != nil && p.match >= c.committed && !c.isTransferringLeadership() {
+			c.leaveRequestedAt = max(c.now, 1)
+			c.TransferLeadership(c.now)
 		}
-	case c.role == follower && c.lead != 0 && c.leaderVersion >= 1:
-		c.leaveSaid = max(c.now, 1)
-		c.after = append(c.after, Message{Kind: Leave, From: c.cfg.Self.ID, To: c.lead, Term: c.term})
+	case c.role == follower && c.leaderID != 0 && c.leaderProtocolVersion >= 1:
+		c.leaveRequestedAt = max(c.now, 1)
+		c.messagesAfterSave = append(c.messagesAfterSave, Message{Kind: LeaveRequest, From: c.config.Self.ID, To: c.leaderID, Term: c.term})
 	}
 }
 
-// handingOver says that a leader has lately asked another to take over: what it added now would be lost.
-func (c *Core) handingOver() bool {
-	return c.leaving && c.role == leader && c.leaveSaid > 0 && c.now-c.leaveSaid < c.cfg.Election/2
+// isTransferringLeadership says that a leader has lately asked another to take over: what it added now would be lost.
+func (c *Raft) isTransferringLeadership() bool {
+	return c.leaving && c.role == leader && c.leaveRequestedAt > 0 && c.now-c.leaveRequestedAt < c.config.ElectionTimeout/2
 }
 
-// nobodyStays says that all voters were told to end: there is nobody to wait for.
-func (c *Core) nobodyStays() bool {
-	return !slices.ContainsFunc(c.config.voters(), func(m Member) bool {
+// areAllVotersLeaving says that all voters were told to end: there is nobody to wait for.
+func (c *Raft) areAllVotersLeaving() bool {
+	return !slices.ContainsFunc(c.configuration.voters(), func(m Member) bool {
 		p := c.peers.get(m.ID)
-		return m.ID == c.cfg.Self.ID && !c.leaving || p != nil && !p.released && !p.wantsToLeave(c.now-c.cfg.Election/2)
+		return m.ID == c.config.Self.ID && !c.leaving || p != nil && !p.leaveGranted && !p.isLeavingSince(c.now-c.config.ElectionTimeout/2)
 	})
 }
 
-// takeLeave notes that a member is told to end.
-func (c *Core) takeLeave(m Message) {
+// handleLeaveRequest notes that a member is told to end.
+func (c *Raft) handleLeaveRequest(m Message) {
 	p := c.peers.get(m.From)
 	if c.role != leader || p == nil {
 		return
 	}
-	p.hear(c.now, m)
-	if !p.wantsToLeave(c.now - c.cfg.Election/2) {
-		c.beat() // who answers this round has not lost its disk before
-		p.leaveRound = c.seq
+	p.recordContact(c.now, m)
+	if !p.isLeavingSince(c.now - c.config.ElectionTimeout/2) {
+		c.broadcastHeartbeat() // who answers this round has not lost its disk before
+		p.leaveRound = c.heartbeatRound
 	}
-	p.leaving = max(c.now, 1)
-	if p.released {
-		c.sayMayLeave(p) // the answer was lost
+	p.leavingAt = max(c.now, 1)
+	if p.leaveGranted {
+		c.sendLeaveGranted(p) // the answer was lost
 	}
-	c.release()
+	c.grantLeaves()
 }
 
-// release answers those that are told to end, once what is committed is held by a majority of those that stay.
-func (c *Core) release() {
-	if c.role != leader || !c.committedOwn() {
+// grantLeaves answers those that are told to end, once what is committed is held by a majority of those that stay.
+func (c *Raft) grantLeaves() {
+	if c.role != leader || !c.hasCommittedOwnTerm() {
 		return
 	}
 	for _, p := range c.peers {
-		if c.goes(p.ID) && (c.mayRelease(p) || c.nobodyStays()) {
-			p.released, p.match = true, min(p.match, c.commit)
-			c.sayMayLeave(p)
+		if c.isLeaving(p.ID) && (c.mayGrantLeave(p) || c.areAllVotersLeaving()) {
+			p.leaveGranted, p.match = true, min(p.match, c.committed)
+			c.sendLeaveGranted(p)
 		}
 	}
 }
 
-// mayRelease says that nothing rests on a member that goes: neither what is committed nor a change of the members.
-func (c *Core) mayRelease(p *progress) bool {
-	return c.settled() && !c.givesPlace(p.ID) && c.heldWithout(p)
+// mayGrantLeave says that nothing rests on a member that goes: neither what is committed nor a change of the members.
+func (c *Raft) mayGrantLeave(p *progress) bool {
+	return c.isConfigurationSettled() && !c.isReplacementReady(p.ID) && c.isCommittedWithout(p)
 }
 
-// settled says that no change of the members is under way, as far as this one knows.
-func (c *Core) settled() bool { return c.config.Index <= c.commit && !c.config.joint() }
+// isConfigurationSettled says that no change of the members is under way, as far as this one knows.
+func (c *Raft) isConfigurationSettled() bool {
+	return c.configuration.Index <= c.committed && !c.configuration.isJoint()
+}
 
-// wantsToLeave says that a member has said since an instant that it is told to end, and was not let go yet.
-func (p *progress) wantsToLeave(since time.Duration) bool {
-	return p.leaving > 0 && p.leaving > since && !p.released
+// isLeavingSince says that a member has said since an instant that it is told to end, and was not let go yet.
+func (p *progress) isLeavingSince(since time.Duration) bool {
+	return p.leavingAt > 0 && p.leavingAt > since && !p.leaveGranted
 }
 
-// returned notes that a member that was let go has started again: what answers a round of heartbeats that began after it said
+// recordReturn notes that a member that was let go has started again: what answers a round of heartbeats that began after it said
 // Leave, and does not say that it leaves, is of a new life.
-func (p *progress) returned(m Message) {
-	if p.released && !m.Leaving && m.Seq >= p.leaveRound {
-		p.released, p.leaving = false, 0
+func (p *progress) recordReturn(m Message) {
+	if p.leaveGranted && !m.Leaving && m.HeartbeatRound >= p.leaveRound {
+		p.leaveGranted, p.leavingAt = false, 0
 	}
 }
 
-// heldWithout says that what is committed is held by a majority of the voters without one that goes, and that these have been
+// isCommittedWithout says that what is committed is held by a majority of the voters without one that goes, and that these have been
 // heard since it said so. One that was let go before has to be back: else a restart of all, one after the other, would leave a
 // single copy.
-func (c *Core) heldWithout(goes *progress) bool {
+func (c *Raft) isCommittedWithout(goes *progress) bool {
 	holds := func(id ID) bool {
 		p := c.peers.get(id)
-		return c.stored(id) >= c.commit && (id == c.cfg.Self.ID && !c.leaving || p != nil && p.seq >= goes.leaveRound)
+		return c.matchIndex(id) >= c.committed && (id == c.config.Self.ID && !c.leaving || p != nil && p.answeredRound >= goes.leaveRound)
 	}
 	held := func(members []Member) bool {
 		stay := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.ID == goes.ID })
-		return len(stay) == 0 || majority(stay, holds)
+		return len(stay) == 0 || hasMajority(stay, holds)
 	}
-	return held(c.config.Members) && held(c.config.Outgoing)
+	return held(c.configuration.Members) && held(c.configuration.Outgoing)
 }
 
-// goes says that a member is told to end and was not let go yet, as far as the leader knows.
-func (c *Core) goes(id ID) bool {
-	if id == c.cfg.Self.ID {
+// isLeaving says that a member is told to end and was not let go yet, as far as the leader knows.
+func (c *Raft) isLeaving(id ID) bool {
+	if id == c.config.Self.ID {
 		return c.leaving
 	}
 	p := c.peers.get(id)
-	return p != nil && p.wantsToLeave(c.now-c.cfg.Election/2)
+	return p != nil && p.isLeavingSince(c.now-c.config.ElectionTimeout/2)
 }
 
-// givesPlace says that a learner that has all stands by for the place of a member that goes. That one goes once they are
+// isReplacementReady says that a learner that has all stands by for the place of a member that goes. That one goes once they are
 // exchanged: with its vote gone as well, the loss of one more disk would leave no majority for good.
-func (c *Core) givesPlace(goes ID) bool {
-	if c.config.joint() {
-		return contains(c.config.Outgoing, goes) && !contains(c.config.Members, goes)
+func (c *Raft) isReplacementReady(goes ID) bool {
+	if c.configuration.isJoint() {
+		return containsMember(c.configuration.Outgoing, goes) && !containsMember(c.configuration.Members, goes)
 	}
 	return slices.ContainsFunc(c.peers, func(p *progress) bool {
-		if !p.joining || c.config.votes(p.ID) || c.now-p.heard > c.cfg.Election || !c.caughtUp(p) {
+		if !p.isJoining || c.configuration.isVoter(p.ID) || c.now-p.heardAt > c.config.ElectionTimeout || !c.isCaughtUp(p) {
 			return false
 		}
-		place, _ := c.lost(p)
-		return place >= 0 && c.config.Members[place].ID == goes && c.versionWith(p, place) >= 1
+		place, _ := c.replaceableMember(p)
+		return place >= 0 && c.configuration.Members[place].ID == goes && c.protocolVersionWith(p, place) >= 1
 	})
 }
 
-func (c *Core) sayMayLeave(p *progress) {
-	c.after = append(c.after, Message{Kind: MayLeave, From: c.cfg.Self.ID, To: p.ID, Term: c.term})
+func (c *Raft) sendLeaveGranted(p *progress) {
+	c.messagesAfterSave = append(c.messagesAfterSave, Message{Kind: LeaveGranted, From: c.config.Self.ID, To: p.ID, Term: c.term})
 }
--- a/internal/exchange/core/elect.go
+++ b/internal/exchange/core/elect.go
@@ -2,155 +2,155 @@
 
 import "time"
 
-func (c *Core) rest() {
-	least := c.cfg.Election
-	if c.role == asking { // asking disturbs nobody, and who was not there may be by now
+func (c *Raft) resetElectionDeadline() {
+	least := c.config.ElectionTimeout
+	if c.role == preCandidate { // asking disturbs nobody, and who was not there may be by now
 		least /= 4
 	}
 	if c.role == follower {
-		c.deadline = c.now + least + c.turnToAsk()
+		c.electionDeadline = c.now + least + c.electionDelay()
 		return
 	}
-	c.deadline = c.now + least + time.Duration(c.rng.Int64N(int64(least)))
+	c.electionDeadline = c.now + least + time.Duration(c.rng.Int64N(int64(least)))
 }
 
 // Tick lets time pass.
-func (c *Core) Tick(now time.Duration) {
+func (c *Raft) Tick(now time.Duration) {
 	c.now = max(c.now, now)
 	if c.leaving {
-		c.depart()
+		c.advanceLeave()
 	}
 	if c.role == leader {
 		c.tickLeader()
 		return
 	}
-	if c.Outside() || c.toldOutside() {
-		c.join()
+	if c.IsNonMember() || c.wasToldNonMember() {
+		c.requestJoin()
 	}
-	if now < c.deadline {
+	if now < c.electionDeadline {
 		return
 	}
-	c.lead = 0
-	if c.Outside() || c.toldOutside() {
-		c.rest()
+	c.leaderID = 0
+	if c.IsNonMember() || c.wasToldNonMember() {
+		c.resetElectionDeadline()
 	} else {
-		c.campaign(asking)
+		c.campaign(preCandidate)
 	}
 }
 
-func (c *Core) tickLeader() {
-	if c.now-c.elected > 2*c.cfg.Election && !c.quorumHeard(c.now, 2*c.cfg.Election) { // check quorum
-		c.become(follower, c.term, 0)
+func (c *Raft) tickLeader() {
+	if c.now-c.electedAt > 2*c.config.ElectionTimeout && !c.isQuorumActive(c.now, 2*c.config.ElectionTimeout) { // check quorum
+		c.changeRole(follower, c.term, 0)
 		return
 	}
-	if c.now >= c.beatAt {
-		c.beatCommit = c.commit
-		c.beat()
+	if c.now >= c.nextHeartbeatAt {
+		c.committedAtHeartbeat = c.committed
+		c.broadcastHeartbeat()
 	}
-	c.tend()
+	c.maintainMembership()
 }
 
-func (c *Core) become(r role, term uint64, lead ID) {
+func (c *Raft) changeRole(r role, term uint64, lead ID) {
 	if term > c.term {
-		c.term, c.vote, c.hardDirty = term, 0, true
+		c.term, c.vote, c.hardStateUnsaved = term, 0, true
 	}
 	if c.role == leader && r != leader {
-		c.refuseReads()
+		c.rejectReads()
 		c.peers = nil
 	}
-	c.role, c.lead = r, lead
-	c.rest()
+	c.role, c.leaderID = r, lead
+	c.resetElectionDeadline()
 }
 
-func (c *Core) campaign(r role) {
+func (c *Raft) campaign(r role) {
 	term := c.term + 1
-	kind := Ask
+	kind := PreVote
 	if r == candidate {
-		c.become(candidate, term, 0)
-		c.vote, c.hardDirty, kind = c.cfg.Self.ID, true, Elect
+		c.changeRole(candidate, term, 0)
+		c.vote, c.hardStateUnsaved, kind = c.config.Self.ID, true, RequestVote
 	} else {
-		c.become(asking, c.term, 0)
-	}
-	c.votes = map[ID]bool{c.cfg.Self.ID: true}
-	for _, m := range c.config.voters() {
-		if m.ID != c.cfg.Self.ID {
-			x := Message{Kind: kind, From: c.cfg.Self.ID, To: m.ID, Term: term, Index: c.last(), LogTerm: c.lastTerm()}
-			if c.yielded {
-				x.Hint = yielded
+		c.changeRole(preCandidate, c.term, 0)
+	}
+	c.votes = map[ID]bool{c.config.Self.ID: true}
+	for _, m := range c.configuration.voters() {
+		if m.ID != c.config.Self.ID {
+			x := Message{Kind: kind, From: c.config.Self.ID, To: m.ID, Term: term, Index: c.lastIndex(), LogTerm: c.lastTerm()}
+			if c.electionByTransfer {
+				x.Hint = leadershipTransferHint
 			}
-			c.after = append(c.after, x)
+			c.messagesAfterSave = append(c.messagesAfterSave, x)
 		}
 	}
-	c.count()
+	c.countVotes()
 }
 
-func (c *Core) count() {
-	if !c.config.quorum(func(id ID) bool { return c.votes[id] }) {
+func (c *Raft) countVotes() {
+	if !c.configuration.hasQuorum(func(id ID) bool { return c.votes[id] }) {
 		return
 	}
-	if c.role == asking {
+	if c.role == preCandidate {
 		c.campaign(candidate)
 		return
 	}
-	c.become(leader, c.term, c.cfg.Self.ID)
-	c.peers, c.elected, c.stampBase = nil, c.now, c.lastStamp()
-	c.beatCommit = c.commit
-	c.follow()
-	c.add(Entry{Kind: Blank})
-	c.beat()
+	c.changeRole(leader, c.term, c.config.Self.ID)
+	c.peers, c.electedAt, c.logTimeAtElection = nil, c.now, c.lastLogTime()
+	c.committedAtHeartbeat = c.committed
+	c.trackVoters()
+	c.appendAsLeader(Entry{Kind: EntryNoOp})
+	c.broadcastHeartbeat()
 }
 
-// hears says that there is a leader as far as this one knows.
-func (c *Core) hears() bool {
-	return c.role == leader || c.lead != 0 && c.now-c.heard < c.cfg.Election
+// hearsLeader says that there is a leader as far as this one knows.
+func (c *Raft) hearsLeader() bool {
+	return c.role == leader || c.leaderID != 0 && c.now-c.leaderHeardAt < c.config.ElectionTimeout
 }
 
-func (c *Core) upToDate(m Message) bool {
-	return m.LogTerm > c.lastTerm() || m.LogTerm == c.lastTerm() && m.Index >= c.last()
+func (c *Raft) isUpToDate(m Message) bool {
+	return m.LogTerm > c.lastTerm() || m.LogTerm == c.lastTerm() && m.Index >= c.lastIndex()
 }
 
-// answerAsk answers a pre-vote. One that is no member here may be one all the same, by entries that this one lacks: if its
+// handlePreVote answers a pre-vote. One that is no member here may be one all the same, by entries that this one lacks: if its
 // log is as long, it is answered like any other, and it alone knows whose votes it needs.
-func (c *Core) answerAsk(m Message) {
-	if m.From == c.lead && m.Term > c.term {
-		c.lead = 0 // it asks for votes, so it has started again and leads no more
+func (c *Raft) handlePreVote(m Message) {
+	if m.From == c.leaderID && m.Term > c.term {
+		c.leaderID = 0 // it asks for votes, so it has started again and leads no more
 	}
-	yes := m.Term > c.term && !c.hears() && c.upToDate(m)
-	if !yes && !c.config.votes(m.From) {
-		c.stranger(m)
+	yes := m.Term > c.term && !c.hearsLeader() && c.isUpToDate(m)
+	if !yes && !c.configuration.isVoter(m.From) {
+		c.sendNotMember(m)
 		return
 	}
 	term := m.Term
 	if !yes {
 		term = c.term
 	}
-	c.after = append(c.after, Message{Kind: Asked, From: c.cfg.Self.ID, To: m.From, Term: term, Reject: !yes})
+	c.messagesAfterSave = append(c.messagesAfterSave, Message{Kind: PreVoteResponse, From: c.config.Self.ID, To: m.From, Term: term, Reject: !yes})
 	if !yes {
-		c.askInstead(m)
+		c.preVoteInstead(m)
 	}
 }
 
-// takeAsked takes the answer to a pre-vote.
-func (c *Core) takeAsked(m Message) {
-	if c.role == asking && m.Term == c.term+1 && !m.Reject {
+// handlePreVoteResponse takes the answer to a pre-vote.
+func (c *Raft) handlePreVoteResponse(m Message) {
+	if c.role == preCandidate && m.Term == c.term+1 && !m.Reject {
 		c.votes[m.From] = true
-		c.count()
+		c.countVotes()
 	} else if m.Reject && m.Term > c.term {
-		c.become(follower, m.Term, 0)
+		c.changeRole(follower, m.Term, 0)
 	}
 }
 
-// disturbs says that an Elect of a later term is not to be heard: its sender can't hear the leader that others hear, or it was
+// isDisruptive says that an Elect of a later term is not to be heard: its sender can't hear the leader that others hear, or it was
 // let go.
-func (c *Core) disturbs(m Message) bool {
-	return c.hears() && m.Hint != yielded || !c.config.votes(m.From) && !c.upToDate(m)
+func (c *Raft) isDisruptive(m Message) bool {
+	return c.hearsLeader() && m.Hint != leadershipTransferHint || !c.configuration.isVoter(m.From) && !c.isUpToDate(m)
 }
 
-func (c *Core) answerElect(m Message) {
-	yes := (c.vote == 0 || c.vote == m.From) && c.upToDate(m)
+func (c *Raft) handleRequestVote(m Message) {
+	yes := (c.vote == 0 || c.vote == m.From) && c.isUpToDate(m)
 	if yes && c.vote == 0 {
-		c.vote, c.hardDirty = m.From, true
-		c.rest()
+		c.vote, c.hardStateUnsaved = m.From, true
+		c.resetElectionDeadline()
 	}
-	c.after = append(c.after, Message{Kind: Elected, From: c.cfg.Self.ID, To: m.From, Term: c.term, Reject: !yes})
+	c.messagesAfterSave = append(c.messagesAfterSave, Message{Kind: VoteResponse, From: c.config.Self.ID, To: m.From, Term: c.term, Reject: !yes})
 }
--- a/internal/exchange/core/golden_test.go
+++ b/internal/exchange/core/golden_test.go
@@ -70,8 +70,8 @@
 func (r *recorder) entries(entries []Entry) {
 	r.numbers(uint64(len(entries)))
 	for _, entry := range entries {
-		r.numbers(entry.Index, entry.Term, uint64(entry.Kind), uint64(entry.Version))
-		r.duration(entry.Stamp)
+		r.numbers(entry.Index, entry.Term, uint64(entry.Kind), uint64(entry.ProtocolVersion))
+		r.duration(entry.LogTime)
 		r.bytes(entry.Data)
 		r.members(entry.Members)
 		r.members(entry.Outgoing)
@@ -83,8 +83,8 @@
 	if snapshot == nil {
 		return
 	}
-	r.numbers(snapshot.Index, snapshot.Term, snapshot.View, uint64(snapshot.Version))
-	r.duration(snapshot.Stamp)
+	r.numbers(snapshot.Index, snapshot.Term, snapshot.ConfigurationIndex, uint64(snapshot.ProtocolVersion))
+	r.duration(snapshot.LogTime)
 	r.bytes(snapshot.Data)
 	r.members(snapshot.Members)
 	r.members(snapshot.Outgoing)
@@ -94,7 +94,7 @@
 	r.numbers(uint64(len(messages)))
 	for _, message := range messages {
 		r.numbers(uint64(message.Kind), uint64(message.From), uint64(message.To), message.Term, message.Index, message.LogTerm,
-			message.Commit, message.Hint, message.Seq, message.View, uint64(message.Version), message.Offset, message.Total, uint64(message.Sum))
+			message.Commit, message.Hint, message.HeartbeatRound, message.ConfigurationIndex, uint64(message.ProtocolVersion), message.Offset, message.TotalBytes, uint64(message.Checksum))
 		r.flags(message.Reject, message.Leaving)
 		r.bytes([]byte(message.Addr))
 		r.entries(message.Entries)
@@ -107,31 +107,31 @@
 func (r *recorder) ready(id ID, ready Ready) {
 	r.readys++
 	r.numbers(uint64(id))
-	r.messages(ready.Before)
-	r.messages(ready.After)
-	r.flags(ready.Hard != nil, ready.Must())
-	if ready.Hard != nil {
-		r.numbers(ready.Hard.Term, uint64(ready.Hard.Vote))
+	r.messages(ready.MessagesBeforeSave)
+	r.messages(ready.MessagesAfterSave)
+	r.flags(ready.HardState != nil, ready.MustSync())
+	if ready.HardState != nil {
+		r.numbers(ready.HardState.Term, uint64(ready.HardState.Vote))
 	}
 	r.entries(ready.Entries)
 	r.snapshot(ready.Snapshot)
-	r.entries(ready.Committed)
-	r.numbers(uint64(len(ready.Reads)))
-	for _, read := range ready.Reads {
-		r.numbers(read.ID, read.Index)
+	r.entries(ready.CommittedEntries)
+	r.numbers(uint64(len(ready.ReadStates)))
+	for _, read := range ready.ReadStates {
+		r.numbers(read.RequestID, read.Index)
 	}
 	r.flush()
 }
 
 // state hashes what one member says of itself.
-func (r *recorder) state(id ID, c *Core, now time.Duration) {
+func (r *recorder) state(id ID, c *Raft, now time.Duration) {
 	members, index := c.Members()
-	r.numbers(uint64(id), c.Term(), uint64(c.Leader()), c.Applied(), c.LastIndex(), index, uint64(c.Logged()), c.Kept())
+	r.numbers(uint64(id), c.Term(), uint64(c.Leader()), c.AppliedIndex(), c.LastIndex(), index, uint64(c.EntriesSinceSnapshot()), c.OldestRetainedIndex())
 	r.members(members)
-	r.flags(c.Leads(), c.InTouch(now), c.Outside(), c.MayLeave(), c.Current())
+	r.flags(c.IsLeader(), c.HasQuorumContact(now), c.IsNonMember(), c.MayLeave(), c.IsCaughtUpLeader())
 	for _, member := range members {
 		r.bytes([]byte(c.Addr(member.ID)))
-		r.flags(c.Hears(member.ID))
+		r.flags(c.IsRecentlyActive(member.ID))
 	}
 	r.flush()
 }
@@ -145,8 +145,8 @@
 // hear that the leader's process has ended, whether or not that is so.
 func goldenSchedule(t *testing.T, seed uint64) goldenRecord {
 	recorder := newRecorder()
-	schedule := newSchedule(seed, 3, 2)
-	schedule.observe = func(member *node, ready Ready) { recorder.ready(member.self.ID, ready) }
+	schedule := newRandomSchedule(seed, 3, 2)
+	schedule.observe = func(member *testMember, ready Ready) { recorder.ready(member.self.ID, ready) }
 	random := rand.New(rand.NewPCG(seed, 0x601d))
 	for event := range 1500 {
 		assert.NilError(t, schedule.event(), "seed %d", seed)
@@ -157,19 +157,19 @@
 		}
 		switch random.IntN(100) {
 		case 0:
-			member.c.Yield(schedule.now)
+			member.raft.TransferLeadership(schedule.now)
 		case 1:
-			member.c.Tell(schedule.now)
+			member.raft.BroadcastCommit(schedule.now)
 		case 2:
-			wait, followed := member.c.LeaderGone(schedule.now, member.c.Leader())
+			wait, followed := member.raft.ReportLeaderExited(schedule.now, member.raft.Leader())
 			recorder.duration(wait)
 			recorder.flags(followed)
 		case 3:
-			recorder.duration(member.c.Stamp(schedule.now))
+			recorder.duration(member.raft.LogTime(schedule.now))
 		}
-		assert.NilError(t, schedule.turn(i, whole, plant{}), "seed %d", seed)
+		assert.NilError(t, schedule.processReady(i, noCrash, modelFaults{}), "seed %d", seed)
 		if event%50 == 0 {
-			recorder.state(member.self.ID, member.c, schedule.now)
+			recorder.state(member.self.ID, member.raft, schedule.now)
 		}
 	}
 	return recorder.record(fmt.Sprint("schedule ", seed))
@@ -179,25 +179,25 @@
 // one loses its disk, and one is told to end.
 func goldenMixedVersions(t *testing.T, mask int) goldenRecord {
 	recorder := newRecorder()
-	f := newFleet(t, uint64(900+mask), "a", "b", "c")
-	f.observe = func(member *node, ready Ready) { recorder.ready(member.self.ID, ready) }
+	f := newSimulation(t, uint64(900+mask), "a", "b", "c")
+	f.observe = func(member *testMember, ready Ready) { recorder.ready(member.self.ID, ready) }
 	for i, addr := range f.addrs() {
-		if f.nodes[addr].first = mask>>i&1 == 1; f.nodes[addr].first {
-			f.nodes[addr].start()
+		if f.members[addr].legacyProtocol = mask>>i&1 == 1; f.members[addr].legacyProtocol {
+			f.members[addr].start()
 		}
 	}
 	f.loss = 0.05
-	lags := f.cutOff(30, 5, 10<<10)
-	delete(f.cut, lags)
+	lags := f.isolateFollower(30, 5, 10<<10)
+	delete(f.isolated, lags)
 	f.run(4 * time.Second)
 	f.write("after the snapshot")
-	f.join(lags, 50)
+	f.startEmpty(lags, 50)
 	f.run(4 * time.Second)
 	f.write("after the loss of a disk")
 	f.leave(f.follower(), time.Second)
 	f.run(2 * time.Second)
 	for _, addr := range f.addrs() {
-		recorder.state(f.nodes[addr].self.ID, f.nodes[addr].c, f.now)
+		recorder.state(f.members[addr].self.ID, f.members[addr].raft, f.now)
 	}
 	return recorder.record(fmt.Sprintf("versions %03b", mask))
 }
--- a/internal/exchange/core/members.go
+++ b/internal/exchange/core/members.go
@@ -5,186 +5,190 @@
 	"time"
 )
 
-// mostLearners is how many that are no members a leader brings up to date at once.
-const mostLearners = 16
+// maxLearners is how many that are no members a leader brings up to date at once.
+const maxLearners = 16
 
-// tend sees to the members: one change at a time, and only once an entry of this leader's own term is committed.
-func (c *Core) tend() {
-	c.peers = slices.DeleteFunc(c.peers, func(p *progress) bool { return !c.config.votes(p.ID) && c.now-p.heard > 4*c.cfg.Dead })
-	if !c.mayChange() || c.raiseVersion() {
+// maintainMembership sees to the members: one change at a time, and only once an entry of this leader's own term is committed.
+func (c *Raft) maintainMembership() {
+	c.peers = slices.DeleteFunc(c.peers, func(p *progress) bool {
+		return !c.configuration.isVoter(p.ID) && c.now-p.heardAt > 4*c.config.DeadMemberTimeout
+	})
+	if !c.mayChangeMembership() || c.raiseProtocolVersion() {
 		return
 	}
 	for _, p := range c.peers {
-		if p.joining && c.now-p.heard <= c.cfg.Election && c.admit(p) {
+		if p.isJoining && c.now-p.heardAt <= c.config.ElectionTimeout && c.admitLearner(p) {
 			return
 		}
 	}
 }
 
-// mayChange says that a change of members may begin. An entry of the leader's own term has to be committed: until then the
+// mayChangeMembership says that a change of members may begin. An entry of the leader's own term has to be committed: until then the
 // configuration that it counts by may be one that another leader's majority has replaced.
-func (c *Core) mayChange() bool {
-	return c.committedOwn() && c.config.Index <= c.commit && !c.config.joint()
+func (c *Raft) mayChangeMembership() bool {
+	return c.hasCommittedOwnTerm() && c.configuration.Index <= c.committed && !c.configuration.isJoint()
 }
 
-// raiseVersion has the log say what all members speak once that is known of each, so that it is known also of those that
+// raiseProtocolVersion has the log say what all members speak once that is known of each, so that it is known also of those that
 // are silent later. It is one entry in a fleet's life for each version.
-func (c *Core) raiseVersion() bool {
-	least := c.version()
-	for _, m := range c.config.Members {
-		if m.ID == c.cfg.Self.ID {
+func (c *Raft) raiseProtocolVersion() bool {
+	least := c.protocolVersion()
+	for _, m := range c.configuration.Members {
+		if m.ID == c.config.Self.ID {
 			continue
 		}
 		p := c.peers.get(m.ID)
-		if p == nil || !p.answered || c.now-p.heard > c.cfg.Election {
+		if p == nil || !p.hasAnswered || c.now-p.heardAt > c.config.ElectionTimeout {
 			return false
 		}
-		least = min(least, p.version)
+		least = min(least, p.protocolVersion)
 	}
-	return least > c.config.Version && contains(c.config.Members, c.cfg.Self.ID) && c.change(Configuration{Members: c.config.Members, Version: least})
+	return least > c.configuration.ProtocolVersion && containsMember(c.configuration.Members, c.config.Self.ID) && c.proposeConfiguration(Configuration{Members: c.configuration.Members, ProtocolVersion: least})
 }
 
-// admit sees to one learner: it takes the place of a member that was lost, or a free one. true: a change was proposed.
-func (c *Core) admit(p *progress) bool {
-	members := slices.Clone(c.config.Members)
-	lost, free := c.lost(p)
+// admitLearner sees to one learner: it takes the place of a member that was lost, or a free one. true: a change was proposed.
+func (c *Raft) admitLearner(p *progress) bool {
+	members := slices.Clone(c.configuration.Members)
+	lost, free := c.replaceableMember(p)
 	if lost < 0 && !free {
 		return false
 	}
 	if lost < 0 {
-		return c.caughtUp(p) && c.change(Configuration{Members: append(members, p.Member), Version: c.versionWith(p, -1)})
+		return c.isCaughtUp(p) && c.proposeConfiguration(Configuration{Members: append(members, p.Member), ProtocolVersion: c.protocolVersionWith(p, -1)})
 	}
-	version := c.versionWith(p, lost)
+	version := c.protocolVersionWith(p, lost)
 	if version < 1 { // one of them knows no joint change: the place is cleared first
-		return c.change(Configuration{Members: slices.Delete(members, lost, lost+1), Version: version})
+		return c.proposeConfiguration(Configuration{Members: slices.Delete(members, lost, lost+1), ProtocolVersion: version})
 	}
-	if !c.caughtUp(p) {
+	if !c.isCaughtUp(p) {
 		return false
 	}
 	members[lost] = p.Member
-	return c.change(Configuration{Members: members, Outgoing: c.config.Members, Version: version})
+	return c.proposeConfiguration(Configuration{Members: members, Outgoing: c.configuration.Members, ProtocolVersion: version})
 }
 
-// lost is the member whose place a learner may take: one at its own address, for it came back without its disk; else, where
+// replaceableMember is the member whose place a learner may take: one at its own address, for it came back without its disk; else, where
 // there are as many as there should be, one that was silent for long. -1: none; free: there is room for one more.
-func (c *Core) lost(p *progress) (member int, free bool) {
-	self := c.cfg.Self.ID
-	if i := slices.IndexFunc(c.config.Members, func(m Member) bool { return m.Addr == p.Addr && m.ID != self }); i >= 0 {
+func (c *Raft) replaceableMember(p *progress) (member int, free bool) {
+	self := c.config.Self.ID
+	if i := slices.IndexFunc(c.configuration.Members, func(m Member) bool { return m.Addr == p.Addr && m.ID != self }); i >= 0 {
 		return i, false
 	}
-	if len(c.config.Members) < c.cfg.Size {
+	if len(c.configuration.Members) < c.config.ClusterSize {
 		return -1, true
 	}
-	silent := slices.IndexFunc(c.config.Members, func(m Member) bool {
-		return m.ID != self && !c.peers.heardSince(m.ID, c.now-c.cfg.Dead)
+	silent := slices.IndexFunc(c.configuration.Members, func(m Member) bool {
+		return m.ID != self && !c.peers.heardAfter(m.ID, c.now-c.config.DeadMemberTimeout)
 	})
 	if silent >= 0 {
 		return silent, false
 	}
-	return slices.IndexFunc(c.config.Members, func(m Member) bool { return c.goes(m.ID) }), false
+	return slices.IndexFunc(c.configuration.Members, func(m Member) bool { return c.isLeaving(m.ID) }), false
 }
 
-// caughtUp says that a learner has all that was committed a heartbeat ago.
-func (c *Core) caughtUp(p *progress) bool { return p.match > 0 && p.match >= c.beatCommit }
+// isCaughtUp says that a learner has all that was committed a heartbeat ago.
+func (c *Raft) isCaughtUp(p *progress) bool { return p.match > 0 && p.match >= c.committedAtHeartbeat }
 
-// versionWith is what a learner and all members but one speak, as far as it is known. but: that member's place; -1: none.
-func (c *Core) versionWith(p *progress, but int) uint32 {
-	least := min(c.version(), p.version)
-	for i, m := range c.config.Members {
-		if i != but && m.ID != c.cfg.Self.ID {
-			least = min(least, c.versionOf(m.ID))
+// protocolVersionWith is what a learner and all members but one speak, as far as it is known. but: that member's place; -1: none.
+func (c *Raft) protocolVersionWith(p *progress, but int) uint32 {
+	least := min(c.protocolVersion(), p.protocolVersion)
+	for i, m := range c.configuration.Members {
+		if i != but && m.ID != c.config.Self.ID {
+			least = min(least, c.protocolVersionOf(m.ID))
 		}
 	}
 	return least
 }
 
-// versionOf is what a member speaks: what it said to this leader, else what the log says of all.
-func (c *Core) versionOf(id ID) uint32 {
-	if p := c.peers.get(id); p != nil && p.answered {
-		return p.version
+// protocolVersionOf is what a member speaks: what it said to this leader, else what the log says of all.
+func (c *Raft) protocolVersionOf(id ID) uint32 {
+	if p := c.peers.get(id); p != nil && p.hasAnswered {
+		return p.protocolVersion
 	}
-	return c.config.Version
+	return c.configuration.ProtocolVersion
 }
 
-// change proposes a configuration if a quorum of it is there to carry it.
-func (c *Core) change(to Configuration) bool {
-	if !to.quorum(func(id ID) bool { return c.Hears(id) }) {
+// proposeConfiguration proposes a configuration if a quorum of it is there to carry it.
+func (c *Raft) proposeConfiguration(to Configuration) bool {
+	if !to.hasQuorum(func(id ID) bool { return c.IsRecentlyActive(id) }) {
 		return false
 	}
-	c.add(Entry{Kind: View, Members: to.Members, Outgoing: to.Outgoing, Version: to.Version})
+	c.appendAsLeader(Entry{Kind: EntryConfiguration, Members: to.Members, Outgoing: to.Outgoing, ProtocolVersion: to.ProtocolVersion})
 	c.Flush()
 	return true
 }
 
-// completeChange goes on with a change whose entry was committed: the second half of a joint one is proposed, and a leader
+// continueConfigurationChange goes on with a change whose entry was committed: the second half of a joint one is proposed, and a leader
 // that is no member any more has another take over.
-func (c *Core) completeChange() {
-	if c.config.Index > c.commit || !c.committedOwn() {
+func (c *Raft) continueConfigurationChange() {
+	if c.configuration.Index > c.committed || !c.hasCommittedOwnTerm() {
 		return
 	}
-	if c.config.joint() {
-		c.add(Entry{Kind: View, Members: c.config.Members, Version: c.config.Version})
+	if c.configuration.isJoint() {
+		c.appendAsLeader(Entry{Kind: EntryConfiguration, Members: c.configuration.Members, ProtocolVersion: c.configuration.ProtocolVersion})
 		c.Flush()
 		return
 	}
-	if !contains(c.config.Members, c.cfg.Self.ID) {
-		c.beat() // the others hear that it is committed
-		c.Yield(c.now)
-		c.become(follower, c.term, 0)
+	if !containsMember(c.configuration.Members, c.config.Self.ID) {
+		c.broadcastHeartbeat() // the others hear that it is committed
+		c.TransferLeadership(c.now)
+		c.changeRole(follower, c.term, 0)
 	}
 }
 
-// toldOutside says that others that know more have lately told this one that it is no member.
-func (c *Core) toldOutside() bool { return c.outsider > 0 && c.now-c.outsider < 2*c.cfg.Election }
+// wasToldNonMember says that others that know more have lately told this one that it is no member.
+func (c *Raft) wasToldNonMember() bool {
+	return c.toldNonMemberAt > 0 && c.now-c.toldNonMemberAt < 2*c.config.ElectionTimeout
+}
 
-// takeNotMember takes the word of one that knows later members. It changes nothing of what this one counts by, which is the
+// handleNotMember takes the word of one that knows later members. It changes nothing of what this one counts by, which is the
 // log's alone: it asks those to be taken in.
-func (c *Core) takeNotMember(m Message) {
-	if m.View > c.config.Index {
-		c.outsider, c.contacts = max(c.now, 1), m.Members
+func (c *Raft) handleNotMember(m Message) {
+	if m.ConfigurationIndex > c.configuration.Index {
+		c.toldNonMemberAt, c.joinContacts = max(c.now, 1), m.Members
 	}
 }
 
-// stranger tells one that is no member, as far as this one knows, who they are.
-func (c *Core) stranger(m Message) {
-	if !c.config.votes(m.From) {
-		c.after = append(c.after, Message{Kind: NotMember, From: c.cfg.Self.ID, To: m.From, Term: c.term, Members: c.config.voters(),
-			View: c.config.Index, Addr: m.Addr})
+// sendNotMember tells one that is no member, as far as this one knows, who they are.
+func (c *Raft) sendNotMember(m Message) {
+	if !c.configuration.isVoter(m.From) {
+		c.messagesAfterSave = append(c.messagesAfterSave, Message{Kind: NotMember, From: c.config.Self.ID, To: m.From, Term: c.term, Members: c.configuration.voters(),
+			ConfigurationIndex: c.configuration.Index, Addr: m.Addr})
 	}
 }
 
-// join asks all that are known to be taken in. Those that it knows only by address are asked by the shell.
-func (c *Core) join() {
-	if c.joined > 0 && c.now-c.joined < c.cfg.Election/4 || c.now-c.heard < c.cfg.Election/2 && !c.Outside() {
+// requestJoin asks all that are known to be taken in. Those that it knows only by address are asked by the shell.
+func (c *Raft) requestJoin() {
+	if c.joinRequestedAt > 0 && c.now-c.joinRequestedAt < c.config.ElectionTimeout/4 || c.now-c.leaderHeardAt < c.config.ElectionTimeout/2 && !c.IsNonMember() {
 		return
 	}
-	c.joined = max(c.now, time.Duration(1))
-	known := Configuration{Members: c.config.voters(), Outgoing: c.contacts}
+	c.joinRequestedAt = max(c.now, time.Duration(1))
+	known := Configuration{Members: c.configuration.voters(), Outgoing: c.joinContacts}
 	for _, m := range known.voters() {
-		if m.ID != c.cfg.Self.ID {
-			c.after = append(c.after, Message{Kind: Join, From: c.cfg.Self.ID, To: m.ID, Addr: c.cfg.Self.Addr})
+		if m.ID != c.config.Self.ID {
+			c.messagesAfterSave = append(c.messagesAfterSave, Message{Kind: JoinRequest, From: c.config.Self.ID, To: m.ID, Addr: c.config.Self.Addr})
 		}
 	}
 }
 
-// takeJoin has a leader keep a learner up to date from now on; others tell who the members are.
-func (c *Core) takeJoin(m Message) {
+// handleJoinRequest has a leader keep a learner up to date from now on; others tell who the members are.
+func (c *Raft) handleJoinRequest(m Message) {
 	if c.role != leader {
-		c.stranger(m)
+		c.sendNotMember(m)
 		return
 	}
 	p := c.peers.get(m.From)
 	if p == nil {
-		if len(c.peers) >= len(c.config.voters())+mostLearners {
+		if len(c.peers) >= len(c.configuration.voters())+maxLearners {
 			return
 		}
-		p = &progress{Member: Member{m.From, m.Addr}, next: c.last() + 1}
-		c.peers.add(p)
-		p.hear(c.now, m)
-		c.send(p)
+		p = &progress{Member: Member{m.From, m.Addr}, next: c.lastIndex() + 1}
+		c.peers.insert(p)
+		p.recordContact(c.now, m)
+		c.replicateTo(p)
 	}
-	if !c.config.votes(m.From) {
-		p.Addr, p.joining = m.Addr, true
+	if !c.configuration.isVoter(m.From) {
+		p.Addr, p.isJoining = m.Addr, true
 	}
-	p.hear(c.now, m)
+	p.recordContact(c.now, m)
 }
--- a/internal/exchange/core/schedule_test.go
+++ b/internal/exchange/core/schedule_test.go
@@ -14,47 +14,47 @@
 	"hollyspur/internal/testkit"
 )
 
-const tickT = 50 * time.Millisecond
+const testTickInterval = 50 * time.Millisecond
 
-// schedule plays one random schedule, drawn from a seed, over registers in one simulated time: messages are delivered in
+// randomSchedule plays one random schedule, drawn from a seed, over registers in one simulated time: messages are delivered in
 // any order, lost or delivered twice, registers are restarted at any point of a turn, stand still, and lose their disks.
 // Each turn is checked by world.
-type schedule struct {
-	world
-	rng        *rand.Rand
-	now        time.Duration
-	ticked     time.Duration
-	frozen     map[int]bool
-	nextID     ID
-	founders   []Member
-	wipes      int            // disks lost so far
-	cuts       map[[2]ID]bool // links, from one to another; to 0: to any
-	leaving    map[int]bool   // told to end
-	departures int            // that were let go
-	plant      plant
-	log        bytes.Buffer // every Ready, in order; only where it is recorded
-	reads      uint64
+type randomSchedule struct {
+	modelState
+	rng           *rand.Rand
+	now           time.Duration
+	ticked        time.Duration
+	frozen        map[int]bool
+	nextID        ID
+	founders      []Member
+	wipes         int            // disks lost so far
+	cutLinks      map[[2]ID]bool // links, from one to another; to 0: to any
+	leaving       map[int]bool   // told to end
+	leavesGranted int            // that were let go
+	faults        modelFaults
+	log           bytes.Buffer // every Ready, in order; only where it is recorded
+	readCount     uint64
 }
 
-func newSchedule(seed uint64, registers, joiners int) *schedule {
-	s := &schedule{world: *found(registers), rng: rand.New(rand.NewPCG(seed, 0x5eed)), frozen: map[int]bool{}, leaving: map[int]bool{}, cuts: map[[2]ID]bool{}, nextID: 100}
-	s.founders = s.nodes[0].snap.Members
+func newRandomSchedule(seed uint64, registers, joiners int) *randomSchedule {
+	s := &randomSchedule{modelState: *newModel(registers), rng: rand.New(rand.NewPCG(seed, 0x5eed)), frozen: map[int]bool{}, leaving: map[int]bool{}, cutLinks: map[[2]ID]bool{}, nextID: 100}
+	s.founders = s.nodes[0].snapshot.Members
 	for range joiners {
-		n := &node{self: Member{s.nextID, fmt.Sprint("r", s.nextID)}}
+		n := &testMember{self: Member{s.nextID, fmt.Sprint("r", s.nextID)}}
 		n.start()
 		s.nodes = append(s.nodes, n)
 		s.nextID++
 	}
 	for _, n := range s.nodes {
-		n.keep, n.chunk = []int{0, 4, 40}[s.rng.IntN(3)], 3 // of "state at", so that it takes several
+		n.maxCatchUpEntries, n.snapshotChunkBytes = []int{0, 4, 40}[s.rng.IntN(3)], 3 // of "state at", so that it takes several
 		n.start()
 	}
 	return s
 }
 
 // record keeps every Ready in the schedule's log.
-func (s *schedule) record() {
-	s.observe = func(n *node, r Ready) {
+func (s *randomSchedule) record() {
+	s.observe = func(n *testMember, r Ready) {
 		text, err := json.Marshal(r)
 		if err != nil {
 			panic(err)
@@ -64,7 +64,7 @@
 }
 
 // run plays so many events.
-func (s *schedule) run(events int) error {
+func (s *randomSchedule) run(events int) error {
 	for range events {
 		if err := s.event(); err != nil {
 			return err
@@ -74,18 +74,18 @@
 }
 
 // event is one step of a few milliseconds: some of what is under way arrives, and now and then something else happens.
-func (s *schedule) event() error {
+func (s *randomSchedule) event() error {
 	s.now += time.Duration(s.rng.Int64N(int64(10 * time.Millisecond)))
-	due := s.net
-	s.net = nil
+	due := s.network
+	s.network = nil
 	for _, k := range s.rng.Perm(len(due)) {
 		if s.rng.IntN(3) == 0 {
-			s.net = append(s.net, due[k]) // later
+			s.network = append(s.network, due[k]) // later
 		} else if err := s.deliver(due[k]); err != nil {
 			return err
 		}
 	}
-	if s.now-s.ticked > tickT {
+	if s.now-s.ticked > testTickInterval {
 		if err := s.tick(); err != nil {
 			return err
 		}
@@ -94,7 +94,7 @@
 	case x < 200:
 		return s.propose()
 	case x < 250:
-		return s.read()
+		return s.readIndex()
 	case x < 256:
 		s.freeze()
 	case x < 262:
@@ -104,77 +104,77 @@
 	case x < 280:
 		return s.compact()
 	case x < 283:
-		return s.cutTurn()
+		return s.restartMember()
 	case x < 287:
 		return s.leave()
 	case x < 291:
-		return s.exchange()
+		return s.replaceMember()
 	case x < 294:
 		s.cutLink()
 	case x < 300:
-		clear(s.cuts)
+		clear(s.cutLinks)
 	}
-	return s.ends()
+	return s.endGrantedLeaves()
 }
 
-// exchange has a leader exchange a member, which may be itself, for a learner that has caught up: more often than members are
+// replaceMember has a leader exchange a member, which may be itself, for a learner that has caught up: more often than members are
 // lost, and at any moment at which a change may begin.
-func (s *schedule) exchange() error {
+func (s *randomSchedule) replaceMember() error {
 	i, ok := s.leader()
 	if !ok {
 		return nil
 	}
-	c := s.nodes[i].c
-	if !c.mayChange() {
+	c := s.nodes[i].raft
+	if !c.mayChangeMembership() {
 		return nil
 	}
 	for _, p := range c.peers {
-		if !p.voter && p.joining && c.caughtUp(p) {
-			to := slices.Clone(c.config.Members)
+		if !p.isVoter && p.isJoining && c.isCaughtUp(p) {
+			to := slices.Clone(c.configuration.Members)
 			to[s.rng.IntN(len(to))] = p.Member
-			c.change(Configuration{Members: to, Outgoing: c.config.Members, Version: Version})
-			return s.turn(i, whole, s.plant)
+			c.proposeConfiguration(Configuration{Members: to, Outgoing: c.configuration.Members, ProtocolVersion: ProtocolVersion})
+			return s.processReady(i, noCrash, s.faults)
 		}
 	}
 	return nil
 }
 
 // cutLink has nothing pass from one register to another, or from one to any.
-func (s *schedule) cutLink() {
+func (s *randomSchedule) cutLink() {
 	from, to := s.nodes[s.rng.IntN(len(s.nodes))].self.ID, s.nodes[s.rng.IntN(len(s.nodes))].self.ID
-	s.cuts[[2]ID{from, to}] = true
+	s.cutLinks[[2]ID{from, to}] = true
 	if s.rng.IntN(2) == 0 {
-		s.cuts[[2]ID{from, 0}] = true
+		s.cutLinks[[2]ID{from, 0}] = true
 	}
 }
 
 // leave tells one register to end.
-func (s *schedule) leave() error {
+func (s *randomSchedule) leave() error {
 	i := s.rng.IntN(len(s.nodes))
 	if s.frozen[i] || len(s.leaving) > 0 {
 		return nil
 	}
 	s.leaving[i] = true
-	s.nodes[i].c.Leave(s.now)
-	return s.turn(i, whole, s.plant)
+	s.nodes[i].raft.BeginLeave(s.now)
+	return s.processReady(i, noCrash, s.faults)
 }
 
-// ends has those go that were told to and may. What was acknowledged by then must be held by a majority of the voters that
+// endGrantedLeaves has those go that were told to and may. What was acknowledged by then must be held by a majority of the voters that
 // stay, as the leader that let them go sees it. Each starts again, with its disk.
-func (s *schedule) ends() error {
+func (s *randomSchedule) endGrantedLeaves() error {
 	for i := range s.nodes {
 		n := s.nodes[i]
-		if !s.leaving[i] || s.frozen[i] || !n.c.MayLeave() {
+		if !s.leaving[i] || s.frozen[i] || !n.raft.MayLeave() {
 			continue
 		}
 		delete(s.leaving, i)
-		if n.c.released {
-			agreed := s.agreed()
+		if n.raft.leaveGranted {
+			agreed := s.latestCommittedConfiguration()
 			stay := slices.DeleteFunc(slices.Clone(agreed.Members), func(m Member) bool { return m.ID == n.self.ID })
-			if agreed.votes(n.self.ID) && !majority(stay, func(id ID) bool { return s.stores(id, s.acked) }) {
-				return fmt.Errorf("%d was let go, and entry %d, which was acknowledged, is not on a majority of %v", n.self.ID, s.acked, stay)
+			if agreed.isVoter(n.self.ID) && !hasMajority(stay, func(id ID) bool { return s.stores(id, s.acknowledgedIndex) }) {
+				return fmt.Errorf("%d was let go, and entry %d, which was acknowledged, is not on a majority of %v", n.self.ID, s.acknowledgedIndex, stay)
 			}
-			s.departures++
+			s.leavesGranted++
 		}
 		n.now = s.now
 		n.start()
@@ -182,10 +182,10 @@
 	return nil
 }
 
-// agreed is the latest configuration that was agreed on.
-func (s *schedule) agreed() Configuration {
+// latestCommittedConfiguration is the latest configuration that was agreed on.
+func (s *randomSchedule) latestCommittedConfiguration() Configuration {
 	latest := Configuration{Members: s.founders}
-	for index, f := range s.configs {
+	for index, f := range s.configurations {
 		if index > latest.Index {
 			latest = f
 		}
@@ -194,50 +194,50 @@
 }
 
 // stores says that a register's disk holds an entry.
-func (s *schedule) stores(id ID, index uint64) bool {
+func (s *randomSchedule) stores(id ID, index uint64) bool {
 	for _, n := range s.nodes {
 		if n.self.ID == id {
-			return n.snap.Index >= index || len(n.log) > 0 && n.log[len(n.log)-1].Index >= index
+			return n.snapshot.Index >= index || len(n.log) > 0 && n.log[len(n.log)-1].Index >= index
 		}
 	}
 	return false
 }
 
 // deliver has one message arrive, unless it is lost; it may come once more.
-func (s *schedule) deliver(m Message) error {
-	i := slices.IndexFunc(s.nodes, func(n *node) bool { return n.self.ID == m.To })
-	if i < 0 || s.cuts[[2]ID{m.From, m.To}] || s.cuts[[2]ID{m.From, 0}] {
+func (s *randomSchedule) deliver(m Message) error {
+	i := slices.IndexFunc(s.nodes, func(n *testMember) bool { return n.self.ID == m.To })
+	if i < 0 || s.cutLinks[[2]ID{m.From, m.To}] || s.cutLinks[[2]ID{m.From, 0}] {
 		return nil
 	}
 	if s.frozen[i] {
 		if s.rng.IntN(10) > 0 {
-			s.net = append(s.net, m) // it waits there, or is lost
+			s.network = append(s.network, m) // it waits there, or is lost
 		}
 		return nil
 	}
-	cut := whole
+	cut := noCrash
 	switch s.rng.IntN(200) {
 	case 0, 1:
 		return nil
 	case 2, 3:
-		s.net = append(s.net, m)
+		s.network = append(s.network, m)
 	case 4:
-		cut = beforeSync + s.rng.IntN(2)
+		cut = crashBeforeSync + s.rng.IntN(2)
 	}
 	s.nodes[i].now = s.now
-	s.nodes[i].c.Step(s.now, m)
-	return s.turn(i, cut, s.plant)
+	s.nodes[i].raft.Step(s.now, m)
+	return s.processReady(i, cut, s.faults)
 }
 
 // freeze has one register stand still.
-func (s *schedule) freeze() {
+func (s *randomSchedule) freeze() {
 	if len(s.frozen) == 0 {
 		s.frozen[s.rng.IntN(len(s.nodes))] = true
 	}
 }
 
-// cutTurn restarts one register.
-func (s *schedule) cutTurn() error {
+// restartMember restarts one register.
+func (s *randomSchedule) restartMember() error {
 	i := s.rng.IntN(len(s.nodes))
 	if !s.frozen[i] {
 		delete(s.leaving, i)
@@ -248,22 +248,22 @@
 }
 
 // tick lets each that does not stand still see to what time does.
-func (s *schedule) tick() error {
+func (s *randomSchedule) tick() error {
 	s.ticked = s.now
 	for i, n := range s.nodes {
 		if s.frozen[i] {
 			continue
 		}
 		n.now = s.now
-		n.c.Tick(s.now)
-		if n.c.Outside() {
+		n.raft.Tick(s.now)
+		if n.raft.IsNonMember() {
 			for _, other := range s.nodes {
 				if other != n {
-					s.net = append(s.net, Message{Kind: Join, From: n.self.ID, To: other.self.ID, Addr: n.self.Addr, Version: n.c.version()})
+					s.network = append(s.network, Message{Kind: JoinRequest, From: n.self.ID, To: other.self.ID, Addr: n.self.Addr, ProtocolVersion: n.raft.protocolVersion()})
 				}
 			}
 		}
-		if err := s.turn(i, whole, s.plant); err != nil {
+		if err := s.processReady(i, noCrash, s.faults); err != nil {
 			return err
 		}
 	}
@@ -271,10 +271,10 @@
 }
 
 // leaders are those that take themselves for one and don't stand still.
-func (s *schedule) leader() (int, bool) {
+func (s *randomSchedule) leader() (int, bool) {
 	var l []int
 	for i, n := range s.nodes {
-		if n.c.Leads() && !s.frozen[i] {
+		if n.raft.IsLeader() && !s.frozen[i] {
 			l = append(l, i)
 		}
 	}
@@ -284,68 +284,68 @@
 	return l[s.rng.IntN(len(l))], true
 }
 
-func (s *schedule) propose() error {
+func (s *randomSchedule) propose() error {
 	i, ok := s.leader()
 	if !ok {
 		return nil
 	}
 	s.proposed++
-	s.nodes[i].c.Propose(s.now, fmt.Append(nil, s.proposed))
-	return s.turn(i, whole, s.plant)
+	s.nodes[i].raft.Propose(s.now, fmt.Append(nil, s.proposed))
+	return s.processReady(i, noCrash, s.faults)
 }
 
-func (s *schedule) read() error {
+func (s *randomSchedule) readIndex() error {
 	i, ok := s.leader()
 	if !ok {
 		return nil
 	}
-	s.reads++
-	s.asked[s.reads] = s.acked
-	if !s.nodes[i].c.Ask(s.now, s.reads) {
+	s.readCount++
+	s.readFloor[s.readCount] = s.acknowledgedIndex
+	if !s.nodes[i].raft.ReadIndex(s.now, s.readCount) {
 		return nil
 	}
-	return s.turn(i, whole, s.plant)
+	return s.processReady(i, noCrash, s.faults)
 }
 
 // wipe has one register lose its disk: only while all voters run and none of them has lost its disk before, for the loss of
 // one is what three bear.
-func (s *schedule) wipe() error {
+func (s *randomSchedule) wipe() error {
 	i := s.rng.IntN(len(s.nodes))
 	n := s.nodes[i]
 	lead, ok := s.leader()
-	if !ok || len(s.frozen) > 0 || len(s.leaving) > 0 || len(s.cuts) > 0 { // one loss at a time
+	if !ok || len(s.frozen) > 0 || len(s.leaving) > 0 || len(s.cutLinks) > 0 { // one loss at a time
 		return nil
 	}
 	for _, n := range s.nodes {
-		if n.c.Term() > s.nodes[lead].c.Term() {
+		if n.raft.Term() > s.nodes[lead].raft.Term() {
 			return nil // it may lead no more
 		}
 	}
-	members := s.nodes[lead].c.config.voters()
-	if len(members) < 3 || !s.nodes[lead].c.Current() {
+	members := s.nodes[lead].raft.configuration.voters()
+	if len(members) < 3 || !s.nodes[lead].raft.IsCaughtUpLeader() {
 		return nil
 	}
 	for _, m := range members {
-		j := slices.IndexFunc(s.nodes, func(x *node) bool { return x.self.ID == m.ID })
-		if j < 0 || s.nodes[j].c.Applied() < s.acked {
+		j := slices.IndexFunc(s.nodes, func(x *testMember) bool { return x.self.ID == m.ID })
+		if j < 0 || s.nodes[j].raft.AppliedIndex() < s.acknowledgedIndex {
 			return nil
 		}
 	}
 	s.wipes++
 	n.wiped++
 	delete(s.leaving, i)
-	*n = node{self: Member{s.nextID, n.self.Addr}, now: s.now, wiped: n.wiped, keep: n.keep, chunk: n.chunk}
+	*n = testMember{self: Member{s.nextID, n.self.Addr}, now: s.now, wiped: n.wiped, maxCatchUpEntries: n.maxCatchUpEntries, snapshotChunkBytes: n.snapshotChunkBytes}
 	s.nextID++
 	n.start()
 	return nil
 }
 
 // compact has one register forget the beginning of its log.
-func (s *schedule) compact() error {
+func (s *randomSchedule) compact() error {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	if at := n.c.Applied(); at > n.c.snap.Index {
+	if at := n.raft.AppliedIndex(); at > n.raft.snapshot.Index {
 		n.compact(fmt.Append(nil, "state at ", at))
-		if err := s.checkSnapshot(n.snap); err != nil {
+		if err := s.checkSnapshot(n.snapshot); err != nil {
 			return fmt.Errorf("%d makes %w", n.self.ID, err)
 		}
 	}
@@ -357,7 +357,7 @@
 	for seed := range uint64(12) {
 		var logs [2][]byte
 		for i := range logs {
-			s := newSchedule(seed, 3, 2)
+			s := newRandomSchedule(seed, 3, 2)
 			s.record()
 			if err := s.run(1500); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
@@ -376,8 +376,8 @@
 	}
 }
 
-// schedules is how many TestSchedules plays: CORE_SCHEDULES, if that is set.
-func schedules(t *testing.T) uint64 {
+// scheduleCount is how many TestSchedules plays: CORE_SCHEDULES, if that is set.
+func scheduleCount(t *testing.T) uint64 {
 	text := os.Getenv("CORE_SCHEDULES")
 	switch n, err := strconv.ParseUint(text, 10, 64); {
 	case text != "" && err != nil:
@@ -393,13 +393,13 @@
 // Random schedules break nothing.
 func TestSchedules(t *testing.T) {
 	wipes, departures := 0, 0
-	for seed := range schedules(t) {
-		s := newSchedule(seed, 3, 2)
+	for seed := range scheduleCount(t) {
+		s := newRandomSchedule(seed, 3, 2)
 		if err := s.run(1500); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		wipes += s.wipes
-		departures += s.departures
+		departures += s.leavesGranted
 	}
-	t.Logf("%d schedules, %d disks lost, %d departures", schedules(t), wipes, departures)
+	t.Logf("%d schedules, %d disks lost, %d departures", scheduleCount(t), wipes, departures)
 }
--- a/internal/exchange/core/startup_test.go
+++ b/internal/exchange/core/startup_test.go
@@ -16,17 +16,17 @@
 	var took []time.Duration
 	for seed := uint64(1); seed <= 300; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		f := newFleet(t, seed, "a", "b", "c")
+		f := newSimulation(t, seed, "a", "b", "c")
 		f.run(3 * time.Second)
-		lead := f.leads()
+		lead := f.leaderAddr()
 		behind := f.addrs()[rng.IntN(3)]
-		f.cut[behind] = behind != lead
-		f.nodes[lead].c.Propose(f.now, []byte("x"))
-		f.turn(lead)
+		f.isolated[behind] = behind != lead
+		f.members[lead].raft.Propose(f.now, []byte("x"))
+		f.processReady(lead)
 		f.run(50 * time.Millisecond)
 		start := map[string]time.Duration{}
 		for _, a := range f.addrs() {
-			f.cut[a] = true
+			f.isolated[a] = true
 			start[a] = f.now + time.Duration(rng.Int64N(int64(spread)))
 		}
 		f.queue = nil
@@ -34,22 +34,22 @@
 		for _, at := range start {
 			last = max(last, at)
 		}
-		for f.leads() == "" || f.now < last {
+		for f.leaderAddr() == "" || f.now < last {
 			f.run(step)
 			for a, at := range start {
-				if f.cut[a] && f.now >= at {
-					f.cut[a] = false
-					f.nodes[a].now = f.now
-					f.nodes[a].start()
+				if f.isolated[a] && f.now >= at {
+					f.isolated[a] = false
+					f.members[a].now = f.now
+					f.members[a].start()
 				}
 			}
-			if f.now > last+2*electionT {
+			if f.now > last+2*testElectionTimeout {
 				t.Fatalf("seed %d: no leader", seed)
 			}
 		}
 		took = append(took, f.now-last)
 	}
 	slices.Sort(took)
-	assert.Assert(t, took[len(took)/2] < electionT/4, "in the median %v after the last start", took[len(took)/2])
+	assert.Assert(t, took[len(took)/2] < testElectionTimeout/4, "in the median %v after the last start", took[len(took)/2])
 	t.Logf("a leader %v after the last start (median), at most %v", took[len(took)/2], took[len(took)-1])
 }
