--- a/internal/exchange/dialplan/dialplan.go
+++ b/internal/exchange/dialplan/dialplan.go
@@ -19,41 +19,41 @@
 
 // Kinds of routes.
 const (
-	Once       Kind = iota // at most once for each try
+	AtMostOnce Kind = iota // at most once for each try
 	Keyed                  // at most once for each key
 	Idempotent             // any number of times
 	Download               // the same, and answers are large
 )
 
-// Repeatable says that requests may run more than once.
-func (k Kind) Repeatable() bool { return k >= Idempotent }
+// IsIdempotent says that requests may run more than once.
+func (k Kind) IsIdempotent() bool { return k >= Idempotent }
 
 // Route is one route as it is in force.
 type Route struct {
-	Name, Host, Prefix string
-	Version            int64
-	Kind               Kind
-	Split              []patch.Split // of a sum over 0
-	Timeout, Aim       time.Duration
-	Attempts           int // servers that one try may be sent to
-	Priority           int // 0 is the highest
-	sum                float64
-	marks              map[string]*classmark.Mark // by the service that is called
+	Name, Host, Prefix     string
+	Version                int64
+	Kind                   Kind
+	Destinations           []patch.WeightedService // of a sum over 0
+	Timeout, LatencyTarget time.Duration
+	MaxAttempts            int // servers that one try may be sent to
+	Priority               int // 0 is the highest
+	totalWeight            float64
+	policies               map[string]*classmark.Decision // by the service that is called
 }
 
-// Mark is the merged rule for requests that go to a service; nil: no namespace has a word on them, and the route holds as it is.
-func (r *Route) Mark(service string) *classmark.Mark { return r.marks[service] }
+// PolicyDecision is the merged rule for requests that go to a service; nil: no namespace has a word on them, and the route holds as it is.
+func (r *Route) PolicyDecision(service string) *classmark.Decision { return r.policies[service] }
 
-// SendsTo says that a service is among those that the route sends to.
-func (r *Route) SendsTo(service string) bool {
-	return slices.ContainsFunc(r.Split, func(s patch.Split) bool { return s.Service == service && s.Weight > 0 })
+// HasDestination says that a service is among those that the route sends to.
+func (r *Route) HasDestination(service string) bool {
+	return slices.ContainsFunc(r.Destinations, func(s patch.WeightedService) bool { return s.Service == service && s.Weight > 0 })
 }
 
-// Service is where a request goes, for a number drawn uniformly from [0, 1).
-func (r *Route) Service(draw float64) string {
-	draw *= r.sum
+// PickService is where a request goes, for a number drawn uniformly from [0, 1).
+func (r *Route) PickService(draw float64) string {
+	draw *= r.totalWeight
 	last := ""
-	for _, s := range r.Split {
+	for _, s := range r.Destinations {
 		if s.Weight <= 0 {
 			continue
 		}
@@ -65,43 +65,43 @@
 	return last
 }
 
-// Plan is all routes.
-type Plan struct {
-	byName  map[string]*Route
-	byHost  map[string][]*Route    // the longest prefix first
-	Groups  map[string]patch.Group // the services
-	Limits  patch.Bounds
-	Longest time.Duration // of the routes' timeouts
+// Table is all routes.
+type Table struct {
+	byName     map[string]*Route
+	byHost     map[string][]*Route          // the longest prefix first
+	Services   map[string]patch.ServiceSpec // the services
+	Limits     patch.LimitsSpec
+	MaxTimeout time.Duration // of the routes' timeouts
 }
 
-// Make makes the plan of the items that stand.
-func Make(t patch.Table) *Plan { return MakeRuled(t, patch.Table{}, "") }
+// NewTable makes the plan of the items that stand.
+func NewTable(t patch.Table) *Table { return NewTableWithPolicies(t, patch.Table{}, "") }
 
-// MakeRuled is Make with the namespaces and rulings of another table, as they hold for a service that calls.
-func MakeRuled(t, rules patch.Table, caller string) *Plan {
-	p := &Plan{byName: map[string]*Route{}, byHost: map[string][]*Route{}, Groups: map[string]patch.Group{}}
+// NewTableWithPolicies is Make with the namespaces and rulings of another table, as they hold for a service that calls.
+func NewTableWithPolicies(t, rules patch.Table, caller string) *Table {
+	p := &Table{byName: map[string]*Route{}, byHost: map[string][]*Route{}, Services: map[string]patch.ServiceSpec{}}
 	for _, i := range t.Items() {
 		switch {
-		case i.Dropped:
-		case i.Kind == patch.Limits:
+		case i.Deleted:
+		case i.Kind == patch.KindLimits:
 			json.Unmarshal(i.Body, &p.Limits) // checked when it was taken
-		case i.Kind == patch.Service:
-			var g patch.Group
+		case i.Kind == patch.KindService:
+			var g patch.ServiceSpec
 			json.Unmarshal(i.Body, &g)
-			p.Groups[i.Name.Name] = g
-		case i.Kind == patch.Route:
-			if r := route(i); r != nil {
+			p.Services[i.Key.Name] = g
+		case i.Kind == patch.KindRoute:
+			if r := newRoute(i); r != nil {
 				p.byName[r.Name] = r
 				host := strings.ToLower(r.Host)
 				p.byHost[host] = append(p.byHost[host], r)
-				p.Longest = max(p.Longest, r.Timeout)
+				p.MaxTimeout = max(p.MaxTimeout, r.Timeout)
 			}
 		}
 	}
-	if rules.AnyRuled() {
-		set := patch.Marks(t, rules)
+	if rules.HasPolicyItems() {
+		set := patch.NewPolicySet(t, rules)
 		for _, r := range p.byName {
-			r.mark(set, caller)
+			r.bindPolicies(set, caller)
 		}
 	}
 	for _, l := range p.byHost {
@@ -110,15 +110,15 @@
 	return p
 }
 
-func route(i patch.Item) *Route {
-	rule := i.Rule()
+func newRoute(i patch.Item) *Route {
+	rule := i.RouteSpec()
 	if rule == nil {
 		return nil
 	}
-	r := &Route{Name: rule.Name, Host: i.Host, Prefix: rule.MatchCriteria.PathPrefix, Version: i.Version, Split: rule.Services(),
-		Timeout: rule.ForwardAction.TimeoutS.D(), Aim: rule.TargetLatencyS.D(), Attempts: rule.ForwardAction.RetryCount, Priority: rule.Priority}
-	if r.Aim <= 0 || r.Aim > r.Timeout {
-		r.Aim = r.Timeout
+	r := &Route{Name: rule.Name, Host: i.Host, Prefix: rule.MatchCriteria.PathPrefix, Version: i.Version, Destinations: rule.Destinations(),
+		Timeout: rule.ForwardAction.TimeoutS.Duration(), LatencyTarget: rule.TargetLatencyS.Duration(), MaxAttempts: rule.ForwardAction.RetryCount, Priority: rule.Priority}
+	if r.LatencyTarget <= 0 || r.LatencyTarget > r.Timeout {
+		r.LatencyTarget = r.Timeout
 	}
 	switch rule.RouteType {
 	case "keyed":
@@ -128,29 +128,29 @@
 	case "download":
 		r.Kind = Download
 	}
-	for _, s := range r.Split {
-		r.sum += s.Weight
+	for _, s := range r.Destinations {
+		r.totalWeight += s.Weight
 	}
 	return r
 }
 
-func (r *Route) mark(set *classmark.Set, caller string) {
+func (r *Route) bindPolicies(set *classmark.Set, caller string) {
 	of, is := set.Route(r.Name)
 	if !is {
 		return
 	}
-	for _, s := range r.Split {
-		if words, ruled := set.Words(of, s.Service, caller); ruled {
-			if r.marks == nil {
-				r.marks = map[string]*classmark.Mark{}
+	for _, s := range r.Destinations {
+		if words, ruled := set.ClausesFor(of, s.Service, caller); ruled {
+			if r.policies == nil {
+				r.policies = map[string]*classmark.Decision{}
 			}
-			r.marks[s.Service] = words.Mark(of, caller)
+			r.policies[s.Service] = words.Decide(of, caller)
 		}
 	}
 }
 
-// Find is the route of a request; nil: there is none.
-func (p *Plan) Find(host, path string) *Route {
+// Match is the route of a request; nil: there is none.
+func (p *Table) Match(host, path string) *Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
 	}
@@ -166,17 +166,17 @@
 	return nil
 }
 
-// Named is a route by its name; nil: there is none.
-func (p *Plan) Named(name string) *Route { return p.byName[name] }
+// Route is a route by its name; nil: there is none.
+func (p *Table) Route(name string) *Route { return p.byName[name] }
 
 // Routes are all, in no order.
-func (p *Plan) Routes() map[string]*Route { return p.byName }
+func (p *Table) Routes() map[string]*Route { return p.byName }
 
-// Services are all that a route may send to, with the routes that do.
-func (p *Plan) Services() map[string][]*Route {
+// RoutesByService are all that a route may send to, with the routes that do.
+func (p *Table) RoutesByService() map[string][]*Route {
 	m := map[string][]*Route{}
 	for _, r := range p.byName {
-		for _, s := range r.Split {
+		for _, s := range r.Destinations {
 			m[s.Service] = append(m[s.Service], r)
 		}
 	}
--- a/internal/exchange/directory/directory_test.go
+++ b/internal/exchange/directory/directory_test.go
@@ -11,25 +11,25 @@
 // said, not later.
 func TestAllOrders(t *testing.T) {
 	records := []Record{
-		{Addr: "a", Life: 1, Seq: 1, Server: "s1", State: Ready, Warmup: 3 * time.Second},
-		{Addr: "a", Life: 1, Seq: 2, Server: "s1", State: Draining, Warmup: 3 * time.Second},
-		{Addr: "a", Life: 2, Seq: 1, Server: "s2", State: Ready},
-		{Addr: "a", Life: 1, Seq: 2, Server: "s1", State: Draining, Warmup: 3 * time.Second},
-		{Addr: "", Life: 9, Seq: 9},
+		{Addr: "a", Incarnation: 1, Sequence: 1, ServerID: "s1", State: ServerReady, Warmup: 3 * time.Second},
+		{Addr: "a", Incarnation: 1, Sequence: 2, ServerID: "s1", State: ServerDraining, Warmup: 3 * time.Second},
+		{Addr: "a", Incarnation: 2, Sequence: 1, ServerID: "s2", State: ServerReady},
+		{Addr: "a", Incarnation: 1, Sequence: 2, ServerID: "s1", State: ServerDraining, Warmup: 3 * time.Second},
+		{Addr: "", Incarnation: 9, Sequence: 9},
 	}
 	var try func(table Table, left []int, now time.Duration)
 	try = func(table Table, left []int, now time.Duration) {
 		if len(left) == 0 {
 			r, is := table.Get("a")
 			assert.Assert(t, is && table.Len() == 1)
-			assert.Equal(t, r.Server, "s2")
-			assert.Equal(t, r.Boot, time.Duration(0))
+			assert.Equal(t, r.ServerID, "s2")
+			assert.Equal(t, r.WarmAt, time.Duration(0))
 		}
 		for n, i := range left {
 			next, _ := table.Merge(now, records[i:i+1])
-			if r, is := next.Get("a"); is && r.Server == "s1" {
+			if r, is := next.Get("a"); is && r.ServerID == "s1" {
 				was, had := table.Get("a")
-				assert.Assert(t, r.Boot == now+3*time.Second || had && r.Boot == was.Boot)
+				assert.Assert(t, r.WarmAt == now+3*time.Second || had && r.WarmAt == was.WarmAt)
 			}
 			try(next, append(append([]int(nil), left[:n]...), left[n+1:]...), now+time.Second)
 		}
@@ -38,11 +38,11 @@
 }
 
 func TestExpire(t *testing.T) {
-	table, news := Table{}.Merge(0, []Record{{Addr: "a", Life: 1}, {Addr: "b", Life: 1}, {Addr: "a", Life: 1}})
+	table, news := Table{}.Merge(0, []Record{{Addr: "a", Incarnation: 1}, {Addr: "b", Incarnation: 1}, {Addr: "a", Incarnation: 1}})
 	assert.Equal(t, len(news), 2)
-	table, _ = table.Merge(20*time.Second, []Record{{Addr: "b", Life: 1, Seq: 1}})
+	table, _ = table.Merge(20*time.Second, []Record{{Addr: "b", Incarnation: 1, Sequence: 1}})
 	table, dropped := table.Expire(31*time.Second, 30*time.Second)
 	assert.Assert(t, len(dropped) == 1 && dropped[0].Addr == "a" && table.Len() == 1)
-	l := Of(Wire([]Record{{Addr: "c", State: Draining, Gone: true, Warmup: time.Second, Slots: 3}}))
-	assert.DeepEqual(t, l[0], Record{Addr: "c", State: Draining, Gone: true, Warmup: time.Second, Slots: 3})
+	l := FromWire(ToWire([]Record{{Addr: "c", State: ServerDraining, Leaving: true, Warmup: time.Second, Slots: 3}}))
+	assert.DeepEqual(t, l[0], Record{Addr: "c", State: ServerDraining, Leaving: true, Warmup: time.Second, Slots: 3})
 }
--- a/internal/exchange/jack/jack.go
+++ b/internal/exchange/jack/jack.go
@@ -11,7 +11,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
-var check = func() *validator.Validate {
+var validate = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
@@ -25,33 +25,33 @@
 
 // Check checks a struct by its tags; nil: it is fine.
 func Check(v any) *Fault {
-	err := check.Struct(v)
+	err := validate.Struct(v)
 	if err == nil {
 		return nil
 	}
-	bad, is := err.(validator.ValidationErrors)
+	invalid, is := err.(validator.ValidationErrors)
 	if !is {
 		return &Fault{"", err.Error()}
 	}
-	_, field, _ := strings.Cut(bad[0].Namespace(), ".")
-	return &Fault{field, fmt.Sprintf("is %v; wanted: %s", bad[0].Value(), strings.TrimSpace(bad[0].Tag()+" "+bad[0].Param()))}
+	_, field, _ := strings.Cut(invalid[0].Namespace(), ".")
+	return &Fault{field, fmt.Sprintf("is %v; wanted: %s", invalid[0].Value(), strings.TrimSpace(invalid[0].Tag()+" "+invalid[0].Param()))}
 }
 
-// Line is where in a text, from 1, the field of that path is named: the parts of the path one after another, as JSON or YAML
+// LineOf is where in a text, from 1, the field of that path is named: the parts of the path one after another, as JSON or YAML
 // name them; 0: the first is not there. A part that is missing counts as where the one before it stands.
-func Line(text []byte, path string) int {
+func LineOf(text []byte, path string) int {
 	at, found := 0, false
 	for _, part := range strings.Split(path, ".") {
 		name, _, _ := strings.Cut(part, "[")
 		if name == "" {
 			continue
 		}
-		m := regexp.MustCompile(`(?m)"` + regexp.QuoteMeta(name) + `"\s*:|^\s*(?:- )?` + regexp.QuoteMeta(name) + `\s*:`).FindIndex(text[at:])
-		if m == nil {
+		match := regexp.MustCompile(`(?m)"` + regexp.QuoteMeta(name) + `"\s*:|^\s*(?:- )?` + regexp.QuoteMeta(name) + `\s*:`).FindIndex(text[at:])
+		if match == nil {
 			break
 		}
-		name1 := bytes.Index(text[at+m[0]:], []byte(name))
-		at, found = at+m[0]+name1, true
+		nameOffset := bytes.Index(text[at+match[0]:], []byte(name))
+		at, found = at+match[0]+nameOffset, true
 	}
 	if !found {
 		return 0
--- a/internal/exchange/jack/jack_test.go
+++ b/internal/exchange/jack/jack_test.go
@@ -17,9 +17,9 @@
 	f := Check(outer{[]inner{{1}, {0}}})
 	assert.DeepEqual(t, *f, Fault{"List[1].TheNumber", "is 0; wanted: gt 0"})
 	yaml := []byte("A: 1\nList:\n- TheNumber: 1\n- TheNumber: 0\nB:\n  A: 2\n")
-	assert.Equal(t, Line(yaml, "List[1].TheNumber"), 3) // of the first that has the name
-	assert.Equal(t, Line(yaml, "B.A"), 6)
-	assert.Equal(t, Line(yaml, "B.none"), 5)
-	assert.Equal(t, Line(yaml, "none"), 0)
-	assert.Equal(t, Line([]byte("{\"a\":\n{\"b\" : 2}}"), "a.b"), 2)
+	assert.Equal(t, LineOf(yaml, "List[1].TheNumber"), 3) // of the first that has the name
+	assert.Equal(t, LineOf(yaml, "B.A"), 6)
+	assert.Equal(t, LineOf(yaml, "B.none"), 5)
+	assert.Equal(t, LineOf(yaml, "none"), 0)
+	assert.Equal(t, LineOf([]byte("{\"a\":\n{\"b\" : 2}}"), "a.b"), 2)
 }
--- a/internal/exchange/line/answers_test.go
+++ b/internal/exchange/line/answers_test.go
@@ -22,8 +22,8 @@
 
 // Servers answer twice, late, in another's name, in none, with more bytes than told, in chunks, long, or turn calls away, to
 // many callers at once on one cord. Each caller has its own answer, and what may not be repeated runs once.
-func TestServersInTrouble(t *testing.T) {
-	x := startChain(t, 2)
+func TestFaultyServers(t *testing.T) {
+	x := startCallChain(t, 2)
 	hows := []string{"plain", "twice", "late", "more", "chunks", "long", "shed", "failed", "contrary", "unnamed", "wrong"}
 	var all sync.WaitGroup
 	for _, kind := range []kindOfCall{onceCall, keyedCall, repeatableCall} {
@@ -32,7 +32,7 @@
 				c := x.dial()
 				defer func() { c.c.Close() }()
 				for round := range 12 {
-					attempt, key := attemptID(), ""
+					attempt, key := newAttemptID(), ""
 					if kind == keyedCall {
 						key = "k-" + attempt
 					}
@@ -56,7 +56,7 @@
 		await(t, func() bool {
 			key := ""
 			if kind == keyedCall {
-				key = "k-" + attemptID()
+				key = "k-" + newAttemptID()
 			}
 			if x.call(kind, "plain", key, 2*time.Second).Status == 200 {
 				served++
@@ -64,22 +64,22 @@
 			return served == 10
 		})
 	}
-	x.clean()
+	x.assertNoViolations()
 }
 
 // Many calls are at work on one cord when it is cut: each is told that it may have run, and none runs again.
-func TestManyOnOneCord(t *testing.T) {
+func TestManyAttemptsOnOneUpstream(t *testing.T) {
 	for _, mode := range []cutMode{cutReset, cutClose, cutLate} {
 		t.Run(string(mode), func(t *testing.T) {
 			t.Parallel()
-			x := startChain(t, 1)
+			x := startCallChain(t, 1)
 			hold := make(chan struct{})
-			x.apps[0].hold.Store(&hold)
+			x.fakeServers[0].hold.Store(&hold)
 			const many = 3
 			var all sync.WaitGroup
 			ids := make([]string, many)
 			for n := range ids {
-				ids[n] = attemptID()
+				ids[n] = newAttemptID()
 				all.Go(func() {
 					answer := x.callAs(ids[n], onceCall, "plain", "", 5*time.Second)
 					if want := map[bool]int{true: 200, false: 502}[mode == cutLate]; answer.Status != want {
@@ -95,8 +95,8 @@
 				return n == many
 			})
 			c := newCut(mode, false, 10)
-			cutID := attemptID()
-			x.cords[0].plan(cutID, c)
+			cutID := newAttemptID()
+			x.upstreamRelays[0].plan(cutID, c)
 			all.Go(func() { x.callAs(cutID, onceCall, "plain", "", 5*time.Second) })
 			<-c.struck
 			close(c.mended)
@@ -112,20 +112,20 @@
 			close(hold)
 			all.Wait()
 			assert.Equal(t, x.call(repeatableCall, "plain", "", 5*time.Second).Status, 200)
-			x.clean()
+			x.assertNoViolations()
 		})
 	}
 }
 
 // A caller that breaks off behind each byte of its request, or is gone before the answer: what is not whole never runs.
-func TestCallerBreaksOff(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	for _, mode := range []cutMode{cutReset, cutClose} {
 		for _, kind := range []kindOfCall{onceCall, keyedCall} {
 			t.Run(fmt.Sprintf("%s/%s", mode, kind), func(t *testing.T) {
 				t.Parallel()
-				x := startChain(t, 1)
+				x := startCallChain(t, 1)
 				for n, of := 1, 2; n <= of; n++ {
-					attempt, key := attemptID(), ""
+					attempt, key := newAttemptID(), ""
 					if kind == keyedCall {
 						key = "k-" + attempt
 					}
@@ -151,8 +151,8 @@
 // Two calls that may not be repeated in one segment, and bytes behind them that are no request: two answers, in order, and no
 // third that is a call's.
 func TestCallsInOneSegment(t *testing.T) {
-	x := startChain(t, 1)
-	a, b := attemptID(), attemptID()
+	x := startCallChain(t, 1)
+	a, b := newAttemptID(), newAttemptID()
 	c := x.dial()
 	defer c.c.Close()
 	x.history.asked(a, onceCall, "")
@@ -160,18 +160,18 @@
 	_, err := io.WriteString(c.c, requestText(a, onceCall, "plain", "", 15*time.Second)+requestText(b, onceCall, "plain", "", 15*time.Second)+"and more\r\n\r\n")
 	assert.NilError(t, err)
 	for _, id := range []string{a, b} {
-		answer := c.answer()
+		answer := c.readAnswer()
 		assert.Equal(t, answer.Status, 200)
 		x.history.answered(id, answer)
 	}
-	assert.Equal(t, c.answer().Status, 400)
-	x.clean()
+	assert.Equal(t, c.readAnswer().Status, 400)
+	x.assertNoViolations()
 }
 
 // A caller that waits for 100 before it sends its body has that, and one answer.
 func TestExpectContinue(t *testing.T) {
-	x := startChain(t, 1)
-	id := attemptID()
+	x := startCallChain(t, 1)
+	id := newAttemptID()
 	x.history.asked(id, onceCall, "")
 	c := x.dial()
 	defer c.c.Close()
@@ -183,19 +183,19 @@
 	assert.NilError(t, err)
 	assert.Equal(t, x.history.runs(id), 0)
 	io.WriteString(c.c, callBody)
-	x.history.answered(id, c.answer())
+	x.history.answered(id, c.readAnswer())
 	assert.Equal(t, x.call(repeatableCall, "plain", "", 2*time.Second).Status, 200)
-	x.clean()
+	x.assertNoViolations()
 }
 
 // Planted: an id of a request is used again while the first is at work. The second is not sent by it and told so, and the first
 // has its own answer; without that the first's is lost, or goes to the second.
-func TestStreamIDUsedAgainPlanted(t *testing.T) {
+func TestStreamIDReuseInjected(t *testing.T) {
 	for range 5 {
-		x := startChain(t, 1)
+		x := startCallChain(t, 1)
 		hold := make(chan struct{})
-		x.apps[0].hold.Store(&hold)
-		first, second := attemptID(), attemptID()
+		x.fakeServers[0].hold.Store(&hold)
+		first, second := newAttemptID(), newAttemptID()
 		var all sync.WaitGroup
 		all.Go(func() {
 			if answer := x.callAs(first, onceCall, "plain", "", 5*time.Second); answer.Status != 200 {
@@ -203,29 +203,29 @@
 			}
 		})
 		await(t, func() bool { return x.history.runs(first) == 1 })
-		x.near.cords.next.Add(^uint64(0))
+		x.near.upstreams.lastStreamID.Add(^uint64(0))
 		if answer := x.callAs(second, onceCall, "plain", "", 5*time.Second); answer.Status != 503 {
 			t.Errorf("the second: %+v", answer)
 		}
 		close(hold)
 		all.Wait()
-		x.clean()
+		x.assertNoViolations()
 	}
 }
 
 // A line that uses an id again while the first is at work is told nothing more: no answer on that trunk can be told apart.
-func TestStreamIDUsedAgainByAnother(t *testing.T) {
-	x := startChain(t, 1)
+func TestStreamIDReuseByPeer(t *testing.T) {
+	x := startCallChain(t, 1)
 	hold := make(chan struct{})
-	x.apps[0].hold.Store(&hold)
+	x.fakeServers[0].hold.Store(&hold)
 	defer close(hold)
 	c, err := trunk.Dial(context.Background(), x.far[0].Addr(), &wire.HelloT{Name: "other"}, nil)
 	assert.NilError(t, err)
 	defer c.Close(nil)
-	ids := []string{attemptID(), attemptID()}
+	ids := []string{newAttemptID(), newAttemptID()}
 	for n, id := range ids {
-		request := &wire.RequestT{Id: 7, Attempt: id, Method: "GET", Target: "/once/plain", Host: chainHost, Budget: time.Minute.Microseconds(), Server: "i-0",
-			Once: true, Fields: []*wire.FieldT{{Name: hAttempt, Value: id}}}
+		request := &wire.RequestT{Id: 7, AttemptId: id, Method: "GET", Target: "/once/plain", Host: chainHost, TimeoutUs: time.Minute.Microseconds(), ServerId: "i-0",
+			AtMostOnce: true, HeaderFields: []*wire.HeaderFieldT{{Name: headerAttemptID, Value: id}}}
 		assert.NilError(t, c.Send(request))
 		if n == 0 {
 			await(t, func() bool { return x.history.runs(id) == 1 })
@@ -238,19 +238,19 @@
 
 // Planted: a line gives answers in the order of their requests in place of by their ids. They are none, and no caller has
 // another's.
-func TestAnswersByOrderPlanted(t *testing.T) {
-	x := startChain(t, 1)
+func TestAnswersByOrderInjected(t *testing.T) {
+	x := startCallChain(t, 1)
 	const pairs = 10
 	for range pairs {
 		hold := make(chan struct{})
-		x.apps[0].hold.Store(&hold)
-		ids := []string{attemptID(), attemptID()}
+		x.fakeServers[0].hold.Store(&hold)
+		ids := []string{newAttemptID(), newAttemptID()}
 		var mu sync.Mutex
 		of := map[string]uint64{}
-		x.cords[0].mu.Lock()
-		x.cords[0].change = func(p passing) []byte {
+		x.upstreamRelays[0].mu.Lock()
+		x.upstreamRelays[0].change = func(p relayedMessage) []byte {
 			m, err := trunk.Decode(p.raw[4:])
-			a, is := m.Value.(*wire.AnswerT)
+			a, is := m.Value.(*wire.ResponseT)
 			if err != nil || !is {
 				return p.raw
 			}
@@ -261,7 +261,7 @@
 			}
 			return trunk.Encode(a)
 		}
-		x.cords[0].mu.Unlock()
+		x.upstreamRelays[0].mu.Unlock()
 		var all sync.WaitGroup
 		for _, id := range ids {
 			all.Go(func() {
@@ -272,10 +272,10 @@
 		}
 		await(t, func() bool { return x.history.runs(ids[0])+x.history.runs(ids[1]) == 2 })
 		numbers := map[string]uint64{}
-		for _, to := range x.near.cords.to {
+		for _, to := range x.near.upstreams.byAddr {
 			to.mu.Lock()
-			for n, p := range to.open {
-				numbers[p.name] = n
+			for n, p := range to.attempts {
+				numbers[p.attemptID] = n
 			}
 			to.mu.Unlock()
 		}
@@ -285,18 +285,18 @@
 		close(hold)
 		all.Wait()
 	}
-	x.clean()
+	x.assertNoViolations()
 }
 
-// plantEnding has an ending be taken for another until the test's end.
-func plantEnding(t *testing.T, word byte, as hollyspur.Ending) {
-	was := endings[word]
-	endings[word] = as
-	t.Cleanup(func() { endings[word] = was })
+// injectEnding has an ending be taken for another until the test's end.
+func injectEnding(t *testing.T, word byte, as hollyspur.Ending) {
+	was := endingsByCode[word]
+	endingsByCode[word] = as
+	t.Cleanup(func() { endingsByCode[word] = was })
 }
 
-// found counts the violations of a kind.
-func (x *chain) found(kind string) (n int) {
+// countViolations counts the violations of a kind.
+func (x *callChain) countViolations(kind string) (n int) {
 	for _, v := range x.history.violations() {
 		if len(v) >= len(kind) && v[:len(kind)] == kind {
 			n++
@@ -306,7 +306,7 @@
 }
 
 // Planted: a call whose bytes went out is tried again, or called not run. Each is found where an answer is cut.
-func TestRetriesPlanted(t *testing.T) {
+func TestRetriesInjected(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		as      hollyspur.Ending
@@ -314,10 +314,10 @@
 		kind    string
 	}{{"tried again", hollyspur.Unreachable, 2, "TWICE"}, {"called not run", hollyspur.Overloaded, 1, "REFUSED"}} {
 		t.Run(c.name, func(t *testing.T) {
-			plantEnding(t, endBroken, c.as)
-			x := startChain(t, c.servers)
+			injectEnding(t, codeBroken, c.as)
+			x := startCallChain(t, c.servers)
 			points := x.sweep(toServer, onceCall, cutReset, true, 0, 5)
-			found := x.found(c.kind)
+			found := x.countViolations(c.kind)
 			t.Logf("found in %d of %d cuts", found, points)
 			if found == 0 {
 				t.Error("not found")
@@ -327,20 +327,22 @@
 }
 
 // Planted: the registers grant a key to a second line while the first holds it, as one that is late would. Found as a second run.
-func TestLateGrantPlanted(t *testing.T) {
-	x := startChain(t, 2)
-	x.registers.mu.Lock()
-	x.registers.grant = func(_ ticket.Claim, _ ticket.Grant) ticket.Grant { return ticket.Grant{Granted: true} }
-	x.registers.mu.Unlock()
+func TestLateGrantInjected(t *testing.T) {
+	x := startCallChain(t, 2)
+	x.controlPlane.mu.Lock()
+	x.controlPlane.overrideGrant = func(_ ticket.LeaseRequest, _ ticket.LeaseResult) ticket.LeaseResult {
+		return ticket.LeaseResult{Granted: true}
+	}
+	x.controlPlane.mu.Unlock()
 	const keys = 20
 	for range keys {
-		attempt := attemptID()
+		attempt := newAttemptID()
 		key := "k-" + attempt
 		for range 4 {
 			x.call(keyedCall, "plain", key, 2*time.Second)
 		}
 	}
-	found := x.found("TWICE")
+	found := x.countViolations("TWICE")
 	t.Logf("found for %d of %d keys", found, keys)
 	if found == 0 {
 		t.Error("not found")
@@ -353,13 +355,13 @@
 	for _, taken := range []bool{false, true} {
 		t.Run(fmt.Sprintf("taken late=%v", taken), func(t *testing.T) {
 			t.Parallel()
-			x := startChain(t, 2)
+			x := startCallChain(t, 2)
 			for range 4 {
 				late := make(chan struct{})
-				x.registers.mu.Lock()
-				x.registers.late, x.registers.taken = late, taken
-				x.registers.mu.Unlock()
-				key := "k-" + attemptID()
+				x.controlPlane.mu.Lock()
+				x.controlPlane.heldBack, x.controlPlane.holdRequests = late, taken
+				x.controlPlane.mu.Unlock()
+				key := "k-" + newAttemptID()
 				var all sync.WaitGroup
 				for range 2 { // by whichever line is drawn
 					all.Go(func() {
@@ -369,15 +371,15 @@
 					})
 				}
 				all.Wait()
-				x.registers.mu.Lock()
-				x.registers.late = nil
-				x.registers.mu.Unlock()
+				x.controlPlane.mu.Lock()
+				x.controlPlane.heldBack = nil
+				x.controlPlane.mu.Unlock()
 				close(late)
 				for range 4 {
 					x.call(keyedCall, "plain", key, 2*time.Second)
 				}
 			}
-			x.clean()
+			x.assertNoViolations()
 		})
 	}
 }
@@ -385,14 +387,14 @@
 // A caller uses one Attempt-Id for two calls of a key. They are two calls: what the first holds is not granted to a later try
 // of the second.
 func TestAttemptIDUsedTwice(t *testing.T) {
-	x := startChain(t, 3)
+	x := startCallChain(t, 3)
 	only := func(server int) {
 		for n, far := range x.far {
-			far.inbound.ending.Store(n != server) // turned away before their key is claimed
+			far.inbound.draining.Store(n != server) // turned away before their key is claimed
 		}
 	}
 	for range 20 {
-		attempt := attemptID()
+		attempt := newAttemptID()
 		key := "k-" + attempt
 		only(0)
 		await(t, func() bool { return x.callAs(attempt, keyedCall, "plain", key, 2*time.Second).Status == 200 })
@@ -400,7 +402,7 @@
 		x.callAs(attempt, keyedCall, "plain", key, 2*time.Second)
 	}
 	// A 503 to one of the two says nothing of the other, and the history knows them by one id.
-	assert.Equal(t, x.found("TWICE"), 0)
+	assert.Equal(t, x.countViolations("TWICE"), 0)
 }
 
 // An answer that begins twice is broken, and nothing is added to one that has ended: its caller sees the first's end.
@@ -408,16 +410,16 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	go io.Copy(io.Discard, far)
-	c, err := trunk.Accept(prefixed{near, bytes.NewReader(trunk.Encode(&wire.HelloT{Version: trunk.Version}))}, nil)
+	c, err := trunk.Accept(prefixed{near, bytes.NewReader(trunk.Encode(&wire.HelloT{TransportVersion: trunk.ProtocolVersion}))}, nil)
 	assert.NilError(t, err)
 	var streams []*message.Stream
-	p := &sent{c: c, id: 1, ended: make(chan struct{}), a: engine.NewAttempt(nil, nil, time.Second, engine.Hooks{Began: func(r engine.Reply) {
+	p := &upstreamAttempt{conn: c, id: 1, done: make(chan struct{}), attempt: engine.NewAttempt(nil, nil, time.Second, engine.Hooks{Began: func(r engine.Reply) {
 		streams = append(streams, r.(*message.Stream))
 	}})}
-	p.answer(&wire.AnswerT{Id: 1, Status: 200, More: true, Length: -1})
-	p.answer(&wire.AnswerT{Id: 1, Status: 200, More: true, Length: -1})
-	p.piece(&wire.PieceT{Id: 1, Body: []byte("x")})
-	<-p.ended
+	p.applyAnswer(&wire.ResponseT{Id: 1, Status: 200, MoreBody: true, ContentLength: -1})
+	p.applyAnswer(&wire.ResponseT{Id: 1, Status: 200, MoreBody: true, ContentLength: -1})
+	p.handlePiece(&wire.BodyChunkT{Id: 1, Data: []byte("x")})
+	<-p.done
 	assert.Equal(t, len(streams), 1)
 	assert.Equal(t, p.ending, hollyspur.Broken)
 	assert.Assert(t, streams[0].Held() == 0 && streams[0].Trailer() == nil)
--- a/internal/exchange/line/chain_test.go
+++ b/internal/exchange/line/chain_test.go
@@ -42,28 +42,28 @@
 	return l.Addr().String()
 }
 
-// registers stands in for the registers: items, records and keys, all in touch.
-type registers struct {
+// fakeControlPlane stands in for the registers: items, records and keys, all in touch.
+type fakeControlPlane struct {
 	addr string
 
-	mu      sync.Mutex // guards below
-	items   *wire.ItemsT
-	seenAs  map[string]string // a line's address as the others are told it
-	records map[string]*wire.RecordT
-	conns   map[*trunk.Conn]bool
-	book    *ticket.Book
-	grant   func(ticket.Claim, ticket.Grant) ticket.Grant // planted; nil: none
+	mu            sync.Mutex // guards below
+	items         *wire.ItemsT
+	seenAs        map[string]string // a line's address as the others are told it
+	records       map[string]*wire.RecordT
+	conns         map[*trunk.Conn]bool
+	store         *ticket.Store
+	overrideGrant func(ticket.LeaseRequest, ticket.LeaseResult) ticket.LeaseResult // planted; nil: none
 	// late holds back the answers to claims, or with taken the claims themselves, until it is closed; nil: nothing does
-	late  chan struct{}
-	taken bool
+	heldBack     chan struct{}
+	holdRequests bool
 }
 
-func startRegisters(t testing.TB, config string) *registers {
+func startFakeControlPlane(t testing.TB, config string) *fakeControlPlane {
 	t.Helper()
-	items, err := patch.Read([]byte(config))
+	items, err := patch.ParseItems([]byte(config))
 	assert.NilError(t, err)
-	r := &registers{items: patch.Wire(items), seenAs: map[string]string{}, records: map[string]*wire.RecordT{}, conns: map[*trunk.Conn]bool{}, book: ticket.New()}
-	r.items.Whole, r.items.Index = true, 1
+	r := &fakeControlPlane{items: patch.ItemsToWire(items), seenAs: map[string]string{}, records: map[string]*wire.RecordT{}, conns: map[*trunk.Conn]bool{}, store: ticket.New()}
+	r.items.Complete, r.items.Index = true, 1
 	l, err := net.Listen("tcp4", freeAddr(t))
 	assert.NilError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -75,7 +75,7 @@
 				return
 			}
 			go func() {
-				if c, err := trunk.Accept(nc, func() *wire.BeatT { return &wire.BeatT{Touch: true} }); err == nil {
+				if c, err := trunk.Accept(nc, func() *wire.HeartbeatT { return &wire.HeartbeatT{QuorumContact: true} }); err == nil {
 					r.serve(c)
 				}
 			}()
@@ -84,12 +84,12 @@
 	return r
 }
 
-func (r *registers) serve(c *trunk.Conn) {
+func (r *fakeControlPlane) serve(c *trunk.Conn) {
 	r.mu.Lock()
 	r.conns[c] = true
 	r.mu.Unlock()
-	c.Send(&wire.BeatT{Touch: true})
-	r.tell()
+	c.Send(&wire.HeartbeatT{QuorumContact: true})
+	r.broadcast()
 	for {
 		m, err := c.Receive()
 		if err != nil {
@@ -102,8 +102,8 @@
 				r.records[x.Addr] = x
 			}
 			r.mu.Unlock()
-			r.tell()
-		case *wire.AskT:
+			r.broadcast()
+		case *wire.CallT:
 			r.reply(c, v)
 		}
 	}
@@ -113,12 +113,12 @@
 }
 
 // reply answers a call, at once or late.
-func (r *registers) reply(c *trunk.Conn, a *wire.AskT) {
+func (r *fakeControlPlane) reply(c *trunk.Conn, a *wire.CallT) {
 	r.mu.Lock()
-	late, taken := r.late, r.taken
+	late, taken := r.heldBack, r.holdRequests
 	r.mu.Unlock()
-	if late == nil || a.Kind != trunk.AskClaims {
-		c.Send(&wire.ToldT{Id: a.Id, Status: http.StatusOK, Body: r.answer(a)})
+	if late == nil || a.Kind != trunk.CallLeaseKeys {
+		c.Send(&wire.CallReplyT{Id: a.Id, Status: http.StatusOK, Body: r.answer(a)})
 		return
 	}
 	var body []byte
@@ -130,12 +130,12 @@
 		if taken {
 			body = r.answer(a)
 		}
-		c.Send(&wire.ToldT{Id: a.Id, Status: http.StatusOK, Body: body})
+		c.Send(&wire.CallReplyT{Id: a.Id, Status: http.StatusOK, Body: body})
 	}()
 }
 
-// tell tells all lines of all lines.
-func (r *registers) tell() {
+// broadcast tells all lines of all lines.
+func (r *fakeControlPlane) broadcast() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := &wire.RecordsT{}
@@ -151,46 +151,46 @@
 	}
 }
 
-func (r *registers) answer(a *wire.AskT) []byte {
+func (r *fakeControlPlane) answer(a *wire.CallT) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch a.Kind {
-	case trunk.AskTable:
-		return trunk.Bytes(r.items)
-	case trunk.AskBound:
-		return trunk.Bytes(&wire.BoundT{})
-	case trunk.AskClaims:
-		out := &wire.GrantsT{}
-		for _, c := range wire.GetRootAsClaims(a.Body, 0).UnPack().List {
-			claim := ticket.Claim{Key: c.Key, Ticket: c.Ticket, Nth: c.Nth, Holder: c.Holder, Release: c.Release, Window: time.Duration(c.Window) * time.Microsecond}
-			g := r.book.Take(time.Second, claim)
-			if r.grant != nil {
-				g = r.grant(claim, g)
+	case trunk.CallItems:
+		return trunk.EncodeTable(r.items)
+	case trunk.CallActivePolicy:
+		return trunk.EncodeTable(&wire.ActivePolicyT{})
+	case trunk.CallLeaseKeys:
+		out := &wire.KeyLeaseResultsT{}
+		for _, c := range wire.GetRootAsKeyLeaseRequests(a.Body, 0).UnPack().List {
+			claim := ticket.LeaseRequest{Key: c.Key, Token: c.Token, Attempt: c.Attempt, Holder: c.Holder, Release: c.Release, Window: time.Duration(c.WindowUs) * time.Microsecond}
+			g := r.store.Apply(time.Second, claim)
+			if r.overrideGrant != nil {
+				g = r.overrideGrant(claim, g)
 			}
-			out.List = append(out.List, &wire.GrantT{Granted: g.Granted, Holder: g.Held.Holder, Ticket: g.Held.Ticket})
+			out.List = append(out.List, &wire.KeyLeaseResultT{Granted: g.Granted, Holder: g.Current.Holder, Token: g.Current.Token})
 		}
-		return trunk.Bytes(out)
+		return trunk.EncodeTable(out)
 	}
 	return nil
 }
 
-// app is a server beside a line. It runs what it has read whole, and answers as the call's path says.
-type app struct {
+// fakeServer is a server beside a line. It runs what it has read whole, and answers as the call's path says.
+type fakeServer struct {
 	id, addr string
 	history  *callHistory
 	hold     atomic.Pointer[chan struct{}] // answers wait until that is closed
 }
 
-func startApp(t testing.TB, id string, history *callHistory) *app {
+func startFakeServer(t testing.TB, id string, history *callHistory) *fakeServer {
 	t.Helper()
-	a := &app{id: id, history: history}
+	a := &fakeServer{id: id, history: history}
 	a.addr = testkit.Listen(t, a.serve)
 	return a
 }
 
 const httpHeadEnd = "\r\n\r\n"
 
-func (a *app) serve(c net.Conn, r *bufio.Reader) {
+func (a *fakeServer) serve(c net.Conn, r *bufio.Reader) {
 	before := "" // the call answered before on this connection
 	for {
 		req, err := http.ReadRequest(r)
@@ -200,8 +200,8 @@
 		if _, err := io.ReadAll(req.Body); err != nil {
 			return // not whole
 		}
-		id := req.Header.Get(hAttempt)
-		if req.Header.Get(hTarget) != a.id {
+		id := req.Header.Get(headerAttemptID)
+		if req.Header.Get(headerTargetInstance) != a.id {
 			io.WriteString(c, "HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n")
 			continue
 		}
@@ -253,54 +253,54 @@
 	return whole(id, "")
 }
 
-// chain is a caller's line and lines beside servers, each behind a relay.
-type chain struct {
-	t         testing.TB
-	history   *callHistory
-	registers *registers
-	near      *Line
-	far       []*Line
-	apps      []*app
-	cords     []*relay // on the way from near to each far line
-	servers   []*relay // on the way from each far line to its server
+// callChain is a caller's line and lines beside servers, each behind a relay.
+type callChain struct {
+	t              testing.TB
+	history        *callHistory
+	controlPlane   *fakeControlPlane
+	near           *Sidecar
+	far            []*Sidecar
+	fakeServers    []*fakeServer
+	upstreamRelays []*relay // on the way from near to each far line
+	serverRelays   []*relay // on the way from each far line to its server
 }
 
-var chainNumber atomic.Uint64
+var lastAttemptNumber atomic.Uint64
 
-// startChain starts a chain with so many servers.
-func startChain(t testing.TB, servers int) *chain {
+// startCallChain starts a chain with so many servers.
+func startCallChain(t testing.TB, servers int) *callChain {
 	t.Helper()
-	x := &chain{t: t, history: newCallHistory()}
+	x := &callChain{t: t, history: newCallHistory()}
 	rule := func(name string) string {
 		kind := map[string]string{"once": "non_idempotent", "keyed": "keyed", "often": "idempotent"}[name]
 		return fmt.Sprintf(`{"Name":"%s","RouteType":"%s","TargetLatencyS":1,"Priority":1,"ConfigVersion":1,"MatchCriteria":{"PathPrefix":"/%s/"},
 			"ForwardAction":{"Service":"stock","TimeoutS":20,"RetryCount":3}}`, name, kind, name)
 	}
-	x.registers = startRegisters(t, fmt.Sprintf(`{"Upsert":{"ListenerList":[{"HostName":"%s","PolicyRules":[%s,%s,%s]}],
+	x.controlPlane = startFakeControlPlane(t, fmt.Sprintf(`{"Upsert":{"ListenerList":[{"HostName":"%s","PolicyRules":[%s,%s,%s]}],
 		"UpstreamGroups":[{"Name":"stock","HealthPath":"/health","MaxConnections":1000,"Protocol":"h1","TlsEnabled":false,"DedupEnabled":false,"ConfigVersion":1}]}}`,
 		chainHost, rule("once"), rule("keyed"), rule("often")))
 	for n := range servers {
-		far := x.line(fmt.Sprint("far-", n), "stock")
-		r := startRelay(t, far.Addr(), &cordFrames{})
-		x.registers.mu.Lock()
-		x.registers.seenAs[far.Addr()] = r.addr
-		x.registers.mu.Unlock()
-		a := startApp(t, fmt.Sprint("i-", n), x.history)
-		s := startRelay(t, a.addr, &httpMessages{})
-		x.far, x.cords, x.apps, x.servers = append(x.far, far), append(x.cords, r), append(x.apps, a), append(x.servers, s)
-		assert.NilError(t, far.own.beat(a.id, Beat{Address: s.addr, SystemInfo: SystemInfo{Service: "stock", SlotCount: 256}, OperStatus: OperStatus{State: "ready", CallSeq: 1}}))
-		runLine(t, far)
+		far := x.newSidecar(fmt.Sprint("far-", n), "stock")
+		r := startRelay(t, far.Addr(), &upstreamFraming{})
+		x.controlPlane.mu.Lock()
+		x.controlPlane.seenAs[far.Addr()] = r.addr
+		x.controlPlane.mu.Unlock()
+		a := startFakeServer(t, fmt.Sprint("i-", n), x.history)
+		s := startRelay(t, a.addr, &httpFraming{})
+		x.far, x.upstreamRelays, x.fakeServers, x.serverRelays = append(x.far, far), append(x.upstreamRelays, r), append(x.fakeServers, a), append(x.serverRelays, s)
+		assert.NilError(t, far.localServer.heartbeat(a.id, Heartbeat{Address: s.addr, SystemInfo: SystemInfo{Service: "stock", SlotCount: 256}, OperStatus: OperationalStatus{State: "ready", CallSeq: 1}}))
+		runSidecar(t, far)
 	}
-	x.near = x.line("near", "caller")
-	runLine(t, x.near)
+	x.near = x.newSidecar("near", "caller")
+	runSidecar(t, x.near)
 	await(t, func() bool {
 		n := 0
-		for _, r := range x.near.dir.Load().All() {
-			if r.Server != "" && r.State == directory.Ready {
+		for _, r := range x.near.directory.Load().All() {
+			if r.ServerID != "" && r.State == directory.ServerReady {
 				n++
 			}
 		}
-		return n == servers && x.near.serving.Load() && x.near.home.inTouch() && x.call(onceCall, "plain", "", 2*time.Second).Status == 200
+		return n == servers && x.near.serving.Load() && x.near.controlPlane.isReachable() && x.call(onceCall, "plain", "", 2*time.Second).Status == 200
 	})
 	return x
 }
@@ -314,15 +314,15 @@
 	}
 }
 
-// noRing is a log that nobody reads: making one sets what is the process's own.
-var noRing = sync.OnceValue(func() *howler.Howler {
+// discardRing is a log that nobody reads: making one sets what is the process's own.
+var discardRing = sync.OnceValue(func() *howler.Ring {
 	_, ring := howler.New(io.Discard, "test")
 	return ring
 })
 
-func (x *chain) line(name, service string) *Line {
+func (x *callChain) newSidecar(name, service string) *Sidecar {
 	x.t.Helper()
-	host, port, err := net.SplitHostPort(x.registers.addr)
+	host, port, err := net.SplitHostPort(x.controlPlane.addr)
 	assert.NilError(x.t, err)
 	first, err := strconv.Atoi(port)
 	assert.NilError(x.t, err)
@@ -330,14 +330,14 @@
 	set.NodeName, set.IPAddress, set.Zone, set.Service = name, "127.0.0.1", "zone", service
 	set.SeedNodes, set.InternalPortRange = []string{net.JoinHostPort(host, "1")}, []int{first, first + 1}
 	set.HeartbeatS, set.Bounds.GraceS = 600, 0.2
-	set.ListenAddrs = settings.Listen{Inbound: freeAddr(x.t), Outbound: freeAddr(x.t), Readiness: freeAddr(x.t), ControlPlane: freeAddr(x.t)}
-	l, err := New(set, zerolog.Nop(), noRing())
+	set.ListenAddrs = settings.ListenAddresses{Inbound: freeAddr(x.t), Outbound: freeAddr(x.t), Readiness: freeAddr(x.t), ControlPlane: freeAddr(x.t)}
+	l, err := New(set, zerolog.Nop(), discardRing())
 	assert.NilError(x.t, err)
 	return l
 }
 
-// runLine runs a line until the test's end.
-func runLine(t testing.TB, l *Line) {
+// runSidecar runs a line until the test's end.
+func runSidecar(t testing.TB, l *Sidecar) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -349,31 +349,31 @@
 
 // callerConn is a connection of a caller, for any number of calls in turn.
 type callerConn struct {
-	x    *chain
-	c    net.Conn
-	r    *bufio.Reader
-	last bool // the latest answer said that none follows here
+	x          *callChain
+	c          net.Conn
+	r          *bufio.Reader
+	mustRedial bool // the latest answer said that none follows here
 }
 
 // outbound is where callers connect.
-func (x *chain) outbound() string { return x.near.set.Load().ListenAddrs.Outbound }
+func (x *callChain) outbound() string { return x.near.settings.Load().ListenAddrs.Outbound }
 
-func (x *chain) dial() *callerConn {
+func (x *callChain) dial() *callerConn {
 	x.t.Helper()
 	c, err := net.Dial("tcp4", x.outbound())
 	assert.NilError(x.t, err)
 	return &callerConn{x: x, c: c, r: bufio.NewReader(c)}
 }
 
-// attemptID is a new id of a call.
-func attemptID() string { return fmt.Sprintf("a%07d", chainNumber.Add(1)) }
+// newAttemptID is a new id of a call.
+func newAttemptID() string { return fmt.Sprintf("a%07d", lastAttemptNumber.Add(1)) }
 
 // call makes one call on a connection of its own.
-func (x *chain) call(kind kindOfCall, how, key string, budget time.Duration) told {
-	return x.callAs(attemptID(), kind, how, key, budget)
+func (x *callChain) call(kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
+	return x.callAs(newAttemptID(), kind, how, key, budget)
 }
 
-func (x *chain) callAs(attempt string, kind kindOfCall, how, key string, budget time.Duration) told {
+func (x *callChain) callAs(attempt string, kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
 	c := x.dial()
 	defer c.c.Close()
 	return c.call(attempt, kind, how, key, budget)
@@ -385,7 +385,7 @@
 const uploadBytes = 200_000
 
 // call makes one call and reads its one answer.
-func (c *callerConn) call(attempt string, kind kindOfCall, how, key string, budget time.Duration) told {
+func (c *callerConn) call(attempt string, kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
 	c.x.history.asked(attempt, kind, key)
 	t := c.exchange(attempt, kind, how, key, budget)
 	c.x.history.answered(attempt, t)
@@ -393,16 +393,16 @@
 }
 
 // exchange writes one call and reads its answer, on another connection where the answer before said that it is the last one.
-func (c *callerConn) exchange(attempt string, kind kindOfCall, how, key string, budget time.Duration) told {
-	if c.last {
+func (c *callerConn) exchange(attempt string, kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
+	if c.mustRedial {
 		c.c.Close()
 		*c = *c.x.dial()
 	}
 	c.c.SetDeadline(time.Now().Add(budget + testkit.Limit))
 	if _, err := io.WriteString(c.c, requestText(attempt, kind, how, key, budget)); err != nil {
-		return told{}
+		return callerAnswer{}
 	}
-	return c.answer()
+	return c.readAnswer()
 }
 
 // requestText is a call as its caller writes it.
@@ -418,22 +418,22 @@
 	return head + "\r\n" + body
 }
 
-// answer reads one answer; the zero told where there is no whole one.
-func (c *callerConn) answer() told {
+// readAnswer reads one answer; the zero told where there is no whole one.
+func (c *callerConn) readAnswer() callerAnswer {
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		return told{}
+		return callerAnswer{}
 	}
-	c.last = resp.Close
+	c.mustRedial = resp.Close
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return told{}
+		return callerAnswer{}
 	}
-	return told{Status: resp.StatusCode, Named: resp.Header.Get(hAttempt), Seal: resp.Header.Get(hSeal), Body: string(text), RetryAfter: resp.Header.Get(hRetry)}
+	return callerAnswer{Status: resp.StatusCode, AttemptID: resp.Header.Get(headerAttemptID), Seal: resp.Header.Get(headerServerSeal), Body: string(text), RetryAfter: resp.Header.Get(headerRetryAfter)}
 }
 
-// clean fails the test for each rule that was broken.
-func (x *chain) clean() {
+// assertNoViolations fails the test for each rule that was broken.
+func (x *callChain) assertNoViolations() {
 	x.t.Helper()
 	for _, v := range x.history.violations() {
 		x.t.Error(v)
--- a/internal/exchange/line/cord.go
+++ b/internal/exchange/line/cord.go
@@ -15,76 +15,78 @@
 )
 
 const (
-	window     = 256 << 10 // bytes of a body that may be under way to whoever reads slowly
-	creditStep = 32 << 10
-	cordRest   = 250 * time.Millisecond // between dials of one that can't be reached
+	sendWindowBytes     = 256 << 10 // bytes of a body that may be under way to whoever reads slowly
+	windowUpdateBytes   = 32 << 10
+	upstreamDialBackoff = 250 * time.Millisecond // between dials of one that can't be reached
 )
 
-var errNoCord = errors.New("no cord to the line")
+var errUpstreamUnreachable = errors.New("no cord to the line")
 
-// cords are the trunks to other lines. They implement engine.Sender.
-type cords struct {
-	line *Line
-	mu   sync.Mutex // guards below
-	to   map[string]*cord
-	next atomic.Uint64
+// upstreams are the trunks to other lines. They implement engine.Sender.
+type upstreams struct {
+	sidecar      *Sidecar
+	mu           sync.Mutex // guards below
+	byAddr       map[string]*upstream
+	lastStreamID atomic.Uint64
 }
 
-// cord is the trunk to one line.
-type cord struct {
-	of   *cords
-	addr string
+// upstream is the trunk to one line.
+type upstream struct {
+	owner *upstreams
+	addr  string
 
-	mu      sync.Mutex // guards below
-	c       *trunk.Conn
-	dialing chan struct{} // closed when the dial that is under way has ended
-	rest    time.Time
-	open    map[uint64]*sent
+	mu       sync.Mutex // guards below
+	conn     *trunk.Conn
+	dialing  chan struct{} // closed when the dial that is under way has ended
+	retryAt  time.Time
+	attempts map[uint64]*upstreamAttempt
 }
 
-func newCords(l *Line) *cords { return &cords{line: l, to: map[string]*cord{}} }
+func newUpstreams(l *Sidecar) *upstreams {
+	return &upstreams{sidecar: l, byAddr: map[string]*upstream{}}
+}
 
-func (s *cords) cord(addr string) *cord {
+func (s *upstreams) get(addr string) *upstream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	x := s.to[addr]
+	x := s.byAddr[addr]
 	if x == nil {
-		x = &cord{of: s, addr: addr, open: map[uint64]*sent{}}
-		s.to[addr] = x
+		x = &upstream{owner: s, addr: addr, attempts: map[uint64]*upstreamAttempt{}}
+		s.byAddr[addr] = x
 	}
 	return x
 }
 
 // Drop implements engine.Sender: what is under way on the cord goes on.
-func (s *cords) Drop(*engine.Endpoint) {}
+func (s *upstreams) Drop(*engine.Endpoint) {}
 
 // Sweep implements engine.Sender: cords to lines that are in the directory no more are given up.
-func (s *cords) Sweep() {
-	dir := s.line.dir.Load()
+func (s *upstreams) Sweep() {
+	dir := s.sidecar.directory.Load()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for addr, x := range s.to {
+	for addr, x := range s.byAddr {
 		if _, is := dir.Get(addr); is {
 			continue
 		}
 		x.mu.Lock()
-		if len(x.open) == 0 && x.dialing == nil {
-			if x.c != nil {
-				x.c.Close(nil)
+		if len(x.attempts) == 0 && x.dialing == nil {
+			if x.conn != nil {
+				x.conn.Close(nil)
 			}
-			delete(s.to, addr)
+			delete(s.byAddr, addr)
 		}
 		x.mu.Unlock()
 	}
 }
 
-// sends are the lines to which requests are under way.
-func (s *cords) sends() (l []string) {
+// activeAddrs are the lines to which requests are under way.
+func (s *upstreams) activeAddrs() (l []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for addr, x := range s.to {
+	for addr, x := range s.byAddr {
 		x.mu.Lock()
-		if len(x.open) > 0 {
+		if len(x.attempts) > 0 {
 			l = append(l, addr)
 		}
 		x.mu.Unlock()
@@ -92,31 +94,31 @@
 	return l
 }
 
-func (s *cords) close() {
+func (s *upstreams) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range s.to {
+	for _, x := range s.byAddr {
 		x.mu.Lock()
-		if x.c != nil {
-			x.c.Close(nil)
+		if x.conn != nil {
+			x.conn.Close(nil)
 		}
 		x.mu.Unlock()
 	}
 }
 
 // connect is the connection, dialled if there is none.
-func (x *cord) connect(ctx context.Context) (*trunk.Conn, error) {
+func (x *upstream) connect(ctx context.Context) (*trunk.Conn, error) {
 	for {
 		x.mu.Lock()
-		if x.c != nil && x.c.Err() == nil {
-			c := x.c
+		if x.conn != nil && x.conn.Err() == nil {
+			c := x.conn
 			x.mu.Unlock()
 			return c, nil
 		}
 		if x.dialing == nil {
-			if time.Now().Before(x.rest) {
+			if time.Now().Before(x.retryAt) {
 				x.mu.Unlock()
-				return nil, errNoCord
+				return nil, errUpstreamUnreachable
 			}
 			x.dialing = make(chan struct{})
 			go x.dial()
@@ -129,94 +131,94 @@
 			return nil, ctx.Err()
 		}
 		x.mu.Lock()
-		failed := x.c == nil || x.c.Err() != nil
+		failed := x.conn == nil || x.conn.Err() != nil
 		x.mu.Unlock()
 		if failed {
-			return nil, errNoCord
+			return nil, errUpstreamUnreachable
 		}
 	}
 }
 
-func (x *cord) dial() {
-	l := x.of.line
-	c, err := trunk.Dial(l.ctx, x.addr, &wire.HelloT{Name: l.set.Load().NodeName, Addr: l.Addr(), Zone: l.set.Load().Zone}, nil)
+func (x *upstream) dial() {
+	l := x.owner.sidecar
+	c, err := trunk.Dial(l.ctx, x.addr, &wire.HelloT{Name: l.settings.Load().NodeName, Addr: l.Addr(), Zone: l.settings.Load().Zone}, nil)
 	x.mu.Lock()
 	if err == nil {
-		x.c = c
+		x.conn = c
 	} else {
-		x.rest = time.Now().Add(cordRest)
+		x.retryAt = time.Now().Add(upstreamDialBackoff)
 	}
 	close(x.dialing)
 	x.dialing = nil
 	x.mu.Unlock()
 	if err == nil {
-		go x.read(c)
+		go x.receive(c)
 	}
 }
 
-// enter notes an attempt that is about to be sent; false: its connection has ended, or its id is in use.
-func (x *cord) enter(p *sent) bool {
+// add notes an attempt that is about to be sent; false: its connection has ended, or its id is in use.
+func (x *upstream) add(p *upstreamAttempt) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.c != p.c || p.c.Err() != nil || x.open[p.id] != nil {
+	if x.conn != p.conn || p.conn.Err() != nil || x.attempts[p.id] != nil {
 		return false
 	}
-	x.open[p.id] = p
-	p.c.Open(1)
+	x.attempts[p.id] = p
+	p.conn.AddPending(1)
 	return true
 }
 
-func (x *cord) leave(p *sent) {
+func (x *upstream) remove(p *upstreamAttempt) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.open, p.id)
-	p.c.Open(-1)
+	delete(x.attempts, p.id)
+	p.conn.AddPending(-1)
 }
 
-func (x *cord) find(c *trunk.Conn, id uint64) *sent {
+func (x *upstream) find(c *trunk.Conn, id uint64) *upstreamAttempt {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if p := x.open[id]; p != nil && p.c == c {
+	if p := x.attempts[id]; p != nil && p.conn == c {
 		return p
 	}
 	return nil
 }
 
-// read takes what comes on a connection, until it ends: then all that is open on it may have run.
-func (x *cord) read(c *trunk.Conn) {
+// receive takes what comes on a connection, until it ends: then all that is open on it may have run.
+func (x *upstream) receive(c *trunk.Conn) {
 	for {
 		m, err := c.Receive()
 		if err != nil {
 			break
 		}
 		switch v := m.Value.(type) {
-		case *wire.AnswerT:
+		case *wire.ResponseT:
 			if p := x.find(c, v.Id); p != nil {
-				p.take(v)
-			} else if v.More { // nobody is there to take the pieces
+				p.handleAnswer(v)
+			} else if v.MoreBody { // nobody is there to take the pieces
 				c.Send(&wire.CancelT{Id: v.Id})
 			}
-		case *wire.PieceT:
+		case *wire.BodyChunkT:
 			if p := x.find(c, v.Id); p != nil {
-				p.piece(v)
+				p.handlePiece(v)
 			}
-		case *wire.CreditT:
+		case *wire.WindowUpdateT:
 			if p := x.find(c, v.Id); p != nil {
-				p.credit.grant(int(v.Bytes))
+				p.sendWindow.add(int(v.Increment))
 			}
-		case *wire.ToldT:
-			x.of.line.asks.Told(c, v)
+		case *wire.CallReplyT:
+			x.owner.sidecar.calls.Deliver(c, v)
 		}
 	}
 	x.mu.Lock()
-	var lost []*sent
-	for _, p := range x.open {
-		if p.c == c {
+	var lost []*upstreamAttempt
+	for _, p := range x.attempts {
+		if p.conn == c {
 			lost = append(lost, p)
 		}
 	}
 	x.mu.Unlock()
 	for _, p := range lost {
-		p.end(hollyspur.Broken, nil)
+		p.finish(hollyspur.Broken, nil)
 	}
 }
--- a/internal/exchange/line/credit.go
+++ b/internal/exchange/line/credit.go
@@ -5,45 +5,45 @@
 	"sync"
 )
 
-// credit is how much of a body may be sent on.
-type credit struct {
-	mu     sync.Mutex // guards below
-	left   int
-	wake   chan struct{}
-	closed bool
+// flowWindow is how much of a body may be sent on.
+type flowWindow struct {
+	mu        sync.Mutex // guards below
+	available int
+	wake      chan struct{}
+	closed    bool
 }
 
-func (c *credit) grant(n int) {
+func (c *flowWindow) add(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.left += n
-	c.rouse()
+	c.available += n
+	c.wakeWaiters()
 }
 
-func (c *credit) close() {
+func (c *flowWindow) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	c.rouse()
+	c.wakeWaiters()
 }
 
-func (c *credit) rouse() {
+func (c *flowWindow) wakeWaiters() {
 	if c.wake != nil {
 		close(c.wake)
 		c.wake = nil
 	}
 }
 
-// take waits until there is any, and takes n, which may leave less than nothing; false: nothing more is to be sent.
-func (c *credit) take(ctx context.Context, n int) bool {
+// acquire waits until there is any, and takes n, which may leave less than nothing; false: nothing more is to be sent.
+func (c *flowWindow) acquire(ctx context.Context, n int) bool {
 	for {
 		c.mu.Lock()
 		if c.closed {
 			c.mu.Unlock()
 			return false
 		}
-		if c.left > 0 {
-			c.left -= n
+		if c.available > 0 {
+			c.available -= n
 			c.mu.Unlock()
 			return true
 		}
--- a/internal/exchange/line/cut_test.go
+++ b/internal/exchange/line/cut_test.go
@@ -13,27 +13,27 @@
 type hop string
 
 const (
-	betweenLines hop = "between lines"
-	toServer     hop = "to the server"
+	betweenSidecars hop = "between lines"
+	toServer        hop = "to the server"
 )
 
-func (x *chain) relaysAt(h hop) []*relay {
-	if h == betweenLines {
-		return x.cords
+func (x *callChain) relaysAt(h hop) []*relay {
+	if h == betweenSidecars {
+		return x.upstreamRelays
 	}
-	return x.servers
+	return x.serverRelays
 }
 
 // patience of the caller for calls whose connection says nothing any more.
 const silentBudget = 60 * time.Millisecond
 
-// mostTries is how often one point is tried.
-const mostTries = 50
+// maxTriesPerPoint is how often one point is tried.
+const maxTriesPerPoint = 50
 
 // cutCall makes one call that is cut, and then another; of a key its repeat in between. struck: the cut came about.
-func (x *chain) cutCall(h hop, kind kindOfCall, c *cut) (first told, struck bool) {
+func (x *callChain) cutCall(h hop, kind kindOfCall, c *cut) (first callerAnswer, struck bool) {
 	x.t.Helper()
-	attempt, key := attemptID(), ""
+	attempt, key := newAttemptID(), ""
 	if kind == keyedCall {
 		key = "k-" + attempt
 	}
@@ -64,7 +64,7 @@
 		defer next.c.Close()
 	}
 	if kind == keyedCall {
-		again := next.call(attemptID(), keyedCall, "plain", key, 2*time.Second)
+		again := next.call(newAttemptID(), keyedCall, "plain", key, 2*time.Second)
 		switch again.Status {
 		case 200, 409, 502, 503, 504:
 		default:
@@ -73,7 +73,7 @@
 	}
 	// The module holds calls off a server that timed out: they are told when to come again.
 	await(x.t, func() bool {
-		after := next.call(attemptID(), repeatableCall, "plain", "", 5*time.Second)
+		after := next.call(newAttemptID(), repeatableCall, "plain", "", 5*time.Second)
 		if after.Status != 200 && after.Status != 503 {
 			x.t.Errorf("%s %s %s after %d, then: %+v", h, kind, c.mode, c.after, after)
 			return true
@@ -84,7 +84,7 @@
 }
 
 // sweep cuts calls behind each byte of the request, or of the answer, from a first byte on with a step.
-func (x *chain) sweep(h hop, kind kindOfCall, mode cutMode, answer bool, from, step int) (points int) {
+func (x *callChain) sweep(h hop, kind kindOfCall, mode cutMode, answer bool, from, step int) (points int) {
 	for after := from; ; after += step {
 		c := newCut(mode, answer, after)
 		for tries := 1; ; tries++ { // it may be turned away, or its time be over, before it comes to the cut
@@ -92,7 +92,7 @@
 			if struck {
 				break
 			}
-			if first.Status == 200 || tries == mostTries {
+			if first.Status == 200 || tries == maxTriesPerPoint {
 				x.t.Errorf("%s %s %s after %d: not struck, %+v", h, kind, mode, after, first)
 				return points
 			}
@@ -108,7 +108,7 @@
 // A keyed and an unrepeatable call are cut behind each byte of request and answer, on each hop, in each way. Each runs once at
 // the most; its caller has one answer, its own, and 503 only where it has not run; the next call has its own.
 func TestCutAtEachByte(t *testing.T) {
-	for _, h := range []hop{betweenLines, toServer} {
+	for _, h := range []hop{betweenSidecars, toServer} {
 		for _, kind := range []kindOfCall{onceCall, keyedCall} {
 			for _, mode := range []cutMode{cutReset, cutClose, cutSilent, cutLate} {
 				for _, answer := range []bool{false, true} {
@@ -121,17 +121,17 @@
 						}
 						var all sync.WaitGroup
 						var points [ways]int
-						chains := [ways]*chain{startChain(t, 1)}
+						chains := [ways]*callChain{startCallChain(t, 1)}
 						for n := range ways {
 							chains[n] = chains[0]
-							if h == betweenLines && n > 0 { // a cut ends all that is under way there
-								chains[n] = startChain(t, 1)
+							if h == betweenSidecars && n > 0 { // a cut ends all that is under way there
+								chains[n] = startCallChain(t, 1)
 							}
 							all.Go(func() { points[n] = chains[n].sweep(h, kind, mode, answer, n, step) })
 						}
 						all.Wait()
 						for _, x := range chains {
-							x.clean()
+							x.assertNoViolations()
 						}
 						t.Log(points, "points")
 					})
@@ -147,18 +147,18 @@
 	for _, kind := range []kindOfCall{onceCall, keyedCall} {
 		t.Run(string(kind), func(t *testing.T) {
 			t.Parallel()
-			x := startChain(t, 1)
+			x := startCallChain(t, 1)
 			for frames := 0; ; frames++ {
-				attempt, key := attemptID(), ""
+				attempt, key := newAttemptID(), ""
 				if kind == keyedCall {
 					key = "k-" + attempt
 				}
 				c := newCut(cutReset, false, 0)
 				c.frames = frames
-				x.cords[0].plan(attempt, c)
+				x.upstreamRelays[0].plan(attempt, c)
 				first := x.callAs(attempt, kind, "upload", key, 2*time.Second)
 				close(c.mended)
-				await(t, func() bool { return x.far[0].inbound.open.Load() == 0 })
+				await(t, func() bool { return x.far[0].inbound.openRequests.Load() == 0 })
 				if kind == keyedCall {
 					await(t, func() bool { return x.call(keyedCall, "upload", key, 2*time.Second).Status != 503 })
 				}
@@ -172,7 +172,7 @@
 					if frames < 3 {
 						t.Errorf("only %d frames", frames)
 					}
-					x.clean()
+					x.assertNoViolations()
 					return
 				}
 			}
--- a/internal/exchange/line/history_test.go
+++ b/internal/exchange/line/history_test.go
@@ -18,13 +18,13 @@
 	repeatableCall kindOfCall = "often"
 )
 
-// told is what a caller was told: the status, the request that the answer names, its seal and body; status 0: the connection
+// callerAnswer is what a caller was told: the status, the request that the answer names, its seal and body; status 0: the connection
 // ended without an answer.
-type told struct {
-	Status      int
-	Named, Seal string
-	Body        string
-	RetryAfter  string
+type callerAnswer struct {
+	Status          int
+	AttemptID, Seal string
+	Body            string
+	RetryAfter      string
 }
 
 // callSeen is one call as its caller and the servers saw it.
@@ -32,7 +32,7 @@
 	kind    kindOfCall
 	key     string
 	asked   int // times: more than one where a caller uses an id again
-	answers []told
+	answers []callerAnswer
 	runs    []string // servers that ran it, in order
 }
 
@@ -84,13 +84,13 @@
 	}
 }
 
-func (h *callHistory) answered(attempt string, t told) {
+func (h *callHistory) answered(attempt string, t callerAnswer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.call(attempt)
 	c.answers = append(c.answers, t)
 	if t.Status != 0 {
-		h.seen.Answers = append(h.seen.Answers, history.Answer{At: time.Since(h.start), Process: "caller", Request: attempt, Answers: t.Named})
+		h.seen.Answers = append(h.seen.Answers, history.Answer{At: time.Since(h.start), Process: "caller", Request: attempt, AnsweredRequest: t.AttemptID})
 	}
 }
 
@@ -118,10 +118,10 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	wrong := func(format string, args ...any) { l = append(l, fmt.Sprintf(format, args...)) }
-	for _, v := range history.OneRun(&h.seen) {
+	for _, v := range history.AtMostOnce(&h.seen) {
 		wrong("TWICE: %v", v)
 	}
-	for _, v := range history.OwnAnswers(&h.seen) {
+	for _, v := range history.MatchedAnswers(&h.seen) {
 		wrong("MIXED: %v", v)
 	}
 	runsOfKey := map[string][]string{}
@@ -141,7 +141,7 @@
 }
 
 // judge looks at one answer. The caller holds the lock.
-func (h *callHistory) judge(attempt string, c *callSeen, t told, runsOfKey []string, wrong func(string, ...any)) {
+func (h *callHistory) judge(attempt string, c *callSeen, t callerAnswer, runsOfKey []string, wrong func(string, ...any)) {
 	switch t.Status {
 	case 408, 421, 429, 503:
 		if c.kind != repeatableCall && len(c.runs) > 0 {
--- a/internal/exchange/line/hollow.go
+++ b/internal/exchange/line/hollow.go
@@ -18,86 +18,86 @@
 // directory, configuration, pools of every routed service and the calls of its server, but no listeners for traffic. What a
 // Line without traffic does, a Hollow does too, except to listen at Outbound, Inbound and Readiness and to look at its
 // server's health once at the start.
-type Hollow struct{ line *Line }
+type Hollow struct{ sidecar *Sidecar }
 
 // NewHollow listens for the server's calls at ControlPlane; Run serves.
-func NewHollow(set settings.Settings, log zerolog.Logger, ring *howler.Howler) (*Hollow, error) {
+func NewHollow(set settings.Settings, log zerolog.Logger, ring *howler.Ring) (*Hollow, error) {
 	calls, err := net.Listen("tcp4", set.ListenAddrs.ControlPlane)
 	if err != nil {
 		return nil, errors.Annotate(err, "ControlPlane")
 	}
 	l := assemble(set, log, ring)
-	l.calls = calls
+	l.localAPIListener = calls
 	return &Hollow{l}, nil
 }
 
 // Run follows a control plane until ctx ends. The parts that serve traffic end with the process only.
 func (h *Hollow) Run(ctx context.Context) {
-	l := h.line
+	l := h.sidecar
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l.ctx = work
-	calls := control.Serve(l.own.handlers())
+	calls := control.NewServer(l.localServer.handlers())
 	defer calls.Close()
-	go calls.Serve(l.calls)
-	go l.home.run()
-	go l.own.watch()
+	go calls.Serve(l.localAPIListener)
+	go l.controlPlane.run()
+	go l.localServer.watch()
 	<-ctx.Done()
 	l.stopping.Store(true)
-	l.own.leave()
-	l.home.close()
-	l.cords.close()
+	l.localServer.leave()
+	l.controlPlane.close()
+	l.upstreams.close()
 }
 
 // Confirmed says that the configuration was read back from the control plane at least once.
-func (h *Hollow) Confirmed() bool { return h.line.serving.Load() }
+func (h *Hollow) Confirmed() bool { return h.sidecar.serving.Load() }
 
-// Known is the number of sidecars in the directory.
-func (h *Hollow) Known() int { return h.line.dir.Load().Len() }
+// KnownSidecars is the number of sidecars in the directory.
+func (h *Hollow) KnownSidecars() int { return h.sidecar.directory.Load().Len() }
 
 // ServerState is the state of the server beside the sidecar at addr, as this one knows it.
-func (h *Hollow) ServerState(addr string) directory.State {
-	r, _ := h.line.dir.Load().Get(addr)
+func (h *Hollow) ServerState(addr string) directory.ServerState {
+	r, _ := h.sidecar.directory.Load().Get(addr)
 	return r.State
 }
 
 // RouteVersion is the version of a route that is in force here; 0: there is none of that name.
 func (h *Hollow) RouteVersion(name string) int64 {
-	if r := h.line.plan.Load().Named(name); r != nil {
+	if r := h.sidecar.routing.Load().Route(name); r != nil {
 		return r.Version
 	}
 	return 0
 }
 
-// Home is the address of the control-plane member that is followed; "": none is.
-func (h *Hollow) Home() string {
-	if c := h.line.home.c.Load(); c != nil && c.Err() == nil {
-		return c.Remote()
+// FollowedMember is the address of the control-plane member that is followed; "": none is.
+func (h *Hollow) FollowedMember() string {
+	if c := h.sidecar.controlPlane.conn.Load(); c != nil && c.Err() == nil {
+		return c.RemoteAddr()
 	}
 	return ""
 }
 
 // Claim claims a key as a keyed request does that is about to run at the server here, and keeps an empty answer for it.
 func (h *Hollow) Claim(ctx context.Context, key string) (granted bool, err error) {
-	l := h.line
-	window := l.set.Load().Bounds.KeyWindowS.D() + holdSlack
-	if _, fresh := l.inbound.keep.begin(key, key, 0, window); !fresh {
+	l := h.sidecar
+	window := l.settings.Load().Bounds.KeyWindowS.Duration() + leaseSlack
+	if _, fresh := l.inbound.responses.begin(key, key, 0, window); !fresh {
 		return false, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimWithin)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	grant, err := l.home.claim(ctx, &wire.ClaimT{Key: key, Ticket: key, Holder: l.holder(), Window: window.Microseconds()})
+	grant, err := l.controlPlane.claim(ctx, &wire.KeyLeaseRequestT{Key: key, Token: key, Holder: l.leaseHolder(), WindowUs: window.Microseconds()})
 	if err != nil || !grant.Granted {
-		l.inbound.keep.forget(key)
+		l.inbound.responses.markNotExecuted(key)
 		return false, err
 	}
-	l.inbound.keep.set(key, done, &wire.AnswerT{})
+	l.inbound.responses.setState(key, keyAnswered, &wire.ResponseT{})
 	return true, nil
 }
 
-// Items is the number of configuration items held.
-func (h *Hollow) Items() int {
-	h.line.mu.Lock()
-	defer h.line.mu.Unlock()
-	return h.line.items.Len()
+// ItemCount is the number of configuration items held.
+func (h *Hollow) ItemCount() int {
+	h.sidecar.mu.Lock()
+	defer h.sidecar.mu.Unlock()
+	return h.sidecar.items.Len()
 }
--- a/internal/exchange/line/home_test.go
+++ b/internal/exchange/line/home_test.go
@@ -24,17 +24,17 @@
 	"hollyspur/internal/rig"
 )
 
-// fakeRegister is where a line's dials of one register come out.
-type fakeRegister struct {
+// fakeMember is where a line's dials of one register come out.
+type fakeMember struct {
 	addr  string
 	conns chan *trunk.Conn
 }
 
-func newFakeRegister(t *testing.T) *fakeRegister {
+func newFakeMember(t *testing.T) *fakeMember {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { l.Close() })
-	r := &fakeRegister{addr: l.Addr().String(), conns: make(chan *trunk.Conn, 64)}
+	r := &fakeMember{addr: l.Addr().String(), conns: make(chan *trunk.Conn, 64)}
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -49,61 +49,61 @@
 	return r
 }
 
-// speak takes the next dial and says whether there is a leader.
-func (r *fakeRegister) speak(inTouch bool) *trunk.Conn {
+// acceptDial takes the next dial and says whether there is a leader.
+func (r *fakeMember) acceptDial(inTouch bool) *trunk.Conn {
 	c := <-r.conns
 	c.Send(&wire.MembersT{})
-	c.Send(&wire.BeatT{Touch: inTouch})
+	c.Send(&wire.HeartbeatT{QuorumContact: inTouch})
 	return c
 }
 
-// lineWith is a line whose seeds are these registers, with its home's goroutine.
-func lineWith(t *testing.T, registers ...*fakeRegister) *Line {
+// sidecarWith is a line whose seeds are these registers, with its home's goroutine.
+func sidecarWith(t *testing.T, registers ...*fakeMember) *Sidecar {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	l := &Line{log: zerolog.Nop(), clock: engine.NewClock(), ctx: ctx}
+	l := &Sidecar{log: zerolog.Nop(), clock: engine.NewClock(), ctx: ctx}
 	set := settings.Defaults()
-	l.set.Store(&set)
-	l.plan.Store(dialplan.Make(patch.Table{}))
-	l.dir.Store(&directory.Table{})
-	l.outs.Store(&wire.OutsT{})
-	l.own = newOwn(l)
-	l.pools = newPools(l, newBudgets(set))
-	l.home = newHome(l)
-	l.home.seeds = func() (l []string) {
+	l.settings.Store(&set)
+	l.routing.Store(dialplan.NewTable(patch.Table{}))
+	l.directory.Store(&directory.Table{})
+	l.maintenance.Store(&wire.MachinesInMaintenanceT{})
+	l.localServer = newLocalServer(l)
+	l.pools = newServicePools(l, newResourceBudgets(set))
+	l.controlPlane = newControlPlaneConn(l)
+	l.controlPlane.seeds = func() (l []string) {
 		for _, r := range registers {
 			l = append(l, r.addr)
 		}
 		return l
 	}
-	go l.home.run()
+	go l.controlPlane.run()
 	return l
 }
 
 const patience = 20 * time.Second
 
-// homed is a line with a trunk to a home, and that one's side of it.
-func homed(t *testing.T) (l *Line, near, far *trunk.Conn) {
-	r := newFakeRegister(t)
-	l = lineWith(t, r)
-	far = r.speak(true)
-	assert.Assert(t, rig.Await(patience, func() bool { near = l.home.c.Load(); return near != nil }))
+// newFollowingSidecar is a line with a trunk to a home, and that one's side of it.
+func newFollowingSidecar(t *testing.T) (l *Sidecar, near, far *trunk.Conn) {
+	r := newFakeMember(t)
+	l = sidecarWith(t, r)
+	far = r.acceptDial(true)
+	assert.Assert(t, rig.Await(patience, func() bool { near = l.controlPlane.conn.Load(); return near != nil }))
 	return l, near, far
 }
 
 // A home is waited for as long as it is one: a register that stands still is found silent soon, not after the long time of a
 // trunk on which nobody waits. One that says it is out of touch is left for one that is in touch, and not before; meanwhile
 // requests that need it are refused, once the time in which another is likely to be found is over.
-func TestHomeIsWaitedFor(t *testing.T) {
-	a, b := newFakeRegister(t), newFakeRegister(t)
-	l := lineWith(t, a, b)
-	first := a.speak(true)
+func TestFollowedMemberIsKept(t *testing.T) {
+	a, b := newFakeMember(t), newFakeMember(t)
+	l := sidecarWith(t, a, b)
+	first := a.acceptDial(true)
 	m, err := first.Receive()
 	assert.NilError(t, err)
 	_, is := m.Value.(*wire.RecordsT)
 	assert.Assert(t, is, "its record: it follows by now")
-	assert.Equal(t, l.home.c.Load().Waits(), int64(1))
-	assert.Assert(t, rig.Await(patience, l.home.inTouch))
+	assert.Equal(t, l.controlPlane.conn.Load().Pending(), int64(1))
+	assert.Assert(t, rig.Await(patience, l.controlPlane.isReachable))
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -113,8 +113,8 @@
 			}
 		}
 	}()
-	say := func() { first.Send(&wire.BeatT{Touch: false}) }
-	assert.Assert(t, rig.Await(patience, func() bool { say(); return !l.home.inTouch() }))
+	say := func() { first.Send(&wire.HeartbeatT{QuorumContact: false}) }
+	assert.Assert(t, rig.Await(patience, func() bool { say(); return !l.controlPlane.isReachable() }))
 	select {
 	case <-ended:
 		t.Fatal("it was left though no other is in touch")
@@ -123,7 +123,7 @@
 	go func() {
 		for c := range b.conns {
 			c.Send(&wire.MembersT{})
-			c.Send(&wire.BeatT{Touch: true})
+			c.Send(&wire.HeartbeatT{QuorumContact: true})
 			go c.Receive()
 		}
 	}()
@@ -131,54 +131,54 @@
 		say()
 		select {
 		case <-ended:
-			return l.home.inTouch()
+			return l.controlPlane.isReachable()
 		default:
 			return false
 		}
 	}))
-	assert.Equal(t, l.home.c.Load().Remote(), b.addr)
+	assert.Equal(t, l.controlPlane.conn.Load().RemoteAddr(), b.addr)
 }
 
 // A line that starts before any register listens takes the first that comes.
-func TestHomeAfterRefusedDials(t *testing.T) {
+func TestMemberFollowedAfterRefusedDials(t *testing.T) {
 	nobody, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	nobody.Close()
-	l := lineWith(t, &fakeRegister{addr: nobody.Addr().String()})
+	l := sidecarWith(t, &fakeMember{addr: nobody.Addr().String()})
 	assert.Assert(t, rig.Await(patience, func() bool {
 		refused := make(chan bool, 1)
-		l.home.post(func(time.Duration) { refused <- len(l.home.conns) == 0 })
+		l.controlPlane.post(func(time.Duration) { refused <- len(l.controlPlane.members) == 0 })
 		return <-refused
 	}))
-	late := newFakeRegister(t)
-	l.home.post(func(now time.Duration) { l.home.decider.Members(now, 1, []string{late.addr}) })
-	late.speak(true)
-	assert.Assert(t, rig.Await(patience, l.home.inTouch))
+	late := newFakeMember(t)
+	l.controlPlane.post(func(now time.Duration) { l.controlPlane.selector.SetMembers(now, 1, []string{late.addr}) })
+	late.acceptDial(true)
+	assert.Assert(t, rig.Await(patience, l.controlPlane.isReachable))
 }
 
 // An answer in pieces and the end of an attempt's own time, in all orders: what begins also ends, and as broken where it is
 // not whole; nothing begins after the end, and then the other side is told to stop.
-func TestAnswerAndTimeAllOrders(t *testing.T) {
+func TestAnswerAndTimeoutInAllOrders(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	go io.Copy(io.Discard, far)
-	c, err := trunk.Accept(prefixed{near, bytes.NewReader(trunk.Encode(&wire.HelloT{Version: trunk.Version}))}, nil)
+	c, err := trunk.Accept(prefixed{near, bytes.NewReader(trunk.Encode(&wire.HelloT{TransportVersion: trunk.ProtocolVersion}))}, nil)
 	assert.NilError(t, err)
 	var try func(left, done string)
 	try = func(left, done string) {
 		if left == "" {
 			var st *message.Stream
-			p := &sent{c: c, id: 1, ended: make(chan struct{}), a: engine.NewAttempt(nil, nil, time.Second, engine.Hooks{Began: func(r engine.Reply) { st = r.(*message.Stream) }})}
+			p := &upstreamAttempt{conn: c, id: 1, done: make(chan struct{}), attempt: engine.NewAttempt(nil, nil, time.Second, engine.Hooks{Began: func(r engine.Reply) { st = r.(*message.Stream) }})}
 			for _, step := range done {
 				switch step {
 				case 'a':
-					p.answer(&wire.AnswerT{Id: 1, Status: 200, More: true, Length: -1})
+					p.applyAnswer(&wire.ResponseT{Id: 1, Status: 200, MoreBody: true, ContentLength: -1})
 				case 'p':
-					p.piece(&wire.PieceT{Id: 1, Body: []byte("x")})
+					p.handlePiece(&wire.BodyChunkT{Id: 1, Data: []byte("x")})
 				case 'l':
-					p.piece(&wire.PieceT{Id: 1, Last: true})
+					p.handlePiece(&wire.BodyChunkT{Id: 1, Last: true})
 				case 't':
-					p.end(hollyspur.TimedOut, nil)
+					p.finish(hollyspur.TimedOut, nil)
 				}
 			}
 			at := func(r rune) int { return strings.IndexRune(done, r) }
@@ -218,12 +218,12 @@
 
 // Claims that are not answered hold no places for long: once none has been for a while, all but a few are given up at once, and
 // the first answer lets them wait again.
-func TestStall(t *testing.T) {
+func TestClaimBreaker(t *testing.T) {
 	const ms = time.Millisecond
-	var s stall
+	var s claimBreaker
 	in := 0
 	enter := func(at time.Duration) bool {
-		ok := s.enter(at)
+		ok := s.admit(at)
 		if ok {
 			in++
 		}
@@ -232,28 +232,28 @@
 	for at := range 20 { // in time: as many as come
 		assert.Assert(t, enter(time.Duration(at)*10*ms))
 	}
-	s.leave(195*ms, false) // whose own time was short
+	s.finish(195*ms, false) // whose own time was short
 	in--
 	assert.Assert(t, enter(198*ms))
 	assert.Assert(t, !enter(201*ms), "none was answered for a while")
 	for ; in > 0; in-- {
-		s.leave(400*ms, false)
+		s.finish(400*ms, false)
 	}
 	assert.Assert(t, enter(500*ms) && enter(510*ms) && !enter(520*ms), "a few try")
-	s.leave(530*ms, true)
+	s.finish(530*ms, true)
 	for at := range 10 {
 		assert.Assert(t, enter((540+time.Duration(at))*ms))
 	}
-	s.leave(740*ms, true) // answers come, slowly
+	s.finish(740*ms, true) // answers come, slowly
 	assert.Assert(t, enter(930*ms))
 	assert.Assert(t, !enter(941*ms))
 	// A home that says nothing while a claim waits is left long before its trunk would end by itself.
-	l, c, far := homed(t)
+	l, c, far := newFollowingSidecar(t)
 	defer far.Close(nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	waited := make(chan error, 1)
 	go func() {
-		_, err := l.home.claim(ctx, &wire.ClaimT{Key: "k"})
+		_, err := l.controlPlane.claim(ctx, &wire.KeyLeaseRequestT{Key: "k"})
 		waited <- err
 	}()
 	<-c.Done()
@@ -263,26 +263,26 @@
 }
 
 // A line takes the rules that bind whole or not at all, and until it has them it refuses what somebody owns.
-func TestRulesWhole(t *testing.T) {
-	l, _, far := homed(t)
+func TestPoliciesApplyCompletely(t *testing.T) {
+	l, _, far := newFollowingSidecar(t)
 	defer far.Close(nil)
-	items, err := patch.Read([]byte(`{"Upsert":{"NamespaceList":[{"Name":"n","ConfigVersion":1,"Owners":["ana"],"Services":["s"]}],
+	items, err := patch.ParseItems([]byte(`{"Upsert":{"NamespaceList":[{"Name":"n","ConfigVersion":1,"Owners":["ana"],"Services":["s"]}],
 		"RulingList":[{"Name":"r","Namespace":"n","ConfigVersion":1,"Tries":1}]}}`))
 	assert.NilError(t, err)
 	table, _ := patch.Table{}.Merge(items)
 	first, _ := patch.Table{}.Merge(items[:1])
-	whole := patch.Wire(items)
-	whole.Print, whole.BoundAt, whole.Bound = first.Print(), 3, patch.Wire(items[1:]).List // not what binds
-	assert.Assert(t, !l.takeTable(whole, l.clock.Now()))
-	assert.Assert(t, l.rules.get().Known && l.rules.get().Bound == "" && !l.rules.bound.AnyRuled())
-	whole.Bound = patch.Wire(items[:1]).List
-	assert.Assert(t, l.takeTable(whole, l.clock.Now()))
-	assert.Equal(t, l.rules.bound.Print(), first.Print())
-	assert.Assert(t, !l.fenced())
-	l.takeBound(&wire.BoundT{Print: table.Print(), At: 5})
-	assert.Equal(t, l.rules.bound.Print(), table.Print())
-	l.takeBound(&wire.BoundT{Print: first.Print(), At: 4}) // late
-	l.takeBound(&wire.BoundT{Print: "of none that it holds", At: 6})
-	assert.Equal(t, l.rules.bound.Print(), table.Print())
-	assert.Equal(t, l.rules.get().At, uint64(5))
+	whole := patch.ItemsToWire(items)
+	whole.ActiveFingerprint, whole.ActiveIndex, whole.ActivePolicy = first.PolicyFingerprint(), 3, patch.ItemsToWire(items[1:]).List // not what binds
+	assert.Assert(t, !l.applyConfirmedTable(whole, l.clock.Now()))
+	assert.Assert(t, l.policies.current().HasPolicies && l.policies.current().Active == "" && !l.policies.table.HasPolicyItems())
+	whole.ActivePolicy = patch.ItemsToWire(items[:1]).List
+	assert.Assert(t, l.applyConfirmedTable(whole, l.clock.Now()))
+	assert.Equal(t, l.policies.table.PolicyFingerprint(), first.PolicyFingerprint())
+	assert.Assert(t, !l.isFenced())
+	l.applyActivePolicies(&wire.ActivePolicyT{Fingerprint: table.PolicyFingerprint(), Index: 5})
+	assert.Equal(t, l.policies.table.PolicyFingerprint(), table.PolicyFingerprint())
+	l.applyActivePolicies(&wire.ActivePolicyT{Fingerprint: first.PolicyFingerprint(), Index: 4}) // late
+	l.applyActivePolicies(&wire.ActivePolicyT{Fingerprint: "of none that it holds", Index: 6})
+	assert.Equal(t, l.policies.table.PolicyFingerprint(), table.PolicyFingerprint())
+	assert.Equal(t, l.policies.current().ActiveIndex, uint64(5))
 }
--- a/internal/exchange/line/inbound.go
+++ b/internal/exchange/line/inbound.go
@@ -19,54 +19,54 @@
 
 // Figures of the side that runs requests at its own server.
 const (
-	serverIdle    = 8 * time.Second // after which servers are taken to close idle connections
-	connectWithin = 1500 * time.Millisecond
-	claimWithin   = 400 * time.Millisecond
+	serverIdleTimeout    = 8 * time.Second // after which servers are taken to close idle connections
+	serverConnectTimeout = 1500 * time.Millisecond
+	claimTimeout         = 400 * time.Millisecond
 )
 
-// inbound runs requests of other lines at this line's server.
-type inbound struct {
-	line   *Line
-	sender *sender.Sender
-	keep   *keep
-	open   atomic.Int64
-	ending atomic.Bool // nothing new is taken
-	tally  tally
-
-	mu      sync.Mutex // guards callers
-	callers map[*caller]bool
+// inboundServer runs requests of other lines at this line's server.
+type inboundServer struct {
+	sidecar      *Sidecar
+	sender       *sender.Sender
+	responses    *responseStore
+	openRequests atomic.Int64
+	draining     atomic.Bool // nothing new is taken
+	metrics      requestMetrics
+
+	mu    sync.Mutex // guards callers
+	conns map[*inboundConn]bool
 }
 
-// caller is a trunk from another line.
-type caller struct {
-	c  *trunk.Conn
-	mu sync.Mutex // guards open
+// inboundConn is a trunk from another line.
+type inboundConn struct {
+	conn *trunk.Conn
+	mu   sync.Mutex // guards open
 	// open are the requests of it that run here
-	open map[uint64]*run
+	requests map[uint64]*inboundRequest
 }
 
-func newInbound(l *Line, s *sender.Sender) *inbound {
-	return &inbound{line: l, sender: s, keep: newKeep(), callers: map[*caller]bool{}}
+func newInboundServer(l *Sidecar, s *sender.Sender) *inboundServer {
+	return &inboundServer{sidecar: l, sender: s, responses: newResponseStore(), conns: map[*inboundConn]bool{}}
 }
 
-// finish ends the trunks of other lines, once they have read what was answered.
-func (in *inbound) finish(ctx context.Context) {
+// finishConns ends the trunks of other lines, once they have read what was answered.
+func (in *inboundServer) finishConns(ctx context.Context) {
 	in.mu.Lock()
 	var all sync.WaitGroup
-	for of := range in.callers {
-		all.Go(func() { of.c.Finish(ctx) })
+	for of := range in.conns {
+		all.Go(func() { of.conn.Shutdown(ctx) })
 	}
 	in.mu.Unlock()
 	all.Wait()
 }
 
-// accept takes trunks.
-func (in *inbound) accept(l net.Listener) {
+// acceptConns takes trunks.
+func (in *inboundServer) acceptConns(l net.Listener) {
 	for {
 		nc, err := l.Accept()
 		if err != nil {
 			select {
-			case <-in.line.ctx.Done():
+			case <-in.sidecar.ctx.Done():
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
@@ -74,123 +74,123 @@
 		}
 		go func() {
 			if c, err := trunk.Accept(nc, nil); err == nil {
-				in.serve(&caller{c: c, open: map[uint64]*run{}})
+				in.serveConn(&inboundConn{conn: c, requests: map[uint64]*inboundRequest{}})
 			}
 		}()
 	}
 }
 
-func (in *inbound) serve(of *caller) {
+func (in *inboundServer) serveConn(of *inboundConn) {
 	in.mu.Lock()
-	in.callers[of] = true
+	in.conns[of] = true
 	in.mu.Unlock()
 	defer func() {
 		in.mu.Lock()
 		defer in.mu.Unlock()
-		delete(in.callers, of)
+		delete(in.conns, of)
 	}()
 	for {
-		m, err := of.c.Receive()
+		m, err := of.conn.Receive()
 		if err != nil {
 			break
 		}
 		switch v := m.Value.(type) {
 		case *wire.RequestT:
-			in.begin(of, v)
-		case *wire.PieceT:
-			if r := of.find(v.Id); r != nil && r.more != nil {
-				if len(v.Body) > 0 {
-					r.more.Push(v.Body)
+			in.beginRequest(of, v)
+		case *wire.BodyChunkT:
+			if r := of.find(v.Id); r != nil && r.body != nil {
+				if len(v.Data) > 0 {
+					r.body.Push(v.Data)
 				}
-				if v.Broken {
-					r.more.Finish(nil)
+				if v.Aborted {
+					r.body.Finish(nil)
 				} else if v.Last {
-					r.more.Finish([]message.Field{})
+					r.body.Finish([]message.Field{})
 				}
 			}
-		case *wire.CreditT:
+		case *wire.WindowUpdateT:
 			if r := of.find(v.Id); r != nil {
-				r.credit.grant(int(v.Bytes))
+				r.sendWindow.add(int(v.Increment))
 			}
 		case *wire.CancelT:
 			if r := of.find(v.Id); r != nil {
 				r.cancel(engine.ErrWithdrawn)
 			}
-		case *wire.AskT:
-			of.c.Send(in.answer(v))
+		case *wire.CallT:
+			of.conn.Send(in.answerCall(v))
 		}
 	}
 	of.mu.Lock()
 	defer of.mu.Unlock()
-	for _, r := range of.open {
-		if !r.q.Once { // nobody will read the answer; of a key's it is kept for a repeat
+	for _, r := range of.requests {
+		if !r.request.AtMostOnce { // nobody will read the answer; of a key's it is kept for a repeat
 			r.cancel(engine.ErrWithdrawn)
 		}
-		if r.more != nil {
-			r.more.Finish(nil)
+		if r.body != nil {
+			r.body.Finish(nil)
 		}
-		r.credit.close()
+		r.sendWindow.close()
 	}
 }
 
-// answer answers a call of another line, or of an operator.
-func (in *inbound) answer(a *wire.AskT) *wire.ToldT {
-	told := &wire.ToldT{Id: a.Id, Status: http.StatusOK}
+// answerCall answers a call of another line, or of an operator.
+func (in *inboundServer) answerCall(a *wire.CallT) *wire.CallReplyT {
+	told := &wire.CallReplyT{Id: a.Id, Status: http.StatusOK}
 	switch a.Kind {
-	case trunk.AskRecall:
-		q, err := legacy(a.Body)
+	case trunk.CallStoredResponse:
+		q, err := parseLegacy(a.Body)
 		if err != nil || len(q.List) != 1 {
 			told.Status = http.StatusBadRequest
 			break
 		}
-		told.Body = trunk.Bytes(in.recall(q.List[0].Key, q.Of))
-	case trunk.AskInherit:
-		q, err := legacy(a.Body)
+		told.Body = trunk.EncodeTable(in.recallResponse(q.List[0].Key, q.SourceAddr))
+	case trunk.CallHandOverKeys:
+		q, err := parseLegacy(a.Body)
 		if err != nil {
 			told.Status = http.StatusBadRequest
 			break
 		}
-		in.keep.inherit(q.Of, q.List)
-	case trunk.AskStatus:
-		told.Body = trunk.Bytes(in.line.status())
-	case trunk.AskRing:
-		told.Body = in.line.ring.Held()
-	case trunk.AskHold:
-		in.line.own.hold(len(a.Body) > 0)
+		in.responses.inherit(q.SourceAddr, q.List)
+	case trunk.CallStatus:
+		told.Body = trunk.EncodeTable(in.sidecar.status())
+	case trunk.CallLogRing:
+		told.Body = in.sidecar.ring.Contents()
+	case trunk.CallDrain:
+		in.sidecar.localServer.hold(len(a.Body) > 0)
 	default:
 		told.Status = http.StatusNotFound
 	}
 	return told
 }
 
-func legacy(body []byte) (*wire.LegacyT, error) {
-	return trunk.Parse(body, func(p []byte) *wire.LegacyT { return wire.GetRootAsLegacy(p, 0).UnPack() })
+func parseLegacy(body []byte) (*wire.KeyHandoverT, error) {
+	return trunk.DecodeTable(body, func(p []byte) *wire.KeyHandoverT { return wire.GetRootAsKeyHandover(p, 0).UnPack() })
 }
 
-// answer sends an answer, or its beginning, in the form that the caller's line reads.
-func (of *caller) answer(a *wire.AnswerT) {
-	if of.c.Peer.Version >= trunk.PacksHeads {
-		a = trunk.PackAnswer(a)
+// sendAnswer sends an answer, or its beginning, in the form that the caller's line reads.
+func (of *inboundConn) sendAnswer(a *wire.ResponseT) {
+	if of.conn.Peer.TransportVersion >= trunk.PackedHeaderVersion {
+		a = trunk.PackResponse(a)
 	}
-	of.c.Send(a)
+	of.conn.Send(a)
 }
 
-func (of *caller) find(id uint64) *run {
+func (of *inboundConn) find(id uint64) *inboundRequest {
 	of.mu.Lock()
 	defer of.mu.Unlock()
-	return of.open[id]
+	return of.requests[id]
 }
 
-// errIDTwice ends a trunk: answers on it could go to the wrong request.
-const errIDTwice = errors.ConstError("a request's id is in use")
+// errStreamIDInUse ends a trunk: answers on it could go to the wrong request.
+const errStreamIDInUse = errors.ConstError("a request's id is in use")
 
-// enter notes a request that runs; false: its id is that of another.
-func (of *caller) enter(r *run) bool {
+// add notes a request that runs; false: its id is that of another.
+func (of *inboundConn) add(r *inboundRequest) bool {
 	of.mu.Lock()
 	defer of.mu.Unlock()
-	if of.open[r.q.Id] != nil {
+	if of.requests[r.request.Id] != nil {
 		return false
 	}
-	of.open[r.q.Id] = r
+	of.requests[r.request.Id] = r
 	return true
 }
--- a/internal/exchange/line/keep_test.go
+++ b/internal/exchange/line/keep_test.go
@@ -10,50 +10,50 @@
 	"hollyspur/internal/exchange/trunk/wire"
 )
 
-func TestKeep(t *testing.T) {
-	k := newKeep()
+func TestResponseStore(t *testing.T) {
+	k := newResponseStore()
 	_, ok := k.begin("a", "t1", 0, time.Minute)
 	assert.Assert(t, ok)
 	was, ok := k.begin("a", "t2", 0, time.Minute)
-	assert.Assert(t, !ok && was.fate == claiming && was.ticket == "t1")
-	k.set("a", running, nil)
-	k.forget("a") // it never ran
+	assert.Assert(t, !ok && was.state == keyClaiming && was.token == "t1")
+	k.setState("a", keyRunning, nil)
+	k.markNotExecuted("a") // it never ran
 	_, ok = k.begin("a", "t2", 0, time.Minute)
 	assert.Assert(t, ok)
-	k.set("a", done, &wire.AnswerT{Status: 201, Body: []byte("text")})
+	k.setState("a", keyAnswered, &wire.ResponseT{Status: 201, Body: []byte("text")})
 	was, ok = k.begin("a", "t3", 0, time.Minute)
-	assert.Assert(t, !ok && was.fate == done && was.answer.Status == 201)
+	assert.Assert(t, !ok && was.state == keyAnswered && was.answer.Status == 201)
 	// It is bounded: of the oldest the answers go, not that they ran.
-	body := make([]byte, keepAnswer)
-	for n := range 2 * keepBytes / keepAnswer {
+	body := make([]byte, maxStoredResponseBytes)
+	for n := range 2 * maxStoredBytes / maxStoredResponseBytes {
 		key := fmt.Sprint(n)
 		k.begin(key, "t", 0, time.Minute)
-		k.set(key, done, &wire.AnswerT{Body: body})
+		k.setState(key, keyAnswered, &wire.ResponseT{Body: body})
 	}
-	assert.Assert(t, k.bytes <= keepBytes)
+	assert.Assert(t, k.storedBytes <= maxStoredBytes)
 	was, ok = k.begin("a", "t4", 0, time.Minute)
-	assert.Assert(t, !ok && was.fate == done && was.answer == nil)
+	assert.Assert(t, !ok && was.state == keyAnswered && was.answer == nil)
 	// Past its window a key is forgotten.
-	for _, x := range k.keys {
-		x.at = x.at.Add(-2 * time.Minute)
+	for _, x := range k.records {
+		x.claimedAt = x.claimedAt.Add(-2 * time.Minute)
 	}
 	_, ok = k.begin("b", "t", 0, time.Minute)
-	assert.Assert(t, ok && len(k.keys) == 1 && k.bytes == 0)
+	assert.Assert(t, ok && len(k.records) == 1 && k.storedBytes == 0)
 }
 
 // A run that ends when its key is another's says nothing of that one.
-func TestKeepOutlasted(t *testing.T) {
-	k := newKeep()
+func TestResponseStoreOutlastedLease(t *testing.T) {
+	k := newResponseStore()
 	k.begin("a", "t1", 0, time.Minute)
-	k.set("a", running, nil)
-	k.keys["a"].at = k.keys["a"].at.Add(-2 * time.Minute)
+	k.setState("a", keyRunning, nil)
+	k.records["a"].claimedAt = k.records["a"].claimedAt.Add(-2 * time.Minute)
 	_, ok := k.begin("a", "t2", 0, time.Minute)
 	assert.Assert(t, ok)
-	k.set("a", running, nil)
-	k.end("a", "t1", unknown, nil)
+	k.setState("a", keyRunning, nil)
+	k.finish("a", "t1", keyOutcomeUnknown, nil)
 	was, _ := k.get("a")
-	assert.Equal(t, was.fate, running)
-	k.end("a", "t2", done, &wire.AnswerT{Status: 200})
+	assert.Equal(t, was.state, keyRunning)
+	k.finish("a", "t2", keyAnswered, &wire.ResponseT{Status: 200})
 	was, _ = k.get("a")
-	assert.Equal(t, was.fate, done)
+	assert.Equal(t, was.state, keyAnswered)
 }
--- a/internal/exchange/line/keys.go
+++ b/internal/exchange/line/keys.go
@@ -10,128 +10,130 @@
 	"hollyspur/internal/exchange/trunk/wire"
 )
 
-// holdSlack is by how much a key is held beyond its window, which runs from when its request was sent.
-const holdSlack = 2 * time.Second
-
-// claim has the registers agree that this request, and no other of its key, may run here. nil: it may; else the answer.
-func (r *run) claim(ctx context.Context) *wire.AnswerT {
-	in, q := r.in, r.q
-	l := in.line
-	window := l.set.Load().Bounds.KeyWindowS.D() + holdSlack
-	was, fresh := in.keep.begin(q.Key, q.Ticket, q.Nth, window)
+// leaseSlack is by how much a key is held beyond its window, which runs from when its request was sent.
+const leaseSlack = 2 * time.Second
+
+// claimKey has the registers agree that this request, and no other of its key, may run here. nil: it may; else the answer.
+func (r *inboundRequest) claimKey(ctx context.Context) *wire.ResponseT {
+	in, q := r.inbound, r.request
+	l := in.sidecar
+	window := l.settings.Load().Bounds.KeyWindowS.Duration() + leaseSlack
+	was, fresh := in.responses.begin(q.IdempotencyKey, q.Token, q.Attempt, window)
 	if !fresh {
-		return r.repeat(was)
+		return r.answerRepeat(was)
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(claimWithin, time.Duration(q.Budget)*time.Microsecond/2))
+	ctx, cancel := context.WithTimeout(ctx, min(claimTimeout, time.Duration(q.TimeoutUs)*time.Microsecond/2))
 	defer cancel()
-	grant, err := l.home.claim(ctx, &wire.ClaimT{Key: q.Key, Ticket: q.Ticket, Nth: q.Nth, Holder: l.holder(), Window: window.Microseconds()})
+	grant, err := l.controlPlane.claim(ctx, &wire.KeyLeaseRequestT{Key: q.IdempotencyKey, Token: q.Token, Attempt: q.Attempt, Holder: l.leaseHolder(), WindowUs: window.Microseconds()})
 	switch {
 	case err != nil:
 		// It may be granted all the same, but it never ran: so that is said, and the key given back.
-		r.giveBack()
-		return &wire.AnswerT{Ending: endNoKey}
+		r.releaseKey()
+		return &wire.ResponseT{Ending: codeKeyNotGranted}
 	case grant.Granted:
-		in.keep.set(q.Key, running, nil)
+		in.responses.setState(q.IdempotencyKey, keyRunning, nil)
 		return nil
 	}
-	in.keep.forget(q.Key)
+	in.responses.markNotExecuted(q.IdempotencyKey)
 	if grant.Holder == "" { // no room for more keys
-		return &wire.AnswerT{Ending: endNoKey}
+		return &wire.ResponseT{Ending: codeKeyNotGranted}
 	}
 	addr, _, _ := strings.Cut(grant.Holder, "/")
-	if addr == l.Addr() && l.heir(addr) == "" { // claimed in another life of this line
-		return r.lost()
+	if addr == l.Addr() && l.successorOf(addr) == "" { // claimed in another life of this line
+		return r.answerLost()
 	}
-	k, err := l.cords.recall(ctx, addr, q.Key)
+	k, err := l.upstreams.recallResponse(ctx, addr, q.IdempotencyKey)
 	switch {
-	case err != nil || k.Unknown || !k.Found:
-		return r.lost()
+	case err != nil || k.OutcomeUnknown || !k.Found:
+		return r.answerLost()
 	case k.Running:
-		return r.inWork()
+		return r.answerInProgress()
 	case k.Status == 0: // it never ran, and its key is on the way back
-		return &wire.AnswerT{Ending: endNoKey}
+		return &wire.ResponseT{Ending: codeKeyNotGranted}
 	}
-	return r.again(&wire.AnswerT{Status: k.Status, Fields: k.Fields, Body: k.Body, Length: int64(len(k.Body))})
+	return r.replayAnswer(&wire.ResponseT{Status: k.Status, HeaderFields: k.HeaderFields, Body: k.Body, ContentLength: int64(len(k.Body))})
 }
 
-// holder is this life of the line, as claims name it: one that starts again has forgotten what it claimed.
-func (l *Line) holder() string { return l.Addr() + "/" + l.life }
+// leaseHolder is this life of the line, as claims name it: one that starts again has forgotten what it claimed.
+func (l *Sidecar) leaseHolder() string { return l.Addr() + "/" + l.incarnation }
 
-// repeat answers a request whose key ran here before.
-func (r *run) repeat(was kept) *wire.AnswerT {
+// answerRepeat answers a request whose key ran here before.
+func (r *inboundRequest) answerRepeat(was keyRecord) *wire.ResponseT {
 	switch {
-	case was.fate == claiming || was.fate == running:
-		return r.inWork()
-	case was.fate == done && was.answer != nil:
-		return r.again(was.answer)
+	case was.state == keyClaiming || was.state == keyRunning:
+		return r.answerInProgress()
+	case was.state == keyAnswered && was.answer != nil:
+		return r.replayAnswer(was.answer)
 	}
-	return r.lost()
+	return r.answerLost()
 }
 
-// again is the first run's answer, for another try.
-func (r *run) again(first *wire.AnswerT) *wire.AnswerT {
-	a := &wire.AnswerT{Status: first.Status, Body: first.Body, Length: first.Length}
-	for _, f := range first.Fields {
-		if f.Name != hAttempt {
-			a.Fields = append(a.Fields, f)
+// replayAnswer is the first run's answer, for another try.
+func (r *inboundRequest) replayAnswer(first *wire.ResponseT) *wire.ResponseT {
+	a := &wire.ResponseT{Status: first.Status, Body: first.Body, ContentLength: first.ContentLength}
+	for _, f := range first.HeaderFields {
+		if f.Name != headerAttemptID {
+			a.HeaderFields = append(a.HeaderFields, f)
 		}
 	}
-	a.Fields = append(a.Fields, &wire.FieldT{Name: hAttempt, Value: r.q.Attempt})
+	a.HeaderFields = append(a.HeaderFields, &wire.HeaderFieldT{Name: headerAttemptID, Value: r.request.AttemptId})
 	return a
 }
 
-func (r *run) inWork() *wire.AnswerT { return r.own(http.StatusConflict, "the key is at work") }
+func (r *inboundRequest) answerInProgress() *wire.ResponseT {
+	return r.localAnswer(http.StatusConflict, "the key is at work")
+}
 
-func (r *run) lost() *wire.AnswerT {
-	return r.own(http.StatusBadGateway, "the key's request has run, or may have, and its answer is lost")
+func (r *inboundRequest) answerLost() *wire.ResponseT {
+	return r.localAnswer(http.StatusBadGateway, "the key's request has run, or may have, and its answer is lost")
 }
 
-// own is an answer in the server's place.
-func (r *run) own(status int, text string) *wire.AnswerT {
-	return &wire.AnswerT{Status: uint16(status), Body: []byte(text + "\n"), Length: int64(len(text) + 1),
-		Fields: []*wire.FieldT{{Name: hAttempt, Value: r.q.Attempt}, {Name: "Content-Type", Value: "text/plain; charset=utf-8"}}}
+// localAnswer is an answer in the server's place.
+func (r *inboundRequest) localAnswer(status int, text string) *wire.ResponseT {
+	return &wire.ResponseT{Status: uint16(status), Body: []byte(text + "\n"), ContentLength: int64(len(text) + 1),
+		HeaderFields: []*wire.HeaderFieldT{{Name: headerAttemptID, Value: r.request.AttemptId}, {Name: "Content-Type", Value: "text/plain; charset=utf-8"}}}
 }
 
-// release gives a key back whose request never ran.
-func (r *run) release() {
-	if r.held.Load() {
-		r.giveBack()
+// releaseOwnedKey gives a key back whose request never ran.
+func (r *inboundRequest) releaseOwnedKey() {
+	if r.ownsKey.Load() {
+		r.releaseKey()
 	}
 }
 
-func (r *run) giveBack() {
-	r.in.keep.forget(r.q.Key)
-	r.in.line.home.release(&wire.ClaimT{Key: r.q.Key, Ticket: r.q.Ticket, Nth: r.q.Nth, Holder: r.in.line.holder(), Release: true})
+func (r *inboundRequest) releaseKey() {
+	r.inbound.responses.markNotExecuted(r.request.IdempotencyKey)
+	r.inbound.sidecar.controlPlane.release(&wire.KeyLeaseRequestT{Key: r.request.IdempotencyKey, Token: r.request.Token, Attempt: r.request.Attempt, Holder: r.inbound.sidecar.leaseHolder(), Release: true})
 }
 
-// recall is what this line knows of a key, for another; of names another line that left its keys here.
-func (in *inbound) recall(key, of string) *wire.KeptT {
+// recallResponse is what this line knows of a key, for another; of names another line that left its keys here.
+func (in *inboundServer) recallResponse(key, of string) *wire.StoredResponseT {
 	if of != "" {
-		if t := in.keep.left(of, key); t != nil {
+		if t := in.responses.inheritedFor(of, key); t != nil {
 			return t
 		}
-		return &wire.KeptT{}
+		return &wire.StoredResponseT{}
 	}
-	if x, is := in.keep.get(key); is {
-		return keptOf(&x)
+	if x, is := in.responses.get(key); is {
+		return wireRecord(&x)
 	}
-	return &wire.KeptT{Unknown: true}
+	return &wire.StoredResponseT{OutcomeUnknown: true}
 }
 
-// handOver gives what is kept here to the heir, and says so once that has it.
-func (in *inbound) handOver(ctx context.Context, heir string) error {
-	l := in.line
-	for rest := in.keep.all(l.set.Load().Bounds.KeyWindowS.D() + holdSlack); len(rest) > 0; {
+// handOverResponses gives what is kept here to the heir, and says so once that has it.
+func (in *inboundServer) handOverResponses(ctx context.Context, heir string) error {
+	l := in.sidecar
+	for rest := in.responses.export(l.settings.Load().Bounds.KeyWindowS.Duration() + leaseSlack); len(rest) > 0; {
 		n, bytes := 0, 0
 		for n < len(rest) && n < 1000 && bytes < 1<<20 {
 			bytes += len(rest[n].Body)
 			n++
 		}
-		c, err := l.cords.cord(heir).connect(ctx)
+		c, err := l.upstreams.get(heir).connect(ctx)
 		if err != nil {
 			return err
 		}
-		if _, err := l.asks.Ask(ctx, c, trunk.AskInherit, trunk.Bytes(&wire.LegacyT{Of: l.Addr(), List: rest[:n]})); err != nil {
+		if _, err := l.calls.Call(ctx, c, trunk.CallHandOverKeys, trunk.EncodeTable(&wire.KeyHandoverT{SourceAddr: l.Addr(), List: rest[:n]})); err != nil {
 			return err
 		}
 		rest = rest[n:]
@@ -139,30 +141,30 @@
 	return nil
 }
 
-// recall asks another line for the answer that it keeps for a key, or its heir if that one is out for maintenance, or was.
-func (s *cords) recall(ctx context.Context, holder, key string) (*wire.KeptT, error) {
-	switch heir := s.line.heir(holder); heir {
+// recallResponse asks another line for the answer that it keeps for a key, or its heir if that one is out for maintenance, or was.
+func (s *upstreams) recallResponse(ctx context.Context, holder, key string) (*wire.StoredResponseT, error) {
+	switch heir := s.sidecar.successorOf(holder); heir {
 	case "":
-	case s.line.Addr():
-		if k := s.line.inbound.keep.left(holder, key); k != nil {
+	case s.sidecar.Addr():
+		if k := s.sidecar.inbound.responses.inheritedFor(holder, key); k != nil {
 			return k, nil
 		}
 	default:
-		if k, err := s.ask(ctx, heir, &wire.KeptT{Key: key}, holder); err == nil && k.Found {
+		if k, err := s.callRecall(ctx, heir, &wire.StoredResponseT{Key: key}, holder); err == nil && k.Found {
 			return k, nil
 		}
 	}
-	return s.ask(ctx, holder, &wire.KeptT{Key: key}, "")
+	return s.callRecall(ctx, holder, &wire.StoredResponseT{Key: key}, "")
 }
 
-func (s *cords) ask(ctx context.Context, addr string, q *wire.KeptT, of string) (*wire.KeptT, error) {
-	c, err := s.cord(addr).connect(ctx)
+func (s *upstreams) callRecall(ctx context.Context, addr string, q *wire.StoredResponseT, of string) (*wire.StoredResponseT, error) {
+	c, err := s.get(addr).connect(ctx)
 	if err != nil {
 		return nil, err
 	}
-	t, err := s.line.asks.Ask(ctx, c, trunk.AskRecall, trunk.Bytes(&wire.LegacyT{Of: of, List: []*wire.KeptT{q}}))
+	t, err := s.sidecar.calls.Call(ctx, c, trunk.CallStoredResponse, trunk.EncodeTable(&wire.KeyHandoverT{SourceAddr: of, List: []*wire.StoredResponseT{q}}))
 	if err != nil {
 		return nil, err
 	}
-	return trunk.Parse(t.Body, func(p []byte) *wire.KeptT { return wire.GetRootAsKept(p, 0).UnPack() })
+	return trunk.DecodeTable(t.Body, func(p []byte) *wire.StoredResponseT { return wire.GetRootAsStoredResponse(p, 0).UnPack() })
 }
--- a/internal/exchange/line/keys_test.go
+++ b/internal/exchange/line/keys_test.go
@@ -15,168 +15,170 @@
 // the line has given up, ends of each kind, releases held back and said twice, a line that crashes. The lines' keeps and the
 // registers' book are the real ones; what stands between them is the model's.
 
-type keyTry struct {
-	line   int
-	ticket string
-	nth    uint32
-	after  int // it begins only once that try has said that it never ran; -1: at any time
-	state  string
+type keyAttempt struct {
+	sidecar int
+	token   string
+	attempt uint32
+	after   int // it begins only once that try has said that it never ran; -1: at any time
+	state   string
 }
 
 type keyWorld struct {
-	tries  []keyTry
-	keeps  [2]*keep
-	lives  [2]int
-	book   *ticket.Book
-	net    []keyMessage
-	losses int // and repetitions and crashes that are left
-	runs   int // that have, or may have, run
-	trail  []string
+	attempts     []keyAttempt
+	responses    [2]*responseStore
+	incarnations [2]int
+	store        *ticket.Store
+	messages     []keyMessage
+	faultsLeft   int // and repetitions and crashes that are left
+	executions   int // that have, or may have, run
+	trace        []string
 }
 
 // keyMessage is a claim on its way to the book, or a grant on its way back.
 type keyMessage struct {
-	claim ticket.Claim
-	try   int
-	back  bool
-	grant bool
+	claim   ticket.LeaseRequest
+	attempt int
+	isReply bool
+	granted bool
 }
 
 const (
-	idle    = "idle"
-	waits   = "waits" // for its grant
-	runs    = "runs"
-	notRun  = "not run"
-	settled = "settled"
+	attemptIdle        = "idle"
+	attemptWaiting     = "waits" // for its grant
+	attemptRunning     = "runs"
+	attemptNotExecuted = "not run"
+	attemptSettled     = "settled"
 )
 
 func (w *keyWorld) clone() *keyWorld {
 	v := *w
-	v.tries, v.net, v.trail = slices.Clone(w.tries), slices.Clone(w.net), slices.Clone(w.trail)
-	v.book = ticket.Load(w.book.All())
-	for i, k := range w.keeps {
-		v.keeps[i] = newKeep()
-		for n, x := range k.keys {
+	v.attempts, v.messages, v.trace = slices.Clone(w.attempts), slices.Clone(w.messages), slices.Clone(w.trace)
+	v.store = ticket.Restore(w.store.Leases())
+	for i, k := range w.responses {
+		v.responses[i] = newResponseStore()
+		for n, x := range k.records {
 			y := *x
-			v.keeps[i].keys[n] = &y
+			v.responses[i].records[n] = &y
 		}
-		v.keeps[i].order = slices.Clone(k.order)
+		v.responses[i].claimOrder = slices.Clone(k.claimOrder)
 	}
 	return &v
 }
 
 func (w *keyWorld) key() string {
 	var b strings.Builder
-	for _, t := range w.tries {
+	for _, t := range w.attempts {
 		b.WriteString(t.state + ";")
 	}
-	for i, k := range w.keeps {
+	for i, k := range w.responses {
 		if x, is := k.get("k"); is {
-			fmt.Fprint(&b, x.ticket, x.nth, x.fate)
+			fmt.Fprint(&b, x.token, x.attempt, x.state)
 		}
-		fmt.Fprint(&b, "/", w.lives[i], ";")
+		fmt.Fprint(&b, "/", w.incarnations[i], ";")
 	}
-	for _, h := range w.book.All() {
-		fmt.Fprint(&b, h.Ticket, h.Nth, h.Holder)
+	for _, h := range w.store.Leases() {
+		fmt.Fprint(&b, h.Token, h.Attempt, h.Holder)
 	}
 	var msgs []string
-	for _, m := range w.net {
+	for _, m := range w.messages {
 		msgs = append(msgs, fmt.Sprint(m))
 	}
 	slices.Sort(msgs)
-	return fmt.Sprint(b.String(), msgs, w.losses, w.runs)
+	return fmt.Sprint(b.String(), msgs, w.faultsLeft, w.executions)
 }
 
-func (w *keyWorld) holder(line int) string { return fmt.Sprint("line", line, "/", w.lives[line]) }
+func (w *keyWorld) holder(line int) string {
+	return fmt.Sprint("line", line, "/", w.incarnations[line])
+}
 
-// giveBack is as run.giveBack.
-func (w *keyWorld) giveBack(i int) {
-	t := &w.tries[i]
-	w.keeps[t.line].forget("k")
-	w.net = append(w.net, keyMessage{claim: ticket.Claim{Key: "k", Ticket: t.ticket, Nth: t.nth, Holder: w.holder(t.line), Release: true}, try: i})
-	t.state = notRun
+// releaseKey is as run.giveBack.
+func (w *keyWorld) releaseKey(i int) {
+	t := &w.attempts[i]
+	w.responses[t.sidecar].markNotExecuted("k")
+	w.messages = append(w.messages, keyMessage{claim: ticket.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: w.holder(t.sidecar), Release: true}, attempt: i})
+	t.state = attemptNotExecuted
 }
 
 // next gives every state that one step leads to. released: the planted error.
 func (w *keyWorld) next(released bool) (out []*keyWorld) {
 	step := func(name string, f func(v *keyWorld)) {
 		v := w.clone()
-		v.trail = append(v.trail, name)
+		v.trace = append(v.trace, name)
 		f(v)
 		out = append(out, v)
 	}
-	for i, t := range w.tries {
+	for i, t := range w.attempts {
 		switch t.state {
-		case idle:
-			if t.after >= 0 && w.tries[t.after].state != notRun {
+		case attemptIdle:
+			if t.after >= 0 && w.attempts[t.after].state != attemptNotExecuted {
 				continue
 			}
 			step(fmt.Sprint("begin ", i), func(v *keyWorld) {
-				if _, fresh := v.keeps[t.line].begin("k", t.ticket, t.nth, time.Hour); !fresh {
-					v.tries[i].state = settled
+				if _, fresh := v.responses[t.sidecar].begin("k", t.token, t.attempt, time.Hour); !fresh {
+					v.attempts[i].state = attemptSettled
 					return
 				}
-				v.tries[i].state = waits
-				v.net = append(v.net, keyMessage{claim: ticket.Claim{Key: "k", Ticket: t.ticket, Nth: t.nth, Holder: v.holder(t.line), Window: time.Hour}, try: i})
+				v.attempts[i].state = attemptWaiting
+				v.messages = append(v.messages, keyMessage{claim: ticket.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: v.holder(t.sidecar), Window: time.Hour}, attempt: i})
 			})
-		case waits:
-			step(fmt.Sprint("give up ", i), func(v *keyWorld) { v.giveBack(i) })
-		case runs:
+		case attemptWaiting:
+			step(fmt.Sprint("give up ", i), func(v *keyWorld) { v.releaseKey(i) })
+		case attemptRunning:
 			step(fmt.Sprint("done ", i), func(v *keyWorld) {
-				v.runs++
-				v.keeps[t.line].set("k", done, nil)
-				v.tries[i].state = settled
+				v.executions++
+				v.responses[t.sidecar].setState("k", keyAnswered, nil)
+				v.attempts[i].state = attemptSettled
 			})
 			step(fmt.Sprint("unknown ", i), func(v *keyWorld) {
-				v.runs++
-				v.keeps[t.line].set("k", unknown, nil)
+				v.executions++
+				v.responses[t.sidecar].setState("k", keyOutcomeUnknown, nil)
 				if released {
-					v.giveBack(i)
+					v.releaseKey(i)
 				}
-				v.tries[i].state = settled
+				v.attempts[i].state = attemptSettled
 			})
-			step(fmt.Sprint("turned away ", i), func(v *keyWorld) { v.giveBack(i) })
+			step(fmt.Sprint("turned away ", i), func(v *keyWorld) { v.releaseKey(i) })
 		}
 	}
-	for n, m := range w.net {
+	for n, m := range w.messages {
 		take := func(v *keyWorld) {
-			if !m.back {
-				g := v.book.Take(time.Second, m.claim)
+			if !m.isReply {
+				g := v.store.Apply(time.Second, m.claim)
 				if !m.claim.Release {
-					v.net = append(v.net, keyMessage{claim: m.claim, try: m.try, back: true, grant: g.Granted})
+					v.messages = append(v.messages, keyMessage{claim: m.claim, attempt: m.attempt, isReply: true, granted: g.Granted})
 				}
 				return
 			}
-			t := &v.tries[m.try]
-			if t.state != waits || m.claim.Holder != v.holder(t.line) {
+			t := &v.attempts[m.attempt]
+			if t.state != attemptWaiting || m.claim.Holder != v.holder(t.sidecar) {
 				return // it has given up, or this is another life
 			}
-			if m.grant {
-				v.keeps[t.line].set("k", running, nil)
-				t.state = runs
+			if m.granted {
+				v.responses[t.sidecar].setState("k", keyRunning, nil)
+				t.state = attemptRunning
 			} else {
-				v.keeps[t.line].forget("k")
-				t.state = settled
+				v.responses[t.sidecar].markNotExecuted("k")
+				t.state = attemptSettled
 			}
 		}
-		step(fmt.Sprint("take ", m), func(v *keyWorld) { v.net = slices.Delete(v.net, n, n+1); take(v) })
-		if w.losses > 0 {
-			step(fmt.Sprint("lose ", m), func(v *keyWorld) { v.losses--; v.net = slices.Delete(v.net, n, n+1) })
-			step(fmt.Sprint("twice ", m), func(v *keyWorld) { v.losses--; take(v) })
+		step(fmt.Sprint("take ", m), func(v *keyWorld) { v.messages = slices.Delete(v.messages, n, n+1); take(v) })
+		if w.faultsLeft > 0 {
+			step(fmt.Sprint("lose ", m), func(v *keyWorld) { v.faultsLeft--; v.messages = slices.Delete(v.messages, n, n+1) })
+			step(fmt.Sprint("twice ", m), func(v *keyWorld) { v.faultsLeft--; take(v) })
 		}
 	}
-	for line := range w.keeps {
-		if w.losses > 0 && w.lives[line] == 0 {
+	for line := range w.responses {
+		if w.faultsLeft > 0 && w.incarnations[line] == 0 {
 			step(fmt.Sprint("crash ", line), func(v *keyWorld) {
-				v.losses--
-				v.lives[line]++
-				v.keeps[line] = newKeep()
-				for i := range v.tries {
-					if t := &v.tries[i]; t.line == line && (t.state == waits || t.state == runs) {
-						if t.state == runs {
-							v.runs++
+				v.faultsLeft--
+				v.incarnations[line]++
+				v.responses[line] = newResponseStore()
+				for i := range v.attempts {
+					if t := &v.attempts[i]; t.sidecar == line && (t.state == attemptWaiting || t.state == attemptRunning) {
+						if t.state == attemptRunning {
+							v.executions++
 						}
-						t.state = settled
+						t.state = attemptSettled
 					}
 				}
 			})
@@ -186,16 +188,16 @@
 }
 
 func searchKeys(released bool) (states int, broken []string) {
-	w := &keyWorld{book: ticket.New(), losses: 1, tries: []keyTry{
-		{line: 0, ticket: "a", after: -1, state: idle}, {line: 1, ticket: "a", nth: 1, after: 0, state: idle}, {line: 1, ticket: "b", after: -1, state: idle}}}
-	w.keeps = [2]*keep{newKeep(), newKeep()}
+	w := &keyWorld{store: ticket.New(), faultsLeft: 1, attempts: []keyAttempt{
+		{sidecar: 0, token: "a", after: -1, state: attemptIdle}, {sidecar: 1, token: "a", attempt: 1, after: 0, state: attemptIdle}, {sidecar: 1, token: "b", after: -1, state: attemptIdle}}}
+	w.responses = [2]*responseStore{newResponseStore(), newResponseStore()}
 	seen := map[string]bool{w.key(): true}
 	for list := []*keyWorld{w}; len(list) > 0; {
 		w := list[0]
 		list[0], list = nil, list[1:]
 		for _, v := range w.next(released) {
-			if v.runs > 1 {
-				return len(seen), v.trail
+			if v.executions > 1 {
+				return len(seen), v.trace
 			}
 			if k := v.key(); !seen[k] && (!testkit.Race || len(seen) < 9_000) {
 				seen[k] = true
@@ -207,7 +209,7 @@
 }
 
 // A key's request runs at most once, in whatever order; and a line that releases a key whose try ended unknown is found.
-func TestKeyAllOrders(t *testing.T) {
+func TestKeyInAllOrders(t *testing.T) {
 	states, broken := searchKeys(false)
 	if broken != nil {
 		t.Fatalf("it ran twice: %v", broken)
--- a/internal/exchange/line/line.go
+++ b/internal/exchange/line/line.go
@@ -36,58 +36,58 @@
 
 // Times of a line.
 const (
-	leadFor     = 2300 * time.Millisecond // clients find out that they are to leave
-	endSlack    = 700 * time.Millisecond  // of GraceS, for the end itself
-	giveUp      = 300 * time.Millisecond  // before that, of requests that hold up others' answers
-	refresh     = 5 * time.Second         // of its record
-	lineSilence = 45 * time.Second
-	callerHeads = 256 << 10        // bytes of a request's head
-	callerIdle  = 15 * time.Second // after which a caller's connection is closed
+	connectionDrainTime   = 2300 * time.Millisecond // clients find out that they are to leave
+	shutdownSlack         = 700 * time.Millisecond  // of GraceS, for the end itself
+	blockedRequestCutoff  = 300 * time.Millisecond  // before that, of requests that hold up others' answers
+	recordRefreshInterval = 5 * time.Second         // of its record
+	sidecarSilenceTimeout = 45 * time.Second
+	maxRequestHeadBytes   = 256 << 10        // bytes of a request's head
+	callerIdleTimeout     = 15 * time.Second // after which a caller's connection is closed
 )
 
-// Line is one line.
-type Line struct {
-	set   atomic.Pointer[settings.Settings]
-	log   zerolog.Logger
-	ring  *howler.Howler
-	clock engine.Clock
-	start time.Time
-	life  string // of this process, in tickets
+// Sidecar is one line.
+type Sidecar struct {
+	settings    atomic.Pointer[settings.Settings]
+	log         zerolog.Logger
+	ring        *howler.Ring
+	clock       engine.Clock
+	startedAt   time.Time
+	incarnation string // of this process, in tickets
 	// tickets are how many were given out in this life
-	tickets atomic.Uint64
-	ctx     context.Context
+	lastToken atomic.Uint64
+	ctx       context.Context
 
-	front     atomic.Pointer[front.Front]
-	callers   *pool.Share
-	serving   atomic.Bool // the front is
-	stopping  atomic.Bool
-	leading   atomic.Bool // its callers are led away, for it is out for maintenance
-	pools     *pools
-	cords     *cords
-	inbound   *inbound
-	own       *own
-	home      *home
-	asks      trunk.Asks
-	trunks    net.Listener
-	readiness net.Listener
-	calls     net.Listener
-	servers   []*http.Server
+	front             atomic.Pointer[front.Front]
+	callerShare       *pool.Share
+	serving           atomic.Bool // the front is
+	stopping          atomic.Bool
+	drainingCallers   atomic.Bool // its callers are led away, for it is out for maintenance
+	pools             *servicePools
+	upstreams         *upstreams
+	inbound           *inboundServer
+	localServer       *localServer
+	controlPlane      *controlPlaneConn
+	calls             trunk.Calls
+	inboundListener   net.Listener
+	readinessListener net.Listener
+	localAPIListener  net.Listener
+	httpServers       []*http.Server
 
-	mu    sync.Mutex // guards changes of the snapshots below, which are read without it
-	items patch.Table
-	rules rules                      // guarded by mu, but for what it says of itself
-	outs  atomic.Pointer[wire.OutsT] // machines that are out for maintenance
+	mu          sync.Mutex // guards changes of the snapshots below, which are read without it
+	items       patch.Table
+	policies    activePolicies                              // guarded by mu, but for what it says of itself
+	maintenance atomic.Pointer[wire.MachinesInMaintenanceT] // machines that are out for maintenance
 	// heirs are the lines that keep the answers of others which are out, or were; guarded by mu
-	heirs  map[string]heir
-	handed atomic.Pointer[string] // the order for which what is kept here was handed over
+	successors    map[string]successor
+	handedOverFor atomic.Pointer[string] // the order for which what is kept here was handed over
 	// handing is the order and the heir for which that is done, or was; guarded by mu
-	handing string
-	plan    atomic.Pointer[dialplan.Plan]
-	dir     atomic.Pointer[directory.Table]
+	handoverTarget string
+	routing        atomic.Pointer[dialplan.Table]
+	directory      atomic.Pointer[directory.Table]
 }
 
 // New listens; Run serves.
-func New(set settings.Settings, log zerolog.Logger, ring *howler.Howler) (_ *Line, err error) {
+func New(set settings.Settings, log zerolog.Logger, ring *howler.Ring) (_ *Sidecar, err error) {
 	l := assemble(set, log, ring)
 	listen := func(name, addr string) net.Listener {
 		if err != nil {
@@ -99,9 +99,9 @@
 		}
 		return nl
 	}
-	l.readiness = listen("Readiness", set.ListenAddrs.Readiness)
-	l.calls = listen("ControlPlane", set.ListenAddrs.ControlPlane)
-	l.trunks = listen("Inbound", set.TrunkListener(set.ListenAddrs.Inbound))
+	l.readinessListener = listen("Readiness", set.ListenAddrs.Readiness)
+	l.localAPIListener = listen("ControlPlane", set.ListenAddrs.ControlPlane)
+	l.inboundListener = listen("Inbound", set.TransportListenAddress(set.ListenAddrs.Inbound))
 	if err != nil {
 		return nil, err
 	}
@@ -109,39 +109,39 @@
 }
 
 // assemble makes all parts of a line, which listen nowhere yet.
-func assemble(set settings.Settings, log zerolog.Logger, ring *howler.Howler) *Line {
-	l := &Line{log: log, ring: ring, clock: engine.NewClock(), start: time.Now()}
-	l.set.Store(&set)
+func assemble(set settings.Settings, log zerolog.Logger, ring *howler.Ring) *Sidecar {
+	l := &Sidecar{log: log, ring: ring, clock: engine.NewClock(), startedAt: time.Now()}
+	l.settings.Store(&set)
 	var p [6]byte
 	crand.Read(p[:])
-	l.life = hex.EncodeToString(p[:])
-	l.plan.Store(dialplan.Make(patch.Table{}))
-	l.dir.Store(&directory.Table{})
-	l.outs.Store(&wire.OutsT{})
-	budgets := newBudgets(set)
-	l.own = newOwn(l)
-	l.inbound = newInbound(l, sender.New(sender.Config{Idle: serverIdle, Connect: connectWithin, Connections: budgets.servers,
-		LongAnswers: budgets.toServer, Speech: serverSpeech{}, Quiet: time.Hour}))
-	l.cords = newCords(l)
-	l.pools = newPools(l, budgets)
-	l.home = newHome(l)
-	l.callers = budgets.callers
+	l.incarnation = hex.EncodeToString(p[:])
+	l.routing.Store(dialplan.NewTable(patch.Table{}))
+	l.directory.Store(&directory.Table{})
+	l.maintenance.Store(&wire.MachinesInMaintenanceT{})
+	budgets := newResourceBudgets(set)
+	l.localServer = newLocalServer(l)
+	l.inbound = newInboundServer(l, sender.New(sender.Config{Idle: serverIdleTimeout, Connect: serverConnectTimeout, Connections: budgets.servers,
+		LongAnswers: budgets.toServer, Speech: serverProtocol{}, Quiet: time.Hour}))
+	l.upstreams = newUpstreams(l)
+	l.pools = newServicePools(l, budgets)
+	l.controlPlane = newControlPlaneConn(l)
+	l.callerShare = budgets.callers
 	return l
 }
 
-// open has callers come. Until the items are confirmed they are told when to come again: a connection that is refused
+// openOutbound has callers come. Until the items are confirmed they are told when to come again: a connection that is refused
 // would cost them a try and tell them nothing.
-func (l *Line) open() error {
-	out, err := net.Listen("tcp4", l.set.Load().ListenAddrs.Outbound)
+func (l *Sidecar) openOutbound() error {
+	out, err := net.Listen("tcp4", l.settings.Load().ListenAddrs.Outbound)
 	if err != nil {
 		return errors.Annotate(err, "Outbound")
 	}
-	f := front.New(out, l.clock, routes{l}, l.callers)
-	f.Speech = speech{l}
+	f := front.New(out, l.clock, routeResolver{l}, l.callerShare)
+	f.Speech = callerProtocol{l}
 	f.LookAhead()
-	f.Idle(callerIdle)
+	f.Idle(callerIdleTimeout)
 	f.OwnTimes()
-	f.Heads(callerHeads)
+	f.Heads(maxRequestHeadBytes)
 	l.front.Store(f)
 	go func() {
 		if err := f.Serve(); err != http.ErrServerClosed && !l.stopping.Load() {
@@ -152,68 +152,70 @@
 }
 
 // Addr is the address of its trunk, by which the others name it.
-func (l *Line) Addr() string { return l.set.Load().ListenAddrs.Inbound }
+func (l *Sidecar) Addr() string { return l.settings.Load().ListenAddrs.Inbound }
 
 // Reload takes a settings file that has changed.
-func (l *Line) Reload(set settings.Settings) {
-	if was := l.set.Swap(&set); was.Service != set.Service { // who calls is a part of the rules
+func (l *Sidecar) Reload(set settings.Settings) {
+	if was := l.settings.Swap(&set); was.Service != set.Service { // who calls is a part of the rules
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.swap()
+		l.rebuildRouting()
 	}
 }
 
-func (l *Line) ready() bool { return l.serving.Load() && !l.stopping.Load() && !l.leading.Load() }
+func (l *Sidecar) isReady() bool {
+	return l.serving.Load() && !l.stopping.Load() && !l.drainingCallers.Load()
+}
 
 // Run serves until ctx ends, then lets go of callers and finishes what was taken.
-func (l *Line) Run(ctx context.Context) error {
+func (l *Sidecar) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l.ctx = work
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readiness", func(w http.ResponseWriter, _ *http.Request) {
-		if !l.ready() {
+		if !l.isReady() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	ready, calls := control.Serve(mux), control.Serve(l.own.handlers())
-	l.servers = []*http.Server{ready, calls}
-	if err := l.open(); err != nil {
+	ready, calls := control.NewServer(mux), control.NewServer(l.localServer.handlers())
+	l.httpServers = []*http.Server{ready, calls}
+	if err := l.openOutbound(); err != nil {
 		return err
 	}
-	go ready.Serve(l.readiness)
-	go calls.Serve(l.calls)
-	go l.inbound.accept(l.trunks)
-	go l.home.run()
-	go l.own.watch()
+	go ready.Serve(l.readinessListener)
+	go calls.Serve(l.localAPIListener)
+	go l.inbound.acceptConns(l.inboundListener)
+	go l.controlPlane.run()
+	go l.localServer.watch()
 	<-ctx.Done()
-	l.stop()
+	l.shutdown()
 	return nil
 }
 
-// confirmed is called once the items are known to be no older than what was acknowledged.
-func (l *Line) confirmed() {
+// configConfirmed is called once the items are known to be no older than what was acknowledged.
+func (l *Sidecar) configConfirmed() {
 	if !l.serving.CompareAndSwap(false, true) {
 		return
 	}
-	if g := l.plan.Load().Groups[l.set.Load().Service]; g.HealthPath != "" {
-		go l.own.probe(g.HealthPath)
+	if g := l.routing.Load().Services[l.settings.Load().Service]; g.HealthPath != "" {
+		go l.localServer.probe(g.HealthPath)
 	}
 }
 
-// stop has callers leave, then ends what is open in the time that is left.
-func (l *Line) stop() {
+// shutdown has callers leave, then ends what is open in the time that is left.
+func (l *Sidecar) shutdown() {
 	began := time.Now()
-	grace := l.set.Load().Bounds.GraceS.D()
+	grace := l.settings.Load().Bounds.GraceS.Duration()
 	l.stopping.Store(true)
 	f := l.front.Load()
 	if f != nil {
 		f.LeadAway(true)
 	}
-	deadline := began.Add(max(grace-endSlack, grace/2))
+	deadline := began.Add(max(grace-shutdownSlack, grace/2))
 	lead := time.NewTicker(100 * time.Millisecond)
 	defer lead.Stop()
-	for time.Since(began) < min(leadFor, grace/2) {
+	for time.Since(began) < min(connectionDrainTime, grace/2) {
 		<-lead.C
 		if f != nil && time.Since(began) > time.Second {
 			f.LeadIdle()
@@ -222,34 +224,34 @@
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	// The server beside it serves the others until now: of lines that end in turn few are out at a time.
-	l.own.leave()
+	l.localServer.leave()
 	<-lead.C
-	l.inbound.ending.Store(true)
+	l.inbound.draining.Store(true)
 	if f != nil {
 		// Not by Shutdown yet: it ends a connection with the answer being written, and those of what came behind are lost.
 		f.Hand()
 		for given := false; f.Open() > 0 && ctx.Err() == nil; <-lead.C {
 			f.LeadIdle()
-			if !given && time.Until(deadline) < giveUp {
+			if !given && time.Until(deadline) < blockedRequestCutoff {
 				given = true
 				f.GiveUp()
 			}
 		}
 		f.Shutdown(ctx)
 	}
-	for l.inbound.open.Load() > 0 && ctx.Err() == nil {
+	for l.inbound.openRequests.Load() > 0 && ctx.Err() == nil {
 		<-lead.C
 	}
-	l.inbound.finish(ctx)
-	l.home.close()
-	l.cords.close()
-	for _, s := range l.servers {
+	l.inbound.finishConns(ctx)
+	l.controlPlane.close()
+	l.upstreams.close()
+	for _, s := range l.httpServers {
 		s.Close()
 	}
 }
 
-// takeItems merges items that a register told.
-func (l *Line) takeItems(items []patch.Item) {
+// mergeItems merges items that a register told.
+func (l *Sidecar) mergeItems(items []patch.Item) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	next, raised := l.items.Merge(items)
@@ -257,106 +259,108 @@
 		return
 	}
 	l.items = next
-	l.holdRules(raised)
-	l.swap()
+	l.noteHeldPolicies(raised)
+	l.rebuildRouting()
 }
 
-// swap makes the plan of the items and rules that are in force, and puts it in the place of the one before. The caller holds
+// rebuildRouting makes the plan of the items and rules that are in force, and puts it in the place of the one before. The caller holds
 // the lock.
-func (l *Line) swap() {
-	plan := dialplan.MakeRuled(l.items, l.rules.bound, l.set.Load().Service)
-	l.pools.follow(plan)
-	l.plan.Store(plan)
+func (l *Sidecar) rebuildRouting() {
+	plan := dialplan.NewTableWithPolicies(l.items, l.policies.table, l.settings.Load().Service)
+	l.pools.applyRouting(plan)
+	l.routing.Store(plan)
 	if f := l.front.Load(); f != nil {
 		if plan.Limits.IdleTimeoutS > 0 {
-			f.Idle(plan.Limits.IdleTimeoutS.D())
+			f.Idle(plan.Limits.IdleTimeoutS.Duration())
 		}
-		f.HeadWithin(plan.Limits.HeaderTimeoutS.D())
+		f.HeadWithin(plan.Limits.HeaderTimeoutS.Duration())
 	}
-	l.pools.relist() // a service that is new hears of the lines and slots that are known already
+	l.pools.refreshServices() // a service that is new hears of the lines and slots that are known already
 }
 
-// takeOuts takes which machines orders have out. The latest entry of the log holds, by whatever way it comes.
-func (l *Line) takeOuts(o *wire.OutsT) {
+// applyMaintenance takes which machines orders have out. The latest entry of the log holds, by whatever way it comes.
+func (l *Sidecar) applyMaintenance(o *wire.MachinesInMaintenanceT) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if o.Index < l.outs.Load().Index {
+	if o.Index < l.maintenance.Load().Index {
 		return
 	}
-	l.outs.Store(o)
+	l.maintenance.Store(o)
 	out, leading := false, false
 	for _, x := range o.List {
-		if x.Heir != "" {
-			if l.heirs == nil {
-				l.heirs = map[string]heir{}
+		if x.Successor != "" {
+			if l.successors == nil {
+				l.successors = map[string]successor{}
 			}
-			l.heirs[x.Addr] = heir{x.Heir, time.Now()}
+			l.successors[x.Addr] = successor{x.Successor, time.Now()}
 		}
 		if x.Addr == l.Addr() {
-			out, leading = true, x.Leading
-			if to := x.Order + " " + x.Heir; x.Heir != "" && leading && to != l.handing {
-				l.handing = to
-				go l.handOver(x.Order, x.Heir)
+			out, leading = true, x.DrainCallers
+			if to := x.OrderId + " " + x.Successor; x.Successor != "" && leading && to != l.handoverTarget {
+				l.handoverTarget = to
+				go l.handOverResponses(x.OrderId, x.Successor)
 			}
 		}
 	}
-	for a, h := range l.heirs {
-		if time.Since(h.at) > l.set.Load().Bounds.KeyWindowS.D()+time.Hour { // an order has machines out for a day at the most
-			delete(l.heirs, a)
+	for a, h := range l.successors {
+		if time.Since(h.toldAt) > l.settings.Load().Bounds.KeyWindowS.Duration()+time.Hour { // an order has machines out for a day at the most
+			delete(l.successors, a)
 		}
 	}
-	l.own.order(out)
-	if l.leading.Swap(leading) != leading {
+	l.localServer.setMaintenance(out)
+	if l.drainingCallers.Swap(leading) != leading {
 		if f := l.front.Load(); f != nil && !l.stopping.Load() {
 			f.LeadAway(leading)
 		}
 	}
-	l.pools.relist()
+	l.pools.refreshServices()
 }
 
-// heir is who keeps the answers of a line, as of when that was told.
-type heir struct {
-	addr string
-	at   time.Time
+// successor is who keeps the answers of a line, as of when that was told.
+type successor struct {
+	addr   string
+	toldAt time.Time
 }
 
-// heir is the line that keeps what another left; "": it has left nothing.
-func (l *Line) heir(of string) string {
+// successorOf is the line that keeps what another left; "": it has left nothing.
+func (l *Sidecar) successorOf(of string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heirs[of].addr
+	return l.successors[of].addr
 }
 
-// handOver hands over what is kept here, until it is, for as long as the order is the one that stands.
-func (l *Line) handOver(order, heir string) {
+// handOverResponses hands over what is kept here, until it is, for as long as the order is the one that stands.
+func (l *Sidecar) handOverResponses(order, heir string) {
 	for l.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(l.ctx, 2*time.Second)
-		err := l.inbound.handOver(ctx, heir)
+		err := l.inbound.handOverResponses(ctx, heir)
 		cancel()
 		if err == nil {
-			l.handed.Store(&order)
+			l.handedOverFor.Store(&order)
 			return
 		}
 		l.log.Info().Err(err).Str("heir", heir).Msg("hand over")
-		if !slices.ContainsFunc(l.outs.Load().List, func(o *wire.OutT) bool { return o.Addr == l.Addr() && o.Order == order && o.Heir == heir }) {
+		if !slices.ContainsFunc(l.maintenance.Load().List, func(o *wire.MachineInMaintenanceT) bool {
+			return o.Addr == l.Addr() && o.OrderId == order && o.Successor == heir
+		}) {
 			return // one that is let in again, and comes out anew, is of another order
 		}
-		time.Sleep(askAgain)
+		time.Sleep(handoverRetryInterval)
 	}
 }
 
-// isOut says that an order has a machine out.
-func (l *Line) isOut(addr string) bool {
-	return slices.ContainsFunc(l.outs.Load().List, func(o *wire.OutT) bool { return o.Addr == addr })
+// isInMaintenance says that an order has a machine out.
+func (l *Sidecar) isInMaintenance(addr string) bool {
+	return slices.ContainsFunc(l.maintenance.Load().List, func(o *wire.MachineInMaintenanceT) bool { return o.Addr == addr })
 }
 
-// takeRecords merges records of lines.
-func (l *Line) takeRecords(records []directory.Record) {
+// mergeRecords merges records of lines.
+func (l *Sidecar) mergeRecords(records []directory.Record) {
 	addr := l.Addr()
 	l.mu.Lock()
-	next, news := l.dir.Load().Merge(l.clock.Now(), records)
+	next, news := l.directory.Load().Merge(l.clock.Now(), records)
 	if len(news) > 0 {
-		l.dir.Store(&next)
+		l.directory.Store(&next)
 	}
 	l.mu.Unlock()
 	if len(news) == 0 {
@@ -364,21 +368,21 @@
 	}
 	for _, r := range news {
 		if r.Addr == addr {
-			l.own.outdo(r.Life)
+			l.localServer.supersede(r.Incarnation)
 		}
 	}
-	l.pools.relist()
+	l.pools.refreshServices()
 }
 
-// expire drops lines that nothing was heard of for long.
-func (l *Line) expire() {
+// expireDirectory drops lines that nothing was heard of for long.
+func (l *Sidecar) expireDirectory() {
 	l.mu.Lock()
-	next, dropped := l.dir.Load().Expire(l.clock.Now(), lineSilence)
+	next, dropped := l.directory.Load().Expire(l.clock.Now(), sidecarSilenceTimeout)
 	if len(dropped) > 0 {
-		l.dir.Store(&next)
+		l.directory.Store(&next)
 	}
 	l.mu.Unlock()
 	if len(dropped) > 0 {
-		l.pools.relist()
+		l.pools.refreshServices()
 	}
 }
--- a/internal/exchange/line/own_test.go
+++ b/internal/exchange/line/own_test.go
@@ -14,53 +14,53 @@
 	sender "hollyspur/internal/sender/http1"
 )
 
-// mostAck is the size in bytes up to which a server takes an answer for an acknowledgement.
-const mostAck = 4 << 10
+// maxAcknowledgementBytes is the size in bytes up to which a server takes an answer for an acknowledgement.
+const maxAcknowledgementBytes = 4 << 10
 
-// beside is a line with nothing known of a server yet.
-func beside(t *testing.T) *own {
-	l, _, far := homed(t)
+// newTestLocalServer is a line with nothing known of a server yet.
+func newTestLocalServer(t *testing.T) *localServer {
+	l, _, far := newFollowingSidecar(t)
 	t.Cleanup(func() { far.Close(nil) })
-	l.inbound = newInbound(l, sender.New(sender.Config{Connect: connectWithin, Speech: serverSpeech{}, Quiet: time.Hour}))
-	return l.own
+	l.inbound = newInboundServer(l, sender.New(sender.Config{Connect: serverConnectTimeout, Speech: serverProtocol{}, Quiet: time.Hour}))
+	return l.localServer
 }
 
-// post sends a server's call, and checks that an acknowledgement is one.
-func (o *own) post(t *testing.T, path, body string) int {
+// postCall sends a server's call, and checks that an acknowledgement is one.
+func (o *localServer) postCall(t *testing.T, path, body string) int {
 	t.Helper()
 	w := httptest.NewRecorder()
 	o.handlers().ServeHTTP(w, httptest.NewRequest("POST", "/v1/endpoints/"+path, strings.NewReader(body)))
 	if w.Code == http.StatusOK {
-		assert.Assert(t, w.Body.Len() <= mostAck)
+		assert.Assert(t, w.Body.Len() <= maxAcknowledgementBytes)
 		assert.Assert(t, !strings.Contains(w.Body.String(), "HeartbeatTarget"), "beats are to come here and nowhere else")
 	}
 	return w.Code
 }
 
-func (o *own) beats(t *testing.T, id, state string, sequence int) {
+func (o *localServer) postHeartbeat(t *testing.T, id, state string, sequence int) {
 	t.Helper()
 	body := fmt.Sprintf(`{"Address":"10.1.0.9:8080","SystemInfo":{"Service":"stock","ConfigVersion":"v7","Zone":"a","SlotCount":6,"Later":1},
 		"OperStatus":{"State":%q,"CallSeq":%d,"WarmupLeftS":2.5}}`, state, sequence)
-	assert.Equal(t, o.post(t, id+"/heartbeat", body), http.StatusOK)
+	assert.Equal(t, o.postCall(t, id+"/heartbeat", body), http.StatusOK)
 }
 
 // What a beat says stands in the line's record; what is none is refused.
-func TestBeat(t *testing.T) {
-	o := beside(t)
-	o.beats(t, "i-1", "ready", 4)
+func TestHeartbeat(t *testing.T) {
+	o := newTestLocalServer(t)
+	o.postHeartbeat(t, "i-1", "ready", 4)
 	r := o.record()
-	assert.Assert(t, r.Server == "i-1" && r.Service == "stock" && r.State == directory.Ready && r.Slots == 6 && r.Warmup == 2500*time.Millisecond, "%+v", r)
-	assert.Equal(t, o.endpoint("i-1").Addr, "10.1.0.9:8080")
-	assert.Equal(t, o.post(t, "i-1/heartbeat", `{"OperStatus":{"State":"ready","CallSeq":5}}`), http.StatusBadRequest)
-	assert.Equal(t, o.post(t, "i-1/heartbeat", `{"Address":`), http.StatusBadRequest)
-	assert.Equal(t, o.post(t, "i-1/heartbeat", strings.Repeat(" ", 20<<10)), http.StatusRequestEntityTooLarge)
-	assert.Equal(t, o.post(t, strings.Repeat("i", longestID+1)+"/heartbeat", `{"Address":"10.1.0.9:8080"}`), http.StatusBadRequest)
+	assert.Assert(t, r.ServerID == "i-1" && r.Service == "stock" && r.State == directory.ServerReady && r.Slots == 6 && r.Warmup == 2500*time.Millisecond, "%+v", r)
+	assert.Equal(t, o.endpointOf("i-1").Addr, "10.1.0.9:8080")
+	assert.Equal(t, o.postCall(t, "i-1/heartbeat", `{"OperStatus":{"State":"ready","CallSeq":5}}`), http.StatusBadRequest)
+	assert.Equal(t, o.postCall(t, "i-1/heartbeat", `{"Address":`), http.StatusBadRequest)
+	assert.Equal(t, o.postCall(t, "i-1/heartbeat", strings.Repeat(" ", 20<<10)), http.StatusRequestEntityTooLarge)
+	assert.Equal(t, o.postCall(t, strings.Repeat("i", maxIDBytes+1)+"/heartbeat", `{"Address":"10.1.0.9:8080"}`), http.StatusBadRequest)
 }
 
 // Beats of two lives of a server in any order, each of which may come again: an overtaken one changes nothing, a server that
 // leaves does not come back, and one that has left is not heard any more. So it is where the line starts again in between and
 // has heard nothing: then the first that it hears counts.
-func TestBeatsInAnyOrder(t *testing.T) {
+func TestHeartbeatsInAnyOrder(t *testing.T) {
 	type call struct {
 		id, state string
 		sequence  int
@@ -72,25 +72,25 @@
 		if len(left) == 0 {
 			orders++
 			for restart := range len(done) {
-				o := beside(t)
+				o := newTestLocalServer(t)
 				highest, gone := 0, false
 				for n, c := range done {
 					if n == restart && n > 0 {
-						o, highest, gone = beside(t), 0, false
+						o, highest, gone = newTestLocalServer(t), 0, false
 					}
 					if c.state == "left" {
-						assert.Equal(t, o.post(t, c.id+"/deregister", ""), http.StatusOK)
+						assert.Equal(t, o.postCall(t, c.id+"/deregister", ""), http.StatusOK)
 						gone = true
 					} else {
-						o.beats(t, c.id, c.state, c.sequence)
+						o.postHeartbeat(t, c.id, c.state, c.sequence)
 						highest = max(highest, c.sequence)
 					}
-					want := directory.Ready
+					want := directory.ServerReady
 					switch {
 					case gone || highest == 0:
-						want = directory.None
+						want = directory.ServerNone
 					case highest == 3:
-						want = directory.Draining
+						want = directory.ServerDraining
 					}
 					assert.Equal(t, o.record().State, want, "%v, started anew before %d, after %d", done, restart, n)
 				}
@@ -104,12 +104,12 @@
 	try(nil, calls)
 	assert.Equal(t, orders, 24)
 
-	o := beside(t)
-	o.beats(t, "i-1", "draining", 9)
-	o.beats(t, "i-2", "ready", 1) // its successor at the same address
-	o.beats(t, "i-1", "ready", 8)
-	o.beats(t, "i-1", "draining", 10)
-	assert.Assert(t, o.record().Server == "i-2" && o.record().State == directory.Ready)
-	assert.Equal(t, o.post(t, "i-1/deregister", ""), http.StatusOK)
-	assert.Assert(t, o.record().Server == "i-2" && o.record().State == directory.Ready)
+	o := newTestLocalServer(t)
+	o.postHeartbeat(t, "i-1", "draining", 9)
+	o.postHeartbeat(t, "i-2", "ready", 1) // its successor at the same address
+	o.postHeartbeat(t, "i-1", "ready", 8)
+	o.postHeartbeat(t, "i-1", "draining", 10)
+	assert.Assert(t, o.record().ServerID == "i-2" && o.record().State == directory.ServerReady)
+	assert.Equal(t, o.postCall(t, "i-1/deregister", ""), http.StatusOK)
+	assert.Assert(t, o.record().ServerID == "i-2" && o.record().State == directory.ServerReady)
 }
--- a/internal/exchange/line/relay_test.go
+++ b/internal/exchange/line/relay_test.go
@@ -44,8 +44,8 @@
 	return &cut{mode: mode, answer: answer, after: after, struck: make(chan struct{}), mended: make(chan struct{}), released: make(chan struct{})}
 }
 
-// passing is a part of what passes: whole frames, or whole HTTP messages, with the call that they belong to; "": none.
-type passing struct {
+// relayedMessage is a part of what passes: whole frames, or whole HTTP messages, with the call that they belong to; "": none.
+type relayedMessage struct {
 	raw     []byte
 	attempt string
 	answer  bool
@@ -54,7 +54,7 @@
 // framing tells messages apart on one connection.
 type framing interface {
 	// begin is for a new connection; each reads one direction's next message, in its own goroutine.
-	begin() (request, answer func(r *bufio.Reader) (passing, error))
+	begin() (request, answer func(r *bufio.Reader) (relayedMessage, error))
 }
 
 // relay stands on a hop and cuts calls at a byte.
@@ -65,7 +65,7 @@
 	mu   sync.Mutex // guards below
 	cuts map[string]*cut
 	// change is what passes in place of an answer; nil: itself
-	change func(passing) []byte
+	change func(relayedMessage) []byte
 }
 
 func startRelay(t testing.TB, to string, f framing) *relay {
@@ -95,7 +95,7 @@
 }
 
 // take gives the cut that is planned for a message, if there is one, once.
-func (r *relay) take(m passing) *cut {
+func (r *relay) take(m relayedMessage) *cut {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.cuts[m.attempt]
@@ -128,7 +128,7 @@
 }
 
 // copy passes one direction on, until it ends or is cut.
-func (r *relay) copy(from, to net.Conn, next func(*bufio.Reader) (passing, error)) {
+func (r *relay) copy(from, to net.Conn, next func(*bufio.Reader) (relayedMessage, error)) {
 	in := bufio.NewReader(from)
 	for {
 		m, err := next(in)
@@ -191,10 +191,10 @@
 	c.Close()
 }
 
-// cordFrames is the framing between lines.
-type cordFrames struct{}
+// upstreamFraming is the framing between lines.
+type upstreamFraming struct{}
 
-func (cordFrames) begin() (request, answer func(*bufio.Reader) (passing, error)) {
+func (upstreamFraming) begin() (request, answer func(*bufio.Reader) (relayedMessage, error)) {
 	var mu sync.Mutex
 	names := map[uint64]string{}
 	frame := func(r *bufio.Reader) ([]byte, trunk.Message, error) {
@@ -210,29 +210,29 @@
 		m, err := trunk.Decode(raw[4:])
 		return raw, m, err
 	}
-	request = func(r *bufio.Reader) (passing, error) {
+	request = func(r *bufio.Reader) (relayedMessage, error) {
 		raw, m, err := frame(r)
-		p := passing{raw: raw}
+		p := relayedMessage{raw: raw}
 		mu.Lock()
 		defer mu.Unlock()
 		switch v := m.Value.(type) {
 		case *wire.RequestT:
-			names[v.Id] = v.Attempt
-			p.attempt = v.Attempt
-		case *wire.PieceT:
+			names[v.Id] = v.AttemptId
+			p.attempt = v.AttemptId
+		case *wire.BodyChunkT:
 			p.attempt = names[v.Id]
 		}
 		return p, err
 	}
-	answer = func(r *bufio.Reader) (passing, error) {
+	answer = func(r *bufio.Reader) (relayedMessage, error) {
 		raw, m, err := frame(r)
-		p := passing{raw: raw, answer: true}
+		p := relayedMessage{raw: raw, answer: true}
 		mu.Lock()
 		defer mu.Unlock()
 		switch v := m.Value.(type) {
-		case *wire.AnswerT:
+		case *wire.ResponseT:
 			p.attempt = names[v.Id]
-		case *wire.PieceT:
+		case *wire.BodyChunkT:
 			p.attempt = names[v.Id]
 		}
 		return p, err
@@ -240,21 +240,21 @@
 	return request, answer
 }
 
-// httpMessages is the framing between a line and its server: one request at a time, and its answer.
-type httpMessages struct{}
+// httpFraming is the framing between a line and its server: one request at a time, and its answer.
+type httpFraming struct{}
 
-func (httpMessages) begin() (request, answer func(*bufio.Reader) (passing, error)) {
+func (httpFraming) begin() (request, answer func(*bufio.Reader) (relayedMessage, error)) {
 	waiting := make(chan string, 1)
-	whole := func(r *bufio.Reader, read func(*bufio.Reader) (http.Header, io.ReadCloser, error)) (passing, http.Header, error) {
+	whole := func(r *bufio.Reader, read func(*bufio.Reader) (http.Header, io.ReadCloser, error)) (relayedMessage, http.Header, error) {
 		var raw bytes.Buffer
-		tee := bufio.NewReaderSize(io.TeeReader(byByte{r}, &raw), 16)
+		tee := bufio.NewReaderSize(io.TeeReader(byteReader{r}, &raw), 16)
 		head, body, err := read(tee)
 		if err == nil {
 			_, err = io.ReadAll(body)
 		}
-		return passing{raw: raw.Bytes()}, head, err
+		return relayedMessage{raw: raw.Bytes()}, head, err
 	}
-	request = func(r *bufio.Reader) (passing, error) {
+	request = func(r *bufio.Reader) (relayedMessage, error) {
 		p, head, err := whole(r, func(r *bufio.Reader) (http.Header, io.ReadCloser, error) {
 			q, err := http.ReadRequest(r)
 			if err != nil {
@@ -263,12 +263,12 @@
 			return q.Header, q.Body, nil
 		})
 		if err == nil {
-			p.attempt = head.Get(hAttempt)
+			p.attempt = head.Get(headerAttemptID)
 			waiting <- p.attempt
 		}
 		return p, err
 	}
-	answer = func(r *bufio.Reader) (passing, error) {
+	answer = func(r *bufio.Reader) (relayedMessage, error) {
 		p, _, err := whole(r, func(r *bufio.Reader) (http.Header, io.ReadCloser, error) {
 			a, err := http.ReadResponse(r, nil)
 			if err != nil {
@@ -288,7 +288,7 @@
 	return request, answer
 }
 
-// byByte reads a byte at a time, so that a reader over it reads nothing ahead of what it needs.
-type byByte struct{ r io.Reader }
+// byteReader reads a byte at a time, so that a reader over it reads nothing ahead of what it needs.
+type byteReader struct{ r io.Reader }
 
-func (b byByte) Read(p []byte) (int, error) { return b.r.Read(p[:min(1, len(p))]) }
+func (b byteReader) Read(p []byte) (int, error) { return b.r.Read(p[:min(1, len(p))]) }
--- a/internal/exchange/line/status.go
+++ b/internal/exchange/line/status.go
@@ -8,29 +8,29 @@
 )
 
 // status is how this line is.
-func (l *Line) status() *wire.StatusT {
-	set := l.set.Load()
+func (l *Sidecar) status() *wire.StatusT {
+	set := l.settings.Load()
 	l.mu.Lock()
 	items := l.items
 	l.mu.Unlock()
-	o := l.own
+	o := l.localServer
 	o.mu.Lock()
-	rec, why, held := o.rec, o.why, o.held || o.ordered
+	rec, why, held := o.current, o.outReason, o.heldByOperator || o.inMaintenance
 	o.mu.Unlock()
-	s := &wire.StatusT{Name: set.NodeName, Addr: l.Addr(), Zone: set.Zone, Up: time.Since(l.start).Microseconds(), Items: items.Holds(), Touch: l.home.inTouch(),
-		Ready: l.ready(), Leaving: l.stopping.Load(), Held: held, Service: rec.Service, Server: rec.Server, State: byte(rec.State), Why: why, Open: l.inbound.open.Load(),
-		Outs: l.outs.Load().Index, Sends: l.cords.sends()}
-	leaf := l.rules.get()
-	s.RulesHeld, s.RulesBound, s.BoundAt, s.Fenced = leaf.Held, leaf.Bound, leaf.At, l.fenced()
-	s.BoundFor = (l.clock.Now() - time.Duration(l.rules.since.Load())).Microseconds()
-	s.Said = trunk.Account()
-	s.Work = l.inbound.tally.work()
-	s.Callers, _ = l.pools.budgets.calls.Used()
-	if h := l.handed.Load(); h != nil {
-		s.Handed = *h
+	s := &wire.StatusT{Name: set.NodeName, Addr: l.Addr(), Zone: set.Zone, UptimeUs: time.Since(l.startedAt).Microseconds(), ItemVersions: items.Versions(), QuorumContact: l.controlPlane.isReachable(),
+		Ready: l.isReady(), Stopping: l.stopping.Load(), InMaintenance: held, Service: rec.Service, ServerId: rec.ServerID, ServerState: byte(rec.State), ServerStateReason: why, OpenRequests: l.inbound.openRequests.Load(),
+		MaintenanceIndex: l.maintenance.Load().Index, UpstreamAddrs: l.upstreams.activeAddrs()}
+	leaf := l.policies.current()
+	s.CommittedPolicy, s.ActivePolicy, s.ActivePolicyIndex, s.Fenced = leaf.Received, leaf.Active, leaf.ActiveIndex, l.isFenced()
+	s.ActivePolicyAgeUs = (l.clock.Now() - time.Duration(l.policies.activeSince.Load())).Microseconds()
+	s.Traffic = trunk.SentTraffic()
+	s.Work = l.inbound.metrics.snapshot()
+	s.DownstreamRequests, _ = l.pools.budgets.calls.Used()
+	if h := l.handedOverFor.Load(); h != nil {
+		s.HandedOverOrder = *h
 	}
-	if c := l.home.c.Load(); c != nil && c.Err() == nil {
-		s.Home = c.Remote()
+	if c := l.controlPlane.conn.Load(); c != nil && c.Err() == nil {
+		s.FollowedMember = c.RemoteAddr()
 	}
 	return s
 }
--- a/internal/exchange/night/golden_test.go
+++ b/internal/exchange/night/golden_test.go
@@ -78,7 +78,7 @@
 // drawContract draws a contract; with mistakes it may be invalid.
 func drawContract(r *rand.Rand, name string, mistakes bool) Contract {
 	c := Contract{Name: name, ConfigVersion: 1, TimeZone: pick(r, "Australia/Hobart", "Europe/Paris", "UTC", "America/New_York"),
-		Approvers: append(some(r, "ana", "bo"), "cy"), LeastReady: pick(r, 0, 0, 0.25, 0.75), MostOut: MostOut{r.IntN(3), r.IntN(4)}}
+		Approvers: append(some(r, "ana", "bo"), "cy"), LeastReady: pick(r, 0, 0, 0.25, 0.75), MostOut: OutLimits{r.IntN(3), r.IntN(4)}}
 	switch r.IntN(5) {
 	case 0:
 		c.Covers.Services = some(r, "log", "else")
@@ -90,13 +90,13 @@
 	for range 1 + r.IntN(2) {
 		edges := pick(r, [2]string{"00:00", "01:45"}, [2]string{"02:30", "03:30"}, [2]string{"09:00", "12:00"}, [2]string{"20:00", "24:00"},
 			[2]string{"21:30", "23:59"}, [2]string{"00:00", "24:00"})
-		c.Weekly = append(c.Weekly, Weekly{append(some(r, "Tue", "Wed", "Thu", "Fri"), pick(r, "Mon", "Sat", "Sun")), edges[0], edges[1]})
+		c.Weekly = append(c.Weekly, WeeklyWindow{append(some(r, "Tue", "Wed", "Thu", "Fri"), pick(r, "Mon", "Sat", "Sun")), edges[0], edges[1]})
 	}
 	if r.IntN(3) == 0 {
-		c.Dates = append(c.Dates, Span{pick(r, "2026-06-01 12:00", "2026-10-04 02:30", "2026-04-05 01:00"), pick(r, "2026-06-02 04:00", "2026-10-04 05:00")})
+		c.Dates = append(c.Dates, DateWindow{pick(r, "2026-06-01 12:00", "2026-10-04 02:30", "2026-04-05 01:00"), pick(r, "2026-06-02 04:00", "2026-10-04 05:00")})
 	}
 	if r.IntN(3) == 0 {
-		c.Barred = append(c.Barred, Days{pick(r, "2026-06-02", "2026-10-04"), pick(r, "2026-06-02", "2026-10-05"), "harvest"})
+		c.Barred = append(c.Barred, BarredDays{pick(r, "2026-06-02", "2026-10-04"), pick(r, "2026-06-02", "2026-10-05"), "harvest"})
 	}
 	if mistakes {
 		spoilContract(r, &c)
@@ -120,11 +120,11 @@
 	case 5:
 		c.Weekly[0].Days = []string{"Monday"}
 	case 6:
-		c.Dates = []Span{{"2026-06-01 12:00", "2026-06-02 04:00"}, {"2026-06-02 03:00", "2026-06-02 05:00"}}
+		c.Dates = []DateWindow{{"2026-06-01 12:00", "2026-06-02 04:00"}, {"2026-06-02 03:00", "2026-06-02 05:00"}}
 	case 7:
-		c.Dates = []Span{{"tomorrow", "2026-06-02 04:00"}}
+		c.Dates = []DateWindow{{"tomorrow", "2026-06-02 04:00"}}
 	case 8:
-		c.Barred = []Days{{"2026-06-02", pick(r, "2026-06-01", "never"), "harvest"}}
+		c.Barred = []BarredDays{{"2026-06-02", pick(r, "2026-06-01", "never"), "harvest"}}
 	case 9:
 		c.LeastReady = 1.5
 	case 10:
@@ -135,7 +135,7 @@
 func goldenContracts(r *rand.Rand, g *goldenRecord) {
 	for n := range 12 {
 		c := drawContract(r, fmt.Sprint("c", n), true)
-		if f := c.Check(); f != nil {
+		if f := c.Validate(); f != nil {
 			field, text := f.Field, f.Text
 			if strings.Contains(text, "when the clocks change") { // of a window with two such edges either is told first
 				field, text = field[:strings.LastIndexByte(field, '.')], "when the clocks change"
@@ -147,7 +147,7 @@
 		}
 		g.count("valid")
 		from := drawTime(r)
-		approved, barred := c.Hours(Interval{from, from.Add(time.Duration(r.IntN(72)) * time.Hour)})
+		approved, barred := c.Windows(Interval{from, from.Add(time.Duration(r.IntN(72)) * time.Hour)})
 		g.decide(asJSON(approved), asJSON(barred))
 	}
 }
@@ -155,36 +155,36 @@
 // drawTime draws a time near a change of the clocks, or of an ordinary week.
 func drawTime(r *rand.Rand) time.Time {
 	day := pick(r, "2026-03-28", "2026-04-03", "2026-06-01", "2026-10-02", "2026-10-24")
-	t, _ := time.Parse(dayForm, day)
+	t, _ := time.Parse(dayLayout, day)
 	return t.Add(time.Duration(r.IntN(4*24*60)) * time.Minute)
 }
 
 func drawView(r *rand.Rand) View {
-	v := View{Load: map[string]float64{}, Terms: Terms{DrainWithin: 2 * time.Second, Download: 10 * time.Second, Warm: 3 * time.Second,
-		Margin: time.Duration(r.IntN(60)) * time.Second, Tolerance: r.IntN(2)}}
+	v := View{Load: map[string]float64{}, Parameters: Parameters{DrainTimeout: 2 * time.Second, DownloadAllowance: 10 * time.Second, WarmUp: 3 * time.Second,
+		Margin: time.Duration(r.IntN(60)) * time.Second, FaultTolerance: r.IntN(2)}}
 	for n := range 3 + r.IntN(4) {
 		v.Machines = append(v.Machines, Machine{Addr: fmt.Sprint("l", n), Name: fmt.Sprint("line-", n), Zone: fmt.Sprint("z", r.IntN(2)),
 			Service: pick(r, "log", "log", "else"), Namespaces: some(r, "crews", "pickers"), Slots: 6 * r.IntN(3), Ready: r.IntN(8) > 0})
 	}
 	for n := range 3 + r.IntN(3) {
 		v.Machines = append(v.Machines, Machine{Addr: fmt.Sprint("r", n), Name: fmt.Sprint("r", n), Zone: fmt.Sprint("z", r.IntN(2)),
-			Ready: r.IntN(8) > 0, Register: true})
+			Ready: r.IntN(8) > 0, ControlPlane: true})
 	}
 	v.Routes = []Route{{Name: "weigh", Services: []string{"log"}, Timeout: time.Second},
 		{Name: "export", Services: []string{"else"}, Timeout: time.Duration(r.IntN(60)) * time.Second, Download: r.IntN(2) == 0}}
 	for n := 0; n < r.IntN(4); n++ {
 		c := drawContract(r, fmt.Sprint("c", n), false)
 		if r.IntN(3) > 0 {
-			c.Weekly = []Weekly{{[]string{"Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"}, "00:00", "24:00"}}
+			c.Weekly = []WeeklyWindow{{[]string{"Mon", "Tue", "Wed", "Thu", "Fri", "Sat", "Sun"}, "00:00", "24:00"}}
 		}
 		if r.IntN(2) == 0 {
-			c.MostOut = MostOut{3, 3}
+			c.MostOut = OutLimits{3, 3}
 		}
 		v.Contracts = append(v.Contracts, c)
 	}
 	for _, m := range v.Machines {
 		if r.IntN(12) == 0 {
-			v.Out = append(v.Out, m.Addr)
+			v.InMaintenance = append(v.InMaintenance, m.Addr)
 		}
 	}
 	if r.IntN(3) == 0 {
@@ -197,11 +197,11 @@
 	for range 10 {
 		v := drawView(r)
 		early := drawTime(r)
-		now := Now{early, early.Add(time.Duration(r.IntN(3000)) * time.Second)}
+		now := TimeBounds{early, early.Add(time.Duration(r.IntN(3000)) * time.Second)}
 		addr := pick(r, "l0", "l1", "r0", "l9")
 		g.verdict("plan", v.Plan(addr, time.Duration(r.IntN(3600))*time.Second, now))
-		g.verdict("still", v.Still(addr, now))
-		g.decide(v.heir(addr), v.Order([]string{"r1", "l2", "r0", "l0", "l1", "r2"}, pick(r, "r0", "r1")))
+		g.verdict("still", v.Recheck(addr, now))
+		g.decide(v.successor(addr), v.Sequence([]string{"r1", "l2", "r0", "l0", "l1", "r2"}, pick(r, "r0", "r1")))
 	}
 }
 
@@ -224,21 +224,21 @@
 
 // goldenOrders plays orders: placed, decided on, changed late, twice or never, by two that decide and by operators.
 func goldenOrders(r *rand.Rand, g *goldenRecord) {
-	var b Book
-	var net []Change
+	var b OrderTable
+	var net []OrderChange
 	v := drawView(r)
-	v.Out = nil
+	v.InMaintenance = nil
 	early := drawTime(r)
 	for range 150 {
-		now := Now{early, early.Add(200 * time.Millisecond)}
+		now := TimeBounds{early, early.Add(200 * time.Millisecond)}
 		switch r.IntN(12) {
 		case 0:
 			var err error
 			b, err = b.Place(drawOrder(r), now)
 			g.outcome("place", err)
 		case 1:
-			net = append(net, Change{ID: fmt.Sprint("o", r.IntN(4)), After: uint64(r.IntN(2) * r.IntN(6)), Abort: r.IntN(8) == 0, Back: r.IntN(3) == 0,
-				Approve: pick(r, "", "", "ana", "cy"), Text: "a word"})
+			net = append(net, OrderChange{OrderID: fmt.Sprint("o", r.IntN(4)), ExpectedRevision: uint64(r.IntN(2) * r.IntN(6)), Abort: r.IntN(8) == 0, MaintenanceDone: r.IntN(3) == 0,
+				ApprovedBy: pick(r, "", "", "ana", "cy"), Text: "a word"})
 		case 2:
 			early = early.Add(time.Duration(r.IntN(400)) * time.Second)
 		case 3:
@@ -272,22 +272,22 @@
 }
 
 func drawOrder(r *rand.Rand) Order {
-	o := Order{ID: pick(r, "o0", "o1", "o2", "o3", ""), By: pick(r, "ana", "bo", "cy", ""), Length: time.Duration(r.IntN(600)) * time.Second,
-		Override: r.IntN(6) == 0, Asked: r.IntN(4) == 0, Reason: pick(r, "", "smoke"), Machines: some(r, "l0", "l1", "l2", "r0")}
+	o := Order{ID: pick(r, "o0", "o1", "o2", "o3", ""), PlacedBy: pick(r, "ana", "bo", "cy", ""), Duration: time.Duration(r.IntN(600)) * time.Second,
+		Override: r.IntN(6) == 0, NeedsApproval: r.IntN(4) == 0, Reason: pick(r, "", "smoke"), Machines: some(r, "l0", "l1", "l2", "r0")}
 	if r.IntN(3) == 0 {
 		for _, m := range o.Machines {
-			o.Names = append(o.Names, "name of "+m)
+			o.MachineNames = append(o.MachineNames, "name of "+m)
 		}
 	}
 	return o
 }
 
 // drawSight draws what is seen of a machine: mostly of one that does as it is told.
-func drawSight(r *rand.Rand) Sight {
+func drawSight(r *rand.Rand) Observation {
 	likely := func() bool { return r.IntN(16) > 0 }
 	few := func() int { return max(0, r.IntN(16)-13) }
-	return Sight{There: likely(), Held: likely(), Open: few(), Callers: few(), Unready: likely(), Handed: likely(), Sending: few(), Ready: likely(),
-		Warm: likely(), Register: r.IntN(4) == 0, Homes: few(), Leads: r.IntN(4) == 0, Waits: "l7 does not answer", Work: "in flight none"}
+	return Observation{Reachable: likely(), Cordoned: likely(), ServerRequests: few(), CallerRequests: few(), CallersMoved: likely(), KeysHandedOver: likely(), Senders: few(), Ready: likely(),
+		Warm: likely(), ControlPlane: r.IntN(4) == 0, FollowingSidecars: few(), IsLeader: r.IntN(4) == 0, SendersText: "l7 does not answer", WorkText: "in flight none"}
 }
 
 // outcome records of which kind an error is.
@@ -296,9 +296,9 @@
 	switch {
 	case err == nil:
 		kind = "taken"
-	case errors.Is(err, ErrOrder):
+	case errors.Is(err, ErrInvalidOrder):
 		kind = "invalid"
-	case errors.Is(err, ErrStep):
+	case errors.Is(err, ErrStaleChange):
 		kind = "stale"
 	}
 	g.count(of + " " + kind)
@@ -309,7 +309,7 @@
 }
 
 // change records a decision, its text apart.
-func (g *goldenRecord) change(c Change, ok bool) {
+func (g *goldenRecord) change(c OrderChange, ok bool) {
 	if ok {
 		g.count("next " + string(c.Step))
 	} else {
@@ -321,16 +321,16 @@
 }
 
 // book records all orders, the texts of their events apart.
-func (g *goldenRecord) book(b Book) {
+func (g *goldenRecord) book(b OrderTable) {
 	for _, o := range b.Orders {
 		var events []Event
-		for _, e := range o.Record {
+		for _, e := range o.Events {
 			g.say(e.Text)
 			e.Text = ""
 			events = append(events, e)
 		}
-		o.Record = events
-		g.decide(asJSON(o), o.Machine(), o.Name(), o.Step.Over(), o.Step.Holds())
+		o.Events = events
+		g.decide(asJSON(o), o.CurrentMachine(), o.CurrentMachineName(), o.Step.IsFinished(), o.Step.IsCordoned())
 	}
 }
 
@@ -344,19 +344,19 @@
 	for range 40 {
 		step := time.Duration(r.IntN(10_000)) * time.Millisecond
 		at, truth = at+step, truth.Add(step)
-		gap := pick(r, 0, 0, 0, 3*time.Second, GapUnknown)
-		if gap != GapUnknown {
+		gap := pick(r, 0, 0, 0, 3*time.Second, LeaderlessUnknown)
+		if gap != LeaderlessUnknown {
 			stamp += max(0, step-gap)
 		}
 		if r.IntN(4) == 0 {
 			offsets[r.IntN(members)] = pick(r, 0, 100*time.Millisecond, -time.Second, 40*time.Minute, -40*time.Minute)
 		}
 		next, err := c.Agree(stamp, drawSamples(r, truth, at, offsets), at, members, gap)
-		g.decide(asJSON(next), errors.Is(err, ErrNoTime), asJSON(next.Now(stamp+time.Second)), next.Known())
+		g.decide(asJSON(next), errors.Is(err, ErrNoAgreedTime), asJSON(next.Now(stamp+time.Second)), next.IsKnown())
 		switch {
 		case err != nil:
 			g.count("not agreed")
-		case next.Doubt:
+		case next.InDoubt:
 			g.count("in doubt")
 		default:
 			g.count("agreed")
@@ -365,13 +365,13 @@
 	}
 }
 
-func drawSamples(r *rand.Rand, truth time.Time, at time.Duration, offsets []time.Duration) (samples []Sample) {
+func drawSamples(r *rand.Rand, truth time.Time, at time.Duration, offsets []time.Duration) (samples []ClockSample) {
 	for n, off := range offsets {
 		if r.IntN(5) == 0 {
 			continue
 		}
 		trip, ago := time.Duration(r.IntN(50))*time.Millisecond, time.Duration(r.IntN(500))*time.Millisecond
-		samples = append(samples, Sample{Member: uint64(n / (1 + r.IntN(12)/11)), Wall: truth.Add(off - ago), At: at - ago, Trip: trip})
+		samples = append(samples, ClockSample{Member: uint64(n / (1 + r.IntN(12)/11)), Wall: truth.Add(off - ago), ReadAt: at - ago, RoundTrip: trip})
 	}
 	return samples
 }
--- a/internal/exchange/night/plan.go
+++ b/internal/exchange/night/plan.go
@@ -13,7 +13,7 @@
 	Namespaces                []string // whose its service is, and those that that lies within
 	Slots                     int
 	Ready                     bool // its server is sent to; of a register: it follows or leads
-	Register                  bool
+	ControlPlane              bool
 }
 
 // Route is what a plan has to know of a route.
@@ -24,28 +24,28 @@
 	Download bool
 }
 
-// Terms are figures that a drain goes by.
-type Terms struct {
-	DrainWithin time.Duration // in which the others stop sending, after the line has
-	Download    time.Duration // the longest that a download may take beyond its route's timeout
-	Warm        time.Duration // a server that comes back needs
-	Margin      time.Duration // that stays before a window ends
-	Tolerance   int           // registers that may be lost at once
+// Parameters are figures that a drain goes by.
+type Parameters struct {
+	DrainTimeout      time.Duration // in which the others stop sending, after the line has
+	DownloadAllowance time.Duration // the longest that a download may take beyond its route's timeout
+	WarmUp            time.Duration // a server that comes back needs
+	Margin            time.Duration // that stays before a window ends
+	FaultTolerance    int           // registers that may be lost at once
 }
 
 // View is the mesh as it is when a plan is asked for. Load is the slots of a service that are at work, as measured; one that
 // is not named is not known.
 type View struct {
-	Machines  []Machine
-	Routes    []Route
-	Contracts []Contract
-	Out       []string // addresses of machines that other orders have out, or are about to
-	Load      map[string]float64
-	Terms     Terms
+	Machines      []Machine
+	Routes        []Route
+	Contracts     []Contract
+	InMaintenance []string // addresses of machines that other orders have out, or are about to
+	Load          map[string]float64
+	Parameters    Parameters
 }
 
-// Now is what time it may be: the clocks of the core agree on no more (agree.go).
-type Now struct {
+// TimeBounds is what time it may be: the clocks of the core agree on no more (agree.go).
+type TimeBounds struct {
 	Earliest time.Time `json:"Earliest"`
 	Latest   time.Time `json:"Latest"`
 }
@@ -70,22 +70,22 @@
 
 // Verdict is a plan's word on one machine.
 type Verdict struct {
-	Approved  bool          `json:"approved"`
-	Reasons   []Reason      `json:"reasons,omitempty"` // why not
-	Contracts []string      `json:"contracts"`         // that cover it
-	Takes     time.Duration `json:"takes"`             // out and back, at the most, maintenance itself not counted
-	Until     time.Time     `json:"until,omitzero"`    // it must be back then
-	Next      []Interval    `json:"next,omitempty"`    // when the hours allow it, the present window among them
-	Approvers []string      `json:"approvers"`         // who may: named by every contract that covers it
+	Approved       bool          `json:"approved"`
+	Reasons        []Reason      `json:"reasons,omitempty"` // why not
+	Contracts      []string      `json:"contracts"`         // that cover it
+	TransitionTime time.Duration `json:"takes"`             // out and back, at the most, maintenance itself not counted
+	ReturnBy       time.Time     `json:"until,omitzero"`    // it must be back then
+	NextWindows    []Interval    `json:"next,omitempty"`    // when the hours allow it, the present window among them
+	Approvers      []string      `json:"approvers"`         // who may: named by every contract that covers it
 }
 
-// ahead is how far the next windows are looked for.
-const ahead = 60 * 24 * time.Hour
+// lookAhead is how far the next windows are looked for.
+const lookAhead = 60 * 24 * time.Hour
 
-// covers says that a contract's traffic runs over a machine. A register carries all: its contracts are all of them.
-func (v View) covers(c Contract, m Machine) bool {
+// isCovered says that a contract's traffic runs over a machine. A register carries all: its contracts are all of them.
+func (v View) isCovered(c Contract, m Machine) bool {
 	x := c.Covers
-	if m.Register || len(x.Services)+len(x.Zones)+len(x.Routes)+len(x.Namespaces) == 0 {
+	if m.ControlPlane || len(x.Services)+len(x.Zones)+len(x.Routes)+len(x.Namespaces) == 0 {
 		return true
 	}
 	if slices.Contains(x.Services, m.Service) || slices.Contains(x.Zones, m.Zone) ||
@@ -97,34 +97,34 @@
 	})
 }
 
-// Takes is how long a machine is on its way out and back at the most.
-func (v View) Takes(m Machine) time.Duration {
+// TransitionTime is how long a machine is on its way out and back at the most.
+func (v View) TransitionTime(m Machine) time.Duration {
 	longest := time.Duration(0)
 	for _, r := range v.Routes {
 		t := r.Timeout
 		if r.Download {
-			t += v.Terms.Download
+			t += v.Parameters.DownloadAllowance
 		}
 		longest = max(longest, t)
 	}
-	if m.Register {
-		return v.Terms.DrainWithin
+	if m.ControlPlane {
+		return v.Parameters.DrainTimeout
 	}
-	return v.Terms.DrainWithin + longest + v.Terms.Warm
+	return v.Parameters.DrainTimeout + longest + v.Parameters.WarmUp
 }
 
 // Plan says whether a machine may come out now, for a maintenance of that length, and why not. Approved is what every
 // contract that covers it approves; whoever covers nothing approves nothing.
-func (v View) Plan(addr string, length time.Duration, now Now) Verdict {
-	return v.plan(addr, func(takes time.Duration) time.Duration { return takes + length }, now)
+func (v View) Plan(addr string, length time.Duration, now TimeBounds) Verdict {
+	return v.evaluate(addr, func(takes time.Duration) time.Duration { return takes + length }, now)
 }
 
-// Still says whether a machine that is out, or on its way, may go on being so for as long as it needs to come back.
-func (v View) Still(addr string, now Now) Verdict {
-	return v.plan(addr, func(time.Duration) time.Duration { return v.Terms.Warm }, now)
+// Recheck says whether a machine that is out, or on its way, may go on being so for as long as it needs to come back.
+func (v View) Recheck(addr string, now TimeBounds) Verdict {
+	return v.evaluate(addr, func(time.Duration) time.Duration { return v.Parameters.WarmUp }, now)
 }
 
-func (v View) plan(addr string, needs func(takes time.Duration) time.Duration, now Now) (d Verdict) {
+func (v View) evaluate(addr string, needs func(takes time.Duration) time.Duration, now TimeBounds) (d Verdict) {
 	i := slices.IndexFunc(v.Machines, func(m Machine) bool { return m.Addr == addr })
 	if i < 0 {
 		d.Reasons = append(d.Reasons, Reason{Text: addr + " is no machine that is known"})
@@ -134,18 +134,18 @@
 	no := func(contract string, until time.Time, format string, args ...any) {
 		d.Reasons = append(d.Reasons, Reason{contract, fmt.Sprintf(format, args...), until})
 	}
-	d.Takes = v.Takes(m)
-	need := needs(d.Takes)
-	whole := Interval{now.Earliest, now.Latest.Add(need + v.Terms.Margin)}
-	span := Interval{now.Earliest, now.Latest.Add(ahead)}
+	d.TransitionTime = v.TransitionTime(m)
+	need := needs(d.TransitionTime)
+	whole := Interval{now.Earliest, now.Latest.Add(need + v.Parameters.Margin)}
+	span := Interval{now.Earliest, now.Latest.Add(lookAhead)}
 	approved, first := []Interval{span}, true
 	for _, c := range v.Contracts {
-		if !v.covers(c, m) {
+		if !v.isCovered(c, m) {
 			continue
 		}
 		d.Contracts = append(d.Contracts, c.Name)
-		hours, barred := c.Hours(span)
-		approved = both(approved, hours)
+		hours, barred := c.Windows(span)
+		approved = intersectIntervals(approved, hours)
 		if first {
 			d.Approvers = slices.Clone(c.Approvers)
 		} else {
@@ -153,41 +153,41 @@
 		}
 		first = false
 		if k := slices.IndexFunc(barred, func(b Interval) bool { return b.From.Before(whole.To) && whole.From.Before(b.To) }); k >= 0 {
-			no(c.Name, barred[k].To, "the day is barred (%s)", c.why(barred[k]))
-		} else if !slices.ContainsFunc(hours, func(h Interval) bool { return h.Holds(whole) }) {
-			v.outside(c, hours, whole, need, no)
+			no(c.Name, barred[k].To, "the day is barred (%s)", c.barredReason(barred[k]))
+		} else if !slices.ContainsFunc(hours, func(h Interval) bool { return h.Contains(whole) }) {
+			v.explainOutsideHours(c, hours, whole, need, no)
 		}
-		v.room(c, m, no)
+		v.checkCapacity(c, m, no)
 	}
 	switch {
 	case len(d.Contracts) == 0:
 		no("", time.Time{}, "no contract covers it, so nobody has approved any hour")
 	default:
-		d.Next = approved[:min(len(approved), 3)]
-		if k := slices.IndexFunc(approved, func(h Interval) bool { return h.Holds(whole) }); k >= 0 {
-			d.Until = approved[k].To
+		d.NextWindows = approved[:min(len(approved), 3)]
+		if k := slices.IndexFunc(approved, func(h Interval) bool { return h.Contains(whole) }); k >= 0 {
+			d.ReturnBy = approved[k].To
 		} else if len(d.Reasons) == 0 {
 			no("", time.Time{}, "the hours of %v have no window together that is long enough", d.Contracts)
 		}
 	}
-	v.core(m, no)
-	if slices.Contains(v.Out, addr) {
+	v.checkQuorum(m, no)
+	if slices.Contains(v.InMaintenance, addr) {
 		no("", time.Time{}, "another order has it already")
 	}
 	d.Approved = len(d.Reasons) == 0
 	return d
 }
 
-// heir is the line that keeps what another kept of keys: the first of its service that is ready, of its own zone if there is
+// successor is the line that keeps what another kept of keys: the first of its service that is ready, of its own zone if there is
 // one; "": there is none.
-func (v View) heir(addr string) (best string) {
+func (v View) successor(addr string) (best string) {
 	i := slices.IndexFunc(v.Machines, func(m Machine) bool { return m.Addr == addr })
 	if i < 0 {
 		return ""
 	}
 	of, near := v.Machines[i], false
 	for _, m := range v.Machines {
-		if m.Register || m.Addr == addr || m.Service != of.Service || !m.Ready || slices.Contains(v.Out, m.Addr) {
+		if m.ControlPlane || m.Addr == addr || m.Service != of.Service || !m.Ready || slices.Contains(v.InMaintenance, m.Addr) {
 			continue
 		}
 		if best == "" || m.Zone == of.Zone && !near {
@@ -197,20 +197,20 @@
 	return best
 }
 
-// why is what a barred interval was barred for.
-func (c Contract) why(i Interval) string {
+// barredReason is what a barred interval was barred for.
+func (c Contract) barredReason(i Interval) string {
 	for _, d := range c.Barred {
 		one := c
-		one.Barred = []Days{d}
-		if _, l := one.Hours(i); len(l) > 0 {
+		one.Barred = []BarredDays{d}
+		if _, l := one.Windows(i); len(l) > 0 {
 			return d.Why
 		}
 	}
 	return "several"
 }
 
-// outside words why a drain does not lie within a contract's hours.
-func (v View) outside(c Contract, hours []Interval, whole Interval, takes time.Duration, no func(string, time.Time, string, ...any)) {
+// explainOutsideHours words why a drain does not lie within a contract's hours.
+func (v View) explainOutsideHours(c Contract, hours []Interval, whole Interval, takes time.Duration, no func(string, time.Time, string, ...any)) {
 	for _, h := range hours {
 		if h.From.After(whole.From) {
 			if open := whole.From; open.Before(h.From) && !h.From.After(whole.To) {
@@ -221,24 +221,24 @@
 			return
 		}
 		if h.To.After(whole.From) {
-			no(c.Name, time.Time{}, "its window ends at %s, and it would take %v and a margin of %v", h.To.UTC().Format("15:04 MST"), takes, v.Terms.Margin)
+			no(c.Name, time.Time{}, "its window ends at %s, and it would take %v and a margin of %v", h.To.UTC().Format("15:04 MST"), takes, v.Parameters.Margin)
 			return
 		}
 	}
-	no(c.Name, time.Time{}, "outside its hours, and none come in the next %d days", int(ahead.Hours()/24))
+	no(c.Name, time.Time{}, "outside its hours, and none come in the next %d days", int(lookAhead.Hours()/24))
 }
 
-// room sees to how many machines are out, and what capacity stays.
-func (v View) room(c Contract, m Machine, no func(string, time.Time, string, ...any)) {
-	if m.Register {
+// checkCapacity sees to how many machines are out, and what capacity stays.
+func (v View) checkCapacity(c Contract, m Machine, no func(string, time.Time, string, ...any)) {
+	if m.ControlPlane {
 		return
 	}
 	outService, outZone, slots, ready := 0, 0, 0, 0
 	for _, x := range v.Machines {
-		if x.Register {
+		if x.ControlPlane {
 			continue
 		}
-		out := slices.Contains(v.Out, x.Addr) || !x.Ready
+		out := slices.Contains(v.InMaintenance, x.Addr) || !x.Ready
 		if x.Addr != m.Addr && out {
 			if x.Service == m.Service {
 				outService++
@@ -271,30 +271,30 @@
 	}
 }
 
-// core sees that the registers bear the loss of as many as they must without this one.
-func (v View) core(m Machine, no func(string, time.Time, string, ...any)) {
-	if !m.Register {
+// checkQuorum sees that the registers bear the loss of as many as they must without this one.
+func (v View) checkQuorum(m Machine, no func(string, time.Time, string, ...any)) {
+	if !m.ControlPlane {
 		return
 	}
 	all, ready := 0, 0
 	for _, x := range v.Machines {
-		if x.Register {
+		if x.ControlPlane {
 			all++
-			if x.Ready && x.Addr != m.Addr && !slices.Contains(v.Out, x.Addr) {
+			if x.Ready && x.Addr != m.Addr && !slices.Contains(v.InMaintenance, x.Addr) {
 				ready++
 			}
 		}
 	}
 	if most := all/2 + 1; ready < most {
 		no("", time.Time{}, "%d of %d registers would stay, and a majority is %d", ready, all, most)
-	} else if ready-v.Terms.Tolerance < most {
-		no("", time.Time{}, "%d of %d registers would stay, a majority is %d, and so the loss of %d could not be borne: add registers first", ready, all, most, v.Terms.Tolerance)
+	} else if ready-v.Parameters.FaultTolerance < most {
+		no("", time.Time{}, "%d of %d registers would stay, a majority is %d, and so the loss of %d could not be borne: add registers first", ready, all, most, v.Parameters.FaultTolerance)
 	}
 }
 
-// Order is machines in the order in which they may come out one after the other: services with the most room first, in a
+// Sequence is machines in the order in which they may come out one after the other: services with the most room first, in a
 // service by zone and address; registers last, the leader the very last of them (lead is its address).
-func (v View) Order(addrs []string, lead string) []string {
+func (v View) Sequence(addrs []string, lead string) []string {
 	slots := map[string]int{}
 	by := map[string]Machine{}
 	for _, m := range v.Machines {
@@ -307,9 +307,9 @@
 	sort.SliceStable(l, func(i, j int) bool {
 		a, b := by[l[i]], by[l[j]]
 		switch {
-		case a.Register != b.Register:
-			return b.Register
-		case a.Register:
+		case a.ControlPlane != b.ControlPlane:
+			return b.ControlPlane
+		case a.ControlPlane:
 			return a.Addr != lead && (b.Addr == lead || a.Addr < b.Addr)
 		case slots[a.Service] != slots[b.Service]:
 			return slots[a.Service] > slots[b.Service]
--- a/internal/exchange/patch/bench_test.go
+++ b/internal/exchange/patch/bench_test.go
@@ -16,26 +16,26 @@
 		rules = append(rules, rule(fmt.Sprintf("r-%06d", n), "s", 1, ""))
 	}
 	text := []byte(call(strings.Join(rules, ","), fmt.Sprintf(service, "s", 1)))
-	c, err := ReadCall(text)
+	c, err := ParseUpdate(text)
 	assert.NilError(b, err)
-	logged := CallOf(WireCall(c))
-	table, _, _, err := Table{}.Take(logged)
+	logged := UpdateFromWire(UpdateToWire(c))
+	table, _, _, err := Table{}.ApplyUpdate(logged)
 	assert.NilError(b, err)
-	one, err := ReadCall([]byte(call(rule("r-000007", "s", 2, ""), "")))
+	one, err := ParseUpdate([]byte(call(rule("r-000007", "s", 2, ""), "")))
 	assert.NilError(b, err)
 	b.Run("read", func(b *testing.B) {
 		for b.Loop() {
-			ReadCall(text)
+			ParseUpdate(text)
 		}
 	})
 	b.Run("take", func(b *testing.B) {
 		for b.Loop() {
-			Table{}.Take(logged)
+			Table{}.ApplyUpdate(logged)
 		}
 	})
 	b.Run("change", func(b *testing.B) {
 		for b.Loop() {
-			table.Take(one)
+			table.ApplyUpdate(one)
 		}
 	})
 }
--- a/internal/exchange/patch/diff.go
+++ b/internal/exchange/patch/diff.go
@@ -7,59 +7,59 @@
 	"sort"
 )
 
-// Verb is what a call would do to an item.
-type Verb string
+// Action is what a call would do to an item.
+type Action string
 
 // Verbs. Only the first four change anything; a call with a conflict is refused whole.
 const (
-	Adds      Verb = "adds"
-	Changes   Verb = "changes"
-	Raises    Verb = "raises" // to a higher version with the same content
-	Drops     Verb = "drops"
-	Leaves    Verb = "leaves" // the same stands already
-	Late      Verb = "late"   // a higher version stands
-	Conflicts Verb = "conflicts"
+	ActionAdd          Action = "adds"
+	ActionChange       Action = "changes"
+	ActionRaiseVersion Action = "raises" // to a higher version with the same content
+	ActionDelete       Action = "drops"
+	ActionNone         Action = "leaves" // the same stands already
+	ActionOutdated     Action = "late"   // a higher version stands
+	ActionConflict     Action = "conflicts"
 )
 
-// Difference is what a call would do to one item.
-type Difference struct {
-	Verb  Verb    `json:"verb"`
-	Kind  string  `json:"kind"`
-	Name  string  `json:"name"`
-	From  int64   `json:"from,omitempty"` // the version that stands
-	To    int64   `json:"to"`
-	Field []Field `json:"fields,omitempty"`
+// ItemDiff is what a call would do to one item.
+type ItemDiff struct {
+	Action Action      `json:"verb"`
+	Kind   string      `json:"kind"`
+	Name   string      `json:"name"`
+	From   int64       `json:"from,omitempty"` // the version that stands
+	To     int64       `json:"to"`
+	Fields []FieldDiff `json:"fields,omitempty"`
 }
 
-// Field is one field that differs.
-type Field struct {
-	Path string `json:"path"`
-	Was  any    `json:"was"` // nil: it was not there
-	Is   any    `json:"is"`  // nil: it is not there any more
+// FieldDiff is one field that differs.
+type FieldDiff struct {
+	Path   string `json:"path"`
+	Before any    `json:"was"` // nil: it was not there
+	After  any    `json:"is"`  // nil: it is not there any more
 }
 
 // Diff tells what a call would do to a table, item by item in the call's order.
-func Diff(t Table, items []Item) (l []Difference) {
+func Diff(t Table, items []Item) (l []ItemDiff) {
 	for _, i := range items {
-		was, is := t.items[i.Name]
-		d := Difference{Kind: i.Kind.String(), Name: i.Name.Name, From: was.Version, To: i.Version}
+		was, is := t.items[i.Key]
+		d := ItemDiff{Kind: i.Kind.String(), Name: i.Key.Name, From: was.Version, To: i.Version}
 		switch {
-		case is && was.Version == i.Version && was.same(i):
-			d.Verb = Leaves
+		case is && was.Version == i.Version && was.hasSameContent(i):
+			d.Action = ActionNone
 		case is && was.Version == i.Version:
-			d.Verb = Conflicts
+			d.Action = ActionConflict
 		case is && was.Version > i.Version:
-			d.Verb = Late
-		case i.Dropped:
-			d.Verb = Drops
-		case !is || was.Dropped:
-			d.Verb = Adds
+			d.Action = ActionOutdated
+		case i.Deleted:
+			d.Action = ActionDelete
+		case !is || was.Deleted:
+			d.Action = ActionAdd
 		default:
-			d.Verb = Raises
+			d.Action = ActionRaiseVersion
 		}
-		if d.Verb == Raises || d.Verb == Conflicts && !i.Dropped && !was.Dropped {
-			if d.Field = fields(was, i); len(d.Field) > 0 && d.Verb == Raises {
-				d.Verb = Changes
+		if d.Action == ActionRaiseVersion || d.Action == ActionConflict && !i.Deleted && !was.Deleted {
+			if d.Fields = diffFields(was, i); len(d.Fields) > 0 && d.Action == ActionRaiseVersion {
+				d.Action = ActionChange
 			}
 		}
 		l = append(l, d)
@@ -67,9 +67,9 @@
 	return l
 }
 
-// fields are those in which two contents differ, but for the version, by path.
-func fields(was, is Item) (l []Field) {
-	a, b := flat(was), flat(is)
+// diffFields are those in which two contents differ, but for the version, by path.
+func diffFields(was, is Item) (l []FieldDiff) {
+	a, b := flatten(was), flatten(is)
 	paths := map[string]bool{}
 	for p := range a {
 		paths[p] = true
@@ -80,15 +80,15 @@
 	delete(paths, "ConfigVersion")
 	for p := range paths {
 		if fmt.Sprint(a[p]) != fmt.Sprint(b[p]) {
-			l = append(l, Field{p, a[p], b[p]})
+			l = append(l, FieldDiff{p, a[p], b[p]})
 		}
 	}
 	sort.Slice(l, func(i, j int) bool { return l[i].Path < l[j].Path })
 	return l
 }
 
-// flat is a content by the paths of its leaves.
-func flat(i Item) map[string]any {
+// flatten is a content by the paths of its leaves.
+func flatten(i Item) map[string]any {
 	out := map[string]any{}
 	if i.Host != "" {
 		out["HostName"] = i.Host
--- a/internal/exchange/patch/history_test.go
+++ b/internal/exchange/patch/history_test.go
@@ -25,7 +25,7 @@
 func taken(t *testing.T, table Table, texts ...string) Table {
 	t.Helper()
 	for _, text := range texts {
-		next, _, err := table.Apply(take(t, text))
+		next, _, err := table.ApplyItems(take(t, text))
 		assert.NilError(t, err, text)
 		table = next
 	}
@@ -33,7 +33,7 @@
 }
 
 // admit is why a table does not admit a call; nil: it does.
-func admit(table Table, c Call) error {
+func admit(table Table, c Update) error {
 	_, err := table.Admit(c)
 	return err
 }
@@ -41,10 +41,10 @@
 // stored is a table as it is read back from a register's disk.
 func stored(t *testing.T, table Table) Table {
 	t.Helper()
-	text := trunk.Bytes(&wire.StateT{Items: Stored(table)})
-	state, err := trunk.Parse(text, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
+	text := trunk.EncodeTable(&wire.StateT{Items: TableToStorage(table)})
+	state, err := trunk.DecodeTable(text, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
 	assert.NilError(t, err)
-	return Restore(state.Items)
+	return TableFromStorage(state.Items)
 }
 
 // An order that was taken is acknowledged again whatever was taken since, and another content under its version is not; the
@@ -59,21 +59,21 @@
 		call(rule("r", "new", 6, ""), ""), call(rule("q", "new", 6, ""), ""), late, removal("UpstreamGroups", "old", 6), removal("RouteTable", "r", 8))
 	for _, table := range []Table{table, stored(t, table), stored(t, stored(t, table))} {
 		for _, text := range []string{first, both, late, removal("UpstreamGroups", "old", 6), call(rule("r", "new", 6, ""), ""), removal("RouteTable", "r", 8)} {
-			c := Call{Items: take(t, text)}
+			c := Update{Items: take(t, text)}
 			verdict, err := table.Admit(c)
-			assert.Assert(t, err == nil && verdict == operations.Repeated, text)
-			_, raised, _, err := table.Take(c)
+			assert.Assert(t, err == nil && verdict == operations.Duplicate, text)
+			_, raised, _, err := table.ApplyUpdate(c)
 			assert.NilError(t, err, text)
 			assert.Equal(t, len(raised), 0)
 		}
 		for _, text := range []string{other, mixed, call(rule("r", "old", 3, ""), ""), call(rule("r", "old", 6, ""), ""), removal("RouteTable", "r", 6),
 			call(rule("r", "new", 8, ""), "")} {
-			assert.Assert(t, errors.Is(admit(table, Call{Items: take(t, text)}), ErrConflict), text)
+			assert.Assert(t, errors.Is(admit(table, Update{Items: take(t, text)}), ErrConflict), text)
 		}
-		_, _, err := table.Apply(take(t, other))
+		_, _, err := table.ApplyItems(take(t, other))
 		assert.Assert(t, errors.Is(err, ErrConflict))
 		// One that is invalid stays so, also with versions that are older than what stands.
-		_, _, err = table.Apply(take(t, call(rule("r", "nobody", 2, ""), "")))
+		_, _, err = table.ApplyItems(take(t, call(rule("r", "nobody", 2, ""), "")))
 		assert.Assert(t, errors.Is(err, ErrInvalid))
 	}
 }
@@ -82,17 +82,17 @@
 // stands is neither acknowledged nor refused. What comes after is remembered.
 func TestStoredWithoutHistory(t *testing.T) {
 	items := take(t, call(rule("r", "s", 5, "")+","+rule("q", "s", 5, ""), fmt.Sprintf(service, "s", 1)))
-	table := Restore(Wire(items).List) // as the build before stored it
+	table := TableFromStorage(ItemsToWire(items).List) // as the build before stored it
 	for _, text := range []string{call(rule("r", "s", 3, ""), ""), call(rule("r", "gone", 3, ""), "")} {
-		_, raised, err := table.Apply(take(t, text))
-		assert.Assert(t, errors.Is(err, ErrOpen) && len(raised) == 0, "%v", err)
+		_, raised, err := table.ApplyItems(take(t, text))
+		assert.Assert(t, errors.Is(err, ErrUndetermined) && len(raised) == 0, "%v", err)
 	}
-	_, _, err := table.Apply(take(t, call(rule("r", "s", 5, ""), "")))
+	_, _, err := table.ApplyItems(take(t, call(rule("r", "s", 5, ""), "")))
 	assert.NilError(t, err)
 	table = taken(t, table, call(rule("r", "s", 9, ""), ""), call(rule("r", "s", 5, ""), ""), call(rule("r", "s", 7, ""), ""))
-	assert.Assert(t, errors.Is(admit(table, Call{Items: take(t, call(rule("r", "s", 7, `,"X":1`), ""))}), ErrConflict))
+	assert.Assert(t, errors.Is(admit(table, Update{Items: take(t, call(rule("r", "s", 7, `,"X":1`), ""))}), ErrConflict))
 	// A new item beside one that can't be told is not proposed.
-	assert.Assert(t, errors.Is(admit(table, Call{Items: take(t, call(rule("r", "s", 3, "")+","+rule("new", "s", 1, ""), ""))}), ErrOpen))
+	assert.Assert(t, errors.Is(admit(table, Update{Items: take(t, call(rule("r", "s", 3, "")+","+rule("new", "s", 1, ""), ""))}), ErrUndetermined))
 }
 
 // The operations of all items together are bounded. Past the bound the earliest are forgotten, the same on a register that
@@ -101,15 +101,15 @@
 	const items = 512
 	table := taken(t, Table{}, call("", fmt.Sprintf(service, "s", 1)))
 	route := func(name, version int) Item {
-		return Item{Name: Name{Route, fmt.Sprint(name)}, Version: int64(version), Host: "h", Body: fmt.Appendf(nil, `{"ForwardAction":{"Service":"s"},"N":%d}`, version),
-			Stamp: time.Duration(version)}
+		return Item{Key: Key{KindRoute, fmt.Sprint(name)}, Version: int64(version), Host: "h", Body: fmt.Appendf(nil, `{"ForwardAction":{"Service":"s"},"N":%d}`, version),
+			LogTime: time.Duration(version)}
 	}
 	raise := func(table Table, version int) Table {
 		var l []Item
 		for n := range items {
 			l = append(l, route(n, version))
 		}
-		next, _, err := table.Apply(l)
+		next, _, err := table.ApplyItems(l)
 		assert.NilError(t, err)
 		return next
 	}
@@ -119,7 +119,7 @@
 		}
 		return n
 	}
-	const rounds = MostOperations/items + 10
+	const rounds = MaxOperations/items + 10
 	var other Table
 	for version := 1; version <= rounds; version++ {
 		if version == rounds/2 {
@@ -129,15 +129,15 @@
 		if version >= rounds/2 {
 			other = raise(other, version)
 		}
-		assert.Assert(t, table.history <= MostOperations)
+		assert.Assert(t, table.operationCount <= MaxOperations)
 	}
-	assert.Equal(t, table.history, count(table))
-	assert.Equal(t, other.history, count(other))
-	assert.Assert(t, bytes.Equal(trunk.Bytes(&wire.StateT{Items: Stored(other)}), trunk.Bytes(&wire.StateT{Items: Stored(table)})))
-	assert.Assert(t, count(table) >= operationsKept)
-	_, _, err := table.Apply([]Item{route(3, 1)})
-	assert.Assert(t, errors.Is(err, ErrOpen), "%v", err)
-	_, _, err = table.Apply([]Item{route(3, rounds-1)})
+	assert.Equal(t, table.operationCount, count(table))
+	assert.Equal(t, other.operationCount, count(other))
+	assert.Assert(t, bytes.Equal(trunk.EncodeTable(&wire.StateT{Items: TableToStorage(other)}), trunk.EncodeTable(&wire.StateT{Items: TableToStorage(table)})))
+	assert.Assert(t, count(table) >= operationsAfterPruning)
+	_, _, err := table.ApplyItems([]Item{route(3, 1)})
+	assert.Assert(t, errors.Is(err, ErrUndetermined), "%v", err)
+	_, _, err = table.ApplyItems([]Item{route(3, rounds-1)})
 	assert.NilError(t, err)
 }
 
@@ -155,16 +155,16 @@
 	}
 	for _, table := range []Table{table, stored(t, table)} {
 		for n := 1; n <= changes; n++ {
-			verdict, err := table.Admit(Call{Items: take(t, order(n, ""))})
-			assert.Assert(t, err == nil && verdict == operations.Repeated, "order %d: %v", n, err)
-			assert.Assert(t, errors.Is(admit(table, Call{Items: take(t, order(n, `,"X":1`))}), ErrConflict), "order %d", n)
+			verdict, err := table.Admit(Update{Items: take(t, order(n, ""))})
+			assert.Assert(t, err == nil && verdict == operations.Duplicate, "order %d: %v", n, err)
+			assert.Assert(t, errors.Is(admit(table, Update{Items: take(t, order(n, `,"X":1`))}), ErrConflict), "order %d", n)
 		}
 	}
 }
 
 // takeWithoutHistory is Take as the build before had it, which may have applied the same entries on another register.
-func takeWithoutHistory(table Table, c Call) Table {
-	if table.unfit(c) != nil {
+func takeWithoutHistory(table Table, c Update) Table {
+	if table.validate(c) != nil {
 		return table
 	}
 	next, _ := table.Merge(c.Items)
@@ -181,45 +181,45 @@
 		service := fmt.Sprint("s", random.IntN(2))
 		switch {
 		case n < 2:
-			return Item{Name: Name{Service, fmt.Sprint("s", n)}, Version: version, Dropped: random.IntN(3) == 0, Body: []byte("{}")}
+			return Item{Key: Key{KindService, fmt.Sprint("s", n)}, Version: version, Deleted: random.IntN(3) == 0, Body: []byte("{}")}
 		case random.IntN(4) == 0:
-			return Item{Name: Name{Route, fmt.Sprint("r", n)}, Version: version, Dropped: true}
+			return Item{Key: Key{KindRoute, fmt.Sprint("r", n)}, Version: version, Deleted: true}
 		}
-		return Item{Name: Name{Route, fmt.Sprint("r", n)}, Version: version, Host: "h", Body: fmt.Appendf(nil, `{"ForwardAction":{"Service":%q}}`, service)}
+		return Item{Key: Key{KindRoute, fmt.Sprint("r", n)}, Version: version, Host: "h", Body: fmt.Appendf(nil, `{"ForwardAction":{"Service":%q}}`, service)}
 	}
 	raised, refused, open := 0, 0, 0
 	for range 300 {
 		var right, forgetful, before Table
 		for step := range 40 {
-			var c Call
+			var c Update
 			for range 1 + random.IntN(3) {
 				c.Items = append(c.Items, item())
 			}
-			if items, fault := once(c.Items); fault == nil {
+			if items, fault := deduplicate(c.Items); fault == nil {
 				c.Items = items
 			} else {
 				continue
 			}
 			for n := range c.Items {
-				c.Items[n].Stamp = time.Duration(step)
+				c.Items[n].LogTime = time.Duration(step)
 			}
-			next, news, _, err := right.Take(c)
+			next, news, _, err := right.ApplyUpdate(c)
 			right = next
-			forgetful, _, _, _ = forgetful.Take(c)
+			forgetful, _, _, _ = forgetful.ApplyUpdate(c)
 			before = takeWithoutHistory(before, c)
 			if random.IntN(5) == 0 {
-				forgetful = Restore(Wire(forgetful.Items()).List)
+				forgetful = TableFromStorage(ItemsToWire(forgetful.Items()).List)
 			}
 			raised += len(news)
 			switch {
-			case errors.Is(err, ErrOpen):
+			case errors.Is(err, ErrUndetermined):
 				open++
 			case err != nil:
 				refused++
 			}
-			want := trunk.Bytes(Wire(before.Items()))
-			assert.Assert(t, bytes.Equal(trunk.Bytes(Wire(right.Items())), want))
-			assert.Assert(t, bytes.Equal(trunk.Bytes(Wire(forgetful.Items())), want))
+			want := trunk.EncodeTable(ItemsToWire(before.Items()))
+			assert.Assert(t, bytes.Equal(trunk.EncodeTable(ItemsToWire(right.Items())), want))
+			assert.Assert(t, bytes.Equal(trunk.EncodeTable(ItemsToWire(forgetful.Items())), want))
 		}
 	}
 	assert.Assert(t, raised > 1000 && refused > 1000 && open > 100, "%d raised, %d refused, %d open: the calls are too tame", raised, refused, open)
@@ -227,10 +227,10 @@
 
 // FuzzRestore reads whatever a disk may hold.
 func FuzzRestore(f *testing.F) {
-	f.Add(Item{Name: Name{Route, "r"}, Version: 3}.history.Encode(), int64(3))
+	f.Add(Item{Key: Key{KindRoute, "r"}, Version: 3}.history.Encode(), int64(3))
 	f.Fuzz(func(t *testing.T, past []byte, version int64) {
-		table := Restore([]*wire.ItemT{{Kind: byte(Service), Name: "s", Version: version, Body: []byte("{}"), Past: past}})
-		table.Take(Call{Items: []Item{{Name: Name{Service, "s"}, Version: version - 1, Body: []byte("{}")}}})
+		table := TableFromStorage([]*wire.ItemT{{Kind: byte(KindService), Name: "s", Version: version, Body: []byte("{}"), History: past}})
+		table.ApplyUpdate(Update{Items: []Item{{Key: Key{KindService, "s"}, Version: version - 1, Body: []byte("{}")}}})
 	})
 }
 
@@ -248,8 +248,8 @@
 
 // searchCode is the code under search: the right one, or one with a planted error.
 type searchCode struct {
-	take    func(Table, Call) (Table, []Item, error)
-	admit   func(Table, Call) error
+	take    func(Table, Update) (Table, []Item, error)
+	admit   func(Table, Update) error
 	restore func(Table) Table
 	overlap bool // calls are proposed while others of the same items are under way
 }
@@ -269,8 +269,8 @@
 func (w searchWorld) key() string {
 	var b []byte
 	for _, i := range w.table.Items() {
-		b = strconv.AppendInt(append(b, i.Name.Name...), i.Version, 10)
-		b = append(append(strconv.AppendBool(b, i.Dropped), i.Body...), i.history.Encode()...)
+		b = strconv.AppendInt(append(b, i.Key.Name...), i.Version, 10)
+		b = append(append(strconv.AppendBool(b, i.Deleted), i.Body...), i.history.Encode()...)
 	}
 	for _, n := range append(append(w.left[:], w.acked, w.taken, w.effect, w.refused), w.pending...) {
 		b = strconv.AppendInt(append(b, ' '), int64(n), 10)
@@ -279,7 +279,7 @@
 }
 
 // answered notes an answer to an order; the text is what it breaks, "": nothing.
-func (w *searchWorld) answered(order int, err error, calls []Call) string {
+func (w *searchWorld) answered(order int, err error, calls []Update) string {
 	bit := 1 << order
 	switch {
 	case err == nil:
@@ -292,7 +292,7 @@
 				return "two contents of one version are acknowledged"
 			}
 		}
-	case errors.Is(err, ErrOpen):
+	case errors.Is(err, ErrUndetermined):
 	default:
 		w.refused |= bit
 	}
@@ -306,10 +306,10 @@
 }
 
 // contradict says that two calls have different contents under one version of an item.
-func contradict(a, b Call) bool {
+func contradict(a, b Update) bool {
 	for _, i := range a.Items {
 		for _, j := range b.Items {
-			if i.Name == j.Name && i.Version == j.Version && !i.same(j) {
+			if i.Key == j.Key && i.Version == j.Version && !i.hasSameContent(j) {
 				return true
 			}
 		}
@@ -318,7 +318,7 @@
 }
 
 // commit has the first proposal agreed on; told: whoever sent it is answered.
-func (w searchWorld) commit(code searchCode, calls []Call, told bool) (searchWorld, string) {
+func (w searchWorld) commit(code searchCode, calls []Update, told bool) (searchWorld, string) {
 	order := w.pending[0]
 	w.pending = w.pending[1:]
 	next, raised, err := code.take(w.table, calls[order])
@@ -330,13 +330,13 @@
 		w.effect |= 1 << order
 	}
 	if !told {
-		return w, w.answered(order, ErrOpen, calls)
+		return w, w.answered(order, ErrUndetermined, calls)
 	}
 	return w, w.answered(order, err, calls)
 }
 
 // next are the states that can follow, and a rule that one of them breaks.
-func (w searchWorld) next(code searchCode, calls []Call) (l []searchWorld, breach string) {
+func (w searchWorld) next(code searchCode, calls []Update) (l []searchWorld, breach string) {
 	for order, left := range w.left { // sent for the first time or again, at any member: it reaches the leader
 		if left == 0 {
 			continue
@@ -381,11 +381,11 @@
 }
 
 // touches says that a call names an item that a proposal names.
-func touches(c Call, pending []int, calls []Call) bool {
+func touches(c Update, pending []int, calls []Update) bool {
 	for _, order := range pending {
 		for _, i := range c.Items {
 			for _, j := range calls[order].Items {
-				if i.Name == j.Name {
+				if i.Key == j.Key {
 					return true
 				}
 			}
@@ -396,9 +396,9 @@
 
 // search tries all orders of what may befall, and gives the states visited and the first breach.
 func search(t *testing.T, code searchCode) (states int, breach string) {
-	var calls []Call
+	var calls []Update
 	for _, text := range searchOrders {
-		calls = append(calls, Call{Items: take(t, text)})
+		calls = append(calls, Update{Items: take(t, text)})
 	}
 	first := searchWorld{table: taken(t, Table{}, call(rule("r", "old", 1, ""), fmt.Sprintf(service, "old", 1)+","+fmt.Sprintf(service, "new", 1))), left: [5]int{2, 2, 1, 2, 1}}
 	if testkit.Race { // which takes many times as long, and looks for other things
@@ -426,8 +426,8 @@
 // over changes of the leader that keep some of what was proposed, and starts from disk in between: one acknowledged content of a
 // version, nothing refused that was taken, no effect of what was refused. Each planted error is found.
 func TestOrdersSentAgain(t *testing.T) {
-	take := func(table Table, c Call) (Table, []Item, error) {
-		next, raised, _, err := table.Take(c)
+	take := func(table Table, c Update) (Table, []Item, error) {
+		next, raised, _, err := table.ApplyUpdate(c)
 		return next, raised, err
 	}
 	right := searchCode{take: take, admit: admit, restore: func(table Table) Table { return stored(t, table) }}
@@ -436,7 +436,7 @@
 	t.Logf("%d states", states)
 
 	older := right // a disk of the build before, at any start
-	older.restore = func(table Table) Table { return Restore(Wire(table.Items()).List) }
+	older.restore = func(table Table) Table { return TableFromStorage(ItemsToWire(table.Items()).List) }
 	states, breach = search(t, older)
 	assert.Equal(t, breach, "")
 	t.Logf("%d states with disks of the build before", states)
@@ -447,22 +447,22 @@
 	}{
 		"an operation forgotten too soon": {func(c *searchCode) {
 			c.restore = func(table Table) Table {
-				fresh, _ := Table{}.Merge(ItemsOf(&wire.ItemsT{List: Wire(table.Items()).List}))
+				fresh, _ := Table{}.Merge(ItemsFromWire(&wire.ItemsT{List: ItemsToWire(table.Items()).List}))
 				return fresh
 			}
 		}, "is refused"},
 		"an equal version acknowledged twice": {func(c *searchCode) {
-			c.take = func(table Table, call Call) (Table, []Item, error) {
-				if err := table.unfit(call); errors.Is(err, ErrInvalid) {
+			c.take = func(table Table, call Update) (Table, []Item, error) {
+				if err := table.validate(call); errors.Is(err, ErrInvalid) {
 					return table, nil, err
 				}
 				next, raised := table.Merge(call.Items)
 				return next, raised, nil
 			}
-			c.admit = func(Table, Call) error { return nil }
+			c.admit = func(Table, Update) error { return nil }
 		}, "two contents"},
 		"proposed beside another of the same item": {func(c *searchCode) { c.overlap = true }, "has an effect"},
-		"not admitted by the leader":               {func(c *searchCode) { c.admit = func(Table, Call) error { return nil } }, "has an effect"},
+		"not admitted by the leader":               {func(c *searchCode) { c.admit = func(Table, Update) error { return nil } }, "has an effect"},
 	} {
 		code := right
 		plant.change(&code)
