--- a/internal/exchange/patch/patch_test.go
+++ b/internal/exchange/patch/patch_test.go
@@ -22,7 +22,7 @@
 
 func take(t *testing.T, text string) []Item {
 	t.Helper()
-	l, err := Read([]byte(text))
+	l, err := ParseItems([]byte(text))
 	assert.NilError(t, err)
 	return l
 }
@@ -42,15 +42,15 @@
 		`{}`:                                                                                               "no items",
 		call(good, "") + "x":                                                                               "behind the end",
 	} {
-		_, err := Read([]byte(text))
+		_, err := ParseItems([]byte(text))
 		assert.ErrorContains(t, err, want)
 		assert.Assert(t, errors.Is(err, ErrInvalid), "%v", err)
 	}
 	var table Table
-	table, _, err := table.Apply(take(t, call("", fmt.Sprintf(service, "s", 1))))
+	table, _, err := table.ApplyItems(take(t, call("", fmt.Sprintf(service, "s", 1))))
 	assert.NilError(t, err)
 	// Also where all its versions are older than what stands.
-	_, _, err = table.Apply(take(t, call(rule("r", "nobody", 0, ""), "")))
+	_, _, err = table.ApplyItems(take(t, call(rule("r", "nobody", 0, ""), "")))
 	assert.Assert(t, errors.Is(err, ErrInvalid))
 	assert.ErrorContains(t, err, `route r: ForwardAction: the service "nobody"`)
 }
@@ -58,7 +58,7 @@
 // Two operators, an older change that comes again and a drop, in all orders: each ends in the newest, and of two contents
 // under one version one is acknowledged.
 func TestAllOrders(t *testing.T) {
-	base, _, err := Table{}.Apply(take(t, call(rule("r", "s", 1, ""), fmt.Sprintf(service, "s", 1))))
+	base, _, err := Table{}.ApplyItems(take(t, call(rule("r", "s", 1, ""), fmt.Sprintf(service, "s", 1))))
 	assert.NilError(t, err)
 	calls := []string{
 		call(rule("r", "s", 2, ""), ""),
@@ -71,15 +71,15 @@
 	try = func(table Table, left []int, acked map[int]bool) {
 		if len(left) == 0 {
 			orders++
-			i, _ := table.Get(Name{Route, "r"})
-			assert.Assert(t, i.Dropped && i.Version == 4)
-			assert.Equal(t, len(table.Layout().ListenerList), 0)
+			i, _ := table.Get(Key{KindRoute, "r"})
+			assert.Assert(t, i.Deleted && i.Version == 4)
+			assert.Equal(t, len(table.Document().ListenerList), 0)
 			return
 		}
 		for n, c := range left {
-			before, _ := table.Get(Name{Route, "r"})
-			next, raised, err := table.Apply(take(t, calls[c]))
-			after, _ := next.Get(Name{Route, "r"})
+			before, _ := table.Get(Key{KindRoute, "r"})
+			next, raised, err := table.ApplyItems(take(t, calls[c]))
+			after, _ := next.Get(Key{KindRoute, "r"})
 			assert.Assert(t, after.Version >= before.Version)
 			if err != nil {
 				assert.Assert(t, errors.Is(err, ErrConflict))
@@ -102,8 +102,8 @@
 
 // Whatever lines are told, in whatever order and however often, they end alike and never go back.
 func TestMerge(t *testing.T) {
-	n := Name{Route, "r"}
-	items := []Item{{Name: n, Version: 1}, {Name: n, Version: 2}, {Name: n, Version: 3, Dropped: true}, {Name: n, Version: 2}}
+	n := Key{KindRoute, "r"}
+	items := []Item{{Key: n, Version: 1}, {Key: n, Version: 2}, {Key: n, Version: 3, Deleted: true}, {Key: n, Version: 2}}
 	var try func(table Table, left []int)
 	try = func(table Table, left []int) {
 		if len(left) == 0 {
@@ -124,8 +124,8 @@
 func FuzzRead(f *testing.F) {
 	f.Add(call(rule("r", "s", 1, ""), fmt.Sprintf(service, "s", 1)))
 	f.Fuzz(func(t *testing.T, text string) {
-		if items, err := Read([]byte(text)); err == nil {
-			Table{}.Apply(items)
+		if items, err := ParseItems([]byte(text)); err == nil {
+			Table{}.ApplyItems(items)
 		}
 	})
 }
@@ -142,19 +142,19 @@
 		strings.Replace(text, "]}]}}", "]}]},\n\"Remove\":{\"RouteTable\":[\n{\"Name\":\"\"}]}}", 1): "line 13: Remove: route",
 	} {
 		assert.Assert(t, broken != text)
-		_, err := Read([]byte(broken))
+		_, err := ParseItems([]byte(broken))
 		assert.ErrorContains(t, err, want)
 	}
-	table, _, err := Table{}.Apply(take(t, call(rule("r", "s", 3, "")+","+rule("q", "s", 3, ""), fmt.Sprintf(service, "s", 1))))
+	table, _, err := Table{}.ApplyItems(take(t, call(rule("r", "s", 3, "")+","+rule("q", "s", 3, ""), fmt.Sprintf(service, "s", 1))))
 	assert.NilError(t, err)
 	var got []string
 	for _, c := range []string{rule("r", "s", 3, ""), rule("r", "s", 2, ""), rule("r", "s", 4, ""), rule("new", "s", 1, ""),
 		strings.Replace(rule("r", "s", 3, ""), `"TimeoutS":2`, `"TimeoutS":5`, 1), strings.Replace(rule("r", "s", 4, ""), `"TimeoutS":2`, `"TimeoutS":5`, 1)} {
 		for _, d := range Diff(table, take(t, call(c, ""))) {
-			got = append(got, fmt.Sprint(d.Verb, " ", d.Name, " ", d.From, d.To, d.Field))
+			got = append(got, fmt.Sprint(d.Action, " ", d.Name, " ", d.From, d.To, d.Fields))
 		}
 	}
-	got = append(got, string(Diff(table, take(t, `{"Remove":{"RouteTable":[{"Name":"q","ConfigVersion":9}]}}`))[0].Verb))
+	got = append(got, string(Diff(table, take(t, `{"Remove":{"RouteTable":[{"Name":"q","ConfigVersion":9}]}}`))[0].Action))
 	assert.DeepEqual(t, got, []string{"leaves r 3 3 []", "late r 3 2 []", "raises r 3 4 []", "adds new 0 1 []",
 		"conflicts r 3 3 [{ForwardAction.TimeoutS 2 5}]", "changes r 3 4 [{ForwardAction.TimeoutS 2 5}]", "drops"})
 }
@@ -170,9 +170,9 @@
 		take(t, `{"Remove":{"RouteTable":[{"Name":"r","ConfigVersion":4}]}}`),
 		take(t, call(rule("r", "s", 1, ""), "")),
 	}
-	base, _, err := Table{}.Apply(take(t, call("", fmt.Sprintf(service, "s", 1))))
+	base, _, err := Table{}.ApplyItems(take(t, call("", fmt.Sprintf(service, "s", 1))))
 	assert.NilError(t, err)
-	r := Name{Route, "r"}
+	r := Key{KindRoute, "r"}
 	// search gives the states visited and the first breach.
 	search := func(apply func(Table, []Item) (Table, error), forget bool) (states int, breach string) {
 		type world struct {
@@ -186,7 +186,7 @@
 		list := []world{{core: base, line: base, left: []int{0, 1, 2, 3, 4}, acked: map[int64]int{}}}
 		text := func(t Table) string {
 			i, is := t.Get(r)
-			return fmt.Sprint(is, i.Version, i.Dropped, len(i.Body))
+			return fmt.Sprint(is, i.Version, i.Deleted, len(i.Body))
 		}
 		for len(list) > 0 {
 			w := list[0]
@@ -215,7 +215,7 @@
 					}
 				}
 				if i, is := w.acked[4]; is {
-					if at, stands := next.Get(r); i == 3 && stands && !at.Dropped {
+					if at, stands := next.Get(r); i == 3 && stands && !at.Deleted {
 						return len(seen), v.trail + ": what was dropped is there again"
 					}
 				}
@@ -232,7 +232,7 @@
 				if at, is := next.Get(r); is && at.Version < was.Version || !is && was.Version > 0 && !forget {
 					return len(seen), v.trail + ": the line goes back"
 				}
-				if at, is := next.Get(r); is && !at.Dropped && w.acked[4] == 3 && strings.Contains(w.trail, "tell4") {
+				if at, is := next.Get(r); is && !at.Deleted && w.acked[4] == 3 && strings.Contains(w.trail, "tell4") {
 					return len(seen), v.trail + ": what was dropped is there again"
 				}
 				v.told = append(append([][]Item(nil), w.told[:n]...), w.told[n+1:]...)
@@ -243,7 +243,7 @@
 		}
 		return len(seen), ""
 	}
-	rightly := func(t Table, l []Item) (Table, error) { next, _, err := t.Apply(l); return next, err }
+	rightly := func(t Table, l []Item) (Table, error) { next, _, err := t.ApplyItems(l); return next, err }
 	states, breach := search(rightly, false)
 	assert.Equal(t, breach, "")
 	t.Logf("%d states", states)
@@ -255,9 +255,9 @@
 
 // dropForgotten is the planted error: a table that does not remember what was dropped.
 func dropForgotten(t Table) Table {
-	next := map[Name]Item{}
+	next := map[Key]Item{}
 	for n, i := range t.items {
-		if !i.Dropped {
+		if !i.Deleted {
 			next[n] = i
 		}
 	}
@@ -269,25 +269,25 @@
 func TestBounded(t *testing.T) {
 	var table Table
 	var l []Item
-	for n := range MostDropped + 10 {
-		l = append(l, Item{Name: Name{Route, fmt.Sprint("d", n)}, Version: 1, Dropped: true, Stamp: time.Duration(n)})
+	for n := range MaxTombstones + 10 {
+		l = append(l, Item{Key: Key{KindRoute, fmt.Sprint("d", n)}, Version: 1, Deleted: true, LogTime: time.Duration(n)})
 	}
-	table, _ = table.Merge(l[:MostDropped])
-	a, _ := table.Merge(l[MostDropped:])
+	table, _ = table.Merge(l[:MaxTombstones])
+	a, _ := table.Merge(l[MaxTombstones:])
 	b, _ := Table{}.Merge(l) // in one
 	for _, x := range []Table{a, b} {
-		assert.Equal(t, x.Len(), MostDropped)
-		_, is := x.Get(l[9].Name)
+		assert.Equal(t, x.Len(), MaxTombstones)
+		_, is := x.Get(l[9].Key)
 		assert.Assert(t, !is)
-		_, is = x.Get(l[10].Name)
+		_, is = x.Get(l[10].Key)
 		assert.Assert(t, is)
 	}
 	l = nil
-	for n := range MostItems + 1 {
-		l = append(l, Item{Name: Name{Service, fmt.Sprint(n)}, Version: 1, Body: []byte("{}")})
+	for n := range MaxItems + 1 {
+		l = append(l, Item{Key: Key{KindService, fmt.Sprint(n)}, Version: 1, Body: []byte("{}")})
 	}
-	_, _, err := a.Apply(l)
+	_, _, err := a.ApplyItems(l)
 	assert.Assert(t, errors.Is(err, ErrInvalid), "%v", err)
-	_, _, err = a.Apply(l[1:])
+	_, _, err = a.ApplyItems(l[1:])
 	assert.NilError(t, err)
 }
--- a/internal/exchange/patch/ruled.go
+++ b/internal/exchange/patch/ruled.go
@@ -8,29 +8,29 @@
 	"hollyspur/internal/exchange/classmark"
 )
 
-// judge has namespaces' rules looked at, where there are any, and turns the errors of that.
-func judge(t, next *Table, raised []Item, c Call) ([]classmark.Effect, error) {
-	change := classmark.Change{By: c.By, Consents: c.Consents}
+// checkPolicies has namespaces' rules looked at, where there are any, and turns the errors of that.
+func checkPolicies(t, next *Table, raised []Item, c Update) ([]classmark.Effect, error) {
+	change := classmark.Change{Author: c.Author, Consents: c.Consents}
 	for _, i := range raised {
 		switch i.Kind {
-		case Namespace:
-			change.Spaces = append(change.Spaces, i.Name.Name)
-		case Ruling:
-			change.Rulings = append(change.Rulings, i.Name.Name)
-		case Route:
-			change.Routes = append(change.Routes, i.Name.Name)
+		case KindNamespace:
+			change.Namespaces = append(change.Namespaces, i.Key.Name)
+		case KindPolicy:
+			change.Policies = append(change.Policies, i.Key.Name)
+		case KindRoute:
+			change.Routes = append(change.Routes, i.Key.Name)
 		default:
-			change.Others = append(change.Others, i.Kind.String()+" "+i.Name.Name)
+			change.Others = append(change.Others, i.Kind.String()+" "+i.Key.Name)
 		}
 	}
-	if t.marks == nil {
-		t.marks = Marks(*t, *t)
+	if t.policySet == nil {
+		t.policySet = NewPolicySet(*t, *t)
 	}
-	next.marks = Marks(*next, *next)
-	effects, err := classmark.Judge(t.marks, next.marks, change)
+	next.policySet = NewPolicySet(*next, *next)
+	effects, err := classmark.Evaluate(t.policySet, next.policySet, change)
 	switch {
-	case errors.Is(err, classmark.ErrUnfit):
-		return nil, invalid("the call", "", "%v", err)
+	case errors.Is(err, classmark.ErrInvalidSet):
+		return nil, newFieldError("the call", "", "%v", err)
 	case errors.Is(err, classmark.ErrConflict):
 		return nil, errors.WithType(err, ErrConflict)
 	case err != nil:
@@ -39,52 +39,52 @@
 	return effects, nil
 }
 
-// Marks are the routes of one table with the namespaces and rulings of another.
-func Marks(routes, rules Table) *classmark.Set {
+// NewPolicySet are the routes of one table with the namespaces and rulings of another.
+func NewPolicySet(routes, rules Table) *classmark.Set {
 	var spaces []classmark.Namespace
-	var rulings []classmark.Ruling
+	var rulings []classmark.Policy
 	var l []classmark.Route
-	if rules.ruled > 0 {
+	if rules.policyCount > 0 {
 		for _, i := range rules.items {
 			switch {
-			case i.Dropped:
-			case i.Kind == Namespace:
+			case i.Deleted:
+			case i.Kind == KindNamespace:
 				var n classmark.Namespace
 				json.Unmarshal(i.Body, &n) // checked when it was taken
 				spaces = append(spaces, n)
-			case i.Kind == Ruling:
-				var r classmark.Ruling
+			case i.Kind == KindPolicy:
+				var r classmark.Policy
 				json.Unmarshal(i.Body, &r)
 				rulings = append(rulings, r)
 			}
 		}
 	}
 	for _, i := range routes.items {
-		if i.Kind == Route && !i.Dropped {
-			if r := i.Rule(); r != nil {
-				l = append(l, i.ruledAs(r))
+		if i.Kind == KindRoute && !i.Deleted {
+			if r := i.RouteSpec(); r != nil {
+				l = append(l, i.policyRoute(r))
 			}
 		}
 	}
 	return classmark.NewSet(spaces, rulings, l)
 }
 
-// ruledAs is a route as classmark knows it.
-func (i Item) ruledAs(r *Rule) classmark.Route {
+// policyRoute is a route as classmark knows it.
+func (i Item) policyRoute(r *RouteSpec) classmark.Route {
 	x := classmark.Route{Name: r.Name, Host: i.Host, Prefix: r.MatchCriteria.PathPrefix, Version: i.Version, TimeoutS: float64(r.ForwardAction.TimeoutS),
-		Tries: r.ForwardAction.RetryCount, Priority: r.Priority, Once: r.RouteType == "keyed" || r.RouteType == "non_idempotent"}
-	for _, s := range r.Services() {
+		MaxAttempts: r.ForwardAction.RetryCount, Priority: r.Priority, AtMostOnce: r.RouteType == "keyed" || r.RouteType == "non_idempotent"}
+	for _, s := range r.Destinations() {
 		x.Services = append(x.Services, s.Service)
 	}
 	return x
 }
 
-// Ruled are the namespaces and rulings that stand, by themselves.
-func (t Table) Ruled() Table {
-	out := Table{items: map[Name]Item{}, ruled: t.ruled}
-	if t.ruled > 0 {
+// PolicyItems are the namespaces and rulings that stand, by themselves.
+func (t Table) PolicyItems() Table {
+	out := Table{items: map[Key]Item{}, policyCount: t.policyCount}
+	if t.policyCount > 0 {
 		for n, i := range t.items {
-			if n.Kind.Ruled() && !i.Dropped {
+			if n.Kind.InPolicySet() && !i.Deleted {
 				out.items[n] = i
 			}
 		}
@@ -92,16 +92,16 @@
 	return out
 }
 
-// AnyRuled says that there are any.
-func (t Table) AnyRuled() bool { return t.ruled > 0 }
+// HasPolicyItems says that there are any.
+func (t Table) HasPolicyItems() bool { return t.policyCount > 0 }
 
-// Print is the fingerprint of the namespaces and rulings that stand; "": there are none.
-func (t Table) Print() string {
-	if t.ruled == 0 {
+// PolicyFingerprint is the fingerprint of the namespaces and rulings that stand; "": there are none.
+func (t Table) PolicyFingerprint() string {
+	if t.policyCount == 0 {
 		return ""
 	}
-	l := t.Ruled().Items()
-	return classmark.PrintOf(len(l), func(n int) (string, int64, []byte) {
-		return l[n].Kind.String() + " " + l[n].Name.Name, l[n].Version, l[n].Body
+	l := t.PolicyItems().Items()
+	return classmark.Fingerprint(len(l), func(n int) (string, int64, []byte) {
+		return l[n].Kind.String() + " " + l[n].Key.Name, l[n].Version, l[n].Body
 	})
 }
--- a/internal/exchange/patch/ruled_test.go
+++ b/internal/exchange/patch/ruled_test.go
@@ -23,25 +23,25 @@
 	var table Table
 	take := func(text string) error {
 		t.Helper()
-		c, err := ReadCall([]byte(text))
+		c, err := ParseUpdate([]byte(text))
 		if err != nil {
 			return err
 		}
-		next, _, _, err := table.Take(c)
-		before := table.Print()
+		next, _, _, err := table.ApplyUpdate(c)
+		before := table.PolicyFingerprint()
 		if err != nil {
-			assert.Equal(t, next.Print(), before)
+			assert.Equal(t, next.PolicyFingerprint(), before)
 			assert.Equal(t, next.Len(), table.Len())
 		}
 		table = next
 		return err
 	}
 	assert.NilError(t, take(call(rule("r", "s", 1, ""), fmt.Sprintf(service, "s", 1))))
-	assert.Equal(t, table.Print(), "")
+	assert.Equal(t, table.PolicyFingerprint(), "")
 	assert.NilError(t, take(spaces))
-	set := table.Print()
+	set := table.PolicyFingerprint()
 	assert.NilError(t, take(spaces)) // again
-	assert.Equal(t, table.Print(), set)
+	assert.Equal(t, table.PolicyFingerprint(), set)
 	for _, x := range []struct {
 		text string
 		kind error
@@ -75,19 +75,19 @@
 	for n := len(items) - 1; n >= 0; n-- {
 		again, _ = again.Merge(items[n : n+1])
 	}
-	assert.Equal(t, again.Print(), table.Print())
-	assert.Equal(t, again.Ruled().Print(), table.Print())
-	assert.Equal(t, len(table.Layout().NamespaceList)+len(table.Layout().RulingList), 3)
-	words, ruled := Marks(table, table).Words(mustRoute(t, table), "s", "")
+	assert.Equal(t, again.PolicyFingerprint(), table.PolicyFingerprint())
+	assert.Equal(t, again.PolicyItems().PolicyFingerprint(), table.PolicyFingerprint())
+	assert.Equal(t, len(table.Document().NamespaceList)+len(table.Document().RulingList), 3)
+	words, ruled := NewPolicySet(table, table).ClausesFor(mustRoute(t, table), "s", "")
 	assert.Assert(t, ruled && len(words) == 5, "%v", words)
 	assert.NilError(t, take(`{"Remove":{"NamespaceTable":[{"Name":"store","ConfigVersion":2},{"Name":"shop","ConfigVersion":2}],"RulingTable":[{"Name":"calm","ConfigVersion":9}]}}`))
-	assert.Equal(t, table.Print(), "")
-	assert.Assert(t, !table.AnyRuled())
+	assert.Equal(t, table.PolicyFingerprint(), "")
+	assert.Assert(t, !table.HasPolicyItems())
 }
 
 func mustRoute(t *testing.T, table Table) classmark.Route {
 	t.Helper()
-	r, is := Marks(table, table).Route("r")
+	r, is := NewPolicySet(table, table).Route("r")
 	assert.Assert(t, is)
 	return r
 }
--- a/internal/exchange/patch/wire.go
+++ b/internal/exchange/patch/wire.go
@@ -7,52 +7,52 @@
 	"hollyspur/internal/mesh/operations"
 )
 
-// Wire words items for the trunk, and ItemsOf reads them.
-func Wire(l []Item) *wire.ItemsT {
+// ItemsToWire words items for the trunk, and ItemsOf reads them.
+func ItemsToWire(l []Item) *wire.ItemsT {
 	t := &wire.ItemsT{}
 	for _, i := range l {
-		t.List = append(t.List, &wire.ItemT{Kind: byte(i.Kind), Name: i.Name.Name, Version: i.Version, Dropped: i.Dropped, Host: i.Host, Body: i.Body, Stamp: int64(i.Stamp)})
+		t.List = append(t.List, &wire.ItemT{Kind: byte(i.Kind), Name: i.Key.Name, Version: i.Version, Deleted: i.Deleted, Host: i.Host, Body: i.Body, LogTimeNs: int64(i.LogTime)})
 	}
 	return t
 }
 
-// WireCall words a call for the log, and CallOf reads it.
-func WireCall(c Call) *wire.ItemsT {
-	t := Wire(c.Items)
-	t.By, t.Consents = c.By, c.Consents
+// UpdateToWire words a call for the log, and CallOf reads it.
+func UpdateToWire(c Update) *wire.ItemsT {
+	t := ItemsToWire(c.Items)
+	t.Author, t.Consents = c.Author, c.Consents
 	return t
 }
 
-// CallOf reads a call.
-func CallOf(t *wire.ItemsT) Call { return Call{ItemsOf(t), t.By, t.Consents} }
+// UpdateFromWire reads a call.
+func UpdateFromWire(t *wire.ItemsT) Update { return Update{ItemsFromWire(t), t.Author, t.Consents} }
 
-// ItemsOf reads items.
-func ItemsOf(t *wire.ItemsT) (l []Item) {
+// ItemsFromWire reads items.
+func ItemsFromWire(t *wire.ItemsT) (l []Item) {
 	for _, i := range t.List {
-		l = append(l, Item{Name: Name{Kind: Kind(i.Kind), Name: i.Name}, Version: i.Version, Dropped: i.Dropped, Host: i.Host, Body: i.Body,
-			Stamp: time.Duration(i.Stamp)})
+		l = append(l, Item{Key: Key{Kind: Kind(i.Kind), Name: i.Name}, Version: i.Version, Deleted: i.Deleted, Host: i.Host, Body: i.Body,
+			LogTime: time.Duration(i.LogTimeNs)})
 	}
 	return l
 }
 
-// Stored words a table for a register's disk, with the history of each item; Restore reads it.
-func Stored(t Table) []*wire.ItemT {
+// TableToStorage words a table for a register's disk, with the history of each item; Restore reads it.
+func TableToStorage(t Table) []*wire.ItemT {
 	items := t.Items()
-	list := Wire(items).List
+	list := ItemsToWire(items).List
 	for n, i := range items {
-		list[n].Past = i.history.Encode()
+		list[n].History = i.history.Encode()
 	}
 	return list
 }
 
-// Restore reads a stored table. Of an item that was stored without a history, by an earlier build or with one that can't be
+// TableFromStorage reads a stored table. Of an item that was stored without a history, by an earlier build or with one that can't be
 // read, nothing is known of the versions before the one that stands.
-func Restore(list []*wire.ItemT) Table {
-	items := ItemsOf(&wire.ItemsT{List: list})
+func TableFromStorage(list []*wire.ItemT) Table {
+	items := ItemsFromWire(&wire.ItemsT{List: list})
 	for n, stored := range list {
-		history, err := operations.Decode(stored.Past)
+		history, err := operations.Decode(stored.History)
 		if err != nil {
-			history = operations.Lost(stored.Version)
+			history = operations.IncompleteThrough(stored.Version)
 		}
 		items[n].history = history
 	}
@@ -60,10 +60,10 @@
 	return t
 }
 
-// Holds are the versions of all, for whoever asks how far a process is.
-func (t Table) Holds() (l []*wire.HoldsT) {
+// Versions are the versions of all, for whoever asks how far a process is.
+func (t Table) Versions() (l []*wire.ItemVersionT) {
 	for _, i := range t.Items() {
-		l = append(l, &wire.HoldsT{Kind: byte(i.Kind), Name: i.Name.Name, Version: i.Version, Dropped: i.Dropped})
+		l = append(l, &wire.ItemVersionT{Kind: byte(i.Kind), Name: i.Key.Name, Version: i.Version, Deleted: i.Deleted})
 	}
 	return l
 }
--- a/internal/exchange/plant/look.go
+++ b/internal/exchange/plant/look.go
@@ -14,81 +14,81 @@
 	"hollyspur/internal/exchange/trunk/wire"
 )
 
-// heard is what a register says by itself to whoever calls.
-type heard struct {
-	mu      sync.Mutex // guards below
-	members *wire.MembersT
-	table   directory.Table
-	touch   bool
-	beats   int
-	enough  chan struct{} // closed with the second beat: the first may have been made before it had come
+// announcements is what a register says by itself to whoever calls.
+type announcements struct {
+	mu            sync.Mutex // guards below
+	members       *wire.MembersT
+	directory     directory.Table
+	quorumContact bool
+	heartbeats    int
+	complete      chan struct{} // closed with the second beat: the first may have been made before it had come
 }
 
-func (h *heard) take(m trunk.Message) {
+func (h *announcements) handle(m trunk.Message) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch v := m.Value.(type) {
 	case *wire.MembersT:
 		h.members = v
 	case *wire.RecordsT:
-		h.table, _ = h.table.Merge(time.Second, directory.Of(v))
-	case *wire.BeatT:
-		h.touch = v.Touch
-		if h.beats++; h.beats == 2 {
-			close(h.enough)
+		h.directory, _ = h.directory.Merge(time.Second, directory.FromWire(v))
+	case *wire.HeartbeatT:
+		h.quorumContact = v.QuorumContact
+		if h.heartbeats++; h.heartbeats == 2 {
+			close(h.complete)
 		}
 	}
 }
 
-// Name is by what an operator's tool calls itself on a trunk.
-const Name = "switchboard"
+// ClientName is by what an operator's tool calls itself on a trunk.
+const ClientName = "switchboard"
 
-// mostAsked is how many processes are asked at a time.
-const mostAsked = 32
+// maxParallelQueries is how many processes are asked at a time.
+const maxParallelQueries = 32
 
-// Look asks a register for the mesh, by the address of its trunks, and then each process that it names. Those that give no
+// Collect asks a register for the mesh, by the address of its trunks, and then each process that it names. Those that give no
 // answer before the context ends are told so; an error: the register itself gave none.
-func Look(ctx context.Context, addr string) (Topology, error) {
-	t := Topology{Asked: addr}
-	h := &heard{enough: make(chan struct{})}
-	x, err := trunk.Call(ctx, addr, Name, h.take)
+func Collect(ctx context.Context, addr string) (Topology, error) {
+	t := Topology{AskedMember: addr}
+	h := &announcements{complete: make(chan struct{})}
+	x, err := trunk.DialClient(ctx, addr, ClientName, h.handle)
 	if err != nil {
 		return t, err
 	}
 	defer x.Close()
 	select {
-	case <-h.enough:
+	case <-h.complete:
 	case <-x.Done():
-		return t, errors.Annotatef(trunk.ErrSilent, "%s told only a part", addr)
+		return t, errors.Annotatef(trunk.ErrNoReply, "%s told only a part", addr)
 	case <-ctx.Done():
-		return t, errors.Annotatef(trunk.ErrSilent, "%s told only a part", addr)
+		return t, errors.Annotatef(trunk.ErrNoReply, "%s told only a part", addr)
 	}
 	h.mu.Lock()
-	members, table := h.members, h.table
-	t.Touch = h.touch
+	members, table := h.members, h.directory
+	t.QuorumContact = h.quorumContact
 	h.mu.Unlock()
 	if members == nil {
-		return t, errors.Annotatef(trunk.ErrRefused, "%s is no register", addr)
+		return t, errors.Annotatef(trunk.ErrRejected, "%s is no register", addr)
 	}
-	t.View = members.Index
-	if body, err := x.Ask(ctx, trunk.AskTable, nil); err == nil {
-		items, err := trunk.Parse(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	t.ConfigurationIndex = members.Index
+	if body, err := x.Call(ctx, trunk.CallItems, nil); err == nil {
+		items, err := trunk.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 		if err == nil {
-			list := patch.ItemsOf(items)
+			list := patch.ItemsFromWire(items)
 			table, _ := patch.Table{}.Merge(list)
-			t.Items, t.Routes, t.Rules = held(table.Holds()), routesOf(list), items.Print
+			t.Items, t.Routes, t.PolicyFingerprint = itemVersions(table.Versions()), routesFromItems(list), items.ActiveFingerprint
 		}
 	}
 	var mu sync.Mutex // guards has and what is filled in below
-	has := map[string][]Held{}
+	has := map[string][]ItemVersion{}
 	var all sync.WaitGroup
-	room := make(chan struct{}, mostAsked)
+	room := make(chan struct{}, maxParallelQueries)
 	status := func(addr string, take func(s *wire.StatusT, silent string)) {
 		all.Go(func() {
 			room <- struct{}{}
 			defer func() { <-room }()
 			var s *wire.StatusT
-			x, err := trunk.Call(ctx, addr, Name, nil)
+			x, err := trunk.DialClient(ctx, addr, ClientName, nil)
 			if err == nil {
 				s, err = x.Status(ctx)
 				x.Close()
@@ -99,36 +99,36 @@
 				take(nil, err.Error())
 				return
 			}
-			has[addr] = held(s.Items)
+			has[addr] = itemVersions(s.ItemVersions)
 			take(s, "")
 		})
 	}
-	t.Registers = make([]Register, len(members.List))
+	t.Members = make([]Member, len(members.List))
 	for i, m := range members.List {
 		status(m.Addr, func(s *wire.StatusT, silent string) {
 			if s != nil {
-				t.Registers[i] = register(s)
+				t.Members[i] = memberFromStatus(s)
 			}
-			t.Registers[i].Addr, t.Registers[i].Silent = m.Addr, silent
+			t.Members[i].Addr, t.Members[i].Unreachable = m.Addr, silent
 		})
 	}
 	records := table.All()
-	t.Lines = make([]Line, len(records))
+	t.Sidecars = make([]Sidecar, len(records))
 	for i, r := range records {
 		status(r.Addr, func(s *wire.StatusT, silent string) {
-			l := Line{Service: r.Service, Server: r.Server, State: states[r.State], Slots: int(r.Slots), Leaving: r.Gone}
+			l := Sidecar{Service: r.Service, ServerID: r.ServerID, State: stateNames[r.State], Slots: int(r.Slots), Leaving: r.Leaving}
 			if s != nil {
-				l.Process = process(s)
-				l.Home, l.Ready, l.Held, l.Why, l.Open = s.Home, s.Ready, s.Held, s.Why, int(s.Open)
-				l.Rules, l.Fenced = s.RulesBound, s.Fenced
-				l.Leaving = l.Leaving || s.Leaving
+				l.Process = processFromStatus(s)
+				l.FollowedMember, l.Ready, l.InMaintenance, l.StateReason, l.OpenRequests = s.FollowedMember, s.Ready, s.InMaintenance, s.ServerStateReason, int(s.OpenRequests)
+				l.PolicyFingerprint, l.Fenced = s.ActivePolicy, s.Fenced
+				l.Leaving = l.Leaving || s.Stopping
 			}
-			l.Name, l.Addr, l.Zone, l.Silent = r.Node, r.Addr, r.Zone, silent
-			t.Lines[i] = l
+			l.Name, l.Addr, l.Zone, l.Unreachable = r.Node, r.Addr, r.Zone, silent
+			t.Sidecars[i] = l
 		})
 	}
 	all.Wait()
-	sort.Slice(t.Registers, func(i, j int) bool { return t.Registers[i].Addr < t.Registers[j].Addr })
-	t.compare(has)
+	sort.Slice(t.Members, func(i, j int) bool { return t.Members[i].Addr < t.Members[j].Addr })
+	t.fillLag(has)
 	return t, nil
 }
--- a/internal/exchange/plant/topology.go
+++ b/internal/exchange/plant/topology.go
@@ -19,109 +19,109 @@
 
 // Topology is what was found out of a mesh. It is pure: all that follows from it is reckoned from its fields.
 type Topology struct {
-	Asked     string     `json:"asked"` // the register's trunk
-	Touch     bool       `json:"touch"` // it hears of a leader that a majority follows
-	View      uint64     `json:"view"`  // of the members
-	Registers []Register `json:"registers"`
-	Lines     []Line     `json:"lines"`
-	Routes    []Route    `json:"routes"`
-	Items     []Held     `json:"items"`           // as the core confirmed them; empty: it could not
-	Rules     string     `json:"rules,omitempty"` // the set of namespaces' rules that binds, by its fingerprint; "": none does
+	AskedMember        string        `json:"asked"` // the register's trunk
+	QuorumContact      bool          `json:"touch"` // it hears of a leader that a majority follows
+	ConfigurationIndex uint64        `json:"view"`  // of the members
+	Members            []Member      `json:"registers"`
+	Sidecars           []Sidecar     `json:"lines"`
+	Routes             []Route       `json:"routes"`
+	Items              []ItemVersion `json:"items"`           // as the core confirmed them; empty: it could not
+	PolicyFingerprint  string        `json:"rules,omitempty"` // the set of namespaces' rules that binds, by its fingerprint; "": none does
 }
 
 // Process is what each process says of itself.
 type Process struct {
-	Name    string  `json:"name"`
-	Addr    string  `json:"addr"` // of its trunk
-	Zone    string  `json:"zone"`
-	Silent  string  `json:"silent,omitempty"` // it was asked and gave no answer: why
-	UpS     float64 `json:"upS"`
-	Said    []Said  `json:"said,omitempty"` // on its trunks since it started, by purpose
-	Touch   bool    `json:"touch"`          // with a majority of registers
-	Trouble string  `json:"trouble,omitempty"`
-	Behind  []Held  `json:"behind,omitempty"` // items of which it holds an older version, or none
-	Lag     uint64  `json:"lag"`              // of a register: entries that it has not applied, by what the leader has
+	Name          string           `json:"name"`
+	Addr          string           `json:"addr"` // of its trunk
+	Zone          string           `json:"zone"`
+	Unreachable   string           `json:"silent,omitempty"` // it was asked and gave no answer: why
+	UptimeS       float64          `json:"upS"`
+	Traffic       []TrafficCounter `json:"said,omitempty"` // on its trunks since it started, by purpose
+	QuorumContact bool             `json:"touch"`          // with a majority of registers
+	Fault         string           `json:"trouble,omitempty"`
+	StaleItems    []ItemVersion    `json:"behind,omitempty"` // items of which it holds an older version, or none
+	LagEntries    uint64           `json:"lag"`              // of a register: entries that it has not applied, by what the leader has
 }
 
-// Register is one register.
-type Register struct {
+// Member is one register.
+type Member struct {
 	Process
-	ID      uint64   `json:"id"`
-	Member  bool     `json:"member"`
-	Leads   bool     `json:"leads"`
-	Leader  string   `json:"leader,omitempty"`
-	Term    uint64   `json:"term"`
-	Applied uint64   `json:"applied"`
-	Keys    int      `json:"keys"`
-	Lines   []string `json:"lines"` // that have it as their home
+	ID           uint64   `json:"id"`
+	IsMember     bool     `json:"member"`
+	IsLeader     bool     `json:"leads"`
+	LeaderAddr   string   `json:"leader,omitempty"`
+	Term         uint64   `json:"term"`
+	AppliedIndex uint64   `json:"applied"`
+	KeyCount     int      `json:"keys"`
+	Sidecars     []string `json:"lines"` // that have it as their home
 }
 
-// Line is one line and the server beside it.
-type Line struct {
+// Sidecar is one line and the server beside it.
+type Sidecar struct {
 	Process
-	Home    string `json:"home,omitempty"`
-	Ready   bool   `json:"ready"`
-	Leaving bool   `json:"leaving,omitempty"`
-	Held    bool   `json:"held,omitempty"` // its server is out by hand
-	Service string `json:"service"`
-	Server  string `json:"server,omitempty"`
-	State   string `json:"state"`
-	Why     string `json:"why,omitempty"` // its server is out
-	Slots   int    `json:"slots"`
-	Open    int    `json:"open"`             // requests at its server
-	Rules   string `json:"rules,omitempty"`  // the set that it goes by
-	Fenced  bool   `json:"fenced,omitempty"` // it could not confirm that for a while
+	FollowedMember    string `json:"home,omitempty"`
+	Ready             bool   `json:"ready"`
+	Leaving           bool   `json:"leaving,omitempty"`
+	InMaintenance     bool   `json:"held,omitempty"` // its server is out by hand
+	Service           string `json:"service"`
+	ServerID          string `json:"server,omitempty"`
+	State             string `json:"state"`
+	StateReason       string `json:"why,omitempty"` // its server is out
+	Slots             int    `json:"slots"`
+	OpenRequests      int    `json:"open"`             // requests at its server
+	PolicyFingerprint string `json:"rules,omitempty"`  // the set that it goes by
+	Fenced            bool   `json:"fenced,omitempty"` // it could not confirm that for a while
 }
 
-// Out says that requests are not sent to its server.
-func (l Line) Out() bool { return l.State != "ready" || l.Leaving || l.Silent != "" }
+// IsUnavailable says that requests are not sent to its server.
+func (l Sidecar) IsUnavailable() bool { return l.State != "ready" || l.Leaving || l.Unreachable != "" }
 
-// Said is what a process has said of one purpose.
-type Said struct {
-	Purpose string `json:"purpose"`
-	Frames  int64  `json:"frames"`
-	Bytes   int64  `json:"bytes"`
+// TrafficCounter is what a process has said of one purpose.
+type TrafficCounter struct {
+	MessageType string `json:"purpose"`
+	Frames      int64  `json:"frames"`
+	Bytes       int64  `json:"bytes"`
 }
 
-// Held is an item's version as a process holds it.
-type Held struct {
+// ItemVersion is an item's version as a process holds it.
+type ItemVersion struct {
 	Kind    string `json:"kind"`
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
-	Dropped bool   `json:"dropped,omitempty"`
+	Deleted bool   `json:"dropped,omitempty"`
 }
 
 // Route is one route as it is in force.
 type Route struct {
-	Name     string  `json:"name"`
-	Host     string  `json:"host"`
-	Prefix   string  `json:"prefix"`
-	Kind     string  `json:"kind"`
-	Version  int64   `json:"version"`
-	Split    []Part  `json:"split"`
-	TimeoutS float64 `json:"timeoutS"`
-	Attempts int     `json:"attempts"`
-	Priority int     `json:"priority"`
+	Name         string            `json:"name"`
+	Host         string            `json:"host"`
+	Prefix       string            `json:"prefix"`
+	Kind         string            `json:"kind"`
+	Version      int64             `json:"version"`
+	Destinations []WeightedService `json:"split"`
+	TimeoutS     float64           `json:"timeoutS"`
+	MaxAttempts  int               `json:"attempts"`
+	Priority     int               `json:"priority"`
 }
 
-// Part is a service's share of a route, from 0 to 1.
-type Part struct {
+// WeightedService is a service's share of a route, from 0 to 1.
+type WeightedService struct {
 	Service string  `json:"service"`
 	Share   float64 `json:"share"`
 }
 
-var states = map[directory.State]string{directory.None: "none", directory.Ready: "ready", directory.Draining: "draining", directory.Down: "down"}
+var stateNames = map[directory.ServerState]string{directory.ServerNone: "none", directory.ServerReady: "ready", directory.ServerDraining: "draining", directory.ServerDown: "down"}
 
-func held(l []*wire.HoldsT) (out []Held) {
+func itemVersions(l []*wire.ItemVersionT) (out []ItemVersion) {
 	for _, x := range l {
-		out = append(out, Held{patch.Kind(x.Kind).String(), x.Name, x.Version, x.Dropped})
+		out = append(out, ItemVersion{patch.Kind(x.Kind).String(), x.Name, x.Version, x.Deleted})
 	}
 	return out
 }
 
-// behind are the items of which a process holds an older version than the core confirmed; what stands there is named with
+// staleItems are the items of which a process holds an older version than the core confirmed; what stands there is named with
 // the version that it lacks.
-func behind(newest, has []Held) (out []Held) {
+func staleItems(newest, has []ItemVersion) (out []ItemVersion) {
 	type name struct{ kind, name string }
 	at := map[name]int64{}
 	for _, h := range has {
@@ -135,20 +135,20 @@
 	return out
 }
 
-// kinds are the routes' as operators write them.
-var kinds = map[dialplan.Kind]string{dialplan.Once: "non_idempotent", dialplan.Keyed: "keyed", dialplan.Idempotent: "idempotent", dialplan.Download: "download"}
+// routeKindNames are the routes' as operators write them.
+var routeKindNames = map[dialplan.Kind]string{dialplan.AtMostOnce: "non_idempotent", dialplan.Keyed: "keyed", dialplan.Idempotent: "idempotent", dialplan.Download: "download"}
 
-// routesOf are the routes of the items that stand, by host and prefix.
-func routesOf(items []patch.Item) (l []Route) {
+// routesFromItems are the routes of the items that stand, by host and prefix.
+func routesFromItems(items []patch.Item) (l []Route) {
 	table, _ := patch.Table{}.Merge(items)
-	for _, r := range dialplan.Make(table).Routes() {
-		x := Route{Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: kinds[r.Kind], Version: r.Version, TimeoutS: r.Timeout.Seconds(), Attempts: r.Attempts, Priority: r.Priority}
+	for _, r := range dialplan.NewTable(table).Routes() {
+		x := Route{Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: routeKindNames[r.Kind], Version: r.Version, TimeoutS: r.Timeout.Seconds(), MaxAttempts: r.MaxAttempts, Priority: r.Priority}
 		sum := 0.0
-		for _, s := range r.Split {
+		for _, s := range r.Destinations {
 			sum += s.Weight
 		}
-		for _, s := range r.Split {
-			x.Split = append(x.Split, Part{s.Service, s.Weight / sum})
+		for _, s := range r.Destinations {
+			x.Destinations = append(x.Destinations, WeightedService{s.Service, s.Weight / sum})
 		}
 		l = append(l, x)
 	}
@@ -158,46 +158,46 @@
 	return l
 }
 
-// register is what a register says of itself.
-func register(s *wire.StatusT) Register {
-	r := Register{Process: process(s), ID: s.Id, Member: !s.Outside, Leads: s.Leads, Leader: s.Leader, Term: s.Term, Applied: s.Applied, Keys: int(s.Keys), Lines: s.Lines}
-	sort.Strings(r.Lines)
+// memberFromStatus is what a register says of itself.
+func memberFromStatus(s *wire.StatusT) Member {
+	r := Member{Process: processFromStatus(s), ID: s.MemberId, IsMember: !s.IsNonMember, IsLeader: s.IsLeader, LeaderAddr: s.LeaderAddr, Term: s.Term, AppliedIndex: s.AppliedIndex, KeyCount: int(s.KeyCount), Sidecars: s.Sidecars}
+	sort.Strings(r.Sidecars)
 	return r
 }
 
-func process(s *wire.StatusT) Process {
-	p := Process{Name: s.Name, Addr: s.Addr, Zone: s.Zone, UpS: time.Duration(s.Up * 1000).Seconds(), Touch: s.Touch, Trouble: s.Trouble}
-	for _, x := range s.Said {
-		p.Said = append(p.Said, Said{x.Purpose, x.Frames, x.Bytes})
+func processFromStatus(s *wire.StatusT) Process {
+	p := Process{Name: s.Name, Addr: s.Addr, Zone: s.Zone, UptimeS: time.Duration(s.UptimeUs * 1000).Seconds(), QuorumContact: s.QuorumContact, Fault: s.Fault}
+	for _, x := range s.Traffic {
+		p.Traffic = append(p.Traffic, TrafficCounter{x.MessageType, x.Frames, x.Bytes})
 	}
 	return p
 }
 
-// compare fills in who lags behind whom.
-func (t *Topology) compare(has map[string][]Held) {
+// fillLag fills in who lags behind whom.
+func (t *Topology) fillLag(has map[string][]ItemVersion) {
 	var most uint64
-	for _, r := range t.Registers {
-		most = max(most, r.Applied)
+	for _, r := range t.Members {
+		most = max(most, r.AppliedIndex)
 	}
-	for i := range t.Registers {
-		r := &t.Registers[i]
-		if r.Silent == "" && r.Trouble == "" {
-			r.Lag, r.Behind = most-r.Applied, behind(t.Items, has[r.Addr])
+	for i := range t.Members {
+		r := &t.Members[i]
+		if r.Unreachable == "" && r.Fault == "" {
+			r.LagEntries, r.StaleItems = most-r.AppliedIndex, staleItems(t.Items, has[r.Addr])
 		}
 	}
-	for i := range t.Lines {
-		if l := &t.Lines[i]; l.Silent == "" {
-			l.Behind = behind(t.Items, has[l.Addr])
+	for i := range t.Sidecars {
+		if l := &t.Sidecars[i]; l.Unreachable == "" {
+			l.StaleItems = staleItems(t.Items, has[l.Addr])
 		}
 	}
 }
 
 // Zones are those of lines and registers, in order; one that is not known is "".
 func (t Topology) Zones() (names []string) {
-	for _, l := range t.Lines {
+	for _, l := range t.Sidecars {
 		names = append(names, l.Zone)
 	}
-	for _, r := range t.Registers {
+	for _, r := range t.Members {
 		names = append(names, r.Zone)
 	}
 	slices.Sort(names)
@@ -206,13 +206,13 @@
 
 // Services are those that lines or routes name, in order.
 func (t Topology) Services() (names []string) {
-	for _, l := range t.Lines {
+	for _, l := range t.Sidecars {
 		if l.Service != "" {
 			names = append(names, l.Service)
 		}
 	}
 	for _, r := range t.Routes {
-		for _, p := range r.Split {
+		for _, p := range r.Destinations {
 			names = append(names, p.Service)
 		}
 	}
@@ -220,76 +220,76 @@
 	return slices.Compact(names)
 }
 
-// Signs are what an operator should look at, a line each; none: all is well.
-func (t Topology) Signs() (l []string) {
-	if !t.Touch {
-		l = append(l, t.Asked+" is out of touch with a majority of the registers: what it told may be old")
+// Warnings are what an operator should look at, a line each; none: all is well.
+func (t Topology) Warnings() (l []string) {
+	if !t.QuorumContact {
+		l = append(l, t.AskedMember+" is out of touch with a majority of the registers: what it told may be old")
 	}
 	if len(t.Items) == 0 {
 		l = append(l, "the configuration could not be confirmed by a majority, or there is none yet")
 	}
 	leaders := 0
-	for _, r := range t.Registers {
+	for _, r := range t.Members {
 		switch {
-		case r.Silent != "":
-			l = append(l, "register "+r.name()+" does not answer: "+r.Silent)
-		case r.Trouble != "":
-			l = append(l, "register "+r.name()+" is in trouble: "+r.Trouble)
-		case !r.Member:
-			l = append(l, "register "+r.name()+" is no member, and asks to be taken in")
-		case !r.Touch:
-			l = append(l, "register "+r.name()+" is out of touch with a majority")
-		case len(r.Behind) > 0:
-			l = append(l, "register "+r.name()+" lags: "+lacks(r.Behind))
+		case r.Unreachable != "":
+			l = append(l, "register "+r.displayName()+" does not answer: "+r.Unreachable)
+		case r.Fault != "":
+			l = append(l, "register "+r.displayName()+" is in trouble: "+r.Fault)
+		case !r.IsMember:
+			l = append(l, "register "+r.displayName()+" is no member, and asks to be taken in")
+		case !r.QuorumContact:
+			l = append(l, "register "+r.displayName()+" is out of touch with a majority")
+		case len(r.StaleItems) > 0:
+			l = append(l, "register "+r.displayName()+" lags: "+describeItems(r.StaleItems))
 		}
-		if r.Leads {
+		if r.IsLeader {
 			leaders++
 		}
 	}
 	if leaders == 0 {
 		l = append(l, "no register leads")
 	}
-	for _, x := range t.Lines {
+	for _, x := range t.Sidecars {
 		switch {
-		case x.Silent != "":
-			l = append(l, "line "+x.name()+" does not answer: "+x.Silent)
+		case x.Unreachable != "":
+			l = append(l, "line "+x.displayName()+" does not answer: "+x.Unreachable)
 		case x.Leaving:
-			l = append(l, "line "+x.name()+" is leaving")
+			l = append(l, "line "+x.displayName()+" is leaving")
 		case !x.Ready:
-			l = append(l, "line "+x.name()+" is not ready: it has no confirmed configuration")
-		case !x.Touch:
-			l = append(l, "line "+x.name()+" is out of touch with the registers")
+			l = append(l, "line "+x.displayName()+" is not ready: it has no confirmed configuration")
+		case !x.QuorumContact:
+			l = append(l, "line "+x.displayName()+" is out of touch with the registers")
 		}
-		if len(x.Behind) > 0 {
-			l = append(l, "line "+x.name()+" lags: "+lacks(x.Behind))
+		if len(x.StaleItems) > 0 {
+			l = append(l, "line "+x.displayName()+" lags: "+describeItems(x.StaleItems))
 		}
 		switch {
-		case x.Silent != "":
+		case x.Unreachable != "":
 		case x.Fenced:
-			l = append(l, "line "+x.name()+" refuses what namespaces own: it could not confirm which rules bind")
-		case t.Rules != "" && x.Rules != t.Rules:
-			l = append(l, "line "+x.name()+" goes by other rules than bind")
+			l = append(l, "line "+x.displayName()+" refuses what namespaces own: it could not confirm which rules bind")
+		case t.PolicyFingerprint != "" && x.PolicyFingerprint != t.PolicyFingerprint:
+			l = append(l, "line "+x.displayName()+" goes by other rules than bind")
 		}
-		if x.Silent == "" && x.Server != "" && x.State != "ready" {
-			l = append(l, "server "+x.Server+" of "+x.Service+" at "+x.name()+" is out ("+x.State+"): "+x.Why)
+		if x.Unreachable == "" && x.ServerID != "" && x.State != "ready" {
+			l = append(l, "server "+x.ServerID+" of "+x.Service+" at "+x.displayName()+" is out ("+x.State+"): "+x.StateReason)
 		}
 	}
 	for _, s := range t.Services() {
-		if !slices.ContainsFunc(t.Lines, func(x Line) bool { return x.Service == s && x.Server != "" && !x.Out() }) {
+		if !slices.ContainsFunc(t.Sidecars, func(x Sidecar) bool { return x.Service == s && x.ServerID != "" && !x.IsUnavailable() }) {
 			l = append(l, "service "+s+" has no server")
 		}
 	}
 	return l
 }
 
-func (p Process) name() string {
+func (p Process) displayName() string {
 	if p.Name == "" {
 		return p.Addr
 	}
 	return p.Name
 }
 
-func lacks(l []Held) string {
+func describeItems(l []ItemVersion) string {
 	var names []string
 	for _, h := range l[:min(3, len(l))] {
 		names = append(names, strings.TrimSpace(h.Kind+" "+h.Name))
--- a/internal/exchange/register/calls.go
+++ b/internal/exchange/register/calls.go
@@ -10,61 +10,63 @@
 	"hollyspur/internal/mesh/replica"
 )
 
-// handlers are the operators' calls.
-func (r *Register) handlers() *http.Server {
+// newAPIServer are the operators' calls.
+func (r *Member) newAPIServer() *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/configuration/modify", control.Handle(mostBody, replica.AnswerWithin,
-		func(ctx context.Context, _ *http.Request, call control.Raw) (control.None, error) {
-			return control.None{}, r.takeModify(ctx, call)
+	mux.HandleFunc("POST /v1/configuration/modify", control.NewHandler(maxRequestBytes, replica.CallTimeout,
+		func(ctx context.Context, _ *http.Request, call control.RawBody) (control.Empty, error) {
+			return control.Empty{}, r.modify(ctx, call)
 		}))
-	mux.HandleFunc("GET /v1/configuration/fetch", control.Handle(0, replica.AnswerWithin,
-		func(ctx context.Context, _ *http.Request, _ control.None) (patch.Set, error) { return r.fetch(ctx) }))
-	mux.HandleFunc("POST /v1/night", control.Handle(mostBody, replica.AnswerWithin, atLeader(r, r.takeNight)))
-	mux.HandleFunc("POST /v1/rules", control.Handle(mostBody, replica.AnswerWithin, atLeader(r, r.takeRules)))
-	return control.Serve(mux)
+	mux.HandleFunc("GET /v1/configuration/fetch", control.NewHandler(0, replica.CallTimeout,
+		func(ctx context.Context, _ *http.Request, _ control.Empty) (patch.Document, error) {
+			return r.fetch(ctx)
+		}))
+	mux.HandleFunc("POST /v1/night", control.NewHandler(maxRequestBytes, replica.CallTimeout, atLeader(r, r.answerMaintenance)))
+	mux.HandleFunc("POST /v1/rules", control.NewHandler(maxRequestBytes, replica.CallTimeout, atLeader(r, r.answerPolicy)))
+	return control.NewServer(mux)
 }
 
-// takeModify has an operator's call agreed on, here or at the leader.
-func (r *Register) takeModify(ctx context.Context, body []byte) error {
-	c, err := patch.ReadCall(body)
+// modify has an operator's call agreed on, here or at the leader.
+func (r *Member) modify(ctx context.Context, body []byte) error {
+	c, err := patch.ParseUpdate(body)
 	if err != nil {
-		reply := replica.StatusOf(err)
+		reply := replica.ErrorReply(err)
 		r.log.Info().Err(err).Msg("a call was refused")
-		return control.Fault(reply.Status, string(reply.Body))
+		return control.NewError(reply.Status, string(reply.Body))
 	}
 	done := make(chan replica.Reply, 1)
-	r.Do(func() {
-		r.replica.ModifyRead(r.now(), c, body, func(reply replica.Reply) { done <- reply })
+	r.post(func() {
+		r.replica.ModifyParsed(r.now(), c, body, func(reply replica.Reply) { done <- reply })
 	})
 	select {
 	case reply := <-done:
 		if reply.Status == http.StatusOK {
 			return nil
 		}
-		return control.Fault(reply.Status, string(reply.Body))
+		return control.NewError(reply.Status, string(reply.Body))
 	case <-ctx.Done():
-		return control.Fault(http.StatusServiceUnavailable, "not agreed on in time; it may still be taken")
+		return control.NewError(http.StatusServiceUnavailable, "not agreed on in time; it may still be taken")
 	}
 }
 
 // atLeader answers a call that only the leader can, on Run's goroutine. Another register sends whoever calls there.
-func atLeader[C, A any](r *Register, take func(call C, done func(A, error))) func(context.Context, *http.Request, C) (A, error) {
+func atLeader[C, A any](r *Member, take func(call C, done func(A, error))) func(context.Context, *http.Request, C) (A, error) {
 	return func(ctx context.Context, hr *http.Request, call C) (a A, err error) {
 		type told struct {
 			a   A
 			err error
 		}
 		got := make(chan told, 1)
-		r.Do(func() {
-			if !r.replica.Leads() {
+		r.post(func() {
+			if !r.replica.IsLeader() {
 				lead := r.replica.LeaderAddress()
 				if lead == "" {
-					got <- told{err: control.Fault(http.StatusServiceUnavailable, "no leader is known")}
+					got <- told{err: control.NewError(http.StatusServiceUnavailable, "no leader is known")}
 					return
 				}
 				host, _, _ := net.SplitHostPort(lead)
-				_, port, _ := net.SplitHostPort(r.set.Load().ListenAddrs.ControlPlane)
-				got <- told{err: control.Elsewhere("http://" + net.JoinHostPort(host, port) + hr.URL.Path)}
+				_, port, _ := net.SplitHostPort(r.settings.Load().ListenAddrs.ControlPlane)
+				got <- told{err: control.Redirect("http://" + net.JoinHostPort(host, port) + hr.URL.Path)}
 				return
 			}
 			take(call, func(a A, err error) { got <- told{a, err} })
@@ -73,16 +75,16 @@
 		case x := <-got:
 			return x.a, x.err
 		case <-ctx.Done():
-			return a, control.Fault(http.StatusServiceUnavailable, "not agreed on in time; it may still be taken")
+			return a, control.NewError(http.StatusServiceUnavailable, "not agreed on in time; it may still be taken")
 		}
 	}
 }
 
 // fetch is the configuration, no older than anything acknowledged.
-func (r *Register) fetch(ctx context.Context) (patch.Set, error) {
-	got := make(chan *patch.Set, 1)
-	r.Do(func() {
-		r.replica.Fetch(r.now(), func(set patch.Set, ok bool) {
+func (r *Member) fetch(ctx context.Context) (patch.Document, error) {
+	got := make(chan *patch.Document, 1)
+	r.post(func() {
+		r.replica.Fetch(r.now(), func(set patch.Document, ok bool) {
 			if !ok {
 				got <- nil
 				return
@@ -97,5 +99,5 @@
 		}
 	case <-ctx.Done():
 	}
-	return patch.Set{}, control.Fault(http.StatusServiceUnavailable, "the core could not confirm it in time")
+	return patch.Document{}, control.NewError(http.StatusServiceUnavailable, "the core could not confirm it in time")
 }
--- a/internal/exchange/register/environment.go
+++ b/internal/exchange/register/environment.go
@@ -12,73 +12,73 @@
 )
 
 // environment is what the replica acts through. All of it is called on Run's goroutine.
-type environment struct{ r *Register }
+type environment struct{ member *Member }
 
 func (e environment) Send(address string, m core.Message) {
-	e.r.link(address).send(vault.WireMessage(m))
+	e.member.link(address).send(vault.MessageToWire(m))
 }
 
-func (e environment) Connect(address string) { e.r.link(address).conn() }
+func (e environment) Connect(address string) { e.member.link(address).connect() }
 
-func (e environment) AskReplica(address string, kind byte, body []byte, done func(replica.Reply)) {
-	l := e.r.link(address)
+func (e environment) CallReplica(address string, kind byte, body []byte, done func(replica.Reply)) {
+	l := e.member.link(address)
 	go func() {
-		ctx, cancel := context.WithTimeout(e.r.ctx, control.TimeFor(replica.AnswerWithin, len(body)))
+		ctx, cancel := context.WithTimeout(e.member.ctx, control.TimeoutFor(replica.CallTimeout, len(body)))
 		defer cancel()
 		reply := replica.Unavailable("")
-		if t, err := l.ask(ctx, kind, body); err == nil {
+		if t, err := l.call(ctx, kind, body); err == nil {
 			reply = replica.Reply{Status: int(t.Status), Body: t.Body}
 		} else {
 			reply = replica.Unavailable(err.Error())
 		}
-		e.r.Do(func() { done(reply) })
+		e.member.post(func() { done(reply) })
 	}()
 }
 
 // Save writes until it is written, or the process is to end: without the disk this register may say nothing that rests on it.
 func (e environment) Save(ready core.Ready, last uint64) bool {
-	r := e.r
+	r := e.member
 	for tries := 0; ; tries++ {
-		err := r.vault.Save(ready, last)
+		err := r.store.Save(ready, last)
 		if err == nil {
-			r.trouble.Store(nil)
+			r.diskFault.Store(nil)
 			return true
 		}
 		text := err.Error()
-		r.trouble.Store(&text)
+		r.diskFault.Store(&text)
 		if tries%10 == 0 {
 			r.log.Error().Err(err).Int("tries", tries).Msg("the vault can't be written; nothing is acknowledged meanwhile")
 		}
 		select {
-		case <-time.After(vaultRest):
-		case <-r.ending:
+		case <-time.After(diskRetryInterval):
+		case <-r.terminating:
 			return false
 		}
-		if err := r.vault.Reopen(); err != nil && tries%10 == 0 {
+		if err := r.store.Reopen(); err != nil && tries%10 == 0 {
 			r.log.Error().Err(err).Msg("the vault can't be opened again")
 		}
 	}
 }
 
 func (e environment) Compact(s core.Snapshot, kept uint64) {
-	if err := e.r.vault.Compact(s, kept); err != nil {
-		e.r.log.Error().Err(err).Msg("the vault can't be written")
-		e.r.vault.Reopen()
+	if err := e.member.store.Compact(s, kept); err != nil {
+		e.member.log.Error().Err(err).Msg("the vault can't be written")
+		e.member.store.Reopen()
 	}
 }
 
-func (e environment) TellSidecars(message any) {
+func (e environment) BroadcastToSidecars(message any) {
 	frame := trunk.Encode(message)
-	for c := range e.r.lines {
+	for c := range e.member.sidecars {
 		c.SendFrame(frame)
 	}
 }
 
-func (e environment) TellReplicas(message any) {
+func (e environment) BroadcastToReplicas(message any) {
 	frame := trunk.Encode(message)
-	e.r.mu.Lock()
-	defer e.r.mu.Unlock()
-	for _, l := range e.r.links {
+	e.member.mu.Lock()
+	defer e.member.mu.Unlock()
+	for _, l := range e.member.links {
 		l.sendFrame(frame)
 	}
 }
--- a/internal/exchange/register/gone_test.go
+++ b/internal/exchange/register/gone_test.go
@@ -13,22 +13,22 @@
 	"hollyspur/internal/rig"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// linkTo is a link of a register whose own goroutine does not run.
-func linkTo(t *testing.T, addr string) *link {
+// newTestLink is a link of a register whose own goroutine does not run.
+func newTestLink(t *testing.T, addr string) *peerLink {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	r := &Register{log: zerolog.Nop(), ctx: ctx, events: make(chan func(), 64), done: make(chan struct{})}
+	r := &Member{log: zerolog.Nop(), ctx: ctx, tasks: make(chan func(), 64), stopped: make(chan struct{})}
 	set := settings.Defaults()
-	r.set.Store(&set)
-	return &link{r: r, addr: addr}
+	r.settings.Store(&set)
+	return &peerLink{member: r, address: addr}
 }
 
-func (l *link) redials() int {
+func (l *peerLink) redialCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.quick
+	return l.quickRedials
 }
 
 // A peer that takes connections and closes them is dialled again a few times at once, then no more until the ordinary pause; one
@@ -48,22 +48,22 @@
 			dials <- true
 		}
 	}()
-	l := linkTo(t, peer.Addr().String())
-	l.conn()
-	for range 1 + quickDials {
+	l := newTestLink(t, peer.Addr().String())
+	l.connect()
+	for range 1 + maxQuickRedials {
 		select {
 		case <-dials:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatal("it is not dialled again")
 		}
 	}
-	assert.Assert(t, rig.Await(patience, func() bool { return l.redials() == quickDials }))
-	l.ended(0)
-	assert.Equal(t, l.redials(), quickDials)
-	l.ended(linkRest + 1)
+	assert.Assert(t, rig.Await(testTimeout, func() bool { return l.redialCount() == maxQuickRedials }))
+	l.connectionEnded(0)
+	assert.Equal(t, l.redialCount(), maxQuickRedials)
+	l.connectionEnded(redialInterval + 1)
 	select {
 	case <-dials:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("it is not dialled again though its connection had held")
 	}
 }
@@ -73,11 +73,11 @@
 	peer, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer peer.Close()
-	l := linkTo(t, peer.Addr().String())
-	l.rest = time.Now().Add(time.Hour)
-	l.conn()
+	l := newTestLink(t, peer.Addr().String())
+	l.noDialBefore = time.Now().Add(time.Hour)
+	l.connect()
 	assert.Assert(t, !l.dialing)
-	l.hasten()
+	l.dialNow()
 	c, err := peer.Accept()
 	assert.NilError(t, err)
 	c.Close()
@@ -89,10 +89,10 @@
 	assert.NilError(t, err)
 	peer.Close()
 	_, err = net.Dial("tcp4", peer.Addr().String())
-	assert.Assert(t, refusedDial(err), "%v", err)
+	assert.Assert(t, isConnectionRefused(err), "%v", err)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	var d net.Dialer
 	_, err = d.DialContext(ctx, "tcp4", peer.Addr().String())
-	assert.Assert(t, err != nil && !refusedDial(err))
+	assert.Assert(t, err != nil && !isConnectionRefused(err))
 }
--- a/internal/exchange/register/inspect.go
+++ b/internal/exchange/register/inspect.go
@@ -12,8 +12,8 @@
 	"hollyspur/internal/mesh/replica"
 )
 
-// Holding is what a data folder holds, with all of its log applied, committed or not.
-type Holding struct {
+// DiskContents is what a data folder holds, with all of its log applied, committed or not.
+type DiskContents struct {
 	Format       int           `json:"format"`
 	Empty        bool          `json:"empty"`
 	Self         core.ID       `json:"self"`
@@ -24,11 +24,11 @@
 	Last         uint64        `json:"last"` // entry
 	Members      []core.Member `json:"members"`
 	Keys         int           `json:"keys"`
-	Items        []Holds       `json:"items"`
+	Items        []StoredItem  `json:"items"`
 }
 
-// Holds is one item.
-type Holds struct {
+// StoredItem is one item.
+type StoredItem struct {
 	Kind    string `json:"kind"`
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
@@ -36,57 +36,57 @@
 }
 
 // Inspect reads a data folder without changing it.
-func Inspect(dir string) (h Holding, err error) {
-	s, h, err := read(dir)
+func Inspect(dir string) (h DiskContents, err error) {
+	s, h, err := readDataFolder(dir)
 	if err != nil || h.Empty {
 		return h, err
 	}
-	h.Keys = s.Keys.Len()
+	h.Keys = s.KeyLeases.Len()
 	for _, i := range s.Items.Items() {
-		h.Items = append(h.Items, Holds{i.Kind.String(), i.Name.Name, i.Version, i.Dropped})
+		h.Items = append(h.Items, StoredItem{i.Kind.String(), i.Key.Name, i.Version, i.Deleted})
 	}
 	return h, nil
 }
 
-// Rescue is the configuration that a data folder holds, with all of its log applied, committed or not: for a core of which more
+// RecoverConfiguration is the configuration that a data folder holds, with all of its log applied, committed or not: for a core of which more
 // was lost than it bears. It is a call that brings it back.
-func Rescue(dir string) (patch.Modify, error) {
-	s, h, err := read(dir)
+func RecoverConfiguration(dir string) (patch.ModifyRequest, error) {
+	s, h, err := readDataFolder(dir)
 	if err != nil {
-		return patch.Modify{}, err
+		return patch.ModifyRequest{}, err
 	}
 	if h.Empty {
-		return patch.Modify{}, errors.Errorf("%s holds nothing", dir)
+		return patch.ModifyRequest{}, errors.Errorf("%s holds nothing", dir)
 	}
-	l := s.Items.Layout()
-	return patch.Modify{Upsert: &l}, nil
+	l := s.Items.Document()
+	return patch.ModifyRequest{Upsert: &l}, nil
 }
 
-func read(dir string) (s replica.State, h Holding, err error) {
+func readDataFolder(dir string) (s replica.State, h DiskContents, err error) {
 	held, empty, err := vault.OpenReadOnly(dir)
-	h.Format, h.Empty = vault.Format, empty
+	h.Format, h.Empty = vault.FormatVersion, empty
 	if err != nil || empty {
 		return s, h, err
 	}
-	if err := s.Load(held.Snapshot.Data); err != nil {
+	if err := s.Decode(held.Snapshot.Data); err != nil {
 		return s, h, err
 	}
 	h.Members = held.Snapshot.Members
-	for _, e := range held.Log {
-		if e.Kind == core.View {
+	for _, e := range held.Entries {
+		if e.Kind == core.EntryConfiguration {
 			h.Members = e.Members
 		}
-		if e.Kind == core.Change {
+		if e.Kind == core.EntryCommand {
 			s.Apply(e)
 		}
 	}
-	h.Self, h.Term, h.Vote = held.Self, held.Hard.Term, held.Hard.Vote
-	h.Snapshot, h.SnapshotTerm, h.Last = held.Snapshot.Index, held.Snapshot.Term, held.Snapshot.Index+uint64(len(held.Log))
+	h.Self, h.Term, h.Vote = held.Self, held.HardState.Term, held.HardState.Vote
+	h.Snapshot, h.SnapshotTerm, h.Last = held.Snapshot.Index, held.Snapshot.Term, held.Snapshot.Index+uint64(len(held.Entries))
 	return s, h, nil
 }
 
-// Text tells it.
-func (h Holding) Text(w io.Writer) {
+// WriteText tells it.
+func (h DiskContents) WriteText(w io.Writer) {
 	if h.Empty {
 		fmt.Fprintln(w, "empty")
 		return
--- a/internal/exchange/register/links.go
+++ b/internal/exchange/register/links.go
@@ -17,210 +17,210 @@
 	"hollyspur/internal/mesh/replica"
 )
 
-// link is a trunk to another register, dialled when there is something to say and kept.
-type link struct {
-	r    *Register
-	addr string
-
-	mu      sync.Mutex // guards below
-	c       *trunk.Conn
-	dialing bool
-	rest    time.Time // no dial before
-	quick   int       // redials since a connection ended
-	held    [][]byte  // to be sent when it is up; the latest
+// peerLink is a trunk to another register, dialled when there is something to say and kept.
+type peerLink struct {
+	member  *Member
+	address string
+
+	mu           sync.Mutex // guards below
+	connection   *trunk.Conn
+	dialing      bool
+	noDialBefore time.Time // no dial before
+	quickRedials int       // redials since a connection ended
+	pending      [][]byte  // to be sent when it is up; the latest
 }
 
-const mostHeld = 32
+const maxPendingFrames = 32
 
-const linkRest = 200 * time.Millisecond
+const redialInterval = 200 * time.Millisecond
 
 // link is the one to a register.
-func (r *Register) link(addr string) *link {
+func (r *Member) link(addr string) *peerLink {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.links[addr]
 	if l == nil {
-		l = &link{r: r, addr: addr}
+		l = &peerLink{member: r, address: addr}
 		r.links[addr] = l
 	}
 	return l
 }
 
-// conn is the connection if there is one; else one is dialled for the next time.
-func (l *link) conn() *trunk.Conn {
+// connect is the connection if there is one; else one is dialled for the next time.
+func (l *peerLink) connect() *trunk.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.c != nil && l.c.Err() == nil {
-		return l.c
+	if l.connection != nil && l.connection.Err() == nil {
+		return l.connection
 	}
-	if !l.dialing && time.Now().After(l.rest) {
+	if !l.dialing && time.Now().After(l.noDialBefore) {
 		l.dialing = true
 		go l.dial()
 	}
 	return nil
 }
 
-func (l *link) dial() {
-	r := l.r
-	hello := &wire.HelloT{Name: r.set.Load().NodeName, Addr: r.self.Addr, Register: true, Member: uint64(r.self.ID)}
-	c, err := trunk.Dial(r.ctx, l.addr, hello, nil)
+func (l *peerLink) dial() {
+	r := l.member
+	hello := &wire.HelloT{Name: r.settings.Load().NodeName, Addr: r.self.Addr, ControlPlane: true, MemberId: uint64(r.self.ID)}
+	c, err := trunk.Dial(r.ctx, l.address, hello, nil)
 	l.mu.Lock()
 	l.dialing = false
-	l.rest = time.Now().Add(linkRest)
-	held := l.held
-	l.held = nil
+	l.noDialBefore = time.Now().Add(redialInterval)
+	held := l.pending
+	l.pending = nil
 	if err == nil {
 		for _, p := range held {
 			c.SendFrame(p)
 		}
-		l.c = c
+		l.connection = c
 	}
 	l.mu.Unlock()
 	if err != nil {
 		r.log.Debug().Err(err).Msg("link")
-		if refusedDial(err) {
-			r.Do(func() { r.peerGone(l.addr) })
+		if isConnectionRefused(err) {
+			r.post(func() { r.peerGone(l.address) })
 		}
 		return
 	}
 	began := time.Now()
-	defer func() { l.ended(time.Since(began)) }()
-	c.Open(1)
+	defer func() { l.connectionEnded(time.Since(began)) }()
+	c.AddPending(1)
 	// What it may have missed.
-	r.Do(func() { c.Send(directory.Wire(r.replica.Records().All())) })
+	r.post(func() { c.Send(directory.ToWire(r.replica.Records().All())) })
 	for {
 		m, err := c.Receive()
 		if err != nil {
 			return
 		}
-		if t, is := m.Value.(*wire.ToldT); is {
-			r.asks.Told(c, t)
+		if t, is := m.Value.(*wire.CallReplyT); is {
+			r.calls.Deliver(c, t)
 		}
 	}
 }
 
-func (l *link) send(v any) { l.sendFrame(trunk.Encode(v)) }
+func (l *peerLink) send(v any) { l.sendFrame(trunk.Encode(v)) }
 
 // sendFrame sends a frame, or holds it while the trunk is being dialled.
-func (l *link) sendFrame(p []byte) {
-	if c := l.conn(); c != nil {
+func (l *peerLink) sendFrame(p []byte) {
+	if c := l.connect(); c != nil {
 		c.SendFrame(p)
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.dialing {
-		if len(l.held) >= mostHeld {
-			l.held = l.held[1:]
+		if len(l.pending) >= maxPendingFrames {
+			l.pending = l.pending[1:]
 		}
-		l.held = append(l.held, p)
+		l.pending = append(l.pending, p)
 	}
 }
 
-func (l *link) ask(ctx context.Context, kind byte, body []byte) (*wire.ToldT, error) {
-	c := l.conn()
+func (l *peerLink) call(ctx context.Context, kind byte, body []byte) (*wire.CallReplyT, error) {
+	c := l.connect()
 	if c == nil {
 		return nil, errors.New("no trunk to the leader")
 	}
-	return l.r.asks.Ask(ctx, c, kind, body)
+	return l.member.calls.Call(ctx, c, kind, body)
 }
 
-// accept takes trunks of registers and lines.
-func (r *Register) accept() {
+// acceptConnections takes trunks of registers and lines.
+func (r *Member) acceptConnections() {
 	for {
-		nc, err := r.trunks.Accept()
+		nc, err := r.transportListener.Accept()
 		if err != nil {
 			select {
-			case <-r.done:
+			case <-r.stopped:
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
 			continue
 		}
 		go func() {
-			c, err := trunk.Accept(nc, r.beat)
+			c, err := trunk.Accept(nc, r.heartbeat)
 			if err != nil {
 				return
 			}
-			r.serve(c)
+			r.serveConnection(c)
 		}()
 	}
 }
 
-// beat is made on the connections' goroutines. A register whose own goroutine hangs, on a disk for one, is in touch with
+// heartbeat is made on the connections' goroutines. A register whose own goroutine hangs, on a disk for one, is in touch with
 // nobody.
-func (r *Register) beat() *wire.BeatT {
-	return &wire.BeatT{Touch: replica.InTouch(time.Duration(r.touch.Load()), r.now())}
+func (r *Member) heartbeat() *wire.HeartbeatT {
+	return &wire.HeartbeatT{QuorumContact: replica.HasQuorumContact(time.Duration(r.quorumContact.Load()), r.now())}
 }
 
-func (r *Register) serve(c *trunk.Conn) {
-	line := !c.Peer.Register
-	r.Do(func() {
+func (r *Member) serveConnection(c *trunk.Conn) {
+	line := !c.Peer.ControlPlane
+	r.post(func() {
 		if line {
-			r.lines[c] = true
-			for _, message := range r.replica.Greeting() {
+			r.sidecars[c] = true
+			for _, message := range r.replica.InitialMessages() {
 				c.Send(message)
 			}
 		} else {
-			r.replica.Remember(core.ID(c.Peer.Member), c.Peer.Addr)
-			r.link(c.Peer.Addr).hasten()
+			r.replica.RememberAddress(core.ID(c.Peer.MemberId), c.Peer.Addr)
+			r.link(c.Peer.Addr).dialNow()
 		}
 	})
-	defer r.Do(func() { delete(r.lines, c) })
+	defer r.post(func() { delete(r.sidecars, c) })
 	for {
 		m, err := c.Receive()
 		if err != nil {
 			return
 		}
 		switch v := m.Value.(type) {
-		case *wire.VoteT:
-			if x, err := vault.MessageOf(v); err == nil && !line {
-				r.Do(func() { r.replica.Step(r.now(), x) })
+		case *wire.RaftMessageT:
+			if x, err := vault.MessageFromWire(v); err == nil && !line {
+				r.post(func() { r.replica.Step(r.now(), x) })
 			}
 		case *wire.RecordsT:
-			r.Do(func() { r.takeRecords(directory.Of(v), c, line) })
-		case *wire.AskT:
+			r.post(func() { r.mergeRecords(directory.FromWire(v), c, line) })
+		case *wire.CallT:
 			switch v.Kind {
-			case trunk.AskRing: // not by Run's goroutine, which may be what hangs
-				c.Send(&wire.ToldT{Id: v.Id, Status: http.StatusOK, Body: r.ring.Held()})
-			case trunk.AskStatus:
+			case trunk.CallLogRing: // not by Run's goroutine, which may be what hangs
+				c.Send(&wire.CallReplyT{Id: v.Id, Status: http.StatusOK, Body: r.logRing.Contents()})
+			case trunk.CallStatus:
 				r.answerStatus(c, v.Id)
-			case trunk.AskModify:
+			case trunk.CallModify:
 				go r.answerModify(c, v)
 			default:
-				r.Do(func() { r.answer(c, v, line) })
+				r.post(func() { r.answerCall(c, v, line) })
 			}
 		}
 	}
 }
 
-// takeRecords merges records that a line told, or another register.
-func (r *Register) takeRecords(l []directory.Record, from *trunk.Conn, direct bool) {
-	for _, held := range r.replica.TakeRecords(r.now(), l, direct) {
-		from.Send(directory.Wire([]directory.Record{held}))
+// mergeRecords merges records that a line told, or another register.
+func (r *Member) mergeRecords(l []directory.Record, from *trunk.Conn, direct bool) {
+	for _, held := range r.replica.MergeRecords(r.now(), l, direct) {
+		from.Send(directory.ToWire([]directory.Record{held}))
 	}
 }
 
 // answerModify answers another register's call that an operator's call be agreed on. It is not read by Run's goroutine, which has
 // heartbeats to answer, nor by that of the trunk, on which they come.
-func (r *Register) answerModify(c *trunk.Conn, a *wire.AskT) {
+func (r *Member) answerModify(c *trunk.Conn, a *wire.CallT) {
 	tell := func(reply replica.Reply) {
-		c.Send(&wire.ToldT{Id: a.Id, Status: uint16(reply.Status), Body: reply.Body})
+		c.Send(&wire.CallReplyT{Id: a.Id, Status: uint16(reply.Status), Body: reply.Body})
 	}
-	call, err := patch.ReadCall(a.Body)
+	call, err := patch.ParseUpdate(a.Body)
 	if err != nil {
-		tell(replica.StatusOf(err))
+		tell(replica.ErrorReply(err))
 		return
 	}
-	r.Do(func() { r.replica.AnswerModify(r.now(), call, tell) })
+	r.post(func() { r.replica.HandleModify(r.now(), call, tell) })
 }
 
-// answer answers a call of a line or a register.
-func (r *Register) answer(c *trunk.Conn, a *wire.AskT, line bool) {
-	r.replica.Answer(r.now(), a.Kind, a.Body, line, func(reply replica.Reply) {
+// answerCall answers a call of a line or a register.
+func (r *Member) answerCall(c *trunk.Conn, a *wire.CallT, line bool) {
+	r.replica.HandleCall(r.now(), a.Kind, a.Body, line, func(reply replica.Reply) {
 		if reply.Push != nil {
 			c.Send(reply.Push)
 		}
-		c.Send(&wire.ToldT{Id: a.Id, Status: uint16(reply.Status), Body: reply.Body})
+		c.Send(&wire.CallReplyT{Id: a.Id, Status: uint16(reply.Status), Body: reply.Body})
 	})
 }
--- a/internal/exchange/register/night.go
+++ b/internal/exchange/register/night.go
@@ -23,77 +23,77 @@
 
 // Times of the night service. Nothing of it runs where there are neither contracts nor orders.
 const (
-	surveyEvery  = 250 * time.Millisecond // while an order is open
-	surveyWithin = 700 * time.Millisecond
-	clockEvery   = 5 * time.Second // between two agreed times
-	goneAfter    = 5 * time.Second // that a line is silent: it is waited for no longer
-	longDownload = 10 * time.Second
-	nightMargin  = 10 * time.Second
-	warmUp       = 3 * time.Second
+	surveyInterval    = 250 * time.Millisecond // while an order is open
+	surveyTimeout     = 700 * time.Millisecond
+	clockInterval     = 5 * time.Second // between two agreed times
+	silenceTimeout    = 5 * time.Second // that a line is silent: it is waited for no longer
+	downloadAllowance = 10 * time.Second
+	maintenanceMargin = 10 * time.Second
+	warmUpTime        = 3 * time.Second
 )
 
-// board is the leader's side of the night service: what it last saw of the mesh. It belongs to Run's goroutine.
-type board struct {
-	at      time.Duration // of the last survey
-	asking  bool
-	status  map[string]*wire.StatusT // by address, of those that answered
-	heard   map[string]time.Duration // when each last did
-	samples []night.Sample
-	clocked time.Duration
-	trust   bool                     // an operator says that the clocks are right, whatever was agreed on before
-	ready   map[string]time.Duration // since when a machine has been ready without a break
+// maintenanceState is the leader's side of the night service: what it last saw of the mesh. It belongs to Run's goroutine.
+type maintenanceState struct {
+	surveyedAt   time.Duration // of the last survey
+	surveying    bool
+	status       map[string]*wire.StatusT // by address, of those that answered
+	lastHeard    map[string]time.Duration // when each last did
+	samples      []night.ClockSample
+	timeAgreedAt time.Duration
+	trustClocks  bool                     // an operator says that the clocks are right, whatever was agreed on before
+	readySince   map[string]time.Duration // since when a machine has been ready without a break
 	// pending are the steps that were proposed and are not decided on, in the lead of that number: nothing is decided on a book
 	// that is about to change
-	pending, lead int
-	waits         map[string]string // by order
-	callers       callers
+	pending, leadership int
+	waitingFor          map[string]string // by order
+	connections         statusConnections
 }
 
-// callers are trunks to lines and registers, kept while there is an order.
-type callers struct {
-	mu sync.Mutex // guards below
-	to map[string]*trunk.Caller
+// statusConnections are trunks to lines and registers, kept while there is an order.
+type statusConnections struct {
+	mu        sync.Mutex // guards below
+	byAddress map[string]*trunk.Client
 }
 
-func (c *callers) status(ctx context.Context, addr string) (*wire.StatusT, error) {
+func (c *statusConnections) status(ctx context.Context, addr string) (*wire.StatusT, error) {
 	c.mu.Lock()
-	x := c.to[addr]
+	x := c.byAddress[addr]
 	c.mu.Unlock()
 	if x == nil {
 		var err error
-		if x, err = trunk.Call(ctx, addr, "night", nil); err != nil {
+		if x, err = trunk.DialClient(ctx, addr, "night", nil); err != nil {
 			return nil, err
 		}
 		c.mu.Lock()
-		if c.to == nil {
-			c.to = map[string]*trunk.Caller{}
+		if c.byAddress == nil {
+			c.byAddress = map[string]*trunk.Client{}
 		}
-		c.to[addr] = x
+		c.byAddress[addr] = x
 		c.mu.Unlock()
 	}
 	s, err := x.Status(ctx)
 	if err != nil {
 		c.mu.Lock()
-		delete(c.to, addr)
+		delete(c.byAddress, addr)
 		c.mu.Unlock()
 		x.Close()
 	}
 	return s, err
 }
 
-func (c *callers) close() {
+func (c *statusConnections) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.to {
+	for _, x := range c.byAddress {
 		x.Close()
 	}
-	c.to = nil
+	c.byAddress = nil
 }
 
-// contracts are those that stand.
-func (r *Register) contracts() (l []night.Contract) {
+// readContracts are those that stand.
+func (r *Member) readContracts() (l []night.Contract) {
 	for _, i := range r.replica.State().Items.Items() {
-		if i.Kind == patch.Contract && !i.Dropped {
+		if i.Kind == patch.KindContract && !i.Deleted {
 			var c night.Contract
 			if json.Unmarshal(i.Body, &c) == nil {
 				l = append(l, c)
@@ -103,47 +103,47 @@
 	return l
 }
 
-// keepNight sees to orders and to the agreed time, at the leader.
-func (r *Register) keepNight(now time.Duration) {
-	open := r.replica.State().Maintenance.Book.Open()
-	if !r.replica.Leads() {
-		r.board.close()
+// runMaintenance sees to orders and to the agreed time, at the leader.
+func (r *Member) runMaintenance(now time.Duration) {
+	open := r.replica.State().Maintenance.Orders.Open()
+	if !r.replica.IsLeader() {
+		r.maintenance.close()
 		return
 	}
-	r.placeStanding(now)
-	if len(open) == 0 && (len(r.contractsAt()) == 0 || now-r.board.clocked < clockEvery) {
-		if len(open) == 0 && !r.replica.State().Rules.Board.Pending() {
-			r.board.callers.close()
+	r.placeInitialOrders(now)
+	if len(open) == 0 && (len(r.currentContracts()) == 0 || now-r.maintenance.timeAgreedAt < clockInterval) {
+		if len(open) == 0 && !r.replica.State().Policy.Rollout.IsPending() {
+			r.maintenance.connections.close()
 		}
 		return
 	}
-	if r.board.asking || now-r.board.at < surveyEvery {
+	if r.maintenance.surveying || now-r.maintenance.surveyedAt < surveyInterval {
 		return
 	}
 	r.survey(func() {
 		r.agreeTime()
-		r.advance()
+		r.advanceOrders()
 	})
 }
 
-// contractsAt is contracts, read anew only where an item has changed since.
-func (r *Register) contractsAt() []night.Contract {
-	if at := r.replica.State().ItemsChanged; at != r.contractsOf {
-		r.contractsOf, r.contractsNow = at, r.contracts()
+// currentContracts is contracts, read anew only where an item has changed since.
+func (r *Member) currentContracts() []night.Contract {
+	if at := r.replica.State().ItemsIndex; at != r.contractsIndex {
+		r.contractsIndex, r.contracts = at, r.readContracts()
 	}
-	return r.contractsNow
+	return r.contracts
 }
 
-func (b *board) close() {
-	b.callers.close()
-	b.status, b.samples, b.ready, b.clocked, b.trust = nil, nil, nil, 0, false
-	b.pending, b.lead = 0, b.lead+1
+func (b *maintenanceState) close() {
+	b.connections.close()
+	b.status, b.samples, b.readySince, b.timeAgreedAt, b.trustClocks = nil, nil, nil, 0, false
+	b.pending, b.leadership = 0, b.leadership+1
 }
 
 // survey asks every line and register how it is, and then calls done on Run's goroutine.
-func (r *Register) survey(done func()) {
-	b := &r.board
-	b.asking, b.at = true, r.now()
+func (r *Member) survey(done func()) {
+	b := &r.maintenance
+	b.surveying, b.surveyedAt = true, r.now()
 	var addrs []string
 	for _, l := range r.replica.Records().All() {
 		addrs = append(addrs, l.Addr)
@@ -158,16 +158,16 @@
 	}
 	own := r.status()
 	go func() {
-		ctx, cancel := context.WithTimeout(r.ctx, surveyWithin)
+		ctx, cancel := context.WithTimeout(r.ctx, surveyTimeout)
 		defer cancel()
 		var mu sync.Mutex
 		status := map[string]*wire.StatusT{r.self.Addr: own}
-		samples := []night.Sample{{Member: ids[r.self.Addr], Wall: r.wall(), At: r.now()}}
+		samples := []night.ClockSample{{Member: ids[r.self.Addr], Wall: r.wallClock(), ReadAt: r.now()}}
 		var all sync.WaitGroup
 		for _, a := range addrs {
 			all.Go(func() {
 				asked := r.now()
-				s, err := b.callers.status(ctx, a)
+				s, err := b.connections.status(ctx, a)
 				if err != nil {
 					return
 				}
@@ -175,52 +175,52 @@
 				mu.Lock()
 				defer mu.Unlock()
 				status[a] = s
-				if s.Register && s.Time != 0 {
-					samples = append(samples, night.Sample{Member: ids[a], Wall: time.Unix(0, s.Time), At: asked + (came-asked)/2, Trip: came - asked})
+				if s.ControlPlane && s.WallTimeNs != 0 {
+					samples = append(samples, night.ClockSample{Member: ids[a], Wall: time.Unix(0, s.WallTimeNs), ReadAt: asked + (came-asked)/2, RoundTrip: came - asked})
 				}
 			})
 		}
 		all.Wait()
-		r.Do(func() {
-			b.asking, b.status, b.samples = false, status, samples
-			if b.heard == nil || len(b.heard) > 4096 {
-				b.heard = map[string]time.Duration{}
+		r.post(func() {
+			b.surveying, b.status, b.samples = false, status, samples
+			if b.lastHeard == nil || len(b.lastHeard) > 4096 {
+				b.lastHeard = map[string]time.Duration{}
 			}
 			for a := range status {
-				b.heard[a] = r.now()
+				b.lastHeard[a] = r.now()
 			}
 			done()
-			r.bindNext()
+			r.activatePolicies()
 		})
 	}()
 }
 
 // agreeTime proposes the time of day that the registers agree on.
-func (r *Register) agreeTime() {
+func (r *Member) agreeTime() {
 	now := r.now()
 	n := &r.replica.State().Maintenance
-	if !r.replica.Leads() || r.board.clocked > 0 && now-r.board.clocked < clockEvery && n.Term == r.replica.Term() {
+	if !r.replica.IsLeader() || r.maintenance.timeAgreedAt > 0 && now-r.maintenance.timeAgreedAt < clockInterval && n.ClockTerm == r.replica.Term() {
 		return
 	}
 	members, _ := r.replica.Members()
-	gap := r.replica.LeaderlessFor()
-	if n.Term == r.replica.Term() {
+	gap := r.replica.LeaderGap()
+	if n.ClockTerm == r.replica.Term() {
 		gap = 0
 	}
 	held := n.Clock
-	if r.board.trust {
+	if r.maintenance.trustClocks {
 		held = night.Clock{}
 	}
-	c, err := held.Agree(r.replica.Stamp(now), r.board.samples, now, len(members), gap)
+	c, err := held.Agree(r.replica.LogTime(now), r.maintenance.samples, now, len(members), gap)
 	if err != nil {
 		r.log.Info().Err(err).Msg("night")
 		return
 	}
-	r.board.clocked, r.board.trust = now, false
-	r.proposeNight(replica.MaintenanceTime, c, nil)
+	r.maintenance.timeAgreedAt, r.maintenance.trustClocks = now, false
+	r.proposeMaintenance(replica.MaintenanceClock, c, nil)
 }
 
-func (r *Register) proposeNight(kind byte, v any, done func(error)) {
+func (r *Member) proposeMaintenance(kind byte, v any, done func(error)) {
 	if done == nil {
 		done = func(error) {}
 	}
@@ -229,53 +229,53 @@
 		done(err)
 		return
 	}
-	if !r.replica.Propose(r.now(), replica.Change(replica.ChangeMaintenance, &wire.NightT{Kind: kind, Text: text}), func(o replica.Outcome, known bool) {
+	if !r.replica.Propose(r.now(), replica.EncodeChange(replica.ChangeMaintenance, &wire.MaintenanceChangeT{Kind: kind, Json: text}), func(o replica.Outcome, known bool) {
 		if !known {
-			o.Err = control.Fault(http.StatusServiceUnavailable, "another leader took over; it may still be taken")
+			o.Err = control.NewError(http.StatusServiceUnavailable, "another leader took over; it may still be taken")
 		}
 		done(o.Err)
 	}) {
-		done(control.Fault(http.StatusServiceUnavailable, "not the leader any more"))
+		done(control.NewError(http.StatusServiceUnavailable, "not the leader any more"))
 	}
 }
 
-// time is what time it may be; false: nothing is agreed on in this term.
-func (r *Register) time() (night.Now, bool) {
+// agreedTime is what time it may be; false: nothing is agreed on in this term.
+func (r *Member) agreedTime() (night.TimeBounds, bool) {
 	n := &r.replica.State().Maintenance
-	return n.Clock.Now(r.replica.Stamp(r.now())), n.Clock.Known() && n.Term == r.replica.Term()
+	return n.Clock.Now(r.replica.LogTime(r.now())), n.Clock.IsKnown() && n.ClockTerm == r.replica.Term()
 }
 
-// view is the mesh as the night service sees it, without what an order itself has out.
-func (r *Register) view(but string) night.View {
-	set := r.set.Load()
-	v := night.View{Contracts: r.contractsAt(), Load: map[string]float64{}, Terms: night.Terms{DrainWithin: set.Bounds.DrainS.D(), Download: longDownload, Warm: warmUp,
-		Margin: nightMargin, Tolerance: set.FaultTolerance.Machines}}
-	spaces := patch.Marks(patch.Table{}, r.replica.State().Items)
+// meshView is the mesh as the night service sees it, without what an order itself has out.
+func (r *Member) meshView(but string) night.View {
+	set := r.settings.Load()
+	v := night.View{Contracts: r.currentContracts(), Load: map[string]float64{}, Parameters: night.Parameters{DrainTimeout: set.Bounds.DrainS.Duration(), DownloadAllowance: downloadAllowance, WarmUp: warmUpTime,
+		Margin: maintenanceMargin, FaultTolerance: set.FaultTolerance.Machines}}
+	spaces := patch.NewPolicySet(patch.Table{}, r.replica.State().Items)
 	for _, l := range r.replica.Records().All() {
-		s := r.board.status[l.Addr]
+		s := r.maintenance.status[l.Addr]
 		v.Machines = append(v.Machines, night.Machine{Addr: l.Addr, Name: l.Node, Zone: l.Zone, Service: l.Service, Namespaces: spaces.OwnersOfService(l.Service), Slots: int(l.Slots),
-			Ready: l.State == directory.Ready && !l.Gone && s != nil && s.Ready})
+			Ready: l.State == directory.ServerReady && !l.Leaving && s != nil && s.Ready})
 		if s != nil {
-			v.Load[l.Service] += float64(s.Open)
+			v.Load[l.Service] += float64(s.OpenRequests)
 		}
 	}
 	members, _ := r.replica.Members()
 	for _, m := range members {
-		x := night.Machine{Addr: m.Addr, Name: m.Addr, Register: true, Ready: r.replica.Hears(m.ID)}
-		if s := r.board.status[m.Addr]; s != nil {
+		x := night.Machine{Addr: m.Addr, Name: m.Addr, ControlPlane: true, Ready: r.replica.HearsFrom(m.ID)}
+		if s := r.maintenance.status[m.Addr]; s != nil {
 			x.Name, x.Zone = s.Name, s.Zone
-			x.Ready = x.Ready && s.Trouble == ""
+			x.Ready = x.Ready && s.Fault == ""
 		}
 		v.Machines = append(v.Machines, x)
 	}
-	for _, o := range r.replica.State().Maintenance.Book.Open() {
-		if o.Step != night.Waiting && o.ID != but {
-			v.Out = append(v.Out, o.Machine())
+	for _, o := range r.replica.State().Maintenance.Orders.Open() {
+		if o.Step != night.StepWaiting && o.ID != but {
+			v.InMaintenance = append(v.InMaintenance, o.CurrentMachine())
 		}
 	}
-	for _, x := range dialplan.Make(r.replica.State().Items).Routes() {
+	for _, x := range dialplan.NewTable(r.replica.State().Items).Routes() {
 		route := night.Route{Name: x.Name, Timeout: x.Timeout, Download: x.Kind == dialplan.Download}
-		for _, s := range x.Split {
+		for _, s := range x.Destinations {
 			route.Services = append(route.Services, s.Service)
 		}
 		v.Routes = append(v.Routes, route)
@@ -284,20 +284,20 @@
 	return v
 }
 
-// sight is what was seen of a machine.
-func (r *Register) sight(o night.Order) night.Sight {
-	b, addr := &r.board, o.Machine()
+// observe is what was seen of a machine.
+func (r *Member) observe(o night.Order) night.Observation {
+	b, addr := &r.maintenance, o.CurrentMachine()
 	s := b.status[addr]
 	if s == nil {
-		delete(b.ready, addr)
-		return night.Sight{}
+		delete(b.readySince, addr)
+		return night.Observation{}
 	}
-	x := night.Sight{There: true, Held: s.Held, Open: int(s.Open), Callers: int(s.Callers), Unready: !s.Ready, Handed: s.Handed == o.ID, Work: workOf(s), Register: s.Register, Homes: len(s.Lines), Leads: s.Leads}
-	if s.Register {
-		x.Ready = !s.Held && s.Touch && !s.Outside
+	x := night.Observation{Reachable: true, Cordoned: s.InMaintenance, ServerRequests: int(s.OpenRequests), CallerRequests: int(s.DownstreamRequests), CallersMoved: !s.Ready, KeysHandedOver: s.HandedOverOrder == o.ID, WorkText: describeWork(s), ControlPlane: s.ControlPlane, FollowingSidecars: len(s.Sidecars), IsLeader: s.IsLeader}
+	if s.ControlPlane {
+		x.Ready = !s.InMaintenance && s.QuorumContact && !s.IsNonMember
 	} else {
 		l, _ := r.replica.Records().Get(addr)
-		x.Ready = !s.Held && s.Ready && (s.Server == "" || l.State == directory.Ready)
+		x.Ready = !s.InMaintenance && s.Ready && (s.ServerId == "" || l.State == directory.ServerReady)
 		var waits []string
 		for _, l := range r.replica.Records().All() {
 			if l.Addr == addr {
@@ -305,34 +305,34 @@
 			}
 			y := b.status[l.Addr]
 			switch {
-			case y == nil && r.now()-b.heard[l.Addr] > goneAfter: // the machine itself turns away what such a one sends
+			case y == nil && r.now()-b.lastHeard[l.Addr] > silenceTimeout: // the machine itself turns away what such a one sends
 			case y == nil:
 				waits = append(waits, l.Node+" does not answer")
-			case y.Outs < r.replica.State().Maintenance.Index:
+			case y.MaintenanceIndex < r.replica.State().Maintenance.Index:
 				waits = append(waits, l.Node+" has not heard of it")
-			case slices.Contains(y.Sends, addr):
+			case slices.Contains(y.UpstreamAddrs, addr):
 				waits = append(waits, l.Node+" still has requests there")
 			}
 		}
-		x.Sending, x.Waits = len(waits), strings.Join(waits[:min(3, len(waits))], ", ")
+		x.Senders, x.SendersText = len(waits), strings.Join(waits[:min(3, len(waits))], ", ")
 	}
-	if b.ready == nil {
-		b.ready = map[string]time.Duration{}
+	if b.readySince == nil {
+		b.readySince = map[string]time.Duration{}
 	}
-	since, was := b.ready[addr]
+	since, was := b.readySince[addr]
 	switch {
 	case !x.Ready:
-		delete(b.ready, addr)
+		delete(b.readySince, addr)
 	case !was:
-		b.ready[addr] = r.now()
+		b.readySince[addr] = r.now()
 	default:
-		x.Warm = r.now()-since >= warmUp
+		x.Warm = r.now()-since >= warmUpTime
 	}
 	return x
 }
 
-// workOf tells what runs at a line's server and how what ran there has ended.
-func workOf(s *wire.StatusT) string {
+// describeWork tells what runs at a line's server and how what ran there has ended.
+func describeWork(s *wire.StatusT) string {
 	var open, ended []string
 	for _, w := range s.Work {
 		if w.Open > 0 {
@@ -341,7 +341,7 @@
 		for _, x := range []struct {
 			n   int64
 			how string
-		}{{w.Answered, "answered"}, {w.Refused, "turned away"}, {w.Broken, "broken off"}} {
+		}{{w.Answered, "answered"}, {w.Rejected, "turned away"}, {w.Broken, "broken off"}} {
 			if x.n > 0 {
 				ended = append(ended, fmt.Sprintf("%d %s %s", x.n, w.Kind, x.how))
 			}
@@ -356,37 +356,37 @@
 	return "in flight " + strings.Join(open, ", ") + "; ended since: " + strings.Join(ended, ", ")
 }
 
-// advance takes each open order one step further, if it can go.
-func (r *Register) advance() {
-	b := &r.board
-	if !r.replica.Current() || b.pending > 0 {
+// advanceOrders takes each open order one step further, if it can go.
+func (r *Member) advanceOrders() {
+	b := &r.maintenance
+	if !r.replica.IsReadyLeader() || b.pending > 0 {
 		return
 	}
-	now, known := r.time()
-	b.waits = map[string]string{}
+	now, known := r.agreedTime()
+	b.waitingFor = map[string]string{}
 	begins := false // one machine at a time begins to come out: the next plan has to know of it
-	for _, o := range r.replica.State().Maintenance.Book.Open() {
+	for _, o := range r.replica.State().Maintenance.Orders.Open() {
 		if !known {
-			b.waits[o.ID] = night.ErrNoTime.Error()
+			b.waitingFor[o.ID] = night.ErrNoAgreedTime.Error()
 			continue
 		}
-		c, ok, waits := o.Next(r.view(o.ID), r.sight(o), now)
+		c, ok, waits := o.Next(r.meshView(o.ID), r.observe(o), now)
 		if !ok {
-			b.waits[o.ID] = waits
+			b.waitingFor[o.ID] = waits
 			continue
 		}
-		if c.Step == night.Draining {
+		if c.Step == night.StepDraining {
 			if begins {
-				b.waits[o.ID] = "another order begins"
+				b.waitingFor[o.ID] = "another order begins"
 				continue
 			}
 			begins = true
 		}
-		r.log.Info().Str("order", o.ID).Str("machine", o.Machine()).Str("step", string(c.Step)).Msg(c.Text)
+		r.log.Info().Str("order", o.ID).Str("machine", o.CurrentMachine()).Str("step", string(c.Step)).Msg(c.Text)
 		b.pending++
-		lead := b.lead
-		r.proposeNight(replica.MaintenanceWord, c, func(error) {
-			if b.lead == lead {
+		lead := b.leadership
+		r.proposeMaintenance(replica.MaintenanceUpdate, c, func(error) {
+			if b.leadership == lead {
 				b.pending--
 			}
 		})
--- a/internal/exchange/register/rules.go
+++ b/internal/exchange/register/rules.go
@@ -14,83 +14,83 @@
 // Notice tells an owner what another's change did to a rule of theirs.
 type Notice = replica.Notice
 
-// binding is the leader's side of the two steps. It belongs to Run's goroutine.
-type binding struct {
-	of       string // the set that is to bind
-	term     uint64
-	since    time.Duration // that this leader has known it
-	proposed bool
-	waits    string
+// policyActivation is the leader's side of the two steps. It belongs to Run's goroutine.
+type policyActivation struct {
+	policySet  string // the set that is to bind
+	term       uint64
+	since      time.Duration // that this leader has known it
+	proposed   bool
+	waitingFor string
 }
 
-// keepRules has a set of rules that was agreed on bind once the lines hold it, at the leader.
-func (r *Register) keepRules(now time.Duration) {
-	x, b := &r.binding, r.replica.State().Rules.Board
-	if !r.replica.Leads() || !b.Pending() {
-		*x = binding{}
+// runActivation has a set of rules that was agreed on bind once the lines hold it, at the leader.
+func (r *Member) runActivation(now time.Duration) {
+	x, b := &r.activation, r.replica.State().Policy.Rollout
+	if !r.replica.IsLeader() || !b.IsPending() {
+		*x = policyActivation{}
 		return
 	}
-	if x.of != b.Held || x.term != r.replica.Term() {
-		*x = binding{of: b.Held, term: r.replica.Term(), since: now}
+	if x.policySet != b.Agreed || x.term != r.replica.Term() {
+		*x = policyActivation{policySet: b.Agreed, term: r.replica.Term(), since: now}
 	}
-	if !r.board.asking && now-r.board.at >= surveyEvery {
+	if !r.maintenance.surveying && now-r.maintenance.surveyedAt >= surveyInterval {
 		r.survey(func() {})
 	}
 }
 
-// bindNext proposes that the set binds, if what the lines say allows it.
-func (r *Register) bindNext() {
-	x, b := &r.binding, r.replica.State().Rules.Board
-	if !r.replica.Current() || x.of != b.Held || x.proposed || !b.Pending() {
+// activatePolicies proposes that the set binds, if what the lines say allows it.
+func (r *Member) activatePolicies() {
+	x, b := &r.activation, r.replica.State().Policy.Rollout
+	if !r.replica.IsReadyLeader() || x.policySet != b.Agreed || x.proposed || !b.IsPending() {
 		return
 	}
-	var lines []classmark.Seen
+	var lines []classmark.SidecarReport
 	for _, l := range r.replica.Records().All() {
-		s := r.board.status[l.Addr]
-		seen := classmark.Seen{Name: l.Node, Silent: s == nil}
+		s := r.maintenance.status[l.Addr]
+		seen := classmark.SidecarReport{Name: l.Node, Silent: s == nil}
 		if s != nil {
-			seen.Held = s.RulesHeld
+			seen.Received = s.CommittedPolicy
 		}
 		lines = append(lines, seen)
 	}
 	var ok bool
-	if ok, x.waits = b.Ready(lines, r.now()-x.since); !ok {
+	if ok, x.waitingFor = b.CanActivate(lines, r.now()-x.since); !ok {
 		return
 	}
-	r.log.Info().Str("rules", b.Held).Int("lines", len(lines)).Msg("rules are to bind")
+	r.log.Info().Str("rules", b.Agreed).Int("lines", len(lines)).Msg("rules are to bind")
 	x.proposed = true
-	if !r.replica.Propose(r.now(), replica.Change(replica.ChangeBound, &wire.BoundT{Print: b.Held}), func(replica.Outcome, bool) { r.binding.proposed = false }) {
+	if !r.replica.Propose(r.now(), replica.EncodeChange(replica.ChangeActivePolicy, &wire.ActivePolicyT{Fingerprint: b.Agreed}), func(replica.Outcome, bool) { r.activation.proposed = false }) {
 		x.proposed = false
 	}
 }
 
-// RulesCall asks how the rules are.
-type RulesCall struct {
+// PolicyRequest asks how the rules are.
+type PolicyRequest struct {
 	Namespace string `json:"Namespace,omitempty" validate:"max=128"` // whose notices; "": all
 }
 
-// RulesTold is the answer.
-type RulesTold struct {
-	Board   classmark.Board `json:"board"`
-	Waits   string          `json:"waits,omitempty"` // why what is agreed on does not bind yet
-	Bound   *patch.Set      `json:"bound,omitempty"` // the namespaces and rulings that bind, where others are agreed on
-	Notices []Notice        `json:"notices"`
-	Leader  string          `json:"leader"`
+// PolicyResponse is the answer.
+type PolicyResponse struct {
+	Rollout    classmark.Rollout `json:"board"`
+	WaitingFor string            `json:"waits,omitempty"` // why what is agreed on does not bind yet
+	Active     *patch.Document   `json:"bound,omitempty"` // the namespaces and rulings that bind, where others are agreed on
+	Notices    []Notice          `json:"notices"`
+	Leader     string            `json:"leader"`
 }
 
-// takeRules answers a call, at the leader.
-func (r *Register) takeRules(call RulesCall, done func(RulesTold, error)) {
-	r.replica.Confirm(r.now(), func(_ uint64, ok bool) { // so that it is the leader's word, and not that of one that was it
+// answerPolicy answers a call, at the leader.
+func (r *Member) answerPolicy(call PolicyRequest, done func(PolicyResponse, error)) {
+	r.replica.ReadIndex(r.now(), func(_ uint64, ok bool) { // so that it is the leader's word, and not that of one that was it
 		if !ok {
-			done(RulesTold{}, control.Fault(http.StatusServiceUnavailable, "the core could not confirm it in time"))
+			done(PolicyResponse{}, control.NewError(http.StatusServiceUnavailable, "the core could not confirm it in time"))
 			return
 		}
-		t := RulesTold{Board: r.replica.State().Rules.Board, Waits: r.binding.waits, Notices: []Notice{}, Leader: r.self.Addr}
-		if t.Board.Pending() {
-			s := r.replica.State().Bound.Layout()
-			t.Bound = &s
+		t := PolicyResponse{Rollout: r.replica.State().Policy.Rollout, WaitingFor: r.activation.waitingFor, Notices: []Notice{}, Leader: r.self.Addr}
+		if t.Rollout.IsPending() {
+			s := r.replica.State().ActivePolicy.Document()
+			t.Active = &s
 		}
-		for _, n := range r.replica.State().Rules.Notices {
+		for _, n := range r.replica.State().Policy.Notices {
 			for _, o := range n.Effect.Owners {
 				if call.Namespace == "" || o == call.Namespace {
 					t.Notices = append(t.Notices, n)
--- a/internal/exchange/register/status.go
+++ b/internal/exchange/register/status.go
@@ -9,25 +9,25 @@
 	"hollyspur/internal/exchange/vault"
 )
 
-// statusWithin is how long Run's goroutine may take until a register says that it hangs.
-const statusWithin = 500 * time.Millisecond
+// statusTimeout is how long Run's goroutine may take until a register says that it hangs.
+const statusTimeout = 500 * time.Millisecond
 
 // answerStatus says how this register is. Where Run's goroutine hangs, on a disk for one, that is what is said.
-func (r *Register) answerStatus(c *trunk.Conn, id uint64) {
+func (r *Member) answerStatus(c *trunk.Conn, id uint64) {
 	tell := func(s *wire.StatusT) {
-		c.Send(&wire.ToldT{Id: id, Status: http.StatusOK, Body: trunk.Bytes(s)})
+		c.Send(&wire.CallReplyT{Id: id, Status: http.StatusOK, Body: trunk.EncodeTable(s)})
 	}
 	done := make(chan *wire.StatusT, 1)
 	go func() {
-		go r.Do(func() { done <- r.status() })
+		go r.post(func() { done <- r.status() })
 		select {
 		case s := <-done:
 			tell(s)
-		case <-time.After(statusWithin):
-			set := r.set.Load()
-			s := &wire.StatusT{Name: set.NodeName, Addr: r.self.Addr, Zone: set.Zone, Register: true, Id: uint64(r.self.ID), Trouble: "it hangs, on its disk as a rule"}
-			if text := r.trouble.Load(); text != nil {
-				s.Trouble = *text
+		case <-time.After(statusTimeout):
+			set := r.settings.Load()
+			s := &wire.StatusT{Name: set.NodeName, Addr: r.self.Addr, Zone: set.Zone, ControlPlane: true, MemberId: uint64(r.self.ID), Fault: "it hangs, on its disk as a rule"}
+			if text := r.diskFault.Load(); text != nil {
+				s.Fault = *text
 			}
 			tell(s)
 		}
@@ -35,18 +35,18 @@
 }
 
 // status is how this register is. It belongs to Run's goroutine.
-func (r *Register) status() *wire.StatusT {
-	set := r.set.Load()
+func (r *Member) status() *wire.StatusT {
+	set := r.settings.Load()
 	state := r.replica.State()
 	members, view := r.replica.Members()
-	s := &wire.StatusT{Name: set.NodeName, Addr: r.self.Addr, Zone: set.Zone, Register: true, Up: r.now().Microseconds(), Id: uint64(r.self.ID),
-		Leader: r.replica.LeaderAddress(), Leads: r.replica.Leads(), Outside: r.replica.Outside(), Touch: r.touch.Load() > 0, Term: r.replica.Term(),
-		Applied: r.replica.Applied(), Last: r.replica.Logged(), View: view, Members: vault.WireMembers(members), Items: state.Items.Holds(), Keys: uint32(state.Keys.Len()),
-		Held: r.replica.Held(), Outs: state.Maintenance.Index, Time: r.wall().UnixNano(), RulesHeld: state.Rules.Board.Held, RulesBound: state.Rules.Board.Bound,
-		BoundAt: state.Rules.Board.BoundAt, Said: trunk.Account()}
-	for c := range r.lines {
+	s := &wire.StatusT{Name: set.NodeName, Addr: r.self.Addr, Zone: set.Zone, ControlPlane: true, UptimeUs: r.now().Microseconds(), MemberId: uint64(r.self.ID),
+		LeaderAddr: r.replica.LeaderAddress(), IsLeader: r.replica.IsLeader(), IsNonMember: r.replica.IsNonMember(), QuorumContact: r.quorumContact.Load() > 0, Term: r.replica.Term(),
+		AppliedIndex: r.replica.AppliedIndex(), LastIndex: r.replica.SavedIndex(), ConfigurationIndex: view, Members: vault.MembersToWire(members), ItemVersions: state.Items.Versions(), KeyCount: uint32(state.KeyLeases.Len()),
+		InMaintenance: r.replica.InMaintenance(), MaintenanceIndex: state.Maintenance.Index, WallTimeNs: r.wallClock().UnixNano(), CommittedPolicy: state.Policy.Rollout.Agreed, ActivePolicy: state.Policy.Rollout.Active,
+		ActivePolicyIndex: state.Policy.Rollout.ActiveIndex, Traffic: trunk.SentTraffic()}
+	for c := range r.sidecars {
 		if c.Peer.Addr != "" { // else one who only looks
-			s.Lines = append(s.Lines, c.Peer.Addr)
+			s.Sidecars = append(s.Sidecars, c.Peer.Addr)
 		}
 	}
 	return s
--- a/internal/exchange/register/vault_test.go
+++ b/internal/exchange/register/vault_test.go
@@ -16,12 +16,12 @@
 func TestOpenVault(t *testing.T) {
 	for _, damaged := range []bool{false, true} {
 		d := disk.New()
-		v, _, _, err := vault.OpenIn(d, vault.Options{})
+		v, _, _, err := vault.OpenFolder(d, vault.Options{})
 		assert.NilError(t, err)
-		assert.NilError(t, v.Begin(7, core.Snapshot{}))
+		assert.NilError(t, v.Initialize(7, core.Snapshot{}))
 		v.Close()
 		if damaged {
-			damage(t, d)
+			writeDamagedRecord(t, d)
 		}
 		d.SetFull(true)
 		writes := 0
@@ -33,8 +33,8 @@
 				d.SetFull(false)
 			}
 		})
-		r := &Register{log: zerolog.Nop()}
-		v, held, empty, told, err := r.openVault(d)
+		r := &Member{log: zerolog.Nop()}
+		v, held, empty, told, err := r.openStore(d)
 		assert.NilError(t, err)
 		v.Close()
 		assert.Equal(t, told, damaged)
@@ -43,8 +43,8 @@
 	}
 }
 
-// damage puts a whole record of a wrong checksum and type in the store's journal.
-func damage(t *testing.T, d *disk.Disk) {
+// writeDamagedRecord puts a whole record of a wrong checksum and type in the store's journal.
+func writeDamagedRecord(t *testing.T, d *disk.Disk) {
 	files, err := d.Open(false)
 	assert.NilError(t, err)
 	journals, err := files.List(ldbstorage.TypeJournal)
--- a/internal/exchange/settings/settings.go
+++ b/internal/exchange/settings/settings.go
@@ -14,14 +14,14 @@
 	"hollyspur/internal/exchange/jack"
 )
 
-// Env names the environment variable that holds the file's path.
-const Env = "CRANEGRADE_NODE_FILE"
+// PathVariable names the environment variable that holds the file's path.
+const PathVariable = "CRANEGRADE_NODE_FILE"
 
 // Seconds is a time as the file gives it.
 type Seconds float64
 
-// D is the time.
-func (s Seconds) D() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
+// Duration is the time.
+func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
 // Settings are what a process is told.
 type Settings struct {
@@ -33,7 +33,7 @@
 	Zone              string            `json:"Zone" validate:"max=256"`
 	Region            string            `json:"Region"`
 	Zones             map[string]string `json:"Zones"`
-	ListenAddrs       Listen            `json:"ListenAddrs"`
+	ListenAddrs       ListenAddresses   `json:"ListenAddrs"`
 	InternalPortRange []int             `json:"InternalPortRange" validate:"len=2,dive,gt=0,lt=65536"`
 	SeedNodes         []string          `json:"SeedNodes" validate:"max=64,dive,hostname_port"`
 	FirstStart        bool              `json:"FirstStart"`
@@ -42,16 +42,16 @@
 	DataDir           string            `json:"DataDir"`
 	HeartbeatS        Seconds           `json:"HeartbeatS" validate:"gte=0,lte=3600"`
 	ActiveContracts   []string          `json:"ActiveContracts"`
-	FaultTolerance    Tolerance         `json:"FaultTolerance"`
+	FaultTolerance    FaultTolerance    `json:"FaultTolerance"`
 	Bounds            Bounds            `json:"Bounds"`
 	AppAddress        string            `json:"AppAddress" validate:"omitempty,hostname_port"`
 	Service           string            `json:"Service" validate:"max=256"`
 
-	listenTrunks string // of the command line; "": at the address that others know
+	transportListenAddress string // of the command line; "": at the address that others know
 }
 
-// Listen are the addresses for what the role serves.
-type Listen struct {
+// ListenAddresses are the addresses for what the role serves.
+type ListenAddresses struct {
 	Inbound      string `json:"Inbound" validate:"omitempty,hostname_port"`
 	Outbound     string `json:"Outbound" validate:"omitempty,hostname_port"`
 	Readiness    string `json:"Readiness" validate:"omitempty,hostname_port"`
@@ -68,8 +68,8 @@
 	DiskMB    float64 `json:"DiskMb" validate:"gte=0"`
 }
 
-// Tolerance is what may be lost at once.
-type Tolerance struct {
+// FaultTolerance is what may be lost at once.
+type FaultTolerance struct {
 	Machines int `json:"Machines" validate:"gte=0,lte=100"`
 	Zones    int `json:"Zones" validate:"gte=0,lte=100"`
 	Regions  int `json:"Regions" validate:"gte=0,lte=100"`
@@ -93,7 +93,7 @@
 // Defaults are the bounds that hold where the file names none.
 func Defaults() Settings {
 	return Settings{HeartbeatS: 1.5, Bounds: Bounds{AddrReuseS: 2, ContactS: 3, AckS: 5, DrainS: 2, GraceS: 6, LossSlackS: 0.2,
-		ConfigApplyS: 2, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 50, KeyWindowS: 60}, FaultTolerance: Tolerance{Machines: 1}}
+		ConfigApplyS: 2, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 50, KeyWindowS: 60}, FaultTolerance: FaultTolerance{Machines: 1}}
 }
 
 // Parse reads a file's text. The error names the field at fault.
@@ -103,17 +103,17 @@
 		return Settings{}, errors.Annotate(err, "settings")
 	}
 	if f := jack.Check(s); f != nil {
-		return Settings{}, errors.Errorf("settings: %s%s %s", at(text, f.Field), f.Field, f.Text)
+		return Settings{}, errors.Errorf("settings: %s%s %s", linePrefix(text, f.Field), f.Field, f.Text)
 	}
 	if s.InternalPortRange[1] < s.InternalPortRange[0]+1 {
-		return Settings{}, errors.Errorf("settings: %sInternalPortRange is %v; wanted: two ports or more", at(text, "InternalPortRange"), s.InternalPortRange)
+		return Settings{}, errors.Errorf("settings: %sInternalPortRange is %v; wanted: two ports or more", linePrefix(text, "InternalPortRange"), s.InternalPortRange)
 	}
 	return s, nil
 }
 
-// at names the line of a field; "": the file does not name it.
-func at(text []byte, field string) string {
-	if n := jack.Line(text, field); n > 0 {
+// linePrefix names the line of a field; "": the file does not name it.
+func linePrefix(text []byte, field string) string {
+	if n := jack.LineOf(text, field); n > 0 {
 		return fmt.Sprintf("line %d: ", n)
 	}
 	return ""
@@ -121,10 +121,10 @@
 
 // Path is the file's, from the environment.
 func Path() (string, error) {
-	if p := os.Getenv(Env); p != "" {
+	if p := os.Getenv(PathVariable); p != "" {
 		return p, nil
 	}
-	return "", errors.Errorf("settings: %s is not set", Env)
+	return "", errors.Errorf("settings: %s is not set", PathVariable)
 }
 
 // Load reads the file.
@@ -136,39 +136,39 @@
 	return Parse(text)
 }
 
-// RegisterPort is where registers listen for trunks, the same on all machines.
-func (s Settings) RegisterPort() int { return s.InternalPortRange[0] }
+// TransportPort is where registers listen for trunks, the same on all machines.
+func (s Settings) TransportPort() int { return s.InternalPortRange[0] }
 
-// RegisterTrunk is the address of the register at a ControlPlane address, or at this machine if that is empty.
-func (s Settings) RegisterTrunk(control string) string {
+// MemberAddress is the address of the register at a ControlPlane address, or at this machine if that is empty.
+func (s Settings) MemberAddress(control string) string {
 	host := s.IPAddress
 	if control != "" {
 		host, _, _ = net.SplitHostPort(control)
 	}
-	return fmt.Sprintf("%s:%d", host, s.RegisterPort())
+	return fmt.Sprintf("%s:%d", host, s.TransportPort())
 }
 
-// ListenTrunks has the process listen for trunks at host:port, and others know it by its address all the same.
-func (s *Settings) ListenTrunks(at string) error {
+// SetTransportListenAddress has the process listen for trunks at host:port, and others know it by its address all the same.
+func (s *Settings) SetTransportListenAddress(at string) error {
 	if _, err := net.ResolveTCPAddr("tcp4", at); err != nil {
 		return errors.Annotate(err, "the address to listen for trunks at")
 	}
-	s.listenTrunks = at
+	s.transportListenAddress = at
 	return nil
 }
 
-// TrunkListener is where a process that others know by an address listens for trunks.
-func (s Settings) TrunkListener(known string) string {
-	if s.listenTrunks != "" {
-		return s.listenTrunks
+// TransportListenAddress is where a process that others know by an address listens for trunks.
+func (s Settings) TransportListenAddress(known string) string {
+	if s.transportListenAddress != "" {
+		return s.transportListenAddress
 	}
 	return known
 }
 
-// Seeds are the trunks of the registers that the file names.
-func (s Settings) Seeds() (l []string) {
+// SeedAddresses are the trunks of the registers that the file names.
+func (s Settings) SeedAddresses() (l []string) {
 	for _, a := range s.SeedNodes {
-		l = append(l, s.RegisterTrunk(a))
+		l = append(l, s.MemberAddress(a))
 	}
 	return l
 }
--- a/internal/exchange/switchroom/switchroom.go
+++ b/internal/exchange/switchroom/switchroom.go
@@ -27,19 +27,19 @@
 
 // Options are the command line.
 type Options struct {
-	Settings string        `short:"s" long:"settings" value-name:"FILE" description:"the settings file; else the one that $CRANEGRADE_NODE_FILE names"`
-	Check    bool          `long:"check" description:"check the settings file and end"`
-	Standing string        `long:"standing" value-name:"FILE" description:"of a register: contracts and orders for maintenance, as JSON, that the leader places once there is a configuration"`
-	Ahead    time.Duration `long:"ahead" value-name:"DURATION" hidden:"yes" description:"of a register, for rehearsals: its time of day is ahead by so much"`
-	Trunks   string        `long:"listen-trunks" value-name:"HOST:PORT" description:"listen for trunks here, while others know the machine by the address of its settings: behind a relay, or where addresses are translated"`
-	Verbose  bool          `short:"v" long:"verbose" description:"write every line of the log, not only the ring when something goes wrong"`
+	Settings        string        `short:"s" long:"settings" value-name:"FILE" description:"the settings file; else the one that $CRANEGRADE_NODE_FILE names"`
+	Check           bool          `long:"check" description:"check the settings file and end"`
+	InitialOrders   string        `long:"standing" value-name:"FILE" description:"of a register: contracts and orders for maintenance, as JSON, that the leader places once there is a configuration"`
+	ClockOffset     time.Duration `long:"ahead" value-name:"DURATION" hidden:"yes" description:"of a register, for rehearsals: its time of day is ahead by so much"`
+	ListenTransport string        `long:"listen-trunks" value-name:"HOST:PORT" description:"listen for trunks here, while others know the machine by the address of its settings: behind a relay, or where addresses are translated"`
+	Verbose         bool          `short:"v" long:"verbose" description:"write every line of the log, not only the ring when something goes wrong"`
 }
 
-const lookEvery = time.Second // at the settings file, which may change without a signal
+const settingsPollInterval = time.Second // at the settings file, which may change without a signal
 
 // Main runs a program and gives its exit code: 0 ended by a signal, 1 a fault, 2 the command line or the settings.
-func Main(name string, make func(settings.Settings, zerolog.Logger, *howler.Howler, Options) (Role, error)) int {
-	hup, end := ask()
+func Main(name string, newRole func(settings.Settings, zerolog.Logger, *howler.Ring, Options) (Role, error)) int {
+	reload, terminate := notifySignals()
 	var o Options
 	if _, err := flags.NewParser(&o, flags.Default).Parse(); err != nil {
 		if flags.WroteHelp(err) {
@@ -51,12 +51,12 @@
 	if path == "" {
 		path, err = settings.Path()
 	}
-	set, text := settings.Settings{}, []byte(nil)
+	current, text := settings.Settings{}, []byte(nil)
 	if err == nil {
-		set, text, err = read(path)
+		current, text, err = readSettings(path)
 	}
-	if err == nil && o.Trunks != "" {
-		err = set.ListenTrunks(o.Trunks)
+	if err == nil && o.ListenTransport != "" {
+		err = current.SetTransportListenAddress(o.ListenTransport)
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
@@ -67,33 +67,33 @@
 		return 0
 	}
 	debug.SetGCPercent(50)
-	if mb := set.Limits.MemoryMB; mb > 0 {
+	if mb := current.Limits.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb*0.8) << 20)
 	}
-	log, ring := howler.New(os.Stderr, set.NodeName)
+	log, ring := howler.New(os.Stderr, current.NodeName)
 	if o.Verbose {
-		log = zerolog.New(zerolog.MultiLevelWriter(os.Stderr, ring)).With().Timestamp().Str("at", set.NodeName).Logger()
+		log = zerolog.New(zerolog.MultiLevelWriter(os.Stderr, ring)).With().Timestamp().Str("at", current.NodeName).Logger()
 	}
-	role, err := make(set, log, ring, o)
+	role, err := newRole(current, log, ring, o)
 	if err != nil {
 		log.Error().Err(err).Msg("start")
 		return 1
 	}
-	fmt.Fprintf(os.Stderr, "%s: %s listening on %s\n", name, set.NodeName, role.Addr())
+	fmt.Fprintf(os.Stderr, "%s: %s listening on %s\n", name, current.NodeName, role.Addr())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		look := time.NewTicker(lookEvery)
+		look := time.NewTicker(settingsPollInterval)
 		defer look.Stop()
 		for {
 			select {
-			case <-end:
+			case <-terminate:
 				cancel()
 				return
-			case <-hup:
+			case <-reload:
 			case <-look.C:
 			}
-			s, t, err := read(path)
+			s, t, err := readSettings(path)
 			if string(t) == string(text) {
 				continue
 			}
@@ -112,15 +112,15 @@
 	return 0
 }
 
-// ask asks for the signals, first thing: SIGHUP ends a process that has not.
-func ask() (hup, end chan os.Signal) {
+// notifySignals asks for the signals, first thing: SIGHUP ends a process that has not.
+func notifySignals() (hup, end chan os.Signal) {
 	hup, end = make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
 	return hup, end
 }
 
-func read(path string) (settings.Settings, []byte, error) {
+func readSettings(path string) (settings.Settings, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return settings.Settings{}, nil, err
--- a/internal/exchange/ticket/golden_test.go
+++ b/internal/exchange/ticket/golden_test.go
@@ -53,7 +53,7 @@
 	for range goldenRequests {
 		now += time.Duration(random.Int64N(int64(200 * time.Millisecond)))
 		c := drawRequest(random, keys, tickets)
-		g := b.Take(now, c)
+		g := b.Apply(now, c)
 		switch {
 		case c.Release:
 			run.Released++
@@ -63,12 +63,12 @@
 			run.Refused++
 		}
 		fmt.Fprintf(sum, "%t\n", g.Granted)
-		hashHeld(sum, g.Held)
+		hashHeld(sum, g.Current)
 		switch random.IntN(100) {
 		case 0:
-			b = Load(b.All())
+			b = Restore(b.Leases())
 		case 1:
-			for _, h := range b.All() {
+			for _, h := range b.Leases() {
 				hashHeld(sum, h)
 			}
 		}
@@ -79,17 +79,17 @@
 }
 
 // drawRequest is a request for one of a few keys, by one of a few tickets.
-func drawRequest(random *rand.Rand, keys, tickets int) Claim {
-	return Claim{
+func drawRequest(random *rand.Rand, keys, tickets int) LeaseRequest {
+	return LeaseRequest{
 		Key:     fmt.Sprint("key-", random.IntN(keys)),
-		Ticket:  fmt.Sprint("ticket-", random.IntN(tickets)),
-		Nth:     uint32(random.IntN(3)),
+		Token:   fmt.Sprint("ticket-", random.IntN(tickets)),
+		Attempt: uint32(random.IntN(3)),
 		Holder:  fmt.Sprint("holder-", random.IntN(3)),
 		Release: random.IntN(5) == 0,
 		Window:  []time.Duration{0, time.Second, 5 * time.Second, time.Minute}[random.IntN(4)],
 	}
 }
 
-func hashHeld(sum hash.Hash, h Held) {
-	fmt.Fprintf(sum, "%q %q %d %q %t %d %d\n", h.Key, h.Ticket, h.Nth, h.Holder, h.Release, h.Window, h.Stamp)
+func hashHeld(sum hash.Hash, h Lease) {
+	fmt.Fprintf(sum, "%q %q %d %q %t %d %d\n", h.Key, h.Token, h.Attempt, h.Holder, h.Release, h.Window, h.GrantedAt)
 }
--- a/internal/exchange/ticket/ticket.go
+++ b/internal/exchange/ticket/ticket.go
@@ -10,68 +10,68 @@
 	"time"
 )
 
-// Claim asks for a key. Nth counts the servers that this ticket was sent to: whoever sends it to another has the word of
+// LeaseRequest asks for a key. Nth counts the servers that this ticket was sent to: whoever sends it to another has the word of
 // the one before that it never ran there.
-type Claim struct {
-	Key, Ticket string
-	Nth         uint32
-	Holder      string // the line beside the server
-	Release     bool   // that of this ticket never ran
+type LeaseRequest struct {
+	Key, Token string
+	Attempt    uint32
+	Holder     string // the line beside the server
+	Release    bool   // that of this ticket never ran
 	// Window is for how long it is held. It is the claim's own: whoever keeps a book holds the key for as long as any other.
 	Window time.Duration
 }
 
-// Held is who holds a key.
-type Held struct {
-	Claim
-	Stamp time.Duration
+// Lease is who holds a key.
+type Lease struct {
+	LeaseRequest
+	GrantedAt time.Duration
 }
 
-// Grant is the answer to a claim.
-type Grant struct {
+// LeaseResult is the answer to a claim.
+type LeaseResult struct {
 	Granted bool
-	Held    Held // by whom, if not; by nobody: the book is full
+	Current Lease // by whom, if not; by nobody: the book is full
 }
 
-// MostHeld is how many keys a book holds. Beyond that none is granted until windows end.
-const MostHeld = 200_000
+// MaxLeases is how many keys a book holds. Beyond that none is granted until windows end.
+const MaxLeases = 200_000
 
-// unnamed is the window of a claim that names none: of a version before claims did.
-const unnamed = 10 * time.Minute
+// defaultWindow is the window of a claim that names none: of a version before claims did.
+const defaultWindow = 10 * time.Minute
 
-func (h Held) window() time.Duration {
+func (h Lease) duration() time.Duration {
 	if h.Window <= 0 {
-		return unnamed
+		return defaultWindow
 	}
 	return h.Window
 }
 
-// over says that a key is held no more.
-func (h Held) over(now time.Duration) bool { return now-h.Stamp > h.window() }
+// isExpired says that a key is held no more.
+func (h Lease) isExpired(now time.Duration) bool { return now-h.GrantedAt > h.duration() }
 
-// Book is the keys that are held.
-type Book struct {
-	held  map[string]Held
-	swept time.Duration
-	first time.Duration // no window of what is held ends before; it may have ended since
+// Store is the keys that are held.
+type Store struct {
+	leases         map[string]Lease
+	lastSweep      time.Duration
+	earliestExpiry time.Duration // no window of what is held ends before; it may have ended since
 }
 
 // New returns an empty book.
-func New() *Book { return &Book{held: map[string]Held{}} }
+func New() *Store { return &Store{leases: map[string]Lease{}} }
 
-// Load is New with what a book held.
-func Load(l []Held) *Book {
+// Restore is New with what a book held.
+func Restore(l []Lease) *Store {
 	b := New()
 	for _, h := range l {
-		b.held[h.Key] = h
+		b.leases[h.Key] = h
 	}
 	return b
 }
 
-// All is what is held, in a fixed order.
-func (b *Book) All() []Held {
-	l := make([]Held, 0, len(b.held))
-	for _, h := range b.held {
+// Leases is what is held, in a fixed order.
+func (b *Store) Leases() []Lease {
+	l := make([]Lease, 0, len(b.leases))
+	for _, h := range b.leases {
 		l = append(l, h)
 	}
 	sort.Slice(l, func(i, j int) bool { return l[i].Key < l[j].Key })
@@ -79,48 +79,48 @@
 }
 
 // Len is how many keys are held.
-func (b *Book) Len() int { return len(b.held) }
+func (b *Store) Len() int { return len(b.leases) }
 
-// Take takes a claim at a log time.
-func (b *Book) Take(now time.Duration, c Claim) Grant {
-	if now-b.swept >= sweepEvery || len(b.held) >= MostHeld {
+// Apply takes a claim at a log time.
+func (b *Store) Apply(now time.Duration, c LeaseRequest) LeaseResult {
+	if now-b.lastSweep >= sweepInterval || len(b.leases) >= MaxLeases {
 		b.sweep(now)
 	}
-	h, is := b.held[c.Key]
-	if is && h.over(now) {
-		h, is = Held{}, false
+	h, is := b.leases[c.Key]
+	if is && h.isExpired(now) {
+		h, is = Lease{}, false
 	}
 	switch {
 	case c.Release:
-		if is && h.Ticket == c.Ticket && h.Nth == c.Nth {
-			delete(b.held, c.Key)
+		if is && h.Token == c.Token && h.Attempt == c.Attempt {
+			delete(b.leases, c.Key)
 		}
-		return Grant{Granted: true}
-	case !is && len(b.held) >= MostHeld: // all of them within their windows: it was swept
+		return LeaseResult{Granted: true}
+	case !is && len(b.leases) >= MaxLeases: // all of them within their windows: it was swept
 	case !is,
-		h.Ticket == c.Ticket && h.Nth < c.Nth,
-		h.Ticket == c.Ticket && h.Nth == c.Nth && h.Holder == c.Holder: // it asks again, for want of an answer
-		b.held[c.Key] = Held{c, now}
-		b.first = min(b.first, now+b.held[c.Key].window())
-		return Grant{Granted: true}
+		h.Token == c.Token && h.Attempt < c.Attempt,
+		h.Token == c.Token && h.Attempt == c.Attempt && h.Holder == c.Holder: // it asks again, for want of an answer
+		b.leases[c.Key] = Lease{c, now}
+		b.earliestExpiry = min(b.earliestExpiry, now+b.leases[c.Key].duration())
+		return LeaseResult{Granted: true}
 	}
-	return Grant{Held: h}
+	return LeaseResult{Current: h}
 }
 
-const sweepEvery = 5 * time.Second
+const sweepInterval = 5 * time.Second
 
 // sweep forgets what is past its window. It is no part of what is agreed on: books that were swept at different times grant
 // alike, for a full one is swept before it refuses.
-func (b *Book) sweep(now time.Duration) {
-	if now <= b.first {
+func (b *Store) sweep(now time.Duration) {
+	if now <= b.earliestExpiry {
 		return
 	}
-	b.swept, b.first = now, math.MaxInt64
-	for k, h := range b.held {
-		if h.over(now) {
-			delete(b.held, k)
+	b.lastSweep, b.earliestExpiry = now, math.MaxInt64
+	for k, h := range b.leases {
+		if h.isExpired(now) {
+			delete(b.leases, k)
 		} else {
-			b.first = min(b.first, h.Stamp+h.window())
+			b.earliestExpiry = min(b.earliestExpiry, h.GrantedAt+h.duration())
 		}
 	}
 }
--- a/internal/exchange/toll/toll.go
+++ b/internal/exchange/toll/toll.go
@@ -5,61 +5,61 @@
 
 import "time"
 
-// parts of a window that are counted apart.
-const parts = 20
+// windowBuckets of a window that are counted apart.
+const windowBuckets = 20
 
-// Rule is what holds for one service.
-type Rule struct {
-	Window time.Duration
-	Ratio  float64 // further arrivals for each request
-	Slack  float64 // and beyond that, for this line
+// Limits is what holds for one service.
+type Limits struct {
+	Window     time.Duration
+	Ratio      float64 // further arrivals for each request
+	MinRetries float64 // and beyond that, for this line
 }
 
-// Purse counts one service's requests and further tries over the last window.
-type Purse struct {
-	rule     Rule
-	requests [parts]float64
-	further  [parts]float64
-	at       int64 // the part that is counted now
+// Budget counts one service's requests and further tries over the last window.
+type Budget struct {
+	limits   Limits
+	requests [windowBuckets]float64
+	retries  [windowBuckets]float64
+	bucket   int64 // the part that is counted now
 }
 
 // New returns an empty purse.
-func New(r Rule) *Purse { return &Purse{rule: r} }
+func New(r Limits) *Budget { return &Budget{limits: r} }
 
-// Set gives it another rule.
-func (p *Purse) Set(r Rule) {
-	if r.Window != p.rule.Window {
-		*p = Purse{}
+// SetLimits gives it another rule.
+func (p *Budget) SetLimits(r Limits) {
+	if r.Window != p.limits.Window {
+		*p = Budget{}
 	}
-	p.rule = r
+	p.limits = r
 }
 
-func (p *Purse) turn(now time.Duration) int {
-	part := max(1, p.rule.Window/parts)
+func (p *Budget) advance(now time.Duration) int {
+	part := max(1, p.limits.Window/windowBuckets)
 	at := int64(now / part)
-	for n := max(p.at+1, at-parts+1); n <= at; n++ {
-		p.requests[n%parts], p.further[n%parts] = 0, 0
+	for n := max(p.bucket+1, at-windowBuckets+1); n <= at; n++ {
+		p.requests[n%windowBuckets], p.retries[n%windowBuckets] = 0, 0
 	}
-	p.at = max(p.at, at)
-	return int(p.at % parts)
+	p.bucket = max(p.bucket, at)
+	return int(p.bucket % windowBuckets)
 }
 
-// Request counts a request's first arrival.
-func (p *Purse) Request(now time.Duration) { p.requests[p.turn(now)]++ }
+// RecordRequest counts a request's first arrival.
+func (p *Budget) RecordRequest(now time.Duration) { p.requests[p.advance(now)]++ }
 
-// Further asks for a further try, and counts it if it may be.
-func (p *Purse) Further(now time.Duration) bool {
-	i := p.turn(now)
+// AllowRetry asks for a further try, and counts it if it may be.
+func (p *Budget) AllowRetry(now time.Duration) bool {
+	i := p.advance(now)
 	var requests, further float64
-	for n := range parts {
-		if n != (i+1)%parts { // the oldest part is about to leave the window
+	for n := range windowBuckets {
+		if n != (i+1)%windowBuckets { // the oldest part is about to leave the window
 			requests += p.requests[n]
 		}
-		further += p.further[n]
+		further += p.retries[n]
 	}
-	if further+1 > requests*p.rule.Ratio+p.rule.Slack {
+	if further+1 > requests*p.limits.Ratio+p.limits.MinRetries {
 		return false
 	}
-	p.further[i]++
+	p.retries[i]++
 	return true
 }
--- a/internal/exchange/toll/toll_test.go
+++ b/internal/exchange/toll/toll_test.go
@@ -14,7 +14,7 @@
 func TestEveryWindow(t *testing.T) {
 	for seed := range uint64(15) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		rule := Rule{Window: 10 * time.Second, Ratio: 0.1 + 0.2*rng.Float64(), Slack: float64(rng.IntN(5))}
+		rule := Limits{Window: 10 * time.Second, Ratio: 0.1 + 0.2*rng.Float64(), MinRetries: float64(rng.IntN(5))}
 		p := New(rule)
 		type event struct {
 			at      time.Duration
@@ -28,9 +28,9 @@
 				now += time.Duration(rng.Int64N(int64(4 * time.Second))) // a lull
 			}
 			if rng.IntN(3) > 0 {
-				p.Request(now)
+				p.RecordRequest(now)
 				events = append(events, event{now, false})
-			} else if p.Further(now) {
+			} else if p.AllowRetry(now) {
 				events = append(events, event{now, true})
 			}
 		}
@@ -55,7 +55,7 @@
 			}
 			granted += int(further)
 			most := max(requests(first.at), requests(first.at-rule.Window), requests(first.at-rule.Window/2))
-			if further > most*2*rule.Ratio+rule.Slack+1e-9 {
+			if further > most*2*rule.Ratio+rule.MinRetries+1e-9 {
 				t.Fatalf("seed %d, from %v: %v further tries for %v requests", seed, first.at, further, most)
 			}
 		}
@@ -71,9 +71,9 @@
 func TestChain(t *testing.T) {
 	const depth, tries, requests = 3, 3, 20_000
 	runs := func(ratio, slack float64) (last int) {
-		var purses [depth]*Purse
+		var purses [depth]*Budget
 		for i := range purses {
-			purses[i] = New(Rule{Window: 10 * time.Second, Ratio: ratio, Slack: slack})
+			purses[i] = New(Limits{Window: 10 * time.Second, Ratio: ratio, MinRetries: slack})
 		}
 		var call func(level int, now time.Duration)
 		call = func(level int, now time.Duration) {
@@ -82,8 +82,8 @@
 			}
 			for n := range tries {
 				if n == 0 {
-					purses[level].Request(now)
-				} else if !purses[level].Further(now) {
+					purses[level].RecordRequest(now)
+				} else if !purses[level].AllowRetry(now) {
 					return
 				}
 				if level == depth-1 {
--- a/internal/exchange/trunk/asks.go
+++ b/internal/exchange/trunk/asks.go
@@ -7,55 +7,55 @@
 	"hollyspur/internal/exchange/trunk/wire"
 )
 
-// Asks are calls over connections and their answers. The zero value is ready.
-type Asks struct {
-	mu   sync.Mutex // guards below
-	next uint64
-	open map[uint64]*asked
+// Calls are calls over connections and their answers. The zero value is ready.
+type Calls struct {
+	mu      sync.Mutex // guards below
+	lastID  uint64
+	pending map[uint64]*pendingCall
 }
 
-type asked struct {
-	c    *Conn
-	told chan *wire.ToldT
+type pendingCall struct {
+	conn  *Conn
+	reply chan *wire.CallReplyT
 }
 
-// Ask calls and waits for the answer, until ctx or the connection ends.
-func (a *Asks) Ask(ctx context.Context, c *Conn, kind byte, body []byte) (*wire.ToldT, error) {
-	x := &asked{c: c, told: make(chan *wire.ToldT, 1)}
+// Call calls and waits for the answer, until ctx or the connection ends.
+func (a *Calls) Call(ctx context.Context, conn *Conn, kind byte, body []byte) (*wire.CallReplyT, error) {
+	call := &pendingCall{conn: conn, reply: make(chan *wire.CallReplyT, 1)}
 	a.mu.Lock()
-	if a.open == nil {
-		a.open = map[uint64]*asked{}
+	if a.pending == nil {
+		a.pending = map[uint64]*pendingCall{}
 	}
-	a.next++
-	id := a.next
-	a.open[id] = x
+	a.lastID++
+	id := a.lastID
+	a.pending[id] = call
 	a.mu.Unlock()
 	defer func() {
 		a.mu.Lock()
-		delete(a.open, id)
+		delete(a.pending, id)
 		a.mu.Unlock()
 	}()
-	if err := c.Send(&wire.AskT{Id: id, Kind: kind, Body: body}); err != nil {
+	if err := conn.Send(&wire.CallT{Id: id, Kind: kind, Body: body}); err != nil {
 		return nil, err
 	}
 	select {
-	case t := <-x.told:
-		return t, nil
-	case <-c.Done():
+	case reply := <-call.reply:
+		return reply, nil
+	case <-conn.Done():
 		return nil, ErrClosed
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// Told brings an answer; one that nobody waits for is dropped.
-func (a *Asks) Told(c *Conn, t *wire.ToldT) {
+// Deliver brings an answer; one that nobody waits for is dropped.
+func (a *Calls) Deliver(conn *Conn, reply *wire.CallReplyT) {
 	a.mu.Lock()
-	x := a.open[t.Id]
+	call := a.pending[reply.Id]
 	a.mu.Unlock()
-	if x != nil && x.c == c {
+	if call != nil && call.conn == conn {
 		select {
-		case x.told <- t:
+		case call.reply <- reply:
 		default:
 		}
 	}
@@ -63,14 +63,14 @@
 
 // Kinds of Ask.
 const (
-	AskModify  byte = iota + 1 // an operator's call, as it came
-	AskRead                    // up to which entry must be applied, so that nothing acknowledged is missing
-	AskTable                   // all items, confirmed
-	AskClaims                  // keys
-	AskRecall                  // between lines: the answer that was kept for a key
-	AskStatus                  // how the process is: a Status
-	AskRing                    // the lines of its log that it still has
-	AskInherit                 // between lines: keep what another kept of keys, a Legacy
-	AskHold                    // of a line: have its server taken out (a body that is not empty) or back in, by hand
-	AskBound                   // which set of namespaces and rulings binds, confirmed: a Bound
+	CallModify         byte = iota + 1 // an operator's call, as it came
+	CallReadIndex                      // up to which entry must be applied, so that nothing acknowledged is missing
+	CallItems                          // all items, confirmed
+	CallLeaseKeys                      // keys
+	CallStoredResponse                 // between lines: the answer that was kept for a key
+	CallStatus                         // how the process is: a Status
+	CallLogRing                        // the lines of its log that it still has
+	CallHandOverKeys                   // between lines: keep what another kept of keys, a Legacy
+	CallDrain                          // of a line: have its server taken out (a body that is not empty) or back in, by hand
+	CallActivePolicy                   // which set of namespaces and rulings binds, confirmed: a Bound
 )
--- a/internal/exchange/trunk/caller.go
+++ b/internal/exchange/trunk/caller.go
@@ -11,72 +11,72 @@
 
 // Errors of asking over a trunk of one's own.
 const (
-	ErrSilent  = errors.ConstError("no answer")
-	ErrRefused = errors.ConstError("refused")
+	ErrNoReply  = errors.ConstError("no answer")
+	ErrRejected = errors.ConstError("refused")
 )
 
-// Caller is a trunk to one process that is kept to ask it.
-type Caller struct {
-	c    *Conn
-	asks Asks
+// Client is a trunk to one process that is kept to ask it.
+type Client struct {
+	conn  *Conn
+	calls Calls
 }
 
-// Call opens a trunk. The context bounds the dial only; other is told, on one goroutine, whatever is no answer, and may be nil.
-func Call(ctx context.Context, addr, name string, other func(Message)) (*Caller, error) {
-	c, err := Dial(ctx, addr, &wire.HelloT{Name: name}, nil)
+// DialClient opens a trunk. The context bounds the dial only; other is told, on one goroutine, whatever is no answer, and may be nil.
+func DialClient(ctx context.Context, addr, name string, onMessage func(Message)) (*Client, error) {
+	conn, err := Dial(ctx, addr, &wire.HelloT{Name: name}, nil)
 	if err != nil {
-		return nil, errors.WithType(err, ErrSilent)
+		return nil, errors.WithType(err, ErrNoReply)
 	}
-	x := &Caller{c: c}
+	client := &Client{conn: conn}
 	go func() {
 		for {
-			m, err := c.Receive()
+			m, err := conn.Receive()
 			if err != nil {
 				return
 			}
-			if t, is := m.Value.(*wire.ToldT); is {
-				x.asks.Told(c, t)
-			} else if other != nil {
-				other(m)
+			if reply, is := m.Value.(*wire.CallReplyT); is {
+				client.calls.Deliver(conn, reply)
+			} else if onMessage != nil {
+				onMessage(m)
 			}
 		}
 	}()
-	return x, nil
+	return client, nil
 }
 
 // Close ends the trunk.
-func (x *Caller) Close() { x.c.Close(nil) }
+func (x *Client) Close() { x.conn.Close(nil) }
 
 // Done is closed with the trunk.
-func (x *Caller) Done() <-chan struct{} { return x.c.Done() }
+func (x *Client) Done() <-chan struct{} { return x.conn.Done() }
 
-// Ask calls, and gives the answer's body.
-func (x *Caller) Ask(ctx context.Context, kind byte, body []byte) ([]byte, error) {
-	t, err := x.asks.Ask(ctx, x.c, kind, body)
+// Call calls, and gives the answer's body.
+func (x *Client) Call(ctx context.Context, kind byte, body []byte) ([]byte, error) {
+	reply, err := x.calls.Call(ctx, x.conn, kind, body)
 	if err != nil {
-		return nil, errors.WithType(err, ErrSilent)
+		return nil, errors.WithType(err, ErrNoReply)
 	}
-	if t.Status != http.StatusOK {
-		return nil, errors.WithType(errors.Errorf("%s answers %d %s", x.c.Remote(), t.Status, t.Body), ErrRefused)
+	if reply.Status != http.StatusOK {
+		return nil, errors.WithType(errors.Errorf("%s answers %d %s", x.conn.RemoteAddr(), reply.Status, reply.Body), ErrRejected)
 	}
-	return t.Body, nil
+	return reply.Body, nil
 }
 
 // Status asks how the process is.
-func (x *Caller) Status(ctx context.Context) (*wire.StatusT, error) {
-	body, err := x.Ask(ctx, AskStatus, nil)
+func (x *Client) Status(ctx context.Context) (*wire.StatusT, error) {
+	body, err := x.Call(ctx, CallStatus, nil)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(body, func(p []byte) *wire.StatusT { return wire.GetRootAsStatus(p, 0).UnPack() })
+	return DecodeTable(body, func(p []byte) *wire.StatusT { return wire.GetRootAsStatus(p, 0).UnPack() })
 }
 
-// AskOne is Call and Ask of one process.
-func AskOne(ctx context.Context, addr, name string, kind byte, body []byte) ([]byte, error) {
-	x, err := Call(ctx, addr, name, nil)
+// CallOnce is Call and Ask of one process.
+func CallOnce(ctx context.Context, addr, name string, kind byte, body []byte) ([]byte, error) {
+	client, err := DialClient(ctx, addr, name, nil)
 	if err != nil {
 		return nil, err
 	}
-	defer x.Close()
-	return x.Ask(ctx, kind, body)
+	defer client.Close()
+	return client.Call(ctx, kind, body)
 }
--- a/internal/exchange/trunk/frame.go
+++ b/internal/exchange/trunk/frame.go
@@ -11,62 +11,62 @@
 
 // Message is one of the tables of the union Body, as flatc's objects.
 type Message struct {
-	Type  wire.Body
+	Type  wire.Payload
 	Value any
 }
 
-// Wrap names a message's type.
-func Wrap(v any) Message {
+// NewMessage names a message's type.
+func NewMessage(v any) Message {
 	switch v.(type) {
 	case *wire.HelloT:
-		return Message{wire.BodyHello, v}
-	case *wire.BeatT:
-		return Message{wire.BodyBeat, v}
+		return Message{wire.PayloadHello, v}
+	case *wire.HeartbeatT:
+		return Message{wire.PayloadHeartbeat, v}
 	case *wire.RequestT:
-		return Message{wire.BodyRequest, v}
-	case *wire.PieceT:
-		return Message{wire.BodyPiece, v}
-	case *wire.AnswerT:
-		return Message{wire.BodyAnswer, v}
-	case *wire.CreditT:
-		return Message{wire.BodyCredit, v}
+		return Message{wire.PayloadRequest, v}
+	case *wire.BodyChunkT:
+		return Message{wire.PayloadBodyChunk, v}
+	case *wire.ResponseT:
+		return Message{wire.PayloadResponse, v}
+	case *wire.WindowUpdateT:
+		return Message{wire.PayloadWindowUpdate, v}
 	case *wire.CancelT:
-		return Message{wire.BodyCancel, v}
+		return Message{wire.PayloadCancel, v}
 	case *wire.RecordsT:
-		return Message{wire.BodyRecords, v}
+		return Message{wire.PayloadRecords, v}
 	case *wire.ItemsT:
-		return Message{wire.BodyItems, v}
+		return Message{wire.PayloadItems, v}
 	case *wire.MembersT:
-		return Message{wire.BodyMembers, v}
-	case *wire.VoteT:
-		return Message{wire.BodyVote, v}
-	case *wire.AskT:
-		return Message{wire.BodyAsk, v}
-	case *wire.ToldT:
-		return Message{wire.BodyTold, v}
-	case *wire.OutsT:
-		return Message{wire.BodyOuts, v}
-	case *wire.BoundT:
-		return Message{wire.BodyBound, v}
+		return Message{wire.PayloadMembers, v}
+	case *wire.RaftMessageT:
+		return Message{wire.PayloadRaftMessage, v}
+	case *wire.CallT:
+		return Message{wire.PayloadCall, v}
+	case *wire.CallReplyT:
+		return Message{wire.PayloadCallReply, v}
+	case *wire.MachinesInMaintenanceT:
+		return Message{wire.PayloadMachinesInMaintenance, v}
+	case *wire.ActivePolicyT:
+		return Message{wire.PayloadActivePolicy, v}
 	}
 	panic("trunk: no message")
 }
 
-var builders = sync.Pool{New: func() any { return flatbuffers.NewBuilder(1 << 10) }}
+var builderPool = sync.Pool{New: func() any { return flatbuffers.NewBuilder(1 << 10) }}
 
 // Encode makes a frame of a message: its length in four bytes, and the buffer.
 func Encode(v any) []byte {
-	m := Wrap(v)
-	b := builders.Get().(*flatbuffers.Builder)
+	m := NewMessage(v)
+	b := builderPool.Get().(*flatbuffers.Builder)
 	b.Reset()
-	f := wire.FrameT{Body: &wire.BodyT{Type: m.Type, Value: m.Value}}
-	b.Finish(f.Pack(b))
+	frame := wire.FrameT{Payload: &wire.PayloadT{Type: m.Type, Value: m.Value}}
+	b.Finish(frame.Pack(b))
 	p := b.FinishedBytes()
 	out := make([]byte, 4+len(p))
 	binary.LittleEndian.PutUint32(out, uint32(len(p)))
 	copy(out[4:], p)
 	if cap(b.Bytes) <= 64<<10 {
-		builders.Put(b)
+		builderPool.Put(b)
 	}
 	return out
 }
@@ -76,33 +76,33 @@
 	Pack(*flatbuffers.Builder) flatbuffers.UOffsetT
 }
 
-// Bytes is a table by itself, for the body of an Ask or a record on disk.
-func Bytes(t Packer) []byte {
+// EncodeTable is a table by itself, for the body of an Ask or a record on disk.
+func EncodeTable(t Packer) []byte {
 	b := flatbuffers.NewBuilder(256)
 	b.Finish(t.Pack(b))
 	return b.FinishedBytes()
 }
 
-// Parse has read a table out of bytes that may be anything; an offset that leads nowhere is ErrFrame.
-func Parse[T any](p []byte, read func([]byte) T) (v T, err error) {
+// DecodeTable has read a table out of bytes that may be anything; an offset that leads nowhere is ErrFrame.
+func DecodeTable[T any](p []byte, read func([]byte) T) (v T, err error) {
 	defer func() {
 		if recover() != nil {
-			err = ErrFrame
+			err = ErrMalformedFrame
 		}
 	}()
 	if len(p) < 8 {
-		return v, ErrFrame
+		return v, ErrMalformedFrame
 	}
 	return read(p), nil
 }
 
 // Decode reads a frame without its length.
 func Decode(p []byte) (Message, error) {
-	return Parse(p, func(p []byte) Message {
-		f := wire.GetRootAsFrame(p, 0).UnPack()
-		if f.Body == nil {
+	return DecodeTable(p, func(p []byte) Message {
+		frame := wire.GetRootAsFrame(p, 0).UnPack()
+		if frame.Payload == nil {
 			return Message{}
 		}
-		return Message{f.Body.Type, f.Body.Value}
+		return Message{frame.Payload.Type, frame.Payload.Value}
 	})
 }
--- a/internal/exchange/trunk/head.go
+++ b/internal/exchange/trunk/head.go
@@ -10,28 +10,28 @@
 
 // Heads from this version on are packed: a FlatBuffers table for each field takes twice the bytes of most fields, and more of a
 // processor's time than all else in a frame.
-const PacksHeads = 2
+const PackedHeaderVersion = 2
 
-// names are header fields by number, from 1. It is never reordered, only added to with a new Version.
-var names = [...]string{"Attempt-Id", "Operation-Key", "Caller-Service", "Server-Seal", "Content-Type", "Date", "User-Agent", "Accept",
+// knownHeaderFields are header fields by number, from 1. It is never reordered, only added to with a new Version.
+var knownHeaderFields = [...]string{"Attempt-Id", "Operation-Key", "Caller-Service", "Server-Seal", "Content-Type", "Date", "User-Agent", "Accept",
 	"Accept-Encoding", "Accept-Language", "Not-Executed", "Retry-After", "Instance-Id", "Cache-Control", "Content-Encoding", "Content-Language",
 	"Content-Range", "Etag", "Last-Modified", "Location", "Vary", "Authorization", "Cookie", "Set-Cookie", "If-None-Match", "Range",
 	"X-Request-Id", "Traceparent", "Tracestate"}
 
-var numbers = func() map[string]uint64 {
+var headerFieldNumbers = func() map[string]uint64 {
 	m := map[string]uint64{}
-	for i, n := range names {
+	for i, n := range knownHeaderFields {
 		m[n] = uint64(i + 1)
 	}
 	return m
 }()
 
-// ErrHead is that a packed head is none.
-const ErrHead = errors.ConstError("the head can't be read")
+// ErrMalformedHeader is that a packed head is none.
+const ErrMalformedHeader = errors.ConstError("the head can't be read")
 
-// PackField adds a field to a packed head: the name's number, or 0 and the name, then the value.
-func PackField(p []byte, name, value string) []byte {
-	n := numbers[name]
+// AppendHeaderField adds a field to a packed head: the name's number, or 0 and the name, then the value.
+func AppendHeaderField(p []byte, name, value string) []byte {
+	n := headerFieldNumbers[name]
 	p = binary.AppendUvarint(p, n)
 	if n == 0 {
 		p = binary.AppendUvarint(p, uint64(len(name)))
@@ -41,12 +41,12 @@
 	return append(p, value...)
 }
 
-// UnpackHead reads a packed head. Its strings hold no bytes of it.
-func UnpackHead(p []byte) (l []*wire.FieldT, err error) {
+// UnpackHeader reads a packed head. Its strings hold no bytes of it.
+func UnpackHeader(p []byte) (fields []*wire.HeaderFieldT, err error) {
 	number := func() (n uint64) {
 		n, size := binary.Uvarint(p)
 		if size <= 0 {
-			err = ErrHead
+			err = ErrMalformedHeader
 			return 0
 		}
 		p = p[size:]
@@ -55,7 +55,7 @@
 	text := func() string {
 		n := number()
 		if err != nil || n > uint64(len(p)) {
-			err = ErrHead
+			err = ErrMalformedHeader
 			return ""
 		}
 		s := string(p[:n])
@@ -63,33 +63,33 @@
 		return s
 	}
 	for len(p) > 0 && err == nil {
-		f := &wire.FieldT{}
+		f := &wire.HeaderFieldT{}
 		switch n := number(); {
 		case n == 0:
 			f.Name = text()
-		case n <= uint64(len(names)):
-			f.Name = names[n-1]
+		case n <= uint64(len(knownHeaderFields)):
+			f.Name = knownHeaderFields[n-1]
 		default:
-			return nil, ErrHead
+			return nil, ErrMalformedHeader
 		}
 		f.Value = text()
-		l = append(l, f)
+		fields = append(fields, f)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return l, nil
+	return fields, nil
 }
 
-// PackAnswer words an answer's head for whoever packs heads. The answer itself stays as it is: it may be kept.
-func PackAnswer(a *wire.AnswerT) *wire.AnswerT {
-	if len(a.Fields) == 0 {
-		return a
+// PackResponse words an answer's head for whoever packs heads. The answer itself stays as it is: it may be kept.
+func PackResponse(response *wire.ResponseT) *wire.ResponseT {
+	if len(response.HeaderFields) == 0 {
+		return response
 	}
-	out := *a
-	out.Fields = nil
-	for _, f := range a.Fields {
-		out.Head = PackField(out.Head, f.Name, f.Value)
+	packed := *response
+	packed.HeaderFields = nil
+	for _, f := range response.HeaderFields {
+		packed.PackedHeader = AppendHeaderField(packed.PackedHeader, f.Name, f.Value)
 	}
-	return &out
+	return &packed
 }
--- a/internal/exchange/trunk/head_test.go
+++ b/internal/exchange/trunk/head_test.go
@@ -11,41 +11,41 @@
 
 // Whatever fields there are, known by number or not, come back as they were, in their order; a head that is cut anywhere within a
 // field, or of an unknown number, is an error and no panic.
-func TestHeads(t *testing.T) {
-	fields := []*wire.FieldT{{Name: "Attempt-Id", Value: "9c41d07be2a35f68"}, {Name: "X-Own", Value: ""}, {Name: "", Value: "v"}, {Name: "X-Own", Value: "again"},
+func TestPackedHeaderRoundTrips(t *testing.T) {
+	fields := []*wire.HeaderFieldT{{Name: "Attempt-Id", Value: "9c41d07be2a35f68"}, {Name: "X-Own", Value: ""}, {Name: "", Value: "v"}, {Name: "X-Own", Value: "again"},
 		{Name: "Tracestate", Value: string(make([]byte, 300))}}
-	a := PackAnswer(&wire.AnswerT{Fields: fields, Status: 200})
-	assert.Assert(t, a.Fields == nil && len(a.Head) < 360)
-	got, err := UnpackHead(a.Head)
+	a := PackResponse(&wire.ResponseT{HeaderFields: fields, Status: 200})
+	assert.Assert(t, a.HeaderFields == nil && len(a.PackedHeader) < 360)
+	got, err := UnpackHeader(a.PackedHeader)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, fields)
 	whole := map[int]bool{0: true}
 	var p []byte
 	for _, f := range fields {
-		p = PackField(p, f.Name, f.Value)
+		p = AppendHeaderField(p, f.Name, f.Value)
 		whole[len(p)] = true
 	}
-	for n := range a.Head {
-		_, err := UnpackHead(a.Head[:n])
-		assert.Equal(t, errors.Is(err, ErrHead), !whole[n], "cut at %d: %v", n, err)
+	for n := range a.PackedHeader {
+		_, err := UnpackHeader(a.PackedHeader[:n])
+		assert.Equal(t, errors.Is(err, ErrMalformedHeader), !whole[n], "cut at %d: %v", n, err)
 	}
-	_, err = UnpackHead([]byte{200, 1, 0})
-	assert.Assert(t, errors.Is(err, ErrHead))
-	assert.Equal(t, len(numbers), len(names), "each name once")
+	_, err = UnpackHeader([]byte{200, 1, 0})
+	assert.Assert(t, errors.Is(err, ErrMalformedHeader))
+	assert.Equal(t, len(headerFieldNumbers), len(knownHeaderFields), "each name once")
 }
 
-func FuzzHead(f *testing.F) {
-	f.Add(PackField(PackField(nil, "Date", "now"), "X", "y"))
+func FuzzUnpackHeader(f *testing.F) {
+	f.Add(AppendHeaderField(AppendHeaderField(nil, "Date", "now"), "X", "y"))
 	f.Fuzz(func(t *testing.T, p []byte) {
-		l, err := UnpackHead(p)
+		l, err := UnpackHeader(p)
 		if err != nil {
 			return
 		}
 		var again []byte
 		for _, x := range l {
-			again = PackField(again, x.Name, x.Value)
+			again = AppendHeaderField(again, x.Name, x.Value)
 		}
-		back, err := UnpackHead(again)
+		back, err := UnpackHeader(again)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, back, l)
 	})
--- a/internal/exchange/trunk/trunk.go
+++ b/internal/exchange/trunk/trunk.go
@@ -20,145 +20,145 @@
 	"hollyspur/internal/exchange/trunk/wire"
 )
 
-// Version is what Hello tells, and a line's record. A process takes any other: fields are only ever added, and what only a
+// ProtocolVersion is what Hello tells, and a line's record. A process takes any other: fields are only ever added, and what only a
 // later version reads is sent to that alone. 2: heads are packed (head.go).
-const Version = 2
+const ProtocolVersion = 2
 
 // Limits of a connection.
 const (
-	mostFrame  = 32 << 20 // bytes of one frame: a snapshot is one
-	mostQueued = 48 << 20 // bytes that wait to be written; beyond that the other side does not read
-	// writeWithin is how long the other side may take nothing, and mostWrite how many bytes are given to the socket at a time:
+	maxFrameBytes  = 32 << 20 // bytes of one frame: a snapshot is one
+	maxQueuedBytes = 48 << 20 // bytes that wait to be written; beyond that the other side does not read
+	// writeTimeout is how long the other side may take nothing, and mostWrite how many bytes are given to the socket at a time:
 	// a slow link that moves is no silence.
-	writeWithin = 2 * time.Second
-	mostWrite   = 64 << 10
-	mostUnsent  = 128 << 10 // bytes that wait in the socket to be sent
-	DialWithin  = 400 * time.Millisecond
-	Every       = 300 * time.Millisecond // beats, where one side has something open
-	Silence     = 1200 * time.Millisecond
-	Calm        = 5 // times as long, both, where nothing is
+	writeTimeout      = 2 * time.Second
+	maxWriteBytes     = 64 << 10
+	maxUnsentBytes    = 128 << 10 // bytes that wait in the socket to be sent
+	DialTimeout       = 400 * time.Millisecond
+	HeartbeatInterval = 300 * time.Millisecond // beats, where one side has something open
+	PeerTimeout       = 1200 * time.Millisecond
+	IdleFactor        = 5 // times as long, both, where nothing is
 )
 
 // Errors of this layer.
 var (
-	ErrClosed  = errors.New("the trunk is closed")
-	ErrQueue   = errors.New("the other side of the trunk does not read")
-	ErrFrame   = errors.New("malformed frame")
-	ErrVersion = errors.New("no hello")
+	ErrClosed         = errors.New("the trunk is closed")
+	ErrQueueFull      = errors.New("the other side of the trunk does not read")
+	ErrMalformedFrame = errors.New("malformed frame")
+	ErrNoHello        = errors.New("no hello")
 )
 
 // Conn is one connection. Send may be called from any goroutine; Receive from one.
 type Conn struct {
-	nc   net.Conn
-	r    *bufio.Reader
-	Peer *wire.HelloT // what the dialler told; on the dialling side what it told itself
-	beat func() []byte
+	netConn         net.Conn
+	reader          *bufio.Reader
+	Peer            *wire.HelloT // what the dialler told; on the dialling side what it told itself
+	encodeHeartbeat func() []byte
 	// always: beats go out whatever else was said
-	always bool
-	within time.Duration // writeWithin; less in tests
-	open   atomic.Int64  // what this side waits for on it, or works on
-	busy   atomic.Int64  // Unix ns since when there is anything
-	heard  atomic.Int64  // Unix ns of the latest bytes
+	alwaysHeartbeat bool
+	writeTimeout    time.Duration // writeWithin; less in tests
+	pending         atomic.Int64  // what this side waits for on it, or works on
+	pendingSince    atomic.Int64  // Unix ns since when there is anything
+	lastReceived    atomic.Int64  // Unix ns of the latest bytes
 
-	writing sync.Mutex // held over a write, and to end the writing
-	ended   bool       // nothing more is written; guarded by writing
+	writeMu     sync.Mutex // held over a write, and to end the writing
+	writeClosed bool       // nothing more is written; guarded by writing
 
-	mu     sync.Mutex // guards below
-	queue  [][]byte
-	queued int
-	err    error
-	wake   chan struct{}
-	done   chan struct{}
+	mu          sync.Mutex // guards below
+	queue       [][]byte
+	queuedBytes int
+	err         error
+	wake        chan struct{}
+	done        chan struct{}
 }
 
-func newConn(nc net.Conn, beat func() *wire.BeatT) *Conn {
-	c := &Conn{nc: nc, within: writeWithin, wake: make(chan struct{}, 1), done: make(chan struct{})}
-	c.r = bufio.NewReaderSize(listening{c}, 16<<10)
-	c.beat = func() []byte { return Encode(&wire.BeatT{}) }
-	if beat != nil { // it says more than that the sender is there, so other words don't stand for it
-		c.beat, c.always = func() []byte { return Encode(beat()) }, true
+func newConn(netConn net.Conn, heartbeat func() *wire.HeartbeatT) *Conn {
+	c := &Conn{netConn: netConn, writeTimeout: writeTimeout, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	c.reader = bufio.NewReaderSize(receiveTracker{c}, 16<<10)
+	c.encodeHeartbeat = func() []byte { return Encode(&wire.HeartbeatT{}) }
+	if heartbeat != nil { // it says more than that the sender is there, so other words don't stand for it
+		c.encodeHeartbeat, c.alwaysHeartbeat = func() []byte { return Encode(heartbeat()) }, true
 	}
-	c.heard.Store(time.Now().UnixNano())
-	go c.write()
+	c.lastReceived.Store(time.Now().UnixNano())
+	go c.writeLoop()
 	return c
 }
 
-// hasten has a connection whose other side lost power end soon, also while bytes are under way, and one whose link is slow tell
+// setSocketOptions has a connection whose other side lost power end soon, also while bytes are under way, and one whose link is slow tell
 // soon that it moves.
-func hasten(_, _ string, c syscall.RawConn) error {
+func setSocketOptions(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(Silence/time.Millisecond))
+		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(PeerTimeout/time.Millisecond))
 		// Else a full buffer of megabytes has room again only when a third of it has gone, which a slow link takes seconds for.
-		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, mostUnsent)
+		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, maxUnsentBytes)
 	})
 }
 
 // Dial opens a connection and says who calls. beat makes the beats; nil: plain ones.
-func Dial(ctx context.Context, addr string, hello *wire.HelloT, beat func() *wire.BeatT) (*Conn, error) {
-	d := net.Dialer{Timeout: DialWithin, Control: hasten, KeepAlive: -1}
-	nc, err := d.DialContext(ctx, "tcp4", addr)
+func Dial(ctx context.Context, addr string, hello *wire.HelloT, heartbeat func() *wire.HeartbeatT) (*Conn, error) {
+	d := net.Dialer{Timeout: DialTimeout, Control: setSocketOptions, KeepAlive: -1}
+	netConn, err := d.DialContext(ctx, "tcp4", addr)
 	if err != nil {
 		return nil, errors.Annotatef(err, "trunk to %s", addr)
 	}
-	c := newConn(nc, beat)
-	c.Peer = hello
-	hello.Version = Version
-	c.Send(hello)
-	return c, nil
+	conn := newConn(netConn, heartbeat)
+	conn.Peer = hello
+	hello.TransportVersion = ProtocolVersion
+	conn.Send(hello)
+	return conn, nil
 }
 
 // Accept takes a connection over and reads who calls.
-func Accept(nc net.Conn, beat func() *wire.BeatT) (*Conn, error) {
-	if t, is := nc.(*net.TCPConn); is {
-		if raw, err := t.SyscallConn(); err == nil {
-			hasten("", "", raw)
+func Accept(netConn net.Conn, heartbeat func() *wire.HeartbeatT) (*Conn, error) {
+	if tcp, is := netConn.(*net.TCPConn); is {
+		if raw, err := tcp.SyscallConn(); err == nil {
+			setSocketOptions("", "", raw)
 		}
-		t.SetKeepAlive(false)
+		tcp.SetKeepAlive(false)
 	}
-	c := newConn(nc, beat)
-	m, err := c.Receive()
+	conn := newConn(netConn, heartbeat)
+	m, err := conn.Receive()
 	if err == nil {
-		if c.Peer, _ = m.Value.(*wire.HelloT); c.Peer == nil {
-			err = ErrVersion
+		if conn.Peer, _ = m.Value.(*wire.HelloT); conn.Peer == nil {
+			err = ErrNoHello
 		}
 	}
 	if err != nil {
-		c.Close(err)
+		conn.Close(err)
 		return nil, err
 	}
-	return c, nil
+	return conn, nil
 }
 
-// Open counts what this side waits for on the connection, or works on for the other: both sides beat often while there is
+// AddPending counts what this side waits for on the connection, or works on for the other: both sides beat often while there is
 // any, for whoever waits must find out soon that the other has gone.
-func (c *Conn) Open(n int64) {
-	if n > 0 && c.open.Load() == 0 {
-		c.busy.Store(time.Now().UnixNano())
+func (c *Conn) AddPending(n int64) {
+	if n > 0 && c.pending.Load() == 0 {
+		c.pendingSince.Store(time.Now().UnixNano())
 	}
-	c.open.Add(n)
+	c.pending.Add(n)
 }
 
-// Waits is how much of Open is left.
-func (c *Conn) Waits() int64 { return c.open.Load() }
+// Pending is how much of Open is left.
+func (c *Conn) Pending() int64 { return c.pending.Load() }
 
 // Send queues a message. It does not wait; where the other side does not read, the connection ends.
 func (c *Conn) Send(v any) error { return c.SendFrame(Encode(v)) }
 
 // SendFrame is Send for what Encode made before.
-func (c *Conn) SendFrame(p []byte) error {
+func (c *Conn) SendFrame(frame []byte) error {
 	c.mu.Lock()
 	if c.err != nil {
 		c.mu.Unlock()
 		return ErrClosed
 	}
-	if c.queued+len(p) > mostQueued {
+	if c.queuedBytes+len(frame) > maxQueuedBytes {
 		c.mu.Unlock()
-		c.Close(ErrQueue)
-		return ErrQueue
+		c.Close(ErrQueueFull)
+		return ErrQueueFull
 	}
-	count(p)
-	c.queue = append(c.queue, p)
-	c.queued += len(p)
+	countSent(frame)
+	c.queue = append(c.queue, frame)
+	c.queuedBytes += len(frame)
 	c.mu.Unlock()
 	select {
 	case c.wake <- struct{}{}:
@@ -167,32 +167,32 @@
 	return nil
 }
 
-// write writes what is queued, all that there is at a time, and beats where nothing else was to be said.
-func (c *Conn) write() {
-	tick := time.NewTicker(Every)
-	defer tick.Stop()
-	idle := 0 // ticks in which nothing was said
+// writeLoop writes what is queued, all that there is at a time, and beats where nothing else was to be said.
+func (c *Conn) writeLoop() {
+	ticker := time.NewTicker(HeartbeatInterval)
+	defer ticker.Stop()
+	idleTicks := 0 // ticks in which nothing was said
 	for {
-		var beat []byte
+		var heartbeat []byte
 		select {
 		case <-c.done:
 			return
 		case <-c.wake:
-		case <-tick.C:
-			now, heard, calm := time.Now().UnixNano(), c.heard.Load(), c.open.Load() == 0
-			if silent := now - heard; silent > int64(Calm*Silence) || !calm && now-max(heard, c.busy.Load()) > int64(Silence) {
+		case <-ticker.C:
+			now, received, nothingPending := time.Now().UnixNano(), c.lastReceived.Load(), c.pending.Load() == 0
+			if silence := now - received; silence > int64(IdleFactor*PeerTimeout) || !nothingPending && now-max(received, c.pendingSince.Load()) > int64(PeerTimeout) {
 				c.Close(errors.New("the other side of the trunk is silent"))
 				return
 			}
-			if idle++; !c.always && (idle < 2 || calm && idle < Calm) {
+			if idleTicks++; !c.alwaysHeartbeat && (idleTicks < 2 || nothingPending && idleTicks < IdleFactor) {
 				continue
 			}
-			beat = c.beat()
-			count(beat)
+			heartbeat = c.encodeHeartbeat()
+			countSent(heartbeat)
 		}
-		wrote, err := c.put(beat)
+		wrote, err := c.writeQueued(heartbeat)
 		if wrote {
-			idle = 0
+			idleTicks = 0
 		}
 		if err != nil {
 			c.Close(err)
@@ -201,38 +201,38 @@
 	}
 }
 
-// put writes a beat, if there is one, and what is queued, all that there is at a time.
-func (c *Conn) put(beat []byte) (wrote bool, err error) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	if c.ended {
+// writeQueued writes a beat, if there is one, and what is queued, all that there is at a time.
+func (c *Conn) writeQueued(heartbeat []byte) (wrote bool, err error) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	if c.writeClosed {
 		return false, nil
 	}
-	var out net.Buffers
-	if beat != nil {
-		out = append(out, beat)
+	var frames net.Buffers
+	if heartbeat != nil {
+		frames = append(frames, heartbeat)
 	}
 	c.mu.Lock()
-	out = append(out, c.queue...)
-	c.queue, c.queued = nil, 0
+	frames = append(frames, c.queue...)
+	c.queue, c.queuedBytes = nil, 0
 	c.mu.Unlock()
-	if len(out) == 0 {
+	if len(frames) == 0 {
 		return false, nil
 	}
-	return true, c.writeAll(out)
+	return true, c.writeAll(frames)
 }
 
 // writeAll writes frames, together where they are short and in parts where they are long, each part within writeWithin.
 func (c *Conn) writeAll(frames net.Buffers) error {
 	for len(frames) > 0 {
-		part, rest := firstPart(frames)
+		part, rest := splitWrite(frames)
 		frames = rest
-		c.nc.SetWriteDeadline(time.Now().Add(c.within))
+		c.netConn.SetWriteDeadline(time.Now().Add(c.writeTimeout))
 		var err error
 		if len(part) == 1 {
-			_, err = c.nc.Write(part[0])
+			_, err = c.netConn.Write(part[0])
 		} else {
-			_, err = part.WriteTo(c.nc)
+			_, err = part.WriteTo(c.netConn)
 		}
 		if err != nil {
 			return err
@@ -241,36 +241,36 @@
 	return nil
 }
 
-// firstPart cuts off what is written at a time.
-func firstPart(frames net.Buffers) (part, rest net.Buffers) {
+// splitWrite cuts off what is written at a time.
+func splitWrite(frames net.Buffers) (part, rest net.Buffers) {
 	size := 0
-	for n, f := range frames {
-		if size += len(f); size > mostWrite {
-			keep := len(f) - (size - mostWrite)
+	for n, frame := range frames {
+		if size += len(frame); size > maxWriteBytes {
+			fits := len(frame) - (size - maxWriteBytes)
 			part = append(part, frames[:n]...)
-			part = append(part, f[:keep])
-			frames[n] = f[keep:]
+			part = append(part, frame[:fits])
+			frames[n] = frame[fits:]
 			return part, frames[n:]
 		}
 	}
 	return frames, nil
 }
 
-// Finish ends a connection once all that was said has been written and the other side has read it and closed its own end; somebody
+// Shutdown ends a connection once all that was said has been written and the other side has read it and closed its own end; somebody
 // has to go on receiving. A process that only ended would reset it wherever anything had come that it had not read, and what
 // it had said last would be lost.
-func (c *Conn) Finish(ctx context.Context) {
-	look := time.NewTicker(5 * time.Millisecond)
-	defer look.Stop()
-	for c.writing.Lock(); !c.Flushed() && c.Err() == nil && ctx.Err() == nil; c.writing.Lock() {
-		c.writing.Unlock()
-		<-look.C
+func (c *Conn) Shutdown(ctx context.Context) {
+	ticker := time.NewTicker(5 * time.Millisecond)
+	defer ticker.Stop()
+	for c.writeMu.Lock(); !c.Flushed() && c.Err() == nil && ctx.Err() == nil; c.writeMu.Lock() {
+		c.writeMu.Unlock()
+		<-ticker.C
 	}
-	c.ended = true
-	if t, is := c.nc.(interface{ CloseWrite() error }); is {
+	c.writeClosed = true
+	if t, is := c.netConn.(interface{ CloseWrite() error }); is {
 		t.CloseWrite()
 	}
-	c.writing.Unlock()
+	c.writeMu.Unlock()
 	select {
 	case <-c.done:
 	case <-ctx.Done():
@@ -278,13 +278,13 @@
 	}
 }
 
-// listening reads a connection and notes when anything came.
-type listening struct{ c *Conn }
+// receiveTracker reads a connection and notes when anything came.
+type receiveTracker struct{ conn *Conn }
 
-func (l listening) Read(p []byte) (int, error) {
-	n, err := l.c.nc.Read(p)
+func (l receiveTracker) Read(p []byte) (int, error) {
+	n, err := l.conn.netConn.Read(p)
 	if n > 0 {
-		l.c.heard.Store(time.Now().UnixNano())
+		l.conn.lastReceived.Store(time.Now().UnixNano())
 	}
 	return n, err
 }
@@ -292,28 +292,28 @@
 // Receive waits for the next message that is no plain beat of a line.
 func (c *Conn) Receive() (Message, error) {
 	for {
-		var head [4]byte
-		if _, err := io.ReadFull(c.r, head[:]); err != nil {
+		var lengthPrefix [4]byte
+		if _, err := io.ReadFull(c.reader, lengthPrefix[:]); err != nil {
 			c.Close(err)
 			return Message{}, err
 		}
-		n := binary.LittleEndian.Uint32(head[:])
-		if n > mostFrame {
-			c.Close(ErrFrame)
-			return Message{}, ErrFrame
+		n := binary.LittleEndian.Uint32(lengthPrefix[:])
+		if n > maxFrameBytes {
+			c.Close(ErrMalformedFrame)
+			return Message{}, ErrMalformedFrame
 		}
-		p := make([]byte, n)
-		if _, err := io.ReadFull(c.r, p); err != nil {
+		frame := make([]byte, n)
+		if _, err := io.ReadFull(c.reader, frame); err != nil {
 			c.Close(err)
 			return Message{}, err
 		}
-		m, err := Decode(p)
+		m, err := Decode(frame)
 		if err != nil {
 			c.Close(err)
 			return Message{}, err
 		}
-		heard.add(m.Type, len(head)+len(p))
-		if m.Type == wire.BodyNONE {
+		receivedTraffic.add(m.Type, len(lengthPrefix)+len(frame))
+		if m.Type == wire.PayloadNONE {
 			continue // of a later version
 		}
 		return m, nil
@@ -321,24 +321,24 @@
 }
 
 // Close ends the connection, for that reason; only the first counts.
-func (c *Conn) Close(why error) {
+func (c *Conn) Close(reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err == nil {
-		c.err = why
-		if why == nil {
+		c.err = reason
+		if reason == nil {
 			c.err = ErrClosed
 		}
 		close(c.done)
-		c.nc.Close()
+		c.netConn.Close()
 	}
 }
 
-// Heard is when the latest bytes came: a long frame over a slow link is no silence.
-func (c *Conn) Heard() time.Time { return time.Unix(0, c.heard.Load()) }
+// LastReceived is when the latest bytes came: a long frame over a slow link is no silence.
+func (c *Conn) LastReceived() time.Time { return time.Unix(0, c.lastReceived.Load()) }
 
-// Remote is the other side's address.
-func (c *Conn) Remote() string { return c.nc.RemoteAddr().String() }
+// RemoteAddr is the other side's address.
+func (c *Conn) RemoteAddr() string { return c.netConn.RemoteAddr().String() }
 
 // Done is closed with the connection.
 func (c *Conn) Done() <-chan struct{} { return c.done }
--- a/internal/exchange/trunk/trunk_test.go
+++ b/internal/exchange/trunk/trunk_test.go
@@ -11,26 +11,26 @@
 	"hollyspur/internal/exchange/trunk/wire"
 )
 
-func TestFrames(t *testing.T) {
-	for _, v := range []any{&wire.HelloT{Name: "n", Life: 3}, &wire.BeatT{Touch: true}, &wire.RequestT{Id: 1, Body: []byte("b"), Fields: []*wire.FieldT{{Name: "a", Value: "b"}}},
-		&wire.AnswerT{Id: 1, Status: 200}, &wire.PieceT{Last: true}, &wire.CreditT{Bytes: 5}, &wire.CancelT{Id: 9}, &wire.RecordsT{}, &wire.ItemsT{Whole: true},
-		&wire.MembersT{Index: 4}, &wire.VoteT{Term: 8, Snapshot: &wire.SnapshotT{Index: 2}}, &wire.AskT{Kind: 1}, &wire.ToldT{Status: 503}} {
+func TestEveryMessageRoundTrips(t *testing.T) {
+	for _, v := range []any{&wire.HelloT{Name: "n", Incarnation: 3}, &wire.HeartbeatT{QuorumContact: true}, &wire.RequestT{Id: 1, Body: []byte("b"), HeaderFields: []*wire.HeaderFieldT{{Name: "a", Value: "b"}}},
+		&wire.ResponseT{Id: 1, Status: 200}, &wire.BodyChunkT{Last: true}, &wire.WindowUpdateT{Increment: 5}, &wire.CancelT{Id: 9}, &wire.RecordsT{}, &wire.ItemsT{Complete: true},
+		&wire.MembersT{Index: 4}, &wire.RaftMessageT{Term: 8, Snapshot: &wire.SnapshotT{Index: 2}}, &wire.CallT{Kind: 1}, &wire.CallReplyT{Status: 503}} {
 		frame := Encode(v)
 		m, err := Decode(frame[4:])
 		assert.NilError(t, err)
-		assert.Equal(t, m.Type, Wrap(v).Type)
+		assert.Equal(t, m.Type, NewMessage(v).Type)
 	}
 }
 
 // Whatever comes is read, or is a plain error.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(&wire.RequestT{Id: 1, Method: "GET", Fields: []*wire.FieldT{{Name: "a"}}})[4:])
-	f.Add(Encode(&wire.VoteT{Entries: []*wire.EntryT{{Index: 1}}})[4:])
+	f.Add(Encode(&wire.RequestT{Id: 1, Method: "GET", HeaderFields: []*wire.HeaderFieldT{{Name: "a"}}})[4:])
+	f.Add(Encode(&wire.RaftMessageT{Entries: []*wire.EntryT{{Index: 1}}})[4:])
 	f.Fuzz(func(t *testing.T, p []byte) { Decode(p) })
 }
 
 // A call is answered, by its connection alone; one whose connection ends is told so.
-func TestAsks(t *testing.T) {
+func TestReplyIsTakenFromItsConnectionOnly(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -48,7 +48,7 @@
 			accepted <- c
 		}
 	}()
-	var asks Asks
+	var calls Calls
 	dial := func() *Conn {
 		c, err := Dial(context.Background(), l.Addr().String(), &wire.HelloT{Name: "test"}, nil)
 		assert.NilError(t, err)
@@ -58,32 +58,32 @@
 				if err != nil {
 					return
 				}
-				if told, is := m.Value.(*wire.ToldT); is {
-					asks.Told(c, told)
+				if reply, is := m.Value.(*wire.CallReplyT); is {
+					calls.Deliver(c, reply)
 				}
 			}
 		}()
 		return c
 	}
 	one := dial()
-	far := <-accepted
-	assert.Equal(t, far.Peer.Name, "test")
+	peer := <-accepted
+	assert.Equal(t, peer.Peer.Name, "test")
 	other := dial()
 	stranger := <-accepted
-	done := make(chan *wire.ToldT, 1)
+	done := make(chan *wire.CallReplyT, 1)
 	go func() {
-		told, _ := asks.Ask(context.Background(), one, AskRead, []byte("q"))
-		done <- told
+		reply, _ := calls.Call(context.Background(), one, CallReadIndex, []byte("q"))
+		done <- reply
 	}()
-	m, err := far.Receive()
+	m, err := peer.Receive()
 	assert.NilError(t, err)
-	ask := m.Value.(*wire.AskT)
-	assert.NilError(t, stranger.Send(&wire.ToldT{Id: ask.Id, Status: 500}))
-	assert.NilError(t, far.Send(&wire.ToldT{Id: ask.Id, Status: 200}))
+	call := m.Value.(*wire.CallT)
+	assert.NilError(t, stranger.Send(&wire.CallReplyT{Id: call.Id, Status: 500}))
+	assert.NilError(t, peer.Send(&wire.CallReplyT{Id: call.Id, Status: 200}))
 	assert.Equal(t, (<-done).Status, uint16(200))
 	failed := make(chan error, 1)
 	go func() {
-		_, err := asks.Ask(context.Background(), other, AskRead, nil)
+		_, err := calls.Call(context.Background(), other, CallReadIndex, nil)
 		failed <- err
 	}()
 	_, err = stranger.Receive()
@@ -92,11 +92,11 @@
 	assert.Assert(t, <-failed != nil)
 }
 
-// receiveWord is Receive past the beats, which come whenever a machine is slow.
-func receiveWord(c *Conn) (Message, error) {
+// receiveMessage is Receive past the beats, which come whenever a machine is slow.
+func receiveMessage(c *Conn) (Message, error) {
 	for {
 		m, err := c.Receive()
-		if err != nil || m.Type != wire.BodyBeat {
+		if err != nil || m.Type != wire.PayloadHeartbeat {
 			return m, err
 		}
 	}
@@ -104,7 +104,7 @@
 
 // What was said before a connection is finished is all read by the other side, however slowly it reads and whatever it still
 // says itself; Finish returns once it has, or when its time is over.
-func TestFinish(t *testing.T) {
+func TestShutdownDeliversWhatWasSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer l.Close()
@@ -131,20 +131,20 @@
 	const pieces = 400
 	var frames [pieces][]byte
 	for n := range frames { // made before the first goes: the other side, which reads none yet, has the time of a write only
-		frames[n] = Encode(&wire.PieceT{Id: uint64(n), Body: make([]byte, 64<<10)})
+		frames[n] = Encode(&wire.BodyChunkT{Id: uint64(n), Data: make([]byte, 64<<10)})
 	}
 	for _, f := range frames { // far more than the sockets hold
 		assert.NilError(t, near.SendFrame(f))
 	}
 	finished := make(chan struct{})
-	go func() { near.Finish(context.Background()); close(finished) }()
+	go func() { near.Shutdown(context.Background()); close(finished) }()
 	for n := range pieces {
-		far.Send(&wire.CreditT{Id: uint64(n)}) // on its way as the other side ends
-		m, err := receiveWord(far)
+		far.Send(&wire.WindowUpdateT{Id: uint64(n)}) // on its way as the other side ends
+		m, err := receiveMessage(far)
 		assert.NilError(t, err, "piece %d", n)
-		assert.Equal(t, m.Value.(*wire.PieceT).Id, uint64(n))
+		assert.Equal(t, m.Value.(*wire.BodyChunkT).Id, uint64(n))
 	}
-	_, err = receiveWord(far)
+	_, err = receiveMessage(far)
 	assert.Assert(t, err != nil)
 	<-finished
 	// One that never reads is not waited for beyond the time.
@@ -153,7 +153,7 @@
 	defer silent.Close(nil)
 	near = <-accepted
 	ctx, cancel := context.WithCancel(context.Background())
-	go func() { near.Finish(ctx); close(accepted) }()
+	go func() { near.Shutdown(ctx); close(accepted) }()
 	cancel()
 	<-accepted
 	assert.Assert(t, near.Err() != nil)
@@ -161,18 +161,18 @@
 
 // A link that is slow and moves is no silence, however much waits to be written: the time for a write counts for each part. One
 // that takes nothing ends the connection.
-func TestSlowLink(t *testing.T) {
+func TestSlowLinkIsNotSilence(t *testing.T) {
 	const within, frames, frame = 500 * time.Millisecond, 16, 256 << 10
 	var encoded [frames][]byte // before the first goes: the other side, which reads none yet, has the time of a write only
 	for n := range encoded {
-		encoded[n] = Encode(&wire.PieceT{Id: uint64(n), Body: make([]byte, frame)})
+		encoded[n] = Encode(&wire.BodyChunkT{Id: uint64(n), Data: make([]byte, frame)})
 	}
 	for _, moves := range []bool{true, false} {
 		nc, far := net.Pipe()
 		c := newConn(nc, nil)
-		c.writing.Lock()
-		c.within = within
-		c.writing.Unlock()
+		c.writeMu.Lock()
+		c.writeTimeout = within
+		c.writeMu.Unlock()
 		began := time.Now()
 		for n := range frames {
 			if err := c.SendFrame(encoded[n]); moves {
@@ -185,9 +185,9 @@
 			continue
 		}
 		// Slower than all of it in the time for one write, and each part well within it.
-		pause := 2 * within / (frames * frame / mostWrite)
+		pause := 2 * within / (frames * frame / maxWriteBytes)
 		var got int
-		for buf := make([]byte, mostWrite); got < frames*frame; time.Sleep(pause) {
+		for buf := make([]byte, maxWriteBytes); got < frames*frame; time.Sleep(pause) {
 			n, err := far.Read(buf)
 			assert.NilError(t, err, "after %d bytes", got)
 			got += n
@@ -199,7 +199,7 @@
 }
 
 // A frame that comes in parts is heard with each: whoever waits does not take it for silence.
-func TestHeardWithinFrame(t *testing.T) {
+func TestPartialFrameCountsAsReceived(t *testing.T) {
 	nc, far := net.Pipe()
 	c := newConn(nc, nil)
 	defer c.Close(nil)
@@ -208,8 +208,8 @@
 		_, err := c.Receive()
 		got <- err
 	}()
-	before := c.Heard()
-	frame := Encode(&wire.PieceT{Id: 1, Body: make([]byte, 100<<10)})
+	before := c.LastReceived()
+	frame := Encode(&wire.BodyChunkT{Id: 1, Data: make([]byte, 100<<10)})
 	for len(frame) > 0 {
 		n := min(len(frame), 30<<10)
 		_, err := far.Write(frame[:n]) // returns once that is read
@@ -217,9 +217,9 @@
 		if frame = frame[n:]; len(frame) == 0 {
 			assert.NilError(t, <-got)
 		}
-		for !c.Heard().After(before) { // the reader may be about to note it
+		for !c.LastReceived().After(before) { // the reader may be about to note it
 			time.Sleep(time.Millisecond)
 		}
-		before = c.Heard()
+		before = c.LastReceived()
 	}
 }
--- a/internal/exchange/trunk/wire/Answer.go
+++ b/internal/exchange/trunk/wire/Answer.go
@@ -6,28 +6,28 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type AnswerT struct {
+type ResponseT struct {
 	Id      uint64    `json:"id"`
 	Ending  byte      `json:"ending"`
 	Arrived bool      `json:"arrived"`
 	Status  uint16    `json:"status"`
-	Fields  []*FieldT `json:"fields"`
+	HeaderFields  []*HeaderFieldT `json:"fields"`
 	Body    []byte    `json:"body"`
-	More    bool      `json:"more"`
-	Length  int64     `json:"length"`
-	Head    []byte    `json:"head"`
+	MoreBody    bool      `json:"more"`
+	ContentLength  int64     `json:"length"`
+	PackedHeader    []byte    `json:"head"`
 }
 
-func (t *AnswerT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *ResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	fieldsOffset := flatbuffers.UOffsetT(0)
-	if t.Fields != nil {
-		fieldsLength := len(t.Fields)
+	if t.HeaderFields != nil {
+		fieldsLength := len(t.HeaderFields)
 		fieldsOffsets := make([]flatbuffers.UOffsetT, fieldsLength)
 		for j := 0; j < fieldsLength; j++ {
-			fieldsOffsets[j] = t.Fields[j].Pack(builder)
+			fieldsOffsets[j] = t.HeaderFields[j].Pack(builder)
 		}
 		AnswerStartFieldsVector(builder, fieldsLength)
 		for j := fieldsLength - 1; j >= 0; j-- {
@@ -40,8 +40,8 @@
 		bodyOffset = builder.CreateByteString(t.Body)
 	}
 	headOffset := flatbuffers.UOffsetT(0)
-	if t.Head != nil {
-		headOffset = builder.CreateByteString(t.Head)
+	if t.PackedHeader != nil {
+		headOffset = builder.CreateByteString(t.PackedHeader)
 	}
 	AnswerStart(builder)
 	AnswerAddId(builder, t.Id)
@@ -50,67 +50,67 @@
 	AnswerAddStatus(builder, t.Status)
 	AnswerAddFields(builder, fieldsOffset)
 	AnswerAddBody(builder, bodyOffset)
-	AnswerAddMore(builder, t.More)
-	AnswerAddLength(builder, t.Length)
+	AnswerAddMore(builder, t.MoreBody)
+	AnswerAddLength(builder, t.ContentLength)
 	AnswerAddHead(builder, headOffset)
 	return AnswerEnd(builder)
 }
 
-func (rcv *Answer) UnPackTo(t *AnswerT) {
+func (rcv *Response) UnPackTo(t *ResponseT) {
 	t.Id = rcv.Id()
 	t.Ending = rcv.Ending()
 	t.Arrived = rcv.Arrived()
 	t.Status = rcv.Status()
 	fieldsLength := rcv.FieldsLength()
-	t.Fields = make([]*FieldT, fieldsLength)
+	t.HeaderFields = make([]*HeaderFieldT, fieldsLength)
 	for j := 0; j < fieldsLength; j++ {
-		x := Field{}
+		x := HeaderField{}
 		rcv.Fields(&x, j)
-		t.Fields[j] = x.UnPack()
+		t.HeaderFields[j] = x.UnPack()
 	}
 	t.Body = rcv.BodyBytes()
-	t.More = rcv.More()
-	t.Length = rcv.Length()
-	t.Head = rcv.HeadBytes()
+	t.MoreBody = rcv.More()
+	t.ContentLength = rcv.Length()
+	t.PackedHeader = rcv.HeadBytes()
 }
 
-func (rcv *Answer) UnPack() *AnswerT {
+func (rcv *Response) UnPack() *ResponseT {
 	if rcv == nil {
 		return nil
 	}
-	t := &AnswerT{}
+	t := &ResponseT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Answer struct {
+type Response struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsAnswer(buf []byte, offset flatbuffers.UOffsetT) *Answer {
+func GetRootAsResponse(buf []byte, offset flatbuffers.UOffsetT) *Response {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Answer{}
+	x := &Response{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsAnswer(buf []byte, offset flatbuffers.UOffsetT) *Answer {
+func GetSizePrefixedRootAsAnswer(buf []byte, offset flatbuffers.UOffsetT) *Response {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Answer{}
+	x := &Response{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Answer) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Response) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Answer) Table() flatbuffers.Table {
+func (rcv *Response) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Answer) Id() uint64 {
+func (rcv *Response) Id() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -118,11 +118,11 @@
 	return 0
 }
 
-func (rcv *Answer) MutateId(n uint64) bool {
+func (rcv *Response) MutateId(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Answer) Ending() byte {
+func (rcv *Response) Ending() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -130,11 +130,11 @@
 	return 0
 }
 
-func (rcv *Answer) MutateEnding(n byte) bool {
+func (rcv *Response) MutateEnding(n byte) bool {
 	return rcv._tab.MutateByteSlot(6, n)
 }
 
-func (rcv *Answer) Arrived() bool {
+func (rcv *Response) Arrived() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -142,11 +142,11 @@
 	return false
 }
 
-func (rcv *Answer) MutateArrived(n bool) bool {
+func (rcv *Response) MutateArrived(n bool) bool {
 	return rcv._tab.MutateBoolSlot(8, n)
 }
 
-func (rcv *Answer) Status() uint16 {
+func (rcv *Response) Status() uint16 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint16(o + rcv._tab.Pos)
@@ -154,11 +154,11 @@
 	return 0
 }
 
-func (rcv *Answer) MutateStatus(n uint16) bool {
+func (rcv *Response) MutateStatus(n uint16) bool {
 	return rcv._tab.MutateUint16Slot(10, n)
 }
 
-func (rcv *Answer) Fields(obj *Field, j int) bool {
+func (rcv *Response) Fields(obj *HeaderField, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -170,7 +170,7 @@
 	return false
 }
 
-func (rcv *Answer) FieldsLength() int {
+func (rcv *Response) FieldsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -178,7 +178,7 @@
 	return 0
 }
 
-func (rcv *Answer) Body(j int) byte {
+func (rcv *Response) Body(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -187,7 +187,7 @@
 	return 0
 }
 
-func (rcv *Answer) BodyLength() int {
+func (rcv *Response) BodyLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -195,7 +195,7 @@
 	return 0
 }
 
-func (rcv *Answer) BodyBytes() []byte {
+func (rcv *Response) BodyBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -203,7 +203,7 @@
 	return nil
 }
 
-func (rcv *Answer) MutateBody(j int, n byte) bool {
+func (rcv *Response) MutateBody(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -212,7 +212,7 @@
 	return false
 }
 
-func (rcv *Answer) More() bool {
+func (rcv *Response) More() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -220,11 +220,11 @@
 	return false
 }
 
-func (rcv *Answer) MutateMore(n bool) bool {
+func (rcv *Response) MutateMore(n bool) bool {
 	return rcv._tab.MutateBoolSlot(16, n)
 }
 
-func (rcv *Answer) Length() int64 {
+func (rcv *Response) Length() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -232,11 +232,11 @@
 	return 0
 }
 
-func (rcv *Answer) MutateLength(n int64) bool {
+func (rcv *Response) MutateLength(n int64) bool {
 	return rcv._tab.MutateInt64Slot(18, n)
 }
 
-func (rcv *Answer) Head(j int) byte {
+func (rcv *Response) Head(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -245,7 +245,7 @@
 	return 0
 }
 
-func (rcv *Answer) HeadLength() int {
+func (rcv *Response) HeadLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -253,7 +253,7 @@
 	return 0
 }
 
-func (rcv *Answer) HeadBytes() []byte {
+func (rcv *Response) HeadBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -261,7 +261,7 @@
 	return nil
 }
 
-func (rcv *Answer) MutateHead(j int, n byte) bool {
+func (rcv *Response) MutateHead(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
--- a/internal/exchange/trunk/wire/Ask.go
+++ b/internal/exchange/trunk/wire/Ask.go
@@ -6,13 +6,13 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type AskT struct {
+type CallT struct {
 	Id   uint64 `json:"id"`
 	Kind byte   `json:"kind"`
 	Body []byte `json:"body"`
 }
 
-func (t *AskT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *CallT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -27,49 +27,49 @@
 	return AskEnd(builder)
 }
 
-func (rcv *Ask) UnPackTo(t *AskT) {
+func (rcv *Call) UnPackTo(t *CallT) {
 	t.Id = rcv.Id()
 	t.Kind = rcv.Kind()
 	t.Body = rcv.BodyBytes()
 }
 
-func (rcv *Ask) UnPack() *AskT {
+func (rcv *Call) UnPack() *CallT {
 	if rcv == nil {
 		return nil
 	}
-	t := &AskT{}
+	t := &CallT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Ask struct {
+type Call struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsAsk(buf []byte, offset flatbuffers.UOffsetT) *Ask {
+func GetRootAsCall(buf []byte, offset flatbuffers.UOffsetT) *Call {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Ask{}
+	x := &Call{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsAsk(buf []byte, offset flatbuffers.UOffsetT) *Ask {
+func GetSizePrefixedRootAsAsk(buf []byte, offset flatbuffers.UOffsetT) *Call {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Ask{}
+	x := &Call{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Ask) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Call) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Ask) Table() flatbuffers.Table {
+func (rcv *Call) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Ask) Id() uint64 {
+func (rcv *Call) Id() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -77,11 +77,11 @@
 	return 0
 }
 
-func (rcv *Ask) MutateId(n uint64) bool {
+func (rcv *Call) MutateId(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Ask) Kind() byte {
+func (rcv *Call) Kind() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -89,11 +89,11 @@
 	return 0
 }
 
-func (rcv *Ask) MutateKind(n byte) bool {
+func (rcv *Call) MutateKind(n byte) bool {
 	return rcv._tab.MutateByteSlot(6, n)
 }
 
-func (rcv *Ask) Body(j int) byte {
+func (rcv *Call) Body(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -102,7 +102,7 @@
 	return 0
 }
 
-func (rcv *Ask) BodyLength() int {
+func (rcv *Call) BodyLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -110,7 +110,7 @@
 	return 0
 }
 
-func (rcv *Ask) BodyBytes() []byte {
+func (rcv *Call) BodyBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (rcv *Ask) MutateBody(j int, n byte) bool {
+func (rcv *Call) MutateBody(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
--- a/internal/exchange/trunk/wire/Beat.go
+++ b/internal/exchange/trunk/wire/Beat.go
@@ -6,63 +6,63 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type BeatT struct {
-	Touch   bool   `json:"touch"`
-	Applied uint64 `json:"applied"`
+type HeartbeatT struct {
+	QuorumContact   bool   `json:"touch"`
+	AppliedIndex uint64 `json:"applied"`
 }
 
-func (t *BeatT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *HeartbeatT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	BeatStart(builder)
-	BeatAddTouch(builder, t.Touch)
-	BeatAddApplied(builder, t.Applied)
+	BeatAddTouch(builder, t.QuorumContact)
+	BeatAddApplied(builder, t.AppliedIndex)
 	return BeatEnd(builder)
 }
 
-func (rcv *Beat) UnPackTo(t *BeatT) {
-	t.Touch = rcv.Touch()
-	t.Applied = rcv.Applied()
+func (rcv *Heartbeat) UnPackTo(t *HeartbeatT) {
+	t.QuorumContact = rcv.Touch()
+	t.AppliedIndex = rcv.Applied()
 }
 
-func (rcv *Beat) UnPack() *BeatT {
+func (rcv *Heartbeat) UnPack() *HeartbeatT {
 	if rcv == nil {
 		return nil
 	}
-	t := &BeatT{}
+	t := &HeartbeatT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Beat struct {
+type Heartbeat struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsBeat(buf []byte, offset flatbuffers.UOffsetT) *Beat {
+func GetRootAsHeartbeat(buf []byte, offset flatbuffers.UOffsetT) *Heartbeat {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Beat{}
+	x := &Heartbeat{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsBeat(buf []byte, offset flatbuffers.UOffsetT) *Beat {
+func GetSizePrefixedRootAsBeat(buf []byte, offset flatbuffers.UOffsetT) *Heartbeat {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Beat{}
+	x := &Heartbeat{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Beat) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *Heartbeat) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Beat) Table() flatbuffers.Table {
+func (rcv *Heartbeat) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Beat) Touch() bool {
+func (rcv *Heartbeat) Touch() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -70,11 +70,11 @@
 	return false
 }
 
-func (rcv *Beat) MutateTouch(n bool) bool {
+func (rcv *Heartbeat) MutateTouch(n bool) bool {
 	return rcv._tab.MutateBoolSlot(4, n)
 }
 
-func (rcv *Beat) Applied() uint64 {
+func (rcv *Heartbeat) Applied() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -82,7 +82,7 @@
 	return 0
 }
 
-func (rcv *Beat) MutateApplied(n uint64) bool {
+func (rcv *Heartbeat) MutateApplied(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
--- a/internal/exchange/trunk/wire/Body.go
+++ b/internal/exchange/trunk/wire/Body.go
@@ -8,163 +8,163 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type Body byte
+type Payload byte
 
 const (
-	BodyNONE    Body = 0
-	BodyHello   Body = 1
-	BodyBeat    Body = 2
-	BodyRequest Body = 3
-	BodyPiece   Body = 4
-	BodyAnswer  Body = 5
-	BodyCredit  Body = 6
-	BodyCancel  Body = 7
-	BodyRecords Body = 8
-	BodyItems   Body = 9
-	BodyMembers Body = 10
-	BodyVote    Body = 11
-	BodyAsk     Body = 12
-	BodyTold    Body = 13
-	BodyOuts    Body = 14
-	BodyBound   Body = 15
+	PayloadNONE    Payload = 0
+	PayloadHello   Payload = 1
+	PayloadHeartbeat    Payload = 2
+	PayloadRequest Payload = 3
+	PayloadBodyChunk   Payload = 4
+	PayloadResponse  Payload = 5
+	PayloadWindowUpdate  Payload = 6
+	PayloadCancel  Payload = 7
+	PayloadRecords Payload = 8
+	PayloadItems   Payload = 9
+	PayloadMembers Payload = 10
+	PayloadRaftMessage    Payload = 11
+	PayloadCall     Payload = 12
+	PayloadCallReply    Payload = 13
+	PayloadMachinesInMaintenance    Payload = 14
+	PayloadActivePolicy   Payload = 15
 )
 
-var EnumNamesBody = map[Body]string{
-	BodyNONE:    "NONE",
-	BodyHello:   "Hello",
-	BodyBeat:    "Beat",
-	BodyRequest: "Request",
-	BodyPiece:   "Piece",
-	BodyAnswer:  "Answer",
-	BodyCredit:  "Credit",
-	BodyCancel:  "Cancel",
-	BodyRecords: "Records",
-	BodyItems:   "Items",
-	BodyMembers: "Members",
-	BodyVote:    "Vote",
-	BodyAsk:     "Ask",
-	BodyTold:    "Told",
-	BodyOuts:    "Outs",
-	BodyBound:   "Bound",
+var EnumNamesPayload = map[Payload]string{
+	PayloadNONE:    "NONE",
+	PayloadHello:   "Hello",
+	PayloadHeartbeat:    "Beat",
+	PayloadRequest: "Request",
+	PayloadBodyChunk:   "Piece",
+	PayloadResponse:  "Answer",
+	PayloadWindowUpdate:  "Credit",
+	PayloadCancel:  "Cancel",
+	PayloadRecords: "Records",
+	PayloadItems:   "Items",
+	PayloadMembers: "Members",
+	PayloadRaftMessage:    "Vote",
+	PayloadCall:     "Ask",
+	PayloadCallReply:    "Told",
+	PayloadMachinesInMaintenance:    "Outs",
+	PayloadActivePolicy:   "Bound",
 }
 
-var EnumValuesBody = map[string]Body{
-	"NONE":    BodyNONE,
-	"Hello":   BodyHello,
-	"Beat":    BodyBeat,
-	"Request": BodyRequest,
-	"Piece":   BodyPiece,
-	"Answer":  BodyAnswer,
-	"Credit":  BodyCredit,
-	"Cancel":  BodyCancel,
-	"Records": BodyRecords,
-	"Items":   BodyItems,
-	"Members": BodyMembers,
-	"Vote":    BodyVote,
-	"Ask":     BodyAsk,
-	"Told":    BodyTold,
-	"Outs":    BodyOuts,
-	"Bound":   BodyBound,
+var EnumValuesPayload = map[string]Payload{
+	"NONE":    PayloadNONE,
+	"Hello":   PayloadHello,
+	"Beat":    PayloadHeartbeat,
+	"Request": PayloadRequest,
+	"Piece":   PayloadBodyChunk,
+	"Answer":  PayloadResponse,
+	"Credit":  PayloadWindowUpdate,
+	"Cancel":  PayloadCancel,
+	"Records": PayloadRecords,
+	"Items":   PayloadItems,
+	"Members": PayloadMembers,
+	"Vote":    PayloadRaftMessage,
+	"Ask":     PayloadCall,
+	"Told":    PayloadCallReply,
+	"Outs":    PayloadMachinesInMaintenance,
+	"Bound":   PayloadActivePolicy,
 }
 
-func (v Body) String() string {
-	if s, ok := EnumNamesBody[v]; ok {
+func (v Payload) String() string {
+	if s, ok := EnumNamesPayload[v]; ok {
 		return s
 	}
 	return "Body(" + strconv.FormatInt(int64(v), 10) + ")"
 }
 
-type BodyT struct {
-	Type  Body
+type PayloadT struct {
+	Type  Payload
 	Value interface{}
 }
 
-func (t *BodyT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *PayloadT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	switch t.Type {
-	case BodyHello:
+	case PayloadHello:
 		return t.Value.(*HelloT).Pack(builder)
-	case BodyBeat:
-		return t.Value.(*BeatT).Pack(builder)
-	case BodyRequest:
+	case PayloadHeartbeat:
+		return t.Value.(*HeartbeatT).Pack(builder)
+	case PayloadRequest:
 		return t.Value.(*RequestT).Pack(builder)
-	case BodyPiece:
-		return t.Value.(*PieceT).Pack(builder)
-	case BodyAnswer:
-		return t.Value.(*AnswerT).Pack(builder)
-	case BodyCredit:
-		return t.Value.(*CreditT).Pack(builder)
-	case BodyCancel:
+	case PayloadBodyChunk:
+		return t.Value.(*BodyChunkT).Pack(builder)
+	case PayloadResponse:
+		return t.Value.(*ResponseT).Pack(builder)
+	case PayloadWindowUpdate:
+		return t.Value.(*WindowUpdateT).Pack(builder)
+	case PayloadCancel:
 		return t.Value.(*CancelT).Pack(builder)
-	case BodyRecords:
+	case PayloadRecords:
 		return t.Value.(*RecordsT).Pack(builder)
-	case BodyItems:
+	case PayloadItems:
 		return t.Value.(*ItemsT).Pack(builder)
-	case BodyMembers:
+	case PayloadMembers:
 		return t.Value.(*MembersT).Pack(builder)
-	case BodyVote:
-		return t.Value.(*VoteT).Pack(builder)
-	case BodyAsk:
-		return t.Value.(*AskT).Pack(builder)
-	case BodyTold:
-		return t.Value.(*ToldT).Pack(builder)
-	case BodyOuts:
-		return t.Value.(*OutsT).Pack(builder)
-	case BodyBound:
-		return t.Value.(*BoundT).Pack(builder)
+	case PayloadRaftMessage:
+		return t.Value.(*RaftMessageT).Pack(builder)
+	case PayloadCall:
+		return t.Value.(*CallT).Pack(builder)
+	case PayloadCallReply:
+		return t.Value.(*CallReplyT).Pack(builder)
+	case PayloadMachinesInMaintenance:
+		return t.Value.(*MachinesInMaintenanceT).Pack(builder)
+	case PayloadActivePolicy:
+		return t.Value.(*ActivePolicyT).Pack(builder)
 	}
 	return 0
 }
 
-func (rcv Body) UnPack(table flatbuffers.Table) *BodyT {
+func (rcv Payload) UnPack(table flatbuffers.Table) *PayloadT {
 	switch rcv {
-	case BodyHello:
+	case PayloadHello:
 		x := Hello{_tab: table}
-		return &BodyT{Type: BodyHello, Value: x.UnPack()}
-	case BodyBeat:
-		x := Beat{_tab: table}
-		return &BodyT{Type: BodyBeat, Value: x.UnPack()}
-	case BodyRequest:
+		return &PayloadT{Type: PayloadHello, Value: x.UnPack()}
+	case PayloadHeartbeat:
+		x := Heartbeat{_tab: table}
+		return &PayloadT{Type: PayloadHeartbeat, Value: x.UnPack()}
+	case PayloadRequest:
 		x := Request{_tab: table}
-		return &BodyT{Type: BodyRequest, Value: x.UnPack()}
-	case BodyPiece:
-		x := Piece{_tab: table}
-		return &BodyT{Type: BodyPiece, Value: x.UnPack()}
-	case BodyAnswer:
-		x := Answer{_tab: table}
-		return &BodyT{Type: BodyAnswer, Value: x.UnPack()}
-	case BodyCredit:
-		x := Credit{_tab: table}
-		return &BodyT{Type: BodyCredit, Value: x.UnPack()}
-	case BodyCancel:
+		return &PayloadT{Type: PayloadRequest, Value: x.UnPack()}
+	case PayloadBodyChunk:
+		x := BodyChunk{_tab: table}
+		return &PayloadT{Type: PayloadBodyChunk, Value: x.UnPack()}
+	case PayloadResponse:
+		x := Response{_tab: table}
+		return &PayloadT{Type: PayloadResponse, Value: x.UnPack()}
+	case PayloadWindowUpdate:
+		x := WindowUpdate{_tab: table}
+		return &PayloadT{Type: PayloadWindowUpdate, Value: x.UnPack()}
+	case PayloadCancel:
 		x := Cancel{_tab: table}
-		return &BodyT{Type: BodyCancel, Value: x.UnPack()}
-	case BodyRecords:
+		return &PayloadT{Type: PayloadCancel, Value: x.UnPack()}
+	case PayloadRecords:
 		x := Records{_tab: table}
-		return &BodyT{Type: BodyRecords, Value: x.UnPack()}
-	case BodyItems:
+		return &PayloadT{Type: PayloadRecords, Value: x.UnPack()}
+	case PayloadItems:
 		x := Items{_tab: table}
-		return &BodyT{Type: BodyItems, Value: x.UnPack()}
-	case BodyMembers:
+		return &PayloadT{Type: PayloadItems, Value: x.UnPack()}
+	case PayloadMembers:
 		x := Members{_tab: table}
-		return &BodyT{Type: BodyMembers, Value: x.UnPack()}
-	case BodyVote:
-		x := Vote{_tab: table}
-		return &BodyT{Type: BodyVote, Value: x.UnPack()}
-	case BodyAsk:
-		x := Ask{_tab: table}
-		return &BodyT{Type: BodyAsk, Value: x.UnPack()}
-	case BodyTold:
-		x := Told{_tab: table}
-		return &BodyT{Type: BodyTold, Value: x.UnPack()}
-	case BodyOuts:
-		x := Outs{_tab: table}
-		return &BodyT{Type: BodyOuts, Value: x.UnPack()}
-	case BodyBound:
-		x := Bound{_tab: table}
-		return &BodyT{Type: BodyBound, Value: x.UnPack()}
+		return &PayloadT{Type: PayloadMembers, Value: x.UnPack()}
+	case PayloadRaftMessage:
+		x := RaftMessage{_tab: table}
+		return &PayloadT{Type: PayloadRaftMessage, Value: x.UnPack()}
+	case PayloadCall:
+		x := Call{_tab: table}
+		return &PayloadT{Type: PayloadCall, Value: x.UnPack()}
+	case PayloadCallReply:
+		x := CallReply{_tab: table}
+		return &PayloadT{Type: PayloadCallReply, Value: x.UnPack()}
+	case PayloadMachinesInMaintenance:
+		x := MachinesInMaintenance{_tab: table}
+		return &PayloadT{Type: PayloadMachinesInMaintenance, Value: x.UnPack()}
+	case PayloadActivePolicy:
+		x := ActivePolicy{_tab: table}
+		return &PayloadT{Type: PayloadActivePolicy, Value: x.UnPack()}
 	}
 	return nil
 }
--- a/internal/exchange/trunk/wire/Bound.go
+++ b/internal/exchange/trunk/wire/Bound.go
@@ -6,68 +6,68 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type BoundT struct {
-	Print string `json:"print"`
-	At    uint64 `json:"at"`
-	Held  string `json:"held"`
+type ActivePolicyT struct {
+	Fingerprint string `json:"print"`
+	Index    uint64 `json:"at"`
+	CommittedFingerprint  string `json:"held"`
 }
 
-func (t *BoundT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *ActivePolicyT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	printOffset := builder.CreateString(t.Print)
-	heldOffset := builder.CreateString(t.Held)
+	printOffset := builder.CreateString(t.Fingerprint)
+	heldOffset := builder.CreateString(t.CommittedFingerprint)
 	BoundStart(builder)
 	BoundAddPrint(builder, printOffset)
-	BoundAddAt(builder, t.At)
+	BoundAddAt(builder, t.Index)
 	BoundAddHeld(builder, heldOffset)
 	return BoundEnd(builder)
 }
 
-func (rcv *Bound) UnPackTo(t *BoundT) {
-	t.Print = string(rcv.Print())
-	t.At = rcv.At()
-	t.Held = string(rcv.Held())
+func (rcv *ActivePolicy) UnPackTo(t *ActivePolicyT) {
+	t.Fingerprint = string(rcv.Print())
+	t.Index = rcv.At()
+	t.CommittedFingerprint = string(rcv.Held())
 }
 
-func (rcv *Bound) UnPack() *BoundT {
+func (rcv *ActivePolicy) UnPack() *ActivePolicyT {
 	if rcv == nil {
 		return nil
 	}
-	t := &BoundT{}
+	t := &ActivePolicyT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Bound struct {
+type ActivePolicy struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsBound(buf []byte, offset flatbuffers.UOffsetT) *Bound {
+func GetRootAsActivePolicy(buf []byte, offset flatbuffers.UOffsetT) *ActivePolicy {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Bound{}
+	x := &ActivePolicy{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsBound(buf []byte, offset flatbuffers.UOffsetT) *Bound {
+func GetSizePrefixedRootAsBound(buf []byte, offset flatbuffers.UOffsetT) *ActivePolicy {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Bound{}
+	x := &ActivePolicy{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Bound) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *ActivePolicy) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Bound) Table() flatbuffers.Table {
+func (rcv *ActivePolicy) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Bound) Print() []byte {
+func (rcv *ActivePolicy) Print() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func (rcv *Bound) At() uint64 {
+func (rcv *ActivePolicy) At() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -83,11 +83,11 @@
 	return 0
 }
 
-func (rcv *Bound) MutateAt(n uint64) bool {
+func (rcv *ActivePolicy) MutateAt(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *Bound) Held() []byte {
+func (rcv *ActivePolicy) Held() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
