--- a/internal/exchange/trunk/wire/Claim.go
+++ b/internal/exchange/trunk/wire/Claim.go
@@ -6,78 +6,78 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type ClaimT struct {
+type KeyLeaseRequestT struct {
 	Key     string `json:"key"`
-	Ticket  string `json:"ticket"`
-	Nth     uint32 `json:"nth"`
+	Token  string `json:"ticket"`
+	Attempt     uint32 `json:"nth"`
 	Holder  string `json:"holder"`
 	Release bool   `json:"release"`
-	Window  int64  `json:"window"`
+	WindowUs  int64  `json:"window"`
 }
 
-func (t *ClaimT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *KeyLeaseRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	keyOffset := builder.CreateString(t.Key)
-	ticketOffset := builder.CreateString(t.Ticket)
+	ticketOffset := builder.CreateString(t.Token)
 	holderOffset := builder.CreateString(t.Holder)
 	ClaimStart(builder)
 	ClaimAddKey(builder, keyOffset)
 	ClaimAddTicket(builder, ticketOffset)
-	ClaimAddNth(builder, t.Nth)
+	ClaimAddNth(builder, t.Attempt)
 	ClaimAddHolder(builder, holderOffset)
 	ClaimAddRelease(builder, t.Release)
-	ClaimAddWindow(builder, t.Window)
+	ClaimAddWindow(builder, t.WindowUs)
 	return ClaimEnd(builder)
 }
 
-func (rcv *Claim) UnPackTo(t *ClaimT) {
+func (rcv *KeyLeaseRequest) UnPackTo(t *KeyLeaseRequestT) {
 	t.Key = string(rcv.Key())
-	t.Ticket = string(rcv.Ticket())
-	t.Nth = rcv.Nth()
+	t.Token = string(rcv.Ticket())
+	t.Attempt = rcv.Nth()
 	t.Holder = string(rcv.Holder())
 	t.Release = rcv.Release()
-	t.Window = rcv.Window()
+	t.WindowUs = rcv.Window()
 }
 
-func (rcv *Claim) UnPack() *ClaimT {
+func (rcv *KeyLeaseRequest) UnPack() *KeyLeaseRequestT {
 	if rcv == nil {
 		return nil
 	}
-	t := &ClaimT{}
+	t := &KeyLeaseRequestT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Claim struct {
+type KeyLeaseRequest struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsClaim(buf []byte, offset flatbuffers.UOffsetT) *Claim {
+func GetRootAsKeyLeaseRequest(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Claim{}
+	x := &KeyLeaseRequest{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsClaim(buf []byte, offset flatbuffers.UOffsetT) *Claim {
+func GetSizePrefixedRootAsClaim(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Claim{}
+	x := &KeyLeaseRequest{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Claim) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *KeyLeaseRequest) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Claim) Table() flatbuffers.Table {
+func (rcv *KeyLeaseRequest) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Claim) Key() []byte {
+func (rcv *KeyLeaseRequest) Key() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (rcv *Claim) Ticket() []byte {
+func (rcv *KeyLeaseRequest) Ticket() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (rcv *Claim) Nth() uint32 {
+func (rcv *KeyLeaseRequest) Nth() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -101,11 +101,11 @@
 	return 0
 }
 
-func (rcv *Claim) MutateNth(n uint32) bool {
+func (rcv *KeyLeaseRequest) MutateNth(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(8, n)
 }
 
-func (rcv *Claim) Holder() []byte {
+func (rcv *KeyLeaseRequest) Holder() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func (rcv *Claim) Release() bool {
+func (rcv *KeyLeaseRequest) Release() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -121,11 +121,11 @@
 	return false
 }
 
-func (rcv *Claim) MutateRelease(n bool) bool {
+func (rcv *KeyLeaseRequest) MutateRelease(n bool) bool {
 	return rcv._tab.MutateBoolSlot(12, n)
 }
 
-func (rcv *Claim) Window() int64 {
+func (rcv *KeyLeaseRequest) Window() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -133,7 +133,7 @@
 	return 0
 }
 
-func (rcv *Claim) MutateWindow(n int64) bool {
+func (rcv *KeyLeaseRequest) MutateWindow(n int64) bool {
 	return rcv._tab.MutateInt64Slot(14, n)
 }
 
--- a/internal/exchange/trunk/wire/Claims.go
+++ b/internal/exchange/trunk/wire/Claims.go
@@ -6,11 +6,11 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type ClaimsT struct {
-	List []*ClaimT `json:"list"`
+type KeyLeaseRequestsT struct {
+	List []*KeyLeaseRequestT `json:"list"`
 }
 
-func (t *ClaimsT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *KeyLeaseRequestsT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -32,53 +32,53 @@
 	return ClaimsEnd(builder)
 }
 
-func (rcv *Claims) UnPackTo(t *ClaimsT) {
+func (rcv *KeyLeaseRequests) UnPackTo(t *KeyLeaseRequestsT) {
 	listLength := rcv.ListLength()
-	t.List = make([]*ClaimT, listLength)
+	t.List = make([]*KeyLeaseRequestT, listLength)
 	for j := 0; j < listLength; j++ {
-		x := Claim{}
+		x := KeyLeaseRequest{}
 		rcv.List(&x, j)
 		t.List[j] = x.UnPack()
 	}
 }
 
-func (rcv *Claims) UnPack() *ClaimsT {
+func (rcv *KeyLeaseRequests) UnPack() *KeyLeaseRequestsT {
 	if rcv == nil {
 		return nil
 	}
-	t := &ClaimsT{}
+	t := &KeyLeaseRequestsT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Claims struct {
+type KeyLeaseRequests struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsClaims(buf []byte, offset flatbuffers.UOffsetT) *Claims {
+func GetRootAsKeyLeaseRequests(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseRequests {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Claims{}
+	x := &KeyLeaseRequests{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsClaims(buf []byte, offset flatbuffers.UOffsetT) *Claims {
+func GetSizePrefixedRootAsClaims(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseRequests {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Claims{}
+	x := &KeyLeaseRequests{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Claims) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *KeyLeaseRequests) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Claims) Table() flatbuffers.Table {
+func (rcv *KeyLeaseRequests) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Claims) List(obj *Claim, j int) bool {
+func (rcv *KeyLeaseRequests) List(obj *KeyLeaseRequest, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -90,7 +90,7 @@
 	return false
 }
 
-func (rcv *Claims) ListLength() int {
+func (rcv *KeyLeaseRequests) ListLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
--- a/internal/exchange/trunk/wire/Credit.go
+++ b/internal/exchange/trunk/wire/Credit.go
@@ -6,63 +6,63 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type CreditT struct {
+type WindowUpdateT struct {
 	Id    uint64 `json:"id"`
-	Bytes uint32 `json:"bytes"`
+	Increment uint32 `json:"bytes"`
 }
 
-func (t *CreditT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *WindowUpdateT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	CreditStart(builder)
 	CreditAddId(builder, t.Id)
-	CreditAddBytes(builder, t.Bytes)
+	CreditAddBytes(builder, t.Increment)
 	return CreditEnd(builder)
 }
 
-func (rcv *Credit) UnPackTo(t *CreditT) {
+func (rcv *WindowUpdate) UnPackTo(t *WindowUpdateT) {
 	t.Id = rcv.Id()
-	t.Bytes = rcv.Bytes()
+	t.Increment = rcv.Bytes()
 }
 
-func (rcv *Credit) UnPack() *CreditT {
+func (rcv *WindowUpdate) UnPack() *WindowUpdateT {
 	if rcv == nil {
 		return nil
 	}
-	t := &CreditT{}
+	t := &WindowUpdateT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Credit struct {
+type WindowUpdate struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsCredit(buf []byte, offset flatbuffers.UOffsetT) *Credit {
+func GetRootAsWindowUpdate(buf []byte, offset flatbuffers.UOffsetT) *WindowUpdate {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Credit{}
+	x := &WindowUpdate{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsCredit(buf []byte, offset flatbuffers.UOffsetT) *Credit {
+func GetSizePrefixedRootAsCredit(buf []byte, offset flatbuffers.UOffsetT) *WindowUpdate {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Credit{}
+	x := &WindowUpdate{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Credit) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *WindowUpdate) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Credit) Table() flatbuffers.Table {
+func (rcv *WindowUpdate) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Credit) Id() uint64 {
+func (rcv *WindowUpdate) Id() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -70,11 +70,11 @@
 	return 0
 }
 
-func (rcv *Credit) MutateId(n uint64) bool {
+func (rcv *WindowUpdate) MutateId(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Credit) Bytes() uint32 {
+func (rcv *WindowUpdate) Bytes() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -82,7 +82,7 @@
 	return 0
 }
 
-func (rcv *Credit) MutateBytes(n uint32) bool {
+func (rcv *WindowUpdate) MutateBytes(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(6, n)
 }
 
--- a/internal/exchange/trunk/wire/Entry.go
+++ b/internal/exchange/trunk/wire/Entry.go
@@ -10,7 +10,7 @@
 	Index uint64 `json:"index"`
 	Term  uint64 `json:"term"`
 	Kind  byte   `json:"kind"`
-	Stamp int64  `json:"stamp"`
+	LogTimeNs int64  `json:"stamp"`
 	Data  []byte `json:"data"`
 }
 
@@ -26,7 +26,7 @@
 	EntryAddIndex(builder, t.Index)
 	EntryAddTerm(builder, t.Term)
 	EntryAddKind(builder, t.Kind)
-	EntryAddStamp(builder, t.Stamp)
+	EntryAddStamp(builder, t.LogTimeNs)
 	EntryAddData(builder, dataOffset)
 	return EntryEnd(builder)
 }
@@ -35,7 +35,7 @@
 	t.Index = rcv.Index()
 	t.Term = rcv.Term()
 	t.Kind = rcv.Kind()
-	t.Stamp = rcv.Stamp()
+	t.LogTimeNs = rcv.Stamp()
 	t.Data = rcv.DataBytes()
 }
 
--- a/internal/exchange/trunk/wire/Field.go
+++ b/internal/exchange/trunk/wire/Field.go
@@ -6,12 +6,12 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type FieldT struct {
+type HeaderFieldT struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 }
 
-func (t *FieldT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *HeaderFieldT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -23,48 +23,48 @@
 	return FieldEnd(builder)
 }
 
-func (rcv *Field) UnPackTo(t *FieldT) {
+func (rcv *HeaderField) UnPackTo(t *HeaderFieldT) {
 	t.Name = string(rcv.Name())
 	t.Value = string(rcv.Value())
 }
 
-func (rcv *Field) UnPack() *FieldT {
+func (rcv *HeaderField) UnPack() *HeaderFieldT {
 	if rcv == nil {
 		return nil
 	}
-	t := &FieldT{}
+	t := &HeaderFieldT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Field struct {
+type HeaderField struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsField(buf []byte, offset flatbuffers.UOffsetT) *Field {
+func GetRootAsHeaderField(buf []byte, offset flatbuffers.UOffsetT) *HeaderField {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Field{}
+	x := &HeaderField{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsField(buf []byte, offset flatbuffers.UOffsetT) *Field {
+func GetSizePrefixedRootAsField(buf []byte, offset flatbuffers.UOffsetT) *HeaderField {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Field{}
+	x := &HeaderField{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Field) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *HeaderField) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Field) Table() flatbuffers.Table {
+func (rcv *HeaderField) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Field) Name() []byte {
+func (rcv *HeaderField) Name() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (rcv *Field) Value() []byte {
+func (rcv *HeaderField) Value() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
--- a/internal/exchange/trunk/wire/Frame.go
+++ b/internal/exchange/trunk/wire/Frame.go
@@ -7,18 +7,18 @@
 )
 
 type FrameT struct {
-	Body *BodyT `json:"body"`
+	Payload *PayloadT `json:"body"`
 }
 
 func (t *FrameT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	bodyOffset := t.Body.Pack(builder)
+	bodyOffset := t.Payload.Pack(builder)
 
 	FrameStart(builder)
-	if t.Body != nil {
-		FrameAddBodyType(builder, t.Body.Type)
+	if t.Payload != nil {
+		FrameAddBodyType(builder, t.Payload.Type)
 	}
 	FrameAddBody(builder, bodyOffset)
 	return FrameEnd(builder)
@@ -27,7 +27,7 @@
 func (rcv *Frame) UnPackTo(t *FrameT) {
 	bodyTable := flatbuffers.Table{}
 	if rcv.Body(&bodyTable) {
-		t.Body = rcv.BodyType().UnPack(bodyTable)
+		t.Payload = rcv.PayloadType().UnPack(bodyTable)
 	}
 }
 
@@ -67,15 +67,15 @@
 	return rcv._tab
 }
 
-func (rcv *Frame) BodyType() Body {
+func (rcv *Frame) PayloadType() Payload {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
-		return Body(rcv._tab.GetByte(o + rcv._tab.Pos))
+		return Payload(rcv._tab.GetByte(o + rcv._tab.Pos))
 	}
 	return 0
 }
 
-func (rcv *Frame) MutateBodyType(n Body) bool {
+func (rcv *Frame) MutateBodyType(n Payload) bool {
 	return rcv._tab.MutateByteSlot(4, byte(n))
 }
 
@@ -91,7 +91,7 @@
 func FrameStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func FrameAddBodyType(builder *flatbuffers.Builder, bodyType Body) {
+func FrameAddBodyType(builder *flatbuffers.Builder, bodyType Payload) {
 	builder.PrependByteSlot(0, byte(bodyType), 0)
 }
 func FrameAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
--- a/internal/exchange/trunk/wire/Grant.go
+++ b/internal/exchange/trunk/wire/Grant.go
@@ -6,18 +6,18 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type GrantT struct {
+type KeyLeaseResultT struct {
 	Granted bool   `json:"granted"`
 	Holder  string `json:"holder"`
-	Ticket  string `json:"ticket"`
+	Token  string `json:"ticket"`
 }
 
-func (t *GrantT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *KeyLeaseResultT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	holderOffset := builder.CreateString(t.Holder)
-	ticketOffset := builder.CreateString(t.Ticket)
+	ticketOffset := builder.CreateString(t.Token)
 	GrantStart(builder)
 	GrantAddGranted(builder, t.Granted)
 	GrantAddHolder(builder, holderOffset)
@@ -25,49 +25,49 @@
 	return GrantEnd(builder)
 }
 
-func (rcv *Grant) UnPackTo(t *GrantT) {
+func (rcv *KeyLeaseResult) UnPackTo(t *KeyLeaseResultT) {
 	t.Granted = rcv.Granted()
 	t.Holder = string(rcv.Holder())
-	t.Ticket = string(rcv.Ticket())
+	t.Token = string(rcv.Ticket())
 }
 
-func (rcv *Grant) UnPack() *GrantT {
+func (rcv *KeyLeaseResult) UnPack() *KeyLeaseResultT {
 	if rcv == nil {
 		return nil
 	}
-	t := &GrantT{}
+	t := &KeyLeaseResultT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Grant struct {
+type KeyLeaseResult struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsGrant(buf []byte, offset flatbuffers.UOffsetT) *Grant {
+func GetRootAsKeyLeaseResult(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseResult {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Grant{}
+	x := &KeyLeaseResult{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsGrant(buf []byte, offset flatbuffers.UOffsetT) *Grant {
+func GetSizePrefixedRootAsGrant(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseResult {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Grant{}
+	x := &KeyLeaseResult{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Grant) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *KeyLeaseResult) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Grant) Table() flatbuffers.Table {
+func (rcv *KeyLeaseResult) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Grant) Granted() bool {
+func (rcv *KeyLeaseResult) Granted() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -75,11 +75,11 @@
 	return false
 }
 
-func (rcv *Grant) MutateGranted(n bool) bool {
+func (rcv *KeyLeaseResult) MutateGranted(n bool) bool {
 	return rcv._tab.MutateBoolSlot(4, n)
 }
 
-func (rcv *Grant) Holder() []byte {
+func (rcv *KeyLeaseResult) Holder() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func (rcv *Grant) Ticket() []byte {
+func (rcv *KeyLeaseResult) Ticket() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
--- a/internal/exchange/trunk/wire/Grants.go
+++ b/internal/exchange/trunk/wire/Grants.go
@@ -6,11 +6,11 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type GrantsT struct {
-	List []*GrantT `json:"list"`
+type KeyLeaseResultsT struct {
+	List []*KeyLeaseResultT `json:"list"`
 }
 
-func (t *GrantsT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *KeyLeaseResultsT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -32,53 +32,53 @@
 	return GrantsEnd(builder)
 }
 
-func (rcv *Grants) UnPackTo(t *GrantsT) {
+func (rcv *KeyLeaseResults) UnPackTo(t *KeyLeaseResultsT) {
 	listLength := rcv.ListLength()
-	t.List = make([]*GrantT, listLength)
+	t.List = make([]*KeyLeaseResultT, listLength)
 	for j := 0; j < listLength; j++ {
-		x := Grant{}
+		x := KeyLeaseResult{}
 		rcv.List(&x, j)
 		t.List[j] = x.UnPack()
 	}
 }
 
-func (rcv *Grants) UnPack() *GrantsT {
+func (rcv *KeyLeaseResults) UnPack() *KeyLeaseResultsT {
 	if rcv == nil {
 		return nil
 	}
-	t := &GrantsT{}
+	t := &KeyLeaseResultsT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Grants struct {
+type KeyLeaseResults struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsGrants(buf []byte, offset flatbuffers.UOffsetT) *Grants {
+func GetRootAsKeyLeaseResults(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseResults {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Grants{}
+	x := &KeyLeaseResults{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsGrants(buf []byte, offset flatbuffers.UOffsetT) *Grants {
+func GetSizePrefixedRootAsGrants(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseResults {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Grants{}
+	x := &KeyLeaseResults{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Grants) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *KeyLeaseResults) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Grants) Table() flatbuffers.Table {
+func (rcv *KeyLeaseResults) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Grants) List(obj *Grant, j int) bool {
+func (rcv *KeyLeaseResults) List(obj *KeyLeaseResult, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -90,7 +90,7 @@
 	return false
 }
 
-func (rcv *Grants) ListLength() int {
+func (rcv *KeyLeaseResults) ListLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
--- a/internal/exchange/trunk/wire/Hello.go
+++ b/internal/exchange/trunk/wire/Hello.go
@@ -7,13 +7,13 @@
 )
 
 type HelloT struct {
-	Version  uint32 `json:"version"`
+	TransportVersion  uint32 `json:"version"`
 	Name     string `json:"name"`
 	Addr     string `json:"addr"`
 	Zone     string `json:"zone"`
-	Register bool   `json:"register"`
-	Member   uint64 `json:"member"`
-	Life     uint64 `json:"life"`
+	ControlPlane bool   `json:"register"`
+	MemberId   uint64 `json:"member"`
+	Incarnation     uint64 `json:"life"`
 }
 
 func (t *HelloT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -24,24 +24,24 @@
 	addrOffset := builder.CreateString(t.Addr)
 	zoneOffset := builder.CreateString(t.Zone)
 	HelloStart(builder)
-	HelloAddVersion(builder, t.Version)
+	HelloAddVersion(builder, t.TransportVersion)
 	HelloAddName(builder, nameOffset)
 	HelloAddAddr(builder, addrOffset)
 	HelloAddZone(builder, zoneOffset)
-	HelloAddRegister(builder, t.Register)
-	HelloAddMember(builder, t.Member)
-	HelloAddLife(builder, t.Life)
+	HelloAddRegister(builder, t.ControlPlane)
+	HelloAddMember(builder, t.MemberId)
+	HelloAddLife(builder, t.Incarnation)
 	return HelloEnd(builder)
 }
 
 func (rcv *Hello) UnPackTo(t *HelloT) {
-	t.Version = rcv.Version()
+	t.TransportVersion = rcv.Version()
 	t.Name = string(rcv.Name())
 	t.Addr = string(rcv.Addr())
 	t.Zone = string(rcv.Zone())
-	t.Register = rcv.Register()
-	t.Member = rcv.Member()
-	t.Life = rcv.Life()
+	t.ControlPlane = rcv.Register()
+	t.MemberId = rcv.Member()
+	t.Incarnation = rcv.Life()
 }
 
 func (rcv *Hello) UnPack() *HelloT {
--- a/internal/exchange/trunk/wire/Holds.go
+++ b/internal/exchange/trunk/wire/Holds.go
@@ -6,14 +6,14 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type HoldsT struct {
+type ItemVersionT struct {
 	Kind    byte   `json:"kind"`
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
-	Dropped bool   `json:"dropped"`
+	Deleted bool   `json:"dropped"`
 }
 
-func (t *HoldsT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *ItemVersionT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -22,54 +22,54 @@
 	HoldsAddKind(builder, t.Kind)
 	HoldsAddName(builder, nameOffset)
 	HoldsAddVersion(builder, t.Version)
-	HoldsAddDropped(builder, t.Dropped)
+	HoldsAddDropped(builder, t.Deleted)
 	return HoldsEnd(builder)
 }
 
-func (rcv *Holds) UnPackTo(t *HoldsT) {
+func (rcv *ItemVersion) UnPackTo(t *ItemVersionT) {
 	t.Kind = rcv.Kind()
 	t.Name = string(rcv.Name())
 	t.Version = rcv.Version()
-	t.Dropped = rcv.Dropped()
+	t.Deleted = rcv.Dropped()
 }
 
-func (rcv *Holds) UnPack() *HoldsT {
+func (rcv *ItemVersion) UnPack() *ItemVersionT {
 	if rcv == nil {
 		return nil
 	}
-	t := &HoldsT{}
+	t := &ItemVersionT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Holds struct {
+type ItemVersion struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsHolds(buf []byte, offset flatbuffers.UOffsetT) *Holds {
+func GetRootAsItemVersion(buf []byte, offset flatbuffers.UOffsetT) *ItemVersion {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Holds{}
+	x := &ItemVersion{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsHolds(buf []byte, offset flatbuffers.UOffsetT) *Holds {
+func GetSizePrefixedRootAsHolds(buf []byte, offset flatbuffers.UOffsetT) *ItemVersion {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Holds{}
+	x := &ItemVersion{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Holds) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *ItemVersion) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Holds) Table() flatbuffers.Table {
+func (rcv *ItemVersion) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Holds) Kind() byte {
+func (rcv *ItemVersion) Kind() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -77,11 +77,11 @@
 	return 0
 }
 
-func (rcv *Holds) MutateKind(n byte) bool {
+func (rcv *ItemVersion) MutateKind(n byte) bool {
 	return rcv._tab.MutateByteSlot(4, n)
 }
 
-func (rcv *Holds) Name() []byte {
+func (rcv *ItemVersion) Name() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-func (rcv *Holds) Version() int64 {
+func (rcv *ItemVersion) Version() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -97,11 +97,11 @@
 	return 0
 }
 
-func (rcv *Holds) MutateVersion(n int64) bool {
+func (rcv *ItemVersion) MutateVersion(n int64) bool {
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
-func (rcv *Holds) Dropped() bool {
+func (rcv *ItemVersion) Dropped() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -109,7 +109,7 @@
 	return false
 }
 
-func (rcv *Holds) MutateDropped(n bool) bool {
+func (rcv *ItemVersion) MutateDropped(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
--- a/internal/exchange/trunk/wire/Item.go
+++ b/internal/exchange/trunk/wire/Item.go
@@ -10,11 +10,11 @@
 	Kind    byte   `json:"kind"`
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
-	Dropped bool   `json:"dropped"`
+	Deleted bool   `json:"dropped"`
 	Host    string `json:"host"`
 	Body    []byte `json:"body"`
-	Stamp   int64  `json:"stamp"`
-	Past    []byte `json:"past"`
+	LogTimeNs   int64  `json:"stamp"`
+	History    []byte `json:"past"`
 }
 
 func (t *ItemT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -28,17 +28,17 @@
 		bodyOffset = builder.CreateByteString(t.Body)
 	}
 	pastOffset := flatbuffers.UOffsetT(0)
-	if t.Past != nil {
-		pastOffset = builder.CreateByteString(t.Past)
+	if t.History != nil {
+		pastOffset = builder.CreateByteString(t.History)
 	}
 	ItemStart(builder)
 	ItemAddKind(builder, t.Kind)
 	ItemAddName(builder, nameOffset)
 	ItemAddVersion(builder, t.Version)
-	ItemAddDropped(builder, t.Dropped)
+	ItemAddDropped(builder, t.Deleted)
 	ItemAddHost(builder, hostOffset)
 	ItemAddBody(builder, bodyOffset)
-	ItemAddStamp(builder, t.Stamp)
+	ItemAddStamp(builder, t.LogTimeNs)
 	ItemAddPast(builder, pastOffset)
 	return ItemEnd(builder)
 }
@@ -47,11 +47,11 @@
 	t.Kind = rcv.Kind()
 	t.Name = string(rcv.Name())
 	t.Version = rcv.Version()
-	t.Dropped = rcv.Dropped()
+	t.Deleted = rcv.Dropped()
 	t.Host = string(rcv.Host())
 	t.Body = rcv.BodyBytes()
-	t.Stamp = rcv.Stamp()
-	t.Past = rcv.PastBytes()
+	t.LogTimeNs = rcv.Stamp()
+	t.History = rcv.PastBytes()
 }
 
 func (rcv *Item) UnPack() *ItemT {
--- a/internal/exchange/trunk/wire/Items.go
+++ b/internal/exchange/trunk/wire/Items.go
@@ -8,13 +8,13 @@
 
 type ItemsT struct {
 	List     []*ItemT `json:"list"`
-	Whole    bool     `json:"whole"`
+	Complete    bool     `json:"whole"`
 	Index    uint64   `json:"index"`
-	By       string   `json:"by"`
+	Author       string   `json:"by"`
 	Consents []string `json:"consents"`
-	Bound    []*ItemT `json:"bound"`
-	Print    string   `json:"print"`
-	BoundAt  uint64   `json:"bound_at"`
+	ActivePolicy    []*ItemT `json:"bound"`
+	ActiveFingerprint    string   `json:"print"`
+	ActiveIndex  uint64   `json:"bound_at"`
 }
 
 func (t *ItemsT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -34,7 +34,7 @@
 		}
 		listOffset = builder.EndVector(listLength)
 	}
-	byOffset := builder.CreateString(t.By)
+	byOffset := builder.CreateString(t.Author)
 	consentsOffset := flatbuffers.UOffsetT(0)
 	if t.Consents != nil {
 		consentsLength := len(t.Consents)
@@ -49,11 +49,11 @@
 		consentsOffset = builder.EndVector(consentsLength)
 	}
 	boundOffset := flatbuffers.UOffsetT(0)
-	if t.Bound != nil {
-		boundLength := len(t.Bound)
+	if t.ActivePolicy != nil {
+		boundLength := len(t.ActivePolicy)
 		boundOffsets := make([]flatbuffers.UOffsetT, boundLength)
 		for j := 0; j < boundLength; j++ {
-			boundOffsets[j] = t.Bound[j].Pack(builder)
+			boundOffsets[j] = t.ActivePolicy[j].Pack(builder)
 		}
 		ItemsStartBoundVector(builder, boundLength)
 		for j := boundLength - 1; j >= 0; j-- {
@@ -61,16 +61,16 @@
 		}
 		boundOffset = builder.EndVector(boundLength)
 	}
-	printOffset := builder.CreateString(t.Print)
+	printOffset := builder.CreateString(t.ActiveFingerprint)
 	ItemsStart(builder)
 	ItemsAddList(builder, listOffset)
-	ItemsAddWhole(builder, t.Whole)
+	ItemsAddWhole(builder, t.Complete)
 	ItemsAddIndex(builder, t.Index)
 	ItemsAddBy(builder, byOffset)
 	ItemsAddConsents(builder, consentsOffset)
 	ItemsAddBound(builder, boundOffset)
 	ItemsAddPrint(builder, printOffset)
-	ItemsAddBoundAt(builder, t.BoundAt)
+	ItemsAddBoundAt(builder, t.ActiveIndex)
 	return ItemsEnd(builder)
 }
 
@@ -82,23 +82,23 @@
 		rcv.List(&x, j)
 		t.List[j] = x.UnPack()
 	}
-	t.Whole = rcv.Whole()
+	t.Complete = rcv.Whole()
 	t.Index = rcv.Index()
-	t.By = string(rcv.By())
+	t.Author = string(rcv.By())
 	consentsLength := rcv.ConsentsLength()
 	t.Consents = make([]string, consentsLength)
 	for j := 0; j < consentsLength; j++ {
 		t.Consents[j] = string(rcv.Consents(j))
 	}
 	boundLength := rcv.BoundLength()
-	t.Bound = make([]*ItemT, boundLength)
+	t.ActivePolicy = make([]*ItemT, boundLength)
 	for j := 0; j < boundLength; j++ {
 		x := Item{}
 		rcv.Bound(&x, j)
-		t.Bound[j] = x.UnPack()
+		t.ActivePolicy[j] = x.UnPack()
 	}
-	t.Print = string(rcv.Print())
-	t.BoundAt = rcv.BoundAt()
+	t.ActiveFingerprint = string(rcv.Print())
+	t.ActiveIndex = rcv.BoundAt()
 }
 
 func (rcv *Items) UnPack() *ItemsT {
--- a/internal/exchange/trunk/wire/Kept.go
+++ b/internal/exchange/trunk/wire/Kept.go
@@ -6,27 +6,27 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type KeptT struct {
+type StoredResponseT struct {
 	Found   bool      `json:"found"`
 	Running bool      `json:"running"`
-	Unknown bool      `json:"unknown"`
+	OutcomeUnknown bool      `json:"unknown"`
 	Status  uint16    `json:"status"`
-	Fields  []*FieldT `json:"fields"`
+	HeaderFields  []*HeaderFieldT `json:"fields"`
 	Body    []byte    `json:"body"`
 	Key     string    `json:"key"`
-	Left    int64     `json:"left"`
+	TtlUs    int64     `json:"left"`
 }
 
-func (t *KeptT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *StoredResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	fieldsOffset := flatbuffers.UOffsetT(0)
-	if t.Fields != nil {
-		fieldsLength := len(t.Fields)
+	if t.HeaderFields != nil {
+		fieldsLength := len(t.HeaderFields)
 		fieldsOffsets := make([]flatbuffers.UOffsetT, fieldsLength)
 		for j := 0; j < fieldsLength; j++ {
-			fieldsOffsets[j] = t.Fields[j].Pack(builder)
+			fieldsOffsets[j] = t.HeaderFields[j].Pack(builder)
 		}
 		KeptStartFieldsVector(builder, fieldsLength)
 		for j := fieldsLength - 1; j >= 0; j-- {
@@ -42,69 +42,69 @@
 	KeptStart(builder)
 	KeptAddFound(builder, t.Found)
 	KeptAddRunning(builder, t.Running)
-	KeptAddUnknown(builder, t.Unknown)
+	KeptAddUnknown(builder, t.OutcomeUnknown)
 	KeptAddStatus(builder, t.Status)
 	KeptAddFields(builder, fieldsOffset)
 	KeptAddBody(builder, bodyOffset)
 	KeptAddKey(builder, keyOffset)
-	KeptAddLeft(builder, t.Left)
+	KeptAddLeft(builder, t.TtlUs)
 	return KeptEnd(builder)
 }
 
-func (rcv *Kept) UnPackTo(t *KeptT) {
+func (rcv *StoredResponse) UnPackTo(t *StoredResponseT) {
 	t.Found = rcv.Found()
 	t.Running = rcv.Running()
-	t.Unknown = rcv.Unknown()
+	t.OutcomeUnknown = rcv.Unknown()
 	t.Status = rcv.Status()
 	fieldsLength := rcv.FieldsLength()
-	t.Fields = make([]*FieldT, fieldsLength)
+	t.HeaderFields = make([]*HeaderFieldT, fieldsLength)
 	for j := 0; j < fieldsLength; j++ {
-		x := Field{}
+		x := HeaderField{}
 		rcv.Fields(&x, j)
-		t.Fields[j] = x.UnPack()
+		t.HeaderFields[j] = x.UnPack()
 	}
 	t.Body = rcv.BodyBytes()
 	t.Key = string(rcv.Key())
-	t.Left = rcv.Left()
+	t.TtlUs = rcv.Left()
 }
 
-func (rcv *Kept) UnPack() *KeptT {
+func (rcv *StoredResponse) UnPack() *StoredResponseT {
 	if rcv == nil {
 		return nil
 	}
-	t := &KeptT{}
+	t := &StoredResponseT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Kept struct {
+type StoredResponse struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsKept(buf []byte, offset flatbuffers.UOffsetT) *Kept {
+func GetRootAsStoredResponse(buf []byte, offset flatbuffers.UOffsetT) *StoredResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Kept{}
+	x := &StoredResponse{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsKept(buf []byte, offset flatbuffers.UOffsetT) *Kept {
+func GetSizePrefixedRootAsKept(buf []byte, offset flatbuffers.UOffsetT) *StoredResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Kept{}
+	x := &StoredResponse{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Kept) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *StoredResponse) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Kept) Table() flatbuffers.Table {
+func (rcv *StoredResponse) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Kept) Found() bool {
+func (rcv *StoredResponse) Found() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -112,11 +112,11 @@
 	return false
 }
 
-func (rcv *Kept) MutateFound(n bool) bool {
+func (rcv *StoredResponse) MutateFound(n bool) bool {
 	return rcv._tab.MutateBoolSlot(4, n)
 }
 
-func (rcv *Kept) Running() bool {
+func (rcv *StoredResponse) Running() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -124,11 +124,11 @@
 	return false
 }
 
-func (rcv *Kept) MutateRunning(n bool) bool {
+func (rcv *StoredResponse) MutateRunning(n bool) bool {
 	return rcv._tab.MutateBoolSlot(6, n)
 }
 
-func (rcv *Kept) Unknown() bool {
+func (rcv *StoredResponse) Unknown() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -136,11 +136,11 @@
 	return false
 }
 
-func (rcv *Kept) MutateUnknown(n bool) bool {
+func (rcv *StoredResponse) MutateUnknown(n bool) bool {
 	return rcv._tab.MutateBoolSlot(8, n)
 }
 
-func (rcv *Kept) Status() uint16 {
+func (rcv *StoredResponse) Status() uint16 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint16(o + rcv._tab.Pos)
@@ -148,11 +148,11 @@
 	return 0
 }
 
-func (rcv *Kept) MutateStatus(n uint16) bool {
+func (rcv *StoredResponse) MutateStatus(n uint16) bool {
 	return rcv._tab.MutateUint16Slot(10, n)
 }
 
-func (rcv *Kept) Fields(obj *Field, j int) bool {
+func (rcv *StoredResponse) Fields(obj *HeaderField, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -164,7 +164,7 @@
 	return false
 }
 
-func (rcv *Kept) FieldsLength() int {
+func (rcv *StoredResponse) FieldsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -172,7 +172,7 @@
 	return 0
 }
 
-func (rcv *Kept) Body(j int) byte {
+func (rcv *StoredResponse) Body(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -181,7 +181,7 @@
 	return 0
 }
 
-func (rcv *Kept) BodyLength() int {
+func (rcv *StoredResponse) BodyLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -189,7 +189,7 @@
 	return 0
 }
 
-func (rcv *Kept) BodyBytes() []byte {
+func (rcv *StoredResponse) BodyBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -197,7 +197,7 @@
 	return nil
 }
 
-func (rcv *Kept) MutateBody(j int, n byte) bool {
+func (rcv *StoredResponse) MutateBody(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -206,7 +206,7 @@
 	return false
 }
 
-func (rcv *Kept) Key() []byte {
+func (rcv *StoredResponse) Key() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -214,7 +214,7 @@
 	return nil
 }
 
-func (rcv *Kept) Left() int64 {
+func (rcv *StoredResponse) Left() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -222,7 +222,7 @@
 	return 0
 }
 
-func (rcv *Kept) MutateLeft(n int64) bool {
+func (rcv *StoredResponse) MutateLeft(n int64) bool {
 	return rcv._tab.MutateInt64Slot(18, n)
 }
 
--- a/internal/exchange/trunk/wire/Legacy.go
+++ b/internal/exchange/trunk/wire/Legacy.go
@@ -6,16 +6,16 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type LegacyT struct {
-	Of   string   `json:"of"`
-	List []*KeptT `json:"list"`
+type KeyHandoverT struct {
+	SourceAddr   string   `json:"of"`
+	List []*StoredResponseT `json:"list"`
 }
 
-func (t *LegacyT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *KeyHandoverT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	ofOffset := builder.CreateString(t.Of)
+	ofOffset := builder.CreateString(t.SourceAddr)
 	listOffset := flatbuffers.UOffsetT(0)
 	if t.List != nil {
 		listLength := len(t.List)
@@ -35,54 +35,54 @@
 	return LegacyEnd(builder)
 }
 
-func (rcv *Legacy) UnPackTo(t *LegacyT) {
-	t.Of = string(rcv.Of())
+func (rcv *KeyHandover) UnPackTo(t *KeyHandoverT) {
+	t.SourceAddr = string(rcv.Of())
 	listLength := rcv.ListLength()
-	t.List = make([]*KeptT, listLength)
+	t.List = make([]*StoredResponseT, listLength)
 	for j := 0; j < listLength; j++ {
-		x := Kept{}
+		x := StoredResponse{}
 		rcv.List(&x, j)
 		t.List[j] = x.UnPack()
 	}
 }
 
-func (rcv *Legacy) UnPack() *LegacyT {
+func (rcv *KeyHandover) UnPack() *KeyHandoverT {
 	if rcv == nil {
 		return nil
 	}
-	t := &LegacyT{}
+	t := &KeyHandoverT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Legacy struct {
+type KeyHandover struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsLegacy(buf []byte, offset flatbuffers.UOffsetT) *Legacy {
+func GetRootAsKeyHandover(buf []byte, offset flatbuffers.UOffsetT) *KeyHandover {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Legacy{}
+	x := &KeyHandover{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsLegacy(buf []byte, offset flatbuffers.UOffsetT) *Legacy {
+func GetSizePrefixedRootAsLegacy(buf []byte, offset flatbuffers.UOffsetT) *KeyHandover {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Legacy{}
+	x := &KeyHandover{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Legacy) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *KeyHandover) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Legacy) Table() flatbuffers.Table {
+func (rcv *KeyHandover) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Legacy) Of() []byte {
+func (rcv *KeyHandover) Of() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (rcv *Legacy) List(obj *Kept, j int) bool {
+func (rcv *KeyHandover) List(obj *StoredResponse, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -102,7 +102,7 @@
 	return false
 }
 
-func (rcv *Legacy) ListLength() int {
+func (rcv *KeyHandover) ListLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
--- a/internal/exchange/trunk/wire/Members.go
+++ b/internal/exchange/trunk/wire/Members.go
@@ -10,7 +10,7 @@
 	List     []*MemberT `json:"list"`
 	Index    uint64     `json:"index"`
 	Outgoing []*MemberT `json:"outgoing"`
-	Version  uint32     `json:"version"`
+	RaftVersion  uint32     `json:"version"`
 }
 
 func (t *MembersT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -47,7 +47,7 @@
 	MembersAddList(builder, listOffset)
 	MembersAddIndex(builder, t.Index)
 	MembersAddOutgoing(builder, outgoingOffset)
-	MembersAddVersion(builder, t.Version)
+	MembersAddVersion(builder, t.RaftVersion)
 	return MembersEnd(builder)
 }
 
@@ -67,7 +67,7 @@
 		rcv.Outgoing(&x, j)
 		t.Outgoing[j] = x.UnPack()
 	}
-	t.Version = rcv.Version()
+	t.RaftVersion = rcv.Version()
 }
 
 func (rcv *Members) UnPack() *MembersT {
--- a/internal/exchange/trunk/wire/Night.go
+++ b/internal/exchange/trunk/wire/Night.go
@@ -6,18 +6,18 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type NightT struct {
+type MaintenanceChangeT struct {
 	Kind byte   `json:"kind"`
-	Text []byte `json:"text"`
+	Json []byte `json:"text"`
 }
 
-func (t *NightT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *MaintenanceChangeT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	textOffset := flatbuffers.UOffsetT(0)
-	if t.Text != nil {
-		textOffset = builder.CreateByteString(t.Text)
+	if t.Json != nil {
+		textOffset = builder.CreateByteString(t.Json)
 	}
 	NightStart(builder)
 	NightAddKind(builder, t.Kind)
@@ -25,48 +25,48 @@
 	return NightEnd(builder)
 }
 
-func (rcv *Night) UnPackTo(t *NightT) {
+func (rcv *MaintenanceChange) UnPackTo(t *MaintenanceChangeT) {
 	t.Kind = rcv.Kind()
-	t.Text = rcv.TextBytes()
+	t.Json = rcv.TextBytes()
 }
 
-func (rcv *Night) UnPack() *NightT {
+func (rcv *MaintenanceChange) UnPack() *MaintenanceChangeT {
 	if rcv == nil {
 		return nil
 	}
-	t := &NightT{}
+	t := &MaintenanceChangeT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Night struct {
+type MaintenanceChange struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsNight(buf []byte, offset flatbuffers.UOffsetT) *Night {
+func GetRootAsMaintenanceChange(buf []byte, offset flatbuffers.UOffsetT) *MaintenanceChange {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Night{}
+	x := &MaintenanceChange{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsNight(buf []byte, offset flatbuffers.UOffsetT) *Night {
+func GetSizePrefixedRootAsNight(buf []byte, offset flatbuffers.UOffsetT) *MaintenanceChange {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Night{}
+	x := &MaintenanceChange{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Night) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *MaintenanceChange) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Night) Table() flatbuffers.Table {
+func (rcv *MaintenanceChange) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Night) Kind() byte {
+func (rcv *MaintenanceChange) Kind() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -74,11 +74,11 @@
 	return 0
 }
 
-func (rcv *Night) MutateKind(n byte) bool {
+func (rcv *MaintenanceChange) MutateKind(n byte) bool {
 	return rcv._tab.MutateByteSlot(4, n)
 }
 
-func (rcv *Night) Text(j int) byte {
+func (rcv *MaintenanceChange) Text(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -87,7 +87,7 @@
 	return 0
 }
 
-func (rcv *Night) TextLength() int {
+func (rcv *MaintenanceChange) TextLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -95,7 +95,7 @@
 	return 0
 }
 
-func (rcv *Night) TextBytes() []byte {
+func (rcv *MaintenanceChange) TextBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func (rcv *Night) MutateText(j int, n byte) bool {
+func (rcv *MaintenanceChange) MutateText(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
--- a/internal/exchange/trunk/wire/Out.go
+++ b/internal/exchange/trunk/wire/Out.go
@@ -6,72 +6,72 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type OutT struct {
+type MachineInMaintenanceT struct {
 	Addr    string `json:"addr"`
-	Order   string `json:"order"`
-	Leading bool   `json:"leading"`
-	Heir    string `json:"heir"`
+	OrderId   string `json:"order"`
+	DrainCallers bool   `json:"leading"`
+	Successor    string `json:"heir"`
 }
 
-func (t *OutT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *MachineInMaintenanceT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	addrOffset := builder.CreateString(t.Addr)
-	orderOffset := builder.CreateString(t.Order)
-	heirOffset := builder.CreateString(t.Heir)
+	orderOffset := builder.CreateString(t.OrderId)
+	heirOffset := builder.CreateString(t.Successor)
 	OutStart(builder)
 	OutAddAddr(builder, addrOffset)
 	OutAddOrder(builder, orderOffset)
-	OutAddLeading(builder, t.Leading)
+	OutAddLeading(builder, t.DrainCallers)
 	OutAddHeir(builder, heirOffset)
 	return OutEnd(builder)
 }
 
-func (rcv *Out) UnPackTo(t *OutT) {
+func (rcv *MachineInMaintenance) UnPackTo(t *MachineInMaintenanceT) {
 	t.Addr = string(rcv.Addr())
-	t.Order = string(rcv.Order())
-	t.Leading = rcv.Leading()
-	t.Heir = string(rcv.Heir())
+	t.OrderId = string(rcv.Order())
+	t.DrainCallers = rcv.Leading()
+	t.Successor = string(rcv.Heir())
 }
 
-func (rcv *Out) UnPack() *OutT {
+func (rcv *MachineInMaintenance) UnPack() *MachineInMaintenanceT {
 	if rcv == nil {
 		return nil
 	}
-	t := &OutT{}
+	t := &MachineInMaintenanceT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Out struct {
+type MachineInMaintenance struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsOut(buf []byte, offset flatbuffers.UOffsetT) *Out {
+func GetRootAsMachineInMaintenance(buf []byte, offset flatbuffers.UOffsetT) *MachineInMaintenance {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Out{}
+	x := &MachineInMaintenance{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsOut(buf []byte, offset flatbuffers.UOffsetT) *Out {
+func GetSizePrefixedRootAsOut(buf []byte, offset flatbuffers.UOffsetT) *MachineInMaintenance {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Out{}
+	x := &MachineInMaintenance{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Out) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *MachineInMaintenance) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Out) Table() flatbuffers.Table {
+func (rcv *MachineInMaintenance) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Out) Addr() []byte {
+func (rcv *MachineInMaintenance) Addr() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (rcv *Out) Order() []byte {
+func (rcv *MachineInMaintenance) Order() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func (rcv *Out) Leading() bool {
+func (rcv *MachineInMaintenance) Leading() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -95,11 +95,11 @@
 	return false
 }
 
-func (rcv *Out) MutateLeading(n bool) bool {
+func (rcv *MachineInMaintenance) MutateLeading(n bool) bool {
 	return rcv._tab.MutateBoolSlot(8, n)
 }
 
-func (rcv *Out) Heir() []byte {
+func (rcv *MachineInMaintenance) Heir() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
--- a/internal/exchange/trunk/wire/Outs.go
+++ b/internal/exchange/trunk/wire/Outs.go
@@ -6,12 +6,12 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type OutsT struct {
-	List  []*OutT `json:"list"`
+type MachinesInMaintenanceT struct {
+	List  []*MachineInMaintenanceT `json:"list"`
 	Index uint64  `json:"index"`
 }
 
-func (t *OutsT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *MachinesInMaintenanceT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -34,54 +34,54 @@
 	return OutsEnd(builder)
 }
 
-func (rcv *Outs) UnPackTo(t *OutsT) {
+func (rcv *MachinesInMaintenance) UnPackTo(t *MachinesInMaintenanceT) {
 	listLength := rcv.ListLength()
-	t.List = make([]*OutT, listLength)
+	t.List = make([]*MachineInMaintenanceT, listLength)
 	for j := 0; j < listLength; j++ {
-		x := Out{}
+		x := MachineInMaintenance{}
 		rcv.List(&x, j)
 		t.List[j] = x.UnPack()
 	}
 	t.Index = rcv.Index()
 }
 
-func (rcv *Outs) UnPack() *OutsT {
+func (rcv *MachinesInMaintenance) UnPack() *MachinesInMaintenanceT {
 	if rcv == nil {
 		return nil
 	}
-	t := &OutsT{}
+	t := &MachinesInMaintenanceT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Outs struct {
+type MachinesInMaintenance struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsOuts(buf []byte, offset flatbuffers.UOffsetT) *Outs {
+func GetRootAsMachinesInMaintenance(buf []byte, offset flatbuffers.UOffsetT) *MachinesInMaintenance {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Outs{}
+	x := &MachinesInMaintenance{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsOuts(buf []byte, offset flatbuffers.UOffsetT) *Outs {
+func GetSizePrefixedRootAsOuts(buf []byte, offset flatbuffers.UOffsetT) *MachinesInMaintenance {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Outs{}
+	x := &MachinesInMaintenance{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Outs) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *MachinesInMaintenance) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Outs) Table() flatbuffers.Table {
+func (rcv *MachinesInMaintenance) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Outs) List(obj *Out, j int) bool {
+func (rcv *MachinesInMaintenance) List(obj *MachineInMaintenance, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -93,7 +93,7 @@
 	return false
 }
 
-func (rcv *Outs) ListLength() int {
+func (rcv *MachinesInMaintenance) ListLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -101,7 +101,7 @@
 	return 0
 }
 
-func (rcv *Outs) Index() uint64 {
+func (rcv *MachinesInMaintenance) Index() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -109,7 +109,7 @@
 	return 0
 }
 
-func (rcv *Outs) MutateIndex(n uint64) bool {
+func (rcv *MachinesInMaintenance) MutateIndex(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
--- a/internal/exchange/trunk/wire/Piece.go
+++ b/internal/exchange/trunk/wire/Piece.go
@@ -6,73 +6,73 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type PieceT struct {
+type BodyChunkT struct {
 	Id     uint64 `json:"id"`
-	Body   []byte `json:"body"`
+	Data   []byte `json:"body"`
 	Last   bool   `json:"last"`
-	Broken bool   `json:"broken"`
+	Aborted bool   `json:"broken"`
 }
 
-func (t *PieceT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *BodyChunkT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	bodyOffset := flatbuffers.UOffsetT(0)
-	if t.Body != nil {
-		bodyOffset = builder.CreateByteString(t.Body)
+	if t.Data != nil {
+		bodyOffset = builder.CreateByteString(t.Data)
 	}
 	PieceStart(builder)
 	PieceAddId(builder, t.Id)
 	PieceAddBody(builder, bodyOffset)
 	PieceAddLast(builder, t.Last)
-	PieceAddBroken(builder, t.Broken)
+	PieceAddBroken(builder, t.Aborted)
 	return PieceEnd(builder)
 }
 
-func (rcv *Piece) UnPackTo(t *PieceT) {
+func (rcv *BodyChunk) UnPackTo(t *BodyChunkT) {
 	t.Id = rcv.Id()
-	t.Body = rcv.BodyBytes()
+	t.Data = rcv.BodyBytes()
 	t.Last = rcv.Last()
-	t.Broken = rcv.Broken()
+	t.Aborted = rcv.Broken()
 }
 
-func (rcv *Piece) UnPack() *PieceT {
+func (rcv *BodyChunk) UnPack() *BodyChunkT {
 	if rcv == nil {
 		return nil
 	}
-	t := &PieceT{}
+	t := &BodyChunkT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Piece struct {
+type BodyChunk struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsPiece(buf []byte, offset flatbuffers.UOffsetT) *Piece {
+func GetRootAsBodyChunk(buf []byte, offset flatbuffers.UOffsetT) *BodyChunk {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Piece{}
+	x := &BodyChunk{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsPiece(buf []byte, offset flatbuffers.UOffsetT) *Piece {
+func GetSizePrefixedRootAsPiece(buf []byte, offset flatbuffers.UOffsetT) *BodyChunk {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Piece{}
+	x := &BodyChunk{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Piece) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *BodyChunk) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Piece) Table() flatbuffers.Table {
+func (rcv *BodyChunk) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Piece) Id() uint64 {
+func (rcv *BodyChunk) Id() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -80,11 +80,11 @@
 	return 0
 }
 
-func (rcv *Piece) MutateId(n uint64) bool {
+func (rcv *BodyChunk) MutateId(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Piece) Body(j int) byte {
+func (rcv *BodyChunk) Body(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -93,7 +93,7 @@
 	return 0
 }
 
-func (rcv *Piece) BodyLength() int {
+func (rcv *BodyChunk) BodyLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -101,7 +101,7 @@
 	return 0
 }
 
-func (rcv *Piece) BodyBytes() []byte {
+func (rcv *BodyChunk) BodyBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (rcv *Piece) MutateBody(j int, n byte) bool {
+func (rcv *BodyChunk) MutateBody(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -118,7 +118,7 @@
 	return false
 }
 
-func (rcv *Piece) Last() bool {
+func (rcv *BodyChunk) Last() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -126,11 +126,11 @@
 	return false
 }
 
-func (rcv *Piece) MutateLast(n bool) bool {
+func (rcv *BodyChunk) MutateLast(n bool) bool {
 	return rcv._tab.MutateBoolSlot(8, n)
 }
 
-func (rcv *Piece) Broken() bool {
+func (rcv *BodyChunk) Broken() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -138,7 +138,7 @@
 	return false
 }
 
-func (rcv *Piece) MutateBroken(n bool) bool {
+func (rcv *BodyChunk) MutateBroken(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
--- a/internal/exchange/trunk/wire/Record.go
+++ b/internal/exchange/trunk/wire/Record.go
@@ -8,16 +8,16 @@
 
 type RecordT struct {
 	Node    string `json:"node"`
-	Life    uint64 `json:"life"`
-	Seq     uint64 `json:"seq"`
+	Incarnation    uint64 `json:"life"`
+	Sequence     uint64 `json:"seq"`
 	Addr    string `json:"addr"`
 	Zone    string `json:"zone"`
 	Service string `json:"service"`
-	Server  string `json:"server"`
+	ServerId  string `json:"server"`
 	State   byte   `json:"state"`
 	Slots   uint32 `json:"slots"`
-	Warmup  int64  `json:"warmup"`
-	Speaks  uint32 `json:"speaks"`
+	WarmupUs  int64  `json:"warmup"`
+	TransportVersion  uint32 `json:"speaks"`
 }
 
 func (t *RecordT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -28,34 +28,34 @@
 	addrOffset := builder.CreateString(t.Addr)
 	zoneOffset := builder.CreateString(t.Zone)
 	serviceOffset := builder.CreateString(t.Service)
-	serverOffset := builder.CreateString(t.Server)
+	serverOffset := builder.CreateString(t.ServerId)
 	RecordStart(builder)
 	RecordAddNode(builder, nodeOffset)
-	RecordAddLife(builder, t.Life)
-	RecordAddSeq(builder, t.Seq)
+	RecordAddLife(builder, t.Incarnation)
+	RecordAddSeq(builder, t.Sequence)
 	RecordAddAddr(builder, addrOffset)
 	RecordAddZone(builder, zoneOffset)
 	RecordAddService(builder, serviceOffset)
 	RecordAddServer(builder, serverOffset)
 	RecordAddState(builder, t.State)
 	RecordAddSlots(builder, t.Slots)
-	RecordAddWarmup(builder, t.Warmup)
-	RecordAddSpeaks(builder, t.Speaks)
+	RecordAddWarmup(builder, t.WarmupUs)
+	RecordAddSpeaks(builder, t.TransportVersion)
 	return RecordEnd(builder)
 }
 
 func (rcv *Record) UnPackTo(t *RecordT) {
 	t.Node = string(rcv.Node())
-	t.Life = rcv.Life()
-	t.Seq = rcv.Seq()
+	t.Incarnation = rcv.Life()
+	t.Sequence = rcv.Seq()
 	t.Addr = string(rcv.Addr())
 	t.Zone = string(rcv.Zone())
 	t.Service = string(rcv.Service())
-	t.Server = string(rcv.Server())
+	t.ServerId = string(rcv.Server())
 	t.State = rcv.State()
 	t.Slots = rcv.Slots()
-	t.Warmup = rcv.Warmup()
-	t.Speaks = rcv.Speaks()
+	t.WarmupUs = rcv.Warmup()
+	t.TransportVersion = rcv.Speaks()
 }
 
 func (rcv *Record) UnPack() *RecordT {
--- a/internal/exchange/trunk/wire/Request.go
+++ b/internal/exchange/trunk/wire/Request.go
@@ -8,37 +8,37 @@
 
 type RequestT struct {
 	Id      uint64    `json:"id"`
-	Attempt string    `json:"attempt"`
+	AttemptId string    `json:"attempt"`
 	Method  string    `json:"method"`
 	Target  string    `json:"target"`
 	Host    string    `json:"host"`
-	Fields  []*FieldT `json:"fields"`
+	HeaderFields  []*HeaderFieldT `json:"fields"`
 	Body    []byte    `json:"body"`
-	More    bool      `json:"more"`
-	Length  int64     `json:"length"`
-	Budget  int64     `json:"budget"`
-	Server  string    `json:"server"`
-	Key     string    `json:"key"`
-	Ticket  string    `json:"ticket"`
-	Nth     uint32    `json:"nth"`
-	Once    bool      `json:"once"`
-	Head    []byte    `json:"head"`
+	MoreBody    bool      `json:"more"`
+	ContentLength  int64     `json:"length"`
+	TimeoutUs  int64     `json:"budget"`
+	ServerId  string    `json:"server"`
+	IdempotencyKey     string    `json:"key"`
+	Token  string    `json:"ticket"`
+	Attempt     uint32    `json:"nth"`
+	AtMostOnce    bool      `json:"once"`
+	PackedHeader    []byte    `json:"head"`
 }
 
 func (t *RequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	attemptOffset := builder.CreateString(t.Attempt)
+	attemptOffset := builder.CreateString(t.AttemptId)
 	methodOffset := builder.CreateString(t.Method)
 	targetOffset := builder.CreateString(t.Target)
 	hostOffset := builder.CreateString(t.Host)
 	fieldsOffset := flatbuffers.UOffsetT(0)
-	if t.Fields != nil {
-		fieldsLength := len(t.Fields)
+	if t.HeaderFields != nil {
+		fieldsLength := len(t.HeaderFields)
 		fieldsOffsets := make([]flatbuffers.UOffsetT, fieldsLength)
 		for j := 0; j < fieldsLength; j++ {
-			fieldsOffsets[j] = t.Fields[j].Pack(builder)
+			fieldsOffsets[j] = t.HeaderFields[j].Pack(builder)
 		}
 		RequestStartFieldsVector(builder, fieldsLength)
 		for j := fieldsLength - 1; j >= 0; j-- {
@@ -50,12 +50,12 @@
 	if t.Body != nil {
 		bodyOffset = builder.CreateByteString(t.Body)
 	}
-	serverOffset := builder.CreateString(t.Server)
-	keyOffset := builder.CreateString(t.Key)
-	ticketOffset := builder.CreateString(t.Ticket)
+	serverOffset := builder.CreateString(t.ServerId)
+	keyOffset := builder.CreateString(t.IdempotencyKey)
+	ticketOffset := builder.CreateString(t.Token)
 	headOffset := flatbuffers.UOffsetT(0)
-	if t.Head != nil {
-		headOffset = builder.CreateByteString(t.Head)
+	if t.PackedHeader != nil {
+		headOffset = builder.CreateByteString(t.PackedHeader)
 	}
 	RequestStart(builder)
 	RequestAddId(builder, t.Id)
@@ -65,41 +65,41 @@
 	RequestAddHost(builder, hostOffset)
 	RequestAddFields(builder, fieldsOffset)
 	RequestAddBody(builder, bodyOffset)
-	RequestAddMore(builder, t.More)
-	RequestAddLength(builder, t.Length)
-	RequestAddBudget(builder, t.Budget)
+	RequestAddMore(builder, t.MoreBody)
+	RequestAddLength(builder, t.ContentLength)
+	RequestAddBudget(builder, t.TimeoutUs)
 	RequestAddServer(builder, serverOffset)
 	RequestAddKey(builder, keyOffset)
 	RequestAddTicket(builder, ticketOffset)
-	RequestAddNth(builder, t.Nth)
-	RequestAddOnce(builder, t.Once)
+	RequestAddNth(builder, t.Attempt)
+	RequestAddOnce(builder, t.AtMostOnce)
 	RequestAddHead(builder, headOffset)
 	return RequestEnd(builder)
 }
 
 func (rcv *Request) UnPackTo(t *RequestT) {
 	t.Id = rcv.Id()
-	t.Attempt = string(rcv.Attempt())
+	t.AttemptId = string(rcv.Attempt())
 	t.Method = string(rcv.Method())
 	t.Target = string(rcv.Target())
 	t.Host = string(rcv.Host())
 	fieldsLength := rcv.FieldsLength()
-	t.Fields = make([]*FieldT, fieldsLength)
+	t.HeaderFields = make([]*HeaderFieldT, fieldsLength)
 	for j := 0; j < fieldsLength; j++ {
-		x := Field{}
+		x := HeaderField{}
 		rcv.Fields(&x, j)
-		t.Fields[j] = x.UnPack()
+		t.HeaderFields[j] = x.UnPack()
 	}
 	t.Body = rcv.BodyBytes()
-	t.More = rcv.More()
-	t.Length = rcv.Length()
-	t.Budget = rcv.Budget()
-	t.Server = string(rcv.Server())
-	t.Key = string(rcv.Key())
-	t.Ticket = string(rcv.Ticket())
-	t.Nth = rcv.Nth()
-	t.Once = rcv.Once()
-	t.Head = rcv.HeadBytes()
+	t.MoreBody = rcv.More()
+	t.ContentLength = rcv.Length()
+	t.TimeoutUs = rcv.Budget()
+	t.ServerId = string(rcv.Server())
+	t.IdempotencyKey = string(rcv.Key())
+	t.Token = string(rcv.Ticket())
+	t.Attempt = rcv.Nth()
+	t.AtMostOnce = rcv.Once()
+	t.PackedHeader = rcv.HeadBytes()
 }
 
 func (rcv *Request) UnPack() *RequestT {
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func (rcv *Request) Fields(obj *Field, j int) bool {
+func (rcv *Request) Fields(obj *HeaderField, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
--- a/internal/exchange/trunk/wire/Said.go
+++ b/internal/exchange/trunk/wire/Said.go
@@ -6,17 +6,17 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type SaidT struct {
-	Purpose string `json:"purpose"`
+type TrafficCounterT struct {
+	MessageType string `json:"purpose"`
 	Frames  int64  `json:"frames"`
 	Bytes   int64  `json:"bytes"`
 }
 
-func (t *SaidT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *TrafficCounterT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	purposeOffset := builder.CreateString(t.Purpose)
+	purposeOffset := builder.CreateString(t.MessageType)
 	SaidStart(builder)
 	SaidAddPurpose(builder, purposeOffset)
 	SaidAddFrames(builder, t.Frames)
@@ -24,49 +24,49 @@
 	return SaidEnd(builder)
 }
 
-func (rcv *Said) UnPackTo(t *SaidT) {
-	t.Purpose = string(rcv.Purpose())
+func (rcv *TrafficCounter) UnPackTo(t *TrafficCounterT) {
+	t.MessageType = string(rcv.Purpose())
 	t.Frames = rcv.Frames()
 	t.Bytes = rcv.Bytes()
 }
 
-func (rcv *Said) UnPack() *SaidT {
+func (rcv *TrafficCounter) UnPack() *TrafficCounterT {
 	if rcv == nil {
 		return nil
 	}
-	t := &SaidT{}
+	t := &TrafficCounterT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Said struct {
+type TrafficCounter struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsSaid(buf []byte, offset flatbuffers.UOffsetT) *Said {
+func GetRootAsTrafficCounter(buf []byte, offset flatbuffers.UOffsetT) *TrafficCounter {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Said{}
+	x := &TrafficCounter{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsSaid(buf []byte, offset flatbuffers.UOffsetT) *Said {
+func GetSizePrefixedRootAsSaid(buf []byte, offset flatbuffers.UOffsetT) *TrafficCounter {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Said{}
+	x := &TrafficCounter{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Said) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *TrafficCounter) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Said) Table() flatbuffers.Table {
+func (rcv *TrafficCounter) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Said) Purpose() []byte {
+func (rcv *TrafficCounter) Purpose() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -74,7 +74,7 @@
 	return nil
 }
 
-func (rcv *Said) Frames() int64 {
+func (rcv *TrafficCounter) Frames() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -82,11 +82,11 @@
 	return 0
 }
 
-func (rcv *Said) MutateFrames(n int64) bool {
+func (rcv *TrafficCounter) MutateFrames(n int64) bool {
 	return rcv._tab.MutateInt64Slot(6, n)
 }
 
-func (rcv *Said) Bytes() int64 {
+func (rcv *TrafficCounter) Bytes() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -94,7 +94,7 @@
 	return 0
 }
 
-func (rcv *Said) MutateBytes(n int64) bool {
+func (rcv *TrafficCounter) MutateBytes(n int64) bool {
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
--- a/internal/exchange/trunk/wire/Snapshot.go
+++ b/internal/exchange/trunk/wire/Snapshot.go
@@ -9,12 +9,12 @@
 type SnapshotT struct {
 	Index    uint64     `json:"index"`
 	Term     uint64     `json:"term"`
-	Stamp    int64      `json:"stamp"`
-	View     uint64     `json:"view"`
+	LogTimeNs    int64      `json:"stamp"`
+	ConfigurationIndex     uint64     `json:"view"`
 	Members  []*MemberT `json:"members"`
 	Data     []byte     `json:"data"`
 	Outgoing []*MemberT `json:"outgoing"`
-	Version  uint32     `json:"version"`
+	RaftVersion  uint32     `json:"version"`
 }
 
 func (t *SnapshotT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -54,20 +54,20 @@
 	SnapshotStart(builder)
 	SnapshotAddIndex(builder, t.Index)
 	SnapshotAddTerm(builder, t.Term)
-	SnapshotAddStamp(builder, t.Stamp)
-	SnapshotAddView(builder, t.View)
+	SnapshotAddStamp(builder, t.LogTimeNs)
+	SnapshotAddView(builder, t.ConfigurationIndex)
 	SnapshotAddMembers(builder, membersOffset)
 	SnapshotAddData(builder, dataOffset)
 	SnapshotAddOutgoing(builder, outgoingOffset)
-	SnapshotAddVersion(builder, t.Version)
+	SnapshotAddVersion(builder, t.RaftVersion)
 	return SnapshotEnd(builder)
 }
 
 func (rcv *Snapshot) UnPackTo(t *SnapshotT) {
 	t.Index = rcv.Index()
 	t.Term = rcv.Term()
-	t.Stamp = rcv.Stamp()
-	t.View = rcv.View()
+	t.LogTimeNs = rcv.Stamp()
+	t.ConfigurationIndex = rcv.View()
 	membersLength := rcv.MembersLength()
 	t.Members = make([]*MemberT, membersLength)
 	for j := 0; j < membersLength; j++ {
@@ -83,7 +83,7 @@
 		rcv.Outgoing(&x, j)
 		t.Outgoing[j] = x.UnPack()
 	}
-	t.Version = rcv.Version()
+	t.RaftVersion = rcv.Version()
 }
 
 func (rcv *Snapshot) UnPack() *SnapshotT {
--- a/internal/exchange/trunk/wire/State.go
+++ b/internal/exchange/trunk/wire/State.go
@@ -8,10 +8,10 @@
 
 type StateT struct {
 	Items   []*ItemT   `json:"items"`
-	Tickets []*TicketT `json:"tickets"`
-	Night   []byte     `json:"night"`
-	Bound   []*ItemT   `json:"bound"`
-	Rules   []byte     `json:"rules"`
+	KeyLeases []*KeyLeaseT `json:"tickets"`
+	Maintenance   []byte     `json:"night"`
+	ActivePolicy   []*ItemT   `json:"bound"`
+	Policy   []byte     `json:"rules"`
 }
 
 func (t *StateT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -32,11 +32,11 @@
 		itemsOffset = builder.EndVector(itemsLength)
 	}
 	ticketsOffset := flatbuffers.UOffsetT(0)
-	if t.Tickets != nil {
-		ticketsLength := len(t.Tickets)
+	if t.KeyLeases != nil {
+		ticketsLength := len(t.KeyLeases)
 		ticketsOffsets := make([]flatbuffers.UOffsetT, ticketsLength)
 		for j := 0; j < ticketsLength; j++ {
-			ticketsOffsets[j] = t.Tickets[j].Pack(builder)
+			ticketsOffsets[j] = t.KeyLeases[j].Pack(builder)
 		}
 		StateStartTicketsVector(builder, ticketsLength)
 		for j := ticketsLength - 1; j >= 0; j-- {
@@ -45,15 +45,15 @@
 		ticketsOffset = builder.EndVector(ticketsLength)
 	}
 	nightOffset := flatbuffers.UOffsetT(0)
-	if t.Night != nil {
-		nightOffset = builder.CreateByteString(t.Night)
+	if t.Maintenance != nil {
+		nightOffset = builder.CreateByteString(t.Maintenance)
 	}
 	boundOffset := flatbuffers.UOffsetT(0)
-	if t.Bound != nil {
-		boundLength := len(t.Bound)
+	if t.ActivePolicy != nil {
+		boundLength := len(t.ActivePolicy)
 		boundOffsets := make([]flatbuffers.UOffsetT, boundLength)
 		for j := 0; j < boundLength; j++ {
-			boundOffsets[j] = t.Bound[j].Pack(builder)
+			boundOffsets[j] = t.ActivePolicy[j].Pack(builder)
 		}
 		StateStartBoundVector(builder, boundLength)
 		for j := boundLength - 1; j >= 0; j-- {
@@ -62,8 +62,8 @@
 		boundOffset = builder.EndVector(boundLength)
 	}
 	rulesOffset := flatbuffers.UOffsetT(0)
-	if t.Rules != nil {
-		rulesOffset = builder.CreateByteString(t.Rules)
+	if t.Policy != nil {
+		rulesOffset = builder.CreateByteString(t.Policy)
 	}
 	StateStart(builder)
 	StateAddItems(builder, itemsOffset)
@@ -83,21 +83,21 @@
 		t.Items[j] = x.UnPack()
 	}
 	ticketsLength := rcv.TicketsLength()
-	t.Tickets = make([]*TicketT, ticketsLength)
+	t.KeyLeases = make([]*KeyLeaseT, ticketsLength)
 	for j := 0; j < ticketsLength; j++ {
-		x := Ticket{}
+		x := KeyLease{}
 		rcv.Tickets(&x, j)
-		t.Tickets[j] = x.UnPack()
+		t.KeyLeases[j] = x.UnPack()
 	}
-	t.Night = rcv.NightBytes()
+	t.Maintenance = rcv.NightBytes()
 	boundLength := rcv.BoundLength()
-	t.Bound = make([]*ItemT, boundLength)
+	t.ActivePolicy = make([]*ItemT, boundLength)
 	for j := 0; j < boundLength; j++ {
 		x := Item{}
 		rcv.Bound(&x, j)
-		t.Bound[j] = x.UnPack()
+		t.ActivePolicy[j] = x.UnPack()
 	}
-	t.Rules = rcv.RulesBytes()
+	t.Policy = rcv.RulesBytes()
 }
 
 func (rcv *State) UnPack() *StateT {
@@ -156,7 +156,7 @@
 	return 0
 }
 
-func (rcv *State) Tickets(obj *Ticket, j int) bool {
+func (rcv *State) Tickets(obj *KeyLease, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
--- a/internal/exchange/trunk/wire/Status.go
+++ b/internal/exchange/trunk/wire/Status.go
@@ -10,43 +10,43 @@
 	Name       string     `json:"name"`
 	Addr       string     `json:"addr"`
 	Zone       string     `json:"zone"`
-	Register   bool       `json:"register"`
-	Up         int64      `json:"up"`
-	Trouble    string     `json:"trouble"`
-	Items      []*HoldsT  `json:"items"`
-	Id         uint64     `json:"id"`
-	Leader     string     `json:"leader"`
-	Leads      bool       `json:"leads"`
-	Outside    bool       `json:"outside"`
-	Touch      bool       `json:"touch"`
+	ControlPlane   bool       `json:"register"`
+	UptimeUs         int64      `json:"up"`
+	Fault    string     `json:"trouble"`
+	ItemVersions      []*ItemVersionT  `json:"items"`
+	MemberId         uint64     `json:"id"`
+	LeaderAddr     string     `json:"leader"`
+	IsLeader      bool       `json:"leads"`
+	IsNonMember    bool       `json:"outside"`
+	QuorumContact      bool       `json:"touch"`
 	Term       uint64     `json:"term"`
-	Applied    uint64     `json:"applied"`
-	Last       uint64     `json:"last"`
-	View       uint64     `json:"view"`
+	AppliedIndex    uint64     `json:"applied"`
+	LastIndex       uint64     `json:"last"`
+	ConfigurationIndex       uint64     `json:"view"`
 	Members    []*MemberT `json:"members"`
-	Keys       uint32     `json:"keys"`
-	Lines      []string   `json:"lines"`
-	Home       string     `json:"home"`
+	KeyCount       uint32     `json:"keys"`
+	Sidecars      []string   `json:"lines"`
+	FollowedMember       string     `json:"home"`
 	Ready      bool       `json:"ready"`
-	Leaving    bool       `json:"leaving"`
-	Held       bool       `json:"held"`
+	Stopping    bool       `json:"leaving"`
+	InMaintenance       bool       `json:"held"`
 	Service    string     `json:"service"`
-	Server     string     `json:"server"`
-	State      byte       `json:"state"`
-	Why        string     `json:"why"`
-	Open       int64      `json:"open"`
-	Outs       uint64     `json:"outs"`
-	Sends      []string   `json:"sends"`
-	Callers    int64      `json:"callers"`
-	Time       int64      `json:"time"`
-	Handed     string     `json:"handed"`
-	Work       []*WorkT   `json:"work"`
-	RulesHeld  string     `json:"rules_held"`
-	RulesBound string     `json:"rules_bound"`
-	BoundAt    uint64     `json:"bound_at"`
-	BoundFor   int64      `json:"bound_for"`
+	ServerId     string     `json:"server"`
+	ServerState      byte       `json:"state"`
+	ServerStateReason        string     `json:"why"`
+	OpenRequests       int64      `json:"open"`
+	MaintenanceIndex       uint64     `json:"outs"`
+	UpstreamAddrs      []string   `json:"sends"`
+	DownstreamRequests    int64      `json:"callers"`
+	WallTimeNs       int64      `json:"time"`
+	HandedOverOrder     string     `json:"handed"`
+	Work       []*WorkCounterT   `json:"work"`
+	CommittedPolicy  string     `json:"rules_held"`
+	ActivePolicy string     `json:"rules_bound"`
+	ActivePolicyIndex    uint64     `json:"bound_at"`
+	ActivePolicyAgeUs   int64      `json:"bound_for"`
 	Fenced     bool       `json:"fenced"`
-	Said       []*SaidT   `json:"said"`
+	Traffic       []*TrafficCounterT   `json:"said"`
 }
 
 func (t *StatusT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -56,13 +56,13 @@
 	nameOffset := builder.CreateString(t.Name)
 	addrOffset := builder.CreateString(t.Addr)
 	zoneOffset := builder.CreateString(t.Zone)
-	troubleOffset := builder.CreateString(t.Trouble)
+	troubleOffset := builder.CreateString(t.Fault)
 	itemsOffset := flatbuffers.UOffsetT(0)
-	if t.Items != nil {
-		itemsLength := len(t.Items)
+	if t.ItemVersions != nil {
+		itemsLength := len(t.ItemVersions)
 		itemsOffsets := make([]flatbuffers.UOffsetT, itemsLength)
 		for j := 0; j < itemsLength; j++ {
-			itemsOffsets[j] = t.Items[j].Pack(builder)
+			itemsOffsets[j] = t.ItemVersions[j].Pack(builder)
 		}
 		StatusStartItemsVector(builder, itemsLength)
 		for j := itemsLength - 1; j >= 0; j-- {
@@ -70,7 +70,7 @@
 		}
 		itemsOffset = builder.EndVector(itemsLength)
 	}
-	leaderOffset := builder.CreateString(t.Leader)
+	leaderOffset := builder.CreateString(t.LeaderAddr)
 	membersOffset := flatbuffers.UOffsetT(0)
 	if t.Members != nil {
 		membersLength := len(t.Members)
@@ -85,11 +85,11 @@
 		membersOffset = builder.EndVector(membersLength)
 	}
 	linesOffset := flatbuffers.UOffsetT(0)
-	if t.Lines != nil {
-		linesLength := len(t.Lines)
+	if t.Sidecars != nil {
+		linesLength := len(t.Sidecars)
 		linesOffsets := make([]flatbuffers.UOffsetT, linesLength)
 		for j := 0; j < linesLength; j++ {
-			linesOffsets[j] = builder.CreateString(t.Lines[j])
+			linesOffsets[j] = builder.CreateString(t.Sidecars[j])
 		}
 		StatusStartLinesVector(builder, linesLength)
 		for j := linesLength - 1; j >= 0; j-- {
@@ -97,16 +97,16 @@
 		}
 		linesOffset = builder.EndVector(linesLength)
 	}
-	homeOffset := builder.CreateString(t.Home)
+	homeOffset := builder.CreateString(t.FollowedMember)
 	serviceOffset := builder.CreateString(t.Service)
-	serverOffset := builder.CreateString(t.Server)
-	whyOffset := builder.CreateString(t.Why)
+	serverOffset := builder.CreateString(t.ServerId)
+	whyOffset := builder.CreateString(t.ServerStateReason)
 	sendsOffset := flatbuffers.UOffsetT(0)
-	if t.Sends != nil {
-		sendsLength := len(t.Sends)
+	if t.UpstreamAddrs != nil {
+		sendsLength := len(t.UpstreamAddrs)
 		sendsOffsets := make([]flatbuffers.UOffsetT, sendsLength)
 		for j := 0; j < sendsLength; j++ {
-			sendsOffsets[j] = builder.CreateString(t.Sends[j])
+			sendsOffsets[j] = builder.CreateString(t.UpstreamAddrs[j])
 		}
 		StatusStartSendsVector(builder, sendsLength)
 		for j := sendsLength - 1; j >= 0; j-- {
@@ -114,7 +114,7 @@
 		}
 		sendsOffset = builder.EndVector(sendsLength)
 	}
-	handedOffset := builder.CreateString(t.Handed)
+	handedOffset := builder.CreateString(t.HandedOverOrder)
 	workOffset := flatbuffers.UOffsetT(0)
 	if t.Work != nil {
 		workLength := len(t.Work)
@@ -128,14 +128,14 @@
 		}
 		workOffset = builder.EndVector(workLength)
 	}
-	rulesHeldOffset := builder.CreateString(t.RulesHeld)
-	rulesBoundOffset := builder.CreateString(t.RulesBound)
+	rulesHeldOffset := builder.CreateString(t.CommittedPolicy)
+	rulesBoundOffset := builder.CreateString(t.ActivePolicy)
 	saidOffset := flatbuffers.UOffsetT(0)
-	if t.Said != nil {
-		saidLength := len(t.Said)
+	if t.Traffic != nil {
+		saidLength := len(t.Traffic)
 		saidOffsets := make([]flatbuffers.UOffsetT, saidLength)
 		for j := 0; j < saidLength; j++ {
-			saidOffsets[j] = t.Said[j].Pack(builder)
+			saidOffsets[j] = t.Traffic[j].Pack(builder)
 		}
 		StatusStartSaidVector(builder, saidLength)
 		for j := saidLength - 1; j >= 0; j-- {
@@ -147,41 +147,41 @@
 	StatusAddName(builder, nameOffset)
 	StatusAddAddr(builder, addrOffset)
 	StatusAddZone(builder, zoneOffset)
-	StatusAddRegister(builder, t.Register)
-	StatusAddUp(builder, t.Up)
+	StatusAddRegister(builder, t.ControlPlane)
+	StatusAddUp(builder, t.UptimeUs)
 	StatusAddTrouble(builder, troubleOffset)
 	StatusAddItems(builder, itemsOffset)
-	StatusAddId(builder, t.Id)
+	StatusAddId(builder, t.MemberId)
 	StatusAddLeader(builder, leaderOffset)
-	StatusAddLeads(builder, t.Leads)
-	StatusAddOutside(builder, t.Outside)
-	StatusAddTouch(builder, t.Touch)
+	StatusAddLeads(builder, t.IsLeader)
+	StatusAddOutside(builder, t.IsNonMember)
+	StatusAddTouch(builder, t.QuorumContact)
 	StatusAddTerm(builder, t.Term)
-	StatusAddApplied(builder, t.Applied)
-	StatusAddLast(builder, t.Last)
-	StatusAddView(builder, t.View)
+	StatusAddApplied(builder, t.AppliedIndex)
+	StatusAddLast(builder, t.LastIndex)
+	StatusAddView(builder, t.ConfigurationIndex)
 	StatusAddMembers(builder, membersOffset)
-	StatusAddKeys(builder, t.Keys)
+	StatusAddKeys(builder, t.KeyCount)
 	StatusAddLines(builder, linesOffset)
 	StatusAddHome(builder, homeOffset)
 	StatusAddReady(builder, t.Ready)
-	StatusAddLeaving(builder, t.Leaving)
-	StatusAddHeld(builder, t.Held)
+	StatusAddLeaving(builder, t.Stopping)
+	StatusAddHeld(builder, t.InMaintenance)
 	StatusAddService(builder, serviceOffset)
 	StatusAddServer(builder, serverOffset)
-	StatusAddState(builder, t.State)
+	StatusAddState(builder, t.ServerState)
 	StatusAddWhy(builder, whyOffset)
-	StatusAddOpen(builder, t.Open)
-	StatusAddOuts(builder, t.Outs)
+	StatusAddOpen(builder, t.OpenRequests)
+	StatusAddOuts(builder, t.MaintenanceIndex)
 	StatusAddSends(builder, sendsOffset)
-	StatusAddCallers(builder, t.Callers)
-	StatusAddTime(builder, t.Time)
+	StatusAddCallers(builder, t.DownstreamRequests)
+	StatusAddTime(builder, t.WallTimeNs)
 	StatusAddHanded(builder, handedOffset)
 	StatusAddWork(builder, workOffset)
 	StatusAddRulesHeld(builder, rulesHeldOffset)
 	StatusAddRulesBound(builder, rulesBoundOffset)
-	StatusAddBoundAt(builder, t.BoundAt)
-	StatusAddBoundFor(builder, t.BoundFor)
+	StatusAddBoundAt(builder, t.ActivePolicyIndex)
+	StatusAddBoundFor(builder, t.ActivePolicyAgeUs)
 	StatusAddFenced(builder, t.Fenced)
 	StatusAddSaid(builder, saidOffset)
 	return StatusEnd(builder)
@@ -191,25 +191,25 @@
 	t.Name = string(rcv.Name())
 	t.Addr = string(rcv.Addr())
 	t.Zone = string(rcv.Zone())
-	t.Register = rcv.Register()
-	t.Up = rcv.Up()
-	t.Trouble = string(rcv.Trouble())
+	t.ControlPlane = rcv.Register()
+	t.UptimeUs = rcv.Up()
+	t.Fault = string(rcv.Trouble())
 	itemsLength := rcv.ItemsLength()
-	t.Items = make([]*HoldsT, itemsLength)
+	t.ItemVersions = make([]*ItemVersionT, itemsLength)
 	for j := 0; j < itemsLength; j++ {
-		x := Holds{}
+		x := ItemVersion{}
 		rcv.Items(&x, j)
-		t.Items[j] = x.UnPack()
+		t.ItemVersions[j] = x.UnPack()
 	}
-	t.Id = rcv.Id()
-	t.Leader = string(rcv.Leader())
-	t.Leads = rcv.Leads()
-	t.Outside = rcv.Outside()
-	t.Touch = rcv.Touch()
+	t.MemberId = rcv.Id()
+	t.LeaderAddr = string(rcv.Leader())
+	t.IsLeader = rcv.Leads()
+	t.IsNonMember = rcv.Outside()
+	t.QuorumContact = rcv.Touch()
 	t.Term = rcv.Term()
-	t.Applied = rcv.Applied()
-	t.Last = rcv.Last()
-	t.View = rcv.View()
+	t.AppliedIndex = rcv.Applied()
+	t.LastIndex = rcv.Last()
+	t.ConfigurationIndex = rcv.View()
 	membersLength := rcv.MembersLength()
 	t.Members = make([]*MemberT, membersLength)
 	for j := 0; j < membersLength; j++ {
@@ -217,48 +217,48 @@
 		rcv.Members(&x, j)
 		t.Members[j] = x.UnPack()
 	}
-	t.Keys = rcv.Keys()
+	t.KeyCount = rcv.Keys()
 	linesLength := rcv.LinesLength()
-	t.Lines = make([]string, linesLength)
+	t.Sidecars = make([]string, linesLength)
 	for j := 0; j < linesLength; j++ {
-		t.Lines[j] = string(rcv.Lines(j))
+		t.Sidecars[j] = string(rcv.Lines(j))
 	}
-	t.Home = string(rcv.Home())
+	t.FollowedMember = string(rcv.Home())
 	t.Ready = rcv.Ready()
-	t.Leaving = rcv.Leaving()
-	t.Held = rcv.Held()
+	t.Stopping = rcv.Leaving()
+	t.InMaintenance = rcv.Held()
 	t.Service = string(rcv.Service())
-	t.Server = string(rcv.Server())
-	t.State = rcv.State()
-	t.Why = string(rcv.Why())
-	t.Open = rcv.Open()
-	t.Outs = rcv.Outs()
+	t.ServerId = string(rcv.Server())
+	t.ServerState = rcv.State()
+	t.ServerStateReason = string(rcv.Why())
+	t.OpenRequests = rcv.Open()
+	t.MaintenanceIndex = rcv.Outs()
 	sendsLength := rcv.SendsLength()
-	t.Sends = make([]string, sendsLength)
+	t.UpstreamAddrs = make([]string, sendsLength)
 	for j := 0; j < sendsLength; j++ {
-		t.Sends[j] = string(rcv.Sends(j))
+		t.UpstreamAddrs[j] = string(rcv.Sends(j))
 	}
-	t.Callers = rcv.Callers()
-	t.Time = rcv.Time()
-	t.Handed = string(rcv.Handed())
+	t.DownstreamRequests = rcv.Callers()
+	t.WallTimeNs = rcv.Time()
+	t.HandedOverOrder = string(rcv.Handed())
 	workLength := rcv.WorkLength()
-	t.Work = make([]*WorkT, workLength)
+	t.Work = make([]*WorkCounterT, workLength)
 	for j := 0; j < workLength; j++ {
-		x := Work{}
+		x := WorkCounter{}
 		rcv.Work(&x, j)
 		t.Work[j] = x.UnPack()
 	}
-	t.RulesHeld = string(rcv.RulesHeld())
-	t.RulesBound = string(rcv.RulesBound())
-	t.BoundAt = rcv.BoundAt()
-	t.BoundFor = rcv.BoundFor()
+	t.CommittedPolicy = string(rcv.RulesHeld())
+	t.ActivePolicy = string(rcv.RulesBound())
+	t.ActivePolicyIndex = rcv.BoundAt()
+	t.ActivePolicyAgeUs = rcv.BoundFor()
 	t.Fenced = rcv.Fenced()
 	saidLength := rcv.SaidLength()
-	t.Said = make([]*SaidT, saidLength)
+	t.Traffic = make([]*TrafficCounterT, saidLength)
 	for j := 0; j < saidLength; j++ {
-		x := Said{}
+		x := TrafficCounter{}
 		rcv.Said(&x, j)
-		t.Said[j] = x.UnPack()
+		t.Traffic[j] = x.UnPack()
 	}
 }
 
@@ -354,7 +354,7 @@
 	return nil
 }
 
-func (rcv *Status) Items(obj *Holds, j int) bool {
+func (rcv *Status) Items(obj *ItemVersion, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -680,7 +680,7 @@
 	return nil
 }
 
-func (rcv *Status) Work(obj *Work, j int) bool {
+func (rcv *Status) Work(obj *WorkCounter, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(70))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -752,7 +752,7 @@
 	return rcv._tab.MutateBoolSlot(80, n)
 }
 
-func (rcv *Status) Said(obj *Said, j int) bool {
+func (rcv *Status) Said(obj *TrafficCounter, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(82))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
--- a/internal/exchange/trunk/wire/Ticket.go
+++ b/internal/exchange/trunk/wire/Ticket.go
@@ -6,78 +6,78 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type TicketT struct {
+type KeyLeaseT struct {
 	Key    string `json:"key"`
-	Ticket string `json:"ticket"`
-	Nth    uint32 `json:"nth"`
+	Token string `json:"ticket"`
+	Attempt    uint32 `json:"nth"`
 	Holder string `json:"holder"`
-	Stamp  int64  `json:"stamp"`
-	Window int64  `json:"window"`
+	GrantedAtNs  int64  `json:"stamp"`
+	WindowNs int64  `json:"window"`
 }
 
-func (t *TicketT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *KeyLeaseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
 	keyOffset := builder.CreateString(t.Key)
-	ticketOffset := builder.CreateString(t.Ticket)
+	ticketOffset := builder.CreateString(t.Token)
 	holderOffset := builder.CreateString(t.Holder)
 	TicketStart(builder)
 	TicketAddKey(builder, keyOffset)
 	TicketAddTicket(builder, ticketOffset)
-	TicketAddNth(builder, t.Nth)
+	TicketAddNth(builder, t.Attempt)
 	TicketAddHolder(builder, holderOffset)
-	TicketAddStamp(builder, t.Stamp)
-	TicketAddWindow(builder, t.Window)
+	TicketAddStamp(builder, t.GrantedAtNs)
+	TicketAddWindow(builder, t.WindowNs)
 	return TicketEnd(builder)
 }
 
-func (rcv *Ticket) UnPackTo(t *TicketT) {
+func (rcv *KeyLease) UnPackTo(t *KeyLeaseT) {
 	t.Key = string(rcv.Key())
-	t.Ticket = string(rcv.Ticket())
-	t.Nth = rcv.Nth()
+	t.Token = string(rcv.Ticket())
+	t.Attempt = rcv.Nth()
 	t.Holder = string(rcv.Holder())
-	t.Stamp = rcv.Stamp()
-	t.Window = rcv.Window()
+	t.GrantedAtNs = rcv.Stamp()
+	t.WindowNs = rcv.Window()
 }
 
-func (rcv *Ticket) UnPack() *TicketT {
+func (rcv *KeyLease) UnPack() *KeyLeaseT {
 	if rcv == nil {
 		return nil
 	}
-	t := &TicketT{}
+	t := &KeyLeaseT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Ticket struct {
+type KeyLease struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsTicket(buf []byte, offset flatbuffers.UOffsetT) *Ticket {
+func GetRootAsKeyLease(buf []byte, offset flatbuffers.UOffsetT) *KeyLease {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Ticket{}
+	x := &KeyLease{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsTicket(buf []byte, offset flatbuffers.UOffsetT) *Ticket {
+func GetSizePrefixedRootAsTicket(buf []byte, offset flatbuffers.UOffsetT) *KeyLease {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Ticket{}
+	x := &KeyLease{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Ticket) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *KeyLease) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Ticket) Table() flatbuffers.Table {
+func (rcv *KeyLease) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Ticket) Key() []byte {
+func (rcv *KeyLease) Key() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (rcv *Ticket) Ticket() []byte {
+func (rcv *KeyLease) Ticket() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (rcv *Ticket) Nth() uint32 {
+func (rcv *KeyLease) Nth() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -101,11 +101,11 @@
 	return 0
 }
 
-func (rcv *Ticket) MutateNth(n uint32) bool {
+func (rcv *KeyLease) MutateNth(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(8, n)
 }
 
-func (rcv *Ticket) Holder() []byte {
+func (rcv *KeyLease) Holder() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func (rcv *Ticket) Stamp() int64 {
+func (rcv *KeyLease) Stamp() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -121,11 +121,11 @@
 	return 0
 }
 
-func (rcv *Ticket) MutateStamp(n int64) bool {
+func (rcv *KeyLease) MutateStamp(n int64) bool {
 	return rcv._tab.MutateInt64Slot(12, n)
 }
 
-func (rcv *Ticket) Window() int64 {
+func (rcv *KeyLease) Window() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -133,7 +133,7 @@
 	return 0
 }
 
-func (rcv *Ticket) MutateWindow(n int64) bool {
+func (rcv *KeyLease) MutateWindow(n int64) bool {
 	return rcv._tab.MutateInt64Slot(14, n)
 }
 
--- a/internal/exchange/trunk/wire/Told.go
+++ b/internal/exchange/trunk/wire/Told.go
@@ -6,13 +6,13 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type ToldT struct {
+type CallReplyT struct {
 	Id     uint64 `json:"id"`
 	Status uint16 `json:"status"`
 	Body   []byte `json:"body"`
 }
 
-func (t *ToldT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *CallReplyT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -27,49 +27,49 @@
 	return ToldEnd(builder)
 }
 
-func (rcv *Told) UnPackTo(t *ToldT) {
+func (rcv *CallReply) UnPackTo(t *CallReplyT) {
 	t.Id = rcv.Id()
 	t.Status = rcv.Status()
 	t.Body = rcv.BodyBytes()
 }
 
-func (rcv *Told) UnPack() *ToldT {
+func (rcv *CallReply) UnPack() *CallReplyT {
 	if rcv == nil {
 		return nil
 	}
-	t := &ToldT{}
+	t := &CallReplyT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Told struct {
+type CallReply struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsTold(buf []byte, offset flatbuffers.UOffsetT) *Told {
+func GetRootAsCallReply(buf []byte, offset flatbuffers.UOffsetT) *CallReply {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Told{}
+	x := &CallReply{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsTold(buf []byte, offset flatbuffers.UOffsetT) *Told {
+func GetSizePrefixedRootAsTold(buf []byte, offset flatbuffers.UOffsetT) *CallReply {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Told{}
+	x := &CallReply{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Told) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *CallReply) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Told) Table() flatbuffers.Table {
+func (rcv *CallReply) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Told) Id() uint64 {
+func (rcv *CallReply) Id() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -77,11 +77,11 @@
 	return 0
 }
 
-func (rcv *Told) MutateId(n uint64) bool {
+func (rcv *CallReply) MutateId(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Told) Status() uint16 {
+func (rcv *CallReply) Status() uint16 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint16(o + rcv._tab.Pos)
@@ -89,11 +89,11 @@
 	return 0
 }
 
-func (rcv *Told) MutateStatus(n uint16) bool {
+func (rcv *CallReply) MutateStatus(n uint16) bool {
 	return rcv._tab.MutateUint16Slot(6, n)
 }
 
-func (rcv *Told) Body(j int) byte {
+func (rcv *CallReply) Body(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -102,7 +102,7 @@
 	return 0
 }
 
-func (rcv *Told) BodyLength() int {
+func (rcv *CallReply) BodyLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -110,7 +110,7 @@
 	return 0
 }
 
-func (rcv *Told) BodyBytes() []byte {
+func (rcv *CallReply) BodyBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (rcv *Told) MutateBody(j int, n byte) bool {
+func (rcv *CallReply) MutateBody(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
--- a/internal/exchange/trunk/wire/Vote.go
+++ b/internal/exchange/trunk/wire/Vote.go
@@ -6,7 +6,7 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type VoteT struct {
+type RaftMessageT struct {
 	Kind     byte       `json:"kind"`
 	From     uint64     `json:"from"`
 	To       uint64     `json:"to"`
@@ -17,19 +17,19 @@
 	Entries  []*EntryT  `json:"entries"`
 	Reject   bool       `json:"reject"`
 	Hint     uint64     `json:"hint"`
-	Seq      uint64     `json:"seq"`
+	HeartbeatRound      uint64     `json:"seq"`
 	Snapshot *SnapshotT `json:"snapshot"`
 	Addr     string     `json:"addr"`
 	Members  []*MemberT `json:"members"`
-	View     uint64     `json:"view"`
-	Version  uint32     `json:"version"`
+	ConfigurationIndex     uint64     `json:"view"`
+	RaftVersion  uint32     `json:"version"`
 	Offset   uint64     `json:"offset"`
-	Total    uint64     `json:"total"`
-	Sum      uint32     `json:"sum"`
+	TotalBytes    uint64     `json:"total"`
+	Checksum      uint32     `json:"sum"`
 	Leaving  bool       `json:"leaving"`
 }
 
-func (t *VoteT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *RaftMessageT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -72,20 +72,20 @@
 	VoteAddEntries(builder, entriesOffset)
 	VoteAddReject(builder, t.Reject)
 	VoteAddHint(builder, t.Hint)
-	VoteAddSeq(builder, t.Seq)
+	VoteAddSeq(builder, t.HeartbeatRound)
 	VoteAddSnapshot(builder, snapshotOffset)
 	VoteAddAddr(builder, addrOffset)
 	VoteAddMembers(builder, membersOffset)
-	VoteAddView(builder, t.View)
-	VoteAddVersion(builder, t.Version)
+	VoteAddView(builder, t.ConfigurationIndex)
+	VoteAddVersion(builder, t.RaftVersion)
 	VoteAddOffset(builder, t.Offset)
-	VoteAddTotal(builder, t.Total)
-	VoteAddSum(builder, t.Sum)
+	VoteAddTotal(builder, t.TotalBytes)
+	VoteAddSum(builder, t.Checksum)
 	VoteAddLeaving(builder, t.Leaving)
 	return VoteEnd(builder)
 }
 
-func (rcv *Vote) UnPackTo(t *VoteT) {
+func (rcv *RaftMessage) UnPackTo(t *RaftMessageT) {
 	t.Kind = rcv.Kind()
 	t.From = rcv.From()
 	t.To = rcv.To()
@@ -102,7 +102,7 @@
 	}
 	t.Reject = rcv.Reject()
 	t.Hint = rcv.Hint()
-	t.Seq = rcv.Seq()
+	t.HeartbeatRound = rcv.Seq()
 	t.Snapshot = rcv.Snapshot(nil).UnPack()
 	t.Addr = string(rcv.Addr())
 	membersLength := rcv.MembersLength()
@@ -112,51 +112,51 @@
 		rcv.Members(&x, j)
 		t.Members[j] = x.UnPack()
 	}
-	t.View = rcv.View()
-	t.Version = rcv.Version()
+	t.ConfigurationIndex = rcv.View()
+	t.RaftVersion = rcv.Version()
 	t.Offset = rcv.Offset()
-	t.Total = rcv.Total()
-	t.Sum = rcv.Sum()
+	t.TotalBytes = rcv.Total()
+	t.Checksum = rcv.Sum()
 	t.Leaving = rcv.Leaving()
 }
 
-func (rcv *Vote) UnPack() *VoteT {
+func (rcv *RaftMessage) UnPack() *RaftMessageT {
 	if rcv == nil {
 		return nil
 	}
-	t := &VoteT{}
+	t := &RaftMessageT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Vote struct {
+type RaftMessage struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsVote(buf []byte, offset flatbuffers.UOffsetT) *Vote {
+func GetRootAsRaftMessage(buf []byte, offset flatbuffers.UOffsetT) *RaftMessage {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Vote{}
+	x := &RaftMessage{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsVote(buf []byte, offset flatbuffers.UOffsetT) *Vote {
+func GetSizePrefixedRootAsVote(buf []byte, offset flatbuffers.UOffsetT) *RaftMessage {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Vote{}
+	x := &RaftMessage{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Vote) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *RaftMessage) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Vote) Table() flatbuffers.Table {
+func (rcv *RaftMessage) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Vote) Kind() byte {
+func (rcv *RaftMessage) Kind() byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetByte(o + rcv._tab.Pos)
@@ -164,11 +164,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateKind(n byte) bool {
+func (rcv *RaftMessage) MutateKind(n byte) bool {
 	return rcv._tab.MutateByteSlot(4, n)
 }
 
-func (rcv *Vote) From() uint64 {
+func (rcv *RaftMessage) From() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -176,11 +176,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateFrom(n uint64) bool {
+func (rcv *RaftMessage) MutateFrom(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *Vote) To() uint64 {
+func (rcv *RaftMessage) To() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -188,11 +188,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateTo(n uint64) bool {
+func (rcv *RaftMessage) MutateTo(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *Vote) Term() uint64 {
+func (rcv *RaftMessage) Term() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -200,11 +200,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateTerm(n uint64) bool {
+func (rcv *RaftMessage) MutateTerm(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(10, n)
 }
 
-func (rcv *Vote) Index() uint64 {
+func (rcv *RaftMessage) Index() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -212,11 +212,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateIndex(n uint64) bool {
+func (rcv *RaftMessage) MutateIndex(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(12, n)
 }
 
-func (rcv *Vote) LogTerm() uint64 {
+func (rcv *RaftMessage) LogTerm() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -224,11 +224,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateLogTerm(n uint64) bool {
+func (rcv *RaftMessage) MutateLogTerm(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
-func (rcv *Vote) Commit() uint64 {
+func (rcv *RaftMessage) Commit() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -236,11 +236,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateCommit(n uint64) bool {
+func (rcv *RaftMessage) MutateCommit(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(16, n)
 }
 
-func (rcv *Vote) Entries(obj *Entry, j int) bool {
+func (rcv *RaftMessage) Entries(obj *Entry, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -252,7 +252,7 @@
 	return false
 }
 
-func (rcv *Vote) EntriesLength() int {
+func (rcv *RaftMessage) EntriesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -260,7 +260,7 @@
 	return 0
 }
 
-func (rcv *Vote) Reject() bool {
+func (rcv *RaftMessage) Reject() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -268,11 +268,11 @@
 	return false
 }
 
-func (rcv *Vote) MutateReject(n bool) bool {
+func (rcv *RaftMessage) MutateReject(n bool) bool {
 	return rcv._tab.MutateBoolSlot(20, n)
 }
 
-func (rcv *Vote) Hint() uint64 {
+func (rcv *RaftMessage) Hint() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -280,11 +280,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateHint(n uint64) bool {
+func (rcv *RaftMessage) MutateHint(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(22, n)
 }
 
-func (rcv *Vote) Seq() uint64 {
+func (rcv *RaftMessage) Seq() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -292,11 +292,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateSeq(n uint64) bool {
+func (rcv *RaftMessage) MutateSeq(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(24, n)
 }
 
-func (rcv *Vote) Snapshot(obj *Snapshot) *Snapshot {
+func (rcv *RaftMessage) Snapshot(obj *Snapshot) *Snapshot {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(26))
 	if o != 0 {
 		x := rcv._tab.Indirect(o + rcv._tab.Pos)
@@ -309,7 +309,7 @@
 	return nil
 }
 
-func (rcv *Vote) Addr() []byte {
+func (rcv *RaftMessage) Addr() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(28))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -317,7 +317,7 @@
 	return nil
 }
 
-func (rcv *Vote) Members(obj *Member, j int) bool {
+func (rcv *RaftMessage) Members(obj *Member, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -329,7 +329,7 @@
 	return false
 }
 
-func (rcv *Vote) MembersLength() int {
+func (rcv *RaftMessage) MembersLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -337,7 +337,7 @@
 	return 0
 }
 
-func (rcv *Vote) View() uint64 {
+func (rcv *RaftMessage) View() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(32))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -345,11 +345,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateView(n uint64) bool {
+func (rcv *RaftMessage) MutateView(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(32, n)
 }
 
-func (rcv *Vote) Version() uint32 {
+func (rcv *RaftMessage) Version() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(34))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -357,11 +357,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateVersion(n uint32) bool {
+func (rcv *RaftMessage) MutateVersion(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(34, n)
 }
 
-func (rcv *Vote) Offset() uint64 {
+func (rcv *RaftMessage) Offset() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(36))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -369,11 +369,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateOffset(n uint64) bool {
+func (rcv *RaftMessage) MutateOffset(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(36, n)
 }
 
-func (rcv *Vote) Total() uint64 {
+func (rcv *RaftMessage) Total() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(38))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -381,11 +381,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateTotal(n uint64) bool {
+func (rcv *RaftMessage) MutateTotal(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(38, n)
 }
 
-func (rcv *Vote) Sum() uint32 {
+func (rcv *RaftMessage) Sum() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(40))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -393,11 +393,11 @@
 	return 0
 }
 
-func (rcv *Vote) MutateSum(n uint32) bool {
+func (rcv *RaftMessage) MutateSum(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(40, n)
 }
 
-func (rcv *Vote) Leaving() bool {
+func (rcv *RaftMessage) Leaving() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(42))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -405,7 +405,7 @@
 	return false
 }
 
-func (rcv *Vote) MutateLeaving(n bool) bool {
+func (rcv *RaftMessage) MutateLeaving(n bool) bool {
 	return rcv._tab.MutateBoolSlot(42, n)
 }
 
--- a/internal/exchange/trunk/wire/Work.go
+++ b/internal/exchange/trunk/wire/Work.go
@@ -6,15 +6,15 @@
 	flatbuffers "github.com/google/flatbuffers/go"
 )
 
-type WorkT struct {
+type WorkCounterT struct {
 	Kind     string `json:"kind"`
 	Open     int64  `json:"open"`
 	Answered int64  `json:"answered"`
-	Refused  int64  `json:"refused"`
+	Rejected  int64  `json:"refused"`
 	Broken   int64  `json:"broken"`
 }
 
-func (t *WorkT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func (t *WorkCounterT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
@@ -23,56 +23,56 @@
 	WorkAddKind(builder, kindOffset)
 	WorkAddOpen(builder, t.Open)
 	WorkAddAnswered(builder, t.Answered)
-	WorkAddRefused(builder, t.Refused)
+	WorkAddRefused(builder, t.Rejected)
 	WorkAddBroken(builder, t.Broken)
 	return WorkEnd(builder)
 }
 
-func (rcv *Work) UnPackTo(t *WorkT) {
+func (rcv *WorkCounter) UnPackTo(t *WorkCounterT) {
 	t.Kind = string(rcv.Kind())
 	t.Open = rcv.Open()
 	t.Answered = rcv.Answered()
-	t.Refused = rcv.Refused()
+	t.Rejected = rcv.Refused()
 	t.Broken = rcv.Broken()
 }
 
-func (rcv *Work) UnPack() *WorkT {
+func (rcv *WorkCounter) UnPack() *WorkCounterT {
 	if rcv == nil {
 		return nil
 	}
-	t := &WorkT{}
+	t := &WorkCounterT{}
 	rcv.UnPackTo(t)
 	return t
 }
 
-type Work struct {
+type WorkCounter struct {
 	_tab flatbuffers.Table
 }
 
-func GetRootAsWork(buf []byte, offset flatbuffers.UOffsetT) *Work {
+func GetRootAsWorkCounter(buf []byte, offset flatbuffers.UOffsetT) *WorkCounter {
 	n := flatbuffers.GetUOffsetT(buf[offset:])
-	x := &Work{}
+	x := &WorkCounter{}
 	x.Init(buf, n+offset)
 	return x
 }
 
-func GetSizePrefixedRootAsWork(buf []byte, offset flatbuffers.UOffsetT) *Work {
+func GetSizePrefixedRootAsWork(buf []byte, offset flatbuffers.UOffsetT) *WorkCounter {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
-	x := &Work{}
+	x := &WorkCounter{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
 	return x
 }
 
-func (rcv *Work) Init(buf []byte, i flatbuffers.UOffsetT) {
+func (rcv *WorkCounter) Init(buf []byte, i flatbuffers.UOffsetT) {
 	rcv._tab.Bytes = buf
 	rcv._tab.Pos = i
 }
 
-func (rcv *Work) Table() flatbuffers.Table {
+func (rcv *WorkCounter) Table() flatbuffers.Table {
 	return rcv._tab
 }
 
-func (rcv *Work) Kind() []byte {
+func (rcv *WorkCounter) Kind() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (rcv *Work) Open() int64 {
+func (rcv *WorkCounter) Open() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -88,11 +88,11 @@
 	return 0
 }
 
-func (rcv *Work) MutateOpen(n int64) bool {
+func (rcv *WorkCounter) MutateOpen(n int64) bool {
 	return rcv._tab.MutateInt64Slot(6, n)
 }
 
-func (rcv *Work) Answered() int64 {
+func (rcv *WorkCounter) Answered() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -100,11 +100,11 @@
 	return 0
 }
 
-func (rcv *Work) MutateAnswered(n int64) bool {
+func (rcv *WorkCounter) MutateAnswered(n int64) bool {
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
-func (rcv *Work) Refused() int64 {
+func (rcv *WorkCounter) Refused() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -112,11 +112,11 @@
 	return 0
 }
 
-func (rcv *Work) MutateRefused(n int64) bool {
+func (rcv *WorkCounter) MutateRefused(n int64) bool {
 	return rcv._tab.MutateInt64Slot(10, n)
 }
 
-func (rcv *Work) Broken() int64 {
+func (rcv *WorkCounter) Broken() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -124,7 +124,7 @@
 	return 0
 }
 
-func (rcv *Work) MutateBroken(n int64) bool {
+func (rcv *WorkCounter) MutateBroken(n int64) bool {
 	return rcv._tab.MutateInt64Slot(12, n)
 }
 
--- a/internal/exchange/vault/bench_test.go
+++ b/internal/exchange/vault/bench_test.go
@@ -9,28 +9,28 @@
 	"hollyspur/internal/mesh/sim/disk"
 )
 
-// simulated is how simulations open a store.
-var simulated = Options{Foreground: true, WriteBuffer: 32 << 10}
+// simulationOptions is how simulations open a store.
+var simulationOptions = Options{Foreground: true, WriteBufferBytes: 32 << 10}
 
 func benchmarkOptions(b *testing.B, run func(b *testing.B, how Options)) {
 	b.Run("as a register", func(b *testing.B) { run(b, Options{}) })
-	b.Run("as in simulations", func(b *testing.B) { run(b, simulated) })
+	b.Run("as in simulations", func(b *testing.B) { run(b, simulationOptions) })
 }
 
 // BenchmarkSimulatedOpen opens a store of 100 entries on the simulated disk.
 func BenchmarkSimulatedOpen(b *testing.B) {
 	benchmarkOptions(b, func(b *testing.B, how Options) {
 		d := disk.New()
-		v, _, _, err := OpenIn(d, how)
+		v, _, _, err := OpenFolder(d, how)
 		assert.NilError(b, err)
-		assert.NilError(b, v.Begin(7, core.Snapshot{}))
+		assert.NilError(b, v.Initialize(7, core.Snapshot{}))
 		for n := range uint64(100) {
-			assert.NilError(b, v.Save(ready(core.Hard{Term: 1}, entry(n+1, 1, "text")), n))
+			assert.NilError(b, v.Save(readyWith(core.HardState{Term: 1}, newEntry(n+1, 1, "text")), n))
 		}
 		v.Close()
 		b.ResetTimer()
 		for range b.N {
-			v, _, _, err := OpenIn(d, how)
+			v, _, _, err := OpenFolder(d, how)
 			assert.NilError(b, err)
 			v.Close()
 		}
@@ -40,13 +40,13 @@
 // BenchmarkSimulatedSave makes synced writes of one entry on the simulated disk.
 func BenchmarkSimulatedSave(b *testing.B) {
 	benchmarkOptions(b, func(b *testing.B, how Options) {
-		v, _, _, err := OpenIn(disk.New(), how)
+		v, _, _, err := OpenFolder(disk.New(), how)
 		assert.NilError(b, err)
 		defer v.Close()
-		assert.NilError(b, v.Begin(7, core.Snapshot{}))
+		assert.NilError(b, v.Initialize(7, core.Snapshot{}))
 		b.ResetTimer()
 		for n := range b.N {
-			assert.NilError(b, v.Save(ready(core.Hard{Term: 1}, entry(uint64(n)+1, 1, "text")), uint64(n)))
+			assert.NilError(b, v.Save(readyWith(core.HardState{Term: 1}, newEntry(uint64(n)+1, 1, "text")), uint64(n)))
 		}
 	})
 }
--- a/internal/exchange/vault/folder.go
+++ b/internal/exchange/vault/folder.go
@@ -21,34 +21,34 @@
 }
 
 // Directory is the Folder within a register's DataDir.
-func Directory(dir string) Folder { return directory(dir) }
+func Directory(dir string) Folder { return dataFolder(dir) }
 
-type directory string
+type dataFolder string
 
-func (d directory) path() string { return filepath.Join(string(d), "vault") }
+func (d dataFolder) path() string { return filepath.Join(string(d), "vault") }
 
 // discarded is where a store goes before it is removed: a removal that a loss of power undoes in part must not leave a store
 // of some of the files.
-func (d directory) discarded() string { return d.path() + ".discarded" }
+func (d dataFolder) discarded() string { return d.path() + ".discarded" }
 
 // Open opens the files.
-func (d directory) Open(readOnly bool) (storage.Storage, error) {
+func (d dataFolder) Open(readOnly bool) (storage.Storage, error) {
 	if !readOnly {
 		if err := os.RemoveAll(d.discarded()); err != nil {
 			return nil, err
 		}
-		if err := makeLasting(d.path()); err != nil {
+		if err := makeDurable(d.path()); err != nil {
 			return nil, err
 		}
 	}
 	return storage.OpenFile(d.path(), readOnly)
 }
 
-// makeLasting makes a directory and those above it, each with a name that a loss of power leaves.
-func makeLasting(path string) error {
+// makeDurable makes a directory and those above it, each with a name that a loss of power leaves.
+func makeDurable(path string) error {
 	parent := filepath.Dir(path)
 	if _, err := os.Stat(parent); errors.Is(err, fs.ErrNotExist) {
-		if err := makeLasting(parent); err != nil {
+		if err := makeDurable(parent); err != nil {
 			return err
 		}
 	}
@@ -59,7 +59,7 @@
 }
 
 // Discard removes them.
-func (d directory) Discard() error {
+func (d dataFolder) Discard() error {
 	if err := os.RemoveAll(d.discarded()); err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 }
 
 // Sync syncs the directory.
-func (d directory) Sync() error { return syncDirectory(d.path()) }
+func (d dataFolder) Sync() error { return syncDirectory(d.path()) }
 
 func syncDirectory(path string) error {
 	f, err := os.Open(path)
@@ -84,78 +84,80 @@
 	return f.Sync()
 }
 
-// lastingNames is the files of a folder, with the names of new ones lasting before anything rests on them. goleveldb syncs the
+// durableNames is the files of a folder, with the names of new ones lasting before anything rests on them. goleveldb syncs the
 // folder only with a manifest. Until then a loss of power takes a new journal with all that was written to it and synced; and it
 // may keep a manifest's last record, not yet synced, and lose the name of the table that the record tells of.
-type lastingNames struct {
+type durableNames struct {
 	storage.Storage
-	folder  Folder
-	passing *atomic.Pointer[error] // the last error of the machine that says nothing of the files
+	folder         Folder
+	transientError *atomic.Pointer[error] // the last error of the machine that says nothing of the files
 }
 
 // Create makes a file; a journal's name is lasting from then on, a table's once it is synced.
-func (l lastingNames) Create(fd storage.FileDesc) (storage.Writer, error) {
+func (l durableNames) Create(fd storage.FileDesc) (storage.Writer, error) {
 	w, err := l.Storage.Create(fd)
 	if err != nil {
-		return nil, l.note(err)
+		return nil, l.recordTransient(err)
 	}
 	if fd.Type == storage.TypeJournal {
 		if err := l.folder.Sync(); err != nil {
 			w.Close()
-			return nil, l.note(err)
+			return nil, l.recordTransient(err)
 		}
 	}
-	return lastingFile{w, l, fd.Type}, nil
+	return durableFile{w, l, fd.Type}, nil
 }
 
 // SetMeta has a manifest hold.
-func (l lastingNames) SetMeta(fd storage.FileDesc) error { return l.note(l.Storage.SetMeta(fd)) }
+func (l durableNames) SetMeta(fd storage.FileDesc) error {
+	return l.recordTransient(l.Storage.SetMeta(fd))
+}
 
-// note remembers an error of the machine that says nothing of the files: goleveldb hands some on as text only.
-func (l lastingNames) note(err error) error {
-	if passes(err) {
-		l.passing.Store(&err)
+// recordTransient remembers an error of the machine that says nothing of the files: goleveldb hands some on as text only.
+func (l durableNames) recordTransient(err error) error {
+	if isTransient(err) {
+		l.transientError.Store(&err)
 	}
 	return err
 }
 
-type lastingFile struct {
+type durableFile struct {
 	storage.Writer
-	names lastingNames
-	kind  storage.FileType
+	names    durableNames
+	fileType storage.FileType
 }
 
 // Write writes behind the file's end.
-func (f lastingFile) Write(p []byte) (int, error) {
+func (f durableFile) Write(p []byte) (int, error) {
 	n, err := f.Writer.Write(p)
-	return n, f.names.note(err)
+	return n, f.names.recordTransient(err)
 }
 
 // Sync syncs the file, and a table's name.
-func (f lastingFile) Sync() error {
+func (f durableFile) Sync() error {
 	if err := f.Writer.Sync(); err != nil {
-		return f.names.note(err)
+		return f.names.recordTransient(err)
 	}
-	if f.kind != storage.TypeTable {
+	if f.fileType != storage.TypeTable {
 		return nil
 	}
-	return f.names.note(f.names.folder.Sync())
+	return f.names.recordTransient(f.names.folder.Sync())
 }
 
-// copiedFolder is a copy in memory of a folder's files.
-type copiedFolder struct{ storage.Storage }
+// memoryFolder is a copy in memory of a folder's files.
+type memoryFolder struct{ storage.Storage }
 
 // Open gives the files.
-func (c copiedFolder) Open(bool) (storage.Storage, error) { return c.Storage, nil }
+func (c memoryFolder) Open(bool) (storage.Storage, error) { return c.Storage, nil }
 
 // Sync has nothing to do: the copy lasts no longer than the process.
-func (copiedFolder) Sync() error { return nil }
+func (memoryFolder) Sync() error { return nil }
 
 // Discard has nothing to do, for the same reason.
-func (copiedFolder) Discard() error { return nil }
+func (memoryFolder) Discard() error { return nil }
 
-// copyFiles copies a folder's files into memory.
-func copyFiles(f Folder) (storage.Storage, error) {
+// copyToMemory copies a folder's files into memory.
+func copyToMemory(f Folder) (storage.Storage, error) {
 	files, err := f.Open(true)
 	if err != nil {
 		return nil, err
--- a/internal/exchange/vault/journal.go
+++ b/internal/exchange/vault/journal.go
@@ -17,8 +17,8 @@
 // other before it is opened.
 
 const (
-	blockSize = 32 << 10
-	chunkHead = 7
+	blockBytes       = 32 << 10
+	chunkHeaderBytes = 7
 )
 
 // Types of chunks.
@@ -29,13 +29,13 @@
 	chunkLast
 )
 
-// journals checks each journal of a store: nil where no more than its last record is torn.
-func journals(files storage.Storage) error {
-	found, err := files.List(storage.TypeJournal)
+// checkLogs checks each journal of a store: nil where no more than its last record is torn.
+func checkLogs(files storage.Storage) error {
+	logs, err := files.List(storage.TypeJournal)
 	if err != nil {
 		return err
 	}
-	for _, f := range found {
+	for _, f := range logs {
 		p, err := readAll(files, f)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
@@ -43,8 +43,8 @@
 		if err != nil {
 			return err
 		}
-		if at, ok := journal(p); !ok {
-			return errors.Annotatef(ErrDamaged, "%v at byte %d", f, at)
+		if at, ok := findDamage(p); !ok {
+			return errors.Annotatef(ErrCorrupted, "%v at byte %d", f, at)
 		}
 	}
 	return nil
@@ -59,87 +59,87 @@
 	return io.ReadAll(r)
 }
 
-// journal walks one. ok: it is whole, or its last record alone is torn; else at is where it is damaged.
-func journal(p []byte) (at int, ok bool) {
+// findDamage walks one. ok: it is whole, or its last record alone is torn; else at is where it is damaged.
+func findDamage(log []byte) (at int, ok bool) {
 	torn := -1 // where the first chunk that is not whole begins
-	for block := 0; block < len(p); block += blockSize {
-		b := p[block:min(block+blockSize, len(p))]
-		for j := 0; len(b)-j >= chunkHead; {
-			end := j + chunkHead + int(binary.LittleEndian.Uint16(b[j+4:]))
-			if !whole(b, j, end) {
-				if !interrupted(b, j, end) || begins(b[j+1:]) {
-					return block + j, false
+	for start := 0; start < len(log); start += blockBytes {
+		block := log[start:min(start+blockBytes, len(log))]
+		for offset := 0; len(block)-offset >= chunkHeaderBytes; {
+			end := offset + chunkHeaderBytes + int(binary.LittleEndian.Uint16(block[offset+4:]))
+			if !isIntact(block, offset, end) {
+				if !isTorn(block, offset, end) || hasRecordStart(block[offset+1:]) {
+					return start + offset, false
 				}
 				if torn < 0 {
-					torn = block + j
+					torn = start + offset
 				}
 				break
 			}
-			if kind := b[j+6]; torn >= 0 && (kind == chunkFull || kind == chunkFirst) {
+			if kind := block[offset+6]; torn >= 0 && (kind == chunkFull || kind == chunkFirst) {
 				return torn, false // a record was written behind it, so it had been whole
 			}
-			j = end
+			offset = end
 		}
 	}
 	return torn, true
 }
 
-// whole says that the chunk of a block that stands from j to end is as it was written.
-func whole(b []byte, j, end int) bool {
-	kind := b[j+6]
-	return kind >= chunkFull && kind <= chunkLast && end <= len(b) && masked(b[j+6:end]) == binary.LittleEndian.Uint32(b[j:])
+// isIntact says that the chunk of a block that stands from j to end is as it was written.
+func isIntact(block []byte, start, end int) bool {
+	kind := block[start+6]
+	return kind >= chunkFull && kind <= chunkLast && end <= len(block) && maskedChecksum(block[start+6:end]) == binary.LittleEndian.Uint32(block[start:])
 }
 
-// interrupted says that the chunk that stands from j to end, and is not whole, misses bytes that never came: its end, which is
+// isTorn says that the chunk that stands from j to end, and is not whole, misses bytes that never came: its end, which is
 // the file's or zeros, or a sector. Anything else was turned.
-func interrupted(b []byte, j, end int) bool {
-	if zero(b[j:]) || missesSector(b, j, min(end, len(b))) {
+func isTorn(block []byte, start, end int) bool {
+	if isZero(block[start:]) || lacksSector(block, start, min(end, len(block))) {
 		return true
 	}
 	switch {
-	case end <= len(b):
-		return b[end-1] == 0
-	case len(b) == blockSize:
-		return b[len(b)-1] == 0
+	case end <= len(block):
+		return block[end-1] == 0
+	case len(block) == blockBytes:
+		return block[len(block)-1] == 0
 	}
 	return true
 }
 
 // Sectors reach a disk whole, and in any order.
 const (
-	sectorSize = 512
-	// leastPiece is how many bytes of a chunk's first sector have to be zero for the sector to be taken as missing; a chunk
+	sectorBytes = 512
+	// minSectorBytes is how many bytes of a chunk's first sector have to be zero for the sector to be taken as missing; a chunk
 	// begins with its checksum.
-	leastPiece = 2
+	minSectorBytes = 2
 )
 
-// missesSector says that what the chunk from j to end has in some sector is all zeros. Blocks begin with a sector.
-func missesSector(b []byte, j, end int) bool {
-	first := min(j-j%sectorSize+sectorSize, len(b))
-	if first-j >= leastPiece && zero(b[j:first]) {
+// lacksSector says that what the chunk from j to end has in some sector is all zeros. Blocks begin with a sector.
+func lacksSector(block []byte, start, end int) bool {
+	first := min(start-start%sectorBytes+sectorBytes, len(block))
+	if first-start >= minSectorBytes && isZero(block[start:first]) {
 		return true
 	}
-	for at := first; at+sectorSize <= end; at += sectorSize {
-		if zero(b[at : at+sectorSize]) {
+	for at := first; at+sectorBytes <= end; at += sectorBytes {
+		if isZero(block[at : at+sectorBytes]) {
 			return true
 		}
 	}
 	return false
 }
 
-// begins says that a whole record, or the first chunk of one, stands somewhere in what is left of a block: it was written
+// hasRecordStart says that a whole record, or the first chunk of one, stands somewhere in what is left of a block: it was written
 // behind the chunk that is not whole.
-func begins(b []byte) bool {
-	for ; len(b) >= chunkHead; b = b[1:] {
-		if n := int(binary.LittleEndian.Uint16(b[4:])); (b[6] == chunkFull || b[6] == chunkFirst) && chunkHead+n <= len(b) &&
-			masked(b[6:chunkHead+n]) == binary.LittleEndian.Uint32(b) {
+func hasRecordStart(rest []byte) bool {
+	for ; len(rest) >= chunkHeaderBytes; rest = rest[1:] {
+		if n := int(binary.LittleEndian.Uint16(rest[4:])); (rest[6] == chunkFull || rest[6] == chunkFirst) && chunkHeaderBytes+n <= len(rest) &&
+			maskedChecksum(rest[6:chunkHeaderBytes+n]) == binary.LittleEndian.Uint32(rest) {
 			return true
 		}
 	}
 	return false
 }
 
-func zero(p []byte) bool {
+func isZero(p []byte) bool {
 	for _, c := range p {
 		if c != 0 {
 			return false
@@ -148,8 +148,8 @@
 	return true
 }
 
-// masked is a chunk's checksum as the format keeps it.
-func masked(p []byte) uint32 {
-	c := crc32.Checksum(p, castagnoli)
+// maskedChecksum is a chunk's checksum as the format keeps it.
+func maskedChecksum(p []byte) uint32 {
+	c := crc32.Checksum(p, crc32c)
 	return (c>>15 | c<<17) + 0xa282ead8
 }
--- a/internal/exchange/vault/vault_test.go
+++ b/internal/exchange/vault/vault_test.go
@@ -13,68 +13,68 @@
 	"hollyspur/internal/exchange/core"
 )
 
-func ready(hard core.Hard, entries ...core.Entry) core.Ready {
-	return core.Ready{Hard: &hard, Entries: entries}
+func readyWith(hard core.HardState, entries ...core.Entry) core.Ready {
+	return core.Ready{HardState: &hard, Entries: entries}
 }
 
-func entry(index, term uint64, text string) core.Entry {
-	return core.Entry{Index: index, Term: term, Kind: core.Change, Stamp: 5, Data: []byte(text)}
+func newEntry(index, term uint64, text string) core.Entry {
+	return core.Entry{Index: index, Term: term, Kind: core.EntryCommand, LogTime: 5, Data: []byte(text)}
 }
 
-func TestHeld(t *testing.T) {
+func TestStoreReadsBackWhatWasSaved(t *testing.T) {
 	dir := t.TempDir()
 	members := []core.Member{{ID: 1, Addr: "a"}, {ID: 2, Addr: "b"}}
 	v, _, empty, err := Open(dir)
 	assert.NilError(t, err)
 	assert.Assert(t, empty)
-	assert.NilError(t, v.Begin(1, core.Found(members)))
-	assert.NilError(t, v.Save(ready(core.Hard{Term: 2, Vote: 1}, entry(2, 2, "x"), entry(3, 2, "y"), entry(4, 2, "z")), 1))
+	assert.NilError(t, v.Initialize(1, core.BootstrapSnapshot(members)))
+	assert.NilError(t, v.Save(readyWith(core.HardState{Term: 2, Vote: 1}, newEntry(2, 2, "x"), newEntry(3, 2, "y"), newEntry(4, 2, "z")), 1))
 	// A new leader's entry takes the place of two.
-	assert.NilError(t, v.Save(ready(core.Hard{Term: 3, Vote: 2}, core.Entry{Index: 3, Term: 3, Kind: core.View, Members: members[:1], Outgoing: members, Version: 1}), 4))
+	assert.NilError(t, v.Save(readyWith(core.HardState{Term: 3, Vote: 2}, core.Entry{Index: 3, Term: 3, Kind: core.EntryConfiguration, Members: members[:1], Outgoing: members, ProtocolVersion: 1}), 4))
 	assert.NilError(t, v.Reopen())
 	v.Close()
 	held, empty, err := OpenReadOnly(dir)
 	assert.NilError(t, err)
 	assert.Assert(t, !empty)
-	assert.DeepEqual(t, held.Hard, core.Hard{Term: 3, Vote: 2})
+	assert.DeepEqual(t, held.HardState, core.HardState{Term: 3, Vote: 2})
 	assert.Assert(t, held.Self == 1 && held.Snapshot.Index == 1 && len(held.Snapshot.Members) == 2)
-	assert.Equal(t, len(held.Log), 2)
-	assert.DeepEqual(t, held.Log[0], entry(2, 2, "x"))
-	assert.DeepEqual(t, held.Log[1].Members, members[:1])
-	assert.DeepEqual(t, held.Log[1].Outgoing, members)
-	assert.Equal(t, held.Log[1].Version, uint32(1))
+	assert.Equal(t, len(held.Entries), 2)
+	assert.DeepEqual(t, held.Entries[0], newEntry(2, 2, "x"))
+	assert.DeepEqual(t, held.Entries[1].Members, members[:1])
+	assert.DeepEqual(t, held.Entries[1].Outgoing, members)
+	assert.Equal(t, held.Entries[1].ProtocolVersion, uint32(1))
 	// The log's beginning goes into a snapshot, one from elsewhere takes the place of all.
 	v, _, _, err = Open(dir)
 	assert.NilError(t, err)
-	assert.NilError(t, v.Compact(core.Snapshot{Index: 2, Term: 2, View: 1, Members: members, Outgoing: members[:1], Version: 1, Data: []byte("state")}, 2))
+	assert.NilError(t, v.Compact(core.Snapshot{Index: 2, Term: 2, ConfigurationIndex: 1, Members: members, Outgoing: members[:1], ProtocolVersion: 1, Data: []byte("state")}, 2))
 	v.Close()
 	v, held, _, err = Open(dir)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, held.Snapshot.Outgoing, members[:1])
-	assert.Assert(t, string(held.Snapshot.Data) == "state" && held.Snapshot.Version == 1 && len(held.Log) == 1 && held.Log[0].Index == 3)
-	assert.Assert(t, len(held.Tail) == 1 && held.Tail[0].Index == 2)
+	assert.Assert(t, string(held.Snapshot.Data) == "state" && held.Snapshot.ProtocolVersion == 1 && len(held.Entries) == 1 && held.Entries[0].Index == 3)
+	assert.Assert(t, len(held.CatchUpEntries) == 1 && held.CatchUpEntries[0].Index == 2)
 	assert.NilError(t, v.Save(core.Ready{Snapshot: &core.Snapshot{Index: 9, Term: 4, Data: []byte("other")}}, 3))
 	v.Close()
 	held, _, err = OpenReadOnly(dir)
 	assert.NilError(t, err)
-	assert.Assert(t, held.Snapshot.Index == 9 && len(held.Log) == 0)
+	assert.Assert(t, held.Snapshot.Index == 9 && len(held.Entries) == 0)
 }
 
 // A store whose last record is torn, at every byte of it, holds all that was acknowledged before: what a loss of power in the
 // middle of a write leaves, on all registers at once for all that is known. One that was turned, or torn within what was
 // acknowledged and written on, is told as damaged; it is never read wrongly.
-func TestDamaged(t *testing.T) {
+func TestTornAndDamagedLog(t *testing.T) {
 	const writes = 20
 	make := func(t *testing.T, n, long int) (file string, text []byte, sizes []int) {
 		dir := t.TempDir()
 		v, _, _, err := Open(dir)
 		assert.NilError(t, err)
-		assert.NilError(t, v.Begin(7, core.Snapshot{}))
+		assert.NilError(t, v.Initialize(7, core.Snapshot{}))
 		files, err := filepath.Glob(filepath.Join(dir, "vault", "*.log"))
 		assert.NilError(t, err)
 		assert.Equal(t, len(files), 1)
 		for i := uint64(1); i < uint64(n); i++ {
-			assert.NilError(t, v.Save(ready(core.Hard{Term: i}, entry(i, i, strings.Repeat("text", long))), i-1))
+			assert.NilError(t, v.Save(readyWith(core.HardState{Term: i}, newEntry(i, i, strings.Repeat("text", long))), i-1))
 			info, err := os.Stat(files[0])
 			assert.NilError(t, err)
 			sizes = append(sizes, int(info.Size()))
@@ -88,15 +88,15 @@
 		assert.NilError(t, os.WriteFile(file, text, 0o600))
 		v, held, empty, err := Open(filepath.Dir(filepath.Dir(file)))
 		if err != nil {
-			assert.Assert(t, errors.Is(err, ErrDamaged) || errors.Is(err, ErrFormat), "%v", err)
+			assert.Assert(t, errors.Is(err, ErrCorrupted) || errors.Is(err, ErrFormatVersion), "%v", err)
 			return 0, err
 		}
 		v.Close()
 		if empty {
 			return -1, nil
 		}
-		assert.Equal(t, held.Hard.Term, uint64(len(held.Log)))
-		return len(held.Log), nil
+		assert.Equal(t, held.HardState.Term, uint64(len(held.Entries)))
+		return len(held.Entries), nil
 	}
 	for _, long := range []int{1, 12_000} { // the latter over block ends
 		n := writes
@@ -119,20 +119,20 @@
 			turned := append([]byte(nil), text...)
 			turned[at] ^= 0x10
 			_, err := open(t, file, turned)
-			assert.Assert(t, errors.Is(err, ErrDamaged), "turned at byte %d of %d: %v", at, len(text), err)
+			assert.Assert(t, errors.Is(err, ErrCorrupted), "turned at byte %d of %d: %v", at, len(text), err)
 		}
 	}
 }
 
-func TestOtherFormat(t *testing.T) {
+func TestUnknownFormatVersion(t *testing.T) {
 	dir := t.TempDir()
 	v, _, _, err := Open(dir)
 	assert.NilError(t, err)
-	assert.NilError(t, v.Begin(7, core.Snapshot{}))
-	assert.NilError(t, v.db.Put([]byte("format"), seal(number(Format+1)), &v.sync))
+	assert.NilError(t, v.Initialize(7, core.Snapshot{}))
+	assert.NilError(t, v.db.Put([]byte("format"), addChecksum(encodeUint64(FormatVersion+1)), &v.writeOptions))
 	v.Close()
 	_, _, _, err = Open(dir)
-	assert.Assert(t, errors.Is(err, ErrFormat))
+	assert.Assert(t, errors.Is(err, ErrFormatVersion))
 }
 
 // A store that was discarded, or was being discarded when the power went, is gone, and another begins in its place.
@@ -142,7 +142,7 @@
 		v, _, empty, err := Open(dir)
 		assert.NilError(t, err)
 		assert.Assert(t, empty)
-		assert.NilError(t, v.Begin(7, core.Snapshot{}))
+		assert.NilError(t, v.Initialize(7, core.Snapshot{}))
 		v.Close()
 	}
 	begin()
--- a/internal/exchange/vault/wire.go
+++ b/internal/exchange/vault/wire.go
@@ -10,84 +10,84 @@
 	"hollyspur/internal/exchange/trunk/wire"
 )
 
-// WireMembers and MembersOf turn members into the trunk's tables and back; so do the others below.
-func WireMembers(l []core.Member) (out []*wire.MemberT) {
+// MembersToWire and MembersOf turn members into the trunk's tables and back; so do the others below.
+func MembersToWire(l []core.Member) (out []*wire.MemberT) {
 	for _, m := range l {
 		out = append(out, &wire.MemberT{Id: uint64(m.ID), Addr: m.Addr})
 	}
 	return out
 }
 
-// MembersOf reads members.
-func MembersOf(l []*wire.MemberT) (out []core.Member) {
+// MembersFromWire reads members.
+func MembersFromWire(l []*wire.MemberT) (out []core.Member) {
 	for _, m := range l {
 		out = append(out, core.Member{ID: core.ID(m.Id), Addr: m.Addr})
 	}
 	return out
 }
 
-// WireEntry words an entry.
-func WireEntry(e core.Entry) *wire.EntryT {
-	t := &wire.EntryT{Index: e.Index, Term: e.Term, Kind: byte(e.Kind), Stamp: int64(e.Stamp), Data: e.Data}
-	if e.Kind == core.View {
-		t.Data = trunk.Bytes(&wire.MembersT{List: WireMembers(e.Members), Index: e.Index, Outgoing: WireMembers(e.Outgoing), Version: e.Version})
+// EntryToWire words an entry.
+func EntryToWire(e core.Entry) *wire.EntryT {
+	t := &wire.EntryT{Index: e.Index, Term: e.Term, Kind: byte(e.Kind), LogTimeNs: int64(e.LogTime), Data: e.Data}
+	if e.Kind == core.EntryConfiguration {
+		t.Data = trunk.EncodeTable(&wire.MembersT{List: MembersToWire(e.Members), Index: e.Index, Outgoing: MembersToWire(e.Outgoing), RaftVersion: e.ProtocolVersion})
 	}
 	return t
 }
 
-// EntryOf reads an entry.
-func EntryOf(t *wire.EntryT) (core.Entry, error) {
-	e := core.Entry{Index: t.Index, Term: t.Term, Kind: core.Kind(t.Kind), Stamp: time.Duration(t.Stamp), Data: t.Data}
-	if e.Kind == core.View {
-		m, err := trunk.Parse(t.Data, func(p []byte) *wire.MembersT { return wire.GetRootAsMembers(p, 0).UnPack() })
+// EntryFromWire reads an entry.
+func EntryFromWire(t *wire.EntryT) (core.Entry, error) {
+	e := core.Entry{Index: t.Index, Term: t.Term, Kind: core.EntryKind(t.Kind), LogTime: time.Duration(t.LogTimeNs), Data: t.Data}
+	if e.Kind == core.EntryConfiguration {
+		m, err := trunk.DecodeTable(t.Data, func(p []byte) *wire.MembersT { return wire.GetRootAsMembers(p, 0).UnPack() })
 		if err != nil {
 			return e, errors.Annotate(err, "a view")
 		}
-		e.Members, e.Outgoing, e.Version, e.Data = MembersOf(m.List), MembersOf(m.Outgoing), m.Version, nil
+		e.Members, e.Outgoing, e.ProtocolVersion, e.Data = MembersFromWire(m.List), MembersFromWire(m.Outgoing), m.RaftVersion, nil
 	}
 	return e, nil
 }
 
-// WireSnapshot words a snapshot.
-func WireSnapshot(s *core.Snapshot) *wire.SnapshotT {
-	return &wire.SnapshotT{Index: s.Index, Term: s.Term, Stamp: int64(s.Stamp), View: s.View, Members: WireMembers(s.Members), Data: s.Data,
-		Outgoing: WireMembers(s.Outgoing), Version: s.Version}
+// SnapshotToWire words a snapshot.
+func SnapshotToWire(s *core.Snapshot) *wire.SnapshotT {
+	return &wire.SnapshotT{Index: s.Index, Term: s.Term, LogTimeNs: int64(s.LogTime), ConfigurationIndex: s.ConfigurationIndex, Members: MembersToWire(s.Members), Data: s.Data,
+		Outgoing: MembersToWire(s.Outgoing), RaftVersion: s.ProtocolVersion}
 }
 
-// SnapshotOf reads a snapshot.
-func SnapshotOf(t *wire.SnapshotT) core.Snapshot {
-	return core.Snapshot{Index: t.Index, Term: t.Term, Stamp: time.Duration(t.Stamp), View: t.View, Members: MembersOf(t.Members), Data: t.Data,
-		Outgoing: MembersOf(t.Outgoing), Version: t.Version}
+// SnapshotFromWire reads a snapshot.
+func SnapshotFromWire(t *wire.SnapshotT) core.Snapshot {
+	return core.Snapshot{Index: t.Index, Term: t.Term, LogTime: time.Duration(t.LogTimeNs), ConfigurationIndex: t.ConfigurationIndex, Members: MembersFromWire(t.Members), Data: t.Data,
+		Outgoing: MembersFromWire(t.Outgoing), ProtocolVersion: t.RaftVersion}
 }
 
-// WireMessage words a message between registers.
-func WireMessage(m core.Message) *wire.VoteT {
-	t := &wire.VoteT{Kind: byte(m.Kind), From: uint64(m.From), To: uint64(m.To), Term: m.Term, Index: m.Index, LogTerm: m.LogTerm,
-		Commit: m.Commit, Reject: m.Reject, Hint: m.Hint, Seq: m.Seq, Addr: m.Addr, Members: WireMembers(m.Members), View: m.View, Version: m.Version,
-		Offset: m.Offset, Total: m.Total, Sum: m.Sum, Leaving: m.Leaving}
+// MessageToWire words a message between registers.
+func MessageToWire(m core.Message) *wire.RaftMessageT {
+	t := &wire.RaftMessageT{Kind: byte(m.Kind), From: uint64(m.From), To: uint64(m.To), Term: m.Term, Index: m.Index, LogTerm: m.LogTerm,
+		Commit: m.Commit, Reject: m.Reject, Hint: m.Hint, HeartbeatRound: m.HeartbeatRound, Addr: m.Addr, Members: MembersToWire(m.Members), ConfigurationIndex: m.ConfigurationIndex, RaftVersion: m.ProtocolVersion,
+		Offset: m.Offset, TotalBytes: m.TotalBytes, Checksum: m.Checksum, Leaving: m.Leaving}
 	for _, e := range m.Entries {
-		t.Entries = append(t.Entries, WireEntry(e))
+		t.Entries = append(t.Entries, EntryToWire(e))
 	}
 	if m.Snapshot != nil {
-		t.Snapshot = WireSnapshot(m.Snapshot)
+		t.Snapshot = SnapshotToWire(m.Snapshot)
 	}
 	return t
 }
 
-// MessageOf reads a message between registers.
-func MessageOf(t *wire.VoteT) (core.Message, error) {
+// MessageFromWire reads a message between registers.
+func MessageFromWire(t *wire.RaftMessageT) (core.Message, error) {
 	m := core.Message{Kind: core.MessageKind(t.Kind), From: core.ID(t.From), To: core.ID(t.To), Term: t.Term, Index: t.Index, LogTerm: t.LogTerm,
-		Commit: t.Commit, Reject: t.Reject, Hint: t.Hint, Seq: t.Seq, Addr: t.Addr, Members: MembersOf(t.Members), View: t.View, Version: t.Version,
-		Offset: t.Offset, Total: t.Total, Sum: t.Sum, Leaving: t.Leaving}
+		Commit: t.Commit, Reject: t.Reject, Hint: t.Hint, HeartbeatRound: t.HeartbeatRound, Addr: t.Addr, Members: MembersFromWire(t.Members), ConfigurationIndex: t.ConfigurationIndex, ProtocolVersion: t.RaftVersion,
+		Offset: t.Offset, TotalBytes: t.TotalBytes, Checksum: t.Checksum, Leaving: t.Leaving}
 	for _, x := range t.Entries {
-		e, err := EntryOf(x)
+		e, err := EntryFromWire(x)
 		if err != nil {
 			return m, err
 		}
 		m.Entries = append(m.Entries, e)
 	}
 	if t.Snapshot != nil {
-		s := SnapshotOf(t.Snapshot)
+		s := SnapshotFromWire(t.Snapshot)
 		m.Snapshot = &s
 	}
 	return m, nil
--- a/internal/mesh/follower/decide.go
+++ b/internal/mesh/follower/decide.go
@@ -5,94 +5,94 @@
 	"time"
 )
 
-// never is later than any time.
-const never = time.Duration(1<<63 - 1)
+// noDeadline is later than any time.
+const noDeadline = time.Duration(1<<63 - 1)
 
-func (f *Follower) step(now time.Duration, event func()) {
+func (f *Selector) step(now time.Duration, event func()) {
 	f.now = max(f.now, now)
 	event()
 	f.advance()
 }
 
 // advance does what is due.
-func (f *Follower) advance() {
-	if f.home != nil && f.now >= f.silentAt() {
-		f.leave(f.silenceReason())
+func (f *Selector) advance() {
+	if f.followed != nil && f.now >= f.silenceDeadline() {
+		f.leaveFollowed(f.silenceReason())
 	}
 	for _, c := range f.candidates {
-		if c.id != 0 && !c.spoke && f.now >= c.dialed+DialTimeout {
-			f.drop(c, "it does not speak")
+		if c.id != 0 && !c.established && f.now >= c.dialedAt+DialTimeout {
+			f.closeCandidate(c, "it does not speak")
 			c.retryAt = f.now
 		}
 	}
-	if f.home == nil {
-		f.adopt()
+	if f.followed == nil {
+		f.followEstablished()
 	}
-	if f.seeking() {
-		f.dialAll()
+	if f.isSeeking() {
+		f.dialDue()
 	} else {
-		f.dropOthers()
+		f.closeOthers()
 	}
-	if f.home != nil && !f.confirming && !f.confirmed && f.now >= f.confirmAt {
+	if f.followed != nil && !f.confirming && !f.confirmed && f.now >= f.confirmAt {
 		f.confirming = true
-		f.act(Action{Kind: Confirm, ID: f.home.id})
+		f.emit(Action{Kind: Confirm, ID: f.followed.id})
 	}
 }
 
-// Next is when Tick is due if nothing else comes.
-func (f *Follower) Next() time.Duration {
-	next := never
-	if f.home != nil {
-		next = f.silentAt()
+// NextTick is when Tick is due if nothing else comes.
+func (f *Selector) NextTick() time.Duration {
+	next := noDeadline
+	if f.followed != nil {
+		next = f.silenceDeadline()
 		if !f.confirming && !f.confirmed {
 			next = min(next, f.confirmAt)
 		}
-		if !f.home.inTouch && !f.seeking() {
-			next = min(next, f.lostTouch+OutOfTouch)
+		if !f.followed.hasLeader && !f.isSeeking() {
+			next = min(next, f.leaderLostAt+LeaderlessTimeout)
 		}
 	}
 	for _, c := range f.candidates {
 		switch {
-		case c.id != 0 && !c.spoke:
-			next = min(next, c.dialed+DialTimeout)
-		case c.id == 0 && f.seeking():
+		case c.id != 0 && !c.established:
+			next = min(next, c.dialedAt+DialTimeout)
+		case c.id == 0 && f.isSeeking():
 			next = min(next, c.retryAt)
 		}
 	}
 	return next
 }
 
-// silentAt is when the home counts as gone if nothing comes from it.
-func (f *Follower) silentAt() time.Duration {
-	at := f.heard + SilenceBound
-	if f.waiting {
-		at = min(at, max(f.heard+WaitingSilence, f.waitingSince+WaitingAfter))
+// silenceDeadline is when the home counts as gone if nothing comes from it.
+func (f *Selector) silenceDeadline() time.Duration {
+	at := f.lastHeard + SilenceTimeout
+	if f.requestsWaiting {
+		at = min(at, max(f.lastHeard+WaitingSilenceTimeout, f.waitingSince+WaitingThreshold))
 	}
 	return at
 }
 
-func (f *Follower) silenceReason() string {
-	if f.now < f.heard+SilenceBound {
+func (f *Selector) silenceReason() string {
+	if f.now < f.lastHeard+SilenceTimeout {
 		return "it is silent while requests wait for it"
 	}
 	return "it is silent"
 }
 
-// seeking says that members are dialled: there is no home, or it has not said yet that it has a leader, or has been without
+// isSeeking says that members are dialled: there is no home, or it has not said yet that it has a leader, or has been without
 // one for too long.
-func (f *Follower) seeking() bool {
-	return f.home == nil || !f.home.inTouch && f.now >= f.lostTouch+OutOfTouch
+func (f *Selector) isSeeking() bool {
+	return f.followed == nil || !f.followed.hasLeader && f.now >= f.leaderLostAt+LeaderlessTimeout
 }
 
-// list makes the candidates of members and seeds, and keeps the connections of those that stay. The home stays in any case.
-func (f *Follower) list() {
+// updateCandidates makes the candidates of members and seeds, and keeps the connections of those that stay. The home stays in any case.
+func (f *Selector) updateCandidates() {
 	old := f.candidates
 	f.candidates = nil
 	for _, addr := range slices.Concat(f.members, f.seeds) {
-		if f.byAddr(f.candidates, addr) != nil {
+		if f.candidateByAddr(f.candidates, addr) != nil {
 			continue
 		}
-		c := f.byAddr(old, addr)
+		c := f.candidateByAddr(old, addr)
 		if c == nil {
 			c = &candidate{addr: addr, retryAt: f.now}
 		}
@@ -100,45 +100,45 @@
 	}
 	for _, c := range old {
 		switch {
-		case f.byAddr(f.candidates, c.addr) != nil:
-		case c == f.home:
+		case f.candidateByAddr(f.candidates, c.addr) != nil:
+		case c == f.followed:
 			f.candidates = append(f.candidates, c)
 		default:
-			f.drop(c, "it is no member")
+			f.closeCandidate(c, "it is no member")
 		}
 	}
 }
 
-func (f *Follower) byAddr(l []*candidate, addr string) *candidate {
+func (f *Selector) candidateByAddr(l []*candidate, addr string) *candidate {
 	if i := slices.IndexFunc(l, func(c *candidate) bool { return c.addr == addr }); i >= 0 {
 		return l[i]
 	}
 	return nil
 }
 
-func (f *Follower) find(id DialID) *candidate {
+func (f *Selector) candidateByID(id ConnID) *candidate {
 	if i := slices.IndexFunc(f.candidates, func(c *candidate) bool { return id != 0 && c.id == id }); i >= 0 {
 		return f.candidates[i]
 	}
 	return nil
 }
 
-func (f *Follower) dialAll() {
+func (f *Selector) dialDue() {
 	for _, c := range f.candidates {
 		if c.id != 0 || f.now < c.retryAt {
 			continue
 		}
 		f.lastID++
-		c.id, c.dialed = f.lastID, f.now
-		f.act(Action{Kind: Dial, ID: c.id, Addr: c.addr})
+		c.id, c.dialedAt = f.lastID, f.now
+		f.emit(Action{Kind: Dial, ID: c.id, Addr: c.addr})
 	}
 }
 
-// adopt follows a member that has spoken already, one in touch first.
-func (f *Follower) adopt() {
+// followEstablished follows a member that has spoken already, one in touch first.
+func (f *Selector) followEstablished() {
 	var best *candidate
 	for _, c := range f.candidates {
-		if c.spoke && (best == nil || c.inTouch && !best.inTouch) {
+		if c.established && (best == nil || c.hasLeader && !best.hasLeader) {
 			best = c
 		}
 	}
@@ -147,53 +147,53 @@
 	}
 }
 
-func (f *Follower) follow(c *candidate) {
-	f.home, f.heard, f.lostTouch = c, f.now, f.now-OutOfTouch
+func (f *Selector) follow(c *candidate) {
+	f.followed, f.lastHeard, f.leaderLostAt = c, f.now, f.now-LeaderlessTimeout
 	f.confirming, f.confirmed, f.confirmAt = false, false, f.now
-	f.act(Action{Kind: Follow, ID: c.id})
-	if c.inTouch {
-		f.setTouch(true)
+	f.emit(Action{Kind: Follow, ID: c.id})
+	if c.hasLeader {
+		f.setReachable(true)
 	}
 }
 
-// leave closes the home's connection; it is dialled again after the others.
-func (f *Follower) leave(reason string) {
-	c := f.home
-	f.drop(c, reason)
-	c.retryAt = f.now + LeftRest
-	f.unfollow()
+// leaveFollowed closes the home's connection; it is dialled again after the others.
+func (f *Selector) leaveFollowed(reason string) {
+	c := f.followed
+	f.closeCandidate(c, reason)
+	c.retryAt = f.now + LeftMemberBackoff
+	f.clearFollowed()
 }
 
-// unfollow forgets the home, whose connection is closed or about to be.
-func (f *Follower) unfollow() {
-	f.home = nil
+// clearFollowed forgets the home, whose connection is closed or about to be.
+func (f *Selector) clearFollowed() {
+	f.followed = nil
 	f.confirming, f.confirmed = false, false
-	f.setTouch(false)
+	f.setReachable(false)
 }
 
-// setTouch takes whether the home has a leader.
-func (f *Follower) setTouch(is bool) {
+// setReachable takes whether the home has a leader.
+func (f *Selector) setReachable(is bool) {
 	switch {
 	case is:
 		f.reachable = true
 	case f.reachable:
-		f.reachable, f.lostTouch, f.graceEnds = false, f.now, f.now+Grace
+		f.reachable, f.leaderLostAt, f.graceEnds = false, f.now, f.now+ReachableGrace
 	}
 }
 
-func (f *Follower) dropOthers() {
+func (f *Selector) closeOthers() {
 	for _, c := range f.candidates {
-		if c != f.home && c.id != 0 {
-			f.drop(c, "another member is followed")
+		if c != f.followed && c.id != 0 {
+			f.closeCandidate(c, "another member is followed")
 		}
 	}
 }
 
-func (f *Follower) drop(c *candidate, reason string) {
+func (f *Selector) closeCandidate(c *candidate, reason string) {
 	if c.id != 0 {
-		f.act(Action{Kind: Drop, ID: c.id, Reason: reason})
+		f.emit(Action{Kind: Close, ID: c.id, Reason: reason})
 	}
-	c.id, c.spoke, c.inTouch = 0, false, false
+	c.id, c.established, c.hasLeader = 0, false, false
 }
 
-func (f *Follower) act(a Action) { f.actions = append(f.actions, a) }
+func (f *Selector) emit(a Action) { f.actions = append(f.actions, a) }
--- a/internal/mesh/follower/golden_test.go
+++ b/internal/mesh/follower/golden_test.go
@@ -26,11 +26,11 @@
 // reasons count by the order in which they first appear.
 type goldenRun struct {
 	rng      *rand.Rand
-	selector *Follower
+	selector *Selector
 	now      time.Duration
 	events   uint64
-	open     []DialID
-	seen     []DialID
+	open     []ConnID
+	seen     []ConnID
 	reasons  map[string]int
 	hash     hash.Hash
 }
@@ -46,7 +46,7 @@
 
 // record takes the actions and hashes them with what the decider answers now.
 func (g *goldenRun) record() {
-	for _, a := range g.selector.Take() {
+	for _, a := range g.selector.TakeActions() {
 		text := fmt.Sprint(a.Reason)
 		reason, known := g.reasons[text]
 		if !known {
@@ -58,15 +58,15 @@
 		case Dial:
 			g.open = append(g.open, a.ID)
 			g.seen = append(g.seen, a.ID)
-		case Drop:
+		case Close:
 			g.forget(a.ID)
 		}
 	}
 	reachable, until := g.selector.Reachable()
-	fmt.Fprintln(g.hash, "state", int64(g.now), uint64(g.selector.Home()), reachable, int64(until), int64(g.selector.Next()))
+	fmt.Fprintln(g.hash, "state", int64(g.now), uint64(g.selector.Followed()), reachable, int64(until), int64(g.selector.NextTick()))
 }
 
-func (g *goldenRun) forget(id DialID) {
+func (g *goldenRun) forget(id ConnID) {
 	for i, o := range g.open {
 		if o == id {
 			g.open = append(g.open[:i:i], g.open[i+1:]...)
@@ -76,7 +76,7 @@
 }
 
 // drawID draws a connection: mostly one that is open, now and then any that ever was.
-func (g *goldenRun) drawID() DialID {
+func (g *goldenRun) drawID() ConnID {
 	if len(g.open) == 0 || g.rng.IntN(goldenStaleShare) == 0 {
 		return g.seen[g.rng.IntN(len(g.seen))]
 	}
@@ -86,7 +86,7 @@
 // drawTime lets time pass: to the decider's own time for half of the events, by up to 200 ms for the others.
 func (g *goldenRun) drawTime() {
 	at := g.now + time.Duration(g.rng.Int64N(int64(200*time.Millisecond)))
-	if next := g.selector.Next(); g.rng.IntN(2) == 0 && next < g.now+time.Minute {
+	if next := g.selector.NextTick(); g.rng.IntN(2) == 0 && next < g.now+time.Minute {
 		at = next
 	}
 	g.now = max(g.now, at)
@@ -97,25 +97,25 @@
 	g.drawTime()
 	switch g.rng.IntN(14) {
 	case 0, 1, 2:
-		g.selector.Spoke(g.now, g.drawID())
+		g.selector.FirstMessageReceived(g.now, g.drawID())
 	case 3, 4:
-		g.selector.Heartbeat(g.now, g.drawID(), true)
+		g.selector.HeartbeatReceived(g.now, g.drawID(), true)
 	case 5:
-		g.selector.Heartbeat(g.now, g.drawID(), false)
+		g.selector.HeartbeatReceived(g.now, g.drawID(), false)
 	case 6:
-		g.selector.Heard(g.now, g.drawID(), g.now-time.Duration(g.rng.Int64N(int64(100*time.Millisecond))))
+		g.selector.MessageReceived(g.now, g.drawID(), g.now-time.Duration(g.rng.Int64N(int64(100*time.Millisecond))))
 	case 7:
 		id := g.drawID()
 		g.forget(id)
-		g.selector.Closed(g.now, id)
+		g.selector.ConnectionClosed(g.now, id)
 	case 8:
-		g.selector.Waiting(g.now, g.rng.IntN(2) == 0)
+		g.selector.SetRequestsWaiting(g.now, g.rng.IntN(2) == 0)
 	case 9:
-		g.selector.Members(g.now, g.events/8+g.rng.Uint64N(10), g.drawAddresses())
+		g.selector.SetMembers(g.now, g.events/8+g.rng.Uint64N(10), g.drawAddresses())
 	case 10:
-		g.selector.Seeds(g.now, g.drawAddresses())
+		g.selector.SetSeeds(g.now, g.drawAddresses())
 	case 11, 12:
-		g.selector.Confirmed(g.now, g.drawID(), g.rng.IntN(2) == 0)
+		g.selector.ConfirmationReceived(g.now, g.drawID(), g.rng.IntN(2) == 0)
 	case 13:
 		g.selector.Tick(g.now - time.Duration(g.rng.Int64N(int64(50*time.Millisecond))))
 	}
--- a/internal/mesh/history/agreement.go
+++ b/internal/mesh/history/agreement.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// OneLeader checks that no two members lead in one term.
-func OneLeader(h *History) (broken []Violation) {
+// SingleLeader checks that no two members lead in one term.
+func SingleLeader(h *History) (broken []Violation) {
 	first := map[uint64]Leader{}
 	for _, l := range inOrder(h.Leaders, func(l Leader) time.Duration { return l.At }) {
 		before, known := first[l.Term]
@@ -17,16 +17,16 @@
 			continue
 		}
 		if before.ID != l.ID {
-			broken = append(broken, Violation{CheckOneLeader, l.At, fmt.Sprintf(
+			broken = append(broken, Violation{CheckSingleLeader, l.At, fmt.Sprintf(
 				"%s (%d) leads in term %d, which %s (%d) has led since %v", l.Process, l.ID, l.Term, before.Process, before.ID, before.At)})
 		}
 	}
 	return broken
 }
 
-// Durable checks that an index that is acknowledged is on Tolerance+1 synced disks of those that count, or on all of them
+// Durability checks that an index that is acknowledged is on Tolerance+1 synced disks of those that count, or on all of them
 // where there are fewer, and that every later leader holds it.
-func Durable(h *History) (broken []Violation) {
+func Durability(h *History) (broken []Violation) {
 	for _, s := range h.Synced {
 		holding := 0
 		for _, id := range s.Counted {
@@ -35,7 +35,7 @@
 			}
 		}
 		if needed := min(s.Tolerance+1, len(s.Counted)); holding < needed {
-			broken = append(broken, Violation{CheckDurable, s.At, fmt.Sprintf(
+			broken = append(broken, Violation{CheckDurability, s.At, fmt.Sprintf(
 				"index %d was acknowledged on %d synced disks of %v that count, where %d are needed", s.Index, holding, s.Counted, needed)})
 		}
 	}
@@ -45,7 +45,7 @@
 		}
 		for _, s := range h.Synced {
 			if s.At < l.At && s.Index > l.LastIndex {
-				broken = append(broken, Violation{CheckDurable, l.At, fmt.Sprintf(
+				broken = append(broken, Violation{CheckDurability, l.At, fmt.Sprintf(
 					"%s (%d) leads in term %d with a log to %d, but %d was acknowledged at %v", l.Process, l.ID, l.Term, l.LastIndex, s.Index, s.At)})
 				break
 			}
@@ -71,7 +71,7 @@
 		}
 	}
 	for n := 1; n < len(agreed); n++ {
-		broken = append(broken, memberStep(agreed[n-1], agreed[n])...)
+		broken = append(broken, checkMemberStep(agreed[n-1], agreed[n])...)
 	}
 	return broken
 }
@@ -86,8 +86,8 @@
 	return sorted
 }
 
-// memberStep judges the step from one set of members to the next. Both are sorted.
-func memberStep(from, to Members) (broken []Violation) {
+// checkMemberStep judges the step from one set of members to the next. Both are sorted.
+func checkMemberStep(from, to Members) (broken []Violation) {
 	var whole bool
 	switch {
 	case len(from.Outgoing) > 0:
--- a/internal/mesh/history/checkers_test.go
+++ b/internal/mesh/history/checkers_test.go
@@ -12,7 +12,7 @@
 const second = time.Second
 
 // testBounds are the bounds that the histories below are judged by.
-var testBounds = Bounds{LeftBehind: 2 * second, CatchUp: 5 * second, Acknowledge: 3 * second}
+var testBounds = Bounds{IsolatedRead: 2 * second, CatchUp: 5 * second, Acknowledgement: 3 * second}
 
 func route(name string, version int64, digest string) ItemVersion {
 	return ItemVersion{Item: Item{Kind: "route", Name: name}, Version: version, Digest: digest}
@@ -30,8 +30,8 @@
 	return Fetch{Call: call("reader", begin, end, Acknowledged), Member: "two", Items: items}
 }
 
-func inForce(at time.Duration, version int64, inTouch bool) InForce {
-	return InForce{At: at, Process: "sidecar", Life: 1, InTouch: inTouch, ItemVersion: route("a", version, "x")}
+func activeVersion(at time.Duration, version int64, inTouch bool) ActiveVersion {
+	return ActiveVersion{At: at, Process: "sidecar", Incarnation: 1, InContact: inTouch, ItemVersion: route("a", version, "x")}
 }
 
 func voters(at time.Duration, index uint64, ids ...uint64) Members {
@@ -69,7 +69,7 @@
 		fetch(5*second, 6*second, route("a", 2, "y"))}, ""},
 	{CheckLinearizable, "dropped item left out", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")),
-		change(3*second, 4*second, Acknowledged, ItemVersion{Item: Item{"route", "a"}, Version: 2, Dropped: true}),
+		change(3*second, 4*second, Acknowledged, ItemVersion{Item: Item{"route", "a"}, Version: 2, Deleted: true}),
 		fetch(5*second, 6*second)}, ""},
 	{CheckLinearizable, "a later fetch goes back", []Event{
 		change(1*second, 9*second, Unknown, route("a", 1, "x")),
@@ -85,85 +85,85 @@
 		change(1*second, 9*second, Unknown, route("a", 1, "x"), route("b", 1, "y")),
 		fetch(2*second, 3*second, route("a", 1, "x"))}, "half of a call"},
 
-	{CheckOneContent, "one content everywhere", []Event{
+	{CheckUniqueContent, "one content everywhere", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")),
-		change(1*second, 2*second, Refused, route("a", 1, "y")), inForce(3*second, 1, true)}, ""},
-	{CheckOneContent, "another content of an overtaken version", []Event{
+		change(1*second, 2*second, Refused, route("a", 1, "y")), activeVersion(3*second, 1, true)}, ""},
+	{CheckUniqueContent, "another content of an overtaken version", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")), change(3*second, 4*second, Acknowledged, route("a", 2, "y")),
 		change(5*second, 6*second, Acknowledged, route("a", 1, "z")), fetch(7*second, 8*second, route("a", 2, "y"))}, ""},
-	{CheckOneContent, "two operators acknowledged", []Event{
+	{CheckUniqueContent, "two operators acknowledged", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")), change(1*second, 3*second, Acknowledged, route("a", 1, "z")),
 		change(4*second, 5*second, Acknowledged, route("a", 2, "y"))}, "version 1"},
-	{CheckOneContent, "another content in force", []Event{
-		change(1*second, 2*second, Acknowledged, route("a", 1, "z")), inForce(3*second, 1, false)}, "version 1"},
+	{CheckUniqueContent, "another content in force", []Event{
+		change(1*second, 2*second, Acknowledged, route("a", 1, "z")), activeVersion(3*second, 1, false)}, "version 1"},
 
-	{CheckRepeatedOrder, "acknowledged again or left open", []Event{
+	{CheckRepeatedChange, "acknowledged again or left open", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")),
 		change(3*second, 4*second, Acknowledged, route("a", 1, "x")),
 		change(3*second, 5*second, Unknown, route("a", 1, "x"))}, ""},
-	{CheckRepeatedOrder, "never taken before", []Event{
+	{CheckRepeatedChange, "never taken before", []Event{
 		change(1*second, 2*second, Unknown, route("a", 1, "x")),
 		change(1*second, 2*second, Acknowledged, route("a", 1, "y")),
 		change(3*second, 4*second, Refused, route("a", 1, "x"))}, ""},
-	{CheckRepeatedOrder, "refused with nothing in between", []Event{
+	{CheckRepeatedChange, "refused with nothing in between", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")),
 		change(3*second, 4*second, Refused, route("a", 1, "x"))}, "route/a@1"},
-	{CheckRepeatedOrder, "refused as older than what stands", []Event{
+	{CheckRepeatedChange, "refused as older than what stands", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")),
 		change(3*second, 4*second, Acknowledged, route("a", 2, "y")),
 		change(5*second, 6*second, Refused, route("a", 1, "x"))}, "route/a@1"},
-	{CheckRepeatedOrder, "refused after its answer was lost but its content was seen", []Event{
+	{CheckRepeatedChange, "refused after its answer was lost but its content was seen", []Event{
 		change(1*second, 2*second, Unknown, route("a", 1, "x")),
 		fetch(3*second, 4*second, route("a", 1, "x")),
 		change(5*second, 6*second, Refused, route("a", 1, "x"))}, "route/a@1"},
 
-	{CheckNeverBack, "back only out of touch or in a new life", []Event{
-		inForce(1*second, 2, true), inForce(2*second, 1, false),
-		InForce{At: 3 * second, Process: "sidecar", Life: 2, InTouch: true, ItemVersion: route("a", 1, "x")}}, ""},
-	{CheckNeverBack, "back in touch", []Event{inForce(1*second, 2, true), inForce(2*second, 1, true)}, "version 2 of route/a back to 1"},
+	{CheckMonotonicVersions, "back only out of touch or in a new life", []Event{
+		activeVersion(1*second, 2, true), activeVersion(2*second, 1, false),
+		ActiveVersion{At: 3 * second, Process: "sidecar", Incarnation: 2, InContact: true, ItemVersion: route("a", 1, "x")}}, ""},
+	{CheckMonotonicVersions, "back in touch", []Event{activeVersion(1*second, 2, true), activeVersion(2*second, 1, true)}, "version 2 of route/a back to 1"},
 
-	{CheckStale, "acknowledged while it was asked for", []Event{
+	{CheckStaleRead, "acknowledged while it was asked for", []Event{
 		change(1*second, 3*second, Acknowledged, route("a", 1, "x")), fetch(2*second, 4*second)}, ""},
-	{CheckStale, "left out after a drop with a lost answer", []Event{
+	{CheckStaleRead, "left out after a drop with a lost answer", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x"), route("b", 1, "x")),
-		change(3*second, 4*second, Unknown, ItemVersion{Item: Item{"route", "a"}, Version: 2, Dropped: true}),
+		change(3*second, 4*second, Unknown, ItemVersion{Item: Item{"route", "a"}, Version: 2, Deleted: true}),
 		fetch(5*second, 6*second, route("b", 1, "x"))}, ""},
-	{CheckStale, "left behind for less than the bound", []Event{
+	{CheckStaleRead, "left behind for less than the bound", []Event{
 		Contact{At: 1 * second, Process: "two", Majority: true}, Contact{At: 2 * second, Process: "two"}, fetch(3*second, 4*second)}, ""},
-	{CheckStale, "in contact again", []Event{
+	{CheckStaleRead, "in contact again", []Event{
 		Contact{At: 1 * second, Process: "two"}, Contact{At: 3 * second, Process: "two", Majority: true}, fetch(5*second, 6*second)}, ""},
-	{CheckStale, "an old fetch", []Event{
+	{CheckStaleRead, "an old fetch", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")), fetch(3*second, 4*second)}, "1 had been acknowledged"},
-	{CheckStale, "an old first table", []Event{
+	{CheckStaleRead, "an old first table", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")),
-		FirstTable{Call: call("sidecar", 3*second, 4*second, Acknowledged), Member: "two", Life: 1}}, "1 had been acknowledged"},
-	{CheckStale, "left behind", []Event{
+		InitialTable{Call: call("sidecar", 3*second, 4*second, Acknowledged), Member: "two", Incarnation: 1}}, "1 had been acknowledged"},
+	{CheckStaleRead, "left behind", []Event{
 		Contact{At: 1 * second, Process: "two"}, Contact{At: 2 * second, Process: "two"}, fetch(3*second, 4*second)},
 		"3s after its last contact"},
 
-	{CheckOneRun, "again after its window", []Event{
+	{CheckAtMostOnce, "again after its window", []Event{
 		Run{At: 1 * second, Server: "s", Key: "k", Window: second, Request: "1"},
 		Run{At: 2 * second, Server: "t", Key: "k", Window: second, Request: "2"}}, ""},
-	{CheckOneRun, "twice in its window", []Event{
+	{CheckAtMostOnce, "twice in its window", []Event{
 		Run{At: 2 * second, Server: "t", Key: "k", Window: 2 * second, Request: "2"},
 		Run{At: 1 * second, Server: "s", Key: "k", Window: 2 * second, Request: "1"}}, `key "k" ran at t`},
 
-	{CheckOwnAnswer, "own answers", []Event{
-		Answer{At: second, Process: "c", Request: "1", Answers: "1"}, Answer{At: second, Process: "c", Request: "2", Answers: "2"}}, ""},
-	{CheckOwnAnswer, "another's answer", []Event{Answer{At: second, Process: "c", Request: "1", Answers: "2"}}, "the answer to 2"},
-	{CheckOwnAnswer, "a second answer", []Event{
-		Answer{At: second, Process: "c", Request: "1", Answers: "1"}, Answer{At: 2 * second, Process: "c", Request: "1", Answers: "1"}},
+	{CheckMatchedAnswer, "own answers", []Event{
+		Answer{At: second, Process: "c", Request: "1", AnsweredRequest: "1"}, Answer{At: second, Process: "c", Request: "2", AnsweredRequest: "2"}}, ""},
+	{CheckMatchedAnswer, "another's answer", []Event{Answer{At: second, Process: "c", Request: "1", AnsweredRequest: "2"}}, "the answer to 2"},
+	{CheckMatchedAnswer, "a second answer", []Event{
+		Answer{At: second, Process: "c", Request: "1", AnsweredRequest: "1"}, Answer{At: 2 * second, Process: "c", Request: "1", AnsweredRequest: "1"}},
 		"a second answer"},
 
-	{CheckOneLeader, "one a term, seen twice", []Event{leader(1, 1, 0), leader(1, 1, 0), leader(2, 2, 0)}, ""},
-	{CheckOneLeader, "two in a term", []Event{leader(1, 1, 0), leader(2, 1, 0)}, "leads in term 1"},
+	{CheckSingleLeader, "one a term, seen twice", []Event{leader(1, 1, 0), leader(1, 1, 0), leader(2, 2, 0)}, ""},
+	{CheckSingleLeader, "two in a term", []Event{leader(1, 1, 0), leader(2, 1, 0)}, "leads in term 1"},
 
-	{CheckDurable, "on tolerance and one disks", []Event{synced(1*second, 5, 1, 3), leader(3, 2, 5)}, ""},
-	{CheckDurable, "on all of the few that count", []Event{
+	{CheckDurability, "on tolerance and one disks", []Event{synced(1*second, 5, 1, 3), leader(3, 2, 5)}, ""},
+	{CheckDurability, "on all of the few that count", []Event{
 		Synced{At: second, Index: 5, Tolerance: 2, Counted: []uint64{1, 2}, Disks: []uint64{1, 2}}}, ""},
-	{CheckDurable, "on too few disks", []Event{synced(1*second, 5, 1)}, "on 1 synced disks"},
-	{CheckDurable, "on a disk that doesn't count", []Event{synced(1*second, 5, 1, 4)}, "on 1 synced disks"},
-	{CheckDurable, "lost by a later leader", []Event{synced(1*second, 5, 1, 2), leader(3, 2, 4)}, "with a log to 4"},
+	{CheckDurability, "on too few disks", []Event{synced(1*second, 5, 1)}, "on 1 synced disks"},
+	{CheckDurability, "on a disk that doesn't count", []Event{synced(1*second, 5, 1, 4)}, "on 1 synced disks"},
+	{CheckDurability, "lost by a later leader", []Event{synced(1*second, 5, 1, 2), leader(3, 2, 4)}, "with a log to 4"},
 
 	{CheckMembership, "one step at a time", []Event{
 		voters(1*second, 1, 1, 2, 3), voters(2*second, 4, 1, 2, 3, 4), voters(2*second, 4, 4, 3, 2, 1),
@@ -186,17 +186,17 @@
 		"began to catch up at 1s"},
 	{CheckCatchUp, "never", []Event{CatchUp{At: 1 * second, Process: "one"}, leader(1, 9, 0)}, "began to catch up at 1s"},
 
-	{CheckLiveness, "at a later try", []Event{Settled{From: 0, To: 9 * second},
-		Change{Call: call("operator", 1*second, 2*second, Unknown), Order: "1", Items: []ItemVersion{route("a", 1, "x")}},
-		Change{Call: call("operator", 3*second, 4*second, Acknowledged), Order: "1", Items: []ItemVersion{route("a", 1, "x")}}}, ""},
-	{CheckLiveness, "unsettled, improper or cut short", []Event{Settled{From: 2 * second, To: 9 * second},
+	{CheckLiveness, "at a later try", []Event{StablePeriod{From: 0, To: 9 * second},
+		Change{Call: call("operator", 1*second, 2*second, Unknown), ChangeID: "1", Items: []ItemVersion{route("a", 1, "x")}},
+		Change{Call: call("operator", 3*second, 4*second, Acknowledged), ChangeID: "1", Items: []ItemVersion{route("a", 1, "x")}}}, ""},
+	{CheckLiveness, "unsettled, improper or cut short", []Event{StablePeriod{From: 2 * second, To: 9 * second},
 		change(1*second, 2*second, Unknown, route("a", 1, "x")),
 		change(3*second, 4*second, Refused, route("b", 1, "x")), change(3*second, 4*second, Acknowledged, route("b", 1, "y")),
 		Change{Call: call("operator", 3*second, 4*second, Refused), Invalid: true, Items: []ItemVersion{route("c", 1, "x")}},
 		change(7*second, 8*second, Unknown, route("d", 1, "x"))}, ""},
-	{CheckLiveness, "never acknowledged", []Event{Settled{From: 0, To: 9 * second},
-		Change{Call: call("operator", 1*second, 2*second, Unknown), Order: "1", Items: []ItemVersion{route("a", 1, "x")}},
-		Change{Call: call("operator", 3*second, 5*second, Acknowledged), Order: "1", Items: []ItemVersion{route("a", 1, "x")}}},
+	{CheckLiveness, "never acknowledged", []Event{StablePeriod{From: 0, To: 9 * second},
+		Change{Call: call("operator", 1*second, 2*second, Unknown), ChangeID: "1", Items: []ItemVersion{route("a", 1, "x")}},
+		Change{Call: call("operator", 3*second, 5*second, Acknowledged), ChangeID: "1", Items: []ItemVersion{route("a", 1, "x")}}},
 		"sent 2 times from 1s on"},
 }
 
@@ -225,8 +225,8 @@
 
 // Every checker has a kept promise and a planted breach above.
 func TestEveryCheckerHasBothCases(t *testing.T) {
-	all := []string{CheckLinearizable, CheckOneContent, CheckRepeatedOrder, CheckNeverBack, CheckStale, CheckOneRun, CheckOwnAnswer,
-		CheckOneLeader, CheckDurable, CheckMembership, CheckCatchUp, CheckLiveness}
+	all := []string{CheckLinearizable, CheckUniqueContent, CheckRepeatedChange, CheckMonotonicVersions, CheckStaleRead, CheckAtMostOnce, CheckMatchedAnswer,
+		CheckSingleLeader, CheckDurability, CheckMembership, CheckCatchUp, CheckLiveness}
 	for _, checker := range all {
 		var kept, broken int
 		for _, c := range checkerCases {
--- a/internal/mesh/history/encoding.go
+++ b/internal/mesh/history/encoding.go
@@ -33,8 +33,8 @@
 var eventReaders = map[string]func(data []byte) (Event, error){
 	"change":      readEvent[Change],
 	"fetch":       readEvent[Fetch],
-	"first_table": readEvent[FirstTable],
-	"in_force":    readEvent[InForce],
+	"first_table": readEvent[InitialTable],
+	"in_force":    readEvent[ActiveVersion],
 	"claim":       readEvent[Claim],
 	"run":         readEvent[Run],
 	"answer":      readEvent[Answer],
@@ -44,7 +44,7 @@
 	"contact":     readEvent[Contact],
 	"synced":      readEvent[Synced],
 	"catch_up":    readEvent[CatchUp],
-	"settled":     readEvent[Settled],
+	"settled":     readEvent[StablePeriod],
 }
 
 // eventName is how lines name an event's type.
@@ -54,9 +54,9 @@
 		return "change"
 	case Fetch:
 		return "fetch"
-	case FirstTable:
+	case InitialTable:
 		return "first_table"
-	case InForce:
+	case ActiveVersion:
 		return "in_force"
 	case Claim:
 		return "claim"
@@ -76,7 +76,7 @@
 		return "synced"
 	case CatchUp:
 		return "catch_up"
-	case Settled:
+	case StablePeriod:
 		return "settled"
 	}
 	return fmt.Sprintf("%T", e)
@@ -111,8 +111,8 @@
 func (h *History) events() (all []Event) {
 	all = appendEvents(all, h.Changes)
 	all = appendEvents(all, h.Fetches)
-	all = appendEvents(all, h.Tables)
-	all = appendEvents(all, h.InForce)
+	all = appendEvents(all, h.InitialTables)
+	all = appendEvents(all, h.ActiveVersions)
 	all = appendEvents(all, h.Claims)
 	all = appendEvents(all, h.Runs)
 	all = appendEvents(all, h.Answers)
@@ -122,7 +122,7 @@
 	all = appendEvents(all, h.Contacts)
 	all = appendEvents(all, h.Synced)
 	all = appendEvents(all, h.CatchUps)
-	return appendEvents(all, h.Settled)
+	return appendEvents(all, h.StablePeriods)
 }
 
 func appendEvents[E Event](all []Event, events []E) []Event {
--- a/internal/mesh/history/history.go
+++ b/internal/mesh/history/history.go
@@ -43,12 +43,12 @@
 	Item
 	Version int64  `json:"version" validate:"gte=0"`
 	Digest  string `json:"digest,omitempty"` // of the content; empty if it was dropped
-	Dropped bool   `json:"dropped,omitempty"`
+	Deleted bool   `json:"dropped,omitempty"`
 }
 
 // String is kind/name@version and the digest, or that it was dropped.
 func (v ItemVersion) String() string {
-	if v.Dropped {
+	if v.Deleted {
 		return fmt.Sprintf("%v@%d dropped", v.Item, v.Version)
 	}
 	return fmt.Sprintf("%v@%d %s", v.Item, v.Version, v.Digest)
@@ -57,10 +57,10 @@
 // Change is one try of an operator's order at one member. All its items take effect, or none.
 type Change struct {
 	Call
-	Order   string        `json:"order,omitempty"` // joins the tries of one order; empty: this call is its only one
-	Member  string        `json:"member,omitempty"`
-	Items   []ItemVersion `json:"items" validate:"dive"`
-	Invalid bool          `json:"invalid,omitempty"` // the caller expects a refusal
+	ChangeID string        `json:"order,omitempty"` // joins the tries of one order; empty: this call is its only one
+	Member   string        `json:"member,omitempty"`
+	Items    []ItemVersion `json:"items" validate:"dive"`
+	Invalid  bool          `json:"invalid,omitempty"` // the caller expects a refusal
 }
 
 // Fetch is a read of the whole configuration. Dropped items may be told or left out.
@@ -70,21 +70,21 @@
 	Items  []ItemVersion `json:"items" validate:"dive"`
 }
 
-// FirstTable is the configuration that a member hands to a sidecar that starts or changes its member. Process is the
+// InitialTable is the configuration that a member hands to a sidecar that starts or changes its member. Process is the
 // sidecar, Begin the time at which it asked.
-type FirstTable struct {
+type InitialTable struct {
 	Call
-	Member string        `json:"member"`
-	Life   uint64        `json:"life"` // of the sidecar
-	Items  []ItemVersion `json:"items" validate:"dive"`
+	Member      string        `json:"member"`
+	Incarnation uint64        `json:"life"` // of the sidecar
+	Items       []ItemVersion `json:"items" validate:"dive"`
 }
 
-// InForce says that an item version was in force at a sidecar or at a member.
-type InForce struct {
-	At      time.Duration `json:"at_ns" validate:"gte=0"`
-	Process string        `json:"process" validate:"required"`
-	Life    uint64        `json:"life"` // rises with each start of a sidecar and each new disk of a member
-	InTouch bool          `json:"in_touch"`
+// ActiveVersion says that an item version was in force at a sidecar or at a member.
+type ActiveVersion struct {
+	At          time.Duration `json:"at_ns" validate:"gte=0"`
+	Process     string        `json:"process" validate:"required"`
+	Incarnation uint64        `json:"life"` // rises with each start of a sidecar and each new disk of a member
+	InContact   bool          `json:"in_touch"`
 	ItemVersion
 }
 
@@ -108,10 +108,10 @@
 // Answer is one answer that reached a caller. Request is the request that the caller took it for, Answers the one that the
 // answer's own bytes say it is for.
 type Answer struct {
-	At      time.Duration `json:"at_ns" validate:"gte=0"`
-	Process string        `json:"process" validate:"required"`
-	Request string        `json:"request" validate:"required"`
-	Answers string        `json:"answers"`
+	At              time.Duration `json:"at_ns" validate:"gte=0"`
+	Process         string        `json:"process" validate:"required"`
+	Request         string        `json:"request" validate:"required"`
+	AnsweredRequest string        `json:"answers"`
 }
 
 // Leader says that a member began to lead in a term.
@@ -170,7 +170,7 @@
 type Synced struct {
 	At        time.Duration `json:"at_ns" validate:"gte=0"`
 	Index     uint64        `json:"index"`
-	Order     string        `json:"order,omitempty"`
+	ChangeID  string        `json:"order,omitempty"`
 	Tolerance int           `json:"tolerance" validate:"gte=0"`
 	Counted   []uint64      `json:"counted"` // members that count at that moment
 	Disks     []uint64      `json:"disks"`   // that hold the index
@@ -183,29 +183,29 @@
 	Ended   bool          `json:"ended,omitempty"`
 }
 
-// Settled is a stretch in which the control plane was settled: a majority in touch and no fault of late.
-type Settled struct {
+// StablePeriod is a stretch in which the control plane was settled: a majority in touch and no fault of late.
+type StablePeriod struct {
 	From time.Duration `json:"from_ns" validate:"gte=0"`
 	To   time.Duration `json:"to_ns" validate:"gtefield=From"`
 }
 
 // History is what was seen of one run, each kind in the order in which it was recorded.
 type History struct {
-	Changes  []Change
-	Fetches  []Fetch
-	Tables   []FirstTable
-	InForce  []InForce
-	Claims   []Claim
-	Runs     []Run
-	Answers  []Answer
-	Leaders  []Leader
-	Members  []Members
-	Faults   []Fault
-	Contacts []Contact
-	Synced   []Synced
-	CatchUps []CatchUp
-	Settled  []Settled
-	End      time.Duration // the latest time of the run; later events raise it
+	Changes        []Change
+	Fetches        []Fetch
+	InitialTables  []InitialTable
+	ActiveVersions []ActiveVersion
+	Claims         []Claim
+	Runs           []Run
+	Answers        []Answer
+	Leaders        []Leader
+	Members        []Members
+	Faults         []Fault
+	Contacts       []Contact
+	Synced         []Synced
+	CatchUps       []CatchUp
+	StablePeriods  []StablePeriod
+	End            time.Duration // the latest time of the run; later events raise it
 }
 
 // Event is one of the events of this package.
@@ -226,13 +226,13 @@
 	return e.Return
 }
 
-func (e FirstTable) record(h *History) time.Duration {
-	h.Tables = append(h.Tables, e)
+func (e InitialTable) record(h *History) time.Duration {
+	h.InitialTables = append(h.InitialTables, e)
 	return e.Return
 }
 
-func (e InForce) record(h *History) time.Duration {
-	h.InForce = append(h.InForce, e)
+func (e ActiveVersion) record(h *History) time.Duration {
+	h.ActiveVersions = append(h.ActiveVersions, e)
 	return e.At
 }
 
@@ -281,7 +281,7 @@
 	return e.At
 }
 
-func (e Settled) record(h *History) time.Duration {
-	h.Settled = append(h.Settled, e)
+func (e StablePeriod) record(h *History) time.Duration {
+	h.StablePeriods = append(h.StablePeriods, e)
 	return e.To
 }
--- a/internal/mesh/history/keys.go
+++ b/internal/mesh/history/keys.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// OneRun checks that a key runs once at most within the window of the run before.
-func OneRun(h *History) (broken []Violation) {
+// AtMostOnce checks that a key runs once at most within the window of the run before.
+func AtMostOnce(h *History) (broken []Violation) {
 	last := map[string]Run{}
 	for _, r := range inOrder(h.Runs, func(r Run) time.Duration { return r.At }) {
 		before, ran := last[r.Key]
 		if ran && r.At < before.At+before.Window {
-			broken = append(broken, Violation{CheckOneRun, r.At, fmt.Sprintf(
+			broken = append(broken, Violation{CheckAtMostOnce, r.At, fmt.Sprintf(
 				"key %q ran at %s for %s, and at %s for %s %v before, within its window of %v",
 				r.Key, r.Server, r.Request, before.Server, before.Request, r.At-before.At, before.Window)})
 		}
@@ -20,16 +20,16 @@
 	return broken
 }
 
-// OwnAnswers checks that every answer came to the request that it is for, and each request has one at most.
-func OwnAnswers(h *History) (broken []Violation) {
+// MatchedAnswers checks that every answer came to the request that it is for, and each request has one at most.
+func MatchedAnswers(h *History) (broken []Violation) {
 	answered := map[string]time.Duration{}
 	for _, a := range inOrder(h.Answers, func(a Answer) time.Duration { return a.At }) {
-		if a.Request != a.Answers {
-			broken = append(broken, Violation{CheckOwnAnswer, a.At,
-				fmt.Sprintf("%s got the answer to %s for its request %s", a.Process, a.Answers, a.Request)})
+		if a.Request != a.AnsweredRequest {
+			broken = append(broken, Violation{CheckMatchedAnswer, a.At,
+				fmt.Sprintf("%s got the answer to %s for its request %s", a.Process, a.AnsweredRequest, a.Request)})
 		}
 		if at, twice := answered[a.Request]; twice {
-			broken = append(broken, Violation{CheckOwnAnswer, a.At,
+			broken = append(broken, Violation{CheckMatchedAnswer, a.At,
 				fmt.Sprintf("%s got a second answer for its request %s, after one at %v", a.Process, a.Request, at)})
 		}
 		answered[a.Request] = a.At
--- a/internal/mesh/history/linearizable.go
+++ b/internal/mesh/history/linearizable.go
@@ -41,7 +41,7 @@
 			undecided = append(undecided, item)
 		}
 	}
-	return append(broken, halfChanges(h)...), undecided
+	return append(broken, partialChanges(h)...), undecided
 }
 
 // itemRegister is one item as a register in which the highest version holds.
@@ -67,7 +67,7 @@
 	if read.told {
 		return read.content == stands
 	}
-	return stands.Version == 0 || stands.Dropped
+	return stands.Version == 0 || stands.Deleted
 }
 
 // items are all that were changed or fetched, in a fixed order.
@@ -158,9 +158,9 @@
 	return ItemVersion{}, false
 }
 
-// halfChanges finds fetches that show one item of a call and of another an older version than that call's. Contents that
+// partialChanges finds fetches that show one item of a call and of another an older version than that call's. Contents that
 // several different calls carry prove nothing and are left out.
-func halfChanges(h *History) (broken []Violation) {
+func partialChanges(h *History) (broken []Violation) {
 	carriers := map[ItemVersion][]ItemVersion{}
 	for _, c := range h.Changes {
 		for _, v := range c.Items {
@@ -177,7 +177,7 @@
 		}
 		for _, shown := range f.Items {
 			for _, other := range carriers[shown] {
-				if got, told := find(f.Items, other.Item); got.Version < other.Version && (told || !mayBeDropped(h, other, f.Return)) {
+				if got, told := find(f.Items, other.Item); got.Version < other.Version && (told || !mayBeDeleted(h, other, f.Return)) {
 					broken = append(broken, Violation{CheckLinearizable, f.Return, fmt.Sprintf(
 						"%s was shown half of a call by %s: %v at version %d, but %v at %d in place of %d",
 						f.Process, f.Member, shown.Item, shown.Version, other.Item, got.Version, other.Version)})
--- a/internal/mesh/history/progress.go
+++ b/internal/mesh/history/progress.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// CatchesUp checks that each catching up ends within the bound (zero: not judged). One that a fault of its member
+// CatchUpInTime checks that each catching up ends within the bound (zero: not judged). One that a fault of its member
 // interrupts, or that the run's end cuts short, is not judged.
-func CatchesUp(h *History, bound time.Duration) (broken []Violation) {
+func CatchUpInTime(h *History, bound time.Duration) (broken []Violation) {
 	if bound == 0 {
 		return nil
 	}
@@ -65,16 +65,16 @@
 	return names
 }
 
-// Live checks that each proper order that begins in a settled stretch, with the bound still inside the stretch, is
+// Liveness checks that each proper order that begins in a settled stretch, with the bound still inside the stretch, is
 // acknowledged at one of its tries within the bound (zero: not judged).
-func Live(h *History, bound time.Duration) (broken []Violation) {
+func Liveness(h *History, bound time.Duration) (broken []Violation) {
 	if bound == 0 {
 		return nil
 	}
-	for _, o := range orders(h) {
+	for _, o := range attemptsByChange(h) {
 		begin := o[0].Begin
-		settled := slices.ContainsFunc(h.Settled, func(s Settled) bool { return s.From <= begin && begin+bound <= s.To })
-		if !settled || !slices.ContainsFunc(o, func(c Change) bool { return proper(h, c) }) {
+		settled := slices.ContainsFunc(h.StablePeriods, func(s StablePeriod) bool { return s.From <= begin && begin+bound <= s.To })
+		if !settled || !slices.ContainsFunc(o, func(c Change) bool { return isUncontested(h, c) }) {
 			continue
 		}
 		acknowledged := slices.ContainsFunc(o, func(c Change) bool { return c.Outcome == Acknowledged && c.Return <= begin+bound })
@@ -87,14 +87,14 @@
 	return broken
 }
 
-// orders are the changes joined by their order, each in order of its tries' beginnings, in order of the first ones.
-func orders(h *History) (joined [][]Change) {
+// attemptsByChange are the changes joined by their order, each in order of its tries' beginnings, in order of the first ones.
+func attemptsByChange(h *History) (joined [][]Change) {
 	place := map[string]int{}
 	for _, c := range inOrder(h.Changes, func(c Change) time.Duration { return c.Begin }) {
-		n, known := place[c.Order]
-		if !known || c.Order == "" {
+		n, known := place[c.ChangeID]
+		if !known || c.ChangeID == "" {
 			n = len(joined)
-			place[c.Order] = n
+			place[c.ChangeID] = n
 			joined = append(joined, nil)
 		}
 		joined[n] = append(joined[n], c)
@@ -102,8 +102,8 @@
 	return joined
 }
 
-// proper says that a change is valid and no other one carries another content of a version of its.
-func proper(h *History, c Change) bool {
+// isUncontested says that a change is valid and no other one carries another content of a version of its.
+func isUncontested(h *History, c Change) bool {
 	if c.Invalid {
 		return false
 	}
--- a/internal/mesh/history/reference_test.go
+++ b/internal/mesh/history/reference_test.go
@@ -43,7 +43,7 @@
 		for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 2, rapid.ID[string]).Draw(r.t, "names") {
 			version := rapid.Int64Range(1, 6).Draw(r.t, "version")
 			if rapid.IntRange(0, 4).Draw(r.t, "kind") == 0 {
-				items = append(items, ItemVersion{Item: Item{"route", name}, Version: version, Dropped: true})
+				items = append(items, ItemVersion{Item: Item{"route", name}, Version: version, Deleted: true})
 			} else {
 				items = append(items, route(name, version, rapid.SampledFrom([]string{"x", "y"}).Draw(r.t, "digest")))
 			}
@@ -77,7 +77,7 @@
 // read is what stands; dropped items are told or left out.
 func (r *reference) read() (all []ItemVersion) {
 	for _, item := range sortedItems(r.stands) {
-		if v := r.stands[item]; !v.Dropped || rapid.Bool().Draw(r.t, "tell dropped") {
+		if v := r.stands[item]; !v.Deleted || rapid.Bool().Draw(r.t, "tell dropped") {
 			all = append(all, v)
 		}
 	}
@@ -91,10 +91,10 @@
 // firstTable gives a sidecar what stands and has it in force from then on.
 func (r *reference) firstTable() {
 	name := rapid.SampledFrom([]string{"s1", "s2"}).Draw(r.t, "sidecar")
-	r.h.Record(FirstTable{Call: r.call(name, Acknowledged), Member: "one", Life: 1, Items: r.read()})
+	r.h.Record(InitialTable{Call: r.call(name, Acknowledged), Member: "one", Incarnation: 1, Items: r.read()})
 	for _, item := range sortedItems(r.stands) {
 		v := r.stands[item]
-		r.h.Record(InForce{At: r.now, Process: name, Life: 1, InTouch: rapid.Bool().Draw(r.t, "in touch"), ItemVersion: v})
+		r.h.Record(ActiveVersion{At: r.now, Process: name, Incarnation: 1, InContact: rapid.Bool().Draw(r.t, "in touch"), ItemVersion: v})
 	}
 }
 
@@ -110,7 +110,7 @@
 		r.h.Record(Run{At: r.now + reach, Server: "server", Key: key, Window: window, Request: request})
 	}
 	r.h.Record(Claim{Call: r.call("s1", outcome), Key: key, Window: window})
-	r.h.Record(Answer{At: r.now + 2*reach, Process: "client", Request: request, Answers: request})
+	r.h.Record(Answer{At: r.now + 2*reach, Process: "client", Request: request, AnsweredRequest: request})
 }
 
 // agree has the members change by one step, or another lead, and acknowledges an index.
--- a/internal/mesh/history/versions.go
+++ b/internal/mesh/history/versions.go
@@ -12,20 +12,20 @@
 	dropped bool
 }
 
-// numbered is a version of an item, whatever its content.
-type numbered struct {
+// itemNumber is a version of an item, whatever its content.
+type itemNumber struct {
 	Item
 	version int64
 }
 
-func split(v ItemVersion) (numbered, content) {
-	return numbered{v.Item, v.Version}, content{v.Digest, v.Dropped}
+func split(v ItemVersion) (itemNumber, content) {
+	return itemNumber{v.Item, v.Version}, content{v.Digest, v.Deleted}
 }
 
-// OneContent checks that no version of an item was acknowledged, fetched, handed out or in force with two contents. An
+// UniqueContent checks that no version of an item was acknowledged, fetched, handed out or in force with two contents. An
 // acknowledgement of a version that a higher one may have overtaken by then says nothing of its content: it changed nothing.
-func OneContent(h *History) (broken []Violation) {
-	first := map[numbered]content{}
+func UniqueContent(h *History) (broken []Violation) {
+	first := map[itemNumber]content{}
 	see := func(at time.Duration, where string, versions ...ItemVersion) {
 		for _, v := range versions {
 			number, is := split(v)
@@ -35,7 +35,7 @@
 				continue
 			}
 			if was != is {
-				broken = append(broken, Violation{CheckOneContent, at,
+				broken = append(broken, Violation{CheckUniqueContent, at,
 					fmt.Sprintf("%v version %d has %+v at %s, but %+v before", v.Item, v.Version, is, where, was)})
 			}
 		}
@@ -52,22 +52,22 @@
 			see(f.Return, "a fetch from "+f.Member, f.Items...)
 		}
 	}
-	for _, t := range h.Tables {
+	for _, t := range h.InitialTables {
 		if t.Outcome == Acknowledged {
 			see(t.Return, "a table of "+t.Member, t.Items...)
 		}
 	}
-	for _, f := range h.InForce {
+	for _, f := range h.ActiveVersions {
 		see(f.At, f.Process, f.ItemVersion)
 	}
 	return broken
 }
 
-// mayBeDropped says that a version drops its item, or a higher one that may have stood before a time does.
-func mayBeDropped(h *History, v ItemVersion, before time.Duration) bool {
-	return v.Dropped || slices.ContainsFunc(h.Changes, func(c Change) bool {
+// mayBeDeleted says that a version drops its item, or a higher one that may have stood before a time does.
+func mayBeDeleted(h *History, v ItemVersion, before time.Duration) bool {
+	return v.Deleted || slices.ContainsFunc(h.Changes, func(c Change) bool {
 		other, names := find(c.Items, v.Item)
-		return names && other.Dropped && other.Version > v.Version && c.Outcome != Refused && c.Begin <= before
+		return names && other.Deleted && other.Version > v.Version && c.Outcome != Refused && c.Begin <= before
 	})
 }
 
@@ -79,19 +79,19 @@
 	})
 }
 
-// RepeatedOrders checks that an order that was acknowledged, or whose content was seen after its answer was lost, is not
+// RepeatedChanges checks that an order that was acknowledged, or whose content was seen after its answer was lost, is not
 // refused when it is sent again: either with no other change in between, or with all its items older than what stands.
-func RepeatedOrders(h *History) (broken []Violation) {
+func RepeatedChanges(h *History) (broken []Violation) {
 	for n, again := range h.Changes {
 		if again.Outcome != Refused {
 			continue
 		}
 		for i, first := range h.Changes {
-			if i == n || !slices.Equal(first.Items, again.Items) || !taken(h, first, again.Begin) {
+			if i == n || !slices.Equal(first.Items, again.Items) || !hadEffect(h, first, again.Begin) {
 				continue
 			}
-			if alone(h, first, again) || superseded(h, again) {
-				broken = append(broken, Violation{CheckRepeatedOrder, again.Return, fmt.Sprintf(
+			if isUndisturbed(h, first, again) || superseded(h, again) {
+				broken = append(broken, Violation{CheckRepeatedChange, again.Return, fmt.Sprintf(
 					"%s's order of %v was taken at %v and refused by %s when it was sent again at %v",
 					again.Process, again.Items, first.Begin, again.Member, again.Begin)})
 				break
@@ -101,9 +101,9 @@
 	return broken
 }
 
-// taken says that a change had taken effect before a time: it was acknowledged, or a fetch showed a content that no other
+// hadEffect says that a change had taken effect before a time: it was acknowledged, or a fetch showed a content that no other
 // order carries.
-func taken(h *History, c Change, before time.Duration) bool {
+func hadEffect(h *History, c Change, before time.Duration) bool {
 	if c.Outcome == Acknowledged {
 		return c.Return <= before
 	}
@@ -120,8 +120,8 @@
 	return false
 }
 
-// alone says that no other change was under way from the first call to the end of the second.
-func alone(h *History, first, again Change) bool {
+// isUndisturbed says that no other change was under way from the first call to the end of the second.
+func isUndisturbed(h *History, first, again Change) bool {
 	return !slices.ContainsFunc(h.Changes, func(o Change) bool {
 		over := o.Outcome != Unknown && o.Return < first.Begin
 		return o.Outcome != Refused && !slices.Equal(o.Items, again.Items) && o.Begin <= again.Return && !over
@@ -153,28 +153,28 @@
 	return highest
 }
 
-// NeverBack checks that the versions in force at one life of a process only rise while it is in touch.
-func NeverBack(h *History) (broken []Violation) {
+// MonotonicVersions checks that the versions in force at one life of a process only rise while it is in touch.
+func MonotonicVersions(h *History) (broken []Violation) {
 	type place struct {
 		process string
 		life    uint64
 		item    Item
 	}
 	highest := map[place]int64{}
-	for _, f := range inOrder(h.InForce, func(f InForce) time.Duration { return f.At }) {
-		at := place{f.Process, f.Life, f.Item}
-		if f.InTouch && f.Version < highest[at] {
-			broken = append(broken, Violation{CheckNeverBack, f.At, fmt.Sprintf(
-				"%s (life %d) went from version %d of %v back to %d", f.Process, f.Life, highest[at], f.Item, f.Version)})
+	for _, f := range inOrder(h.ActiveVersions, func(f ActiveVersion) time.Duration { return f.At }) {
+		at := place{f.Process, f.Incarnation, f.Item}
+		if f.InContact && f.Version < highest[at] {
+			broken = append(broken, Violation{CheckMonotonicVersions, f.At, fmt.Sprintf(
+				"%s (life %d) went from version %d of %v back to %d", f.Process, f.Incarnation, highest[at], f.Item, f.Version)})
 		}
 		highest[at] = max(highest[at], f.Version)
 	}
 	return broken
 }
 
-// Stale checks that no fetch and no first table is older than what was acknowledged before it was asked for, and that no
+// StaleReads checks that no fetch and no first table is older than what was acknowledged before it was asked for, and that no
 // member hands one out longer than leftBehind after its last contact with a majority (zero: not judged).
-func Stale(h *History, leftBehind time.Duration) (broken []Violation) {
+func StaleReads(h *History, leftBehind time.Duration) (broken []Violation) {
 	standing, contacts := standingVersions(h), inOrder(h.Contacts, func(c Contact) time.Duration { return c.At })
 	read := func(what string, c Call, member string, versions []ItemVersion) {
 		if c.Outcome != Acknowledged {
@@ -182,14 +182,14 @@
 		}
 		broken = append(broken, standing.older(h, what, c, member, versions)...)
 		if lost, cut := withoutMajority(contacts, member, c.Return); cut && leftBehind > 0 && c.Return-lost > leftBehind {
-			broken = append(broken, Violation{CheckStale, c.Return, fmt.Sprintf(
+			broken = append(broken, Violation{CheckStaleRead, c.Return, fmt.Sprintf(
 				"%s handed out %s %v after its last contact with a majority", member, what, c.Return-lost)})
 		}
 	}
 	for _, f := range h.Fetches {
 		read("a fetch", f.Call, f.Member, f.Items)
 	}
-	for _, t := range h.Tables {
+	for _, t := range h.InitialTables {
 		read("a first table", t.Call, t.Member, t.Items)
 	}
 	return broken
@@ -234,8 +234,8 @@
 			}
 		}
 		version, is := told[item]
-		if version < newest.Version && (is || !mayBeDropped(h, newest, c.Return)) {
-			broken = append(broken, Violation{CheckStale, c.Return, fmt.Sprintf(
+		if version < newest.Version && (is || !mayBeDeleted(h, newest, c.Return)) {
+			broken = append(broken, Violation{CheckStaleRead, c.Return, fmt.Sprintf(
 				"%s of %s by %s at %v tells %v at version %d, but %d had been acknowledged",
 				what, c.Process, member, c.Begin, item, version, newest.Version)})
 		}
--- a/internal/mesh/history/violation.go
+++ b/internal/mesh/history/violation.go
@@ -17,10 +17,10 @@
 
 // Bounds are the figures that the promises with a time in them are judged by; a zero leaves that promise unjudged.
 type Bounds struct {
-	LeftBehind  time.Duration // how long after its last contact with a majority a member may still hand out the configuration
-	CatchUp     time.Duration // from the beginning of a member's catching up to its end
-	Acknowledge time.Duration // from an order's first call, in settled times, to an acknowledgement
-	Search      time.Duration // real time for the search of linearizations of one item; zero: DefaultSearch
+	IsolatedRead    time.Duration // how long after its last contact with a majority a member may still hand out the configuration
+	CatchUp         time.Duration // from the beginning of a member's catching up to its end
+	Acknowledgement time.Duration // from an order's first call, in settled times, to an acknowledgement
+	Search          time.Duration // real time for the search of linearizations of one item; zero: DefaultSearch
 }
 
 // DefaultSearch bounds the search for a linearization of one item's history, in real time.
--- a/internal/mesh/operations/operations.go
+++ b/internal/mesh/operations/operations.go
@@ -37,29 +37,31 @@
 type Operation struct {
 	Version int64
 	Digest  Digest
-	At      time.Duration // log time at which it was taken or, if it stood, at which it was superseded
+	LogTime time.Duration // log time at which it was taken or, if it stood, at which it was superseded
 }
 
-// Verdict says what an operation is to a History.
-type Verdict uint8
+// Classification says what an operation is to a History.
+type Classification uint8
 
 // Verdicts.
 const (
-	New         Verdict = iota // it was never taken, and no other was under its version
-	Repeated                   // it was taken
-	Conflicting                // another content was taken under its version
-	Unknown                    // whether it was taken has been forgotten
+	New       Classification = iota // it was never taken, and no other was under its version
+	Duplicate                       // it was taken
+	Conflict                        // another content was taken under its version
+	Unknown                         // whether it was taken has been forgotten
 )
 
 // History is what is remembered of one item's operations. Nil is that of an item that had none. It is never changed once made.
 type History struct {
-	taken     []Operation // by rising version
-	lossy     bool        // some were forgotten
-	forgotten int64       // the highest version of those
+	accepted     []Operation // by rising version
+	incomplete   bool        // some were forgotten
+	maxForgotten int64       // the highest version of those
 }
 
-// Lost is a history that knows nothing of the versions up to the given one.
-func Lost(version int64) *History { return &History{lossy: true, forgotten: version} }
+// IncompleteThrough is a history that knows nothing of the versions up to the given one.
+func IncompleteThrough(version int64) *History {
+	return &History{incomplete: true, maxForgotten: version}
+}
 
 // Len is how many operations are remembered.
 func (h *History) Len() int { return len(h.Operations()) }
@@ -69,21 +71,21 @@
 	if h == nil {
 		return nil
 	}
-	return h.taken
+	return h.accepted
 }
 
-// Judge tells what an operation is.
-func (h *History) Judge(version int64, digest Digest) Verdict {
+// Classify tells what an operation is.
+func (h *History) Classify(version int64, digest Digest) Classification {
 	if h == nil {
 		return New
 	}
 	at, found := h.find(version)
 	switch {
-	case found && h.taken[at].Digest == digest:
-		return Repeated
+	case found && h.accepted[at].Digest == digest:
+		return Duplicate
 	case found:
-		return Conflicting
-	case h.lossy && version <= h.forgotten:
+		return Conflict
+	case h.incomplete && version <= h.maxForgotten:
 		return Unknown
 	}
 	return New
@@ -99,10 +101,10 @@
 	if h != nil {
 		next = *h
 	}
-	taken := make([]Operation, 0, len(next.taken)+1)
-	taken = append(taken, next.taken[:at]...)
+	taken := make([]Operation, 0, len(next.accepted)+1)
+	taken = append(taken, next.accepted[:at]...)
 	taken = append(taken, o)
-	next.taken = append(taken, next.taken[at:]...)
+	next.accepted = append(taken, next.accepted[at:]...)
 	return &next
 }
 
@@ -113,9 +115,9 @@
 		return h
 	}
 	next := *h
-	next.taken = slices.Delete(slices.Clone(h.taken), at, at+1)
-	if !h.lossy || version > h.forgotten {
-		next.lossy, next.forgotten = true, version
+	next.accepted = slices.Delete(slices.Clone(h.accepted), at, at+1)
+	if !h.incomplete || version > h.maxForgotten {
+		next.incomplete, next.maxForgotten = true, version
 	}
 	return &next
 }
@@ -126,9 +128,9 @@
 
 // Sizes of an encoded history in bytes: the head holds the format, whether some were forgotten, and up to which version.
 const (
-	format     byte = 1
-	headSize        = 1 + 1 + 8
-	recordSize      = 8 + 8 + len(Digest{})
+	encodingVersion byte = 1
+	headerSize           = 1 + 1 + 8
+	recordSize           = 8 + 8 + len(Digest{})
 )
 
 // Encode is the history as bytes, of at least headSize: an item that was stored without a history is told from one that has
@@ -137,16 +139,16 @@
 	if h == nil {
 		h = new(History)
 	}
-	out := make([]byte, 0, headSize+len(h.taken)*recordSize)
+	out := make([]byte, 0, headerSize+len(h.accepted)*recordSize)
 	lossy := byte(0)
-	if h.lossy {
+	if h.incomplete {
 		lossy = 1
 	}
-	out = append(out, format, lossy)
-	out = binary.BigEndian.AppendUint64(out, uint64(h.forgotten))
-	for _, o := range h.taken {
+	out = append(out, encodingVersion, lossy)
+	out = binary.BigEndian.AppendUint64(out, uint64(h.maxForgotten))
+	for _, o := range h.accepted {
 		out = binary.BigEndian.AppendUint64(out, uint64(o.Version))
-		out = binary.BigEndian.AppendUint64(out, uint64(o.At))
+		out = binary.BigEndian.AppendUint64(out, uint64(o.LogTime))
 		out = append(out, o.Digest[:]...)
 	}
 	return out
@@ -154,17 +156,17 @@
 
 // Decode reads what Encode made. The error is ErrEncoding.
 func Decode(in []byte) (*History, error) {
-	if len(in) < headSize || in[0] != format || in[1] > 1 || (len(in)-headSize)%recordSize != 0 {
+	if len(in) < headerSize || in[0] != encodingVersion || in[1] > 1 || (len(in)-headerSize)%recordSize != 0 {
 		return nil, errors.Annotatef(ErrEncoding, "%d bytes", len(in))
 	}
-	h := &History{lossy: in[1] == 1, forgotten: int64(binary.BigEndian.Uint64(in[2:]))}
-	for in = in[headSize:]; len(in) > 0; in = in[recordSize:] {
-		o := Operation{Version: int64(binary.BigEndian.Uint64(in)), At: time.Duration(binary.BigEndian.Uint64(in[8:]))}
+	h := &History{incomplete: in[1] == 1, maxForgotten: int64(binary.BigEndian.Uint64(in[2:]))}
+	for in = in[headerSize:]; len(in) > 0; in = in[recordSize:] {
+		o := Operation{Version: int64(binary.BigEndian.Uint64(in)), LogTime: time.Duration(binary.BigEndian.Uint64(in[8:]))}
 		copy(o.Digest[:], in[16:])
-		if n := len(h.taken); n > 0 && h.taken[n-1].Version >= o.Version {
+		if n := len(h.accepted); n > 0 && h.accepted[n-1].Version >= o.Version {
 			return nil, errors.Annotatef(ErrEncoding, "version %d is out of order", o.Version)
 		}
-		h.taken = append(h.taken, o)
+		h.accepted = append(h.accepted, o)
 	}
 	return h, nil
 }
