--- a/internal/mesh/operations/operations_test.go
+++ b/internal/mesh/operations/operations_test.go
@@ -10,31 +10,33 @@
 )
 
 func operation(version int64, content string) Operation {
-	return Operation{Version: version, Digest: DigestOf([]byte(content)), At: time.Duration(version) * time.Second}
+	return Operation{Version: version, Digest: DigestOf([]byte(content)), LogTime: time.Duration(version) * time.Second}
 }
 
 // A history gives each operation its verdict, in whatever order they were taken, and after some were forgotten it says that
 // it can't tell rather than that they are new.
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	var h *History
 	for _, version := range []int64{5, 2, 9} {
 		h = h.With(operation(version, "x"))
 	}
 	h = h.With(operation(5, "y")) // a version is taken once
-	judge := func(version int64, content string) Verdict { return h.Judge(version, DigestOf([]byte(content))) }
-	assert.Equal(t, judge(5, "x"), Repeated)
-	assert.Equal(t, judge(5, "y"), Conflicting)
+	judge := func(version int64, content string) Classification {
+		return h.Classify(version, DigestOf([]byte(content)))
+	}
+	assert.Equal(t, judge(5, "x"), Duplicate)
+	assert.Equal(t, judge(5, "y"), Conflict)
 	assert.Equal(t, judge(3, "x"), New)
 	before := h
 	h = h.Without(5).Without(5)
 	assert.Equal(t, judge(5, "x"), Unknown)
 	assert.Equal(t, judge(5, "y"), Unknown)
 	assert.Equal(t, judge(3, "z"), Unknown)
-	assert.Equal(t, judge(2, "x"), Repeated)
-	assert.Equal(t, judge(9, "y"), Conflicting)
+	assert.Equal(t, judge(2, "x"), Duplicate)
+	assert.Equal(t, judge(9, "y"), Conflict)
 	assert.Equal(t, judge(6, "x"), New)
-	assert.Equal(t, before.Judge(5, DigestOf([]byte("x"))), Repeated) // a history that was made is not changed
-	h = Lost(7)
+	assert.Equal(t, before.Classify(5, DigestOf([]byte("x"))), Duplicate) // a history that was made is not changed
+	h = IncompleteThrough(7)
 	assert.Equal(t, judge(7, "x"), Unknown)
 	assert.Equal(t, judge(8, "x"), New)
 }
@@ -62,18 +64,18 @@
 		assert.NilError(t, err)
 		for version := int64(-21); version <= 21; version++ {
 			for _, content := range []string{"x", "y"} {
-				assert.Equal(t, again.Judge(version, DigestOf([]byte(content))), h.Judge(version, DigestOf([]byte(content))))
+				assert.Equal(t, again.Classify(version, DigestOf([]byte(content))), h.Classify(version, DigestOf([]byte(content))))
 			}
 		}
 		for cut := range len(encoded) {
-			if (cut-headSize)%recordSize != 0 || cut < headSize {
+			if (cut-headerSize)%recordSize != 0 || cut < headerSize {
 				_, err := Decode(encoded[:cut])
 				assert.Assert(t, errors.Is(err, ErrEncoding), "cut at %d of %d", cut, len(encoded))
 			}
 		}
 	}
 	twice := operation(3, "x")
-	encoded := (&History{taken: []Operation{twice, twice}}).Encode()
+	encoded := (&History{accepted: []Operation{twice, twice}}).Encode()
 	_, err := Decode(encoded)
 	assert.Assert(t, errors.Is(err, ErrEncoding))
 }
@@ -85,8 +87,8 @@
 		for _, version := range order {
 			h = h.Without(version)
 		}
-		for version, want := range map[int64]Verdict{1: Unknown, 2: Unknown, 4: Unknown, 5: Unknown, 6: New, 9: Repeated} {
-			assert.Equal(t, h.Judge(version, DigestOf([]byte("x"))), want, "version %d after %v", version, order)
+		for version, want := range map[int64]Classification{1: Unknown, 2: Unknown, 4: Unknown, 5: Unknown, 6: New, 9: Duplicate} {
+			assert.Equal(t, h.Classify(version, DigestOf([]byte("x"))), want, "version %d after %v", version, order)
 		}
 	}
 }
--- a/internal/mesh/replica/calls.go
+++ b/internal/mesh/replica/calls.go
@@ -18,8 +18,8 @@
 	return Reply{Status: http.StatusServiceUnavailable, Body: []byte(text)}
 }
 
-// StatusOf words why a modification was not taken.
-func StatusOf(err error) Reply {
+// ErrorReply words why a modification was not taken.
+func ErrorReply(err error) Reply {
 	status := http.StatusServiceUnavailable
 	switch {
 	case errors.Is(err, patch.ErrConflict):
@@ -35,11 +35,11 @@
 // Propose has a change agreed on; done is called once an entry at its index is applied. known false: it may or may not be agreed
 // on. The result is false where this replica does not lead or has too much under way; done is not called then.
 func (r *Replica) Propose(now time.Duration, data []byte, done func(o Outcome, known bool)) bool {
-	r.at(now)
+	r.advanceTime(now)
 	if len(r.proposals) > maxProposals {
 		return false
 	}
-	index, term, ok := r.core.Propose(r.now, data)
+	index, term, ok := r.raft.Propose(r.now, data)
 	if !ok {
 		return false
 	}
@@ -47,28 +47,28 @@
 		p.done(Outcome{}, false)
 	}
 	r.proposals[index] = proposal{term, done}
-	r.proposed = index
+	r.lastProposed = index
 	return true
 }
 
-// Confirm finds out up to which entry must be applied, so that nothing acknowledged is missing.
-func (r *Replica) Confirm(now time.Duration, done func(index uint64, ok bool)) {
-	r.at(now)
-	if r.core.Leads() {
-		r.nextRead++
-		if !r.core.Ask(r.now, r.nextRead) {
+// ReadIndex finds out up to which entry must be applied, so that nothing acknowledged is missing.
+func (r *Replica) ReadIndex(now time.Duration, done func(index uint64, ok bool)) {
+	r.advanceTime(now)
+	if r.raft.IsLeader() {
+		r.lastReadID++
+		if !r.raft.ReadIndex(r.now, r.lastReadID) {
 			done(0, false)
 			return
 		}
-		r.reads[r.nextRead] = done
+		r.pendingReads[r.lastReadID] = done
 		return
 	}
-	leader := r.leaderAddress()
+	leader := r.remoteLeaderAddress()
 	if leader == "" {
 		done(0, false)
 		return
 	}
-	r.askLeader(leader, trunk.AskRead, nil, func(reply Reply) {
+	r.forwardToLeader(leader, trunk.CallReadIndex, nil, func(reply Reply) {
 		if reply.Status != http.StatusOK || len(reply.Body) != indexSize {
 			done(0, false)
 			return
@@ -80,97 +80,97 @@
 // indexSize is the length of an entry's index in the answer to trunk.AskRead, in bytes.
 const indexSize = 8
 
-// Confirmed calls done once the state holds all that was acknowledged when it was called.
-func (r *Replica) Confirmed(now time.Duration, done func(ok bool)) {
-	r.Confirm(now, func(index uint64, ok bool) {
+// LinearizableRead calls done once the state holds all that was acknowledged when it was called.
+func (r *Replica) LinearizableRead(now time.Duration, done func(ok bool)) {
+	r.ReadIndex(now, func(index uint64, ok bool) {
 		if !ok {
 			done(false)
 			return
 		}
-		r.waiting = append(r.waiting, waiter{index, func() { done(true) }})
-		if index <= r.core.Applied() {
-			r.wake()
+		r.waiters = append(r.waiters, waiter{index, func() { done(true) }})
+		if index <= r.raft.AppliedIndex() {
+			r.resumeWaiters()
 		}
 	})
 }
 
 // Modify has an operator's call agreed on, here or at the leader.
 func (r *Replica) Modify(now time.Duration, body []byte, done func(Reply)) {
-	c, err := patch.ReadCall(body)
+	c, err := patch.ParseUpdate(body)
 	if err != nil {
-		done(StatusOf(err))
+		done(ErrorReply(err))
 		return
 	}
-	r.ModifyRead(now, c, body, done)
+	r.ModifyParsed(now, c, body, done)
 }
 
-// ModifyRead is Modify of a call that was read from its body already: a large one takes longer than heartbeats may wait.
-func (r *Replica) ModifyRead(now time.Duration, c patch.Call, body []byte, done func(Reply)) {
-	r.at(now)
-	if r.core.Leads() {
-		r.admit(c, done)
+// ModifyParsed is Modify of a call that was read from its body already: a large one takes longer than heartbeats may wait.
+func (r *Replica) ModifyParsed(now time.Duration, c patch.Update, body []byte, done func(Reply)) {
+	r.advanceTime(now)
+	if r.raft.IsLeader() {
+		r.admitCall(c, done)
 		return
 	}
-	leader := r.leaderAddress()
+	leader := r.remoteLeaderAddress()
 	if leader == "" {
 		done(Unavailable("no leader is known"))
 		return
 	}
-	r.askLeader(leader, trunk.AskModify, body, done)
+	r.forwardToLeader(leader, trunk.CallModify, body, done)
 }
 
 // Fetch reads the configuration, no older than anything acknowledged before the call; ok false: that can't be confirmed.
-func (r *Replica) Fetch(now time.Duration, done func(set patch.Set, ok bool)) {
-	r.Confirmed(now, func(ok bool) {
+func (r *Replica) Fetch(now time.Duration, done func(set patch.Document, ok bool)) {
+	r.LinearizableRead(now, func(ok bool) {
 		if !ok {
-			done(patch.Set{}, false)
+			done(patch.Document{}, false)
 			return
 		}
-		done(r.state.Items.Layout(), true)
+		done(r.state.Items.Document(), true)
 	})
 }
 
-// Answer answers a call of a sidecar or of another replica.
-func (r *Replica) Answer(now time.Duration, kind byte, body []byte, sidecar bool, reply func(Reply)) {
-	r.at(now)
+// HandleCall answers a call of a sidecar or of another replica.
+func (r *Replica) HandleCall(now time.Duration, kind byte, body []byte, sidecar bool, reply func(Reply)) {
+	r.advanceTime(now)
 	switch kind {
-	case trunk.AskModify:
-		c, err := patch.ReadCall(body)
+	case trunk.CallModify:
+		c, err := patch.ParseUpdate(body)
 		if err != nil {
-			reply(StatusOf(err))
+			reply(ErrorReply(err))
 			return
 		}
-		r.AnswerModify(now, c, reply)
-	case trunk.AskRead:
-		r.answerRead(reply)
-	case trunk.AskTable:
-		r.answerConfirmed(reply, func() Reply {
+		r.HandleModify(now, c, reply)
+	case trunk.CallReadIndex:
+		r.handleReadIndex(reply)
+	case trunk.CallItems:
+		r.replyAfterRead(reply, func() Reply {
 			// The machines that are out come before the sidecar counts as ready.
-			return Reply{Status: http.StatusOK, Body: trunk.Bytes(r.table()), Push: r.state.Maintenance.Outs()}
+			return Reply{Status: http.StatusOK, Body: trunk.EncodeTable(r.itemsMessage()), Push: r.state.Maintenance.MachinesMessage()}
 		})
-	case trunk.AskBound:
-		r.answerConfirmed(reply, func() Reply {
-			return Reply{Status: http.StatusOK, Body: trunk.Bytes(r.state.Rules.Bound())}
+	case trunk.CallActivePolicy:
+		r.replyAfterRead(reply, func() Reply {
+			return Reply{Status: http.StatusOK, Body: trunk.EncodeTable(r.state.Policy.ActiveMessage())}
 		})
-	case trunk.AskClaims:
-		r.claim(body, sidecar, reply)
+	case trunk.CallLeaseKeys:
+		r.handleLeaseRequests(body, sidecar, reply)
 	default:
 		reply(Reply{Status: http.StatusNotFound})
 	}
 }
 
-// AnswerModify answers another replica's call that an operator's call be agreed on, which was read already.
-func (r *Replica) AnswerModify(now time.Duration, c patch.Call, reply func(Reply)) {
-	r.at(now)
-	r.admit(c, reply)
+// HandleModify answers another replica's call that an operator's call be agreed on, which was read already.
+func (r *Replica) HandleModify(now time.Duration, c patch.Update, reply func(Reply)) {
+	r.advanceTime(now)
+	r.admitCall(c, reply)
 }
 
-func (r *Replica) answerRead(reply func(Reply)) {
-	if !r.core.Leads() {
+func (r *Replica) handleReadIndex(reply func(Reply)) {
+	if !r.raft.IsLeader() {
 		reply(Unavailable(""))
 		return
 	}
-	r.Confirm(r.now, func(index uint64, ok bool) {
+	r.ReadIndex(r.now, func(index uint64, ok bool) {
 		if !ok {
 			reply(Unavailable(""))
 			return
@@ -179,8 +179,8 @@
 	})
 }
 
-func (r *Replica) answerConfirmed(reply func(Reply), read func() Reply) {
-	r.Confirmed(r.now, func(ok bool) {
+func (r *Replica) replyAfterRead(reply func(Reply), read func() Reply) {
+	r.LinearizableRead(r.now, func(ok bool) {
 		if !ok {
 			reply(Unavailable(""))
 			return
@@ -189,37 +189,37 @@
 	})
 }
 
-// claim has claims on idempotency keys agreed on, at the leader; a sidecar's are forwarded there.
-func (r *Replica) claim(body []byte, forward bool, reply func(Reply)) {
-	if !r.core.Leads() {
-		leader := r.leaderAddress()
+// handleLeaseRequests has claims on idempotency keys agreed on, at the leader; a sidecar's are forwarded there.
+func (r *Replica) handleLeaseRequests(body []byte, forward bool, reply func(Reply)) {
+	if !r.raft.IsLeader() {
+		leader := r.remoteLeaderAddress()
 		if !forward || leader == "" {
 			reply(Unavailable(""))
 			return
 		}
-		r.askLeader(leader, trunk.AskClaims, body, reply)
+		r.forwardToLeader(leader, trunk.CallLeaseKeys, body, reply)
 		return
 	}
-	if _, err := trunk.Parse(body, func(p []byte) *wire.ClaimsT { return wire.GetRootAsClaims(p, 0).UnPack() }); err != nil {
+	if _, err := trunk.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() }); err != nil {
 		reply(Reply{Status: http.StatusBadRequest})
 		return
 	}
-	ok := r.Propose(r.now, append([]byte{ChangeClaims}, body...), func(o Outcome, known bool) {
+	ok := r.Propose(r.now, append([]byte{ChangeKeyLeases}, body...), func(o Outcome, known bool) {
 		if !known || o.Err != nil {
 			reply(Unavailable(""))
 			return
 		}
-		reply(Reply{Status: http.StatusOK, Body: trunk.Bytes(wireGrants(o.Grants))})
+		reply(Reply{Status: http.StatusOK, Body: trunk.EncodeTable(encodeLeaseResults(o.LeaseResults))})
 	})
 	if !ok {
 		reply(Unavailable(""))
 	}
 }
 
-func wireGrants(l []ticket.Grant) *wire.GrantsT {
-	t := &wire.GrantsT{}
+func encodeLeaseResults(l []ticket.LeaseResult) *wire.KeyLeaseResultsT {
+	t := &wire.KeyLeaseResultsT{}
 	for _, g := range l {
-		t.List = append(t.List, &wire.GrantT{Granted: g.Granted, Holder: g.Held.Holder, Ticket: g.Held.Ticket})
+		t.List = append(t.List, &wire.KeyLeaseResultT{Granted: g.Granted, Holder: g.Current.Holder, Token: g.Current.Token})
 	}
 	return t
 }
--- a/internal/mesh/replica/cluster_test.go
+++ b/internal/mesh/replica/cluster_test.go
@@ -39,7 +39,7 @@
 	cluster   *cluster
 	address   string
 	seeds     []string
-	disk      vault.Held
+	disk      vault.StoredState
 	replica   *Replica // nil: its process does not run
 	life      int
 	busy      bool // the disk does not take what must be on it
@@ -89,7 +89,7 @@
 	seeds := []string{"r0", "r1", "r2"}
 	for n := range len(seeds) + joiners {
 		node := &clusterNode{cluster: c, address: fmt.Sprint("r", n), seeds: seeds, cut: map[string]bool{}}
-		node.disk = Beginning{Address: node.address, Seeds: seeds, FirstStart: n < len(seeds), NewID: c.newID()}.Held()
+		node.disk = Bootstrap{Address: node.address, Seeds: seeds, FirstStart: n < len(seeds), NewID: c.newID()}.InitialState()
 		c.nodes = append(c.nodes, node)
 		node.start()
 	}
@@ -143,7 +143,7 @@
 // leader is the replica that leads the latest term; nil: none does.
 func (c *cluster) leader() (leader *clusterNode) {
 	for _, n := range c.nodes {
-		if n.replica != nil && n.replica.Leads() && (leader == nil || n.replica.Term() > leader.replica.Term()) {
+		if n.replica != nil && n.replica.IsLeader() && (leader == nil || n.replica.Term() > leader.replica.Term()) {
 			leader = n
 		}
 	}
@@ -180,7 +180,7 @@
 // start begins a life from the disk.
 func (n *clusterNode) start() {
 	c := n.cluster
-	r, err := New(Config{Address: n.address, Held: n.disk, Seeds: n.seeds, FaultsTolerated: 1, RandomSeed: c.random.Uint64(), CompactAt: 12, TailEntries: 4,
+	r, err := New(Config{Address: n.address, Stored: n.disk, Seeds: n.seeds, FaultsTolerated: 1, RandomSeed: c.random.Uint64(), CompactionThreshold: 12, TailEntries: 4,
 		Log: zerolog.Nop()}, n, c.now)
 	if err != nil {
 		panic(err)
@@ -207,7 +207,7 @@
 }
 
 func (n *clusterNode) turn() {
-	n.busy = !n.replica.Turn()
+	n.busy = !n.replica.ProcessReady()
 	if n.busy {
 		n.later(20*time.Millisecond, n.turn)
 	}
@@ -228,14 +228,14 @@
 func (n *clusterNode) recordView() {
 	r := n.replica
 	members, index := r.Members()
-	n.cluster.record.add("view", n.address, r.Leads(), r.LeaderAddress(), r.Term(), r.Applied(), r.Logged(), r.Outside(), r.Held(), r.Current(),
-		r.Touched(), r.LeaderlessFor(), r.MayLeave(), len(members), index, len(r.Records().All()), r.State().ItemsChanged)
+	n.cluster.record.add("view", n.address, r.IsLeader(), r.LeaderAddress(), r.Term(), r.AppliedIndex(), r.SavedIndex(), r.IsNonMember(), r.InMaintenance(), r.IsReadyLeader(),
+		r.QuorumContact(), r.LeaderGap(), r.CanShutDown(), len(members), index, len(r.Records().All()), r.State().ItemsIndex)
 }
 
 // Send carries a message to another replica, now and then late, not at all or twice.
 func (n *clusterNode) Send(address string, m core.Message) {
 	c := n.cluster
-	text := trunk.Bytes(vault.WireMessage(m))
+	text := trunk.EncodeTable(vault.MessageToWire(m))
 	c.record.add("send", n.address, address, text)
 	if n.cut[address] || c.random.IntN(50) == 0 {
 		return
@@ -257,7 +257,7 @@
 	to.call(func(r *Replica) {
 		if !to.met[n.address] {
 			to.met[n.address] = true
-			r.Remember(n.lastID, n.address)
+			r.RememberAddress(n.lastID, n.address)
 		}
 		r.Step(n.cluster.now, m)
 	})
@@ -268,8 +268,8 @@
 	n.cluster.record.add("connect", n.address, address)
 }
 
-// AskReplica carries a call to another replica, and its answer back. done is called once.
-func (n *clusterNode) AskReplica(address string, kind byte, body []byte, done func(Reply)) {
+// CallReplica carries a call to another replica, and its answer back. done is called once.
+func (n *clusterNode) CallReplica(address string, kind byte, body []byte, done func(Reply)) {
 	c := n.cluster
 	c.record.add("call", n.address, address, kind, body)
 	life, answered := n.life, false
@@ -284,14 +284,14 @@
 			n.call(func(*Replica) { done(reply) })
 		}
 	}
-	c.after(AnswerWithin, func() { once(Unavailable("")) })
+	c.after(CallTimeout, func() { once(Unavailable("")) })
 	to := c.node(address)
 	if to == nil || n.cut[address] {
 		return
 	}
 	c.after(c.between(time.Millisecond, 12*time.Millisecond), func() {
 		to.call(func(r *Replica) {
-			r.Answer(c.now, kind, body, false, func(reply Reply) {
+			r.HandleCall(c.now, kind, body, false, func(reply Reply) {
 				c.after(c.between(time.Millisecond, 12*time.Millisecond), func() { once(reply) })
 			})
 		})
@@ -306,43 +306,43 @@
 		return false
 	}
 	c.record.add("save", n.address, last)
-	if ready.Hard != nil {
-		n.disk.Hard = *ready.Hard
-		c.record.add("hard state", ready.Hard.Term, ready.Hard.Vote)
+	if ready.HardState != nil {
+		n.disk.HardState = *ready.HardState
+		c.record.add("hard state", ready.HardState.Term, ready.HardState.Vote)
 	}
 	if ready.Snapshot != nil {
-		n.disk.Snapshot, n.disk.Log, n.disk.Tail = *ready.Snapshot, nil, nil
-		c.record.add("install", trunk.Bytes(vault.WireSnapshot(ready.Snapshot)))
+		n.disk.Snapshot, n.disk.Entries, n.disk.CatchUpEntries = *ready.Snapshot, nil, nil
+		c.record.add("install", trunk.EncodeTable(vault.SnapshotToWire(ready.Snapshot)))
 	}
 	for _, e := range ready.Entries {
-		keep := min(len(n.disk.Log), int(e.Index-n.disk.Snapshot.Index)-1)
-		n.disk.Log = append(slices.Clip(n.disk.Log[:keep]), e)
-		c.record.add("entry", trunk.Bytes(vault.WireEntry(e)))
+		keep := min(len(n.disk.Entries), int(e.Index-n.disk.Snapshot.Index)-1)
+		n.disk.Entries = append(slices.Clip(n.disk.Entries[:keep]), e)
+		c.record.add("entry", trunk.EncodeTable(vault.EntryToWire(e)))
 	}
 	return true
 }
 
 // Compact has a snapshot stand for the front of the log.
 func (n *clusterNode) Compact(snapshot core.Snapshot, kept uint64) {
-	all := append(slices.Clone(n.disk.Tail), n.disk.Log...)
-	n.disk.Snapshot, n.disk.Tail, n.disk.Log = snapshot, nil, nil
+	all := append(slices.Clone(n.disk.CatchUpEntries), n.disk.Entries...)
+	n.disk.Snapshot, n.disk.CatchUpEntries, n.disk.Entries = snapshot, nil, nil
 	for _, e := range all {
 		switch {
 		case e.Index > snapshot.Index:
-			n.disk.Log = append(n.disk.Log, e)
+			n.disk.Entries = append(n.disk.Entries, e)
 		case e.Index >= kept:
-			n.disk.Tail = append(n.disk.Tail, e)
+			n.disk.CatchUpEntries = append(n.disk.CatchUpEntries, e)
 		}
 	}
-	n.cluster.record.add("compact", n.address, kept, trunk.Bytes(vault.WireSnapshot(&snapshot)))
+	n.cluster.record.add("compact", n.address, kept, trunk.EncodeTable(vault.SnapshotToWire(&snapshot)))
 }
 
-// TellSidecars is recorded and no more.
-func (n *clusterNode) TellSidecars(message any) {
+// BroadcastToSidecars is recorded and no more.
+func (n *clusterNode) BroadcastToSidecars(message any) {
 	n.cluster.record.add("to sidecars", n.address, trunk.Encode(message))
 }
 
-// TellReplicas is recorded and no more.
-func (n *clusterNode) TellReplicas(message any) {
+// BroadcastToReplicas is recorded and no more.
+func (n *clusterNode) BroadcastToReplicas(message any) {
 	n.cluster.record.add("to replicas", n.address, trunk.Encode(message))
 }
--- a/internal/mesh/replica/disk_test.go
+++ b/internal/mesh/replica/disk_test.go
@@ -16,31 +16,31 @@
 	"hollyspur/internal/exchange/vault"
 )
 
-// onDisk is the environment of a replica that is the only member and has a disk.
-type onDisk struct {
-	alone
+// diskEnvironment is the environment of a replica that is the only member and has a disk.
+type diskEnvironment struct {
+	soloEnvironment
 	t     *testing.T
-	vault *vault.Vault
+	store *vault.Store
 }
 
-func (d onDisk) Save(ready core.Ready, last uint64) bool {
-	assert.NilError(d.t, d.vault.Save(ready, last))
+func (d diskEnvironment) Save(ready core.Ready, last uint64) bool {
+	assert.NilError(d.t, d.store.Save(ready, last))
 	return true
 }
 
-// start starts a replica from the disk in a folder and has it lead.
-func start(t *testing.T, dir string) (*Replica, *vault.Vault, time.Duration) {
+// startFromDisk starts a replica from the disk in a folder and has it lead.
+func startFromDisk(t *testing.T, dir string) (*Replica, *vault.Store, time.Duration) {
 	t.Helper()
 	v, held, empty, err := vault.Open(dir)
 	assert.NilError(t, err)
 	assert.Assert(t, !empty)
-	r, err := New(Config{Address: "10.0.0.1:7380", Held: held, Log: zerolog.Nop()}, onDisk{t: t, vault: v}, 0)
+	r, err := New(Config{Address: "10.0.0.1:7380", Stored: held, Log: zerolog.Nop()}, diskEnvironment{t: t, store: v}, 0)
 	assert.NilError(t, err)
 	now := time.Duration(0)
-	for ; !r.core.Current(); now += TickInterval {
+	for ; !r.raft.IsCaughtUpLeader(); now += TickInterval {
 		assert.Assert(t, now < time.Minute, "it does not lead")
 		r.Tick(now)
-		r.Turn()
+		r.ProcessReady()
 	}
 	return r, v, now
 }
@@ -52,24 +52,24 @@
 	dir := t.TempDir()
 	assert.NilError(t, os.CopyFS(dir, os.DirFS("testdata/store-format-1")))
 	for range 2 {
-		r, v, now := start(t, dir)
-		var set patch.Set
-		r.Fetch(now, func(got patch.Set, ok bool) {
+		r, v, now := startFromDisk(t, dir)
+		var set patch.Document
+		r.Fetch(now, func(got patch.Document, ok bool) {
 			assert.Assert(t, ok)
 			set = got
 		})
-		r.Turn()
+		r.ProcessReady()
 		text, err := json.Marshal(set)
 		assert.NilError(t, err)
 		want, err := os.ReadFile("testdata/store-format-1/fetched.json")
 		assert.NilError(t, err)
 		assert.Equal(t, string(text)+"\n", string(want))
 
-		members, _ := r.core.Members()
+		members, _ := r.raft.Members()
 		assert.DeepEqual(t, members, []core.Member{r.self})
 		assert.Equal(t, r.self.ID, founderID("10.0.0.1:7380"))
 		for _, key := range []string{"t\x00k1", "t\x00k2"} {
-			grant := r.state.Keys.Take(20*time.Second, ticket.Claim{Key: key, Ticket: "another", Holder: "10.1.0.9:7000/life", Window: time.Minute})
+			grant := r.state.KeyLeases.Apply(20*time.Second, ticket.LeaseRequest{Key: key, Token: "another", Holder: "10.1.0.9:7000/life", Window: time.Minute})
 			assert.Assert(t, !grant.Granted, key)
 		}
 
@@ -78,24 +78,24 @@
 			body []byte
 			want int
 		}{
-			{call("a", "stock", 9), http.StatusOK},
-			{call("a", "stock", 8), http.StatusOK},
-			{call("a", "orders", 5), http.StatusOK},
-			{call("a", "stock", 5), http.StatusConflict},
-			{call("a", "stock", 1), http.StatusServiceUnavailable},
+			{routeUpsert("a", "stock", 9), http.StatusOK},
+			{routeUpsert("a", "stock", 8), http.StatusOK},
+			{routeUpsert("a", "orders", 5), http.StatusOK},
+			{routeUpsert("a", "stock", 5), http.StatusConflict},
+			{routeUpsert("a", "stock", 1), http.StatusServiceUnavailable},
 			{[]byte(`{"Remove":{"RouteTable":[{"Name":"b","ConfigVersion":6}]}}`), http.StatusOK},
 		} {
 			var got Reply
 			r.Modify(now, x.body, func(reply Reply) { got = reply })
-			r.Turn()
+			r.ProcessReady()
 			assert.Equal(t, got.Status, x.want, "%s: %s", x.body, got.Body)
 		}
 		v.Close()
 	}
 }
 
-// call is an order as those on the disk were.
-func call(name, service string, version int) []byte {
+// routeUpsert is an order as those on the disk were.
+func routeUpsert(name, service string, version int) []byte {
 	rule := map[string]any{"Name": name, "RouteType": "keyed", "TargetLatencyS": 0.8, "Priority": 2, "ConfigVersion": version,
 		"MatchCriteria": map[string]any{"PathPrefix": "/" + name + "/"},
 		"ForwardAction": map[string]any{"Service": service, "TimeoutS": 2, "RetryCount": 2}}
--- a/internal/mesh/replica/golden_test.go
+++ b/internal/mesh/replica/golden_test.go
@@ -65,7 +65,7 @@
 	states := newActionRecord()
 	for _, n := range p.nodes {
 		if n.replica != nil {
-			states.add("state", n.address, n.replica.Applied(), n.replica.State().Save())
+			states.add("state", n.address, n.replica.AppliedIndex(), n.replica.State().Encode())
 		}
 	}
 	p.record.add("states", states.hash())
@@ -126,7 +126,7 @@
 	var body string
 	switch x := p.random.IntN(20); {
 	case x < 8:
-		body = string(order(version, service, route))
+		body = string(routesUpsert(version, service, route))
 	case x < 12:
 		body = fmt.Sprintf(`{"Upsert":{"UpstreamGroups":[{"Name":%q,"ConfigVersion":%d}]}}`, service, version)
 	case x < 14:
@@ -146,28 +146,28 @@
 
 // claim sends claims on few keys, as a sidecar does.
 func (p *goldenPlay) claim(n *clusterNode) {
-	t := &wire.ClaimsT{}
+	t := &wire.KeyLeaseRequestsT{}
 	for range 1 + p.random.IntN(3) {
 		window := []time.Duration{0, 200 * time.Millisecond, 2 * time.Second}[p.random.IntN(3)]
-		t.List = append(t.List, &wire.ClaimT{Key: fmt.Sprint("key-", p.random.IntN(6)), Ticket: fmt.Sprint("ticket-", p.random.IntN(4)),
-			Nth: uint32(p.random.IntN(2)), Holder: fmt.Sprint("holder-", p.random.IntN(2)), Release: p.random.IntN(5) == 0, Window: window.Microseconds()})
+		t.List = append(t.List, &wire.KeyLeaseRequestT{Key: fmt.Sprint("key-", p.random.IntN(6)), Token: fmt.Sprint("ticket-", p.random.IntN(4)),
+			Attempt: uint32(p.random.IntN(2)), Holder: fmt.Sprint("holder-", p.random.IntN(2)), Release: p.random.IntN(5) == 0, WindowUs: window.Microseconds()})
 	}
-	body := trunk.Bytes(t)
+	body := trunk.EncodeTable(t)
 	if p.random.IntN(30) == 0 {
 		body = body[:3]
 	}
-	n.call(func(r *Replica) { r.Answer(p.now, trunk.AskClaims, body, true, p.reply("lease")) })
+	n.call(func(r *Replica) { r.HandleCall(p.now, trunk.CallLeaseKeys, body, true, p.reply("lease")) })
 }
 
 // read asks for what is agreed on.
 func (p *goldenPlay) read(n *clusterNode) {
-	kind := []byte{trunk.AskTable, trunk.AskBound, trunk.AskRead, trunk.AskStatus, 0}[p.random.IntN(5)]
+	kind := []byte{trunk.CallItems, trunk.CallActivePolicy, trunk.CallReadIndex, trunk.CallStatus, 0}[p.random.IntN(5)]
 	if kind != 0 {
-		n.call(func(r *Replica) { r.Answer(p.now, kind, nil, true, p.reply(fmt.Sprint("read ", kind))) })
+		n.call(func(r *Replica) { r.HandleCall(p.now, kind, nil, true, p.reply(fmt.Sprint("read ", kind))) })
 		return
 	}
 	n.call(func(r *Replica) {
-		r.Fetch(p.now, func(set patch.Set, ok bool) {
+		r.Fetch(p.now, func(set patch.Document, ok bool) {
 			text, err := json.Marshal(set)
 			if err != nil {
 				panic(err)
@@ -181,18 +181,18 @@
 func (p *goldenPlay) tellRecords(n *clusterNode) {
 	if p.random.IntN(4) == 0 {
 		n.call(func(r *Replica) {
-			for _, m := range r.Greeting() {
+			for _, m := range r.InitialMessages() {
 				p.record.add("initial message", trunk.Encode(m))
 			}
 		})
 		return
 	}
 	sidecar := p.random.IntN(3)
-	t := &wire.RecordsT{List: []*wire.RecordT{{Node: fmt.Sprint("node-", sidecar), Life: uint64(1 + p.random.IntN(3)), Seq: uint64(p.random.IntN(20)),
+	t := &wire.RecordsT{List: []*wire.RecordT{{Node: fmt.Sprint("node-", sidecar), Incarnation: uint64(1 + p.random.IntN(3)), Sequence: uint64(p.random.IntN(20)),
 		Addr: fmt.Sprint("sidecar-", sidecar), Service: "service-0"}}}
 	n.call(func(r *Replica) {
-		for _, record := range r.TakeRecords(p.now, directory.Of(t), p.random.IntN(2) == 0) {
-			p.record.add("newer record", trunk.Encode(directory.Wire([]directory.Record{record})))
+		for _, record := range r.MergeRecords(p.now, directory.FromWire(t), p.random.IntN(2) == 0) {
+			p.record.add("newer record", trunk.Encode(directory.ToWire([]directory.Record{record})))
 		}
 	})
 }
@@ -209,16 +209,16 @@
 	switch p.random.IntN(8) {
 	case 0, 1:
 		p.orders++
-		kind, text = MaintenancePlace, fmt.Sprintf(`{"id":"order-%d","machines":[%q,"sidecar-1"],"by":"ana"}`, p.orders, p.nodes[p.random.IntN(len(p.nodes))].address)
+		kind, text = MaintenanceOrder, fmt.Sprintf(`{"id":"order-%d","machines":[%q,"sidecar-1"],"by":"ana"}`, p.orders, p.nodes[p.random.IntN(len(p.nodes))].address)
 	case 2, 3, 4, 5:
 		step := []string{"draining", "leading", "out", "returning", "waiting", "done", "aborted"}[p.random.IntN(7)]
-		kind, text = MaintenanceWord, fmt.Sprintf(`{"id":%q,"step":%q,"next":true,"heir":"sidecar-2","text":"drawn"}`, id, step)
+		kind, text = MaintenanceUpdate, fmt.Sprintf(`{"id":%q,"step":%q,"next":true,"heir":"sidecar-2","text":"drawn"}`, id, step)
 	default:
 		at := time.Unix(1_000_000, 0).UTC().Add(p.now)
-		kind, text = MaintenanceTime, fmt.Sprintf(`{"Stamp":%d,"Earliest":%q,"Latest":%q,"Doubt":false}`, n.replica.Stamp(p.now),
+		kind, text = MaintenanceClock, fmt.Sprintf(`{"Stamp":%d,"Earliest":%q,"Latest":%q,"Doubt":false}`, n.replica.LogTime(p.now),
 			at.Format(time.RFC3339Nano), at.Add(time.Second).Format(time.RFC3339Nano))
 	}
-	p.propose(n, "maintenance", Change(ChangeMaintenance, &wire.NightT{Kind: kind, Text: []byte(text)}))
+	p.propose(n, "maintenance", EncodeChange(ChangeMaintenance, &wire.MaintenanceChangeT{Kind: kind, Json: []byte(text)}))
 }
 
 // bind proposes that the rules that are agreed on bind, or others.
@@ -227,17 +227,17 @@
 	if n == nil {
 		return
 	}
-	fingerprint := n.replica.State().Rules.Board.Held
+	fingerprint := n.replica.State().Policy.Rollout.Agreed
 	if p.random.IntN(4) == 0 {
 		fingerprint = "of another set"
 	}
-	p.propose(n, "activate", Change(ChangeBound, &wire.BoundT{Print: fingerprint}))
+	p.propose(n, "activate", EncodeChange(ChangeActivePolicy, &wire.ActivePolicyT{Fingerprint: fingerprint}))
 }
 
 func (p *goldenPlay) propose(n *clusterNode, kind string, data []byte) {
 	n.call(func(r *Replica) {
 		taken := r.Propose(p.now, data, func(o Outcome, known bool) {
-			p.record.add(kind+" agreed", known, o.Err != nil, o.Bound, o.Maintenance, len(o.Raised), len(o.Grants))
+			p.record.add(kind+" agreed", known, o.Err != nil, o.PolicyActivated, o.MaintenanceChanged, len(o.UpdatedItems), len(o.LeaseResults))
 		})
 		p.record.add(kind+" proposed", taken)
 	})
@@ -246,7 +246,7 @@
 // confirm finds out what has to be applied.
 func (p *goldenPlay) confirm(n *clusterNode) {
 	n.call(func(r *Replica) {
-		r.Confirm(p.now, func(index uint64, ok bool) {
+		r.ReadIndex(p.now, func(index uint64, ok bool) {
 			p.record.add("read index", binary.BigEndian.AppendUint64(nil, index), ok)
 		})
 	})
@@ -275,7 +275,7 @@
 	case 6:
 		p.exit(n)
 	case 7:
-		n.call(func(r *Replica) { r.Leave(p.now) })
+		n.call(func(r *Replica) { r.BeginShutdown(p.now) })
 		n.later(rest, func() { p.restart(n, time.Second) })
 	}
 }
@@ -295,11 +295,11 @@
 // wipe has a replica lose its disk, so that it is a new one. All must be well otherwise: two at once would end the cluster.
 func (p *goldenPlay) wipe(n *clusterNode, rest time.Duration) {
 	for _, o := range p.nodes {
-		if !o.running() || o.replica.Touched() == 0 {
+		if !o.running() || o.replica.QuorumContact() == 0 {
 			return
 		}
 	}
-	n.disk = Beginning{Address: n.address, Seeds: n.seeds, NewID: p.newID()}.Held()
+	n.disk = Bootstrap{Address: n.address, Seeds: n.seeds, NewID: p.newID()}.InitialState()
 	p.restart(n, rest)
 }
 
@@ -308,7 +308,7 @@
 	p.restart(n, time.Second)
 	for _, o := range p.nodes {
 		o.call(func(r *Replica) {
-			if wait, isLeader := r.PeerGone(p.now, n.address); isLeader {
+			if wait, isLeader := r.PeerExited(p.now, n.address); isLeader {
 				p.record.add("leader exited", o.address, wait)
 				o.later(wait, func() { o.call(func(r *Replica) { r.Tick(p.now) }) })
 			}
--- a/internal/mesh/replica/identity.go
+++ b/internal/mesh/replica/identity.go
@@ -8,8 +8,8 @@
 	"hollyspur/internal/exchange/vault"
 )
 
-// Beginning says what a replica on an empty disk begins as.
-type Beginning struct {
+// Bootstrap says what a replica on an empty disk begins as.
+type Bootstrap struct {
 	Address    string
 	Seeds      []string
 	FirstStart bool    // of the whole deployment: the seeds are its founders
@@ -17,17 +17,17 @@
 	NewID      core.ID // never used before, and even: founders' are odd
 }
 
-// Held is what the replica writes to its empty disk first. A founder knows all the others' ids before it has met them; anyone
+// InitialState is what the replica writes to its empty disk first. A founder knows all the others' ids before it has met them; anyone
 // else is a new id that has to be taken in.
-func (b Beginning) Held() vault.Held {
+func (b Bootstrap) InitialState() vault.StoredState {
 	if !b.FirstStart || b.Damaged || !slices.Contains(b.Seeds, b.Address) {
-		return vault.Held{Self: b.NewID}
+		return vault.StoredState{Self: b.NewID}
 	}
 	var members []core.Member
 	for _, a := range b.Seeds {
 		members = append(members, core.Member{ID: founderID(a), Addr: a})
 	}
-	return vault.Held{Self: founderID(b.Address), Snapshot: core.Found(members)}
+	return vault.StoredState{Self: founderID(b.Address), Snapshot: core.BootstrapSnapshot(members)}
 }
 
 // founderID is the id of a replica that the first seeds name.
--- a/internal/mesh/replica/identity_test.go
+++ b/internal/mesh/replica/identity_test.go
@@ -10,27 +10,27 @@
 
 // At the first start of all the seeds found the core, each by itself and alike, in whatever order their files name them. Nobody
 // else founds one: neither a machine that is no seed, nor one whose disk was lost or can't be read, whatever its seeds are by then.
-func TestBeginnings(t *testing.T) {
+func TestBootstrap(t *testing.T) {
 	const newID core.ID = 4
 	seeds := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
-	first := Beginning{Address: seeds[0], Seeds: seeds, FirstStart: true, NewID: newID}.Held()
+	first := Bootstrap{Address: seeds[0], Seeds: seeds, FirstStart: true, NewID: newID}.InitialState()
 	assert.Equal(t, len(first.Snapshot.Members), len(seeds))
 	assert.Equal(t, first.Self, first.Snapshot.Members[0].ID)
 	for n, address := range seeds {
-		other := Beginning{Address: address, Seeds: []string{seeds[2], seeds[0], seeds[1]}, FirstStart: true, NewID: newID}.Held()
+		other := Bootstrap{Address: address, Seeds: []string{seeds[2], seeds[0], seeds[1]}, FirstStart: true, NewID: newID}.InitialState()
 		assert.DeepEqual(t, other.Snapshot, first.Snapshot)
 		assert.Equal(t, other.Self, first.Snapshot.Members[n].ID)
 		assert.Assert(t, other.Self != newID)
 	}
-	for _, b := range []Beginning{
+	for _, b := range []Bootstrap{
 		{Address: "10.0.0.9:7000", Seeds: seeds, FirstStart: true, NewID: newID},
 		{Address: seeds[0], Seeds: seeds, NewID: newID},
 		{Address: seeds[0], Seeds: seeds, FirstStart: true, Damaged: true, NewID: newID},
 	} {
-		held := b.Held()
+		held := b.InitialState()
 		assert.Equal(t, held.Self, newID)
 		assert.Equal(t, len(held.Snapshot.Members), 0)
 	}
-	alone := Beginning{Address: seeds[0], Seeds: seeds[:1], FirstStart: true, NewID: newID}.Held()
+	alone := Bootstrap{Address: seeds[0], Seeds: seeds[:1], FirstStart: true, NewID: newID}.InitialState()
 	assert.Equal(t, len(alone.Snapshot.Members), 1)
 }
--- a/internal/mesh/replica/landed_disk_test.go
+++ b/internal/mesh/replica/landed_disk_test.go
@@ -102,16 +102,16 @@
 
 func recordEntries(entries []core.Entry) (recorded []recordedEntry) {
 	for _, e := range entries {
-		recorded = append(recorded, recordedEntry{Index: e.Index, Term: e.Term, Kind: uint8(e.Kind), LogTime: e.Stamp, Data: e.Data,
-			Members: recordMembers(e.Members), Outgoing: recordMembers(e.Outgoing), RaftVersion: e.Version})
+		recorded = append(recorded, recordedEntry{Index: e.Index, Term: e.Term, Kind: uint8(e.Kind), LogTime: e.LogTime, Data: e.Data,
+			Members: recordMembers(e.Members), Outgoing: recordMembers(e.Outgoing), RaftVersion: e.ProtocolVersion})
 	}
 	return recorded
 }
 
 func recordItems(table patch.Table) (recorded []recordedItem) {
-	for _, i := range patch.Stored(table) {
-		recorded = append(recorded, recordedItem{Kind: i.Kind, Name: i.Name, Version: i.Version, Deleted: i.Dropped, Host: i.Host, Body: string(i.Body),
-			LogTime: time.Duration(i.Stamp), History: i.Past})
+	for _, i := range patch.TableToStorage(table) {
+		recorded = append(recorded, recordedItem{Kind: i.Kind, Name: i.Name, Version: i.Version, Deleted: i.Deleted, Host: i.Host, Body: string(i.Body),
+			LogTime: time.Duration(i.LogTimeNs), History: i.History})
 	}
 	return recorded
 }
@@ -120,31 +120,31 @@
 	t.Helper()
 	maintenance, err := json.Marshal(s.Maintenance)
 	assert.NilError(t, err)
-	policy, err := json.Marshal(s.Rules)
+	policy, err := json.Marshal(s.Policy)
 	assert.NilError(t, err)
-	recorded := recordedState{Items: recordItems(s.Items), Maintenance: maintenance, ActivePolicy: recordItems(s.Bound), Policy: policy, SHA256: sha256Of(s.Save())}
-	for _, h := range s.Keys.All() {
-		recorded.KeyLeases = append(recorded.KeyLeases, recordedLease{Key: h.Key, Token: h.Ticket, Attempt: h.Nth, Holder: h.Holder, GrantedAt: h.Stamp, Window: h.Window})
+	recorded := recordedState{Items: recordItems(s.Items), Maintenance: maintenance, ActivePolicy: recordItems(s.ActivePolicy), Policy: policy, SHA256: sha256Of(s.Encode())}
+	for _, h := range s.KeyLeases.Leases() {
+		recorded.KeyLeases = append(recorded.KeyLeases, recordedLease{Key: h.Key, Token: h.Token, Attempt: h.Attempt, Holder: h.Holder, GrantedAt: h.GrantedAt, Window: h.Window})
 	}
 	return recorded
 }
 
-func recordContents(t *testing.T, held vault.Held) recordedContents {
+func recordContents(t *testing.T, held vault.StoredState) recordedContents {
 	t.Helper()
 	var s State
-	assert.NilError(t, s.Load(held.Snapshot.Data))
-	assert.Assert(t, bytes.Equal(s.Save(), held.Snapshot.Data), "the state of the snapshot is stored as it was")
-	for _, e := range held.Log {
-		if e.Kind == core.Change {
+	assert.NilError(t, s.Decode(held.Snapshot.Data))
+	assert.Assert(t, bytes.Equal(s.Encode(), held.Snapshot.Data), "the state of the snapshot is stored as it was")
+	for _, e := range held.Entries {
+		if e.Kind == core.EntryCommand {
 			s.Apply(e)
 		}
 	}
 	snapshot := held.Snapshot
-	return recordedContents{Self: uint64(held.Self), Term: held.Hard.Term, Vote: uint64(held.Hard.Vote),
-		Snapshot: recordedSnapshot{Index: snapshot.Index, Term: snapshot.Term, LogTime: snapshot.Stamp, ConfigIndex: snapshot.View,
-			Members: recordMembers(snapshot.Members), Outgoing: recordMembers(snapshot.Outgoing), RaftVersion: snapshot.Version,
+	return recordedContents{Self: uint64(held.Self), Term: held.HardState.Term, Vote: uint64(held.HardState.Vote),
+		Snapshot: recordedSnapshot{Index: snapshot.Index, Term: snapshot.Term, LogTime: snapshot.LogTime, ConfigIndex: snapshot.ConfigurationIndex,
+			Members: recordMembers(snapshot.Members), Outgoing: recordMembers(snapshot.Outgoing), RaftVersion: snapshot.ProtocolVersion,
 			DataBytes: len(snapshot.Data), DataSHA256: sha256Of(snapshot.Data)},
-		CatchUp: recordEntries(held.Tail), Entries: recordEntries(held.Log), State: recordState(t, &s)}
+		CatchUp: recordEntries(held.CatchUpEntries), Entries: recordEntries(held.Entries), State: recordState(t, &s)}
 }
 
 func sha256Of(p []byte) string {
@@ -192,7 +192,7 @@
 	want, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	assert.Equal(t, string(got)+"\n", string(want))
-	assert.Assert(t, len(held.Log) > 300 && held.Snapshot.Index > 4000, "%d entries behind the snapshot of entry %d", len(held.Log), held.Snapshot.Index)
+	assert.Assert(t, len(held.Entries) > 300 && held.Snapshot.Index > 4000, "%d entries behind the snapshot of entry %d", len(held.Entries), held.Snapshot.Index)
 }
 
 // What was read is written as it was: a new data folder of the same contents has the same keys with the same bytes.
@@ -206,10 +206,10 @@
 	assert.NilError(t, files.Close())
 
 	d := disk.New()
-	v, _, _, err := vault.OpenIn(d, vault.Options{})
+	v, _, _, err := vault.OpenFolder(d, vault.Options{})
 	assert.NilError(t, err)
-	assert.NilError(t, v.Begin(held.Self, held.Snapshot))
-	assert.NilError(t, v.Save(core.Ready{Hard: &held.Hard, Entries: append(held.Tail, held.Log...)}, 0))
+	assert.NilError(t, v.Initialize(held.Self, held.Snapshot))
+	assert.NilError(t, v.Save(core.Ready{HardState: &held.HardState, Entries: append(held.CatchUpEntries, held.Entries...)}, 0))
 	v.Close()
 	again, err := d.Open(false)
 	assert.NilError(t, err)
@@ -220,11 +220,11 @@
 func TestMemberStartsFromDiskOfLandedBuild(t *testing.T) {
 	held, _, err := vault.OpenReadOnly(copiedDisk(t, landedDisk))
 	assert.NilError(t, err)
-	r, err := New(Config{Address: "127.0.0.1:7380", Held: held}, alone{}, 0)
+	r, err := New(Config{Address: "127.0.0.1:7380", Stored: held}, soloEnvironment{}, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, r.Self().ID, held.Self)
-	assert.Equal(t, r.Term(), held.Hard.Term)
+	assert.Equal(t, r.Term(), held.HardState.Term)
 	members, _ := r.Members()
 	assert.Equal(t, len(members), 3)
-	assert.Equal(t, r.Logged(), held.Snapshot.Index+uint64(len(held.Log)))
+	assert.Equal(t, r.SavedIndex(), held.Snapshot.Index+uint64(len(held.Entries)))
 }
--- a/internal/mesh/replica/maintenance.go
+++ b/internal/mesh/replica/maintenance.go
@@ -11,85 +11,85 @@
 
 // Kinds of changes of the maintenance state.
 const (
-	MaintenancePlace byte = iota + 1 // an order, night.Order
-	MaintenanceWord                  // a word on one, night.Change
-	MaintenanceTime                  // the time agreed on, night.Clock
+	MaintenanceOrder  byte = iota + 1 // an order, night.Order
+	MaintenanceUpdate                 // a word on one, night.Change
+	MaintenanceClock                  // the time agreed on, night.Clock
 )
 
 // Maintenance is what is agreed on of maintenance: the orders and the time of day.
 type Maintenance struct {
-	Book  night.Book  `json:"book"`
-	Clock night.Clock `json:"clock"`
-	Term  uint64      `json:"term"` // of the leader whose entry the clock is of
-	Index uint64      `json:"index"`
+	Orders    night.OrderTable `json:"book"`
+	Clock     night.Clock      `json:"clock"`
+	ClockTerm uint64           `json:"term"` // of the leader whose entry the clock is of
+	Index     uint64           `json:"index"`
 }
 
 // apply takes a committed change.
 func (m *Maintenance) apply(e core.Entry, kind byte, text []byte) error {
-	now := m.Clock.Now(e.Stamp)
+	now := m.Clock.Now(e.LogTime)
 	switch kind {
-	case MaintenancePlace:
+	case MaintenanceOrder:
 		var o night.Order
 		if err := json.Unmarshal(text, &o); err != nil {
 			return err
 		}
-		b, err := m.Book.Place(o, now)
+		b, err := m.Orders.Place(o, now)
 		if err != nil {
 			return err
 		}
-		m.Book = b
-	case MaintenanceWord:
-		var c night.Change
+		m.Orders = b
+	case MaintenanceUpdate:
+		var c night.OrderChange
 		if err := json.Unmarshal(text, &c); err != nil {
 			return err
 		}
-		b, err := m.Book.Apply(c, now)
+		b, err := m.Orders.Apply(c, now)
 		if err != nil {
 			return err
 		}
-		m.Book = b
-	case MaintenanceTime:
+		m.Orders = b
+	case MaintenanceClock:
 		var c night.Clock
 		if err := json.Unmarshal(text, &c); err != nil {
 			return err
 		}
-		m.Clock, m.Term = c, e.Term
+		m.Clock, m.ClockTerm = c, e.Term
 		return nil
 	}
 	m.Index = e.Index
 	return nil
 }
 
-// Outs are the machines that orders have out, for sidecars and replicas.
-func (m *Maintenance) Outs() *wire.OutsT {
-	t := &wire.OutsT{Index: m.Index}
-	for _, o := range m.Book.Open() {
-		if o.Step.Holds() {
-			t.List = append(t.List, &wire.OutT{Addr: o.Machine(), Order: o.ID, Leading: o.Step != night.Draining, Heir: o.Heir})
+// MachinesMessage are the machines that orders have out, for sidecars and replicas.
+func (m *Maintenance) MachinesMessage() *wire.MachinesInMaintenanceT {
+	t := &wire.MachinesInMaintenanceT{Index: m.Index}
+	for _, o := range m.Orders.Open() {
+		if o.Step.IsCordoned() {
+			t.List = append(t.List, &wire.MachineInMaintenanceT{Addr: o.CurrentMachine(), OrderId: o.ID, DrainCallers: o.Step != night.StepDraining, Successor: o.Successor})
 		}
 	}
 	return t
 }
 
-// Leaderless is for how long nobody led since the last agreed time, as this replica knows from its own steady clock: log time
+// leaderGap is for how long nobody led since the last agreed time, as this replica knows from its own steady clock: log time
 // stands still then.
-type Leaderless struct {
-	total time.Duration // night.GapUnknown: the replica did not live through it
-	term  uint64        // of the latest entry
-	stamp time.Duration // the same
-	at    time.Duration // when that was applied; 0: none was
+type leaderGap struct {
+	duration  time.Duration // night.GapUnknown: the replica did not live through it
+	term      uint64        // of the latest entry
+	logTime   time.Duration // the same
+	appliedAt time.Duration // when that was applied; 0: none was
 }
 
-// entry notes an entry that is applied; agreed: it holds a new agreed time.
-func (l *Leaderless) entry(e core.Entry, now time.Duration, agreed bool) {
+// observe notes an entry that is applied; agreed: it holds a new agreed time.
+func (l *leaderGap) observe(e core.Entry, now time.Duration, agreed bool) {
 	switch {
-	case l.at == 0:
-		l.total = night.GapUnknown
-	case e.Term != l.term && l.total >= 0:
-		l.total += max(0, (now-l.at)-(e.Stamp-l.stamp))
+	case l.appliedAt == 0:
+		l.duration = night.LeaderlessUnknown
+	case e.Term != l.term && l.duration >= 0:
+		l.duration += max(0, (now-l.appliedAt)-(e.LogTime-l.logTime))
 	}
-	l.term, l.stamp, l.at = e.Term, e.Stamp, max(1, now)
+	l.term, l.logTime, l.appliedAt = e.Term, e.LogTime, max(1, now)
 	if agreed {
-		l.total = 0
+		l.duration = 0
 	}
 }
--- a/internal/mesh/replica/modify.go
+++ b/internal/mesh/replica/modify.go
@@ -7,84 +7,84 @@
 	"hollyspur/internal/mesh/operations"
 )
 
-// modifying is which items the proposals of a leader name that are not applied yet.
-type modifying struct {
+// pendingModifications is which items the proposals of a leader name that are not applied yet.
+type pendingModifications struct {
 	term   uint64
-	latest map[patch.Name]uint64 // the entry proposed last that names an item
+	latest map[patch.Key]uint64 // the entry proposed last that names an item
 }
 
-// underWay is the latest entry of a term that names an item of a call; 0: all are applied.
-func (m *modifying) underWay(term uint64, c patch.Call) (index uint64) {
+// latestFor is the latest entry of a term that names an item of a call; 0: all are applied.
+func (m *pendingModifications) latestFor(term uint64, c patch.Update) (index uint64) {
 	if m.term != term {
 		return 0 // what was proposed in another term is applied, or will never be
 	}
 	for _, i := range c.Items {
-		index = max(index, m.latest[i.Name])
+		index = max(index, m.latest[i.Key])
 	}
 	return index
 }
 
-// propose notes an entry that was proposed.
-func (m *modifying) propose(term, index uint64, c patch.Call) {
+// add notes an entry that was proposed.
+func (m *pendingModifications) add(term, index uint64, c patch.Update) {
 	if m.term != term || m.latest == nil {
-		m.term, m.latest = term, map[patch.Name]uint64{}
+		m.term, m.latest = term, map[patch.Key]uint64{}
 	}
 	for _, i := range c.Items {
-		m.latest[i.Name] = index
+		m.latest[i.Key] = index
 	}
 }
 
-// applied forgets an entry.
-func (m *modifying) applied(term, index uint64, c patch.Call) {
+// remove forgets an entry.
+func (m *pendingModifications) remove(term, index uint64, c patch.Update) {
 	if m.term != term {
 		return
 	}
 	for _, i := range c.Items {
-		if m.latest[i.Name] == index {
-			delete(m.latest, i.Name)
+		if m.latest[i.Key] == index {
+			delete(m.latest, i.Key)
 		}
 	}
 }
 
-// admit has an operator's call agreed on, at the leader. Whether it may be is judged by all that may have been agreed on before, so
+// admitCall has an operator's call agreed on, at the leader. Whether it may be is judged by all that may have been agreed on before, so
 // it waits while an entry that names one of its items is not applied.
-func (r *Replica) admit(c patch.Call, done func(Reply)) {
-	if !r.core.Leads() {
+func (r *Replica) admitCall(c patch.Update, done func(Reply)) {
+	if !r.raft.IsLeader() {
 		done(Unavailable("not the leader"))
 		return
 	}
-	if index := r.undecided(c); index > r.core.Applied() {
-		if len(r.waiting) > maxProposals {
+	if index := r.blockingIndex(c); index > r.raft.AppliedIndex() {
+		if len(r.waiters) > maxProposals {
 			done(Unavailable("too much is under way"))
 			return
 		}
-		r.waiting = append(r.waiting, waiter{index, func() { r.admit(c, done) }})
+		r.waiters = append(r.waiters, waiter{index, func() { r.admitCall(c, done) }})
 		return
 	}
 	verdict, err := r.state.Items.Admit(c)
 	switch {
 	case err != nil:
-		done(StatusOf(err))
-	case verdict == operations.Repeated:
-		r.acknowledgeAgain(done)
+		done(ErrorReply(err))
+	case verdict == operations.Duplicate:
+		r.confirmDuplicate(done)
 	default:
 		r.proposeCall(c, done)
 	}
 }
 
-// undecided is the latest entry that has to be applied before a call can be judged: any that a leader before may have had
+// blockingIndex is the latest entry that has to be applied before a call can be judged: any that a leader before may have had
 // agreed on, or the latest that names one of its items.
-func (r *Replica) undecided(c patch.Call) (index uint64) {
-	if !r.core.Current() {
-		return r.core.LastIndex()
+func (r *Replica) blockingIndex(c patch.Update) (index uint64) {
+	if !r.raft.IsCaughtUpLeader() {
+		return r.raft.LastIndex()
 	}
-	return r.modifying.underWay(r.core.Term(), c)
+	return r.pendingModifications.latestFor(r.raft.Term(), c)
 }
 
-// acknowledgeAgain answers a call that was taken before, once an empty entry behind it is agreed on: a majority of the members that
+// confirmDuplicate answers a call that was taken before, once an empty entry behind it is agreed on: a majority of the members that
 // are there now then has the call on disk. A confirmed read would not do, for a majority may follow this leader while the other
 // disk that held the call has just been lost.
-func (r *Replica) acknowledgeAgain(done func(Reply)) {
+func (r *Replica) confirmDuplicate(done func(Reply)) {
 	ok := r.Propose(r.now, nil, func(_ Outcome, known bool) {
 		if !known {
 			done(Unavailable("it was taken before; another leader took over before that was confirmed"))
@@ -97,15 +97,15 @@
 	}
 }
 
-func (r *Replica) proposeCall(c patch.Call, done func(Reply)) {
-	term, index := r.core.Term(), uint64(0)
-	ok := r.Propose(r.now, Change(ChangeItems, patch.WireCall(c)), func(o Outcome, known bool) {
-		r.modifying.applied(term, index, c)
+func (r *Replica) proposeCall(c patch.Update, done func(Reply)) {
+	term, index := r.raft.Term(), uint64(0)
+	ok := r.Propose(r.now, EncodeChange(ChangeItems, patch.UpdateToWire(c)), func(o Outcome, known bool) {
+		r.pendingModifications.remove(term, index, c)
 		switch {
 		case !known:
 			done(Unavailable("another leader took over; it may still be taken"))
 		case o.Err != nil:
-			done(StatusOf(o.Err))
+			done(ErrorReply(o.Err))
 		default:
 			done(Reply{Status: http.StatusOK})
 		}
@@ -114,6 +114,6 @@
 		done(Unavailable("not the leader any more"))
 		return
 	}
-	index = r.proposed
-	r.modifying.propose(term, index, c)
+	index = r.lastProposed
+	r.pendingModifications.add(term, index, c)
 }
--- a/internal/mesh/replica/replica.go
+++ b/internal/mesh/replica/replica.go
@@ -22,23 +22,23 @@
 
 // Times of a replica.
 const (
-	TickInterval      = 50 * time.Millisecond  // between two calls of Tick
-	AnswerWithin      = 900 * time.Millisecond // of a call to the leader; callers move on after a second
-	heartbeatInterval = 100 * time.Millisecond
-	electionTimeout   = 500 * time.Millisecond
-	deadAfter         = 2 * time.Second
-	stuckAfter        = 300 * time.Millisecond // without a tick
-	recordSilence     = 30 * time.Second       // after which a sidecar's record is dropped
-	expireInterval    = 5 * time.Second
+	TickInterval         = 50 * time.Millisecond  // between two calls of Tick
+	CallTimeout          = 900 * time.Millisecond // of a call to the leader; callers move on after a second
+	heartbeatInterval    = 100 * time.Millisecond
+	electionTimeout      = 500 * time.Millisecond
+	deadMemberTimeout    = 2 * time.Second
+	stallTimeout         = 300 * time.Millisecond // without a tick
+	recordTTL            = 30 * time.Second       // after which a sidecar's record is dropped
+	recordExpiryInterval = 5 * time.Second
 )
 
 // Bounds of a replica's state.
 const (
-	CompactAt        = 4096 // entries behind the snapshot, unless Config says otherwise
-	maxProposals     = 4096 // that wait for their entry
-	maxRemembered    = 64   // addresses of replicas that are no members
-	minReplicas      = 3
-	replicasPerFault = 2
+	DefaultCompactionThreshold = 4096 // entries behind the snapshot, unless Config says otherwise
+	maxProposals               = 4096 // that wait for their entry
+	maxRememberedAddresses     = 64   // addresses of replicas that are no members
+	minReplicas                = 3
+	replicasPerFault           = 2
 )
 
 // Environment is what a replica acts through. Its methods are called by the goroutine that calls the replica, and must not
@@ -50,7 +50,7 @@
 	Connect(address string)
 	// AskReplica asks the replica at an address. done is called once, later and by the replica's owner: with its answer, or with
 	// Unavailable where there is none within AnswerWithin.
-	AskReplica(address string, kind byte, body []byte, done func(Reply))
+	CallReplica(address string, kind byte, body []byte, done func(Reply))
 	// Save has on disk, synced, what ready must have there; last is the last entry that stands on disk before it. False: it is not,
 	// and the replica does nothing until its owner calls Turn again, which saves anew.
 	Save(ready core.Ready, last uint64) bool
@@ -58,9 +58,9 @@
 	// longer log says the same.
 	Compact(snapshot core.Snapshot, kept uint64)
 	// TellSidecars sends a message to each sidecar that is connected here.
-	TellSidecars(message any)
+	BroadcastToSidecars(message any)
 	// TellReplicas sends a message to each replica that there is a connection to.
-	TellReplicas(message any)
+	BroadcastToReplicas(message any)
 }
 
 // Reply is the answer to a call.
@@ -72,46 +72,46 @@
 
 // Config is what a replica is made of.
 type Config struct {
-	Address         string // where other replicas and sidecars reach it
-	Held            vault.Held
-	Seeds           []string
-	FaultsTolerated int // machines that may be lost; there are 2n+1 members, at least 3
-	RandomSeed      uint64
-	CompactAt       int // entries behind the snapshot at which there is a new one; 0: CompactAt
-	TailEntries     int // entries kept in front of the snapshot for replicas that lag; 0: core.TailEntries
-	Log             zerolog.Logger
+	Address             string // where other replicas and sidecars reach it
+	Stored              vault.StoredState
+	Seeds               []string
+	FaultsTolerated     int // machines that may be lost; there are 2n+1 members, at least 3
+	RandomSeed          uint64
+	CompactionThreshold int // entries behind the snapshot at which there is a new one; 0: CompactAt
+	TailEntries         int // entries kept in front of the snapshot for replicas that lag; 0: core.TailEntries
+	Log                 zerolog.Logger
 }
 
 // Replica is one control-plane replica. It belongs to one goroutine.
 type Replica struct {
-	env     Environment
-	log     zerolog.Logger
-	self    core.Member
-	core    *core.Core
-	state   State
-	seeds   []string
-	now     time.Duration
-	logged  uint64      // last entry on disk
-	unsaved *core.Ready // could not be saved so far; nothing else happens before
-	touched time.Duration
-	held    bool // a maintenance order has this replica out
-
-	proposals map[uint64]proposal // by index
-	proposed  uint64              // the latest entry that this replica proposed
-	modifying modifying
-	reads     map[uint64]func(index uint64, ok bool)
-	nextRead  uint64
-	waiting   []waiter   // for the state to come up to an entry
-	forwards  []*forward // under way at the leader
-
-	records     directory.Table
-	expired     time.Duration
-	known       map[string]bool // addresses of replicas that were heard of
-	addresses   map[core.ID]string
-	leaderTold  core.ID
-	membersTold uint64 // index of the member list that sidecars were told
-	leaderless  Leaderless
-	compactAt   int
+	env           Environment
+	log           zerolog.Logger
+	self          core.Member
+	raft          *core.Raft
+	state         State
+	seeds         []string
+	now           time.Duration
+	savedIndex    uint64      // last entry on disk
+	unsavedReady  *core.Ready // could not be saved so far; nothing else happens before
+	quorumContact time.Duration
+	inMaintenance bool // a maintenance order has this replica out
+
+	proposals            map[uint64]proposal // by index
+	lastProposed         uint64              // the latest entry that this replica proposed
+	pendingModifications pendingModifications
+	pendingReads         map[uint64]func(index uint64, ok bool)
+	lastReadID           uint64
+	waiters              []waiter         // for the state to come up to an entry
+	forwardedCalls       []*forwardedCall // under way at the leader
+
+	records               directory.Table
+	lastRecordExpiry      time.Duration
+	knownAddresses        map[string]bool // addresses of replicas that were heard of
+	nonMemberAddresses    map[core.ID]string
+	announcedLeader       core.ID
+	announcedMembersIndex uint64 // index of the member list that sidecars were told
+	leaderGap             leaderGap
+	compactionThreshold   int
 }
 
 type proposal struct {
@@ -120,144 +120,146 @@
 }
 
 type waiter struct {
-	index uint64
-	then  func()
+	index  uint64
+	resume func()
 }
 
 // New returns a replica as its disk has it. The error is that of a state that can't be read.
 func New(c Config, env Environment, now time.Duration) (*Replica, error) {
-	r := &Replica{env: env, log: c.Log, self: core.Member{ID: c.Held.Self, Addr: c.Address}, seeds: c.Seeds, now: now,
-		proposals: map[uint64]proposal{}, reads: map[uint64]func(uint64, bool){}, known: map[string]bool{}, addresses: map[core.ID]string{}, compactAt: cmp.Or(c.CompactAt, CompactAt)}
-	if err := r.state.Load(c.Held.Snapshot.Data); err != nil {
+	r := &Replica{env: env, log: c.Log, self: core.Member{ID: c.Stored.Self, Addr: c.Address}, seeds: c.Seeds, now: now,
+		proposals: map[uint64]proposal{}, pendingReads: map[uint64]func(uint64, bool){}, knownAddresses: map[string]bool{}, nonMemberAddresses: map[core.ID]string{}, compactionThreshold: cmp.Or(c.CompactionThreshold, DefaultCompactionThreshold)}
+	if err := r.state.Decode(c.Stored.Snapshot.Data); err != nil {
 		return nil, err
 	}
-	r.core = core.New(core.Config{Self: r.self, Hard: c.Held.Hard, Snapshot: c.Held.Snapshot, Log: c.Held.Log,
-		Size: max(minReplicas, replicasPerFault*c.FaultsTolerated+1), Beat: heartbeatInterval, Election: electionTimeout, Dead: deadAfter,
+	r.raft = core.New(core.Config{Self: r.self, HardState: c.Stored.HardState, Snapshot: c.Stored.Snapshot, Entries: c.Stored.Entries,
+		ClusterSize: max(minReplicas, replicasPerFault*c.FaultsTolerated+1), HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, DeadMemberTimeout: deadMemberTimeout,
 		Seed: c.RandomSeed}, now)
-	r.logged = c.Held.Snapshot.Index + uint64(len(c.Held.Log))
+	r.savedIndex = c.Stored.Snapshot.Index + uint64(len(c.Stored.Entries))
 	return r, nil
 }
 
 // SetSeeds takes the addresses of a configuration that has changed.
 func (r *Replica) SetSeeds(seeds []string) { r.seeds = seeds }
 
-// at takes note of the time, which never goes back.
-func (r *Replica) at(now time.Duration) { r.now = max(r.now, now) }
+// advanceTime takes note of the time, which never goes back.
+func (r *Replica) advanceTime(now time.Duration) { r.now = max(r.now, now) }
 
 // Step takes a consensus message.
 func (r *Replica) Step(now time.Duration, m core.Message) {
-	r.at(now)
-	r.core.Step(r.now, m)
+	r.advanceTime(now)
+	r.raft.Step(r.now, m)
 }
 
-// Leave begins a planned departure, for the process is about to end: the lead is handed over, and the leader is asked to say
+// BeginShutdown begins a planned departure, for the process is about to end: the lead is handed over, and the leader is asked to say
 // when those that stay hold all that this one holds.
-func (r *Replica) Leave(now time.Duration) {
-	r.at(now)
-	r.core.Leave(r.now)
+func (r *Replica) BeginShutdown(now time.Duration) {
+	r.advanceTime(now)
+	r.raft.BeginLeave(r.now)
 }
 
-// MayLeave says that those that stay hold all that this one holds, so that its process may end.
-func (r *Replica) MayLeave() bool { return r.core.MayLeave() }
+// CanShutDown says that those that stay hold all that this one holds, so that its process may end.
+func (r *Replica) CanShutDown() bool { return r.raft.MayLeave() }
 
 // Tick sees to what time does. It is to be called every TickInterval, followed by Turn.
 func (r *Replica) Tick(now time.Duration) {
-	r.at(now)
-	r.core.Tick(r.now)
-	r.keepMaintenance()
-	r.keepTouch()
-	r.noteLeader()
-	r.noteMembers()
-	r.keepConnections()
-	if r.now-r.expired > expireInterval && r.core.InTouch(r.now) {
-		r.expired = r.now
-		r.records, _ = r.records.Expire(r.now, recordSilence)
+	r.advanceTime(now)
+	r.raft.Tick(r.now)
+	r.observeMaintenance()
+	r.updateQuorumContact()
+	r.announceLeader()
+	r.announceMembers()
+	r.maintainConnections()
+	if r.now-r.lastRecordExpiry > recordExpiryInterval && r.raft.HasQuorumContact(r.now) {
+		r.lastRecordExpiry = r.now
+		r.records, _ = r.records.Expire(r.now, recordTTL)
 	}
 }
 
-// keepMaintenance gives the lead away where an order has this replica out.
-func (r *Replica) keepMaintenance() {
-	r.held = slices.ContainsFunc(r.state.Maintenance.Outs().List, func(o *wire.OutT) bool { return o.Addr == r.self.Addr })
-	if r.held && r.core.Leads() {
-		r.core.Yield(r.now)
+// observeMaintenance gives the lead away where an order has this replica out.
+func (r *Replica) observeMaintenance() {
+	r.inMaintenance = slices.ContainsFunc(r.state.Maintenance.MachinesMessage().List, func(o *wire.MachineInMaintenanceT) bool { return o.Addr == r.self.Addr })
+	if r.inMaintenance && r.raft.IsLeader() {
+		r.raft.TransferLeadership(r.now)
 	}
 }
 
-func (r *Replica) keepTouch() {
-	before := r.touched
-	r.touched = 0
-	if r.core.InTouch(r.now) && !r.core.Outside() && !r.held {
-		r.touched = max(1, r.now)
+func (r *Replica) updateQuorumContact() {
+	before := r.quorumContact
+	r.quorumContact = 0
+	if r.raft.HasQuorumContact(r.now) && !r.raft.IsNonMember() && !r.inMaintenance {
+		r.quorumContact = max(1, r.now)
 	}
-	if before == 0 && r.touched > 0 {
-		r.env.TellSidecars(r.heartbeat())
+	if before == 0 && r.quorumContact > 0 {
+		r.env.BroadcastToSidecars(r.heartbeatMessage())
 	}
 }
 
-// PeerGone takes that the process of the replica at an address has ended: its host refuses connections there. If it led, the
+// PeerExited takes that the process of the replica at an address has ended: its host refuses connections there. If it led, the
 // result says how long after now Tick is due for its place to be sought.
-func (r *Replica) PeerGone(now time.Duration, address string) (wait time.Duration, isLeader bool) {
-	r.at(now)
-	if address == "" || address != r.leaderAddress() {
+func (r *Replica) PeerExited(now time.Duration, address string) (wait time.Duration, isLeader bool) {
+	r.advanceTime(now)
+	if address == "" || address != r.remoteLeaderAddress() {
 		return 0, false
 	}
-	leader := r.core.Leader()
-	if wait, isLeader = r.core.LeaderGone(r.now, leader); isLeader {
+	leader := r.raft.Leader()
+	if wait, isLeader = r.raft.ReportLeaderExited(r.now, leader); isLeader {
 		r.log.Info().Uint64("leader", uint64(leader)).Str("addr", address).Dur("wait", wait).Msg("leader gone")
 	}
 	return wait, isLeader
 }
 
-// Touched is when the replica last was in touch with a majority, as of the last Tick; 0: it is not.
-func (r *Replica) Touched() time.Duration { return r.touched }
+// QuorumContact is when the replica last was in touch with a majority, as of the last Tick; 0: it is not.
+func (r *Replica) QuorumContact() time.Duration { return r.quorumContact }
 
-// InTouch says whether a replica with that Touched may say, at a time, that it is in touch. One whose owner hangs, on a disk
+// HasQuorumContact says whether a replica with that Touched may say, at a time, that it is in touch. One whose owner hangs, on a disk
 // for one, is in touch with nobody.
-func InTouch(touched, now time.Duration) bool { return touched > 0 && now-touched < stuckAfter }
+func HasQuorumContact(touched, now time.Duration) bool {
+	return touched > 0 && now-touched < stallTimeout
+}
 
-// noteLeader sees to what a change of the leader means, and says whether there was one.
-func (r *Replica) noteLeader() (changed bool) {
-	lead := r.core.Leader()
-	if lead == r.leaderTold {
+// announceLeader sees to what a change of the leader means, and says whether there was one.
+func (r *Replica) announceLeader() (changed bool) {
+	lead := r.raft.Leader()
+	if lead == r.announcedLeader {
 		return false
 	}
-	r.leaderTold = lead
-	r.log.Info().Uint64("leader", uint64(lead)).Str("addr", r.core.Addr(lead)).Uint64("term", r.core.Term()).Uint64("applied", r.core.Applied()).Msg("leader")
-	r.keepTouch()
-	r.endForwards()
+	r.announcedLeader = lead
+	r.log.Info().Uint64("leader", uint64(lead)).Str("addr", r.raft.Addr(lead)).Uint64("term", r.raft.Term()).Uint64("applied", r.raft.AppliedIndex()).Msg("leader")
+	r.updateQuorumContact()
+	r.failForwardedCalls()
 	return true
 }
 
-func (r *Replica) noteMembers() {
-	members, view := r.core.Members()
-	if view == r.membersTold {
+func (r *Replica) announceMembers() {
+	members, view := r.raft.Members()
+	if view == r.announcedMembersIndex {
 		return
 	}
-	r.membersTold = view
-	clear(r.known) // those that were let go say so when they come back
+	r.announcedMembersIndex = view
+	clear(r.knownAddresses) // those that were let go say so when they come back
 	addresses := make([]string, 0, len(members))
 	for _, m := range members {
-		r.known[m.Addr] = true
+		r.knownAddresses[m.Addr] = true
 		addresses = append(addresses, m.Addr)
 	}
 	r.log.Info().Uint64("view", view).Int("members", len(members)).Strs("addrs", addresses).Msg("members")
-	r.env.TellSidecars(r.membersMessage())
+	r.env.BroadcastToSidecars(r.membersMessage())
 }
 
-// keepConnections keeps connections to all replicas that are known, also where the core has nothing to say: sidecars' records
+// maintainConnections keeps connections to all replicas that are known, also where the core has nothing to say: sidecars' records
 // go by them. One that is no member asks all of them to be taken in.
-func (r *Replica) keepConnections() {
+func (r *Replica) maintainConnections() {
 	for _, a := range r.seeds {
-		r.known[a] = true
+		r.knownAddresses[a] = true
 	}
-	delete(r.known, r.self.Addr)
-	addresses := sortedKeys(r.known)
+	delete(r.knownAddresses, r.self.Addr)
+	addresses := sortedKeys(r.knownAddresses)
 	for _, a := range addresses {
 		r.env.Connect(a)
 	}
-	if r.core.Outside() {
+	if r.raft.IsNonMember() {
 		for _, a := range addresses { // it may know nobody but by address
-			r.env.Send(a, core.Message{Kind: core.Join, From: r.self.ID, Addr: r.self.Addr, Version: core.Version})
+			r.env.Send(a, core.Message{Kind: core.JoinRequest, From: r.self.ID, Addr: r.self.Addr, ProtocolVersion: core.ProtocolVersion})
 		}
 	}
 }
@@ -271,21 +273,21 @@
 	return l
 }
 
-// Remember keeps where a replica that connected here listens: one that is no member has to be told so.
-func (r *Replica) Remember(id core.ID, address string) {
-	r.known[address] = true
-	if len(r.addresses) > maxRemembered {
-		clear(r.addresses)
+// RememberAddress keeps where a replica that connected here listens: one that is no member has to be told so.
+func (r *Replica) RememberAddress(id core.ID, address string) {
+	r.knownAddresses[address] = true
+	if len(r.nonMemberAddresses) > maxRememberedAddresses {
+		clear(r.nonMemberAddresses)
 	}
-	r.addresses[id] = address
+	r.nonMemberAddresses[id] = address
 }
 
-// leaderAddress is where another replica that leads listens; "": there is none, or it is this one.
-func (r *Replica) leaderAddress() string {
-	if r.core.Leads() {
+// remoteLeaderAddress is where another replica that leads listens; "": there is none, or it is this one.
+func (r *Replica) remoteLeaderAddress() string {
+	if r.raft.IsLeader() {
 		return ""
 	}
-	if a := r.core.Addr(r.core.Leader()); a != r.self.Addr {
+	if a := r.raft.Addr(r.raft.Leader()); a != r.self.Addr {
 		return a
 	}
 	return ""
@@ -293,12 +295,12 @@
 
 func (r *Replica) sendAll(messages []core.Message) {
 	for _, m := range messages {
-		address := r.core.Addr(m.To)
+		address := r.raft.Addr(m.To)
 		if m.Kind == core.NotMember && m.Addr != "" {
 			address = m.Addr
 		}
 		if address == "" {
-			address = r.addresses[m.To]
+			address = r.nonMemberAddresses[m.To]
 		}
 		if address != "" && address != r.self.Addr {
 			r.env.Send(address, m)
--- a/internal/mesh/replica/rules.go
+++ b/internal/mesh/replica/rules.go
@@ -17,29 +17,29 @@
 	Effect classmark.Effect `json:"effect"`
 }
 
-// Rules is what is agreed on of namespaces' rules, beside the items themselves.
-type Rules struct {
-	Board   classmark.Board `json:"board"`
-	Notices []Notice        `json:"notices,omitempty"`
+// PolicyState is what is agreed on of namespaces' rules, beside the items themselves.
+type PolicyState struct {
+	Rollout classmark.Rollout `json:"board"`
+	Notices []Notice          `json:"notices,omitempty"`
 }
 
-// changed takes a committed call.
-func (s *Rules) changed(e core.Entry, c patch.Call, now patch.Table, raised []patch.Item, effects []classmark.Effect) {
+// recordChange takes a committed call.
+func (s *PolicyState) recordChange(e core.Entry, c patch.Update, now patch.Table, raised []patch.Item, effects []classmark.Effect) {
 	for _, i := range raised {
-		if i.Kind.Ruled() {
-			s.Board = s.Board.Changed(now.Print(), e.Index)
+		if i.Kind.InPolicySet() {
+			s.Rollout = s.Rollout.Agree(now.PolicyFingerprint(), e.Index)
 			break
 		}
 	}
 	for _, x := range effects {
-		s.Notices = append(s.Notices, Notice{e.Index, c.By, x})
+		s.Notices = append(s.Notices, Notice{e.Index, c.Author, x})
 	}
 	if n := len(s.Notices) - maxNotices; n > 0 {
 		s.Notices = append([]Notice(nil), s.Notices[n:]...)
 	}
 }
 
-// Bound says which set of rules binds, for sidecars.
-func (s *Rules) Bound() *wire.BoundT {
-	return &wire.BoundT{Print: s.Board.Bound, At: s.Board.BoundAt, Held: s.Board.Held}
+// ActiveMessage says which set of rules binds, for sidecars.
+func (s *PolicyState) ActiveMessage() *wire.ActivePolicyT {
+	return &wire.ActivePolicyT{Fingerprint: s.Rollout.Active, Index: s.Rollout.ActiveIndex, CommittedFingerprint: s.Rollout.Agreed}
 }
--- a/internal/mesh/replica/safety_test.go
+++ b/internal/mesh/replica/safety_test.go
@@ -26,7 +26,7 @@
 func (c *cluster) awaitLeader(t *testing.T, before *clusterNode) *clusterNode {
 	t.Helper()
 	for end := c.now + time.Minute; c.now < end; c.step(time.Millisecond) {
-		if n := c.leader(); n != nil && n != before && n.replica.Current() {
+		if n := c.leader(); n != nil && n != before && n.replica.IsReadyLeader() {
 			return n
 		}
 	}
@@ -40,7 +40,7 @@
 	c.isolate(old)
 	answers := 0
 	old.call(func(r *Replica) {
-		r.Fetch(c.now, func(_ patch.Set, ok bool) {
+		r.Fetch(c.now, func(_ patch.Document, ok bool) {
 			answers++
 			assert.Assert(t, !ok)
 		})
@@ -75,27 +75,27 @@
 	c.heal()
 	c.run(2 * time.Second)
 	assert.Assert(t, answers > 0)
-	assert.Equal(t, old.replica.State().Keys.All()[0].Holder, "next")
+	assert.Equal(t, old.replica.State().KeyLeases.Leases()[0].Holder, "next")
 }
 
 // leaseChange is a claim on one key.
 func leaseChange(holder string) []byte {
-	return Change(ChangeClaims, &wire.ClaimsT{List: []*wire.ClaimT{{Key: "k", Ticket: holder, Holder: holder, Window: time.Hour.Microseconds()}}})
+	return EncodeChange(ChangeKeyLeases, &wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{{Key: "k", Token: holder, Holder: holder, WindowUs: time.Hour.Microseconds()}}})
 }
 
 // A key is held for the rest of its window by a state that was read back from a snapshot.
 func TestKeysInSnapshot(t *testing.T) {
 	const window = time.Minute
 	claim := func(ticket string) []byte {
-		return Change(ChangeClaims, &wire.ClaimsT{List: []*wire.ClaimT{{Key: "k", Ticket: ticket, Holder: "h", Window: window.Microseconds()}}})
+		return EncodeChange(ChangeKeyLeases, &wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{{Key: "k", Token: ticket, Holder: "h", WindowUs: window.Microseconds()}}})
 	}
 	granted := func(s *State, at time.Duration, ticket string) bool {
-		return s.Apply(core.Entry{Stamp: at, Data: claim(ticket)}).Grants[0].Granted
+		return s.Apply(core.Entry{LogTime: at, Data: claim(ticket)}).LeaseResults[0].Granted
 	}
 	var before, after State
-	assert.NilError(t, before.Load(nil))
+	assert.NilError(t, before.Decode(nil))
 	assert.Assert(t, granted(&before, time.Second, "a"))
-	assert.NilError(t, after.Load(before.Save()))
+	assert.NilError(t, after.Decode(before.Encode()))
 	for _, s := range []*State{&before, &after} {
 		assert.Assert(t, !granted(s, time.Second+window, "b"))
 		assert.Assert(t, granted(s, time.Second+window+1, "b"))
@@ -111,12 +111,12 @@
 		assert.Assert(t, c.now < time.Minute)
 		c.step(100 * time.Microsecond)
 	}
-	assert.Assert(t, !next.replica.Current())
-	status, last := 0, next.replica.core.LastIndex()
+	assert.Assert(t, !next.replica.IsReadyLeader())
+	status, last := 0, next.replica.raft.LastIndex()
 	next.call(func(r *Replica) {
 		r.Modify(c.now, []byte(`{"Upsert":{"UpstreamGroups":[{"Name":"a","ConfigVersion":1}]}}`), func(reply Reply) { status = reply.Status })
 	})
-	assert.Equal(t, next.replica.core.LastIndex(), last)
+	assert.Equal(t, next.replica.raft.LastIndex(), last)
 	c.run(time.Second)
 	assert.Equal(t, status, http.StatusOK)
 }
@@ -124,30 +124,30 @@
 // A follower's read waits until what the leader named is applied.
 func TestReadWaitsForItsIndex(t *testing.T) {
 	r, e := replicaA(t)
-	heartbeatOf(r, 0, "b", 2)
+	receiveHeartbeat(r, 0, "b", 2)
 	answers := 0
-	r.Confirmed(time.Millisecond, func(ok bool) {
+	r.LinearizableRead(time.Millisecond, func(ok bool) {
 		answers++
 		assert.Assert(t, ok)
 	})
-	e.answer[0](Reply{Status: http.StatusOK, Body: binary.BigEndian.AppendUint64(nil, 3)})
-	heartbeatOf(r, 2*time.Millisecond, "b", 2)
+	e.callbacks[0](Reply{Status: http.StatusOK, Body: binary.BigEndian.AppendUint64(nil, 3)})
+	receiveHeartbeat(r, 2*time.Millisecond, "b", 2)
 	assert.Equal(t, answers, 0)
 	var entries []core.Entry
 	for index := uint64(2); index <= 3; index++ {
 		entries = append(entries, core.Entry{Index: index, Term: 2})
 	}
-	r.Step(3*time.Millisecond, core.Message{Kind: core.Append, From: founderID("b"), To: r.self.ID, Term: 2, Index: 1, LogTerm: 1, Entries: entries, Commit: 2})
-	r.Turn()
+	r.Step(3*time.Millisecond, core.Message{Kind: core.AppendEntries, From: founderID("b"), To: r.self.ID, Term: 2, Index: 1, LogTerm: 1, Entries: entries, Commit: 2})
+	r.ProcessReady()
 	assert.Equal(t, answers, 0)
-	r.Step(4*time.Millisecond, core.Message{Kind: core.Append, From: founderID("b"), To: r.self.ID, Term: 2, Index: 3, LogTerm: 2, Commit: 3})
-	r.Turn()
+	r.Step(4*time.Millisecond, core.Message{Kind: core.AppendEntries, From: founderID("b"), To: r.self.ID, Term: 2, Index: 3, LogTerm: 2, Commit: 3})
+	r.ProcessReady()
 	assert.Equal(t, answers, 1)
 }
 
 // fullDisk is an Environment whose disk takes nothing while it is full.
 type fullDisk struct {
-	recorded
+	recordingEnvironment
 	full  bool
 	saved []core.Ready
 }
@@ -164,24 +164,24 @@
 	r, _ := replicaA(t)
 	e := &fullDisk{full: true}
 	r.env = e
-	r.Step(0, core.Message{Kind: core.Append, From: founderID("b"), To: r.self.ID, Term: 2, Index: 1, LogTerm: 1, Entries: []core.Entry{{Index: 2, Term: 2}}})
+	r.Step(0, core.Message{Kind: core.AppendEntries, From: founderID("b"), To: r.self.ID, Term: 2, Index: 1, LogTerm: 1, Entries: []core.Entry{{Index: 2, Term: 2}}})
 	for range 3 {
-		assert.Assert(t, !r.Turn())
+		assert.Assert(t, !r.ProcessReady())
 		assert.Equal(t, len(e.sent), 0)
 	}
 	e.full = false
-	assert.Assert(t, r.Turn())
+	assert.Assert(t, r.ProcessReady())
 	assert.Equal(t, len(e.saved), 1)
 	assert.Equal(t, len(e.saved[0].Entries), 1)
-	assert.Equal(t, e.saved[0].Hard.Term, uint64(2))
-	assert.Assert(t, len(e.sent) == 1 && e.sent[0].Kind == core.Appended && e.sent[0].Index == 2, "%v", e.sent)
+	assert.Equal(t, e.saved[0].HardState.Term, uint64(2))
+	assert.Assert(t, len(e.sent) == 1 && e.sent[0].Kind == core.AppendResponse && e.sent[0].Index == 2, "%v", e.sent)
 }
 
 // A replica whose owner hangs is in touch with nobody.
 func TestHasQuorumContact(t *testing.T) {
-	assert.Assert(t, !InTouch(0, 0))
-	assert.Assert(t, InTouch(time.Second, time.Second+stuckAfter-1))
-	assert.Assert(t, !InTouch(time.Second, time.Second+stuckAfter))
+	assert.Assert(t, !HasQuorumContact(0, 0))
+	assert.Assert(t, HasQuorumContact(time.Second, time.Second+stallTimeout-1))
+	assert.Assert(t, !HasQuorumContact(time.Second, time.Second+stallTimeout))
 }
 
 // A replica that a maintenance order has out gives the lead away and sends sidecars elsewhere, until it is let in again.
@@ -189,23 +189,23 @@
 	c, leader := newSettledCluster(t)
 	step := func(kind byte, text string) {
 		c.leader().call(func(r *Replica) {
-			assert.Assert(t, r.Propose(c.now, Change(ChangeMaintenance, &wire.NightT{Kind: kind, Text: []byte(text)}), func(o Outcome, known bool) {
+			assert.Assert(t, r.Propose(c.now, EncodeChange(ChangeMaintenance, &wire.MaintenanceChangeT{Kind: kind, Json: []byte(text)}), func(o Outcome, known bool) {
 				assert.Assert(t, known)
 				assert.NilError(t, o.Err)
 			}))
 		})
 		c.run(time.Second)
 	}
-	assert.Assert(t, leader.replica.Touched() > 0)
-	step(MaintenancePlace, fmt.Sprintf(`{"id":"o","machines":[%q],"by":"ana"}`, leader.address))
-	assert.Assert(t, !leader.replica.Held())
-	step(MaintenanceWord, `{"id":"o","step":"draining","text":"-"}`)
-	assert.Assert(t, leader.replica.Held())
-	assert.Equal(t, leader.replica.Touched(), time.Duration(0))
+	assert.Assert(t, leader.replica.QuorumContact() > 0)
+	step(MaintenanceOrder, fmt.Sprintf(`{"id":"o","machines":[%q],"by":"ana"}`, leader.address))
+	assert.Assert(t, !leader.replica.InMaintenance())
+	step(MaintenanceUpdate, `{"id":"o","step":"draining","text":"-"}`)
+	assert.Assert(t, leader.replica.InMaintenance())
+	assert.Equal(t, leader.replica.QuorumContact(), time.Duration(0))
 	assert.Assert(t, c.leader() != leader)
-	outs := leader.replica.State().Maintenance.Outs()
+	outs := leader.replica.State().Maintenance.MachinesMessage()
 	assert.Equal(t, len(trunk.Encode(outs)) > 0 && outs.List[0].Addr == leader.address, true)
-	step(MaintenanceWord, `{"id":"o","step":"returning","text":"-"}`)
-	assert.Assert(t, !leader.replica.Held())
-	assert.Assert(t, leader.replica.Touched() > 0)
+	step(MaintenanceUpdate, `{"id":"o","step":"returning","text":"-"}`)
+	assert.Assert(t, !leader.replica.InMaintenance())
+	assert.Assert(t, leader.replica.QuorumContact() > 0)
 }
--- a/internal/mesh/replica/sidecars.go
+++ b/internal/mesh/replica/sidecars.go
@@ -9,52 +9,54 @@
 	"hollyspur/internal/exchange/vault"
 )
 
-// Greeting is what a sidecar is told when it connects, in this order.
-func (r *Replica) Greeting() []any {
-	return []any{r.membersMessage(), r.heartbeat(), directory.Wire(r.records.All()), r.state.Maintenance.Outs()}
+// InitialMessages is what a sidecar is told when it connects, in this order.
+func (r *Replica) InitialMessages() []any {
+	return []any{r.membersMessage(), r.heartbeatMessage(), directory.ToWire(r.records.All()), r.state.Maintenance.MachinesMessage()}
 }
 
-// heartbeat says whether this replica is in touch. Sidecars hear it with each beat of a connection, when they connect, and at
+// heartbeatMessage says whether this replica is in touch. Sidecars hear it with each beat of a connection, when they connect, and at
 // once when the replica comes back in touch.
-func (r *Replica) heartbeat() *wire.BeatT { return &wire.BeatT{Touch: InTouch(r.touched, r.now)} }
+func (r *Replica) heartbeatMessage() *wire.HeartbeatT {
+	return &wire.HeartbeatT{QuorumContact: HasQuorumContact(r.quorumContact, r.now)}
+}
 
 // membersMessage are the addresses of the replicas, for sidecars.
 func (r *Replica) membersMessage() *wire.MembersT {
-	l, view := r.core.Members()
-	return &wire.MembersT{List: vault.WireMembers(l), Index: view}
+	l, view := r.raft.Members()
+	return &wire.MembersT{List: vault.MembersToWire(l), Index: view}
 }
 
-// TakeRecords merges records that a sidecar told of itself (direct), or another replica. The answer goes back to the sidecar: one
+// MergeRecords merges records that a sidecar told of itself (direct), or another replica. The answer goes back to the sidecar: one
 // that started with a clock set back learns that a later life of it is known.
-func (r *Replica) TakeRecords(now time.Duration, records []directory.Record, direct bool) (answer []directory.Record) {
-	r.at(now)
+func (r *Replica) MergeRecords(now time.Duration, records []directory.Record, direct bool) (answer []directory.Record) {
+	r.advanceTime(now)
 	var news []directory.Record
 	r.records, news = r.records.Merge(r.now, records)
 	if direct {
 		for _, x := range records {
-			if held, is := r.records.Get(x.Addr); is && held.Life > x.Life {
+			if held, is := r.records.Get(x.Addr); is && held.Incarnation > x.Incarnation {
 				answer = append(answer, held)
 			}
 		}
 	}
 	if len(news) > 0 {
-		message := directory.Wire(news)
-		r.env.TellSidecars(message)
+		message := directory.ToWire(news)
+		r.env.BroadcastToSidecars(message)
 		if direct {
-			r.env.TellReplicas(message)
+			r.env.BroadcastToReplicas(message)
 		}
 	}
 	return answer
 }
 
-// table is all items, as a message.
-func (r *Replica) table() *wire.ItemsT {
-	t := patch.Wire(r.state.Items.Items())
-	t.Whole, t.Index = true, r.core.Applied()
-	b := r.state.Rules.Board
-	t.Print, t.BoundAt = b.Bound, b.BoundAt
-	if b.Pending() { // else those that bind are among the items
-		t.Bound = patch.Wire(r.state.Bound.Items()).List
+// itemsMessage is all items, as a message.
+func (r *Replica) itemsMessage() *wire.ItemsT {
+	t := patch.ItemsToWire(r.state.Items.Items())
+	t.Complete, t.Index = true, r.raft.AppliedIndex()
+	b := r.state.Policy.Rollout
+	t.ActiveFingerprint, t.ActiveIndex = b.Active, b.ActiveIndex
+	if b.IsPending() { // else those that bind are among the items
+		t.ActivePolicy = patch.ItemsToWire(r.state.ActivePolicy.Items()).List
 	}
 	return t
 }
--- a/internal/mesh/replica/turn.go
+++ b/internal/mesh/replica/turn.go
@@ -5,80 +5,80 @@
 	"hollyspur/internal/exchange/patch"
 )
 
-// Turn carries out what the core wants, until it wants nothing. It is to be called after each other call, or after several.
+// ProcessReady carries out what the core wants, until it wants nothing. It is to be called after each other call, or after several.
 // False: the disk does not take what must be on it; the owner calls nothing but Turn until it returns true.
-func (r *Replica) Turn() bool {
-	if r.unsaved != nil && !r.carryOut(*r.unsaved) {
+func (r *Replica) ProcessReady() bool {
+	if r.unsavedReady != nil && !r.persistAndApply(*r.unsavedReady) {
 		return false
 	}
 	for {
-		r.core.Flush()
-		ready := r.core.Ready()
-		if len(ready.Before)+len(ready.After)+len(ready.Committed)+len(ready.Reads) == 0 && !ready.Must() {
-			if r.noteLeader() {
+		r.raft.Flush()
+		ready := r.raft.Ready()
+		if len(ready.MessagesBeforeSave)+len(ready.MessagesAfterSave)+len(ready.CommittedEntries)+len(ready.ReadStates) == 0 && !ready.MustSync() {
+			if r.announceLeader() {
 				continue
 			}
 			return true
 		}
-		r.sendAll(ready.Before)
-		if !r.carryOut(ready) {
+		r.sendAll(ready.MessagesBeforeSave)
+		if !r.persistAndApply(ready) {
 			return false // and nothing that rests on it was said
 		}
 	}
 }
 
-// carryOut does all of a Ready that follows its Before; false: it is not on disk.
-func (r *Replica) carryOut(ready core.Ready) bool {
-	if ready.Must() {
-		if !r.env.Save(ready, r.logged) {
-			r.unsaved = &ready
+// persistAndApply does all of a Ready that follows its Before; false: it is not on disk.
+func (r *Replica) persistAndApply(ready core.Ready) bool {
+	if ready.MustSync() {
+		if !r.env.Save(ready, r.savedIndex) {
+			r.unsavedReady = &ready
 			return false
 		}
-		r.unsaved = nil
-		r.noteSaved(ready)
-		r.core.Saved(ready)
+		r.unsavedReady = nil
+		r.recordSaved(ready)
+		r.raft.MarkSaved(ready)
 	}
-	r.sendAll(ready.After)
+	r.sendAll(ready.MessagesAfterSave)
 	if ready.Snapshot != nil {
-		r.install(*ready.Snapshot)
+		r.installSnapshot(*ready.Snapshot)
 	}
-	r.applyAll(ready.Committed)
-	r.answerReads(ready.Reads)
-	r.wake()
-	if r.core.Logged() > r.compactAt {
+	r.applyEntries(ready.CommittedEntries)
+	r.completeReads(ready.ReadStates)
+	r.resumeWaiters()
+	if r.raft.EntriesSinceSnapshot() > r.compactionThreshold {
 		r.compact()
 	}
 	return true
 }
 
-func (r *Replica) noteSaved(ready core.Ready) {
+func (r *Replica) recordSaved(ready core.Ready) {
 	if n := len(ready.Entries); n > 0 {
-		r.logged = ready.Entries[n-1].Index
+		r.savedIndex = ready.Entries[n-1].Index
 	} else if ready.Snapshot != nil {
-		r.logged = ready.Snapshot.Index
+		r.savedIndex = ready.Snapshot.Index
 	}
 }
 
-// install takes the state of a snapshot that another replica sent.
-func (r *Replica) install(s core.Snapshot) {
-	if err := r.state.Load(s.Data); err != nil {
+// installSnapshot takes the state of a snapshot that another replica sent.
+func (r *Replica) installSnapshot(s core.Snapshot) {
+	if err := r.state.Decode(s.Data); err != nil {
 		r.log.Error().Err(err).Msg("a snapshot was received that can't be read")
 	}
-	r.leaderless = Leaderless{}
-	r.env.TellSidecars(patch.Wire(r.state.Items.Items()))
-	r.env.TellSidecars(r.state.Maintenance.Outs())
-	r.env.TellSidecars(r.state.Rules.Bound())
+	r.leaderGap = leaderGap{}
+	r.env.BroadcastToSidecars(patch.ItemsToWire(r.state.Items.Items()))
+	r.env.BroadcastToSidecars(r.state.Maintenance.MachinesMessage())
+	r.env.BroadcastToSidecars(r.state.Policy.ActiveMessage())
 }
 
-func (r *Replica) applyAll(entries []core.Entry) {
+func (r *Replica) applyEntries(entries []core.Entry) {
 	for _, e := range entries {
-		clock := r.state.Maintenance.Clock.Stamp
+		clock := r.state.Maintenance.Clock.LogTime
 		var o Outcome
-		if e.Kind == core.Change {
+		if e.Kind == core.EntryCommand {
 			o = r.state.Apply(e)
 		}
-		r.leaderless.entry(e, r.now, r.state.Maintenance.Clock.Stamp != clock)
-		r.tellOutcome(o)
+		r.leaderGap.observe(e, r.now, r.state.Maintenance.Clock.LogTime != clock)
+		r.broadcastOutcome(o)
 		if p, is := r.proposals[e.Index]; is {
 			delete(r.proposals, e.Index)
 			p.done(o, p.term == e.Term)
@@ -86,50 +86,50 @@
 	}
 }
 
-// tellOutcome tells the sidecars what an entry has changed.
-func (r *Replica) tellOutcome(o Outcome) {
-	if o.Maintenance && o.Err == nil {
-		r.env.TellSidecars(r.state.Maintenance.Outs())
+// broadcastOutcome tells the sidecars what an entry has changed.
+func (r *Replica) broadcastOutcome(o Outcome) {
+	if o.MaintenanceChanged && o.Err == nil {
+		r.env.BroadcastToSidecars(r.state.Maintenance.MachinesMessage())
 	}
-	if len(o.Raised) > 0 {
-		if r.core.Leads() {
-			r.core.Tell(r.now)
+	if len(o.UpdatedItems) > 0 {
+		if r.raft.IsLeader() {
+			r.raft.BroadcastCommit(r.now)
 		}
-		r.env.TellSidecars(patch.Wire(o.Raised))
+		r.env.BroadcastToSidecars(patch.ItemsToWire(o.UpdatedItems))
 	}
-	if o.Bound {
-		r.env.TellSidecars(r.state.Rules.Bound())
+	if o.PolicyActivated {
+		r.env.BroadcastToSidecars(r.state.Policy.ActiveMessage())
 	}
 }
 
-func (r *Replica) answerReads(reads []core.Read) {
+func (r *Replica) completeReads(reads []core.ReadState) {
 	for _, x := range reads {
-		if done := r.reads[x.ID]; done != nil {
-			delete(r.reads, x.ID)
+		if done := r.pendingReads[x.RequestID]; done != nil {
+			delete(r.pendingReads, x.RequestID)
 			done(x.Index, x.Index > 0)
 		}
 	}
 }
 
-// wake calls those that waited for what is applied by now.
-func (r *Replica) wake() {
-	at := r.core.Applied()
+// resumeWaiters calls those that waited for what is applied by now.
+func (r *Replica) resumeWaiters() {
+	at := r.raft.AppliedIndex()
 	var due, rest []waiter
-	for _, w := range r.waiting {
+	for _, w := range r.waiters {
 		if w.index <= at {
 			due = append(due, w)
 		} else {
 			rest = append(rest, w)
 		}
 	}
-	r.waiting = rest
+	r.waiters = rest
 	for _, w := range due {
-		w.then()
+		w.resume()
 	}
 }
 
 // compact has a snapshot of the state stand for the log.
 func (r *Replica) compact() {
-	snapshot := r.core.Compact(r.core.Applied(), r.state.Save())
-	r.env.Compact(snapshot, r.core.Kept())
+	snapshot := r.raft.Compact(r.raft.AppliedIndex(), r.state.Encode())
+	r.env.Compact(snapshot, r.raft.OldestRetainedIndex())
 }
--- a/internal/mesh/replica/view.go
+++ b/internal/mesh/replica/view.go
@@ -17,45 +17,45 @@
 func (r *Replica) Records() directory.Table { return r.records }
 
 // Members are the members of the latest list and the index of its entry.
-func (r *Replica) Members() ([]core.Member, uint64) { return r.core.Members() }
+func (r *Replica) Members() ([]core.Member, uint64) { return r.raft.Members() }
 
-// Leads says that this replica leads, as far as it knows.
-func (r *Replica) Leads() bool { return r.core.Leads() }
+// IsLeader says that this replica leads, as far as it knows.
+func (r *Replica) IsLeader() bool { return r.raft.IsLeader() }
 
 // LeaderAddress is where the leader listens, as far as is known; "": none is.
 func (r *Replica) LeaderAddress() string {
-	if r.core.Leads() {
+	if r.raft.IsLeader() {
 		return r.self.Addr
 	}
-	return r.core.Addr(r.core.Leader())
+	return r.raft.Addr(r.raft.Leader())
 }
 
 // Term is the present term.
-func (r *Replica) Term() uint64 { return r.core.Term() }
+func (r *Replica) Term() uint64 { return r.raft.Term() }
 
-// Applied is the last entry applied.
-func (r *Replica) Applied() uint64 { return r.core.Applied() }
+// AppliedIndex is the last entry applied.
+func (r *Replica) AppliedIndex() uint64 { return r.raft.AppliedIndex() }
 
-// Logged is the last entry on disk.
-func (r *Replica) Logged() uint64 { return r.logged }
+// SavedIndex is the last entry on disk.
+func (r *Replica) SavedIndex() uint64 { return r.savedIndex }
 
-// Outside says that this replica is no member, as far as it knows.
-func (r *Replica) Outside() bool { return r.core.Outside() }
+// IsNonMember says that this replica is no member, as far as it knows.
+func (r *Replica) IsNonMember() bool { return r.raft.IsNonMember() }
 
-// Held says that a maintenance order has this replica out.
-func (r *Replica) Held() bool { return r.held }
+// InMaintenance says that a maintenance order has this replica out.
+func (r *Replica) InMaintenance() bool { return r.inMaintenance }
 
-// Hears says that the leader, which must be this replica, hears a member.
-func (r *Replica) Hears(id core.ID) bool { return r.core.Hears(id) }
+// HearsFrom says that the leader, which must be this replica, hears a member.
+func (r *Replica) HearsFrom(id core.ID) bool { return r.raft.IsRecentlyActive(id) }
 
-// Current says that this replica leads and has applied all that leaders before it may have had agreed on.
-func (r *Replica) Current() bool { return r.core.Current() }
+// IsReadyLeader says that this replica leads and has applied all that leaders before it may have had agreed on.
+func (r *Replica) IsReadyLeader() bool { return r.raft.IsCaughtUpLeader() }
 
-// Stamp is the log's time, at the leader.
-func (r *Replica) Stamp(now time.Duration) time.Duration {
-	r.at(now)
-	return r.core.Stamp(r.now)
+// LogTime is the log's time, at the leader.
+func (r *Replica) LogTime(now time.Duration) time.Duration {
+	r.advanceTime(now)
+	return r.raft.LogTime(r.now)
 }
 
-// LeaderlessFor is for how long nobody led since the last agreed time; night.GapUnknown: this replica can't tell.
-func (r *Replica) LeaderlessFor() time.Duration { return r.leaderless.total }
+// LeaderGap is for how long nobody led since the last agreed time; night.GapUnknown: this replica can't tell.
+func (r *Replica) LeaderGap() time.Duration { return r.leaderGap.duration }
--- a/internal/mesh/scale/announcer.go
+++ b/internal/mesh/scale/announcer.go
@@ -29,7 +29,7 @@
 type announcer struct {
 	set       settings.Settings
 	record    directory.Record
-	asks      trunk.Asks
+	asks      trunk.Calls
 	confirmed atomic.Bool
 
 	mu       sync.Mutex // guards versions
@@ -37,15 +37,15 @@
 }
 
 func newAnnouncer(set settings.Settings) *announcer {
-	r := directory.Record{Node: set.NodeName, Life: uint64(time.Now().UnixNano()), Seq: 1, Addr: set.ListenAddrs.Inbound, Zone: set.Zone,
-		Service: set.Service, Server: "i-" + set.NodeName + "-1", State: directory.Ready, Slots: serverSlots, Speaks: trunk.Version}
+	r := directory.Record{Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1, Addr: set.ListenAddrs.Inbound, Zone: set.Zone,
+		Service: set.Service, ServerID: "i-" + set.NodeName + "-1", State: directory.ServerReady, Slots: serverSlots, ProtocolVersion: trunk.ProtocolVersion}
 	return &announcer{set: set, record: r, versions: map[string]int64{}}
 }
 
 // Run stays connected until ctx ends.
 func (a *announcer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		seeds := a.set.Seeds()
+		seeds := a.set.SeedAddresses()
 		hello := &wire.HelloT{Name: a.set.NodeName, Addr: a.record.Addr, Zone: a.set.Zone}
 		if c, err := trunk.Dial(ctx, seeds[rand.IntN(len(seeds))], hello, nil); err == nil {
 			a.follow(ctx, c)
@@ -61,7 +61,7 @@
 func (a *announcer) follow(ctx context.Context, c *trunk.Conn) {
 	defer c.Close(nil)
 	defer context.AfterFunc(ctx, func() { c.Close(ctx.Err()) })()
-	c.Open(1)
+	c.AddPending(1)
 	go a.announce(c)
 	go a.confirm(ctx, c)
 	for {
@@ -71,9 +71,9 @@
 		}
 		switch v := m.Value.(type) {
 		case *wire.ItemsT:
-			a.take(patch.ItemsOf(v))
-		case *wire.ToldT:
-			a.asks.Told(c, v)
+			a.take(patch.ItemsFromWire(v))
+		case *wire.CallReplyT:
+			a.asks.Deliver(c, v)
 		}
 	}
 }
@@ -83,10 +83,10 @@
 	again := time.NewTicker(announceEvery)
 	defer again.Stop()
 	r := a.record
-	r.Life = uint64(time.Now().UnixNano())
+	r.Incarnation = uint64(time.Now().UnixNano())
 	for {
-		c.Send(directory.Wire([]directory.Record{r}))
-		r.Seq++
+		c.Send(directory.ToWire([]directory.Record{r}))
+		r.Sequence++
 		select {
 		case <-again.C:
 		case <-c.Done():
@@ -99,12 +99,12 @@
 func (a *announcer) confirm(ctx context.Context, c *trunk.Conn) {
 	for c.Err() == nil {
 		within, cancel := context.WithTimeout(ctx, askTimeout)
-		t, err := a.asks.Ask(within, c, trunk.AskTable, nil)
+		t, err := a.asks.Call(within, c, trunk.CallItems, nil)
 		cancel()
 		if err == nil && t.Status == http.StatusOK {
-			items, err := trunk.Parse(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+			items, err := trunk.DecodeTable(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 			if err == nil && len(items.List) > 0 {
-				a.take(patch.ItemsOf(items))
+				a.take(patch.ItemsFromWire(items))
 				a.confirmed.Store(true)
 				return
 			}
@@ -117,8 +117,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, i := range items {
-		if i.Kind == patch.Route {
-			a.versions[i.Name.Name] = max(a.versions[i.Name.Name], i.Version)
+		if i.Kind == patch.KindRoute {
+			a.versions[i.Key.Name] = max(a.versions[i.Key.Name], i.Version)
 		}
 	}
 }
--- a/internal/mesh/scale/fleet.go
+++ b/internal/mesh/scale/fleet.go
@@ -46,8 +46,8 @@
 	plan     plan
 	dir      string
 	program  string // this one, for workers
-	mesh     *mesh.Mesh
-	callers  []*trunk.Caller  // to the control plane's members, in order
+	mesh     *mesh.Cluster
+	callers  []*trunk.Client  // to the control plane's members, in order
 	full     []*workerProcess // none: the full sidecars are real
 	announce *workerProcess   // nil: there are no announcers
 	servers  []*server
@@ -79,13 +79,13 @@
 	if f.mesh, err = mesh.New(f.dir, x.Registers); err != nil {
 		return f, err
 	}
-	if f.base, err = settings.Load(filepath.Join(f.dir, f.mesh.Registers[0].Name+".yaml")); err != nil {
+	if f.base, err = settings.Load(filepath.Join(f.dir, f.mesh.Members[0].Name+".yaml")); err != nil {
 		return f, err
 	}
 	if err := f.configure(); err != nil {
 		return f, err
 	}
-	f.callers = make([]*trunk.Caller, len(f.mesh.Registers))
+	f.callers = make([]*trunk.Client, len(f.mesh.Members))
 	for i := range f.callers {
 		if err := f.dial(i); err != nil {
 			return f, err
@@ -96,7 +96,7 @@
 
 // dial connects with a member of the control plane anew, to ask how it is.
 func (f *fleet) dial(i int) error {
-	set, err := settings.Load(filepath.Join(f.dir, f.mesh.Registers[i].Name+".yaml"))
+	set, err := settings.Load(filepath.Join(f.dir, f.mesh.Members[i].Name+".yaml"))
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	f.callers[i], err = trunk.Call(ctx, set.RegisterTrunk(""), "meshscale", nil)
+	f.callers[i], err = trunk.DialClient(ctx, set.MemberAddress(""), "meshscale", nil)
 	return err
 }
 
@@ -118,11 +118,11 @@
 	}
 	var routes []map[string]any
 	for i := range f.plan.routes {
-		routes = append(routes, mesh.Route(routeName(i), "keyed", fmt.Sprintf("/r%d/", i), serviceName(i%f.plan.services), f.version))
+		routes = append(routes, mesh.RouteItem(routeName(i), "keyed", fmt.Sprintf("/r%d/", i), serviceName(i%f.plan.services), f.version))
 	}
-	body := mesh.Modify(f.version, names, routes...)
+	body := mesh.ModifyCall(f.version, names, routes...)
 	for end := time.Now().Add(startTimeout); ; time.Sleep(retryAfter) {
-		status, text := f.mesh.Registers[0].Operate(body)
+		status, text := f.mesh.Members[0].Modify(body)
 		if status == http.StatusOK {
 			return nil
 		}
@@ -139,10 +139,10 @@
 // until that is acknowledged.
 func (f *fleet) change() (version int64, err error) {
 	f.version++
-	body := mesh.Modify(f.version, nil, mesh.Route(routeName(0), "keyed", "/r0/", serviceName(0), f.version))
+	body := mesh.ModifyCall(f.version, nil, mesh.RouteItem(routeName(0), "keyed", "/r0/", serviceName(0), f.version))
 	for end := time.Now().Add(changeTimeout); ; time.Sleep(retryAfter) {
-		at := f.mesh.Registers[f.random.IntN(len(f.mesh.Registers))]
-		status, text := at.Operate(body)
+		at := f.mesh.Members[f.random.IntN(len(f.mesh.Members))]
+		status, text := at.Modify(body)
 		if status == http.StatusOK {
 			return int64(f.version), nil
 		}
@@ -155,13 +155,13 @@
 // settingsOf are those of the nth sidecar, on an address of its own.
 func (f *fleet) settingsOf(n int) settings.Settings {
 	s := f.base
-	net1 := strings.Join(strings.Split(f.mesh.Registers[0].IP, ".")[:3], ".") // 127.A.B, whose B is moved on
+	net1 := strings.Join(strings.Split(f.mesh.Members[0].IP, ".")[:3], ".") // 127.A.B, whose B is moved on
 	var a, b int
 	fmt.Sscanf(net1, "127.%d.%d", &a, &b)
 	ip := fmt.Sprintf("127.%d.%d.%d", a, (b+1+n/addressesPerNet)%256, 1+n%addressesPerNet)
-	_, control, _ := net.SplitHostPort(f.mesh.Registers[0].At("ControlPlane"))
+	_, control, _ := net.SplitHostPort(f.mesh.Members[0].Addr("ControlPlane"))
 	s.NodeName, s.IPAddress, s.Zone = fmt.Sprintf("side-%d", n+1), ip, fmt.Sprintf("zone-%d", n%zones)
-	s.ListenAddrs = settings.Listen{ControlPlane: net.JoinHostPort(ip, control), Inbound: net.JoinHostPort(ip, "1")}
+	s.ListenAddrs = settings.ListenAddresses{ControlPlane: net.JoinHostPort(ip, control), Inbound: net.JoinHostPort(ip, "1")}
 	s.DataDir, s.FirstStart = "", false
 	s.HeartbeatS = settings.Seconds(f.x.HeartbeatS)
 	s.Service = serviceName(int((uint64(n) + f.plan.seed) % uint64(f.plan.services)))
@@ -182,12 +182,12 @@
 
 func (f *fleet) startReal() error {
 	for range f.plan.size {
-		if _, err := f.mesh.AddLine(serviceName(f.random.IntN(f.plan.services))); err != nil {
+		if _, err := f.mesh.AddSidecar(serviceName(f.random.IntN(f.plan.services))); err != nil {
 			return err
 		}
 	}
 	f.started = f.plan.size
-	if !f.mesh.Ready(startTimeout) {
+	if !f.mesh.AwaitReady(startTimeout) {
 		return errors.New("the real sidecars are not ready")
 	}
 	return nil
--- a/internal/mesh/scale/phases.go
+++ b/internal/mesh/scale/phases.go
@@ -288,7 +288,7 @@
 	n := 0
 	return f.paced(ctx, min(f.x.ClaimsPerS, mostRealClaims), func() error {
 		n++
-		t := f.mesh.Lines[n%len(f.mesh.Lines)].Call("POST", "/r0/x", fmt.Sprintf("k%x", f.random.Uint64()), nil)
+		t := f.mesh.Sidecars[n%len(f.mesh.Sidecars)].Send("POST", "/r0/x", fmt.Sprintf("k%x", f.random.Uint64()), nil)
 		if t.Status/100 != 2 {
 			return fmt.Errorf("status %d", t.Status)
 		}
@@ -308,7 +308,7 @@
 			i := order[n%len(order)]
 			n++
 			if f.plan.real {
-				return restartReal(f.mesh.Lines[i])
+				return restartReal(f.mesh.Sidecars[i])
 			}
 			if !f.servers[i].restart() {
 				return errors.New("a heartbeat was not acknowledged")
@@ -330,7 +330,7 @@
 func (f *fleet) crash(ctx context.Context) (float64, error) {
 	i := f.random.IntN(len(f.servers))
 	s := f.servers[i]
-	if err := f.observe(observeRequest{Server: s.sidecar, State: directory.Down}); err != nil {
+	if err := f.observe(observeRequest{Server: s.sidecar, State: directory.ServerDown}); err != nil {
 		return 0, err
 	}
 	s.beat()
--- a/internal/mesh/scale/run.go
+++ b/internal/mesh/scale/run.go
@@ -43,7 +43,7 @@
 	defer os.RemoveAll(dir)
 	r.programs = dir
 	progress("building the programs")
-	if err := mesh.Build(dir); err != nil {
+	if err := mesh.BuildPrograms(dir); err != nil {
 		return r.results, err
 	}
 	if err := r.all(ctx); err != nil {
--- a/internal/mesh/scale/sample.go
+++ b/internal/mesh/scale/sample.go
@@ -38,7 +38,7 @@
 }
 
 func (f *fleet) sample() (s sample, err error) {
-	for i, r := range f.mesh.Registers {
+	for i, r := range f.mesh.Members {
 		m, err := f.member(i, r.Process.Cmd.Process.Pid)
 		if err != nil {
 			return s, err
@@ -67,8 +67,8 @@
 			}
 			continue
 		}
-		if status.Trouble == "" {
-			m.said, m.leads, m.keys = byPurpose(status.Said), status.Leads, status.Keys
+		if status.Fault == "" {
+			m.said, m.leads, m.keys = byPurpose(status.Traffic), status.IsLeader, status.KeyCount
 			m.usage, err = processUsage(pid)
 			return m, err
 		}
@@ -103,9 +103,9 @@
 
 func (f *fleet) realSidecars() (s sidecars, err error) {
 	s.said = map[string]int64{}
-	for _, x := range f.mesh.Lines {
+	for _, x := range f.mesh.Sidecars {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-		c, err := trunk.Call(ctx, x.At("Inbound"), "meshscale", nil)
+		c, err := trunk.DialClient(ctx, x.Addr("Inbound"), "meshscale", nil)
 		if err != nil {
 			cancel()
 			return s, err
@@ -116,7 +116,7 @@
 		if err != nil {
 			return s, err
 		}
-		addAll(s.said, byPurpose(status.Said))
+		addAll(s.said, byPurpose(status.Traffic))
 		u, err := processUsage(x.Process.Cmd.Process.Pid)
 		if err != nil {
 			return s, err
--- a/internal/mesh/scale/servers.go
+++ b/internal/mesh/scale/servers.go
@@ -71,8 +71,8 @@
 	s.mu.Lock()
 	s.seq++
 	instance := fmt.Sprintf("i-%s-%d", s.node, s.life)
-	b := line.Beat{Address: s.address, SystemInfo: line.SystemInfo{Service: s.service, ConfigVersion: "v1", Zone: s.zone, SlotCount: serverSlots},
-		OperStatus: line.OperStatus{State: s.state, CallSeq: s.seq}}
+	b := line.Heartbeat{Address: s.address, SystemInfo: line.SystemInfo{Service: s.service, ConfigVersion: "v1", Zone: s.zone, SlotCount: serverSlots},
+		OperStatus: line.OperationalStatus{State: s.state, CallSeq: s.seq}}
 	s.mu.Unlock()
 	body, err := json.Marshal(b)
 	if err != nil {
--- a/internal/mesh/scale/worker.go
+++ b/internal/mesh/scale/worker.go
@@ -31,8 +31,8 @@
 	settingsEvery = time.Second          // the programs look for changes of their settings
 )
 
-// sidecar is a hollow sidecar or an announcer.
-type sidecar interface {
+// hollowSidecar is a hollow sidecar or an announcer.
+type hollowSidecar interface {
 	Run(ctx context.Context)
 	Confirmed() bool
 	RouteVersion(name string) int64
@@ -42,7 +42,7 @@
 type Worker struct {
 	kind     string
 	ctx      context.Context
-	sidecars []sidecar
+	sidecars []hollowSidecar
 	running  sync.WaitGroup
 	observer *observer
 	dir      string // of settings files; empty: there are none yet
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func (w *Worker) newSidecar(set settings.Settings) (sidecar, error) {
+func (w *Worker) newSidecar(set settings.Settings) (hollowSidecar, error) {
 	if w.kind == workerAnnounce {
 		return newAnnouncer(set), nil
 	}
@@ -175,10 +175,10 @@
 		}
 	}
 	for _, h := range w.full() {
-		if n := h.Known(); a.FewestKnown < 0 || n < a.FewestKnown {
+		if n := h.KnownSidecars(); a.FewestKnown < 0 || n < a.FewestKnown {
 			a.FewestKnown = n
 		}
-		if h.Known() < q.Known || h.Items() < q.Items {
+		if h.KnownSidecars() < q.Known || h.ItemCount() < q.Items {
 			a.Reached = false
 		}
 	}
@@ -217,7 +217,7 @@
 	return &o.seen
 }
 
-func (o *observer) run(l []sidecar) {
+func (o *observer) run(l []hollowSidecar) {
 	defer close(o.over)
 	last := fewestVersion(l, o.of.Route)
 	tick := time.NewTicker(observeEvery)
@@ -243,7 +243,7 @@
 }
 
 // fewestVersion is the least version of a route that any has in force.
-func fewestVersion(l []sidecar, route string) (least int64) {
+func fewestVersion(l []hollowSidecar, route string) (least int64) {
 	for i, s := range l {
 		if v := s.RouteVersion(route); i == 0 || v < least {
 			least = v
@@ -252,7 +252,7 @@
 	return least
 }
 
-func (o *observer) allSee(l []sidecar) bool {
+func (o *observer) allSee(l []hollowSidecar) bool {
 	for _, s := range l {
 		if h, is := s.(*line.Hollow); is && h.ServerState(o.of.Server) != o.of.State {
 			return false
@@ -290,7 +290,7 @@
 }
 
 func (w *Worker) account(collect bool) *account {
-	a := &account{Said: byPurpose(trunk.Account()), Heard: byPurpose(trunk.Heard()), Goroutines: runtime.NumGoroutine()}
+	a := &account{Said: byPurpose(trunk.SentTraffic()), Heard: byPurpose(trunk.ReceivedTraffic()), Goroutines: runtime.NumGoroutine()}
 	if collect {
 		runtime.GC()
 		var m runtime.MemStats
@@ -300,10 +300,10 @@
 	return a
 }
 
-func byPurpose(l []*wire.SaidT) map[string]int64 {
+func byPurpose(l []*wire.TrafficCounterT) map[string]int64 {
 	m := map[string]int64{}
 	for _, s := range l {
-		m[s.Purpose] = s.Bytes
+		m[s.MessageType] = s.Bytes
 	}
 	return m
 }
--- a/internal/mesh/scale/worker_protocol.go
+++ b/internal/mesh/scale/worker_protocol.go
@@ -52,11 +52,11 @@
 
 // observeRequest begins an observation, or ends the one that runs and asks what it saw.
 type observeRequest struct {
-	Route  string          `json:"route,omitempty"`  // whose versions are noted
-	Server string          `json:"server,omitempty"` // the sidecar whose server's state is waited for
-	State  directory.State `json:"state,omitempty"`
-	Look   bool            `json:"look,omitempty"` // only asks how far it is
-	End    bool            `json:"end,omitempty"`
+	Route  string                `json:"route,omitempty"`  // whose versions are noted
+	Server string                `json:"server,omitempty"` // the sidecar whose server's state is waited for
+	State  directory.ServerState `json:"state,omitempty"`
+	Look   bool                  `json:"look,omitempty"` // only asks how far it is
+	End    bool                  `json:"end,omitempty"`
 }
 
 // observed is what every sidecar of the worker had in force and when, in Unix nanoseconds.
--- a/internal/mesh/sim/disk.go
+++ b/internal/mesh/sim/disk.go
@@ -15,8 +15,8 @@
 
 // Kinds of disks.
 const (
-	MemoryDisk DiskKind = ""      // records in memory, each write kept or lost whole: the fast one
-	VaultDisk  DiskKind = "vault" // the real storage over simulated files
+	MemoryDisk  DiskKind = ""      // records in memory, each write kept or lost whole: the fast one
+	StorageDisk DiskKind = "vault" // the real storage over simulated files
 )
 
 // errDiskFull is that of a write that the disk has no room for.
@@ -40,7 +40,7 @@
 
 // disk is what a replica's storage does. A write that returned is on disk, synced, unless the run has an error planted there.
 type disk interface {
-	read() (held vault.Held, state diskState, err error)
+	read() (held vault.StoredState, state diskState, err error)
 	begin(self core.ID, snapshot core.Snapshot) error
 	save(ready core.Ready, last uint64) error
 	compact(snapshot core.Snapshot, kept uint64) error
@@ -55,20 +55,20 @@
 
 // memoryDisk is a disk as records in memory. It belongs to one world.
 type memoryDisk struct {
-	synced  vault.Held
-	written vault.Held // with what is not synced; only an error planted has it differ from synced
+	synced  vault.StoredState
+	written vault.StoredState // with what is not synced; only an error planted has it differ from synced
 	begun   bool
 	full    bool
 	// Planted errors: writes are not synced when they return; term and vote never are.
 	deferred, hardUnsynced bool
 }
 
-func (d *memoryDisk) read() (vault.Held, diskState, error) {
+func (d *memoryDisk) read() (vault.StoredState, diskState, error) {
 	if !d.begun {
-		return vault.Held{}, diskEmpty, nil
+		return vault.StoredState{}, diskEmpty, nil
 	}
 	h := d.written
-	h.Log = slices.Clone(h.Log)
+	h.Entries = slices.Clone(h.Entries)
 	return h, diskHolds, nil
 }
 
@@ -76,7 +76,7 @@
 	if d.full {
 		return errDiskFull
 	}
-	d.written = vault.Held{Self: self, Snapshot: s}
+	d.written = vault.StoredState{Self: self, Snapshot: s}
 	d.synced, d.begun = d.written, true
 	return nil
 }
@@ -93,27 +93,27 @@
 }
 
 func (d *memoryDisk) sync() {
-	hard := d.synced.Hard
+	hard := d.synced.HardState
 	d.synced = d.written // an append to one is not seen by the other, whose log is shorter
 	if d.hardUnsynced {
-		d.synced.Hard = hard
+		d.synced.HardState = hard
 	}
 }
 
 // withReady is what a disk holds once a Ready is written.
-func withReady(h vault.Held, ready core.Ready) vault.Held {
-	if ready.Hard != nil {
-		h.Hard = *ready.Hard
+func withReady(h vault.StoredState, ready core.Ready) vault.StoredState {
+	if ready.HardState != nil {
+		h.HardState = *ready.HardState
 	}
 	if ready.Snapshot != nil {
-		h.Snapshot, h.Log, h.Tail = *ready.Snapshot, nil, nil
+		h.Snapshot, h.Entries, h.CatchUpEntries = *ready.Snapshot, nil, nil
 	}
 	if n := len(ready.Entries); n > 0 {
 		keep := ready.Entries[0].Index - h.Snapshot.Index - 1
-		if keep < uint64(len(h.Log)) {
-			h.Log = slices.Clone(h.Log[:keep]) // others may still read what is replaced
+		if keep < uint64(len(h.Entries)) {
+			h.Entries = slices.Clone(h.Entries[:keep]) // others may still read what is replaced
 		}
-		h.Log = append(h.Log, ready.Entries...)
+		h.Entries = append(h.Entries, ready.Entries...)
 	}
 	return h
 }
@@ -125,9 +125,9 @@
 	h := d.written
 	if s.Index > h.Snapshot.Index {
 		covered := s.Index - h.Snapshot.Index
-		tail := append(slices.Clone(h.Tail), h.Log[:covered]...)
-		h.Tail = slices.DeleteFunc(tail, func(e core.Entry) bool { return e.Index < kept })
-		h.Log = slices.Clone(h.Log[covered:])
+		tail := append(slices.Clone(h.CatchUpEntries), h.Entries[:covered]...)
+		h.CatchUpEntries = slices.DeleteFunc(tail, func(e core.Entry) bool { return e.Index < kept })
+		h.Entries = slices.Clone(h.Entries[covered:])
 		h.Snapshot = s
 	}
 	d.written = h
@@ -144,7 +144,7 @@
 	}
 	if power {
 		d.written = d.synced
-		d.written.Log = slices.Clone(d.synced.Log) // what is appended from now on must not meet what was lost
+		d.written.Entries = slices.Clone(d.synced.Entries) // what is appended from now on must not meet what was lost
 		return
 	}
 	d.sync()
@@ -160,8 +160,8 @@
 		return 0, false, true // it was committed
 	}
 	n := index - d.synced.Snapshot.Index - 1
-	if n >= uint64(len(d.synced.Log)) {
+	if n >= uint64(len(d.synced.Entries)) {
 		return 0, false, false
 	}
-	return d.synced.Log[n].Term, true, true
+	return d.synced.Entries[n].Term, true, true
 }
--- a/internal/mesh/sim/disk/current.go
+++ b/internal/mesh/sim/disk/current.go
@@ -15,9 +15,9 @@
 // Names of the files that say which manifest holds. They are written, renamed and looked for in the order that goleveldb's
 // storage of files documents: a new pointer under a name of its own, synced, renamed over the present one, the folder synced.
 const (
-	currentName   = "CURRENT"
-	backupName    = "CURRENT.bak"
-	pendingPrefix = "CURRENT."
+	currentPointerName   = "CURRENT"
+	backupPointerName    = "CURRENT.bak"
+	pendingPointerPrefix = "CURRENT."
 )
 
 // SetMeta has a manifest hold. A loss of power may come between any two of its steps.
@@ -26,8 +26,8 @@
 		return storage.ErrInvalidFile
 	}
 	pointer, present := []byte(fd.String()+"\n"), []byte(nil)
-	err := h.use(func(files *folder) error {
-		if current, is := files.names[currentName]; is {
+	err := h.withFolder(func(files *folder) error {
+		if current, is := files.cached[currentPointerName]; is {
 			present = current.cached
 		}
 		return nil
@@ -36,21 +36,21 @@
 		return err
 	}
 	if present != nil {
-		if err := h.writeSynced(backupName, present); err != nil {
+		if err := h.writeSynced(backupPointerName, present); err != nil {
 			return err
 		}
 	}
-	pending := pendingPrefix + strconv.FormatInt(fd.Num, 10)
+	pending := pendingPointerPrefix + strconv.FormatInt(fd.Num, 10)
 	if err := h.writeSynced(pending, pointer); err != nil {
 		return err
 	}
-	err = h.change(Access{Kind: AccessRename, File: pending}, false, func(files *folder) error {
-		return files.rename(pending, currentName)
+	err = h.modify(Access{Kind: AccessRename, File: pending}, false, func(files *folder) error {
+		return files.rename(pending, currentPointerName)
 	})
 	if err != nil {
 		return err
 	}
-	return h.change(Access{Kind: AccessSyncFolder}, false, func(*folder) error {
+	return h.modify(Access{Kind: AccessSyncFolder}, false, func(*folder) error {
 		h.disk.syncFolder()
 		return nil
 	})
@@ -69,7 +69,7 @@
 	}
 	for _, step := range steps {
 		a := Access{Kind: step.kind, File: name, Bytes: len(content)}
-		err := h.change(a, step.kind != AccessSync, func(files *folder) error {
+		err := h.modify(a, step.kind != AccessSync, func(files *folder) error {
 			step.do(files)
 			return nil
 		})
@@ -85,7 +85,7 @@
 func (h *handle) GetMeta() (fd storage.FileDesc, err error) {
 	var pending []string
 	var name string
-	err = h.use(func(files *folder) (damaged error) {
+	err = h.withFolder(func(files *folder) (damaged error) {
 		pending = files.pendingPointers()
 		fd, name, damaged = files.newestPointer(pending)
 		if name != "" {
@@ -93,12 +93,12 @@
 		}
 		return damaged
 	})
-	if err != nil || h.readOnly || name == currentName && len(pending) == 0 {
+	if err != nil || h.readOnly || name == currentPointerName && len(pending) == 0 {
 		return fd, err
 	}
 	if h.SetMeta(fd) == nil { // else it is found as it was found now
 		for _, name := range pending {
-			_ = h.change(Access{Kind: AccessRemove, File: name}, false, func(files *folder) error { return files.remove(name) })
+			_ = h.modify(Access{Kind: AccessRemove, File: name}, false, func(files *folder) error { return files.remove(name) })
 		}
 	}
 	return fd, nil
@@ -107,14 +107,14 @@
 // pendingPointers are the names of pointers that were not renamed, the newest first.
 func (f *folder) pendingPointers() (pending []string) {
 	number := func(name string) int64 {
-		n, err := strconv.ParseInt(strings.TrimPrefix(name, pendingPrefix), 10, 64)
+		n, err := strconv.ParseInt(strings.TrimPrefix(name, pendingPointerPrefix), 10, 64)
 		if err != nil {
 			return -1
 		}
 		return n
 	}
-	for name := range f.names {
-		if strings.HasPrefix(name, pendingPrefix) && number(name) >= 0 {
+	for name := range f.cached {
+		if strings.HasPrefix(name, pendingPointerPrefix) && number(name) >= 0 {
 			pending = append(pending, name)
 		}
 	}
@@ -126,7 +126,7 @@
 // pointer's name; without one err says whether there was none at all or a damaged one.
 func (f *folder) newestPointer(pending []string) (fd storage.FileDesc, name string, err error) {
 	err = os.ErrNotExist
-	for _, group := range [][]string{{currentName, backupName}, pending} {
+	for _, group := range [][]string{{currentPointerName, backupPointerName}, pending} {
 		for _, candidate := range group {
 			target, wrong := f.pointer(candidate)
 			if wrong == nil {
@@ -145,7 +145,7 @@
 
 // pointer is where one pointer points.
 func (f *folder) pointer(name string) (storage.FileDesc, error) {
-	file, is := f.names[name]
+	file, is := f.cached[name]
 	if !is {
 		return storage.FileDesc{}, os.ErrNotExist
 	}
@@ -154,7 +154,7 @@
 	if !whole || !known {
 		return storage.FileDesc{}, &storage.ErrCorrupted{Err: fmt.Errorf("%s is damaged", name)}
 	}
-	if _, is := f.names[target]; !is {
+	if _, is := f.cached[target]; !is {
 		return storage.FileDesc{}, os.ErrNotExist
 	}
 	return fd, nil
--- a/internal/mesh/sim/disk/disk.go
+++ b/internal/mesh/sim/disk/disk.go
@@ -39,14 +39,14 @@
 
 // Disk is one machine's disk. It may be used by several goroutines at once, as goleveldb does.
 type Disk struct {
-	mu       sync.Mutex
-	folder   folder
-	process  uint64 // rises when a process ends: handles of earlier ones are closed
-	locked   bool   // by a store of the present process
-	full     bool
-	unread   bool // reads fail
-	syncless bool // planted: syncs are acknowledged and not done
-	onAccess func(Access)
+	mu          sync.Mutex
+	folder      folder
+	process     uint64 // rises when a process ends: handles of earlier ones are closed
+	locked      bool   // by a store of the present process
+	full        bool
+	readErrors  bool // reads fail
+	ignoreSyncs bool // planted: syncs are acknowledged and not done
+	onAccess    func(Access)
 }
 
 // New is an empty disk.
@@ -69,13 +69,13 @@
 }
 
 func (d *Disk) syncFolder() {
-	if !d.syncless {
+	if !d.ignoreSyncs {
 		d.folder.sync()
 	}
 }
 
 func (d *Disk) syncFile(f *file) {
-	if !d.syncless {
+	if !d.ignoreSyncs {
 		f.sync()
 	}
 }
@@ -94,15 +94,15 @@
 func (d *Disk) OnAccess(tell func(Access)) { d.onAccess = tell }
 
 // SetFull has every write and every new file refused, or no longer.
-func (d *Disk) SetFull(full bool) { d.set(&d.full, full) }
+func (d *Disk) SetFull(full bool) { d.setFlag(&d.full, full) }
 
 // SetReadErrors has every read fail, or no longer.
-func (d *Disk) SetReadErrors(fail bool) { d.set(&d.unread, fail) }
+func (d *Disk) SetReadErrors(fail bool) { d.setFlag(&d.readErrors, fail) }
 
-// SetSyncless has syncs acknowledged without being done, or no longer: a disk that lies.
-func (d *Disk) SetSyncless(lies bool) { d.set(&d.syncless, lies) }
+// SetIgnoreSyncs has syncs acknowledged without being done, or no longer: a disk that lies.
+func (d *Disk) SetIgnoreSyncs(lies bool) { d.setFlag(&d.ignoreSyncs, lies) }
 
-func (d *Disk) set(flag *bool, to bool) {
+func (d *Disk) setFlag(flag *bool, to bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	*flag = to
@@ -115,17 +115,17 @@
 	d.endProcess()
 }
 
-// Crash is a loss of power: the process ends, and what was not synced is kept, lost or torn by chance. tears are the ways in
+// LosePower is a loss of power: the process ends, and what was not synced is kept, lost or torn by chance. tears are the ways in
 // which a file's first write that is not wholly kept may be torn; none: Cut, Zeroed and
 // Holed.
-func (d *Disk) Crash(rng *rand.Rand, tears ...Tear) {
+func (d *Disk) LosePower(rng *rand.Rand, tears ...TearMode) {
 	if len(tears) == 0 {
-		tears = []Tear{Cut, Zeroed, Holed}
+		tears = []TearMode{Truncated, ZeroFilled, SectorsLost}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.endProcess()
-	d.folder.lose(rng, tears)
+	d.folder.losePower(rng, tears)
 }
 
 // Wipe empties the disk and ends the process.
@@ -141,25 +141,25 @@
 	d.locked = false
 }
 
-// Flip turns one bit of one file that is not empty, synced or not; ok: there was one.
-func (d *Disk) Flip(rng *rand.Rand) (name string, at int, ok bool) {
+// FlipBit turns one bit of one file that is not empty, synced or not; ok: there was one.
+func (d *Disk) FlipBit(rng *rand.Rand) (name string, at int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	names := slices.DeleteFunc(slices.Sorted(maps.Keys(d.folder.names)), func(name string) bool {
-		return len(d.folder.names[name].cached) == 0
+	names := slices.DeleteFunc(slices.Sorted(maps.Keys(d.folder.cached)), func(name string) bool {
+		return len(d.folder.cached[name].cached) == 0
 	})
 	if len(names) == 0 {
 		return "", 0, false
 	}
 	name = names[rng.IntN(len(names))]
-	return name, d.folder.names[name].flip(rng), true
+	return name, d.folder.cached[name].flipBit(rng), true
 }
 
-// Names are the files as a process sees them, in order.
-func (d *Disk) Names() []string {
+// FileNames are the files as a process sees them, in order.
+func (d *Disk) FileNames() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Sorted(maps.Keys(d.folder.names))
+	return slices.Sorted(maps.Keys(d.folder.cached))
 }
 
 // Fingerprint is a sum over all names and bytes, as a process sees them and as they are lasting.
@@ -167,7 +167,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	sum := fnv.New64a()
-	for _, names := range []map[string]*file{d.folder.names, d.folder.lasting} {
+	for _, names := range []map[string]*file{d.folder.cached, d.folder.durable} {
 		for _, name := range slices.Sorted(maps.Keys(names)) {
 			sum.Write([]byte(name))
 			sum.Write(names[name].cached)
--- a/internal/mesh/sim/disk/disk_test.go
+++ b/internal/mesh/sim/disk/disk_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const crashes = 200
+const runs = 200
 
 var (
 	journal  = storage.FileDesc{Type: storage.TypeJournal, Num: 1}
@@ -50,9 +50,9 @@
 }
 
 // What was synced is there after every loss of power; a file whose folder was not synced is there in some of them.
-func TestCrashKeepsWhatWasSynced(t *testing.T) {
+func TestPowerLossKeepsSyncedData(t *testing.T) {
 	var kept, torn int
-	for seed := range uint64(crashes) {
+	for seed := range uint64(runs) {
 		d := New()
 		files := open(t, d)
 		w := create(t, files, journal, "synced")
@@ -61,7 +61,7 @@
 		_, err := w.Write([]byte("unsynced"))
 		assert.NilError(t, err)
 		assert.NilError(t, create(t, files, table, "table").Sync())
-		d.Crash(rand.New(rand.NewPCG(seed, 1)), Cut)
+		d.LosePower(rand.New(rand.NewPCG(seed, 1)), Truncated)
 		text, is := read(t, open(t, d), journal)
 		assert.Assert(t, is && text >= "synced" && len(text) <= len("syncedunsynced"), "%q", text)
 		if len(text) < len("syncedunsynced") {
@@ -72,15 +72,15 @@
 			assert.Equal(t, text, "table")
 		}
 	}
-	assert.Assert(t, kept > 0 && kept < crashes, "the unsynced name was kept in %d of %d", kept, crashes)
-	assert.Assert(t, torn > 0 && torn < crashes, "the unsynced write was torn in %d of %d", torn, crashes)
+	assert.Assert(t, kept > 0 && kept < runs, "the unsynced name was kept in %d of %d", kept, runs)
+	assert.Assert(t, torn > 0 && torn < runs, "the unsynced write was torn in %d of %d", torn, runs)
 }
 
 // Every name is kept or lost by itself: all four outcomes of a removal and a renaming are seen.
-func TestCrashKeepsOrLosesEachName(t *testing.T) {
+func TestPowerLossKeepsOrLosesEachName(t *testing.T) {
 	seen := map[[3]bool]int{}
 	renamed := storage.FileDesc{Type: storage.TypeTable, Num: 4}
-	for seed := range uint64(crashes) {
+	for seed := range uint64(runs) {
 		d := New()
 		files := open(t, d)
 		assert.NilError(t, create(t, files, journal, "a").Sync())
@@ -88,7 +88,7 @@
 		assert.NilError(t, d.Sync())
 		assert.NilError(t, files.Remove(journal))
 		assert.NilError(t, files.Rename(table, renamed))
-		d.Crash(rand.New(rand.NewPCG(seed, 2)))
+		d.LosePower(rand.New(rand.NewPCG(seed, 2)))
 		var is [3]bool
 		for n, fd := range []storage.FileDesc{journal, table, renamed} {
 			_, is[n] = read(t, open(t, d), fd)
@@ -102,27 +102,27 @@
 func TestTornWrites(t *testing.T) {
 	data := []byte("0123456789")
 	rng := rand.New(rand.NewPCG(1, 1))
-	for range crashes {
-		cut := tear(data, rng, Cut)
+	for range runs {
+		cut := tear(data, rng, Truncated)
 		assert.Assert(t, len(cut) < len(data) && bytes.HasPrefix(data, cut))
-		zeroed := tear(data, rng, Zeroed)
+		zeroed := tear(data, rng, ZeroFilled)
 		assert.Equal(t, len(zeroed), len(data))
 		assert.Assert(t, bytes.HasPrefix(data, bytes.TrimRight(zeroed, "\x00")) && zeroed[9] == 0)
-		assert.Equal(t, len(tear(data, rng, Flipped)), len(data))
+		assert.Equal(t, len(tear(data, rng, BitsFlipped)), len(data))
 	}
 	assert.DeepEqual(t, data, []byte("0123456789"))
 }
 
 // Sectors reach the disk in any order: those that do not are zeros, and none that was synced is touched.
-func TestHoledWrites(t *testing.T) {
-	content := bytes.Repeat([]byte("x"), 10*sectorSize)
-	const synced = sectorSize + 100
+func TestLostSectors(t *testing.T) {
+	content := bytes.Repeat([]byte("x"), 10*sectorBytes)
+	const synced = sectorBytes + 100
 	rng := rand.New(rand.NewPCG(1, 1))
 	lost := map[int]bool{}
-	for range crashes {
-		left := holed(content, synced, rng)
+	for range runs {
+		left := loseSectors(content, synced, rng)
 		assert.Assert(t, len(left) == len(content) && bytes.HasPrefix(left, content[:synced]))
-		for start := synced; start < len(left); start = start - start%sectorSize + sectorSize {
+		for start := synced; start < len(left); start = start - start%sectorBytes + sectorBytes {
 			lost[start] = lost[start] || left[start] == 0
 		}
 	}
@@ -133,14 +133,14 @@
 }
 
 // A manifest's sync makes the names in the folder lasting, and the pointer to it comes after every loss of power.
-func TestManifestHolds(t *testing.T) {
-	for seed := range uint64(crashes) {
+func TestManifestPointerIsDurable(t *testing.T) {
+	for seed := range uint64(runs) {
 		d := New()
 		files := open(t, d)
 		create(t, files, journal, "")
 		assert.NilError(t, create(t, files, manifest, "m").Sync())
 		assert.NilError(t, files.SetMeta(manifest))
-		d.Crash(rand.New(rand.NewPCG(seed, 3)))
+		d.LosePower(rand.New(rand.NewPCG(seed, 3)))
 		files = open(t, d)
 		held, err := files.GetMeta()
 		assert.NilError(t, err)
@@ -151,18 +151,18 @@
 }
 
 // A loss of power at each step of the change from one manifest to another leaves one of the two, and no wrong pointer.
-func TestCrashWithinSetMeta(t *testing.T) {
+func TestPowerLossWithinSetMeta(t *testing.T) {
 	next := storage.FileDesc{Type: storage.TypeManifest, Num: 9}
 	const steps = 8
 	seen := map[storage.FileDesc]int{}
-	for seed := range uint64(crashes) {
+	for seed := range uint64(runs) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		d := New()
 		files := open(t, d)
 		assert.NilError(t, create(t, files, manifest, "m").Sync())
 		assert.NilError(t, files.SetMeta(manifest))
 		assert.NilError(t, create(t, files, next, "n").Sync())
-		crashAt(d, rng, rng.IntN(steps))
+		losePowerAt(d, rng, rng.IntN(steps))
 		_ = files.SetMeta(next)
 		d.OnAccess(nil)
 		d.KillProcess()
@@ -173,11 +173,11 @@
 	assert.Equal(t, len(seen), 2, "%v", seen)
 }
 
-// crashAt has the power go before the n-th access from now on.
-func crashAt(d *Disk, rng *rand.Rand, n int) {
+// losePowerAt has the power go before the n-th access from now on.
+func losePowerAt(d *Disk, rng *rand.Rand, n int) {
 	d.OnAccess(func(Access) {
 		if n == 0 {
-			d.Crash(rng)
+			d.LosePower(rng)
 		}
 		n--
 	})
@@ -223,20 +223,20 @@
 	assert.NilError(t, err)
 
 	d.Wipe()
-	assert.Equal(t, len(d.Names()), 0)
+	assert.Equal(t, len(d.FileNames()), 0)
 	_, err = open(t, d).Lock()
 	assert.NilError(t, err)
 }
 
 // A disk whose syncs do nothing loses what was synced in some losses of power.
-func TestSynclessLoses(t *testing.T) {
+func TestIgnoredSyncsLoseData(t *testing.T) {
 	var lost int
-	for seed := range uint64(crashes) {
+	for seed := range uint64(runs) {
 		d := New()
-		d.SetSyncless(true)
+		d.SetIgnoreSyncs(true)
 		assert.NilError(t, create(t, open(t, d), journal, "text").Sync())
 		assert.NilError(t, d.Sync())
-		d.Crash(rand.New(rand.NewPCG(seed, 5)))
+		d.LosePower(rand.New(rand.NewPCG(seed, 5)))
 		if text, _ := read(t, open(t, d), journal); text != "text" {
 			lost++
 		}
@@ -254,8 +254,8 @@
 		create(t, files, journal, "one")
 		create(t, files, table, "two")
 		assert.NilError(t, files.Remove(journal))
-		d.Crash(rand.New(rand.NewPCG(seed, 6)))
-		_, _, _ = d.Flip(rand.New(rand.NewPCG(seed, 7)))
+		d.LosePower(rand.New(rand.NewPCG(seed, 6)))
+		_, _, _ = d.FlipBit(rand.New(rand.NewPCG(seed, 7)))
 		return d.Fingerprint(), told
 	}
 	sums := map[uint64]bool{}
--- a/internal/mesh/sim/disk/file.go
+++ b/internal/mesh/sim/disk/file.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// Tear is a way in which a loss of power leaves a write that was not synced.
-type Tear uint8
+// TearMode is a way in which a loss of power leaves a write that was not synced.
+type TearMode uint8
 
 // Ways to tear a write.
 const (
-	Cut     Tear = iota // the file ends within it
-	Zeroed              // the file has its length, but from some byte on zeros
-	Flipped             // it is there, with some bits turned
-	Holed               // all that was written is there, but for some sectors, which are zeros: they reach a disk in any order
+	Truncated   TearMode = iota // the file ends within it
+	ZeroFilled                  // the file has its length, but from some byte on zeros
+	BitsFlipped                 // it is there, with some bits turned
+	SectorsLost                 // all that was written is there, but for some sectors, which are zeros: they reach a disk in any order
 )
 
-// sectorSize is what a disk writes whole, in bytes.
-const sectorSize = 512
+// sectorBytes is what a disk writes whole, in bytes.
+const sectorBytes = 512
 
 // file is one file's bytes. Slices that were handed out are never written to: bytes are appended behind them or replaced.
 type file struct {
@@ -49,14 +49,14 @@
 	f.unsynced = nil
 }
 
-// lose keeps some of the unsynced writes, and tears the next one.
-func (f *file) lose(rng *rand.Rand, tears []Tear) {
+// losePower keeps some of the unsynced writes, and tears the next one.
+func (f *file) losePower(rng *rand.Rand, tears []TearMode) {
 	if len(f.unsynced) == 0 {
 		return
 	}
 	how := tears[rng.IntN(len(tears))]
-	if how == Holed {
-		left := holed(f.cached, f.firstUnsynced(), rng)
+	if how == SectorsLost {
+		left := loseSectors(f.cached, f.firstUnsynced(), rng)
 		f.cached, f.synced, f.unsynced = left, left, nil
 		return
 	}
@@ -82,11 +82,11 @@
 	return len(f.synced)
 }
 
-// holed is a file of which some sectors, or what lies of them behind a byte, are zeros.
-func holed(content []byte, from int, rng *rand.Rand) []byte {
+// loseSectors is a file of which some sectors, or what lies of them behind a byte, are zeros.
+func loseSectors(content []byte, from int, rng *rand.Rand) []byte {
 	left := bytes.Clone(content)
 	for start := from; start < len(left); {
-		end := min(start-start%sectorSize+sectorSize, len(left))
+		end := min(start-start%sectorBytes+sectorBytes, len(left))
 		if rng.IntN(2) == 0 {
 			clear(left[start:end])
 		}
@@ -96,15 +96,15 @@
 }
 
 // tear is what a torn write leaves.
-func tear(data []byte, rng *rand.Rand, how Tear) []byte {
+func tear(data []byte, rng *rand.Rand, how TearMode) []byte {
 	if len(data) == 0 {
 		return nil
 	}
 	at := rng.IntN(len(data))
 	switch how {
-	case Zeroed:
+	case ZeroFilled:
 		return append(bytes.Clone(data[:at]), make([]byte, len(data)-at)...)
-	case Flipped:
+	case BitsFlipped:
 		turned := bytes.Clone(data)
 		for range 1 + rng.IntN(3) {
 			turned[rng.IntN(len(turned))] ^= 1 << rng.IntN(8)
@@ -114,8 +114,8 @@
 	return data[:at]
 }
 
-// flip turns one bit, also in what was synced, and says where.
-func (f *file) flip(rng *rand.Rand) int {
+// flipBit turns one bit, also in what was synced, and says where.
+func (f *file) flipBit(rng *rand.Rand) int {
 	at, bit := rng.IntN(len(f.cached)), byte(1)<<rng.IntN(8)
 	f.cached = bytes.Clone(f.cached)
 	f.cached[at] ^= bit
--- a/internal/mesh/sim/disk/folder.go
+++ b/internal/mesh/sim/disk/folder.go
@@ -9,22 +9,22 @@
 
 // folder is the names of files.
 type folder struct {
-	names    map[string]*file // as processes see them
-	lasting  map[string]*file // as of the last sync of the folder
-	unsynced []naming         // what was done since then
+	cached   map[string]*file // as processes see them
+	durable  map[string]*file // as of the last sync of the folder
+	unsynced []nameChange     // what was done since then
 }
 
-// naming is one change of names: file gets the name to, and loses the name from. One of the names may be empty.
-type naming struct {
+// nameChange is one change of names: file gets the name to, and loses the name from. One of the names may be empty.
+type nameChange struct {
 	file     *file
 	from, to string
 }
 
 func newFolder() folder {
-	return folder{names: map[string]*file{}, lasting: map[string]*file{}}
+	return folder{cached: map[string]*file{}, durable: map[string]*file{}}
 }
 
-func (n naming) apply(names map[string]*file) {
+func (n nameChange) apply(names map[string]*file) {
 	if n.from != "" {
 		delete(names, n.from)
 	}
@@ -33,58 +33,58 @@
 	}
 }
 
-func (f *folder) do(n naming) {
-	n.apply(f.names)
+func (f *folder) apply(n nameChange) {
+	n.apply(f.cached)
 	f.unsynced = append(f.unsynced, n)
 }
 
 // create is the file of a name, emptied if there was one.
 func (f *folder) create(name string) *file {
-	if old, is := f.names[name]; is {
+	if old, is := f.cached[name]; is {
 		old.truncate()
 		return old
 	}
 	made := &file{}
-	f.do(naming{file: made, to: name})
+	f.apply(nameChange{file: made, to: name})
 	return made
 }
 
 func (f *folder) remove(name string) error {
-	old, is := f.names[name]
+	old, is := f.cached[name]
 	if !is {
-		return missing("remove", name)
+		return notExist("remove", name)
 	}
-	f.do(naming{file: old, from: name})
+	f.apply(nameChange{file: old, from: name})
 	return nil
 }
 
 func (f *folder) rename(from, to string) error {
-	old, is := f.names[from]
+	old, is := f.cached[from]
 	if !is {
-		return missing("rename", from)
+		return notExist("rename", from)
 	}
-	f.do(naming{file: old, from: from, to: to})
+	f.apply(nameChange{file: old, from: from, to: to})
 	return nil
 }
 
 func (f *folder) sync() {
-	f.lasting = maps.Clone(f.names)
+	f.durable = maps.Clone(f.cached)
 	f.unsynced = nil
 }
 
-// lose keeps each unsynced change of names or not, by itself, and tears the files that are left.
-func (f *folder) lose(rng *rand.Rand, tears []Tear) {
+// losePower keeps each unsynced change of names or not, by itself, and tears the files that are left.
+func (f *folder) losePower(rng *rand.Rand, tears []TearMode) {
 	for _, n := range f.unsynced {
 		if rng.IntN(2) == 0 {
-			n.apply(f.lasting)
+			n.apply(f.durable)
 		}
 	}
-	f.names, f.unsynced = maps.Clone(f.lasting), nil
-	for _, name := range slices.Sorted(maps.Keys(f.names)) {
-		f.names[name].lose(rng, tears)
+	f.cached, f.unsynced = maps.Clone(f.durable), nil
+	for _, name := range slices.Sorted(maps.Keys(f.cached)) {
+		f.cached[name].losePower(rng, tears)
 	}
 }
 
-func missing(op, name string) error {
+func notExist(op, name string) error {
 	return &os.PathError{Op: op, Path: name, Err: os.ErrNotExist}
 }
--- a/internal/mesh/sim/disk/handle.go
+++ b/internal/mesh/sim/disk/handle.go
@@ -20,8 +20,8 @@
 
 var errReadOnly = errors.New("the files were opened for reading only")
 
-// use runs f under the disk's lock while the handle is open.
-func (h *handle) use(f func(*folder) error) error {
+// withFolder runs f under the disk's lock while the handle is open.
+func (h *handle) withFolder(f func(*folder) error) error {
 	h.disk.mu.Lock()
 	defer h.disk.mu.Unlock()
 	if h.closed || h.process != h.disk.process {
@@ -30,13 +30,13 @@
 	return f(&h.disk.folder)
 }
 
-// change is use for what writes; needsRoom: a full disk refuses it.
-func (h *handle) change(a Access, needsRoom bool, f func(*folder) error) error {
+// modify is use for what writes; needsRoom: a full disk refuses it.
+func (h *handle) modify(a Access, needsRoom bool, f func(*folder) error) error {
 	if h.readOnly {
 		return errReadOnly
 	}
 	h.disk.access(a)
-	return h.use(func(files *folder) error {
+	return h.withFolder(func(files *folder) error {
 		if needsRoom && h.disk.full {
 			return &os.PathError{Op: string(a.Kind), Path: a.File, Err: syscall.ENOSPC}
 		}
@@ -49,7 +49,7 @@
 	if h.readOnly {
 		return &lock{}, nil
 	}
-	return &lock{h}, h.use(func(*folder) error {
+	return &lock{h}, h.withFolder(func(*folder) error {
 		if h.disk.locked {
 			return storage.ErrLocked
 		}
@@ -63,11 +63,11 @@
 // Unlock ends a Lock.
 func (l *lock) Unlock() {
 	if l.handle != nil {
-		_ = l.handle.use(func(*folder) error { l.handle.unlock(); return nil })
+		_ = l.handle.withFolder(func(*folder) error { l.handle.releaseLock(); return nil })
 	}
 }
 
-func (h *handle) unlock() {
+func (h *handle) releaseLock() {
 	if h.locked {
 		h.disk.locked, h.locked = false, false
 	}
@@ -78,8 +78,8 @@
 
 // List names the files of some types.
 func (h *handle) List(types storage.FileType) (found []storage.FileDesc, err error) {
-	return found, h.use(func(files *folder) error {
-		for name := range files.names {
+	return found, h.withFolder(func(files *folder) error {
+		for name := range files.cached {
 			if fd, known := parseName(name); known && fd.Type&types != 0 {
 				found = append(found, fd)
 			}
@@ -95,10 +95,10 @@
 		return nil, storage.ErrInvalidFile
 	}
 	var r *reader
-	return r, h.use(func(files *folder) error {
-		f, is := files.names[fd.String()]
+	return r, h.withFolder(func(files *folder) error {
+		f, is := files.cached[fd.String()]
 		if !is {
-			return missing("open", fd.String())
+			return notExist("open", fd.String())
 		}
 		r = &reader{Reader: *bytes.NewReader(f.cached), handle: h, name: fd.String()}
 		return nil
@@ -111,7 +111,7 @@
 		return nil, storage.ErrInvalidFile
 	}
 	w := &writer{handle: h, descriptor: fd}
-	return w, h.change(Access{Kind: AccessCreate, File: fd.String()}, true, func(files *folder) error {
+	return w, h.modify(Access{Kind: AccessCreate, File: fd.String()}, true, func(files *folder) error {
 		w.file = files.create(fd.String())
 		return nil
 	})
@@ -119,7 +119,7 @@
 
 // Remove removes a file.
 func (h *handle) Remove(fd storage.FileDesc) error {
-	return h.change(Access{Kind: AccessRemove, File: fd.String()}, false, func(files *folder) error {
+	return h.modify(Access{Kind: AccessRemove, File: fd.String()}, false, func(files *folder) error {
 		return files.remove(fd.String())
 	})
 }
@@ -129,15 +129,15 @@
 	if from == to {
 		return nil
 	}
-	return h.change(Access{Kind: AccessRename, File: from.String()}, false, func(files *folder) error {
+	return h.modify(Access{Kind: AccessRename, File: from.String()}, false, func(files *folder) error {
 		return files.rename(from.String(), to.String())
 	})
 }
 
 // Close closes the handle.
 func (h *handle) Close() error {
-	return h.use(func(*folder) error {
-		h.unlock()
+	return h.withFolder(func(*folder) error {
+		h.releaseLock()
 		h.closed = true
 		return nil
 	})
@@ -152,7 +152,7 @@
 
 // Read reads on.
 func (r *reader) Read(p []byte) (int, error) {
-	if err := r.readable(len(p)); err != nil {
+	if err := r.checkRead(len(p)); err != nil {
 		return 0, err
 	}
 	return r.Reader.Read(p)
@@ -160,16 +160,16 @@
 
 // ReadAt reads anywhere.
 func (r *reader) ReadAt(p []byte, at int64) (int, error) {
-	if err := r.readable(len(p)); err != nil {
+	if err := r.checkRead(len(p)); err != nil {
 		return 0, err
 	}
 	return r.Reader.ReadAt(p, at)
 }
 
-func (r *reader) readable(n int) error {
+func (r *reader) checkRead(n int) error {
 	r.handle.disk.access(Access{Kind: AccessRead, File: r.name, Bytes: n})
-	return r.handle.use(func(*folder) error {
-		if r.handle.disk.unread {
+	return r.handle.withFolder(func(*folder) error {
+		if r.handle.disk.readErrors {
 			return &os.PathError{Op: "read", Path: r.name, Err: syscall.EIO}
 		}
 		return nil
@@ -189,7 +189,7 @@
 // Write writes into the cache.
 func (w *writer) Write(p []byte) (int, error) {
 	a := Access{Kind: AccessWrite, File: w.descriptor.String(), Bytes: len(p)}
-	err := w.handle.change(a, true, func(*folder) error {
+	err := w.handle.modify(a, true, func(*folder) error {
 		w.file.write(p)
 		return nil
 	})
@@ -202,7 +202,7 @@
 // Sync makes the file's bytes lasting; a manifest's sync does the same with the names in the folder, as goleveldb's own
 // storage of files has it.
 func (w *writer) Sync() error {
-	return w.handle.change(Access{Kind: AccessSync, File: w.descriptor.String()}, false, func(*folder) error {
+	return w.handle.modify(Access{Kind: AccessSync, File: w.descriptor.String()}, false, func(*folder) error {
 		w.handle.disk.syncFile(w.file)
 		if w.descriptor.Type == storage.TypeManifest {
 			w.handle.disk.syncFolder()
--- a/internal/mesh/sim/faults.go
+++ b/internal/mesh/sim/faults.go
@@ -12,30 +12,30 @@
 // lossRetry is how often the loss of a disk that the deployment does not bear yet is tried again.
 const lossRetry = 10 * time.Millisecond
 
-// carryOut begins a fault.
-func (w *World) carryOut(f Fault) {
+// applyFault begins a fault.
+func (w *World) applyFault(f Fault) {
 	w.trace("fault", string(f.Kind), f.Target, []byte(f.String()))
 	switch f.Kind {
-	case PowerAll:
+	case FaultPowerLossAll:
 		for _, h := range w.replicas {
-			w.power(h, f.For)
+			w.power(h, f.Duration)
 		}
 		return
-	case Spare:
+	case FaultSpare:
 		h := w.newReplica(nil, false)
 		h.seeds, h.spare = w.replicaAddresses(), true
 		h.start()
 		return
-	case Slow:
+	case FaultSlowNetwork:
 		extra := time.Duration(f.Count) * time.Millisecond
 		w.network.extra += extra
-		w.after(f.For, func() { w.network.extra -= extra })
+		w.after(f.Duration, func() { w.network.extra -= extra })
 		return
-	case Disorder:
+	case FaultDisorder:
 		w.network.disorder = float64(f.Count) / 100
-		w.after(f.For, func() { w.network.disorder = 0 })
+		w.after(f.Duration, func() { w.network.disorder = 0 })
 		return
-	case Orders:
+	case FaultChangeBurst:
 		for _, o := range w.operators {
 			if o.name == f.Target {
 				o.flood(f.Count)
@@ -97,7 +97,7 @@
 		if h.replica == nil || h.removed {
 			continue
 		}
-		if h.replica.Leads() && (leader == nil || h.replica.Term() > leader.replica.Term()) {
+		if h.replica.IsLeader() && (leader == nil || h.replica.Term() > leader.replica.Term()) {
 			leader = h
 		}
 	}
@@ -138,35 +138,35 @@
 		return
 	}
 	switch f.Kind {
-	case Cut, CutIn, CutOut:
+	case FaultCut, FaultCutInbound, FaultCutOutbound:
 		w.cut(h.process, f)
-	case Reset:
+	case FaultReset:
 		w.reset(h.process)
-	case KillIt:
+	case FaultKill:
 		h.stop(false)
 		w.observer.fault(h.process, history.Kill)
-		w.after(f.For, h.start)
-	case Power:
-		w.power(h, f.For)
-	case WipeIt, Replace, Leave:
+		w.after(f.Duration, h.start)
+	case FaultPowerLoss:
+		w.power(h, f.Duration)
+	case FaultWipe, FaultReplace, FaultLeave:
 		w.lose(h, f)
-	case FreezeIt, Suspend:
-		if f.Kind == Suspend {
+	case FaultFreeze, FaultSuspend:
+		if f.Kind == FaultSuspend {
 			h.suspend()
 		} else {
 			h.freeze()
 		}
 		w.observer.fault(h.process, history.Freeze)
-		w.after(f.For, func() {
+		w.after(f.Duration, func() {
 			h.thaw()
 			w.observer.fault(h.process, history.Thaw)
 		})
-	case Stall:
+	case FaultDiskStall:
 		h.stalled = true
-		w.after(f.For, func() { h.stalled = false })
-	case Full:
+		w.after(f.Duration, func() { h.stalled = false })
+	case FaultDiskFull:
 		h.disk.setFull(true)
-		w.after(f.For, func() { h.disk.setFull(false) })
+		w.after(f.Duration, func() { h.disk.setFull(false) })
 	}
 }
 
@@ -193,25 +193,25 @@
 		return
 	}
 	switch f.Kind {
-	case Replace:
+	case FaultReplace:
 		w.observer.losing(h)
 		h.stop(true)
-		w.replace(h, f.For, history.Remove)
+		w.replace(h, f.Duration, history.Remove)
 		return
-	case Leave:
-		h.leave(func() { w.replace(h, f.For, history.Remove) })
+	case FaultLeave:
+		h.leave(func() { w.replace(h, f.Duration, history.Remove) })
 		return
 	}
 	w.observer.losing(h)
 	h.stop(true)
 	h.disk = w.newDisk()
-	if !w.options.Planted.IdentityAfterWipe {
+	if !w.options.Mutations.IdentityAfterWipe {
 		h.lastID = 0
 	}
 	h.founder = false
 	w.trace("wiped", h.name, "", nil)
 	w.observer.fault(h.process, history.Wipe)
-	w.after(f.For, h.start)
+	w.after(f.Duration, h.start)
 }
 
 // replace removes a machine for good and has another take its place after a time.
@@ -235,23 +235,23 @@
 
 func (w *World) sidecarFault(s *sidecar, f Fault) {
 	switch f.Kind {
-	case Cut, CutIn, CutOut:
+	case FaultCut, FaultCutInbound, FaultCutOutbound:
 		w.cut(s.process, f)
-	case Reset:
+	case FaultReset:
 		w.reset(s.process)
-	case KillIt, Power:
-		s.stop(f.Kind == Power)
+	case FaultKill, FaultPowerLoss:
+		s.stop(f.Kind == FaultPowerLoss)
 		w.observer.fault(s.process, history.Kill)
-		w.after(f.For, s.begin)
-	case FreezeIt:
+		w.after(f.Duration, s.begin)
+	case FaultFreeze:
 		s.freeze()
 		w.observer.fault(s.process, history.Freeze)
-		w.after(f.For, s.thaw)
+		w.after(f.Duration, s.thaw)
 	}
 }
 
 func (w *World) reset(p *process) {
-	for _, e := range append([]*end(nil), p.ends...) {
+	for _, e := range append([]*side(nil), p.ends...) {
 		peer := e.peer
 		e.lose()
 		peer.lose()
@@ -263,17 +263,17 @@
 	peers := w.peers(p, f.Peers)
 	each := func(do func(from, to *process)) {
 		for _, o := range peers {
-			if f.Kind != CutIn {
+			if f.Kind != FaultCutInbound {
 				do(p, o)
 			}
-			if f.Kind != CutOut {
+			if f.Kind != FaultCutOutbound {
 				do(o, p)
 			}
 		}
 	}
 	each(w.network.cut)
 	w.observer.fault(p, history.Cut)
-	w.after(f.For, func() {
+	w.after(f.Duration, func() {
 		if w.observer.target > 0 {
 			return // all cuts are healed
 		}
--- a/internal/mesh/sim/generate.go
+++ b/internal/mesh/sim/generate.go
@@ -17,16 +17,16 @@
 
 // weighted is a kind of fault and how often it comes.
 type weighted struct {
-	kind   Kind
+	kind   FaultKind
 	weight int
 }
 
-var replicaFaults = []weighted{{Cut, 6}, {CutIn, 3}, {CutOut, 3}, {Reset, 3}, {KillIt, 5}, {Power, 5}, {PowerAll, 1}, {WipeIt, 4}, {Replace, 2}, {Leave, 3}, {FreezeIt, 4},
-	{Suspend, 3}, {Stall, 3}, {Full, 2}, {Slow, 2}, {Disorder, 3}, {Orders, 2}}
+var replicaFaults = []weighted{{FaultCut, 6}, {FaultCutInbound, 3}, {FaultCutOutbound, 3}, {FaultReset, 3}, {FaultKill, 5}, {FaultPowerLoss, 5}, {FaultPowerLossAll, 1}, {FaultWipe, 4}, {FaultReplace, 2}, {FaultLeave, 3}, {FaultFreeze, 4},
+	{FaultSuspend, 3}, {FaultDiskStall, 3}, {FaultDiskFull, 2}, {FaultSlowNetwork, 2}, {FaultDisorder, 3}, {FaultChangeBurst, 2}}
 
 var targets = []string{RoleLeader, RoleLeader, RoleFollower, RoleLast, RoleJoiner, "replica1", "replica2", "replica3"}
 
-var sidecarFaults = []Kind{Cut, CutIn, CutOut, Reset, KillIt, FreezeIt}
+var sidecarFaults = []FaultKind{FaultCut, FaultCutInbound, FaultCutOutbound, FaultReset, FaultKill, FaultFreeze}
 
 // Generate makes a plan of a seed.
 func Generate(seed uint64) Plan {
@@ -43,7 +43,7 @@
 		d := least + time.Duration(random.Int64N(int64(most-least)))
 		return d.Round(time.Millisecond)
 	}
-	f := Fault{At: between(faultsFrom, faultsUntil), For: between(shortestFault, longestFault)}
+	f := Fault{At: between(faultsFrom, faultsUntil), Duration: between(shortestFault, longestFault)}
 	if random.IntN(8) == 0 {
 		f.Target = []string{"sidecar1", "sidecar2", "sidecar3"}[random.IntN(3)]
 		f.Kind = sidecarFaults[random.IntN(len(sidecarFaults))]
@@ -51,24 +51,24 @@
 	}
 	f.Kind = pick(random, replicaFaults)
 	switch f.Kind {
-	case PowerAll:
-	case Slow:
+	case FaultPowerLossAll:
+	case FaultSlowNetwork:
 		f.Count = 1 + random.IntN(60)
-	case Disorder:
+	case FaultDisorder:
 		f.Count = 1 + random.IntN(50)
-	case Orders:
+	case FaultChangeBurst:
 		f.Target, f.Count = []string{"operator1", "operator2"}[random.IntN(2)], 20+random.IntN(200)
-	case Cut, CutIn, CutOut:
+	case FaultCut, FaultCutInbound, FaultCutOutbound:
 		f.Target = targets[random.IntN(len(targets))]
 		f.Peers = []string{PeersAll, PeersReplicas, PeersReplicas, PeersClients, "replica1", "replica2", "replica3"}[random.IntN(7)]
-		f.For = between(shortestFault, longestCut)
+		f.Duration = between(shortestFault, longestCut)
 	default:
 		f.Target = targets[random.IntN(len(targets))]
 	}
 	return f
 }
 
-func pick(random *rand.Rand, l []weighted) Kind {
+func pick(random *rand.Rand, l []weighted) FaultKind {
 	all := 0
 	for _, x := range l {
 		all += x.weight
--- a/internal/mesh/sim/items.go
+++ b/internal/mesh/sim/items.go
@@ -14,8 +14,8 @@
 
 // itemVersion is an item as histories know it.
 func itemVersion(i patch.Item) history.ItemVersion {
-	v := history.ItemVersion{Item: history.Item{Kind: i.Kind.String(), Name: i.Name.Name}, Version: i.Version, Dropped: i.Dropped}
-	if !i.Dropped {
+	v := history.ItemVersion{Item: history.Item{Kind: i.Kind.String(), Name: i.Key.Name}, Version: i.Version, Deleted: i.Deleted}
+	if !i.Deleted {
 		h := fnv.New32a()
 		h.Write([]byte(i.Host))
 		h.Write(i.Body)
@@ -40,15 +40,15 @@
 	drop    bool
 }
 
-// draftCall words an operator's call of one or two items. Most carry the next version of an item; some a version that another
+// draftModifyRequest words an operator's call of one or two items. Most carry the next version of an item; some a version that another
 // operator has used, with another content; some drop the item.
-func (w *World) draftCall() []byte {
+func (w *World) draftModifyRequest() []byte {
 	first := w.random.IntN(itemNames)
 	drafts := []draft{w.draftItem(first)}
 	if w.chance(0.3) {
 		drafts = append(drafts, w.draftItem((first+1+w.random.IntN(itemNames-1))%itemNames))
 	}
-	return wordCall(drafts)
+	return encodeModifyRequest(drafts)
 }
 
 func (w *World) draftItem(n int) draft {
@@ -61,7 +61,7 @@
 	return d
 }
 
-func wordCall(drafts []draft) []byte {
+func encodeModifyRequest(drafts []draft) []byte {
 	var upserts, drops []string
 	for _, d := range drafts {
 		if d.drop {
--- a/internal/mesh/sim/link.go
+++ b/internal/mesh/sim/link.go
@@ -21,12 +21,12 @@
 type link struct {
 	host    *replicaHost
 	address string
-	end     *end
+	end     *side
 	dialing bool
 	rest    time.Duration // of the host's clock: no dial before
 	quick   int           // dials since a connection ended
 	held    [][]byte
-	asks    asks
+	calls   pendingCalls
 }
 
 // link is the one to an address.
@@ -40,20 +40,20 @@
 	return l
 }
 
-func (l *link) connect() *end {
+func (l *link) connect() *side {
 	if l.end != nil && l.end.open {
 		return l.end
 	}
 	h := l.host
 	if !l.dialing && h.now() >= l.rest {
 		l.dialing = true
-		hello := &wire.HelloT{Name: h.name, Addr: h.address, Register: true, Member: uint64(h.replica.Self().ID)}
+		hello := &wire.HelloT{Name: h.name, Addr: h.address, ControlPlane: true, MemberId: uint64(h.replica.Self().ID)}
 		h.world.network.dial(h.process, l.address, hello, l.dialed)
 	}
 	return nil
 }
 
-func (l *link) dialed(e *end, refused bool) {
+func (l *link) dialed(e *side, refused bool) {
 	h := l.host
 	l.dialing = false
 	l.rest = h.now() + linkRest
@@ -68,19 +68,19 @@
 	l.end = e
 	began := h.now()
 	e.message = func(m trunk.Message) {
-		if t, is := m.Value.(*wire.ToldT); is {
-			l.asks.told(t)
+		if t, is := m.Value.(*wire.CallReplyT); is {
+			l.calls.reply(t)
 		}
 	}
 	e.closed = func() {
 		l.end = nil
-		l.asks.fail()
+		l.calls.fail()
 		l.ended(h.now() - began)
 	}
 	for _, frame := range held {
 		e.sendFrame(frame)
 	}
-	e.send(directory.Wire(h.replica.Records().All()))
+	e.send(directory.ToWire(h.replica.Records().All()))
 }
 
 // ended dials again soon: that tells whether the peer's process has ended, or only the connection.
@@ -105,7 +105,7 @@
 
 // peerGone passes on that nobody listens at an address any more.
 func (h *replicaHost) peerGone(address string) {
-	if wait, isLeader := h.replica.PeerGone(h.now(), address); isLeader {
+	if wait, isLeader := h.replica.PeerExited(h.now(), address); isLeader {
 		h.after(wait, func() { h.replica.Tick(h.now()) })
 	}
 }
@@ -138,32 +138,32 @@
 	l.held = append(l.held, frame)
 }
 
-func (l *link) ask(kind byte, body []byte, done func(replica.Reply)) {
+func (l *link) call(kind byte, body []byte, done func(replica.Reply)) {
 	e := l.connect()
 	if e == nil {
 		l.host.after(0, func() { done(replica.Unavailable("no connection")) })
 		return
 	}
-	l.asks.ask(l.host.process, e, replica.AnswerWithin, kind, body, done)
+	l.calls.call(l.host.process, e, replica.CallTimeout, kind, body, done)
 }
 
-// asks are calls over one connection that wait for their answers.
-type asks struct {
+// pendingCalls are calls over one connection that wait for their answers.
+type pendingCalls struct {
 	next uint64
-	open []*openAsk
+	open []*pendingCall
 }
 
-type openAsk struct {
+type pendingCall struct {
 	id   uint64
 	done func(replica.Reply)
 }
 
-// ask calls; done is called once, by the caller's process.
-func (a *asks) ask(caller *process, e *end, within time.Duration, kind byte, body []byte, done func(replica.Reply)) {
+// call calls; done is called once, by the caller's process.
+func (a *pendingCalls) call(caller *process, e *side, within time.Duration, kind byte, body []byte, done func(replica.Reply)) {
 	a.next++
 	id := a.next
-	a.open = append(a.open, &openAsk{id, done})
-	e.send(&wire.AskT{Id: id, Kind: kind, Body: body})
+	a.open = append(a.open, &pendingCall{id, done})
+	e.send(&wire.CallT{Id: id, Kind: kind, Body: body})
 	caller.after(within, func() {
 		if x := a.take(id); x != nil {
 			x.done(replica.Unavailable("no answer in time"))
@@ -171,7 +171,7 @@
 	})
 }
 
-func (a *asks) take(id uint64) *openAsk {
+func (a *pendingCalls) take(id uint64) *pendingCall {
 	for i, x := range a.open {
 		if x.id == id {
 			a.open = append(a.open[:i], a.open[i+1:]...)
@@ -181,14 +181,14 @@
 	return nil
 }
 
-func (a *asks) told(t *wire.ToldT) {
+func (a *pendingCalls) reply(t *wire.CallReplyT) {
 	if x := a.take(t.Id); x != nil {
 		x.done(replica.Reply{Status: int(t.Status), Body: t.Body})
 	}
 }
 
 // fail answers all that wait: the connection is lost.
-func (a *asks) fail() {
+func (a *pendingCalls) fail() {
 	open := a.open
 	a.open = nil
 	for _, x := range open {
--- a/internal/mesh/sim/network.go
+++ b/internal/mesh/sim/network.go
@@ -91,27 +91,27 @@
 	})
 }
 
-// end is one side of a connection.
-type end struct {
-	owner   *process
-	life    uint64
-	peer    *end
-	open    bool
-	accepts bool // it was dialled
-	arrives time.Duration
-	heard   time.Duration
-	message func(trunk.Message) // called by the owner
-	closed  func()              // the same, once, unless the owner closed it itself
-	beat    func() *wire.BeatT  // of what the owner says that it is in touch; nil: nothing
+// side is one side of a connection.
+type side struct {
+	owner       *process
+	incarnation uint64
+	peer        *side
+	open        bool
+	accepts     bool // it was dialled
+	arrives     time.Duration
+	heard       time.Duration
+	message     func(trunk.Message)     // called by the owner
+	closed      func()                  // the same, once, unless the owner closed it itself
+	heartbeat   func() *wire.HeartbeatT // of what the owner says that it is in touch; nil: nothing
 }
 
 // dial connects a process with whoever listens at an address. done is given nil where nothing is heard, or, refused, where a
 // machine says that nobody listens there.
-func (n *network) dial(from *process, address string, hello *wire.HelloT, done func(e *end, refused bool)) {
-	w, life := n.world, from.life
+func (n *network) dial(from *process, address string, hello *wire.HelloT, done func(e *side, refused bool)) {
+	w, life := n.world, from.incarnation
 	over := false
-	finish := func(e *end, refused bool) {
-		if over || from.life != life {
+	finish := func(e *side, refused bool) {
+		if over || from.incarnation != life {
 			if e != nil {
 				e.close()
 			}
@@ -133,14 +133,14 @@
 			n.carry(host.process, from, n.delay(), func() { finish(nil, true) })
 			return
 		}
-		near := &end{owner: from, life: life, open: true, heard: w.now}
-		far := &end{owner: host.process, life: host.life, open: true, accepts: true, heard: w.now, peer: near}
+		near := &side{owner: from, incarnation: life, open: true, heard: w.now}
+		far := &side{owner: host.process, incarnation: host.incarnation, open: true, accepts: true, heard: w.now, peer: near}
 		near.peer = far
 		host.ends = append(host.ends, far)
 		far.keepAlive(n)
 		host.post(func() { host.accept(far, hello) })
 		n.carry(host.process, from, n.delay(), func() {
-			if over || from.life != life || !from.up {
+			if over || from.incarnation != life || !from.up {
 				near.open = false
 				near.tellPeer()
 				return
@@ -153,9 +153,9 @@
 }
 
 // send sends a message to the other side, in order.
-func (e *end) send(message any) { e.sendFrame(trunk.Encode(message)) }
+func (e *side) send(message any) { e.sendFrame(trunk.Encode(message)) }
 
-func (e *end) sendFrame(frame []byte) {
+func (e *side) sendFrame(frame []byte) {
 	if !e.open || !e.owner.up {
 		return
 	}
@@ -167,7 +167,7 @@
 }
 
 // sendLoose sends a message that may be lost, repeated or overtaken.
-func (e *end) sendLoose(frame []byte) {
+func (e *side) sendLoose(frame []byte) {
 	if !e.open || !e.owner.up {
 		return
 	}
@@ -187,13 +187,13 @@
 	}
 }
 
-func (e *end) transmit(n *network, frame []byte, delay time.Duration) {
+func (e *side) transmit(n *network, frame []byte, delay time.Duration) {
 	peer := e.peer
 	n.carry(e.owner, peer.owner, delay, func() { peer.arrive(frame) })
 }
 
 // arrive takes a frame off the link.
-func (e *end) arrive(frame []byte) {
+func (e *side) arrive(frame []byte) {
 	if !e.open {
 		if e.owner.up { // a machine that runs says that there is no such connection
 			e.tellPeer()
@@ -215,7 +215,7 @@
 }
 
 // close closes a side by its owner's will; the other side hears of it if the link is open.
-func (e *end) close() {
+func (e *side) close() {
 	if !e.open {
 		return
 	}
@@ -224,25 +224,25 @@
 }
 
 // vanish ends a side without a word.
-func (e *end) vanish() {
+func (e *side) vanish() {
 	e.open = false
-	e.owner.ends = slices.DeleteFunc(e.owner.ends, func(o *end) bool { return o == e })
+	e.owner.ends = slices.DeleteFunc(e.owner.ends, func(o *side) bool { return o == e })
 }
 
 // tellPeer has the other side find out that this one is closed.
-func (e *end) tellPeer() {
+func (e *side) tellPeer() {
 	peer := e.peer
 	n := &e.owner.world.network
 	n.carry(e.owner, peer.owner, n.delay(), peer.lose)
 }
 
 // lose ends a side that did not want it.
-func (e *end) lose() {
+func (e *side) lose() {
 	if !e.open {
 		return
 	}
 	e.vanish()
-	if e.owner.up && e.owner.life == e.life {
+	if e.owner.up && e.owner.incarnation == e.incarnation {
 		e.owner.post(func() {
 			if e.closed != nil {
 				e.closed()
@@ -252,10 +252,10 @@
 }
 
 // keepAlive sends heartbeats and finds the other side's silence. A process that waits for its disk still sends them.
-func (e *end) keepAlive(n *network) {
+func (e *side) keepAlive(n *network) {
 	w := n.world
 	w.after(heartbeatEvery, func() {
-		if !e.open || !e.owner.up || e.owner.life != e.life {
+		if !e.open || !e.owner.up || e.owner.incarnation != e.incarnation {
 			return
 		}
 		if !e.owner.frozen {
@@ -263,9 +263,9 @@
 				e.lose()
 				return
 			}
-			beat := &wire.BeatT{}
-			if e.beat != nil {
-				beat = e.beat()
+			beat := &wire.HeartbeatT{}
+			if e.heartbeat != nil {
+				beat = e.heartbeat()
 			}
 			e.send(beat)
 		} else {
--- a/internal/mesh/sim/observer.go
+++ b/internal/mesh/sim/observer.go
@@ -27,7 +27,7 @@
 // observer sees the run from outside and records what it sees.
 type observer struct {
 	world      *World
-	seen       map[*replicaHost]*sight
+	seen       map[*replicaHost]*observed
 	voters     voterSet // the latest that was committed
 	maxTerm    uint64
 	contact    map[*replicaHost]bool
@@ -48,10 +48,10 @@
 // underWay bounds how long after a disk's loss its word may still be under way to a leader that runs.
 const underWay = 400 * time.Millisecond
 
-// sight is what was last seen of a replica.
-type sight struct {
-	life, term uint64
-	pending    []voterSet // in its log, committed or not, in order
+// observed is what was last seen of a replica.
+type observed struct {
+	incarnation, term uint64
+	pending           []voterSet // in its log, committed or not, in order
 }
 
 // voterSet is who votes from an entry on. While there are outgoing members a majority of both is needed.
@@ -83,29 +83,29 @@
 	return l
 }
 
-func (o *observer) sightOf(h *replicaHost) *sight {
+func (o *observer) observedOf(h *replicaHost) *observed {
 	if o.seen == nil {
-		o.seen, o.contact, o.catching = map[*replicaHost]*sight{}, map[*replicaHost]bool{}, map[*replicaHost]bool{}
+		o.seen, o.contact, o.catching = map[*replicaHost]*observed{}, map[*replicaHost]bool{}, map[*replicaHost]bool{}
 	}
 	s := o.seen[h]
 	if s == nil {
-		s = &sight{}
+		s = &observed{}
 		o.seen[h] = s
 	}
-	if s.life != h.life {
-		*s = sight{life: h.life}
+	if s.incarnation != h.incarnation {
+		*s = observed{incarnation: h.incarnation}
 	}
 	return s
 }
 
 // beforeTurn sees an election before the leader's first entry is written.
 func (o *observer) beforeTurn(h *replicaHost) {
-	s := o.sightOf(h)
-	if !h.replica.Leads() || s.term == h.replica.Term() {
+	s := o.observedOf(h)
+	if !h.replica.IsLeader() || s.term == h.replica.Term() {
 		return
 	}
 	s.term = h.replica.Term()
-	leader := history.Leader{At: o.world.now, Process: h.name, ID: uint64(h.replica.Self().ID), Term: s.term, LastIndex: h.replica.Logged()}
+	leader := history.Leader{At: o.world.now, Process: h.name, ID: uint64(h.replica.Self().ID), Term: s.term, LastIndex: h.replica.SavedIndex()}
 	if s.term < o.maxTerm {
 		leader.LastIndex = 0 // its votes came late: a later leader may have had more agreed on by then
 	}
@@ -115,23 +115,23 @@
 }
 
 // started sees what a replica begins with.
-func (o *observer) started(h *replicaHost, held vault.Held) {
-	s := o.sightOf(h)
+func (o *observer) started(h *replicaHost, held vault.StoredState) {
+	s := o.observedOf(h)
 	s.pending = nil
-	o.logged(h, core.Ready{Snapshot: &held.Snapshot, Entries: held.Log})
+	o.logged(h, core.Ready{Snapshot: &held.Snapshot, Entries: held.Entries})
 }
 
 // logged sees what a replica writes.
 func (o *observer) logged(h *replicaHost, ready core.Ready) {
-	s := o.sightOf(h)
+	s := o.observedOf(h)
 	if x := ready.Snapshot; x != nil && x.Index > 0 {
-		s.pending = []voterSet{{x.View, x.Members, x.Outgoing}}
+		s.pending = []voterSet{{x.ConfigurationIndex, x.Members, x.Outgoing}}
 	}
 	for i, e := range ready.Entries {
 		if i == 0 {
 			s.pending = slices.DeleteFunc(s.pending, func(v voterSet) bool { return v.index >= e.Index })
 		}
-		if e.Kind == core.View {
+		if e.Kind == core.EntryConfiguration {
 			s.pending = append(s.pending, voterSet{e.Index, e.Members, e.Outgoing})
 		}
 	}
@@ -139,9 +139,9 @@
 
 // afterTurn sees which members are agreed on, and who has caught up.
 func (o *observer) afterTurn(h *replicaHost) {
-	s := o.sightOf(h)
+	s := o.observedOf(h)
 	o.noteCommitted(h)
-	for len(s.pending) > 0 && s.pending[0].index <= h.replica.Applied() {
+	for len(s.pending) > 0 && s.pending[0].index <= h.replica.AppliedIndex() {
 		v := s.pending[0]
 		s.pending = s.pending[1:]
 		o.world.history.Record(history.Members{At: o.world.now, Process: h.name, Index: v.index, Voters: ids(v.members), Outgoing: ids(v.outgoing)})
@@ -151,7 +151,7 @@
 			o.noteContacts()
 		}
 	}
-	if o.catching[h] && h.replica.Applied() >= o.target {
+	if o.catching[h] && h.replica.AppliedIndex() >= o.target {
 		delete(o.catching, h)
 		o.world.history.Record(history.CatchUp{At: o.world.now, Process: h.name, Ended: true})
 	}
@@ -169,7 +169,7 @@
 
 // noteCommitted sees which disks hold what is agreed on, when the first replica applies it. Nothing is acknowledged before.
 func (o *observer) noteCommitted(h *replicaHost) {
-	index := h.replica.Applied()
+	index := h.replica.AppliedIndex()
 	if index <= o.committed {
 		return
 	}
@@ -224,7 +224,7 @@
 // noteContacts records who can exchange messages with a quorum, or with one that can and may lead. It is to be called after each fault and its end.
 func (o *observer) noteContacts() {
 	for _, h := range o.world.replicas {
-		o.sightOf(h)
+		o.observedOf(h)
 		// A majority may follow one that this one hears, though not all of it.
 		quorum := slices.ContainsFunc(o.world.replicas, func(other *replicaHost) bool { return o.reach(h, other) && o.reachesQuorum(other) })
 		if was, known := o.contact[h]; !known || was != quorum {
@@ -256,12 +256,12 @@
 	o.target = 0
 	for _, h := range o.world.replicas {
 		if h.replica != nil {
-			o.target = max(o.target, h.replica.Applied())
+			o.target = max(o.target, h.replica.AppliedIndex())
 		}
 	}
 	for _, h := range o.world.replicas {
 		if !h.removed {
-			o.sightOf(h)
+			o.observedOf(h)
 			o.catching[h] = true
 			o.world.history.Record(history.CatchUp{At: o.world.now, Process: h.name})
 		}
@@ -269,7 +269,7 @@
 }
 
 func (o *observer) settled(from, to time.Duration) {
-	o.world.history.Record(history.Settled{From: from, To: to})
+	o.world.history.Record(history.StablePeriod{From: from, To: to})
 }
 
 // atEnd judges what stands at the end: all replicas are members, and their states are the same.
@@ -287,10 +287,10 @@
 		case h.replica == nil:
 			violate("%s does not run", h.name)
 			continue
-		case h.replica.Touched() == 0:
+		case h.replica.QuorumContact() == 0:
 			violate("%s is not in touch", h.name)
 		}
-		if h.replica.Leads() {
+		if h.replica.IsLeader() {
 			leaders++
 		}
 		members, _ := h.replica.Members()
@@ -299,8 +299,8 @@
 		}
 		if first == nil {
 			first = h.replica
-		} else if first.Applied() == h.replica.Applied() && !sameItems(first, h.replica) {
-			violate("%s has another state than the first replica at entry %d", h.name, first.Applied())
+		} else if first.AppliedIndex() == h.replica.AppliedIndex() && !sameItems(first, h.replica) {
+			violate("%s has another state than the first replica at entry %d", h.name, first.AppliedIndex())
 		}
 	}
 	if leaders != 1 {
@@ -316,5 +316,5 @@
 
 // sameItems says that two replicas hold the same configuration. Their keys may differ by those whose windows have ended.
 func sameItems(a, b *replica.Replica) bool {
-	return bytes.Equal(trunk.Bytes(patch.Wire(a.State().Items.Items())), trunk.Bytes(patch.Wire(b.State().Items.Items())))
+	return bytes.Equal(trunk.EncodeTable(patch.ItemsToWire(a.State().Items.Items())), trunk.EncodeTable(patch.ItemsToWire(b.State().Items.Items())))
 }
--- a/internal/mesh/sim/operator.go
+++ b/internal/mesh/sim/operator.go
@@ -33,8 +33,8 @@
 	backlog int // orders to be sent as fast as they are taken
 }
 
-// order is a call and its tries.
-type order struct {
+// changeRequest is a call and its tries.
+type changeRequest struct {
 	id      string
 	body    []byte
 	items   []history.ItemVersion
@@ -46,7 +46,7 @@
 func newOperator(w *World, name string) *operator { return &operator{process: w.newProcess(name, "")} }
 
 func (o *operator) begin() {
-	o.beginLife()
+	o.beginIncarnation()
 	o.orderLoop()
 	o.fetchLoop()
 }
@@ -74,16 +74,16 @@
 
 func (o *operator) newOrder() {
 	w := o.world
-	body := w.draftCall()
-	items, err := patch.Read(body)
+	body := w.draftModifyRequest()
+	items, err := patch.ParseItems(body)
 	if err != nil {
 		panic("sim: an operator words a call that can't be read: " + err.Error())
 	}
 	o.open++
-	o.try(&order{id: fmt.Sprintf("%s-%d", o.name, w.id()), body: body, items: itemVersions(items)})
+	o.try(&changeRequest{id: fmt.Sprintf("%s-%d", o.name, w.id()), body: body, items: itemVersions(items)})
 }
 
-func (o *operator) over(x *order, outcome history.Outcome) {
+func (o *operator) over(x *changeRequest, outcome history.Outcome) {
 	w := o.world
 	if outcome == history.Acknowledged && x.repeats < repeatsAtMost && w.chance(repeatShare) {
 		x.repeats++
@@ -95,7 +95,7 @@
 }
 
 // try sends an order to a member.
-func (o *operator) try(x *order) {
+func (o *operator) try(x *changeRequest) {
 	x.tries++
 	member := o.member(x.last)
 	x.last = member
@@ -108,7 +108,7 @@
 		case http.StatusConflict, http.StatusBadRequest, http.StatusForbidden:
 			outcome = history.Refused
 		}
-		o.world.history.Record(history.Change{Call: history.Call{Process: o.name, Begin: begun, Return: o.world.now, Outcome: outcome}, Order: x.id,
+		o.world.history.Record(history.Change{Call: history.Call{Process: o.name, Begin: begun, Return: o.world.now, Outcome: outcome}, ChangeID: x.id,
 			Member: o.world.memberName(member), Items: x.items})
 		o.world.trace("order", x.id, member, []byte(outcome))
 		if outcome == history.Unknown && x.tries < maxTries {
@@ -146,12 +146,12 @@
 func (o *operator) fetch() {
 	member, begun := o.member(""), o.world.now
 	o.call(member, func(h *replicaHost, done func(replica.Reply)) {
-		h.fetch(func(set patch.Set, ok bool) {
+		h.fetch(func(set patch.Document, ok bool) {
 			if !ok {
 				done(replica.Unavailable("not confirmed"))
 				return
 			}
-			text, err := json.Marshal(patch.Modify{Upsert: &set})
+			text, err := json.Marshal(patch.ModifyRequest{Upsert: &set})
 			if err != nil {
 				panic("sim: a configuration can't be worded: " + err.Error())
 			}
@@ -160,7 +160,7 @@
 	}, func(r replica.Reply) {
 		f := history.Fetch{Call: history.Call{Process: o.name, Begin: begun, Return: o.world.now, Outcome: history.Unknown}, Member: o.world.memberName(member)}
 		if r.Status == http.StatusOK {
-			items, err := patch.Read(r.Body)
+			items, err := patch.ParseItems(r.Body)
 			if err != nil {
 				panic("sim: a configuration that was handed out can't be read: " + err.Error())
 			}
@@ -194,15 +194,15 @@
 			answer(replica.Unavailable("connection refused"))
 			return
 		}
-		life, answered := h.life, false
+		life, answered := h.incarnation, false
 		once := func(r replica.Reply) {
-			if !answered && h.up && h.life == life {
+			if !answered && h.up && h.incarnation == life {
 				answered = true
 				answer(r)
 			}
 		}
 		h.post(func() { at(h, once) })
-		h.world.after(replica.AnswerWithin, func() { once(replica.Unavailable("not agreed on in time; it may still be taken")) })
+		h.world.after(replica.CallTimeout, func() { once(replica.Unavailable("not agreed on in time; it may still be taken")) })
 	})
 }
 
--- a/internal/mesh/sim/plan.go
+++ b/internal/mesh/sim/plan.go
@@ -11,32 +11,32 @@
 	"github.com/juju/errors"
 )
 
-// Kind says what a fault is.
-type Kind string
+// FaultKind says what a fault is.
+type FaultKind string
 
 // Kinds of faults. Target and Peers name processes, or roles that are looked up when the fault begins.
 const (
-	Cut      Kind = "cut"     // nothing passes between Target and Peers, for For
-	CutIn    Kind = "cut-in"  // nothing comes to Target from Peers
-	CutOut   Kind = "cut-out" // nothing goes from Target to Peers
-	Reset    Kind = "reset"   // all connections of Target are reset
-	KillIt   Kind = "kill"    // the process ends, and starts again after For
-	Power    Kind = "power"   // the machine loses power, and starts again after For
-	PowerAll Kind = "power-all"
-	WipeIt   Kind = "wipe"    // the disk is lost, and the process starts again after For
-	Replace  Kind = "replace" // the machine is lost for good; after For another one takes its place, at another address
-	Leave    Kind = "leave"   // the process is told to end; after For another machine takes its place
-	Spare    Kind = "spare"   // one more machine starts; it takes the place of the next that leaves
-	FreezeIt Kind = "freeze"  // the process stands still for For
-	Suspend  Kind = "suspend" // the machine does, and its clock
-	Stall    Kind = "stall"   // the disk answers nothing for For
-	Full     Kind = "full"    // the disk has no room for For
-	Slow     Kind = "slow"    // every message takes Count more milliseconds, for For
-	Disorder Kind = "disorder"
-	Orders   Kind = "orders" // Target, an operator, sends Count orders as fast as they are taken
+	FaultCut          FaultKind = "cut"     // nothing passes between Target and Peers, for For
+	FaultCutInbound   FaultKind = "cut-in"  // nothing comes to Target from Peers
+	FaultCutOutbound  FaultKind = "cut-out" // nothing goes from Target to Peers
+	FaultReset        FaultKind = "reset"   // all connections of Target are reset
+	FaultKill         FaultKind = "kill"    // the process ends, and starts again after For
+	FaultPowerLoss    FaultKind = "power"   // the machine loses power, and starts again after For
+	FaultPowerLossAll FaultKind = "power-all"
+	FaultWipe         FaultKind = "wipe"    // the disk is lost, and the process starts again after For
+	FaultReplace      FaultKind = "replace" // the machine is lost for good; after For another one takes its place, at another address
+	FaultLeave        FaultKind = "leave"   // the process is told to end; after For another machine takes its place
+	FaultSpare        FaultKind = "spare"   // one more machine starts; it takes the place of the next that leaves
+	FaultFreeze       FaultKind = "freeze"  // the process stands still for For
+	FaultSuspend      FaultKind = "suspend" // the machine does, and its clock
+	FaultDiskStall    FaultKind = "stall"   // the disk answers nothing for For
+	FaultDiskFull     FaultKind = "full"    // the disk has no room for For
+	FaultSlowNetwork  FaultKind = "slow"    // every message takes Count more milliseconds, for For
+	FaultDisorder     FaultKind = "disorder"
+	FaultChangeBurst  FaultKind = "orders" // Target, an operator, sends Count orders as fast as they are taken
 )
 
-var kinds = []Kind{Cut, CutIn, CutOut, Reset, KillIt, Power, PowerAll, WipeIt, Replace, Leave, Spare, FreezeIt, Suspend, Stall, Full, Slow, Disorder, Orders}
+var kinds = []FaultKind{FaultCut, FaultCutInbound, FaultCutOutbound, FaultReset, FaultKill, FaultPowerLoss, FaultPowerLossAll, FaultWipe, FaultReplace, FaultLeave, FaultSpare, FaultFreeze, FaultSuspend, FaultDiskStall, FaultDiskFull, FaultSlowNetwork, FaultDisorder, FaultChangeBurst}
 
 // Roles that a Target may have.
 const (
@@ -55,13 +55,13 @@
 
 // Fault is one fault of a plan.
 type Fault struct {
-	At     time.Duration
-	Kind   Kind
-	Target string
-	Peers  string // "": PeersAll
-	For    time.Duration
-	Count  int
-	Force  bool // the loss of a disk does not wait until the deployment bears it
+	At       time.Duration
+	Kind     FaultKind
+	Target   string
+	Peers    string // "": PeersAll
+	Duration time.Duration
+	Count    int
+	Force    bool // the loss of a disk does not wait until the deployment bears it
 }
 
 // Plan is the faults of a run, in any order.
@@ -70,7 +70,7 @@
 // end is when all faults are over.
 func (p Plan) end() (end time.Duration) {
 	for _, f := range p {
-		end = max(end, f.At+f.For)
+		end = max(end, f.At+f.Duration)
 	}
 	return end
 }
@@ -84,8 +84,8 @@
 	if f.Peers != "" {
 		parts = append(parts, "peers="+f.Peers)
 	}
-	if f.For > 0 {
-		parts = append(parts, "for="+f.For.String())
+	if f.Duration > 0 {
+		parts = append(parts, "for="+f.Duration.String())
 	}
 	if f.Count > 0 {
 		parts = append(parts, "count="+strconv.Itoa(f.Count))
@@ -188,13 +188,13 @@
 		case "at":
 			f.At, err = time.ParseDuration(value)
 		case "for":
-			f.For, err = time.ParseDuration(value)
+			f.Duration, err = time.ParseDuration(value)
 		case "count":
 			f.Count, err = strconv.Atoi(value)
 		case "force":
 			f.Force, err = strconv.ParseBool(value)
 		case "kind":
-			f.Kind = Kind(value)
+			f.Kind = FaultKind(value)
 		case "target":
 			f.Target = value
 		case "peers":
@@ -209,7 +209,7 @@
 	if !slices.Contains(kinds, f.Kind) {
 		return f, fmt.Errorf("%q is no kind of fault", f.Kind)
 	}
-	if f.At < 0 || f.For < 0 || f.Count < 0 {
+	if f.At < 0 || f.Duration < 0 || f.Count < 0 {
 		return f, errors.New("a time or count below zero")
 	}
 	return f, nil
--- a/internal/mesh/sim/plans_test.go
+++ b/internal/mesh/sim/plans_test.go
@@ -32,7 +32,7 @@
 			for o.Seed = range count {
 				o.Disk = MemoryDisk
 				if o.Seed%3 == 2 {
-					o.Disk = VaultDisk
+					o.Disk = StorageDisk
 				}
 				assertUnbroken(t, o)
 			}
@@ -55,7 +55,7 @@
 func TestScheduleText(t *testing.T) {
 	for seed := range uint64(50) {
 		o := swarmOptions(seed)
-		o.Disk = VaultDisk
+		o.Disk = StorageDisk
 		read, seeded, err := ParseSchedule(o.Schedule())
 		assert.NilError(t, err)
 		assert.Assert(t, seeded)
@@ -70,11 +70,11 @@
 // A failing plan is cut down to the faults that it needs.
 func TestShrink(t *testing.T) {
 	o := swarmOptions(1)
-	o.Planted.KeysForgotten = true
+	o.Mutations.KeysForgotten = true
 	fails := func(r Result) bool { return r.Failed() }
 	for !fails(Run(o)) {
 		o = swarmOptions(o.Seed + 1)
-		o.Planted.KeysForgotten = true
+		o.Mutations.KeysForgotten = true
 	}
 	before := len(o.Plan)
 	small := Shrink(o, fails)
--- a/internal/mesh/sim/process.go
+++ b/internal/mesh/sim/process.go
@@ -10,19 +10,19 @@
 // process is one simulated process on a machine of its own. What it does, it does when an event is posted to it; while it is
 // frozen, or busy with its disk, events wait.
 type process struct {
-	world   *World
-	name    string
-	address string // "": it listens nowhere
-	life    uint64 // rises with every start
-	up      bool
-	removed bool // taken away for good
-	dark    bool // its machine has no power
-	frozen  bool
-	busy    bool
-	waiting []func()
-	settle  func() // called after one event or several
-	clock   clock
-	ends    []*end // of open connections
+	world       *World
+	name        string
+	address     string // "": it listens nowhere
+	incarnation uint64 // rises with every start
+	up          bool
+	removed     bool // taken away for good
+	dark        bool // its machine has no power
+	frozen      bool
+	busy        bool
+	waiting     []func()
+	settle      func() // called after one event or several
+	clock       clock
+	ends        []*side // of open connections
 }
 
 // clock is a process's steady clock. It drifts, and stands still while its machine is suspended.
@@ -56,16 +56,16 @@
 func (p *process) now() time.Duration { return p.clock.now(p.world.now) }
 
 // begin starts a life.
-func (p *process) beginLife() {
-	p.life++
+func (p *process) beginIncarnation() {
+	p.incarnation++
 	p.up, p.dark, p.frozen, p.busy, p.waiting = true, false, false, false, nil
 	p.clock.at, p.clock.shown, p.clock.still = p.world.now, p.world.between(0, time.Second), false
 }
 
-// endLife ends it. clean: the machine goes on and tells the peers; else they hear nothing.
-func (p *process) endLife(clean bool) {
+// endIncarnation ends it. clean: the machine goes on and tells the peers; else they hear nothing.
+func (p *process) endIncarnation(clean bool) {
 	p.up, p.dark, p.frozen, p.busy, p.waiting = false, !clean, false, false, nil
-	for _, e := range append([]*end(nil), p.ends...) {
+	for _, e := range append([]*side(nil), p.ends...) {
 		if clean {
 			e.close()
 		} else {
@@ -107,9 +107,9 @@
 
 // after has the process handle an event after a time of its own clock, in this life.
 func (p *process) after(d time.Duration, f func()) {
-	life := p.life
+	life := p.incarnation
 	p.world.after(d-d*time.Duration(p.clock.drift)/1e6, func() {
-		if p.life == life {
+		if p.incarnation == life {
 			p.post(f)
 		}
 	})
--- a/internal/mesh/sim/replicahost.go
+++ b/internal/mesh/sim/replicahost.go
@@ -38,7 +38,7 @@
 	replica  *replica.Replica
 	links    map[string]*link
 	linkList []*link // in the order in which they were made
-	sidecars []*end
+	sidecars []*side
 	write    *diskWrite // under way
 	stalled  bool       // the disk
 	// stoodUntil is when the process last went on after it stood still or waited for its disk for long.
@@ -53,15 +53,15 @@
 func (w *World) newReplica(seeds []string, founder bool) *replicaHost {
 	n := len(w.replicas)
 	h := &replicaHost{process: w.newProcess(fmt.Sprintf("replica%d", n+1), replicaAddress(n)), seeds: seeds, founder: founder, disk: w.newDisk()}
-	h.settle = h.turn
+	h.settle = h.settleReplica
 	w.replicas = append(w.replicas, h)
 	return h
 }
 
 func (w *World) newDisk() disk {
-	planted := w.options.Planted
-	if w.options.Disk == VaultDisk {
-		return newVaultDisk(planted.AnswerBeforeSync)
+	planted := w.options.Mutations
+	if w.options.Disk == StorageDisk {
+		return newStorageDisk(planted.AnswerBeforeSync)
 	}
 	return &memoryDisk{deferred: planted.AnswerBeforeSync, hardUnsynced: planted.VoteNotSynced}
 }
@@ -90,9 +90,9 @@
 	}
 	if state != diskHolds {
 		w.trace("empty", h.name, "", []byte{byte(state)})
-		held = replica.Beginning{Address: h.address, Seeds: h.seeds, FirstStart: h.founder, Damaged: state == diskDamaged, NewID: core.ID(w.random.Uint64() &^ 1)}.Held()
-		if w.options.Planted.IdentityAfterWipe && h.lastID != 0 {
-			held = vault.Held{Self: h.lastID, Snapshot: held.Snapshot}
+		held = replica.Bootstrap{Address: h.address, Seeds: h.seeds, FirstStart: h.founder, Damaged: state == diskDamaged, NewID: core.ID(w.random.Uint64() &^ 1)}.InitialState()
+		if w.options.Mutations.IdentityAfterWipe && h.lastID != 0 {
+			held = vault.StoredState{Self: h.lastID, Snapshot: held.Snapshot}
 		}
 		if h.disk.begin(held.Self, held.Snapshot) != nil {
 			w.after(fullRetry, h.start)
@@ -100,15 +100,15 @@
 		}
 	}
 	h.lastID = held.Self
-	h.beginLife()
+	h.beginIncarnation()
 	h.links, h.linkList, h.sidecars, h.write = map[string]*link{}, nil, nil, nil
-	h.replica, err = replica.New(replica.Config{Address: h.address, Held: held, Seeds: h.seeds, FaultsTolerated: replicaFault,
-		RandomSeed: w.random.Uint64(), CompactAt: w.options.CompactAt, TailEntries: w.options.CompactAt / 2, Log: zerolog.Nop()}, h, h.now())
+	h.replica, err = replica.New(replica.Config{Address: h.address, Stored: held, Seeds: h.seeds, FaultsTolerated: replicaFault,
+		RandomSeed: w.random.Uint64(), CompactionThreshold: w.options.CompactAt, TailEntries: w.options.CompactAt / 2, Log: zerolog.Nop()}, h, h.now())
 	if err != nil {
 		panic("sim: " + err.Error())
 	}
-	if w.options.Planted.KeysForgotten {
-		h.replica.State().Keys = ticket.New()
+	if w.options.Mutations.KeysForgotten {
+		h.replica.State().KeyLeases = ticket.New()
 	}
 	w.trace("start", h.name, "", nil)
 	w.observer.started(h, held)
@@ -123,10 +123,10 @@
 	})
 }
 
-// turn has the replica carry out what it wants, and waits where it waits for its disk.
-func (h *replicaHost) turn() {
+// settleReplica has the replica carry out what it wants, and waits where it waits for its disk.
+func (h *replicaHost) settleReplica() {
 	h.world.observer.beforeTurn(h)
-	h.busy = !h.replica.Turn()
+	h.busy = !h.replica.ProcessReady()
 	h.world.observer.afterTurn(h)
 }
 
@@ -140,7 +140,7 @@
 		under = nil
 	}
 	h.disk.crash(h.world.random, under, power)
-	h.endLife(!power)
+	h.endIncarnation(!power)
 	h.replica, h.write = nil, nil
 	h.world.trace("stop", h.name, "", nil)
 	h.world.observer.noteContacts()
@@ -149,7 +149,7 @@
 // leave has the replica end as one that is told to; it does not start again.
 func (h *replicaHost) leave(over func()) {
 	h.leaving = true
-	h.post(func() { h.replica.Leave(h.now()) })
+	h.post(func() { h.replica.BeginShutdown(h.now()) })
 	h.awaitLeave(h.world.now, over)
 }
 
@@ -158,11 +158,11 @@
 func (h *replicaHost) awaitLeave(told time.Duration, over func()) {
 	h.world.after(replica.TickInterval, func() {
 		passed := h.world.now - told
-		if h.up && passed < leaveMost && !(passed >= leaveLeast && h.replica.MayLeave()) {
+		if h.up && passed < leaveMost && !(passed >= leaveLeast && h.replica.CanShutDown()) {
 			h.awaitLeave(told, over)
 			return
 		}
-		if h.replica == nil || !h.replica.MayLeave() { // it is gone all the same, as one that is lost
+		if h.replica == nil || !h.replica.CanShutDown() { // it is gone all the same, as one that is lost
 			h.world.observer.losing(h)
 		}
 		h.stop(false)
@@ -187,9 +187,9 @@
 
 // finishWrite has the write under way be done after a time, unless the disk stalls or is full.
 func (h *replicaHost) finishWrite(d time.Duration) {
-	life, write := h.life, h.write
+	life, write := h.incarnation, h.write
 	h.world.after(d, func() {
-		if h.life != life || !h.up || h.write != write {
+		if h.incarnation != life || !h.up || h.write != write {
 			return
 		}
 		if h.stalled || h.disk.save(write.ready, write.last) != nil {
@@ -198,7 +198,7 @@
 			return
 		}
 		write.done = true
-		if h.world.options.Planted.AnswerBeforeSync {
+		if h.world.options.Mutations.AnswerBeforeSync {
 			h.world.after(h.world.between(plantedSync/4, plantedSync), h.disk.sync)
 		}
 		h.world.trace("saved", h.name, "", nil)
@@ -211,7 +211,7 @@
 	if h.frozen || !h.busy {
 		return
 	}
-	h.turn()
+	h.settleReplica()
 	h.resume()
 }
 
@@ -238,27 +238,27 @@
 
 // Send sends a consensus message.
 func (h *replicaHost) Send(address string, m core.Message) {
-	h.link(address).sendLoose(trunk.Encode(vault.WireMessage(m)))
+	h.link(address).sendLoose(trunk.Encode(vault.MessageToWire(m)))
 }
 
 // Connect keeps a connection to another replica.
 func (h *replicaHost) Connect(address string) { h.link(address).connect() }
 
-// AskReplica asks another replica.
-func (h *replicaHost) AskReplica(address string, kind byte, body []byte, done func(replica.Reply)) {
-	h.link(address).ask(kind, body, done)
+// CallReplica asks another replica.
+func (h *replicaHost) CallReplica(address string, kind byte, body []byte, done func(replica.Reply)) {
+	h.link(address).call(kind, body, done)
 }
 
-// TellSidecars sends a message to each sidecar.
-func (h *replicaHost) TellSidecars(message any) {
+// BroadcastToSidecars sends a message to each sidecar.
+func (h *replicaHost) BroadcastToSidecars(message any) {
 	frame := trunk.Encode(message)
 	for _, e := range slices.Clone(h.sidecars) {
 		e.sendFrame(frame)
 	}
 }
 
-// TellReplicas sends a message to each replica.
-func (h *replicaHost) TellReplicas(message any) {
+// BroadcastToReplicas sends a message to each replica.
+func (h *replicaHost) BroadcastToReplicas(message any) {
 	frame := trunk.Encode(message)
 	for _, l := range h.linkList {
 		l.send(frame)
@@ -266,68 +266,70 @@
 }
 
 // accept takes a connection of a sidecar or of another replica.
-func (h *replicaHost) accept(e *end, hello *wire.HelloT) {
+func (h *replicaHost) accept(e *side, hello *wire.HelloT) {
 	if !e.open {
 		return
 	}
-	touched := func() *wire.BeatT { return &wire.BeatT{Touch: replica.InTouch(h.replica.Touched(), h.now())} }
-	e.beat = touched
-	if hello.Register {
-		h.replica.Remember(core.ID(hello.Member), hello.Addr)
+	touched := func() *wire.HeartbeatT {
+		return &wire.HeartbeatT{QuorumContact: replica.HasQuorumContact(h.replica.QuorumContact(), h.now())}
+	}
+	e.heartbeat = touched
+	if hello.ControlPlane {
+		h.replica.RememberAddress(core.ID(hello.MemberId), hello.Addr)
 		h.link(hello.Addr).hasten()
 	} else {
 		h.sidecars = append(h.sidecars, e)
-		e.closed = func() { h.sidecars = slices.DeleteFunc(h.sidecars, func(o *end) bool { return o == e }) }
-		for _, m := range h.replica.Greeting() {
+		e.closed = func() { h.sidecars = slices.DeleteFunc(h.sidecars, func(o *side) bool { return o == e }) }
+		for _, m := range h.replica.InitialMessages() {
 			e.send(m)
 		}
 	}
-	e.message = func(m trunk.Message) { h.takeMessage(e, m, !hello.Register) }
+	e.message = func(m trunk.Message) { h.takeMessage(e, m, !hello.ControlPlane) }
 }
 
-func (h *replicaHost) takeMessage(e *end, m trunk.Message, sidecar bool) {
+func (h *replicaHost) takeMessage(e *side, m trunk.Message, sidecar bool) {
 	switch v := m.Value.(type) {
-	case *wire.VoteT:
-		if message, err := vault.MessageOf(v); err == nil && !sidecar {
+	case *wire.RaftMessageT:
+		if message, err := vault.MessageFromWire(v); err == nil && !sidecar {
 			h.replica.Step(h.now(), message)
 		}
 	case *wire.RecordsT:
-		for _, held := range h.replica.TakeRecords(h.now(), directory.Of(v), sidecar) {
-			e.send(directory.Wire([]directory.Record{held}))
+		for _, held := range h.replica.MergeRecords(h.now(), directory.FromWire(v), sidecar) {
+			e.send(directory.ToWire([]directory.Record{held}))
 		}
-	case *wire.AskT:
+	case *wire.CallT:
 		h.answer(v, sidecar, func(r replica.Reply) {
 			if r.Push != nil {
 				e.send(r.Push)
 			}
-			e.send(&wire.ToldT{Id: v.Id, Status: uint16(r.Status), Body: r.Body})
+			e.send(&wire.CallReplyT{Id: v.Id, Status: uint16(r.Status), Body: r.Body})
 		})
 	}
 }
 
-func (h *replicaHost) answer(a *wire.AskT, sidecar bool, reply func(replica.Reply)) {
-	if h.world.options.Planted.UnconfirmedTable && a.Kind == trunk.AskTable {
-		t := patch.Wire(h.replica.State().Items.Items())
-		t.Whole, t.Index = true, h.replica.Applied()
-		reply(replica.Reply{Status: http.StatusOK, Body: trunk.Bytes(t)})
+func (h *replicaHost) answer(a *wire.CallT, sidecar bool, reply func(replica.Reply)) {
+	if h.world.options.Mutations.UnconfirmedTable && a.Kind == trunk.CallItems {
+		t := patch.ItemsToWire(h.replica.State().Items.Items())
+		t.Complete, t.Index = true, h.replica.AppliedIndex()
+		reply(replica.Reply{Status: http.StatusOK, Body: trunk.EncodeTable(t)})
 		return
 	}
-	h.replica.Answer(h.now(), a.Kind, a.Body, sidecar, reply)
+	h.replica.HandleCall(h.now(), a.Kind, a.Body, sidecar, reply)
 }
 
 // modify takes an operator's call.
 func (h *replicaHost) modify(body []byte, done func(replica.Reply)) {
-	if _, err := patch.Read(body); err != nil {
-		done(replica.StatusOf(err))
+	if _, err := patch.ParseItems(body); err != nil {
+		done(replica.ErrorReply(err))
 		return
 	}
 	h.replica.Modify(h.now(), body, done)
 }
 
 // fetch answers an operator's read.
-func (h *replicaHost) fetch(done func(set patch.Set, ok bool)) {
-	if h.world.options.Planted.UnconfirmedFetch {
-		done(h.replica.State().Items.Layout(), true)
+func (h *replicaHost) fetch(done func(set patch.Document, ok bool)) {
+	if h.world.options.Mutations.UnconfirmedFetch {
+		done(h.replica.State().Items.Document(), true)
 		return
 	}
 	h.replica.Fetch(h.now(), done)
--- a/internal/mesh/sim/shrink.go
+++ b/internal/mesh/sim/shrink.go
@@ -33,9 +33,9 @@
 		}
 	}
 	for i := range o.Plan {
-		for o.Plan[i].For > 10*time.Millisecond {
+		for o.Plan[i].Duration > 10*time.Millisecond {
 			p := slices.Clone(o.Plan)
-			p[i].For = (p[i].For / 2).Round(time.Millisecond)
+			p[i].Duration = (p[i].Duration / 2).Round(time.Millisecond)
 			if !try(p) {
 				break
 			}
--- a/internal/mesh/sim/sidecar.go
+++ b/internal/mesh/sim/sidecar.go
@@ -36,10 +36,10 @@
 // requests once it is granted their keys.
 type sidecar struct {
 	*process
-	stopped bool
-	home    home
-	items   patch.Table
-	record  uint64 // number of its latest record
+	stopped      bool
+	controlPlane controlPlaneConnection
+	items        patch.Table
+	record       uint64 // number of its latest record
 }
 
 func newSidecar(w *World, name string) *sidecar {
@@ -51,10 +51,10 @@
 	if s.up || s.removed {
 		return
 	}
-	s.beginLife()
+	s.beginIncarnation()
 	s.items = patch.Table{}
-	s.home = home{sidecar: s, members: map[follower.DialID]*homeMember{}, decider: follower.New(s.now(), s.world.replicaAddresses())}
-	s.home.carryOutAll()
+	s.controlPlane = controlPlaneConnection{sidecar: s, members: map[follower.ConnID]*memberConnection{}, decider: follower.New(s.now(), s.world.replicaAddresses())}
+	s.controlPlane.carryOutAll()
 	s.requestLoop()
 	s.recordLoop()
 }
@@ -64,13 +64,13 @@
 	if !s.up {
 		return false
 	}
-	reachable, _ := s.home.decider.Reachable()
+	reachable, _ := s.controlPlane.decider.Reachable()
 	return reachable
 }
 
 // mayBegin says whether requests that need the control plane may be begun.
 func (s *sidecar) mayBegin() bool {
-	reachable, until := s.home.decider.Reachable()
+	reachable, until := s.controlPlane.decider.Reachable()
 	return reachable || s.now() < until
 }
 
@@ -79,8 +79,8 @@
 	var raised []patch.Item
 	s.items, raised = s.items.Merge(items)
 	for _, i := range raised {
-		held, _ := s.items.Get(i.Name)
-		s.world.history.Record(history.InForce{At: s.world.now, Process: s.name, Life: s.life, InTouch: s.inTouch(), ItemVersion: itemVersion(held)})
+		held, _ := s.items.Get(i.Key)
+		s.world.history.Record(history.ActiveVersion{At: s.world.now, Process: s.name, Incarnation: s.incarnation, InContact: s.inTouch(), ItemVersion: itemVersion(held)})
 	}
 }
 
@@ -94,8 +94,8 @@
 // tellRecord tells the home of this sidecar's server.
 func (s *sidecar) tellRecord() {
 	s.record++
-	if m := s.home.current(); m != nil {
-		m.end.send(directory.Wire([]directory.Record{{Node: s.name, Life: s.life, Seq: s.record, Addr: s.address, Service: "service0", Server: s.name, State: directory.Ready}}))
+	if m := s.controlPlane.current(); m != nil {
+		m.end.send(directory.ToWire([]directory.Record{{Node: s.name, Incarnation: s.incarnation, Sequence: s.record, Addr: s.address, Service: "service0", ServerID: s.name, State: directory.ServerReady}}))
 	}
 }
 
@@ -110,7 +110,7 @@
 	s.after(s.world.between(requestEvery/10, 2*requestEvery), func() {
 		if !s.stopped && s.mayBegin() {
 			w := s.world
-			s.home.wait(1)
+			s.controlPlane.wait(1)
 			s.claim(&keyedRequest{key: fmt.Sprintf("key%d", w.random.IntN(keyNames)), ticket: fmt.Sprintf("%s-%d", s.name, w.id()), begun: w.now,
 				deadline: s.now() + claimWithin})
 		}
@@ -118,7 +118,7 @@
 	})
 }
 
-func (s *sidecar) holder() string { return fmt.Sprintf("%s/%d", s.address, s.life) }
+func (s *sidecar) holder() string { return fmt.Sprintf("%s/%d", s.address, s.incarnation) }
 
 // claim claims the key of a request, again and again while there is time.
 func (s *sidecar) claim(q *keyedRequest) {
@@ -129,18 +129,18 @@
 		}
 		s.after(claimAgain, func() { s.claim(q) })
 	}
-	home := s.home.current()
+	home := s.controlPlane.current()
 	if home == nil {
 		again()
 		return
 	}
-	body := claimBody(&wire.ClaimT{Key: q.key, Ticket: q.ticket, Holder: s.holder(), Window: (keyWindow + windowSlack).Microseconds()})
-	home.asks.ask(s.process, home.end, max(0, q.deadline-s.now()), trunk.AskClaims, body, func(r replica.Reply) {
+	body := claimBody(&wire.KeyLeaseRequestT{Key: q.key, Token: q.ticket, Holder: s.holder(), WindowUs: (keyWindow + windowSlack).Microseconds()})
+	home.calls.call(s.process, home.end, max(0, q.deadline-s.now()), trunk.CallLeaseKeys, body, func(r replica.Reply) {
 		if r.Status != http.StatusOK {
 			again()
 			return
 		}
-		g, err := trunk.Parse(r.Body, func(p []byte) *wire.GrantsT { return wire.GetRootAsGrants(p, 0).UnPack() })
+		g, err := trunk.DecodeTable(r.Body, func(p []byte) *wire.KeyLeaseResultsT { return wire.GetRootAsKeyLeaseResults(p, 0).UnPack() })
 		if err != nil || len(g.List) != 1 {
 			again()
 			return
@@ -153,10 +153,12 @@
 	})
 }
 
-func claimBody(l ...*wire.ClaimT) []byte { return trunk.Bytes(&wire.ClaimsT{List: l}) }
+func claimBody(l ...*wire.KeyLeaseRequestT) []byte {
+	return trunk.EncodeTable(&wire.KeyLeaseRequestsT{List: l})
+}
 
 // decide runs a request whose key was granted, or gives the key back.
-func (s *sidecar) decide(q *keyedRequest, g *wire.GrantT) {
+func (s *sidecar) decide(q *keyedRequest, g *wire.KeyLeaseResultT) {
 	w := s.world
 	if !g.Granted {
 		s.claimed(q, history.Refused, g.Holder)
@@ -164,7 +166,7 @@
 	}
 	s.claimed(q, history.Acknowledged, s.holder())
 	if w.chance(releaseShare) {
-		s.release(&wire.ClaimT{Key: q.key, Ticket: q.ticket, Holder: s.holder(), Release: true})
+		s.release(&wire.KeyLeaseRequestT{Key: q.key, Token: q.ticket, Holder: s.holder(), Release: true})
 		return
 	}
 	w.history.Record(history.Run{At: w.now, Server: s.name, Key: q.key, Window: keyWindow, Request: q.ticket})
@@ -172,20 +174,20 @@
 }
 
 func (s *sidecar) claimed(q *keyedRequest, outcome history.Outcome, holder string) {
-	s.home.wait(-1)
+	s.controlPlane.wait(-1)
 	s.world.history.Record(history.Claim{Call: history.Call{Process: s.name, Begin: q.begun, Return: s.world.now, Outcome: outcome}, Key: q.key,
 		Window: keyWindow, Holder: holder})
 }
 
 // release gives a key back, until that is taken.
-func (s *sidecar) release(c *wire.ClaimT) {
+func (s *sidecar) release(c *wire.KeyLeaseRequestT) {
 	again := func() { s.after(askAgain, func() { s.release(c) }) }
-	home := s.home.current()
+	home := s.controlPlane.current()
 	if home == nil {
 		again()
 		return
 	}
-	home.asks.ask(s.process, home.end, askWithin, trunk.AskClaims, claimBody(c), func(r replica.Reply) {
+	home.calls.call(s.process, home.end, askWithin, trunk.CallLeaseKeys, claimBody(c), func(r replica.Reply) {
 		if r.Status != http.StatusOK {
 			again()
 		}
@@ -195,6 +197,6 @@
 // stop ends the life.
 func (s *sidecar) stop(power bool) {
 	if s.up {
-		s.endLife(!power)
+		s.endIncarnation(!power)
 	}
 }
--- a/internal/mesh/sim/sim_test.go
+++ b/internal/mesh/sim/sim_test.go
@@ -32,7 +32,7 @@
 		var first, second bytes.Buffer
 		o := Options{Seed: seed, Plan: Generate(seed), CompactAt: 30, Trace: &first}
 		if seed == 3 {
-			o.Disk = VaultDisk
+			o.Disk = StorageDisk
 		}
 		a := Run(o)
 		o.Trace = &second
@@ -143,7 +143,7 @@
 		}
 	}
 	c.Leaders += len(h.Leaders)
-	c.Tables += len(h.Tables)
+	c.Tables += len(h.InitialTables)
 }
 
 func (c *coverage) assertAll(t *testing.T) {
