--- a/internal/mesh/sim/vaultdisk.go
+++ b/internal/mesh/sim/vaultdisk.go
@@ -13,30 +13,30 @@
 // accessesOfSave bounds the accesses to the disk in one write of the storage, within which power may be lost.
 const accessesOfSave = 4
 
-// vaultDisk is the real storage over simulated files: what was not synced is kept, lost or torn, file by file. It belongs to
+// storageDisk is the real storage over simulated files: what was not synced is kept, lost or torn, file by file. It belongs to
 // one world.
-type vaultDisk struct {
+type storageDisk struct {
 	files   *filedisk.Disk
-	vault   *vault.Vault
+	store   *vault.Store
 	records memoryDisk // what the storage has said is synced, for the observer
 	reopen  bool       // a write failed: the storage takes no more until it is opened anew
 }
 
-func newVaultDisk(lies bool) *vaultDisk {
-	d := &vaultDisk{files: filedisk.New()}
-	d.files.SetSyncless(lies)
+func newStorageDisk(lies bool) *storageDisk {
+	d := &storageDisk{files: filedisk.New()}
+	d.files.SetIgnoreSyncs(lies)
 	return d
 }
 
-func (d *vaultDisk) read() (held vault.Held, state diskState, err error) {
+func (d *storageDisk) read() (held vault.StoredState, state diskState, err error) {
 	d.close()
 	state = diskHolds
 	var empty bool
-	d.vault, held, empty, err = vault.OpenIn(d.files, vault.Options{Foreground: true})
+	d.store, held, empty, err = vault.OpenFolder(d.files, vault.Options{Foreground: true})
 	if err != nil && !errors.Is(err, vault.ErrUnavailable) { // as the shell in production does
 		state = diskDamaged
 		if err = d.files.Discard(); err == nil {
-			d.vault, held, empty, err = vault.OpenIn(d.files, vault.Options{Foreground: true})
+			d.store, held, empty, err = vault.OpenFolder(d.files, vault.Options{Foreground: true})
 		}
 	}
 	if err != nil {
@@ -50,11 +50,11 @@
 	return held, state, nil
 }
 
-func (d *vaultDisk) begin(self core.ID, s core.Snapshot) error {
+func (d *storageDisk) begin(self core.ID, s core.Snapshot) error {
 	if err := d.ready(); err != nil {
 		return err
 	}
-	if err := d.vault.Begin(self, s); err != nil {
+	if err := d.store.Initialize(self, s); err != nil {
 		d.reopen = true
 		return err
 	}
@@ -62,9 +62,9 @@
 }
 
 // ready opens the storage anew where a write has failed.
-func (d *vaultDisk) ready() error {
+func (d *storageDisk) ready() error {
 	if d.reopen {
-		if err := d.vault.Reopen(); err != nil {
+		if err := d.store.Reopen(); err != nil {
 			return err
 		}
 		d.reopen = false
@@ -72,22 +72,22 @@
 	return nil
 }
 
-func (d *vaultDisk) save(ready core.Ready, last uint64) error {
+func (d *storageDisk) save(ready core.Ready, last uint64) error {
 	if err := d.ready(); err != nil {
 		return err
 	}
-	if err := d.vault.Save(ready, last); err != nil {
+	if err := d.store.Save(ready, last); err != nil {
 		d.reopen = true
 		return err
 	}
 	return d.records.save(ready, last)
 }
 
-func (d *vaultDisk) compact(s core.Snapshot, kept uint64) error {
+func (d *storageDisk) compact(s core.Snapshot, kept uint64) error {
 	if err := d.ready(); err != nil {
 		return err
 	}
-	if err := d.vault.Compact(s, kept); err != nil {
+	if err := d.store.Compact(s, kept); err != nil {
 		d.reopen = true
 		return err
 	}
@@ -95,10 +95,10 @@
 }
 
 // crash ends the process; a write that was under way has come as far as chance says.
-func (d *vaultDisk) crash(random *rand.Rand, under *diskWrite, power bool) {
+func (d *storageDisk) crash(random *rand.Rand, under *diskWrite, power bool) {
 	end := d.files.KillProcess
 	if power {
-		end = func() { d.files.Crash(random) }
+		end = func() { d.files.LosePower(random) }
 	}
 	if under == nil || d.reopen {
 		end()
@@ -113,7 +113,7 @@
 		}
 		left--
 	})
-	d.vault.Save(under.ready, under.last)
+	d.store.Save(under.ready, under.last)
 	d.files.OnAccess(nil)
 	if !ended {
 		end()
@@ -121,15 +121,17 @@
 	d.close()
 }
 
-func (d *vaultDisk) close() {
-	if d.vault != nil {
-		d.vault.Close()
-		d.vault = nil
+func (d *storageDisk) close() {
+	if d.store != nil {
+		d.store.Close()
+		d.store = nil
 	}
 }
 
-func (d *vaultDisk) setFull(full bool) { d.files.SetFull(full) }
+func (d *storageDisk) setFull(full bool) { d.files.SetFull(full) }
 
-func (d *vaultDisk) sync() {}
+func (d *storageDisk) sync() {}
 
-func (d *vaultDisk) term(index uint64) (term uint64, known, held bool) { return d.records.term(index) }
+func (d *storageDisk) term(index uint64) (term uint64, known, held bool) {
+	return d.records.term(index)
+}
--- a/internal/mesh/sim/world.go
+++ b/internal/mesh/sim/world.go
@@ -35,12 +35,12 @@
 	Horizon   time.Duration // all faults are over by then; 0: the plan's end
 	CompactAt int           // entries behind a replica's snapshot; 0: as in production
 	Disk      DiskKind
-	Planted   Planted
+	Mutations Mutations
 	Trace     io.Writer // every event as a line of text; nil: none
 }
 
-// Planted are errors put into the run on purpose, to show that the checkers find them.
-type Planted struct {
+// Mutations are errors put into the run on purpose, to show that the checkers find them.
+type Mutations struct {
 	AnswerBeforeSync  bool // a replica goes on before its disk has synced
 	VoteNotSynced     bool // the same for term and vote alone
 	UnconfirmedFetch  bool // an operator's read is served from the state at hand
@@ -154,7 +154,7 @@
 	w.boot()
 	plan, horizon := o.Plan, max(o.Horizon, o.Plan.end(), clientsBeginAt)
 	for _, f := range plan {
-		w.at(f.At, func() { w.carryOut(f) })
+		w.at(f.At, func() { w.applyFault(f) })
 	}
 	w.at(horizon, w.endFaults)
 	end := horizon + recoverWithin + settledFor
@@ -233,7 +233,7 @@
 // result has the checkers judge the run. The search for linearizations has far more real time than it needs, so that the
 // verdict does not depend on the machine.
 func (w *World) result() Result {
-	bounds := history.Bounds{LeftBehind: leftBehindBound, CatchUp: catchUpBound, Acknowledge: acknowledgeBound, Search: time.Minute}
+	bounds := history.Bounds{IsolatedRead: leftBehindBound, CatchUp: catchUpBound, Acknowledgement: acknowledgeBound, Search: time.Minute}
 	report := history.Check(&w.history, bounds)
 	violations := slices.Concat(report.Violations, w.observer.violations, w.observer.atEnd())
 	return Result{History: &w.history, Violations: violations, Undecided: report.Undecided, TraceHash: w.digest.Sum64(),
--- a/internal/rig/mesh/app.go
+++ b/internal/rig/mesh/app.go
@@ -13,62 +13,64 @@
 	"time"
 )
 
-// App is an application server as PROTOCOL.md describes them: it beats to the line beside it, answers only for its own
+// FakeApp is an application server as PROTOCOL.md describes them: it beats to the line beside it, answers only for its own
 // instance, and notes each run.
-type App struct {
+type FakeApp struct {
 	Service, Instance, Addr string
-	control                 string // of its line
+	controlAddr             string // of its line
 	zone                    string
 	slots                   int
-	work                    atomic.Int64 // ns that a request takes
-	record                  *Record
+	serviceTime             atomic.Int64 // ns that a request takes
+	recorder                *Recorder
 	server                  *http.Server
-	busy                    atomic.Int64
-	seq                     atomic.Int64
+	inFlight                atomic.Int64
+	heartbeatSeq            atomic.Int64
 	state                   atomic.Value // string
 	stop                    chan struct{}
 	broken                  atomic.Bool  // it drops what it runs
-	together                atomic.Int64 // so many must run at once before any is answered
+	holdUntil               atomic.Int64 // so many must run at once before any is answered
 }
 
-// Record is what servers and callers saw.
-type Record struct {
-	mu    sync.Mutex          // guards below
-	runs  map[string][]string // instances by attempt
-	keys  map[string][]string // attempts by key
-	wrong []string
+// Recorder is what servers and callers saw.
+type Recorder struct {
+	mu                 sync.Mutex          // guards below
+	instancesByAttempt map[string][]string // instances by attempt
+	attemptsByKey      map[string][]string // attempts by key
+	violations         []string
 }
 
-// NewRecord returns an empty one.
-func NewRecord() *Record { return &Record{runs: map[string][]string{}, keys: map[string][]string{}} }
+// NewRecorder returns an empty one.
+func NewRecorder() *Recorder {
+	return &Recorder{instancesByAttempt: map[string][]string{}, attemptsByKey: map[string][]string{}}
+}
 
-func (r *Record) ran(attempt, key, instance string) {
+func (r *Recorder) recordRun(attempt, key, instance string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.runs[attempt] = append(r.runs[attempt], instance)
+	r.instancesByAttempt[attempt] = append(r.instancesByAttempt[attempt], instance)
 	if key != "" {
-		r.keys[key] = append(r.keys[key], attempt)
+		r.attemptsByKey[key] = append(r.attemptsByKey[key], attempt)
 	}
 }
 
-func (r *Record) fault(format string, args ...any) {
+func (r *Recorder) recordViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.wrong = append(r.wrong, fmt.Sprintf(format, args...))
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
 // Runs are the instances that ran an attempt.
-func (r *Record) Runs(attempt string) []string {
+func (r *Recorder) Runs(attempt string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.runs[attempt]
+	return r.instancesByAttempt[attempt]
 }
 
-// By is how many runs an instance made.
-func (r *Record) By(instance string) (n int) {
+// RunsBy is how many runs an instance made.
+func (r *Recorder) RunsBy(instance string) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, l := range r.runs {
+	for _, l := range r.instancesByAttempt {
 		for _, i := range l {
 			if i == instance {
 				n++
@@ -78,12 +80,12 @@
 	return n
 }
 
-// Faults are the rules that were broken, as far as the records tell: keys that ran twice, and what servers and callers noted.
-func (r *Record) Faults() (l []string) {
+// Violations are the rules that were broken, as far as the records tell: keys that ran twice, and what servers and callers noted.
+func (r *Recorder) Violations() (l []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l = append(l, r.wrong...)
-	for k, a := range r.keys {
+	l = append(l, r.violations...)
+	for k, a := range r.attemptsByKey {
 		if len(a) > 1 {
 			l = append(l, fmt.Sprintf("TWICE: key %s ran as %v", k, a))
 		}
@@ -91,60 +93,60 @@
 	return l
 }
 
-// newApp starts a server.
-func newApp(service, instance, addr, control, zone string, record *Record) (*App, error) {
-	a := &App{Service: service, Instance: instance, Addr: addr, control: control, zone: zone, slots: 8, record: record, stop: make(chan struct{})}
+// newFakeApp starts a server.
+func newFakeApp(service, instance, addr, control, zone string, record *Recorder) (*FakeApp, error) {
+	a := &FakeApp{Service: service, Instance: instance, Addr: addr, controlAddr: control, zone: zone, slots: 8, recorder: record, stop: make(chan struct{})}
 	a.state.Store("ready")
-	a.work.Store(int64(5 * time.Millisecond))
+	a.serviceTime.Store(int64(5 * time.Millisecond))
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	a.server = &http.Server{Handler: a}
 	go a.server.Serve(l)
-	go a.beat()
+	go a.heartbeatLoop()
 	return a, nil
 }
 
 // Crash ends the server at once.
-func (a *App) Crash() {
+func (a *FakeApp) Crash() {
 	close(a.stop)
 	a.server.Close()
 }
 
-// Work sets how long a request takes.
-func (a *App) Work(d time.Duration) { a.work.Store(int64(d)) }
+// SetServiceTime sets how long a request takes.
+func (a *FakeApp) SetServiceTime(d time.Duration) { a.serviceTime.Store(int64(d)) }
 
-// Break has it drop the connections of what it runs, or stop doing so.
-func (a *App) Break(on bool) { a.broken.Store(on) }
+// SetBroken has it drop the connections of what it runs, or stop doing so.
+func (a *FakeApp) SetBroken(on bool) { a.broken.Store(on) }
 
-// Together has it answer nothing until so many requests run at once.
-func (a *App) Together(n int) { a.together.Store(int64(n)) }
+// HoldUntilConcurrent has it answer nothing until so many requests run at once.
+func (a *FakeApp) HoldUntilConcurrent(n int) { a.holdUntil.Store(int64(n)) }
 
 // Drain tells the line that it leaves; true: that was acknowledged.
-func (a *App) Drain() bool {
+func (a *FakeApp) Drain() bool {
 	a.state.Store("draining")
-	return a.tell()
+	return a.sendHeartbeat()
 }
 
-func (a *App) beat() {
+func (a *FakeApp) heartbeatLoop() {
 	for {
-		a.tell()
+		a.sendHeartbeat()
 		select {
-		case <-time.After(beatEvery):
+		case <-time.After(heartbeatInterval):
 		case <-a.stop:
 			return
 		}
 	}
 }
 
-// tell sends one beat.
-func (a *App) tell() bool {
+// sendHeartbeat sends one beat.
+func (a *FakeApp) sendHeartbeat() bool {
 	body, _ := json.Marshal(map[string]any{"Address": a.Addr,
 		"SystemInfo": map[string]any{"Service": a.Service, "ConfigVersion": "v1", "Zone": a.zone, "SlotCount": a.slots},
-		"OperStatus": map[string]any{"State": a.state.Load(), "CallSeq": a.seq.Add(1), "WarmupLeftS": 0}})
+		"OperStatus": map[string]any{"State": a.state.Load(), "CallSeq": a.heartbeatSeq.Add(1), "WarmupLeftS": 0}})
 	c := http.Client{Timeout: time.Second}
-	resp, err := c.Post("http://"+a.control+"/v1/endpoints/"+a.Instance+"/heartbeat", "application/json", bytes.NewReader(body))
+	resp, err := c.Post("http://"+a.controlAddr+"/v1/endpoints/"+a.Instance+"/heartbeat", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
@@ -153,7 +155,7 @@
 }
 
 // ServeHTTP runs one request.
-func (a *App) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *FakeApp) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Attempt-Id")
 	w.Header().Set("Attempt-Id", id)
 	w.Header().Set("Instance-Id", a.Instance)
@@ -172,27 +174,27 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	defer a.busy.Add(-1)
-	if a.busy.Add(1) > 4*int64(a.slots) {
+	defer a.inFlight.Add(-1)
+	if a.inFlight.Add(1) > 4*int64(a.slots) {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if r.Header.Get("Caller-Service") == "" {
-		a.record.fault("UNASKED: %s came without Caller-Service", id)
+		a.recorder.recordViolation("UNASKED: %s came without Caller-Service", id)
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	a.record.ran(id, r.Header.Get("Operation-Key"), a.Instance)
-	time.Sleep(time.Duration(a.work.Load()))
-	for ; a.busy.Load() < a.together.Load(); time.Sleep(time.Millisecond) {
+	a.recorder.recordRun(id, r.Header.Get("Operation-Key"), a.Instance)
+	time.Sleep(time.Duration(a.serviceTime.Load()))
+	for ; a.inFlight.Load() < a.holdUntil.Load(); time.Sleep(time.Millisecond) {
 		if r.Context().Err() != nil {
 			return
 		}
 	}
-	a.together.Store(0)
+	a.holdUntil.Store(0)
 	if a.broken.Load() {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/rig/mesh/bench_test.go
+++ b/internal/rig/mesh/bench_test.go
@@ -16,34 +16,34 @@
 	"hollyspur/internal/rig"
 )
 
-// begun is a mesh of three registers and two lines that has its configuration.
-func begun(b *testing.B) (m *Mesh, dir string) {
-	m = begunWith(b, "stock", "orders")
+// startConfigured is a mesh of three registers and two lines that has its configuration.
+func startConfigured(b *testing.B) (m *Cluster, dir string) {
+	m = startConfiguredWith(b, "stock", "orders")
 	return m, m.Dir
 }
 
-// begunWith is a mesh of three registers that has its configuration, with a line and a server for each service named.
-func begunWith(b *testing.B, services ...string) *Mesh {
+// startConfiguredWith is a mesh of three registers that has its configuration, with a line and a server for each service named.
+func startConfiguredWith(b *testing.B, services ...string) *Cluster {
 	dir := b.TempDir()
-	if err := Build(dir); err != nil {
+	if err := BuildPrograms(dir); err != nil {
 		b.Fatal(err)
 	}
 	m, err := New(dir, 3, services...)
 	if err != nil {
 		b.Fatal(err)
 	}
-	config := Modify(1, []string{"stock", "orders"}, Route("read", "idempotent", "/read/", "stock", 1), Route("send", "keyed", "/send/", "stock", 1))
-	if !rig.Await(20*time.Second, func() bool { s, _ := m.Registers[0].Operate(config); return s == 200 }) || !m.Ready(20*time.Second) {
+	config := ModifyCall(1, []string{"stock", "orders"}, RouteItem("read", "idempotent", "/read/", "stock", 1), RouteItem("send", "keyed", "/send/", "stock", 1))
+	if !rig.Await(20*time.Second, func() bool { s, _ := m.Members[0].Modify(config); return s == 200 }) || !m.AwaitReady(20*time.Second) {
 		m.Close()
 		b.Fatal("the mesh does not come up")
 	}
 	return m
 }
 
-// BenchmarkCore is how soon a change is acknowledged where a hundred come a second, open loop, at a register that does not
+// BenchmarkControlPlane is how soon a change is acknowledged where a hundred come a second, open loop, at a register that does not
 // lead for two of three; and what a line and a register use of a processor while nothing is asked of them.
-func BenchmarkCore(b *testing.B) {
-	m, _ := begun(b)
+func BenchmarkControlPlane(b *testing.B) {
+	m, _ := startConfigured(b)
 	defer m.Close()
 	b.Run("changes", func(b *testing.B) {
 		var mu sync.Mutex
@@ -54,7 +54,7 @@
 			time.Sleep(time.Until(began.Add(time.Duration(n) * 10 * time.Millisecond)))
 			all.Go(func() {
 				at := time.Now()
-				status, text := m.Registers[n%3].Operate(Modify(2+b.N*1000+n, nil, Route(fmt.Sprint("r", n%50), "idempotent", fmt.Sprintf("/r%d/", n%50), "stock", 2+b.N*1000+n)))
+				status, text := m.Members[n%3].Modify(ModifyCall(2+b.N*1000+n, nil, RouteItem(fmt.Sprint("r", n%50), "idempotent", fmt.Sprintf("/r%d/", n%50), "stock", 2+b.N*1000+n)))
 				mu.Lock()
 				defer mu.Unlock()
 				if took = append(took, time.Since(at)); status != 200 {
@@ -68,7 +68,7 @@
 		b.ReportMetric(float64(took[len(took)*99/100].Microseconds())/1000, "p99-ms")
 	})
 	b.Run("idle", func(b *testing.B) {
-		line, register := m.Lines[0].Process, m.Registers[0].Process
+		line, register := m.Sidecars[0].Process, m.Members[0].Process
 		l, r, began := line.CPU(), register.CPU(), time.Now()
 		time.Sleep(time.Duration(b.N) * time.Second)
 		s := time.Since(began).Seconds()
@@ -80,9 +80,9 @@
 // BenchmarkHops is what a request costs in processor time and memory: through one node of the present program, and through
 // the mesh, whose two lines (the caller's and the server's) and register are counted apart. Compare those of one run.
 func BenchmarkHops(b *testing.B) {
-	m, dir := begun(b)
+	m, dir := startConfigured(b)
 	defer m.Close()
-	m.Lines[0].App.Work(0)
+	m.Sidecars[0].App.SetServiceTime(0)
 	plain := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte("ok")) }))
 	defer plain.Close()
 	node, err := startNode(dir, plain.Listener.Addr().String())
@@ -106,7 +106,7 @@
 		into.ReadFrom(resp.Body)
 		return resp.StatusCode
 	}
-	caller, beside, core := m.Lines[1].Process, m.Lines[0].Process, m.Registers[0].Process
+	caller, beside, core := m.Sidecars[1].Process, m.Sidecars[0].Process, m.Members[0].Process
 	for _, x := range []struct {
 		name string
 		do   func(n int) int
@@ -117,11 +117,11 @@
 			return ask(node.Addr, "GET", "/read/x", map[string]string{"X-Correlation-Id": id, "X-Time-Left": "3000m"})
 		}, map[string]*rig.Process{"node": node}},
 		{"mesh", func(n int) int {
-			return ask(m.Lines[1].At("Outbound"), "GET", "/read/x", map[string]string{"Attempt-Id": fmt.Sprint("m", b.N, "-", n), "Time-Budget": "3000"})
+			return ask(m.Sidecars[1].Addr("Outbound"), "GET", "/read/x", map[string]string{"Attempt-Id": fmt.Sprint("m", b.N, "-", n), "Time-Budget": "3000"})
 		}, map[string]*rig.Process{"caller": caller, "beside": beside}},
 		{"mesh-keyed", func(n int) int {
 			id := fmt.Sprint("k", b.N, "-", n)
-			return ask(m.Lines[1].At("Outbound"), "POST", "/send/x", map[string]string{"Attempt-Id": id, "Operation-Key": id, "Time-Budget": "3000"})
+			return ask(m.Sidecars[1].Addr("Outbound"), "POST", "/send/x", map[string]string{"Attempt-Id": id, "Operation-Key": id, "Time-Budget": "3000"})
 		}, map[string]*rig.Process{"caller": caller, "beside": beside, "register": core}},
 	} {
 		b.Run(x.name, func(b *testing.B) {
--- a/internal/rig/mesh/failover_test.go
+++ b/internal/rig/mesh/failover_test.go
@@ -19,14 +19,14 @@
 	"hollyspur/internal/rig"
 )
 
-// trialsEnv names the variable that holds how many trials BenchmarkFailover makes of each fault.
-const trialsEnv = "FAILOVER_TRIALS"
+// failoverTrialsEnv names the variable that holds how many trials BenchmarkFailover makes of each fault.
+const failoverTrialsEnv = "FAILOVER_TRIALS"
 
 const (
-	defaultTrials = 5
-	probeEvery    = 10 * time.Millisecond // between probes of one kind at one machine
-	powerOff      = 2 * time.Second       // that all control-plane members stay down
-	recoverWithin = 15 * time.Second
+	defaultTrials  = 5
+	probeInterval  = 10 * time.Millisecond // between probes of one kind at one machine
+	powerOffTime   = 2 * time.Second       // that all control-plane members stay down
+	recoverTimeout = 15 * time.Second
 )
 
 // BenchmarkFailover measures, with real processes, the time from a fault of the control plane's leader to the next keyed
@@ -34,20 +34,20 @@
 // frozen; all members are killed and started again after two seconds (counted from that start).
 func BenchmarkFailover(b *testing.B) {
 	trials := defaultTrials
-	if n, err := strconv.Atoi(os.Getenv(trialsEnv)); err == nil && n > 0 {
+	if n, err := strconv.Atoi(os.Getenv(failoverTrialsEnv)); err == nil && n > 0 {
 		trials = n
 	}
 	for _, fault := range []struct {
 		name  string
-		bring func(m *Mesh, leader *Machine) (at time.Time, undo func() error)
+		bring func(m *Cluster, leader *Machine) (at time.Time, undo func() error)
 	}{
-		{"kill", killLeader}, {"freeze", freezeLeader}, {"power", killAll},
+		{"kill", killLeader}, {"freeze", freezeLeader}, {"power", restartAll},
 	} {
 		b.Run(fault.name, func(b *testing.B) {
-			m := begunWith(b, "stock", "stock", "orders")
+			m := startConfiguredWith(b, "stock", "stock", "orders")
 			defer m.Close()
 			f := newFailover(m)
-			disk := watchDisk(b.TempDir())
+			disk := startDiskProbe(b.TempDir())
 			defer disk.report(b)
 			for range trials {
 				if err := f.trial(fault.bring); err != nil {
@@ -59,46 +59,46 @@
 	}
 }
 
-func killLeader(_ *Mesh, leader *Machine) (time.Time, func() error) {
+func killLeader(_ *Cluster, leader *Machine) (time.Time, func() error) {
 	at := time.Now()
 	leader.Kill()
 	return at, leader.Start
 }
 
-func freezeLeader(_ *Mesh, leader *Machine) (time.Time, func() error) {
+func freezeLeader(_ *Cluster, leader *Machine) (time.Time, func() error) {
 	at := time.Now()
 	leader.Process.Pause()
 	return at, func() error { leader.Process.Resume(); return nil }
 }
 
-// killAll kills all members together and starts them again after a while: the time counts from that start.
-func killAll(m *Mesh, _ *Machine) (time.Time, func() error) {
+// restartAll kills all members together and starts them again after a while: the time counts from that start.
+func restartAll(m *Cluster, _ *Machine) (time.Time, func() error) {
 	var all sync.WaitGroup
-	for _, x := range m.Registers {
+	for _, x := range m.Members {
 		all.Go(x.Kill)
 	}
 	all.Wait()
-	time.Sleep(powerOff)
+	time.Sleep(powerOffTime)
 	at := time.Now()
-	for _, x := range m.Registers {
+	for _, x := range m.Members {
 		all.Go(func() { x.Start() })
 	}
 	all.Wait()
 	return at, func() error { return nil }
 }
 
-// failover measures trials on one mesh.
-type failover struct {
-	m       *Mesh
-	keys    atomic.Int64
-	version atomic.Int64
-	refused int
-	asked   int
-	spans   map[string][]time.Duration // by what ended
+// failoverBench measures trials on one mesh.
+type failoverBench struct {
+	cluster   *Cluster
+	keys      atomic.Int64
+	version   atomic.Int64
+	refused   int
+	asked     int
+	durations map[string][]time.Duration // by what ended
 }
 
-func newFailover(m *Mesh) *failover {
-	f := &failover{m: m, spans: map[string][]time.Duration{}}
+func newFailover(m *Cluster) *failoverBench {
+	f := &failoverBench{cluster: m, durations: map[string][]time.Duration{}}
 	f.version.Store(1)
 	return f
 }
@@ -106,12 +106,12 @@
 // outcome is a probe's: when it was begun and answered, as steady times.
 type outcome struct {
 	began, ended time.Time
-	done         bool
+	succeeded    bool
 }
 
 // trial brings the fault about under probes and notes how long each kind of them went without success.
-func (f *failover) trial(bring func(*Mesh, *Machine) (time.Time, func() error)) error {
-	leader, err := f.settled()
+func (f *failoverBench) trial(bring func(*Cluster, *Machine) (time.Time, func() error)) error {
+	leader, err := f.awaitSettled()
 	if err != nil {
 		return err
 	}
@@ -119,47 +119,47 @@
 	var all sync.WaitGroup
 	grants := make([]*probe, 2)
 	for i := range grants {
-		x := f.m.Lines[i]
+		x := f.cluster.Sidecars[i]
 		grants[i] = startProbe(&all, stop, func() bool {
-			return x.Call("POST", "/send/x", fmt.Sprint("failover-", f.keys.Add(1)), nil).Status == 200
+			return x.Send("POST", "/send/x", fmt.Sprint("failover-", f.keys.Add(1)), nil).Status == 200
 		})
 	}
-	changes := make([]*probe, len(f.m.Registers))
-	for i, x := range f.m.Registers {
+	changes := make([]*probe, len(f.cluster.Members))
+	for i, x := range f.cluster.Members {
 		changes[i] = startProbe(&all, stop, func() bool {
 			v := int(f.version.Add(1))
 			name := fmt.Sprint("failover", i)
-			status, _ := x.Operate(Modify(v, nil, Route(name, "idempotent", "/"+name+"/", "stock", v)))
+			status, _ := x.Modify(ModifyCall(v, nil, RouteItem(name, "idempotent", "/"+name+"/", "stock", v)))
 			return status == 200
 		})
 	}
-	time.Sleep(3 * probeEvery)
-	at, undo := bring(f.m, leader)
-	ok := rig.Await(recoverWithin, func() bool {
+	time.Sleep(3 * probeInterval)
+	at, undo := bring(f.cluster, leader)
+	ok := rig.Await(recoverTimeout, func() bool {
 		for _, p := range grants {
-			if _, is := p.after(at); !is {
+			if _, is := p.firstSuccessAfter(at); !is {
 				return false
 			}
 		}
-		_, is := firstOf(changes, at)
+		_, is := earliestSuccess(changes, at)
 		return is
 	})
 	close(stop)
 	defer all.Wait()
 	if !ok {
-		return fmt.Errorf("nothing is granted or acknowledged %v after the fault", recoverWithin)
+		return fmt.Errorf("nothing is granted or acknowledged %v after the fault", recoverTimeout)
 	}
-	f.note(at, leader, grants, changes)
+	f.record(at, leader, grants, changes)
 	return undo()
 }
 
-// note keeps the spans of a trial.
-func (f *failover) note(at time.Time, leader *Machine, grants, changes []*probe) {
-	first, _ := firstOf(grants, at)
+// record keeps the spans of a trial.
+func (f *failoverBench) record(at time.Time, leader *Machine, grants, changes []*probe) {
+	first, _ := earliestSuccess(grants, at)
 	f.add("grant", first.Sub(at))
 	var last time.Time
 	for _, p := range grants {
-		x, _ := p.after(at)
+		x, _ := p.firstSuccessAfter(at)
 		if x.After(last) {
 			last = x
 		}
@@ -167,33 +167,35 @@
 		f.asked, f.refused = f.asked+asked, f.refused+refused
 	}
 	f.add("grant-all-lines", last.Sub(at))
-	change, _ := firstOf(changes, at)
+	change, _ := earliestSuccess(changes, at)
 	f.add("change", change.Sub(at))
-	if elected, is := f.firstLogged(at, "leader", func(l logged) bool { return l.Leader != 0 }); is {
+	if elected, is := f.firstLogged(at, "leader", func(l logLine) bool { return l.Leader != 0 }); is {
 		f.add("new-leader", elected.Sub(at))
 	}
-	if found, is := f.firstLogged(at, "items confirmed", func(logged) bool { return true }); is {
+	if found, is := f.firstLogged(at, "items confirmed", func(logLine) bool { return true }); is {
 		f.add("line-confirmed", found.Sub(at))
 	}
 }
 
-func (f *failover) add(name string, d time.Duration) { f.spans[name] = append(f.spans[name], d) }
+func (f *failoverBench) add(name string, d time.Duration) {
+	f.durations[name] = append(f.durations[name], d)
+}
 
-// logged is a line of a process's log.
-type logged struct {
+// logLine is a line of a process's log.
+type logLine struct {
 	Time    int64  `json:"time"` // Unix ms
 	Message string `json:"message"`
 	Leader  uint64 `json:"leader"`
 }
 
 // firstLogged is the earliest line of any process's log with that message since a time.
-func (f *failover) firstLogged(since time.Time, message string, is func(logged) bool) (first time.Time, found bool) {
-	for _, x := range append(slices.Clone(f.m.Registers), f.m.Lines...) {
+func (f *failoverBench) firstLogged(since time.Time, message string, is func(logLine) bool) (first time.Time, found bool) {
+	for _, x := range append(slices.Clone(f.cluster.Members), f.cluster.Sidecars...) {
 		if x.Process == nil {
 			continue
 		}
 		for _, text := range strings.Split(x.Process.Tail(), "\n") {
-			var l logged
+			var l logLine
 			if json.Unmarshal([]byte(text), &l) != nil || l.Message != message || !is(l) {
 				continue
 			}
@@ -206,22 +208,22 @@
 	return first, found
 }
 
-// settled waits until all members follow one leader and have all of its log, and all lines have a home.
-func (f *failover) settled() (leader *Machine, err error) {
-	if rig.Await(recoverWithin, func() bool {
+// awaitSettled waits until all members follow one leader and have all of its log, and all lines have a home.
+func (f *failoverBench) awaitSettled() (leader *Machine, err error) {
+	if rig.Await(recoverTimeout, func() bool {
 		leader = nil
 		terms := map[uint64]bool{}
-		for _, x := range f.m.Registers {
+		for _, x := range f.cluster.Members {
 			s, err := x.Status()
-			if err != nil || !s.Touch || s.Outside || len(s.Members) != len(f.m.Registers) {
+			if err != nil || !s.QuorumContact || s.IsNonMember || len(s.Members) != len(f.cluster.Members) {
 				return false
 			}
-			if terms[s.Term] = true; s.Leads {
+			if terms[s.Term] = true; s.IsLeader {
 				leader = x
 			}
 		}
-		for _, x := range f.m.Lines {
-			if s, err := x.Status(); err != nil || !s.Touch || s.Home == "" {
+		for _, x := range f.cluster.Sidecars {
+			if s, err := x.Status(); err != nil || !s.QuorumContact || s.FollowedMember == "" {
 				return false
 			}
 		}
@@ -229,14 +231,14 @@
 	}) {
 		return leader, nil
 	}
-	return nil, fmt.Errorf("the mesh does not settle in %v", recoverWithin)
+	return nil, fmt.Errorf("the mesh does not settle in %v", recoverTimeout)
 }
 
 // Status asks a machine's process how it is.
 func (x *Machine) Status() (*wire.StatusT, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	c, err := trunk.Call(ctx, x.Process.Addr, "bench", nil)
+	c, err := trunk.DialClient(ctx, x.Process.Addr, "bench", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -245,29 +247,29 @@
 }
 
 // report tells the median and the 99th in 100 of each span, in milliseconds.
-func (f *failover) report(b *testing.B) {
-	for name, spans := range f.spans {
+func (f *failoverBench) report(b *testing.B) {
+	for name, spans := range f.durations {
 		slices.Sort(spans)
 		b.ReportMetric(milliseconds(spans[len(spans)/2]), name+"-p50-ms")
 		b.ReportMetric(milliseconds(spans[len(spans)*99/100]), name+"-p99-ms")
 	}
 	b.ReportMetric(float64(f.refused)/float64(max(1, f.asked)), "refused-share")
-	b.ReportMetric(float64(len(f.spans["grant"])), "trials")
+	b.ReportMetric(float64(len(f.durations["grant"])), "trials")
 	b.ReportMetric(0, "ns/op")
 }
 
-// disk syncs a small file again and again beside the trials: a member can't grant what its disk does not take, so a stall
+// diskProbe syncs a small file again and again beside the trials: a member can't grant what its disk does not take, so a stall
 // of the machine's disk is told apart from one of the mesh.
-type disk struct {
+type diskProbe struct {
 	stop chan struct{}
 	all  sync.WaitGroup
 	took []time.Duration
 }
 
-const diskSyncEvery = 20 * time.Millisecond
+const diskSyncInterval = 20 * time.Millisecond
 
-func watchDisk(dir string) *disk {
-	d := &disk{stop: make(chan struct{})}
+func startDiskProbe(dir string) *diskProbe {
+	d := &diskProbe{stop: make(chan struct{})}
 	d.all.Go(func() {
 		file, err := os.Create(filepath.Join(dir, "sync"))
 		if err != nil {
@@ -278,7 +280,7 @@
 			select {
 			case <-d.stop:
 				return
-			case <-time.After(diskSyncEvery):
+			case <-time.After(diskSyncInterval):
 			}
 			began := time.Now()
 			file.WriteAt([]byte(began.String()), 0)
@@ -290,7 +292,7 @@
 	return d
 }
 
-func (d *disk) report(b *testing.B) {
+func (d *diskProbe) report(b *testing.B) {
 	close(d.stop)
 	d.all.Wait()
 	if len(d.took) == 0 {
@@ -306,14 +308,14 @@
 
 // probe tries one thing again and again, open loop.
 type probe struct {
-	mu   sync.Mutex // guards outcomes
-	list []outcome
+	mu       sync.Mutex // guards outcomes
+	outcomes []outcome
 }
 
 func startProbe(all *sync.WaitGroup, stop <-chan struct{}, try func() bool) *probe {
 	p := &probe{}
 	all.Go(func() {
-		tick := time.NewTicker(probeEvery)
+		tick := time.NewTicker(probeInterval)
 		defer tick.Stop()
 		for {
 			all.Go(func() {
@@ -321,7 +323,7 @@
 				done := try()
 				p.mu.Lock()
 				defer p.mu.Unlock()
-				p.list = append(p.list, outcome{began, time.Now(), done})
+				p.outcomes = append(p.outcomes, outcome{began, time.Now(), done})
 			})
 			select {
 			case <-stop:
@@ -333,12 +335,12 @@
 	return p
 }
 
-// after is when the first of the tries that were begun after a time had succeeded.
-func (p *probe) after(at time.Time) (first time.Time, is bool) {
+// firstSuccessAfter is when the first of the tries that were begun after a time had succeeded.
+func (p *probe) firstSuccessAfter(at time.Time) (first time.Time, is bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, o := range p.list {
-		if o.done && o.began.After(at) && (!is || o.ended.Before(first)) {
+	for _, o := range p.outcomes {
+		if o.succeeded && o.began.After(at) && (!is || o.ended.Before(first)) {
 			first, is = o.ended, true
 		}
 	}
@@ -349,20 +351,20 @@
 func (p *probe) counts(at time.Time) (asked, refused int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, o := range p.list {
+	for _, o := range p.outcomes {
 		if o.began.Before(at) {
 			continue
 		}
-		if asked++; !o.done {
+		if asked++; !o.succeeded {
 			refused++
 		}
 	}
 	return asked, refused
 }
 
-func firstOf(l []*probe, at time.Time) (first time.Time, is bool) {
+func earliestSuccess(l []*probe, at time.Time) (first time.Time, is bool) {
 	for _, p := range l {
-		if t, ok := p.after(at); ok && (!is || t.Before(first)) {
+		if t, ok := p.firstSuccessAfter(at); ok && (!is || t.Before(first)) {
 			first, is = t, true
 		}
 	}
--- a/internal/rig/mesh/mesh.go
+++ b/internal/rig/mesh/mesh.go
@@ -25,38 +25,38 @@
 	"hollyspur/internal/rig"
 )
 
-const beatEvery = 300 * time.Millisecond
+const heartbeatInterval = 300 * time.Millisecond
 
 // Machine is one machine of the mesh: a line with its server, or a register.
 type Machine struct {
-	Name, IP string
-	Args     []string     // of its program, from its next start on
-	Process  *rig.Process // nil: it does not run
-	App      *App         // of a line
-	of       *Mesh
-	program  string
-	programs string // folder of its program
-	set      map[string]any
-	listen   map[string]string // never changed once made
-	lives    int
+	Name, IP        string
+	Args            []string     // of its program, from its next start on
+	Process         *rig.Process // nil: it does not run
+	App             *FakeApp     // of a line
+	cluster         *Cluster
+	program         string
+	programs        string // folder of its program
+	settings        map[string]any
+	listenAddrs     map[string]string // never changed once made
+	appIncarnations int
 }
 
-// Mesh is all machines.
-type Mesh struct {
+// Cluster is all machines.
+type Cluster struct {
 	Dir       string
-	Registers []*Machine
-	Lines     []*Machine
-	Record    *Record
+	Members   []*Machine
+	Sidecars  []*Machine
+	Recorder  *Recorder
 	ports     []int
-	net       string
-	asked     atomic.Uint64
+	subnet    string
+	attempts  atomic.Uint64
 	seeds     []string
 	tolerance int
 	relay     *rig.Relay // on the ways between the machines; nil: there is none
 }
 
-// Build builds the mesh's programs into a folder.
-func Build(dir string) error {
+// BuildPrograms builds the mesh's programs into a folder.
+func BuildPrograms(dir string) error {
 	for _, p := range []string{"line", "register"} {
 		if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, p), "hollyspur/cmd/"+p).CombinedOutput(); err != nil {
 			return fmt.Errorf("building %s: %w\n%s", p, err, out)
@@ -66,18 +66,18 @@
 }
 
 // New starts a mesh: so many registers, and a line with a server for each service named. The loss of one register is to be borne.
-func New(dir string, registers int, services ...string) (*Mesh, error) {
-	return newMesh(dir, registers, 1, services...)
+func New(dir string, registers int, services ...string) (*Cluster, error) {
+	return newCluster(dir, registers, 1, services...)
 }
 
-func newMesh(dir string, registers, tolerance int, services ...string) (*Mesh, error) {
-	return begin(dir, registers, tolerance, nil, services...)
+func newCluster(dir string, registers, tolerance int, services ...string) (*Cluster, error) {
+	return newClusterBehind(dir, registers, tolerance, nil, services...)
 }
 
-func begin(dir string, registers, tolerance int, relay *rig.Relay, services ...string) (*Mesh, error) {
-	m := &Mesh{Dir: dir, tolerance: tolerance, relay: relay, Record: NewRecord(), net: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(256))}
-	for range portsUsed { // ports that are free at this moment, on addresses that nobody else is likely to use
-		l, err := net.Listen("tcp", m.net+".1:0")
+func newClusterBehind(dir string, registers, tolerance int, relay *rig.Relay, services ...string) (*Cluster, error) {
+	m := &Cluster{Dir: dir, tolerance: tolerance, relay: relay, Recorder: NewRecorder(), subnet: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(256))}
+	for range portCount { // ports that are free at this moment, on addresses that nobody else is likely to use
+		l, err := net.Listen("tcp", m.subnet+".1:0")
 		if err != nil {
 			return nil, err
 		}
@@ -85,57 +85,57 @@
 		m.ports = append(m.ports, l.Addr().(*net.TCPAddr).Port)
 	}
 	for i := range min(3, registers) {
-		m.seeds = append(m.seeds, fmt.Sprintf("%s.%d:%d", m.net, 10+i, m.ports[0]))
+		m.seeds = append(m.seeds, fmt.Sprintf("%s.%d:%d", m.subnet, 10+i, m.ports[0]))
 	}
 	for range registers {
-		if _, err := m.AddRegister(true); err != nil {
+		if _, err := m.AddMember(true); err != nil {
 			return m, err
 		}
 	}
 	for _, s := range services {
-		if _, err := m.AddLine(s); err != nil {
+		if _, err := m.AddSidecar(s); err != nil {
 			return m, err
 		}
 	}
 	return m, nil
 }
 
-// settings are what every machine is told alike.
-func (m *Mesh) settings(name, ip, zone string) map[string]any {
-	return map[string]any{"NodeName": name, "IpAddress": ip, "Zone": zone, "Region": "r", "InternalPortRange": []int{m.ports[portRegisters], m.ports[portRegisters] + 15},
-		"SeedNodes": m.seeds, "HeartbeatS": beatEvery.Seconds(), "FaultTolerance": map[string]any{"Machines": m.tolerance},
+// baseSettings are what every machine is told alike.
+func (m *Cluster) baseSettings(name, ip, zone string) map[string]any {
+	return map[string]any{"NodeName": name, "IpAddress": ip, "Zone": zone, "Region": "r", "InternalPortRange": []int{m.ports[portMemberTransport], m.ports[portMemberTransport] + 15},
+		"SeedNodes": m.seeds, "HeartbeatS": heartbeatInterval.Seconds(), "FaultTolerance": map[string]any{"Machines": m.tolerance},
 		"Bounds": map[string]any{"DrainS": 2, "GraceS": 3, "KeyWindowS": 60, "ConfigApplyS": 2, "AckS": 5, "RetryBudgetRatio": 0.2, "RetryWindowS": 10, "RetrySlack": 50},
 		"Limits": map[string]any{"MemoryMb": 256, "MaxFds": 1024}}
 }
 
-// AddRegister starts another register.
-func (m *Mesh) AddRegister(first bool) (*Machine, error) {
-	n := len(m.Registers)
-	x := &Machine{Name: fmt.Sprintf("core-%d", n+1), IP: fmt.Sprintf("%s.%d", m.net, 10+n), of: m, program: "register", programs: m.Dir}
-	x.set = m.settings(x.Name, x.IP, fmt.Sprintf("zone-%d", n%3))
-	x.listen = map[string]string{"ControlPlane": fmt.Sprintf("%s:%d", x.IP, m.ports[0])}
-	x.set["ListenAddrs"] = x.listen
-	x.set["DataDir"] = filepath.Join(m.Dir, x.Name)
-	x.set["FirstStart"] = first
-	m.Registers = append(m.Registers, x)
-	if err := m.relayRegister(x); err != nil {
+// AddMember starts another register.
+func (m *Cluster) AddMember(first bool) (*Machine, error) {
+	n := len(m.Members)
+	x := &Machine{Name: fmt.Sprintf("core-%d", n+1), IP: fmt.Sprintf("%s.%d", m.subnet, 10+n), cluster: m, program: "register", programs: m.Dir}
+	x.settings = m.baseSettings(x.Name, x.IP, fmt.Sprintf("zone-%d", n%3))
+	x.listenAddrs = map[string]string{"ControlPlane": fmt.Sprintf("%s:%d", x.IP, m.ports[0])}
+	x.settings["ListenAddrs"] = x.listenAddrs
+	x.settings["DataDir"] = filepath.Join(m.Dir, x.Name)
+	x.settings["FirstStart"] = first
+	m.Members = append(m.Members, x)
+	if err := m.relayMember(x); err != nil {
 		return x, err
 	}
 	return x, x.Start()
 }
 
-// AddLine starts another line with a server of that service beside it.
-func (m *Mesh) AddLine(service string) (*Machine, error) {
-	n := len(m.Lines)
-	x := &Machine{Name: fmt.Sprintf("side-%d", n+1), IP: fmt.Sprintf("%s.%d", m.net, 100+n), of: m, program: "line", programs: m.Dir}
+// AddSidecar starts another line with a server of that service beside it.
+func (m *Cluster) AddSidecar(service string) (*Machine, error) {
+	n := len(m.Sidecars)
+	x := &Machine{Name: fmt.Sprintf("side-%d", n+1), IP: fmt.Sprintf("%s.%d", m.subnet, 100+n), cluster: m, program: "line", programs: m.Dir}
 	zone := fmt.Sprintf("zone-%d", n%3)
 	at := func(i int) string { return fmt.Sprintf("%s:%d", x.IP, m.ports[i]) }
-	x.set = m.settings(x.Name, x.IP, zone)
-	x.listen = map[string]string{"ControlPlane": at(0), "Inbound": at(2), "Outbound": at(3), "Readiness": at(4)}
-	x.set["ListenAddrs"] = x.listen
-	x.set["AppAddress"], x.set["Service"] = at(5), service
-	m.Lines = append(m.Lines, x)
-	if err := m.relayLine(x); err != nil {
+	x.settings = m.baseSettings(x.Name, x.IP, zone)
+	x.listenAddrs = map[string]string{"ControlPlane": at(0), "Inbound": at(2), "Outbound": at(3), "Readiness": at(4)}
+	x.settings["ListenAddrs"] = x.listenAddrs
+	x.settings["AppAddress"], x.settings["Service"] = at(5), service
+	m.Sidecars = append(m.Sidecars, x)
+	if err := m.relaySidecar(x); err != nil {
 		return x, err
 	}
 	if err := x.Start(); err != nil {
@@ -146,25 +146,25 @@
 
 // StartApp starts a server beside a line, as a new instance.
 func (x *Machine) StartApp() (err error) {
-	x.lives++
-	x.App, err = newApp(x.set["Service"].(string), fmt.Sprintf("i-%s-%d", x.Name, x.lives), x.set["AppAddress"].(string), x.listen["ControlPlane"], x.set["Zone"].(string), x.of.Record)
+	x.appIncarnations++
+	x.App, err = newFakeApp(x.settings["Service"].(string), fmt.Sprintf("i-%s-%d", x.Name, x.appIncarnations), x.settings["AppAddress"].(string), x.listenAddrs["ControlPlane"], x.settings["Zone"].(string), x.cluster.Recorder)
 	return err
 }
 
-// Seeds sets the seeds that the machine is told, and writes its file; its program reads that when it will.
-func (x *Machine) Seeds(l ...string) error {
-	x.set["SeedNodes"] = l
-	_, err := x.write()
+// SetSeeds sets the seeds that the machine is told, and writes its file; its program reads that when it will.
+func (x *Machine) SetSeeds(l ...string) error {
+	x.settings["SeedNodes"] = l
+	_, err := x.writeSettings()
 	return err
 }
 
-// write writes the settings as they are now.
-func (x *Machine) write() (file string, err error) {
-	text, err := yaml.Marshal(x.set)
+// writeSettings writes the settings as they are now.
+func (x *Machine) writeSettings() (file string, err error) {
+	text, err := yaml.Marshal(x.settings)
 	if err != nil {
 		return "", err
 	}
-	file = filepath.Join(x.of.Dir, x.Name+".yaml")
+	file = filepath.Join(x.cluster.Dir, x.Name+".yaml")
 	return file, os.WriteFile(file, text, 0o600)
 }
 
@@ -173,14 +173,14 @@
 
 // Start starts the machine's program, with the settings as they are now.
 func (x *Machine) Start() error {
-	file, err := x.write()
+	file, err := x.writeSettings()
 	if err != nil {
 		return err
 	}
 	cmd := exec.Command(filepath.Join(x.programs, x.program), append([]string{"-v"}, x.Args...)...)
-	cmd.Env = append(os.Environ(), settings.Env+"="+file)
+	cmd.Env = append(os.Environ(), settings.PathVariable+"="+file)
 	x.Process, err = rig.StartCommand(cmd, file)
-	x.set["FirstStart"] = false
+	x.settings["FirstStart"] = false
 	return err
 }
 
@@ -192,22 +192,22 @@
 	}
 }
 
-// Wipe removes what a register's disk holds; it must not run.
-func (x *Machine) Wipe() error { return os.RemoveAll(x.set["DataDir"].(string)) }
+// WipeDisk removes what a register's disk holds; it must not run.
+func (x *Machine) WipeDisk() error { return os.RemoveAll(x.settings["DataDir"].(string)) }
 
-// Data is a register's data folder.
-func (x *Machine) Data() string { return x.set["DataDir"].(string) }
+// DataDir is a register's data folder.
+func (x *Machine) DataDir() string { return x.settings["DataDir"].(string) }
 
-// At is one of the machine's addresses, by its name in the settings.
-func (x *Machine) At(name string) string { return x.listen[name] }
+// Addr is one of the machine's addresses, by its name in the settings.
+func (x *Machine) Addr(name string) string { return x.listenAddrs[name] }
 
-// Hup tells the program that its settings have changed.
-func (x *Machine) Hup() error { return x.Process.Cmd.Process.Signal(syscall.SIGHUP) }
+// SignalReload tells the program that its settings have changed.
+func (x *Machine) SignalReload() error { return x.Process.Cmd.Process.Signal(syscall.SIGHUP) }
 
 // Close ends all processes.
-func (m *Mesh) Close() {
+func (m *Cluster) Close() {
 	var all sync.WaitGroup
-	for _, x := range append(append([]*Machine(nil), m.Registers...), m.Lines...) {
+	for _, x := range append(append([]*Machine(nil), m.Members...), m.Sidecars...) {
 		if x.App != nil {
 			x.App.server.Close()
 		}
@@ -219,15 +219,15 @@
 	}
 }
 
-// Ready waits until all lines that run are.
-func (m *Mesh) Ready(within time.Duration) bool {
+// AwaitReady waits until all lines that run are.
+func (m *Cluster) AwaitReady(within time.Duration) bool {
 	return rig.Await(within, func() bool {
-		for _, x := range m.Lines {
+		for _, x := range m.Sidecars {
 			if x.Process == nil {
 				continue
 			}
 			c := http.Client{Timeout: time.Second}
-			resp, err := c.Get("http://" + x.At("Readiness") + "/v1/readiness")
+			resp, err := c.Get("http://" + x.Addr("Readiness") + "/v1/readiness")
 			if err != nil {
 				return false
 			}
@@ -240,14 +240,14 @@
 	})
 }
 
-// Route words a route for Modify.
-func Route(name, kind, prefix, service string, version int) map[string]any {
+// RouteItem words a route for Modify.
+func RouteItem(name, kind, prefix, service string, version int) map[string]any {
 	return map[string]any{"Name": name, "RouteType": kind, "TargetLatencyS": 1, "Priority": 1, "ConfigVersion": version,
 		"MatchCriteria": map[string]any{"PathPrefix": prefix}, "ForwardAction": map[string]any{"Service": service, "TimeoutS": 3, "RetryCount": 2}}
 }
 
-// Modify words an operator's call of services and routes on one host.
-func Modify(version int, services []string, routes ...map[string]any) []byte {
+// ModifyCall words an operator's call of services and routes on one host.
+func ModifyCall(version int, services []string, routes ...map[string]any) []byte {
 	var groups []map[string]any
 	for _, s := range services {
 		groups = append(groups, map[string]any{"Name": s, "HealthPath": "/health", "MaxConnections": 100, "Protocol": "h1", "ConfigVersion": version})
@@ -260,26 +260,26 @@
 // Host is that of all routes.
 const Host = "shop.example"
 
-// Operate sends an operator's call to a register; 0: no answer.
-func (x *Machine) Operate(body []byte) (status int, text string) {
+// Modify sends an operator's call to a register; 0: no answer.
+func (x *Machine) Modify(body []byte) (status int, text string) {
 	c := http.Client{Timeout: 2 * time.Second}
-	resp, err := c.Post("http://"+x.At("ControlPlane")+"/v1/configuration/modify", "application/json", bytes.NewReader(body))
-	return answer(resp, err)
+	resp, err := c.Post("http://"+x.Addr("ControlPlane")+"/v1/configuration/modify", "application/json", bytes.NewReader(body))
+	return readResponse(resp, err)
 }
 
-// Night is a call of the night service at a register, as its leader answers it; the status is 0 where there is no answer.
-func (x *Machine) Night(c register.NightCall) (t register.NightTold, status int, text string) {
+// CallMaintenance is a call of the night service at a register, as its leader answers it; the status is 0 where there is no answer.
+func (x *Machine) CallMaintenance(c register.MaintenanceRequest) (t register.MaintenanceResponse, status int, text string) {
 	body, _ := json.Marshal(c)
 	h := http.Client{Timeout: 2 * time.Second}
-	resp, err := h.Post("http://"+x.At("ControlPlane")+"/v1/night", "application/json", bytes.NewReader(body))
-	if status, text = answer(resp, err); status == http.StatusOK {
+	resp, err := h.Post("http://"+x.Addr("ControlPlane")+"/v1/night", "application/json", bytes.NewReader(body))
+	if status, text = readResponse(resp, err); status == http.StatusOK {
 		json.Unmarshal([]byte(text), &t)
 	}
 	return t, status, text
 }
 
-// Contract words an operator's call of one contract that approves a span, by UTC.
-func Contract(name string, version int, from, to time.Time, more map[string]any) []byte {
+// ContractCall words an operator's call of one contract that approves a span, by UTC.
+func ContractCall(name string, version int, from, to time.Time, more map[string]any) []byte {
 	c := map[string]any{"Name": name, "ConfigVersion": version, "TimeZone": "UTC", "Approvers": []string{"ana"}, "MostOut": map[string]any{"Service": 1, "Zone": 4},
 		"Dates": []any{map[string]any{"From": from.UTC().Format("2006-01-02 15:04"), "To": to.UTC().Format("2006-01-02 15:04")}}}
 	for k, v := range more {
@@ -292,11 +292,11 @@
 // Fetch reads the configuration from a register.
 func (x *Machine) Fetch() (status int, text string) {
 	c := http.Client{Timeout: 2 * time.Second}
-	resp, err := c.Get("http://" + x.At("ControlPlane") + "/v1/configuration/fetch")
-	return answer(resp, err)
+	resp, err := c.Get("http://" + x.Addr("ControlPlane") + "/v1/configuration/fetch")
+	return readResponse(resp, err)
 }
 
-func answer(resp *http.Response, err error) (int, string) {
+func readResponse(resp *http.Response, err error) (int, string) {
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -308,19 +308,19 @@
 	return resp.StatusCode, string(text)
 }
 
-// Told is what became of a request.
-type Told struct {
+// Response is what became of a request.
+type Response struct {
 	Attempt, Seal, Body string
 	Status              int // 0: no answer
 	RetryAfter          string
-	Trace               string // the merged rule that it was decided by, and the set; "": none
+	PolicyTrace         string // the merged rule that it was decided by, and the set; "": none
 }
 
-// Call sends one request to a line, with an id of its own. key may be empty.
-func (x *Machine) Call(method, path, key string, body []byte) Told {
-	m := x.of
-	t := Told{Attempt: fmt.Sprintf("a%d", m.asked.Add(1))}
-	r, err := http.NewRequest(method, "http://"+x.At("Outbound")+path, bytes.NewReader(body))
+// Send sends one request to a line, with an id of its own. key may be empty.
+func (x *Machine) Send(method, path, key string, body []byte) Response {
+	m := x.cluster
+	t := Response{Attempt: fmt.Sprintf("a%d", m.attempts.Add(1))}
+	r, err := http.NewRequest(method, "http://"+x.Addr("Outbound")+path, bytes.NewReader(body))
 	if err != nil {
 		return t
 	}
@@ -342,17 +342,17 @@
 		return t
 	}
 	t.Status, t.Body, t.Seal, t.RetryAfter = resp.StatusCode, string(text), resp.Header.Get("Server-Seal"), resp.Header.Get("Retry-After")
-	t.Trace = resp.Header.Get("Rule-Trace")
-	runs := m.Record.Runs(t.Attempt)
+	t.PolicyTrace = resp.Header.Get("Rule-Trace")
+	runs := m.Recorder.Runs(t.Attempt)
 	switch {
 	case t.Status/100 == 2 && t.Seal == "":
-		m.Record.fault("MIXED: %s has a success without a seal", t.Attempt)
+		m.Recorder.recordViolation("MIXED: %s has a success without a seal", t.Attempt)
 	case t.Status/100 == 2 && key == "" && t.Seal != "seal."+t.Attempt:
-		m.Record.fault("MIXED: %s has %s", t.Attempt, t.Seal)
+		m.Recorder.recordViolation("MIXED: %s has %s", t.Attempt, t.Seal)
 	case resp.Header.Get("Attempt-Id") != t.Attempt:
-		m.Record.fault("MIXED: %s has the answer to %s", t.Attempt, resp.Header.Get("Attempt-Id"))
+		m.Recorder.recordViolation("MIXED: %s has the answer to %s", t.Attempt, resp.Header.Get("Attempt-Id"))
 	case (t.Status == 503 || t.Status == 429) && key != "" && len(runs) > 0:
-		m.Record.fault("REFUSED: %s has run and is answered %d", t.Attempt, t.Status)
+		m.Recorder.recordViolation("REFUSED: %s has run and is answered %d", t.Attempt, t.Status)
 	}
 	return t
 }
--- a/internal/rig/mesh/mixed_test.go
+++ b/internal/rig/mesh/mixed_test.go
@@ -45,14 +45,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := startPrograms(t, previous, "stock", "stock", "orders", "orders")
-			r := &rollingReplacement{cluster: m, away: make([]atomic.Bool, len(m.Lines)), version: 1}
+			r := &rollingReplacement{cluster: m, away: make([]atomic.Bool, len(m.Sidecars)), version: 1}
 			stop := r.startTraffic()
-			machines := append(append([]*Machine(nil), m.Registers...), m.Lines...)
+			machines := append(append([]*Machine(nil), m.Members...), m.Sidecars...)
 			if !test.membersFirst {
-				machines = append(append([]*Machine(nil), m.Lines...), m.Registers...)
+				machines = append(append([]*Machine(nil), m.Sidecars...), m.Members...)
 			}
 			for _, x := range machines {
-				r.replace(t, x, programs)
+				r.replace(t, x, programsDir)
 			}
 			for _, x := range machines {
 				r.replace(t, x, previous)
@@ -60,7 +60,7 @@
 			stop()
 			t.Logf("%d requests; by status: plain %v, keyed %v, repeated %v", r.plain.count()+r.keyed.count()+r.repeated.count(), r.plain.byStatus, r.keyed.byStatus, r.repeated.byStatus)
 			r.assertNothingLost(t)
-			m.clean(t)
+			m.assertNoViolations(t)
 		})
 	}
 }
@@ -115,7 +115,7 @@
 
 // rollingReplacement replaces the programs of a mesh one machine after the other under traffic.
 type rollingReplacement struct {
-	cluster *Mesh
+	cluster *Cluster
 	away    []atomic.Bool // by sidecar: its callers go elsewhere, for it is about to end
 	version int           // of the latest change
 	seq     atomic.Int64  // of requests
@@ -123,7 +123,7 @@
 	plain, keyed, repeated outcomes
 
 	keptKey string
-	kept    Told
+	kept    Response
 }
 
 // outcomes counts what became of requests, and keeps those that were lost.
@@ -133,7 +133,7 @@
 	lost     []string
 }
 
-func (o *outcomes) add(what string, told Told, accepted ...int) {
+func (o *outcomes) add(what string, told Response, accepted ...int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.byStatus == nil {
@@ -160,7 +160,7 @@
 func (r *rollingReplacement) startTraffic() (stop func()) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
-	for i := range r.cluster.Lines {
+	for i := range r.cluster.Sidecars {
 		all.Go(func() {
 			for {
 				select {
@@ -179,19 +179,19 @@
 
 // sendThrough sends a plain request and a keyed one through a sidecar, and the key once more through the next that is there.
 func (r *rollingReplacement) sendThrough(i int) {
-	x, n := r.cluster.Lines[i], r.seq.Add(1)
-	r.plain.add(x.Name, x.Call("GET", fmt.Sprint("/read/", n), "", nil), http.StatusOK)
+	x, n := r.cluster.Sidecars[i], r.seq.Add(1)
+	r.plain.add(x.Name, x.Send("GET", fmt.Sprint("/read/", n), "", nil), http.StatusOK)
 	key := fmt.Sprint("mixed-", n)
-	first := x.Call("POST", "/send/x", key, []byte("body"))
+	first := x.Send("POST", "/send/x", key, []byte("body"))
 	r.keyed.add(x.Name+" "+key, first, http.StatusOK, http.StatusServiceUnavailable)
-	other := r.cluster.Lines[(i+1)%len(r.cluster.Lines)]
-	if r.away[(i+1)%len(r.cluster.Lines)].Load() {
+	other := r.cluster.Sidecars[(i+1)%len(r.cluster.Sidecars)]
+	if r.away[(i+1)%len(r.cluster.Sidecars)].Load() {
 		other = x
 	}
-	again := other.Call("POST", "/send/x", key, []byte("body"))
+	again := other.Send("POST", "/send/x", key, []byte("body"))
 	r.repeated.add(other.Name+" "+key+" again", again, http.StatusOK, http.StatusServiceUnavailable, http.StatusConflict)
 	if first.Status == http.StatusOK && again.Status == http.StatusOK && (first.Body != again.Body || first.Seal != again.Seal) {
-		r.cluster.Record.fault("CHANGED: %s is answered %q first and %q then", key, first.Body, again.Body)
+		r.cluster.Recorder.recordViolation("CHANGED: %s is answered %q first and %q then", key, first.Body, again.Body)
 	}
 }
 
@@ -208,7 +208,7 @@
 	t.Helper()
 	m := r.cluster
 	r.keep(t, x)
-	for i, line := range m.Lines {
+	for i, line := range m.Sidecars {
 		if line == x {
 			r.away[i].Store(true)
 			defer r.away[i].Store(false)
@@ -219,12 +219,12 @@
 	x.UsePrograms(programs)
 	assert.NilError(t, x.Start())
 	r.awaitComplete(t)
-	assert.Assert(t, m.Ready(patience), "the sidecars are not ready")
-	for _, y := range m.Registers {
-		y.holds(t, fmt.Sprintf(`"/mixed-%d/"`, r.version))
+	assert.Assert(t, m.AwaitReady(testTimeout), "the sidecars are not ready")
+	for _, y := range m.Members {
+		y.awaitConfigHas(t, fmt.Sprintf(`"/mixed-%d/"`, r.version))
 	}
-	for _, y := range m.Lines {
-		again := y.served(t, "POST", "/send/x", r.keptKey)
+	for _, y := range m.Sidecars {
+		again := y.awaitServed(t, "POST", "/send/x", r.keptKey)
 		assert.Assert(t, again.Body == r.kept.Body && again.Seal == r.kept.Seal, "%s has %v, first %v", y.Name, again, r.kept)
 	}
 }
@@ -236,13 +236,13 @@
 	m := r.cluster
 	r.version++
 	path := fmt.Sprintf("/mixed-%d/", r.version)
-	m.change(t, r.version, Route("mixed", "idempotent", path, "stock", r.version))
-	for _, x := range m.Lines {
-		x.served(t, "GET", path, "")
+	m.applyRoutes(t, r.version, RouteItem("mixed", "idempotent", path, "stock", r.version))
+	for _, x := range m.Sidecars {
+		x.awaitServed(t, "GET", path, "")
 	}
-	assert.Assert(t, rig.Await(patience, func() bool {
+	assert.Assert(t, rig.Await(testTimeout, func() bool {
 		r.keptKey = fmt.Sprint("kept-", r.version, "-", r.seq.Add(1))
-		r.kept = m.Lines[r.version%len(m.Lines)].served(t, "POST", "/send/x", r.keptKey)
+		r.kept = m.Sidecars[r.version%len(m.Sidecars)].awaitServed(t, "POST", "/send/x", r.keptKey)
 		return next.App == nil || !strings.Contains(r.kept.Body, " "+next.App.Instance+" ")
 	}), "no key runs but beside %s", next.Name)
 }
@@ -250,20 +250,20 @@
 // awaitComplete waits until all members follow one leader and hold all that it holds, and all sidecars are in contact.
 func (r *rollingReplacement) awaitComplete(t *testing.T) {
 	t.Helper()
-	assert.Assert(t, rig.Await(patience, func() bool {
+	assert.Assert(t, rig.Await(testTimeout, func() bool {
 		leaders, terms := 0, map[uint64]bool{}
-		for _, x := range r.cluster.Registers {
+		for _, x := range r.cluster.Members {
 			s, err := x.Status()
-			if err != nil || !s.Touch || s.Outside || len(s.Members) != len(r.cluster.Registers) {
+			if err != nil || !s.QuorumContact || s.IsNonMember || len(s.Members) != len(r.cluster.Members) {
 				return false
 			}
 			terms[s.Term] = true
-			if s.Leads {
+			if s.IsLeader {
 				leaders++
 			}
 		}
-		for _, x := range r.cluster.Lines {
-			if s, err := x.Status(); err != nil || !s.Touch || s.Home == "" {
+		for _, x := range r.cluster.Sidecars {
+			if s, err := x.Status(); err != nil || !s.QuorumContact || s.FollowedMember == "" {
 				return false
 			}
 		}
--- a/internal/rig/mesh/operators_test.go
+++ b/internal/rig/mesh/operators_test.go
@@ -14,27 +14,27 @@
 	"hollyspur/internal/rig"
 )
 
-// operation is an order of one of two operators, as its answers were.
-type operation struct {
+// modifyAttempt is an order of one of two operators, as its answers were.
+type modifyAttempt struct {
 	route    string
 	version  int
 	service  string // what the operators disagree on
 	statuses []int
 }
 
-func (o *operation) body() []byte {
-	return Modify(o.version, nil, Route(o.route, "idempotent", "/"+o.route+"/", o.service, o.version))
+func (o *modifyAttempt) body() []byte {
+	return ModifyCall(o.version, nil, RouteItem(o.route, "idempotent", "/"+o.route+"/", o.service, o.version))
 }
 
-// sent sends the order to a register and notes the answer.
-func (o *operation) sent(x *Machine) int {
-	status, _ := x.Operate(o.body())
+// send sends the order to a register and notes the answer.
+func (o *modifyAttempt) send(x *Machine) int {
+	status, _ := x.Modify(o.body())
 	o.statuses = append(o.statuses, status)
 	return status
 }
 
-// answered says that the order had such an answer.
-func (o *operation) answered(statuses ...int) bool {
+// wasAnswered says that the order had such an answer.
+func (o *modifyAttempt) wasAnswered(statuses ...int) bool {
 	for _, got := range o.statuses {
 		for _, want := range statuses {
 			if got == want {
@@ -45,34 +45,34 @@
 	return false
 }
 
-// final says that an answer ends a call of the operator at once.
-func final(status int) bool { return status == 200 || status >= 400 && status < 500 }
+// isFinal says that an answer ends a call of the operator at once.
+func isFinal(status int) bool { return status == 200 || status >= 400 && status < 500 }
 
 // Two operators, eight orders under way each, every one repeated at other registers until it has a clear answer, while
 // registers are killed, once all of them; then all orders are sent once more to every register. No version has
 // two contents acknowledged, one that was acknowledged is acknowledged again, and one that was refused is not.
-func TestOperatorsRepeat(t *testing.T) {
-	m := start(t, "stock", "orders")
+func TestConcurrentOperatorsRetry(t *testing.T) {
+	m := startCluster(t, "stock", "orders")
 	const operators, underWay, rounds = 2, 8, 6
 	services := [operators]string{"stock", "orders"}
-	var all []*operation
+	var all []*modifyAttempt
 	version := 2
 	for round := range rounds {
-		var wave []*operation
+		var wave []*modifyAttempt
 		for n := range underWay {
 			for _, s := range services { // both operators take the same routes and versions
-				wave = append(wave, &operation{route: fmt.Sprint("race-", n/2), version: version + n%2, service: s})
+				wave = append(wave, &modifyAttempt{route: fmt.Sprint("race-", n/2), version: version + n%2, service: s})
 			}
 		}
 		version += 2
 		var senders sync.WaitGroup
 		random := rand.New(rand.NewPCG(uint64(round), 1))
 		for _, o := range wave {
-			first := random.IntN(len(m.Registers))
+			first := random.IntN(len(m.Members))
 			senders.Go(func() {
-				deadline := time.Now().Add(patience)
+				deadline := time.Now().Add(testTimeout)
 				for try := 0; time.Now().Before(deadline); try++ {
-					if final(o.sent(m.Registers[(first+try)%len(m.Registers)])) {
+					if isFinal(o.send(m.Members[(first+try)%len(m.Members)])) {
 						return
 					}
 				}
@@ -81,9 +81,9 @@
 		var killed []*Machine
 		switch round {
 		case 1, 3:
-			killed = m.Registers[round%len(m.Registers):][:1]
+			killed = m.Members[round%len(m.Members):][:1]
 		case 4:
-			killed = m.Registers
+			killed = m.Members
 		}
 		for _, x := range killed {
 			x.Kill()
@@ -97,60 +97,60 @@
 	acked := map[string]string{}
 	for _, o := range all {
 		key := fmt.Sprint(o.route, " ", o.version)
-		assert.Assert(t, final(o.statuses[len(o.statuses)-1]), "%s for %s: %v", key, o.service, o.statuses)
-		if o.answered(200) {
+		assert.Assert(t, isFinal(o.statuses[len(o.statuses)-1]), "%s for %s: %v", key, o.service, o.statuses)
+		if o.wasAnswered(200) {
 			assert.Assert(t, acked[key] == "", "%s is acknowledged for both operators", key)
 			acked[key] = o.service
 		}
 	}
 	assert.Equal(t, len(acked), rounds*underWay, "of each two orders one is acknowledged")
-	for _, x := range m.Registers {
+	for _, x := range m.Members {
 		for _, o := range all {
 			want := 409
 			if acked[fmt.Sprint(o.route, " ", o.version)] == o.service {
 				want = 200
 			}
 			var got int
-			deadline := time.Now().Add(patience)
-			for got = o.sent(x); !final(got) && time.Now().Before(deadline); got = o.sent(x) {
+			deadline := time.Now().Add(testTimeout)
+			for got = o.send(x); !isFinal(got) && time.Now().Before(deadline); got = o.send(x) {
 			}
 			assert.Assert(t, got == want, "%s %d for %s at %s: %d, had %v", o.route, o.version, o.service, x.Name, got, o.statuses)
 		}
 	}
 	for n := range underWay / 2 { // the newest of each stands
 		route := fmt.Sprint("race-", n)
-		assert.Equal(t, m.Registers[0].serviceOf(t, route), acked[fmt.Sprint(route, " ", version-1)], route)
+		assert.Equal(t, m.Members[0].serviceOf(t, route), acked[fmt.Sprint(route, " ", version-1)], route)
 	}
 	// A call is refused whole for a version that was overtaken since.
 	loser := services[0]
 	if acked["race-0 2"] == loser {
 		loser = services[1]
 	}
-	for _, x := range m.Registers {
+	for _, x := range m.Members {
 		var status int
-		assert.Assert(t, rig.Await(patience, func() bool {
-			status, _ = x.Operate(Modify(2, nil, Route("beside", "idempotent", "/beside/", "stock", 2), Route("race-0", "idempotent", "/race-0/", loser, 2)))
-			return final(status)
+		assert.Assert(t, rig.Await(testTimeout, func() bool {
+			status, _ = x.Modify(ModifyCall(2, nil, RouteItem("beside", "idempotent", "/beside/", "stock", 2), RouteItem("race-0", "idempotent", "/race-0/", loser, 2)))
+			return isFinal(status)
 		}))
 		assert.Equal(t, status, 409)
 		assert.Equal(t, x.serviceOf(t, "beside"), "")
 	}
-	m.clean(t)
+	m.assertNoViolations(t)
 }
 
 // serviceOf is where a route sends requests, as the register reads it back.
 func (x *Machine) serviceOf(t *testing.T, route string) string {
 	t.Helper()
-	var set patch.Set
+	var set patch.Document
 	var last string
-	assert.Assert(t, rig.Await(patience, func() bool {
+	assert.Assert(t, rig.Await(testTimeout, func() bool {
 		status, text := x.Fetch()
 		last = text
 		return status == 200 && json.Unmarshal([]byte(text), &set) == nil
 	}), last)
 	for _, l := range set.ListenerList {
 		for _, raw := range l.PolicyRules {
-			var r patch.Rule
+			var r patch.RouteSpec
 			assert.NilError(t, json.Unmarshal(raw, &r))
 			if r.Name == route {
 				return r.ForwardAction.Service
--- a/internal/rig/mesh/seeds_test.go
+++ b/internal/rig/mesh/seeds_test.go
@@ -9,34 +9,34 @@
 
 // After the first start the seeds may be others, fewer, or down. Registers find each other by their disks where nobody answers at
 // their seeds, and none of them founds a second core; a line finds them by the one seed that is there.
-func TestSeedsTurnOver(t *testing.T) {
-	m := start(t, "stock", "orders")
-	nobody := func(n int) string { return fmt.Sprintf("%s.%d:9", m.net, 240+n) }
-	for _, x := range m.Registers {
+func TestSeedsAreReplaced(t *testing.T) {
+	m := startCluster(t, "stock", "orders")
+	nobody := func(n int) string { return fmt.Sprintf("%s.%d:9", m.subnet, 240+n) }
+	for _, x := range m.Members {
 		x.Kill()
 	}
-	for _, x := range m.Registers {
-		assert.NilError(t, x.Seeds(nobody(1), nobody(2), nobody(3)))
+	for _, x := range m.Members {
+		assert.NilError(t, x.SetSeeds(nobody(1), nobody(2), nobody(3)))
 		assert.NilError(t, x.Start())
 	}
-	m.change(t, 2, Route("one", "idempotent", "/one/", "stock", 2))
-	for _, x := range m.Registers {
-		x.holds(t, `"/one/"`)
+	m.applyRoutes(t, 2, RouteItem("one", "idempotent", "/one/", "stock", 2))
+	for _, x := range m.Members {
+		x.awaitConfigHas(t, `"/one/"`)
 	}
-	for n, x := range m.Lines {
+	for n, x := range m.Sidecars {
 		x.Kill()
-		assert.NilError(t, x.Seeds(nobody(1), m.Registers[1+n].At("ControlPlane"), nobody(2)))
+		assert.NilError(t, x.SetSeeds(nobody(1), m.Members[1+n].Addr("ControlPlane"), nobody(2)))
 		assert.NilError(t, x.Start())
-		x.served(t, "GET", "/one/", "")
+		x.awaitServed(t, "GET", "/one/", "")
 	}
 	// One whose disk is lost has the new seeds to go by, one of which is there.
-	lost := m.Registers[0]
+	lost := m.Members[0]
 	lost.Kill()
-	assert.NilError(t, lost.Wipe())
-	assert.NilError(t, lost.Seeds(nobody(1), m.Registers[2].At("ControlPlane")))
+	assert.NilError(t, lost.WipeDisk())
+	assert.NilError(t, lost.SetSeeds(nobody(1), m.Members[2].Addr("ControlPlane")))
 	assert.NilError(t, lost.Start())
-	lost.holds(t, `"/one/"`)
-	m.change(t, 3, Route("two", "idempotent", "/two/", "stock", 3))
-	lost.holds(t, `"/two/"`)
-	m.clean(t)
+	lost.awaitConfigHas(t, `"/one/"`)
+	m.applyRoutes(t, 3, RouteItem("two", "idempotent", "/two/", "stock", 3))
+	lost.awaitConfigHas(t, `"/two/"`)
+	m.assertNoViolations(t)
 }
--- a/internal/rig/mesh/speed_test.go
+++ b/internal/rig/mesh/speed_test.go
@@ -21,8 +21,8 @@
 
 // Variables that bound the benches of speed, in seconds.
 const (
-	speedEnv   = "SPEED_SECONDS"   // of each load of BenchmarkSpeed
-	catchUpEnv = "CATCHUP_SECONDS" // that BenchmarkCatchUp waits at most
+	speedSecondsEnv   = "SPEED_SECONDS"   // of each load of BenchmarkSpeed
+	catchUpSecondsEnv = "CATCHUP_SECONDS" // that BenchmarkCatchUp waits at most
 )
 
 func secondsOf(env string, otherwise int) time.Duration {
@@ -36,17 +36,17 @@
 // a register that does not lead), how many claims on keys one leader carries at most, with what of its processor, and the
 // most memory that registers and lines have held by then.
 func BenchmarkSpeed(b *testing.B) {
-	m := begunWith(b, "stock", "orders")
+	m := startConfiguredWith(b, "stock", "orders")
 	defer m.Close()
-	load := secondsOf(speedEnv, 5)
-	disk := watchDisk(b.TempDir())
+	load := secondsOf(speedSecondsEnv, 5)
+	disk := startDiskProbe(b.TempDir())
 	for _, rate := range []int{1, 100, 1000} {
-		b.Run(fmt.Sprint("changes-", rate), func(b *testing.B) { changesAt(b, m, rate, load) })
+		b.Run(fmt.Sprint("changes-", rate), func(b *testing.B) { benchmarkChanges(b, m, rate, load) })
 	}
-	b.Run("claims", func(b *testing.B) { claimsMost(b, m, load) })
+	b.Run("claims", func(b *testing.B) { benchmarkClaims(b, m, load) })
 	b.Run("memory", func(b *testing.B) {
-		b.ReportMetric(peakMB(m.Registers), "register-MB")
-		b.ReportMetric(peakMB(m.Lines), "line-MB")
+		b.ReportMetric(peakMB(m.Members), "register-MB")
+		b.ReportMetric(peakMB(m.Sidecars), "line-MB")
 		disk.report(b)
 		b.ReportMetric(0, "ns/op")
 	})
@@ -57,7 +57,7 @@
 
 var changeVersion atomic.Int64
 
-func changesAt(b *testing.B, m *Mesh, rate int, load time.Duration) {
+func benchmarkChanges(b *testing.B, m *Cluster, rate int, load time.Duration) {
 	var mu sync.Mutex
 	var took []time.Duration
 	var all sync.WaitGroup
@@ -71,7 +71,7 @@
 			v := int(changeVersion.Add(1)) + 1
 			name := fmt.Sprint("r", v%changedRoutes)
 			at := time.Now()
-			status, _ := m.Registers[n%3].Operate(Modify(v, nil, Route(name, "idempotent", "/"+name+"/", "stock", v)))
+			status, _ := m.Members[n%3].Modify(ModifyCall(v, nil, RouteItem(name, "idempotent", "/"+name+"/", "stock", v)))
 			mu.Lock()
 			defer mu.Unlock()
 			if status != http.StatusOK {
@@ -86,13 +86,13 @@
 	for status, n := range failed {
 		b.Logf("%d changes were answered %d", n, status)
 	}
-	reportSpans(b, took)
+	reportDurations(b, took)
 	b.ReportMetric(float64(len(took))/spent.Seconds(), "acked/s")
 	b.ReportMetric(float64(count-len(took)), "not-acked")
 	b.ReportMetric((leader.Process.CPU()-cpu).Seconds()/spent.Seconds(), "leader-cores")
 }
 
-func reportSpans(b *testing.B, took []time.Duration) {
+func reportDurations(b *testing.B, took []time.Duration) {
 	b.ReportMetric(0, "ns/op")
 	if len(took) == 0 {
 		return
@@ -102,14 +102,14 @@
 	b.ReportMetric(milliseconds(took[len(took)*99/100]), "p99-ms")
 }
 
-// claimers ask at once, each for one key after another.
-const claimers = 256
+// claimClients ask at once, each for one key after another.
+const claimClients = 256
 
-func claimsMost(b *testing.B, m *Mesh, load time.Duration) {
+func benchmarkClaims(b *testing.B, m *Cluster, load time.Duration) {
 	leader := awaitLeader(b, m)
 	ctx, cancel := context.WithTimeout(context.Background(), load)
 	defer cancel()
-	trunkTo, err := trunk.Call(ctx, leader.Process.Addr, "bench", nil)
+	trunkTo, err := trunk.DialClient(ctx, leader.Process.Addr, "bench", nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -118,11 +118,11 @@
 	var took []time.Duration
 	var all sync.WaitGroup
 	cpu, began := leader.Process.CPU(), time.Now()
-	for g := range claimers {
+	for g := range claimClients {
 		all.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				at := time.Now()
-				if _, err := trunkTo.Ask(ctx, trunk.AskClaims, claimsOf(fmt.Sprint("c", g), n, 1)); err != nil {
+				if _, err := trunkTo.Call(ctx, trunk.CallLeaseKeys, claimsBody(fmt.Sprint("c", g), n, 1)); err != nil {
 					continue
 				}
 				mu.Lock()
@@ -133,27 +133,27 @@
 	}
 	all.Wait()
 	spent := time.Since(began)
-	reportSpans(b, took)
+	reportDurations(b, took)
 	b.ReportMetric(float64(len(took))/spent.Seconds(), "claims/s")
 	b.ReportMetric((leader.Process.CPU()-cpu).Seconds()/spent.Seconds(), "leader-cores")
 }
 
-// claimsOf words so many claims on keys of a name, as a sidecar does.
-func claimsOf(name string, from, count int) []byte {
-	t := &wire.ClaimsT{}
+// claimsBody words so many claims on keys of a name, as a sidecar does.
+func claimsBody(name string, from, count int) []byte {
+	t := &wire.KeyLeaseRequestsT{}
 	for n := range count {
 		key := fmt.Sprintf("%s-%08d", name, from+n)
-		t.List = append(t.List, &wire.ClaimT{Key: key, Ticket: "a1b2c3d4e5f6" + key, Holder: "127.0.0.1:30000/a1b2c3d4e5f6", Window: time.Hour.Microseconds()})
+		t.List = append(t.List, &wire.KeyLeaseRequestT{Key: key, Token: "a1b2c3d4e5f6" + key, Holder: "127.0.0.1:30000/a1b2c3d4e5f6", WindowUs: time.Hour.Microseconds()})
 	}
-	return trunk.Bytes(t)
+	return trunk.EncodeTable(t)
 }
 
-func leaderOf(m *Mesh) *Machine {
-	for _, x := range m.Registers {
+func leaderOf(m *Cluster) *Machine {
+	for _, x := range m.Members {
 		if x.Process == nil {
 			continue
 		}
-		if s, err := x.Status(); err == nil && s.Leads && s.Touch {
+		if s, err := x.Status(); err == nil && s.IsLeader && s.QuorumContact {
 			return x
 		}
 	}
@@ -161,8 +161,8 @@
 }
 
 // awaitLeader waits until a register leads and says so.
-func awaitLeader(b *testing.B, m *Mesh) (leader *Machine) {
-	if !rig.Await(recoverWithin, func() bool { leader = leaderOf(m); return leader != nil }) {
+func awaitLeader(b *testing.B, m *Cluster) (leader *Machine) {
+	if !rig.Await(recoverTimeout, func() bool { leader = leaderOf(m); return leader != nil }) {
 		b.Fatal("no leader")
 	}
 	return leader
@@ -189,16 +189,16 @@
 	catchUpRate    = 2_000_000 / 8 // bytes a second
 	catchUpClaims  = 50 * time.Millisecond
 	catchUpChanges = 100 * time.Millisecond
-	itemsAtOnce    = 500
-	keysAtOnce     = 1000
-	loadWithin     = 90 * time.Second
+	itemsPerCall   = 500
+	keysPerCall    = 1000
+	loadTimeout    = 90 * time.Second
 )
 
 // BenchmarkCatchUp is how long a member whose disk was lost takes to hold 10,000 items and 200,000 keys over a link of
 // 2 Mbit/s from each of the others, while 20 claims and 10 changes a second go on; and how many of these were not answered.
 func BenchmarkCatchUp(b *testing.B) {
 	dir := b.TempDir()
-	if err := Build(dir); err != nil {
+	if err := BuildPrograms(dir); err != nil {
 		b.Fatal(err)
 	}
 	m, relay, err := NewRelayed(dir, 3, 1, "stock")
@@ -206,24 +206,24 @@
 		b.Fatal(err)
 	}
 	defer m.Close()
-	if err := fill(m); err != nil {
+	if err := fillState(m); err != nil {
 		b.Fatal(err)
 	}
 	leader := awaitLeader(b, m)
 	var away *Machine
 	var ways []rig.Way
-	for _, x := range m.Registers {
+	for _, x := range m.Members {
 		if x != leader && away == nil {
 			away = x
 		}
 	}
 	away.Kill()
-	if err := away.Wipe(); err != nil {
+	if err := away.WipeDisk(); err != nil {
 		b.Fatal(err)
 	}
-	for _, x := range m.Registers {
+	for _, x := range m.Members {
 		if x != away {
-			ways = append(ways, x.Way(away), away.Way(x))
+			ways = append(ways, x.PathTo(away), away.PathTo(x))
 		}
 	}
 	relay.Set(rig.Link{Rate: catchUpRate}, ways...)
@@ -242,38 +242,38 @@
 		b.Fatal(err)
 	}
 	stop := make(chan struct{})
-	claims, changes := beside(m, leader, stop)
+	claims, changes := startBackgroundCalls(m, leader, stop)
 	applied := uint64(0)
-	caughtUp := rig.Await(secondsOf(catchUpEnv, 100), func() bool {
+	caughtUp := rig.Await(secondsOf(catchUpSecondsEnv, 100), func() bool {
 		time.Sleep(50 * time.Millisecond)
 		s, err := away.Status()
 		if err == nil {
-			applied = max(applied, s.Applied)
+			applied = max(applied, s.AppliedIndex)
 		}
-		return err == nil && applied >= target.Applied && s.Touch
+		return err == nil && applied >= target.AppliedIndex && s.QuorumContact
 	})
 	spent := time.Since(began)
 	close(stop)
 	b.ReportMetric(0, "ns/op")
 	b.ReportMetric(map[bool]float64{true: 1}[caughtUp], "caught-up")
 	b.ReportMetric(spent.Seconds(), "s")
-	b.ReportMetric(min(1, float64(applied)/float64(target.Applied)), "applied-share")
+	b.ReportMetric(min(1, float64(applied)/float64(target.AppliedIndex)), "applied-share")
 	b.ReportMetric(float64(passed()-before)/1e6, "MB-over-the-link")
-	b.ReportMetric(peakMB(m.Registers), "register-MB")
+	b.ReportMetric(peakMB(m.Members), "register-MB")
 	claims.report(b, "claim")
 	changes.report(b, "change")
 }
 
-// fill has the items and the keys agreed on.
-func fill(m *Mesh) error {
-	for from := 0; from < catchUpItems; from += itemsAtOnce {
+// fillState has the items and the keys agreed on.
+func fillState(m *Cluster) error {
+	for from := 0; from < catchUpItems; from += itemsPerCall {
 		var routes []map[string]any
-		for n := range itemsAtOnce {
+		for n := range itemsPerCall {
 			name := fmt.Sprint("item", from+n)
-			routes = append(routes, Route(name, "idempotent", "/"+name+"/", "stock", 1))
+			routes = append(routes, RouteItem(name, "idempotent", "/"+name+"/", "stock", 1))
 		}
-		body := Modify(1, []string{"stock"}, routes...)
-		if !rig.Await(loadWithin, func() bool { s, _ := m.Registers[from/itemsAtOnce%3].Operate(body); return s == http.StatusOK }) {
+		body := ModifyCall(1, []string{"stock"}, routes...)
+		if !rig.Await(loadTimeout, func() bool { s, _ := m.Members[from/itemsPerCall%3].Modify(body); return s == http.StatusOK }) {
 			return errors.New("the items are not acknowledged")
 		}
 	}
@@ -281,29 +281,29 @@
 	if leader == nil {
 		return errors.New("no leader")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), loadWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
-	c, err := trunk.Call(ctx, leader.Process.Addr, "bench", nil)
+	c, err := trunk.DialClient(ctx, leader.Process.Addr, "bench", nil)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	for from := 0; from < catchUpKeys; from += keysAtOnce {
-		if _, err := c.Ask(ctx, trunk.AskClaims, claimsOf("key", from, keysAtOnce)); err != nil {
+	for from := 0; from < catchUpKeys; from += keysPerCall {
+		if _, err := c.Call(ctx, trunk.CallLeaseKeys, claimsBody("key", from, keysPerCall)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// besides is traffic beside a bench: how long each call took, and how many had no good answer.
-type besides struct {
+// backgroundCalls is traffic beside a bench: how long each call took, and how many had no good answer.
+type backgroundCalls struct {
 	mu     sync.Mutex // guards below
 	took   []time.Duration
 	failed int
 }
 
-func (x *besides) report(b *testing.B, name string) {
+func (x *backgroundCalls) report(b *testing.B, name string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	slices.Sort(x.took)
@@ -314,7 +314,7 @@
 	b.ReportMetric(float64(x.failed), name+"-failed")
 }
 
-func (x *besides) every(pause time.Duration, stop <-chan struct{}, call func(n int) bool) {
+func (x *backgroundCalls) every(pause time.Duration, stop <-chan struct{}, call func(n int) bool) {
 	tick := time.NewTicker(pause)
 	defer tick.Stop()
 	for n := 0; ; n++ {
@@ -337,17 +337,17 @@
 	}
 }
 
-// beside has claims and changes go on at the leader until stop.
-func beside(m *Mesh, leader *Machine, stop <-chan struct{}) (claims, changes *besides) {
-	claims, changes = &besides{}, &besides{}
+// startBackgroundCalls has claims and changes go on at the leader until stop.
+func startBackgroundCalls(m *Cluster, leader *Machine, stop <-chan struct{}) (claims, changes *backgroundCalls) {
+	claims, changes = &backgroundCalls{}, &backgroundCalls{}
 	go claims.every(catchUpClaims, stop, func(n int) bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, err := trunk.AskOne(ctx, leader.Process.Addr, "bench", trunk.AskClaims, claimsOf("beside", n, 1))
+		_, err := trunk.CallOnce(ctx, leader.Process.Addr, "bench", trunk.CallLeaseKeys, claimsBody("beside", n, 1))
 		return err == nil
 	})
 	go changes.every(catchUpChanges, stop, func(n int) bool {
-		status, _ := leader.Operate(Modify(2+n, nil, Route("beside", "idempotent", "/beside/", "stock", 2+n)))
+		status, _ := leader.Modify(ModifyCall(2+n, nil, RouteItem("beside", "idempotent", "/beside/", "stock", 2+n)))
 		return status == http.StatusOK
 	})
 	return claims, changes
--- a/internal/rig/mesh/worst_answers_test.go
+++ b/internal/rig/mesh/worst_answers_test.go
@@ -14,34 +14,34 @@
 	"hollyspur/internal/rig"
 )
 
-// faultFor is how long a fault of TestWorstAnswers lasts.
-const faultFor = 300 * time.Millisecond
+// faultDuration is how long a fault of TestWorstAnswers lasts.
+const faultDuration = 300 * time.Millisecond
 
 // Calls that are keyed or may run once are at work between real processes while the ways between lines are reset, silenced and
 // cut one way, and the line beside the servers stands still and goes on. Each runs once at the most, whoever repeats it, and
 // none that has run is told that it has not.
-func TestWorstAnswers(t *testing.T) {
-	m, relay := startRelayed(t, 3, 1, "stock", "orders", "orders")
-	m.change(t, 2, Route("send", "keyed", "/send/", "orders", 2), Route("once", "non_idempotent", "/once/", "orders", 2))
-	near, far := m.Lines[0], m.Lines[1:]
-	near.served(t, "POST", "/send/x", "warm")
-	assert.Assert(t, rig.Await(patience, func() bool { return near.Call("POST", "/once/x", "", nil).Status == 200 }))
+func TestFaultyLinksRunRequestsAtMostOnce(t *testing.T) {
+	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders", "orders")
+	m.applyRoutes(t, 2, RouteItem("send", "keyed", "/send/", "orders", 2), RouteItem("once", "non_idempotent", "/once/", "orders", 2))
+	near, far := m.Sidecars[0], m.Sidecars[1:]
+	near.awaitServed(t, "POST", "/send/x", "warm")
+	assert.Assert(t, rig.Await(testTimeout, func() bool { return near.Send("POST", "/once/x", "", nil).Status == 200 }))
 	const callers = 6
 	var over atomic.Bool
 	var calls sync.WaitGroup
 	var mu sync.Mutex
-	var once []Told // what became of calls that may run once
+	var once []Response // what became of calls that may run once
 	served, lost := 0, 0
 	for n := range callers {
 		calls.Go(func() {
 			for round := 0; !over.Load(); round++ {
-				var told Told
+				var told Response
 				if n%2 == 0 {
-					told = near.Call("POST", "/once/x", "", []byte("body"))
+					told = near.Send("POST", "/once/x", "", []byte("body"))
 				} else {
 					key := fmt.Sprintf("k-%d-%d", n, round)
-					told = near.Call("POST", "/send/x", key, []byte("body"))
-					far[round%len(far)].Call("POST", "/send/x", key, []byte("body")) // whatever came of it, and by another line
+					told = near.Send("POST", "/send/x", key, []byte("body"))
+					far[round%len(far)].Send("POST", "/send/x", key, []byte("body")) // whatever came of it, and by another line
 				}
 				mu.Lock()
 				if n%2 == 0 {
@@ -57,7 +57,7 @@
 		})
 	}
 	for _, x := range far {
-		w := near.Way(x)
+		w := near.PathTo(x)
 		for _, fault := range []func(){
 			func() { relay.Reset(w) },
 			func() { relay.Silence(w) },
@@ -65,19 +65,19 @@
 			func() { relay.Set(rig.Link{Cut: true}, w.Back()) },
 			func() { x.Process.Cmd.Process.Signal(syscall.SIGSTOP) },
 		} {
-			rig.Await(time.Second, func() bool { return x.App.busy.Load() > 0 })
+			rig.Await(time.Second, func() bool { return x.App.inFlight.Load() > 0 })
 			fault()
-			time.Sleep(faultFor)
+			time.Sleep(faultDuration)
 			relay.Heal()
 			x.Process.Cmd.Process.Signal(syscall.SIGCONT)
-			assert.Assert(t, rig.Await(patience, func() bool { return near.Call("POST", "/once/x", "", nil).Status == 200 }))
+			assert.Assert(t, rig.Await(testTimeout, func() bool { return near.Send("POST", "/once/x", "", nil).Status == 200 }))
 		}
 	}
 	over.Store(true)
 	calls.Wait()
 	var seen history.History
 	for n, told := range once {
-		runs := m.Record.Runs(told.Attempt)
+		runs := m.Recorder.Runs(told.Attempt)
 		if told.Status == 503 && len(runs) > 0 {
 			t.Errorf("%s has run at %v and is told 503", told.Attempt, runs)
 		}
@@ -85,10 +85,10 @@
 			seen.Runs = append(seen.Runs, history.Run{At: time.Duration(n), Server: server, Key: told.Attempt, Window: time.Hour, Request: told.Attempt})
 		}
 	}
-	for _, v := range history.OneRun(&seen) {
+	for _, v := range history.AtMostOnce(&seen) {
 		t.Error(v)
 	}
-	m.clean(t)
+	m.assertNoViolations(t)
 	t.Logf("%d calls served, %d not", served, lost)
 	assert.Assert(t, served > 0)
 }
--- a/internal/rig/mesh/worst_observer_test.go
+++ b/internal/rig/mesh/worst_observer_test.go
@@ -20,18 +20,18 @@
 type observer struct {
 	began time.Time
 
-	mu sync.Mutex // guards h
-	h  history.History
+	mu      sync.Mutex // guards h
+	history history.History
 }
 
 func newObserver() *observer { return &observer{began: time.Now()} }
 
-func (o *observer) now() time.Duration { return time.Since(o.began) }
+func (o *observer) elapsed() time.Duration { return time.Since(o.began) }
 
 func (o *observer) record(e history.Event) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.h.Record(e)
+	o.history.Record(e)
 }
 
 // check has every checker judge what was seen.
@@ -39,41 +39,41 @@
 	t.Helper()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	report := history.Check(&o.h, history.Bounds{Search: 2 * time.Second})
+	report := history.Check(&o.history, history.Bounds{Search: 2 * time.Second})
 	for _, v := range report.Violations {
 		t.Errorf("%v", v)
 	}
 	if len(report.Undecided) > 0 {
 		t.Logf("not decided within the search's bound: %v", report.Undecided)
 	}
-	t.Logf("history: %d orders, %d fetches", len(o.h.Changes), len(o.h.Fetches))
+	t.Logf("history: %d orders, %d fetches", len(o.history.Changes), len(o.history.Fetches))
 }
 
 const routeKind = "route"
 
-// order is one order of an operator, which may be sent many times.
-type order struct {
+// routeOrder is one order of an operator, which may be sent many times.
+type routeOrder struct {
 	name  string
 	body  []byte
 	items []history.ItemVersion
 }
 
-// orderOf words an order of one route; content, a path, is what another order of the same version may differ in.
-func orderOf(name, route string, version int, content string) order {
-	return order{name, Modify(version, nil, Route(route, "idempotent", content, "stock", version)),
+// newRouteOrder words an order of one route; content, a path, is what another order of the same version may differ in.
+func newRouteOrder(name, route string, version int, content string) routeOrder {
+	return routeOrder{name, ModifyCall(version, nil, RouteItem(route, "idempotent", content, "stock", version)),
 		[]history.ItemVersion{{Item: history.Item{Kind: routeKind, Name: route}, Version: int64(version), Digest: content}}}
 }
 
-// begins records the routes that startRelayed has had acknowledged.
-func (o *observer) begins() {
+// recordInitialRoutes records the routes that startRelayed has had acknowledged.
+func (o *observer) recordInitialRoutes() {
 	for name, content := range map[string]string{"read": "/read/", "send": "/send/"} {
-		o.record(history.Change{Call: history.Call{Process: "start", Outcome: history.Acknowledged, Return: o.now()}, Order: "start-" + name,
+		o.record(history.Change{Call: history.Call{Process: "start", Outcome: history.Acknowledged, Return: o.elapsed()}, ChangeID: "start-" + name,
 			Items: []history.ItemVersion{{Item: history.Item{Kind: routeKind, Name: name}, Version: 1, Digest: content}}})
 	}
 }
 
-// outcomeOf is what an answer's status says of an order.
-func outcomeOf(status int) history.Outcome {
+// outcomeOfStatus is what an answer's status says of an order.
+func outcomeOfStatus(status int) history.Outcome {
 	switch status {
 	case http.StatusOK:
 		return history.Acknowledged
@@ -83,8 +83,8 @@
 	return history.Unknown
 }
 
-// watch records who leads, by the registers' own word, until stop is called.
-func (o *observer) watch(at ...*Machine) (stop func()) {
+// watchLeaders records who leads, by the registers' own word, until stop is called.
+func (o *observer) watchLeaders(at ...*Machine) (stop func()) {
 	end, ended := make(chan struct{}), make(chan struct{})
 	type reign struct{ id, term uint64 }
 	seen := map[reign]bool{}
@@ -92,13 +92,13 @@
 		defer close(ended)
 		for {
 			for _, x := range at {
-				if s := x.status(); s != nil && s.Leads && !seen[reign{s.Id, s.Term}] {
-					seen[reign{s.Id, s.Term}] = true
-					o.record(history.Leader{At: o.now(), Process: x.Name, ID: s.Id, Term: s.Term})
+				if s := x.statusPastRelay(); s != nil && s.IsLeader && !seen[reign{s.MemberId, s.Term}] {
+					seen[reign{s.MemberId, s.Term}] = true
+					o.record(history.Leader{At: o.elapsed(), Process: x.Name, ID: s.MemberId, Term: s.Term})
 				}
 			}
 			select {
-			case <-time.After(watchEvery):
+			case <-time.After(watchInterval):
 			case <-end:
 				return
 			}
@@ -107,22 +107,22 @@
 	return func() { close(end); <-ended }
 }
 
-const watchEvery = 50 * time.Millisecond
+const watchInterval = 50 * time.Millisecond
 
 // send sends an order once, and records how that ended.
-func (o *observer) send(by *Operator, at *Machine, x order) (history.Outcome, string) {
-	begin := o.now()
+func (o *observer) send(by *Operator, at *Machine, x routeOrder) (history.Outcome, string) {
+	begin := o.elapsed()
 	status, text := by.Modify(at, x.body)
-	call := history.Call{Process: by.IP, Begin: begin, Return: o.now(), Outcome: outcomeOf(status)}
-	o.record(history.Change{Call: call, Order: x.name, Member: at.Name, Items: x.items})
+	call := history.Call{Process: by.IP, Begin: begin, Return: o.elapsed(), Outcome: outcomeOfStatus(status)}
+	o.record(history.Change{Call: call, ChangeID: x.name, Member: at.Name, Items: x.items})
 	return call.Outcome, fmt.Sprintf("%d %s", status, text)
 }
 
-// acknowledged sends an order to the registers named, one after the other, until one acknowledges it. None may refuse it.
-func (o *observer) acknowledged(t *testing.T, by *Operator, x order, at ...*Machine) {
+// awaitAcknowledged sends an order to the registers named, one after the other, until one acknowledges it. None may refuse it.
+func (o *observer) awaitAcknowledged(t *testing.T, by *Operator, x routeOrder, at ...*Machine) {
 	t.Helper()
 	n, last := 0, ""
-	assert.Assert(t, rig.Await(patience, func() bool {
+	assert.Assert(t, rig.Await(testTimeout, func() bool {
 		outcome, text := o.send(by, at[n%len(at)], x)
 		n, last = n+1, text
 		assert.Assert(t, outcome != history.Refused, "order %s is refused: %s", x.name, text)
@@ -132,28 +132,28 @@
 
 // fetch reads the configuration once, and records what it shows.
 func (o *observer) fetch(by *Operator, at *Machine) (ok bool) {
-	begin := o.now()
+	begin := o.elapsed()
 	status, text := by.Fetch(at)
-	call := history.Call{Process: by.IP, Begin: begin, Return: o.now(), Outcome: history.Unknown}
+	call := history.Call{Process: by.IP, Begin: begin, Return: o.elapsed(), Outcome: history.Unknown}
 	var items []history.ItemVersion
 	if status == http.StatusOK {
-		call.Outcome, items = history.Acknowledged, routesOf(text)
+		call.Outcome, items = history.Acknowledged, routeVersions(text)
 	}
 	o.record(history.Fetch{Call: call, Member: at.Name, Items: items})
 	return status == http.StatusOK
 }
 
-// fetched waits until a register shows the configuration.
-func (o *observer) fetched(t *testing.T, by *Operator, at *Machine) {
+// awaitFetched waits until a register shows the configuration.
+func (o *observer) awaitFetched(t *testing.T, by *Operator, at *Machine) {
 	t.Helper()
-	assert.Assert(t, rig.Await(patience, func() bool { return o.fetch(by, at) }), "%s shows no configuration", at.Name)
+	assert.Assert(t, rig.Await(testTimeout, func() bool { return o.fetch(by, at) }), "%s shows no configuration", at.Name)
 }
 
-// filler begins the names of routes that only make the state larger; they are no part of the history.
-const filler = "filler-"
+// fillerPrefix begins the names of routes that only make the state larger; they are no part of the history.
+const fillerPrefix = "filler-"
 
-// routesOf reads the routes of a configuration.
-func routesOf(text string) (l []history.ItemVersion) {
+// routeVersions reads the routes of a configuration.
+func routeVersions(text string) (l []history.ItemVersion) {
 	var set struct {
 		ListenerList []struct {
 			PolicyRules []struct {
@@ -168,7 +168,7 @@
 	}
 	for _, listener := range set.ListenerList {
 		for _, r := range listener.PolicyRules {
-			if strings.HasPrefix(r.Name, filler) {
+			if strings.HasPrefix(r.Name, fillerPrefix) {
 				continue
 			}
 			l = append(l, history.ItemVersion{Item: history.Item{Kind: routeKind, Name: r.Name}, Version: r.ConfigVersion, Digest: r.MatchCriteria.PathPrefix})
@@ -177,13 +177,13 @@
 	return l
 }
 
-// versions are what a machine holds of the configuration, by its own word.
-func (x *Machine) versions(t *testing.T) map[string]int64 {
+// itemVersions are what a machine holds of the configuration, by its own word.
+func (x *Machine) itemVersions(t *testing.T) map[string]int64 {
 	t.Helper()
 	var s *wire.StatusT
-	assert.Assert(t, rig.Await(patience, func() bool { s = x.status(); return s != nil }), "%s does not say how it is", x.Name)
+	assert.Assert(t, rig.Await(testTimeout, func() bool { s = x.statusPastRelay(); return s != nil }), "%s does not say how it is", x.Name)
 	l := map[string]int64{}
-	for _, i := range s.Items {
+	for _, i := range s.ItemVersions {
 		l[i.Name] = max(l[i.Name], i.Version)
 	}
 	return l
@@ -197,28 +197,28 @@
 	refused []string
 }
 
-const writersRest = 25 * time.Millisecond // between an operator's calls
+const writerPause = 25 * time.Millisecond // between an operator's calls
 
-// write begins it: each operator, from the number first on, changes a route of its own, one version after the other, and
+// startWriters begins it: each operator, from the number first on, changes a route of its own, one version after the other, and
 // sends each elsewhere until it is acknowledged. One more reads.
-func (o *observer) write(m *Mesh, first, operators int, at ...*Machine) *writers {
+func (o *observer) startWriters(m *Cluster, first, operators int, at ...*Machine) *writers {
 	w := &writers{stop: make(chan struct{})}
 	for n := first; n < first+operators; n++ {
-		w.all.Go(func() { o.writeOwn(w, m.Operator(n), fmt.Sprint("own-", n), n, at) })
+		w.all.Go(func() { o.writeRoute(w, m.Operator(n), fmt.Sprint("own-", n), n, at) })
 	}
 	reader := m.Operator(first + operators)
 	w.all.Go(func() {
-		for n := 0; !w.over(); n++ {
+		for n := 0; !w.stopped(); n++ {
 			o.fetch(reader, at[n%len(at)])
 		}
 	})
 	return w
 }
 
-func (o *observer) writeOwn(w *writers, by *Operator, route string, n int, at []*Machine) {
-	for version := 2; !w.over(); version++ {
-		x := orderOf(fmt.Sprint(route, "-", version), route, version, fmt.Sprintf("/%s-%d/", route, version))
-		for try := n + version; !w.over(); try++ {
+func (o *observer) writeRoute(w *writers, by *Operator, route string, n int, at []*Machine) {
+	for version := 2; !w.stopped(); version++ {
+		x := newRouteOrder(fmt.Sprint(route, "-", version), route, version, fmt.Sprintf("/%s-%d/", route, version))
+		for try := n + version; !w.stopped(); try++ {
 			outcome, text := o.send(by, at[try%len(at)], x)
 			if outcome == history.Refused {
 				w.mu.Lock()
@@ -232,17 +232,17 @@
 	}
 }
 
-func (w *writers) over() bool {
+func (w *writers) stopped() bool {
 	select {
 	case <-w.stop:
 		return true
-	case <-time.After(writersRest):
+	case <-time.After(writerPause):
 		return false
 	}
 }
 
-// end stops them and waits for what is under way. None of their orders may have been refused.
-func (w *writers) end(t *testing.T) {
+// stopAndAssert stops them and waits for what is under way. None of their orders may have been refused.
+func (w *writers) stopAndAssert(t *testing.T) {
 	t.Helper()
 	close(w.stop)
 	w.all.Wait()
