--- a/hollyspur.go
+++ b/balancer/balancer.go
@@ -1,4 +1,4 @@
-// Package hollyspur decides where a load balancer sends each request, when it tries again and
+// Package balancer decides where a load balancer sends each request, when it tries again and
 // when it gives up. It does no I/O: the host feeds events to a Balancer and carries out the
 // actions it returns. This file is the whole interface; every decision is in policy.go, list.go, choice.go, health.go and admission.go.
 //
@@ -7,7 +7,7 @@
 // give the same actions. Balancers share nothing. Memory is held for each request until it is
 // answered and its attempts have ended, and for each server until it has left the list and its
 // attempts have ended.
-package hollyspur
+package balancer
 
 import (
 	"fmt"
@@ -131,7 +131,7 @@
 	}
 	for _, c := range checks {
 		if !c.ok {
-			return fmt.Errorf("hollyspur: setting %s is missing, out of range or there twice", c.name)
+			return fmt.Errorf("balancer: setting %s is missing, out of range or there twice", c.name)
 		}
 	}
 	return nil
--- a/fleet.go
+++ b/balancer/fleet.go
@@ -1,4 +1,4 @@
-package hollyspur
+package balancer
 
 import (
 	"math"
--- a/policy.go
+++ b/balancer/policy.go
@@ -1,7 +1,7 @@
-// Every decision of hollyspur: here what an event leads to, in list.go what discovery tells, in choice.go
+// Every decision of the balancer: here what an event leads to, in list.go what discovery tells, in choice.go
 // which server, in health.go how servers are judged, in admission.go what is let in, tried again, given up.
 
-package hollyspur
+package balancer
 
 import (
 	"slices"
--- a/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -1,4 +1,4 @@
-package hollyspur_test
+package balancer_test
 
 import (
 	"math/rand/v2"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/emulator"
+	"cranegrade/balancer"
+	"cranegrade/internal/emulator"
 )
 
 // play plays a shape of 0.9 of the capacity. disturb gives every node wrong beliefs as the trigger begins;
@@ -17,9 +17,9 @@
 	s := emulator.NewShape(shape, seed, servers, 0.9)
 	s.Plan.Length = s.End + recoversWithin*s.Service + 15*time.Second
 	r := rand.New(rand.NewPCG(seed, 0xd15))
-	var all []*hollyspur.Balancer
-	s.Plan.Decider = func(tier, index int, set hollyspur.Settings) emulator.Decider {
-		b, err := hollyspur.New(set, seed+uint64(tier*100+index))
+	var all []*balancer.Balancer
+	s.Plan.Decider = func(tier, index int, set balancer.Settings) emulator.Decider {
+		b, err := balancer.New(set, seed+uint64(tier*100+index))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/cranegrade-platform/main.go
+++ b/cmd/cranegrade-platform/main.go
@@ -3,8 +3,8 @@
 package main
 
 import (
-	"hollyspur/internal/node"
-	"hollyspur/internal/program"
+	"cranegrade/internal/node"
+	"cranegrade/internal/program"
 )
 
 func main() { program.Main(node.Options{}) }
--- a/cmd/cranegrade/crowd_test.go
+++ b/cmd/cranegrade/crowd_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/opsport"
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/opsport"
+	"cranegrade/internal/testkit"
 )
 
 // platform starts the platform's program with limits and one server.
--- a/cmd/cranegrade/fleet.go
+++ b/cmd/cranegrade/fleet.go
@@ -12,10 +12,10 @@
 
 	"github.com/spf13/cobra"
 
-	"hollyspur/internal/fleet"
-	"hollyspur/internal/node"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/program"
+	"cranegrade/internal/fleet"
+	"cranegrade/internal/node"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/program"
 )
 
 const fleetUsage = `  cranegrade fleet [-json] -config FILE
--- a/cmd/cranegrade/ops.go
+++ b/cmd/cranegrade/ops.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"hollyspur/internal/operator"
-	"hollyspur/internal/opsport"
-	"hollyspur/internal/program"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/opsport"
+	"cranegrade/internal/program"
 )
 
 var opsCommand = program.Command{Name: "ops", Run: ops, Usage: `  cranegrade ops CALL --at ADDRESS | --config FILE
--- a/cmd/cranegrade/proxycheck.go
+++ b/cmd/cranegrade/proxycheck.go
@@ -7,9 +7,9 @@
 	"io"
 	"os"
 
-	"hollyspur/internal/envoyconf"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/program"
+	"cranegrade/internal/envoyconf"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/program"
 )
 
 const proxyCheckUsage = `  cranegrade proxy-check ENVOY_FILE -config FILE
--- a/cmd/cranegrade/proxyconfig.go
+++ b/cmd/cranegrade/proxyconfig.go
@@ -7,10 +7,10 @@
 	"io"
 	"strings"
 
-	"hollyspur"
-	"hollyspur/internal/envoyconf"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/program"
+	"cranegrade/balancer"
+	"cranegrade/internal/envoyconf"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/program"
 )
 
 const proxyConfigUsage = `  cranegrade proxy-config -config FILE -mode MODE [-listen HOST:PORT] [-processor HOST:PORT] [-retries N]
@@ -64,7 +64,7 @@
 			}
 			// What a class of that name is in one pool, it may be in the proxy's eyes in all.
 			x := &p.Classes[i]
-			x.Deadline, x.Safe = max(x.Deadline, c.Deadline), x.Safe && c.Effect == hollyspur.Safe
+			x.Deadline, x.Safe = max(x.Deadline, c.Deadline), x.Safe && c.Effect == balancer.Safe
 		}
 		for _, s := range pool.List.Static {
 			p.Endpoints = append(p.Endpoints, s.Addr)
--- a/cmd/cranegrade/upgrade_test.go
+++ b/cmd/cranegrade/upgrade_test.go
@@ -19,8 +19,8 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/opsport"
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/opsport"
+	"cranegrade/internal/testkit"
 )
 
 // upgraded is one process of a node.
--- a/cmd/cranegrade/zones.go
+++ b/cmd/cranegrade/zones.go
@@ -10,13 +10,13 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/node"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/program"
-	"hollyspur/internal/zone"
-	"hollyspur/internal/zone/page"
-	"hollyspur/internal/zone/report"
-	"hollyspur/internal/zone/store"
+	"cranegrade/internal/node"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/program"
+	"cranegrade/internal/zone"
+	"cranegrade/internal/zone/page"
+	"cranegrade/internal/zone/report"
+	"cranegrade/internal/zone/store"
 )
 
 const zonesUsage = `  cranegrade zones -config FILE [-config FILE...] [-day YYYY-MM-DD] [-by pool,class,customer] [-format table|json|html]
--- a/cmd/cranegrade/zones_test.go
+++ b/cmd/cranegrade/zones_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/zone"
-	"hollyspur/internal/zone/report"
-	"hollyspur/internal/zone/store"
+	"cranegrade/internal/zone"
+	"cranegrade/internal/zone/report"
+	"cranegrade/internal/zone/store"
 )
 
 // Two nodes that are down are told together, from the files that they keep; one without a file is named.
--- a/cmd/cranesim/main.go
+++ b/cmd/cranesim/main.go
@@ -14,7 +14,7 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/emulator"
+	"cranegrade/internal/emulator"
 )
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/cmd/drill/crowd.go
+++ b/cmd/drill/crowd.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/standin"
-	"hollyspur/internal/standin/proxy"
+	"cranegrade/internal/standin"
+	"cranegrade/internal/standin/proxy"
 )
 
 // extprocCrowd has 2,000 questions come at once to a processor that has just started, for 200 idle servers
--- a/cmd/drill/drill_test.go
+++ b/cmd/drill/drill_test.go
@@ -21,7 +21,7 @@
 		panic(err)
 	}
 	programPath = filepath.Join(dir, "cranegrade")
-	if out, err := exec.Command("go", "build", "-o", programPath, "hollyspur/cmd/cranegrade").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", programPath, "cranegrade/cmd/cranegrade").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
 	code := m.Run()
--- a/cmd/drill/extproc.go
+++ b/cmd/drill/extproc.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/envoyconf"
-	rigs "hollyspur/internal/rig"
-	"hollyspur/internal/standin"
-	"hollyspur/internal/standin/proxy"
+	"cranegrade/internal/envoyconf"
+	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/standin"
+	"cranegrade/internal/standin/proxy"
 )
 
 // extText is the operator's file of a node that proxies ask.
--- a/cmd/drill/fleetsize.go
+++ b/cmd/drill/fleetsize.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/fleet/model"
+	"cranegrade/internal/fleet/model"
 )
 
 // fleetSize measures views of fleets that no machine holds, in simulated time: how soon deaths are right everywhere, and
--- a/cmd/drill/h2.go
+++ b/cmd/drill/h2.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/standin"
+	"cranegrade/internal/standin"
 )
 
 // h2Drill is the tour over HTTP/2 on both sides: callers share few connections to the program, which shares few to
--- a/cmd/drill/load.go
+++ b/cmd/drill/load.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	rigs "hollyspur/internal/rig"
+	rigs "cranegrade/internal/rig"
 )
 
 const (
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -22,8 +22,8 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/audit"
-	"hollyspur/internal/envoyconf"
+	"cranegrade/internal/audit"
+	"cranegrade/internal/envoyconf"
 )
 
 // scenario is a drill.
--- a/cmd/drill/manypools.go
+++ b/cmd/drill/manypools.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/standin"
+	"cranegrade/internal/standin"
 )
 
 // overloadPools has a hundred pools in one process. The servers of ten become ten times as slow for a while;
--- a/cmd/drill/members.go
+++ b/cmd/drill/members.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	rigs "hollyspur/internal/rig"
-	"hollyspur/internal/standin"
+	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/standin"
 )
 
 // fleetDrills are those that need several processes.
--- a/cmd/drill/operators.go
+++ b/cmd/drill/operators.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/opsport"
-	rigs "hollyspur/internal/rig"
-	"hollyspur/internal/standin"
+	"cranegrade/internal/opsport"
+	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/standin"
 )
 
 // ban is a time for which a server is taken out by hand, by the records' clock.
--- a/cmd/drill/overload.go
+++ b/cmd/drill/overload.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/standin"
+	"cranegrade/internal/standin"
 )
 
 const (
--- a/cmd/drill/plant.go
+++ b/cmd/drill/plant.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	rigs "hollyspur/internal/rig"
-	"hollyspur/internal/standin"
+	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/standin"
 )
 
 // plantTime is how long a drill runs at the least when a breach is planted.
--- a/cmd/drill/pools.go
+++ b/cmd/drill/pools.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/standin"
+	"cranegrade/internal/standin"
 )
 
 const (
--- a/cmd/drill/reload.go
+++ b/cmd/drill/reload.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	rigs "hollyspur/internal/rig"
-	"hollyspur/internal/standin"
+	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/standin"
 )
 
 // reload changes the operator's file again and again under load: pools are changed, removed and added,
--- a/cmd/drill/rig.go
+++ b/cmd/drill/rig.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	rigs "hollyspur/internal/rig"
-	"hollyspur/internal/standin"
-	"hollyspur/internal/standin/proxy"
+	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/standin"
+	"cranegrade/internal/standin/proxy"
 )
 
 // rig is a program among stand-ins.
--- a/cmd/drill/tenants.go
+++ b/cmd/drill/tenants.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/standin"
+	"cranegrade/internal/standin"
 )
 
 // tenantCase is a way to tell a pool of its tenants.
--- a/cmd/drill/tour.go
+++ b/cmd/drill/tour.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/standin"
+	"cranegrade/internal/standin"
 )
 
 // tour is a first look: one pool, three servers, every class; one server drains and comes back, one
--- a/cmd/drill/xds.go
+++ b/cmd/drill/xds.go
@@ -15,10 +15,10 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	rigs "hollyspur/internal/rig"
-	"hollyspur/internal/standin"
-	standinxds "hollyspur/internal/standin/xds"
-	"hollyspur/internal/xds/resource"
+	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/standin"
+	standinxds "cranegrade/internal/standin/xds"
+	"cranegrade/internal/xds/resource"
 )
 
 // planeGroup is a group of servers whose list a control plane tells.
--- a/cmd/drill/xdssize.go
+++ b/cmd/drill/xdssize.go
@@ -12,9 +12,9 @@
 	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 
-	rigs "hollyspur/internal/rig"
-	standinxds "hollyspur/internal/standin/xds"
-	"hollyspur/internal/xds/resource"
+	rigs "cranegrade/internal/rig"
+	standinxds "cranegrade/internal/standin/xds"
+	"cranegrade/internal/xds/resource"
 )
 
 const (
--- a/cmd/drill/zones.go
+++ b/cmd/drill/zones.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/standin"
-	zonereport "hollyspur/internal/zone/report"
+	"cranegrade/internal/standin"
+	zonereport "cranegrade/internal/zone/report"
 )
 
 // zonesDrill has the home zone of three turn slow, fail whole and come back cold, under load. The nearest zone has a
--- a/cmd/switchboard/campaign.go
+++ b/cmd/meshctl/campaign.go
@@ -10,9 +10,9 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/exchange/register"
-	"hollyspur/internal/rig/mesh"
+	"cranegrade/internal/mesh/controlplane"
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/testcluster"
 )
 
 // policyDemo is two teams whose rules meet: the first owns a service and the host, the second a service that the first's routes
@@ -37,7 +37,7 @@
 // decided by, on every line, and what became of it.
 func (d *policyDemo) Execute([]string) error {
 	route := func(name, kind, to string) map[string]any {
-		r := mesh.RouteItem(name, kind, "/"+name+"/", to, 1)
+		r := testcluster.RouteItem(name, kind, "/"+name+"/", to, 1)
 		r["ForwardAction"].(map[string]any)["RetryCount"] = 3
 		return r
 	}
@@ -50,8 +50,8 @@
 		return err
 	}
 	defer m.closeAndRemove()
-	spaces := map[string]any{"Upsert": map[string]any{"NamespaceList": []classmark.Namespace{
-		{Name: d.first, ConfigVersion: 1, Owners: []string{d.owners[0]}, Services: []string{d.first}, Hosts: []string{mesh.Host}},
+	spaces := map[string]any{"Upsert": map[string]any{"NamespaceList": []policy.Namespace{
+		{Name: d.first, ConfigVersion: 1, Owners: []string{d.owners[0]}, Services: []string{d.first}, Hosts: []string{testcluster.Host}},
 		{Name: d.second, ConfigVersion: 1, Owners: []string{d.owners[1]}, Services: []string{d.second}}}}}
 	text, _ := json.Marshal(spaces)
 	if err := m.modify(text); err != nil {
@@ -62,7 +62,7 @@
 	var mu sync.Mutex // guards seen and dropped
 	var seen []observedPolicy
 	var dropped []string
-	traced := func(x *mesh.Machine, method, path, key string) mesh.Response {
+	traced := func(x *testcluster.Machine, method, path, key string) testcluster.Response {
 		began := time.Now()
 		told := x.Send(method, path, key, []byte("one"))
 		if told.Status != 0 && told.PolicyTrace != "" {
@@ -73,7 +73,7 @@
 		}
 		return told
 	}
-	m.startCalls(d.keyed, 8*time.Millisecond, func(n int) (told mesh.Response, whole bool) {
+	m.startCalls(d.keyed, 8*time.Millisecond, func(n int) (told testcluster.Response, whole bool) {
 		key := fmt.Sprint("k-", n)
 		for try := range 20 { // as clients do: what has not run, or is at work, comes again, at any line
 			told = traced(m.sidecar(n+try), "POST", "/"+d.keyed+"/new", key)
@@ -87,12 +87,12 @@
 		dropped = append(dropped, key)
 		return told, true
 	})
-	m.startCalls(d.read, 8*time.Millisecond, func(n int) (mesh.Response, bool) {
+	m.startCalls(d.read, 8*time.Millisecond, func(n int) (testcluster.Response, bool) {
 		return traced(m.sidecar(n), "GET", fmt.Sprintf("/%s/%d", d.read, n), ""), true
 	})
 	const long = 200_000
 	if d.whole != "" {
-		m.startCalls(d.whole, 40*time.Millisecond, func(n int) (mesh.Response, bool) {
+		m.startCalls(d.whole, 40*time.Millisecond, func(n int) (testcluster.Response, bool) {
 			told := traced(m.sidecar(n), "GET", fmt.Sprintf("/%s/%d?bytes=%d", d.whole, n, long), "")
 			return told, len(told.Body) > long
 		})
@@ -108,7 +108,7 @@
 		fmt.Println(v)
 	}
 	differences, sets, widest := auditPolicies(seen)
-	fmt.Printf("\n%d requests named their rule, by %d sets; a line went by a set for %v at the most once another had shown the next (%v is stated)\n", len(seen), sets, widest.Round(time.Millisecond), classmark.FenceTimeout)
+	fmt.Printf("\n%d requests named their rule, by %d sets; a line went by a set for %v at the most once another had shown the next (%v is stated)\n", len(seen), sets, widest.Round(time.Millisecond), policy.FenceTimeout)
 	for _, x := range differences[:min(5, len(differences))] {
 		fmt.Println("  " + x)
 	}
@@ -133,13 +133,13 @@
 func (d *policyDemo) changePolicies(m *demoCluster) (verdicts []string, err error) {
 	step := d.Length / 10
 	version := 1
-	ruling := func(n int, r classmark.Policy, consents ...string) []byte {
+	ruling := func(n int, r policy.Policy, consents ...string) []byte {
 		version++
 		r.ConfigVersion, r.Namespace = int64(version), []string{d.first, d.second}[n]
-		text, _ := json.Marshal(map[string]any{"Upsert": map[string]any{"RulingList": []classmark.Policy{r}}, "By": d.owners[n], "Consents": consents})
+		text, _ := json.Marshal(map[string]any{"Upsert": map[string]any{"RulingList": []policy.Policy{r}}, "By": d.owners[n], "Consents": consents})
 		return text
 	}
-	refused := func(why string, r *mesh.Machine, body []byte, want int) error {
+	refused := func(why string, r *testcluster.Machine, body []byte, want int) error {
 		status, text := r.Modify(body)
 		if status != want {
 			return errors.Errorf("%s: answered %d %s, and not %d", why, status, text, want)
@@ -151,11 +151,11 @@
 	time.Sleep(step)
 	steps := []func() error{
 		func() error {
-			return m.modify(ruling(0, classmark.Policy{Name: "patience", TimeoutS: 2, NeedsS: 0.5, Tries: 2}))
+			return m.modify(ruling(0, policy.Policy{Name: "patience", TimeoutS: 2, NeedsS: 0.5, Tries: 2}))
 		},
-		func() error { return m.modify(ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 1.5, Tries: 1})) },
+		func() error { return m.modify(ruling(1, policy.Policy{Name: "shelter", TimeoutS: 1.5, Tries: 1})) },
 		func() error { // both at the same moment, at two registers
-			a, b := ruling(0, classmark.Policy{Name: "keys", KeyedAgain: &no, On: classmark.Selector{Routes: []string{d.keyed}}}), ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 1, Tries: 1})
+			a, b := ruling(0, policy.Policy{Name: "keys", KeyedAgain: &no, On: policy.Selector{Routes: []string{d.keyed}}}), ruling(1, policy.Policy{Name: "shelter", TimeoutS: 1, Tries: 1})
 			var both sync.WaitGroup
 			var errs [2]error
 			both.Go(func() { errs[0] = m.modify(a) })
@@ -167,17 +167,17 @@
 			return errs[1]
 		},
 		func() error {
-			return refused("less time than the other's requests need", m.Members[1], ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 0.2, Tries: 1}), 409)
+			return refused("less time than the other's requests need", m.Members[1], ruling(1, policy.Policy{Name: "shelter", TimeoutS: 0.2, Tries: 1}), 409)
 		},
 		func() error {
-			return refused("more tries than the other's rule let through, without consent", m.Members[2], ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 1, Tries: 2}), 403)
+			return refused("more tries than the other's rule let through, without consent", m.Members[2], ruling(1, policy.Policy{Name: "shelter", TimeoutS: 1, Tries: 2}), 403)
 		},
 		func() error {
-			return m.modify(ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 1, Tries: 2}, d.first+":"+d.owners[0]))
+			return m.modify(ruling(1, policy.Policy{Name: "shelter", TimeoutS: 1, Tries: 2}, d.first+":"+d.owners[0]))
 		},
 		func() error { // a set is agreed on, and the register that leads is killed before it binds or just after
 			lead := m.leader()
-			if err := m.modify(ruling(0, classmark.Policy{Name: "patience", TimeoutS: 1.2, NeedsS: 0.5, Tries: 2})); err != nil || lead == nil {
+			if err := m.modify(ruling(0, policy.Policy{Name: "patience", TimeoutS: 1.2, NeedsS: 0.5, Tries: 2})); err != nil || lead == nil {
 				return err
 			}
 			lead.Kill()
@@ -188,7 +188,7 @@
 			x := m.Sidecars[5]
 			x.Process.Pause()
 			defer x.Process.Resume()
-			return m.modify(ruling(1, classmark.Policy{Name: "shelter", TimeoutS: 0.9, Tries: 1}))
+			return m.modify(ruling(1, policy.Policy{Name: "shelter", TimeoutS: 0.9, Tries: 1}))
 		},
 	}
 	for _, f := range steps {
@@ -201,8 +201,8 @@
 }
 
 // leader is the register that leads; nil: none says so.
-func (s *demoCluster) leader() *mesh.Machine {
-	t, err := callPolicy(s.Members[0].Addr("ControlPlane"), register.PolicyRequest{})
+func (s *demoCluster) leader() *testcluster.Machine {
+	t, err := callPolicy(s.Members[0].Addr("ControlPlane"), controlplane.PolicyRequest{})
 	for _, r := range s.Members {
 		if err == nil && r.Process != nil && r.Process.Addr == t.Leader {
 			return r
@@ -241,7 +241,7 @@
 		if after, is := next[x.set]; is {
 			if late := x.at.Sub(first[after]); late > 0 {
 				widest = max(widest, late)
-				if late > classmark.FenceTimeout {
+				if late > policy.FenceTimeout {
 					differences = append(differences, fmt.Sprintf("%s goes by set %s %v after set %s was in force elsewhere", x.line, x.set, late, after))
 				}
 			}
--- a/cmd/switchboard/config.go
+++ b/cmd/meshctl/config.go
@@ -12,10 +12,10 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/register"
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/exchange/trunk"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/controlplane"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/transport"
 )
 
 type getCommand struct {
@@ -37,7 +37,7 @@
 	for _, name := range g.Args.Names {
 		found := false
 		for _, i := range table.Items() {
-			if i.Key.Name == name || i.Kind == patch.KindLimits && name == "limits" {
+			if i.Key.Name == name || i.Kind == config.KindLimits && name == "limits" {
 				found = true
 				if err := indent(i.Body); err != nil {
 					return err
@@ -61,16 +61,16 @@
 }
 
 // fetchConfig is the configuration, confirmed by a majority.
-func fetchConfig(addr string) ([]byte, patch.Table, error) {
+func fetchConfig(addr string) ([]byte, config.Table, error) {
 	text, err := callAPI(http.MethodGet, addr, "/v1/configuration/fetch", nil)
 	if err != nil {
-		return nil, patch.Table{}, err
+		return nil, config.Table{}, err
 	}
-	items, err := patch.ParseItems([]byte(`{"Upsert":` + string(text) + `}`))
+	items, err := config.ParseItems([]byte(`{"Upsert":` + string(text) + `}`))
 	if err != nil {
-		return nil, patch.Table{}, errors.Annotate(err, "what came back")
+		return nil, config.Table{}, errors.Annotate(err, "what came back")
 	}
-	t, _ := patch.Table{}.Merge(items)
+	t, _ := config.Table{}.Merge(items)
 	return text, t, nil
 }
 
@@ -93,7 +93,7 @@
 		}
 		return printResult(s, func() { fmt.Printf("%s: settings of %s\n", c.Args.File, s.NodeName) })
 	}
-	items, err := patch.ParseItems(text)
+	items, err := config.ParseItems(text)
 	if err != nil {
 		return errors.Annotate(err, c.Args.File)
 	}
@@ -101,12 +101,12 @@
 }
 
 // printItems tells the items of a call.
-func printItems(items []patch.Item) error {
-	l := patch.Diff(patch.Table{}, items)
+func printItems(items []config.Item) error {
+	l := config.Diff(config.Table{}, items)
 	return printResult(l, func() {
 		for _, d := range l {
 			verb := "sets"
-			if d.Action == patch.ActionDelete {
+			if d.Action == config.ActionDelete {
 				verb = "drops"
 			}
 			fmt.Printf("%s %s %s, version %d\n", verb, d.Kind, d.Name, d.To)
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	items, err := patch.ParseItems(text)
+	items, err := config.ParseItems(text)
 	if err != nil {
 		return errors.Annotate(err, d.Args.File)
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	l := patch.Diff(table, items)
+	l := config.Diff(table, items)
 	if err := printResult(l, func() {
 		for _, x := range l {
 			fmt.Printf("%-9s %s %s, version %d -> %d\n", x.Action, x.Kind, x.Name, x.From, x.To)
@@ -150,7 +150,7 @@
 		return errors.Annotate(err, "it would be refused")
 	}
 	for _, x := range l {
-		if x.Action != patch.ActionNone && x.Action != patch.ActionOutdated {
+		if x.Action != config.ActionNone && x.Action != config.ActionOutdated {
 			return errNotWell
 		}
 	}
@@ -235,17 +235,17 @@
 	r.Header.Set("Content-Type", "application/json")
 	resp, err := (&http.Client{Timeout: globalOptions.Within}).Do(r)
 	if err != nil {
-		return nil, errors.WithType(err, trunk.ErrNoReply)
+		return nil, errors.WithType(err, transport.ErrNoReply)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, 64<<20))
 	if err != nil {
-		return nil, errors.WithType(err, trunk.ErrNoReply)
+		return nil, errors.WithType(err, transport.ErrNoReply)
 	}
 	if resp.StatusCode != http.StatusOK {
 		err = errors.Errorf("%s answers %s: %s", addr, resp.Status, strings.TrimSpace(string(text)))
 		if resp.StatusCode == http.StatusServiceUnavailable {
-			err = errors.WithType(err, trunk.ErrNoReply)
+			err = errors.WithType(err, transport.ErrNoReply)
 		}
 	}
 	return text, err
@@ -260,7 +260,7 @@
 
 // Execute writes the configuration that a register's disk holds, as a call that brings it back.
 func (r *recoverCommand) Execute([]string) error {
-	m, err := register.RecoverConfiguration(r.Args.Dir)
+	m, err := controlplane.RecoverConfiguration(r.Args.Dir)
 	if err != nil {
 		return err
 	}
@@ -268,7 +268,7 @@
 	if err != nil {
 		return err
 	}
-	items, err := patch.ParseItems(text)
+	items, err := config.ParseItems(text)
 	if err != nil {
 		return errors.Annotate(err, "what the disk holds")
 	}
--- a/cmd/switchboard/look.go
+++ b/cmd/meshctl/look.go
@@ -5,8 +5,8 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/plant"
-	"hollyspur/internal/exchange/trunk"
+	"cranegrade/internal/mesh/topology"
+	"cranegrade/internal/mesh/transport"
 )
 
 // memberAddr names a running mesh by one register of it.
@@ -21,14 +21,14 @@
 // statusResult is status as JSON: the topology, and what stands out.
 type statusResult struct {
 	Warnings []string `json:"signs"`
-	plant.Topology
+	topology.Topology
 }
 
 // Execute tells how a mesh is.
 func (s *statusCommand) Execute([]string) error {
 	ctx, cancel := withTimeout()
 	defer cancel()
-	t, err := plant.Collect(ctx, s.Args.Register)
+	t, err := topology.Collect(ctx, s.Args.Register)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 
 // Execute draws the topology.
 func (d *topologyCommand) Execute([]string) error {
-	var t plant.Topology
+	var t topology.Topology
 	switch {
 	case (d.From == "") == (d.Args.Register == ""):
 		return errors.New("either ADDR or --from is wanted")
@@ -64,14 +64,14 @@
 			return err
 		}
 		defer f.Close()
-		if t, err = plant.Load(f); err != nil {
+		if t, err = topology.Load(f); err != nil {
 			return errors.Annotate(err, d.From)
 		}
 	default:
 		ctx, cancel := withTimeout()
 		defer cancel()
 		var err error
-		if t, err = plant.Collect(ctx, d.Args.Register); err != nil {
+		if t, err = topology.Collect(ctx, d.Args.Register); err != nil {
 			return err
 		}
 	}
@@ -109,7 +109,7 @@
 func (r *logsCommand) Execute([]string) error {
 	ctx, cancel := withTimeout()
 	defer cancel()
-	text, err := trunk.CallOnce(ctx, r.Args.Addr, plant.ClientName, trunk.CallLogRing, nil)
+	text, err := transport.CallOnce(ctx, r.Args.Addr, topology.ClientName, transport.CallLogRing, nil)
 	if err != nil {
 		return err
 	}
@@ -132,6 +132,6 @@
 	if !d.Undo {
 		body = []byte{1}
 	}
-	_, err := trunk.CallOnce(ctx, d.Args.Line, plant.ClientName, trunk.CallDrain, body)
+	_, err := transport.CallOnce(ctx, d.Args.Line, topology.ClientName, transport.CallDrain, body)
 	return err
 }
--- a/cmd/switchboard/main.go
+++ b/cmd/meshctl/main.go
@@ -16,8 +16,8 @@
 	"github.com/jessevdk/go-flags"
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/register"
-	"hollyspur/internal/exchange/trunk"
+	"cranegrade/internal/mesh/controlplane"
+	"cranegrade/internal/mesh/transport"
 )
 
 // Exit codes beyond 0.
@@ -59,7 +59,7 @@
 
 // Execute tells what a register's disk holds.
 func (i *inspectCommand) Execute([]string) error {
-	h, err := register.Inspect(i.Args.Dir)
+	h, err := controlplane.Inspect(i.Args.Dir)
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 		return exitRefused
 	}
 	fmt.Fprintf(os.Stderr, "switchboard: %v\n", err)
-	if errors.Is(err, trunk.ErrNoReply) {
+	if errors.Is(err, transport.ErrNoReply) {
 		return exitSilent
 	}
 	return exitRefused
--- a/cmd/switchboard/main_test.go
+++ b/cmd/meshctl/main_test.go
@@ -13,9 +13,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/plant"
-	"hollyspur/internal/rig"
-	"hollyspur/internal/rig/mesh"
+	"cranegrade/internal/mesh/testcluster"
+	"cranegrade/internal/mesh/topology"
+	"cranegrade/internal/rig"
 )
 
 // runCommand runs a command and gives its exit code and what it printed.
@@ -37,8 +37,8 @@
 // Every command against a running mesh: what it prints, as text and as JSON, and its exit code.
 func TestCommands(t *testing.T) {
 	dir := t.TempDir()
-	assert.NilError(t, mesh.BuildPrograms(dir))
-	m, err := mesh.New(dir, 3, "stock", "orders", "stock")
+	assert.NilError(t, testcluster.BuildPrograms(dir))
+	m, err := testcluster.New(dir, 3, "stock", "orders", "stock")
 	if m != nil {
 		t.Cleanup(m.Close)
 	}
@@ -49,7 +49,7 @@
 		assert.NilError(t, os.WriteFile(path, text, 0o600))
 		return path
 	}
-	call := file("call.json", mesh.ModifyCall(3, []string{"stock", "orders"}, mesh.RouteItem("read", "idempotent", "/read/", "stock", 3)))
+	call := file("call.json", testcluster.ModifyCall(3, []string{"stock", "orders"}, testcluster.RouteItem("read", "idempotent", "/read/", "stock", 3)))
 	const patience = 20 * time.Second
 	var code int
 	var text string
@@ -70,13 +70,13 @@
 		{1, `no route or service "none"`, []string{"get", control, "none"}},
 		{0, "sets route read, version 3", []string{"check", call}},
 		{0, "settings of side-1", []string{"check", filepath.Join(dir, "side-1.yaml")}},
-		{1, "line 2: route bad: ForwardAction.TimeoutS is 0", []string{"check", file("bad.json", bytes.Replace(mesh.ModifyCall(4, nil,
-			mesh.RouteItem("bad", "idempotent", "/bad/", "stock", 4)), []byte(`"TimeoutS":3`), []byte("\n"+`"TimeoutS":0`), 1))}},
+		{1, "line 2: route bad: ForwardAction.TimeoutS is 0", []string{"check", file("bad.json", bytes.Replace(testcluster.ModifyCall(4, nil,
+			testcluster.RouteItem("bad", "idempotent", "/bad/", "stock", 4)), []byte(`"TimeoutS":3`), []byte("\n"+`"TimeoutS":0`), 1))}},
 		{1, "line 1: NodeName", []string{"check", file("bad.yaml", []byte("NodeName: \"\"\nIpAddress: 127.0.0.1\nInternalPortRange: [1, 9]\n"))}},
 		{0, "leaves    route read, version 3 -> 3", []string{"diff", control, call}},
-		{1, "ForwardAction.Service: stock -> orders", []string{"diff", control, file("more.json", mesh.ModifyCall(5, nil, mesh.RouteItem("read", "idempotent", "/read/", "orders", 5)))}},
-		{1, `the service "nobody" is not known`, []string{"diff", control, file("unknown.json", mesh.ModifyCall(5, nil, mesh.RouteItem("read", "idempotent", "/read/", "nobody", 5)))}},
-		{1, "409", []string{"apply", control, file("other.json", mesh.ModifyCall(3, nil, mesh.RouteItem("read", "idempotent", "/read/", "orders", 3)))}},
+		{1, "ForwardAction.Service: stock -> orders", []string{"diff", control, file("more.json", testcluster.ModifyCall(5, nil, testcluster.RouteItem("read", "idempotent", "/read/", "orders", 5)))}},
+		{1, `the service "nobody" is not known`, []string{"diff", control, file("unknown.json", testcluster.ModifyCall(5, nil, testcluster.RouteItem("read", "idempotent", "/read/", "nobody", 5)))}},
+		{1, "409", []string{"apply", control, file("other.json", testcluster.ModifyCall(3, nil, testcluster.RouteItem("read", "idempotent", "/read/", "orders", 3)))}},
 		{0, "3 items in", []string{"backup", control, filepath.Join(dir, "kept.json")}},
 		{0, "3 items acknowledged", []string{"restore", control, filepath.Join(dir, "kept.json")}},
 		{2, "Unknown command", []string{"nonsense"}},
@@ -97,7 +97,7 @@
 		}
 	}
 	// Namespaces' rules: judged before they are sent, agreed on, bound, explained, told to whoever they concern.
-	spaces := file("spaces.json", []byte(`{"Upsert":{"NamespaceList":[{"Name":"shop","ConfigVersion":1,"Owners":["ana"],"Hosts":["`+mesh.Host+`"]},{"Name":"store","ConfigVersion":1,"Owners":["bo"],"Services":["stock"]}]}}`))
+	spaces := file("spaces.json", []byte(`{"Upsert":{"NamespaceList":[{"Name":"shop","ConfigVersion":1,"Owners":["ana"],"Hosts":["`+testcluster.Host+`"]},{"Name":"store","ConfigVersion":1,"Owners":["bo"],"Services":["stock"]}]}}`))
 	ruling := file("ruling.json", []byte(`{"Upsert":{"RulingList":[{"Name":"calm","Namespace":"store","ConfigVersion":1,"Tries":1,"TimeoutS":1.5}]}}`))
 	looser := file("looser.json", []byte(`{"Upsert":{"RulingList":[{"Name":"calm","Namespace":"store","ConfigVersion":2,"Tries":2,"TimeoutS":1.5}]}}`))
 	for _, x := range []struct {
@@ -112,9 +112,9 @@
 		{1, "403", []string{"apply", "--by", "ana", control, ruling}},
 		{0, "1 items acknowledged", []string{"apply", "--wait", "--by", "bo", control, ruling}},
 		{0, "binds, by entry", []string{"rules", "status", control}},
-		{0, "over 3 of route read of mesh, version 3 (as item)", []string{"rules", "explain", "--line", m.Sidecars[1].Addr("Inbound"), control, mesh.Host, "/read/x"}},
-		{0, "with the change:\n", []string{"rules", "explain", "--with", looser, "--caller", "orders", control, mesh.Host, "/read/x"}},
-		{1, "no route takes", []string{"rules", "explain", control, mesh.Host, "/nowhere/"}},
+		{0, "over 3 of route read of mesh, version 3 (as item)", []string{"rules", "explain", "--line", m.Sidecars[1].Addr("Inbound"), control, testcluster.Host, "/read/x"}},
+		{0, "with the change:\n", []string{"rules", "explain", "--with", looser, "--caller", "orders", control, testcluster.Host, "/read/x"}},
+		{1, "no route takes", []string{"rules", "explain", control, testcluster.Host, "/nowhere/"}},
 		{0, "service stock is of store: bo", []string{"rules", "owner", control, "read"}},
 		{0, "no two namespaces meet on a route", []string{"rules", "report", control}},
 		{0, "by bo: tightens route read to stock", []string{"rules", "told", control, "shop"}},
@@ -187,14 +187,14 @@
 }
 
 // sampleTopology is a mesh of so many lines with some of them out.
-func sampleTopology(n int) plant.Topology {
-	top := plant.Topology{AskedMember: "10.1.0.42:7380", QuorumContact: true, ConfigurationIndex: 5, Items: []plant.ItemVersion{{Kind: "route", Name: "r-1", Version: 7}}}
+func sampleTopology(n int) topology.Topology {
+	top := topology.Topology{AskedMember: "10.1.0.42:7380", QuorumContact: true, ConfigurationIndex: 5, Items: []topology.ItemVersion{{Kind: "route", Name: "r-1", Version: 7}}}
 	for i := range 3 {
 		addr := fmt.Sprintf("10.%d.0.42:7380", i+1)
-		top.Members = append(top.Members, plant.Member{Process: plant.Process{Name: fmt.Sprint("core-", i+1), Addr: addr, Zone: fmt.Sprint("hall-", i%3), QuorumContact: true}, IsMember: true, IsLeader: i == 1, Term: 4, AppliedIndex: 1200})
+		top.Members = append(top.Members, topology.Member{Process: topology.Process{Name: fmt.Sprint("core-", i+1), Addr: addr, Zone: fmt.Sprint("hall-", i%3), QuorumContact: true}, IsMember: true, IsLeader: i == 1, Term: 4, AppliedIndex: 1200})
 	}
 	for i := range n {
-		l := plant.Sidecar{Process: plant.Process{Name: fmt.Sprintf("sidecar-hall-%d-%d", i%3, i), Addr: fmt.Sprintf("10.%d.0.%d:7381", i%3+1, i), Zone: fmt.Sprint("hall-", i%3), QuorumContact: true},
+		l := topology.Sidecar{Process: topology.Process{Name: fmt.Sprintf("sidecar-hall-%d-%d", i%3, i), Addr: fmt.Sprintf("10.%d.0.%d:7381", i%3+1, i), Zone: fmt.Sprint("hall-", i%3), QuorumContact: true},
 			FollowedMember: fmt.Sprintf("10.%d.0.42:7380", i%3+1), Ready: true, Service: fmt.Sprint("service-", i%4), ServerID: fmt.Sprintf("i-%06x", i*7919), State: "ready", Slots: 12}
 		switch i {
 		case 2:
@@ -209,8 +209,8 @@
 		top.Sidecars = append(top.Sidecars, l)
 	}
 	for i := range 8 {
-		top.Routes = append(top.Routes, plant.Route{Name: fmt.Sprint("r-", i), Host: "push.example", Prefix: fmt.Sprintf("/p%d/", i), Kind: "idempotent", Version: 7, TimeoutS: 2, MaxAttempts: 2,
-			Destinations: []plant.WeightedService{{Service: fmt.Sprint("service-", i%4), Share: 0.9}, {Service: fmt.Sprint("service-", (i+1)%4), Share: 0.1}}})
+		top.Routes = append(top.Routes, topology.Route{Name: fmt.Sprint("r-", i), Host: "push.example", Prefix: fmt.Sprintf("/p%d/", i), Kind: "idempotent", Version: 7, TimeoutS: 2, MaxAttempts: 2,
+			Destinations: []topology.WeightedService{{Service: fmt.Sprint("service-", i%4), Share: 0.9}, {Service: fmt.Sprint("service-", (i+1)%4), Share: 0.1}}})
 	}
 	return top
 }
--- a/cmd/switchboard/night.go
+++ b/cmd/meshctl/night.go
@@ -12,8 +12,8 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/night"
-	"hollyspur/internal/exchange/register"
+	"cranegrade/internal/mesh/controlplane"
+	"cranegrade/internal/mesh/maintenance"
 )
 
 // maintenanceCommands are those of `switchboard night`.
@@ -29,7 +29,7 @@
 }
 
 // callMaintenance is a call of the night service, at whichever register; it leads on to the leader.
-func callMaintenance(addr string, c register.MaintenanceRequest) (t register.MaintenanceResponse, err error) {
+func callMaintenance(addr string, c controlplane.MaintenanceRequest) (t controlplane.MaintenanceResponse, err error) {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return t, err
@@ -51,7 +51,7 @@
 
 // Execute says whether a machine may come out; the exit code is 1 if it may not.
 func (x *maintenancePlan) Execute([]string) error {
-	t, err := callMaintenance(x.Args.Control, register.MaintenanceRequest{Machine: x.Args.Machine, LengthSeconds: x.Length.Seconds()})
+	t, err := callMaintenance(x.Args.Control, controlplane.MaintenanceRequest{Machine: x.Args.Machine, LengthSeconds: x.Length.Seconds()})
 	if err != nil {
 		return err
 	}
@@ -102,8 +102,8 @@
 		crand.Read(p[:])
 		x.ID = "order-" + hex.EncodeToString(p[:])
 	}
-	o := night.Order{ID: x.ID, Machines: x.Args.Machines, Duration: x.Length, PlacedBy: x.By, Reason: x.Reason, Override: x.Override, NeedsApproval: x.Ask}
-	t, err := callMaintenance(x.Args.Control, register.MaintenanceRequest{Order: &o})
+	o := maintenance.Order{ID: x.ID, Machines: x.Args.Machines, Duration: x.Length, PlacedBy: x.By, Reason: x.Reason, Override: x.Override, NeedsApproval: x.Ask}
+	t, err := callMaintenance(x.Args.Control, controlplane.MaintenanceRequest{Order: &o})
 	if err != nil {
 		return err
 	}
@@ -130,11 +130,11 @@
 func watchOrder(addr, id string) error {
 	shown, last := 0, ""
 	for {
-		t, err := callMaintenance(addr, register.MaintenanceRequest{})
+		t, err := callMaintenance(addr, controlplane.MaintenanceRequest{})
 		if err != nil {
 			return err
 		}
-		b := night.OrderTable{Orders: t.Orders}
+		b := maintenance.OrderTable{Orders: t.Orders}
 		o, is := b.Find(id)
 		if !is {
 			return errors.Errorf("no order %q", id)
@@ -144,7 +144,7 @@
 		}
 		shown = len(o.Events)
 		if o.Step.IsFinished() {
-			if o.Step == night.StepAborted {
+			if o.Step == maintenance.StepAborted {
 				return errNotWell
 			}
 			return nil
@@ -166,7 +166,7 @@
 
 // Execute aborts an order.
 func (x *maintenanceAbort) Execute([]string) error {
-	return changeOrder(x.Args.Control, night.OrderChange{OrderID: x.Args.ID, Abort: true, Text: "aborted by " + x.By})
+	return changeOrder(x.Args.Control, maintenance.OrderChange{OrderID: x.Args.ID, Abort: true, Text: "aborted by " + x.By})
 }
 
 type maintenanceApprove struct {
@@ -176,7 +176,7 @@
 
 // Execute approves an order.
 func (x *maintenanceApprove) Execute([]string) error {
-	return changeOrder(x.Args.Control, night.OrderChange{OrderID: x.Args.ID, ApprovedBy: x.By, Text: "approved by " + x.By})
+	return changeOrder(x.Args.Control, maintenance.OrderChange{OrderID: x.Args.ID, ApprovedBy: x.By, Text: "approved by " + x.By})
 }
 
 type maintenanceComplete struct {
@@ -186,11 +186,11 @@
 
 // Execute says that the maintenance is done.
 func (x *maintenanceComplete) Execute([]string) error {
-	return changeOrder(x.Args.Control, night.OrderChange{OrderID: x.Args.ID, MaintenanceDone: true, Text: "the maintenance is done, says " + x.By})
+	return changeOrder(x.Args.Control, maintenance.OrderChange{OrderID: x.Args.ID, MaintenanceDone: true, Text: "the maintenance is done, says " + x.By})
 }
 
-func changeOrder(addr string, c night.OrderChange) error {
-	t, err := callMaintenance(addr, register.MaintenanceRequest{Change: &c})
+func changeOrder(addr string, c maintenance.OrderChange) error {
+	t, err := callMaintenance(addr, controlplane.MaintenanceRequest{Change: &c})
 	if err != nil {
 		return err
 	}
@@ -206,7 +206,7 @@
 
 // Execute has the time of day be agreed on anew, by the clocks alone.
 func (x *maintenanceTrustClocks) Execute([]string) error {
-	t, err := callMaintenance(x.Args.Control, register.MaintenanceRequest{TrustClocks: true, By: x.By})
+	t, err := callMaintenance(x.Args.Control, controlplane.MaintenanceRequest{TrustClocks: true, By: x.By})
 	if err != nil {
 		return err
 	}
@@ -221,7 +221,7 @@
 
 // Execute prints all orders with their records.
 func (x *maintenanceList) Execute([]string) error {
-	t, err := callMaintenance(x.Args.Control, register.MaintenanceRequest{})
+	t, err := callMaintenance(x.Args.Control, controlplane.MaintenanceRequest{})
 	if err != nil {
 		return err
 	}
--- a/cmd/switchboard/rules.go
+++ b/cmd/meshctl/rules.go
@@ -12,11 +12,11 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/exchange/dialplan"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/register"
-	"hollyspur/internal/exchange/trunk"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/controlplane"
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/routing"
+	"cranegrade/internal/mesh/transport"
 )
 
 // policyCommands are those of `switchboard rules`.
@@ -54,13 +54,13 @@
 }
 
 // printEffects tells what a call would do to others' rules; the error: why it would be turned down.
-func printEffects(table patch.Table, c patch.Update) error {
+func printEffects(table config.Table, c config.Update) error {
 	_, raised, effects, err := table.ApplyUpdate(c)
 	if err != nil {
 		return errors.Annotate(err, "it would be refused")
 	}
 	if effects == nil {
-		effects = []classmark.Effect{}
+		effects = []policy.Effect{}
 	}
 	return printResult(effects, func() {
 		for _, e := range effects {
@@ -71,31 +71,31 @@
 }
 
 // fetchPolicies are the rules as they bind, or as they are agreed on.
-func fetchPolicies(control string, held bool) (set *classmark.Set, table patch.Table, told register.PolicyResponse, err error) {
+func fetchPolicies(control string, held bool) (set *policy.Set, table config.Table, told controlplane.PolicyResponse, err error) {
 	_, table, err = fetchConfig(control)
 	if err != nil {
 		return nil, table, told, err
 	}
-	if told, err = callPolicy(control, register.PolicyRequest{}); err != nil {
+	if told, err = callPolicy(control, controlplane.PolicyRequest{}); err != nil {
 		return nil, table, told, err
 	}
 	rules := table
 	if told.Active != nil && !held {
-		text, err := json.Marshal(patch.ModifyRequest{Upsert: told.Active})
+		text, err := json.Marshal(config.ModifyRequest{Upsert: told.Active})
 		if err != nil {
 			return nil, table, told, err
 		}
-		items, err := patch.ParseItems(text)
+		items, err := config.ParseItems(text)
 		if err != nil {
 			return nil, table, told, errors.Annotate(err, "what binds")
 		}
-		rules, _ = patch.Table{}.Merge(items)
+		rules, _ = config.Table{}.Merge(items)
 	}
-	return patch.NewPolicySet(table, rules), table, told, nil
+	return config.NewPolicySet(table, rules), table, told, nil
 }
 
 // callPolicy is a call about rules, at whichever register; it leads on to the leader.
-func callPolicy(addr string, c register.PolicyRequest) (t register.PolicyResponse, err error) {
+func callPolicy(addr string, c controlplane.PolicyRequest) (t controlplane.PolicyResponse, err error) {
 	body, err := json.Marshal(c)
 	if err != nil {
 		return t, err
@@ -121,14 +121,14 @@
 
 // explainResult is what explain tells.
 type explainResult struct {
-	Board   classmark.Rollout       `json:"board"`
-	Rules   []classmark.Explanation `json:"rules"`
-	With    []classmark.Explanation `json:"with,omitempty"`
-	Line    string                  `json:"line,omitempty"`
-	Bound   string                  `json:"bound,omitempty"` // that the line goes by
-	BoundAt uint64                  `json:"boundAt,omitempty"`
-	SinceS  float64                 `json:"sinceS,omitempty"`
-	Fenced  bool                    `json:"fenced,omitempty"`
+	Board   policy.Rollout       `json:"board"`
+	Rules   []policy.Explanation `json:"rules"`
+	With    []policy.Explanation `json:"with,omitempty"`
+	Line    string               `json:"line,omitempty"`
+	Bound   string               `json:"bound,omitempty"` // that the line goes by
+	BoundAt uint64               `json:"boundAt,omitempty"`
+	SinceS  float64              `json:"sinceS,omitempty"`
+	Fenced  bool                 `json:"fenced,omitempty"`
 }
 
 // Execute explains a request.
@@ -138,8 +138,8 @@
 		return err
 	}
 	out := explainResult{Board: told.Rollout}
-	at := func(table patch.Table, set *classmark.Set) (l []classmark.Explanation) {
-		r := dialplan.NewTable(table).Match(x.Args.Host, x.Args.Path)
+	at := func(table config.Table, set *policy.Set) (l []policy.Explanation) {
+		r := routing.NewTable(table).Match(x.Args.Host, x.Args.Path)
 		if r == nil {
 			return nil
 		}
@@ -157,17 +157,17 @@
 		if err != nil {
 			return err
 		}
-		items, err := patch.ParseItems(text)
+		items, err := config.ParseItems(text)
 		if err != nil {
 			return errors.Annotate(err, x.With)
 		}
 		next, _ := table.Merge(items)
-		out.With = at(next, patch.NewPolicySet(next, next))
+		out.With = at(next, config.NewPolicySet(next, next))
 	}
 	if x.Line != "" {
 		ctx, cancel := withTimeout()
 		defer cancel()
-		c, err := trunk.DialClient(ctx, x.Line, "switchboard", nil)
+		c, err := transport.DialClient(ctx, x.Line, "switchboard", nil)
 		if err != nil {
 			return err
 		}
@@ -272,11 +272,11 @@
 	if err != nil {
 		return err
 	}
-	items, err := patch.ParseItems(saved)
+	items, err := config.ParseItems(saved)
 	if err != nil {
 		return errors.Annotate(err, x.Against)
 	}
-	table, _ := patch.Table{}.Merge(items)
+	table, _ := config.Table{}.Merge(items)
 	c, err := x.changeAuthor.read(x.Args.File)
 	if err != nil {
 		return err
@@ -285,12 +285,12 @@
 }
 
 // read reads a call as that author makes it.
-func (a changeAuthor) read(file string) (c patch.Update, err error) {
+func (a changeAuthor) read(file string) (c config.Update, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return c, err
 	}
-	if c, err = patch.ParseUpdate(text); err != nil {
+	if c, err = config.ParseUpdate(text); err != nil {
 		return c, errors.Annotate(err, file)
 	}
 	if a.By != "" {
@@ -308,7 +308,7 @@
 
 // Execute tells which set binds; the exit code is 1 while another is agreed on.
 func (x *policyStatus) Execute([]string) error {
-	t, err := callPolicy(x.Args.Control, register.PolicyRequest{})
+	t, err := callPolicy(x.Args.Control, controlplane.PolicyRequest{})
 	if err != nil {
 		return err
 	}
@@ -340,7 +340,7 @@
 
 // Execute tells the latest notices of a namespace.
 func (x *policyNotices) Execute([]string) error {
-	t, err := callPolicy(x.Args.Control, register.PolicyRequest{Namespace: x.Args.Namespace})
+	t, err := callPolicy(x.Args.Control, controlplane.PolicyRequest{Namespace: x.Args.Namespace})
 	if err != nil {
 		return err
 	}
@@ -358,7 +358,7 @@
 // awaitPolicyActive waits until what is agreed on binds.
 func awaitPolicyActive(control string) error {
 	for end := time.Now().Add(policyActiveTimeout); ; time.Sleep(pollInterval) {
-		t, err := callPolicy(control, register.PolicyRequest{})
+		t, err := callPolicy(control, controlplane.PolicyRequest{})
 		switch {
 		case err == nil && !t.Rollout.IsPending():
 			return nil
--- a/cmd/switchboard/stage.go
+++ b/cmd/meshctl/stage.go
@@ -9,13 +9,13 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/rig"
-	"hollyspur/internal/rig/mesh"
+	"cranegrade/internal/mesh/testcluster"
+	"cranegrade/internal/rig"
 )
 
 // demoCluster is a small mesh on loopback with traffic of several kinds, for what is shown to people.
 type demoCluster struct {
-	*mesh.Cluster
+	*testcluster.Cluster
 	dir string
 
 	mu         sync.Mutex // guards below
@@ -43,13 +43,13 @@
 	}
 	s := &demoCluster{dir: dir, kinds: map[string]*callOutcomes{}, stop: make(chan struct{})}
 	fmt.Printf("three registers, %d lines with stand-in servers: %v\n", len(services), services)
-	if err = mesh.BuildPrograms(dir); err == nil {
-		s.Cluster, err = mesh.New(dir, 3, services...)
+	if err = testcluster.BuildPrograms(dir); err == nil {
+		s.Cluster, err = testcluster.New(dir, 3, services...)
 	}
 	if err == nil {
 		known := slices.Clone(services)
 		slices.Sort(known)
-		err = s.modify(mesh.ModifyCall(1, slices.Compact(known), routes...))
+		err = s.modify(testcluster.ModifyCall(1, slices.Compact(known), routes...))
 	}
 	if err == nil && !s.AwaitReady(startTimeout) {
 		err = errors.New("the lines do not get ready")
@@ -88,11 +88,11 @@
 }
 
 // sidecar is one of the lines, in turn.
-func (s *demoCluster) sidecar(n int) *mesh.Machine { return s.Sidecars[n%len(s.Sidecars)] }
+func (s *demoCluster) sidecar(n int) *testcluster.Machine { return s.Sidecars[n%len(s.Sidecars)] }
 
 // startCalls begins requests of a kind, one every so often whether or not those before are answered, until the end. f gives what
 // became of the nth, and whether its answer was whole.
-func (s *demoCluster) startCalls(kind string, every time.Duration, f func(n int) (mesh.Response, bool)) {
+func (s *demoCluster) startCalls(kind string, every time.Duration, f func(n int) (testcluster.Response, bool)) {
 	s.kinds[kind] = &callOutcomes{status: [2]map[int]int{{}, {}}}
 	s.order = append(s.order, kind)
 	s.all.Go(func() {
--- a/cmd/meshscale/main.go
+++ b/cmd/meshscale/main.go
@@ -14,7 +14,7 @@
 
 	"github.com/jessevdk/go-flags"
 
-	"hollyspur/internal/mesh/scale"
+	"cranegrade/internal/mesh/scale"
 )
 
 // Exit codes beyond 0.
--- /dev/null
+++ b/cmd/sidecar/main.go
@@ -0,0 +1,19 @@
+// Command line is the mesh beside an application server: see package line.
+package main
+
+import (
+	"os"
+
+	"github.com/rs/zerolog"
+
+	"cranegrade/internal/mesh/daemon"
+	"cranegrade/internal/mesh/logring"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/sidecar"
+)
+
+func main() {
+	os.Exit(daemon.Main("sidecar", func(s settings.Settings, log zerolog.Logger, ring *logring.Ring, _ daemon.Options) (daemon.Role, error) {
+		return sidecar.New(s, log, ring)
+	}))
+}
--- a/cmd/hollyspur-sim/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command hollyspur-sim hosts Balancers on the simulator's wire: batches of events on standard
+// Command simadapter hosts Balancers on the simulator's wire: batches of events on standard
 // input, one reply for each on standard output.
 package main
 
@@ -9,13 +9,13 @@
 	"os"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/wire"
+	"cranegrade/balancer"
+	"cranegrade/internal/wire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "hollyspur-sim: %v\n", err)
+		fmt.Fprintf(os.Stderr, "simadapter: %v\n", err)
 		os.Exit(1)
 	}
 }
@@ -25,7 +25,7 @@
 	dec := wire.NewDecoder(in)
 	var reply bytes.Buffer
 	enc := wire.NewEncoder(&reply)
-	hosted := map[int]*hollyspur.Balancer{}
+	hosted := map[int]*balancer.Balancer{}
 	var now time.Duration
 	for {
 		m, err := dec.Next()
@@ -39,7 +39,7 @@
 		case wire.Sync:
 			now = m.Now
 		case wire.Hello:
-			b, err := hollyspur.New(m.Settings, m.Seed)
+			b, err := balancer.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("hello for instance %d: %w", m.Instance, err)
 			}
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"hollyspur/internal/standin"
+	"cranegrade/internal/standin"
 )
 
 // Options are the limits that the rules leave to the settings.
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/standin"
+	"cranegrade/internal/standin"
 )
 
 const ms = time.Millisecond
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -19,12 +19,12 @@
 	"math/rand/v2"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
-// Decider decides for one node; *hollyspur.Balancer is one.
+// Decider decides for one node; *balancer.Balancer is one.
 type Decider interface {
-	Handle(now time.Duration, e hollyspur.Event) []hollyspur.Action
+	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
 // Dist is a distribution of work around a mean of 1.
@@ -51,7 +51,7 @@
 
 // Class is a kind of request.
 type Class struct {
-	hollyspur.Class
+	balancer.Class
 	Share float64         // of the requests
 	Work  []time.Duration // mean work at each tier, on a server of speed 1
 	Dist  Dist
@@ -90,7 +90,7 @@
 	Calls    int  // one after the other to the next tier; 0: 1
 	Admits   bool // its nodes hold back by themselves, as those of the first tier do
 	Cold     Cold
-	Settings hollyspur.Settings
+	Settings balancer.Settings
 }
 
 // Plan is what is played.
@@ -104,7 +104,7 @@
 	Length  time.Duration                  // until the last arrival
 	Retries int                            // a caller's, after a refusal, on its advice
 	Wire    time.Duration                  // one way between a node and a server
-	Decider func(tier, index int, set hollyspur.Settings) Decider
+	Decider func(tier, index int, set balancer.Settings) Decider
 	At      []Change
 	Begin   func(*World) // called before anything else, for deciders that need the world; nil: nothing is
 	// Discovery tells the first tier's nodes of its servers; nil: they know of every change at once.
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Every request gets one answer, whatever is played, and the same seed plays the same.
@@ -43,7 +43,7 @@
 	c[0].Share = 1
 	p := Plan{Classes: c, Tiers: []Tier{{Servers: 1, Slots: 4, Queue: 2, Settings: settings()}}, Length: 20 * time.Second,
 		Rate: func(time.Duration) float64 { return 1 }, Most: 1,
-		Decider: func(int, int, hollyspur.Settings) Decider { return NewReference(0, 1) }}
+		Decider: func(int, int, balancer.Settings) Decider { return NewReference(0, 1) }}
 	if change != nil {
 		change(&p)
 	}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Discovery tells the first tier's nodes of its servers. It takes calls one after another, and works on those
@@ -21,7 +21,7 @@
 	Turned  time.Duration // after being listed as draining, a server turns calls away
 }
 
-// Cold is how a server of the tier starts, as hollyspur.Settings tell it.
+// Cold is how a server of the tier starts, as balancer.Settings tell it.
 type Cold struct {
 	From     float64 // share of its speed at its start
 	Warm     time.Duration
@@ -44,8 +44,8 @@
 	n     int                      // of the subscription: what belongs to an earlier one counts no more
 }
 
-func (w *World) list(tier int) hollyspur.ServerList {
-	l := hollyspur.ServerList{Full: true}
+func (w *World) list(tier int) balancer.ServerList {
+	l := balancer.ServerList{Full: true}
 	for _, s := range w.tiers[tier] {
 		l.Servers = append(l.Servers, s.entry())
 	}
@@ -76,17 +76,17 @@
 // BreakWatches ends all of them at once.
 func (w *World) BreakWatches() {
 	for _, n := range w.fronts {
-		n.lose(hollyspur.ListFailed{})
+		n.lose(balancer.ListFailed{})
 	}
 }
 
 // SetState changes what a server of the first tier is listed as.
-func (w *World) SetState(s *Server, state hollyspur.ServerState) {
+func (w *World) SetState(s *Server, state balancer.ServerState) {
 	s.state, s.changed = state, w.now
-	if state == hollyspur.Draining && w.plan.Discovery != nil {
+	if state == balancer.Draining && w.plan.Discovery != nil {
 		w.after(w.plan.Discovery.Turned, func() { s.Refuses = true })
 	}
-	if state == hollyspur.Gone {
+	if state == balancer.Gone {
 		s.die()
 		for i, x := range w.tiers[s.tier] {
 			if x == s {
@@ -122,7 +122,7 @@
 func (s *Server) die() {
 	s.settle()
 	for _, j := range append(s.computing, s.waiting...) {
-		j.a.end(hollyspur.Broken)
+		j.a.end(balancer.Broken)
 	}
 	s.computing, s.waiting, s.slots, s.dead = nil, nil, 0, true
 	s.tick++
@@ -130,7 +130,7 @@
 
 // publish tells the nodes that hear of it.
 func (w *World) publish(s *Server) {
-	news := hollyspur.ServerList{Servers: []hollyspur.Server{s.entry()}}
+	news := balancer.ServerList{Servers: []balancer.Server{s.entry()}}
 	for _, n := range w.fronts {
 		switch {
 		case w.plan.Discovery == nil:
@@ -150,9 +150,9 @@
 	for _, n := range w.fronts {
 		switch {
 		case n.watch.open && !n.watch.mute && step%4 == 0:
-			n.tell(hollyspur.ServerList{})
+			n.tell(balancer.ServerList{})
 		case n.watch.open && w.now-n.watch.heard >= w.plan.Discovery.Silence:
-			n.lose(hollyspur.ListFailed{})
+			n.lose(balancer.ListFailed{})
 		}
 	}
 	w.after(w.plan.Discovery.Beat/4, func() { w.beat(step + 1) })
@@ -169,10 +169,10 @@
 }
 
 // tell brings a node's watch news, some of which break off.
-func (n *node) tell(l hollyspur.ServerList) {
+func (n *node) tell(l balancer.ServerList) {
 	d := n.w.plan.Discovery
 	if len(l.Servers) > 0 && d.Garbled > 0 && n.w.rng.Float64() < d.Garbled {
-		n.lose(hollyspur.ListFailed{Garbled: true})
+		n.lose(balancer.ListFailed{Garbled: true})
 		return
 	}
 	n.watch.heard = n.w.now
@@ -180,9 +180,9 @@
 		n.watch.knows = map[string]time.Duration{}
 	}
 	for _, s := range l.Servers {
-		if _, known := n.watch.knows[s.ID]; !known && s.State == hollyspur.Draining {
+		if _, known := n.watch.knows[s.ID]; !known && s.State == balancer.Draining {
 			n.watch.knows[s.ID] = n.w.now
-		} else if s.State == hollyspur.Gone {
+		} else if s.State == balancer.Gone {
 			delete(n.watch.knows, s.ID)
 		}
 	}
@@ -190,7 +190,7 @@
 }
 
 // lose ends a node's watch.
-func (n *node) lose(e hollyspur.ListFailed) {
+func (n *node) lose(e balancer.ListFailed) {
 	if !n.watch.open {
 		return
 	}
@@ -213,7 +213,7 @@
 		r.lost++
 		w.after(d.TimeOut+d.Rest, func() {
 			if n.watch.n == of {
-				n.handle(hollyspur.ListFailed{})
+				n.handle(balancer.ListFailed{})
 			}
 		})
 		return
@@ -229,7 +229,7 @@
 // checkDrain notes a send to a server that the node had been told not to use, or counts as told.
 func (n *node) checkDrain(s *Server) {
 	d := n.w.plan.Discovery
-	if d == nil || n.tier != 0 || s == nil || s.state == hollyspur.Ready {
+	if d == nil || n.tier != 0 || s == nil || s.state == balancer.Ready {
 		return
 	}
 	told := s.changed + d.Told
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/testkit"
 )
 
 // fleet is eighty nodes before sixty servers at three fifths of what they can do, and a discovery that
@@ -28,14 +28,14 @@
 func replace(w *World, n int, within time.Duration) {
 	var ready []*Server
 	for _, s := range w.tiers[0] {
-		if s.state == hollyspur.Ready {
+		if s.state == balancer.Ready {
 			ready = append(ready, s)
 		}
 	}
 	for i, s := range ready[:n] {
 		at := w.now + within*time.Duration(i)/time.Duration(n)
-		w.at(at, func() { w.SetState(s, hollyspur.Draining); w.Start() })
-		w.at(at+8*time.Second, func() { w.SetState(s, hollyspur.Gone) })
+		w.at(at, func() { w.SetState(s, balancer.Draining); w.Start() })
+		w.at(at+8*time.Second, func() { w.SetState(s, balancer.Gone) })
 	}
 }
 
@@ -159,8 +159,8 @@
 	p.Discovery.Garbled = 0.01
 	var fronts []Decider
 	var held []int
-	p.Decider = func(tier, index int, set hollyspur.Settings) Decider {
-		b, err := hollyspur.New(set, uint64(index))
+	p.Decider = func(tier, index int, set balancer.Settings) Decider {
+		b, err := balancer.New(set, uint64(index))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 type verdict int
@@ -25,7 +25,7 @@
 	open    map[string]*call
 	nextID  int
 	dead    bool
-	queue   []hollyspur.Event
+	queue   []balancer.Event
 	busy    bool
 	watch   watch
 }
@@ -72,7 +72,7 @@
 		n.decider = w.plan.Decider(tier, index, set)
 	}
 	if n.decider == nil {
-		b, err := hollyspur.New(set, w.plan.Seed+uint64(tier*1000+index)*7919)
+		b, err := balancer.New(set, w.plan.Seed+uint64(tier*1000+index)*7919)
 		if err != nil {
 			return nil, fmt.Errorf("tier %d: %w", tier, err)
 		}
@@ -101,10 +101,10 @@
 	n.w.at(deadline+lastCall, func() {
 		if !k.done {
 			k.answer(verdictFailed, 0)
-			n.handle(hollyspur.ClientGone{ID: k.id})
+			n.handle(balancer.ClientGone{ID: k.id})
 		}
 	})
-	n.handle(hollyspur.Request{ID: k.id, Class: c.Name, Deadline: deadline, Repeat: repeat, Tenant: c.Tenant})
+	n.handle(balancer.Request{ID: k.id, Class: c.Name, Deadline: deadline, Repeat: repeat, Tenant: c.Tenant})
 	return k
 }
 
@@ -112,7 +112,7 @@
 func (k *call) leave() {
 	if !k.done {
 		k.done = true
-		k.n.handle(hollyspur.ClientGone{ID: k.id})
+		k.n.handle(balancer.ClientGone{ID: k.id})
 		k.forget()
 	}
 }
@@ -133,7 +133,7 @@
 }
 
 // handle gives the decider an event, and then those that its own actions caused at once.
-func (n *node) handle(e hollyspur.Event) {
+func (n *node) handle(e balancer.Event) {
 	if n.dead {
 		return
 	}
@@ -152,30 +152,30 @@
 	n.busy = false
 }
 
-func (n *node) carryOut(a hollyspur.Action) {
+func (n *node) carryOut(a balancer.Action) {
 	switch a := a.(type) {
-	case hollyspur.Send:
+	case balancer.Send:
 		n.send(a)
-	case hollyspur.Cancel:
+	case balancer.Cancel:
 		if k := n.open[a.ID]; k != nil && a.Attempt < len(k.attempts) {
-			k.attempts[a.Attempt].end(hollyspur.Withdrawn)
+			k.attempts[a.Attempt].end(balancer.Withdrawn)
 		}
-	case hollyspur.Refuse:
+	case balancer.Refuse:
 		if k := n.open[a.ID]; k != nil {
 			k.answer(verdictRefused, a.RetryAfter)
 		}
-	case hollyspur.Fail:
+	case balancer.Fail:
 		if k := n.open[a.ID]; k != nil {
 			k.answer(verdictFailed, 0)
 		}
-	case hollyspur.Wake:
-		n.w.at(a.At, func() { n.handle(hollyspur.Timer{Token: a.Token}) })
-	case hollyspur.Subscribe:
+	case balancer.Wake:
+		n.w.at(a.At, func() { n.handle(balancer.Timer{Token: a.Token}) })
+	case balancer.Subscribe:
 		n.subscribe()
 	}
 }
 
-func (n *node) send(s hollyspur.Send) {
+func (n *node) send(s balancer.Send) {
 	k := n.open[s.ID]
 	if k == nil {
 		n.w.Broken = append(n.w.Broken, "a send for an unknown request")
@@ -183,7 +183,7 @@
 	}
 	a := &attempt{c: k, n: len(k.attempts)}
 	for _, x := range k.attempts {
-		if x.running && k.class.Effect == hollyspur.Unsafe {
+		if x.running && k.class.Effect == balancer.Unsafe {
 			n.w.Broken = append(n.w.Broken, fmt.Sprintf("an unsafe request sent again after it ran, at %v", n.w.now))
 		}
 	}
@@ -196,14 +196,14 @@
 	k.out++
 	n.checkDrain(a.server)
 	if k.done || a.server == nil {
-		a.end(hollyspur.Void)
+		a.end(balancer.Void)
 		return
 	}
 	deadline := k.deadline
 	if s.Timeout > 0 {
 		deadline = min(deadline, n.w.now+s.Timeout)
 	}
-	n.w.at(deadline, func() { a.end(hollyspur.TimedOut) })
+	n.w.at(deadline, func() { a.end(balancer.TimedOut) })
 	n.w.after(n.w.plan.Wire, func() {
 		if !a.gone {
 			a.server.arrive(a, deadline)
@@ -212,17 +212,17 @@
 }
 
 // end ends an attempt, once.
-func (a *attempt) end(e hollyspur.Ending) {
+func (a *attempt) end(e balancer.Ending) {
 	if a.ended {
 		return
 	}
 	a.ended, a.gone = true, true
 	k := a.c
 	k.out--
-	if e == hollyspur.Success {
+	if e == balancer.Success {
 		k.answer(verdictServed, 0)
 	}
-	k.n.handle(hollyspur.Outcome{ID: k.id, Attempt: a.n, Server: a.id(), Ending: e, Ended: k.done})
+	k.n.handle(balancer.Outcome{ID: k.id, Attempt: a.n, Server: a.id(), Ending: e, Ended: k.done})
 	k.forget()
 }
 
--- a/internal/emulator/reference.go
+++ b/internal/emulator/reference.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Reference is what many services run with: the server with fewer own calls of two drawn, one try, and
@@ -25,17 +25,17 @@
 }
 
 // Handle is the Decider's.
-func (r *Reference) Handle(_ time.Duration, e hollyspur.Event) []hollyspur.Action {
+func (r *Reference) Handle(_ time.Duration, e balancer.Event) []balancer.Action {
 	switch e := e.(type) {
-	case hollyspur.ServerList:
+	case balancer.ServerList:
 		for _, s := range e.Servers {
 			if !slices.Contains(r.servers, s.ID) {
 				r.servers = append(r.servers, s.ID)
 			}
 		}
-	case hollyspur.Request:
+	case balancer.Request:
 		if r.Limit > 0 && r.out >= r.Limit*len(r.servers) || len(r.servers) == 0 {
-			return []hollyspur.Action{hollyspur.Refuse{ID: e.ID, RetryAfter: 100 * time.Millisecond}}
+			return []balancer.Action{balancer.Refuse{ID: e.ID, RetryAfter: 100 * time.Millisecond}}
 		}
 		x, y := r.servers[r.rng.IntN(len(r.servers))], r.servers[r.rng.IntN(len(r.servers))]
 		if r.calls[y] < r.calls[x] {
@@ -44,16 +44,16 @@
 		r.calls[x]++
 		r.out++
 		r.open[e.ID] = true
-		return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: x}}
-	case hollyspur.Outcome:
+		return []balancer.Action{balancer.Send{ID: e.ID, Server: x}}
+	case balancer.Outcome:
 		r.calls[e.Server]--
 		r.out--
 		open := r.open[e.ID]
 		delete(r.open, e.ID)
 		if open && !e.Ended {
-			return []hollyspur.Action{hollyspur.Fail{ID: e.ID}}
+			return []balancer.Action{balancer.Fail{ID: e.ID}}
 		}
-	case hollyspur.ClientGone:
+	case balancer.ClientGone:
 		delete(r.open, e.ID)
 	}
 	return nil
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -6,7 +6,7 @@
 	"math"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Server is a server of a tier. The requests that it runs share its cores evenly.
@@ -23,7 +23,7 @@
 	Erred     int           // and of these, those answered with an error
 	Refuses   bool          // turns everything away at once
 	Boot      time.Duration // of its last start; 0: long ago
-	state     hollyspur.ServerState
+	state     balancer.ServerState
 	changed   time.Duration // when its state last did
 	dead      bool          // its process is gone
 	silent    bool          // it takes requests and says nothing
@@ -64,8 +64,8 @@
 	return &Server{w: w, tier: tier, id: fmt.Sprintf("t%d-%04d", tier, n), cfg: cfg, Speed: 1, slower: 1}
 }
 
-func (s *Server) entry() hollyspur.Server {
-	return hollyspur.Server{ID: s.id, Zone: "z", Cell: 0, State: s.state, Size: 1, Boot: s.Boot}
+func (s *Server) entry() balancer.Server {
+	return balancer.Server{ID: s.id, Zone: "z", Cell: 0, State: s.state, Size: 1, Boot: s.Boot}
 }
 
 // Held is how many requests it runs or keeps waiting.
@@ -84,15 +84,15 @@
 	if s.Errors > 0 && s.w.rng.Float64() < s.Errors {
 		a.running = true
 		s.Erred++
-		s.reply(a, hollyspur.Failure)
+		s.reply(a, balancer.Failure)
 		return
 	}
 	if s.Refuses || s.slots >= s.cfg.Slots && len(s.waiting) >= s.cfg.Queue {
-		s.reply(a, hollyspur.Overloaded)
+		s.reply(a, balancer.Overloaded)
 		return
 	}
 	if s.dead {
-		s.reply(a, hollyspur.Unreachable)
+		s.reply(a, balancer.Unreachable)
 		return
 	}
 	if s.silent {
@@ -106,7 +106,7 @@
 	}
 	mean := a.c.class.Work[s.tier].Seconds()
 	if s.pushedOver(mean) {
-		s.reply(a, hollyspur.Broken)
+		s.reply(a, balancer.Broken)
 		return
 	}
 	total := mean * a.c.class.Dist.draw(s.w.rng)
@@ -122,7 +122,7 @@
 	s.replan()
 }
 
-func (s *Server) reply(a *attempt, e hollyspur.Ending) {
+func (s *Server) reply(a *attempt, e balancer.Ending) {
 	s.w.after(s.w.plan.Wire, func() { a.end(e) })
 }
 
@@ -221,11 +221,11 @@
 // finished ends a phase of a job. The caller replans.
 func (s *Server) finished(j *job) {
 	if j.phase++; j.phase == len(j.phases) {
-		s.end(j, hollyspur.Success)
+		s.end(j, balancer.Success)
 		return
 	}
 	if j.a.gone && s.cfg.Looks {
-		s.end(j, hollyspur.Failure)
+		s.end(j, balancer.Failure)
 		return
 	}
 	s.next.take(j.a.c.class, j.deadline, false, func(v verdict, _ time.Duration) {
@@ -233,18 +233,18 @@
 		if v == verdictServed {
 			s.compute(j)
 		} else {
-			s.end(j, hollyspur.Failure)
+			s.end(j, balancer.Failure)
 		}
 		s.replan()
 	})
 }
 
 // end frees a job's slot for the next that waits.
-func (s *Server) end(j *job, e hollyspur.Ending) {
+func (s *Server) end(j *job, e balancer.Ending) {
 	s.slots--
 	sec := &s.w.Seconds[min(len(s.w.Seconds)-1, int(s.w.now/time.Second))]
 	sec.WorkDone += j.done
-	if j.a.gone || e != hollyspur.Success {
+	if j.a.gone || e != balancer.Success {
 		sec.WorkWasted += j.done
 	}
 	if !j.a.gone {
--- a/internal/emulator/shapes.go
+++ b/internal/emulator/shapes.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Shape is an overload: a trigger of some kind, and calm before and after it.
@@ -26,15 +26,15 @@
 	}
 	aim := 10 * work
 	return []Class{
-		{Class: hollyspur.Class{Name: "read", Effect: hollyspur.Safe, Aim: aim, Deadline: 5 * aim / 2, LateShare: 0.5, Worth: 1}, Share: 0.6, Work: part, Dist: d},
-		{Class: hollyspur.Class{Name: "send", Effect: hollyspur.Keyed, Scope: hollyspur.ScopeAll, Window: 10 * time.Second, Aim: aim, Deadline: 3 * aim, LateShare: 0.5, Worth: 3}, Share: 0.25, Work: part, Dist: d},
-		{Class: hollyspur.Class{Name: "order", Effect: hollyspur.Unsafe, Aim: aim, Deadline: 3 * aim, LateShare: 0.5, Worth: 2}, Share: 0.15, Work: part, Dist: d},
+		{Class: balancer.Class{Name: "read", Effect: balancer.Safe, Aim: aim, Deadline: 5 * aim / 2, LateShare: 0.5, Worth: 1}, Share: 0.6, Work: part, Dist: d},
+		{Class: balancer.Class{Name: "send", Effect: balancer.Keyed, Scope: balancer.ScopeAll, Window: 10 * time.Second, Aim: aim, Deadline: 3 * aim, LateShare: 0.5, Worth: 3}, Share: 0.25, Work: part, Dist: d},
+		{Class: balancer.Class{Name: "order", Effect: balancer.Unsafe, Aim: aim, Deadline: 3 * aim, LateShare: 0.5, Worth: 2}, Share: 0.15, Work: part, Dist: d},
 	}
 }
 
 // settings are what a node of the shapes is told.
-func settings() hollyspur.Settings {
-	return hollyspur.Settings{WholeWeight: 0.55, ClassWeight: 0.3, MaxAttempts: 4, MayCancel: true,
+func settings() balancer.Settings {
+	return balancer.Settings{WholeWeight: 0.55, ClassWeight: 0.3, MaxAttempts: 4, MayCancel: true,
 		Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second, ColdFrom: 1, WarmAfter: time.Second,
 		FallMultiple: 4, FallFor: 1500 * time.Millisecond}
 }
@@ -170,9 +170,9 @@
 }
 
 // Policies are the deciders that are compared: the module and two references.
-func Policies() map[string]func(tier, index int, set hollyspur.Settings) Decider {
-	reference := func(limit int) func(int, int, hollyspur.Settings) Decider {
-		return func(tier, index int, set hollyspur.Settings) Decider {
+func Policies() map[string]func(tier, index int, set balancer.Settings) Decider {
+	reference := func(limit int) func(int, int, balancer.Settings) Decider {
+		return func(tier, index int, set balancer.Settings) Decider {
 			l := 0
 			if tier == 0 && limit > 0 {
 				l = max(1, limit/max(1, set.Balancers))
@@ -180,5 +180,5 @@
 			return NewReference(l, uint64(tier*100+index))
 		}
 	}
-	return map[string]func(int, int, hollyspur.Settings) Decider{"module": nil, "static": reference(20), "none": reference(0)}
+	return map[string]func(int, int, balancer.Settings) Decider{"module": nil, "static": reference(20), "none": reference(0)}
 }
--- a/internal/engine/arriving_test.go
+++ b/internal/engine/arriving_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/testkit"
 )
 
 type spendable struct{ spent bool }
@@ -37,7 +37,7 @@
 	if err := h.cause(t, a); err != ErrTimedOut {
 		t.Errorf("its attempt ended with %v", err)
 	}
-	a.End(hollyspur.TimedOut, nil)
+	a.End(balancer.TimedOut, nil)
 	if x := testkit.Wait(t, r.ended); x.Verdict == Served {
 		t.Errorf("%+v", x)
 	}
@@ -65,7 +65,7 @@
 	if x := testkit.Wait(t, wr.ended); x.Verdict != Failed {
 		t.Errorf("%+v", x)
 	}
-	a.End(hollyspur.Success, nil)
+	a.End(balancer.Success, nil)
 	if x := testkit.Wait(t, br.ended); x.Verdict != Served {
 		t.Errorf("what had begun: %+v", x)
 	}
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Sender makes attempts at endpoints, in one protocol. Its methods are called from many goroutines.
@@ -40,14 +40,14 @@
 )
 
 // EndingOf tells how an attempt ended that was written whole and got no whole answer.
-func EndingOf(ctx context.Context) hollyspur.Ending {
+func EndingOf(ctx context.Context) balancer.Ending {
 	switch context.Cause(ctx) {
 	case nil:
-		return hollyspur.Broken
+		return balancer.Broken
 	case ErrTimedOut:
-		return hollyspur.TimedOut
+		return balancer.TimedOut
 	}
-	return hollyspur.Withdrawn
+	return balancer.Withdrawn
 }
 
 // Endpoint is a listed server as senders see it. A server that starts anew or moves is another
@@ -102,20 +102,20 @@
 
 // host is what an attempt belongs to: an engine, or a sender's test.
 type host interface {
-	begin(a *Attempt) (hollyspur.Ending, bool)
+	begin(a *Attempt) (balancer.Ending, bool)
 	began(a *Attempt, r Reply)
-	end(a *Attempt, ending hollyspur.Ending, r Reply)
+	end(a *Attempt, ending balancer.Ending, r Reply)
 }
 
 // Begin says whether the attempt may be written now: its call is not finished, and the list still
 // names its endpoint ready. If not, the ending to report.
-func (a *Attempt) Begin() (hollyspur.Ending, bool) {
+func (a *Attempt) Begin() (balancer.Ending, bool) {
 	if ending, ok := a.host.begin(a); !ok {
 		return ending, false
 	}
 	if !a.Endpoint.Usable() {
 		// It was named draining or gone, or taken out, while the connection came up.
-		return hollyspur.Unreachable, false
+		return balancer.Unreachable, false
 	}
 	return 0, true
 }
@@ -131,7 +131,7 @@
 
 // End says how the attempt ended; r is the reply of a Success, else nil. Calls but the first are
 // ignored, and release r.
-func (a *Attempt) End(ending hollyspur.Ending, r Reply) {
+func (a *Attempt) End(ending balancer.Ending, r Reply) {
 	if !a.ended.CompareAndSwap(false, true) {
 		release(r)
 		return
@@ -149,7 +149,7 @@
 type Hooks struct {
 	Finished func() bool // the call is finished
 	Began    func(Reply)
-	End      func(hollyspur.Ending, Reply)
+	End      func(balancer.Ending, Reply)
 }
 
 // NewAttempt returns an attempt that belongs to no engine.
@@ -157,8 +157,8 @@
 	return &Attempt{Endpoint: ep, Payload: payload, Timeout: timeout, host: h}
 }
 
-func (h Hooks) begin(*Attempt) (hollyspur.Ending, bool) {
-	return hollyspur.Void, h.Finished == nil || !h.Finished()
+func (h Hooks) begin(*Attempt) (balancer.Ending, bool) {
+	return balancer.Void, h.Finished == nil || !h.Finished()
 }
 
 func (h Hooks) began(_ *Attempt, r Reply) {
@@ -167,14 +167,14 @@
 	}
 }
 
-func (h Hooks) end(_ *Attempt, ending hollyspur.Ending, r Reply) {
+func (h Hooks) end(_ *Attempt, ending balancer.Ending, r Reply) {
 	if h.End != nil {
 		h.End(ending, r)
 	}
 }
 
 // send starts an attempt. Every Send gets exactly one Outcome.
-func (e *Engine) send(s hollyspur.Send) {
+func (e *Engine) send(s balancer.Send) {
 	c := e.calls[s.ID]
 	if c == nil {
 		e.logf("send for the unknown request %s", s.ID)
@@ -196,7 +196,7 @@
 	e.unhold(c)
 	if c.finished.Load() || timeout <= 0 || a.Endpoint == nil || e.cfg.MaxAttempts > 0 && a.n >= e.cfg.MaxAttempts {
 		a.ended.Store(true)
-		e.queue = append(e.queue, e.ending(a, hollyspur.Void, nil))
+		e.queue = append(e.queue, e.ending(a, balancer.Void, nil))
 		return
 	}
 	// The time for a streamed reply is over once it has begun, so it is not the context's deadline.
@@ -224,8 +224,8 @@
 }
 
 // begin is the check at the moment of writing.
-func (e *Engine) begin(a *Attempt) (hollyspur.Ending, bool) {
-	return hollyspur.Void, !a.call.finished.Load()
+func (e *Engine) begin(a *Attempt) (balancer.Ending, bool) {
+	return balancer.Void, !a.call.finished.Load()
 }
 
 // began gives a call the streamed reply that came first; any other attempt's is withdrawn.
@@ -244,17 +244,17 @@
 		c.lastCall.Stop() // a stream that has begun has no deadline
 		c.To.Began(r)
 		s, is := r.(Transferred)
-		e.handle(hollyspur.Started{ID: c.id, Attempt: a.n, Transfer: is && s.Transfer()})
+		e.handle(balancer.Started{ID: c.id, Attempt: a.n, Transfer: is && s.Transfer()})
 	})
 }
 
-func (e *Engine) end(a *Attempt, ending hollyspur.Ending, r Reply) {
+func (e *Engine) end(a *Attempt, ending balancer.Ending, r Reply) {
 	e.Do(func() { e.handle(e.ending(a, ending, r)) })
 }
 
 // ending notes that an attempt has ended and words it for the module. The first success is the call's
 // answer; once a streamed reply has begun, how that attempt ends is.
-func (e *Engine) ending(a *Attempt, ending hollyspur.Ending, r Reply) hollyspur.Outcome {
+func (e *Engine) ending(a *Attempt, ending balancer.Ending, r Reply) balancer.Outcome {
 	c := a.call
 	if a.timer != nil {
 		a.timer.Stop()
@@ -264,7 +264,7 @@
 	if a.observer != nil {
 		a.observer.Ended(a.server, ending)
 	}
-	o := hollyspur.Outcome{ID: c.id, Attempt: a.n, Server: a.server, Ending: ending}
+	o := balancer.Outcome{ID: c.id, Attempt: a.n, Server: a.server, Ending: ending}
 	if p, is := c.Payload.(Spendable); is {
 		o.Spent = p.Spent()
 	}
@@ -279,7 +279,7 @@
 	}
 	answered := false
 	switch {
-	case ending == hollyspur.Success && (c.stream == nil || c.stream == a):
+	case ending == balancer.Success && (c.stream == nil || c.stream == a):
 		answered = e.finish(c.id, Answer{Verdict: Served, Reply: r})
 	case c.stream == a:
 		// It broke midway. What came has run and can't be taken back, so no other attempt may follow.
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Verdict is the kind of a final answer.
@@ -122,7 +122,7 @@
 }
 
 // Settle is Gone and the attempt's End in one: whoever carries the attempt has answered the caller.
-func (e *Engine) Settle(c *Call, a *Attempt, ending hollyspur.Ending) {
+func (e *Engine) Settle(c *Call, a *Attempt, ending balancer.Ending) {
 	if !a.ended.CompareAndSwap(false, true) {
 		e.Gone(c)
 		return
@@ -183,7 +183,7 @@
 	} else {
 		e.answerBy(c)
 	}
-	e.handle(hollyspur.Request{ID: c.id, Class: c.Class, Deadline: c.Deadline, Repeat: c.Repeat, Cost: c.Cost,
+	e.handle(balancer.Request{ID: c.id, Class: c.Class, Deadline: c.Deadline, Repeat: c.Repeat, Cost: c.Cost,
 		Tenant: c.Tenant[:min(len(c.Tenant), MaxTenant)], Among: among, From: c.From[:min(len(c.From), MaxZone)], Size: c.Size})
 	if e.cfg.Held == nil || c.finished.Load() || len(c.attempts) > 0 {
 		return
@@ -192,7 +192,7 @@
 		e.refused++
 		// Harmless: nothing was done for it. The module hears that nothing is owed any more.
 		e.finish(c.id, Answer{Verdict: Refused, RetryAfter: refusedRetryAfter})
-		e.handle(hollyspur.ClientGone{ID: c.id})
+		e.handle(balancer.ClientGone{ID: c.id})
 	}
 }
 
@@ -215,12 +215,12 @@
 // abandon fails a call without the module, which is told that nothing is owed any more.
 func (e *Engine) abandon(c *Call) {
 	e.finish(c.id, Answer{Verdict: Failed})
-	e.handle(hollyspur.ClientGone{ID: c.id})
+	e.handle(balancer.ClientGone{ID: c.id})
 }
 
 func (e *Engine) gone(c *Call) {
 	if e.close(c) {
-		e.handle(hollyspur.ClientGone{ID: c.id})
+		e.handle(balancer.ClientGone{ID: c.id})
 		e.forget(c)
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -18,7 +18,7 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Clock is Unix time that never goes back: the wall's at the start plus what has passed since.
@@ -32,9 +32,9 @@
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// Module decides; hollyspur.Balancer is the one in service.
+// Module decides; balancer.Balancer is the one in service.
 type Module interface {
-	Handle(now time.Duration, e hollyspur.Event) []hollyspur.Action
+	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
 // Room is a limit shared with others: so much can be taken, and is given back. It is called from many
@@ -77,7 +77,7 @@
 	open   atomic.Int64  // calls that are unanswered or have attempts out
 
 	// Owned by Run's goroutine.
-	queue     []hollyspur.Event // for the module, in order
+	queue     []balancer.Event // for the module, in order
 	calls     map[string]*Call
 	callerIDs map[string]bool // of calls
 	endpoints map[string]*Endpoint
@@ -149,7 +149,7 @@
 func (e *Engine) Now() time.Duration { return e.cfg.Clock.Now() }
 
 // Learn has the module go on with what another learned, if it can. It follows Start.
-func (e *Engine) Learn(k *hollyspur.Knowledge) {
+func (e *Engine) Learn(k *balancer.Knowledge) {
 	e.Do(func() {
 		if l, is := e.cfg.Module.(Learner); is {
 			l.Learn(k)
@@ -158,7 +158,7 @@
 }
 
 // Tell hands the module an event that no call, attempt or list brings: of classes, or of the fleet.
-func (e *Engine) Tell(ev hollyspur.Event) { e.Do(func() { e.handle(ev) }) }
+func (e *Engine) Tell(ev balancer.Event) { e.Do(func() { e.handle(ev) }) }
 
 // Start applies a list that was held before, if any, and follows the source if lists are pushed.
 func (e *Engine) Start(known News) {
@@ -183,7 +183,7 @@
 }
 
 // handle gives the module an event, and then those that its own actions caused at once.
-func (e *Engine) handle(ev hollyspur.Event) {
+func (e *Engine) handle(ev balancer.Event) {
 	e.queue = append(e.queue, ev)
 	for len(e.queue) > 0 {
 		ev := e.queue[0]
@@ -194,21 +194,21 @@
 	}
 }
 
-func (e *Engine) carryOut(a hollyspur.Action) {
+func (e *Engine) carryOut(a balancer.Action) {
 	switch a := a.(type) {
-	case hollyspur.Send:
+	case balancer.Send:
 		e.send(a)
-	case hollyspur.Cancel:
+	case balancer.Cancel:
 		if c := e.calls[a.ID]; c != nil && a.Attempt < len(c.attempts) {
 			c.attempts[a.Attempt].cancel(ErrWithdrawn)
 		}
-	case hollyspur.Refuse:
+	case balancer.Refuse:
 		e.finish(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
-	case hollyspur.Fail:
+	case balancer.Fail:
 		e.finish(a.ID, Answer{Verdict: Failed})
-	case hollyspur.Wake:
-		e.after(a.At-e.cfg.Clock.Now(), func() { e.handle(hollyspur.Timer{Token: a.Token}) })
-	case hollyspur.Subscribe:
+	case balancer.Wake:
+		e.after(a.At-e.cfg.Clock.Now(), func() { e.handle(balancer.Timer{Token: a.Token}) })
+	case balancer.Subscribe:
 		e.subscribe()
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -11,8 +11,8 @@
 
 	"go.uber.org/goleak"
 
-	"hollyspur"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/testkit"
 )
 
 const limit = testkit.Limit
@@ -20,9 +20,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // moduleFunc is a module of a test's own.
-type moduleFunc func(e hollyspur.Event) []hollyspur.Action
+type moduleFunc func(e balancer.Event) []balancer.Action
 
-func (f moduleFunc) Handle(_ time.Duration, e hollyspur.Event) []hollyspur.Action { return f(e) }
+func (f moduleFunc) Handle(_ time.Duration, e balancer.Event) []balancer.Action { return f(e) }
 
 // hand is a sender whose attempts end when the test says so.
 type hand struct {
@@ -70,11 +70,11 @@
 func (r *receiver) Began(b Reply)  { r.began <- b }
 func (r *receiver) Ended(a Answer) { r.ended <- a }
 
-var classes = []hollyspur.Class{{Name: "order", Effect: hollyspur.Unsafe, Aim: time.Second, Deadline: limit, Worth: 1},
-	{Name: "read", Effect: hollyspur.Safe, Aim: time.Second, Deadline: limit, Worth: 1}}
+var classes = []balancer.Class{{Name: "order", Effect: balancer.Unsafe, Aim: time.Second, Deadline: limit, Worth: 1},
+	{Name: "read", Effect: balancer.Safe, Aim: time.Second, Deadline: limit, Worth: 1}}
 
-func settings() hollyspur.Settings {
-	return hollyspur.Settings{Classes: classes, Balancers: 1, MaxAttempts: 4, MayCancel: true,
+func settings() balancer.Settings {
+	return balancer.Settings{Classes: classes, Balancers: 1, MaxAttempts: 4, MayCancel: true,
 		SecondCopies: true, Tick: time.Millisecond}
 }
 
@@ -82,7 +82,7 @@
 func run(t testing.TB, cfg Config) *Engine {
 	t.Helper()
 	if cfg.Module == nil {
-		b, err := hollyspur.New(settings(), 1)
+		b, err := balancer.New(settings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,7 +102,7 @@
 func serverList(ids ...string) News {
 	n := News{Full: true, Version: "1"}
 	for _, id := range ids {
-		n.Servers = append(n.Servers, Listed{hollyspur.Server{ID: id}, id + ":1"})
+		n.Servers = append(n.Servers, Listed{balancer.Server{ID: id}, id + ":1"})
 	}
 	return n
 }
@@ -133,12 +133,12 @@
 		t.Errorf("attempt %+v", a)
 	}
 	got := &reply{}
-	a.End(hollyspur.Success, got)
+	a.End(balancer.Success, got)
 	if ans := testkit.Wait(t, r.ended); ans.Verdict != Served || ans.Reply != got {
 		t.Errorf("answer %+v", ans)
 	}
 	late := &reply{}
-	a.End(hollyspur.Success, late) // an attempt ends once
+	a.End(balancer.Success, late) // an attempt ends once
 	settle(t, e)
 	if e.Open() != 0 || len(r.ended) != 0 || got.released.Load() != 0 || late.released.Load() != 1 {
 		t.Errorf("%d open, %d more answers, released %d and %d", e.Open(), len(r.ended), got.released.Load(), late.released.Load())
@@ -149,10 +149,10 @@
 // to its failure.
 func TestEndingsOfUnsafe(t *testing.T) {
 	for _, c := range []struct {
-		ending hollyspur.Ending
+		ending balancer.Ending
 		again  bool
-	}{{hollyspur.Unreachable, true}, {hollyspur.Overloaded, true}, {hollyspur.Failure, false},
-		{hollyspur.Broken, false}, {hollyspur.TimedOut, false}, {hollyspur.Withdrawn, false}} {
+	}{{balancer.Unreachable, true}, {balancer.Overloaded, true}, {balancer.Failure, false},
+		{balancer.Broken, false}, {balancer.TimedOut, false}, {balancer.Withdrawn, false}} {
 		h := newHand()
 		e := run(t, Config{Sender: h})
 		e.Start(serverList("a", "b", "c"))
@@ -160,7 +160,7 @@
 		e.Submit(call)
 		testkit.Wait(t, h.started).End(c.ending, nil)
 		if c.again {
-			testkit.Wait(t, h.started).End(hollyspur.Success, &reply{})
+			testkit.Wait(t, h.started).End(balancer.Success, &reply{})
 			if a := testkit.Wait(t, r.ended); a.Verdict != Served {
 				t.Errorf("ending %d: answer %+v", c.ending, a)
 			}
@@ -187,17 +187,17 @@
 		t.Error("may not begin at once")
 	}
 	n := serverList("a")
-	n.Servers[0].State = hollyspur.Draining
+	n.Servers[0].State = balancer.Draining
 	e.Apply(n)
 	testkit.Wait(t, h.dropped)
 	settle(t, e)
-	if ending, ok := a.Begin(); ok || ending != hollyspur.Unreachable {
+	if ending, ok := a.Begin(); ok || ending != balancer.Unreachable {
 		t.Errorf("begins at a server that drains: %v %v", ending, ok)
 	}
 	e.Apply(serverList("a"))
 	e.Gone(c)
 	settle(t, e)
-	if ending, ok := a.Begin(); ok || ending != hollyspur.Void {
+	if ending, ok := a.Begin(); ok || ending != balancer.Void {
 		t.Errorf("begins for a caller that has gone: %v %v", ending, ok)
 	}
 	if cause := h.cause(t, a); cause != ErrWithdrawn {
@@ -206,7 +206,7 @@
 	if e.Open() != 1 {
 		t.Errorf("%d calls open while an attempt is out", e.Open())
 	}
-	a.End(hollyspur.Withdrawn, nil)
+	a.End(balancer.Withdrawn, nil)
 	settle(t, e)
 	if e.Open() != 0 {
 		t.Errorf("%d calls open", e.Open())
@@ -227,7 +227,7 @@
 			t.Errorf("answer %+v", a)
 		}
 		e.Gone(again) // which the engine never took
-		testkit.Wait(t, h.started).End(hollyspur.Success, &reply{})
+		testkit.Wait(t, h.started).End(balancer.Success, &reply{})
 		testkit.Wait(t, r.ended)
 		settle(t, e)
 	}
@@ -240,9 +240,9 @@
 
 // Whatever the module forgets, the caller has an answer, and the module hears of it.
 func TestLastCall(t *testing.T) {
-	gone := make(chan hollyspur.ClientGone, 1)
-	e := run(t, Config{Sender: newHand(), Module: moduleFunc(func(ev hollyspur.Event) []hollyspur.Action {
-		if g, is := ev.(hollyspur.ClientGone); is {
+	gone := make(chan balancer.ClientGone, 1)
+	e := run(t, Config{Sender: newHand(), Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
+		if g, is := ev.(balancer.ClientGone); is {
 			gone <- g
 		}
 		return nil
@@ -260,21 +260,21 @@
 func TestStream(t *testing.T) {
 	for _, broken := range []bool{false, true} {
 		h := newHand()
-		started := make(chan hollyspur.Started, 1)
-		outcomes := make(chan hollyspur.Outcome, 10)
-		m, err := hollyspur.New(settings(), 1)
+		started := make(chan balancer.Started, 1)
+		outcomes := make(chan balancer.Outcome, 10)
+		m, err := balancer.New(settings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		clock := NewClock()
-		e := run(t, Config{Sender: h, Module: moduleFunc(func(ev hollyspur.Event) []hollyspur.Action {
+		e := run(t, Config{Sender: h, Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
 			switch ev := ev.(type) {
-			case hollyspur.Request: // and a second copy, as a module that hedges would send
-				return append(m.Handle(clock.Now(), ev), hollyspur.Send{ID: ev.ID, Server: "b"})
-			case hollyspur.Started:
+			case balancer.Request: // and a second copy, as a module that hedges would send
+				return append(m.Handle(clock.Now(), ev), balancer.Send{ID: ev.ID, Server: "b"})
+			case balancer.Started:
 				started <- ev
-				return []hollyspur.Action{hollyspur.Cancel{ID: ev.ID, Attempt: 1 - ev.Attempt}}
-			case hollyspur.Outcome:
+				return []balancer.Action{balancer.Cancel{ID: ev.ID, Attempt: 1 - ev.Attempt}}
+			case balancer.Outcome:
 				outcomes <- ev
 				return nil
 			}
@@ -296,7 +296,7 @@
 			t.Errorf("the other attempt ends with %v", cause)
 		}
 		first.Began(loser) // crosses the cancel
-		first.End(hollyspur.Success, nil)
+		first.End(balancer.Success, nil)
 		settle(t, e)
 		if loser.released.Load() != 1 || len(r.ended) != 0 {
 			t.Errorf("the loser: released %d times, %d answers", loser.released.Load(), len(r.ended))
@@ -310,9 +310,9 @@
 			t.Fatal("a stream that has begun ended at the deadline")
 		}
 		if testkit.Wait(t, outcomes); broken {
-			second.End(hollyspur.Broken, nil)
+			second.End(balancer.Broken, nil)
 		} else {
-			second.End(hollyspur.Success, nil)
+			second.End(balancer.Success, nil)
 		}
 		if a := testkit.Wait(t, r.ended); (a.Verdict == Failed) != broken {
 			t.Errorf("broken %v: answer %+v", broken, a)
@@ -348,7 +348,7 @@
 		t.Errorf("room for %d after one has gone, not 1", n)
 	}
 	e.Apply(serverList("a"))
-	testkit.Wait(t, h.started).End(hollyspur.Success, &reply{})
+	testkit.Wait(t, h.started).End(balancer.Success, &reply{})
 	testkit.Wait(t, rs[1].ended)
 	settle(t, e)
 	if n := held.Left(); n != 2 || e.Open() != 0 {
@@ -362,9 +362,9 @@
 	began, ended, dropped atomic.Int64
 }
 
-func (o *observed) Began(string)                   { o.began.Add(1) }
-func (o *observed) Ended(string, hollyspur.Ending) { o.ended.Add(1) }
-func (o *observed) Dropped()                       { o.dropped.Add(1) }
+func (o *observed) Began(string)                  { o.began.Add(1) }
+func (o *observed) Ended(string, balancer.Ending) { o.ended.Add(1) }
+func (o *observed) Dropped()                      { o.dropped.Add(1) }
 
 // A source may have a share of calls refused: harmlessly, with advice, and without a word to the module.
 func TestDrops(t *testing.T) {
@@ -380,7 +380,7 @@
 		e.Submit(c)
 		select {
 		case a := <-h.started:
-			a.End(hollyspur.Success, nil)
+			a.End(balancer.Success, nil)
 			if ans := testkit.Wait(t, r.ended); ans.Verdict != Served {
 				t.Fatalf("answer %+v", ans)
 			}
@@ -404,7 +404,7 @@
 	for i := range 50 {
 		c, r := newCall(e, fmt.Sprint("more", i), "order", limit)
 		e.Submit(c)
-		testkit.Wait(t, h.started).End(hollyspur.Success, nil)
+		testkit.Wait(t, h.started).End(balancer.Success, nil)
 		testkit.Wait(t, r.ended)
 	}
 }
@@ -418,9 +418,9 @@
 		c, r := newCall(e, "c-1", "order", limit)
 		e.Submit(c)
 		a := testkit.Wait(t, h.started)
-		e.Settle(c, a, hollyspur.Failure)
-		e.Settle(c, a, hollyspur.Failure) // again changes nothing
-		a.End(hollyspur.Success, nil)
+		e.Settle(c, a, balancer.Failure)
+		e.Settle(c, a, balancer.Failure) // again changes nothing
+		a.End(balancer.Success, nil)
 		settle(t, e)
 		if e.Open() != 0 || len(r.ended) != 0 {
 			t.Errorf("%d open, %d answers", e.Open(), len(r.ended))
@@ -440,7 +440,7 @@
 		t.Errorf("answer %+v", ans)
 	}
 	late := &reply{}
-	a.End(hollyspur.Success, late)
+	a.End(balancer.Success, late)
 	settle(t, e)
 	if late.released.Load() != 1 || e.Open() != 0 {
 		t.Errorf("late reply released %d times, %d open", late.released.Load(), e.Open())
@@ -449,11 +449,11 @@
 
 // The engine must not use a server that a list no longer names, nor an address that it has left.
 func TestListRulesEndpoints(t *testing.T) {
-	e := New(Config{Clock: NewClock(), Sender: newHand(), Module: moduleFunc(func(hollyspur.Event) []hollyspur.Action { return nil })})
+	e := New(Config{Clock: NewClock(), Sender: newHand(), Module: moduleFunc(func(balancer.Event) []balancer.Action { return nil })})
 	e.apply(serverList("a", "b", "c"))
 	a, b, c := e.endpoints["a"], e.endpoints["b"], e.endpoints["c"]
 	drain := serverList("a", "b")
-	drain.Full, drain.Servers[0].State, drain.Servers[1].Addr = false, hollyspur.Draining, "b:9"
+	drain.Full, drain.Servers[0].State, drain.Servers[1].Addr = false, balancer.Draining, "b:9"
 	e.apply(drain)
 	if a.Usable() || b.Usable() || !c.Usable() || !e.endpoints["b"].Usable() {
 		t.Error("after changes: a drains, b moved, c stays")
@@ -509,9 +509,9 @@
 // beginning, whose news alone count.
 func TestSources(t *testing.T) {
 	one, two := newScripted("one"), newScripted("two")
-	lists := make(chan hollyspur.ServerList, 10)
-	e := run(t, Config{Sender: newHand(), Source: one, Pushed: true, Module: moduleFunc(func(ev hollyspur.Event) []hollyspur.Action {
-		if l, is := ev.(hollyspur.ServerList); is {
+	lists := make(chan balancer.ServerList, 10)
+	e := run(t, Config{Sender: newHand(), Source: one, Pushed: true, Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
+		if l, is := ev.(balancer.ServerList); is {
 			lists <- l
 		}
 		return nil
@@ -554,7 +554,7 @@
 // instant answers at once.
 type instant struct{ r reply }
 
-func (s *instant) Start(_ context.Context, a *Attempt) { go a.End(hollyspur.Success, &s.r) }
+func (s *instant) Start(_ context.Context, a *Attempt) { go a.End(balancer.Success, &s.r) }
 func (s *instant) Drop(*Endpoint)                      {}
 func (s *instant) Sweep()                              {}
 
@@ -583,7 +583,7 @@
 type brisk struct{}
 
 func (brisk) Start(_ context.Context, a *Attempt) {
-	go a.End([]hollyspur.Ending{hollyspur.Success, hollyspur.Unreachable}[int(a.Endpoint.ID[len(a.Endpoint.ID)-1])%2], nil)
+	go a.End([]balancer.Ending{balancer.Success, balancer.Unreachable}[int(a.Endpoint.ID[len(a.Endpoint.ID)-1])%2], nil)
 }
 func (brisk) Drop(*Endpoint) {}
 func (brisk) Sweep()         {}
@@ -600,7 +600,7 @@
 	for i := range 7200 { // an hour of two a second
 		gone, come := fmt.Sprintf("s%06d", i), fmt.Sprintf("s%06d", i+60)
 		n := serverList(gone, come)
-		n.Full, n.Servers[0].State, n.Servers[1].Boot = false, hollyspur.Gone, e.Now()
+		n.Full, n.Servers[0].State, n.Servers[1].Boot = false, balancer.Gone, e.Now()
 		e.Apply(n)
 		if i%4 == 0 {
 			c, r := newCall(e, fmt.Sprint("c-", i), "read", limit)
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -5,12 +5,12 @@
 	"errors"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Listed is a server of a list, with the address that senders reach it at.
 type Listed struct {
-	hollyspur.Server
+	balancer.Server
 	Addr string // host:port; may be empty for one that is Gone
 }
 
@@ -27,7 +27,7 @@
 // engine's goroutine and must not wait.
 type Observer interface {
 	Began(server string)
-	Ended(server string, ending hollyspur.Ending)
+	Ended(server string, ending balancer.Ending)
 	Dropped()
 }
 
@@ -66,8 +66,8 @@
 
 // Learner is a module that can go on with what another has learned.
 type Learner interface {
-	Knowledge() *hollyspur.Knowledge
-	Learn(*hollyspur.Knowledge)
+	Knowledge() *balancer.Knowledge
+	Learn(*balancer.Knowledge)
 }
 
 // Export gives the list as the source told it and what the module has learned, nil if it is no Learner; false if ctx
@@ -97,23 +97,23 @@
 type Exported struct {
 	Version   string // of the list
 	Servers   []Listed
-	Knowledge *hollyspur.Knowledge // nil: none
+	Knowledge *balancer.Knowledge // nil: none
 }
 
 // merge takes over entries with the operators' orders laid over them; ordered: nothing new came from the source.
 func (e *Engine) merge(n News, ordered bool) {
 	listed := make(map[string]bool, len(n.Servers))
-	list := hollyspur.ServerList{Full: n.Full, Cached: n.Cached, Ordered: ordered, Servers: make([]hollyspur.Server, 0, len(n.Servers))}
+	list := balancer.ServerList{Full: n.Full, Cached: n.Cached, Ordered: ordered, Servers: make([]balancer.Server, 0, len(n.Servers))}
 	for _, s := range n.Servers {
 		told := s
 		if e.cfg.Orders != nil {
 			s.Boot = e.cfg.Orders.Boot(s.ID, s.Boot)
-			if s.State == hollyspur.Ready && e.cfg.Orders.Out(s.ID) {
-				s.State = hollyspur.Draining
+			if s.State == balancer.Ready && e.cfg.Orders.Out(s.ID) {
+				s.State = balancer.Draining
 			}
 		}
 		list.Servers = append(list.Servers, s.Server)
-		listed[s.ID] = s.State != hollyspur.Gone
+		listed[s.ID] = s.State != balancer.Gone
 		ep := e.endpoints[s.ID]
 		if ep == nil || ep.Addr != s.Addr || ep.boot != s.Boot {
 			// Connections to an earlier process or address are of no use.
@@ -126,11 +126,11 @@
 			}
 		}
 		ep.listed = told
-		ep.usable.Store(s.State == hollyspur.Ready)
-		if s.State != hollyspur.Ready {
+		ep.usable.Store(s.State == balancer.Ready)
+		if s.State != balancer.Ready {
 			e.cfg.Sender.Drop(ep)
 		}
-		if s.State == hollyspur.Gone {
+		if s.State == balancer.Gone {
 			e.remove(s.ID)
 		}
 	}
@@ -208,7 +208,7 @@
 				return
 			}
 			e.logf("watch: %v", err)
-			failed := hollyspur.ListFailed{Garbled: errors.Is(err, ErrGarbled)}
+			failed := balancer.ListFailed{Garbled: errors.Is(err, ErrGarbled)}
 			rest, then := watchRest, func() { e.handle(failed) }
 			switch {
 			case e.version == "":
--- a/internal/envoyconf/build.go
+++ b/internal/envoyconf/build.go
@@ -8,7 +8,7 @@
 	"text/template"
 	"time"
 
-	"hollyspur/internal/extproc/stream"
+	"cranegrade/internal/extproc/stream"
 )
 
 // Mode is a way for a proxy to ask.
--- a/internal/envoyconf/check.go
+++ b/internal/envoyconf/check.go
@@ -25,7 +25,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"hollyspur/internal/extproc/stream"
+	"cranegrade/internal/extproc/stream"
 )
 
 // What the processor answers with, by the endpoint picker's conventions.
--- a/internal/extproc/stream/stream.go
+++ b/internal/extproc/stream/stream.go
@@ -21,8 +21,8 @@
 	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"hollyspur"
-	"hollyspur/internal/message"
+	"cranegrade/balancer"
+	"cranegrade/internal/message"
 )
 
 // The endpoint picker's conventions (Gateway API Inference Extension, "endpoint picker protocol").
@@ -95,7 +95,7 @@
 	// Outcome says how the attempt ended, as far as the proxy tells. Answered: the client has its answer, or
 	// will have. Judging: the answer waits for Judge, which says whether the proxy may try again.
 	Outcome struct {
-		Ending   hollyspur.Ending
+		Ending   balancer.Ending
 		Status   int    // of the server's answer; 0: none came
 		Served   string // the endpoint that served, if the proxy says so
 		Answered bool
@@ -181,7 +181,7 @@
 	case decided:
 		// The proxy had its decision, so the request may be at the server. The side channel says nothing of
 		// the server's health: the ending does not blame it.
-		s.book(Outcome{Ending: hollyspur.Withdrawn})
+		s.book(Outcome{Ending: balancer.Withdrawn})
 	}
 	s.phase, s.pending, s.bytes = over, nil, 0
 }
@@ -515,7 +515,7 @@
 		if v := header["content-length"]; len(v) == 1 {
 			o.Length = message.Length(v[0])
 		}
-		if o.Ending != hollyspur.Success && s.retry != "" && !s.observed {
+		if o.Ending != balancer.Success && s.retry != "" && !s.observed {
 			o.Judging, judged = true, true
 			s.phase, s.status = judging, status
 		}
@@ -580,22 +580,22 @@
 }
 
 // Unrun says that an ending proves that the attempt never ran.
-func Unrun(e hollyspur.Ending) bool {
-	return e == hollyspur.Overloaded || e == hollyspur.Unreachable || e == hollyspur.Void
+func Unrun(e balancer.Ending) bool {
+	return e == balancer.Overloaded || e == balancer.Unreachable || e == balancer.Void
 }
 
 // endingOf reads the truth about whether the request can have run. Only a server's own word
 // (X-Unprocessed) and the proxy's word that no connection came up prove that it has not; and of several tries
 // which the proxy made by itself they prove it for the last alone.
-func endingOf(status int, header map[string][]string, m *extproc.ProcessingRequest) hollyspur.Ending {
+func endingOf(status int, header map[string][]string, m *extproc.ProcessingRequest) balancer.Ending {
 	e := endingOfLast(status, header, m)
 	if n := header["x-envoy-attempt-count"]; Unrun(e) && len(n) > 0 && n[0] != "1" {
-		return hollyspur.Broken
+		return balancer.Broken
 	}
 	return e
 }
 
-func endingOfLast(status int, header map[string][]string, m *extproc.ProcessingRequest) hollyspur.Ending {
+func endingOfLast(status int, header map[string][]string, m *extproc.ProcessingRequest) balancer.Ending {
 	details := ""
 	for _, attributes := range m.GetAttributes() {
 		if v := attributes.GetFields()["response.code_details"].GetStringValue(); v != "" {
@@ -605,21 +605,21 @@
 	unprocessed := len(header["x-unprocessed"]) == 1 && header["x-unprocessed"][0] == "1"
 	switch {
 	case status == 0:
-		return hollyspur.Broken
+		return balancer.Broken
 	case (status == 503 || status == 504) && unprocessed:
-		return hollyspur.Overloaded
+		return balancer.Overloaded
 	case strings.Contains(details, "{overflow}"):
-		return hollyspur.Void // the proxy's own circuit breaker: nothing was sent, and no server is to blame
+		return balancer.Void // the proxy's own circuit breaker: nothing was sent, and no server is to blame
 	case strings.Contains(details, "connection_failure") || strings.Contains(details, "connection_timeout") || details == "no_healthy_upstream":
-		return hollyspur.Unreachable
+		return balancer.Unreachable
 	case strings.Contains(details, "response_timeout") || strings.Contains(details, "per_try_timeout"):
-		return hollyspur.TimedOut
+		return balancer.TimedOut
 	case strings.Contains(details, "upstream_reset"):
-		return hollyspur.Broken
+		return balancer.Broken
 	case status >= 500:
-		return hollyspur.Failure
+		return balancer.Failure
 	}
-	return hollyspur.Success
+	return balancer.Success
 }
 
 // served is the endpoint that the proxy says it used.
--- a/internal/extproc/stream/stream_test.go
+++ b/internal/extproc/stream/stream_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 	"pgregory.net/rapid"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 func headers(pairs ...string) *corev3.HeaderMap {
@@ -137,18 +137,18 @@
 	}
 	for i, c := range []struct {
 		m    *extproc.ProcessingRequest
-		want hollyspur.Ending
+		want balancer.Ending
 	}{
-		{response("200"), hollyspur.Success}, {response("404"), hollyspur.Success}, {response("500"), hollyspur.Failure},
-		{response("503"), hollyspur.Failure}, {response("503", "x-unprocessed", "1"), hollyspur.Overloaded},
-		{response("504", "X-Unprocessed", "1"), hollyspur.Overloaded}, {response("500", "x-unprocessed", "1"), hollyspur.Failure},
-		{response("503", "x-unprocessed", "0"), hollyspur.Failure}, {response("x"), hollyspur.Broken}, {response("99"), hollyspur.Broken},
-		{details("503", "upstream_reset_before_response_started{remote_connection_failure}"), hollyspur.Unreachable},
-		{details("503", "upstream_reset_before_response_started{connection_timeout}"), hollyspur.Unreachable},
-		{details("503", "upstream_reset_before_response_started{connection_termination}"), hollyspur.Broken},
-		{details("503", "upstream_reset_before_response_started{overflow}"), hollyspur.Void},
-		{details("503", "no_healthy_upstream"), hollyspur.Unreachable}, {details("504", "upstream_per_try_timeout"), hollyspur.TimedOut},
-		{details("504", "response_timeout"), hollyspur.TimedOut}, {details("200", "via_upstream"), hollyspur.Success},
+		{response("200"), balancer.Success}, {response("404"), balancer.Success}, {response("500"), balancer.Failure},
+		{response("503"), balancer.Failure}, {response("503", "x-unprocessed", "1"), balancer.Overloaded},
+		{response("504", "X-Unprocessed", "1"), balancer.Overloaded}, {response("500", "x-unprocessed", "1"), balancer.Failure},
+		{response("503", "x-unprocessed", "0"), balancer.Failure}, {response("x"), balancer.Broken}, {response("99"), balancer.Broken},
+		{details("503", "upstream_reset_before_response_started{remote_connection_failure}"), balancer.Unreachable},
+		{details("503", "upstream_reset_before_response_started{connection_timeout}"), balancer.Unreachable},
+		{details("503", "upstream_reset_before_response_started{connection_termination}"), balancer.Broken},
+		{details("503", "upstream_reset_before_response_started{overflow}"), balancer.Void},
+		{details("503", "no_healthy_upstream"), balancer.Unreachable}, {details("504", "upstream_per_try_timeout"), balancer.TimedOut},
+		{details("504", "response_timeout"), balancer.TimedOut}, {details("200", "via_upstream"), balancer.Success},
 	} {
 		s := New()
 		s.Receive(request(true))
@@ -242,7 +242,7 @@
 
 // Of several tries that the proxy made by itself, the last one's never having run says nothing of the others.
 func TestTriesOfTheProxy(t *testing.T) {
-	for n, want := range map[string]hollyspur.Ending{"": hollyspur.Overloaded, "1": hollyspur.Overloaded, "2": hollyspur.Broken, "x": hollyspur.Broken} {
+	for n, want := range map[string]balancer.Ending{"": balancer.Overloaded, "1": balancer.Overloaded, "2": balancer.Broken, "x": balancer.Broken} {
 		s := New()
 		s.Receive(request(true))
 		decide(t, s)
@@ -269,7 +269,7 @@
 	s = New()
 	s.Receive(request(true))
 	decide(t, s)
-	expect(t, "decided", s.End(), fmt.Sprintf("outcome(%d 0  false) hangup", hollyspur.Withdrawn))
+	expect(t, "decided", s.End(), fmt.Sprintf("outcome(%d 0  false) hangup", balancer.Withdrawn))
 	s = New()
 	s.Receive(request(true))
 	expect(t, "the proxy answers the client itself", s.Receive(response("504")), "lost ResponseHeaders")
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -6,21 +6,21 @@
 	"testing"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // BenchmarkDecision is a request, its attempt and the attempt's end, through the module alone and through the one in front
 // of it, with the same servers to draw from: 60 servers, 50 members.
 func BenchmarkDecision(b *testing.B) {
-	class := hollyspur.Class{Name: "read", Effect: hollyspur.Safe, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}
-	set := hollyspur.Settings{Classes: []hollyspur.Class{class}, MaxAttempts: 3, Balancers: 50, Index: 7, Tick: time.Millisecond}
-	list := hollyspur.ServerList{Full: true}
+	class := balancer.Class{Name: "read", Effect: balancer.Safe, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}
+	set := balancer.Settings{Classes: []balancer.Class{class}, MaxAttempts: 3, Balancers: 50, Index: 7, Tick: time.Millisecond}
+	list := balancer.ServerList{Full: true}
 	for i := range 60 {
-		list.Servers = append(list.Servers, hollyspur.Server{ID: fmt.Sprintf("s-%02d", i), State: hollyspur.Ready, Size: 1})
+		list.Servers = append(list.Servers, balancer.Server{ID: fmt.Sprintf("s-%02d", i), State: balancer.Ready, Size: 1})
 	}
 	for _, name := range []string{"alone", "fleet"} {
 		b.Run(name, func(b *testing.B) {
-			in, err := hollyspur.New(set, 1)
+			in, err := balancer.New(set, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -37,9 +37,9 @@
 				n++
 				now += 20 * time.Millisecond
 				id := strconv.Itoa(n)
-				for _, a := range d.Handle(now, hollyspur.Request{ID: id, Class: "read", Deadline: now + 2*time.Second}) {
-					if s, is := a.(hollyspur.Send); is {
-						d.Handle(now+5*time.Millisecond, hollyspur.Outcome{ID: id, Server: s.Server, Ending: hollyspur.Success, Ended: true})
+				for _, a := range d.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + 2*time.Second}) {
+					if s, is := a.(balancer.Send); is {
+						d.Handle(now+5*time.Millisecond, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})
 					}
 				}
 			}
@@ -54,9 +54,9 @@
 		for i := range size[0] {
 			members = append(members, fmt.Sprintf("n%04d", i))
 		}
-		var servers []hollyspur.Server
+		var servers []balancer.Server
 		for i := range size[1] {
-			servers = append(servers, hollyspur.Server{ID: fmt.Sprintf("s-%05d", i), State: hollyspur.Ready})
+			servers = append(servers, balancer.Server{ID: fmt.Sprintf("s-%05d", i), State: balancer.Ready})
 		}
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			for b.Loop() {
--- a/internal/fleet/emulated_test.go
+++ b/internal/fleet/emulated_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/emulator"
-	"hollyspur/internal/fleet/membership"
-	"hollyspur/internal/fleet/signal"
+	"cranegrade/balancer"
+	"cranegrade/internal/emulator"
+	"cranegrade/internal/fleet/membership"
+	"cranegrade/internal/fleet/signal"
 )
 
 // together makes deciders for the nodes of an emulated fleet that tell each other what they see, after a delay.
@@ -72,9 +72,9 @@
 }
 
 // decider is of one node of the first tier.
-func (f *together) decider(seed uint64) func(int, int, hollyspur.Settings) emulator.Decider {
-	return func(tier, index int, set hollyspur.Settings) emulator.Decider {
-		b, err := hollyspur.New(set, seed+uint64(index)*7919)
+func (f *together) decider(seed uint64) func(int, int, balancer.Settings) emulator.Decider {
+	return func(tier, index int, set balancer.Settings) emulator.Decider {
+		b, err := balancer.New(set, seed+uint64(index)*7919)
 		if err != nil || tier > 0 {
 			panic(fmt.Sprint(err, tier))
 		}
@@ -96,8 +96,8 @@
 	if change != nil {
 		change(f)
 	}
-	class := hollyspur.Class{Name: "read", Effect: hollyspur.Safe, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.5, Worth: 1}
-	set := hollyspur.Settings{Classes: []hollyspur.Class{class}, WholeWeight: 0.6, ClassWeight: 0.3, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond,
+	class := balancer.Class{Name: "read", Effect: balancer.Safe, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.5, Worth: 1}
+	set := balancer.Settings{Classes: []balancer.Class{class}, WholeWeight: 0.6, ClassWeight: 0.3, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond,
 		MaxRetryAfter: time.Second, ColdFrom: 0.3, WarmAfter: 4 * time.Second, FallMultiple: 4, FallFor: 1500 * time.Millisecond}
 	rate := 6 * float64(servers)
 	p := emulator.Plan{Seed: seed, Nodes: n, Wire: 300 * time.Microsecond, Length: 25 * time.Second, Rate: func(time.Duration) float64 { return rate }, Most: rate,
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -20,8 +20,8 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"hollyspur/internal/fleet/membership"
-	"hollyspur/internal/fleet/shares"
+	"cranegrade/internal/fleet/membership"
+	"cranegrade/internal/fleet/shares"
 )
 
 // Config is what a member is told at its start.
--- a/internal/fleet/gate.go
+++ b/internal/fleet/gate.go
@@ -11,9 +11,9 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"hollyspur/internal/fleet/membership"
-	"hollyspur/internal/fleet/shares"
-	"hollyspur/internal/fleet/signal"
+	"cranegrade/internal/fleet/membership"
+	"cranegrade/internal/fleet/shares"
+	"cranegrade/internal/fleet/signal"
 )
 
 // Role is what this node is in a pool.
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -13,8 +13,8 @@
 	"github.com/hashicorp/memberlist"
 	"golang.org/x/sys/unix"
 
-	"hollyspur/internal/fleet/membership"
-	"hollyspur/internal/fleet/shares"
+	"cranegrade/internal/fleet/membership"
+	"cranegrade/internal/fleet/shares"
 )
 
 // BootTime is elapsed time since the machine started. It goes on while the process, or the machine, is stopped, and no
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"io"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/fleet/membership"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/fleet/membership"
 )
 
 // Services are pools as members compare them, from each pool's name and a digest of its settings.
@@ -18,7 +18,7 @@
 }
 
 // Module puts a gate before a pool's module, which has these settings.
-func (f *Fleet) Module(pool string, s hollyspur.Settings, in engine.Module) engine.Module {
+func (f *Fleet) Module(pool string, s balancer.Settings, in engine.Module) engine.Module {
 	return NewModule(in, f.Gate(pool), f.cfg.Name, s, BootTime)
 }
 
--- a/internal/fleet/membership/roll_test.go
+++ b/internal/fleet/membership/roll_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"hollyspur/internal/fleet/shares"
+	"cranegrade/internal/fleet/shares"
 )
 
 // Draws are the same in every run, so that a run tells of the change and not of its luck; -rapid.seed=0 draws others.
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"time"
 
-	"hollyspur/internal/fleet/membership"
+	"cranegrade/internal/fleet/membership"
 )
 
 // Config says what is played.
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -7,16 +7,16 @@
 	"slices"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/fleet/membership"
-	"hollyspur/internal/fleet/signal"
-	"hollyspur/internal/fleet/subset"
-	"hollyspur/internal/fleet/turns"
+	"cranegrade/balancer"
+	"cranegrade/internal/fleet/membership"
+	"cranegrade/internal/fleet/signal"
+	"cranegrade/internal/fleet/subset"
+	"cranegrade/internal/fleet/turns"
 )
 
 // Decider is a decision module; engine.Module is the same.
 type Decider interface {
-	Handle(now time.Duration, e hollyspur.Event) []hollyspur.Action
+	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
 // Module stands between an engine and its module and tells that, before each event, what has changed among the nodes:
@@ -31,7 +31,7 @@
 	me    uint64
 	uses  map[string]*use // of tenants with a quota
 
-	listed map[string]hollyspur.Server
+	listed map[string]balancer.Server
 	boots  map[string]time.Duration // of the ready ones
 	change bool                     // of the list, since it was last shared out
 	order  []string                 // of members, that it was shared out to
@@ -45,7 +45,7 @@
 	part   float64
 	place  [2]int
 	set    []string
-	aside  []hollyspur.Aside
+	aside  []balancer.Aside
 	looked time.Duration
 	spoke  time.Duration
 	urgent bool // a call has ended badly since
@@ -99,7 +99,7 @@
 )
 
 // NewModule returns a module that goes by a gate; now tells the time that the gate goes by.
-func NewModule(in Decider, g *Gate, me string, s hollyspur.Settings, now func() time.Duration) *Module {
+func NewModule(in Decider, g *Gate, me string, s balancer.Settings, now func() time.Duration) *Module {
 	id := membership.NameID(me)
 	uses := make(map[string]*use, len(s.Tenants))
 	for _, t := range s.Tenants {
@@ -110,25 +110,25 @@
 	g.ration(uses)
 	book := signal.NewBook(g.pool, id)
 	book.Gullible = plantGullible
-	sized := s.Sizes == hollyspur.SizesNominal || s.Sizes == hollyspur.SizesRough
-	return &Module{uses: uses, in: in, gate: g, now: now, sized: sized, me: id, listed: map[string]hollyspur.Server{}, boots: map[string]time.Duration{},
+	sized := s.Sizes == balancer.SizesNominal || s.Sizes == balancer.SizesRough
+	return &Module{uses: uses, in: in, gate: g, now: now, sized: sized, me: id, listed: map[string]balancer.Server{}, boots: map[string]time.Duration{},
 		most: atOnce, mover: subset.NewMover(moveEvery), book: book, looked: math.MinInt64, quotas: &Parts{}}
 }
 
 // Handle passes an event on, after what has changed.
-func (m *Module) Handle(now time.Duration, e hollyspur.Event) (actions []hollyspur.Action) {
+func (m *Module) Handle(now time.Duration, e balancer.Event) (actions []balancer.Action) {
 	at := m.now()
 	switch x := e.(type) {
-	case hollyspur.ServerList:
+	case balancer.ServerList:
 		m.list(x)
-	case hollyspur.Request:
+	case balancer.Request:
 		if u := m.uses[x.Tenant]; u != nil && !x.Repeat {
 			u.asked++
 		}
-	case hollyspur.Outcome:
-		bad := x.Ending == hollyspur.Failure || x.Ending == hollyspur.TimedOut || x.Ending == hollyspur.Unreachable || x.Ending == hollyspur.Broken
+	case balancer.Outcome:
+		bad := x.Ending == balancer.Failure || x.Ending == balancer.TimedOut || x.Ending == balancer.Unreachable || x.Ending == balancer.Broken
 		m.urgent = m.urgent || bad
-		m.book.Ended(at, x.Server, bad, bad || x.Ending == hollyspur.Success)
+		m.book.Ended(at, x.Server, bad, bad || x.Ending == balancer.Success)
 	}
 	role, part := m.gate.Role(at)
 	quotas := m.gate.quotas(at)
@@ -149,12 +149,12 @@
 }
 
 // list keeps what is listed.
-func (m *Module) list(x hollyspur.ServerList) {
+func (m *Module) list(x balancer.ServerList) {
 	if x.Full {
 		clear(m.listed)
 	}
 	for _, s := range x.Servers {
-		if s.State == hollyspur.Gone {
+		if s.State == balancer.Gone {
 			delete(m.listed, s.ID)
 		} else {
 			m.listed[s.ID] = s
@@ -164,7 +164,7 @@
 }
 
 // look tells the module what has changed.
-func (m *Module) look(now, at time.Duration, r *Role, part float64, quotas *Parts) (actions []hollyspur.Action) {
+func (m *Module) look(now, at time.Duration, r *Role, part float64, quotas *Parts) (actions []balancer.Action) {
 	if m.change || !slices.Equal(m.order, r.Order) {
 		m.share(r)
 	}
@@ -182,7 +182,7 @@
 		if math.IsInf(part, 1) {
 			of = nil // what it stood on is too old for what was lent, too
 		}
-		actions = append(actions, m.in.Handle(now, hollyspur.Fleet{Balancers: r.Agreed, Index: r.Index, Divisor: part, Subset: set, Quotas: of})...)
+		actions = append(actions, m.in.Handle(now, balancer.Fleet{Balancers: r.Agreed, Index: r.Index, Divisor: part, Subset: set, Quotas: of})...)
 	}
 	m.count(at)
 	actions = append(actions, m.listen(now, at)...)
@@ -205,9 +205,9 @@
 	}
 	m.change, m.order = false, r.Order
 	clear(m.boots)
-	servers := make([]hollyspur.Server, 0, len(m.listed))
+	servers := make([]balancer.Server, 0, len(m.listed))
 	for _, s := range m.listed {
-		if s.State == hollyspur.Ready {
+		if s.State == balancer.Ready {
 			servers = append(servers, s)
 			m.boots[s.ID] = s.Boot
 		}
@@ -227,14 +227,14 @@
 }
 
 // share shares servers out. Their order is the module's own, so that the groups are.
-func share(members []string, me int, servers []hollyspur.Server, sized bool) (p plan) {
-	size := func(s hollyspur.Server) float64 {
+func share(members []string, me int, servers []balancer.Server, sized bool) (p plan) {
+	size := func(s balancer.Server) float64 {
 		if sized && s.Size > 0 {
 			return s.Size
 		}
 		return 1
 	}
-	slices.SortFunc(servers, func(a, b hollyspur.Server) int {
+	slices.SortFunc(servers, func(a, b balancer.Server) int {
 		return cmp.Or(cmp.Compare(size(b), size(a)), cmp.Compare(a.Cell, b.Cell), cmp.Compare(a.ID, b.ID))
 	})
 	l := make([]subset.Server, len(servers))
@@ -292,40 +292,40 @@
 }
 
 // listen takes what others have told, and tells the module what is made of it.
-func (m *Module) listen(now, at time.Duration) []hollyspur.Action {
+func (m *Module) listen(now, at time.Duration) []balancer.Action {
 	for _, w := range m.gate.hear() {
 		m.book.Heard(at, w.from, membership.NameID(w.from), w.run, w.digest)
 	}
 	verdicts := m.book.Verdicts(at, func(server string) []uint64 { return m.owners[server] }, turns.Place)
 	m.gate.heardOf(Hearsay{Verdicts: verdicts, Set: m.set, Moving: m.mover.Moving()})
-	var l, news []hollyspur.Aside
+	var l, news []balancer.Aside
 	for _, v := range verdicts {
-		l = append(l, hollyspur.Aside{ID: v.Server, Boot: v.Boot, Until: now + v.Until - at})
+		l = append(l, balancer.Aside{ID: v.Server, Boot: v.Boot, Until: now + v.Until - at})
 	}
 	for _, a := range l { // whom the module has not been told of, but for what the two clocks differ by
-		if i := slices.IndexFunc(m.aside, func(b hollyspur.Aside) bool { return b.ID == a.ID && b.Boot == a.Boot }); i < 0 || (m.aside[i].Until-a.Until).Abs() > lookEvery {
+		if i := slices.IndexFunc(m.aside, func(b balancer.Aside) bool { return b.ID == a.ID && b.Boot == a.Boot }); i < 0 || (m.aside[i].Until-a.Until).Abs() > lookEvery {
 			news = append(news, a)
 		}
 	}
 	for _, b := range m.aside { // and who is not put aside any more
-		if b.Until > now && !slices.ContainsFunc(l, func(a hollyspur.Aside) bool { return a.ID == b.ID && a.Boot == b.Boot }) {
-			news = append(news, hollyspur.Aside{ID: b.ID, Boot: b.Boot, Until: now})
+		if b.Until > now && !slices.ContainsFunc(l, func(a balancer.Aside) bool { return a.ID == b.ID && a.Boot == b.Boot }) {
+			news = append(news, balancer.Aside{ID: b.ID, Boot: b.Boot, Until: now})
 		}
 	}
 	m.aside = l
 	if len(news) == 0 {
 		return nil
 	}
-	return m.in.Handle(now, hollyspur.Hearsay{Aside: news})
+	return m.in.Handle(now, balancer.Hearsay{Aside: news})
 }
 
 type learner interface {
-	Knowledge() *hollyspur.Knowledge
-	Learn(*hollyspur.Knowledge)
+	Knowledge() *balancer.Knowledge
+	Learn(*balancer.Knowledge)
 }
 
 // Knowledge is what the module behind it has learned; nil if it can't tell.
-func (m *Module) Knowledge() *hollyspur.Knowledge {
+func (m *Module) Knowledge() *balancer.Knowledge {
 	if l, is := m.in.(learner); is {
 		return l.Knowledge()
 	}
@@ -333,7 +333,7 @@
 }
 
 // Learn has the module behind it go on with that, if it can.
-func (m *Module) Learn(k *hollyspur.Knowledge) {
+func (m *Module) Learn(k *balancer.Knowledge) {
 	if l, is := m.in.(learner); is {
 		l.Learn(k)
 	}
--- a/internal/fleet/signal/signal_test.go
+++ b/internal/fleet/signal/signal_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"hollyspur/internal/fleet/turns"
+	"cranegrade/internal/fleet/turns"
 )
 
 const s = time.Second
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/fleet/membership"
+	"cranegrade/internal/fleet/membership"
 )
 
 // Status is what a node holds of its fleet at a moment, for operators. Times are in milliseconds.
--- a/internal/fleet/subset/ways_test.go
+++ b/internal/fleet/subset/ways_test.go
@@ -8,7 +8,7 @@
 	"sort"
 	"testing"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // way is how members could share servers: the servers of each.
@@ -43,7 +43,7 @@
 }{
 	{"striping by number (as without a fleet)", func(members []uint64, servers []Server) (l [][]int) {
 		for i := range members {
-			l = append(l, hollyspur.Stripes(len(servers), sizeOf(len(members), len(servers)), len(members), i))
+			l = append(l, balancer.Stripes(len(servers), sizeOf(len(members), len(servers)), len(members), i))
 		}
 		return l
 	}},
--- a/internal/front/extproc/book.go
+++ b/internal/front/extproc/book.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/engine"
+	"cranegrade/internal/engine"
 )
 
 // book knows the calls by the ids that proxies ask with: those that are open, and for a while what
--- a/internal/front/extproc/front.go
+++ b/internal/front/extproc/front.go
@@ -34,11 +34,11 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/grpc/tap"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/extproc/stream"
-	"hollyspur/internal/message"
-	"hollyspur/internal/pool"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/extproc/stream"
+	"cranegrade/internal/message"
+	"cranegrade/internal/pool"
 )
 
 // Config is what a front is made of. Zeros take the defaults.
@@ -343,7 +343,7 @@
 		case found:
 			// The proxy's next try. Its last one is over for it, and may have run.
 			t.ticket = open
-			open.end(nil, hollyspur.Withdrawn)
+			open.end(nil, balancer.Withdrawn)
 			return t.await()
 		}
 		if c, _ := p.Class(class); tries > 1 && mustNotRunAgain(c) {
@@ -368,8 +368,8 @@
 }
 
 // mustNotRunAgain says that a request which may have run can do harm when it runs elsewhere.
-func mustNotRunAgain(c hollyspur.Class) bool {
-	return c.Effect == hollyspur.Unsafe || c.Effect == hollyspur.Keyed && c.Scope != hollyspur.ScopeAll
+func mustNotRunAgain(c balancer.Class) bool {
+	return c.Effect == balancer.Unsafe || c.Effect == balancer.Keyed && c.Scope != balancer.ScopeAll
 }
 
 // ownDelay is what is left of a request's time for the way through proxy and node.
@@ -381,7 +381,7 @@
 	if !known {
 		return nil, &stream.Final{Status: http.StatusNotFound, Text: fmt.Sprintf("no class %.40q", name)}
 	}
-	if class.Effect == hollyspur.Keyed && len(q.Header["idempotency-key"]) != 1 {
+	if class.Effect == balancer.Keyed && len(q.Header["idempotency-key"]) != 1 {
 		return nil, &stream.Final{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
 	}
 	left, ok := timeLeft(q, class.Deadline)
@@ -467,7 +467,7 @@
 				continue
 			}
 			if o.ctx.Err() != nil {
-				o.a.End(hollyspur.Void, nil)
+				o.a.End(balancer.Void, nil)
 				continue
 			}
 			// From here on the proxy may have it, and with it the server.
@@ -513,7 +513,7 @@
 // ended books an attempt's end, as far as the proxy tells.
 func (t *talk) ended(o stream.Outcome) []stream.Action {
 	k, f := t.ticket, t.f
-	good := o.Ending == hollyspur.Success // whoever served it
+	good := o.Ending == balancer.Success // whoever served it
 	if o.Status != 0 {
 		k.crossed(o.Length, o.Served)
 	}
@@ -521,12 +521,12 @@
 	case o.Served == "" || told == "" || o.Served == told:
 	case spare:
 		// It went on down the list: the first could not be used.
-		o.Ending = hollyspur.Unreachable
+		o.Ending = balancer.Unreachable
 	default:
 		// It ran elsewhere: our server has had nothing of it.
 		f.stray(told, o.Served)
-		if o.Ending == hollyspur.Success || o.Ending == hollyspur.Failure {
-			o.Ending = hollyspur.Void
+		if o.Ending == balancer.Success || o.Ending == balancer.Failure {
+			o.Ending = balancer.Void
 		}
 	}
 	if !o.Answered {
@@ -595,10 +595,10 @@
 	now := t.f.cfg.Clock.Now()
 	class, _ := k.pool.Class(k.Class)
 	until := max(k.Last, now+t.f.cfg.Linger)
-	if class.Effect == hollyspur.Keyed {
+	if class.Effect == balancer.Keyed {
 		until = max(until, now+class.Window)
 	}
-	if class.Effect == hollyspur.Safe || a.Verdict == engine.Refused {
+	if class.Effect == balancer.Safe || a.Verdict == engine.Refused {
 		until = 0 // it may run again
 	}
 	t.f.book.close(now, k.id, k, a, until)
@@ -622,7 +622,7 @@
 			return // it has
 		}
 		k.pool.Engine().Gone(&k.Call)
-		k.end(nil, hollyspur.Withdrawn)
+		k.end(nil, balancer.Withdrawn)
 		answer := engine.Answer{Verdict: engine.Failed}
 		select {
 		case answer = <-k.answers:
--- a/internal/front/extproc/front_test.go
+++ b/internal/front/extproc/front_test.go
@@ -23,12 +23,12 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/extproc/stream"
-	"hollyspur/internal/pool"
-	"hollyspur/internal/testkit"
-	"hollyspur/internal/zone"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/extproc/stream"
+	"cranegrade/internal/pool"
+	"cranegrade/internal/testkit"
+	"cranegrade/internal/zone"
 )
 
 const limit = testkit.Limit
@@ -76,15 +76,15 @@
 		return s
 	}
 	clock := engine.NewClock()
-	class := func(name string, e hollyspur.Effect, scope hollyspur.Scope) hollyspur.Class {
-		return hollyspur.Class{Name: name, Effect: e, Scope: scope, Window: 10 * time.Second, Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1}
+	class := func(name string, e balancer.Effect, scope balancer.Scope) balancer.Class {
+		return balancer.Class{Name: name, Effect: e, Scope: scope, Window: 10 * time.Second, Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1}
 	}
 	w := &world{t: t}
 	var err error
 	w.pool, err = pool.New(pool.Config{Name: "p", Module: module, Seed: 1, Clock: clock, Sender: noSender{t}, Shares: pool.Shares{Calls: share(), Held: share(),
 		Connections: share(), Bodies: share(), LongAnswers: share(), Callers: share()},
-		Settings: hollyspur.Settings{Classes: []hollyspur.Class{class("read", hollyspur.Safe, 0), class("order", hollyspur.Unsafe, 0),
-			class("cell", hollyspur.Keyed, hollyspur.ScopeCell), class("all", hollyspur.Keyed, hollyspur.ScopeAll)},
+		Settings: balancer.Settings{Classes: []balancer.Class{class("read", balancer.Safe, 0), class("order", balancer.Unsafe, 0),
+			class("cell", balancer.Keyed, balancer.ScopeCell), class("all", balancer.Keyed, balancer.ScopeAll)},
 			Balancers: 1, Tier: tier, Spares: spares, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond, MaxRetryAfter: time.Second}, Pushed: false})
 	if err != nil {
 		t.Fatal(err)
@@ -125,7 +125,7 @@
 func (w *world) list(ids ...string) {
 	n := engine.News{Full: true, Version: "1"}
 	for i, id := range ids {
-		n.Servers = append(n.Servers, engine.Listed{Server: hollyspur.Server{ID: id, Cell: i / 2}, Addr: id})
+		n.Servers = append(n.Servers, engine.Listed{Server: balancer.Server{ID: id, Cell: i / 2}, Addr: id})
 	}
 	w.pool.Engine().Apply(n)
 }
@@ -456,7 +456,7 @@
 		}
 	}
 	// Only one that drains is named.
-	w.pool.Engine().Apply(engine.News{Version: "2", Servers: []engine.Listed{{Server: hollyspur.Server{ID: "127.0.0.1:1", State: hollyspur.Draining}, Addr: "127.0.0.1:1"}}})
+	w.pool.Engine().Apply(engine.News{Version: "2", Servers: []engine.Listed{{Server: balancer.Server{ID: "127.0.0.1:1", State: balancer.Draining}, Addr: "127.0.0.1:1"}}})
 	s := w.stream()
 	s.meta = &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{stream.SubsetNamespace: {Fields: map[string]*structpb.Value{stream.SubsetHeader: list("127.0.0.1:1")}}}}
 	if got := s.ask("read", "draining", 1); got != "503 retry-after" {
@@ -508,7 +508,7 @@
 // What a proxy carries is accounted by the endpoint that served, the zone that the proxy says it stands in, and the
 // lengths that it shows.
 func TestZones(t *testing.T) {
-	in, err := hollyspur.New(hollyspur.Settings{Classes: []hollyspur.Class{{Name: "read", Effect: hollyspur.Safe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
+	in, err := balancer.New(balancer.Settings{Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
 		MaxAttempts: 3, Tick: time.Millisecond}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -520,7 +520,7 @@
 	n := engine.News{Full: true, Version: "2"}
 	for i, z := range []string{"a", "b"} {
 		addr := fmt.Sprint("127.0.0.1:", i+1)
-		n.Servers = append(n.Servers, engine.Listed{Server: hollyspur.Server{ID: addr, Zone: z}, Addr: addr})
+		n.Servers = append(n.Servers, engine.Listed{Server: balancer.Server{ID: addr, Zone: z}, Addr: addr})
 	}
 	w.pool.Engine().Apply(n)
 	for i, c := range []struct{ from, goes, served string }{
--- a/internal/front/extproc/ticket.go
+++ b/internal/front/extproc/ticket.go
@@ -4,10 +4,10 @@
 	"context"
 	"sync"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/extproc/stream"
-	"hollyspur/internal/pool"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/extproc/stream"
+	"cranegrade/internal/pool"
 )
 
 // ticket is a request on its way through an engine, carried by the streams of proxies: one, or with
@@ -43,7 +43,7 @@
 func (t *ticket) Carry(ctx context.Context, a *engine.Attempt) {
 	select {
 	case old := <-t.offers:
-		go old.a.End(hollyspur.Void, nil) // never sent; End posts to this goroutine's queue
+		go old.a.End(balancer.Void, nil) // never sent; End posts to this goroutine's queue
 	default:
 	}
 	t.offers <- offer{ctx, a}
@@ -53,7 +53,7 @@
 		select {
 		case o := <-t.offers:
 			if o.a == a {
-				a.End(hollyspur.Void, nil)
+				a.End(balancer.Void, nil)
 				return
 			}
 			t.offers <- o // a later one; there is room, for it was taken out just now
@@ -65,14 +65,14 @@
 // offer puts back an attempt that was looked at; false if it could not wait on, and has ended.
 func (t *ticket) offer(o offer) bool {
 	if o.ctx.Err() != nil {
-		o.a.End(hollyspur.Void, nil)
+		o.a.End(balancer.Void, nil)
 		return false
 	}
 	select {
 	case t.offers <- o:
 		return true
 	default: // there is a later one
-		o.a.End(hollyspur.Void, nil)
+		o.a.End(balancer.Void, nil)
 		return true
 	}
 }
@@ -81,7 +81,7 @@
 func (t *ticket) void() {
 	select {
 	case o := <-t.offers:
-		o.a.End(hollyspur.Void, nil)
+		o.a.End(balancer.Void, nil)
 	default:
 	}
 }
@@ -96,7 +96,7 @@
 }
 
 // settle ends the attempt that is carried, and the request with it: the client has its answer.
-func (t *ticket) settle(ending hollyspur.Ending) {
+func (t *ticket) settle(ending balancer.Ending) {
 	t.mu.Lock()
 	out := t.out
 	t.out = nil
@@ -121,7 +121,7 @@
 }
 
 // end ends an attempt, if it is the one that is carried; nil stands for whichever is.
-func (t *ticket) end(a *engine.Attempt, ending hollyspur.Ending) {
+func (t *ticket) end(a *engine.Attempt, ending balancer.Ending) {
 	t.mu.Lock()
 	out := t.out
 	if out == nil || a != nil && a != out {
--- a/internal/front/http1/ahead.go
+++ b/internal/front/http1/ahead.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/pool"
+	"cranegrade/internal/pool"
 )
 
 // A caller may send requests behind one that is still being answered (RFC 9112, section 9.3.2). The library reads them
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/message"
+	"cranegrade/internal/message"
 )
 
 const (
--- a/internal/front/http1/body_test.go
+++ b/internal/front/http1/body_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
 )
 
 // writer is a ResponseWriter whose deadlines can be set.
--- a/internal/front/http1/callers.go
+++ b/internal/front/http1/callers.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/peek"
-	"hollyspur/internal/pool"
+	"cranegrade/internal/peek"
+	"cranegrade/internal/pool"
 )
 
 // callers accepts callers' connections, as many at once as there is room for: each is held on the
--- a/internal/front/http1/callers_test.go
+++ b/internal/front/http1/callers_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/pool"
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/pool"
+	"cranegrade/internal/testkit"
 )
 
 const limit = testkit.Limit
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
-	"hollyspur/internal/pool"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+	"cranegrade/internal/pool"
 )
 
 const (
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
-	"hollyspur/internal/pool"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+	"cranegrade/internal/pool"
 )
 
 // platform is the Speech of the protocol's page.
@@ -62,7 +62,7 @@
 	h := hr.Header
 	class, known := p.Class(name)
 	method := http.MethodPost
-	if class.Effect == hollyspur.Safe {
+	if class.Effect == balancer.Safe {
 		method = http.MethodGet
 	}
 	claim, claimed := message.ParseTimeLeft(h.Get("X-Time-Left"))
@@ -85,7 +85,7 @@
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "GET has no body"}
 	case len(ids) != 1 || ids[0] == "":
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one X-Correlation-Id"}
-	case class.Effect == hollyspur.Keyed && (len(keys) != 1 || keys[0] == ""):
+	case class.Effect == balancer.Keyed && (len(keys) != 1 || keys[0] == ""):
 		// Without its key the servers would run every repeat.
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
 	case !claimed || claim > longClaim*class.Deadline:
--- a/internal/grpc/grpc.go
+++ b/internal/grpc/grpc.go
@@ -17,8 +17,8 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"hollyspur"
-	"hollyspur/internal/message"
+	"cranegrade/balancer"
+	"cranegrade/internal/message"
 )
 
 // Code is a status.
@@ -200,7 +200,7 @@
 
 // Verdict is what an answer means.
 type Verdict struct {
-	Ending hollyspur.Ending
+	Ending balancer.Ending
 	Code   Code
 	Fields []message.Field // grpc-status and what goes with it, and the trailing metadata; nil: it told no status
 }
@@ -236,21 +236,21 @@
 	}
 	code, err := strconv.ParseUint(text, 10, 8)
 	if !Begins(a.Status, a.Header) || n != 1 || err != nil {
-		v := Verdict{Ending: hollyspur.Failure, Code: Unknown}
+		v := Verdict{Ending: balancer.Failure, Code: Unknown}
 		if a.Status == 503 && unprocessed {
-			v.Ending = hollyspur.Overloaded
+			v.Ending = balancer.Overloaded
 		}
 		return v
 	}
-	v := Verdict{Ending: hollyspur.Success, Code: Code(code), Fields: fields}
+	v := Verdict{Ending: balancer.Success, Code: Code(code), Fields: fields}
 	switch {
 	case a.Garbled || v.Code == OK && a.Messages.End() != nil:
-		return Verdict{Ending: hollyspur.Failure, Code: Internal}
+		return Verdict{Ending: balancer.Failure, Code: Internal}
 	case unprocessed && a.Messages.Count == 0 && a.Messages.End() == nil && (v.Code == Unavailable || v.Code == ResourceExhausted):
-		v.Ending = hollyspur.Overloaded
+		v.Ending = balancer.Overloaded
 	case v.Code == Unknown, v.Code == DeadlineExceeded, v.Code == ResourceExhausted, v.Code == Internal, v.Code == Unavailable,
 		v.Code == DataLoss, v.Code > Unauthenticated:
-		v.Ending = hollyspur.Failure
+		v.Ending = balancer.Failure
 	}
 	return v
 }
--- a/internal/grpc/grpc_test.go
+++ b/internal/grpc/grpc_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"hollyspur"
-	"hollyspur/internal/message"
+	"cranegrade/balancer"
+	"cranegrade/internal/message"
 )
 
 func TestTimeout(t *testing.T) {
@@ -96,27 +96,27 @@
 	one := body(frame(0, 3)...)
 	for name, c := range map[string]struct {
 		a      Answer
-		ending hollyspur.Ending
+		ending balancer.Ending
 		code   Code
 		told   bool
 	}{
-		"ok":                             {Answer{200, head, f("grpc-status", "0"), one, false}, hollyspur.Success, OK, true},
-		"no such thing":                  {Answer{200, head, f("grpc-status", "5"), Scanner{}, false}, hollyspur.Success, NotFound, true},
-		"a status in the headers":        {Answer{200, f("content-type", "application/grpc", "grpc-status", "3"), nil, Scanner{}, false}, hollyspur.Success, InvalidArgument, true},
-		"not able":                       {Answer{200, head, f("grpc-status", "14"), Scanner{}, false}, hollyspur.Failure, Unavailable, true},
-		"not able, and not begun":        {Answer{200, head, f("grpc-status", "14", "x-unprocessed", "1"), Scanner{}, false}, hollyspur.Overloaded, Unavailable, true},
-		"not begun, but messages came":   {Answer{200, head, f("grpc-status", "14", "x-unprocessed", "1"), one, false}, hollyspur.Failure, Unavailable, true},
-		"internal, said not to be begun": {Answer{200, head, f("grpc-status", "13", "x-unprocessed", "1"), Scanner{}, false}, hollyspur.Failure, Internal, true},
-		"a trailer without a status":     {Answer{200, head, f("x", "y"), one, false}, hollyspur.Failure, Unknown, false},
-		"no trailer, no status":          {Answer{200, head, nil, one, false}, hollyspur.Failure, Unknown, false},
-		"two statuses":                   {Answer{200, head, f("grpc-status", "0", "grpc-status", "0"), one, false}, hollyspur.Failure, Unknown, false},
-		"a status that is no number":     {Answer{200, head, f("grpc-status", "ok"), one, false}, hollyspur.Failure, Unknown, false},
-		"a status nobody knows":          {Answer{200, head, f("grpc-status", "77"), Scanner{}, false}, hollyspur.Failure, 77, true},
-		"ok with half a message":         {Answer{200, head, f("grpc-status", "0"), body(frame(0, 3)[:6]...), false}, hollyspur.Failure, Internal, false},
-		"ok with what is no message":     {Answer{200, head, f("grpc-status", "0"), Scanner{}, true}, hollyspur.Failure, Internal, false},
-		"another content":                {Answer{200, f("content-type", "text/html"), f("grpc-status", "0"), one, false}, hollyspur.Failure, Unknown, false},
-		"503":                            {Answer{503, f("content-type", "text/plain"), nil, Scanner{}, false}, hollyspur.Failure, Unknown, false},
-		"503, not begun":                 {Answer{503, f("x-unprocessed", "1"), nil, Scanner{}, false}, hollyspur.Overloaded, Unknown, false},
+		"ok":                             {Answer{200, head, f("grpc-status", "0"), one, false}, balancer.Success, OK, true},
+		"no such thing":                  {Answer{200, head, f("grpc-status", "5"), Scanner{}, false}, balancer.Success, NotFound, true},
+		"a status in the headers":        {Answer{200, f("content-type", "application/grpc", "grpc-status", "3"), nil, Scanner{}, false}, balancer.Success, InvalidArgument, true},
+		"not able":                       {Answer{200, head, f("grpc-status", "14"), Scanner{}, false}, balancer.Failure, Unavailable, true},
+		"not able, and not begun":        {Answer{200, head, f("grpc-status", "14", "x-unprocessed", "1"), Scanner{}, false}, balancer.Overloaded, Unavailable, true},
+		"not begun, but messages came":   {Answer{200, head, f("grpc-status", "14", "x-unprocessed", "1"), one, false}, balancer.Failure, Unavailable, true},
+		"internal, said not to be begun": {Answer{200, head, f("grpc-status", "13", "x-unprocessed", "1"), Scanner{}, false}, balancer.Failure, Internal, true},
+		"a trailer without a status":     {Answer{200, head, f("x", "y"), one, false}, balancer.Failure, Unknown, false},
+		"no trailer, no status":          {Answer{200, head, nil, one, false}, balancer.Failure, Unknown, false},
+		"two statuses":                   {Answer{200, head, f("grpc-status", "0", "grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
+		"a status that is no number":     {Answer{200, head, f("grpc-status", "ok"), one, false}, balancer.Failure, Unknown, false},
+		"a status nobody knows":          {Answer{200, head, f("grpc-status", "77"), Scanner{}, false}, balancer.Failure, 77, true},
+		"ok with half a message":         {Answer{200, head, f("grpc-status", "0"), body(frame(0, 3)[:6]...), false}, balancer.Failure, Internal, false},
+		"ok with what is no message":     {Answer{200, head, f("grpc-status", "0"), Scanner{}, true}, balancer.Failure, Internal, false},
+		"another content":                {Answer{200, f("content-type", "text/html"), f("grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
+		"503":                            {Answer{503, f("content-type", "text/plain"), nil, Scanner{}, false}, balancer.Failure, Unknown, false},
+		"503, not begun":                 {Answer{503, f("x-unprocessed", "1"), nil, Scanner{}, false}, balancer.Overloaded, Unknown, false},
 	} {
 		if v := Judge(c.a); v.Ending != c.ending || v.Code != c.code || (v.Fields != nil) != c.told {
 			t.Errorf("%s: %+v", name, v)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -12,14 +12,14 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/orders"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/orders"
+	"cranegrade/internal/testkit"
 )
 
 func sample() State {
 	s := State{Version: Version, At: 5, Seen: []uint64{1, 1 << 63}, Pools: []Pool{{Name: "p", List: "41",
-		Servers: []Listed{{ID: "a", Addr: "127.0.0.1:1", State: hollyspur.Draining, Boot: 7}}, Knowledge: &hollyspur.Knowledge{Window: 3}}}}
+		Servers: []Listed{{ID: "a", Addr: "127.0.0.1:1", State: balancer.Draining, Boot: 7}}, Knowledge: &balancer.Knowledge{Window: 3}}}}
 	s.Orders.Server("a", true, 9)
 	return s
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"hollyspur/internal/orders"
+	"cranegrade/internal/orders"
 )
 
 const (
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -10,8 +10,8 @@
 	"fmt"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/orders"
+	"cranegrade/balancer"
+	"cranegrade/internal/orders"
 )
 
 // Version is that of the form. A reader takes its own and ignores fields that it does not know; of another it takes
@@ -31,23 +31,23 @@
 
 // Pool is what one pool holds.
 type Pool struct {
-	Name      string               `json:"name"`
-	List      string               `json:"list"` // the list's version; "": none was had from the source
-	Servers   []Listed             `json:"servers"`
-	Knowledge *hollyspur.Knowledge `json:"knowledge,omitempty"`
+	Name      string              `json:"name"`
+	List      string              `json:"list"` // the list's version; "": none was had from the source
+	Servers   []Listed            `json:"servers"`
+	Knowledge *balancer.Knowledge `json:"knowledge,omitempty"`
 }
 
 // Listed is an entry of the list as the source told it, without orders.
 type Listed struct {
-	ID     string                `json:"id"`
-	Addr   string                `json:"addr"`
-	Zone   string                `json:"zone,omitempty"`
-	Cell   int                   `json:"cell,omitempty"`
-	State  hollyspur.ServerState `json:"state"`
-	Size   float64               `json:"size,omitempty"`
-	Boot   time.Duration         `json:"boot,omitempty"`
-	Weight float64               `json:"weight,omitempty"`
-	Rank   int                   `json:"priority,omitempty"`
+	ID     string               `json:"id"`
+	Addr   string               `json:"addr"`
+	Zone   string               `json:"zone,omitempty"`
+	Cell   int                  `json:"cell,omitempty"`
+	State  balancer.ServerState `json:"state"`
+	Size   float64              `json:"size,omitempty"`
+	Boot   time.Duration        `json:"boot,omitempty"`
+	Weight float64              `json:"weight,omitempty"`
+	Rank   int                  `json:"priority,omitempty"`
 }
 
 // maxState bounds the text of a state.
@@ -77,7 +77,7 @@
 	for _, p := range s.Pools {
 		seen := make(map[string]bool, len(p.Servers))
 		for _, v := range p.Servers {
-			if v.ID == "" || seen[v.ID] || v.State < hollyspur.Ready || v.State > hollyspur.Gone {
+			if v.ID == "" || seen[v.ID] || v.State < balancer.Ready || v.State > balancer.Gone {
 				return State{}, fmt.Errorf("pool %.40q: server %.40q is nameless, there twice or in no state", p.Name, v.ID)
 			}
 			seen[v.ID] = true
--- a/internal/exchange/control/control.go
+++ b/internal/mesh/api/control.go
@@ -1,6 +1,6 @@
 // Package control is the calls of servers and operators: each is a pair of types, the call and its answer, behind one
 // generic handler that reads, bounds and words them.
-package control
+package api
 
 import (
 	"context"
--- a/internal/exchange/patch/diff.go
+++ b/internal/mesh/config/diff.go
@@ -1,4 +1,4 @@
-package patch
+package config
 
 import (
 	"bytes"
--- a/internal/exchange/patch/fault.go
+++ b/internal/mesh/config/fault.go
@@ -1,4 +1,4 @@
-package patch
+package config
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/jack"
+	"cranegrade/internal/mesh/validation"
 )
 
 // Errors of this layer: the call's own fault; a version that has another content already, or a rule that another refuses; and
@@ -68,12 +68,12 @@
 	if len(f.source) == 0 || at < 0 {
 		return
 	}
-	f.Line = max(1, jack.LineOf(f.source, f.Field)) + bytes.Count(text[:at], []byte("\n"))
+	f.Line = max(1, validation.LineOf(f.source, f.Field)) + bytes.Count(text[:at], []byte("\n"))
 }
 
 // checkTags checks an item by its struct tags; the error names the item and the field. nil: it is fine.
 func checkTags(item string, v any) *FieldError {
-	if f := jack.Check(v); f != nil {
+	if f := validation.Check(v); f != nil {
 		return newFieldError(item, f.Field, "%s", f.Text)
 	}
 	return nil
--- a/internal/exchange/patch/history.go
+++ b/internal/mesh/config/history.go
@@ -1,4 +1,4 @@
-package patch
+package config
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/mesh/operations"
+	"cranegrade/internal/mesh/operations"
 )
 
 // digest is that of the item's content, without its version.
--- a/internal/exchange/patch/history_test.go
+++ b/internal/mesh/config/history_test.go
@@ -1,4 +1,4 @@
-package patch
+package config
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	"github.com/juju/errors"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/mesh/operations"
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/mesh/operations"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/testkit"
 )
 
 func removal(list, name string, version int) string {
@@ -41,8 +41,8 @@
 // stored is a table as it is read back from a register's disk.
 func stored(t *testing.T, table Table) Table {
 	t.Helper()
-	text := trunk.EncodeTable(&wire.StateT{Items: TableToStorage(table)})
-	state, err := trunk.DecodeTable(text, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
+	text := transport.EncodeTable(&wire.StateT{Items: TableToStorage(table)})
+	state, err := transport.DecodeTable(text, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
 	assert.NilError(t, err)
 	return TableFromStorage(state.Items)
 }
@@ -133,7 +133,7 @@
 	}
 	assert.Equal(t, table.operationCount, count(table))
 	assert.Equal(t, other.operationCount, count(other))
-	assert.Assert(t, bytes.Equal(trunk.EncodeTable(&wire.StateT{Items: TableToStorage(other)}), trunk.EncodeTable(&wire.StateT{Items: TableToStorage(table)})))
+	assert.Assert(t, bytes.Equal(transport.EncodeTable(&wire.StateT{Items: TableToStorage(other)}), transport.EncodeTable(&wire.StateT{Items: TableToStorage(table)})))
 	assert.Assert(t, count(table) >= operationsAfterPruning)
 	_, _, err := table.ApplyItems([]Item{route(3, 1)})
 	assert.Assert(t, errors.Is(err, ErrUndetermined), "%v", err)
@@ -217,9 +217,9 @@
 			case err != nil:
 				refused++
 			}
-			want := trunk.EncodeTable(ItemsToWire(before.Items()))
-			assert.Assert(t, bytes.Equal(trunk.EncodeTable(ItemsToWire(right.Items())), want))
-			assert.Assert(t, bytes.Equal(trunk.EncodeTable(ItemsToWire(forgetful.Items())), want))
+			want := transport.EncodeTable(ItemsToWire(before.Items()))
+			assert.Assert(t, bytes.Equal(transport.EncodeTable(ItemsToWire(right.Items())), want))
+			assert.Assert(t, bytes.Equal(transport.EncodeTable(ItemsToWire(forgetful.Items())), want))
 		}
 	}
 	assert.Assert(t, raised > 1000 && refused > 1000 && open > 100, "%d raised, %d refused, %d open: the calls are too tame", raised, refused, open)
--- a/internal/exchange/patch/patch.go
+++ b/internal/mesh/config/patch.go
@@ -2,7 +2,7 @@
 // is pure. An item's highest version holds; a lower or equal one changes nothing. A version that was taken with one content
 // is refused with another, together with all that came in the same call, and a call that was taken is taken again without
 // effect whatever has been taken since.
-package patch
+package config
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/mesh/operations"
+	"cranegrade/internal/mesh/operations"
+	"cranegrade/internal/mesh/policy"
 )
 
 // Kind says what an item is.
@@ -82,10 +82,10 @@
 // Table is the configuration: each item's newest. It is never changed once made.
 type Table struct {
 	items          map[Key]Item
-	tombstones     int            // of items
-	operationCount int            // operations that are remembered in all
-	policyCount    int            // namespaces and rulings that stand
-	policySet      *classmark.Set // of all of them, once it was made
+	tombstones     int         // of items
+	operationCount int         // operations that are remembered in all
+	policyCount    int         // namespaces and rulings that stand
+	policySet      *policy.Set // of all of them, once it was made
 }
 
 // Len is how many items there are, dropped ones among them.
@@ -192,7 +192,7 @@
 // Which items stand follows from the call and the items alone; the history decides on the answer. So registers whose histories
 // differ agree on the items. A call that raises items and has a version of another that was taken with another content takes
 // effect and is not acknowledged (ErrOpen): Admit turns it down before it is proposed.
-func (t Table) ApplyUpdate(c Update) (_ Table, raised []Item, effects []classmark.Effect, err error) {
+func (t Table) ApplyUpdate(c Update) (_ Table, raised []Item, effects []policy.Effect, err error) {
 	verdict, doubt := t.classifyUpdate(c)
 	if verdict == operations.Duplicate || verdict == operations.Unknown {
 		return t, nil, nil, doubt
--- a/internal/exchange/patch/read.go
+++ b/internal/mesh/config/read.go
@@ -1,4 +1,4 @@
-package patch
+package config
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/exchange/night"
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/policy"
 )
 
 // Seconds is a time as the wire has it.
@@ -255,7 +255,7 @@
 		items = append(items, Item{Key: Key{KindService, g.Name}, Version: g.ConfigVersion, Body: canonicalJSON(raw)})
 	}
 	for _, raw := range s.ContractList {
-		var c night.Contract
+		var c maintenance.Contract
 		if err := json.Unmarshal(raw, &c); err != nil {
 			return nil, decodeError("a contract", nil, err).withSource(raw)
 		}
@@ -265,7 +265,7 @@
 		items = append(items, Item{Key: Key{KindContract, c.Name}, Version: c.ConfigVersion, Body: canonicalJSON(raw)})
 	}
 	for _, raw := range s.NamespaceList {
-		var n classmark.Namespace
+		var n policy.Namespace
 		if err := json.Unmarshal(raw, &n); err != nil {
 			return nil, decodeError("a namespace", nil, err).withSource(raw)
 		}
@@ -275,7 +275,7 @@
 		items = append(items, Item{Key: Key{KindNamespace, n.Name}, Version: n.ConfigVersion, Body: canonicalJSON(raw)})
 	}
 	for _, raw := range s.RulingList {
-		var r classmark.Policy
+		var r policy.Policy
 		if err := json.Unmarshal(raw, &r); err != nil {
 			return nil, decodeError("a ruling", nil, err).withSource(raw)
 		}
--- a/internal/exchange/patch/ruled.go
+++ b/internal/mesh/config/ruled.go
@@ -1,16 +1,16 @@
-package patch
+package config
 
 import (
 	"encoding/json"
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/classmark"
+	"cranegrade/internal/mesh/policy"
 )
 
 // checkPolicies has namespaces' rules looked at, where there are any, and turns the errors of that.
-func checkPolicies(t, next *Table, raised []Item, c Update) ([]classmark.Effect, error) {
-	change := classmark.Change{Author: c.Author, Consents: c.Consents}
+func checkPolicies(t, next *Table, raised []Item, c Update) ([]policy.Effect, error) {
+	change := policy.Change{Author: c.Author, Consents: c.Consents}
 	for _, i := range raised {
 		switch i.Kind {
 		case KindNamespace:
@@ -27,11 +27,11 @@
 		t.policySet = NewPolicySet(*t, *t)
 	}
 	next.policySet = NewPolicySet(*next, *next)
-	effects, err := classmark.Evaluate(t.policySet, next.policySet, change)
+	effects, err := policy.Evaluate(t.policySet, next.policySet, change)
 	switch {
-	case errors.Is(err, classmark.ErrInvalidSet):
+	case errors.Is(err, policy.ErrInvalidSet):
 		return nil, newFieldError("the call", "", "%v", err)
-	case errors.Is(err, classmark.ErrConflict):
+	case errors.Is(err, policy.ErrConflict):
 		return nil, errors.WithType(err, ErrConflict)
 	case err != nil:
 		return nil, errors.WithType(err, ErrForbidden)
@@ -40,20 +40,20 @@
 }
 
 // NewPolicySet are the routes of one table with the namespaces and rulings of another.
-func NewPolicySet(routes, rules Table) *classmark.Set {
-	var spaces []classmark.Namespace
-	var rulings []classmark.Policy
-	var l []classmark.Route
+func NewPolicySet(routes, rules Table) *policy.Set {
+	var spaces []policy.Namespace
+	var rulings []policy.Policy
+	var l []policy.Route
 	if rules.policyCount > 0 {
 		for _, i := range rules.items {
 			switch {
 			case i.Deleted:
 			case i.Kind == KindNamespace:
-				var n classmark.Namespace
+				var n policy.Namespace
 				json.Unmarshal(i.Body, &n) // checked when it was taken
 				spaces = append(spaces, n)
 			case i.Kind == KindPolicy:
-				var r classmark.Policy
+				var r policy.Policy
 				json.Unmarshal(i.Body, &r)
 				rulings = append(rulings, r)
 			}
@@ -66,12 +66,12 @@
 			}
 		}
 	}
-	return classmark.NewSet(spaces, rulings, l)
+	return policy.NewSet(spaces, rulings, l)
 }
 
 // policyRoute is a route as classmark knows it.
-func (i Item) policyRoute(r *RouteSpec) classmark.Route {
-	x := classmark.Route{Name: r.Name, Host: i.Host, Prefix: r.MatchCriteria.PathPrefix, Version: i.Version, TimeoutS: float64(r.ForwardAction.TimeoutS),
+func (i Item) policyRoute(r *RouteSpec) policy.Route {
+	x := policy.Route{Name: r.Name, Host: i.Host, Prefix: r.MatchCriteria.PathPrefix, Version: i.Version, TimeoutS: float64(r.ForwardAction.TimeoutS),
 		MaxAttempts: r.ForwardAction.RetryCount, Priority: r.Priority, AtMostOnce: r.RouteType == "keyed" || r.RouteType == "non_idempotent"}
 	for _, s := range r.Destinations() {
 		x.Services = append(x.Services, s.Service)
@@ -101,7 +101,7 @@
 		return ""
 	}
 	l := t.PolicyItems().Items()
-	return classmark.Fingerprint(len(l), func(n int) (string, int64, []byte) {
+	return policy.Fingerprint(len(l), func(n int) (string, int64, []byte) {
 		return l[n].Kind.String() + " " + l[n].Key.Name, l[n].Version, l[n].Body
 	})
 }
--- a/internal/exchange/patch/ruled_test.go
+++ b/internal/mesh/config/ruled_test.go
@@ -1,4 +1,4 @@
-package patch
+package config
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/classmark"
+	"cranegrade/internal/mesh/policy"
 )
 
 const spaces = `{"Upsert":{"NamespaceList":[{"Name":"shop","ConfigVersion":1,"Owners":["ana"],"Hosts":["h.example"]},{"Name":"store","ConfigVersion":1,"Owners":["bo"],"Services":["s"]}]}}`
@@ -85,7 +85,7 @@
 	assert.Assert(t, !table.HasPolicyItems())
 }
 
-func mustRoute(t *testing.T, table Table) classmark.Route {
+func mustRoute(t *testing.T, table Table) policy.Route {
 	t.Helper()
 	r, is := NewPolicySet(table, table).Route("r")
 	assert.Assert(t, is)
--- a/internal/exchange/patch/wire.go
+++ b/internal/mesh/config/wire.go
@@ -1,10 +1,10 @@
-package patch
+package config
 
 import (
 	"time"
 
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/mesh/operations"
+	"cranegrade/internal/mesh/operations"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // ItemsToWire words items for the trunk, and ItemsOf reads them.
--- a/internal/exchange/register/calls.go
+++ b/internal/mesh/controlplane/calls.go
@@ -1,38 +1,38 @@
-package register
+package controlplane
 
 import (
 	"context"
 	"net"
 	"net/http"
 
-	"hollyspur/internal/exchange/control"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/replica"
 )
 
 // newAPIServer are the operators' calls.
 func (r *Member) newAPIServer() *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/configuration/modify", control.NewHandler(maxRequestBytes, replica.CallTimeout,
-		func(ctx context.Context, _ *http.Request, call control.RawBody) (control.Empty, error) {
-			return control.Empty{}, r.modify(ctx, call)
+	mux.HandleFunc("POST /v1/configuration/modify", api.NewHandler(maxRequestBytes, replica.CallTimeout,
+		func(ctx context.Context, _ *http.Request, call api.RawBody) (api.Empty, error) {
+			return api.Empty{}, r.modify(ctx, call)
 		}))
-	mux.HandleFunc("GET /v1/configuration/fetch", control.NewHandler(0, replica.CallTimeout,
-		func(ctx context.Context, _ *http.Request, _ control.Empty) (patch.Document, error) {
+	mux.HandleFunc("GET /v1/configuration/fetch", api.NewHandler(0, replica.CallTimeout,
+		func(ctx context.Context, _ *http.Request, _ api.Empty) (config.Document, error) {
 			return r.fetch(ctx)
 		}))
-	mux.HandleFunc("POST /v1/night", control.NewHandler(maxRequestBytes, replica.CallTimeout, atLeader(r, r.answerMaintenance)))
-	mux.HandleFunc("POST /v1/rules", control.NewHandler(maxRequestBytes, replica.CallTimeout, atLeader(r, r.answerPolicy)))
-	return control.NewServer(mux)
+	mux.HandleFunc("POST /v1/night", api.NewHandler(maxRequestBytes, replica.CallTimeout, atLeader(r, r.answerMaintenance)))
+	mux.HandleFunc("POST /v1/rules", api.NewHandler(maxRequestBytes, replica.CallTimeout, atLeader(r, r.answerPolicy)))
+	return api.NewServer(mux)
 }
 
 // modify has an operator's call agreed on, here or at the leader.
 func (r *Member) modify(ctx context.Context, body []byte) error {
-	c, err := patch.ParseUpdate(body)
+	c, err := config.ParseUpdate(body)
 	if err != nil {
 		reply := replica.ErrorReply(err)
 		r.log.Info().Err(err).Msg("a call was refused")
-		return control.NewError(reply.Status, string(reply.Body))
+		return api.NewError(reply.Status, string(reply.Body))
 	}
 	done := make(chan replica.Reply, 1)
 	r.post(func() {
@@ -43,9 +43,9 @@
 		if reply.Status == http.StatusOK {
 			return nil
 		}
-		return control.NewError(reply.Status, string(reply.Body))
+		return api.NewError(reply.Status, string(reply.Body))
 	case <-ctx.Done():
-		return control.NewError(http.StatusServiceUnavailable, "not agreed on in time; it may still be taken")
+		return api.NewError(http.StatusServiceUnavailable, "not agreed on in time; it may still be taken")
 	}
 }
 
@@ -61,12 +61,12 @@
 			if !r.replica.IsLeader() {
 				lead := r.replica.LeaderAddress()
 				if lead == "" {
-					got <- told{err: control.NewError(http.StatusServiceUnavailable, "no leader is known")}
+					got <- told{err: api.NewError(http.StatusServiceUnavailable, "no leader is known")}
 					return
 				}
 				host, _, _ := net.SplitHostPort(lead)
 				_, port, _ := net.SplitHostPort(r.settings.Load().ListenAddrs.ControlPlane)
-				got <- told{err: control.Redirect("http://" + net.JoinHostPort(host, port) + hr.URL.Path)}
+				got <- told{err: api.Redirect("http://" + net.JoinHostPort(host, port) + hr.URL.Path)}
 				return
 			}
 			take(call, func(a A, err error) { got <- told{a, err} })
@@ -75,16 +75,16 @@
 		case x := <-got:
 			return x.a, x.err
 		case <-ctx.Done():
-			return a, control.NewError(http.StatusServiceUnavailable, "not agreed on in time; it may still be taken")
+			return a, api.NewError(http.StatusServiceUnavailable, "not agreed on in time; it may still be taken")
 		}
 	}
 }
 
 // fetch is the configuration, no older than anything acknowledged.
-func (r *Member) fetch(ctx context.Context) (patch.Document, error) {
-	got := make(chan *patch.Document, 1)
+func (r *Member) fetch(ctx context.Context) (config.Document, error) {
+	got := make(chan *config.Document, 1)
 	r.post(func() {
-		r.replica.Fetch(r.now(), func(set patch.Document, ok bool) {
+		r.replica.Fetch(r.now(), func(set config.Document, ok bool) {
 			if !ok {
 				got <- nil
 				return
@@ -99,5 +99,5 @@
 		}
 	case <-ctx.Done():
 	}
-	return patch.Document{}, control.NewError(http.StatusServiceUnavailable, "the core could not confirm it in time")
+	return config.Document{}, api.NewError(http.StatusServiceUnavailable, "the core could not confirm it in time")
 }
--- a/internal/exchange/register/environment.go
+++ b/internal/mesh/controlplane/environment.go
@@ -1,21 +1,21 @@
-package register
+package controlplane
 
 import (
 	"context"
 	"time"
 
-	"hollyspur/internal/exchange/control"
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/vault"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport"
 )
 
 // environment is what the replica acts through. All of it is called on Run's goroutine.
 type environment struct{ member *Member }
 
-func (e environment) Send(address string, m core.Message) {
-	e.member.link(address).send(vault.MessageToWire(m))
+func (e environment) Send(address string, m raft.Message) {
+	e.member.link(address).send(storage.MessageToWire(m))
 }
 
 func (e environment) Connect(address string) { e.member.link(address).connect() }
@@ -23,7 +23,7 @@
 func (e environment) CallReplica(address string, kind byte, body []byte, done func(replica.Reply)) {
 	l := e.member.link(address)
 	go func() {
-		ctx, cancel := context.WithTimeout(e.member.ctx, control.TimeoutFor(replica.CallTimeout, len(body)))
+		ctx, cancel := context.WithTimeout(e.member.ctx, api.TimeoutFor(replica.CallTimeout, len(body)))
 		defer cancel()
 		reply := replica.Unavailable("")
 		if t, err := l.call(ctx, kind, body); err == nil {
@@ -36,7 +36,7 @@
 }
 
 // Save writes until it is written, or the process is to end: without the disk this register may say nothing that rests on it.
-func (e environment) Save(ready core.Ready, last uint64) bool {
+func (e environment) Save(ready raft.Ready, last uint64) bool {
 	r := e.member
 	for tries := 0; ; tries++ {
 		err := r.store.Save(ready, last)
@@ -60,7 +60,7 @@
 	}
 }
 
-func (e environment) Compact(s core.Snapshot, kept uint64) {
+func (e environment) Compact(s raft.Snapshot, kept uint64) {
 	if err := e.member.store.Compact(s, kept); err != nil {
 		e.member.log.Error().Err(err).Msg("the vault can't be written")
 		e.member.store.Reopen()
@@ -68,14 +68,14 @@
 }
 
 func (e environment) BroadcastToSidecars(message any) {
-	frame := trunk.Encode(message)
+	frame := transport.Encode(message)
 	for c := range e.member.sidecars {
 		c.SendFrame(frame)
 	}
 }
 
 func (e environment) BroadcastToReplicas(message any) {
-	frame := trunk.Encode(message)
+	frame := transport.Encode(message)
 	e.member.mu.Lock()
 	defer e.member.mu.Unlock()
 	for _, l := range e.member.links {
--- a/internal/exchange/register/gone.go
+++ b/internal/mesh/controlplane/gone.go
@@ -1,4 +1,4 @@
-package register
+package controlplane
 
 import (
 	"errors"
--- a/internal/exchange/register/gone_test.go
+++ b/internal/mesh/controlplane/gone_test.go
@@ -1,4 +1,4 @@
-package register
+package controlplane
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/rig"
 )
 
 const testTimeout = 20 * time.Second
--- a/internal/exchange/register/inspect.go
+++ b/internal/mesh/controlplane/inspect.go
@@ -1,4 +1,4 @@
-package register
+package controlplane
 
 import (
 	"fmt"
@@ -6,23 +6,23 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/vault"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/storage"
 )
 
 // DiskContents is what a data folder holds, with all of its log applied, committed or not.
 type DiskContents struct {
 	Format       int           `json:"format"`
 	Empty        bool          `json:"empty"`
-	Self         core.ID       `json:"self"`
+	Self         raft.ID       `json:"self"`
 	Term         uint64        `json:"term"`
-	Vote         core.ID       `json:"vote"`
+	Vote         raft.ID       `json:"vote"`
 	Snapshot     uint64        `json:"snapshot"` // the entry that it stands for
 	SnapshotTerm uint64        `json:"snapshotTerm"`
 	Last         uint64        `json:"last"` // entry
-	Members      []core.Member `json:"members"`
+	Members      []raft.Member `json:"members"`
 	Keys         int           `json:"keys"`
 	Items        []StoredItem  `json:"items"`
 }
@@ -50,21 +50,21 @@
 
 // RecoverConfiguration is the configuration that a data folder holds, with all of its log applied, committed or not: for a core of which more
 // was lost than it bears. It is a call that brings it back.
-func RecoverConfiguration(dir string) (patch.ModifyRequest, error) {
+func RecoverConfiguration(dir string) (config.ModifyRequest, error) {
 	s, h, err := readDataFolder(dir)
 	if err != nil {
-		return patch.ModifyRequest{}, err
+		return config.ModifyRequest{}, err
 	}
 	if h.Empty {
-		return patch.ModifyRequest{}, errors.Errorf("%s holds nothing", dir)
+		return config.ModifyRequest{}, errors.Errorf("%s holds nothing", dir)
 	}
 	l := s.Items.Document()
-	return patch.ModifyRequest{Upsert: &l}, nil
+	return config.ModifyRequest{Upsert: &l}, nil
 }
 
 func readDataFolder(dir string) (s replica.State, h DiskContents, err error) {
-	held, empty, err := vault.OpenReadOnly(dir)
-	h.Format, h.Empty = vault.FormatVersion, empty
+	held, empty, err := storage.OpenReadOnly(dir)
+	h.Format, h.Empty = storage.FormatVersion, empty
 	if err != nil || empty {
 		return s, h, err
 	}
@@ -73,10 +73,10 @@
 	}
 	h.Members = held.Snapshot.Members
 	for _, e := range held.Entries {
-		if e.Kind == core.EntryConfiguration {
+		if e.Kind == raft.EntryConfiguration {
 			h.Members = e.Members
 		}
-		if e.Kind == core.EntryCommand {
+		if e.Kind == raft.EntryCommand {
 			s.Apply(e)
 		}
 	}
--- a/internal/exchange/register/links.go
+++ b/internal/mesh/controlplane/links.go
@@ -1,4 +1,4 @@
-package register
+package controlplane
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/exchange/vault"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // peerLink is a trunk to another register, dialled when there is something to say and kept.
@@ -23,7 +23,7 @@
 	address string
 
 	mu           sync.Mutex // guards below
-	connection   *trunk.Conn
+	connection   *transport.Conn
 	dialing      bool
 	noDialBefore time.Time // no dial before
 	quickRedials int       // redials since a connection ended
@@ -47,7 +47,7 @@
 }
 
 // connect is the connection if there is one; else one is dialled for the next time.
-func (l *peerLink) connect() *trunk.Conn {
+func (l *peerLink) connect() *transport.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.connection != nil && l.connection.Err() == nil {
@@ -63,7 +63,7 @@
 func (l *peerLink) dial() {
 	r := l.member
 	hello := &wire.HelloT{Name: r.settings.Load().NodeName, Addr: r.self.Addr, ControlPlane: true, MemberId: uint64(r.self.ID)}
-	c, err := trunk.Dial(r.ctx, l.address, hello, nil)
+	c, err := transport.Dial(r.ctx, l.address, hello, nil)
 	l.mu.Lock()
 	l.dialing = false
 	l.noDialBefore = time.Now().Add(redialInterval)
@@ -99,7 +99,7 @@
 	}
 }
 
-func (l *peerLink) send(v any) { l.sendFrame(trunk.Encode(v)) }
+func (l *peerLink) send(v any) { l.sendFrame(transport.Encode(v)) }
 
 // sendFrame sends a frame, or holds it while the trunk is being dialled.
 func (l *peerLink) sendFrame(p []byte) {
@@ -138,7 +138,7 @@
 			continue
 		}
 		go func() {
-			c, err := trunk.Accept(nc, r.heartbeat)
+			c, err := transport.Accept(nc, r.heartbeat)
 			if err != nil {
 				return
 			}
@@ -153,7 +153,7 @@
 	return &wire.HeartbeatT{QuorumContact: replica.HasQuorumContact(time.Duration(r.quorumContact.Load()), r.now())}
 }
 
-func (r *Member) serveConnection(c *trunk.Conn) {
+func (r *Member) serveConnection(c *transport.Conn) {
 	line := !c.Peer.ControlPlane
 	r.post(func() {
 		if line {
@@ -162,7 +162,7 @@
 				c.Send(message)
 			}
 		} else {
-			r.replica.RememberAddress(core.ID(c.Peer.MemberId), c.Peer.Addr)
+			r.replica.RememberAddress(raft.ID(c.Peer.MemberId), c.Peer.Addr)
 			r.link(c.Peer.Addr).dialNow()
 		}
 	})
@@ -174,18 +174,18 @@
 		}
 		switch v := m.Value.(type) {
 		case *wire.RaftMessageT:
-			if x, err := vault.MessageFromWire(v); err == nil && !line {
+			if x, err := storage.MessageFromWire(v); err == nil && !line {
 				r.post(func() { r.replica.Step(r.now(), x) })
 			}
 		case *wire.RecordsT:
 			r.post(func() { r.mergeRecords(directory.FromWire(v), c, line) })
 		case *wire.CallT:
 			switch v.Kind {
-			case trunk.CallLogRing: // not by Run's goroutine, which may be what hangs
+			case transport.CallLogRing: // not by Run's goroutine, which may be what hangs
 				c.Send(&wire.CallReplyT{Id: v.Id, Status: http.StatusOK, Body: r.logRing.Contents()})
-			case trunk.CallStatus:
+			case transport.CallStatus:
 				r.answerStatus(c, v.Id)
-			case trunk.CallModify:
+			case transport.CallModify:
 				go r.answerModify(c, v)
 			default:
 				r.post(func() { r.answerCall(c, v, line) })
@@ -195,7 +195,7 @@
 }
 
 // mergeRecords merges records that a line told, or another register.
-func (r *Member) mergeRecords(l []directory.Record, from *trunk.Conn, direct bool) {
+func (r *Member) mergeRecords(l []directory.Record, from *transport.Conn, direct bool) {
 	for _, held := range r.replica.MergeRecords(r.now(), l, direct) {
 		from.Send(directory.ToWire([]directory.Record{held}))
 	}
@@ -203,11 +203,11 @@
 
 // answerModify answers another register's call that an operator's call be agreed on. It is not read by Run's goroutine, which has
 // heartbeats to answer, nor by that of the trunk, on which they come.
-func (r *Member) answerModify(c *trunk.Conn, a *wire.CallT) {
+func (r *Member) answerModify(c *transport.Conn, a *wire.CallT) {
 	tell := func(reply replica.Reply) {
 		c.Send(&wire.CallReplyT{Id: a.Id, Status: uint16(reply.Status), Body: reply.Body})
 	}
-	call, err := patch.ParseUpdate(a.Body)
+	call, err := config.ParseUpdate(a.Body)
 	if err != nil {
 		tell(replica.ErrorReply(err))
 		return
@@ -216,7 +216,7 @@
 }
 
 // answerCall answers a call of a line or a register.
-func (r *Member) answerCall(c *trunk.Conn, a *wire.CallT, line bool) {
+func (r *Member) answerCall(c *transport.Conn, a *wire.CallT, line bool) {
 	r.replica.HandleCall(r.now(), a.Kind, a.Body, line, func(reply replica.Reply) {
 		if reply.Push != nil {
 			c.Send(reply.Push)
--- a/internal/exchange/register/night.go
+++ b/internal/mesh/controlplane/night.go
@@ -1,4 +1,4 @@
-package register
+package controlplane
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/exchange/control"
-	"hollyspur/internal/exchange/dialplan"
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/night"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/routing"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Times of the night service. Nothing of it runs where there are neither contracts nor orders.
@@ -38,7 +38,7 @@
 	surveying    bool
 	status       map[string]*wire.StatusT // by address, of those that answered
 	lastHeard    map[string]time.Duration // when each last did
-	samples      []night.ClockSample
+	samples      []maintenance.ClockSample
 	timeAgreedAt time.Duration
 	trustClocks  bool                     // an operator says that the clocks are right, whatever was agreed on before
 	readySince   map[string]time.Duration // since when a machine has been ready without a break
@@ -52,7 +52,7 @@
 // statusConnections are trunks to lines and registers, kept while there is an order.
 type statusConnections struct {
 	mu        sync.Mutex // guards below
-	byAddress map[string]*trunk.Client
+	byAddress map[string]*transport.Client
 }
 
 func (c *statusConnections) status(ctx context.Context, addr string) (*wire.StatusT, error) {
@@ -61,12 +61,12 @@
 	c.mu.Unlock()
 	if x == nil {
 		var err error
-		if x, err = trunk.DialClient(ctx, addr, "night", nil); err != nil {
+		if x, err = transport.DialClient(ctx, addr, "night", nil); err != nil {
 			return nil, err
 		}
 		c.mu.Lock()
 		if c.byAddress == nil {
-			c.byAddress = map[string]*trunk.Client{}
+			c.byAddress = map[string]*transport.Client{}
 		}
 		c.byAddress[addr] = x
 		c.mu.Unlock()
@@ -91,10 +91,10 @@
 }
 
 // readContracts are those that stand.
-func (r *Member) readContracts() (l []night.Contract) {
+func (r *Member) readContracts() (l []maintenance.Contract) {
 	for _, i := range r.replica.State().Items.Items() {
-		if i.Kind == patch.KindContract && !i.Deleted {
-			var c night.Contract
+		if i.Kind == config.KindContract && !i.Deleted {
+			var c maintenance.Contract
 			if json.Unmarshal(i.Body, &c) == nil {
 				l = append(l, c)
 			}
@@ -127,7 +127,7 @@
 }
 
 // currentContracts is contracts, read anew only where an item has changed since.
-func (r *Member) currentContracts() []night.Contract {
+func (r *Member) currentContracts() []maintenance.Contract {
 	if at := r.replica.State().ItemsIndex; at != r.contractsIndex {
 		r.contractsIndex, r.contracts = at, r.readContracts()
 	}
@@ -162,7 +162,7 @@
 		defer cancel()
 		var mu sync.Mutex
 		status := map[string]*wire.StatusT{r.self.Addr: own}
-		samples := []night.ClockSample{{Member: ids[r.self.Addr], Wall: r.wallClock(), ReadAt: r.now()}}
+		samples := []maintenance.ClockSample{{Member: ids[r.self.Addr], Wall: r.wallClock(), ReadAt: r.now()}}
 		var all sync.WaitGroup
 		for _, a := range addrs {
 			all.Go(func() {
@@ -176,7 +176,7 @@
 				defer mu.Unlock()
 				status[a] = s
 				if s.ControlPlane && s.WallTimeNs != 0 {
-					samples = append(samples, night.ClockSample{Member: ids[a], Wall: time.Unix(0, s.WallTimeNs), ReadAt: asked + (came-asked)/2, RoundTrip: came - asked})
+					samples = append(samples, maintenance.ClockSample{Member: ids[a], Wall: time.Unix(0, s.WallTimeNs), ReadAt: asked + (came-asked)/2, RoundTrip: came - asked})
 				}
 			})
 		}
@@ -209,7 +209,7 @@
 	}
 	held := n.Clock
 	if r.maintenance.trustClocks {
-		held = night.Clock{}
+		held = maintenance.Clock{}
 	}
 	c, err := held.Agree(r.replica.LogTime(now), r.maintenance.samples, now, len(members), gap)
 	if err != nil {
@@ -231,29 +231,29 @@
 	}
 	if !r.replica.Propose(r.now(), replica.EncodeChange(replica.ChangeMaintenance, &wire.MaintenanceChangeT{Kind: kind, Json: text}), func(o replica.Outcome, known bool) {
 		if !known {
-			o.Err = control.NewError(http.StatusServiceUnavailable, "another leader took over; it may still be taken")
+			o.Err = api.NewError(http.StatusServiceUnavailable, "another leader took over; it may still be taken")
 		}
 		done(o.Err)
 	}) {
-		done(control.NewError(http.StatusServiceUnavailable, "not the leader any more"))
+		done(api.NewError(http.StatusServiceUnavailable, "not the leader any more"))
 	}
 }
 
 // agreedTime is what time it may be; false: nothing is agreed on in this term.
-func (r *Member) agreedTime() (night.TimeBounds, bool) {
+func (r *Member) agreedTime() (maintenance.TimeBounds, bool) {
 	n := &r.replica.State().Maintenance
 	return n.Clock.Now(r.replica.LogTime(r.now())), n.Clock.IsKnown() && n.ClockTerm == r.replica.Term()
 }
 
 // meshView is the mesh as the night service sees it, without what an order itself has out.
-func (r *Member) meshView(but string) night.View {
+func (r *Member) meshView(but string) maintenance.View {
 	set := r.settings.Load()
-	v := night.View{Contracts: r.currentContracts(), Load: map[string]float64{}, Parameters: night.Parameters{DrainTimeout: set.Bounds.DrainS.Duration(), DownloadAllowance: downloadAllowance, WarmUp: warmUpTime,
+	v := maintenance.View{Contracts: r.currentContracts(), Load: map[string]float64{}, Parameters: maintenance.Parameters{DrainTimeout: set.Bounds.DrainS.Duration(), DownloadAllowance: downloadAllowance, WarmUp: warmUpTime,
 		Margin: maintenanceMargin, FaultTolerance: set.FaultTolerance.Machines}}
-	spaces := patch.NewPolicySet(patch.Table{}, r.replica.State().Items)
+	spaces := config.NewPolicySet(config.Table{}, r.replica.State().Items)
 	for _, l := range r.replica.Records().All() {
 		s := r.maintenance.status[l.Addr]
-		v.Machines = append(v.Machines, night.Machine{Addr: l.Addr, Name: l.Node, Zone: l.Zone, Service: l.Service, Namespaces: spaces.OwnersOfService(l.Service), Slots: int(l.Slots),
+		v.Machines = append(v.Machines, maintenance.Machine{Addr: l.Addr, Name: l.Node, Zone: l.Zone, Service: l.Service, Namespaces: spaces.OwnersOfService(l.Service), Slots: int(l.Slots),
 			Ready: l.State == directory.ServerReady && !l.Leaving && s != nil && s.Ready})
 		if s != nil {
 			v.Load[l.Service] += float64(s.OpenRequests)
@@ -261,7 +261,7 @@
 	}
 	members, _ := r.replica.Members()
 	for _, m := range members {
-		x := night.Machine{Addr: m.Addr, Name: m.Addr, ControlPlane: true, Ready: r.replica.HearsFrom(m.ID)}
+		x := maintenance.Machine{Addr: m.Addr, Name: m.Addr, ControlPlane: true, Ready: r.replica.HearsFrom(m.ID)}
 		if s := r.maintenance.status[m.Addr]; s != nil {
 			x.Name, x.Zone = s.Name, s.Zone
 			x.Ready = x.Ready && s.Fault == ""
@@ -269,12 +269,12 @@
 		v.Machines = append(v.Machines, x)
 	}
 	for _, o := range r.replica.State().Maintenance.Orders.Open() {
-		if o.Step != night.StepWaiting && o.ID != but {
+		if o.Step != maintenance.StepWaiting && o.ID != but {
 			v.InMaintenance = append(v.InMaintenance, o.CurrentMachine())
 		}
 	}
-	for _, x := range dialplan.NewTable(r.replica.State().Items).Routes() {
-		route := night.Route{Name: x.Name, Timeout: x.Timeout, Download: x.Kind == dialplan.Download}
+	for _, x := range routing.NewTable(r.replica.State().Items).Routes() {
+		route := maintenance.Route{Name: x.Name, Timeout: x.Timeout, Download: x.Kind == routing.Download}
 		for _, s := range x.Destinations {
 			route.Services = append(route.Services, s.Service)
 		}
@@ -285,14 +285,14 @@
 }
 
 // observe is what was seen of a machine.
-func (r *Member) observe(o night.Order) night.Observation {
+func (r *Member) observe(o maintenance.Order) maintenance.Observation {
 	b, addr := &r.maintenance, o.CurrentMachine()
 	s := b.status[addr]
 	if s == nil {
 		delete(b.readySince, addr)
-		return night.Observation{}
+		return maintenance.Observation{}
 	}
-	x := night.Observation{Reachable: true, Cordoned: s.InMaintenance, ServerRequests: int(s.OpenRequests), CallerRequests: int(s.DownstreamRequests), CallersMoved: !s.Ready, KeysHandedOver: s.HandedOverOrder == o.ID, WorkText: describeWork(s), ControlPlane: s.ControlPlane, FollowingSidecars: len(s.Sidecars), IsLeader: s.IsLeader}
+	x := maintenance.Observation{Reachable: true, Cordoned: s.InMaintenance, ServerRequests: int(s.OpenRequests), CallerRequests: int(s.DownstreamRequests), CallersMoved: !s.Ready, KeysHandedOver: s.HandedOverOrder == o.ID, WorkText: describeWork(s), ControlPlane: s.ControlPlane, FollowingSidecars: len(s.Sidecars), IsLeader: s.IsLeader}
 	if s.ControlPlane {
 		x.Ready = !s.InMaintenance && s.QuorumContact && !s.IsNonMember
 	} else {
@@ -367,7 +367,7 @@
 	begins := false // one machine at a time begins to come out: the next plan has to know of it
 	for _, o := range r.replica.State().Maintenance.Orders.Open() {
 		if !known {
-			b.waitingFor[o.ID] = night.ErrNoAgreedTime.Error()
+			b.waitingFor[o.ID] = maintenance.ErrNoAgreedTime.Error()
 			continue
 		}
 		c, ok, waits := o.Next(r.meshView(o.ID), r.observe(o), now)
@@ -375,7 +375,7 @@
 			b.waitingFor[o.ID] = waits
 			continue
 		}
-		if c.Step == night.StepDraining {
+		if c.Step == maintenance.StepDraining {
 			if begins {
 				b.waitingFor[o.ID] = "another order begins"
 				continue
--- a/internal/exchange/register/nightcalls.go
+++ b/internal/mesh/controlplane/nightcalls.go
@@ -1,4 +1,4 @@
-package register
+package controlplane
 
 import (
 	"encoding/json"
@@ -10,33 +10,33 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/control"
-	"hollyspur/internal/exchange/night"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/replica"
 )
 
 // MaintenanceRequest is an operator's call: a plan for a machine, an order, or a word on one. What it does not name is left out.
 type MaintenanceRequest struct {
-	Machine       string             `json:"Machine,omitempty" validate:"max=256"`
-	Order         *night.Order       `json:"Order,omitempty"`
-	Change        *night.OrderChange `json:"Word,omitempty"`
-	By            string             `json:"By,omitempty" validate:"max=128"`
-	LengthSeconds float64            `json:"LengthS,omitempty" validate:"gte=0,lte=86400"`
-	Machines      []string           `json:"Machines,omitempty" validate:"max=256"`
-	TrustClocks   bool               `json:"Trust,omitempty"` // with By: the registers' clocks are right now, whatever was agreed on before
+	Machine       string                   `json:"Machine,omitempty" validate:"max=256"`
+	Order         *maintenance.Order       `json:"Order,omitempty"`
+	Change        *maintenance.OrderChange `json:"Word,omitempty"`
+	By            string                   `json:"By,omitempty" validate:"max=128"`
+	LengthSeconds float64                  `json:"LengthS,omitempty" validate:"gte=0,lte=86400"`
+	Machines      []string                 `json:"Machines,omitempty" validate:"max=256"`
+	TrustClocks   bool                     `json:"Trust,omitempty"` // with By: the registers' clocks are right now, whatever was agreed on before
 }
 
 // MaintenanceResponse is the answer.
 type MaintenanceResponse struct {
-	Now            night.TimeBounds  `json:"now"`
-	TimeAgreed     bool              `json:"known"` // a time of day is agreed on
-	ClocksDisagree bool              `json:"doubt,omitempty"`
-	Verdict        *night.Verdict    `json:"verdict,omitempty"`
-	Sequence       []string          `json:"inOrder,omitempty"` // the machines asked for, as they would come out
-	Orders         []night.Order     `json:"orders"`
-	WaitingFor     map[string]string `json:"waits,omitempty"` // by order: what it waits for
-	Leader         string            `json:"leader"`
+	Now            maintenance.TimeBounds `json:"now"`
+	TimeAgreed     bool                   `json:"known"` // a time of day is agreed on
+	ClocksDisagree bool                   `json:"doubt,omitempty"`
+	Verdict        *maintenance.Verdict   `json:"verdict,omitempty"`
+	Sequence       []string               `json:"inOrder,omitempty"` // the machines asked for, as they would come out
+	Orders         []maintenance.Order    `json:"orders"`
+	WaitingFor     map[string]string      `json:"waits,omitempty"` // by order: what it waits for
+	Leader         string                 `json:"leader"`
 }
 
 // addressOf is a machine's trunk, by its name or by that.
@@ -68,7 +68,7 @@
 // answerMaintenance answers a call, at the leader.
 func (r *Member) answerMaintenance(call MaintenanceRequest, done func(MaintenanceResponse, error)) {
 	if !r.replica.IsLeader() {
-		done(MaintenanceResponse{}, control.NewError(http.StatusServiceUnavailable, "not the leader any more"))
+		done(MaintenanceResponse{}, api.NewError(http.StatusServiceUnavailable, "not the leader any more"))
 		return
 	}
 	if r.maintenance.status == nil && !r.maintenance.surveying { // it may not know the registers' names yet
@@ -85,23 +85,23 @@
 		if call.Machine != "" {
 			d := r.meshView("").Plan(call.Machine, time.Duration(call.LengthSeconds*float64(time.Second)), t.Now)
 			if !t.TimeAgreed {
-				d.Approved, d.Reasons = false, append([]night.Reason{{Text: night.ErrNoAgreedTime.Error()}}, d.Reasons...)
+				d.Approved, d.Reasons = false, append([]maintenance.Reason{{Text: maintenance.ErrNoAgreedTime.Error()}}, d.Reasons...)
 			}
 			t.Verdict = &d
 		}
 		if len(call.Machines) > 0 {
 			t.Sequence = r.meshView("").Sequence(call.Machines, r.self.Addr)
 		}
-		var fault *control.Error
+		var fault *api.Error
 		if err != nil && !errors.As(err, &fault) {
-			err = control.NewError(http.StatusConflict, err.Error())
+			err = api.NewError(http.StatusConflict, err.Error())
 		}
 		done(t, err)
 	}
 	switch {
 	case call.TrustClocks:
 		if call.By == "" {
-			answer(control.NewError(http.StatusBadRequest, "it needs who says so"))
+			answer(api.NewError(http.StatusBadRequest, "it needs who says so"))
 			return
 		}
 		r.log.Info().Str("by", call.By).Msg("the clocks are to be trusted")
@@ -139,7 +139,7 @@
 	default:
 		r.replica.ReadIndex(r.now(), func(_ uint64, ok bool) { // so that it is the leader's word, and not that of one that was it
 			if !ok {
-				done(MaintenanceResponse{}, control.NewError(http.StatusServiceUnavailable, "the core could not confirm it in time"))
+				done(MaintenanceResponse{}, api.NewError(http.StatusServiceUnavailable, "the core could not confirm it in time"))
 				return
 			}
 			if call.Machine == "" || r.maintenance.surveying {
@@ -152,9 +152,9 @@
 }
 
 // checkApprover says whether the contracts that cover an order's machines name somebody; else the error says who they name.
-func (r *Member) checkApprover(o night.Order, by string) error {
+func (r *Member) checkApprover(o maintenance.Order, by string) error {
 	for _, m := range o.Machines {
-		d := r.meshView("").Plan(m, o.Duration, night.TimeBounds{})
+		d := r.meshView("").Plan(m, o.Duration, maintenance.TimeBounds{})
 		if len(d.Contracts) > 0 && !slices.Contains(d.Approvers, by) {
 			return notApproverError(by, r.nameOf(m), d)
 		}
@@ -162,15 +162,15 @@
 	return nil
 }
 
-func notApproverError(by, machine string, d night.Verdict) error {
-	return control.NewError(http.StatusForbidden, "for "+machine+" the contracts "+strings.Join(d.Contracts, ", ")+" name "+strings.Join(d.Approvers, ", ")+" as approvers, not "+by)
+func notApproverError(by, machine string, d maintenance.Verdict) error {
+	return api.NewError(http.StatusForbidden, "for "+machine+" the contracts "+strings.Join(d.Contracts, ", ")+" name "+strings.Join(d.Approvers, ", ")+" as approvers, not "+by)
 }
 
 // initialOrders is what is to be placed once there is a configuration.
 type initialOrders struct {
 	Contracts json.RawMessage `json:"Contracts"` // a call of /v1/configuration/modify
 	Orders    []struct {
-		night.Order
+		maintenance.Order
 		DelaySeconds float64 `json:"AfterS"` // from when the configuration is first seen by this leader
 	} `json:"Orders"`
 	configuredAt time.Duration
@@ -189,7 +189,7 @@
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, err
 	}
-	if _, err := patch.ParseItems(s.Contracts); err != nil {
+	if _, err := config.ParseItems(s.Contracts); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -204,8 +204,8 @@
 	}
 	if s.configuredAt == 0 {
 		s.configuredAt = now
-		items, _ := patch.ParseItems(s.Contracts)
-		r.replica.Propose(r.now(), replica.EncodeChange(replica.ChangeItems, patch.ItemsToWire(items)), func(replica.Outcome, bool) {})
+		items, _ := config.ParseItems(s.Contracts)
+		r.replica.Propose(r.now(), replica.EncodeChange(replica.ChangeItems, config.ItemsToWire(items)), func(replica.Outcome, bool) {})
 		return
 	}
 	if s.placed >= len(s.Orders) || now-s.configuredAt < time.Duration(s.Orders[s.placed].DelaySeconds*float64(time.Second)) || r.maintenance.surveying {
--- a/internal/exchange/register/register.go
+++ b/internal/mesh/controlplane/register.go
@@ -1,7 +1,7 @@
 // Package register is the shell of a control-plane replica (internal/mesh/replica, which decides): the vault, trunks to the
 // other registers and from lines, the calls of operators and the survey of the mesh for maintenance and rules. One goroutine,
 // that of Run, owns the replica and the vault; others post to it.
-package register
+package controlplane
 
 import (
 	"context"
@@ -16,13 +16,13 @@
 	"github.com/juju/errors"
 	"github.com/rs/zerolog"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/howler"
-	"hollyspur/internal/exchange/night"
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/vault"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/logring"
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport"
 )
 
 // Times and bounds of a register's shell.
@@ -46,22 +46,22 @@
 	apiServer         *http.Server
 	ctx               context.Context
 	terminating       <-chan struct{} // closed when the process is to end
-	calls             trunk.Calls
+	calls             transport.Calls
 	quorumContact     atomic.Int64 // when the core was in touch, as of the last tick; 0: it is not
 
 	mu    sync.Mutex           // guards links
 	links map[string]*peerLink // to other registers, by address
 
 	// Owned by Run's goroutine.
-	self        core.Member
-	store       *vault.Store
+	self        raft.Member
+	store       *storage.Store
 	replica     *replica.Replica
-	sidecars    map[*trunk.Conn]bool   // of lines, and of whoever else looks
-	diskFault   atomic.Pointer[string] // that its disk is in; nil: none
-	logRing     *howler.Ring
+	sidecars    map[*transport.Conn]bool // of lines, and of whoever else looks
+	diskFault   atomic.Pointer[string]   // that its disk is in; nil: none
+	logRing     *logring.Ring
 	maintenance maintenanceState
 	// contractsNow are the contracts as of the change contractsOf
-	contracts      []night.Contract
+	contracts      []maintenance.Contract
 	contractsIndex uint64
 	initialOrders  *initialOrders
 	activation     policyActivation
@@ -70,12 +70,12 @@
 
 // New opens the vault and listens.
 // New's standing names a file of contracts and orders that are to be placed once there is a configuration; "": none.
-func New(set settings.Settings, log zerolog.Logger, ring *howler.Ring, standing string) (_ *Member, err error) {
+func New(set settings.Settings, log zerolog.Logger, ring *logring.Ring, standing string) (_ *Member, err error) {
 	if set.DataDir == "" {
 		return nil, errors.New("settings: DataDir is empty; a register needs a disk")
 	}
 	r := &Member{log: log, logRing: ring, started: time.Now(), tasks: make(chan func(), 1024), stopped: make(chan struct{}), links: map[string]*peerLink{},
-		sidecars: map[*trunk.Conn]bool{}}
+		sidecars: map[*transport.Conn]bool{}}
 	r.settings.Store(&set)
 	if r.initialOrders, err = readInitialOrders(standing); err != nil {
 		return nil, errors.Annotate(err, standing)
@@ -93,10 +93,10 @@
 	return r, nil
 }
 
-func newID() core.ID {
+func newID() raft.ID {
 	var p [8]byte
 	crand.Read(p[:])
-	return core.ID(binary.LittleEndian.Uint64(p[:]) &^ 1)
+	return raft.ID(binary.LittleEndian.Uint64(p[:]) &^ 1)
 }
 
 // maxDiscards is how many times in a row a vault is begun anew before the register gives up.
@@ -104,13 +104,13 @@
 
 // openStore opens the vault. One that is damaged is as a disk that was lost: it is begun anew, and told as damaged. One that
 // can't be opened now, as on a full disk, is waited for: what it holds may be all that is left.
-func (r *Member) openStore(f vault.Folder) (v *vault.Store, held vault.StoredState, empty, damaged bool, err error) {
+func (r *Member) openStore(f storage.Folder) (v *storage.Store, held storage.StoredState, empty, damaged bool, err error) {
 	for discards := 0; ; {
-		v, held, empty, err = vault.OpenFolder(f, vault.Options{})
+		v, held, empty, err = storage.OpenFolder(f, storage.Options{})
 		switch {
 		case err == nil:
 			return v, held, empty, damaged, nil
-		case errors.Is(err, vault.ErrUnavailable):
+		case errors.Is(err, storage.ErrUnavailable):
 			r.log.Error().Err(err).Msg("the vault can't be opened; it is tried again")
 		case discards > maxDiscards:
 			return nil, held, false, true, err
@@ -128,7 +128,7 @@
 
 // openReplica opens the vault and makes the core of what it holds.
 func (r *Member) openReplica(set settings.Settings) error {
-	v, held, empty, damaged, err := r.openStore(vault.Directory(set.DataDir))
+	v, held, empty, damaged, err := r.openStore(storage.Directory(set.DataDir))
 	if err != nil {
 		return err
 	}
