--- a/internal/exchange/register/rules.go
+++ b/internal/mesh/controlplane/rules.go
@@ -1,14 +1,14 @@
-package register
+package controlplane
 
 import (
 	"net/http"
 	"time"
 
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/exchange/control"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Notice tells an owner what another's change did to a rule of theirs.
@@ -44,10 +44,10 @@
 	if !r.replica.IsReadyLeader() || x.policySet != b.Agreed || x.proposed || !b.IsPending() {
 		return
 	}
-	var lines []classmark.SidecarReport
+	var lines []policy.SidecarReport
 	for _, l := range r.replica.Records().All() {
 		s := r.maintenance.status[l.Addr]
-		seen := classmark.SidecarReport{Name: l.Node, Silent: s == nil}
+		seen := policy.SidecarReport{Name: l.Node, Silent: s == nil}
 		if s != nil {
 			seen.Received = s.CommittedPolicy
 		}
@@ -71,18 +71,18 @@
 
 // PolicyResponse is the answer.
 type PolicyResponse struct {
-	Rollout    classmark.Rollout `json:"board"`
-	WaitingFor string            `json:"waits,omitempty"` // why what is agreed on does not bind yet
-	Active     *patch.Document   `json:"bound,omitempty"` // the namespaces and rulings that bind, where others are agreed on
-	Notices    []Notice          `json:"notices"`
-	Leader     string            `json:"leader"`
+	Rollout    policy.Rollout   `json:"board"`
+	WaitingFor string           `json:"waits,omitempty"` // why what is agreed on does not bind yet
+	Active     *config.Document `json:"bound,omitempty"` // the namespaces and rulings that bind, where others are agreed on
+	Notices    []Notice         `json:"notices"`
+	Leader     string           `json:"leader"`
 }
 
 // answerPolicy answers a call, at the leader.
 func (r *Member) answerPolicy(call PolicyRequest, done func(PolicyResponse, error)) {
 	r.replica.ReadIndex(r.now(), func(_ uint64, ok bool) { // so that it is the leader's word, and not that of one that was it
 		if !ok {
-			done(PolicyResponse{}, control.NewError(http.StatusServiceUnavailable, "the core could not confirm it in time"))
+			done(PolicyResponse{}, api.NewError(http.StatusServiceUnavailable, "the core could not confirm it in time"))
 			return
 		}
 		t := PolicyResponse{Rollout: r.replica.State().Policy.Rollout, WaitingFor: r.activation.waitingFor, Notices: []Notice{}, Leader: r.self.Addr}
--- a/internal/exchange/register/status.go
+++ b/internal/mesh/controlplane/status.go
@@ -1,21 +1,21 @@
-package register
+package controlplane
 
 import (
 	"net/http"
 	"time"
 
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/exchange/vault"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // statusTimeout is how long Run's goroutine may take until a register says that it hangs.
 const statusTimeout = 500 * time.Millisecond
 
 // answerStatus says how this register is. Where Run's goroutine hangs, on a disk for one, that is what is said.
-func (r *Member) answerStatus(c *trunk.Conn, id uint64) {
+func (r *Member) answerStatus(c *transport.Conn, id uint64) {
 	tell := func(s *wire.StatusT) {
-		c.Send(&wire.CallReplyT{Id: id, Status: http.StatusOK, Body: trunk.EncodeTable(s)})
+		c.Send(&wire.CallReplyT{Id: id, Status: http.StatusOK, Body: transport.EncodeTable(s)})
 	}
 	done := make(chan *wire.StatusT, 1)
 	go func() {
@@ -41,9 +41,9 @@
 	members, view := r.replica.Members()
 	s := &wire.StatusT{Name: set.NodeName, Addr: r.self.Addr, Zone: set.Zone, ControlPlane: true, UptimeUs: r.now().Microseconds(), MemberId: uint64(r.self.ID),
 		LeaderAddr: r.replica.LeaderAddress(), IsLeader: r.replica.IsLeader(), IsNonMember: r.replica.IsNonMember(), QuorumContact: r.quorumContact.Load() > 0, Term: r.replica.Term(),
-		AppliedIndex: r.replica.AppliedIndex(), LastIndex: r.replica.SavedIndex(), ConfigurationIndex: view, Members: vault.MembersToWire(members), ItemVersions: state.Items.Versions(), KeyCount: uint32(state.KeyLeases.Len()),
+		AppliedIndex: r.replica.AppliedIndex(), LastIndex: r.replica.SavedIndex(), ConfigurationIndex: view, Members: storage.MembersToWire(members), ItemVersions: state.Items.Versions(), KeyCount: uint32(state.KeyLeases.Len()),
 		InMaintenance: r.replica.InMaintenance(), MaintenanceIndex: state.Maintenance.Index, WallTimeNs: r.wallClock().UnixNano(), CommittedPolicy: state.Policy.Rollout.Agreed, ActivePolicy: state.Policy.Rollout.Active,
-		ActivePolicyIndex: state.Policy.Rollout.ActiveIndex, Traffic: trunk.SentTraffic()}
+		ActivePolicyIndex: state.Policy.Rollout.ActiveIndex, Traffic: transport.SentTraffic()}
 	for c := range r.sidecars {
 		if c.Peer.Addr != "" { // else one who only looks
 			s.Sidecars = append(s.Sidecars, c.Peer.Addr)
--- a/internal/exchange/register/vault_test.go
+++ b/internal/mesh/controlplane/vault_test.go
@@ -1,4 +1,4 @@
-package register
+package controlplane
 
 import (
 	"testing"
@@ -7,18 +7,18 @@
 	ldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/vault"
-	"hollyspur/internal/mesh/sim/disk"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/sim/disk"
+	"cranegrade/internal/mesh/storage"
 )
 
 // A register that starts on a full disk waits for room and keeps what it holds; one that starts on damaged files begins anew.
 func TestOpenVault(t *testing.T) {
 	for _, damaged := range []bool{false, true} {
 		d := disk.New()
-		v, _, _, err := vault.OpenFolder(d, vault.Options{})
+		v, _, _, err := storage.OpenFolder(d, storage.Options{})
 		assert.NilError(t, err)
-		assert.NilError(t, v.Initialize(7, core.Snapshot{}))
+		assert.NilError(t, v.Initialize(7, raft.Snapshot{}))
 		v.Close()
 		if damaged {
 			writeDamagedRecord(t, d)
--- a/internal/exchange/switchroom/switchroom.go
+++ b/internal/mesh/daemon/switchroom.go
@@ -1,6 +1,6 @@
 // Package switchroom is what the mesh's programs share round their roles: the command line, the settings file and its
 // changes, signals, logs and exit codes.
-package switchroom
+package daemon
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"github.com/jessevdk/go-flags"
 	"github.com/rs/zerolog"
 
-	"hollyspur/internal/exchange/howler"
-	"hollyspur/internal/exchange/settings"
+	"cranegrade/internal/mesh/logring"
+	"cranegrade/internal/mesh/settings"
 )
 
 // Role is what a program runs.
@@ -38,7 +38,7 @@
 const settingsPollInterval = time.Second // at the settings file, which may change without a signal
 
 // Main runs a program and gives its exit code: 0 ended by a signal, 1 a fault, 2 the command line or the settings.
-func Main(name string, newRole func(settings.Settings, zerolog.Logger, *howler.Ring, Options) (Role, error)) int {
+func Main(name string, newRole func(settings.Settings, zerolog.Logger, *logring.Ring, Options) (Role, error)) int {
 	reload, terminate := notifySignals()
 	var o Options
 	if _, err := flags.NewParser(&o, flags.Default).Parse(); err != nil {
@@ -70,7 +70,7 @@
 	if mb := current.Limits.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb*0.8) << 20)
 	}
-	log, ring := howler.New(os.Stderr, current.NodeName)
+	log, ring := logring.New(os.Stderr, current.NodeName)
 	if o.Verbose {
 		log = zerolog.New(zerolog.MultiLevelWriter(os.Stderr, ring)).With().Timestamp().Str("at", current.NodeName).Logger()
 	}
--- a/internal/exchange/directory/wire.go
+++ b/internal/mesh/directory/wire.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // ToWire words records for the trunk.
--- a/internal/exchange/ticket/golden_test.go
+++ b/internal/mesh/idempotency/golden_test.go
@@ -1,4 +1,4 @@
-package ticket
+package idempotency
 
 import (
 	"crypto/sha256"
--- a/internal/exchange/ticket/planted_test.go
+++ b/internal/mesh/idempotency/planted_test.go
@@ -1,9 +1,9 @@
-package ticket
+package idempotency
 
 import (
 	"testing"
 
-	"hollyspur/internal/testkit/mutation"
+	"cranegrade/internal/testkit/mutation"
 )
 
 // Each error in who is granted a key is found by a test of this package.
--- a/internal/exchange/ticket/ticket.go
+++ b/internal/mesh/idempotency/ticket.go
@@ -2,7 +2,7 @@
 // it, but where whoever holds it says that it never ran. It is pure, and part of the state that the registers agree on:
 // its time is the log's, which goes on only while there is a leader and never faster than the time, so that no window
 // ends too soon.
-package ticket
+package idempotency
 
 import (
 	"math"
--- a/internal/exchange/howler/howler.go
+++ b/internal/mesh/logring/howler.go
@@ -1,5 +1,5 @@
 // Package howler is the logs: a ring in memory, which is written out when something goes wrong, and little else.
-package howler
+package logring
 
 import (
 	"io"
--- a/internal/exchange/night/contract.go
+++ b/internal/mesh/maintenance/contract.go
@@ -1,7 +1,7 @@
 // Package night is when a machine may come out for maintenance, and what is done then (night service: the hours in which an
 // exchange is left with few at its boards). Contracts approve hours; a plan says whether a machine may come out now and why
 // not; an order is the agreed record of one coming out and back, step by step. It is pure.
-package night
+package maintenance
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"sort"
 	"time"
 
-	"hollyspur/internal/exchange/jack"
+	"cranegrade/internal/mesh/validation"
 )
 
 // Contract approves hours for the machines that its traffic runs over.
@@ -75,12 +75,12 @@
 var weekdayByName = map[string]time.Weekday{"Sun": 0, "Mon": 1, "Tue": 2, "Wed": 3, "Thu": 4, "Fri": 5, "Sat": 6}
 
 // Validate finds the first mistake; nil: there is none.
-func (c Contract) Validate() *jack.Fault {
-	if f := jack.Check(c); f != nil {
+func (c Contract) Validate() *validation.Fault {
+	if f := validation.Check(c); f != nil {
 		return f
 	}
-	fault := func(field, format string, args ...any) *jack.Fault {
-		return &jack.Fault{Field: field, Text: fmt.Sprintf(format, args...)}
+	fault := func(field, format string, args ...any) *validation.Fault {
+		return &validation.Fault{Field: field, Text: fmt.Sprintf(format, args...)}
 	}
 	zone, err := time.LoadLocation(c.TimeZone)
 	if err != nil || c.TimeZone == "Local" {
--- a/internal/exchange/night/night_test.go
+++ b/internal/mesh/maintenance/night_test.go
@@ -1,4 +1,4 @@
-package night
+package maintenance
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 func instant(text string) time.Time {
--- a/internal/exchange/night/plan.go
+++ b/internal/mesh/maintenance/plan.go
@@ -1,4 +1,4 @@
-package night
+package maintenance
 
 import (
 	"fmt"
--- a/internal/mesh/follower/decide.go
+++ b/internal/mesh/memberselection/decide.go
@@ -1,4 +1,4 @@
-package follower
+package memberselection
 
 import (
 	"slices"
--- a/internal/mesh/follower/follower.go
+++ b/internal/mesh/memberselection/follower.go
@@ -6,7 +6,7 @@
 // All known members are dialled side by side and the first that speaks is followed. A member that is followed and has lost
 // its leader is kept until another one is found that has one: during an election all members are without, and a change from
 // one to the next gains nothing.
-package follower
+package memberselection
 
 import (
 	"slices"
--- a/internal/mesh/operations/planted_test.go
+++ b/internal/mesh/operations/planted_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"hollyspur/internal/testkit/mutation"
+	"cranegrade/internal/testkit/mutation"
 )
 
 // Each error in what is remembered of operations is found by a test of this package.
--- a/internal/exchange/classmark/change.go
+++ b/internal/mesh/policy/change.go
@@ -1,4 +1,4 @@
-package classmark
+package policy
 
 import (
 	"fmt"
--- a/internal/exchange/classmark/classmark.go
+++ b/internal/mesh/policy/classmark.go
@@ -3,7 +3,7 @@
 // long it may take, how urgent it is and who may call. Where several meet on one route their words are merged: the set of
 // them is the merged rule, and in each field the tightest holds (merge.go). A change that others' rules refuse, or that
 // loosens them without consent, is found when it is made (change.go). A set binds in two steps (bind.go). It is pure.
-package classmark
+package policy
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"sort"
 	"strings"
 
-	"hollyspur/internal/exchange/jack"
+	"cranegrade/internal/mesh/validation"
 )
 
 // MeshNamespace is the namespace of the mesh's operator: whatever nobody else owns. Routes and services as PROTOCOL.md has them are its
@@ -85,35 +85,35 @@
 func (c CallerRules) isEmpty() bool { return len(c.Allow)+len(c.Deny)+len(c.Need) == 0 }
 
 // Validate finds the first mistake in a namespace by itself; nil: there is none.
-func (n Namespace) Validate() *jack.Fault {
-	f := jack.Check(n)
+func (n Namespace) Validate() *validation.Fault {
+	f := validation.Check(n)
 	switch {
 	case f != nil:
 		return f
 	case n.Within == n.Name:
-		return &jack.Fault{Field: "Within", Text: "is the namespace itself"}
+		return &validation.Fault{Field: "Within", Text: "is the namespace itself"}
 	case n.Name == MeshNamespace && len(n.Services)+len(n.Hosts)+len(n.Prefixes) > 0:
-		return &jack.Fault{Field: "Services", Text: "the mesh's own namespace owns whatever nobody else does, and names nothing"}
+		return &validation.Fault{Field: "Services", Text: "the mesh's own namespace owns whatever nobody else does, and names nothing"}
 	}
 	return nil
 }
 
 // Validate finds the first mistake in a ruling by itself; nil: there is none.
-func (r Policy) Validate() *jack.Fault {
-	f := jack.Check(r)
+func (r Policy) Validate() *validation.Fault {
+	f := validation.Check(r)
 	switch {
 	case f != nil:
 		return f
 	case len(r.clauses(RoleRouteOwner)) == 0:
-		return &jack.Fault{Field: "Tries", Text: "is not there, nor any other field: the ruling says nothing"}
+		return &validation.Fault{Field: "Tries", Text: "is not there, nor any other field: the ruling says nothing"}
 	case !r.Callers.isEmpty() && len(r.On.Callers) > 0 && len(r.On.Routes)+len(r.On.Services) == 0:
-		return &jack.Fault{Field: "Callers", Text: "says who may call, and On names only callers"}
+		return &validation.Fault{Field: "Callers", Text: "says who may call, and On names only callers"}
 	case r.NeedsS > 0 && r.TimeoutS > 0 && r.NeedsS > r.TimeoutS:
-		return &jack.Fault{Field: "NeedsS", Text: fmt.Sprintf("is %g, more than its own TimeoutS of %g", r.NeedsS, r.TimeoutS)}
+		return &validation.Fault{Field: "NeedsS", Text: fmt.Sprintf("is %g, more than its own TimeoutS of %g", r.NeedsS, r.TimeoutS)}
 	}
 	for _, c := range r.Callers.Need {
 		if slices.Contains(r.Callers.Deny, c) || r.Callers.Allow != nil && !slices.Contains(r.Callers.Allow, c) {
-			return &jack.Fault{Field: "Callers.Need", Text: "names " + c + ", whom the ruling itself does not let call"}
+			return &validation.Fault{Field: "Callers.Need", Text: "names " + c + ", whom the ruling itself does not let call"}
 		}
 	}
 	return nil
--- a/internal/exchange/classmark/classmark_test.go
+++ b/internal/mesh/policy/classmark_test.go
@@ -1,4 +1,4 @@
-package classmark
+package policy
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 	"pgregory.net/rapid"
 
-	"hollyspur/internal/exchange/jack"
+	"cranegrade/internal/mesh/validation"
 )
 
 var anyField = rapid.SampledFrom(AllFields)
@@ -229,7 +229,7 @@
 	assert.Assert(t, errors.Is(err, ErrInvalidSet), "%v", err)
 }
 
-type checker interface{ Validate() *jack.Fault }
+type checker interface{ Validate() *validation.Fault }
 
 // What a namespace or a ruling says wrong by itself is named with its field.
 func TestValidateNamesTheField(t *testing.T) {
--- a/internal/exchange/classmark/golden_test.go
+++ b/internal/mesh/policy/golden_test.go
@@ -1,4 +1,4 @@
-package classmark
+package policy
 
 import (
 	"crypto/sha256"
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"hollyspur/internal/exchange/jack"
+	"cranegrade/internal/mesh/validation"
 )
 
 // goldenRecord is what the package decides, in order. Texts for people are hashed apart from the decisions, so that a change
@@ -193,7 +193,7 @@
 	g.decide(Fingerprint(len(l), func(n int) (string, int64, []byte) { return l[n].Name, l[n].ConfigVersion, []byte(asJSON(l[n])) }))
 }
 
-func (g *goldenRecord) fault(f *jack.Fault) {
+func (g *goldenRecord) fault(f *validation.Fault) {
 	if f == nil {
 		g.count("valid")
 		g.decide("valid")
--- a/internal/exchange/core/core.go
+++ b/internal/mesh/raft/core.go
@@ -7,7 +7,7 @@
 // A member is an id that its disk holds, not an address: a register whose disk is lost has another id. It is a learner,
 // which counts for nothing, until it has caught up; then one joint change puts it in the place of the id that was lost, so
 // what that had promised is never needed.
-package core
+package raft
 
 import (
 	"cmp"
--- a/internal/exchange/core/message.go
+++ b/internal/mesh/raft/message.go
@@ -1,4 +1,4 @@
-package core
+package raft
 
 // lastVersion0Kind is the last kind that Version 0 knows.
 const lastVersion0Kind = TimeoutNow
--- a/internal/exchange/core/planted_test.go
+++ b/internal/mesh/raft/planted_test.go
@@ -1,4 +1,4 @@
-package core
+package raft
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 // planted is an error that is put into the package's source for one run of its tests.
--- a/internal/exchange/core/schedule_test.go
+++ b/internal/mesh/raft/schedule_test.go
@@ -1,4 +1,4 @@
-package core
+package raft
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 const testTickInterval = 50 * time.Millisecond
--- a/internal/exchange/core/search_test.go
+++ b/internal/mesh/raft/search_test.go
@@ -1,4 +1,4 @@
-package core
+package raft
 
 import (
 	"encoding/binary"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 // A search of all orders: three or four registers, the messages between them delivered, lost, said twice or held back,
--- a/internal/exchange/core/transfer.go
+++ b/internal/mesh/raft/transfer.go
@@ -1,4 +1,4 @@
-package core
+package raft
 
 import (
 	"hash/crc32"
--- a/internal/mesh/replica/calls.go
+++ b/internal/mesh/replica/calls.go
@@ -7,10 +7,10 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/ticket"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/idempotency"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Unavailable is the answer of a replica that can't tell: the caller has to ask again, here or elsewhere.
@@ -22,11 +22,11 @@
 func ErrorReply(err error) Reply {
 	status := http.StatusServiceUnavailable
 	switch {
-	case errors.Is(err, patch.ErrConflict):
+	case errors.Is(err, config.ErrConflict):
 		status = http.StatusConflict
-	case errors.Is(err, patch.ErrForbidden):
+	case errors.Is(err, config.ErrForbidden):
 		status = http.StatusForbidden
-	case errors.Is(err, patch.ErrInvalid):
+	case errors.Is(err, config.ErrInvalid):
 		status = http.StatusBadRequest
 	}
 	return Reply{Status: status, Body: []byte(err.Error())}
@@ -68,7 +68,7 @@
 		done(0, false)
 		return
 	}
-	r.forwardToLeader(leader, trunk.CallReadIndex, nil, func(reply Reply) {
+	r.forwardToLeader(leader, transport.CallReadIndex, nil, func(reply Reply) {
 		if reply.Status != http.StatusOK || len(reply.Body) != indexSize {
 			done(0, false)
 			return
@@ -96,7 +96,7 @@
 
 // Modify has an operator's call agreed on, here or at the leader.
 func (r *Replica) Modify(now time.Duration, body []byte, done func(Reply)) {
-	c, err := patch.ParseUpdate(body)
+	c, err := config.ParseUpdate(body)
 	if err != nil {
 		done(ErrorReply(err))
 		return
@@ -105,7 +105,7 @@
 }
 
 // ModifyParsed is Modify of a call that was read from its body already: a large one takes longer than heartbeats may wait.
-func (r *Replica) ModifyParsed(now time.Duration, c patch.Update, body []byte, done func(Reply)) {
+func (r *Replica) ModifyParsed(now time.Duration, c config.Update, body []byte, done func(Reply)) {
 	r.advanceTime(now)
 	if r.raft.IsLeader() {
 		r.admitCall(c, done)
@@ -116,14 +116,14 @@
 		done(Unavailable("no leader is known"))
 		return
 	}
-	r.forwardToLeader(leader, trunk.CallModify, body, done)
+	r.forwardToLeader(leader, transport.CallModify, body, done)
 }
 
 // Fetch reads the configuration, no older than anything acknowledged before the call; ok false: that can't be confirmed.
-func (r *Replica) Fetch(now time.Duration, done func(set patch.Document, ok bool)) {
+func (r *Replica) Fetch(now time.Duration, done func(set config.Document, ok bool)) {
 	r.LinearizableRead(now, func(ok bool) {
 		if !ok {
-			done(patch.Document{}, false)
+			done(config.Document{}, false)
 			return
 		}
 		done(r.state.Items.Document(), true)
@@ -134,25 +134,25 @@
 func (r *Replica) HandleCall(now time.Duration, kind byte, body []byte, sidecar bool, reply func(Reply)) {
 	r.advanceTime(now)
 	switch kind {
-	case trunk.CallModify:
-		c, err := patch.ParseUpdate(body)
+	case transport.CallModify:
+		c, err := config.ParseUpdate(body)
 		if err != nil {
 			reply(ErrorReply(err))
 			return
 		}
 		r.HandleModify(now, c, reply)
-	case trunk.CallReadIndex:
+	case transport.CallReadIndex:
 		r.handleReadIndex(reply)
-	case trunk.CallItems:
+	case transport.CallItems:
 		r.replyAfterRead(reply, func() Reply {
 			// The machines that are out come before the sidecar counts as ready.
-			return Reply{Status: http.StatusOK, Body: trunk.EncodeTable(r.itemsMessage()), Push: r.state.Maintenance.MachinesMessage()}
+			return Reply{Status: http.StatusOK, Body: transport.EncodeTable(r.itemsMessage()), Push: r.state.Maintenance.MachinesMessage()}
 		})
-	case trunk.CallActivePolicy:
+	case transport.CallActivePolicy:
 		r.replyAfterRead(reply, func() Reply {
-			return Reply{Status: http.StatusOK, Body: trunk.EncodeTable(r.state.Policy.ActiveMessage())}
+			return Reply{Status: http.StatusOK, Body: transport.EncodeTable(r.state.Policy.ActiveMessage())}
 		})
-	case trunk.CallLeaseKeys:
+	case transport.CallLeaseKeys:
 		r.handleLeaseRequests(body, sidecar, reply)
 	default:
 		reply(Reply{Status: http.StatusNotFound})
@@ -160,7 +160,7 @@
 }
 
 // HandleModify answers another replica's call that an operator's call be agreed on, which was read already.
-func (r *Replica) HandleModify(now time.Duration, c patch.Update, reply func(Reply)) {
+func (r *Replica) HandleModify(now time.Duration, c config.Update, reply func(Reply)) {
 	r.advanceTime(now)
 	r.admitCall(c, reply)
 }
@@ -197,10 +197,10 @@
 			reply(Unavailable(""))
 			return
 		}
-		r.forwardToLeader(leader, trunk.CallLeaseKeys, body, reply)
+		r.forwardToLeader(leader, transport.CallLeaseKeys, body, reply)
 		return
 	}
-	if _, err := trunk.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() }); err != nil {
+	if _, err := transport.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() }); err != nil {
 		reply(Reply{Status: http.StatusBadRequest})
 		return
 	}
@@ -209,14 +209,14 @@
 			reply(Unavailable(""))
 			return
 		}
-		reply(Reply{Status: http.StatusOK, Body: trunk.EncodeTable(encodeLeaseResults(o.LeaseResults))})
+		reply(Reply{Status: http.StatusOK, Body: transport.EncodeTable(encodeLeaseResults(o.LeaseResults))})
 	})
 	if !ok {
 		reply(Unavailable(""))
 	}
 }
 
-func encodeLeaseResults(l []ticket.LeaseResult) *wire.KeyLeaseResultsT {
+func encodeLeaseResults(l []idempotency.LeaseResult) *wire.KeyLeaseResultsT {
 	t := &wire.KeyLeaseResultsT{}
 	for _, g := range l {
 		t.List = append(t.List, &wire.KeyLeaseResultT{Granted: g.Granted, Holder: g.Current.Holder, Token: g.Current.Token})
--- a/internal/mesh/replica/cluster_test.go
+++ b/internal/mesh/replica/cluster_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/rs/zerolog"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/vault"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport"
 )
 
 // cluster is several replicas in one simulated time, over a network that delays, reorders and loses what it carries.
@@ -39,7 +39,7 @@
 	cluster   *cluster
 	address   string
 	seeds     []string
-	disk      vault.StoredState
+	disk      storage.StoredState
 	replica   *Replica // nil: its process does not run
 	life      int
 	busy      bool // the disk does not take what must be on it
@@ -48,7 +48,7 @@
 	ticked    time.Duration
 	cut       map[string]bool // addresses that nothing is sent to
 	met       map[string]bool // addresses that connected in this life
-	lastID    core.ID
+	lastID    raft.ID
 }
 
 // actionRecord is a hash over actions in order, by values alone, and how many there were of each kind.
@@ -70,7 +70,7 @@
 			fmt.Fprintf(a.sum, " %q", v)
 		case time.Duration:
 			fmt.Fprintf(a.sum, " %d", int64(v))
-		case core.ID:
+		case raft.ID:
 			fmt.Fprintf(a.sum, " %d", uint64(v))
 		case uint64, int, bool, byte:
 			fmt.Fprintf(a.sum, " %v", v)
@@ -97,9 +97,9 @@
 }
 
 // newID is an id that no replica had.
-func (c *cluster) newID() core.ID {
+func (c *cluster) newID() raft.ID {
 	c.drawn++
-	return core.ID(1_000_000 + 2*c.drawn)
+	return raft.ID(1_000_000 + 2*c.drawn)
 }
 
 func (c *cluster) between(low, high time.Duration) time.Duration {
@@ -233,9 +233,9 @@
 }
 
 // Send carries a message to another replica, now and then late, not at all or twice.
-func (n *clusterNode) Send(address string, m core.Message) {
+func (n *clusterNode) Send(address string, m raft.Message) {
 	c := n.cluster
-	text := trunk.EncodeTable(vault.MessageToWire(m))
+	text := transport.EncodeTable(storage.MessageToWire(m))
 	c.record.add("send", n.address, address, text)
 	if n.cut[address] || c.random.IntN(50) == 0 {
 		return
@@ -249,7 +249,7 @@
 	}
 }
 
-func (n *clusterNode) deliver(address string, m core.Message) {
+func (n *clusterNode) deliver(address string, m raft.Message) {
 	to := n.cluster.node(address)
 	if to == nil || n.cut[address] {
 		return
@@ -299,7 +299,7 @@
 }
 
 // Save writes to the disk, unless that is full.
-func (n *clusterNode) Save(ready core.Ready, last uint64) bool {
+func (n *clusterNode) Save(ready raft.Ready, last uint64) bool {
 	c := n.cluster
 	if c.now < n.fullUntil {
 		c.record.add("unsaved", n.address)
@@ -312,18 +312,18 @@
 	}
 	if ready.Snapshot != nil {
 		n.disk.Snapshot, n.disk.Entries, n.disk.CatchUpEntries = *ready.Snapshot, nil, nil
-		c.record.add("install", trunk.EncodeTable(vault.SnapshotToWire(ready.Snapshot)))
+		c.record.add("install", transport.EncodeTable(storage.SnapshotToWire(ready.Snapshot)))
 	}
 	for _, e := range ready.Entries {
 		keep := min(len(n.disk.Entries), int(e.Index-n.disk.Snapshot.Index)-1)
 		n.disk.Entries = append(slices.Clip(n.disk.Entries[:keep]), e)
-		c.record.add("entry", trunk.EncodeTable(vault.EntryToWire(e)))
+		c.record.add("entry", transport.EncodeTable(storage.EntryToWire(e)))
 	}
 	return true
 }
 
 // Compact has a snapshot stand for the front of the log.
-func (n *clusterNode) Compact(snapshot core.Snapshot, kept uint64) {
+func (n *clusterNode) Compact(snapshot raft.Snapshot, kept uint64) {
 	all := append(slices.Clone(n.disk.CatchUpEntries), n.disk.Entries...)
 	n.disk.Snapshot, n.disk.CatchUpEntries, n.disk.Entries = snapshot, nil, nil
 	for _, e := range all {
@@ -334,15 +334,15 @@
 			n.disk.CatchUpEntries = append(n.disk.CatchUpEntries, e)
 		}
 	}
-	n.cluster.record.add("compact", n.address, kept, trunk.EncodeTable(vault.SnapshotToWire(&snapshot)))
+	n.cluster.record.add("compact", n.address, kept, transport.EncodeTable(storage.SnapshotToWire(&snapshot)))
 }
 
 // BroadcastToSidecars is recorded and no more.
 func (n *clusterNode) BroadcastToSidecars(message any) {
-	n.cluster.record.add("to sidecars", n.address, trunk.Encode(message))
+	n.cluster.record.add("to sidecars", n.address, transport.Encode(message))
 }
 
 // BroadcastToReplicas is recorded and no more.
 func (n *clusterNode) BroadcastToReplicas(message any) {
-	n.cluster.record.add("to replicas", n.address, trunk.Encode(message))
+	n.cluster.record.add("to replicas", n.address, transport.Encode(message))
 }
--- a/internal/mesh/replica/disk_test.go
+++ b/internal/mesh/replica/disk_test.go
@@ -10,28 +10,28 @@
 	"github.com/rs/zerolog"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/ticket"
-	"hollyspur/internal/exchange/vault"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/idempotency"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/storage"
 )
 
 // diskEnvironment is the environment of a replica that is the only member and has a disk.
 type diskEnvironment struct {
 	soloEnvironment
 	t     *testing.T
-	store *vault.Store
+	store *storage.Store
 }
 
-func (d diskEnvironment) Save(ready core.Ready, last uint64) bool {
+func (d diskEnvironment) Save(ready raft.Ready, last uint64) bool {
 	assert.NilError(d.t, d.store.Save(ready, last))
 	return true
 }
 
 // startFromDisk starts a replica from the disk in a folder and has it lead.
-func startFromDisk(t *testing.T, dir string) (*Replica, *vault.Store, time.Duration) {
+func startFromDisk(t *testing.T, dir string) (*Replica, *storage.Store, time.Duration) {
 	t.Helper()
-	v, held, empty, err := vault.Open(dir)
+	v, held, empty, err := storage.Open(dir)
 	assert.NilError(t, err)
 	assert.Assert(t, !empty)
 	r, err := New(Config{Address: "10.0.0.1:7380", Stored: held, Log: zerolog.Nop()}, diskEnvironment{t: t, store: v}, 0)
@@ -53,8 +53,8 @@
 	assert.NilError(t, os.CopyFS(dir, os.DirFS("testdata/store-format-1")))
 	for range 2 {
 		r, v, now := startFromDisk(t, dir)
-		var set patch.Document
-		r.Fetch(now, func(got patch.Document, ok bool) {
+		var set config.Document
+		r.Fetch(now, func(got config.Document, ok bool) {
 			assert.Assert(t, ok)
 			set = got
 		})
@@ -66,10 +66,10 @@
 		assert.Equal(t, string(text)+"\n", string(want))
 
 		members, _ := r.raft.Members()
-		assert.DeepEqual(t, members, []core.Member{r.self})
+		assert.DeepEqual(t, members, []raft.Member{r.self})
 		assert.Equal(t, r.self.ID, founderID("10.0.0.1:7380"))
 		for _, key := range []string{"t\x00k1", "t\x00k2"} {
-			grant := r.state.KeyLeases.Apply(20*time.Second, ticket.LeaseRequest{Key: key, Token: "another", Holder: "10.1.0.9:7000/life", Window: time.Minute})
+			grant := r.state.KeyLeases.Apply(20*time.Second, idempotency.LeaseRequest{Key: key, Token: "another", Holder: "10.1.0.9:7000/life", Window: time.Minute})
 			assert.Assert(t, !grant.Granted, key)
 		}
 
--- a/internal/mesh/replica/forward_test.go
+++ b/internal/mesh/replica/forward_test.go
@@ -8,9 +8,9 @@
 	"github.com/rs/zerolog"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // recordingEnvironment is an Environment that keeps what was asked of it.
@@ -18,16 +18,16 @@
 	calledAddresses []string // addresses
 	callbacks       []func(Reply)
 	broadcasts      []any // to sidecars
-	sent            []core.Message
+	sent            []raft.Message
 }
 
-func (e *recordingEnvironment) Send(_ string, m core.Message) { e.sent = append(e.sent, m) }
+func (e *recordingEnvironment) Send(_ string, m raft.Message) { e.sent = append(e.sent, m) }
 func (e *recordingEnvironment) Connect(string)                {}
 func (e *recordingEnvironment) CallReplica(address string, _ byte, _ []byte, done func(Reply)) {
 	e.calledAddresses, e.callbacks = append(e.calledAddresses, address), append(e.callbacks, done)
 }
-func (e *recordingEnvironment) Save(core.Ready, uint64) bool  { return true }
-func (e *recordingEnvironment) Compact(core.Snapshot, uint64) {}
+func (e *recordingEnvironment) Save(raft.Ready, uint64) bool  { return true }
+func (e *recordingEnvironment) Compact(raft.Snapshot, uint64) {}
 func (e *recordingEnvironment) BroadcastToSidecars(message any) {
 	e.broadcasts = append(e.broadcasts, message)
 }
@@ -44,7 +44,7 @@
 
 // receiveHeartbeat has the replica hear that another leads a term.
 func receiveHeartbeat(r *Replica, now time.Duration, address string, term uint64) {
-	r.Step(now, core.Message{Kind: core.AppendEntries, From: founderID(address), To: r.self.ID, Term: term, Index: 1, LogTerm: 1, Commit: 1})
+	r.Step(now, raft.Message{Kind: raft.AppendEntries, From: founderID(address), To: r.self.ID, Term: term, Index: 1, LogTerm: 1, Commit: 1})
 	r.ProcessReady()
 }
 
@@ -55,7 +55,7 @@
 	receiveHeartbeat(r, 0, "b", 2)
 	var replies []Reply
 	claim := func(now time.Duration) {
-		r.HandleCall(now, trunk.CallLeaseKeys, nil, true, func(reply Reply) { replies = append(replies, reply) })
+		r.HandleCall(now, transport.CallLeaseKeys, nil, true, func(reply Reply) { replies = append(replies, reply) })
 		r.ProcessReady()
 	}
 	claim(time.Millisecond)
@@ -92,5 +92,5 @@
 	e.sent = nil
 	r.Tick(time.Millisecond + wait)
 	r.ProcessReady()
-	assert.Assert(t, len(e.sent) > 0 && e.sent[0].Kind == core.PreVote)
+	assert.Assert(t, len(e.sent) > 0 && e.sent[0].Kind == raft.PreVote)
 }
--- a/internal/mesh/replica/golden_test.go
+++ b/internal/mesh/replica/golden_test.go
@@ -11,11 +11,11 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/golden"
 
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/testkit"
 )
 
 // Size of the golden record.
@@ -110,7 +110,7 @@
 			body = reply.Body
 		}
 		if reply.Push != nil {
-			push = trunk.Encode(reply.Push)
+			push = transport.Encode(reply.Push)
 		}
 		p.record.add(fmt.Sprint(kind, " ", reply.Status), body, push)
 	}
@@ -152,22 +152,22 @@
 		t.List = append(t.List, &wire.KeyLeaseRequestT{Key: fmt.Sprint("key-", p.random.IntN(6)), Token: fmt.Sprint("ticket-", p.random.IntN(4)),
 			Attempt: uint32(p.random.IntN(2)), Holder: fmt.Sprint("holder-", p.random.IntN(2)), Release: p.random.IntN(5) == 0, WindowUs: window.Microseconds()})
 	}
-	body := trunk.EncodeTable(t)
+	body := transport.EncodeTable(t)
 	if p.random.IntN(30) == 0 {
 		body = body[:3]
 	}
-	n.call(func(r *Replica) { r.HandleCall(p.now, trunk.CallLeaseKeys, body, true, p.reply("lease")) })
+	n.call(func(r *Replica) { r.HandleCall(p.now, transport.CallLeaseKeys, body, true, p.reply("lease")) })
 }
 
 // read asks for what is agreed on.
 func (p *goldenPlay) read(n *clusterNode) {
-	kind := []byte{trunk.CallItems, trunk.CallActivePolicy, trunk.CallReadIndex, trunk.CallStatus, 0}[p.random.IntN(5)]
+	kind := []byte{transport.CallItems, transport.CallActivePolicy, transport.CallReadIndex, transport.CallStatus, 0}[p.random.IntN(5)]
 	if kind != 0 {
 		n.call(func(r *Replica) { r.HandleCall(p.now, kind, nil, true, p.reply(fmt.Sprint("read ", kind))) })
 		return
 	}
 	n.call(func(r *Replica) {
-		r.Fetch(p.now, func(set patch.Document, ok bool) {
+		r.Fetch(p.now, func(set config.Document, ok bool) {
 			text, err := json.Marshal(set)
 			if err != nil {
 				panic(err)
@@ -182,7 +182,7 @@
 	if p.random.IntN(4) == 0 {
 		n.call(func(r *Replica) {
 			for _, m := range r.InitialMessages() {
-				p.record.add("initial message", trunk.Encode(m))
+				p.record.add("initial message", transport.Encode(m))
 			}
 		})
 		return
@@ -192,7 +192,7 @@
 		Addr: fmt.Sprint("sidecar-", sidecar), Service: "service-0"}}}
 	n.call(func(r *Replica) {
 		for _, record := range r.MergeRecords(p.now, directory.FromWire(t), p.random.IntN(2) == 0) {
-			p.record.add("newer record", trunk.Encode(directory.ToWire([]directory.Record{record})))
+			p.record.add("newer record", transport.Encode(directory.ToWire([]directory.Record{record})))
 		}
 	})
 }
--- a/internal/mesh/replica/identity.go
+++ b/internal/mesh/replica/identity.go
@@ -4,8 +4,8 @@
 	"hash/fnv"
 	"slices"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/vault"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/storage"
 )
 
 // Bootstrap says what a replica on an empty disk begins as.
@@ -14,25 +14,25 @@
 	Seeds      []string
 	FirstStart bool    // of the whole deployment: the seeds are its founders
 	Damaged    bool    // there was a disk, and it can't be read
-	NewID      core.ID // never used before, and even: founders' are odd
+	NewID      raft.ID // never used before, and even: founders' are odd
 }
 
 // InitialState is what the replica writes to its empty disk first. A founder knows all the others' ids before it has met them; anyone
 // else is a new id that has to be taken in.
-func (b Bootstrap) InitialState() vault.StoredState {
+func (b Bootstrap) InitialState() storage.StoredState {
 	if !b.FirstStart || b.Damaged || !slices.Contains(b.Seeds, b.Address) {
-		return vault.StoredState{Self: b.NewID}
+		return storage.StoredState{Self: b.NewID}
 	}
-	var members []core.Member
+	var members []raft.Member
 	for _, a := range b.Seeds {
-		members = append(members, core.Member{ID: founderID(a), Addr: a})
+		members = append(members, raft.Member{ID: founderID(a), Addr: a})
 	}
-	return vault.StoredState{Self: founderID(b.Address), Snapshot: core.BootstrapSnapshot(members)}
+	return storage.StoredState{Self: founderID(b.Address), Snapshot: raft.BootstrapSnapshot(members)}
 }
 
 // founderID is the id of a replica that the first seeds name.
-func founderID(address string) core.ID {
+func founderID(address string) raft.ID {
 	h := fnv.New64a()
 	h.Write([]byte("founder " + address))
-	return core.ID(h.Sum64() | 1)
+	return raft.ID(h.Sum64() | 1)
 }
--- a/internal/mesh/replica/identity_test.go
+++ b/internal/mesh/replica/identity_test.go
@@ -5,13 +5,13 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
+	"cranegrade/internal/mesh/raft"
 )
 
 // At the first start of all the seeds found the core, each by itself and alike, in whatever order their files name them. Nobody
 // else founds one: neither a machine that is no seed, nor one whose disk was lost or can't be read, whatever its seeds are by then.
 func TestBootstrap(t *testing.T) {
-	const newID core.ID = 4
+	const newID raft.ID = 4
 	seeds := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
 	first := Bootstrap{Address: seeds[0], Seeds: seeds, FirstStart: true, NewID: newID}.InitialState()
 	assert.Equal(t, len(first.Snapshot.Members), len(seeds))
--- a/internal/mesh/replica/landed_disk_test.go
+++ b/internal/mesh/replica/landed_disk_test.go
@@ -15,10 +15,10 @@
 	ldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/vault"
-	"hollyspur/internal/mesh/sim/disk"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/sim/disk"
+	"cranegrade/internal/mesh/storage"
 )
 
 // landedDisk is the data folder of a control-plane member of an earlier build; see its README.md.
@@ -93,14 +93,14 @@
 	}
 )
 
-func recordMembers(members []core.Member) (recorded []recordedMember) {
+func recordMembers(members []raft.Member) (recorded []recordedMember) {
 	for _, m := range members {
 		recorded = append(recorded, recordedMember{ID: uint64(m.ID), Addr: m.Addr})
 	}
 	return recorded
 }
 
-func recordEntries(entries []core.Entry) (recorded []recordedEntry) {
+func recordEntries(entries []raft.Entry) (recorded []recordedEntry) {
 	for _, e := range entries {
 		recorded = append(recorded, recordedEntry{Index: e.Index, Term: e.Term, Kind: uint8(e.Kind), LogTime: e.LogTime, Data: e.Data,
 			Members: recordMembers(e.Members), Outgoing: recordMembers(e.Outgoing), RaftVersion: e.ProtocolVersion})
@@ -108,8 +108,8 @@
 	return recorded
 }
 
-func recordItems(table patch.Table) (recorded []recordedItem) {
-	for _, i := range patch.TableToStorage(table) {
+func recordItems(table config.Table) (recorded []recordedItem) {
+	for _, i := range config.TableToStorage(table) {
 		recorded = append(recorded, recordedItem{Kind: i.Kind, Name: i.Name, Version: i.Version, Deleted: i.Deleted, Host: i.Host, Body: string(i.Body),
 			LogTime: time.Duration(i.LogTimeNs), History: i.History})
 	}
@@ -129,13 +129,13 @@
 	return recorded
 }
 
-func recordContents(t *testing.T, held vault.StoredState) recordedContents {
+func recordContents(t *testing.T, held storage.StoredState) recordedContents {
 	t.Helper()
 	var s State
 	assert.NilError(t, s.Decode(held.Snapshot.Data))
 	assert.Assert(t, bytes.Equal(s.Encode(), held.Snapshot.Data), "the state of the snapshot is stored as it was")
 	for _, e := range held.Entries {
-		if e.Kind == core.EntryCommand {
+		if e.Kind == raft.EntryCommand {
 			s.Apply(e)
 		}
 	}
@@ -179,7 +179,7 @@
 // Everything that a member of an earlier build had on its disk is read: the log entry by entry, and the state that its snapshot
 // and the log make.
 func TestDiskOfLandedBuildIsReadInFull(t *testing.T) {
-	v, held, empty, err := vault.Open(copiedDisk(t, landedDisk))
+	v, held, empty, err := storage.Open(copiedDisk(t, landedDisk))
 	assert.NilError(t, err)
 	defer v.Close()
 	assert.Assert(t, !empty)
@@ -198,18 +198,18 @@
 // What was read is written as it was: a new data folder of the same contents has the same keys with the same bytes.
 func TestDiskOfLandedBuildIsWrittenTheSame(t *testing.T) {
 	dir := copiedDisk(t, landedDisk)
-	held, _, err := vault.OpenReadOnly(dir)
+	held, _, err := storage.OpenReadOnly(dir)
 	assert.NilError(t, err)
-	files, err := vault.Directory(dir).Open(false)
+	files, err := storage.Directory(dir).Open(false)
 	assert.NilError(t, err)
 	want := rawRecords(t, files)
 	assert.NilError(t, files.Close())
 
 	d := disk.New()
-	v, _, _, err := vault.OpenFolder(d, vault.Options{})
+	v, _, _, err := storage.OpenFolder(d, storage.Options{})
 	assert.NilError(t, err)
 	assert.NilError(t, v.Initialize(held.Self, held.Snapshot))
-	assert.NilError(t, v.Save(core.Ready{HardState: &held.HardState, Entries: append(held.CatchUpEntries, held.Entries...)}, 0))
+	assert.NilError(t, v.Save(raft.Ready{HardState: &held.HardState, Entries: append(held.CatchUpEntries, held.Entries...)}, 0))
 	v.Close()
 	again, err := d.Open(false)
 	assert.NilError(t, err)
@@ -218,7 +218,7 @@
 
 // A member starts from such a disk: it knows its id, its term and its fellow members.
 func TestMemberStartsFromDiskOfLandedBuild(t *testing.T) {
-	held, _, err := vault.OpenReadOnly(copiedDisk(t, landedDisk))
+	held, _, err := storage.OpenReadOnly(copiedDisk(t, landedDisk))
 	assert.NilError(t, err)
 	r, err := New(Config{Address: "127.0.0.1:7380", Stored: held}, soloEnvironment{}, 0)
 	assert.NilError(t, err)
--- a/internal/mesh/replica/maintenance.go
+++ b/internal/mesh/replica/maintenance.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"time"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/night"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Kinds of changes of the maintenance state.
@@ -18,18 +18,18 @@
 
 // Maintenance is what is agreed on of maintenance: the orders and the time of day.
 type Maintenance struct {
-	Orders    night.OrderTable `json:"book"`
-	Clock     night.Clock      `json:"clock"`
-	ClockTerm uint64           `json:"term"` // of the leader whose entry the clock is of
-	Index     uint64           `json:"index"`
+	Orders    maintenance.OrderTable `json:"book"`
+	Clock     maintenance.Clock      `json:"clock"`
+	ClockTerm uint64                 `json:"term"` // of the leader whose entry the clock is of
+	Index     uint64                 `json:"index"`
 }
 
 // apply takes a committed change.
-func (m *Maintenance) apply(e core.Entry, kind byte, text []byte) error {
+func (m *Maintenance) apply(e raft.Entry, kind byte, text []byte) error {
 	now := m.Clock.Now(e.LogTime)
 	switch kind {
 	case MaintenanceOrder:
-		var o night.Order
+		var o maintenance.Order
 		if err := json.Unmarshal(text, &o); err != nil {
 			return err
 		}
@@ -39,7 +39,7 @@
 		}
 		m.Orders = b
 	case MaintenanceUpdate:
-		var c night.OrderChange
+		var c maintenance.OrderChange
 		if err := json.Unmarshal(text, &c); err != nil {
 			return err
 		}
@@ -49,7 +49,7 @@
 		}
 		m.Orders = b
 	case MaintenanceClock:
-		var c night.Clock
+		var c maintenance.Clock
 		if err := json.Unmarshal(text, &c); err != nil {
 			return err
 		}
@@ -65,7 +65,7 @@
 	t := &wire.MachinesInMaintenanceT{Index: m.Index}
 	for _, o := range m.Orders.Open() {
 		if o.Step.IsCordoned() {
-			t.List = append(t.List, &wire.MachineInMaintenanceT{Addr: o.CurrentMachine(), OrderId: o.ID, DrainCallers: o.Step != night.StepDraining, Successor: o.Successor})
+			t.List = append(t.List, &wire.MachineInMaintenanceT{Addr: o.CurrentMachine(), OrderId: o.ID, DrainCallers: o.Step != maintenance.StepDraining, Successor: o.Successor})
 		}
 	}
 	return t
@@ -81,10 +81,10 @@
 }
 
 // observe notes an entry that is applied; agreed: it holds a new agreed time.
-func (l *leaderGap) observe(e core.Entry, now time.Duration, agreed bool) {
+func (l *leaderGap) observe(e raft.Entry, now time.Duration, agreed bool) {
 	switch {
 	case l.appliedAt == 0:
-		l.duration = night.LeaderlessUnknown
+		l.duration = maintenance.LeaderlessUnknown
 	case e.Term != l.term && l.duration >= 0:
 		l.duration += max(0, (now-l.appliedAt)-(e.LogTime-l.logTime))
 	}
--- a/internal/mesh/replica/modify.go
+++ b/internal/mesh/replica/modify.go
@@ -3,18 +3,18 @@
 import (
 	"net/http"
 
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/mesh/operations"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/operations"
 )
 
 // pendingModifications is which items the proposals of a leader name that are not applied yet.
 type pendingModifications struct {
 	term   uint64
-	latest map[patch.Key]uint64 // the entry proposed last that names an item
+	latest map[config.Key]uint64 // the entry proposed last that names an item
 }
 
 // latestFor is the latest entry of a term that names an item of a call; 0: all are applied.
-func (m *pendingModifications) latestFor(term uint64, c patch.Update) (index uint64) {
+func (m *pendingModifications) latestFor(term uint64, c config.Update) (index uint64) {
 	if m.term != term {
 		return 0 // what was proposed in another term is applied, or will never be
 	}
@@ -25,9 +25,9 @@
 }
 
 // add notes an entry that was proposed.
-func (m *pendingModifications) add(term, index uint64, c patch.Update) {
+func (m *pendingModifications) add(term, index uint64, c config.Update) {
 	if m.term != term || m.latest == nil {
-		m.term, m.latest = term, map[patch.Key]uint64{}
+		m.term, m.latest = term, map[config.Key]uint64{}
 	}
 	for _, i := range c.Items {
 		m.latest[i.Key] = index
@@ -35,7 +35,7 @@
 }
 
 // remove forgets an entry.
-func (m *pendingModifications) remove(term, index uint64, c patch.Update) {
+func (m *pendingModifications) remove(term, index uint64, c config.Update) {
 	if m.term != term {
 		return
 	}
@@ -48,7 +48,7 @@
 
 // admitCall has an operator's call agreed on, at the leader. Whether it may be is judged by all that may have been agreed on before, so
 // it waits while an entry that names one of its items is not applied.
-func (r *Replica) admitCall(c patch.Update, done func(Reply)) {
+func (r *Replica) admitCall(c config.Update, done func(Reply)) {
 	if !r.raft.IsLeader() {
 		done(Unavailable("not the leader"))
 		return
@@ -74,7 +74,7 @@
 
 // blockingIndex is the latest entry that has to be applied before a call can be judged: any that a leader before may have had
 // agreed on, or the latest that names one of its items.
-func (r *Replica) blockingIndex(c patch.Update) (index uint64) {
+func (r *Replica) blockingIndex(c config.Update) (index uint64) {
 	if !r.raft.IsCaughtUpLeader() {
 		return r.raft.LastIndex()
 	}
@@ -97,9 +97,9 @@
 	}
 }
 
-func (r *Replica) proposeCall(c patch.Update, done func(Reply)) {
+func (r *Replica) proposeCall(c config.Update, done func(Reply)) {
 	term, index := r.raft.Term(), uint64(0)
-	ok := r.Propose(r.now, EncodeChange(ChangeItems, patch.UpdateToWire(c)), func(o Outcome, known bool) {
+	ok := r.Propose(r.now, EncodeChange(ChangeItems, config.UpdateToWire(c)), func(o Outcome, known bool) {
 		r.pendingModifications.remove(term, index, c)
 		switch {
 		case !known:
--- a/internal/mesh/replica/modify_test.go
+++ b/internal/mesh/replica/modify_test.go
@@ -11,26 +11,26 @@
 	"github.com/rs/zerolog"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/vault"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/storage"
 )
 
 // soloEnvironment is the environment of a replica that is the only member.
 type soloEnvironment struct{}
 
-func (soloEnvironment) Send(string, core.Message)                     {}
+func (soloEnvironment) Send(string, raft.Message)                     {}
 func (soloEnvironment) Connect(string)                                {}
 func (soloEnvironment) CallReplica(string, byte, []byte, func(Reply)) {}
-func (soloEnvironment) Save(core.Ready, uint64) bool                  { return true }
-func (soloEnvironment) Compact(core.Snapshot, uint64)                 {}
+func (soloEnvironment) Save(raft.Ready, uint64) bool                  { return true }
+func (soloEnvironment) Compact(raft.Snapshot, uint64)                 {}
 func (soloEnvironment) BroadcastToSidecars(any)                       {}
 func (soloEnvironment) BroadcastToReplicas(any)                       {}
 
 // newSoloLeader is a replica that leads by itself, and the time.
 func newSoloLeader(t *testing.T) (*Replica, time.Duration) {
-	self := core.Member{ID: 7, Addr: "10.0.0.1:7000"}
-	r, err := New(Config{Address: self.Addr, Stored: vault.StoredState{Self: self.ID, Snapshot: core.BootstrapSnapshot([]core.Member{self})}, Log: zerolog.Nop()}, soloEnvironment{}, 0)
+	self := raft.Member{ID: 7, Addr: "10.0.0.1:7000"}
+	r, err := New(Config{Address: self.Addr, Stored: storage.StoredState{Self: self.ID, Snapshot: raft.BootstrapSnapshot([]raft.Member{self})}, Log: zerolog.Nop()}, soloEnvironment{}, 0)
 	assert.NilError(t, err)
 	now := time.Duration(0)
 	for ; !r.raft.IsCaughtUpLeader(); now += TickInterval {
@@ -94,9 +94,9 @@
 	assert.Equal(t, r.raft.AppliedIndex(), last+1)
 }
 
-func parseCall(t *testing.T, body []byte) patch.Update {
+func parseCall(t *testing.T, body []byte) config.Update {
 	t.Helper()
-	c, err := patch.ParseUpdate(body)
+	c, err := config.ParseUpdate(body)
 	assert.NilError(t, err)
 	return c
 }
--- a/internal/mesh/replica/planted_test.go
+++ b/internal/mesh/replica/planted_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"hollyspur/internal/testkit/mutation"
+	"cranegrade/internal/testkit/mutation"
 )
 
 // Each error in what a replica acknowledges, reads and keeps is found by a test of this package.
--- a/internal/mesh/replica/replica.go
+++ b/internal/mesh/replica/replica.go
@@ -14,10 +14,10 @@
 
 	"github.com/rs/zerolog"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/exchange/vault"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Times of a replica.
@@ -45,7 +45,7 @@
 // call the replica before they return.
 type Environment interface {
 	// Send sends a consensus message to the replica at an address. It may be lost, late, repeated or out of order.
-	Send(address string, message core.Message)
+	Send(address string, message raft.Message)
 	// Connect sees to it that there is a connection to the replica at an address, or that one is being made.
 	Connect(address string)
 	// AskReplica asks the replica at an address. done is called once, later and by the replica's owner: with its answer, or with
@@ -53,10 +53,10 @@
 	CallReplica(address string, kind byte, body []byte, done func(Reply))
 	// Save has on disk, synced, what ready must have there; last is the last entry that stands on disk before it. False: it is not,
 	// and the replica does nothing until its owner calls Turn again, which saves anew.
-	Save(ready core.Ready, last uint64) bool
+	Save(ready raft.Ready, last uint64) bool
 	// Compact has the snapshot stand, on disk, for the log up to its index; entries before kept are removed. It may fail: the
 	// longer log says the same.
-	Compact(snapshot core.Snapshot, kept uint64)
+	Compact(snapshot raft.Snapshot, kept uint64)
 	// TellSidecars sends a message to each sidecar that is connected here.
 	BroadcastToSidecars(message any)
 	// TellReplicas sends a message to each replica that there is a connection to.
@@ -73,7 +73,7 @@
 // Config is what a replica is made of.
 type Config struct {
 	Address             string // where other replicas and sidecars reach it
-	Stored              vault.StoredState
+	Stored              storage.StoredState
 	Seeds               []string
 	FaultsTolerated     int // machines that may be lost; there are 2n+1 members, at least 3
 	RandomSeed          uint64
@@ -86,13 +86,13 @@
 type Replica struct {
 	env           Environment
 	log           zerolog.Logger
-	self          core.Member
-	raft          *core.Raft
+	self          raft.Member
+	raft          *raft.Raft
 	state         State
 	seeds         []string
 	now           time.Duration
 	savedIndex    uint64      // last entry on disk
-	unsavedReady  *core.Ready // could not be saved so far; nothing else happens before
+	unsavedReady  *raft.Ready // could not be saved so far; nothing else happens before
 	quorumContact time.Duration
 	inMaintenance bool // a maintenance order has this replica out
 
@@ -107,8 +107,8 @@
 	records               directory.Table
 	lastRecordExpiry      time.Duration
 	knownAddresses        map[string]bool // addresses of replicas that were heard of
-	nonMemberAddresses    map[core.ID]string
-	announcedLeader       core.ID
+	nonMemberAddresses    map[raft.ID]string
+	announcedLeader       raft.ID
 	announcedMembersIndex uint64 // index of the member list that sidecars were told
 	leaderGap             leaderGap
 	compactionThreshold   int
@@ -126,12 +126,12 @@
 
 // New returns a replica as its disk has it. The error is that of a state that can't be read.
 func New(c Config, env Environment, now time.Duration) (*Replica, error) {
-	r := &Replica{env: env, log: c.Log, self: core.Member{ID: c.Stored.Self, Addr: c.Address}, seeds: c.Seeds, now: now,
-		proposals: map[uint64]proposal{}, pendingReads: map[uint64]func(uint64, bool){}, knownAddresses: map[string]bool{}, nonMemberAddresses: map[core.ID]string{}, compactionThreshold: cmp.Or(c.CompactionThreshold, DefaultCompactionThreshold)}
+	r := &Replica{env: env, log: c.Log, self: raft.Member{ID: c.Stored.Self, Addr: c.Address}, seeds: c.Seeds, now: now,
+		proposals: map[uint64]proposal{}, pendingReads: map[uint64]func(uint64, bool){}, knownAddresses: map[string]bool{}, nonMemberAddresses: map[raft.ID]string{}, compactionThreshold: cmp.Or(c.CompactionThreshold, DefaultCompactionThreshold)}
 	if err := r.state.Decode(c.Stored.Snapshot.Data); err != nil {
 		return nil, err
 	}
-	r.raft = core.New(core.Config{Self: r.self, HardState: c.Stored.HardState, Snapshot: c.Stored.Snapshot, Entries: c.Stored.Entries,
+	r.raft = raft.New(raft.Config{Self: r.self, HardState: c.Stored.HardState, Snapshot: c.Stored.Snapshot, Entries: c.Stored.Entries,
 		ClusterSize: max(minReplicas, replicasPerFault*c.FaultsTolerated+1), HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout, DeadMemberTimeout: deadMemberTimeout,
 		Seed: c.RandomSeed}, now)
 	r.savedIndex = c.Stored.Snapshot.Index + uint64(len(c.Stored.Entries))
@@ -145,7 +145,7 @@
 func (r *Replica) advanceTime(now time.Duration) { r.now = max(r.now, now) }
 
 // Step takes a consensus message.
-func (r *Replica) Step(now time.Duration, m core.Message) {
+func (r *Replica) Step(now time.Duration, m raft.Message) {
 	r.advanceTime(now)
 	r.raft.Step(r.now, m)
 }
@@ -259,7 +259,7 @@
 	}
 	if r.raft.IsNonMember() {
 		for _, a := range addresses { // it may know nobody but by address
-			r.env.Send(a, core.Message{Kind: core.JoinRequest, From: r.self.ID, Addr: r.self.Addr, ProtocolVersion: core.ProtocolVersion})
+			r.env.Send(a, raft.Message{Kind: raft.JoinRequest, From: r.self.ID, Addr: r.self.Addr, ProtocolVersion: raft.ProtocolVersion})
 		}
 	}
 }
@@ -274,7 +274,7 @@
 }
 
 // RememberAddress keeps where a replica that connected here listens: one that is no member has to be told so.
-func (r *Replica) RememberAddress(id core.ID, address string) {
+func (r *Replica) RememberAddress(id raft.ID, address string) {
 	r.knownAddresses[address] = true
 	if len(r.nonMemberAddresses) > maxRememberedAddresses {
 		clear(r.nonMemberAddresses)
@@ -293,10 +293,10 @@
 	return ""
 }
 
-func (r *Replica) sendAll(messages []core.Message) {
+func (r *Replica) sendAll(messages []raft.Message) {
 	for _, m := range messages {
 		address := r.raft.Addr(m.To)
-		if m.Kind == core.NotMember && m.Addr != "" {
+		if m.Kind == raft.NotMember && m.Addr != "" {
 			address = m.Addr
 		}
 		if address == "" {
--- a/internal/mesh/replica/rules.go
+++ b/internal/mesh/replica/rules.go
@@ -1,10 +1,10 @@
 package replica
 
 import (
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // maxNotices are kept, the latest.
@@ -12,19 +12,19 @@
 
 // Notice tells an owner what another's change did to a rule of theirs.
 type Notice struct {
-	Index  uint64           `json:"index"` // of the change
-	By     string           `json:"by"`    // "": the mesh's operator
-	Effect classmark.Effect `json:"effect"`
+	Index  uint64        `json:"index"` // of the change
+	By     string        `json:"by"`    // "": the mesh's operator
+	Effect policy.Effect `json:"effect"`
 }
 
 // PolicyState is what is agreed on of namespaces' rules, beside the items themselves.
 type PolicyState struct {
-	Rollout classmark.Rollout `json:"board"`
-	Notices []Notice          `json:"notices,omitempty"`
+	Rollout policy.Rollout `json:"board"`
+	Notices []Notice       `json:"notices,omitempty"`
 }
 
 // recordChange takes a committed call.
-func (s *PolicyState) recordChange(e core.Entry, c patch.Update, now patch.Table, raised []patch.Item, effects []classmark.Effect) {
+func (s *PolicyState) recordChange(e raft.Entry, c config.Update, now config.Table, raised []config.Item, effects []policy.Effect) {
 	for _, i := range raised {
 		if i.Kind.InPolicySet() {
 			s.Rollout = s.Rollout.Agree(now.PolicyFingerprint(), e.Index)
--- a/internal/mesh/replica/safety_test.go
+++ b/internal/mesh/replica/safety_test.go
@@ -9,10 +9,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // newSettledCluster is a cluster with a leader that has applied an entry of its own term, and that leader.
@@ -40,7 +40,7 @@
 	c.isolate(old)
 	answers := 0
 	old.call(func(r *Replica) {
-		r.Fetch(c.now, func(_ patch.Document, ok bool) {
+		r.Fetch(c.now, func(_ config.Document, ok bool) {
 			answers++
 			assert.Assert(t, !ok)
 		})
@@ -90,7 +90,7 @@
 		return EncodeChange(ChangeKeyLeases, &wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{{Key: "k", Token: ticket, Holder: "h", WindowUs: window.Microseconds()}}})
 	}
 	granted := func(s *State, at time.Duration, ticket string) bool {
-		return s.Apply(core.Entry{LogTime: at, Data: claim(ticket)}).LeaseResults[0].Granted
+		return s.Apply(raft.Entry{LogTime: at, Data: claim(ticket)}).LeaseResults[0].Granted
 	}
 	var before, after State
 	assert.NilError(t, before.Decode(nil))
@@ -133,14 +133,14 @@
 	e.callbacks[0](Reply{Status: http.StatusOK, Body: binary.BigEndian.AppendUint64(nil, 3)})
 	receiveHeartbeat(r, 2*time.Millisecond, "b", 2)
 	assert.Equal(t, answers, 0)
-	var entries []core.Entry
+	var entries []raft.Entry
 	for index := uint64(2); index <= 3; index++ {
-		entries = append(entries, core.Entry{Index: index, Term: 2})
+		entries = append(entries, raft.Entry{Index: index, Term: 2})
 	}
-	r.Step(3*time.Millisecond, core.Message{Kind: core.AppendEntries, From: founderID("b"), To: r.self.ID, Term: 2, Index: 1, LogTerm: 1, Entries: entries, Commit: 2})
+	r.Step(3*time.Millisecond, raft.Message{Kind: raft.AppendEntries, From: founderID("b"), To: r.self.ID, Term: 2, Index: 1, LogTerm: 1, Entries: entries, Commit: 2})
 	r.ProcessReady()
 	assert.Equal(t, answers, 0)
-	r.Step(4*time.Millisecond, core.Message{Kind: core.AppendEntries, From: founderID("b"), To: r.self.ID, Term: 2, Index: 3, LogTerm: 2, Commit: 3})
+	r.Step(4*time.Millisecond, raft.Message{Kind: raft.AppendEntries, From: founderID("b"), To: r.self.ID, Term: 2, Index: 3, LogTerm: 2, Commit: 3})
 	r.ProcessReady()
 	assert.Equal(t, answers, 1)
 }
@@ -149,10 +149,10 @@
 type fullDisk struct {
 	recordingEnvironment
 	full  bool
-	saved []core.Ready
+	saved []raft.Ready
 }
 
-func (e *fullDisk) Save(ready core.Ready, _ uint64) bool {
+func (e *fullDisk) Save(ready raft.Ready, _ uint64) bool {
 	if !e.full {
 		e.saved = append(e.saved, ready)
 	}
@@ -164,7 +164,7 @@
 	r, _ := replicaA(t)
 	e := &fullDisk{full: true}
 	r.env = e
-	r.Step(0, core.Message{Kind: core.AppendEntries, From: founderID("b"), To: r.self.ID, Term: 2, Index: 1, LogTerm: 1, Entries: []core.Entry{{Index: 2, Term: 2}}})
+	r.Step(0, raft.Message{Kind: raft.AppendEntries, From: founderID("b"), To: r.self.ID, Term: 2, Index: 1, LogTerm: 1, Entries: []raft.Entry{{Index: 2, Term: 2}}})
 	for range 3 {
 		assert.Assert(t, !r.ProcessReady())
 		assert.Equal(t, len(e.sent), 0)
@@ -174,7 +174,7 @@
 	assert.Equal(t, len(e.saved), 1)
 	assert.Equal(t, len(e.saved[0].Entries), 1)
 	assert.Equal(t, e.saved[0].HardState.Term, uint64(2))
-	assert.Assert(t, len(e.sent) == 1 && e.sent[0].Kind == core.AppendResponse && e.sent[0].Index == 2, "%v", e.sent)
+	assert.Assert(t, len(e.sent) == 1 && e.sent[0].Kind == raft.AppendResponse && e.sent[0].Index == 2, "%v", e.sent)
 }
 
 // A replica whose owner hangs is in touch with nobody.
@@ -204,7 +204,7 @@
 	assert.Equal(t, leader.replica.QuorumContact(), time.Duration(0))
 	assert.Assert(t, c.leader() != leader)
 	outs := leader.replica.State().Maintenance.MachinesMessage()
-	assert.Equal(t, len(trunk.Encode(outs)) > 0 && outs.List[0].Addr == leader.address, true)
+	assert.Equal(t, len(transport.Encode(outs)) > 0 && outs.List[0].Addr == leader.address, true)
 	step(MaintenanceUpdate, `{"id":"o","step":"returning","text":"-"}`)
 	assert.Assert(t, !leader.replica.InMaintenance())
 	assert.Assert(t, leader.replica.QuorumContact() > 0)
--- a/internal/mesh/replica/sidecars.go
+++ b/internal/mesh/replica/sidecars.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/exchange/vault"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // InitialMessages is what a sidecar is told when it connects, in this order.
@@ -23,7 +23,7 @@
 // membersMessage are the addresses of the replicas, for sidecars.
 func (r *Replica) membersMessage() *wire.MembersT {
 	l, view := r.raft.Members()
-	return &wire.MembersT{List: vault.MembersToWire(l), Index: view}
+	return &wire.MembersT{List: storage.MembersToWire(l), Index: view}
 }
 
 // MergeRecords merges records that a sidecar told of itself (direct), or another replica. The answer goes back to the sidecar: one
@@ -51,12 +51,12 @@
 
 // itemsMessage is all items, as a message.
 func (r *Replica) itemsMessage() *wire.ItemsT {
-	t := patch.ItemsToWire(r.state.Items.Items())
+	t := config.ItemsToWire(r.state.Items.Items())
 	t.Complete, t.Index = true, r.raft.AppliedIndex()
 	b := r.state.Policy.Rollout
 	t.ActiveFingerprint, t.ActiveIndex = b.Active, b.ActiveIndex
 	if b.IsPending() { // else those that bind are among the items
-		t.ActivePolicy = patch.ItemsToWire(r.state.ActivePolicy.Items()).List
+		t.ActivePolicy = config.ItemsToWire(r.state.ActivePolicy.Items()).List
 	}
 	return t
 }
--- a/internal/mesh/replica/state.go
+++ b/internal/mesh/replica/state.go
@@ -6,21 +6,21 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/ticket"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/idempotency"
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // State is what the replicas agree on: configuration items, idempotency keys, maintenance and rules. It changes by committed
 // entries alone, and the same entries make the same state everywhere.
 type State struct {
-	Items        patch.Table
-	KeyLeases    *ticket.Store
+	Items        config.Table
+	KeyLeases    *idempotency.Store
 	Maintenance  Maintenance
-	ActivePolicy patch.Table // the namespaces and rulings that bind; those that are agreed on are among Items
+	ActivePolicy config.Table // the namespaces and rulings that bind; those that are agreed on are among Items
 	Policy       PolicyState
 	ItemsIndex   uint64 // the entry that changed Items last
 }
@@ -34,21 +34,21 @@
 )
 
 // EncodeChange words a change for the log.
-func EncodeChange(kind byte, t trunk.Packer) []byte {
-	return append([]byte{kind}, trunk.EncodeTable(t)...)
+func EncodeChange(kind byte, t transport.Packer) []byte {
+	return append([]byte{kind}, transport.EncodeTable(t)...)
 }
 
 // Outcome is what became of a change.
 type Outcome struct {
-	UpdatedItems       []patch.Item // of items: those that are newer now
-	Err                error        // of items: why none of them was taken
-	LeaseResults       []ticket.LeaseResult
+	UpdatedItems       []config.Item // of items: those that are newer now
+	Err                error         // of items: why none of them was taken
+	LeaseResults       []idempotency.LeaseResult
 	MaintenanceChanged bool // the maintenance state may have changed
 	PolicyActivated    bool // other rules bind now
 }
 
 // Apply takes a committed change.
-func (s *State) Apply(e core.Entry) (o Outcome) {
+func (s *State) Apply(e raft.Entry) (o Outcome) {
 	at, data := e.LogTime, e.Data
 	if len(data) == 0 {
 		return o
@@ -57,20 +57,20 @@
 	body := append([]byte(nil), data[1:]...)
 	switch data[0] {
 	case ChangeItems:
-		t, err := trunk.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+		t, err := transport.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 		if err != nil {
 			return Outcome{Err: err}
 		}
-		c := patch.UpdateFromWire(t)
+		c := config.UpdateFromWire(t)
 		for i := range c.Items {
 			c.Items[i].LogTime = at
 		}
-		var effects []classmark.Effect
+		var effects []policy.Effect
 		s.Items, o.UpdatedItems, effects, o.Err = s.Items.ApplyUpdate(c)
 		s.ItemsIndex = e.Index
 		s.Policy.recordChange(e, c, s.Items, o.UpdatedItems, effects)
 	case ChangeActivePolicy:
-		t, err := trunk.DecodeTable(body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
+		t, err := transport.DecodeTable(body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
 		if err != nil {
 			return Outcome{Err: err}
 		}
@@ -78,18 +78,18 @@
 			s.ActivePolicy = s.Items.PolicyItems()
 		}
 	case ChangeMaintenance:
-		t, err := trunk.DecodeTable(body, func(p []byte) *wire.MaintenanceChangeT { return wire.GetRootAsMaintenanceChange(p, 0).UnPack() })
+		t, err := transport.DecodeTable(body, func(p []byte) *wire.MaintenanceChangeT { return wire.GetRootAsMaintenanceChange(p, 0).UnPack() })
 		if err == nil {
 			err = s.Maintenance.apply(e, t.Kind, t.Json)
 		}
 		o.Err, o.MaintenanceChanged = err, true
 	case ChangeKeyLeases:
-		t, err := trunk.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() })
+		t, err := transport.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() })
 		if err != nil {
 			return Outcome{Err: err}
 		}
 		for _, c := range t.List {
-			o.LeaseResults = append(o.LeaseResults, s.KeyLeases.Apply(at, ticket.LeaseRequest{Key: c.Key, Token: c.Token, Attempt: c.Attempt, Holder: c.Holder, Release: c.Release,
+			o.LeaseResults = append(o.LeaseResults, s.KeyLeases.Apply(at, idempotency.LeaseRequest{Key: c.Key, Token: c.Token, Attempt: c.Attempt, Holder: c.Holder, Release: c.Release,
 				Window: time.Duration(c.WindowUs) * time.Microsecond}))
 		}
 	}
@@ -98,32 +98,32 @@
 
 // Encode words the state for a snapshot.
 func (s *State) Encode() []byte {
-	t := &wire.StateT{Items: patch.TableToStorage(s.Items)}
+	t := &wire.StateT{Items: config.TableToStorage(s.Items)}
 	if s.Maintenance.Index > 0 || s.Maintenance.Clock.IsKnown() {
 		t.Maintenance, _ = json.Marshal(s.Maintenance) // of its own types, which have no other form
 	}
-	if s.Policy.Rollout != (classmark.Rollout{}) {
+	if s.Policy.Rollout != (policy.Rollout{}) {
 		t.Policy, _ = json.Marshal(s.Policy) // the same
-		t.ActivePolicy = patch.ItemsToWire(s.ActivePolicy.Items()).List
+		t.ActivePolicy = config.ItemsToWire(s.ActivePolicy.Items()).List
 	}
 	for _, h := range s.KeyLeases.Leases() {
 		t.KeyLeases = append(t.KeyLeases, &wire.KeyLeaseT{Key: h.Key, Token: h.Token, Attempt: h.Attempt, Holder: h.Holder, GrantedAtNs: int64(h.GrantedAt), WindowNs: int64(h.Window)})
 	}
-	return trunk.EncodeTable(t)
+	return transport.EncodeTable(t)
 }
 
 // Decode reads what Save has worded; nothing is the empty state.
 func (s *State) Decode(data []byte) error {
-	s.Items, s.KeyLeases, s.Maintenance, s.ActivePolicy, s.Policy = patch.Table{}, ticket.New(), Maintenance{}, patch.Table{}, PolicyState{}
+	s.Items, s.KeyLeases, s.Maintenance, s.ActivePolicy, s.Policy = config.Table{}, idempotency.New(), Maintenance{}, config.Table{}, PolicyState{}
 	s.ItemsIndex++
 	if len(data) == 0 {
 		return nil
 	}
-	t, err := trunk.DecodeTable(data, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
+	t, err := transport.DecodeTable(data, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
 	if err != nil {
 		return errors.Annotate(err, "the state of a snapshot")
 	}
-	s.Items = patch.TableFromStorage(t.Items)
+	s.Items = config.TableFromStorage(t.Items)
 	if len(t.Maintenance) > 0 {
 		if err := json.Unmarshal(t.Maintenance, &s.Maintenance); err != nil {
 			return errors.Annotate(err, "the night service's state of a snapshot")
@@ -133,13 +133,13 @@
 		if err := json.Unmarshal(t.Policy, &s.Policy); err != nil {
 			return errors.Annotate(err, "the rules' state of a snapshot")
 		}
-		s.ActivePolicy, _ = s.ActivePolicy.Merge(patch.ItemsFromWire(&wire.ItemsT{List: t.ActivePolicy}))
+		s.ActivePolicy, _ = s.ActivePolicy.Merge(config.ItemsFromWire(&wire.ItemsT{List: t.ActivePolicy}))
 	}
-	var held []ticket.Lease
+	var held []idempotency.Lease
 	for _, h := range t.KeyLeases {
-		held = append(held, ticket.Lease{LeaseRequest: ticket.LeaseRequest{Key: h.Key, Token: h.Token, Attempt: h.Attempt, Holder: h.Holder, Window: time.Duration(h.WindowNs)},
+		held = append(held, idempotency.Lease{LeaseRequest: idempotency.LeaseRequest{Key: h.Key, Token: h.Token, Attempt: h.Attempt, Holder: h.Holder, Window: time.Duration(h.WindowNs)},
 			GrantedAt: time.Duration(h.GrantedAtNs)})
 	}
-	s.KeyLeases = ticket.Restore(held)
+	s.KeyLeases = idempotency.Restore(held)
 	return nil
 }
--- a/internal/mesh/replica/state_test.go
+++ b/internal/mesh/replica/state_test.go
@@ -11,11 +11,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/ticket"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/exchange/vault"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/idempotency"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // leaseRequestsChange is a change of so many claims, each of a key of its own.
@@ -28,13 +28,13 @@
 }
 
 func servicesChange(from, n int, version int64, dropped bool) []byte {
-	var l []patch.Item
+	var l []config.Item
 	for i := range n {
 		name := fmt.Sprintf("service-%05d", from+i)
-		l = append(l, patch.Item{Key: patch.Key{Kind: patch.KindService, Name: name}, Version: version, Deleted: dropped,
+		l = append(l, config.Item{Key: config.Key{Kind: config.KindService, Name: name}, Version: version, Deleted: dropped,
 			Body: fmt.Appendf(nil, `{"Name":%q,"HealthPath":"/health","MaxConnections":110,"ConfigVersion":%d}`, name, version)})
 	}
-	return EncodeChange(ChangeItems, patch.ItemsToWire(l))
+	return EncodeChange(ChangeItems, config.ItemsToWire(l))
 }
 
 // A state is what its entries make of it, whether it applied them all or began with a snapshot between any two of them, and
@@ -44,23 +44,23 @@
 	stamps := []time.Duration{1, 2, 3, 4, 30, 50, 70} // in seconds: the last is past the windows of the first
 	var whole State
 	assert.NilError(t, whole.Decode(nil))
-	var grants [][]ticket.LeaseResult
+	var grants [][]idempotency.LeaseResult
 	for i, e := range entries {
-		grants = append(grants, whole.Apply(core.Entry{Index: uint64(i), LogTime: stamps[i] * time.Second, Data: e}).LeaseResults)
+		grants = append(grants, whole.Apply(raft.Entry{Index: uint64(i), LogTime: stamps[i] * time.Second, Data: e}).LeaseResults)
 	}
 	for cut := range entries {
 		var first, second State
 		assert.NilError(t, first.Decode(nil))
 		for i := range cut {
-			first.Apply(core.Entry{Index: uint64(i), LogTime: stamps[i] * time.Second, Data: entries[i]})
+			first.Apply(raft.Entry{Index: uint64(i), LogTime: stamps[i] * time.Second, Data: entries[i]})
 		}
 		assert.NilError(t, second.Decode(first.Encode()))
 		for i := cut; i < len(entries); i++ {
-			assert.DeepEqual(t, second.Apply(core.Entry{Index: uint64(i), LogTime: stamps[i] * time.Second, Data: entries[i]}).LeaseResults, grants[i])
+			assert.DeepEqual(t, second.Apply(raft.Entry{Index: uint64(i), LogTime: stamps[i] * time.Second, Data: entries[i]}).LeaseResults, grants[i])
 		}
 		assert.Assert(t, bytes.Equal(second.Encode(), whole.Encode()), "cut before entry %d", cut)
 	}
-	i, is := whole.Items.Get(patch.Key{Kind: patch.KindService, Name: "service-00001"})
+	i, is := whole.Items.Get(config.Key{Kind: config.KindService, Name: "service-00001"})
 	assert.Assert(t, is && i.Deleted && i.Version == 3, "%v", i)
 }
 
@@ -68,8 +68,8 @@
 func TestFullLeaseStore(t *testing.T) {
 	var a State
 	assert.NilError(t, a.Decode(nil))
-	for n := 0; n < ticket.MaxLeases; n += 1000 {
-		a.Apply(core.Entry{LogTime: time.Second + time.Duration(n), Data: leaseRequestsChange(n, 1000)})
+	for n := 0; n < idempotency.MaxLeases; n += 1000 {
+		a.Apply(raft.Entry{LogTime: time.Second + time.Duration(n), Data: leaseRequestsChange(n, 1000)})
 	}
 	var b State
 	assert.NilError(t, b.Decode(a.Encode()))
@@ -77,8 +77,8 @@
 		at      time.Duration
 		granted bool
 	}{{60 * time.Second, false}, {64 * time.Second, true}, {65 * time.Second, true}} {
-		one := a.Apply(core.Entry{LogTime: x.at, Data: leaseRequestsChange(10_000_000+int(x.at), 1)}).LeaseResults[0]
-		assert.DeepEqual(t, one, b.Apply(core.Entry{LogTime: x.at, Data: leaseRequestsChange(10_000_000+int(x.at), 1)}).LeaseResults[0])
+		one := a.Apply(raft.Entry{LogTime: x.at, Data: leaseRequestsChange(10_000_000+int(x.at), 1)}).LeaseResults[0]
+		assert.DeepEqual(t, one, b.Apply(raft.Entry{LogTime: x.at, Data: leaseRequestsChange(10_000_000+int(x.at), 1)}).LeaseResults[0])
 		assert.Assert(t, one.Granted == x.granted && (one.Granted || one.Current.Holder == ""), "at %v: %v", x.at, one)
 	}
 }
@@ -87,18 +87,18 @@
 // past, by 5,000 changes: time to its state, and bytes on disk.
 func BenchmarkStart(b *testing.B) {
 	dir := b.TempDir()
-	v, _, _, err := vault.Open(dir)
+	v, _, _, err := storage.Open(dir)
 	assert.NilError(b, err)
-	assert.NilError(b, v.Initialize(7, core.BootstrapSnapshot([]core.Member{{ID: 7, Addr: "a"}})))
+	assert.NilError(b, v.Initialize(7, raft.BootstrapSnapshot([]raft.Member{{ID: 7, Addr: "a"}})))
 	var s State
 	assert.NilError(b, s.Decode(nil))
 	last, snap := uint64(1), uint64(1)
 	add := func(at time.Duration, data []byte) {
 		last++
-		s.Apply(core.Entry{LogTime: at, Data: data})
-		assert.NilError(b, v.Save(core.Ready{Entries: []core.Entry{{Index: last, Term: 1, Kind: core.EntryCommand, LogTime: at, Data: data}}}, last-1))
+		s.Apply(raft.Entry{LogTime: at, Data: data})
+		assert.NilError(b, v.Save(raft.Ready{Entries: []raft.Entry{{Index: last, Term: 1, Kind: raft.EntryCommand, LogTime: at, Data: data}}}, last-1))
 		if last-snap > DefaultCompactionThreshold {
-			assert.NilError(b, v.Compact(core.Snapshot{Index: last, Term: 1, LogTime: at, Data: s.Encode()}, snap))
+			assert.NilError(b, v.Compact(raft.Snapshot{Index: last, Term: 1, LogTime: at, Data: s.Encode()}, snap))
 			snap = last
 		}
 	}
@@ -118,7 +118,7 @@
 	})
 	b.ResetTimer()
 	for b.Loop() {
-		v, held, empty, err := vault.Open(dir)
+		v, held, empty, err := storage.Open(dir)
 		assert.Assert(b, err == nil && !empty)
 		var s State
 		assert.NilError(b, s.Decode(held.Snapshot.Data))
@@ -137,9 +137,9 @@
 // two of them, between the two steps among others; a set that is no longer the one that is agreed on does not bind.
 func TestPolicyIsDeterminedByEntries(t *testing.T) {
 	call := func(text string) []byte {
-		c, err := patch.ParseUpdate([]byte(text))
+		c, err := config.ParseUpdate([]byte(text))
 		assert.NilError(t, err)
-		return EncodeChange(ChangeItems, patch.UpdateToWire(c))
+		return EncodeChange(ChangeItems, config.UpdateToWire(c))
 	}
 	space := call(`{"Upsert":{"NamespaceList":[{"Name":"n","ConfigVersion":1,"Owners":["ana"],"Services":["s"]}]}}`)
 	first := call(`{"By":"ana","Upsert":{"RulingList":[{"Name":"r","Namespace":"n","ConfigVersion":1,"Tries":2}]}}`)
@@ -157,7 +157,7 @@
 			if e == nil { // what is agreed on by now binds
 				e = EncodeChange(ChangeActivePolicy, &wire.ActivePolicyT{Fingerprint: s.Policy.Rollout.Agreed})
 			}
-			o := s.Apply(core.Entry{Index: uint64(i + 1), Data: e})
+			o := s.Apply(raft.Entry{Index: uint64(i + 1), Data: e})
 			out = append(out, fmt.Sprint(o.PolicyActivated, o.Err != nil, s.Policy.Rollout, s.ActivePolicy.PolicyFingerprint(), s.Items.PolicyFingerprint()))
 		}
 		return out
--- a/internal/mesh/replica/turn.go
+++ b/internal/mesh/replica/turn.go
@@ -1,8 +1,8 @@
 package replica
 
 import (
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/patch"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/raft"
 )
 
 // ProcessReady carries out what the core wants, until it wants nothing. It is to be called after each other call, or after several.
@@ -28,7 +28,7 @@
 }
 
 // persistAndApply does all of a Ready that follows its Before; false: it is not on disk.
-func (r *Replica) persistAndApply(ready core.Ready) bool {
+func (r *Replica) persistAndApply(ready raft.Ready) bool {
 	if ready.MustSync() {
 		if !r.env.Save(ready, r.savedIndex) {
 			r.unsavedReady = &ready
@@ -51,7 +51,7 @@
 	return true
 }
 
-func (r *Replica) recordSaved(ready core.Ready) {
+func (r *Replica) recordSaved(ready raft.Ready) {
 	if n := len(ready.Entries); n > 0 {
 		r.savedIndex = ready.Entries[n-1].Index
 	} else if ready.Snapshot != nil {
@@ -60,21 +60,21 @@
 }
 
 // installSnapshot takes the state of a snapshot that another replica sent.
-func (r *Replica) installSnapshot(s core.Snapshot) {
+func (r *Replica) installSnapshot(s raft.Snapshot) {
 	if err := r.state.Decode(s.Data); err != nil {
 		r.log.Error().Err(err).Msg("a snapshot was received that can't be read")
 	}
 	r.leaderGap = leaderGap{}
-	r.env.BroadcastToSidecars(patch.ItemsToWire(r.state.Items.Items()))
+	r.env.BroadcastToSidecars(config.ItemsToWire(r.state.Items.Items()))
 	r.env.BroadcastToSidecars(r.state.Maintenance.MachinesMessage())
 	r.env.BroadcastToSidecars(r.state.Policy.ActiveMessage())
 }
 
-func (r *Replica) applyEntries(entries []core.Entry) {
+func (r *Replica) applyEntries(entries []raft.Entry) {
 	for _, e := range entries {
 		clock := r.state.Maintenance.Clock.LogTime
 		var o Outcome
-		if e.Kind == core.EntryCommand {
+		if e.Kind == raft.EntryCommand {
 			o = r.state.Apply(e)
 		}
 		r.leaderGap.observe(e, r.now, r.state.Maintenance.Clock.LogTime != clock)
@@ -95,14 +95,14 @@
 		if r.raft.IsLeader() {
 			r.raft.BroadcastCommit(r.now)
 		}
-		r.env.BroadcastToSidecars(patch.ItemsToWire(o.UpdatedItems))
+		r.env.BroadcastToSidecars(config.ItemsToWire(o.UpdatedItems))
 	}
 	if o.PolicyActivated {
 		r.env.BroadcastToSidecars(r.state.Policy.ActiveMessage())
 	}
 }
 
-func (r *Replica) completeReads(reads []core.ReadState) {
+func (r *Replica) completeReads(reads []raft.ReadState) {
 	for _, x := range reads {
 		if done := r.pendingReads[x.RequestID]; done != nil {
 			delete(r.pendingReads, x.RequestID)
--- a/internal/mesh/replica/view.go
+++ b/internal/mesh/replica/view.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/directory"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/raft"
 )
 
 // Self is this replica.
-func (r *Replica) Self() core.Member { return r.self }
+func (r *Replica) Self() raft.Member { return r.self }
 
 // State is the replicated state as of the last entry applied. It is only to be read.
 func (r *Replica) State() *State { return &r.state }
@@ -17,7 +17,7 @@
 func (r *Replica) Records() directory.Table { return r.records }
 
 // Members are the members of the latest list and the index of its entry.
-func (r *Replica) Members() ([]core.Member, uint64) { return r.raft.Members() }
+func (r *Replica) Members() ([]raft.Member, uint64) { return r.raft.Members() }
 
 // IsLeader says that this replica leads, as far as it knows.
 func (r *Replica) IsLeader() bool { return r.raft.IsLeader() }
@@ -46,7 +46,7 @@
 func (r *Replica) InMaintenance() bool { return r.inMaintenance }
 
 // HearsFrom says that the leader, which must be this replica, hears a member.
-func (r *Replica) HearsFrom(id core.ID) bool { return r.raft.IsRecentlyActive(id) }
+func (r *Replica) HearsFrom(id raft.ID) bool { return r.raft.IsRecentlyActive(id) }
 
 // IsReadyLeader says that this replica leads and has applied all that leaders before it may have had agreed on.
 func (r *Replica) IsReadyLeader() bool { return r.raft.IsCaughtUpLeader() }
--- a/internal/exchange/toll/toll.go
+++ b/internal/mesh/retrybudget/toll.go
@@ -1,7 +1,7 @@
 // Package toll is the budget of further tries: how many arrivals at a service's servers beyond the first of each request a
 // line may cause. Each line keeps within its own requests' part of the rule, so that all together keep the rule without
 // asking each other. It is pure; its owner locks it.
-package toll
+package retrybudget
 
 import "time"
 
--- a/internal/exchange/toll/toll_test.go
+++ b/internal/mesh/retrybudget/toll_test.go
@@ -1,4 +1,4 @@
-package toll
+package retrybudget
 
 import (
 	"math"
--- a/internal/exchange/dialplan/dialplan.go
+++ b/internal/mesh/routing/dialplan.go
@@ -1,6 +1,6 @@
 // Package dialplan is where a request goes: by its host, by the longest prefix that begins its path, and by the weights of
 // the route found. It is pure; a Plan is made of the items that stand and never changed.
-package dialplan
+package routing
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/exchange/patch"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/policy"
 )
 
 // Kind says what may be repeated.
@@ -33,20 +33,20 @@
 	Name, Host, Prefix     string
 	Version                int64
 	Kind                   Kind
-	Destinations           []patch.WeightedService // of a sum over 0
+	Destinations           []config.WeightedService // of a sum over 0
 	Timeout, LatencyTarget time.Duration
 	MaxAttempts            int // servers that one try may be sent to
 	Priority               int // 0 is the highest
 	totalWeight            float64
-	policies               map[string]*classmark.Decision // by the service that is called
+	policies               map[string]*policy.Decision // by the service that is called
 }
 
 // PolicyDecision is the merged rule for requests that go to a service; nil: no namespace has a word on them, and the route holds as it is.
-func (r *Route) PolicyDecision(service string) *classmark.Decision { return r.policies[service] }
+func (r *Route) PolicyDecision(service string) *policy.Decision { return r.policies[service] }
 
 // HasDestination says that a service is among those that the route sends to.
 func (r *Route) HasDestination(service string) bool {
-	return slices.ContainsFunc(r.Destinations, func(s patch.WeightedService) bool { return s.Service == service && s.Weight > 0 })
+	return slices.ContainsFunc(r.Destinations, func(s config.WeightedService) bool { return s.Service == service && s.Weight > 0 })
 }
 
 // PickService is where a request goes, for a number drawn uniformly from [0, 1).
@@ -68,28 +68,28 @@
 // Table is all routes.
 type Table struct {
 	byName     map[string]*Route
-	byHost     map[string][]*Route          // the longest prefix first
-	Services   map[string]patch.ServiceSpec // the services
-	Limits     patch.LimitsSpec
+	byHost     map[string][]*Route           // the longest prefix first
+	Services   map[string]config.ServiceSpec // the services
+	Limits     config.LimitsSpec
 	MaxTimeout time.Duration // of the routes' timeouts
 }
 
 // NewTable makes the plan of the items that stand.
-func NewTable(t patch.Table) *Table { return NewTableWithPolicies(t, patch.Table{}, "") }
+func NewTable(t config.Table) *Table { return NewTableWithPolicies(t, config.Table{}, "") }
 
 // NewTableWithPolicies is Make with the namespaces and rulings of another table, as they hold for a service that calls.
-func NewTableWithPolicies(t, rules patch.Table, caller string) *Table {
-	p := &Table{byName: map[string]*Route{}, byHost: map[string][]*Route{}, Services: map[string]patch.ServiceSpec{}}
+func NewTableWithPolicies(t, rules config.Table, caller string) *Table {
+	p := &Table{byName: map[string]*Route{}, byHost: map[string][]*Route{}, Services: map[string]config.ServiceSpec{}}
 	for _, i := range t.Items() {
 		switch {
 		case i.Deleted:
-		case i.Kind == patch.KindLimits:
+		case i.Kind == config.KindLimits:
 			json.Unmarshal(i.Body, &p.Limits) // checked when it was taken
-		case i.Kind == patch.KindService:
-			var g patch.ServiceSpec
+		case i.Kind == config.KindService:
+			var g config.ServiceSpec
 			json.Unmarshal(i.Body, &g)
 			p.Services[i.Key.Name] = g
-		case i.Kind == patch.KindRoute:
+		case i.Kind == config.KindRoute:
 			if r := newRoute(i); r != nil {
 				p.byName[r.Name] = r
 				host := strings.ToLower(r.Host)
@@ -99,7 +99,7 @@
 		}
 	}
 	if rules.HasPolicyItems() {
-		set := patch.NewPolicySet(t, rules)
+		set := config.NewPolicySet(t, rules)
 		for _, r := range p.byName {
 			r.bindPolicies(set, caller)
 		}
@@ -110,7 +110,7 @@
 	return p
 }
 
-func newRoute(i patch.Item) *Route {
+func newRoute(i config.Item) *Route {
 	rule := i.RouteSpec()
 	if rule == nil {
 		return nil
@@ -134,7 +134,7 @@
 	return r
 }
 
-func (r *Route) bindPolicies(set *classmark.Set, caller string) {
+func (r *Route) bindPolicies(set *policy.Set, caller string) {
 	of, is := set.Route(r.Name)
 	if !is {
 		return
@@ -142,7 +142,7 @@
 	for _, s := range r.Destinations {
 		if words, ruled := set.ClausesFor(of, s.Service, caller); ruled {
 			if r.policies == nil {
-				r.policies = map[string]*classmark.Decision{}
+				r.policies = map[string]*policy.Decision{}
 			}
 			r.policies[s.Service] = words.Decide(of, caller)
 		}
--- a/internal/exchange/dialplan/dialplan_test.go
+++ b/internal/mesh/routing/dialplan_test.go
@@ -1,20 +1,20 @@
-package dialplan
+package routing
 
 import (
 	"testing"
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/patch"
+	"cranegrade/internal/mesh/config"
 )
 
 func TestFind(t *testing.T) {
-	items, err := patch.ParseItems([]byte(`{"Upsert":{"ListenerList":[{"HostName":"h.example","PolicyRules":[
+	items, err := config.ParseItems([]byte(`{"Upsert":{"ListenerList":[{"HostName":"h.example","PolicyRules":[
 		{"Name":"all","RouteType":"download","ConfigVersion":1,"MatchCriteria":{"PathPrefix":"/"},"ForwardAction":{"Service":"s","TimeoutS":2,"RetryCount":2}},
 		{"Name":"deep","RouteType":"keyed","TargetLatencyS":9,"ConfigVersion":1,"MatchCriteria":{"PathPrefix":"/a/b/"},"ForwardAction":{"TrafficSplit":[{"Service":"s","Weight":90},{"Service":"none","Weight":0},{"Service":"t","Weight":10}],"TimeoutS":2,"RetryCount":1}}]}],
 		"UpstreamGroups":[{"Name":"s","ConfigVersion":1},{"Name":"t","ConfigVersion":1},{"Name":"none","ConfigVersion":1}]}}`))
 	assert.NilError(t, err)
-	table, _, err := patch.Table{}.ApplyItems(items)
+	table, _, err := config.Table{}.ApplyItems(items)
 	assert.NilError(t, err)
 	p := NewTable(table)
 	for path, want := range map[string]string{"/a/b/c": "deep", "/a/b": "all", "/a/bc/": "all", "/": "all"} {
@@ -27,6 +27,6 @@
 	for draw, want := range map[float64]string{0: "s", 0.89: "s", 0.91: "t", 0.9999: "t"} {
 		assert.Equal(t, deep.PickService(draw), want)
 	}
-	table, _ = table.Merge([]patch.Item{{Key: patch.Key{Kind: patch.KindRoute, Name: "deep"}, Version: 2, Deleted: true}})
+	table, _ = table.Merge([]config.Item{{Key: config.Key{Kind: config.KindRoute, Name: "deep"}, Version: 2, Deleted: true}})
 	assert.Equal(t, NewTable(table).Match("h.example", "/a/b/c").Name, "all")
 }
--- a/internal/mesh/scale/announcer.go
+++ b/internal/mesh/scale/announcer.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Times of an announcer, as a sidecar has them.
@@ -29,7 +29,7 @@
 type announcer struct {
 	set       settings.Settings
 	record    directory.Record
-	asks      trunk.Calls
+	asks      transport.Calls
 	confirmed atomic.Bool
 
 	mu       sync.Mutex // guards versions
@@ -38,7 +38,7 @@
 
 func newAnnouncer(set settings.Settings) *announcer {
 	r := directory.Record{Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1, Addr: set.ListenAddrs.Inbound, Zone: set.Zone,
-		Service: set.Service, ServerID: "i-" + set.NodeName + "-1", State: directory.ServerReady, Slots: serverSlots, ProtocolVersion: trunk.ProtocolVersion}
+		Service: set.Service, ServerID: "i-" + set.NodeName + "-1", State: directory.ServerReady, Slots: serverSlots, ProtocolVersion: transport.ProtocolVersion}
 	return &announcer{set: set, record: r, versions: map[string]int64{}}
 }
 
@@ -47,7 +47,7 @@
 	for ctx.Err() == nil {
 		seeds := a.set.SeedAddresses()
 		hello := &wire.HelloT{Name: a.set.NodeName, Addr: a.record.Addr, Zone: a.set.Zone}
-		if c, err := trunk.Dial(ctx, seeds[rand.IntN(len(seeds))], hello, nil); err == nil {
+		if c, err := transport.Dial(ctx, seeds[rand.IntN(len(seeds))], hello, nil); err == nil {
 			a.follow(ctx, c)
 		}
 		select {
@@ -58,7 +58,7 @@
 }
 
 // follow reads from one member until the connection ends.
-func (a *announcer) follow(ctx context.Context, c *trunk.Conn) {
+func (a *announcer) follow(ctx context.Context, c *transport.Conn) {
 	defer c.Close(nil)
 	defer context.AfterFunc(ctx, func() { c.Close(ctx.Err()) })()
 	c.AddPending(1)
@@ -71,7 +71,7 @@
 		}
 		switch v := m.Value.(type) {
 		case *wire.ItemsT:
-			a.take(patch.ItemsFromWire(v))
+			a.take(config.ItemsFromWire(v))
 		case *wire.CallReplyT:
 			a.asks.Deliver(c, v)
 		}
@@ -79,7 +79,7 @@
 }
 
 // announce tells the record at once and then at a sidecar's pace.
-func (a *announcer) announce(c *trunk.Conn) {
+func (a *announcer) announce(c *transport.Conn) {
 	again := time.NewTicker(announceEvery)
 	defer again.Stop()
 	r := a.record
@@ -96,15 +96,15 @@
 }
 
 // confirm reads the whole table once, as a sidecar does with each member that it follows.
-func (a *announcer) confirm(ctx context.Context, c *trunk.Conn) {
+func (a *announcer) confirm(ctx context.Context, c *transport.Conn) {
 	for c.Err() == nil {
 		within, cancel := context.WithTimeout(ctx, askTimeout)
-		t, err := a.asks.Call(within, c, trunk.CallItems, nil)
+		t, err := a.asks.Call(within, c, transport.CallItems, nil)
 		cancel()
 		if err == nil && t.Status == http.StatusOK {
-			items, err := trunk.DecodeTable(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+			items, err := transport.DecodeTable(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 			if err == nil && len(items.List) > 0 {
-				a.take(patch.ItemsFromWire(items))
+				a.take(config.ItemsFromWire(items))
 				a.confirmed.Store(true)
 				return
 			}
@@ -113,11 +113,11 @@
 	}
 }
 
-func (a *announcer) take(items []patch.Item) {
+func (a *announcer) take(items []config.Item) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, i := range items {
-		if i.Kind == patch.KindRoute {
+		if i.Kind == config.KindRoute {
 			a.versions[i.Key.Name] = max(a.versions[i.Key.Name], i.Version)
 		}
 	}
--- a/internal/mesh/scale/fleet.go
+++ b/internal/mesh/scale/fleet.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/rig/mesh"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/testcluster"
+	"cranegrade/internal/mesh/transport"
 )
 
 // Times of a fleet.
@@ -46,10 +46,10 @@
 	plan     plan
 	dir      string
 	program  string // this one, for workers
-	mesh     *mesh.Cluster
-	callers  []*trunk.Client  // to the control plane's members, in order
-	full     []*workerProcess // none: the full sidecars are real
-	announce *workerProcess   // nil: there are no announcers
+	mesh     *testcluster.Cluster
+	callers  []*transport.Client // to the control plane's members, in order
+	full     []*workerProcess    // none: the full sidecars are real
+	announce *workerProcess      // nil: there are no announcers
 	servers  []*server
 	client   *http.Client
 	beats    atomic.Int64
@@ -71,12 +71,12 @@
 	if f.dir, err = os.MkdirTemp(programs, "fleet"); err != nil {
 		return f, err
 	}
-	for _, name := range []string{"line", "register"} {
+	for _, name := range []string{"sidecar", "controlplane"} {
 		if err := os.Link(filepath.Join(programs, name), filepath.Join(f.dir, name)); err != nil {
 			return f, err
 		}
 	}
-	if f.mesh, err = mesh.New(f.dir, x.Registers); err != nil {
+	if f.mesh, err = testcluster.New(f.dir, x.Registers); err != nil {
 		return f, err
 	}
 	if f.base, err = settings.Load(filepath.Join(f.dir, f.mesh.Members[0].Name+".yaml")); err != nil {
@@ -85,7 +85,7 @@
 	if err := f.configure(); err != nil {
 		return f, err
 	}
-	f.callers = make([]*trunk.Client, len(f.mesh.Members))
+	f.callers = make([]*transport.Client, len(f.mesh.Members))
 	for i := range f.callers {
 		if err := f.dial(i); err != nil {
 			return f, err
@@ -105,7 +105,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	f.callers[i], err = trunk.DialClient(ctx, set.MemberAddress(""), "meshscale", nil)
+	f.callers[i], err = transport.DialClient(ctx, set.MemberAddress(""), "meshscale", nil)
 	return err
 }
 
@@ -118,9 +118,9 @@
 	}
 	var routes []map[string]any
 	for i := range f.plan.routes {
-		routes = append(routes, mesh.RouteItem(routeName(i), "keyed", fmt.Sprintf("/r%d/", i), serviceName(i%f.plan.services), f.version))
+		routes = append(routes, testcluster.RouteItem(routeName(i), "keyed", fmt.Sprintf("/r%d/", i), serviceName(i%f.plan.services), f.version))
 	}
-	body := mesh.ModifyCall(f.version, names, routes...)
+	body := testcluster.ModifyCall(f.version, names, routes...)
 	for end := time.Now().Add(startTimeout); ; time.Sleep(retryAfter) {
 		status, text := f.mesh.Members[0].Modify(body)
 		if status == http.StatusOK {
@@ -139,7 +139,7 @@
 // until that is acknowledged.
 func (f *fleet) change() (version int64, err error) {
 	f.version++
-	body := mesh.ModifyCall(f.version, nil, mesh.RouteItem(routeName(0), "keyed", "/r0/", serviceName(0), f.version))
+	body := testcluster.ModifyCall(f.version, nil, testcluster.RouteItem(routeName(0), "keyed", "/r0/", serviceName(0), f.version))
 	for end := time.Now().Add(changeTimeout); ; time.Sleep(retryAfter) {
 		at := f.mesh.Members[f.random.IntN(len(f.mesh.Members))]
 		status, text := at.Modify(body)
--- a/internal/mesh/scale/phases.go
+++ b/internal/mesh/scale/phases.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/rig/mesh"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/testcluster"
 )
 
 // Times of phases.
@@ -318,7 +318,7 @@
 	})
 }
 
-func restartReal(x *mesh.Machine) error {
+func restartReal(x *testcluster.Machine) error {
 	if !x.App.Drain() {
 		return errors.New("a heartbeat was not acknowledged")
 	}
--- a/internal/mesh/scale/run.go
+++ b/internal/mesh/scale/run.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/rig/mesh"
+	"cranegrade/internal/mesh/testcluster"
 )
 
 // Times of a run.
@@ -43,7 +43,7 @@
 	defer os.RemoveAll(dir)
 	r.programs = dir
 	progress("building the programs")
-	if err := mesh.BuildPrograms(dir); err != nil {
+	if err := testcluster.BuildPrograms(dir); err != nil {
 		return r.results, err
 	}
 	if err := r.all(ctx); err != nil {
--- a/internal/mesh/scale/run_test.go
+++ b/internal/mesh/scale/run_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/rig"
+	"cranegrade/internal/rig"
 )
 
 // TestMain is also the worker: runs start this program again.
--- a/internal/mesh/scale/sample.go
+++ b/internal/mesh/scale/sample.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"hollyspur/internal/exchange/trunk"
+	"cranegrade/internal/mesh/transport"
 )
 
 // machineBound is the share of the machine's cores beyond which a phase counts as limited by the machine.
@@ -105,7 +105,7 @@
 	s.said = map[string]int64{}
 	for _, x := range f.mesh.Sidecars {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-		c, err := trunk.DialClient(ctx, x.Addr("Inbound"), "meshscale", nil)
+		c, err := transport.DialClient(ctx, x.Addr("Inbound"), "meshscale", nil)
 		if err != nil {
 			cancel()
 			return s, err
--- a/internal/mesh/scale/servers.go
+++ b/internal/mesh/scale/servers.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/exchange/line"
+	"cranegrade/internal/mesh/sidecar"
 )
 
 const (
@@ -71,8 +71,8 @@
 	s.mu.Lock()
 	s.seq++
 	instance := fmt.Sprintf("i-%s-%d", s.node, s.life)
-	b := line.Heartbeat{Address: s.address, SystemInfo: line.SystemInfo{Service: s.service, ConfigVersion: "v1", Zone: s.zone, SlotCount: serverSlots},
-		OperStatus: line.OperationalStatus{State: s.state, CallSeq: s.seq}}
+	b := sidecar.Heartbeat{Address: s.address, SystemInfo: sidecar.SystemInfo{Service: s.service, ConfigVersion: "v1", Zone: s.zone, SlotCount: serverSlots},
+		OperStatus: sidecar.OperationalStatus{State: s.state, CallSeq: s.seq}}
 	s.mu.Unlock()
 	body, err := json.Marshal(b)
 	if err != nil {
--- a/internal/mesh/scale/worker.go
+++ b/internal/mesh/scale/worker.go
@@ -17,11 +17,11 @@
 
 	"sigs.k8s.io/yaml"
 
-	"hollyspur/internal/exchange/howler"
-	"hollyspur/internal/exchange/line"
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/logring"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/sidecar"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 const (
@@ -114,8 +114,8 @@
 	if err := w.watchSettings(set); err != nil {
 		return nil, err
 	}
-	log, ring := howler.New(io.Discard, set.NodeName) // a log is kept, as in the program, and nothing is written out
-	return line.NewHollow(set, log, ring)
+	log, ring := logring.New(io.Discard, set.NodeName) // a log is kept, as in the program, and nothing is written out
+	return sidecar.NewHollow(set, log, ring)
 }
 
 // watchSettings writes a sidecar's settings file and reads it again and again, as the program does: it looks for changes.
@@ -143,9 +143,9 @@
 	return nil
 }
 
-func (w *Worker) full() (l []*line.Hollow) {
+func (w *Worker) full() (l []*sidecar.Hollow) {
 	for _, s := range w.sidecars {
-		if h, is := s.(*line.Hollow); is {
+		if h, is := s.(*sidecar.Hollow); is {
 			l = append(l, h)
 		}
 	}
@@ -254,7 +254,7 @@
 
 func (o *observer) allSee(l []hollowSidecar) bool {
 	for _, s := range l {
-		if h, is := s.(*line.Hollow); is && h.ServerState(o.of.Server) != o.of.State {
+		if h, is := s.(*sidecar.Hollow); is && h.ServerState(o.of.Server) != o.of.State {
 			return false
 		}
 	}
@@ -290,7 +290,7 @@
 }
 
 func (w *Worker) account(collect bool) *account {
-	a := &account{Said: byPurpose(trunk.SentTraffic()), Heard: byPurpose(trunk.ReceivedTraffic()), Goroutines: runtime.NumGoroutine()}
+	a := &account{Said: byPurpose(transport.SentTraffic()), Heard: byPurpose(transport.ReceivedTraffic()), Goroutines: runtime.NumGoroutine()}
 	if collect {
 		runtime.GC()
 		var m runtime.MemStats
--- a/internal/mesh/scale/worker_protocol.go
+++ b/internal/mesh/scale/worker_protocol.go
@@ -1,8 +1,8 @@
 package scale
 
 import (
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/settings"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/settings"
 )
 
 // Kinds of workers, as the command line names them.
--- a/internal/exchange/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 	"sigs.k8s.io/yaml"
 
-	"hollyspur/internal/exchange/jack"
+	"cranegrade/internal/mesh/validation"
 )
 
 // PathVariable names the environment variable that holds the file's path.
@@ -102,7 +102,7 @@
 	if err := yaml.Unmarshal(text, &s); err != nil {
 		return Settings{}, errors.Annotate(err, "settings")
 	}
-	if f := jack.Check(s); f != nil {
+	if f := validation.Check(s); f != nil {
 		return Settings{}, errors.Errorf("settings: %s%s %s", linePrefix(text, f.Field), f.Field, f.Text)
 	}
 	if s.InternalPortRange[1] < s.InternalPortRange[0]+1 {
@@ -113,7 +113,7 @@
 
 // linePrefix names the line of a field; "": the file does not name it.
 func linePrefix(text []byte, field string) string {
-	if n := jack.LineOf(text, field); n > 0 {
+	if n := validation.LineOf(text, field); n > 0 {
 		return fmt.Sprintf("line %d: ", n)
 	}
 	return ""
--- a/internal/exchange/line/answers_test.go
+++ b/internal/mesh/sidecar/answers_test.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"bytes"
@@ -12,12 +12,12 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/ticket"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/message"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/idempotency"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/message"
 )
 
 // Servers answer twice, late, in another's name, in none, with more bytes than told, in chunks, long, or turn calls away, to
@@ -219,7 +219,7 @@
 	hold := make(chan struct{})
 	x.fakeServers[0].hold.Store(&hold)
 	defer close(hold)
-	c, err := trunk.Dial(context.Background(), x.far[0].Addr(), &wire.HelloT{Name: "other"}, nil)
+	c, err := transport.Dial(context.Background(), x.far[0].Addr(), &wire.HelloT{Name: "other"}, nil)
 	assert.NilError(t, err)
 	defer c.Close(nil)
 	ids := []string{newAttemptID(), newAttemptID()}
@@ -249,7 +249,7 @@
 		of := map[string]uint64{}
 		x.upstreamRelays[0].mu.Lock()
 		x.upstreamRelays[0].change = func(p relayedMessage) []byte {
-			m, err := trunk.Decode(p.raw[4:])
+			m, err := transport.Decode(p.raw[4:])
 			a, is := m.Value.(*wire.ResponseT)
 			if err != nil || !is {
 				return p.raw
@@ -259,7 +259,7 @@
 			if id, known := of[p.attempt]; known {
 				a.Id = id
 			}
-			return trunk.Encode(a)
+			return transport.Encode(a)
 		}
 		x.upstreamRelays[0].mu.Unlock()
 		var all sync.WaitGroup
@@ -289,7 +289,7 @@
 }
 
 // injectEnding has an ending be taken for another until the test's end.
-func injectEnding(t *testing.T, word byte, as hollyspur.Ending) {
+func injectEnding(t *testing.T, word byte, as balancer.Ending) {
 	was := endingsByCode[word]
 	endingsByCode[word] = as
 	t.Cleanup(func() { endingsByCode[word] = was })
@@ -309,10 +309,10 @@
 func TestRetriesInjected(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		as      hollyspur.Ending
+		as      balancer.Ending
 		servers int
 		kind    string
-	}{{"tried again", hollyspur.Unreachable, 2, "TWICE"}, {"called not run", hollyspur.Overloaded, 1, "REFUSED"}} {
+	}{{"tried again", balancer.Unreachable, 2, "TWICE"}, {"called not run", balancer.Overloaded, 1, "REFUSED"}} {
 		t.Run(c.name, func(t *testing.T) {
 			injectEnding(t, codeBroken, c.as)
 			x := startCallChain(t, c.servers)
@@ -330,8 +330,8 @@
 func TestLateGrantInjected(t *testing.T) {
 	x := startCallChain(t, 2)
 	x.controlPlane.mu.Lock()
-	x.controlPlane.overrideGrant = func(_ ticket.LeaseRequest, _ ticket.LeaseResult) ticket.LeaseResult {
-		return ticket.LeaseResult{Granted: true}
+	x.controlPlane.overrideGrant = func(_ idempotency.LeaseRequest, _ idempotency.LeaseResult) idempotency.LeaseResult {
+		return idempotency.LeaseResult{Granted: true}
 	}
 	x.controlPlane.mu.Unlock()
 	const keys = 20
@@ -410,7 +410,7 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	go io.Copy(io.Discard, far)
-	c, err := trunk.Accept(prefixed{near, bytes.NewReader(trunk.Encode(&wire.HelloT{TransportVersion: trunk.ProtocolVersion}))}, nil)
+	c, err := transport.Accept(prefixed{near, bytes.NewReader(transport.Encode(&wire.HelloT{TransportVersion: transport.ProtocolVersion}))}, nil)
 	assert.NilError(t, err)
 	var streams []*message.Stream
 	p := &upstreamAttempt{conn: c, id: 1, done: make(chan struct{}), attempt: engine.NewAttempt(nil, nil, time.Second, engine.Hooks{Began: func(r engine.Reply) {
@@ -421,7 +421,7 @@
 	p.handlePiece(&wire.BodyChunkT{Id: 1, Data: []byte("x")})
 	<-p.done
 	assert.Equal(t, len(streams), 1)
-	assert.Equal(t, p.ending, hollyspur.Broken)
+	assert.Equal(t, p.ending, balancer.Broken)
 	assert.Assert(t, streams[0].Held() == 0 && streams[0].Trailer() == nil)
 	body, err := streams[0].Next(context.Background()) // returns, for it has ended
 	assert.Assert(t, body == nil && err == nil)
--- a/internal/exchange/line/attempt.go
+++ b/internal/mesh/sidecar/attempt.go
@@ -1,15 +1,15 @@
-package line
+package sidecar
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/message"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/message"
 )
 
 // Endings as an Answer on a cord words them.
@@ -28,7 +28,7 @@
 	attempt    *engine.Attempt
 	id         uint64
 	attemptID  string // the request's Attempt-Id: an answer that has another is not its own
-	conn       *trunk.Conn
+	conn       *transport.Conn
 	sendWindow flowWindow    // for the request's body
 	done       chan struct{} // closed with the attempt's end
 	ruleTrace  string        // what an answer in pieces is given besides
@@ -37,7 +37,7 @@
 	stream        *message.Stream // of an answer that comes in pieces
 	finished      bool
 	keyNotGranted bool // no register granted the key
-	ending        hollyspur.Ending
+	ending        balancer.Ending
 	reply         *message.Reply
 }
 
@@ -54,23 +54,23 @@
 	}()
 }
 
-func (s *upstreams) runAttempt(ctx context.Context, a *engine.Attempt) (hollyspur.Ending, *message.Reply) {
+func (s *upstreams) runAttempt(ctx context.Context, a *engine.Attempt) (balancer.Ending, *message.Reply) {
 	m := a.Payload.(*message.Request)
 	o := m.Note.(*routedRequest)
 	if m.Spent() {
-		return hollyspur.Void, nil
+		return balancer.Void, nil
 	}
 	nth := int(o.attempts.Load())
 	if nth >= o.maxAttempts() || o.keyNotGranted.Load() || nth > 0 && !o.mayRetry() {
-		return hollyspur.Void, nil
+		return balancer.Void, nil
 	}
 	x := s.get(a.Endpoint.Addr)
 	c, err := x.connect(ctx)
 	switch {
 	case err != nil && ctx.Err() == nil:
-		return hollyspur.Unreachable, nil
+		return balancer.Unreachable, nil
 	case err != nil:
-		return hollyspur.Void, nil
+		return balancer.Void, nil
 	}
 	// Counted first: whoever answers in its place, as never run, finds the count, or this finds the call finished.
 	o.attempts.Add(1)
@@ -80,19 +80,19 @@
 	}
 	if !o.service.admitAttempt(s.sidecar.clock.Now(), nth, o) {
 		o.attempts.Add(-1)
-		return hollyspur.Void, nil
+		return balancer.Void, nil
 	}
 	if m.More != nil && !m.Claim() {
-		return hollyspur.Void, nil
+		return balancer.Void, nil
 	}
 	p := &upstreamAttempt{attempt: a, id: s.lastStreamID.Add(1), attemptID: o.attemptID, conn: c, done: make(chan struct{}), ruleTrace: o.ruleTrace}
 	p.sendWindow.add(sendWindowBytes)
 	if !x.add(p) {
-		return hollyspur.Unreachable, nil
+		return balancer.Unreachable, nil
 	}
 	defer x.remove(p)
 	if c.Send(s.newRequest(a, m, o, p.id, uint32(nth))) != nil {
-		return hollyspur.Unreachable, nil // nothing of it was written
+		return balancer.Unreachable, nil // nothing of it was written
 	}
 	if m.More != nil {
 		go p.uploadBody(ctx, m)
@@ -107,9 +107,9 @@
 	}
 	if p.keyNotGranted {
 		o.keyNotGranted.Store(true)
-		return hollyspur.Void, nil
+		return balancer.Void, nil
 	}
-	if p.ending == hollyspur.Failure && p.reply != nil {
+	if p.ending == balancer.Failure && p.reply != nil {
 		m.Fail(p.reply)
 		return p.ending, nil
 	}
@@ -125,8 +125,8 @@
 	}
 	far, _ := s.sidecar.directory.Load().Get(a.Endpoint.Addr)
 	add := func(name, value string) {
-		if far.ProtocolVersion >= trunk.PackedHeaderVersion {
-			r.PackedHeader = trunk.AppendHeaderField(r.PackedHeader, name, value)
+		if far.ProtocolVersion >= transport.PackedHeaderVersion {
+			r.PackedHeader = transport.AppendHeaderField(r.PackedHeader, name, value)
 		} else {
 			r.HeaderFields = append(r.HeaderFields, &wire.HeaderFieldT{Name: name, Value: value})
 		}
@@ -144,7 +144,7 @@
 }
 
 // finish ends the attempt, once.
-func (p *upstreamAttempt) finish(ending hollyspur.Ending, reply *message.Reply) {
+func (p *upstreamAttempt) finish(ending balancer.Ending, reply *message.Reply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.finished {
@@ -152,7 +152,7 @@
 	}
 	p.finished = true
 	if p.stream != nil {
-		if ending == hollyspur.Success {
+		if ending == balancer.Success {
 			p.stream.Finish([]message.Field{})
 		} else {
 			p.stream.Finish(nil)
@@ -186,7 +186,7 @@
 	}
 	if p.stream != nil {
 		p.mu.Unlock()
-		p.finish(hollyspur.Broken, nil)
+		p.finish(balancer.Broken, nil)
 		return
 	}
 	defer p.mu.Unlock()
@@ -194,8 +194,8 @@
 	p.attempt.Began(st)
 }
 
-var endingsByCode = map[byte]hollyspur.Ending{codeAnswered: hollyspur.Success, codeServerFailed: hollyspur.Failure, codeOverloaded: hollyspur.Overloaded,
-	codeNotAccepted: hollyspur.Unreachable, codeBroken: hollyspur.Broken, codeTimedOut: hollyspur.TimedOut}
+var endingsByCode = map[byte]balancer.Ending{codeAnswered: balancer.Success, codeServerFailed: balancer.Failure, codeOverloaded: balancer.Overloaded,
+	codeNotAccepted: balancer.Unreachable, codeBroken: balancer.Broken, codeTimedOut: balancer.TimedOut}
 
 func messageFields(l []*wire.HeaderFieldT) []message.Field {
 	out := make([]message.Field, 0, len(l))
@@ -208,16 +208,16 @@
 // handleAnswer takes an answer as it came. One whose head can't be read is none, and so is one that names another request.
 func (p *upstreamAttempt) handleAnswer(v *wire.ResponseT) {
 	if len(v.PackedHeader) > 0 {
-		fields, err := trunk.UnpackHeader(v.PackedHeader)
+		fields, err := transport.UnpackHeader(v.PackedHeader)
 		if err != nil {
-			p.finish(hollyspur.Broken, nil)
+			p.finish(balancer.Broken, nil)
 			return
 		}
 		v.HeaderFields = fields
 	}
 	for _, f := range v.HeaderFields {
 		if f.Name == headerAttemptID && f.Value != p.attemptID {
-			p.finish(hollyspur.Broken, nil)
+			p.finish(balancer.Broken, nil)
 			return
 		}
 	}
@@ -231,19 +231,19 @@
 			p.keyNotGranted = true
 		}
 		p.mu.Unlock()
-		p.finish(hollyspur.Void, nil)
+		p.finish(balancer.Void, nil)
 		return
 	}
 	ending, known := endingsByCode[v.Ending]
 	if !known {
-		ending = hollyspur.Broken
+		ending = balancer.Broken
 	}
-	if v.MoreBody && ending == hollyspur.Success {
+	if v.MoreBody && ending == balancer.Success {
 		p.beginStream(v)
 		return
 	}
 	var reply *message.Reply
-	if ending == hollyspur.Success || ending == hollyspur.Failure {
+	if ending == balancer.Success || ending == balancer.Failure {
 		reply = message.NewReply("", v.Body, nil)
 		reply.Status, reply.Header = int(v.Status), messageFields(v.HeaderFields)
 	}
@@ -263,9 +263,9 @@
 	}
 	switch {
 	case v.Aborted:
-		p.finish(hollyspur.Broken, nil)
+		p.finish(balancer.Broken, nil)
 	case v.Last:
-		p.finish(hollyspur.Success, nil)
+		p.finish(balancer.Success, nil)
 	}
 }
 
--- a/internal/exchange/line/chain_test.go
+++ b/internal/mesh/sidecar/chain_test.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"bufio"
@@ -18,14 +18,14 @@
 	"github.com/rs/zerolog"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/howler"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/exchange/ticket"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/idempotency"
+	"cranegrade/internal/mesh/logring"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/testkit"
 )
 
 // A chain is the real way of a call in one process: caller, line, trunk, line, server, with relays on both hops and a stand-in
@@ -50,19 +50,19 @@
 	items         *wire.ItemsT
 	seenAs        map[string]string // a line's address as the others are told it
 	records       map[string]*wire.RecordT
-	conns         map[*trunk.Conn]bool
-	store         *ticket.Store
-	overrideGrant func(ticket.LeaseRequest, ticket.LeaseResult) ticket.LeaseResult // planted; nil: none
+	conns         map[*transport.Conn]bool
+	store         *idempotency.Store
+	overrideGrant func(idempotency.LeaseRequest, idempotency.LeaseResult) idempotency.LeaseResult // planted; nil: none
 	// late holds back the answers to claims, or with taken the claims themselves, until it is closed; nil: nothing does
 	heldBack     chan struct{}
 	holdRequests bool
 }
 
-func startFakeControlPlane(t testing.TB, config string) *fakeControlPlane {
+func startFakeControlPlane(t testing.TB, configuration string) *fakeControlPlane {
 	t.Helper()
-	items, err := patch.ParseItems([]byte(config))
+	items, err := config.ParseItems([]byte(configuration))
 	assert.NilError(t, err)
-	r := &fakeControlPlane{items: patch.ItemsToWire(items), seenAs: map[string]string{}, records: map[string]*wire.RecordT{}, conns: map[*trunk.Conn]bool{}, store: ticket.New()}
+	r := &fakeControlPlane{items: config.ItemsToWire(items), seenAs: map[string]string{}, records: map[string]*wire.RecordT{}, conns: map[*transport.Conn]bool{}, store: idempotency.New()}
 	r.items.Complete, r.items.Index = true, 1
 	l, err := net.Listen("tcp4", freeAddr(t))
 	assert.NilError(t, err)
@@ -75,7 +75,7 @@
 				return
 			}
 			go func() {
-				if c, err := trunk.Accept(nc, func() *wire.HeartbeatT { return &wire.HeartbeatT{QuorumContact: true} }); err == nil {
+				if c, err := transport.Accept(nc, func() *wire.HeartbeatT { return &wire.HeartbeatT{QuorumContact: true} }); err == nil {
 					r.serve(c)
 				}
 			}()
@@ -84,7 +84,7 @@
 	return r
 }
 
-func (r *fakeControlPlane) serve(c *trunk.Conn) {
+func (r *fakeControlPlane) serve(c *transport.Conn) {
 	r.mu.Lock()
 	r.conns[c] = true
 	r.mu.Unlock()
@@ -113,11 +113,11 @@
 }
 
 // reply answers a call, at once or late.
-func (r *fakeControlPlane) reply(c *trunk.Conn, a *wire.CallT) {
+func (r *fakeControlPlane) reply(c *transport.Conn, a *wire.CallT) {
 	r.mu.Lock()
 	late, taken := r.heldBack, r.holdRequests
 	r.mu.Unlock()
-	if late == nil || a.Kind != trunk.CallLeaseKeys {
+	if late == nil || a.Kind != transport.CallLeaseKeys {
 		c.Send(&wire.CallReplyT{Id: a.Id, Status: http.StatusOK, Body: r.answer(a)})
 		return
 	}
@@ -155,21 +155,21 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch a.Kind {
-	case trunk.CallItems:
-		return trunk.EncodeTable(r.items)
-	case trunk.CallActivePolicy:
-		return trunk.EncodeTable(&wire.ActivePolicyT{})
-	case trunk.CallLeaseKeys:
+	case transport.CallItems:
+		return transport.EncodeTable(r.items)
+	case transport.CallActivePolicy:
+		return transport.EncodeTable(&wire.ActivePolicyT{})
+	case transport.CallLeaseKeys:
 		out := &wire.KeyLeaseResultsT{}
 		for _, c := range wire.GetRootAsKeyLeaseRequests(a.Body, 0).UnPack().List {
-			claim := ticket.LeaseRequest{Key: c.Key, Token: c.Token, Attempt: c.Attempt, Holder: c.Holder, Release: c.Release, Window: time.Duration(c.WindowUs) * time.Microsecond}
+			claim := idempotency.LeaseRequest{Key: c.Key, Token: c.Token, Attempt: c.Attempt, Holder: c.Holder, Release: c.Release, Window: time.Duration(c.WindowUs) * time.Microsecond}
 			g := r.store.Apply(time.Second, claim)
 			if r.overrideGrant != nil {
 				g = r.overrideGrant(claim, g)
 			}
 			out.List = append(out.List, &wire.KeyLeaseResultT{Granted: g.Granted, Holder: g.Current.Holder, Token: g.Current.Token})
 		}
-		return trunk.EncodeTable(out)
+		return transport.EncodeTable(out)
 	}
 	return nil
 }
@@ -315,8 +315,8 @@
 }
 
 // discardRing is a log that nobody reads: making one sets what is the process's own.
-var discardRing = sync.OnceValue(func() *howler.Ring {
-	_, ring := howler.New(io.Discard, "test")
+var discardRing = sync.OnceValue(func() *logring.Ring {
+	_, ring := logring.New(io.Discard, "test")
 	return ring
 })
 
--- a/internal/exchange/line/cord.go
+++ b/internal/mesh/sidecar/cord.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 const (
@@ -36,7 +36,7 @@
 	addr  string
 
 	mu       sync.Mutex // guards below
-	conn     *trunk.Conn
+	conn     *transport.Conn
 	dialing  chan struct{} // closed when the dial that is under way has ended
 	retryAt  time.Time
 	attempts map[uint64]*upstreamAttempt
@@ -107,7 +107,7 @@
 }
 
 // connect is the connection, dialled if there is none.
-func (x *upstream) connect(ctx context.Context) (*trunk.Conn, error) {
+func (x *upstream) connect(ctx context.Context) (*transport.Conn, error) {
 	for {
 		x.mu.Lock()
 		if x.conn != nil && x.conn.Err() == nil {
@@ -141,7 +141,7 @@
 
 func (x *upstream) dial() {
 	l := x.owner.sidecar
-	c, err := trunk.Dial(l.ctx, x.addr, &wire.HelloT{Name: l.settings.Load().NodeName, Addr: l.Addr(), Zone: l.settings.Load().Zone}, nil)
+	c, err := transport.Dial(l.ctx, x.addr, &wire.HelloT{Name: l.settings.Load().NodeName, Addr: l.Addr(), Zone: l.settings.Load().Zone}, nil)
 	x.mu.Lock()
 	if err == nil {
 		x.conn = c
@@ -175,7 +175,7 @@
 	p.conn.AddPending(-1)
 }
 
-func (x *upstream) find(c *trunk.Conn, id uint64) *upstreamAttempt {
+func (x *upstream) find(c *transport.Conn, id uint64) *upstreamAttempt {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if p := x.attempts[id]; p != nil && p.conn == c {
@@ -185,7 +185,7 @@
 }
 
 // receive takes what comes on a connection, until it ends: then all that is open on it may have run.
-func (x *upstream) receive(c *trunk.Conn) {
+func (x *upstream) receive(c *transport.Conn) {
 	for {
 		m, err := c.Receive()
 		if err != nil {
@@ -219,6 +219,6 @@
 	}
 	x.mu.Unlock()
 	for _, p := range lost {
-		p.finish(hollyspur.Broken, nil)
+		p.finish(balancer.Broken, nil)
 	}
 }
--- a/internal/exchange/line/credit.go
+++ b/internal/mesh/sidecar/credit.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"context"
--- a/internal/exchange/line/cut_test.go
+++ b/internal/mesh/sidecar/cut_test.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 // hop is where a call is cut.
--- a/internal/exchange/line/history_test.go
+++ b/internal/mesh/sidecar/history_test.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/mesh/history"
+	"cranegrade/internal/mesh/history"
 )
 
 // kindOfCall is how often a call may run.
--- a/internal/exchange/line/hollow.go
+++ b/internal/mesh/sidecar/hollow.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"github.com/juju/errors"
 	"github.com/rs/zerolog"
 
-	"hollyspur/internal/exchange/control"
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/howler"
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/logring"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Hollow is the control side of a sidecar, for measurements of many in one process: the same parts as a Line, with its home,
@@ -21,7 +21,7 @@
 type Hollow struct{ sidecar *Sidecar }
 
 // NewHollow listens for the server's calls at ControlPlane; Run serves.
-func NewHollow(set settings.Settings, log zerolog.Logger, ring *howler.Ring) (*Hollow, error) {
+func NewHollow(set settings.Settings, log zerolog.Logger, ring *logring.Ring) (*Hollow, error) {
 	calls, err := net.Listen("tcp4", set.ListenAddrs.ControlPlane)
 	if err != nil {
 		return nil, errors.Annotate(err, "ControlPlane")
@@ -37,7 +37,7 @@
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	l.ctx = work
-	calls := control.NewServer(l.localServer.handlers())
+	calls := api.NewServer(l.localServer.handlers())
 	defer calls.Close()
 	go calls.Serve(l.localAPIListener)
 	go l.controlPlane.run()
--- a/internal/exchange/line/home.go
+++ b/internal/mesh/sidecar/home.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/mesh/follower"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/memberselection"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Times of the home register.
@@ -28,7 +28,7 @@
 // whose goroutine run owns the decider and the connections. Others post to it.
 type controlPlaneConn struct {
 	sidecar *Sidecar
-	conn    atomic.Pointer[trunk.Conn] // of the register that is followed; it may have ended
+	conn    atomic.Pointer[transport.Conn] // of the register that is followed; it may have ended
 	breaker claimBreaker
 	events  chan func(now time.Duration)
 	seeds   func() []string // of the settings
@@ -37,8 +37,8 @@
 	graceEnds atomic.Int64
 
 	// Owned by run's goroutine.
-	selector *follower.Selector
-	members  map[follower.ConnID]*memberConn
+	selector *memberselection.Selector
+	members  map[memberselection.ConnID]*memberConn
 
 	mu       sync.Mutex // guards releases
 	releases []*wire.KeyLeaseRequestT
@@ -47,15 +47,15 @@
 
 // memberConn is a connection to a register, or the dial of one.
 type memberConn struct {
-	id          follower.ConnID
+	id          memberselection.ConnID
 	cancel      context.CancelFunc // of the dial
-	conn        *trunk.Conn        // nil: it has not spoken yet
+	conn        *transport.Conn    // nil: it has not spoken yet
 	lastFrameAt atomic.Int64       // when the latest frame came, by the line's clock
 }
 
 func newControlPlaneConn(l *Sidecar) *controlPlaneConn {
 	return &controlPlaneConn{sidecar: l, events: make(chan func(time.Duration), 64), seeds: func() []string { return l.settings.Load().SeedAddresses() },
-		members: map[follower.ConnID]*memberConn{}, wake: make(chan struct{}, 1)}
+		members: map[memberselection.ConnID]*memberConn{}, wake: make(chan struct{}, 1)}
 }
 
 // isReachable says that the registers can be asked: the home hears of a majority, or was lost a moment ago and another is sought.
@@ -84,7 +84,7 @@
 func (h *controlPlaneConn) run() {
 	l := h.sidecar
 	go h.sendReleases()
-	h.selector = follower.New(l.clock.Now(), h.seeds())
+	h.selector = memberselection.New(l.clock.Now(), h.seeds())
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -119,24 +119,24 @@
 	}
 }
 
-func (h *controlPlaneConn) apply(a follower.Action) {
+func (h *controlPlaneConn) apply(a memberselection.Action) {
 	l := h.sidecar
 	switch a.Kind {
-	case follower.Dial:
-		ctx, cancel := context.WithTimeout(l.ctx, follower.DialTimeout)
+	case memberselection.Dial:
+		ctx, cancel := context.WithTimeout(l.ctx, memberselection.DialTimeout)
 		m := &memberConn{id: a.ID, cancel: cancel}
 		h.members[a.ID] = m
 		go h.connect(ctx, m, a.Addr)
-	case follower.Follow:
+	case memberselection.Follow:
 		c := h.members[a.ID].conn
 		h.conn.Store(c)
 		c.AddPending(1) // its silence is to be found out soon
 		c.Send(directory.ToWire([]directory.Record{l.localServer.record()}))
 		l.log.Info().Str("register", c.RemoteAddr()).Msg("home")
-	case follower.Confirm:
+	case memberselection.Confirm:
 		c := h.members[a.ID].conn
 		go h.confirm(c, a.ID)
-	case follower.Close:
+	case memberselection.Close:
 		m := h.members[a.ID]
 		delete(h.members, a.ID)
 		m.cancel()
@@ -148,7 +148,7 @@
 }
 
 // logLeft notes why a connection ended if it was the home's. c is nil where a dial failed.
-func (h *controlPlaneConn) logLeft(c *trunk.Conn, why string) {
+func (h *controlPlaneConn) logLeft(c *transport.Conn, why string) {
 	if c != nil && c == h.conn.Load() {
 		h.sidecar.log.Info().Str("register", c.RemoteAddr()).Str("why", why).Msg("home left")
 	}
@@ -159,7 +159,7 @@
 	l := h.sidecar
 	defer m.cancel()
 	hello := &wire.HelloT{Name: l.settings.Load().NodeName, Addr: l.Addr(), Zone: l.settings.Load().Zone}
-	c, err := trunk.Dial(ctx, addr, hello, nil)
+	c, err := transport.Dial(ctx, addr, hello, nil)
 	if err == nil {
 		err = h.receive(ctx, m, c)
 		c.Close(err)
@@ -174,7 +174,7 @@
 }
 
 // receive takes messages; the context bounds the time until the first.
-func (h *controlPlaneConn) receive(ctx context.Context, m *memberConn, c *trunk.Conn) error {
+func (h *controlPlaneConn) receive(ctx context.Context, m *memberConn, c *transport.Conn) error {
 	stop := context.AfterFunc(ctx, func() { c.Close(ctx.Err()) })
 	first, err := c.Receive()
 	if !stop() {
@@ -202,13 +202,13 @@
 }
 
 // handleMessage takes one message of a register. Tables merge by their versions, so it is the same which register tells what.
-func (h *controlPlaneConn) handleMessage(id follower.ConnID, c *trunk.Conn, m trunk.Message) {
+func (h *controlPlaneConn) handleMessage(id memberselection.ConnID, c *transport.Conn, m transport.Message) {
 	l := h.sidecar
 	switch v := m.Value.(type) {
 	case *wire.HeartbeatT:
 		h.post(func(now time.Duration) { h.selector.HeartbeatReceived(now, id, v.QuorumContact) })
 	case *wire.ItemsT:
-		l.mergeItems(patch.ItemsFromWire(v))
+		l.mergeItems(config.ItemsFromWire(v))
 	case *wire.RecordsT:
 		l.mergeRecords(directory.FromWire(v))
 	case *wire.MachinesInMaintenanceT:
@@ -227,7 +227,7 @@
 }
 
 // confirm has the home read all items back from the core.
-func (h *controlPlaneConn) confirm(c *trunk.Conn, id follower.ConnID) {
+func (h *controlPlaneConn) confirm(c *transport.Conn, id memberselection.ConnID) {
 	some, err := h.readTable(c)
 	if some = some && err == nil; some { // else the operator has not come yet
 		h.sidecar.configConfirmed()
@@ -236,19 +236,19 @@
 }
 
 // readTable reads all items back, and which rules bind; false: there are none.
-func (h *controlPlaneConn) readTable(c *trunk.Conn) (some bool, err error) {
+func (h *controlPlaneConn) readTable(c *transport.Conn) (some bool, err error) {
 	l := h.sidecar
 	ctx, cancel := context.WithTimeout(l.ctx, callTimeout)
 	defer cancel()
 	asked := l.clock.Now()
-	t, err := l.calls.Call(ctx, c, trunk.CallItems, nil)
+	t, err := l.calls.Call(ctx, c, transport.CallItems, nil)
 	if err != nil {
 		return false, err
 	}
 	if t.Status != http.StatusOK {
 		return false, errors.Errorf("status %d", t.Status)
 	}
-	items, err := trunk.DecodeTable(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	items, err := transport.DecodeTable(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 	if err != nil {
 		return false, err
 	}
@@ -280,13 +280,13 @@
 		h.breaker.finish(clock.Now(), err == nil)
 		h.reportWaiting()
 	}()
-	body := trunk.EncodeTable(&wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{x}})
+	body := transport.EncodeTable(&wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{x}})
 	for {
 		c := h.conn.Load()
 		if c != nil && c.Err() == nil {
-			t, err := h.sidecar.calls.Call(ctx, c, trunk.CallLeaseKeys, body)
+			t, err := h.sidecar.calls.Call(ctx, c, transport.CallLeaseKeys, body)
 			if err == nil && t.Status == http.StatusOK {
-				g, err := trunk.DecodeTable(t.Body, func(p []byte) *wire.KeyLeaseResultsT { return wire.GetRootAsKeyLeaseResults(p, 0).UnPack() })
+				g, err := transport.DecodeTable(t.Body, func(p []byte) *wire.KeyLeaseResultsT { return wire.GetRootAsKeyLeaseResults(p, 0).UnPack() })
 				if err == nil && len(g.List) == 1 {
 					return g.List[0], nil
 				}
@@ -348,7 +348,7 @@
 				var t *wire.CallReplyT
 				err := errors.New("no home")
 				if c := h.conn.Load(); c != nil {
-					t, err = h.sidecar.calls.Call(ctx, c, trunk.CallLeaseKeys, trunk.EncodeTable(&wire.KeyLeaseRequestsT{List: l}))
+					t, err = h.sidecar.calls.Call(ctx, c, transport.CallLeaseKeys, transport.EncodeTable(&wire.KeyLeaseRequestsT{List: l}))
 				}
 				cancel()
 				if err == nil && t.Status == http.StatusOK || h.sidecar.ctx.Err() != nil {
--- a/internal/exchange/line/home_test.go
+++ b/internal/mesh/sidecar/home_test.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"bytes"
@@ -12,36 +12,36 @@
 	"github.com/rs/zerolog"
 	"gotest.tools/v3/assert"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/dialplan"
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/message"
-	"hollyspur/internal/rig"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/routing"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/message"
+	"cranegrade/internal/rig"
 )
 
 // fakeMember is where a line's dials of one register come out.
 type fakeMember struct {
 	addr  string
-	conns chan *trunk.Conn
+	conns chan *transport.Conn
 }
 
 func newFakeMember(t *testing.T) *fakeMember {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { l.Close() })
-	r := &fakeMember{addr: l.Addr().String(), conns: make(chan *trunk.Conn, 64)}
+	r := &fakeMember{addr: l.Addr().String(), conns: make(chan *transport.Conn, 64)}
 	go func() {
 		for {
 			nc, err := l.Accept()
 			if err != nil {
 				return
 			}
-			if c, err := trunk.Accept(nc, nil); err == nil {
+			if c, err := transport.Accept(nc, nil); err == nil {
 				r.conns <- c
 			}
 		}
@@ -50,7 +50,7 @@
 }
 
 // acceptDial takes the next dial and says whether there is a leader.
-func (r *fakeMember) acceptDial(inTouch bool) *trunk.Conn {
+func (r *fakeMember) acceptDial(inTouch bool) *transport.Conn {
 	c := <-r.conns
 	c.Send(&wire.MembersT{})
 	c.Send(&wire.HeartbeatT{QuorumContact: inTouch})
@@ -64,7 +64,7 @@
 	l := &Sidecar{log: zerolog.Nop(), clock: engine.NewClock(), ctx: ctx}
 	set := settings.Defaults()
 	l.settings.Store(&set)
-	l.routing.Store(dialplan.NewTable(patch.Table{}))
+	l.routing.Store(routing.NewTable(config.Table{}))
 	l.directory.Store(&directory.Table{})
 	l.maintenance.Store(&wire.MachinesInMaintenanceT{})
 	l.localServer = newLocalServer(l)
@@ -83,7 +83,7 @@
 const patience = 20 * time.Second
 
 // newFollowingSidecar is a line with a trunk to a home, and that one's side of it.
-func newFollowingSidecar(t *testing.T) (l *Sidecar, near, far *trunk.Conn) {
+func newFollowingSidecar(t *testing.T) (l *Sidecar, near, far *transport.Conn) {
 	r := newFakeMember(t)
 	l = sidecarWith(t, r)
 	far = r.acceptDial(true)
@@ -162,7 +162,7 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	go io.Copy(io.Discard, far)
-	c, err := trunk.Accept(prefixed{near, bytes.NewReader(trunk.Encode(&wire.HelloT{TransportVersion: trunk.ProtocolVersion}))}, nil)
+	c, err := transport.Accept(prefixed{near, bytes.NewReader(transport.Encode(&wire.HelloT{TransportVersion: transport.ProtocolVersion}))}, nil)
 	assert.NilError(t, err)
 	var try func(left, done string)
 	try = func(left, done string) {
@@ -178,13 +178,13 @@
 				case 'l':
 					p.handlePiece(&wire.BodyChunkT{Id: 1, Last: true})
 				case 't':
-					p.finish(hollyspur.TimedOut, nil)
+					p.finish(balancer.TimedOut, nil)
 				}
 			}
 			at := func(r rune) int { return strings.IndexRune(done, r) }
 			assert.Equal(t, st != nil, at('a') < at('t'), done)
 			whole := at('a') < at('l') && at('l') < at('t')
-			assert.Equal(t, p.ending == hollyspur.Success, whole, done)
+			assert.Equal(t, p.ending == balancer.Success, whole, done)
 			if st != nil {
 				assert.Equal(t, st.Trailer() != nil, whole, done)
 				for st.Held() > 0 {
@@ -266,16 +266,16 @@
 func TestPoliciesApplyCompletely(t *testing.T) {
 	l, _, far := newFollowingSidecar(t)
 	defer far.Close(nil)
-	items, err := patch.ParseItems([]byte(`{"Upsert":{"NamespaceList":[{"Name":"n","ConfigVersion":1,"Owners":["ana"],"Services":["s"]}],
+	items, err := config.ParseItems([]byte(`{"Upsert":{"NamespaceList":[{"Name":"n","ConfigVersion":1,"Owners":["ana"],"Services":["s"]}],
 		"RulingList":[{"Name":"r","Namespace":"n","ConfigVersion":1,"Tries":1}]}}`))
 	assert.NilError(t, err)
-	table, _ := patch.Table{}.Merge(items)
-	first, _ := patch.Table{}.Merge(items[:1])
-	whole := patch.ItemsToWire(items)
-	whole.ActiveFingerprint, whole.ActiveIndex, whole.ActivePolicy = first.PolicyFingerprint(), 3, patch.ItemsToWire(items[1:]).List // not what binds
+	table, _ := config.Table{}.Merge(items)
+	first, _ := config.Table{}.Merge(items[:1])
+	whole := config.ItemsToWire(items)
+	whole.ActiveFingerprint, whole.ActiveIndex, whole.ActivePolicy = first.PolicyFingerprint(), 3, config.ItemsToWire(items[1:]).List // not what binds
 	assert.Assert(t, !l.applyConfirmedTable(whole, l.clock.Now()))
 	assert.Assert(t, l.policies.current().HasPolicies && l.policies.current().Active == "" && !l.policies.table.HasPolicyItems())
-	whole.ActivePolicy = patch.ItemsToWire(items[:1]).List
+	whole.ActivePolicy = config.ItemsToWire(items[:1]).List
 	assert.Assert(t, l.applyConfirmedTable(whole, l.clock.Now()))
 	assert.Equal(t, l.policies.table.PolicyFingerprint(), first.PolicyFingerprint())
 	assert.Assert(t, !l.isFenced())
--- a/internal/exchange/line/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/message"
-	sender "hollyspur/internal/sender/http1"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/message"
+	sender "cranegrade/internal/sender/http1"
 )
 
 // Figures of the side that runs requests at its own server.
@@ -39,7 +39,7 @@
 
 // inboundConn is a trunk from another line.
 type inboundConn struct {
-	conn *trunk.Conn
+	conn *transport.Conn
 	mu   sync.Mutex // guards open
 	// open are the requests of it that run here
 	requests map[uint64]*inboundRequest
@@ -73,7 +73,7 @@
 			continue
 		}
 		go func() {
-			if c, err := trunk.Accept(nc, nil); err == nil {
+			if c, err := transport.Accept(nc, nil); err == nil {
 				in.serveConn(&inboundConn{conn: c, requests: map[uint64]*inboundRequest{}})
 			}
 		}()
@@ -137,25 +137,25 @@
 func (in *inboundServer) answerCall(a *wire.CallT) *wire.CallReplyT {
 	told := &wire.CallReplyT{Id: a.Id, Status: http.StatusOK}
 	switch a.Kind {
-	case trunk.CallStoredResponse:
+	case transport.CallStoredResponse:
 		q, err := parseLegacy(a.Body)
 		if err != nil || len(q.List) != 1 {
 			told.Status = http.StatusBadRequest
 			break
 		}
-		told.Body = trunk.EncodeTable(in.recallResponse(q.List[0].Key, q.SourceAddr))
-	case trunk.CallHandOverKeys:
+		told.Body = transport.EncodeTable(in.recallResponse(q.List[0].Key, q.SourceAddr))
+	case transport.CallHandOverKeys:
 		q, err := parseLegacy(a.Body)
 		if err != nil {
 			told.Status = http.StatusBadRequest
 			break
 		}
 		in.responses.inherit(q.SourceAddr, q.List)
-	case trunk.CallStatus:
-		told.Body = trunk.EncodeTable(in.sidecar.status())
-	case trunk.CallLogRing:
+	case transport.CallStatus:
+		told.Body = transport.EncodeTable(in.sidecar.status())
+	case transport.CallLogRing:
 		told.Body = in.sidecar.ring.Contents()
-	case trunk.CallDrain:
+	case transport.CallDrain:
 		in.sidecar.localServer.hold(len(a.Body) > 0)
 	default:
 		told.Status = http.StatusNotFound
@@ -164,13 +164,13 @@
 }
 
 func parseLegacy(body []byte) (*wire.KeyHandoverT, error) {
-	return trunk.DecodeTable(body, func(p []byte) *wire.KeyHandoverT { return wire.GetRootAsKeyHandover(p, 0).UnPack() })
+	return transport.DecodeTable(body, func(p []byte) *wire.KeyHandoverT { return wire.GetRootAsKeyHandover(p, 0).UnPack() })
 }
 
 // sendAnswer sends an answer, or its beginning, in the form that the caller's line reads.
 func (of *inboundConn) sendAnswer(a *wire.ResponseT) {
-	if of.conn.Peer.TransportVersion >= trunk.PackedHeaderVersion {
-		a = trunk.PackResponse(a)
+	if of.conn.Peer.TransportVersion >= transport.PackedHeaderVersion {
+		a = transport.PackResponse(a)
 	}
 	of.conn.Send(a)
 }
--- a/internal/exchange/line/keep.go
+++ b/internal/mesh/sidecar/keep.go
@@ -1,10 +1,10 @@
-package line
+package sidecar
 
 import (
 	"sync"
 	"time"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // What became of a key's request at this line.
--- a/internal/exchange/line/keep_test.go
+++ b/internal/mesh/sidecar/keep_test.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 func TestResponseStore(t *testing.T) {
--- a/internal/exchange/line/keys.go
+++ b/internal/mesh/sidecar/keys.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // leaseSlack is by how much a key is held beyond its window, which runs from when its request was sent.
@@ -133,7 +133,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := l.calls.Call(ctx, c, trunk.CallHandOverKeys, trunk.EncodeTable(&wire.KeyHandoverT{SourceAddr: l.Addr(), List: rest[:n]})); err != nil {
+		if _, err := l.calls.Call(ctx, c, transport.CallHandOverKeys, transport.EncodeTable(&wire.KeyHandoverT{SourceAddr: l.Addr(), List: rest[:n]})); err != nil {
 			return err
 		}
 		rest = rest[n:]
@@ -162,9 +162,9 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := s.sidecar.calls.Call(ctx, c, trunk.CallStoredResponse, trunk.EncodeTable(&wire.KeyHandoverT{SourceAddr: of, List: []*wire.StoredResponseT{q}}))
+	t, err := s.sidecar.calls.Call(ctx, c, transport.CallStoredResponse, transport.EncodeTable(&wire.KeyHandoverT{SourceAddr: of, List: []*wire.StoredResponseT{q}}))
 	if err != nil {
 		return nil, err
 	}
-	return trunk.DecodeTable(t.Body, func(p []byte) *wire.StoredResponseT { return wire.GetRootAsStoredResponse(p, 0).UnPack() })
+	return transport.DecodeTable(t.Body, func(p []byte) *wire.StoredResponseT { return wire.GetRootAsStoredResponse(p, 0).UnPack() })
 }
--- a/internal/exchange/line/keys_test.go
+++ b/internal/mesh/sidecar/keys_test.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/exchange/ticket"
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/mesh/idempotency"
+	"cranegrade/internal/testkit"
 )
 
 // A search of all orders over one key: tries at two lines, their claims delivered late, twice or never, grants that come after
@@ -27,7 +27,7 @@
 	attempts     []keyAttempt
 	responses    [2]*responseStore
 	incarnations [2]int
-	store        *ticket.Store
+	store        *idempotency.Store
 	messages     []keyMessage
 	faultsLeft   int // and repetitions and crashes that are left
 	executions   int // that have, or may have, run
@@ -36,7 +36,7 @@
 
 // keyMessage is a claim on its way to the book, or a grant on its way back.
 type keyMessage struct {
-	claim   ticket.LeaseRequest
+	claim   idempotency.LeaseRequest
 	attempt int
 	isReply bool
 	granted bool
@@ -53,7 +53,7 @@
 func (w *keyWorld) clone() *keyWorld {
 	v := *w
 	v.attempts, v.messages, v.trace = slices.Clone(w.attempts), slices.Clone(w.messages), slices.Clone(w.trace)
-	v.store = ticket.Restore(w.store.Leases())
+	v.store = idempotency.Restore(w.store.Leases())
 	for i, k := range w.responses {
 		v.responses[i] = newResponseStore()
 		for n, x := range k.records {
@@ -95,7 +95,7 @@
 func (w *keyWorld) releaseKey(i int) {
 	t := &w.attempts[i]
 	w.responses[t.sidecar].markNotExecuted("k")
-	w.messages = append(w.messages, keyMessage{claim: ticket.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: w.holder(t.sidecar), Release: true}, attempt: i})
+	w.messages = append(w.messages, keyMessage{claim: idempotency.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: w.holder(t.sidecar), Release: true}, attempt: i})
 	t.state = attemptNotExecuted
 }
 
@@ -119,7 +119,7 @@
 					return
 				}
 				v.attempts[i].state = attemptWaiting
-				v.messages = append(v.messages, keyMessage{claim: ticket.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: v.holder(t.sidecar), Window: time.Hour}, attempt: i})
+				v.messages = append(v.messages, keyMessage{claim: idempotency.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: v.holder(t.sidecar), Window: time.Hour}, attempt: i})
 			})
 		case attemptWaiting:
 			step(fmt.Sprint("give up ", i), func(v *keyWorld) { v.releaseKey(i) })
@@ -188,7 +188,7 @@
 }
 
 func searchKeys(released bool) (states int, broken []string) {
-	w := &keyWorld{store: ticket.New(), faultsLeft: 1, attempts: []keyAttempt{
+	w := &keyWorld{store: idempotency.New(), faultsLeft: 1, attempts: []keyAttempt{
 		{sidecar: 0, token: "a", after: -1, state: attemptIdle}, {sidecar: 1, token: "a", attempt: 1, after: 0, state: attemptIdle}, {sidecar: 1, token: "b", after: -1, state: attemptIdle}}}
 	w.responses = [2]*responseStore{newResponseStore(), newResponseStore()}
 	seen := map[string]bool{w.key(): true}
--- a/internal/exchange/line/line.go
+++ b/internal/mesh/sidecar/line.go
@@ -4,7 +4,7 @@
 //
 // Tables are snapshots: the plan, the directory and the items are each swapped whole; what a request began with holds to
 // its end.
-package line
+package sidecar
 
 import (
 	"context"
@@ -20,18 +20,18 @@
 	"github.com/juju/errors"
 	"github.com/rs/zerolog"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/control"
-	"hollyspur/internal/exchange/dialplan"
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/howler"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	front "hollyspur/internal/front/http1"
-	"hollyspur/internal/pool"
-	sender "hollyspur/internal/sender/http1"
+	"cranegrade/internal/engine"
+	front "cranegrade/internal/front/http1"
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/logring"
+	"cranegrade/internal/mesh/routing"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/pool"
+	sender "cranegrade/internal/sender/http1"
 )
 
 // Times of a line.
@@ -49,7 +49,7 @@
 type Sidecar struct {
 	settings    atomic.Pointer[settings.Settings]
 	log         zerolog.Logger
-	ring        *howler.Ring
+	ring        *logring.Ring
 	clock       engine.Clock
 	startedAt   time.Time
 	incarnation string // of this process, in tickets
@@ -67,14 +67,14 @@
 	inbound           *inboundServer
 	localServer       *localServer
 	controlPlane      *controlPlaneConn
-	calls             trunk.Calls
+	calls             transport.Calls
 	inboundListener   net.Listener
 	readinessListener net.Listener
 	localAPIListener  net.Listener
 	httpServers       []*http.Server
 
 	mu          sync.Mutex // guards changes of the snapshots below, which are read without it
-	items       patch.Table
+	items       config.Table
 	policies    activePolicies                              // guarded by mu, but for what it says of itself
 	maintenance atomic.Pointer[wire.MachinesInMaintenanceT] // machines that are out for maintenance
 	// heirs are the lines that keep the answers of others which are out, or were; guarded by mu
@@ -82,12 +82,12 @@
 	handedOverFor atomic.Pointer[string] // the order for which what is kept here was handed over
 	// handing is the order and the heir for which that is done, or was; guarded by mu
 	handoverTarget string
-	routing        atomic.Pointer[dialplan.Table]
+	routing        atomic.Pointer[routing.Table]
 	directory      atomic.Pointer[directory.Table]
 }
 
 // New listens; Run serves.
-func New(set settings.Settings, log zerolog.Logger, ring *howler.Ring) (_ *Sidecar, err error) {
+func New(set settings.Settings, log zerolog.Logger, ring *logring.Ring) (_ *Sidecar, err error) {
 	l := assemble(set, log, ring)
 	listen := func(name, addr string) net.Listener {
 		if err != nil {
@@ -109,13 +109,13 @@
 }
 
 // assemble makes all parts of a line, which listen nowhere yet.
-func assemble(set settings.Settings, log zerolog.Logger, ring *howler.Ring) *Sidecar {
+func assemble(set settings.Settings, log zerolog.Logger, ring *logring.Ring) *Sidecar {
 	l := &Sidecar{log: log, ring: ring, clock: engine.NewClock(), startedAt: time.Now()}
 	l.settings.Store(&set)
 	var p [6]byte
 	crand.Read(p[:])
 	l.incarnation = hex.EncodeToString(p[:])
-	l.routing.Store(dialplan.NewTable(patch.Table{}))
+	l.routing.Store(routing.NewTable(config.Table{}))
 	l.directory.Store(&directory.Table{})
 	l.maintenance.Store(&wire.MachinesInMaintenanceT{})
 	budgets := newResourceBudgets(set)
@@ -178,7 +178,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	ready, calls := control.NewServer(mux), control.NewServer(l.localServer.handlers())
+	ready, calls := api.NewServer(mux), api.NewServer(l.localServer.handlers())
 	l.httpServers = []*http.Server{ready, calls}
 	if err := l.openOutbound(); err != nil {
 		return err
@@ -251,7 +251,7 @@
 }
 
 // mergeItems merges items that a register told.
-func (l *Sidecar) mergeItems(items []patch.Item) {
+func (l *Sidecar) mergeItems(items []config.Item) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	next, raised := l.items.Merge(items)
@@ -266,7 +266,7 @@
 // rebuildRouting makes the plan of the items and rules that are in force, and puts it in the place of the one before. The caller holds
 // the lock.
 func (l *Sidecar) rebuildRouting() {
-	plan := dialplan.NewTableWithPolicies(l.items, l.policies.table, l.settings.Load().Service)
+	plan := routing.NewTableWithPolicies(l.items, l.policies.table, l.settings.Load().Service)
 	l.pools.applyRouting(plan)
 	l.routing.Store(plan)
 	if f := l.front.Load(); f != nil {
--- a/internal/exchange/line/outbound.go
+++ b/internal/mesh/sidecar/outbound.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"math/rand/v2"
@@ -9,13 +9,13 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/exchange/dialplan"
-	front "hollyspur/internal/front/http1"
-	"hollyspur/internal/message"
-	"hollyspur/internal/pool"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	front "cranegrade/internal/front/http1"
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/routing"
+	"cranegrade/internal/message"
+	"cranegrade/internal/pool"
 )
 
 // Names of the protocol's headers.
@@ -45,14 +45,14 @@
 
 // routedRequest is what the line knows of a request beyond its form. It is the Note of its message.
 type routedRequest struct {
-	route         *dialplan.Route
+	route         *routing.Route
 	service       *service
 	attemptID     string
 	key           string
 	token         string
 	attempts      atomic.Int32 // attempts that went out
 	keyNotGranted atomic.Bool  // the registers could not grant its key: no more of them
-	policy        *classmark.Decision
+	policy        *policy.Decision
 	ruleTrace     string        // what is answered to hTrace
 	lastEnding    atomic.Uint32 // how the last attempt ended
 }
@@ -67,7 +67,7 @@
 
 // mayRetry says whether the rule allows a further try after how the last one ended.
 func (o *routedRequest) mayRetry() bool {
-	return o.policy == nil || o.policy.MayRetry(retryConditionNames[hollyspur.Ending(o.lastEnding.Load())])
+	return o.policy == nil || o.policy.MayRetry(retryConditionNames[balancer.Ending(o.lastEnding.Load())])
 }
 
 // routeResolver implements front.Routes.
@@ -102,7 +102,7 @@
 func (l callerProtocol) Ahead(hr *http.Request) bool {
 	path, _, _ := strings.Cut(hr.RequestURI, "?")
 	r := l.routing.Load().Match(hr.Host, path)
-	return r != nil && r.Kind == dialplan.Idempotent
+	return r != nil && r.Kind == routing.Idempotent
 }
 
 // ID implements front.Speech.
@@ -162,7 +162,7 @@
 			o.ruleTrace = o.policy.Fingerprint + " " + l.policies.current().Active
 		}
 	}
-	if r.Kind == dialplan.Keyed && !l.controlPlane.isReachable() {
+	if r.Kind == routing.Keyed && !l.controlPlane.isReachable() {
 		return nil, &front.Refusal{Status: http.StatusServiceUnavailable, Text: "no majority of registers to grant the key", Retry: true, Keep: hasNoBody(hr)}
 	}
 	limits := l.routing.Load().Limits
@@ -170,7 +170,7 @@
 	switch {
 	case len(h[headerAttemptID]) != 1 || o.attemptID == "" || len(o.attemptID) > maxIDBytes:
 		return nil, &front.Refusal{Status: http.StatusBadRequest, Text: "not one " + headerAttemptID}
-	case r.Kind == dialplan.Keyed && (len(h[headerOperationKey]) != 1 || o.key == "" || len(o.key) > maxKeyBytes):
+	case r.Kind == routing.Keyed && (len(h[headerOperationKey]) != 1 || o.key == "" || len(o.key) > maxKeyBytes):
 		return nil, &front.Refusal{Status: http.StatusBadRequest, Text: "not one " + headerOperationKey}
 	case limits.MaxHeaderBytes > 0 && headSize(hr) > limits.MaxHeaderBytes:
 		return nil, &front.Refusal{Status: http.StatusRequestHeaderFieldsTooLarge, Text: "the head is too long", Keep: hasNoBody(hr)}
@@ -191,7 +191,7 @@
 		out.Runs = message.RunsOften
 	}
 	out.Most = limits.MaxBodyBytes
-	if r.Kind == dialplan.Keyed {
+	if r.Kind == routing.Keyed {
 		o.token = l.newToken()
 	} else {
 		o.key = ""
--- a/internal/exchange/line/own.go
+++ b/internal/mesh/sidecar/own.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/control"
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/transport"
 )
 
 // maxMissedHeartbeats is how many beats a server may miss before it counts as gone.
@@ -38,9 +38,9 @@
 
 // OperationalStatus is how a server does.
 type OperationalStatus struct {
-	State       string        `json:"State"`
-	CallSeq     int64         `json:"CallSeq"`
-	WarmupLeftS patch.Seconds `json:"WarmupLeftS"`
+	State       string         `json:"State"`
+	CallSeq     int64          `json:"CallSeq"`
+	WarmupLeftS config.Seconds `json:"WarmupLeftS"`
 }
 
 // localServer is the server beside this line, as its beats tell of it, and the record that the others hear.
@@ -65,7 +65,7 @@
 func newLocalServer(l *Sidecar) *localServer {
 	set := l.settings.Load()
 	o := &localServer{sidecar: l, goneInstances: map[string]bool{}}
-	o.current = directory.Record{Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1, Addr: set.ListenAddrs.Inbound, Zone: set.Zone, Service: set.Service, ProtocolVersion: trunk.ProtocolVersion}
+	o.current = directory.Record{Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1, Addr: set.ListenAddrs.Inbound, Zone: set.Zone, Service: set.Service, ProtocolVersion: transport.ProtocolVersion}
 	r := o.current
 	o.published.Store(&r)
 	return o
@@ -179,14 +179,14 @@
 
 func (o *localServer) handlers() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/endpoints/{id}/heartbeat", control.NewHandler(16<<10, time.Second,
-		func(_ context.Context, r *http.Request, b Heartbeat) (control.Empty, error) {
-			return control.Empty{}, o.heartbeat(r.PathValue("id"), b)
+	mux.HandleFunc("POST /v1/endpoints/{id}/heartbeat", api.NewHandler(16<<10, time.Second,
+		func(_ context.Context, r *http.Request, b Heartbeat) (api.Empty, error) {
+			return api.Empty{}, o.heartbeat(r.PathValue("id"), b)
 		}))
-	mux.HandleFunc("POST /v1/endpoints/{id}/deregister", control.NewHandler(16<<10, time.Second,
-		func(_ context.Context, r *http.Request, _ control.Empty) (control.Empty, error) {
+	mux.HandleFunc("POST /v1/endpoints/{id}/deregister", api.NewHandler(16<<10, time.Second,
+		func(_ context.Context, r *http.Request, _ api.Empty) (api.Empty, error) {
 			o.deregister(r.PathValue("id"))
-			return control.Empty{}, nil
+			return api.Empty{}, nil
 		}))
 	return mux
 }
@@ -194,7 +194,7 @@
 // heartbeat takes a server's word of itself.
 func (o *localServer) heartbeat(id string, b Heartbeat) error {
 	if id == "" || len(id) > maxIDBytes || b.Address == "" {
-		return control.NewError(http.StatusBadRequest, "a beat without id or Address")
+		return api.NewError(http.StatusBadRequest, "a beat without id or Address")
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/exchange/line/own_test.go
+++ b/internal/mesh/sidecar/own_test.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/directory"
-	sender "hollyspur/internal/sender/http1"
+	"cranegrade/internal/mesh/directory"
+	sender "cranegrade/internal/sender/http1"
 )
 
 // maxAcknowledgementBytes is the size in bytes up to which a server takes an answer for an acknowledgement.
--- a/internal/exchange/line/pools.go
+++ b/internal/mesh/sidecar/pools.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/dialplan"
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/exchange/toll"
-	"hollyspur/internal/pool"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/retrybudget"
+	"cranegrade/internal/mesh/routing"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/pool"
 )
 
 // Figures of a pool.
@@ -77,12 +77,12 @@
 	name     string
 	pool     *pool.Pool
 	source   *directorySource
-	classes  map[string]hollyspur.Class // told to its module
-	position fleetPosition              // the same
+	classes  map[string]balancer.Class // told to its module
+	position fleetPosition             // the same
 
 	mu            sync.Mutex // guards below
-	retryBudget   *toll.Budget
-	policyBudgets map[string]*toll.Budget // by route: of those that a namespace's rule bounds besides
+	retryBudget   *retrybudget.Budget
+	policyBudgets map[string]*retrybudget.Budget // by route: of those that a namespace's rule bounds besides
 }
 
 func newServicePools(l *Sidecar, b *resourceBudgets) *servicePools {
@@ -95,7 +95,7 @@
 func (p *servicePools) get(name string) *service { return (*p.byName.Load())[name] }
 
 // priorityAndTimeout is a route's among those to a service, and limit its longest time.
-func priorityAndTimeout(r *dialplan.Route, service string) (rank int, limit time.Duration) {
+func priorityAndTimeout(r *routing.Route, service string) (rank int, limit time.Duration) {
 	if m := r.PolicyDecision(service); m != nil {
 		return m.Priority, m.Timeout
 	}
@@ -104,7 +104,7 @@
 
 // moduleClasses are what the routes to a service are to its module. Those above the lowest rank are not held back
 // for its sake: work that was let in may wait for them, and would be lost.
-func moduleClasses(service string, routes []*dialplan.Route) (l []hollyspur.Class) {
+func moduleClasses(service string, routes []*routing.Route) (l []balancer.Class) {
 	lowest := 0
 	for _, r := range routes {
 		priority, _ := priorityAndTimeout(r, service)
@@ -119,18 +119,18 @@
 	return l
 }
 
-func moduleClass(service string, r *dialplan.Route) hollyspur.Class {
+func moduleClass(service string, r *routing.Route) balancer.Class {
 	priority, limit := priorityAndTimeout(r, service)
 	aim := min(r.LatencyTarget, limit)
-	c := hollyspur.Class{Name: r.Name, Aim: aim, Deadline: limit, LateShare: 1, Worth: 1 / float64(1+priority), Typical: aim / 2}
+	c := balancer.Class{Name: r.Name, Aim: aim, Deadline: limit, LateShare: 1, Worth: 1 / float64(1+priority), Typical: aim / 2}
 	if r.Kind.IsIdempotent() {
-		c.Effect = hollyspur.Safe
+		c.Effect = balancer.Safe
 	}
 	return c
 }
 
 // applyRouting has each service of a plan have its pool and know its routes. The caller holds the line's lock.
-func (p *servicePools) applyRouting(plan *dialplan.Table) {
+func (p *servicePools) applyRouting(plan *routing.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	had := *p.byName.Load()
@@ -146,7 +146,7 @@
 			next[name] = s
 			continue
 		}
-		var news []hollyspur.Class
+		var news []balancer.Class
 		for _, c := range moduleClasses(name, routes) {
 			if s.classes[c.Name] != c {
 				s.classes[c.Name] = c
@@ -154,22 +154,22 @@
 			}
 		}
 		if len(news) > 0 {
-			go s.pool.Engine().Tell(hollyspur.Classes{Classes: news})
+			go s.pool.Engine().Tell(balancer.Classes{Classes: news})
 		}
 	}
 	p.byName.Store(&next)
 }
 
-func (p *servicePools) openService(name string, routes []*dialplan.Route) *service {
+func (p *servicePools) openService(name string, routes []*routing.Route) *service {
 	l := p.sidecar
-	s := &service{name: name, classes: map[string]hollyspur.Class{}, source: &directorySource{sidecar: l, service: name, changed: make(chan struct{}, 1)}}
-	set := hollyspur.Settings{Balancers: max(1, l.directory.Load().Len()), MaxAttempts: maxModuleAttempts, Tick: moduleTick, MaxRetryAfter: maxModuleRetryAfter,
+	s := &service{name: name, classes: map[string]balancer.Class{}, source: &directorySource{sidecar: l, service: name, changed: make(chan struct{}, 1)}}
+	set := balancer.Settings{Balancers: max(1, l.directory.Load().Len()), MaxAttempts: maxModuleAttempts, Tick: moduleTick, MaxRetryAfter: maxModuleRetryAfter,
 		MayCancel: true, WholeWeight: 0.5, ClassWeight: 0.1, ColdFrom: warmupStartWeight, WarmAfter: warmupPeriod}
 	for _, c := range moduleClasses(name, routes) {
 		s.classes[c.Name] = c
 		set.Classes = append(set.Classes, c)
 	}
-	s.retryBudget = toll.New(p.retryRule())
+	s.retryBudget = retrybudget.New(p.retryRule())
 	b := p.budgets
 	var err error
 	s.pool, err = pool.New(pool.Config{Name: name, Settings: set, Seed: rand.Uint64(), Clock: l.clock, Sender: l.upstreams, Source: s.source, Pushed: true,
@@ -183,10 +183,10 @@
 }
 
 // retryRule is this line's part of the budget of further tries.
-func (p *servicePools) retryRule() toll.Limits {
+func (p *servicePools) retryRule() retrybudget.Limits {
 	b := p.sidecar.settings.Load().Bounds
 	lines := max(minSidecars, p.sidecar.directory.Load().Len())
-	return toll.Limits{Window: b.RetryWindowS.Duration(), Ratio: b.RetryBudgetRatio * retryBudgetShare, MinRetries: math.Floor(b.RetrySlack * retryBudgetShare / float64(lines))}
+	return retrybudget.Limits{Window: b.RetryWindowS.Duration(), Ratio: b.RetryBudgetRatio * retryBudgetShare, MinRetries: math.Floor(b.RetrySlack * retryBudgetShare / float64(lines))}
 }
 
 // admitAttempt counts an attempt that is about to go out, the nth of its request from 0; false: the budget allows no more, or the
@@ -194,14 +194,14 @@
 func (s *service) admitAttempt(now time.Duration, nth int, o *routedRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var ruled *toll.Budget
+	var ruled *retrybudget.Budget
 	if o.policy != nil && !math.IsInf(o.policy.RetryRatio, 1) {
-		rule := toll.Limits{Window: policyRetryWindow, Ratio: o.policy.RetryRatio}
+		rule := retrybudget.Limits{Window: policyRetryWindow, Ratio: o.policy.RetryRatio}
 		if ruled = s.policyBudgets[o.route.Name]; ruled == nil {
 			if s.policyBudgets == nil || len(s.policyBudgets) > maxPolicyBudgets {
-				s.policyBudgets = map[string]*toll.Budget{}
+				s.policyBudgets = map[string]*retrybudget.Budget{}
 			}
-			ruled = toll.New(rule)
+			ruled = retrybudget.New(rule)
 			s.policyBudgets[o.route.Name] = ruled
 		}
 		ruled.SetLimits(rule)
@@ -227,7 +227,7 @@
 		s.mu.Unlock()
 		if fleet := p.positionFor(s.name); s.position != fleet {
 			s.position = fleet
-			go s.pool.Engine().Tell(hollyspur.Fleet{Balancers: fleet.sidecars, Index: fleet.index, Divisor: max(1, float64(fleet.sidecars)/2), Whole: true, Takes: fleet.serverCapacity})
+			go s.pool.Engine().Tell(balancer.Fleet{Balancers: fleet.sidecars, Index: fleet.index, Divisor: max(1, float64(fleet.sidecars)/2), Whole: true, Takes: fleet.serverCapacity})
 		}
 		select {
 		case s.source.changed <- struct{}{}:
@@ -300,9 +300,9 @@
 		if r.Service != s.service || r.ServerID == "" || r.State == directory.ServerNone || r.State == directory.ServerDown {
 			continue
 		}
-		x := engine.Listed{Server: hollyspur.Server{ID: r.ServerID, Zone: r.Zone, State: hollyspur.Ready}, Addr: r.Addr}
+		x := engine.Listed{Server: balancer.Server{ID: r.ServerID, Zone: r.Zone, State: balancer.Ready}, Addr: r.Addr}
 		if r.State == directory.ServerDraining || r.Leaving || s.sidecar.isInMaintenance(r.Addr) {
-			x.State = hollyspur.Draining
+			x.State = balancer.Draining
 		}
 		if r.WarmAt > 0 {
 			x.Boot = r.WarmAt - warmupPeriod
--- a/internal/exchange/line/relay_test.go
+++ b/internal/mesh/sidecar/relay_test.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // cutMode is how a connection is cut.
@@ -197,17 +197,17 @@
 func (upstreamFraming) begin() (request, answer func(*bufio.Reader) (relayedMessage, error)) {
 	var mu sync.Mutex
 	names := map[uint64]string{}
-	frame := func(r *bufio.Reader) ([]byte, trunk.Message, error) {
+	frame := func(r *bufio.Reader) ([]byte, transport.Message, error) {
 		var head [4]byte
 		if n, err := io.ReadFull(r, head[:]); err != nil {
-			return head[:n], trunk.Message{}, err
+			return head[:n], transport.Message{}, err
 		}
 		raw := make([]byte, 4+binary.LittleEndian.Uint32(head[:]))
 		copy(raw, head[:])
 		if n, err := io.ReadFull(r, raw[4:]); err != nil {
-			return raw[:4+n], trunk.Message{}, err
+			return raw[:4+n], transport.Message{}, err
 		}
-		m, err := trunk.Decode(raw[4:])
+		m, err := transport.Decode(raw[4:])
 		return raw, m, err
 	}
 	request = func(r *bufio.Reader) (relayedMessage, error) {
--- a/internal/exchange/line/rules.go
+++ b/internal/mesh/sidecar/rules.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"context"
@@ -9,32 +9,32 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur"
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/balancer"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // activePolicies are the namespaces and rulings that this line goes by, and how far it knows that they bind (classmark/bind.go). A set
 // that it holds and that does not bind yet is among the line's items only.
 type activePolicies struct {
-	table        patch.Table
-	state        atomic.Pointer[classmark.SidecarState]
+	table        config.Table
+	state        atomic.Pointer[policy.SidecarState]
 	activeSince  atomic.Int64 // when bound was taken, of the line's clock
 	startPolling sync.Once    // starts asking, which goes on then
 	pollNow      chan struct{}
 }
 
-func (r *activePolicies) current() classmark.SidecarState {
+func (r *activePolicies) current() policy.SidecarState {
 	if l := r.state.Load(); l != nil {
 		return *l
 	}
-	return classmark.SidecarState{}
+	return policy.SidecarState{}
 }
 
 // setPolicyState is called with the line's lock held.
-func (l *Sidecar) setPolicyState(x classmark.SidecarState) {
+func (l *Sidecar) setPolicyState(x policy.SidecarState) {
 	l.policies.state.Store(&x)
 	if x.HasPolicies {
 		l.policies.startPolling.Do(func() {
@@ -48,7 +48,7 @@
 func (l *Sidecar) isFenced() bool { return l.policies.current().IsFenced(l.clock.Now()) }
 
 // noteHeldPolicies notes that items were taken. The caller holds the lock.
-func (l *Sidecar) noteHeldPolicies(raised []patch.Item) {
+func (l *Sidecar) noteHeldPolicies(raised []config.Item) {
 	for _, i := range raised {
 		if i.Kind.InPolicySet() {
 			l.setPolicyState(l.policies.current().Receive(l.items.PolicyFingerprint()))
@@ -58,7 +58,7 @@
 }
 
 // activatePolicies goes by the set that is held from now on. The caller holds the lock.
-func (l *Sidecar) activatePolicies(leaf classmark.SidecarState, bound patch.Table) {
+func (l *Sidecar) activatePolicies(leaf policy.SidecarState, bound config.Table) {
 	l.policies.table = bound
 	l.policies.activeSince.Store(int64(l.clock.Now()))
 	l.setPolicyState(leaf)
@@ -87,7 +87,7 @@
 // applyConfirmedTable takes all items, and which rules bind, as a read confirmed them that was asked for at a time; false: the rules are
 // not those of the fingerprint, and it has to be asked again.
 func (l *Sidecar) applyConfirmedTable(t *wire.ItemsT, asked time.Duration) bool {
-	l.mergeItems(patch.ItemsFromWire(t))
+	l.mergeItems(config.ItemsFromWire(t))
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	was := l.policies.current()
@@ -96,7 +96,7 @@
 		l.setPolicyState(leaf)
 		return true
 	}
-	bound, _ := patch.Table{}.Merge(patch.ItemsFromWire(&wire.ItemsT{List: t.ActivePolicy}))
+	bound, _ := config.Table{}.Merge(config.ItemsFromWire(&wire.ItemsT{List: t.ActivePolicy}))
 	if leaf.Active == l.items.PolicyFingerprint() {
 		bound = l.items.PolicyItems()
 	}
@@ -109,7 +109,7 @@
 
 // pollActivePolicies asks whether the rules still bind, for as long as the line runs.
 func (l *Sidecar) pollActivePolicies() {
-	t := time.NewTicker(classmark.ConfirmInterval)
+	t := time.NewTicker(policy.ConfirmInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -128,18 +128,18 @@
 	}
 }
 
-func (l *Sidecar) confirmActivePolicies(c *trunk.Conn) error {
+func (l *Sidecar) confirmActivePolicies(c *transport.Conn) error {
 	ctx, cancel := context.WithTimeout(l.ctx, callTimeout)
 	defer cancel()
 	asked := l.clock.Now()
-	t, err := l.calls.Call(ctx, c, trunk.CallActivePolicy, nil)
+	t, err := l.calls.Call(ctx, c, transport.CallActivePolicy, nil)
 	if err != nil {
 		return err
 	}
 	if t.Status != http.StatusOK {
 		return errors.Errorf("status %d", t.Status)
 	}
-	b, err := trunk.DecodeTable(t.Body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
+	b, err := transport.DecodeTable(t.Body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 }
 
 // checkPolicy says whether the merged rule lets a request be; else why not.
-func (l *Sidecar) checkPolicy(m *classmark.Decision, caller string) (status int, text string) {
+func (l *Sidecar) checkPolicy(m *policy.Decision, caller string) (status int, text string) {
 	switch {
 	case l.isFenced():
 		return http.StatusServiceUnavailable, "which rules bind could not be confirmed for a while"
@@ -168,5 +168,5 @@
 }
 
 // retryConditionNames are the endings after which a rule may allow a further try, as it names them.
-var retryConditionNames = map[hollyspur.Ending]string{hollyspur.Overloaded: "refused", hollyspur.Unreachable: "unreachable", hollyspur.Failure: "failed",
-	hollyspur.Broken: "broken", hollyspur.TimedOut: "timed_out"}
+var retryConditionNames = map[balancer.Ending]string{balancer.Overloaded: "refused", balancer.Unreachable: "unreachable", balancer.Failure: "failed",
+	balancer.Broken: "broken", balancer.TimedOut: "timed_out"}
--- a/internal/exchange/line/run.go
+++ b/internal/mesh/sidecar/run.go
@@ -1,4 +1,4 @@
-package line
+package sidecar
 
 import (
 	"context"
@@ -6,11 +6,11 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/message"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/message"
 )
 
 // inboundRequest is a request at this line's server.
@@ -31,7 +31,7 @@
 	r.sendWindow.add(sendWindowBytes)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	r.cancel = cancel
-	fields, err := trunk.UnpackHeader(q.PackedHeader)
+	fields, err := transport.UnpackHeader(q.PackedHeader)
 	if err != nil { // a fault of the other side's; nothing of it has run
 		of.sendAnswer(&wire.ResponseT{Id: q.Id, Ending: codeNotAccepted})
 		return
@@ -79,7 +79,7 @@
 		r.ownsKey.Store(true)
 	}
 	if time.Until(until) <= 0 {
-		return r.conclude(hollyspur.Void, nil)
+		return r.conclude(balancer.Void, nil)
 	}
 	ctx, stop := context.WithDeadlineCause(ctx, until, engine.ErrTimedOut)
 	defer stop()
@@ -104,7 +104,7 @@
 func (r *inboundRequest) forward(ctx context.Context, ep *engine.Endpoint, until time.Time) *wire.ResponseT {
 	m := r.newMessage()
 	ended, passed := make(chan struct{}), make(chan struct{})
-	var ending hollyspur.Ending
+	var ending balancer.Ending
 	var reply *message.Reply
 	var stream *message.Stream
 	r.inbound.sender.Start(ctx, engine.NewAttempt(ep, m, time.Until(until), engine.Hooks{
@@ -117,7 +117,7 @@
 				r.streamAnswer(ctx, stream)
 			}()
 		},
-		End: func(e hollyspur.Ending, x engine.Reply) {
+		End: func(e balancer.Ending, x engine.Reply) {
 			ending = e
 			reply, _ = x.(*message.Reply)
 			close(ended)
@@ -129,17 +129,17 @@
 		r.recordOutcome(keyOutcomeUnknown, nil)
 		return nil
 	}
-	if ending == hollyspur.Unreachable {
+	if ending == balancer.Unreachable {
 		r.inbound.sidecar.localServer.checkUnreachable(ep)
 	}
-	if ending == hollyspur.Failure {
+	if ending == balancer.Failure {
 		reply = m.Failed()
 	}
 	return r.conclude(ending, reply)
 }
 
 // conclude words how the request ended, and notes what became of its key.
-func (r *inboundRequest) conclude(ending hollyspur.Ending, reply *message.Reply) *wire.ResponseT {
+func (r *inboundRequest) conclude(ending balancer.Ending, reply *message.Reply) *wire.ResponseT {
 	a := &wire.ResponseT{}
 	if reply != nil {
 		a.Status, a.Body = uint16(reply.Status), reply.Body
@@ -149,10 +149,10 @@
 		a.ContentLength = int64(len(reply.Body))
 	}
 	switch ending {
-	case hollyspur.Success:
+	case balancer.Success:
 		r.recordOutcome(keyAnswered, a)
 		return a
-	case hollyspur.Failure:
+	case balancer.Failure:
 		a.Ending = codeServerFailed
 		if reply == nil {
 			a.Ending = codeBroken
@@ -161,13 +161,13 @@
 		}
 		r.recordOutcome(keyAnswered, a)
 		return a
-	case hollyspur.Overloaded, hollyspur.Unreachable, hollyspur.Void:
-		if a.Ending = codeOverloaded; ending != hollyspur.Overloaded {
+	case balancer.Overloaded, balancer.Unreachable, balancer.Void:
+		if a.Ending = codeOverloaded; ending != balancer.Overloaded {
 			a.Ending = codeNotAccepted
 		}
 		r.releaseOwnedKey()
 		return a
-	case hollyspur.TimedOut:
+	case balancer.TimedOut:
 		a.Ending = codeTimedOut
 	default:
 		a.Ending = codeBroken
--- a/internal/exchange/line/serverspeech.go
+++ b/internal/mesh/sidecar/serverspeech.go
@@ -1,14 +1,14 @@
-package line
+package sidecar
 
 import (
 	"net/http"
 	"strconv"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/message"
-	sender "hollyspur/internal/sender/http1"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/message"
+	sender "cranegrade/internal/sender/http1"
 )
 
 // serverProtocol is the mesh's words towards its server. It implements sender.Speech.
@@ -39,18 +39,18 @@
 	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true}
 
 // Ending implements sender.Speech.
-func (serverProtocol) Ending(resp *http.Response) (hollyspur.Ending, bool) {
+func (serverProtocol) Ending(resp *http.Response) (balancer.Ending, bool) {
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest:
-		return hollyspur.Unreachable, false
+		return balancer.Unreachable, false
 	case resp.Header.Get(headerNotExecuted) != "" && notExecutedStatuses[resp.StatusCode]:
-		return hollyspur.Overloaded, false
+		return balancer.Overloaded, false
 	case resp.StatusCode >= 500:
-		return hollyspur.Failure, true
+		return balancer.Failure, true
 	case resp.StatusCode/100 == 2 && resp.Header.Get(headerServerSeal) == "":
-		return hollyspur.Broken, false // no answer of a server's
+		return balancer.Broken, false // no answer of a server's
 	}
-	return hollyspur.Success, true
+	return balancer.Success, true
 }
 
 func (serverProtocol) Word(resp *http.Response) (int, []message.Field, string) {
--- a/internal/exchange/line/status.go
+++ b/internal/mesh/sidecar/status.go
@@ -1,10 +1,10 @@
-package line
+package sidecar
 
 import (
 	"time"
 
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // status is how this line is.
@@ -23,7 +23,7 @@
 	leaf := l.policies.current()
 	s.CommittedPolicy, s.ActivePolicy, s.ActivePolicyIndex, s.Fenced = leaf.Received, leaf.Active, leaf.ActiveIndex, l.isFenced()
 	s.ActivePolicyAgeUs = (l.clock.Now() - time.Duration(l.policies.activeSince.Load())).Microseconds()
-	s.Traffic = trunk.SentTraffic()
+	s.Traffic = transport.SentTraffic()
 	s.Work = l.inbound.metrics.snapshot()
 	s.DownstreamRequests, _ = l.pools.budgets.calls.Used()
 	if h := l.handedOverFor.Load(); h != nil {
--- a/internal/exchange/line/tally.go
+++ b/internal/mesh/sidecar/tally.go
@@ -1,9 +1,9 @@
-package line
+package sidecar
 
 import (
 	"sync"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // requestKind is what a request that runs here may do: one of kindNames, by its place.
--- a/internal/mesh/sim/disk.go
+++ b/internal/mesh/sim/disk.go
@@ -6,8 +6,8 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/vault"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/storage"
 )
 
 // DiskKind says how a replica's disk is simulated.
@@ -33,17 +33,17 @@
 
 // diskWrite is a write that a replica waits for.
 type diskWrite struct {
-	ready core.Ready
+	ready raft.Ready
 	last  uint64 // entry that stood on disk before
 	done  bool
 }
 
 // disk is what a replica's storage does. A write that returned is on disk, synced, unless the run has an error planted there.
 type disk interface {
-	read() (held vault.StoredState, state diskState, err error)
-	begin(self core.ID, snapshot core.Snapshot) error
-	save(ready core.Ready, last uint64) error
-	compact(snapshot core.Snapshot, kept uint64) error
+	read() (held storage.StoredState, state diskState, err error)
+	begin(self raft.ID, snapshot raft.Snapshot) error
+	save(ready raft.Ready, last uint64) error
+	compact(snapshot raft.Snapshot, kept uint64) error
 	// crash ends the process, and takes power away with it, or not; under is a write that was under way, nil: none.
 	crash(random *rand.Rand, under *diskWrite, power bool)
 	// sync syncs what was written, where an error planted has left that out.
@@ -55,33 +55,33 @@
 
 // memoryDisk is a disk as records in memory. It belongs to one world.
 type memoryDisk struct {
-	synced  vault.StoredState
-	written vault.StoredState // with what is not synced; only an error planted has it differ from synced
+	synced  storage.StoredState
+	written storage.StoredState // with what is not synced; only an error planted has it differ from synced
 	begun   bool
 	full    bool
 	// Planted errors: writes are not synced when they return; term and vote never are.
 	deferred, hardUnsynced bool
 }
 
-func (d *memoryDisk) read() (vault.StoredState, diskState, error) {
+func (d *memoryDisk) read() (storage.StoredState, diskState, error) {
 	if !d.begun {
-		return vault.StoredState{}, diskEmpty, nil
+		return storage.StoredState{}, diskEmpty, nil
 	}
 	h := d.written
 	h.Entries = slices.Clone(h.Entries)
 	return h, diskHolds, nil
 }
 
-func (d *memoryDisk) begin(self core.ID, s core.Snapshot) error {
+func (d *memoryDisk) begin(self raft.ID, s raft.Snapshot) error {
 	if d.full {
 		return errDiskFull
 	}
-	d.written = vault.StoredState{Self: self, Snapshot: s}
+	d.written = storage.StoredState{Self: self, Snapshot: s}
 	d.synced, d.begun = d.written, true
 	return nil
 }
 
-func (d *memoryDisk) save(ready core.Ready, _ uint64) error {
+func (d *memoryDisk) save(ready raft.Ready, _ uint64) error {
 	if d.full {
 		return errDiskFull
 	}
@@ -101,7 +101,7 @@
 }
 
 // withReady is what a disk holds once a Ready is written.
-func withReady(h vault.StoredState, ready core.Ready) vault.StoredState {
+func withReady(h storage.StoredState, ready raft.Ready) storage.StoredState {
 	if ready.HardState != nil {
 		h.HardState = *ready.HardState
 	}
@@ -118,7 +118,7 @@
 	return h
 }
 
-func (d *memoryDisk) compact(s core.Snapshot, kept uint64) error {
+func (d *memoryDisk) compact(s raft.Snapshot, kept uint64) error {
 	if d.full {
 		return errDiskFull
 	}
@@ -126,7 +126,7 @@
 	if s.Index > h.Snapshot.Index {
 		covered := s.Index - h.Snapshot.Index
 		tail := append(slices.Clone(h.CatchUpEntries), h.Entries[:covered]...)
-		h.CatchUpEntries = slices.DeleteFunc(tail, func(e core.Entry) bool { return e.Index < kept })
+		h.CatchUpEntries = slices.DeleteFunc(tail, func(e raft.Entry) bool { return e.Index < kept })
 		h.Entries = slices.Clone(h.Entries[covered:])
 		h.Snapshot = s
 	}
--- a/internal/mesh/sim/faults.go
+++ b/internal/mesh/sim/faults.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/mesh/history"
+	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/mesh/raft"
 )
 
 // lossRetry is how often the loss of a disk that the deployment does not bear yet is tried again.
@@ -130,7 +130,7 @@
 }
 
 func (o *observer) votes(h *replicaHost) bool {
-	return slices.ContainsFunc(slices.Concat(o.voters.members, o.voters.outgoing), func(m core.Member) bool { return o.holder(m.ID) == h })
+	return slices.ContainsFunc(slices.Concat(o.voters.members, o.voters.outgoing), func(m raft.Member) bool { return o.holder(m.ID) == h })
 }
 
 func (w *World) replicaFault(h *replicaHost, f Fault) {
--- a/internal/mesh/sim/home.go
+++ b/internal/mesh/sim/home.go
@@ -4,12 +4,12 @@
 	"net/http"
 	"time"
 
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/mesh/follower"
-	"hollyspur/internal/mesh/history"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/mesh/memberselection"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // lookAgain bounds the time between two looks of the shell at its decider, as in production.
@@ -18,15 +18,15 @@
 // controlPlaneConnection is the shell of a sidecar's follower: it carries out what that decides.
 type controlPlaneConnection struct {
 	sidecar *sidecar
-	decider *follower.Selector
-	members map[follower.ConnID]*memberConnection
+	decider *memberselection.Selector
+	members map[memberselection.ConnID]*memberConnection
 	waits   int    // claims that wait for their grants
 	alarms  uint64 // that were set; the latest counts
 }
 
 // memberConnection is a connection to a replica, or the dial of one.
 type memberConnection struct {
-	id        follower.ConnID
+	id        memberselection.ConnID
 	address   string
 	end       *side // nil: it is not there yet
 	hasSpoken bool
@@ -62,15 +62,15 @@
 	h.carryOutAll()
 }
 
-func (h *controlPlaneConnection) carryOut(a follower.Action) {
+func (h *controlPlaneConnection) carryOut(a memberselection.Action) {
 	switch a.Kind {
-	case follower.Dial:
+	case memberselection.Dial:
 		h.dial(&memberConnection{id: a.ID, address: a.Addr})
-	case follower.Follow:
+	case memberselection.Follow:
 		h.sidecar.tellRecord()
-	case follower.Confirm:
+	case memberselection.Confirm:
 		h.confirm(h.members[a.ID])
-	case follower.Close:
+	case memberselection.Close:
 		h.end(h.members[a.ID])
 	}
 }
@@ -78,7 +78,7 @@
 func (h *controlPlaneConnection) dial(m *memberConnection) {
 	s := h.sidecar
 	h.members[m.id] = m
-	s.after(follower.DialTimeout, func() {
+	s.after(memberselection.DialTimeout, func() {
 		if h.members[m.id] == m && !m.hasSpoken {
 			h.closed(m)
 		}
@@ -93,7 +93,7 @@
 			h.closed(m)
 		default:
 			m.end = e
-			e.message = func(x trunk.Message) { h.take(m, x) }
+			e.message = func(x transport.Message) { h.take(m, x) }
 			e.closed = func() { h.closed(m) }
 		}
 	})
@@ -122,7 +122,7 @@
 }
 
 // take takes a message of a replica.
-func (h *controlPlaneConnection) take(m *memberConnection, x trunk.Message) {
+func (h *controlPlaneConnection) take(m *memberConnection, x transport.Message) {
 	if h.members[m.id] != m {
 		return
 	}
@@ -135,7 +135,7 @@
 	case *wire.HeartbeatT:
 		h.decider.HeartbeatReceived(s.now(), m.id, v.QuorumContact)
 	case *wire.ItemsT:
-		s.takeItems(patch.ItemsFromWire(v))
+		s.takeItems(config.ItemsFromWire(v))
 	case *wire.MembersT:
 		var addresses []string
 		for _, member := range v.List {
@@ -152,7 +152,7 @@
 func (h *controlPlaneConnection) confirm(m *memberConnection) {
 	s := h.sidecar
 	begun := s.world.now
-	m.calls.call(s.process, m.end, askWithin, trunk.CallItems, nil, func(r replica.Reply) {
+	m.calls.call(s.process, m.end, askWithin, transport.CallItems, nil, func(r replica.Reply) {
 		some := h.takeTable(m, begun, r)
 		h.decider.ConfirmationReceived(s.now(), m.id, some)
 		h.carryOutAll()
@@ -164,11 +164,11 @@
 	if r.Status != http.StatusOK {
 		return false
 	}
-	table, err := trunk.DecodeTable(r.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	table, err := transport.DecodeTable(r.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 	if err != nil {
 		return false
 	}
-	s, items := h.sidecar, patch.ItemsFromWire(table)
+	s, items := h.sidecar, config.ItemsFromWire(table)
 	s.world.history.Record(history.InitialTable{Call: history.Call{Process: s.name, Begin: begun, Return: s.world.now, Outcome: history.Acknowledged},
 		Member: s.world.memberName(m.address), Incarnation: s.incarnation, Items: itemVersions(items)})
 	s.takeItems(items)
--- a/internal/mesh/sim/items.go
+++ b/internal/mesh/sim/items.go
@@ -5,15 +5,15 @@
 	"hash/fnv"
 	"strings"
 
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/mesh/history"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/history"
 )
 
 // itemNames is how many services the operators configure: few, so that calls meet.
 const itemNames = 6
 
 // itemVersion is an item as histories know it.
-func itemVersion(i patch.Item) history.ItemVersion {
+func itemVersion(i config.Item) history.ItemVersion {
 	v := history.ItemVersion{Item: history.Item{Kind: i.Kind.String(), Name: i.Key.Name}, Version: i.Version, Deleted: i.Deleted}
 	if !i.Deleted {
 		h := fnv.New32a()
@@ -24,7 +24,7 @@
 	return v
 }
 
-func itemVersions(items []patch.Item) []history.ItemVersion {
+func itemVersions(items []config.Item) []history.ItemVersion {
 	l := make([]history.ItemVersion, 0, len(items))
 	for _, i := range items {
 		l = append(l, itemVersion(i))
--- a/internal/mesh/sim/link.go
+++ b/internal/mesh/sim/link.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Bounds of a link, as the shell in production has them.
@@ -67,7 +67,7 @@
 	}
 	l.end = e
 	began := h.now()
-	e.message = func(m trunk.Message) {
+	e.message = func(m transport.Message) {
 		if t, is := m.Value.(*wire.CallReplyT); is {
 			l.calls.reply(t)
 		}
--- a/internal/mesh/sim/observer.go
+++ b/internal/mesh/sim/observer.go
@@ -6,12 +6,12 @@
 	"slices"
 	"time"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/vault"
-	"hollyspur/internal/mesh/history"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport"
 )
 
 // Bounds that runs are judged by.
@@ -40,7 +40,7 @@
 
 // lostDisk is a disk that was lost of a sudden. What it had said before may still be under way to the leader, which can't know.
 type lostDisk struct {
-	id   core.ID
+	id   raft.ID
 	at   time.Duration
 	disk disk
 }
@@ -57,16 +57,16 @@
 // voterSet is who votes from an entry on. While there are outgoing members a majority of both is needed.
 type voterSet struct {
 	index    uint64
-	members  []core.Member
-	outgoing []core.Member
+	members  []raft.Member
+	outgoing []raft.Member
 }
 
 // quorum says whether those counted are one.
-func (v voterSet) quorum(counts func(core.ID) bool) bool {
+func (v voterSet) quorum(counts func(raft.ID) bool) bool {
 	return majority(v.members, counts) && (len(v.outgoing) == 0 || majority(v.outgoing, counts))
 }
 
-func majority(members []core.Member, counts func(core.ID) bool) bool {
+func majority(members []raft.Member, counts func(raft.ID) bool) bool {
 	n := 0
 	for _, m := range members {
 		if counts(m.ID) {
@@ -76,7 +76,7 @@
 	return n > len(members)/2
 }
 
-func ids(members []core.Member) (l []uint64) {
+func ids(members []raft.Member) (l []uint64) {
 	for _, m := range members {
 		l = append(l, uint64(m.ID))
 	}
@@ -115,14 +115,14 @@
 }
 
 // started sees what a replica begins with.
-func (o *observer) started(h *replicaHost, held vault.StoredState) {
+func (o *observer) started(h *replicaHost, held storage.StoredState) {
 	s := o.observedOf(h)
 	s.pending = nil
-	o.logged(h, core.Ready{Snapshot: &held.Snapshot, Entries: held.Entries})
+	o.logged(h, raft.Ready{Snapshot: &held.Snapshot, Entries: held.Entries})
 }
 
 // logged sees what a replica writes.
-func (o *observer) logged(h *replicaHost, ready core.Ready) {
+func (o *observer) logged(h *replicaHost, ready raft.Ready) {
 	s := o.observedOf(h)
 	if x := ready.Snapshot; x != nil && x.Index > 0 {
 		s.pending = []voterSet{{x.ConfigurationIndex, x.Members, x.Outgoing}}
@@ -131,7 +131,7 @@
 		if i == 0 {
 			s.pending = slices.DeleteFunc(s.pending, func(v voterSet) bool { return v.index >= e.Index })
 		}
-		if e.Kind == core.EntryConfiguration {
+		if e.Kind == raft.EntryConfiguration {
 			s.pending = append(s.pending, voterSet{e.Index, e.Members, e.Outgoing})
 		}
 	}
@@ -158,7 +158,7 @@
 }
 
 // holder is the replica whose disk is that of a member; nil: that disk is lost.
-func (o *observer) holder(id core.ID) *replicaHost {
+func (o *observer) holder(id raft.ID) *replicaHost {
 	for _, h := range o.world.replicas {
 		if !h.removed && h.lastID == id {
 			return h
@@ -193,7 +193,7 @@
 
 // diskOf is the disk of a member, as far as a leader may know; nil: it is lost. What has come to a leader that stands still, or
 // waits for its disk, is taken when it goes on.
-func (o *observer) diskOf(leader *replicaHost, id core.ID) disk {
+func (o *observer) diskOf(leader *replicaHost, id raft.ID) disk {
 	if held := o.holder(id); held != nil {
 		return held.disk
 	}
@@ -215,7 +215,7 @@
 
 // mayLose says whether the deployment promises to bear the loss of a replica's disk now: a quorum of the voters keep theirs.
 func (o *observer) mayLose(h *replicaHost) bool {
-	return o.voters.quorum(func(id core.ID) bool {
+	return o.voters.quorum(func(id raft.ID) bool {
 		held := o.holder(id)
 		return held != nil && held != h && !held.leaving
 	})
@@ -235,7 +235,7 @@
 }
 
 func (o *observer) reachesQuorum(h *replicaHost) bool {
-	return o.voters.quorum(func(id core.ID) bool {
+	return o.voters.quorum(func(id raft.ID) bool {
 		other := o.holder(id)
 		return other != nil && o.reach(h, other)
 	})
@@ -316,5 +316,5 @@
 
 // sameItems says that two replicas hold the same configuration. Their keys may differ by those whose windows have ended.
 func sameItems(a, b *replica.Replica) bool {
-	return bytes.Equal(trunk.EncodeTable(patch.ItemsToWire(a.State().Items.Items())), trunk.EncodeTable(patch.ItemsToWire(b.State().Items.Items())))
+	return bytes.Equal(transport.EncodeTable(config.ItemsToWire(a.State().Items.Items())), transport.EncodeTable(config.ItemsToWire(b.State().Items.Items())))
 }
--- a/internal/mesh/sim/operator.go
+++ b/internal/mesh/sim/operator.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"time"
 
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/mesh/history"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/mesh/replica"
 )
 
 // What an operator does.
@@ -75,7 +75,7 @@
 func (o *operator) newOrder() {
 	w := o.world
 	body := w.draftModifyRequest()
-	items, err := patch.ParseItems(body)
+	items, err := config.ParseItems(body)
 	if err != nil {
 		panic("sim: an operator words a call that can't be read: " + err.Error())
 	}
@@ -146,12 +146,12 @@
 func (o *operator) fetch() {
 	member, begun := o.member(""), o.world.now
 	o.call(member, func(h *replicaHost, done func(replica.Reply)) {
-		h.fetch(func(set patch.Document, ok bool) {
+		h.fetch(func(set config.Document, ok bool) {
 			if !ok {
 				done(replica.Unavailable("not confirmed"))
 				return
 			}
-			text, err := json.Marshal(patch.ModifyRequest{Upsert: &set})
+			text, err := json.Marshal(config.ModifyRequest{Upsert: &set})
 			if err != nil {
 				panic("sim: a configuration can't be worded: " + err.Error())
 			}
@@ -160,7 +160,7 @@
 	}, func(r replica.Reply) {
 		f := history.Fetch{Call: history.Call{Process: o.name, Begin: begun, Return: o.world.now, Outcome: history.Unknown}, Member: o.world.memberName(member)}
 		if r.Status == http.StatusOK {
-			items, err := patch.ParseItems(r.Body)
+			items, err := config.ParseItems(r.Body)
 			if err != nil {
 				panic("sim: a configuration that was handed out can't be read: " + err.Error())
 			}
--- a/internal/mesh/sim/planted_test.go
+++ b/internal/mesh/sim/planted_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/mesh/history"
+	"cranegrade/internal/mesh/history"
 )
 
 // mostSchedules is in how many schedules a planted error has to be found: ten times as many as were needed at most.
