--- a/internal/mesh/sim/replicahost.go
+++ b/internal/mesh/sim/replicahost.go
@@ -8,14 +8,14 @@
 
 	"github.com/rs/zerolog"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/ticket"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/exchange/vault"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/idempotency"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Times of a replica's shell.
@@ -43,7 +43,7 @@
 	stalled  bool       // the disk
 	// stoodUntil is when the process last went on after it stood still or waited for its disk for long.
 	stoodUntil time.Duration
-	lastID     core.ID
+	lastID     raft.ID
 	leaving    bool
 	spare      bool // it is to take the place of the next that leaves
 }
@@ -90,9 +90,9 @@
 	}
 	if state != diskHolds {
 		w.trace("empty", h.name, "", []byte{byte(state)})
-		held = replica.Bootstrap{Address: h.address, Seeds: h.seeds, FirstStart: h.founder, Damaged: state == diskDamaged, NewID: core.ID(w.random.Uint64() &^ 1)}.InitialState()
+		held = replica.Bootstrap{Address: h.address, Seeds: h.seeds, FirstStart: h.founder, Damaged: state == diskDamaged, NewID: raft.ID(w.random.Uint64() &^ 1)}.InitialState()
 		if w.options.Mutations.IdentityAfterWipe && h.lastID != 0 {
-			held = vault.StoredState{Self: h.lastID, Snapshot: held.Snapshot}
+			held = storage.StoredState{Self: h.lastID, Snapshot: held.Snapshot}
 		}
 		if h.disk.begin(held.Self, held.Snapshot) != nil {
 			w.after(fullRetry, h.start)
@@ -108,7 +108,7 @@
 		panic("sim: " + err.Error())
 	}
 	if w.options.Mutations.KeysForgotten {
-		h.replica.State().KeyLeases = ticket.New()
+		h.replica.State().KeyLeases = idempotency.New()
 	}
 	w.trace("start", h.name, "", nil)
 	w.observer.started(h, held)
@@ -171,7 +171,7 @@
 }
 
 // Save begins a write, or says that the one under way is done.
-func (h *replicaHost) Save(ready core.Ready, last uint64) bool {
+func (h *replicaHost) Save(ready raft.Ready, last uint64) bool {
 	if h.write != nil {
 		if h.write.done {
 			h.write = nil
@@ -230,15 +230,15 @@
 }
 
 // Compact writes a snapshot. Where that fails the longer log stays.
-func (h *replicaHost) Compact(s core.Snapshot, kept uint64) {
+func (h *replicaHost) Compact(s raft.Snapshot, kept uint64) {
 	if h.disk.compact(s, kept) == nil {
 		h.world.trace("compacted", h.name, "", nil)
 	}
 }
 
 // Send sends a consensus message.
-func (h *replicaHost) Send(address string, m core.Message) {
-	h.link(address).sendLoose(trunk.Encode(vault.MessageToWire(m)))
+func (h *replicaHost) Send(address string, m raft.Message) {
+	h.link(address).sendLoose(transport.Encode(storage.MessageToWire(m)))
 }
 
 // Connect keeps a connection to another replica.
@@ -251,7 +251,7 @@
 
 // BroadcastToSidecars sends a message to each sidecar.
 func (h *replicaHost) BroadcastToSidecars(message any) {
-	frame := trunk.Encode(message)
+	frame := transport.Encode(message)
 	for _, e := range slices.Clone(h.sidecars) {
 		e.sendFrame(frame)
 	}
@@ -259,7 +259,7 @@
 
 // BroadcastToReplicas sends a message to each replica.
 func (h *replicaHost) BroadcastToReplicas(message any) {
-	frame := trunk.Encode(message)
+	frame := transport.Encode(message)
 	for _, l := range h.linkList {
 		l.send(frame)
 	}
@@ -275,7 +275,7 @@
 	}
 	e.heartbeat = touched
 	if hello.ControlPlane {
-		h.replica.RememberAddress(core.ID(hello.MemberId), hello.Addr)
+		h.replica.RememberAddress(raft.ID(hello.MemberId), hello.Addr)
 		h.link(hello.Addr).hasten()
 	} else {
 		h.sidecars = append(h.sidecars, e)
@@ -284,13 +284,13 @@
 			e.send(m)
 		}
 	}
-	e.message = func(m trunk.Message) { h.takeMessage(e, m, !hello.ControlPlane) }
+	e.message = func(m transport.Message) { h.takeMessage(e, m, !hello.ControlPlane) }
 }
 
-func (h *replicaHost) takeMessage(e *side, m trunk.Message, sidecar bool) {
+func (h *replicaHost) takeMessage(e *side, m transport.Message, sidecar bool) {
 	switch v := m.Value.(type) {
 	case *wire.RaftMessageT:
-		if message, err := vault.MessageFromWire(v); err == nil && !sidecar {
+		if message, err := storage.MessageFromWire(v); err == nil && !sidecar {
 			h.replica.Step(h.now(), message)
 		}
 	case *wire.RecordsT:
@@ -308,10 +308,10 @@
 }
 
 func (h *replicaHost) answer(a *wire.CallT, sidecar bool, reply func(replica.Reply)) {
-	if h.world.options.Mutations.UnconfirmedTable && a.Kind == trunk.CallItems {
-		t := patch.ItemsToWire(h.replica.State().Items.Items())
+	if h.world.options.Mutations.UnconfirmedTable && a.Kind == transport.CallItems {
+		t := config.ItemsToWire(h.replica.State().Items.Items())
 		t.Complete, t.Index = true, h.replica.AppliedIndex()
-		reply(replica.Reply{Status: http.StatusOK, Body: trunk.EncodeTable(t)})
+		reply(replica.Reply{Status: http.StatusOK, Body: transport.EncodeTable(t)})
 		return
 	}
 	h.replica.HandleCall(h.now(), a.Kind, a.Body, sidecar, reply)
@@ -319,7 +319,7 @@
 
 // modify takes an operator's call.
 func (h *replicaHost) modify(body []byte, done func(replica.Reply)) {
-	if _, err := patch.ParseItems(body); err != nil {
+	if _, err := config.ParseItems(body); err != nil {
 		done(replica.ErrorReply(err))
 		return
 	}
@@ -327,7 +327,7 @@
 }
 
 // fetch answers an operator's read.
-func (h *replicaHost) fetch(done func(set patch.Document, ok bool)) {
+func (h *replicaHost) fetch(done func(set config.Document, ok bool)) {
 	if h.world.options.Mutations.UnconfirmedFetch {
 		done(h.replica.State().Items.Document(), true)
 		return
--- a/internal/mesh/sim/sidecar.go
+++ b/internal/mesh/sim/sidecar.go
@@ -5,13 +5,13 @@
 	"net/http"
 	"time"
 
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/mesh/follower"
-	"hollyspur/internal/mesh/history"
-	"hollyspur/internal/mesh/replica"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/mesh/memberselection"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Times of a sidecar, as the sidecar in production has them.
@@ -38,7 +38,7 @@
 	*process
 	stopped      bool
 	controlPlane controlPlaneConnection
-	items        patch.Table
+	items        config.Table
 	record       uint64 // number of its latest record
 }
 
@@ -52,8 +52,8 @@
 		return
 	}
 	s.beginIncarnation()
-	s.items = patch.Table{}
-	s.controlPlane = controlPlaneConnection{sidecar: s, members: map[follower.ConnID]*memberConnection{}, decider: follower.New(s.now(), s.world.replicaAddresses())}
+	s.items = config.Table{}
+	s.controlPlane = controlPlaneConnection{sidecar: s, members: map[memberselection.ConnID]*memberConnection{}, decider: memberselection.New(s.now(), s.world.replicaAddresses())}
 	s.controlPlane.carryOutAll()
 	s.requestLoop()
 	s.recordLoop()
@@ -75,8 +75,8 @@
 }
 
 // takeItems merges items that it is told.
-func (s *sidecar) takeItems(items []patch.Item) {
-	var raised []patch.Item
+func (s *sidecar) takeItems(items []config.Item) {
+	var raised []config.Item
 	s.items, raised = s.items.Merge(items)
 	for _, i := range raised {
 		held, _ := s.items.Get(i.Key)
@@ -135,12 +135,12 @@
 		return
 	}
 	body := claimBody(&wire.KeyLeaseRequestT{Key: q.key, Token: q.ticket, Holder: s.holder(), WindowUs: (keyWindow + windowSlack).Microseconds()})
-	home.calls.call(s.process, home.end, max(0, q.deadline-s.now()), trunk.CallLeaseKeys, body, func(r replica.Reply) {
+	home.calls.call(s.process, home.end, max(0, q.deadline-s.now()), transport.CallLeaseKeys, body, func(r replica.Reply) {
 		if r.Status != http.StatusOK {
 			again()
 			return
 		}
-		g, err := trunk.DecodeTable(r.Body, func(p []byte) *wire.KeyLeaseResultsT { return wire.GetRootAsKeyLeaseResults(p, 0).UnPack() })
+		g, err := transport.DecodeTable(r.Body, func(p []byte) *wire.KeyLeaseResultsT { return wire.GetRootAsKeyLeaseResults(p, 0).UnPack() })
 		if err != nil || len(g.List) != 1 {
 			again()
 			return
@@ -154,7 +154,7 @@
 }
 
 func claimBody(l ...*wire.KeyLeaseRequestT) []byte {
-	return trunk.EncodeTable(&wire.KeyLeaseRequestsT{List: l})
+	return transport.EncodeTable(&wire.KeyLeaseRequestsT{List: l})
 }
 
 // decide runs a request whose key was granted, or gives the key back.
@@ -187,7 +187,7 @@
 		again()
 		return
 	}
-	home.calls.call(s.process, home.end, askWithin, trunk.CallLeaseKeys, claimBody(c), func(r replica.Reply) {
+	home.calls.call(s.process, home.end, askWithin, transport.CallLeaseKeys, claimBody(c), func(r replica.Reply) {
 		if r.Status != http.StatusOK {
 			again()
 		}
--- a/internal/mesh/sim/sim_test.go
+++ b/internal/mesh/sim/sim_test.go
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/mesh/history"
+	"cranegrade/internal/mesh/history"
 )
 
 // Without a fault nothing is broken, and orders and requests do go through.
--- a/internal/mesh/sim/vaultdisk.go
+++ b/internal/mesh/sim/vaultdisk.go
@@ -5,9 +5,9 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/vault"
-	filedisk "hollyspur/internal/mesh/sim/disk"
+	"cranegrade/internal/mesh/raft"
+	filedisk "cranegrade/internal/mesh/sim/disk"
+	"cranegrade/internal/mesh/storage"
 )
 
 // accessesOfSave bounds the accesses to the disk in one write of the storage, within which power may be lost.
@@ -17,7 +17,7 @@
 // one world.
 type storageDisk struct {
 	files   *filedisk.Disk
-	store   *vault.Store
+	store   *storage.Store
 	records memoryDisk // what the storage has said is synced, for the observer
 	reopen  bool       // a write failed: the storage takes no more until it is opened anew
 }
@@ -28,15 +28,15 @@
 	return d
 }
 
-func (d *storageDisk) read() (held vault.StoredState, state diskState, err error) {
+func (d *storageDisk) read() (held storage.StoredState, state diskState, err error) {
 	d.close()
 	state = diskHolds
 	var empty bool
-	d.store, held, empty, err = vault.OpenFolder(d.files, vault.Options{Foreground: true})
-	if err != nil && !errors.Is(err, vault.ErrUnavailable) { // as the shell in production does
+	d.store, held, empty, err = storage.OpenFolder(d.files, storage.Options{Foreground: true})
+	if err != nil && !errors.Is(err, storage.ErrUnavailable) { // as the shell in production does
 		state = diskDamaged
 		if err = d.files.Discard(); err == nil {
-			d.store, held, empty, err = vault.OpenFolder(d.files, vault.Options{Foreground: true})
+			d.store, held, empty, err = storage.OpenFolder(d.files, storage.Options{Foreground: true})
 		}
 	}
 	if err != nil {
@@ -50,7 +50,7 @@
 	return held, state, nil
 }
 
-func (d *storageDisk) begin(self core.ID, s core.Snapshot) error {
+func (d *storageDisk) begin(self raft.ID, s raft.Snapshot) error {
 	if err := d.ready(); err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func (d *storageDisk) save(ready core.Ready, last uint64) error {
+func (d *storageDisk) save(ready raft.Ready, last uint64) error {
 	if err := d.ready(); err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 	return d.records.save(ready, last)
 }
 
-func (d *storageDisk) compact(s core.Snapshot, kept uint64) error {
+func (d *storageDisk) compact(s raft.Snapshot, kept uint64) error {
 	if err := d.ready(); err != nil {
 		return err
 	}
--- a/internal/mesh/sim/world.go
+++ b/internal/mesh/sim/world.go
@@ -15,7 +15,7 @@
 	"slices"
 	"time"
 
-	"hollyspur/internal/mesh/history"
+	"cranegrade/internal/mesh/history"
 )
 
 // Shape of a run.
--- a/internal/exchange/vault/bench_test.go
+++ b/internal/mesh/storage/bench_test.go
@@ -1,12 +1,12 @@
-package vault
+package storage
 
 import (
 	"testing"
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/mesh/sim/disk"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/sim/disk"
 )
 
 // simulationOptions is how simulations open a store.
@@ -23,9 +23,9 @@
 		d := disk.New()
 		v, _, _, err := OpenFolder(d, how)
 		assert.NilError(b, err)
-		assert.NilError(b, v.Initialize(7, core.Snapshot{}))
+		assert.NilError(b, v.Initialize(7, raft.Snapshot{}))
 		for n := range uint64(100) {
-			assert.NilError(b, v.Save(readyWith(core.HardState{Term: 1}, newEntry(n+1, 1, "text")), n))
+			assert.NilError(b, v.Save(readyWith(raft.HardState{Term: 1}, newEntry(n+1, 1, "text")), n))
 		}
 		v.Close()
 		b.ResetTimer()
@@ -43,10 +43,10 @@
 		v, _, _, err := OpenFolder(disk.New(), how)
 		assert.NilError(b, err)
 		defer v.Close()
-		assert.NilError(b, v.Initialize(7, core.Snapshot{}))
+		assert.NilError(b, v.Initialize(7, raft.Snapshot{}))
 		b.ResetTimer()
 		for n := range b.N {
-			assert.NilError(b, v.Save(readyWith(core.HardState{Term: 1}, newEntry(uint64(n)+1, 1, "text")), uint64(n)))
+			assert.NilError(b, v.Save(readyWith(raft.HardState{Term: 1}, newEntry(uint64(n)+1, 1, "text")), uint64(n)))
 		}
 	})
 }
--- a/internal/exchange/vault/compat_test.go
+++ b/internal/mesh/storage/compat_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"encoding/hex"
@@ -8,42 +8,42 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Kinds of messages and entries keep their numbers on the wire and on disk.
 func TestKindsOfEarlierBuild(t *testing.T) {
-	messages := []core.MessageKind{core.AppendEntries, core.AppendResponse, core.PreVote, core.PreVoteResponse, core.RequestVote, core.VoteResponse, core.InstallSnapshot, core.JoinRequest, core.NotMember,
-		core.TimeoutNow, core.LeaveRequest, core.LeaveGranted, core.SnapshotChunk, core.SnapshotChunkResponse}
+	messages := []raft.MessageKind{raft.AppendEntries, raft.AppendResponse, raft.PreVote, raft.PreVoteResponse, raft.RequestVote, raft.VoteResponse, raft.InstallSnapshot, raft.JoinRequest, raft.NotMember,
+		raft.TimeoutNow, raft.LeaveRequest, raft.LeaveGranted, raft.SnapshotChunk, raft.SnapshotChunkResponse}
 	for number, kind := range messages {
-		encoded := MessageToWire(core.Message{Kind: kind})
+		encoded := MessageToWire(raft.Message{Kind: kind})
 		assert.Equal(t, int(encoded.Kind), number)
 		decoded, err := MessageFromWire(&wire.RaftMessageT{Kind: byte(number)})
 		assert.NilError(t, err)
 		assert.Equal(t, decoded.Kind, kind)
 	}
-	for number, kind := range []core.EntryKind{core.EntryNoOp, core.EntryCommand, core.EntryConfiguration} {
-		assert.Equal(t, int(EntryToWire(core.Entry{Kind: kind}).Kind), number)
+	for number, kind := range []raft.EntryKind{raft.EntryNoOp, raft.EntryCommand, raft.EntryConfiguration} {
+		assert.Equal(t, int(EntryToWire(raft.Entry{Kind: kind}).Kind), number)
 	}
 }
 
 // A message of the core with all of its fields set has the bytes that earlier builds sent, and is read back whole.
 func TestRaftMessageOfEarlierBuild(t *testing.T) {
-	members := []core.Member{{ID: 11, Addr: "10.0.0.1:7380"}, {ID: 22, Addr: "10.0.0.2:7380"}}
-	outgoing := []core.Member{{ID: 33, Addr: "10.0.0.3:7380"}}
-	message := core.Message{Kind: core.InstallSnapshot, From: 11, To: 22, Term: 5, Index: 100, LogTerm: 4, Commit: 99,
-		Entries: []core.Entry{
-			{Index: 101, Term: 5, Kind: core.EntryCommand, LogTime: 2 * time.Second, Data: []byte("change")},
-			{Index: 102, Term: 5, Kind: core.EntryConfiguration, LogTime: 3 * time.Second, Members: members, Outgoing: outgoing, ProtocolVersion: 1}},
+	members := []raft.Member{{ID: 11, Addr: "10.0.0.1:7380"}, {ID: 22, Addr: "10.0.0.2:7380"}}
+	outgoing := []raft.Member{{ID: 33, Addr: "10.0.0.3:7380"}}
+	message := raft.Message{Kind: raft.InstallSnapshot, From: 11, To: 22, Term: 5, Index: 100, LogTerm: 4, Commit: 99,
+		Entries: []raft.Entry{
+			{Index: 101, Term: 5, Kind: raft.EntryCommand, LogTime: 2 * time.Second, Data: []byte("change")},
+			{Index: 102, Term: 5, Kind: raft.EntryConfiguration, LogTime: 3 * time.Second, Members: members, Outgoing: outgoing, ProtocolVersion: 1}},
 		Reject: true, Hint: 98, HeartbeatRound: 77,
-		Snapshot: &core.Snapshot{Index: 100, Term: 4, LogTime: time.Second, ConfigurationIndex: 90, Members: members, Data: []byte("state"), Outgoing: outgoing, ProtocolVersion: 1},
+		Snapshot: &raft.Snapshot{Index: 100, Term: 4, LogTime: time.Second, ConfigurationIndex: 90, Members: members, Data: []byte("state"), Outgoing: outgoing, ProtocolVersion: 1},
 		Addr:     "10.0.0.1:7380", Members: members, ConfigurationIndex: 90, ProtocolVersion: 1, Offset: 32_768, TotalBytes: 65_536, Checksum: 0xdeadbeef, Leaving: true}
 	recorded, err := os.ReadFile("testdata/raft-message.bin")
 	assert.NilError(t, err)
-	assert.Equal(t, hex.EncodeToString(trunk.Encode(MessageToWire(message))), hex.EncodeToString(recorded))
-	decoded, err := trunk.Decode(recorded[4:])
+	assert.Equal(t, hex.EncodeToString(transport.Encode(MessageToWire(message))), hex.EncodeToString(recorded))
+	decoded, err := transport.Decode(recorded[4:])
 	assert.NilError(t, err)
 	got, err := MessageFromWire(decoded.Value.(*wire.RaftMessageT))
 	assert.NilError(t, err)
--- a/internal/exchange/vault/crash_test.go
+++ b/internal/mesh/storage/crash_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"fmt"
@@ -12,20 +12,20 @@
 	"github.com/juju/errors"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/mesh/sim/disk"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/sim/disk"
 )
 
 // expectedState is what a store should hold: after a loss of power either acknowledged, or with the one batch that was under way.
 type expectedState struct {
-	hardState core.HardState
-	snapshot  core.Snapshot
-	entries   []core.Entry
+	hardState raft.HardState
+	snapshot  raft.Snapshot
+	entries   []raft.Entry
 }
 
 func (m expectedState) lastIndex() uint64 { return m.snapshot.Index + uint64(len(m.entries)) }
 
-func (m expectedState) afterSave(r core.Ready) expectedState {
+func (m expectedState) afterSave(r raft.Ready) expectedState {
 	if r.HardState != nil {
 		m.hardState = *r.HardState
 	}
@@ -39,7 +39,7 @@
 	return m
 }
 
-func (m expectedState) afterCompact(s core.Snapshot) expectedState {
+func (m expectedState) afterCompact(s raft.Snapshot) expectedState {
 	m.entries = m.entries[s.Index-m.snapshot.Index:]
 	m.snapshot = s
 	return m
@@ -69,7 +69,7 @@
 	store         *Store
 	model         expectedState
 	initialized   bool
-	beforeSave    func(v *Store, r core.Ready) // planted errors change the vault before a Save
+	beforeSave    func(v *Store, r raft.Ready) // planted errors change the vault before a Save
 	// crash is how many accesses there are until the power goes; crashRNG says what it leaves. Both are used by whichever
 	// goroutine is at the disk then, one at a time.
 	accessesUntilFault atomic.Int32
@@ -151,10 +151,10 @@
 		if s.initialized {
 			return errors.New("the store is empty")
 		}
-		for v.Initialize(7, core.BootstrapSnapshot([]core.Member{{ID: 7, Addr: "a"}})) != nil { // the disk is full
+		for v.Initialize(7, raft.BootstrapSnapshot([]raft.Member{{ID: 7, Addr: "a"}})) != nil { // the disk is full
 			_ = v.Reopen()
 		}
-		s.initialized, s.model = true, expectedState{snapshot: core.BootstrapSnapshot([]core.Member{{ID: 7, Addr: "a"}})}
+		s.initialized, s.model = true, expectedState{snapshot: raft.BootstrapSnapshot([]raft.Member{{ID: 7, Addr: "a"}})}
 		return nil
 	}
 	if got, want := expectedFrom(held).describe(), s.model.describe(); got != want {
@@ -200,26 +200,26 @@
 func (s *faultSchedule) drawWrite() (expectedState, func() error) {
 	if len(s.model.entries) > 4 && s.rng.IntN(6) == 0 {
 		at := s.model.snapshot.Index + 1 + s.rng.Uint64N(uint64(len(s.model.entries)))
-		snapshot := core.Snapshot{Index: at, Term: s.model.hardState.Term, ConfigurationIndex: 1, Data: s.randomText()}
+		snapshot := raft.Snapshot{Index: at, Term: s.model.hardState.Term, ConfigurationIndex: 1, Data: s.randomText()}
 		from := s.model.snapshot.Index
 		return s.model.afterCompact(snapshot), func() error { return s.store.Compact(snapshot, from) }
 	}
-	r := core.Ready{}
+	r := raft.Ready{}
 	if s.rng.IntN(3) == 0 {
-		r.HardState = &core.HardState{Term: s.model.hardState.Term + 1, Vote: core.ID(s.rng.Uint64N(5))}
+		r.HardState = &raft.HardState{Term: s.model.hardState.Term + 1, Vote: raft.ID(s.rng.Uint64N(5))}
 	}
 	term := s.model.hardState.Term + 1
 	last := s.model.lastIndex()
 	if s.rng.IntN(12) == 0 {
 		last += 10
-		r.Snapshot = &core.Snapshot{Index: last, Term: term, ConfigurationIndex: 1, Data: s.randomText()}
+		r.Snapshot = &raft.Snapshot{Index: last, Term: term, ConfigurationIndex: 1, Data: s.randomText()}
 	}
 	first := last + 1
 	if r.Snapshot == nil && len(s.model.entries) > 1 && s.rng.IntN(5) == 0 {
 		first -= 1 + s.rng.Uint64N(uint64(len(s.model.entries))) // of another leader
 	}
 	for n := range s.rng.Uint64N(4) {
-		r.Entries = append(r.Entries, core.Entry{Index: first + n, Term: term, Kind: core.EntryCommand, Data: s.randomText()})
+		r.Entries = append(r.Entries, raft.Entry{Index: first + n, Term: term, Kind: raft.EntryCommand, Data: s.randomText()})
 	}
 	before := s.model.lastIndex()
 	return s.model.afterSave(r), func() error {
@@ -324,10 +324,10 @@
 		long  int
 	}{
 		{"no sync at all", func(s *faultSchedule) {
-			s.beforeSave = func(v *Store, _ core.Ready) { v.writeOptions.Sync = false }
+			s.beforeSave = func(v *Store, _ raft.Ready) { v.writeOptions.Sync = false }
 		}, simulationOptions, 100},
 		{"a vote not synced", func(s *faultSchedule) {
-			s.beforeSave = func(v *Store, r core.Ready) { v.writeOptions.Sync = r.HardState == nil }
+			s.beforeSave = func(v *Store, r raft.Ready) { v.writeOptions.Sync = r.HardState == nil }
 		}, simulationOptions, 100},
 		{"a disk that only says that it synced", func(s *faultSchedule) { s.disk.SetIgnoreSyncs(true) }, simulationOptions, 100},
 		{"the name of a new journal not synced", func(s *faultSchedule) { s.folder = noSyncFolder{s.disk} }, Options{}, 200_000},
@@ -434,9 +434,9 @@
 			d := disk.New()
 			v, _, _, err := OpenFolder(d, Options{})
 			assert.NilError(t, err)
-			assert.NilError(t, v.Initialize(7, core.Snapshot{}))
-			assert.NilError(t, v.Save(readyWith(core.HardState{Term: 1}, newEntry(1, 1, "x")), 0))
-			snapshot := core.Ready{Snapshot: &core.Snapshot{Index: 5, Term: 1, Data: []byte(strings.Repeat("s", long))}}
+			assert.NilError(t, v.Initialize(7, raft.Snapshot{}))
+			assert.NilError(t, v.Save(readyWith(raft.HardState{Term: 1}, newEntry(1, 1, "x")), 0))
+			snapshot := raft.Ready{Snapshot: &raft.Snapshot{Index: 5, Term: 1, Data: []byte(strings.Repeat("s", long))}}
 			d.SetFull(true)
 			requireEnds(t, func() {
 				for range 3 {
@@ -460,8 +460,8 @@
 	d := disk.New()
 	v, _, _, err := OpenFolder(d, Options{})
 	assert.NilError(t, err)
-	assert.NilError(t, v.Initialize(7, core.Snapshot{}))
-	assert.NilError(t, v.Save(readyWith(core.HardState{Term: 1}, newEntry(1, 1, "x")), 0))
+	assert.NilError(t, v.Initialize(7, raft.Snapshot{}))
+	assert.NilError(t, v.Save(readyWith(raft.HardState{Term: 1}, newEntry(1, 1, "x")), 0))
 	d.KillProcess()
 	v.Close()
 	d.SetFull(true)
--- a/internal/exchange/vault/journal.go
+++ b/internal/mesh/storage/journal.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"encoding/binary"
--- a/internal/exchange/vault/vault.go
+++ b/internal/mesh/storage/vault.go
@@ -3,7 +3,7 @@
 // begins anew with another id and is taken in again by the others.
 //
 // Keys: "format" the version; "self" the id; "hard" term and vote; "snap" the snapshot; "e" and eight bytes an entry.
-package vault
+package storage
 
 import (
 	"cmp"
@@ -20,9 +20,9 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 	"github.com/syndtr/goleveldb/leveldb/util"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // FormatVersion is the version that this program writes; it reads no other.
@@ -48,11 +48,11 @@
 
 // StoredState is what a store holds.
 type StoredState struct {
-	Self           core.ID
-	HardState      core.HardState
-	Snapshot       core.Snapshot
-	Entries        []core.Entry // behind Snapshot
-	CatchUpEntries []core.Entry // in front of it, up to its Index, without a gap
+	Self           raft.ID
+	HardState      raft.HardState
+	Snapshot       raft.Snapshot
+	Entries        []raft.Entry // behind Snapshot
+	CatchUpEntries []raft.Entry // in front of it, up to its Index, without a gap
 }
 
 // Options are how a store works.
@@ -233,18 +233,18 @@
 	if err != nil || len(self) != 8 {
 		return state, false, ErrCorrupted
 	}
-	state.Self = core.ID(binary.BigEndian.Uint64(self))
+	state.Self = raft.ID(binary.BigEndian.Uint64(self))
 	hardState, err := v.get("hard")
 	if err != nil || len(hardState) != 16 {
 		return state, false, ErrCorrupted
 	}
-	state.HardState = core.HardState{Term: binary.BigEndian.Uint64(hardState), Vote: core.ID(binary.BigEndian.Uint64(hardState[8:]))}
+	state.HardState = raft.HardState{Term: binary.BigEndian.Uint64(hardState), Vote: raft.ID(binary.BigEndian.Uint64(hardState[8:]))}
 	snapshot, err := v.get("snap")
 	if err != nil {
 		return state, false, err
 	}
 	if snapshot != nil {
-		s, err := trunk.DecodeTable(snapshot, func(p []byte) *wire.SnapshotT { return wire.GetRootAsSnapshot(p, 0).UnPack() })
+		s, err := transport.DecodeTable(snapshot, func(p []byte) *wire.SnapshotT { return wire.GetRootAsSnapshot(p, 0).UnPack() })
 		if err != nil {
 			return state, false, errors.WithType(err, ErrCorrupted)
 		}
@@ -257,7 +257,7 @@
 		if err != nil {
 			return state, false, err
 		}
-		stored, err := trunk.DecodeTable(append([]byte(nil), p...), func(p []byte) *wire.EntryT { return wire.GetRootAsEntry(p, 0).UnPack() })
+		stored, err := transport.DecodeTable(append([]byte(nil), p...), func(p []byte) *wire.EntryT { return wire.GetRootAsEntry(p, 0).UnPack() })
 		if err != nil {
 			return state, false, errors.WithType(err, ErrCorrupted)
 		}
@@ -287,13 +287,13 @@
 }
 
 // Initialize makes an empty store a register's own.
-func (v *Store) Initialize(self core.ID, snapshot core.Snapshot) error {
+func (v *Store) Initialize(self raft.ID, snapshot raft.Snapshot) error {
 	batch := new(leveldb.Batch)
 	batch.Put([]byte("format"), addChecksum(encodeUint64(FormatVersion)))
 	batch.Put([]byte("self"), addChecksum(encodeUint64(uint64(self))))
 	batch.Put([]byte("hard"), addChecksum(make([]byte, 16)))
 	if snapshot.Index > 0 {
-		batch.Put([]byte("snap"), addChecksum(trunk.EncodeTable(SnapshotToWire(&snapshot))))
+		batch.Put([]byte("snap"), addChecksum(transport.EncodeTable(SnapshotToWire(&snapshot))))
 	}
 	return v.write(batch)
 }
@@ -329,7 +329,7 @@
 }
 
 // Save writes what a Ready must have on disk. last is the last entry that stands there before it.
-func (v *Store) Save(ready core.Ready, last uint64) error {
+func (v *Store) Save(ready raft.Ready, last uint64) error {
 	if v.db == nil {
 		return ErrWriteFailed
 	}
@@ -338,7 +338,7 @@
 		batch.Put([]byte("hard"), addChecksum(append(encodeUint64(ready.HardState.Term), encodeUint64(uint64(ready.HardState.Vote))...)))
 	}
 	if ready.Snapshot != nil {
-		batch.Put([]byte("snap"), addChecksum(trunk.EncodeTable(SnapshotToWire(ready.Snapshot))))
+		batch.Put([]byte("snap"), addChecksum(transport.EncodeTable(SnapshotToWire(ready.Snapshot))))
 		it := v.db.NewIterator(util.BytesPrefix([]byte("e")), nil)
 		for it.Next() {
 			batch.Delete(append([]byte(nil), it.Key()...))
@@ -350,7 +350,7 @@
 		last = 0
 	}
 	for i, e := range ready.Entries {
-		batch.Put(entryKey(e.Index), addChecksum(trunk.EncodeTable(EntryToWire(e))))
+		batch.Put(entryKey(e.Index), addChecksum(transport.EncodeTable(EntryToWire(e))))
 		if i == len(ready.Entries)-1 {
 			for n := e.Index + 1; n <= last; n++ { // of a leader that is none any more
 				batch.Delete(entryKey(n))
@@ -361,12 +361,12 @@
 }
 
 // Compact has a snapshot stand for the log up to it, and removes the entries before kept.
-func (v *Store) Compact(snapshot core.Snapshot, kept uint64) error {
+func (v *Store) Compact(snapshot raft.Snapshot, kept uint64) error {
 	if v.db == nil {
 		return ErrWriteFailed
 	}
 	batch := new(leveldb.Batch)
-	batch.Put([]byte("snap"), addChecksum(trunk.EncodeTable(SnapshotToWire(&snapshot))))
+	batch.Put([]byte("snap"), addChecksum(transport.EncodeTable(SnapshotToWire(&snapshot))))
 	it := v.db.NewIterator(&util.Range{Start: entryKey(0), Limit: entryKey(kept)}, nil)
 	for it.Next() {
 		batch.Delete(append([]byte(nil), it.Key()...))
--- a/internal/exchange/vault/vault_test.go
+++ b/internal/mesh/storage/vault_test.go
@@ -1,4 +1,4 @@
-package vault
+package storage
 
 import (
 	"bytes"
@@ -10,33 +10,33 @@
 	"github.com/juju/errors"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/core"
+	"cranegrade/internal/mesh/raft"
 )
 
-func readyWith(hard core.HardState, entries ...core.Entry) core.Ready {
-	return core.Ready{HardState: &hard, Entries: entries}
+func readyWith(hard raft.HardState, entries ...raft.Entry) raft.Ready {
+	return raft.Ready{HardState: &hard, Entries: entries}
 }
 
-func newEntry(index, term uint64, text string) core.Entry {
-	return core.Entry{Index: index, Term: term, Kind: core.EntryCommand, LogTime: 5, Data: []byte(text)}
+func newEntry(index, term uint64, text string) raft.Entry {
+	return raft.Entry{Index: index, Term: term, Kind: raft.EntryCommand, LogTime: 5, Data: []byte(text)}
 }
 
 func TestStoreReadsBackWhatWasSaved(t *testing.T) {
 	dir := t.TempDir()
-	members := []core.Member{{ID: 1, Addr: "a"}, {ID: 2, Addr: "b"}}
+	members := []raft.Member{{ID: 1, Addr: "a"}, {ID: 2, Addr: "b"}}
 	v, _, empty, err := Open(dir)
 	assert.NilError(t, err)
 	assert.Assert(t, empty)
-	assert.NilError(t, v.Initialize(1, core.BootstrapSnapshot(members)))
-	assert.NilError(t, v.Save(readyWith(core.HardState{Term: 2, Vote: 1}, newEntry(2, 2, "x"), newEntry(3, 2, "y"), newEntry(4, 2, "z")), 1))
+	assert.NilError(t, v.Initialize(1, raft.BootstrapSnapshot(members)))
+	assert.NilError(t, v.Save(readyWith(raft.HardState{Term: 2, Vote: 1}, newEntry(2, 2, "x"), newEntry(3, 2, "y"), newEntry(4, 2, "z")), 1))
 	// A new leader's entry takes the place of two.
-	assert.NilError(t, v.Save(readyWith(core.HardState{Term: 3, Vote: 2}, core.Entry{Index: 3, Term: 3, Kind: core.EntryConfiguration, Members: members[:1], Outgoing: members, ProtocolVersion: 1}), 4))
+	assert.NilError(t, v.Save(readyWith(raft.HardState{Term: 3, Vote: 2}, raft.Entry{Index: 3, Term: 3, Kind: raft.EntryConfiguration, Members: members[:1], Outgoing: members, ProtocolVersion: 1}), 4))
 	assert.NilError(t, v.Reopen())
 	v.Close()
 	held, empty, err := OpenReadOnly(dir)
 	assert.NilError(t, err)
 	assert.Assert(t, !empty)
-	assert.DeepEqual(t, held.HardState, core.HardState{Term: 3, Vote: 2})
+	assert.DeepEqual(t, held.HardState, raft.HardState{Term: 3, Vote: 2})
 	assert.Assert(t, held.Self == 1 && held.Snapshot.Index == 1 && len(held.Snapshot.Members) == 2)
 	assert.Equal(t, len(held.Entries), 2)
 	assert.DeepEqual(t, held.Entries[0], newEntry(2, 2, "x"))
@@ -46,14 +46,14 @@
 	// The log's beginning goes into a snapshot, one from elsewhere takes the place of all.
 	v, _, _, err = Open(dir)
 	assert.NilError(t, err)
-	assert.NilError(t, v.Compact(core.Snapshot{Index: 2, Term: 2, ConfigurationIndex: 1, Members: members, Outgoing: members[:1], ProtocolVersion: 1, Data: []byte("state")}, 2))
+	assert.NilError(t, v.Compact(raft.Snapshot{Index: 2, Term: 2, ConfigurationIndex: 1, Members: members, Outgoing: members[:1], ProtocolVersion: 1, Data: []byte("state")}, 2))
 	v.Close()
 	v, held, _, err = Open(dir)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, held.Snapshot.Outgoing, members[:1])
 	assert.Assert(t, string(held.Snapshot.Data) == "state" && held.Snapshot.ProtocolVersion == 1 && len(held.Entries) == 1 && held.Entries[0].Index == 3)
 	assert.Assert(t, len(held.CatchUpEntries) == 1 && held.CatchUpEntries[0].Index == 2)
-	assert.NilError(t, v.Save(core.Ready{Snapshot: &core.Snapshot{Index: 9, Term: 4, Data: []byte("other")}}, 3))
+	assert.NilError(t, v.Save(raft.Ready{Snapshot: &raft.Snapshot{Index: 9, Term: 4, Data: []byte("other")}}, 3))
 	v.Close()
 	held, _, err = OpenReadOnly(dir)
 	assert.NilError(t, err)
@@ -69,12 +69,12 @@
 		dir := t.TempDir()
 		v, _, _, err := Open(dir)
 		assert.NilError(t, err)
-		assert.NilError(t, v.Initialize(7, core.Snapshot{}))
+		assert.NilError(t, v.Initialize(7, raft.Snapshot{}))
 		files, err := filepath.Glob(filepath.Join(dir, "vault", "*.log"))
 		assert.NilError(t, err)
 		assert.Equal(t, len(files), 1)
 		for i := uint64(1); i < uint64(n); i++ {
-			assert.NilError(t, v.Save(readyWith(core.HardState{Term: i}, newEntry(i, i, strings.Repeat("text", long))), i-1))
+			assert.NilError(t, v.Save(readyWith(raft.HardState{Term: i}, newEntry(i, i, strings.Repeat("text", long))), i-1))
 			info, err := os.Stat(files[0])
 			assert.NilError(t, err)
 			sizes = append(sizes, int(info.Size()))
@@ -128,7 +128,7 @@
 	dir := t.TempDir()
 	v, _, _, err := Open(dir)
 	assert.NilError(t, err)
-	assert.NilError(t, v.Initialize(7, core.Snapshot{}))
+	assert.NilError(t, v.Initialize(7, raft.Snapshot{}))
 	assert.NilError(t, v.db.Put([]byte("format"), addChecksum(encodeUint64(FormatVersion+1)), &v.writeOptions))
 	v.Close()
 	_, _, _, err = Open(dir)
@@ -142,7 +142,7 @@
 		v, _, empty, err := Open(dir)
 		assert.NilError(t, err)
 		assert.Assert(t, empty)
-		assert.NilError(t, v.Initialize(7, core.Snapshot{}))
+		assert.NilError(t, v.Initialize(7, raft.Snapshot{}))
 		v.Close()
 	}
 	begin()
--- a/internal/exchange/vault/wire.go
+++ b/internal/mesh/storage/wire.go
@@ -1,17 +1,17 @@
-package vault
+package storage
 
 import (
 	"time"
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/core"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // MembersToWire and MembersOf turn members into the trunk's tables and back; so do the others below.
-func MembersToWire(l []core.Member) (out []*wire.MemberT) {
+func MembersToWire(l []raft.Member) (out []*wire.MemberT) {
 	for _, m := range l {
 		out = append(out, &wire.MemberT{Id: uint64(m.ID), Addr: m.Addr})
 	}
@@ -19,27 +19,27 @@
 }
 
 // MembersFromWire reads members.
-func MembersFromWire(l []*wire.MemberT) (out []core.Member) {
+func MembersFromWire(l []*wire.MemberT) (out []raft.Member) {
 	for _, m := range l {
-		out = append(out, core.Member{ID: core.ID(m.Id), Addr: m.Addr})
+		out = append(out, raft.Member{ID: raft.ID(m.Id), Addr: m.Addr})
 	}
 	return out
 }
 
 // EntryToWire words an entry.
-func EntryToWire(e core.Entry) *wire.EntryT {
+func EntryToWire(e raft.Entry) *wire.EntryT {
 	t := &wire.EntryT{Index: e.Index, Term: e.Term, Kind: byte(e.Kind), LogTimeNs: int64(e.LogTime), Data: e.Data}
-	if e.Kind == core.EntryConfiguration {
-		t.Data = trunk.EncodeTable(&wire.MembersT{List: MembersToWire(e.Members), Index: e.Index, Outgoing: MembersToWire(e.Outgoing), RaftVersion: e.ProtocolVersion})
+	if e.Kind == raft.EntryConfiguration {
+		t.Data = transport.EncodeTable(&wire.MembersT{List: MembersToWire(e.Members), Index: e.Index, Outgoing: MembersToWire(e.Outgoing), RaftVersion: e.ProtocolVersion})
 	}
 	return t
 }
 
 // EntryFromWire reads an entry.
-func EntryFromWire(t *wire.EntryT) (core.Entry, error) {
-	e := core.Entry{Index: t.Index, Term: t.Term, Kind: core.EntryKind(t.Kind), LogTime: time.Duration(t.LogTimeNs), Data: t.Data}
-	if e.Kind == core.EntryConfiguration {
-		m, err := trunk.DecodeTable(t.Data, func(p []byte) *wire.MembersT { return wire.GetRootAsMembers(p, 0).UnPack() })
+func EntryFromWire(t *wire.EntryT) (raft.Entry, error) {
+	e := raft.Entry{Index: t.Index, Term: t.Term, Kind: raft.EntryKind(t.Kind), LogTime: time.Duration(t.LogTimeNs), Data: t.Data}
+	if e.Kind == raft.EntryConfiguration {
+		m, err := transport.DecodeTable(t.Data, func(p []byte) *wire.MembersT { return wire.GetRootAsMembers(p, 0).UnPack() })
 		if err != nil {
 			return e, errors.Annotate(err, "a view")
 		}
@@ -49,19 +49,19 @@
 }
 
 // SnapshotToWire words a snapshot.
-func SnapshotToWire(s *core.Snapshot) *wire.SnapshotT {
+func SnapshotToWire(s *raft.Snapshot) *wire.SnapshotT {
 	return &wire.SnapshotT{Index: s.Index, Term: s.Term, LogTimeNs: int64(s.LogTime), ConfigurationIndex: s.ConfigurationIndex, Members: MembersToWire(s.Members), Data: s.Data,
 		Outgoing: MembersToWire(s.Outgoing), RaftVersion: s.ProtocolVersion}
 }
 
 // SnapshotFromWire reads a snapshot.
-func SnapshotFromWire(t *wire.SnapshotT) core.Snapshot {
-	return core.Snapshot{Index: t.Index, Term: t.Term, LogTime: time.Duration(t.LogTimeNs), ConfigurationIndex: t.ConfigurationIndex, Members: MembersFromWire(t.Members), Data: t.Data,
+func SnapshotFromWire(t *wire.SnapshotT) raft.Snapshot {
+	return raft.Snapshot{Index: t.Index, Term: t.Term, LogTime: time.Duration(t.LogTimeNs), ConfigurationIndex: t.ConfigurationIndex, Members: MembersFromWire(t.Members), Data: t.Data,
 		Outgoing: MembersFromWire(t.Outgoing), ProtocolVersion: t.RaftVersion}
 }
 
 // MessageToWire words a message between registers.
-func MessageToWire(m core.Message) *wire.RaftMessageT {
+func MessageToWire(m raft.Message) *wire.RaftMessageT {
 	t := &wire.RaftMessageT{Kind: byte(m.Kind), From: uint64(m.From), To: uint64(m.To), Term: m.Term, Index: m.Index, LogTerm: m.LogTerm,
 		Commit: m.Commit, Reject: m.Reject, Hint: m.Hint, HeartbeatRound: m.HeartbeatRound, Addr: m.Addr, Members: MembersToWire(m.Members), ConfigurationIndex: m.ConfigurationIndex, RaftVersion: m.ProtocolVersion,
 		Offset: m.Offset, TotalBytes: m.TotalBytes, Checksum: m.Checksum, Leaving: m.Leaving}
@@ -75,8 +75,8 @@
 }
 
 // MessageFromWire reads a message between registers.
-func MessageFromWire(t *wire.RaftMessageT) (core.Message, error) {
-	m := core.Message{Kind: core.MessageKind(t.Kind), From: core.ID(t.From), To: core.ID(t.To), Term: t.Term, Index: t.Index, LogTerm: t.LogTerm,
+func MessageFromWire(t *wire.RaftMessageT) (raft.Message, error) {
+	m := raft.Message{Kind: raft.MessageKind(t.Kind), From: raft.ID(t.From), To: raft.ID(t.To), Term: t.Term, Index: t.Index, LogTerm: t.LogTerm,
 		Commit: t.Commit, Reject: t.Reject, Hint: t.Hint, HeartbeatRound: t.HeartbeatRound, Addr: t.Addr, Members: MembersFromWire(t.Members), ConfigurationIndex: t.ConfigurationIndex, ProtocolVersion: t.RaftVersion,
 		Offset: t.Offset, TotalBytes: t.TotalBytes, Checksum: t.Checksum, Leaving: t.Leaving}
 	for _, x := range t.Entries {
--- a/internal/rig/mesh/bench_test.go
+++ b/internal/mesh/testcluster/bench_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/rig"
+	"cranegrade/internal/rig"
 )
 
 // startConfigured is a mesh of three registers and two lines that has its configuration.
@@ -178,7 +178,7 @@
 // startNode starts the present program with one server.
 func startNode(dir, server string) (*rig.Process, error) {
 	path := filepath.Join(dir, "cranegrade")
-	if out, err := exec.Command("go", "build", "-o", path, "hollyspur/cmd/cranegrade").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", path, "cranegrade/cmd/cranegrade").CombinedOutput(); err != nil {
 		return nil, fmt.Errorf("%w: %s", err, out)
 	}
 	file := filepath.Join(dir, "node.toml")
--- a/internal/rig/mesh/failover_test.go
+++ b/internal/mesh/testcluster/failover_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/rig"
 )
 
 // failoverTrialsEnv names the variable that holds how many trials BenchmarkFailover makes of each fault.
@@ -238,7 +238,7 @@
 func (x *Machine) Status() (*wire.StatusT, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	c, err := trunk.DialClient(ctx, x.Process.Addr, "bench", nil)
+	c, err := transport.DialClient(ctx, x.Process.Addr, "bench", nil)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rig/mesh/mesh.go
+++ b/internal/mesh/testcluster/mesh.go
@@ -1,6 +1,6 @@
 // Package mesh is a small mesh of real processes on loopback, each machine an address of its own, with stand-in servers
 // beside the lines and callers that keep a record. Tests and the tour use it.
-package mesh
+package testcluster
 
 import (
 	"bytes"
@@ -20,9 +20,9 @@
 
 	"sigs.k8s.io/yaml"
 
-	"hollyspur/internal/exchange/register"
-	"hollyspur/internal/exchange/settings"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/controlplane"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/rig"
 )
 
 const heartbeatInterval = 300 * time.Millisecond
@@ -57,8 +57,8 @@
 
 // BuildPrograms builds the mesh's programs into a folder.
 func BuildPrograms(dir string) error {
-	for _, p := range []string{"line", "register"} {
-		if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, p), "hollyspur/cmd/"+p).CombinedOutput(); err != nil {
+	for _, p := range []string{"sidecar", "controlplane"} {
+		if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, p), "cranegrade/cmd/"+p).CombinedOutput(); err != nil {
 			return fmt.Errorf("building %s: %w\n%s", p, err, out)
 		}
 	}
@@ -111,7 +111,7 @@
 // AddMember starts another register.
 func (m *Cluster) AddMember(first bool) (*Machine, error) {
 	n := len(m.Members)
-	x := &Machine{Name: fmt.Sprintf("core-%d", n+1), IP: fmt.Sprintf("%s.%d", m.subnet, 10+n), cluster: m, program: "register", programs: m.Dir}
+	x := &Machine{Name: fmt.Sprintf("core-%d", n+1), IP: fmt.Sprintf("%s.%d", m.subnet, 10+n), cluster: m, program: "controlplane", programs: m.Dir}
 	x.settings = m.baseSettings(x.Name, x.IP, fmt.Sprintf("zone-%d", n%3))
 	x.listenAddrs = map[string]string{"ControlPlane": fmt.Sprintf("%s:%d", x.IP, m.ports[0])}
 	x.settings["ListenAddrs"] = x.listenAddrs
@@ -127,7 +127,7 @@
 // AddSidecar starts another line with a server of that service beside it.
 func (m *Cluster) AddSidecar(service string) (*Machine, error) {
 	n := len(m.Sidecars)
-	x := &Machine{Name: fmt.Sprintf("side-%d", n+1), IP: fmt.Sprintf("%s.%d", m.subnet, 100+n), cluster: m, program: "line", programs: m.Dir}
+	x := &Machine{Name: fmt.Sprintf("side-%d", n+1), IP: fmt.Sprintf("%s.%d", m.subnet, 100+n), cluster: m, program: "sidecar", programs: m.Dir}
 	zone := fmt.Sprintf("zone-%d", n%3)
 	at := func(i int) string { return fmt.Sprintf("%s:%d", x.IP, m.ports[i]) }
 	x.settings = m.baseSettings(x.Name, x.IP, zone)
@@ -268,7 +268,7 @@
 }
 
 // CallMaintenance is a call of the night service at a register, as its leader answers it; the status is 0 where there is no answer.
-func (x *Machine) CallMaintenance(c register.MaintenanceRequest) (t register.MaintenanceResponse, status int, text string) {
+func (x *Machine) CallMaintenance(c controlplane.MaintenanceRequest) (t controlplane.MaintenanceResponse, status int, text string) {
 	body, _ := json.Marshal(c)
 	h := http.Client{Timeout: 2 * time.Second}
 	resp, err := h.Post("http://"+x.Addr("ControlPlane")+"/v1/night", "application/json", bytes.NewReader(body))
--- a/internal/rig/mesh/mesh_test.go
+++ b/internal/mesh/testcluster/mesh_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/rig"
+	"cranegrade/internal/rig"
 )
 
 var programsDir string
@@ -47,7 +47,7 @@
 func startPrograms(t *testing.T, from string, services ...string) *Cluster {
 	t.Helper()
 	dir := t.TempDir()
-	for _, p := range []string{"line", "register"} {
+	for _, p := range []string{"sidecar", "controlplane"} {
 		assert.NilError(t, os.Symlink(from+"/"+p, dir+"/"+p))
 	}
 	m, err := New(dir, 3, services...)
--- a/internal/rig/mesh/mixed_test.go
+++ b/internal/mesh/testcluster/mixed_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/rig"
+	"cranegrade/internal/rig"
 )
 
 const (
@@ -26,7 +26,7 @@
 
 // programNames are the programs of a mesh, and previousNames the same by their names in the build before.
 var (
-	programNames  = []string{"line", "register"}
+	programNames  = []string{"sidecar", "controlplane"}
 	previousNames = [2]string{"line", "register"}
 )
 
--- a/internal/rig/mesh/night_test.go
+++ b/internal/mesh/testcluster/night_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"fmt"
@@ -12,15 +12,15 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/night"
-	"hollyspur/internal/exchange/register"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/controlplane"
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/rig"
 )
 
 // call is a call of the night service at whichever register answers it.
-func (m *Cluster) callMaintenance(t *testing.T, c register.MaintenanceRequest, want int) register.MaintenanceResponse {
+func (m *Cluster) callMaintenance(t *testing.T, c controlplane.MaintenanceRequest, want int) controlplane.MaintenanceResponse {
 	t.Helper()
-	var told register.MaintenanceResponse
+	var told controlplane.MaintenanceResponse
 	var text string
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
 		for _, x := range m.Members {
@@ -38,12 +38,12 @@
 }
 
 // awaitStep waits until an order has come to a step, and gives it.
-func (m *Cluster) awaitStep(t *testing.T, id string, steps ...night.Step) (o night.Order) {
+func (m *Cluster) awaitStep(t *testing.T, id string, steps ...maintenance.Step) (o maintenance.Order) {
 	t.Helper()
-	var told register.MaintenanceResponse
+	var told controlplane.MaintenanceResponse
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
-		told = m.callMaintenance(t, register.MaintenanceRequest{}, http.StatusOK)
-		o, _ = night.OrderTable{Orders: told.Orders}.Find(id)
+		told = m.callMaintenance(t, controlplane.MaintenanceRequest{}, http.StatusOK)
+		o, _ = maintenance.OrderTable{Orders: told.Orders}.Find(id)
 		return slices.Contains(steps, o.Step)
 	}), "%v %v", o, told.WaitingFor)
 	return o
@@ -93,32 +93,32 @@
 	m := startCluster(t, "stock", "stock", "orders", "orders")
 	now := time.Now()
 	x := m.Sidecars[2]
-	order := night.Order{ID: "o1", Machines: []string{x.Name}, Duration: time.Hour, PlacedBy: "ana"}
-	d := m.callMaintenance(t, register.MaintenanceRequest{Machine: x.Name, LengthSeconds: 60}, http.StatusOK)
+	order := maintenance.Order{ID: "o1", Machines: []string{x.Name}, Duration: time.Hour, PlacedBy: "ana"}
+	d := m.callMaintenance(t, controlplane.MaintenanceRequest{Machine: x.Name, LengthSeconds: 60}, http.StatusOK)
 	assert.Assert(t, !d.Verdict.Approved && strings.Contains(d.Verdict.Reasons[0].Text, "no contract covers it"), "%v", d.Verdict)
 	m.applyContract(t, 1, now.Add(24*time.Hour), now.Add(26*time.Hour), nil) // tomorrow
-	d = m.callMaintenance(t, register.MaintenanceRequest{Machine: x.Name, LengthSeconds: 60}, http.StatusOK)
+	d = m.callMaintenance(t, controlplane.MaintenanceRequest{Machine: x.Name, LengthSeconds: 60}, http.StatusOK)
 	assert.Assert(t, !d.Verdict.Approved && strings.Contains(d.Verdict.Reasons[0].String(), "contract hours: outside its hours, until "), "%v", d.Verdict)
 	by := order
 	by.PlacedBy = "eve"
-	m.callMaintenance(t, register.MaintenanceRequest{Order: &by}, http.StatusForbidden)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Order: &by}, http.StatusForbidden)
 	// Whoever may not approve may ask; another whom the contract names then has to say yes.
 	by.ID, by.NeedsApproval = "asked", true
-	m.callMaintenance(t, register.MaintenanceRequest{Order: &by}, http.StatusOK)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Order: &by}, http.StatusOK)
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
-		return strings.Contains(m.callMaintenance(t, register.MaintenanceRequest{}, http.StatusOK).WaitingFor["asked"], "one of [ana] has to approve it")
+		return strings.Contains(m.callMaintenance(t, controlplane.MaintenanceRequest{}, http.StatusOK).WaitingFor["asked"], "one of [ana] has to approve it")
 	}))
-	m.callMaintenance(t, register.MaintenanceRequest{Change: &night.OrderChange{OrderID: "asked", ApprovedBy: "eve", Text: "approved by eve"}}, http.StatusForbidden)
-	m.callMaintenance(t, register.MaintenanceRequest{Change: &night.OrderChange{OrderID: "asked", ApprovedBy: "ana", Text: "approved by ana"}}, http.StatusOK)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Change: &maintenance.OrderChange{OrderID: "asked", ApprovedBy: "eve", Text: "approved by eve"}}, http.StatusForbidden)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Change: &maintenance.OrderChange{OrderID: "asked", ApprovedBy: "ana", Text: "approved by ana"}}, http.StatusOK)
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
-		return strings.Contains(m.callMaintenance(t, register.MaintenanceRequest{}, http.StatusOK).WaitingFor["asked"], "outside its hours")
+		return strings.Contains(m.callMaintenance(t, controlplane.MaintenanceRequest{}, http.StatusOK).WaitingFor["asked"], "outside its hours")
 	}))
-	m.callMaintenance(t, register.MaintenanceRequest{Change: &night.OrderChange{OrderID: "asked", Abort: true, Text: "aborted by eve"}}, http.StatusOK)
-	m.awaitStep(t, "asked", night.StepAborted)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Change: &maintenance.OrderChange{OrderID: "asked", Abort: true, Text: "aborted by eve"}}, http.StatusOK)
+	m.awaitStep(t, "asked", maintenance.StepAborted)
 	stop := m.startTraffic()
-	m.callMaintenance(t, register.MaintenanceRequest{Order: &order}, http.StatusOK)
-	told := m.callMaintenance(t, register.MaintenanceRequest{}, http.StatusOK)
-	assert.Equal(t, told.Orders[1].Step, night.StepWaiting)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Order: &order}, http.StatusOK)
+	told := m.callMaintenance(t, controlplane.MaintenanceRequest{}, http.StatusOK)
+	assert.Equal(t, told.Orders[1].Step, maintenance.StepWaiting)
 	// What its server answered before, what is in flight as it is drained, and what it breaks off then.
 	kept := ""
 	var first Response
@@ -163,7 +163,7 @@
 	assert.Assert(t, rig.Await(3*testTimeout, func() bool { return m.Recorder.RunsBy(x.App.Instance) >= before+4 }), "its server gets no calls")
 	m.applyContract(t, 2, now.Add(-time.Hour), now.Add(3*time.Hour), nil) // and now
 	leader := func() *Machine {
-		told := m.callMaintenance(t, register.MaintenanceRequest{}, http.StatusOK)
+		told := m.callMaintenance(t, controlplane.MaintenanceRequest{}, http.StatusOK)
 		for _, x := range m.Members {
 			if x.Process != nil && x.Process.Addr == told.Leader {
 				return x
@@ -171,11 +171,11 @@
 		}
 		return nil
 	}
-	m.awaitStep(t, "o1", night.StepDraining, night.StepMovingCallers, night.StepInMaintenance)
+	m.awaitStep(t, "o1", maintenance.StepDraining, maintenance.StepMovingCallers, maintenance.StepInMaintenance)
 	close(enough)
 	killed := leader()
 	killed.Kill()
-	m.awaitStep(t, "o1", night.StepInMaintenance)
+	m.awaitStep(t, "o1", maintenance.StepInMaintenance)
 	flight.Wait()
 	assert.Assert(t, ends[200]+ends[503] == sent, "what was in flight is answered, or has not run: %v of %d", ends, sent)
 	assert.NilError(t, killed.Start())
@@ -199,8 +199,8 @@
 	assert.Equal(t, resp.StatusCode, 503)
 	frozen := leader()
 	frozen.Process.Pause()
-	m.callMaintenance(t, register.MaintenanceRequest{Change: &night.OrderChange{OrderID: "o1", MaintenanceDone: true, Text: "done, says ana"}}, http.StatusOK)
-	o := m.awaitStep(t, "o1", night.StepDone)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Change: &maintenance.OrderChange{OrderID: "o1", MaintenanceDone: true, Text: "done, says ana"}}, http.StatusOK)
+	o := m.awaitStep(t, "o1", maintenance.StepDone)
 	frozen.Process.Resume()
 	stop()
 	var steps []string
@@ -210,7 +210,7 @@
 	assert.DeepEqual(t, slices.Compact(steps), []string{"waiting", "draining", "leading", "out", "returning", "done"})
 	for _, e := range o.Events { // in which people find the machine by its name, and what was in flight and how that ended
 		assert.Equal(t, e.Machine, x.Name)
-		if e.Step == night.StepMovingCallers {
+		if e.Step == maintenance.StepMovingCallers {
 			assert.Assert(t, strings.Contains(e.Text, "in flight none; ended since: ") && strings.Contains(e.Text, "keyed answered"), e.Text)
 		}
 	}
@@ -228,21 +228,21 @@
 	now := time.Now()
 	m.applyContract(t, 1, now.Add(-time.Hour), now.Add(3*time.Hour), nil)
 	place := func(id string, x *Machine, override string) {
-		m.callMaintenance(t, register.MaintenanceRequest{Order: &night.Order{ID: id, Machines: []string{x.Name}, Duration: time.Hour, PlacedBy: "ana", Override: override != "", Reason: override}}, http.StatusOK)
+		m.callMaintenance(t, controlplane.MaintenanceRequest{Order: &maintenance.Order{ID: id, Machines: []string{x.Name}, Duration: time.Hour, PlacedBy: "ana", Override: override != "", Reason: override}}, http.StatusOK)
 	}
 	place("a", m.Sidecars[0], "")
-	m.awaitStep(t, "a", night.StepInMaintenance)
+	m.awaitStep(t, "a", maintenance.StepInMaintenance)
 	place("b", m.Sidecars[1], "")
 	var waits string
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
-		waits = m.callMaintenance(t, register.MaintenanceRequest{}, http.StatusOK).WaitingFor["b"]
+		waits = m.callMaintenance(t, controlplane.MaintenanceRequest{}, http.StatusOK).WaitingFor["b"]
 		return strings.Contains(waits, "1 machines of stock are out, and 1 may be")
 	}), waits)
-	m.callMaintenance(t, register.MaintenanceRequest{Change: &night.OrderChange{OrderID: "a", Abort: true, Text: "aborted by ana"}}, http.StatusOK)
-	m.awaitStep(t, "a", night.StepAborted)
-	m.awaitStep(t, "b", night.StepInMaintenance)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Change: &maintenance.OrderChange{OrderID: "a", Abort: true, Text: "aborted by ana"}}, http.StatusOK)
+	m.awaitStep(t, "a", maintenance.StepAborted)
+	m.awaitStep(t, "b", maintenance.StepInMaintenance)
 	m.applyContract(t, 2, now.Add(-time.Hour), now.Add(-time.Minute), nil) // its hours end
-	o := m.awaitStep(t, "b", night.StepAborted)
+	o := m.awaitStep(t, "b", maintenance.StepAborted)
 	assert.Assert(t, strings.Contains(fmt.Sprint(o.Events), "turned back: contract hours: outside its hours"), "%v", o.Events)
 	m.applyContract(t, 3, now.Add(-time.Hour), now.Add(3*time.Hour), nil)
 	// A download that was begun a moment before comes whole; the line then stands still until its hours are over, and returns.
@@ -256,42 +256,42 @@
 		})
 	}
 	place("gone", m.Sidecars[0], "")
-	m.awaitStep(t, "gone", night.StepInMaintenance)
+	m.awaitStep(t, "gone", maintenance.StepInMaintenance)
 	big.Wait()
 	m.Sidecars[0].App.SetServiceTime(5 * time.Millisecond)
 	m.Sidecars[0].Process.Pause()
 	m.applyContract(t, 4, now.Add(-time.Hour), now.Add(-time.Minute), nil)
-	m.awaitStep(t, "gone", night.StepReturning)
+	m.awaitStep(t, "gone", maintenance.StepReturning)
 	m.Sidecars[0].Process.Resume()
-	m.awaitStep(t, "gone", night.StepAborted)
+	m.awaitStep(t, "gone", maintenance.StepAborted)
 	// Two orders whose hours begin at once, of which one may be out: one goes first, and none is turned back.
 	place("p", m.Sidecars[0], "")
 	place("q", m.Sidecars[1], "")
 	m.applyContract(t, 5, now.Add(-time.Hour), now.Add(3*time.Hour), nil)
-	m.awaitStep(t, "p", night.StepInMaintenance)
-	told := m.callMaintenance(t, register.MaintenanceRequest{}, http.StatusOK)
-	q, _ := night.OrderTable{Orders: told.Orders}.Find("q")
-	assert.Assert(t, q.Step == night.StepWaiting && len(q.Events) == 1, "%v", q)
+	m.awaitStep(t, "p", maintenance.StepInMaintenance)
+	told := m.callMaintenance(t, controlplane.MaintenanceRequest{}, http.StatusOK)
+	q, _ := maintenance.OrderTable{Orders: told.Orders}.Find("q")
+	assert.Assert(t, q.Step == maintenance.StepWaiting && len(q.Events) == 1, "%v", q)
 	for _, id := range []string{"q", "p"} {
-		m.callMaintenance(t, register.MaintenanceRequest{Change: &night.OrderChange{OrderID: id, Abort: true, Text: "aborted"}}, http.StatusOK)
-		m.awaitStep(t, id, night.StepAborted)
+		m.callMaintenance(t, controlplane.MaintenanceRequest{Change: &maintenance.OrderChange{OrderID: id, Abort: true, Text: "aborted"}}, http.StatusOK)
+		m.awaitStep(t, id, maintenance.StepAborted)
 	}
 	place("c", m.Sidecars[0], "")
-	m.awaitStep(t, "c", night.StepInMaintenance)
+	m.awaitStep(t, "c", maintenance.StepInMaintenance)
 	m.Sidecars[1].App.Crash() // of the three one is out and one is gone: the contract spares one
-	o = m.awaitStep(t, "c", night.StepAborted)
+	o = m.awaitStep(t, "c", maintenance.StepAborted)
 	assert.Assert(t, strings.Contains(fmt.Sprint(o.Events), "turned back: contract hours: 1 machines of stock are out"), "%v", o.Events)
 	place("d", m.Sidecars[3], "") // the only one of its service
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
-		waits = m.callMaintenance(t, register.MaintenanceRequest{}, http.StatusOK).WaitingFor["d"]
+		waits = m.callMaintenance(t, controlplane.MaintenanceRequest{}, http.StatusOK).WaitingFor["d"]
 		return strings.Contains(waits, "no server of orders would stay")
 	}), waits)
 	place("e", m.Sidecars[3], "smoke in the rack")
-	m.awaitStep(t, "e", night.StepInMaintenance)
-	m.callMaintenance(t, register.MaintenanceRequest{Change: &night.OrderChange{OrderID: "e", MaintenanceDone: true, Text: "done"}}, http.StatusOK)
-	o = m.awaitStep(t, "e", night.StepDone)
+	m.awaitStep(t, "e", maintenance.StepInMaintenance)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Change: &maintenance.OrderChange{OrderID: "e", MaintenanceDone: true, Text: "done"}}, http.StatusOK)
+	o = m.awaitStep(t, "e", maintenance.StepDone)
 	assert.Assert(t, o.Override && strings.Contains(fmt.Sprint(o.Events), "OVERRIDDEN (smoke in the rack)"), "%v", o.Events)
-	m.callMaintenance(t, register.MaintenanceRequest{Change: &night.OrderChange{OrderID: "d", Abort: true, Text: "aborted"}}, http.StatusOK)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Change: &maintenance.OrderChange{OrderID: "d", Abort: true, Text: "aborted"}}, http.StatusOK)
 	m.assertNoViolations(t)
 }
 
@@ -301,14 +301,14 @@
 	m := startCluster(t, "stock", "orders")
 	now := time.Now()
 	m.applyContract(t, 1, now.Add(-time.Hour), now.Add(3*time.Hour), nil)
-	lead := m.callMaintenance(t, register.MaintenanceRequest{Machine: m.Members[0].Name}, http.StatusOK).Leader
-	d := m.callMaintenance(t, register.MaintenanceRequest{Machine: lead}, http.StatusOK)
+	lead := m.callMaintenance(t, controlplane.MaintenanceRequest{Machine: m.Members[0].Name}, http.StatusOK).Leader
+	d := m.callMaintenance(t, controlplane.MaintenanceRequest{Machine: lead}, http.StatusOK)
 	assert.Assert(t, !d.Verdict.Approved && strings.Contains(fmt.Sprint(d.Verdict.Reasons), "2 of 3 registers would stay, a majority is 2, and so the loss of 1 could not be borne"), "%v", d.Verdict)
 	// Two losses of five can be borne, so five are wanted and one of them may be out: more are only taken in where more are
 	// to be borne, so the mesh starts anew.
 	m.Close()
 	dir := t.TempDir()
-	for _, p := range []string{"line", "register"} {
+	for _, p := range []string{"sidecar", "controlplane"} {
 		assert.NilError(t, os.Link(programsDir+"/"+p, dir+"/"+p))
 	}
 	m, err := newCluster(dir, 5, 2, "stock", "orders")
@@ -318,7 +318,7 @@
 	assert.Assert(t, m.AwaitReady(testTimeout))
 	m.applyContract(t, 1, now.Add(-time.Hour), now.Add(3*time.Hour), nil)
 	assert.Assert(t, rig.Await(testTimeout, func() bool { // the two that no seed names are taken in
-		d := m.callMaintenance(t, register.MaintenanceRequest{Machine: m.Members[1].Process.Addr}, http.StatusOK)
+		d := m.callMaintenance(t, controlplane.MaintenanceRequest{Machine: m.Members[1].Process.Addr}, http.StatusOK)
 		return strings.Contains(fmt.Sprint(d.Verdict.Reasons), "4 of 5 registers would stay")
 	}))
 	for _, x := range m.Members { // one loss is to be borne while a machine is out
@@ -328,24 +328,24 @@
 		assert.NilError(t, x.SignalReload())
 	}
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
-		return m.callMaintenance(t, register.MaintenanceRequest{Machine: m.Members[1].Process.Addr}, http.StatusOK).Verdict.Approved
+		return m.callMaintenance(t, controlplane.MaintenanceRequest{Machine: m.Members[1].Process.Addr}, http.StatusOK).Verdict.Approved
 	}))
-	lead = m.callMaintenance(t, register.MaintenanceRequest{}, http.StatusOK).Leader
-	order := night.Order{ID: "roll", Duration: 100 * time.Millisecond, PlacedBy: "ana", Machines: []string{lead}}
+	lead = m.callMaintenance(t, controlplane.MaintenanceRequest{}, http.StatusOK).Leader
+	order := maintenance.Order{ID: "roll", Duration: 100 * time.Millisecond, PlacedBy: "ana", Machines: []string{lead}}
 	for _, x := range m.Members {
 		if x.Process.Addr != lead && len(order.Machines) < 3 {
 			order.Machines = append(order.Machines, x.Name)
 		}
 	}
 	stop := m.startTraffic()
-	m.callMaintenance(t, register.MaintenanceRequest{Order: &order}, http.StatusOK)
-	o := m.awaitStep(t, "roll", night.StepDone, night.StepAborted)
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Order: &order}, http.StatusOK)
+	o := m.awaitStep(t, "roll", maintenance.StepDone, maintenance.StepAborted)
 	stop()
-	assert.Equal(t, o.Step, night.StepDone, "%v", o.Events)
+	assert.Equal(t, o.Step, maintenance.StepDone, "%v", o.Events)
 	assert.Equal(t, o.Machines[2], lead, "the leader is the last")
 	outs := 0
 	for _, e := range o.Events {
-		if e.Step == night.StepInMaintenance {
+		if e.Step == maintenance.StepInMaintenance {
 			outs++
 		}
 	}
@@ -363,10 +363,10 @@
 		x.Args = []string{"--ahead", "40m"}
 		assert.NilError(t, x.Start())
 	}
-	plan := func(want string) register.MaintenanceResponse {
-		var told register.MaintenanceResponse
+	plan := func(want string) controlplane.MaintenanceResponse {
+		var told controlplane.MaintenanceResponse
 		assert.Assert(t, rig.Await(testTimeout, func() bool {
-			told = m.callMaintenance(t, register.MaintenanceRequest{Machine: m.Sidecars[0].Name, LengthSeconds: 1}, http.StatusOK)
+			told = m.callMaintenance(t, controlplane.MaintenanceRequest{Machine: m.Sidecars[0].Name, LengthSeconds: 1}, http.StatusOK)
 			return told.TimeAgreed && told.Verdict != nil && strings.Contains(fmt.Sprint(told.Verdict.Approved, told.Verdict.Reasons), want)
 		}), "%v", told)
 		return told
@@ -377,11 +377,11 @@
 	assert.Assert(t, !told.ClocksDisagree && told.Now.Latest.Sub(told.Now.Earliest) < 5*time.Second, "%v", told.Now)
 	m.applyContract(t, 2, now.Add(-time.Hour), now.Add(30*time.Minute), nil)
 	plan("true")
-	order := night.Order{ID: "o", Machines: []string{m.Sidecars[0].Name}, Duration: 10 * time.Minute, PlacedBy: "ana"}
-	m.callMaintenance(t, register.MaintenanceRequest{Order: &order}, http.StatusOK)
-	m.awaitStep(t, "o", night.StepInMaintenance)
+	order := maintenance.Order{ID: "o", Machines: []string{m.Sidecars[0].Name}, Duration: 10 * time.Minute, PlacedBy: "ana"}
+	m.callMaintenance(t, controlplane.MaintenanceRequest{Order: &order}, http.StatusOK)
+	m.awaitStep(t, "o", maintenance.StepInMaintenance)
 	ahead(m.Members[1])
-	o := m.awaitStep(t, "o", night.StepAborted)
+	o := m.awaitStep(t, "o", maintenance.StepAborted)
 	assert.Assert(t, strings.Contains(fmt.Sprint(o.Events), "turned back: "), "%v", o.Events)
 	m.applyContract(t, 3, now.Add(20*time.Minute), now.Add(3*time.Hour), nil)
 	told = plan("false [contract hours: the window has not opened for certain")
@@ -391,7 +391,7 @@
 	m.Members[1].Args = nil
 	assert.NilError(t, m.Members[1].Start())
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
-		told := m.callMaintenance(t, register.MaintenanceRequest{TrustClocks: true, By: "ana"}, http.StatusOK)
+		told := m.callMaintenance(t, controlplane.MaintenanceRequest{TrustClocks: true, By: "ana"}, http.StatusOK)
 		return !told.ClocksDisagree && told.TimeAgreed
 	}))
 	plan("false [contract hours: outside its hours")
--- a/internal/rig/mesh/operators_test.go
+++ b/internal/mesh/testcluster/operators_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/rig"
 )
 
 // modifyAttempt is an order of one of two operators, as its answers were.
@@ -141,7 +141,7 @@
 // serviceOf is where a route sends requests, as the register reads it back.
 func (x *Machine) serviceOf(t *testing.T, route string) string {
 	t.Helper()
-	var set patch.Document
+	var set config.Document
 	var last string
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
 		status, text := x.Fetch()
@@ -150,7 +150,7 @@
 	}), last)
 	for _, l := range set.ListenerList {
 		for _, raw := range l.PolicyRules {
-			var r patch.RouteSpec
+			var r config.RouteSpec
 			assert.NilError(t, json.Unmarshal(raw, &r))
 			if r.Name == route {
 				return r.ForwardAction.Service
--- a/internal/rig/mesh/relayed.go
+++ b/internal/mesh/testcluster/relayed.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"bufio"
@@ -10,9 +10,9 @@
 	"net/http"
 	"time"
 
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/rig"
 )
 
 // Ports of a machine, as indices of Mesh.ports; a register's trunks and a line's are known by different ones.
@@ -85,7 +85,7 @@
 	if err != nil {
 		return "", err
 	}
-	message, err := trunk.Decode(frame[4:])
+	message, err := transport.Decode(frame[4:])
 	if err != nil {
 		return "", err
 	}
--- a/internal/rig/mesh/rules_test.go
+++ b/internal/mesh/testcluster/rules_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"context"
@@ -12,14 +12,14 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/classmark"
-	"hollyspur/internal/exchange/plant"
-	"hollyspur/internal/exchange/register"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/controlplane"
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/topology"
+	"cranegrade/internal/rig"
 )
 
 // policyCall words a call of one team: rulings that it sets, and those that it drops.
-func policyCall(by string, rulings []classmark.Policy, drop map[string]int64) []byte {
+func policyCall(by string, rulings []policy.Policy, drop map[string]int64) []byte {
 	var gone []map[string]any
 	for n, v := range drop {
 		gone = append(gone, map[string]any{"Name": n, "ConfigVersion": v})
@@ -47,7 +47,7 @@
 }
 
 // policyStatus is how the rules are, by the leader's word.
-func (m *Cluster) policyStatus() (t register.PolicyResponse) {
+func (m *Cluster) policyStatus() (t controlplane.PolicyResponse) {
 	for _, r := range m.Members {
 		if r.Process == nil {
 			continue
@@ -64,7 +64,7 @@
 // awaitPolicyActive waits until what is agreed on binds, and gives its set.
 func (m *Cluster) awaitPolicyActive(t *testing.T) string {
 	t.Helper()
-	var told register.PolicyResponse
+	var told controlplane.PolicyResponse
 	assert.Assert(t, rig.Await(testTimeout, func() bool { told = m.policyStatus(); return told.Leader != "" && !told.Rollout.IsPending() }), "%v", told)
 	return told.Rollout.Active
 }
@@ -72,7 +72,7 @@
 // startTwoTeams is a mesh whose stock is one team's and whose orders and host another's.
 func startTwoTeams(t *testing.T, services ...string) *Cluster {
 	m := startCluster(t, services...)
-	text, _ := json.Marshal(map[string]any{"Upsert": map[string]any{"NamespaceList": []classmark.Namespace{
+	text, _ := json.Marshal(map[string]any{"Upsert": map[string]any{"NamespaceList": []policy.Namespace{
 		{Name: "shop", ConfigVersion: 1, Owners: []string{"ana"}, Services: []string{"orders", "later"}, Hosts: []string{Host}},
 		{Name: "store", ConfigVersion: 1, Owners: []string{"bo"}, Services: []string{"stock"}}}}})
 	m.awaitAcknowledged(t, nil, text)
@@ -97,10 +97,10 @@
 	}))
 	var both sync.WaitGroup
 	both.Go(func() {
-		m.awaitAcknowledged(t, m.Members[0], policyCall("ana", []classmark.Policy{{Name: "patience", ConfigVersion: 1, Namespace: "shop", TimeoutS: 0.4, Tries: 2}}, nil))
+		m.awaitAcknowledged(t, m.Members[0], policyCall("ana", []policy.Policy{{Name: "patience", ConfigVersion: 1, Namespace: "shop", TimeoutS: 0.4, Tries: 2}}, nil))
 	})
 	both.Go(func() {
-		m.awaitAcknowledged(t, m.Members[1], policyCall("bo", []classmark.Policy{{Name: "shelter", ConfigVersion: 1, Namespace: "store", TimeoutS: 0.5, Tries: 1}}, nil))
+		m.awaitAcknowledged(t, m.Members[1], policyCall("bo", []policy.Policy{{Name: "shelter", ConfigVersion: 1, Namespace: "store", TimeoutS: 0.5, Tries: 1}}, nil))
 	})
 	both.Wait()
 	set := m.awaitPolicyActive(t)
@@ -127,7 +127,7 @@
 	}
 	assert.Equal(t, len(traces), 2, "one merged rule for each service that calls: %v", traces)
 	// Who may call, by the service beside the line and not by what the caller says.
-	m.awaitAcknowledged(t, nil, policyCall("bo", []classmark.Policy{{Name: "private", ConfigVersion: 1, Namespace: "store", On: classmark.Selector{Services: []string{"stock"}}, Callers: classmark.CallerRules{Deny: []string{"orders"}}}}, nil))
+	m.awaitAcknowledged(t, nil, policyCall("bo", []policy.Policy{{Name: "private", ConfigVersion: 1, Namespace: "store", On: policy.Selector{Services: []string{"stock"}}, Callers: policy.CallerRules{Deny: []string{"orders"}}}}, nil))
 	m.awaitPolicyActive(t)
 	assert.Assert(t, rig.Await(testTimeout, func() bool { got = orders.Send("GET", "/read/x", "", nil); return got.Status == 403 }), "%v", got)
 	assert.Assert(t, strings.Contains(got.Body, "by ruling private of store, version 1 (as service) orders may not call it"), got.Body)
@@ -136,7 +136,7 @@
 	last := notices[len(notices)-1]
 	assert.Assert(t, last.By == "bo" && last.Effect.Owners[0] == "shop" && !last.Effect.Loosens, "%v", last)
 	// A rule before its service; a namespace that is dropped while its route carries traffic.
-	m.awaitAcknowledged(t, nil, policyCall("ana", []classmark.Policy{{Name: "later", ConfigVersion: 1, Namespace: "shop", On: classmark.Selector{Services: []string{"later"}}, Callers: classmark.CallerRules{Deny: []string{"stock"}}}}, nil))
+	m.awaitAcknowledged(t, nil, policyCall("ana", []policy.Policy{{Name: "later", ConfigVersion: 1, Namespace: "shop", On: policy.Selector{Services: []string{"later"}}, Callers: policy.CallerRules{Deny: []string{"stock"}}}}, nil))
 	m.awaitAcknowledged(t, nil, ModifyCall(9, []string{"later"}, RouteItem("later", "idempotent", "/later/", "later", 9)))
 	_, err := m.AddSidecar("later")
 	assert.NilError(t, err)
@@ -175,12 +175,12 @@
 // half told binds, the line that stood still goes by no rule that is over, and one that starts has what binds first.
 func TestPolicyRolloutUnderFaults(t *testing.T) {
 	m := startTwoTeams(t, "stock", "orders", "stock")
-	m.awaitAcknowledged(t, nil, policyCall("bo", []classmark.Policy{{Name: "shelter", ConfigVersion: 1, Namespace: "store", Tries: 2}}, nil))
+	m.awaitAcknowledged(t, nil, policyCall("bo", []policy.Policy{{Name: "shelter", ConfigVersion: 1, Namespace: "store", Tries: 2}}, nil))
 	old := m.awaitPolicyActive(t)
 	still, other := m.Sidecars[0], m.Sidecars[1]
 	assert.Assert(t, rig.Await(testTimeout, func() bool { return strings.HasSuffix(still.Send("GET", "/read/x", "", nil).PolicyTrace, old) }))
 	still.Process.Pause()
-	m.awaitAcknowledged(t, nil, policyCall("bo", []classmark.Policy{{Name: "shelter", ConfigVersion: 2, Namespace: "store", Tries: 1}}, nil))
+	m.awaitAcknowledged(t, nil, policyCall("bo", []policy.Policy{{Name: "shelter", ConfigVersion: 2, Namespace: "store", Tries: 1}}, nil))
 	told := m.policyStatus()
 	assert.Assert(t, told.Rollout.IsPending() && told.Rollout.Active == old && told.Active != nil, "%v", told.Rollout)
 	assert.Assert(t, strings.HasSuffix(other.Send("GET", "/read/x", "", nil).PolicyTrace, old), "it does not bind before the lines hold it")
@@ -198,7 +198,7 @@
 	assert.Assert(t, rig.Await(testTimeout, func() bool { // it is taken in again, and has what was told half
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		seen, err := plant.Collect(ctx, wiped.Process.Addr)
+		seen, err := topology.Collect(ctx, wiped.Process.Addr)
 		n := 0
 		for _, r := range seen.Members {
 			if r.IsMember && r.Unreachable == "" {
--- a/internal/rig/mesh/seeds_test.go
+++ b/internal/mesh/testcluster/seeds_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"fmt"
--- a/internal/rig/mesh/speed_test.go
+++ b/internal/mesh/testcluster/speed_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/rig"
 )
 
 // Variables that bound the benches of speed, in seconds.
@@ -109,7 +109,7 @@
 	leader := awaitLeader(b, m)
 	ctx, cancel := context.WithTimeout(context.Background(), load)
 	defer cancel()
-	trunkTo, err := trunk.DialClient(ctx, leader.Process.Addr, "bench", nil)
+	trunkTo, err := transport.DialClient(ctx, leader.Process.Addr, "bench", nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 		all.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				at := time.Now()
-				if _, err := trunkTo.Call(ctx, trunk.CallLeaseKeys, claimsBody(fmt.Sprint("c", g), n, 1)); err != nil {
+				if _, err := trunkTo.Call(ctx, transport.CallLeaseKeys, claimsBody(fmt.Sprint("c", g), n, 1)); err != nil {
 					continue
 				}
 				mu.Lock()
@@ -145,7 +145,7 @@
 		key := fmt.Sprintf("%s-%08d", name, from+n)
 		t.List = append(t.List, &wire.KeyLeaseRequestT{Key: key, Token: "a1b2c3d4e5f6" + key, Holder: "127.0.0.1:30000/a1b2c3d4e5f6", WindowUs: time.Hour.Microseconds()})
 	}
-	return trunk.EncodeTable(t)
+	return transport.EncodeTable(t)
 }
 
 func leaderOf(m *Cluster) *Machine {
@@ -283,13 +283,13 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), loadTimeout)
 	defer cancel()
-	c, err := trunk.DialClient(ctx, leader.Process.Addr, "bench", nil)
+	c, err := transport.DialClient(ctx, leader.Process.Addr, "bench", nil)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	for from := 0; from < catchUpKeys; from += keysPerCall {
-		if _, err := c.Call(ctx, trunk.CallLeaseKeys, claimsBody("key", from, keysPerCall)); err != nil {
+		if _, err := c.Call(ctx, transport.CallLeaseKeys, claimsBody("key", from, keysPerCall)); err != nil {
 			return err
 		}
 	}
@@ -343,7 +343,7 @@
 	go claims.every(catchUpClaims, stop, func(n int) bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, err := trunk.CallOnce(ctx, leader.Process.Addr, "bench", trunk.CallLeaseKeys, claimsBody("beside", n, 1))
+		_, err := transport.CallOnce(ctx, leader.Process.Addr, "bench", transport.CallLeaseKeys, claimsBody("beside", n, 1))
 		return err == nil
 	})
 	go changes.every(catchUpChanges, stop, func(n int) bool {
--- a/internal/rig/mesh/worst_answers_test.go
+++ b/internal/mesh/testcluster/worst_answers_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/mesh/history"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/rig"
 )
 
 // faultDuration is how long a fault of TestWorstAnswers lasts.
--- a/internal/rig/mesh/worst_catchup_test.go
+++ b/internal/mesh/testcluster/worst_catchup_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/mesh/history"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/rig"
 )
 
 // What happens while a register is away, and how it catches up.
@@ -123,7 +123,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	x, err := trunk.DialClient(ctx, at.cluster.addr(at.IP, portBehindRelay), "claims", nil)
+	x, err := transport.DialClient(ctx, at.cluster.addr(at.IP, portBehindRelay), "claims", nil)
 	assert.NilError(t, err)
 	defer x.Close()
 	var all sync.WaitGroup
@@ -136,7 +136,7 @@
 					c.List = append(c.List, &wire.KeyLeaseRequestT{Key: fmt.Sprintf("away-%d-%d", n, k), Token: fmt.Sprint("ticket-", n), Holder: "127.0.0.1:1/abcdef",
 						WindowUs: time.Hour.Microseconds()})
 				}
-				if _, err := x.Call(ctx, trunk.CallLeaseKeys, trunk.EncodeTable(c)); err != nil {
+				if _, err := x.Call(ctx, transport.CallLeaseKeys, transport.EncodeTable(c)); err != nil {
 					t.Errorf("claim %d: %v", n, err)
 				}
 			}
--- a/internal/rig/mesh/worst_cut_test.go
+++ b/internal/mesh/testcluster/worst_cut_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/mesh/history"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/rig"
 )
 
 // partitionDuration is how long a register stays cut off; WORST_CUT names a longer time.
--- a/internal/rig/mesh/worst_departure_test.go
+++ b/internal/mesh/testcluster/worst_departure_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/rig"
+	"cranegrade/internal/rig"
 )
 
 // A register that is to end for good, its successor being there, ends; 50 ms after it was told so another loses its disk.
--- a/internal/rig/mesh/worst_losses_test.go
+++ b/internal/mesh/testcluster/worst_losses_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/rig"
+	"cranegrade/internal/rig"
 )
 
 // diskLossTest is a mesh whose registers are lost one after the other, each within what it is to bear.
--- a/internal/rig/mesh/worst_observer_test.go
+++ b/internal/mesh/testcluster/worst_observer_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"encoding/json"
@@ -11,9 +11,9 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/mesh/history"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/rig"
 )
 
 // observer records what operators were told by a mesh of real processes, for the checkers.
--- a/internal/rig/mesh/worst_relay_test.go
+++ b/internal/mesh/testcluster/worst_relay_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/rig"
 )
 
 // startRelayedCluster starts a mesh whose trunks, and the calls of whose operators, go through a relay.
 func startRelayedCluster(t *testing.T, registers, tolerance int, services ...string) (*Cluster, *rig.Relay) {
 	t.Helper()
 	dir := t.TempDir()
-	for _, p := range []string{"line", "register"} {
+	for _, p := range []string{"sidecar", "controlplane"} {
 		assert.NilError(t, os.Link(programsDir+"/"+p, dir+"/"+p))
 	}
 	m, relay, err := NewRelayed(dir, registers, tolerance, services...)
@@ -42,11 +42,11 @@
 func (x *Machine) statusPastRelay() *wire.StatusT {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	body, err := trunk.CallOnce(ctx, x.cluster.addr(x.IP, portBehindRelay), "test", trunk.CallStatus, nil)
+	body, err := transport.CallOnce(ctx, x.cluster.addr(x.IP, portBehindRelay), "test", transport.CallStatus, nil)
 	if err != nil {
 		return nil
 	}
-	s, err := trunk.DecodeTable(body, func(p []byte) *wire.StatusT { return wire.GetRootAsStatus(p, 0).UnPack() })
+	s, err := transport.DecodeTable(body, func(p []byte) *wire.StatusT { return wire.GetRootAsStatus(p, 0).UnPack() })
 	if err != nil {
 		return nil
 	}
--- a/internal/rig/mesh/worst_repeats_test.go
+++ b/internal/mesh/testcluster/worst_repeats_test.go
@@ -1,4 +1,4 @@
-package mesh
+package testcluster
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/mesh/history"
-	"hollyspur/internal/rig"
+	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/rig"
 )
 
 // repeatRounds is how often eight orders are under way at once.
--- a/internal/exchange/plant/look.go
+++ b/internal/mesh/topology/look.go
@@ -1,4 +1,4 @@
-package plant
+package topology
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // announcements is what a register says by itself to whoever calls.
@@ -24,7 +24,7 @@
 	complete      chan struct{} // closed with the second beat: the first may have been made before it had come
 }
 
-func (h *announcements) handle(m trunk.Message) {
+func (h *announcements) handle(m transport.Message) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch v := m.Value.(type) {
@@ -51,7 +51,7 @@
 func Collect(ctx context.Context, addr string) (Topology, error) {
 	t := Topology{AskedMember: addr}
 	h := &announcements{complete: make(chan struct{})}
-	x, err := trunk.DialClient(ctx, addr, ClientName, h.handle)
+	x, err := transport.DialClient(ctx, addr, ClientName, h.handle)
 	if err != nil {
 		return t, err
 	}
@@ -59,23 +59,23 @@
 	select {
 	case <-h.complete:
 	case <-x.Done():
-		return t, errors.Annotatef(trunk.ErrNoReply, "%s told only a part", addr)
+		return t, errors.Annotatef(transport.ErrNoReply, "%s told only a part", addr)
 	case <-ctx.Done():
-		return t, errors.Annotatef(trunk.ErrNoReply, "%s told only a part", addr)
+		return t, errors.Annotatef(transport.ErrNoReply, "%s told only a part", addr)
 	}
 	h.mu.Lock()
 	members, table := h.members, h.directory
 	t.QuorumContact = h.quorumContact
 	h.mu.Unlock()
 	if members == nil {
-		return t, errors.Annotatef(trunk.ErrRejected, "%s is no register", addr)
+		return t, errors.Annotatef(transport.ErrRejected, "%s is no register", addr)
 	}
 	t.ConfigurationIndex = members.Index
-	if body, err := x.Call(ctx, trunk.CallItems, nil); err == nil {
-		items, err := trunk.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	if body, err := x.Call(ctx, transport.CallItems, nil); err == nil {
+		items, err := transport.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 		if err == nil {
-			list := patch.ItemsFromWire(items)
-			table, _ := patch.Table{}.Merge(list)
+			list := config.ItemsFromWire(items)
+			table, _ := config.Table{}.Merge(list)
 			t.Items, t.Routes, t.PolicyFingerprint = itemVersions(table.Versions()), routesFromItems(list), items.ActiveFingerprint
 		}
 	}
@@ -88,7 +88,7 @@
 			room <- struct{}{}
 			defer func() { <-room }()
 			var s *wire.StatusT
-			x, err := trunk.DialClient(ctx, addr, ClientName, nil)
+			x, err := transport.DialClient(ctx, addr, ClientName, nil)
 			if err == nil {
 				s, err = x.Status(ctx)
 				x.Close()
--- a/internal/exchange/plant/svg.go
+++ b/internal/mesh/topology/svg.go
@@ -1,4 +1,4 @@
-package plant
+package topology
 
 import (
 	"fmt"
--- a/internal/exchange/plant/text.go
+++ b/internal/mesh/topology/text.go
@@ -1,4 +1,4 @@
-package plant
+package topology
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/exchange/directory"
+	"cranegrade/internal/mesh/directory"
 )
 
 // WriteText draws it as a tree.
--- a/internal/exchange/plant/topology.go
+++ b/internal/mesh/topology/topology.go
@@ -1,7 +1,7 @@
 // Package plant is the mesh as a whole (the outside plant: machines and what runs between them): who the registers are and
 // which leads, the lines by zone with the servers beside them, the routes, which process holds which version, what is out
 // and why. Look asks a running mesh; a Topology can be saved, and drawn as text, for Graphviz, or as SVG.
-package plant
+package topology
 
 import (
 	"encoding/json"
@@ -11,10 +11,10 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/exchange/dialplan"
-	"hollyspur/internal/exchange/directory"
-	"hollyspur/internal/exchange/patch"
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/routing"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Topology is what was found out of a mesh. It is pure: all that follows from it is reckoned from its fields.
@@ -114,7 +114,7 @@
 
 func itemVersions(l []*wire.ItemVersionT) (out []ItemVersion) {
 	for _, x := range l {
-		out = append(out, ItemVersion{patch.Kind(x.Kind).String(), x.Name, x.Version, x.Deleted})
+		out = append(out, ItemVersion{config.Kind(x.Kind).String(), x.Name, x.Version, x.Deleted})
 	}
 	return out
 }
@@ -136,12 +136,12 @@
 }
 
 // routeKindNames are the routes' as operators write them.
-var routeKindNames = map[dialplan.Kind]string{dialplan.AtMostOnce: "non_idempotent", dialplan.Keyed: "keyed", dialplan.Idempotent: "idempotent", dialplan.Download: "download"}
+var routeKindNames = map[routing.Kind]string{routing.AtMostOnce: "non_idempotent", routing.Keyed: "keyed", routing.Idempotent: "idempotent", routing.Download: "download"}
 
 // routesFromItems are the routes of the items that stand, by host and prefix.
-func routesFromItems(items []patch.Item) (l []Route) {
-	table, _ := patch.Table{}.Merge(items)
-	for _, r := range dialplan.NewTable(table).Routes() {
+func routesFromItems(items []config.Item) (l []Route) {
+	table, _ := config.Table{}.Merge(items)
+	for _, r := range routing.NewTable(table).Routes() {
 		x := Route{Name: r.Name, Host: r.Host, Prefix: r.Prefix, Kind: routeKindNames[r.Kind], Version: r.Version, TimeoutS: r.Timeout.Seconds(), MaxAttempts: r.MaxAttempts, Priority: r.Priority}
 		sum := 0.0
 		for _, s := range r.Destinations {
--- a/internal/exchange/trunk/account.go
+++ b/internal/mesh/transport/account.go
@@ -1,9 +1,9 @@
-package trunk
+package transport
 
 import (
 	"sync/atomic"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // trafficCounters are of frames, by kind.
--- a/internal/exchange/trunk/asks.go
+++ b/internal/mesh/transport/asks.go
@@ -1,10 +1,10 @@
-package trunk
+package transport
 
 import (
 	"context"
 	"sync"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Calls are calls over connections and their answers. The zero value is ready.
--- a/internal/exchange/trunk/caller.go
+++ b/internal/mesh/transport/caller.go
@@ -1,4 +1,4 @@
-package trunk
+package transport
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Errors of asking over a trunk of one's own.
--- a/internal/exchange/trunk/compat_test.go
+++ b/internal/mesh/transport/compat_test.go
@@ -1,4 +1,4 @@
-package trunk
+package transport
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // recordMissing has the compatibility tests write the encodings that testdata lacks, as for a table that is new. It never
--- a/internal/exchange/trunk/frame.go
+++ b/internal/mesh/transport/frame.go
@@ -1,4 +1,4 @@
-package trunk
+package transport
 
 import (
 	"encoding/binary"
@@ -6,7 +6,7 @@
 
 	flatbuffers "github.com/google/flatbuffers/go"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Message is one of the tables of the union Body, as flatc's objects.
--- a/internal/exchange/trunk/head.go
+++ b/internal/mesh/transport/head.go
@@ -1,11 +1,11 @@
-package trunk
+package transport
 
 import (
 	"encoding/binary"
 
 	"github.com/juju/errors"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Heads from this version on are packed: a FlatBuffers table for each field takes twice the bytes of most fields, and more of a
--- a/internal/exchange/trunk/head_test.go
+++ b/internal/mesh/transport/head_test.go
@@ -1,4 +1,4 @@
-package trunk
+package transport
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 	"github.com/juju/errors"
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // Whatever fields there are, known by number or not, come back as they were, in their order; a head that is cut anywhere within a
--- a/internal/exchange/trunk/trunk.go
+++ b/internal/mesh/transport/trunk.go
@@ -1,7 +1,7 @@
 // Package trunk is the connections between the mesh's own processes: frames of FlatBuffers (wire.fbs) over TCP, beats both
 // ways, a deadline on every write, and an end as soon as the other side says nothing for too long. It carries what it is
 // given and decides nothing.
-package trunk
+package transport
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"github.com/juju/errors"
 	"golang.org/x/sys/unix"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 // ProtocolVersion is what Hello tells, and a line's record. A process takes any other: fields are only ever added, and what only a
--- a/internal/exchange/trunk/trunk_test.go
+++ b/internal/mesh/transport/trunk_test.go
@@ -1,4 +1,4 @@
-package trunk
+package transport
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/exchange/trunk/wire"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
 func TestEveryMessageRoundTrips(t *testing.T) {
--- a/internal/exchange/trunk/wire/Piece.go
+++ b/internal/mesh/transport/wire/BodyChunk.go
@@ -7,33 +7,33 @@
 )
 
 type BodyChunkT struct {
-	Id     uint64 `json:"id"`
-	Data   []byte `json:"body"`
-	Last   bool   `json:"last"`
-	Aborted bool   `json:"broken"`
+	Id      uint64 `json:"id"`
+	Data    []byte `json:"data"`
+	Last    bool   `json:"last"`
+	Aborted bool   `json:"aborted"`
 }
 
 func (t *BodyChunkT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	bodyOffset := flatbuffers.UOffsetT(0)
+	dataOffset := flatbuffers.UOffsetT(0)
 	if t.Data != nil {
-		bodyOffset = builder.CreateByteString(t.Data)
+		dataOffset = builder.CreateByteString(t.Data)
 	}
-	PieceStart(builder)
-	PieceAddId(builder, t.Id)
-	PieceAddBody(builder, bodyOffset)
-	PieceAddLast(builder, t.Last)
-	PieceAddBroken(builder, t.Aborted)
-	return PieceEnd(builder)
+	BodyChunkStart(builder)
+	BodyChunkAddId(builder, t.Id)
+	BodyChunkAddData(builder, dataOffset)
+	BodyChunkAddLast(builder, t.Last)
+	BodyChunkAddAborted(builder, t.Aborted)
+	return BodyChunkEnd(builder)
 }
 
 func (rcv *BodyChunk) UnPackTo(t *BodyChunkT) {
 	t.Id = rcv.Id()
-	t.Data = rcv.BodyBytes()
+	t.Data = rcv.DataBytes()
 	t.Last = rcv.Last()
-	t.Aborted = rcv.Broken()
+	t.Aborted = rcv.Aborted()
 }
 
 func (rcv *BodyChunk) UnPack() *BodyChunkT {
@@ -56,7 +56,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsPiece(buf []byte, offset flatbuffers.UOffsetT) *BodyChunk {
+func GetSizePrefixedRootAsBodyChunk(buf []byte, offset flatbuffers.UOffsetT) *BodyChunk {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &BodyChunk{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -84,7 +84,7 @@
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *BodyChunk) Body(j int) byte {
+func (rcv *BodyChunk) Data(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -93,7 +93,7 @@
 	return 0
 }
 
-func (rcv *BodyChunk) BodyLength() int {
+func (rcv *BodyChunk) DataLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -101,7 +101,7 @@
 	return 0
 }
 
-func (rcv *BodyChunk) BodyBytes() []byte {
+func (rcv *BodyChunk) DataBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func (rcv *BodyChunk) MutateBody(j int, n byte) bool {
+func (rcv *BodyChunk) MutateData(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -130,7 +130,7 @@
 	return rcv._tab.MutateBoolSlot(8, n)
 }
 
-func (rcv *BodyChunk) Broken() bool {
+func (rcv *BodyChunk) Aborted() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -138,28 +138,28 @@
 	return false
 }
 
-func (rcv *BodyChunk) MutateBroken(n bool) bool {
+func (rcv *BodyChunk) MutateAborted(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
-func PieceStart(builder *flatbuffers.Builder) {
+func BodyChunkStart(builder *flatbuffers.Builder) {
 	builder.StartObject(4)
 }
-func PieceAddId(builder *flatbuffers.Builder, id uint64) {
+func BodyChunkAddId(builder *flatbuffers.Builder, id uint64) {
 	builder.PrependUint64Slot(0, id, 0)
 }
-func PieceAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(body), 0)
+func BodyChunkAddData(builder *flatbuffers.Builder, data flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(data), 0)
 }
-func PieceStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func BodyChunkStartDataVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func PieceAddLast(builder *flatbuffers.Builder, last bool) {
+func BodyChunkAddLast(builder *flatbuffers.Builder, last bool) {
 	builder.PrependBoolSlot(2, last, false)
 }
-func PieceAddBroken(builder *flatbuffers.Builder, broken bool) {
-	builder.PrependBoolSlot(3, broken, false)
+func BodyChunkAddAborted(builder *flatbuffers.Builder, aborted bool) {
+	builder.PrependBoolSlot(3, aborted, false)
 }
-func PieceEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func BodyChunkEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Ask.go
+++ b/internal/mesh/transport/wire/Call.go
@@ -20,11 +20,11 @@
 	if t.Body != nil {
 		bodyOffset = builder.CreateByteString(t.Body)
 	}
-	AskStart(builder)
-	AskAddId(builder, t.Id)
-	AskAddKind(builder, t.Kind)
-	AskAddBody(builder, bodyOffset)
-	return AskEnd(builder)
+	CallStart(builder)
+	CallAddId(builder, t.Id)
+	CallAddKind(builder, t.Kind)
+	CallAddBody(builder, bodyOffset)
+	return CallEnd(builder)
 }
 
 func (rcv *Call) UnPackTo(t *CallT) {
@@ -53,7 +53,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsAsk(buf []byte, offset flatbuffers.UOffsetT) *Call {
+func GetSizePrefixedRootAsCall(buf []byte, offset flatbuffers.UOffsetT) *Call {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &Call{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -127,21 +127,21 @@
 	return false
 }
 
-func AskStart(builder *flatbuffers.Builder) {
+func CallStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func AskAddId(builder *flatbuffers.Builder, id uint64) {
+func CallAddId(builder *flatbuffers.Builder, id uint64) {
 	builder.PrependUint64Slot(0, id, 0)
 }
-func AskAddKind(builder *flatbuffers.Builder, kind byte) {
+func CallAddKind(builder *flatbuffers.Builder, kind byte) {
 	builder.PrependByteSlot(1, kind, 0)
 }
-func AskAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
+func CallAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(body), 0)
 }
-func AskStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func CallStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func AskEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func CallEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Told.go
+++ b/internal/mesh/transport/wire/CallReply.go
@@ -20,11 +20,11 @@
 	if t.Body != nil {
 		bodyOffset = builder.CreateByteString(t.Body)
 	}
-	ToldStart(builder)
-	ToldAddId(builder, t.Id)
-	ToldAddStatus(builder, t.Status)
-	ToldAddBody(builder, bodyOffset)
-	return ToldEnd(builder)
+	CallReplyStart(builder)
+	CallReplyAddId(builder, t.Id)
+	CallReplyAddStatus(builder, t.Status)
+	CallReplyAddBody(builder, bodyOffset)
+	return CallReplyEnd(builder)
 }
 
 func (rcv *CallReply) UnPackTo(t *CallReplyT) {
@@ -53,7 +53,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsTold(buf []byte, offset flatbuffers.UOffsetT) *CallReply {
+func GetSizePrefixedRootAsCallReply(buf []byte, offset flatbuffers.UOffsetT) *CallReply {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &CallReply{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -127,21 +127,21 @@
 	return false
 }
 
-func ToldStart(builder *flatbuffers.Builder) {
+func CallReplyStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func ToldAddId(builder *flatbuffers.Builder, id uint64) {
+func CallReplyAddId(builder *flatbuffers.Builder, id uint64) {
 	builder.PrependUint64Slot(0, id, 0)
 }
-func ToldAddStatus(builder *flatbuffers.Builder, status uint16) {
+func CallReplyAddStatus(builder *flatbuffers.Builder, status uint16) {
 	builder.PrependUint16Slot(1, status, 0)
 }
-func ToldAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
+func CallReplyAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(body), 0)
 }
-func ToldStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func CallReplyStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func ToldEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func CallReplyEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Entry.go
+++ b/internal/mesh/transport/wire/Entry.go
@@ -7,11 +7,11 @@
 )
 
 type EntryT struct {
-	Index uint64 `json:"index"`
-	Term  uint64 `json:"term"`
-	Kind  byte   `json:"kind"`
-	LogTimeNs int64  `json:"stamp"`
-	Data  []byte `json:"data"`
+	Index     uint64 `json:"index"`
+	Term      uint64 `json:"term"`
+	Kind      byte   `json:"kind"`
+	LogTimeNs int64  `json:"log_time_ns"`
+	Data      []byte `json:"data"`
 }
 
 func (t *EntryT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -26,7 +26,7 @@
 	EntryAddIndex(builder, t.Index)
 	EntryAddTerm(builder, t.Term)
 	EntryAddKind(builder, t.Kind)
-	EntryAddStamp(builder, t.LogTimeNs)
+	EntryAddLogTimeNs(builder, t.LogTimeNs)
 	EntryAddData(builder, dataOffset)
 	return EntryEnd(builder)
 }
@@ -35,7 +35,7 @@
 	t.Index = rcv.Index()
 	t.Term = rcv.Term()
 	t.Kind = rcv.Kind()
-	t.LogTimeNs = rcv.Stamp()
+	t.LogTimeNs = rcv.LogTimeNs()
 	t.Data = rcv.DataBytes()
 }
 
@@ -111,7 +111,7 @@
 	return rcv._tab.MutateByteSlot(8, n)
 }
 
-func (rcv *Entry) Stamp() int64 {
+func (rcv *Entry) LogTimeNs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -119,7 +119,7 @@
 	return 0
 }
 
-func (rcv *Entry) MutateStamp(n int64) bool {
+func (rcv *Entry) MutateLogTimeNs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(10, n)
 }
 
@@ -169,8 +169,8 @@
 func EntryAddKind(builder *flatbuffers.Builder, kind byte) {
 	builder.PrependByteSlot(2, kind, 0)
 }
-func EntryAddStamp(builder *flatbuffers.Builder, stamp int64) {
-	builder.PrependInt64Slot(3, stamp, 0)
+func EntryAddLogTimeNs(builder *flatbuffers.Builder, logTimeNs int64) {
+	builder.PrependInt64Slot(3, logTimeNs, 0)
 }
 func EntryAddData(builder *flatbuffers.Builder, data flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(data), 0)
--- a/internal/exchange/trunk/wire/Frame.go
+++ b/internal/mesh/transport/wire/Frame.go
@@ -7,27 +7,27 @@
 )
 
 type FrameT struct {
-	Payload *PayloadT `json:"body"`
+	Payload *PayloadT `json:"payload"`
 }
 
 func (t *FrameT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	bodyOffset := t.Payload.Pack(builder)
+	payloadOffset := t.Payload.Pack(builder)
 
 	FrameStart(builder)
 	if t.Payload != nil {
-		FrameAddBodyType(builder, t.Payload.Type)
+		FrameAddPayloadType(builder, t.Payload.Type)
 	}
-	FrameAddBody(builder, bodyOffset)
+	FrameAddPayload(builder, payloadOffset)
 	return FrameEnd(builder)
 }
 
 func (rcv *Frame) UnPackTo(t *FrameT) {
-	bodyTable := flatbuffers.Table{}
-	if rcv.Body(&bodyTable) {
-		t.Payload = rcv.PayloadType().UnPack(bodyTable)
+	payloadTable := flatbuffers.Table{}
+	if rcv.Payload(&payloadTable) {
+		t.Payload = rcv.PayloadType().UnPack(payloadTable)
 	}
 }
 
@@ -75,11 +75,11 @@
 	return 0
 }
 
-func (rcv *Frame) MutateBodyType(n Payload) bool {
+func (rcv *Frame) MutatePayloadType(n Payload) bool {
 	return rcv._tab.MutateByteSlot(4, byte(n))
 }
 
-func (rcv *Frame) Body(obj *flatbuffers.Table) bool {
+func (rcv *Frame) Payload(obj *flatbuffers.Table) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		rcv._tab.Union(obj, o)
@@ -91,11 +91,11 @@
 func FrameStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func FrameAddBodyType(builder *flatbuffers.Builder, bodyType Payload) {
-	builder.PrependByteSlot(0, byte(bodyType), 0)
+func FrameAddPayloadType(builder *flatbuffers.Builder, payloadType Payload) {
+	builder.PrependByteSlot(0, byte(payloadType), 0)
 }
-func FrameAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(body), 0)
+func FrameAddPayload(builder *flatbuffers.Builder, payload flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(payload), 0)
 }
 func FrameEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
--- a/internal/exchange/trunk/wire/Field.go
+++ b/internal/mesh/transport/wire/HeaderField.go
@@ -17,10 +17,10 @@
 	}
 	nameOffset := builder.CreateString(t.Name)
 	valueOffset := builder.CreateString(t.Value)
-	FieldStart(builder)
-	FieldAddName(builder, nameOffset)
-	FieldAddValue(builder, valueOffset)
-	return FieldEnd(builder)
+	HeaderFieldStart(builder)
+	HeaderFieldAddName(builder, nameOffset)
+	HeaderFieldAddValue(builder, valueOffset)
+	return HeaderFieldEnd(builder)
 }
 
 func (rcv *HeaderField) UnPackTo(t *HeaderFieldT) {
@@ -48,7 +48,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsField(buf []byte, offset flatbuffers.UOffsetT) *HeaderField {
+func GetSizePrefixedRootAsHeaderField(buf []byte, offset flatbuffers.UOffsetT) *HeaderField {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &HeaderField{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -80,15 +80,15 @@
 	return nil
 }
 
-func FieldStart(builder *flatbuffers.Builder) {
+func HeaderFieldStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func FieldAddName(builder *flatbuffers.Builder, name flatbuffers.UOffsetT) {
+func HeaderFieldAddName(builder *flatbuffers.Builder, name flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(name), 0)
 }
-func FieldAddValue(builder *flatbuffers.Builder, value flatbuffers.UOffsetT) {
+func HeaderFieldAddValue(builder *flatbuffers.Builder, value flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(value), 0)
 }
-func FieldEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func HeaderFieldEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Beat.go
+++ b/internal/mesh/transport/wire/Heartbeat.go
@@ -7,23 +7,23 @@
 )
 
 type HeartbeatT struct {
-	QuorumContact   bool   `json:"touch"`
-	AppliedIndex uint64 `json:"applied"`
+	QuorumContact bool   `json:"quorum_contact"`
+	AppliedIndex  uint64 `json:"applied_index"`
 }
 
 func (t *HeartbeatT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	BeatStart(builder)
-	BeatAddTouch(builder, t.QuorumContact)
-	BeatAddApplied(builder, t.AppliedIndex)
-	return BeatEnd(builder)
+	HeartbeatStart(builder)
+	HeartbeatAddQuorumContact(builder, t.QuorumContact)
+	HeartbeatAddAppliedIndex(builder, t.AppliedIndex)
+	return HeartbeatEnd(builder)
 }
 
 func (rcv *Heartbeat) UnPackTo(t *HeartbeatT) {
-	t.QuorumContact = rcv.Touch()
-	t.AppliedIndex = rcv.Applied()
+	t.QuorumContact = rcv.QuorumContact()
+	t.AppliedIndex = rcv.AppliedIndex()
 }
 
 func (rcv *Heartbeat) UnPack() *HeartbeatT {
@@ -46,7 +46,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsBeat(buf []byte, offset flatbuffers.UOffsetT) *Heartbeat {
+func GetSizePrefixedRootAsHeartbeat(buf []byte, offset flatbuffers.UOffsetT) *Heartbeat {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &Heartbeat{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -62,7 +62,7 @@
 	return rcv._tab
 }
 
-func (rcv *Heartbeat) Touch() bool {
+func (rcv *Heartbeat) QuorumContact() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -70,11 +70,11 @@
 	return false
 }
 
-func (rcv *Heartbeat) MutateTouch(n bool) bool {
+func (rcv *Heartbeat) MutateQuorumContact(n bool) bool {
 	return rcv._tab.MutateBoolSlot(4, n)
 }
 
-func (rcv *Heartbeat) Applied() uint64 {
+func (rcv *Heartbeat) AppliedIndex() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -82,19 +82,19 @@
 	return 0
 }
 
-func (rcv *Heartbeat) MutateApplied(n uint64) bool {
+func (rcv *Heartbeat) MutateAppliedIndex(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func BeatStart(builder *flatbuffers.Builder) {
+func HeartbeatStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func BeatAddTouch(builder *flatbuffers.Builder, touch bool) {
-	builder.PrependBoolSlot(0, touch, false)
+func HeartbeatAddQuorumContact(builder *flatbuffers.Builder, quorumContact bool) {
+	builder.PrependBoolSlot(0, quorumContact, false)
 }
-func BeatAddApplied(builder *flatbuffers.Builder, applied uint64) {
-	builder.PrependUint64Slot(1, applied, 0)
+func HeartbeatAddAppliedIndex(builder *flatbuffers.Builder, appliedIndex uint64) {
+	builder.PrependUint64Slot(1, appliedIndex, 0)
 }
-func BeatEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func HeartbeatEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Hello.go
+++ b/internal/mesh/transport/wire/Hello.go
@@ -7,13 +7,13 @@
 )
 
 type HelloT struct {
-	TransportVersion  uint32 `json:"version"`
-	Name     string `json:"name"`
-	Addr     string `json:"addr"`
-	Zone     string `json:"zone"`
-	ControlPlane bool   `json:"register"`
-	MemberId   uint64 `json:"member"`
-	Incarnation     uint64 `json:"life"`
+	TransportVersion uint32 `json:"transport_version"`
+	Name             string `json:"name"`
+	Addr             string `json:"addr"`
+	Zone             string `json:"zone"`
+	ControlPlane     bool   `json:"control_plane"`
+	MemberId         uint64 `json:"member_id"`
+	Incarnation      uint64 `json:"incarnation"`
 }
 
 func (t *HelloT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -24,24 +24,24 @@
 	addrOffset := builder.CreateString(t.Addr)
 	zoneOffset := builder.CreateString(t.Zone)
 	HelloStart(builder)
-	HelloAddVersion(builder, t.TransportVersion)
+	HelloAddTransportVersion(builder, t.TransportVersion)
 	HelloAddName(builder, nameOffset)
 	HelloAddAddr(builder, addrOffset)
 	HelloAddZone(builder, zoneOffset)
-	HelloAddRegister(builder, t.ControlPlane)
-	HelloAddMember(builder, t.MemberId)
-	HelloAddLife(builder, t.Incarnation)
+	HelloAddControlPlane(builder, t.ControlPlane)
+	HelloAddMemberId(builder, t.MemberId)
+	HelloAddIncarnation(builder, t.Incarnation)
 	return HelloEnd(builder)
 }
 
 func (rcv *Hello) UnPackTo(t *HelloT) {
-	t.TransportVersion = rcv.Version()
+	t.TransportVersion = rcv.TransportVersion()
 	t.Name = string(rcv.Name())
 	t.Addr = string(rcv.Addr())
 	t.Zone = string(rcv.Zone())
-	t.ControlPlane = rcv.Register()
-	t.MemberId = rcv.Member()
-	t.Incarnation = rcv.Life()
+	t.ControlPlane = rcv.ControlPlane()
+	t.MemberId = rcv.MemberId()
+	t.Incarnation = rcv.Incarnation()
 }
 
 func (rcv *Hello) UnPack() *HelloT {
@@ -80,7 +80,7 @@
 	return rcv._tab
 }
 
-func (rcv *Hello) Version() uint32 {
+func (rcv *Hello) TransportVersion() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -88,7 +88,7 @@
 	return 0
 }
 
-func (rcv *Hello) MutateVersion(n uint32) bool {
+func (rcv *Hello) MutateTransportVersion(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(4, n)
 }
 
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (rcv *Hello) Register() bool {
+func (rcv *Hello) ControlPlane() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -124,11 +124,11 @@
 	return false
 }
 
-func (rcv *Hello) MutateRegister(n bool) bool {
+func (rcv *Hello) MutateControlPlane(n bool) bool {
 	return rcv._tab.MutateBoolSlot(12, n)
 }
 
-func (rcv *Hello) Member() uint64 {
+func (rcv *Hello) MemberId() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -136,11 +136,11 @@
 	return 0
 }
 
-func (rcv *Hello) MutateMember(n uint64) bool {
+func (rcv *Hello) MutateMemberId(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(14, n)
 }
 
-func (rcv *Hello) Life() uint64 {
+func (rcv *Hello) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -148,15 +148,15 @@
 	return 0
 }
 
-func (rcv *Hello) MutateLife(n uint64) bool {
+func (rcv *Hello) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(16, n)
 }
 
 func HelloStart(builder *flatbuffers.Builder) {
 	builder.StartObject(7)
 }
-func HelloAddVersion(builder *flatbuffers.Builder, version uint32) {
-	builder.PrependUint32Slot(0, version, 0)
+func HelloAddTransportVersion(builder *flatbuffers.Builder, transportVersion uint32) {
+	builder.PrependUint32Slot(0, transportVersion, 0)
 }
 func HelloAddName(builder *flatbuffers.Builder, name flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(name), 0)
@@ -167,14 +167,14 @@
 func HelloAddZone(builder *flatbuffers.Builder, zone flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(zone), 0)
 }
-func HelloAddRegister(builder *flatbuffers.Builder, register bool) {
-	builder.PrependBoolSlot(4, register, false)
+func HelloAddControlPlane(builder *flatbuffers.Builder, controlPlane bool) {
+	builder.PrependBoolSlot(4, controlPlane, false)
 }
-func HelloAddMember(builder *flatbuffers.Builder, member uint64) {
-	builder.PrependUint64Slot(5, member, 0)
+func HelloAddMemberId(builder *flatbuffers.Builder, memberId uint64) {
+	builder.PrependUint64Slot(5, memberId, 0)
 }
-func HelloAddLife(builder *flatbuffers.Builder, life uint64) {
-	builder.PrependUint64Slot(6, life, 0)
+func HelloAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(6, incarnation, 0)
 }
 func HelloEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
--- a/internal/exchange/trunk/wire/Item.go
+++ b/internal/mesh/transport/wire/Item.go
@@ -7,14 +7,14 @@
 )
 
 type ItemT struct {
-	Kind    byte   `json:"kind"`
-	Name    string `json:"name"`
-	Version int64  `json:"version"`
-	Deleted bool   `json:"dropped"`
-	Host    string `json:"host"`
-	Body    []byte `json:"body"`
-	LogTimeNs   int64  `json:"stamp"`
-	History    []byte `json:"past"`
+	Kind      byte   `json:"kind"`
+	Name      string `json:"name"`
+	Version   int64  `json:"version"`
+	Deleted   bool   `json:"deleted"`
+	Host      string `json:"host"`
+	Body      []byte `json:"body"`
+	LogTimeNs int64  `json:"log_time_ns"`
+	History   []byte `json:"history"`
 }
 
 func (t *ItemT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -27,19 +27,19 @@
 	if t.Body != nil {
 		bodyOffset = builder.CreateByteString(t.Body)
 	}
-	pastOffset := flatbuffers.UOffsetT(0)
+	historyOffset := flatbuffers.UOffsetT(0)
 	if t.History != nil {
-		pastOffset = builder.CreateByteString(t.History)
+		historyOffset = builder.CreateByteString(t.History)
 	}
 	ItemStart(builder)
 	ItemAddKind(builder, t.Kind)
 	ItemAddName(builder, nameOffset)
 	ItemAddVersion(builder, t.Version)
-	ItemAddDropped(builder, t.Deleted)
+	ItemAddDeleted(builder, t.Deleted)
 	ItemAddHost(builder, hostOffset)
 	ItemAddBody(builder, bodyOffset)
-	ItemAddStamp(builder, t.LogTimeNs)
-	ItemAddPast(builder, pastOffset)
+	ItemAddLogTimeNs(builder, t.LogTimeNs)
+	ItemAddHistory(builder, historyOffset)
 	return ItemEnd(builder)
 }
 
@@ -47,11 +47,11 @@
 	t.Kind = rcv.Kind()
 	t.Name = string(rcv.Name())
 	t.Version = rcv.Version()
-	t.Deleted = rcv.Dropped()
+	t.Deleted = rcv.Deleted()
 	t.Host = string(rcv.Host())
 	t.Body = rcv.BodyBytes()
-	t.LogTimeNs = rcv.Stamp()
-	t.History = rcv.PastBytes()
+	t.LogTimeNs = rcv.LogTimeNs()
+	t.History = rcv.HistoryBytes()
 }
 
 func (rcv *Item) UnPack() *ItemT {
@@ -122,7 +122,7 @@
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
-func (rcv *Item) Dropped() bool {
+func (rcv *Item) Deleted() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -130,7 +130,7 @@
 	return false
 }
 
-func (rcv *Item) MutateDropped(n bool) bool {
+func (rcv *Item) MutateDeleted(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
@@ -176,7 +176,7 @@
 	return false
 }
 
-func (rcv *Item) Stamp() int64 {
+func (rcv *Item) LogTimeNs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -184,11 +184,11 @@
 	return 0
 }
 
-func (rcv *Item) MutateStamp(n int64) bool {
+func (rcv *Item) MutateLogTimeNs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(16, n)
 }
 
-func (rcv *Item) Past(j int) byte {
+func (rcv *Item) History(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -197,7 +197,7 @@
 	return 0
 }
 
-func (rcv *Item) PastLength() int {
+func (rcv *Item) HistoryLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -205,7 +205,7 @@
 	return 0
 }
 
-func (rcv *Item) PastBytes() []byte {
+func (rcv *Item) HistoryBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -213,7 +213,7 @@
 	return nil
 }
 
-func (rcv *Item) MutatePast(j int, n byte) bool {
+func (rcv *Item) MutateHistory(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -234,8 +234,8 @@
 func ItemAddVersion(builder *flatbuffers.Builder, version int64) {
 	builder.PrependInt64Slot(2, version, 0)
 }
-func ItemAddDropped(builder *flatbuffers.Builder, dropped bool) {
-	builder.PrependBoolSlot(3, dropped, false)
+func ItemAddDeleted(builder *flatbuffers.Builder, deleted bool) {
+	builder.PrependBoolSlot(3, deleted, false)
 }
 func ItemAddHost(builder *flatbuffers.Builder, host flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(host), 0)
@@ -246,13 +246,13 @@
 func ItemStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func ItemAddStamp(builder *flatbuffers.Builder, stamp int64) {
-	builder.PrependInt64Slot(6, stamp, 0)
+func ItemAddLogTimeNs(builder *flatbuffers.Builder, logTimeNs int64) {
+	builder.PrependInt64Slot(6, logTimeNs, 0)
 }
-func ItemAddPast(builder *flatbuffers.Builder, past flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(past), 0)
+func ItemAddHistory(builder *flatbuffers.Builder, history flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(history), 0)
 }
-func ItemStartPastVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func ItemStartHistoryVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
 func ItemEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
--- a/internal/exchange/trunk/wire/Holds.go
+++ b/internal/mesh/transport/wire/ItemVersion.go
@@ -10,7 +10,7 @@
 	Kind    byte   `json:"kind"`
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
-	Deleted bool   `json:"dropped"`
+	Deleted bool   `json:"deleted"`
 }
 
 func (t *ItemVersionT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -18,19 +18,19 @@
 		return 0
 	}
 	nameOffset := builder.CreateString(t.Name)
-	HoldsStart(builder)
-	HoldsAddKind(builder, t.Kind)
-	HoldsAddName(builder, nameOffset)
-	HoldsAddVersion(builder, t.Version)
-	HoldsAddDropped(builder, t.Deleted)
-	return HoldsEnd(builder)
+	ItemVersionStart(builder)
+	ItemVersionAddKind(builder, t.Kind)
+	ItemVersionAddName(builder, nameOffset)
+	ItemVersionAddVersion(builder, t.Version)
+	ItemVersionAddDeleted(builder, t.Deleted)
+	return ItemVersionEnd(builder)
 }
 
 func (rcv *ItemVersion) UnPackTo(t *ItemVersionT) {
 	t.Kind = rcv.Kind()
 	t.Name = string(rcv.Name())
 	t.Version = rcv.Version()
-	t.Deleted = rcv.Dropped()
+	t.Deleted = rcv.Deleted()
 }
 
 func (rcv *ItemVersion) UnPack() *ItemVersionT {
@@ -53,7 +53,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsHolds(buf []byte, offset flatbuffers.UOffsetT) *ItemVersion {
+func GetSizePrefixedRootAsItemVersion(buf []byte, offset flatbuffers.UOffsetT) *ItemVersion {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &ItemVersion{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -101,7 +101,7 @@
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
-func (rcv *ItemVersion) Dropped() bool {
+func (rcv *ItemVersion) Deleted() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -109,25 +109,25 @@
 	return false
 }
 
-func (rcv *ItemVersion) MutateDropped(n bool) bool {
+func (rcv *ItemVersion) MutateDeleted(n bool) bool {
 	return rcv._tab.MutateBoolSlot(10, n)
 }
 
-func HoldsStart(builder *flatbuffers.Builder) {
+func ItemVersionStart(builder *flatbuffers.Builder) {
 	builder.StartObject(4)
 }
-func HoldsAddKind(builder *flatbuffers.Builder, kind byte) {
+func ItemVersionAddKind(builder *flatbuffers.Builder, kind byte) {
 	builder.PrependByteSlot(0, kind, 0)
 }
-func HoldsAddName(builder *flatbuffers.Builder, name flatbuffers.UOffsetT) {
+func ItemVersionAddName(builder *flatbuffers.Builder, name flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(name), 0)
 }
-func HoldsAddVersion(builder *flatbuffers.Builder, version int64) {
+func ItemVersionAddVersion(builder *flatbuffers.Builder, version int64) {
 	builder.PrependInt64Slot(2, version, 0)
 }
-func HoldsAddDropped(builder *flatbuffers.Builder, dropped bool) {
-	builder.PrependBoolSlot(3, dropped, false)
+func ItemVersionAddDeleted(builder *flatbuffers.Builder, deleted bool) {
+	builder.PrependBoolSlot(3, deleted, false)
 }
-func HoldsEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func ItemVersionEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Items.go
+++ b/internal/mesh/transport/wire/Items.go
@@ -7,14 +7,14 @@
 )
 
 type ItemsT struct {
-	List     []*ItemT `json:"list"`
-	Complete    bool     `json:"whole"`
-	Index    uint64   `json:"index"`
-	Author       string   `json:"by"`
-	Consents []string `json:"consents"`
-	ActivePolicy    []*ItemT `json:"bound"`
-	ActiveFingerprint    string   `json:"print"`
-	ActiveIndex  uint64   `json:"bound_at"`
+	List              []*ItemT `json:"list"`
+	Complete          bool     `json:"complete"`
+	Index             uint64   `json:"index"`
+	Author            string   `json:"author"`
+	Consents          []string `json:"consents"`
+	ActivePolicy      []*ItemT `json:"active_policy"`
+	ActiveFingerprint string   `json:"active_fingerprint"`
+	ActiveIndex       uint64   `json:"active_index"`
 }
 
 func (t *ItemsT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -34,7 +34,7 @@
 		}
 		listOffset = builder.EndVector(listLength)
 	}
-	byOffset := builder.CreateString(t.Author)
+	authorOffset := builder.CreateString(t.Author)
 	consentsOffset := flatbuffers.UOffsetT(0)
 	if t.Consents != nil {
 		consentsLength := len(t.Consents)
@@ -48,29 +48,29 @@
 		}
 		consentsOffset = builder.EndVector(consentsLength)
 	}
-	boundOffset := flatbuffers.UOffsetT(0)
+	activePolicyOffset := flatbuffers.UOffsetT(0)
 	if t.ActivePolicy != nil {
-		boundLength := len(t.ActivePolicy)
-		boundOffsets := make([]flatbuffers.UOffsetT, boundLength)
-		for j := 0; j < boundLength; j++ {
-			boundOffsets[j] = t.ActivePolicy[j].Pack(builder)
+		activePolicyLength := len(t.ActivePolicy)
+		activePolicyOffsets := make([]flatbuffers.UOffsetT, activePolicyLength)
+		for j := 0; j < activePolicyLength; j++ {
+			activePolicyOffsets[j] = t.ActivePolicy[j].Pack(builder)
 		}
-		ItemsStartBoundVector(builder, boundLength)
-		for j := boundLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(boundOffsets[j])
+		ItemsStartActivePolicyVector(builder, activePolicyLength)
+		for j := activePolicyLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(activePolicyOffsets[j])
 		}
-		boundOffset = builder.EndVector(boundLength)
+		activePolicyOffset = builder.EndVector(activePolicyLength)
 	}
-	printOffset := builder.CreateString(t.ActiveFingerprint)
+	activeFingerprintOffset := builder.CreateString(t.ActiveFingerprint)
 	ItemsStart(builder)
 	ItemsAddList(builder, listOffset)
-	ItemsAddWhole(builder, t.Complete)
+	ItemsAddComplete(builder, t.Complete)
 	ItemsAddIndex(builder, t.Index)
-	ItemsAddBy(builder, byOffset)
+	ItemsAddAuthor(builder, authorOffset)
 	ItemsAddConsents(builder, consentsOffset)
-	ItemsAddBound(builder, boundOffset)
-	ItemsAddPrint(builder, printOffset)
-	ItemsAddBoundAt(builder, t.ActiveIndex)
+	ItemsAddActivePolicy(builder, activePolicyOffset)
+	ItemsAddActiveFingerprint(builder, activeFingerprintOffset)
+	ItemsAddActiveIndex(builder, t.ActiveIndex)
 	return ItemsEnd(builder)
 }
 
@@ -82,23 +82,23 @@
 		rcv.List(&x, j)
 		t.List[j] = x.UnPack()
 	}
-	t.Complete = rcv.Whole()
+	t.Complete = rcv.Complete()
 	t.Index = rcv.Index()
-	t.Author = string(rcv.By())
+	t.Author = string(rcv.Author())
 	consentsLength := rcv.ConsentsLength()
 	t.Consents = make([]string, consentsLength)
 	for j := 0; j < consentsLength; j++ {
 		t.Consents[j] = string(rcv.Consents(j))
 	}
-	boundLength := rcv.BoundLength()
-	t.ActivePolicy = make([]*ItemT, boundLength)
-	for j := 0; j < boundLength; j++ {
+	activePolicyLength := rcv.ActivePolicyLength()
+	t.ActivePolicy = make([]*ItemT, activePolicyLength)
+	for j := 0; j < activePolicyLength; j++ {
 		x := Item{}
-		rcv.Bound(&x, j)
+		rcv.ActivePolicy(&x, j)
 		t.ActivePolicy[j] = x.UnPack()
 	}
-	t.ActiveFingerprint = string(rcv.Print())
-	t.ActiveIndex = rcv.BoundAt()
+	t.ActiveFingerprint = string(rcv.ActiveFingerprint())
+	t.ActiveIndex = rcv.ActiveIndex()
 }
 
 func (rcv *Items) UnPack() *ItemsT {
@@ -157,7 +157,7 @@
 	return 0
 }
 
-func (rcv *Items) Whole() bool {
+func (rcv *Items) Complete() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -165,7 +165,7 @@
 	return false
 }
 
-func (rcv *Items) MutateWhole(n bool) bool {
+func (rcv *Items) MutateComplete(n bool) bool {
 	return rcv._tab.MutateBoolSlot(6, n)
 }
 
@@ -181,7 +181,7 @@
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
-func (rcv *Items) By() []byte {
+func (rcv *Items) Author() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -206,7 +206,7 @@
 	return 0
 }
 
-func (rcv *Items) Bound(obj *Item, j int) bool {
+func (rcv *Items) ActivePolicy(obj *Item, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -218,7 +218,7 @@
 	return false
 }
 
-func (rcv *Items) BoundLength() int {
+func (rcv *Items) ActivePolicyLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -226,7 +226,7 @@
 	return 0
 }
 
-func (rcv *Items) Print() []byte {
+func (rcv *Items) ActiveFingerprint() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -234,7 +234,7 @@
 	return nil
 }
 
-func (rcv *Items) BoundAt() uint64 {
+func (rcv *Items) ActiveIndex() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -242,7 +242,7 @@
 	return 0
 }
 
-func (rcv *Items) MutateBoundAt(n uint64) bool {
+func (rcv *Items) MutateActiveIndex(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(18, n)
 }
 
@@ -255,14 +255,14 @@
 func ItemsStartListVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func ItemsAddWhole(builder *flatbuffers.Builder, whole bool) {
-	builder.PrependBoolSlot(1, whole, false)
+func ItemsAddComplete(builder *flatbuffers.Builder, complete bool) {
+	builder.PrependBoolSlot(1, complete, false)
 }
 func ItemsAddIndex(builder *flatbuffers.Builder, index uint64) {
 	builder.PrependUint64Slot(2, index, 0)
 }
-func ItemsAddBy(builder *flatbuffers.Builder, by flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(by), 0)
+func ItemsAddAuthor(builder *flatbuffers.Builder, author flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(author), 0)
 }
 func ItemsAddConsents(builder *flatbuffers.Builder, consents flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(consents), 0)
@@ -270,17 +270,17 @@
 func ItemsStartConsentsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func ItemsAddBound(builder *flatbuffers.Builder, bound flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(bound), 0)
+func ItemsAddActivePolicy(builder *flatbuffers.Builder, activePolicy flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(activePolicy), 0)
 }
-func ItemsStartBoundVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func ItemsStartActivePolicyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func ItemsAddPrint(builder *flatbuffers.Builder, print flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(print), 0)
+func ItemsAddActiveFingerprint(builder *flatbuffers.Builder, activeFingerprint flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(activeFingerprint), 0)
 }
-func ItemsAddBoundAt(builder *flatbuffers.Builder, boundAt uint64) {
-	builder.PrependUint64Slot(7, boundAt, 0)
+func ItemsAddActiveIndex(builder *flatbuffers.Builder, activeIndex uint64) {
+	builder.PrependUint64Slot(7, activeIndex, 0)
 }
 func ItemsEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
--- a/internal/exchange/trunk/wire/Legacy.go
+++ b/internal/mesh/transport/wire/KeyHandover.go
@@ -7,15 +7,15 @@
 )
 
 type KeyHandoverT struct {
-	SourceAddr   string   `json:"of"`
-	List []*StoredResponseT `json:"list"`
+	SourceAddr string             `json:"source_addr"`
+	List       []*StoredResponseT `json:"list"`
 }
 
 func (t *KeyHandoverT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	ofOffset := builder.CreateString(t.SourceAddr)
+	sourceAddrOffset := builder.CreateString(t.SourceAddr)
 	listOffset := flatbuffers.UOffsetT(0)
 	if t.List != nil {
 		listLength := len(t.List)
@@ -23,20 +23,20 @@
 		for j := 0; j < listLength; j++ {
 			listOffsets[j] = t.List[j].Pack(builder)
 		}
-		LegacyStartListVector(builder, listLength)
+		KeyHandoverStartListVector(builder, listLength)
 		for j := listLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(listOffsets[j])
 		}
 		listOffset = builder.EndVector(listLength)
 	}
-	LegacyStart(builder)
-	LegacyAddOf(builder, ofOffset)
-	LegacyAddList(builder, listOffset)
-	return LegacyEnd(builder)
+	KeyHandoverStart(builder)
+	KeyHandoverAddSourceAddr(builder, sourceAddrOffset)
+	KeyHandoverAddList(builder, listOffset)
+	return KeyHandoverEnd(builder)
 }
 
 func (rcv *KeyHandover) UnPackTo(t *KeyHandoverT) {
-	t.SourceAddr = string(rcv.Of())
+	t.SourceAddr = string(rcv.SourceAddr())
 	listLength := rcv.ListLength()
 	t.List = make([]*StoredResponseT, listLength)
 	for j := 0; j < listLength; j++ {
@@ -66,7 +66,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsLegacy(buf []byte, offset flatbuffers.UOffsetT) *KeyHandover {
+func GetSizePrefixedRootAsKeyHandover(buf []byte, offset flatbuffers.UOffsetT) *KeyHandover {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &KeyHandover{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -82,7 +82,7 @@
 	return rcv._tab
 }
 
-func (rcv *KeyHandover) Of() []byte {
+func (rcv *KeyHandover) SourceAddr() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -110,18 +110,18 @@
 	return 0
 }
 
-func LegacyStart(builder *flatbuffers.Builder) {
+func KeyHandoverStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func LegacyAddOf(builder *flatbuffers.Builder, of flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(of), 0)
+func KeyHandoverAddSourceAddr(builder *flatbuffers.Builder, sourceAddr flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(sourceAddr), 0)
 }
-func LegacyAddList(builder *flatbuffers.Builder, list flatbuffers.UOffsetT) {
+func KeyHandoverAddList(builder *flatbuffers.Builder, list flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(list), 0)
 }
-func LegacyStartListVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func KeyHandoverStartListVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func LegacyEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func KeyHandoverEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Ticket.go
+++ b/internal/mesh/transport/wire/KeyLease.go
@@ -7,12 +7,12 @@
 )
 
 type KeyLeaseT struct {
-	Key    string `json:"key"`
-	Token string `json:"ticket"`
-	Attempt    uint32 `json:"nth"`
-	Holder string `json:"holder"`
-	GrantedAtNs  int64  `json:"stamp"`
-	WindowNs int64  `json:"window"`
+	Key         string `json:"key"`
+	Token       string `json:"token"`
+	Attempt     uint32 `json:"attempt"`
+	Holder      string `json:"holder"`
+	GrantedAtNs int64  `json:"granted_at_ns"`
+	WindowNs    int64  `json:"window_ns"`
 }
 
 func (t *KeyLeaseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -20,25 +20,25 @@
 		return 0
 	}
 	keyOffset := builder.CreateString(t.Key)
-	ticketOffset := builder.CreateString(t.Token)
+	tokenOffset := builder.CreateString(t.Token)
 	holderOffset := builder.CreateString(t.Holder)
-	TicketStart(builder)
-	TicketAddKey(builder, keyOffset)
-	TicketAddTicket(builder, ticketOffset)
-	TicketAddNth(builder, t.Attempt)
-	TicketAddHolder(builder, holderOffset)
-	TicketAddStamp(builder, t.GrantedAtNs)
-	TicketAddWindow(builder, t.WindowNs)
-	return TicketEnd(builder)
+	KeyLeaseStart(builder)
+	KeyLeaseAddKey(builder, keyOffset)
+	KeyLeaseAddToken(builder, tokenOffset)
+	KeyLeaseAddAttempt(builder, t.Attempt)
+	KeyLeaseAddHolder(builder, holderOffset)
+	KeyLeaseAddGrantedAtNs(builder, t.GrantedAtNs)
+	KeyLeaseAddWindowNs(builder, t.WindowNs)
+	return KeyLeaseEnd(builder)
 }
 
 func (rcv *KeyLease) UnPackTo(t *KeyLeaseT) {
 	t.Key = string(rcv.Key())
-	t.Token = string(rcv.Ticket())
-	t.Attempt = rcv.Nth()
+	t.Token = string(rcv.Token())
+	t.Attempt = rcv.Attempt()
 	t.Holder = string(rcv.Holder())
-	t.GrantedAtNs = rcv.Stamp()
-	t.WindowNs = rcv.Window()
+	t.GrantedAtNs = rcv.GrantedAtNs()
+	t.WindowNs = rcv.WindowNs()
 }
 
 func (rcv *KeyLease) UnPack() *KeyLeaseT {
@@ -61,7 +61,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsTicket(buf []byte, offset flatbuffers.UOffsetT) *KeyLease {
+func GetSizePrefixedRootAsKeyLease(buf []byte, offset flatbuffers.UOffsetT) *KeyLease {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &KeyLease{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (rcv *KeyLease) Ticket() []byte {
+func (rcv *KeyLease) Token() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (rcv *KeyLease) Nth() uint32 {
+func (rcv *KeyLease) Attempt() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -101,7 +101,7 @@
 	return 0
 }
 
-func (rcv *KeyLease) MutateNth(n uint32) bool {
+func (rcv *KeyLease) MutateAttempt(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(8, n)
 }
 
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func (rcv *KeyLease) Stamp() int64 {
+func (rcv *KeyLease) GrantedAtNs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -121,11 +121,11 @@
 	return 0
 }
 
-func (rcv *KeyLease) MutateStamp(n int64) bool {
+func (rcv *KeyLease) MutateGrantedAtNs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(12, n)
 }
 
-func (rcv *KeyLease) Window() int64 {
+func (rcv *KeyLease) WindowNs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -133,31 +133,31 @@
 	return 0
 }
 
-func (rcv *KeyLease) MutateWindow(n int64) bool {
+func (rcv *KeyLease) MutateWindowNs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(14, n)
 }
 
-func TicketStart(builder *flatbuffers.Builder) {
+func KeyLeaseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(6)
 }
-func TicketAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
+func KeyLeaseAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(key), 0)
 }
-func TicketAddTicket(builder *flatbuffers.Builder, ticket flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(ticket), 0)
+func KeyLeaseAddToken(builder *flatbuffers.Builder, token flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(token), 0)
 }
-func TicketAddNth(builder *flatbuffers.Builder, nth uint32) {
-	builder.PrependUint32Slot(2, nth, 0)
+func KeyLeaseAddAttempt(builder *flatbuffers.Builder, attempt uint32) {
+	builder.PrependUint32Slot(2, attempt, 0)
 }
-func TicketAddHolder(builder *flatbuffers.Builder, holder flatbuffers.UOffsetT) {
+func KeyLeaseAddHolder(builder *flatbuffers.Builder, holder flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(holder), 0)
 }
-func TicketAddStamp(builder *flatbuffers.Builder, stamp int64) {
-	builder.PrependInt64Slot(4, stamp, 0)
+func KeyLeaseAddGrantedAtNs(builder *flatbuffers.Builder, grantedAtNs int64) {
+	builder.PrependInt64Slot(4, grantedAtNs, 0)
 }
-func TicketAddWindow(builder *flatbuffers.Builder, window int64) {
-	builder.PrependInt64Slot(5, window, 0)
+func KeyLeaseAddWindowNs(builder *flatbuffers.Builder, windowNs int64) {
+	builder.PrependInt64Slot(5, windowNs, 0)
 }
-func TicketEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func KeyLeaseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Claim.go
+++ b/internal/mesh/transport/wire/KeyLeaseRequest.go
@@ -7,12 +7,12 @@
 )
 
 type KeyLeaseRequestT struct {
-	Key     string `json:"key"`
-	Token  string `json:"ticket"`
-	Attempt     uint32 `json:"nth"`
-	Holder  string `json:"holder"`
-	Release bool   `json:"release"`
-	WindowUs  int64  `json:"window"`
+	Key      string `json:"key"`
+	Token    string `json:"token"`
+	Attempt  uint32 `json:"attempt"`
+	Holder   string `json:"holder"`
+	Release  bool   `json:"release"`
+	WindowUs int64  `json:"window_us"`
 }
 
 func (t *KeyLeaseRequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -20,25 +20,25 @@
 		return 0
 	}
 	keyOffset := builder.CreateString(t.Key)
-	ticketOffset := builder.CreateString(t.Token)
+	tokenOffset := builder.CreateString(t.Token)
 	holderOffset := builder.CreateString(t.Holder)
-	ClaimStart(builder)
-	ClaimAddKey(builder, keyOffset)
-	ClaimAddTicket(builder, ticketOffset)
-	ClaimAddNth(builder, t.Attempt)
-	ClaimAddHolder(builder, holderOffset)
-	ClaimAddRelease(builder, t.Release)
-	ClaimAddWindow(builder, t.WindowUs)
-	return ClaimEnd(builder)
+	KeyLeaseRequestStart(builder)
+	KeyLeaseRequestAddKey(builder, keyOffset)
+	KeyLeaseRequestAddToken(builder, tokenOffset)
+	KeyLeaseRequestAddAttempt(builder, t.Attempt)
+	KeyLeaseRequestAddHolder(builder, holderOffset)
+	KeyLeaseRequestAddRelease(builder, t.Release)
+	KeyLeaseRequestAddWindowUs(builder, t.WindowUs)
+	return KeyLeaseRequestEnd(builder)
 }
 
 func (rcv *KeyLeaseRequest) UnPackTo(t *KeyLeaseRequestT) {
 	t.Key = string(rcv.Key())
-	t.Token = string(rcv.Ticket())
-	t.Attempt = rcv.Nth()
+	t.Token = string(rcv.Token())
+	t.Attempt = rcv.Attempt()
 	t.Holder = string(rcv.Holder())
 	t.Release = rcv.Release()
-	t.WindowUs = rcv.Window()
+	t.WindowUs = rcv.WindowUs()
 }
 
 func (rcv *KeyLeaseRequest) UnPack() *KeyLeaseRequestT {
@@ -61,7 +61,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsClaim(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseRequest {
+func GetSizePrefixedRootAsKeyLeaseRequest(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseRequest {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &KeyLeaseRequest{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (rcv *KeyLeaseRequest) Ticket() []byte {
+func (rcv *KeyLeaseRequest) Token() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -93,7 +93,7 @@
 	return nil
 }
 
-func (rcv *KeyLeaseRequest) Nth() uint32 {
+func (rcv *KeyLeaseRequest) Attempt() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -101,7 +101,7 @@
 	return 0
 }
 
-func (rcv *KeyLeaseRequest) MutateNth(n uint32) bool {
+func (rcv *KeyLeaseRequest) MutateAttempt(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(8, n)
 }
 
@@ -125,7 +125,7 @@
 	return rcv._tab.MutateBoolSlot(12, n)
 }
 
-func (rcv *KeyLeaseRequest) Window() int64 {
+func (rcv *KeyLeaseRequest) WindowUs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -133,31 +133,31 @@
 	return 0
 }
 
-func (rcv *KeyLeaseRequest) MutateWindow(n int64) bool {
+func (rcv *KeyLeaseRequest) MutateWindowUs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(14, n)
 }
 
-func ClaimStart(builder *flatbuffers.Builder) {
+func KeyLeaseRequestStart(builder *flatbuffers.Builder) {
 	builder.StartObject(6)
 }
-func ClaimAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
+func KeyLeaseRequestAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(key), 0)
 }
-func ClaimAddTicket(builder *flatbuffers.Builder, ticket flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(ticket), 0)
+func KeyLeaseRequestAddToken(builder *flatbuffers.Builder, token flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(token), 0)
 }
-func ClaimAddNth(builder *flatbuffers.Builder, nth uint32) {
-	builder.PrependUint32Slot(2, nth, 0)
+func KeyLeaseRequestAddAttempt(builder *flatbuffers.Builder, attempt uint32) {
+	builder.PrependUint32Slot(2, attempt, 0)
 }
-func ClaimAddHolder(builder *flatbuffers.Builder, holder flatbuffers.UOffsetT) {
+func KeyLeaseRequestAddHolder(builder *flatbuffers.Builder, holder flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(holder), 0)
 }
-func ClaimAddRelease(builder *flatbuffers.Builder, release bool) {
+func KeyLeaseRequestAddRelease(builder *flatbuffers.Builder, release bool) {
 	builder.PrependBoolSlot(4, release, false)
 }
-func ClaimAddWindow(builder *flatbuffers.Builder, window int64) {
-	builder.PrependInt64Slot(5, window, 0)
+func KeyLeaseRequestAddWindowUs(builder *flatbuffers.Builder, windowUs int64) {
+	builder.PrependInt64Slot(5, windowUs, 0)
 }
-func ClaimEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func KeyLeaseRequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Claims.go
+++ b/internal/mesh/transport/wire/KeyLeaseRequests.go
@@ -21,15 +21,15 @@
 		for j := 0; j < listLength; j++ {
 			listOffsets[j] = t.List[j].Pack(builder)
 		}
-		ClaimsStartListVector(builder, listLength)
+		KeyLeaseRequestsStartListVector(builder, listLength)
 		for j := listLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(listOffsets[j])
 		}
 		listOffset = builder.EndVector(listLength)
 	}
-	ClaimsStart(builder)
-	ClaimsAddList(builder, listOffset)
-	return ClaimsEnd(builder)
+	KeyLeaseRequestsStart(builder)
+	KeyLeaseRequestsAddList(builder, listOffset)
+	return KeyLeaseRequestsEnd(builder)
 }
 
 func (rcv *KeyLeaseRequests) UnPackTo(t *KeyLeaseRequestsT) {
@@ -62,7 +62,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsClaims(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseRequests {
+func GetSizePrefixedRootAsKeyLeaseRequests(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseRequests {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &KeyLeaseRequests{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -98,15 +98,15 @@
 	return 0
 }
 
-func ClaimsStart(builder *flatbuffers.Builder) {
+func KeyLeaseRequestsStart(builder *flatbuffers.Builder) {
 	builder.StartObject(1)
 }
-func ClaimsAddList(builder *flatbuffers.Builder, list flatbuffers.UOffsetT) {
+func KeyLeaseRequestsAddList(builder *flatbuffers.Builder, list flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(list), 0)
 }
-func ClaimsStartListVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func KeyLeaseRequestsStartListVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func ClaimsEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func KeyLeaseRequestsEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Grant.go
+++ b/internal/mesh/transport/wire/KeyLeaseResult.go
@@ -9,7 +9,7 @@
 type KeyLeaseResultT struct {
 	Granted bool   `json:"granted"`
 	Holder  string `json:"holder"`
-	Token  string `json:"ticket"`
+	Token   string `json:"token"`
 }
 
 func (t *KeyLeaseResultT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -17,18 +17,18 @@
 		return 0
 	}
 	holderOffset := builder.CreateString(t.Holder)
-	ticketOffset := builder.CreateString(t.Token)
-	GrantStart(builder)
-	GrantAddGranted(builder, t.Granted)
-	GrantAddHolder(builder, holderOffset)
-	GrantAddTicket(builder, ticketOffset)
-	return GrantEnd(builder)
+	tokenOffset := builder.CreateString(t.Token)
+	KeyLeaseResultStart(builder)
+	KeyLeaseResultAddGranted(builder, t.Granted)
+	KeyLeaseResultAddHolder(builder, holderOffset)
+	KeyLeaseResultAddToken(builder, tokenOffset)
+	return KeyLeaseResultEnd(builder)
 }
 
 func (rcv *KeyLeaseResult) UnPackTo(t *KeyLeaseResultT) {
 	t.Granted = rcv.Granted()
 	t.Holder = string(rcv.Holder())
-	t.Token = string(rcv.Ticket())
+	t.Token = string(rcv.Token())
 }
 
 func (rcv *KeyLeaseResult) UnPack() *KeyLeaseResultT {
@@ -51,7 +51,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsGrant(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseResult {
+func GetSizePrefixedRootAsKeyLeaseResult(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseResult {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &KeyLeaseResult{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func (rcv *KeyLeaseResult) Ticket() []byte {
+func (rcv *KeyLeaseResult) Token() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -95,18 +95,18 @@
 	return nil
 }
 
-func GrantStart(builder *flatbuffers.Builder) {
+func KeyLeaseResultStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func GrantAddGranted(builder *flatbuffers.Builder, granted bool) {
+func KeyLeaseResultAddGranted(builder *flatbuffers.Builder, granted bool) {
 	builder.PrependBoolSlot(0, granted, false)
 }
-func GrantAddHolder(builder *flatbuffers.Builder, holder flatbuffers.UOffsetT) {
+func KeyLeaseResultAddHolder(builder *flatbuffers.Builder, holder flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(holder), 0)
 }
-func GrantAddTicket(builder *flatbuffers.Builder, ticket flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(ticket), 0)
+func KeyLeaseResultAddToken(builder *flatbuffers.Builder, token flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(token), 0)
 }
-func GrantEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func KeyLeaseResultEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Grants.go
+++ b/internal/mesh/transport/wire/KeyLeaseResults.go
@@ -21,15 +21,15 @@
 		for j := 0; j < listLength; j++ {
 			listOffsets[j] = t.List[j].Pack(builder)
 		}
-		GrantsStartListVector(builder, listLength)
+		KeyLeaseResultsStartListVector(builder, listLength)
 		for j := listLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(listOffsets[j])
 		}
 		listOffset = builder.EndVector(listLength)
 	}
-	GrantsStart(builder)
-	GrantsAddList(builder, listOffset)
-	return GrantsEnd(builder)
+	KeyLeaseResultsStart(builder)
+	KeyLeaseResultsAddList(builder, listOffset)
+	return KeyLeaseResultsEnd(builder)
 }
 
 func (rcv *KeyLeaseResults) UnPackTo(t *KeyLeaseResultsT) {
@@ -62,7 +62,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsGrants(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseResults {
+func GetSizePrefixedRootAsKeyLeaseResults(buf []byte, offset flatbuffers.UOffsetT) *KeyLeaseResults {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &KeyLeaseResults{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -98,15 +98,15 @@
 	return 0
 }
 
-func GrantsStart(builder *flatbuffers.Builder) {
+func KeyLeaseResultsStart(builder *flatbuffers.Builder) {
 	builder.StartObject(1)
 }
-func GrantsAddList(builder *flatbuffers.Builder, list flatbuffers.UOffsetT) {
+func KeyLeaseResultsAddList(builder *flatbuffers.Builder, list flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(list), 0)
 }
-func GrantsStartListVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func KeyLeaseResultsStartListVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func GrantsEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func KeyLeaseResultsEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Out.go
+++ b/internal/mesh/transport/wire/MachineInMaintenance.go
@@ -7,10 +7,10 @@
 )
 
 type MachineInMaintenanceT struct {
-	Addr    string `json:"addr"`
-	OrderId   string `json:"order"`
-	DrainCallers bool   `json:"leading"`
-	Successor    string `json:"heir"`
+	Addr         string `json:"addr"`
+	OrderId      string `json:"order_id"`
+	DrainCallers bool   `json:"drain_callers"`
+	Successor    string `json:"successor"`
 }
 
 func (t *MachineInMaintenanceT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -18,21 +18,21 @@
 		return 0
 	}
 	addrOffset := builder.CreateString(t.Addr)
-	orderOffset := builder.CreateString(t.OrderId)
-	heirOffset := builder.CreateString(t.Successor)
-	OutStart(builder)
-	OutAddAddr(builder, addrOffset)
-	OutAddOrder(builder, orderOffset)
-	OutAddLeading(builder, t.DrainCallers)
-	OutAddHeir(builder, heirOffset)
-	return OutEnd(builder)
+	orderIdOffset := builder.CreateString(t.OrderId)
+	successorOffset := builder.CreateString(t.Successor)
+	MachineInMaintenanceStart(builder)
+	MachineInMaintenanceAddAddr(builder, addrOffset)
+	MachineInMaintenanceAddOrderId(builder, orderIdOffset)
+	MachineInMaintenanceAddDrainCallers(builder, t.DrainCallers)
+	MachineInMaintenanceAddSuccessor(builder, successorOffset)
+	return MachineInMaintenanceEnd(builder)
 }
 
 func (rcv *MachineInMaintenance) UnPackTo(t *MachineInMaintenanceT) {
 	t.Addr = string(rcv.Addr())
-	t.OrderId = string(rcv.Order())
-	t.DrainCallers = rcv.Leading()
-	t.Successor = string(rcv.Heir())
+	t.OrderId = string(rcv.OrderId())
+	t.DrainCallers = rcv.DrainCallers()
+	t.Successor = string(rcv.Successor())
 }
 
 func (rcv *MachineInMaintenance) UnPack() *MachineInMaintenanceT {
@@ -55,7 +55,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsOut(buf []byte, offset flatbuffers.UOffsetT) *MachineInMaintenance {
+func GetSizePrefixedRootAsMachineInMaintenance(buf []byte, offset flatbuffers.UOffsetT) *MachineInMaintenance {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &MachineInMaintenance{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (rcv *MachineInMaintenance) Order() []byte {
+func (rcv *MachineInMaintenance) OrderId() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -87,7 +87,7 @@
 	return nil
 }
 
-func (rcv *MachineInMaintenance) Leading() bool {
+func (rcv *MachineInMaintenance) DrainCallers() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -95,11 +95,11 @@
 	return false
 }
 
-func (rcv *MachineInMaintenance) MutateLeading(n bool) bool {
+func (rcv *MachineInMaintenance) MutateDrainCallers(n bool) bool {
 	return rcv._tab.MutateBoolSlot(8, n)
 }
 
-func (rcv *MachineInMaintenance) Heir() []byte {
+func (rcv *MachineInMaintenance) Successor() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -107,21 +107,21 @@
 	return nil
 }
 
-func OutStart(builder *flatbuffers.Builder) {
+func MachineInMaintenanceStart(builder *flatbuffers.Builder) {
 	builder.StartObject(4)
 }
-func OutAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
+func MachineInMaintenanceAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(addr), 0)
 }
-func OutAddOrder(builder *flatbuffers.Builder, order flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(order), 0)
+func MachineInMaintenanceAddOrderId(builder *flatbuffers.Builder, orderId flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(orderId), 0)
 }
-func OutAddLeading(builder *flatbuffers.Builder, leading bool) {
-	builder.PrependBoolSlot(2, leading, false)
+func MachineInMaintenanceAddDrainCallers(builder *flatbuffers.Builder, drainCallers bool) {
+	builder.PrependBoolSlot(2, drainCallers, false)
 }
-func OutAddHeir(builder *flatbuffers.Builder, heir flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(heir), 0)
+func MachineInMaintenanceAddSuccessor(builder *flatbuffers.Builder, successor flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(successor), 0)
 }
-func OutEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func MachineInMaintenanceEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Outs.go
+++ b/internal/mesh/transport/wire/MachinesInMaintenance.go
@@ -8,7 +8,7 @@
 
 type MachinesInMaintenanceT struct {
 	List  []*MachineInMaintenanceT `json:"list"`
-	Index uint64  `json:"index"`
+	Index uint64                   `json:"index"`
 }
 
 func (t *MachinesInMaintenanceT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -22,16 +22,16 @@
 		for j := 0; j < listLength; j++ {
 			listOffsets[j] = t.List[j].Pack(builder)
 		}
-		OutsStartListVector(builder, listLength)
+		MachinesInMaintenanceStartListVector(builder, listLength)
 		for j := listLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(listOffsets[j])
 		}
 		listOffset = builder.EndVector(listLength)
 	}
-	OutsStart(builder)
-	OutsAddList(builder, listOffset)
-	OutsAddIndex(builder, t.Index)
-	return OutsEnd(builder)
+	MachinesInMaintenanceStart(builder)
+	MachinesInMaintenanceAddList(builder, listOffset)
+	MachinesInMaintenanceAddIndex(builder, t.Index)
+	return MachinesInMaintenanceEnd(builder)
 }
 
 func (rcv *MachinesInMaintenance) UnPackTo(t *MachinesInMaintenanceT) {
@@ -65,7 +65,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsOuts(buf []byte, offset flatbuffers.UOffsetT) *MachinesInMaintenance {
+func GetSizePrefixedRootAsMachinesInMaintenance(buf []byte, offset flatbuffers.UOffsetT) *MachinesInMaintenance {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &MachinesInMaintenance{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -113,18 +113,18 @@
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func OutsStart(builder *flatbuffers.Builder) {
+func MachinesInMaintenanceStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func OutsAddList(builder *flatbuffers.Builder, list flatbuffers.UOffsetT) {
+func MachinesInMaintenanceAddList(builder *flatbuffers.Builder, list flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(list), 0)
 }
-func OutsStartListVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MachinesInMaintenanceStartListVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func OutsAddIndex(builder *flatbuffers.Builder, index uint64) {
+func MachinesInMaintenanceAddIndex(builder *flatbuffers.Builder, index uint64) {
 	builder.PrependUint64Slot(1, index, 0)
 }
-func OutsEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func MachinesInMaintenanceEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Night.go
+++ b/internal/mesh/transport/wire/MaintenanceChange.go
@@ -8,26 +8,26 @@
 
 type MaintenanceChangeT struct {
 	Kind byte   `json:"kind"`
-	Json []byte `json:"text"`
+	Json []byte `json:"json"`
 }
 
 func (t *MaintenanceChangeT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	textOffset := flatbuffers.UOffsetT(0)
+	jsonOffset := flatbuffers.UOffsetT(0)
 	if t.Json != nil {
-		textOffset = builder.CreateByteString(t.Json)
+		jsonOffset = builder.CreateByteString(t.Json)
 	}
-	NightStart(builder)
-	NightAddKind(builder, t.Kind)
-	NightAddText(builder, textOffset)
-	return NightEnd(builder)
+	MaintenanceChangeStart(builder)
+	MaintenanceChangeAddKind(builder, t.Kind)
+	MaintenanceChangeAddJson(builder, jsonOffset)
+	return MaintenanceChangeEnd(builder)
 }
 
 func (rcv *MaintenanceChange) UnPackTo(t *MaintenanceChangeT) {
 	t.Kind = rcv.Kind()
-	t.Json = rcv.TextBytes()
+	t.Json = rcv.JsonBytes()
 }
 
 func (rcv *MaintenanceChange) UnPack() *MaintenanceChangeT {
@@ -50,7 +50,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsNight(buf []byte, offset flatbuffers.UOffsetT) *MaintenanceChange {
+func GetSizePrefixedRootAsMaintenanceChange(buf []byte, offset flatbuffers.UOffsetT) *MaintenanceChange {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &MaintenanceChange{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -78,7 +78,7 @@
 	return rcv._tab.MutateByteSlot(4, n)
 }
 
-func (rcv *MaintenanceChange) Text(j int) byte {
+func (rcv *MaintenanceChange) Json(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -87,7 +87,7 @@
 	return 0
 }
 
-func (rcv *MaintenanceChange) TextLength() int {
+func (rcv *MaintenanceChange) JsonLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -95,7 +95,7 @@
 	return 0
 }
 
-func (rcv *MaintenanceChange) TextBytes() []byte {
+func (rcv *MaintenanceChange) JsonBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-func (rcv *MaintenanceChange) MutateText(j int, n byte) bool {
+func (rcv *MaintenanceChange) MutateJson(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -112,18 +112,18 @@
 	return false
 }
 
-func NightStart(builder *flatbuffers.Builder) {
+func MaintenanceChangeStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func NightAddKind(builder *flatbuffers.Builder, kind byte) {
+func MaintenanceChangeAddKind(builder *flatbuffers.Builder, kind byte) {
 	builder.PrependByteSlot(0, kind, 0)
 }
-func NightAddText(builder *flatbuffers.Builder, text flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(text), 0)
+func MaintenanceChangeAddJson(builder *flatbuffers.Builder, json flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(json), 0)
 }
-func NightStartTextVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func MaintenanceChangeStartJsonVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func NightEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func MaintenanceChangeEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Members.go
+++ b/internal/mesh/transport/wire/Members.go
@@ -7,10 +7,10 @@
 )
 
 type MembersT struct {
-	List     []*MemberT `json:"list"`
-	Index    uint64     `json:"index"`
-	Outgoing []*MemberT `json:"outgoing"`
-	RaftVersion  uint32     `json:"version"`
+	List        []*MemberT `json:"list"`
+	Index       uint64     `json:"index"`
+	Outgoing    []*MemberT `json:"outgoing"`
+	RaftVersion uint32     `json:"raft_version"`
 }
 
 func (t *MembersT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -47,7 +47,7 @@
 	MembersAddList(builder, listOffset)
 	MembersAddIndex(builder, t.Index)
 	MembersAddOutgoing(builder, outgoingOffset)
-	MembersAddVersion(builder, t.RaftVersion)
+	MembersAddRaftVersion(builder, t.RaftVersion)
 	return MembersEnd(builder)
 }
 
@@ -67,7 +67,7 @@
 		rcv.Outgoing(&x, j)
 		t.Outgoing[j] = x.UnPack()
 	}
-	t.RaftVersion = rcv.Version()
+	t.RaftVersion = rcv.RaftVersion()
 }
 
 func (rcv *Members) UnPack() *MembersT {
@@ -158,7 +158,7 @@
 	return 0
 }
 
-func (rcv *Members) Version() uint32 {
+func (rcv *Members) RaftVersion() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -166,7 +166,7 @@
 	return 0
 }
 
-func (rcv *Members) MutateVersion(n uint32) bool {
+func (rcv *Members) MutateRaftVersion(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(10, n)
 }
 
@@ -188,8 +188,8 @@
 func MembersStartOutgoingVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func MembersAddVersion(builder *flatbuffers.Builder, version uint32) {
-	builder.PrependUint32Slot(3, version, 0)
+func MembersAddRaftVersion(builder *flatbuffers.Builder, raftVersion uint32) {
+	builder.PrependUint32Slot(3, raftVersion, 0)
 }
 func MembersEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
--- a/internal/exchange/trunk/wire/Body.go
+++ b/internal/mesh/transport/wire/Payload.go
@@ -11,67 +11,67 @@
 type Payload byte
 
 const (
-	PayloadNONE    Payload = 0
-	PayloadHello   Payload = 1
-	PayloadHeartbeat    Payload = 2
-	PayloadRequest Payload = 3
-	PayloadBodyChunk   Payload = 4
-	PayloadResponse  Payload = 5
-	PayloadWindowUpdate  Payload = 6
-	PayloadCancel  Payload = 7
-	PayloadRecords Payload = 8
-	PayloadItems   Payload = 9
-	PayloadMembers Payload = 10
-	PayloadRaftMessage    Payload = 11
-	PayloadCall     Payload = 12
-	PayloadCallReply    Payload = 13
-	PayloadMachinesInMaintenance    Payload = 14
-	PayloadActivePolicy   Payload = 15
+	PayloadNONE                  Payload = 0
+	PayloadHello                 Payload = 1
+	PayloadHeartbeat             Payload = 2
+	PayloadRequest               Payload = 3
+	PayloadBodyChunk             Payload = 4
+	PayloadResponse              Payload = 5
+	PayloadWindowUpdate          Payload = 6
+	PayloadCancel                Payload = 7
+	PayloadRecords               Payload = 8
+	PayloadItems                 Payload = 9
+	PayloadMembers               Payload = 10
+	PayloadRaftMessage           Payload = 11
+	PayloadCall                  Payload = 12
+	PayloadCallReply             Payload = 13
+	PayloadMachinesInMaintenance Payload = 14
+	PayloadActivePolicy          Payload = 15
 )
 
 var EnumNamesPayload = map[Payload]string{
-	PayloadNONE:    "NONE",
-	PayloadHello:   "Hello",
-	PayloadHeartbeat:    "Beat",
-	PayloadRequest: "Request",
-	PayloadBodyChunk:   "Piece",
-	PayloadResponse:  "Answer",
-	PayloadWindowUpdate:  "Credit",
-	PayloadCancel:  "Cancel",
-	PayloadRecords: "Records",
-	PayloadItems:   "Items",
-	PayloadMembers: "Members",
-	PayloadRaftMessage:    "Vote",
-	PayloadCall:     "Ask",
-	PayloadCallReply:    "Told",
-	PayloadMachinesInMaintenance:    "Outs",
-	PayloadActivePolicy:   "Bound",
+	PayloadNONE:                  "NONE",
+	PayloadHello:                 "Hello",
+	PayloadHeartbeat:             "Heartbeat",
+	PayloadRequest:               "Request",
+	PayloadBodyChunk:             "BodyChunk",
+	PayloadResponse:              "Response",
+	PayloadWindowUpdate:          "WindowUpdate",
+	PayloadCancel:                "Cancel",
+	PayloadRecords:               "Records",
+	PayloadItems:                 "Items",
+	PayloadMembers:               "Members",
+	PayloadRaftMessage:           "RaftMessage",
+	PayloadCall:                  "Call",
+	PayloadCallReply:             "CallReply",
+	PayloadMachinesInMaintenance: "MachinesInMaintenance",
+	PayloadActivePolicy:          "ActivePolicy",
 }
 
 var EnumValuesPayload = map[string]Payload{
-	"NONE":    PayloadNONE,
-	"Hello":   PayloadHello,
-	"Beat":    PayloadHeartbeat,
-	"Request": PayloadRequest,
-	"Piece":   PayloadBodyChunk,
-	"Answer":  PayloadResponse,
-	"Credit":  PayloadWindowUpdate,
-	"Cancel":  PayloadCancel,
-	"Records": PayloadRecords,
-	"Items":   PayloadItems,
-	"Members": PayloadMembers,
-	"Vote":    PayloadRaftMessage,
-	"Ask":     PayloadCall,
-	"Told":    PayloadCallReply,
-	"Outs":    PayloadMachinesInMaintenance,
-	"Bound":   PayloadActivePolicy,
+	"NONE":                  PayloadNONE,
+	"Hello":                 PayloadHello,
+	"Heartbeat":             PayloadHeartbeat,
+	"Request":               PayloadRequest,
+	"BodyChunk":             PayloadBodyChunk,
+	"Response":              PayloadResponse,
+	"WindowUpdate":          PayloadWindowUpdate,
+	"Cancel":                PayloadCancel,
+	"Records":               PayloadRecords,
+	"Items":                 PayloadItems,
+	"Members":               PayloadMembers,
+	"RaftMessage":           PayloadRaftMessage,
+	"Call":                  PayloadCall,
+	"CallReply":             PayloadCallReply,
+	"MachinesInMaintenance": PayloadMachinesInMaintenance,
+	"ActivePolicy":          PayloadActivePolicy,
 }
 
 func (v Payload) String() string {
 	if s, ok := EnumNamesPayload[v]; ok {
 		return s
 	}
-	return "Body(" + strconv.FormatInt(int64(v), 10) + ")"
+	return "Payload(" + strconv.FormatInt(int64(v), 10) + ")"
 }
 
 type PayloadT struct {
--- a/internal/exchange/trunk/wire/Vote.go
+++ b/internal/mesh/transport/wire/RaftMessage.go
@@ -7,26 +7,26 @@
 )
 
 type RaftMessageT struct {
-	Kind     byte       `json:"kind"`
-	From     uint64     `json:"from"`
-	To       uint64     `json:"to"`
-	Term     uint64     `json:"term"`
-	Index    uint64     `json:"index"`
-	LogTerm  uint64     `json:"log_term"`
-	Commit   uint64     `json:"commit"`
-	Entries  []*EntryT  `json:"entries"`
-	Reject   bool       `json:"reject"`
-	Hint     uint64     `json:"hint"`
-	HeartbeatRound      uint64     `json:"seq"`
-	Snapshot *SnapshotT `json:"snapshot"`
-	Addr     string     `json:"addr"`
-	Members  []*MemberT `json:"members"`
-	ConfigurationIndex     uint64     `json:"view"`
-	RaftVersion  uint32     `json:"version"`
-	Offset   uint64     `json:"offset"`
-	TotalBytes    uint64     `json:"total"`
-	Checksum      uint32     `json:"sum"`
-	Leaving  bool       `json:"leaving"`
+	Kind               byte       `json:"kind"`
+	From               uint64     `json:"from"`
+	To                 uint64     `json:"to"`
+	Term               uint64     `json:"term"`
+	Index              uint64     `json:"index"`
+	LogTerm            uint64     `json:"log_term"`
+	Commit             uint64     `json:"commit"`
+	Entries            []*EntryT  `json:"entries"`
+	Reject             bool       `json:"reject"`
+	Hint               uint64     `json:"hint"`
+	HeartbeatRound     uint64     `json:"heartbeat_round"`
+	Snapshot           *SnapshotT `json:"snapshot"`
+	Addr               string     `json:"addr"`
+	Members            []*MemberT `json:"members"`
+	ConfigurationIndex uint64     `json:"configuration_index"`
+	RaftVersion        uint32     `json:"raft_version"`
+	Offset             uint64     `json:"offset"`
+	TotalBytes         uint64     `json:"total_bytes"`
+	Checksum           uint32     `json:"checksum"`
+	Leaving            bool       `json:"leaving"`
 }
 
 func (t *RaftMessageT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -40,7 +40,7 @@
 		for j := 0; j < entriesLength; j++ {
 			entriesOffsets[j] = t.Entries[j].Pack(builder)
 		}
-		VoteStartEntriesVector(builder, entriesLength)
+		RaftMessageStartEntriesVector(builder, entriesLength)
 		for j := entriesLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(entriesOffsets[j])
 		}
@@ -55,34 +55,34 @@
 		for j := 0; j < membersLength; j++ {
 			membersOffsets[j] = t.Members[j].Pack(builder)
 		}
-		VoteStartMembersVector(builder, membersLength)
+		RaftMessageStartMembersVector(builder, membersLength)
 		for j := membersLength - 1; j >= 0; j-- {
 			builder.PrependUOffsetT(membersOffsets[j])
 		}
 		membersOffset = builder.EndVector(membersLength)
 	}
-	VoteStart(builder)
-	VoteAddKind(builder, t.Kind)
-	VoteAddFrom(builder, t.From)
-	VoteAddTo(builder, t.To)
-	VoteAddTerm(builder, t.Term)
-	VoteAddIndex(builder, t.Index)
-	VoteAddLogTerm(builder, t.LogTerm)
-	VoteAddCommit(builder, t.Commit)
-	VoteAddEntries(builder, entriesOffset)
-	VoteAddReject(builder, t.Reject)
-	VoteAddHint(builder, t.Hint)
-	VoteAddSeq(builder, t.HeartbeatRound)
-	VoteAddSnapshot(builder, snapshotOffset)
-	VoteAddAddr(builder, addrOffset)
-	VoteAddMembers(builder, membersOffset)
-	VoteAddView(builder, t.ConfigurationIndex)
-	VoteAddVersion(builder, t.RaftVersion)
-	VoteAddOffset(builder, t.Offset)
-	VoteAddTotal(builder, t.TotalBytes)
-	VoteAddSum(builder, t.Checksum)
-	VoteAddLeaving(builder, t.Leaving)
-	return VoteEnd(builder)
+	RaftMessageStart(builder)
+	RaftMessageAddKind(builder, t.Kind)
+	RaftMessageAddFrom(builder, t.From)
+	RaftMessageAddTo(builder, t.To)
+	RaftMessageAddTerm(builder, t.Term)
+	RaftMessageAddIndex(builder, t.Index)
+	RaftMessageAddLogTerm(builder, t.LogTerm)
+	RaftMessageAddCommit(builder, t.Commit)
+	RaftMessageAddEntries(builder, entriesOffset)
+	RaftMessageAddReject(builder, t.Reject)
+	RaftMessageAddHint(builder, t.Hint)
+	RaftMessageAddHeartbeatRound(builder, t.HeartbeatRound)
+	RaftMessageAddSnapshot(builder, snapshotOffset)
+	RaftMessageAddAddr(builder, addrOffset)
+	RaftMessageAddMembers(builder, membersOffset)
+	RaftMessageAddConfigurationIndex(builder, t.ConfigurationIndex)
+	RaftMessageAddRaftVersion(builder, t.RaftVersion)
+	RaftMessageAddOffset(builder, t.Offset)
+	RaftMessageAddTotalBytes(builder, t.TotalBytes)
+	RaftMessageAddChecksum(builder, t.Checksum)
+	RaftMessageAddLeaving(builder, t.Leaving)
+	return RaftMessageEnd(builder)
 }
 
 func (rcv *RaftMessage) UnPackTo(t *RaftMessageT) {
@@ -102,7 +102,7 @@
 	}
 	t.Reject = rcv.Reject()
 	t.Hint = rcv.Hint()
-	t.HeartbeatRound = rcv.Seq()
+	t.HeartbeatRound = rcv.HeartbeatRound()
 	t.Snapshot = rcv.Snapshot(nil).UnPack()
 	t.Addr = string(rcv.Addr())
 	membersLength := rcv.MembersLength()
@@ -112,11 +112,11 @@
 		rcv.Members(&x, j)
 		t.Members[j] = x.UnPack()
 	}
-	t.ConfigurationIndex = rcv.View()
-	t.RaftVersion = rcv.Version()
+	t.ConfigurationIndex = rcv.ConfigurationIndex()
+	t.RaftVersion = rcv.RaftVersion()
 	t.Offset = rcv.Offset()
-	t.TotalBytes = rcv.Total()
-	t.Checksum = rcv.Sum()
+	t.TotalBytes = rcv.TotalBytes()
+	t.Checksum = rcv.Checksum()
 	t.Leaving = rcv.Leaving()
 }
 
@@ -140,7 +140,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsVote(buf []byte, offset flatbuffers.UOffsetT) *RaftMessage {
+func GetSizePrefixedRootAsRaftMessage(buf []byte, offset flatbuffers.UOffsetT) *RaftMessage {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &RaftMessage{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -284,7 +284,7 @@
 	return rcv._tab.MutateUint64Slot(22, n)
 }
 
-func (rcv *RaftMessage) Seq() uint64 {
+func (rcv *RaftMessage) HeartbeatRound() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -292,7 +292,7 @@
 	return 0
 }
 
-func (rcv *RaftMessage) MutateSeq(n uint64) bool {
+func (rcv *RaftMessage) MutateHeartbeatRound(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(24, n)
 }
 
@@ -337,7 +337,7 @@
 	return 0
 }
 
-func (rcv *RaftMessage) View() uint64 {
+func (rcv *RaftMessage) ConfigurationIndex() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(32))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -345,11 +345,11 @@
 	return 0
 }
 
-func (rcv *RaftMessage) MutateView(n uint64) bool {
+func (rcv *RaftMessage) MutateConfigurationIndex(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(32, n)
 }
 
-func (rcv *RaftMessage) Version() uint32 {
+func (rcv *RaftMessage) RaftVersion() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(34))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -357,7 +357,7 @@
 	return 0
 }
 
-func (rcv *RaftMessage) MutateVersion(n uint32) bool {
+func (rcv *RaftMessage) MutateRaftVersion(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(34, n)
 }
 
@@ -373,7 +373,7 @@
 	return rcv._tab.MutateUint64Slot(36, n)
 }
 
-func (rcv *RaftMessage) Total() uint64 {
+func (rcv *RaftMessage) TotalBytes() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(38))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -381,11 +381,11 @@
 	return 0
 }
 
-func (rcv *RaftMessage) MutateTotal(n uint64) bool {
+func (rcv *RaftMessage) MutateTotalBytes(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(38, n)
 }
 
-func (rcv *RaftMessage) Sum() uint32 {
+func (rcv *RaftMessage) Checksum() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(40))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -393,7 +393,7 @@
 	return 0
 }
 
-func (rcv *RaftMessage) MutateSum(n uint32) bool {
+func (rcv *RaftMessage) MutateChecksum(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(40, n)
 }
 
@@ -409,75 +409,75 @@
 	return rcv._tab.MutateBoolSlot(42, n)
 }
 
-func VoteStart(builder *flatbuffers.Builder) {
+func RaftMessageStart(builder *flatbuffers.Builder) {
 	builder.StartObject(20)
 }
-func VoteAddKind(builder *flatbuffers.Builder, kind byte) {
+func RaftMessageAddKind(builder *flatbuffers.Builder, kind byte) {
 	builder.PrependByteSlot(0, kind, 0)
 }
-func VoteAddFrom(builder *flatbuffers.Builder, from uint64) {
+func RaftMessageAddFrom(builder *flatbuffers.Builder, from uint64) {
 	builder.PrependUint64Slot(1, from, 0)
 }
-func VoteAddTo(builder *flatbuffers.Builder, to uint64) {
+func RaftMessageAddTo(builder *flatbuffers.Builder, to uint64) {
 	builder.PrependUint64Slot(2, to, 0)
 }
-func VoteAddTerm(builder *flatbuffers.Builder, term uint64) {
+func RaftMessageAddTerm(builder *flatbuffers.Builder, term uint64) {
 	builder.PrependUint64Slot(3, term, 0)
 }
-func VoteAddIndex(builder *flatbuffers.Builder, index uint64) {
+func RaftMessageAddIndex(builder *flatbuffers.Builder, index uint64) {
 	builder.PrependUint64Slot(4, index, 0)
 }
-func VoteAddLogTerm(builder *flatbuffers.Builder, logTerm uint64) {
+func RaftMessageAddLogTerm(builder *flatbuffers.Builder, logTerm uint64) {
 	builder.PrependUint64Slot(5, logTerm, 0)
 }
-func VoteAddCommit(builder *flatbuffers.Builder, commit uint64) {
+func RaftMessageAddCommit(builder *flatbuffers.Builder, commit uint64) {
 	builder.PrependUint64Slot(6, commit, 0)
 }
-func VoteAddEntries(builder *flatbuffers.Builder, entries flatbuffers.UOffsetT) {
+func RaftMessageAddEntries(builder *flatbuffers.Builder, entries flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(7, flatbuffers.UOffsetT(entries), 0)
 }
-func VoteStartEntriesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func RaftMessageStartEntriesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func VoteAddReject(builder *flatbuffers.Builder, reject bool) {
+func RaftMessageAddReject(builder *flatbuffers.Builder, reject bool) {
 	builder.PrependBoolSlot(8, reject, false)
 }
-func VoteAddHint(builder *flatbuffers.Builder, hint uint64) {
+func RaftMessageAddHint(builder *flatbuffers.Builder, hint uint64) {
 	builder.PrependUint64Slot(9, hint, 0)
 }
-func VoteAddSeq(builder *flatbuffers.Builder, seq uint64) {
-	builder.PrependUint64Slot(10, seq, 0)
+func RaftMessageAddHeartbeatRound(builder *flatbuffers.Builder, heartbeatRound uint64) {
+	builder.PrependUint64Slot(10, heartbeatRound, 0)
 }
-func VoteAddSnapshot(builder *flatbuffers.Builder, snapshot flatbuffers.UOffsetT) {
+func RaftMessageAddSnapshot(builder *flatbuffers.Builder, snapshot flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(snapshot), 0)
 }
-func VoteAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
+func RaftMessageAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(addr), 0)
 }
-func VoteAddMembers(builder *flatbuffers.Builder, members flatbuffers.UOffsetT) {
+func RaftMessageAddMembers(builder *flatbuffers.Builder, members flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(13, flatbuffers.UOffsetT(members), 0)
 }
-func VoteStartMembersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func RaftMessageStartMembersVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func VoteAddView(builder *flatbuffers.Builder, view uint64) {
-	builder.PrependUint64Slot(14, view, 0)
+func RaftMessageAddConfigurationIndex(builder *flatbuffers.Builder, configurationIndex uint64) {
+	builder.PrependUint64Slot(14, configurationIndex, 0)
 }
-func VoteAddVersion(builder *flatbuffers.Builder, version uint32) {
-	builder.PrependUint32Slot(15, version, 0)
+func RaftMessageAddRaftVersion(builder *flatbuffers.Builder, raftVersion uint32) {
+	builder.PrependUint32Slot(15, raftVersion, 0)
 }
-func VoteAddOffset(builder *flatbuffers.Builder, offset uint64) {
+func RaftMessageAddOffset(builder *flatbuffers.Builder, offset uint64) {
 	builder.PrependUint64Slot(16, offset, 0)
 }
-func VoteAddTotal(builder *flatbuffers.Builder, total uint64) {
-	builder.PrependUint64Slot(17, total, 0)
+func RaftMessageAddTotalBytes(builder *flatbuffers.Builder, totalBytes uint64) {
+	builder.PrependUint64Slot(17, totalBytes, 0)
 }
-func VoteAddSum(builder *flatbuffers.Builder, sum uint32) {
-	builder.PrependUint32Slot(18, sum, 0)
+func RaftMessageAddChecksum(builder *flatbuffers.Builder, checksum uint32) {
+	builder.PrependUint32Slot(18, checksum, 0)
 }
-func VoteAddLeaving(builder *flatbuffers.Builder, leaving bool) {
+func RaftMessageAddLeaving(builder *flatbuffers.Builder, leaving bool) {
 	builder.PrependBoolSlot(19, leaving, false)
 }
-func VoteEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func RaftMessageEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Record.go
+++ b/internal/mesh/transport/wire/Record.go
@@ -7,17 +7,17 @@
 )
 
 type RecordT struct {
-	Node    string `json:"node"`
-	Incarnation    uint64 `json:"life"`
-	Sequence     uint64 `json:"seq"`
-	Addr    string `json:"addr"`
-	Zone    string `json:"zone"`
-	Service string `json:"service"`
-	ServerId  string `json:"server"`
-	State   byte   `json:"state"`
-	Slots   uint32 `json:"slots"`
-	WarmupUs  int64  `json:"warmup"`
-	TransportVersion  uint32 `json:"speaks"`
+	Node             string `json:"node"`
+	Incarnation      uint64 `json:"incarnation"`
+	Sequence         uint64 `json:"sequence"`
+	Addr             string `json:"addr"`
+	Zone             string `json:"zone"`
+	Service          string `json:"service"`
+	ServerId         string `json:"server_id"`
+	State            byte   `json:"state"`
+	Slots            uint32 `json:"slots"`
+	WarmupUs         int64  `json:"warmup_us"`
+	TransportVersion uint32 `json:"transport_version"`
 }
 
 func (t *RecordT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -28,34 +28,34 @@
 	addrOffset := builder.CreateString(t.Addr)
 	zoneOffset := builder.CreateString(t.Zone)
 	serviceOffset := builder.CreateString(t.Service)
-	serverOffset := builder.CreateString(t.ServerId)
+	serverIdOffset := builder.CreateString(t.ServerId)
 	RecordStart(builder)
 	RecordAddNode(builder, nodeOffset)
-	RecordAddLife(builder, t.Incarnation)
-	RecordAddSeq(builder, t.Sequence)
+	RecordAddIncarnation(builder, t.Incarnation)
+	RecordAddSequence(builder, t.Sequence)
 	RecordAddAddr(builder, addrOffset)
 	RecordAddZone(builder, zoneOffset)
 	RecordAddService(builder, serviceOffset)
-	RecordAddServer(builder, serverOffset)
+	RecordAddServerId(builder, serverIdOffset)
 	RecordAddState(builder, t.State)
 	RecordAddSlots(builder, t.Slots)
-	RecordAddWarmup(builder, t.WarmupUs)
-	RecordAddSpeaks(builder, t.TransportVersion)
+	RecordAddWarmupUs(builder, t.WarmupUs)
+	RecordAddTransportVersion(builder, t.TransportVersion)
 	return RecordEnd(builder)
 }
 
 func (rcv *Record) UnPackTo(t *RecordT) {
 	t.Node = string(rcv.Node())
-	t.Incarnation = rcv.Life()
-	t.Sequence = rcv.Seq()
+	t.Incarnation = rcv.Incarnation()
+	t.Sequence = rcv.Sequence()
 	t.Addr = string(rcv.Addr())
 	t.Zone = string(rcv.Zone())
 	t.Service = string(rcv.Service())
-	t.ServerId = string(rcv.Server())
+	t.ServerId = string(rcv.ServerId())
 	t.State = rcv.State()
 	t.Slots = rcv.Slots()
-	t.WarmupUs = rcv.Warmup()
-	t.TransportVersion = rcv.Speaks()
+	t.WarmupUs = rcv.WarmupUs()
+	t.TransportVersion = rcv.TransportVersion()
 }
 
 func (rcv *Record) UnPack() *RecordT {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (rcv *Record) Life() uint64 {
+func (rcv *Record) Incarnation() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -110,11 +110,11 @@
 	return 0
 }
 
-func (rcv *Record) MutateLife(n uint64) bool {
+func (rcv *Record) MutateIncarnation(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *Record) Seq() uint64 {
+func (rcv *Record) Sequence() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -122,7 +122,7 @@
 	return 0
 }
 
-func (rcv *Record) MutateSeq(n uint64) bool {
+func (rcv *Record) MutateSequence(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(8, n)
 }
 
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func (rcv *Record) Server() []byte {
+func (rcv *Record) ServerId() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -182,7 +182,7 @@
 	return rcv._tab.MutateUint32Slot(20, n)
 }
 
-func (rcv *Record) Warmup() int64 {
+func (rcv *Record) WarmupUs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -190,11 +190,11 @@
 	return 0
 }
 
-func (rcv *Record) MutateWarmup(n int64) bool {
+func (rcv *Record) MutateWarmupUs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(22, n)
 }
 
-func (rcv *Record) Speaks() uint32 {
+func (rcv *Record) TransportVersion() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -202,7 +202,7 @@
 	return 0
 }
 
-func (rcv *Record) MutateSpeaks(n uint32) bool {
+func (rcv *Record) MutateTransportVersion(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(24, n)
 }
 
@@ -212,11 +212,11 @@
 func RecordAddNode(builder *flatbuffers.Builder, node flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(node), 0)
 }
-func RecordAddLife(builder *flatbuffers.Builder, life uint64) {
-	builder.PrependUint64Slot(1, life, 0)
+func RecordAddIncarnation(builder *flatbuffers.Builder, incarnation uint64) {
+	builder.PrependUint64Slot(1, incarnation, 0)
 }
-func RecordAddSeq(builder *flatbuffers.Builder, seq uint64) {
-	builder.PrependUint64Slot(2, seq, 0)
+func RecordAddSequence(builder *flatbuffers.Builder, sequence uint64) {
+	builder.PrependUint64Slot(2, sequence, 0)
 }
 func RecordAddAddr(builder *flatbuffers.Builder, addr flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(addr), 0)
@@ -227,8 +227,8 @@
 func RecordAddService(builder *flatbuffers.Builder, service flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(service), 0)
 }
-func RecordAddServer(builder *flatbuffers.Builder, server flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(server), 0)
+func RecordAddServerId(builder *flatbuffers.Builder, serverId flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(serverId), 0)
 }
 func RecordAddState(builder *flatbuffers.Builder, state byte) {
 	builder.PrependByteSlot(7, state, 0)
@@ -236,11 +236,11 @@
 func RecordAddSlots(builder *flatbuffers.Builder, slots uint32) {
 	builder.PrependUint32Slot(8, slots, 0)
 }
-func RecordAddWarmup(builder *flatbuffers.Builder, warmup int64) {
-	builder.PrependInt64Slot(9, warmup, 0)
+func RecordAddWarmupUs(builder *flatbuffers.Builder, warmupUs int64) {
+	builder.PrependInt64Slot(9, warmupUs, 0)
 }
-func RecordAddSpeaks(builder *flatbuffers.Builder, speaks uint32) {
-	builder.PrependUint32Slot(10, speaks, 0)
+func RecordAddTransportVersion(builder *flatbuffers.Builder, transportVersion uint32) {
+	builder.PrependUint32Slot(10, transportVersion, 0)
 }
 func RecordEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
