--- a/internal/exchange/trunk/wire/Request.go
+++ b/internal/mesh/transport/wire/Request.go
@@ -7,99 +7,99 @@
 )
 
 type RequestT struct {
-	Id      uint64    `json:"id"`
-	AttemptId string    `json:"attempt"`
-	Method  string    `json:"method"`
-	Target  string    `json:"target"`
-	Host    string    `json:"host"`
-	HeaderFields  []*HeaderFieldT `json:"fields"`
-	Body    []byte    `json:"body"`
-	MoreBody    bool      `json:"more"`
-	ContentLength  int64     `json:"length"`
-	TimeoutUs  int64     `json:"budget"`
-	ServerId  string    `json:"server"`
-	IdempotencyKey     string    `json:"key"`
-	Token  string    `json:"ticket"`
-	Attempt     uint32    `json:"nth"`
-	AtMostOnce    bool      `json:"once"`
-	PackedHeader    []byte    `json:"head"`
+	Id             uint64          `json:"id"`
+	AttemptId      string          `json:"attempt_id"`
+	Method         string          `json:"method"`
+	Target         string          `json:"target"`
+	Host           string          `json:"host"`
+	HeaderFields   []*HeaderFieldT `json:"header_fields"`
+	Body           []byte          `json:"body"`
+	MoreBody       bool            `json:"more_body"`
+	ContentLength  int64           `json:"content_length"`
+	TimeoutUs      int64           `json:"timeout_us"`
+	ServerId       string          `json:"server_id"`
+	IdempotencyKey string          `json:"idempotency_key"`
+	Token          string          `json:"token"`
+	Attempt        uint32          `json:"attempt"`
+	AtMostOnce     bool            `json:"at_most_once"`
+	PackedHeader   []byte          `json:"packed_header"`
 }
 
 func (t *RequestT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	attemptOffset := builder.CreateString(t.AttemptId)
+	attemptIdOffset := builder.CreateString(t.AttemptId)
 	methodOffset := builder.CreateString(t.Method)
 	targetOffset := builder.CreateString(t.Target)
 	hostOffset := builder.CreateString(t.Host)
-	fieldsOffset := flatbuffers.UOffsetT(0)
+	headerFieldsOffset := flatbuffers.UOffsetT(0)
 	if t.HeaderFields != nil {
-		fieldsLength := len(t.HeaderFields)
-		fieldsOffsets := make([]flatbuffers.UOffsetT, fieldsLength)
-		for j := 0; j < fieldsLength; j++ {
-			fieldsOffsets[j] = t.HeaderFields[j].Pack(builder)
+		headerFieldsLength := len(t.HeaderFields)
+		headerFieldsOffsets := make([]flatbuffers.UOffsetT, headerFieldsLength)
+		for j := 0; j < headerFieldsLength; j++ {
+			headerFieldsOffsets[j] = t.HeaderFields[j].Pack(builder)
 		}
-		RequestStartFieldsVector(builder, fieldsLength)
-		for j := fieldsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(fieldsOffsets[j])
+		RequestStartHeaderFieldsVector(builder, headerFieldsLength)
+		for j := headerFieldsLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(headerFieldsOffsets[j])
 		}
-		fieldsOffset = builder.EndVector(fieldsLength)
+		headerFieldsOffset = builder.EndVector(headerFieldsLength)
 	}
 	bodyOffset := flatbuffers.UOffsetT(0)
 	if t.Body != nil {
 		bodyOffset = builder.CreateByteString(t.Body)
 	}
-	serverOffset := builder.CreateString(t.ServerId)
-	keyOffset := builder.CreateString(t.IdempotencyKey)
-	ticketOffset := builder.CreateString(t.Token)
-	headOffset := flatbuffers.UOffsetT(0)
+	serverIdOffset := builder.CreateString(t.ServerId)
+	idempotencyKeyOffset := builder.CreateString(t.IdempotencyKey)
+	tokenOffset := builder.CreateString(t.Token)
+	packedHeaderOffset := flatbuffers.UOffsetT(0)
 	if t.PackedHeader != nil {
-		headOffset = builder.CreateByteString(t.PackedHeader)
+		packedHeaderOffset = builder.CreateByteString(t.PackedHeader)
 	}
 	RequestStart(builder)
 	RequestAddId(builder, t.Id)
-	RequestAddAttempt(builder, attemptOffset)
+	RequestAddAttemptId(builder, attemptIdOffset)
 	RequestAddMethod(builder, methodOffset)
 	RequestAddTarget(builder, targetOffset)
 	RequestAddHost(builder, hostOffset)
-	RequestAddFields(builder, fieldsOffset)
+	RequestAddHeaderFields(builder, headerFieldsOffset)
 	RequestAddBody(builder, bodyOffset)
-	RequestAddMore(builder, t.MoreBody)
-	RequestAddLength(builder, t.ContentLength)
-	RequestAddBudget(builder, t.TimeoutUs)
-	RequestAddServer(builder, serverOffset)
-	RequestAddKey(builder, keyOffset)
-	RequestAddTicket(builder, ticketOffset)
-	RequestAddNth(builder, t.Attempt)
-	RequestAddOnce(builder, t.AtMostOnce)
-	RequestAddHead(builder, headOffset)
+	RequestAddMoreBody(builder, t.MoreBody)
+	RequestAddContentLength(builder, t.ContentLength)
+	RequestAddTimeoutUs(builder, t.TimeoutUs)
+	RequestAddServerId(builder, serverIdOffset)
+	RequestAddIdempotencyKey(builder, idempotencyKeyOffset)
+	RequestAddToken(builder, tokenOffset)
+	RequestAddAttempt(builder, t.Attempt)
+	RequestAddAtMostOnce(builder, t.AtMostOnce)
+	RequestAddPackedHeader(builder, packedHeaderOffset)
 	return RequestEnd(builder)
 }
 
 func (rcv *Request) UnPackTo(t *RequestT) {
 	t.Id = rcv.Id()
-	t.AttemptId = string(rcv.Attempt())
+	t.AttemptId = string(rcv.AttemptId())
 	t.Method = string(rcv.Method())
 	t.Target = string(rcv.Target())
 	t.Host = string(rcv.Host())
-	fieldsLength := rcv.FieldsLength()
-	t.HeaderFields = make([]*HeaderFieldT, fieldsLength)
-	for j := 0; j < fieldsLength; j++ {
+	headerFieldsLength := rcv.HeaderFieldsLength()
+	t.HeaderFields = make([]*HeaderFieldT, headerFieldsLength)
+	for j := 0; j < headerFieldsLength; j++ {
 		x := HeaderField{}
-		rcv.Fields(&x, j)
+		rcv.HeaderFields(&x, j)
 		t.HeaderFields[j] = x.UnPack()
 	}
 	t.Body = rcv.BodyBytes()
-	t.MoreBody = rcv.More()
-	t.ContentLength = rcv.Length()
-	t.TimeoutUs = rcv.Budget()
-	t.ServerId = string(rcv.Server())
-	t.IdempotencyKey = string(rcv.Key())
-	t.Token = string(rcv.Ticket())
-	t.Attempt = rcv.Nth()
-	t.AtMostOnce = rcv.Once()
-	t.PackedHeader = rcv.HeadBytes()
+	t.MoreBody = rcv.MoreBody()
+	t.ContentLength = rcv.ContentLength()
+	t.TimeoutUs = rcv.TimeoutUs()
+	t.ServerId = string(rcv.ServerId())
+	t.IdempotencyKey = string(rcv.IdempotencyKey())
+	t.Token = string(rcv.Token())
+	t.Attempt = rcv.Attempt()
+	t.AtMostOnce = rcv.AtMostOnce()
+	t.PackedHeader = rcv.PackedHeaderBytes()
 }
 
 func (rcv *Request) UnPack() *RequestT {
@@ -150,7 +150,7 @@
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *Request) Attempt() []byte {
+func (rcv *Request) AttemptId() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func (rcv *Request) Fields(obj *HeaderField, j int) bool {
+func (rcv *Request) HeaderFields(obj *HeaderField, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -194,7 +194,7 @@
 	return false
 }
 
-func (rcv *Request) FieldsLength() int {
+func (rcv *Request) HeaderFieldsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(14))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -236,7 +236,7 @@
 	return false
 }
 
-func (rcv *Request) More() bool {
+func (rcv *Request) MoreBody() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -244,11 +244,11 @@
 	return false
 }
 
-func (rcv *Request) MutateMore(n bool) bool {
+func (rcv *Request) MutateMoreBody(n bool) bool {
 	return rcv._tab.MutateBoolSlot(18, n)
 }
 
-func (rcv *Request) Length() int64 {
+func (rcv *Request) ContentLength() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -256,11 +256,11 @@
 	return 0
 }
 
-func (rcv *Request) MutateLength(n int64) bool {
+func (rcv *Request) MutateContentLength(n int64) bool {
 	return rcv._tab.MutateInt64Slot(20, n)
 }
 
-func (rcv *Request) Budget() int64 {
+func (rcv *Request) TimeoutUs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(22))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -268,11 +268,11 @@
 	return 0
 }
 
-func (rcv *Request) MutateBudget(n int64) bool {
+func (rcv *Request) MutateTimeoutUs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(22, n)
 }
 
-func (rcv *Request) Server() []byte {
+func (rcv *Request) ServerId() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(24))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -280,7 +280,7 @@
 	return nil
 }
 
-func (rcv *Request) Key() []byte {
+func (rcv *Request) IdempotencyKey() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(26))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -288,7 +288,7 @@
 	return nil
 }
 
-func (rcv *Request) Ticket() []byte {
+func (rcv *Request) Token() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(28))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -296,7 +296,7 @@
 	return nil
 }
 
-func (rcv *Request) Nth() uint32 {
+func (rcv *Request) Attempt() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(30))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -304,11 +304,11 @@
 	return 0
 }
 
-func (rcv *Request) MutateNth(n uint32) bool {
+func (rcv *Request) MutateAttempt(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(30, n)
 }
 
-func (rcv *Request) Once() bool {
+func (rcv *Request) AtMostOnce() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(32))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -316,11 +316,11 @@
 	return false
 }
 
-func (rcv *Request) MutateOnce(n bool) bool {
+func (rcv *Request) MutateAtMostOnce(n bool) bool {
 	return rcv._tab.MutateBoolSlot(32, n)
 }
 
-func (rcv *Request) Head(j int) byte {
+func (rcv *Request) PackedHeader(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(34))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -329,7 +329,7 @@
 	return 0
 }
 
-func (rcv *Request) HeadLength() int {
+func (rcv *Request) PackedHeaderLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(34))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -337,7 +337,7 @@
 	return 0
 }
 
-func (rcv *Request) HeadBytes() []byte {
+func (rcv *Request) PackedHeaderBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(34))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -345,7 +345,7 @@
 	return nil
 }
 
-func (rcv *Request) MutateHead(j int, n byte) bool {
+func (rcv *Request) MutatePackedHeader(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(34))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -360,8 +360,8 @@
 func RequestAddId(builder *flatbuffers.Builder, id uint64) {
 	builder.PrependUint64Slot(0, id, 0)
 }
-func RequestAddAttempt(builder *flatbuffers.Builder, attempt flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(attempt), 0)
+func RequestAddAttemptId(builder *flatbuffers.Builder, attemptId flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(attemptId), 0)
 }
 func RequestAddMethod(builder *flatbuffers.Builder, method flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(method), 0)
@@ -372,10 +372,10 @@
 func RequestAddHost(builder *flatbuffers.Builder, host flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(host), 0)
 }
-func RequestAddFields(builder *flatbuffers.Builder, fields flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(fields), 0)
+func RequestAddHeaderFields(builder *flatbuffers.Builder, headerFields flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(headerFields), 0)
 }
-func RequestStartFieldsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func RequestStartHeaderFieldsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
 func RequestAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
@@ -384,34 +384,34 @@
 func RequestStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func RequestAddMore(builder *flatbuffers.Builder, more bool) {
-	builder.PrependBoolSlot(7, more, false)
+func RequestAddMoreBody(builder *flatbuffers.Builder, moreBody bool) {
+	builder.PrependBoolSlot(7, moreBody, false)
 }
-func RequestAddLength(builder *flatbuffers.Builder, length int64) {
-	builder.PrependInt64Slot(8, length, 0)
+func RequestAddContentLength(builder *flatbuffers.Builder, contentLength int64) {
+	builder.PrependInt64Slot(8, contentLength, 0)
 }
-func RequestAddBudget(builder *flatbuffers.Builder, budget int64) {
-	builder.PrependInt64Slot(9, budget, 0)
+func RequestAddTimeoutUs(builder *flatbuffers.Builder, timeoutUs int64) {
+	builder.PrependInt64Slot(9, timeoutUs, 0)
 }
-func RequestAddServer(builder *flatbuffers.Builder, server flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(10, flatbuffers.UOffsetT(server), 0)
+func RequestAddServerId(builder *flatbuffers.Builder, serverId flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(10, flatbuffers.UOffsetT(serverId), 0)
 }
-func RequestAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(key), 0)
+func RequestAddIdempotencyKey(builder *flatbuffers.Builder, idempotencyKey flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(11, flatbuffers.UOffsetT(idempotencyKey), 0)
 }
-func RequestAddTicket(builder *flatbuffers.Builder, ticket flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(ticket), 0)
+func RequestAddToken(builder *flatbuffers.Builder, token flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(12, flatbuffers.UOffsetT(token), 0)
 }
-func RequestAddNth(builder *flatbuffers.Builder, nth uint32) {
-	builder.PrependUint32Slot(13, nth, 0)
+func RequestAddAttempt(builder *flatbuffers.Builder, attempt uint32) {
+	builder.PrependUint32Slot(13, attempt, 0)
 }
-func RequestAddOnce(builder *flatbuffers.Builder, once bool) {
-	builder.PrependBoolSlot(14, once, false)
+func RequestAddAtMostOnce(builder *flatbuffers.Builder, atMostOnce bool) {
+	builder.PrependBoolSlot(14, atMostOnce, false)
 }
-func RequestAddHead(builder *flatbuffers.Builder, head flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(15, flatbuffers.UOffsetT(head), 0)
+func RequestAddPackedHeader(builder *flatbuffers.Builder, packedHeader flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(15, flatbuffers.UOffsetT(packedHeader), 0)
 }
-func RequestStartHeadVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func RequestStartPackedHeaderVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
 func RequestEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
--- a/internal/exchange/trunk/wire/Answer.go
+++ b/internal/mesh/transport/wire/Response.go
@@ -7,53 +7,53 @@
 )
 
 type ResponseT struct {
-	Id      uint64    `json:"id"`
-	Ending  byte      `json:"ending"`
-	Arrived bool      `json:"arrived"`
-	Status  uint16    `json:"status"`
-	HeaderFields  []*HeaderFieldT `json:"fields"`
-	Body    []byte    `json:"body"`
-	MoreBody    bool      `json:"more"`
-	ContentLength  int64     `json:"length"`
-	PackedHeader    []byte    `json:"head"`
+	Id            uint64          `json:"id"`
+	Ending        byte            `json:"ending"`
+	Arrived       bool            `json:"arrived"`
+	Status        uint16          `json:"status"`
+	HeaderFields  []*HeaderFieldT `json:"header_fields"`
+	Body          []byte          `json:"body"`
+	MoreBody      bool            `json:"more_body"`
+	ContentLength int64           `json:"content_length"`
+	PackedHeader  []byte          `json:"packed_header"`
 }
 
 func (t *ResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	fieldsOffset := flatbuffers.UOffsetT(0)
+	headerFieldsOffset := flatbuffers.UOffsetT(0)
 	if t.HeaderFields != nil {
-		fieldsLength := len(t.HeaderFields)
-		fieldsOffsets := make([]flatbuffers.UOffsetT, fieldsLength)
-		for j := 0; j < fieldsLength; j++ {
-			fieldsOffsets[j] = t.HeaderFields[j].Pack(builder)
+		headerFieldsLength := len(t.HeaderFields)
+		headerFieldsOffsets := make([]flatbuffers.UOffsetT, headerFieldsLength)
+		for j := 0; j < headerFieldsLength; j++ {
+			headerFieldsOffsets[j] = t.HeaderFields[j].Pack(builder)
 		}
-		AnswerStartFieldsVector(builder, fieldsLength)
-		for j := fieldsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(fieldsOffsets[j])
+		ResponseStartHeaderFieldsVector(builder, headerFieldsLength)
+		for j := headerFieldsLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(headerFieldsOffsets[j])
 		}
-		fieldsOffset = builder.EndVector(fieldsLength)
+		headerFieldsOffset = builder.EndVector(headerFieldsLength)
 	}
 	bodyOffset := flatbuffers.UOffsetT(0)
 	if t.Body != nil {
 		bodyOffset = builder.CreateByteString(t.Body)
 	}
-	headOffset := flatbuffers.UOffsetT(0)
+	packedHeaderOffset := flatbuffers.UOffsetT(0)
 	if t.PackedHeader != nil {
-		headOffset = builder.CreateByteString(t.PackedHeader)
+		packedHeaderOffset = builder.CreateByteString(t.PackedHeader)
 	}
-	AnswerStart(builder)
-	AnswerAddId(builder, t.Id)
-	AnswerAddEnding(builder, t.Ending)
-	AnswerAddArrived(builder, t.Arrived)
-	AnswerAddStatus(builder, t.Status)
-	AnswerAddFields(builder, fieldsOffset)
-	AnswerAddBody(builder, bodyOffset)
-	AnswerAddMore(builder, t.MoreBody)
-	AnswerAddLength(builder, t.ContentLength)
-	AnswerAddHead(builder, headOffset)
-	return AnswerEnd(builder)
+	ResponseStart(builder)
+	ResponseAddId(builder, t.Id)
+	ResponseAddEnding(builder, t.Ending)
+	ResponseAddArrived(builder, t.Arrived)
+	ResponseAddStatus(builder, t.Status)
+	ResponseAddHeaderFields(builder, headerFieldsOffset)
+	ResponseAddBody(builder, bodyOffset)
+	ResponseAddMoreBody(builder, t.MoreBody)
+	ResponseAddContentLength(builder, t.ContentLength)
+	ResponseAddPackedHeader(builder, packedHeaderOffset)
+	return ResponseEnd(builder)
 }
 
 func (rcv *Response) UnPackTo(t *ResponseT) {
@@ -61,17 +61,17 @@
 	t.Ending = rcv.Ending()
 	t.Arrived = rcv.Arrived()
 	t.Status = rcv.Status()
-	fieldsLength := rcv.FieldsLength()
-	t.HeaderFields = make([]*HeaderFieldT, fieldsLength)
-	for j := 0; j < fieldsLength; j++ {
+	headerFieldsLength := rcv.HeaderFieldsLength()
+	t.HeaderFields = make([]*HeaderFieldT, headerFieldsLength)
+	for j := 0; j < headerFieldsLength; j++ {
 		x := HeaderField{}
-		rcv.Fields(&x, j)
+		rcv.HeaderFields(&x, j)
 		t.HeaderFields[j] = x.UnPack()
 	}
 	t.Body = rcv.BodyBytes()
-	t.MoreBody = rcv.More()
-	t.ContentLength = rcv.Length()
-	t.PackedHeader = rcv.HeadBytes()
+	t.MoreBody = rcv.MoreBody()
+	t.ContentLength = rcv.ContentLength()
+	t.PackedHeader = rcv.PackedHeaderBytes()
 }
 
 func (rcv *Response) UnPack() *ResponseT {
@@ -94,7 +94,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsAnswer(buf []byte, offset flatbuffers.UOffsetT) *Response {
+func GetSizePrefixedRootAsResponse(buf []byte, offset flatbuffers.UOffsetT) *Response {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &Response{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -158,7 +158,7 @@
 	return rcv._tab.MutateUint16Slot(10, n)
 }
 
-func (rcv *Response) Fields(obj *HeaderField, j int) bool {
+func (rcv *Response) HeaderFields(obj *HeaderField, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -170,7 +170,7 @@
 	return false
 }
 
-func (rcv *Response) FieldsLength() int {
+func (rcv *Response) HeaderFieldsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -212,7 +212,7 @@
 	return false
 }
 
-func (rcv *Response) More() bool {
+func (rcv *Response) MoreBody() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(16))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -220,11 +220,11 @@
 	return false
 }
 
-func (rcv *Response) MutateMore(n bool) bool {
+func (rcv *Response) MutateMoreBody(n bool) bool {
 	return rcv._tab.MutateBoolSlot(16, n)
 }
 
-func (rcv *Response) Length() int64 {
+func (rcv *Response) ContentLength() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -232,11 +232,11 @@
 	return 0
 }
 
-func (rcv *Response) MutateLength(n int64) bool {
+func (rcv *Response) MutateContentLength(n int64) bool {
 	return rcv._tab.MutateInt64Slot(18, n)
 }
 
-func (rcv *Response) Head(j int) byte {
+func (rcv *Response) PackedHeader(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -245,7 +245,7 @@
 	return 0
 }
 
-func (rcv *Response) HeadLength() int {
+func (rcv *Response) PackedHeaderLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -253,7 +253,7 @@
 	return 0
 }
 
-func (rcv *Response) HeadBytes() []byte {
+func (rcv *Response) PackedHeaderBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -261,7 +261,7 @@
 	return nil
 }
 
-func (rcv *Response) MutateHead(j int, n byte) bool {
+func (rcv *Response) MutatePackedHeader(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(20))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -270,45 +270,45 @@
 	return false
 }
 
-func AnswerStart(builder *flatbuffers.Builder) {
+func ResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(9)
 }
-func AnswerAddId(builder *flatbuffers.Builder, id uint64) {
+func ResponseAddId(builder *flatbuffers.Builder, id uint64) {
 	builder.PrependUint64Slot(0, id, 0)
 }
-func AnswerAddEnding(builder *flatbuffers.Builder, ending byte) {
+func ResponseAddEnding(builder *flatbuffers.Builder, ending byte) {
 	builder.PrependByteSlot(1, ending, 0)
 }
-func AnswerAddArrived(builder *flatbuffers.Builder, arrived bool) {
+func ResponseAddArrived(builder *flatbuffers.Builder, arrived bool) {
 	builder.PrependBoolSlot(2, arrived, false)
 }
-func AnswerAddStatus(builder *flatbuffers.Builder, status uint16) {
+func ResponseAddStatus(builder *flatbuffers.Builder, status uint16) {
 	builder.PrependUint16Slot(3, status, 0)
 }
-func AnswerAddFields(builder *flatbuffers.Builder, fields flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(fields), 0)
+func ResponseAddHeaderFields(builder *flatbuffers.Builder, headerFields flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(headerFields), 0)
 }
-func AnswerStartFieldsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func ResponseStartHeaderFieldsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func AnswerAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
+func ResponseAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(body), 0)
 }
-func AnswerStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func ResponseStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func AnswerAddMore(builder *flatbuffers.Builder, more bool) {
-	builder.PrependBoolSlot(6, more, false)
+func ResponseAddMoreBody(builder *flatbuffers.Builder, moreBody bool) {
+	builder.PrependBoolSlot(6, moreBody, false)
 }
-func AnswerAddLength(builder *flatbuffers.Builder, length int64) {
-	builder.PrependInt64Slot(7, length, 0)
+func ResponseAddContentLength(builder *flatbuffers.Builder, contentLength int64) {
+	builder.PrependInt64Slot(7, contentLength, 0)
 }
-func AnswerAddHead(builder *flatbuffers.Builder, head flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(head), 0)
+func ResponseAddPackedHeader(builder *flatbuffers.Builder, packedHeader flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(8, flatbuffers.UOffsetT(packedHeader), 0)
 }
-func AnswerStartHeadVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func ResponseStartPackedHeaderVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func AnswerEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func ResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Snapshot.go
+++ b/internal/mesh/transport/wire/Snapshot.go
@@ -7,14 +7,14 @@
 )
 
 type SnapshotT struct {
-	Index    uint64     `json:"index"`
-	Term     uint64     `json:"term"`
-	LogTimeNs    int64      `json:"stamp"`
-	ConfigurationIndex     uint64     `json:"view"`
-	Members  []*MemberT `json:"members"`
-	Data     []byte     `json:"data"`
-	Outgoing []*MemberT `json:"outgoing"`
-	RaftVersion  uint32     `json:"version"`
+	Index              uint64     `json:"index"`
+	Term               uint64     `json:"term"`
+	LogTimeNs          int64      `json:"log_time_ns"`
+	ConfigurationIndex uint64     `json:"configuration_index"`
+	Members            []*MemberT `json:"members"`
+	Data               []byte     `json:"data"`
+	Outgoing           []*MemberT `json:"outgoing"`
+	RaftVersion        uint32     `json:"raft_version"`
 }
 
 func (t *SnapshotT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -54,20 +54,20 @@
 	SnapshotStart(builder)
 	SnapshotAddIndex(builder, t.Index)
 	SnapshotAddTerm(builder, t.Term)
-	SnapshotAddStamp(builder, t.LogTimeNs)
-	SnapshotAddView(builder, t.ConfigurationIndex)
+	SnapshotAddLogTimeNs(builder, t.LogTimeNs)
+	SnapshotAddConfigurationIndex(builder, t.ConfigurationIndex)
 	SnapshotAddMembers(builder, membersOffset)
 	SnapshotAddData(builder, dataOffset)
 	SnapshotAddOutgoing(builder, outgoingOffset)
-	SnapshotAddVersion(builder, t.RaftVersion)
+	SnapshotAddRaftVersion(builder, t.RaftVersion)
 	return SnapshotEnd(builder)
 }
 
 func (rcv *Snapshot) UnPackTo(t *SnapshotT) {
 	t.Index = rcv.Index()
 	t.Term = rcv.Term()
-	t.LogTimeNs = rcv.Stamp()
-	t.ConfigurationIndex = rcv.View()
+	t.LogTimeNs = rcv.LogTimeNs()
+	t.ConfigurationIndex = rcv.ConfigurationIndex()
 	membersLength := rcv.MembersLength()
 	t.Members = make([]*MemberT, membersLength)
 	for j := 0; j < membersLength; j++ {
@@ -83,7 +83,7 @@
 		rcv.Outgoing(&x, j)
 		t.Outgoing[j] = x.UnPack()
 	}
-	t.RaftVersion = rcv.Version()
+	t.RaftVersion = rcv.RaftVersion()
 }
 
 func (rcv *Snapshot) UnPack() *SnapshotT {
@@ -146,7 +146,7 @@
 	return rcv._tab.MutateUint64Slot(6, n)
 }
 
-func (rcv *Snapshot) Stamp() int64 {
+func (rcv *Snapshot) LogTimeNs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -154,11 +154,11 @@
 	return 0
 }
 
-func (rcv *Snapshot) MutateStamp(n int64) bool {
+func (rcv *Snapshot) MutateLogTimeNs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
-func (rcv *Snapshot) View() uint64 {
+func (rcv *Snapshot) ConfigurationIndex() uint64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetUint64(o + rcv._tab.Pos)
@@ -166,7 +166,7 @@
 	return 0
 }
 
-func (rcv *Snapshot) MutateView(n uint64) bool {
+func (rcv *Snapshot) MutateConfigurationIndex(n uint64) bool {
 	return rcv._tab.MutateUint64Slot(10, n)
 }
 
@@ -244,7 +244,7 @@
 	return 0
 }
 
-func (rcv *Snapshot) Version() uint32 {
+func (rcv *Snapshot) RaftVersion() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -252,7 +252,7 @@
 	return 0
 }
 
-func (rcv *Snapshot) MutateVersion(n uint32) bool {
+func (rcv *Snapshot) MutateRaftVersion(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(18, n)
 }
 
@@ -265,11 +265,11 @@
 func SnapshotAddTerm(builder *flatbuffers.Builder, term uint64) {
 	builder.PrependUint64Slot(1, term, 0)
 }
-func SnapshotAddStamp(builder *flatbuffers.Builder, stamp int64) {
-	builder.PrependInt64Slot(2, stamp, 0)
+func SnapshotAddLogTimeNs(builder *flatbuffers.Builder, logTimeNs int64) {
+	builder.PrependInt64Slot(2, logTimeNs, 0)
 }
-func SnapshotAddView(builder *flatbuffers.Builder, view uint64) {
-	builder.PrependUint64Slot(3, view, 0)
+func SnapshotAddConfigurationIndex(builder *flatbuffers.Builder, configurationIndex uint64) {
+	builder.PrependUint64Slot(3, configurationIndex, 0)
 }
 func SnapshotAddMembers(builder *flatbuffers.Builder, members flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(members), 0)
@@ -289,8 +289,8 @@
 func SnapshotStartOutgoingVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func SnapshotAddVersion(builder *flatbuffers.Builder, version uint32) {
-	builder.PrependUint32Slot(7, version, 0)
+func SnapshotAddRaftVersion(builder *flatbuffers.Builder, raftVersion uint32) {
+	builder.PrependUint32Slot(7, raftVersion, 0)
 }
 func SnapshotEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
--- a/internal/exchange/trunk/wire/State.go
+++ b/internal/mesh/transport/wire/State.go
@@ -7,11 +7,11 @@
 )
 
 type StateT struct {
-	Items   []*ItemT   `json:"items"`
-	KeyLeases []*KeyLeaseT `json:"tickets"`
-	Maintenance   []byte     `json:"night"`
-	ActivePolicy   []*ItemT   `json:"bound"`
-	Policy   []byte     `json:"rules"`
+	Items        []*ItemT     `json:"items"`
+	KeyLeases    []*KeyLeaseT `json:"key_leases"`
+	Maintenance  []byte       `json:"maintenance"`
+	ActivePolicy []*ItemT     `json:"active_policy"`
+	Policy       []byte       `json:"policy"`
 }
 
 func (t *StateT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
@@ -31,46 +31,46 @@
 		}
 		itemsOffset = builder.EndVector(itemsLength)
 	}
-	ticketsOffset := flatbuffers.UOffsetT(0)
+	keyLeasesOffset := flatbuffers.UOffsetT(0)
 	if t.KeyLeases != nil {
-		ticketsLength := len(t.KeyLeases)
-		ticketsOffsets := make([]flatbuffers.UOffsetT, ticketsLength)
-		for j := 0; j < ticketsLength; j++ {
-			ticketsOffsets[j] = t.KeyLeases[j].Pack(builder)
+		keyLeasesLength := len(t.KeyLeases)
+		keyLeasesOffsets := make([]flatbuffers.UOffsetT, keyLeasesLength)
+		for j := 0; j < keyLeasesLength; j++ {
+			keyLeasesOffsets[j] = t.KeyLeases[j].Pack(builder)
 		}
-		StateStartTicketsVector(builder, ticketsLength)
-		for j := ticketsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(ticketsOffsets[j])
+		StateStartKeyLeasesVector(builder, keyLeasesLength)
+		for j := keyLeasesLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(keyLeasesOffsets[j])
 		}
-		ticketsOffset = builder.EndVector(ticketsLength)
+		keyLeasesOffset = builder.EndVector(keyLeasesLength)
 	}
-	nightOffset := flatbuffers.UOffsetT(0)
+	maintenanceOffset := flatbuffers.UOffsetT(0)
 	if t.Maintenance != nil {
-		nightOffset = builder.CreateByteString(t.Maintenance)
+		maintenanceOffset = builder.CreateByteString(t.Maintenance)
 	}
-	boundOffset := flatbuffers.UOffsetT(0)
+	activePolicyOffset := flatbuffers.UOffsetT(0)
 	if t.ActivePolicy != nil {
-		boundLength := len(t.ActivePolicy)
-		boundOffsets := make([]flatbuffers.UOffsetT, boundLength)
-		for j := 0; j < boundLength; j++ {
-			boundOffsets[j] = t.ActivePolicy[j].Pack(builder)
+		activePolicyLength := len(t.ActivePolicy)
+		activePolicyOffsets := make([]flatbuffers.UOffsetT, activePolicyLength)
+		for j := 0; j < activePolicyLength; j++ {
+			activePolicyOffsets[j] = t.ActivePolicy[j].Pack(builder)
 		}
-		StateStartBoundVector(builder, boundLength)
-		for j := boundLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(boundOffsets[j])
+		StateStartActivePolicyVector(builder, activePolicyLength)
+		for j := activePolicyLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(activePolicyOffsets[j])
 		}
-		boundOffset = builder.EndVector(boundLength)
+		activePolicyOffset = builder.EndVector(activePolicyLength)
 	}
-	rulesOffset := flatbuffers.UOffsetT(0)
+	policyOffset := flatbuffers.UOffsetT(0)
 	if t.Policy != nil {
-		rulesOffset = builder.CreateByteString(t.Policy)
+		policyOffset = builder.CreateByteString(t.Policy)
 	}
 	StateStart(builder)
 	StateAddItems(builder, itemsOffset)
-	StateAddTickets(builder, ticketsOffset)
-	StateAddNight(builder, nightOffset)
-	StateAddBound(builder, boundOffset)
-	StateAddRules(builder, rulesOffset)
+	StateAddKeyLeases(builder, keyLeasesOffset)
+	StateAddMaintenance(builder, maintenanceOffset)
+	StateAddActivePolicy(builder, activePolicyOffset)
+	StateAddPolicy(builder, policyOffset)
 	return StateEnd(builder)
 }
 
@@ -82,22 +82,22 @@
 		rcv.Items(&x, j)
 		t.Items[j] = x.UnPack()
 	}
-	ticketsLength := rcv.TicketsLength()
-	t.KeyLeases = make([]*KeyLeaseT, ticketsLength)
-	for j := 0; j < ticketsLength; j++ {
+	keyLeasesLength := rcv.KeyLeasesLength()
+	t.KeyLeases = make([]*KeyLeaseT, keyLeasesLength)
+	for j := 0; j < keyLeasesLength; j++ {
 		x := KeyLease{}
-		rcv.Tickets(&x, j)
+		rcv.KeyLeases(&x, j)
 		t.KeyLeases[j] = x.UnPack()
 	}
-	t.Maintenance = rcv.NightBytes()
-	boundLength := rcv.BoundLength()
-	t.ActivePolicy = make([]*ItemT, boundLength)
-	for j := 0; j < boundLength; j++ {
+	t.Maintenance = rcv.MaintenanceBytes()
+	activePolicyLength := rcv.ActivePolicyLength()
+	t.ActivePolicy = make([]*ItemT, activePolicyLength)
+	for j := 0; j < activePolicyLength; j++ {
 		x := Item{}
-		rcv.Bound(&x, j)
+		rcv.ActivePolicy(&x, j)
 		t.ActivePolicy[j] = x.UnPack()
 	}
-	t.Policy = rcv.RulesBytes()
+	t.Policy = rcv.PolicyBytes()
 }
 
 func (rcv *State) UnPack() *StateT {
@@ -156,7 +156,7 @@
 	return 0
 }
 
-func (rcv *State) Tickets(obj *KeyLease, j int) bool {
+func (rcv *State) KeyLeases(obj *KeyLease, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -168,7 +168,7 @@
 	return false
 }
 
-func (rcv *State) TicketsLength() int {
+func (rcv *State) KeyLeasesLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -176,7 +176,7 @@
 	return 0
 }
 
-func (rcv *State) Night(j int) byte {
+func (rcv *State) Maintenance(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -185,7 +185,7 @@
 	return 0
 }
 
-func (rcv *State) NightLength() int {
+func (rcv *State) MaintenanceLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -193,7 +193,7 @@
 	return 0
 }
 
-func (rcv *State) NightBytes() []byte {
+func (rcv *State) MaintenanceBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -201,7 +201,7 @@
 	return nil
 }
 
-func (rcv *State) MutateNight(j int, n byte) bool {
+func (rcv *State) MutateMaintenance(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -210,7 +210,7 @@
 	return false
 }
 
-func (rcv *State) Bound(obj *Item, j int) bool {
+func (rcv *State) ActivePolicy(obj *Item, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -222,7 +222,7 @@
 	return false
 }
 
-func (rcv *State) BoundLength() int {
+func (rcv *State) ActivePolicyLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -230,7 +230,7 @@
 	return 0
 }
 
-func (rcv *State) Rules(j int) byte {
+func (rcv *State) Policy(j int) byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -239,7 +239,7 @@
 	return 0
 }
 
-func (rcv *State) RulesLength() int {
+func (rcv *State) PolicyLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -247,7 +247,7 @@
 	return 0
 }
 
-func (rcv *State) RulesBytes() []byte {
+func (rcv *State) PolicyBytes() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -255,7 +255,7 @@
 	return nil
 }
 
-func (rcv *State) MutateRules(j int, n byte) bool {
+func (rcv *State) MutatePolicy(j int, n byte) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		a := rcv._tab.Vector(o)
@@ -273,28 +273,28 @@
 func StateStartItemsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func StateAddTickets(builder *flatbuffers.Builder, tickets flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(tickets), 0)
+func StateAddKeyLeases(builder *flatbuffers.Builder, keyLeases flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(1, flatbuffers.UOffsetT(keyLeases), 0)
 }
-func StateStartTicketsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func StateStartKeyLeasesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func StateAddNight(builder *flatbuffers.Builder, night flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(night), 0)
+func StateAddMaintenance(builder *flatbuffers.Builder, maintenance flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(2, flatbuffers.UOffsetT(maintenance), 0)
 }
-func StateStartNightVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func StateStartMaintenanceVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func StateAddBound(builder *flatbuffers.Builder, bound flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(bound), 0)
+func StateAddActivePolicy(builder *flatbuffers.Builder, activePolicy flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(3, flatbuffers.UOffsetT(activePolicy), 0)
 }
-func StateStartBoundVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func StateStartActivePolicyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func StateAddRules(builder *flatbuffers.Builder, rules flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(rules), 0)
+func StateAddPolicy(builder *flatbuffers.Builder, policy flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(policy), 0)
 }
-func StateStartRulesVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func StateStartPolicyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
 func StateEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
--- a/internal/exchange/trunk/wire/Kept.go
+++ b/internal/mesh/transport/wire/StoredResponse.go
@@ -7,65 +7,65 @@
 )
 
 type StoredResponseT struct {
-	Found   bool      `json:"found"`
-	Running bool      `json:"running"`
-	OutcomeUnknown bool      `json:"unknown"`
-	Status  uint16    `json:"status"`
-	HeaderFields  []*HeaderFieldT `json:"fields"`
-	Body    []byte    `json:"body"`
-	Key     string    `json:"key"`
-	TtlUs    int64     `json:"left"`
+	Found          bool            `json:"found"`
+	Running        bool            `json:"running"`
+	OutcomeUnknown bool            `json:"outcome_unknown"`
+	Status         uint16          `json:"status"`
+	HeaderFields   []*HeaderFieldT `json:"header_fields"`
+	Body           []byte          `json:"body"`
+	Key            string          `json:"key"`
+	TtlUs          int64           `json:"ttl_us"`
 }
 
 func (t *StoredResponseT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	fieldsOffset := flatbuffers.UOffsetT(0)
+	headerFieldsOffset := flatbuffers.UOffsetT(0)
 	if t.HeaderFields != nil {
-		fieldsLength := len(t.HeaderFields)
-		fieldsOffsets := make([]flatbuffers.UOffsetT, fieldsLength)
-		for j := 0; j < fieldsLength; j++ {
-			fieldsOffsets[j] = t.HeaderFields[j].Pack(builder)
+		headerFieldsLength := len(t.HeaderFields)
+		headerFieldsOffsets := make([]flatbuffers.UOffsetT, headerFieldsLength)
+		for j := 0; j < headerFieldsLength; j++ {
+			headerFieldsOffsets[j] = t.HeaderFields[j].Pack(builder)
 		}
-		KeptStartFieldsVector(builder, fieldsLength)
-		for j := fieldsLength - 1; j >= 0; j-- {
-			builder.PrependUOffsetT(fieldsOffsets[j])
+		StoredResponseStartHeaderFieldsVector(builder, headerFieldsLength)
+		for j := headerFieldsLength - 1; j >= 0; j-- {
+			builder.PrependUOffsetT(headerFieldsOffsets[j])
 		}
-		fieldsOffset = builder.EndVector(fieldsLength)
+		headerFieldsOffset = builder.EndVector(headerFieldsLength)
 	}
 	bodyOffset := flatbuffers.UOffsetT(0)
 	if t.Body != nil {
 		bodyOffset = builder.CreateByteString(t.Body)
 	}
 	keyOffset := builder.CreateString(t.Key)
-	KeptStart(builder)
-	KeptAddFound(builder, t.Found)
-	KeptAddRunning(builder, t.Running)
-	KeptAddUnknown(builder, t.OutcomeUnknown)
-	KeptAddStatus(builder, t.Status)
-	KeptAddFields(builder, fieldsOffset)
-	KeptAddBody(builder, bodyOffset)
-	KeptAddKey(builder, keyOffset)
-	KeptAddLeft(builder, t.TtlUs)
-	return KeptEnd(builder)
+	StoredResponseStart(builder)
+	StoredResponseAddFound(builder, t.Found)
+	StoredResponseAddRunning(builder, t.Running)
+	StoredResponseAddOutcomeUnknown(builder, t.OutcomeUnknown)
+	StoredResponseAddStatus(builder, t.Status)
+	StoredResponseAddHeaderFields(builder, headerFieldsOffset)
+	StoredResponseAddBody(builder, bodyOffset)
+	StoredResponseAddKey(builder, keyOffset)
+	StoredResponseAddTtlUs(builder, t.TtlUs)
+	return StoredResponseEnd(builder)
 }
 
 func (rcv *StoredResponse) UnPackTo(t *StoredResponseT) {
 	t.Found = rcv.Found()
 	t.Running = rcv.Running()
-	t.OutcomeUnknown = rcv.Unknown()
+	t.OutcomeUnknown = rcv.OutcomeUnknown()
 	t.Status = rcv.Status()
-	fieldsLength := rcv.FieldsLength()
-	t.HeaderFields = make([]*HeaderFieldT, fieldsLength)
-	for j := 0; j < fieldsLength; j++ {
+	headerFieldsLength := rcv.HeaderFieldsLength()
+	t.HeaderFields = make([]*HeaderFieldT, headerFieldsLength)
+	for j := 0; j < headerFieldsLength; j++ {
 		x := HeaderField{}
-		rcv.Fields(&x, j)
+		rcv.HeaderFields(&x, j)
 		t.HeaderFields[j] = x.UnPack()
 	}
 	t.Body = rcv.BodyBytes()
 	t.Key = string(rcv.Key())
-	t.TtlUs = rcv.Left()
+	t.TtlUs = rcv.TtlUs()
 }
 
 func (rcv *StoredResponse) UnPack() *StoredResponseT {
@@ -88,7 +88,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsKept(buf []byte, offset flatbuffers.UOffsetT) *StoredResponse {
+func GetSizePrefixedRootAsStoredResponse(buf []byte, offset flatbuffers.UOffsetT) *StoredResponse {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &StoredResponse{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -128,7 +128,7 @@
 	return rcv._tab.MutateBoolSlot(6, n)
 }
 
-func (rcv *StoredResponse) Unknown() bool {
+func (rcv *StoredResponse) OutcomeUnknown() bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(8))
 	if o != 0 {
 		return rcv._tab.GetBool(o + rcv._tab.Pos)
@@ -136,7 +136,7 @@
 	return false
 }
 
-func (rcv *StoredResponse) MutateUnknown(n bool) bool {
+func (rcv *StoredResponse) MutateOutcomeUnknown(n bool) bool {
 	return rcv._tab.MutateBoolSlot(8, n)
 }
 
@@ -152,7 +152,7 @@
 	return rcv._tab.MutateUint16Slot(10, n)
 }
 
-func (rcv *StoredResponse) Fields(obj *HeaderField, j int) bool {
+func (rcv *StoredResponse) HeaderFields(obj *HeaderField, j int) bool {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		x := rcv._tab.Vector(o)
@@ -164,7 +164,7 @@
 	return false
 }
 
-func (rcv *StoredResponse) FieldsLength() int {
+func (rcv *StoredResponse) HeaderFieldsLength() int {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(12))
 	if o != 0 {
 		return rcv._tab.VectorLen(o)
@@ -214,7 +214,7 @@
 	return nil
 }
 
-func (rcv *StoredResponse) Left() int64 {
+func (rcv *StoredResponse) TtlUs() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(18))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -222,43 +222,43 @@
 	return 0
 }
 
-func (rcv *StoredResponse) MutateLeft(n int64) bool {
+func (rcv *StoredResponse) MutateTtlUs(n int64) bool {
 	return rcv._tab.MutateInt64Slot(18, n)
 }
 
-func KeptStart(builder *flatbuffers.Builder) {
+func StoredResponseStart(builder *flatbuffers.Builder) {
 	builder.StartObject(8)
 }
-func KeptAddFound(builder *flatbuffers.Builder, found bool) {
+func StoredResponseAddFound(builder *flatbuffers.Builder, found bool) {
 	builder.PrependBoolSlot(0, found, false)
 }
-func KeptAddRunning(builder *flatbuffers.Builder, running bool) {
+func StoredResponseAddRunning(builder *flatbuffers.Builder, running bool) {
 	builder.PrependBoolSlot(1, running, false)
 }
-func KeptAddUnknown(builder *flatbuffers.Builder, unknown bool) {
-	builder.PrependBoolSlot(2, unknown, false)
+func StoredResponseAddOutcomeUnknown(builder *flatbuffers.Builder, outcomeUnknown bool) {
+	builder.PrependBoolSlot(2, outcomeUnknown, false)
 }
-func KeptAddStatus(builder *flatbuffers.Builder, status uint16) {
+func StoredResponseAddStatus(builder *flatbuffers.Builder, status uint16) {
 	builder.PrependUint16Slot(3, status, 0)
 }
-func KeptAddFields(builder *flatbuffers.Builder, fields flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(fields), 0)
+func StoredResponseAddHeaderFields(builder *flatbuffers.Builder, headerFields flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(4, flatbuffers.UOffsetT(headerFields), 0)
 }
-func KeptStartFieldsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func StoredResponseStartHeaderFieldsVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(4, numElems, 4)
 }
-func KeptAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
+func StoredResponseAddBody(builder *flatbuffers.Builder, body flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(5, flatbuffers.UOffsetT(body), 0)
 }
-func KeptStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
+func StoredResponseStartBodyVector(builder *flatbuffers.Builder, numElems int) flatbuffers.UOffsetT {
 	return builder.StartVector(1, numElems, 1)
 }
-func KeptAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
+func StoredResponseAddKey(builder *flatbuffers.Builder, key flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(6, flatbuffers.UOffsetT(key), 0)
 }
-func KeptAddLeft(builder *flatbuffers.Builder, left int64) {
-	builder.PrependInt64Slot(7, left, 0)
+func StoredResponseAddTtlUs(builder *flatbuffers.Builder, ttlUs int64) {
+	builder.PrependInt64Slot(7, ttlUs, 0)
 }
-func KeptEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func StoredResponseEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Said.go
+++ b/internal/mesh/transport/wire/TrafficCounter.go
@@ -7,25 +7,25 @@
 )
 
 type TrafficCounterT struct {
-	MessageType string `json:"purpose"`
-	Frames  int64  `json:"frames"`
-	Bytes   int64  `json:"bytes"`
+	MessageType string `json:"message_type"`
+	Frames      int64  `json:"frames"`
+	Bytes       int64  `json:"bytes"`
 }
 
 func (t *TrafficCounterT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	purposeOffset := builder.CreateString(t.MessageType)
-	SaidStart(builder)
-	SaidAddPurpose(builder, purposeOffset)
-	SaidAddFrames(builder, t.Frames)
-	SaidAddBytes(builder, t.Bytes)
-	return SaidEnd(builder)
+	messageTypeOffset := builder.CreateString(t.MessageType)
+	TrafficCounterStart(builder)
+	TrafficCounterAddMessageType(builder, messageTypeOffset)
+	TrafficCounterAddFrames(builder, t.Frames)
+	TrafficCounterAddBytes(builder, t.Bytes)
+	return TrafficCounterEnd(builder)
 }
 
 func (rcv *TrafficCounter) UnPackTo(t *TrafficCounterT) {
-	t.MessageType = string(rcv.Purpose())
+	t.MessageType = string(rcv.MessageType())
 	t.Frames = rcv.Frames()
 	t.Bytes = rcv.Bytes()
 }
@@ -50,7 +50,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsSaid(buf []byte, offset flatbuffers.UOffsetT) *TrafficCounter {
+func GetSizePrefixedRootAsTrafficCounter(buf []byte, offset flatbuffers.UOffsetT) *TrafficCounter {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &TrafficCounter{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -66,7 +66,7 @@
 	return rcv._tab
 }
 
-func (rcv *TrafficCounter) Purpose() []byte {
+func (rcv *TrafficCounter) MessageType() []byte {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(4))
 	if o != 0 {
 		return rcv._tab.ByteVector(o + rcv._tab.Pos)
@@ -98,18 +98,18 @@
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
-func SaidStart(builder *flatbuffers.Builder) {
+func TrafficCounterStart(builder *flatbuffers.Builder) {
 	builder.StartObject(3)
 }
-func SaidAddPurpose(builder *flatbuffers.Builder, purpose flatbuffers.UOffsetT) {
-	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(purpose), 0)
+func TrafficCounterAddMessageType(builder *flatbuffers.Builder, messageType flatbuffers.UOffsetT) {
+	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(messageType), 0)
 }
-func SaidAddFrames(builder *flatbuffers.Builder, frames int64) {
+func TrafficCounterAddFrames(builder *flatbuffers.Builder, frames int64) {
 	builder.PrependInt64Slot(1, frames, 0)
 }
-func SaidAddBytes(builder *flatbuffers.Builder, bytes int64) {
+func TrafficCounterAddBytes(builder *flatbuffers.Builder, bytes int64) {
 	builder.PrependInt64Slot(2, bytes, 0)
 }
-func SaidEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func TrafficCounterEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Credit.go
+++ b/internal/mesh/transport/wire/WindowUpdate.go
@@ -7,23 +7,23 @@
 )
 
 type WindowUpdateT struct {
-	Id    uint64 `json:"id"`
-	Increment uint32 `json:"bytes"`
+	Id        uint64 `json:"id"`
+	Increment uint32 `json:"increment"`
 }
 
 func (t *WindowUpdateT) Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	if t == nil {
 		return 0
 	}
-	CreditStart(builder)
-	CreditAddId(builder, t.Id)
-	CreditAddBytes(builder, t.Increment)
-	return CreditEnd(builder)
+	WindowUpdateStart(builder)
+	WindowUpdateAddId(builder, t.Id)
+	WindowUpdateAddIncrement(builder, t.Increment)
+	return WindowUpdateEnd(builder)
 }
 
 func (rcv *WindowUpdate) UnPackTo(t *WindowUpdateT) {
 	t.Id = rcv.Id()
-	t.Increment = rcv.Bytes()
+	t.Increment = rcv.Increment()
 }
 
 func (rcv *WindowUpdate) UnPack() *WindowUpdateT {
@@ -46,7 +46,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsCredit(buf []byte, offset flatbuffers.UOffsetT) *WindowUpdate {
+func GetSizePrefixedRootAsWindowUpdate(buf []byte, offset flatbuffers.UOffsetT) *WindowUpdate {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &WindowUpdate{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -74,7 +74,7 @@
 	return rcv._tab.MutateUint64Slot(4, n)
 }
 
-func (rcv *WindowUpdate) Bytes() uint32 {
+func (rcv *WindowUpdate) Increment() uint32 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(6))
 	if o != 0 {
 		return rcv._tab.GetUint32(o + rcv._tab.Pos)
@@ -82,19 +82,19 @@
 	return 0
 }
 
-func (rcv *WindowUpdate) MutateBytes(n uint32) bool {
+func (rcv *WindowUpdate) MutateIncrement(n uint32) bool {
 	return rcv._tab.MutateUint32Slot(6, n)
 }
 
-func CreditStart(builder *flatbuffers.Builder) {
+func WindowUpdateStart(builder *flatbuffers.Builder) {
 	builder.StartObject(2)
 }
-func CreditAddId(builder *flatbuffers.Builder, id uint64) {
+func WindowUpdateAddId(builder *flatbuffers.Builder, id uint64) {
 	builder.PrependUint64Slot(0, id, 0)
 }
-func CreditAddBytes(builder *flatbuffers.Builder, bytes uint32) {
-	builder.PrependUint32Slot(1, bytes, 0)
+func WindowUpdateAddIncrement(builder *flatbuffers.Builder, increment uint32) {
+	builder.PrependUint32Slot(1, increment, 0)
 }
-func CreditEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func WindowUpdateEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/trunk/wire/Work.go
+++ b/internal/mesh/transport/wire/WorkCounter.go
@@ -10,7 +10,7 @@
 	Kind     string `json:"kind"`
 	Open     int64  `json:"open"`
 	Answered int64  `json:"answered"`
-	Rejected  int64  `json:"refused"`
+	Rejected int64  `json:"rejected"`
 	Broken   int64  `json:"broken"`
 }
 
@@ -19,20 +19,20 @@
 		return 0
 	}
 	kindOffset := builder.CreateString(t.Kind)
-	WorkStart(builder)
-	WorkAddKind(builder, kindOffset)
-	WorkAddOpen(builder, t.Open)
-	WorkAddAnswered(builder, t.Answered)
-	WorkAddRefused(builder, t.Rejected)
-	WorkAddBroken(builder, t.Broken)
-	return WorkEnd(builder)
+	WorkCounterStart(builder)
+	WorkCounterAddKind(builder, kindOffset)
+	WorkCounterAddOpen(builder, t.Open)
+	WorkCounterAddAnswered(builder, t.Answered)
+	WorkCounterAddRejected(builder, t.Rejected)
+	WorkCounterAddBroken(builder, t.Broken)
+	return WorkCounterEnd(builder)
 }
 
 func (rcv *WorkCounter) UnPackTo(t *WorkCounterT) {
 	t.Kind = string(rcv.Kind())
 	t.Open = rcv.Open()
 	t.Answered = rcv.Answered()
-	t.Rejected = rcv.Refused()
+	t.Rejected = rcv.Rejected()
 	t.Broken = rcv.Broken()
 }
 
@@ -56,7 +56,7 @@
 	return x
 }
 
-func GetSizePrefixedRootAsWork(buf []byte, offset flatbuffers.UOffsetT) *WorkCounter {
+func GetSizePrefixedRootAsWorkCounter(buf []byte, offset flatbuffers.UOffsetT) *WorkCounter {
 	n := flatbuffers.GetUOffsetT(buf[offset+flatbuffers.SizeUint32:])
 	x := &WorkCounter{}
 	x.Init(buf, n+offset+flatbuffers.SizeUint32)
@@ -104,7 +104,7 @@
 	return rcv._tab.MutateInt64Slot(8, n)
 }
 
-func (rcv *WorkCounter) Refused() int64 {
+func (rcv *WorkCounter) Rejected() int64 {
 	o := flatbuffers.UOffsetT(rcv._tab.Offset(10))
 	if o != 0 {
 		return rcv._tab.GetInt64(o + rcv._tab.Pos)
@@ -112,7 +112,7 @@
 	return 0
 }
 
-func (rcv *WorkCounter) MutateRefused(n int64) bool {
+func (rcv *WorkCounter) MutateRejected(n int64) bool {
 	return rcv._tab.MutateInt64Slot(10, n)
 }
 
@@ -128,24 +128,24 @@
 	return rcv._tab.MutateInt64Slot(12, n)
 }
 
-func WorkStart(builder *flatbuffers.Builder) {
+func WorkCounterStart(builder *flatbuffers.Builder) {
 	builder.StartObject(5)
 }
-func WorkAddKind(builder *flatbuffers.Builder, kind flatbuffers.UOffsetT) {
+func WorkCounterAddKind(builder *flatbuffers.Builder, kind flatbuffers.UOffsetT) {
 	builder.PrependUOffsetTSlot(0, flatbuffers.UOffsetT(kind), 0)
 }
-func WorkAddOpen(builder *flatbuffers.Builder, open int64) {
+func WorkCounterAddOpen(builder *flatbuffers.Builder, open int64) {
 	builder.PrependInt64Slot(1, open, 0)
 }
-func WorkAddAnswered(builder *flatbuffers.Builder, answered int64) {
+func WorkCounterAddAnswered(builder *flatbuffers.Builder, answered int64) {
 	builder.PrependInt64Slot(2, answered, 0)
 }
-func WorkAddRefused(builder *flatbuffers.Builder, refused int64) {
-	builder.PrependInt64Slot(3, refused, 0)
+func WorkCounterAddRejected(builder *flatbuffers.Builder, rejected int64) {
+	builder.PrependInt64Slot(3, rejected, 0)
 }
-func WorkAddBroken(builder *flatbuffers.Builder, broken int64) {
+func WorkCounterAddBroken(builder *flatbuffers.Builder, broken int64) {
 	builder.PrependInt64Slot(4, broken, 0)
 }
-func WorkEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
+func WorkCounterEnd(builder *flatbuffers.Builder) flatbuffers.UOffsetT {
 	return builder.EndObject()
 }
--- a/internal/exchange/jack/jack.go
+++ b/internal/mesh/validation/jack.go
@@ -1,5 +1,5 @@
 // Package jack checks what comes in by its struct tags, and names fields as whoever wrote them does. It is pure.
-package jack
+package validation
 
 import (
 	"bytes"
--- a/internal/exchange/jack/jack_test.go
+++ b/internal/mesh/validation/jack_test.go
@@ -1,4 +1,4 @@
-package jack
+package validation
 
 import (
 	"testing"
--- a/internal/node/bench_h2_test.go
+++ b/internal/node/bench_h2_test.go
@@ -17,7 +17,7 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // BenchmarkProtocols is requests through the same node by HTTP/1.1 and by HTTP/2 from its callers, to servers of the
@@ -123,7 +123,7 @@
 	plan.Totals.Calls, plan.Totals.Held, plan.Totals.Callers = 20_000, 20_000, 5000
 	plan.Totals.Fresh.Max = 5000
 	// A module that says nothing: what a stream holds is the front's and the engine's.
-	n, err := newNode(plan, Options{H2: newH2Sender}, moduleFunc(func(hollyspur.Event) []hollyspur.Action { return nil }))
+	n, err := newNode(plan, Options{H2: newH2Sender}, moduleFunc(func(balancer.Event) []balancer.Action { return nil }))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/message"
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/message"
+	"cranegrade/internal/testkit"
 )
 
 func dial(t *testing.T, addr string) net.Conn {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/source/registry"
-	"hollyspur/internal/wire"
+	"cranegrade/balancer"
+	"cranegrade/internal/source/registry"
+	"cranegrade/internal/wire"
 )
 
 // Config is what the platform tells a node at its start.
@@ -23,7 +23,7 @@
 	MemoryMB  float64       // 0: not told
 	Sockets   int           // file descriptors that the process may hold
 	Known     registry.List // the servers as this node last had them
-	Settings  hollyspur.Settings
+	Settings  balancer.Settings
 	Conns     wire.Connections
 	Operator  string // host:port where operators call; "": nowhere
 	State     string // directory for what a successor of this process is to find; "": none
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -21,7 +21,7 @@
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.Known.Rev != 41 ||
 		len(c.Known.Targets) != 1 || c.Conns.Idle != 30*time.Second || c.Conns.ConnectWithin != 200*time.Millisecond ||
-		!c.Settings.AskDiscovery || c.Settings.Classes[0].Effect != hollyspur.Safe {
+		!c.Settings.AskDiscovery || c.Settings.Classes[0].Effect != balancer.Safe {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -9,32 +9,32 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/testkit"
 )
 
 // TestWatch follows a node through what a watch can bring.
 func TestWatch(t *testing.T) {
 	t.Parallel()
 	addr, lines, asked := testkit.RegistryStub(t)
-	events := make(chan hollyspur.Event, 10)
+	events := make(chan balancer.Event, 10)
 	startNode(t, testConfig(addr, listed("old", "127.0.0.1:1")),
-		moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+		moduleFunc(func(e balancer.Event) []balancer.Action {
 			events <- e
 			switch e := e.(type) {
-			case hollyspur.ServerList:
+			case balancer.ServerList:
 				if e.Cached {
-					return []hollyspur.Action{hollyspur.Subscribe{}}
+					return []balancer.Action{balancer.Subscribe{}}
 				}
-			case hollyspur.ListFailed:
-				return []hollyspur.Action{hollyspur.Subscribe{}}
+			case balancer.ListFailed:
+				return []balancer.Action{balancer.Subscribe{}}
 			}
 			return nil
 		}))
 	list := func(full, cached bool, ids ...string) {
 		t.Helper()
-		l, is := testkit.Wait(t, events).(hollyspur.ServerList)
+		l, is := testkit.Wait(t, events).(balancer.ServerList)
 		if !is || l.Full != full || l.Cached != cached || len(l.Servers) != len(ids) {
 			t.Fatalf("event %+v", l)
 		}
@@ -46,7 +46,7 @@
 	}
 	failed := func(garbled bool) {
 		t.Helper()
-		if e, is := testkit.Wait(t, events).(hollyspur.ListFailed); !is || e.Garbled != garbled {
+		if e, is := testkit.Wait(t, events).(balancer.ListFailed); !is || e.Garbled != garbled {
 			t.Fatalf("event %+v, want ListFailed, garbled: %v", e, garbled)
 		}
 	}
@@ -124,12 +124,12 @@
 	}))
 	t.Cleanup(s.CloseClientConnections)
 
-	events := make(chan hollyspur.Event, 10)
+	events := make(chan balancer.Event, 10)
 	cfg := testConfig(oldAddr, listed("old", "127.0.0.1:1"))
-	n := startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+	n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
 		events <- e
-		if l, is := e.(hollyspur.ServerList); is && l.Cached {
-			return []hollyspur.Action{hollyspur.Subscribe{}}
+		if l, is := e.(balancer.ServerList); is && l.Cached {
+			return []balancer.Action{balancer.Subscribe{}}
 		}
 		return nil
 	}))
@@ -152,7 +152,7 @@
 	if q := testkit.Wait(t, asked); q != "follow=1&since=3" {
 		t.Errorf("watches with %q", q)
 	}
-	l, is := testkit.Wait(t, events).(hollyspur.ServerList)
+	l, is := testkit.Wait(t, events).(balancer.ServerList)
 	if !is || !l.Full || len(l.Servers) != 1 || l.Servers[0].ID != "new" {
 		t.Errorf("event %+v", l)
 	}
@@ -183,21 +183,21 @@
 	cfg.Settings.AskDiscovery, cfg.Settings.AskWithin, cfg.Settings.Balancers = true, 400*time.Millisecond, 1
 	var mu sync.Mutex
 	var longest time.Duration
-	b, err := hollyspur.New(cfg.Settings, 5)
+	b, err := balancer.New(cfg.Settings, 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	clock := engine.NewClock()
-	startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+	startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
 		mu.Lock()
 		defer mu.Unlock()
-		if l, is := e.(hollyspur.ServerList); is && !l.Cached {
+		if l, is := e.(balancer.ServerList); is && !l.Cached {
 			t.Errorf("told %+v", l)
 		}
 		now := clock.Now()
 		acts := b.Handle(now, e)
 		for _, a := range acts {
-			if w, is := a.(hollyspur.Wake); is && w.Token == "list" {
+			if w, is := a.(balancer.Wake); is && w.Token == "list" {
 				longest = max(longest, w.At-now)
 			}
 		}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -10,16 +10,16 @@
 	"net/http"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/operator"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/operator"
 )
 
 // Member is this node among the others of its fleet. It is an interface so that a program can be built without what
 // it links.
 type Member interface {
 	// Module stands between a pool's engine and its module, and tells that what changes among the nodes.
-	Module(pool string, s hollyspur.Settings, in engine.Module) engine.Module
+	Module(pool string, s balancer.Settings, in engine.Module) engine.Module
 	// Serve tells the others which pools this node has, each with a digest of its settings.
 	Serve(pools map[string]uint32)
 	WriteStatus(w io.Writer) error
--- a/internal/node/grpc_test.go
+++ b/internal/node/grpc_test.go
@@ -23,10 +23,10 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	grpcfront "hollyspur/internal/front/grpc"
-	front "hollyspur/internal/front/http1"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/testkit"
+	grpcfront "cranegrade/internal/front/grpc"
+	front "cranegrade/internal/front/http1"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/testkit"
 )
 
 // raw passes messages as they are.
--- a/internal/node/h2_attacks_test.go
+++ b/internal/node/h2_attacks_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 // attacker is a caller that writes frames by itself.
--- a/internal/node/h2_test.go
+++ b/internal/node/h2_test.go
@@ -16,11 +16,11 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/sender/h2"
-	"hollyspur/internal/testkit"
-	"hollyspur/internal/wire"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/sender/h2"
+	"cranegrade/internal/testkit"
+	"cranegrade/internal/wire"
 )
 
 func newH2Sender(c wire.Connections, m operator.Mux, connections engine.Room) engine.Sender {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -12,10 +12,10 @@
 
 	"golang.org/x/sys/unix"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/handover"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/orders"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/handover"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/orders"
 )
 
 // relay is a node's side of its other processes: the one that it takes over from, and those that take over from it.
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"testing"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 // process is a node that a test ends itself.
--- a/internal/node/layout_test.go
+++ b/internal/node/layout_test.go
@@ -9,14 +9,14 @@
 // TestLayout holds the imports of the packages against docs/ARCHITECTURE.md: what decides does no I/O,
 // and fronts, senders and sources do not know each other.
 func TestLayout(t *testing.T) {
-	const module = "hollyspur"
+	const module = "cranegrade"
 	out, err := exec.Command("go", "list", "-f", `{{.ImportPath}} {{join .Imports ","}} {{join .Deps ","}}`, module+"/...").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
 	const front, sender, source = module + "/internal/front/", module + "/internal/sender/", module + "/internal/source/"
 	forbidden := map[string][]string{
-		module:                                {"net", "os", "log", module + "/internal/"},
+		module + "/balancer":                  {"net", "os", "log", module + "/internal/"},
 		module + "/internal/engine":           {"net/http", "net", module + "/internal/"},
 		module + "/internal/route":            {"net", "os", "log", module + "/internal/"},
 		module + "/internal/pool":             {"net/http", front, sender, source, module + "/internal/node"},
--- a/internal/node/long_test.go
+++ b/internal/node/long_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 // pattern is a body whose every byte tells where it stands.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,16 +15,16 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	front "hollyspur/internal/front/http1"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/opsport"
-	"hollyspur/internal/pool"
-	"hollyspur/internal/route"
-	sender "hollyspur/internal/sender/http1"
-	"hollyspur/internal/wire"
-	"hollyspur/internal/zone"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	front "cranegrade/internal/front/http1"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/opsport"
+	"cranegrade/internal/pool"
+	"cranegrade/internal/route"
+	sender "cranegrade/internal/sender/http1"
+	"cranegrade/internal/wire"
+	"cranegrade/internal/zone"
 )
 
 // Node is one process's worth of fronts and pools.
@@ -92,7 +92,7 @@
 	// Fleet joins the fleet that a file names; nil: this program is built without.
 	Fleet func(name string, f operator.Fleet, pools map[string]uint32) (Member, error)
 	// Trace stands between a pool's engine and its module and writes down what passes; nil: none does.
-	Trace func(pool string, classes []hollyspur.Class, m engine.Module) (engine.Module, error)
+	Trace func(pool string, classes []balancer.Class, m engine.Module) (engine.Module, error)
 }
 
 // Front serves callers on a listener.
@@ -233,7 +233,7 @@
 	}
 	var zoned *zone.Module
 	if m == nil && (n.options.Trace != nil || pp.Zoned || n.fleet != nil) {
-		in, err := hollyspur.New(pp.Settings, seed(pp))
+		in, err := balancer.New(pp.Settings, seed(pp))
 		if err != nil {
 			return nil, fmt.Errorf("pool %q: %w", pp.Name, err)
 		}
@@ -261,7 +261,7 @@
 	default:
 		to = n.options.H2(pp.Conns, pp.Mux, shares.Connections)
 	}
-	var learned *hollyspur.Knowledge
+	var learned *balancer.Knowledge
 	if was := n.relay.pool(pp.Name); was != nil {
 		learned = was.Knowledge
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -15,26 +15,26 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
-	"hollyspur/internal/source/registry"
-	"hollyspur/internal/testkit"
-	"hollyspur/internal/wire"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+	"cranegrade/internal/source/registry"
+	"cranegrade/internal/testkit"
+	"cranegrade/internal/wire"
 )
 
 const limit = testkit.Limit
 
 func testConfig(discovery string, targets ...registry.Target) Config {
-	class := func(name string, e hollyspur.Effect) hollyspur.Class {
-		return hollyspur.Class{Name: name, Effect: e, Scope: hollyspur.ScopeAll, Window: 10 * time.Second,
+	class := func(name string, e balancer.Effect) balancer.Class {
+		return balancer.Class{Name: name, Effect: e, Scope: balancer.ScopeAll, Window: 10 * time.Second,
 			Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1}
 	}
 	return Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, Sockets: 256,
 		Known: registry.List{Rev: 7, All: true, Targets: targets},
-		Settings: hollyspur.Settings{
-			Classes: []hollyspur.Class{class("read", hollyspur.Safe), class("send", hollyspur.Keyed),
-				class("order", hollyspur.Unsafe)},
+		Settings: balancer.Settings{
+			Classes: []balancer.Class{class("read", balancer.Safe), class("send", balancer.Keyed),
+				class("order", balancer.Unsafe)},
 			Balancers: 1, MaxAttempts: 6, MayCancel: true, AskDiscovery: true,
 			AskWithin: 160 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second},
 		Conns: wire.Connections{Idle: time.Minute, ConnectWithin: limit}}
@@ -68,9 +68,9 @@
 func (n *Node) only() *engine.Engine { return n.serving.Load().only.Engine() }
 
 // moduleFunc is a module of a test's own.
-type moduleFunc func(e hollyspur.Event) []hollyspur.Action
+type moduleFunc func(e balancer.Event) []balancer.Action
 
-func (f moduleFunc) Handle(_ time.Duration, e hollyspur.Event) []hollyspur.Action { return f(e) }
+func (f moduleFunc) Handle(_ time.Duration, e balancer.Event) []balancer.Action { return f(e) }
 
 const ok = testkit.OK
 
@@ -223,13 +223,13 @@
 // A refusal is 503 with the advice in decimal seconds, a failure 502.
 func TestFinalAnswers(t *testing.T) {
 	t.Parallel()
-	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-		switch r, _ := e.(hollyspur.Request); r.Class {
+	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e balancer.Event) []balancer.Action {
+		switch r, _ := e.(balancer.Request); r.Class {
 		case "read":
-			return []hollyspur.Action{hollyspur.Refuse{ID: r.ID, RetryAfter: 250 * time.Millisecond},
-				hollyspur.Fail{ID: r.ID}} // the second is ignored
+			return []balancer.Action{balancer.Refuse{ID: r.ID, RetryAfter: 250 * time.Millisecond},
+				balancer.Fail{ID: r.ID}} // the second is ignored
 		case "order":
-			return []hollyspur.Action{hollyspur.Fail{ID: r.ID}}
+			return []balancer.Action{balancer.Fail{ID: r.ID}}
 		}
 		return nil
 	}))
@@ -245,9 +245,9 @@
 // Whatever the module forgets, the caller has an answer before its time is out.
 func TestSilentModule(t *testing.T) {
 	t.Parallel()
-	gone := make(chan hollyspur.ClientGone, 1)
-	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-		if e, is := e.(hollyspur.ClientGone); is {
+	gone := make(chan balancer.ClientGone, 1)
+	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e balancer.Event) []balancer.Action {
+		if e, is := e.(balancer.ClientGone); is {
 			gone <- e
 		}
 		return nil
@@ -326,24 +326,24 @@
 	addr, got := testkit.Stub(t, ok, false)
 	cfg := testConfig("127.0.0.1:1", listed("s", addr))
 	cfg.Settings.MaxAttempts = 2
-	outcomes := make(chan hollyspur.Outcome, 10)
-	n := startNode(t, cfg, moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+	outcomes := make(chan balancer.Outcome, 10)
+	n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch e := e.(type) {
-		case hollyspur.Request:
-			send := func(to string) hollyspur.Action { return hollyspur.Send{ID: e.ID, Server: to} }
+		case balancer.Request:
+			send := func(to string) balancer.Action { return balancer.Send{ID: e.ID, Server: to} }
 			if e.Class == "read" {
-				return []hollyspur.Action{send("nowhere"), send("nowhere"), send("s"), hollyspur.Fail{ID: e.ID}}
+				return []balancer.Action{send("nowhere"), send("nowhere"), send("s"), balancer.Fail{ID: e.ID}}
 			}
-			return []hollyspur.Action{hollyspur.Cancel{ID: e.ID, Attempt: 3}, send("nowhere"),
-				hollyspur.Fail{ID: e.ID}, send("s")}
-		case hollyspur.Outcome:
+			return []balancer.Action{balancer.Cancel{ID: e.ID, Attempt: 3}, send("nowhere"),
+				balancer.Fail{ID: e.ID}, send("s")}
+		case balancer.Outcome:
 			outcomes <- e
 		}
 		return nil
 	}))
 	do(t, newRequest(t, n, "GET", "/read/1", ""))
 	for i := range 3 {
-		if o := testkit.Wait(t, outcomes); o.Ending != hollyspur.Void || o.Attempt != i {
+		if o := testkit.Wait(t, outcomes); o.Ending != balancer.Void || o.Attempt != i {
 			t.Errorf("outcome %+v", o)
 		}
 	}
@@ -364,13 +364,13 @@
 		}
 	})
 	fast, _ := testkit.Stub(t, ok, false)
-	outcomes := make(chan hollyspur.Outcome, 10)
+	outcomes := make(chan balancer.Outcome, 10)
 	n := startNode(t, testConfig("127.0.0.1:1", listed("slow", slow), listed("fast", fast)),
-		moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
+		moduleFunc(func(e balancer.Event) []balancer.Action {
 			switch e := e.(type) {
-			case hollyspur.Request:
-				return []hollyspur.Action{hollyspur.Send{ID: e.ID, Server: "slow"}, hollyspur.Send{ID: e.ID, Server: "fast"}}
-			case hollyspur.Outcome:
+			case balancer.Request:
+				return []balancer.Action{balancer.Send{ID: e.ID, Server: "slow"}, balancer.Send{ID: e.ID, Server: "fast"}}
+			case balancer.Outcome:
 				outcomes <- e
 			}
 			return nil
@@ -378,7 +378,7 @@
 	if resp, body := do(t, newRequest(t, n, "GET", "/read/1", "")); resp.StatusCode != 200 || body != "hi" {
 		t.Errorf("answer %d %q", resp.StatusCode, body)
 	}
-	if o := testkit.Wait(t, outcomes); o.Server != "fast" || o.Attempt != 1 || !o.Ended || o.Ending != hollyspur.Success {
+	if o := testkit.Wait(t, outcomes); o.Server != "fast" || o.Attempt != 1 || !o.Ended || o.Ending != balancer.Success {
 		t.Errorf("first outcome %+v", o)
 	}
 	close(release)
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/opsport"
-	"hollyspur/internal/orders"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/opsport"
+	"cranegrade/internal/orders"
 )
 
 // desk keeps what operators have ordered of a running node, and sees that it takes effect. It implements
--- a/internal/node/orders_test.go
+++ b/internal/node/orders_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/source/registry"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/source/registry"
+	"cranegrade/internal/testkit"
 )
 
 // callPort calls a node's operators' port.
@@ -113,20 +113,20 @@
 
 func TestOrderedIsNoNewsOfDiscovery(t *testing.T) {
 	t.Parallel()
-	lists := make(chan hollyspur.ServerList, 10)
-	n := startNode(t, withPort(testConfig("127.0.0.1:1", listed("a", "127.0.0.1:1"))), moduleFunc(func(e hollyspur.Event) []hollyspur.Action {
-		if l, is := e.(hollyspur.ServerList); is {
+	lists := make(chan balancer.ServerList, 10)
+	n := startNode(t, withPort(testConfig("127.0.0.1:1", listed("a", "127.0.0.1:1"))), moduleFunc(func(e balancer.Event) []balancer.Action {
+		if l, is := e.(balancer.ServerList); is {
 			lists <- l
 		}
 		return nil
 	}))
 	testkit.Wait(t, lists)
 	wantOrder(t, n, "set-down a", "200")
-	if l := testkit.Wait(t, lists); !l.Ordered || l.Full || len(l.Servers) != 1 || l.Servers[0].State != hollyspur.Draining {
+	if l := testkit.Wait(t, lists); !l.Ordered || l.Full || len(l.Servers) != 1 || l.Servers[0].State != balancer.Draining {
 		t.Errorf("the module is told %+v", l)
 	}
 	wantOrder(t, n, "set-up a", "200")
-	if l := testkit.Wait(t, lists); !l.Ordered || l.Servers[0].State != hollyspur.Ready || l.Servers[0].Boot == 0 {
+	if l := testkit.Wait(t, lists); !l.Ordered || l.Servers[0].State != balancer.Ready || l.Servers[0].Boot == 0 {
 		t.Errorf("the module is told %+v", l)
 	}
 }
--- a/internal/node/plan.go
+++ b/internal/node/plan.go
@@ -6,14 +6,14 @@
 	"strings"
 	"time"
 
-	"hollyspur/internal/engine"
-	front "hollyspur/internal/front/http1"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/opsport"
-	"hollyspur/internal/pool"
-	"hollyspur/internal/route"
-	"hollyspur/internal/source/registry"
-	"hollyspur/internal/source/static"
+	"cranegrade/internal/engine"
+	front "cranegrade/internal/front/http1"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/opsport"
+	"cranegrade/internal/pool"
+	"cranegrade/internal/route"
+	"cranegrade/internal/source/registry"
+	"cranegrade/internal/source/static"
 )
 
 // plan is the platform's configuration as a plan: one pool that may have everything.
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -16,11 +16,11 @@
 
 	"go.uber.org/goleak"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/standin"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/standin"
+	"cranegrade/internal/testkit"
 )
 
 var (
@@ -528,7 +528,7 @@
 func TestPlanSettings(t *testing.T) {
 	t.Parallel()
 	p := planOf(t, "nodes = 3\nindex = 1\n", poolOf("a", "registry = \"127.0.0.1:1\"")).Pools[0]
-	if _, err := hollyspur.New(p.Settings, 1); err != nil || p.Settings.Balancers != 3 || p.Settings.Index != 1 {
+	if _, err := balancer.New(p.Settings, 1); err != nil || p.Settings.Balancers != 3 || p.Settings.Index != 1 {
 		t.Errorf("%+v, %v", p.Settings, err)
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -8,8 +8,8 @@
 	"reflect"
 	"slices"
 
-	"hollyspur/internal/operator"
-	"hollyspur/internal/pool"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/pool"
 )
 
 // ErrStopping says that a reload came when the node was ending.
--- a/internal/node/xds_test.go
+++ b/internal/node/xds_test.go
@@ -18,14 +18,14 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"hollyspur/internal/operator"
-	sourcexds "hollyspur/internal/source/xds"
-	"hollyspur/internal/standin"
-	standinxds "hollyspur/internal/standin/xds"
-	"hollyspur/internal/testkit"
-	"hollyspur/internal/xds/ads"
-	"hollyspur/internal/xds/client"
-	"hollyspur/internal/xds/resource"
+	"cranegrade/internal/operator"
+	sourcexds "cranegrade/internal/source/xds"
+	"cranegrade/internal/standin"
+	standinxds "cranegrade/internal/standin/xds"
+	"cranegrade/internal/testkit"
+	"cranegrade/internal/xds/ads"
+	"cranegrade/internal/xds/client"
+	"cranegrade/internal/xds/resource"
 )
 
 // xdsWorld is a world with a control plane.
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/operator"
-	"hollyspur/internal/zone"
-	"hollyspur/internal/zone/report"
+	"cranegrade/balancer"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/zone"
+	"cranegrade/internal/zone/report"
 )
 
 // ZoneStore keeps the account of zones over restarts.
@@ -155,7 +155,7 @@
 }
 
 // zoneConfig is a plan's for a pool.
-func zoneConfig(p operator.Zones, s hollyspur.Settings) zone.Config {
+func zoneConfig(p operator.Zones, s balancer.Settings) zone.Config {
 	c := p.Config
 	c.Cold, c.Warm, c.Tries = s.ColdFrom, s.WarmAfter, s.MaxAttempts
 	if s.StartCalls > 0 {
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/operator"
-	"hollyspur/internal/standin"
-	"hollyspur/internal/testkit"
-	"hollyspur/internal/zone/store"
+	"cranegrade/internal/operator"
+	"cranegrade/internal/standin"
+	"cranegrade/internal/testkit"
+	"cranegrade/internal/zone/store"
 )
 
 // zoned starts servers, one in each zone, and gives the part of a file that lists them.
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"hollyspur/internal/fleet/membership"
+	"cranegrade/internal/fleet/membership"
 )
 
 // fleet reads how this node finds the others.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -11,11 +11,11 @@
 	"strconv"
 	"strings"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
-	"hollyspur/internal/pool"
-	"hollyspur/internal/route"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+	"cranegrade/internal/pool"
+	"cranegrade/internal/route"
 )
 
 // Load reads a file. An error is of the type Faults, or says why the file can't be read.
@@ -240,10 +240,10 @@
 }
 
 var (
-	effects = map[string]hollyspur.Effect{"unsafe": hollyspur.Unsafe, "keyed": hollyspur.Keyed, "safe": hollyspur.Safe}
-	scopes  = map[string]hollyspur.Scope{"cell": hollyspur.ScopeCell, "zone": hollyspur.ScopeZone, "all": hollyspur.ScopeAll}
-	sizes   = map[string]hollyspur.Sizes{"unknown": hollyspur.SizesUnknown, "nominal": hollyspur.SizesNominal,
-		"rough": hollyspur.SizesRough, "live": hollyspur.SizesLive}
+	effects = map[string]balancer.Effect{"unsafe": balancer.Unsafe, "keyed": balancer.Keyed, "safe": balancer.Safe}
+	scopes  = map[string]balancer.Scope{"cell": balancer.ScopeCell, "zone": balancer.ScopeZone, "all": balancer.ScopeAll}
+	sizes   = map[string]balancer.Sizes{"unknown": balancer.SizesUnknown, "nominal": balancer.SizesNominal,
+		"rough": balancer.SizesRough, "live": balancer.SizesLive}
 )
 
 // pool reads a [[pools]] but for its limits.
@@ -272,12 +272,12 @@
 	if p.Conns.ConnectWithin == 0 {
 		conns.fault("connect_within", "must be over 0")
 	}
-	p.Settings = hollyspur.Settings{Balancers: nodes, Index: index, Tier: int(t.count("tier", 0)),
+	p.Settings = balancer.Settings{Balancers: nodes, Index: index, Tier: int(t.count("tier", 0)),
 		WholeWeight: weights.number("whole", defaultWhole), ClassWeight: weights.number("worst_class", defaultWorstClass),
 		TenantWeight: weights.number("tenants", 0), OverShare: weights.number("over_quota", defaultOverQuota),
 		WorstTenantWeight: weights.number("worst_tenant", defaultWorstTenant),
 		MaxAttempts:       int(t.count("attempts", defaultAttempts)), SecondCopies: t.yes("second_copies", false), Spares: int(t.count("fallbacks", 0)), StartCalls: int(t.count("start_calls", 0)),
-		MayCancel: t.yes("cancel", true), Sizes: choice(t, "sizes", hollyspur.SizesUnknown, sizes),
+		MayCancel: t.yes("cancel", true), Sizes: choice(t, "sizes", balancer.SizesUnknown, sizes),
 		Tick: 1e6, MaxRetryAfter: t.time("retry_after", defaultRetryAfter),
 		ColdFrom: cold.number("from", defaultColdFrom), WarmAfter: cold.time("warm_after", defaultWarmAfter),
 		FallMultiple: cold.number("fall_multiple", defaultFallMultiple), FallFor: cold.time("fall_for", defaultFallFor)}
@@ -316,8 +316,8 @@
 	}
 	names := map[string]bool{}
 	for _, ct := range tables {
-		c := hollyspur.Class{Name: ct.text("name", ""), Effect: choice(ct, "effect", hollyspur.Unsafe, effects),
-			Scope: choice(ct, "scope", hollyspur.ScopeCell, scopes), Window: ct.time("window", 0),
+		c := balancer.Class{Name: ct.text("name", ""), Effect: choice(ct, "effect", balancer.Unsafe, effects),
+			Scope: choice(ct, "scope", balancer.ScopeCell, scopes), Window: ct.time("window", 0),
 			Aim: ct.time("aim", 0), Deadline: ct.time("deadline", 0), LateShare: ct.number("late_share", 0),
 			Worth: ct.number("worth", 1), Stream: ct.yes("stream", false)}
 		if c.Stream && !p.GRPC {
@@ -348,7 +348,7 @@
 		if c.LateShare > 1 {
 			ct.fault("late_share", "%v is over 1: it is a share of the worth", c.LateShare)
 		}
-		keyed := c.Effect == hollyspur.Keyed
+		keyed := c.Effect == balancer.Keyed
 		if keyed && c.Window == 0 {
 			ct.fault("window", "missing: for how long servers drop the repeats of a key")
 		}
@@ -384,7 +384,7 @@
 	}
 	names := map[string]bool{}
 	for _, tt := range tables {
-		x := hollyspur.Tenant{Name: tt.text("name", ""), Quota: tt.number("quota", 0)}
+		x := balancer.Tenant{Name: tt.text("name", ""), Quota: tt.number("quota", 0)}
 		switch {
 		case x.Name == "":
 			tt.fault("name", "missing: as the callers' X-Account has it")
@@ -426,7 +426,7 @@
 	}
 	ids := map[string]bool{}
 	for _, st := range tables {
-		s := engine.Listed{Addr: st.text("address", ""), Server: hollyspur.Server{ID: st.text("id", ""),
+		s := engine.Listed{Addr: st.text("address", ""), Server: balancer.Server{ID: st.text("id", ""),
 			Zone: st.text("zone", ""), Cell: int(st.count("cell", 0)), Size: st.number("size", 1)}}
 		if err := address(s.Addr, false); err != nil {
 			st.fault("address", "%v", err)
@@ -440,7 +440,7 @@
 		}
 		ids[s.ID] = true
 		if st.yes("draining", false) {
-			s.State = hollyspur.Draining
+			s.State = balancer.Draining
 		}
 		st.end()
 		p.List.Static = append(p.List.Static, s)
@@ -631,7 +631,7 @@
 			if c == "" || r.Class != "" && c != r.Class {
 				continue
 			}
-			if !slices.ContainsFunc(p.Settings.Classes, func(x hollyspur.Class) bool { return x.Name == c }) {
+			if !slices.ContainsFunc(p.Settings.Classes, func(x balancer.Class) bool { return x.Name == c }) {
 				t.fault(key, "pool %s has no class %q", to.Pool, c)
 			}
 		}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/route"
+	"cranegrade/balancer"
+	"cranegrade/internal/route"
 )
 
 // Every example in the repository is good.
@@ -86,12 +86,12 @@
 		a.Settings.Balancers != 4 || a.Settings.Index != 2 || a.List.Registry != "127.0.0.1:8500" || !a.Pushed {
 		t.Errorf("%+v", p)
 	}
-	if c := a.Settings.Classes[0]; c.Effect != hollyspur.Keyed || c.Scope != hollyspur.ScopeZone || c.Window != 10*time.Second ||
+	if c := a.Settings.Classes[0]; c.Effect != balancer.Keyed || c.Scope != balancer.ScopeZone || c.Window != 10*time.Second ||
 		c.Aim != 2*time.Second || c.Deadline != 5*time.Second || c.LateShare != 0.5 || c.Worth != 2 {
 		t.Errorf("class %+v", c)
 	}
 	if s := b.List.Static; len(s) != 2 || s[0].ID != "127.0.0.1:1" || s[0].Zone != "z" || s[0].Cell != 3 || s[0].Size != 2.5 ||
-		s[1].ID != "x" || s[1].State != hollyspur.Draining {
+		s[1].ID != "x" || s[1].State != balancer.Draining {
 		t.Errorf("servers %+v", s)
 	}
 	// a's part is not told: a quarter of the calls, half of them dealt to two pools.
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -3,12 +3,12 @@
 import (
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/pool"
-	"hollyspur/internal/route"
-	"hollyspur/internal/wire"
-	"hollyspur/internal/zone"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/pool"
+	"cranegrade/internal/route"
+	"cranegrade/internal/wire"
+	"cranegrade/internal/zone"
 )
 
 // Plan says what a node is made of. Two plans are compared at a reload, so it is data only.
@@ -99,7 +99,7 @@
 // one that changes anything else puts a new pool in its place.
 type Pool struct {
 	Name     string
-	Settings hollyspur.Settings
+	Settings balancer.Settings
 	Conns    wire.Connections
 	Seed     uint64 // 0: the node draws one
 	Known    engine.News
--- a/internal/operator/zones.go
+++ b/internal/operator/zones.go
@@ -5,7 +5,7 @@
 	"math"
 	"slices"
 
-	"hollyspur/internal/zone"
+	"cranegrade/internal/zone"
 )
 
 var unknowns = map[string]zone.Unknown{"last": zone.Last, "home": zone.AsHome, "never": zone.Never}
--- a/internal/opsport/port_test.go
+++ b/internal/opsport/port_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 func TestParse(t *testing.T) {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
 )
 
 // Shares are a pool's sides of the process's budgets.
@@ -27,15 +27,15 @@
 // Config is what a pool is made of.
 type Config struct {
 	Name     string
-	Settings hollyspur.Settings
+	Settings balancer.Settings
 	Seed     uint64
 	Clock    engine.Clock
 	Sender   engine.Sender
 	Source   engine.Source
-	Orders   engine.Orders        // nil: operators order nothing
-	Known    engine.News          // the list as it was held before; may be empty
-	Pushed   bool                 // the list is followed unasked
-	Learned  *hollyspur.Knowledge // by another that this one takes over from; nil: none
+	Orders   engine.Orders       // nil: operators order nothing
+	Known    engine.News         // the list as it was held before; may be empty
+	Pushed   bool                // the list is followed unasked
+	Learned  *balancer.Knowledge // by another that this one takes over from; nil: none
 	Shares   Shares
 	Module   engine.Module // nil: the one in service
 	GRPC     bool          // its servers take requests of gRPC, and no others
@@ -44,12 +44,12 @@
 // Pool is a service in this process.
 type Pool struct {
 	name    string
-	classes map[string]hollyspur.Class
+	classes map[string]balancer.Class
 	engine  *engine.Engine
 	shares  Shares
 	sender  engine.Sender
 	known   engine.News
-	learned *hollyspur.Knowledge
+	learned *balancer.Knowledge
 	pushed  bool
 	grpc    bool
 
@@ -61,13 +61,13 @@
 // New returns a pool that does nothing until Run.
 func New(cfg Config) (*Pool, error) {
 	if cfg.Module == nil {
-		b, err := hollyspur.New(cfg.Settings, cfg.Seed)
+		b, err := balancer.New(cfg.Settings, cfg.Seed)
 		if err != nil {
 			return nil, err
 		}
 		cfg.Module = b
 	}
-	p := &Pool{name: cfg.Name, classes: make(map[string]hollyspur.Class, len(cfg.Settings.Classes)), shares: cfg.Shares,
+	p := &Pool{name: cfg.Name, classes: make(map[string]balancer.Class, len(cfg.Settings.Classes)), shares: cfg.Shares,
 		sender: cfg.Sender, known: cfg.Known, learned: cfg.Learned, pushed: cfg.Pushed, grpc: cfg.GRPC, stop: func() {}}
 	for _, c := range cfg.Settings.Classes {
 		p.classes[c.Name] = c
@@ -93,7 +93,7 @@
 func (p *Pool) Name() string { return p.name }
 
 // Class is what the settings say of a class.
-func (p *Pool) Class(name string) (hollyspur.Class, bool) {
+func (p *Pool) Class(name string) (balancer.Class, bool) {
 	c, known := p.classes[name]
 	return c, known
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -18,8 +18,8 @@
 	"syscall"
 	"time"
 
-	"hollyspur/internal/node"
-	"hollyspur/internal/operator"
+	"cranegrade/internal/node"
+	"cranegrade/internal/operator"
 )
 
 // Main runs the program by the process's command line and signals, and ends the process.
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"hollyspur/internal/node"
+	"cranegrade/internal/node"
 )
 
 // check says what is wrong with each file; help and the version need no configuration.
--- a/internal/program/trace.go
+++ b/internal/program/trace.go
@@ -4,10 +4,10 @@
 	"io"
 	"sync"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/node"
-	"hollyspur/internal/trace"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/node"
+	"cranegrade/internal/trace"
 )
 
 // tracer opens the traces that the command line asks for, and closes them at the end.
@@ -25,7 +25,7 @@
 	if t.dir == "" {
 		return o
 	}
-	o.Trace = func(pool string, classes []hollyspur.Class, m engine.Module) (engine.Module, error) {
+	o.Trace = func(pool string, classes []balancer.Class, m engine.Module) (engine.Module, error) {
 		f, err := trace.Create(t.dir, name, pool)
 		if err != nil {
 			return nil, err
--- a/internal/rig/faults_test.go
+++ b/internal/rig/faults_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"hollyspur/internal/fleet"
-	"hollyspur/internal/fleet/membership"
-	"hollyspur/internal/opsport"
-	"hollyspur/internal/standin"
+	"cranegrade/internal/fleet"
+	"cranegrade/internal/fleet/membership"
+	"cranegrade/internal/opsport"
+	"cranegrade/internal/standin"
 )
 
 // moves is how often a member's place moved at others, as they tell of it.
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/fleet"
-	"hollyspur/internal/opsport"
-	"hollyspur/internal/standin"
+	"cranegrade/internal/fleet"
+	"cranegrade/internal/opsport"
+	"cranegrade/internal/standin"
 )
 
 // FleetConfig says what a fleet of real processes is.
--- a/internal/rig/fleet_test.go
+++ b/internal/rig/fleet_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/audit"
+	"cranegrade/internal/audit"
 )
 
 var program string
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -17,7 +17,7 @@
 // Build builds the program into a directory and gives its path. With tags it is one with a breach planted.
 func Build(dir string, tags ...string) (string, error) {
 	path := filepath.Join(dir, "cranegrade"+strings.Join(tags, "-"))
-	if out, err := exec.Command("go", "build", "-tags", strings.Join(tags, ","), "-o", path, "hollyspur/cmd/cranegrade").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-tags", strings.Join(tags, ","), "-o", path, "cranegrade/cmd/cranegrade").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("building the program: %w\n%s", err, out)
 	}
 	return path, nil
--- a/internal/rig/stage.go
+++ b/internal/rig/stage.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/standin"
+	"cranegrade/internal/standin"
 )
 
 // The classes of all drills. Their windows and deadlines are short, so that short drills reach them.
--- a/internal/rig/together_test.go
+++ b/internal/rig/together_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/audit"
-	"hollyspur/internal/fleet"
-	"hollyspur/internal/fleet/subset"
-	"hollyspur/internal/standin"
+	"cranegrade/internal/audit"
+	"cranegrade/internal/fleet"
+	"cranegrade/internal/fleet/subset"
+	"cranegrade/internal/standin"
 )
 
 // shared waits until the subsets of these members share the servers out as evenly as they should, and gives them.
--- a/internal/sender/h2/conn.go
+++ b/internal/sender/h2/conn.go
@@ -11,10 +11,10 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"hollyspur"
-	"hollyspur/internal/grpc"
-	"hollyspur/internal/h2/client"
-	"hollyspur/internal/message"
+	"cranegrade/balancer"
+	"cranegrade/internal/grpc"
+	"cranegrade/internal/h2/client"
+	"cranegrade/internal/message"
 )
 
 const (
@@ -108,7 +108,7 @@
 			break
 		}
 		if e.m.More != nil && !e.m.Claim() {
-			failure := hollyspur.Failure
+			failure := balancer.Failure
 			e.refused = &failure
 			e.finish(client.Done{Ending: client.NotWritten})
 			break
--- a/internal/sender/h2/h2.go
+++ b/internal/sender/h2/h2.go
@@ -15,11 +15,11 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/grpc"
-	"hollyspur/internal/h2/client"
-	"hollyspur/internal/message"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/grpc"
+	"cranegrade/internal/h2/client"
+	"cranegrade/internal/message"
 )
 
 // Config is what a sender is made of.
@@ -81,22 +81,22 @@
 var errNoRoom = errors.New("no descriptor left for another connection")
 
 // attempt sends a once and waits for its answer until ctx ends.
-func (s *Sender) attempt(ctx context.Context, a *engine.Attempt) (hollyspur.Ending, *message.Reply) {
+func (s *Sender) attempt(ctx context.Context, a *engine.Attempt) (balancer.Ending, *message.Reply) {
 	m := a.Payload.(*message.Request)
 	if m.Spent() {
-		return hollyspur.Failure, nil // its caller's messages went to another server: this one can't have them
+		return balancer.Failure, nil // its caller's messages went to another server: this one can't have them
 	}
 	c, err := s.get(ctx, a.Endpoint)
 	switch {
 	case err != nil && ctx.Err() == nil:
-		return hollyspur.Unreachable, nil
+		return balancer.Unreachable, nil
 	case err != nil:
-		return hollyspur.Void, nil
+		return balancer.Void, nil
 	}
 	q := &request{a: a, m: m, fields: fields(a, m), done: make(chan struct{}), sent: make(chan struct{}, 1)}
 	if !c.post(q) {
 		c.leave()
-		return hollyspur.Unreachable, nil // it ended meanwhile: nothing of this was written
+		return balancer.Unreachable, nil // it ended meanwhile: nothing of this was written
 	}
 	if m.More != nil {
 		pumping, stop := context.WithCancel(ctx)
@@ -130,17 +130,17 @@
 }
 
 // ending words a stream's end for the engine, as the protocol's page has it.
-func (s *Sender) ending(ctx context.Context, q *request, d client.Done) (hollyspur.Ending, *message.Reply) {
+func (s *Sender) ending(ctx context.Context, q *request, d client.Done) (balancer.Ending, *message.Reply) {
 	switch d.Ending {
 	case client.NotWritten:
 		if ctx.Err() != nil {
-			return hollyspur.Void, nil
+			return balancer.Void, nil
 		}
-		return hollyspur.Unreachable, nil
+		return balancer.Unreachable, nil
 	case client.Refused:
-		return hollyspur.Overloaded, nil
+		return balancer.Overloaded, nil
 	case client.Above:
-		return hollyspur.Void, nil
+		return balancer.Void, nil
 	}
 	in := int64(0)
 	if d.Ending == client.Answered && d.Answer.Status != http.StatusOK {
@@ -164,28 +164,28 @@
 	}
 	switch st := d.Answer.Status; {
 	case st == http.StatusOK:
-		return hollyspur.Success, message.NewReply(kind, d.Answer.Body, nil)
+		return balancer.Success, message.NewReply(kind, d.Answer.Body, nil)
 	case (st == http.StatusServiceUnavailable || st == http.StatusGatewayTimeout) && unprocessed:
-		return hollyspur.Overloaded, nil
+		return balancer.Overloaded, nil
 	}
-	return hollyspur.Failure, nil
+	return balancer.Failure, nil
 }
 
 // judge words the end of an answer of gRPC.
-func judge(q *request, answer client.Answer) (hollyspur.Ending, *message.Reply) {
+func judge(q *request, answer client.Answer) (balancer.Ending, *message.Reply) {
 	a := grpc.Answer{Status: answer.Status, Header: list(answer.Header), Trailer: list(answer.Trailer), Messages: q.scan, Garbled: q.garbled}
 	if q.pieces == nil && a.Messages.Take(answer.Body) != nil {
 		a.Garbled = true
 	}
 	v := grpc.Judge(a)
-	if v.Ending == hollyspur.Failure {
+	if v.Ending == balancer.Failure {
 		q.m.GRPC.Fail(v.Fields)
 	}
 	switch {
 	case q.pieces != nil:
 		q.pieces.Finish(v.Fields)
 		return v.Ending, nil
-	case v.Ending != hollyspur.Success:
+	case v.Ending != balancer.Success:
 		return v.Ending, nil
 	}
 	r := message.NewReply("", answer.Body, nil)
@@ -357,9 +357,9 @@
 	m       *message.Request
 	fields  []client.Field
 	stream  uint32
-	done    chan struct{}     // closed once it has its end
-	end     client.Done       // set before that
-	refused *hollyspur.Ending // Begin did not agree; set before that
+	done    chan struct{}    // closed once it has its end
+	end     client.Done      // set before that
+	refused *balancer.Ending // Begin did not agree; set before that
 
 	sent    chan struct{}   // what there was is written; holds one, never blocks
 	pieces  *message.Stream // of a streamed answer that has begun; set before its end
--- a/internal/sender/h2/h2_test.go
+++ b/internal/sender/h2/h2_test.go
@@ -18,10 +18,10 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+	"cranegrade/internal/testkit"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -55,7 +55,7 @@
 	return &message.Request{Method: "POST", URL: &url.URL{Path: "/send/1"}, Header: map[string][]string{"Idempotency-Key": {"k"}}, Body: []byte(strings.Repeat("x", n))}
 }
 
-func try(s *Sender, ep *engine.Endpoint, m *message.Request, within time.Duration) (hollyspur.Ending, string) {
+func try(s *Sender, ep *engine.Endpoint, m *message.Request, within time.Duration) (balancer.Ending, string) {
 	ctx, cancel := context.WithTimeoutCause(context.Background(), within, engine.ErrTimedOut)
 	defer cancel()
 	e, r := s.attempt(ctx, engine.NewAttempt(ep, m, within, engine.Hooks{}))
@@ -94,13 +94,13 @@
 			fmt.Fprint(w, len(b), " ", r.Header.Get("Idempotency-Key"), " ", r.ContentLength)
 		}
 	})
-	if e, body := try(s, ep, get(), limit); e != hollyspur.Success || body != "HTTP/2.0 app.svc 1" {
+	if e, body := try(s, ep, get(), limit); e != balancer.Success || body != "HTTP/2.0 app.svc 1" {
 		t.Fatalf("%v %q", e, body)
 	}
 	var all sync.WaitGroup
 	for range 60 {
 		all.Go(func() {
-			if e, body := try(s, ep, post(60_000), limit); e != hollyspur.Success || body != "60000 k 60000" {
+			if e, body := try(s, ep, post(60_000), limit); e != balancer.Success || body != "60000 k 60000" {
 				t.Errorf("%v %q", e, body)
 			}
 		})
@@ -131,12 +131,12 @@
 			<-r.Context().Done()
 		}
 	})
-	for id, want := range map[string]hollyspur.Ending{"full": hollyspur.Overloaded, "503": hollyspur.Failure, "500": hollyspur.Failure,
-		"long": hollyspur.TimedOut, "slow": hollyspur.TimedOut, "": hollyspur.Success} {
+	for id, want := range map[string]balancer.Ending{"full": balancer.Overloaded, "503": balancer.Failure, "500": balancer.Failure,
+		"long": balancer.TimedOut, "slow": balancer.TimedOut, "": balancer.Success} {
 		m := get()
 		m.Header["X-Correlation-Id"] = []string{id}
 		within := limit
-		if want == hollyspur.TimedOut {
+		if want == balancer.TimedOut {
 			within = 100 * time.Millisecond
 		}
 		if e, _ := try(s, ep, m, within); e != want {
@@ -232,41 +232,41 @@
 		name string
 		m    *message.Request
 		do   func(r *raw, stream uint32)
-		want hollyspur.Ending
+		want balancer.Ending
 	}{
-		{"refused", get(), func(r *raw, id uint32) { r.fr.WriteRSTStream(id, http2.ErrCodeRefusedStream); r.drain() }, hollyspur.Overloaded},
-		{"reset", get(), func(r *raw, id uint32) { r.fr.WriteRSTStream(id, http2.ErrCodeInternal); r.drain() }, hollyspur.Broken},
+		{"refused", get(), func(r *raw, id uint32) { r.fr.WriteRSTStream(id, http2.ErrCodeRefusedStream); r.drain() }, balancer.Overloaded},
+		{"reset", get(), func(r *raw, id uint32) { r.fr.WriteRSTStream(id, http2.ErrCodeInternal); r.drain() }, balancer.Broken},
 		{"reset between head and data", get(), func(r *raw, id uint32) {
 			r.answer(id, false, ":status", "200", "content-length", "5")
 			r.fr.WriteRSTStream(id, http2.ErrCodeInternal)
 			r.drain()
-		}, hollyspur.Broken},
-		{"the connection ends", get(), func(r *raw, id uint32) {}, hollyspur.Broken},
-		{"the connection ends before the body is whole", post(100_000), func(r *raw, id uint32) {}, hollyspur.Unreachable},
-		{"above a GOAWAY", get(), func(r *raw, id uint32) { r.fr.WriteGoAway(0, http2.ErrCodeNo, nil); r.drain() }, hollyspur.Void},
+		}, balancer.Broken},
+		{"the connection ends", get(), func(r *raw, id uint32) {}, balancer.Broken},
+		{"the connection ends before the body is whole", post(100_000), func(r *raw, id uint32) {}, balancer.Unreachable},
+		{"above a GOAWAY", get(), func(r *raw, id uint32) { r.fr.WriteGoAway(0, http2.ErrCodeNo, nil); r.drain() }, balancer.Void},
 		{"a body shorter than its length", get(), func(r *raw, id uint32) {
 			r.answer(id, false, ":status", "200", "content-length", "5")
 			r.fr.WriteData(id, true, []byte("x"))
 			r.drain()
-		}, hollyspur.Broken},
-		{"a status twice", get(), func(r *raw, id uint32) { r.answer(id, true, ":status", "200", ":status", "200"); r.drain() }, hollyspur.Broken},
-		{"upper case", get(), func(r *raw, id uint32) { r.answer(id, true, ":status", "200", "X-Big", "1"); r.drain() }, hollyspur.Broken},
+		}, balancer.Broken},
+		{"a status twice", get(), func(r *raw, id uint32) { r.answer(id, true, ":status", "200", ":status", "200"); r.drain() }, balancer.Broken},
+		{"upper case", get(), func(r *raw, id uint32) { r.answer(id, true, ":status", "200", "X-Big", "1"); r.drain() }, balancer.Broken},
 		{"fields of a megabyte", get(), func(r *raw, id uint32) {
 			for range 20 {
 				r.answer(id, true, ":status", "200", "a", strings.Repeat("x", 15_000), "b", strings.Repeat("y", 15_000))
 			}
 			r.drain()
-		}, hollyspur.Broken},
+		}, balancer.Broken},
 		{"a frame that is too long", get(), func(r *raw, id uint32) {
 			r.fr.AllowIllegalWrites = true
 			r.answer(id, false, ":status", "200")
 			r.fr.WriteData(id, true, make([]byte, 100_000))
 			r.drain()
-		}, hollyspur.Broken},
+		}, balancer.Broken},
 		{"nonsense", get(), func(r *raw, id uint32) {
 			io.WriteString(r.nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			r.drain()
-		}, hollyspur.Broken},
+		}, balancer.Broken},
 		{"a continuation without end", get(), func(r *raw, id uint32) {
 			r.fr.AllowIllegalWrites = true
 			r.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: []byte{0x88}})
@@ -276,8 +276,8 @@
 				}
 			}
 			r.drain()
-		}, hollyspur.Broken},
-		{"nothing", get(), func(r *raw, id uint32) { r.drain() }, hollyspur.TimedOut},
+		}, balancer.Broken},
+		{"nothing", get(), func(r *raw, id uint32) { r.drain() }, balancer.TimedOut},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -288,7 +288,7 @@
 				}
 			})
 			within := limit
-			if c.want == hollyspur.TimedOut {
+			if c.want == balancer.TimedOut {
 				within = 100 * time.Millisecond
 			}
 			if e, _ := try(s, ep, c.m, within); e != c.want {
@@ -298,14 +298,14 @@
 	}
 	t.Run("nobody listens", func(t *testing.T) {
 		s := newSender(t, 10)
-		if e, _ := try(s, engine.NewEndpoint("none", "127.0.0.1:1"), get(), limit); e != hollyspur.Unreachable {
+		if e, _ := try(s, engine.NewEndpoint("none", "127.0.0.1:1"), get(), limit); e != balancer.Unreachable {
 			t.Error(e)
 		}
 	})
 	t.Run("no room", func(t *testing.T) {
 		s := newSender(t, 0)
 		ep := served(t, func(http.ResponseWriter, *http.Request) {})
-		if e, _ := try(s, ep, get(), limit); e != hollyspur.Unreachable {
+		if e, _ := try(s, ep, get(), limit); e != balancer.Unreachable {
 			t.Error(e)
 		}
 	})
@@ -339,9 +339,9 @@
 	for range 50 {
 		all.Go(func() {
 			switch e, _ := try(s, ep, get(), limit); e {
-			case hollyspur.Success:
+			case balancer.Success:
 				ok.Add(1)
-			case hollyspur.Void:
+			case balancer.Void:
 				never.Add(1)
 			default:
 				t.Errorf("%v", e)
@@ -352,7 +352,7 @@
 	if ok.Load() != 25 || never.Load() != 25 || second.Load() != 0 {
 		t.Errorf("%d answered, %d never ran, %d sent again by nobody's word", ok.Load(), never.Load(), second.Load())
 	}
-	if e, _ := try(s, ep, get(), limit); e != hollyspur.Success || second.Load() != 1 {
+	if e, _ := try(s, ep, get(), limit); e != balancer.Success || second.Load() != 1 {
 		t.Errorf("the next: %v", e)
 	}
 }
@@ -386,7 +386,7 @@
 	})
 	for range 3 {
 		all.Go(func() {
-			if e, _ := try(s, ep, get(), limit); e != hollyspur.Success {
+			if e, _ := try(s, ep, get(), limit); e != balancer.Success {
 				t.Errorf("%v", e)
 			}
 		})
@@ -404,15 +404,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	a := engine.NewAttempt(ep, get(), limit, engine.Hooks{Finished: func() bool { return true }})
-	if e, _ := s.attempt(ctx, a); e != hollyspur.Void {
+	if e, _ := s.attempt(ctx, a); e != balancer.Void {
 		t.Errorf("a finished call: %v", e)
 	}
-	got := make(chan hollyspur.Ending, 1)
+	got := make(chan balancer.Ending, 1)
 	go func() { e, _ := try(s, ep, get(), limit); got <- e }()
 	testkit.Wait(t, out)
 	s.Drop(ep)
 	close(hold)
-	if e := testkit.Wait(t, got); e != hollyspur.Success {
+	if e := testkit.Wait(t, got); e != balancer.Success {
 		t.Errorf("what was out at a dropped endpoint: %v", e)
 	}
 	testkit.Eventually(t, "its connection is kept", func() bool {
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/peek"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/peek"
 )
 
 // settled is how long a connection rests after an answer. What a server sends behind one comes within
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -16,9 +16,9 @@
 	"strings"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
 )
 
 // Config is what a sender is made of.
@@ -38,7 +38,7 @@
 	// Matches says whose an answer is, as far as it tells. One that names another request is read and thrown away.
 	Matches(m *message.Request, resp *http.Response) Match
 	// Ending says how an attempt ended whose answer came whole, and whether its body is wanted.
-	Ending(resp *http.Response) (ending hollyspur.Ending, wanted bool)
+	Ending(resp *http.Response) (ending balancer.Ending, wanted bool)
 	// Word words an answer's head for whoever it goes to.
 	Word(resp *http.Response) (status int, header []message.Field, contentType string)
 }
@@ -63,15 +63,15 @@
 
 func (platform) Matches(*message.Request, *http.Response) Match { return OfRequest }
 
-func (platform) Ending(resp *http.Response) (hollyspur.Ending, bool) {
+func (platform) Ending(resp *http.Response) (balancer.Ending, bool) {
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		return hollyspur.Success, true
+		return balancer.Success, true
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Unprocessed") == "1":
-		return hollyspur.Overloaded, false
+		return balancer.Overloaded, false
 	}
-	return hollyspur.Failure, false
+	return balancer.Failure, false
 }
 
 func (platform) Word(resp *http.Response) (int, []message.Field, string) {
@@ -121,7 +121,7 @@
 
 // result is how an attempt ended; reply belongs to a Success.
 type result struct {
-	ending hollyspur.Ending
+	ending balancer.Ending
 	reply  *message.Reply
 }
 
@@ -130,25 +130,25 @@
 func (s *Sender) attempt(ctx context.Context, a *engine.Attempt) result {
 	m := a.Payload.(*message.Request)
 	if m.Spent() {
-		return result{ending: hollyspur.Void} // what follows of its body went to another server
+		return result{ending: balancer.Void} // what follows of its body went to another server
 	}
 	r := s.outgoing(a)
 	text, err := wireText(r, m)
 	if err != nil {
-		return result{ending: hollyspur.Void}
+		return result{ending: balancer.Void}
 	}
 	// What can be sent once is worth as much care as what may run once.
 	careful := unsafe(m) || m.More != nil
 	c, err := s.get(ctx, a.Endpoint, careful)
 	switch {
 	case err != nil && ctx.Err() == nil:
-		return result{ending: hollyspur.Unreachable}
+		return result{ending: balancer.Unreachable}
 	case err != nil:
-		return result{ending: hollyspur.Void}
+		return result{ending: balancer.Void}
 	case ctx.Err() != nil:
 		// The dial took the attempt's time or its reason away.
 		s.put(a.Endpoint, c)
-		return result{ending: hollyspur.Void}
+		return result{ending: balancer.Void}
 	}
 	if ending, ok := a.Begin(); !ok {
 		s.put(a.Endpoint, c) // which closes it if the endpoint is no longer usable
@@ -163,11 +163,11 @@
 			stop()
 			s.close(c)
 			if c, err = s.dial(ctx, a.Endpoint); err != nil {
-				return result{ending: hollyspur.Unreachable}
+				return result{ending: balancer.Unreachable}
 			}
 			if !a.Endpoint.Usable() {
 				s.close(c)
-				return result{ending: hollyspur.Unreachable}
+				return result{ending: balancer.Unreachable}
 			}
 			stop = context.AfterFunc(ctx, func() { c.Conn.Close() })
 			rest, err = c.knock(text, s.leastKnock)
@@ -177,14 +177,14 @@
 			stop()
 			s.close(c)
 			if ctx.Err() != nil {
-				return result{ending: hollyspur.Void}
+				return result{ending: balancer.Void}
 			}
-			return result{ending: hollyspur.Unreachable}
+			return result{ending: balancer.Unreachable}
 		}
 	}
 	res, keep := s.exchange(ctx, a, c, r, rest)
 	if ctx.Err() == nil { // else what ended it was not the connection
-		s.saw(c, res.ending == hollyspur.Broken || res.ending == hollyspur.Unreachable)
+		s.saw(c, res.ending == balancer.Broken || res.ending == balancer.Unreachable)
 	}
 	if stop() && keep {
 		s.put(a.Endpoint, c)
@@ -275,15 +275,15 @@
 	if err != nil {
 		// Not all of it was written, so it can't have run.
 		if ctx.Err() != nil || errors.Is(err, errBrokenOff) || errors.Is(err, errSpent) {
-			return result{ending: hollyspur.Void}, false
+			return result{ending: balancer.Void}, false
 		}
-		return result{ending: hollyspur.Unreachable}, false
+		return result{ending: balancer.Unreachable}, false
 	}
 	a.Crossed(out, 0, "")
 	got, err := s.read(ctx, a, c, r)
 	if err != nil {
 		if !whole {
-			return result{ending: hollyspur.Unreachable}, false
+			return result{ending: balancer.Unreachable}, false
 		}
 		return result{ending: engine.EndingOf(ctx)}, false
 	}
@@ -291,7 +291,7 @@
 		a.Crossed(out, got.size, "")
 	}
 	res.ending, _ = s.speech.Ending(got.resp)
-	if res.ending == hollyspur.Success {
+	if res.ending == balancer.Success {
 		res.reply = got.reply
 	} else if got.reply != nil {
 		m := a.Payload.(*message.Request)
--- a/internal/sender/http1/http1_test.go
+++ b/internal/sender/http1/http1_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+	"cranegrade/internal/testkit"
 )
 
 const limit = testkit.Limit
@@ -62,42 +62,42 @@
 	t.Parallel()
 	for name, c := range map[string]struct {
 		answer string
-		ending hollyspur.Ending
+		ending balancer.Ending
 		kept   bool
 	}{
-		"served":            {ok, hollyspur.Success, true},
-		"interim first":     {"HTTP/1.1 100 Continue\r\n\r\n" + ok, hollyspur.Success, true},
-		"chunked":           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", hollyspur.Success, true},
-		"empty":             {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", hollyspur.Success, true},
-		"closes":            {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", hollyspur.Success, false},
-		"leftover bytes":    {ok + "HTTP/1.1 200 OK", hollyspur.Success, false},
-		"error":             {"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", hollyspur.Failure, true},
-		"not found":         {"HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n", hollyspur.Failure, true},
-		"other success":     {"HTTP/1.1 204 No Content\r\n\r\n", hollyspur.Failure, true},
-		"turned away":       {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", hollyspur.Overloaded, true},
-		"over already":      {"HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", hollyspur.Overloaded, true},
-		"503 that may run":  {"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", hollyspur.Failure, true},
-		"503 says 0":        {"HTTP/1.1 503 E\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", hollyspur.Failure, true},
-		"500 unprocessed":   {"HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", hollyspur.Failure, true},
-		"nothing":           {"", hollyspur.Broken, false},
-		"no HTTP":           {"hello\r\n\r\n", hollyspur.Broken, false},
-		"half a header":     {"HTTP/1.1 200 OK\r\nContent-Le", hollyspur.Broken, false},
-		"half a body":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", hollyspur.Broken, false},
-		"half the chunks":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", hollyspur.Broken, false},
-		"unframed body":     {"HTTP/1.1 200 OK\r\n\r\nperhaps all", hollyspur.Broken, false},
-		"body over 64 KiB":  {"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + strings.Repeat("x", 300000), hollyspur.Success, true},
-		"body over 1 MiB":   {"HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n" + strings.Repeat("x", 1048577), hollyspur.Success, true},
-		"half a long body":  {"HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n" + strings.Repeat("x", 1048576), hollyspur.Broken, false},
-		"long in chunks":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000;x=y\r\n"+strings.Repeat("x", 0x4000)+"\r\n", 20) + "0\r\nT: v\r\n\r\n", hollyspur.Success, true},
-		"ended by close":    {"HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\nall", hollyspur.Success, false},
-		"long, by close":    {"HTTP/1.1 200 OK\r\nConnection: x, close\r\n\r\n" + strings.Repeat("x", 300000), hollyspur.Success, false},
-		"body of 64 KiB":    {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), hollyspur.Success, true},
-		"half an error":     {"HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nhalf", hollyspur.Broken, false},
-		"half turned away":  {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nhalf", hollyspur.Broken, false},
-		"two lengths":       {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi", hollyspur.Broken, false},
-		"many interim":      {strings.Repeat("HTTP/1.1 102 P\r\nA: b\r\n\r\n", 10) + ok, hollyspur.Success, true},
-		"unframed and 1.0":  {"HTTP/1.0 200 OK\r\n\r\nall", hollyspur.Success, false},
-		"1.0 with a length": {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", hollyspur.Success, false},
+		"served":            {ok, balancer.Success, true},
+		"interim first":     {"HTTP/1.1 100 Continue\r\n\r\n" + ok, balancer.Success, true},
+		"chunked":           {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.Success, true},
+		"empty":             {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", balancer.Success, true},
+		"closes":            {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", balancer.Success, false},
+		"leftover bytes":    {ok + "HTTP/1.1 200 OK", balancer.Success, false},
+		"error":             {"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"not found":         {"HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"other success":     {"HTTP/1.1 204 No Content\r\n\r\n", balancer.Failure, true},
+		"turned away":       {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
+		"over already":      {"HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
+		"503 that may run":  {"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"503 says 0":        {"HTTP/1.1 503 E\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"500 unprocessed":   {"HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
+		"nothing":           {"", balancer.Broken, false},
+		"no HTTP":           {"hello\r\n\r\n", balancer.Broken, false},
+		"half a header":     {"HTTP/1.1 200 OK\r\nContent-Le", balancer.Broken, false},
+		"half a body":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", balancer.Broken, false},
+		"half the chunks":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.Broken, false},
+		"unframed body":     {"HTTP/1.1 200 OK\r\n\r\nperhaps all", balancer.Broken, false},
+		"body over 64 KiB":  {"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + strings.Repeat("x", 300000), balancer.Success, true},
+		"body over 1 MiB":   {"HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n" + strings.Repeat("x", 1048577), balancer.Success, true},
+		"half a long body":  {"HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n" + strings.Repeat("x", 1048576), balancer.Broken, false},
+		"long in chunks":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000;x=y\r\n"+strings.Repeat("x", 0x4000)+"\r\n", 20) + "0\r\nT: v\r\n\r\n", balancer.Success, true},
+		"ended by close":    {"HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\nall", balancer.Success, false},
+		"long, by close":    {"HTTP/1.1 200 OK\r\nConnection: x, close\r\n\r\n" + strings.Repeat("x", 300000), balancer.Success, false},
+		"body of 64 KiB":    {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), balancer.Success, true},
+		"half an error":     {"HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nhalf", balancer.Broken, false},
+		"half turned away":  {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nhalf", balancer.Broken, false},
+		"two lengths":       {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi", balancer.Broken, false},
+		"many interim":      {strings.Repeat("HTTP/1.1 102 P\r\nA: b\r\n\r\n", 10) + ok, balancer.Success, true},
+		"unframed and 1.0":  {"HTTP/1.0 200 OK\r\n\r\nall", balancer.Success, false},
+		"1.0 with a length": {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Success, false},
 	} {
 		release := make(chan struct{})
 		addr := testkit.Listen(t, func(conn net.Conn, r *bufio.Reader) {
@@ -155,7 +155,7 @@
 		})
 		u := newTestSender(10)
 		u.quietWithin = 50 * time.Millisecond
-		if res := try(t, u, newEndpoint(addr)); res.ending != hollyspur.Broken {
+		if res := try(t, u, newEndpoint(addr)); res.ending != balancer.Broken {
 			t.Errorf("%s: ending %d", name, res.ending)
 		}
 		if open, _ := u.counts(); open != 0 {
@@ -178,7 +178,7 @@
 	u := newTestSender(10)
 	u.quietWithin = 100 * time.Millisecond
 	time.AfterFunc(3*u.quietWithin, func() { close(work) })
-	if res := try(t, u, newEndpoint(addr)); res.ending != hollyspur.Success {
+	if res := try(t, u, newEndpoint(addr)); res.ending != balancer.Success {
 		t.Errorf("ending %d", res.ending)
 	}
 }
@@ -221,10 +221,10 @@
 		}
 	})
 	u, s := newTestSender(10), newEndpoint(addr)
-	if res := try(t, u, s); res.ending != hollyspur.Success {
+	if res := try(t, u, s); res.ending != balancer.Success {
 		t.Fatalf("first: %d", res.ending)
 	}
-	if res := try(t, u, s); res.ending != hollyspur.Broken {
+	if res := try(t, u, s); res.ending != balancer.Broken {
 		t.Errorf("second: ending %d, want Broken", res.ending)
 	}
 	if n := seen.Load(); n != 2 {
@@ -240,7 +240,7 @@
 	}
 	l.Close()
 	u := newTestSender(10)
-	if res := try(t, u, newEndpoint(l.Addr().String())); res.ending != hollyspur.Unreachable {
+	if res := try(t, u, newEndpoint(l.Addr().String())); res.ending != balancer.Unreachable {
 		t.Errorf("ending %d", res.ending)
 	}
 	if open, _ := u.counts(); open != 0 {
@@ -262,7 +262,7 @@
 	})
 	u, s := newTestSender(10), newEndpoint(addr)
 	for range 2 {
-		if res := try(t, u, s); res.ending != hollyspur.Success {
+		if res := try(t, u, s); res.ending != balancer.Success {
 			t.Fatalf("ending %d", res.ending)
 		}
 		testkit.Wait(t, closed)
@@ -354,21 +354,21 @@
 	})
 	u, s := newTestSender(10), newEndpoint(addr)
 	ctx := context.Background()
-	if res := u.attempt(ctx, engine.NewAttempt(s, keyed(), limit, engine.Hooks{Finished: yes})); res.ending != hollyspur.Void {
+	if res := u.attempt(ctx, engine.NewAttempt(s, keyed(), limit, engine.Hooks{Finished: yes})); res.ending != balancer.Void {
 		t.Errorf("request finished: ending %d, want Void", res.ending)
 	}
 	if _, idle := u.counts(); idle != 1 {
 		t.Error("the new connection was not kept for the next attempt")
 	}
 	gone := func() bool { s.SetUsable(false); return false }
-	if res := u.attempt(ctx, engine.NewAttempt(s, keyed(), limit, engine.Hooks{Finished: gone})); res.ending != hollyspur.Unreachable {
+	if res := u.attempt(ctx, engine.NewAttempt(s, keyed(), limit, engine.Hooks{Finished: gone})); res.ending != balancer.Unreachable {
 		t.Errorf("server gone: ending %d, want Unreachable", res.ending)
 	}
 	testkit.Wait(t, eof)
 	s.SetUsable(true)
 	ctx, cancel := context.WithCancelCause(ctx)
 	cancel(engine.ErrWithdrawn)
-	if res := u.attempt(ctx, engine.NewAttempt(s, keyed(), limit, engine.Hooks{})); res.ending != hollyspur.Void {
+	if res := u.attempt(ctx, engine.NewAttempt(s, keyed(), limit, engine.Hooks{})); res.ending != balancer.Void {
 		t.Errorf("cancelled: ending %d, want Void", res.ending)
 	}
 	if n := bytes.Load(); n > 0 {
@@ -389,8 +389,8 @@
 		}
 	})
 	u, s := newTestSender(10), newEndpoint(addr)
-	for cause, want := range map[error]hollyspur.Ending{
-		engine.ErrTimedOut: hollyspur.TimedOut, engine.ErrWithdrawn: hollyspur.Withdrawn} {
+	for cause, want := range map[error]balancer.Ending{
+		engine.ErrTimedOut: balancer.TimedOut, engine.ErrWithdrawn: balancer.Withdrawn} {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		go func() {
 			<-began
@@ -413,7 +413,7 @@
 	b, _ := testkit.Stub(t, ok, false)
 	u, sa, sb := newTestSender(1), newEndpoint(a), newEndpoint(b)
 	for _, s := range []*engine.Endpoint{sa, sb} {
-		if res := try(t, u, s); res.ending != hollyspur.Success {
+		if res := try(t, u, s); res.ending != balancer.Success {
 			t.Fatalf("ending %d", res.ending)
 		}
 	}
@@ -421,11 +421,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res := try(t, u, sa); res.ending != hollyspur.Unreachable {
+	if res := try(t, u, sa); res.ending != balancer.Unreachable {
 		t.Errorf("over the budget: ending %d, want Unreachable", res.ending)
 	}
 	u.close(c)
-	if res := try(t, u, sa); res.ending != hollyspur.Success {
+	if res := try(t, u, sa); res.ending != balancer.Success {
 		t.Errorf("with room again: ending %d", res.ending)
 	}
 }
@@ -463,7 +463,7 @@
 	addr, got := testkit.Stub(t, ok, false)
 	for _, target := range []string{"/a%20b/?c", "//x/y?z=://", "/", "/%2F%2f//"} {
 		m := &message.Request{Method: "POST", URL: &url.URL{Opaque: target}, Authority: "app.svc", Header: map[string][]string{}, Body: []byte("a ://b")}
-		if res := send(t, newTestSender(10), newEndpoint(addr), m); res.ending != hollyspur.Success {
+		if res := send(t, newTestSender(10), newEndpoint(addr), m); res.ending != balancer.Success {
 			t.Errorf("%s: ending %d", target, res.ending)
 		}
 		if r := testkit.Wait(t, got); r.RequestURI != target || r.Text != "a ://b" {
--- a/internal/sender/http1/once_test.go
+++ b/internal/sender/http1/once_test.go
@@ -11,10 +11,10 @@
 	"sync/atomic"
 	"testing"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+	"cranegrade/internal/testkit"
 )
 
 // A server that has every byte of a long request may run it, whatever befalls its caller behind the last one: the word that
@@ -23,11 +23,11 @@
 	t.Parallel()
 	for name, c := range map[string]struct {
 		after func(more *message.Stream, cancel context.CancelCauseFunc)
-		want  hollyspur.Ending
+		want  balancer.Ending
 	}{
-		"the caller breaks off": {func(more *message.Stream, _ context.CancelCauseFunc) { more.Finish(nil) }, hollyspur.Broken},
-		"timed out":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrTimedOut) }, hollyspur.TimedOut},
-		"withdrawn":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrWithdrawn) }, hollyspur.Withdrawn},
+		"the caller breaks off": {func(more *message.Stream, _ context.CancelCauseFunc) { more.Finish(nil) }, balancer.Broken},
+		"timed out":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrTimedOut) }, balancer.TimedOut},
+		"withdrawn":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrWithdrawn) }, balancer.Withdrawn},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ran, proceed := make(chan struct{}), make(chan struct{})
@@ -62,7 +62,7 @@
 	m, more := upload(11, "hello")
 	more.Push([]byte(" worldGET /other HTTP/1.1\r\nHost: a\r\n\r\n"))
 	more.Finish([]message.Field{})
-	if res := send(t, newTestSender(10), newEndpoint(addr), m); res.ending != hollyspur.Void {
+	if res := send(t, newTestSender(10), newEndpoint(addr), m); res.ending != balancer.Void {
 		t.Errorf("ending %d", res.ending)
 	}
 	if len(got) > 0 {
@@ -122,10 +122,10 @@
 	})
 	s, ep := namedSender(false), newEndpoint(addr)
 	s.trust.kept.n = 10 * trustPrior // else no kept connection is trusted with it
-	if res := send(t, s, ep, once("a")); res.ending != hollyspur.Overloaded {
+	if res := send(t, s, ep, once("a")); res.ending != balancer.Overloaded {
 		t.Fatalf("the first: ending %d", res.ending)
 	}
-	if res := send(t, s, ep, once("b")); res.ending != hollyspur.Success || runs.Load() != 1 {
+	if res := send(t, s, ep, once("b")); res.ending != balancer.Success || runs.Load() != 1 {
 		t.Errorf("ending %d after %d runs", res.ending, runs.Load())
 	}
 }
@@ -172,7 +172,7 @@
 			s.put(ep, x)
 		} else {
 			go func() { <-read; cancel(engine.ErrTimedOut) }()
-			if res := s.attempt(ctx, a); res.ending != hollyspur.TimedOut {
+			if res := s.attempt(ctx, a); res.ending != balancer.TimedOut {
 				t.Fatalf("the first: ending %d", res.ending)
 			}
 		}
--- a/internal/sender/http1/read.go
+++ b/internal/sender/http1/read.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
 )
 
 // Bounds of an answer, lest a spoilt one takes memory without end or the rest of its request's time.
--- a/internal/sender/http1/stream_test.go
+++ b/internal/sender/http1/stream_test.go
@@ -14,10 +14,10 @@
 
 	"pgregory.net/rapid"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/message"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+	"cranegrade/internal/testkit"
 )
 
 // long sends a request and gives the stream that begins, and then how the attempt ended.
@@ -64,7 +64,7 @@
 			}
 			got += len(p)
 		}
-		if res := testkit.Wait(t, ended); got != size || st.Trailer() == nil || res.ending != hollyspur.Success || testkit.Wait(t, written) != size {
+		if res := testkit.Wait(t, ended); got != size || st.Trailer() == nil || res.ending != balancer.Success || testkit.Wait(t, written) != size {
 			t.Errorf("room %d: %d bytes, ending %d", room, got, res.ending)
 		}
 		if left := u.answers.(*testkit.Room).Left(); left != room {
@@ -107,19 +107,19 @@
 		if _, err := st.Next(ctx); err != nil {
 			t.Fatal(err)
 		}
-		want := hollyspur.Broken
+		want := balancer.Broken
 		switch how {
 		case "withdrawn":
 			cancel(engine.ErrWithdrawn)
-			want = hollyspur.Withdrawn
+			want = balancer.Withdrawn
 			st.Release()
 		case "released":
 			st.Release()
 			cancel(engine.ErrWithdrawn) // the engine hears that its caller has gone
-			want = hollyspur.Withdrawn
+			want = balancer.Withdrawn
 		}
 		close(stop)
-		for p := []byte{0}; p != nil && want == hollyspur.Broken; {
+		for p := []byte{0}; p != nil && want == balancer.Broken; {
 			var err error
 			if p, err = st.Next(context.Background()); err != nil {
 				t.Fatal(err)
@@ -159,7 +159,7 @@
 	if p, _ := st.Next(context.Background()); string(p) != "!" {
 		t.Errorf("then %q", p)
 	}
-	if res := testkit.Wait(t, ended); res.ending != hollyspur.Success {
+	if res := testkit.Wait(t, ended); res.ending != balancer.Success {
 		t.Errorf("ending %d", res.ending)
 	}
 	if open, idle := u.counts(); open != 1 || idle != 1 {
@@ -188,13 +188,13 @@
 				more.Push([]byte("ld"))
 				more.Finish([]message.Field{})
 			}()
-			if res := send(t, u, newEndpoint(addr), m); res.ending != hollyspur.Success || !m.Spent() {
+			if res := send(t, u, newEndpoint(addr), m); res.ending != balancer.Success || !m.Spent() {
 				t.Errorf("length %d: ending %d, spent %v", length, res.ending, m.Spent())
 			}
 			if r := testkit.Wait(t, got); r.Text != "hello world" || r.ContentLength != length {
 				t.Errorf("the server got %q of %d", r.Text, r.ContentLength)
 			}
-			if res := send(t, u, newEndpoint(addr), m); res.ending != hollyspur.Void {
+			if res := send(t, u, newEndpoint(addr), m); res.ending != balancer.Void {
 				t.Errorf("sent again: ending %d", res.ending)
 			}
 		}
@@ -208,24 +208,24 @@
 	for name, c := range map[string]struct {
 		serve func(c net.Conn, r *bufio.Reader)
 		off   bool // the caller breaks off
-		want  hollyspur.Ending
+		want  balancer.Ending
 	}{
-		"caller": {func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }, true, hollyspur.Void},
+		"caller": {func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }, true, balancer.Void},
 		"turned away": {func(c net.Conn, r *bufio.Reader) {
 			http.ReadRequest(r)
 			io.WriteString(c, "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, r)
-		}, false, hollyspur.Overloaded},
+		}, false, balancer.Overloaded},
 		"failed early": {func(c net.Conn, r *bufio.Reader) {
 			http.ReadRequest(r)
 			io.WriteString(c, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, r)
-		}, false, hollyspur.Failure},
-		"breaks": {func(c net.Conn, r *bufio.Reader) { http.ReadRequest(r) }, false, hollyspur.Unreachable},
+		}, false, balancer.Failure},
+		"breaks": {func(c net.Conn, r *bufio.Reader) { http.ReadRequest(r) }, false, balancer.Unreachable},
 		"resets": {func(c net.Conn, r *bufio.Reader) {
 			http.ReadRequest(r)
 			c.(*net.TCPConn).SetLinger(0)
-		}, false, hollyspur.Unreachable},
+		}, false, balancer.Unreachable},
 	} {
 		addr := testkit.Listen(t, c.serve)
 		u := newTestSender(10)
@@ -245,7 +245,7 @@
 	read := make(chan struct{})
 	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) { http.ReadRequest(r); close(read); io.Copy(io.Discard, r) })
 	go func() { <-read; cancel(engine.ErrWithdrawn) }()
-	if res := newTestSender(10).attempt(ctx, engine.NewAttempt(newEndpoint(addr), m, limit, engine.Hooks{})); res.ending != hollyspur.Void {
+	if res := newTestSender(10).attempt(ctx, engine.NewAttempt(newEndpoint(addr), m, limit, engine.Hooks{})); res.ending != balancer.Void {
 		t.Errorf("withdrawn: ending %d", res.ending)
 	}
 }
--- a/internal/sender/http1/trust.go
+++ b/internal/sender/http1/trust.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"hollyspur/internal/message"
+	"cranegrade/internal/message"
 )
 
 // trust judges whether a kept connection should carry a request. Servers, and what stands before them, drop kept
--- a/internal/sender/http1/trust_test.go
+++ b/internal/sender/http1/trust_test.go
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
-	"hollyspur"
-	"hollyspur/internal/message"
-	"hollyspur/internal/testkit"
+	"cranegrade/balancer"
+	"cranegrade/internal/message"
+	"cranegrade/internal/testkit"
 )
 
 // Kept connections that break more often than fresh ones lose the trust of unsafe requests first, and get it back.
@@ -108,10 +108,10 @@
 	}
 	for i := range 10 {
 		res := send(t, s, ep, &message.Request{Method: "POST", URL: keyed().URL, Authority: "a", Body: []byte("x")})
-		if res.ending != hollyspur.Success && res.ending != hollyspur.Unreachable {
+		if res.ending != balancer.Success && res.ending != balancer.Unreachable {
 			t.Fatalf("attempt %d: ending %d, though nothing can have run", i, res.ending)
 		}
-		if res.ending == hollyspur.Success {
+		if res.ending == balancer.Success {
 			res.reply.Release()
 			if got := testkit.Wait(t, ran); got != "POST" {
 				t.Fatalf("ran %s", got)
@@ -160,7 +160,7 @@
 		if res.reply != nil {
 			res.reply.Release()
 		}
-		if m == order && i >= 60 && res.ending != hollyspur.Success {
+		if m == order && i >= 60 && res.ending != balancer.Success {
 			broken++
 		}
 	}
--- a/internal/source/registry/fuzz_test.go
+++ b/internal/source/registry/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 // FuzzParseList: whatever a registry says, there is an error or a list whose every entry has an id, a
--- a/internal/source/registry/registry.go
+++ b/internal/source/registry/registry.go
@@ -14,8 +14,8 @@
 	"strconv"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
 )
 
 // List is a message of the registry: the whole list, or the entries that changed.
@@ -36,8 +36,8 @@
 	BootMS   float64 `json:"boot_ms"`
 }
 
-var states = map[string]hollyspur.ServerState{
-	"SERVING": hollyspur.Ready, "DRAINING": hollyspur.Draining, "DELETED": hollyspur.Gone,
+var states = map[string]balancer.ServerState{
+	"SERVING": balancer.Ready, "DRAINING": balancer.Draining, "DELETED": balancer.Gone,
 }
 
 // ParseList reads one message. A message with any bad entry is bad as a whole: half a list would
@@ -68,8 +68,8 @@
 
 // server is the entry in the module's form. The node's clock is Unix time, so boot times need no
 // conversion but of their unit.
-func (t Target) server() hollyspur.Server {
-	return hollyspur.Server{ID: t.UID, Zone: t.Zone, Cell: t.Cell, State: states[t.State],
+func (t Target) server() balancer.Server {
+	return balancer.Server{ID: t.UID, Zone: t.Zone, Cell: t.Cell, State: states[t.State],
 		Size: t.Size, Boot: time.Duration(t.BootMS * float64(time.Millisecond))}
 }
 
--- a/internal/source/registry/registry_test.go
+++ b/internal/source/registry/registry_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/engine"
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/testkit"
 )
 
 const limit = testkit.Limit
--- a/internal/source/static/static.go
+++ b/internal/source/static/static.go
@@ -4,7 +4,7 @@
 import (
 	"context"
 
-	"hollyspur/internal/engine"
+	"cranegrade/internal/engine"
 )
 
 // Source is a fixed list. It implements engine.Source.
--- a/internal/source/xds/xds.go
+++ b/internal/source/xds/xds.go
@@ -6,10 +6,10 @@
 	"io"
 	"log"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/xds/client"
-	"hollyspur/internal/xds/resource"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/xds/client"
+	"cranegrade/internal/xds/resource"
 )
 
 // Client is a client of control planes, for all pools of a node.
@@ -83,7 +83,7 @@
 func (s *Source) Began(id string) { s.load.Began(id) }
 
 // Ended counts the end of an attempt.
-func (s *Source) Ended(id string, e hollyspur.Ending) { s.load.Ended(id, e) }
+func (s *Source) Ended(id string, e balancer.Ending) { s.load.Ended(id, e) }
 
 // Dropped counts a request refused by the control plane's drops.
 func (s *Source) Dropped() { s.load.Dropped() }
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"hollyspur/internal/peek"
+	"cranegrade/internal/peek"
 )
 
 // Stream is an open stream of requests: they come at random times, whatever became of those before.
--- a/internal/standin/proxy/compile.go
+++ b/internal/standin/proxy/compile.go
@@ -22,7 +22,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"hollyspur/internal/envoyconf"
+	"cranegrade/internal/envoyconf"
 )
 
 // compile takes from a bootstrap the part that matters here, and refuses what would matter and is not modelled.
--- a/internal/standin/proxy/layers.go
+++ b/internal/standin/proxy/layers.go
@@ -23,8 +23,8 @@
 	metadatav3 "github.com/envoyproxy/go-control-plane/envoy/type/metadata/v3"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"hollyspur/internal/envoyconf"
-	"hollyspur/internal/standin"
+	"cranegrade/internal/envoyconf"
+	"cranegrade/internal/standin"
 )
 
 // header is a message's fields by lower-case name, with the pseudo-headers.
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -23,8 +23,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"hollyspur/internal/envoyconf"
-	"hollyspur/internal/standin"
+	"cranegrade/internal/envoyconf"
+	"cranegrade/internal/standin"
 )
 
 // Config is what a proxy is made of.
--- a/internal/standin/proxy/proxy_test.go
+++ b/internal/standin/proxy/proxy_test.go
@@ -12,9 +12,9 @@
 	extproc "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 	"google.golang.org/grpc"
 
-	"hollyspur/internal/envoyconf"
-	"hollyspur/internal/extproc/stream"
-	"hollyspur/internal/standin"
+	"cranegrade/internal/envoyconf"
+	"cranegrade/internal/extproc/stream"
+	"cranegrade/internal/standin"
 )
 
 // picker is a processor that always names the same list, and allows one more try if a retry header is told.
--- a/internal/testkit/mutation/mutation.go
+++ b/internal/testkit/mutation/mutation.go
@@ -12,7 +12,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hollyspur/internal/testkit"
+	"cranegrade/internal/testkit"
 )
 
 // maxConcurrent is how many mutants of one package are built and tested at once.
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -11,17 +11,17 @@
 	"fmt"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Handler is a decision module; engine.Module is the same.
 type Handler interface {
-	Handle(now time.Duration, e hollyspur.Event) []hollyspur.Action
+	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
 // Believer is a module that can tell what it believes.
 type Believer interface {
-	Beliefs(servers int) hollyspur.Beliefs
+	Beliefs(servers int) balancer.Beliefs
 }
 
 // Options say what is written.
@@ -46,11 +46,11 @@
 
 // Summary is a line of a trace.
 type Summary struct {
-	AtMS    float64            `json:"at_ms"` // clock time
-	SpanMS  float64            `json:"span_ms"`
-	Counts  Counts             `json:"counts"`
-	Beliefs *hollyspur.Beliefs `json:"beliefs,omitempty"`
-	Dropped int64              `json:"dropped,omitempty"` // lines that did not fit, in all
+	AtMS    float64           `json:"at_ms"` // clock time
+	SpanMS  float64           `json:"span_ms"`
+	Counts  Counts            `json:"counts"`
+	Beliefs *balancer.Beliefs `json:"beliefs,omitempty"`
+	Dropped int64             `json:"dropped,omitempty"` // lines that did not fit, in all
 }
 
 // Detail is a line about one event or action.
@@ -89,7 +89,7 @@
 }
 
 // New returns a module that traces in.
-func New(in Handler, classes []hollyspur.Class, to *Sink, opt Options) *Module {
+func New(in Handler, classes []balancer.Class, to *Sink, opt Options) *Module {
 	if opt.Every <= 0 {
 		opt.Every = time.Second
 	}
@@ -110,7 +110,7 @@
 }
 
 // Handle passes an event on.
-func (m *Module) Handle(now time.Duration, e hollyspur.Event) []hollyspur.Action {
+func (m *Module) Handle(now time.Duration, e balancer.Event) []balancer.Action {
 	if m.last == 0 {
 		m.last = now
 	}
@@ -127,7 +127,7 @@
 
 func (m *Module) summary(now time.Duration) {
 	s := Summary{AtMS: ms(now), SpanMS: ms(now - m.last), Counts: m.counts, Dropped: m.to.Dropped()}
-	if n := m.counts.Endings[endings[hollyspur.Success]]; n > 0 {
+	if n := m.counts.Endings[endings[balancer.Success]]; n > 0 {
 		s.Counts.MeanMS = ms(m.took) / float64(n)
 	}
 	if b, can := m.in.(Believer); can {
@@ -139,22 +139,22 @@
 	m.reset()
 }
 
-func (m *Module) event(now time.Duration, e hollyspur.Event) {
+func (m *Module) event(now time.Duration, e balancer.Event) {
 	switch e := e.(type) {
-	case hollyspur.Request:
+	case balancer.Request:
 		m.counts.Requests++
 		if m.open[e.ID] == nil {
 			m.open[e.ID] = &call{class: e.Class, arrived: now}
 		}
 		m.detail(Detail{AtMS: ms(now), What: "request", ID: e.ID, Class: e.Class, LeftMS: ms(e.Deadline - now)})
-	case hollyspur.Outcome:
+	case balancer.Outcome:
 		m.counts.Endings[endings[e.Ending]]++
 		c := m.open[e.ID]
 		d := Detail{AtMS: ms(now), What: "end", ID: e.ID, Server: e.Server, Attempt: e.Attempt, How: endings[e.Ending]}
 		if c != nil {
 			if e.Attempt >= 0 && e.Attempt < len(c.sent) {
 				d.TookMS = ms(now - c.sent[e.Attempt])
-				if e.Ending == hollyspur.Success {
+				if e.Ending == balancer.Success {
 					m.took += now - c.sent[e.Attempt]
 				}
 			}
@@ -165,7 +165,7 @@
 		if c != nil {
 			if e.Ended {
 				how := "failed"
-				if e.Ending == hollyspur.Success {
+				if e.Ending == balancer.Success {
 					how = "served"
 					if aim := m.aims[c.class]; aim > 0 && now-c.arrived > aim {
 						how = "late"
@@ -175,27 +175,27 @@
 			}
 			m.forget(e.ID, c)
 		}
-	case hollyspur.ClientGone:
+	case balancer.ClientGone:
 		if c := m.open[e.ID]; c != nil {
 			m.answer(now, e.ID, c, "gone")
 			m.forget(e.ID, c)
 		}
-	case hollyspur.Fleet:
+	case balancer.Fleet:
 		m.detail(Detail{AtMS: ms(now), What: "fleet", How: fmt.Sprintf("%d of %d, 1/%v of rations, %d servers", e.Index, e.Balancers, e.Divisor, len(e.Subset))})
-	case hollyspur.Hearsay:
+	case balancer.Hearsay:
 		for _, a := range e.Aside {
 			m.detail(Detail{AtMS: ms(now), What: "aside", Server: a.ID, LeftMS: ms(a.Until - now)})
 		}
-	case hollyspur.ServerList:
+	case balancer.ServerList:
 		for _, s := range e.Servers {
 			m.detail(Detail{AtMS: ms(now), What: "list", Server: s.ID, How: states[s.State]})
 		}
 	}
 }
 
-func (m *Module) action(now time.Duration, a hollyspur.Action) {
+func (m *Module) action(now time.Duration, a balancer.Action) {
 	switch a := a.(type) {
-	case hollyspur.Send:
+	case balancer.Send:
 		m.counts.Sends++
 		c := m.open[a.ID]
 		if c == nil {
@@ -209,11 +209,11 @@
 		c.sent = append(c.sent, now)
 		c.out++
 		m.detail(Detail{AtMS: ms(now), What: "send", ID: a.ID, Class: c.class, Server: a.Server, Attempt: len(c.sent) - 1, TookMS: ms(now - c.arrived)})
-	case hollyspur.Cancel:
+	case balancer.Cancel:
 		m.counts.Cancelled++
-	case hollyspur.Refuse:
+	case balancer.Refuse:
 		m.answered(now, a.ID, "refused")
-	case hollyspur.Fail:
+	case balancer.Fail:
 		m.answered(now, a.ID, "failed")
 	}
 }
@@ -252,11 +252,11 @@
 	return float64(d.Round(time.Microsecond)) / float64(time.Millisecond)
 }
 
-var endings = map[hollyspur.Ending]string{hollyspur.Success: "success", hollyspur.Failure: "failure",
-	hollyspur.Overloaded: "overloaded", hollyspur.TimedOut: "timed_out", hollyspur.Unreachable: "unreachable",
-	hollyspur.Broken: "broken", hollyspur.Withdrawn: "withdrawn", hollyspur.Void: "void"}
+var endings = map[balancer.Ending]string{balancer.Success: "success", balancer.Failure: "failure",
+	balancer.Overloaded: "overloaded", balancer.TimedOut: "timed_out", balancer.Unreachable: "unreachable",
+	balancer.Broken: "broken", balancer.Withdrawn: "withdrawn", balancer.Void: "void"}
 
-var states = map[hollyspur.ServerState]string{hollyspur.Ready: "ready", hollyspur.Draining: "draining", hollyspur.Gone: "gone"}
+var states = map[balancer.ServerState]string{balancer.Ready: "ready", balancer.Draining: "draining", balancer.Gone: "gone"}
 
 // encode is apart for its error, which only a value that JSON has no word for could cause.
 func encode(v any) []byte {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -12,19 +12,19 @@
 
 	"go.uber.org/goleak"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // script answers each kind of event with what it was told to.
-type script map[string][]hollyspur.Action
+type script map[string][]balancer.Action
 
-func (s script) Handle(_ time.Duration, e hollyspur.Event) []hollyspur.Action {
+func (s script) Handle(_ time.Duration, e balancer.Event) []balancer.Action {
 	switch e := e.(type) {
-	case hollyspur.Request:
+	case balancer.Request:
 		return s[e.ID]
-	case hollyspur.Outcome:
+	case balancer.Outcome:
 		if !e.Ended {
 			return s["again "+e.ID]
 		}
@@ -56,29 +56,29 @@
 	var text bytes.Buffer
 	to := NewSink(&text, 0)
 	m := New(script{
-		"ok":        {hollyspur.Send{ID: "ok", Server: "s"}},
-		"late":      {hollyspur.Send{ID: "late", Server: "s"}},
-		"away":      {hollyspur.Refuse{ID: "away"}},
-		"two":       {hollyspur.Send{ID: "two", Server: "s"}},
-		"again two": {hollyspur.Send{ID: "two", Server: "t"}},
-	}, []hollyspur.Class{{Name: "get", Aim: 100 * time.Millisecond}}, to, Options{Detail: true})
+		"ok":        {balancer.Send{ID: "ok", Server: "s"}},
+		"late":      {balancer.Send{ID: "late", Server: "s"}},
+		"away":      {balancer.Refuse{ID: "away"}},
+		"two":       {balancer.Send{ID: "two", Server: "s"}},
+		"again two": {balancer.Send{ID: "two", Server: "t"}},
+	}, []balancer.Class{{Name: "get", Aim: 100 * time.Millisecond}}, to, Options{Detail: true})
 	ms := time.Millisecond
 	at := time.Hour
-	ask := func(id string) { m.Handle(at, hollyspur.Request{ID: id, Class: "get", Deadline: at + time.Second}) }
-	end := func(after time.Duration, id string, n int, e hollyspur.Ending, ended bool) {
-		m.Handle(at+after, hollyspur.Outcome{ID: id, Attempt: n, Server: "s", Ending: e, Ended: ended})
+	ask := func(id string) { m.Handle(at, balancer.Request{ID: id, Class: "get", Deadline: at + time.Second}) }
+	end := func(after time.Duration, id string, n int, e balancer.Ending, ended bool) {
+		m.Handle(at+after, balancer.Outcome{ID: id, Attempt: n, Server: "s", Ending: e, Ended: ended})
 	}
 	ask("ok")
 	ask("late")
 	ask("away")
 	ask("two")
 	ask("gone")
-	end(10*ms, "ok", 0, hollyspur.Success, true)
-	end(20*ms, "two", 0, hollyspur.Overloaded, false)
-	m.Handle(at+30*ms, hollyspur.ClientGone{ID: "gone"})
-	end(200*ms, "late", 0, hollyspur.Success, true)
-	end(210*ms, "two", 1, hollyspur.Success, true)
-	m.Handle(at+2*time.Second, hollyspur.Timer{})
+	end(10*ms, "ok", 0, balancer.Success, true)
+	end(20*ms, "two", 0, balancer.Overloaded, false)
+	m.Handle(at+30*ms, balancer.ClientGone{ID: "gone"})
+	end(200*ms, "late", 0, balancer.Success, true)
+	end(210*ms, "two", 1, balancer.Success, true)
+	m.Handle(at+2*time.Second, balancer.Timer{})
 	to.Close()
 	if len(m.open) != 0 {
 		t.Errorf("%d requests are still kept", len(m.open))
@@ -99,9 +99,9 @@
 
 // A traced module decides as it would untraced.
 func TestTracingChangesNothing(t *testing.T) {
-	set := hollyspur.Settings{Classes: []hollyspur.Class{{Name: "get", Effect: hollyspur.Safe, Aim: time.Second, Deadline: 3 * time.Second}}, MaxAttempts: 3}
-	play := func(wrap bool) (all []hollyspur.Action) {
-		b, err := hollyspur.New(set, 3)
+	set := balancer.Settings{Classes: []balancer.Class{{Name: "get", Effect: balancer.Safe, Aim: time.Second, Deadline: 3 * time.Second}}, MaxAttempts: 3}
+	play := func(wrap bool) (all []balancer.Action) {
+		b, err := balancer.New(set, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,14 +111,14 @@
 		if wrap {
 			h = New(b, set.Classes, to, Options{})
 		}
-		all = append(all, h.Handle(0, hollyspur.ServerList{Full: true, Servers: []hollyspur.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}})...)
+		all = append(all, h.Handle(0, balancer.ServerList{Full: true, Servers: []balancer.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}})...)
 		for i := range 300 {
 			now := time.Duration(i) * 20 * time.Millisecond
 			id := string(rune('a'+i%26)) + strings.Repeat("x", i/26)
-			for _, a := range h.Handle(now, hollyspur.Request{ID: id, Class: "get", Deadline: now + time.Second}) {
+			for _, a := range h.Handle(now, balancer.Request{ID: id, Class: "get", Deadline: now + time.Second}) {
 				all = append(all, a)
-				if s, is := a.(hollyspur.Send); is {
-					all = append(all, h.Handle(now+10*time.Millisecond, hollyspur.Outcome{ID: id, Server: s.Server, Ending: hollyspur.Success, Ended: true})...)
+				if s, is := a.(balancer.Send); is {
+					all = append(all, h.Handle(now+10*time.Millisecond, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})...)
 				}
 			}
 		}
@@ -129,7 +129,7 @@
 		t.Fatalf("%d actions, %d traced", len(plain), len(traced))
 	}
 	for i := range plain {
-		if x, is := plain[i].(hollyspur.Send); is && x.Server != traced[i].(hollyspur.Send).Server {
+		if x, is := plain[i].(balancer.Send); is && x.Server != traced[i].(balancer.Send).Server {
 			t.Fatalf("action %d: %v, traced %v", i, plain[i], traced[i])
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Kind tells what a Message carries.
@@ -34,8 +34,8 @@
 	Instance int
 	Now      time.Duration
 	Seed     uint64
-	Settings hollyspur.Settings
-	Event    hollyspur.Event
+	Settings balancer.Settings
+	Event    balancer.Event
 }
 
 // Decoder reads messages one at a time.
@@ -44,7 +44,7 @@
 	line     int
 	inBatch  bool
 	instance int
-	lists    [16][]hollyspur.Server
+	lists    [16][]balancer.Server
 }
 
 // NewDecoder returns a Decoder that reads r.
@@ -142,28 +142,28 @@
 				f.fail(1, "is no list number")
 				break
 			}
-			m.Event = hollyspur.ServerList{Full: mode != 0, Cached: mode == 2, Servers: d.lists[n]}
+			m.Event = balancer.ServerList{Full: mode != 0, Cached: mode == 2, Servers: d.lists[n]}
 		case 3:
-			m.Event = hollyspur.ListFailed{}
+			m.Event = balancer.ListFailed{}
 		default:
 			f.fail(0, "is no mode")
 		}
 	case "job_in":
-		r := hollyspur.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
+		r := balancer.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
 			Repeat: f.optNum(4)&2 != 0, Tenant: f.opt(5)}
 		if f.optNum(4)&1 != 0 {
 			r.Cost = f.optMS(6)
 		}
 		m.Event = r
 	case "ring":
-		m.Event = hollyspur.Timer{Token: f.text(0)}
+		m.Event = balancer.Timer{Token: f.text(0)}
 	case "outcome":
-		m.Event = hollyspur.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
+		m.Event = balancer.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
 			Ended: f.text(3) == "1", Attempt: f.num(4), Ending: f.ending(5), Load: f.load(6)}
 	case "timed_out_client":
-		m.Event = hollyspur.ClientGone{ID: f.text(0)}
+		m.Event = balancer.ClientGone{ID: f.text(0)}
 	case "flowing":
-		m.Event = hollyspur.Started{ID: f.text(0), Attempt: f.num(3)}
+		m.Event = balancer.Started{ID: f.text(0), Attempt: f.num(3)}
 	case "crash_now":
 		m.Kind = Stop
 	case "checked", "mail":
@@ -182,7 +182,7 @@
 	if table < 0 || table >= len(d.lists) || n < 0 {
 		return fmt.Errorf("list number or length out of range")
 	}
-	var servers []hollyspur.Server
+	var servers []balancer.Server
 	for i := 0; i < n; i++ {
 		s, err := d.readLine()
 		if err != nil {
@@ -193,15 +193,15 @@
 			return fmt.Errorf("want item %d of %d, got %s", i+1, n, quote(name))
 		}
 		g := &fields{name: name, parts: strings.Split(rest, "\t")}
-		sv := hollyspur.Server{ID: g.text(0), Zone: g.text(1), Cell: g.num(3), Size: g.optFloat(5),
+		sv := balancer.Server{ID: g.text(0), Zone: g.text(1), Cell: g.num(3), Size: g.optFloat(5),
 			Boot: g.optMS(6)}
 		switch g.num(4) {
 		case 2:
-			sv.State = hollyspur.Ready
+			sv.State = balancer.Ready
 		case 0:
-			sv.State = hollyspur.Draining
+			sv.State = balancer.Draining
 		case 1:
-			sv.State = hollyspur.Gone
+			sv.State = balancer.Gone
 		default:
 			g.fail(4, "is no state")
 		}
@@ -296,14 +296,14 @@
 	return f.ms(i)
 }
 
-var endings = map[string]hollyspur.Ending{
-	"success": hollyspur.Success, "failure": hollyspur.Failure,
-	"overloaded": hollyspur.Overloaded, "timed_out": hollyspur.TimedOut,
-	"unreachable": hollyspur.Unreachable, "broken": hollyspur.Broken,
-	"withdrawn": hollyspur.Withdrawn, "void": hollyspur.Void,
+var endings = map[string]balancer.Ending{
+	"success": balancer.Success, "failure": balancer.Failure,
+	"overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
+	"unreachable": balancer.Unreachable, "broken": balancer.Broken,
+	"withdrawn": balancer.Withdrawn, "void": balancer.Void,
 }
 
-func (f *fields) ending(i int) hollyspur.Ending {
+func (f *fields) ending(i int) balancer.Ending {
 	e, ok := endings[f.text(i)]
 	if !ok {
 		f.fail(i, "is no ending")
@@ -312,12 +312,12 @@
 }
 
 // load reads name:value pairs; names it does not know are ignored.
-func (f *fields) load(i int) *hollyspur.Load {
+func (f *fields) load(i int) *balancer.Load {
 	s := f.opt(i)
 	if s == "" {
 		return nil
 	}
-	l := &hollyspur.Load{Busy: -1, Service: -1}
+	l := &balancer.Load{Busy: -1, Service: -1}
 	for _, pair := range strings.Split(s, ",") {
 		name, text, _ := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(text, 64)
@@ -391,16 +391,16 @@
 	Sizes string  `json:"weights"`
 }
 
-var scopes = map[string]hollyspur.Scope{
-	"all": hollyspur.ScopeAll, "zone": hollyspur.ScopeZone, "cell": hollyspur.ScopeCell,
+var scopes = map[string]balancer.Scope{
+	"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-var sizes = map[string]hollyspur.Sizes{
-	"nominal": hollyspur.SizesNominal, "rough": hollyspur.SizesRough, "live": hollyspur.SizesLive,
+var sizes = map[string]balancer.Sizes{
+	"nominal": balancer.SizesNominal, "rough": balancer.SizesRough, "live": balancer.SizesLive,
 }
 
-var effects = map[string]hollyspur.Effect{
-	"read_like": hollyspur.Safe, "idempotency_key": hollyspur.Keyed,
+var effects = map[string]balancer.Effect{
+	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
 }
 
 // Connections holds the settings of connections to servers. On the wire the simulator keeps to them;
@@ -412,12 +412,12 @@
 
 // ParseSettings reads the settings object. Keys it does not know are ignored, an effect it does
 // not know is Unsafe and a scope it does not know is the narrowest.
-func ParseSettings(text []byte) (hollyspur.Settings, Connections, error) {
+func ParseSettings(text []byte) (balancer.Settings, Connections, error) {
 	var p profile
 	if err := json.Unmarshal(text, &p); err != nil {
-		return hollyspur.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
+		return balancer.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
 	}
-	s := hollyspur.Settings{
+	s := balancer.Settings{
 		Balancers: p.Balancers, Index: p.Me, Tier: p.Tier,
 		WholeWeight: p.Blend.Whole, ClassWeight: p.Blend.WorstClass,
 		WorstTenantWeight: p.Blend.WorstTenant, OverShare: p.OverShare,
@@ -431,12 +431,12 @@
 		s.MaxRetryAfter = fromMS(p.Limits.MaxRetryAfter)
 	}
 	for _, l := range p.Lanes {
-		s.Classes = append(s.Classes, hollyspur.Class{Name: l.Name, Effect: effects[l.Effect],
+		s.Classes = append(s.Classes, balancer.Class{Name: l.Name, Effect: effects[l.Effect],
 			Scope: scopes[l.Scope], Window: fromMS(l.Window), Aim: fromMS(l.Target),
 			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, Worth: l.Worth, Stream: l.Stream})
 	}
 	for _, t := range p.Tenants {
-		s.Tenants = append(s.Tenants, hollyspur.Tenant{Name: t.Name, Quota: t.Quota})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	c := Connections{Idle: fromMS(p.Limits.ConnIdle), ConnectWithin: fromMS(p.Limits.ConnectWithin)}
 	return s, c, nil
@@ -458,23 +458,23 @@
 }
 
 // Action adds one action of an instance to the reply.
-func (e *Encoder) Action(instance int, a hollyspur.Action) {
+func (e *Encoder) Action(instance int, a balancer.Action) {
 	if instance != e.instance {
 		fmt.Fprintf(e.w, "instance\t%d\n", instance)
 		e.instance = instance
 	}
 	switch a := a.(type) {
-	case hollyspur.Send:
+	case balancer.Send:
 		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Server, ms(a.Timeout))
-	case hollyspur.Cancel:
+	case balancer.Cancel:
 		fmt.Fprintf(e.w, "retract\t%s\t%d\n", a.ID, a.Attempt)
-	case hollyspur.Refuse:
+	case balancer.Refuse:
 		fmt.Fprintf(e.w, "turn_away\t%s\t%s\n", a.ID, ms(a.RetryAfter))
-	case hollyspur.Fail:
+	case balancer.Fail:
 		fmt.Fprintf(e.w, "report_failure\t%s\n", a.ID)
-	case hollyspur.Wake:
+	case balancer.Wake:
 		fmt.Fprintf(e.w, "remind\t%s\t%s\n", ms(a.At), a.Token)
-	case hollyspur.Subscribe:
+	case balancer.Subscribe:
 		fmt.Fprint(e.w, "subscribe\t1\n")
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 const sample = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
@@ -37,12 +37,12 @@
 	}
 	want := []Message{
 		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
-		{Kind: Event, Instance: 3, Event: hollyspur.ServerList{Full: true, Cached: true,
-			Servers: []hollyspur.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, Boot: 6100500 * time.Microsecond}}}},
-		{Kind: Event, Instance: 3, Event: hollyspur.Request{ID: "id", Class: "get", Repeat: true, Cost: 12 * time.Millisecond,
+		{Kind: Event, Instance: 3, Event: balancer.ServerList{Full: true, Cached: true,
+			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, Boot: 6100500 * time.Microsecond}}}},
+		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", Repeat: true, Cost: 12 * time.Millisecond,
 			Deadline: 8652250 * time.Microsecond}},
-		{Kind: Event, Instance: 3, Event: hollyspur.Outcome{ID: "id", Server: "s:1", Ended: true,
-			Latency: 18500 * time.Microsecond, Load: &hollyspur.Load{Busy: 3, Service: -1}}},
+		{Kind: Event, Instance: 3, Event: balancer.Outcome{ID: "id", Server: "s:1", Ended: true,
+			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1}}},
 		{Kind: End, Instance: 3},
 	}
 	if !reflect.DeepEqual(l, want) {
@@ -71,7 +71,7 @@
 
 func TestUnknownEffectIsUnsafe(t *testing.T) {
 	s, _, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`))
-	if err != nil || s.Classes[0].Effect != hollyspur.Unsafe || s.Classes[1].Effect != hollyspur.Safe {
+	if err != nil || s.Classes[0].Effect != balancer.Unsafe || s.Classes[1].Effect != balancer.Safe {
 		t.Fatalf("got %+v, %v", s, err)
 	}
 }
@@ -79,9 +79,9 @@
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
-	e.Action(3, hollyspur.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
-	e.Action(3, hollyspur.Cancel{ID: "a", Attempt: 1})
-	e.Action(5, hollyspur.Refuse{ID: "b"})
+	e.Action(3, balancer.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
+	e.Action(3, balancer.Cancel{ID: "a", Attempt: 1})
+	e.Action(5, balancer.Refuse{ID: "b"})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/xds/client/client.go
+++ b/internal/xds/client/client.go
@@ -18,8 +18,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/keepalive"
 
-	"hollyspur/internal/xds/ads"
-	"hollyspur/internal/xds/resource"
+	"cranegrade/internal/xds/ads"
+	"cranegrade/internal/xds/resource"
 )
 
 // Config is what a client is made of.
--- a/internal/xds/client/client_test.go
+++ b/internal/xds/client/client_test.go
@@ -17,11 +17,11 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"hollyspur"
-	standin "hollyspur/internal/standin/xds"
-	"hollyspur/internal/testkit"
-	"hollyspur/internal/xds/ads"
-	"hollyspur/internal/xds/resource"
+	"cranegrade/balancer"
+	standin "cranegrade/internal/standin/xds"
+	"cranegrade/internal/testkit"
+	"cranegrade/internal/xds/ads"
+	"cranegrade/internal/xds/resource"
 )
 
 const limit = testkit.Limit
@@ -365,8 +365,8 @@
 		l.Began("10.0.0.1:1")
 	}
 	l.Began("10.0.0.2:1")
-	l.Ended("10.0.0.1:1", hollyspur.Success)
-	l.Ended("10.0.0.1:1", hollyspur.Failure)
+	l.Ended("10.0.0.1:1", balancer.Success)
+	l.Ended("10.0.0.1:1", balancer.Failure)
 	l.Dropped()
 	var issued, ok, failed, dropped uint64
 	var out uint64
@@ -399,7 +399,7 @@
 	}
 	var none *Load
 	none.Began("x")
-	none.Ended("x", hollyspur.Success)
+	none.Ended("x", balancer.Success)
 	none.List(nil)
 	none.Dropped()
 }
--- a/internal/xds/client/dump.go
+++ b/internal/xds/client/dump.go
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/xds/ads"
-	"hollyspur/internal/xds/resource"
+	"cranegrade/internal/xds/ads"
+	"cranegrade/internal/xds/resource"
 )
 
 // Dump is what a client holds.
--- a/internal/xds/client/loads.go
+++ b/internal/xds/client/loads.go
@@ -12,8 +12,8 @@
 	loadstats "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"hollyspur"
-	"hollyspur/internal/xds/resource"
+	"cranegrade/balancer"
+	"cranegrade/internal/xds/resource"
 )
 
 // loads counts what became of attempts and reports it to the control plane in use
@@ -103,7 +103,7 @@
 }
 
 // Ended counts its end.
-func (l *Load) Ended(id string, ending hollyspur.Ending) {
+func (l *Load) Ended(id string, ending balancer.Ending) {
 	if l == nil {
 		return
 	}
@@ -115,9 +115,9 @@
 	}
 	e.out--
 	switch ending {
-	case hollyspur.Success:
+	case balancer.Success:
 		e.succeeded++
-	case hollyspur.Void, hollyspur.Withdrawn: // never sent, or called off: no error of the endpoint's
+	case balancer.Void, balancer.Withdrawn: // never sent, or called off: no error of the endpoint's
 	default:
 		e.failed++
 	}
--- a/internal/xds/resource/clusters.go
+++ b/internal/xds/resource/clusters.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"hollyspur/internal/xds/ads"
+	"cranegrade/internal/xds/ads"
 )
 
 // Clusters joins clusters with their assignments: it says which assignments are wanted, and gives the
--- a/internal/xds/resource/list.go
+++ b/internal/xds/resource/list.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"slices"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
 )
 
 // Lister turns a cluster's assignments into news for an engine: the first whole, then what changed, at
@@ -35,9 +35,9 @@
 	n := engine.News{Full: l.last == nil, Drop: a.dropShare()}
 	next := make(map[string]engine.Listed, len(a.Endpoints))
 	for i, ep := range a.Endpoints {
-		s := engine.Listed{Addr: ep.Addr, Server: hollyspur.Server{ID: ep.ID, Zone: ep.Zone, Cell: ep.Cell, Size: ep.Weight, Boot: ep.Boot}}
+		s := engine.Listed{Addr: ep.Addr, Server: balancer.Server{ID: ep.ID, Zone: ep.Zone, Cell: ep.Cell, Size: ep.Weight, Boot: ep.Boot}}
 		if !ready[i] {
-			s.State = hollyspur.Draining
+			s.State = balancer.Draining
 		}
 		if l.Levels {
 			if s.Priority, s.Weight = ep.Priority, ep.Share; ep.Health == Degraded {
@@ -51,7 +51,7 @@
 	}
 	for id, was := range l.last {
 		if _, is := next[id]; !is {
-			was.State = hollyspur.Gone
+			was.State = balancer.Gone
 			n.Servers = append(n.Servers, was)
 		}
 	}
--- a/internal/xds/resource/resource.go
+++ b/internal/xds/resource/resource.go
@@ -22,7 +22,7 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"hollyspur/internal/xds/ads"
+	"cranegrade/internal/xds/ads"
 )
 
 // The types' URLs.
--- a/internal/xds/resource/resource_test.go
+++ b/internal/xds/resource/resource_test.go
@@ -18,9 +18,9 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 	"pgregory.net/rapid"
 
-	"hollyspur"
-	"hollyspur/internal/engine"
-	"hollyspur/internal/xds/ads"
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/xds/ads"
 )
 
 func wire(t testing.TB, m proto.Message) []byte {
@@ -253,7 +253,7 @@
 					if was, is := held[s.ID]; is && was == s {
 						t.Fatalf("%s is named and did not change", s.ID)
 					}
-					if s.State == hollyspur.Gone {
+					if s.State == balancer.Gone {
 						delete(held, s.ID)
 					} else {
 						held[s.ID] = s
@@ -270,7 +270,7 @@
 				t.Fatalf("%d held of %d", len(held), len(a.Endpoints))
 			}
 			for k, ep := range a.Endpoints {
-				if s := held[ep.ID]; s.Addr != ep.Addr || s.Boot != ep.Boot || (s.State == hollyspur.Ready) != ready[k] {
+				if s := held[ep.ID]; s.Addr != ep.Addr || s.Boot != ep.Boot || (s.State == balancer.Ready) != ready[k] {
 					t.Fatalf("%+v is held as %+v", ep, s)
 				}
 			}
--- a/internal/zone/model/model.go
+++ b/internal/zone/model/model.go
@@ -10,15 +10,15 @@
 	"slices"
 	"time"
 
-	"hollyspur"
-	"hollyspur/internal/zone"
+	"cranegrade/balancer"
+	"cranegrade/internal/zone"
 )
 
 // Policy decides for one node which zone a request goes to.
 type Policy interface {
 	Choose(now time.Duration) int
 	Began(now time.Duration, zone int)
-	Ended(now time.Duration, zone int, e hollyspur.Ending, took time.Duration)
+	Ended(now time.Duration, zone int, e balancer.Ending, took time.Duration)
 	// Health tells how many servers of each zone are listed, of how many there are.
 	Health(now time.Duration, healthy []int, all int)
 }
@@ -227,13 +227,13 @@
 	p.count(now, home, to)
 	n.Began(now, to)
 	p.calls[home][to][i]++
-	end := func(now time.Duration, e hollyspur.Ending) {
+	end := func(now time.Duration, e balancer.Ending) {
 		p.calls[home][to][i]--
 		n.Ended(now, to, e, now-began)
 		switch {
-		case e == hollyspur.Success:
+		case e == balancer.Success:
 			p.answer(began, now, home, true)
-		case e != hollyspur.TimedOut && tries < 2:
+		case e != balancer.TimedOut && tries < 2:
 			p.request(began, now, home, tries+1)
 		default:
 			p.answer(began, now, home, false)
@@ -245,10 +245,10 @@
 	}
 	switch {
 	case !s.up:
-		p.at(now+way, func(now time.Duration) { end(now, hollyspur.Unreachable) })
+		p.at(now+way, func(now time.Duration) { end(now, balancer.Unreachable) })
 		return
 	case s.waiting >= p.cfg.Queue:
-		p.at(now+way, func(now time.Duration) { end(now, hollyspur.Overloaded) })
+		p.at(now+way, func(now time.Duration) { end(now, balancer.Overloaded) })
 		return
 	}
 	work := time.Duration(p.rng.ExpFloat64() * s.slow * float64(p.cfg.Work))
@@ -256,9 +256,9 @@
 	s.waiting++
 	p.at(s.free, func(time.Duration) { s.waiting-- })
 	if done := s.free + way; done-began > p.cfg.Limit {
-		p.at(began+p.cfg.Limit, func(now time.Duration) { end(now, hollyspur.TimedOut) })
+		p.at(began+p.cfg.Limit, func(now time.Duration) { end(now, balancer.TimedOut) })
 	} else {
-		p.at(done, func(now time.Duration) { end(now, hollyspur.Success) })
+		p.at(done, func(now time.Duration) { end(now, balancer.Success) })
 	}
 }
 
@@ -389,7 +389,7 @@
 func (m *Measured) Began(now time.Duration, z int) { m.s.Began(now, zone.Place{Zone: m.names[z]}) }
 
 // Ended notes its end.
-func (m *Measured) Ended(now time.Duration, z int, e hollyspur.Ending, took time.Duration) {
+func (m *Measured) Ended(now time.Duration, z int, e balancer.Ending, took time.Duration) {
 	m.s.Ended(now, zone.Place{Zone: m.names[z]}, "", e, took)
 }
 
@@ -432,7 +432,7 @@
 func (c *Counted) Began(time.Duration, int) {}
 
 // Ended tells it nothing.
-func (c *Counted) Ended(time.Duration, int, hollyspur.Ending, time.Duration) {}
+func (c *Counted) Ended(time.Duration, int, balancer.Ending, time.Duration) {}
 
 // Health reckons the shares.
 func (c *Counted) Health(_ time.Duration, healthy []int, all int) {
--- a/internal/zone/module.go
+++ b/internal/zone/module.go
@@ -4,12 +4,12 @@
 	"sync/atomic"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Handler is a decision module; engine.Module is the same.
 type Handler interface {
-	Handle(now time.Duration, e hollyspur.Event) []hollyspur.Action
+	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
 // Module stands between an engine and its decision module: it names in each request the places that it may go to,
@@ -65,39 +65,39 @@
 func (m *Module) Views() []View { return *m.views.Load() }
 
 // Beliefs are those of the module within, for a trace round this one.
-func (m *Module) Beliefs(servers int) hollyspur.Beliefs {
+func (m *Module) Beliefs(servers int) balancer.Beliefs {
 	if b, is := m.in.(interface {
-		Beliefs(int) hollyspur.Beliefs
+		Beliefs(int) balancer.Beliefs
 	}); is {
 		return b.Beliefs(servers)
 	}
-	return hollyspur.Beliefs{}
+	return balancer.Beliefs{}
 }
 
 // viewEvery is how old Views may be.
 const viewEvery = time.Second
 
 // Handle takes an event and passes it on, a request with its places.
-func (m *Module) Handle(now time.Duration, e hollyspur.Event) []hollyspur.Action {
+func (m *Module) Handle(now time.Duration, e balancer.Event) []balancer.Action {
 	switch x := e.(type) {
-	case hollyspur.ServerList:
+	case balancer.ServerList:
 		m.list(now, x)
-	case hollyspur.Request:
+	case balancer.Request:
 		x.Places = m.request(now, x)
 		e = x
-	case hollyspur.Outcome:
+	case balancer.Outcome:
 		m.outcome(now, x)
-	case hollyspur.ClientGone:
+	case balancer.ClientGone:
 		m.answered(now, x.ID)
 	}
 	actions := m.in.Handle(now, e)
 	for _, a := range actions {
 		switch a := a.(type) {
-		case hollyspur.Send:
+		case balancer.Send:
 			m.send(now, a)
-		case hollyspur.Refuse:
+		case balancer.Refuse:
 			m.answered(now, a.ID)
-		case hollyspur.Fail:
+		case balancer.Fail:
 			m.answered(now, a.ID)
 		}
 	}
@@ -109,19 +109,19 @@
 	return actions
 }
 
-func (m *Module) list(now time.Duration, x hollyspur.ServerList) {
+func (m *Module) list(now time.Duration, x balancer.ServerList) {
 	if x.Full {
 		clear(m.listed)
 	}
 	l := make([]Server, 0, len(x.Servers))
 	for _, s := range x.Servers {
 		p := Place{Zone: s.Zone, Priority: s.Priority}
-		if s.State == hollyspur.Gone {
+		if s.State == balancer.Gone {
 			delete(m.listed, s.ID)
 		} else {
 			m.places[s.ID], m.listed[s.ID] = p, true
 		}
-		l = append(l, Server{ID: s.ID, Place: p, Size: s.Size, Boot: s.Boot, Ready: s.State == hollyspur.Ready, Weight: s.Weight})
+		l = append(l, Server{ID: s.ID, Place: p, Size: s.Size, Boot: s.Boot, Ready: s.State == balancer.Ready, Weight: s.Weight})
 	}
 	m.spreader.Servers(now, x.Full, l)
 	if len(m.places) > 2*len(m.listed)+64 { // those that left; what is out at them knows its own place
@@ -134,7 +134,7 @@
 }
 
 // request decides where a request may go, and reserves what it may cross for.
-func (m *Module) request(now time.Duration, x hollyspur.Request) []Place {
+func (m *Module) request(now time.Duration, x balancer.Request) []Place {
 	c := &crossing{class: x.Class, customer: x.Tenant, from: x.From, size: x.Size}
 	if !m.spreader.Knows(c.from) {
 		c.from = m.home
@@ -154,7 +154,7 @@
 	return l
 }
 
-func (m *Module) send(now time.Duration, a hollyspur.Send) {
+func (m *Module) send(now time.Duration, a balancer.Send) {
 	c := m.open[a.ID]
 	if c == nil {
 		return
@@ -165,7 +165,7 @@
 	m.spreader.Began(now, p)
 }
 
-func (m *Module) outcome(now time.Duration, x hollyspur.Outcome) {
+func (m *Module) outcome(now time.Duration, x balancer.Outcome) {
 	c := m.open[x.ID]
 	if c == nil || x.Attempt < 0 || x.Attempt >= len(c.attempts) || c.attempts[x.Attempt].ended {
 		return
--- a/internal/zone/module_test.go
+++ b/internal/zone/module_test.go
@@ -6,22 +6,22 @@
 	"testing"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // listed are servers by zone, as the list tells them.
-func listed(zones ...string) (l []hollyspur.Server) {
+func listed(zones ...string) (l []balancer.Server) {
 	for i, z := range zones {
-		l = append(l, hollyspur.Server{ID: fmt.Sprint("s", i), Zone: z})
+		l = append(l, balancer.Server{ID: fmt.Sprint("s", i), Zone: z})
 	}
 	return l
 }
 
 func newModule(t testing.TB, cfg Config, limits ...Limit) (*Module, *Book) {
 	t.Helper()
-	b, err := hollyspur.New(hollyspur.Settings{Classes: []hollyspur.Class{
-		{Name: "read", Effect: hollyspur.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-		{Name: "alert-send", Effect: hollyspur.Keyed, Scope: hollyspur.ScopeAll, Window: 10 * time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 3}},
+	b, err := balancer.New(balancer.Settings{Classes: []balancer.Class{
+		{Name: "read", Effect: balancer.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
+		{Name: "alert-send", Effect: balancer.Keyed, Scope: balancer.ScopeAll, Window: 10 * time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 3}},
 		MaxAttempts: 3, Tick: time.Millisecond, MaxRetryAfter: time.Second}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -30,12 +30,12 @@
 	return NewModule(b, "p", cfg, book, 1), book
 }
 
-func send(acts []hollyspur.Action) (s hollyspur.Send, refused bool) {
+func send(acts []balancer.Action) (s balancer.Send, refused bool) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case hollyspur.Send:
+		case balancer.Send:
 			s = a
-		case hollyspur.Refuse:
+		case balancer.Refuse:
 			refused = true
 		}
 	}
@@ -47,26 +47,26 @@
 func TestHomeFailsWithoutBudget(t *testing.T) {
 	m, book := newModule(t, Config{Home: "a"}, Limit{Pair: Pair{"a", "b"}, RequestsHour: 2, Beyond: []string{"alert-send"}})
 	now := 1000 * hourLong
-	m.Handle(now, hollyspur.ServerList{Full: true, Servers: listed("a", "b", "b")})
-	ask := func(class string) (hollyspur.Send, bool) {
+	m.Handle(now, balancer.ServerList{Full: true, Servers: listed("a", "b", "b")})
+	ask := func(class string) (balancer.Send, bool) {
 		now += ms
-		return send(m.Handle(now, hollyspur.Request{ID: now.String(), Class: class, Deadline: now + 2*time.Second, Tenant: "acme", Size: 10}))
+		return send(m.Handle(now, balancer.Request{ID: now.String(), Class: class, Deadline: now + 2*time.Second, Tenant: "acme", Size: 10}))
 	}
-	end := func(s hollyspur.Send, how hollyspur.Ending) {
-		m.Handle(now, hollyspur.Outcome{ID: s.ID, Server: s.Server, Ending: how, Ended: how == hollyspur.Success, Wrote: how == hollyspur.Success, Out: 10, In: 20})
+	end := func(s balancer.Send, how balancer.Ending) {
+		m.Handle(now, balancer.Outcome{ID: s.ID, Server: s.Server, Ending: how, Ended: how == balancer.Success, Wrote: how == balancer.Success, Out: 10, In: 20})
 	}
 	s, _ := ask("read")
 	if s.Server != "s0" {
 		t.Fatalf("goes to %s, not home", s.Server)
 	}
-	end(s, hollyspur.Success)
-	m.Handle(now, hollyspur.ServerList{Servers: []hollyspur.Server{{ID: "s0", Zone: "a", State: hollyspur.Gone}}})
+	end(s, balancer.Success)
+	m.Handle(now, balancer.ServerList{Servers: []balancer.Server{{ID: "s0", Zone: "a", State: balancer.Gone}}})
 	for range 2 {
 		s, refused := ask("read")
 		if refused || s.Server == "s0" {
 			t.Fatalf("%+v refused: %v", s, refused)
 		}
-		end(s, hollyspur.Success)
+		end(s, balancer.Success)
 	}
 	if s, refused := ask("read"); !refused {
 		t.Errorf("beyond the budget it goes to %s", s.Server)
@@ -75,7 +75,7 @@
 	if refused {
 		t.Error("an alert is refused")
 	}
-	end(s, hollyspur.Success)
+	end(s, balancer.Success)
 	var across Traffic
 	for _, r := range book.Rows() {
 		if r.Pair.From != r.Pair.To {
@@ -96,25 +96,25 @@
 func TestRetryCrosses(t *testing.T) {
 	m, book := newModule(t, Config{Home: "a"}, Limit{Pair: Pair{"a", "b"}, RequestsHour: 100})
 	now := 1000 * hourLong
-	m.Handle(now, hollyspur.ServerList{Full: true, Servers: listed("a", "b")})
-	s, _ := send(m.Handle(now, hollyspur.Request{ID: "1", Class: "read", Deadline: now + 2*time.Second}))
+	m.Handle(now, balancer.ServerList{Full: true, Servers: listed("a", "b")})
+	s, _ := send(m.Handle(now, balancer.Request{ID: "1", Class: "read", Deadline: now + 2*time.Second}))
 	if s.Server != "s0" {
 		t.Fatalf("goes to %s", s.Server)
 	}
 	if r := book.Left(now)[Pair{"a", "b"}][0][hour]; r != 99 {
 		t.Errorf("%d requests left while one may cross", r)
 	}
-	s, _ = send(m.Handle(now+ms, hollyspur.Outcome{ID: "1", Attempt: 0, Server: "s0", Ending: hollyspur.Unreachable}))
+	s, _ = send(m.Handle(now+ms, balancer.Outcome{ID: "1", Attempt: 0, Server: "s0", Ending: balancer.Unreachable}))
 	if s.Server != "s1" {
 		t.Fatalf("the next attempt goes to %q", s.Server)
 	}
-	m.Handle(now+2*ms, hollyspur.Outcome{ID: "1", Attempt: 1, Server: "s1", Ending: hollyspur.Success, Ended: true, Wrote: true})
+	m.Handle(now+2*ms, balancer.Outcome{ID: "1", Attempt: 1, Server: "s1", Ending: balancer.Success, Ended: true, Wrote: true})
 	if r := book.Left(now)[Pair{"a", "b"}][0][hour]; r != 99 {
 		t.Errorf("%d requests left after one crossed", r)
 	}
 	// A request that ends at home gives back what it did not need.
-	s, _ = send(m.Handle(now+3*ms, hollyspur.Request{ID: "2", Class: "read", Deadline: now + 2*time.Second}))
-	m.Handle(now+4*ms, hollyspur.Outcome{ID: "2", Server: s.Server, Ending: hollyspur.Success, Ended: true, Wrote: true})
+	s, _ = send(m.Handle(now+3*ms, balancer.Request{ID: "2", Class: "read", Deadline: now + 2*time.Second}))
+	m.Handle(now+4*ms, balancer.Outcome{ID: "2", Server: s.Server, Ending: balancer.Success, Ended: true, Wrote: true})
 	if r := book.Left(now)[Pair{"a", "b"}][0][hour]; r != 99 {
 		t.Errorf("%d requests left after one that stayed", r)
 	}
@@ -124,13 +124,13 @@
 func TestCallersZone(t *testing.T) {
 	m, book := newModule(t, Config{Home: "a"})
 	now := 1000 * hourLong
-	m.Handle(now, hollyspur.ServerList{Full: true, Servers: listed("a", "b")})
+	m.Handle(now, balancer.ServerList{Full: true, Servers: listed("a", "b")})
 	for i, from := range []string{"b", "made up"} {
-		s, _ := send(m.Handle(now, hollyspur.Request{ID: from, Class: "read", Deadline: now + time.Second, From: from}))
+		s, _ := send(m.Handle(now, balancer.Request{ID: from, Class: "read", Deadline: now + time.Second, From: from}))
 		if want := []string{"s1", "s0"}[i]; s.Server != want {
 			t.Errorf("from %s to %s", from, s.Server)
 		}
-		m.Handle(now+ms, hollyspur.Outcome{ID: from, Server: s.Server, Ending: hollyspur.Success, Ended: true, Wrote: true})
+		m.Handle(now+ms, balancer.Outcome{ID: from, Server: s.Server, Ending: balancer.Success, Ended: true, Wrote: true})
 	}
 	if got := fmt.Sprint(book.Rows()); got != "[{{41 a > a p read } {1 0 0}} {{41 b > b p read } {1 0 0}}]" {
 		t.Errorf("rows %s", got)
@@ -144,7 +144,7 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		m, book := newModule(t, Config{Home: "a"}, Limit{Pair: Pair{"a", "b"}, RequestsDay: 50}, Limit{Pair: Pair{"a", "c"}, BytesDay: 1 << 20})
 		now := 1000 * hourLong
-		m.Handle(now, hollyspur.ServerList{Full: true, Servers: listed("a", "a", "b", "b", "c", "")})
+		m.Handle(now, balancer.ServerList{Full: true, Servers: listed("a", "a", "b", "b", "c", "")})
 		type out struct {
 			id, server string
 			n          int
@@ -152,9 +152,9 @@
 		var open []out
 		tries := map[string]int{}
 		var wrote Traffic
-		carry := func(acts []hollyspur.Action) {
+		carry := func(acts []balancer.Action) {
 			for _, a := range acts {
-				if s, is := a.(hollyspur.Send); is {
+				if s, is := a.(balancer.Send); is {
 					open = append(open, out{s.ID, s.Server, tries[s.ID]})
 					tries[s.ID]++
 				}
@@ -164,19 +164,19 @@
 			now += time.Duration(rng.IntN(20)) * ms
 			switch x := rng.IntN(20); {
 			case x < 9:
-				carry(m.Handle(now, hollyspur.Request{ID: fmt.Sprint(i), Class: []string{"read", "alert-send"}[rng.IntN(2)], Deadline: now + time.Second, Size: 5}))
+				carry(m.Handle(now, balancer.Request{ID: fmt.Sprint(i), Class: []string{"read", "alert-send"}[rng.IntN(2)], Deadline: now + time.Second, Size: 5}))
 			case x == 9:
-				s := hollyspur.Server{ID: fmt.Sprint("s", rng.IntN(6)), Zone: []string{"a", "b", "c", ""}[rng.IntN(4)], State: hollyspur.ServerState(rng.IntN(3))}
-				carry(m.Handle(now, hollyspur.ServerList{Servers: []hollyspur.Server{s}}))
+				s := balancer.Server{ID: fmt.Sprint("s", rng.IntN(6)), Zone: []string{"a", "b", "c", ""}[rng.IntN(4)], State: balancer.ServerState(rng.IntN(3))}
+				carry(m.Handle(now, balancer.ServerList{Servers: []balancer.Server{s}}))
 			case x == 10:
-				carry(m.Handle(now, hollyspur.ClientGone{ID: fmt.Sprint(rng.IntN(i + 1))}))
+				carry(m.Handle(now, balancer.ClientGone{ID: fmt.Sprint(rng.IntN(i + 1))}))
 			case len(open) > 0:
 				j := rng.IntN(len(open))
 				o := open[j]
 				open = append(open[:j], open[j+1:]...)
-				e := hollyspur.Outcome{ID: o.id, Attempt: o.n, Server: o.server, Ending: hollyspur.Ending(rng.IntN(8)), Out: 5, In: 7}
-				e.Wrote = e.Ending != hollyspur.Unreachable && e.Ending != hollyspur.Void
-				e.Ended = e.Ending == hollyspur.Success
+				e := balancer.Outcome{ID: o.id, Attempt: o.n, Server: o.server, Ending: balancer.Ending(rng.IntN(8)), Out: 5, In: 7}
+				e.Wrote = e.Ending != balancer.Unreachable && e.Ending != balancer.Void
+				e.Ended = e.Ending == balancer.Success
 				if e.Wrote {
 					wrote.Requests, wrote.Out, wrote.In = wrote.Requests+1, wrote.Out+5, wrote.In+7
 				}
@@ -186,10 +186,10 @@
 		for now += 10 * time.Second; len(open) > 0; open = open[1:] {
 			o := open[0]
 			wrote.Requests, wrote.Out, wrote.In = wrote.Requests+1, wrote.Out+5, wrote.In+7
-			carry(m.Handle(now, hollyspur.Outcome{ID: o.id, Attempt: o.n, Server: o.server, Ending: hollyspur.TimedOut, Wrote: true, Out: 5, In: 7}))
+			carry(m.Handle(now, balancer.Outcome{ID: o.id, Attempt: o.n, Server: o.server, Ending: balancer.TimedOut, Wrote: true, Out: 5, In: 7}))
 		}
 		for id := range m.open { // held for want of a server until their callers left
-			carry(m.Handle(now, hollyspur.ClientGone{ID: id}))
+			carry(m.Handle(now, balancer.ClientGone{ID: id}))
 		}
 		if len(m.open) != 0 {
 			t.Fatalf("seed %d: %d requests are kept", seed, len(m.open))
@@ -214,21 +214,21 @@
 	for _, zones := range []int{0, 3, 12} {
 		b.Run(fmt.Sprint(zones, " zones"), func(b *testing.B) {
 			m, _ := newModule(b, Config{Home: "z0"}, Limit{Pair: Pair{"z0", "z1"}, RequestsDay: 1 << 40})
-			var l []hollyspur.Server
+			var l []balancer.Server
 			for i := range 60 {
-				l = append(l, hollyspur.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%max(1, zones))})
+				l = append(l, balancer.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%max(1, zones))})
 			}
 			var h Handler = m
 			if zones == 0 {
 				h = m.in
 			}
-			h.Handle(0, hollyspur.ServerList{Full: true, Servers: l})
+			h.Handle(0, balancer.ServerList{Full: true, Servers: l})
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := time.Duration(i) * ms
 				id := fmt.Sprint(i)
-				s, _ := send(h.Handle(now, hollyspur.Request{ID: id, Class: "read", Deadline: now + time.Second}))
-				h.Handle(now+ms/2, hollyspur.Outcome{ID: id, Server: s.Server, Ending: hollyspur.Success, Ended: true, Wrote: true})
+				s, _ := send(h.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + time.Second}))
+				h.Handle(now+ms/2, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true, Wrote: true})
 			}
 		})
 	}
--- a/internal/zone/page/page.go
+++ b/internal/zone/page/page.go
@@ -6,7 +6,7 @@
 	"html/template"
 	"io"
 
-	"hollyspur/internal/zone/report"
+	"cranegrade/internal/zone/report"
 )
 
 var page = template.Must(template.New("").Funcs(template.FuncMap{"zone": report.Name, "left": report.Left,
--- a/internal/zone/page/page_test.go
+++ b/internal/zone/page/page_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"hollyspur/internal/zone/report"
+	"cranegrade/internal/zone/report"
 )
 
 // Customers' names come from callers: none can put anything into the page but itself.
--- a/internal/zone/report/report.go
+++ b/internal/zone/report/report.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"hollyspur/internal/zone"
+	"cranegrade/internal/zone"
 )
 
 // Report is what a node holds of zones.
--- a/internal/zone/report/report_test.go
+++ b/internal/zone/report/report_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"hollyspur/internal/zone"
+	"cranegrade/internal/zone"
 )
 
 func sample() Report {
--- a/internal/zone/spread.go
+++ b/internal/zone/spread.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Step is how often what a place takes is reckoned anew, at the most.
@@ -266,7 +266,7 @@
 }
 
 // Ended notes the end of an attempt that Began told of.
-func (s *Spreader) Ended(now time.Duration, p Place, class string, e hollyspur.Ending, took time.Duration) {
+func (s *Spreader) Ended(now time.Duration, p Place, class string, e balancer.Ending, took time.Duration) {
 	s.Advance(now)
 	a := s.areas[p]
 	if a == nil {
@@ -274,12 +274,12 @@
 	}
 	a.out = max(0, a.out-1)
 	switch e {
-	case hollyspur.Success:
+	case balancer.Success:
 		a.good++
 		a.offs += a.pace(class, took) - math.Log(float64(s.aim(class)))
-	case hollyspur.Overloaded:
+	case balancer.Overloaded:
 		a.turned++
-	case hollyspur.TimedOut, hollyspur.Broken, hollyspur.Unreachable, hollyspur.Failure:
+	case balancer.TimedOut, balancer.Broken, balancer.Unreachable, balancer.Failure:
 		a.bad++
 	}
 }
--- a/internal/zone/spread_test.go
+++ b/internal/zone/spread_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 const ms = time.Millisecond
@@ -74,7 +74,7 @@
 	if z := first(s, 0, "a"); z != "b" {
 		t.Errorf("what does not fit goes to %s", z)
 	}
-	s.Ended(ms, Place{Zone: "a"}, "", hollyspur.Success, ms)
+	s.Ended(ms, Place{Zone: "a"}, "", balancer.Success, ms)
 	if z := first(s, ms, "a"); z != "a" {
 		t.Errorf("with room again it goes to %s", z)
 	}
@@ -86,7 +86,7 @@
 	s.Servers(0, true, append(servers("a", 1), servers("b", 9)...))
 	for _, z := range []string{"a", "b"} {
 		s.Began(0, Place{Zone: z})
-		s.Ended(100*ms, Place{Zone: z}, "", hollyspur.Success, 100*ms)
+		s.Ended(100*ms, Place{Zone: z}, "", balancer.Success, 100*ms)
 	}
 	s.Began(100*ms, Place{Zone: "a"})
 	if z := first(s, 100*ms, "a"); z != "b" && z != "a" {
@@ -106,12 +106,12 @@
 		p := Place{Zone: z}
 		s.Began(now, p)
 		if z == "a" {
-			s.Ended(now, p, "", hollyspur.Unreachable, ms)
+			s.Ended(now, p, "", balancer.Unreachable, ms)
 			if now > time.Second {
 				at++
 			}
 		} else {
-			s.Ended(now, p, "", hollyspur.Success, ms)
+			s.Ended(now, p, "", balancer.Success, ms)
 		}
 	}
 	if at == 0 || at > 100 {
@@ -125,7 +125,7 @@
 	for now := 5 * time.Second; now < 15*time.Second; now += ms {
 		z := first(s, now, "a")
 		s.Began(now, Place{Zone: z})
-		s.Ended(now, Place{Zone: z}, "", hollyspur.Success, ms)
+		s.Ended(now, Place{Zone: z}, "", balancer.Success, ms)
 		if now > 14*time.Second && z == "a" {
 			back++
 		}
@@ -162,7 +162,7 @@
 	for now := time.Duration(0); now < 20*time.Second; now += ms {
 		for len(ends) > 0 && ends[0] <= now {
 			took := time.Duration(len(ends)) * 10 * ms // the more are out, the longer
-			s.Ended(now, c, "", hollyspur.Success, took)
+			s.Ended(now, c, "", balancer.Success, took)
 			ends = ends[1:]
 		}
 		if l := s.Choose(now, "a", "", free); len(l) == 0 {
@@ -219,7 +219,7 @@
 	if z := first(s, ms, "a"); z != "b" {
 		t.Errorf("goes to %q", z)
 	}
-	s.Ended(2*ms, Place{Zone: "a"}, "", hollyspur.Success, 2*ms)
+	s.Ended(2*ms, Place{Zone: "a"}, "", balancer.Success, 2*ms)
 	if a := s.areas[Place{Zone: "b"}]; a.out != 0 {
 		t.Errorf("%d calls are out at the new zone", a.out)
 	}
@@ -304,7 +304,7 @@
 				c := out[i]
 				out = append(out[:i], out[i+1:]...)
 				n[c.p]--
-				s.Ended(now, c.p, "", hollyspur.Ending(rapid.IntRange(0, 7).Draw(t, "ending")), time.Duration(rapid.IntRange(0, 2000).Draw(t, "took"))*ms)
+				s.Ended(now, c.p, "", balancer.Ending(rapid.IntRange(0, 7).Draw(t, "ending")), time.Duration(rapid.IntRange(0, 2000).Draw(t, "took"))*ms)
 			},
 			"": func(t *rapid.T) {
 				for p, a := range s.areas {
--- a/internal/zone/store/store.go
+++ b/internal/zone/store/store.go
@@ -13,7 +13,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"hollyspur/internal/zone"
+	"cranegrade/internal/zone"
 )
 
 // Store is an open file. Its methods may be called from any goroutine.
--- a/internal/zone/store/store_test.go
+++ b/internal/zone/store/store_test.go
@@ -11,7 +11,7 @@
 
 	bolt "go.etcd.io/bbolt"
 
-	"hollyspur/internal/zone"
+	"cranegrade/internal/zone"
 )
 
 func open(t *testing.T, path string) *Store {
--- a/internal/zone/zone.go
+++ b/internal/zone/zone.go
@@ -17,11 +17,11 @@
 	"slices"
 	"time"
 
-	"hollyspur"
+	"cranegrade/balancer"
 )
 
 // Place is what a Spreader chooses among: a zone's servers of one priority.
-type Place = hollyspur.Place
+type Place = balancer.Place
 
 // Pair is a direction between zones: of whoever asks, and of the server.
 type Pair struct{ From, To string }
