--- a/cmd/meshctl/look.go
+++ b/cmd/meshctl/look.go
@@ -7,6 +7,7 @@
 
 	"cranegrade/internal/mesh/topology"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 )
 
 // memberAddr names a running mesh by one register of it.
@@ -109,7 +110,7 @@
 func (r *logsCommand) Execute([]string) error {
 	ctx, cancel := withTimeout()
 	defer cancel()
-	text, err := transport.CallOnce(ctx, r.Args.Addr, topology.ClientName, transport.CallLogRing, nil)
+	text, err := transport.CallOnce(ctx, r.Args.Addr, topology.ClientName, codec.CallLogRing, nil)
 	if err != nil {
 		return err
 	}
@@ -132,6 +133,6 @@
 	if !d.Undo {
 		body = []byte{1}
 	}
-	_, err := transport.CallOnce(ctx, d.Args.Line, topology.ClientName, transport.CallDrain, body)
+	_, err := transport.CallOnce(ctx, d.Args.Line, topology.ClientName, codec.CallDrain, body)
 	return err
 }
--- a/internal/mesh/config/history_test.go
+++ b/internal/mesh/config/history_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/operations"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/testkit"
 )
@@ -41,8 +41,8 @@
 // stored is a table as it is read back from a register's disk.
 func stored(t *testing.T, table Table) Table {
 	t.Helper()
-	text := transport.EncodeTable(&wire.StateT{Items: TableToStorage(table)})
-	state, err := transport.DecodeTable(text, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
+	text := codec.EncodeTable(&wire.StateT{Items: TableToStorage(table)})
+	state, err := codec.DecodeTable(text, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
 	assert.NilError(t, err)
 	return TableFromStorage(state.Items)
 }
@@ -133,7 +133,7 @@
 	}
 	assert.Equal(t, table.operationCount, count(table))
 	assert.Equal(t, other.operationCount, count(other))
-	assert.Assert(t, bytes.Equal(transport.EncodeTable(&wire.StateT{Items: TableToStorage(other)}), transport.EncodeTable(&wire.StateT{Items: TableToStorage(table)})))
+	assert.Assert(t, bytes.Equal(codec.EncodeTable(&wire.StateT{Items: TableToStorage(other)}), codec.EncodeTable(&wire.StateT{Items: TableToStorage(table)})))
 	assert.Assert(t, count(table) >= operationsAfterPruning)
 	_, _, err := table.ApplyItems([]Item{route(3, 1)})
 	assert.Assert(t, errors.Is(err, ErrUndetermined), "%v", err)
@@ -217,9 +217,9 @@
 			case err != nil:
 				refused++
 			}
-			want := transport.EncodeTable(ItemsToWire(before.Items()))
-			assert.Assert(t, bytes.Equal(transport.EncodeTable(ItemsToWire(right.Items())), want))
-			assert.Assert(t, bytes.Equal(transport.EncodeTable(ItemsToWire(forgetful.Items())), want))
+			want := codec.EncodeTable(ItemsToWire(before.Items()))
+			assert.Assert(t, bytes.Equal(codec.EncodeTable(ItemsToWire(right.Items())), want))
+			assert.Assert(t, bytes.Equal(codec.EncodeTable(ItemsToWire(forgetful.Items())), want))
 		}
 	}
 	assert.Assert(t, raised > 1000 && refused > 1000 && open > 100, "%d raised, %d refused, %d open: the calls are too tame", raised, refused, open)
--- a/internal/mesh/controlplane/environment.go
+++ b/internal/mesh/controlplane/environment.go
@@ -6,16 +6,16 @@
 
 	"cranegrade/internal/mesh/api"
 	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/raft/raftwire"
 	"cranegrade/internal/mesh/replica"
-	"cranegrade/internal/mesh/storage"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 )
 
 // environment is what the replica acts through. All of it is called on Run's goroutine.
 type environment struct{ member *Member }
 
 func (e environment) Send(address string, m raft.Message) {
-	e.member.link(address).send(storage.MessageToWire(m))
+	e.member.link(address).send(raftwire.MessageToWire(m))
 }
 
 func (e environment) Connect(address string) { e.member.link(address).connect() }
@@ -68,14 +68,14 @@
 }
 
 func (e environment) BroadcastToSidecars(message any) {
-	frame := transport.Encode(message)
+	frame := codec.Encode(message)
 	for c := range e.member.sidecars {
 		c.SendFrame(frame)
 	}
 }
 
 func (e environment) BroadcastToReplicas(message any) {
-	frame := transport.Encode(message)
+	frame := codec.Encode(message)
 	e.member.mu.Lock()
 	defer e.member.mu.Unlock()
 	for _, l := range e.member.links {
--- a/internal/mesh/controlplane/links.go
+++ b/internal/mesh/controlplane/links.go
@@ -11,9 +11,10 @@
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/raft/raftwire"
 	"cranegrade/internal/mesh/replica"
-	"cranegrade/internal/mesh/storage"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -99,7 +100,7 @@
 	}
 }
 
-func (l *peerLink) send(v any) { l.sendFrame(transport.Encode(v)) }
+func (l *peerLink) send(v any) { l.sendFrame(codec.Encode(v)) }
 
 // sendFrame sends a frame, or holds it while the trunk is being dialled.
 func (l *peerLink) sendFrame(p []byte) {
@@ -174,18 +175,18 @@
 		}
 		switch v := m.Value.(type) {
 		case *wire.RaftMessageT:
-			if x, err := storage.MessageFromWire(v); err == nil && !line {
+			if x, err := raftwire.MessageFromWire(v); err == nil && !line {
 				r.post(func() { r.replica.Step(r.now(), x) })
 			}
 		case *wire.RecordsT:
 			r.post(func() { r.mergeRecords(directory.FromWire(v), c, line) })
 		case *wire.CallT:
 			switch v.Kind {
-			case transport.CallLogRing: // not by Run's goroutine, which may be what hangs
+			case codec.CallLogRing: // not by Run's goroutine, which may be what hangs
 				c.Send(&wire.CallReplyT{Id: v.Id, Status: http.StatusOK, Body: r.logRing.Contents()})
-			case transport.CallStatus:
+			case codec.CallStatus:
 				r.answerStatus(c, v.Id)
-			case transport.CallModify:
+			case codec.CallModify:
 				go r.answerModify(c, v)
 			default:
 				r.post(func() { r.answerCall(c, v, line) })
--- a/internal/mesh/controlplane/register.go
+++ b/internal/mesh/controlplane/register.go
@@ -104,7 +104,7 @@
 
 // openStore opens the vault. One that is damaged is as a disk that was lost: it is begun anew, and told as damaged. One that
 // can't be opened now, as on a full disk, is waited for: what it holds may be all that is left.
-func (r *Member) openStore(f storage.Folder) (v *storage.Store, held storage.StoredState, empty, damaged bool, err error) {
+func (r *Member) openStore(f storage.Folder) (v *storage.Store, held raft.StoredState, empty, damaged bool, err error) {
 	for discards := 0; ; {
 		v, held, empty, err = storage.OpenFolder(f, storage.Options{})
 		switch {
--- a/internal/mesh/controlplane/status.go
+++ b/internal/mesh/controlplane/status.go
@@ -4,8 +4,9 @@
 	"net/http"
 	"time"
 
-	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/raft/raftwire"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -15,7 +16,7 @@
 // answerStatus says how this register is. Where Run's goroutine hangs, on a disk for one, that is what is said.
 func (r *Member) answerStatus(c *transport.Conn, id uint64) {
 	tell := func(s *wire.StatusT) {
-		c.Send(&wire.CallReplyT{Id: id, Status: http.StatusOK, Body: transport.EncodeTable(s)})
+		c.Send(&wire.CallReplyT{Id: id, Status: http.StatusOK, Body: codec.EncodeTable(s)})
 	}
 	done := make(chan *wire.StatusT, 1)
 	go func() {
@@ -41,7 +42,7 @@
 	members, view := r.replica.Members()
 	s := &wire.StatusT{Name: set.NodeName, Addr: r.self.Addr, Zone: set.Zone, ControlPlane: true, UptimeUs: r.now().Microseconds(), MemberId: uint64(r.self.ID),
 		LeaderAddr: r.replica.LeaderAddress(), IsLeader: r.replica.IsLeader(), IsNonMember: r.replica.IsNonMember(), QuorumContact: r.quorumContact.Load() > 0, Term: r.replica.Term(),
-		AppliedIndex: r.replica.AppliedIndex(), LastIndex: r.replica.SavedIndex(), ConfigurationIndex: view, Members: storage.MembersToWire(members), ItemVersions: state.Items.Versions(), KeyCount: uint32(state.KeyLeases.Len()),
+		AppliedIndex: r.replica.AppliedIndex(), LastIndex: r.replica.SavedIndex(), ConfigurationIndex: view, Members: raftwire.MembersToWire(members), ItemVersions: state.Items.Versions(), KeyCount: uint32(state.KeyLeases.Len()),
 		InMaintenance: r.replica.InMaintenance(), MaintenanceIndex: state.Maintenance.Index, WallTimeNs: r.wallClock().UnixNano(), CommittedPolicy: state.Policy.Rollout.Agreed, ActivePolicy: state.Policy.Rollout.Active,
 		ActivePolicyIndex: state.Policy.Rollout.ActiveIndex, Traffic: transport.SentTraffic()}
 	for c := range r.sidecars {
--- a/internal/mesh/storage/wire.go
+++ b/internal/mesh/raft/raftwire/raftwire.go
@@ -1,4 +1,6 @@
-package storage
+// Package raftwire turns raft messages, entries and snapshots into FlatBuffers tables and back. The same tables travel between
+// control-plane members and are stored on their disks, so their layout is a stored format. It is pure.
+package raftwire
 
 import (
 	"time"
@@ -6,7 +8,7 @@
 	"github.com/juju/errors"
 
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -30,7 +32,7 @@
 func EntryToWire(e raft.Entry) *wire.EntryT {
 	t := &wire.EntryT{Index: e.Index, Term: e.Term, Kind: byte(e.Kind), LogTimeNs: int64(e.LogTime), Data: e.Data}
 	if e.Kind == raft.EntryConfiguration {
-		t.Data = transport.EncodeTable(&wire.MembersT{List: MembersToWire(e.Members), Index: e.Index, Outgoing: MembersToWire(e.Outgoing), RaftVersion: e.ProtocolVersion})
+		t.Data = codec.EncodeTable(&wire.MembersT{List: MembersToWire(e.Members), Index: e.Index, Outgoing: MembersToWire(e.Outgoing), RaftVersion: e.ProtocolVersion})
 	}
 	return t
 }
@@ -39,7 +41,7 @@
 func EntryFromWire(t *wire.EntryT) (raft.Entry, error) {
 	e := raft.Entry{Index: t.Index, Term: t.Term, Kind: raft.EntryKind(t.Kind), LogTime: time.Duration(t.LogTimeNs), Data: t.Data}
 	if e.Kind == raft.EntryConfiguration {
-		m, err := transport.DecodeTable(t.Data, func(p []byte) *wire.MembersT { return wire.GetRootAsMembers(p, 0).UnPack() })
+		m, err := codec.DecodeTable(t.Data, func(p []byte) *wire.MembersT { return wire.GetRootAsMembers(p, 0).UnPack() })
 		if err != nil {
 			return e, errors.Annotate(err, "a view")
 		}
--- a/internal/mesh/replica/calls.go
+++ b/internal/mesh/replica/calls.go
@@ -9,7 +9,7 @@
 
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/idempotency"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -68,7 +68,7 @@
 		done(0, false)
 		return
 	}
-	r.forwardToLeader(leader, transport.CallReadIndex, nil, func(reply Reply) {
+	r.forwardToLeader(leader, codec.CallReadIndex, nil, func(reply Reply) {
 		if reply.Status != http.StatusOK || len(reply.Body) != indexSize {
 			done(0, false)
 			return
@@ -116,7 +116,7 @@
 		done(Unavailable("no leader is known"))
 		return
 	}
-	r.forwardToLeader(leader, transport.CallModify, body, done)
+	r.forwardToLeader(leader, codec.CallModify, body, done)
 }
 
 // Fetch reads the configuration, no older than anything acknowledged before the call; ok false: that can't be confirmed.
@@ -134,25 +134,25 @@
 func (r *Replica) HandleCall(now time.Duration, kind byte, body []byte, sidecar bool, reply func(Reply)) {
 	r.advanceTime(now)
 	switch kind {
-	case transport.CallModify:
+	case codec.CallModify:
 		c, err := config.ParseUpdate(body)
 		if err != nil {
 			reply(ErrorReply(err))
 			return
 		}
 		r.HandleModify(now, c, reply)
-	case transport.CallReadIndex:
+	case codec.CallReadIndex:
 		r.handleReadIndex(reply)
-	case transport.CallItems:
+	case codec.CallItems:
 		r.replyAfterRead(reply, func() Reply {
 			// The machines that are out come before the sidecar counts as ready.
-			return Reply{Status: http.StatusOK, Body: transport.EncodeTable(r.itemsMessage()), Push: r.state.Maintenance.MachinesMessage()}
+			return Reply{Status: http.StatusOK, Body: codec.EncodeTable(r.itemsMessage()), Push: r.state.Maintenance.MachinesMessage()}
 		})
-	case transport.CallActivePolicy:
+	case codec.CallActivePolicy:
 		r.replyAfterRead(reply, func() Reply {
-			return Reply{Status: http.StatusOK, Body: transport.EncodeTable(r.state.Policy.ActiveMessage())}
+			return Reply{Status: http.StatusOK, Body: codec.EncodeTable(r.state.Policy.ActiveMessage())}
 		})
-	case transport.CallLeaseKeys:
+	case codec.CallLeaseKeys:
 		r.handleLeaseRequests(body, sidecar, reply)
 	default:
 		reply(Reply{Status: http.StatusNotFound})
@@ -197,10 +197,10 @@
 			reply(Unavailable(""))
 			return
 		}
-		r.forwardToLeader(leader, transport.CallLeaseKeys, body, reply)
+		r.forwardToLeader(leader, codec.CallLeaseKeys, body, reply)
 		return
 	}
-	if _, err := transport.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() }); err != nil {
+	if _, err := codec.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() }); err != nil {
 		reply(Reply{Status: http.StatusBadRequest})
 		return
 	}
@@ -209,7 +209,7 @@
 			reply(Unavailable(""))
 			return
 		}
-		reply(Reply{Status: http.StatusOK, Body: transport.EncodeTable(encodeLeaseResults(o.LeaseResults))})
+		reply(Reply{Status: http.StatusOK, Body: codec.EncodeTable(encodeLeaseResults(o.LeaseResults))})
 	})
 	if !ok {
 		reply(Unavailable(""))
--- a/internal/mesh/replica/cluster_test.go
+++ b/internal/mesh/replica/cluster_test.go
@@ -13,8 +13,8 @@
 	"github.com/rs/zerolog"
 
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/storage"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/raft/raftwire"
+	"cranegrade/internal/mesh/transport/codec"
 )
 
 // cluster is several replicas in one simulated time, over a network that delays, reorders and loses what it carries.
@@ -39,7 +39,7 @@
 	cluster   *cluster
 	address   string
 	seeds     []string
-	disk      storage.StoredState
+	disk      raft.StoredState
 	replica   *Replica // nil: its process does not run
 	life      int
 	busy      bool // the disk does not take what must be on it
@@ -235,7 +235,7 @@
 // Send carries a message to another replica, now and then late, not at all or twice.
 func (n *clusterNode) Send(address string, m raft.Message) {
 	c := n.cluster
-	text := transport.EncodeTable(storage.MessageToWire(m))
+	text := codec.EncodeTable(raftwire.MessageToWire(m))
 	c.record.add("send", n.address, address, text)
 	if n.cut[address] || c.random.IntN(50) == 0 {
 		return
@@ -312,12 +312,12 @@
 	}
 	if ready.Snapshot != nil {
 		n.disk.Snapshot, n.disk.Entries, n.disk.CatchUpEntries = *ready.Snapshot, nil, nil
-		c.record.add("install", transport.EncodeTable(storage.SnapshotToWire(ready.Snapshot)))
+		c.record.add("install", codec.EncodeTable(raftwire.SnapshotToWire(ready.Snapshot)))
 	}
 	for _, e := range ready.Entries {
 		keep := min(len(n.disk.Entries), int(e.Index-n.disk.Snapshot.Index)-1)
 		n.disk.Entries = append(slices.Clip(n.disk.Entries[:keep]), e)
-		c.record.add("entry", transport.EncodeTable(storage.EntryToWire(e)))
+		c.record.add("entry", codec.EncodeTable(raftwire.EntryToWire(e)))
 	}
 	return true
 }
@@ -334,15 +334,15 @@
 			n.disk.CatchUpEntries = append(n.disk.CatchUpEntries, e)
 		}
 	}
-	n.cluster.record.add("compact", n.address, kept, transport.EncodeTable(storage.SnapshotToWire(&snapshot)))
+	n.cluster.record.add("compact", n.address, kept, codec.EncodeTable(raftwire.SnapshotToWire(&snapshot)))
 }
 
 // BroadcastToSidecars is recorded and no more.
 func (n *clusterNode) BroadcastToSidecars(message any) {
-	n.cluster.record.add("to sidecars", n.address, transport.Encode(message))
+	n.cluster.record.add("to sidecars", n.address, codec.Encode(message))
 }
 
 // BroadcastToReplicas is recorded and no more.
 func (n *clusterNode) BroadcastToReplicas(message any) {
-	n.cluster.record.add("to replicas", n.address, transport.Encode(message))
+	n.cluster.record.add("to replicas", n.address, codec.Encode(message))
 }
--- a/internal/mesh/replica/forward_test.go
+++ b/internal/mesh/replica/forward_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -55,7 +55,7 @@
 	receiveHeartbeat(r, 0, "b", 2)
 	var replies []Reply
 	claim := func(now time.Duration) {
-		r.HandleCall(now, transport.CallLeaseKeys, nil, true, func(reply Reply) { replies = append(replies, reply) })
+		r.HandleCall(now, codec.CallLeaseKeys, nil, true, func(reply Reply) { replies = append(replies, reply) })
 		r.ProcessReady()
 	}
 	claim(time.Millisecond)
--- a/internal/mesh/replica/golden_test.go
+++ b/internal/mesh/replica/golden_test.go
@@ -13,7 +13,7 @@
 
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/directory"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/testkit"
 )
@@ -110,7 +110,7 @@
 			body = reply.Body
 		}
 		if reply.Push != nil {
-			push = transport.Encode(reply.Push)
+			push = codec.Encode(reply.Push)
 		}
 		p.record.add(fmt.Sprint(kind, " ", reply.Status), body, push)
 	}
@@ -152,16 +152,16 @@
 		t.List = append(t.List, &wire.KeyLeaseRequestT{Key: fmt.Sprint("key-", p.random.IntN(6)), Token: fmt.Sprint("ticket-", p.random.IntN(4)),
 			Attempt: uint32(p.random.IntN(2)), Holder: fmt.Sprint("holder-", p.random.IntN(2)), Release: p.random.IntN(5) == 0, WindowUs: window.Microseconds()})
 	}
-	body := transport.EncodeTable(t)
+	body := codec.EncodeTable(t)
 	if p.random.IntN(30) == 0 {
 		body = body[:3]
 	}
-	n.call(func(r *Replica) { r.HandleCall(p.now, transport.CallLeaseKeys, body, true, p.reply("lease")) })
+	n.call(func(r *Replica) { r.HandleCall(p.now, codec.CallLeaseKeys, body, true, p.reply("lease")) })
 }
 
 // read asks for what is agreed on.
 func (p *goldenPlay) read(n *clusterNode) {
-	kind := []byte{transport.CallItems, transport.CallActivePolicy, transport.CallReadIndex, transport.CallStatus, 0}[p.random.IntN(5)]
+	kind := []byte{codec.CallItems, codec.CallActivePolicy, codec.CallReadIndex, codec.CallStatus, 0}[p.random.IntN(5)]
 	if kind != 0 {
 		n.call(func(r *Replica) { r.HandleCall(p.now, kind, nil, true, p.reply(fmt.Sprint("read ", kind))) })
 		return
@@ -182,7 +182,7 @@
 	if p.random.IntN(4) == 0 {
 		n.call(func(r *Replica) {
 			for _, m := range r.InitialMessages() {
-				p.record.add("initial message", transport.Encode(m))
+				p.record.add("initial message", codec.Encode(m))
 			}
 		})
 		return
@@ -192,7 +192,7 @@
 		Addr: fmt.Sprint("sidecar-", sidecar), Service: "service-0"}}}
 	n.call(func(r *Replica) {
 		for _, record := range r.MergeRecords(p.now, directory.FromWire(t), p.random.IntN(2) == 0) {
-			p.record.add("newer record", transport.Encode(directory.ToWire([]directory.Record{record})))
+			p.record.add("newer record", codec.Encode(directory.ToWire([]directory.Record{record})))
 		}
 	})
 }
--- a/internal/mesh/replica/identity.go
+++ b/internal/mesh/replica/identity.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/storage"
 )
 
 // Bootstrap says what a replica on an empty disk begins as.
@@ -19,15 +18,15 @@
 
 // InitialState is what the replica writes to its empty disk first. A founder knows all the others' ids before it has met them; anyone
 // else is a new id that has to be taken in.
-func (b Bootstrap) InitialState() storage.StoredState {
+func (b Bootstrap) InitialState() raft.StoredState {
 	if !b.FirstStart || b.Damaged || !slices.Contains(b.Seeds, b.Address) {
-		return storage.StoredState{Self: b.NewID}
+		return raft.StoredState{Self: b.NewID}
 	}
 	var members []raft.Member
 	for _, a := range b.Seeds {
 		members = append(members, raft.Member{ID: founderID(a), Addr: a})
 	}
-	return storage.StoredState{Self: founderID(b.Address), Snapshot: raft.BootstrapSnapshot(members)}
+	return raft.StoredState{Self: founderID(b.Address), Snapshot: raft.BootstrapSnapshot(members)}
 }
 
 // founderID is the id of a replica that the first seeds name.
--- a/internal/mesh/replica/landed_disk_test.go
+++ b/internal/mesh/replica/landed_disk_test.go
@@ -129,7 +129,7 @@
 	return recorded
 }
 
-func recordContents(t *testing.T, held storage.StoredState) recordedContents {
+func recordContents(t *testing.T, held raft.StoredState) recordedContents {
 	t.Helper()
 	var s State
 	assert.NilError(t, s.Decode(held.Snapshot.Data))
--- a/internal/mesh/replica/modify_test.go
+++ b/internal/mesh/replica/modify_test.go
@@ -13,7 +13,6 @@
 
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/storage"
 )
 
 // soloEnvironment is the environment of a replica that is the only member.
@@ -30,7 +29,7 @@
 // newSoloLeader is a replica that leads by itself, and the time.
 func newSoloLeader(t *testing.T) (*Replica, time.Duration) {
 	self := raft.Member{ID: 7, Addr: "10.0.0.1:7000"}
-	r, err := New(Config{Address: self.Addr, Stored: storage.StoredState{Self: self.ID, Snapshot: raft.BootstrapSnapshot([]raft.Member{self})}, Log: zerolog.Nop()}, soloEnvironment{}, 0)
+	r, err := New(Config{Address: self.Addr, Stored: raft.StoredState{Self: self.ID, Snapshot: raft.BootstrapSnapshot([]raft.Member{self})}, Log: zerolog.Nop()}, soloEnvironment{}, 0)
 	assert.NilError(t, err)
 	now := time.Duration(0)
 	for ; !r.raft.IsCaughtUpLeader(); now += TickInterval {
--- a/internal/mesh/replica/replica.go
+++ b/internal/mesh/replica/replica.go
@@ -16,7 +16,6 @@
 
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/storage"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -73,7 +72,7 @@
 // Config is what a replica is made of.
 type Config struct {
 	Address             string // where other replicas and sidecars reach it
-	Stored              storage.StoredState
+	Stored              raft.StoredState
 	Seeds               []string
 	FaultsTolerated     int // machines that may be lost; there are 2n+1 members, at least 3
 	RandomSeed          uint64
--- a/internal/mesh/replica/safety_test.go
+++ b/internal/mesh/replica/safety_test.go
@@ -11,7 +11,7 @@
 
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -204,7 +204,7 @@
 	assert.Equal(t, leader.replica.QuorumContact(), time.Duration(0))
 	assert.Assert(t, c.leader() != leader)
 	outs := leader.replica.State().Maintenance.MachinesMessage()
-	assert.Equal(t, len(transport.Encode(outs)) > 0 && outs.List[0].Addr == leader.address, true)
+	assert.Equal(t, len(codec.Encode(outs)) > 0 && outs.List[0].Addr == leader.address, true)
 	step(MaintenanceUpdate, `{"id":"o","step":"returning","text":"-"}`)
 	assert.Assert(t, !leader.replica.InMaintenance())
 	assert.Assert(t, leader.replica.QuorumContact() > 0)
--- a/internal/mesh/replica/sidecars.go
+++ b/internal/mesh/replica/sidecars.go
@@ -5,7 +5,7 @@
 
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/directory"
-	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/raft/raftwire"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -23,7 +23,7 @@
 // membersMessage are the addresses of the replicas, for sidecars.
 func (r *Replica) membersMessage() *wire.MembersT {
 	l, view := r.raft.Members()
-	return &wire.MembersT{List: storage.MembersToWire(l), Index: view}
+	return &wire.MembersT{List: raftwire.MembersToWire(l), Index: view}
 }
 
 // MergeRecords merges records that a sidecar told of itself (direct), or another replica. The answer goes back to the sidecar: one
--- a/internal/mesh/replica/state.go
+++ b/internal/mesh/replica/state.go
@@ -10,7 +10,7 @@
 	"cranegrade/internal/mesh/idempotency"
 	"cranegrade/internal/mesh/policy"
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -34,8 +34,8 @@
 )
 
 // EncodeChange words a change for the log.
-func EncodeChange(kind byte, t transport.Packer) []byte {
-	return append([]byte{kind}, transport.EncodeTable(t)...)
+func EncodeChange(kind byte, t codec.Packer) []byte {
+	return append([]byte{kind}, codec.EncodeTable(t)...)
 }
 
 // Outcome is what became of a change.
@@ -57,7 +57,7 @@
 	body := append([]byte(nil), data[1:]...)
 	switch data[0] {
 	case ChangeItems:
-		t, err := transport.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+		t, err := codec.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 		if err != nil {
 			return Outcome{Err: err}
 		}
@@ -70,7 +70,7 @@
 		s.ItemsIndex = e.Index
 		s.Policy.recordChange(e, c, s.Items, o.UpdatedItems, effects)
 	case ChangeActivePolicy:
-		t, err := transport.DecodeTable(body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
+		t, err := codec.DecodeTable(body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
 		if err != nil {
 			return Outcome{Err: err}
 		}
@@ -78,13 +78,13 @@
 			s.ActivePolicy = s.Items.PolicyItems()
 		}
 	case ChangeMaintenance:
-		t, err := transport.DecodeTable(body, func(p []byte) *wire.MaintenanceChangeT { return wire.GetRootAsMaintenanceChange(p, 0).UnPack() })
+		t, err := codec.DecodeTable(body, func(p []byte) *wire.MaintenanceChangeT { return wire.GetRootAsMaintenanceChange(p, 0).UnPack() })
 		if err == nil {
 			err = s.Maintenance.apply(e, t.Kind, t.Json)
 		}
 		o.Err, o.MaintenanceChanged = err, true
 	case ChangeKeyLeases:
-		t, err := transport.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() })
+		t, err := codec.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() })
 		if err != nil {
 			return Outcome{Err: err}
 		}
@@ -109,7 +109,7 @@
 	for _, h := range s.KeyLeases.Leases() {
 		t.KeyLeases = append(t.KeyLeases, &wire.KeyLeaseT{Key: h.Key, Token: h.Token, Attempt: h.Attempt, Holder: h.Holder, GrantedAtNs: int64(h.GrantedAt), WindowNs: int64(h.Window)})
 	}
-	return transport.EncodeTable(t)
+	return codec.EncodeTable(t)
 }
 
 // Decode reads what Save has worded; nothing is the empty state.
@@ -119,7 +119,7 @@
 	if len(data) == 0 {
 		return nil
 	}
-	t, err := transport.DecodeTable(data, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
+	t, err := codec.DecodeTable(data, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
 	if err != nil {
 		return errors.Annotate(err, "the state of a snapshot")
 	}
--- a/internal/mesh/scale/announcer.go
+++ b/internal/mesh/scale/announcer.go
@@ -12,6 +12,7 @@
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/settings"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -99,10 +100,10 @@
 func (a *announcer) confirm(ctx context.Context, c *transport.Conn) {
 	for c.Err() == nil {
 		within, cancel := context.WithTimeout(ctx, askTimeout)
-		t, err := a.asks.Call(within, c, transport.CallItems, nil)
+		t, err := a.asks.Call(within, c, codec.CallItems, nil)
 		cancel()
 		if err == nil && t.Status == http.StatusOK {
-			items, err := transport.DecodeTable(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+			items, err := codec.DecodeTable(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 			if err == nil && len(items.List) > 0 {
 				a.take(config.ItemsFromWire(items))
 				a.confirmed.Store(true)
--- a/internal/mesh/sidecar/answers_test.go
+++ b/internal/mesh/sidecar/answers_test.go
@@ -16,6 +16,7 @@
 	"cranegrade/internal/engine"
 	"cranegrade/internal/mesh/idempotency"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/message"
 )
@@ -249,7 +250,7 @@
 		of := map[string]uint64{}
 		x.upstreamRelays[0].mu.Lock()
 		x.upstreamRelays[0].change = func(p relayedMessage) []byte {
-			m, err := transport.Decode(p.raw[4:])
+			m, err := codec.Decode(p.raw[4:])
 			a, is := m.Value.(*wire.ResponseT)
 			if err != nil || !is {
 				return p.raw
@@ -259,7 +260,7 @@
 			if id, known := of[p.attempt]; known {
 				a.Id = id
 			}
-			return transport.Encode(a)
+			return codec.Encode(a)
 		}
 		x.upstreamRelays[0].mu.Unlock()
 		var all sync.WaitGroup
@@ -410,7 +411,7 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	go io.Copy(io.Discard, far)
-	c, err := transport.Accept(prefixed{near, bytes.NewReader(transport.Encode(&wire.HelloT{TransportVersion: transport.ProtocolVersion}))}, nil)
+	c, err := transport.Accept(prefixed{near, bytes.NewReader(codec.Encode(&wire.HelloT{TransportVersion: transport.ProtocolVersion}))}, nil)
 	assert.NilError(t, err)
 	var streams []*message.Stream
 	p := &upstreamAttempt{conn: c, id: 1, done: make(chan struct{}), attempt: engine.NewAttempt(nil, nil, time.Second, engine.Hooks{Began: func(r engine.Reply) {
--- a/internal/mesh/sidecar/attempt.go
+++ b/internal/mesh/sidecar/attempt.go
@@ -8,6 +8,7 @@
 	"cranegrade/balancer"
 	"cranegrade/internal/engine"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/message"
 )
@@ -125,8 +126,8 @@
 	}
 	far, _ := s.sidecar.directory.Load().Get(a.Endpoint.Addr)
 	add := func(name, value string) {
-		if far.ProtocolVersion >= transport.PackedHeaderVersion {
-			r.PackedHeader = transport.AppendHeaderField(r.PackedHeader, name, value)
+		if far.ProtocolVersion >= codec.PackedHeaderVersion {
+			r.PackedHeader = codec.AppendHeaderField(r.PackedHeader, name, value)
 		} else {
 			r.HeaderFields = append(r.HeaderFields, &wire.HeaderFieldT{Name: name, Value: value})
 		}
@@ -208,7 +209,7 @@
 // handleAnswer takes an answer as it came. One whose head can't be read is none, and so is one that names another request.
 func (p *upstreamAttempt) handleAnswer(v *wire.ResponseT) {
 	if len(v.PackedHeader) > 0 {
-		fields, err := transport.UnpackHeader(v.PackedHeader)
+		fields, err := codec.UnpackHeader(v.PackedHeader)
 		if err != nil {
 			p.finish(balancer.Broken, nil)
 			return
--- a/internal/mesh/sidecar/chain_test.go
+++ b/internal/mesh/sidecar/chain_test.go
@@ -24,6 +24,7 @@
 	"cranegrade/internal/mesh/logring"
 	"cranegrade/internal/mesh/settings"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/testkit"
 )
@@ -117,7 +118,7 @@
 	r.mu.Lock()
 	late, taken := r.heldBack, r.holdRequests
 	r.mu.Unlock()
-	if late == nil || a.Kind != transport.CallLeaseKeys {
+	if late == nil || a.Kind != codec.CallLeaseKeys {
 		c.Send(&wire.CallReplyT{Id: a.Id, Status: http.StatusOK, Body: r.answer(a)})
 		return
 	}
@@ -155,11 +156,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch a.Kind {
-	case transport.CallItems:
-		return transport.EncodeTable(r.items)
-	case transport.CallActivePolicy:
-		return transport.EncodeTable(&wire.ActivePolicyT{})
-	case transport.CallLeaseKeys:
+	case codec.CallItems:
+		return codec.EncodeTable(r.items)
+	case codec.CallActivePolicy:
+		return codec.EncodeTable(&wire.ActivePolicyT{})
+	case codec.CallLeaseKeys:
 		out := &wire.KeyLeaseResultsT{}
 		for _, c := range wire.GetRootAsKeyLeaseRequests(a.Body, 0).UnPack().List {
 			claim := idempotency.LeaseRequest{Key: c.Key, Token: c.Token, Attempt: c.Attempt, Holder: c.Holder, Release: c.Release, Window: time.Duration(c.WindowUs) * time.Microsecond}
@@ -169,7 +170,7 @@
 			}
 			out.List = append(out.List, &wire.KeyLeaseResultT{Granted: g.Granted, Holder: g.Current.Holder, Token: g.Current.Token})
 		}
-		return transport.EncodeTable(out)
+		return codec.EncodeTable(out)
 	}
 	return nil
 }
--- a/internal/mesh/sidecar/home.go
+++ b/internal/mesh/sidecar/home.go
@@ -13,6 +13,7 @@
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/memberselection"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -202,7 +203,7 @@
 }
 
 // handleMessage takes one message of a register. Tables merge by their versions, so it is the same which register tells what.
-func (h *controlPlaneConn) handleMessage(id memberselection.ConnID, c *transport.Conn, m transport.Message) {
+func (h *controlPlaneConn) handleMessage(id memberselection.ConnID, c *transport.Conn, m codec.Message) {
 	l := h.sidecar
 	switch v := m.Value.(type) {
 	case *wire.HeartbeatT:
@@ -241,14 +242,14 @@
 	ctx, cancel := context.WithTimeout(l.ctx, callTimeout)
 	defer cancel()
 	asked := l.clock.Now()
-	t, err := l.calls.Call(ctx, c, transport.CallItems, nil)
+	t, err := l.calls.Call(ctx, c, codec.CallItems, nil)
 	if err != nil {
 		return false, err
 	}
 	if t.Status != http.StatusOK {
 		return false, errors.Errorf("status %d", t.Status)
 	}
-	items, err := transport.DecodeTable(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	items, err := codec.DecodeTable(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 	if err != nil {
 		return false, err
 	}
@@ -280,13 +281,13 @@
 		h.breaker.finish(clock.Now(), err == nil)
 		h.reportWaiting()
 	}()
-	body := transport.EncodeTable(&wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{x}})
+	body := codec.EncodeTable(&wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{x}})
 	for {
 		c := h.conn.Load()
 		if c != nil && c.Err() == nil {
-			t, err := h.sidecar.calls.Call(ctx, c, transport.CallLeaseKeys, body)
+			t, err := h.sidecar.calls.Call(ctx, c, codec.CallLeaseKeys, body)
 			if err == nil && t.Status == http.StatusOK {
-				g, err := transport.DecodeTable(t.Body, func(p []byte) *wire.KeyLeaseResultsT { return wire.GetRootAsKeyLeaseResults(p, 0).UnPack() })
+				g, err := codec.DecodeTable(t.Body, func(p []byte) *wire.KeyLeaseResultsT { return wire.GetRootAsKeyLeaseResults(p, 0).UnPack() })
 				if err == nil && len(g.List) == 1 {
 					return g.List[0], nil
 				}
@@ -348,7 +349,7 @@
 				var t *wire.CallReplyT
 				err := errors.New("no home")
 				if c := h.conn.Load(); c != nil {
-					t, err = h.sidecar.calls.Call(ctx, c, transport.CallLeaseKeys, transport.EncodeTable(&wire.KeyLeaseRequestsT{List: l}))
+					t, err = h.sidecar.calls.Call(ctx, c, codec.CallLeaseKeys, codec.EncodeTable(&wire.KeyLeaseRequestsT{List: l}))
 				}
 				cancel()
 				if err == nil && t.Status == http.StatusOK || h.sidecar.ctx.Err() != nil {
--- a/internal/mesh/sidecar/home_test.go
+++ b/internal/mesh/sidecar/home_test.go
@@ -19,6 +19,7 @@
 	"cranegrade/internal/mesh/routing"
 	"cranegrade/internal/mesh/settings"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/message"
 	"cranegrade/internal/rig"
@@ -162,7 +163,7 @@
 	near, far := net.Pipe()
 	defer near.Close()
 	go io.Copy(io.Discard, far)
-	c, err := transport.Accept(prefixed{near, bytes.NewReader(transport.Encode(&wire.HelloT{TransportVersion: transport.ProtocolVersion}))}, nil)
+	c, err := transport.Accept(prefixed{near, bytes.NewReader(codec.Encode(&wire.HelloT{TransportVersion: transport.ProtocolVersion}))}, nil)
 	assert.NilError(t, err)
 	var try func(left, done string)
 	try = func(left, done string) {
--- a/internal/mesh/sidecar/inbound.go
+++ b/internal/mesh/sidecar/inbound.go
@@ -12,6 +12,7 @@
 
 	"cranegrade/internal/engine"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/message"
 	sender "cranegrade/internal/sender/http1"
@@ -137,25 +138,25 @@
 func (in *inboundServer) answerCall(a *wire.CallT) *wire.CallReplyT {
 	told := &wire.CallReplyT{Id: a.Id, Status: http.StatusOK}
 	switch a.Kind {
-	case transport.CallStoredResponse:
+	case codec.CallStoredResponse:
 		q, err := parseLegacy(a.Body)
 		if err != nil || len(q.List) != 1 {
 			told.Status = http.StatusBadRequest
 			break
 		}
-		told.Body = transport.EncodeTable(in.recallResponse(q.List[0].Key, q.SourceAddr))
-	case transport.CallHandOverKeys:
+		told.Body = codec.EncodeTable(in.recallResponse(q.List[0].Key, q.SourceAddr))
+	case codec.CallHandOverKeys:
 		q, err := parseLegacy(a.Body)
 		if err != nil {
 			told.Status = http.StatusBadRequest
 			break
 		}
 		in.responses.inherit(q.SourceAddr, q.List)
-	case transport.CallStatus:
-		told.Body = transport.EncodeTable(in.sidecar.status())
-	case transport.CallLogRing:
+	case codec.CallStatus:
+		told.Body = codec.EncodeTable(in.sidecar.status())
+	case codec.CallLogRing:
 		told.Body = in.sidecar.ring.Contents()
-	case transport.CallDrain:
+	case codec.CallDrain:
 		in.sidecar.localServer.hold(len(a.Body) > 0)
 	default:
 		told.Status = http.StatusNotFound
@@ -164,13 +165,13 @@
 }
 
 func parseLegacy(body []byte) (*wire.KeyHandoverT, error) {
-	return transport.DecodeTable(body, func(p []byte) *wire.KeyHandoverT { return wire.GetRootAsKeyHandover(p, 0).UnPack() })
+	return codec.DecodeTable(body, func(p []byte) *wire.KeyHandoverT { return wire.GetRootAsKeyHandover(p, 0).UnPack() })
 }
 
 // sendAnswer sends an answer, or its beginning, in the form that the caller's line reads.
 func (of *inboundConn) sendAnswer(a *wire.ResponseT) {
-	if of.conn.Peer.TransportVersion >= transport.PackedHeaderVersion {
-		a = transport.PackResponse(a)
+	if of.conn.Peer.TransportVersion >= codec.PackedHeaderVersion {
+		a = codec.PackResponse(a)
 	}
 	of.conn.Send(a)
 }
--- a/internal/mesh/sidecar/keys.go
+++ b/internal/mesh/sidecar/keys.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -133,7 +133,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := l.calls.Call(ctx, c, transport.CallHandOverKeys, transport.EncodeTable(&wire.KeyHandoverT{SourceAddr: l.Addr(), List: rest[:n]})); err != nil {
+		if _, err := l.calls.Call(ctx, c, codec.CallHandOverKeys, codec.EncodeTable(&wire.KeyHandoverT{SourceAddr: l.Addr(), List: rest[:n]})); err != nil {
 			return err
 		}
 		rest = rest[n:]
@@ -162,9 +162,9 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := s.sidecar.calls.Call(ctx, c, transport.CallStoredResponse, transport.EncodeTable(&wire.KeyHandoverT{SourceAddr: of, List: []*wire.StoredResponseT{q}}))
+	t, err := s.sidecar.calls.Call(ctx, c, codec.CallStoredResponse, codec.EncodeTable(&wire.KeyHandoverT{SourceAddr: of, List: []*wire.StoredResponseT{q}}))
 	if err != nil {
 		return nil, err
 	}
-	return transport.DecodeTable(t.Body, func(p []byte) *wire.StoredResponseT { return wire.GetRootAsStoredResponse(p, 0).UnPack() })
+	return codec.DecodeTable(t.Body, func(p []byte) *wire.StoredResponseT { return wire.GetRootAsStoredResponse(p, 0).UnPack() })
 }
--- a/internal/mesh/sidecar/relay_test.go
+++ b/internal/mesh/sidecar/relay_test.go
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -197,17 +197,17 @@
 func (upstreamFraming) begin() (request, answer func(*bufio.Reader) (relayedMessage, error)) {
 	var mu sync.Mutex
 	names := map[uint64]string{}
-	frame := func(r *bufio.Reader) ([]byte, transport.Message, error) {
+	frame := func(r *bufio.Reader) ([]byte, codec.Message, error) {
 		var head [4]byte
 		if n, err := io.ReadFull(r, head[:]); err != nil {
-			return head[:n], transport.Message{}, err
+			return head[:n], codec.Message{}, err
 		}
 		raw := make([]byte, 4+binary.LittleEndian.Uint32(head[:]))
 		copy(raw, head[:])
 		if n, err := io.ReadFull(r, raw[4:]); err != nil {
-			return raw[:4+n], transport.Message{}, err
+			return raw[:4+n], codec.Message{}, err
 		}
-		m, err := transport.Decode(raw[4:])
+		m, err := codec.Decode(raw[4:])
 		return raw, m, err
 	}
 	request = func(r *bufio.Reader) (relayedMessage, error) {
--- a/internal/mesh/sidecar/rules.go
+++ b/internal/mesh/sidecar/rules.go
@@ -13,6 +13,7 @@
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/policy"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -132,14 +133,14 @@
 	ctx, cancel := context.WithTimeout(l.ctx, callTimeout)
 	defer cancel()
 	asked := l.clock.Now()
-	t, err := l.calls.Call(ctx, c, transport.CallActivePolicy, nil)
+	t, err := l.calls.Call(ctx, c, codec.CallActivePolicy, nil)
 	if err != nil {
 		return err
 	}
 	if t.Status != http.StatusOK {
 		return errors.Errorf("status %d", t.Status)
 	}
-	b, err := transport.DecodeTable(t.Body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
+	b, err := codec.DecodeTable(t.Body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
 	if err != nil {
 		return err
 	}
--- a/internal/mesh/sidecar/run.go
+++ b/internal/mesh/sidecar/run.go
@@ -8,7 +8,7 @@
 
 	"cranegrade/balancer"
 	"cranegrade/internal/engine"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/message"
 )
@@ -31,7 +31,7 @@
 	r.sendWindow.add(sendWindowBytes)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	r.cancel = cancel
-	fields, err := transport.UnpackHeader(q.PackedHeader)
+	fields, err := codec.UnpackHeader(q.PackedHeader)
 	if err != nil { // a fault of the other side's; nothing of it has run
 		of.sendAnswer(&wire.ResponseT{Id: q.Id, Ending: codeNotAccepted})
 		return
--- a/internal/mesh/sim/disk.go
+++ b/internal/mesh/sim/disk.go
@@ -7,7 +7,6 @@
 	"github.com/juju/errors"
 
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/storage"
 )
 
 // DiskKind says how a replica's disk is simulated.
@@ -40,7 +39,7 @@
 
 // disk is what a replica's storage does. A write that returned is on disk, synced, unless the run has an error planted there.
 type disk interface {
-	read() (held storage.StoredState, state diskState, err error)
+	read() (held raft.StoredState, state diskState, err error)
 	begin(self raft.ID, snapshot raft.Snapshot) error
 	save(ready raft.Ready, last uint64) error
 	compact(snapshot raft.Snapshot, kept uint64) error
@@ -55,17 +54,17 @@
 
 // memoryDisk is a disk as records in memory. It belongs to one world.
 type memoryDisk struct {
-	synced  storage.StoredState
-	written storage.StoredState // with what is not synced; only an error planted has it differ from synced
+	synced  raft.StoredState
+	written raft.StoredState // with what is not synced; only an error planted has it differ from synced
 	begun   bool
 	full    bool
 	// Planted errors: writes are not synced when they return; term and vote never are.
 	deferred, hardUnsynced bool
 }
 
-func (d *memoryDisk) read() (storage.StoredState, diskState, error) {
+func (d *memoryDisk) read() (raft.StoredState, diskState, error) {
 	if !d.begun {
-		return storage.StoredState{}, diskEmpty, nil
+		return raft.StoredState{}, diskEmpty, nil
 	}
 	h := d.written
 	h.Entries = slices.Clone(h.Entries)
@@ -76,7 +75,7 @@
 	if d.full {
 		return errDiskFull
 	}
-	d.written = storage.StoredState{Self: self, Snapshot: s}
+	d.written = raft.StoredState{Self: self, Snapshot: s}
 	d.synced, d.begun = d.written, true
 	return nil
 }
@@ -101,7 +100,7 @@
 }
 
 // withReady is what a disk holds once a Ready is written.
-func withReady(h storage.StoredState, ready raft.Ready) storage.StoredState {
+func withReady(h raft.StoredState, ready raft.Ready) raft.StoredState {
 	if ready.HardState != nil {
 		h.HardState = *ready.HardState
 	}
--- a/internal/mesh/sim/home.go
+++ b/internal/mesh/sim/home.go
@@ -8,7 +8,7 @@
 	"cranegrade/internal/mesh/history"
 	"cranegrade/internal/mesh/memberselection"
 	"cranegrade/internal/mesh/replica"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -93,7 +93,7 @@
 			h.closed(m)
 		default:
 			m.end = e
-			e.message = func(x transport.Message) { h.take(m, x) }
+			e.message = func(x codec.Message) { h.take(m, x) }
 			e.closed = func() { h.closed(m) }
 		}
 	})
@@ -122,7 +122,7 @@
 }
 
 // take takes a message of a replica.
-func (h *controlPlaneConnection) take(m *memberConnection, x transport.Message) {
+func (h *controlPlaneConnection) take(m *memberConnection, x codec.Message) {
 	if h.members[m.id] != m {
 		return
 	}
@@ -152,7 +152,7 @@
 func (h *controlPlaneConnection) confirm(m *memberConnection) {
 	s := h.sidecar
 	begun := s.world.now
-	m.calls.call(s.process, m.end, askWithin, transport.CallItems, nil, func(r replica.Reply) {
+	m.calls.call(s.process, m.end, askWithin, codec.CallItems, nil, func(r replica.Reply) {
 		some := h.takeTable(m, begun, r)
 		h.decider.ConfirmationReceived(s.now(), m.id, some)
 		h.carryOutAll()
@@ -164,7 +164,7 @@
 	if r.Status != http.StatusOK {
 		return false
 	}
-	table, err := transport.DecodeTable(r.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	table, err := codec.DecodeTable(r.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 	if err != nil {
 		return false
 	}
--- a/internal/mesh/sim/link.go
+++ b/internal/mesh/sim/link.go
@@ -5,7 +5,7 @@
 
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/replica"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -67,7 +67,7 @@
 	}
 	l.end = e
 	began := h.now()
-	e.message = func(m transport.Message) {
+	e.message = func(m codec.Message) {
 		if t, is := m.Value.(*wire.CallReplyT); is {
 			l.calls.reply(t)
 		}
--- a/internal/mesh/sim/network.go
+++ b/internal/mesh/sim/network.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -100,7 +100,7 @@
 	accepts     bool // it was dialled
 	arrives     time.Duration
 	heard       time.Duration
-	message     func(transport.Message) // called by the owner
+	message     func(codec.Message)     // called by the owner
 	closed      func()                  // the same, once, unless the owner closed it itself
 	heartbeat   func() *wire.HeartbeatT // of what the owner says that it is in touch; nil: nothing
 }
@@ -153,7 +153,7 @@
 }
 
 // send sends a message to the other side, in order.
-func (e *side) send(message any) { e.sendFrame(transport.Encode(message)) }
+func (e *side) send(message any) { e.sendFrame(codec.Encode(message)) }
 
 func (e *side) sendFrame(frame []byte) {
 	if !e.open || !e.owner.up {
@@ -203,7 +203,7 @@
 	w := e.owner.world
 	e.heard = w.now
 	w.trace("frame", e.peer.owner.name, e.owner.name, frame)
-	m, err := transport.Decode(frame[4:])
+	m, err := codec.Decode(frame[4:])
 	if err != nil {
 		panic("sim: a frame that was encoded can't be decoded: " + err.Error())
 	}
--- a/internal/mesh/sim/observer.go
+++ b/internal/mesh/sim/observer.go
@@ -10,8 +10,7 @@
 	"cranegrade/internal/mesh/history"
 	"cranegrade/internal/mesh/raft"
 	"cranegrade/internal/mesh/replica"
-	"cranegrade/internal/mesh/storage"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 )
 
 // Bounds that runs are judged by.
@@ -115,7 +114,7 @@
 }
 
 // started sees what a replica begins with.
-func (o *observer) started(h *replicaHost, held storage.StoredState) {
+func (o *observer) started(h *replicaHost, held raft.StoredState) {
 	s := o.observedOf(h)
 	s.pending = nil
 	o.logged(h, raft.Ready{Snapshot: &held.Snapshot, Entries: held.Entries})
@@ -316,5 +315,5 @@
 
 // sameItems says that two replicas hold the same configuration. Their keys may differ by those whose windows have ended.
 func sameItems(a, b *replica.Replica) bool {
-	return bytes.Equal(transport.EncodeTable(config.ItemsToWire(a.State().Items.Items())), transport.EncodeTable(config.ItemsToWire(b.State().Items.Items())))
+	return bytes.Equal(codec.EncodeTable(config.ItemsToWire(a.State().Items.Items())), codec.EncodeTable(config.ItemsToWire(b.State().Items.Items())))
 }
--- a/internal/mesh/sim/replicahost.go
+++ b/internal/mesh/sim/replicahost.go
@@ -12,9 +12,9 @@
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/idempotency"
 	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/raft/raftwire"
 	"cranegrade/internal/mesh/replica"
-	"cranegrade/internal/mesh/storage"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -92,7 +92,7 @@
 		w.trace("empty", h.name, "", []byte{byte(state)})
 		held = replica.Bootstrap{Address: h.address, Seeds: h.seeds, FirstStart: h.founder, Damaged: state == diskDamaged, NewID: raft.ID(w.random.Uint64() &^ 1)}.InitialState()
 		if w.options.Mutations.IdentityAfterWipe && h.lastID != 0 {
-			held = storage.StoredState{Self: h.lastID, Snapshot: held.Snapshot}
+			held = raft.StoredState{Self: h.lastID, Snapshot: held.Snapshot}
 		}
 		if h.disk.begin(held.Self, held.Snapshot) != nil {
 			w.after(fullRetry, h.start)
@@ -238,7 +238,7 @@
 
 // Send sends a consensus message.
 func (h *replicaHost) Send(address string, m raft.Message) {
-	h.link(address).sendLoose(transport.Encode(storage.MessageToWire(m)))
+	h.link(address).sendLoose(codec.Encode(raftwire.MessageToWire(m)))
 }
 
 // Connect keeps a connection to another replica.
@@ -251,7 +251,7 @@
 
 // BroadcastToSidecars sends a message to each sidecar.
 func (h *replicaHost) BroadcastToSidecars(message any) {
-	frame := transport.Encode(message)
+	frame := codec.Encode(message)
 	for _, e := range slices.Clone(h.sidecars) {
 		e.sendFrame(frame)
 	}
@@ -259,7 +259,7 @@
 
 // BroadcastToReplicas sends a message to each replica.
 func (h *replicaHost) BroadcastToReplicas(message any) {
-	frame := transport.Encode(message)
+	frame := codec.Encode(message)
 	for _, l := range h.linkList {
 		l.send(frame)
 	}
@@ -284,13 +284,13 @@
 			e.send(m)
 		}
 	}
-	e.message = func(m transport.Message) { h.takeMessage(e, m, !hello.ControlPlane) }
+	e.message = func(m codec.Message) { h.takeMessage(e, m, !hello.ControlPlane) }
 }
 
-func (h *replicaHost) takeMessage(e *side, m transport.Message, sidecar bool) {
+func (h *replicaHost) takeMessage(e *side, m codec.Message, sidecar bool) {
 	switch v := m.Value.(type) {
 	case *wire.RaftMessageT:
-		if message, err := storage.MessageFromWire(v); err == nil && !sidecar {
+		if message, err := raftwire.MessageFromWire(v); err == nil && !sidecar {
 			h.replica.Step(h.now(), message)
 		}
 	case *wire.RecordsT:
@@ -308,10 +308,10 @@
 }
 
 func (h *replicaHost) answer(a *wire.CallT, sidecar bool, reply func(replica.Reply)) {
-	if h.world.options.Mutations.UnconfirmedTable && a.Kind == transport.CallItems {
+	if h.world.options.Mutations.UnconfirmedTable && a.Kind == codec.CallItems {
 		t := config.ItemsToWire(h.replica.State().Items.Items())
 		t.Complete, t.Index = true, h.replica.AppliedIndex()
-		reply(replica.Reply{Status: http.StatusOK, Body: transport.EncodeTable(t)})
+		reply(replica.Reply{Status: http.StatusOK, Body: codec.EncodeTable(t)})
 		return
 	}
 	h.replica.HandleCall(h.now(), a.Kind, a.Body, sidecar, reply)
--- a/internal/mesh/sim/sidecar.go
+++ b/internal/mesh/sim/sidecar.go
@@ -10,7 +10,7 @@
 	"cranegrade/internal/mesh/history"
 	"cranegrade/internal/mesh/memberselection"
 	"cranegrade/internal/mesh/replica"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -135,12 +135,12 @@
 		return
 	}
 	body := claimBody(&wire.KeyLeaseRequestT{Key: q.key, Token: q.ticket, Holder: s.holder(), WindowUs: (keyWindow + windowSlack).Microseconds()})
-	home.calls.call(s.process, home.end, max(0, q.deadline-s.now()), transport.CallLeaseKeys, body, func(r replica.Reply) {
+	home.calls.call(s.process, home.end, max(0, q.deadline-s.now()), codec.CallLeaseKeys, body, func(r replica.Reply) {
 		if r.Status != http.StatusOK {
 			again()
 			return
 		}
-		g, err := transport.DecodeTable(r.Body, func(p []byte) *wire.KeyLeaseResultsT { return wire.GetRootAsKeyLeaseResults(p, 0).UnPack() })
+		g, err := codec.DecodeTable(r.Body, func(p []byte) *wire.KeyLeaseResultsT { return wire.GetRootAsKeyLeaseResults(p, 0).UnPack() })
 		if err != nil || len(g.List) != 1 {
 			again()
 			return
@@ -154,7 +154,7 @@
 }
 
 func claimBody(l ...*wire.KeyLeaseRequestT) []byte {
-	return transport.EncodeTable(&wire.KeyLeaseRequestsT{List: l})
+	return codec.EncodeTable(&wire.KeyLeaseRequestsT{List: l})
 }
 
 // decide runs a request whose key was granted, or gives the key back.
@@ -187,7 +187,7 @@
 		again()
 		return
 	}
-	home.calls.call(s.process, home.end, askWithin, transport.CallLeaseKeys, claimBody(c), func(r replica.Reply) {
+	home.calls.call(s.process, home.end, askWithin, codec.CallLeaseKeys, claimBody(c), func(r replica.Reply) {
 		if r.Status != http.StatusOK {
 			again()
 		}
--- a/internal/mesh/sim/vaultdisk.go
+++ b/internal/mesh/sim/vaultdisk.go
@@ -28,7 +28,7 @@
 	return d
 }
 
-func (d *storageDisk) read() (held storage.StoredState, state diskState, err error) {
+func (d *storageDisk) read() (held raft.StoredState, state diskState, err error) {
 	d.close()
 	state = diskHolds
 	var empty bool
--- a/internal/mesh/storage/compat_test.go
+++ b/internal/mesh/storage/compat_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/raft/raftwire"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -18,14 +19,14 @@
 	messages := []raft.MessageKind{raft.AppendEntries, raft.AppendResponse, raft.PreVote, raft.PreVoteResponse, raft.RequestVote, raft.VoteResponse, raft.InstallSnapshot, raft.JoinRequest, raft.NotMember,
 		raft.TimeoutNow, raft.LeaveRequest, raft.LeaveGranted, raft.SnapshotChunk, raft.SnapshotChunkResponse}
 	for number, kind := range messages {
-		encoded := MessageToWire(raft.Message{Kind: kind})
+		encoded := raftwire.MessageToWire(raft.Message{Kind: kind})
 		assert.Equal(t, int(encoded.Kind), number)
-		decoded, err := MessageFromWire(&wire.RaftMessageT{Kind: byte(number)})
+		decoded, err := raftwire.MessageFromWire(&wire.RaftMessageT{Kind: byte(number)})
 		assert.NilError(t, err)
 		assert.Equal(t, decoded.Kind, kind)
 	}
 	for number, kind := range []raft.EntryKind{raft.EntryNoOp, raft.EntryCommand, raft.EntryConfiguration} {
-		assert.Equal(t, int(EntryToWire(raft.Entry{Kind: kind}).Kind), number)
+		assert.Equal(t, int(raftwire.EntryToWire(raft.Entry{Kind: kind}).Kind), number)
 	}
 }
 
@@ -42,10 +43,10 @@
 		Addr:     "10.0.0.1:7380", Members: members, ConfigurationIndex: 90, ProtocolVersion: 1, Offset: 32_768, TotalBytes: 65_536, Checksum: 0xdeadbeef, Leaving: true}
 	recorded, err := os.ReadFile("testdata/raft-message.bin")
 	assert.NilError(t, err)
-	assert.Equal(t, hex.EncodeToString(transport.Encode(MessageToWire(message))), hex.EncodeToString(recorded))
-	decoded, err := transport.Decode(recorded[4:])
+	assert.Equal(t, hex.EncodeToString(codec.Encode(raftwire.MessageToWire(message))), hex.EncodeToString(recorded))
+	decoded, err := codec.Decode(recorded[4:])
 	assert.NilError(t, err)
-	got, err := MessageFromWire(decoded.Value.(*wire.RaftMessageT))
+	got, err := raftwire.MessageFromWire(decoded.Value.(*wire.RaftMessageT))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, got, message)
 }
--- a/internal/mesh/storage/crash_test.go
+++ b/internal/mesh/storage/crash_test.go
@@ -55,7 +55,7 @@
 	return b.String()
 }
 
-func expectedFrom(h StoredState) expectedState {
+func expectedFrom(h raft.StoredState) expectedState {
 	return expectedState{hardState: h.HardState, snapshot: h.Snapshot, entries: h.Entries}
 }
 
@@ -164,7 +164,7 @@
 }
 
 // openWhenPossible opens the store, once there is room. One that was never begun may be damaged: it is discarded, as a register does.
-func (s *faultSchedule) openWhenPossible() (v *Store, held StoredState, empty bool, err error) {
+func (s *faultSchedule) openWhenPossible() (v *Store, held raft.StoredState, empty bool, err error) {
 	for {
 		v, held, empty, err = OpenFolder(s.folder, s.options)
 		switch {
--- a/internal/mesh/storage/vault.go
+++ b/internal/mesh/storage/vault.go
@@ -21,7 +21,8 @@
 	"github.com/syndtr/goleveldb/leveldb/util"
 
 	"cranegrade/internal/mesh/raft"
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/raft/raftwire"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -46,15 +47,6 @@
 	walBytes     int // bytes that may stand in the journal; of a store that works in the foreground
 }
 
-// StoredState is what a store holds.
-type StoredState struct {
-	Self           raft.ID
-	HardState      raft.HardState
-	Snapshot       raft.Snapshot
-	Entries        []raft.Entry // behind Snapshot
-	CatchUpEntries []raft.Entry // in front of it, up to its Index, without a gap
-}
-
 // Options are how a store works.
 type Options struct {
 	// Foreground has all work done within the calls of a Vault, so that the same calls leave the same files, as simulations
@@ -81,40 +73,40 @@
 }
 
 // Open opens the store in a folder, or makes one; empty: it holds nothing yet.
-func Open(dir string) (store *Store, state StoredState, empty bool, err error) {
+func Open(dir string) (store *Store, state raft.StoredState, empty bool, err error) {
 	return OpenFolder(dataFolder(dir), Options{})
 }
 
 // OpenFolder is Open in any folder.
-func OpenFolder(folder Folder, options Options) (store *Store, state StoredState, empty bool, err error) {
+func OpenFolder(folder Folder, options Options) (store *Store, state raft.StoredState, empty bool, err error) {
 	store = &Store{folder: folder, options: options, writeOptions: opt.WriteOptions{Sync: true}}
 	if err := store.openDB(options.levelDBOptions()); err != nil {
-		return nil, StoredState{}, false, err
+		return nil, raft.StoredState{}, false, err
 	}
 	if state, empty, err = store.readState(); err != nil {
 		store.Close()
-		return nil, StoredState{}, false, err
+		return nil, raft.StoredState{}, false, err
 	}
 	return store, state, empty, nil
 }
 
 // OpenReadOnly is Open for an inspector: nothing is written.
-func OpenReadOnly(dir string) (state StoredState, empty bool, err error) {
+func OpenReadOnly(dir string) (state raft.StoredState, empty bool, err error) {
 	return OpenFolderReadOnly(dataFolder(dir))
 }
 
 // OpenFolderReadOnly is OpenReadOnly in any folder. It reads a copy in memory: goleveldb can't read a store of two journals without
 // writing to it.
-func OpenFolderReadOnly(folder Folder) (state StoredState, empty bool, err error) {
+func OpenFolderReadOnly(folder Folder) (state raft.StoredState, empty bool, err error) {
 	copied := memoryFolder{}
 	if copied.Storage, err = copyToMemory(folder); err != nil {
-		return StoredState{}, false, classifyOpenError(err)
+		return raft.StoredState{}, false, classifyOpenError(err)
 	}
 	store := &Store{folder: copied}
 	options := Options{}.levelDBOptions()
 	options.ErrorIfMissing = true
 	if err := store.openDB(options); err != nil {
-		return StoredState{}, false, err
+		return raft.StoredState{}, false, err
 	}
 	defer store.Close()
 	return store.readState()
@@ -218,7 +210,7 @@
 
 func entryKey(index uint64) []byte { return append([]byte("e"), encodeUint64(index)...) }
 
-func (v *Store) readState() (state StoredState, empty bool, err error) {
+func (v *Store) readState() (state raft.StoredState, empty bool, err error) {
 	format, err := v.get("format")
 	if err != nil {
 		return state, false, err
@@ -244,11 +236,11 @@
 		return state, false, err
 	}
 	if snapshot != nil {
-		s, err := transport.DecodeTable(snapshot, func(p []byte) *wire.SnapshotT { return wire.GetRootAsSnapshot(p, 0).UnPack() })
+		s, err := codec.DecodeTable(snapshot, func(p []byte) *wire.SnapshotT { return wire.GetRootAsSnapshot(p, 0).UnPack() })
 		if err != nil {
 			return state, false, errors.WithType(err, ErrCorrupted)
 		}
-		state.Snapshot = SnapshotFromWire(s)
+		state.Snapshot = raftwire.SnapshotFromWire(s)
 	}
 	it := v.db.NewIterator(util.BytesPrefix([]byte("e")), nil)
 	defer it.Release()
@@ -257,11 +249,11 @@
 		if err != nil {
 			return state, false, err
 		}
-		stored, err := transport.DecodeTable(append([]byte(nil), p...), func(p []byte) *wire.EntryT { return wire.GetRootAsEntry(p, 0).UnPack() })
+		stored, err := codec.DecodeTable(append([]byte(nil), p...), func(p []byte) *wire.EntryT { return wire.GetRootAsEntry(p, 0).UnPack() })
 		if err != nil {
 			return state, false, errors.WithType(err, ErrCorrupted)
 		}
-		entry, err := EntryFromWire(stored)
+		entry, err := raftwire.EntryFromWire(stored)
 		if err != nil {
 			return state, false, errors.WithType(err, ErrCorrupted)
 		}
@@ -293,7 +285,7 @@
 	batch.Put([]byte("self"), addChecksum(encodeUint64(uint64(self))))
 	batch.Put([]byte("hard"), addChecksum(make([]byte, 16)))
 	if snapshot.Index > 0 {
-		batch.Put([]byte("snap"), addChecksum(transport.EncodeTable(SnapshotToWire(&snapshot))))
+		batch.Put([]byte("snap"), addChecksum(codec.EncodeTable(raftwire.SnapshotToWire(&snapshot))))
 	}
 	return v.write(batch)
 }
@@ -338,7 +330,7 @@
 		batch.Put([]byte("hard"), addChecksum(append(encodeUint64(ready.HardState.Term), encodeUint64(uint64(ready.HardState.Vote))...)))
 	}
 	if ready.Snapshot != nil {
-		batch.Put([]byte("snap"), addChecksum(transport.EncodeTable(SnapshotToWire(ready.Snapshot))))
+		batch.Put([]byte("snap"), addChecksum(codec.EncodeTable(raftwire.SnapshotToWire(ready.Snapshot))))
 		it := v.db.NewIterator(util.BytesPrefix([]byte("e")), nil)
 		for it.Next() {
 			batch.Delete(append([]byte(nil), it.Key()...))
@@ -350,7 +342,7 @@
 		last = 0
 	}
 	for i, e := range ready.Entries {
-		batch.Put(entryKey(e.Index), addChecksum(transport.EncodeTable(EntryToWire(e))))
+		batch.Put(entryKey(e.Index), addChecksum(codec.EncodeTable(raftwire.EntryToWire(e))))
 		if i == len(ready.Entries)-1 {
 			for n := e.Index + 1; n <= last; n++ { // of a leader that is none any more
 				batch.Delete(entryKey(n))
@@ -366,7 +358,7 @@
 		return ErrWriteFailed
 	}
 	batch := new(leveldb.Batch)
-	batch.Put([]byte("snap"), addChecksum(transport.EncodeTable(SnapshotToWire(&snapshot))))
+	batch.Put([]byte("snap"), addChecksum(codec.EncodeTable(raftwire.SnapshotToWire(&snapshot))))
 	it := v.db.NewIterator(&util.Range{Start: entryKey(0), Limit: entryKey(kept)}, nil)
 	for it.Next() {
 		batch.Delete(append([]byte(nil), it.Key()...))
--- a/internal/mesh/testcluster/relayed.go
+++ b/internal/mesh/testcluster/relayed.go
@@ -10,7 +10,7 @@
 	"net/http"
 	"time"
 
-	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/rig"
 )
@@ -85,7 +85,7 @@
 	if err != nil {
 		return "", err
 	}
-	message, err := transport.Decode(frame[4:])
+	message, err := codec.Decode(frame[4:])
 	if err != nil {
 		return "", err
 	}
--- a/internal/mesh/testcluster/speed_test.go
+++ b/internal/mesh/testcluster/speed_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/rig"
 )
@@ -122,7 +123,7 @@
 		all.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				at := time.Now()
-				if _, err := trunkTo.Call(ctx, transport.CallLeaseKeys, claimsBody(fmt.Sprint("c", g), n, 1)); err != nil {
+				if _, err := trunkTo.Call(ctx, codec.CallLeaseKeys, claimsBody(fmt.Sprint("c", g), n, 1)); err != nil {
 					continue
 				}
 				mu.Lock()
@@ -145,7 +146,7 @@
 		key := fmt.Sprintf("%s-%08d", name, from+n)
 		t.List = append(t.List, &wire.KeyLeaseRequestT{Key: key, Token: "a1b2c3d4e5f6" + key, Holder: "127.0.0.1:30000/a1b2c3d4e5f6", WindowUs: time.Hour.Microseconds()})
 	}
-	return transport.EncodeTable(t)
+	return codec.EncodeTable(t)
 }
 
 func leaderOf(m *Cluster) *Machine {
@@ -289,7 +290,7 @@
 	}
 	defer c.Close()
 	for from := 0; from < catchUpKeys; from += keysPerCall {
-		if _, err := c.Call(ctx, transport.CallLeaseKeys, claimsBody("key", from, keysPerCall)); err != nil {
+		if _, err := c.Call(ctx, codec.CallLeaseKeys, claimsBody("key", from, keysPerCall)); err != nil {
 			return err
 		}
 	}
@@ -343,7 +344,7 @@
 	go claims.every(catchUpClaims, stop, func(n int) bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_, err := transport.CallOnce(ctx, leader.Process.Addr, "bench", transport.CallLeaseKeys, claimsBody("beside", n, 1))
+		_, err := transport.CallOnce(ctx, leader.Process.Addr, "bench", codec.CallLeaseKeys, claimsBody("beside", n, 1))
 		return err == nil
 	})
 	go changes.every(catchUpChanges, stop, func(n int) bool {
--- a/internal/mesh/testcluster/worst_catchup_test.go
+++ b/internal/mesh/testcluster/worst_catchup_test.go
@@ -13,6 +13,7 @@
 
 	"cranegrade/internal/mesh/history"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/rig"
 )
@@ -136,7 +137,7 @@
 					c.List = append(c.List, &wire.KeyLeaseRequestT{Key: fmt.Sprintf("away-%d-%d", n, k), Token: fmt.Sprint("ticket-", n), Holder: "127.0.0.1:1/abcdef",
 						WindowUs: time.Hour.Microseconds()})
 				}
-				if _, err := x.Call(ctx, transport.CallLeaseKeys, transport.EncodeTable(c)); err != nil {
+				if _, err := x.Call(ctx, codec.CallLeaseKeys, codec.EncodeTable(c)); err != nil {
 					t.Errorf("claim %d: %v", n, err)
 				}
 			}
--- a/internal/mesh/testcluster/worst_relay_test.go
+++ b/internal/mesh/testcluster/worst_relay_test.go
@@ -10,6 +10,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/rig"
 )
@@ -42,11 +43,11 @@
 func (x *Machine) statusPastRelay() *wire.StatusT {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	body, err := transport.CallOnce(ctx, x.cluster.addr(x.IP, portBehindRelay), "test", transport.CallStatus, nil)
+	body, err := transport.CallOnce(ctx, x.cluster.addr(x.IP, portBehindRelay), "test", codec.CallStatus, nil)
 	if err != nil {
 		return nil
 	}
-	s, err := transport.DecodeTable(body, func(p []byte) *wire.StatusT { return wire.GetRootAsStatus(p, 0).UnPack() })
+	s, err := codec.DecodeTable(body, func(p []byte) *wire.StatusT { return wire.GetRootAsStatus(p, 0).UnPack() })
 	if err != nil {
 		return nil
 	}
--- a/internal/mesh/topology/look.go
+++ b/internal/mesh/topology/look.go
@@ -11,6 +11,7 @@
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -24,7 +25,7 @@
 	complete      chan struct{} // closed with the second beat: the first may have been made before it had come
 }
 
-func (h *announcements) handle(m transport.Message) {
+func (h *announcements) handle(m codec.Message) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch v := m.Value.(type) {
@@ -71,8 +72,8 @@
 		return t, errors.Annotatef(transport.ErrRejected, "%s is no register", addr)
 	}
 	t.ConfigurationIndex = members.Index
-	if body, err := x.Call(ctx, transport.CallItems, nil); err == nil {
-		items, err := transport.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	if body, err := x.Call(ctx, codec.CallItems, nil); err == nil {
+		items, err := codec.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 		if err == nil {
 			list := config.ItemsFromWire(items)
 			table, _ := config.Table{}.Merge(list)
--- a/internal/mesh/transport/caller.go
+++ b/internal/mesh/transport/caller.go
@@ -6,6 +6,7 @@
 
 	"github.com/juju/errors"
 
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -22,7 +23,7 @@
 }
 
 // DialClient opens a trunk. The context bounds the dial only; other is told, on one goroutine, whatever is no answer, and may be nil.
-func DialClient(ctx context.Context, addr, name string, onMessage func(Message)) (*Client, error) {
+func DialClient(ctx context.Context, addr, name string, onMessage func(codec.Message)) (*Client, error) {
 	conn, err := Dial(ctx, addr, &wire.HelloT{Name: name}, nil)
 	if err != nil {
 		return nil, errors.WithType(err, ErrNoReply)
@@ -64,11 +65,11 @@
 
 // Status asks how the process is.
 func (x *Client) Status(ctx context.Context) (*wire.StatusT, error) {
-	body, err := x.Call(ctx, CallStatus, nil)
+	body, err := x.Call(ctx, codec.CallStatus, nil)
 	if err != nil {
 		return nil, err
 	}
-	return DecodeTable(body, func(p []byte) *wire.StatusT { return wire.GetRootAsStatus(p, 0).UnPack() })
+	return codec.DecodeTable(body, func(p []byte) *wire.StatusT { return wire.GetRootAsStatus(p, 0).UnPack() })
 }
 
 // CallOnce is Call and Ask of one process.
--- a/internal/mesh/transport/frame.go
+++ b/internal/mesh/transport/codec/frame.go
@@ -1,7 +1,10 @@
-package transport
+// Package codec encodes the messages between the mesh's own processes: frames of FlatBuffers tables, packed header fields, and the
+// kinds of calls. It is pure; package transport carries the frames.
+package codec
 
 import (
 	"encoding/binary"
+	"errors"
 	"sync"
 
 	flatbuffers "github.com/google/flatbuffers/go"
@@ -9,6 +12,9 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
+// ErrMalformedFrame says that bytes are no table of the schema: the connection that they came by is to be closed.
+var ErrMalformedFrame = errors.New("malformed frame")
+
 // Message is one of the tables of the union Body, as flatc's objects.
 type Message struct {
 	Type  wire.Payload
--- a/internal/mesh/transport/head.go
+++ b/internal/mesh/transport/codec/header.go
@@ -1,4 +1,4 @@
-package transport
+package codec
 
 import (
 	"encoding/binary"
--- a/internal/mesh/transport/trunk.go
+++ b/internal/mesh/transport/trunk.go
@@ -17,6 +17,7 @@
 	"github.com/juju/errors"
 	"golang.org/x/sys/unix"
 
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -41,10 +42,9 @@
 
 // Errors of this layer.
 var (
-	ErrClosed         = errors.New("the trunk is closed")
-	ErrQueueFull      = errors.New("the other side of the trunk does not read")
-	ErrMalformedFrame = errors.New("malformed frame")
-	ErrNoHello        = errors.New("no hello")
+	ErrClosed    = errors.New("the trunk is closed")
+	ErrQueueFull = errors.New("the other side of the trunk does not read")
+	ErrNoHello   = errors.New("no hello")
 )
 
 // Conn is one connection. Send may be called from any goroutine; Receive from one.
@@ -74,9 +74,9 @@
 func newConn(netConn net.Conn, heartbeat func() *wire.HeartbeatT) *Conn {
 	c := &Conn{netConn: netConn, writeTimeout: writeTimeout, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	c.reader = bufio.NewReaderSize(receiveTracker{c}, 16<<10)
-	c.encodeHeartbeat = func() []byte { return Encode(&wire.HeartbeatT{}) }
+	c.encodeHeartbeat = func() []byte { return codec.Encode(&wire.HeartbeatT{}) }
 	if heartbeat != nil { // it says more than that the sender is there, so other words don't stand for it
-		c.encodeHeartbeat, c.alwaysHeartbeat = func() []byte { return Encode(heartbeat()) }, true
+		c.encodeHeartbeat, c.alwaysHeartbeat = func() []byte { return codec.Encode(heartbeat()) }, true
 	}
 	c.lastReceived.Store(time.Now().UnixNano())
 	go c.writeLoop()
@@ -142,9 +142,9 @@
 func (c *Conn) Pending() int64 { return c.pending.Load() }
 
 // Send queues a message. It does not wait; where the other side does not read, the connection ends.
-func (c *Conn) Send(v any) error { return c.SendFrame(Encode(v)) }
+func (c *Conn) Send(v any) error { return c.SendFrame(codec.Encode(v)) }
 
-// SendFrame is Send for what Encode made before.
+// SendFrame is Send for what codec.Encode made before.
 func (c *Conn) SendFrame(frame []byte) error {
 	c.mu.Lock()
 	if c.err != nil {
@@ -290,27 +290,27 @@
 }
 
 // Receive waits for the next message that is no plain beat of a line.
-func (c *Conn) Receive() (Message, error) {
+func (c *Conn) Receive() (codec.Message, error) {
 	for {
 		var lengthPrefix [4]byte
 		if _, err := io.ReadFull(c.reader, lengthPrefix[:]); err != nil {
 			c.Close(err)
-			return Message{}, err
+			return codec.Message{}, err
 		}
 		n := binary.LittleEndian.Uint32(lengthPrefix[:])
 		if n > maxFrameBytes {
-			c.Close(ErrMalformedFrame)
-			return Message{}, ErrMalformedFrame
+			c.Close(codec.ErrMalformedFrame)
+			return codec.Message{}, codec.ErrMalformedFrame
 		}
 		frame := make([]byte, n)
 		if _, err := io.ReadFull(c.reader, frame); err != nil {
 			c.Close(err)
-			return Message{}, err
+			return codec.Message{}, err
 		}
-		m, err := Decode(frame)
+		m, err := codec.Decode(frame)
 		if err != nil {
 			c.Close(err)
-			return Message{}, err
+			return codec.Message{}, err
 		}
 		receivedTraffic.add(m.Type, len(lengthPrefix)+len(frame))
 		if m.Type == wire.PayloadNONE {
--- a/internal/mesh/transport/trunk_test.go
+++ b/internal/mesh/transport/trunk_test.go
@@ -8,6 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
+	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -15,18 +16,18 @@
 	for _, v := range []any{&wire.HelloT{Name: "n", Incarnation: 3}, &wire.HeartbeatT{QuorumContact: true}, &wire.RequestT{Id: 1, Body: []byte("b"), HeaderFields: []*wire.HeaderFieldT{{Name: "a", Value: "b"}}},
 		&wire.ResponseT{Id: 1, Status: 200}, &wire.BodyChunkT{Last: true}, &wire.WindowUpdateT{Increment: 5}, &wire.CancelT{Id: 9}, &wire.RecordsT{}, &wire.ItemsT{Complete: true},
 		&wire.MembersT{Index: 4}, &wire.RaftMessageT{Term: 8, Snapshot: &wire.SnapshotT{Index: 2}}, &wire.CallT{Kind: 1}, &wire.CallReplyT{Status: 503}} {
-		frame := Encode(v)
-		m, err := Decode(frame[4:])
+		frame := codec.Encode(v)
+		m, err := codec.Decode(frame[4:])
 		assert.NilError(t, err)
-		assert.Equal(t, m.Type, NewMessage(v).Type)
+		assert.Equal(t, m.Type, codec.NewMessage(v).Type)
 	}
 }
 
 // Whatever comes is read, or is a plain error.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(&wire.RequestT{Id: 1, Method: "GET", HeaderFields: []*wire.HeaderFieldT{{Name: "a"}}})[4:])
-	f.Add(Encode(&wire.RaftMessageT{Entries: []*wire.EntryT{{Index: 1}}})[4:])
-	f.Fuzz(func(t *testing.T, p []byte) { Decode(p) })
+	f.Add(codec.Encode(&wire.RequestT{Id: 1, Method: "GET", HeaderFields: []*wire.HeaderFieldT{{Name: "a"}}})[4:])
+	f.Add(codec.Encode(&wire.RaftMessageT{Entries: []*wire.EntryT{{Index: 1}}})[4:])
+	f.Fuzz(func(t *testing.T, p []byte) { codec.Decode(p) })
 }
 
 // A call is answered, by its connection alone; one whose connection ends is told so.
@@ -72,7 +73,7 @@
 	stranger := <-accepted
 	done := make(chan *wire.CallReplyT, 1)
 	go func() {
-		reply, _ := calls.Call(context.Background(), one, CallReadIndex, []byte("q"))
+		reply, _ := calls.Call(context.Background(), one, codec.CallReadIndex, []byte("q"))
 		done <- reply
 	}()
 	m, err := peer.Receive()
@@ -83,7 +84,7 @@
 	assert.Equal(t, (<-done).Status, uint16(200))
 	failed := make(chan error, 1)
 	go func() {
-		_, err := calls.Call(context.Background(), other, CallReadIndex, nil)
+		_, err := calls.Call(context.Background(), other, codec.CallReadIndex, nil)
 		failed <- err
 	}()
 	_, err = stranger.Receive()
@@ -93,7 +94,7 @@
 }
 
 // receiveMessage is Receive past the beats, which come whenever a machine is slow.
-func receiveMessage(c *Conn) (Message, error) {
+func receiveMessage(c *Conn) (codec.Message, error) {
 	for {
 		m, err := c.Receive()
 		if err != nil || m.Type != wire.PayloadHeartbeat {
@@ -131,7 +132,7 @@
 	const pieces = 400
 	var frames [pieces][]byte
 	for n := range frames { // made before the first goes: the other side, which reads none yet, has the time of a write only
-		frames[n] = Encode(&wire.BodyChunkT{Id: uint64(n), Data: make([]byte, 64<<10)})
+		frames[n] = codec.Encode(&wire.BodyChunkT{Id: uint64(n), Data: make([]byte, 64<<10)})
 	}
 	for _, f := range frames { // far more than the sockets hold
 		assert.NilError(t, near.SendFrame(f))
@@ -165,7 +166,7 @@
 	const within, frames, frame = 500 * time.Millisecond, 16, 256 << 10
 	var encoded [frames][]byte // before the first goes: the other side, which reads none yet, has the time of a write only
 	for n := range encoded {
-		encoded[n] = Encode(&wire.BodyChunkT{Id: uint64(n), Data: make([]byte, frame)})
+		encoded[n] = codec.Encode(&wire.BodyChunkT{Id: uint64(n), Data: make([]byte, frame)})
 	}
 	for _, moves := range []bool{true, false} {
 		nc, far := net.Pipe()
@@ -209,7 +210,7 @@
 		got <- err
 	}()
 	before := c.LastReceived()
-	frame := Encode(&wire.BodyChunkT{Id: 1, Data: make([]byte, 100<<10)})
+	frame := codec.Encode(&wire.BodyChunkT{Id: 1, Data: make([]byte, 100<<10)})
 	for len(frame) > 0 {
 		n := min(len(frame), 30<<10)
 		_, err := far.Write(frame[:n]) // returns once that is read
