--- /dev/null
+++ b/internal/mesh/memberselection/candidate.go
@@ -0,0 +1,99 @@
+package memberselection
+
+import (
+	"slices"
+	"time"
+)
+
+// candidate is an address that may be dialed, and its connection if there is one.
+type candidate struct {
+	addr        string
+	id          ConnID // of the dial or connection; 0: none
+	dialedAt    time.Duration
+	established bool // the first message has come
+	hasLeader   bool // by the member's own latest heartbeat
+	backoff     time.Duration
+	retryAt     time.Duration
+}
+
+func (c *candidate) forgetConnection() { c.id, c.established, c.hasLeader = 0, false, false }
+
+// updateCandidates makes the candidates from members and seeds. The connections of those that stay are kept, and so is that of
+// the followed member in any case.
+func (s *Selector) updateCandidates() {
+	old := s.candidates
+	s.candidates = nil
+	for _, addr := range slices.Concat(s.members, s.seeds) {
+		if candidateByAddr(s.candidates, addr) != nil {
+			continue
+		}
+		c := candidateByAddr(old, addr)
+		if c == nil {
+			c = &candidate{addr: addr, retryAt: s.now}
+		}
+		s.candidates = append(s.candidates, c)
+	}
+	for _, c := range old {
+		switch {
+		case candidateByAddr(s.candidates, c.addr) != nil:
+		case c == s.followed:
+			s.candidates = append(s.candidates, c)
+		default:
+			s.closeCandidate(c, NotAMember)
+		}
+	}
+}
+
+func candidateByAddr(candidates []*candidate, addr string) *candidate {
+	if i := slices.IndexFunc(candidates, func(c *candidate) bool { return c.addr == addr }); i >= 0 {
+		return candidates[i]
+	}
+	return nil
+}
+
+func (s *Selector) candidateByID(id ConnID) *candidate {
+	if i := slices.IndexFunc(s.candidates, func(c *candidate) bool { return id != 0 && c.id == id }); i >= 0 {
+		return s.candidates[i]
+	}
+	return nil
+}
+
+// dialDue dials every candidate without a connection whose backoff is over.
+func (s *Selector) dialDue() {
+	for _, c := range s.candidates {
+		if c.id != 0 || s.now < c.retryAt {
+			continue
+		}
+		s.lastID++
+		c.id, c.dialedAt = s.lastID, s.now
+		s.emit(Action{Kind: Dial, ID: c.id, Addr: c.addr})
+	}
+}
+
+// closeSilentDials gives up the dials that have got no first message in time. They are due to be dialed again at once.
+func (s *Selector) closeSilentDials() {
+	for _, c := range s.candidates {
+		if c.id != 0 && !c.established && s.now >= c.dialedAt+DialTimeout {
+			s.closeCandidate(c, NoFirstMessage)
+			c.retryAt = s.now
+		}
+	}
+}
+
+// closeOthers closes every connection but that of the followed member.
+func (s *Selector) closeOthers() {
+	for _, c := range s.candidates {
+		if c != s.followed && c.id != 0 {
+			s.closeCandidate(c, OtherMemberFollowed)
+		}
+	}
+}
+
+func (s *Selector) closeCandidate(c *candidate, reason CloseReason) {
+	if c.id != 0 {
+		s.emit(Action{Kind: Close, ID: c.id, Reason: reason})
+	}
+	c.forgetConnection()
+}
+
+func (s *Selector) emit(a Action) { s.actions = append(s.actions, a) }
--- a/internal/mesh/sidecar/home.go
+++ b/internal/mesh/sidecar/home.go
@@ -142,8 +142,8 @@
 		delete(h.members, a.ID)
 		m.cancel()
 		if m.conn != nil {
-			m.conn.Close(errors.New(a.Reason))
-			h.logLeft(m.conn, a.Reason)
+			m.conn.Close(a.Reason)
+			h.logLeft(m.conn, a.Reason.Error())
 		}
 	}
 }
