--- /dev/null
+++ b/balancer/golden_test.go
@@ -0,0 +1,235 @@
+package balancer
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"os"
+	"testing"
+	"time"
+)
+
+var updateGolden = flag.Bool("update", false, "write testdata/golden.json anew")
+
+const (
+	goldenFile   = "testdata/golden.json"
+	goldenSeeds  = 100
+	goldenEvents = 1500
+)
+
+// goldenRun plays drawn events to one balancer and hashes what it does, values only: no name of the code goes in.
+type goldenRun struct {
+	b       *Balancer
+	random  *rand.Rand
+	hash    hash.Hash
+	now     time.Duration
+	next    int
+	pending []goldenAttempt
+	wakes   []Wake
+	counts  [6]int // actions by kind, so that a run that does nothing shows
+}
+
+// goldenAttempt is a Send whose Outcome is still to come.
+type goldenAttempt struct {
+	id, server string
+	number     int
+	sentAt     time.Duration
+}
+
+func newGoldenRun(t *testing.T, seed uint64) *goldenRun {
+	t.Helper()
+	g := &goldenRun{random: rand.New(rand.NewPCG(seed, 0x901d)), hash: sha256.New(), now: time.Second}
+	g.b = newBalancer(t, func(s *Settings) {
+		s.Balancers = []int{1, 3, 50}[g.random.IntN(3)]
+		s.Index = g.random.IntN(s.Balancers)
+		s.Tier = g.random.IntN(2)
+		s.MayCancel = g.random.IntN(2) == 0
+		s.Spares = g.random.IntN(3)
+		s.Sizes = Sizes(g.random.IntN(4))
+		s.AskDiscovery = g.random.IntN(2) == 0
+		s.TenantWeight = float64(g.random.IntN(2))
+		s.Tenants, s.OverShare, s.WorstTenantWeight = []Tenant{{"acme", 20}, {"bolt", 5}}, 0.2, 0.5
+	})
+	return g
+}
+
+// handle passes an event on and takes note of each action.
+func (g *goldenRun) handle(e Event) {
+	for _, a := range g.b.Handle(g.now, e) {
+		switch a := a.(type) {
+		case Send:
+			g.counts[0]++
+			fmt.Fprintln(g.hash, 0, a.ID, a.Server, int64(a.Timeout), a.Spares)
+			number := 0
+			for _, p := range g.pending {
+				if p.id == a.ID {
+					number = max(number, p.number+1)
+				}
+			}
+			if r := g.b.requests[a.ID]; r != nil {
+				number = len(r.attempts) - 1
+			}
+			g.pending = append(g.pending, goldenAttempt{a.ID, a.Server, number, g.now})
+		case Cancel:
+			g.counts[1]++
+			fmt.Fprintln(g.hash, 1, a.ID, a.Attempt)
+		case Refuse:
+			g.counts[2]++
+			fmt.Fprintln(g.hash, 2, a.ID, int64(a.RetryAfter))
+		case Fail:
+			g.counts[3]++
+			fmt.Fprintln(g.hash, 3, a.ID)
+		case Wake:
+			g.counts[4]++
+			fmt.Fprintln(g.hash, 4, int64(a.At), a.Token)
+			g.wakes = append(g.wakes, a)
+		case Subscribe:
+			g.counts[5]++
+			fmt.Fprintln(g.hash, 5)
+		}
+	}
+}
+
+// step lets a little time pass and has one thing happen.
+func (g *goldenRun) step() {
+	g.now += time.Duration(g.random.Int64N(int64(8 * time.Millisecond)))
+	g.timers()
+	switch x := g.random.IntN(100); {
+	case x < 45:
+		g.request()
+	case x < 88:
+		g.outcome()
+	case x < 91:
+		g.list()
+	case x < 93 && len(g.pending) > 0:
+		g.handle(ClientGone{g.pending[g.random.IntN(len(g.pending))].id})
+	case x < 95 && len(g.pending) > 0:
+		p := g.pending[g.random.IntN(len(g.pending))]
+		g.handle(Started{ID: p.id, Attempt: p.number, Transfer: g.random.IntN(2) == 0})
+	case x < 96:
+		g.handle(Fleet{Balancers: 1 + g.random.IntN(20), Index: 0, Divisor: 1 + float64(g.random.IntN(20)), Whole: g.random.IntN(2) == 0, Takes: float64(g.random.IntN(12))})
+	case x < 97:
+		g.handle(Hearsay{[]Aside{{ID: g.server(), Until: g.now + time.Duration(g.random.IntN(500))*time.Millisecond}}})
+	case x < 98:
+		g.handle(ListFailed{Garbled: g.random.IntN(2) == 0})
+	}
+}
+
+func (g *goldenRun) server() string { return fmt.Sprintf("s-%02d", g.random.IntN(24)) }
+
+// timers has the wakes that are due come.
+func (g *goldenRun) timers() {
+	left := g.wakes[:0:0]
+	due := g.wakes
+	g.wakes = nil
+	for _, w := range due {
+		if w.At <= g.now {
+			g.handle(Timer{w.Token})
+		} else {
+			left = append(left, w)
+		}
+	}
+	g.wakes = append(left, g.wakes...)
+}
+
+func (g *goldenRun) request() {
+	g.next++
+	classes := g.b.order
+	r := Request{ID: fmt.Sprint("r", g.next), Class: classes[g.random.IntN(len(classes))].Name, Deadline: g.now + time.Duration(100+g.random.IntN(1500))*time.Millisecond,
+		Repeat: g.random.IntN(5) == 0, Cost: time.Duration(g.random.IntN(20)) * time.Millisecond, Tenant: []string{"", "acme", "bolt", "else"}[g.random.IntN(4)]}
+	if g.random.IntN(20) == 0 {
+		r.Among = []string{g.server(), g.server(), g.server()}
+	}
+	if g.random.IntN(20) == 0 {
+		r.Places = []Place{{"za", 0}, {"zb", 0}}[:g.random.IntN(3)]
+	}
+	g.handle(r)
+}
+
+// outcome ends an attempt that is out, the oldest more often than others.
+func (g *goldenRun) outcome() {
+	if len(g.pending) == 0 {
+		return
+	}
+	i := min(g.random.IntN(len(g.pending)), g.random.IntN(len(g.pending)))
+	p := g.pending[i]
+	g.pending = append(g.pending[:i], g.pending[i+1:]...)
+	ending := Success
+	if x := g.random.IntN(100); x < 25 {
+		ending = Ending(g.random.IntN(int(Void) + 1))
+	}
+	g.handle(Outcome{ID: p.id, Attempt: p.number, Server: p.server, Ending: ending, Latency: g.now - p.sentAt, Ended: ending == Success || g.random.IntN(10) == 0, Spent: g.random.IntN(12) == 0})
+}
+
+// list brings news of some servers, or the whole list.
+func (g *goldenRun) list() {
+	e := ServerList{Full: g.random.IntN(4) == 0, Cached: g.random.IntN(10) == 0, Ordered: g.random.IntN(10) == 0}
+	n := g.random.IntN(4)
+	if e.Full {
+		n = 4 + g.random.IntN(20)
+	}
+	for k := range n {
+		s := Server{ID: g.server(), Zone: []string{"za", "zb"}[g.random.IntN(2)], Cell: g.random.IntN(3), Size: float64(g.random.IntN(3))}
+		if e.Full {
+			s.ID = fmt.Sprintf("s-%02d", k)
+		} else {
+			s.State = []ServerState{Ready, Ready, Draining, Gone}[g.random.IntN(4)]
+		}
+		if g.random.IntN(3) == 0 {
+			s.Boot = g.now - time.Duration(g.random.IntN(3000))*time.Millisecond
+		}
+		e.Servers = append(e.Servers, s)
+	}
+	g.handle(e)
+}
+
+// The decisions of a balancer are those of the record, bit for bit: what is told, in which order, whom each draw names.
+func TestDecisionsAreThoseOfTheRecord(t *testing.T) {
+	got := map[string]string{}
+	var counts [6]int
+	for seed := range uint64(goldenSeeds) {
+		g := newGoldenRun(t, seed)
+		g.handle(ServerList{Full: true, Servers: servers(12)})
+		for range goldenEvents {
+			g.step()
+		}
+		got[fmt.Sprintf("%03d", seed)] = hex.EncodeToString(g.hash.Sum(nil)[:12])
+		for i, n := range g.counts {
+			counts[i] += n
+		}
+	}
+	for kind, n := range counts {
+		if n < goldenSeeds {
+			t.Errorf("kind %d of actions came %d times in all runs, too few to show anything", kind, n)
+		}
+	}
+	if *updateGolden {
+		text, err := json.MarshalIndent(got, "", "\t")
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(goldenFile, append(text, '\n'), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var want map[string]string
+	if err := json.Unmarshal(text, &want); err != nil {
+		t.Fatal(err)
+	}
+	if len(want) != goldenSeeds {
+		t.Fatalf("the record has %d seeds, not %d", len(want), goldenSeeds)
+	}
+	for seed, h := range want {
+		if got[seed] != h {
+			t.Errorf("seed %s: %s, in the record %s", seed, got[seed], h)
+		}
+	}
+}
