--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,6 +1,6 @@
 // Package balancer decides where a load balancer sends each request, when it tries again and
 // when it gives up. It does no I/O: the host feeds events to a Balancer and carries out the
-// actions it returns. This file is the whole interface; every decision is in policy.go, list.go, choice.go, health.go and admission.go.
+// actions it returns. This file is the whole interface; every decision is in policy.go, server_list.go, selection.go, health.go and admission.go.
 //
 // A Balancer belongs to one goroutine. Its only clock is the now given to Handle, which must
 // never go back, and its only randomness is the seed given to New, so the same events always
@@ -218,9 +218,9 @@
 	Hearsay struct{ Aside []Aside }
 	// Aside is a server that others have good reason not to use.
 	Aside struct {
-		ID    string
-		Boot  time.Duration // its start that this is said of
-		Until time.Duration // clock time
+		ID        string
+		StartedAt time.Duration // its start that this is said of
+		Until     time.Duration // clock time
 	}
 	// ListFailed says that a Subscribe failed or that the subscription broke. Garbled: discovery is there and
 	// answered, but what it said can't be read, or broke off.
--- a/balancer/beliefs.go
+++ b/balancer/estimates.go
@@ -51,23 +51,23 @@
 // Beliefs reports what the Balancer holds true at its last event. At most most servers are listed, the
 // ones with most calls out first in question; 0 lists none.
 func (b *Balancer) Beliefs(most int) Beliefs {
-	v := Beliefs{InFlight: b.inFlight, Held: len(b.held), Requests: len(b.requests), Ready: len(b.ready),
-		Window: b.window, Fill: b.fill, Bare: math.Exp(b.bare), DebtMS: b.debt / 1e6, Shed: b.shed,
-		Errors: b.errors, Tokens: b.tokens, Unevenness: b.unevenness()}
-	for _, c := range b.order {
-		v.Classes = append(v.Classes, ClassBeliefs{c.Name, c.mean / 1e6, c.dev / 1e6, c.arrive, c.serve})
+	v := Beliefs{InFlight: b.inFlight, Held: len(b.queue), Requests: len(b.requests), Ready: len(b.ready),
+		Window: b.window, Fill: b.targetUse, Bare: math.Exp(b.leastLogUse), DebtMS: b.pacingDebt / 1e6, Shed: b.shedShare,
+		Errors: b.errorShare, Tokens: b.retryTokens, Unevenness: b.unevenness()}
+	for _, c := range b.classList {
+		v.Classes = append(v.Classes, ClassBeliefs{c.Name, c.mean / 1e6, c.deviation / 1e6, c.arrived, c.served})
 	}
 	if most == 0 {
 		return v
 	}
 	for _, s := range b.servers {
-		w := ServerBeliefs{ID: s.ID, State: stateNames[s.State], Calls: s.calls, Slow: s.slow, Level: s.level,
-			Out: b.away(s), Room: -1, Warmth: b.warmth(s)}
-		if b.now < s.full {
-			w.Room = s.room
+		w := ServerBeliefs{ID: s.ID, State: stateNames[s.State], Calls: s.calls, Slow: s.slowness, Level: s.ejectionLevel,
+			Out: b.isEjected(s), Room: -1, Warmth: b.warmth(s)}
+		if b.now < s.fullUntil {
+			w.Room = s.refusalRoom
 		}
-		if len(s.open) > 0 {
-			w.OldestMS = float64(b.now-s.open[0].sent) / float64(time.Millisecond)
+		if len(s.openAttempts) > 0 {
+			w.OldestMS = float64(b.now-s.openAttempts[0].sent) / float64(time.Millisecond)
 		}
 		v.Servers = append(v.Servers, w)
 	}
--- a/balancer/knowledge.go
+++ b/balancer/learned_state.go
@@ -52,15 +52,15 @@
 
 // Knowledge is what b has learned until its last event.
 func (b *Balancer) Knowledge() *Knowledge {
-	k := &Knowledge{At: b.now, Window: b.window, Fill: b.fill, Pace: b.pace, Bare: b.bare, Answers: b.answers, Fresh: b.fresh,
-		Spread: b.spread, Errors: b.errors, Tokens: b.tokens, Shed: b.shed, Vain: b.vain}
-	for _, c := range b.order {
-		k.Classes = append(k.Classes, ClassKnowledge{c.Name, c.mean, c.dev, c.cost, c.arrive, c.serve, c.longestTry})
+	k := &Knowledge{At: b.now, Window: b.window, Fill: b.targetUse, Pace: b.logUse, Bare: b.leastLogUse, Answers: b.samples, Fresh: b.newShare,
+		Spread: b.latencyVariance, Errors: b.errorShare, Tokens: b.retryTokens, Shed: b.shedShare, Vain: b.abandonedShare}
+	for _, c := range b.classList {
+		k.Classes = append(k.Classes, ClassKnowledge{c.Name, c.mean, c.deviation, c.cost, c.arrived, c.served, c.longestTry})
 	}
 	for _, s := range b.servers {
 		if s.listed {
-			k.Servers = append(k.Servers, ServerKnowledge{s.ID, s.Boot, s.streak, s.level, s.goods, s.until, s.slow, s.samples,
-				s.lastOK, s.took, s.room, s.turned, s.full, s.refusals})
+			k.Servers = append(k.Servers, ServerKnowledge{s.ID, s.Boot, s.failureStreak, s.ejectionLevel, s.successStreak, s.ejectedUntil, s.slowness, s.samples,
+				s.lastSuccess, s.acceptedAt, s.refusalRoom, s.refusedAt, s.fullUntil, s.refusals})
 		}
 	}
 	return k
@@ -79,39 +79,39 @@
 	if len(b.ready) > 0 {
 		take(&b.window, k.Window, 1e-3, 1e6)
 	}
-	take(&b.fill, k.Fill, 0, 1)
-	take(&b.pace, k.Pace, -50, 0)
-	take(&b.bare, k.Bare, -50, 0)
-	take(&b.answers, k.Answers, 0, huge)
-	take(&b.fresh, k.Fresh, 0, 1)
-	take(&b.spread, k.Spread, 0, 1e3)
-	take(&b.errors, k.Errors, 0.01, 1)
-	take(&b.tokens, k.Tokens, 0, retryPurse)
-	take(&b.shed, k.Shed, 0, 1)
-	take(&b.vain, k.Vain, 0, 1)
+	take(&b.targetUse, k.Fill, 0, 1)
+	take(&b.logUse, k.Pace, -50, 0)
+	take(&b.leastLogUse, k.Bare, -50, 0)
+	take(&b.samples, k.Answers, 0, huge)
+	take(&b.newShare, k.Fresh, 0, 1)
+	take(&b.latencyVariance, k.Spread, 0, 1e3)
+	take(&b.errorShare, k.Errors, 0.01, 1)
+	take(&b.retryTokens, k.Tokens, 0, maxRetryTokens)
+	take(&b.shedShare, k.Shed, 0, 1)
+	take(&b.abandonedShare, k.Vain, 0, 1)
 	for _, l := range k.Classes {
 		c := b.classes[l.Name]
 		if c == nil {
 			continue
 		}
 		take(&c.mean, l.Mean, 1, huge)
-		take(&c.dev, l.Dev, 0, huge)
+		take(&c.deviation, l.Dev, 0, huge)
 		take(&c.cost, l.Cost, 0, huge)
 		if sound(l.Arrive, 0, huge) && sound(l.Serve, 0, l.Arrive) {
-			c.arrive, c.serve = l.Arrive, l.Serve
+			c.arrived, c.served = l.Arrive, l.Serve
 		}
 		c.longestTry = max(0, min(l.LongestTry, c.Deadline))
 	}
 	soon := b.now + 10*time.Minute
 	for _, l := range k.Servers {
 		s := b.servers[l.ID]
-		if s == nil || s.Boot != l.Boot || l.Streak < 0 || l.Level < 0 || l.Level > maxLevel || l.Goods < 0 || l.Samples < 0 ||
-			l.Room < 0 || l.Refusals < 0 || l.Refusals > maxLevel || l.Until > soon || l.Full > soon ||
+		if s == nil || s.Boot != l.Boot || l.Streak < 0 || l.Level < 0 || l.Level > maxEjectionLevel || l.Goods < 0 || l.Samples < 0 ||
+			l.Room < 0 || l.Refusals < 0 || l.Refusals > maxEjectionLevel || l.Until > soon || l.Full > soon ||
 			max(l.LastOK, l.Took, l.Turned) > soon || !sound(l.Slow, -50, 50) {
 			continue
 		}
-		s.streak, s.level, s.goods, s.until, s.slow, s.samples = l.Streak, l.Level, l.Goods, l.Until, l.Slow, l.Samples
-		s.lastOK, s.took, s.room, s.turned, s.full, s.refusals = l.LastOK, l.Took, l.Room, l.Turned, l.Full, l.Refusals
+		s.failureStreak, s.ejectionLevel, s.successStreak, s.ejectedUntil, s.slowness, s.samples = l.Streak, l.Level, l.Goods, l.Until, l.Slow, l.Samples
+		s.lastSuccess, s.acceptedAt, s.refusalRoom, s.refusedAt, s.fullUntil, s.refusals = l.LastOK, l.Took, l.Room, l.Turned, l.Full, l.Refusals
 	}
-	b.usableAt = -1
+	b.usableCountedAt = -1
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -24,7 +24,7 @@
 	}
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
-	if b.mostOut() != 0 {
+	if b.maxExcluded() != 0 {
 		t.Error("the only server may be ruled out")
 	}
 }
@@ -52,10 +52,10 @@
 	if s.refusals != 1 {
 		t.Errorf("three refusals of one moment count %d times", s.refusals)
 	}
-	if s.room < 1 {
-		t.Errorf("room for %d after a slow refusal", s.room)
+	if s.refusalRoom < 1 {
+		t.Errorf("room for %d after a slow refusal", s.refusalRoom)
 	}
-	s.room, s.full = 1, now+time.Hour
+	s.refusalRoom, s.fullUntil = 1, now+time.Hour
 	for i := range 5 {
 		id := fmt.Sprint("ok", i)
 		for _, x := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
@@ -63,15 +63,15 @@
 			b.Handle(now, Outcome{ID: x.ID, Server: x.Server, Ending: Success, Ended: true})
 		}
 	}
-	if s.room < 2 {
-		t.Errorf("room for %d after five calls that it took", s.room)
+	if s.refusalRoom < 2 {
+		t.Errorf("room for %d after five calls that it took", s.refusalRoom)
 	}
 
 	b = newBalancer(t, func(s *Settings) { s.Balancers = 1; s.MaxAttempts = 1 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
 	turnAway(b, 1, msec)
-	if s := b.servers["s00"]; s.room != 0 {
-		t.Errorf("room for %d at a server that is quick to refuse its only call, and wins picks by that", s.room)
+	if s := b.servers["s00"]; s.refusalRoom != 0 {
+		t.Errorf("room for %d at a server that is quick to refuse its only call, and wins picks by that", s.refusalRoom)
 	}
 }
 
@@ -93,10 +93,10 @@
 	}{
 		"all":         {func(*Balancer) {}, 20, 20},
 		"shrunk list": {func(b *Balancer) { b.Handle(1, ServerList{Full: true, Servers: servers(1)}) }, 5, 5},
-		"one out":     {func(b *Balancer) { b.servers["s02"].until = time.Hour }, 15, 15},
+		"one out":     {func(b *Balancer) { b.servers["s02"].ejectedUntil = time.Hour }, 15, 15},
 		"all out": {func(b *Balancer) {
 			for _, s := range b.servers {
-				s.until = time.Hour
+				s.ejectedUntil = time.Hour
 			}
 		}, 15, 15},
 		"one cold": {func(b *Balancer) {
@@ -105,15 +105,15 @@
 			b.Handle(9*time.Second, ServerList{Full: true, Servers: l}) // half warm: 0.6
 		}, 17, 18},
 		// It turned one away with two calls out, so the others get no more for it: three parts and two calls.
-		"one full":         {func(b *Balancer) { b.servers["s02"].room, b.servers["s02"].full = 2, time.Hour }, 17, 17},
-		"one with no room": {func(b *Balancer) { b.servers["s02"].room, b.servers["s02"].full = 0, time.Hour }, 15, 15},
-		"in vain":          {func(b *Balancer) { b.vain, b.window = 0.9, 2 }, 2, 2},
+		"one full":         {func(b *Balancer) { b.servers["s02"].refusalRoom, b.servers["s02"].fullUntil = 2, time.Hour }, 17, 17},
+		"one with no room": {func(b *Balancer) { b.servers["s02"].refusalRoom, b.servers["s02"].fullUntil = 0, time.Hour }, 15, 15},
+		"in vain":          {func(b *Balancer) { b.abandonedShare, b.window = 0.9, 2 }, 2, 2},
 	}
 	for name, c := range cases {
 		b := newBalancer(t, one)
 		b.Handle(0, full)
 		c.change(b)
-		b.usableAt = -1
+		b.usableCountedAt = -1
 		if got := out(b, 60); got < c.least || got > c.most {
 			t.Errorf("%s: %d calls out, want %d to %d", name, got, c.least, c.most)
 		}
@@ -158,13 +158,13 @@
 	bare := func(left int) float64 {
 		b := newBalancer(t, nil)
 		b.Handle(0, ServerList{Full: true, Servers: servers(8)})
-		b.now, b.pace, b.bare, b.answers = 100*msec, math.Log(0.1), math.Log(0.1), 1000
+		b.now, b.logUse, b.leastLogUse, b.samples = 100*msec, math.Log(0.1), math.Log(0.1), 1000
 		b.Handle(b.now, ServerList{Full: true, Servers: servers(left)})
 		r := &request{class: b.classes["get"], attempts: []*attempt{{sent: b.now - b.classes["get"].Aim/5}}}
 		for range 200 {
-			b.steer(r, Outcome{Ending: Success})
+			b.adjustWindow(r, Outcome{Ending: Success})
 		}
-		return math.Exp(b.bare)
+		return math.Exp(b.leastLogUse)
 	}
 	if same, half := bare(8), bare(4); same > 0.12 || half < 0.17 {
 		t.Errorf("least latency of 0.1, now 0.2: %.3f with the list as it was, %.3f with half of it", same, half)
@@ -174,7 +174,7 @@
 func TestColdRoomIsSharedByCopies(t *testing.T) {
 	for copies, want := range map[int]float64{1: 3, 2: 1, 1000: 1} {
 		b := newBalancer(t, func(s *Settings) { s.Balancers = copies })
-		if got := b.coldRoom(0.6); got != want {
+		if got := b.slowStartLimit(0.6); got != want {
 			t.Errorf("%d copies: %v calls, want %v", copies, got, want)
 		}
 	}
@@ -185,7 +185,7 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 	b.now = time.Second
-	b.ghosts(10, float64(time.Second))
+	b.abandoned(10, float64(time.Second))
 	if b.admitted() != 10 {
 		t.Errorf("%v admitted", b.admitted())
 	}
@@ -249,9 +249,9 @@
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 		s, r := b.ready[0], &request{class: b.classes["get"]}
 		for range c.runs {
-			b.judge(&attempt{req: r, srv: s}, Outcome{Ending: c.end})
+			b.learn(&attempt{request: r, server: s}, Outcome{Ending: c.end})
 		}
-		if got := b.now < s.until; got != c.out {
+		if got := b.now < s.ejectedUntil; got != c.out {
 			t.Errorf("%d endings of kind %v: out %v, want %v", c.runs, c.end, got, c.out)
 		}
 	}
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -1,5 +1,6 @@
-// Every decision of the balancer: here what an event leads to, in list.go what discovery tells, in choice.go
-// which server, in health.go how servers are judged, in admission.go what is let in, tried again, given up.
+// Every decision of the balancer: here what an event leads to, in server_list.go what discovery tells, in
+// selection.go which server, in health.go how servers are judged, in admission.go what is let in, tried again
+// and given up.
 
 package balancer
 
@@ -11,96 +12,96 @@
 
 // Constants are shares, ratios or counts; every length of time is a setting or was observed.
 const (
-	alpha       = 0.5  // share of the list in the left group
-	memory      = 0.06 // weight of a new sample in pooled averages (about 16 samples)
-	ownMemory   = 0.25 // weight of a new sample in a single server's averages
-	chance      = 0.08 // a run of errors likelier than this by the peers' error share is luck
-	tailSpread  = 3.0  // deviations above the mean at which a wait counts as overlong
-	slowRatio   = 2.5  // times its peers' latency that makes a server slow
-	slowThins   = 2.0  // power of a server's slowness by which its draws are thinned
-	minSamples  = 3    // samples before a server can be called slow
-	mostOut     = 0.2  // share of the list that health may exclude; beyond that all are drawn
-	ejection    = 12   // mean latencies that a first ejection, or a lack of room, lasts
-	maxLevel    = 5    // doublings of an ejection
-	windowFloor = 5.0  // own calls a server that are always admitted
-	retryEarn   = 0.15 // further attempts earned by a success
-	unsentCost  = 0.1  // what a further attempt costs when the last one never ran
-	retryPurse  = 10   // most that can be saved up
-	aimFill     = 0.6  // mean latency over aim that admission lets be at the most
-	busyRatio   = 1.5  // and times the least (geometric) mean of that which was seen
-	calmRatio   = 0.4  // that much more is let be while nothing is shed: a node that turns nobody
-	calmPower   = 16   // away has no crowd to keep out; and how soon it is gone as it does
-	shedding    = 4.0  // part of aimFill given up when all is shed, for each unit of unevenness
-	windowUp    = 0.02 // window gained by an answer in good time
-	windowEdge  = 0.9  // part of the latency let be above which nothing is gained
-	windowRoom  = 0.1  // and more, times how far latency is under what is let be
-	windowDown  = 0.1  // window lost by a late one
-	windowStart = 5.0  // own calls admitted per server before anything is known
-	windowFast  = 0.3  // the most that is lost by one
-	windowVain  = 3.0  // window lost by each call given up on, once most are
-	windowProbe = 0.1  // part of windowFloor that is left then, to see when servers answer again
-	mostVain    = 0.5  // share of calls given up on at which it gives way to next to nothing
-	windowLeast = 2.0  // own calls that may be out at once whatever the window
-	tenantBoost = 10   // times its value that a tenant's request has that got no service, at weight 1
-	tenantFade  = 0.005
-	maxTenants  = 256
-	quotaBurst  = 1.0 // seconds of a quota that may come at once
-	firstRoom   = 2.0 // times the window that those may fill which are not held back for others
-	crowding    = 2   // own calls, above the mean, at which a server is passed over
-	askSpread   = 40  // copies whose calls to discovery are spread over all of AskWithin; of fewer, over less
-	askLongest  = 4   // times AskWithin between calls that fail
+	leftShare               = 0.5  // share of the list in the left group
+	pooledWeight            = 0.06 // weight of a new sample in pooled averages (about 16 samples)
+	serverWeight            = 0.25 // weight of a new sample in a single server's averages
+	luckThreshold           = 0.08 // a run of errors likelier than this by the peers' error share is luck
+	overlongDeviations      = 3.0  // deviations above the mean at which a wait counts as overlong
+	slowRatio               = 2.5  // times its peers' latency that makes a server slow
+	slowThinningPower       = 2.0  // power of a server's slowness by which its draws are thinned
+	minSamples              = 3    // samples before a server can be called slow
+	maxExcludedShare        = 0.2  // share of the list that health may exclude; beyond that all are drawn
+	ejectionLatencies       = 12   // mean latencies that a first ejection, or a lack of room, lasts
+	maxEjectionLevel        = 5    // doublings of an ejection
+	windowFloor             = 5.0  // own calls a server that are always admitted
+	retryTokenPerSuccess    = 0.15 // further attempts earned by a success
+	unsentRetryCost         = 0.1  // what a further attempt costs when the last one never ran
+	maxRetryTokens          = 10   // most that can be saved up
+	targetFill              = 0.6  // mean latency over aim that admission lets be at the most
+	busyRatio               = 1.5  // and times the least (geometric) mean of that which was seen
+	calmRatio               = 0.4  // that much more is let be while nothing is shed: a node that turns nobody
+	calmPower               = 16   // away has no crowd to keep out; and how soon it is gone as it does
+	shedding                = 4.0  // part of aimFill given up when all is shed, for each unit of unevenness
+	windowUp                = 0.02 // window gained by an answer in good time
+	windowGrowthCeiling     = 0.9  // part of the latency let be above which nothing is gained
+	windowRoom              = 0.1  // and more, times how far latency is under what is let be
+	windowDown              = 0.1  // window lost by a late one
+	windowStart             = 5.0  // own calls admitted per server before anything is known
+	windowMaxDecrease       = 0.3  // the most that is lost by one
+	windowAbandonedDecrease = 3.0  // window lost by each call given up on, once most are
+	windowProbeShare        = 0.1  // part of windowFloor that is left then, to see when servers answer again
+	maxAbandonedShare       = 0.5  // share of calls given up on at which it gives way to next to nothing
+	minWindow               = 2.0  // own calls that may be out at once whatever the window
+	tenantBoost             = 10   // times its value has a request of a tenant without any service
+	tenantFade              = 0.005
+	maxTenants              = 256
+	quotaBurstSeconds       = 1.0 // seconds of a quota that may come at once
+	preadmittedFactor       = 2.0 // times the window that those may fill which are not held back for others
+	crowdedCalls            = 2   // own calls, above the mean, at which a server is passed over
+	fullSpreadCopies        = 40  // copies whose calls are spread over all of AskWithin; of fewer, over less
+	maxSubscribeBackoff     = 4   // times AskWithin between calls that fail
 
-	bareMemory = memory / 128 // weight of an answer in forgetting the least mean that busyRatio is of
-	newMemory  = 0.25         // and times its weight in the mean for the part of the list that is new
+	baselineWeight   = pooledWeight / 128 // weight of an answer in forgetting the least mean of busyRatio
+	newServersWeight = 0.25               // and times its weight in the mean, for the new part of the list
 )
 
 // Handle takes one event at the clock time now and returns what to do, in order.
 func (b *Balancer) Handle(now time.Duration, e Event) []Action {
 	b.now = max(b.now, now)
-	b.out = nil
+	b.actions = nil
 	switch e := e.(type) {
 	case ServerList:
-		b.takeList(e)
+		b.handleServerList(e)
 	case Fleet:
-		b.takeFleet(e)
+		b.handleFleet(e)
 	case Classes:
-		b.takeClasses(e.Classes)
+		b.handleClasses(e.Classes)
 	case Hearsay:
-		b.takeHearsay(e)
+		b.handlePeerReports(e)
 	case ListFailed:
-		b.subFails++
-		b.askAgain(e.Garbled)
+		b.subscribeFailures++
+		b.scheduleSubscribe(e.Garbled)
 	case Request:
-		b.accept(e)
+		b.handleRequest(e)
 	case Outcome:
-		b.takeOutcome(e)
+		b.handleOutcome(e)
 	case Started:
-		b.takeStarted(e)
+		b.handleStarted(e)
 	case ClientGone:
 		if r := b.requests[e.ID]; r != nil {
 			b.close(r)
 		}
 	case Timer:
-		b.takeTimer(e)
+		b.handleTimer(e)
 	}
-	return b.out
+	return b.actions
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) takeTimer(e Timer) {
+func (b *Balancer) handleTimer(e Timer) {
 	if e.Token == "list" {
-		if b.subWanted > 0 && b.now+b.set.Tick >= b.subWanted {
-			b.subWanted = 0
-			b.do(Subscribe{})
+		if b.subscribeAt > 0 && b.now+b.settings.Tick >= b.subscribeAt {
+			b.subscribeAt = 0
+			b.emit(Subscribe{})
 		}
 		return
 	}
 	// A host may round a time down, so a timer can come a hair early: nothing relies on its being
 	// late enough, and a review that finds nothing due yet asks for another.
 	if r := b.requests[strings.TrimPrefix(e.Token, "r:")]; r != nil {
-		if b.now+b.set.Tick >= r.wake {
-			r.wake = 0
+		if b.now+b.settings.Tick >= r.wakeAt {
+			r.wakeAt = 0
 		}
 		b.review(r)
 	}
@@ -109,63 +110,63 @@
 // wakeAt asks for a review of a request, unless one is due by then already.
 func (b *Balancer) wakeAt(r *request, at time.Duration) {
 	at = max(at, b.now+1)
-	if r.wake > b.now && r.wake <= at {
+	if r.wakeAt > b.now && r.wakeAt <= at {
 		return
 	}
-	r.wake = at
-	b.do(Wake{At: at, Token: "r:" + r.id})
+	r.wakeAt = at
+	b.emit(Wake{At: at, Token: "r:" + r.id})
 }
 
-func (b *Balancer) accept(e Request) {
+func (b *Balancer) handleRequest(e Request) {
 	if b.requests[e.ID] != nil {
 		return
 	}
 	c := b.classes[e.Class]
 	if c == nil {
-		c = b.order[len(b.order)-1] // unknown: unsafe
+		c = b.classList[len(b.classList)-1] // unknown: unsafe
 	}
-	r := &request{id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, repeat: e.Repeat,
+	r := &request{id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, clientRetry: e.Repeat,
 		cost: float64(e.Cost), places: e.Places}
 	b.requests[e.ID] = r
 	if e.Among != nil {
-		r.among = make(map[string]bool, len(e.Among))
+		r.candidates = make(map[string]bool, len(e.Among))
 		for _, id := range e.Among {
-			r.among[id] = true
+			r.candidates[id] = true
 		}
 	}
-	if b.set.TenantWeight > 0 {
-		r.tenant = b.asked(e.Tenant)
+	if b.settings.TenantWeight > 0 {
+		r.tenant = b.countTenant(e.Tenant)
 	}
 	if e.Places != nil && len(e.Places) == 0 {
 		b.answer(r)
 		return
 	}
 	b.backdate(r)
-	for _, k := range b.order {
+	for _, k := range b.classList {
 		k.fade()
 	}
-	c.arrive++
+	c.arrived++
 	if r.quota = b.quotas[e.Tenant]; r.quota != nil {
-		b.charge(r)
+		b.chargeQuota(r)
 	}
-	b.place(r)
+	b.dispatch(r)
 }
 
-// charge says whether a request is within its tenant's quota. A client's further try asks for nothing
+// chargeQuota says whether a request is within its tenant's quota. A client's further try asks for nothing
 // new, so it takes nothing of it.
-func (b *Balancer) charge(r *request) {
+func (b *Balancer) chargeQuota(r *request) {
 	for _, q := range b.quotaList {
 		q.fade()
 	}
 	q := r.quota
-	q.fill(b.now)
-	if r.over = q.room < 1; r.over {
+	q.refill(b.now)
+	if r.overQuota = q.available < 1; r.overQuota {
 		return
 	}
-	if !r.repeat {
-		q.room--
+	if !r.clientRetry {
+		q.available--
 	}
-	q.arrive++
+	q.arrived++
 }
 
 // backdate finds when the client first asked. Tries are all given the same time unless the class's
@@ -173,55 +174,56 @@
 func (b *Balancer) backdate(r *request) {
 	left := r.deadline - b.now
 	r.class.longestTry = max(r.class.longestTry, left)
-	if b.set.Tier == 0 && float64(left) < 0.95*float64(r.class.longestTry) {
+	if b.settings.Tier == 0 && float64(left) < 0.95*float64(r.class.longestTry) {
 		r.arrived = min(b.now, r.deadline-r.class.Deadline)
-		r.repeat = true
+		r.clientRetry = true
 	}
 }
 
-// place sends a request, or holds it while no server may take it.
-func (b *Balancer) place(r *request) {
-	ahead := r.class.First && b.admitted() < firstRoom*b.limit()
-	if r.out == 0 && len(r.attempts) == 0 && b.full() && !ahead {
-		b.hold(r)
+// dispatch sends a request, or holds it while no server may take it.
+func (b *Balancer) dispatch(r *request) {
+	ahead := r.class.First && b.admitted() < preadmittedFactor*b.limit()
+	if r.inFlight == 0 && len(r.attempts) == 0 && b.isFull() && !ahead {
+		b.enqueue(r)
 		return
 	}
 	s := b.choose(r)
 	if s == nil {
-		b.hold(r)
+		b.enqueue(r)
 		return
 	}
 	b.send(r, s)
 }
 
 func (b *Balancer) send(r *request, s *server) {
-	a := &attempt{req: r, srv: s, n: len(r.attempts), sent: b.now, zone: s.Zone, cell: s.Cell}
-	if a.n == 0 {
-		b.shed -= memory / 4 * b.shed
+	a := &attempt{request: r, server: s, number: len(r.attempts), sent: b.now, zone: s.Zone, cell: s.Cell}
+	if a.number == 0 {
+		b.shedShare -= pooledWeight / 4 * b.shedShare
 	}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	b.unhold(r)
+	r.inFlight++
+	b.dequeue(r)
 	s.calls++
-	s.open = append(s.open, a)
+	s.openAttempts = append(s.openAttempts, a)
 	b.inFlight++
-	b.owe(r.class, r.class.mean)
-	b.do(Send{ID: r.id, Server: s.ID, Timeout: max(r.deadline-b.now, b.set.Tick), Spares: b.spares(r)})
+	b.addPacingDebt(r.class, r.class.mean)
+	timeout := max(r.deadline-b.now, b.settings.Tick)
+	b.emit(Send{ID: r.id, Server: s.ID, Timeout: timeout, Spares: b.alternates(r)})
 }
 
-// spares are further servers for a request that was just sent, each picked as the next attempt would be.
+// alternates are further servers for a request that was just sent, each picked as the next attempt would be.
 // Only warm ones: what is tried there is not counted until it has ended.
-func (b *Balancer) spares(r *request) (ids []string) {
-	if b.set.Spares == 0 || r.class.Effect != Safe {
+func (b *Balancer) alternates(r *request) (ids []string) {
+	if b.settings.Spares == 0 || r.class.Effect != Safe {
 		return nil
 	}
 	sent := len(r.attempts)
-	for range b.set.Spares {
+	for range b.settings.Spares {
 		s := b.choose(r)
 		if s == nil {
 			break
 		}
-		r.attempts = append(r.attempts, &attempt{srv: s, ended: true}) // lest it is picked twice
+		r.attempts = append(r.attempts, &attempt{server: s, ended: true}) // lest it is picked twice
 		if b.warmth(s) == 1 {
 			ids = append(ids, s.ID)
 		}
@@ -232,70 +234,70 @@
 
 // overlong is the wait for an answer that most of a class's answers stay well under.
 func (b *Balancer) overlong(c *class) time.Duration {
-	return time.Duration(c.mean + tailSpread*c.dev)
+	return time.Duration(c.mean + overlongDeviations*c.deviation)
 }
 
 // review does whatever has come due for a request.
 func (b *Balancer) review(r *request) {
 	switch {
 	case r.answered || r.streaming:
-	case r.held && b.now >= b.holdUntil(r):
+	case r.queued && b.now >= b.queueDeadline(r):
 		b.answer(r)
-	case r.held:
-		b.release()
-		if r.held {
-			b.wakeAt(r, b.heldUntil(r))
+	case r.queued:
+		b.drainQueue()
+		if r.queued {
+			b.wakeAt(r, b.nextReview(r))
 		}
 	}
 }
 
-// hold keeps a request back; its timer makes sure that it is answered.
-func (b *Balancer) hold(r *request) {
-	if b.now >= b.holdUntil(r) {
+// enqueue keeps a request back; its timer makes sure that it is answered.
+func (b *Balancer) enqueue(r *request) {
+	if b.now >= b.queueDeadline(r) {
 		b.answer(r)
 		return
 	}
-	if !r.held {
-		r.held = true
-		b.held = append(b.held, r)
+	if !r.queued {
+		r.queued = true
+		b.queue = append(b.queue, r)
 	}
-	b.wakeAt(r, b.heldUntil(r))
+	b.wakeAt(r, b.nextReview(r))
 }
 
-func (b *Balancer) unhold(r *request) {
-	if !r.held {
+func (b *Balancer) dequeue(r *request) {
+	if !r.queued {
 		return
 	}
-	r.held = false
-	b.held = slices.DeleteFunc(b.held, func(h *request) bool { return h == r })
+	r.queued = false
+	b.queue = slices.DeleteFunc(b.queue, func(h *request) bool { return h == r })
 }
 
-// heldUntil is when a held request is looked at again.
-func (b *Balancer) heldUntil(r *request) time.Duration {
-	if p := b.pause(); b.now < p {
-		return min(p, b.holdUntil(r))
+// nextReview is when a held request is looked at again.
+func (b *Balancer) nextReview(r *request) time.Duration {
+	if p := b.pausedUntil(); b.now < p {
+		return min(p, b.queueDeadline(r))
 	}
-	return b.holdUntil(r)
+	return b.queueDeadline(r)
 }
 
-// holdUntil is how long holding makes sense: until an answer may well miss the aim, for late answers
+// queueDeadline is how long holding makes sense: until an answer may well miss the aim, for late answers
 // take the room of those in time. With no server at all a late answer is the best there can be, so
 // then almost until the deadline.
-func (b *Balancer) holdUntil(r *request) time.Duration {
-	last := r.deadline - 2*b.set.Tick
+func (b *Balancer) queueDeadline(r *request) time.Duration {
+	last := r.deadline - 2*b.settings.Tick
 	if len(b.ready) == 0 {
 		return last
 	}
 	aim := r.class.Aim
-	hold := max(aim/4, aim-time.Duration(r.class.mean+2*r.class.dev))
+	hold := max(aim/4, aim-time.Duration(r.class.mean+2*r.class.deviation))
 	return min(last, r.arrived+hold)
 }
 
-// release sends held requests while there is room, the most valuable first.
-func (b *Balancer) release() {
-	for tries := len(b.held); tries > 0 && len(b.held) > 0 && !b.full(); tries-- {
-		best := b.held[0]
-		for _, r := range b.held[1:] {
+// drainQueue sends held requests while there is room, the most valuable first.
+func (b *Balancer) drainQueue() {
+	for tries := len(b.queue); tries > 0 && len(b.queue) > 0 && !b.isFull(); tries-- {
+		best := b.queue[0]
+		for _, r := range b.queue[1:] {
 			if b.value(r) >= b.value(best) { // equal: the youngest has most time left
 				best = r
 			}
@@ -308,74 +310,74 @@
 	}
 }
 
-func (b *Balancer) takeStarted(e Started) {
+func (b *Balancer) handleStarted(e Started) {
 	r := b.requests[e.ID]
 	if r == nil {
 		return
 	}
 	r.streaming = true
 	for _, a := range r.attempts {
-		if a.n != e.Attempt {
+		if a.number != e.Attempt {
 			b.cancel(a)
 		} else {
 			a.began = b.now
-			b.settle(a, Outcome{Attempt: a.n, Ending: Success})
+			b.endWait(a, Outcome{Attempt: a.number, Ending: Success})
 			if e.Transfer {
-				b.free(a)
-				b.release()
+				b.endCall(a)
+				b.drainQueue()
 			}
 		}
 	}
 }
 
-// free counts a call off, once: when it ends, or when its server has done all but hand the answer over.
-func (b *Balancer) free(a *attempt) {
-	if !a.freed {
-		a.freed = true
+// endCall counts a call off, once: when it ends, or when its server has done all but hand the answer over.
+func (b *Balancer) endCall(a *attempt) {
+	if !a.callEnded {
+		a.callEnded = true
 		b.inFlight--
-		a.srv.calls--
+		a.server.calls--
 	}
 }
 
-// settle ends the wait for an attempt's answer, which has come or begun.
-func (b *Balancer) settle(a *attempt, e Outcome) {
-	if i := slices.Index(a.srv.open, a); i >= 0 {
+// endWait ends the wait for an attempt's answer, which has come or begun.
+func (b *Balancer) endWait(a *attempt, e Outcome) {
+	if i := slices.Index(a.server.openAttempts, a); i >= 0 {
 		// A hung server's waits tell nothing of how crowded the others are.
-		if !b.silent(a.srv) {
-			b.steer(a.req, e)
+		if !b.isSilent(a.server) {
+			b.adjustWindow(a.request, e)
 		}
-		a.srv.open = slices.Delete(a.srv.open, i, i+1)
+		a.server.openAttempts = slices.Delete(a.server.openAttempts, i, i+1)
 	}
 }
 
 func (b *Balancer) cancel(a *attempt) {
-	if !a.ended && b.set.MayCancel {
-		b.do(Cancel{ID: a.req.id, Attempt: a.n})
+	if !a.ended && b.settings.MayCancel {
+		b.emit(Cancel{ID: a.request.id, Attempt: a.number})
 	}
 }
 
-func (b *Balancer) takeOutcome(e Outcome) {
+func (b *Balancer) handleOutcome(e Outcome) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
 	}
 	a := r.attempts[e.Attempt]
 	a.ended = true
-	a.unsent = e.Ending == Overloaded || e.Ending == Unreachable || e.Ending == Void
-	r.out--
-	b.free(a)
-	r.spent = r.spent || e.Spent
-	b.settle(a, e)
-	b.judge(a, e)
-	if !a.srv.listed && a.srv.calls == 0 && b.servers[a.srv.ID] == a.srv {
-		delete(b.servers, a.srv.ID)
+	a.neverRan = e.Ending == Overloaded || e.Ending == Unreachable || e.Ending == Void
+	r.inFlight--
+	b.endCall(a)
+	r.consumed = r.consumed || e.Spent
+	b.endWait(a, e)
+	b.learn(a, e)
+	if !a.server.listed && a.server.calls == 0 && b.servers[a.server.ID] == a.server {
+		delete(b.servers, a.server.ID)
 	}
 	switch {
 	case e.Ended:
-		if e.Ending == Success && !r.answered && a.sent+a.took(b.now) <= r.arrived+r.class.Aim {
-			r.class.serve++
-			if r.quota != nil && !r.over {
-				r.quota.serve++
+		if e.Ending == Success && !r.answered && a.sent+a.latency(b.now) <= r.arrived+r.class.Aim {
+			r.class.served++
+			if r.quota != nil && !r.overQuota {
+				r.quota.served++
 			}
 			if r.tenant != nil {
 				r.tenant.served += b.tenants.scale
@@ -383,9 +385,9 @@
 			}
 		}
 		b.close(r)
-	case !r.answered && r.out == 0:
-		b.further(r)
+	case !r.answered && r.inFlight == 0:
+		b.retryOrAnswer(r)
 	}
 	b.forget(r)
-	b.release()
+	b.drainQueue()
 }
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -231,7 +231,7 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
 	s := b.servers["s03"]
-	s.level, s.until = 1, 0
+	s.ejectionLevel, s.ejectedUntil = 1, 0
 	if got := traffic(b, 400, "pay", func(string) Ending { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
@@ -256,11 +256,11 @@
 		for _, s := range b.subset {
 			drawn[s.ID]++
 			cells[s.Cell]++
-			if s.right {
+			if s.inRightGroup {
 				right++
 			}
 		}
-		if len(b.subset) != subsetLeast || right != len(b.subset)/2 {
+		if len(b.subset) != minSubset || right != len(b.subset)/2 {
 			t.Fatalf("copy %d draws from %d servers, %d of them right", me, len(b.subset), right)
 		}
 		for cell, n := range cells {
@@ -270,14 +270,14 @@
 		}
 	}
 	for _, s := range list {
-		mean := float64(copies*subsetLeast) / fleet
+		mean := float64(copies*minSubset) / fleet
 		if n := float64(drawn[s.ID]); n < 0.8*mean || n > 1.2*mean {
 			t.Errorf("server %s is drawn from by %.0f copies, mean %.0f", s.ID, n, mean)
 		}
 	}
 	b := newBalancer(t, func(s *Settings) { s.Balancers, s.Index = copies, 7 })
-	b.Handle(0, ServerList{Full: true, Servers: list[:subsetLeast]})
-	if len(b.subset) != subsetLeast {
+	b.Handle(0, ServerList{Full: true, Servers: list[:minSubset]})
+	if len(b.subset) != minSubset {
 		t.Errorf("a list of a subset's length is cut to %d", len(b.subset))
 	}
 }
@@ -352,7 +352,7 @@
 				settle(b, now+time.Duration(120/b.servers[s.Server].Size)*msec, id, s, Success)
 			}
 		}
-		if got := max(b.servers["s00"].slow, b.servers["s01"].slow); got > 0.3 != slow {
+		if got := max(b.servers["s00"].slowness, b.servers["s01"].slowness); got > 0.3 != slow {
 			t.Errorf("sizes %d: slowness %.2f", kind, got)
 		}
 	}
@@ -428,8 +428,8 @@
 			again += len(l)
 		}
 	}
-	if again < 5 || again > retryPurse {
-		t.Errorf("%d further attempts for 200 failed requests, want %d at the most", again, retryPurse)
+	if again < 5 || again > maxRetryTokens {
+		t.Errorf("%d further attempts for 200 failed requests, want %d at the most", again, maxRetryTokens)
 	}
 }
 
@@ -454,13 +454,13 @@
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 	stuck := b.servers[sends(b.Handle(0, Request{ID: "old", Class: "get", Deadline: time.Minute}))[0].Server]
 	b.Handle(5*time.Second, Timer{Token: "x"})
-	if b.silent(stuck) {
+	if b.isSilent(stuck) {
 		t.Error("silent although nothing was answered anywhere")
 	}
 	now := 5 * time.Second
 	s := sends(b.Handle(now, Request{ID: "new", Class: "get", Deadline: now + time.Minute}))[0]
 	settle(b, now+10*msec, "new", s, Success)
-	if s.Server != stuck.ID && !b.unfit(stuck, &request{class: b.classes["get"]}) || b.silent(b.servers[s.Server]) && s.Server != stuck.ID {
+	if s.Server != stuck.ID && !b.isExcluded(stuck, &request{class: b.classes["get"]}) || b.isSilent(b.servers[s.Server]) && s.Server != stuck.ID {
 		t.Error("the wrong server is taken for silent")
 	}
 }
@@ -471,10 +471,10 @@
 	list := servers(4)
 	b.Handle(0, ServerList{Full: true, Servers: list})
 	s := b.servers["s01"]
-	s.until, s.level, s.slow = time.Hour, 3, 1
+	s.ejectedUntil, s.ejectionLevel, s.slowness = time.Hour, 3, 1
 	list[1].Boot = time.Second
 	b.Handle(2*time.Second, ServerList{Servers: list[1:2]})
-	if s := b.servers["s01"]; s.until != 0 || s.level != 0 || s.slow != 0 {
+	if s := b.servers["s01"]; s.ejectedUntil != 0 || s.ejectionLevel != 0 || s.slowness != 0 {
 		t.Errorf("after its restart: %+v", s)
 	}
 }
@@ -519,7 +519,7 @@
 			if i >= 300 {
 				b.now = after
 			}
-			if b.steer(r, Outcome{Ending: Success}); i == 300 {
+			if b.adjustWindow(r, Outcome{Ending: Success}); i == 300 {
 				b.window = 40
 			}
 		}
@@ -582,7 +582,7 @@
 	b.window = 1
 	now := b.now + 100*msec
 	if len(sends(b.Handle(now, Request{ID: "next", Class: "get", Deadline: now + time.Second}))) != 1 {
-		t.Errorf("a copy at rest holds a request until %v", b.pause()-now)
+		t.Errorf("a copy at rest holds a request until %v", b.pausedUntil()-now)
 	}
 }
 
@@ -631,12 +631,12 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
-	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != 0 {
+	if r := b.requests["first"]; r == nil || r.clientRetry || r.arrived != 0 {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
 	// The repeat's aim of 500 ms ended 100 ms before it came: without a server it is still held.
 	r := b.requests["again"]
-	if r == nil || !r.repeat || r.arrived != 5*time.Second-600*msec {
+	if r == nil || !r.clientRetry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("the repeat was not seen: %+v", r)
 	}
 }
@@ -650,10 +650,10 @@
 		b := newBalancer(t, nil)
 		b.Handle(msec, ServerList{Full: true, Servers: servers(20)})
 		for _, s := range b.ready[:10] {
-			s.until = time.Minute
+			s.ejectedUntil = time.Minute
 		}
-		b.shed = c.shed
-		out := len(b.ruledOut(&request{class: b.classes["get"]}))
+		b.shedShare = c.shed
+		out := len(b.excluded(&request{class: b.classes["get"]}))
 		if out != c.want {
 			t.Errorf("shed %.1f: %d ruled out, want %d", c.shed, out, c.want)
 		}
@@ -704,16 +704,16 @@
 	window := func(spread float64) float64 {
 		b := newBalancer(t, nil)
 		b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
-		b.window, b.fill = 100, 0.4
+		b.window, b.targetUse = 100, 0.4
 		r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 		for i := range 50 {
-			b.shed = 0.8
+			b.shedShare = 0.8
 			for k, s := range b.ready {
-				s.samples, s.slow = 5, spread*float64(k%2)
+				s.samples, s.slowness = 5, spread*float64(k%2)
 			}
 			b.now, b.inFlight = 200*msec, int(b.window)
-			if b.steer(r, Outcome{Ending: Success}); b.fill < 0.39 {
-				t.Fatalf("fill fell to %.2f at answer %d", b.fill, i)
+			if b.adjustWindow(r, Outcome{Ending: Success}); b.targetUse < 0.39 {
+				t.Fatalf("fill fell to %.2f at answer %d", b.targetUse, i)
 			}
 		}
 		return b.window
@@ -727,12 +727,12 @@
 func TestRefusalsBringClientsBackSoon(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, ServerList{Full: true, Servers: servers(2)})
-	b.window, b.inFlight = 1, windowLeast
+	b.window, b.inFlight = 1, minWindow
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
 		if f, ok := a.(Refuse); ok {
-			if limit := b.set.Classes[0].Aim / 10; f.RetryAfter > limit {
+			if limit := b.settings.Classes[0].Aim / 10; f.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
 			}
 			return
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -54,9 +54,9 @@
 func TestWorstTenantGoesFirst(t *testing.T) {
 	for _, weight := range []float64{0, 0.3} {
 		b := quotas(t)
-		b.set.WorstTenantWeight = weight
+		b.settings.WorstTenantWeight = weight
 		well, badly := b.quotas["calm"], b.quotas["flood"]
-		well.service, badly.service = service{20, 18}, service{20, 10}
+		well.servedCounts, badly.servedCounts = servedCounts{20, 18}, servedCounts{20, 10}
 		value := func(q *quota) float64 { return b.value(&request{class: b.classes["get"], quota: q}) }
 		if first := value(badly) > value(well); first != (weight > 0) {
 			t.Errorf("weight %v: the worst served goes first: %v", weight, first)
@@ -70,12 +70,12 @@
 	gain := func(copies int, window float64, n int) float64 {
 		b := newBalancer(t, func(s *Settings) { s.Balancers = copies })
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-		b.window, b.answers, b.fill, b.now = window, 1000, 0.1, 50*msec // a tenth of the aim, as ever
-		b.pace, b.bare = math.Log(0.1), math.Log(0.1)
+		b.window, b.samples, b.targetUse, b.now = window, 1000, 0.1, 50*msec // a tenth of the aim, as ever
+		b.logUse, b.leastLogUse = math.Log(0.1), math.Log(0.1)
 		r := &request{class: b.classes["get"], attempts: []*attempt{{}}}
 		for range n {
 			b.inFlight = int(b.window) + 1
-			b.steer(r, Outcome{Ending: Success})
+			b.adjustWindow(r, Outcome{Ending: Success})
 		}
 		return b.window - window
 	}
@@ -100,14 +100,14 @@
 			now += time.Duration(g) * msec
 			id := fmt.Sprint(i)
 			b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute, Tenant: "flood", Repeat: g%7 == 0})
-			if x := b.requests[id]; x.over == false && !x.repeat {
+			if x := b.requests[id]; x.overQuota == false && !x.clientRetry {
 				within = append(within, now)
 			}
 		}
 		for i := range within {
 			for j := i; j < len(within); j++ {
 				span := (within[j] - within[i]).Seconds()
-				if n := float64(j - i + 1); n > math.Floor(rate*quotaBurst+rate*span)+1 {
+				if n := float64(j - i + 1); n > math.Floor(rate*quotaBurstSeconds+rate*span)+1 {
 					r.Fatalf("%v requests within the quota in %.3f s", n, span)
 				}
 			}
@@ -116,7 +116,7 @@
 		for i := range 50 {
 			id := fmt.Sprint(i)
 			b.Handle(time.Duration(i)*100*msec, Request{ID: id, Class: "get", Deadline: time.Minute, Tenant: "flood"})
-			if b.requests[id].over {
+			if b.requests[id].overQuota {
 				r.Fatalf("request %d of a steady tenant is over its quota", i)
 			}
 		}
@@ -134,8 +134,8 @@
 			if i >= 200 && i%every == 0 {
 				b.now = slow
 			}
-			b.shed = 0.5
-			b.steer(r, Outcome{Ending: Success})
+			b.shedShare = 0.5
+			b.adjustWindow(r, Outcome{Ending: Success})
 		}
 		return b.window
 	}
@@ -154,11 +154,11 @@
 	for i := range 20000 {
 		s := b.ready[i%10]
 		took := float64(100*msec) * math.Exp(0.8*b.rng.NormFloat64())
-		b.judgeSpeed(s, &request{class: c}, took)
+		b.learnSpeed(s, &request{class: c}, took)
 		c.mean = float64(100*msec) * math.Exp(0.32)
-		s.until, s.level = 0, 0
+		s.ejectedUntil, s.ejectionLevel = 0, 0
 		if i > 2000 {
-			worst += max(0, b.unevenness()-b.luck()) / 18000
+			worst += max(0, b.unevenness()-b.chanceUnevenness()) / 18000
 		}
 	}
 	if worst > 0.03 {
@@ -166,11 +166,11 @@
 	}
 	for range 40 {
 		for k, s := range b.ready {
-			b.judgeSpeed(s, &request{class: c}, c.mean*(1+2*float64(k%2)))
-			s.until, s.level = 0, 0
+			b.learnSpeed(s, &request{class: c}, c.mean*(1+2*float64(k%2)))
+			s.ejectedUntil, s.ejectionLevel = 0, 0
 		}
 	}
-	if got := b.unevenness() - b.luck(); got < 0.1 {
+	if got := b.unevenness() - b.chanceUnevenness(); got < 0.1 {
 		t.Errorf("half the servers three times as slow: %.3f more uneven than chance", got)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -351,12 +351,12 @@
 		if len(log) < 1000 {
 			t.Errorf("seed %d: only %d actions", seed, len(log))
 		}
-		if len(b.requests) > 0 || len(b.held) > 0 || b.inFlight != 0 {
+		if len(b.requests) > 0 || len(b.queue) > 0 || b.inFlight != 0 {
 			t.Errorf("seed %d: %d requests, %d held and %d calls are left over", seed, len(b.requests),
-				len(b.held), b.inFlight)
+				len(b.queue), b.inFlight)
 		}
 		for id, s := range b.servers {
-			if !s.listed || s.calls != 0 || len(s.open) != 0 {
+			if !s.listed || s.calls != 0 || len(s.openAttempts) != 0 {
 				t.Errorf("seed %d: server %s is left over", seed, id)
 			}
 		}
--- a/balancer/choice.go
+++ b/balancer/selection.go
@@ -38,7 +38,7 @@
 func (b *Balancer) choose(r *request) *server {
 	var left, right []*server
 	for _, s := range b.eligible(r) {
-		if s.right {
+		if s.inRightGroup {
 			right = append(right, s)
 		} else {
 			left = append(left, s)
@@ -50,10 +50,10 @@
 // eligible says which ready servers may be drawn for a request: those in its scope that it has not
 // tried, fit, warm enough and, as long as that leaves any, with room. A copy's subset comes first.
 func (b *Balancer) eligible(r *request) (cold []*server) {
-	unfit := b.ruledOut(r)
-	for _, from := range b.reach(r) {
-		for _, limit := range []func(*server) int{b.crowded, b.roomy, unlimited} {
-			warm, idle := b.narrow(r, from, unfit, limit)
+	unfit := b.excluded(r)
+	for _, from := range b.searchOrder(r) {
+		for _, limit := range []func(*server) int{b.crowdLimit, b.refusalLimit, noLimit} {
+			warm, idle := b.filter(r, from, unfit, limit)
 			if warm != nil {
 				return warm
 			}
@@ -65,9 +65,9 @@
 	return cold
 }
 
-// reach lists the servers that a request is drawn for, those first that come first: this copy's subset,
+// searchOrder lists the servers that a request is drawn for, those first that come first: this copy's subset,
 // or those of the first of its places.
-func (b *Balancer) reach(r *request) [2][]*server {
+func (b *Balancer) searchOrder(r *request) [2][]*server {
 	if r.places == nil {
 		return [2][]*server{b.subset, b.ready}
 	}
@@ -84,45 +84,45 @@
 	return l
 }
 
-// ruledOut marks the servers that health keeps out. When many look bad to one node, the fault is
+// excluded marks the servers that health keeps out. When many look bad to one node, the fault is
 // likelier its own or the tier below's, and those left would take all the load: only the worst are
 // kept out, up to a set share of the list, and fewer the more is shed: in overload every server is
 // missed, and time-outs show load rather than ill health.
-func (b *Balancer) ruledOut(r *request) map[*server]bool {
+func (b *Balancer) excluded(r *request) map[*server]bool {
 	out := map[*server]bool{}
 	var sick []*server
 	for _, s := range b.ready {
-		if b.unfit(s, r) {
+		if b.isExcluded(s, r) {
 			sick = append(sick, s)
 		}
 	}
-	sort.SliceStable(sick, func(i, j int) bool { return sick[i].streak > sick[j].streak })
-	for _, s := range sick[:min(len(sick), b.mostOut())] {
+	sort.SliceStable(sick, func(i, j int) bool { return sick[i].failureStreak > sick[j].failureStreak })
+	for _, s := range sick[:min(len(sick), b.maxExcluded())] {
 		out[s] = true
 	}
 	return out
 }
 
-// mostOut is how many servers health may keep out: of several at least one unless most is shed, for a share
-// of a short list rounds to none, and a server that fails at once wins every pick.
-func (b *Balancer) mostOut() int {
-	most := int(mostOut * (1 - b.shed) * float64(len(b.ready)))
-	if most == 0 && len(b.ready) > 1 && b.shed < 0.5 {
+// maxExcluded is how many servers health may keep out: of several at least one unless most is shed, for a
+// share of a short list rounds to none, and a server that fails at once wins every pick.
+func (b *Balancer) maxExcluded() int {
+	most := int(maxExcludedShare * (1 - b.shedShare) * float64(len(b.ready)))
+	if most == 0 && len(b.ready) > 1 && b.shedShare < 0.5 {
 		return 1
 	}
 	return most
 }
 
-// narrow applies everything but the fallbacks. Apart it gives the idle cold servers: a request's first
+// filter applies everything but the fallbacks. Apart it gives the idle cold servers: a request's first
 // try may go to one, whatever the thinning, when a deploy has left no warm server in the whole list.
-func (b *Balancer) narrow(r *request, from []*server, unfit map[*server]bool,
+func (b *Balancer) filter(r *request, from []*server, unfit map[*server]bool,
 	limit func(*server) int) (warm, idle []*server) {
 	var small []*server
 	for _, s := range from {
 		switch {
-		case b.untold(s) || unfit[s] || s.calls >= limit(s) || !b.inScope(r, s) || tried(r, s):
-		case r.among != nil && !r.among[s.ID]:
-		case b.warmEnough(s) && b.sizeEnough(s):
+		case b.mayBeGone(s) || unfit[s] || s.calls >= limit(s) || !b.inScope(r, s) || wasTried(r, s):
+		case r.candidates != nil && !r.candidates[s.ID]:
+		case b.passesSlowStart(s) && b.passesSizeThinning(s):
 			warm = append(warm, s)
 		case b.warmth(s) == 1:
 			small = append(small, s)
@@ -136,39 +136,40 @@
 	return warm, idle
 }
 
-// crowded is the count of own calls at which a server is passed over: uniform draws now and then
+// crowdLimit is the count of own calls at which a server is passed over: uniform draws now and then
 // meet the same few servers twice, and a crowd of several nodes' calls there chokes it. It is never
 // under two, so that the pick, not a search for idle servers, decides between none and one.
-func (b *Balancer) crowded(s *server) int {
-	if n := len(s.open); n > 0 && n <= crowding && b.inFlight <= crowding*len(b.subset) &&
-		b.now-s.open[0].sent > b.overlong(s.open[0].req.class) {
+func (b *Balancer) crowdLimit(s *server) int {
+	if n := len(s.openAttempts); n > 0 && n <= crowdedCalls && b.inFlight <= crowdedCalls*len(b.subset) &&
+		b.now-s.openAttempts[0].sent > b.overlong(s.openAttempts[0].request.class) {
 		return 0 // others' calls wait there as well; where there are more of ours, some are always long
 	}
-	return min(b.roomy(s), max(crowding, 1+b.inFlight/max(1, len(b.subset))))
+	return min(b.refusalLimit(s), max(crowdedCalls, 1+b.inFlight/max(1, len(b.subset))))
 }
 
-// roomy is the count of own calls at which a server is passed over because it refused one more a
+// refusalLimit is the count of own calls at which a server is passed over because it refused one more a
 // while ago: its queue or its connections, which other copies hold idle, are full, and refusals
 // come at once and drain its count. It is not ill, so the cap on those ruled out does not apply.
-func (b *Balancer) roomy(s *server) int {
-	if b.now < s.full {
-		return s.room
+func (b *Balancer) refusalLimit(s *server) int {
+	if b.now < s.fullUntil {
+		return s.refusalRoom
 	}
 	return math.MaxInt
 }
 
-func unlimited(*server) int { return math.MaxInt }
+func noLimit(*server) int { return math.MaxInt }
 
-// untold says that a server may drain or be gone without our having heard, though that counts as told by
+// mayBeGone says that a server may drain or be gone without our having heard, though that counts as told by
 // now: discovery has been silent for so long, and the server has taken nothing of ours in the later half of
 // that. A server that drains turns calls away, but not at once: it is listed first.
-func (b *Balancer) untold(s *server) bool {
-	return b.set.ToldAfter > 0 && b.now > max(b.heard, s.took-b.set.ToldAfter/2)+b.set.ToldAfter
+func (b *Balancer) mayBeGone(s *server) bool {
+	staleAfter := b.settings.ToldAfter
+	return staleAfter > 0 && b.now > max(b.discoveryHeardAt, s.acceptedAt-staleAfter/2)+staleAfter
 }
 
-// tried says that the request has been to the server before.
-func tried(r *request, s *server) bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.srv == s })
+// wasTried says that the request has been to the server before.
+func wasTried(r *request, s *server) bool {
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.server == s })
 }
 
 // inScope keeps a keyed request that may have run to the servers that discard its repeats.
@@ -177,7 +178,7 @@
 		return true
 	}
 	for _, a := range r.attempts {
-		if a.unsent {
+		if a.neverRan {
 			continue
 		}
 		if r.class.Scope == ScopeZone && a.zone != s.Zone {
@@ -192,36 +193,36 @@
 
 // size is a server's registered capacity against others', where the list tells it.
 func (b *Balancer) size(s *server) float64 {
-	if s.Size > 0 && (b.set.Sizes == SizesNominal || b.set.Sizes == SizesRough) {
+	if s.Size > 0 && (b.settings.Sizes == SizesNominal || b.settings.Sizes == SizesRough) {
 		return s.Size
 	}
 	return 1
 }
 
-// sizeEnough thins the draw of a server to its size and, where its answers took longer than others',
+// passesSizeThinning thins the draw of a server to its size and, where its answers took longer than others',
 // by that: uniform draws would crowd servers that are small, crowded by other programs or pausing.
-func (b *Balancer) sizeEnough(s *server) bool {
-	return b.rng.Float64()*b.largest < b.size(s)*math.Exp(-slowThins*max(0, s.slow))
+func (b *Balancer) passesSizeThinning(s *server) bool {
+	return b.rng.Float64()*b.largestSize < b.size(s)*math.Exp(-slowThinningPower*max(0, s.slowness))
 }
 
 // warmth is the share of its capacity that a server surely has.
 func (b *Balancer) warmth(s *server) float64 {
 	age := b.now - s.Boot
-	if s.Boot <= 0 || age >= b.set.WarmAfter {
+	if s.Boot <= 0 || age >= b.settings.WarmAfter {
 		return 1
 	}
-	grown := max(0, float64(age)/float64(b.set.WarmAfter))
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*grown
+	grown := max(0, float64(age)/float64(b.settings.WarmAfter))
+	return b.settings.ColdFrom + (1-b.settings.ColdFrom)*grown
 }
 
-// warmEnough thins the draw of a cold server to its share of a warm one's, and bounds own calls at it.
-func (b *Balancer) warmEnough(s *server) bool {
+// passesSlowStart thins the draw of a cold server to its share of a warm one's, and bounds own calls at it.
+func (b *Balancer) passesSlowStart(s *server) bool {
 	w := b.warmth(s)
-	return w == 1 || (float64(s.calls) < b.coldRoom(w) && b.rng.Float64() < w)
+	return w == 1 || (float64(s.calls) < b.slowStartLimit(w) && b.rng.Float64() < w)
 }
 
-// coldRoom is how many own calls a server of that warmth gets at a time: its share of what is always
+// slowStartLimit is how many own calls a server of that warmth gets at a time: its share of what is always
 // admitted, divided among the copies, for many that each send a little would push it over together.
-func (b *Balancer) coldRoom(warmth float64) float64 {
-	return max(1, math.Floor(b.takes*warmth/b.divisor))
+func (b *Balancer) slowStartLimit(warmth float64) float64 {
+	return max(1, math.Floor(b.serverCalls*warmth/b.divisor))
 }
--- a/balancer/list.go
+++ b/balancer/server_list.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// takeList applies news of the servers. A new boot time resets what is known of a server. News of
+// handleServerList applies news of the servers. A new boot time resets what is known of a server. News of
 // changes costs in step with the changes: the ready servers are kept in their order.
-func (b *Balancer) takeList(e ServerList) {
+func (b *Balancer) handleServerList(e ServerList) {
 	if !e.Ordered {
-		b.heard = b.now
+		b.discoveryHeardAt = b.now
 	}
 	if !e.Full && len(e.Servers) == 0 {
-		b.subFails = 0
+		b.subscribeFailures = 0
 		return
 	}
 	before := float64(len(b.ready))
@@ -31,10 +31,10 @@
 			b.servers[n.ID] = s
 		} else {
 			if !e.Full {
-				b.leaveReady(s)
+				b.removeReady(s)
 			}
 			if s.Boot != n.Boot {
-				*s = server{calls: s.calls, open: s.open}
+				*s = server{calls: s.calls, openAttempts: s.openAttempts}
 			}
 		}
 		s.Server = n
@@ -43,25 +43,25 @@
 		case !s.listed && s.calls == 0:
 			delete(b.servers, n.ID)
 		case !e.Full:
-			b.joinReady(s)
+			b.insertReady(s)
 		}
 	}
 	if e.Full {
 		b.rebuildReady()
 	}
-	b.cutGroups()
+	b.moveGroupBorder()
 	after := float64(len(b.ready))
 	if before > 0 && after > 0 {
 		// The least latency was other servers': those left may be slower, and those that came are cold.
-		b.fresh = min(1, b.fresh+math.Abs(after-before)/max(after, before))
+		b.newShare = min(1, b.newShare+math.Abs(after-before)/max(after, before))
 	}
 	b.resize(before, after)
 	if e.Cached {
-		b.askAgain(false)
+		b.scheduleSubscribe(false)
 	} else {
-		b.subFails = 0
+		b.subscribeFailures = 0
 	}
-	b.release()
+	b.drainQueue()
 }
 
 // resize fits the window and the subset to what this copy's part of the servers was and is: what a server
@@ -70,21 +70,21 @@
 	if before > 0 && after > 0 {
 		b.window *= after / before
 	}
-	if b.window > 0 && b.vain <= mostVain {
-		b.window = max(b.window, b.takes*b.fairServers())
+	if b.window > 0 && b.abandonedShare <= maxAbandonedShare {
+		b.window = max(b.window, b.serverCalls*b.fairServers())
 	}
-	b.usableAt = -1
-	b.subset = b.takeSubset()
-	b.largest, b.meanSize = 1, 1
-	if b.set.Sizes == SizesNominal || b.set.Sizes == SizesRough { // else all are alike
-		b.largest, b.meanSize = 0, 0
+	b.usableCountedAt = -1
+	b.subset = b.subsetOfReady()
+	b.largestSize, b.meanSize = 1, 1
+	if b.settings.Sizes == SizesNominal || b.settings.Sizes == SizesRough { // else all are alike
+		b.largestSize, b.meanSize = 0, 0
 		for _, s := range b.subset {
-			b.largest = max(b.largest, b.size(s))
+			b.largestSize = max(b.largestSize, b.size(s))
 			b.meanSize += b.size(s) / float64(len(b.subset))
 		}
 	}
 	if b.window == 0 {
-		b.window = max(windowStart, float64(b.set.StartCalls)) * b.fairServers()
+		b.window = max(windowStart, float64(b.settings.StartCalls)) * b.fairServers()
 	}
 }
 
@@ -106,55 +106,56 @@
 	}
 	sort.Slice(b.ready, func(i, j int) bool { return b.before(b.ready[i], b.ready[j]) })
 	for i, s := range b.ready {
-		s.right = i >= b.cut()
+		s.inRightGroup = i >= b.groupBorder()
 	}
 }
 
-// joinReady puts a server into its place among the ready ones, if it is ready; leaveReady takes it out.
-func (b *Balancer) joinReady(s *server) {
+// insertReady puts a server into its place among the ready ones, if it is ready; leaveReady takes it out.
+func (b *Balancer) insertReady(s *server) {
 	if !s.listed || s.State != Ready {
 		return
 	}
 	i := sort.Search(len(b.ready), func(i int) bool { return b.before(s, b.ready[i]) })
-	s.right = i > 0 && b.ready[i-1].right // as its neighbour, so that the groups stay two runs
+	s.inRightGroup = i > 0 && b.ready[i-1].inRightGroup // as its neighbour, so that the groups stay two runs
 	b.ready = slices.Insert(b.ready, i, s)
 }
 
-func (b *Balancer) leaveReady(s *server) {
+func (b *Balancer) removeReady(s *server) {
 	if s.listed && s.State == Ready {
 		i := sort.Search(len(b.ready), func(i int) bool { return !b.before(b.ready[i], s) })
 		b.ready = slices.Delete(b.ready, i, i+1)
 	}
 }
 
-// cut is the index at which the right group begins.
-func (b *Balancer) cut() int { return int(math.Ceil(alpha * float64(len(b.ready)))) }
+// groupBorder is the index at which the right group begins.
+func (b *Balancer) groupBorder() int { return int(math.Ceil(leftShare * float64(len(b.ready)))) }
 
-// cutGroups moves the border between the two groups to the cut.
-func (b *Balancer) cutGroups() {
-	cut := b.cut()
-	for i := cut - 1; i >= 0 && b.ready[i].right; i-- {
-		b.ready[i].right = false
+// moveGroupBorder moves the border between the two groups to the cut.
+func (b *Balancer) moveGroupBorder() {
+	cut := b.groupBorder()
+	for i := cut - 1; i >= 0 && b.ready[i].inRightGroup; i-- {
+		b.ready[i].inRightGroup = false
 	}
-	for i := cut; i < len(b.ready) && !b.ready[i].right; i++ {
-		b.ready[i].right = true
+	for i := cut; i < len(b.ready) && !b.ready[i].inRightGroup; i++ {
+		b.ready[i].inRightGroup = true
 	}
 }
 
-// askAgain plans a Subscribe where the list must be asked for. Discovery takes calls one after another,
+// scheduleSubscribe plans a Subscribe where the list must be asked for. Discovery takes calls one by one,
 // and one that it gave up on may still be its work: copies that start, or lose their subscription,
 // together keep it from ever answering in time. So the calls are spread over a time in step with the
 // number of copies, twice as long with each failure: what many copies call for within AskWithin may be more
 // than discovery can ever do. That one answer was garbled is no news to the others.
-func (b *Balancer) askAgain(alone bool) {
-	if !b.set.AskDiscovery {
+func (b *Balancer) scheduleSubscribe(alone bool) {
+	if !b.settings.AskDiscovery {
 		return
 	}
-	spread := b.set.AskWithin / askSpread
+	spread := b.settings.AskWithin / fullSpreadCopies
 	if !alone {
-		spread *= time.Duration(min(askSpread, max(1, b.set.Balancers)))
+		spread *= time.Duration(min(fullSpreadCopies, max(1, b.settings.Balancers)))
 	}
-	wait := min(askLongest*b.set.AskWithin, spread<<min(max(0, b.subFails-1), maxLevel))
-	b.subWanted = b.now + time.Duration(b.rng.Float64()*float64(wait)) + 1
-	b.do(Wake{At: b.subWanted, Token: "list"})
+	doublings := min(max(0, b.subscribeFailures-1), maxEjectionLevel)
+	wait := min(maxSubscribeBackoff*b.settings.AskWithin, spread<<doublings)
+	b.subscribeAt = b.now + time.Duration(b.rng.Float64()*float64(wait)) + 1
+	b.emit(Wake{At: b.subscribeAt, Token: "list"})
 }
--- a/balancer/list_test.go
+++ b/balancer/server_list_test.go
@@ -75,7 +75,7 @@
 				fresh.Handle(0, ServerList{Full: true, Servers: l})
 				describe := func(l []*server) (s string) {
 					for _, x := range l {
-						s += fmt.Sprintf("%s/%d/%v/%v ", x.ID, x.Cell, x.Size, x.right)
+						s += fmt.Sprintf("%s/%d/%v/%v ", x.ID, x.Cell, x.Size, x.inRightGroup)
 					}
 					return s
 				}
@@ -85,8 +85,8 @@
 				if x, y := describe(b.subset), describe(fresh.subset); x != y {
 					t.Fatalf("subset %s, taken anew %s", x, y)
 				}
-				if b.largest != fresh.largest && len(b.ready) > 0 || len(b.ready) > 0 && b.meanSize != fresh.meanSize {
-					t.Fatalf("sizes %v and %v, anew %v and %v", b.largest, b.meanSize, fresh.largest, fresh.meanSize)
+				if b.largestSize != fresh.largestSize && len(b.ready) > 0 || len(b.ready) > 0 && b.meanSize != fresh.meanSize {
+					t.Fatalf("sizes %v and %v, anew %v and %v", b.largestSize, b.meanSize, fresh.largestSize, fresh.meanSize)
 				}
 				for id, s := range b.servers {
 					if _, listed := model[id]; !listed && s.calls == 0 {
--- a/balancer/fleet_test.go
+++ b/balancer/subset_test.go
@@ -44,24 +44,24 @@
 		t.Error("what was learned is gone")
 	}
 	q := b.quotas["acme"]
-	if q.rate != 5 || q.room > q.burst {
-		t.Errorf("a quota of 100 over 20 is %v with room for %v of %v", q.rate, q.room, q.burst)
+	if q.rate != 5 || q.available > q.burst {
+		t.Errorf("a quota of 100 over 20 is %v with room for %v of %v", q.rate, q.available, q.burst)
 	}
 	// No share at all: nothing comes in, and what had piled up may not be spent.
 	b.Handle(3*time.Second, Fleet{Balancers: 10, Index: 3, Divisor: math.Inf(1)})
 	b.Handle(13*time.Second, Fleet{Balancers: 10, Index: 3, Divisor: math.Inf(1)})
-	if q.fill(14 * time.Second); q.room != 0 {
-		t.Errorf("with no share a tenant has room for %v", q.room)
+	if q.refill(14 * time.Second); q.available != 0 {
+		t.Errorf("with no share a tenant has room for %v", q.available)
 	}
-	if got := b.coldRoom(0.5); got != 1 {
+	if got := b.slowStartLimit(0.5); got != 1 {
 		t.Errorf("a cold server gets %v calls at a time of a copy with no share, 1 is the least", got)
 	}
 	// Nor does what is cut off for a while come in afterwards for that while.
 	b.Handle(20*time.Second, Fleet{Balancers: 10, Index: 3, Divisor: 10})
-	if q.fill(20 * time.Second); q.room > 1e-9 {
-		t.Errorf("room for %v at once after a time without a share", q.room)
+	if q.refill(20 * time.Second); q.available > 1e-9 {
+		t.Errorf("room for %v at once after a time without a share", q.available)
 	}
-	if q.fill(21 * time.Second); q.room < 9.9 || q.room > 10.1 {
-		t.Errorf("room for %v a second later", q.room)
+	if q.refill(21 * time.Second); q.available < 9.9 || q.available > 10.1 {
+		t.Errorf("room for %v a second later", q.available)
 	}
 }
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -300,16 +300,16 @@
 	m.gate.heardOf(Hearsay{Verdicts: verdicts, Set: m.set, Moving: m.mover.Moving()})
 	var l, news []balancer.Aside
 	for _, v := range verdicts {
-		l = append(l, balancer.Aside{ID: v.Server, Boot: v.Boot, Until: now + v.Until - at})
+		l = append(l, balancer.Aside{ID: v.Server, StartedAt: v.Boot, Until: now + v.Until - at})
 	}
 	for _, a := range l { // whom the module has not been told of, but for what the two clocks differ by
-		if i := slices.IndexFunc(m.aside, func(b balancer.Aside) bool { return b.ID == a.ID && b.Boot == a.Boot }); i < 0 || (m.aside[i].Until-a.Until).Abs() > lookEvery {
+		if i := slices.IndexFunc(m.aside, func(b balancer.Aside) bool { return b.ID == a.ID && b.StartedAt == a.StartedAt }); i < 0 || (m.aside[i].Until-a.Until).Abs() > lookEvery {
 			news = append(news, a)
 		}
 	}
 	for _, b := range m.aside { // and who is not put aside any more
-		if b.Until > now && !slices.ContainsFunc(l, func(a balancer.Aside) bool { return a.ID == b.ID && a.Boot == b.Boot }) {
-			news = append(news, balancer.Aside{ID: b.ID, Boot: b.Boot, Until: now})
+		if b.Until > now && !slices.ContainsFunc(l, func(a balancer.Aside) bool { return a.ID == b.ID && a.StartedAt == b.StartedAt }) {
+			news = append(news, balancer.Aside{ID: b.ID, StartedAt: b.StartedAt, Until: now})
 		}
 	}
 	m.aside = l
