--- a/internal/mesh/raft/configuration.go
+++ b/internal/mesh/raft/configuration.go
@@ -2,59 +2,58 @@
 
 import "slices"
 
-// Configuration is who votes, as an entry of the log says. It holds from the moment that the entry is in the log.
+// Configuration is the membership as one entry of the log states it. A member counts by the latest configuration in its log, whether
+// or not that is committed (Raft paper, section 6).
 type Configuration struct {
 	Index   uint64 // of the entry
 	Members []Member
-	// Outgoing are the voters of the configuration before, while a joint change is under way: until its entry is committed
-	// and the one behind it takes them out, whatever is decided takes a majority of Outgoing and one of Members.
+	// Outgoing are the voters of the configuration before, while a joint change is under way. Until the joint entry is committed
+	// and the next one takes them out, every decision takes a majority of Outgoing and one of Members.
 	Outgoing        []Member
-	ProtocolVersion uint32 // what all Members were known to speak when it was made
+	ProtocolVersion uint32 // that all Members were known to speak when the entry was made
 }
 
-func configurationOf(e Entry) Configuration {
-	return Configuration{Index: e.Index, Members: e.Members, Outgoing: e.Outgoing, ProtocolVersion: e.ProtocolVersion}
-}
-
-// isJoint says that a change is half done.
-func (f Configuration) isJoint() bool { return len(f.Outgoing) > 0 }
+// isJoint reports whether a joint change is under way.
+func (c Configuration) isJoint() bool { return len(c.Outgoing) > 0 }
 
-// isVoter says that an id is a voter of it.
-func (f Configuration) isVoter(id ID) bool {
-	return containsMember(f.Members, id) || containsMember(f.Outgoing, id)
+// isVoter reports whether a member's vote counts.
+func (c Configuration) isVoter(id ID) bool {
+	return containsMember(c.Members, id) || containsMember(c.Outgoing, id)
 }
 
-// voters are all of them, each once.
-func (f Configuration) voters() []Member {
-	all := slices.Clone(f.Members)
-	for _, m := range f.Outgoing {
-		if !containsMember(f.Members, m.ID) {
-			all = append(all, m)
+// voters are Members and Outgoing, each member once.
+func (c Configuration) voters() []Member {
+	all := slices.Clone(c.Members)
+	for _, member := range c.Outgoing {
+		if !containsMember(c.Members, member.ID) {
+			all = append(all, member)
 		}
 	}
 	return all
 }
 
-// hasQuorum says that those that count are enough to decide: a majority, and while a change is half done one of either set.
-func (f Configuration) hasQuorum(counts func(ID) bool) bool {
-	return hasMajority(f.Members, counts) && (!f.isJoint() || hasMajority(f.Outgoing, counts))
+// hasQuorum reports whether the members that count are enough to decide: a majority, and during a joint change a majority of each
+// set by itself. Either set alone could decide against what the other one has decided (Raft paper, section 6).
+func (c Configuration) hasQuorum(counts func(ID) bool) bool {
+	return hasMajority(c.Members, counts) && (!c.isJoint() || hasMajority(c.Outgoing, counts))
 }
 
-// isSoleVoter says that one member decides by itself.
-func (f Configuration) isSoleVoter(id ID) bool {
-	return f.hasQuorum(func(x ID) bool { return x == id })
+// isSoleVoter reports whether a member is a quorum by itself.
+func (c Configuration) isSoleVoter(id ID) bool {
+	return c.hasQuorum(func(other ID) bool { return other == id })
 }
 
+// hasMajority reports whether more than half of the members count.
 func hasMajority(members []Member, counts func(ID) bool) bool {
-	n := 0
-	for _, m := range members {
-		if counts(m.ID) {
-			n++
+	counted := 0
+	for _, member := range members {
+		if counts(member.ID) {
+			counted++
 		}
 	}
-	return n > len(members)/2
+	return counted > len(members)/2
 }
 
 func containsMember(members []Member, id ID) bool {
-	return slices.ContainsFunc(members, func(m Member) bool { return m.ID == id })
+	return slices.ContainsFunc(members, func(member Member) bool { return member.ID == id })
 }
--- a/internal/mesh/raft/departure_test.go
+++ b/internal/mesh/raft/departure_test.go
@@ -89,10 +89,10 @@
 	assert.Assert(t, ok)
 	f.processReady(l.self.Addr)
 	f.run(700 * time.Millisecond) // less than it takes to miss a majority
-	assert.Assert(t, l.raft.committed < index)
+	assert.Assert(t, l.raft.log.committed < index)
 	delete(f.isolated, stays)
 	f.run(time.Second)
-	assert.Assert(t, f.members[stays].raft.committed >= index)
+	assert.Assert(t, f.members[stays].raft.log.committed >= index)
 }
 
 // Nobody waits for what can't be: a core of one, a leader of the first build, or all that end together.
@@ -137,7 +137,7 @@
 		f.startEmpty("d", 20)
 		f.run(time.Second)
 		lead := f.leader().self.Addr
-		assert.Assert(t, !f.leader().raft.configuration.isVoter(20), "there are as many members as there should be")
+		assert.Assert(t, !f.leader().raft.log.configuration.isVoter(20), "there are as many members as there should be")
 		others := slices.DeleteFunc([]string{"a", "b", "c"}, func(a string) bool { return a == lead })
 		leaves, wiped := others[0], others[1]
 		if seed%2 == 0 {
@@ -151,7 +151,7 @@
 		f.run(4 * time.Second)
 		f.write("after it")
 		f.requireComplete(f.addrs()...)
-		assert.Assert(t, f.leader().raft.configuration.isVoter(20) && f.leader().raft.configuration.isVoter(30))
+		assert.Assert(t, f.leader().raft.log.configuration.isVoter(20) && f.leader().raft.log.configuration.isVoter(30))
 	}
 }
 
--- /dev/null
+++ b/internal/mesh/raft/election.go
@@ -0,0 +1,205 @@
+package raft
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// campaignKind says how a member asks to be elected.
+type campaignKind uint8
+
+const (
+	campaignPreElection campaignKind = iota // asks first whether it would be elected (dissertation, section 9.6)
+	campaignElection
+	campaignTransfer // the leader asked for it (dissertation, section 3.10)
+)
+
+// campaign asks all voters for their pre-votes or votes. Messages go out after the save: a vote for oneself counts from then on.
+func (r *Raft) campaign(kind campaignKind) {
+	term := r.term + 1
+	request := Message{Kind: RequestVote, Term: term}
+	if kind == campaignPreElection {
+		request.Kind = PreVote
+		r.changeRole(preCandidate, r.term, 0)
+	} else {
+		r.changeRole(candidate, term, 0)
+		r.vote = r.config.Self.ID
+		r.outbox.hardStateUnsaved = true
+	}
+	if kind == campaignTransfer {
+		request.Hint = leadershipTransferHint
+	}
+	request.Index, request.LogTerm = r.log.lastIndex(), r.log.lastTerm()
+	r.votes = map[ID]bool{r.config.Self.ID: true}
+	for _, voter := range r.log.configuration.voters() {
+		if voter.ID != r.config.Self.ID {
+			request.To = voter.ID
+			r.sendAfterSave(request)
+		}
+	}
+	r.countVotes()
+}
+
+// countVotes has a pre-candidate or candidate go on once a quorum has voted for it.
+func (r *Raft) countVotes() {
+	if !r.log.configuration.hasQuorum(func(id ID) bool { return r.votes[id] }) {
+		return
+	}
+	if r.role == preCandidate {
+		r.campaign(campaignElection)
+		return
+	}
+	r.becomeLeader()
+}
+
+// becomeLeader begins a leader's term with an entry of its own: entries of earlier terms are committed only by one behind them (Raft
+// paper, section 5.4.2), and until then the leader does not know what is committed (section 8).
+func (r *Raft) becomeLeader() {
+	r.changeRole(leader, r.term, r.config.Self.ID)
+	r.peers = nil
+	r.leading.electedAt, r.leading.logTimeAtElection = r.now, r.log.lastLogTime()
+	r.leading.committedAtHeartbeat = r.log.committed
+	r.trackVoters()
+	r.appendAsLeader(Entry{Kind: EntryNoOp})
+	r.broadcastHeartbeat()
+}
+
+// hearsLeader reports whether this member leads, or has heard from the leader in the last election timeout.
+func (r *Raft) hearsLeader() bool {
+	return r.role == leader || r.leaderID != 0 && r.now-r.followed.heardAt < r.config.ElectionTimeout
+}
+
+// isUpToDate reports whether the log of a member that asks for votes is at least as up to date as this one's. A majority would not
+// vote for a member that lacks a committed entry (Raft paper, section 5.4.1).
+func (r *Raft) isUpToDate(request Message) bool {
+	return r.log.isUpToDate(position{request.Index, request.LogTerm})
+}
+
+// handlePreVote answers a pre-vote. Its sender may be a member by entries that this log lacks. So if its log is up to date it is
+// answered like a known one: it knows itself whose votes it needs.
+func (r *Raft) handlePreVote(m Message) {
+	if m.From == r.leaderID && m.Term > r.term {
+		r.leaderID = 0 // it asks for votes, so it has restarted and does not lead any more
+	}
+	granted := m.Term > r.term && !r.hearsLeader() && r.isUpToDate(m)
+	if !granted && !r.log.configuration.isVoter(m.From) {
+		r.sendNotMember(m)
+		return
+	}
+	term := m.Term
+	if !granted {
+		term = r.term
+	}
+	r.sendAfterSave(Message{Kind: PreVoteResponse, To: m.From, Term: term, Reject: !granted})
+	if !granted {
+		r.preVoteInstead(m)
+	}
+}
+
+// preVoteInstead has this member ask for pre-votes at once after it refused another's only because that one lacks entries: both miss
+// the leader, and the other can't be elected before this member's next attempt.
+func (r *Raft) preVoteInstead(refused Message) {
+	isBehind := refused.Term > r.term && !r.isUpToDate(refused)
+	if isBehind && !r.hearsLeader() && r.role != candidate && !r.IsNonMember() {
+		r.campaign(campaignPreElection)
+	}
+}
+
+func (r *Raft) handlePreVoteResponse(m Message) {
+	if r.role == preCandidate && m.Term == r.term+1 && !m.Reject {
+		r.votes[m.From] = true
+		r.countVotes()
+	} else if m.Reject && m.Term > r.term {
+		r.changeRole(follower, m.Term, 0)
+	}
+}
+
+// isDisruptive reports whether a RequestVote of a later term is to be ignored: its sender can't hear the leader that this member
+// hears, or it was removed (dissertation, section 4.2.3).
+func (r *Raft) isDisruptive(m Message) bool {
+	return r.hearsLeader() && m.Hint != leadershipTransferHint ||
+		!r.log.configuration.isVoter(m.From) && !r.isUpToDate(m)
+}
+
+// handleRequestVote votes at most once in a term, and only for a log that is up to date (Raft paper, sections 5.2 and 5.4.1).
+func (r *Raft) handleRequestVote(m Message) {
+	granted := (r.vote == 0 || r.vote == m.From) && r.isUpToDate(m)
+	if granted && r.vote == 0 {
+		r.vote = m.From
+		r.outbox.hardStateUnsaved = true
+		r.resetElectionDeadline()
+	}
+	r.sendAfterSave(Message{Kind: VoteResponse, To: m.From, Term: r.term, Reject: !granted})
+}
+
+func (r *Raft) handleVoteResponse(m Message) {
+	if r.role == candidate && !m.Reject {
+		r.votes[m.From] = true
+		r.countVotes()
+	}
+}
+
+// handleTimeoutNow has this member be elected at once, for the leader that it follows hands over.
+func (r *Raft) handleTimeoutNow(m Message) {
+	if r.role == follower && m.From == r.leaderID && containsMember(r.log.configuration.Members, r.config.Self.ID) {
+		r.campaign(campaignTransfer)
+	}
+}
+
+// resetElectionDeadline begins a new wait for a leader.
+func (r *Raft) resetElectionDeadline() {
+	switch r.role {
+	case follower:
+		r.electionDeadline = r.now + r.config.ElectionTimeout + r.electionDelay()
+	case preCandidate: // a pre-vote disturbs nobody, and a member that was not there may be by now
+		wait := r.config.ElectionTimeout / 4
+		r.electionDeadline = r.now + wait + r.randomBelow(wait)
+	case candidate, leader:
+		r.electionDeadline = r.now + r.config.ElectionTimeout + r.randomBelow(r.config.ElectionTimeout)
+	}
+}
+
+// electionDelay is how much longer than the election timeout this member waits for the leader that it follows: members wait in the
+// order of their rank, and the random part is too small for two of them to ask together. Raft's wholly random timeouts (Raft paper,
+// section 5.2) split votes more often.
+func (r *Raft) electionDelay() time.Duration {
+	jitter := r.randomBelow(r.config.ElectionTimeout / 10)
+	return time.Duration(r.voterRank(r.leaderID))*r.config.ElectionTimeout/5 + jitter
+}
+
+// ReportLeaderExited takes note that the process of a member has ended, by better evidence than silence: its host is reachable and
+// refuses connections at its address. If that is the leader that this member follows, the rest of the election timeout is not waited
+// for: Tick is due after wait. Wrong evidence does no harm, since a member asks for pre-votes first, and a leader that is alive is
+// followed again with its next heartbeat.
+func (r *Raft) ReportLeaderExited(now time.Duration, id ID) (wait time.Duration, isLeader bool) {
+	r.advanceTime(now)
+	if r.role != follower || r.leaderID != id || id == r.config.Self.ID || r.IsNonMember() {
+		return 0, false
+	}
+	wait = r.config.ElectionTimeout/50 + time.Duration(r.voterRank(id))*r.config.ElectionTimeout/8
+	r.leaderID = 0
+	r.electionDeadline = r.now + wait
+	return wait, true
+}
+
+// voterRank is this member's place among the voters in the order of their IDs, without one of them.
+func (r *Raft) voterRank(without ID) int {
+	rank := 0
+	for _, voter := range r.sortedVoters() {
+		switch voter.ID {
+		case r.config.Self.ID:
+			return rank
+		case without:
+		default:
+			rank++
+		}
+	}
+	return rank
+}
+
+func (r *Raft) sortedVoters() []Member {
+	return slices.SortedFunc(slices.Values(r.log.configuration.voters()), func(a, b Member) int {
+		return cmp.Compare(a.ID, b.ID)
+	})
+}
--- a/internal/mesh/raft/exchange_test.go
+++ b/internal/mesh/raft/exchange_test.go
@@ -13,8 +13,8 @@
 func (f *simulation) requireMembersAtLeast(than int) {
 	f.afterStep = func() {
 		for _, a := range f.addrs() {
-			if n := f.members[a]; n.raft.IsLeader() && len(n.raft.configuration.Members) < than {
-				f.t.Fatalf("%s leads %+v at %v", a, n.raft.configuration, f.now)
+			if n := f.members[a]; n.raft.IsLeader() && len(n.raft.log.configuration.Members) < than {
+				f.t.Fatalf("%s leads %+v at %v", a, n.raft.log.configuration, f.now)
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 		f.run(4 * time.Second)
 		f.write("two")
 		f.requireComplete("a", "b", "c")
-		assert.Assert(t, f.leader().raft.configuration.isVoter(f.members[f.addrs()[gone]].self.ID) && !f.leader().raft.configuration.isJoint())
+		assert.Assert(t, f.leader().raft.log.configuration.isVoter(f.members[f.addrs()[gone]].self.ID) && !f.leader().raft.log.configuration.isJoint())
 	}
 }
 
@@ -101,7 +101,7 @@
 		gone := slices.IndexFunc(f.addrs(), func(a string) bool { return a != lead.self.Addr })
 		f.startEmpty(f.addrs()[gone], 20)
 		for range 2000 {
-			if lead.raft.configuration.isVoter(20) && !lead.raft.configuration.isJoint() && lead.raft.committed >= lead.raft.configuration.Index {
+			if lead.raft.log.configuration.isVoter(20) && !lead.raft.log.configuration.isJoint() && lead.raft.log.committed >= lead.raft.log.configuration.Index {
 				break
 			}
 			f.run(f.step)
@@ -126,7 +126,7 @@
 	w.nodes[0].raft.appendAsLeader(Entry{Kind: EntryConfiguration, Members: []Member{{1, "r1"}, {2, "r2"}, {4, "r4"}}})
 	assert.NilError(t, w.processReady(0, noCrash, modelFaults{}))
 	deliverAllExcept(t, w, 2, 3)
-	assert.Assert(t, n.raft.configuration.isVoter(4) && !w.nodes[1].raft.configuration.isVoter(4))
+	assert.Assert(t, n.raft.log.configuration.isVoter(4) && !w.nodes[1].raft.log.configuration.isVoter(4))
 	// The first is gone, and 4 has what the second lacks.
 	for range 4 {
 		if n.raft.IsLeader() {
@@ -150,10 +150,10 @@
 		w.nodes = append(w.nodes, n)
 	}
 	old := w.nodes[0].raft
-	old.appendAsLeader(Entry{Kind: EntryConfiguration, Members: []Member{{2, "r2"}, {4, "r4"}, {5, "r5"}}, Outgoing: old.configuration.Members, ProtocolVersion: ProtocolVersion})
+	old.appendAsLeader(Entry{Kind: EntryConfiguration, Members: []Member{{2, "r2"}, {4, "r4"}, {5, "r5"}}, Outgoing: old.log.configuration.Members, ProtocolVersion: ProtocolVersion})
 	assert.NilError(t, w.processReady(0, noCrash, modelFaults{}))
 	deliverAllExcept(t, w, 4, 5)
-	assert.Assert(t, old.committed < old.configuration.Index, "of the new members it has the second alone, and itself is none")
+	assert.Assert(t, old.log.committed < old.log.configuration.Index, "of the new members it has the second alone, and itself is none")
 	for range 6 {
 		for _, n := range w.nodes {
 			n.now += testHeartbeatInterval
@@ -163,7 +163,7 @@
 		deliverAll(t, w)
 	}
 	assert.Assert(t, !old.IsLeader() && old.IsNonMember())
-	assert.Assert(t, slices.ContainsFunc(w.nodes[1:], func(n *testMember) bool { return n.raft.IsLeader() && !n.raft.configuration.isJoint() }))
+	assert.Assert(t, slices.ContainsFunc(w.nodes[1:], func(n *testMember) bool { return n.raft.IsLeader() && !n.raft.log.configuration.isJoint() }))
 }
 
 // Registers of the first build beside those of this one, either leading: a lost member is replaced the way that all know, and
--- /dev/null
+++ b/internal/mesh/raft/follower.go
@@ -0,0 +1,53 @@
+package raft
+
+// recordLeader takes note that the term's leader is there. A term has one leader, so a candidate of the same term has lost (Raft
+// paper, section 5.2).
+func (r *Raft) recordLeader(m Message) {
+	if r.role != follower {
+		r.changeRole(follower, r.term, m.From)
+	}
+	isNew := r.leaderID != m.From
+	r.leaderID = m.From
+	r.followed.heardAt, r.followed.protocolVersion = r.now, m.ProtocolVersion
+	r.resetElectionDeadline()
+	if isNew && r.leave.requested {
+		r.leave.requestedAt = 0
+		r.advanceLeave()
+	}
+}
+
+// recordCatchUp takes note if this member has committed all that the leader had when it sent a message.
+func (r *Raft) recordCatchUp(m Message) {
+	if r.log.committed >= m.Commit {
+		r.followed.caughtUpAt = r.now
+	}
+}
+
+// handleAppendEntries takes the leader's entries if the log agrees with the leader's at the entry in front of them, and acknowledges
+// no more than it has compared: what is behind them here may be from another leader (Raft paper, section 5.3).
+func (r *Raft) handleAppendEntries(m Message) {
+	reply := Message{Kind: AppendResponse, To: m.From, Term: r.term, HeartbeatRound: m.HeartbeatRound}
+	if snapshot := r.log.snapshot; m.Index < snapshot.Index { // what the snapshot stands for is committed, and agrees
+		m.Entries = m.Entries[min(snapshot.Index-m.Index, uint64(len(m.Entries))):]
+		m.Index, m.LogTerm = snapshot.Index, snapshot.Term
+		if len(m.Entries) == 0 {
+			reply.Index = snapshot.Index
+			r.recordCatchUp(m)
+			r.sendAfterSave(reply)
+			return
+		}
+	}
+	if term, known := r.log.termAt(m.Index); !known || term != m.LogTerm {
+		reply.Reject, reply.Hint = true, r.log.rejectHint(m.Index)
+		r.sendAfterSave(reply)
+		return
+	}
+	r.log.merge(m.Entries)
+	if !r.IsNonMember() {
+		r.join.toldNonMemberAt, r.join.contacts = 0, nil
+	}
+	reply.Index = m.Index + uint64(len(m.Entries))
+	r.log.committed = max(r.log.committed, min(m.Commit, reply.Index))
+	r.recordCatchUp(m)
+	r.sendAfterSave(reply)
+}
--- a/internal/mesh/raft/gone_test.go
+++ b/internal/mesh/raft/gone_test.go
@@ -113,8 +113,8 @@
 	if old == "a" {
 		other = f.members["b"]
 	}
-	id, last := f.members[old].self.ID, other.raft.lastIndex()
-	ask := Message{Kind: PreVote, From: id, To: other.self.ID, Index: last, LogTerm: other.raft.lastTerm()}
+	id, last := f.members[old].self.ID, other.raft.log.lastIndex()
+	ask := Message{Kind: PreVote, From: id, To: other.self.ID, Index: last, LogTerm: other.raft.log.lastTerm()}
 	ask.Term = other.raft.Term() // of before it led: late
 	other.raft.Step(f.now, ask)
 	assert.Equal(t, other.raft.Leader(), id)
--- a/internal/mesh/raft/log.go
+++ b/internal/mesh/raft/log.go
@@ -5,168 +5,246 @@
 	"time"
 )
 
-// EntryKind says what an entry is of.
-type EntryKind uint8
-
-// Kinds of entries.
+// Bounds of the entries that are kept in front of a snapshot, so that a follower that was away for a short time needs no snapshot.
 const (
-	EntryNoOp          EntryKind = iota // the first of a leader
-	EntryCommand                        // of the state that the members hold; the core does not read it
-	EntryConfiguration                  // who the members are from here on
+	DefaultCatchUpEntries = 4096
+	maxCatchUpBytes       = 4 << 20
+	entryOverhead         = 64 // bytes that an entry takes beside its data, about
 )
 
-// Entry is one of the log. Stamp is log time: it goes on while there is a leader, never faster than real time.
-type Entry struct {
-	Index, Term     uint64
-	Kind            EntryKind
-	LogTime         time.Duration
-	Data            []byte
-	Members         []Member // of a View
-	Outgoing        []Member // of a View: those before, while the change is joint
-	ProtocolVersion uint32   // of a View: what all Members speak
-}
+// raftLog is a member's log: its entries, the snapshot that stands for those before them, what of it is on disk, committed and
+// applied, and the latest configuration in it.
+type raftLog struct {
+	start    position // of the last entry before entries
+	entries  []Entry  // without a gap; the first ones may be in front of the snapshot
+	snapshot Snapshot
+
+	savedIndex         uint64 // on disk up to here
+	committed, applied uint64
+	configuration      Configuration // the latest in the log, committed or not
 
-// Snapshot stands for the log up to Index.
-type Snapshot struct {
-	Index, Term        uint64
-	LogTime            time.Duration
-	ConfigurationIndex uint64 // index of the entry that Members are of
-	Members            []Member
-	Data               []byte
-	Outgoing           []Member // as in Entry
-	ProtocolVersion    uint32   // as in Entry
+	firstUnsavedIndex uint64 // entries from here on are to be written; 0: none
+	snapshotUnsaved   bool   // the snapshot was received and is to be written
 }
 
-func (s Snapshot) configuration() Configuration {
-	return Configuration{Index: s.ConfigurationIndex, Members: s.Members, Outgoing: s.Outgoing, ProtocolVersion: s.ProtocolVersion}
+// newRaftLog returns the log that a disk holds: a snapshot, the entries behind it, and entries in front of it.
+func newRaftLog(snapshot Snapshot, entries, catchUp []Entry) raftLog {
+	l := raftLog{
+		start:     position{snapshot.Index, snapshot.Term},
+		entries:   entries,
+		snapshot:  snapshot,
+		committed: snapshot.Index,
+		applied:   snapshot.Index,
+	}
+	l.restoreCatchUpEntries(catchUp)
+	l.savedIndex = l.lastIndex()
+	l.refreshConfiguration()
+	return l
 }
 
-// position is one entry's place.
-type position struct{ index, term uint64 }
+// restoreCatchUpEntries puts entries in front of the snapshot, if they lead up to it. Of the oldest only the position is kept.
+func (l *raftLog) restoreCatchUpEntries(catchUp []Entry) {
+	n := len(catchUp)
+	if n == 0 || catchUp[n-1].Index != l.snapshot.Index || catchUp[n-1].Term != l.snapshot.Term {
+		return
+	}
+	l.start = position{catchUp[0].Index, catchUp[0].Term}
+	l.entries = append(slices.Clone(catchUp[1:]), l.entries...)
+}
 
-// EntriesSinceSnapshot is how many entries are held behind the snapshot.
-func (c *Raft) EntriesSinceSnapshot() int { return int(c.lastIndex() - c.snapshot.Index) }
+func (l *raftLog) lastIndex() uint64 { return l.start.index + uint64(len(l.entries)) }
 
-func (c *Raft) lastIndex() uint64 { return c.logStart.index + uint64(len(c.entries)) }
+func (l *raftLog) entriesSinceSnapshot() int { return int(l.lastIndex() - l.snapshot.Index) }
 
-// entriesFrom are the log's entries from an index on, which must be behind base.
-func (c *Raft) entriesFrom(index uint64) []Entry { return c.entries[index-c.logStart.index-1:] }
+// entriesFrom are the entries from an index on, which must be behind start.
+func (l *raftLog) entriesFrom(index uint64) []Entry { return l.entries[index-l.start.index-1:] }
 
-// termAt is the term of an entry; false: it is not known.
-func (c *Raft) termAt(index uint64) (uint64, bool) {
+// termAt is the term of the entry at an index; false: the log does not reach there.
+func (l *raftLog) termAt(index uint64) (term uint64, known bool) {
 	switch {
-	case index == c.logStart.index:
-		return c.logStart.term, true
-	case index < c.logStart.index || index > c.lastIndex():
+	case index == l.start.index:
+		return l.start.term, true
+	case index < l.start.index || index > l.lastIndex():
 		return 0, false
 	}
-	return c.entriesFrom(index)[0].Term, true
+	return l.entriesFrom(index)[0].Term, true
 }
 
-func (c *Raft) lastTerm() uint64 { t, _ := c.termAt(c.lastIndex()); return t }
+func (l *raftLog) lastTerm() uint64 {
+	term, _ := l.termAt(l.lastIndex())
+	return term
+}
 
-func (c *Raft) lastLogTime() time.Duration {
-	if n := len(c.entries); c.lastIndex() > c.snapshot.Index {
-		return c.entries[n-1].LogTime
+func (l *raftLog) lastLogTime() time.Duration {
+	if n := len(l.entries); l.lastIndex() > l.snapshot.Index {
+		return l.entries[n-1].LogTime
 	}
-	return c.snapshot.LogTime
+	return l.snapshot.LogTime
 }
 
-// hasCommittedOwnTerm says that an entry of the leader's own term is committed: until then it does not know what those before it
-// had agreed on.
-func (c *Raft) hasCommittedOwnTerm() bool {
-	t, _ := c.termAt(c.committed)
-	return t == c.term
+// isUpToDate reports whether a log that ends at a position is at least as up to date as this one (Raft paper, section 5.4.1).
+func (l *raftLog) isUpToDate(last position) bool {
+	return last.term > l.lastTerm() || last.term == l.lastTerm() && last.index >= l.lastIndex()
 }
 
-// appendEntries puts entries at the log's end and follows the configurations in them.
-func (c *Raft) appendEntries(l ...Entry) {
-	c.entries = append(c.entries, l...)
-	c.markUnsaved(l[0].Index)
-	for _, e := range l {
-		if e.Kind == EntryConfiguration {
-			c.configuration = configurationOf(e)
+// append puts entries at the log's end and follows the configurations in them.
+func (l *raftLog) append(entries ...Entry) {
+	l.entries = append(l.entries, entries...)
+	l.markUnsaved(entries[0].Index)
+	for _, entry := range entries {
+		if entry.Kind == EntryConfiguration {
+			l.configuration = entry.configuration()
 		}
 	}
 }
 
-// truncateFrom drops the entries from an index on.
-func (c *Raft) truncateFrom(index uint64) {
-	c.entries = slices.Clone(c.entries[:index-c.logStart.index-1])
-	c.savedIndex = min(c.savedIndex, index-1)
-	if c.configuration.Index >= index {
-		c.refreshConfiguration()
+// merge puts the leader's entries into the log, whose entry in front of them agrees with the leader's. Only an entry that conflicts
+// with one of them cuts the log off there: a late message must not remove entries that were acknowledged since it was sent (Raft
+// paper, section 5.3).
+func (l *raftLog) merge(entries []Entry) {
+	for i, entry := range entries {
+		term, known := l.termAt(entry.Index)
+		if known && term == entry.Term {
+			continue
+		}
+		if known {
+			l.truncateFrom(entry.Index)
+		}
+		l.append(entries[i:]...)
+		return
 	}
 }
 
-func (c *Raft) markUnsaved(from uint64) {
-	if c.firstUnsavedIndex == 0 || from < c.firstUnsavedIndex {
-		c.firstUnsavedIndex = from
+// truncateFrom removes the entries from an index on. A configuration among them no longer holds.
+func (l *raftLog) truncateFrom(index uint64) {
+	l.entries = slices.Clone(l.entries[:index-l.start.index-1])
+	l.savedIndex = min(l.savedIndex, index-1)
+	if l.configuration.Index >= index {
+		l.refreshConfiguration()
 	}
 }
 
-// refreshConfiguration looks for the latest in the log.
-func (c *Raft) refreshConfiguration() { c.configuration = c.configurationAt(c.lastIndex()) }
+func (l *raftLog) markUnsaved(from uint64) {
+	if l.firstUnsavedIndex == 0 || from < l.firstUnsavedIndex {
+		l.firstUnsavedIndex = from
+	}
+}
 
-// configurationAt is the one that holds as of an index, which is not before the snapshot's.
-func (c *Raft) configurationAt(index uint64) Configuration {
-	for _, e := range slices.Backward(c.entries[:index-c.logStart.index]) {
-		if e.Index <= c.snapshot.Index {
-			break
-		}
-		if e.Kind == EntryConfiguration {
-			return configurationOf(e)
-		}
+// takeUnsaved returns the entries that are to be written since the last call.
+func (l *raftLog) takeUnsaved() []Entry {
+	if l.firstUnsavedIndex == 0 {
+		return nil
 	}
-	return c.snapshot.configuration()
+	entries := slices.Clone(l.entriesFrom(l.firstUnsavedIndex))
+	l.firstUnsavedIndex = 0
+	return entries
 }
 
-// Bounds of the log that is kept in front of a snapshot, so that one that was away for a short time needs none.
-const (
-	DefaultCatchUpEntries = 4096
-	maxCatchUpBytes       = 4 << 20
-	entryOverhead         = 64 // bytes that an entry takes beside its data, about
-)
+// takeUnsavedSnapshot returns a received snapshot that is to be written since the last call; nil: there is none.
+func (l *raftLog) takeUnsavedSnapshot() *Snapshot {
+	if !l.snapshotUnsaved {
+		return nil
+	}
+	snapshot := l.snapshot
+	l.snapshotUnsaved = false
+	l.applied = snapshot.Index
+	return &snapshot
+}
 
-// restoreCatchUpEntries puts entries in front of the snapshot, if they lead up to it without a gap. The oldest stands for its place only.
-func (c *Raft) restoreCatchUpEntries(tail []Entry) {
-	if n := len(tail); n == 0 || tail[n-1].Index != c.snapshot.Index || tail[n-1].Term != c.snapshot.Term {
-		return
+// takeCommitted returns the entries that were committed since the last call.
+func (l *raftLog) takeCommitted() []Entry {
+	if l.committed <= l.applied {
+		return nil
+	}
+	entries := slices.Clone(l.entriesFrom(l.applied + 1)[:l.committed-l.applied])
+	l.applied = l.committed
+	return entries
+}
+
+// rejectHint is the highest index at which the log may agree with a leader's whose entry at an index it lacks or has of another
+// term. All entries of that other term are skipped: they are from a leader that lost its term, and one attempt per entry would take
+// a heartbeat interval each (Raft paper, section 5.3). What is committed agrees.
+func (l *raftLog) rejectHint(index uint64) uint64 {
+	hint := min(index-1, l.lastIndex())
+	conflicting, known := l.termAt(index)
+	if !known {
+		return hint
+	}
+	for at := hint; at > l.committed; at-- {
+		if term, _ := l.termAt(at); term != conflicting {
+			break
+		}
+		hint = at - 1
 	}
-	c.logStart = position{tail[0].Index, tail[0].Term}
-	c.entries = append(slices.Clone(tail[1:]), c.entries...)
+	return max(l.committed, hint)
 }
 
-// OldestRetainedIndex is the oldest entry that belongs on disk.
-func (c *Raft) OldestRetainedIndex() uint64 { return c.logStart.index }
+// refreshConfiguration looks for the latest configuration in the log.
+func (l *raftLog) refreshConfiguration() { l.configuration = l.configurationAt(l.lastIndex()) }
 
-// catchUpStart is where the log is to begin behind which a snapshot at an index is compacted: Keep entries in front of it, or what those
-// want that a snapshot is being sent to.
-func (c *Raft) catchUpStart(index uint64) uint64 {
-	sending, size := c.oldestTransfer()
-	bytes, at := 0, index
-	for ; at > c.logStart.index; at-- {
-		bytes += len(c.entriesFrom(at)[0].Data) + entryOverhead
-		kept := index-at < uint64(c.config.MaxCatchUpEntries) && bytes <= maxCatchUpBytes
-		wanted := sending > 0 && at > sending && bytes <= max(maxCatchUpBytes, size)
-		if !kept && !wanted {
+// configurationAt is the configuration as of an index, which must not be before the snapshot's.
+func (l *raftLog) configurationAt(index uint64) Configuration {
+	for _, entry := range slices.Backward(l.entries[:index-l.start.index]) {
+		if entry.Index <= l.snapshot.Index {
 			break
 		}
+		if entry.Kind == EntryConfiguration {
+			return entry.configuration()
+		}
 	}
-	return at
+	return l.snapshot.configuration()
+}
+
+// isConfigurationCommitted reports whether the latest configuration is committed and no joint one, so that no change is under way as
+// far as this member knows.
+func (l *raftLog) isConfigurationCommitted() bool {
+	return l.configuration.Index <= l.committed && !l.configuration.isJoint()
 }
 
-// Compact has data, the state as of an index that was applied, stand for the log up to it. It returns the snapshot to write;
-// entries before Kept may go.
-func (c *Raft) Compact(index uint64, data []byte) Snapshot {
-	if index <= c.snapshot.Index || index > c.applied {
-		return c.snapshot
+// restore replaces the log up to a received snapshot, which is ahead of what is committed. Entries behind it are kept only if the
+// log has the snapshot's last entry, for only then do they follow it.
+func (l *raftLog) restore(snapshot Snapshot) {
+	if term, known := l.termAt(snapshot.Index); known && term == snapshot.Term {
+		l.entries = slices.Clone(l.entriesFrom(snapshot.Index + 1))
+	} else {
+		l.entries = nil
+	}
+	l.start = position{snapshot.Index, snapshot.Term}
+	l.snapshot, l.snapshotUnsaved = snapshot, true
+	l.committed = snapshot.Index
+	l.savedIndex = max(min(l.savedIndex, l.lastIndex()), snapshot.Index)
+	l.firstUnsavedIndex = 0
+	if len(l.entries) > 0 {
+		l.firstUnsavedIndex = snapshot.Index + 1
+	}
+	l.refreshConfiguration()
+}
+
+// compact has data, the replicated state as of an applied index, replace the log up to there. Entries from keepFrom on, which is not
+// behind the index, stay in front of the snapshot.
+func (l *raftLog) compact(index uint64, data []byte, keepFrom uint64) {
+	entry, configuration := l.entriesFrom(index)[0], l.configurationAt(index)
+	l.snapshot = Snapshot{
+		Index:              index,
+		Term:               entry.Term,
+		LogTime:            entry.LogTime,
+		ConfigurationIndex: configuration.Index,
+		Members:            configuration.Members,
+		Outgoing:           configuration.Outgoing,
+		ProtocolVersion:    configuration.ProtocolVersion,
+		Data:               data,
+	}
+	term, _ := l.termAt(keepFrom)
+	l.entries = slices.Clone(l.entriesFrom(keepFrom + 1))
+	l.start = position{keepFrom, term}
+}
+
+// entryBytes is what an entry counts for where bytes are bounded.
+func entryBytes(entry Entry) int { return len(entry.Data) + entryOverhead }
+
+func sizeOf(entries []Entry) (bytes int) {
+	for _, entry := range entries {
+		bytes += entryBytes(entry)
 	}
-	e, f := c.entriesFrom(index)[0], c.configurationAt(index)
-	c.snapshot = Snapshot{Index: index, Term: e.Term, LogTime: e.LogTime, ConfigurationIndex: f.Index, Members: f.Members, Outgoing: f.Outgoing,
-		ProtocolVersion: f.ProtocolVersion, Data: data}
-	at := c.catchUpStart(index)
-	t, _ := c.termAt(at)
-	c.entries, c.logStart = slices.Clone(c.entriesFrom(at+1)), position{at, t}
-	return c.snapshot
+	return bytes
 }
--- a/internal/mesh/raft/members_test.go
+++ b/internal/mesh/raft/members_test.go
@@ -294,7 +294,7 @@
 	f.write("last")
 	n := f.leader()
 	last := time.Duration(0)
-	for _, e := range n.raft.entries {
+	for _, e := range n.raft.log.entries {
 		assert.Assert(t, e.LogTime >= last && e.LogTime <= f.now)
 		last = e.LogTime
 	}
@@ -366,9 +366,9 @@
 	deliverAllExcept(t, w, 1)
 	// The first hears again. A beat is all that starts each try.
 	rounds := 0
-	for ; old.raft.committed < lead.raft.committed; rounds++ {
+	for ; old.raft.log.committed < lead.raft.log.committed; rounds++ {
 		if rounds > 8 {
-			t.Fatalf("after %d beats it has %d of %d entries", rounds, old.raft.committed, lead.raft.committed)
+			t.Fatalf("after %d beats it has %d of %d entries", rounds, old.raft.log.committed, lead.raft.log.committed)
 		}
 		for _, n := range w.nodes {
 			n.now += testHeartbeatInterval
@@ -377,7 +377,7 @@
 		if err := w.processReady(1, noCrash, modelFaults{}); err != nil {
 			t.Fatal(err)
 		}
-		for len(w.network) > 0 && old.raft.committed < lead.raft.committed {
+		for len(w.network) > 0 && old.raft.log.committed < lead.raft.log.committed {
 			m := w.network[0]
 			w.network = w.network[1:]
 			i := int(m.To) - 1
@@ -385,8 +385,8 @@
 			if err := w.processReady(i, noCrash, modelFaults{}); err != nil {
 				t.Fatal(err)
 			}
-			if old.raft.committed < lead.raft.committed && old.raft.HasQuorumContact(old.now) {
-				t.Fatalf("it is in touch with %d of %d entries", old.raft.committed, lead.raft.committed)
+			if old.raft.log.committed < lead.raft.log.committed && old.raft.HasQuorumContact(old.now) {
+				t.Fatalf("it is in touch with %d of %d entries", old.raft.log.committed, lead.raft.log.committed)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/mesh/raft/read_index.go
@@ -0,0 +1,60 @@
+package raft
+
+import "time"
+
+// ReadState is a read that was confirmed: the replicated state answers it once everything up to Index is applied. Index 0: the read
+// was not confirmed, and must be asked for anew.
+type ReadState struct{ RequestID, Index uint64 }
+
+// pendingRead waits until a quorum has answered a round of heartbeats.
+type pendingRead struct {
+	requestID uint64
+	index     uint64 // committed when the read was asked for
+	round     uint64
+}
+
+// readQueue holds a leader's pending reads in the order of their rounds.
+type readQueue []pendingRead
+
+// ReadIndex asks for a confirmed read, which Ready answers under this ID; false: this member does not lead, or does not know yet
+// what earlier leaders have committed, and the caller has to ask again later (dissertation, section 6.4).
+func (r *Raft) ReadIndex(now time.Duration, requestID uint64) bool {
+	r.advanceTime(now)
+	if r.role != leader || !r.hasCommittedOwnTerm() {
+		return false
+	}
+	if r.log.configuration.isSoleVoter(r.config.Self.ID) {
+		r.answerRead(ReadState{RequestID: requestID, Index: r.log.committed})
+		return true
+	}
+	// Answers to a round that began before the read was asked for would not show that no other member leads since.
+	r.broadcastHeartbeat()
+	r.reads = append(r.reads, pendingRead{requestID: requestID, index: r.log.committed, round: r.leading.heartbeatRound})
+	return true
+}
+
+// confirmReads answers the reads whose round of heartbeats a quorum has answered: this member still led when that round began.
+func (r *Raft) confirmReads() {
+	for len(r.reads) > 0 {
+		read := r.reads[0]
+		isConfirmed := r.log.configuration.hasQuorum(func(id ID) bool {
+			p := r.peers.get(id)
+			return id == r.config.Self.ID || p != nil && p.answeredRound >= read.round
+		})
+		if !isConfirmed {
+			return
+		}
+		r.answerRead(ReadState{RequestID: read.requestID, Index: read.index})
+		r.reads = r.reads[1:]
+	}
+}
+
+// rejectReads answers all pending reads as not confirmed, for this member leads no more.
+func (r *Raft) rejectReads() {
+	for _, read := range r.reads {
+		r.answerRead(ReadState{RequestID: read.requestID})
+	}
+	r.reads = nil
+}
+
+func (r *Raft) answerRead(state ReadState) { r.outbox.readStates = append(r.outbox.readStates, state) }
--- a/internal/mesh/raft/ready.go
+++ b/internal/mesh/raft/ready.go
@@ -1,63 +1,77 @@
 package raft
 
-import "slices"
-
-// Ready is what is to be done, in this order: send Before; write Snapshot, Hard and Entries (which replace all from the first one's
-// index on) and sync; call Saved; send After; install Snapshot; apply Committed.
+// Ready is what the caller has to do, in this order: send MessagesBeforeSave; write Snapshot, HardState and Entries (which replace
+// all from the first one's index on) and sync them; call MarkSaved; send MessagesAfterSave; replace the replicated state by
+// Snapshot; apply CommittedEntries; answer ReadStates.
 type Ready struct {
 	MessagesBeforeSave, MessagesAfterSave []Message
-	HardState                             *HardState
-	Entries                               []Entry
-	Snapshot                              *Snapshot // received; it replaces the log and the state
-	CommittedEntries                      []Entry
-	ReadStates                            []ReadState
+
+	HardState        *HardState // nil: unchanged
+	Entries          []Entry
+	Snapshot         *Snapshot // received: it replaces the log and the replicated state; nil: none
+	CommittedEntries []Entry
+	ReadStates       []ReadState
 }
 
-// Ready takes what is to be done since the last call.
-func (c *Raft) Ready() Ready {
-	r := Ready{MessagesBeforeSave: c.messagesBeforeSave, MessagesAfterSave: c.messagesAfterSave, ReadStates: c.readStates}
-	c.messagesBeforeSave, c.messagesAfterSave, c.readStates = nil, nil, nil
-	if c.hardStateUnsaved {
-		r.HardState, c.hardStateUnsaved = &HardState{c.term, c.vote}, false
-		// A member that decides by itself leads before its term is on disk; nobody may hear of a term that could come again.
-		r.MessagesBeforeSave, r.MessagesAfterSave = nil, append(r.MessagesBeforeSave, r.MessagesAfterSave...)
-	}
-	if c.snapshotUnsaved {
-		s := c.snapshot
-		r.Snapshot, c.snapshotUnsaved = &s, false
-		c.applied = s.Index
-	}
-	if c.firstUnsavedIndex > 0 {
-		r.Entries = slices.Clone(c.entriesFrom(c.firstUnsavedIndex))
-		c.firstUnsavedIndex = 0
-	}
-	if c.committed > c.applied {
-		r.CommittedEntries = slices.Clone(c.entriesFrom(c.applied + 1)[:c.committed-c.applied])
-		c.applied = c.committed
+// MustSync reports whether something of it must be on disk before MessagesAfterSave are sent.
+func (r Ready) MustSync() bool { return r.HardState != nil || r.Snapshot != nil || len(r.Entries) > 0 }
+
+// outbox collects what the next Ready hands out beside the log.
+type outbox struct {
+	// beforeSave rest on nothing that is not on disk yet: a leader may replicate while its own disk writes (dissertation, section
+	// 10.2.1).
+	beforeSave []Message
+	// afterSave may say what the next write puts on disk: votes and acknowledgements.
+	afterSave        []Message
+	readStates       []ReadState
+	hardStateUnsaved bool
+}
+
+// sendBeforeSave sends a message that may go out before the next write.
+func (r *Raft) sendBeforeSave(message Message) {
+	message.From = r.config.Self.ID
+	r.outbox.beforeSave = append(r.outbox.beforeSave, message)
+}
+
+// sendAfterSave sends a message once what is known now is on disk.
+func (r *Raft) sendAfterSave(message Message) {
+	message.From = r.config.Self.ID
+	r.outbox.afterSave = append(r.outbox.afterSave, message)
+}
+
+// Ready returns what is to be done since the last call.
+func (r *Raft) Ready() Ready {
+	out := r.outbox
+	r.outbox = outbox{}
+	ready := Ready{MessagesBeforeSave: out.beforeSave, MessagesAfterSave: out.afterSave, ReadStates: out.readStates}
+	if out.hardStateUnsaved {
+		ready.HardState = &HardState{Term: r.term, Vote: r.vote}
+		// A sole voter leads before its term is on disk. No message may tell of a term that could come again after a restart.
+		ready.MessagesBeforeSave, ready.MessagesAfterSave = nil, append(ready.MessagesBeforeSave, ready.MessagesAfterSave...)
 	}
-	if c.leaveGranted { // nothing may rest on it any more
-		r.MessagesBeforeSave, r.MessagesAfterSave = nil, nil
+	ready.Snapshot = r.log.takeUnsavedSnapshot()
+	ready.Entries = r.log.takeUnsaved()
+	ready.CommittedEntries = r.log.takeCommitted()
+	if r.leave.granted { // it may end at any moment: nothing may rest on it any more
+		ready.MessagesBeforeSave, ready.MessagesAfterSave = nil, nil
 	}
-	for _, l := range [][]Message{r.MessagesBeforeSave, r.MessagesAfterSave} {
-		for i := range l {
-			l[i].ProtocolVersion, l[i].Leaving = c.protocolVersion(), c.leaving
+	for _, messages := range [][]Message{ready.MessagesBeforeSave, ready.MessagesAfterSave} {
+		for i := range messages {
+			messages[i].ProtocolVersion, messages[i].Leaving = r.protocolVersion(), r.leave.requested
 		}
 	}
-	return r
+	return ready
 }
 
-// MustSync says that a Ready has something that has to be on disk.
-func (r Ready) MustSync() bool { return r.HardState != nil || r.Snapshot != nil || len(r.Entries) > 0 }
-
-// MarkSaved says that all that Ready gave is on disk.
-func (c *Raft) MarkSaved(r Ready) {
-	if len(r.Entries) > 0 {
-		c.savedIndex = r.Entries[len(r.Entries)-1].Index
+// MarkSaved takes note that all that a Ready gave is on disk. A leader counts its own entries from then on.
+func (r *Raft) MarkSaved(ready Ready) {
+	if len(ready.Entries) > 0 {
+		r.log.savedIndex = ready.Entries[len(ready.Entries)-1].Index
 	}
-	if r.Snapshot != nil {
-		c.savedIndex = max(c.savedIndex, r.Snapshot.Index)
+	if ready.Snapshot != nil {
+		r.log.savedIndex = max(r.log.savedIndex, ready.Snapshot.Index)
 	}
-	if c.role == leader {
-		c.advanceCommit()
+	if r.role == leader {
+		r.advanceCommit()
 	}
 }
--- /dev/null
+++ b/internal/mesh/raft/replication.go
@@ -0,0 +1,241 @@
+package raft
+
+import (
+	"slices"
+	"time"
+)
+
+// Bounds of the entries that go with one message, and of those that are in flight to one peer, in bytes of their data; one entry goes
+// whatever its size. A heartbeat waits behind no more than maxInflightBytes.
+const (
+	maxEntriesPerMessage = 256
+	maxBytesPerMessage   = 32 << 10
+	maxInflightBytes     = 64 << 10
+)
+
+// Propose appends a command to the leader's log; ok: this member leads. The command is committed once Ready hands out the entry of
+// this index with this term, and is lost if it hands out another one there. Flush sends it.
+func (r *Raft) Propose(now time.Duration, data []byte) (index, term uint64, ok bool) {
+	r.advanceTime(now)
+	if r.role != leader || r.isTransferringLeadership() {
+		return 0, 0, false
+	}
+	entry := r.appendAsLeader(Entry{Kind: EntryCommand, Data: data})
+	return entry.Index, entry.Term, true
+}
+
+// Flush sends what was proposed, so that several proposals go out together.
+func (r *Raft) Flush() {
+	if r.role != leader {
+		return
+	}
+	for _, p := range r.peers {
+		if !p.paused && p.next <= r.log.lastIndex() {
+			r.replicateTo(p)
+		}
+	}
+}
+
+// BroadcastCommit has the leader tell the others at once of what is committed, which goes with the next heartbeat otherwise.
+func (r *Raft) BroadcastCommit(now time.Duration) {
+	r.advanceTime(now)
+	if r.role == leader {
+		r.broadcastHeartbeat()
+	}
+}
+
+// LogTime is the log's own time now, at the leader. It continues from the last entry of the leader before, so it never runs faster
+// than real time.
+func (r *Raft) LogTime(now time.Duration) time.Duration {
+	r.advanceTime(now)
+	return max(r.log.lastLogTime(), r.leading.logTimeAtElection+r.now-r.leading.electedAt)
+}
+
+// IsCaughtUpLeader reports whether this member leads and has applied all that earlier leaders may have committed.
+func (r *Raft) IsCaughtUpLeader() bool {
+	term, _ := r.log.termAt(r.log.applied)
+	return r.role == leader && term == r.term
+}
+
+// IsRecentlyActive reports whether the leader heard a member in the last election timeout.
+func (r *Raft) IsRecentlyActive(id ID) bool {
+	return id == r.config.Self.ID || r.peers.heardAfter(id, r.now-r.config.ElectionTimeout)
+}
+
+// TransferLeadership has the member that holds most of the log be elected, for this leader is about to stop (dissertation, section
+// 3.10). Nothing is lost if the message is: this member leads on.
+func (r *Raft) TransferLeadership(now time.Duration) {
+	r.advanceTime(now)
+	if r.role != leader {
+		return
+	}
+	if target := r.transferTarget(); target != nil {
+		r.sendAfterSave(Message{Kind: TimeoutNow, To: target.ID, Term: r.term})
+	}
+}
+
+// transferTarget is the member that holds most of the log, of those that are active and stay; nil: there is none.
+func (r *Raft) transferTarget() (target *progress) {
+	for _, member := range r.log.configuration.Members {
+		p := r.peers.get(member.ID)
+		if p == nil || !r.IsRecentlyActive(member.ID) || p.leaveGranted || p.isLeavingSince(r.now-r.config.ElectionTimeout) {
+			continue
+		}
+		if target == nil || p.match > target.match {
+			target = p
+		}
+	}
+	return target
+}
+
+// appendAsLeader puts an entry of the present term at the log's end.
+func (r *Raft) appendAsLeader(entry Entry) Entry {
+	entry.Index, entry.Term = r.log.lastIndex()+1, r.term
+	entry.LogTime = r.LogTime(r.now)
+	r.log.append(entry)
+	if entry.Kind == EntryConfiguration {
+		r.trackVoters()
+	}
+	return entry
+}
+
+// broadcastHeartbeat begins a round of heartbeats: each peer is sent what it lacks, or at least that the leader is there.
+func (r *Raft) broadcastHeartbeat() {
+	r.leading.heartbeatRound++
+	r.leading.nextHeartbeatAt = r.now + r.config.HeartbeatInterval
+	for _, p := range r.peers {
+		p.paused = false
+		if r.needsSnapshot(p) {
+			r.sendHeartbeat(p)
+			r.sendSnapshot(p)
+		} else {
+			r.sendEntries(p)
+		}
+	}
+}
+
+// sendHeartbeat tells a peer that needs a snapshot that the leader is there. It says nothing about the log.
+func (r *Raft) sendHeartbeat(p *progress) {
+	r.sendBeforeSave(Message{Kind: AppendEntries, To: p.ID, Term: r.term, Commit: r.log.committed, HeartbeatRound: r.leading.heartbeatRound})
+}
+
+// replicateTo sends a peer what it lacks, as far as more may be in flight.
+func (r *Raft) replicateTo(p *progress) {
+	if r.needsSnapshot(p) {
+		r.sendSnapshot(p)
+	} else if !p.isInflightFull() || p.next > r.log.lastIndex() {
+		r.sendEntries(p)
+	}
+}
+
+// sendEntries sends entries, or none where enough are in flight. It does not wait for an answer before it sends the next ones: an
+// entry that was lost is noticed when those behind it are rejected (dissertation, section 10.2.2: pipelining).
+func (r *Raft) sendEntries(p *progress) {
+	previous := p.next - 1
+	previousTerm, _ := r.log.termAt(previous)
+	message := Message{
+		Kind:           AppendEntries,
+		To:             p.ID,
+		Term:           r.term,
+		Index:          previous,
+		LogTerm:        previousTerm,
+		Commit:         r.log.committed,
+		HeartbeatRound: r.leading.heartbeatRound,
+	}
+	if !p.isInflightFull() {
+		message.Entries = limitBatch(r.log.entriesFrom(p.next))
+	}
+	if n := len(message.Entries); n > 0 {
+		p.next += uint64(n)
+		p.inflight = append(p.inflight, inflightAppend{lastIndex: p.next - 1, bytes: sizeOf(message.Entries)})
+	}
+	p.transfer, p.wholeSnapshotSentAt = nil, 0
+	r.sendBeforeSave(message)
+}
+
+// limitBatch is as many of the entries as go with one message.
+func limitBatch(entries []Entry) []Entry {
+	n, bytes := 0, 0
+	for n < min(len(entries), maxEntriesPerMessage) {
+		if bytes += entryBytes(entries[n]); n > 0 && bytes > maxBytesPerMessage {
+			break
+		}
+		n++
+	}
+	return slices.Clone(entries[:n])
+}
+
+// handleAppendResponse takes note of what a peer has, and sends it what it lacks.
+func (r *Raft) handleAppendResponse(m Message) {
+	p := r.peers.get(m.From)
+	if r.role != leader || p == nil {
+		return
+	}
+	p.recordContact(r.now, m)
+	p.answeredRound = max(p.answeredRound, m.HeartbeatRound)
+	p.recordReturn(m)
+	if m.Reject {
+		r.handleRejection(p, m.Hint)
+	} else {
+		r.handleAcknowledgement(p, m.Index)
+	}
+	r.confirmReads()
+	r.grantLeaves()
+}
+
+// handleRejection goes back to where a peer's log may agree, but not in front of what it has acknowledged. Only one attempt is made
+// until it is answered or a heartbeat is due: all that was in flight is rejected, too.
+func (r *Raft) handleRejection(p *progress, hint uint64) {
+	p.next = max(p.match+1, min(hint+1, r.log.lastIndex()+1))
+	p.inflight = nil
+	if !p.paused {
+		r.replicateTo(p)
+		p.paused = true
+	}
+}
+
+func (r *Raft) handleAcknowledgement(p *progress, index uint64) {
+	p.acknowledge(index)
+	p.next = max(p.next, p.match+1)
+	p.paused = false
+	r.advanceCommit()
+	if r.role == leader && p.next <= r.log.lastIndex() {
+		r.replicateTo(p)
+	}
+}
+
+// advanceCommit commits what a quorum has on disk. Only an entry of the leader's own term is committed by counting, and those before
+// it with it: an entry of an earlier term may be held by a majority and yet be replaced by a leader that lacks it (Raft paper,
+// section 5.4.2).
+func (r *Raft) advanceCommit() {
+	for index := r.log.lastIndex(); index > r.log.committed; index-- {
+		if term, _ := r.log.termAt(index); term != r.term {
+			return
+		}
+		if r.log.configuration.hasQuorum(func(id ID) bool { return r.matchIndex(id) >= index }) {
+			r.log.committed = index
+			r.Flush()
+			r.continueConfigurationChange()
+			return
+		}
+	}
+}
+
+// matchIndex is up to where a voter has the leader's log on disk. The leader's own disk may lag behind its peers' (dissertation,
+// section 10.2.1).
+func (r *Raft) matchIndex(id ID) uint64 {
+	if id == r.config.Self.ID {
+		return r.log.savedIndex
+	}
+	if p := r.peers.get(id); p != nil {
+		return p.match
+	}
+	return 0
+}
+
+// hasCommittedOwnTerm reports whether an entry of the leader's own term is committed. Until then it does not know what earlier
+// leaders have committed (Raft paper, section 8).
+func (r *Raft) hasCommittedOwnTerm() bool {
+	term, _ := r.log.termAt(r.log.committed)
+	return term == r.term
+}
--- a/internal/mesh/raft/schedule_test.go
+++ b/internal/mesh/raft/schedule_test.go
@@ -130,9 +130,9 @@
 	}
 	for _, p := range c.peers {
 		if !p.isVoter && p.isJoining && c.isCaughtUp(p) {
-			to := slices.Clone(c.configuration.Members)
+			to := slices.Clone(c.log.configuration.Members)
 			to[s.rng.IntN(len(to))] = p.Member
-			c.proposeConfiguration(Configuration{Members: to, Outgoing: c.configuration.Members, ProtocolVersion: ProtocolVersion})
+			c.proposeConfiguration(Configuration{Members: to, Outgoing: c.log.configuration.Members, ProtocolVersion: ProtocolVersion})
 			return s.processReady(i, noCrash, s.faults)
 		}
 	}
@@ -168,7 +168,7 @@
 			continue
 		}
 		delete(s.leaving, i)
-		if n.raft.leaveGranted {
+		if n.raft.leave.granted {
 			agreed := s.latestCommittedConfiguration()
 			stay := slices.DeleteFunc(slices.Clone(agreed.Members), func(m Member) bool { return m.ID == n.self.ID })
 			if agreed.isVoter(n.self.ID) && !hasMajority(stay, func(id ID) bool { return s.stores(id, s.acknowledgedIndex) }) {
@@ -321,7 +321,7 @@
 			return nil // it may lead no more
 		}
 	}
-	members := s.nodes[lead].raft.configuration.voters()
+	members := s.nodes[lead].raft.log.configuration.voters()
 	if len(members) < 3 || !s.nodes[lead].raft.IsCaughtUpLeader() {
 		return nil
 	}
@@ -343,7 +343,7 @@
 // compact has one register forget the beginning of its log.
 func (s *randomSchedule) compact() error {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
-	if at := n.raft.AppliedIndex(); at > n.raft.snapshot.Index {
+	if at := n.raft.AppliedIndex(); at > n.raft.log.snapshot.Index {
 		n.compact(fmt.Append(nil, "state at ", at))
 		if err := s.checkSnapshot(n.snapshot); err != nil {
 			return fmt.Errorf("%d makes %w", n.self.ID, err)
--- a/internal/mesh/raft/search_test.go
+++ b/internal/mesh/raft/search_test.go
@@ -76,9 +76,9 @@
 	c := *n.raft
 	rng := *n.raft.rng
 	c.rng = &rng
-	c.entries = slices.Clone(c.entries)
-	c.configuration.Members = slices.Clone(c.configuration.Members)
-	c.pendingReads = slices.Clone(c.pendingReads)
+	c.log.entries = slices.Clone(c.log.entries)
+	c.log.configuration.Members = slices.Clone(c.log.configuration.Members)
+	c.reads = slices.Clone(c.reads)
 	if c.votes != nil {
 		c.votes = map[ID]bool{}
 		for k, v := range n.raft.votes {
@@ -141,19 +141,19 @@
 	}
 	for _, n := range w.nodes {
 		c := n.raft
-		put(uint64(c.config.Self.ID), uint64(c.role), c.term, uint64(c.vote), uint64(c.leaderID), c.committed, c.applied, c.savedIndex, c.configuration.Index, uint64(len(c.configuration.Members)), uint64(len(c.configuration.Outgoing)), c.snapshot.Index)
-		for _, e := range c.entries {
+		put(uint64(c.config.Self.ID), uint64(c.role), c.term, uint64(c.vote), uint64(c.leaderID), c.log.committed, c.log.applied, c.log.savedIndex, c.log.configuration.Index, uint64(len(c.log.configuration.Members)), uint64(len(c.log.configuration.Outgoing)), c.log.snapshot.Index)
+		for _, e := range c.log.entries {
 			put(e.Index, e.Term, uint64(e.Kind), uint64(len(e.Members)))
 			b = append(b, e.Data...)
 		}
-		for _, m := range c.configuration.voters() {
+		for _, m := range c.log.configuration.voters() {
 			put(uint64(m.ID))
 			if p := c.peers.get(m.ID); p != nil {
 				put(p.match, p.next, flag(p.paused))
 			}
 			put(flag(c.votes[m.ID]))
 		}
-		for _, m := range c.configuration.Outgoing {
+		for _, m := range c.log.configuration.Outgoing {
 			put(uint64(m.ID))
 		}
 		for _, p := range c.peers {
@@ -163,9 +163,9 @@
 			}
 		}
 		if c.incoming != nil {
-			put(c.incoming.index, uint64(len(c.incoming.data)))
+			put(c.incoming.position.index, uint64(len(c.incoming.data)))
 		}
-		put(flag(c.leaving), flag(c.leaveGranted))
+		put(flag(c.leave.requested), flag(c.leave.granted))
 		put(n.hardState.Term, uint64(n.hardState.Vote), n.snapshot.Index, uint64(len(n.log)), uint64(n.wiped))
 	}
 	msgs := make([]string, 0, len(w.network))
@@ -296,7 +296,7 @@
 			w.applied[e.Index] = text
 			n.appliedIndex = e.Index
 			if e.Kind == EntryConfiguration {
-				w.configurations[e.Index] = configurationOf(e)
+				w.configurations[e.Index] = e.configuration()
 			}
 			if n.raft.IsLeader() {
 				if e.Index > w.acknowledgedIndex {
@@ -328,7 +328,7 @@
 			return fmt.Errorf("term %d has two leaders, %d and %d", n.raft.Term(), was, n.self.ID)
 		}
 		w.leaders[n.raft.Term()] = n.self.ID
-		if n.raft.lastIndex() < w.acknowledgedIndex && n.raft.Term() > w.acknowledgedTerm {
+		if n.raft.log.lastIndex() < w.acknowledgedIndex && n.raft.Term() > w.acknowledgedTerm {
 			return fmt.Errorf("the leader of term %d lacks entry %d, which was acknowledged", n.raft.Term(), w.acknowledgedIndex)
 		}
 	}
@@ -391,7 +391,7 @@
 				x := v.nodes[i].raft
 				v.readFloor[id] = v.acknowledgedIndex
 				if p.localLease && x.HasQuorumContact(v.nodes[i].now) {
-					x.readStates = append(x.readStates, ReadState{id, x.committed})
+					x.answerRead(ReadState{RequestID: id, Index: x.log.committed})
 				} else if !x.ReadIndex(v.nodes[i].now, id) {
 					return nil
 				}
--- /dev/null
+++ b/internal/mesh/raft/snapshot_receive.go
@@ -0,0 +1,79 @@
+package raft
+
+import "hash/crc32"
+
+// incomingSnapshot is a snapshot of which some chunks have come.
+type incomingSnapshot struct {
+	position   position
+	totalBytes uint64
+	checksum   uint32
+	data       []byte
+}
+
+// contains reports whether a chunk is part of the snapshot.
+func (s *incomingSnapshot) contains(m Message) bool {
+	return s != nil && s.position == position{m.Snapshot.Index, m.Snapshot.Term} &&
+		s.totalBytes == m.TotalBytes && s.checksum == m.Checksum
+}
+
+// handleInstallSnapshot takes a snapshot in one message, unless what it stands for is committed here already.
+func (r *Raft) handleInstallSnapshot(m Message) {
+	if snapshot := m.Snapshot; snapshot != nil && snapshot.Index > r.log.committed && len(snapshot.Members) > 0 {
+		r.restoreSnapshot(*snapshot)
+	}
+	r.sendAfterSave(Message{Kind: AppendResponse, To: m.From, Term: r.term, Index: r.log.committed, HeartbeatRound: m.HeartbeatRound})
+}
+
+// handleSnapshotChunk takes a chunk, if it is the next one. The last chunk installs the snapshot, if its checksum is right.
+func (r *Raft) handleSnapshotChunk(m Message) {
+	snapshot := m.Snapshot
+	if snapshot == nil || len(snapshot.Members) == 0 || m.TotalBytes > maxSnapshotBytes ||
+		m.Offset+uint64(len(snapshot.Data)) > m.TotalBytes {
+		return
+	}
+	if snapshot.Index <= r.log.committed { // it would undo what is committed
+		r.incoming = nil
+		r.acknowledgeSnapshot(m)
+		return
+	}
+	if !r.incoming.contains(m) {
+		r.incoming = &incomingSnapshot{
+			position:   position{snapshot.Index, snapshot.Term},
+			totalBytes: m.TotalBytes,
+			checksum:   m.Checksum,
+		}
+	}
+	incoming := r.incoming
+	reply := Message{Kind: SnapshotChunkResponse, To: m.From, Term: r.term, Index: snapshot.Index, LogTerm: snapshot.Term}
+	if m.Offset == uint64(len(incoming.data)) {
+		incoming.data = append(incoming.data, snapshot.Data...)
+	} else {
+		reply.Reject = m.Offset > uint64(len(incoming.data)) // else it has come before
+	}
+	reply.Offset = uint64(len(incoming.data))
+	if reply.Offset < incoming.totalBytes {
+		r.sendAfterSave(reply)
+		return
+	}
+	r.incoming = nil
+	if crc32.Checksum(incoming.data, castagnoli) != incoming.checksum {
+		reply.Reject, reply.Offset = true, 0
+		r.sendAfterSave(reply)
+		return
+	}
+	complete := *snapshot
+	complete.Data = incoming.data
+	r.restoreSnapshot(complete)
+	r.acknowledgeSnapshot(m)
+}
+
+// acknowledgeSnapshot tells the leader up to where this member agrees with it: what is committed, and no more. Entries behind a
+// snapshot may be of another leader.
+func (r *Raft) acknowledgeSnapshot(m Message) {
+	r.sendAfterSave(Message{Kind: AppendResponse, To: m.From, Term: r.term, Index: r.log.committed})
+}
+
+func (r *Raft) restoreSnapshot(snapshot Snapshot) {
+	r.log.restore(snapshot)
+	r.incoming = nil
+}
--- /dev/null
+++ b/internal/mesh/raft/step.go
@@ -0,0 +1,128 @@
+package raft
+
+import "time"
+
+// Step takes a message of another member.
+func (r *Raft) Step(now time.Duration, m Message) {
+	r.advanceTime(now)
+	switch {
+	case m.Kind == JoinRequest: // its sender knows an address, and no ID
+		r.handleJoinRequest(m)
+		return
+	case m.To != r.config.Self.ID:
+		return // meant for a member that was at this address before
+	case m.Kind == NotMember:
+		r.handleNotMember(m)
+		return
+	case m.Kind == PreVote: // a pre-vote and its response change no term (dissertation, section 9.6)
+		r.handlePreVote(m)
+		return
+	case m.Kind == PreVoteResponse:
+		r.handlePreVoteResponse(m)
+		return
+	case m.Term > r.term:
+		if m.Kind == RequestVote && r.isDisruptive(m) {
+			r.sendNotMember(m)
+			return
+		}
+		r.changeRole(follower, m.Term, 0)
+	case m.Term < r.term:
+		r.rejectStaleTerm(m)
+		return
+	}
+	r.stepCurrentTerm(m)
+}
+
+// rejectStaleTerm tells the sender of an earlier term of the present one (Raft paper, section 5.1).
+func (r *Raft) rejectStaleTerm(m Message) {
+	switch m.Kind {
+	case AppendEntries, InstallSnapshot, SnapshotChunk:
+		r.sendAfterSave(Message{Kind: AppendResponse, To: m.From, Term: r.term, Reject: true, Hint: r.log.lastIndex()})
+	case RequestVote:
+		r.sendAfterSave(Message{Kind: VoteResponse, To: m.From, Term: r.term, Reject: true})
+	default: // responses and requests to the leader of an earlier term
+	}
+}
+
+// stepCurrentTerm takes a message of the present term.
+func (r *Raft) stepCurrentTerm(m Message) {
+	switch m.Kind {
+	case AppendEntries:
+		r.recordLeader(m)
+		r.handleAppendEntries(m)
+	case InstallSnapshot:
+		r.recordLeader(m)
+		r.handleInstallSnapshot(m)
+	case SnapshotChunk:
+		r.recordLeader(m)
+		r.handleSnapshotChunk(m)
+	case SnapshotChunkResponse:
+		r.handleSnapshotChunkResponse(m)
+	case AppendResponse:
+		r.handleAppendResponse(m)
+	case TimeoutNow:
+		r.handleTimeoutNow(m)
+	case RequestVote:
+		r.handleRequestVote(m)
+	case VoteResponse:
+		r.handleVoteResponse(m)
+	case LeaveRequest:
+		r.handleLeaveRequest(m)
+	case LeaveGranted:
+		r.handleLeaveGranted(m)
+	case JoinRequest, NotMember, PreVote, PreVoteResponse: // Step takes these whatever their term
+	}
+}
+
+// Tick lets time pass. It is to be called several times in each heartbeat interval.
+func (r *Raft) Tick(now time.Duration) {
+	r.advanceTime(now)
+	if r.leave.requested {
+		r.advanceLeave()
+	}
+	if r.role == leader {
+		r.tickLeader()
+		return
+	}
+	if r.mustJoin() {
+		r.requestJoin()
+	}
+	if now < r.electionDeadline {
+		return
+	}
+	r.leaderID = 0
+	if r.mustJoin() {
+		r.resetElectionDeadline()
+	} else {
+		r.campaign(campaignPreElection)
+	}
+}
+
+// tickLeader sends heartbeats that are due. A leader that has not heard a quorum for long steps down, so that its clients look for
+// another one (dissertation, section 6.2).
+func (r *Raft) tickLeader() {
+	span := 2 * r.config.ElectionTimeout
+	if r.now-r.leading.electedAt > span && !r.isQuorumActive(r.now, span) {
+		r.changeRole(follower, r.term, 0)
+		return
+	}
+	if r.now >= r.leading.nextHeartbeatAt {
+		r.leading.committedAtHeartbeat = r.log.committed
+		r.broadcastHeartbeat()
+	}
+	r.maintainMembership()
+}
+
+// changeRole takes a role in a term, which is the present one or a later one.
+func (r *Raft) changeRole(to role, term uint64, leaderID ID) {
+	if term > r.term {
+		r.term, r.vote = term, 0
+		r.outbox.hardStateUnsaved = true
+	}
+	if r.role == leader && to != leader {
+		r.rejectReads()
+		r.peers = nil
+	}
+	r.role, r.leaderID = to, leaderID
+	r.resetElectionDeadline()
+}
--- a/internal/mesh/raft/transfer_test.go
+++ b/internal/mesh/raft/transfer_test.go
@@ -222,7 +222,7 @@
 			deliverAll(t, w)
 		}
 	}
-	assert.Assert(t, third.raft.AppliedIndex() >= w.acknowledgedIndex && third.raft.lastTerm() == w.nodes[0].raft.lastTerm())
+	assert.Assert(t, third.raft.AppliedIndex() >= w.acknowledgedIndex && third.raft.log.lastTerm() == w.nodes[0].raft.log.lastTerm())
 }
 
 // What a snapshot would undo, or that says nothing of members, is refused; so is one whose bytes were changed.
@@ -237,20 +237,20 @@
 	assert.NilError(t, w.processReady(0, noCrash, modelFaults{}))
 	deliverAll(t, w)
 	c := w.nodes[1].raft
-	commit, last := c.committed, c.lastIndex()
+	commit, last := c.log.committed, c.log.lastIndex()
 	assert.Assert(t, commit > 2)
 	for _, s := range []Snapshot{
-		{Index: commit - 1, Term: 1, ConfigurationIndex: 1, Members: c.configuration.Members, Data: []byte("old")},
+		{Index: commit - 1, Term: 1, ConfigurationIndex: 1, Members: c.log.configuration.Members, Data: []byte("old")},
 		{Index: 100, Term: 1, ConfigurationIndex: 1, Data: []byte("of nobody")},
 	} {
 		m := Message{From: 1, To: 2, Term: c.term, Snapshot: &s, TotalBytes: uint64(len(s.Data))}
 		for _, m.Kind = range []MessageKind{InstallSnapshot, SnapshotChunk} {
 			c.Step(w.nodes[1].now, m)
 			r := c.Ready()
-			assert.Assert(t, r.Snapshot == nil && c.lastIndex() == last && c.committed == commit && len(c.configuration.Members) == 3)
+			assert.Assert(t, r.Snapshot == nil && c.log.lastIndex() == last && c.log.committed == commit && len(c.log.configuration.Members) == 3)
 		}
 	}
-	s := Snapshot{Index: 100, Term: 1, ConfigurationIndex: 1, Members: c.configuration.Members, Data: []byte("changed")}
+	s := Snapshot{Index: 100, Term: 1, ConfigurationIndex: 1, Members: c.log.configuration.Members, Data: []byte("changed")}
 	c.Step(w.nodes[1].now, Message{Kind: SnapshotChunk, From: 1, To: 2, Term: c.term, Snapshot: &s, TotalBytes: 7, Checksum: 1})
 	r := c.Ready()
 	assert.Assert(t, r.Snapshot == nil && len(r.MessagesAfterSave) == 1 && r.MessagesAfterSave[0].Kind == SnapshotChunkResponse && r.MessagesAfterSave[0].Reject && r.MessagesAfterSave[0].Offset == 0)
@@ -272,7 +272,7 @@
 	}
 	assert.Assert(t, bytes >= maxInflightBytes && bytes <= maxInflightBytes+maxBytesPerMessage, "%d", bytes)
 	deliverAll(t, w)
-	assert.Equal(t, w.nodes[1].raft.lastIndex(), c.lastIndex())
+	assert.Equal(t, w.nodes[1].raft.log.lastIndex(), c.log.lastIndex())
 }
 
 // A leader does not commit by counting what a leader before it added: a third that lacks it may still be elected.
@@ -282,17 +282,17 @@
 	c.Propose(w.nodes[0].now, []byte("of the first term"))
 	assert.NilError(t, w.processReady(0, noCrash, modelFaults{}))
 	w.network = nil
-	index := c.lastIndex()
+	index := c.log.lastIndex()
 	c.changeRole(follower, c.term, 0)
-	c.campaign(candidate)
+	c.campaign(campaignElection)
 	assert.NilError(t, w.processReady(0, noCrash, modelFaults{}))
 	c.Step(w.nodes[0].now, Message{Kind: VoteResponse, From: 2, To: 1, Term: c.term})
 	assert.NilError(t, w.processReady(0, noCrash, modelFaults{}))
-	assert.Assert(t, c.IsLeader() && c.lastIndex() == index+1)
+	assert.Assert(t, c.IsLeader() && c.log.lastIndex() == index+1)
 	c.Step(w.nodes[0].now, Message{Kind: AppendResponse, From: 2, To: 1, Term: c.term, Index: index})
-	assert.Assert(t, c.committed < index)
+	assert.Assert(t, c.log.committed < index)
 	c.Step(w.nodes[0].now, Message{Kind: AppendResponse, From: 2, To: 1, Term: c.term, Index: index + 1})
-	assert.Equal(t, c.committed, index+1)
+	assert.Equal(t, c.log.committed, index+1)
 }
 
 // A core starts with the log that its disk keeps in front of the snapshot, and sends it.
