--- a/internal/mesh/idempotency/golden_test.go
+++ b/internal/mesh/idempotency/golden_test.go
@@ -27,10 +27,10 @@
 	Refused  int    `json:"refused"`
 	Released int    `json:"released"`
 	Held     int    `json:"held"` // at the end
-	Hash     string `json:"hash"` // over each answer and, now and then, all that is held
+	Hash     string `json:"hash"` // over each result and, now and then, all leases
 }
 
-// TestGolden plays drawn requests by seed and compares the answers and what is held with the record under testdata. The hashes
+// TestGolden plays drawn requests by seed and compares the results and the leases with the record under testdata. The hashes
 // are over values alone, so that they outlast any renaming. After a change that is meant: go test -run TestGolden -update.
 func TestGolden(t *testing.T) {
 	var runs []goldenRun
@@ -42,47 +42,47 @@
 	golden.Assert(t, string(text)+"\n", "golden.json")
 }
 
-// playGolden plays one seed. The store is read back from what it holds now and then, as after a restart.
+// playGolden plays one seed. Now and then the store is restored from its leases, as after a restart.
 func playGolden(seed uint64) goldenRun {
 	random := rand.New(rand.NewPCG(seed, 0x901d))
 	sum := sha256.New()
 	run := goldenRun{Seed: seed}
-	b := New()
+	store := New()
 	now := time.Duration(0)
-	keys, tickets := 1+random.IntN(40), 1+random.IntN(6)
+	keys, tokens := 1+random.IntN(40), 1+random.IntN(6)
 	for range goldenRequests {
 		now += time.Duration(random.Int64N(int64(200 * time.Millisecond)))
-		c := drawRequest(random, keys, tickets)
-		g := b.Apply(now, c)
+		request := drawRequest(random, keys, tokens)
+		result := store.Apply(now, request)
 		switch {
-		case c.Release:
+		case request.Release:
 			run.Released++
-		case g.Granted:
+		case result.Granted:
 			run.Granted++
 		default:
 			run.Refused++
 		}
-		fmt.Fprintf(sum, "%t\n", g.Granted)
-		hashHeld(sum, g.Current)
+		fmt.Fprintf(sum, "%t\n", result.Granted)
+		hashLease(sum, result.Current)
 		switch random.IntN(100) {
 		case 0:
-			b = Restore(b.Leases())
+			store = Restore(store.Leases())
 		case 1:
-			for _, h := range b.Leases() {
-				hashHeld(sum, h)
+			for _, lease := range store.Leases() {
+				hashLease(sum, lease)
 			}
 		}
 	}
-	run.Held = b.Len()
+	run.Held = store.Len()
 	run.Hash = hex.EncodeToString(sum.Sum(nil))
 	return run
 }
 
-// drawRequest is a request for one of a few keys, by one of a few tickets.
-func drawRequest(random *rand.Rand, keys, tickets int) LeaseRequest {
+// drawRequest is a request for one of a few keys, by one of a few tokens.
+func drawRequest(random *rand.Rand, keys, tokens int) LeaseRequest {
 	return LeaseRequest{
 		Key:     fmt.Sprint("key-", random.IntN(keys)),
-		Token:   fmt.Sprint("ticket-", random.IntN(tickets)),
+		Token:   fmt.Sprint("ticket-", random.IntN(tokens)),
 		Attempt: uint32(random.IntN(3)),
 		Holder:  fmt.Sprint("holder-", random.IntN(3)),
 		Release: random.IntN(5) == 0,
@@ -90,6 +90,7 @@
 	}
 }
 
-func hashHeld(sum hash.Hash, h Lease) {
-	fmt.Fprintf(sum, "%q %q %d %q %t %d %d\n", h.Key, h.Token, h.Attempt, h.Holder, h.Release, h.Window, h.GrantedAt)
+func hashLease(sum hash.Hash, lease Lease) {
+	fmt.Fprintf(sum, "%q %q %d %q %t %d %d\n",
+		lease.Key, lease.Token, lease.Attempt, lease.Holder, lease.Release, lease.Window, lease.GrantedAt)
 }
--- a/internal/mesh/idempotency/planted_test.go
+++ b/internal/mesh/idempotency/planted_test.go
@@ -6,72 +6,72 @@
 	"cranegrade/internal/testkit/mutation"
 )
 
-// Each error in who is granted a key is found by a test of this package.
+// TestPlantedErrors shows that each error in who is granted a lease is found by a test of this package.
 func TestPlantedErrors(t *testing.T) {
 	mutation.Run(t, []mutation.Mutation{
 		{
-			Name: "a key granted to another request in its window", File: "ticket.go", KilledBy: "TestAllOrders",
-			Original:    "		h.Ticket == c.Ticket && h.Nth < c.Nth,",
-			Replacement: "		h.Nth < c.Nth,",
+			Name: "a key granted to another request in its window", File: "store.go", KilledBy: "TestAllOrdersOfRequests",
+			Original:    "	if l.Token != request.Token {\n		return false\n	}\n",
+			Replacement: "	if l.Token != request.Token {\n		return l.Attempt < request.Attempt\n	}\n",
 		},
 		{
-			Name: "a key granted again to another holder of one attempt", File: "ticket.go", KilledBy: "TestAttemptsOfOneToken",
-			Original:    "h.Ticket == c.Ticket && h.Nth == c.Nth && h.Holder == c.Holder:",
-			Replacement: "h.Ticket == c.Ticket && h.Nth == c.Nth:",
+			Name: "a key granted again to another holder of one attempt", File: "store.go", KilledBy: "TestAttemptsOfOneToken",
+			Original:    "l.Attempt == request.Attempt && l.Holder == request.Holder",
+			Replacement: "l.Attempt == request.Attempt",
 		},
 		{
-			Name: "a key granted to an attempt before the one that holds it", File: "ticket.go", KilledBy: "TestAttemptsOfOneToken",
-			Original:    "h.Ticket == c.Ticket && h.Nth < c.Nth,",
-			Replacement: "h.Ticket == c.Ticket && h.Nth != c.Nth,",
+			Name: "a key granted to an attempt before the one that holds it", File: "store.go", KilledBy: "TestAttemptsOfOneToken",
+			Original:    "return l.Attempt < request.Attempt ||",
+			Replacement: "return l.Attempt != request.Attempt ||",
 		},
 		{
-			Name: "a repeated claim refused", File: "ticket.go", KilledBy: "TestAllOrders",
-			Original:    "h.Ticket == c.Ticket && h.Nth == c.Nth && h.Holder == c.Holder: // it asks",
-			Replacement: "false: // it asks",
+			Name: "a repeated request refused", File: "store.go", KilledBy: "TestAllOrdersOfRequests",
+			Original:    "return l.Attempt < request.Attempt || l.Attempt == request.Attempt && l.Holder == request.Holder",
+			Replacement: "return l.Attempt < request.Attempt",
 		},
 		{
-			Name: "a window that never ends", File: "ticket.go", KilledBy: "TestWindow",
-			Original:    "return now-h.Stamp > h.window() }",
+			Name: "a lease that never ends", File: "store.go", KilledBy: "TestLeaseEndsWithItsWindow",
+			Original:    "return now-l.GrantedAt > l.duration() }",
 			Replacement: "return false }",
 		},
 		{
-			Name: "a window that ends too soon", File: "ticket.go", KilledBy: "TestWindow",
-			Original:    "return now-h.Stamp > h.window() }",
-			Replacement: "return now-h.Stamp >= h.window() }",
+			Name: "a lease that ends too soon", File: "store.go", KilledBy: "TestLeaseEndsWithItsWindow",
+			Original:    "return now-l.GrantedAt > l.duration() }",
+			Replacement: "return now-l.GrantedAt >= l.duration() }",
 		},
 		{
-			Name: "a claim without a window that holds nothing", File: "ticket.go", KilledBy: "TestDefaultWindow",
-			Original:    "		return unnamed\n",
+			Name: "a request without a window that holds nothing", File: "store.go", KilledBy: "TestDefaultWindow",
+			Original:    "		return defaultWindow\n",
 			Replacement: "		return 0\n",
 		},
 		{
-			Name: "a release by another request", File: "ticket.go", KilledBy: "TestAllOrders",
-			Original:    "if is && h.Ticket == c.Ticket && h.Nth == c.Nth {",
-			Replacement: "if is && h.Nth == c.Nth {",
+			Name: "a release by another request", File: "store.go", KilledBy: "TestAllOrdersOfRequests",
+			Original:    "if held && lease.Token == request.Token && lease.Attempt == request.Attempt {",
+			Replacement: "if held && lease.Attempt == request.Attempt {",
 		},
 		{
-			Name: "a release by another attempt", File: "ticket.go", KilledBy: "TestAttemptsOfOneToken",
-			Original:    "if is && h.Ticket == c.Ticket && h.Nth == c.Nth {",
-			Replacement: "if is && h.Ticket == c.Ticket {",
+			Name: "a release by another attempt", File: "store.go", KilledBy: "TestAttemptsOfOneToken",
+			Original:    "if held && lease.Token == request.Token && lease.Attempt == request.Attempt {",
+			Replacement: "if held && lease.Token == request.Token {",
 		},
 		{
-			Name: "what is past its window kept", File: "ticket.go", KilledBy: "TestWindow",
-			Original:    "		b.first = min(b.first, now+b.held[c.Key].window())\n",
+			Name: "expired leases kept", File: "store.go", KilledBy: "TestLeaseEndsWithItsWindow",
+			Original:    "	s.earliestExpiry = min(s.earliestExpiry, now+lease.duration())\n",
 			Replacement: "",
 		},
 		{
-			Name: "a sweep of what is within its window", File: "ticket.go", KilledBy: "TestDefaultWindow",
-			Original:    "		if h.over(now) {\n			delete(b.held, k)",
-			Replacement: "		if now > 0 {\n			delete(b.held, k)",
+			Name: "a sweep of leases that have not expired", File: "store.go", KilledBy: "TestDefaultWindow",
+			Original:    "		if lease.isExpired(now) {\n			delete",
+			Replacement: "		if now > 0 {\n			delete",
 		},
 		{
-			Name: "a full book that grants", File: "ticket.go", KilledBy: "TestFullStoreGrantsNothing",
-			Original:    "case !is && len(b.held) >= MostHeld: // all",
-			Replacement: "case false: // all",
+			Name: "a full store that grants", File: "store.go", KilledBy: "TestFullStoreGrantsNothing",
+			Original:    "case !held && len(s.leases) >= MaxLeases:",
+			Replacement: "case false:",
 		},
 		{
-			Name: "a full book that is not swept", File: "ticket.go", KilledBy: "TestFullStoreGrantsNothing",
-			Original:    " || len(b.held) >= MostHeld {",
+			Name: "a full store that is not swept", File: "store.go", KilledBy: "TestFullStoreGrantsNothing",
+			Original:    " || len(s.leases) >= MaxLeases {",
 			Replacement: " {",
 		},
 	})
