--- a/internal/mesh/operations/operations_test.go
+++ b/internal/mesh/operations/history_test.go
@@ -9,46 +9,47 @@
 	"gotest.tools/v3/assert"
 )
 
+// operation returns an operation of a version with a content.
 func operation(version int64, content string) Operation {
 	return Operation{Version: version, Digest: DigestOf([]byte(content)), LogTime: time.Duration(version) * time.Second}
 }
 
-// A history gives each operation its verdict, in whatever order they were taken, and after some were forgotten it says that
-// it can't tell rather than that they are new.
+// TestClassify shows that a history classifies operations whatever the order in which they were accepted, and that those which may have
+// been forgotten are Unknown, not New.
 func TestClassify(t *testing.T) {
 	var h *History
 	for _, version := range []int64{5, 2, 9} {
 		h = h.With(operation(version, "x"))
 	}
-	h = h.With(operation(5, "y")) // a version is taken once
-	judge := func(version int64, content string) Classification {
+	h = h.With(operation(5, "y")) // a version is accepted once
+	classify := func(version int64, content string) Classification {
 		return h.Classify(version, DigestOf([]byte(content)))
 	}
-	assert.Equal(t, judge(5, "x"), Duplicate)
-	assert.Equal(t, judge(5, "y"), Conflict)
-	assert.Equal(t, judge(3, "x"), New)
+	assert.Equal(t, classify(5, "x"), Duplicate)
+	assert.Equal(t, classify(5, "y"), Conflict)
+	assert.Equal(t, classify(3, "x"), New)
 	before := h
 	h = h.Without(5).Without(5)
-	assert.Equal(t, judge(5, "x"), Unknown)
-	assert.Equal(t, judge(5, "y"), Unknown)
-	assert.Equal(t, judge(3, "z"), Unknown)
-	assert.Equal(t, judge(2, "x"), Duplicate)
-	assert.Equal(t, judge(9, "y"), Conflict)
-	assert.Equal(t, judge(6, "x"), New)
-	assert.Equal(t, before.Classify(5, DigestOf([]byte("x"))), Duplicate) // a history that was made is not changed
+	assert.Equal(t, classify(5, "x"), Unknown)
+	assert.Equal(t, classify(5, "y"), Unknown)
+	assert.Equal(t, classify(3, "z"), Unknown)
+	assert.Equal(t, classify(2, "x"), Duplicate)
+	assert.Equal(t, classify(9, "y"), Conflict)
+	assert.Equal(t, classify(6, "x"), New)
+	assert.Equal(t, before.Classify(5, DigestOf([]byte("x"))), Duplicate) // a history is immutable
 	h = IncompleteThrough(7)
-	assert.Equal(t, judge(7, "x"), Unknown)
-	assert.Equal(t, judge(8, "x"), New)
+	assert.Equal(t, classify(7, "x"), Unknown)
+	assert.Equal(t, classify(8, "x"), New)
 }
 
-// The digest of one content differs from that of the same bytes cut elsewhere.
+// TestDigestOf shows that the same bytes in other parts have another digest.
 func TestDigestOf(t *testing.T) {
 	assert.Assert(t, DigestOf([]byte("ab"), []byte("c")) != DigestOf([]byte("a"), []byte("bc")))
 	assert.Assert(t, DigestOf([]byte("abc")) != DigestOf([]byte("abc"), nil))
 	assert.Equal(t, DigestOf([]byte("abc")), DigestOf([]byte("abc")))
 }
 
-// A history is read back as it was; what is none is refused.
+// TestEncode shows that a history is decoded as it was encoded, and that other bytes are refused.
 func TestEncode(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -60,11 +61,11 @@
 			h = h.Without(random.Int64N(40) - 20)
 		}
 		encoded := h.Encode()
-		again, err := Decode(encoded)
+		decoded, err := Decode(encoded)
 		assert.NilError(t, err)
 		for version := int64(-21); version <= 21; version++ {
 			for _, content := range []string{"x", "y"} {
-				assert.Equal(t, again.Classify(version, DigestOf([]byte(content))), h.Classify(version, DigestOf([]byte(content))))
+				assert.Equal(t, decoded.Classify(version, DigestOf([]byte(content))), h.Classify(version, DigestOf([]byte(content))))
 			}
 		}
 		for cut := range len(encoded) {
@@ -80,7 +81,7 @@
 	assert.Assert(t, errors.Is(err, ErrEncoding))
 }
 
-// Whatever the order in which operations are forgotten, nothing up to the highest of their versions is taken for new.
+// TestForgettingInAnyOrder shows that nothing up to the highest version that was forgotten is New, whichever was forgotten first.
 func TestForgettingInAnyOrder(t *testing.T) {
 	for _, order := range [][]int64{{2, 5}, {5, 2}} {
 		h := (*History)(nil).With(operation(2, "x")).With(operation(5, "x")).With(operation(9, "x"))
