--- a/internal/mesh/config/bench_test.go
+++ b/internal/mesh/config/bench_test.go
@@ -8,34 +8,34 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkCall is a first call of 10,000 routes: read from its text, taken from the log, and one change on top of it.
-func BenchmarkCall(b *testing.B) {
-	const routes = 10_000
-	var rules []string
-	for n := range routes {
-		rules = append(rules, rule(fmt.Sprintf("r-%06d", n), "s", 1, ""))
+// BenchmarkUpdate is a first request of 10,000 routes, parsed from its text and applied from the log, and one change on top of it.
+func BenchmarkUpdate(b *testing.B) {
+	const routeCount = 10_000
+	var routes []string
+	for n := range routeCount {
+		routes = append(routes, routeJSON(fmt.Sprintf("r-%06d", n), "s", 1, ""))
 	}
-	text := []byte(call(strings.Join(rules, ","), fmt.Sprintf(service, "s", 1)))
-	c, err := ParseUpdate(text)
+	text := []byte(upsertRequest(strings.Join(routes, ","), serviceJSON("s", 1)))
+	parsed, err := ParseUpdate(text)
 	assert.NilError(b, err)
-	logged := UpdateFromWire(UpdateToWire(c))
+	logged := UpdateFromWire(UpdateToWire(parsed))
 	table, _, _, err := Table{}.ApplyUpdate(logged)
 	assert.NilError(b, err)
-	one, err := ParseUpdate([]byte(call(rule("r-000007", "s", 2, ""), "")))
+	change, err := ParseUpdate([]byte(routeRequest("r-000007", "s", 2)))
 	assert.NilError(b, err)
-	b.Run("read", func(b *testing.B) {
+	b.Run("parse", func(b *testing.B) {
 		for b.Loop() {
-			ParseUpdate(text)
+			_, _ = ParseUpdate(text)
 		}
 	})
-	b.Run("take", func(b *testing.B) {
+	b.Run("apply", func(b *testing.B) {
 		for b.Loop() {
-			Table{}.ApplyUpdate(logged)
+			_, _, _, _ = Table{}.ApplyUpdate(logged)
 		}
 	})
 	b.Run("change", func(b *testing.B) {
 		for b.Loop() {
-			table.ApplyUpdate(one)
+			_, _, _, _ = table.ApplyUpdate(change)
 		}
 	})
 }
--- a/internal/mesh/config/diff.go
+++ b/internal/mesh/config/diff.go
@@ -1,123 +1,126 @@
 package config
 
 import (
-	"bytes"
-	"encoding/json"
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 )
 
-// Action is what a call would do to an item.
+// Action is what an update would do to an item. The values are part of the output of the operators' tool.
 type Action string
 
-// Verbs. Only the first four change anything; a call with a conflict is refused whole.
+// Actions. Only the first four change anything. An update with a conflict is refused as a whole.
 const (
 	ActionAdd          Action = "adds"
 	ActionChange       Action = "changes"
 	ActionRaiseVersion Action = "raises" // to a higher version with the same content
 	ActionDelete       Action = "drops"
-	ActionNone         Action = "leaves" // the same stands already
-	ActionOutdated     Action = "late"   // a higher version stands
+	ActionNone         Action = "leaves" // the item is the same already
+	ActionOutdated     Action = "late"   // a higher version is in the table
 	ActionConflict     Action = "conflicts"
 )
 
-// ItemDiff is what a call would do to one item.
+// ItemDiff is what an update would do to one item.
 type ItemDiff struct {
 	Action Action      `json:"verb"`
 	Kind   string      `json:"kind"`
 	Name   string      `json:"name"`
-	From   int64       `json:"from,omitempty"` // the version that stands
+	From   int64       `json:"from,omitempty"` // version in the table; 0 if it has none
 	To     int64       `json:"to"`
 	Fields []FieldDiff `json:"fields,omitempty"`
 }
 
-// FieldDiff is one field that differs.
+// FieldDiff is a field whose value differs.
 type FieldDiff struct {
 	Path   string `json:"path"`
-	Before any    `json:"was"` // nil: it was not there
-	After  any    `json:"is"`  // nil: it is not there any more
+	Before any    `json:"was"` // nil if the field was absent
+	After  any    `json:"is"`  // nil if the field is absent now
 }
 
-// Diff tells what a call would do to a table, item by item in the call's order.
-func Diff(t Table, items []Item) (l []ItemDiff) {
-	for _, i := range items {
-		was, is := t.items[i.Key]
-		d := ItemDiff{Kind: i.Kind.String(), Name: i.Key.Name, From: was.Version, To: i.Version}
-		switch {
-		case is && was.Version == i.Version && was.hasSameContent(i):
-			d.Action = ActionNone
-		case is && was.Version == i.Version:
-			d.Action = ActionConflict
-		case is && was.Version > i.Version:
-			d.Action = ActionOutdated
-		case i.Deleted:
-			d.Action = ActionDelete
-		case !is || was.Deleted:
-			d.Action = ActionAdd
-		default:
-			d.Action = ActionRaiseVersion
+// Diff returns what an update would do to a table, item by item in the order of the update.
+func Diff(table Table, items []Item) (diffs []ItemDiff) {
+	for _, item := range items {
+		diffs = append(diffs, diffItem(table, item))
+	}
+	return diffs
+}
+
+func diffItem(table Table, item Item) ItemDiff {
+	current, known := table.items[item.Key]
+	diff := ItemDiff{Kind: item.Kind.String(), Name: item.Name, From: current.Version, To: item.Version}
+	switch {
+	case known && current.Version == item.Version && current.hasSameContent(item):
+		diff.Action = ActionNone
+	case known && current.Version == item.Version:
+		diff.Action = ActionConflict
+		if !item.Deleted && !current.Deleted {
+			diff.Fields = diffFields(current, item)
 		}
-		if d.Action == ActionRaiseVersion || d.Action == ActionConflict && !i.Deleted && !was.Deleted {
-			if d.Fields = diffFields(was, i); len(d.Fields) > 0 && d.Action == ActionRaiseVersion {
-				d.Action = ActionChange
-			}
+	case known && current.Version > item.Version:
+		diff.Action = ActionOutdated
+	case item.Deleted:
+		diff.Action = ActionDelete
+	case !known || current.Deleted:
+		diff.Action = ActionAdd
+	default:
+		diff.Action = ActionRaiseVersion
+		if diff.Fields = diffFields(current, item); len(diff.Fields) > 0 {
+			diff.Action = ActionChange
 		}
-		l = append(l, d)
 	}
-	return l
+	return diff
 }
 
-// diffFields are those in which two contents differ, but for the version, by path.
-func diffFields(was, is Item) (l []FieldDiff) {
-	a, b := flatten(was), flatten(is)
+// versionField is the path of the version in an item's content. It differs with every change and is left out of a diff.
+const versionField = "ConfigVersion"
+
+// diffFields returns the fields in which two contents differ, ordered by path.
+func diffFields(before, after Item) (diffs []FieldDiff) {
+	old, changed := flatten(before), flatten(after)
 	paths := map[string]bool{}
-	for p := range a {
-		paths[p] = true
+	for path := range old {
+		paths[path] = true
 	}
-	for p := range b {
-		paths[p] = true
+	for path := range changed {
+		paths[path] = true
 	}
-	delete(paths, "ConfigVersion")
-	for p := range paths {
-		if fmt.Sprint(a[p]) != fmt.Sprint(b[p]) {
-			l = append(l, FieldDiff{p, a[p], b[p]})
+	delete(paths, versionField)
+	for _, path := range slices.Sorted(maps.Keys(paths)) {
+		if fmt.Sprint(old[path]) != fmt.Sprint(changed[path]) {
+			diffs = append(diffs, FieldDiff{path, old[path], changed[path]})
 		}
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i].Path < l[j].Path })
-	return l
+	return diffs
 }
 
-// flatten is a content by the paths of its leaves.
-func flatten(i Item) map[string]any {
-	out := map[string]any{}
-	if i.Host != "" {
-		out["HostName"] = i.Host
+// flatten returns the leaves of an item's content by their paths.
+func flatten(item Item) map[string]any {
+	leaves := map[string]any{}
+	if item.Host != "" {
+		leaves["HostName"] = item.Host
 	}
-	var v any
-	d := json.NewDecoder(bytes.NewReader(i.Body))
-	d.UseNumber()
-	if d.Decode(&v) != nil {
-		return out
+	var content any
+	if decodeJSON(item.Body, &content) == nil {
+		flattenInto(leaves, "", content)
 	}
-	var walk func(path string, v any)
-	walk = func(path string, v any) {
-		switch x := v.(type) {
-		case map[string]any:
-			for k, y := range x {
-				p := k
-				if path != "" {
-					p = path + "." + k
-				}
-				walk(p, y)
-			}
-		case []any:
-			for n, y := range x {
-				walk(fmt.Sprintf("%s[%d]", path, n), y)
+	return leaves
+}
+
+func flattenInto(leaves map[string]any, path string, value any) {
+	switch value := value.(type) {
+	case map[string]any:
+		for name, member := range value {
+			memberPath := name
+			if path != "" {
+				memberPath = path + "." + name
 			}
-		default:
-			out[path] = v
+			flattenInto(leaves, memberPath, member)
+		}
+	case []any:
+		for n, element := range value {
+			flattenInto(leaves, fmt.Sprintf("%s[%d]", path, n), element)
 		}
+	default:
+		leaves[path] = value
 	}
-	walk("", v)
-	return out
 }
--- a/internal/mesh/config/errors.go
+++ b/internal/mesh/config/errors.go
@@ -11,84 +11,96 @@
 	"cranegrade/internal/mesh/validation"
 )
 
-// Errors of this layer: the call's own fault; a version that has another content already, or a rule that another refuses; and
-// what is another's to change, or to consent to. ErrOpen: whether the call was taken before can't be told any more, so that it is
-// neither acknowledged nor refused.
+// Types of the errors of this package, for errors.Is.
 const (
-	ErrInvalid      = errors.ConstError("invalid")
-	ErrConflict     = errors.ConstError("conflict")
-	ErrForbidden    = errors.ConstError("forbidden")
+	// ErrInvalid is the type of errors that lie in the request itself. They are FieldErrors.
+	ErrInvalid = errors.ConstError("invalid")
+	// ErrConflict says that a version was accepted with another content, or that two policies contradict each other.
+	ErrConflict = errors.ConstError("conflict")
+	// ErrForbidden says that an item is another owner's to change, or that another owner has to consent.
+	ErrForbidden = errors.ConstError("forbidden")
+	// ErrUndetermined says that it can't be known any more whether the request was accepted before. The request is neither
+	// acknowledged nor refused.
 	ErrUndetermined = errors.ConstError("left open")
 )
 
-// FieldError is what is wrong with a call: the item, the field of it, and what was wanted. It is an ErrInvalid.
+// requestLabel names the request as a whole in messages.
+const requestLabel = "the call"
+
+// FieldError says what is wrong with an operator's request: the item, the field and what was wanted. Its type is ErrInvalid.
 type FieldError struct {
-	Line   int    // of the call's text, from 1; 0: not known
-	Item   string // "route NAME"
-	Field  string // by its path in the item; "": the item as a whole
+	Line   int    // of the request's text, from 1; 0 if not known
+	Item   string // kind and name, such as "route checkout"
+	Field  string // path of the field in the item; empty if the error is about the item as a whole
 	Reason string
 
-	source []byte // of the call, where the item stands
+	source []byte // part of the request's text that the item was read from
 }
 
-// Error is one line.
-func (f *FieldError) Error() string {
-	var b strings.Builder
-	if f.Line > 0 {
-		fmt.Fprintf(&b, "line %d: ", f.Line)
+// Error returns one line: line, item, field and reason.
+func (e *FieldError) Error() string {
+	var text strings.Builder
+	if e.Line > 0 {
+		fmt.Fprintf(&text, "line %d: ", e.Line)
 	}
-	b.WriteString(f.Item + ": ")
-	if f.Field != "" {
-		b.WriteString(f.Field)
-		if !strings.HasPrefix(f.Reason, "is ") {
-			b.WriteByte(':')
+	text.WriteString(e.Item + ": ")
+	if e.Field != "" {
+		text.WriteString(e.Field)
+		if !strings.HasPrefix(e.Reason, "is ") {
+			text.WriteByte(':')
 		}
-		b.WriteByte(' ')
+		text.WriteByte(' ')
 	}
-	b.WriteString(f.Reason)
-	return b.String()
+	text.WriteString(e.Reason)
+	return text.String()
 }
 
-// Is has a Fault be an ErrInvalid.
-func (f *FieldError) Is(target error) bool { return target == ErrInvalid }
+// Is reports that a FieldError is of type ErrInvalid.
+func (e *FieldError) Is(target error) bool { return target == ErrInvalid }
 
 func newFieldError(item, field, format string, args ...any) *FieldError {
 	return &FieldError{Item: item, Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// withSource says where in the call the item stands.
-func (f *FieldError) withSource(raw []byte) *FieldError {
-	f.source = raw
-	return f
+// withSource notes which part of the request the error is about, for locate.
+func (e *FieldError) withSource(source []byte) *FieldError {
+	e.source = source
+	return e
 }
 
-// locate finds the line of the field, or of the item if the field is not there.
-func (f *FieldError) locate(text []byte) {
-	at := bytes.Index(text, f.source)
-	if len(f.source) == 0 || at < 0 {
+// locate sets the line of the field or, where the text does not have the field, of the item.
+func (e *FieldError) locate(text []byte) {
+	offset := bytes.Index(text, e.source)
+	if len(e.source) == 0 || offset < 0 {
 		return
 	}
-	f.Line = max(1, validation.LineOf(f.source, f.Field)) + bytes.Count(text[:at], []byte("\n"))
+	e.Line = max(1, validation.LineOf(e.source, e.Field)) + bytes.Count(text[:offset], []byte("\n"))
+}
+
+// checkTags validates an item by its struct tags. It returns nil if the item is valid.
+func checkTags(item string, content any) *FieldError {
+	return fieldErrorOf(item, validation.Check(content))
 }
 
-// checkTags checks an item by its struct tags; the error names the item and the field. nil: it is fine.
-func checkTags(item string, v any) *FieldError {
-	if f := validation.Check(v); f != nil {
-		return newFieldError(item, f.Field, "%s", f.Text)
+// fieldErrorOf is the error of an item in which a fault was found. It is nil for a nil fault.
+func fieldErrorOf(item string, fault *validation.Fault) *FieldError {
+	if fault == nil {
+		return nil
 	}
-	return nil
+	return newFieldError(item, fault.Field, "%s", fault.Text)
 }
 
-// decodeError is a content that is no JSON of its type.
+// decodeError turns an error of encoding/json into a FieldError. The line is known if the text is given.
 func decodeError(item string, text []byte, err error) *FieldError {
-	f := newFieldError(item, "", "can't be read: %v", err)
-	var kind *json.UnmarshalTypeError
-	if errors.As(err, &kind) {
-		f.Field, f.Reason = kind.Field, fmt.Sprintf("is a %s; wanted: %s", kind.Value, kind.Type)
+	fieldError := newFieldError(item, "", "can't be read: %v", err)
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		fieldError.Field = typeError.Field
+		fieldError.Reason = fmt.Sprintf("is a %s; wanted: %s", typeError.Value, typeError.Type)
 	}
-	var syntax *json.SyntaxError
-	if errors.As(err, &syntax) && syntax.Offset > 0 && syntax.Offset <= int64(len(text)) {
-		f.Line = 1 + bytes.Count(text[:syntax.Offset], []byte("\n"))
+	var syntaxError *json.SyntaxError
+	if errors.As(err, &syntaxError) && syntaxError.Offset > 0 && syntaxError.Offset <= int64(len(text)) {
+		fieldError.Line = 1 + bytes.Count(text[:syntaxError.Offset], []byte("\n"))
 	}
-	return f
+	return fieldError
 }
--- a/internal/mesh/config/operations.go
+++ b/internal/mesh/config/operations.go
@@ -9,129 +9,122 @@
 	"cranegrade/internal/mesh/operations"
 )
 
-// digest is that of the item's content, without its version.
-func (i Item) digest() operations.Digest {
-	dropped := []byte{0}
-	if i.Deleted {
-		dropped[0] = 1
-	}
-	return operations.DigestOf(dropped, []byte(i.Host), i.Body)
-}
-
-// operation is the one that made the item what it is.
-func (i Item) operation() operations.Operation {
-	return operations.Operation{Version: i.Version, Digest: i.digest(), LogTime: i.LogTime}
-}
-
-// classifyItem tells what an item of a call is to what was taken before.
-func (t Table) classifyItem(i Item) operations.Classification {
-	stands, known := t.items[i.Key]
+// classifyItem compares an item of an update with the operations that were accepted for its key.
+func (t Table) classifyItem(item Item) operations.Classification {
+	current, known := t.items[item.Key]
 	switch {
-	case !known || i.Version > stands.Version:
+	case !known || item.Version > current.Version:
 		return operations.New
-	case i.Version < stands.Version:
-		return stands.history.Classify(i.Version, i.digest())
-	case stands.hasSameContent(i):
+	case item.Version < current.Version:
+		return current.history.Classify(item.Version, item.digest())
+	case current.hasSameContent(item):
 		return operations.Duplicate
 	}
 	return operations.Conflict
 }
 
-// classifyUpdate tells what a call is to what was taken before: Repeated if all its items were taken, Unknown if they may have been,
-// Conflicting if another content was taken under one of its versions, New otherwise. The error is why it may not be acknowledged
-// although it is valid, ErrConflict or ErrOpen; a New call has one if some of its items are Unknown.
-func (t Table) classifyUpdate(c Update) (operations.Classification, error) {
+// classifyUpdate compares an update with what was accepted before. It is Duplicate if all its items were accepted, Unknown if they
+// may have been, Conflict if another content was accepted under one of its versions, and otherwise New. The error says why the
+// update may not be acknowledged although it is valid, and is of type ErrConflict or ErrUndetermined; a New update has one if some
+// of its items are Unknown.
+func (t Table) classifyUpdate(update Update) (operations.Classification, error) {
 	var count [operations.Unknown + 1]int
-	var open error
-	for _, i := range c.Items {
-		verdict := t.classifyItem(i)
-		count[verdict]++
-		switch verdict {
+	var undetermined error
+	for _, item := range update.Items {
+		class := t.classifyItem(item)
+		count[class]++
+		switch class {
 		case operations.Conflict:
-			return verdict, errors.WithType(errors.Errorf("%s %s: version %d has another content already", i.Kind, i.Key.Name, i.Version), ErrConflict)
+			return class, versionConflict(item)
 		case operations.Unknown:
-			open = errors.WithType(errors.Errorf("%s %s: what was taken as version %d is not remembered any more", i.Kind, i.Key.Name, i.Version), ErrUndetermined)
+			undetermined = errors.WithType(
+				errors.Errorf("%s: what was taken as version %d is not remembered any more", item.label(), item.Version), ErrUndetermined)
+		case operations.New, operations.Duplicate:
 		}
 	}
 	switch {
-	case len(c.Items) == 0 || count[operations.New] > 0:
-		return operations.New, open
-	case open != nil:
-		return operations.Unknown, open
+	case len(update.Items) == 0 || count[operations.New] > 0:
+		return operations.New, undetermined
+	case undetermined != nil:
+		return operations.Unknown, undetermined
 	}
 	return operations.Duplicate, nil
 }
 
-// Admit says whether a call may be proposed, at the leader: not if another content was taken under one of its versions
-// (ErrConflict), or if that can't be told any more (ErrOpen). One that was taken before is Repeated, and need not be. The table
-// must hold all that may have been agreed on before the call.
-func (t Table) Admit(c Update) (operations.Classification, error) { return t.classifyUpdate(c) }
+// versionConflict is the error of an item whose version was accepted with another content.
+func versionConflict(item Item) error {
+	return errors.WithType(errors.Errorf("%s: version %d has another content already", item.label(), item.Version), ErrConflict)
+}
 
-// recordSuperseded has a table that a call has made of this one remember the operations that were superseded by it. The next
-// table's items must not be shared yet.
+// Admit says whether the leader may propose an update. The error is of type ErrConflict if another content was accepted under one
+// of its versions, and of type ErrUndetermined if that can't be known any more. An update that is Duplicate may be acknowledged
+// without being proposed. The table must hold everything that may have been committed before the update.
+func (t Table) Admit(update Update) (operations.Classification, error) {
+	return t.classifyUpdate(update)
+}
+
+// recordSuperseded adds to the next table, which an update has made of this one, the operations whose items it raised. The next
+// table must not be shared yet.
 func (t Table) recordSuperseded(next Table, raised []Item) Table {
-	for _, i := range raised {
-		was, known := t.items[i.Key]
-		now, kept := next.items[i.Key]
+	for _, item := range raised {
+		before, known := t.items[item.Key]
+		after, kept := next.items[item.Key] // a tombstone may have been pruned
 		if known && kept {
-			now.history = was.history.With(supersededOperation(was, i))
-			next.operationCount += now.history.Len()
-			next.items[i.Key] = now
+			after.history = before.history.With(supersededOperation(before, item))
+			next.operationCount += after.history.Len()
+			next.items[item.Key] = after
 		}
 	}
 	return next
 }
 
-// recordOutdated has the next table remember the operations of a call that came too late to take effect, and are acknowledged.
-func (t Table) recordOutdated(next Table, c Update) Table {
-	copied := false
-	for _, i := range c.Items {
-		stands, known := t.items[i.Key]
-		if !known || i.Version >= stands.Version || t.classifyItem(i) != operations.New {
+// supersededOperation returns the operation that made an item, with the log time at which another superseded it.
+func supersededOperation(item, by Item) operations.Operation {
+	operation := item.operation()
+	operation.LogTime = by.LogTime
+	return operation
+}
+
+// recordOutdated adds to the next table the operations of an update that arrived too late to take effect and are acknowledged all
+// the same.
+func (t Table) recordOutdated(next Table, update Update) Table {
+	cloned := false
+	for _, item := range update.Items {
+		current, known := t.items[item.Key]
+		if !known || item.Version >= current.Version || t.classifyItem(item) != operations.New {
 			continue
 		}
-		if !copied {
-			next.items, copied = next.cloneItems(0), true
+		if !cloned { // an update that raises nothing leaves the next table with this table's map
+			next.items, cloned = next.cloneItems(0), true
 		}
-		now := next.items[i.Key]
-		now.history = now.history.With(i.operation())
-		next.items[i.Key] = now
+		after := next.items[item.Key]
+		after.history = after.history.With(item.operation())
+		next.items[item.Key] = after
 		next.operationCount++
 	}
 	return next
 }
 
-// operationsAfterPruning is how many operations are remembered after some were forgotten: some more are than must be, since it takes
-// a look at all of them.
-const operationsAfterPruning = MaxOperations * 7 / 8
-
-// supersededOperation is the operation of an item that another has followed, as of then.
-func supersededOperation(was, by Item) operations.Operation {
-	o := was.operation()
-	o.LogTime = by.LogTime
-	return o
-}
-
-// pruneOperations forgets so many, the earliest by log time, by names where they are of one time: alike on every register.
-// The table must not be shared yet.
+// pruneOperations forgets the n earliest operations. Equal log times are ordered by key and version, so that every member forgets
+// the same ones. The table must not be shared yet.
 func (t *Table) pruneOperations(n int) {
-	type record struct {
-		of Key
+	type keyedOperation struct {
+		key Key
 		operations.Operation
 	}
-	var all []record
-	for name, i := range t.items {
-		for _, o := range i.history.Operations() {
-			all = append(all, record{name, o})
+	var all []keyedOperation
+	for key, item := range t.items {
+		for _, operation := range item.history.Operations() {
+			all = append(all, keyedOperation{key, operation})
 		}
 	}
-	slices.SortFunc(all, func(a, b record) int {
-		return cmp.Or(cmp.Compare(a.LogTime, b.LogTime), cmp.Compare(a.of.Kind, b.of.Kind), cmp.Compare(a.of.Name, b.of.Name), cmp.Compare(a.Version, b.Version))
+	slices.SortFunc(all, func(a, b keyedOperation) int {
+		return cmp.Or(cmp.Compare(a.LogTime, b.LogTime), compareKeys(a.key, b.key), cmp.Compare(a.Version, b.Version))
 	})
-	for _, r := range all[:min(n, len(all))] {
-		i := t.items[r.of]
-		i.history = i.history.Without(r.Version)
-		t.items[r.of] = i
+	for _, operation := range all[:min(n, len(all))] {
+		item := t.items[operation.key]
+		item.history = item.history.Without(operation.Version)
+		t.items[operation.key] = item
 		t.operationCount--
 	}
 }
--- a/internal/mesh/config/policyset.go
+++ b/internal/mesh/config/policyset.go
@@ -1,36 +1,65 @@
 package config
 
 import (
-	"encoding/json"
-
 	"github.com/juju/errors"
 
 	"cranegrade/internal/mesh/policy"
 )
 
-// checkPolicies has namespaces' rules looked at, where there are any, and turns the errors of that.
-func checkPolicies(t, next *Table, raised []Item, c Update) ([]policy.Effect, error) {
-	change := policy.Change{Author: c.Author, Consents: c.Consents}
-	for _, i := range raised {
-		switch i.Kind {
-		case KindNamespace:
-			change.Namespaces = append(change.Namespaces, i.Key.Name)
-		case KindPolicy:
-			change.Policies = append(change.Policies, i.Key.Name)
-		case KindRoute:
-			change.Routes = append(change.Routes, i.Key.Name)
-		default:
-			change.Others = append(change.Others, i.Kind.String()+" "+i.Key.Name)
+// NewPolicySet builds the policy set of the routes of one table and the namespaces and policies of another. The tables differ while
+// policies were accepted that are not active yet.
+func NewPolicySet(routes, policies Table) *policy.Set {
+	var namespaces []policy.Namespace
+	var rules []policy.Policy
+	if policies.HasPolicyItems() {
+		for _, item := range policies.items {
+			switch {
+			case item.Deleted:
+			case item.Kind == KindNamespace:
+				namespaces = append(namespaces, decodeBody[policy.Namespace](item))
+			case item.Kind == KindPolicy:
+				rules = append(rules, decodeBody[policy.Policy](item))
+			}
 		}
 	}
-	if t.policySet == nil {
-		t.policySet = NewPolicySet(*t, *t)
+	var governed []policy.Route
+	for _, item := range routes.items {
+		if spec := item.RouteSpec(); spec != nil {
+			governed = append(governed, policyRoute(item, spec))
+		}
+	}
+	return policy.NewSet(namespaces, rules, governed)
+}
+
+// policyRoute returns what the policy set has to know of a route.
+func policyRoute(item Item, spec *RouteSpec) policy.Route {
+	route := policy.Route{
+		Name:        spec.Name,
+		Host:        item.Host,
+		Prefix:      spec.MatchCriteria.PathPrefix,
+		Version:     item.Version,
+		TimeoutS:    float64(spec.ForwardAction.TimeoutS),
+		MaxAttempts: spec.ForwardAction.RetryCount,
+		Priority:    spec.Priority,
+		AtMostOnce:  spec.IsAtMostOnce(),
+	}
+	for _, destination := range spec.Destinations() {
+		route.Services = append(route.Services, destination.Service)
+	}
+	return route
+}
+
+// checkPolicies evaluates an update that raised items against the owners' rights and policies. It sets the policy set of the next
+// table. The error is of type ErrInvalid, ErrConflict or ErrForbidden.
+func checkPolicies(current, next *Table, raised []Item, update Update) ([]policy.Effect, error) {
+	if current.policySet == nil {
+		current.policySet = NewPolicySet(*current, *current)
 	}
 	next.policySet = NewPolicySet(*next, *next)
-	effects, err := policy.Evaluate(t.policySet, next.policySet, change)
+	effects, err := policy.Evaluate(current.policySet, next.policySet, policyChange(raised, update))
 	switch {
 	case errors.Is(err, policy.ErrInvalidSet):
-		return nil, newFieldError("the call", "", "%v", err)
+		return nil, newFieldError(requestLabel, "", "%v", err)
 	case errors.Is(err, policy.ErrConflict):
 		return nil, errors.WithType(err, ErrConflict)
 	case err != nil:
@@ -39,69 +68,49 @@
 	return effects, nil
 }
 
-// NewPolicySet are the routes of one table with the namespaces and rulings of another.
-func NewPolicySet(routes, rules Table) *policy.Set {
-	var spaces []policy.Namespace
-	var rulings []policy.Policy
-	var l []policy.Route
-	if rules.policyCount > 0 {
-		for _, i := range rules.items {
-			switch {
-			case i.Deleted:
-			case i.Kind == KindNamespace:
-				var n policy.Namespace
-				json.Unmarshal(i.Body, &n) // checked when it was taken
-				spaces = append(spaces, n)
-			case i.Kind == KindPolicy:
-				var r policy.Policy
-				json.Unmarshal(i.Body, &r)
-				rulings = append(rulings, r)
-			}
-		}
-	}
-	for _, i := range routes.items {
-		if i.Kind == KindRoute && !i.Deleted {
-			if r := i.RouteSpec(); r != nil {
-				l = append(l, i.policyRoute(r))
-			}
+// policyChange sorts the items that an update raised by what they are to the policy set.
+func policyChange(raised []Item, update Update) policy.Change {
+	change := policy.Change{Author: update.Author, Consents: update.Consents}
+	for _, item := range raised {
+		switch item.Kind {
+		case KindNamespace:
+			change.Namespaces = append(change.Namespaces, item.Name)
+		case KindPolicy:
+			change.Policies = append(change.Policies, item.Name)
+		case KindRoute:
+			change.Routes = append(change.Routes, item.Name)
+		case KindService, KindLimits, KindContract:
+			fallthrough
+		default:
+			change.Others = append(change.Others, item.label())
 		}
 	}
-	return policy.NewSet(spaces, rulings, l)
-}
-
-// policyRoute is a route as classmark knows it.
-func (i Item) policyRoute(r *RouteSpec) policy.Route {
-	x := policy.Route{Name: r.Name, Host: i.Host, Prefix: r.MatchCriteria.PathPrefix, Version: i.Version, TimeoutS: float64(r.ForwardAction.TimeoutS),
-		MaxAttempts: r.ForwardAction.RetryCount, Priority: r.Priority, AtMostOnce: r.RouteType == "keyed" || r.RouteType == "non_idempotent"}
-	for _, s := range r.Destinations() {
-		x.Services = append(x.Services, s.Service)
-	}
-	return x
+	return change
 }
 
-// PolicyItems are the namespaces and rulings that stand, by themselves.
+// PolicyItems returns a table of the namespaces and policies alone, without tombstones.
 func (t Table) PolicyItems() Table {
-	out := Table{items: map[Key]Item{}, policyCount: t.policyCount}
+	policies := Table{items: map[Key]Item{}, policyCount: t.policyCount}
 	if t.policyCount > 0 {
-		for n, i := range t.items {
-			if n.Kind.InPolicySet() && !i.Deleted {
-				out.items[n] = i
+		for key, item := range t.items {
+			if key.Kind.InPolicySet() && !item.Deleted {
+				policies.items[key] = item
 			}
 		}
 	}
-	return out
+	return policies
 }
 
-// HasPolicyItems says that there are any.
+// HasPolicyItems reports whether the table has namespaces or policies.
 func (t Table) HasPolicyItems() bool { return t.policyCount > 0 }
 
-// PolicyFingerprint is the fingerprint of the namespaces and rulings that stand; "": there are none.
+// PolicyFingerprint identifies the namespaces and policies of the table. It is empty if there are none.
 func (t Table) PolicyFingerprint() string {
-	if t.policyCount == 0 {
+	if !t.HasPolicyItems() {
 		return ""
 	}
-	l := t.PolicyItems().Items()
-	return policy.Fingerprint(len(l), func(n int) (string, int64, []byte) {
-		return l[n].Kind.String() + " " + l[n].Key.Name, l[n].Version, l[n].Body
+	items := t.PolicyItems().Items()
+	return policy.Fingerprint(len(items), func(n int) (string, int64, []byte) {
+		return items[n].label(), items[n].Version, items[n].Body
 	})
 }
--- a/internal/mesh/config/wire.go
+++ b/internal/mesh/config/wire.go
@@ -7,63 +7,66 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// ItemsToWire words items for the trunk, and ItemsOf reads them.
-func ItemsToWire(l []Item) *wire.ItemsT {
-	t := &wire.ItemsT{}
-	for _, i := range l {
-		t.List = append(t.List, &wire.ItemT{Kind: byte(i.Kind), Name: i.Key.Name, Version: i.Version, Deleted: i.Deleted, Host: i.Host, Body: i.Body, LogTimeNs: int64(i.LogTime)})
+// ItemsToWire encodes items for the transport, without the history of their operations.
+func ItemsToWire(items []Item) *wire.ItemsT {
+	encoded := &wire.ItemsT{}
+	for _, item := range items {
+		encoded.List = append(encoded.List, &wire.ItemT{Kind: byte(item.Kind), Name: item.Name, Version: item.Version, Deleted: item.Deleted,
+			Host: item.Host, Body: item.Body, LogTimeNs: int64(item.LogTime)})
 	}
-	return t
+	return encoded
 }
 
-// UpdateToWire words a call for the log, and CallOf reads it.
-func UpdateToWire(c Update) *wire.ItemsT {
-	t := ItemsToWire(c.Items)
-	t.Author, t.Consents = c.Author, c.Consents
-	return t
+// ItemsFromWire decodes items.
+func ItemsFromWire(encoded *wire.ItemsT) (items []Item) {
+	for _, item := range encoded.List {
+		items = append(items, Item{Key: Key{Kind(item.Kind), item.Name}, Version: item.Version, Deleted: item.Deleted,
+			Host: item.Host, Body: item.Body, LogTime: time.Duration(item.LogTimeNs)})
+	}
+	return items
 }
 
-// UpdateFromWire reads a call.
-func UpdateFromWire(t *wire.ItemsT) Update { return Update{ItemsFromWire(t), t.Author, t.Consents} }
+// UpdateToWire encodes an update for the replicated log.
+func UpdateToWire(update Update) *wire.ItemsT {
+	encoded := ItemsToWire(update.Items)
+	encoded.Author, encoded.Consents = update.Author, update.Consents
+	return encoded
+}
 
-// ItemsFromWire reads items.
-func ItemsFromWire(t *wire.ItemsT) (l []Item) {
-	for _, i := range t.List {
-		l = append(l, Item{Key: Key{Kind: Kind(i.Kind), Name: i.Name}, Version: i.Version, Deleted: i.Deleted, Host: i.Host, Body: i.Body,
-			LogTime: time.Duration(i.LogTimeNs)})
-	}
-	return l
+// UpdateFromWire decodes an update.
+func UpdateFromWire(encoded *wire.ItemsT) Update {
+	return Update{Items: ItemsFromWire(encoded), Author: encoded.Author, Consents: encoded.Consents}
 }
 
-// TableToStorage words a table for a register's disk, with the history of each item; Restore reads it.
-func TableToStorage(t Table) []*wire.ItemT {
-	items := t.Items()
-	list := ItemsToWire(items).List
-	for n, i := range items {
-		list[n].History = i.history.Encode()
+// TableToStorage encodes a table, with the history of each item's operations, for the disk of a control-plane member.
+func TableToStorage(table Table) []*wire.ItemT {
+	items := table.Items()
+	encoded := ItemsToWire(items).List
+	for n, item := range items {
+		encoded[n].History = item.history.Encode()
 	}
-	return list
+	return encoded
 }
 
-// TableFromStorage reads a stored table. Of an item that was stored without a history, by an earlier build or with one that can't be
-// read, nothing is known of the versions before the one that stands.
-func TableFromStorage(list []*wire.ItemT) Table {
-	items := ItemsFromWire(&wire.ItemsT{List: list})
-	for n, stored := range list {
-		history, err := operations.Decode(stored.History)
+// TableFromStorage decodes a stored table. Of an item that was stored without a history, or with one that can't be decoded, no
+// operation below its version is known; items of builds before histories are stored so.
+func TableFromStorage(encoded []*wire.ItemT) Table {
+	items := ItemsFromWire(&wire.ItemsT{List: encoded})
+	for n, item := range encoded {
+		history, err := operations.Decode(item.History)
 		if err != nil {
-			history = operations.IncompleteThrough(stored.Version)
+			history = operations.IncompleteThrough(item.Version)
 		}
 		items[n].history = history
 	}
-	t, _ := Table{}.Merge(items)
-	return t
+	table, _ := Table{}.Merge(items)
+	return table
 }
 
-// Versions are the versions of all, for whoever asks how far a process is.
-func (t Table) Versions() (l []*wire.ItemVersionT) {
-	for _, i := range t.Items() {
-		l = append(l, &wire.ItemVersionT{Kind: byte(i.Kind), Name: i.Key.Name, Version: i.Version, Deleted: i.Deleted})
+// Versions returns the version of each item and tombstone, for reports of how far a process is.
+func (t Table) Versions() (versions []*wire.ItemVersionT) {
+	for _, item := range t.Items() {
+		versions = append(versions, &wire.ItemVersionT{Kind: byte(item.Kind), Name: item.Name, Version: item.Version, Deleted: item.Deleted})
 	}
-	return l
+	return versions
 }
