--- a/internal/mesh/routing/table_test.go
+++ b/internal/mesh/routing/table_test.go
@@ -8,25 +8,68 @@
 	"cranegrade/internal/mesh/config"
 )
 
-func TestFind(t *testing.T) {
-	items, err := config.ParseItems([]byte(`{"Upsert":{"ListenerList":[{"HostName":"h.example","PolicyRules":[
-		{"Name":"all","RouteType":"download","ConfigVersion":1,"MatchCriteria":{"PathPrefix":"/"},"ForwardAction":{"Service":"s","TimeoutS":2,"RetryCount":2}},
-		{"Name":"deep","RouteType":"keyed","TargetLatencyS":9,"ConfigVersion":1,"MatchCriteria":{"PathPrefix":"/a/b/"},"ForwardAction":{"TrafficSplit":[{"Service":"s","Weight":90},{"Service":"none","Weight":0},{"Service":"t","Weight":10}],"TimeoutS":2,"RetryCount":1}}]}],
-		"UpstreamGroups":[{"Name":"s","ConfigVersion":1},{"Name":"t","ConfigVersion":1},{"Name":"none","ConfigVersion":1}]}}`))
+const request = `{"Upsert":{
+	"ListenerList":[{"HostName":"h.example","PolicyRules":[
+		{"Name":"all","RouteType":"download","ConfigVersion":1,"MatchCriteria":{"PathPrefix":"/"},
+			"ForwardAction":{"Service":"s","TimeoutS":2,"RetryCount":2}},
+		{"Name":"deep","RouteType":"keyed","TargetLatencyS":9,"ConfigVersion":1,"MatchCriteria":{"PathPrefix":"/a/b/"},
+			"ForwardAction":{"TrafficSplit":[{"Service":"s","Weight":90},{"Service":"none","Weight":0},{"Service":"t","Weight":10}],
+				"TimeoutS":2,"RetryCount":1}}]}],
+	"UpstreamGroups":[{"Name":"s","ConfigVersion":1},{"Name":"t","ConfigVersion":1},{"Name":"none","ConfigVersion":1}]}}`
+
+func configuration(t *testing.T) config.Table {
+	t.Helper()
+	items, err := config.ParseItems([]byte(request))
 	assert.NilError(t, err)
 	table, _, err := config.Table{}.ApplyItems(items)
 	assert.NilError(t, err)
-	p := NewTable(table)
-	for path, want := range map[string]string{"/a/b/c": "deep", "/a/b": "all", "/a/bc/": "all", "/": "all"} {
-		assert.Equal(t, p.Match("h.example", path).Name, want, path)
+	return table
+}
+
+func TestMatch(t *testing.T) {
+	table := NewTable(configuration(t))
+	for _, test := range []struct{ name, host, path, want string }{
+		{"longest prefix", "h.example", "/a/b/c", "deep"},
+		{"prefix without its slash", "h.example", "/a/b", "all"},
+		{"prefix of a name only", "h.example", "/a/bc/", "all"},
+		{"root", "h.example", "/", "all"},
+		{"host in upper case and with a port", "H.example:80", "/x", "all"},
+		{"other host", "other.example", "/x", ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			route := table.Match(test.host, test.path)
+			assert.Equal(t, route != nil, test.want != "")
+			if route != nil {
+				assert.Equal(t, route.Name, test.want)
+			}
+		})
 	}
-	assert.Assert(t, p.Match("H.example:80", "/x") != nil)
-	assert.Assert(t, p.Match("other.example", "/x") == nil)
-	deep := p.Route("deep")
-	assert.Assert(t, deep.Kind == Keyed && !deep.Kind.IsIdempotent() && deep.LatencyTarget == deep.Timeout)
+}
+
+func TestRouteOfItem(t *testing.T) {
+	route := NewTable(configuration(t)).Route("deep")
+	assert.Equal(t, route.Kind, Keyed)
+	assert.Assert(t, !route.Kind.IsIdempotent())
+	assert.Equal(t, route.LatencyTarget, route.Timeout, "the latency target is at most the time-out")
+}
+
+func TestPickServiceByWeight(t *testing.T) {
+	route := NewTable(configuration(t)).Route("deep")
 	for draw, want := range map[float64]string{0: "s", 0.89: "s", 0.91: "t", 0.9999: "t"} {
-		assert.Equal(t, deep.PickService(draw), want)
+		assert.Equal(t, route.PickService(draw), want)
 	}
-	table, _ = table.Merge([]config.Item{{Key: config.Key{Kind: config.KindRoute, Name: "deep"}, Version: 2, Deleted: true}})
+}
+
+func TestDeletedRouteMatchesNothing(t *testing.T) {
+	key := config.Key{Kind: config.KindRoute, Name: "deep"}
+	table, _ := configuration(t).Merge([]config.Item{{Key: key, Version: 2, Deleted: true}})
 	assert.Equal(t, NewTable(table).Match("h.example", "/a/b/c").Name, "all")
 }
+
+// Each route type of the configuration has its kind, and back.
+func TestKindNames(t *testing.T) {
+	for kind := AtMostOnce; kind <= Download; kind++ {
+		assert.Equal(t, kindOf(kind.String()), kind)
+	}
+	assert.Equal(t, kindOf("unheard of"), AtMostOnce)
+}
