--- a/internal/mesh/directory/table.go
+++ b/internal/mesh/directory/table.go
@@ -1,116 +1,75 @@
-// Package directory is which lines there are and which server stands beside each, as every process of the mesh holds it.
-// It is pure. Each line tells of itself alone, under its own address, with a life and a number that rises; the highest
-// of both holds, in whatever order records come and by whatever way.
 package directory
 
 import (
-	"sort"
+	"cmp"
+	"maps"
+	"slices"
 	"time"
 )
 
-// ServerState is a server's, as the line beside it knows it.
-type ServerState uint8
-
-// States of servers.
-const (
-	ServerNone     ServerState = iota // no server, as far as is known
-	ServerReady                       // it beats and says that it is
-	ServerDraining                    // it said that it leaves
-	ServerDown                        // it can't be reached
-)
-
-// Record is what a line tells of itself.
-type Record struct {
-	Node                  string
-	Incarnation, Sequence uint64
-	Addr                  string // of its trunk; it names the line
-	Zone                  string
-	Service               string
-	ServerID              string // instance id; "": none
-	State                 ServerState
-	Slots                 uint32
-	Warmup                time.Duration // that the server still needs, when the record was made
-	Leaving               bool          // the line itself leaves
-	ProtocolVersion       uint32        // the trunk's version that it reads
-
-	ReceivedAt time.Duration // when it came, by the holder's clock; not told
-	WarmAt     time.Duration // when its server counts as warm, by the holder's clock; 0: always; not told
-}
-
-// isNewerThan says that r is of later than o, both of one line.
-func (r Record) isNewerThan(o Record) bool {
-	return r.Incarnation > o.Incarnation || r.Incarnation == o.Incarnation && r.Sequence > o.Sequence
-}
-
-// Table is the records by address. It is never changed once made.
+// Table is the newest record of each sidecar, by the sidecar's address. The zero value is an empty table. A Table is never changed
+// once it was made, so that readers need no lock.
 type Table struct{ records map[string]Record }
 
-// Len is how many lines there are.
+// Len returns how many sidecars there are.
 func (t Table) Len() int { return len(t.records) }
 
-// Get is the record of a line.
-func (t Table) Get(addr string) (Record, bool) { r, is := t.records[addr]; return r, is }
+// Get returns the record of a sidecar.
+func (t Table) Get(addr string) (record Record, ok bool) {
+	record, ok = t.records[addr]
+	return record, ok
+}
 
-// All are the records in the order that every node shares: by service, then by address.
+// All returns the records ordered by service, then by address. All processes share this order: a sidecar's place in it is its index
+// among those that call a service.
 func (t Table) All() []Record {
-	l := make([]Record, 0, len(t.records))
-	for _, r := range t.records {
-		l = append(l, r)
-	}
-	sort.Slice(l, func(i, j int) bool {
-		return l[i].Service < l[j].Service || l[i].Service == l[j].Service && l[i].Addr < l[j].Addr
+	return slices.SortedFunc(maps.Values(t.records), func(a, b Record) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Addr, b.Addr))
 	})
-	return l
 }
 
-// Merge takes records that came now; news are those that were newer than what was held.
-func (t Table) Merge(now time.Duration, records []Record) (_ Table, news []Record) {
-	var next map[string]Record
-	for _, r := range records {
-		was, is := t.records[r.Addr]
-		if n, changed := next[r.Addr]; changed {
-			was, is = n, true
-		}
-		if r.Addr == "" || is && !r.isNewerThan(was) {
+// Merge takes those of the given records, which arrived at a time of the holder's clock, that are newer than the table's own, and
+// returns them as changed. The result does not depend on the order in which records are merged.
+func (t Table) Merge(now time.Duration, records []Record) (merged Table, changed []Record) {
+	current := t.records
+	for _, record := range records {
+		was, known := current[record.Addr]
+		if record.Addr == "" || known && !record.isNewerThan(was) {
 			continue
 		}
-		r.ReceivedAt = now
-		switch { // told once for a server's life: another time would be another start
-		case is && was.ServerID == r.ServerID:
-			r.WarmAt = was.WarmAt
-		case r.Warmup > 0:
-			r.WarmAt = now + r.Warmup
+		record.ReceivedAt = now
+		switch {
+		case known && was.ServerID == record.ServerID:
+			record.WarmAt = was.WarmAt // announced once: the remaining warm-up of a later record would start it anew
+		case record.Warmup > 0:
+			record.WarmAt = now + record.Warmup
 		}
-		if next == nil {
-			next = make(map[string]Record, len(t.records)+1)
-			for a, o := range t.records {
-				next[a] = o
-			}
+		if len(changed) == 0 {
+			current = make(map[string]Record, len(t.records)+1)
+			maps.Copy(current, t.records)
 		}
-		next[r.Addr] = r
-		news = append(news, r)
+		current[record.Addr] = record
+		changed = append(changed, record)
 	}
-	if next == nil {
+	if len(changed) == 0 {
 		return t, nil
 	}
-	return Table{next}, news
+	return Table{current}, changed
 }
 
-// Expire drops lines that nothing was heard of for so long.
-func (t Table) Expire(now, silence time.Duration) (_ Table, dropped []Record) {
-	for _, r := range t.records {
-		if now-r.ReceivedAt > silence {
-			dropped = append(dropped, r)
+// Expire removes the sidecars from which nothing has arrived for longer than a time-out.
+func (t Table) Expire(now, timeout time.Duration) (left Table, expired []Record) {
+	for _, record := range t.records {
+		if now-record.ReceivedAt > timeout {
+			expired = append(expired, record)
 		}
 	}
-	if len(dropped) == 0 {
+	if len(expired) == 0 {
 		return t, nil
 	}
-	next := make(map[string]Record, len(t.records))
-	for a, r := range t.records {
-		if now-r.ReceivedAt <= silence {
-			next[a] = r
-		}
+	records := maps.Clone(t.records)
+	for _, record := range expired {
+		delete(records, record.Addr)
 	}
-	return Table{next}, dropped
+	return Table{records}, expired
 }
--- a/internal/mesh/directory/wire.go
+++ b/internal/mesh/directory/wire.go
@@ -6,28 +6,59 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// ToWire words records for the trunk.
-func ToWire(l []Record) *wire.RecordsT {
-	t := &wire.RecordsT{}
-	for _, r := range l {
-		state := byte(r.State)
-		if r.Leaving {
-			state |= leavingBit
-		}
-		t.List = append(t.List, &wire.RecordT{Node: r.Node, Incarnation: r.Incarnation, Sequence: r.Sequence, Addr: r.Addr, Zone: r.Zone, Service: r.Service,
-			ServerId: r.ServerID, State: state, Slots: r.Slots, WarmupUs: int64(r.Warmup / time.Microsecond), TransportVersion: r.ProtocolVersion})
+// leavingBit is the bit of an encoded state that says that the sidecar itself shuts down.
+const leavingBit = 0x80
+
+// ToWire encodes records for the transport.
+func ToWire(records []Record) *wire.RecordsT {
+	encoded := &wire.RecordsT{}
+	for _, record := range records {
+		encoded.List = append(encoded.List, recordToWire(record))
 	}
-	return t
+	return encoded
 }
 
-// leavingBit is the bit of a state that tells of the line itself.
-const leavingBit = 0x80
+func recordToWire(record Record) *wire.RecordT {
+	state := byte(record.State)
+	if record.Leaving {
+		state |= leavingBit
+	}
+	return &wire.RecordT{
+		Node:             record.Node,
+		Incarnation:      record.Incarnation,
+		Sequence:         record.Sequence,
+		Addr:             record.Addr,
+		Zone:             record.Zone,
+		Service:          record.Service,
+		ServerId:         record.ServerID,
+		State:            state,
+		Slots:            record.Slots,
+		WarmupUs:         record.Warmup.Microseconds(),
+		TransportVersion: record.ProtocolVersion,
+	}
+}
+
+// FromWire decodes records.
+func FromWire(encoded *wire.RecordsT) (records []Record) {
+	for _, record := range encoded.List {
+		records = append(records, recordFromWire(record))
+	}
+	return records
+}
 
-// FromWire reads records.
-func FromWire(t *wire.RecordsT) (l []Record) {
-	for _, r := range t.List {
-		l = append(l, Record{Node: r.Node, Incarnation: r.Incarnation, Sequence: r.Sequence, Addr: r.Addr, Zone: r.Zone, Service: r.Service, ServerID: r.ServerId,
-			State: ServerState(r.State &^ leavingBit), Leaving: r.State&leavingBit != 0, Slots: r.Slots, Warmup: time.Duration(r.WarmupUs) * time.Microsecond, ProtocolVersion: r.TransportVersion})
+func recordFromWire(encoded *wire.RecordT) Record {
+	return Record{
+		Node:            encoded.Node,
+		Incarnation:     encoded.Incarnation,
+		Sequence:        encoded.Sequence,
+		Addr:            encoded.Addr,
+		Zone:            encoded.Zone,
+		Service:         encoded.Service,
+		ServerID:        encoded.ServerId,
+		State:           ServerState(encoded.State &^ leavingBit),
+		Leaving:         encoded.State&leavingBit != 0,
+		Slots:           encoded.Slots,
+		Warmup:          time.Duration(encoded.WarmupUs) * time.Microsecond,
+		ProtocolVersion: encoded.TransportVersion,
 	}
-	return l
 }
