--- a/internal/mesh/retrybudget/budget.go
+++ b/internal/mesh/retrybudget/budget.go
@@ -1,65 +1,73 @@
-// Package toll is the budget of further tries: how many arrivals at a service's servers beyond the first of each request a
-// line may cause. Each line keeps within its own requests' part of the rule, so that all together keep the rule without
-// asking each other. It is pure; its owner locks it.
+// Package retrybudget bounds how many retries a sidecar may send to a service, as a ratio of the requests that it sends there. It is
+// the retry budget of Finagle and Linkerd: unlike a maximum of attempts for each request, it keeps the load bounded when every
+// request fails.
+//
+// Each sidecar keeps within the part of the ratio that its own requests allow, so that all of them together keep the rule without
+// asking each other.
+//
+// The package is pure: the time is passed in. A Budget must never be used by two goroutines at once; its owner locks it.
 package retrybudget
 
 import "time"
 
-// windowBuckets of a window that are counted apart.
-const windowBuckets = 20
+// bucketCount is into how many buckets a window is divided.
+const bucketCount = 20
 
-// Limits is what holds for one service.
+// Limits are what holds for the retries to one service.
 type Limits struct {
-	Window     time.Duration
-	Ratio      float64 // further arrivals for each request
-	MinRetries float64 // and beyond that, for this line
+	Window     time.Duration // in which requests and retries are compared
+	Ratio      float64       // retries for each request
+	MinRetries float64       // allowed in each window beside the ratio, so that a rarely called service is retried at all
 }
 
-// Budget counts one service's requests and further tries over the last window.
+// Budget counts one service's requests and retries over the last window, in a ring of buckets.
 type Budget struct {
 	limits   Limits
-	requests [windowBuckets]float64
-	retries  [windowBuckets]float64
-	bucket   int64 // the part that is counted now
+	requests [bucketCount]float64
+	retries  [bucketCount]float64
+	current  int64 // number of the bucket that is counted in, since the epoch of the clock
 }
 
-// New returns an empty purse.
-func New(r Limits) *Budget { return &Budget{limits: r} }
+// New returns a budget in which nothing is counted yet.
+func New(limits Limits) *Budget { return &Budget{limits: limits} }
 
-// SetLimits gives it another rule.
-func (p *Budget) SetLimits(r Limits) {
-	if r.Window != p.limits.Window {
-		*p = Budget{}
+// SetLimits changes the limits. Another window begins to count anew.
+func (b *Budget) SetLimits(limits Limits) {
+	if limits.Window != b.limits.Window {
+		*b = Budget{}
 	}
-	p.limits = r
+	b.limits = limits
 }
 
-func (p *Budget) advance(now time.Duration) int {
-	part := max(1, p.limits.Window/windowBuckets)
-	at := int64(now / part)
-	for n := max(p.bucket+1, at-windowBuckets+1); n <= at; n++ {
-		p.requests[n%windowBuckets], p.retries[n%windowBuckets] = 0, 0
+// advance empties the buckets that have left the window and returns the index of the current one. A time before the current bucket,
+// as when calls overtake each other, counts in the current one.
+func (b *Budget) advance(now time.Duration) (index int) {
+	bucketLength := max(1, b.limits.Window/bucketCount)
+	bucket := int64(now / bucketLength)
+	for n := max(b.current+1, bucket-bucketCount+1); n <= bucket; n++ {
+		b.requests[n%bucketCount], b.retries[n%bucketCount] = 0, 0
 	}
-	p.bucket = max(p.bucket, at)
-	return int(p.bucket % windowBuckets)
+	b.current = max(b.current, bucket)
+	return int(b.current % bucketCount)
 }
 
-// RecordRequest counts a request's first arrival.
-func (p *Budget) RecordRequest(now time.Duration) { p.requests[p.advance(now)]++ }
+// RecordRequest counts the first attempt of a request.
+func (b *Budget) RecordRequest(now time.Duration) { b.requests[b.advance(now)]++ }
 
-// AllowRetry asks for a further try, and counts it if it may be.
-func (p *Budget) AllowRetry(now time.Duration) bool {
-	i := p.advance(now)
-	var requests, further float64
-	for n := range windowBuckets {
-		if n != (i+1)%windowBuckets { // the oldest part is about to leave the window
-			requests += p.requests[n]
+// AllowRetry reports whether a retry may be sent, and counts it if so.
+func (b *Budget) AllowRetry(now time.Duration) bool {
+	index := b.advance(now)
+	oldest := (index + 1) % bucketCount
+	var requests, retries float64
+	for n := range bucketCount {
+		if n != oldest { // it is about to leave the window, and its requests with it
+			requests += b.requests[n]
 		}
-		further += p.retries[n]
+		retries += b.retries[n]
 	}
-	if further+1 > requests*p.limits.Ratio+p.limits.MinRetries {
+	if retries+1 > requests*b.limits.Ratio+b.limits.MinRetries {
 		return false
 	}
-	p.retries[i]++
+	b.retries[index]++
 	return true
 }
--- a/internal/mesh/retrybudget/budget_test.go
+++ b/internal/mesh/retrybudget/budget_test.go
@@ -9,85 +9,92 @@
 	"gotest.tools/v3/assert"
 )
 
-// However requests and tries fall, a line that uses half of the rule's ratio keeps the rule in every window, wherever it
-// lies: the requests are those of that window, of the one before it or of the one half a window before, whichever has most.
-func TestEveryWindow(t *testing.T) {
-	for seed := range uint64(15) {
-		rng := rand.New(rand.NewPCG(seed, 2))
-		rule := Limits{Window: 10 * time.Second, Ratio: 0.1 + 0.2*rng.Float64(), MinRetries: float64(rng.IntN(5))}
-		p := New(rule)
-		type event struct {
-			at      time.Duration
-			further bool
+// event is a request, or a retry that was allowed.
+type event struct {
+	at    time.Duration
+	retry bool
+}
+
+// randomEvents has a budget count random requests and retries, and returns those that were sent.
+func randomEvents(random *rand.Rand, budget *Budget) (events []event) {
+	const end, meanPause, maxLull = 60 * time.Second, 40 * time.Millisecond, 4 * time.Second
+	for now := time.Duration(0); now < end; {
+		now += time.Duration(random.ExpFloat64() * float64(meanPause))
+		if random.IntN(40) == 0 {
+			now += time.Duration(random.Int64N(int64(maxLull)))
 		}
-		var events []event
-		now := time.Duration(0)
-		for now < 60*time.Second {
-			now += time.Duration(rng.ExpFloat64() * float64(40*time.Millisecond))
-			if rng.IntN(40) == 0 {
-				now += time.Duration(rng.Int64N(int64(4 * time.Second))) // a lull
-			}
-			if rng.IntN(3) > 0 {
-				p.RecordRequest(now)
-				events = append(events, event{now, false})
-			} else if p.AllowRetry(now) {
-				events = append(events, event{now, true})
-			}
+		if random.IntN(3) > 0 {
+			budget.RecordRequest(now)
+			events = append(events, event{now, false})
+		} else if budget.AllowRetry(now) {
+			events = append(events, event{now, true})
 		}
-		granted := 0
-		requests := func(from time.Duration) (n float64) {
-			for _, e := range events {
-				if !e.further && e.at >= from && e.at <= from+rule.Window {
-					n++
-				}
-			}
-			return n
+	}
+	return events
+}
+
+// countIn counts the requests, or the retries, from one time to another, both included.
+func countIn(events []event, retry bool, from, to time.Duration) (count float64) {
+	for _, e := range events {
+		if e.retry == retry && e.at >= from && e.at <= to {
+			count++
 		}
-		for i, first := range events {
-			if !first.further {
+	}
+	return count
+}
+
+// However requests and retries fall, a sidecar that uses half of the ratio keeps the whole ratio in every window, wherever it begins:
+// the requests are those of that window, of the one before it or of the one half a window before, whichever has most.
+func TestRatioHoldsInEveryWindow(t *testing.T) {
+	for seed := range uint64(15) {
+		random := rand.New(rand.NewPCG(seed, 2))
+		limits := Limits{Window: 10 * time.Second, Ratio: 0.1 + 0.2*random.Float64(), MinRetries: float64(random.IntN(5))}
+		events := randomEvents(random, New(limits))
+		allowed := 0
+		for n, first := range events {
+			if !first.retry {
 				continue
 			}
-			var further float64
-			for _, e := range events[i:] {
-				if e.further && e.at <= first.at+rule.Window {
-					further++
-				}
+			retries := countIn(events[n:], true, first.at, first.at+limits.Window)
+			allowed += int(retries)
+			requests := 0.0
+			for _, earlier := range []time.Duration{0, limits.Window, limits.Window / 2} {
+				from := first.at - earlier
+				requests = max(requests, countIn(events, false, from, from+limits.Window))
 			}
-			granted += int(further)
-			most := max(requests(first.at), requests(first.at-rule.Window), requests(first.at-rule.Window/2))
-			if further > most*2*rule.Ratio+rule.MinRetries+1e-9 {
-				t.Fatalf("seed %d, from %v: %v further tries for %v requests", seed, first.at, further, most)
+			if retries > requests*2*limits.Ratio+limits.MinRetries+1e-9 {
+				t.Fatalf("seed %d, from %v: %v retries for %v requests", seed, first.at, retries, requests)
 			}
 		}
-		if granted == 0 {
-			t.Fatalf("seed %d: nothing was granted", seed)
+		if allowed == 0 {
+			t.Fatalf("seed %d: no retry was allowed", seed)
 		}
 	}
 }
 
-// Retries of those who call times retries of those who are called: with every attempt failing, three services in a row and
-// three tries each, 27 runs of the last would come of one request. Each line's purse bounds it to the ratio's power and the
-// slack, whatever the rules on the way allow; a rule's own ratio bounds it further.
-func TestChain(t *testing.T) {
-	const depth, tries, requests = 3, 3, 20_000
-	runs := func(ratio, slack float64) (last int) {
-		var purses [depth]*Budget
-		for i := range purses {
-			purses[i] = New(Limits{Window: 10 * time.Second, Ratio: ratio, MinRetries: slack})
+// Retries of callers multiply retries of those they call: with every attempt failing, three services in a row and three attempts
+// each, one request makes 27 calls of the last service. The budget at each level bounds the calls by a power of the ratio,
+// beside the minimum of retries; a ratio of its own bounds a route further.
+func TestRetriesOfRetriesAreBounded(t *testing.T) {
+	const depth, attempts, requests = 3, 3, 20_000
+	callsOfLast := func(ratio, minRetries float64) (calls int) {
+		var budgets [depth]*Budget
+		for i := range budgets {
+			budgets[i] = New(Limits{Window: 10 * time.Second, Ratio: ratio, MinRetries: minRetries})
 		}
 		var call func(level int, now time.Duration)
 		call = func(level int, now time.Duration) {
 			if level == depth {
 				return
 			}
-			for n := range tries {
+			for n := range attempts {
 				if n == 0 {
-					purses[level].RecordRequest(now)
-				} else if !purses[level].AllowRetry(now) {
+					budgets[level].RecordRequest(now)
+				} else if !budgets[level].AllowRetry(now) {
 					return
 				}
 				if level == depth-1 {
-					last++
+					calls++
 				}
 				call(level+1, now)
 			}
@@ -95,14 +102,14 @@
 		for n := range requests {
 			call(0, time.Duration(n)*time.Millisecond)
 		}
-		return last
+		return calls
 	}
-	assert.Equal(t, runs(1000, 0), requests*27, "unbounded: the worst case")
+	assert.Equal(t, callsOfLast(1000, 0), requests*27, "unbounded: the worst case")
 	for _, ratio := range []float64{0.1, 0.2, 0} {
-		most := requests * math.Pow(1+ratio, depth)
-		got := float64(runs(ratio, 3))
-		// A window's slack counts anew in each window, and is multiplied on the way.
-		slack := 3 * 2 * depth * math.Pow(1+ratio, depth) * (requests/10_000 + 1)
-		assert.Assert(t, got <= most+slack && got >= requests, "%g: %g runs, %g and %g", ratio, got, most, slack)
+		limit := requests * math.Pow(1+ratio, depth)
+		calls := float64(callsOfLast(ratio, 3))
+		// The minimum counts anew in each window, and is multiplied from level to level.
+		margin := 3 * 2 * depth * math.Pow(1+ratio, depth) * (requests/10_000 + 1)
+		assert.Assert(t, calls <= limit+margin && calls >= requests, "%g: %g calls, limit %g and margin %g", ratio, calls, limit, margin)
 	}
 }
