--- /dev/null
+++ b/internal/mesh/directory/table.go
@@ -0,0 +1,75 @@
+package directory
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Table is the newest record of each sidecar, by the sidecar's address. The zero value is an empty table. A Table is never changed
+// once it was made, so that readers need no lock.
+type Table struct{ records map[string]Record }
+
+// Len returns how many sidecars there are.
+func (t Table) Len() int { return len(t.records) }
+
+// Get returns the record of a sidecar.
+func (t Table) Get(addr string) (record Record, ok bool) {
+	record, ok = t.records[addr]
+	return record, ok
+}
+
+// All returns the records ordered by service, then by address. All processes share this order: a sidecar's place in it is its index
+// among those that call a service.
+func (t Table) All() []Record {
+	return slices.SortedFunc(maps.Values(t.records), func(a, b Record) int {
+		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Addr, b.Addr))
+	})
+}
+
+// Merge takes those of the given records, which arrived at a time of the holder's clock, that are newer than the table's own, and
+// returns them as changed. The result does not depend on the order in which records are merged.
+func (t Table) Merge(now time.Duration, records []Record) (merged Table, changed []Record) {
+	current := t.records
+	for _, record := range records {
+		was, known := current[record.Addr]
+		if record.Addr == "" || known && !record.isNewerThan(was) {
+			continue
+		}
+		record.ReceivedAt = now
+		switch {
+		case known && was.ServerID == record.ServerID:
+			record.WarmAt = was.WarmAt // announced once: the remaining warm-up of a later record would start it anew
+		case record.Warmup > 0:
+			record.WarmAt = now + record.Warmup
+		}
+		if len(changed) == 0 {
+			current = make(map[string]Record, len(t.records)+1)
+			maps.Copy(current, t.records)
+		}
+		current[record.Addr] = record
+		changed = append(changed, record)
+	}
+	if len(changed) == 0 {
+		return t, nil
+	}
+	return Table{current}, changed
+}
+
+// Expire removes the sidecars from which nothing has arrived for longer than a time-out.
+func (t Table) Expire(now, timeout time.Duration) (left Table, expired []Record) {
+	for _, record := range t.records {
+		if now-record.ReceivedAt > timeout {
+			expired = append(expired, record)
+		}
+	}
+	if len(expired) == 0 {
+		return t, nil
+	}
+	records := maps.Clone(t.records)
+	for _, record := range expired {
+		delete(records, record.Addr)
+	}
+	return Table{records}, expired
+}
--- /dev/null
+++ b/internal/mesh/directory/table_test.go
@@ -0,0 +1,50 @@
+package directory
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// Records of one sidecar are merged in every order, one of them twice: the newest of the latest incarnation holds, and a server is
+// warm when its first record said, not later.
+func TestMergeInEveryOrder(t *testing.T) {
+	const warmup = 3 * time.Second
+	draining := Record{Addr: "a", Incarnation: 1, Sequence: 2, ServerID: "s1", State: ServerDraining, Warmup: warmup}
+	records := []Record{
+		{Addr: "a", Incarnation: 1, Sequence: 1, ServerID: "s1", State: ServerReady, Warmup: warmup},
+		draining,
+		{Addr: "a", Incarnation: 2, Sequence: 1, ServerID: "s2", State: ServerReady},
+		draining,
+		{Addr: "", Incarnation: 9, Sequence: 9},
+	}
+	var try func(table Table, left []int, now time.Duration)
+	try = func(table Table, left []int, now time.Duration) {
+		if len(left) == 0 {
+			record, known := table.Get("a")
+			assert.Assert(t, known && table.Len() == 1)
+			assert.Equal(t, record.ServerID, "s2")
+			assert.Equal(t, record.WarmAt, time.Duration(0))
+		}
+		for n, i := range left {
+			next, _ := table.Merge(now, records[i:i+1])
+			if record, known := next.Get("a"); known && record.ServerID == "s1" {
+				before, knownBefore := table.Get("a")
+				assert.Assert(t, record.WarmAt == now+warmup || knownBefore && record.WarmAt == before.WarmAt)
+			}
+			try(next, slices.Delete(slices.Clone(left), n, n+1), now+time.Second)
+		}
+	}
+	try(Table{}, []int{0, 1, 2, 3, 4}, time.Second)
+}
+
+func TestExpire(t *testing.T) {
+	const timeout = 30 * time.Second
+	table, changed := Table{}.Merge(0, []Record{{Addr: "a", Incarnation: 1}, {Addr: "b", Incarnation: 1}, {Addr: "a", Incarnation: 1}})
+	assert.Equal(t, len(changed), 2)
+	table, _ = table.Merge(20*time.Second, []Record{{Addr: "b", Incarnation: 1, Sequence: 1}})
+	table, expired := table.Expire(timeout+time.Second, timeout)
+	assert.Assert(t, len(expired) == 1 && expired[0].Addr == "a" && table.Len() == 1)
+}
--- /dev/null
+++ b/internal/mesh/routing/table.go
@@ -0,0 +1,102 @@
+// Package routing decides where a request goes: its host and the longest prefix of its path name a route, and the weights of the
+// route's destinations a service. It owns the routing table, which is made of configuration items and read by each sidecar
+// for every request.
+//
+// The package is pure. A Table is never changed once it was made, so that requests read it without a lock; it must never hold
+// anything that changes between two configurations, such as servers or their load.
+package routing
+
+import (
+	"net"
+	"slices"
+	"strings"
+	"time"
+
+	"cranegrade/internal/mesh/config"
+)
+
+// Table is all routes, with what requests of any route need of the configuration.
+type Table struct {
+	Services   map[string]config.ServiceSpec // by name
+	Limits     config.LimitsSpec
+	MaxTimeout time.Duration // of all routes
+
+	byName map[string]*Route
+	byHost map[string][]*Route // by host in lower case; longer prefixes first
+}
+
+// NewTable makes the routing table of a configuration, without policies.
+func NewTable(items config.Table) *Table { return NewTableWithPolicies(items, config.Table{}, "") }
+
+// NewTableWithPolicies makes the routing table of a configuration with the policies of another, as they apply to the calls of one
+// service.
+func NewTableWithPolicies(items, policies config.Table, caller string) *Table {
+	table := &Table{Services: map[string]config.ServiceSpec{}, byName: map[string]*Route{}, byHost: map[string][]*Route{}}
+	for _, item := range items.Items() {
+		table.add(item)
+	}
+	if policies.HasPolicyItems() {
+		set := config.NewPolicySet(items, policies)
+		for _, route := range table.byName {
+			route.bindPolicies(set, caller)
+		}
+	}
+	for _, routes := range table.byHost {
+		slices.SortStableFunc(routes, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
+	}
+	return table
+}
+
+func (t *Table) add(item config.Item) {
+	if item.Deleted {
+		return
+	}
+	switch item.Kind {
+	case config.KindLimits:
+		t.Limits = item.LimitsSpec()
+	case config.KindService:
+		t.Services[item.Name] = item.ServiceSpec()
+	case config.KindRoute:
+		if route := newRoute(item); route != nil {
+			t.byName[route.Name] = route
+			host := strings.ToLower(route.Host)
+			t.byHost[host] = append(t.byHost[host], route)
+			t.MaxTimeout = max(t.MaxTimeout, route.Timeout)
+		}
+	case config.KindContract, config.KindNamespace, config.KindPolicy:
+	}
+}
+
+// Match returns the route of a request by its host, with or without a port, and its path. It is nil if no route matches.
+func (t *Table) Match(host, path string) *Route {
+	if name, _, err := net.SplitHostPort(host); err == nil {
+		host = name
+	}
+	routes := t.byHost[host] // most hosts come in lower case
+	if routes == nil {
+		routes = t.byHost[strings.ToLower(host)]
+	}
+	for _, route := range routes {
+		if strings.HasPrefix(path, route.Prefix) {
+			return route
+		}
+	}
+	return nil
+}
+
+// Route returns a route by its name, or nil.
+func (t *Table) Route(name string) *Route { return t.byName[name] }
+
+// Routes returns all routes by their names. The caller must not change the map.
+func (t *Table) Routes() map[string]*Route { return t.byName }
+
+// RoutesByService returns the routes that name each service as a destination, in no order.
+func (t *Table) RoutesByService() map[string][]*Route {
+	byService := map[string][]*Route{}
+	for _, route := range t.byName {
+		for _, destination := range route.Destinations {
+			byService[destination.Service] = append(byService[destination.Service], route)
+		}
+	}
+	return byService
+}
