--- /dev/null
+++ b/internal/mesh/maintenance/ordertable.go
@@ -0,0 +1,171 @@
+package maintenance
+
+import (
+	"slices"
+	"time"
+
+	"github.com/juju/errors"
+)
+
+// Errors of orders and their changes. They are annotated with what was wrong; errors.Is finds them.
+const (
+	// ErrInvalidOrder is that an order, or a change of one, can't be.
+	ErrInvalidOrder = errors.ConstError("the order can't be")
+
+	// ErrStaleChange is that the order has gone on since a change was decided.
+	ErrStaleChange = errors.ConstError("the order has gone on since")
+)
+
+// Bounds of an OrderTable.
+const (
+	maxOpenOrders     = 16
+	maxFinishedOrders = 256
+)
+
+// OrderTable is all orders, the latest last. It is replicated state, and never changed once made: Place and Apply return the
+// next one.
+type OrderTable struct {
+	Orders []Order `json:"Orders"`
+}
+
+func (t OrderTable) index(id string) int {
+	return slices.IndexFunc(t.Orders, func(o Order) bool { return o.ID == id })
+}
+
+// Find is the order of that ID, if there is one.
+func (t OrderTable) Find(id string) (Order, bool) {
+	if i := t.index(id); i >= 0 {
+		return t.Orders[i], true
+	}
+	return Order{}, false
+}
+
+// Open are the orders that have not ended.
+func (t OrderTable) Open() (open []Order) {
+	for _, o := range t.Orders {
+		if !o.Step.IsFinished() {
+			open = append(open, o)
+		}
+	}
+	return open
+}
+
+// Place adds an order. The same order placed again, as a retry does, changes nothing. The error is ErrInvalidOrder; the table
+// is unchanged then. What Place writes into the order is replicated: it must be the same at every replica and version.
+func (t OrderTable) Place(o Order, now TimeBounds) (OrderTable, error) {
+	if err := o.validate(); err != nil {
+		return t, err
+	}
+	if placed, exists := t.Find(o.ID); exists {
+		if slices.Equal(placed.Machines, o.Machines) && placed.PlacedBy == o.PlacedBy {
+			return t, nil
+		}
+		return t, errors.Annotatef(ErrInvalidOrder, "another order has the id %s", o.ID)
+	}
+	if len(t.Open()) >= maxOpenOrders {
+		return t, errors.Annotatef(ErrInvalidOrder, "%d orders are open", maxOpenOrders)
+	}
+	o.Position, o.Step, o.Revision, o.StepSince, o.Events, o.ApprovedBy = 0, StepWaiting, 1, now, nil, ""
+	o.addEvent(now, placementText(o))
+	next := OrderTable{append(slices.Clone(t.Orders), o)}
+	next.dropOldest()
+	return next, nil
+}
+
+func placementText(o Order) string {
+	text := "placed by " + o.PlacedBy
+	if o.Override {
+		text += ", OVERRIDING the contracts: " + o.Reason
+	}
+	if o.NeedsApproval {
+		text += ", and asks for approval"
+	}
+	return text
+}
+
+// dropOldest keeps to maxFinishedOrders.
+func (t *OrderTable) dropOldest() {
+	for finished := len(t.Orders) - len(t.Open()); finished > maxFinishedOrders; finished-- {
+		i := slices.IndexFunc(t.Orders, func(o Order) bool { return o.Step.IsFinished() })
+		t.Orders = slices.Delete(t.Orders, i, i+1)
+	}
+}
+
+// OrderChange is a step of an order as Order.Next decided it, or what an operator asks of it.
+type OrderChange struct {
+	OrderID          string    `json:"id"`
+	ExpectedRevision uint64    `json:"after"` // that the change follows; 0: any
+	Step             Step      `json:"step,omitempty"`
+	NextMachine      bool      `json:"next,omitempty"`  // with StepWaiting: go on to the next machine
+	ReturnBy         time.Time `json:"until,omitzero"`  // with StepDraining
+	Successor        string    `json:"heir,omitempty"`  // with StepMovingCallers
+	Abort            bool      `json:"abort,omitempty"` // asked by an operator, or by a step that turns back
+	MaintenanceDone  bool      `json:"back,omitempty"`
+	// ApprovedBy is who approves an order that needs it. Whether the contracts name them is looked at where the call comes in,
+	// and again before a machine comes out.
+	ApprovedBy string `json:"approve,omitempty"`
+	Text       string `json:"text"`
+}
+
+func (c OrderChange) isEmpty() bool {
+	return c.Step == "" && !c.Abort && !c.MaintenanceDone && c.ApprovedBy == ""
+}
+
+// Apply makes a change that was committed. The error is ErrInvalidOrder or ErrStaleChange; the table is unchanged then.
+func (t OrderTable) Apply(c OrderChange, now TimeBounds) (OrderTable, error) {
+	i := t.index(c.OrderID)
+	if i < 0 {
+		return t, errors.Annotatef(ErrInvalidOrder, "no order %q", c.OrderID)
+	}
+	if err := t.Orders[i].accepts(c); err != nil {
+		return t, err
+	}
+	next := OrderTable{slices.Clone(t.Orders)}
+	next.Orders[i] = t.Orders[i].changed(c, now)
+	return next, nil
+}
+
+// accepts says why a change can't be made.
+func (o Order) accepts(c OrderChange) error {
+	switch {
+	case c.ExpectedRevision != 0 && c.ExpectedRevision != o.Revision:
+		return ErrStaleChange
+	case o.Step.IsFinished():
+		return errors.Annotatef(ErrInvalidOrder, "%s is over", c.OrderID)
+	case c.isEmpty():
+		return errors.Annotate(ErrInvalidOrder, "nothing changes")
+	case c.ApprovedBy != "" && (!o.NeedsApproval || o.Step != StepWaiting || o.Position > 0):
+		return errors.Annotatef(ErrInvalidOrder, "%s does not ask for approval", c.OrderID)
+	case c.ApprovedBy != "" && c.ApprovedBy == o.PlacedBy:
+		return errors.Annotatef(ErrInvalidOrder, "%s placed it, and another has to approve it", c.ApprovedBy)
+	case c.Step != "" && !o.Step.mayBecome(c.Step):
+		return errors.Annotatef(ErrStaleChange, "%s does not follow %s", c.Step, o.Step)
+	}
+	return nil
+}
+
+// changed is the order after a change that it accepts.
+func (o Order) changed(c OrderChange, now TimeBounds) Order {
+	o.Revision++
+	o.Aborting, o.MaintenanceDone = o.Aborting || c.Abort, o.MaintenanceDone || c.MaintenanceDone
+	if c.ApprovedBy != "" {
+		o.ApprovedBy = c.ApprovedBy
+	}
+	if c.Step != "" {
+		o.Step, o.StepSince = c.Step, now
+	}
+	switch c.Step {
+	case StepDraining:
+		o.ReturnBy, o.MaintenanceDone, o.Successor = c.ReturnBy, false, ""
+	case StepMovingCallers:
+		o.Successor = c.Successor
+	case StepInMaintenance:
+		o.MaintenanceSince = now
+	case StepWaiting, StepReturning, StepDone, StepAborted:
+	}
+	o.addEvent(now, c.Text)
+	if c.Step == StepWaiting && c.NextMachine {
+		o.Position++ // after the event, which is still about the machine that is back
+	}
+	return o
+}
--- /dev/null
+++ b/internal/mesh/maintenance/validate.go
@@ -0,0 +1,218 @@
+package maintenance
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"cranegrade/internal/mesh/validation"
+)
+
+// Validate finds the first mistake in a contract; nil means that there is none. Whether a contract is valid does not depend on
+// the day on which it is looked at.
+func (c Contract) Validate() *validation.Fault {
+	if fault := validation.Check(c); fault != nil {
+		return fault
+	}
+	zone, err := time.LoadLocation(c.TimeZone)
+	if err != nil || c.TimeZone == "Local" {
+		return faultf("TimeZone", "is %q; wanted: a name of the IANA's database", c.TimeZone)
+	}
+	if len(c.Weekly)+len(c.Dates) == 0 {
+		return faultf("Weekly", "is empty, and so is Dates: nothing would ever be approved")
+	}
+	if fault := c.validateWeekly(zone); fault != nil {
+		return fault
+	}
+	if fault := c.validateDates(zone); fault != nil {
+		return fault
+	}
+	return c.validateBarred(zone)
+}
+
+func faultf(field, format string, args ...any) *validation.Fault {
+	return &validation.Fault{Field: field, Text: fmt.Sprintf(format, args...)}
+}
+
+// weekdayHours is a weekly window on one of its days, in minutes since midnight.
+type weekdayHours struct {
+	day      time.Weekday
+	from, to int
+	index    int // of the window in Contract.Weekly
+}
+
+func (c Contract) validateWeekly(zone *time.Location) *validation.Fault {
+	var hours []weekdayHours
+	for i, window := range c.Weekly {
+		from, to, fault := window.minutes(fmt.Sprintf("Weekly[%d]", i))
+		if fault != nil {
+			return fault
+		}
+		for _, day := range window.Days {
+			hours = append(hours, weekdayHours{weekdayByName[day], from, to, i})
+		}
+	}
+	slices.SortStableFunc(hours, func(a, b weekdayHours) int {
+		return cmp.Or(cmp.Compare(a.day, b.day), cmp.Compare(a.from, b.from))
+	})
+	if fault := validateNoOverlap(hours); fault != nil {
+		return fault
+	}
+	return validateClockChanges(hours, zone)
+}
+
+// minutes reads both edges of a window, in minutes since midnight.
+func (w WeeklyWindow) minutes(field string) (from, to int, fault *validation.Fault) {
+	from, validFrom := parseTimeOfDay(w.From)
+	to, validTo := parseTimeOfDay(w.To)
+	switch {
+	case !validFrom || from == minutesPerDay:
+		fault = faultf(field+".From", "is %q; wanted: a time of day, as 22:00", w.From)
+	case !validTo:
+		fault = faultf(field+".To", "is %q; wanted: a time of day, as 23:30, or 24:00", w.To)
+	case from == to:
+		fault = faultf(field+".To", "is the same as From: the window is empty")
+	case from > to:
+		fault = faultf(field+".To", "is before From: hours over midnight are written as two windows, "+
+			"one to 24:00 and one of the next day from 00:00")
+	}
+	return from, to, fault
+}
+
+// validateNoOverlap expects the hours sorted by day and beginning.
+func validateNoOverlap(hours []weekdayHours) *validation.Fault {
+	for i := 1; i < len(hours); i++ {
+		a, b := hours[i-1], hours[i]
+		if a.day == b.day && b.from < a.to {
+			return faultf(fmt.Sprintf("Weekly[%d]", max(a.index, b.index)), "overlaps Weekly[%d] on %s", min(a.index, b.index), a.day)
+		}
+	}
+	return nil
+}
+
+// Clock changes of these years are looked at, whatever the present year: a call that was right stays right.
+var (
+	clockChangesFrom  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	clockChangesUntil = time.Date(2037, 1, 1, 0, 0, 0, 0, time.UTC)
+)
+
+// validateClockChanges sees that no weekly window begins or ends in an hour that a change of the clocks removes or repeats.
+func validateClockChanges(hours []weekdayHours, zone *time.Location) *validation.Fault {
+	for _, change := range clockChanges(zone, clockChangesFrom, clockChangesUntil) {
+		day := change.In(zone)
+		for _, h := range hours {
+			if day.Weekday() != h.day {
+				continue
+			}
+			for _, edge := range []struct {
+				field  string
+				minute int
+			}{{"From", h.from}, {"To", h.to}} {
+				if why := localTimeFault(zone, day.Year(), day.Month(), day.Day(), edge.minute); why != "" {
+					return faultf(fmt.Sprintf("Weekly[%d].%s", h.index, edge.field), "%s on %s, when the clocks change", why, day.Format(dayLayout))
+				}
+			}
+		}
+	}
+	return nil
+}
+
+func (c Contract) validateDates(zone *time.Location) *validation.Fault {
+	var intervals []Interval
+	for i, window := range c.Dates {
+		field := fmt.Sprintf("Dates[%d]", i)
+		interval, fault := window.interval(field, zone)
+		if fault != nil {
+			return fault
+		}
+		for n, other := range intervals {
+			if interval.overlaps(other) {
+				return faultf(field, "overlaps Dates[%d]", n)
+			}
+		}
+		intervals = append(intervals, interval)
+	}
+	return nil
+}
+
+// interval reads both edges of a window.
+func (w DateWindow) interval(field string, zone *time.Location) (i Interval, fault *validation.Fault) {
+	if i.From, fault = parseMinute(field+".From", w.From, zone); fault != nil {
+		return i, fault
+	}
+	if i.To, fault = parseMinute(field+".To", w.To, zone); fault != nil {
+		return i, fault
+	}
+	if !i.From.Before(i.To) {
+		return i, faultf(field+".To", "is not after From: the window is empty")
+	}
+	return i, nil
+}
+
+// parseMinute reads a local minute, which must exist and come only once.
+func parseMinute(field, text string, zone *time.Location) (time.Time, *validation.Fault) {
+	t, err := time.ParseInLocation(minuteLayout, text, zone)
+	if err != nil {
+		return t, faultf(field, "is %q; wanted: a minute, as 2026-12-31 22:00", text)
+	}
+	why := localTimeFault(zone, t.Year(), t.Month(), t.Day(), t.Hour()*60+t.Minute())
+	if t.Format(minuteLayout) != text { // time.ParseInLocation moved it out of the hour that was removed
+		why = text[len(dayLayout)+1:] + " does not exist"
+	}
+	if why != "" {
+		return t, faultf(field, "%s %s", text[:len(dayLayout)], why)
+	}
+	return t, nil
+}
+
+func (c Contract) validateBarred(zone *time.Location) *validation.Fault {
+	for i, days := range c.Barred {
+		field := fmt.Sprintf("Barred[%d]", i)
+		from, err := time.ParseInLocation(dayLayout, days.From, zone)
+		if err != nil {
+			return faultf(field+".From", "is %q; wanted: a day, as 2026-12-31", days.From)
+		}
+		to, err := time.ParseInLocation(dayLayout, days.To, zone)
+		if err != nil {
+			return faultf(field+".To", "is %q; wanted: a day, as 2026-12-31", days.To)
+		}
+		if to.Before(from) {
+			return faultf(field+".To", "is before From: no day is barred")
+		}
+	}
+	return nil
+}
+
+// clockShifts are by how much the clocks of a zone may change.
+var clockShifts = []time.Duration{-2 * time.Hour, -time.Hour, -30 * time.Minute, 30 * time.Minute, time.Hour, 2 * time.Hour}
+
+// localTimeFault says that a local minute does not exist or comes twice; "" means neither. Minute 24*60 is the first of the
+// next day.
+func localTimeFault(zone *time.Location, year int, month time.Month, day, minute int) string {
+	t := time.Date(year, month, day, 0, minute, 0, 0, zone)
+	want := time.Date(year, month, day, 0, minute, 0, 0, time.UTC)
+	if t.Format(minuteLayout) != want.Format(minuteLayout) {
+		return want.Format(timeOfDayLayout) + " does not exist"
+	}
+	for _, shift := range clockShifts {
+		if t.Add(shift).Format(minuteLayout) == t.Format(minuteLayout) {
+			return want.Format(timeOfDayLayout) + " comes twice"
+		}
+	}
+	return ""
+}
+
+// clockChanges are times of the days on which the clocks of a zone change. Of each change there are two, half a day apart: it
+// was between them, and so on the day of either.
+func clockChanges(zone *time.Location, from, to time.Time) (changes []time.Time) {
+	const step = 12 * time.Hour
+	_, last := from.In(zone).Zone()
+	for t := from; t.Before(to); t = t.Add(step) {
+		if _, offset := t.In(zone).Zone(); offset != last {
+			last = offset
+			changes = append(changes, t, t.Add(-step))
+		}
+	}
+	return changes
+}
