--- a/internal/mesh/maintenance/golden_test.go
+++ b/internal/mesh/maintenance/golden_test.go
@@ -50,8 +50,10 @@
 		Counts    map[string]int `json:"counts"`
 	}
 	got := map[string]section{}
-	for name, play := range map[string]func(*rand.Rand, *goldenRecord){"contracts": goldenContracts, "plans": goldenPlans,
-		"orders": goldenOrders, "clocks": goldenClocks} {
+	for name, play := range map[string]func(*rand.Rand, *goldenRecord){
+		"contracts": goldenContracts, "plans": goldenPlans,
+		"orders": goldenOrders, "clocks": goldenClocks,
+	} {
 		g := newGoldenRecord()
 		for seed := range uint64(100) {
 			play(rand.New(rand.NewPCG(seed, 57)), g)
@@ -77,8 +79,10 @@
 
 // drawContract draws a contract; with mistakes it may be invalid.
 func drawContract(r *rand.Rand, name string, mistakes bool) Contract {
-	c := Contract{Name: name, ConfigVersion: 1, TimeZone: pick(r, "Australia/Hobart", "Europe/Paris", "UTC", "America/New_York"),
-		Approvers: append(some(r, "ana", "bo"), "cy"), LeastReady: pick(r, 0, 0, 0.25, 0.75), MostOut: OutLimits{r.IntN(3), r.IntN(4)}}
+	c := Contract{
+		Name: name, ConfigVersion: 1, TimeZone: pick(r, "Australia/Hobart", "Europe/Paris", "UTC", "America/New_York"),
+		Approvers: append(some(r, "ana", "bo"), "cy"), LeastReady: pick(r, 0, 0, 0.25, 0.75), MostOut: OutLimits{r.IntN(3), r.IntN(4)},
+	}
 	switch r.IntN(5) {
 	case 0:
 		c.Covers.Services = some(r, "log", "else")
@@ -93,7 +97,8 @@
 		c.Weekly = append(c.Weekly, WeeklyWindow{append(some(r, "Tue", "Wed", "Thu", "Fri"), pick(r, "Mon", "Sat", "Sun")), edges[0], edges[1]})
 	}
 	if r.IntN(3) == 0 {
-		c.Dates = append(c.Dates, DateWindow{pick(r, "2026-06-01 12:00", "2026-10-04 02:30", "2026-04-05 01:00"), pick(r, "2026-06-02 04:00", "2026-10-04 05:00")})
+		from := pick(r, "2026-06-01 12:00", "2026-10-04 02:30", "2026-04-05 01:00")
+		c.Dates = append(c.Dates, DateWindow{from, pick(r, "2026-06-02 04:00", "2026-10-04 05:00")})
 	}
 	if r.IntN(3) == 0 {
 		c.Barred = append(c.Barred, BarredDays{pick(r, "2026-06-02", "2026-10-04"), pick(r, "2026-06-02", "2026-10-05"), "harvest"})
@@ -160,18 +165,26 @@
 }
 
 func drawView(r *rand.Rand) View {
-	v := View{Load: map[string]float64{}, Parameters: Parameters{DrainTimeout: 2 * time.Second, DownloadAllowance: 10 * time.Second, WarmUp: 3 * time.Second,
-		Margin: time.Duration(r.IntN(60)) * time.Second, FaultTolerance: r.IntN(2)}}
+	v := View{Load: map[string]float64{}, Parameters: Parameters{
+		DrainTimeout: 2 * time.Second, DownloadAllowance: 10 * time.Second, WarmUp: 3 * time.Second,
+		Margin: time.Duration(r.IntN(60)) * time.Second, FaultTolerance: r.IntN(2),
+	}}
 	for n := range 3 + r.IntN(4) {
-		v.Machines = append(v.Machines, Machine{Addr: fmt.Sprint("l", n), Name: fmt.Sprint("line-", n), Zone: fmt.Sprint("z", r.IntN(2)),
-			Service: pick(r, "log", "log", "else"), Namespaces: some(r, "crews", "pickers"), Slots: 6 * r.IntN(3), Ready: r.IntN(8) > 0})
+		v.Machines = append(v.Machines, Machine{
+			Addr: fmt.Sprint("l", n), Name: fmt.Sprint("line-", n), Zone: fmt.Sprint("z", r.IntN(2)),
+			Service: pick(r, "log", "log", "else"), Namespaces: some(r, "crews", "pickers"), Slots: 6 * r.IntN(3), Ready: r.IntN(8) > 0,
+		})
 	}
 	for n := range 3 + r.IntN(3) {
-		v.Machines = append(v.Machines, Machine{Addr: fmt.Sprint("r", n), Name: fmt.Sprint("r", n), Zone: fmt.Sprint("z", r.IntN(2)),
-			Ready: r.IntN(8) > 0, ControlPlane: true})
+		v.Machines = append(v.Machines, Machine{
+			Addr: fmt.Sprint("r", n), Name: fmt.Sprint("r", n), Zone: fmt.Sprint("z", r.IntN(2)),
+			Ready: r.IntN(8) > 0, ControlPlane: true,
+		})
+	}
+	v.Routes = []Route{
+		{Name: "weigh", Services: []string{"log"}, Timeout: time.Second},
+		{Name: "export", Services: []string{"else"}, Timeout: time.Duration(r.IntN(60)) * time.Second, Download: r.IntN(2) == 0},
 	}
-	v.Routes = []Route{{Name: "weigh", Services: []string{"log"}, Timeout: time.Second},
-		{Name: "export", Services: []string{"else"}, Timeout: time.Duration(r.IntN(60)) * time.Second, Download: r.IntN(2) == 0}}
 	for n := 0; n < r.IntN(4); n++ {
 		c := drawContract(r, fmt.Sprint("c", n), false)
 		if r.IntN(3) > 0 {
@@ -237,8 +250,11 @@
 			b, err = b.Place(drawOrder(r), now)
 			g.outcome("place", err)
 		case 1:
-			net = append(net, OrderChange{OrderID: fmt.Sprint("o", r.IntN(4)), ExpectedRevision: uint64(r.IntN(2) * r.IntN(6)), Abort: r.IntN(8) == 0, MaintenanceDone: r.IntN(3) == 0,
-				ApprovedBy: pick(r, "", "", "ana", "cy"), Text: "a word"})
+			net = append(net, OrderChange{
+				OrderID: fmt.Sprint("o", r.IntN(4)), ExpectedRevision: uint64(r.IntN(2) * r.IntN(6)), Abort: r.IntN(8) == 0,
+				MaintenanceDone: r.IntN(3) == 0,
+				ApprovedBy:      pick(r, "", "", "ana", "cy"), Text: "a word",
+			})
 		case 2:
 			early = early.Add(time.Duration(r.IntN(400)) * time.Second)
 		case 3:
@@ -272,8 +288,11 @@
 }
 
 func drawOrder(r *rand.Rand) Order {
-	o := Order{ID: pick(r, "o0", "o1", "o2", "o3", ""), PlacedBy: pick(r, "ana", "bo", "cy", ""), Duration: time.Duration(r.IntN(600)) * time.Second,
-		Override: r.IntN(6) == 0, NeedsApproval: r.IntN(4) == 0, Reason: pick(r, "", "smoke"), Machines: some(r, "l0", "l1", "l2", "r0")}
+	o := Order{
+		ID: pick(r, "o0", "o1", "o2", "o3", ""), PlacedBy: pick(r, "ana", "bo", "cy", ""),
+		Duration: time.Duration(r.IntN(600)) * time.Second,
+		Override: r.IntN(6) == 0, NeedsApproval: r.IntN(4) == 0, Reason: pick(r, "", "smoke"), Machines: some(r, "l0", "l1", "l2", "r0"),
+	}
 	if r.IntN(3) == 0 {
 		for _, m := range o.Machines {
 			o.MachineNames = append(o.MachineNames, "name of "+m)
@@ -286,8 +305,12 @@
 func drawSight(r *rand.Rand) Observation {
 	likely := func() bool { return r.IntN(16) > 0 }
 	few := func() int { return max(0, r.IntN(16)-13) }
-	return Observation{Reachable: likely(), Cordoned: likely(), ServerRequests: few(), CallerRequests: few(), CallersMoved: likely(), KeysHandedOver: likely(), Senders: few(), Ready: likely(),
-		Warm: likely(), ControlPlane: r.IntN(4) == 0, FollowingSidecars: few(), IsLeader: r.IntN(4) == 0, SendersText: "l7 does not answer", WorkText: "in flight none"}
+	return Observation{
+		Reachable: likely(), Cordoned: likely(), ServerRequests: few(), CallerRequests: few(),
+		CallersMoved: likely(), KeysHandedOver: likely(), Senders: few(), Ready: likely(), Warm: likely(),
+		ControlPlane: r.IntN(4) == 0, FollowingSidecars: few(), IsLeader: r.IntN(4) == 0,
+		SendersText: "l7 does not answer", WorkText: "in flight none",
+	}
 }
 
 // outcome records of which kind an error is.
@@ -371,7 +394,8 @@
 			continue
 		}
 		trip, ago := time.Duration(r.IntN(50))*time.Millisecond, time.Duration(r.IntN(500))*time.Millisecond
-		samples = append(samples, ClockSample{Member: uint64(n / (1 + r.IntN(12)/11)), Wall: truth.Add(off - ago), ReadAt: at - ago, RoundTrip: trip})
+		member := uint64(n / (1 + r.IntN(12)/11)) // now and then another has the same one
+		samples = append(samples, ClockSample{Member: member, Wall: truth.Add(off - ago), ReadAt: at - ago, RoundTrip: trip})
 	}
 	return samples
 }
