--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -108,13 +108,24 @@
 		ok   bool
 	}
 	checks := []check{
-		{"Classes", len(s.Classes) > 0}, {"Balancers", s.Balancers >= 0}, {"Index", s.Index >= 0},
-		{"Tier", s.Tier >= 0}, {"MaxAttempts", s.MaxAttempts >= 0}, {"AskWithin", s.AskWithin >= 0},
-		{"Tick", s.Tick >= 0}, {"ToldAfter", s.ToldAfter >= 0}, {"Spares", s.Spares >= 0}, {"StartCalls", s.StartCalls >= 0},
-		{"TenantWeight", s.TenantWeight >= 0}, {"WorstTenantWeight", s.WorstTenantWeight >= 0},
-		{"OverShare", s.OverShare >= 0 && s.OverShare <= 1}, {"MaxRetryAfter", s.MaxRetryAfter >= 0},
-		{"ColdFrom", s.ColdFrom >= 0 && s.ColdFrom <= 1}, {"WarmAfter", s.WarmAfter >= 0},
-		{"FallMultiple", s.FallMultiple >= 0}, {"FallFor", s.FallFor >= 0},
+		{"Classes", len(s.Classes) > 0},
+		{"Balancers", s.Balancers >= 0},
+		{"Index", s.Index >= 0},
+		{"Tier", s.Tier >= 0},
+		{"MaxAttempts", s.MaxAttempts >= 0},
+		{"AskWithin", s.AskWithin >= 0},
+		{"Tick", s.Tick >= 0},
+		{"ToldAfter", s.ToldAfter >= 0},
+		{"Spares", s.Spares >= 0},
+		{"StartCalls", s.StartCalls >= 0},
+		{"TenantWeight", s.TenantWeight >= 0},
+		{"WorstTenantWeight", s.WorstTenantWeight >= 0},
+		{"OverShare", s.OverShare >= 0 && s.OverShare <= 1},
+		{"MaxRetryAfter", s.MaxRetryAfter >= 0},
+		{"ColdFrom", s.ColdFrom >= 0 && s.ColdFrom <= 1},
+		{"WarmAfter", s.WarmAfter >= 0},
+		{"FallMultiple", s.FallMultiple >= 0},
+		{"FallFor", s.FallFor >= 0},
 	}
 	names := map[string]bool{}
 	for i, c := range s.Classes {
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -51,9 +51,11 @@
 // Beliefs reports what the Balancer holds true at its last event. At most most servers are listed, the
 // ones with most calls out first in question; 0 lists none.
 func (b *Balancer) Beliefs(most int) Beliefs {
-	v := Beliefs{InFlight: b.inFlight, Held: len(b.queue), Requests: len(b.requests), Ready: len(b.ready),
+	v := Beliefs{
+		InFlight: b.inFlight, Held: len(b.queue), Requests: len(b.requests), Ready: len(b.ready),
 		Window: b.window, Fill: b.targetUse, Bare: math.Exp(b.leastLogUse), DebtMS: b.pacingDebt / 1e6, Shed: b.shedShare,
-		Errors: b.errorShare, Tokens: b.retryTokens, Unevenness: b.unevenness()}
+		Errors: b.errorShare, Tokens: b.retryTokens, Unevenness: b.unevenness(),
+	}
 	for _, c := range b.classList {
 		v.Classes = append(v.Classes, ClassBeliefs{c.Name, c.mean / 1e6, c.deviation / 1e6, c.arrived, c.served})
 	}
@@ -61,8 +63,10 @@
 		return v
 	}
 	for _, s := range b.servers {
-		w := ServerBeliefs{ID: s.ID, State: stateNames[s.State], Calls: s.calls, Slow: s.slowness, Level: s.ejectionLevel,
-			Out: b.isEjected(s), Room: -1, Warmth: b.warmth(s)}
+		w := ServerBeliefs{
+			ID: s.ID, State: stateNames[s.State], Calls: s.calls, Slow: s.slowness, Level: s.ejectionLevel,
+			Out: b.isEjected(s), Room: -1, Warmth: b.warmth(s),
+		}
 		if b.now < s.fullUntil {
 			w.Room = s.refusalRoom
 		}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -11,8 +11,10 @@
 // One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Scope: balancer.ScopeAll,
-			Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
+		Classes: []balancer.Class{{
+			Name: "read", Effect: balancer.Safe, Scope: balancer.ScopeAll,
+			Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1,
+		}},
 		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
 		ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
 	}, 42)
@@ -28,14 +30,18 @@
 	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
 
 	now += 3 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 0, Server: first.Server,
-		Ending: balancer.Unreachable, Latency: 3 * time.Millisecond})
+	acts = b.Handle(now, balancer.Outcome{
+		ID: "r1", Attempt: 0, Server: first.Server,
+		Ending: balancer.Unreachable, Latency: 3 * time.Millisecond,
+	})
 	second := acts[0].(balancer.Send)
 	fmt.Println("sent again to another server:", second.Server != first.Server)
 
 	now += 20 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 1, Server: second.Server,
-		Ending: balancer.Success, Latency: 20 * time.Millisecond, Ended: true})
+	acts = b.Handle(now, balancer.Outcome{
+		ID: "r1", Attempt: 1, Server: second.Server,
+		Ending: balancer.Success, Latency: 20 * time.Millisecond, Ended: true,
+	})
 	fmt.Println("left to do:", len(acts))
 	// Output:
 	// sent r1 with a time-out of 1s
@@ -45,8 +51,10 @@
 
 func BenchmarkHandle(bench *testing.B) {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second,
-			Deadline: time.Second, Worth: 1}},
+		Classes: []balancer.Class{{
+			Name: "read", Effect: balancer.Safe, Aim: time.Second,
+			Deadline: time.Second, Worth: 1,
+		}},
 		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
 	}, 1)
 	if err != nil {
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -139,8 +139,10 @@
 func (g *goldenRun) request() {
 	g.next++
 	classes := g.b.classList
-	r := Request{ID: fmt.Sprint("r", g.next), Class: classes[g.random.IntN(len(classes))].Name, Deadline: g.now + time.Duration(100+g.random.IntN(1500))*time.Millisecond,
-		Repeat: g.random.IntN(5) == 0, Cost: time.Duration(g.random.IntN(20)) * time.Millisecond, Tenant: []string{"", "acme", "bolt", "else"}[g.random.IntN(4)]}
+	r := Request{
+		ID: fmt.Sprint("r", g.next), Class: classes[g.random.IntN(len(classes))].Name, Deadline: g.now + time.Duration(100+g.random.IntN(1500))*time.Millisecond,
+		Repeat: g.random.IntN(5) == 0, Cost: time.Duration(g.random.IntN(20)) * time.Millisecond, Tenant: []string{"", "acme", "bolt", "else"}[g.random.IntN(4)],
+	}
 	if g.random.IntN(20) == 0 {
 		r.Among = []string{g.server(), g.server(), g.server()}
 	}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -31,54 +31,30 @@
 	return b.now-a.sent > wait && b.lastSuccess > a.sent+wait/2 && s.lastSuccess < a.sent+wait/2
 }
 
-// learn learns from an ending: the class's latency, the server's health relative to its peers.
+// learn takes an ending into account: for the class's latency, the server's health relative to its peers.
 func (b *Balancer) learn(a *attempt, e Outcome) {
 	s, c := a.server, a.request.class
-	took := float64(a.latency(b.now))
-	bad := 0.0
+	latency := float64(a.latency(b.now))
 	if e.Ending == Success || e.Ending == Failure {
 		s.acceptedAt = max(s.acceptedAt, a.sent)
 	}
+	bad := 0.0
 	switch e.Ending {
 	case Success:
-		b.retryTokens = min(maxRetryTokens, b.retryTokens+retryTokenPerSuccess)
-		b.lastSuccess, s.lastSuccess = b.now, b.now
-		b.learnSpeed(s, a.request, took)
-		if c.cost == 0 {
-			c.cost = a.request.cost
-		}
-		c.cost += pooledWeight * (a.request.cost - c.cost)
-		c.deviation += pooledWeight * (math.Abs(took-c.mean) - c.deviation)
-		c.mean += pooledWeight * (took - c.mean)
-		s.failureStreak, s.refusals = 0, 0
-		if a.sent > s.refusedAt && s.calls+1 >= s.refusalRoom {
-			s.refusalRoom++ // it took as many as it was thought to have room for
-		}
-		if s.successStreak++; s.successStreak >= minSamples && s.ejectionLevel > 0 {
-			s.ejectionLevel, s.successStreak = s.ejectionLevel-1, 1
-		}
+		b.learnSuccess(a, latency)
 	case Overloaded, Unreachable:
-		if a.sent < s.refusedAt && e.Ending == Overloaded {
-			return // sent before the last one was known: the same lack of room
-		}
-		s.refusalRoom = s.calls
-		if e.Ending == Overloaded && took > c.mean/2 {
-			// Slow to refuse, it wins no picks by that: one call at a time shows more.
-			s.refusalRoom = max(1, s.refusalRoom)
-		}
-		s.fullUntil = b.now + time.Duration((0.5+b.rng.Float64())*ejectionLatencies*c.mean)<<s.refusals
-		s.refusedAt, s.refusals = b.now, min(s.refusals+1, maxEjectionLevel)
+		b.learnRefusal(a, e.Ending, latency)
 		return
 	case Failure, Broken, TimedOut:
 		bad = 1
 		if e.Ending == TimedOut {
-			b.addPacingDebt(c, took) // a server may work on for nobody
+			b.addPacingDebt(c, latency) // a server may work on for nobody
 			b.abandoned(1, c.mean)
 		}
 	case Withdrawn:
-		if took > c.mean+overlongDeviations*c.deviation {
+		if latency > c.mean+overlongDeviations*c.deviation {
 			b.abandoned(1, c.mean)
-			b.learnSpeed(s, a.request, took)
+			b.learnSpeed(s, a.request, latency)
 		}
 		return
 	default:
@@ -99,6 +75,42 @@
 	b.errorShare = max(b.errorShare, 0.01)
 }
 
+// learnSuccess notes an answer: retry tokens, latency of class and server, and that the server is well.
+func (b *Balancer) learnSuccess(a *attempt, latency float64) {
+	s, c := a.server, a.request.class
+	b.retryTokens = min(maxRetryTokens, b.retryTokens+retryTokenPerSuccess)
+	b.lastSuccess, s.lastSuccess = b.now, b.now
+	b.learnSpeed(s, a.request, latency)
+	if c.cost == 0 {
+		c.cost = a.request.cost
+	}
+	c.cost += pooledWeight * (a.request.cost - c.cost)
+	c.deviation += pooledWeight * (math.Abs(latency-c.mean) - c.deviation)
+	c.mean += pooledWeight * (latency - c.mean)
+	s.failureStreak, s.refusals = 0, 0
+	if a.sent > s.refusedAt && s.calls+1 >= s.refusalRoom {
+		s.refusalRoom++ // it took as many as it was thought to have room for
+	}
+	if s.successStreak++; s.successStreak >= minSamples && s.ejectionLevel > 0 {
+		s.ejectionLevel, s.successStreak = s.ejectionLevel-1, 1
+	}
+}
+
+// learnRefusal notes a lack of room: for a while the server gets no more calls than it had then.
+func (b *Balancer) learnRefusal(a *attempt, ending Ending, latency float64) {
+	s, c := a.server, a.request.class
+	if a.sent < s.refusedAt && ending == Overloaded {
+		return // sent before the last one was known: the same lack of room
+	}
+	s.refusalRoom = s.calls
+	if ending == Overloaded && latency > c.mean/2 {
+		// Slow to refuse, it wins no picks by that: one call at a time shows more.
+		s.refusalRoom = max(1, s.refusalRoom)
+	}
+	s.fullUntil = b.now + time.Duration((0.5+b.rng.Float64())*ejectionLatencies*c.mean)<<s.refusals
+	s.refusedAt, s.refusals = b.now, min(s.refusals+1, maxEjectionLevel)
+}
+
 // learnSpeed compares a latency with the class's mean; a server slow over several answers is
 // ejected, so that others carry its load and it can recover.
 func (b *Balancer) learnSpeed(s *server, r *request, took float64) {
--- a/balancer/learned_state.go
+++ b/balancer/learned_state.go
@@ -52,15 +52,19 @@
 
 // Knowledge is what b has learned until its last event.
 func (b *Balancer) Knowledge() *Knowledge {
-	k := &Knowledge{At: b.now, Window: b.window, Fill: b.targetUse, Pace: b.logUse, Bare: b.leastLogUse, Answers: b.samples, Fresh: b.newShare,
-		Spread: b.latencyVariance, Errors: b.errorShare, Tokens: b.retryTokens, Shed: b.shedShare, Vain: b.abandonedShare}
+	k := &Knowledge{
+		At: b.now, Window: b.window, Fill: b.targetUse, Pace: b.logUse, Bare: b.leastLogUse, Answers: b.samples, Fresh: b.newShare,
+		Spread: b.latencyVariance, Errors: b.errorShare, Tokens: b.retryTokens, Shed: b.shedShare, Vain: b.abandonedShare,
+	}
 	for _, c := range b.classList {
 		k.Classes = append(k.Classes, ClassKnowledge{c.Name, c.mean, c.deviation, c.cost, c.arrived, c.served, c.longestTry})
 	}
 	for _, s := range b.servers {
 		if s.listed {
-			k.Servers = append(k.Servers, ServerKnowledge{s.ID, s.Boot, s.failureStreak, s.ejectionLevel, s.successStreak, s.ejectedUntil, s.slowness, s.samples,
-				s.lastSuccess, s.acceptedAt, s.refusalRoom, s.refusedAt, s.fullUntil, s.refusals})
+			k.Servers = append(k.Servers, ServerKnowledge{
+				s.ID, s.Boot, s.failureStreak, s.ejectionLevel, s.successStreak, s.ejectedUntil, s.slowness, s.samples,
+				s.lastSuccess, s.acceptedAt, s.refusalRoom, s.refusedAt, s.fullUntil, s.refusals,
+			})
 		}
 	}
 	return k
--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -70,9 +70,11 @@
 		n := func() float64 { return number.Draw(t, "n") }
 		d := func() time.Duration { return span.Draw(t, "d") }
 		c := func() int { return count.Draw(t, "c") }
-		k := &Knowledge{d(), n(), n(), n(), n(), n(), n(), n(), n(), n(), n(), n(),
+		k := &Knowledge{
+			d(), n(), n(), n(), n(), n(), n(), n(), n(), n(), n(), n(),
 			[]ClassKnowledge{{"x", n(), n(), n(), n(), n(), d()}, {"y", n(), n(), n(), n(), n(), d()}},
-			[]ServerKnowledge{{"a", 0, c(), c(), c(), d(), n(), c(), d(), d(), c(), d(), d(), c()}, {"z", 0, c(), c(), c(), d(), n(), c(), d(), d(), c(), d(), d(), c()}}}
+			[]ServerKnowledge{{"a", 0, c(), c(), c(), d(), n(), c(), d(), d(), c(), d(), d(), c()}, {"z", 0, c(), c(), c(), d(), n(), c(), d(), d(), c(), d(), d(), c()}},
+		}
 		b, _ := New(set, 1)
 		now := time.Hour
 		b.Handle(now, ServerList{Full: true, Servers: []Server{{ID: "a"}, {ID: "b"}}})
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -8,8 +8,10 @@
 
 func longBalancer(t *testing.T) (*Balancer, time.Duration) {
 	t.Helper()
-	b, err := New(Settings{Classes: []Class{{Name: "x", Effect: Safe, Aim: time.Second, Deadline: 10 * time.Second, Worth: 1}},
-		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond, MayCancel: true}, 1)
+	b, err := New(Settings{
+		Classes:   []Class{{Name: "x", Effect: Safe, Aim: time.Second, Deadline: 10 * time.Second, Worth: 1}},
+		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond, MayCancel: true,
+	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -125,8 +125,10 @@
 	if c == nil {
 		c = b.classList[len(b.classList)-1] // unknown: unsafe
 	}
-	r := &request{id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, clientRetry: e.Repeat,
-		cost: float64(e.Cost), places: e.Places}
+	r := &request{
+		id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, clientRetry: e.Repeat,
+		cost: float64(e.Cost), places: e.Places,
+	}
 	b.requests[e.ID] = r
 	if e.Among != nil {
 		r.candidates = make(map[string]bool, len(e.Among))
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -15,8 +15,10 @@
 	return Settings{
 		Classes: []Class{
 			{Name: "get", Effect: Safe, Scope: ScopeAll, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 1},
-			{Name: "post", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, Aim: 500 * msec,
-				Deadline: 1500 * msec, Worth: 2},
+			{
+				Name: "post", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, Aim: 500 * msec,
+				Deadline: 1500 * msec, Worth: 2,
+			},
 			{Name: "pay", Effect: Unsafe, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 3},
 		},
 		Balancers: 2, Tier: 0, WholeWeight: 0.6, ClassWeight: 0.3,
@@ -375,8 +377,10 @@
 	}
 	b.Handle(time.Minute, ServerList{Full: true, Servers: list})
 	for i := range 20 {
-		for _, s := range sends(b.Handle(time.Minute+time.Duration(i)*msec, Request{ID: fmt.Sprint(i), Class: "get",
-			Deadline: 2 * time.Minute})) {
+		for _, s := range sends(b.Handle(time.Minute+time.Duration(i)*msec, Request{
+			ID: fmt.Sprint(i), Class: "get",
+			Deadline: 2 * time.Minute,
+		})) {
 			if cold[s.Server] {
 				t.Fatalf("request %d went to a server that started %d ms ago", i, i)
 			}
@@ -679,8 +683,10 @@
 					count++
 				}
 				now += 2 * msec
-				todo = sends(b.Handle(now, Outcome{ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
-					Ending: end, Ended: end == Success}))
+				todo = sends(b.Handle(now, Outcome{
+					ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
+					Ending: end, Ended: end == Success,
+				}))
 			}
 		}
 		return count
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -35,8 +35,10 @@
 }
 
 func newChecker(set Settings) *checker {
-	return &checker{set: set, slack: 20 * msec, state: map[string]ServerState{}, cells: map[string]int{},
-		zones: map[string]string{}, reqs: map[string]*tracked{}}
+	return &checker{
+		set: set, slack: 20 * msec, state: map[string]ServerState{}, cells: map[string]int{},
+		zones: map[string]string{}, reqs: map[string]*tracked{},
+	}
 }
 
 func (c *checker) fault(format string, args ...any) {
@@ -176,8 +178,12 @@
 		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
 		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
 		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Refuse{ID: "r"}}},
-		{"outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * msec, timedOut,
-			Send{ID: "r", Server: "a"}}},
+		{"outside its window", []any{
+			list, req("post"),
+			Send{ID: "r", Server: "a"},
+			950 * msec, timedOut,
+			Send{ID: "r", Server: "a"},
+		}},
 		{"outside its scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
 		{"rule 3", []any{list, req("get"), Send{ID: "r", Server: "c"}}},
 		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -116,7 +116,8 @@
 // filter applies everything but the fallbacks. Apart it gives the idle cold servers: a request's first
 // try may go to one, whatever the thinning, when a deploy has left no warm server in the whole list.
 func (b *Balancer) filter(r *request, from []*server, unfit map[*server]bool,
-	limit func(*server) int) (warm, idle []*server) {
+	limit func(*server) int,
+) (warm, idle []*server) {
 	var small []*server
 	for _, s := range from {
 		switch {
--- a/balancer/server_list_test.go
+++ b/balancer/server_list_test.go
@@ -14,18 +14,22 @@
 // that the whole list, sorted anew, would give, and nothing is kept of servers that have gone.
 func TestListNewsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{Classes: []Class{{Name: "read", Effect: Safe, Aim: time.Second, Deadline: time.Second, Worth: 1}},
+		set := Settings{
+			Classes:   []Class{{Name: "read", Effect: Safe, Aim: time.Second, Deadline: time.Second, Worth: 1}},
 			Balancers: rapid.IntRange(1, 5).Draw(t, "balancers"), MaxAttempts: 3, Tick: time.Millisecond,
-			Sizes: Sizes(rapid.IntRange(0, 2).Draw(t, "sizes"))}
+			Sizes: Sizes(rapid.IntRange(0, 2).Draw(t, "sizes")),
+		}
 		set.Index = rapid.IntRange(0, set.Balancers-1).Draw(t, "index")
 		b, err := New(set, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		entry := rapid.Custom(func(t *rapid.T) Server {
-			return Server{ID: fmt.Sprint("s", rapid.IntRange(0, 15).Draw(t, "id")), Cell: rapid.IntRange(0, 2).Draw(t, "cell"),
+			return Server{
+				ID: fmt.Sprint("s", rapid.IntRange(0, 15).Draw(t, "id")), Cell: rapid.IntRange(0, 2).Draw(t, "cell"),
 				State: ServerState(rapid.IntRange(0, 2).Draw(t, "state")), Size: float64(rapid.IntRange(0, 2).Draw(t, "size")),
-				Boot: time.Duration(rapid.IntRange(0, 1).Draw(t, "boot"))}
+				Boot: time.Duration(rapid.IntRange(0, 1).Draw(t, "boot")),
+			}
 		})
 		model := map[string]Server{}
 		now, requests := time.Duration(0), 0
@@ -102,8 +106,10 @@
 func BenchmarkListNews(bench *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
-			b, err := New(Settings{Classes: []Class{{Name: "read", Effect: Safe, Aim: time.Second, Deadline: time.Second, Worth: 1}},
-				Balancers: 100, MaxAttempts: 3, Tick: time.Millisecond}, 1)
+			b, err := New(Settings{
+				Classes:   []Class{{Name: "read", Effect: Safe, Aim: time.Second, Deadline: time.Second, Worth: 1}},
+				Balancers: 100, MaxAttempts: 3, Tick: time.Millisecond,
+			}, 1)
 			if err != nil {
 				bench.Fatal(err)
 			}
--- a/balancer/spares_test.go
+++ b/balancer/spares_test.go
@@ -14,14 +14,22 @@
 		return Class{Name: name, Effect: e, Scope: ScopeAll, Window: time.Minute, Aim: time.Second, Deadline: time.Second, Worth: 1}
 	}
 	for _, want := range []int{0, 2, 9} {
-		b, err := New(Settings{Classes: []Class{class("read", Safe), class("order", Unsafe), class("send", Keyed)}, Balancers: 1, Spares: want,
-			MaxAttempts: 3, Tick: time.Millisecond, ColdFrom: 0.3, WarmAfter: time.Hour, FallMultiple: 3, FallFor: time.Second}, 1)
+		b, err := New(Settings{
+			Classes: []Class{class("read", Safe), class("order", Unsafe), class("send", Keyed)}, Balancers: 1, Spares: want,
+			MaxAttempts: 3, Tick: time.Millisecond, ColdFrom: 0.3, WarmAfter: time.Hour, FallMultiple: 3, FallFor: time.Second,
+		}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Minute
-		b.Handle(now, ServerList{Full: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}, {ID: "d"},
-			{ID: "cold", Boot: now}, {ID: "drains", State: Draining}}})
+		b.Handle(now, ServerList{Full: true, Servers: []Server{
+			{ID: "a"},
+			{ID: "b"},
+			{ID: "c"},
+			{ID: "d"},
+			{ID: "cold", Boot: now},
+			{ID: "drains", State: Draining},
+		}})
 		for i, name := range []string{"read", "order", "send", "read"} {
 			id := fmt.Sprint(i)
 			s := b.Handle(now, Request{ID: id, Class: name, Deadline: now + time.Second})[0].(Send)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -189,11 +189,13 @@
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{settings: set, rng: rand.New(rand.NewPCG(seed, 0x51a7e)),
+	b := &Balancer{
+		settings: set, rng: rand.New(rand.NewPCG(seed, 0x51a7e)),
 		servers: map[string]*server{}, requests: map[string]*request{},
 		classes: map[string]*class{}, quotas: map[string]*quota{}, errorShare: 0.02, retryTokens: maxRetryTokens / 2,
 		divisor: float64(max(1, set.Balancers)), serverCalls: windowFloor,
-		targetUse: targetFill / 2, leastLogUse: math.Log(targetFill / 2), logUse: math.Log(targetFill / 2)}
+		targetUse: targetFill / 2, leastLogUse: math.Log(targetFill / 2), logUse: math.Log(targetFill / 2),
+	}
 	longest := set.Classes[0]
 	for _, c := range set.Classes {
 		b.addClass(c)
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -23,8 +23,10 @@
 }
 
 func TestRunStopsAtBadInputWithoutHalfAReply(t *testing.T) {
-	for _, bad := range []string{"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n",
-		"sync\t2\nabout\t0\nring\tx\neob\n", "sync\t2\nabout\t0\n" + hello + "\ncrash_now\nring\tx\neob\n"} {
+	for _, bad := range []string{
+		"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n",
+		"sync\t2\nabout\t0\nring\tx\neob\n", "sync\t2\nabout\t0\n" + hello + "\ncrash_now\nring\tx\neob\n",
+	} {
 		var out bytes.Buffer
 		err := run(strings.NewReader("sync\t1\neob\n"+bad), &out)
 		if err == nil {
