--- /dev/null
+++ b/internal/mesh/replica/leadergap.go
@@ -0,0 +1,31 @@
+package replica
+
+import (
+	"time"
+
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/raft"
+)
+
+// leaderGap is for how long there was no leader since the last agreed time of day, by this replica's own steady clock: log time stands
+// still then. The zero leaderGap has seen no entry.
+type leaderGap struct {
+	duration  time.Duration // maintenance.LeaderlessUnknown: the replica was not there all the time
+	term      uint64        // of the latest entry
+	logTime   time.Duration // of the latest entry
+	appliedAt time.Duration // when the latest entry was applied; 0: none was
+}
+
+// observe notes an entry that is applied at a time; agreedTime says that it holds a new agreed time of day.
+func (g *leaderGap) observe(entry raft.Entry, now time.Duration, agreedTime bool) {
+	switch {
+	case g.appliedAt == 0:
+		g.duration = maintenance.LeaderlessUnknown
+	case entry.Term != g.term && g.duration >= 0:
+		g.duration += max(0, (now-g.appliedAt)-(entry.LogTime-g.logTime))
+	}
+	g.term, g.logTime, g.appliedAt = entry.Term, entry.LogTime, max(1, now)
+	if agreedTime {
+		g.duration = 0
+	}
+}
--- a/internal/mesh/replica/sidecars.go
+++ b/internal/mesh/replica/sidecars.go
@@ -9,54 +9,63 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// InitialMessages is what a sidecar is told when it connects, in this order.
+// InitialMessages returns what a sidecar is sent when it connects, in this order.
 func (r *Replica) InitialMessages() []any {
 	return []any{r.membersMessage(), r.heartbeatMessage(), directory.ToWire(r.records.All()), r.state.Maintenance.MachinesMessage()}
 }
 
-// heartbeatMessage says whether this replica is in touch. Sidecars hear it with each beat of a connection, when they connect, and at
-// once when the replica comes back in touch.
+// heartbeatMessage says whether this replica has contact with a quorum. Sidecars get it with each heartbeat of a connection, when they
+// connect, and at once when the contact comes back.
 func (r *Replica) heartbeatMessage() *wire.HeartbeatT {
 	return &wire.HeartbeatT{QuorumContact: HasQuorumContact(r.quorumContact, r.now)}
 }
 
-// membersMessage are the addresses of the replicas, for sidecars.
+// membersMessage returns the addresses of the members, for sidecars.
 func (r *Replica) membersMessage() *wire.MembersT {
-	l, view := r.raft.Members()
-	return &wire.MembersT{List: raftwire.MembersToWire(l), Index: view}
+	members, index := r.raft.Members()
+	return &wire.MembersT{List: raftwire.MembersToWire(members), Index: index}
 }
 
-// MergeRecords merges records that a sidecar told of itself (direct), or another replica. The answer goes back to the sidecar: one
-// that started with a clock set back learns that a later life of it is known.
-func (r *Replica) MergeRecords(now time.Duration, records []directory.Record, direct bool) (answer []directory.Record) {
+// itemsMessage returns all items as a message.
+func (r *Replica) itemsMessage() *wire.ItemsT {
+	message := config.ItemsToWire(r.state.Items.Items())
+	message.Complete, message.Index = true, r.raft.AppliedIndex()
+	rollout := r.state.Policy.Rollout
+	message.ActiveFingerprint, message.ActiveIndex = rollout.Active, rollout.ActiveIndex
+	if rollout.IsPending() { // otherwise the active ones are among the items
+		message.ActivePolicy = config.ItemsToWire(r.state.ActivePolicy.Items()).List
+	}
+	return message
+}
+
+// MergeRecords merges records that came from the sidecar they are of, or from another replica, and sends on those that are news. The
+// answer goes back to the sidecar: one that started with its clock set back learns that a later incarnation of it is known.
+func (r *Replica) MergeRecords(now time.Duration, records []directory.Record, fromSidecar bool) (newer []directory.Record) {
 	r.advanceTime(now)
 	var news []directory.Record
 	r.records, news = r.records.Merge(r.now, records)
-	if direct {
-		for _, x := range records {
-			if held, is := r.records.Get(x.Addr); is && held.Incarnation > x.Incarnation {
-				answer = append(answer, held)
-			}
-		}
-	}
 	if len(news) > 0 {
 		message := directory.ToWire(news)
 		r.env.BroadcastToSidecars(message)
-		if direct {
+		if fromSidecar {
 			r.env.BroadcastToReplicas(message)
 		}
 	}
-	return answer
+	if !fromSidecar {
+		return nil
+	}
+	for _, record := range records {
+		if held, found := r.records.Get(record.Addr); found && held.Incarnation > record.Incarnation {
+			newer = append(newer, held)
+		}
+	}
+	return newer
 }
 
-// itemsMessage is all items, as a message.
-func (r *Replica) itemsMessage() *wire.ItemsT {
-	t := config.ItemsToWire(r.state.Items.Items())
-	t.Complete, t.Index = true, r.raft.AppliedIndex()
-	b := r.state.Policy.Rollout
-	t.ActiveFingerprint, t.ActiveIndex = b.Active, b.ActiveIndex
-	if b.IsPending() { // else those that bind are among the items
-		t.ActivePolicy = config.ItemsToWire(r.state.ActivePolicy.Items()).List
+// expireRecords drops the records of sidecars that were not heard of for long. Without contact to a quorum that says nothing of them.
+func (r *Replica) expireRecords() {
+	if r.now-r.lastRecordExpiry > recordExpiryInterval && r.raft.HasQuorumContact(r.now) {
+		r.lastRecordExpiry = r.now
+		r.records, _ = r.records.Expire(r.now, recordTTL)
 	}
-	return t
 }
--- /dev/null
+++ b/internal/mesh/replica/snapshot.go
@@ -0,0 +1,73 @@
+package replica
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/idempotency"
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+// Encode returns the state as the data of a snapshot. What is empty is left out, as earlier versions do that do not know of it.
+func (s *State) Encode() []byte {
+	table := &wire.StateT{Items: config.TableToStorage(s.Items)}
+	if s.Maintenance.Index > 0 || s.Maintenance.Clock.IsKnown() {
+		table.Maintenance, _ = json.Marshal(s.Maintenance) // can't fail: it was decoded from JSON
+	}
+	if s.Policy.Rollout != (policy.Rollout{}) {
+		table.Policy, _ = json.Marshal(s.Policy) // can't fail: it has plain fields only
+		table.ActivePolicy = config.ItemsToWire(s.ActivePolicy.Items()).List
+	}
+	for _, lease := range s.KeyLeases.Leases() {
+		table.KeyLeases = append(table.KeyLeases, &wire.KeyLeaseT{
+			Key:         lease.Key,
+			Token:       lease.Token,
+			Attempt:     lease.Attempt,
+			Holder:      lease.Holder,
+			GrantedAtNs: int64(lease.GrantedAt),
+			WindowNs:    int64(lease.Window),
+		})
+	}
+	return codec.EncodeTable(table)
+}
+
+// Decode replaces the state by one that Encode encoded; no data is the empty state.
+func (s *State) Decode(data []byte) error {
+	*s = State{KeyLeases: idempotency.New(), ItemsIndex: s.ItemsIndex + 1}
+	if len(data) == 0 {
+		return nil
+	}
+	table, err := codec.DecodeTable(data, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
+	if err != nil {
+		return errors.Annotate(err, "decode a snapshot's state")
+	}
+	s.Items = config.TableFromStorage(table.Items)
+	if len(table.Maintenance) > 0 {
+		if err := json.Unmarshal(table.Maintenance, &s.Maintenance); err != nil {
+			return errors.Annotate(err, "decode the maintenance state of a snapshot")
+		}
+	}
+	if len(table.Policy) > 0 {
+		if err := json.Unmarshal(table.Policy, &s.Policy); err != nil {
+			return errors.Annotate(err, "decode the policy state of a snapshot")
+		}
+		s.ActivePolicy, _ = s.ActivePolicy.Merge(config.ItemsFromWire(&wire.ItemsT{List: table.ActivePolicy}))
+	}
+	s.KeyLeases = idempotency.Restore(decodeLeases(table.KeyLeases))
+	return nil
+}
+
+func decodeLeases(list []*wire.KeyLeaseT) (leases []idempotency.Lease) {
+	for _, x := range list {
+		leases = append(leases, idempotency.Lease{
+			LeaseRequest: idempotency.LeaseRequest{Key: x.Key, Token: x.Token, Attempt: x.Attempt, Holder: x.Holder, Window: time.Duration(x.WindowNs)},
+			GrantedAt:    time.Duration(x.GrantedAtNs),
+		})
+	}
+	return leases
+}
--- a/internal/mesh/replica/state.go
+++ b/internal/mesh/replica/state.go
@@ -1,10 +1,7 @@
 package replica
 
 import (
-	"encoding/json"
-	"time"
-
-	"github.com/juju/errors"
+	"bytes"
 
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/idempotency"
@@ -14,132 +11,102 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// State is what the replicas agree on: configuration items, idempotency keys, maintenance and rules. It changes by committed
-// entries alone, and the same entries make the same state everywhere.
+// State is what the members replicate: configuration items, leases on idempotency keys, maintenance and policy. It changes by committed
+// entries alone, and the same entries make the same state everywhere. Decode makes it ready for use.
 type State struct {
 	Items        config.Table
 	KeyLeases    *idempotency.Store
 	Maintenance  Maintenance
-	ActivePolicy config.Table // the namespaces and rulings that bind; those that are agreed on are among Items
 	Policy       PolicyState
-	ItemsIndex   uint64 // the entry that changed Items last
+	ActivePolicy config.Table // the namespaces and policies that are active; those that are agreed on are among Items
+	ItemsIndex   uint64       // index of the entry that changed Items last
 }
 
 // Kinds of changes, the first byte of an entry's data.
 const (
-	ChangeItems        byte = 1
-	ChangeKeyLeases    byte = 2
-	ChangeMaintenance  byte = 3
-	ChangeActivePolicy byte = 4
+	ChangeItems        byte = 1 // wire.Items
+	ChangeKeyLeases    byte = 2 // wire.KeyLeaseRequests
+	ChangeMaintenance  byte = 3 // wire.MaintenanceChange
+	ChangeActivePolicy byte = 4 // wire.ActivePolicy
 )
 
-// EncodeChange words a change for the log.
-func EncodeChange(kind byte, t codec.Packer) []byte {
-	return append([]byte{kind}, codec.EncodeTable(t)...)
+// EncodeChange returns a change as the data of an entry.
+func EncodeChange(kind byte, table codec.Packer) []byte {
+	return append([]byte{kind}, codec.EncodeTable(table)...)
 }
 
 // Outcome is what became of a change.
 type Outcome struct {
-	UpdatedItems       []config.Item // of items: those that are newer now
-	Err                error         // of items: why none of them was taken
+	Err                error         // why an update of items or a maintenance change was rejected, or the entry can't be decoded
+	UpdatedItems       []config.Item // those that have a newer version now
 	LeaseResults       []idempotency.LeaseResult
 	MaintenanceChanged bool // the maintenance state may have changed
-	PolicyActivated    bool // other rules bind now
+	PolicyActivated    bool // another policy set is active now
 }
 
-// Apply takes a committed change.
-func (s *State) Apply(e raft.Entry) (o Outcome) {
-	at, data := e.LogTime, e.Data
-	if len(data) == 0 {
-		return o
+// Apply applies a committed entry. Data of an unknown kind changes nothing.
+func (s *State) Apply(entry raft.Entry) Outcome {
+	if len(entry.Data) == 0 {
+		return Outcome{}
 	}
-	// A copy: the trunk's tables need their bytes aligned as they were made.
-	body := append([]byte(nil), data[1:]...)
-	switch data[0] {
+	// Cloned, because FlatBuffers' tables need their bytes aligned as they were made.
+	body := bytes.Clone(entry.Data[1:])
+	switch entry.Data[0] {
 	case ChangeItems:
-		t, err := codec.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
-		if err != nil {
-			return Outcome{Err: err}
-		}
-		c := config.UpdateFromWire(t)
-		for i := range c.Items {
-			c.Items[i].LogTime = at
-		}
-		var effects []policy.Effect
-		s.Items, o.UpdatedItems, effects, o.Err = s.Items.ApplyUpdate(c)
-		s.ItemsIndex = e.Index
-		s.Policy.recordChange(e, c, s.Items, o.UpdatedItems, effects)
-	case ChangeActivePolicy:
-		t, err := codec.DecodeTable(body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
-		if err != nil {
-			return Outcome{Err: err}
-		}
-		if s.Policy.Rollout, o.PolicyActivated = s.Policy.Rollout.Activate(t.Fingerprint, e.Index); o.PolicyActivated {
-			s.ActivePolicy = s.Items.PolicyItems()
-		}
-	case ChangeMaintenance:
-		t, err := codec.DecodeTable(body, func(p []byte) *wire.MaintenanceChangeT { return wire.GetRootAsMaintenanceChange(p, 0).UnPack() })
-		if err == nil {
-			err = s.Maintenance.apply(e, t.Kind, t.Json)
-		}
-		o.Err, o.MaintenanceChanged = err, true
+		return s.applyItems(entry, body)
 	case ChangeKeyLeases:
-		t, err := codec.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() })
-		if err != nil {
-			return Outcome{Err: err}
-		}
-		for _, c := range t.List {
-			o.LeaseResults = append(o.LeaseResults, s.KeyLeases.Apply(at, idempotency.LeaseRequest{Key: c.Key, Token: c.Token, Attempt: c.Attempt, Holder: c.Holder, Release: c.Release,
-				Window: time.Duration(c.WindowUs) * time.Microsecond}))
-		}
+		return s.applyLeaseRequests(entry, body)
+	case ChangeMaintenance:
+		return s.applyMaintenance(entry, body)
+	case ChangeActivePolicy:
+		return s.activatePolicy(entry, body)
 	}
-	return o
+	return Outcome{}
 }
 
-// Encode words the state for a snapshot.
-func (s *State) Encode() []byte {
-	t := &wire.StateT{Items: config.TableToStorage(s.Items)}
-	if s.Maintenance.Index > 0 || s.Maintenance.Clock.IsKnown() {
-		t.Maintenance, _ = json.Marshal(s.Maintenance) // of its own types, which have no other form
-	}
-	if s.Policy.Rollout != (policy.Rollout{}) {
-		t.Policy, _ = json.Marshal(s.Policy) // the same
-		t.ActivePolicy = config.ItemsToWire(s.ActivePolicy.Items()).List
+func (s *State) applyItems(entry raft.Entry, body []byte) (outcome Outcome) {
+	table, err := codec.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	if err != nil {
+		return Outcome{Err: err}
 	}
-	for _, h := range s.KeyLeases.Leases() {
-		t.KeyLeases = append(t.KeyLeases, &wire.KeyLeaseT{Key: h.Key, Token: h.Token, Attempt: h.Attempt, Holder: h.Holder, GrantedAtNs: int64(h.GrantedAt), WindowNs: int64(h.Window)})
+	update := config.UpdateFromWire(table)
+	for i := range update.Items {
+		update.Items[i].LogTime = entry.LogTime
 	}
-	return codec.EncodeTable(t)
+	var effects []policy.Effect
+	s.Items, outcome.UpdatedItems, effects, outcome.Err = s.Items.ApplyUpdate(update)
+	s.ItemsIndex = entry.Index
+	s.Policy.recordChange(entry, update, s.Items, outcome.UpdatedItems, effects)
+	return outcome
 }
 
-// Decode reads what Save has worded; nothing is the empty state.
-func (s *State) Decode(data []byte) error {
-	s.Items, s.KeyLeases, s.Maintenance, s.ActivePolicy, s.Policy = config.Table{}, idempotency.New(), Maintenance{}, config.Table{}, PolicyState{}
-	s.ItemsIndex++
-	if len(data) == 0 {
-		return nil
-	}
-	t, err := codec.DecodeTable(data, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
+func (s *State) applyLeaseRequests(entry raft.Entry, body []byte) (outcome Outcome) {
+	requests, err := decodeLeaseRequests(body)
 	if err != nil {
-		return errors.Annotate(err, "the state of a snapshot")
+		return Outcome{Err: err}
+	}
+	for _, request := range requests {
+		outcome.LeaseResults = append(outcome.LeaseResults, s.KeyLeases.Apply(entry.LogTime, request))
 	}
-	s.Items = config.TableFromStorage(t.Items)
-	if len(t.Maintenance) > 0 {
-		if err := json.Unmarshal(t.Maintenance, &s.Maintenance); err != nil {
-			return errors.Annotate(err, "the night service's state of a snapshot")
-		}
+	return outcome
+}
+
+func (s *State) applyMaintenance(entry raft.Entry, body []byte) Outcome {
+	table, err := codec.DecodeTable(body, func(p []byte) *wire.MaintenanceChangeT { return wire.GetRootAsMaintenanceChange(p, 0).UnPack() })
+	if err == nil {
+		err = s.Maintenance.apply(entry, table.Kind, table.Json)
 	}
-	if len(t.Policy) > 0 {
-		if err := json.Unmarshal(t.Policy, &s.Policy); err != nil {
-			return errors.Annotate(err, "the rules' state of a snapshot")
-		}
-		s.ActivePolicy, _ = s.ActivePolicy.Merge(config.ItemsFromWire(&wire.ItemsT{List: t.ActivePolicy}))
+	return Outcome{Err: err, MaintenanceChanged: true}
+}
+
+func (s *State) activatePolicy(entry raft.Entry, body []byte) (outcome Outcome) {
+	table, err := codec.DecodeTable(body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
+	if err != nil {
+		return Outcome{Err: err}
 	}
-	var held []idempotency.Lease
-	for _, h := range t.KeyLeases {
-		held = append(held, idempotency.Lease{LeaseRequest: idempotency.LeaseRequest{Key: h.Key, Token: h.Token, Attempt: h.Attempt, Holder: h.Holder, Window: time.Duration(h.WindowNs)},
-			GrantedAt: time.Duration(h.GrantedAtNs)})
+	s.Policy.Rollout, outcome.PolicyActivated = s.Policy.Rollout.Activate(table.Fingerprint, entry.Index)
+	if outcome.PolicyActivated {
+		s.ActivePolicy = s.Items.PolicyItems()
 	}
-	s.KeyLeases = idempotency.Restore(held)
-	return nil
+	return outcome
 }
--- a/internal/mesh/replica/modify_test.go
+++ b/internal/mesh/replica/updates_test.go
@@ -82,7 +82,7 @@
 	text, err := json.Marshal(r.state.Items.Document())
 	assert.NilError(t, err)
 	assert.Assert(t, !strings.Contains(string(text), "beside") && strings.Contains(string(text), "apart"), "%s", text)
-	assert.Equal(t, len(r.pendingModifications.latest), 0)
+	assert.Equal(t, len(r.pendingUpdates.latest), 0)
 	// An order that was taken is acknowledged again with an entry behind it, which is empty, and not before that is agreed on.
 	last := r.raft.LastIndex()
 	again := send(routesUpsert(5, "a", "r"))
@@ -104,8 +104,8 @@
 func TestProposalsOfAnotherTermDoNotBlock(t *testing.T) {
 	r, now := newSoloLeader(t)
 	service := []byte(`{"Upsert":{"UpstreamGroups":[{"Name":"a","ConfigVersion":1}]}}`)
-	r.pendingModifications.add(r.raft.Term()-1, r.raft.LastIndex()+100, parseCall(t, routesUpsert(5, "a", "r")))
-	r.pendingModifications.add(r.raft.Term()-1, r.raft.LastIndex()+100, parseCall(t, service))
+	r.pendingUpdates.add(r.raft.Term()-1, r.raft.LastIndex()+100, parseCall(t, routesUpsert(5, "a", "r")))
+	r.pendingUpdates.add(r.raft.Term()-1, r.raft.LastIndex()+100, parseCall(t, service))
 	status := 0
 	r.Modify(now, service, func(reply Reply) { status = reply.Status })
 	r.ProcessReady()
--- a/internal/mesh/replica/view.go
+++ b/internal/mesh/replica/view.go
@@ -7,22 +7,34 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// Self is this replica.
+// Self returns this replica as a member.
 func (r *Replica) Self() raft.Member { return r.self }
 
-// State is the replicated state as of the last entry applied. It is only to be read.
+// State returns the replicated state as of the last entry applied. It is only to be read.
 func (r *Replica) State() *State { return &r.state }
 
-// Records are the sidecars and their servers, as far as this replica has heard.
+// Records returns the sidecars and their servers, as far as this replica has heard.
 func (r *Replica) Records() directory.Table { return r.records }
 
-// Members are the members of the latest list and the index of its entry.
+// Members returns the members of the latest configuration, and the index of its entry.
 func (r *Replica) Members() ([]raft.Member, uint64) { return r.raft.Members() }
 
-// IsLeader says that this replica leads, as far as it knows.
+// IsLeader reports whether this replica leads, as far as it knows.
 func (r *Replica) IsLeader() bool { return r.raft.IsLeader() }
 
-// LeaderAddress is where the leader listens, as far as is known; "": none is.
+// IsReadyLeader reports whether this replica leads and has applied all that earlier leaders may have committed.
+func (r *Replica) IsReadyLeader() bool { return r.raft.IsCaughtUpLeader() }
+
+// IsNonMember reports whether this replica is no member, as far as it knows.
+func (r *Replica) IsNonMember() bool { return r.raft.IsNonMember() }
+
+// InMaintenance reports whether a maintenance order has this replica out, as of the last Tick.
+func (r *Replica) InMaintenance() bool { return r.inMaintenance }
+
+// HearsFrom reports whether this replica, which must be the leader, has heard from a member lately.
+func (r *Replica) HearsFrom(id raft.ID) bool { return r.raft.IsRecentlyActive(id) }
+
+// LeaderAddress returns where the leader listens, as far as is known; "": there is none.
 func (r *Replica) LeaderAddress() string {
 	if r.raft.IsLeader() {
 		return r.self.Addr
@@ -30,32 +42,21 @@
 	return r.raft.Addr(r.raft.Leader())
 }
 
-// Term is the present term.
+// Term returns the present term.
 func (r *Replica) Term() uint64 { return r.raft.Term() }
 
-// AppliedIndex is the last entry applied.
+// AppliedIndex returns the index of the last entry applied.
 func (r *Replica) AppliedIndex() uint64 { return r.raft.AppliedIndex() }
 
-// SavedIndex is the last entry on disk.
+// SavedIndex returns the index of the last entry on disk.
 func (r *Replica) SavedIndex() uint64 { return r.savedIndex }
 
-// IsNonMember says that this replica is no member, as far as it knows.
-func (r *Replica) IsNonMember() bool { return r.raft.IsNonMember() }
-
-// InMaintenance says that a maintenance order has this replica out.
-func (r *Replica) InMaintenance() bool { return r.inMaintenance }
-
-// HearsFrom says that the leader, which must be this replica, hears a member.
-func (r *Replica) HearsFrom(id raft.ID) bool { return r.raft.IsRecentlyActive(id) }
-
-// IsReadyLeader says that this replica leads and has applied all that leaders before it may have had agreed on.
-func (r *Replica) IsReadyLeader() bool { return r.raft.IsCaughtUpLeader() }
-
-// LogTime is the log's time, at the leader.
+// LogTime returns the log time, at the leader.
 func (r *Replica) LogTime(now time.Duration) time.Duration {
 	r.advanceTime(now)
 	return r.raft.LogTime(r.now)
 }
 
-// LeaderGap is for how long nobody led since the last agreed time; night.GapUnknown: this replica can't tell.
+// LeaderGap returns for how long there was no leader since the last agreed time of day; maintenance.LeaderlessUnknown: this replica
+// can't tell.
 func (r *Replica) LeaderGap() time.Duration { return r.leaderGap.duration }
