--- a/cmd/meshctl/rules.go
+++ b/cmd/meshctl/rules.go
@@ -180,7 +180,7 @@
 	}
 	return printResult(out, func() {
 		for _, r := range out.Rules {
-			r.WriteText(os.Stdout)
+			fmt.Print(r)
 		}
 		if told.Rollout.IsPending() {
 			fmt.Printf("set %q is agreed on and does not bind yet, but %q does: %s\n", told.Rollout.Agreed, told.Rollout.Active, told.WaitingFor)
@@ -193,7 +193,7 @@
 		if out.With != nil {
 			fmt.Println("with the change:")
 			for _, r := range out.With {
-				r.WriteText(os.Stdout)
+				fmt.Print(r)
 			}
 		}
 	})
@@ -255,7 +255,7 @@
 		return err
 	}
 	r := set.Report()
-	return printResult(r, func() { r.WriteText(os.Stdout) })
+	return printResult(r, func() { fmt.Print(r) })
 }
 
 type policyCheck struct {
--- /dev/null
+++ b/internal/mesh/policy/effect.go
@@ -0,0 +1,121 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Effect is how a change makes another value hold on a field of a merged policy. It is replicated state, as a notice to the
+// owners.
+type Effect struct {
+	Route   string   `json:"route"`
+	Service string   `json:"service"`
+	Field   Field    `json:"field"`
+	Before  string   `json:"was"` // noValue: nobody said anything
+	After   string   `json:"is"`
+	Loosens bool     `json:"loosens"`
+	Source  Source   `json:"from"` // of the clause that holds now, or did
+	Owners  []string `json:"owners"`
+}
+
+// noValue is told of a field on which there is no clause.
+const noValue = "-"
+
+// String is the effect in one line, as operators read it.
+func (e Effect) String() string {
+	verb := "tightens"
+	if e.Loosens {
+		verb = "LOOSENS"
+	}
+	return fmt.Sprintf("%s route %s to %s, of %s: %s %s -> %s, by %s", verb, e.Route, e.Service, strings.Join(e.Owners, " and "),
+		e.Field, e.Before, e.After, e.Source)
+}
+
+// effectsOf are the effects on affected routes and services that are in both sets.
+func effectsOf(before, after *Set, affected func(Route, string) bool) (effects []Effect) {
+	for _, route := range after.Routes() {
+		old, existed := before.routes[route.Name]
+		if !existed {
+			continue
+		}
+		for _, service := range route.Services {
+			if !slices.Contains(old.Services, service) || !affected(route, service) {
+				continue
+			}
+			oldClauses, _ := before.ClausesFor(old, service, "")
+			newClauses, _ := after.ClausesFor(route, service, "")
+			for _, f := range AllFields {
+				if e, changed := fieldEffect(f, oldClauses, newClauses); changed {
+					e.Route, e.Service = route.Name, service
+					e.Owners = after.affectedOwners(route, service, f, oldClauses, newClauses)
+					effects = append(effects, e)
+				}
+			}
+		}
+	}
+	return effects
+}
+
+// affectedOwners are the owners of a route, of the service that it goes to, and of the callers that are denied from now on.
+func (s *Set) affectedOwners(route Route, service string, f Field, before, after Clauses) []string {
+	owners := []string{s.OwnerOfRoute(route), s.OwnerOfService(service)}
+	if f == FieldAllow || f == FieldDeny {
+		for _, caller := range slices.Concat(before.effectiveValues(FieldAllow), after.effectiveValues(FieldDeny)) {
+			_, wasDenied := before.DeniedBy(caller)
+			if _, denied := after.DeniedBy(caller); denied && !wasDenied {
+				owners = append(owners, s.OwnerOfService(caller))
+			}
+		}
+	}
+	return sortedUnique(owners)
+}
+
+func (l Clauses) effectiveValues(f Field) []string {
+	e, _ := l.Effective(f)
+	return e.Values
+}
+
+// fieldEffect is how another value holds on a field; false means that the same does.
+func fieldEffect(f Field, before, after Clauses) (e Effect, changed bool) {
+	was, existed := before.Effective(f)
+	is, exists := after.Effective(f)
+	e = Effect{Field: f, Before: noValue, After: noValue}
+	if existed {
+		e.Before, e.Source = was.Value(), was.Source
+	}
+	if exists {
+		e.After, e.Source = is.Value(), is.Source
+	}
+	if e.Before == e.After {
+		return e, false
+	}
+	switch {
+	case f == FieldNeeds || f == FieldNeed: // what somebody asks for holds nobody back
+	case !existed:
+	case !exists:
+		e.Loosens = true
+	default:
+		e.Loosens = mergeKinds[f].isLooser(is.Clause, was.Clause)
+	}
+	return e, true
+}
+
+// isLooser says that a clause lets through what another did not.
+func (k mergeKind) isLooser(c, than Clause) bool {
+	switch k {
+	case minimum:
+		return c.Number > than.Number
+	case maximum:
+		return c.Number < than.Number
+	case intersection:
+		return hasOthers(c.Values, than.Values)
+	case union:
+	}
+	return hasOthers(than.Values, c.Values)
+}
+
+// hasOthers says that some values are not among others.
+func hasOthers(values, among []string) bool {
+	return slices.ContainsFunc(values, func(v string) bool { return !slices.Contains(among, v) })
+}
--- a/internal/mesh/policy/encoding_test.go
+++ b/internal/mesh/policy/encoding_test.go
@@ -12,14 +12,27 @@
 // configuration item: its names are data, and stay whatever the code calls them.
 func TestStoredForms(t *testing.T) {
 	again, ratio, priority, endings := true, 0.5, 2, []string{"refused"}
-	namespace := Namespace{Name: "quota", ConfigVersion: 2, Owners: []string{"di"}, Within: "devicebook", Services: []string{"quota"}, Hosts: []string{"h"},
-		Prefixes: []HostPrefix{{"push.example", "/tokens/"}}}
-	ruling := Policy{Name: "calm", ConfigVersion: 4, Namespace: "quota", On: Selector{[]string{"r"}, []string{"s"}, []string{"c"}}, Tries: 2, KeyedAgain: &again,
-		RetryOn: &endings, TimeoutS: 1.5, NeedsS: 0.5, RetryRatio: &ratio, Priority: &priority, Callers: CallerRules{[]string{"a"}, []string{"d"}, []string{"n"}}}
-	from := Source{Namespace: "quota", Item: "ruling calm", Version: 4, Role: RoleServiceOwner}
-	const source = `{"namespace":"quota","item":"ruling calm","version":4,"role":"service"}`
-	held := EffectiveClause{Clause: Clause{Field: FieldTimeout, Number: 1.5, Source: from}, Overridden: []Clause{{Field: FieldAllow, Values: []string{"a"}, Source: from}}}
-	const heldText = `{"field":"TimeoutS","num":1.5,"from":` + source + `,"over":[{"field":"Callers.Allow","set":["a"],"from":` + source + `}]}`
+	namespace := Namespace{
+		Name: "quota", ConfigVersion: 2, Owners: []string{"di"}, Within: "devicebook", Services: []string{"quota"}, Hosts: []string{"h"},
+		Prefixes: []HostPrefix{{"push.example", "/tokens/"}},
+	}
+	policy := Policy{
+		Name: "calm", ConfigVersion: 4, Namespace: "quota", On: Selector{[]string{"r"}, []string{"s"}, []string{"c"}},
+		Tries: 2, KeyedAgain: &again, RetryOn: &endings, TimeoutS: 1.5, NeedsS: 0.5, RetryRatio: &ratio, Priority: &priority,
+		Callers: CallerRules{[]string{"a"}, []string{"d"}, []string{"n"}},
+	}
+	source := Source{Namespace: "quota", Item: "ruling calm", Version: 4, Role: RoleServiceOwner}
+	const sourceText = `{"namespace":"quota","item":"ruling calm","version":4,"role":"service"}`
+	effective := EffectiveClause{
+		Clause:     Clause{Field: FieldTimeout, Number: 1.5, Source: source},
+		Overridden: []Clause{{Field: FieldAllow, Values: []string{"a"}, Source: source}},
+	}
+	const effectiveText = `{"field":"TimeoutS","num":1.5,"from":` + sourceText +
+		`,"over":[{"field":"Callers.Allow","set":["a"],"from":` + sourceText + `}]}`
+	explanation := Explanation{
+		Route: "r", Host: "h", Prefix: "/", Owner: "quota", Service: "s", ServiceOwner: MeshNamespace, Caller: "c", CallerOwner: "quota",
+		Fingerprint: "0a", DeniedBy: &source, Fields: []EffectiveClause{effective},
+	}
 	for _, x := range []struct {
 		name string
 		v    any
@@ -28,20 +41,34 @@
 		{"namespace", namespace, `{"Name":"quota","ConfigVersion":2,"Owners":["di"],"Within":"devicebook","Services":["quota"],"Hosts":["h"],` +
 			`"Prefixes":[{"Host":"push.example","PathPrefix":"/tokens/"}]}`},
 		{"namespace that says nothing", Namespace{}, `{"Name":"","ConfigVersion":0,"Owners":null}`},
-		{"ruling", ruling, `{"Name":"calm","ConfigVersion":4,"Namespace":"quota","On":{"Routes":["r"],"Services":["s"],"Callers":["c"]},"Tries":2,"KeyedAgain":true,` +
+		{"policy", policy, `{"Name":"calm","ConfigVersion":4,"Namespace":"quota",` +
+			`"On":{"Routes":["r"],"Services":["s"],"Callers":["c"]},"Tries":2,"KeyedAgain":true,` +
 			`"RetryOn":["refused"],"TimeoutS":1.5,"NeedsS":0.5,"RetryRatio":0.5,"Priority":2,"Callers":{"Allow":["a"],"Deny":["d"],"Need":["n"]}}`},
-		{"ruling that says nothing", Policy{}, `{"Name":"","ConfigVersion":0,"Namespace":"","On":{}}`},
-		{"held field", held, heldText},
-		{"effect", Effect{Route: "r", Service: "s", Field: FieldTimeout, Before: "-", After: "1.5", Loosens: true, Source: from, Owners: []string{"quota"}},
-			`{"route":"r","service":"s","field":"TimeoutS","was":"-","is":"1.5","loosens":true,"from":` + source + `,"owners":["quota"]}`},
-		{"explained", Explanation{Route: "r", Host: "h", Prefix: "/", Owner: "quota", Service: "s", ServiceOwner: MeshNamespace, Caller: "c", CallerOwner: "quota", Fingerprint: "0a", DeniedBy: &from, Fields: []EffectiveClause{held}},
-			`{"route":"r","host":"h","prefix":"/","owner":"quota","service":"s","serviceOwner":"mesh","caller":"c","callerOwner":"quota","print":"0a","denied":` + source +
-				`,"fields":[` + heldText + `]}`},
-		{"explained, whoever calls", Explanation{}, `{"route":"","host":"","prefix":"","owner":"","service":"","serviceOwner":"","print":"","fields":null}`},
-		{"report", Report{[]Overlap{{"r", "s", []string{"quota"}, []string{"ruling calm"}, "0a"}}, []string{"calm"}},
-			`{"meetings":[{"route":"r","service":"s","namespaces":["quota"],"rulings":["ruling calm"],"print":"0a"}],"idle":["calm"]}`},
-		{"board", Rollout{"s2", "s1", 9, 4}, `{"held":"s2","bound":"s1","heldAt":9,"boundAt":4}`},
-		{"fields", AllFields, `["Tries","KeyedAgain","RetryOn","TimeoutS","NeedsS","RetryRatio","Priority","Callers.Allow","Callers.Deny","Callers.Need"]`},
+		{"policy that says nothing", Policy{}, `{"Name":"","ConfigVersion":0,"Namespace":"","On":{}}`},
+		{"effective clause", effective, effectiveText},
+		{
+			"effect",
+			Effect{
+				Route: "r", Service: "s", Field: FieldTimeout, Before: "-", After: "1.5",
+				Loosens: true, Source: source, Owners: []string{"quota"},
+			},
+			`{"route":"r","service":"s","field":"TimeoutS","was":"-","is":"1.5","loosens":true,"from":` + sourceText + `,"owners":["quota"]}`,
+		},
+		{
+			"explanation", explanation,
+			`{"route":"r","host":"h","prefix":"/","owner":"quota","service":"s","serviceOwner":"mesh","caller":"c","callerOwner":"quota",` +
+				`"print":"0a","denied":` + sourceText + `,"fields":[` + effectiveText + `]}`,
+		},
+		{"explanation for any caller", Explanation{}, `{"route":"","host":"","prefix":"","owner":"","service":"","serviceOwner":"",` +
+			`"print":"","fields":null}`},
+		{
+			"report",
+			Report{[]Overlap{{"r", "s", []string{"quota"}, []string{"ruling calm"}, "0a"}}, []string{"calm"}},
+			`{"meetings":[{"route":"r","service":"s","namespaces":["quota"],"rulings":["ruling calm"],"print":"0a"}],"idle":["calm"]}`,
+		},
+		{"rollout", Rollout{"s2", "s1", 9, 4}, `{"held":"s2","bound":"s1","heldAt":9,"boundAt":4}`},
+		{"fields", AllFields, `["Tries","KeyedAgain","RetryOn","TimeoutS","NeedsS","RetryRatio","Priority",` +
+			`"Callers.Allow","Callers.Deny","Callers.Need"]`},
 		{"roles", []Role{RoleItem, RoleMesh, RoleRouteOwner, RoleServiceOwner, RoleCallerOwner}, `["item","mesh","route","service","caller"]`},
 	} {
 		t.Run(x.name, func(t *testing.T) {
--- a/internal/mesh/policy/explain.go
+++ b/internal/mesh/policy/explain.go
@@ -2,13 +2,10 @@
 
 import (
 	"fmt"
-	"io"
-	"slices"
-	"sort"
 	"strings"
 )
 
-// Explanation is a merged rule as it is told to people.
+// Explanation is a merged policy field by field, as it is told to operators.
 type Explanation struct {
 	Route        string            `json:"route"`
 	Host         string            `json:"host"`
@@ -16,34 +13,43 @@
 	Owner        string            `json:"owner"` // of the route
 	Service      string            `json:"service"`
 	ServiceOwner string            `json:"serviceOwner"`
-	Caller       string            `json:"caller,omitempty"` // "": whoever calls
+	Caller       string            `json:"caller,omitempty"` // "": any
 	CallerOwner  string            `json:"callerOwner,omitempty"`
 	Fingerprint  string            `json:"print"`
 	DeniedBy     *Source           `json:"denied,omitempty"`
 	Fields       []EffectiveClause `json:"fields"`
 }
 
-// Explain tells a merged rule field by field.
+// Explain tells the merged policy for requests of a route that go to a service from another; caller "" is any.
 func (s *Set) Explain(route Route, service, caller string) Explanation {
-	words, _ := s.ClausesFor(route, service, caller)
-	x := Explanation{Route: route.Name, Host: route.Host, Prefix: route.Prefix, Owner: s.OwnerOfRoute(route), Service: service, ServiceOwner: s.OwnerOfService(service),
-		Caller: caller, Fingerprint: words.Fingerprint()}
+	clauses, _ := s.ClausesFor(route, service, caller)
+	x := Explanation{
+		Route:        route.Name,
+		Host:         route.Host,
+		Prefix:       route.Prefix,
+		Owner:        s.OwnerOfRoute(route),
+		Service:      service,
+		ServiceOwner: s.OwnerOfService(service),
+		Caller:       caller,
+		Fingerprint:  clauses.Fingerprint(),
+	}
 	if caller != "" {
 		x.CallerOwner = s.OwnerOfService(caller)
-		if from, is := words.DeniedBy(caller); is {
-			x.DeniedBy = &from
+		if source, denied := clauses.DeniedBy(caller); denied {
+			x.DeniedBy = &source
 		}
 	}
 	for _, f := range AllFields {
-		if h, is := words.Effective(f); is {
-			x.Fields = append(x.Fields, h)
+		if e, exists := clauses.Effective(f); exists {
+			x.Fields = append(x.Fields, e)
 		}
 	}
 	return x
 }
 
-// WriteText tells it.
-func (x Explanation) WriteText(w io.Writer) {
+// String is the explanation in lines, as operators read it.
+func (x Explanation) String() string {
+	w := &strings.Builder{}
 	fmt.Fprintf(w, "route %s (%s%s) of %s, to service %s of %s", x.Route, x.Host, x.Prefix, x.Owner, x.Service, x.ServiceOwner)
 	if x.Caller != "" {
 		fmt.Fprintf(w, ", from %s of %s", x.Caller, x.CallerOwner)
@@ -52,72 +58,11 @@
 	if x.DeniedBy != nil {
 		fmt.Fprintf(w, "  %s may not call it, by %s\n", x.Caller, x.DeniedBy)
 	}
-	for _, h := range x.Fields {
-		fmt.Fprintf(w, "  %-14s %-24s by %s\n", h.Field, h.Value(), h.Source)
-		for _, o := range h.Overridden {
-			fmt.Fprintf(w, "  %-14s %-24s    over %s of %s\n", "", "", o.Value(), o.Source)
-		}
-	}
-}
-
-// Overlap is a route on which several namespaces have a word.
-type Overlap struct {
-	Route       string   `json:"route"`
-	Service     string   `json:"service"`
-	Namespaces  []string `json:"namespaces"`
-	Policies    []string `json:"rulings"`
-	Fingerprint string   `json:"print"`
-}
-
-// Report is where namespaces meet, and which rulings say nothing of anything that stands.
-type Report struct {
-	Overlaps []Overlap `json:"meetings"`
-	Unused   []string  `json:"idle"`
-}
-
-// Report looks at all routes.
-func (s *Set) Report() (r Report) {
-	said := map[string]bool{}
-	r.Overlaps, r.Unused = []Overlap{}, []string{}
-	for _, route := range s.Routes() {
-		for _, service := range route.Services {
-			words, _ := s.ClausesFor(route, service, "")
-			m := Overlap{Route: route.Name, Service: service, Fingerprint: words.Fingerprint()}
-			for _, w := range words {
-				if w.Source.Role == RoleItem {
-					continue
-				}
-				said[w.Source.Item] = true
-				m.Namespaces, m.Policies = append(m.Namespaces, w.Source.Namespace), append(m.Policies, w.Source.Item)
-			}
-			m.Namespaces, m.Policies = sortedUnique(m.Namespaces), sortedUnique(m.Policies)
-			if len(m.Namespaces) > 1 {
-				r.Overlaps = append(r.Overlaps, m)
-			}
-		}
-	}
-	for _, x := range s.policies {
-		if len(x.On.Callers) == 0 && !said["ruling "+x.Name] {
-			r.Unused = append(r.Unused, x.Name)
+	for _, e := range x.Fields {
+		fmt.Fprintf(w, "  %-14s %-24s by %s\n", e.Field, e.Value(), e.Source)
+		for _, c := range e.Overridden {
+			fmt.Fprintf(w, "  %-14s %-24s    over %s of %s\n", "", "", c.Value(), c.Source)
 		}
 	}
-	return r
-}
-
-func sortedUnique(l []string) []string {
-	sort.Strings(l)
-	return slices.Compact(l)
-}
-
-// WriteText tells it.
-func (r Report) WriteText(w io.Writer) {
-	for _, m := range r.Overlaps {
-		fmt.Fprintf(w, "route %s to %s: %s meet (%s); rule %s\n", m.Route, m.Service, strings.Join(m.Namespaces, " and "), strings.Join(m.Policies, ", "), m.Fingerprint)
-	}
-	for _, x := range r.Unused {
-		fmt.Fprintf(w, "ruling %s says nothing of any route that stands\n", x)
-	}
-	if len(r.Overlaps)+len(r.Unused) == 0 {
-		fmt.Fprintln(w, "no two namespaces meet on a route")
-	}
+	return w.String()
 }
--- a/internal/mesh/policy/golden_test.go
+++ b/internal/mesh/policy/golden_test.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"hash"
 	"math/rand/v2"
-	"strings"
 	"testing"
 	"time"
 
@@ -44,7 +43,7 @@
 	return string(text)
 }
 
-// TestGoldenDecisions compares decisions on drawn namespaces, rules, routes, changes and two-step activations with
+// TestGoldenDecisions compares decisions on drawn namespaces, policies, routes, changes and two-step activations with
 // testdata/golden.json.
 func TestGoldenDecisions(t *testing.T) {
 	type section struct {
@@ -53,8 +52,10 @@
 		Counts    map[string]int `json:"counts"`
 	}
 	got := map[string]section{}
-	for name, play := range map[string]func(*rand.Rand, *goldenRecord){"checks": goldenChecks, "merged": goldenMerged,
-		"changes": goldenChanges, "steps": goldenSteps} {
+	for name, play := range map[string]func(*rand.Rand, *goldenRecord){
+		"checks": goldenChecks, "merged": goldenMerged,
+		"changes": goldenChanges, "steps": goldenSteps,
+	} {
 		g := newGoldenRecord()
 		for seed := range uint64(200) {
 			play(rand.New(rand.NewPCG(seed, 57)), g)
@@ -81,11 +82,16 @@
 var goldenServices = []string{"send", "book", "quota", "free"}
 
 func drawNamespaces(r *rand.Rand) []Namespace {
-	l := []Namespace{{Name: "dispatch", Owners: []string{"ana", "bo"}, Services: []string{"send"}, Hosts: []string{"push.example"}},
-		{Name: "devicebook", Owners: []string{"cy"}, Services: []string{"book"}, Prefixes: []HostPrefix{{"push.example", "/tokens/"}}}}
+	l := []Namespace{
+		{Name: "dispatch", Owners: []string{"ana", "bo"}, Services: []string{"send"}, Hosts: []string{"push.example"}},
+		{Name: "devicebook", Owners: []string{"cy"}, Services: []string{"book"}, Prefixes: []HostPrefix{{"push.example", "/tokens/"}}},
+	}
 	if r.IntN(4) > 0 {
-		l = append(l, Namespace{Name: "quota", Owners: []string{"di", "ana"}, Within: pick(r, "devicebook", "devicebook", "devicebook", "", "", "none"), Services: []string{"quota"},
-			Prefixes: []HostPrefix{{"Push.example", pick(r, "/tokens/all/", "/tokens/all/", "/send/", "/send/", "/tokens/")}}})
+		l = append(l, Namespace{
+			Name: "quota", Owners: []string{"di", "ana"}, Within: pick(r, "devicebook", "devicebook", "devicebook", "", "", "none"),
+			Services: []string{"quota"},
+			Prefixes: []HostPrefix{{"Push.example", pick(r, "/tokens/all/", "/tokens/all/", "/send/", "/send/", "/tokens/")}},
+		})
 	}
 	if r.IntN(16) == 0 {
 		l[0].Within = "quota"
@@ -96,80 +102,91 @@
 	return l
 }
 
-func drawRuling(r *rand.Rand, name string) Policy {
-	u := Policy{Name: name, ConfigVersion: int64(1 + r.IntN(3)), Namespace: pick(r, "dispatch", "devicebook", "quota", MeshNamespace, "dispatch", "devicebook", "dispatch", "devicebook", "quota")}
+func drawPolicy(r *rand.Rand, name string) Policy {
+	p := Policy{Name: name, ConfigVersion: int64(1 + r.IntN(3)), Namespace: pick(r, "dispatch", "devicebook", "quota", MeshNamespace,
+		"dispatch", "devicebook", "dispatch", "devicebook", "quota")}
 	if r.IntN(24) == 0 {
-		u.Namespace = "nobody"
+		p.Namespace = "nobody"
 	}
 	services, routes := goldenServices, []string{"send", "tokens", "quota", "later"}
 	if r.IntN(12) > 0 { // what is surely its namespace's
-		services, routes = map[string][]string{"dispatch": {"send"}, "devicebook": {"book", "book"}, "quota": {"quota"}}[u.Namespace], []string{"later"}
-		if u.Namespace == "devicebook" {
+		owned := map[string][]string{"dispatch": {"send"}, "devicebook": {"book", "book"}, "quota": {"quota"}}
+		services, routes = owned[p.Namespace], []string{"later"}
+		if p.Namespace == "devicebook" {
 			routes = append(routes, "tokens")
 		}
 	}
 	switch r.IntN(4) {
 	case 0:
-		u.On.Routes = some(r, routes...)
+		p.On.Routes = some(r, routes...)
 	case 1:
-		u.On.Services = some(r, services...)
+		p.On.Services = some(r, services...)
 	case 2:
-		u.On.Callers = some(r, services...)
+		p.On.Callers = some(r, services...)
 	}
 	if r.IntN(2) == 0 {
-		u.Tries = r.IntN(4)
+		p.Tries = r.IntN(4)
 	}
 	if r.IntN(3) == 0 {
 		again := r.IntN(2) == 0
-		u.KeyedAgain = &again
+		p.KeyedAgain = &again
 	}
 	if r.IntN(3) == 0 {
 		endings := some(r, "refused", "unreachable", "failed", "broken", "timed_out")
-		u.RetryOn = &endings
+		p.RetryOn = &endings
 	}
 	if r.IntN(2) == 0 {
-		u.TimeoutS = pick(r, 0.5, 1, 2, 3.5)
+		p.TimeoutS = pick(r, 0.5, 1, 2, 3.5)
 	}
 	if r.IntN(4) == 0 {
-		u.NeedsS = pick(r, 0.25, 0.75, 1.5)
+		p.NeedsS = pick(r, 0.25, 0.75, 1.5)
 	}
 	if r.IntN(3) == 0 {
 		ratio := pick(r, 0, 0.1, 0.5)
-		u.RetryRatio = &ratio
+		p.RetryRatio = &ratio
 	}
 	if r.IntN(3) == 0 {
 		priority := r.IntN(4)
-		u.Priority = &priority
+		p.Priority = &priority
 	}
 	if r.IntN(3) == 0 {
-		u.Callers = CallerRules{Allow: append(some(r, goldenServices...), "send"), Deny: some(r, "free"), Need: some(r, "book", "quota")}
+		p.Callers = CallerRules{Allow: append(some(r, goldenServices...), "send"), Deny: some(r, "free"), Need: some(r, "book", "quota")}
 	}
-	return u
+	return p
 }
 
-func drawRulings(r *rand.Rand, most int) (l []Policy) {
+func drawPolicies(r *rand.Rand, most int) (l []Policy) {
 	for n := range r.IntN(most + 1) {
-		l = append(l, drawRuling(r, fmt.Sprint("ruling-", n)))
+		l = append(l, drawPolicy(r, fmt.Sprint("ruling-", n)))
 	}
 	return l
 }
 
 func goldenRoutes() []Route {
 	return []Route{
-		{Name: "send", Host: "Push.example", Prefix: "/send/", Version: 1, Services: []string{"send", "book"}, TimeoutS: 2, MaxAttempts: 3, Priority: 1, AtMostOnce: true},
-		{Name: "tokens", Host: "push.example", Prefix: "/tokens/all/", Version: 1, Services: []string{"book"}, TimeoutS: 5, MaxAttempts: 2, Priority: 2},
-		{Name: "quota", Host: "other.example", Prefix: "/", Version: 4, Services: []string{"quota", "free"}, TimeoutS: 1, MaxAttempts: 2, Priority: 2},
+		{
+			Name: "send", Host: "Push.example", Prefix: "/send/", Version: 1, Services: []string{"send", "book"},
+			TimeoutS: 2, MaxAttempts: 3, Priority: 1, AtMostOnce: true,
+		},
+		{
+			Name: "tokens", Host: "push.example", Prefix: "/tokens/all/", Version: 1, Services: []string{"book"},
+			TimeoutS: 5, MaxAttempts: 2, Priority: 2,
+		},
+		{
+			Name: "quota", Host: "other.example", Prefix: "/", Version: 4, Services: []string{"quota", "free"},
+			TimeoutS: 1, MaxAttempts: 2, Priority: 2,
+		},
 	}
 }
 
 // goldenChecks looks at items by themselves, and at sets of them.
 func goldenChecks(r *rand.Rand, g *goldenRecord) {
 	for n := range 20 {
-		u := drawRuling(r, pick(r, "x", "x", "x", ""))
+		p := drawPolicy(r, pick(r, "x", "x", "x", ""))
 		if r.IntN(8) == 0 {
-			u.Tries = -1
+			p.Tries = -1
 		}
-		g.fault(u.Validate())
+		g.fault(p.Validate())
 		l := drawNamespaces(r)
 		s := l[n%len(l)]
 		switch r.IntN(6) {
@@ -184,12 +201,12 @@
 		}
 		g.fault(s.Validate())
 	}
-	_, err := Evaluate(NewSet(nil, nil, nil), NewSet(drawNamespaces(r), drawRulings(r, 4), goldenRoutes()), Change{})
+	_, err := Evaluate(NewSet(nil, nil, nil), NewSet(drawNamespaces(r), drawPolicies(r, 4), goldenRoutes()), Change{})
 	g.decide(errors.Is(err, ErrInvalidSet))
 	if err != nil {
 		g.say(err.Error())
 	}
-	l := drawRulings(r, 6)
+	l := drawPolicies(r, 6)
 	g.decide(Fingerprint(len(l), func(n int) (string, int64, []byte) { return l[n].Name, l[n].ConfigVersion, []byte(asJSON(l[n])) }))
 }
 
@@ -204,9 +221,9 @@
 	g.say(f.Text)
 }
 
-// goldenMerged looks at merged rules, what follows of them and how they are told.
+// goldenMerged looks at merged policies, the decisions that follow and how they are told.
 func goldenMerged(r *rand.Rand, g *goldenRecord) {
-	s := NewSet(drawNamespaces(r), drawRulings(r, 6), goldenRoutes())
+	s := NewSet(drawNamespaces(r), drawPolicies(r, 6), goldenRoutes())
 	for _, route := range s.Routes() {
 		g.decide(route.Name, s.OwnerOfRoute(route))
 		for _, service := range route.Services {
@@ -218,47 +235,48 @@
 	}
 	report := s.Report()
 	g.decide(asJSON(report))
-	var text strings.Builder
-	report.WriteText(&text)
-	g.say(text.String())
+	g.say(report.String())
 }
 
 func (g *goldenRecord) merged(s *Set, route Route, service, caller string) {
-	words, ruled := s.ClausesFor(route, service, caller)
-	if ruled {
+	clauses, governed := s.ClausesFor(route, service, caller)
+	if governed {
 		g.count("ruled")
 	} else {
 		g.count("not ruled")
 	}
-	m := words.Decide(route, caller)
-	g.decide(ruled, asJSON(words), words.Fingerprint(), m.Fingerprint, m.MaxAttempts, m.Timeout, m.Priority, m.RetryRatio, m.RetryOn, m.RetryOnAny)
-	if m.DeniedBy != nil {
+	decision := clauses.Decide(route, caller)
+	g.decide(governed, asJSON(clauses), clauses.Fingerprint(),
+		decision.Fingerprint, decision.MaxAttempts, decision.Timeout, decision.Priority,
+		decision.RetryRatio, decision.RetryOn, decision.RetryOnAny)
+	if decision.DeniedBy != nil {
 		g.count("denied")
-		g.decide("denied", asJSON(m.DeniedBy))
-		g.say(m.DeniedBy.String())
+		g.decide("denied", asJSON(decision.DeniedBy))
+		g.say(decision.DeniedBy.String())
 	}
 	for _, ending := range []string{"refused", "broken", "timed_out"} {
-		g.decide(m.MayRetry(ending))
+		g.decide(decision.MayRetry(ending))
 	}
 	x := s.Explain(route, service, caller)
 	g.decide(asJSON(x))
-	var text strings.Builder
-	x.WriteText(&text)
-	g.say(text.String())
+	g.say(x.String())
 }
 
-// goldenChanges has changes judged.
+// goldenChanges has changes evaluated.
 func goldenChanges(r *rand.Rand, g *goldenRecord) {
 	for range 20 {
-		spaces := drawNamespaces(r)
-		rulings := drawRulings(r, 5)
+		namespaces := drawNamespaces(r)
+		policies := drawPolicies(r, 5)
 		if r.IntN(2) == 0 { // of an agreed set most fit
-			rulings = nil
+			policies = nil
+		}
+		before := NewSet(namespaces, policies, goldenRoutes())
+		c := Change{
+			Author:   pick(r, "", "", "ana", "cy", "ana", "cy", "di", "eve"),
+			Consents: some(r, "dispatch:ana", "devicebook:cy", "quota:di", "mesh:x"),
 		}
-		before := NewSet(spaces, rulings, goldenRoutes())
-		c := Change{Author: pick(r, "", "", "ana", "cy", "ana", "cy", "di", "eve"), Consents: some(r, "dispatch:ana", "devicebook:cy", "quota:di", "mesh:x")}
-		next, routes := drawChange(r, rulings, &c)
-		after := NewSet(spaces, next, routes)
+		next, routes := drawChange(r, policies, &c)
+		after := NewSet(namespaces, next, routes)
 		effects, err := Evaluate(before, after, c)
 		kind := "other"
 		var conflict *Conflict
@@ -286,9 +304,9 @@
 	}
 }
 
-// drawChange draws what a change makes of rulings and routes, and names it.
-func drawChange(r *rand.Rand, rulings []Policy, c *Change) ([]Policy, []Route) {
-	next := append([]Policy(nil), rulings...)
+// drawChange draws what a change makes of policies and routes, and names it in c.
+func drawChange(r *rand.Rand, policies []Policy, c *Change) ([]Policy, []Route) {
+	next := append([]Policy(nil), policies...)
 	routes := goldenRoutes()
 	name := fmt.Sprint("ruling-", r.IntN(6))
 	switch r.IntN(5) {
@@ -306,62 +324,63 @@
 		c.Namespaces = some(r, "dispatch", "quota")
 		c.Others = some(r, "limits")
 	}
-	u := drawRuling(r, name)
-	u.ConfigVersion += 3
+	p := drawPolicy(r, name)
+	p.ConfigVersion += 3
 	c.Policies = append(c.Policies, name)
 	for n := range next {
 		if next[n].Name == name {
-			next[n] = u
+			next[n] = p
 			return next, routes
 		}
 	}
-	return append(next, u), routes
+	return append(next, p), routes
 }
 
-// goldenSteps plays the two steps by which a set comes to bind: at the leader and at three lines.
+// goldenSteps plays the two steps of a rollout, at the leader and at three sidecars.
 func goldenSteps(r *rand.Rand, g *goldenRecord) {
-	var b Rollout
-	leaves := make([]SidecarState, 3)
-	var at uint64
+	var rollout Rollout
+	sidecars := make([]SidecarState, 3)
+	var index uint64
 	var now, since time.Duration
 	set := func() string { return pick(r, "", "s1", "s2", "s3") }
 	for range 60 {
 		now += time.Duration(r.IntN(1500)) * time.Millisecond
-		n := r.IntN(len(leaves))
+		n := r.IntN(len(sidecars))
 		switch r.IntN(7) {
 		case 0:
-			at++
-			b, since = b.Agree(set(), at), now
+			index++
+			rollout, since = rollout.Agree(set(), index), now
 		case 1:
-			at++
-			var bound bool
-			b, bound = b.Activate(pick(r, b.Agreed, set()), at)
-			g.decide(bound)
+			index++
+			var activated bool
+			rollout, activated = rollout.Activate(pick(r, rollout.Agreed, set()), index)
+			g.decide(activated)
 		case 2:
-			leaves[n] = leaves[n].Receive(pick(r, b.Agreed, set()))
+			sidecars[n] = sidecars[n].Receive(pick(r, rollout.Agreed, set()))
 		case 3:
-			var take, ask bool
-			leaves[n], take, ask = leaves[n].Activate(b.Active, uint64(r.IntN(int(at)+2)))
-			g.decide(take, ask)
+			var adopt, reload bool
+			sidecars[n], adopt, reload = sidecars[n].Activate(rollout.Active, uint64(r.IntN(int(index)+2)))
+			g.decide(adopt, reload)
 		case 4:
-			leaves[n] = leaves[n].Restore(b.Active, b.ActiveIndex, now-time.Second)
+			sidecars[n] = sidecars[n].Restore(rollout.Active, rollout.ActiveIndex, now-time.Second)
 		case 5:
 			var same bool
-			leaves[n], same = leaves[n].Confirm(pick(r, b.Active, set()), b.ActiveIndex, b.Agreed, now-time.Duration(r.IntN(2000))*time.Millisecond)
+			sidecars[n], same = sidecars[n].Confirm(pick(r, rollout.Active, set()), rollout.ActiveIndex, rollout.Agreed,
+				now-time.Duration(r.IntN(2000))*time.Millisecond)
 			g.decide(same)
 		}
-		var seen []SidecarReport
-		for i, l := range leaves {
-			seen = append(seen, SidecarReport{fmt.Sprint("line-", i), l.Received, r.IntN(8) == 0})
-			g.decide(l.Received, l.Active, l.ActiveIndex, l.ConfirmedAt, l.HasPolicies, l.IsFenced(now))
+		var reports []SidecarReport
+		for i, s := range sidecars {
+			reports = append(reports, SidecarReport{fmt.Sprint("line-", i), s.Received, r.IntN(8) == 0})
+			g.decide(s.Received, s.Active, s.ActiveIndex, s.ConfirmedAt, s.HasPolicies, s.IsFenced(now))
 		}
-		ok, waits := b.CanActivate(seen, now-since)
+		ok, waitsFor := rollout.CanActivate(reports, now-since)
 		if ok {
 			g.count("ready")
-		} else if b.IsPending() {
+		} else if rollout.IsPending() {
 			g.count("waits")
 		}
-		g.decide(ok, b.IsPending(), asJSON(b))
-		g.say(waits)
+		g.decide(ok, rollout.IsPending(), asJSON(rollout))
+		g.say(waitsFor)
 	}
 }
--- /dev/null
+++ b/internal/mesh/policy/rollout.go
@@ -0,0 +1,90 @@
+package policy
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"time"
+)
+
+// Times of the two steps.
+const (
+	// FenceTimeout is for how long a sidecar goes by the active set after a confirmed read, counted from when it asked, by its
+	// own steady clock. Then it rejects what policies govern, as not run, until it is confirmed again.
+	FenceTimeout = 3 * time.Second
+
+	// ConfirmInterval is how often a sidecar asks.
+	ConfirmInterval = time.Second
+
+	// activationTimeout is how long the leader waits for sidecars that do not say that they have received a set. By then they
+	// are fenced: the second more is far beyond what two steady clocks may differ by in that time.
+	activationTimeout = FenceTimeout + time.Second
+)
+
+// Rollout is which policy set is agreed on and which is active, by their fingerprints. It is replicated state. A changed set
+// is agreed on first, by the entry that changes an item; it becomes active by an entry of its own, once the sidecars have it.
+type Rollout struct {
+	Agreed      string `json:"held"`    // "": there is no set
+	Active      string `json:"bound"`   // the same
+	AgreedIndex uint64 `json:"heldAt"`  // the log entry by which it was agreed on
+	ActiveIndex uint64 `json:"boundAt"` // the log entry that activated it; 0: none was ever active
+}
+
+// Fingerprint names a policy set: its items, in order, by name, version and content; "" is the empty set.
+func Fingerprint(n int, item func(i int) (name string, version int64, body []byte)) string {
+	if n == 0 {
+		return ""
+	}
+	sum := sha256.New()
+	for i := range n {
+		name, version, body := item(i)
+		sum.Write(fmt.Appendf(nil, "%q %d %d\n", name, version, len(body)))
+		sum.Write(body)
+	}
+	return hex.EncodeToString(sum.Sum(nil)[:fingerprintBytes])
+}
+
+// Agree is the rollout after an entry that changed the set.
+func (r Rollout) Agree(fingerprint string, index uint64) Rollout {
+	r.Agreed, r.AgreedIndex = fingerprint, index
+	return r
+}
+
+// Activate is the rollout after an entry that activates a set; false if another one has been agreed on since, or it is active
+// already: nothing changes then.
+func (r Rollout) Activate(fingerprint string, index uint64) (Rollout, bool) {
+	if fingerprint != r.Agreed || r.Active == r.Agreed {
+		return r, false
+	}
+	r.Active, r.ActiveIndex = fingerprint, index
+	return r, true
+}
+
+// IsPending says that a set is agreed on and not active yet.
+func (r Rollout) IsPending() bool { return r.Agreed != r.Active }
+
+// SidecarReport is what a sidecar said last.
+type SidecarReport struct {
+	Name     string
+	Received string // the set that it has
+	Silent   bool   // it did not answer
+}
+
+// CanActivate says whether the agreed set may become active, or what it waits for: all sidecars must have received it, or be
+// fenced for certain. since is how long this leader has known that it is agreed on. The very first set waits for all sidecars
+// that are known: one that has never heard of any set is not fenced.
+func (r Rollout) CanActivate(reports []SidecarReport, since time.Duration) (ok bool, waitsFor string) {
+	if !r.IsPending() {
+		return false, ""
+	}
+	var behind []string
+	for _, report := range reports {
+		if report.Silent || report.Received != r.Agreed {
+			behind = append(behind, report.Name)
+		}
+	}
+	if len(behind) == 0 || r.ActiveIndex > 0 && since >= activationTimeout {
+		return true, ""
+	}
+	return false, fmt.Sprintf("%d lines have not said that they hold it, the first %s", len(behind), behind[0])
+}
--- /dev/null
+++ b/internal/mesh/policy/set.go
@@ -0,0 +1,272 @@
+package policy
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/juju/errors"
+)
+
+// Set is all namespaces, policies and routes together. It is never changed once made.
+type Set struct {
+	namespaces map[string]Namespace
+	policies   []Policy // sorted by name
+	routes     map[string]Route
+
+	serviceOwners map[string]string
+	hostOwners    map[string]string
+	prefixOwners  map[string][]ownedPrefix // by host, the longest prefix first
+	ancestors     map[string][]string      // a namespace and those that it is nested in
+	doublyOwned   []string                 // faults: what two namespaces own
+
+	defaults map[string][]*compiledPolicy          // by namespace: those with an empty selector
+	targeted map[Role]map[string][]*compiledPolicy // the others, by what they select
+}
+
+// compiledPolicy is a policy with its clauses in each role.
+type compiledPolicy struct {
+	namespace string
+	clauses   map[Role]Clauses
+}
+
+type ownedPrefix struct{ prefix, owner string }
+
+// NewSet makes the set of some items. Whether they fit together is for validate to say.
+func NewSet(namespaces []Namespace, policies []Policy, routes []Route) *Set {
+	s := &Set{
+		namespaces:    map[string]Namespace{},
+		policies:      slices.Clone(policies),
+		routes:        map[string]Route{},
+		serviceOwners: map[string]string{},
+		hostOwners:    map[string]string{},
+		prefixOwners:  map[string][]ownedPrefix{},
+		ancestors:     map[string][]string{},
+		defaults:      map[string][]*compiledPolicy{},
+		targeted:      map[Role]map[string][]*compiledPolicy{RoleRouteOwner: {}, RoleServiceOwner: {}, RoleCallerOwner: {}},
+	}
+	s.addNamespaces(namespaces)
+	slices.SortFunc(s.policies, func(a, b Policy) int { return cmp.Compare(a.Name, b.Name) })
+	for _, p := range s.policies {
+		s.addPolicy(p)
+	}
+	for _, r := range routes {
+		s.routes[r.Name] = r
+	}
+	return s
+}
+
+func (s *Set) addNamespaces(namespaces []Namespace) {
+	sorted := slices.Clone(namespaces)
+	slices.SortFunc(sorted, func(a, b Namespace) int { return cmp.Compare(a.Name, b.Name) })
+	for _, n := range sorted {
+		s.namespaces[n.Name] = n
+		for _, service := range n.Services {
+			s.addOwner(s.serviceOwners, "service", service, n.Name)
+		}
+		for _, host := range n.Hosts {
+			s.addOwner(s.hostOwners, "host", strings.ToLower(host), n.Name)
+		}
+		for _, p := range n.Prefixes {
+			s.addPrefix(strings.ToLower(p.Host), ownedPrefix{p.PathPrefix, n.Name})
+		}
+	}
+	for _, prefixes := range s.prefixOwners {
+		slices.SortFunc(prefixes, func(a, b ownedPrefix) int { return cmp.Compare(len(b.prefix), len(a.prefix)) })
+	}
+	for name := range s.namespaces {
+		s.ancestors[name], _ = s.ancestorsOf(name)
+	}
+}
+
+// addOwner notes who owns a service or host; the first owner of two stays.
+func (s *Set) addOwner(owners map[string]string, kind, name, owner string) {
+	if other, owned := owners[name]; owned && other != owner {
+		s.doublyOwned = append(s.doublyOwned, fmt.Sprintf("%s %s is owned by %s and by %s", kind, name, other, owner))
+		return
+	}
+	owners[name] = owner
+}
+
+func (s *Set) addPrefix(host string, p ownedPrefix) {
+	for _, other := range s.prefixOwners[host] {
+		if other.prefix != p.prefix {
+			continue
+		}
+		if other.owner != p.owner {
+			s.doublyOwned = append(s.doublyOwned, fmt.Sprintf("%s%s is owned by %s and by %s", host, p.prefix, other.owner, p.owner))
+		}
+		return
+	}
+	s.prefixOwners[host] = append(s.prefixOwners[host], p)
+}
+
+func (s *Set) addPolicy(p Policy) {
+	compiled := &compiledPolicy{p.Namespace, map[Role]Clauses{}}
+	for _, role := range []Role{RoleMesh, RoleRouteOwner, RoleServiceOwner, RoleCallerOwner} {
+		compiled.clauses[role] = p.clauses(role)
+	}
+	if p.On.isEmpty() {
+		s.defaults[p.Namespace] = append(s.defaults[p.Namespace], compiled)
+	}
+	for role, names := range p.On.namesByRole() {
+		for _, name := range names {
+			s.targeted[role][name] = append(s.targeted[role][name], compiled)
+		}
+	}
+}
+
+// ancestorsOf is a namespace and those that it is nested in; false if they go round in a loop, or too deep.
+func (s *Set) ancestorsOf(name string) (names []string, ok bool) {
+	for n := name; n != "" && n != MeshNamespace; n = s.namespaces[n].Within {
+		if slices.Contains(names, n) || len(names) == maxNesting {
+			return names, false
+		}
+		names = append(names, n)
+	}
+	return names, true
+}
+
+// Routes are all, by name.
+func (s *Set) Routes() []Route { return sortedByName(s.routes) }
+
+// Route is the route of that name, if there is one.
+func (s *Set) Route(name string) (Route, bool) {
+	r, exists := s.routes[name]
+	return r, exists
+}
+
+// Namespaces are all, by name.
+func (s *Set) Namespaces() []Namespace { return sortedByName(s.namespaces) }
+
+func sortedByName[T any](byName map[string]T) (values []T) {
+	for _, name := range slices.Sorted(maps.Keys(byName)) {
+		values = append(values, byName[name])
+	}
+	return values
+}
+
+func (s *Set) policyByName(name string) (Policy, bool) {
+	for _, p := range s.policies {
+		if p.Name == name {
+			return p, true
+		}
+	}
+	return Policy{}, false
+}
+
+// OwnerOfService is the namespace that owns a service.
+func (s *Set) OwnerOfService(name string) string {
+	if owner, owned := s.serviceOwners[name]; owned {
+		return owner
+	}
+	return MeshNamespace
+}
+
+// OwnersOfService is that namespace and those that it is nested in.
+func (s *Set) OwnersOfService(name string) []string {
+	return append(slices.Clone(s.ancestors[s.OwnerOfService(name)]), MeshNamespace)
+}
+
+// OwnerOfRoute is the namespace that owns a route, by its host and prefix.
+func (s *Set) OwnerOfRoute(r Route) string {
+	host := strings.ToLower(r.Host)
+	for _, p := range s.prefixOwners[host] {
+		if strings.HasPrefix(r.Prefix, p.prefix) {
+			return p.owner
+		}
+	}
+	if owner, owned := s.hostOwners[host]; owned {
+		return owner
+	}
+	return MeshNamespace
+}
+
+// governs says that an owner is a namespace, or nested in it.
+func (s *Set) governs(namespace, owner string) bool {
+	return namespace == owner || namespace == MeshNamespace || slices.Contains(s.ancestors[owner], namespace)
+}
+
+// ClausesFor is the merged policy for requests of a route that go to a service from another; caller "" is any. governed says
+// that a namespace has a say on them, beside the route's own item, or may have one tomorrow, since it owns a part of it: a
+// sidecar that can't confirm which policies are active has to know that before the first of them.
+func (s *Set) ClausesFor(route Route, service, caller string) (clauses Clauses, governed bool) {
+	add := func(role Role, owner string, policies []*compiledPolicy) {
+		for _, p := range policies {
+			if s.governs(p.namespace, owner) {
+				clauses = append(clauses, p.clauses[role]...)
+			}
+		}
+	}
+	add(RoleMesh, MeshNamespace, s.defaults[MeshNamespace])
+	for _, side := range []struct {
+		role        Role
+		name, owner string
+	}{
+		{RoleRouteOwner, route.Name, s.OwnerOfRoute(route)},
+		{RoleServiceOwner, service, s.OwnerOfService(service)},
+		{RoleCallerOwner, caller, s.OwnerOfService(caller)},
+	} {
+		if side.name == "" {
+			continue
+		}
+		governed = governed || side.owner != MeshNamespace
+		for _, namespace := range s.ancestors[side.owner] {
+			add(side.role, side.owner, s.defaults[namespace])
+		}
+		add(side.role, side.owner, s.targeted[side.role][side.name])
+	}
+	return Merge(clauses, route.clauses()), governed || len(clauses) > 0
+}
+
+// validate finds the first thing in which the items do not fit together: what two namespaces own, a loop of delegations, a
+// policy of no namespace, or one that selects what is not its namespace's. What a policy selects may come later; until then it
+// says nothing of it. The error is ErrInvalidSet.
+func (s *Set) validate() error {
+	if len(s.doublyOwned) > 0 {
+		return invalidSet("the namespaces", "%s", s.doublyOwned[0])
+	}
+	for _, n := range s.Namespaces() {
+		if _, exists := s.namespaces[n.Within]; n.Within != "" && n.Within != MeshNamespace && !exists {
+			return invalidSet("namespace "+n.Name, "lies within %q, which is not known", n.Within)
+		}
+		if names, ok := s.ancestorsOf(n.Name); !ok {
+			names = append(names, s.namespaces[names[len(names)-1]].Within)
+			return invalidSet("namespace "+n.Name, "its delegations go round, or too deep: %s", strings.Join(names, " within "))
+		}
+	}
+	for _, p := range s.policies {
+		if _, exists := s.namespaces[p.Namespace]; !exists && p.Namespace != MeshNamespace {
+			return invalidSet("ruling "+p.Name, "its namespace %q is not known", p.Namespace)
+		}
+		if err := s.validateSelector(p); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func invalidSet(item, format string, args ...any) error {
+	return errors.Annotatef(ErrInvalidSet, "%s: %s", item, fmt.Sprintf(format, args...))
+}
+
+// validateSelector finds the first thing that a policy selects and that is not its namespace's.
+func (s *Set) validateSelector(p Policy) error {
+	for _, service := range slices.Concat(p.On.Services, p.On.Callers) {
+		if owner := s.OwnerOfService(service); !s.governs(p.Namespace, owner) {
+			return invalidSet("ruling "+p.Name, "On names the service %s, which is of %s and not of %s", service, owner, p.Namespace)
+		}
+	}
+	for _, name := range p.On.Routes {
+		route, exists := s.routes[name]
+		if !exists {
+			continue
+		}
+		if owner := s.OwnerOfRoute(route); !s.governs(p.Namespace, owner) {
+			return invalidSet("ruling "+p.Name, "On names the route %s, which is of %s and not of %s", name, owner, p.Namespace)
+		}
+	}
+	return nil
+}
