--- a/internal/mesh/raft/raftwire/raftwire.go
+++ b/internal/mesh/raft/raftwire/raftwire.go
@@ -1,5 +1,6 @@
 // Package raftwire turns raft messages, entries and snapshots into FlatBuffers tables and back. The same tables travel between
-// control-plane members and are stored on their disks, so their layout is a stored format. It is pure.
+// control-plane members and are stored on their disks, so their layout is a stored format: it may be added to and never changed
+// (testdata holds recorded bytes). It is pure. The schema is transport/wire.fbs.
 package raftwire
 
 import (
@@ -11,62 +12,70 @@
 	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
-
-// MembersToWire and MembersOf turn members into the trunk's tables and back; so do the others below.
-func MembersToWire(l []raft.Member) (out []*wire.MemberT) {
-	for _, m := range l {
-		out = append(out, &wire.MemberT{Id: uint64(m.ID), Addr: m.Addr})
+// MembersToWire encodes members.
+func MembersToWire(members []raft.Member) (tables []*wire.MemberT) {
+	for _, m := range members {
+		tables = append(tables, &wire.MemberT{Id: uint64(m.ID), Addr: m.Addr})
 	}
-	return out
+	return tables
 }
 
-// MembersFromWire reads members.
-func MembersFromWire(l []*wire.MemberT) (out []raft.Member) {
-	for _, m := range l {
-		out = append(out, raft.Member{ID: raft.ID(m.Id), Addr: m.Addr})
+// MembersFromWire decodes members.
+func MembersFromWire(tables []*wire.MemberT) (members []raft.Member) {
+	for _, t := range tables {
+		members = append(members, raft.Member{ID: raft.ID(t.Id), Addr: t.Addr})
 	}
-	return out
+	return members
 }
 
-// EntryToWire words an entry.
+// EntryToWire encodes an entry. The members of a configuration entry are its data there.
 func EntryToWire(e raft.Entry) *wire.EntryT {
 	t := &wire.EntryT{Index: e.Index, Term: e.Term, Kind: byte(e.Kind), LogTimeNs: int64(e.LogTime), Data: e.Data}
 	if e.Kind == raft.EntryConfiguration {
-		t.Data = codec.EncodeTable(&wire.MembersT{List: MembersToWire(e.Members), Index: e.Index, Outgoing: MembersToWire(e.Outgoing), RaftVersion: e.ProtocolVersion})
+		t.Data = codec.EncodeTable(&wire.MembersT{List: MembersToWire(e.Members), Index: e.Index, Outgoing: MembersToWire(e.Outgoing),
+			RaftVersion: e.ProtocolVersion})
 	}
 	return t
 }
 
-// EntryFromWire reads an entry.
+// EntryFromWire decodes an entry. The error is codec.ErrMalformedFrame.
 func EntryFromWire(t *wire.EntryT) (raft.Entry, error) {
 	e := raft.Entry{Index: t.Index, Term: t.Term, Kind: raft.EntryKind(t.Kind), LogTime: time.Duration(t.LogTimeNs), Data: t.Data}
 	if e.Kind == raft.EntryConfiguration {
-		m, err := codec.DecodeTable(t.Data, func(p []byte) *wire.MembersT { return wire.GetRootAsMembers(p, 0).UnPack() })
+		members, err := codec.DecodeTable(t.Data, func(p []byte) *wire.MembersT { return wire.GetRootAsMembers(p, 0).UnPack() })
 		if err != nil {
-			return e, errors.Annotate(err, "a view")
+			return e, errors.Annotatef(err, "decode the members of entry %d", t.Index)
 		}
-		e.Members, e.Outgoing, e.ProtocolVersion, e.Data = MembersFromWire(m.List), MembersFromWire(m.Outgoing), m.RaftVersion, nil
+		e.Members, e.Outgoing = MembersFromWire(members.List), MembersFromWire(members.Outgoing)
+		e.ProtocolVersion, e.Data = members.RaftVersion, nil
 	}
 	return e, nil
 }
 
-// SnapshotToWire words a snapshot.
+// SnapshotToWire encodes a snapshot.
 func SnapshotToWire(s *raft.Snapshot) *wire.SnapshotT {
-	return &wire.SnapshotT{Index: s.Index, Term: s.Term, LogTimeNs: int64(s.LogTime), ConfigurationIndex: s.ConfigurationIndex, Members: MembersToWire(s.Members), Data: s.Data,
-		Outgoing: MembersToWire(s.Outgoing), RaftVersion: s.ProtocolVersion}
+	return &wire.SnapshotT{
+		Index: s.Index, Term: s.Term, LogTimeNs: int64(s.LogTime), ConfigurationIndex: s.ConfigurationIndex,
+		Members: MembersToWire(s.Members), Outgoing: MembersToWire(s.Outgoing), RaftVersion: s.ProtocolVersion, Data: s.Data,
+	}
 }
 
-// SnapshotFromWire reads a snapshot.
+// SnapshotFromWire decodes a snapshot.
 func SnapshotFromWire(t *wire.SnapshotT) raft.Snapshot {
-	return raft.Snapshot{Index: t.Index, Term: t.Term, LogTime: time.Duration(t.LogTimeNs), ConfigurationIndex: t.ConfigurationIndex, Members: MembersFromWire(t.Members), Data: t.Data,
-		Outgoing: MembersFromWire(t.Outgoing), ProtocolVersion: t.RaftVersion}
+	return raft.Snapshot{
+		Index: t.Index, Term: t.Term, LogTime: time.Duration(t.LogTimeNs), ConfigurationIndex: t.ConfigurationIndex,
+		Members: MembersFromWire(t.Members), Outgoing: MembersFromWire(t.Outgoing), ProtocolVersion: t.RaftVersion, Data: t.Data,
+	}
 }
 
-// MessageToWire words a message between registers.
+// MessageToWire encodes a message between members.
 func MessageToWire(m raft.Message) *wire.RaftMessageT {
-	t := &wire.RaftMessageT{Kind: byte(m.Kind), From: uint64(m.From), To: uint64(m.To), Term: m.Term, Index: m.Index, LogTerm: m.LogTerm,
-		Commit: m.Commit, Reject: m.Reject, Hint: m.Hint, HeartbeatRound: m.HeartbeatRound, Addr: m.Addr, Members: MembersToWire(m.Members), ConfigurationIndex: m.ConfigurationIndex, RaftVersion: m.ProtocolVersion,
-		Offset: m.Offset, TotalBytes: m.TotalBytes, Checksum: m.Checksum, Leaving: m.Leaving}
+	t := &wire.RaftMessageT{
+		Kind: byte(m.Kind), From: uint64(m.From), To: uint64(m.To), Term: m.Term, Index: m.Index, LogTerm: m.LogTerm, Commit: m.Commit,
+		Reject: m.Reject, Hint: m.Hint, HeartbeatRound: m.HeartbeatRound, Addr: m.Addr, Members: MembersToWire(m.Members),
+		ConfigurationIndex: m.ConfigurationIndex, RaftVersion: m.ProtocolVersion, Offset: m.Offset, TotalBytes: m.TotalBytes,
+		Checksum: m.Checksum, Leaving: m.Leaving,
+	}
 	for _, e := range m.Entries {
 		t.Entries = append(t.Entries, EntryToWire(e))
 	}
@@ -76,13 +85,16 @@
 	return t
 }
 
-// MessageFromWire reads a message between registers.
+// MessageFromWire decodes a message between members. The error is codec.ErrMalformedFrame.
 func MessageFromWire(t *wire.RaftMessageT) (raft.Message, error) {
-	m := raft.Message{Kind: raft.MessageKind(t.Kind), From: raft.ID(t.From), To: raft.ID(t.To), Term: t.Term, Index: t.Index, LogTerm: t.LogTerm,
-		Commit: t.Commit, Reject: t.Reject, Hint: t.Hint, HeartbeatRound: t.HeartbeatRound, Addr: t.Addr, Members: MembersFromWire(t.Members), ConfigurationIndex: t.ConfigurationIndex, ProtocolVersion: t.RaftVersion,
-		Offset: t.Offset, TotalBytes: t.TotalBytes, Checksum: t.Checksum, Leaving: t.Leaving}
-	for _, x := range t.Entries {
-		e, err := EntryFromWire(x)
+	m := raft.Message{
+		Kind: raft.MessageKind(t.Kind), From: raft.ID(t.From), To: raft.ID(t.To), Term: t.Term, Index: t.Index, LogTerm: t.LogTerm,
+		Commit: t.Commit, Reject: t.Reject, Hint: t.Hint, HeartbeatRound: t.HeartbeatRound, Addr: t.Addr,
+		Members: MembersFromWire(t.Members), ConfigurationIndex: t.ConfigurationIndex, ProtocolVersion: t.RaftVersion,
+		Offset: t.Offset, TotalBytes: t.TotalBytes, Checksum: t.Checksum, Leaving: t.Leaving,
+	}
+	for _, entry := range t.Entries {
+		e, err := EntryFromWire(entry)
 		if err != nil {
 			return m, err
 		}
--- a/internal/mesh/storage/bench_test.go
+++ b/internal/mesh/storage/bench_test.go
@@ -9,44 +9,51 @@
 	"cranegrade/internal/mesh/sim/disk"
 )
 
-// simulationOptions is how simulations open a store.
+// simulationOptions are those with which simulations open a store.
 var simulationOptions = Options{Foreground: true, WriteBufferBytes: 32 << 10}
 
-func benchmarkOptions(b *testing.B, run func(b *testing.B, how Options)) {
-	b.Run("as a register", func(b *testing.B) { run(b, Options{}) })
+// benchmarkOptions runs a benchmark with the options of members and with those of simulations.
+func benchmarkOptions(b *testing.B, run func(b *testing.B, options Options)) {
+	b.Run("as a member", func(b *testing.B) { run(b, Options{}) })
 	b.Run("as in simulations", func(b *testing.B) { run(b, simulationOptions) })
 }
 
+// saveEntry saves one entry of a length that hardly matters.
+func saveEntry(b *testing.B, store *Store, index uint64) {
+	b.Helper()
+	assert.NilError(b, store.Save(readyWith(raft.HardState{Term: 1}, newEntry(index, 1, "text")), index-1))
+}
+
 // BenchmarkSimulatedOpen opens a store of 100 entries on the simulated disk.
 func BenchmarkSimulatedOpen(b *testing.B) {
-	benchmarkOptions(b, func(b *testing.B, how Options) {
+	benchmarkOptions(b, func(b *testing.B, options Options) {
 		d := disk.New()
-		v, _, _, err := OpenFolder(d, how)
+		store, _, _, err := OpenFolder(d, options)
 		assert.NilError(b, err)
-		assert.NilError(b, v.Initialize(7, raft.Snapshot{}))
+		assert.NilError(b, store.Initialize(memberID, raft.Snapshot{}))
 		for n := range uint64(100) {
-			assert.NilError(b, v.Save(readyWith(raft.HardState{Term: 1}, newEntry(n+1, 1, "text")), n))
+			saveEntry(b, store, n+1)
 		}
-		v.Close()
+		store.Close()
 		b.ResetTimer()
 		for range b.N {
-			v, _, _, err := OpenFolder(d, how)
+			store, _, _, err := OpenFolder(d, options)
 			assert.NilError(b, err)
-			v.Close()
+			store.Close()
 		}
 	})
 }
 
 // BenchmarkSimulatedSave makes synced writes of one entry on the simulated disk.
 func BenchmarkSimulatedSave(b *testing.B) {
-	benchmarkOptions(b, func(b *testing.B, how Options) {
-		v, _, _, err := OpenFolder(disk.New(), how)
+	benchmarkOptions(b, func(b *testing.B, options Options) {
+		store, _, _, err := OpenFolder(disk.New(), options)
 		assert.NilError(b, err)
-		defer v.Close()
-		assert.NilError(b, v.Initialize(7, raft.Snapshot{}))
+		defer store.Close()
+		assert.NilError(b, store.Initialize(memberID, raft.Snapshot{}))
 		b.ResetTimer()
 		for n := range b.N {
-			assert.NilError(b, v.Save(readyWith(raft.HardState{Term: 1}, newEntry(uint64(n)+1, 1, "text")), uint64(n)))
+			saveEntry(b, store, uint64(n)+1)
 		}
 	})
 }
--- a/internal/mesh/storage/folder.go
+++ b/internal/mesh/storage/folder.go
@@ -4,47 +4,53 @@
 	"io/fs"
 	"os"
 	"path/filepath"
-	"sync/atomic"
 
 	"github.com/juju/errors"
-	"github.com/syndtr/goleveldb/leveldb/storage"
+	ldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// Folder is where the files of one store are.
+// Folder is where the files of one store are: a directory, or a simulated disk.
 type Folder interface {
-	// Open gives the files, which are made if there are none; the caller closes them.
-	Open(readOnly bool) (storage.Storage, error)
-	// Sync makes the names of all files in it lasting.
+	// Open gives the files, which are made if there are none. The caller closes them.
+	Open(readOnly bool) (ldbstorage.Storage, error)
+	// Sync makes the names of all files in the folder durable.
 	Sync() error
-	// Discard removes all files. Nothing of them comes back after a loss of power.
+	// Discard removes all files. None of them comes back after a loss of power.
 	Discard() error
 }
 
-// Directory is the Folder within a register's DataDir.
+// Names of directories below a data folder.
+const (
+	storeDirectory  = "vault"
+	discardedSuffix = ".discarded"
+)
+
+// Directory is the Folder below a data folder.
 func Directory(dir string) Folder { return dataFolder(dir) }
 
+// dataFolder is the path of a data folder.
 type dataFolder string
 
-func (d dataFolder) path() string { return filepath.Join(string(d), "vault") }
+func (d dataFolder) path() string { return filepath.Join(string(d), storeDirectory) }
 
 // discarded is where a store goes before it is removed: a removal that a loss of power undoes in part must not leave a store
 // of some of the files.
-func (d dataFolder) discarded() string { return d.path() + ".discarded" }
+func (d dataFolder) discarded() string { return d.path() + discardedSuffix }
 
-// Open opens the files.
-func (d dataFolder) Open(readOnly bool) (storage.Storage, error) {
+// Open implements Folder.
+func (d dataFolder) Open(readOnly bool) (ldbstorage.Storage, error) {
 	if !readOnly {
 		if err := os.RemoveAll(d.discarded()); err != nil {
-			return nil, err
+			return nil, errors.Annotate(err, "remove a discarded store")
 		}
 		if err := makeDurable(d.path()); err != nil {
-			return nil, err
+			return nil, errors.Annotate(err, "make the store's directory")
 		}
 	}
-	return storage.OpenFile(d.path(), readOnly)
+	return ldbstorage.OpenFile(d.path(), readOnly)
 }
 
-// makeDurable makes a directory and those above it, each with a name that a loss of power leaves.
+// makeDurable makes a directory and those above it, each with a name that outlasts a loss of power.
 func makeDurable(path string) error {
 	parent := filepath.Dir(path)
 	if _, err := os.Stat(parent); errors.Is(err, fs.ErrNotExist) {
@@ -58,21 +64,21 @@
 	return syncDirectory(parent) // also of one that was there: it may have been made just before a loss of power
 }
 
-// Discard removes them.
+// Discard implements Folder.
 func (d dataFolder) Discard() error {
 	if err := os.RemoveAll(d.discarded()); err != nil {
-		return err
+		return errors.Annotate(err, "remove a discarded store")
 	}
 	if err := os.Rename(d.path(), d.discarded()); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return err
+		return errors.Annotate(err, "discard the store")
 	}
 	if err := syncDirectory(string(d)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return err
+		return errors.Annotate(err, "sync the data folder")
 	}
-	return os.RemoveAll(d.discarded())
+	return errors.Annotate(os.RemoveAll(d.discarded()), "remove a discarded store")
 }
 
-// Sync syncs the directory.
+// Sync implements Folder.
 func (d dataFolder) Sync() error { return syncDirectory(d.path()) }
 
 func syncDirectory(path string) error {
@@ -80,117 +86,6 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // nothing was written through it
 	return f.Sync()
 }
-
-// durableNames is the files of a folder, with the names of new ones lasting before anything rests on them. goleveldb syncs the
-// folder only with a manifest. Until then a loss of power takes a new journal with all that was written to it and synced; and it
-// may keep a manifest's last record, not yet synced, and lose the name of the table that the record tells of.
-type durableNames struct {
-	storage.Storage
-	folder         Folder
-	transientError *atomic.Pointer[error] // the last error of the machine that says nothing of the files
-}
-
-// Create makes a file; a journal's name is lasting from then on, a table's once it is synced.
-func (l durableNames) Create(fd storage.FileDesc) (storage.Writer, error) {
-	w, err := l.Storage.Create(fd)
-	if err != nil {
-		return nil, l.recordTransient(err)
-	}
-	if fd.Type == storage.TypeJournal {
-		if err := l.folder.Sync(); err != nil {
-			w.Close()
-			return nil, l.recordTransient(err)
-		}
-	}
-	return durableFile{w, l, fd.Type}, nil
-}
-
-// SetMeta has a manifest hold.
-func (l durableNames) SetMeta(fd storage.FileDesc) error {
-	return l.recordTransient(l.Storage.SetMeta(fd))
-}
-
-// recordTransient remembers an error of the machine that says nothing of the files: goleveldb hands some on as text only.
-func (l durableNames) recordTransient(err error) error {
-	if isTransient(err) {
-		l.transientError.Store(&err)
-	}
-	return err
-}
-
-type durableFile struct {
-	storage.Writer
-	names    durableNames
-	fileType storage.FileType
-}
-
-// Write writes behind the file's end.
-func (f durableFile) Write(p []byte) (int, error) {
-	n, err := f.Writer.Write(p)
-	return n, f.names.recordTransient(err)
-}
-
-// Sync syncs the file, and a table's name.
-func (f durableFile) Sync() error {
-	if err := f.Writer.Sync(); err != nil {
-		return f.names.recordTransient(err)
-	}
-	if f.fileType != storage.TypeTable {
-		return nil
-	}
-	return f.names.recordTransient(f.names.folder.Sync())
-}
-
-// memoryFolder is a copy in memory of a folder's files.
-type memoryFolder struct{ storage.Storage }
-
-// Open gives the files.
-func (c memoryFolder) Open(bool) (storage.Storage, error) { return c.Storage, nil }
-
-// Sync has nothing to do: the copy lasts no longer than the process.
-func (memoryFolder) Sync() error { return nil }
-
-// Discard has nothing to do, for the same reason.
-func (memoryFolder) Discard() error { return nil }
-
-// copyToMemory copies a folder's files into memory.
-func copyToMemory(f Folder) (storage.Storage, error) {
-	files, err := f.Open(true)
-	if err != nil {
-		return nil, err
-	}
-	defer files.Close()
-	all, err := files.List(storage.TypeAll)
-	if err != nil {
-		return nil, err
-	}
-	copied := storage.NewMemStorage()
-	for _, fd := range all {
-		if err := copyFile(copied, files, fd); err != nil {
-			return nil, err
-		}
-	}
-	manifest, err := files.GetMeta()
-	if err != nil {
-		return nil, err
-	}
-	return copied, copied.SetMeta(manifest)
-}
-
-func copyFile(to, from storage.Storage, fd storage.FileDesc) error {
-	p, err := readAll(from, fd)
-	if err != nil {
-		return err
-	}
-	w, err := to.Create(fd)
-	if err != nil {
-		return err
-	}
-	if _, err := w.Write(p); err != nil {
-		return err
-	}
-	return w.Close()
-}
--- /dev/null
+++ b/internal/mesh/storage/store.go
@@ -0,0 +1,172 @@
+// Package storage is the only one that opens the data folder of a control-plane member. It keeps what Raft has to have on
+// stable storage (the member's id, its hard state, the log and the snapshot that the log goes on from) in goleveldb. Every write
+// is synced before it returns, every value has a checksum, and the format has a version.
+//
+// It must never return anything else than what was written: after a loss of power a store holds every write that had
+// returned, and of the one that was under way all or nothing. What can't be shown to be so is ErrCorrupted. The owner of a
+// corrupted store discards it, begins with a new id and is taken in again by the other members.
+//
+// Sources: Raft paper, figure 2 (persistent state); etcd's raft, type Ready (what has to be stable before messages are sent);
+// LevelDB, doc/log_format.md (the write-ahead log, which logcheck.go reads).
+//
+// Keys: "format" the version; "self" the id; "hard" term and vote; "snap" the snapshot; "e" and eight bytes an entry.
+package storage
+
+import (
+	"cmp"
+	"math"
+
+	"github.com/juju/errors"
+	"github.com/syndtr/goleveldb/leveldb"
+	"github.com/syndtr/goleveldb/leveldb/opt"
+	ldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
+
+	"cranegrade/internal/mesh/raft"
+)
+
+// FormatVersion is the version of the format that this build writes. It reads no other.
+const FormatVersion = 1
+
+// DefaultWriteBufferBytes is the write buffer of a control-plane member.
+const DefaultWriteBufferBytes = 1 << 20
+
+// Sizes of goleveldb's caches and files.
+const (
+	blockCacheBytes = 256 << 10
+	openFilesCached = 32
+	tableBytes      = 1 << 20
+)
+
+// Store is an open store. It belongs to one goroutine. Once a write has failed it takes no more until Reopen.
+type Store struct {
+	folder       Folder
+	options      Options
+	fileStorage  ldbstorage.Storage
+	db           *leveldb.DB // nil: closed
+	writeOptions opt.WriteOptions
+	walBytes     int // an upper bound of the bytes in the write-ahead log; counted with Options.Foreground only
+}
+
+// Options say how a store works. The zero value is that of a control-plane member.
+type Options struct {
+	// Foreground has all work done within the calls of a Store, so that the same calls leave the same files: simulations need
+	// that. Tables are never merged, so it is for short lives only.
+	Foreground bool
+	// WriteBufferBytes is how much stands in the write-ahead log before it goes into a table. Opening a store takes as much
+	// memory, and time in proportion. 0: DefaultWriteBufferBytes.
+	WriteBufferBytes int
+}
+
+func (o Options) levelDBOptions() *opt.Options {
+	options := &opt.Options{
+		WriteBuffer:            cmp.Or(o.WriteBufferBytes, DefaultWriteBufferBytes),
+		BlockCacheCapacity:     blockCacheBytes,
+		OpenFilesCacheCapacity: openFilesCached,
+		CompactionTableSize:    tableBytes,
+		Compression:            opt.NoCompression,
+		Strict:                 opt.DefaultStrict,
+		// Once a write by a transaction has been refused, goleveldb holds its lock for ever, and Close with it.
+		DisableLargeBatchTransaction: true,
+	}
+	if o.Foreground {
+		options.CompactionL0Trigger = math.MaxInt32
+		options.WriteL0SlowdownTrigger = math.MaxInt32
+		options.WriteL0PauseTrigger = math.MaxInt32
+		options.DisableSeeksCompaction = true
+	}
+	return options
+}
+
+// Open opens the store below a data folder, or makes one. empty: it has not been initialized yet. The error is ErrUnavailable,
+// ErrCorrupted or ErrFormatVersion.
+func Open(dir string) (store *Store, state raft.StoredState, empty bool, err error) {
+	return OpenFolder(dataFolder(dir), Options{})
+}
+
+// OpenFolder is Open of any Folder.
+func OpenFolder(folder Folder, options Options) (store *Store, state raft.StoredState, empty bool, err error) {
+	store = &Store{folder: folder, options: options, writeOptions: opt.WriteOptions{Sync: true}}
+	if err := store.openDB(options.levelDBOptions()); err != nil {
+		return nil, raft.StoredState{}, false, err
+	}
+	if state, empty, err = store.readState(); err != nil {
+		store.Close()
+		return nil, raft.StoredState{}, false, errors.Annotate(err, "read the store")
+	}
+	return store, state, empty, nil
+}
+
+// OpenReadOnly reads the store below a data folder and writes nothing, for tools that inspect it. Its errors are those of Open.
+func OpenReadOnly(dir string) (state raft.StoredState, empty bool, err error) {
+	return OpenFolderReadOnly(dataFolder(dir))
+}
+
+// OpenFolderReadOnly is OpenReadOnly of any Folder. It reads a copy in memory, for goleveldb can't read a store of two
+// write-ahead logs without writing to it.
+func OpenFolderReadOnly(folder Folder) (state raft.StoredState, empty bool, err error) {
+	files, err := copyToMemory(folder)
+	if err != nil {
+		return raft.StoredState{}, false, classifyOpenError(err)
+	}
+	store := &Store{folder: memoryFolder{files}}
+	options := Options{}.levelDBOptions()
+	options.ErrorIfMissing = true
+	if err := store.openDB(options); err != nil {
+		return raft.StoredState{}, false, err
+	}
+	defer store.Close()
+	state, empty, err = store.readState()
+	return state, empty, errors.Annotate(err, "read the store")
+}
+
+// openDB opens the database, once its write-ahead logs are known to be intact.
+func (s *Store) openDB(options *opt.Options) (err error) {
+	if s.fileStorage, err = s.folder.Open(options.ReadOnly); err != nil {
+		return classifyOpenError(err)
+	}
+	if err = checkLogs(s.fileStorage); err != nil {
+		s.Close()
+		return classifyOpenError(err)
+	}
+	files := newDurableNames(s.fileStorage, s.folder)
+	if s.db, err = leveldb.Open(files, options); err != nil {
+		if files.transientError.Load() != nil {
+			err = errors.WithType(err, ErrUnavailable)
+		}
+		s.Close()
+		return classifyOpenError(err)
+	}
+	return nil
+}
+
+// Reopen closes the store and opens it again. Once a write was refused goleveldb refuses all, even when there is room again. The
+// error is ErrWriteFailed.
+func (s *Store) Reopen() error {
+	s.Close()
+	files, err := s.folder.Open(false)
+	if err != nil {
+		return writeFailed(err, "reopen the store's files")
+	}
+	db, err := leveldb.Open(newDurableNames(files, s.folder), s.options.levelDBOptions())
+	if err != nil {
+		_ = files.Close() // the error that counts is that of the database
+		return writeFailed(err, "reopen the database")
+	}
+	s.fileStorage, s.db, s.walBytes = files, db, 0
+	return nil
+}
+
+// Close closes the store, which may be closed already. There is nothing left to write that an error of it could lose.
+func (s *Store) Close() {
+	if s.db != nil {
+		_ = s.db.Close()
+		s.db = nil
+	}
+	if s.fileStorage != nil {
+		_ = s.fileStorage.Close()
+		s.fileStorage = nil
+	}
+}
+
+// Discard removes a store that can't be opened, so that Open makes a new one. dir is the data folder.
+func Discard(dir string) error { return dataFolder(dir).Discard() }
--- /dev/null
+++ b/internal/mesh/storage/write.go
@@ -0,0 +1,115 @@
+package storage
+
+import (
+	"github.com/juju/errors"
+	"github.com/syndtr/goleveldb/leveldb"
+	"github.com/syndtr/goleveldb/leveldb/util"
+
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/raft/raftwire"
+	"cranegrade/internal/mesh/transport/codec"
+)
+
+// maxRecordOverhead is the most bytes that goleveldb keeps beside the key and the value of a record.
+const maxRecordOverhead = 24
+
+// Initialize makes an empty store that of a member. A snapshot with Index 0 is none. The error is ErrWriteFailed.
+func (s *Store) Initialize(self raft.ID, snapshot raft.Snapshot) error {
+	batch := new(leveldb.Batch)
+	put(batch, keyFormat, encodeUint64(FormatVersion))
+	put(batch, keySelf, encodeUint64(uint64(self)))
+	put(batch, keyHardState, encodeHardState(raft.HardState{}))
+	if snapshot.Index > 0 {
+		putSnapshot(batch, &snapshot)
+	}
+	return s.write(batch)
+}
+
+// Save writes what a Ready has to have on stable storage, all of it or nothing. last is the index of the last entry that is
+// stored; those from there back to the new ones, of a leader that has been replaced, are removed. The error is ErrWriteFailed.
+func (s *Store) Save(ready raft.Ready, last uint64) error {
+	if s.db == nil {
+		return ErrWriteFailed
+	}
+	batch := new(leveldb.Batch)
+	if ready.HardState != nil {
+		put(batch, keyHardState, encodeHardState(*ready.HardState))
+	}
+	if ready.Snapshot != nil {
+		putSnapshot(batch, ready.Snapshot)
+		// An entry that was not seen would stand behind the snapshot.
+		if err := s.deleteEntries(batch, util.BytesPrefix([]byte(entryPrefix))); err != nil {
+			return writeFailed(err, "list the entries that a snapshot replaces")
+		}
+		last = 0
+	}
+	for _, entry := range ready.Entries {
+		put(batch, string(entryKey(entry.Index)), codec.EncodeTable(raftwire.EntryToWire(entry)))
+	}
+	if n := len(ready.Entries); n > 0 {
+		for index := ready.Entries[n-1].Index + 1; index <= last; index++ {
+			batch.Delete(entryKey(index))
+		}
+	}
+	return s.write(batch)
+}
+
+// Compact has a snapshot stand for the log up to its index, and removes the entries before oldestKept. The error is
+// ErrWriteFailed.
+func (s *Store) Compact(snapshot raft.Snapshot, oldestKept uint64) error {
+	if s.db == nil {
+		return ErrWriteFailed
+	}
+	batch := new(leveldb.Batch)
+	putSnapshot(batch, &snapshot)
+	// An entry that was not seen does no harm: readEntries drops what is left in front of a gap.
+	_ = s.deleteEntries(batch, &util.Range{Start: entryKey(0), Limit: entryKey(oldestKept)})
+	return s.write(batch)
+}
+
+func put(batch *leveldb.Batch, key string, value []byte) {
+	batch.Put([]byte(key), addChecksum(value))
+}
+
+func putSnapshot(batch *leveldb.Batch, snapshot *raft.Snapshot) {
+	put(batch, keySnapshot, codec.EncodeTable(raftwire.SnapshotToWire(snapshot)))
+}
+
+// deleteEntries adds the removal of all stored entries of a range of keys to a batch.
+func (s *Store) deleteEntries(batch *leveldb.Batch, keys *util.Range) error {
+	it := s.db.NewIterator(keys, nil)
+	defer it.Release()
+	for it.Next() {
+		batch.Delete(append([]byte(nil), it.Key()...))
+	}
+	return it.Error()
+}
+
+// write writes a batch, synced.
+func (s *Store) write(batch *leveldb.Batch) error {
+	if s.db == nil {
+		return errors.Annotate(ErrWriteFailed, "the store is closed")
+	}
+	if s.options.Foreground {
+		if err := s.makeRoom(batch); err != nil {
+			return writeFailed(err, "make room for a batch")
+		}
+	}
+	if err := s.db.Write(batch, &s.writeOptions); err != nil {
+		return writeFailed(err, "write a batch")
+	}
+	return nil
+}
+
+// makeRoom reopens the store before a batch for which its write-ahead log has no room. That puts what the log holds into a table;
+// goleveldb would do it in the background otherwise.
+func (s *Store) makeRoom(batch *leveldb.Batch) error {
+	size := len(batch.Dump()) + maxRecordOverhead*batch.Len()
+	s.walBytes += size
+	if s.walBytes < s.options.levelDBOptions().WriteBuffer {
+		return nil
+	}
+	err := s.Reopen()
+	s.walBytes = size
+	return err
+}
