--- a/internal/mesh/raft/raftwire/raftwire.go
+++ b/internal/mesh/raft/raftwire/raftwire.go
@@ -12,6 +12,7 @@
 	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
+
 // MembersToWire encodes members.
 func MembersToWire(members []raft.Member) (tables []*wire.MemberT) {
 	for _, m := range members {
