--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the file that the platform gives each process: YAML, checked by struct tags. Fields that are not
-// known are skipped.
+// Package settings reads the file that the platform gives each process: YAML, checked by struct tags. Its keys and forms are those of
+// the platform's pages, and fields are named as there; unknown ones are skipped. It decides nothing.
 package settings
 
 import (
@@ -17,10 +17,12 @@
 // PathVariable names the environment variable that holds the file's path.
 const PathVariable = "CRANEGRADE_NODE_FILE"
 
-// Seconds is a time as the file gives it.
+const minInternalPorts = 2
+
+// Seconds is a duration as the file gives it.
 type Seconds float64
 
-// Duration is the time.
+// Duration is the duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
 // Settings are what a process is told.
@@ -50,7 +52,7 @@
 	transportListenAddress string // of the command line; "": at the address that others know
 }
 
-// ListenAddresses are the addresses for what the role serves.
+// ListenAddresses are where each kind of caller is served, as host:port; "": the role does not serve it.
 type ListenAddresses struct {
 	Inbound      string `json:"Inbound" validate:"omitempty,hostname_port"`
 	Outbound     string `json:"Outbound" validate:"omitempty,hostname_port"`
@@ -58,7 +60,7 @@
 	ControlPlane string `json:"ControlPlane" validate:"omitempty,hostname_port"`
 }
 
-// Limits are the process's own.
+// Limits are the process's own; 0: none.
 type Limits struct {
 	CPUShare  float64 `json:"CpuShare" validate:"gte=0"`
 	CoreCount float64 `json:"CoreCount" validate:"gte=0"`
@@ -68,14 +70,14 @@
 	DiskMB    float64 `json:"DiskMb" validate:"gte=0"`
 }
 
-// FaultTolerance is what may be lost at once.
+// FaultTolerance is how much may be lost at once.
 type FaultTolerance struct {
 	Machines int `json:"Machines" validate:"gte=0,lte=100"`
 	Zones    int `json:"Zones" validate:"gte=0,lte=100"`
 	Regions  int `json:"Regions" validate:"gte=0,lte=100"`
 }
 
-// Bounds are the rules' figures. One that is not told is the default of Defaults.
+// Bounds are the figures of the platform's rules. One that the file does not give is that of Defaults.
 type Bounds struct {
 	AddrReuseS       Seconds `json:"AddrReuseS" validate:"gte=0"`
 	ContactS         Seconds `json:"ContactS" validate:"gte=0"`
@@ -90,44 +92,66 @@
 	KeyWindowS       Seconds `json:"KeyWindowS" validate:"gt=0,lte=86400"`
 }
 
-// Defaults are the bounds that hold where the file names none.
+// Defaults are the settings that hold where the file gives none.
 func Defaults() Settings {
-	return Settings{HeartbeatS: 1.5, Bounds: Bounds{AddrReuseS: 2, ContactS: 3, AckS: 5, DrainS: 2, GraceS: 6, LossSlackS: 0.2,
-		ConfigApplyS: 2, RetryBudgetRatio: 0.2, RetryWindowS: 10, RetrySlack: 50, KeyWindowS: 60}, FaultTolerance: FaultTolerance{Machines: 1}}
+	return Settings{
+		HeartbeatS:     1.5,
+		FaultTolerance: FaultTolerance{Machines: 1},
+		Bounds: Bounds{
+			AddrReuseS:       2,
+			ContactS:         3,
+			AckS:             5,
+			DrainS:           2,
+			GraceS:           6,
+			LossSlackS:       0.2,
+			ConfigApplyS:     2,
+			RetryBudgetRatio: 0.2,
+			RetryWindowS:     10,
+			RetrySlack:       50,
+			KeyWindowS:       60,
+		},
+	}
 }
 
-// Parse reads a file's text. The error names the field at fault.
+// Parse reads a file's text. The error names the line and field at fault.
 func Parse(text []byte) (Settings, error) {
 	s := Defaults()
 	if err := yaml.Unmarshal(text, &s); err != nil {
 		return Settings{}, errors.Annotate(err, "settings")
 	}
-	if f := validation.Check(s); f != nil {
-		return Settings{}, errors.Errorf("settings: %s%s %s", linePrefix(text, f.Field), f.Field, f.Text)
-	}
-	if s.InternalPortRange[1] < s.InternalPortRange[0]+1 {
-		return Settings{}, errors.Errorf("settings: %sInternalPortRange is %v; wanted: two ports or more", linePrefix(text, "InternalPortRange"), s.InternalPortRange)
+	if fault := s.check(); fault != nil {
+		return Settings{}, errors.Errorf("settings: %s%s %s", linePrefix(text, fault.Field), fault.Field, fault.Text)
 	}
 	return s, nil
 }
 
-// linePrefix names the line of a field; "": the file does not name it.
+func (s Settings) check() *validation.Fault {
+	if fault := validation.Check(s); fault != nil {
+		return fault
+	}
+	if s.InternalPortRange[1] < s.InternalPortRange[0]+minInternalPorts-1 {
+		return &validation.Fault{Field: "InternalPortRange", Text: fmt.Sprintf("is %v; wanted: two ports or more", s.InternalPortRange)}
+	}
+	return nil
+}
+
+// linePrefix names the line of a field; "": the text does not name it.
 func linePrefix(text []byte, field string) string {
-	if n := validation.LineOf(text, field); n > 0 {
-		return fmt.Sprintf("line %d: ", n)
+	if line := validation.LineOf(text, field); line > 0 {
+		return fmt.Sprintf("line %d: ", line)
 	}
 	return ""
 }
 
 // Path is the file's, from the environment.
 func Path() (string, error) {
-	if p := os.Getenv(PathVariable); p != "" {
-		return p, nil
+	if path := os.Getenv(PathVariable); path != "" {
+		return path, nil
 	}
 	return "", errors.Errorf("settings: %s is not set", PathVariable)
 }
 
-// Load reads the file.
+// Load reads and parses a file.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -136,39 +160,40 @@
 	return Parse(text)
 }
 
-// TransportPort is where registers listen for trunks, the same on all machines.
+// TransportPort is where control-plane members listen for other processes of the mesh, the same on all machines.
 func (s Settings) TransportPort() int { return s.InternalPortRange[0] }
 
-// MemberAddress is the address of the register at a ControlPlane address, or at this machine if that is empty.
-func (s Settings) MemberAddress(control string) string {
+// MemberAddress is the transport address, as host:port, of the member whose operators' API is at an address; "": of one on this machine.
+func (s Settings) MemberAddress(apiAddress string) string {
 	host := s.IPAddress
-	if control != "" {
-		host, _, _ = net.SplitHostPort(control)
+	if apiAddress != "" {
+		host, _, _ = net.SplitHostPort(apiAddress)
 	}
 	return fmt.Sprintf("%s:%d", host, s.TransportPort())
 }
 
-// SetTransportListenAddress has the process listen for trunks at host:port, and others know it by its address all the same.
-func (s *Settings) SetTransportListenAddress(at string) error {
-	if _, err := net.ResolveTCPAddr("tcp4", at); err != nil {
-		return errors.Annotate(err, "the address to listen for trunks at")
+// SeedAddresses are the transport addresses of the members that the file names.
+func (s Settings) SeedAddresses() (addresses []string) {
+	for _, apiAddress := range s.SeedNodes {
+		addresses = append(addresses, s.MemberAddress(apiAddress))
+	}
+	return addresses
+}
+
+// SetTransportListenAddress has the process listen at host:port for other processes of the mesh, which know it by the address of its
+// settings all the same.
+func (s *Settings) SetTransportListenAddress(address string) error {
+	if _, err := net.ResolveTCPAddr("tcp4", address); err != nil {
+		return errors.Annotate(err, "transport listen address")
 	}
-	s.transportListenAddress = at
+	s.transportListenAddress = address
 	return nil
 }
 
-// TransportListenAddress is where a process that others know by an address listens for trunks.
+// TransportListenAddress is where a process listens that others know by an address.
 func (s Settings) TransportListenAddress(known string) string {
 	if s.transportListenAddress != "" {
 		return s.transportListenAddress
 	}
 	return known
 }
-
-// SeedAddresses are the trunks of the registers that the file names.
-func (s Settings) SeedAddresses() (l []string) {
-	for _, a := range s.SeedNodes {
-		l = append(l, s.MemberAddress(a))
-	}
-	return l
-}
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -19,31 +19,45 @@
 SomethingNew: {a: [1]}
 `
 
-func TestParse(t *testing.T) {
+func parseExample(t *testing.T) Settings {
+	t.Helper()
 	s, err := Parse([]byte(exampleFile))
 	assert.NilError(t, err)
+	return s
+}
+
+func TestParse(t *testing.T) {
+	s := parseExample(t)
 	assert.DeepEqual(t, s.SeedAddresses(), []string{"10.1.0.42:7380", "10.2.0.42:7380"})
-	assert.Assert(t, s.Bounds.KeyWindowS.Duration().Seconds() == 45.5 && s.Bounds.GraceS == 6 && s.DataDir == "")
-	for from, want := range map[string]string{
-		"10.1.0.38\"\nZone": "line 3: IpAddress", "[7380, 7395]": "InternalPortRange", "45.5": "Bounds.KeyWindowS", "\"10.1.0.42:8144\"": "SeedNodes",
-		"\"sidecar-hall-a-1\"": "NodeName",
+	assert.Equal(t, s.Bounds.KeyWindowS.Duration().Seconds(), 45.5)
+	assert.Equal(t, s.Bounds.GraceS, Seconds(6))
+	assert.Equal(t, s.DataDir, "")
+}
+
+func TestParseErrorsNameTheField(t *testing.T) {
+	for name, test := range map[string]struct{ from, to, want string }{
+		"no address":        {"10.1.0.38\"\nZone", "10.1.0\"\nZone", "line 3: IpAddress"},
+		"one port":          {"[7380, 7395]", "[7380]", "InternalPortRange"},
+		"empty port range":  {"[7380, 7395]", "[7380, 7380]", "line 6: InternalPortRange is [7380 7380]"},
+		"negative duration": {"45.5", "-1", "Bounds.KeyWindowS"},
+		"seed without port": {"\"10.1.0.42:8144\"", "\"nobody\"", "SeedNodes"},
+		"empty name":        {"\"sidecar-hall-a-1\"", "\"\"", "NodeName"},
+		"no YAML":           {exampleFile, "NodeName: [\n", "settings"},
 	} {
-		to := map[string]string{"line 3: IpAddress": "10.1.0\"\nZone", "InternalPortRange": "[7380]", "Bounds.KeyWindowS": "-1", "SeedNodes": "\"nobody\"", "NodeName": "\"\""}[want]
-		_, err := Parse([]byte(strings.Replace(exampleFile, from, to, 1)))
-		assert.ErrorContains(t, err, want)
+		t.Run(name, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(exampleFile, test.from, test.to, 1)))
+			assert.ErrorContains(t, err, test.want)
+		})
 	}
-	_, err = Parse([]byte("NodeName: [\n"))
-	assert.ErrorContains(t, err, "settings")
 }
 
-// A process listens for trunks where it was told to, and is known by the address of its settings all the same.
-func TestListenTrunks(t *testing.T) {
-	s, err := Parse([]byte(exampleFile))
-	assert.NilError(t, err)
+// A process listens where it was told to, and is known by the address of its settings all the same.
+func TestTransportListenAddress(t *testing.T) {
+	s := parseExample(t)
 	known := s.MemberAddress("")
 	assert.Equal(t, s.TransportListenAddress(known), "10.1.0.38:7380")
 	for _, wrong := range []string{"10.1.0.38", "10.1.0.38:seven:1", "10.1.0.38:70000"} {
-		assert.ErrorContains(t, s.SetTransportListenAddress(wrong), "listen for trunks")
+		assert.ErrorContains(t, s.SetTransportListenAddress(wrong), "transport listen address")
 	}
 	assert.NilError(t, s.SetTransportListenAddress("127.0.0.1:7001"))
 	assert.Equal(t, s.TransportListenAddress(known), "127.0.0.1:7001")
--- /dev/null
+++ b/internal/mesh/validation/validation_test.go
@@ -0,0 +1,44 @@
+package validation
+
+import (
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+type inner struct {
+	Number int `json:"TheNumber" validate:"gt=0"`
+}
+
+type outer struct {
+	List []inner `json:"List" validate:"dive"`
+}
+
+func TestCheckNamesFieldsByTheirJSONNames(t *testing.T) {
+	assert.Assert(t, Check(outer{[]inner{{1}}}) == nil)
+	fault := Check(outer{[]inner{{1}, {0}}})
+	assert.DeepEqual(t, *fault, Fault{"List[1].TheNumber", "is 0; wanted: gt 0"})
+}
+
+func TestCheckOfWhatIsNoStruct(t *testing.T) {
+	fault := Check(1)
+	assert.Assert(t, fault != nil && fault.Field == "" && fault.Text != "")
+}
+
+func TestLineOf(t *testing.T) {
+	const yaml = "A: 1\nList:\n- TheNumber: 1\n- TheNumber: 0\nB:\n  A: 2\n"
+	for name, test := range map[string]struct {
+		text, path string
+		want       int
+	}{
+		"the first of several":           {yaml, "List[1].TheNumber", 3},
+		"behind the part before it":      {yaml, "B.A", 6},
+		"the part before a missing one":  {yaml, "B.none", 5},
+		"nothing of the path":            {yaml, "none", 0},
+		"JSON with space before a colon": {"{\"a\":\n{\"b\" : 2}}", "a.b", 2},
+	} {
+		t.Run(name, func(t *testing.T) {
+			assert.Equal(t, LineOf([]byte(test.text), test.path), test.want)
+		})
+	}
+}
