--- a/internal/mesh/daemon/daemon.go
+++ b/internal/mesh/daemon/daemon.go
@@ -1,5 +1,7 @@
-// Package switchroom is what the mesh's programs share round their roles: the command line, the settings file and its
-// changes, signals, logs and exit codes.
+// Package daemon is what the mesh's programs share round their roles: command line, settings file and its changes, signals, log and exit
+// codes. It knows no role.
+//
+// Signals follow daemon(7): SIGTERM and SIGINT end the process, SIGHUP has it read its settings again.
 package daemon
 
 import (
@@ -11,120 +13,122 @@
 	"syscall"
 	"time"
 
-	"github.com/jessevdk/go-flags"
+	"github.com/juju/errors"
 	"github.com/rs/zerolog"
 
 	"cranegrade/internal/mesh/logring"
 	"cranegrade/internal/mesh/settings"
 )
 
+// Exit codes of the programs. docs/ONCALL.md says what to do with each.
+const (
+	ExitOK    = 0 // ended by a signal, or done
+	ExitFault = 1 // could not start, or ended by itself
+	ExitUsage = 2 // the command line or the settings
+)
+
+const (
+	settingsPollInterval = time.Second // for file systems and mounts that change the file without a signal
+	gcPercent            = 50          // of live memory, between collections: processes share their machines
+	memoryLimitShare     = 0.8         // of Limits.MemoryMb, for the heap
+)
+
 // Role is what a program runs.
 type Role interface {
+	// Run serves until ctx ends and what was accepted is answered.
 	Run(ctx context.Context) error
+	// Reload takes settings that have changed; any goroutine may call it.
 	Reload(settings.Settings)
-	Addr() string // where it listens for its own kind
+	// Addr is where the role listens for its own kind.
+	Addr() string
 }
 
-// Options are the command line.
-type Options struct {
-	Settings        string        `short:"s" long:"settings" value-name:"FILE" description:"the settings file; else the one that $CRANEGRADE_NODE_FILE names"`
-	Check           bool          `long:"check" description:"check the settings file and end"`
-	InitialOrders   string        `long:"standing" value-name:"FILE" description:"of a register: contracts and orders for maintenance, as JSON, that the leader places once there is a configuration"`
-	ClockOffset     time.Duration `long:"ahead" value-name:"DURATION" hidden:"yes" description:"of a register, for rehearsals: its time of day is ahead by so much"`
-	ListenTransport string        `long:"listen-trunks" value-name:"HOST:PORT" description:"listen for trunks here, while others know the machine by the address of its settings: behind a relay, or where addresses are translated"`
-	Verbose         bool          `short:"v" long:"verbose" description:"write every line of the log, not only the ring when something goes wrong"`
-}
-
-const settingsPollInterval = time.Second // at the settings file, which may change without a signal
+// NewRole makes the role of a program, ready to run.
+type NewRole func(settings.Settings, zerolog.Logger, *logring.Ring, Options) (Role, error)
 
-// Main runs a program and gives its exit code: 0 ended by a signal, 1 a fault, 2 the command line or the settings.
-func Main(name string, newRole func(settings.Settings, zerolog.Logger, *logring.Ring, Options) (Role, error)) int {
+// Main runs a program, and returns its exit code.
+func Main(name string, newRole NewRole) int {
 	reload, terminate := notifySignals()
-	var o Options
-	if _, err := flags.NewParser(&o, flags.Default).Parse(); err != nil {
-		if flags.WroteHelp(err) {
-			return 0
-		}
-		return 2
-	}
-	path, err := o.Settings, error(nil)
-	if path == "" {
-		path, err = settings.Path()
-	}
-	current, text := settings.Settings{}, []byte(nil)
-	if err == nil {
-		current, text, err = readSettings(path)
-	}
-	if err == nil && o.ListenTransport != "" {
-		err = current.SetTransportListenAddress(o.ListenTransport)
+	options, err := parseOptions(os.Args[1:])
+	switch {
+	case errors.Is(err, errHelp):
+		return ExitOK
+	case err != nil: // the parser has said what is wrong
+		return ExitUsage
 	}
+	file, err := openSettings(options)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
-		return 2
+		return ExitUsage
 	}
-	if o.Check {
-		fmt.Printf("%s: %s is fine\n", name, path)
-		return 0
+	if options.Check {
+		fmt.Printf("%s: %s is fine\n", name, file.path)
+		return ExitOK
 	}
-	debug.SetGCPercent(50)
-	if mb := current.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb*0.8) << 20)
-	}
-	log, ring := logring.New(os.Stderr, current.NodeName)
-	if o.Verbose {
-		log = zerolog.New(zerolog.MultiLevelWriter(os.Stderr, ring)).With().Timestamp().Str("at", current.NodeName).Logger()
-	}
-	role, err := newRole(current, log, ring, o)
+	limitMemory(file.current.Limits.MemoryMB)
+	log, ring := newLogger(file.current.NodeName, options.Verbose)
+	role, err := newRole(file.current, log, ring, options)
 	if err != nil {
-		log.Error().Err(err).Msg("start")
-		return 1
+		log.Error().Err(err).Msg("process cannot start")
+		return ExitFault
+	}
+	fmt.Fprintf(os.Stderr, "%s: %s listening on %s\n", name, file.current.NodeName, role.Addr())
+	if err := run(role, file, log, reload, terminate); err != nil {
+		log.Error().Err(err).Msg("process ended by a fault")
+		ring.Flush()
+		return ExitFault
 	}
-	fmt.Fprintf(os.Stderr, "%s: %s listening on %s\n", name, current.NodeName, role.Addr())
+	return ExitOK
+}
+
+// run runs a role until a signal ends it, and has it take settings that change meanwhile.
+func run(role Role, file *settingsFile, log zerolog.Logger, reload, terminate <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
+	watching := make(chan struct{})
+	defer func() {
+		cancel()
+		<-watching
+	}()
 	go func() {
-		look := time.NewTicker(settingsPollInterval)
-		defer look.Stop()
+		defer close(watching)
+		poll := time.NewTicker(settingsPollInterval)
+		defer poll.Stop()
 		for {
 			select {
 			case <-terminate:
 				cancel()
 				return
+			case <-ctx.Done():
+				return
 			case <-reload:
-			case <-look.C:
-			}
-			s, t, err := readSettings(path)
-			if string(t) == string(text) {
-				continue
-			}
-			if text = t; err != nil {
-				log.Error().Err(err).Msg("the settings file has changed and can't be read; the old ones hold")
-				continue
+			case <-poll.C:
 			}
-			role.Reload(s)
+			file.reload(role, log)
 		}
 	}()
-	if err := role.Run(ctx); err != nil {
-		log.Error().Err(err).Msg("end")
-		ring.Flush()
-		return 1
-	}
-	return 0
+	return role.Run(ctx)
 }
 
-// notifySignals asks for the signals, first thing: SIGHUP ends a process that has not.
-func notifySignals() (hup, end chan os.Signal) {
-	hup, end = make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
+// notifySignals asks for the signals. It is the first thing that a program does: SIGHUP ends a process that has not.
+func notifySignals() (reload, terminate <-chan os.Signal) {
+	hangup, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
-	return hup, end
+	return hangup, end
 }
 
-func readSettings(path string) (settings.Settings, []byte, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return settings.Settings{}, nil, err
+func limitMemory(megabytes float64) {
+	debug.SetGCPercent(gcPercent)
+	if megabytes > 0 {
+		debug.SetMemoryLimit(int64(megabytes*memoryLimitShare) << 20)
+	}
+}
+
+// newLogger returns a logger into a ring, which writes to standard error as well if it is verbose.
+func newLogger(nodeName string, verbose bool) (zerolog.Logger, *logring.Ring) {
+	log, ring := logring.New(os.Stderr, nodeName)
+	if verbose {
+		log = log.Output(zerolog.MultiLevelWriter(os.Stderr, ring))
 	}
-	s, err := settings.Parse(text)
-	return s, text, err
+	return log, ring
 }
--- /dev/null
+++ b/internal/mesh/daemon/settings_file.go
@@ -0,0 +1,63 @@
+package daemon
+
+import (
+	"bytes"
+	"os"
+
+	"github.com/juju/errors"
+	"github.com/rs/zerolog"
+
+	"cranegrade/internal/mesh/settings"
+)
+
+// settingsFile is the settings file, and what it said last. It belongs to one goroutine.
+type settingsFile struct {
+	path    string
+	text    []byte
+	current settings.Settings
+}
+
+// openSettings reads the file that the options or the environment name.
+func openSettings(options Options) (*settingsFile, error) {
+	file := &settingsFile{path: options.Settings}
+	if file.path == "" {
+		path, err := settings.Path()
+		if err != nil {
+			return nil, err
+		}
+		file.path = path
+	}
+	var err error
+	if file.current, file.text, err = readSettings(file.path); err != nil {
+		return nil, err
+	}
+	if options.ListenTransport != "" {
+		if err := file.current.SetTransportListenAddress(options.ListenTransport); err != nil {
+			return nil, err
+		}
+	}
+	return file, nil
+}
+
+// reload has the role take the file if it has changed. One that can't be read, or is invalid, changes nothing.
+func (f *settingsFile) reload(role Role, log zerolog.Logger) {
+	changed, text, err := readSettings(f.path)
+	if bytes.Equal(text, f.text) {
+		return
+	}
+	f.text = text
+	if err != nil {
+		log.Error().Err(err).Str("path", f.path).Msg("changed settings file is invalid, the former settings stay in force")
+		return
+	}
+	role.Reload(changed)
+}
+
+func readSettings(path string) (settings.Settings, []byte, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return settings.Settings{}, nil, errors.Trace(err)
+	}
+	read, err := settings.Parse(text)
+	return read, text, err
+}
