--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -1,9 +1,9 @@
-// Command register is one of the mesh's core: see package register.
+// Command controlplane is one member of the mesh's control plane: see package controlplane.
 package main
 
 import (
 	"os"
-	_ "time/tzdata" // contracts name time zones
+	_ "time/tzdata" // maintenance contracts name time zones
 
 	"github.com/rs/zerolog"
 
@@ -13,12 +13,13 @@
 	"cranegrade/internal/mesh/settings"
 )
 
-func main() {
-	os.Exit(daemon.Main("controlplane", func(s settings.Settings, log zerolog.Logger, ring *logring.Ring, o daemon.Options) (daemon.Role, error) {
-		r, err := controlplane.New(s, log, ring, o.InitialOrders)
-		if err == nil {
-			r.SetClockOffset(o.ClockOffset)
-		}
-		return r, err
-	}))
+func main() { os.Exit(daemon.Main("controlplane", newMember)) }
+
+func newMember(set settings.Settings, log zerolog.Logger, ring *logring.Ring, options daemon.Options) (daemon.Role, error) {
+	member, err := controlplane.New(set, log, ring, options.InitialOrders)
+	if err != nil {
+		return nil, err
+	}
+	member.SetClockOffset(options.ClockOffset)
+	return member, nil
 }
--- /dev/null
+++ b/internal/mesh/controlplane/api_server.go
@@ -0,0 +1,133 @@
+package controlplane
+
+import (
+	"context"
+	"net"
+	"net/http"
+
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/replica"
+)
+
+const maxRequestBytes = 4 << 20
+
+// Paths of the operators' API. The former ones are answered until the next release.
+const (
+	pathModify            = "/v1/configuration/modify"
+	pathFetch             = "/v1/configuration/fetch"
+	PathMaintenance       = "/v1/maintenance"
+	PathPolicy            = "/v1/policy"
+	formerPathMaintenance = "/v1/night"
+	formerPathPolicy      = "/v1/rules"
+)
+
+// Texts of answers where there is none in time.
+const (
+	textNotCommitted  = "not committed in time; it may still be"
+	textNotConfirmed  = "the leader could not be confirmed by a quorum in time"
+	textNotLeader     = "not the leader any more"
+	textNoLeaderKnown = "no leader is known"
+)
+
+// newAPIServer returns the server of the operators' API.
+func newAPIServer(m *Member) *http.Server {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST "+pathModify, api.NewHandler(maxRequestBytes, replica.CallTimeout, m.modify))
+	mux.HandleFunc("GET "+pathFetch, api.NewHandler(0, replica.CallTimeout, m.fetch))
+	maintenance := api.NewHandler(maxRequestBytes, replica.CallTimeout, atLeader(m, m.maintenance.answer))
+	policies := api.NewHandler(maxRequestBytes, replica.CallTimeout, atLeader(m, m.policies.answer))
+	for _, path := range []string{PathMaintenance, formerPathMaintenance} {
+		mux.HandleFunc("POST "+path, maintenance)
+	}
+	for _, path := range []string{PathPolicy, formerPathPolicy} {
+		mux.HandleFunc("POST "+path, policies)
+	}
+	return api.NewServer(mux)
+}
+
+// modify has a change of the configuration committed, proposed here or by the leader.
+func (m *Member) modify(ctx context.Context, _ *http.Request, body api.RawBody) (api.Empty, error) {
+	call, err := config.ParseUpdate(body)
+	if err != nil {
+		reply := replica.ErrorReply(err)
+		m.log.Info().Err(err).Int("status", reply.Status).Msg("configuration change rejected")
+		return api.Empty{}, api.NewError(reply.Status, string(reply.Body))
+	}
+	done := make(chan replica.Reply, 1)
+	m.loop.post(func() {
+		m.replica.ModifyParsed(m.clock.now(), call, body, func(reply replica.Reply) { done <- reply })
+	})
+	select {
+	case reply := <-done:
+		if reply.Status == http.StatusOK {
+			return api.Empty{}, nil
+		}
+		return api.Empty{}, api.NewError(reply.Status, string(reply.Body))
+	case <-ctx.Done():
+		return api.Empty{}, api.NewError(http.StatusServiceUnavailable, textNotCommitted)
+	}
+}
+
+// fetch reads the configuration, no older than anything that was acknowledged.
+func (m *Member) fetch(ctx context.Context, _ *http.Request, _ api.Empty) (config.Document, error) {
+	type outcome struct {
+		set config.Document
+		ok  bool
+	}
+	done := make(chan outcome, 1)
+	m.loop.post(func() {
+		m.replica.Fetch(m.clock.now(), func(set config.Document, ok bool) { done <- outcome{set, ok} })
+	})
+	select {
+	case got := <-done:
+		if got.ok {
+			return got.set, nil
+		}
+	case <-ctx.Done():
+	}
+	return config.Document{}, api.NewError(http.StatusServiceUnavailable, textNotConfirmed)
+}
+
+// handlerFunc is a function that api.NewHandler makes a handler of.
+type handlerFunc[Request, Response any] func(ctx context.Context, httpRequest *http.Request, request Request) (Response, error)
+
+// atLeader makes a handler of a function that only the leader can answer, which runs on the loop's goroutine. Another member
+// redirects whoever calls to the leader.
+func atLeader[Request, Response any](m *Member, answer func(Request, func(Response, error))) handlerFunc[Request, Response] {
+	type outcome struct {
+		response Response
+		err      error
+	}
+	return func(ctx context.Context, httpRequest *http.Request, request Request) (Response, error) {
+		done := make(chan outcome, 1)
+		m.loop.post(func() {
+			if err := m.redirectToLeader(httpRequest.URL.Path); err != nil {
+				done <- outcome{err: err}
+				return
+			}
+			answer(request, func(response Response, err error) { done <- outcome{response, err} })
+		})
+		select {
+		case got := <-done:
+			return got.response, got.err
+		case <-ctx.Done():
+			return *new(Response), api.NewError(http.StatusServiceUnavailable, textNotCommitted)
+		}
+	}
+}
+
+// redirectToLeader returns the error that sends a caller to the leader; nil: this member leads. All members serve operators at the same
+// port.
+func (m *Member) redirectToLeader(path string) error {
+	if m.replica.IsLeader() {
+		return nil
+	}
+	leader := m.replica.LeaderAddress()
+	if leader == "" {
+		return api.NewError(http.StatusServiceUnavailable, textNoLeaderKnown)
+	}
+	host, _, _ := net.SplitHostPort(leader)
+	_, port, _ := net.SplitHostPort(m.settings.Load().ListenAddrs.ControlPlane)
+	return api.Redirect("http://" + net.JoinHostPort(host, port) + path)
+}
--- a/internal/mesh/controlplane/environment.go
+++ b/internal/mesh/controlplane/environment.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"time"
 
 	"cranegrade/internal/mesh/api"
 	"cranegrade/internal/mesh/raft"
@@ -11,74 +10,52 @@
 	"cranegrade/internal/mesh/transport/codec"
 )
 
-// environment is what the replica acts through. All of it is called on Run's goroutine.
-type environment struct{ member *Member }
+var _ replica.Environment = environment{}
 
-func (e environment) Send(address string, m raft.Message) {
-	e.member.link(address).send(raftwire.MessageToWire(m))
+// environment is what the replica acts through. The replica calls it on the loop's goroutine.
+type environment struct {
+	ctx      context.Context // of calls to other members: ends with this one
+	loop     *eventLoop
+	peers    *peerSet
+	writer   *stateWriter
+	sidecars *sidecarSet
 }
 
-func (e environment) Connect(address string) { e.member.link(address).connect() }
+// Send sends a consensus message to a peer.
+func (e environment) Send(address string, message raft.Message) {
+	e.peers.link(address).send(raftwire.MessageToWire(message))
+}
+
+// Connect sees to it that a peer is connected, or being dialled.
+func (e environment) Connect(address string) { e.peers.link(address).connect() }
 
+// CallReplica calls a peer. done runs on the loop's goroutine.
 func (e environment) CallReplica(address string, kind byte, body []byte, done func(replica.Reply)) {
-	l := e.member.link(address)
+	link := e.peers.link(address)
 	go func() {
-		ctx, cancel := context.WithTimeout(e.member.ctx, api.TimeoutFor(replica.CallTimeout, len(body)))
+		ctx, cancel := context.WithTimeout(e.ctx, api.TimeoutFor(replica.CallTimeout, len(body)))
 		defer cancel()
-		reply := replica.Unavailable("")
-		if t, err := l.call(ctx, kind, body); err == nil {
-			reply = replica.Reply{Status: int(t.Status), Body: t.Body}
-		} else {
-			reply = replica.Unavailable(err.Error())
-		}
-		e.member.post(func() { done(reply) })
+		reply := callPeer(ctx, link, kind, body)
+		e.loop.post(func() { done(reply) })
 	}()
 }
 
-// Save writes until it is written, or the process is to end: without the disk this register may say nothing that rests on it.
-func (e environment) Save(ready raft.Ready, last uint64) bool {
-	r := e.member
-	for tries := 0; ; tries++ {
-		err := r.store.Save(ready, last)
-		if err == nil {
-			r.diskFault.Store(nil)
-			return true
-		}
-		text := err.Error()
-		r.diskFault.Store(&text)
-		if tries%10 == 0 {
-			r.log.Error().Err(err).Int("tries", tries).Msg("the vault can't be written; nothing is acknowledged meanwhile")
-		}
-		select {
-		case <-time.After(diskRetryInterval):
-		case <-r.terminating:
-			return false
-		}
-		if err := r.store.Reopen(); err != nil && tries%10 == 0 {
-			r.log.Error().Err(err).Msg("the vault can't be opened again")
-		}
+func callPeer(ctx context.Context, link *peerLink, kind byte, body []byte) replica.Reply {
+	reply, err := link.call(ctx, kind, body)
+	if err != nil {
+		return replica.Unavailable(err.Error())
 	}
+	return replica.Reply{Status: int(reply.Status), Body: reply.Body}
 }
 
-func (e environment) Compact(s raft.Snapshot, kept uint64) {
-	if err := e.member.store.Compact(s, kept); err != nil {
-		e.member.log.Error().Err(err).Msg("the vault can't be written")
-		e.member.store.Reopen()
-	}
-}
+// Save writes and syncs; it returns only once that is done, or the process is to end.
+func (e environment) Save(ready raft.Ready, last uint64) bool { return e.writer.save(ready, last) }
 
-func (e environment) BroadcastToSidecars(message any) {
-	frame := codec.Encode(message)
-	for c := range e.member.sidecars {
-		c.SendFrame(frame)
-	}
-}
+// Compact replaces the log by a snapshot.
+func (e environment) Compact(snapshot raft.Snapshot, kept uint64) { e.writer.compact(snapshot, kept) }
 
-func (e environment) BroadcastToReplicas(message any) {
-	frame := codec.Encode(message)
-	e.member.mu.Lock()
-	defer e.member.mu.Unlock()
-	for _, l := range e.member.links {
-		l.sendFrame(frame)
-	}
-}
+// BroadcastToSidecars sends a message to each sidecar that is connected.
+func (e environment) BroadcastToSidecars(message any) { e.sidecars.broadcast(codec.Encode(message)) }
+
+// BroadcastToReplicas sends a message to each peer.
+func (e environment) BroadcastToReplicas(message any) { e.peers.broadcast(codec.Encode(message)) }
--- /dev/null
+++ b/internal/mesh/controlplane/inbound.go
@@ -0,0 +1,151 @@
+package controlplane
+
+import (
+	"net"
+	"net/http"
+	"time"
+
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/raft/raftwire"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+const acceptRetryInterval = 20 * time.Millisecond
+
+// acceptConnections accepts connections of members, sidecars and observers until the member stops.
+func (m *Member) acceptConnections() {
+	for {
+		raw, err := m.transportListener.Accept()
+		if err == nil {
+			go m.serveRaw(raw)
+			continue
+		}
+		select {
+		case <-m.loop.stopped:
+			return
+		case <-time.After(acceptRetryInterval):
+		}
+	}
+}
+
+// serveRaw makes the handshake, and then serves the connection. One that makes none is dropped.
+func (m *Member) serveRaw(raw net.Conn) {
+	connection, err := transport.Accept(raw, m.heartbeat)
+	if err != nil {
+		m.log.Debug().Err(err).Str("remote", raw.RemoteAddr().String()).Msg("handshake failed")
+		return
+	}
+	m.serveConnection(connection)
+}
+
+// heartbeat is made on the connections' goroutines, so that it says the truth when the loop's goroutine hangs, on its disk for
+// one: such a member is in contact with nobody.
+func (m *Member) heartbeat() *wire.HeartbeatT {
+	return &wire.HeartbeatT{QuorumContact: replica.HasQuorumContact(time.Duration(m.quorumContact.Load()), m.clock.now())}
+}
+
+// serveConnection receives until the connection ends.
+func (m *Member) serveConnection(connection *transport.Conn) {
+	fromSidecar := !connection.Peer.ControlPlane
+	if fromSidecar {
+		m.loop.post(func() { m.greetSidecar(connection) })
+		defer m.loop.post(func() { m.sidecars.remove(connection) })
+	} else {
+		m.loop.post(func() { m.greetPeer(connection) })
+	}
+	for {
+		message, err := connection.Receive()
+		if err != nil {
+			return
+		}
+		switch body := message.Value.(type) {
+		case *wire.RaftMessageT:
+			if !fromSidecar {
+				m.stepMessage(body)
+			}
+		case *wire.RecordsT:
+			m.loop.post(func() { m.mergeRecords(directory.FromWire(body), connection, fromSidecar) })
+		case *wire.CallT:
+			m.serveCall(connection, body, fromSidecar)
+		}
+	}
+}
+
+func (m *Member) greetSidecar(connection *transport.Conn) {
+	m.sidecars.add(connection)
+	for _, message := range m.replica.InitialMessages() {
+		_ = connection.Send(message)
+	}
+}
+
+func (m *Member) greetPeer(connection *transport.Conn) {
+	m.replica.RememberAddress(raft.ID(connection.Peer.MemberId), connection.Peer.Addr)
+	m.peers.link(connection.Peer.Addr).dialNow()
+}
+
+// sendRecords sends a peer that was just connected what it may have missed.
+func (m *Member) sendRecords(connection *transport.Conn) {
+	m.loop.post(func() { _ = connection.Send(directory.ToWire(m.replica.Records().All())) })
+}
+
+// stepMessage passes a consensus message on. One that can't be read is dropped, as a lost one.
+func (m *Member) stepMessage(body *wire.RaftMessageT) {
+	message, err := raftwire.MessageFromWire(body)
+	if err != nil {
+		m.log.Debug().Err(err).Msg("consensus message dropped")
+		return
+	}
+	m.loop.post(func() { m.replica.Step(m.clock.now(), message) })
+}
+
+// mergeRecords merges endpoint records that a sidecar sent of itself, or another member passed on. Newer ones that are held here
+// are sent back.
+func (m *Member) mergeRecords(records []directory.Record, from *transport.Conn, direct bool) {
+	for _, newer := range m.replica.MergeRecords(m.clock.now(), records, direct) {
+		_ = from.Send(directory.ToWire([]directory.Record{newer}))
+	}
+}
+
+// serveCall answers a call of a sidecar, a member or an observer. What has to be answered while the loop's goroutine hangs, and
+// what is slow to read, is not done there.
+func (m *Member) serveCall(connection *transport.Conn, call *wire.CallT, fromSidecar bool) {
+	switch call.Kind {
+	case codec.CallLogRing:
+		_ = connection.Send(&wire.CallReplyT{Id: call.Id, Status: http.StatusOK, Body: m.logRing.Contents()})
+	case codec.CallStatus:
+		m.answerStatus(connection, call.Id)
+	case codec.CallModify:
+		go m.answerModify(connection, call)
+	default:
+		m.loop.post(func() {
+			m.replica.HandleCall(m.clock.now(), call.Kind, call.Body, fromSidecar, replyTo(connection, call.Id))
+		})
+	}
+}
+
+// answerModify answers a modification that an operator asked another member for. Its body, which may be large, is read neither on the
+// loop's goroutine, which has heartbeats to answer, nor on the connection's, on which they come.
+func (m *Member) answerModify(connection *transport.Conn, call *wire.CallT) {
+	reply := replyTo(connection, call.Id)
+	modification, err := config.ParseUpdate(call.Body)
+	if err != nil {
+		reply(replica.ErrorReply(err))
+		return
+	}
+	m.loop.post(func() { m.replica.HandleModify(m.clock.now(), modification, reply) })
+}
+
+// replyTo sends the reply to a call, behind the message that has to be there first if there is one.
+func replyTo(connection *transport.Conn, id uint64) func(replica.Reply) {
+	return func(reply replica.Reply) {
+		if reply.Push != nil {
+			_ = connection.Send(reply.Push)
+		}
+		_ = connection.Send(&wire.CallReplyT{Id: id, Status: uint16(reply.Status), Body: reply.Body})
+	}
+}
--- /dev/null
+++ b/internal/mesh/controlplane/initial_orders.go
@@ -0,0 +1,82 @@
+package controlplane
+
+import (
+	"encoding/json"
+	"os"
+	"time"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/replica"
+)
+
+// initialOrders are contracts and orders of a file, which the leader places once there is a configuration.
+type initialOrders struct {
+	Contracts json.RawMessage `json:"Contracts"` // the body of a call of pathModify
+	Orders    []initialOrder  `json:"Orders"`
+
+	configuredAt time.Duration // when this leader first saw a configuration; 0: it has not
+	placed       int           // of Orders
+}
+
+type initialOrder struct {
+	maintenance.Order
+	DelaySeconds float64 `json:"AfterS"` // from configuredAt
+}
+
+func (o initialOrder) delay() time.Duration {
+	return time.Duration(o.DelaySeconds * float64(time.Second))
+}
+
+// readInitialOrders reads and checks a file; nil: none is named.
+func readInitialOrders(file string) (*initialOrders, error) {
+	if file == "" {
+		return nil, nil
+	}
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	orders := &initialOrders{}
+	if err := json.Unmarshal(text, orders); err != nil {
+		return nil, errors.Annotate(err, "decode")
+	}
+	if _, err := config.ParseItems(orders.Contracts); err != nil {
+		return nil, errors.Annotate(err, "Contracts")
+	}
+	return orders, nil
+}
+
+// placeInitialOrders places contracts, and then the orders one at a time. Whoever leads later may do so again: an order that is placed
+// twice under one ID is one.
+func (c *maintenanceController) placeInitialOrders(now time.Duration) {
+	initial := c.initial
+	if initial == nil || c.replica.State().Items.Len() == 0 {
+		return
+	}
+	if initial.configuredAt == 0 {
+		initial.configuredAt = now
+		items, _ := config.ParseItems(initial.Contracts) // readInitialOrders has checked it
+		c.replica.Propose(c.clock.now(), replica.EncodeChange(replica.ChangeItems, config.ItemsToWire(items)), func(replica.Outcome, bool) {})
+		return
+	}
+	if initial.placed >= len(initial.Orders) || c.survey.running {
+		return
+	}
+	next := initial.Orders[initial.placed]
+	if now-initial.configuredAt < next.delay() {
+		return
+	}
+	if c.survey.status == nil { // the machines' names are not known yet
+		c.survey.start(func() {})
+		return
+	}
+	initial.placed++
+	order := next.Order
+	order.Machines = c.addressesOf(order.Machines)
+	c.propose(replica.MaintenanceOrder, order, func(err error) {
+		c.log.Info().Err(err).Str("order_id", order.ID).Msg("initial order placed")
+	})
+}
--- /dev/null
+++ b/internal/mesh/controlplane/maintenance_api.go
@@ -0,0 +1,210 @@
+package controlplane
+
+import (
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/replica"
+)
+
+const (
+	textNoName        = "it needs who says so"
+	textLeaderChanged = "another leader took over; it may still be committed"
+)
+
+// MaintenanceRequest is an operator's request: a plan for a machine, a new order, a change of one, or only how orders are. What it
+// does not name is left out. The JSON names are those of the former release.
+type MaintenanceRequest struct {
+	Machine       string                   `json:"Machine,omitempty" validate:"max=256"`
+	Order         *maintenance.Order       `json:"Order,omitempty"`
+	Change        *maintenance.OrderChange `json:"Word,omitempty"`
+	By            string                   `json:"By,omitempty" validate:"max=128"`
+	LengthSeconds float64                  `json:"LengthS,omitempty" validate:"gte=0,lte=86400"`
+	Machines      []string                 `json:"Machines,omitempty" validate:"max=256"`
+	TrustClocks   bool                     `json:"Trust,omitempty"` // with By: the members' clocks are right, whatever was committed before
+}
+
+// MaintenanceResponse is the leader's answer.
+type MaintenanceResponse struct {
+	Now            maintenance.TimeBounds `json:"now"`
+	TimeAgreed     bool                   `json:"known"`
+	ClocksDisagree bool                   `json:"doubt,omitempty"`
+	Verdict        *maintenance.Verdict   `json:"verdict,omitempty"` // on Machine
+	Sequence       []string               `json:"inOrder,omitempty"` // Machines as they would be drained one after the other
+	Orders         []maintenance.Order    `json:"orders"`
+	WaitingFor     map[string]string      `json:"waits,omitempty"` // by order
+	Leader         string                 `json:"leader"`
+}
+
+// answer answers a request at the leader. done is called once, on the loop's goroutine.
+func (c *maintenanceController) answer(request MaintenanceRequest, done func(MaintenanceResponse, error)) {
+	if !c.replica.IsLeader() {
+		done(MaintenanceResponse{}, api.NewError(http.StatusServiceUnavailable, textNotLeader))
+		return
+	}
+	if c.survey.status == nil && !c.survey.running { // the members' names may not be known yet
+		c.survey.start(func() {
+			c.agreeTime()
+			c.answer(request, done)
+		})
+		return
+	}
+	request.Machine = c.addressOf(request.Machine)
+	request.Machines = c.addressesOf(request.Machines)
+	respond := func(err error) { done(c.response(request), toAPIError(err)) }
+	switch {
+	case request.TrustClocks:
+		c.acceptClocks(request.By, respond)
+	case request.Order != nil:
+		c.placeOrder(*request.Order, respond)
+	case request.Change != nil:
+		c.changeOrder(*request.Change, respond)
+	default:
+		c.confirmAndPlan(request, respond, done)
+	}
+}
+
+// response is how orders are, and what the request asks for besides.
+func (c *maintenanceController) response(request MaintenanceRequest) MaintenanceResponse {
+	state := &c.replica.State().Maintenance
+	response := MaintenanceResponse{ClocksDisagree: state.Clock.InDoubt, Orders: state.Orders.Orders, WaitingFor: c.waitingFor, Leader: c.self}
+	response.Now, response.TimeAgreed = c.agreedTime()
+	if request.Machine != "" {
+		length := time.Duration(request.LengthSeconds * float64(time.Second))
+		verdict := c.meshView("").Plan(request.Machine, length, response.Now)
+		if !response.TimeAgreed {
+			verdict.Approved = false
+			verdict.Reasons = append([]maintenance.Reason{{Text: maintenance.ErrNoAgreedTime.Error()}}, verdict.Reasons...)
+		}
+		response.Verdict = &verdict
+	}
+	if len(request.Machines) > 0 {
+		response.Sequence = c.meshView("").Sequence(request.Machines, c.self)
+	}
+	return response
+}
+
+// toAPIError makes a conflict of an error that has no status of its own.
+func toAPIError(err error) error {
+	var withStatus *api.Error
+	if err == nil || errors.As(err, &withStatus) {
+		return err
+	}
+	return api.NewError(http.StatusConflict, err.Error())
+}
+
+// acceptClocks has the time of day committed anew, by the clocks alone.
+func (c *maintenanceController) acceptClocks(by string, respond func(error)) {
+	if by == "" {
+		respond(api.NewError(http.StatusBadRequest, textNoName))
+		return
+	}
+	c.log.Info().Str("by", by).Msg("operator accepted the members' clocks")
+	c.survey.start(func() {
+		c.trustClocks, c.timeAgreedAt = true, 0
+		c.agreeTime()
+		respond(nil)
+	})
+}
+
+// placeOrder has a new order committed, its machines in the sequence in which they may be drained.
+func (c *maintenanceController) placeOrder(order maintenance.Order, respond func(error)) {
+	order.Machines = c.meshView("").Sequence(c.addressesOf(order.Machines), c.self)
+	order.MachineNames = nil
+	for _, machine := range order.Machines {
+		order.MachineNames = append(order.MachineNames, c.nameOf(machine))
+	}
+	if !order.Override && !order.NeedsApproval {
+		if err := c.checkApprover(order, order.PlacedBy); err != nil {
+			respond(err)
+			return
+		}
+	}
+	c.propose(replica.MaintenanceOrder, order, respond)
+}
+
+// changeOrder has an operator's change of an order committed.
+func (c *maintenanceController) changeOrder(change maintenance.OrderChange, respond func(error)) {
+	if change.ApprovedBy != "" {
+		order, _ := c.replica.State().Maintenance.Orders.Find(change.OrderID)
+		if err := c.checkApprover(order, change.ApprovedBy); err != nil {
+			respond(err)
+			return
+		}
+	}
+	c.propose(replica.MaintenanceUpdate, change, respond)
+}
+
+// confirmAndPlan answers from what this member holds once a quorum has confirmed that it still leads; a plan is made on a new survey.
+func (c *maintenanceController) confirmAndPlan(request MaintenanceRequest, respond func(error), done func(MaintenanceResponse, error)) {
+	c.replica.ReadIndex(c.clock.now(), func(_ uint64, ok bool) {
+		switch {
+		case !ok:
+			done(MaintenanceResponse{}, api.NewError(http.StatusServiceUnavailable, textNotConfirmed))
+		case request.Machine == "" || c.survey.running:
+			respond(nil)
+		default:
+			c.survey.start(func() {
+				c.agreeTime()
+				respond(nil)
+			})
+		}
+	})
+}
+
+// addressOf is the address of the machine with a name; that name, if no machine has it.
+func (c *maintenanceController) addressOf(name string) string {
+	for _, record := range c.replica.Records().All() {
+		if record.Node == name {
+			return record.Addr
+		}
+	}
+	for address, status := range c.survey.status {
+		if status.Name == name {
+			return address
+		}
+	}
+	return name
+}
+
+// addressesOf is addressOf of each name, in a new slice.
+func (c *maintenanceController) addressesOf(names []string) []string {
+	addresses := slices.Clone(names)
+	for i, name := range names {
+		addresses[i] = c.addressOf(name)
+	}
+	return addresses
+}
+
+// nameOf is the name of the machine at an address; that address, if it is not known.
+func (c *maintenanceController) nameOf(address string) string {
+	if record, ok := c.replica.Records().Get(address); ok {
+		return record.Node
+	}
+	if status := c.survey.status[address]; status != nil {
+		return status.Name
+	}
+	return address
+}
+
+// checkApprover returns an error unless the contracts that cover an order's machines, if any, name somebody as an approver.
+func (c *maintenanceController) checkApprover(order maintenance.Order, by string) error {
+	for _, machine := range order.Machines {
+		verdict := c.meshView("").Plan(machine, order.Duration, maintenance.TimeBounds{})
+		if len(verdict.Contracts) > 0 && !slices.Contains(verdict.Approvers, by) {
+			return notApproverError(by, c.nameOf(machine), verdict)
+		}
+	}
+	return nil
+}
+
+func notApproverError(by, machine string, verdict maintenance.Verdict) error {
+	return api.NewError(http.StatusForbidden, "for "+machine+" the contracts "+strings.Join(verdict.Contracts, ", ")+" name "+
+		strings.Join(verdict.Approvers, ", ")+" as approvers, not "+by)
+}
--- /dev/null
+++ b/internal/mesh/controlplane/member.go
@@ -0,0 +1,255 @@
+// Package controlplane is the shell of one control-plane member. It wires the parts round the pure replica of
+// internal/mesh/replica, which takes all decisions of consensus and state, and owns their lifecycle: the store, links to the other
+// members, connections of sidecars, the operators' API, and the leader's controllers of maintenance and policy rollout.
+//
+// One goroutine, that of Member.Run, owns the replica, the store and the controllers; everything else posts to its eventLoop.
+// Nothing here may touch the replica from another goroutine, acknowledge what is not on disk, or hold a lock over I/O.
+//
+// The design follows the split of etcd's raft from its server: docs/design/control.md.
+package controlplane
+
+import (
+	"context"
+	crand "crypto/rand"
+	"encoding/binary"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/juju/errors"
+	"github.com/rs/zerolog"
+
+	"cranegrade/internal/mesh/logring"
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/storage"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+// Times of a member that is to end.
+const (
+	minLeaveTime = 400 * time.Millisecond // so that another leads, and what was accepted is answered
+	maxLeaveTime = 2 * time.Second        // however far the members that stay lag
+)
+
+// Errors of New.
+const (
+	ErrNoDataDir = errors.ConstError("settings: DataDir is empty; a control-plane member needs a disk")
+)
+
+// Member is one control-plane member. New makes it, Run runs it, once.
+type Member struct {
+	settings atomic.Pointer[settings.Settings]
+	log      zerolog.Logger
+	logRing  *logring.Ring
+	clock    clock
+	loop     *eventLoop
+	self     raft.Member
+	ctx      context.Context
+	cancel   context.CancelFunc // ends what was begun on behalf of this member
+
+	transportListener net.Listener
+	apiListener       net.Listener
+	apiServer         *http.Server
+	peers             peerSet
+	sidecars          sidecarSet
+	writer            stateWriter
+	replica           *replica.Replica
+	quorumContact     atomic.Int64 // when the replica was in contact with a quorum, as of the last turn; 0: it is not
+
+	survey      surveyor
+	maintenance maintenanceController
+	policies    policyActivator
+}
+
+// New opens the store and the listeners. initialOrders names a file of contracts and maintenance orders that are placed once there is
+// a configuration; "": none.
+func New(set settings.Settings, log zerolog.Logger, ring *logring.Ring, initialOrders string) (_ *Member, err error) {
+	if set.DataDir == "" {
+		return nil, ErrNoDataDir
+	}
+	orders, err := readInitialOrders(initialOrders)
+	if err != nil {
+		return nil, errors.Annotatef(err, "initial orders %s", initialOrders)
+	}
+	m := &Member{log: log, logRing: ring, clock: clock{started: time.Now()}, loop: newEventLoop()}
+	m.settings.Store(&set)
+	m.self.Addr = set.MemberAddress("")
+	m.ctx, m.cancel = context.WithCancel(context.Background())
+	m.wire(orders)
+	defer func() {
+		if err != nil {
+			m.release()
+		}
+	}()
+	if err = m.openReplica(set); err != nil {
+		return nil, errors.Annotatef(err, "open the state in %s", set.DataDir)
+	}
+	if m.transportListener, err = net.Listen("tcp4", set.TransportListenAddress(m.self.Addr)); err != nil {
+		return nil, errors.Annotate(err, "listen for members and sidecars")
+	}
+	if m.apiListener, err = net.Listen("tcp4", set.ListenAddrs.ControlPlane); err != nil {
+		return nil, errors.Annotate(err, "listen for operators")
+	}
+	return m, nil
+}
+
+// release gives back what a member holds that does not come to run.
+func (m *Member) release() {
+	m.cancel()
+	if m.transportListener != nil {
+		_ = m.transportListener.Close()
+	}
+	if m.writer.store != nil {
+		m.writer.store.Close()
+	}
+}
+
+// wire connects the parts that don't hang on the store.
+func (m *Member) wire(orders *initialOrders) {
+	m.peers.ctx, m.peers.log, m.peers.hello = m.ctx, m.log, m.hello
+	m.peers.onConnected, m.peers.onRefused = m.sendRecords, m.peerRefused
+	m.writer.log = m.log
+	self := m.self.Addr
+	m.survey = surveyor{ctx: m.ctx, loop: m.loop, clock: &m.clock, self: self, ownStatus: m.status, done: m.policies.activate}
+	m.maintenance = maintenanceController{log: m.log, settings: &m.settings, clock: &m.clock, survey: &m.survey, self: self, initial: orders}
+	m.policies = policyActivator{log: m.log, clock: &m.clock, survey: &m.survey, self: self}
+}
+
+// openReplica opens the store and makes the replica of what it holds.
+func (m *Member) openReplica(set settings.Settings) error {
+	opened, err := openStore(storage.Directory(set.DataDir), m.log)
+	if err != nil {
+		return err
+	}
+	if opened.empty {
+		first := replica.Bootstrap{
+			Address:    m.self.Addr,
+			Seeds:      set.SeedAddresses(),
+			FirstStart: set.FirstStart,
+			Damaged:    opened.damaged,
+			NewID:      newID(),
+		}
+		opened.initialize(first.InitialState(), m.log)
+	}
+	held := opened.held
+	m.writer.store = opened.store
+	m.self.ID = held.Self
+	config := replica.Config{
+		Address:         m.self.Addr,
+		Stored:          held,
+		Seeds:           set.SeedAddresses(),
+		FaultsTolerated: set.FaultTolerance.Machines,
+		RandomSeed:      uint64(held.Self) ^ uint64(time.Now().UnixNano()),
+		Log:             m.log,
+	}
+	env := environment{ctx: m.ctx, loop: m.loop, peers: &m.peers, writer: &m.writer, sidecars: &m.sidecars}
+	if m.replica, err = replica.New(config, env, m.clock.now()); err != nil {
+		return err
+	}
+	m.survey.replica, m.maintenance.replica, m.policies.replica = m.replica, m.replica, m.replica
+	m.log.Info().Uint64("member_id", uint64(held.Self)).Uint64("last_index", m.replica.SavedIndex()).Bool("empty", opened.empty).
+		Msg("store opened")
+	return nil
+}
+
+// newID draws the ID of a member that has none. Odd IDs are those of founders.
+func newID() raft.ID {
+	var random [8]byte
+	crand.Read(random[:])
+	return raft.ID(binary.LittleEndian.Uint64(random[:]) &^ 1)
+}
+
+// Addr is the address at which other members and sidecars reach it.
+func (m *Member) Addr() string { return m.self.Addr }
+
+// SetClockOffset has its time of day be wrong by an offset, for fault drills. It is called before Run.
+func (m *Member) SetClockOffset(offset time.Duration) { m.clock.offset = offset }
+
+// Reload takes settings that have changed. Addresses stay those of the start.
+func (m *Member) Reload(set settings.Settings) { m.settings.Store(&set) }
+
+// Run serves until ctx ends, and then until what was accepted is answered and another member leads, within maxLeaveTime.
+func (m *Member) Run(ctx context.Context) error {
+	defer m.cancel()
+	m.writer.terminating = ctx.Done()
+	m.apiServer = newAPIServer(m)
+	go m.serveAPI()
+	go m.acceptConnections()
+	ticker := time.NewTicker(replica.TickInterval)
+	defer ticker.Stop()
+	terminate := ctx.Done()
+	leaving := time.Duration(-1) // since when; -1: it is not
+	for leaving < 0 || !m.canStop(m.clock.now()-leaving) {
+		select {
+		case task := <-m.loop.tasks:
+			m.loop.runBatch(task)
+		case <-ticker.C:
+			m.tick() //nolint:contextcheck // what is begun there ends with m.ctx, after Run's ctx: what was accepted is answered first
+		case <-terminate:
+			leaving = m.clock.now()
+			m.replica.BeginShutdown(leaving)
+			terminate = nil
+		}
+		if !m.replica.ProcessReady() { // the disk takes nothing, and the process is to end: nothing more can be acknowledged
+			break
+		}
+		m.quorumContact.Store(int64(m.replica.QuorumContact()))
+	}
+	m.stop()
+	return nil
+}
+
+// serveAPI serves operators until stop.
+func (m *Member) serveAPI() {
+	if err := m.apiServer.Serve(m.apiListener); !errors.Is(err, http.ErrServerClosed) {
+		m.log.Error().Err(err).Msg("operators' API ended")
+	}
+}
+
+// canStop says whether a member that was told to end some time ago may stop.
+func (m *Member) canStop(leavingFor time.Duration) bool {
+	limit := min(maxLeaveTime, m.settings.Load().Bounds.GraceS.Duration()/2)
+	return leavingFor >= limit || leavingFor >= minLeaveTime && m.replica.CanShutDown()
+}
+
+func (m *Member) stop() {
+	m.loop.stop()
+	_ = m.transportListener.Close()
+	_ = m.apiServer.Close()
+	m.sidecars.close()
+	m.writer.store.Close()
+}
+
+// tick lets time pass.
+func (m *Member) tick() {
+	m.replica.SetSeeds(m.settings.Load().SeedAddresses())
+	now := m.clock.now()
+	m.replica.Tick(now)
+	m.maintenance.tick(now)
+	m.policies.tick(now)
+}
+
+// hello introduces this member to a peer.
+func (m *Member) hello() *wire.HelloT {
+	return &wire.HelloT{Name: m.settings.Load().NodeName, Addr: m.self.Addr, ControlPlane: true, MemberId: uint64(m.self.ID)}
+}
+
+// peerRefused is called when the host of a peer refused a connection: its process has ended.
+func (m *Member) peerRefused(address string) {
+	m.loop.post(func() { m.peerGone(address) })
+}
+
+// peerGone passes on that the process at an address has ended, and has time pass again when an election is due: the regular ticks
+// are too far apart for that. It belongs to the loop's goroutine.
+func (m *Member) peerGone(address string) {
+	wait, wasLeader := m.replica.PeerExited(m.clock.now(), address)
+	if !wasLeader {
+		return
+	}
+	time.AfterFunc(wait, func() {
+		m.loop.post(func() { m.replica.Tick(m.clock.now()) })
+	})
+}
--- /dev/null
+++ b/internal/mesh/controlplane/policy_activation.go
@@ -0,0 +1,127 @@
+package controlplane
+
+import (
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+// Notice tells an owner what another's change did to a policy of theirs.
+type Notice = replica.Notice
+
+// policyActivator has a committed set of policies become active once the sidecars hold it, while this member leads. It belongs to the
+// loop's goroutine.
+type policyActivator struct {
+	log     zerolog.Logger
+	clock   *clock
+	replica *replica.Replica
+	survey  *surveyor
+	self    string // this member's address
+
+	pending pendingActivation
+}
+
+// pendingActivation is the set that waits to become active; the zero value: none does.
+type pendingActivation struct {
+	policySet  string // its fingerprint
+	term       uint64
+	since      time.Duration // when this leader first saw it
+	proposed   bool
+	waitingFor string
+}
+
+// tick surveys the mesh while a set is pending.
+func (a *policyActivator) tick(now time.Duration) {
+	rollout := a.replica.State().Policy.Rollout
+	if !a.replica.IsLeader() || !rollout.IsPending() {
+		a.pending = pendingActivation{}
+		return
+	}
+	if a.pending.policySet != rollout.Agreed || a.pending.term != a.replica.Term() {
+		a.pending = pendingActivation{policySet: rollout.Agreed, term: a.replica.Term(), since: now}
+	}
+	if a.survey.due(now) {
+		a.survey.start(func() {})
+	}
+}
+
+// activate proposes that the pending set becomes active, if what the sidecars said in the latest survey allows it.
+func (a *policyActivator) activate() {
+	rollout := a.replica.State().Policy.Rollout
+	if !a.replica.IsReadyLeader() || a.pending.policySet != rollout.Agreed || a.pending.proposed || !rollout.IsPending() {
+		return
+	}
+	sidecars := a.surveyed()
+	ready, waitingFor := rollout.CanActivate(sidecars, a.clock.now()-a.pending.since)
+	a.pending.waitingFor = waitingFor
+	if !ready {
+		return
+	}
+	a.log.Info().Str("policy_set", rollout.Agreed).Int("sidecars", len(sidecars)).Msg("policy set activation proposed")
+	entry := replica.EncodeChange(replica.ChangeActivePolicy, &wire.ActivePolicyT{Fingerprint: rollout.Agreed})
+	a.pending.proposed = true
+	if !a.replica.Propose(a.clock.now(), entry, func(replica.Outcome, bool) { a.pending.proposed = false }) {
+		a.pending.proposed = false
+	}
+}
+
+// surveyed is which set each sidecar said that it holds.
+func (a *policyActivator) surveyed() (sidecars []policy.SidecarReport) {
+	for _, record := range a.replica.Records().All() {
+		status := a.survey.status[record.Addr]
+		seen := policy.SidecarReport{Name: record.Node, Silent: status == nil}
+		if status != nil {
+			seen.Received = status.CommittedPolicy
+		}
+		sidecars = append(sidecars, seen)
+	}
+	return sidecars
+}
+
+// PolicyRequest asks how policies are rolled out. The JSON names are those of the former release.
+type PolicyRequest struct {
+	Namespace string `json:"Namespace,omitempty" validate:"max=128"` // whose notices; "": all
+}
+
+// PolicyResponse is the leader's answer.
+type PolicyResponse struct {
+	Rollout    policy.Rollout   `json:"board"`
+	WaitingFor string           `json:"waits,omitempty"` // why the committed set is not active yet
+	Active     *config.Document `json:"bound,omitempty"` // the namespaces and policies that are active, where others are committed
+	Notices    []Notice         `json:"notices"`
+	Leader     string           `json:"leader"`
+}
+
+// answer answers a request at the leader, once a quorum has confirmed that it still leads. done is called once, on the loop's goroutine.
+func (a *policyActivator) answer(request PolicyRequest, done func(PolicyResponse, error)) {
+	a.replica.ReadIndex(a.clock.now(), func(_ uint64, ok bool) {
+		if !ok {
+			done(PolicyResponse{}, api.NewError(http.StatusServiceUnavailable, textNotConfirmed))
+			return
+		}
+		done(a.response(request), nil)
+	})
+}
+
+func (a *policyActivator) response(request PolicyRequest) PolicyResponse {
+	state := a.replica.State()
+	response := PolicyResponse{Rollout: state.Policy.Rollout, WaitingFor: a.pending.waitingFor, Notices: []Notice{}, Leader: a.self}
+	if response.Rollout.IsPending() {
+		active := state.ActivePolicy.Document()
+		response.Active = &active
+	}
+	for _, notice := range state.Policy.Notices {
+		if request.Namespace == "" && len(notice.Effect.Owners) > 0 || slices.Contains(notice.Effect.Owners, request.Namespace) {
+			response.Notices = append(response.Notices, notice)
+		}
+	}
+	return response
+}
--- /dev/null
+++ b/internal/mesh/controlplane/sidecars.go
@@ -0,0 +1,39 @@
+package controlplane
+
+import "cranegrade/internal/mesh/transport"
+
+// sidecarSet is the connections of sidecars, and of whoever else only looks. It belongs to the loop's goroutine.
+type sidecarSet struct {
+	connections map[*transport.Conn]bool
+}
+
+func (s *sidecarSet) add(connection *transport.Conn) {
+	if s.connections == nil {
+		s.connections = map[*transport.Conn]bool{}
+	}
+	s.connections[connection] = true
+}
+
+func (s *sidecarSet) remove(connection *transport.Conn) { delete(s.connections, connection) }
+
+func (s *sidecarSet) broadcast(frame []byte) {
+	for connection := range s.connections {
+		_ = connection.SendFrame(frame)
+	}
+}
+
+// addresses are those of the sidecars. A connection without an address is of somebody who only looks.
+func (s *sidecarSet) addresses() (addresses []string) {
+	for connection := range s.connections {
+		if address := connection.Peer.Addr; address != "" {
+			addresses = append(addresses, address)
+		}
+	}
+	return addresses
+}
+
+func (s *sidecarSet) close() {
+	for connection := range s.connections {
+		connection.Close(nil)
+	}
+}
--- a/internal/mesh/controlplane/status.go
+++ b/internal/mesh/controlplane/status.go
@@ -10,45 +10,67 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// statusTimeout is how long Run's goroutine may take until a register says that it hangs.
-const statusTimeout = 500 * time.Millisecond
+const (
+	// statusTimeout is how long the loop's goroutine may take until a member says that it hangs.
+	statusTimeout = 500 * time.Millisecond
+	textHangs     = "it hangs, on its disk as a rule"
+)
 
-// answerStatus says how this register is. Where Run's goroutine hangs, on a disk for one, that is what is said.
-func (r *Member) answerStatus(c *transport.Conn, id uint64) {
-	tell := func(s *wire.StatusT) {
-		c.Send(&wire.CallReplyT{Id: id, Status: http.StatusOK, Body: codec.EncodeTable(s)})
-	}
+// answerStatus says how this member is, also where the loop's goroutine hangs, on its disk for one.
+func (m *Member) answerStatus(connection *transport.Conn, id uint64) {
 	done := make(chan *wire.StatusT, 1)
+	go m.loop.post(func() { done <- m.status() })
 	go func() {
-		go r.post(func() { done <- r.status() })
+		var status *wire.StatusT
 		select {
-		case s := <-done:
-			tell(s)
+		case status = <-done:
 		case <-time.After(statusTimeout):
-			set := r.settings.Load()
-			s := &wire.StatusT{Name: set.NodeName, Addr: r.self.Addr, Zone: set.Zone, ControlPlane: true, MemberId: uint64(r.self.ID), Fault: "it hangs, on its disk as a rule"}
-			if text := r.diskFault.Load(); text != nil {
-				s.Fault = *text
-			}
-			tell(s)
+			status = m.hangingStatus()
 		}
+		_ = connection.Send(&wire.CallReplyT{Id: id, Status: http.StatusOK, Body: codec.EncodeTable(status)})
 	}()
 }
 
-// status is how this register is. It belongs to Run's goroutine.
-func (r *Member) status() *wire.StatusT {
-	set := r.settings.Load()
-	state := r.replica.State()
-	members, view := r.replica.Members()
-	s := &wire.StatusT{Name: set.NodeName, Addr: r.self.Addr, Zone: set.Zone, ControlPlane: true, UptimeUs: r.now().Microseconds(), MemberId: uint64(r.self.ID),
-		LeaderAddr: r.replica.LeaderAddress(), IsLeader: r.replica.IsLeader(), IsNonMember: r.replica.IsNonMember(), QuorumContact: r.quorumContact.Load() > 0, Term: r.replica.Term(),
-		AppliedIndex: r.replica.AppliedIndex(), LastIndex: r.replica.SavedIndex(), ConfigurationIndex: view, Members: raftwire.MembersToWire(members), ItemVersions: state.Items.Versions(), KeyCount: uint32(state.KeyLeases.Len()),
-		InMaintenance: r.replica.InMaintenance(), MaintenanceIndex: state.Maintenance.Index, WallTimeNs: r.wallClock().UnixNano(), CommittedPolicy: state.Policy.Rollout.Agreed, ActivePolicy: state.Policy.Rollout.Active,
-		ActivePolicyIndex: state.Policy.Rollout.ActiveIndex, Traffic: transport.SentTraffic()}
-	for c := range r.sidecars {
-		if c.Peer.Addr != "" { // else one who only looks
-			s.Sidecars = append(s.Sidecars, c.Peer.Addr)
-		}
+// hangingStatus is what can be said without the loop's goroutine.
+func (m *Member) hangingStatus() *wire.StatusT {
+	set := m.settings.Load()
+	fault := m.writer.fault()
+	if fault == "" {
+		fault = textHangs
+	}
+	return &wire.StatusT{Name: set.NodeName, Addr: m.self.Addr, Zone: set.Zone, ControlPlane: true, MemberId: uint64(m.self.ID), Fault: fault}
+}
+
+// status is how this member is. It belongs to the loop's goroutine.
+func (m *Member) status() *wire.StatusT {
+	set := m.settings.Load()
+	state := m.replica.State()
+	members, configurationIndex := m.replica.Members()
+	return &wire.StatusT{
+		Name:               set.NodeName,
+		Addr:               m.self.Addr,
+		Zone:               set.Zone,
+		ControlPlane:       true,
+		MemberId:           uint64(m.self.ID),
+		UptimeUs:           m.clock.now().Microseconds(),
+		WallTimeNs:         m.clock.wall().UnixNano(),
+		LeaderAddr:         m.replica.LeaderAddress(),
+		IsLeader:           m.replica.IsLeader(),
+		IsNonMember:        m.replica.IsNonMember(),
+		InMaintenance:      m.replica.InMaintenance(),
+		QuorumContact:      m.quorumContact.Load() > 0,
+		Term:               m.replica.Term(),
+		AppliedIndex:       m.replica.AppliedIndex(),
+		LastIndex:          m.replica.SavedIndex(),
+		ConfigurationIndex: configurationIndex,
+		Members:            raftwire.MembersToWire(members),
+		ItemVersions:       state.Items.Versions(),
+		KeyCount:           uint32(state.KeyLeases.Len()),
+		MaintenanceIndex:   state.Maintenance.Index,
+		CommittedPolicy:    state.Policy.Rollout.Agreed,
+		ActivePolicy:       state.Policy.Rollout.Active,
+		ActivePolicyIndex:  state.Policy.Rollout.ActiveIndex,
+		Sidecars:           m.sidecars.addresses(),
+		Traffic:            transport.SentTraffic(),
 	}
-	return s
 }
--- /dev/null
+++ b/internal/mesh/controlplane/store.go
@@ -0,0 +1,121 @@
+package controlplane
+
+import (
+	"sync/atomic"
+	"time"
+
+	"github.com/juju/errors"
+	"github.com/rs/zerolog"
+
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/storage"
+)
+
+const (
+	diskRetryInterval = 100 * time.Millisecond
+	diskRetriesPerLog = 10 // of the attempts at a write in a row, one in so many is logged
+	maxDiscards       = 50 // of a damaged store in a row, before the member gives up
+)
+
+// openedStore is a store and what it held when it was opened.
+type openedStore struct {
+	store   *storage.Store
+	held    raft.StoredState
+	empty   bool // it has to be initialized by Begin
+	damaged bool // what it held was discarded
+}
+
+// openStore opens the store in a folder. A damaged one counts as a lost disk: it is discarded and begun anew, since the other
+// members hold what was committed. One that can't be opened for now, as on a full disk, is waited for however long that takes:
+// what it holds may be the only copy left.
+func openStore(folder storage.Folder, log zerolog.Logger) (opened openedStore, err error) {
+	for discards := 0; ; {
+		opened.store, opened.held, opened.empty, err = storage.OpenFolder(folder, storage.Options{})
+		switch {
+		case err == nil:
+			return opened, nil
+		case errors.Is(err, storage.ErrUnavailable):
+			log.Error().Err(err).Msg("store unavailable, retrying")
+		case discards > maxDiscards:
+			return openedStore{damaged: true}, errors.Annotatef(err, "open the store after it was discarded %d times", discards)
+		default:
+			opened.damaged = true
+			discards++
+			log.Error().Err(err).Msg("store damaged, discarding it to recover from the other members")
+			if err := folder.Discard(); err != nil {
+				log.Error().Err(err).Msg("damaged store cannot be discarded")
+			}
+		}
+		time.Sleep(diskRetryInterval)
+	}
+}
+
+// initialize writes the first state to an empty store. It waits for a disk that takes no writes.
+func (o *openedStore) initialize(held raft.StoredState, log zerolog.Logger) {
+	o.held = held
+	for {
+		err := o.store.Initialize(held.Self, held.Snapshot)
+		if err == nil {
+			return
+		}
+		log.Error().Err(err).Msg("empty store cannot be initialized, retrying")
+		time.Sleep(diskRetryInterval)
+		if err := o.store.Reopen(); err != nil {
+			log.Debug().Err(err).Msg("store not reopened")
+		}
+	}
+}
+
+// stateWriter writes what the replica wants on disk. Its methods belong to the loop's goroutine, apart from fault.
+type stateWriter struct {
+	store       *storage.Store
+	log         zerolog.Logger
+	terminating <-chan struct{} // closed when the process is to end
+	diskFault   atomic.Pointer[string]
+}
+
+// save retries until the disk has taken it or the process is to end: without its disk a member may acknowledge nothing.
+// False: it is not on disk.
+func (w *stateWriter) save(ready raft.Ready, last uint64) bool {
+	for attempt := 0; ; attempt++ {
+		err := w.store.Save(ready, last)
+		if err == nil {
+			w.diskFault.Store(nil)
+			return true
+		}
+		text := err.Error()
+		w.diskFault.Store(&text)
+		logged := attempt%diskRetriesPerLog == 0
+		if logged {
+			w.log.Error().Err(err).Int("attempts", attempt).Msg("store cannot be written, nothing is acknowledged meanwhile")
+		}
+		select {
+		case <-time.After(diskRetryInterval):
+		case <-w.terminating:
+			return false
+		}
+		if err := w.store.Reopen(); err != nil && logged {
+			w.log.Error().Err(err).Msg("store cannot be reopened")
+		}
+	}
+}
+
+// compact has a snapshot replace the log behind it. A failure is logged only: the longer log says the same.
+func (w *stateWriter) compact(snapshot raft.Snapshot, kept uint64) {
+	err := w.store.Compact(snapshot, kept)
+	if err == nil {
+		return
+	}
+	w.log.Error().Err(err).Msg("snapshot cannot be written, the log stays longer")
+	if err := w.store.Reopen(); err != nil {
+		w.log.Error().Err(err).Msg("store cannot be reopened")
+	}
+}
+
+// fault says why the last write failed; "": it did not. Any goroutine may call it.
+func (w *stateWriter) fault() string {
+	if text := w.diskFault.Load(); text != nil {
+		return *text
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/mesh/controlplane/store_test.go
@@ -0,0 +1,71 @@
+package controlplane
+
+import (
+	"testing"
+
+	"github.com/rs/zerolog"
+	"github.com/syndtr/goleveldb/leveldb/storage"
+	"gotest.tools/v3/assert"
+
+	"cranegrade/internal/mesh/raft"
+	"cranegrade/internal/mesh/sim/disk"
+	meshstorage "cranegrade/internal/mesh/storage"
+)
+
+// A member that starts on a full disk waits for room and keeps what it holds; one that starts on damaged files begins anew.
+func TestOpenStore(t *testing.T) {
+	for name, damaged := range map[string]bool{"full disk": false, "full disk and damaged files": true} {
+		t.Run(name, func(t *testing.T) {
+			simulated := newDisk(t)
+			if damaged {
+				writeDamagedRecord(t, simulated)
+			}
+			freeAfterWrites(simulated, 2)
+			opened, err := openStore(simulated, zerolog.Nop())
+			assert.NilError(t, err)
+			opened.store.Close()
+			assert.Equal(t, opened.damaged, damaged)
+			assert.Equal(t, opened.empty, damaged)
+			assert.Equal(t, opened.held.Self == 7, !damaged)
+		})
+	}
+}
+
+// newDisk returns a disk that holds the store of member 7.
+func newDisk(t *testing.T) *disk.Disk {
+	t.Helper()
+	simulated := disk.New()
+	store, _, _, err := meshstorage.OpenFolder(simulated, meshstorage.Options{})
+	assert.NilError(t, err)
+	assert.NilError(t, store.Initialize(7, raft.Snapshot{}))
+	store.Close()
+	return simulated
+}
+
+// freeAfterWrites fills a disk, and frees it once more than so many files were to be created on it.
+func freeAfterWrites(simulated *disk.Disk, writes int) {
+	simulated.SetFull(true)
+	created := 0
+	simulated.OnAccess(func(access disk.Access) {
+		if access.Kind == disk.AccessCreate {
+			created++
+		}
+		if created > writes {
+			simulated.SetFull(false)
+		}
+	})
+}
+
+// writeDamagedRecord puts a complete record of a wrong checksum and type in the store's journal.
+func writeDamagedRecord(t *testing.T, simulated *disk.Disk) {
+	t.Helper()
+	files, err := simulated.Open(false)
+	assert.NilError(t, err)
+	journals, err := files.List(storage.TypeJournal)
+	assert.NilError(t, err)
+	writer, err := files.Create(journals[0])
+	assert.NilError(t, err)
+	_, err = writer.Write([]byte{1, 2, 3, 4, 5, 0, 9, 'w', 'r', 'o', 'n', 'g'})
+	assert.NilError(t, err)
+	assert.NilError(t, files.Close())
+}
--- /dev/null
+++ b/internal/mesh/controlplane/survey.go
@@ -0,0 +1,183 @@
+package controlplane
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/replica"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+const (
+	surveyInterval = 250 * time.Millisecond // while an order is open, or a policy set is not active yet
+	surveyTimeout  = 700 * time.Millisecond
+	maxLastHeard   = 4096    // addresses in surveyor.lastHeard
+	observerName   = "night" // on the wire: processes of the former release know it
+)
+
+// surveyor asks all members and sidecars for their status, for the leader's controllers. It belongs to the loop's goroutine.
+type surveyor struct {
+	ctx         context.Context
+	loop        *eventLoop
+	clock       *clock
+	replica     *replica.Replica
+	self        string // this member's address
+	ownStatus   func() *wire.StatusT
+	done        func() // called after each survey, behind what it was asked for
+	connections statusConnections
+
+	startedAt time.Duration // the latest survey
+	running   bool
+	status    map[string]*wire.StatusT  // by address, of those that answered; nil: there was none
+	samples   []maintenance.ClockSample // of members' clocks
+	lastHeard map[string]time.Duration  // when each answered last
+}
+
+// due says that it is time for another survey.
+func (s *surveyor) due(now time.Duration) bool {
+	return !s.running && now-s.startedAt >= surveyInterval
+}
+
+// forget drops what was seen: this member does not lead.
+func (s *surveyor) forget() {
+	s.connections.close()
+	s.status, s.samples = nil, nil
+}
+
+// start begins a survey. then runs on the loop's goroutine once it is complete.
+func (s *surveyor) start(then func()) {
+	s.running, s.startedAt = true, s.clock.now()
+	var addresses []string
+	for _, record := range s.replica.Records().All() {
+		addresses = append(addresses, record.Addr)
+	}
+	members, _ := s.replica.Members()
+	memberIDs := map[string]uint64{}
+	for _, member := range members {
+		memberIDs[member.Addr] = uint64(member.ID)
+		if member.Addr != s.self {
+			addresses = append(addresses, member.Addr)
+		}
+	}
+	own := s.ownStatus()
+	go func() {
+		found := s.ask(addresses, memberIDs, own)
+		s.loop.post(func() {
+			s.take(found)
+			then()
+			s.done()
+		})
+	}()
+}
+
+// findings are what one survey found.
+type findings struct {
+	mu      sync.Mutex // guards below, while processes are asked
+	status  map[string]*wire.StatusT
+	samples []maintenance.ClockSample
+}
+
+// ask asks all processes side by side. It runs on a goroutine of its own.
+func (s *surveyor) ask(addresses []string, memberIDs map[string]uint64, own *wire.StatusT) *findings {
+	ctx, cancel := context.WithTimeout(s.ctx, surveyTimeout)
+	defer cancel()
+	found := &findings{
+		status:  map[string]*wire.StatusT{s.self: own},
+		samples: []maintenance.ClockSample{{Member: memberIDs[s.self], Wall: s.clock.wall(), ReadAt: s.clock.now()}},
+	}
+	var all sync.WaitGroup
+	for _, address := range addresses {
+		all.Go(func() {
+			asked := s.clock.now()
+			status, err := s.connections.status(ctx, address)
+			if err != nil {
+				return
+			}
+			found.add(address, status, memberIDs[address], asked, s.clock.now())
+		})
+	}
+	all.Wait()
+	return found
+}
+
+// add takes a status, and a member's clock with it: what it showed is taken as of half of the round trip.
+func (f *findings) add(address string, status *wire.StatusT, memberID uint64, asked, answered time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.status[address] = status
+	if status.ControlPlane && status.WallTimeNs != 0 {
+		trip := answered - asked
+		sample := maintenance.ClockSample{Member: memberID, Wall: time.Unix(0, status.WallTimeNs), ReadAt: asked + trip/2, RoundTrip: trip}
+		f.samples = append(f.samples, sample)
+	}
+}
+
+// take makes a survey the latest.
+func (s *surveyor) take(found *findings) {
+	s.running, s.status, s.samples = false, found.status, found.samples
+	if s.lastHeard == nil || len(s.lastHeard) > maxLastHeard {
+		s.lastHeard = map[string]time.Duration{}
+	}
+	for address := range found.status {
+		s.lastHeard[address] = s.clock.now()
+	}
+}
+
+// statusConnections are connections to sidecars and members that are kept between surveys. Any goroutine may use it.
+type statusConnections struct {
+	mu        sync.Mutex // guards below
+	byAddress map[string]*transport.Client
+}
+
+// status asks one process, over the connection that there is or a new one.
+func (c *statusConnections) status(ctx context.Context, address string) (*wire.StatusT, error) {
+	connection, err := c.connect(ctx, address)
+	if err != nil {
+		return nil, err
+	}
+	status, err := connection.Status(ctx)
+	if err != nil {
+		c.drop(address)
+		connection.Close()
+	}
+	return status, err
+}
+
+func (c *statusConnections) connect(ctx context.Context, address string) (*transport.Client, error) {
+	c.mu.Lock()
+	connection := c.byAddress[address]
+	c.mu.Unlock()
+	if connection != nil {
+		return connection, nil
+	}
+	connection, err := transport.DialClient(ctx, address, observerName, nil)
+	if err != nil {
+		return nil, err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byAddress == nil {
+		c.byAddress = map[string]*transport.Client{}
+	}
+	c.byAddress[address] = connection
+	return connection, nil
+}
+
+func (c *statusConnections) drop(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.byAddress, address)
+}
+
+// close ends all connections.
+func (c *statusConnections) close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, connection := range c.byAddress {
+		connection.Close()
+	}
+	c.byAddress = nil
+}
--- a/internal/mesh/testcluster/mesh_test.go
+++ b/internal/mesh/testcluster/mesh_test.go
@@ -414,7 +414,7 @@
 		}
 	}
 	assert.NilError(t, x.Start())
-	_, err = x.Process.Said("can't be opened; it is begun anew")
+	_, err = x.Process.Said("store damaged, discarding it")
 	assert.NilError(t, err)
 	m.applyRoutes(t, 5, RouteItem("after", "idempotent", "/after/", "stock", 5))
 	x.awaitConfigHas(t, `"/after/"`)
