--- a/cmd/meshctl/rules.go
+++ b/cmd/meshctl/rules.go
@@ -180,7 +180,7 @@
 	}
 	return printResult(out, func() {
 		for _, r := range out.Rules {
-			fmt.Print(r)
+			r.WriteText(os.Stdout)
 		}
 		if told.Rollout.IsPending() {
 			fmt.Printf("set %q is agreed on and does not bind yet, but %q does: %s\n", told.Rollout.Agreed, told.Rollout.Active, told.WaitingFor)
@@ -193,7 +193,7 @@
 		if out.With != nil {
 			fmt.Println("with the change:")
 			for _, r := range out.With {
-				fmt.Print(r)
+				r.WriteText(os.Stdout)
 			}
 		}
 	})
@@ -255,7 +255,7 @@
 		return err
 	}
 	r := set.Report()
-	return printResult(r, func() { fmt.Print(r) })
+	return printResult(r, func() { r.WriteText(os.Stdout) })
 }
 
 type policyCheck struct {
--- a/internal/mesh/policy/explain.go
+++ b/internal/mesh/policy/explain.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"strings"
 )
 
@@ -66,3 +67,8 @@
 	}
 	return w.String()
 }
+
+// WriteText writes the explanation as String tells it. Like fmt.Print it is for output to people: errors of the writer are not told.
+func (x Explanation) WriteText(w io.Writer) {
+	_, _ = io.WriteString(w, x.String())
+}
--- a/internal/mesh/policy/report.go
+++ b/internal/mesh/policy/report.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"strings"
 )
 
@@ -65,3 +66,8 @@
 	}
 	return w.String()
 }
+
+// WriteText writes the report as String tells it. Like fmt.Print it is for output to people: errors of the writer are not told.
+func (r Report) WriteText(w io.Writer) {
+	_, _ = io.WriteString(w, r.String())
+}
