--- a/internal/mesh/replica/policy.go
+++ b/internal/mesh/replica/policy.go
@@ -24,7 +24,9 @@
 }
 
 // recordChange notes a committed update: the items after it, those that it changed, and its effects on rules of other owners.
-func (s *PolicyState) recordChange(entry raft.Entry, update config.Update, items config.Table, updated []config.Item, effects []policy.Effect) {
+func (s *PolicyState) recordChange(
+	entry raft.Entry, update config.Update, items config.Table, updated []config.Item, effects []policy.Effect,
+) {
 	for _, item := range updated {
 		if item.Kind.InPolicySet() {
 			s.Rollout = s.Rollout.Agree(items.PolicyFingerprint(), entry.Index)
--- /dev/null
+++ b/internal/mesh/replica/replica_test.go
@@ -0,0 +1,46 @@
+package replica
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+// TestHasQuorumContact shows that a replica whose owner has stalled claims no contact with a quorum.
+func TestHasQuorumContact(t *testing.T) {
+	assert.Assert(t, !HasQuorumContact(0, 0))
+	assert.Assert(t, HasQuorumContact(time.Second, time.Second+stallTimeout-1))
+	assert.Assert(t, !HasQuorumContact(time.Second, time.Second+stallTimeout))
+}
+
+// TestMaintenanceEndsQuorumContact shows that a replica which a maintenance order has out hands leadership over and sends sidecars
+// elsewhere, until it is let in again.
+func TestMaintenanceEndsQuorumContact(t *testing.T) {
+	c, leader := newSettledCluster(t)
+	commit := func(kind byte, text string) {
+		t.Helper()
+		data := EncodeChange(ChangeMaintenance, &wire.MaintenanceChangeT{Kind: kind, Json: []byte(text)})
+		c.leader().call(func(r *Replica) {
+			assert.Assert(t, r.Propose(c.now, data, func(outcome Outcome, known bool) {
+				assert.Assert(t, known)
+				assert.NilError(t, outcome.Err)
+			}))
+		})
+		c.run(time.Second)
+	}
+	assert.Assert(t, leader.replica.QuorumContact() > 0)
+	commit(MaintenanceOrder, fmt.Sprintf(`{"id":"o","machines":[%q],"by":"ana"}`, leader.address))
+	assert.Assert(t, !leader.replica.InMaintenance())
+	commit(MaintenanceUpdate, `{"id":"o","step":"draining","text":"-"}`)
+	assert.Assert(t, leader.replica.InMaintenance())
+	assert.Equal(t, leader.replica.QuorumContact(), time.Duration(0))
+	assert.Assert(t, c.leader() != leader)
+	assert.Equal(t, leader.replica.State().Maintenance.MachinesMessage().List[0].Addr, leader.address)
+	commit(MaintenanceUpdate, `{"id":"o","step":"returning","text":"-"}`)
+	assert.Assert(t, !leader.replica.InMaintenance())
+	assert.Assert(t, leader.replica.QuorumContact() > 0)
+}
--- a/internal/mesh/replica/snapshot.go
+++ b/internal/mesh/replica/snapshot.go
@@ -65,8 +65,14 @@
 func decodeLeases(list []*wire.KeyLeaseT) (leases []idempotency.Lease) {
 	for _, x := range list {
 		leases = append(leases, idempotency.Lease{
-			LeaseRequest: idempotency.LeaseRequest{Key: x.Key, Token: x.Token, Attempt: x.Attempt, Holder: x.Holder, Window: time.Duration(x.WindowNs)},
-			GrantedAt:    time.Duration(x.GrantedAtNs),
+			LeaseRequest: idempotency.LeaseRequest{
+				Key:     x.Key,
+				Token:   x.Token,
+				Attempt: x.Attempt,
+				Holder:  x.Holder,
+				Window:  time.Duration(x.WindowNs),
+			},
+			GrantedAt: time.Duration(x.GrantedAtNs),
 		})
 	}
 	return leases
