--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,4 @@
-// Command sidecar is the mesh beside one application server: see package sidecar.
+// Command line is the mesh beside an application server: see package line.
 package main
 
 import (
@@ -12,8 +12,8 @@
 	"cranegrade/internal/mesh/sidecar"
 )
 
-func main() { os.Exit(daemon.Main("sidecar", newSidecar)) }
-
-func newSidecar(set settings.Settings, log zerolog.Logger, ring *logring.Ring, _ daemon.Options) (daemon.Role, error) {
-	return sidecar.New(set, log, ring)
+func main() {
+	os.Exit(daemon.Main("sidecar", func(s settings.Settings, log zerolog.Logger, ring *logring.Ring, _ daemon.Options) (daemon.Role, error) {
+		return sidecar.New(s, log, ring)
+	}))
 }
