--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -1,4 +1,4 @@
-// Command line is the mesh beside an application server: see package line.
+// Command sidecar is the mesh beside an application server: see package sidecar.
 package main
 
 import (
--- a/internal/mesh/sidecar/call_history_test.go
+++ b/internal/mesh/sidecar/call_history_test.go
@@ -90,7 +90,8 @@
 	c := h.call(attempt)
 	c.answers = append(c.answers, t)
 	if t.Status != 0 {
-		h.seen.Answers = append(h.seen.Answers, history.Answer{At: time.Since(h.start), Process: "caller", Request: attempt, AnsweredRequest: t.AttemptID})
+		h.seen.Answers = append(h.seen.Answers, history.Answer{At: time.Since(h.start), Process: "caller", Request: attempt,
+			AnsweredRequest: t.AttemptID})
 	}
 }
 
@@ -111,7 +112,7 @@
 // sealOf is what a server stamps the answer to a call with.
 func sealOf(attempt string) string { return "seal." + attempt }
 
-// violations are the rules that were broken: each call has one answer, its own; what may not be repeated runs once at the
+// violations are the rules that were broken: each call has one answer, its own; what is not idempotent runs once at the
 // most, for a key over all of its calls; 503, 429, 421 and 408 are told only of what never ran; a repeat's success is the
 // first run's answer.
 func (h *callHistory) violations() (l []string) {
--- a/internal/mesh/sidecar/claim_breaker.go
+++ b/internal/mesh/sidecar/claim_breaker.go
@@ -5,58 +5,59 @@
 	"time"
 )
 
-// Figures of claims that are not answered.
 const (
-	claimStallTimeout = 200 * time.Millisecond // without an answer, while some wait
-	maxProbingClaims  = 2                      // that may wait meanwhile, to see when there are answers again
+	// claimStallTimeout is how long claims may wait without any response until the breaker opens.
+	claimStallTimeout = 200 * time.Millisecond
+	// maxProbingClaims is how many claims may wait while it is open, to see when there are answers again.
+	maxProbingClaims = 2
 )
 
-// claimBreaker tells when claims on keys are not answered. Each that waits holds a place at a server that others want, so while none
-// is answered most are given up at once: they have not run.
+// claimBreaker is a circuit breaker for the claims of keys. Each claim that waits holds a place at a server that other requests
+// want, so while none is answered most are given up at once: their requests have not run. The zero value is ready.
 type claimBreaker struct {
 	mu              sync.Mutex // guards below
 	waiting         int
-	waitingSince    time.Duration // that some have waited without any answer
+	waitingSince    time.Duration // that some have waited without any response
 	open            bool          // none has been answered since that became too long
-	reportedWaiting bool          // what waits told last
+	reportedWaiting bool          // what checkWaiting said last
 }
 
-// admit says whether one more claim may wait.
-func (s *claimBreaker) admit(now time.Duration) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.waiting > 0 && now-s.waitingSince > claimStallTimeout {
-		s.open = true
+// admit says whether one more claim may wait. Each that is admitted calls finish.
+func (b *claimBreaker) admit(now time.Duration) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.waiting > 0 && now-b.waitingSince > claimStallTimeout {
+		b.open = true
 	}
-	if s.open && s.waiting >= maxProbingClaims {
+	if b.open && b.waiting >= maxProbingClaims {
 		return false
 	}
-	if s.waiting == 0 {
-		s.waitingSince = now
+	if b.waiting == 0 {
+		b.waitingSince = now
 	}
-	s.waiting++
+	b.waiting++
 	return true
 }
 
 // finish ends a wait.
-func (s *claimBreaker) finish(now time.Duration, answered bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.waiting--
+func (b *claimBreaker) finish(now time.Duration, answered bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.waiting--
 	switch {
 	case answered:
-		s.open, s.waitingSince = false, now
-	case now-s.waitingSince > claimStallTimeout: // one that was given up sooner says nothing: its own time was short
-		s.open = true
+		b.open, b.waitingSince = false, now
+	case now-b.waitingSince > claimStallTimeout: // one that was given up sooner says nothing: its own time was short
+		b.open = true
 	}
 }
 
 // checkWaiting says whether any claim waits, and whether that differs from what it said last.
-func (s *claimBreaker) checkWaiting() (waits, changed bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	waits = s.waiting > 0
-	changed = waits != s.reportedWaiting
-	s.reportedWaiting = waits
-	return waits, changed
+func (b *claimBreaker) checkWaiting() (waiting, changed bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	waiting = b.waiting > 0
+	changed = waiting != b.reportedWaiting
+	b.reportedWaiting = waiting
+	return waiting, changed
 }
--- a/internal/mesh/sidecar/connection_cut_test.go
+++ b/internal/mesh/sidecar/connection_cut_test.go
@@ -13,7 +13,7 @@
 type hop string
 
 const (
-	betweenSidecars hop = "between lines"
+	betweenSidecars hop = "between sidecars"
 	toServer        hop = "to the server"
 )
 
@@ -27,10 +27,10 @@
 // patience of the caller for calls whose connection says nothing any more.
 const silentBudget = 60 * time.Millisecond
 
-// maxTriesPerPoint is how often one point is tried.
+// maxTriesPerPoint is how often one point is tried at the most.
 const maxTriesPerPoint = 50
 
-// cutCall makes one call that is cut, and then another; of a key its repeat in between. struck: the cut came about.
+// cutCall makes one call that is cut, and then another; of a key its repeat in between. struck says that the cut came about.
 func (x *callChain) cutCall(h hop, kind kindOfCall, c *cut) (first callerAnswer, struck bool) {
 	x.t.Helper()
 	attempt, key := newAttemptID(), ""
@@ -56,7 +56,7 @@
 		}
 	default:
 	}
-	// On the same connection, where the caller's line has left it open: whatever comes there is the next call's own answer.
+	// On the same connection, where the caller's sidecar has left it open: whatever comes there is the next call's own answer.
 	next := conn
 	if first.Status == 0 {
 		x.t.Errorf("%s %s %s after %d: the caller's connection ended", h, kind, c.mode, c.after)
@@ -68,7 +68,7 @@
 		switch again.Status {
 		case 200, 409, 502, 503, 504:
 		default:
-			x.t.Errorf("%s %s %s after %d: the repeat is told %+v", h, kind, c.mode, c.after, again)
+			x.t.Errorf("%s %s %s after %d: the repeat is answered %+v", h, kind, c.mode, c.after, again)
 		}
 	}
 	// The module holds calls off a server that timed out: they are told when to come again.
@@ -87,7 +87,7 @@
 func (x *callChain) sweep(h hop, kind kindOfCall, mode cutMode, answer bool, from, step int) (points int) {
 	for after := from; ; after += step {
 		c := newCut(mode, answer, after)
-		for tries := 1; ; tries++ { // it may be turned away, or its time be over, before it comes to the cut
+		for tries := 1; ; tries++ { // it may be rejected, or its time be over, before it comes to the cut
 			first, struck := x.cutCall(h, kind, c)
 			if struck {
 				break
@@ -105,7 +105,7 @@
 	}
 }
 
-// A keyed and an unrepeatable call are cut behind each byte of request and answer, on each hop, in each way. Each runs once at
+// A keyed and a non-idempotent call are cut behind each byte of request and answer, on each hop, in each way. Each runs once at
 // the most; its caller has one answer, its own, and 503 only where it has not run; the next call has its own.
 func TestCutAtEachByte(t *testing.T) {
 	for _, h := range []hop{betweenSidecars, toServer} {
@@ -141,8 +141,8 @@
 	}
 }
 
-// A long request whose cord ends before each of its frames, the one that only says that no more comes among them: by then the
-// server has it whole, and a key that was given back would run again.
+// A streamed request whose upstream's connection ends before each of its frames, the one that only says that no more comes among
+// them: by then the server has all of it, and a key that was given back would run again.
 func TestCutBetweenPieces(t *testing.T) {
 	for _, kind := range []kindOfCall{onceCall, keyedCall} {
 		t.Run(string(kind), func(t *testing.T) {
@@ -165,7 +165,7 @@
 				select {
 				case <-c.struck:
 				default:
-					if first.Status != 200 { // turned away before
+					if first.Status != 200 { // rejected before
 						frames--
 						continue
 					}
--- /dev/null
+++ b/internal/mesh/sidecar/directory_source.go
@@ -0,0 +1,61 @@
+package sidecar
+
+import (
+	"context"
+	"slices"
+	"strconv"
+	"sync/atomic"
+
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/directory"
+)
+
+// directorySource is a service's servers, from the directory. It implements engine.Source.
+type directorySource struct {
+	env         *environment
+	directory   *directoryView
+	maintenance *maintenanceView
+	service     string
+	changed     chan struct{}
+	version     atomic.Uint64
+}
+
+// String implements engine.Source.
+func (s *directorySource) String() string { return "the directory" }
+
+// Follow implements engine.Source: it reports the complete list, and again with each change, until ctx ends.
+func (s *directorySource) Follow(ctx context.Context, _ string, news func(engine.News)) error {
+	var last []engine.Listed
+	for first := true; ; first = false {
+		servers := s.servers()
+		if first || !slices.Equal(servers, last) {
+			last = servers
+			s.env.log.Info().Str("service", s.service).Int("servers", len(servers)).Msg("server list changed")
+			news(engine.News{Full: true, Version: strconv.FormatUint(s.version.Add(1), 10), Servers: slices.Clone(servers)})
+		}
+		select {
+		case <-s.changed:
+		case <-ctx.Done():
+			return context.Cause(ctx)
+		}
+	}
+}
+
+// servers are the service's servers that can be sent to or are about to leave.
+func (s *directorySource) servers() (servers []engine.Listed) {
+	for _, r := range s.directory.table.Load().All() {
+		if r.Service != s.service || r.ServerID == "" || r.State == directory.ServerNone || r.State == directory.ServerDown {
+			continue
+		}
+		listed := engine.Listed{Server: balancer.Server{ID: r.ServerID, Zone: r.Zone, State: balancer.Ready}, Addr: r.Addr}
+		if r.State == directory.ServerDraining || r.Leaving || s.maintenance.isOut(r.Addr) {
+			listed.State = balancer.Draining
+		}
+		if r.WarmAt > 0 {
+			listed.Boot = r.WarmAt - warmupPeriod
+		}
+		servers = append(servers, listed)
+	}
+	return servers
+}
--- /dev/null
+++ b/internal/mesh/sidecar/directory_view.go
@@ -0,0 +1,62 @@
+package sidecar
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cranegrade/internal/mesh/directory"
+)
+
+// sidecarSilenceTimeout is after how long without a record a sidecar counts as gone.
+const sidecarSilenceTimeout = 45 * time.Second
+
+// directoryView is this sidecar's copy of the directory: which sidecars there are and the state of the server beside each. The
+// table is a snapshot, replaced as a whole.
+type directoryView struct {
+	env         *environment
+	pools       *servicePools
+	localServer *localServer
+
+	mu    sync.Mutex // guards changes of table, which is read without it
+	table atomic.Pointer[directory.Table]
+}
+
+func newDirectoryView(env *environment) *directoryView {
+	d := &directoryView{env: env}
+	d.table.Store(&directory.Table{})
+	return d
+}
+
+// mergeRecords merges records that a member sent, or this sidecar's own.
+func (d *directoryView) mergeRecords(records []directory.Record) {
+	addr := d.env.addr()
+	d.mu.Lock()
+	next, news := d.table.Load().Merge(d.env.clock.Now(), records)
+	if len(news) > 0 {
+		d.table.Store(&next)
+	}
+	d.mu.Unlock()
+	if len(news) == 0 {
+		return
+	}
+	for _, r := range news {
+		if r.Addr == addr {
+			d.localServer.supersede(r.Incarnation)
+		}
+	}
+	d.pools.refreshServices()
+}
+
+// expire drops the sidecars that nothing was heard of for sidecarSilenceTimeout.
+func (d *directoryView) expire() {
+	d.mu.Lock()
+	next, dropped := d.table.Load().Expire(d.env.clock.Now(), sidecarSilenceTimeout)
+	if len(dropped) > 0 {
+		d.table.Store(&next)
+	}
+	d.mu.Unlock()
+	if len(dropped) > 0 {
+		d.pools.refreshServices()
+	}
+}
--- /dev/null
+++ b/internal/mesh/sidecar/fake_control_plane_test.go
@@ -0,0 +1,151 @@
+package sidecar
+
+import (
+	"net"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/idempotency"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+// fakeControlPlane stands in for the members: items, records and key leases, always with a leader.
+type fakeControlPlane struct {
+	addr string
+
+	mu            sync.Mutex // guards below
+	items         *wire.ItemsT
+	seenAs        map[string]string // a sidecar's address as the others see it
+	records       map[string]*wire.RecordT
+	conns         map[*transport.Conn]bool
+	store         *idempotency.Store
+	overrideGrant func(idempotency.LeaseRequest, idempotency.LeaseResult) idempotency.LeaseResult // injected fault; nil: none
+	// heldBack holds back the replies to claims, or with holdRequests the claims themselves, until it is closed; nil: nothing does
+	heldBack     chan struct{}
+	holdRequests bool
+}
+
+func startFakeControlPlane(t testing.TB, text string) *fakeControlPlane {
+	t.Helper()
+	items, err := config.ParseItems([]byte(text))
+	assert.NilError(t, err)
+	r := &fakeControlPlane{items: config.ItemsToWire(items), seenAs: map[string]string{}, records: map[string]*wire.RecordT{},
+		conns: map[*transport.Conn]bool{}, store: idempotency.New()}
+	r.items.Complete, r.items.Index = true, 1
+	l, err := net.Listen("tcp4", freeAddr(t))
+	assert.NilError(t, err)
+	t.Cleanup(func() { l.Close() })
+	r.addr = l.Addr().String()
+	go func() {
+		for {
+			nc, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				if c, err := transport.Accept(nc, func() *wire.HeartbeatT { return &wire.HeartbeatT{QuorumContact: true} }); err == nil {
+					r.serve(c)
+				}
+			}()
+		}
+	}()
+	return r
+}
+
+func (r *fakeControlPlane) serve(c *transport.Conn) {
+	r.mu.Lock()
+	r.conns[c] = true
+	r.mu.Unlock()
+	c.Send(&wire.HeartbeatT{QuorumContact: true})
+	r.broadcast()
+	for {
+		m, err := c.Receive()
+		if err != nil {
+			break
+		}
+		switch v := m.Value.(type) {
+		case *wire.RecordsT:
+			r.mu.Lock()
+			for _, x := range v.List {
+				r.records[x.Addr] = x
+			}
+			r.mu.Unlock()
+			r.broadcast()
+		case *wire.CallT:
+			r.reply(c, v)
+		}
+	}
+	r.mu.Lock()
+	delete(r.conns, c)
+	r.mu.Unlock()
+}
+
+// reply answers a call, at once or late.
+func (r *fakeControlPlane) reply(c *transport.Conn, a *wire.CallT) {
+	r.mu.Lock()
+	late, taken := r.heldBack, r.holdRequests
+	r.mu.Unlock()
+	if late == nil || a.Kind != codec.CallLeaseKeys {
+		c.Send(&wire.CallReplyT{Id: a.Id, Status: http.StatusOK, Body: r.answer(a)})
+		return
+	}
+	var body []byte
+	if !taken {
+		body = r.answer(a)
+	}
+	go func() {
+		<-late
+		if taken {
+			body = r.answer(a)
+		}
+		c.Send(&wire.CallReplyT{Id: a.Id, Status: http.StatusOK, Body: body})
+	}()
+}
+
+// broadcast sends the records of all sidecars to each.
+func (r *fakeControlPlane) broadcast() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	all := &wire.RecordsT{}
+	for addr, x := range r.records {
+		y := *x
+		if as := r.seenAs[addr]; as != "" {
+			y.Addr = as
+		}
+		all.List = append(all.List, &y)
+	}
+	for c := range r.conns {
+		c.Send(all)
+	}
+}
+
+func (r *fakeControlPlane) answer(a *wire.CallT) []byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch a.Kind {
+	case codec.CallItems:
+		return codec.EncodeTable(r.items)
+	case codec.CallActivePolicy:
+		return codec.EncodeTable(&wire.ActivePolicyT{})
+	case codec.CallLeaseKeys:
+		out := &wire.KeyLeaseResultsT{}
+		for _, c := range wire.GetRootAsKeyLeaseRequests(a.Body, 0).UnPack().List {
+			claim := idempotency.LeaseRequest{Key: c.Key, Token: c.Token, Attempt: c.Attempt, Holder: c.Holder, Release: c.Release,
+				Window: time.Duration(c.WindowUs) * time.Microsecond}
+			g := r.store.Apply(time.Second, claim)
+			if r.overrideGrant != nil {
+				g = r.overrideGrant(claim, g)
+			}
+			out.List = append(out.List, &wire.KeyLeaseResultT{Granted: g.Granted, Holder: g.Current.Holder, Token: g.Current.Token})
+		}
+		return codec.EncodeTable(out)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/mesh/sidecar/fake_member_test.go
@@ -0,0 +1,86 @@
+package sidecar
+
+import (
+	"context"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"gotest.tools/v3/assert"
+
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/rig"
+)
+
+// patience is how long a test waits for what has to come about.
+const patience = 20 * time.Second
+
+// fakeMember is where a sidecar's dials of one control-plane member come out.
+type fakeMember struct {
+	addr  string
+	conns chan *transport.Conn
+}
+
+func newFakeMember(t *testing.T) *fakeMember {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NilError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	m := &fakeMember{addr: listener.Addr().String(), conns: make(chan *transport.Conn, 64)}
+	go func() {
+		for {
+			accepted, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			if conn, err := transport.Accept(accepted, nil); err == nil {
+				m.conns <- conn
+			}
+		}
+	}()
+	return m
+}
+
+// greet sends what a member sends at first, and says whether there is a leader.
+func greet(conn *transport.Conn, hasLeader bool) {
+	conn.Send(&wire.MembersT{})
+	conn.Send(&wire.HeartbeatT{QuorumContact: hasLeader})
+}
+
+// acceptDial takes the next dial and greets it.
+func (m *fakeMember) acceptDial(hasLeader bool) *transport.Conn {
+	conn := <-m.conns
+	greet(conn, hasLeader)
+	return conn
+}
+
+// sidecarWith is a sidecar whose seeds are these members, with the goroutine of its control-plane connection only.
+func sidecarWith(t *testing.T, members ...*fakeMember) *Sidecar {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	s := assemble(settings.Defaults(), zerolog.Nop(), discardRing())
+	s.env.ctx = ctx
+	s.controlPlane.seeds = func() (seeds []string) {
+		for _, m := range members {
+			seeds = append(seeds, m.addr)
+		}
+		return seeds
+	}
+	go s.controlPlane.run()
+	return s
+}
+
+// newFollowingSidecar is a sidecar with a connection to the member that it follows, and that one's side of it.
+func newFollowingSidecar(t *testing.T) (s *Sidecar, near, far *transport.Conn) {
+	t.Helper()
+	m := newFakeMember(t)
+	s = sidecarWith(t, m)
+	far = m.acceptDial(true)
+	t.Cleanup(func() { far.Close(nil) })
+	assert.Assert(t, rig.Await(patience, func() bool { near = s.controlPlane.conn.Load(); return near != nil }))
+	return s, near, far
+}
--- a/internal/mesh/sidecar/flow_window.go
+++ b/internal/mesh/sidecar/flow_window.go
@@ -5,53 +5,65 @@
 	"sync"
 )
 
-// flowWindow is how much of a body may be sent on.
+const (
+	// sendWindowBytes is how much of a body may be under way to a receiver that reads slowly.
+	sendWindowBytes = 256 << 10
+	// windowUpdateBytes is how much a receiver takes before it lets the sender go on.
+	windowUpdateBytes = 32 << 10
+)
+
+// flowWindow is a stream's flow-control window on the sender's side (as in RFC 9113, section 5.2): how much of a body may be sent.
+// The zero value is an empty window. It is safe for concurrent use.
 type flowWindow struct {
 	mu        sync.Mutex // guards below
-	available int
+	available int        // bytes; less than nothing after a piece that was larger
 	wake      chan struct{}
 	closed    bool
 }
 
-func (c *flowWindow) add(n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.available += n
-	c.wakeWaiters()
+// add opens the window by n bytes.
+func (w *flowWindow) add(n int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.available += n
+	w.wakeWaiters()
 }
 
-func (c *flowWindow) close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.closed = true
-	c.wakeWaiters()
+// close ends the waits of acquire: nothing more is to be sent.
+func (w *flowWindow) close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.closed = true
+	w.wakeWaiters()
 }
 
-func (c *flowWindow) wakeWaiters() {
-	if c.wake != nil {
-		close(c.wake)
-		c.wake = nil
+// wakeWaiters is called with mu held.
+func (w *flowWindow) wakeWaiters() {
+	if w.wake != nil {
+		close(w.wake)
+		w.wake = nil
 	}
 }
 
-// acquire waits until there is any, and takes n, which may leave less than nothing; false: nothing more is to be sent.
-func (c *flowWindow) acquire(ctx context.Context, n int) bool {
+// acquire waits until the window is open, and takes n bytes of it, which may leave less than nothing; false: the window was closed
+// or ctx ended, and nothing more is to be sent.
+func (w *flowWindow) acquire(ctx context.Context, n int) bool {
 	for {
-		c.mu.Lock()
-		if c.closed {
-			c.mu.Unlock()
+		w.mu.Lock()
+		if w.closed {
+			w.mu.Unlock()
 			return false
 		}
-		if c.available > 0 {
-			c.available -= n
-			c.mu.Unlock()
+		if w.available > 0 {
+			w.available -= n
+			w.mu.Unlock()
 			return true
 		}
-		if c.wake == nil {
-			c.wake = make(chan struct{})
+		if w.wake == nil {
+			w.wake = make(chan struct{})
 		}
-		wait := c.wake
-		c.mu.Unlock()
+		wait := w.wake
+		w.mu.Unlock()
 		select {
 		case <-wait:
 		case <-ctx.Done():
--- a/internal/mesh/sidecar/hollow.go
+++ b/internal/mesh/sidecar/hollow.go
@@ -14,56 +14,58 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Hollow is the control side of a sidecar, for measurements of many in one process: the same parts as a Line, with its home,
-// directory, configuration, pools of every routed service and the calls of its server, but no listeners for traffic. What a
-// Line without traffic does, a Hollow does too, except to listen at Outbound, Inbound and Readiness and to look at its
-// server's health once at the start.
+// Hollow is the control side of a sidecar, for measurements of many in one process (as Kubernetes' hollow nodes): the same parts
+// as a Sidecar, with its control-plane connection, directory, configuration, pools of every routed service and the calls of its
+// server, but no listeners for traffic. What a Sidecar without traffic does, a Hollow does too, except to listen at Outbound,
+// Inbound and Readiness and to look at its server's health once at the start.
+//
+// It stands here and not with its only user, mesh/scale, for it is the assembly itself; the linker leaves it out of the programs
+// in service, which do not use it.
 type Hollow struct{ sidecar *Sidecar }
 
 // NewHollow listens for the server's calls at ControlPlane; Run serves.
 func NewHollow(set settings.Settings, log zerolog.Logger, ring *logring.Ring) (*Hollow, error) {
-	calls, err := net.Listen("tcp4", set.ListenAddrs.ControlPlane)
+	listener, err := net.Listen("tcp4", set.ListenAddrs.ControlPlane)
 	if err != nil {
 		return nil, errors.Annotate(err, "ControlPlane")
 	}
-	l := assemble(set, log, ring)
-	l.localAPIListener = calls
-	return &Hollow{l}, nil
+	s := assemble(set, log, ring)
+	s.localAPIListener = listener
+	return &Hollow{s}, nil
 }
 
 // Run follows a control plane until ctx ends. The parts that serve traffic end with the process only.
 func (h *Hollow) Run(ctx context.Context) {
-	l := h.sidecar
+	s := h.sidecar
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	l.ctx = work
-	calls := api.NewServer(l.localServer.handlers())
-	defer calls.Close()
-	go calls.Serve(l.localAPIListener)
-	go l.controlPlane.run()
-	go l.localServer.watch()
+	s.env.ctx = work
+	localAPIServer := api.NewServer(s.localServer.handler())
+	defer localAPIServer.Close()
+	go localAPIServer.Serve(s.localAPIListener)
+	s.startControl()
 	<-ctx.Done()
-	l.stopping.Store(true)
-	l.localServer.leave()
-	l.controlPlane.close()
-	l.upstreams.close()
+	s.readiness.stopping.Store(true)
+	s.localServer.leave()
+	s.controlPlane.close()
+	s.upstreams.close()
 }
 
 // Confirmed says that the configuration was read back from the control plane at least once.
-func (h *Hollow) Confirmed() bool { return h.sidecar.serving.Load() }
+func (h *Hollow) Confirmed() bool { return h.sidecar.readiness.configured.Load() }
 
 // KnownSidecars is the number of sidecars in the directory.
-func (h *Hollow) KnownSidecars() int { return h.sidecar.directory.Load().Len() }
+func (h *Hollow) KnownSidecars() int { return h.sidecar.directory.table.Load().Len() }
 
 // ServerState is the state of the server beside the sidecar at addr, as this one knows it.
 func (h *Hollow) ServerState(addr string) directory.ServerState {
-	r, _ := h.sidecar.directory.Load().Get(addr)
+	r, _ := h.sidecar.directory.table.Load().Get(addr)
 	return r.State
 }
 
 // RouteVersion is the version of a route that is in force here; 0: there is none of that name.
 func (h *Hollow) RouteVersion(name string) int64 {
-	if r := h.sidecar.routing.Load().Route(name); r != nil {
+	if r := h.sidecar.configuration.routing.Load().Route(name); r != nil {
 		return r.Version
 	}
 	return 0
@@ -71,33 +73,33 @@
 
 // FollowedMember is the address of the control-plane member that is followed; "": none is.
 func (h *Hollow) FollowedMember() string {
-	if c := h.sidecar.controlPlane.conn.Load(); c != nil && c.Err() == nil {
-		return c.RemoteAddr()
+	if conn := h.sidecar.controlPlane.current(); conn != nil {
+		return conn.RemoteAddr()
 	}
 	return ""
 }
 
-// Claim claims a key as a keyed request does that is about to run at the server here, and keeps an empty answer for it.
+// Claim claims a key as a keyed request does that is about to run at the server here, and stores an empty response for it.
 func (h *Hollow) Claim(ctx context.Context, key string) (granted bool, err error) {
-	l := h.sidecar
-	window := l.settings.Load().Bounds.KeyWindowS.Duration() + leaseSlack
-	if _, fresh := l.inbound.responses.begin(key, key, 0, window); !fresh {
+	s := h.sidecar
+	responses, window := s.inbound.responses, s.env.keyLeaseTime()
+	if _, fresh := responses.begin(key, key, 0, window); !fresh {
 		return false, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	grant, err := l.controlPlane.claim(ctx, &wire.KeyLeaseRequestT{Key: key, Token: key, Holder: l.leaseHolder(), WindowUs: window.Microseconds()})
+	request := &wire.KeyLeaseRequestT{Key: key, Token: key, Holder: s.env.leaseHolder(), WindowUs: window.Microseconds()}
+	grant, err := s.claims.claim(ctx, request)
 	if err != nil || !grant.Granted {
-		l.inbound.responses.markNotExecuted(key)
+		responses.markNotExecuted(key)
 		return false, err
 	}
-	l.inbound.responses.setState(key, keyAnswered, &wire.ResponseT{})
+	responses.setState(key, keyAnswered, &wire.ResponseT{})
 	return true, nil
 }
 
 // ItemCount is the number of configuration items held.
 func (h *Hollow) ItemCount() int {
-	h.sidecar.mu.Lock()
-	defer h.sidecar.mu.Unlock()
-	return h.sidecar.items.Len()
+	items := h.sidecar.configuration.heldItems()
+	return items.Len()
 }
--- /dev/null
+++ b/internal/mesh/sidecar/inbound_conn.go
@@ -0,0 +1,116 @@
+package sidecar
+
+import (
+	"sync"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/message"
+)
+
+// errStreamIDInUse ends a connection: answers on it could go to the wrong request.
+const errStreamIDInUse = errors.ConstError("a request's id is in use")
+
+// inboundConn is a connection from another sidecar, with the requests of it that run here, by their stream's id.
+type inboundConn struct {
+	inbound *inboundServer
+	conn    *transport.Conn
+
+	mu       sync.Mutex // guards requests
+	requests map[uint64]*inboundRequest
+}
+
+// receive takes messages until the connection ends, and then withdraws the requests whose responses nobody will read.
+func (c *inboundConn) receive() {
+	for {
+		m, err := c.conn.Receive()
+		if err != nil {
+			break
+		}
+		c.handleMessage(m)
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range c.requests {
+		r.connClosed()
+	}
+}
+
+func (c *inboundConn) handleMessage(m codec.Message) {
+	switch v := m.Value.(type) {
+	case *wire.RequestT:
+		c.inbound.beginRequest(c, v)
+	case *wire.BodyChunkT:
+		if r := c.find(v.Id); r != nil && r.body != nil {
+			r.pushBody(v)
+		}
+	case *wire.WindowUpdateT:
+		if r := c.find(v.Id); r != nil {
+			r.sendWindow.add(int(v.Increment))
+		}
+	case *wire.CancelT:
+		if r := c.find(v.Id); r != nil {
+			r.cancel(engine.ErrWithdrawn)
+		}
+	case *wire.CallT:
+		c.conn.Send(c.inbound.handleCall(v))
+	}
+}
+
+// sendResponse sends a response, or its beginning, in the form that the caller's sidecar reads.
+func (c *inboundConn) sendResponse(a *wire.ResponseT) {
+	if c.conn.Peer.TransportVersion >= codec.PackedHeaderVersion {
+		a = codec.PackResponse(a)
+	}
+	c.conn.Send(a)
+}
+
+func (c *inboundConn) find(id uint64) *inboundRequest {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests[id]
+}
+
+// add notes a request that runs; false: its id is that of another.
+func (c *inboundConn) add(r *inboundRequest) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.requests[r.request.Id] != nil {
+		return false
+	}
+	c.requests[r.request.Id] = r
+	return true
+}
+
+func (c *inboundConn) remove(id uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.requests, id)
+}
+
+// pushBody takes a piece of a streamed request's body.
+func (r *inboundRequest) pushBody(piece *wire.BodyChunkT) {
+	if len(piece.Data) > 0 {
+		r.body.Push(piece.Data)
+	}
+	if piece.Aborted {
+		r.body.Finish(nil)
+	} else if piece.Last {
+		r.body.Finish([]message.Field{})
+	}
+}
+
+// connClosed is called when nobody can read the response any more. What may run only once goes on: its response is stored for a repeat.
+func (r *inboundRequest) connClosed() {
+	if !r.request.AtMostOnce {
+		r.cancel(engine.ErrWithdrawn)
+	}
+	if r.body != nil {
+		r.body.Finish(nil)
+	}
+	r.sendWindow.close()
+}
--- a/internal/mesh/sidecar/inbound_request.go
+++ b/internal/mesh/sidecar/inbound_request.go
@@ -13,68 +13,80 @@
 	"cranegrade/internal/message"
 )
 
-// inboundRequest is a request at this line's server.
+// inboundRequest is a request of another sidecar at the local server, on a goroutine of its own.
 type inboundRequest struct {
 	inbound    *inboundServer
 	conn       *inboundConn
 	request    *wire.RequestT
 	cancel     context.CancelCauseFunc
 	sendWindow flowWindow
-	body       *message.Stream // of a long request
-	ownsKey    atomic.Bool     // its key is claimed here
-	truncated  atomic.Bool     // its answer went out in pieces, and did not come whole
+	body       *message.Stream // of a streamed request; nil: the body came with it
+	ownsKey    atomic.Bool     // the key's lease is this request's
+	truncated  atomic.Bool     // its response was streamed, and is not complete
 }
 
 // beginRequest has a request run. It returns at once.
-func (in *inboundServer) beginRequest(of *inboundConn, q *wire.RequestT) {
-	r := &inboundRequest{inbound: in, conn: of, request: q}
+func (in *inboundServer) beginRequest(conn *inboundConn, request *wire.RequestT) {
+	r := &inboundRequest{inbound: in, conn: conn, request: request}
 	r.sendWindow.add(sendWindowBytes)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	r.cancel = cancel
-	fields, err := codec.UnpackHeader(q.PackedHeader)
+	fields, err := codec.UnpackHeader(request.PackedHeader)
 	if err != nil { // a fault of the other side's; nothing of it has run
-		of.sendAnswer(&wire.ResponseT{Id: q.Id, Ending: codeNotAccepted})
+		conn.sendResponse(&wire.ResponseT{Id: request.Id, Ending: codeNotAccepted})
 		return
 	}
-	q.HeaderFields = append(q.HeaderFields, fields...)
-	if q.MoreBody {
-		r.body = message.NewStream(nil, func(n int) { of.conn.Send(&wire.WindowUpdateT{Id: q.Id, Increment: uint32(n)}) })
-		r.body.Length = q.ContentLength
+	request.HeaderFields = append(request.HeaderFields, fields...)
+	if request.MoreBody {
+		r.body = message.NewStream(nil, func(n int) { conn.conn.Send(&wire.WindowUpdateT{Id: request.Id, Increment: uint32(n)}) })
+		r.body.Length = request.ContentLength
 	}
-	if !of.add(r) {
+	if !conn.add(r) {
 		cancel(nil)
-		of.conn.Close(errStreamIDInUse)
+		conn.conn.Close(errStreamIDInUse)
 		return
 	}
 	in.openRequests.Add(1)
-	of.conn.AddPending(1)
+	conn.conn.AddPending(1)
 	in.metrics.begin(r.kind())
-	go func() {
-		defer in.openRequests.Add(-1)
-		defer of.conn.AddPending(-1)
-		defer cancel(nil)
-		a := r.serve(ctx)
-		in.metrics.end(r.kind(), a, r.truncated.Load())
-		of.mu.Lock()
-		delete(of.requests, q.Id)
-		of.mu.Unlock()
-		if a != nil {
-			a.Id = q.Id
-			of.sendAnswer(a)
-		}
-	}()
+	go r.run(ctx)
+}
+
+// run serves the request, and sends its response unless that was streamed.
+func (r *inboundRequest) run(ctx context.Context) {
+	in, conn := r.inbound, r.conn
+	defer in.openRequests.Add(-1)
+	defer conn.conn.AddPending(-1)
+	defer r.cancel(nil)
+	response := r.serve(ctx)
+	in.metrics.end(r.kind(), response, r.truncated.Load())
+	conn.remove(r.request.Id)
+	if response != nil {
+		response.Id = r.request.Id
+		conn.sendResponse(response)
+	}
+}
+
+func (r *inboundRequest) kind() requestKind {
+	switch {
+	case r.request.IdempotencyKey != "":
+		return kindKeyed
+	case r.request.AtMostOnce:
+		return kindNonIdempotent
+	}
+	return kindIdempotent
 }
 
-// serve runs the request and gives its answer; nil: it went out in pieces.
+// serve runs the request and gives its response; nil: it was streamed.
 func (r *inboundRequest) serve(ctx context.Context) *wire.ResponseT {
 	until := time.Now().Add(time.Duration(r.request.TimeoutUs) * time.Microsecond)
-	ep := r.inbound.sidecar.localServer.endpointOf(r.request.ServerId)
-	if ep == nil || !ep.Usable() || r.inbound.draining.Load() {
+	endpoint := r.inbound.localServer.endpointOf(r.request.ServerId)
+	if endpoint == nil || !endpoint.Usable() || r.inbound.draining.Load() {
 		return &wire.ResponseT{Ending: codeNotAccepted}
 	}
 	if r.request.IdempotencyKey != "" {
-		if a := r.claimKey(ctx); a != nil {
-			return a
+		if response := r.claimKey(ctx); response != nil {
+			return response
 		}
 		r.ownsKey.Store(true)
 	}
@@ -83,38 +95,38 @@
 	}
 	ctx, stop := context.WithDeadlineCause(ctx, until, engine.ErrTimedOut)
 	defer stop()
-	return r.forward(ctx, ep, until)
+	return r.forward(ctx, endpoint, until)
 }
 
 // newMessage is the request as the sender takes it.
 func (r *inboundRequest) newMessage() *message.Request {
-	q := r.request
-	m := &message.Request{Method: q.Method, URL: &url.URL{Opaque: q.Target}, Authority: q.Host, Header: make(map[string][]string, len(q.HeaderFields)),
-		Body: q.Body, More: r.body, Runs: message.RunsOften, Note: q}
-	if q.AtMostOnce {
+	request := r.request
+	m := &message.Request{Method: request.Method, URL: &url.URL{Opaque: request.Target}, Authority: request.Host,
+		Header: make(map[string][]string, len(request.HeaderFields)), Body: request.Body, More: r.body, Runs: message.RunsOften, Note: request}
+	if request.AtMostOnce {
 		m.Runs = message.RunsOnce
 	}
-	for _, f := range q.HeaderFields {
+	for _, f := range request.HeaderFields {
 		m.Header[f.Name] = append(m.Header[f.Name], f.Value)
 	}
 	return m
 }
 
-// forward makes the one attempt at the server, and passes on or gives its answer.
-func (r *inboundRequest) forward(ctx context.Context, ep *engine.Endpoint, until time.Time) *wire.ResponseT {
+// forward makes the one attempt at the server, and streams or gives its response.
+func (r *inboundRequest) forward(ctx context.Context, endpoint *engine.Endpoint, until time.Time) *wire.ResponseT {
 	m := r.newMessage()
-	ended, passed := make(chan struct{}), make(chan struct{})
+	ended, streamed := make(chan struct{}), make(chan struct{})
 	var ending balancer.Ending
 	var reply *message.Reply
 	var stream *message.Stream
-	r.inbound.sender.Start(ctx, engine.NewAttempt(ep, m, time.Until(until), engine.Hooks{
+	r.inbound.sender.Start(ctx, engine.NewAttempt(endpoint, m, time.Until(until), engine.Hooks{
 		// By the clock, too: a process that stood still may go on before its timers do.
 		Finished: func() bool { return ctx.Err() != nil || time.Until(until) <= 0 },
 		Began: func(x engine.Reply) {
 			stream = x.(*message.Stream)
 			go func() {
-				defer close(passed)
-				r.streamAnswer(ctx, stream)
+				defer close(streamed)
+				r.streamResponse(ctx, stream)
 			}()
 		},
 		End: func(e balancer.Ending, x engine.Reply) {
@@ -125,12 +137,12 @@
 	}))
 	<-ended
 	if stream != nil {
-		<-passed
+		<-streamed
 		r.recordOutcome(keyOutcomeUnknown, nil)
 		return nil
 	}
 	if ending == balancer.Unreachable {
-		r.inbound.sidecar.localServer.checkUnreachable(ep)
+		r.inbound.localServer.checkUnreachable(endpoint)
 	}
 	if ending == balancer.Failure {
 		reply = m.Failed()
@@ -138,75 +150,77 @@
 	return r.conclude(ending, reply)
 }
 
-// conclude words how the request ended, and notes what became of its key.
+// conclude makes the response of how the attempt ended, and notes what became of the key.
 func (r *inboundRequest) conclude(ending balancer.Ending, reply *message.Reply) *wire.ResponseT {
-	a := &wire.ResponseT{}
-	if reply != nil {
-		a.Status, a.Body = uint16(reply.Status), reply.Body
-		for _, f := range reply.Header {
-			a.HeaderFields = append(a.HeaderFields, &wire.HeaderFieldT{Name: f.Name, Value: f.Value})
-		}
-		a.ContentLength = int64(len(reply.Body))
-	}
+	response := newResponse(reply)
 	switch ending {
 	case balancer.Success:
-		r.recordOutcome(keyAnswered, a)
-		return a
+		r.recordOutcome(keyAnswered, response)
+		return response
 	case balancer.Failure:
-		a.Ending = codeServerFailed
 		if reply == nil {
-			a.Ending = codeBroken
-			r.recordOutcome(keyOutcomeUnknown, nil)
-			return a
-		}
-		r.recordOutcome(keyAnswered, a)
-		return a
-	case balancer.Overloaded, balancer.Unreachable, balancer.Void:
-		if a.Ending = codeOverloaded; ending != balancer.Overloaded {
-			a.Ending = codeNotAccepted
+			response.Ending = codeBroken
+			break
 		}
+		response.Ending = codeServerFailed
+		r.recordOutcome(keyAnswered, response)
+		return response
+	case balancer.Overloaded:
+		response.Ending = codeOverloaded
 		r.releaseOwnedKey()
-		return a
+		return response
+	case balancer.Unreachable, balancer.Void:
+		response.Ending = codeNotAccepted
+		r.releaseOwnedKey()
+		return response
 	case balancer.TimedOut:
-		a.Ending = codeTimedOut
+		response.Ending = codeTimedOut
 	default:
-		a.Ending = codeBroken
+		response.Ending = codeBroken
 	}
 	r.recordOutcome(keyOutcomeUnknown, nil)
-	return a
+	return response
+}
+
+// newResponse is a server's reply as a response; empty without one.
+func newResponse(reply *message.Reply) *wire.ResponseT {
+	if reply == nil {
+		return &wire.ResponseT{}
+	}
+	response := &wire.ResponseT{Status: uint16(reply.Status), Body: reply.Body, ContentLength: int64(len(reply.Body))}
+	response.HeaderFields = wireFields(reply.Header)
+	return response
 }
 
-func (r *inboundRequest) recordOutcome(f keyState, a *wire.ResponseT) {
+func (r *inboundRequest) recordOutcome(state keyState, response *wire.ResponseT) {
 	if r.ownsKey.Load() {
-		r.inbound.responses.finish(r.request.IdempotencyKey, r.request.Token, f, a)
+		r.inbound.responses.finish(r.request.IdempotencyKey, r.request.Token, state, response)
 	}
 }
 
-// streamAnswer sends an answer on as it comes.
-func (r *inboundRequest) streamAnswer(ctx context.Context, st *message.Stream) {
-	defer st.Release()
-	head := &wire.ResponseT{Id: r.request.Id, Status: uint16(st.Status), MoreBody: true, ContentLength: st.Length}
-	for _, f := range st.Header {
-		head.HeaderFields = append(head.HeaderFields, &wire.HeaderFieldT{Name: f.Name, Value: f.Value})
-	}
-	r.conn.sendAnswer(head)
-	// The time for an answer is over once it has begun: what comes is passed on for as long as the other side takes it.
+// streamResponse sends a response on as it comes.
+func (r *inboundRequest) streamResponse(ctx context.Context, stream *message.Stream) {
+	defer stream.Release()
+	head := &wire.ResponseT{Id: r.request.Id, Status: uint16(stream.Status), MoreBody: true, ContentLength: stream.Length}
+	head.HeaderFields = wireFields(stream.Header)
+	r.conn.sendResponse(head)
+	// The time for a response is over once it has begun: what comes is sent on for as long as the other side takes it.
 	for {
-		p, err := st.Next(context.WithoutCancel(ctx))
-		if err != nil || p == nil {
+		piece, err := stream.Next(context.WithoutCancel(ctx))
+		if err != nil || piece == nil {
 			last := &wire.BodyChunkT{Id: r.request.Id, Last: true}
-			if err != nil || st.Trailer() == nil {
+			if err != nil || stream.Trailer() == nil {
 				last.Aborted = true
 				r.truncated.Store(true)
 			}
 			r.conn.conn.Send(last)
 			return
 		}
-		if !r.sendWindow.acquire(context.Background(), len(p)) { // a caller's end closes the credit
+		if !r.sendWindow.acquire(context.Background(), len(piece)) { // the connection's end closes the window
 			r.truncated.Store(true)
 			r.cancel(engine.ErrWithdrawn)
 			return
 		}
-		r.conn.conn.Send(&wire.BodyChunkT{Id: r.request.Id, Data: p})
+		r.conn.conn.Send(&wire.BodyChunkT{Id: r.request.Id, Data: piece})
 	}
 }
--- a/internal/mesh/sidecar/key_orders_test.go
+++ b/internal/mesh/sidecar/key_orders_test.go
@@ -11,15 +11,15 @@
 	"cranegrade/internal/testkit"
 )
 
-// A search of all orders over one key: tries at two lines, their claims delivered late, twice or never, grants that come after
-// the line has given up, ends of each kind, releases held back and said twice, a line that crashes. The lines' keeps and the
-// registers' book are the real ones; what stands between them is the model's.
+// A search of all orders over one key: attempts at two sidecars, their claims delivered late, twice or never, grants that come after
+// the sidecar has given up, ends of each kind, releases held back and sent twice, a sidecar that crashes. The sidecars' response
+// stores and the control plane's lease store are the real ones; what stands between them is the model's.
 
 type keyAttempt struct {
 	sidecar int
 	token   string
 	attempt uint32
-	after   int // it begins only once that try has said that it never ran; -1: at any time
+	after   int // it begins only once that attempt has said that it never ran; -1: at any time
 	state   string
 }
 
@@ -29,12 +29,12 @@
 	incarnations [2]int
 	store        *idempotency.Store
 	messages     []keyMessage
-	faultsLeft   int // and repetitions and crashes that are left
+	faultsLeft   int // losses, repetitions and crashes that may still come
 	executions   int // that have, or may have, run
 	trace        []string
 }
 
-// keyMessage is a claim on its way to the book, or a grant on its way back.
+// keyMessage is a claim on its way to the lease store, or a grant on its way back.
 type keyMessage struct {
 	claim   idempotency.LeaseRequest
 	attempt int
@@ -87,19 +87,20 @@
 	return fmt.Sprint(b.String(), msgs, w.faultsLeft, w.executions)
 }
 
-func (w *keyWorld) holder(line int) string {
-	return fmt.Sprint("line", line, "/", w.incarnations[line])
+func (w *keyWorld) holder(sidecar int) string {
+	return fmt.Sprint("sidecar", sidecar, "/", w.incarnations[sidecar])
 }
 
-// releaseKey is as run.giveBack.
+// releaseKey does as inboundRequest.releaseKey.
 func (w *keyWorld) releaseKey(i int) {
 	t := &w.attempts[i]
 	w.responses[t.sidecar].markNotExecuted("k")
-	w.messages = append(w.messages, keyMessage{claim: idempotency.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: w.holder(t.sidecar), Release: true}, attempt: i})
+	claim := idempotency.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: w.holder(t.sidecar), Release: true}
+	w.messages = append(w.messages, keyMessage{claim: claim, attempt: i})
 	t.state = attemptNotExecuted
 }
 
-// next gives every state that one step leads to. released: the planted error.
+// next gives every state that one step leads to. released: the injected fault.
 func (w *keyWorld) next(released bool) (out []*keyWorld) {
 	step := func(name string, f func(v *keyWorld)) {
 		v := w.clone()
@@ -119,7 +120,8 @@
 					return
 				}
 				v.attempts[i].state = attemptWaiting
-				v.messages = append(v.messages, keyMessage{claim: idempotency.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: v.holder(t.sidecar), Window: time.Hour}, attempt: i})
+				claim := idempotency.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: v.holder(t.sidecar), Window: time.Hour}
+				v.messages = append(v.messages, keyMessage{claim: claim, attempt: i})
 			})
 		case attemptWaiting:
 			step(fmt.Sprint("give up ", i), func(v *keyWorld) { v.releaseKey(i) })
@@ -137,7 +139,7 @@
 				}
 				v.attempts[i].state = attemptSettled
 			})
-			step(fmt.Sprint("turned away ", i), func(v *keyWorld) { v.releaseKey(i) })
+			step(fmt.Sprint("rejected ", i), func(v *keyWorld) { v.releaseKey(i) })
 		}
 	}
 	for n, m := range w.messages {
@@ -151,7 +153,7 @@
 			}
 			t := &v.attempts[m.attempt]
 			if t.state != attemptWaiting || m.claim.Holder != v.holder(t.sidecar) {
-				return // it has given up, or this is another life
+				return // it has given up, or this is another incarnation
 			}
 			if m.granted {
 				v.responses[t.sidecar].setState("k", keyRunning, nil)
@@ -167,14 +169,14 @@
 			step(fmt.Sprint("twice ", m), func(v *keyWorld) { v.faultsLeft--; take(v) })
 		}
 	}
-	for line := range w.responses {
-		if w.faultsLeft > 0 && w.incarnations[line] == 0 {
-			step(fmt.Sprint("crash ", line), func(v *keyWorld) {
+	for sidecar := range w.responses {
+		if w.faultsLeft > 0 && w.incarnations[sidecar] == 0 {
+			step(fmt.Sprint("crash ", sidecar), func(v *keyWorld) {
 				v.faultsLeft--
-				v.incarnations[line]++
-				v.responses[line] = newResponseStore()
+				v.incarnations[sidecar]++
+				v.responses[sidecar] = newResponseStore()
 				for i := range v.attempts {
-					if t := &v.attempts[i]; t.sidecar == line && (t.state == attemptWaiting || t.state == attemptRunning) {
+					if t := &v.attempts[i]; t.sidecar == sidecar && (t.state == attemptWaiting || t.state == attemptRunning) {
 						if t.state == attemptRunning {
 							v.executions++
 						}
@@ -189,7 +191,10 @@
 
 func searchKeys(released bool) (states int, broken []string) {
 	w := &keyWorld{store: idempotency.New(), faultsLeft: 1, attempts: []keyAttempt{
-		{sidecar: 0, token: "a", after: -1, state: attemptIdle}, {sidecar: 1, token: "a", attempt: 1, after: 0, state: attemptIdle}, {sidecar: 1, token: "b", after: -1, state: attemptIdle}}}
+		{sidecar: 0, token: "a", after: -1, state: attemptIdle},
+		{sidecar: 1, token: "a", attempt: 1, after: 0, state: attemptIdle},
+		{sidecar: 1, token: "b", after: -1, state: attemptIdle},
+	}}
 	w.responses = [2]*responseStore{newResponseStore(), newResponseStore()}
 	seen := map[string]bool{w.key(): true}
 	for list := []*keyWorld{w}; len(list) > 0; {
@@ -208,7 +213,7 @@
 	return len(seen), nil
 }
 
-// A key's request runs at most once, in whatever order; and a line that releases a key whose try ended unknown is found.
+// A key's request runs at most once, in whatever order; and a sidecar that releases a key whose attempt ended unknown is found.
 func TestKeyInAllOrders(t *testing.T) {
 	states, broken := searchKeys(false)
 	if broken != nil {
@@ -218,6 +223,6 @@
 	if states, broken = searchKeys(true); broken == nil {
 		t.Errorf("a key released after an unknown end was not found in %d states", states)
 	} else {
-		t.Logf("planted, found after %d states: %v", states, broken)
+		t.Logf("injected, found after %d states: %v", states, broken)
 	}
 }
--- /dev/null
+++ b/internal/mesh/sidecar/key_record.go
@@ -0,0 +1,58 @@
+package sidecar
+
+import (
+	"fmt"
+	"time"
+
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+// keyState is what became of a key's request at this sidecar.
+type keyState uint8
+
+const (
+	keyClaiming       keyState = iota // it may not have run yet
+	keyRunning                        // its lease was granted
+	keyAnswered                       // it ran, and its response is stored unless it was evicted
+	keyOutcomeUnknown                 // it may have run, and its response is lost
+	keyNotExecuted                    // it never ran, and never will by that token
+)
+
+// String implements fmt.Stringer.
+func (s keyState) String() string {
+	switch s {
+	case keyClaiming:
+		return "claiming"
+	case keyRunning:
+		return "running"
+	case keyAnswered:
+		return "answered"
+	case keyOutcomeUnknown:
+		return "outcome_unknown"
+	case keyNotExecuted:
+		return "not_executed"
+	}
+	return fmt.Sprintf("keyState(%d)", uint8(s))
+}
+
+// keyRecord is a key that was claimed here.
+type keyRecord struct {
+	token     string
+	attempt   uint32 // of the call that token names, from 0
+	state     keyState
+	response  *wire.ResponseT // of keyAnswered; nil: it was evicted or too large
+	claimedAt time.Time
+}
+
+// wireRecord is what is known of a key, for another sidecar.
+func wireRecord(r *keyRecord) *wire.StoredResponseT {
+	switch {
+	case r.state == keyNotExecuted:
+		return &wire.StoredResponseT{Found: true}
+	case r.state == keyOutcomeUnknown, r.state == keyAnswered && r.response == nil:
+		return &wire.StoredResponseT{Found: true, OutcomeUnknown: true}
+	case r.state == keyAnswered:
+		return &wire.StoredResponseT{Found: true, Status: r.response.Status, HeaderFields: r.response.HeaderFields, Body: r.response.Body}
+	}
+	return &wire.StoredResponseT{Found: true, Running: true}
+}
--- /dev/null
+++ b/internal/mesh/sidecar/local_api.go
@@ -0,0 +1,55 @@
+package sidecar
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"cranegrade/internal/mesh/api"
+	"cranegrade/internal/mesh/config"
+)
+
+const (
+	maxLocalCallBytes = 16 << 10
+	localCallTimeout  = time.Second
+)
+
+// stateDraining is how a server says that it is about to leave; with any other state it is ready.
+const stateDraining = "draining"
+
+// Heartbeat is a server's call to the sidecar beside it.
+type Heartbeat struct {
+	Address    string            `json:"Address"` // host:port, where it takes requests
+	SystemInfo SystemInfo        `json:"SystemInfo"`
+	OperStatus OperationalStatus `json:"OperStatus"`
+}
+
+// SystemInfo is what a server is.
+type SystemInfo struct {
+	Service       string `json:"Service"`
+	ConfigVersion string `json:"ConfigVersion"`
+	Zone          string `json:"Zone"`
+	SlotCount     int    `json:"SlotCount"` // requests that it runs at once
+}
+
+// OperationalStatus is how a server does.
+type OperationalStatus struct {
+	State       string         `json:"State"`
+	CallSeq     int64          `json:"CallSeq"` // grows with each call; one that is not higher was overtaken
+	WarmupLeftS config.Seconds `json:"WarmupLeftS"`
+}
+
+// handler serves the calls of the local server.
+func (s *localServer) handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /v1/endpoints/{id}/heartbeat", api.NewHandler(maxLocalCallBytes, localCallTimeout,
+		func(_ context.Context, r *http.Request, heartbeat Heartbeat) (api.Empty, error) {
+			return api.Empty{}, s.heartbeat(r.PathValue("id"), heartbeat)
+		}))
+	mux.HandleFunc("POST /v1/endpoints/{id}/deregister", api.NewHandler(maxLocalCallBytes, localCallTimeout,
+		func(_ context.Context, r *http.Request, _ api.Empty) (api.Empty, error) {
+			s.deregister(r.PathValue("id"))
+			return api.Empty{}, nil
+		}))
+	return mux
+}
--- a/internal/mesh/sidecar/local_server.go
+++ b/internal/mesh/sidecar/local_server.go
@@ -1,9 +1,6 @@
 package sidecar
 
 import (
-	"context"
-	"fmt"
-	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
@@ -11,324 +8,225 @@
 
 	"cranegrade/internal/engine"
 	"cranegrade/internal/mesh/api"
-	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/transport"
+	sender "cranegrade/internal/sender/http1"
 )
 
-// maxMissedHeartbeats is how many beats a server may miss before it counts as gone.
-const maxMissedHeartbeats = 3
+// maxGoneInstances is how many instances that are gone are remembered; beyond it all are forgotten.
+const maxGoneInstances = 64
 
-const probeTimeout = time.Second
-
-// Heartbeat is a server's call.
-type Heartbeat struct {
-	Address    string            `json:"Address"`
-	SystemInfo SystemInfo        `json:"SystemInfo"`
-	OperStatus OperationalStatus `json:"OperStatus"`
-}
-
-// SystemInfo is what a server is.
-type SystemInfo struct {
-	Service       string `json:"Service"`
-	ConfigVersion string `json:"ConfigVersion"`
-	Zone          string `json:"Zone"`
-	SlotCount     int    `json:"SlotCount"`
-}
-
-// OperationalStatus is how a server does.
-type OperationalStatus struct {
-	State       string         `json:"State"`
-	CallSeq     int64          `json:"CallSeq"`
-	WarmupLeftS config.Seconds `json:"WarmupLeftS"`
-}
-
-// localServer is the server beside this line, as its beats tell of it, and the record that the others hear.
+// localServer is the server beside this sidecar, as its heartbeats and probes report it, and the record that is sent to the
+// other sidecars. The server's own state counts unless an operator or maintenance holds it out.
 type localServer struct {
-	sidecar   *Sidecar
-	isProbing atomic.Bool // whether the server is there
+	env          *environment
+	sender       *sender.Sender
+	metrics      *requestMetrics
+	directory    *directoryView
+	controlPlane *controlPlaneConn
+	isProbing    atomic.Bool // whether anything listens at the server's address
 
 	mu             sync.Mutex // guards below
 	current        directory.Record
-	endpoint       *engine.Endpoint
+	endpoint       *engine.Endpoint // nil: no server is known
 	callSeq        int64
 	lastHeartbeat  time.Time
-	goneInstances  map[string]bool       // instances that left
-	leaving        bool                  // the line does
+	goneInstances  map[string]bool
+	leaving        bool                  // the sidecar ends
 	reportedState  directory.ServerState // by the server itself
-	heldByOperator bool                  // out by an operator's hand, whatever it says of itself
-	inMaintenance  bool                  // out by an order for maintenance
-	outReason      string                // it is out; "": it is not
-	published      atomic.Pointer[directory.Record]
+	heldByOperator bool
+	inMaintenance  bool
+	outReason      string // why the server is out; "": it is not
+
+	published atomic.Pointer[directory.Record] // current as it was sent last; read without mu
 }
 
-func newLocalServer(l *Sidecar) *localServer {
-	set := l.settings.Load()
-	o := &localServer{sidecar: l, goneInstances: map[string]bool{}}
-	o.current = directory.Record{Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1, Addr: set.ListenAddrs.Inbound, Zone: set.Zone, Service: set.Service, ProtocolVersion: transport.ProtocolVersion}
-	r := o.current
-	o.published.Store(&r)
-	return o
+func newLocalServer(env *environment, s *sender.Sender, metrics *requestMetrics) *localServer {
+	set := env.settings.Load()
+	current := directory.Record{Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1,
+		Addr: set.ListenAddrs.Inbound, Zone: set.Zone, Service: set.Service, ProtocolVersion: transport.ProtocolVersion}
+	l := &localServer{env: env, sender: s, metrics: metrics, goneInstances: map[string]bool{}, current: current}
+	l.published.Store(&current)
+	return l
 }
 
-// record is what the others are told.
-func (o *localServer) record() directory.Record { return *o.published.Load() }
+// record is the record as the other sidecars have it.
+func (s *localServer) record() directory.Record { return *s.published.Load() }
 
-// publish tells the others of a change. The caller holds the lock.
-func (o *localServer) publish() {
-	o.current.Sequence++
-	r := o.current
-	if r.ServerID != "" && r.State == directory.ServerDraining && o.leaving {
+// publish sends the changed record to the other sidecars. The caller holds mu.
+func (s *localServer) publish() {
+	s.current.Sequence++
+	r := s.current
+	if r.ServerID != "" && r.State == directory.ServerDraining && s.leaving {
 		r.Leaving = true
 	}
-	if was := o.published.Swap(&r); was.ServerID != r.ServerID || was.State != r.State || was.Leaving != r.Leaving {
-		o.sidecar.log.Info().Str("server", r.ServerID).Uint8("state", uint8(r.State)).Bool("gone", r.Leaving).Dur("warmup", r.Warmup).Msg("own server")
+	if was := s.published.Swap(&r); was.ServerID != r.ServerID || was.State != r.State || was.Leaving != r.Leaving {
+		s.env.log.Info().Str("server_id", r.ServerID).Uint8("state", uint8(r.State)).Bool("leaving", r.Leaving).Dur("warmup_ms", r.Warmup).
+			Msg("local server changed")
 	}
 	go func() {
-		o.sidecar.mergeRecords([]directory.Record{r})
-		o.sidecar.controlPlane.sendRecord(r)
+		s.directory.mergeRecords([]directory.Record{r})
+		s.controlPlane.sendRecord(r)
 	}()
 }
 
-// supersede has this life count as the later one: its clock may have been set back since the one before.
-func (o *localServer) supersede(life uint64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if life > o.current.Incarnation {
-		o.current.Incarnation = life + 1
-		o.publish()
+// supersede has this incarnation count as later than the one that the directory has: the clock may have been set back since.
+func (s *localServer) supersede(incarnation uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if incarnation > s.current.Incarnation {
+		s.current.Incarnation = incarnation + 1
+		s.publish()
 	}
 }
 
-// endpointOf is the server's, if it is that instance.
-func (o *localServer) endpointOf(instance string) *engine.Endpoint {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.endpoint == nil || o.endpoint.ID != instance {
+// endpointOf is the server's endpoint, if it is that instance; else nil.
+func (s *localServer) endpointOf(instance string) *engine.Endpoint {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.endpoint == nil || s.endpoint.ID != instance {
 		return nil
 	}
-	return o.endpoint
+	return s.endpoint
 }
 
-// checkUnreachable looks whether nothing listens at the server's address, where an attempt could not begin: then the others
-// are told at once, and not when beats are missed.
-func (o *localServer) checkUnreachable(ep *engine.Endpoint) {
-	if !o.isProbing.CompareAndSwap(false, true) {
-		return
-	}
-	go func() {
-		defer o.isProbing.Store(false)
-		c, err := net.DialTimeout("tcp4", ep.Addr, serverConnectTimeout)
-		if err == nil {
-			c.Close()
-			return
-		}
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		if o.endpoint == ep && o.current.State == directory.ServerReady {
-			o.current.State, o.outReason = directory.ServerDown, "nothing takes connections at its address"
-			o.publish()
-		}
-	}()
-}
-
-// leave has the others send nothing here any more, for the line ends.
-func (o *localServer) leave() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.leaving = true
-	o.current.Leaving = true
-	o.publish()
+// leave has the other sidecars send nothing here any more, for this one ends.
+func (s *localServer) leave() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.leaving = true
+	s.current.Leaving = true
+	s.publish()
 }
 
-// probe asks the server who it is, where no beat has come yet in this life of the line.
-func (o *localServer) probe(path string) {
-	o.mu.Lock()
-	known := o.endpoint != nil
-	o.mu.Unlock()
-	set := o.sidecar.settings.Load()
-	if known || path == "" || set.AppAddress == "" {
-		return
-	}
-	ctx, cancel := context.WithTimeout(o.sidecar.ctx, probeTimeout)
-	defer cancel()
-	hr, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+set.AppAddress+path, nil)
-	if err != nil {
-		return
-	}
-	hr.Close = true
-	resp, err := (&http.Transport{DisableKeepAlives: true}).RoundTrip(hr)
-	if err != nil {
-		return
-	}
-	resp.Body.Close()
-	id := resp.Header.Get(headerInstanceID)
-	if resp.StatusCode != http.StatusOK || id == "" || len(id) > maxIDBytes {
-		return
-	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.endpoint != nil || o.goneInstances[id] {
-		return // it spoke for itself meanwhile
-	}
-	o.endpoint = engine.NewEndpoint(id, set.AppAddress)
-	o.callSeq, o.lastHeartbeat = -1, time.Now()
-	o.current.ServerID, o.current.Service = id, set.Service
-	o.applyReportedState(directory.ServerReady)
-}
-
-func (o *localServer) handlers() http.Handler {
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/endpoints/{id}/heartbeat", api.NewHandler(16<<10, time.Second,
-		func(_ context.Context, r *http.Request, b Heartbeat) (api.Empty, error) {
-			return api.Empty{}, o.heartbeat(r.PathValue("id"), b)
-		}))
-	mux.HandleFunc("POST /v1/endpoints/{id}/deregister", api.NewHandler(16<<10, time.Second,
-		func(_ context.Context, r *http.Request, _ api.Empty) (api.Empty, error) {
-			o.deregister(r.PathValue("id"))
-			return api.Empty{}, nil
-		}))
-	return mux
-}
-
-// heartbeat takes a server's word of itself.
-func (o *localServer) heartbeat(id string, b Heartbeat) error {
-	if id == "" || len(id) > maxIDBytes || b.Address == "" {
+// heartbeat applies a heartbeat of the server. One that has been overtaken changes nothing.
+func (s *localServer) heartbeat(id string, heartbeat Heartbeat) error {
+	if id == "" || len(id) > maxIDBytes || heartbeat.Address == "" {
 		return api.NewError(http.StatusBadRequest, "a beat without id or Address")
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.goneInstances[id] {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.goneInstances[id] {
 		return nil // late: it has left since
 	}
+	if s.endpoint == nil || s.endpoint.ID != id || s.endpoint.Addr != heartbeat.Address {
+		s.replaceInstance(id, heartbeat)
+	} else if heartbeat.OperStatus.CallSeq <= s.callSeq {
+		return nil // overtaken
+	}
+	s.callSeq = max(s.callSeq, heartbeat.OperStatus.CallSeq)
+	s.lastHeartbeat = time.Now()
 	state := directory.ServerReady
-	if b.OperStatus.State == "draining" {
+	if heartbeat.OperStatus.State == stateDraining {
 		state = directory.ServerDraining
 	}
-	if o.endpoint == nil || o.endpoint.ID != id || o.endpoint.Addr != b.Address {
-		if o.endpoint != nil {
-			o.endpoint.SetUsable(false)
-			o.sidecar.inbound.sender.Drop(o.endpoint)
-			if o.endpoint.ID != id {
-				o.markGone(o.endpoint.ID)
-			}
-		}
-		o.endpoint = engine.NewEndpoint(id, b.Address)
-		o.callSeq = b.OperStatus.CallSeq
-		o.current.ServerID, o.current.State = id, directory.ServerNone
-		o.current.Warmup = b.OperStatus.WarmupLeftS.Duration()
-		o.current.Service = b.SystemInfo.Service
-		if o.current.Service == "" {
-			o.current.Service = o.sidecar.settings.Load().Service
+	s.applyReportedState(state)
+	return nil
+}
+
+// replaceInstance has another instance, or the same at another address, be the local server. The caller holds mu.
+func (s *localServer) replaceInstance(id string, heartbeat Heartbeat) {
+	if s.endpoint != nil {
+		s.endpoint.SetUsable(false)
+		s.sender.Drop(s.endpoint)
+		if s.endpoint.ID != id {
+			s.markGone(s.endpoint.ID)
 		}
-		o.current.Slots = uint32(max(0, b.SystemInfo.SlotCount))
-	} else if b.OperStatus.CallSeq <= o.callSeq {
-		return nil // overtaken
 	}
-	o.callSeq = max(o.callSeq, b.OperStatus.CallSeq)
-	o.lastHeartbeat = time.Now()
-	o.applyReportedState(state)
-	return nil
+	s.endpoint = engine.NewEndpoint(id, heartbeat.Address)
+	s.callSeq = heartbeat.OperStatus.CallSeq
+	s.current.ServerID, s.current.State = id, directory.ServerNone
+	s.current.Warmup = heartbeat.OperStatus.WarmupLeftS.Duration()
+	s.current.Service = heartbeat.SystemInfo.Service
+	if s.current.Service == "" {
+		s.current.Service = s.env.settings.Load().Service
+	}
+	s.current.Slots = uint32(max(0, heartbeat.SystemInfo.SlotCount))
 }
 
-// applyReportedState takes what the server says of itself, and publishes what follows. The caller holds the lock.
-func (o *localServer) applyReportedState(state directory.ServerState) {
-	o.reportedState = state
-	why := ""
+// applyReportedState takes what the server says of itself, and publishes what follows. The caller holds mu.
+func (s *localServer) applyReportedState(state directory.ServerState) {
+	s.reportedState = state
+	reason := ""
 	switch {
 	case state != directory.ServerReady:
-		why = "it said that it leaves"
-	case o.heldByOperator:
-		state, why = directory.ServerDraining, "taken out by hand"
-	case o.inMaintenance:
-		state, why = directory.ServerDraining, "out for maintenance"
+		reason = "it said that it leaves"
+	case s.heldByOperator:
+		state, reason = directory.ServerDraining, "taken out by hand"
+	case s.inMaintenance:
+		state, reason = directory.ServerDraining, "out for maintenance"
 	}
-	if o.endpoint == nil || o.current.State == state {
+	if s.endpoint == nil || s.current.State == state {
 		return
 	}
-	o.current.State, o.outReason = state, why
-	o.endpoint.SetUsable(state == directory.ServerReady)
+	s.current.State, s.outReason = state, reason
+	s.endpoint.SetUsable(state == directory.ServerReady)
 	if state != directory.ServerReady {
-		o.sidecar.inbound.sender.Drop(o.endpoint)
+		s.sender.Drop(s.endpoint)
 	}
-	o.publish()
+	s.publish()
 }
 
-// hold has the server taken out by hand, as if it had said that it leaves, or no longer. It holds for this life of the line.
-func (o *localServer) hold(out bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.heldByOperator = out
-	o.reapplyReportedState()
+// reapplyReportedState has a change of heldByOperator or inMaintenance be taken into account. The caller holds mu.
+func (s *localServer) reapplyReportedState() {
+	if s.endpoint != nil && s.current.State != directory.ServerDown {
+		s.applyReportedState(s.reportedState)
+	}
 }
 
-// setMaintenance is hold by an order, for as long as the registers say so.
-func (o *localServer) setMaintenance(out bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.inMaintenance != out {
-		o.inMaintenance = out
-		if out {
-			o.sidecar.inbound.metrics.reset()
-		}
-		o.reapplyReportedState()
-	}
+// hold has the server taken out by an operator, as if it had said that it leaves, or no longer. It holds until the sidecar
+// restarts.
+func (s *localServer) hold(out bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.heldByOperator = out
+	s.reapplyReportedState()
 }
 
-// reapplyReportedState has what is held taken into account. The caller holds the lock.
-func (o *localServer) reapplyReportedState() {
-	if o.endpoint != nil && o.current.State != directory.ServerDown {
-		o.applyReportedState(o.reportedState)
+// setMaintenance is hold by an order, for as long as the control plane says so.
+func (s *localServer) setMaintenance(out bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.inMaintenance == out {
+		return
+	}
+	s.inMaintenance = out
+	if out {
+		s.metrics.reset()
 	}
+	s.reapplyReportedState()
 }
 
-// markGone notes an instance that is no more. The caller holds the lock.
-func (o *localServer) markGone(id string) {
-	if len(o.goneInstances) > 64 {
-		clear(o.goneInstances)
+// markGone remembers an instance that is no more: what still comes of it is late. The caller holds mu.
+func (s *localServer) markGone(id string) {
+	if len(s.goneInstances) > maxGoneInstances {
+		clear(s.goneInstances)
 	}
-	o.goneInstances[id] = true
+	s.goneInstances[id] = true
 }
 
-func (o *localServer) deregister(id string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.markGone(id)
-	if o.endpoint != nil && o.endpoint.ID == id {
-		o.endpoint.SetUsable(false)
-		o.sidecar.inbound.sender.Drop(o.endpoint)
-		o.endpoint, o.current.ServerID, o.current.State, o.outReason = nil, "", directory.ServerNone, "it has left"
-		o.publish()
+// deregister applies that an instance has left.
+func (s *localServer) deregister(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.markGone(id)
+	if s.endpoint != nil && s.endpoint.ID == id {
+		s.endpoint.SetUsable(false)
+		s.sender.Drop(s.endpoint)
+		s.endpoint, s.current.ServerID, s.current.State, s.outReason = nil, "", directory.ServerNone, "it has left"
+		s.publish()
 	}
 }
 
-// watch sees to beats that don't come, tells the record again now and then, and drops lines that are heard of no more.
-func (o *localServer) watch() {
-	every := max(100*time.Millisecond, o.sidecar.settings.Load().HeartbeatS.Duration()/2)
-	t := time.NewTicker(every)
-	defer t.Stop()
-	told := time.Now()
-	for {
-		select {
-		case <-t.C:
-		case <-o.sidecar.ctx.Done():
-			return
-		}
-		o.sidecar.inbound.sender.Sweep()
-		o.mu.Lock()
-		silence := o.sidecar.settings.Load().HeartbeatS.Duration()*maxMissedHeartbeats + 500*time.Millisecond
-		switch {
-		case o.endpoint != nil && o.current.State == directory.ServerReady && time.Since(o.lastHeartbeat) > silence:
-			o.current.State, o.outReason = directory.ServerDown, fmt.Sprintf("it has not beaten for %v", silence)
-			o.publish()
-			told = time.Now()
-		case time.Since(told) > recordRefreshInterval:
-			o.publish()
-			told = time.Now()
-		}
-		o.mu.Unlock()
-		if o.sidecar.controlPlane.isReachable() {
-			o.sidecar.expireDirectory()
-		}
-	}
+// localServerStatus is how the local server is, for the status of the sidecar.
+type localServerStatus struct {
+	record    directory.Record
+	outReason string
+	held      bool // by an operator or for maintenance
+}
+
+func (s *localServer) status() localServerStatus {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return localServerStatus{record: s.current, outReason: s.outReason, held: s.heldByOperator || s.inMaintenance}
 }
--- a/internal/mesh/sidecar/local_server_test.go
+++ b/internal/mesh/sidecar/local_server_test.go
@@ -11,28 +11,26 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/directory"
-	sender "cranegrade/internal/sender/http1"
 )
 
 // maxAcknowledgementBytes is the size in bytes up to which a server takes an answer for an acknowledgement.
 const maxAcknowledgementBytes = 4 << 10
 
-// newTestLocalServer is a line with nothing known of a server yet.
+// newTestLocalServer is the local server's part of a sidecar that knows of none yet.
 func newTestLocalServer(t *testing.T) *localServer {
-	l, _, far := newFollowingSidecar(t)
-	t.Cleanup(func() { far.Close(nil) })
-	l.inbound = newInboundServer(l, sender.New(sender.Config{Connect: serverConnectTimeout, Speech: serverProtocol{}, Quiet: time.Hour}))
-	return l.localServer
+	t.Helper()
+	s, _, _ := newFollowingSidecar(t)
+	return s.localServer
 }
 
 // postCall sends a server's call, and checks that an acknowledgement is one.
 func (o *localServer) postCall(t *testing.T, path, body string) int {
 	t.Helper()
 	w := httptest.NewRecorder()
-	o.handlers().ServeHTTP(w, httptest.NewRequest("POST", "/v1/endpoints/"+path, strings.NewReader(body)))
+	o.handler().ServeHTTP(w, httptest.NewRequest("POST", "/v1/endpoints/"+path, strings.NewReader(body)))
 	if w.Code == http.StatusOK {
 		assert.Assert(t, w.Body.Len() <= maxAcknowledgementBytes)
-		assert.Assert(t, !strings.Contains(w.Body.String(), "HeartbeatTarget"), "beats are to come here and nowhere else")
+		assert.Assert(t, !strings.Contains(w.Body.String(), "HeartbeatTarget"), "heartbeats are to come here and nowhere else")
 	}
 	return w.Code
 }
@@ -44,12 +42,13 @@
 	assert.Equal(t, o.postCall(t, id+"/heartbeat", body), http.StatusOK)
 }
 
-// What a beat says stands in the line's record; what is none is refused.
+// What a heartbeat says stands in the sidecar's record; a malformed one is rejected.
 func TestHeartbeat(t *testing.T) {
 	o := newTestLocalServer(t)
 	o.postHeartbeat(t, "i-1", "ready", 4)
 	r := o.record()
-	assert.Assert(t, r.ServerID == "i-1" && r.Service == "stock" && r.State == directory.ServerReady && r.Slots == 6 && r.Warmup == 2500*time.Millisecond, "%+v", r)
+	assert.Assert(t, r.ServerID == "i-1" && r.Service == "stock" && r.State == directory.ServerReady, "%+v", r)
+	assert.Assert(t, r.Slots == 6 && r.Warmup == 2500*time.Millisecond, "%+v", r)
 	assert.Equal(t, o.endpointOf("i-1").Addr, "10.1.0.9:8080")
 	assert.Equal(t, o.postCall(t, "i-1/heartbeat", `{"OperStatus":{"State":"ready","CallSeq":5}}`), http.StatusBadRequest)
 	assert.Equal(t, o.postCall(t, "i-1/heartbeat", `{"Address":`), http.StatusBadRequest)
@@ -57,9 +56,9 @@
 	assert.Equal(t, o.postCall(t, strings.Repeat("i", maxIDBytes+1)+"/heartbeat", `{"Address":"10.1.0.9:8080"}`), http.StatusBadRequest)
 }
 
-// Beats of two lives of a server in any order, each of which may come again: an overtaken one changes nothing, a server that
-// leaves does not come back, and one that has left is not heard any more. So it is where the line starts again in between and
-// has heard nothing: then the first that it hears counts.
+// Heartbeats of a server in any order: an overtaken one changes nothing, a server that leaves does not come back, and one that has
+// left is not heard any more. So it is where the sidecar restarts in between and has heard nothing: then the first that it hears
+// counts.
 func TestHeartbeatsInAnyOrder(t *testing.T) {
 	type call struct {
 		id, state string
@@ -67,8 +66,8 @@
 	}
 	calls := []call{{"i-1", "ready", 1}, {"i-1", "ready", 2}, {"i-1", "draining", 3}, {"i-1", "left", 4}}
 	orders := 0
-	var try func(done []call, left []call)
-	try = func(done, left []call) {
+	var permute func(done, left []call)
+	permute = func(done, left []call) {
 		if len(left) == 0 {
 			orders++
 			for restart := range len(done) {
@@ -92,16 +91,16 @@
 					case highest == 3:
 						want = directory.ServerDraining
 					}
-					assert.Equal(t, o.record().State, want, "%v, started anew before %d, after %d", done, restart, n)
+					assert.Equal(t, o.record().State, want, "%v, restarted before %d, after %d", done, restart, n)
 				}
 			}
 			return
 		}
 		for n, c := range left {
-			try(append(append([]call(nil), done...), c), append(append([]call(nil), left[:n]...), left[n+1:]...))
+			permute(append(append([]call(nil), done...), c), append(append([]call(nil), left[:n]...), left[n+1:]...))
 		}
 	}
-	try(nil, calls)
+	permute(nil, calls)
 	assert.Equal(t, orders, 24)
 
 	o := newTestLocalServer(t)
--- a/internal/mesh/sidecar/policies.go
+++ b/internal/mesh/sidecar/policies.go
@@ -1,173 +1,131 @@
 package sidecar
 
 import (
-	"context"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/juju/errors"
-
 	"cranegrade/balancer"
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/policy"
-	"cranegrade/internal/mesh/transport"
-	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// activePolicies are the namespaces and rulings that this line goes by, and how far it knows that they bind (classmark/bind.go). A set
-// that it holds and that does not bind yet is among the line's items only.
+// activePolicies are the namespaces and policies in force here, and how far this sidecar knows that they are (classmark.Leaf
+// decides). A set that it holds and that is not active yet is among the configuration's items only. The zero value is ready.
 type activePolicies struct {
-	table        config.Table
-	state        atomic.Pointer[policy.SidecarState]
-	activeSince  atomic.Int64 // when bound was taken, of the line's clock
-	startPolling sync.Once    // starts asking, which goes on then
-	pollNow      chan struct{}
+	table       config.Table // guarded by the configuration's lock
+	state       atomic.Pointer[policy.SidecarState]
+	activeSince atomic.Int64 // of the environment's clock
 }
 
-func (r *activePolicies) current() policy.SidecarState {
-	if l := r.state.Load(); l != nil {
-		return *l
+func (p *activePolicies) current() policy.SidecarState {
+	if state := p.state.Load(); state != nil {
+		return *state
 	}
 	return policy.SidecarState{}
 }
 
-// setPolicyState is called with the line's lock held.
-func (l *Sidecar) setPolicyState(x policy.SidecarState) {
-	l.policies.state.Store(&x)
-	if x.HasPolicies {
-		l.policies.startPolling.Do(func() {
-			l.policies.pollNow = make(chan struct{}, 1)
-			go l.pollActivePolicies()
-		})
+// setPolicyState is called with mu held.
+func (c *configuration) setPolicyState(state policy.SidecarState) {
+	c.policies.state.Store(&state)
+	if state.HasPolicies {
+		c.poller.start()
 	}
 }
 
-// isFenced says that this line does not know for certain which rules bind.
-func (l *Sidecar) isFenced() bool { return l.policies.current().IsFenced(l.clock.Now()) }
+// isFenced says that this sidecar does not know for certain which policies are active.
+func (c *configuration) isFenced() bool { return c.policies.current().IsFenced(c.env.clock.Now()) }
+
+// activeFor is for how long the active set has been so here.
+func (c *configuration) activeFor() time.Duration {
+	return c.env.clock.Now() - time.Duration(c.policies.activeSince.Load())
+}
 
-// noteHeldPolicies notes that items were taken. The caller holds the lock.
-func (l *Sidecar) noteHeldPolicies(raised []config.Item) {
-	for _, i := range raised {
-		if i.Kind.InPolicySet() {
-			l.setPolicyState(l.policies.current().Receive(l.items.PolicyFingerprint()))
+// noteHeldPolicies notes that items were merged. The caller holds mu.
+func (c *configuration) noteHeldPolicies(raised []config.Item) {
+	for _, item := range raised {
+		if item.Kind.InPolicySet() {
+			c.setPolicyState(c.policies.current().Receive(c.items.PolicyFingerprint()))
 			return
 		}
 	}
 }
 
-// activatePolicies goes by the set that is held from now on. The caller holds the lock.
-func (l *Sidecar) activatePolicies(leaf policy.SidecarState, bound config.Table) {
-	l.policies.table = bound
-	l.policies.activeSince.Store(int64(l.clock.Now()))
-	l.setPolicyState(leaf)
-	l.rebuildRouting()
-	l.log.Info().Str("rules", leaf.Active).Uint64("at", leaf.ActiveIndex).Msg("rules bind")
+// activatePolicies has a set be in force from now on. The caller holds mu.
+func (c *configuration) activatePolicies(state policy.SidecarState, table config.Table) {
+	c.policies.table = table
+	c.policies.activeSince.Store(int64(c.env.clock.Now()))
+	c.setPolicyState(state)
+	c.rebuildRouting()
+	c.env.log.Info().Str("fingerprint", state.Active).Uint64("index", state.ActiveIndex).Msg("policies activated")
 }
 
-// applyActivePolicies takes word that a set binds.
-func (l *Sidecar) applyActivePolicies(b *wire.ActivePolicyT) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	leaf, take, ask := l.policies.current().Activate(b.Fingerprint, b.Index)
-	if take {
-		l.activatePolicies(leaf, l.items.PolicyItems())
+// applyActivePolicies applies a member's notice that a set is active.
+func (c *configuration) applyActivePolicies(active *wire.ActivePolicyT) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state, activate, confirm := c.policies.current().Activate(active.Fingerprint, active.Index)
+	if activate {
+		c.activatePolicies(state, c.items.PolicyItems())
 	}
-	if ask {
-		leaf.HasPolicies = true
-		l.setPolicyState(leaf)
-		select {
-		case l.policies.pollNow <- struct{}{}:
-		default:
-		}
+	if confirm {
+		state.HasPolicies = true
+		c.setPolicyState(state)
+		c.poller.pollSoon()
 	}
 }
 
-// applyConfirmedTable takes all items, and which rules bind, as a read confirmed them that was asked for at a time; false: the rules are
-// not those of the fingerprint, and it has to be asked again.
-func (l *Sidecar) applyConfirmedTable(t *wire.ItemsT, asked time.Duration) bool {
-	l.mergeItems(config.ItemsFromWire(t))
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	was := l.policies.current()
-	leaf := was.Restore(t.ActiveFingerprint, t.ActiveIndex, asked)
-	if leaf.ActiveIndex == was.ActiveIndex && leaf.Active == was.Active {
-		l.setPolicyState(leaf)
+// applyConfirmedTable takes all items, and which policies are active, as confirmed by a read that was begun at askedAt; false: the
+// policies are not those of the fingerprint, and the read has to be repeated.
+func (c *configuration) applyConfirmedTable(read *wire.ItemsT, askedAt time.Duration) bool {
+	c.mergeItems(config.ItemsFromWire(read))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	was := c.policies.current()
+	state := was.Restore(read.ActiveFingerprint, read.ActiveIndex, askedAt)
+	if state.ActiveIndex == was.ActiveIndex && state.Active == was.Active {
+		c.setPolicyState(state)
 		return true
 	}
-	bound, _ := config.Table{}.Merge(config.ItemsFromWire(&wire.ItemsT{List: t.ActivePolicy}))
-	if leaf.Active == l.items.PolicyFingerprint() {
-		bound = l.items.PolicyItems()
+	table, _ := config.Table{}.Merge(config.ItemsFromWire(&wire.ItemsT{List: read.ActivePolicy}))
+	if state.Active == c.items.PolicyFingerprint() {
+		table = c.items.PolicyItems()
 	}
-	if bound.PolicyFingerprint() != leaf.Active {
+	if table.PolicyFingerprint() != state.Active {
 		return false
 	}
-	l.activatePolicies(leaf, bound)
+	c.activatePolicies(state, table)
 	return true
 }
 
-// pollActivePolicies asks whether the rules still bind, for as long as the line runs.
-func (l *Sidecar) pollActivePolicies() {
-	t := time.NewTicker(policy.ConfirmInterval)
-	defer t.Stop()
-	for {
-		select {
-		case <-t.C:
-		case <-l.policies.pollNow:
-		case <-l.ctx.Done():
-			return
-		}
-		c := l.controlPlane.conn.Load()
-		if c == nil || c.Err() != nil {
-			continue
-		}
-		if err := l.confirmActivePolicies(c); err != nil {
-			l.log.Info().Err(err).Str("register", c.RemoteAddr()).Msg("rules")
-		}
-	}
-}
-
-func (l *Sidecar) confirmActivePolicies(c *transport.Conn) error {
-	ctx, cancel := context.WithTimeout(l.ctx, callTimeout)
-	defer cancel()
-	asked := l.clock.Now()
-	t, err := l.calls.Call(ctx, c, codec.CallActivePolicy, nil)
-	if err != nil {
-		return err
-	}
-	if t.Status != http.StatusOK {
-		return errors.Errorf("status %d", t.Status)
-	}
-	b, err := codec.DecodeTable(t.Body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
-	if err != nil {
-		return err
-	}
-	l.mu.Lock()
-	leaf, same := l.policies.current().Confirm(b.Fingerprint, b.Index, b.CommittedFingerprint, asked)
-	if same {
-		l.setPolicyState(leaf)
-	}
-	l.mu.Unlock()
+// confirmPolicies takes the response to a poll that was begun at askedAt; false: another set is active than here.
+func (c *configuration) confirmPolicies(active *wire.ActivePolicyT, askedAt time.Duration) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state, same := c.policies.current().Confirm(active.Fingerprint, active.Index, active.CommittedFingerprint, askedAt)
 	if same {
-		return nil
+		c.setPolicyState(state)
 	}
-	_, err = l.controlPlane.readTable(c)
-	return err
+	return same
 }
 
-// checkPolicy says whether the merged rule lets a request be; else why not.
-func (l *Sidecar) checkPolicy(m *policy.Decision, caller string) (status int, text string) {
+// checkPolicy says whether the effective policy lets a request be; status 0: it does, else the response and why.
+func (c *configuration) checkPolicy(effective *policy.Decision, caller string) (status int, text string) {
 	switch {
-	case l.isFenced():
+	case c.isFenced():
 		return http.StatusServiceUnavailable, "which rules bind could not be confirmed for a while"
-	case m.DeniedBy != nil:
-		return http.StatusForbidden, "by " + m.DeniedBy.String() + " " + caller + " may not call it"
+	case effective.DeniedBy != nil:
+		return http.StatusForbidden, "by " + effective.DeniedBy.String() + " " + caller + " may not call it"
 	}
 	return 0, ""
 }
 
-// retryConditionNames are the endings after which a rule may allow a further try, as it names them.
-var retryConditionNames = map[balancer.Ending]string{balancer.Overloaded: "refused", balancer.Unreachable: "unreachable", balancer.Failure: "failed",
-	balancer.Broken: "broken", balancer.TimedOut: "timed_out"}
+// retryConditionNames are the endings after which a policy may allow a retry, by the policy's words for them.
+var retryConditionNames = map[balancer.Ending]string{
+	balancer.Overloaded:  "refused",
+	balancer.Unreachable: "unreachable",
+	balancer.Failure:     "failed",
+	balancer.Broken:      "broken",
+	balancer.TimedOut:    "timed_out",
+}
--- /dev/null
+++ b/internal/mesh/sidecar/policy_poller.go
@@ -0,0 +1,82 @@
+package sidecar
+
+import (
+	"context"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+// policyPoller asks the followed member again and again whether the active policies still are, from when any are known until the
+// sidecar's end. What it learns is the configuration's; it keeps nothing itself.
+type policyPoller struct {
+	env           *environment
+	configuration *configuration
+	controlPlane  *controlPlaneConn
+	once          sync.Once // of start
+	pollNow       chan struct{}
+}
+
+func newPolicyPoller(env *environment, c *configuration, controlPlane *controlPlaneConn) *policyPoller {
+	return &policyPoller{env: env, configuration: c, controlPlane: controlPlane, pollNow: make(chan struct{}, 1)}
+}
+
+func (p *policyPoller) start() { p.once.Do(func() { go p.run() }) }
+
+// pollSoon has the next poll begin without waiting for its time.
+func (p *policyPoller) pollSoon() {
+	select {
+	case p.pollNow <- struct{}{}:
+	default:
+	}
+}
+
+func (p *policyPoller) run() {
+	ticker := time.NewTicker(policy.ConfirmInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ticker.C:
+		case <-p.pollNow:
+		case <-p.env.ctx.Done():
+			return
+		}
+		conn := p.controlPlane.current()
+		if conn == nil {
+			continue
+		}
+		if err := p.poll(conn); err != nil {
+			p.env.log.Info().Err(err).Str("member_addr", conn.RemoteAddr()).Msg("poll of the active policies failed")
+		}
+	}
+}
+
+// poll asks once, and reads the complete table where another set is active than here.
+func (p *policyPoller) poll(conn *transport.Conn) error {
+	ctx, cancel := context.WithTimeout(p.env.ctx, callTimeout)
+	defer cancel()
+	askedAt := p.env.clock.Now()
+	reply, err := p.env.calls.Call(ctx, conn, codec.CallActivePolicy, nil)
+	if err != nil {
+		return err
+	}
+	if reply.Status != http.StatusOK {
+		return errors.Errorf("status %d", reply.Status)
+	}
+	active, err := codec.DecodeTable(reply.Body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
+	if err != nil {
+		return err
+	}
+	if p.configuration.confirmPolicies(active, askedAt) {
+		return nil
+	}
+	_, err = p.controlPlane.readTable(conn)
+	return err
+}
--- /dev/null
+++ b/internal/mesh/sidecar/recall.go
@@ -0,0 +1,91 @@
+package sidecar
+
+import (
+	"context"
+
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+const (
+	// maxHandoverRecords and maxHandoverBytes bound one message of a hand-over; the last record may go beyond the bytes.
+	maxHandoverRecords = 1000
+	maxHandoverBytes   = 1 << 20
+)
+
+// recaller asks other sidecars for the responses that they store, and hands over this one's.
+type recaller struct {
+	env         *environment
+	upstreams   *upstreams
+	maintenance *maintenanceView
+	responses   *responseStore
+}
+
+// recall asks another sidecar for what it stores of a key, or its successor if that one is in maintenance, or was.
+func (r *recaller) recall(ctx context.Context, holder, key string) (*wire.StoredResponseT, error) {
+	switch successor := r.maintenance.successorOf(holder); successor {
+	case "":
+	case r.env.addr():
+		if record := r.responses.inherited.get(holder, key); record != nil {
+			return record, nil
+		}
+	default:
+		if record, err := r.call(ctx, successor, key, holder); err == nil && record.Found {
+			return record, nil
+		}
+	}
+	return r.call(ctx, holder, key, "")
+}
+
+// call asks one sidecar for a key; storedBy names the one that left it there, "": the one that is asked.
+func (r *recaller) call(ctx context.Context, addr, key, storedBy string) (*wire.StoredResponseT, error) {
+	conn, err := r.upstreams.get(addr).connect(ctx)
+	if err != nil {
+		return nil, err
+	}
+	body := codec.EncodeTable(&wire.KeyHandoverT{SourceAddr: storedBy, List: []*wire.StoredResponseT{{Key: key}}})
+	reply, err := r.env.calls.Call(ctx, conn, codec.CallStoredResponse, body)
+	if err != nil {
+		return nil, err
+	}
+	return codec.DecodeTable(reply.Body, func(p []byte) *wire.StoredResponseT { return wire.GetRootAsStoredResponse(p, 0).UnPack() })
+}
+
+// lookUp is what this sidecar stores of a key, for another; storedBy names the one that left it here, "": it is its own.
+func (r *recaller) lookUp(key, storedBy string) *wire.StoredResponseT {
+	if storedBy != "" {
+		if record := r.responses.inherited.get(storedBy, key); record != nil {
+			return record
+		}
+		return &wire.StoredResponseT{}
+	}
+	if record, known := r.responses.get(key); known {
+		return wireRecord(&record)
+	}
+	return &wire.StoredResponseT{OutcomeUnknown: true}
+}
+
+// handOver gives all that is stored here to the successor; nil: it has that.
+func (r *recaller) handOver(ctx context.Context, successor string) error {
+	for rest := r.responses.export(r.env.keyLeaseTime()); len(rest) > 0; {
+		n, bytes := 0, 0
+		for n < len(rest) && n < maxHandoverRecords && bytes < maxHandoverBytes {
+			bytes += len(rest[n].Body)
+			n++
+		}
+		conn, err := r.upstreams.get(successor).connect(ctx)
+		if err != nil {
+			return err
+		}
+		body := codec.EncodeTable(&wire.KeyHandoverT{SourceAddr: r.env.addr(), List: rest[:n]})
+		if _, err := r.env.calls.Call(ctx, conn, codec.CallHandOverKeys, body); err != nil {
+			return err
+		}
+		rest = rest[n:]
+	}
+	return nil
+}
+
+func parseKeyHandover(body []byte) (*wire.KeyHandoverT, error) {
+	return codec.DecodeTable(body, func(p []byte) *wire.KeyHandoverT { return wire.GetRootAsKeyHandover(p, 0).UnPack() })
+}
--- a/internal/mesh/sidecar/relay_test.go
+++ b/internal/mesh/sidecar/relay_test.go
@@ -23,8 +23,8 @@
 const (
 	cutReset  cutMode = "reset"  // both sides see a reset
 	cutClose  cutMode = "close"  // both see an end
-	cutSilent cutMode = "silent" // nothing passes any more, until the cut is mended: then both see a reset
-	cutLate   cutMode = "late"   // nothing passes until the cut is mended, and then all that was held back
+	cutSilent cutMode = "silent" // nothing passes any more, until the cut is repaired: then both see a reset
+	cutLate   cutMode = "late"   // nothing passes until the cut is repaired, and then all that was held back
 )
 
 // cut is where to cut: behind so many bytes of a call's request, or of its answer. It strikes once.
@@ -36,15 +36,16 @@
 	of       int           // bytes that it has in all, where struck
 	taken    atomic.Bool   // by the relay where it strikes; others may have it planned, too
 	struck   chan struct{} // closed when it strikes
-	mended   chan struct{} // closed to mend it
+	mended   chan struct{} // closed to repair it
 	released chan struct{} // closed when all that was held back has been passed on
 }
 
 func newCut(mode cutMode, answer bool, after int) *cut {
-	return &cut{mode: mode, answer: answer, after: after, struck: make(chan struct{}), mended: make(chan struct{}), released: make(chan struct{})}
+	return &cut{mode: mode, answer: answer, after: after,
+		struck: make(chan struct{}), mended: make(chan struct{}), released: make(chan struct{})}
 }
 
-// relayedMessage is a part of what passes: whole frames, or whole HTTP messages, with the call that they belong to; "": none.
+// relayedMessage is a frame or an HTTP message that passes, with the call that it belongs to; "": none.
 type relayedMessage struct {
 	raw     []byte
 	attempt string
@@ -191,7 +192,7 @@
 	c.Close()
 }
 
-// upstreamFraming is the framing between lines.
+// upstreamFraming is the framing between sidecars.
 type upstreamFraming struct{}
 
 func (upstreamFraming) begin() (request, answer func(*bufio.Reader) (relayedMessage, error)) {
@@ -240,12 +241,12 @@
 	return request, answer
 }
 
-// httpFraming is the framing between a line and its server: one request at a time, and its answer.
+// httpFraming is the framing between a sidecar and its server: one request at a time, and its answer.
 type httpFraming struct{}
 
 func (httpFraming) begin() (request, answer func(*bufio.Reader) (relayedMessage, error)) {
 	waiting := make(chan string, 1)
-	whole := func(r *bufio.Reader, read func(*bufio.Reader) (http.Header, io.ReadCloser, error)) (relayedMessage, http.Header, error) {
+	readComplete := func(r *bufio.Reader, read func(*bufio.Reader) (http.Header, io.ReadCloser, error)) (relayedMessage, http.Header, error) {
 		var raw bytes.Buffer
 		tee := bufio.NewReaderSize(io.TeeReader(byteReader{r}, &raw), 16)
 		head, body, err := read(tee)
@@ -255,7 +256,7 @@
 		return relayedMessage{raw: raw.Bytes()}, head, err
 	}
 	request = func(r *bufio.Reader) (relayedMessage, error) {
-		p, head, err := whole(r, func(r *bufio.Reader) (http.Header, io.ReadCloser, error) {
+		p, head, err := readComplete(r, func(r *bufio.Reader) (http.Header, io.ReadCloser, error) {
 			q, err := http.ReadRequest(r)
 			if err != nil {
 				return nil, nil, err
@@ -269,7 +270,7 @@
 		return p, err
 	}
 	answer = func(r *bufio.Reader) (relayedMessage, error) {
-		p, _, err := whole(r, func(r *bufio.Reader) (http.Header, io.ReadCloser, error) {
+		p, _, err := readComplete(r, func(r *bufio.Reader) (http.Header, io.ReadCloser, error) {
 			a, err := http.ReadResponse(r, nil)
 			if err != nil {
 				return nil, nil, err
--- /dev/null
+++ b/internal/mesh/sidecar/release_queue.go
@@ -0,0 +1,103 @@
+package sidecar
+
+import (
+	"context"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+const (
+	// maxPendingReleases is how many releases are kept to be sent; keys beyond that stay leased for their window.
+	maxPendingReleases = 4096
+	// releaseRetryInterval is the pause between two attempts to send the same releases.
+	releaseRetryInterval = 50 * time.Millisecond
+)
+
+// releaseQueue is the keys that are to be given back to the control plane, for their requests never ran. Its goroutine run sends
+// them in order, each until it is acknowledged.
+type releaseQueue struct {
+	env          *environment
+	controlPlane *controlPlaneConn
+	wake         chan struct{}
+
+	mu      sync.Mutex // guards pending
+	pending []*wire.KeyLeaseRequestT
+}
+
+func newReleaseQueue(env *environment, controlPlane *controlPlaneConn) *releaseQueue {
+	return &releaseQueue{env: env, controlPlane: controlPlane, wake: make(chan struct{}, 1)}
+}
+
+// add has a key given back, as soon as a member is followed.
+func (q *releaseQueue) add(release *wire.KeyLeaseRequestT) {
+	q.mu.Lock()
+	if len(q.pending) < maxPendingReleases {
+		q.pending = append(q.pending, release)
+	}
+	q.mu.Unlock()
+	select {
+	case q.wake <- struct{}{}:
+	default:
+	}
+}
+
+// take takes all that is pending.
+func (q *releaseQueue) take() []*wire.KeyLeaseRequestT {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	taken := q.pending
+	q.pending = nil
+	return taken
+}
+
+// run sends what is added until the sidecar's end.
+func (q *releaseQueue) run() {
+	for {
+		select {
+		case <-q.wake:
+		case <-q.env.ctx.Done():
+			return
+		}
+		for q.env.ctx.Err() == nil {
+			releases := q.take()
+			if len(releases) == 0 {
+				break
+			}
+			q.sendUntilTaken(releases)
+		}
+	}
+}
+
+// sendUntilTaken sends releases until a member has acknowledged them, or the sidecar ends.
+func (q *releaseQueue) sendUntilTaken(releases []*wire.KeyLeaseRequestT) {
+	for {
+		err := q.send(releases)
+		if err == nil || q.env.ctx.Err() != nil {
+			return
+		}
+		time.Sleep(releaseRetryInterval)
+	}
+}
+
+func (q *releaseQueue) send(releases []*wire.KeyLeaseRequestT) error {
+	conn := q.controlPlane.conn.Load()
+	if conn == nil {
+		return errors.New("no member is followed")
+	}
+	ctx, cancel := context.WithTimeout(q.env.ctx, callTimeout)
+	defer cancel()
+	reply, err := q.env.calls.Call(ctx, conn, codec.CallLeaseKeys, codec.EncodeTable(&wire.KeyLeaseRequestsT{List: releases}))
+	if err != nil {
+		return err
+	}
+	if reply.Status != http.StatusOK {
+		return errors.Errorf("status %d", reply.Status)
+	}
+	return nil
+}
--- a/internal/mesh/sidecar/request_metrics.go
+++ b/internal/mesh/sidecar/request_metrics.go
@@ -6,64 +6,64 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// requestKind is what a request that runs here may do: one of kindNames, by its place.
+// requestKind is how often a request that runs here may run: an index of requestKindNames.
 type requestKind int
 
-var requestKindNames = [...]string{"keyed", "non_idempotent", "idempotent"}
+const (
+	kindKeyed requestKind = iota
+	kindNonIdempotent
+	kindIdempotent
+)
 
-func (r *inboundRequest) kind() requestKind {
-	switch {
-	case r.request.IdempotencyKey != "":
-		return 0
-	case r.request.AtMostOnce:
-		return 1
-	}
-	return 2
-}
+var requestKindNames = [...]string{kindKeyed: "keyed", kindNonIdempotent: "non_idempotent", kindIdempotent: "idempotent"}
+
+// String implements fmt.Stringer.
+func (k requestKind) String() string { return requestKindNames[k] }
 
-// requestMetrics counts what runs at the own server and how it ends, by kind.
+// requestMetrics counts what runs at the local server and how it ends, by kind. The zero value is ready.
 type requestMetrics struct {
 	mu    sync.Mutex // guards below
 	kinds [len(requestKindNames)]wire.WorkCounterT
 }
 
-func (t *requestMetrics) begin(k requestKind) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.kinds[k].Open++
+func (m *requestMetrics) begin(k requestKind) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.kinds[k].Open++
 }
 
-// end counts an end: the answer that was given; nil: it went out in pieces, broken or whole.
-func (t *requestMetrics) end(k requestKind, a *wire.ResponseT, broken bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	w := &t.kinds[k]
-	w.Open--
+// end counts an end by the response that was given; nil: it was streamed, truncated or complete.
+func (m *requestMetrics) end(k requestKind, response *wire.ResponseT, truncated bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	work := &m.kinds[k]
+	work.Open--
 	switch {
-	case a == nil && broken || a != nil && (a.Ending == codeBroken || a.Ending == codeTimedOut):
-		w.Broken++
-	case a != nil && (a.Ending == codeOverloaded || a.Ending == codeNotAccepted || a.Ending == codeKeyNotGranted):
-		w.Rejected++
+	case response == nil && truncated || response != nil && (response.Ending == codeBroken || response.Ending == codeTimedOut):
+		work.Broken++
+	case response != nil && (response.Ending == codeOverloaded || response.Ending == codeNotAccepted || response.Ending == codeKeyNotGranted):
+		work.Rejected++
 	default:
-		w.Answered++
+		work.Answered++
 	}
 }
 
-// reset has the ends be counted from now on.
-func (t *requestMetrics) reset() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for i := range t.kinds {
-		t.kinds[i] = wire.WorkCounterT{Open: t.kinds[i].Open}
+// reset has the ends be counted from now on. What is open stays counted.
+func (m *requestMetrics) reset() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for i := range m.kinds {
+		m.kinds[i] = wire.WorkCounterT{Open: m.kinds[i].Open}
 	}
 }
 
-func (t *requestMetrics) snapshot() (l []*wire.WorkCounterT) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for i, w := range t.kinds {
-		w.Kind = requestKindNames[i]
-		l = append(l, &w)
+// snapshot is the counts of all kinds.
+func (m *requestMetrics) snapshot() (counts []*wire.WorkCounterT) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for i, work := range m.kinds {
+		work.Kind = requestKindNames[i]
+		counts = append(counts, &work)
 	}
-	return l
+	return counts
 }
--- /dev/null
+++ b/internal/mesh/sidecar/response_codes.go
@@ -0,0 +1,43 @@
+package sidecar
+
+import (
+	"cranegrade/balancer"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/message"
+)
+
+// Codes of how an attempt ended, as a response says it on the wire: the values never change.
+const (
+	codeAnswered      byte = iota // status and body are the server's, or what is answered in its place
+	codeServerFailed              // the same, and the server failed
+	codeOverloaded                // the server rejected it: it has not run
+	codeNotAccepted               // the sidecar rejected it: it has not run
+	codeBroken                    // it may have run
+	codeTimedOut                  // it may have run
+	codeKeyNotGranted             // the control plane could not grant its key: it has not run, and no other server would do better
+)
+
+// endingsByCode are the decision module's endings for the codes; codeKeyNotGranted has none. An unknown code counts as broken.
+var endingsByCode = map[byte]balancer.Ending{
+	codeAnswered:     balancer.Success,
+	codeServerFailed: balancer.Failure,
+	codeOverloaded:   balancer.Overloaded,
+	codeNotAccepted:  balancer.Unreachable,
+	codeBroken:       balancer.Broken,
+	codeTimedOut:     balancer.TimedOut,
+}
+
+func messageFields(fields []*wire.HeaderFieldT) []message.Field {
+	out := make([]message.Field, 0, len(fields))
+	for _, f := range fields {
+		out = append(out, message.Field{Name: f.Name, Value: f.Value})
+	}
+	return out
+}
+
+func wireFields(fields []message.Field) (out []*wire.HeaderFieldT) {
+	for _, f := range fields {
+		out = append(out, &wire.HeaderFieldT{Name: f.Name, Value: f.Value})
+	}
+	return out
+}
--- a/internal/mesh/sidecar/response_store_test.go
+++ b/internal/mesh/sidecar/response_store_test.go
@@ -22,7 +22,7 @@
 	assert.Assert(t, ok)
 	k.setState("a", keyAnswered, &wire.ResponseT{Status: 201, Body: []byte("text")})
 	was, ok = k.begin("a", "t3", 0, time.Minute)
-	assert.Assert(t, !ok && was.state == keyAnswered && was.answer.Status == 201)
+	assert.Assert(t, !ok && was.state == keyAnswered && was.response.Status == 201)
 	// It is bounded: of the oldest the answers go, not that they ran.
 	body := make([]byte, maxStoredResponseBytes)
 	for n := range 2 * maxStoredBytes / maxStoredResponseBytes {
@@ -32,7 +32,7 @@
 	}
 	assert.Assert(t, k.storedBytes <= maxStoredBytes)
 	was, ok = k.begin("a", "t4", 0, time.Minute)
-	assert.Assert(t, !ok && was.state == keyAnswered && was.answer == nil)
+	assert.Assert(t, !ok && was.state == keyAnswered && was.response == nil)
 	// Past its window a key is forgotten.
 	for _, x := range k.records {
 		x.claimedAt = x.claimedAt.Add(-2 * time.Minute)
--- a/internal/mesh/sidecar/server_protocol.go
+++ b/internal/mesh/sidecar/server_protocol.go
@@ -11,9 +11,10 @@
 	sender "cranegrade/internal/sender/http1"
 )
 
-// serverProtocol is the mesh's words towards its server. It implements sender.Speech.
+// serverProtocol is the mesh's protocol towards the local server. It implements sender.Speech.
 type serverProtocol struct{}
 
+// Head implements sender.Speech.
 func (serverProtocol) Head(a *engine.Attempt, h http.Header) {
 	m := a.Payload.(*message.Request)
 	h["User-Agent"] = m.Header["User-Agent"]
@@ -21,8 +22,8 @@
 	h[headerTargetInstance] = []string{a.Endpoint.ID}
 }
 
-// Matches implements sender.Speech. An answer that turns a request away need not say which; a success that names none is no
-// answer to any.
+// Matches implements sender.Speech. A response that rejects a request need not say which; a success that names none is no response
+// to any.
 func (serverProtocol) Matches(m *message.Request, resp *http.Response) sender.Match {
 	switch got := resp.Header.Get(headerAttemptID); {
 	case got == m.Note.(*wire.RequestT).AttemptId:
@@ -33,10 +34,15 @@
 	return sender.OfAnother
 }
 
-// notExecutedStatuses are the statuses with which a server may say that it has not run a request. With any other that word contradicts
-// the answer, and is not believed.
-var notExecutedStatuses = map[int]bool{http.StatusBadRequest: true, http.StatusRequestTimeout: true, http.StatusMisdirectedRequest: true,
-	http.StatusTooManyRequests: true, http.StatusServiceUnavailable: true}
+// notExecutedStatuses are the statuses with which a server may say that it has not run a request. With any other, Not-Executed
+// contradicts the response, and is not believed.
+var notExecutedStatuses = map[int]bool{
+	http.StatusBadRequest:         true,
+	http.StatusRequestTimeout:     true,
+	http.StatusMisdirectedRequest: true,
+	http.StatusTooManyRequests:    true,
+	http.StatusServiceUnavailable: true,
+}
 
 // Ending implements sender.Speech.
 func (serverProtocol) Ending(resp *http.Response) (balancer.Ending, bool) {
@@ -48,22 +54,23 @@
 	case resp.StatusCode >= 500:
 		return balancer.Failure, true
 	case resp.StatusCode/100 == 2 && resp.Header.Get(headerServerSeal) == "":
-		return balancer.Broken, false // no answer of a server's
+		return balancer.Broken, false // no response of a server's
 	}
 	return balancer.Success, true
 }
 
+// Word implements sender.Speech: it gives the part of a response that is forwarded.
 func (serverProtocol) Word(resp *http.Response) (int, []message.Field, string) {
-	h := make([]message.Field, 0, len(resp.Header))
+	fields := make([]message.Field, 0, len(resp.Header))
 	for name, values := range resp.Header {
 		if unforwardedHeaders[name] {
 			continue
 		}
 		for _, v := range values {
-			h = append(h, message.Field{Name: name, Value: v})
+			fields = append(fields, message.Field{Name: name, Value: v})
 		}
 	}
-	return resp.StatusCode, h, ""
+	return resp.StatusCode, fields, ""
 }
 
 var _ sender.Speech = serverProtocol{}
--- /dev/null
+++ b/internal/mesh/sidecar/service.go
@@ -0,0 +1,96 @@
+package sidecar
+
+import (
+	"math"
+	"sync"
+	"time"
+
+	"cranegrade/balancer"
+	"cranegrade/internal/mesh/retrybudget"
+	"cranegrade/internal/mesh/routing"
+	"cranegrade/internal/pool"
+)
+
+const (
+	// policyRetryWindow is what policies' retry ratios are counted over, and maxPolicyBudgets for how many routes at a time.
+	policyRetryWindow = 10 * time.Second
+	maxPolicyBudgets  = 4096
+)
+
+// service is one pool with what the sidecar knows of it.
+type service struct {
+	name   string
+	pool   *pool.Pool
+	source *directorySource
+	// Guarded by servicePools.mu; as the decision module has them.
+	classes  map[string]balancer.Class
+	position fleetPosition
+
+	mu            sync.Mutex // guards below
+	retryBudget   *retrybudget.Budget
+	policyBudgets map[string]*retrybudget.Budget // by route, of those whose policy bounds retries besides
+}
+
+// updateClasses updates the decision module with the classes of routes that are new or have changed.
+func (s *service) updateClasses(routes []*routing.Route) {
+	var changed []balancer.Class
+	for _, class := range moduleClasses(s.name, routes) {
+		if s.classes[class.Name] != class {
+			s.classes[class.Name] = class
+			changed = append(changed, class)
+		}
+	}
+	if len(changed) > 0 {
+		go s.pool.Engine().Tell(balancer.Classes{Classes: changed})
+	}
+}
+
+// refresh takes that the directory has changed: the retry budget's limits, the sidecar's position, and the list of servers.
+func (s *service) refresh(limits retrybudget.Limits, position fleetPosition) {
+	s.mu.Lock()
+	s.retryBudget.SetLimits(limits)
+	s.mu.Unlock()
+	if s.position != position {
+		s.position = position
+		go s.pool.Engine().Tell(balancer.Fleet{Balancers: position.sidecars, Index: position.index,
+			Divisor: max(1, float64(position.sidecars)/2), Whole: true, Takes: position.serverCapacity})
+	}
+	select {
+	case s.source.changed <- struct{}{}:
+	default:
+	}
+}
+
+// admitAttempt counts an attempt that is about to be sent, the nth of its request from 0; false: the retry budget of the service
+// allows no more, or that of the policy.
+func (s *service) admitAttempt(now time.Duration, nth int, r *routedRequest) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	policyBudget := s.policyBudget(r)
+	if nth == 0 {
+		s.retryBudget.RecordRequest(now)
+		if policyBudget != nil {
+			policyBudget.RecordRequest(now)
+		}
+		return true
+	}
+	return (policyBudget == nil || policyBudget.AllowRetry(now)) && s.retryBudget.AllowRetry(now)
+}
+
+// policyBudget is the retry budget of a request's policy; nil: the policy bounds no retries. The caller holds mu.
+func (s *service) policyBudget(r *routedRequest) *retrybudget.Budget {
+	if r.policy == nil || math.IsInf(r.policy.RetryRatio, 1) {
+		return nil
+	}
+	limits := retrybudget.Limits{Window: policyRetryWindow, Ratio: r.policy.RetryRatio}
+	budget := s.policyBudgets[r.route.Name]
+	if budget == nil {
+		if s.policyBudgets == nil || len(s.policyBudgets) > maxPolicyBudgets {
+			s.policyBudgets = map[string]*retrybudget.Budget{}
+		}
+		budget = retrybudget.New(limits)
+		s.policyBudgets[r.route.Name] = budget
+	}
+	budget.SetLimits(limits)
+	return budget
+}
--- a/internal/mesh/sidecar/status.go
+++ b/internal/mesh/sidecar/status.go
@@ -7,30 +7,29 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// status is how this line is.
-func (l *Sidecar) status() *wire.StatusT {
-	set := l.settings.Load()
-	l.mu.Lock()
-	items := l.items
-	l.mu.Unlock()
-	o := l.localServer
-	o.mu.Lock()
-	rec, why, held := o.current, o.outReason, o.heldByOperator || o.inMaintenance
-	o.mu.Unlock()
-	s := &wire.StatusT{Name: set.NodeName, Addr: l.Addr(), Zone: set.Zone, UptimeUs: time.Since(l.startedAt).Microseconds(), ItemVersions: items.Versions(), QuorumContact: l.controlPlane.isReachable(),
-		Ready: l.isReady(), Stopping: l.stopping.Load(), InMaintenance: held, Service: rec.Service, ServerId: rec.ServerID, ServerState: byte(rec.State), ServerStateReason: why, OpenRequests: l.inbound.openRequests.Load(),
-		MaintenanceIndex: l.maintenance.Load().Index, UpstreamAddrs: l.upstreams.activeAddrs()}
-	leaf := l.policies.current()
-	s.CommittedPolicy, s.ActivePolicy, s.ActivePolicyIndex, s.Fenced = leaf.Received, leaf.Active, leaf.ActiveIndex, l.isFenced()
-	s.ActivePolicyAgeUs = (l.clock.Now() - time.Duration(l.policies.activeSince.Load())).Microseconds()
-	s.Traffic = transport.SentTraffic()
-	s.Work = l.inbound.metrics.snapshot()
-	s.DownstreamRequests, _ = l.pools.budgets.calls.Used()
-	if h := l.handedOverFor.Load(); h != nil {
-		s.HandedOverOrder = *h
+// status is how this sidecar is, for the operators' calls.
+func (s *Sidecar) status() *wire.StatusT {
+	set := s.env.settings.Load()
+	items := s.configuration.heldItems()
+	local := s.localServer.status()
+	policies := s.configuration.policies.current()
+	out := &wire.StatusT{
+		Name: set.NodeName, Addr: s.Addr(), Zone: set.Zone, UptimeUs: time.Since(s.env.startedAt).Microseconds(),
+		ItemVersions: items.Versions(), QuorumContact: s.controlPlane.isReachable(),
+		Ready: s.readiness.isReady(), Stopping: s.readiness.stopping.Load(), InMaintenance: local.held,
+		Service: local.record.Service, ServerId: local.record.ServerID, ServerState: byte(local.record.State), ServerStateReason: local.outReason,
+		OpenRequests: s.inbound.openRequests.Load(), MaintenanceIndex: s.maintenance.orders.Load().Index,
+		UpstreamAddrs:   s.upstreams.activeAddrs(),
+		CommittedPolicy: policies.Received, ActivePolicy: policies.Active, ActivePolicyIndex: policies.ActiveIndex,
+		Fenced: s.configuration.isFenced(), ActivePolicyAgeUs: s.configuration.activeFor().Microseconds(),
+		Traffic: transport.SentTraffic(), Work: s.inbound.metrics.snapshot(),
 	}
-	if c := l.controlPlane.conn.Load(); c != nil && c.Err() == nil {
-		s.FollowedMember = c.RemoteAddr()
+	out.DownstreamRequests, _ = s.pools.budgets.calls.Used()
+	if order := s.maintenance.handedOverFor.Load(); order != nil {
+		out.HandedOverOrder = *order
 	}
-	return s
+	if conn := s.controlPlane.current(); conn != nil {
+		out.FollowedMember = conn.RemoteAddr()
+	}
+	return out
 }
--- a/internal/mesh/sidecar/upstream_attempt.go
+++ b/internal/mesh/sidecar/upstream_attempt.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"sync"
-	"time"
 
 	"cranegrade/balancer"
 	"cranegrade/internal/engine"
@@ -13,274 +12,158 @@
 	"cranegrade/internal/message"
 )
 
-// Endings as an Answer on a cord words them.
-const (
-	codeAnswered      byte = iota // status and body are the server's, or what is answered in its place
-	codeServerFailed              // the same, and the server failed
-	codeOverloaded                // the server turned it away: it has not run
-	codeNotAccepted               // the line turned it away: it has not run
-	codeBroken                    // it may have run
-	codeTimedOut                  // it may have run
-	codeKeyNotGranted             // the registers could not grant its key: it has not run, and no other server would do better
-)
-
-// upstreamAttempt is an attempt on a cord.
+// upstreamAttempt is an attempt as a stream on an upstream's connection. It ends once: by its response, the end of the connection, or
+// its own time.
 type upstreamAttempt struct {
 	attempt    *engine.Attempt
-	id         uint64
-	attemptID  string // the request's Attempt-Id: an answer that has another is not its own
+	id         uint64 // of the stream
+	attemptID  string // of the request: a response that names another one is not its own
 	conn       *transport.Conn
 	sendWindow flowWindow    // for the request's body
 	done       chan struct{} // closed with the attempt's end
-	ruleTrace  string        // what an answer in pieces is given besides
-
-	mu            sync.Mutex      // guards below: the cord's reader and the attempt's own time may both end it
-	stream        *message.Stream // of an answer that comes in pieces
-	finished      bool
-	keyNotGranted bool // no register granted the key
-	ending        balancer.Ending
-	reply         *message.Reply
-}
-
-// Start implements engine.Sender.
-func (s *upstreams) Start(ctx context.Context, a *engine.Attempt) {
-	go func() {
-		ending, reply := s.runAttempt(ctx, a)
-		a.Payload.(*message.Request).Note.(*routedRequest).lastEnding.Store(uint32(ending))
-		if reply == nil { // a nil *Reply in the interface would not be nil
-			a.End(ending, nil)
-			return
-		}
-		a.End(ending, reply)
-	}()
-}
-
-func (s *upstreams) runAttempt(ctx context.Context, a *engine.Attempt) (balancer.Ending, *message.Reply) {
-	m := a.Payload.(*message.Request)
-	o := m.Note.(*routedRequest)
-	if m.Spent() {
-		return balancer.Void, nil
-	}
-	nth := int(o.attempts.Load())
-	if nth >= o.maxAttempts() || o.keyNotGranted.Load() || nth > 0 && !o.mayRetry() {
-		return balancer.Void, nil
-	}
-	x := s.get(a.Endpoint.Addr)
-	c, err := x.connect(ctx)
-	switch {
-	case err != nil && ctx.Err() == nil:
-		return balancer.Unreachable, nil
-	case err != nil:
-		return balancer.Void, nil
-	}
-	// Counted first: whoever answers in its place, as never run, finds the count, or this finds the call finished.
-	o.attempts.Add(1)
-	if ending, ok := a.Begin(); !ok {
-		o.attempts.Add(-1)
-		return ending, nil
-	}
-	if !o.service.admitAttempt(s.sidecar.clock.Now(), nth, o) {
-		o.attempts.Add(-1)
-		return balancer.Void, nil
-	}
-	if m.More != nil && !m.Claim() {
-		return balancer.Void, nil
-	}
-	p := &upstreamAttempt{attempt: a, id: s.lastStreamID.Add(1), attemptID: o.attemptID, conn: c, done: make(chan struct{}), ruleTrace: o.ruleTrace}
-	p.sendWindow.add(sendWindowBytes)
-	if !x.add(p) {
-		return balancer.Unreachable, nil
-	}
-	defer x.remove(p)
-	if c.Send(s.newRequest(a, m, o, p.id, uint32(nth))) != nil {
-		return balancer.Unreachable, nil // nothing of it was written
-	}
-	if m.More != nil {
-		go p.uploadBody(ctx, m)
-	}
-	select {
-	case <-p.done:
-	case <-ctx.Done():
-		if m.Runs != message.RunsOnce || m.More != nil { // else it goes on, and its answer is kept for a repeat
-			c.Send(&wire.CancelT{Id: p.id})
-		}
-		p.finish(engine.EndingOf(ctx), nil)
-	}
-	if p.keyNotGranted {
-		o.keyNotGranted.Store(true)
-		return balancer.Void, nil
-	}
-	if p.ending == balancer.Failure && p.reply != nil {
-		m.Fail(p.reply)
-		return p.ending, nil
-	}
-	return p.ending, p.reply
-}
-
-// newRequest words an attempt.
-func (s *upstreams) newRequest(a *engine.Attempt, m *message.Request, o *routedRequest, id uint64, nth uint32) *wire.RequestT {
-	r := &wire.RequestT{Id: id, AttemptId: o.attemptID, Method: m.Method, Target: m.URL.Opaque, Host: m.Authority, Body: m.Body,
-		ContentLength: int64(len(m.Body)), TimeoutUs: int64(a.Timeout / time.Microsecond), ServerId: a.Endpoint.ID, IdempotencyKey: o.key, Token: o.token, Attempt: nth}
-	if m.More != nil {
-		r.MoreBody, r.ContentLength = true, m.More.Length
-	}
-	far, _ := s.sidecar.directory.Load().Get(a.Endpoint.Addr)
-	add := func(name, value string) {
-		if far.ProtocolVersion >= codec.PackedHeaderVersion {
-			r.PackedHeader = codec.AppendHeaderField(r.PackedHeader, name, value)
-		} else {
-			r.HeaderFields = append(r.HeaderFields, &wire.HeaderFieldT{Name: name, Value: value})
-		}
-	}
-	for name, values := range m.Header {
-		for _, v := range values {
-			add(name, v)
-		}
-	}
-	add(headerCallerService, s.sidecar.settings.Load().Service)
-	if m.Runs == message.RunsOnce {
-		r.AtMostOnce = true
-	}
-	return r
+	ruleTrace  string        // what a streamed response is given besides
+
+	mu             sync.Mutex      // guards below: the connection's reader and the attempt's own time may both end it
+	responseStream *message.Stream // of a streamed response
+	finished       bool
+	keyNotGranted  bool // the control plane did not grant the key
+	ending         balancer.Ending
+	reply          *message.Reply
 }
 
 // finish ends the attempt, once.
-func (p *upstreamAttempt) finish(ending balancer.Ending, reply *message.Reply) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.finished {
+func (a *upstreamAttempt) finish(ending balancer.Ending, reply *message.Reply) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.finished {
 		return
 	}
-	p.finished = true
-	if p.stream != nil {
+	a.finished = true
+	if a.responseStream != nil {
 		if ending == balancer.Success {
-			p.stream.Finish([]message.Field{})
+			a.responseStream.Finish([]message.Field{})
 		} else {
-			p.stream.Finish(nil)
+			a.responseStream.Finish(nil)
 		}
 	}
-	p.ending, p.reply = ending, reply
-	p.sendWindow.close()
-	close(p.done)
+	a.ending, a.reply = ending, reply
+	a.sendWindow.close()
+	close(a.done)
 }
 
-// beginStream has an answer come in pieces, unless the attempt has ended meanwhile: its end comes after its beginning. One that
-// begins twice is broken.
-func (p *upstreamAttempt) beginStream(v *wire.ResponseT) {
-	taken := 0
-	fields := messageFields(v.HeaderFields)
-	if p.ruleTrace != "" {
-		fields = append(fields, message.Field{Name: headerRuleTrace, Value: p.ruleTrace})
-	}
-	st := message.NewStream(fields, func(n int) {
-		if taken += n; taken >= windowUpdateBytes {
-			p.conn.Send(&wire.WindowUpdateT{Id: p.id, Increment: uint32(taken)})
-			taken = 0
-		}
-	})
-	st.Status, st.Length = int(v.Status), v.ContentLength
-	p.mu.Lock()
-	if p.finished {
-		p.mu.Unlock()
-		p.conn.Send(&wire.CancelT{Id: p.id})
-		return
-	}
-	if p.stream != nil {
-		p.mu.Unlock()
-		p.finish(balancer.Broken, nil)
-		return
-	}
-	defer p.mu.Unlock()
-	p.stream = st
-	p.attempt.Began(st)
-}
-
-var endingsByCode = map[byte]balancer.Ending{codeAnswered: balancer.Success, codeServerFailed: balancer.Failure, codeOverloaded: balancer.Overloaded,
-	codeNotAccepted: balancer.Unreachable, codeBroken: balancer.Broken, codeTimedOut: balancer.TimedOut}
-
-func messageFields(l []*wire.HeaderFieldT) []message.Field {
-	out := make([]message.Field, 0, len(l))
-	for _, f := range l {
-		out = append(out, message.Field{Name: f.Name, Value: f.Value})
-	}
-	return out
-}
-
-// handleAnswer takes an answer as it came. One whose head can't be read is none, and so is one that names another request.
-func (p *upstreamAttempt) handleAnswer(v *wire.ResponseT) {
-	if len(v.PackedHeader) > 0 {
-		fields, err := codec.UnpackHeader(v.PackedHeader)
+// handleResponse takes a response as it came. One whose head can't be read is none, and so is one that names another request.
+func (a *upstreamAttempt) handleResponse(response *wire.ResponseT) {
+	if len(response.PackedHeader) > 0 {
+		fields, err := codec.UnpackHeader(response.PackedHeader)
 		if err != nil {
-			p.finish(balancer.Broken, nil)
+			a.finish(balancer.Broken, nil)
 			return
 		}
-		v.HeaderFields = fields
+		response.HeaderFields = fields
 	}
-	for _, f := range v.HeaderFields {
-		if f.Name == headerAttemptID && f.Value != p.attemptID {
-			p.finish(balancer.Broken, nil)
+	for _, f := range response.HeaderFields {
+		if f.Name == headerAttemptID && f.Value != a.attemptID {
+			a.finish(balancer.Broken, nil)
 			return
 		}
 	}
-	p.applyAnswer(v)
+	a.applyResponse(response)
 }
 
-func (p *upstreamAttempt) applyAnswer(v *wire.ResponseT) {
-	if v.Ending == codeKeyNotGranted {
-		p.mu.Lock()
-		if !p.finished { // else the attempt may be looking at it
-			p.keyNotGranted = true
+// applyResponse ends the attempt with a response, or begins its stream.
+func (a *upstreamAttempt) applyResponse(response *wire.ResponseT) {
+	if response.Ending == codeKeyNotGranted {
+		a.mu.Lock()
+		if !a.finished { // else the attempt may be looking at it
+			a.keyNotGranted = true
 		}
-		p.mu.Unlock()
-		p.finish(balancer.Void, nil)
+		a.mu.Unlock()
+		a.finish(balancer.Void, nil)
 		return
 	}
-	ending, known := endingsByCode[v.Ending]
+	ending, known := endingsByCode[response.Ending]
 	if !known {
 		ending = balancer.Broken
 	}
-	if v.MoreBody && ending == balancer.Success {
-		p.beginStream(v)
+	if response.MoreBody && ending == balancer.Success {
+		a.beginStream(response)
 		return
 	}
 	var reply *message.Reply
 	if ending == balancer.Success || ending == balancer.Failure {
-		reply = message.NewReply("", v.Body, nil)
-		reply.Status, reply.Header = int(v.Status), messageFields(v.HeaderFields)
+		reply = message.NewReply("", response.Body, nil)
+		reply.Status, reply.Header = int(response.Status), messageFields(response.HeaderFields)
+	}
+	a.finish(ending, reply)
+}
+
+// beginStream has a response be streamed, unless the attempt has ended meanwhile: its end comes after its beginning. One that
+// begins twice is broken.
+func (a *upstreamAttempt) beginStream(head *wire.ResponseT) {
+	stream := a.newStream(head)
+	a.mu.Lock()
+	if a.finished {
+		a.mu.Unlock()
+		a.conn.Send(&wire.CancelT{Id: a.id})
+		return
+	}
+	if a.responseStream != nil {
+		a.mu.Unlock()
+		a.finish(balancer.Broken, nil)
+		return
 	}
-	p.finish(ending, reply)
+	defer a.mu.Unlock()
+	a.responseStream = stream
+	a.attempt.Began(stream)
+}
+
+// newStream is the stream of a response, which opens the other side's window as it is read.
+func (a *upstreamAttempt) newStream(head *wire.ResponseT) *message.Stream {
+	taken := 0
+	fields := messageFields(head.HeaderFields)
+	if a.ruleTrace != "" {
+		fields = append(fields, message.Field{Name: headerRuleTrace, Value: a.ruleTrace})
+	}
+	stream := message.NewStream(fields, func(n int) {
+		if taken += n; taken >= windowUpdateBytes {
+			a.conn.Send(&wire.WindowUpdateT{Id: a.id, Increment: uint32(taken)})
+			taken = 0
+		}
+	})
+	stream.Status, stream.Length = int(head.Status), head.ContentLength
+	return stream
 }
 
-func (p *upstreamAttempt) handlePiece(v *wire.BodyChunkT) {
-	p.mu.Lock()
-	st := p.stream
-	over := p.finished
-	p.mu.Unlock()
-	if st == nil || over {
+// handlePiece takes a piece of a streamed response.
+func (a *upstreamAttempt) handlePiece(piece *wire.BodyChunkT) {
+	a.mu.Lock()
+	stream, finished := a.responseStream, a.finished
+	a.mu.Unlock()
+	if stream == nil || finished {
 		return
 	}
-	if len(v.Data) > 0 {
-		st.Push(v.Data)
+	if len(piece.Data) > 0 {
+		stream.Push(piece.Data)
 	}
 	switch {
-	case v.Aborted:
-		p.finish(balancer.Broken, nil)
-	case v.Last:
-		p.finish(balancer.Success, nil)
+	case piece.Aborted:
+		a.finish(balancer.Broken, nil)
+	case piece.Last:
+		a.finish(balancer.Success, nil)
 	}
 }
 
-// uploadBody sends what follows of a long request.
-func (p *upstreamAttempt) uploadBody(ctx context.Context, m *message.Request) {
+// uploadBody sends the pieces of a streamed request.
+func (a *upstreamAttempt) uploadBody(ctx context.Context, m *message.Request) {
 	for {
-		b, err := m.More.Next(ctx)
-		if err != nil || b == nil {
-			p.conn.Send(&wire.BodyChunkT{Id: p.id, Last: true, Aborted: err != nil || m.More.Trailer() == nil})
+		piece, err := m.More.Next(ctx)
+		if err != nil || piece == nil {
+			a.conn.Send(&wire.BodyChunkT{Id: a.id, Last: true, Aborted: err != nil || m.More.Trailer() == nil})
 			return
 		}
-		if !p.sendWindow.acquire(ctx, len(b)) {
+		if !a.sendWindow.acquire(ctx, len(piece)) {
 			return
 		}
-		p.conn.Send(&wire.BodyChunkT{Id: p.id, Data: b})
+		a.conn.Send(&wire.BodyChunkT{Id: a.id, Data: piece})
 	}
 }
--- /dev/null
+++ b/internal/mesh/sidecar/upstream_attempt_test.go
@@ -0,0 +1,116 @@
+package sidecar
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/message"
+)
+
+// prefixedConn is a connection that some bytes have come on.
+type prefixedConn struct {
+	net.Conn
+	first *bytes.Reader
+}
+
+func (p prefixedConn) Read(b []byte) (int, error) {
+	if p.first.Len() > 0 {
+		return p.first.Read(b)
+	}
+	return p.Conn.Read(b)
+}
+
+// newDiscardingConn is a connection whose other side reads and says nothing.
+func newDiscardingConn(t *testing.T) *transport.Conn {
+	t.Helper()
+	near, far := net.Pipe()
+	t.Cleanup(func() { near.Close() })
+	go io.Copy(io.Discard, far)
+	hello := codec.Encode(&wire.HelloT{TransportVersion: transport.ProtocolVersion})
+	conn, err := transport.Accept(prefixedConn{near, bytes.NewReader(hello)}, nil)
+	assert.NilError(t, err)
+	return conn
+}
+
+// newTestAttempt is an attempt that is open on a connection; began is called with its streams.
+func newTestAttempt(conn *transport.Conn, began func(*message.Stream)) *upstreamAttempt {
+	hooks := engine.Hooks{Began: func(r engine.Reply) { began(r.(*message.Stream)) }}
+	return &upstreamAttempt{conn: conn, id: 1, done: make(chan struct{}), attempt: engine.NewAttempt(nil, nil, time.Second, hooks)}
+}
+
+// A streamed answer and the end of an attempt's own time, in all orders: what begins also ends, and as broken where it is not
+// complete; nothing begins after the end, and then the other side is told to stop.
+func TestAnswerAndTimeoutInAllOrders(t *testing.T) {
+	conn := newDiscardingConn(t)
+	var permute func(left, steps string)
+	permute = func(left, steps string) {
+		if left == "" {
+			checkAnswerAndTimeout(t, conn, steps)
+			return
+		}
+		for i, step := range left {
+			permute(left[:i]+left[i+1:], steps+string(step))
+		}
+	}
+	permute("aplt", "")
+}
+
+// checkAnswerAndTimeout plays an answer's head (a), a piece (p), the last piece (l) and the timeout (t) in an order.
+func checkAnswerAndTimeout(t *testing.T, conn *transport.Conn, steps string) {
+	t.Helper()
+	var stream *message.Stream
+	attempt := newTestAttempt(conn, func(s *message.Stream) { stream = s })
+	for _, step := range steps {
+		switch step {
+		case 'a':
+			attempt.applyResponse(&wire.ResponseT{Id: 1, Status: 200, MoreBody: true, ContentLength: -1})
+		case 'p':
+			attempt.handlePiece(&wire.BodyChunkT{Id: 1, Data: []byte("x")})
+		case 'l':
+			attempt.handlePiece(&wire.BodyChunkT{Id: 1, Last: true})
+		case 't':
+			attempt.finish(balancer.TimedOut, nil)
+		}
+	}
+	at := func(step rune) int { return strings.IndexRune(steps, step) }
+	assert.Equal(t, stream != nil, at('a') < at('t'), steps)
+	complete := at('a') < at('l') && at('l') < at('t')
+	assert.Equal(t, attempt.ending == balancer.Success, complete, steps)
+	if stream == nil {
+		return
+	}
+	assert.Equal(t, stream.Trailer() != nil, complete, steps)
+	for stream.Held() > 0 {
+		_, err := stream.Next(context.Background())
+		assert.NilError(t, err)
+	}
+	piece, err := stream.Next(context.Background()) // returns, for it has ended
+	assert.Assert(t, piece == nil && err == nil, steps)
+}
+
+// An answer that begins twice is broken, and nothing is added to one that has ended: its caller sees the first's end.
+func TestAnswerBeginsTwice(t *testing.T) {
+	var streams []*message.Stream
+	attempt := newTestAttempt(newDiscardingConn(t), func(s *message.Stream) { streams = append(streams, s) })
+	attempt.applyResponse(&wire.ResponseT{Id: 1, Status: 200, MoreBody: true, ContentLength: -1})
+	attempt.applyResponse(&wire.ResponseT{Id: 1, Status: 200, MoreBody: true, ContentLength: -1})
+	attempt.handlePiece(&wire.BodyChunkT{Id: 1, Data: []byte("x")})
+	<-attempt.done
+	assert.Equal(t, len(streams), 1)
+	assert.Equal(t, attempt.ending, balancer.Broken)
+	assert.Assert(t, streams[0].Held() == 0 && streams[0].Trailer() == nil)
+	body, err := streams[0].Next(context.Background()) // returns, for it has ended
+	assert.Assert(t, body == nil && err == nil)
+}
--- /dev/null
+++ b/internal/mesh/sidecar/upstream_sender.go
@@ -0,0 +1,127 @@
+package sidecar
+
+import (
+	"context"
+	"time"
+
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+	"cranegrade/internal/message"
+)
+
+// Start implements engine.Sender.
+func (u *upstreams) Start(ctx context.Context, a *engine.Attempt) {
+	go func() {
+		ending, reply := u.runAttempt(ctx, a)
+		a.Payload.(*message.Request).Note.(*routedRequest).lastEnding.Store(uint32(ending))
+		if reply == nil { // a nil *Reply in the interface would not be nil
+			a.End(ending, nil)
+			return
+		}
+		a.End(ending, reply)
+	}()
+}
+
+// runAttempt makes an attempt and waits for its end.
+func (u *upstreams) runAttempt(ctx context.Context, a *engine.Attempt) (balancer.Ending, *message.Reply) {
+	m := a.Payload.(*message.Request)
+	routed := m.Note.(*routedRequest)
+	if m.Spent() {
+		return balancer.Void, nil
+	}
+	nth := int(routed.attempts.Load())
+	if !routed.allowsAttempt(nth) {
+		return balancer.Void, nil
+	}
+	x := u.get(a.Endpoint.Addr)
+	conn, err := x.connect(ctx)
+	switch {
+	case err != nil && ctx.Err() == nil:
+		return balancer.Unreachable, nil
+	case err != nil:
+		return balancer.Void, nil
+	}
+	if ending, ok := u.beginAttempt(a, routed, nth); !ok {
+		return ending, nil
+	}
+	if m.More != nil && !m.Claim() {
+		return balancer.Void, nil
+	}
+	sent := &upstreamAttempt{attempt: a, id: u.lastStreamID.Add(1), attemptID: routed.attemptID, conn: conn, done: make(chan struct{}),
+		ruleTrace: routed.ruleTrace}
+	sent.sendWindow.add(sendWindowBytes)
+	if !x.add(sent) {
+		return balancer.Unreachable, nil
+	}
+	defer x.remove(sent)
+	if conn.Send(u.newRequest(a, m, routed, sent.id, uint32(nth))) != nil {
+		return balancer.Unreachable, nil // nothing of it was written
+	}
+	if m.More != nil {
+		go sent.uploadBody(ctx, m)
+	}
+	return sent.wait(ctx, m, routed)
+}
+
+// beginAttempt counts an attempt, unless its call has ended or the retry budget allows no more; ok is false then.
+func (u *upstreams) beginAttempt(a *engine.Attempt, routed *routedRequest, nth int) (ending balancer.Ending, ok bool) {
+	// Counted first: whoever answers in its place, as never run, finds the count, or this finds the call finished.
+	routed.attempts.Add(1)
+	if ending, ok := a.Begin(); !ok {
+		routed.attempts.Add(-1)
+		return ending, false
+	}
+	if !routed.service.admitAttempt(u.env.clock.Now(), nth, routed) {
+		routed.attempts.Add(-1)
+		return balancer.Void, false
+	}
+	return 0, true
+}
+
+// wait waits for the attempt's end, by its response or its own time.
+func (a *upstreamAttempt) wait(ctx context.Context, m *message.Request, routed *routedRequest) (balancer.Ending, *message.Reply) {
+	select {
+	case <-a.done:
+	case <-ctx.Done():
+		if m.Runs != message.RunsOnce || m.More != nil { // else it goes on, and its response is stored for a repeat
+			a.conn.Send(&wire.CancelT{Id: a.id})
+		}
+		a.finish(engine.EndingOf(ctx), nil)
+	}
+	if a.keyNotGranted {
+		routed.keyNotGranted.Store(true)
+		return balancer.Void, nil
+	}
+	if a.ending == balancer.Failure && a.reply != nil {
+		m.Fail(a.reply)
+		return a.ending, nil
+	}
+	return a.ending, a.reply
+}
+
+// newRequest is an attempt as it is sent.
+func (u *upstreams) newRequest(a *engine.Attempt, m *message.Request, routed *routedRequest, id uint64, nth uint32) *wire.RequestT {
+	r := &wire.RequestT{Id: id, AttemptId: routed.attemptID, Method: m.Method, Target: m.URL.Opaque, Host: m.Authority, Body: m.Body,
+		ContentLength: int64(len(m.Body)), TimeoutUs: int64(a.Timeout / time.Microsecond), ServerId: a.Endpoint.ID,
+		IdempotencyKey: routed.key, Token: routed.token, Attempt: nth, AtMostOnce: m.Runs == message.RunsOnce}
+	if m.More != nil {
+		r.MoreBody, r.ContentLength = true, m.More.Length
+	}
+	far, _ := u.directory.table.Load().Get(a.Endpoint.Addr)
+	add := func(name, value string) {
+		if far.ProtocolVersion >= codec.PackedHeaderVersion {
+			r.PackedHeader = codec.AppendHeaderField(r.PackedHeader, name, value)
+		} else {
+			r.HeaderFields = append(r.HeaderFields, &wire.HeaderFieldT{Name: name, Value: value})
+		}
+	}
+	for name, values := range m.Header {
+		for _, v := range values {
+			add(name, v)
+		}
+	}
+	add(headerCallerService, u.env.settings.Load().Service)
+	return r
+}
--- /dev/null
+++ b/internal/mesh/sidecar/upstreams.go
@@ -0,0 +1,70 @@
+package sidecar
+
+import (
+	"sync"
+	"sync/atomic"
+
+	"cranegrade/internal/engine"
+)
+
+// upstreams are the connections to other sidecars, by their address. They implement engine.Sender: an attempt is a stream on one
+// of them.
+type upstreams struct {
+	env       *environment
+	directory *directoryView
+
+	mu           sync.Mutex // guards byAddr
+	byAddr       map[string]*upstream
+	lastStreamID atomic.Uint64
+}
+
+func newUpstreams(env *environment, directory *directoryView) *upstreams {
+	return &upstreams{env: env, directory: directory, byAddr: map[string]*upstream{}}
+}
+
+// get is the upstream of an address, made if there is none.
+func (u *upstreams) get(addr string) *upstream {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	x := u.byAddr[addr]
+	if x == nil {
+		x = &upstream{env: u.env, addr: addr, attempts: map[uint64]*upstreamAttempt{}}
+		u.byAddr[addr] = x
+	}
+	return x
+}
+
+// Drop implements engine.Sender: the attempts that are under way go on.
+func (u *upstreams) Drop(*engine.Endpoint) {}
+
+// Sweep implements engine.Sender: connections to sidecars that are in the directory no more are given up.
+func (u *upstreams) Sweep() {
+	table := u.directory.table.Load()
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for addr, x := range u.byAddr {
+		if _, known := table.Get(addr); !known && x.closeIfIdle() {
+			delete(u.byAddr, addr)
+		}
+	}
+}
+
+// activeAddrs are the addresses to which attempts are under way.
+func (u *upstreams) activeAddrs() (addrs []string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for addr, x := range u.byAddr {
+		if x.isActive() {
+			addrs = append(addrs, addr)
+		}
+	}
+	return addrs
+}
+
+func (u *upstreams) close() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for _, x := range u.byAddr {
+		x.close()
+	}
+}
