--- a/cmd/cranegrade/crowd_test.go
+++ b/cmd/cranegrade/crowd_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"cranegrade/internal/opsport"
+	"cranegrade/internal/admin"
 	"cranegrade/internal/testkit"
 )
 
@@ -61,7 +61,7 @@
 	testkit.Eventually(t, "never says yes", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		yes, _, err := opsport.Ask(ctx, u.port, opsport.Call{Verb: opsport.Check})
+		yes, _, err := admin.Ask(ctx, u.port, admin.Call{Verb: admin.Check})
 		return err == nil && yes
 	})
 	return u, listen
@@ -110,7 +110,7 @@
 				keep(c)
 			}
 			began := time.Now()
-			if yes, text := u.ask(t, opsport.Check, ""); !yes {
+			if yes, text := u.ask(t, admin.Check, ""); !yes {
 				t.Errorf("check: %s", text)
 			}
 			slowest.Store(max(slowest.Load(), int64(time.Since(began))))
--- a/cmd/cranegrade/ops.go
+++ b/cmd/cranegrade/ops.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
+	"cranegrade/internal/admin"
 	"cranegrade/internal/operator"
-	"cranegrade/internal/opsport"
 	"cranegrade/internal/program"
 )
 
@@ -37,7 +37,7 @@
 	flags.StringArrayVar(&at, "at", nil, "host:port of a node's operators' port; more than once for several nodes")
 	flags.StringVar(&config, "config", "", "the operator's file of the node, which names its port")
 	flags.DurationVar(&within, "within", 2*time.Second, "how long to wait for each answer")
-	call := func(verb opsport.Verb, short string, arguments int) {
+	call := func(verb admin.Verb, short string, arguments int) {
 		use := string(verb)
 		if arguments > 0 {
 			use += " ID"
@@ -57,14 +57,14 @@
 			if len(to) == 0 {
 				return errors.New("no node is named: --at ADDRESS or --config FILE")
 			}
-			c := opsport.Call{Verb: verb}
+			c := admin.Call{Verb: verb}
 			if arguments > 0 {
 				c.ID = args[0]
 			}
 			var failed error
 			for _, addr := range to {
 				ctx, cancel := context.WithTimeout(cmd.Context(), within)
-				yes, text, err := opsport.Ask(ctx, addr, c)
+				yes, text, err := admin.Ask(ctx, addr, c)
 				cancel()
 				switch {
 				case err != nil:
@@ -80,11 +80,11 @@
 			return failed
 		}})
 	}
-	call(opsport.Check, "does the node take clients", 0)
-	call(opsport.SetDown, "send nothing more to a server", 1)
-	call(opsport.SetUp, "use the server again", 1)
-	call(opsport.DrainOn, "send clients away", 0)
-	call(opsport.DrainOff, "let clients come again", 0)
+	call(admin.Check, "does the node take clients", 0)
+	call(admin.SetDown, "send nothing more to a server", 1)
+	call(admin.SetUp, "use the server again", 1)
+	call(admin.DrainOn, "send clients away", 0)
+	call(admin.DrainOff, "let clients come again", 0)
 	err := root.ExecuteContext(context.Background())
 	switch {
 	case err == nil:
--- a/cmd/cranegrade/upgrade_test.go
+++ b/cmd/cranegrade/upgrade_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"cranegrade/internal/opsport"
+	"cranegrade/internal/admin"
 	"cranegrade/internal/testkit"
 )
 
@@ -49,11 +49,11 @@
 	return b.buf.String()
 }
 
-func (u *upgraded) ask(t *testing.T, verb opsport.Verb, id string) (bool, string) {
+func (u *upgraded) ask(t *testing.T, verb admin.Verb, id string) (bool, string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	yes, text, err := opsport.Ask(ctx, u.port, opsport.Call{Verb: verb, ID: id})
+	yes, text, err := admin.Ask(ctx, u.port, admin.Call{Verb: verb, ID: id})
 	if err != nil {
 		t.Fatalf("%s %s: %v", verb, id, err)
 	}
@@ -129,16 +129,16 @@
 		testkit.Eventually(t, "never says yes", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			yes, _, err := opsport.Ask(ctx, u.port, opsport.Call{Verb: opsport.Check})
+			yes, _, err := admin.Ask(ctx, u.port, admin.Call{Verb: admin.Check})
 			return err == nil && yes
 		})
 		return u
 	}
 	u := start()
-	if yes, text := u.ask(t, opsport.SetDown, "never-listed"); yes {
+	if yes, text := u.ask(t, admin.SetDown, "never-listed"); yes {
 		t.Errorf("a server that was never listed: %s", text)
 	}
-	if yes, text := u.ask(t, opsport.SetDown, "a"); !yes {
+	if yes, text := u.ask(t, admin.SetDown, "a"); !yes {
 		t.Errorf("set-down: %s", text)
 	}
 	time.AfterFunc(250*time.Millisecond, func() { isBanned.Store(true) }) // the grace
@@ -224,7 +224,7 @@
 		t.Errorf("%d requests crossed a close in %d upgrades", n, rounds)
 	}
 	t.Logf("%d served, %d refused, %d crossed a close, %d were at the one that was killed", served.Load(), refused.Load(), crossed.Load(), killed.Load())
-	if yes, text := u.ask(t, opsport.SetUp, "a"); !yes {
+	if yes, text := u.ask(t, admin.SetUp, "a"); !yes {
 		t.Errorf("set-up: %s", text)
 	}
 	u.cmd.Process.Signal(syscall.SIGTERM)
@@ -235,7 +235,7 @@
 
 // The command line calls a running node, and says by its exit code what the node said.
 func TestOps(t *testing.T) {
-	port, err := opsport.New("127.0.0.1:0", func(c opsport.Call) (string, error) {
+	port, err := admin.New("127.0.0.1:0", func(c admin.Call) (string, error) {
 		if c.ID == "none" {
 			return "", fmt.Errorf("no server %q was ever listed", c.ID)
 		}
--- a/cmd/drill/operators.go
+++ b/cmd/drill/operators.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"cranegrade/internal/opsport"
+	"cranegrade/internal/admin"
 	rigs "cranegrade/internal/rig"
 	"cranegrade/internal/standin"
 )
@@ -49,7 +49,7 @@
 }
 
 // call makes an operator's call at a program, and wants a yes within the second.
-func (r *rig) call(p *rigs.Process, verb opsport.Verb, id string) {
+func (r *rig) call(p *rigs.Process, verb admin.Verb, id string) {
 	addr, err := operatorsOf(p)
 	if err != nil {
 		r.failf("%v", err)
@@ -58,7 +58,7 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	yes, text, err := opsport.Ask(ctx, addr, opsport.Call{Verb: verb, ID: id})
+	yes, text, err := admin.Ask(ctx, addr, admin.Call{Verb: verb, ID: id})
 	took := time.Since(began)
 	if err != nil || !yes || took > time.Second+10*r.slack {
 		r.failf("%s %s: %v %q after %v, %v", verb, id, yes, text, took, err)
@@ -67,9 +67,9 @@
 	defer r.bansMu.Unlock()
 	r.calls++
 	switch now := r.rec.Now(); verb {
-	case opsport.SetDown:
+	case admin.SetDown:
 		r.bans = append(r.bans, ban{server: id, from: now})
-	case opsport.SetUp:
+	case admin.SetUp:
 		for i := range r.bans {
 			if r.bans[i].server == id && r.bans[i].to == 0 {
 				r.bans[i].to = now - took // what is sent from the call on is no breach
@@ -108,7 +108,7 @@
 	if !rigs.Await(6*time.Second, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		yes, _, err := opsport.Ask(ctx, addr, opsport.Call{Verb: opsport.Check})
+		yes, _, err := admin.Ask(ctx, addr, admin.Call{Verb: admin.Check})
 		return yes && err == nil
 	}) {
 		return errors.New("the new process does not say yes")
@@ -155,13 +155,13 @@
 			r.failf("upgrade: %v", err)
 		}
 	}
-	call := func(verb opsport.Verb, id string) {
+	call := func(verb admin.Verb, id string) {
 		upgrading.Lock()
 		defer upgrading.Unlock()
 		r.call(r.node, verb, id)
 	}
 	out := g.servers[0]
-	r.at(ctx, &faults, 0.08, func() { call(opsport.SetDown, out.ID()) })
+	r.at(ctx, &faults, 0.08, func() { call(admin.SetDown, out.ID()) })
 	if r.plant == "" {
 		r.at(ctx, &faults, 0.2, upgrade)
 		r.at(ctx, &faults, 0.3, func() {
@@ -171,10 +171,10 @@
 				g.registry.Set(out, "SERVING") // it still may not be used
 			}
 		})
-		r.at(ctx, &faults, 0.45, func() { call(opsport.SetUp, out.ID()) })
-		r.at(ctx, &faults, 0.5, func() { call(opsport.DrainOn, "") })
+		r.at(ctx, &faults, 0.45, func() { call(admin.SetUp, out.ID()) })
+		r.at(ctx, &faults, 0.5, func() { call(admin.DrainOn, "") })
 		r.at(ctx, &faults, 0.55, upgrade)
-		r.at(ctx, &faults, 0.65, func() { call(opsport.DrainOff, "") })
+		r.at(ctx, &faults, 0.65, func() { call(admin.DrainOff, "") })
 		r.at(ctx, &faults, 0.75, upgrade)
 	}
 	if err := r.play(ctx, &faults,
--- a/internal/opsport/ask.go
+++ b/internal/admin/ask.go
@@ -1,4 +1,4 @@
-package opsport
+package admin
 
 import (
 	"bufio"
--- a/internal/opsport/parse.go
+++ b/internal/admin/parse.go
@@ -1,6 +1,6 @@
-// Package opsport is where operators call a running node: one line to a connection, one line back that begins with
+// Package admin is where operators call a running node: one line to a connection, one line back that begins with
 // 200 or 400. It shares nothing with requests: no queue, no budget and no lock that is held over I/O.
-package opsport
+package admin
 
 import (
 	"errors"
--- a/internal/orders/orders.go
+++ b/internal/adminstate/adminstate.go
@@ -1,7 +1,7 @@
-// Package orders holds what operators have ordered by hand and what stands until they call it back: servers
+// Package adminstate holds what operators have ordered by hand and what stands until they call it back: servers
 // taken out, and clients sent away. It is data with a merge: two processes of one node that each heard a part
 // come to the same orders whatever the order in which they tell each other. It is pure: time is an argument.
-package orders
+package adminstate
 
 import (
 	"errors"
--- a/internal/orders/orders_test.go
+++ b/internal/adminstate/adminstate_test.go
@@ -1,4 +1,4 @@
-package orders
+package adminstate
 
 import (
 	"fmt"
--- a/internal/peek/peek.go
+++ b/internal/conncheck/conncheck.go
@@ -1,5 +1,5 @@
-// Package peek looks at what has come on a TCP connection without reading it.
-package peek
+// Package conncheck looks at what has come on a TCP connection without reading it.
+package conncheck
 
 import (
 	"net"
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -9,9 +9,9 @@
 
 	"cranegrade/balancer"
 	"cranegrade/internal/fleet/membership"
+	"cranegrade/internal/fleet/rotation"
 	"cranegrade/internal/fleet/signal"
 	"cranegrade/internal/fleet/subset"
-	"cranegrade/internal/fleet/turns"
 )
 
 // Decider is a decision module; engine.Module is the same.
@@ -296,7 +296,7 @@
 	for _, w := range m.gate.hear() {
 		m.book.Heard(at, w.from, membership.NameID(w.from), w.run, w.digest)
 	}
-	verdicts := m.book.Verdicts(at, func(server string) []uint64 { return m.owners[server] }, turns.Place)
+	verdicts := m.book.Verdicts(at, func(server string) []uint64 { return m.owners[server] }, rotation.Place)
 	m.gate.heardOf(Hearsay{Verdicts: verdicts, Set: m.set, Moving: m.mover.Moving()})
 	var l, news []balancer.Aside
 	for _, v := range verdicts {
--- a/internal/fleet/turns/turns.go
+++ b/internal/fleet/rotation/rotation.go
@@ -1,4 +1,4 @@
-// Package turns says whose turn something is that one member should do, or one after the other, and not all at once:
+// Package rotation says whose turn something is that one member should do, or one after the other, and not all at once:
 // the first try at a server that others found failing, above all. It is pure and needs no word between members. Every
 // member puts all of them in an order that follows from the subject and its epoch alone, and the member at place i waits
 // i steps. A holder that is dead, stopped or cut off has so lost its turn after one step; one whose try is over is heard
@@ -6,7 +6,7 @@
 //
 // Members whose views differ may hold a turn together: as many as there are views that put another first. What is
 // given turns must therefore be harmless when two do it; turns make it rare.
-package turns
+package rotation
 
 import "time"
 
--- a/internal/fleet/signal/signal_test.go
+++ b/internal/fleet/signal/signal_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"cranegrade/internal/fleet/turns"
+	"cranegrade/internal/fleet/rotation"
 )
 
 const s = time.Second
@@ -36,28 +36,28 @@
 		t.Fatalf("%+v, %v", d, is)
 	}
 	y.Heard(10*s, "x", 1, 1, d)
-	if v := y.Verdicts(10*s, all, turns.Place); len(v) != 0 {
+	if v := y.Verdicts(10*s, all, rotation.Place); len(v) != 0 {
 		t.Fatalf("one failure puts it aside: %+v", v)
 	}
 	x.Ended(10*s, "a", true, true)
 	d, _ = x.Digest(10 * s)
 	y.Heard(10*s, "x", 1, 1, d)
-	v := y.Verdicts(10*s, all, turns.Place)
+	v := y.Verdicts(10*s, all, rotation.Place)
 	if len(v) != 1 || v[0].Server != "a" || v[0].Until <= 10*s || v[0].Until > 10*s+longest {
 		t.Fatalf("%+v", v)
 	}
 	y.Heard(10*s+1, "x", 1, 1, d) // again: nothing new
-	if w := y.Verdicts(10*s+1, all, turns.Place); !reflect.DeepEqual(v, w) {
+	if w := y.Verdicts(10*s+1, all, rotation.Place); !reflect.DeepEqual(v, w) {
 		t.Fatalf("%+v became %+v", v, w)
 	}
-	if w := y.Verdicts(v[0].Until, all, turns.Place); len(w) != 0 {
+	if w := y.Verdicts(v[0].Until, all, rotation.Place); len(w) != 0 {
 		t.Fatalf("its turn does not come: %+v", w)
 	}
 	y.Ended(v[0].Until, "a", false, true) // it tries, and finds it well
 	x.Ended(v[0].Until, "a", true, true)
 	d, _ = x.Digest(v[0].Until)
 	y.Heard(v[0].Until+1, "x", 1, 1, d)
-	if w := y.Verdicts(v[0].Until+1, all, turns.Place); len(w) != 0 {
+	if w := y.Verdicts(v[0].Until+1, all, rotation.Place); len(w) != 0 {
 		t.Fatalf("it believes others more than itself: %+v", w)
 	}
 	if d, is := y.Digest(v[0].Until + 1); !is || d.Facts[0].Good == 0 {
@@ -81,12 +81,12 @@
 					rapid.Byte().Draw(t, "streak"), rapid.Byte().Draw(t, "age")})
 			}
 			b.Heard(now, from[who], uint64(who), 1, d)
-			for _, v := range b.Verdicts(now, all, turns.Place) {
+			for _, v := range b.Verdicts(now, all, rotation.Place) {
 				if v.Until > now+longest {
 					t.Fatalf("aside until %v at %v", v.Until, now)
 				}
 			}
-			if l := b.Verdicts(now, all, turns.Place); len(from) == 1 && len(l) > 1 {
+			if l := b.Verdicts(now, all, rotation.Place); len(from) == 1 && len(l) > 1 {
 				t.Fatalf("one member puts %d of %d aside", len(l), len(names))
 			}
 			b.Ended(now, rapid.SampledFrom(names).Draw(t, "tried"), rapid.Bool().Draw(t, "ends"), true)
@@ -103,7 +103,7 @@
 	for epoch := range uint64(500) {
 		places := map[int]bool{}
 		for _, m := range members {
-			p := turns.Place(7, epoch, members, m)
+			p := rotation.Place(7, epoch, members, m)
 			if places[p] = true; p == 0 {
 				firsts[m]++
 			}
@@ -117,7 +117,7 @@
 			t.Errorf("%d is the first %d times of 500", m, n)
 		}
 	}
-	if turns.Wait(1000, s) > 8*s {
+	if rotation.Wait(1000, s) > 8*s {
 		t.Error("a turn that never comes")
 	}
 }
--- a/internal/front/http1/callers.go
+++ b/internal/front/http1/callers.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"cranegrade/internal/peek"
+	"cranegrade/internal/conncheck"
 	"cranegrade/internal/pool"
 )
 
@@ -136,7 +136,7 @@
 			continue // a request of it is here, or begins to be
 		}
 		if c.began.Load() == 0 {
-			if now.Sub(c.since) > fresh && peek.At(c.Conn) != nil { // else a request is there, yet unread
+			if now.Sub(c.since) > fresh && conncheck.At(c.Conn) != nil { // else a request is there, yet unread
 				return c
 			}
 		} else if last := c.last.Load(); last < oldest {
@@ -225,7 +225,7 @@
 				continue
 			}
 			idle := c.began.Load() == 0 && (c.used || time.Since(c.since) > fresher)
-			if (idle || c.began.Load() != 0 && time.Since(time.Unix(0, c.last.Load())) > rested) && peek.At(c.Conn) != nil {
+			if (idle || c.began.Load() != 0 && time.Since(time.Unix(0, c.last.Load())) > rested) && conncheck.At(c.Conn) != nil {
 				away = append(away, c)
 			}
 		}
@@ -353,7 +353,7 @@
 		c.expireLater()
 		return
 	}
-	if c.place != nil && c.since.Equal(since) && c.began.Load() == 0 && (c.ahead == nil || c.ahead.open.Load() == 0) && peek.At(c.Conn) != nil {
+	if c.place != nil && c.since.Equal(since) && c.began.Load() == 0 && (c.ahead == nil || c.ahead.open.Load() == 0) && conncheck.At(c.Conn) != nil {
 		c.close()
 	}
 }
--- a/internal/handover/file.go
+++ b/internal/hotrestart/file.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/handover/handover_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 	"time"
 
 	"cranegrade/balancer"
-	"cranegrade/internal/orders"
+	"cranegrade/internal/adminstate"
 	"cranegrade/internal/testkit"
 )
 
@@ -95,9 +95,9 @@
 			}
 			defer l.Close()
 			links := make(chan *Link, 1)
-			serving, orders1, orders2 := make(chan bool, 1), make(chan orders.State, 1), make(chan orders.State, 1)
+			serving, orders1, orders2 := make(chan bool, 1), make(chan adminstate.State, 1), make(chan adminstate.State, 1)
 			s, err := Listen(dir, func() (State, []*net.TCPListener) { return sample(), []*net.TCPListener{l.(*net.TCPListener)} }, func(k *Link) {
-				k.Start(Events{Serving: func() { serving <- true }, Orders: func(s orders.State) { orders1 <- s }})
+				k.Start(Events{Serving: func() { serving <- true }, Orders: func(s adminstate.State) { orders1 <- s }})
 				links <- k
 			})
 			if err != nil {
@@ -108,7 +108,7 @@
 				t.Fatal(err)
 			}
 			defer j.Done()
-			j.Link.Start(Events{Orders: func(s orders.State) { orders2 <- s }})
+			j.Link.Start(Events{Orders: func(s adminstate.State) { orders2 <- s }})
 			if j.State.Pools[0].Knowledge.Window != 3 || !j.State.Orders.Out("a") {
 				t.Errorf("told %+v", j.State)
 			}
@@ -135,15 +135,15 @@
 			if err := j.Link.TellServing(); err != nil || !testkit.Wait(t, serving) {
 				t.Error(err)
 			}
-			if err := old.TellOrders(orders.State{Drain: orders.Order{On: true, At: 1}}); err != nil || !testkit.Wait(t, orders2).Drain.On {
+			if err := old.TellOrders(adminstate.State{Drain: adminstate.Order{On: true, At: 1}}); err != nil || !testkit.Wait(t, orders2).Drain.On {
 				t.Error(err)
 			}
-			if err := j.Link.TellOrders(orders.State{Drain: orders.Order{On: true, At: 1}}); err != nil || !testkit.Wait(t, orders1).Drain.On {
+			if err := j.Link.TellOrders(adminstate.State{Drain: adminstate.Order{On: true, At: 1}}); err != nil || !testkit.Wait(t, orders1).Drain.On {
 				t.Error(err)
 			}
 			old.Close()
 			testkit.Wait(t, j.Link.Done())
-			if err := j.Link.TellOrders(orders.State{}); err != nil {
+			if err := j.Link.TellOrders(adminstate.State{}); err != nil {
 				t.Errorf("one that is gone owes nothing: %v", err)
 			}
 			s.Close()
--- a/internal/handover/link.go
+++ b/internal/hotrestart/link.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"cranegrade/internal/orders"
+	"cranegrade/internal/adminstate"
 )
 
 const (
@@ -44,17 +44,17 @@
 
 // Events hear what the other process says, on the link's goroutine. Any may be nil.
 type Events struct {
-	Orders  func(orders.State) // its orders changed
-	Serving func()             // the successor takes clients
-	Gone    func()             // it has ended, or its link did
+	Orders  func(adminstate.State) // its orders changed
+	Serving func()                 // the successor takes clients
+	Gone    func()                 // it has ended, or its link did
 }
 
 // note is a line of a link.
 type note struct {
-	N       uint64        `json:"n,omitempty"`
-	Ack     uint64        `json:"ack,omitempty"`
-	Orders  *orders.State `json:"orders,omitempty"`
-	Serving bool          `json:"serving,omitempty"`
+	N       uint64            `json:"n,omitempty"`
+	Ack     uint64            `json:"ack,omitempty"`
+	Orders  *adminstate.State `json:"orders,omitempty"`
+	Serving bool              `json:"serving,omitempty"`
 }
 
 type hello struct {
@@ -442,7 +442,7 @@
 }
 
 // TellOrders has the other process hold the same orders.
-func (l *Link) TellOrders(s orders.State) error { return l.tell(note{Orders: &s}) }
+func (l *Link) TellOrders(s adminstate.State) error { return l.tell(note{Orders: &s}) }
 
 // TellServing tells the predecessor that this process takes clients.
 func (l *Link) TellServing() error { return l.tell(note{Serving: true}) }
--- a/internal/handover/state.go
+++ b/internal/hotrestart/state.go
@@ -1,8 +1,8 @@
-// Package handover is how a process of a node learns from the one that it takes over from, and how the two hold the same
+// Package hotrestart is how a process of a node learns from the one that it takes over from, and how the two hold the same
 // orders while both run. What is handed over is a value with a version (state.go); link.go carries it over a Unix socket
 // in a directory that both see, with the listening sockets beside it. It decides nothing: without a predecessor, or with
 // one that says nothing sensible in time, a process starts as if it were alone.
-package handover
+package hotrestart
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"time"
 
 	"cranegrade/balancer"
-	"cranegrade/internal/orders"
+	"cranegrade/internal/adminstate"
 )
 
 // Version is that of the form. A reader takes its own and ignores fields that it does not know; of another it takes
@@ -20,11 +20,11 @@
 
 // State is what a successor is told.
 type State struct {
-	Version int           `json:"version"`
-	At      time.Duration `json:"at"` // Unix time when this was so
-	Orders  orders.State  `json:"orders"`
-	Seen    []uint64      `json:"seen,omitempty"` // orders.Seen
-	Pools   []Pool        `json:"pools,omitempty"`
+	Version int              `json:"version"`
+	At      time.Duration    `json:"at"` // Unix time when this was so
+	Orders  adminstate.State `json:"orders"`
+	Seen    []uint64         `json:"seen,omitempty"` // orders.Seen
+	Pools   []Pool           `json:"pools,omitempty"`
 	// Listeners are the addresses of the sockets that come beside it, in their order.
 	Listeners []string `json:"listeners,omitempty"`
 }
@@ -71,8 +71,8 @@
 	if err := json.Unmarshal(text, &s); err != nil {
 		return State{}, err
 	}
-	if len(s.Orders.Servers) > 2*orders.Most {
-		return State{}, orders.ErrMany
+	if len(s.Orders.Servers) > 2*adminstate.Most {
+		return State{}, adminstate.ErrMany
 	}
 	for _, p := range s.Pools {
 		seen := make(map[string]bool, len(p.Servers))
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -12,23 +12,23 @@
 
 	"golang.org/x/sys/unix"
 
+	"cranegrade/internal/adminstate"
 	"cranegrade/internal/engine"
-	"cranegrade/internal/handover"
+	"cranegrade/internal/hotrestart"
 	"cranegrade/internal/operator"
-	"cranegrade/internal/orders"
 )
 
 // relay is a node's side of its other processes: the one that it takes over from, and those that take over from it.
 type relay struct {
 	n    *Node
 	dir  string
-	from *handover.Joined // nil: nobody, or it is over
+	from *hotrestart.Joined // nil: nobody, or it is over
 
-	server *handover.Server // nil: no successor can come
+	server *hotrestart.Server // nil: no successor can come
 
 	mu      sync.Mutex // guards all below; not held over I/O
-	links   map[*handover.Link]bool
-	serving map[*handover.Link]bool // successors that take clients
+	links   map[*hotrestart.Link]bool
+	serving map[*hotrestart.Link]bool // successors that take clients
 }
 
 // newRelay joins the process that it finds in the plan's directory; nil where the plan has none.
@@ -36,25 +36,25 @@
 	if dir == "" {
 		return nil
 	}
-	r := &relay{n: n, dir: dir, links: map[*handover.Link]bool{}, serving: map[*handover.Link]bool{}}
-	if s, err := handover.Load(dir); err != nil {
+	r := &relay{n: n, dir: dir, links: map[*hotrestart.Link]bool{}, serving: map[*hotrestart.Link]bool{}}
+	if s, err := hotrestart.Load(dir); err != nil {
 		log.Printf("handover: orders of before: %v; starting without them", err)
 	} else {
 		r.learn(s)
 	}
-	j, err := handover.Join(dir)
+	j, err := hotrestart.Join(dir)
 	switch {
 	case err == nil:
 		r.from = j
 		r.learn(j.State)
 		log.Printf("handover: taking over from another process, with %d sockets of its", len(j.State.Listeners))
-	case !errors.Is(err, handover.ErrAlone):
+	case !errors.Is(err, hotrestart.ErrAlone):
 		log.Printf("handover: %v; starting without what the other process knows", err)
 	}
 	return r
 }
 
-func (r *relay) learn(s handover.State) {
+func (r *relay) learn(s hotrestart.State) {
 	r.n.desk.merge(s.Orders)
 	r.n.desk.mu.Lock()
 	defer r.n.desk.mu.Unlock()
@@ -62,7 +62,7 @@
 }
 
 // pool is what the predecessor knew of a pool; nil: nothing.
-func (r *relay) pool(name string) *handover.Pool {
+func (r *relay) pool(name string) *hotrestart.Pool {
 	if r == nil || r.from == nil {
 		return nil
 	}
@@ -113,8 +113,8 @@
 const exportWithin = 400 * time.Millisecond
 
 // state is what a successor is told.
-func (r *relay) state() (handover.State, []*net.TCPListener) {
-	s := handover.State{At: r.n.clock.Now()}
+func (r *relay) state() (hotrestart.State, []*net.TCPListener) {
+	s := hotrestart.State{At: r.n.clock.Now()}
 	s.Orders, s.Seen = r.n.desk.export()
 	r.n.mu.Lock()
 	pools := r.n.serving.Load().pools
@@ -126,9 +126,9 @@
 		if !ok {
 			continue
 		}
-		hp := handover.Pool{Name: name, List: x.Version, Knowledge: x.Knowledge}
+		hp := hotrestart.Pool{Name: name, List: x.Version, Knowledge: x.Knowledge}
 		for _, v := range x.Servers {
-			hp.Servers = append(hp.Servers, handover.Listed{ID: v.ID, Addr: v.Addr, Zone: v.Zone, Cell: v.Cell, State: v.State,
+			hp.Servers = append(hp.Servers, hotrestart.Listed{ID: v.ID, Addr: v.Addr, Zone: v.Zone, Cell: v.Cell, State: v.State,
 				Size: v.Size, Boot: v.Boot, Weight: v.Weight, Rank: v.Priority})
 		}
 		s.Pools = append(s.Pools, hp)
@@ -151,7 +151,7 @@
 	if r.from != nil {
 		r.n.resize()
 		l := r.from.Link
-		r.add(l, handover.Events{Gone: func() {
+		r.add(l, hotrestart.Events{Gone: func() {
 			r.gone(l)
 			log.Print("handover: the process before has ended")
 		}})
@@ -160,15 +160,15 @@
 		}
 	}
 	var err error
-	if r.server, err = handover.Listen(r.dir, r.state, r.joined); err != nil {
+	if r.server, err = hotrestart.Listen(r.dir, r.state, r.joined); err != nil {
 		log.Printf("handover: no successor can come: %v", err)
 	}
 }
 
 // joined takes a successor.
-func (r *relay) joined(l *handover.Link) {
+func (r *relay) joined(l *hotrestart.Link) {
 	log.Print("handover: another process is starting in place of this one")
-	r.add(l, handover.Events{
+	r.add(l, hotrestart.Events{
 		Serving: func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -180,8 +180,8 @@
 }
 
 // add starts a link, both sides of which tell each other what they hold.
-func (r *relay) add(l *handover.Link, e handover.Events) {
-	e.Orders = func(s orders.State) {
+func (r *relay) add(l *hotrestart.Link, e hotrestart.Events) {
+	e.Orders = func(s adminstate.State) {
 		if r.n.desk.merge(s) {
 			r.save()
 			go r.tell(l) // a third process, if there is one
@@ -195,7 +195,7 @@
 	go l.TellOrders(s)
 }
 
-func (r *relay) gone(l *handover.Link) {
+func (r *relay) gone(l *hotrestart.Link) {
 	r.mu.Lock()
 	delete(r.links, l)
 	delete(r.serving, l)
@@ -229,16 +229,16 @@
 }
 
 func (r *relay) save() error {
-	s := handover.State{At: r.n.clock.Now()}
+	s := hotrestart.State{At: r.n.clock.Now()}
 	s.Orders, s.Seen = r.n.desk.export()
-	return handover.Save(r.dir, s)
+	return hotrestart.Save(r.dir, s)
 }
 
 // tell has all other processes but one hold the same orders.
-func (r *relay) tell(but *handover.Link) error {
+func (r *relay) tell(but *hotrestart.Link) error {
 	s, _ := r.n.desk.export()
 	r.mu.Lock()
-	var to []*handover.Link
+	var to []*hotrestart.Link
 	for l := range r.links {
 		if l != but {
 			to = append(to, l)
--- a/internal/node/admin.go
+++ b/internal/node/inspection_server.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// admin tells on a loopback address what the node holds.
-type admin struct {
+// inspectionServer tells on a loopback address what the node holds.
+type inspectionServer struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-func newAdmin(n *Node, addr string) (*admin, error) {
+func newInspectionServer(n *Node, addr string) (*inspectionServer, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("admin: %w", err)
@@ -31,16 +31,16 @@
 		n.Zones().JSON(w)
 	})
 	n.fleetPages(mux)
-	return &admin{l, &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 10 * time.Second}}, nil
+	return &inspectionServer{l, &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 10 * time.Second}}, nil
 }
 
-func (a *admin) serve() {
+func (a *inspectionServer) serve() {
 	if err := a.server.Serve(a.listener); !errors.Is(err, http.ErrServerClosed) {
 		log.Printf("admin: %v", err)
 	}
 }
 
-func (a *admin) close() {
+func (a *inspectionServer) close() {
 	a.server.Close()
 	a.listener.Close()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,10 +16,10 @@
 	"time"
 
 	"cranegrade/balancer"
+	"cranegrade/internal/admin"
 	"cranegrade/internal/engine"
 	front "cranegrade/internal/front/http1"
 	"cranegrade/internal/operator"
-	"cranegrade/internal/opsport"
 	"cranegrade/internal/pool"
 	"cranegrade/internal/route"
 	sender "cranegrade/internal/sender/http1"
@@ -30,7 +30,7 @@
 // Node is one process's worth of fronts and pools.
 type Node struct {
 	options   Options
-	admin     *admin // nil: none
+	admin     *inspectionServer // nil: none
 	zones     *zones
 	fleet     Member // nil: this node is in none
 	clock     engine.Clock
@@ -40,9 +40,9 @@
 	serving   atomic.Pointer[serving]
 	linger    time.Duration // how long a stopping node goes on as before
 	desk      *desk
-	port      *opsport.Port // nil: operators can't call
-	relay     *relay        // nil: nobody hands anything over
-	parts     int64         // processes that share the node's limits
+	port      *admin.Port // nil: operators can't call
+	relay     *relay      // nil: nobody hands anything over
+	parts     int64       // processes that share the node's limits
 	listeners []net.Listener
 	ready     atomic.Bool // clients are taken
 
@@ -202,13 +202,13 @@
 		n.fronts = append(n.fronts, o.ExtProc(l, *plan.ExtProc, n.clock, n))
 	}
 	if plan.Operator != "" {
-		n.port, err = opsport.New(plan.Operator, func(c opsport.Call) (string, error) { return n.desk.call(c, n.ready.Load) })
+		n.port, err = admin.New(plan.Operator, func(c admin.Call) (string, error) { return n.desk.call(c, n.ready.Load) })
 		if err != nil {
 			return nil, fmt.Errorf("operator: %w", err)
 		}
 	}
 	if plan.Admin != "" {
-		if n.admin, err = newAdmin(n, plan.Admin); err != nil {
+		if n.admin, err = newInspectionServer(n, plan.Admin); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -8,20 +8,20 @@
 	"sync/atomic"
 	"time"
 
+	"cranegrade/internal/admin"
+	"cranegrade/internal/adminstate"
 	"cranegrade/internal/engine"
-	"cranegrade/internal/opsport"
-	"cranegrade/internal/orders"
 )
 
 // desk keeps what operators have ordered of a running node, and sees that it takes effect. It implements
 // engine.Orders; what it reads on the way of requests takes no lock.
 type desk struct {
 	clock  engine.Clock
-	stands atomic.Pointer[orders.State] // never nil, never changed in place
+	stands atomic.Pointer[adminstate.State] // never nil, never changed in place
 
 	mu     sync.Mutex // guards what follows, and orders changes of stands; not held over I/O
 	listed map[string]int
-	seen   *orders.Seen
+	seen   *adminstate.Seen
 
 	// change is called after stands has changed, without the lock: of some servers, and perhaps of the drain.
 	change func(servers []string)
@@ -30,9 +30,9 @@
 }
 
 func newDesk(clock engine.Clock) *desk {
-	d := &desk{clock: clock, listed: map[string]int{}, seen: orders.NewSeen(orders.MostSeen),
+	d := &desk{clock: clock, listed: map[string]int{}, seen: adminstate.NewSeen(adminstate.MostSeen),
 		change: func([]string) {}, share: func() error { return nil }}
-	d.stands.Store(&orders.State{})
+	d.stands.Store(&adminstate.State{})
 	return d
 }
 
@@ -73,7 +73,7 @@
 }
 
 // update changes what stands. It takes effect for attempts before it returns.
-func (d *desk) update(f func(s *orders.State) error) error {
+func (d *desk) update(f func(s *adminstate.State) error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s := d.stands.Load().Clone()
@@ -85,10 +85,10 @@
 }
 
 // merge takes over what another process of this node knows; false: nothing new.
-func (d *desk) merge(of orders.State) bool {
+func (d *desk) merge(of adminstate.State) bool {
 	var changed []string
 	drained := d.draining()
-	d.update(func(s *orders.State) error {
+	d.update(func(s *adminstate.State) error {
 		changed = s.Merge(of)
 		return nil
 	})
@@ -100,12 +100,12 @@
 }
 
 // export is what another process needs to answer as this one does.
-func (d *desk) export() (orders.State, []uint64) {
+func (d *desk) export() (adminstate.State, []uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	seen := d.seen.Export(maxExported)
 	for id := range d.listed {
-		seen = append(seen, orders.Hash(id))
+		seen = append(seen, adminstate.Hash(id))
 	}
 	return *d.stands.Load(), seen
 }
@@ -122,13 +122,13 @@
 const maxExported = 1 << 13
 
 // call carries out an operator's call.
-func (d *desk) call(c opsport.Call, serving func() bool) (string, error) {
+func (d *desk) call(c admin.Call, serving func() bool) (string, error) {
 	now := d.clock.Now()
 	var servers []string
 	var err error
 	text := ""
 	switch c.Verb {
-	case opsport.Check:
+	case admin.Check:
 		switch {
 		case !serving():
 			return "", fmt.Errorf("not taking clients")
@@ -136,19 +136,19 @@
 			return "taking clients, and sending them away: drain-on", nil
 		}
 		return "taking clients", nil
-	case opsport.SetDown, opsport.SetUp:
+	case admin.SetDown, admin.SetUp:
 		if !d.known(c.ID) {
 			return "", fmt.Errorf("no server %.80q was ever listed", c.ID)
 		}
-		out := c.Verb == opsport.SetDown
+		out := c.Verb == admin.SetDown
 		servers = []string{c.ID}
-		err = d.update(func(s *orders.State) error { return s.Server(c.ID, out, now) })
+		err = d.update(func(s *adminstate.State) error { return s.Server(c.ID, out, now) })
 		if text = c.ID + " is in use"; out {
 			text = c.ID + " is taken out"
 		}
-	case opsport.DrainOn, opsport.DrainOff:
-		on := c.Verb == opsport.DrainOn
-		err = d.update(func(s *orders.State) error { s.SetDrain(on, now); return nil })
+	case admin.DrainOn, admin.DrainOff:
+		on := c.Verb == admin.DrainOn
+		err = d.update(func(s *adminstate.State) error { s.SetDrain(on, now); return nil })
 		if text = "clients may come"; on {
 			text = "clients are sent away"
 		}
--- a/internal/node/plan.go
+++ b/internal/node/plan.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
+	"cranegrade/internal/admin"
 	"cranegrade/internal/engine"
 	front "cranegrade/internal/front/http1"
 	"cranegrade/internal/operator"
-	"cranegrade/internal/opsport"
 	"cranegrade/internal/pool"
 	"cranegrade/internal/route"
 	"cranegrade/internal/source/registry"
@@ -32,7 +32,7 @@
 	if addr == "" {
 		return 0
 	}
-	return opsport.Callers + 8
+	return admin.Callers + 8
 }
 
 // source opens where a pool's list comes from.
--- a/internal/rig/faults_test.go
+++ b/internal/rig/faults_test.go
@@ -15,9 +15,9 @@
 
 	"github.com/hashicorp/memberlist"
 
+	"cranegrade/internal/admin"
 	"cranegrade/internal/fleet"
 	"cranegrade/internal/fleet/membership"
-	"cranegrade/internal/opsport"
 	"cranegrade/internal/standin"
 )
 
@@ -361,14 +361,14 @@
 			t.Fatal(err)
 		}
 	}
-	order := func(m *Member, verb opsport.Verb, id string) {
+	order := func(m *Member, verb admin.Verb, id string) {
 		t.Helper()
 		addr, err := m.P.Said("operators call on ")
 		must(err)
 		if !Await(patience, func() bool { // its list may not have come yet
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			yes, _, err := opsport.Ask(ctx, addr, opsport.Call{Verb: verb, ID: id})
+			yes, _, err := admin.Ask(ctx, addr, admin.Call{Verb: verb, ID: id})
 			return yes && err == nil
 		}) {
 			t.Fatalf("%s %s is refused", verb, id)
@@ -378,7 +378,7 @@
 	m.Kill()
 	must(m.Keep("before"))
 	must(m.Start())
-	order(m, opsport.SetDown, "s-00")
+	order(m, admin.SetDown, "s-00")
 	f.Members[2].Kill()
 	must(f.Members[2].Keep("another's"))
 	must(f.Members[2].Start())
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
+	"cranegrade/internal/conncheck"
 	"cranegrade/internal/engine"
-	"cranegrade/internal/peek"
 )
 
 // settled is how long a connection rests after an answer. What a server sends behind one comes within
@@ -186,7 +186,7 @@
 
 // alive says that an idle connection is still open and holds no bytes: a server that closed it
 // would reset the next request, and leftover bytes would pass for that request's answer.
-func (c *conn) alive() bool { return peek.At(c.Conn) == syscall.EAGAIN }
+func (c *conn) alive() bool { return conncheck.At(c.Conn) == syscall.EAGAIN }
 
 // Drop closes the idle connections to an endpoint.
 func (p *conns) Drop(ep *engine.Endpoint) {
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"cranegrade/internal/peek"
+	"cranegrade/internal/conncheck"
 )
 
 // Stream is an open stream of requests: they come at random times, whatever became of those before.
@@ -255,7 +255,7 @@
 		conn := c.idle[n-1]
 		c.idle = c.idle[:n-1]
 		c.mu.Unlock()
-		if peek.At(conn.Conn) == syscall.EAGAIN {
+		if conncheck.At(conn.Conn) == syscall.EAGAIN {
 			return conn, nil
 		}
 		conn.Close()
