--- /dev/null
+++ b/internal/mesh/raft/election_test.go
@@ -0,0 +1,251 @@
+package raft
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// Members that start together after a loss of power, in any order and within 0.3 s, soon have a leader again, though the first
+// messages of each go to members that are not there yet, and though one may lack entries.
+func TestMembersStartTogether(t *testing.T) {
+	const step, spread = 10 * time.Millisecond, 300 * time.Millisecond
+	var took []time.Duration
+	for seed := uint64(1); seed <= 300; seed++ {
+		rng := rand.New(rand.NewPCG(seed, 2))
+		sim := newSimulation(t, seed, "a", "b", "c")
+		sim.run(3 * time.Second)
+		lead := sim.leaderAddr()
+		behind := sim.addrs()[rng.IntN(3)]
+		sim.isolated[behind] = behind != lead
+		sim.members[lead].raft.Propose(sim.now, []byte("x"))
+		sim.processReady(lead)
+		sim.run(50 * time.Millisecond)
+		start := map[string]time.Duration{}
+		for _, a := range sim.addrs() {
+			sim.isolated[a] = true
+			start[a] = sim.now + time.Duration(rng.Int64N(int64(spread)))
+		}
+		sim.queue = nil
+		last := sim.now
+		for _, at := range start {
+			last = max(last, at)
+		}
+		for sim.leaderAddr() == "" || sim.now < last {
+			sim.run(step)
+			for a, at := range start {
+				if sim.isolated[a] && sim.now >= at {
+					sim.isolated[a] = false
+					sim.members[a].now = sim.now
+					sim.members[a].start()
+				}
+			}
+			if sim.now > last+2*testElectionTimeout {
+				t.Fatalf("seed %d: no leader", seed)
+			}
+		}
+		took = append(took, sim.now-last)
+	}
+	slices.Sort(took)
+	assert.Assert(t, took[len(took)/2] < testElectionTimeout/4, "in the median %v after the last start", took[len(took)/2])
+	t.Logf("a leader %v after the last start (median), at most %v", took[len(took)/2], took[len(took)-1])
+}
+
+// Once the leader's process is known to have ended another leads long before the election timeout, in every order of the members,
+// also where the first to ask lacks entries. Without that knowledge none leads sooner than the timeout.
+func TestExitedLeaderIsReplacedSoon(t *testing.T) {
+	for seed := uint64(1); seed <= 40; seed++ {
+		for _, told := range []bool{true, false} {
+			sim := newSimulation(t, seed, "a", "b", "c")
+			sim.run(3 * time.Second)
+			old := sim.leaderAddr()
+			assert.Assert(t, old != "")
+			behind := sim.addrs()[(seed)%3]
+			sim.cutLinks[[2]string{old, behind}] = behind != old && seed%2 == 0
+			_, _, ok := sim.members[old].raft.Propose(sim.now, []byte("x"))
+			assert.Assert(t, ok)
+			sim.processReady(old)
+			sim.run(30 * time.Millisecond)
+			sim.endProcess(old, told)
+			sim.run(300 * time.Millisecond)
+			if now := sim.leaderAddr(); (now != "") != told {
+				t.Fatalf("seed %d: told %v, and %q leads in the place of %q after 300 ms", seed, told, now, old)
+			}
+			sim.run(3 * time.Second)
+			assert.Assert(t, sim.leaderAddr() != "")
+		}
+	}
+}
+
+// The first to ask may be refused, for the other has not heard yet that the leader is gone. Where the other lacks entries it can't be
+// elected itself, and its own pre-vote has the first ask again at once.
+func TestLeaderExitReportedLate(t *testing.T) {
+	for seed := uint64(1); seed <= 40; seed++ {
+		sim := newSimulation(t, seed, "a", "b", "c")
+		sim.run(3 * time.Second)
+		old := sim.leaderAddr()
+		id := sim.members[old].self.ID
+		first, second := "a", "b"
+		switch old {
+		case "a":
+			first, second = "b", "c"
+		case "b":
+			second = "c"
+		}
+		sim.cutLinks[[2]string{old, second}] = true
+		_, _, ok := sim.members[old].raft.Propose(sim.now, []byte("x"))
+		assert.Assert(t, ok)
+		sim.processReady(old)
+		sim.run(30 * time.Millisecond)
+		sim.endProcess(old, false)
+		sim.members[first].raft.ReportLeaderExited(sim.now, id)
+		sim.run(30 * time.Millisecond)
+		sim.members[second].raft.ReportLeaderExited(sim.now, id)
+		sim.run(150 * time.Millisecond)
+		assert.Equal(t, sim.leaderAddr(), first, "seed %d", seed)
+	}
+}
+
+// Wrong evidence disturbs nobody: a leader that is alive keeps its term, whoever takes it for gone, as long as a majority hears it.
+func TestLeaderExitReportedWrongly(t *testing.T) {
+	for seed := uint64(1); seed <= 20; seed++ {
+		sim := newSimulation(t, seed, "a", "b", "c")
+		sim.run(3 * time.Second)
+		old := sim.leaderAddr()
+		term := sim.members[old].raft.Term()
+		for round := range 30 {
+			for i, a := range sim.addrs() {
+				if i == round%3 && a != old {
+					sim.members[a].raft.ReportLeaderExited(sim.now, sim.members[old].self.ID)
+				}
+			}
+			sim.run(150 * time.Millisecond)
+		}
+		assert.Equal(t, sim.leaderAddr(), old)
+		assert.Equal(t, sim.members[old].raft.Term(), term)
+	}
+}
+
+// A leader that asks for pre-votes has restarted: its followers grant them without waiting for the election timeout.
+func TestLeaderThatAsksForVotesHasRestarted(t *testing.T) {
+	sim := newSimulation(t, 1, "a", "b", "c")
+	sim.run(3 * time.Second)
+	old := sim.leaderAddr()
+	other := sim.members["a"]
+	if old == "a" {
+		other = sim.members["b"]
+	}
+	id, last := sim.members[old].self.ID, other.raft.log.lastIndex()
+	request := Message{Kind: PreVote, From: id, To: other.self.ID, Index: last, LogTerm: other.raft.log.lastTerm()}
+	request.Term = other.raft.Term() // from before it led: late
+	other.raft.Step(sim.now, request)
+	assert.Equal(t, other.raft.Leader(), id)
+	request.Term++
+	other.raft.Step(sim.now, request)
+	ready := other.raft.Ready()
+	assert.Equal(t, other.raft.Leader(), ID(0))
+	response := ready.MessagesAfterSave[len(ready.MessagesAfterSave)-1]
+	assert.Assert(t, response.Kind == PreVoteResponse && !response.Reject)
+}
+
+// A member that stalls for less than the election timeout, on its disk or for want of a processor, costs no election: neither a
+// leader that sends nothing for so long nor a follower that hears nothing.
+func TestShortStallKeepsTheLeader(t *testing.T) {
+	// A heartbeat may have been due just then, and takes a while.
+	const stall = testElectionTimeout - testHeartbeatInterval - 20*time.Millisecond
+	for seed := uint64(1); seed <= 40; seed++ {
+		sim := newSimulation(t, seed, "a", "b", "c")
+		sim.run(3*time.Second + time.Duration(seed)*testHeartbeatInterval) // other waits are drawn
+		old := sim.leaderAddr()
+		term := sim.members[old].raft.Term()
+		for _, a := range sim.addrs() {
+			sim.isolated[a] = true
+			sim.run(stall)
+			delete(sim.isolated, a)
+			sim.run(2 * testHeartbeatInterval)
+		}
+		assert.Equal(t, sim.leaderAddr(), old, "seed %d", seed)
+		assert.Equal(t, sim.members[old].raft.Term(), term)
+	}
+}
+
+// Members that miss a silent leader together ask in the order of their rank: the first election decides, in a bounded time.
+func TestSilentLeaderIsReplacedInOneElection(t *testing.T) {
+	const bound = testElectionTimeout + testElectionTimeout/5 // of the first in the list, with its ticks and messages
+	for seed := uint64(1); seed <= 40; seed++ {
+		sim := newSimulation(t, seed, "a", "b", "c")
+		sim.run(3*time.Second + time.Duration(seed)*testHeartbeatInterval) // other waits are drawn
+		old := sim.leaderAddr()
+		term := sim.members[old].raft.Term()
+		sim.isolated[old] = true
+		sim.run(bound)
+		now := sim.leaderAddr()
+		assert.Assert(t, now != "", "seed %d: none leads after %v", seed, bound)
+		assert.Equal(t, sim.members[now].raft.Term(), term+1, "seed %d", seed)
+	}
+}
+
+// A leader that others hear but that hears nobody steps down, and is not in contact with a quorum.
+func TestLeaderThatHearsNobodyStepsDown(t *testing.T) {
+	sim := newSimulation(t, 4, "a", "b", "c")
+	sim.run(2 * time.Second)
+	leader := sim.leader()
+	for _, a := range sim.addrs() {
+		sim.cutLinks[[2]string{a, leader.self.Addr}] = true
+	}
+	assert.Assert(t, leader.raft.ReadIndex(sim.now, 7))
+	sim.run(3 * time.Second)
+	assert.Assert(t, !leader.raft.IsLeader() && !leader.raft.HasQuorumContact(sim.now))
+	clear(sim.cutLinks)
+	sim.write("on")
+	sim.requireComplete("a", "b", "c")
+}
+
+// A leader that is about to stop has another take over, well before anybody would miss it.
+func TestTransferLeadership(t *testing.T) {
+	sim := newSimulation(t, 7, "a", "b", "c")
+	sim.run(2 * time.Second)
+	sim.write("one")
+	leader := sim.leader()
+	leader.raft.TransferLeadership(sim.now)
+	sim.processReady(leader.self.Addr)
+	sim.run(100 * time.Millisecond)
+	assert.Assert(t, sim.leader() != nil && sim.leader() != leader && !leader.raft.IsLeader())
+	sim.write("two")
+	sim.requireComplete("a", "b", "c")
+}
+
+// A member that voted in a term, and comes back with a log that is older than its vote, votes for nobody else in that term,
+// does not lead with what it has, and catches up.
+func TestLogOlderThanVote(t *testing.T) {
+	model := modelWithLeader(t, 3)
+	third := model.nodes[2]
+	log := third.log
+	model.nodes[0].raft.Propose(model.nodes[0].now, []byte("x"))
+	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
+	deliverAll(t, model)
+	third.hardState, third.log = HardState{Term: 4, Vote: 2}, log[:0]
+	third.now += 3 * testElectionTimeout
+	third.start()
+	third.raft.Step(third.now, Message{Kind: RequestVote, From: 1, To: 3, Term: 4, Index: 9, LogTerm: 3})
+	ready := third.raft.Ready()
+	assert.Assert(t, len(ready.MessagesAfterSave) == 1 && ready.MessagesAfterSave[0].Reject, "it has voted for 2")
+	for range 3 { // it asks, and nobody votes for it
+		model.missLeader(t, 2)
+		deliverAll(t, model)
+		assert.Assert(t, !third.raft.IsLeader())
+	}
+	for range 20 {
+		for i, n := range model.nodes {
+			n.now += testHeartbeatInterval
+			n.raft.Tick(n.now)
+			assert.NilError(t, model.processReady(i, noCrash, modelFaults{}))
+			deliverAll(t, model)
+		}
+	}
+	assert.Assert(t, third.raft.AppliedIndex() >= model.acknowledgedIndex)
+	assert.Equal(t, third.raft.log.lastTerm(), model.nodes[0].raft.log.lastTerm())
+}
--- a/internal/mesh/raft/golden_test.go
+++ b/internal/mesh/raft/golden_test.go
@@ -94,7 +94,8 @@
 	r.numbers(uint64(len(messages)))
 	for _, message := range messages {
 		r.numbers(uint64(message.Kind), uint64(message.From), uint64(message.To), message.Term, message.Index, message.LogTerm,
-			message.Commit, message.Hint, message.HeartbeatRound, message.ConfigurationIndex, uint64(message.ProtocolVersion), message.Offset, message.TotalBytes, uint64(message.Checksum))
+			message.Commit, message.Hint, message.HeartbeatRound, message.ConfigurationIndex, uint64(message.ProtocolVersion),
+			message.Offset, message.TotalBytes, uint64(message.Checksum))
 		r.flags(message.Reject, message.Leaving)
 		r.bytes([]byte(message.Addr))
 		r.entries(message.Entries)
@@ -124,14 +125,15 @@
 }
 
 // state hashes what one member says of itself.
-func (r *recorder) state(id ID, c *Raft, now time.Duration) {
-	members, index := c.Members()
-	r.numbers(uint64(id), c.Term(), uint64(c.Leader()), c.AppliedIndex(), c.LastIndex(), index, uint64(c.EntriesSinceSnapshot()), c.OldestRetainedIndex())
+func (r *recorder) state(id ID, member *Raft, now time.Duration) {
+	members, index := member.Members()
+	r.numbers(uint64(id), member.Term(), uint64(member.Leader()), member.AppliedIndex(), member.LastIndex(), index,
+		uint64(member.EntriesSinceSnapshot()), member.OldestRetainedIndex())
 	r.members(members)
-	r.flags(c.IsLeader(), c.HasQuorumContact(now), c.IsNonMember(), c.MayLeave(), c.IsCaughtUpLeader())
-	for _, member := range members {
-		r.bytes([]byte(c.Addr(member.ID)))
-		r.flags(c.IsRecentlyActive(member.ID))
+	r.flags(member.IsLeader(), member.HasQuorumContact(now), member.IsNonMember(), member.MayLeave(), member.IsCaughtUpLeader())
+	for _, voter := range members {
+		r.bytes([]byte(member.Addr(voter.ID)))
+		r.flags(member.IsRecentlyActive(voter.ID))
 	}
 	r.flush()
 }
@@ -141,8 +143,8 @@
 	r.buffer = r.buffer[:0]
 }
 
-// goldenSchedule plays a random schedule, and between its events has members hand over leadership, tell of what is committed, and
-// hear that the leader's process has ended, whether or not that is so.
+// goldenSchedule plays a random schedule, and between its events has members transfer leadership, broadcast what is committed, and
+// learn that the leader's process has ended, whether or not that is so.
 func goldenSchedule(t *testing.T, seed uint64) goldenRecord {
 	recorder := newRecorder()
 	schedule := newRandomSchedule(seed, 3, 2)
@@ -176,28 +178,24 @@
 }
 
 // goldenMixedVersions plays members of both protocol versions on links that lose messages: members that lag are sent a snapshot,
-// one loses its disk, and one is told to end.
+// one loses its disk, and one is told to stop.
 func goldenMixedVersions(t *testing.T, mask int) goldenRecord {
 	recorder := newRecorder()
-	f := newSimulation(t, uint64(900+mask), "a", "b", "c")
-	f.observe = func(member *testMember, ready Ready) { recorder.ready(member.self.ID, ready) }
-	for i, addr := range f.addrs() {
-		if f.members[addr].legacyProtocol = mask>>i&1 == 1; f.members[addr].legacyProtocol {
-			f.members[addr].start()
-		}
-	}
-	f.loss = 0.05
-	lags := f.isolateFollower(30, 5, 10<<10)
-	delete(f.isolated, lags)
-	f.run(4 * time.Second)
-	f.write("after the snapshot")
-	f.startEmpty(lags, 50)
-	f.run(4 * time.Second)
-	f.write("after the loss of a disk")
-	f.leave(f.follower(), time.Second)
-	f.run(2 * time.Second)
-	for _, addr := range f.addrs() {
-		recorder.state(f.members[addr].self.ID, f.members[addr].raft, f.now)
+	sim := newSimulation(t, uint64(900+mask), "a", "b", "c")
+	sim.observe = func(member *testMember, ready Ready) { recorder.ready(member.self.ID, ready) }
+	sim.startLegacy(mask)
+	sim.loss = 0.05
+	lags := sim.isolateFollower(30, 5, 10<<10)
+	delete(sim.isolated, lags)
+	sim.run(4 * time.Second)
+	sim.write("after the snapshot")
+	sim.startEmpty(lags, 50)
+	sim.run(4 * time.Second)
+	sim.write("after the loss of a disk")
+	sim.leave(sim.follower(), time.Second)
+	sim.run(2 * time.Second)
+	for _, addr := range sim.addrs() {
+		recorder.state(sim.members[addr].self.ID, sim.members[addr].raft, sim.now)
 	}
 	return recorder.record(fmt.Sprintf("versions %03b", mask))
 }
--- /dev/null
+++ b/internal/mesh/raft/leave_test.go
@@ -0,0 +1,206 @@
+package raft
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// A member that is told to stop gets leave only once those that stay hold what it does; 50 ms later another disk is lost. Either the
+// leader or a follower leaves, and the third lagged.
+func TestLeaveThenDiskLoss(t *testing.T) {
+	for seed := range uint64(40) {
+		sim := newSimulation(t, 300+seed, "a", "b", "c")
+		sim.step = 2 * time.Millisecond
+		sim.run(2 * time.Second)
+		sim.write("one")
+		lead := sim.leader().self.Addr
+		others := sim.othersThan(lead)
+		lags, leaves, stays := others[0], others[1], lead
+		if seed%2 == 0 {
+			leaves, stays = lead, others[1]
+		}
+		sim.isolated[lags] = true
+		for n := range 5 {
+			sim.write(fmt.Sprint("while it lags ", n))
+		}
+		assert.Assert(t, !sim.leave(leaves, 300*time.Millisecond), "what it holds is on one other disk")
+		delete(sim.isolated, lags)
+		assert.Assert(t, sim.leave(leaves, 3*time.Second))
+		assert.Assert(t, sim.holdsAcknowledged(lags) && sim.holdsAcknowledged(stays))
+		gone := sim.members[leaves]
+		delete(sim.members, leaves)
+		sim.run(50 * time.Millisecond)
+		sim.write("without it")
+		sim.startEmpty(stays, 20) // the disk of the one that had the other copy is lost
+		sim.run(100 * time.Millisecond)
+		assert.Assert(t, sim.holdsAcknowledged(lags))
+		sim.members[leaves], gone.now = gone, sim.now
+		gone.start()
+		sim.run(4 * time.Second)
+		sim.write("after it")
+		sim.requireComplete("a", "b", "c")
+	}
+}
+
+// What is acknowledged after a member got leave does not rest on it, though it still runs.
+func TestNothingRestsOnMemberWithLeave(t *testing.T) {
+	sim := newSimulation(t, 41, "a", "b", "c")
+	sim.run(2 * time.Second)
+	sim.write("one")
+	leader := sim.leader()
+	leaves, stays := "b", "c"
+	if leader.self.Addr != "a" {
+		leaves, stays = "a", map[string]string{"b": "c", "c": "b"}[leader.self.Addr]
+	}
+	assert.Assert(t, sim.leave(leaves, time.Second))
+	sim.isolated[stays] = true
+	index, _, ok := leader.raft.Propose(sim.now, []byte("two"))
+	assert.Assert(t, ok)
+	sim.processReady(leader.self.Addr)
+	sim.run(700 * time.Millisecond) // less than it takes to miss a majority
+	assert.Assert(t, leader.raft.log.committed < index)
+	delete(sim.isolated, stays)
+	sim.run(time.Second)
+	assert.Assert(t, sim.members[stays].raft.log.committed >= index)
+}
+
+// Nobody waits for what can't be.
+func TestLeaveWithoutWaiting(t *testing.T) {
+	t.Run("a sole voter", func(t *testing.T) {
+		sim := newSimulation(t, 42, "a")
+		sim.run(2 * time.Second)
+		assert.Assert(t, sim.leave("a", time.Millisecond))
+	})
+	t.Run("a leader of protocol version 0", leaveLegacyLeader)
+	t.Run("all leave together", leaveTogether)
+}
+
+func leaveLegacyLeader(t *testing.T) {
+	sim := newSimulation(t, 43, "a", "b", "c")
+	sim.startLegacy(0b011)
+	sim.run(2 * time.Second)
+	if sim.leader().self.Addr == "c" {
+		sim.crash("c", time.Second)
+		sim.run(time.Second)
+	}
+	assert.Assert(t, sim.leave("c", time.Millisecond))
+}
+
+func leaveTogether(t *testing.T) {
+	sim := newSimulation(t, 44, "a", "b", "c")
+	sim.run(2 * time.Second)
+	sim.write("one")
+	for _, a := range sim.addrs() {
+		sim.members[a].raft.BeginLeave(sim.now)
+		sim.processReady(a)
+	}
+	sim.run(time.Second)
+	for _, a := range sim.addrs() {
+		assert.Assert(t, sim.members[a].raft.MayLeave(), a)
+	}
+}
+
+// A member that is told to stop while a learner is ready gives its place to that one before it goes: another disk that is lost 50 ms
+// later is the only vote that is missing. Either the leader leaves or a follower.
+func TestLeaveWithReadyLearner(t *testing.T) {
+	for seed := range uint64(40) {
+		sim := newSimulation(t, 400+seed, "a", "b", "c")
+		sim.step = 2 * time.Millisecond
+		sim.run(2 * time.Second)
+		sim.write("one")
+		sim.startEmpty("d", 20)
+		sim.run(time.Second)
+		lead := sim.leader().self.Addr
+		assert.Assert(t, !sim.leader().raft.log.configuration.isVoter(20), "there are as many members as there should be")
+		others := sim.othersThan(lead, "d")
+		leaves, lost := others[0], others[1]
+		if seed%2 == 0 {
+			leaves = lead
+		}
+		sim.requireMembersAtLeast(3)
+		assert.Assert(t, sim.leave(leaves, time.Second))
+		delete(sim.members, leaves)
+		sim.run(50 * time.Millisecond)
+		sim.startEmpty(lost, 30)
+		sim.run(4 * time.Second)
+		sim.write("after it")
+		sim.requireComplete(sim.addrs()...)
+		configuration := sim.leader().raft.log.configuration
+		assert.Assert(t, configuration.isVoter(20) && configuration.isVoter(30))
+	}
+}
+
+// A learner that has joined and hears nothing more keeps no member from going.
+func TestLeaveWithUnreachableLearner(t *testing.T) {
+	for seed := range uint64(20) {
+		sim := newSimulation(t, 500+seed, "a", "b", "c")
+		sim.run(2 * time.Second)
+		sim.write("one")
+		lead := sim.leader().self.Addr
+		sim.startEmpty("d", 20)
+		sim.cutLinks[[2]string{lead, "d"}] = true // it asks, and hears nothing
+		sim.run(200 * time.Millisecond)
+		leaves := lead
+		if seed%2 == 0 {
+			leaves = sim.follower()
+		}
+		assert.Assert(t, sim.leave(leaves, 4*testElectionTimeout))
+	}
+}
+
+// A member that goes for good, leader or follower, gives its place to a learner that is ready. 50 ms after it was told to stop another
+// loses its disk; those that are left are a majority all the same.
+func TestLeaveGivesPlaceToLearner(t *testing.T) {
+	for seed := range uint64(40) {
+		sim := newSimulation(t, 700+seed, "a", "b", "c")
+		sim.step = 2 * time.Millisecond
+		sim.run(2 * time.Second)
+		sim.write("one")
+		sim.startEmpty("d", 10)
+		sim.run(time.Second)
+		sim.write("two")
+		lead := sim.leader().self.Addr
+		others := sim.othersThan(lead, "d")
+		leaves, lost, stays := lead, others[0], others[1]
+		if seed%2 == 0 {
+			leaves, lost = others[0], lead
+		}
+		sim.members[leaves].raft.BeginLeave(sim.now)
+		sim.processReady(leaves)
+		sim.run(50 * time.Millisecond)
+		sim.startEmpty(lost, 20)
+		sim.runUntil(1500*time.Millisecond, sim.members[leaves].raft.MayLeave)
+		delete(sim.members, leaves)
+		sim.run(6 * time.Second)
+		sim.write("after it")
+		left := []string{stays, lost, "d"}
+		slices.Sort(left)
+		sim.requireComplete(left...)
+	}
+}
+
+// A learner that lags, or that says nothing any more, holds up nobody who is to go.
+func TestLeaveDoesNotWaitForLaggingLearner(t *testing.T) {
+	for seed := range uint64(8) {
+		sim := newSimulation(t, 760+seed, "a", "b", "c")
+		sim.run(2 * time.Second)
+		sim.startEmpty("d", 10)
+		sim.run(time.Second)
+		if sim.isolated["d"] = seed%4 < 2; !sim.isolated["d"] {
+			for _, a := range []string{"a", "b", "c"} {
+				sim.cutLinks[[2]string{a, "d"}] = true
+			}
+		}
+		sim.write("without the learner")
+		sim.run(time.Second)
+		leaves := sim.leader().self.Addr
+		if seed%2 == 0 {
+			leaves = sim.othersThan(leaves, "d")[0]
+		}
+		assert.Assert(t, sim.leave(leaves, time.Second), "seed %d", seed)
+	}
+}
--- a/internal/mesh/raft/mutation_test.go
+++ b/internal/mesh/raft/mutation_test.go
@@ -18,7 +18,7 @@
 // planted is an error that is put into the package's source for one run of its tests.
 type planted struct {
 	name, file, right, wrong string
-	by                       string // the test that finds it; "": TestSchedules
+	by                       string // the test that finds it; "": TestRandomSchedules
 }
 
 var plantedErrors = []planted{
@@ -48,35 +48,35 @@
 	{"a snapshot installed over newer entries", "snapshot_receive.go",
 		"if snapshot.Index <= r.log.committed {", "if snapshot.Index == r.log.committed {", ""},
 	{"a snapshot's sum not compared", "snapshot_receive.go",
-		"if crc32.Checksum(incoming.data, castagnoli) != incoming.checksum {", "if false && crc32.Checksum(nil, castagnoli) != 0 {", "TestSnapshotRefused"},
+		"if crc32.Checksum(incoming.data, castagnoli) != incoming.checksum {", "if false && crc32.Checksum(nil, castagnoli) != 0 {", "TestInvalidSnapshotRejected"},
 	{"a member let go at once", "leave.go",
 		"(r.mayGrantLeave(p) || r.areAllVotersLeaving()) {", "true {", ""},
 	{"a wiped voter that keeps its id", "schedule_test.go",
 		"self: Member{s.nextID, n.self.Addr}, now", "self: n.self, snapshot: BootstrapSnapshot(s.founders), now", ""},
 	{"a place cleared before the learner has caught up", "membership.go",
-		"if version < 1 {", "if true {", "TestExchange"},
+		"if version < 1 {", "if true {", "TestReplacement"},
 	{"no vote for a member that is not known", "election.go",
-		"if !granted && !r.log.configuration.isVoter(m.From) {", "if !r.log.configuration.isVoter(m.From) {", "TestVoteForOneUnknown"},
+		"if !granted && !r.log.configuration.isVoter(m.From) {", "if !r.log.configuration.isVoter(m.From) {", "TestVoteForUnknownMember"},
 	{"a whole snapshot at every heartbeat", "snapshot_send.go",
-		"const wholeSnapshotResendFactor = 8", "const wholeSnapshotResendFactor = 0", "TestSnapshotForFirstBuild"},
+		"const wholeSnapshotResendFactor = 8", "const wholeSnapshotResendFactor = 0", "TestSnapshotForLegacyMember"},
 	{"heartbeats left out while a snapshot is sent", "replication.go",
-		"			r.sendHeartbeat(p)\n", "", "TestLossyLink"},
+		"			r.sendHeartbeat(p)\n", "", "TestSnapshotOverLossyLink"},
 }
 
-// longToFind are those that take more than a hundred schedules: CORE_PLANTED=all has them looked for, too.
+// longToFind are those that take more than a hundred schedules: RAFT_MUTATIONS=all has them looked for, too.
 var longToFind = map[string]bool{
 	"a lease by the local clock": true, "a snapshot installed over newer entries": true,
 	"an exchange by a majority of the new members alone": true, "a wiped voter that keeps its id": true,
 }
 
 // Each planted error is found, most of them by random schedules.
-func TestPlantedErrors(t *testing.T) {
-	if testing.Short() || testkit.Race || os.Getenv("CORE_SCHEDULES") != "" {
+func TestMutations(t *testing.T) {
+	if testing.Short() || testkit.Race || os.Getenv("RAFT_SCHEDULES") != "" {
 		t.Skip("it builds the package for each planted error; go test without -race and -short does")
 	}
 	together := make(chan struct{}, 4) // at once
 	for _, x := range plantedErrors {
-		if longToFind[x.name] && os.Getenv("CORE_PLANTED") != "all" {
+		if longToFind[x.name] && os.Getenv("RAFT_MUTATIONS") != "all" {
 			continue
 		}
 		t.Run(x.name, func(t *testing.T) {
@@ -111,10 +111,10 @@
 	assert.NilError(t, os.WriteFile(file, overlay, 0o600))
 	by := x.by
 	if by == "" {
-		by = "TestSchedules"
+		by = "TestRandomSchedules"
 	}
 	cmd := exec.Command("go", "test", "-count=1", "-vet=off", "-overlay", file, "-run", fmt.Sprintf("^%s$", by), ".")
-	cmd.Env = append(os.Environ(), "CORE_SCHEDULES=2000")
+	cmd.Env = append(os.Environ(), "RAFT_SCHEDULES=2000")
 	text, err := cmd.CombinedOutput()
 	assert.Assert(t, err != nil, "the tests pass with it")
 	assert.Assert(t, !strings.Contains(string(text), "build failed"), "%s", text)
--- a/internal/mesh/raft/rules_test.go
+++ b/internal/mesh/raft/rules_test.go
@@ -10,74 +10,83 @@
 // modelWithVersion is a model whose first member leads, and whose log states that all speak the present protocol version.
 func modelWithVersion(t *testing.T) *modelState {
 	t.Helper()
-	w := modelWithLeader(t, 3)
+	model := modelWithLeader(t, 3)
 	for range 3 {
-		tick(t, w, 0)
-		deliverAll(t, w)
+		tick(t, model, 0)
+		deliverAll(t, model)
 	}
-	_, index := w.nodes[0].raft.Members()
-	assert.Assert(t, index > 1 && w.nodes[1].raft.AppliedIndex() >= index)
-	return w
+	_, index := model.nodes[0].raft.Members()
+	assert.Assert(t, index > 1 && model.nodes[1].raft.AppliedIndex() >= index)
+	return model
 }
 
 // modelWithLearner is a model whose first member leads, with a learner of ID 4 at an address that has caught up and asks to join.
 func modelWithLearner(t *testing.T, addr string) *modelState {
 	t.Helper()
-	w := modelWithVersion(t)
-	addLearner(t, w, 0, Member{ID: 4, Addr: addr})
-	return w
+	model := modelWithVersion(t)
+	addLearner(t, model, 0, Member{ID: 4, Addr: addr})
+	return model
 }
 
 // addLearner has a learner that holds nothing join the leader at a place, and catch up. No other member hears anything.
-func addLearner(t *testing.T, w *modelState, leader int, learner Member) {
+func addLearner(t *testing.T, model *modelState, leader int, learner Member) {
 	t.Helper()
 	member := &testMember{self: learner}
 	member.start()
-	w.nodes = append(w.nodes, member)
-	w.network = append(w.network, Message{Kind: JoinRequest, From: learner.ID, To: w.nodes[leader].self.ID, Addr: learner.Addr, ProtocolVersion: ProtocolVersion})
-	deliverBetween(t, w, w.nodes[leader].self.ID, learner.ID)
+	model.nodes = append(model.nodes, member)
+	model.network = append(model.network, Message{
+		Kind: JoinRequest, From: learner.ID, To: model.nodes[leader].self.ID, Addr: learner.Addr, ProtocolVersion: ProtocolVersion,
+	})
+	deliverBetween(t, model, model.nodes[leader].self.ID, learner.ID)
 }
 
 // deliverBetween delivers all that is under way between two members, and loses everything else.
-func deliverBetween(t *testing.T, w *modelState, a, b ID) {
+func deliverBetween(t *testing.T, model *modelState, a, b ID) {
 	t.Helper()
 	var others []ID
-	for _, member := range w.nodes {
+	for _, member := range model.nodes {
 		if id := member.self.ID; id != a && id != b {
 			others = append(others, id)
 		}
 	}
-	deliverAllExcept(t, w, others...)
+	deliverAllExcept(t, model, others...)
 }
 
 // tick lets a heartbeat interval pass at one member.
-func tick(t *testing.T, w *modelState, i int) {
+func tick(t *testing.T, model *modelState, i int) {
 	t.Helper()
-	w.nodes[i].now += testHeartbeatInterval
-	w.nodes[i].raft.Tick(w.nodes[i].now)
-	assert.NilError(t, w.processReady(i, noCrash, modelFaults{}))
+	model.nodes[i].now += testHeartbeatInterval
+	model.nodes[i].raft.Tick(model.nodes[i].now)
+	assert.NilError(t, model.processReady(i, noCrash, modelFaults{}))
 }
 
 // electSecond has the second member be elected by the third, which both miss the first. Nothing else that they send arrives.
-func electSecond(t *testing.T, w *modelState) {
+func electSecond(t *testing.T, model *modelState) {
 	t.Helper()
-	for _, i := range []int{2, 1} {
-		w.network = nil
-		w.nodes[i].now += 3 * testElectionTimeout
-		w.nodes[i].raft.Tick(w.nodes[i].now)
-		assert.NilError(t, w.processReady(i, noCrash, modelFaults{}))
+	model.network = nil
+	isolateFirst(t, model)
+	for len(model.network) > 0 && !model.nodes[1].raft.IsLeader() {
+		deliverNext(t, model)
 	}
-	for len(w.network) > 0 && !w.nodes[1].raft.IsLeader() {
-		m := w.network[0]
-		w.network = w.network[1:]
-		if m.To == 1 || m.From == 1 {
-			continue
-		}
-		w.nodes[m.To-1].raft.Step(w.nodes[m.To-1].now, m)
-		assert.NilError(t, w.processReady(int(m.To-1), noCrash, modelFaults{}))
-	}
-	assert.Assert(t, w.nodes[1].raft.IsLeader())
-	w.network = nil
+	assert.Assert(t, model.nodes[1].raft.IsLeader())
+	model.network = nil
+}
+
+// acknowledge has the leader get the answer of a member to a round of heartbeats: it has the log up to an index.
+func acknowledge(leader *testMember, from ID, index, round uint64) {
+	leader.raft.Step(leader.now, Message{
+		Kind: AppendResponse, From: from, To: leader.self.ID, Term: leader.raft.Term(), ProtocolVersion: ProtocolVersion,
+		Index: index, HeartbeatRound: round,
+	})
+}
+
+// requestLeave has the leader get the LeaveRequest of a member, and returns the round of heartbeats that it begins.
+func requestLeave(leader *testMember, from ID) (ready Ready, round uint64) {
+	leader.raft.Step(leader.now, Message{
+		Kind: LeaveRequest, From: from, To: leader.self.ID, Term: leader.raft.Term(), ProtocolVersion: ProtocolVersion, Leaving: true,
+	})
+	ready = leader.raft.Ready()
+	return ready, ready.MessagesBeforeSave[0].HeartbeatRound
 }
 
 // sentKinds are the kinds of the messages that a member sends next, to one member.
@@ -92,73 +101,70 @@
 
 // A leader changes no membership before an entry of its own term is committed, though a learner is ready.
 func TestMembershipChangeWaitsForOwnTerm(t *testing.T) {
-	w := modelWithVersion(t)
-	electSecond(t, w)
-	second := w.nodes[1].raft
+	model := modelWithVersion(t)
+	electSecond(t, model)
+	second := model.nodes[1].raft
 	_, before := second.Members()
-	addLearner(t, w, 1, Member{ID: 4, Addr: "r3"})
-	tick(t, w, 1)
-	deliverBetween(t, w, 2, 4)
-	tick(t, w, 1)
+	addLearner(t, model, 1, Member{ID: 4, Addr: "r3"})
+	tick(t, model, 1)
+	deliverBetween(t, model, 2, 4)
+	tick(t, model, 1)
 	_, index := second.Members()
 	assert.Equal(t, index, before, "no entry of its term is committed")
 
-	tick(t, w, 1)
-	deliverAllExcept(t, w, 1)
-	tick(t, w, 1)
+	tick(t, model, 1)
+	deliverAllExcept(t, model, 1)
+	tick(t, model, 1)
 	members, _ := second.Members()
 	assert.Assert(t, containsMember(members, 4), "once one is, the learner gets its place")
 }
 
 // A change begins only once the configuration before it is committed, the second half of a joint change as well.
 func TestMembershipChangeWaitsForTheLastOne(t *testing.T) {
-	w := modelWithLearner(t, "r2")
-	addLearner(t, w, 0, Member{ID: 5, Addr: "r3"})
-	first := w.nodes[0].raft
-	tick(t, w, 0)
+	model := modelWithLearner(t, "r2")
+	addLearner(t, model, 0, Member{ID: 5, Addr: "r3"})
+	first := model.nodes[0].raft
+	tick(t, model, 0)
 	assert.Assert(t, first.log.configuration.isJoint())
-	for len(w.network) > 0 && first.log.configuration.isJoint() {
-		m := w.network[0]
-		w.network = w.network[1:]
-		w.nodes[m.To-1].raft.Step(w.nodes[m.To-1].now, m)
-		assert.NilError(t, w.processReady(int(m.To-1), noCrash, modelFaults{}))
+	for len(model.network) > 0 && first.log.configuration.isJoint() {
+		deliverNext(t, model)
 	}
-	deliverBetween(t, w, 1, 5) // the other learner has caught up
+	deliverBetween(t, model, 1, 5) // the other learner has caught up
 	_, index := first.Members()
 	assert.Assert(t, !first.log.configuration.isJoint() && index > first.AppliedIndex())
-	tick(t, w, 0)
+	tick(t, model, 0)
 	_, now := first.Members()
 	assert.Equal(t, now, index, "the new members alone are not committed yet")
 }
 
 // The second half of a joint change comes only once the joint entry is committed; that of an entry before it does not count.
 func TestJointChangeCompletedOnceCommitted(t *testing.T) {
-	w := modelWithLearner(t, "r3")
-	first := w.nodes[0].raft
-	index, term, ok := first.Propose(w.nodes[0].now, []byte("x"))
+	model := modelWithLearner(t, "r3")
+	first := model.nodes[0].raft
+	index, term, ok := first.Propose(model.nodes[0].now, []byte("x"))
 	assert.Assert(t, ok)
-	tick(t, w, 0)
+	tick(t, model, 0)
 	assert.Assert(t, first.log.configuration.isJoint())
-	w.network = nil
-	first.Step(w.nodes[0].now, Message{Kind: AppendResponse, From: 2, To: 1, Term: term, Index: index, ProtocolVersion: ProtocolVersion})
-	assert.NilError(t, w.processReady(0, noCrash, modelFaults{}))
+	model.network = nil
+	first.Step(model.nodes[0].now, Message{Kind: AppendResponse, From: 2, To: 1, Term: term, Index: index, ProtocolVersion: ProtocolVersion})
+	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
 	assert.Equal(t, first.AppliedIndex(), index)
 	assert.Assert(t, first.log.configuration.isJoint() && first.LastIndex() == index+1)
 }
 
 // A configuration that is cut off with the log's end no longer holds.
 func TestConfigurationCutOff(t *testing.T) {
-	w := modelWithLearner(t, "r3")
-	first := w.nodes[0].raft
+	model := modelWithLearner(t, "r3")
+	first := model.nodes[0].raft
 	_, before := first.Members()
-	tick(t, w, 0)
-	w.network = nil
+	tick(t, model, 0)
+	model.network = nil
 	members, _ := first.Members()
 	assert.Assert(t, containsMember(members, 4))
-	electSecond(t, w)
+	electSecond(t, model)
 	for range 2 {
-		tick(t, w, 1)
-		deliverAllExcept(t, w, 4)
+		tick(t, model, 1)
+		deliverAllExcept(t, model, 4)
 	}
 	members, index := first.Members()
 	assert.Assert(t, index == before && len(members) == 3 && containsMember(members, 3) && !first.log.configuration.isJoint())
@@ -166,74 +172,69 @@
 
 // A member that is to stop gets leave only once the learner that is ready has taken its place.
 func TestLeaveWaitsForReplacement(t *testing.T) {
-	w := modelWithLearner(t, "r4")
-	second := w.nodes[1].raft
-	second.BeginLeave(w.nodes[1].now)
-	assert.NilError(t, w.processReady(1, noCrash, modelFaults{}))
-	deliverAll(t, w)
+	model := modelWithLearner(t, "r4")
+	second := model.nodes[1].raft
+	second.BeginLeave(model.nodes[1].now)
+	assert.NilError(t, model.processReady(1, noCrash, modelFaults{}))
+	deliverAll(t, model)
 	assert.Assert(t, !second.MayLeave() && !second.IsNonMember())
 	for range 4 {
-		tick(t, w, 0)
-		deliverAll(t, w)
+		tick(t, model, 0)
+		deliverAll(t, model)
 	}
 	assert.Assert(t, second.MayLeave() && second.IsNonMember())
 }
 
 // A member that is to stop gets leave only once those that stay have answered since it asked: one may have lost its disk before.
 func TestLeaveWaitsForAnswers(t *testing.T) {
-	w := modelWithLeader(t, 3)
-	first, term := w.nodes[0].raft, w.nodes[0].raft.Term()
-	first.BroadcastCommit(w.nodes[0].now)
-	assert.NilError(t, w.processReady(0, noCrash, modelFaults{}))
-	deliverAll(t, w)
-	first.Step(w.nodes[0].now, Message{Kind: LeaveRequest, From: 2, To: 1, Term: term, ProtocolVersion: ProtocolVersion, Leaving: true})
-	ready := first.Ready()
+	model := modelWithLeader(t, 3)
+	first := model.nodes[0]
+	first.raft.BroadcastCommit(first.now)
+	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
+	deliverAll(t, model)
+	ready, round := requestLeave(first, 2)
 	assert.Assert(t, !slices.Contains(sentKinds(ready, 2), LeaveGranted))
-	round := ready.MessagesBeforeSave[0].HeartbeatRound
-	first.Step(w.nodes[0].now, Message{Kind: AppendResponse, From: 3, To: 1, Term: term, ProtocolVersion: ProtocolVersion, Index: first.LastIndex(), HeartbeatRound: round})
-	assert.Assert(t, slices.Contains(sentKinds(first.Ready(), 2), LeaveGranted))
+	acknowledge(first, 3, first.raft.LastIndex(), round)
+	assert.Assert(t, slices.Contains(sentKinds(first.raft.Ready(), 2), LeaveGranted))
 }
 
 // A member that is to stop gets no leave while a change of the membership is under way.
 func TestLeaveWaitsForMembershipChange(t *testing.T) {
-	w := modelWithLearner(t, "r3")
-	first, term := w.nodes[0].raft, w.nodes[0].raft.Term()
-	tick(t, w, 0)
-	assert.Assert(t, first.log.configuration.isJoint())
-	first.Step(w.nodes[0].now, Message{Kind: LeaveRequest, From: 2, To: 1, Term: term, ProtocolVersion: ProtocolVersion, Leaving: true})
-	ready := first.Ready()
-	round := ready.MessagesBeforeSave[0].HeartbeatRound
+	model := modelWithLearner(t, "r3")
+	first := model.nodes[0]
+	tick(t, model, 0)
+	assert.Assert(t, first.raft.log.configuration.isJoint())
+	_, round := requestLeave(first, 2)
 	for _, id := range []ID{3, 4} { // they have all that is committed, and not the change
-		first.Step(w.nodes[0].now, Message{Kind: AppendResponse, From: id, To: 1, Term: term, ProtocolVersion: ProtocolVersion, Index: first.AppliedIndex(), HeartbeatRound: round})
+		acknowledge(first, id, first.raft.AppliedIndex(), round)
 	}
-	assert.Assert(t, !slices.Contains(sentKinds(first.Ready(), 2), LeaveGranted))
+	assert.Assert(t, !slices.Contains(sentKinds(first.raft.Ready(), 2), LeaveGranted))
 }
 
 // What a member has acknowledged beyond the commit index does not count once it got leave, though the leader's disk is behind.
 func TestAcknowledgementBeforeLeaveIsCapped(t *testing.T) {
-	w := modelWithLeader(t, 3)
-	first, term := w.nodes[0].raft, w.nodes[0].raft.Term()
-	index, _, ok := first.Propose(w.nodes[0].now, []byte("x"))
+	model := modelWithLeader(t, 3)
+	first := model.nodes[0]
+	index, _, ok := first.raft.Propose(first.now, []byte("x"))
 	assert.Assert(t, ok)
-	first.Flush()
-	unsaved := first.Ready()
-	first.Step(w.nodes[0].now, Message{Kind: AppendResponse, From: 2, To: 1, Term: term, ProtocolVersion: ProtocolVersion, Index: index})
-	first.Step(w.nodes[0].now, Message{Kind: LeaveRequest, From: 2, To: 1, Term: term, ProtocolVersion: ProtocolVersion, Leaving: true})
-	round := first.Ready().MessagesBeforeSave[0].HeartbeatRound
-	first.Step(w.nodes[0].now, Message{Kind: AppendResponse, From: 3, To: 1, Term: term, ProtocolVersion: ProtocolVersion, Index: index - 1, HeartbeatRound: round})
-	assert.Assert(t, slices.Contains(sentKinds(first.Ready(), 2), LeaveGranted))
-	first.MarkSaved(unsaved)
-	first.Ready()
-	assert.Equal(t, first.AppliedIndex(), index-1, "it would be on the leader's disk alone")
+	first.raft.Flush()
+	unsaved := first.raft.Ready()
+	acknowledge(first, 2, index, 0)
+	_, round := requestLeave(first, 2)
+	acknowledge(first, 3, index-1, round)
+	assert.Assert(t, slices.Contains(sentKinds(first.raft.Ready(), 2), LeaveGranted))
+	first.raft.MarkSaved(unsaved)
+	first.raft.Ready()
+	assert.Equal(t, first.raft.AppliedIndex(), index-1, "it would be on the leader's disk alone")
 }
 
 // A member ignores what is meant for another that was at its address before: its log is not what the sender thinks.
 func TestMessageForAnother(t *testing.T) {
-	w := modelWithLeader(t, 3)
-	second := w.nodes[1].raft
+	model := modelWithLeader(t, 3)
+	second := model.nodes[1].raft
 	term := second.Term()
 	for _, kind := range []MessageKind{AppendEntries, PreVote, RequestVote, InstallSnapshot, TimeoutNow} {
-		second.Step(w.nodes[1].now, Message{Kind: kind, From: 1, To: 9, Term: term + 1, Index: second.LastIndex(), LogTerm: term})
+		second.Step(model.nodes[1].now, Message{Kind: kind, From: 1, To: 9, Term: term + 1, Index: second.LastIndex(), LogTerm: term})
 		ready := second.Ready()
 		assert.Assert(t, second.Term() == term && len(ready.MessagesAfterSave) == 0 && !ready.MustSync(), "kind %d", kind)
 	}
@@ -242,8 +243,8 @@
 // A sole voter leads as soon as it votes for itself. No message tells of that term before it is on disk: after a restart it could
 // lead the same term again.
 func TestSoleVoterSavesItsTermFirst(t *testing.T) {
-	w := newModel(1)
-	only := w.nodes[0].raft
+	model := newModel(1)
+	only := model.nodes[0].raft
 	only.Tick(3 * testElectionTimeout)
 	assert.Assert(t, only.IsLeader())
 	only.Step(3*testElectionTimeout, Message{Kind: JoinRequest, From: 2, To: 1, Addr: "r2", ProtocolVersion: ProtocolVersion})
@@ -254,11 +255,46 @@
 // A learner gets a place only once it has all that was committed at the last heartbeat: with an empty log it could not help to commit
 // anything, should another disk be lost.
 func TestLearnerCatchesUpFirst(t *testing.T) {
-	w := modelWithVersion(t)
-	first := w.nodes[0].raft
-	first.Step(w.nodes[0].now, Message{Kind: JoinRequest, From: 4, To: 1, Addr: "r3", ProtocolVersion: ProtocolVersion})
-	tick(t, w, 0)
-	tick(t, w, 0)
+	model := modelWithVersion(t)
+	first := model.nodes[0].raft
+	first.Step(model.nodes[0].now, Message{Kind: JoinRequest, From: 4, To: 1, Addr: "r3", ProtocolVersion: ProtocolVersion})
+	tick(t, model, 0)
+	tick(t, model, 0)
 	members, _ := first.Members()
 	assert.Assert(t, !containsMember(members, 4))
 }
+
+// A leader that steps down answers its pending reads as not confirmed: nobody else will answer them.
+func TestReadsRejectedOnStepDown(t *testing.T) {
+	model := modelWithLeader(t, 3)
+	first := model.nodes[0]
+	assert.Assert(t, first.raft.ReadIndex(first.now, 7))
+	first.raft.Step(first.now, Message{Kind: AppendEntries, From: 2, To: 1, Term: first.raft.Term() + 1, ProtocolVersion: ProtocolVersion})
+	assert.DeepEqual(t, first.raft.Ready().ReadStates, []ReadState{{RequestID: 7}})
+}
+
+// A read is confirmed by a round of heartbeats that began after it was asked for: answers to an earlier one do not show that no other
+// member leads since.
+func TestReadNeedsALaterRound(t *testing.T) {
+	model := modelWithLeader(t, 3)
+	first := model.nodes[0]
+	first.raft.BroadcastCommit(first.now)
+	round := first.raft.Ready().MessagesBeforeSave[0].HeartbeatRound
+	assert.Assert(t, first.raft.ReadIndex(first.now, 7))
+	acknowledge(first, 2, first.raft.LastIndex(), round)
+	assert.Equal(t, len(first.raft.Ready().ReadStates), 0)
+	acknowledge(first, 2, first.raft.LastIndex(), round+1)
+	assert.DeepEqual(t, first.raft.Ready().ReadStates, []ReadState{{RequestID: 7, Index: first.raft.AppliedIndex()}})
+}
+
+// A read is confirmed by a majority of all members, not by any one of them.
+func TestReadNeedsAQuorum(t *testing.T) {
+	model := modelWithLeader(t, 5)
+	first := model.nodes[0]
+	assert.Assert(t, first.raft.ReadIndex(first.now, 7))
+	round := first.raft.Ready().MessagesBeforeSave[0].HeartbeatRound
+	acknowledge(first, 2, first.raft.LastIndex(), round)
+	assert.Equal(t, len(first.raft.Ready().ReadStates), 0)
+	acknowledge(first, 3, first.raft.LastIndex(), round)
+	assert.Equal(t, len(first.raft.Ready().ReadStates), 1)
+}
--- a/internal/mesh/raft/schedule_test.go
+++ b/internal/mesh/raft/schedule_test.go
@@ -16,9 +16,8 @@
 
 const testTickInterval = 50 * time.Millisecond
 
-// randomSchedule plays one random schedule, drawn from a seed, over registers in one simulated time: messages are delivered in
-// any order, lost or delivered twice, registers are restarted at any point of a turn, stand still, and lose their disks.
-// Each turn is checked by world.
+// randomSchedule plays one random schedule, drawn from a seed, over members in one simulated time: messages are delivered in any order,
+// lost or duplicated, members are restarted at any point of a Ready, stand still, and lose their disks. The model checks each Ready.
 type randomSchedule struct {
 	modelState
 	rng           *rand.Rand
@@ -27,26 +26,33 @@
 	frozen        map[int]bool
 	nextID        ID
 	founders      []Member
-	wipes         int            // disks lost so far
+	diskLosses    int            // so far
 	cutLinks      map[[2]ID]bool // links, from one to another; to 0: to any
-	leaving       map[int]bool   // told to end
-	leavesGranted int            // that were let go
+	leaving       map[int]bool   // told to stop
+	leavesGranted int            // so far
 	faults        modelFaults
-	log           bytes.Buffer // every Ready, in order; only where it is recorded
+	log           bytes.Buffer // every Ready, in order; only where record was called
 	readCount     uint64
 }
 
-func newRandomSchedule(seed uint64, registers, joiners int) *randomSchedule {
-	s := &randomSchedule{modelState: *newModel(registers), rng: rand.New(rand.NewPCG(seed, 0x5eed)), frozen: map[int]bool{}, leaving: map[int]bool{}, cutLinks: map[[2]ID]bool{}, nextID: 100}
+func newRandomSchedule(seed uint64, voters, learners int) *randomSchedule {
+	s := &randomSchedule{
+		modelState: *newModel(voters),
+		rng:        rand.New(rand.NewPCG(seed, 0x5eed)),
+		frozen:     map[int]bool{},
+		leaving:    map[int]bool{},
+		cutLinks:   map[[2]ID]bool{},
+		nextID:     100,
+	}
 	s.founders = s.nodes[0].snapshot.Members
-	for range joiners {
+	for range learners {
 		n := &testMember{self: Member{s.nextID, fmt.Sprint("r", s.nextID)}}
 		n.start()
 		s.nodes = append(s.nodes, n)
 		s.nextID++
 	}
 	for _, n := range s.nodes {
-		n.maxCatchUpEntries, n.snapshotChunkBytes = []int{0, 4, 40}[s.rng.IntN(3)], 3 // of "state at", so that it takes several
+		n.maxCatchUpEntries, n.snapshotChunkBytes = []int{0, 4, 40}[s.rng.IntN(3)], 3 // less than a state has, so that a snapshot takes several
 		n.start()
 	}
 	return s
@@ -100,7 +106,7 @@
 	case x < 262:
 		clear(s.frozen)
 	case x < 270:
-		return s.wipe()
+		return s.loseDisk()
 	case x < 280:
 		return s.compact()
 	case x < 283:
@@ -117,8 +123,8 @@
 	return s.endGrantedLeaves()
 }
 
-// replaceMember has a leader exchange a member, which may be itself, for a learner that has caught up: more often than members are
-// lost, and at any moment at which a change may begin.
+// replaceMember has a leader replace a member, which may be itself, by a learner that has caught up: more often than members are lost,
+// and at any moment at which a change may begin.
 func (s *randomSchedule) replaceMember() error {
 	i, ok := s.leader()
 	if !ok {
@@ -139,7 +145,7 @@
 	return nil
 }
 
-// cutLink has nothing pass from one register to another, or from one to any.
+// cutLink has nothing pass from one member to another, or from one to any.
 func (s *randomSchedule) cutLink() {
 	from, to := s.nodes[s.rng.IntN(len(s.nodes))].self.ID, s.nodes[s.rng.IntN(len(s.nodes))].self.ID
 	s.cutLinks[[2]ID{from, to}] = true
@@ -148,7 +154,7 @@
 	}
 }
 
-// leave tells one register to end.
+// leave tells one member to stop.
 func (s *randomSchedule) leave() error {
 	i := s.rng.IntN(len(s.nodes))
 	if s.frozen[i] || len(s.leaving) > 0 {
@@ -159,8 +165,8 @@
 	return s.processReady(i, noCrash, s.faults)
 }
 
-// endGrantedLeaves has those go that were told to and may. What was acknowledged by then must be held by a majority of the voters that
-// stay, as the leader that let them go sees it. Each starts again, with its disk.
+// endGrantedLeaves has those go that were told to stop and may. What was acknowledged by then must be held by a majority of the voters
+// that stay. Each starts again, with its disk.
 func (s *randomSchedule) endGrantedLeaves() error {
 	for i := range s.nodes {
 		n := s.nodes[i]
@@ -169,10 +175,8 @@
 		}
 		delete(s.leaving, i)
 		if n.raft.leave.granted {
-			agreed := s.latestCommittedConfiguration()
-			stay := slices.DeleteFunc(slices.Clone(agreed.Members), func(m Member) bool { return m.ID == n.self.ID })
-			if agreed.isVoter(n.self.ID) && !hasMajority(stay, func(id ID) bool { return s.stores(id, s.acknowledgedIndex) }) {
-				return fmt.Errorf("%d was let go, and entry %d, which was acknowledged, is not on a majority of %v", n.self.ID, s.acknowledgedIndex, stay)
+			if err := s.checkLeave(n.self.ID); err != nil {
+				return err
 			}
 			s.leavesGranted++
 		}
@@ -182,7 +186,18 @@
 	return nil
 }
 
-// latestCommittedConfiguration is the latest configuration that was agreed on.
+// checkLeave checks that what is acknowledged is held by a majority of the voters that stay.
+func (s *randomSchedule) checkLeave(leaving ID) error {
+	configuration := s.latestCommittedConfiguration()
+	staying := slices.DeleteFunc(slices.Clone(configuration.Members), func(m Member) bool { return m.ID == leaving })
+	if configuration.isVoter(leaving) && !hasMajority(staying, func(id ID) bool { return s.stores(id, s.acknowledgedIndex) }) {
+		return fmt.Errorf("%d got leave, and entry %d, which was acknowledged, is not on a majority of %v",
+			leaving, s.acknowledgedIndex, staying)
+	}
+	return nil
+}
+
+// latestCommittedConfiguration is the latest configuration that was committed.
 func (s *randomSchedule) latestCommittedConfiguration() Configuration {
 	latest := Configuration{Members: s.founders}
 	for index, f := range s.configurations {
@@ -193,7 +208,7 @@
 	return latest
 }
 
-// stores says that a register's disk holds an entry.
+// stores reports whether a member's disk holds an entry.
 func (s *randomSchedule) stores(id ID, index uint64) bool {
 	for _, n := range s.nodes {
 		if n.self.ID == id {
@@ -229,14 +244,14 @@
 	return s.processReady(i, cut, s.faults)
 }
 
-// freeze has one register stand still.
+// freeze has one member stand still.
 func (s *randomSchedule) freeze() {
 	if len(s.frozen) == 0 {
 		s.frozen[s.rng.IntN(len(s.nodes))] = true
 	}
 }
 
-// restartMember restarts one register.
+// restartMember restarts one member.
 func (s *randomSchedule) restartMember() error {
 	i := s.rng.IntN(len(s.nodes))
 	if !s.frozen[i] {
@@ -259,7 +274,9 @@
 		if n.raft.IsNonMember() {
 			for _, other := range s.nodes {
 				if other != n {
-					s.network = append(s.network, Message{Kind: JoinRequest, From: n.self.ID, To: other.self.ID, Addr: n.self.Addr, ProtocolVersion: n.raft.protocolVersion()})
+					s.network = append(s.network, Message{
+						Kind: JoinRequest, From: n.self.ID, To: other.self.ID, Addr: n.self.Addr, ProtocolVersion: n.raft.protocolVersion(),
+					})
 				}
 			}
 		}
@@ -270,7 +287,7 @@
 	return nil
 }
 
-// leaders are those that take themselves for one and don't stand still.
+// leader draws one of the members that take themselves for the leader and don't stand still.
 func (s *randomSchedule) leader() (int, bool) {
 	var l []int
 	for i, n := range s.nodes {
@@ -307,9 +324,9 @@
 	return s.processReady(i, noCrash, s.faults)
 }
 
-// wipe has one register lose its disk: only while all voters run and none of them has lost its disk before, for the loss of
+// loseDisk has one member lose its disk: only while all voters run and none of them has lost its disk before, for the loss of
 // one is what three bear.
-func (s *randomSchedule) wipe() error {
+func (s *randomSchedule) loseDisk() error {
 	i := s.rng.IntN(len(s.nodes))
 	n := s.nodes[i]
 	lead, ok := s.leader()
@@ -331,16 +348,19 @@
 			return nil
 		}
 	}
-	s.wipes++
-	n.wiped++
+	s.diskLosses++
+	n.disksLost++
 	delete(s.leaving, i)
-	*n = testMember{self: Member{s.nextID, n.self.Addr}, now: s.now, wiped: n.wiped, maxCatchUpEntries: n.maxCatchUpEntries, snapshotChunkBytes: n.snapshotChunkBytes}
+	*n = testMember{
+		self: Member{s.nextID, n.self.Addr}, now: s.now, disksLost: n.disksLost,
+		maxCatchUpEntries: n.maxCatchUpEntries, snapshotChunkBytes: n.snapshotChunkBytes,
+	}
 	s.nextID++
 	n.start()
 	return nil
 }
 
-// compact has one register forget the beginning of its log.
+// compact has one member compact its log.
 func (s *randomSchedule) compact() error {
 	n := s.nodes[s.rng.IntN(len(s.nodes))]
 	if at := n.raft.AppliedIndex(); at > n.raft.log.snapshot.Index {
@@ -376,9 +396,9 @@
 	}
 }
 
-// scheduleCount is how many TestSchedules plays: CORE_SCHEDULES, if that is set.
+// scheduleCount is how many schedules TestRandomSchedules plays: RAFT_SCHEDULES, if that is set.
 func scheduleCount(t *testing.T) uint64 {
-	text := os.Getenv("CORE_SCHEDULES")
+	text := os.Getenv("RAFT_SCHEDULES")
 	switch n, err := strconv.ParseUint(text, 10, 64); {
 	case text != "" && err != nil:
 		t.Fatal(err)
@@ -391,15 +411,15 @@
 }
 
 // Random schedules break nothing.
-func TestSchedules(t *testing.T) {
-	wipes, departures := 0, 0
+func TestRandomSchedules(t *testing.T) {
+	diskLosses, leaves := 0, 0
 	for seed := range scheduleCount(t) {
 		s := newRandomSchedule(seed, 3, 2)
 		if err := s.run(1500); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		wipes += s.wipes
-		departures += s.leavesGranted
+		diskLosses += s.diskLosses
+		leaves += s.leavesGranted
 	}
-	t.Logf("%d schedules, %d disks lost, %d departures", scheduleCount(t), wipes, departures)
+	t.Logf("%d schedules, %d disks lost, %d leaves granted", scheduleCount(t), diskLosses, leaves)
 }
--- /dev/null
+++ b/internal/mesh/raft/simulation_test.go
@@ -0,0 +1,387 @@
+package raft
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+)
+
+// simulation plays members in simulated time: messages take a few milliseconds, may be lost, and links may be cut.
+type simulation struct {
+	t       *testing.T
+	rng     *rand.Rand
+	now     time.Duration
+	step    time.Duration          // by which time goes on
+	members map[string]*testMember // by address
+
+	queue    []delayedMessage
+	loss     float64            // share of messages that are lost
+	isolated map[string]bool    // addresses that nobody reaches, and that reach nobody
+	cutLinks map[[2]string]bool // from one address to another
+
+	acknowledged  map[uint64]string // what a write has waited for, by index
+	applied       map[uint64]string // what some member has applied, by index
+	leadersByTerm map[uint64]ID
+
+	onSend    func(to string, m Message) // called with each message that is sent; may be nil
+	drop      func(m Message) bool       // reports whether a message is lost; may be nil
+	afterStep func()                     // called after each step; may be nil
+	observe   func(*testMember, Ready)   // called with each Ready before it is carried out; may be nil
+}
+
+// delayedMessage is a message that is under way between two addresses.
+type delayedMessage struct {
+	at       time.Duration // of its arrival
+	from, to string
+	message  Message
+}
+
+func newSimulation(t *testing.T, seed uint64, addrs ...string) *simulation {
+	sim := &simulation{
+		t:             t,
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		step:          10 * time.Millisecond,
+		members:       map[string]*testMember{},
+		isolated:      map[string]bool{},
+		cutLinks:      map[[2]string]bool{},
+		acknowledged:  map[uint64]string{},
+		applied:       map[uint64]string{},
+		leadersByTerm: map[uint64]ID{},
+	}
+	var members []Member
+	for i, addr := range addrs {
+		members = append(members, Member{ID(i + 1), addr})
+	}
+	for _, self := range members {
+		sim.members[self.Addr] = &testMember{self: self, snapshot: BootstrapSnapshot(members)}
+		sim.members[self.Addr].start()
+	}
+	return sim
+}
+
+// startEmpty starts a member with an empty disk, in the place of any that is at its address.
+func (sim *simulation) startEmpty(addr string, id ID) {
+	n := &testMember{self: Member{id, addr}, now: sim.now}
+	n.start()
+	sim.members[addr] = n
+}
+
+// startLegacy has those members speak protocol version 0 whose bits are set in a mask, in the order of their addresses.
+func (sim *simulation) startLegacy(mask int) {
+	for i, addr := range sim.addrs() {
+		if n := sim.members[addr]; mask>>i&1 == 1 {
+			n.legacyProtocol = true
+			n.start()
+		}
+	}
+}
+
+// processReady lets a member carry out its Readys, and sends what it has to say.
+func (sim *simulation) processReady(addr string) {
+	sim.t.Helper()
+	n := sim.members[addr]
+	model := &modelState{
+		nodes:          []*testMember{n},
+		applied:        sim.applied,
+		leaders:        sim.leadersByTerm,
+		configurations: map[uint64]Configuration{},
+		observe:        sim.observe,
+	}
+	assert.NilError(sim.t, model.processReady(0, noCrash, modelFaults{}))
+	for _, m := range model.network {
+		sim.send(addr, sim.addrOf(n, m), m)
+	}
+}
+
+// addrOf is where a message of a member goes: to the address that the member knows, else, as the caller of the package would find it,
+// to that of the receiver.
+func (sim *simulation) addrOf(from *testMember, m Message) string {
+	if m.Kind == NotMember && m.Addr != "" {
+		return m.Addr
+	}
+	to := from.raft.Addr(m.To)
+	if to == "" {
+		for addr, n := range sim.members {
+			if n.self.ID == m.To {
+				to = addr
+			}
+		}
+	}
+	return to
+}
+
+func (sim *simulation) send(from, to string, m Message) {
+	if sim.onSend != nil {
+		sim.onSend(to, m)
+	}
+	if sim.drop != nil && sim.drop(m) {
+		return
+	}
+	if sim.rng.Float64() >= sim.loss {
+		delay := time.Millisecond + time.Duration(sim.rng.Int64N(int64(5*time.Millisecond)))
+		sim.queue = append(sim.queue, delayedMessage{at: sim.now + delay, from: from, to: to, message: m})
+	}
+}
+
+// run lets time pass.
+func (sim *simulation) run(d time.Duration) {
+	for end := sim.now + d; sim.now < end; {
+		sim.now += sim.step
+		sim.deliverDue()
+		for _, addr := range sim.addrs() {
+			sim.tick(addr)
+		}
+		if sim.afterStep != nil {
+			sim.afterStep()
+		}
+	}
+}
+
+// deliverDue delivers the messages that have arrived by now.
+func (sim *simulation) deliverDue() {
+	queue := sim.queue
+	sim.queue = nil
+	for _, delayed := range queue {
+		from, to := delayed.from, delayed.to
+		n := sim.members[to]
+		switch {
+		case delayed.at > sim.now:
+			sim.queue = append(sim.queue, delayed)
+		case n == nil || sim.isolated[to] || sim.isolated[from] || sim.cutLinks[[2]string{from, to}]: // lost
+		default:
+			sim.deliver(n, delayed.message)
+			sim.processReady(to)
+		}
+	}
+}
+
+// tick lets one member see the time. A non-member asks all addresses to join, as the caller of the package does.
+func (sim *simulation) tick(addr string) {
+	n := sim.members[addr]
+	n.now = sim.now
+	n.raft.Tick(sim.now)
+	if n.raft.IsNonMember() {
+		for _, other := range sim.addrs() {
+			if other != addr {
+				sim.send(addr, other, Message{Kind: JoinRequest, From: n.self.ID, Addr: addr, ProtocolVersion: n.raft.protocolVersion()})
+			}
+		}
+	}
+	sim.processReady(addr)
+}
+
+// runUntil lets time pass until something holds.
+func (sim *simulation) runUntil(d time.Duration, holds func() bool) bool {
+	for end := sim.now + d; sim.now < end; sim.run(sim.step) {
+		if holds() {
+			return true
+		}
+	}
+	return holds()
+}
+
+// deliver gives a member a message, as much of it as its protocol version knows.
+func (sim *simulation) deliver(n *testMember, m Message) {
+	if n.legacyProtocol {
+		if m.Kind > lastVersion0Kind {
+			return
+		}
+		m.ProtocolVersion = 0
+		m.Entries = slices.Clone(m.Entries)
+		for i := range m.Entries {
+			m.Entries[i].Outgoing, m.Entries[i].ProtocolVersion = nil, 0
+		}
+		if m.Snapshot != nil {
+			s := *m.Snapshot
+			s.Outgoing, s.ProtocolVersion, m.Snapshot = nil, 0, &s
+		}
+	}
+	n.raft.Step(sim.now, m)
+}
+
+// addrs are the addresses of all members, sorted.
+func (sim *simulation) addrs() []string { return slices.Sorted(maps.Keys(sim.members)) }
+
+// othersThan are the addresses of all members but some, sorted.
+func (sim *simulation) othersThan(except ...string) []string {
+	return slices.DeleteFunc(sim.addrs(), func(addr string) bool { return slices.Contains(except, addr) })
+}
+
+// leader is the member that leads the latest term, of those that are not isolated; nil: there is none.
+func (sim *simulation) leader() *testMember {
+	var best *testMember
+	for _, a := range sim.addrs() {
+		if n := sim.members[a]; n.raft.IsLeader() && !sim.isolated[a] && (best == nil || n.raft.Term() > best.raft.Term()) {
+			best = n
+		}
+	}
+	return best
+}
+
+// leaderAddr is the address of a member that leads and is not isolated; "": there is none.
+func (sim *simulation) leaderAddr() (addr string) {
+	for _, a := range sim.addrs() {
+		if n := sim.members[a]; n.raft.IsLeader() && !sim.isolated[a] {
+			addr = a
+		}
+	}
+	return addr
+}
+
+// follower is the first address whose member does not lead.
+func (sim *simulation) follower() string {
+	for _, a := range sim.addrs() {
+		if !sim.members[a].raft.IsLeader() {
+			return a
+		}
+	}
+	return ""
+}
+
+// write has a command committed and waits for it.
+func (sim *simulation) write(text string) {
+	sim.t.Helper()
+	for range 200 {
+		if leader := sim.leader(); leader != nil && sim.tryWrite(leader, text) {
+			return
+		}
+		sim.run(10 * time.Millisecond)
+	}
+	sim.t.Fatalf("%q is not committed", text)
+}
+
+// tryWrite proposes a command and waits for what is committed in its place; true: it is the command.
+func (sim *simulation) tryWrite(leader *testMember, text string) bool {
+	sim.t.Helper()
+	index, term, ok := leader.raft.Propose(sim.now, []byte(text))
+	if !ok {
+		return false
+	}
+	sim.processReady(leader.self.Addr)
+	for range 100 {
+		if got := sim.applied[index]; got != "" && leader.raft.AppliedIndex() >= index {
+			if got != fmt.Sprint(term, EntryCommand, text, []Member(nil)) {
+				return false
+			}
+			sim.acknowledged[index] = got
+			return true
+		}
+		sim.run(10 * time.Millisecond)
+	}
+	return false
+}
+
+// proposeMany has so many commands committed, ten at once.
+func (sim *simulation) proposeMany(n int) {
+	sim.t.Helper()
+	for i := range n {
+		if leader := sim.leader(); leader != nil {
+			leader.raft.Propose(sim.now, fmt.Append(nil, "change ", i, " with some words"))
+			if i%10 == 9 {
+				sim.processReady(leader.self.Addr)
+				sim.run(sim.step)
+			}
+		}
+	}
+	sim.write("after the changes")
+}
+
+// crash has a member start again with its disk after a while.
+func (sim *simulation) crash(addr string, down time.Duration) {
+	n := sim.members[addr]
+	sim.isolated[addr] = true
+	sim.run(down)
+	n.now = sim.now
+	n.start()
+	delete(sim.isolated, addr)
+}
+
+// endProcess ends the process of a member. If it is told, the others learn that its address refuses connections.
+func (sim *simulation) endProcess(addr string, told bool) {
+	id := sim.members[addr].self.ID
+	sim.isolated[addr] = true
+	for _, a := range sim.addrs() {
+		if a != addr && told {
+			sim.members[a].raft.ReportLeaderExited(sim.now, id)
+		}
+	}
+}
+
+// leave tells a member to stop, and waits until it may; false: it may not in that time.
+func (sim *simulation) leave(addr string, within time.Duration) bool {
+	n := sim.members[addr]
+	n.raft.BeginLeave(sim.now)
+	sim.processReady(addr)
+	return sim.runUntil(within, n.raft.MayLeave)
+}
+
+// isolateFollower has a follower miss so many commands, and the others compact their logs, keeping so many entries in front of snapshots
+// of a size in bytes. It returns the follower's address.
+func (sim *simulation) isolateFollower(commands, keep, size int) string {
+	sim.t.Helper()
+	sim.run(2 * time.Second)
+	for _, n := range sim.members {
+		n.maxCatchUpEntries, n.snapshotChunkBytes = keep, 1<<10
+		n.raft.config.MaxCatchUpEntries, n.raft.config.SnapshotChunkBytes = keep, 1<<10
+	}
+	lags := sim.follower()
+	sim.isolated[lags] = true
+	sim.proposeMany(commands)
+	for a, n := range sim.members {
+		if a != lags {
+			n.compact(snapshotOfSize(size))
+		}
+	}
+	return lags
+}
+
+// snapshotOfSize is a replicated state of so many bytes.
+func snapshotOfSize(size int) []byte { return bytes.Repeat([]byte("state "), size/6+1)[:size] }
+
+// requireComplete checks that the voters are those at these addresses, and that all of them have applied what was acknowledged.
+func (sim *simulation) requireComplete(addrs ...string) {
+	sim.t.Helper()
+	sim.run(time.Second)
+	for _, addr := range addrs {
+		n := sim.members[addr]
+		members, _ := n.raft.Members()
+		var voters []string
+		for _, m := range members {
+			voters = append(voters, m.Addr)
+		}
+		slices.Sort(voters)
+		assert.DeepEqual(sim.t, voters, addrs)
+		for index, text := range sim.acknowledged {
+			assert.Assert(sim.t, n.raft.AppliedIndex() >= index)
+			assert.Equal(sim.t, sim.applied[index], text)
+		}
+	}
+}
+
+// requireMembersAtLeast has the test fail as soon as a leader's configuration has fewer members.
+func (sim *simulation) requireMembersAtLeast(than int) {
+	sim.afterStep = func() {
+		for _, a := range sim.addrs() {
+			if n := sim.members[a]; n.raft.IsLeader() && len(n.raft.log.configuration.Members) < than {
+				sim.t.Fatalf("%s leads %+v at %v", a, n.raft.log.configuration, sim.now)
+			}
+		}
+	}
+}
+
+// holdsAcknowledged reports whether a member's disk has all that was acknowledged.
+func (sim *simulation) holdsAcknowledged(addr string) bool {
+	n := sim.members[addr]
+	for index := range sim.acknowledged {
+		if n.snapshot.Index < index && (len(n.log) == 0 || n.log[len(n.log)-1].Index < index) {
+			return false
+		}
+	}
+	return true
+}
