--- a/internal/mesh/replica/ready.go
+++ b/internal/mesh/replica/ready.go
@@ -71,7 +71,7 @@
 // installSnapshot replaces the state by that of a snapshot from the leader, and sends the sidecars what they go by.
 func (r *Replica) installSnapshot(snapshot raft.Snapshot) {
 	if err := r.state.Decode(snapshot.Data); err != nil {
-		r.log.Error().Err(err).Msg("a snapshot was received that can't be read")
+		r.log.Error().Err(err).Uint64("snapshot_index", snapshot.Index).Msg("received snapshot unreadable")
 	}
 	r.leaderGap = leaderGap{}
 	r.env.BroadcastToSidecars(config.ItemsToWire(r.state.Items.Items()))
--- a/internal/mesh/replica/replica.go
+++ b/internal/mesh/replica/replica.go
@@ -186,8 +186,8 @@
 		return false
 	}
 	r.announcedLeader = leader
-	r.log.Info().Uint64("leader", uint64(leader)).Str("addr", r.raft.Addr(leader)).Uint64("term", r.raft.Term()).
-		Uint64("applied", r.raft.AppliedIndex()).Msg("leader")
+	r.log.Info().Uint64("leader_id", uint64(leader)).Str("leader_address", r.raft.Addr(leader)).Uint64("term", r.raft.Term()).
+		Uint64("applied_index", r.raft.AppliedIndex()).Msg("leader changed")
 	r.updateQuorumContact()
 	r.failForwardedCalls()
 	return true
@@ -201,7 +201,7 @@
 	}
 	r.announcedMembersIndex = index
 	addresses := r.peers.setMembers(members)
-	r.log.Info().Uint64("view", index).Int("members", len(members)).Strs("addrs", addresses).Msg("members")
+	r.log.Info().Uint64("members_index", index).Int("members", len(members)).Strs("member_addresses", addresses).Msg("members changed")
 	r.env.BroadcastToSidecars(r.membersMessage())
 }
 
@@ -214,7 +214,7 @@
 	}
 	leader := r.raft.Leader()
 	if wait, isLeader = r.raft.ReportLeaderExited(r.now, leader); isLeader {
-		r.log.Info().Uint64("leader", uint64(leader)).Str("addr", address).Dur("wait", wait).Msg("leader gone")
+		r.log.Info().Uint64("leader_id", uint64(leader)).Str("leader_address", address).Dur("wait_ms", wait).Msg("leader exited")
 	}
 	return wait, isLeader
 }
--- a/internal/mesh/testcluster/failover_test.go
+++ b/internal/mesh/testcluster/failover_test.go
@@ -169,7 +169,7 @@
 	f.add("grant-all-lines", last.Sub(at))
 	change, _ := earliestSuccess(changes, at)
 	f.add("change", change.Sub(at))
-	if elected, is := f.firstLogged(at, "leader", func(l logLine) bool { return l.Leader != 0 }); is {
+	if elected, is := f.firstLogged(at, "leader changed", func(l logLine) bool { return l.Leader != 0 }); is {
 		f.add("new-leader", elected.Sub(at))
 	}
 	if found, is := f.firstLogged(at, "items confirmed", func(logLine) bool { return true }); is {
@@ -185,7 +185,7 @@
 type logLine struct {
 	Time    int64  `json:"time"` // Unix ms
 	Message string `json:"message"`
-	Leader  uint64 `json:"leader"`
+	Leader  uint64 `json:"leader_id"`
 }
 
 // firstLogged is the earliest line of any process's log with that message since a time.
--- a/internal/mesh/testcluster/mesh_test.go
+++ b/internal/mesh/testcluster/mesh_test.go
@@ -340,7 +340,7 @@
 		m.applyFrozenRoute(t, by, map[bool]int{false: 10, true: 11}[kill])
 		found := false
 		for _, x := range m.Members {
-			found = found || x != by && strings.Contains(x.Process.Tail(), `"addr":"`+id+`","wait"`)
+			found = found || x != by && strings.Contains(x.Process.Tail(), `"leader_address":"`+id+`","wait_ms"`)
 		}
 		assert.Equal(t, found, kill)
 		if !kill {
@@ -371,7 +371,7 @@
 // loggedMembers are the machines that a register last said to be the members, by IP.
 func (x *Machine) loggedMembers() map[string]bool {
 	said := x.Process.Tail()
-	_, last, _ := strings.Cut(said[max(0, strings.LastIndex(said, `"addrs":[`)):], `"addrs":[`)
+	_, last, _ := strings.Cut(said[max(0, strings.LastIndex(said, `"member_addresses":[`)):], `"member_addresses":[`)
 	last, _, _ = strings.Cut(last, "]")
 	l := map[string]bool{}
 	for _, addr := range strings.Split(last, ",") {
