--- a/internal/mesh/operations/history.go
+++ b/internal/mesh/operations/history.go
@@ -1,7 +1,7 @@
 // Package operations makes the operators' changes idempotent. An operation is one change of one configuration item: the version that
 // its operator gave it, and a digest of its content. A History remembers the operations that were accepted for one item and were
-// superseded since, so that a duplicate is recognised whenever it comes, and another content under a version that was accepted is told
-// from it. How much is remembered is bounded by the owner (package config); a History knows below which version it is incomplete.
+// superseded since, so that a duplicate is recognised whenever it comes, and another content under a version that was accepted is
+// distinguished from it. How much is remembered is bounded by the owner (package config); a History knows below which version it is incomplete.
 //
 // The package is pure: it must never read a clock, and the same operations make the same History on every control-plane member. It
 // does for items what client sessions do for commands in Ongaro's dissertation on Raft, section 6.3.
@@ -149,8 +149,8 @@
 	recordSize = 8 + 8 + len(Digest{}) // bytes
 )
 
-// Encode returns the history as bytes for the disk. Even an empty history has a header, so that an item with an empty history is told
-// from one that was stored without any.
+// Encode returns the history as bytes for the disk. Even an empty history has a header, so that an item with an empty history
+// differs from one that was stored without any.
 func (h *History) Encode() []byte {
 	if h == nil {
 		h = new(History)
--- a/internal/mesh/replica/cluster_test.go
+++ b/internal/mesh/replica/cluster_test.go
@@ -308,7 +308,7 @@
 	once = func(reply Reply) {
 		switch {
 		case n.life != life || answered:
-		case !n.running(): // it is told as soon as it goes on
+		case !n.running(): // it gets the answer as soon as it runs again
 			n.later(TickInterval, func() { once(reply) })
 		default:
 			answered = true
--- a/internal/mesh/replica/disk_test.go
+++ b/internal/mesh/replica/disk_test.go
@@ -67,7 +67,7 @@
 			assert.Assert(t, !r.state.KeyLeases.Apply(20*time.Second, request).Granted, key)
 		}
 
-		// Of operations that were accepted it says what can be told from such a disk.
+		// Of operations that were accepted it says what such a disk shows.
 		for _, x := range []struct {
 			body []byte
 			want int
@@ -90,9 +90,11 @@
 
 // routeUpsert is an operator's update like those on the disk.
 func routeUpsert(name, service string, version int) []byte {
-	rule := map[string]any{"Name": name, "RouteType": "keyed", "TargetLatencyS": 0.8, "Priority": 2, "ConfigVersion": version,
+	rule := map[string]any{
+		"Name": name, "RouteType": "keyed", "TargetLatencyS": 0.8, "Priority": 2, "ConfigVersion": version,
 		"MatchCriteria": map[string]any{"PathPrefix": "/" + name + "/"},
-		"ForwardAction": map[string]any{"Service": service, "TimeoutS": 2, "RetryCount": 2}}
+		"ForwardAction": map[string]any{"Service": service, "TimeoutS": 2, "RetryCount": 2},
+	}
 	listener := map[string]any{"HostName": "h.example", "PolicyRules": []any{rule}}
 	text, err := json.Marshal(map[string]any{"Upsert": map[string]any{"ListenerList": []any{listener}}})
 	if err != nil {
--- a/internal/mesh/replica/environment_test.go
+++ b/internal/mesh/replica/environment_test.go
@@ -80,8 +80,10 @@
 
 // receiveAppend has a replica receive entries behind the one of an index and a term from the leader at an address.
 func receiveAppend(r *Replica, now time.Duration, leader string, term, index, logTerm, commit uint64, entries ...raft.Entry) {
-	r.Step(now, raft.Message{Kind: raft.AppendEntries, From: founderID(leader), To: r.self.ID, Term: term, Index: index, LogTerm: logTerm,
-		Entries: entries, Commit: commit})
+	r.Step(now, raft.Message{
+		Kind: raft.AppendEntries, From: founderID(leader), To: r.self.ID, Term: term, Index: index, LogTerm: logTerm,
+		Entries: entries, Commit: commit,
+	})
 }
 
 // receiveHeartbeat has a replica hear that another leads a term.
--- a/internal/mesh/replica/landed_disk_test.go
+++ b/internal/mesh/replica/landed_disk_test.go
@@ -102,16 +102,20 @@
 
 func recordEntries(entries []raft.Entry) (recorded []recordedEntry) {
 	for _, e := range entries {
-		recorded = append(recorded, recordedEntry{Index: e.Index, Term: e.Term, Kind: uint8(e.Kind), LogTime: e.LogTime, Data: e.Data,
-			Members: recordMembers(e.Members), Outgoing: recordMembers(e.Outgoing), RaftVersion: e.ProtocolVersion})
+		recorded = append(recorded, recordedEntry{
+			Index: e.Index, Term: e.Term, Kind: uint8(e.Kind), LogTime: e.LogTime, Data: e.Data,
+			Members: recordMembers(e.Members), Outgoing: recordMembers(e.Outgoing), RaftVersion: e.ProtocolVersion,
+		})
 	}
 	return recorded
 }
 
 func recordItems(table config.Table) (recorded []recordedItem) {
 	for _, i := range config.TableToStorage(table) {
-		recorded = append(recorded, recordedItem{Kind: i.Kind, Name: i.Name, Version: i.Version, Deleted: i.Deleted, Host: i.Host, Body: string(i.Body),
-			LogTime: time.Duration(i.LogTimeNs), History: i.History})
+		recorded = append(recorded, recordedItem{
+			Kind: i.Kind, Name: i.Name, Version: i.Version, Deleted: i.Deleted, Host: i.Host, Body: string(i.Body),
+			LogTime: time.Duration(i.LogTimeNs), History: i.History,
+		})
 	}
 	return recorded
 }
@@ -122,29 +126,41 @@
 	assert.NilError(t, err)
 	policy, err := json.Marshal(s.Policy)
 	assert.NilError(t, err)
-	recorded := recordedState{Items: recordItems(s.Items), Maintenance: maintenance, ActivePolicy: recordItems(s.ActivePolicy), Policy: policy, SHA256: sha256Of(s.Encode())}
-	for _, h := range s.KeyLeases.Leases() {
-		recorded.KeyLeases = append(recorded.KeyLeases, recordedLease{Key: h.Key, Token: h.Token, Attempt: h.Attempt, Holder: h.Holder, GrantedAt: h.GrantedAt, Window: h.Window})
+	recorded := recordedState{
+		Items:        recordItems(s.Items),
+		Maintenance:  maintenance,
+		ActivePolicy: recordItems(s.ActivePolicy),
+		Policy:       policy,
+		SHA256:       sha256Of(s.Encode()),
+	}
+	for _, lease := range s.KeyLeases.Leases() {
+		recorded.KeyLeases = append(recorded.KeyLeases, recordedLease{
+			Key: lease.Key, Token: lease.Token, Attempt: lease.Attempt, Holder: lease.Holder, GrantedAt: lease.GrantedAt, Window: lease.Window,
+		})
 	}
 	return recorded
 }
 
-func recordContents(t *testing.T, held raft.StoredState) recordedContents {
+func recordContents(t *testing.T, stored raft.StoredState) recordedContents {
 	t.Helper()
 	var s State
-	assert.NilError(t, s.Decode(held.Snapshot.Data))
-	assert.Assert(t, bytes.Equal(s.Encode(), held.Snapshot.Data), "the state of the snapshot is stored as it was")
-	for _, e := range held.Entries {
+	assert.NilError(t, s.Decode(stored.Snapshot.Data))
+	assert.Assert(t, bytes.Equal(s.Encode(), stored.Snapshot.Data), "the state of the snapshot is stored as it was")
+	for _, e := range stored.Entries {
 		if e.Kind == raft.EntryCommand {
 			s.Apply(e)
 		}
 	}
-	snapshot := held.Snapshot
-	return recordedContents{Self: uint64(held.Self), Term: held.HardState.Term, Vote: uint64(held.HardState.Vote),
-		Snapshot: recordedSnapshot{Index: snapshot.Index, Term: snapshot.Term, LogTime: snapshot.LogTime, ConfigIndex: snapshot.ConfigurationIndex,
+	snapshot := stored.Snapshot
+	return recordedContents{
+		Self: uint64(stored.Self), Term: stored.HardState.Term, Vote: uint64(stored.HardState.Vote),
+		Snapshot: recordedSnapshot{
+			Index: snapshot.Index, Term: snapshot.Term, LogTime: snapshot.LogTime, ConfigIndex: snapshot.ConfigurationIndex,
 			Members: recordMembers(snapshot.Members), Outgoing: recordMembers(snapshot.Outgoing), RaftVersion: snapshot.ProtocolVersion,
-			DataBytes: len(snapshot.Data), DataSHA256: sha256Of(snapshot.Data)},
-		CatchUp: recordEntries(held.CatchUpEntries), Entries: recordEntries(held.Entries), State: recordState(t, &s)}
+			DataBytes: len(snapshot.Data), DataSHA256: sha256Of(snapshot.Data),
+		},
+		CatchUp: recordEntries(stored.CatchUpEntries), Entries: recordEntries(stored.Entries), State: recordState(t, &s),
+	}
 }
 
 func sha256Of(p []byte) string {
@@ -176,14 +192,14 @@
 	return records
 }
 
-// Everything that a member of an earlier build had on its disk is read: the log entry by entry, and the state that its snapshot
-// and the log make.
+// TestDiskOfLandedBuildIsReadInFull shows that everything which a member of an earlier build had on its disk is read: the log entry by
+// entry, and the state that its snapshot and the log make.
 func TestDiskOfLandedBuildIsReadInFull(t *testing.T) {
-	v, held, empty, err := storage.Open(copiedDisk(t, landedDisk))
+	store, stored, empty, err := storage.Open(copiedDisk(t, landedDisk))
 	assert.NilError(t, err)
-	defer v.Close()
+	defer store.Close()
 	assert.Assert(t, !empty)
-	got, err := json.MarshalIndent(recordContents(t, held), "", " ")
+	got, err := json.MarshalIndent(recordContents(t, stored), "", " ")
 	assert.NilError(t, err)
 	path := landedDisk + "/contents.json"
 	if _, err := os.Stat(path); os.IsNotExist(err) && *recordLanded {
@@ -192,13 +208,15 @@
 	want, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	assert.Equal(t, string(got)+"\n", string(want))
-	assert.Assert(t, len(held.Entries) > 300 && held.Snapshot.Index > 4000, "%d entries behind the snapshot of entry %d", len(held.Entries), held.Snapshot.Index)
+	assert.Assert(t, len(stored.Entries) > 300 && stored.Snapshot.Index > 4000,
+		"%d entries behind the snapshot of entry %d", len(stored.Entries), stored.Snapshot.Index)
 }
 
-// What was read is written as it was: a new data folder of the same contents has the same keys with the same bytes.
+// TestDiskOfLandedBuildIsWrittenTheSame shows that what was read is written as it was: a new data folder of the same contents has the
+// same keys with the same bytes.
 func TestDiskOfLandedBuildIsWrittenTheSame(t *testing.T) {
 	dir := copiedDisk(t, landedDisk)
-	held, _, err := storage.OpenReadOnly(dir)
+	stored, _, err := storage.OpenReadOnly(dir)
 	assert.NilError(t, err)
 	files, err := storage.Directory(dir).Open(false)
 	assert.NilError(t, err)
@@ -206,25 +224,25 @@
 	assert.NilError(t, files.Close())
 
 	d := disk.New()
-	v, _, _, err := storage.OpenFolder(d, storage.Options{})
+	store, _, _, err := storage.OpenFolder(d, storage.Options{})
 	assert.NilError(t, err)
-	assert.NilError(t, v.Initialize(held.Self, held.Snapshot))
-	assert.NilError(t, v.Save(raft.Ready{HardState: &held.HardState, Entries: append(held.CatchUpEntries, held.Entries...)}, 0))
-	v.Close()
+	assert.NilError(t, store.Initialize(stored.Self, stored.Snapshot))
+	assert.NilError(t, store.Save(raft.Ready{HardState: &stored.HardState, Entries: append(stored.CatchUpEntries, stored.Entries...)}, 0))
+	store.Close()
 	again, err := d.Open(false)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, rawRecords(t, again), want)
 }
 
-// A member starts from such a disk: it knows its id, its term and its fellow members.
+// TestMemberStartsFromDiskOfLandedBuild shows that a member starts from such a disk with its id, its term and the members.
 func TestMemberStartsFromDiskOfLandedBuild(t *testing.T) {
-	held, _, err := storage.OpenReadOnly(copiedDisk(t, landedDisk))
+	stored, _, err := storage.OpenReadOnly(copiedDisk(t, landedDisk))
 	assert.NilError(t, err)
-	r, err := New(Config{Address: "127.0.0.1:7380", Stored: held}, soloEnvironment{}, 0)
+	r, err := New(Config{Address: "127.0.0.1:7380", Stored: stored}, soloEnvironment{}, 0)
 	assert.NilError(t, err)
-	assert.Equal(t, r.Self().ID, held.Self)
-	assert.Equal(t, r.Term(), held.HardState.Term)
+	assert.Equal(t, r.Self().ID, stored.Self)
+	assert.Equal(t, r.Term(), stored.HardState.Term)
 	members, _ := r.Members()
 	assert.Equal(t, len(members), 3)
-	assert.Equal(t, r.SavedIndex(), held.Snapshot.Index+uint64(len(held.Entries)))
+	assert.Equal(t, r.SavedIndex(), stored.Snapshot.Index+uint64(len(stored.Entries)))
 }
--- a/internal/mesh/replica/peers.go
+++ b/internal/mesh/replica/peers.go
@@ -55,7 +55,7 @@
 // SetSeeds replaces the seeds, after a reload of the deploy file.
 func (r *Replica) SetSeeds(seeds []string) { r.peers.seeds = seeds }
 
-// RememberAddress notes where a replica that connected here listens: one that is no member can be told so only there.
+// RememberAddress notes where a replica that connected here listens: a non-member can be notified of that only there.
 func (r *Replica) RememberAddress(id raft.ID, address string) { r.peers.remember(id, address) }
 
 // maintainConnections keeps connections to all replicas that are known, also while raft has nothing to send: sidecars' records go by
--- a/internal/mesh/replica/state.go
+++ b/internal/mesh/replica/state.go
@@ -18,7 +18,7 @@
 	KeyLeases    *idempotency.Store
 	Maintenance  Maintenance
 	Policy       PolicyState
-	ActivePolicy config.Table // the namespaces and policies that are active; those that are agreed on are among Items
+	ActivePolicy config.Table // namespaces and rules in force; those of a pending rollout are among Items
 	ItemsIndex   uint64       // index of the entry that changed Items last
 }
 
--- a/internal/mesh/replica/state_test.go
+++ b/internal/mesh/replica/state_test.go
@@ -22,8 +22,10 @@
 func leaseRequestsChange(from, n int) []byte {
 	table := &wire.KeyLeaseRequestsT{}
 	for i := range n {
-		table.List = append(table.List, &wire.KeyLeaseRequestT{Key: fmt.Sprint("key-", from+i), Token: "t", Holder: "10.1.0.1:7000/life",
-			WindowUs: (62 * time.Second).Microseconds()})
+		table.List = append(table.List, &wire.KeyLeaseRequestT{
+			Key: fmt.Sprint("key-", from+i), Token: "t", Holder: "10.1.0.1:7000/life",
+			WindowUs: (62 * time.Second).Microseconds(),
+		})
 	}
 	return EncodeChange(ChangeKeyLeases, table)
 }
@@ -33,8 +35,10 @@
 	var items []config.Item
 	for i := range n {
 		name := fmt.Sprintf("service-%05d", from+i)
-		items = append(items, config.Item{Key: config.Key{Kind: config.KindService, Name: name}, Version: version, Deleted: deleted,
-			Body: fmt.Appendf(nil, `{"Name":%q,"HealthPath":"/health","MaxConnections":110,"ConfigVersion":%d}`, name, version)})
+		items = append(items, config.Item{
+			Key: config.Key{Kind: config.KindService, Name: name}, Version: version, Deleted: deleted,
+			Body: fmt.Appendf(nil, `{"Name":%q,"HealthPath":"/health","MaxConnections":110,"ConfigVersion":%d}`, name, version),
+		})
 	}
 	return EncodeChange(ChangeItems, config.ItemsToWire(items))
 }
@@ -64,8 +68,10 @@
 // TestStateIsDeterminedByEntries shows that a state is what its entries make of it, whether it applied them all or began with a snapshot
 // between any two of them, and whenever its key leases were swept.
 func TestStateIsDeterminedByEntries(t *testing.T) {
-	changes := [][]byte{servicesChange(0, 3, 1, false), leaseRequestsChange(0, 5), servicesChange(1, 1, 2, true), leaseRequestsChange(3, 5),
-		servicesChange(0, 2, 3, true), servicesChange(1, 1, 1, false), leaseRequestsChange(0, 9)}
+	changes := [][]byte{
+		servicesChange(0, 3, 1, false), leaseRequestsChange(0, 5), servicesChange(1, 1, 2, true), leaseRequestsChange(3, 5),
+		servicesChange(0, 2, 3, true), servicesChange(1, 1, 1, false), leaseRequestsChange(0, 9),
+	}
 	logTimes := []time.Duration{1, 2, 3, 4, 30, 50, 70} // in seconds: the last is past the windows of the first
 	entry := func(i int) raft.Entry {
 		return raft.Entry{Index: uint64(i), LogTime: logTimes[i] * time.Second, Data: changes[i]}
--- a/internal/testkit/mutation/mutation.go
+++ b/internal/testkit/mutation/mutation.go
@@ -1,5 +1,5 @@
-// Package mutation shows that a package's tests find errors: it puts one into the source, by go test's overlay, and plays the
-// test that is to find it. The files themselves are never changed.
+// Package mutation shows that a package's tests find errors, as in mutation testing: it puts an error into the source by go test's
+// overlay, and runs the test that has to fail. It must never change the files themselves.
 package mutation
 
 import (
@@ -18,17 +18,17 @@
 // maxConcurrent is how many mutants of one package are built and tested at once.
 const maxConcurrent = 4
 
-// Mutation is an error that is put into the source of the package under test for one run of a test.
+// Mutation is an error that is put into the source of the package under test, for one run of one test.
 type Mutation struct {
 	Name        string
 	File        string // of the package
-	Original    string // it stands in File exactly once
+	Original    string // must stand in File exactly once
 	Replacement string
-	KilledBy    string // the test that finds it
+	KilledBy    string // the test that has to fail
 }
 
-// Run puts each mutation in, one after the other, in subtests of their own, and sees that its test fails. It is skipped under -short
-// and -race, for it builds the package for each of them.
+// Run shows in a subtest for each mutation that the test named by KilledBy fails. It is skipped under -short and -race, because it builds
+// the package for each mutation. It is to be called from the folder of the package, as go test does.
 func Run(t *testing.T, mutations []Mutation) {
 	t.Helper()
 	if testing.Short() || testkit.Race {
@@ -41,12 +41,12 @@
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			output := m.test(t)
-			assert.Assert(t, strings.Contains(output, "--- FAIL: "+m.KilledBy), "not found: %s", output)
+			assert.Assert(t, strings.Contains(output, "--- FAIL: "+m.KilledBy), "another test failed: %s", output)
 		})
 	}
 }
 
-// test plays the test that is to find the mutation and returns what it printed.
+// test runs the test that has to fail and returns its output.
 func (m Mutation) test(t *testing.T) string {
 	t.Helper()
 	source, err := os.ReadFile(m.File)
