--- a/cmd/meshctl/main_test.go
+++ b/cmd/meshctl/main_test.go
@@ -81,7 +81,7 @@
 		{0, "3 items acknowledged", []string{"restore", control, filepath.Join(dir, "kept.json")}},
 		{2, "Unknown command", []string{"nonsense"}},
 		{2, "ADDR", []string{"status"}},
-		{3, "trunk to", []string{"--within", "300ms", "status", m.Members[0].IP + ":1"}},
+		{3, "dial " + m.Members[0].IP + ":1", []string{"--within", "300ms", "status", m.Members[0].IP + ":1"}},
 		{0, `"message":"home"`, []string{"ring", m.Sidecars[0].Addr("Inbound")}},
 		{0, "stock 100 %", []string{"draw", trunk, "--save", filepath.Join(dir, "mesh.json")}},
 		{0, "subgraph cluster_core", []string{"draw", "--dot", "--from", filepath.Join(dir, "mesh.json")}},
--- a/internal/mesh/transport/codec/calls.go
+++ b/internal/mesh/transport/codec/calls.go
@@ -1,15 +1,26 @@
 package codec
 
-// Kinds of Ask.
+// Kinds of calls. A number that is in use is never given to another kind.
 const (
-	CallModify         byte = iota + 1 // an operator's call, as it came
-	CallReadIndex                      // up to which entry must be applied, so that nothing acknowledged is missing
-	CallItems                          // all items, confirmed
-	CallLeaseKeys                      // keys
-	CallStoredResponse                 // between lines: the answer that was kept for a key
-	CallStatus                         // how the process is: a Status
-	CallLogRing                        // the lines of its log that it still has
-	CallHandOverKeys                   // between lines: keep what another kept of keys, a Legacy
-	CallDrain                          // of a line: have its server taken out (a body that is not empty) or back in, by hand
-	CallActivePolicy                   // which set of namespaces and rulings binds, confirmed: a Bound
+	// CallModify passes an operator's call on to the leader, as it came.
+	CallModify byte = iota + 1
+	// CallReadIndex asks the leader up to which entry a member has to have applied so that nothing acknowledged is missing.
+	CallReadIndex
+	// CallItems reads all configuration items, confirmed by a quorum: wire.Items.
+	CallItems
+	// CallLeaseKeys makes wire.KeyLeaseRequests; the reply is wire.KeyLeaseResults.
+	CallLeaseKeys
+	// CallStoredResponse asks another sidecar for the response that it keeps for a key: wire.KeyHandover of one key, then
+	// wire.StoredResponse.
+	CallStoredResponse
+	// CallStatus asks any process for its wire.Status.
+	CallStatus
+	// CallLogRing asks any process for the log lines that it still has in memory.
+	CallLogRing
+	// CallHandOverKeys has another sidecar keep what this one kept of keys: wire.KeyHandover.
+	CallHandOverKeys
+	// CallDrain has a sidecar take its server out by hand (a body that is not empty) or let it in again.
+	CallDrain
+	// CallActivePolicy reads which policy set is active, confirmed by a quorum: wire.ActivePolicy.
+	CallActivePolicy
 )
--- a/internal/mesh/transport/codec/frame.go
+++ b/internal/mesh/transport/codec/frame.go
@@ -1,27 +1,44 @@
 // Package codec encodes the messages between the mesh's own processes: frames of FlatBuffers tables, packed header fields, and the
-// kinds of calls. It is pure; package transport carries the frames.
+// kinds of calls. Package transport carries the frames.
+//
+// It is pure, and must never change the bytes of what is encoded: processes of other builds read them, and members' disks hold them.
+// testdata/frames are recorded ones. The schema is transport/wire.fbs; FlatBuffers' own encoding is described at flatbuffers.dev,
+// "Internals".
 package codec
 
 import (
 	"encoding/binary"
-	"errors"
+	"fmt"
 	"sync"
 
 	flatbuffers "github.com/google/flatbuffers/go"
+	"github.com/juju/errors"
 
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// ErrMalformedFrame says that bytes are no table of the schema: the connection that they came by is to be closed.
-var ErrMalformedFrame = errors.New("malformed frame")
+// LengthBytes is the length of a frame's prefix, which says how many bytes follow: a little-endian integer.
+const LengthBytes = 4
 
-// Message is one of the tables of the union Body, as flatc's objects.
+// Sizes of buffers, in bytes.
+const (
+	initialFrameBytes = 1 << 10
+	initialTableBytes = 256
+	maxPooledBytes    = 64 << 10 // larger buffers are not kept for the next frame
+	minTableBytes     = 8        // no table is shorter
+)
+
+// ErrMalformedFrame says that bytes are no table of the schema. The connection that they came by has to be closed.
+const ErrMalformedFrame = errors.ConstError("malformed frame")
+
+// Message is a member of the union Payload of a frame. Value is a pointer to flatc's object of that type; nil with
+// wire.PayloadNONE, which stands for one that only later versions know.
 type Message struct {
 	Type  wire.Payload
 	Value any
 }
 
-// NewMessage names a message's type.
+// NewMessage returns a message of one of flatc's objects. It panics on one that is no member of the union.
 func NewMessage(v any) Message {
 	switch v.(type) {
 	case *wire.HelloT:
@@ -55,60 +72,61 @@
 	case *wire.ActivePolicyT:
 		return Message{wire.PayloadActivePolicy, v}
 	}
-	panic("trunk: no message")
+	panic(fmt.Sprintf("codec: %T is no message", v))
 }
 
-var builderPool = sync.Pool{New: func() any { return flatbuffers.NewBuilder(1 << 10) }}
+var builderPool = sync.Pool{New: func() any { return flatbuffers.NewBuilder(initialFrameBytes) }}
 
-// Encode makes a frame of a message: its length in four bytes, and the buffer.
+// Encode returns the frame of a message, which is one of the types of NewMessage: the length prefix and the table Frame.
 func Encode(v any) []byte {
 	m := NewMessage(v)
 	b := builderPool.Get().(*flatbuffers.Builder)
 	b.Reset()
-	frame := wire.FrameT{Payload: &wire.PayloadT{Type: m.Type, Value: m.Value}}
-	b.Finish(frame.Pack(b))
-	p := b.FinishedBytes()
-	out := make([]byte, 4+len(p))
-	binary.LittleEndian.PutUint32(out, uint32(len(p)))
-	copy(out[4:], p)
-	if cap(b.Bytes) <= 64<<10 {
+	table := wire.FrameT{Payload: &wire.PayloadT{Type: m.Type, Value: m.Value}}
+	b.Finish(table.Pack(b))
+	encoded := b.FinishedBytes()
+	frame := make([]byte, LengthBytes+len(encoded))
+	binary.LittleEndian.PutUint32(frame, uint32(len(encoded)))
+	copy(frame[LengthBytes:], encoded)
+	if cap(b.Bytes) <= maxPooledBytes {
 		builderPool.Put(b)
 	}
-	return out
+	return frame
+}
+
+// Decode reads a frame without its length prefix. The message may refer to the bytes. The error is ErrMalformedFrame.
+func Decode(p []byte) (Message, error) {
+	return DecodeTable(p, func(p []byte) Message {
+		frame := wire.GetRootAsFrame(p, 0).UnPack()
+		if frame.Payload == nil {
+			return Message{}
+		}
+		return Message{frame.Payload.Type, frame.Payload.Value}
+	})
 }
 
 // Packer is any of flatc's objects.
 type Packer interface {
-	Pack(*flatbuffers.Builder) flatbuffers.UOffsetT
+	Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT
 }
 
-// EncodeTable is a table by itself, for the body of an Ask or a record on disk.
+// EncodeTable returns a table by itself, for the body of a call or a record on disk.
 func EncodeTable(t Packer) []byte {
-	b := flatbuffers.NewBuilder(256)
+	b := flatbuffers.NewBuilder(initialTableBytes)
 	b.Finish(t.Pack(b))
 	return b.FinishedBytes()
 }
 
-// DecodeTable has read a table out of bytes that may be anything; an offset that leads nowhere is ErrFrame.
+// DecodeTable reads a table by itself out of bytes that may be anything. read is the generated reader, as
+// wire.GetRootAsItems(p, 0).UnPack(); what it returns may refer to the bytes. The error is ErrMalformedFrame.
 func DecodeTable[T any](p []byte, read func([]byte) T) (v T, err error) {
 	defer func() {
-		if recover() != nil {
+		if recover() != nil { // generated readers panic at an offset that leads out of the bytes
 			err = ErrMalformedFrame
 		}
 	}()
-	if len(p) < 8 {
+	if len(p) < minTableBytes {
 		return v, ErrMalformedFrame
 	}
 	return read(p), nil
 }
-
-// Decode reads a frame without its length.
-func Decode(p []byte) (Message, error) {
-	return DecodeTable(p, func(p []byte) Message {
-		frame := wire.GetRootAsFrame(p, 0).UnPack()
-		if frame.Payload == nil {
-			return Message{}
-		}
-		return Message{frame.Payload.Type, frame.Payload.Value}
-	})
-}
--- a/internal/mesh/transport/codec/header.go
+++ b/internal/mesh/transport/codec/header.go
@@ -8,80 +8,98 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Heads from this version on are packed: a FlatBuffers table for each field takes twice the bytes of most fields, and more of a
-// processor's time than all else in a frame.
+// PackedHeaderVersion is the transport's version from which on headers are packed. A FlatBuffers table for each field takes twice the
+// bytes of most fields, and more processor time than everything else in a frame.
 const PackedHeaderVersion = 2
 
-// knownHeaderFields are header fields by number, from 1. It is never reordered, only added to with a new Version.
-var knownHeaderFields = [...]string{"Attempt-Id", "Operation-Key", "Caller-Service", "Server-Seal", "Content-Type", "Date", "User-Agent", "Accept",
-	"Accept-Encoding", "Accept-Language", "Not-Executed", "Retry-After", "Instance-Id", "Cache-Control", "Content-Encoding", "Content-Language",
-	"Content-Range", "Etag", "Last-Modified", "Location", "Vary", "Authorization", "Cookie", "Set-Cookie", "If-None-Match", "Range",
-	"X-Request-Id", "Traceparent", "Tracestate"}
+// knownHeaderFields are the names of fields that are sent as a number, from 1. They are never reordered, and added to with a new
+// version of the transport only.
+var knownHeaderFields = [...]string{
+	"Attempt-Id", "Operation-Key", "Caller-Service", "Server-Seal", "Content-Type", "Date", "User-Agent", "Accept",
+	"Accept-Encoding", "Accept-Language", "Not-Executed", "Retry-After", "Instance-Id", "Cache-Control",
+	"Content-Encoding", "Content-Language", "Content-Range", "Etag", "Last-Modified", "Location", "Vary", "Authorization",
+	"Cookie", "Set-Cookie", "If-None-Match", "Range", "X-Request-Id", "Traceparent", "Tracestate",
+}
 
 var headerFieldNumbers = func() map[string]uint64 {
-	m := map[string]uint64{}
-	for i, n := range knownHeaderFields {
-		m[n] = uint64(i + 1)
+	numbers := map[string]uint64{}
+	for i, name := range knownHeaderFields {
+		numbers[name] = uint64(i + 1)
 	}
-	return m
+	return numbers
 }()
 
-// ErrMalformedHeader is that a packed head is none.
-const ErrMalformedHeader = errors.ConstError("the head can't be read")
+// ErrMalformedHeader says that bytes are no packed header.
+const ErrMalformedHeader = errors.ConstError("malformed packed header")
 
-// AppendHeaderField adds a field to a packed head: the name's number, or 0 and the name, then the value.
-func AppendHeaderField(p []byte, name, value string) []byte {
-	n := headerFieldNumbers[name]
-	p = binary.AppendUvarint(p, n)
-	if n == 0 {
-		p = binary.AppendUvarint(p, uint64(len(name)))
-		p = append(p, name...)
+// AppendHeaderField appends a field to a packed header: the number of the name, or 0 and the name, then the value. Numbers and the
+// lengths before texts are unsigned varints.
+func AppendHeaderField(packed []byte, name, value string) []byte {
+	number := headerFieldNumbers[name]
+	packed = binary.AppendUvarint(packed, number)
+	if number == 0 {
+		packed = appendText(packed, name)
 	}
-	p = binary.AppendUvarint(p, uint64(len(value)))
-	return append(p, value...)
+	return appendText(packed, value)
+}
+
+func appendText(packed []byte, text string) []byte {
+	packed = binary.AppendUvarint(packed, uint64(len(text)))
+	return append(packed, text...)
 }
 
-// UnpackHeader reads a packed head. Its strings hold no bytes of it.
-func UnpackHeader(p []byte) (fields []*wire.HeaderFieldT, err error) {
-	number := func() (n uint64) {
-		n, size := binary.Uvarint(p)
-		if size <= 0 {
-			err = ErrMalformedHeader
-			return 0
+// UnpackHeader reads a packed header. The fields do not refer to the bytes. The error is ErrMalformedHeader.
+func UnpackHeader(packed []byte) (fields []*wire.HeaderFieldT, err error) {
+	for len(packed) > 0 {
+		var f *wire.HeaderFieldT
+		if f, packed, err = readField(packed); err != nil {
+			return nil, err
 		}
-		p = p[size:]
-		return n
+		fields = append(fields, f)
 	}
-	text := func() string {
-		n := number()
-		if err != nil || n > uint64(len(p)) {
-			err = ErrMalformedHeader
-			return ""
-		}
-		s := string(p[:n])
-		p = p[n:]
-		return s
+	return fields, nil
+}
+
+// readField reads the first field of a packed header.
+func readField(packed []byte) (f *wire.HeaderFieldT, rest []byte, err error) {
+	number, rest, err := readNumber(packed)
+	if err != nil {
+		return nil, nil, err
 	}
-	for len(p) > 0 && err == nil {
-		f := &wire.HeaderFieldT{}
-		switch n := number(); {
-		case n == 0:
-			f.Name = text()
-		case n <= uint64(len(knownHeaderFields)):
-			f.Name = knownHeaderFields[n-1]
-		default:
-			return nil, ErrMalformedHeader
+	f = &wire.HeaderFieldT{}
+	switch {
+	case number == 0:
+		if f.Name, rest, err = readText(rest); err != nil {
+			return nil, nil, err
 		}
-		f.Value = text()
-		fields = append(fields, f)
+	case number <= uint64(len(knownHeaderFields)):
+		f.Name = knownHeaderFields[number-1]
+	default:
+		return nil, nil, errors.Annotatef(ErrMalformedHeader, "field of number %d", number)
 	}
-	if err != nil {
-		return nil, err
+	if f.Value, rest, err = readText(rest); err != nil {
+		return nil, nil, err
 	}
-	return fields, nil
+	return f, rest, nil
+}
+
+func readNumber(packed []byte) (number uint64, rest []byte, err error) {
+	number, size := binary.Uvarint(packed)
+	if size <= 0 {
+		return 0, nil, ErrMalformedHeader
+	}
+	return number, packed[size:], nil
+}
+
+func readText(packed []byte) (text string, rest []byte, err error) {
+	length, rest, err := readNumber(packed)
+	if err != nil || length > uint64(len(rest)) {
+		return "", nil, ErrMalformedHeader
+	}
+	return string(rest[:length]), rest[length:], nil
 }
 
-// PackResponse words an answer's head for whoever packs heads. The answer itself stays as it is: it may be kept.
+// PackResponse returns a response with its header packed. The response itself stays as it is, for it may be stored.
 func PackResponse(response *wire.ResponseT) *wire.ResponseT {
 	if len(response.HeaderFields) == 0 {
 		return response
--- /dev/null
+++ b/internal/mesh/transport/traffic.go
@@ -0,0 +1,64 @@
+package transport
+
+import (
+	"sync/atomic"
+
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+// trafficCounters count frames and their bytes, by message type. They may be used from any goroutine.
+type trafficCounters [len(messageTypes)]struct{ frames, bytes atomic.Int64 }
+
+// sentTraffic counts what this process has sent on all its connections, receivedTraffic what it has received.
+var sentTraffic, receivedTraffic trafficCounters
+
+// messageTypes are the names of the message types, by their numbers on the wire. They are sent within a Status and read by tools of
+// other builds, so they stay as they were when the types had other names.
+var messageTypes = [...]string{
+	wire.PayloadNONE:                  "none",
+	wire.PayloadHello:                 "hello",
+	wire.PayloadHeartbeat:             "beat",
+	wire.PayloadRequest:               "request",
+	wire.PayloadBodyChunk:             "piece",
+	wire.PayloadResponse:              "answer",
+	wire.PayloadWindowUpdate:          "credit",
+	wire.PayloadCancel:                "cancel",
+	wire.PayloadRecords:               "records",
+	wire.PayloadItems:                 "items",
+	wire.PayloadMembers:               "members",
+	wire.PayloadRaftMessage:           "core",
+	wire.PayloadCall:                  "ask",
+	wire.PayloadCallReply:             "told",
+	wire.PayloadMachinesInMaintenance: "outs",
+	wire.PayloadActivePolicy:          "bound",
+}
+
+// SentTraffic is what this process has sent on all its connections since it started, by message type. Types of which it sent nothing
+// are left out.
+func SentTraffic() []*wire.TrafficCounterT { return sentTraffic.snapshot() }
+
+// ReceivedTraffic is what this process has received, in the same form.
+func ReceivedTraffic() []*wire.TrafficCounterT { return receivedTraffic.snapshot() }
+
+// countSent counts a frame that is about to be sent.
+func countSent(frame []byte) {
+	sentTraffic.add(wire.GetRootAsFrame(frame, codec.LengthBytes).PayloadType(), len(frame))
+}
+
+func (c *trafficCounters) add(messageType wire.Payload, bytes int) {
+	if int(messageType) < len(c) {
+		c[messageType].frames.Add(1)
+		c[messageType].bytes.Add(int64(bytes))
+	}
+}
+
+func (c *trafficCounters) snapshot() (counters []*wire.TrafficCounterT) {
+	for number, name := range messageTypes {
+		counter := &wire.TrafficCounterT{MessageType: name, Frames: c[number].frames.Load(), Bytes: c[number].bytes.Load()}
+		if counter.Frames > 0 {
+			counters = append(counters, counter)
+		}
+	}
+	return counters
+}
--- /dev/null
+++ b/internal/mesh/transport/writer.go
@@ -0,0 +1,119 @@
+package transport
+
+import (
+	"net"
+	"time"
+)
+
+// writeLoop writes what is queued, all of it at a time, and heartbeats while nothing else was sent. It ends with the connection, and
+// ends it when the peer is silent.
+func (c *Conn) writeLoop() {
+	ticker := time.NewTicker(HeartbeatInterval)
+	defer ticker.Stop()
+	idleTicks := 0 // in which nothing was written
+	for {
+		var heartbeat []byte
+		select {
+		case <-c.done:
+			return
+		case <-c.wake:
+		case <-ticker.C:
+			idle := c.pending.Load() == 0
+			if c.isPeerSilent(time.Now().UnixNano(), idle) {
+				c.Close(ErrPeerSilent)
+				return
+			}
+			idleTicks++
+			if !c.isHeartbeatDue(idleTicks, idle) {
+				continue
+			}
+			heartbeat = c.encodeHeartbeat()
+			countSent(heartbeat)
+		}
+		wrote, err := c.writeQueued(heartbeat)
+		if wrote {
+			idleTicks = 0
+		}
+		if err != nil {
+			c.Close(err)
+			return
+		}
+	}
+}
+
+// isPeerSilent says that the connection has to end at a time in Unix nanoseconds. idle: nothing is pending. What has just become
+// pending gives the peer its time anew, for it had sent heartbeats seldom until then.
+func (c *Conn) isPeerSilent(now int64, idle bool) bool {
+	received := c.lastReceived.Load()
+	if now-received > int64(IdleFactor*PeerTimeout) {
+		return true
+	}
+	return !idle && now-max(received, c.pendingSince.Load()) > int64(PeerTimeout)
+}
+
+// isHeartbeatDue says whether a heartbeat is sent after so many ticks in which nothing was written.
+func (c *Conn) isHeartbeatDue(idleTicks int, idle bool) bool {
+	switch {
+	case c.alwaysHeartbeat:
+		return true
+	case idle:
+		return idleTicks >= IdleFactor
+	}
+	return idleTicks >= 2 // the first tick may have come just after a write
+}
+
+// writeQueued writes a heartbeat, if there is one, and all that is queued.
+func (c *Conn) writeQueued(heartbeat []byte) (wrote bool, err error) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	if c.writeClosed {
+		return false, nil
+	}
+	var frames net.Buffers
+	if heartbeat != nil {
+		frames = append(frames, heartbeat)
+	}
+	c.mu.Lock()
+	frames = append(frames, c.queue...)
+	c.queue, c.queuedBytes = nil, 0
+	c.mu.Unlock()
+	if len(frames) == 0 {
+		return false, nil
+	}
+	return true, c.writeAll(frames)
+}
+
+// writeAll writes frames, together where they are short and in parts where they are long, each part within the time for a write.
+func (c *Conn) writeAll(frames net.Buffers) error {
+	for len(frames) > 0 {
+		part, rest := splitWrite(frames)
+		frames = rest
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // it fails as the write then does
+		var err error
+		if len(part) == 1 {
+			_, err = c.netConn.Write(part[0])
+		} else {
+			_, err = part.WriteTo(c.netConn)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// splitWrite splits off the part that is written at a time. It changes frames.
+func splitWrite(frames net.Buffers) (part, rest net.Buffers) {
+	size := 0
+	for n, frame := range frames {
+		size += len(frame)
+		if size > maxWriteBytes {
+			fits := len(frame) - (size - maxWriteBytes)
+			part = append(part, frames[:n]...)
+			part = append(part, frame[:fits])
+			frames[n] = frame[fits:]
+			return part, frames[n:]
+		}
+	}
+	return frames, nil
+}
