--- a/internal/mesh/history/agreement.go
+++ b/internal/mesh/history/agreement.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// SingleLeader checks that no two members lead in one term.
+// SingleLeader checks that no two members lead in one term (Raft, section 5.2, election safety).
 func SingleLeader(h *History) (broken []Violation) {
 	first := map[uint64]Leader{}
 	for _, l := range inOrder(h.Leaders, func(l Leader) time.Duration { return l.At }) {
@@ -24,8 +24,8 @@
 	return broken
 }
 
-// Durability checks that an index that is acknowledged is on Tolerance+1 synced disks of those that count, or on all of them
-// where there are fewer, and that every later leader holds it.
+// Durability checks that an acknowledged index is on Tolerance+1 synced disks of the members that count, or on all of them if there
+// are fewer, and that every later leader has it in its log (Raft, section 5.4, leader completeness).
 func Durability(h *History) (broken []Violation) {
 	for _, s := range h.Synced {
 		holding := 0
@@ -54,9 +54,9 @@
 	return broken
 }
 
-// Membership checks that all who report the members from one index on agree on them, that each set follows from the one
-// before by one agreed step, and that a majority of each meets every majority of the one before. A step is one voter more or
-// less, the beginning of a joint configuration, or its end. Learners count for nothing.
+// Membership checks that all processes that report the members from one index on agree on them, that each configuration follows from
+// the one before by one committed step, and that their majorities overlap (Raft, section 6). A step is one voter more or less, the
+// beginning of a joint configuration, or its end. Learners don't count.
 func Membership(h *History) (broken []Violation) {
 	var agreed []Members
 	for _, m := range byIndex(h.Members) {
@@ -76,6 +76,7 @@
 	return broken
 }
 
+// byIndex returns the reports with sorted members, in order of their indexes.
 func byIndex(reports []Members) []Members {
 	sorted := make([]Members, 0, len(reports))
 	for _, m := range reports {
@@ -86,18 +87,18 @@
 	return sorted
 }
 
-// checkMemberStep judges the step from one set of members to the next. Both are sorted.
+// checkMemberStep judges the step from one configuration to the next. Both are sorted.
 func checkMemberStep(from, to Members) (broken []Violation) {
-	var whole bool
+	var valid bool
 	switch {
 	case len(from.Outgoing) > 0:
-		whole = len(to.Outgoing) == 0 && (slices.Equal(to.Voters, from.Voters) || slices.Equal(to.Voters, from.Outgoing))
+		valid = len(to.Outgoing) == 0 && (slices.Equal(to.Voters, from.Voters) || slices.Equal(to.Voters, from.Outgoing))
 	case len(to.Outgoing) > 0:
-		whole = slices.Equal(to.Outgoing, from.Voters)
+		valid = slices.Equal(to.Outgoing, from.Voters)
 	default:
-		whole = len(without(from.Voters, to.Voters))+len(without(to.Voters, from.Voters)) <= 1
+		valid = len(without(from.Voters, to.Voters))+len(without(to.Voters, from.Voters)) <= 1
 	}
-	if !whole {
+	if !valid {
 		broken = append(broken, Violation{CheckMembership, to.At, fmt.Sprintf(
 			"from %v %v at index %d to %v %v at %d is more than one agreed step",
 			from.Voters, from.Outgoing, from.Index, to.Voters, to.Outgoing, to.Index)})
@@ -109,8 +110,8 @@
 	return broken
 }
 
-// disjointMajorities says whether two member sets can each agree with no member in common. A joint configuration needs both of
-// its majorities, so it is enough that one of them always meets the other side's.
+// disjointMajorities reports whether two configurations can each decide without a member in common. A joint configuration needs both
+// of its majorities, so it is enough that one of them always overlaps with the other side's.
 func disjointMajorities(a, b Members) bool {
 	for _, x := range [][]uint64{a.Voters, a.Outgoing} {
 		for _, y := range [][]uint64{b.Voters, b.Outgoing} {
@@ -122,9 +123,10 @@
 	return true
 }
 
+// majority is how many voters are more than half.
 func majority(voters []uint64) int { return len(voters)/2 + 1 }
 
-// without is what a has and b has not.
+// without returns the elements of a that are not in b.
 func without(a, b []uint64) (rest []uint64) {
 	for _, id := range a {
 		if !slices.Contains(b, id) {
--- a/internal/mesh/history/check.go
+++ b/internal/mesh/history/check.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Names of the checkers.
+// Names of the checkers, as in Violation.Checker.
 const (
 	CheckLinearizable      = "linearizable"
 	CheckUniqueContent     = "one content for a version"
@@ -18,7 +18,7 @@
 	CheckLiveness          = "liveness"
 )
 
-// Check has every checker judge the history. The violations are in the order of the checkers.
+// Check runs all checkers over a history. The violations are in the order of the checkers.
 func Check(h *History, b Bounds) Report {
 	broken, undecided := Linearizable(h, b.Search)
 	return Report{Undecided: undecided, Violations: slices.Concat(
--- a/internal/mesh/history/checkers_test.go
+++ b/internal/mesh/history/checkers_test.go
@@ -11,7 +11,7 @@
 
 const second = time.Second
 
-// testBounds are the bounds that the histories below are judged by.
+// testBounds are the bounds of the histories below.
 var testBounds = Bounds{IsolatedRead: 2 * second, CatchUp: 5 * second, Acknowledgement: 3 * second}
 
 func route(name string, version int64, digest string) ItemVersion {
@@ -52,12 +52,12 @@
 	return Synced{At: at, Index: index, Tolerance: 1, Counted: []uint64{1, 2, 3}, Disks: disks}
 }
 
-// checkerCases has, for each checker, histories that keep its promise and histories with a planted breach of it.
+// checkerCases has, for each checker, histories that keep its promise and histories that break it.
 var checkerCases = []struct {
 	checker string
 	name    string
 	events  []Event
-	broken  string // part of the violation's text; empty: none
+	broken  string // part of the violation's text; empty if the promise is kept
 }{
 	{CheckLinearizable, "lost answer takes effect late", []Event{
 		change(1*second, 2*second, Unknown, route("a", 1, "x")),
@@ -67,7 +67,7 @@
 		change(1*second, 2*second, Acknowledged, route("a", 2, "y")),
 		change(3*second, 4*second, Acknowledged, route("a", 1, "x")),
 		fetch(5*second, 6*second, route("a", 2, "y"))}, ""},
-	{CheckLinearizable, "dropped item left out", []Event{
+	{CheckLinearizable, "deleted item missing", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")),
 		change(3*second, 4*second, Acknowledged, ItemVersion{Item: Item{"route", "a"}, Version: 2, Deleted: true}),
 		fetch(5*second, 6*second)}, ""},
@@ -94,7 +94,7 @@
 	{CheckUniqueContent, "two operators acknowledged", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")), change(1*second, 3*second, Acknowledged, route("a", 1, "z")),
 		change(4*second, 5*second, Acknowledged, route("a", 2, "y"))}, "version 1"},
-	{CheckUniqueContent, "another content in force", []Event{
+	{CheckUniqueContent, "another content active", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "z")), activeVersion(3*second, 1, false)}, "version 1"},
 
 	{CheckRepeatedChange, "acknowledged again or left open", []Event{
@@ -120,7 +120,8 @@
 	{CheckMonotonicVersions, "back only out of touch or in a new life", []Event{
 		activeVersion(1*second, 2, true), activeVersion(2*second, 1, false),
 		ActiveVersion{At: 3 * second, Process: "sidecar", Incarnation: 2, InContact: true, ItemVersion: route("a", 1, "x")}}, ""},
-	{CheckMonotonicVersions, "back in touch", []Event{activeVersion(1*second, 2, true), activeVersion(2*second, 1, true)}, "version 2 of route/a back to 1"},
+	{CheckMonotonicVersions, "back in touch", []Event{activeVersion(1*second, 2, true), activeVersion(2*second, 1, true)},
+		"version 2 of route/a back to 1"},
 
 	{CheckStaleRead, "acknowledged while it was asked for", []Event{
 		change(1*second, 3*second, Acknowledged, route("a", 1, "x")), fetch(2*second, 4*second)}, ""},
@@ -149,10 +150,12 @@
 		Run{At: 1 * second, Server: "s", Key: "k", Window: 2 * second, Request: "1"}}, `key "k" ran at t`},
 
 	{CheckMatchedAnswer, "own answers", []Event{
-		Answer{At: second, Process: "c", Request: "1", AnsweredRequest: "1"}, Answer{At: second, Process: "c", Request: "2", AnsweredRequest: "2"}}, ""},
+		Answer{At: second, Process: "c", Request: "1", AnsweredRequest: "1"},
+		Answer{At: second, Process: "c", Request: "2", AnsweredRequest: "2"}}, ""},
 	{CheckMatchedAnswer, "another's answer", []Event{Answer{At: second, Process: "c", Request: "1", AnsweredRequest: "2"}}, "the answer to 2"},
 	{CheckMatchedAnswer, "a second answer", []Event{
-		Answer{At: second, Process: "c", Request: "1", AnsweredRequest: "1"}, Answer{At: 2 * second, Process: "c", Request: "1", AnsweredRequest: "1"}},
+		Answer{At: second, Process: "c", Request: "1", AnsweredRequest: "1"},
+		Answer{At: 2 * second, Process: "c", Request: "1", AnsweredRequest: "1"}},
 		"a second answer"},
 
 	{CheckSingleLeader, "one a term, seen twice", []Event{leader(1, 1, 0), leader(1, 1, 0), leader(2, 2, 0)}, ""},
@@ -200,8 +203,8 @@
 		"sent 2 times from 1s on"},
 }
 
-// Each history is judged by all checkers: the one that a breach is planted for must find it, and none may find anything in
-// a history that keeps the promise.
+// All checkers run over each history: the one whose promise is broken must find it, and none may find anything in a history that keeps
+// the promise.
 func TestCheckers(t *testing.T) {
 	for _, c := range checkerCases {
 		t.Run(c.checker+": "+c.name, func(t *testing.T) {
@@ -223,9 +226,10 @@
 	}
 }
 
-// Every checker has a kept promise and a planted breach above.
+// Every checker has a history above that keeps its promise and one that breaks it.
 func TestEveryCheckerHasBothCases(t *testing.T) {
-	all := []string{CheckLinearizable, CheckUniqueContent, CheckRepeatedChange, CheckMonotonicVersions, CheckStaleRead, CheckAtMostOnce, CheckMatchedAnswer,
+	all := []string{CheckLinearizable, CheckUniqueContent, CheckRepeatedChange, CheckMonotonicVersions, CheckStaleRead, CheckAtMostOnce,
+		CheckMatchedAnswer,
 		CheckSingleLeader, CheckDurability, CheckMembership, CheckCatchUp, CheckLiveness}
 	for _, checker := range all {
 		var kept, broken int
--- a/internal/mesh/history/encoding.go
+++ b/internal/mesh/history/encoding.go
@@ -14,22 +14,22 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of a history that Read takes.
+// Bounds of a history that Read accepts.
 const (
 	MaxLineBytes = 4 << 20
 	MaxEvents    = 1 << 20
 )
 
-// ErrMalformed is the type of all errors of Read that are about the text; each tells line and field.
+// ErrMalformed is the type of the errors of Read that are about the text. Each names line and field.
 const ErrMalformed = errors.ConstError("malformed history")
 
-// line is one event as text. Data is read by the type that Event names.
+// line is one event as text. Event names the type of Data.
 type line struct {
 	Event string          `json:"event"`
 	Data  json.RawMessage `json:"data"`
 }
 
-// eventReaders read the data of each type of event.
+// eventReaders decode the data of each type of event.
 var eventReaders = map[string]func(data []byte) (Event, error){
 	"change":      readEvent[Change],
 	"fetch":       readEvent[Fetch],
@@ -47,7 +47,7 @@
 	"settled":     readEvent[StablePeriod],
 }
 
-// eventName is how lines name an event's type.
+// eventName returns how lines name the type of an event.
 func eventName(e Event) string {
 	switch e.(type) {
 	case Change:
@@ -107,7 +107,7 @@
 	return errors.Trace(buffered.Flush())
 }
 
-// events are all events, kind by kind.
+// events returns all events, type by type.
 func (h *History) events() (all []Event) {
 	all = appendEvents(all, h.Changes)
 	all = appendEvents(all, h.Fetches)
@@ -132,8 +132,8 @@
 	return all
 }
 
-// Read reads a history. Empty lines are skipped. It holds MaxLineBytes beside the history at most and stops at the first
-// mistake, or at MaxEvents.
+// Read reads a history. Empty lines are skipped. Beside the history it holds MaxLineBytes at most, and it stops at the first mistake
+// or at MaxEvents.
 func Read(r io.Reader) (*History, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 64<<10), MaxLineBytes)
@@ -181,7 +181,7 @@
 	return e, firstMistake(fieldRules.Struct(e))
 }
 
-// readStrictly reads one JSON value and nothing behind it, and names the field of a mistake.
+// readStrictly decodes one JSON value, refuses unknown fields and text behind it, and names the field of a mistake.
 func readStrictly(text []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -195,7 +195,7 @@
 	return err
 }
 
-// fieldRules checks the validate tags of events and names fields as the lines do.
+// fieldRules checks the validate tags of events, and names fields by their JSON names.
 var fieldRules = func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -205,9 +205,10 @@
 	return v
 }()
 
-// embedded matches the names of embedded structs in a field's path; lines don't show them.
+// embedded matches the names of embedded structs in the path of a field. JSON does not have them.
 var embedded = regexp.MustCompile(`\b(Call|ItemVersion|Item)\.`)
 
+// firstMistake words the first of several validation errors.
 func firstMistake(err error) error {
 	wrong := validator.ValidationErrors(nil)
 	if !errors.As(err, &wrong) {
--- a/internal/mesh/history/history.go
+++ b/internal/mesh/history/history.go
@@ -1,8 +1,9 @@
-// Package history holds what clients and observers outside the code under test saw of one run of the mesh, and the
-// checkers that judge it. A history comes from a simulated run or from real processes; the checkers don't tell them apart.
+// Package history records what clients and observers outside the code under test saw of one run of the mesh, and checks the promises
+// of the mesh on it, in the manner of Jepsen. A history comes from a simulated run (package sim) or from real processes (package
+// testcluster); the checkers must not depend on which.
 //
-// All times are durations since the start of the run on the observer's clock, simulated or real. Processes are named by
-// the observer; the name stays the same over restarts. A History belongs to one goroutine.
+// All times are durations since the start of the run by the observer's clock, simulated or real. Processes are named by the observer
+// and keep their names over restarts. A History must not be used by two goroutines at once.
 package history
 
 import (
@@ -10,18 +11,18 @@
 	"time"
 )
 
-// Outcome is how a call ended for its caller.
+// Outcome says how a call ended for its caller.
 type Outcome string
 
 // Outcomes of calls.
 const (
 	Acknowledged Outcome = "acknowledged"
-	Refused      Outcome = "refused" // certainly without effect
-	Unknown      Outcome = "unknown" // no answer, or none that says whether it took effect
+	Refused      Outcome = "refused" // without effect, for certain
+	Unknown      Outcome = "unknown" // not answered, or not in a way that says whether it took effect
 )
 
-// Call is an operation with a duration. Return is the latest time that is known of the call, also where its outcome is
-// Unknown; such a call may still take effect at any later time.
+// Call is an operation with a duration. Return is the latest time known of the call, also if its outcome is Unknown; such a call may
+// take effect at any later time.
 type Call struct {
 	Process string        `json:"process" validate:"required"` // the caller
 	Begin   time.Duration `json:"begin_ns" validate:"gte=0"`
@@ -35,18 +36,18 @@
 	Name string `json:"name" validate:"required"`
 }
 
-// String is kind/name.
+// String returns kind/name.
 func (i Item) String() string { return i.Kind + "/" + i.Name }
 
-// ItemVersion is one content of an item. Two of one item and version are the same if Digest and Dropped agree.
+// ItemVersion is one content of an item. Two contents of one version are equal if Digest and Deleted are.
 type ItemVersion struct {
 	Item
 	Version int64  `json:"version" validate:"gte=0"`
-	Digest  string `json:"digest,omitempty"` // of the content; empty if it was dropped
+	Digest  string `json:"digest,omitempty"` // of the content; empty if the item was deleted
 	Deleted bool   `json:"dropped,omitempty"`
 }
 
-// String is kind/name@version and the digest, or that it was dropped.
+// String returns kind/name@version and the digest, or that the item was deleted.
 func (v ItemVersion) String() string {
 	if v.Deleted {
 		return fmt.Sprintf("%v@%d dropped", v.Item, v.Version)
@@ -54,24 +55,24 @@
 	return fmt.Sprintf("%v@%d %s", v.Item, v.Version, v.Digest)
 }
 
-// Change is one try of an operator's order at one member. All its items take effect, or none.
+// Change is one attempt to change the configuration at one member. All its items take effect, or none.
 type Change struct {
 	Call
-	ChangeID string        `json:"order,omitempty"` // joins the tries of one order; empty: this call is its only one
+	ChangeID string        `json:"order,omitempty"` // shared by all attempts of one change; empty if this is the only one
 	Member   string        `json:"member,omitempty"`
 	Items    []ItemVersion `json:"items" validate:"dive"`
-	Invalid  bool          `json:"invalid,omitempty"` // the caller expects a refusal
+	Invalid  bool          `json:"invalid,omitempty"` // the caller expects it to be refused
 }
 
-// Fetch is a read of the whole configuration. Dropped items may be told or left out.
+// Fetch is a read of the complete configuration. Deleted items may be in it as tombstones, or missing.
 type Fetch struct {
 	Call
-	Member string        `json:"member"` // that answered
+	Member string        `json:"member"` // that answered it
 	Items  []ItemVersion `json:"items" validate:"dive"`
 }
 
-// InitialTable is the configuration that a member hands to a sidecar that starts or changes its member. Process is the
-// sidecar, Begin the time at which it asked.
+// InitialTable is the configuration that a member sends to a sidecar that starts or selects another member. Process is the sidecar,
+// Begin the time at which it asked.
 type InitialTable struct {
 	Call
 	Member      string        `json:"member"`
@@ -79,16 +80,17 @@
 	Items       []ItemVersion `json:"items" validate:"dive"`
 }
 
-// ActiveVersion says that an item version was in force at a sidecar or at a member.
+// ActiveVersion says that a version of an item became active at a sidecar or a member.
 type ActiveVersion struct {
 	At          time.Duration `json:"at_ns" validate:"gte=0"`
 	Process     string        `json:"process" validate:"required"`
-	Incarnation uint64        `json:"life"` // rises with each start of a sidecar and each new disk of a member
-	InContact   bool          `json:"in_touch"`
+	Incarnation uint64        `json:"life"`     // rises with each start of a sidecar and each new disk of a member
+	InContact   bool          `json:"in_touch"` // with a quorum, as the process knew
 	ItemVersion
 }
 
-// Claim is a sidecar's claim on a key. Acknowledged means granted to Process, Refused that another holds it.
+// Claim is a sidecar's request for the lease of an idempotency key. Acknowledged means granted to Process, Refused that another holds
+// the lease.
 type Claim struct {
 	Call
 	Key    string        `json:"key" validate:"required"`
@@ -96,7 +98,7 @@
 	Holder string        `json:"holder,omitempty"` // as the answer names it
 }
 
-// Run is the beginning of a keyed request at a server.
+// Run says that a server began to run a keyed request.
 type Run struct {
 	At      time.Duration `json:"at_ns" validate:"gte=0"`
 	Server  string        `json:"server" validate:"required"`
@@ -105,8 +107,8 @@
 	Request string        `json:"request" validate:"required"`
 }
 
-// Answer is one answer that reached a caller. Request is the request that the caller took it for, Answers the one that the
-// answer's own bytes say it is for.
+// Answer is an answer that reached a caller. Request is the request that the caller took it for, AnsweredRequest the one that the
+// answer's own bytes name.
 type Answer struct {
 	At              time.Duration `json:"at_ns" validate:"gte=0"`
 	Process         string        `json:"process" validate:"required"`
@@ -114,39 +116,39 @@
 	AnsweredRequest string        `json:"answers"`
 }
 
-// Leader says that a member began to lead in a term.
+// Leader says that a member became the leader of a term.
 type Leader struct {
 	At        time.Duration `json:"at_ns" validate:"gte=0"`
 	Process   string        `json:"process" validate:"required"`
 	ID        uint64        `json:"id"` // of the member, from its disk
 	Term      uint64        `json:"term"`
-	LastIndex uint64        `json:"last_index,omitempty"` // of its log when it was elected; 0: not known
+	LastIndex uint64        `json:"last_index,omitempty"` // of its log when it was elected; 0 if not known
 }
 
-// Members says who the members are from an index of the log on. While Outgoing is set, majorities of both are needed.
+// Members says who the members are from an index of the log on. While there are Outgoing voters, majorities of both are needed.
 type Members struct {
 	At       time.Duration `json:"at_ns" validate:"gte=0"`
 	Process  string        `json:"process" validate:"required"` // that reported it
 	Index    uint64        `json:"index"`
 	Voters   []uint64      `json:"voters" validate:"min=1"`
-	Outgoing []uint64      `json:"outgoing,omitempty"` // the voters before, of a joint configuration
+	Outgoing []uint64      `json:"outgoing,omitempty"` // former voters, in a joint configuration
 	Learners []uint64      `json:"learners,omitempty"`
 }
 
-// FaultKind is what befell a process.
+// FaultKind says what happened to a process.
 type FaultKind string
 
 // Kinds of faults and of their ends.
 const (
-	Kill      FaultKind = "kill"       // the process ends, its files stay as written
+	Kill      FaultKind = "kill"       // the process ended, its files stay as written
 	PowerLoss FaultKind = "power_loss" // what was not synced may be lost
-	Wipe      FaultKind = "wipe"       // the disk is empty
+	Wipe      FaultKind = "wipe"       // the disk was emptied
 	Restart   FaultKind = "restart"
 	Freeze    FaultKind = "freeze"
 	Thaw      FaultKind = "thaw"
 	Cut       FaultKind = "cut" // from Peers
 	Heal      FaultKind = "heal"
-	Remove    FaultKind = "remove" // taken away for good
+	Remove    FaultKind = "remove" // removed for good
 )
 
 // Fault is a fault of one process.
@@ -154,19 +156,19 @@
 	At      time.Duration `json:"at_ns" validate:"gte=0"`
 	Process string        `json:"process" validate:"required"`
 	Kind    FaultKind     `json:"kind" validate:"oneof=kill power_loss wipe restart freeze thaw cut heal remove"`
-	Peers   []string      `json:"peers,omitempty"` // of a Cut or Heal; none: all
+	Peers   []string      `json:"peers,omitempty"` // of a Cut or Heal; none means all
 }
 
-// Contact says whether a member can, from At on, exchange messages with a majority, as the observer of the links knows it:
-// itself, or through a member that can. One that still reaches the leader answers with what the leader has had confirmed.
+// Contact says whether a member can, from At on, exchange messages with a majority, itself or through a member that can, as the
+// observer of the links knows it. A member that still reaches the leader serves what the leader has confirmed.
 type Contact struct {
 	At       time.Duration `json:"at_ns" validate:"gte=0"`
 	Process  string        `json:"process" validate:"required"`
 	Majority bool          `json:"majority"`
 }
 
-// Synced says which disks held an index, synced, when it was acknowledged. Tolerance disks of Counted may be lost at once
-// at that moment with nothing lost.
+// Synced says which disks held an index, synced, when it was acknowledged. At that moment any Tolerance disks of Counted may be lost
+// at once without losing the index.
 type Synced struct {
 	At        time.Duration `json:"at_ns" validate:"gte=0"`
 	Index     uint64        `json:"index"`
@@ -176,20 +178,20 @@
 	Disks     []uint64      `json:"disks"`   // that hold the index
 }
 
-// CatchUp is the beginning or, with Ended, the end of a member's catching up with the log.
+// CatchUp says that a member began to catch up with the log or, with Ended, that it has.
 type CatchUp struct {
 	At      time.Duration `json:"at_ns" validate:"gte=0"`
 	Process string        `json:"process" validate:"required"`
 	Ended   bool          `json:"ended,omitempty"`
 }
 
-// StablePeriod is a stretch in which the control plane was settled: a majority in touch and no fault of late.
+// StablePeriod is a period without recent faults, in which a majority of the members were in contact.
 type StablePeriod struct {
 	From time.Duration `json:"from_ns" validate:"gte=0"`
 	To   time.Duration `json:"to_ns" validate:"gtefield=From"`
 }
 
-// History is what was seen of one run, each kind in the order in which it was recorded.
+// History is what was seen of one run, each type of event in the order in which it was recorded.
 type History struct {
 	Changes        []Change
 	Fetches        []Fetch
--- a/internal/mesh/history/linearizable.go
+++ b/internal/mesh/history/linearizable.go
@@ -10,23 +10,23 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// registerInput is an operation on one item: a write of a content, or a read.
+// registerInput is an operation on one item, which porcupine checks as a register: a write of a content, or a read.
 type registerInput struct {
 	write   bool
 	content ItemVersion // of a write
 }
 
-// registerOutput is what the caller was told.
+// registerOutput is the answer of an operation.
 type registerOutput struct {
-	unknown bool
-	told    bool        // a read's answer names the item
-	content ItemVersion // of a read that names it
+	unknown bool        // the caller does not know whether the write took effect
+	found   bool        // the answer of a read has the item
+	content ItemVersion // of a read that has it
 }
 
-// Linearizable checks, item by item, that each history of changes and fetches has an order in which the highest version
-// holds and every fetch shows what stands. Calls with an unknown outcome may take effect at any time from their beginning
-// on, or never. A call's items taking effect together is checked on the fetches. An item whose search takes longer than
-// bound is undecided.
+// Linearizable checks, item by item, that the changes and fetches have a linearization: an order within their durations in which the
+// highest version wins and every fetch shows the current one. Calls with an unknown outcome may take effect at any time from their
+// beginning on, or never. That all items of a call take effect together is checked on the fetches. An item is undecided if its
+// search takes longer than bound, in real time.
 func Linearizable(h *History, bound time.Duration) (broken []Violation, undecided []Item) {
 	if bound == 0 {
 		bound = DefaultSearch
@@ -44,33 +44,33 @@
 	return append(broken, partialChanges(h)...), undecided
 }
 
-// itemRegister is one item as a register in which the highest version holds.
+// itemRegister models one item as a register in which the highest version wins.
 var itemRegister = porcupine.Model{
 	Init: func() any { return ItemVersion{} },
 	Step: func(state, input, output any) (bool, any) {
-		stands, in, out := state.(ItemVersion), input.(registerInput), output.(registerOutput)
+		current, in, out := state.(ItemVersion), input.(registerInput), output.(registerOutput)
 		if !in.write {
-			return shows(out, stands), stands
+			return shows(out, current), current
 		}
 		switch {
-		case in.content.Version > stands.Version:
+		case in.content.Version > current.Version:
 			return true, in.content
-		case in.content.Version == stands.Version:
-			return out.unknown || in.content == stands, stands
+		case in.content.Version == current.Version:
+			return out.unknown || in.content == current, current
 		}
-		return true, stands
+		return true, current
 	},
 }
 
-// shows says that a read's answer fits what stands. An item that was dropped may be left out.
-func shows(read registerOutput, stands ItemVersion) bool {
-	if read.told {
-		return read.content == stands
+// shows reports whether the answer of a read fits the current version. A deleted item may be missing.
+func shows(read registerOutput, current ItemVersion) bool {
+	if read.found {
+		return read.content == current
 	}
-	return stands.Version == 0 || stands.Deleted
+	return current.Version == 0 || current.Deleted
 }
 
-// items are all that were changed or fetched, in a fixed order.
+// items returns all items that were changed or fetched, in a fixed order.
 func items(h *History) []Item {
 	var all []Item
 	for _, c := range h.Changes {
@@ -87,7 +87,7 @@
 	return slices.Compact(all)
 }
 
-// itemOperations are the calls that bear on one item, and the return of the last one.
+// itemOperations returns the calls that concern one item, and the return of the last one.
 func itemOperations(h *History, item Item) (operations []porcupine.Operation, last time.Duration) {
 	for _, c := range h.Changes {
 		if _, names := find(c.Items, item); names && c.Outcome != Refused {
@@ -106,34 +106,34 @@
 		if f.Outcome != Acknowledged {
 			continue
 		}
-		content, told := find(f.Items, item)
+		content, found := find(f.Items, item)
 		last = max(last, f.Return)
 		operations = append(operations, porcupine.Operation{Input: registerInput{}, Call: int64(f.Begin),
-			Output: registerOutput{told: told, content: content}, Return: int64(f.Return)})
+			Output: registerOutput{found: found, content: content}, Return: int64(f.Return)})
 	}
 	return operations, last
 }
 
-// mergedChange is all tries to write one content of an item, as one.
+// mergedChange is all attempts to write one content of an item, as one.
 type mergedChange struct {
 	Call
 	content ItemVersion
 }
 
-// mergedChanges has one write for all tries of each content, in order of their first tries. That is exactly as strict as all
-// of them: versions in force only rise, so once one try took effect the others change nothing and are acknowledged
-// rightly. The content takes effect, if at all, between the first try and the first acknowledgement; without one at any
-// time from the first try on. It keeps the search short: every lost answer would be open until the end of the run.
+// mergedChanges returns one write for all attempts of each content, in order of their first attempts. That is exactly as strict as
+// all of them: active versions only rise, so once one attempt took effect the others change nothing and are rightly acknowledged.
+// The content takes effect, if at all, between the first attempt and the first acknowledgement, or without one at any time from the
+// first attempt on. It keeps the search short: every lost answer would be open until the end of the run.
 func mergedChanges(h *History, item Item) (merged []mergedChange) {
-	place := map[ItemVersion]int{}
+	position := map[ItemVersion]int{}
 	for _, c := range inOrder(h.Changes, func(c Change) time.Duration { return c.Begin }) {
 		content, names := find(c.Items, item)
 		if !names || c.Outcome == Refused {
 			continue
 		}
-		n, known := place[content]
+		n, known := position[content]
 		if !known {
-			place[content] = len(merged)
+			position[content] = len(merged)
 			merged = append(merged, mergedChange{c.Call, content})
 			continue
 		}
@@ -149,6 +149,7 @@
 	return merged
 }
 
+// find returns the version of an item in a list.
 func find(versions []ItemVersion, item Item) (ItemVersion, bool) {
 	for _, v := range versions {
 		if v.Item == item {
@@ -158,8 +159,8 @@
 	return ItemVersion{}, false
 }
 
-// partialChanges finds fetches that show one item of a call and of another an older version than that call's. Contents that
-// several different calls carry prove nothing and are left out.
+// partialChanges finds fetches that show one item of a call, and of another item an older version than that call's. Contents that
+// several different calls carry prove nothing and are skipped.
 func partialChanges(h *History) (broken []Violation) {
 	carriers := map[ItemVersion][]ItemVersion{}
 	for _, c := range h.Changes {
@@ -177,7 +178,7 @@
 		}
 		for _, shown := range f.Items {
 			for _, other := range carriers[shown] {
-				if got, told := find(f.Items, other.Item); got.Version < other.Version && (told || !mayBeDeleted(h, other, f.Return)) {
+				if got, found := find(f.Items, other.Item); got.Version < other.Version && (found || !mayBeDeleted(h, other, f.Return)) {
 					broken = append(broken, Violation{CheckLinearizable, f.Return, fmt.Sprintf(
 						"%s was shown half of a call by %s: %v at version %d, but %v at %d in place of %d",
 						f.Process, f.Member, shown.Item, shown.Version, other.Item, got.Version, other.Version)})
--- a/internal/mesh/history/progress.go
+++ b/internal/mesh/history/progress.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// CatchUpInTime checks that each catching up ends within the bound (zero: not judged). One that a fault of its member
-// interrupts, or that the run's end cuts short, is not judged.
+// CatchUpInTime checks that a member that began to catch up has caught up within the bound; 0 checks nothing. It is judged by the
+// time that it had, also if a fault of the member or the end of the run came first.
 func CatchUpInTime(h *History, bound time.Duration) (broken []Violation) {
 	if bound == 0 {
 		return nil
@@ -36,7 +36,7 @@
 	return broken
 }
 
-// progressStep is an event that begins, ends or interrupts a catching up.
+// progressStep is an event that begins, ends or interrupts the catching up of a process.
 type progressStep struct {
 	at           time.Duration
 	process      string
@@ -56,6 +56,7 @@
 	return inOrder(steps, func(s progressStep) time.Duration { return s.at })
 }
 
+// sortedNames returns the keys of a map in order.
 func sortedNames[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
@@ -65,16 +66,16 @@
 	return names
 }
 
-// Liveness checks that each proper order that begins in a settled stretch, with the bound still inside the stretch, is
-// acknowledged at one of its tries within the bound (zero: not judged).
+// Liveness checks that each uncontested change that begins in a stable period, and has the time of the bound left in it, is
+// acknowledged at one of its attempts within the bound; 0 checks nothing.
 func Liveness(h *History, bound time.Duration) (broken []Violation) {
 	if bound == 0 {
 		return nil
 	}
 	for _, o := range attemptsByChange(h) {
 		begin := o[0].Begin
-		settled := slices.ContainsFunc(h.StablePeriods, func(s StablePeriod) bool { return s.From <= begin && begin+bound <= s.To })
-		if !settled || !slices.ContainsFunc(o, func(c Change) bool { return isUncontested(h, c) }) {
+		stable := slices.ContainsFunc(h.StablePeriods, func(s StablePeriod) bool { return s.From <= begin && begin+bound <= s.To })
+		if !stable || !slices.ContainsFunc(o, func(c Change) bool { return isUncontested(h, c) }) {
 			continue
 		}
 		acknowledged := slices.ContainsFunc(o, func(c Change) bool { return c.Outcome == Acknowledged && c.Return <= begin+bound })
@@ -87,14 +88,14 @@
 	return broken
 }
 
-// attemptsByChange are the changes joined by their order, each in order of its tries' beginnings, in order of the first ones.
+// attemptsByChange groups the attempts of each change, ordered by their beginnings. The groups are ordered by their first attempts.
 func attemptsByChange(h *History) (joined [][]Change) {
-	place := map[string]int{}
+	position := map[string]int{}
 	for _, c := range inOrder(h.Changes, func(c Change) time.Duration { return c.Begin }) {
-		n, known := place[c.ChangeID]
+		n, known := position[c.ChangeID]
 		if !known || c.ChangeID == "" {
 			n = len(joined)
-			place[c.ChangeID] = n
+			position[c.ChangeID] = n
 			joined = append(joined, nil)
 		}
 		joined[n] = append(joined[n], c)
@@ -102,14 +103,14 @@
 	return joined
 }
 
-// isUncontested says that a change is valid and no other one carries another content of a version of its.
+// isUncontested reports whether a change is valid and no other carries another content under one of its versions.
 func isUncontested(h *History, c Change) bool {
 	if c.Invalid {
 		return false
 	}
 	for _, o := range h.Changes {
 		for _, v := range c.Items {
-			if other, names := find(o.Items, v.Item); names && other.Version == v.Version && other != v {
+			if other, found := find(o.Items, v.Item); found && other.Version == v.Version && other != v {
 				return false
 			}
 		}
--- a/internal/mesh/history/reference_test.go
+++ b/internal/mesh/history/reference_test.go
@@ -11,16 +11,17 @@
 	"pgregory.net/rapid"
 )
 
-const reach = 100 * time.Millisecond // how far a call's beginning and end lie from the moment at which it takes effect
+// reach is how far the beginning and end of a call are from the moment at which it takes effect, at most.
+const reach = 100 * time.Millisecond
 
-// reference is a mesh that keeps every promise: each call takes effect whole, at one moment between its beginning and its
-// end. The moments rise with now.
+// reference is a mesh that keeps every promise: each call takes effect as a whole, at one moment between its beginning and its end.
+// The moments rise with now.
 type reference struct {
 	t       *rapid.T
 	h       History
 	now     time.Duration
-	stands  map[Item]ItemVersion
-	held    map[string]time.Duration // until when each key is held
+	current map[Item]ItemVersion
+	leases  map[string]time.Duration // when the lease of each key expires
 	voters  []uint64
 	index   uint64
 	term    uint64
@@ -34,7 +35,7 @@
 	return Call{Process: process, Begin: r.now - before, Return: r.now + after, Outcome: outcome}
 }
 
-// change sends a new order or one that was sent before. Its answer may be lost whether or not it was taken.
+// change sends a new change or one that was sent before. Its answer may be lost whether or not it was accepted.
 func (r *reference) change() {
 	var items []ItemVersion
 	if len(r.h.Changes) > 0 && rapid.Bool().Draw(r.t, "again") {
@@ -62,22 +63,22 @@
 // take merges a call's items, all or none. One version has one content.
 func (r *reference) take(items []ItemVersion) bool {
 	for _, v := range items {
-		if stands := r.stands[v.Item]; stands.Version == v.Version && stands != v {
+		if current := r.current[v.Item]; current.Version == v.Version && current != v {
 			return false
 		}
 	}
 	for _, v := range items {
-		if v.Version > r.stands[v.Item].Version {
-			r.stands[v.Item] = v
+		if v.Version > r.current[v.Item].Version {
+			r.current[v.Item] = v
 		}
 	}
 	return true
 }
 
-// read is what stands; dropped items are told or left out.
+// read returns the current items. Deleted ones are in it or missing.
 func (r *reference) read() (all []ItemVersion) {
-	for _, item := range sortedItems(r.stands) {
-		if v := r.stands[item]; !v.Deleted || rapid.Bool().Draw(r.t, "tell dropped") {
+	for _, item := range sortedItems(r.current) {
+		if v := r.current[item]; !v.Deleted || rapid.Bool().Draw(r.t, "tell dropped") {
 			all = append(all, v)
 		}
 	}
@@ -88,33 +89,33 @@
 	r.h.Record(Fetch{Call: r.call("reader", Acknowledged), Member: "one", Items: r.read()})
 }
 
-// firstTable gives a sidecar what stands and has it in force from then on.
-func (r *reference) firstTable() {
+// initialTable sends a sidecar the current items, which are active there from then on.
+func (r *reference) initialTable() {
 	name := rapid.SampledFrom([]string{"s1", "s2"}).Draw(r.t, "sidecar")
 	r.h.Record(InitialTable{Call: r.call(name, Acknowledged), Member: "one", Incarnation: 1, Items: r.read()})
-	for _, item := range sortedItems(r.stands) {
-		v := r.stands[item]
+	for _, item := range sortedItems(r.current) {
+		v := r.current[item]
 		r.h.Record(ActiveVersion{At: r.now, Process: name, Incarnation: 1, InContact: rapid.Bool().Draw(r.t, "in touch"), ItemVersion: v})
 	}
 }
 
-// run claims a key and runs it once it is granted.
+// run requests the lease of a key, and runs a request once it is granted.
 func (r *reference) run() {
 	key := rapid.SampledFrom([]string{"k", "l"}).Draw(r.t, "key")
 	const window = 2 * time.Second
 	r.request++
 	request := fmt.Sprint(r.request)
 	outcome := Refused
-	if r.now >= r.held[key] {
-		outcome, r.held[key] = Acknowledged, r.now+reach+window
+	if r.now >= r.leases[key] {
+		outcome, r.leases[key] = Acknowledged, r.now+reach+window
 		r.h.Record(Run{At: r.now + reach, Server: "server", Key: key, Window: window, Request: request})
 	}
 	r.h.Record(Claim{Call: r.call("s1", outcome), Key: key, Window: window})
 	r.h.Record(Answer{At: r.now + 2*reach, Process: "client", Request: request, AnsweredRequest: request})
 }
 
-// agree has the members change by one step, or another lead, and acknowledges an index.
-func (r *reference) agree() {
+// commitMembers commits one change of the members, elects a leader and acknowledges an index.
+func (r *reference) commitMembers() {
 	r.index++
 	r.term++
 	if id := rapid.Uint64Range(1, 5).Draw(r.t, "member"); !slices.Contains(r.voters, id) {
@@ -134,15 +135,15 @@
 	r.now = ended
 }
 
-// step goes on in time, past what the step before may have recorded, and lets one thing happen.
+// step advances the time, past what the step before may have recorded, and lets some calls happen.
 func (r *reference) step() {
 	r.now += 3*reach + time.Duration(rapid.Int64Range(0, int64(second)).Draw(r.t, "pause"))
 	r.concurrent()
 }
 
-// concurrent lets several things happen at moments that lie within each other's calls.
+// concurrent lets several calls happen that overlap.
 func (r *reference) concurrent() {
-	steps := []func(){r.change, r.change, r.fetch, r.fetch, r.firstTable, r.run, r.agree, r.catchUp}
+	steps := []func(){r.change, r.change, r.fetch, r.fetch, r.initialTable, r.run, r.commitMembers, r.catchUp}
 	for range rapid.IntRange(1, 4).Draw(r.t, "at once") {
 		r.now += time.Millisecond
 		rapid.SampledFrom(steps).Draw(r.t, "step")()
@@ -150,7 +151,7 @@
 }
 
 func execute(t *rapid.T) *History {
-	r := &reference{t: t, stands: map[Item]ItemVersion{}, held: map[string]time.Duration{},
+	r := &reference{t: t, current: map[Item]ItemVersion{}, leases: map[string]time.Duration{},
 		voters: []uint64{1, 2, 3}}
 	for range rapid.IntRange(1, 12).Draw(t, "steps") {
 		r.step()
--- a/internal/mesh/history/report.go
+++ b/internal/mesh/history/report.go
@@ -7,27 +7,27 @@
 
 // Violation is a promise that a history shows to be broken.
 type Violation struct {
-	Checker string        // its name, as in Report
+	Checker string        // name of the checker that found it
 	At      time.Duration // when it was seen
 	Text    string
 }
 
-// String words it for a reader.
+// String returns time, checker and text.
 func (v Violation) String() string { return fmt.Sprintf("%v: %s: %s", v.At, v.Checker, v.Text) }
 
-// Bounds are the figures that the promises with a time in them are judged by; a zero leaves that promise unjudged.
+// Bounds are the limits of the promises that have a time in them. A zero leaves that promise unchecked.
 type Bounds struct {
-	IsolatedRead    time.Duration // how long after its last contact with a majority a member may still hand out the configuration
-	CatchUp         time.Duration // from the beginning of a member's catching up to its end
-	Acknowledgement time.Duration // from an order's first call, in settled times, to an acknowledgement
-	Search          time.Duration // real time for the search of linearizations of one item; zero: DefaultSearch
+	IsolatedRead    time.Duration // after its last contact with a majority, in which a member may still serve the configuration
+	CatchUp         time.Duration // from when a member begins to catch up until it has
+	Acknowledgement time.Duration // from a change's first attempt, in a stable period, to an acknowledgement
+	Search          time.Duration // real time of the search for a linearization of one item; 0 means DefaultSearch
 }
 
-// DefaultSearch bounds the search for a linearization of one item's history, in real time.
+// DefaultSearch is the limit of the search for a linearization of one item, in real time.
 const DefaultSearch = 5 * time.Second
 
-// Report is what the checkers say of a history.
+// Report is the result of all checkers.
 type Report struct {
 	Violations []Violation
-	Undecided  []Item // items whose linearizability was not decided within Bounds.Search
+	Undecided  []Item // items whose search was not over within Bounds.Search
 }
--- a/internal/mesh/history/requests.go
+++ b/internal/mesh/history/requests.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// AtMostOnce checks that a key runs once at most within the window of the run before.
+// AtMostOnce checks that no key runs again within the window of its last run.
 func AtMostOnce(h *History) (broken []Violation) {
 	last := map[string]Run{}
 	for _, r := range inOrder(h.Runs, func(r Run) time.Duration { return r.At }) {
@@ -20,7 +20,7 @@
 	return broken
 }
 
-// MatchedAnswers checks that every answer came to the request that it is for, and each request has one at most.
+// MatchedAnswers checks that every answer reached the request that it is for, and that no request has two.
 func MatchedAnswers(h *History) (broken []Violation) {
 	answered := map[string]time.Duration{}
 	for _, a := range inOrder(h.Answers, func(a Answer) time.Duration { return a.At }) {
--- a/internal/mesh/history/sort.go
+++ b/internal/mesh/history/sort.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// inOrder is a copy of events in the order of their times; those of one time stay as recorded.
+// inOrder returns the events ordered by time. Events of one time stay in the order in which they were recorded.
 func inOrder[E any](events []E, at func(E) time.Duration) []E {
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, func(a, b E) int { return cmp.Compare(at(a), at(b)) })
 	return sorted
 }
 
-// sortedItems are the items of a map in a fixed order.
+// sortedItems returns the keys of a map in a fixed order.
 func sortedItems[V any](m map[Item]V) []Item {
 	all := make([]Item, 0, len(m))
 	for item := range m {
--- a/internal/mesh/history/versions.go
+++ b/internal/mesh/history/versions.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// content is what Digest and Dropped of an ItemVersion say.
+// content is the content of an ItemVersion: equal contents are equal values.
 type content struct {
 	digest  string
 	dropped bool
 }
 
-// itemNumber is a version of an item, whatever its content.
+// itemNumber identifies a version of an item, whatever its content.
 type itemNumber struct {
 	Item
 	version int64
 }
 
+// split separates which version it is from what is in it.
 func split(v ItemVersion) (itemNumber, content) {
 	return itemNumber{v.Item, v.Version}, content{v.Digest, v.Deleted}
 }
 
-// UniqueContent checks that no version of an item was acknowledged, fetched, handed out or in force with two contents. An
+// UniqueContent checks that no version of an item was acknowledged, fetched, sent to a sidecar or active with two contents. The
 // acknowledgement of a version that a higher one may have overtaken by then says nothing of its content: it changed nothing.
 func UniqueContent(h *History) (broken []Violation) {
 	first := map[itemNumber]content{}
@@ -63,24 +64,24 @@
 	return broken
 }
 
-// mayBeDeleted says that a version drops its item, or a higher one that may have stood before a time does.
+// mayBeDeleted reports whether a version deletes its item, or a higher one that may have been current before a time does.
 func mayBeDeleted(h *History, v ItemVersion, before time.Duration) bool {
 	return v.Deleted || slices.ContainsFunc(h.Changes, func(c Change) bool {
-		other, names := find(c.Items, v.Item)
-		return names && other.Deleted && other.Version > v.Version && c.Outcome != Refused && c.Begin <= before
+		other, found := find(c.Items, v.Item)
+		return found && other.Deleted && other.Version > v.Version && c.Outcome != Refused && c.Begin <= before
 	})
 }
 
-// overtaken says that a higher version of an item may have stood before a time.
+// overtaken reports whether a higher version of an item may have been current before a time.
 func overtaken(h *History, v ItemVersion, before time.Duration) bool {
 	return slices.ContainsFunc(h.Changes, func(c Change) bool {
-		other, names := find(c.Items, v.Item)
-		return names && other.Version > v.Version && c.Outcome != Refused && c.Begin <= before
+		other, found := find(c.Items, v.Item)
+		return found && other.Version > v.Version && c.Outcome != Refused && c.Begin <= before
 	})
 }
 
-// RepeatedChanges checks that an order that was acknowledged, or whose content was seen after its answer was lost, is not
-// refused when it is sent again: either with no other change in between, or with all its items older than what stands.
+// RepeatedChanges checks that a change that was acknowledged, or whose content was seen after its answer was lost, is not refused
+// when it is sent again: neither without another change in between, nor with all its items older than the current ones.
 func RepeatedChanges(h *History) (broken []Violation) {
 	for n, again := range h.Changes {
 		if again.Outcome != Refused {
@@ -101,8 +102,8 @@
 	return broken
 }
 
-// hadEffect says that a change had taken effect before a time: it was acknowledged, or a fetch showed a content that no other
-// order carries.
+// hadEffect reports whether a change had taken effect before a time: it was acknowledged, or a fetch showed a content that no other
+// change carries.
 func hadEffect(h *History, c Change, before time.Duration) bool {
 	if c.Outcome == Acknowledged {
 		return c.Return <= before
@@ -120,7 +121,7 @@
 	return false
 }
 
-// isUndisturbed says that no other change was under way from the first call to the end of the second.
+// isUndisturbed reports whether no other change was in flight from the beginning of the first call to the end of the second.
 func isUndisturbed(h *History, first, again Change) bool {
 	return !slices.ContainsFunc(h.Changes, func(o Change) bool {
 		over := o.Outcome != Unknown && o.Return < first.Begin
@@ -128,18 +129,18 @@
 	})
 }
 
-// superseded says that for each item of a change a higher version had been acknowledged before its call.
+// superseded reports whether of each item of a change a higher version had been acknowledged before its call.
 func superseded(h *History, c Change) bool {
-	stands := acknowledgedBefore(h, c.Begin)
+	newest := acknowledgedBefore(h, c.Begin)
 	for _, v := range c.Items {
-		if stands[v.Item] <= v.Version {
+		if newest[v.Item] <= v.Version {
 			return false
 		}
 	}
 	return len(c.Items) > 0
 }
 
-// acknowledgedBefore is each item's highest version that was acknowledged before a time.
+// acknowledgedBefore returns the highest version of each item that was acknowledged before a time.
 func acknowledgedBefore(h *History, at time.Duration) map[Item]int64 {
 	highest := map[Item]int64{}
 	for _, c := range h.Changes {
@@ -153,16 +154,16 @@
 	return highest
 }
 
-// MonotonicVersions checks that the versions in force at one life of a process only rise while it is in touch.
+// MonotonicVersions checks that active versions only rise in one incarnation of a process while it is in contact.
 func MonotonicVersions(h *History) (broken []Violation) {
-	type place struct {
+	type holder struct {
 		process string
 		life    uint64
 		item    Item
 	}
-	highest := map[place]int64{}
+	highest := map[holder]int64{}
 	for _, f := range inOrder(h.ActiveVersions, func(f ActiveVersion) time.Duration { return f.At }) {
-		at := place{f.Process, f.Incarnation, f.Item}
+		at := holder{f.Process, f.Incarnation, f.Item}
 		if f.InContact && f.Version < highest[at] {
 			broken = append(broken, Violation{CheckMonotonicVersions, f.At, fmt.Sprintf(
 				"%s (life %d) went from version %d of %v back to %d", f.Process, f.Incarnation, highest[at], f.Item, f.Version)})
@@ -172,16 +173,16 @@
 	return broken
 }
 
-// StaleReads checks that no fetch and no first table is older than what was acknowledged before it was asked for, and that no
-// member hands one out longer than leftBehind after its last contact with a majority (zero: not judged).
-func StaleReads(h *History, leftBehind time.Duration) (broken []Violation) {
+// StaleReads checks that no fetch and no initial table is older than what was acknowledged before it was asked for, and that no member
+// serves one more than isolated after its last contact with a majority; 0 does not check that.
+func StaleReads(h *History, isolated time.Duration) (broken []Violation) {
 	standing, contacts := standingVersions(h), inOrder(h.Contacts, func(c Contact) time.Duration { return c.At })
 	read := func(what string, c Call, member string, versions []ItemVersion) {
 		if c.Outcome != Acknowledged {
 			return
 		}
 		broken = append(broken, standing.older(h, what, c, member, versions)...)
-		if lost, cut := withoutMajority(contacts, member, c.Return); cut && leftBehind > 0 && c.Return-lost > leftBehind {
+		if lost, cut := withoutMajority(contacts, member, c.Return); cut && isolated > 0 && c.Return-lost > isolated {
 			broken = append(broken, Violation{CheckStaleRead, c.Return, fmt.Sprintf(
 				"%s handed out %s %v after its last contact with a majority", member, what, c.Return-lost)})
 		}
@@ -195,7 +196,7 @@
 	return broken
 }
 
-// standing is the acknowledged changes of each item.
+// standing is the acknowledged versions of each item.
 type standing struct {
 	items   []Item // in a fixed order
 	changes map[Item][]acknowledgement
@@ -220,11 +221,11 @@
 	return s
 }
 
-// older finds what is older in a read than what was acknowledged before its call. A dropped item may be left out.
+// older finds items of a read that are older than what was acknowledged before its call. A deleted item may be missing.
 func (s standing) older(h *History, what string, c Call, member string, versions []ItemVersion) (broken []Violation) {
-	told := map[Item]int64{}
+	shown := map[Item]int64{}
 	for _, v := range versions {
-		told[v.Item] = v.Version
+		shown[v.Item] = v.Version
 	}
 	for _, item := range s.items {
 		var newest ItemVersion
@@ -233,8 +234,8 @@
 				newest = a.ItemVersion
 			}
 		}
-		version, is := told[item]
-		if version < newest.Version && (is || !mayBeDeleted(h, newest, c.Return)) {
+		version, found := shown[item]
+		if version < newest.Version && (found || !mayBeDeleted(h, newest, c.Return)) {
 			broken = append(broken, Violation{CheckStaleRead, c.Return, fmt.Sprintf(
 				"%s of %s by %s at %v tells %v at version %d, but %d had been acknowledged",
 				what, c.Process, member, c.Begin, item, version, newest.Version)})
@@ -243,8 +244,7 @@
 	return broken
 }
 
-// withoutMajority says whether a member is out of contact with a majority at a time, and since when.
-// The contacts are in order.
+// withoutMajority reports whether a member has no contact with a majority at a time, and since when. The contacts are in order.
 func withoutMajority(contacts []Contact, member string, at time.Duration) (since time.Duration, cut bool) {
 	for _, c := range contacts {
 		if c.Process != member || c.At > at {
