--- a/internal/mesh/sim/disk.go
+++ b/internal/mesh/sim/disk.go
@@ -9,16 +9,16 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// DiskKind says how a replica's disk is simulated.
+// DiskKind says how the disk of a replica is simulated. Its values stand in plan files.
 type DiskKind string
 
 // Kinds of disks.
 const (
-	MemoryDisk  DiskKind = ""      // records in memory, each write kept or lost whole: the fast one
+	MemoryDisk  DiskKind = ""      // records in memory, each write kept or lost as a whole; the fast one
 	StorageDisk DiskKind = "vault" // the real storage over simulated files
 )
 
-// errDiskFull is that of a write that the disk has no room for.
+// errDiskFull is the error of a write for which the disk has no space.
 const errDiskFull = errors.ConstError("no space left on device")
 
 // diskState says what a disk holds.
@@ -27,43 +27,43 @@
 const (
 	diskHolds   diskState = iota // a replica's records
 	diskEmpty                    // nothing yet
-	diskDamaged                  // nothing that could be read; it was emptied
+	diskDamaged                  // nothing readable; it was emptied
 )
 
-// diskWrite is a write that a replica waits for.
+// diskWrite is a write for which a replica waits.
 type diskWrite struct {
-	ready raft.Ready
-	last  uint64 // entry that stood on disk before
-	done  bool
+	ready     raft.Ready
+	lastIndex uint64 // index on disk before the write
+	done      bool
 }
 
-// disk is what a replica's storage does. A write that returned is on disk, synced, unless the run has an error planted there.
+// disk is the storage of a replica. A write that returned is synced to disk, unless the run has a mutation of that.
 type disk interface {
 	read() (held raft.StoredState, state diskState, err error)
 	begin(self raft.ID, snapshot raft.Snapshot) error
 	save(ready raft.Ready, last uint64) error
 	compact(snapshot raft.Snapshot, kept uint64) error
-	// crash ends the process, and takes power away with it, or not; under is a write that was under way, nil: none.
+	// crash ends the process, with a loss of power or without. inFlight is the write that was not done yet, or nil.
 	crash(random *rand.Rand, under *diskWrite, power bool)
-	// sync syncs what was written, where an error planted has left that out.
+	// sync syncs what was written, if a mutation has left that out.
 	sync()
 	setFull(full bool)
-	// term is that of an entry that is on disk, synced; known is false where a snapshot stands for it.
+	// term returns the term of an entry that is synced to disk. known is false if a snapshot covers the entry.
 	term(index uint64) (term uint64, known, held bool)
 }
 
-// memoryDisk is a disk as records in memory. It belongs to one world.
+// memoryDisk simulates a disk as records in memory. It belongs to one world.
 type memoryDisk struct {
-	synced  raft.StoredState
-	written raft.StoredState // with what is not synced; only an error planted has it differ from synced
-	begun   bool
-	full    bool
-	// Planted errors: writes are not synced when they return; term and vote never are.
+	synced      raft.StoredState
+	written     raft.StoredState // with what is not synced; differs from synced by a mutation only
+	initialized bool
+	full        bool
+	// Mutations: writes are not synced when they return; term and vote never are.
 	deferred, hardUnsynced bool
 }
 
 func (d *memoryDisk) read() (raft.StoredState, diskState, error) {
-	if !d.begun {
+	if !d.initialized {
 		return raft.StoredState{}, diskEmpty, nil
 	}
 	h := d.written
@@ -76,7 +76,7 @@
 		return errDiskFull
 	}
 	d.written = raft.StoredState{Self: self, Snapshot: s}
-	d.synced, d.begun = d.written, true
+	d.synced, d.initialized = d.written, true
 	return nil
 }
 
@@ -93,13 +93,13 @@
 
 func (d *memoryDisk) sync() {
 	hard := d.synced.HardState
-	d.synced = d.written // an append to one is not seen by the other, whose log is shorter
+	d.synced = d.written // sharing the log is safe: an append to one is not seen by the other, whose log is shorter
 	if d.hardUnsynced {
 		d.synced.HardState = hard
 	}
 }
 
-// withReady is what a disk holds once a Ready is written.
+// withReady returns what a disk holds once a Ready is written to it.
 func withReady(h raft.StoredState, ready raft.Ready) raft.StoredState {
 	if ready.HardState != nil {
 		h.HardState = *ready.HardState
@@ -110,7 +110,7 @@
 	if n := len(ready.Entries); n > 0 {
 		keep := ready.Entries[0].Index - h.Snapshot.Index - 1
 		if keep < uint64(len(h.Entries)) {
-			h.Entries = slices.Clone(h.Entries[:keep]) // others may still read what is replaced
+			h.Entries = slices.Clone(h.Entries[:keep]) // others may still read the entries that are replaced
 		}
 		h.Entries = append(h.Entries, ready.Entries...)
 	}
@@ -135,7 +135,7 @@
 }
 
 func (d *memoryDisk) crash(random *rand.Rand, under *diskWrite, power bool) {
-	if under != nil && random.IntN(2) == 0 { // it came whole, or not at all
+	if under != nil && random.IntN(2) == 0 { // the write was complete, or did not begin
 		d.written = withReady(d.written, under.ready)
 		if !d.deferred {
 			d.sync()
@@ -143,7 +143,8 @@
 	}
 	if power {
 		d.written = d.synced
-		d.written.Entries = slices.Clone(d.synced.Entries) // what is appended from now on must not meet what was lost
+		// A copy: entries appended from now on must not overwrite those that were lost, which others may read.
+		d.written.Entries = slices.Clone(d.synced.Entries)
 		return
 	}
 	d.sync()
@@ -152,7 +153,7 @@
 func (d *memoryDisk) setFull(full bool) { d.full = full }
 
 func (d *memoryDisk) term(index uint64) (term uint64, known, held bool) {
-	if !d.begun {
+	if !d.initialized {
 		return 0, false, false
 	}
 	if index <= d.synced.Snapshot.Index {
--- a/internal/mesh/sim/faults.go
+++ b/internal/mesh/sim/faults.go
@@ -9,8 +9,8 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// lossRetry is how often the loss of a disk that the deployment does not bear yet is tried again.
-const lossRetry = 10 * time.Millisecond
+// lossRetryInterval is the interval at which the loss of a disk is tried again that the deployment does not tolerate yet.
+const lossRetryInterval = 10 * time.Millisecond
 
 // applyFault begins a fault.
 func (w *World) applyFault(f Fault) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// endFaults ends all faults that are still on.
+// endFaults ends all faults that have not ended yet.
 func (w *World) endFaults() {
 	w.network.extra, w.network.disorder = 0, 0
 	for d := range w.network.cuts {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// replicaFor is the replica of a name or a role; nil: there is none.
+// replicaFor returns the replica that has a name or a role, or nil.
 func (w *World) replicaFor(target string) *replicaHost {
 	var leader, first, last, joiner *replicaHost
 	for _, h := range w.replicas {
@@ -149,7 +149,7 @@
 	case FaultPowerLoss:
 		w.power(h, f.Duration)
 	case FaultWipe, FaultReplace, FaultLeave:
-		w.lose(h, f)
+		w.loseDisk(h, f)
 	case FaultFreeze, FaultSuspend:
 		if f.Kind == FaultSuspend {
 			h.suspend()
@@ -179,15 +179,15 @@
 	w.after(off, h.start)
 }
 
-// lose takes a disk away, now or as soon as the deployment bears it.
-func (w *World) lose(h *replicaHost, f Fault) {
+// loseDisk takes a disk away, now or as soon as the deployment tolerates it.
+func (w *World) loseDisk(h *replicaHost, f Fault) {
 	if h.removed {
 		return
 	}
-	if !f.Force && !w.observer.mayLose(h) {
-		w.after(lossRetry, func() {
-			if w.observer.target == 0 { // else the time of faults is over
-				w.lose(h, f)
+	if !f.Force && !w.observer.canLose(h) {
+		w.after(lossRetryInterval, func() {
+			if w.observer.target == 0 { // else the period of faults is over
+				w.loseDisk(h, f)
 			}
 		})
 		return
@@ -223,7 +223,7 @@
 	w.trace("removed", h.name, "", nil)
 	w.observer.fault(h.process, kind)
 	for _, s := range w.replicas {
-		if s.spare { // it is there already
+		if s.spare { // the new machine runs already
 			s.spare = false
 			return
 		}
@@ -275,7 +275,7 @@
 	w.observer.fault(p, history.Cut)
 	w.after(f.Duration, func() {
 		if w.observer.target > 0 {
-			return // all cuts are healed
+			return // all cuts were healed already
 		}
 		each(w.network.heal)
 		w.observer.fault(p, history.Heal)
--- a/internal/mesh/sim/generate.go
+++ b/internal/mesh/sim/generate.go
@@ -7,28 +7,31 @@
 
 // Shape of generated plans.
 const (
-	faultsFrom    = 2 * time.Second
-	faultsUntil   = 18 * time.Second
-	maxFaults     = 8
-	longestFault  = 6 * time.Second
-	longestCut    = 8 * time.Second
-	shortestFault = 20 * time.Millisecond
+	faultsFrom       = 2 * time.Second
+	faultsUntil      = 18 * time.Second
+	maxFaults        = 8
+	maxFaultDuration = 6 * time.Second
+	maxCutDuration   = 8 * time.Second
+	minFaultDuration = 20 * time.Millisecond
 )
 
-// weighted is a kind of fault and how often it comes.
+// weighted is a kind of fault and its relative frequency.
 type weighted struct {
 	kind   FaultKind
 	weight int
 }
 
-var replicaFaults = []weighted{{FaultCut, 6}, {FaultCutInbound, 3}, {FaultCutOutbound, 3}, {FaultReset, 3}, {FaultKill, 5}, {FaultPowerLoss, 5}, {FaultPowerLossAll, 1}, {FaultWipe, 4}, {FaultReplace, 2}, {FaultLeave, 3}, {FaultFreeze, 4},
-	{FaultSuspend, 3}, {FaultDiskStall, 3}, {FaultDiskFull, 2}, {FaultSlowNetwork, 2}, {FaultDisorder, 3}, {FaultChangeBurst, 2}}
+var replicaFaults = []weighted{
+	{FaultCut, 6}, {FaultCutInbound, 3}, {FaultCutOutbound, 3}, {FaultReset, 3}, {FaultKill, 5}, {FaultPowerLoss, 5}, {FaultPowerLossAll, 1},
+	{FaultWipe, 4}, {FaultReplace, 2}, {FaultLeave, 3}, {FaultFreeze, 4}, {FaultSuspend, 3}, {FaultDiskStall, 3}, {FaultDiskFull, 2},
+	{FaultSlowNetwork, 2}, {FaultDisorder, 3}, {FaultChangeBurst, 2},
+}
 
 var targets = []string{RoleLeader, RoleLeader, RoleFollower, RoleLast, RoleJoiner, "replica1", "replica2", "replica3"}
 
 var sidecarFaults = []FaultKind{FaultCut, FaultCutInbound, FaultCutOutbound, FaultReset, FaultKill, FaultFreeze}
 
-// Generate makes a plan of a seed.
+// Generate returns the random plan of a seed.
 func Generate(seed uint64) Plan {
 	random := rand.New(rand.NewPCG(seed, 0xfa17))
 	var p Plan
@@ -39,11 +42,11 @@
 }
 
 func generateFault(random *rand.Rand) Fault {
-	between := func(least, most time.Duration) time.Duration {
-		d := least + time.Duration(random.Int64N(int64(most-least)))
+	between := func(shortest, longest time.Duration) time.Duration {
+		d := shortest + time.Duration(random.Int64N(int64(longest-shortest)))
 		return d.Round(time.Millisecond)
 	}
-	f := Fault{At: between(faultsFrom, faultsUntil), Duration: between(shortestFault, longestFault)}
+	f := Fault{At: between(faultsFrom, faultsUntil), Duration: between(minFaultDuration, maxFaultDuration)}
 	if random.IntN(8) == 0 {
 		f.Target = []string{"sidecar1", "sidecar2", "sidecar3"}[random.IntN(3)]
 		f.Kind = sidecarFaults[random.IntN(len(sidecarFaults))]
@@ -61,23 +64,24 @@
 	case FaultCut, FaultCutInbound, FaultCutOutbound:
 		f.Target = targets[random.IntN(len(targets))]
 		f.Peers = []string{PeersAll, PeersReplicas, PeersReplicas, PeersClients, "replica1", "replica2", "replica3"}[random.IntN(7)]
-		f.Duration = between(shortestFault, longestCut)
+		f.Duration = between(minFaultDuration, maxCutDuration)
 	default:
 		f.Target = targets[random.IntN(len(targets))]
 	}
 	return f
 }
 
-func pick(random *rand.Rand, l []weighted) FaultKind {
-	all := 0
-	for _, x := range l {
-		all += x.weight
+// pick draws a kind by weight.
+func pick(random *rand.Rand, candidates []weighted) FaultKind {
+	total := 0
+	for _, candidate := range candidates {
+		total += candidate.weight
 	}
-	n := random.IntN(all)
-	for _, x := range l {
-		if n -= x.weight; n < 0 {
-			return x.kind
+	n := random.IntN(total)
+	for _, candidate := range candidates {
+		if n -= candidate.weight; n < 0 {
+			return candidate.kind
 		}
 	}
-	return l[0].kind
+	return candidates[0].kind
 }
--- a/internal/mesh/sim/items.go
+++ b/internal/mesh/sim/items.go
@@ -9,10 +9,10 @@
 	"cranegrade/internal/mesh/history"
 )
 
-// itemNames is how many services the operators configure: few, so that calls meet.
+// itemNames is how many services the operators configure: few, so that changes meet.
 const itemNames = 6
 
-// itemVersion is an item as histories know it.
+// itemVersion returns an item as histories record it.
 func itemVersion(i config.Item) history.ItemVersion {
 	v := history.ItemVersion{Item: history.Item{Kind: i.Kind.String(), Name: i.Key.Name}, Version: i.Version, Deleted: i.Deleted}
 	if !i.Deleted {
@@ -32,16 +32,16 @@
 	return l
 }
 
-// draft is one item of a call.
+// draft is one item of a request.
 type draft struct {
 	name    string
 	version int64
 	content int
-	drop    bool
+	deleted bool
 }
 
-// draftModifyRequest words an operator's call of one or two items. Most carry the next version of an item; some a version that another
-// operator has used, with another content; some drop the item.
+// draftModifyRequest drafts a request of one or two items. Most carry the next version of an item, some a version that an operator
+// has used with another content, and some delete the item.
 func (w *World) draftModifyRequest() []byte {
 	first := w.random.IntN(itemNames)
 	drafts := []draft{w.draftItem(first)}
@@ -52,7 +52,7 @@
 }
 
 func (w *World) draftItem(n int) draft {
-	d := draft{name: fmt.Sprintf("service%d", n), content: 1 + w.random.IntN(1000), drop: w.chance(0.1)}
+	d := draft{name: fmt.Sprintf("service%d", n), content: 1 + w.random.IntN(1000), deleted: w.chance(0.1)}
 	d.version = w.versions[d.name]
 	if d.version == 0 || !w.chance(0.12) {
 		d.version++
@@ -64,10 +64,11 @@
 func encodeModifyRequest(drafts []draft) []byte {
 	var upserts, drops []string
 	for _, d := range drafts {
-		if d.drop {
+		if d.deleted {
 			drops = append(drops, fmt.Sprintf(`{"Name":%q,"ConfigVersion":%d}`, d.name, d.version))
 		} else {
-			upserts = append(upserts, fmt.Sprintf(`{"Name":%q,"HealthPath":"/health","MaxConnections":%d,"ConfigVersion":%d}`, d.name, d.content, d.version))
+			upserts = append(upserts, fmt.Sprintf(`{"Name":%q,"HealthPath":"/health","MaxConnections":%d,"ConfigVersion":%d}`,
+				d.name, d.content, d.version))
 		}
 	}
 	var parts []string
--- a/internal/mesh/sim/link.go
+++ b/internal/mesh/sim/link.go
@@ -9,27 +9,27 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Bounds of a link, as the shell in production has them.
+// Bounds of a link, equal to those of package controlplane.
 const (
-	linkRest    = 200 * time.Millisecond // between two dials
-	maxLinkHeld = 32                     // messages that wait while it is dialled; the latest
-	quickRest   = 5 * time.Millisecond   // before the first dial after a connection has ended; each later one after twice as long
-	quickDials  = 5
+	dialInterval    = 200 * time.Millisecond // between two dials
+	maxQueuedFrames = 32                     // messages that wait while the link is dialled; older ones are dropped
+	redialDelay     = 5 * time.Millisecond   // before the first dial after a connection ended; doubled for each further one
+	maxRedials      = 5
 )
 
-// link is a replica's connection to another one, dialled when there is something to say, and kept.
+// link is the connection of a replica to another, dialled when there is something to send, and kept.
 type link struct {
-	host    *replicaHost
-	address string
-	end     *side
-	dialing bool
-	rest    time.Duration // of the host's clock: no dial before
-	quick   int           // dials since a connection ended
-	held    [][]byte
-	calls   pendingCalls
+	host         *replicaHost
+	address      string
+	end          *side
+	dialing      bool
+	noDialBefore time.Duration // no dial before, by the host's clock
+	redials      int           // dials since a connection ended
+	queue        [][]byte
+	calls        pendingCalls
 }
 
-// link is the one to an address.
+// link returns the link to an address.
 func (h *replicaHost) link(address string) *link {
 	l := h.links[address]
 	if l == nil {
@@ -45,7 +45,7 @@
 		return l.end
 	}
 	h := l.host
-	if !l.dialing && h.now() >= l.rest {
+	if !l.dialing && h.now() >= l.noDialBefore {
 		l.dialing = true
 		hello := &wire.HelloT{Name: h.name, Addr: h.address, ControlPlane: true, MemberId: uint64(h.replica.Self().ID)}
 		h.world.network.dial(h.process, l.address, hello, l.dialed)
@@ -56,9 +56,9 @@
 func (l *link) dialed(e *side, refused bool) {
 	h := l.host
 	l.dialing = false
-	l.rest = h.now() + linkRest
-	held := l.held
-	l.held = nil
+	l.noDialBefore = h.now() + dialInterval
+	held := l.queue
+	l.queue = nil
 	if e == nil {
 		if refused {
 			h.peerGone(l.address)
@@ -83,40 +83,40 @@
 	e.send(directory.ToWire(h.replica.Records().All()))
 }
 
-// ended dials again soon: that tells whether the peer's process has ended, or only the connection.
+// ended dials again soon, to find out whether the peer's process has ended or only the connection.
 func (l *link) ended(lived time.Duration) {
-	if lived > linkRest {
-		l.quick = 0
+	if lived > dialInterval {
+		l.redials = 0
 	}
-	if l.quick >= quickDials {
+	if l.redials >= maxRedials {
 		return
 	}
-	wait := quickRest << l.quick
-	l.quick++
-	l.rest = 0
+	wait := redialDelay << l.redials
+	l.redials++
+	l.noDialBefore = 0
 	l.host.after(wait, func() { l.connect() })
 }
 
-// hasten dials at once where there is no connection: the peer has just shown that it runs.
-func (l *link) hasten() {
-	l.rest = 0
+// redial dials at once if there is no connection: the peer has just shown that it runs.
+func (l *link) redial() {
+	l.noDialBefore = 0
 	l.connect()
 }
 
-// peerGone passes on that nobody listens at an address any more.
+// peerGone tells the replica that nobody listens at an address any more.
 func (h *replicaHost) peerGone(address string) {
 	if wait, isLeader := h.replica.PeerExited(h.now(), address); isLeader {
 		h.after(wait, func() { h.replica.Tick(h.now()) })
 	}
 }
 
-// send sends a frame, or holds it while the link is dialled.
+// send sends a frame, or queues it while the link is dialled.
 func (l *link) send(frame []byte) {
 	if e := l.connect(); e != nil {
 		e.sendFrame(frame)
 		return
 	}
-	l.hold(frame)
+	l.enqueue(frame)
 }
 
 // sendLoose sends a frame that may be lost.
@@ -125,17 +125,17 @@
 		e.sendLoose(frame)
 		return
 	}
-	l.hold(frame)
+	l.enqueue(frame)
 }
 
-func (l *link) hold(frame []byte) {
+func (l *link) enqueue(frame []byte) {
 	if !l.dialing {
 		return
 	}
-	if len(l.held) >= maxLinkHeld {
-		l.held = l.held[1:]
+	if len(l.queue) >= maxQueuedFrames {
+		l.queue = l.queue[1:]
 	}
-	l.held = append(l.held, frame)
+	l.queue = append(l.queue, frame)
 }
 
 func (l *link) call(kind byte, body []byte, done func(replica.Reply)) {
@@ -147,7 +147,7 @@
 	l.calls.call(l.host.process, e, replica.CallTimeout, kind, body, done)
 }
 
-// pendingCalls are calls over one connection that wait for their answers.
+// pendingCalls are the calls over one connection that were not answered yet.
 type pendingCalls struct {
 	next uint64
 	open []*pendingCall
@@ -158,7 +158,7 @@
 	done func(replica.Reply)
 }
 
-// call calls; done is called once, by the caller's process.
+// call sends a call. done is called once, by the caller's process.
 func (a *pendingCalls) call(caller *process, e *side, within time.Duration, kind byte, body []byte, done func(replica.Reply)) {
 	a.next++
 	id := a.next
@@ -187,7 +187,7 @@
 	}
 }
 
-// fail answers all that wait: the connection is lost.
+// fail answers all pending calls after the connection was lost.
 func (a *pendingCalls) fail() {
 	open := a.open
 	a.open = nil
--- a/internal/mesh/sim/network.go
+++ b/internal/mesh/sim/network.go
@@ -8,29 +8,29 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Times of connections, as the trunk has them.
+// Times of connections, equal to those of package transport.
 const (
-	heartbeatEvery = 300 * time.Millisecond
-	silenceLimit   = 1200 * time.Millisecond
-	dialWithin     = 400 * time.Millisecond
+	heartbeatInterval = 300 * time.Millisecond
+	silenceTimeout    = 1200 * time.Millisecond
+	dialTimeout       = 400 * time.Millisecond
 )
 
-// Delays of a message when nothing is wrong.
+// Delays of a message without a fault.
 const (
 	minDelay  = 100 * time.Microsecond
 	maxDelay  = 2 * time.Millisecond
-	lateDelay = 30 * time.Millisecond // of one in a hundred
+	lateDelay = 30 * time.Millisecond // of the share of late messages
 	lateShare = 0.01
-	dupeShare = 0.3 // of the messages that disorder affects
+	dupeShare = 0.3 // of the messages that disorder affects and does not lose
 )
 
-// network is the links between all processes. Connections keep the order of what goes over them and lose nothing but with
-// the connection; a cut link holds what is sent, as a stream that is sent again does. Consensus messages alone may
-// be lost, repeated and put out of order besides, which their senders have to bear.
+// network is the links between all processes. As with TCP, a connection keeps the order of messages, loses them only when it is lost
+// itself, and delivers what was sent while the link was cut once the cut is healed. Consensus messages alone may also be lost,
+// repeated and reordered, which raft has to tolerate.
 type network struct {
 	world    *World
-	cuts     map[direction]int // how many cuts stop this direction
-	extra    time.Duration     // delay of every message
+	cuts     map[direction]int // how many faults cut this direction
+	extra    time.Duration     // delay added to every message
 	disorder float64           // share of consensus messages that are lost, repeated or late
 	held     []heldMessage
 }
@@ -76,7 +76,7 @@
 	return n.extra + w.between(minDelay, maxDelay)
 }
 
-// carry brings something from one process to another, or holds it while that direction is cut.
+// carry delivers something from one process to another, after the cut of that direction if there is one.
 func (n *network) carry(from, to *process, delay time.Duration, deliver func()) {
 	if !n.open(from, to) {
 		n.held = append(n.held, heldMessage{direction{from, to}, deliver})
@@ -85,7 +85,7 @@
 	n.world.after(delay, func() {
 		if n.open(from, to) {
 			deliver()
-		} else { // cut while it was under way
+		} else { // cut while it was in flight
 			n.held = append(n.held, heldMessage{direction{from, to}, deliver})
 		}
 	})
@@ -97,16 +97,16 @@
 	incarnation uint64
 	peer        *side
 	open        bool
-	accepts     bool // it was dialled
-	arrives     time.Duration
-	heard       time.Duration
+	accepts     bool // the other side has dialled
+	lastArrival time.Duration
+	lastHeard   time.Duration
 	message     func(codec.Message)     // called by the owner
-	closed      func()                  // the same, once, unless the owner closed it itself
-	heartbeat   func() *wire.HeartbeatT // of what the owner says that it is in touch; nil: nothing
+	closed      func()                  // called by the owner, once, unless it closed the connection itself
+	heartbeat   func() *wire.HeartbeatT // makes the owner's heartbeats; nil for empty ones
 }
 
-// dial connects a process with whoever listens at an address. done is given nil where nothing is heard, or, refused, where a
-// machine says that nobody listens there.
+// dial connects a process with the one that listens at an address. done gets nil if there is no answer in time or, with refused set,
+// if the machine answers that nobody listens there.
 func (n *network) dial(from *process, address string, hello *wire.HelloT, done func(e *side, refused bool)) {
 	w, life := n.world, from.incarnation
 	over := false
@@ -120,21 +120,21 @@
 		over = true
 		from.post(func() { done(e, refused) })
 	}
-	w.after(dialWithin, func() { finish(nil, false) })
+	w.after(dialTimeout, func() { finish(nil, false) })
 	host := w.listener(address)
 	if host == nil {
 		return
 	}
 	n.carry(from, host.process, n.delay(), func() {
-		if host.dark {
+		if host.poweredOff {
 			return
 		}
 		if !host.up {
 			n.carry(host.process, from, n.delay(), func() { finish(nil, true) })
 			return
 		}
-		near := &side{owner: from, incarnation: life, open: true, heard: w.now}
-		far := &side{owner: host.process, incarnation: host.incarnation, open: true, accepts: true, heard: w.now, peer: near}
+		near := &side{owner: from, incarnation: life, open: true, lastHeard: w.now}
+		far := &side{owner: host.process, incarnation: host.incarnation, open: true, accepts: true, lastHeard: w.now, peer: near}
 		near.peer = far
 		host.ends = append(host.ends, far)
 		far.keepAlive(n)
@@ -161,12 +161,12 @@
 	}
 	n := &e.owner.world.network
 	w := n.world
-	at := max(w.now+n.delay(), e.arrives+1)
-	e.arrives = at
+	at := max(w.now+n.delay(), e.lastArrival+1)
+	e.lastArrival = at
 	e.transmit(n, frame, at-w.now)
 }
 
-// sendLoose sends a message that may be lost, repeated or overtaken.
+// sendLoose sends a message that may be lost, repeated or reordered.
 func (e *side) sendLoose(frame []byte) {
 	if !e.open || !e.owner.up {
 		return
@@ -192,16 +192,16 @@
 	n.carry(e.owner, peer.owner, delay, func() { peer.arrive(frame) })
 }
 
-// arrive takes a frame off the link.
+// arrive receives a frame.
 func (e *side) arrive(frame []byte) {
 	if !e.open {
-		if e.owner.up { // a machine that runs says that there is no such connection
+		if e.owner.up { // a running machine resets a connection that it does not know
 			e.tellPeer()
 		}
 		return
 	}
 	w := e.owner.world
-	e.heard = w.now
+	e.lastHeard = w.now
 	w.trace("frame", e.peer.owner.name, e.owner.name, frame)
 	m, err := codec.Decode(frame[4:])
 	if err != nil {
@@ -214,7 +214,7 @@
 	})
 }
 
-// close closes a side by its owner's will; the other side hears of it if the link is open.
+// close closes the connection on behalf of the owner. The other side is told if the link is open.
 func (e *side) close() {
 	if !e.open {
 		return
@@ -223,20 +223,20 @@
 	e.tellPeer()
 }
 
-// vanish ends a side without a word.
+// vanish ends this side without telling the other.
 func (e *side) vanish() {
 	e.open = false
 	e.owner.ends = slices.DeleteFunc(e.owner.ends, func(o *side) bool { return o == e })
 }
 
-// tellPeer has the other side find out that this one is closed.
+// tellPeer tells the other side that this one is closed.
 func (e *side) tellPeer() {
 	peer := e.peer
 	n := &e.owner.world.network
 	n.carry(e.owner, peer.owner, n.delay(), peer.lose)
 }
 
-// lose ends a side that did not want it.
+// lose ends this side against the owner's will.
 func (e *side) lose() {
 	if !e.open {
 		return
@@ -251,15 +251,16 @@
 	}
 }
 
-// keepAlive sends heartbeats and finds the other side's silence. A process that waits for its disk still sends them.
+// keepAlive sends heartbeats, and ends the connection if nothing arrives for silenceTimeout. A process that waits for its disk still
+// sends them.
 func (e *side) keepAlive(n *network) {
 	w := n.world
-	w.after(heartbeatEvery, func() {
+	w.after(heartbeatInterval, func() {
 		if !e.open || !e.owner.up || e.owner.incarnation != e.incarnation {
 			return
 		}
 		if !e.owner.frozen {
-			if w.now-e.heard > silenceLimit {
+			if w.now-e.lastHeard > silenceTimeout {
 				e.lose()
 				return
 			}
@@ -269,7 +270,7 @@
 			}
 			e.send(beat)
 		} else {
-			e.heard = w.now // it can't have heard anything
+			e.lastHeard = w.now // a frozen process receives nothing, and must not count that as silence
 		}
 		e.keepAlive(n)
 	})
--- a/internal/mesh/sim/observer.go
+++ b/internal/mesh/sim/observer.go
@@ -13,54 +13,54 @@
 	"cranegrade/internal/mesh/transport/codec"
 )
 
-// Bounds that runs are judged by.
+// Limits by which runs are judged.
 const (
-	leftBehindBound  = 2 * time.Second // a replica that a majority has left behind hands out no configuration after this
-	catchUpBound     = recoverWithin
-	acknowledgeBound = 4 * time.Second // in settled times
+	isolatedReadBound = 2 * time.Second // after this a replica without contact to a majority serves no configuration
+	catchUpBound      = recoveryTimeout
+	acknowledgeBound  = 4 * time.Second // in a stable period
 )
 
-// checkConvergence is the name of the observer's own check: what stands once all faults are over.
+// checkConvergence is the name of the observer's own check, of the state once all faults are over.
 const checkConvergence = "convergence"
 
-// observer sees the run from outside and records what it sees.
+// observer watches the run from outside and records its history.
 type observer struct {
 	world      *World
 	seen       map[*replicaHost]*observed
-	voters     voterSet // the latest that was committed
+	voters     voterSet // the latest committed one
 	maxTerm    uint64
 	contact    map[*replicaHost]bool
-	target     uint64 // applied index that all have to come up to
+	target     uint64 // applied index that all replicas have to reach; 0 in the period of faults
 	catching   map[*replicaHost]bool
-	committed  uint64 // index that some replica has applied
+	committed  uint64 // highest index that a replica has applied
 	violations []history.Violation
 	lost       []lostDisk
 }
 
-// lostDisk is a disk that was lost of a sudden. What it had said before may still be under way to the leader, which can't know.
+// lostDisk is a disk that was lost without notice. Acknowledgements from before may still be in flight to the leader, which can't know.
 type lostDisk struct {
 	id   raft.ID
 	at   time.Duration
 	disk disk
 }
 
-// underWay bounds how long after a disk's loss its word may still be under way to a leader that runs.
-const underWay = 400 * time.Millisecond
+// acknowledgementFlightTime is how long after a disk's loss its acknowledgements may still be in flight to a leader that runs.
+const acknowledgementFlightTime = 400 * time.Millisecond
 
 // observed is what was last seen of a replica.
 type observed struct {
 	incarnation, term uint64
-	pending           []voterSet // in its log, committed or not, in order
+	pending           []voterSet // configurations in its log that it has not applied yet, in order
 }
 
-// voterSet is who votes from an entry on. While there are outgoing members a majority of both is needed.
+// voterSet is the voters from an index on. While there are outgoing members, majorities of both are needed.
 type voterSet struct {
 	index    uint64
 	members  []raft.Member
 	outgoing []raft.Member
 }
 
-// quorum says whether those counted are one.
+// quorum reports whether the members that count are a quorum.
 func (v voterSet) quorum(counts func(raft.ID) bool) bool {
 	return majority(v.members, counts) && (len(v.outgoing) == 0 || majority(v.outgoing, counts))
 }
@@ -97,30 +97,32 @@
 	return s
 }
 
-// beforeTurn sees an election before the leader's first entry is written.
+// beforeTurn records an election, before the leader's first entry is written.
 func (o *observer) beforeTurn(h *replicaHost) {
 	s := o.observedOf(h)
 	if !h.replica.IsLeader() || s.term == h.replica.Term() {
 		return
 	}
 	s.term = h.replica.Term()
-	leader := history.Leader{At: o.world.now, Process: h.name, ID: uint64(h.replica.Self().ID), Term: s.term, LastIndex: h.replica.SavedIndex()}
+	leader := history.Leader{
+		At: o.world.now, Process: h.name, ID: uint64(h.replica.Self().ID), Term: s.term, LastIndex: h.replica.SavedIndex(),
+	}
 	if s.term < o.maxTerm {
-		leader.LastIndex = 0 // its votes came late: a later leader may have had more agreed on by then
+		leader.LastIndex = 0 // its votes came late: a later leader may have committed more by then
 	}
 	o.maxTerm = max(o.maxTerm, s.term)
 	o.world.history.Record(leader)
 	o.world.trace("leader", h.name, "", []byte{byte(s.term)})
 }
 
-// started sees what a replica begins with.
+// started notes what a replica starts with.
 func (o *observer) started(h *replicaHost, held raft.StoredState) {
 	s := o.observedOf(h)
 	s.pending = nil
 	o.logged(h, raft.Ready{Snapshot: &held.Snapshot, Entries: held.Entries})
 }
 
-// logged sees what a replica writes.
+// logged notes what a replica writes to its log.
 func (o *observer) logged(h *replicaHost, ready raft.Ready) {
 	s := o.observedOf(h)
 	if x := ready.Snapshot; x != nil && x.Index > 0 {
@@ -136,14 +138,16 @@
 	}
 }
 
-// afterTurn sees which members are agreed on, and who has caught up.
+// afterTurn records which configurations are committed, and who has caught up.
 func (o *observer) afterTurn(h *replicaHost) {
 	s := o.observedOf(h)
 	o.noteCommitted(h)
 	for len(s.pending) > 0 && s.pending[0].index <= h.replica.AppliedIndex() {
 		v := s.pending[0]
 		s.pending = s.pending[1:]
-		o.world.history.Record(history.Members{At: o.world.now, Process: h.name, Index: v.index, Voters: ids(v.members), Outgoing: ids(v.outgoing)})
+		o.world.history.Record(history.Members{
+			At: o.world.now, Process: h.name, Index: v.index, Voters: ids(v.members), Outgoing: ids(v.outgoing),
+		})
 		if v.index > o.voters.index {
 			o.voters = v
 			o.world.trace("members", h.name, fmt.Sprint(v.members, v.outgoing), nil)
@@ -156,7 +160,7 @@
 	}
 }
 
-// holder is the replica whose disk is that of a member; nil: that disk is lost.
+// holder returns the replica that has the disk of a member, or nil if that disk is lost.
 func (o *observer) holder(id raft.ID) *replicaHost {
 	for _, h := range o.world.replicas {
 		if !h.removed && h.lastID == id {
@@ -166,14 +170,14 @@
 	return nil
 }
 
-// noteCommitted sees which disks hold what is agreed on, when the first replica applies it. Nothing is acknowledged before.
+// noteCommitted records which disks hold an index when the first replica applies it. Nothing is acknowledged before.
 func (o *observer) noteCommitted(h *replicaHost) {
 	index := h.replica.AppliedIndex()
 	if index <= o.committed {
 		return
 	}
 	o.committed = index
-	event := history.Synced{At: o.world.now, Index: index, Tolerance: replicaFault}
+	event := history.Synced{At: o.world.now, Index: index, Tolerance: faultsTolerated}
 	term, known, _ := h.disk.term(index)
 	members, _ := h.replica.Members()
 	for _, m := range members {
@@ -190,16 +194,16 @@
 	o.world.history.Record(event)
 }
 
-// diskOf is the disk of a member, as far as a leader may know; nil: it is lost. What has come to a leader that stands still, or
-// waits for its disk, is taken when it goes on.
+// diskOf returns the disk of a member as far as a leader may know, or nil if it is lost. A leader that is frozen or waits for its disk
+// handles the acknowledgements that reached it when it goes on.
 func (o *observer) diskOf(leader *replicaHost, id raft.ID) disk {
 	if held := o.holder(id); held != nil {
 		return held.disk
 	}
 	for _, l := range o.lost {
-		heardUntil := l.at + underWay + 2*o.world.network.extra
-		if leader.stoodUntil >= l.at {
-			heardUntil = max(heardUntil, leader.stoodUntil+underWay)
+		heardUntil := l.at + acknowledgementFlightTime + 2*o.world.network.extra
+		if leader.stalledUntil >= l.at {
+			heardUntil = max(heardUntil, leader.stalledUntil+acknowledgementFlightTime)
 		}
 		if l.id == id && o.world.now < heardUntil {
 			return l.disk
@@ -212,19 +216,20 @@
 	o.lost = append(o.lost, lostDisk{h.lastID, o.world.now, h.disk})
 }
 
-// mayLose says whether the deployment promises to bear the loss of a replica's disk now: a quorum of the voters keep theirs.
-func (o *observer) mayLose(h *replicaHost) bool {
+// canLose reports whether the deployment promises to tolerate the loss of a replica's disk now: a quorum of the voters keep theirs.
+func (o *observer) canLose(h *replicaHost) bool {
 	return o.voters.quorum(func(id raft.ID) bool {
 		held := o.holder(id)
 		return held != nil && held != h && !held.leaving
 	})
 }
 
-// noteContacts records who can exchange messages with a quorum, or with one that can and may lead. It is to be called after each fault and its end.
+// noteContacts records which replicas can exchange messages with a quorum, or with a replica that can and may lead. It must be called
+// after each fault and its end.
 func (o *observer) noteContacts() {
 	for _, h := range o.world.replicas {
 		o.observedOf(h)
-		// A majority may follow one that this one hears, though not all of it.
+		// The leader may be one that this replica reaches, although the replica itself reaches no majority.
 		quorum := slices.ContainsFunc(o.world.replicas, func(other *replicaHost) bool { return o.reach(h, other) && o.reachesQuorum(other) })
 		if was, known := o.contact[h]; !known || was != quorum {
 			o.contact[h] = quorum
@@ -250,7 +255,7 @@
 	o.noteContacts()
 }
 
-// recovering begins the time in which all have to catch up.
+// recovering begins the period in which all replicas have to catch up.
 func (o *observer) recovering() {
 	o.target = 0
 	for _, h := range o.world.replicas {
@@ -267,11 +272,11 @@
 	}
 }
 
-func (o *observer) settled(from, to time.Duration) {
+func (o *observer) recordStablePeriod(from, to time.Duration) {
 	o.world.history.Record(history.StablePeriod{From: from, To: to})
 }
 
-// atEnd judges what stands at the end: all replicas are members, and their states are the same.
+// atEnd checks the state at the end of a run: all replicas are members, and their states are equal.
 func (o *observer) atEnd() (broken []history.Violation) {
 	w := o.world
 	violate := func(format string, args ...any) {
@@ -313,7 +318,11 @@
 	return broken
 }
 
-// sameItems says that two replicas hold the same configuration. Their keys may differ by those whose windows have ended.
+// sameItems reports whether two replicas hold the same configuration. Their leases may differ by those that have expired.
 func sameItems(a, b *replica.Replica) bool {
-	return bytes.Equal(codec.EncodeTable(config.ItemsToWire(a.State().Items.Items())), codec.EncodeTable(config.ItemsToWire(b.State().Items.Items())))
+	return bytes.Equal(encodedItems(a), encodedItems(b))
+}
+
+func encodedItems(r *replica.Replica) []byte {
+	return codec.EncodeTable(config.ItemsToWire(r.State().Items.Items()))
 }
--- a/internal/mesh/sim/operator.go
+++ b/internal/mesh/sim/operator.go
@@ -11,92 +11,92 @@
 	"cranegrade/internal/mesh/replica"
 )
 
-// What an operator does.
+// Behaviour of an operator.
 const (
-	maxOpenOrders = 8
-	callWithin    = time.Second
-	maxTries      = 40
-	shortestPause = 50 * time.Millisecond // between two tries
-	longestPause  = 250 * time.Millisecond
-	orderEvery    = 300 * time.Millisecond // on average
-	fetchEvery    = 400 * time.Millisecond
-	repeatShare   = 0.15 // of the acknowledged orders are sent again
-	repeatsAtMost = 2
+	maxOpenChanges      = 8
+	operatorCallTimeout = time.Second
+	maxAttempts         = 40
+	minPause            = 50 * time.Millisecond // between two attempts
+	maxPause            = 250 * time.Millisecond
+	meanChangeInterval  = 300 * time.Millisecond // on average
+	meanFetchInterval   = 400 * time.Millisecond
+	repeatShare         = 0.15 // of the acknowledged changes are sent again
+	maxRepeats          = 2
 )
 
-// operator sends orders, eight at once at most, and reads the configuration. A call whose answer is lost is sent again at
-// another member, until it is acknowledged or refused.
+// operator changes the configuration, with maxOpenChanges changes in flight at most, and reads it. A change whose answer is lost is
+// sent again to another member, until it is acknowledged or refused.
 type operator struct {
 	*process
-	stopped bool
-	open    int
-	backlog int // orders to be sent as fast as they are taken
+	stopped  bool
+	inFlight int
+	backlog  int // changes to be sent as fast as they are accepted
 }
 
-// changeRequest is a call and its tries.
+// changeRequest is a change and its attempts.
 type changeRequest struct {
-	id      string
-	body    []byte
-	items   []history.ItemVersion
-	tries   int
-	repeats int
-	last    string // member that was tried last
+	id       string
+	body     []byte
+	items    []history.ItemVersion
+	attempts int
+	repeats  int
+	last     string // member of the last attempt
 }
 
 func newOperator(w *World, name string) *operator { return &operator{process: w.newProcess(name, "")} }
 
 func (o *operator) begin() {
 	o.beginIncarnation()
-	o.orderLoop()
+	o.changeLoop()
 	o.fetchLoop()
 }
 
-func (o *operator) orderLoop() {
-	o.after(o.world.between(orderEvery/10, 2*orderEvery), func() {
+func (o *operator) changeLoop() {
+	o.after(o.world.between(meanChangeInterval/10, 2*meanChangeInterval), func() {
 		if o.stopped {
 			return
 		}
-		if o.open < maxOpenOrders {
-			o.newOrder()
+		if o.inFlight < maxOpenChanges {
+			o.newChange()
 		}
-		o.orderLoop()
+		o.changeLoop()
 	})
 }
 
-// flood has so many orders sent, as fast as they are taken.
+// flood sends so many changes, as fast as they are accepted.
 func (o *operator) flood(count int) {
 	o.backlog += count
-	for o.open < maxOpenOrders && o.backlog > 0 {
+	for o.inFlight < maxOpenChanges && o.backlog > 0 {
 		o.backlog--
-		o.newOrder()
+		o.newChange()
 	}
 }
 
-func (o *operator) newOrder() {
+func (o *operator) newChange() {
 	w := o.world
 	body := w.draftModifyRequest()
 	items, err := config.ParseItems(body)
 	if err != nil {
 		panic("sim: an operator words a call that can't be read: " + err.Error())
 	}
-	o.open++
+	o.inFlight++
 	o.try(&changeRequest{id: fmt.Sprintf("%s-%d", o.name, w.id()), body: body, items: itemVersions(items)})
 }
 
-func (o *operator) over(x *changeRequest, outcome history.Outcome) {
+func (o *operator) finished(x *changeRequest, outcome history.Outcome) {
 	w := o.world
-	if outcome == history.Acknowledged && x.repeats < repeatsAtMost && w.chance(repeatShare) {
+	if outcome == history.Acknowledged && x.repeats < maxRepeats && w.chance(repeatShare) {
 		x.repeats++
-		o.after(w.between(shortestPause, 10*longestPause), func() { o.try(x) })
+		o.after(w.between(minPause, 10*maxPause), func() { o.try(x) })
 		return
 	}
-	o.open--
+	o.inFlight--
 	o.flood(0)
 }
 
-// try sends an order to a member.
+// try sends a change to a member.
 func (o *operator) try(x *changeRequest) {
-	x.tries++
+	x.attempts++
 	member := o.member(x.last)
 	x.last = member
 	begun := o.world.now
@@ -108,18 +108,19 @@
 		case http.StatusConflict, http.StatusBadRequest, http.StatusForbidden:
 			outcome = history.Refused
 		}
-		o.world.history.Record(history.Change{Call: history.Call{Process: o.name, Begin: begun, Return: o.world.now, Outcome: outcome}, ChangeID: x.id,
-			Member: o.world.memberName(member), Items: x.items})
+		o.world.history.Record(history.Change{
+			Call: o.callSince(begun, outcome), ChangeID: x.id, Member: o.world.memberName(member), Items: x.items,
+		})
 		o.world.trace("order", x.id, member, []byte(outcome))
-		if outcome == history.Unknown && x.tries < maxTries {
-			o.after(o.world.between(shortestPause, longestPause), func() { o.try(x) })
+		if outcome == history.Unknown && x.attempts < maxAttempts {
+			o.after(o.world.between(minPause, maxPause), func() { o.try(x) })
 			return
 		}
-		o.over(x, outcome)
+		o.finished(x, outcome)
 	})
 }
 
-// member is one to call, another than the last if there is another.
+// member draws a member to call, another than the last if there is one.
 func (o *operator) member(last string) string {
 	var l []string
 	for _, a := range o.world.replicaAddresses() {
@@ -134,7 +135,7 @@
 }
 
 func (o *operator) fetchLoop() {
-	o.after(o.world.between(fetchEvery/10, 2*fetchEvery), func() {
+	o.after(o.world.between(meanFetchInterval/10, 2*meanFetchInterval), func() {
 		if o.stopped {
 			return
 		}
@@ -158,7 +159,7 @@
 			done(replica.Reply{Status: http.StatusOK, Body: text})
 		})
 	}, func(r replica.Reply) {
-		f := history.Fetch{Call: history.Call{Process: o.name, Begin: begun, Return: o.world.now, Outcome: history.Unknown}, Member: o.world.memberName(member)}
+		f := history.Fetch{Call: o.callSince(begun, history.Unknown), Member: o.world.memberName(member)}
 		if r.Status == http.StatusOK {
 			items, err := config.ParseItems(r.Body)
 			if err != nil {
@@ -171,7 +172,7 @@
 	})
 }
 
-// call makes a call of HTTP: the answer comes once, a lost one as Unavailable after callWithin.
+// call simulates an HTTP call. done gets one answer: that of the member, or Unavailable after operatorCallTimeout.
 func (o *operator) call(member string, at func(*replicaHost, func(replica.Reply)), done func(replica.Reply)) {
 	n := &o.world.network
 	over := false
@@ -181,7 +182,7 @@
 			done(r)
 		}
 	}
-	o.after(callWithin, func() { finish(replica.Unavailable("no answer")) })
+	o.after(operatorCallTimeout, func() { finish(replica.Unavailable("no answer")) })
 	h := o.world.listener(member)
 	if h == nil {
 		return
@@ -206,7 +207,7 @@
 	})
 }
 
-// memberName is the process that listens at an address.
+// memberName returns the name of the process that listens at an address.
 func (w *World) memberName(address string) string {
 	for _, h := range w.replicas {
 		if h.address == address {
--- a/internal/mesh/sim/plan.go
+++ b/internal/mesh/sim/plan.go
@@ -11,39 +11,43 @@
 	"github.com/juju/errors"
 )
 
-// FaultKind says what a fault is.
+// FaultKind says what happens in a fault. Its values stand in plan files.
 type FaultKind string
 
-// Kinds of faults. Target and Peers name processes, or roles that are looked up when the fault begins.
+// Kinds of faults. Target and Peers name processes, or roles and groups that are resolved when the fault begins. Unless said otherwise
+// a fault ends after Duration.
 const (
-	FaultCut          FaultKind = "cut"     // nothing passes between Target and Peers, for For
-	FaultCutInbound   FaultKind = "cut-in"  // nothing comes to Target from Peers
-	FaultCutOutbound  FaultKind = "cut-out" // nothing goes from Target to Peers
+	FaultCut          FaultKind = "cut"     // no message passes between Target and Peers
+	FaultCutInbound   FaultKind = "cut-in"  // no message reaches Target from Peers
+	FaultCutOutbound  FaultKind = "cut-out" // no message from Target reaches Peers
 	FaultReset        FaultKind = "reset"   // all connections of Target are reset
-	FaultKill         FaultKind = "kill"    // the process ends, and starts again after For
-	FaultPowerLoss    FaultKind = "power"   // the machine loses power, and starts again after For
+	FaultKill         FaultKind = "kill"    // the process ends, and starts again after Duration
+	FaultPowerLoss    FaultKind = "power"   // the machine loses power, and starts again after Duration
 	FaultPowerLossAll FaultKind = "power-all"
-	FaultWipe         FaultKind = "wipe"    // the disk is lost, and the process starts again after For
-	FaultReplace      FaultKind = "replace" // the machine is lost for good; after For another one takes its place, at another address
-	FaultLeave        FaultKind = "leave"   // the process is told to end; after For another machine takes its place
+	FaultWipe         FaultKind = "wipe"    // the disk is lost, and the process starts again after Duration
+	FaultReplace      FaultKind = "replace" // the machine is lost for good; after Duration another one takes its place, at another address
+	FaultLeave        FaultKind = "leave"   // the process is told to shut down; after Duration another machine takes its place
 	FaultSpare        FaultKind = "spare"   // one more machine starts; it takes the place of the next that leaves
-	FaultFreeze       FaultKind = "freeze"  // the process stands still for For
-	FaultSuspend      FaultKind = "suspend" // the machine does, and its clock
-	FaultDiskStall    FaultKind = "stall"   // the disk answers nothing for For
-	FaultDiskFull     FaultKind = "full"    // the disk has no room for For
-	FaultSlowNetwork  FaultKind = "slow"    // every message takes Count more milliseconds, for For
+	FaultFreeze       FaultKind = "freeze"  // the process stops; its clock goes on
+	FaultSuspend      FaultKind = "suspend" // the machine stops, and its clock
+	FaultDiskStall    FaultKind = "stall"   // the disk does not finish any write
+	FaultDiskFull     FaultKind = "full"    // the disk has no space
+	FaultSlowNetwork  FaultKind = "slow"    // every message takes Count more milliseconds
 	FaultDisorder     FaultKind = "disorder"
-	FaultChangeBurst  FaultKind = "orders" // Target, an operator, sends Count orders as fast as they are taken
+	FaultChangeBurst  FaultKind = "orders" // Target, an operator, sends Count changes as fast as they are accepted
 )
 
-var kinds = []FaultKind{FaultCut, FaultCutInbound, FaultCutOutbound, FaultReset, FaultKill, FaultPowerLoss, FaultPowerLossAll, FaultWipe, FaultReplace, FaultLeave, FaultSpare, FaultFreeze, FaultSuspend, FaultDiskStall, FaultDiskFull, FaultSlowNetwork, FaultDisorder, FaultChangeBurst}
+var kinds = []FaultKind{
+	FaultCut, FaultCutInbound, FaultCutOutbound, FaultReset, FaultKill, FaultPowerLoss, FaultPowerLossAll, FaultWipe, FaultReplace, FaultLeave,
+	FaultSpare, FaultFreeze, FaultSuspend, FaultDiskStall, FaultDiskFull, FaultSlowNetwork, FaultDisorder, FaultChangeBurst,
+}
 
-// Roles that a Target may have.
+// Roles that a Target may name.
 const (
 	RoleLeader   = "leader"
-	RoleFollower = "follower" // the first that is up and does not lead
+	RoleFollower = "follower" // the first running replica that does not lead
 	RoleLast     = "last"     // the last such
-	RoleJoiner   = "joiner"   // that is no voter; where there is none, as RoleLast
+	RoleJoiner   = "joiner"   // a replica that does not vote; RoleLast if there is none
 )
 
 // Groups that Peers may name.
@@ -58,16 +62,16 @@
 	At       time.Duration
 	Kind     FaultKind
 	Target   string
-	Peers    string // "": PeersAll
+	Peers    string // empty means PeersAll
 	Duration time.Duration
 	Count    int
-	Force    bool // the loss of a disk does not wait until the deployment bears it
+	Force    bool // the loss of a disk does not wait until the deployment tolerates it
 }
 
 // Plan is the faults of a run, in any order.
 type Plan []Fault
 
-// end is when all faults are over.
+// end returns when all faults are over.
 func (p Plan) end() (end time.Duration) {
 	for _, f := range p {
 		end = max(end, f.At+f.Duration)
@@ -75,7 +79,7 @@
 	return end
 }
 
-// String is the fault as ParsePlan reads it.
+// String returns the fault as ParsePlan reads it.
 func (f Fault) String() string {
 	parts := []string{"at=" + f.At.String(), "kind=" + string(f.Kind)}
 	if f.Target != "" {
@@ -96,7 +100,7 @@
 	return strings.Join(parts, " ")
 }
 
-// String is the plan as ParsePlan reads it, a fault a line.
+// String returns the plan as ParsePlan reads it, a fault per line, ordered by time.
 func (p Plan) String() string {
 	sorted := slices.Clone(p)
 	slices.SortStableFunc(sorted, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
@@ -107,8 +111,8 @@
 	return text.String()
 }
 
-// ParseSchedule reads a plan with the options that it is to be played with: a line that begins with run has them as fields
-// name=value (seed, replicas, compact, disk). seeded: it names its seed.
+// ParseSchedule reads a plan and the options of its run: a line that begins with "run " has them as fields name=value (seed, replicas,
+// compact, disk). seeded reports whether the seed is among them.
 func ParseSchedule(text string) (o Options, seeded bool, err error) {
 	var plan []string
 	for _, line := range strings.Split(text, "\n") {
@@ -117,7 +121,7 @@
 			plan = append(plan, line)
 			continue
 		}
-		plan = append(plan, "") // so that the lines keep their numbers
+		plan = append(plan, "") // so that errors name the right line
 		for _, field := range strings.Fields(fields) {
 			if err := o.parseField(field); err != nil {
 				return o, false, err
@@ -146,7 +150,7 @@
 	return err
 }
 
-// Schedule is a run as ParseSchedule reads it.
+// Schedule returns a run as ParseSchedule reads it.
 func (o Options) Schedule() string {
 	run := fmt.Sprintf("run seed=%d", o.Seed)
 	if o.Replicas > 0 {
@@ -161,7 +165,7 @@
 	return run + "\n" + o.Plan.String()
 }
 
-// ParsePlan reads a plan: a fault a line, as fields name=value; what follows # is a comment.
+// ParsePlan reads a plan: a fault per line, as fields name=value. A comment begins with #.
 func ParsePlan(text string) (p Plan, err error) {
 	for number, line := range strings.Split(text, "\n") {
 		line, _, _ = strings.Cut(line, "#")
--- a/internal/mesh/sim/plans_test.go
+++ b/internal/mesh/sim/plans_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// seedsOfPlan is with how many seeds a plan that names none is played; every third of them over the real storage.
+// seedsOfPlan is how many seeds a plan without one runs with, every third of them over the real storage.
 const seedsOfPlan = 3
 
-// The worst days: each plan of testdata/plans breaks nothing. The figure that a name begins with is its point in
+// No plan of testdata/plans breaks a promise. The figure that a name begins with is its point in
 // docs/design/control.md.
 func TestPlans(t *testing.T) {
 	files, err := filepath.Glob("testdata/plans/*.txt")
@@ -51,8 +51,8 @@
 	}
 }
 
-// A schedule is read as it is written.
-func TestScheduleText(t *testing.T) {
+// A schedule is parsed as it was written.
+func TestScheduleSurvivesParsing(t *testing.T) {
 	for seed := range uint64(50) {
 		o := swarmOptions(seed)
 		o.Disk = StorageDisk
@@ -61,13 +61,15 @@
 		assert.Assert(t, seeded)
 		assert.Equal(t, read.Schedule(), o.Schedule())
 	}
-	for _, text := range []string{"at=1s kind=sneeze", "at=soon kind=kill", "kind", "at=1s kind=kill colour=red", "run colour=red", "at=-1s kind=kill"} {
+	for _, text := range []string{
+		"at=1s kind=sneeze", "at=soon kind=kill", "kind", "at=1s kind=kill colour=red", "run colour=red", "at=-1s kind=kill",
+	} {
 		_, _, err := ParseSchedule(text)
 		assert.Assert(t, err != nil, text)
 	}
 }
 
-// A failing plan is cut down to the faults that it needs.
+// A failing plan is reduced to the faults that it needs.
 func TestShrink(t *testing.T) {
 	o := swarmOptions(1)
 	o.Mutations.KeysForgotten = true
--- a/internal/mesh/sim/process.go
+++ b/internal/mesh/sim/process.go
@@ -2,48 +2,50 @@
 
 import (
 	"time"
+
+	"cranegrade/internal/mesh/history"
 )
 
-// Bounds of the steady clocks' drift, in parts per million.
+// maxDrift bounds the drift of the monotonic clocks, in parts per million.
 const maxDrift = 500
 
-// process is one simulated process on a machine of its own. What it does, it does when an event is posted to it; while it is
-// frozen, or busy with its disk, events wait.
+// process is one simulated process on a machine of its own. It acts only when an event is posted to it. Events wait while it is frozen
+// or busy with its disk.
 type process struct {
 	world       *World
 	name        string
-	address     string // "": it listens nowhere
-	incarnation uint64 // rises with every start
+	address     string // where it listens; empty if it does not
+	incarnation uint64 // rises with each start
 	up          bool
-	removed     bool // taken away for good
-	dark        bool // its machine has no power
+	removed     bool // removed for good
+	poweredOff  bool // its machine has no power
 	frozen      bool
 	busy        bool
 	waiting     []func()
-	settle      func() // called after one event or several
+	settle      func() // called after each batch of events
 	clock       clock
-	ends        []*side // of open connections
+	ends        []*side // open connections
 }
 
-// clock is a process's steady clock. It drifts, and stands still while its machine is suspended.
+// clock is the monotonic clock of a process. It drifts, and stops while its machine is suspended.
 type clock struct {
-	drift int64         // parts per million
-	at    time.Duration // of the world, when the clock showed shown
-	shown time.Duration
-	still bool
+	drift   int64         // parts per million
+	at      time.Duration // time of the world at which the clock showed shown
+	shown   time.Duration
+	stopped bool
 }
 
 func (c *clock) now(world time.Duration) time.Duration {
-	if c.still {
+	if c.stopped {
 		return c.shown
 	}
 	passed := world - c.at
 	return c.shown + passed + passed*time.Duration(c.drift)/1e6
 }
 
-// stop and run have the clock stand still and go on.
-func (c *clock) stop(world time.Duration) { c.shown, c.at, c.still = c.now(world), world, true }
-func (c *clock) run(world time.Duration)  { c.at, c.still = world, false }
+// stop and run stop the clock and have it go on.
+func (c *clock) stop(world time.Duration) { c.shown, c.at, c.stopped = c.now(world), world, true }
+func (c *clock) run(world time.Duration)  { c.at, c.stopped = world, false }
 
 func (w *World) newProcess(name, address string) *process {
 	p := &process{world: w, name: name, address: address, settle: func() {}}
@@ -52,19 +54,19 @@
 	return p
 }
 
-// now is the process's own steady clock, which begins anew with each life.
+// now returns the time of the process's own clock, which begins anew with each incarnation.
 func (p *process) now() time.Duration { return p.clock.now(p.world.now) }
 
-// begin starts a life.
+// beginIncarnation starts the process.
 func (p *process) beginIncarnation() {
 	p.incarnation++
-	p.up, p.dark, p.frozen, p.busy, p.waiting = true, false, false, false, nil
-	p.clock.at, p.clock.shown, p.clock.still = p.world.now, p.world.between(0, time.Second), false
+	p.up, p.poweredOff, p.frozen, p.busy, p.waiting = true, false, false, false, nil
+	p.clock.at, p.clock.shown, p.clock.stopped = p.world.now, p.world.between(0, time.Second), false
 }
 
-// endIncarnation ends it. clean: the machine goes on and tells the peers; else they hear nothing.
+// endIncarnation ends the process. If clean, the machine goes on and closes its connections; otherwise the peers are told nothing.
 func (p *process) endIncarnation(clean bool) {
-	p.up, p.dark, p.frozen, p.busy, p.waiting = false, !clean, false, false, nil
+	p.up, p.poweredOff, p.frozen, p.busy, p.waiting = false, !clean, false, false, nil
 	for _, e := range append([]*side(nil), p.ends...) {
 		if clean {
 			e.close()
@@ -74,7 +76,12 @@
 	}
 }
 
-// post has the process handle an event, now or once it can.
+// callSince is a call of the process that began at a time of the world and ends now, as histories record it.
+func (p *process) callSince(begun time.Duration, outcome history.Outcome) history.Call {
+	return history.Call{Process: p.name, Begin: begun, Return: p.world.now, Outcome: outcome}
+}
+
+// post has the process handle an event, now or as soon as it can.
 func (p *process) post(f func()) {
 	if !p.up {
 		return
@@ -89,7 +96,7 @@
 	}
 }
 
-// resume handles what has waited, all of it before the process settles.
+// resume handles all waiting events before the process settles.
 func (p *process) resume() {
 	for len(p.waiting) > 0 && p.up && !p.frozen && !p.busy {
 		batch := p.waiting
@@ -105,7 +112,7 @@
 	}
 }
 
-// after has the process handle an event after a time of its own clock, in this life.
+// after has the process handle an event after a time of its own clock, unless this incarnation has ended by then.
 func (p *process) after(d time.Duration, f func()) {
 	life := p.incarnation
 	p.world.after(d-d*time.Duration(p.clock.drift)/1e6, func() {
@@ -115,9 +122,10 @@
 	})
 }
 
-// freeze stops the process; its clock goes on. suspend stops the whole machine, and its clock with it.
+// freeze stops the process; its clock goes on.
 func (p *process) freeze() { p.frozen = p.up }
 
+// suspend stops the machine, and the clock with it.
 func (p *process) suspend() {
 	if p.up {
 		p.frozen = true
@@ -130,7 +138,7 @@
 		return
 	}
 	p.frozen = false
-	if p.clock.still {
+	if p.clock.stopped {
 		p.clock.run(p.world.now)
 	}
 	p.resume()
--- a/internal/mesh/sim/replica_host.go
+++ b/internal/mesh/sim/replica_host.go
@@ -18,18 +18,18 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Times of a replica's shell.
+// Times of the process around a replica.
 const (
-	minWrite     = 300 * time.Microsecond
-	maxWrite     = 4 * time.Millisecond
-	fullRetry    = 100 * time.Millisecond
-	plantedSync  = 200 * time.Millisecond // until a write is synced that an error planted has not
-	leaveLeast   = 400 * time.Millisecond // of a replica that is told to end, as in production
-	leaveMost    = 2 * time.Second        // the same
-	replicaFault = 1                      // machines that may be lost, as the deployment is told
+	minWrite          = 300 * time.Microsecond
+	maxWrite          = 4 * time.Millisecond
+	fullRetry         = 100 * time.Millisecond
+	mutationSyncDelay = 200 * time.Millisecond // until a write is synced that a mutation has left unsynced
+	minShutdownTime   = 400 * time.Millisecond // for which a replica that is told to shut down goes on at least, as in package controlplane
+	maxShutdownTime   = 2 * time.Second        // and at most
+	faultsTolerated   = 1                      // machines that may be lost at once, as the deployment is told
 )
 
-// replicaHost is the simulated shell of a replica: the machine, its disk and its connections.
+// replicaHost simulates the process around a replica: the machine, its disk and its connections. It is the replica's environment.
 type replicaHost struct {
 	*process
 	seeds    []string
@@ -37,36 +37,38 @@
 	disk     disk
 	replica  *replica.Replica
 	links    map[string]*link
-	linkList []*link // in the order in which they were made
+	linkList []*link // links in the order in which they were made
 	sidecars []*side
-	write    *diskWrite // under way
-	stalled  bool       // the disk
-	// stoodUntil is when the process last went on after it stood still or waited for its disk for long.
-	stoodUntil time.Duration
-	lastID     raft.ID
-	leaving    bool
-	spare      bool // it is to take the place of the next that leaves
+	write    *diskWrite // in flight; nil if there is none
+	stalled  bool       // the disk does not finish writes
+	// stoodUntil is when the process last went on after it was frozen or waited for its disk for long.
+	stalledUntil time.Duration
+	lastID       raft.ID
+	leaving      bool
+	spare        bool // takes the place of the next machine that leaves
 }
 
 func replicaAddress(n int) string { return fmt.Sprintf("10.0.0.%d:7000", n+1) }
 
 func (w *World) newReplica(seeds []string, founder bool) *replicaHost {
 	n := len(w.replicas)
-	h := &replicaHost{process: w.newProcess(fmt.Sprintf("replica%d", n+1), replicaAddress(n)), seeds: seeds, founder: founder, disk: w.newDisk()}
+	h := &replicaHost{
+		process: w.newProcess(fmt.Sprintf("replica%d", n+1), replicaAddress(n)), seeds: seeds, founder: founder, disk: w.newDisk(),
+	}
 	h.settle = h.settleReplica
 	w.replicas = append(w.replicas, h)
 	return h
 }
 
 func (w *World) newDisk() disk {
-	planted := w.options.Mutations
+	mutations := w.options.Mutations
 	if w.options.Disk == StorageDisk {
-		return newStorageDisk(planted.AnswerBeforeSync)
+		return newStorageDisk(mutations.AnswerBeforeSync)
 	}
-	return &memoryDisk{deferred: planted.AnswerBeforeSync, hardUnsynced: planted.VoteNotSynced}
+	return &memoryDisk{deferred: mutations.AnswerBeforeSync, hardUnsynced: mutations.VoteNotSynced}
 }
 
-// listener is the replica that listens at an address; nil: none.
+// listener returns the replica that listens at an address, or nil.
 func (w *World) listener(address string) *replicaHost {
 	for _, h := range w.replicas {
 		if h.address == address && !h.removed {
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// start begins a life from what the disk holds.
+// start starts the process from what the disk holds.
 func (h *replicaHost) start() {
 	w := h.world
 	if h.up || h.removed || h.leaving {
@@ -90,7 +92,9 @@
 	}
 	if state != diskHolds {
 		w.trace("empty", h.name, "", []byte{byte(state)})
-		held = replica.Bootstrap{Address: h.address, Seeds: h.seeds, FirstStart: h.founder, Damaged: state == diskDamaged, NewID: raft.ID(w.random.Uint64() &^ 1)}.InitialState()
+		held = replica.Bootstrap{
+			Address: h.address, Seeds: h.seeds, FirstStart: h.founder, Damaged: state == diskDamaged, NewID: raft.ID(w.random.Uint64() &^ 1),
+		}.InitialState()
 		if w.options.Mutations.IdentityAfterWipe && h.lastID != 0 {
 			held = raft.StoredState{Self: h.lastID, Snapshot: held.Snapshot}
 		}
@@ -102,8 +106,10 @@
 	h.lastID = held.Self
 	h.beginIncarnation()
 	h.links, h.linkList, h.sidecars, h.write = map[string]*link{}, nil, nil, nil
-	h.replica, err = replica.New(replica.Config{Address: h.address, Stored: held, Seeds: h.seeds, FaultsTolerated: replicaFault,
-		RandomSeed: w.random.Uint64(), CompactionThreshold: w.options.CompactAt, TailEntries: w.options.CompactAt / 2, Log: zerolog.Nop()}, h, h.now())
+	h.replica, err = replica.New(replica.Config{
+		Address: h.address, Stored: held, Seeds: h.seeds, FaultsTolerated: faultsTolerated, RandomSeed: w.random.Uint64(),
+		CompactionThreshold: w.options.CompactAt, TailEntries: w.options.CompactAt / 2, Log: zerolog.Nop(),
+	}, h, h.now())
 	if err != nil {
 		panic("sim: " + err.Error())
 	}
@@ -123,14 +129,14 @@
 	})
 }
 
-// settleReplica has the replica carry out what it wants, and waits where it waits for its disk.
+// settleReplica has the replica carry out its actions, and waits if it has to wait for its disk.
 func (h *replicaHost) settleReplica() {
 	h.world.observer.beforeTurn(h)
 	h.busy = !h.replica.ProcessReady()
 	h.world.observer.afterTurn(h)
 }
 
-// stop ends the life. power: what the disk has not synced may be lost, and no peer hears of it.
+// stop ends the process. With a loss of power, what the disk has not synced may be lost and the peers are told nothing.
 func (h *replicaHost) stop(power bool) {
 	if !h.up {
 		return
@@ -146,23 +152,23 @@
 	h.world.observer.noteContacts()
 }
 
-// leave has the replica end as one that is told to; it does not start again.
+// leave tells the replica to shut down. It does not start again.
 func (h *replicaHost) leave(over func()) {
 	h.leaving = true
 	h.post(func() { h.replica.BeginShutdown(h.now()) })
 	h.awaitLeave(h.world.now, over)
 }
 
-// awaitLeave ends a process that was told to end at an instant once it may, as the shell in production does. One that does
-// not run, or stands still, has no say in it.
+// awaitLeave ends a process, which was told to shut down at an instant, as soon as it may, as package controlplane does. One that does
+// not run ends at once, a frozen one by maxShutdownTime at the latest.
 func (h *replicaHost) awaitLeave(told time.Duration, over func()) {
 	h.world.after(replica.TickInterval, func() {
 		passed := h.world.now - told
-		if h.up && passed < leaveMost && !(passed >= leaveLeast && h.replica.CanShutDown()) {
+		if h.up && passed < maxShutdownTime && !(passed >= minShutdownTime && h.replica.CanShutDown()) {
 			h.awaitLeave(told, over)
 			return
 		}
-		if h.replica == nil || !h.replica.CanShutDown() { // it is gone all the same, as one that is lost
+		if h.replica == nil || !h.replica.CanShutDown() { // it ends all the same, and counts as lost
 			h.world.observer.losing(h)
 		}
 		h.stop(false)
@@ -170,7 +176,7 @@
 	})
 }
 
-// Save begins a write, or says that the one under way is done.
+// Save begins a write, or reports whether the one in flight is done.
 func (h *replicaHost) Save(ready raft.Ready, last uint64) bool {
 	if h.write != nil {
 		if h.write.done {
@@ -179,35 +185,35 @@
 		}
 		return false
 	}
-	h.write = &diskWrite{ready: ready, last: last}
+	h.write = &diskWrite{ready: ready, lastIndex: last}
 	h.world.observer.logged(h, ready)
 	h.finishWrite(h.world.between(minWrite, maxWrite))
 	return false
 }
 
-// finishWrite has the write under way be done after a time, unless the disk stalls or is full.
+// finishWrite has the write in flight done after a time, unless the disk stalls or is full.
 func (h *replicaHost) finishWrite(d time.Duration) {
 	life, write := h.incarnation, h.write
 	h.world.after(d, func() {
 		if h.incarnation != life || !h.up || h.write != write {
 			return
 		}
-		if h.stalled || h.disk.save(write.ready, write.last) != nil {
+		if h.stalled || h.disk.save(write.ready, write.lastIndex) != nil {
 			h.finishWrite(fullRetry)
-			h.stoodUntil = h.world.now + fullRetry + maxWrite
+			h.stalledUntil = h.world.now + fullRetry + maxWrite
 			return
 		}
 		write.done = true
 		if h.world.options.Mutations.AnswerBeforeSync {
-			h.world.after(h.world.between(plantedSync/4, plantedSync), h.disk.sync)
+			h.world.after(h.world.between(mutationSyncDelay/4, mutationSyncDelay), h.disk.sync)
 		}
 		h.world.trace("saved", h.name, "", nil)
-		h.goOn()
+		h.continueAfterWrite()
 	})
 }
 
-// goOn has the replica go on once its write is done, and then handles what has waited.
-func (h *replicaHost) goOn() {
+// continueAfterWrite has the replica go on after its write is done, and then handles waiting events.
+func (h *replicaHost) continueAfterWrite() {
 	if h.frozen || !h.busy {
 		return
 	}
@@ -215,21 +221,21 @@
 	h.resume()
 }
 
-// thaw is the process's, which may have a write done meanwhile.
+// thaw ends a freeze, during which the write in flight may have been done.
 func (h *replicaHost) thaw() {
-	h.stoodUntil = h.world.now
+	h.stalledUntil = h.world.now
 	if h.frozen && h.busy && h.write != nil && h.write.done {
 		h.frozen = false
-		if h.clock.still {
+		if h.clock.stopped {
 			h.clock.run(h.world.now)
 		}
-		h.goOn()
+		h.continueAfterWrite()
 		return
 	}
 	h.process.thaw()
 }
 
-// Compact writes a snapshot. Where that fails the longer log stays.
+// Compact writes a snapshot. If that fails, the longer log stays.
 func (h *replicaHost) Compact(s raft.Snapshot, kept uint64) {
 	if h.disk.compact(s, kept) == nil {
 		h.world.trace("compacted", h.name, "", nil)
@@ -241,15 +247,15 @@
 	h.link(address).sendLoose(codec.Encode(raftwire.MessageToWire(m)))
 }
 
-// Connect keeps a connection to another replica.
+// Connect opens a connection to another replica, and keeps it.
 func (h *replicaHost) Connect(address string) { h.link(address).connect() }
 
-// CallReplica asks another replica.
+// CallReplica calls another replica.
 func (h *replicaHost) CallReplica(address string, kind byte, body []byte, done func(replica.Reply)) {
 	h.link(address).call(kind, body, done)
 }
 
-// BroadcastToSidecars sends a message to each sidecar.
+// BroadcastToSidecars sends a message to each connected sidecar.
 func (h *replicaHost) BroadcastToSidecars(message any) {
 	frame := codec.Encode(message)
 	for _, e := range slices.Clone(h.sidecars) {
@@ -265,7 +271,7 @@
 	}
 }
 
-// accept takes a connection of a sidecar or of another replica.
+// accept takes a connection that a sidecar or another replica has dialled.
 func (h *replicaHost) accept(e *side, hello *wire.HelloT) {
 	if !e.open {
 		return
@@ -276,7 +282,7 @@
 	e.heartbeat = touched
 	if hello.ControlPlane {
 		h.replica.RememberAddress(raft.ID(hello.MemberId), hello.Addr)
-		h.link(hello.Addr).hasten()
+		h.link(hello.Addr).redial()
 	} else {
 		h.sidecars = append(h.sidecars, e)
 		e.closed = func() { h.sidecars = slices.DeleteFunc(h.sidecars, func(o *side) bool { return o == e }) }
@@ -317,7 +323,7 @@
 	h.replica.HandleCall(h.now(), a.Kind, a.Body, sidecar, reply)
 }
 
-// modify takes an operator's call.
+// modify handles an operator's change.
 func (h *replicaHost) modify(body []byte, done func(replica.Reply)) {
 	if _, err := config.ParseItems(body); err != nil {
 		done(replica.ErrorReply(err))
@@ -326,7 +332,7 @@
 	h.replica.Modify(h.now(), body, done)
 }
 
-// fetch answers an operator's read.
+// fetch handles an operator's read.
 func (h *replicaHost) fetch(done func(set config.Document, ok bool)) {
 	if h.world.options.Mutations.UnconfirmedFetch {
 		done(h.replica.State().Items.Document(), true)
--- a/internal/mesh/sim/shrink.go
+++ b/internal/mesh/sim/shrink.go
@@ -8,7 +8,7 @@
 // shrinkRuns bounds the runs that Shrink makes.
 const shrinkRuns = 300
 
-// Shrink makes the plan of a failing run shorter while the run still fails: it drops faults, then shortens them. The seed
+// Shrink makes the plan of a failing run smaller as long as the run still fails: it removes faults, then shortens them. The seed
 // stays.
 func Shrink(o Options, fails func(Result) bool) Options {
 	runs := 0
--- a/internal/mesh/sim/sidecar_connection.go
+++ b/internal/mesh/sim/sidecar_connection.go
@@ -12,31 +12,31 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// lookAgain bounds the time between two looks of the shell at its decider, as in production.
-const lookAgain = time.Second
+// maxTickInterval is the longest time between two ticks of the decider, as in package sidecar.
+const maxTickInterval = time.Second
 
-// controlPlaneConnection is the shell of a sidecar's follower: it carries out what that decides.
+// controlPlaneConnection carries out what package memberselection decides for a sidecar.
 type controlPlaneConnection struct {
 	sidecar *sidecar
 	decider *memberselection.Selector
 	members map[memberselection.ConnID]*memberConnection
-	waits   int    // claims that wait for their grants
-	alarms  uint64 // that were set; the latest counts
+	waiting int    // lease requests without an answer
+	alarms  uint64 // number of the latest alarm; earlier ones do nothing
 }
 
-// memberConnection is a connection to a replica, or the dial of one.
+// memberConnection is a connection to a replica, or a dial in progress.
 type memberConnection struct {
 	id        memberselection.ConnID
 	address   string
-	end       *side // nil: it is not there yet
+	end       *side // nil while it is dialled
 	hasSpoken bool
 	calls     pendingCalls
 }
 
-// current is the replica that is followed; nil: none.
+// current returns the connection to the replica that the sidecar follows, or nil.
 func (h *controlPlaneConnection) current() *memberConnection { return h.members[h.decider.Followed()] }
 
-// carryOutAll carries out what the decider wants, and has it called again when it asks for that.
+// carryOutAll carries out the decider's actions, and sets the alarm for its next one.
 func (h *controlPlaneConnection) carryOutAll() {
 	for actions := h.decider.TakeActions(); len(actions) > 0; actions = h.decider.TakeActions() {
 		for _, a := range actions {
@@ -45,18 +45,18 @@
 	}
 	h.alarms++
 	alarm := h.alarms
-	h.sidecar.after(min(lookAgain, max(0, h.decider.NextTick()-h.sidecar.now())), func() {
+	h.sidecar.after(min(maxTickInterval, max(0, h.decider.NextTick()-h.sidecar.now())), func() {
 		if h.alarms == alarm {
 			h.tick()
 		}
 	})
 }
 
-// tick lets time pass.
+// tick tells the decider the time.
 func (h *controlPlaneConnection) tick() {
 	s := h.sidecar
 	if m := h.current(); m != nil {
-		h.decider.MessageReceived(s.now(), m.id, s.now()-(s.world.now-m.end.heard))
+		h.decider.MessageReceived(s.now(), m.id, s.now()-(s.world.now-m.end.lastHeard))
 	}
 	h.decider.Tick(s.now())
 	h.carryOutAll()
@@ -67,7 +67,7 @@
 	case memberselection.Dial:
 		h.dial(&memberConnection{id: a.ID, address: a.Addr})
 	case memberselection.Follow:
-		h.sidecar.tellRecord()
+		h.sidecar.announceRecord()
 	case memberselection.Confirm:
 		h.confirm(h.members[a.ID])
 	case memberselection.Close:
@@ -99,7 +99,7 @@
 	})
 }
 
-// end gives up a connection, or the dial of one. Its calls fail, after what is going on now.
+// end closes a connection, or gives up a dial. Pending calls fail after the present event.
 func (h *controlPlaneConnection) end(m *memberConnection) {
 	if m == nil {
 		return
@@ -111,7 +111,7 @@
 	h.sidecar.after(0, m.calls.fail)
 }
 
-// closed takes that a connection ended, or the dial of one.
+// closed tells the decider that a connection or a dial has ended.
 func (h *controlPlaneConnection) closed(m *memberConnection) {
 	if h.members[m.id] != m {
 		return
@@ -121,7 +121,7 @@
 	h.carryOutAll()
 }
 
-// take takes a message of a replica.
+// take handles a message of a replica.
 func (h *controlPlaneConnection) take(m *memberConnection, x codec.Message) {
 	if h.members[m.id] != m {
 		return
@@ -148,18 +148,18 @@
 	h.carryOutAll()
 }
 
-// confirm has the home read all items back from the core.
+// confirm requests the complete table, as of a confirmed read, from a replica.
 func (h *controlPlaneConnection) confirm(m *memberConnection) {
 	s := h.sidecar
 	begun := s.world.now
-	m.calls.call(s.process, m.end, askWithin, codec.CallItems, nil, func(r replica.Reply) {
+	m.calls.call(s.process, m.end, sidecarCallTimeout, codec.CallItems, nil, func(r replica.Reply) {
 		some := h.takeTable(m, begun, r)
 		h.decider.ConfirmationReceived(s.now(), m.id, some)
 		h.carryOutAll()
 	})
 }
 
-// takeTable takes the answer to a confirm; false: there is none, or no item.
+// takeTable handles the answer to confirm. some is false if there is none, or the table is empty.
 func (h *controlPlaneConnection) takeTable(m *memberConnection, begun time.Duration, r replica.Reply) (some bool) {
 	if r.Status != http.StatusOK {
 		return false
@@ -169,15 +169,17 @@
 		return false
 	}
 	s, items := h.sidecar, config.ItemsFromWire(table)
-	s.world.history.Record(history.InitialTable{Call: history.Call{Process: s.name, Begin: begun, Return: s.world.now, Outcome: history.Acknowledged},
-		Member: s.world.memberName(m.address), Incarnation: s.incarnation, Items: itemVersions(items)})
+	s.world.history.Record(history.InitialTable{
+		Call:   s.callSince(begun, history.Acknowledged),
+		Member: s.world.memberName(m.address), Incarnation: s.incarnation, Items: itemVersions(items),
+	})
 	s.takeItems(items)
 	return len(items) > 0
 }
 
-// wait counts the claims that wait: the home's silence is found out sooner then.
-func (h *controlPlaneConnection) wait(more int) {
-	h.waits += more
-	h.decider.SetRequestsWaiting(h.sidecar.now(), h.waits > 0)
+// countWaiting counts lease requests without an answer: while there are some, the decider gives up a silent member sooner.
+func (h *controlPlaneConnection) countWaiting(more int) {
+	h.waiting += more
+	h.decider.SetRequestsWaiting(h.sidecar.now(), h.waiting > 0)
 	h.carryOutAll()
 }
--- a/internal/mesh/sim/sim_test.go
+++ b/internal/mesh/sim/sim_test.go
@@ -16,8 +16,8 @@
 	"cranegrade/internal/mesh/history"
 )
 
-// Without a fault nothing is broken, and orders and requests do go through.
-func TestQuiet(t *testing.T) {
+// Without a fault no promise is broken, and changes and requests do succeed.
+func TestRunWithoutFaults(t *testing.T) {
 	began := time.Now()
 	r := Run(Options{Seed: 1})
 	t.Logf("%d events in %v of %v", r.Events, time.Since(began), r.Simulated)
@@ -26,8 +26,8 @@
 	assert.Assert(t, len(r.History.Changes) > 20, "%d changes", len(r.History.Changes))
 }
 
-// One seed and one plan are one run, byte for byte.
-func TestSameRunAgain(t *testing.T) {
+// The same seed and plan give the same run, byte for byte.
+func TestRunsAreDeterministic(t *testing.T) {
 	for seed := range uint64(4) {
 		var first, second bytes.Buffer
 		o := Options{Seed: seed, Plan: Generate(seed), CompactAt: 30, Trace: &first}
@@ -43,7 +43,7 @@
 	}
 }
 
-// seedsOf is how many seeds a test plays, and from which one on.
+// seedsOf returns how many seeds a test runs with, and the first of them.
 func seedsOf(t *testing.T, usual uint64) (from, count uint64) {
 	count = usual
 	if text := os.Getenv("MESH_SIM_SEEDS"); text != "" {
@@ -59,7 +59,7 @@
 	return from, count
 }
 
-// swarmOptions are those of a seed of the swarm.
+// swarmOptions returns the options of one seed of the swarm.
 func swarmOptions(seed uint64) Options {
 	o := Options{Seed: seed, Plan: Generate(seed)}
 	if seed%4 != 0 {
@@ -71,7 +71,7 @@
 	return o
 }
 
-// forSeeds runs something for each seed, on all processors.
+// forSeeds calls a function for each seed, on all processors at once.
 func forSeeds(from, count uint64, do func(seed uint64)) {
 	var all sync.WaitGroup
 	next := make(chan uint64)
@@ -89,7 +89,7 @@
 	all.Wait()
 }
 
-// Random schedules break nothing. MESH_SIM_SEEDS and MESH_SIM_FROM choose how many, and which.
+// No random schedule breaks a promise. MESH_SIM_SEEDS and MESH_SIM_FROM choose how many, and which.
 func TestSwarm(t *testing.T) {
 	from, count := seedsOf(t, 36)
 	began := time.Now()
@@ -113,7 +113,7 @@
 	met.assertAll(t)
 }
 
-// coverage is what schedules have met: a swarm in which nothing happens shows nothing.
+// coverage counts what happened in the schedules: a swarm in which nothing happens shows nothing.
 type coverage struct {
 	Acknowledged, Refused, LostAnswers, Leaders, JointChanges, Grants, Denials, Tables int
 }
--- a/internal/mesh/sim/storage_disk.go
+++ b/internal/mesh/sim/storage_disk.go
@@ -10,16 +10,16 @@
 	"cranegrade/internal/mesh/storage"
 )
 
-// accessesOfSave bounds the accesses to the disk in one write of the storage, within which power may be lost.
+// accessesOfSave is how many accesses to the disk one write of the storage takes at most. A crash may come before each of them.
 const accessesOfSave = 4
 
-// storageDisk is the real storage over simulated files: what was not synced is kept, lost or torn, file by file. It belongs to
-// one world.
+// storageDisk is the real storage over simulated files: what was not synced is kept, lost or torn, file by file. It belongs to one
+// world.
 type storageDisk struct {
 	files   *filedisk.Disk
 	store   *storage.Store
-	records memoryDisk // what the storage has said is synced, for the observer
-	reopen  bool       // a write failed: the storage takes no more until it is opened anew
+	records memoryDisk // what the storage has acknowledged as synced, for the observer
+	reopen  bool       // a write failed: the storage refuses others until it is opened anew
 }
 
 func newStorageDisk(lies bool) *storageDisk {
@@ -33,7 +33,7 @@
 	state = diskHolds
 	var empty bool
 	d.store, held, empty, err = storage.OpenFolder(d.files, storage.Options{Foreground: true})
-	if err != nil && !errors.Is(err, storage.ErrUnavailable) { // as the shell in production does
+	if err != nil && !errors.Is(err, storage.ErrUnavailable) { // as package controlplane does
 		state = diskDamaged
 		if err = d.files.Discard(); err == nil {
 			d.store, held, empty, err = storage.OpenFolder(d.files, storage.Options{Foreground: true})
@@ -45,7 +45,7 @@
 	if empty && state != diskDamaged {
 		state = diskEmpty
 	}
-	d.records = memoryDisk{begun: !empty, synced: held, written: held}
+	d.records = memoryDisk{initialized: !empty, synced: held, written: held}
 	d.reopen = false
 	return held, state, nil
 }
@@ -61,7 +61,7 @@
 	return d.records.begin(self, s)
 }
 
-// ready opens the storage anew where a write has failed.
+// ready opens the storage anew after a failed write.
 func (d *storageDisk) ready() error {
 	if d.reopen {
 		if err := d.store.Reopen(); err != nil {
@@ -94,7 +94,7 @@
 	return d.records.compact(s, kept)
 }
 
-// crash ends the process; a write that was under way has come as far as chance says.
+// crash ends the process at a random access of the write in flight.
 func (d *storageDisk) crash(random *rand.Rand, under *diskWrite, power bool) {
 	end := d.files.KillProcess
 	if power {
@@ -113,7 +113,7 @@
 		}
 		left--
 	})
-	d.store.Save(under.ready, under.last)
+	d.store.Save(under.ready, under.lastIndex)
 	d.files.OnAccess(nil)
 	if !ended {
 		end()
--- a/internal/mesh/sim/world.go
+++ b/internal/mesh/sim/world.go
@@ -1,8 +1,9 @@
-// Package sim runs a whole control plane in simulated time: the replicas' real role logic, consensus, state and wire formats
-// (internal/mesh/replica and what it uses), with operators and sidecars, over a simulated clock, network, disk and processes.
+// Package sim runs a complete control plane in simulated time, in the manner of FoundationDB's simulation: the real role logic of the
+// replicas, their consensus, state and wire formats (package replica and what it imports), with operators and sidecars, over
+// a simulated clock, network, disks and processes. It owns the faults of a run, and the observer that records its history.
 //
-// A run is decided by its Options alone: one seed and one plan of faults are one run, byte for byte the same again. All of
-// it happens on one goroutine, event by event; several worlds may run side by side.
+// A run depends on its Options alone: the same seed and plan of faults give the same run, byte for byte. The package must therefore
+// never read a real clock, start a goroutine, or range over a map where the order matters. Several worlds may run side by side.
 package sim
 
 import (
@@ -20,50 +21,50 @@
 
 // Shape of a run.
 const (
-	clientsBeginAt = 1500 * time.Millisecond // the replicas have elected a leader by then, as a rule
-	recoverWithin  = 8 * time.Second         // from the end of all faults until the control plane has to be settled
-	settledFor     = 8 * time.Second
+	clientsBeginAt  = 1500 * time.Millisecond // the replicas have usually elected a leader by then
+	recoveryTimeout = 8 * time.Second         // from the end of all faults until the control plane has to be stable
+	stablePeriod    = 8 * time.Second
 )
 
-// Options decide a run.
+// Options determine a run.
 type Options struct {
 	Seed      uint64
-	Replicas  int // 0: 3
-	Operators int // 0: 2
-	Sidecars  int // 0: 3
+	Replicas  int // 0 means 3
+	Operators int // 0 means 2
+	Sidecars  int // 0 means 3
 	Plan      Plan
-	Horizon   time.Duration // all faults are over by then; 0: the plan's end
-	CompactAt int           // entries behind a replica's snapshot; 0: as in production
+	Horizon   time.Duration // end of all faults; at least the plan's end
+	CompactAt int           // entries after a replica's snapshot at which it takes another; 0 means the default of package replica
 	Disk      DiskKind
 	Mutations Mutations
-	Trace     io.Writer // every event as a line of text; nil: none
+	Trace     io.Writer // gets every event as a line of text; may be nil
 }
 
-// Mutations are errors put into the run on purpose, to show that the checkers find them.
+// Mutations are errors that are put into the run on purpose, to show that the checkers find them. They are for tests.
 type Mutations struct {
 	AnswerBeforeSync  bool // a replica goes on before its disk has synced
-	VoteNotSynced     bool // the same for term and vote alone
-	UnconfirmedFetch  bool // an operator's read is served from the state at hand
-	UnconfirmedTable  bool // a sidecar is handed the table at hand, whoever the replica is in touch with
-	KeysForgotten     bool // a replica that starts forgets which keys are held
-	IdentityAfterWipe bool // a replica whose disk was wiped comes back under the id that it had
+	VoteNotSynced     bool // the same, for term and vote alone
+	UnconfirmedFetch  bool // an operator's read is served from the local state
+	UnconfirmedTable  bool // a sidecar gets the local table, whatever the replica is in contact with
+	KeysForgotten     bool // a replica that starts forgets all leases
+	IdentityAfterWipe bool // a replica whose disk was wiped keeps its member id
 }
 
-// Result is what a run has shown.
+// Result is the outcome of a run.
 type Result struct {
 	History    *history.History
 	Violations []history.Violation
 	Undecided  []history.Item
-	TraceHash  uint64 // of all events
+	TraceHash  uint64 // over all events
 	Events     int
 	Simulated  time.Duration
-	Plan       Plan // with which faults were carried out
+	Plan       Plan // of the run's faults
 }
 
-// Failed says that a promise was broken.
+// Failed reports whether a promise was broken.
 func (r Result) Failed() bool { return len(r.Violations) > 0 }
 
-// World is one run.
+// World is the state of one run.
 type World struct {
 	options   Options
 	random    *rand.Rand
@@ -75,19 +76,19 @@
 	network   network
 	history   history.History
 
-	processes []*process // all that ever were, in the order in which they came
+	processes []*process // all that ever started, in that order
 	replicas  []*replicaHost
 	operators []*operator
 	sidecars  []*sidecar
 
 	observer observer
-	versions map[string]int64 // latest version that an operator used of an item
-	nextID   uint64           // of requests, orders, connections
+	versions map[string]int64 // latest version of each item that an operator used
+	nextID   uint64           // of requests and changes
 }
 
 type event struct {
 	at       time.Duration
-	sequence uint64 // breaks ties in the order of scheduling
+	sequence uint64 // order of scheduling, for events of one time
 	run      func()
 }
 
@@ -107,7 +108,7 @@
 	return last
 }
 
-// at has something happen at a time.
+// at schedules something for a time.
 func (w *World) at(t time.Duration, run func()) {
 	w.sequence++
 	heap.Push(&w.events, event{max(t, w.now), w.sequence, run})
@@ -115,12 +116,12 @@
 
 func (w *World) after(d time.Duration, run func()) { w.at(w.now+d, run) }
 
-// between draws a duration.
-func (w *World) between(least, most time.Duration) time.Duration {
-	if most <= least {
-		return least
+// between draws a duration from a half-open interval.
+func (w *World) between(shortest, longest time.Duration) time.Duration {
+	if longest <= shortest {
+		return shortest
 	}
-	return least + time.Duration(w.random.Int64N(int64(most-least)))
+	return shortest + time.Duration(w.random.Int64N(int64(longest-shortest)))
 }
 
 func (w *World) chance(p float64) bool { return w.random.Float64() < p }
@@ -130,7 +131,7 @@
 	return w.nextID
 }
 
-// trace notes an event in the digest of the run, and as text where that is asked for.
+// trace adds an event to the digest of the run, and writes it to Options.Trace.
 func (w *World) trace(kind, subject, object string, detail []byte) {
 	var stamp [8]byte
 	for i := range stamp {
@@ -148,7 +149,7 @@
 	}
 }
 
-// Run plays a run and has its history checked.
+// Run executes a run and checks its history.
 func Run(o Options) Result {
 	w := newWorld(o)
 	w.boot()
@@ -157,10 +158,10 @@
 		w.at(f.At, func() { w.applyFault(f) })
 	}
 	w.at(horizon, w.endFaults)
-	end := horizon + recoverWithin + settledFor
-	w.at(end-settledFor/2, w.stopClients)
+	end := horizon + recoveryTimeout + stablePeriod
+	w.at(end-stablePeriod/2, w.stopClients)
 	w.runUntil(end)
-	w.observer.settled(horizon+recoverWithin, end)
+	w.observer.recordStablePeriod(horizon+recoveryTimeout, end)
 	return w.result()
 }
 
@@ -189,7 +190,7 @@
 	w.now = end
 }
 
-// boot starts all processes.
+// boot schedules the start of all processes.
 func (w *World) boot() {
 	var seeds []string
 	for n := range w.options.Replicas {
@@ -220,7 +221,7 @@
 	}
 }
 
-// replicaAddresses are those of all replicas that were not removed.
+// replicaAddresses returns the addresses of all replicas that were not removed.
 func (w *World) replicaAddresses() (l []string) {
 	for _, h := range w.replicas {
 		if !h.removed {
@@ -230,10 +231,10 @@
 	return l
 }
 
-// result has the checkers judge the run. The search for linearizations has far more real time than it needs, so that the
-// verdict does not depend on the machine.
+// result checks the history. The search for linearizations gets far more real time than it needs, so that the result does not depend
+// on the machine.
 func (w *World) result() Result {
-	bounds := history.Bounds{IsolatedRead: leftBehindBound, CatchUp: catchUpBound, Acknowledgement: acknowledgeBound, Search: time.Minute}
+	bounds := history.Bounds{IsolatedRead: isolatedReadBound, CatchUp: catchUpBound, Acknowledgement: acknowledgeBound, Search: time.Minute}
 	report := history.Check(&w.history, bounds)
 	violations := slices.Concat(report.Violations, w.observer.violations, w.observer.atEnd())
 	return Result{History: &w.history, Violations: violations, Undecided: report.Undecided, TraceHash: w.digest.Sum64(),
