--- a/internal/mesh/config/document.go
+++ b/internal/mesh/config/document.go
@@ -47,9 +47,7 @@
 			document.NamespaceList = append(document.NamespaceList, item.Body)
 		case KindPolicy:
 			document.RulingList = append(document.RulingList, item.Body)
-		case KindRoute:
-			fallthrough // a kind that a later build has added is laid out as a route
-		default:
+		default: // routes, and kinds that a later build has added
 			listener := document.listener(item.Host)
 			listener.PolicyRules = append(listener.PolicyRules, item.Body)
 		}
--- a/internal/mesh/config/operations_search_test.go
+++ b/internal/mesh/config/operations_search_test.go
@@ -245,10 +245,16 @@
 		{"the code as it is", requestSearch{apply: apply, admit: admissionError, restore: restart}, ""},
 		{"disks of a build before histories", requestSearch{apply: apply, admit: admissionError, restore: withoutHistory}, ""},
 		{"mutation: an operation is forgotten too soon", requestSearch{apply: apply, admit: admissionError, restore: forgetting}, "is refused"},
-		{"mutation: an equal version is acknowledged twice", requestSearch{apply: mergeUnchecked, admit: admitAll, restore: restart},
-			"two contents"},
-		{"mutation: proposed beside another of the same item",
-			requestSearch{apply: apply, admit: admissionError, restore: restart, overlap: true}, "has an effect"},
+		{
+			"mutation: an equal version is acknowledged twice",
+			requestSearch{apply: mergeUnchecked, admit: admitAll, restore: restart},
+			"two contents",
+		},
+		{
+			"mutation: proposed beside another of the same item",
+			requestSearch{apply: apply, admit: admissionError, restore: restart, overlap: true},
+			"has an effect",
+		},
 		{"mutation: not admitted by the leader", requestSearch{apply: apply, admit: admitAll, restore: restart}, "has an effect"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/mesh/config/operations_test.go
+++ b/internal/mesh/config/operations_test.go
@@ -39,10 +39,14 @@
 	mixed := upsertRequest(routeJSON("r", "new", 5, "")+","+routeJSON("p", "new", 1, ""), "")
 	table := withRequests(t, Table{}, serviceRequest("old", "new"), first, routeRequest("q", "old", 5), routeRequest("r", "new", 6),
 		routeRequest("q", "new", 6), outdated, removeRequest("UpstreamGroups", "old", 6), removeRequest("RouteTable", "r", 8))
-	accepted := []string{first, both, outdated, removeRequest("UpstreamGroups", "old", 6), routeRequest("r", "new", 6),
-		removeRequest("RouteTable", "r", 8)}
-	conflicting := []string{other, mixed, routeRequest("r", "old", 3), routeRequest("r", "old", 6), removeRequest("RouteTable", "r", 6),
-		routeRequest("r", "new", 8)}
+	accepted := []string{
+		first, both, outdated, removeRequest("UpstreamGroups", "old", 6), routeRequest("r", "new", 6),
+		removeRequest("RouteTable", "r", 8),
+	}
+	conflicting := []string{
+		other, mixed, routeRequest("r", "old", 3), routeRequest("r", "old", 6), removeRequest("RouteTable", "r", 6),
+		routeRequest("r", "new", 8),
+	}
 	for _, test := range []struct {
 		name  string
 		table Table
--- a/internal/mesh/config/policyset.go
+++ b/internal/mesh/config/policyset.go
@@ -79,8 +79,6 @@
 			change.Policies = append(change.Policies, item.Name)
 		case KindRoute:
 			change.Routes = append(change.Routes, item.Name)
-		case KindService, KindLimits, KindContract:
-			fallthrough
 		default:
 			change.Others = append(change.Others, item.label())
 		}
--- a/internal/mesh/config/policyset_test.go
+++ b/internal/mesh/config/policyset_test.go
@@ -58,25 +58,37 @@
 		errorType     error // nil: it is accepted
 		want          string
 	}{
-		{"namespace without owners", strings.Replace(namespacesRequest, `"Owners":["ana"]`, `"Owners":[]`, 1), ErrInvalid,
-			"namespace shop: Owners"},
-		{"policy that says nothing", policyRequest("bo", "calm", "store", 1, ""), ErrInvalid,
-			"ruling calm: Tries is not there, nor any other field"},
+		{
+			"namespace without owners", strings.Replace(namespacesRequest, `"Owners":["ana"]`, `"Owners":[]`, 1), ErrInvalid,
+			"namespace shop: Owners",
+		},
+		{
+			"policy that says nothing", policyRequest("bo", "calm", "store", 1, ""), ErrInvalid,
+			"ruling calm: Tries is not there, nor any other field",
+		},
 		{"unknown condition", policyRequest("bo", "calm", "store", 1, `,"RetryOn":["never"]`), ErrInvalid, "ruling calm: RetryOn[0] is never"},
 		{"unknown namespace", policyRequest("bo", "calm", "nobody", 1, `,"Tries":1`), ErrInvalid, "not known"},
-		{"policy of another's namespace", policyRequest("ana", "calm", "store", 1, `,"Tries":1`), ErrForbidden,
-			"ruling calm is of store, and ana owns shop"},
+		{
+			"policy of another's namespace", policyRequest("ana", "calm", "store", 1, `,"Tries":1`), ErrForbidden,
+			"ruling calm is of store, and ana owns shop",
+		},
 		{"item of the mesh", `{"By":"bo","Upsert":{"UpstreamGroups":[` + serviceJSON("s", 2) + `]}}`, ErrForbidden, "service s is of mesh"},
 		{"policy", policyRequest("bo", "calm", "store", 1, `,"Tries":1,"TimeoutS":1.5`), nil, ""},
-		{"another content of one version", policyRequest("bo", "calm", "store", 1, `,"Tries":1,"TimeoutS":1.6`), ErrConflict,
-			"version 1 has another content already"},
-		{"policies that contradict", policyRequest("ana", "slow", "shop", 1, `,"NeedsS":1.8`), ErrConflict,
-			"ruling calm of store, version 1 (as service) says TimeoutS 1.5"},
+		{
+			"another content of one version", policyRequest("bo", "calm", "store", 1, `,"Tries":1,"TimeoutS":1.6`), ErrConflict,
+			"version 1 has another content already",
+		},
+		{
+			"policies that contradict", policyRequest("ana", "slow", "shop", 1, `,"NeedsS":1.8`), ErrConflict,
+			"ruling calm of store, version 1 (as service) says TimeoutS 1.5",
+		},
 		{"looser policy", looserPolicy, ErrForbidden, "shop has to consent"},
 		{"looser policy with consent", strings.Replace(looserPolicy, "{", `{"Consents":["shop:ana"],`, 1), nil, ""},
 		{"author's name too long", `{"By":"` + strings.Repeat("x", 200) + `","Upsert":{}}`, ErrInvalid, "By"},
-		{"namespace that is in use", `{"Remove":{"NamespaceTable":[{"Name":"store","ConfigVersion":2}]}}`, ErrInvalid,
-			`its namespace "store" is not known`},
+		{
+			"namespace that is in use", `{"Remove":{"NamespaceTable":[{"Name":"store","ConfigVersion":2}]}}`, ErrInvalid,
+			`its namespace "store" is not known`,
+		},
 	} {
 		next, err := applyRequest(t, table, test.request)
 		if test.errorType == nil {
--- a/internal/mesh/config/request_test.go
+++ b/internal/mesh/config/request_test.go
@@ -40,8 +40,10 @@
 	for _, test := range []struct{ name, old, replacement, want string }{
 		{"route on one line", `"TimeoutS":2`, `"TimeoutS":0`, "line 2: route a: ForwardAction.TimeoutS"},
 		{"route on several lines", "\n\"RetryCount\":2", "\n\"RetryCount\":0", "line 11: route b: ForwardAction.RetryCount"},
-		{"field of another type", "\n\"RetryCount\":2", "\n\"RetryCount\":\"two\"",
-			"line 11: a rule of host h: ForwardAction.RetryCount is a string"},
+		{
+			"field of another type", "\n\"RetryCount\":2", "\n\"RetryCount\":\"two\"",
+			"line 11: a rule of host h: ForwardAction.RetryCount is a string",
+		},
 		{"no JSON", "\n\"Priority\":2,", "\n\"Priority\":2", "line 7: the call: can't be read whole"},
 		{"removal", "]}]}}", "]}]},\n\"Remove\":{\"RouteTable\":[\n{\"Name\":\"\"}]}}", "line 13: Remove: route"},
 	} {
--- a/internal/mesh/config/wire.go
+++ b/internal/mesh/config/wire.go
@@ -11,8 +11,10 @@
 func ItemsToWire(items []Item) *wire.ItemsT {
 	encoded := &wire.ItemsT{}
 	for _, item := range items {
-		encoded.List = append(encoded.List, &wire.ItemT{Kind: byte(item.Kind), Name: item.Name, Version: item.Version, Deleted: item.Deleted,
-			Host: item.Host, Body: item.Body, LogTimeNs: int64(item.LogTime)})
+		encoded.List = append(encoded.List, &wire.ItemT{
+			Kind: byte(item.Kind), Name: item.Name, Version: item.Version, Deleted: item.Deleted,
+			Host: item.Host, Body: item.Body, LogTimeNs: int64(item.LogTime),
+		})
 	}
 	return encoded
 }
@@ -20,8 +22,10 @@
 // ItemsFromWire decodes items.
 func ItemsFromWire(encoded *wire.ItemsT) (items []Item) {
 	for _, item := range encoded.List {
-		items = append(items, Item{Key: Key{Kind(item.Kind), item.Name}, Version: item.Version, Deleted: item.Deleted,
-			Host: item.Host, Body: item.Body, LogTime: time.Duration(item.LogTimeNs)})
+		items = append(items, Item{
+			Key: Key{Kind(item.Kind), item.Name}, Version: item.Version, Deleted: item.Deleted,
+			Host: item.Host, Body: item.Body, LogTime: time.Duration(item.LogTimeNs),
+		})
 	}
 	return items
 }
--- a/internal/mesh/history/encoding_test.go
+++ b/internal/mesh/history/encoding_test.go
@@ -12,21 +12,29 @@
 func TestReadNamesLineAndField(t *testing.T) {
 	const good = `{"event":"leader","data":{"at_ns":1,"process":"one","id":1,"term":1}}` + "\n\n"
 	for _, test := range []struct{ name, text, want string }{
-		{"field of another type", `{"event":"leader","data":{"at_ns":"soon","process":"one"}}`,
-			"line 3: field at_ns: a string in place of time.Duration"},
+		{
+			"field of another type", `{"event":"leader","data":{"at_ns":"soon","process":"one"}}`,
+			"line 3: field at_ns: a string in place of time.Duration",
+		},
 		{"field missing", `{"event":"leader","data":{"at_ns":1}}`, `line 3: field process:  breaks the rule "required"`},
 		{"unknown field", `{"event":"leader","data":{"at_ns":1,"process":"one","name":"x"}}`, `line 3: json: unknown field "name"`},
 		{"unknown event", `{"event":"reader","data":{}}`, `line 3: field event: "reader" is no type of event`},
 		{"no data", `{"event":"leader"}`, "line 3: field data: missing"},
-		{"return before the beginning",
+		{
+			"return before the beginning",
 			`{"event":"change","data":{"process":"o","begin_ns":5,"return_ns":4,"outcome":"refused","items":[]}}`,
-			`line 3: field return_ns: 4ns breaks the rule "gtefield Begin"`},
-		{"unknown outcome", `{"event":"change","data":{"process":"o","begin_ns":1,"return_ns":4,"outcome":"perhaps","items":[]}}`,
-			`line 3: field outcome: perhaps breaks the rule`},
-		{"item without a name",
+			`line 3: field return_ns: 4ns breaks the rule "gtefield Begin"`,
+		},
+		{
+			"unknown outcome", `{"event":"change","data":{"process":"o","begin_ns":1,"return_ns":4,"outcome":"perhaps","items":[]}}`,
+			`line 3: field outcome: perhaps breaks the rule`,
+		},
+		{
+			"item without a name",
 			`{"event":"change","data":{"process":"o","begin_ns":1,"return_ns":4,"outcome":"refused",` +
 				`"items":[{"kind":"route","name":"","version":1}]}}`,
-			`line 3: field items[0].name:  breaks the rule "required"`},
+			`line 3: field items[0].name:  breaks the rule "required"`,
+		},
 		{"unknown fault", `{"event":"fault","data":{"at_ns":1,"process":"one","kind":"sneeze"}}`, "line 3: field kind: sneeze breaks the rule"},
 		{"text behind the event", `{"event":"leader","data":{"at_ns":1,"process":"one"}} {}`, "line 3: text behind the event"},
 		{"cut off", `{"event":"leader","data`, "line 3: unexpected EOF"},
--- a/internal/mesh/history/linearizable.go
+++ b/internal/mesh/history/linearizable.go
@@ -35,8 +35,11 @@
 		operations, last := itemOperations(h, item)
 		switch porcupine.CheckOperationsTimeout(itemRegister, operations, bound) {
 		case porcupine.Illegal:
-			broken = append(broken, Violation{CheckLinearizable, last,
-				fmt.Sprintf("%v: no order of its %d calls explains what was told", item, len(operations))})
+			broken = append(broken, Violation{
+				CheckLinearizable, last,
+				fmt.Sprintf("%v: no order of its %d calls explains what was told", item, len(operations)),
+			})
+		case porcupine.Ok:
 		case porcupine.Unknown:
 			undecided = append(undecided, item)
 		}
@@ -99,8 +102,10 @@
 		if c.Outcome == Unknown {
 			returned = math.MaxInt64
 		}
-		operations = append(operations, porcupine.Operation{Input: registerInput{true, c.content}, Call: int64(c.Begin),
-			Output: registerOutput{unknown: c.Outcome == Unknown}, Return: returned})
+		operations = append(operations, porcupine.Operation{
+			Input: registerInput{true, c.content}, Call: int64(c.Begin),
+			Output: registerOutput{unknown: c.Outcome == Unknown}, Return: returned,
+		})
 	}
 	for _, f := range h.Fetches {
 		if f.Outcome != Acknowledged {
@@ -108,8 +113,10 @@
 		}
 		content, found := find(f.Items, item)
 		last = max(last, f.Return)
-		operations = append(operations, porcupine.Operation{Input: registerInput{}, Call: int64(f.Begin),
-			Output: registerOutput{found: found, content: content}, Return: int64(f.Return)})
+		operations = append(operations, porcupine.Operation{
+			Input: registerInput{}, Call: int64(f.Begin),
+			Output: registerOutput{found: found, content: content}, Return: int64(f.Return),
+		})
 	}
 	return operations, last
 }
--- a/internal/mesh/history/progress.go
+++ b/internal/mesh/history/progress.go
@@ -15,8 +15,10 @@
 	begun := map[string]time.Duration{}
 	over := func(process string, at time.Duration) {
 		if since, open := begun[process]; open && at-since > bound {
-			broken = append(broken, Violation{CheckCatchUp, at,
-				fmt.Sprintf("%s began to catch up at %v and had not after %v, where %v is the bound", process, since, at-since, bound)})
+			broken = append(broken, Violation{
+				CheckCatchUp, at,
+				fmt.Sprintf("%s began to catch up at %v and had not after %v, where %v is the bound", process, since, at-since, bound),
+			})
 		}
 		delete(begun, process)
 	}
--- a/internal/mesh/history/reference_test.go
+++ b/internal/mesh/history/reference_test.go
@@ -151,8 +151,10 @@
 }
 
 func execute(t *rapid.T) *History {
-	r := &reference{t: t, current: map[Item]ItemVersion{}, leases: map[string]time.Duration{},
-		voters: []uint64{1, 2, 3}}
+	r := &reference{
+		t: t, current: map[Item]ItemVersion{}, leases: map[string]time.Duration{},
+		voters: []uint64{1, 2, 3},
+	}
 	for range rapid.IntRange(1, 12).Draw(t, "steps") {
 		r.step()
 	}
--- a/internal/mesh/history/requests.go
+++ b/internal/mesh/history/requests.go
@@ -25,12 +25,16 @@
 	answered := map[string]time.Duration{}
 	for _, a := range inOrder(h.Answers, func(a Answer) time.Duration { return a.At }) {
 		if a.Request != a.AnsweredRequest {
-			broken = append(broken, Violation{CheckMatchedAnswer, a.At,
-				fmt.Sprintf("%s got the answer to %s for its request %s", a.Process, a.AnsweredRequest, a.Request)})
+			broken = append(broken, Violation{
+				CheckMatchedAnswer, a.At,
+				fmt.Sprintf("%s got the answer to %s for its request %s", a.Process, a.AnsweredRequest, a.Request),
+			})
 		}
 		if at, twice := answered[a.Request]; twice {
-			broken = append(broken, Violation{CheckMatchedAnswer, a.At,
-				fmt.Sprintf("%s got a second answer for its request %s, after one at %v", a.Process, a.Request, at)})
+			broken = append(broken, Violation{
+				CheckMatchedAnswer, a.At,
+				fmt.Sprintf("%s got a second answer for its request %s, after one at %v", a.Process, a.Request, at),
+			})
 		}
 		answered[a.Request] = a.At
 	}
--- a/internal/mesh/history/versions.go
+++ b/internal/mesh/history/versions.go
@@ -36,8 +36,10 @@
 				continue
 			}
 			if was != is {
-				broken = append(broken, Violation{CheckUniqueContent, at,
-					fmt.Sprintf("%v version %d has %+v at %s, but %+v before", v.Item, v.Version, is, where, was)})
+				broken = append(broken, Violation{
+					CheckUniqueContent, at,
+					fmt.Sprintf("%v version %d has %+v at %s, but %+v before", v.Item, v.Version, is, where, was),
+				})
 			}
 		}
 	}
--- a/internal/mesh/routing/table.go
+++ b/internal/mesh/routing/table.go
@@ -7,7 +7,6 @@
 package routing
 
 import (
-	"net"
 	"slices"
 	"strings"
 	"time"
@@ -69,9 +68,7 @@
 
 // Match returns the route of a request by its host, with or without a port, and its path. It is nil if no route matches.
 func (t *Table) Match(host, path string) *Route {
-	if name, _, err := net.SplitHostPort(host); err == nil {
-		host = name
-	}
+	host = withoutPort(host)
 	routes := t.byHost[host] // most hosts come in lower case
 	if routes == nil {
 		routes = t.byHost[strings.ToLower(host)]
--- a/internal/mesh/sim/faults.go
+++ b/internal/mesh/sim/faults.go
@@ -20,33 +20,29 @@
 		for _, h := range w.replicas {
 			w.power(h, f.Duration)
 		}
-		return
 	case FaultSpare:
 		h := w.newReplica(nil, false)
 		h.seeds, h.spare = w.replicaAddresses(), true
 		h.start()
-		return
 	case FaultSlowNetwork:
 		extra := time.Duration(f.Count) * time.Millisecond
 		w.network.extra += extra
 		w.after(f.Duration, func() { w.network.extra -= extra })
-		return
 	case FaultDisorder:
 		w.network.disorder = float64(f.Count) / 100
 		w.after(f.Duration, func() { w.network.disorder = 0 })
-		return
 	case FaultChangeBurst:
 		for _, o := range w.operators {
 			if o.name == f.Target {
 				o.flood(f.Count)
 			}
 		}
-		return
-	}
-	if s := w.sidecarNamed(f.Target); s != nil {
-		w.sidecarFault(s, f)
-	} else if h := w.replicaFor(f.Target); h != nil {
-		w.replicaFault(h, f)
+	default:
+		if s := w.sidecarNamed(f.Target); s != nil {
+			w.sidecarFault(s, f)
+		} else if h := w.replicaFor(f.Target); h != nil {
+			w.replicaFault(h, f)
+		}
 	}
 }
 
@@ -133,6 +129,7 @@
 	return slices.ContainsFunc(slices.Concat(o.voters.members, o.voters.outgoing), func(m raft.Member) bool { return o.holder(m.ID) == h })
 }
 
+// replicaFault begins a fault of one replica.
 func (w *World) replicaFault(h *replicaHost, f Fault) {
 	if h.removed {
 		return
@@ -167,9 +164,11 @@
 	case FaultDiskFull:
 		h.disk.setFull(true)
 		w.after(f.Duration, func() { h.disk.setFull(false) })
+	default: // applyFault handles the faults of no single process
 	}
 }
 
+// power takes the power of a machine away, for a time.
 func (w *World) power(h *replicaHost, off time.Duration) {
 	if h.removed {
 		return
@@ -197,11 +196,15 @@
 		w.observer.losing(h)
 		h.stop(true)
 		w.replace(h, f.Duration, history.Remove)
-		return
 	case FaultLeave:
 		h.leave(func() { w.replace(h, f.Duration, history.Remove) })
-		return
+	default:
+		w.wipe(h, f.Duration)
 	}
+}
+
+// wipe empties the disk of a replica, which starts again after a time.
+func (w *World) wipe(h *replicaHost, off time.Duration) {
 	w.observer.losing(h)
 	h.stop(true)
 	h.disk = w.newDisk()
@@ -211,7 +214,7 @@
 	h.founder = false
 	w.trace("wiped", h.name, "", nil)
 	w.observer.fault(h.process, history.Wipe)
-	w.after(f.Duration, h.start)
+	w.after(off, h.start)
 }
 
 // replace removes a machine for good and has another take its place after a time.
@@ -233,6 +236,7 @@
 	w.after(after, next.start)
 }
 
+// sidecarFault begins a fault of one sidecar.
 func (w *World) sidecarFault(s *sidecar, f Fault) {
 	switch f.Kind {
 	case FaultCut, FaultCutInbound, FaultCutOutbound:
@@ -247,9 +251,11 @@
 		s.freeze()
 		w.observer.fault(s.process, history.Freeze)
 		w.after(f.Duration, s.thaw)
+	default: // a sidecar has no disk, and is not replaced
 	}
 }
 
+// reset resets all connections of a process.
 func (w *World) reset(p *process) {
 	for _, e := range append([]*side(nil), p.ends...) {
 		peer := e.peer
--- a/internal/mesh/sim/generate.go
+++ b/internal/mesh/sim/generate.go
@@ -22,9 +22,23 @@
 }
 
 var replicaFaults = []weighted{
-	{FaultCut, 6}, {FaultCutInbound, 3}, {FaultCutOutbound, 3}, {FaultReset, 3}, {FaultKill, 5}, {FaultPowerLoss, 5}, {FaultPowerLossAll, 1},
-	{FaultWipe, 4}, {FaultReplace, 2}, {FaultLeave, 3}, {FaultFreeze, 4}, {FaultSuspend, 3}, {FaultDiskStall, 3}, {FaultDiskFull, 2},
-	{FaultSlowNetwork, 2}, {FaultDisorder, 3}, {FaultChangeBurst, 2},
+	{FaultCut, 6},
+	{FaultCutInbound, 3},
+	{FaultCutOutbound, 3},
+	{FaultReset, 3},
+	{FaultKill, 5},
+	{FaultPowerLoss, 5},
+	{FaultPowerLossAll, 1},
+	{FaultWipe, 4},
+	{FaultReplace, 2},
+	{FaultLeave, 3},
+	{FaultFreeze, 4},
+	{FaultSuspend, 3},
+	{FaultDiskStall, 3},
+	{FaultDiskFull, 2},
+	{FaultSlowNetwork, 2},
+	{FaultDisorder, 3},
+	{FaultChangeBurst, 2},
 }
 
 var targets = []string{RoleLeader, RoleLeader, RoleFollower, RoleLast, RoleJoiner, "replica1", "replica2", "replica3"}
--- a/internal/mesh/sim/items.go
+++ b/internal/mesh/sim/items.go
@@ -14,7 +14,7 @@
 
 // itemVersion returns an item as histories record it.
 func itemVersion(i config.Item) history.ItemVersion {
-	v := history.ItemVersion{Item: history.Item{Kind: i.Kind.String(), Name: i.Key.Name}, Version: i.Version, Deleted: i.Deleted}
+	v := history.ItemVersion{Item: history.Item{Kind: i.Kind.String(), Name: i.Name}, Version: i.Version, Deleted: i.Deleted}
 	if !i.Deleted {
 		h := fnv.New32a()
 		h.Write([]byte(i.Host))
--- a/internal/mesh/sim/mutations_test.go
+++ b/internal/mesh/sim/mutations_test.go
@@ -22,14 +22,22 @@
 		plan      func(seed uint64) Plan
 		by        []string
 	}{
-		{"answer before sync", Mutations{AnswerBeforeSync: true}, Generate,
-			[]string{history.CheckDurability, history.CheckLinearizable, history.CheckStaleRead}},
+		{
+			"answer before sync",
+			Mutations{AnswerBeforeSync: true},
+			Generate,
+			[]string{history.CheckDurability, history.CheckLinearizable, history.CheckStaleRead},
+		},
 		{"vote not synced", Mutations{VoteNotSynced: true}, Generate, []string{history.CheckSingleLeader}},
 		{"fetch without a quorum", Mutations{UnconfirmedFetch: true}, Generate, []string{history.CheckStaleRead}},
 		{"table while out of touch", Mutations{UnconfirmedTable: true}, Generate, []string{history.CheckStaleRead}},
 		{"keys forgotten at a start", Mutations{KeysForgotten: true}, Generate, []string{history.CheckAtMostOnce}},
-		{"identity kept after a wipe", Mutations{IdentityAfterWipe: true}, losses,
-			[]string{history.CheckDurability, history.CheckStaleRead, history.CheckLinearizable, checkConvergence}},
+		{
+			"identity kept after a wipe",
+			Mutations{IdentityAfterWipe: true},
+			losses,
+			[]string{history.CheckDurability, history.CheckStaleRead, history.CheckLinearizable, checkConvergence},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -52,8 +60,10 @@
 	random := rand.New(rand.NewPCG(seed, 0x10e5))
 	for at := 3 * time.Second; at < 15*time.Second; at += time.Second + time.Duration(random.Int64N(int64(2*time.Second))) {
 		p = append(p, Fault{At: at, Kind: FaultKill, Target: RoleFollower, Duration: time.Duration(500+random.IntN(1500)) * time.Millisecond},
-			Fault{At: at + time.Duration(random.IntN(1000))*time.Millisecond, Kind: FaultWipe, Target: targets[random.IntN(len(targets))],
-				Duration: 20 * time.Millisecond})
+			Fault{
+				At: at + time.Duration(random.IntN(1000))*time.Millisecond, Kind: FaultWipe, Target: targets[random.IntN(len(targets))],
+				Duration: 20 * time.Millisecond,
+			})
 	}
 	return p
 }
--- a/internal/mesh/sim/replica_host.go
+++ b/internal/mesh/sim/replica_host.go
@@ -164,7 +164,7 @@
 func (h *replicaHost) awaitLeave(told time.Duration, over func()) {
 	h.world.after(replica.TickInterval, func() {
 		passed := h.world.now - told
-		if h.up && passed < maxShutdownTime && !(passed >= minShutdownTime && h.replica.CanShutDown()) {
+		if h.up && passed < maxShutdownTime && (passed < minShutdownTime || !h.replica.CanShutDown()) {
 			h.awaitLeave(told, over)
 			return
 		}
--- a/internal/mesh/sim/sim_test.go
+++ b/internal/mesh/sim/sim_test.go
@@ -135,6 +135,7 @@
 			c.Grants++
 		case history.Refused:
 			c.Denials++
+		case history.Unknown:
 		}
 	}
 	for _, x := range h.Members {
--- a/internal/mesh/sim/storage_disk.go
+++ b/internal/mesh/sim/storage_disk.go
@@ -113,7 +113,7 @@
 		}
 		left--
 	})
-	d.store.Save(under.ready, under.lastIndex)
+	_ = d.store.Save(under.ready, under.lastIndex) // it fails where the crash came before its end
 	d.files.OnAccess(nil)
 	if !ended {
 		end()
--- a/internal/mesh/sim/world.go
+++ b/internal/mesh/sim/world.go
@@ -138,14 +138,14 @@
 		stamp[i] = byte(w.now >> (8 * i))
 	}
 	w.digest.Write(stamp[:])
-	io.WriteString(w.digest, kind)
-	io.WriteString(w.digest, subject)
-	io.WriteString(w.digest, object)
+	_, _ = io.WriteString(w.digest, kind)
+	_, _ = io.WriteString(w.digest, subject)
+	_, _ = io.WriteString(w.digest, object)
 	w.digest.Write(detail)
 	if w.options.Trace != nil {
 		h := fnv.New32a()
 		h.Write(detail)
-		fmt.Fprintf(w.options.Trace, "%v %s %s %s %d %08x\n", w.now, kind, subject, object, len(detail), h.Sum32())
+		_, _ = fmt.Fprintf(w.options.Trace, "%v %s %s %s %d %08x\n", w.now, kind, subject, object, len(detail), h.Sum32())
 	}
 }
 
@@ -237,6 +237,8 @@
 	bounds := history.Bounds{IsolatedRead: isolatedReadBound, CatchUp: catchUpBound, Acknowledgement: acknowledgeBound, Search: time.Minute}
 	report := history.Check(&w.history, bounds)
 	violations := slices.Concat(report.Violations, w.observer.violations, w.observer.atEnd())
-	return Result{History: &w.history, Violations: violations, Undecided: report.Undecided, TraceHash: w.digest.Sum64(),
-		Events: w.processed, Simulated: w.now, Plan: w.options.Plan}
+	return Result{
+		History: &w.history, Violations: violations, Undecided: report.Undecided, TraceHash: w.digest.Sum64(),
+		Events: w.processed, Simulated: w.now, Plan: w.options.Plan,
+	}
 }
