--- a/internal/mesh/maintenance/encoding_test.go
+++ b/internal/mesh/maintenance/encoding_test.go
@@ -1,12 +1,10 @@
 package maintenance
 
 import (
-	"encoding/json"
-	"reflect"
 	"testing"
 	"time"
 
-	"gotest.tools/v3/assert"
+	"cranegrade/internal/testkit/goldenrecord"
 )
 
 // TestStoredForms pins the JSON of each type that is stored in replicated state, sent in operators' calls or set as a
@@ -70,13 +68,6 @@
 			`"until":"2026-06-01T12:00:00Z","next":[{"From":"2026-06-01T12:00:00Z","To":"2026-06-01T13:00:00Z"}],"approvers":["ana"]}`},
 		{"steps", steps, `["draining","leading","out","returning","waiting","done","aborted"]`},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			text, err := json.Marshal(x.v)
-			assert.NilError(t, err)
-			assert.Equal(t, string(text), x.want)
-			back := reflect.New(reflect.TypeOf(x.v))
-			assert.NilError(t, json.Unmarshal(text, back.Interface()))
-			assert.DeepEqual(t, back.Elem().Interface(), x.v)
-		})
+		t.Run(x.name, func(t *testing.T) { goldenrecord.AssertJSON(t, x.v, x.want) })
 	}
 }
--- a/internal/mesh/maintenance/golden_test.go
+++ b/internal/mesh/maintenance/golden_test.go
@@ -1,72 +1,23 @@
 package maintenance
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"hash"
 	"math/rand/v2"
 	"strings"
 	"testing"
 	"time"
 
-	"gotest.tools/v3/assert"
-	"gotest.tools/v3/golden"
+	"cranegrade/internal/testkit/goldenrecord"
 )
 
-// goldenRecord is what the package decides, in order. Texts for people are hashed apart from the decisions, so that a change
-// of wording shows as just that. Only values go in, and JSON as it is stored: no name of the code.
-type goldenRecord struct {
-	decisions, texts hash.Hash
-	counts           map[string]int
-}
-
-func newGoldenRecord() *goldenRecord {
-	return &goldenRecord{decisions: sha256.New(), texts: sha256.New(), counts: map[string]int{}}
-}
-
-func (g *goldenRecord) decide(values ...any) { fmt.Fprintln(g.decisions, values...) }
-
-func (g *goldenRecord) say(text string) { fmt.Fprintf(g.texts, "%q\n", text) }
-
-func (g *goldenRecord) count(what string) { g.counts[what]++ }
-
-// asJSON is a value as it is stored or sent.
-func asJSON(v any) string {
-	text, err := json.Marshal(v)
-	if err != nil {
-		panic(err)
-	}
-	return string(text)
-}
-
 // TestGoldenDecisions compares decisions on drawn contracts, plans, orders and clocks with testdata/golden.json.
 func TestGoldenDecisions(t *testing.T) {
-	type section struct {
-		Decisions string         `json:"decisions"`
-		Texts     string         `json:"texts"`
-		Counts    map[string]int `json:"counts"`
-	}
-	got := map[string]section{}
-	for name, play := range map[string]func(*rand.Rand, *goldenRecord){
-		"contracts": goldenContracts, "plans": goldenPlans,
-		"orders": goldenOrders, "clocks": goldenClocks,
-	} {
-		g := newGoldenRecord()
-		for seed := range uint64(100) {
-			play(rand.New(rand.NewPCG(seed, 57)), g)
-		}
-		got[name] = section{hex.EncodeToString(g.decisions.Sum(nil)), hex.EncodeToString(g.texts.Sum(nil)), g.counts}
-	}
-	text, err := json.MarshalIndent(got, "", "  ")
-	assert.NilError(t, err)
-	golden.Assert(t, string(text)+"\n", "golden.json")
+	goldenrecord.Assert(t, 100, map[string]goldenrecord.Play{
+		"contracts": goldenContracts, "plans": goldenPlans, "orders": goldenOrders, "clocks": goldenClocks,
+	})
 }
 
-func pick[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
-
 // some draws a subset, in order.
 func some(r *rand.Rand, values ...string) (out []string) {
 	for _, v := range values {
@@ -80,8 +31,9 @@
 // drawContract draws a contract; with mistakes it may be invalid.
 func drawContract(r *rand.Rand, name string, mistakes bool) Contract {
 	c := Contract{
-		Name: name, ConfigVersion: 1, TimeZone: pick(r, "Australia/Hobart", "Europe/Paris", "UTC", "America/New_York"),
-		Approvers: append(some(r, "ana", "bo"), "cy"), LeastReady: pick(r, 0, 0, 0.25, 0.75), MostOut: OutLimits{r.IntN(3), r.IntN(4)},
+		Name: name, ConfigVersion: 1, TimeZone: goldenrecord.Pick(r, "Australia/Hobart", "Europe/Paris", "UTC", "America/New_York"),
+		Approvers:  append(some(r, "ana", "bo"), "cy"),
+		LeastReady: goldenrecord.Pick(r, 0, 0, 0.25, 0.75), MostOut: OutLimits{r.IntN(3), r.IntN(4)},
 	}
 	switch r.IntN(5) {
 	case 0:
@@ -92,16 +44,19 @@
 		c.Covers.Namespaces = some(r, "crews", "pickers")
 	}
 	for range 1 + r.IntN(2) {
-		edges := pick(r, [2]string{"00:00", "01:45"}, [2]string{"02:30", "03:30"}, [2]string{"09:00", "12:00"}, [2]string{"20:00", "24:00"},
+		edges := goldenrecord.Pick(r, [2]string{"00:00", "01:45"}, [2]string{"02:30", "03:30"}, [2]string{"09:00", "12:00"},
+			[2]string{"20:00", "24:00"},
 			[2]string{"21:30", "23:59"}, [2]string{"00:00", "24:00"})
-		c.Weekly = append(c.Weekly, WeeklyWindow{append(some(r, "Tue", "Wed", "Thu", "Fri"), pick(r, "Mon", "Sat", "Sun")), edges[0], edges[1]})
+		days := append(some(r, "Tue", "Wed", "Thu", "Fri"), goldenrecord.Pick(r, "Mon", "Sat", "Sun"))
+		c.Weekly = append(c.Weekly, WeeklyWindow{days, edges[0], edges[1]})
 	}
 	if r.IntN(3) == 0 {
-		from := pick(r, "2026-06-01 12:00", "2026-10-04 02:30", "2026-04-05 01:00")
-		c.Dates = append(c.Dates, DateWindow{from, pick(r, "2026-06-02 04:00", "2026-10-04 05:00")})
+		from := goldenrecord.Pick(r, "2026-06-01 12:00", "2026-10-04 02:30", "2026-04-05 01:00")
+		c.Dates = append(c.Dates, DateWindow{from, goldenrecord.Pick(r, "2026-06-02 04:00", "2026-10-04 05:00")})
 	}
 	if r.IntN(3) == 0 {
-		c.Barred = append(c.Barred, BarredDays{pick(r, "2026-06-02", "2026-10-04"), pick(r, "2026-06-02", "2026-10-05"), "harvest"})
+		first := goldenrecord.Pick(r, "2026-06-02", "2026-10-04")
+		c.Barred = append(c.Barred, BarredDays{first, goldenrecord.Pick(r, "2026-06-02", "2026-10-05"), "harvest"})
 	}
 	if mistakes {
 		spoilContract(r, &c)
@@ -113,15 +68,15 @@
 func spoilContract(r *rand.Rand, c *Contract) {
 	switch r.IntN(14) {
 	case 0:
-		c.TimeZone = pick(r, "Mars", "Local", "")
+		c.TimeZone = goldenrecord.Pick(r, "Mars", "Local", "")
 	case 1:
 		c.Approvers = nil
 	case 2:
 		c.Weekly = nil
 	case 3:
-		c.Weekly[0].From = pick(r, "24:00", "25:00", "soon")
+		c.Weekly[0].From = goldenrecord.Pick(r, "24:00", "25:00", "soon")
 	case 4:
-		c.Weekly[0].To = pick(r, "24:30", "", c.Weekly[0].From)
+		c.Weekly[0].To = goldenrecord.Pick(r, "24:30", "", c.Weekly[0].From)
 	case 5:
 		c.Weekly[0].Days = []string{"Monday"}
 	case 6:
@@ -129,7 +84,7 @@
 	case 7:
 		c.Dates = []DateWindow{{"tomorrow", "2026-06-02 04:00"}}
 	case 8:
-		c.Barred = []BarredDays{{"2026-06-02", pick(r, "2026-06-01", "never"), "harvest"}}
+		c.Barred = []BarredDays{{"2026-06-02", goldenrecord.Pick(r, "2026-06-01", "never"), "harvest"}}
 	case 9:
 		c.LeastReady = 1.5
 	case 10:
@@ -137,7 +92,7 @@
 	}
 }
 
-func goldenContracts(r *rand.Rand, g *goldenRecord) {
+func goldenContracts(r *rand.Rand, g *goldenrecord.Record) {
 	for n := range 12 {
 		c := drawContract(r, fmt.Sprint("c", n), true)
 		if f := c.Validate(); f != nil {
@@ -145,21 +100,21 @@
 			if strings.Contains(text, "when the clocks change") { // of a window with two such edges either is told first
 				field, text = field[:strings.LastIndexByte(field, '.')], "when the clocks change"
 			}
-			g.count("invalid")
-			g.decide(field)
-			g.say(text)
+			g.Count("invalid")
+			g.Decide(field)
+			g.Say(text)
 			continue
 		}
-		g.count("valid")
+		g.Count("valid")
 		from := drawTime(r)
 		approved, barred := c.Windows(Interval{from, from.Add(time.Duration(r.IntN(72)) * time.Hour)})
-		g.decide(asJSON(approved), asJSON(barred))
+		g.Decide(goldenrecord.JSON(approved), goldenrecord.JSON(barred))
 	}
 }
 
 // drawTime draws a time near a change of the clocks, or of an ordinary week.
 func drawTime(r *rand.Rand) time.Time {
-	day := pick(r, "2026-03-28", "2026-04-03", "2026-06-01", "2026-10-02", "2026-10-24")
+	day := goldenrecord.Pick(r, "2026-03-28", "2026-04-03", "2026-06-01", "2026-10-02", "2026-10-24")
 	t, _ := time.Parse(dayLayout, day)
 	return t.Add(time.Duration(r.IntN(4*24*60)) * time.Minute)
 }
@@ -172,7 +127,7 @@
 	for n := range 3 + r.IntN(4) {
 		v.Machines = append(v.Machines, Machine{
 			Addr: fmt.Sprint("l", n), Name: fmt.Sprint("line-", n), Zone: fmt.Sprint("z", r.IntN(2)),
-			Service: pick(r, "log", "log", "else"), Namespaces: some(r, "crews", "pickers"), Slots: 6 * r.IntN(3), Ready: r.IntN(8) > 0,
+			Service: goldenrecord.Pick(r, "log", "log", "else"), Namespaces: some(r, "crews", "pickers"), Slots: 6 * r.IntN(3), Ready: r.IntN(8) > 0,
 		})
 	}
 	for n := range 3 + r.IntN(3) {
@@ -206,37 +161,37 @@
 	return v
 }
 
-func goldenPlans(r *rand.Rand, g *goldenRecord) {
+func goldenPlans(r *rand.Rand, g *goldenrecord.Record) {
 	for range 10 {
 		v := drawView(r)
 		early := drawTime(r)
 		now := TimeBounds{early, early.Add(time.Duration(r.IntN(3000)) * time.Second)}
-		addr := pick(r, "l0", "l1", "r0", "l9")
-		g.verdict("plan", v.Plan(addr, time.Duration(r.IntN(3600))*time.Second, now))
-		g.verdict("still", v.Recheck(addr, now))
-		g.decide(v.successor(addr), v.Sequence([]string{"r1", "l2", "r0", "l0", "l1", "r2"}, pick(r, "r0", "r1")))
+		addr := goldenrecord.Pick(r, "l0", "l1", "r0", "l9")
+		recordVerdict(g, "plan", v.Plan(addr, time.Duration(r.IntN(3600))*time.Second, now))
+		recordVerdict(g, "still", v.Recheck(addr, now))
+		g.Decide(v.successor(addr), v.Sequence([]string{"r1", "l2", "r0", "l0", "l1", "r2"}, goldenrecord.Pick(r, "r0", "r1")))
 	}
 }
 
 // verdict records a plan's answer, its texts apart.
-func (g *goldenRecord) verdict(of string, d Verdict) {
+func recordVerdict(g *goldenrecord.Record, of string, d Verdict) {
 	if d.Approved {
-		g.count(of + " approved")
+		g.Count(of + " approved")
 	} else {
-		g.count(of + " not approved")
+		g.Count(of + " not approved")
 	}
 	var reasons []Reason
 	for _, x := range d.Reasons {
-		g.say(x.String())
+		g.Say(x.String())
 		x.Text = ""
 		reasons = append(reasons, x)
 	}
 	d.Reasons = reasons
-	g.decide(asJSON(d))
+	g.Decide(goldenrecord.JSON(d))
 }
 
 // goldenOrders plays orders: placed, decided on, changed late, twice or never, by two that decide and by operators.
-func goldenOrders(r *rand.Rand, g *goldenRecord) {
+func goldenOrders(r *rand.Rand, g *goldenrecord.Record) {
 	var b OrderTable
 	var net []OrderChange
 	v := drawView(r)
@@ -248,12 +203,12 @@
 		case 0:
 			var err error
 			b, err = b.Place(drawOrder(r), now)
-			g.outcome("place", err)
+			recordOutcome(g, "place", err)
 		case 1:
 			net = append(net, OrderChange{
 				OrderID: fmt.Sprint("o", r.IntN(4)), ExpectedRevision: uint64(r.IntN(2) * r.IntN(6)), Abort: r.IntN(8) == 0,
 				MaintenanceDone: r.IntN(3) == 0,
-				ApprovedBy:      pick(r, "", "", "ana", "cy"), Text: "a word",
+				ApprovedBy:      goldenrecord.Pick(r, "", "", "ana", "cy"), Text: "a word",
 			})
 		case 2:
 			early = early.Add(time.Duration(r.IntN(400)) * time.Second)
@@ -264,8 +219,8 @@
 		case 4, 5, 6:
 			for _, o := range b.Open() {
 				c, ok, waits := o.Next(v, drawSight(r), now)
-				g.say(waits)
-				g.change(c, ok)
+				g.Say(waits)
+				recordChange(g, c, ok)
 				if ok {
 					net = append(net, c)
 				}
@@ -281,17 +236,18 @@
 			}
 			var err error
 			b, err = b.Apply(c, now)
-			g.outcome("apply", err)
+			recordOutcome(g, "apply", err)
 		}
-		g.book(b)
+		recordBook(g, b)
 	}
 }
 
 func drawOrder(r *rand.Rand) Order {
 	o := Order{
-		ID: pick(r, "o0", "o1", "o2", "o3", ""), PlacedBy: pick(r, "ana", "bo", "cy", ""),
+		ID: goldenrecord.Pick(r, "o0", "o1", "o2", "o3", ""), PlacedBy: goldenrecord.Pick(r, "ana", "bo", "cy", ""),
 		Duration: time.Duration(r.IntN(600)) * time.Second,
-		Override: r.IntN(6) == 0, NeedsApproval: r.IntN(4) == 0, Reason: pick(r, "", "smoke"), Machines: some(r, "l0", "l1", "l2", "r0"),
+		Override: r.IntN(6) == 0, NeedsApproval: r.IntN(4) == 0, Reason: goldenrecord.Pick(r, "", "smoke"),
+		Machines: some(r, "l0", "l1", "l2", "r0"),
 	}
 	if r.IntN(3) == 0 {
 		for _, m := range o.Machines {
@@ -314,7 +270,7 @@
 }
 
 // outcome records of which kind an error is.
-func (g *goldenRecord) outcome(of string, err error) {
+func recordOutcome(g *goldenrecord.Record, of string, err error) {
 	kind := "other"
 	switch {
 	case err == nil:
@@ -324,65 +280,65 @@
 	case errors.Is(err, ErrStaleChange):
 		kind = "stale"
 	}
-	g.count(of + " " + kind)
-	g.decide(of, kind)
+	g.Count(of + " " + kind)
+	g.Decide(of, kind)
 	if err != nil {
-		g.say(err.Error())
+		g.Say(err.Error())
 	}
 }
 
 // change records a decision, its text apart.
-func (g *goldenRecord) change(c OrderChange, ok bool) {
+func recordChange(g *goldenrecord.Record, c OrderChange, ok bool) {
 	if ok {
-		g.count("next " + string(c.Step))
+		g.Count("next " + string(c.Step))
 	} else {
-		g.count("next waits")
+		g.Count("next waits")
 	}
-	g.say(c.Text)
+	g.Say(c.Text)
 	c.Text = ""
-	g.decide(ok, asJSON(c))
+	g.Decide(ok, goldenrecord.JSON(c))
 }
 
 // book records all orders, the texts of their events apart.
-func (g *goldenRecord) book(b OrderTable) {
+func recordBook(g *goldenrecord.Record, b OrderTable) {
 	for _, o := range b.Orders {
 		var events []Event
 		for _, e := range o.Events {
-			g.say(e.Text)
+			g.Say(e.Text)
 			e.Text = ""
 			events = append(events, e)
 		}
 		o.Events = events
-		g.decide(asJSON(o), o.CurrentMachine(), o.CurrentMachineName(), o.Step.IsFinished(), o.Step.IsCordoned())
+		g.Decide(goldenrecord.JSON(o), o.CurrentMachine(), o.CurrentMachineName(), o.Step.IsFinished(), o.Step.IsCordoned())
 	}
 }
 
 // goldenClocks plays the agreed time: clocks that are right, wrong or silent, leaders that change.
-func goldenClocks(r *rand.Rand, g *goldenRecord) {
+func goldenClocks(r *rand.Rand, g *goldenrecord.Record) {
 	truth := drawTime(r)
-	members := pick(r, 3, 5)
+	members := goldenrecord.Pick(r, 3, 5)
 	offsets := make([]time.Duration, members)
 	var c Clock
 	var at, stamp time.Duration
 	for range 40 {
 		step := time.Duration(r.IntN(10_000)) * time.Millisecond
 		at, truth = at+step, truth.Add(step)
-		gap := pick(r, 0, 0, 0, 3*time.Second, LeaderlessUnknown)
+		gap := goldenrecord.Pick(r, 0, 0, 0, 3*time.Second, LeaderlessUnknown)
 		if gap != LeaderlessUnknown {
 			stamp += max(0, step-gap)
 		}
 		if r.IntN(4) == 0 {
-			offsets[r.IntN(members)] = pick(r, 0, 100*time.Millisecond, -time.Second, 40*time.Minute, -40*time.Minute)
+			offsets[r.IntN(members)] = goldenrecord.Pick(r, 0, 100*time.Millisecond, -time.Second, 40*time.Minute, -40*time.Minute)
 		}
 		next, err := c.Agree(stamp, drawSamples(r, truth, at, offsets), at, members, gap)
-		g.decide(asJSON(next), errors.Is(err, ErrNoAgreedTime), asJSON(next.Now(stamp+time.Second)), next.IsKnown())
+		g.Decide(goldenrecord.JSON(next), errors.Is(err, ErrNoAgreedTime), goldenrecord.JSON(next.Now(stamp+time.Second)), next.IsKnown())
 		switch {
 		case err != nil:
-			g.count("not agreed")
+			g.Count("not agreed")
 		case next.InDoubt:
-			g.count("in doubt")
+			g.Count("in doubt")
 		default:
-			g.count("agreed")
+			g.Count("agreed")
 		}
 		c = next
 	}
--- a/internal/mesh/policy/encoding_test.go
+++ b/internal/mesh/policy/encoding_test.go
@@ -1,11 +1,9 @@
 package policy
 
 import (
-	"encoding/json"
-	"reflect"
 	"testing"
 
-	"gotest.tools/v3/assert"
+	"cranegrade/internal/testkit/goldenrecord"
 )
 
 // TestStoredForms pins the JSON of each type that is stored in replicated state, sent in operators' calls or set as a
@@ -71,13 +69,6 @@
 			`"Callers.Allow","Callers.Deny","Callers.Need"]`},
 		{"roles", []Role{RoleItem, RoleMesh, RoleRouteOwner, RoleServiceOwner, RoleCallerOwner}, `["item","mesh","route","service","caller"]`},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			text, err := json.Marshal(x.v)
-			assert.NilError(t, err)
-			assert.Equal(t, string(text), x.want)
-			back := reflect.New(reflect.TypeOf(x.v))
-			assert.NilError(t, json.Unmarshal(text, back.Interface()))
-			assert.DeepEqual(t, back.Elem().Interface(), x.v)
-		})
+		t.Run(x.name, func(t *testing.T) { goldenrecord.AssertJSON(t, x.v, x.want) })
 	}
 }
--- a/internal/mesh/policy/golden_test.go
+++ b/internal/mesh/policy/golden_test.go
@@ -1,74 +1,25 @@
 package policy
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
-	"encoding/json"
 	"fmt"
-	"hash"
 	"math/rand/v2"
 	"testing"
 	"time"
 
 	"github.com/juju/errors"
-	"gotest.tools/v3/assert"
-	"gotest.tools/v3/golden"
 
 	"cranegrade/internal/mesh/validation"
+	"cranegrade/internal/testkit/goldenrecord"
 )
 
-// goldenRecord is what the package decides, in order. Texts for people are hashed apart from the decisions, so that a change
-// of wording shows as just that. Only values go in, and JSON as it is stored: no name of the code.
-type goldenRecord struct {
-	decisions, texts hash.Hash
-	counts           map[string]int
-}
-
-func newGoldenRecord() *goldenRecord {
-	return &goldenRecord{decisions: sha256.New(), texts: sha256.New(), counts: map[string]int{}}
-}
-
-func (g *goldenRecord) decide(values ...any) { fmt.Fprintln(g.decisions, values...) }
-
-func (g *goldenRecord) say(text string) { fmt.Fprintf(g.texts, "%q\n", text) }
-
-func (g *goldenRecord) count(what string) { g.counts[what]++ }
-
-// asJSON is a value as it is stored or sent.
-func asJSON(v any) string {
-	text, err := json.Marshal(v)
-	if err != nil {
-		panic(err)
-	}
-	return string(text)
-}
-
 // TestGoldenDecisions compares decisions on drawn namespaces, policies, routes, changes and two-step activations with
 // testdata/golden.json.
 func TestGoldenDecisions(t *testing.T) {
-	type section struct {
-		Decisions string         `json:"decisions"`
-		Texts     string         `json:"texts"`
-		Counts    map[string]int `json:"counts"`
-	}
-	got := map[string]section{}
-	for name, play := range map[string]func(*rand.Rand, *goldenRecord){
-		"checks": goldenChecks, "merged": goldenMerged,
-		"changes": goldenChanges, "steps": goldenSteps,
-	} {
-		g := newGoldenRecord()
-		for seed := range uint64(200) {
-			play(rand.New(rand.NewPCG(seed, 57)), g)
-		}
-		got[name] = section{hex.EncodeToString(g.decisions.Sum(nil)), hex.EncodeToString(g.texts.Sum(nil)), g.counts}
-	}
-	text, err := json.MarshalIndent(got, "", "  ")
-	assert.NilError(t, err)
-	golden.Assert(t, string(text)+"\n", "golden.json")
+	goldenrecord.Assert(t, 200, map[string]goldenrecord.Play{
+		"checks": goldenChecks, "merged": goldenMerged, "changes": goldenChanges, "steps": goldenSteps,
+	})
 }
 
-func pick[T any](r *rand.Rand, values ...T) T { return values[r.IntN(len(values))] }
-
 // some draws a subset, in order; mostly of few.
 func some(r *rand.Rand, values ...string) (out []string) {
 	for _, v := range values {
@@ -88,9 +39,9 @@
 	}
 	if r.IntN(4) > 0 {
 		l = append(l, Namespace{
-			Name: "quota", Owners: []string{"di", "ana"}, Within: pick(r, "devicebook", "devicebook", "devicebook", "", "", "none"),
+			Name: "quota", Owners: []string{"di", "ana"}, Within: goldenrecord.Pick(r, "devicebook", "devicebook", "devicebook", "", "", "none"),
 			Services: []string{"quota"},
-			Prefixes: []HostPrefix{{"Push.example", pick(r, "/tokens/all/", "/tokens/all/", "/send/", "/send/", "/tokens/")}},
+			Prefixes: []HostPrefix{{"Push.example", goldenrecord.Pick(r, "/tokens/all/", "/tokens/all/", "/send/", "/send/", "/tokens/")}},
 		})
 	}
 	if r.IntN(16) == 0 {
@@ -103,7 +54,8 @@
 }
 
 func drawPolicy(r *rand.Rand, name string) Policy {
-	p := Policy{Name: name, ConfigVersion: int64(1 + r.IntN(3)), Namespace: pick(r, "dispatch", "devicebook", "quota", MeshNamespace,
+	p := Policy{Name: name, ConfigVersion: int64(1 + r.IntN(3)), Namespace: goldenrecord.Pick(r,
+		"dispatch", "devicebook", "quota", MeshNamespace,
 		"dispatch", "devicebook", "dispatch", "devicebook", "quota")}
 	if r.IntN(24) == 0 {
 		p.Namespace = "nobody"
@@ -136,13 +88,13 @@
 		p.RetryOn = &endings
 	}
 	if r.IntN(2) == 0 {
-		p.TimeoutS = pick(r, 0.5, 1, 2, 3.5)
+		p.TimeoutS = goldenrecord.Pick(r, 0.5, 1, 2, 3.5)
 	}
 	if r.IntN(4) == 0 {
-		p.NeedsS = pick(r, 0.25, 0.75, 1.5)
+		p.NeedsS = goldenrecord.Pick(r, 0.25, 0.75, 1.5)
 	}
 	if r.IntN(3) == 0 {
-		ratio := pick(r, 0, 0.1, 0.5)
+		ratio := goldenrecord.Pick(r, 0, 0.1, 0.5)
 		p.RetryRatio = &ratio
 	}
 	if r.IntN(3) == 0 {
@@ -180,13 +132,13 @@
 }
 
 // goldenChecks looks at items by themselves, and at sets of them.
-func goldenChecks(r *rand.Rand, g *goldenRecord) {
+func goldenChecks(r *rand.Rand, g *goldenrecord.Record) {
 	for n := range 20 {
-		p := drawPolicy(r, pick(r, "x", "x", "x", ""))
+		p := drawPolicy(r, goldenrecord.Pick(r, "x", "x", "x", ""))
 		if r.IntN(8) == 0 {
 			p.Tries = -1
 		}
-		g.fault(p.Validate())
+		recordFault(g, p.Validate())
 		l := drawNamespaces(r)
 		s := l[n%len(l)]
 		switch r.IntN(6) {
@@ -199,71 +151,73 @@
 		case 3:
 			s.Prefixes = []HostPrefix{{"h", "p"}}
 		}
-		g.fault(s.Validate())
+		recordFault(g, s.Validate())
 	}
 	_, err := Evaluate(NewSet(nil, nil, nil), NewSet(drawNamespaces(r), drawPolicies(r, 4), goldenRoutes()), Change{})
-	g.decide(errors.Is(err, ErrInvalidSet))
+	g.Decide(errors.Is(err, ErrInvalidSet))
 	if err != nil {
-		g.say(err.Error())
+		g.Say(err.Error())
 	}
 	l := drawPolicies(r, 6)
-	g.decide(Fingerprint(len(l), func(n int) (string, int64, []byte) { return l[n].Name, l[n].ConfigVersion, []byte(asJSON(l[n])) }))
+	g.Decide(Fingerprint(len(l), func(n int) (string, int64, []byte) {
+		return l[n].Name, l[n].ConfigVersion, []byte(goldenrecord.JSON(l[n]))
+	}))
 }
 
-func (g *goldenRecord) fault(f *validation.Fault) {
+func recordFault(g *goldenrecord.Record, f *validation.Fault) {
 	if f == nil {
-		g.count("valid")
-		g.decide("valid")
+		g.Count("valid")
+		g.Decide("valid")
 		return
 	}
-	g.count("invalid")
-	g.decide(f.Field)
-	g.say(f.Text)
+	g.Count("invalid")
+	g.Decide(f.Field)
+	g.Say(f.Text)
 }
 
 // goldenMerged looks at merged policies, the decisions that follow and how they are told.
-func goldenMerged(r *rand.Rand, g *goldenRecord) {
+func goldenMerged(r *rand.Rand, g *goldenrecord.Record) {
 	s := NewSet(drawNamespaces(r), drawPolicies(r, 6), goldenRoutes())
 	for _, route := range s.Routes() {
-		g.decide(route.Name, s.OwnerOfRoute(route))
+		g.Decide(route.Name, s.OwnerOfRoute(route))
 		for _, service := range route.Services {
-			g.decide(s.OwnerOfService(service), s.OwnersOfService(service))
+			g.Decide(s.OwnerOfService(service), s.OwnersOfService(service))
 			for _, caller := range append([]string{""}, goldenServices...) {
-				g.merged(s, route, service, caller)
+				recordMerged(g, s, route, service, caller)
 			}
 		}
 	}
 	report := s.Report()
-	g.decide(asJSON(report))
-	g.say(report.String())
+	g.Decide(goldenrecord.JSON(report))
+	g.Say(report.String())
 }
 
-func (g *goldenRecord) merged(s *Set, route Route, service, caller string) {
+func recordMerged(g *goldenrecord.Record, s *Set, route Route, service, caller string) {
 	clauses, governed := s.ClausesFor(route, service, caller)
 	if governed {
-		g.count("ruled")
+		g.Count("ruled")
 	} else {
-		g.count("not ruled")
+		g.Count("not ruled")
 	}
 	decision := clauses.Decide(route, caller)
-	g.decide(governed, asJSON(clauses), clauses.Fingerprint(),
+	g.Decide(governed, goldenrecord.JSON(clauses), clauses.Fingerprint(),
 		decision.Fingerprint, decision.MaxAttempts, decision.Timeout, decision.Priority,
 		decision.RetryRatio, decision.RetryOn, decision.RetryOnAny)
 	if decision.DeniedBy != nil {
-		g.count("denied")
-		g.decide("denied", asJSON(decision.DeniedBy))
-		g.say(decision.DeniedBy.String())
+		g.Count("denied")
+		g.Decide("denied", goldenrecord.JSON(decision.DeniedBy))
+		g.Say(decision.DeniedBy.String())
 	}
 	for _, ending := range []string{"refused", "broken", "timed_out"} {
-		g.decide(decision.MayRetry(ending))
+		g.Decide(decision.MayRetry(ending))
 	}
 	x := s.Explain(route, service, caller)
-	g.decide(asJSON(x))
-	g.say(x.String())
+	g.Decide(goldenrecord.JSON(x))
+	g.Say(x.String())
 }
 
 // goldenChanges has changes evaluated.
-func goldenChanges(r *rand.Rand, g *goldenRecord) {
+func goldenChanges(r *rand.Rand, g *goldenrecord.Record) {
 	for range 20 {
 		namespaces := drawNamespaces(r)
 		policies := drawPolicies(r, 5)
@@ -272,7 +226,7 @@
 		}
 		before := NewSet(namespaces, policies, goldenRoutes())
 		c := Change{
-			Author:   pick(r, "", "", "ana", "cy", "ana", "cy", "di", "eve"),
+			Author:   goldenrecord.Pick(r, "", "", "ana", "cy", "ana", "cy", "di", "eve"),
 			Consents: some(r, "dispatch:ana", "devicebook:cy", "quota:di", "mesh:x"),
 		}
 		next, routes := drawChange(r, policies, &c)
@@ -287,19 +241,19 @@
 			kind = "unfit"
 		case errors.As(err, &conflict):
 			kind = "conflict"
-			g.decide(asJSON([]Clause{conflict.A, conflict.B}), conflict.Route, conflict.Service, conflict.Caller)
+			g.Decide(goldenrecord.JSON([]Clause{conflict.A, conflict.B}), conflict.Route, conflict.Service, conflict.Caller)
 		case errors.Is(err, ErrNotOwner):
 			kind = "foreign"
 		case errors.Is(err, ErrConsentRequired):
 			kind = "consent"
 		}
-		g.count(kind)
+		g.Count(kind)
 		if err != nil {
-			g.say(err.Error())
+			g.Say(err.Error())
 		}
-		g.decide(kind, errors.Is(err, ErrConflict), asJSON(effects))
+		g.Decide(kind, errors.Is(err, ErrConflict), goldenrecord.JSON(effects))
 		for _, e := range effects {
-			g.say(e.String())
+			g.Say(e.String())
 		}
 	}
 }
@@ -312,7 +266,7 @@
 	switch r.IntN(5) {
 	case 0:
 		route := &routes[r.IntN(len(routes))]
-		route.Version, route.TimeoutS, route.MaxAttempts = route.Version+1, pick(r, 0.5, 4), 1+r.IntN(4)
+		route.Version, route.TimeoutS, route.MaxAttempts = route.Version+1, goldenrecord.Pick(r, 0.5, 4), 1+r.IntN(4)
 		c.Routes = []string{route.Name}
 		return next, routes
 	case 1:
@@ -337,12 +291,12 @@
 }
 
 // goldenSteps plays the two steps of a rollout, at the leader and at three sidecars.
-func goldenSteps(r *rand.Rand, g *goldenRecord) {
+func goldenSteps(r *rand.Rand, g *goldenrecord.Record) {
 	var rollout Rollout
 	sidecars := make([]SidecarState, 3)
 	var index uint64
 	var now, since time.Duration
-	set := func() string { return pick(r, "", "s1", "s2", "s3") }
+	set := func() string { return goldenrecord.Pick(r, "", "s1", "s2", "s3") }
 	for range 60 {
 		now += time.Duration(r.IntN(1500)) * time.Millisecond
 		n := r.IntN(len(sidecars))
@@ -353,34 +307,34 @@
 		case 1:
 			index++
 			var activated bool
-			rollout, activated = rollout.Activate(pick(r, rollout.Agreed, set()), index)
-			g.decide(activated)
+			rollout, activated = rollout.Activate(goldenrecord.Pick(r, rollout.Agreed, set()), index)
+			g.Decide(activated)
 		case 2:
-			sidecars[n] = sidecars[n].Receive(pick(r, rollout.Agreed, set()))
+			sidecars[n] = sidecars[n].Receive(goldenrecord.Pick(r, rollout.Agreed, set()))
 		case 3:
 			var adopt, reload bool
 			sidecars[n], adopt, reload = sidecars[n].Activate(rollout.Active, uint64(r.IntN(int(index)+2)))
-			g.decide(adopt, reload)
+			g.Decide(adopt, reload)
 		case 4:
 			sidecars[n] = sidecars[n].Restore(rollout.Active, rollout.ActiveIndex, now-time.Second)
 		case 5:
 			var same bool
-			sidecars[n], same = sidecars[n].Confirm(pick(r, rollout.Active, set()), rollout.ActiveIndex, rollout.Agreed,
+			sidecars[n], same = sidecars[n].Confirm(goldenrecord.Pick(r, rollout.Active, set()), rollout.ActiveIndex, rollout.Agreed,
 				now-time.Duration(r.IntN(2000))*time.Millisecond)
-			g.decide(same)
+			g.Decide(same)
 		}
 		var reports []SidecarReport
 		for i, s := range sidecars {
 			reports = append(reports, SidecarReport{fmt.Sprint("line-", i), s.Received, r.IntN(8) == 0})
-			g.decide(s.Received, s.Active, s.ActiveIndex, s.ConfirmedAt, s.HasPolicies, s.IsFenced(now))
+			g.Decide(s.Received, s.Active, s.ActiveIndex, s.ConfirmedAt, s.HasPolicies, s.IsFenced(now))
 		}
 		ok, waitsFor := rollout.CanActivate(reports, now-since)
 		if ok {
-			g.count("ready")
+			g.Count("ready")
 		} else if rollout.IsPending() {
-			g.count("waits")
+			g.Count("waits")
 		}
-		g.decide(ok, rollout.IsPending(), asJSON(rollout))
-		g.say(waitsFor)
+		g.Decide(ok, rollout.IsPending(), goldenrecord.JSON(rollout))
+		g.Say(waitsFor)
 	}
 }
