--- a/internal/mesh/policy/change_test.go
+++ b/internal/mesh/policy/change_test.go
@@ -212,3 +212,9 @@
 	_, err := Evaluate(twoTeams(basePolicies()...), NewSet(nil, basePolicies(), nil), Change{Namespaces: []string{"dispatch", "devicebook"}})
 	assert.Assert(t, errors.Is(err, ErrInvalidSet), "%v", err)
 }
+
+// A limit of exactly the time that another's policy needs contradicts nothing.
+func TestEvaluateTakesALimitOfTheTimeNeeded(t *testing.T) {
+	_, err := evaluatePolicy("cy", Policy{Name: "x", ConfigVersion: 1, Namespace: "devicebook", TimeoutS: 1})
+	assert.NilError(t, err)
+}
