--- a/internal/mesh/memberselection/golden_test.go
+++ b/internal/mesh/memberselection/golden_test.go
@@ -60,6 +60,7 @@
 			g.seen = append(g.seen, a.ID)
 		case Close:
 			g.forget(a.ID)
+		default: // the others open and close nothing
 		}
 	}
 	reachable, until := g.selector.Reachable()
--- a/internal/mesh/sidecar/call_chain_test.go
+++ b/internal/mesh/sidecar/call_chain_test.go
@@ -75,8 +75,10 @@
 		s := startRelay(t, a.addr, &httpFraming{})
 		x.far, x.upstreamRelays = append(x.far, far), append(x.upstreamRelays, r)
 		x.fakeServers, x.serverRelays = append(x.fakeServers, a), append(x.serverRelays, s)
-		assert.NilError(t, far.localServer.heartbeat(a.id, Heartbeat{Address: s.addr, SystemInfo: SystemInfo{Service: "stock", SlotCount: 256},
-			OperStatus: OperationalStatus{State: "ready", CallSeq: 1}}))
+		assert.NilError(t, far.localServer.heartbeat(a.id, Heartbeat{
+			Address: s.addr, SystemInfo: SystemInfo{Service: "stock", SlotCount: 256},
+			OperStatus: OperationalStatus{State: "ready", CallSeq: 1},
+		}))
 		runSidecar(t, far)
 	}
 	x.near = x.newSidecar("near", "caller")
@@ -119,8 +121,10 @@
 	set.NodeName, set.IPAddress, set.Zone, set.Service = name, "127.0.0.1", "zone", service
 	set.SeedNodes, set.InternalPortRange = []string{net.JoinHostPort(host, "1")}, []int{first, first + 1}
 	set.HeartbeatS, set.Bounds.GraceS = 600, 0.2
-	set.ListenAddrs = settings.ListenAddresses{Inbound: freeAddr(x.t), Outbound: freeAddr(x.t), Readiness: freeAddr(x.t),
-		ControlPlane: freeAddr(x.t)}
+	set.ListenAddrs = settings.ListenAddresses{
+		Inbound: freeAddr(x.t), Outbound: freeAddr(x.t), Readiness: freeAddr(x.t),
+		ControlPlane: freeAddr(x.t),
+	}
 	l, err := New(set, zerolog.Nop(), discardRing())
 	assert.NilError(x.t, err)
 	return l
@@ -220,8 +224,10 @@
 	if err != nil {
 		return callerAnswer{}
 	}
-	return callerAnswer{Status: resp.StatusCode, AttemptID: resp.Header.Get(headerAttemptID), Seal: resp.Header.Get(headerServerSeal),
-		Body: string(text), RetryAfter: resp.Header.Get(headerRetryAfter)}
+	return callerAnswer{
+		Status: resp.StatusCode, AttemptID: resp.Header.Get(headerAttemptID), Seal: resp.Header.Get(headerServerSeal),
+		Body: string(text), RetryAfter: resp.Header.Get(headerRetryAfter),
+	}
 }
 
 // assertNoViolations fails the test for each rule that was broken.
--- a/internal/mesh/sidecar/call_history_test.go
+++ b/internal/mesh/sidecar/call_history_test.go
@@ -90,8 +90,10 @@
 	c := h.call(attempt)
 	c.answers = append(c.answers, t)
 	if t.Status != 0 {
-		h.seen.Answers = append(h.seen.Answers, history.Answer{At: time.Since(h.start), Process: "caller", Request: attempt,
-			AnsweredRequest: t.AttemptID})
+		h.seen.Answers = append(h.seen.Answers, history.Answer{
+			At: time.Since(h.start), Process: "caller", Request: attempt,
+			AnsweredRequest: t.AttemptID,
+		})
 	}
 }
 
--- a/internal/mesh/sidecar/caller_protocol.go
+++ b/internal/mesh/sidecar/caller_protocol.go
@@ -66,8 +66,10 @@
 		return nil, refuse(hr, http.StatusNotFound, "no route")
 	}
 	h := hr.Header
-	routed := &routedRequest{route: route, service: p.pools.get(from.Name()), attemptID: h.Get(headerAttemptID),
-		key: h.Get(headerOperationKey), policy: route.PolicyDecision(from.Name())}
+	routed := &routedRequest{
+		route: route, service: p.pools.get(from.Name()), attemptID: h.Get(headerAttemptID),
+		key: h.Get(headerOperationKey), policy: route.PolicyDecision(from.Name()),
+	}
 	if routed.policy != nil {
 		if refusal := p.applyPolicy(hr, from.Name(), routed); refusal != nil {
 			return nil, refusal
@@ -82,8 +84,10 @@
 		return nil, refusal
 	}
 	left := routed.timeLeft(budget)
-	out := &message.Request{Method: hr.Method, URL: &url.URL{Opaque: hr.RequestURI}, Authority: hr.Host, Header: forwardedHeaders(h),
-		Runs: message.RunsOnce, Note: routed}
+	out := &message.Request{
+		Method: hr.Method, URL: &url.URL{Opaque: hr.RequestURI}, Authority: hr.Host, Header: forwardedHeaders(h),
+		Runs: message.RunsOnce, Note: routed,
+	}
 	if route.Kind.IsIdempotent() {
 		out.Runs = message.RunsOften
 	}
--- a/internal/mesh/sidecar/controlplane_connection.go
+++ b/internal/mesh/sidecar/controlplane_connection.go
@@ -60,9 +60,11 @@
 }
 
 func newControlPlaneConn(env *environment) *controlPlaneConn {
-	return &controlPlaneConn{env: env, seeds: func() []string { return env.settings.Load().SeedAddresses() },
+	return &controlPlaneConn{
+		env: env, seeds: func() []string { return env.settings.Load().SeedAddresses() },
 		events:  make(chan func(time.Duration), selectorEventBacklog),
-		members: map[memberselection.ConnID]*memberConn{}}
+		members: map[memberselection.ConnID]*memberConn{},
+	}
 }
 
 // current is the live connection to the followed member; nil: there is none.
@@ -148,7 +150,7 @@
 		conn := c.members[a.ID].conn
 		c.conn.Store(conn)
 		conn.AddPending(1) // its silence is to be found out soon
-		conn.Send(directory.ToWire([]directory.Record{c.localServer.record()}))
+		_ = conn.Send(directory.ToWire([]directory.Record{c.localServer.record()}))
 		c.env.log.Info().Str("member_addr", conn.RemoteAddr()).Msg("control-plane member followed")
 	case memberselection.Confirm:
 		conn := c.members[a.ID].conn
@@ -208,7 +210,7 @@
 		c.selector.FirstMessageReceived(now, m.id)
 	})
 	for message := first; ; {
-		c.handleMessage(m.id, conn, message)
+		c.handleMessage(m.id, conn, message) //nolint:contextcheck // what it starts lasts as long as the sidecar
 		if message, err = conn.Receive(); err != nil {
 			return err
 		}
@@ -276,6 +278,6 @@
 // sendRecord sends this sidecar's record to the followed member.
 func (c *controlPlaneConn) sendRecord(r directory.Record) {
 	if conn := c.conn.Load(); conn != nil {
-		conn.Send(directory.ToWire([]directory.Record{r}))
+		_ = conn.Send(directory.ToWire([]directory.Record{r}))
 	}
 }
--- a/internal/mesh/sidecar/fake_control_plane_test.go
+++ b/internal/mesh/sidecar/fake_control_plane_test.go
@@ -36,8 +36,10 @@
 	t.Helper()
 	items, err := config.ParseItems([]byte(text))
 	assert.NilError(t, err)
-	r := &fakeControlPlane{items: config.ItemsToWire(items), seenAs: map[string]string{}, records: map[string]*wire.RecordT{},
-		conns: map[*transport.Conn]bool{}, store: idempotency.New()}
+	r := &fakeControlPlane{
+		items: config.ItemsToWire(items), seenAs: map[string]string{}, records: map[string]*wire.RecordT{},
+		conns: map[*transport.Conn]bool{}, store: idempotency.New(),
+	}
 	r.items.Complete, r.items.Index = true, 1
 	l, err := net.Listen("tcp4", freeAddr(t))
 	assert.NilError(t, err)
@@ -137,8 +139,10 @@
 	case codec.CallLeaseKeys:
 		out := &wire.KeyLeaseResultsT{}
 		for _, c := range wire.GetRootAsKeyLeaseRequests(a.Body, 0).UnPack().List {
-			claim := idempotency.LeaseRequest{Key: c.Key, Token: c.Token, Attempt: c.Attempt, Holder: c.Holder, Release: c.Release,
-				Window: time.Duration(c.WindowUs) * time.Microsecond}
+			claim := idempotency.LeaseRequest{
+				Key: c.Key, Token: c.Token, Attempt: c.Attempt, Holder: c.Holder, Release: c.Release,
+				Window: time.Duration(c.WindowUs) * time.Microsecond,
+			}
 			g := r.store.Apply(time.Second, claim)
 			if r.overrideGrant != nil {
 				g = r.overrideGrant(claim, g)
--- a/internal/mesh/sidecar/faults_test.go
+++ b/internal/mesh/sidecar/faults_test.go
@@ -197,9 +197,11 @@
 	defer c.Close(nil)
 	ids := []string{newAttemptID(), newAttemptID()}
 	for n, id := range ids {
-		request := &wire.RequestT{Id: 7, AttemptId: id, Method: "GET", Target: "/once/plain", Host: chainHost,
+		request := &wire.RequestT{
+			Id: 7, AttemptId: id, Method: "GET", Target: "/once/plain", Host: chainHost,
 			TimeoutUs: time.Minute.Microseconds(), ServerId: "i-0",
-			AtMostOnce: true, HeaderFields: []*wire.HeaderFieldT{{Name: headerAttemptID, Value: id}}}
+			AtMostOnce: true, HeaderFields: []*wire.HeaderFieldT{{Name: headerAttemptID, Value: id}},
+		}
 		assert.NilError(t, c.Send(request))
 		if n == 0 {
 			await(t, func() bool { return x.history.runs(id) == 1 })
--- a/internal/mesh/sidecar/hollow.go
+++ b/internal/mesh/sidecar/hollow.go
@@ -42,11 +42,11 @@
 	s.env.ctx = work
 	localAPIServer := api.NewServer(s.localServer.handler())
 	defer localAPIServer.Close()
-	go localAPIServer.Serve(s.localAPIListener)
-	s.startControl()
+	go serveUntilClosed(localAPIServer, s.localAPIListener)
+	s.startControl() //nolint:contextcheck // what it starts lasts as long as the sidecar
 	<-ctx.Done()
 	s.readiness.stopping.Store(true)
-	s.localServer.leave()
+	s.localServer.leave() //nolint:contextcheck // what it starts lasts as long as the sidecar
 	s.controlPlane.close()
 	s.upstreams.close()
 }
--- a/internal/mesh/sidecar/inbound_conn.go
+++ b/internal/mesh/sidecar/inbound_conn.go
@@ -57,7 +57,7 @@
 			r.cancel(engine.ErrWithdrawn)
 		}
 	case *wire.CallT:
-		c.conn.Send(c.inbound.handleCall(v))
+		_ = c.conn.Send(c.inbound.handleCall(v))
 	}
 }
 
@@ -66,7 +66,7 @@
 	if c.conn.Peer.TransportVersion >= codec.PackedHeaderVersion {
 		a = codec.PackResponse(a)
 	}
-	c.conn.Send(a)
+	_ = c.conn.Send(a)
 }
 
 func (c *inboundConn) find(id uint64) *inboundRequest {
--- a/internal/mesh/sidecar/inbound_request.go
+++ b/internal/mesh/sidecar/inbound_request.go
@@ -38,7 +38,9 @@
 	}
 	request.HeaderFields = append(request.HeaderFields, fields...)
 	if request.MoreBody {
-		r.body = message.NewStream(nil, func(n int) { conn.conn.Send(&wire.WindowUpdateT{Id: request.Id, Increment: uint32(n)}) })
+		r.body = message.NewStream(nil, func(n int) {
+			_ = conn.conn.Send(&wire.WindowUpdateT{Id: request.Id, Increment: uint32(n)})
+		})
 		r.body.Length = request.ContentLength
 	}
 	if !conn.add(r) {
@@ -101,8 +103,10 @@
 // newMessage is the request as the sender takes it.
 func (r *inboundRequest) newMessage() *message.Request {
 	request := r.request
-	m := &message.Request{Method: request.Method, URL: &url.URL{Opaque: request.Target}, Authority: request.Host,
-		Header: make(map[string][]string, len(request.HeaderFields)), Body: request.Body, More: r.body, Runs: message.RunsOften, Note: request}
+	m := &message.Request{
+		Method: request.Method, URL: &url.URL{Opaque: request.Target}, Authority: request.Host,
+		Header: make(map[string][]string, len(request.HeaderFields)), Body: request.Body, More: r.body, Runs: message.RunsOften, Note: request,
+	}
 	if request.AtMostOnce {
 		m.Runs = message.RunsOnce
 	}
@@ -142,7 +146,7 @@
 		return nil
 	}
 	if ending == balancer.Unreachable {
-		r.inbound.localServer.checkUnreachable(endpoint)
+		r.inbound.localServer.checkUnreachable(endpoint) //nolint:contextcheck // it outlasts the request
 	}
 	if ending == balancer.Failure {
 		reply = m.Failed()
@@ -205,22 +209,23 @@
 	head.HeaderFields = wireFields(stream.Header)
 	r.conn.sendResponse(head)
 	// The time for a response is over once it has begun: what comes is sent on for as long as the other side takes it.
+	unbounded := context.WithoutCancel(ctx)
 	for {
-		piece, err := stream.Next(context.WithoutCancel(ctx))
+		piece, err := stream.Next(unbounded)
 		if err != nil || piece == nil {
 			last := &wire.BodyChunkT{Id: r.request.Id, Last: true}
 			if err != nil || stream.Trailer() == nil {
 				last.Aborted = true
 				r.truncated.Store(true)
 			}
-			r.conn.conn.Send(last)
+			_ = r.conn.conn.Send(last)
 			return
 		}
-		if !r.sendWindow.acquire(context.Background(), len(piece)) { // the connection's end closes the window
+		if !r.sendWindow.acquire(unbounded, len(piece)) { // the connection's end closes the window
 			r.truncated.Store(true)
 			r.cancel(engine.ErrWithdrawn)
 			return
 		}
-		r.conn.conn.Send(&wire.BodyChunkT{Id: r.request.Id, Data: piece})
+		_ = r.conn.conn.Send(&wire.BodyChunkT{Id: r.request.Id, Data: piece})
 	}
 }
--- a/internal/mesh/sidecar/inherited_responses_test.go
+++ b/internal/mesh/sidecar/inherited_responses_test.go
@@ -26,7 +26,7 @@
 		assert.Assert(t, i.get("c", "k") == nil && i.get("a", "other") == nil)
 		time.Sleep(time.Minute)
 		assert.Assert(t, i.get("a", "k") == nil, "it has expired")
-		time.Sleep(1)
+		time.Sleep(time.Nanosecond)
 		i.add("a", record("third", time.Minute))
 		assert.Equal(t, string(i.get("a", "k").Body), "third")
 		assert.Equal(t, i.bytes, len("third")+len("of b"))
--- a/internal/mesh/sidecar/key_lease.go
+++ b/internal/mesh/sidecar/key_lease.go
@@ -55,8 +55,10 @@
 	case record.Status == 0: // it never ran, and its key is on the way back
 		return &wire.ResponseT{Ending: codeKeyNotGranted}
 	}
-	return r.replayResponse(&wire.ResponseT{Status: record.Status, HeaderFields: record.HeaderFields, Body: record.Body,
-		ContentLength: int64(len(record.Body))})
+	return r.replayResponse(&wire.ResponseT{
+		Status: record.Status, HeaderFields: record.HeaderFields, Body: record.Body,
+		ContentLength: int64(len(record.Body)),
+	})
 }
 
 // repeatResponse answers a request whose key was claimed here before.
@@ -116,6 +118,8 @@
 
 // newLeaseRequest asks for the lease of the request's key, for a window from now.
 func (r *inboundRequest) newLeaseRequest(window time.Duration) *wire.KeyLeaseRequestT {
-	return &wire.KeyLeaseRequestT{Key: r.request.IdempotencyKey, Token: r.request.Token, Attempt: r.request.Attempt,
-		Holder: r.inbound.env.leaseHolder(), WindowUs: window.Microseconds()}
+	return &wire.KeyLeaseRequestT{
+		Key: r.request.IdempotencyKey, Token: r.request.Token, Attempt: r.request.Attempt,
+		Holder: r.inbound.env.leaseHolder(), WindowUs: window.Microseconds(),
+	}
 }
--- a/internal/mesh/sidecar/local_api.go
+++ b/internal/mesh/sidecar/local_api.go
@@ -44,11 +44,11 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/endpoints/{id}/heartbeat", api.NewHandler(maxLocalCallBytes, localCallTimeout,
 		func(_ context.Context, r *http.Request, heartbeat Heartbeat) (api.Empty, error) {
-			return api.Empty{}, s.heartbeat(r.PathValue("id"), heartbeat)
+			return api.Empty{}, s.heartbeat(r.PathValue("id"), heartbeat) //nolint:contextcheck // the change outlasts the call
 		}))
 	mux.HandleFunc("POST /v1/endpoints/{id}/deregister", api.NewHandler(maxLocalCallBytes, localCallTimeout,
 		func(_ context.Context, r *http.Request, _ api.Empty) (api.Empty, error) {
-			s.deregister(r.PathValue("id"))
+			s.deregister(r.PathValue("id")) //nolint:contextcheck // the change outlasts the call
 			return api.Empty{}, nil
 		}))
 	return mux
--- a/internal/mesh/sidecar/local_server.go
+++ b/internal/mesh/sidecar/local_server.go
@@ -43,8 +43,10 @@
 
 func newLocalServer(env *environment, s *sender.Sender, metrics *requestMetrics) *localServer {
 	set := env.settings.Load()
-	current := directory.Record{Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1,
-		Addr: set.ListenAddrs.Inbound, Zone: set.Zone, Service: set.Service, ProtocolVersion: transport.ProtocolVersion}
+	current := directory.Record{
+		Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1,
+		Addr: set.ListenAddrs.Inbound, Zone: set.Zone, Service: set.Service, ProtocolVersion: transport.ProtocolVersion,
+	}
 	l := &localServer{env: env, sender: s, metrics: metrics, goneInstances: map[string]bool{}, current: current}
 	l.published.Store(&current)
 	return l
--- a/internal/mesh/sidecar/outbound_listener.go
+++ b/internal/mesh/sidecar/outbound_listener.go
@@ -51,7 +51,7 @@
 	f.Heads(maxRequestHeadBytes)
 	o.front.Store(f)
 	go func() {
-		if err := f.Serve(); err != http.ErrServerClosed && !o.readiness.stopping.Load() {
+		if err := f.Serve(); !errors.Is(err, http.ErrServerClosed) && !o.readiness.stopping.Load() {
 			o.env.log.Error().Err(err).Msg("outbound listener failed")
 		}
 	}()
@@ -94,11 +94,11 @@
 	f.Hand()
 	deadline, _ := ctx.Deadline()
 	for gaveUp := false; f.Open() > 0 && ctx.Err() == nil; <-tick {
-		f.LeadIdle()
+		f.LeadIdle() //nolint:contextcheck // its context bounds the wait only
 		if !gaveUp && time.Until(deadline) < blockedRequestCutoff {
 			gaveUp = true
 			f.GiveUp()
 		}
 	}
-	f.Shutdown(ctx)
+	_ = f.Shutdown(ctx) // what is still open ends with the process
 }
--- a/internal/mesh/sidecar/relay_test.go
+++ b/internal/mesh/sidecar/relay_test.go
@@ -41,8 +41,10 @@
 }
 
 func newCut(mode cutMode, answer bool, after int) *cut {
-	return &cut{mode: mode, answer: answer, after: after,
-		struck: make(chan struct{}), mended: make(chan struct{}), released: make(chan struct{})}
+	return &cut{
+		mode: mode, answer: answer, after: after,
+		struck: make(chan struct{}), mended: make(chan struct{}), released: make(chan struct{}),
+	}
 }
 
 // relayedMessage is a frame or an HTTP message that passes, with the call that it belongs to; "": none.
--- a/internal/mesh/sidecar/resource_budgets.go
+++ b/internal/mesh/sidecar/resource_budgets.go
@@ -30,7 +30,7 @@
 	share := func(total int64) *pool.Share {
 		b := pool.NewBudget(total)
 		s := b.NewShare()
-		b.Configure(total, map[*pool.Share]pool.Quota{s: {}})
+		_ = b.Configure(total, map[*pool.Share]pool.Quota{s: {}}) // one share without a quota always fits
 		return s
 	}
 	files := int64(set.Limits.MaxFds)
@@ -42,6 +42,8 @@
 	if memory == 0 {
 		memory = defaultMemoryBytes
 	}
-	return &resourceBudgets{calls: share(maxCalls), held: share(maxHeldCalls), bodies: share(memory / 4), longAnswers: share(memory / 8),
-		callers: share(files * 3 / 4), servers: share(files / 4), toServer: share(memory / 8)}
+	return &resourceBudgets{
+		calls: share(maxCalls), held: share(maxHeldCalls), bodies: share(memory / 4), longAnswers: share(memory / 8),
+		callers: share(files * 3 / 4), servers: share(files / 4), toServer: share(memory / 8),
+	}
 }
--- a/internal/mesh/sidecar/service.go
+++ b/internal/mesh/sidecar/service.go
@@ -52,8 +52,10 @@
 	s.mu.Unlock()
 	if s.position != position {
 		s.position = position
-		go s.pool.Engine().Tell(balancer.Fleet{Balancers: position.sidecars, Index: position.index,
-			Divisor: max(1, float64(position.sidecars)/2), Whole: true, Takes: position.serverCapacity})
+		go s.pool.Engine().Tell(balancer.Fleet{
+			Balancers: position.sidecars, Index: position.index,
+			Divisor: max(1, float64(position.sidecars)/2), Whole: true, Takes: position.serverCapacity,
+		})
 	}
 	select {
 	case s.source.changed <- struct{}{}:
--- a/internal/mesh/sidecar/service_pools.go
+++ b/internal/mesh/sidecar/service_pools.go
@@ -77,9 +77,11 @@
 func (p *servicePools) openService(name string, routes []*routing.Route) *service {
 	s := &service{name: name, classes: map[string]balancer.Class{}}
 	s.source = &directorySource{env: p.env, directory: p.directory, maintenance: p.maintenance, service: name, changed: make(chan struct{}, 1)}
-	set := balancer.Settings{Balancers: max(1, p.directory.table.Load().Len()), MaxAttempts: maxModuleAttempts, Tick: moduleTick,
+	set := balancer.Settings{
+		Balancers: max(1, p.directory.table.Load().Len()), MaxAttempts: maxModuleAttempts, Tick: moduleTick,
 		MaxRetryAfter: maxModuleRetryAfter, MayCancel: true, WholeWeight: moduleWholeWeight, ClassWeight: moduleClassWeight,
-		ColdFrom: warmupStartWeight, WarmAfter: warmupPeriod}
+		ColdFrom: warmupStartWeight, WarmAfter: warmupPeriod,
+	}
 	for _, class := range moduleClasses(name, routes) {
 		s.classes[class.Name] = class
 		set.Classes = append(set.Classes, class)
@@ -87,9 +89,11 @@
 	s.retryBudget = retrybudget.New(p.retryLimits())
 	b := p.budgets
 	var err error
-	s.pool, err = pool.New(pool.Config{Name: name, Settings: set, Seed: rand.Uint64(), Clock: p.env.clock,
+	s.pool, err = pool.New(pool.Config{
+		Name: name, Settings: set, Seed: rand.Uint64(), Clock: p.env.clock,
 		Sender: p.upstreams, Source: s.source, Pushed: true,
-		Shares: pool.Shares{Calls: b.calls, Held: b.held, Connections: b.servers, Bodies: b.bodies, LongAnswers: b.longAnswers}})
+		Shares: pool.Shares{Calls: b.calls, Held: b.held, Connections: b.servers, Bodies: b.bodies, LongAnswers: b.longAnswers},
+	})
 	if err != nil { // the items were checked, so this is a fault of the program
 		p.env.log.Error().Err(err).Str("service", name).Msg("pool can't be made")
 		panic(err)
@@ -102,8 +106,10 @@
 func (p *servicePools) retryLimits() retrybudget.Limits {
 	b := p.env.settings.Load().Bounds
 	sidecars := max(minSidecars, p.directory.table.Load().Len())
-	return retrybudget.Limits{Window: b.RetryWindowS.Duration(), Ratio: b.RetryBudgetRatio * retryBudgetShare,
-		MinRetries: math.Floor(b.RetrySlack * retryBudgetShare / float64(sidecars))}
+	return retrybudget.Limits{
+		Window: b.RetryWindowS.Duration(), Ratio: b.RetryBudgetRatio * retryBudgetShare,
+		MinRetries: math.Floor(b.RetrySlack * retryBudgetShare / float64(sidecars)),
+	}
 }
 
 // refreshServices has the services take that the directory, or what is in maintenance, has changed.
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -93,8 +93,10 @@
 	s.configuration.poller = newPolicyPoller(env, s.configuration, s.controlPlane)
 	s.claims = &keyClaims{env: env, controlPlane: s.controlPlane}
 	s.releases = newReleaseQueue(env, s.controlPlane)
-	s.assembleInbound(ring, sender.New(sender.Config{Idle: serverIdleTimeout, Connect: serverConnectTimeout, Connections: budgets.servers,
-		LongAnswers: budgets.toServer, Speech: serverProtocol{}, Quiet: time.Hour}))
+	s.assembleInbound(ring, sender.New(sender.Config{
+		Idle: serverIdleTimeout, Connect: serverConnectTimeout, Connections: budgets.servers,
+		LongAnswers: budgets.toServer, Speech: serverProtocol{}, Quiet: time.Hour,
+	}))
 	s.connectParts()
 	return s
 }
@@ -102,8 +104,10 @@
 // assembleInbound makes the parts that run requests at the local server.
 func (s *Sidecar) assembleInbound(ring *logring.Ring, toServer *sender.Sender) {
 	responses := newResponseStore()
-	s.inbound = &inboundServer{env: s.env, sender: toServer, responses: responses, claims: s.claims, releases: s.releases,
-		maintenance: s.maintenance, status: s.status, ring: ring, conns: map[*inboundConn]bool{}}
+	s.inbound = &inboundServer{
+		env: s.env, sender: toServer, responses: responses, claims: s.claims, releases: s.releases,
+		maintenance: s.maintenance, status: s.status, ring: ring, conns: map[*inboundConn]bool{},
+	}
 	s.inbound.recaller = &recaller{env: s.env, upstreams: s.upstreams, maintenance: s.maintenance, responses: responses}
 	s.localServer = newLocalServer(s.env, toServer, &s.inbound.metrics)
 	s.inbound.localServer = s.localServer
@@ -141,15 +145,20 @@
 	if err := s.outbound.open(resolver, protocol); err != nil {
 		return err
 	}
-	go readinessServer.Serve(s.readinessListener)
-	go localAPIServer.Serve(s.localAPIListener)
-	go s.inbound.acceptConns(s.inboundListener)
-	s.startControl()
+	go serveUntilClosed(readinessServer, s.readinessListener)
+	go serveUntilClosed(localAPIServer, s.localAPIListener)
+	go s.inbound.acceptConns(s.inboundListener) //nolint:contextcheck // what it starts lasts as long as the sidecar
+	s.startControl()                            //nolint:contextcheck // what it starts lasts as long as the sidecar
 	<-ctx.Done()
-	s.shutdown()
+	s.shutdown() //nolint:contextcheck // it begins when ctx has ended
 	return nil
 }
 
+// serveUntilClosed serves until the server is closed.
+func serveUntilClosed(server *http.Server, listener net.Listener) {
+	_ = server.Serve(listener) // always an error: that it was closed
+}
+
 // startControl starts the goroutines that follow the control plane and the local server.
 func (s *Sidecar) startControl() {
 	go s.releases.run()
--- a/internal/mesh/sidecar/upstream.go
+++ b/internal/mesh/sidecar/upstream.go
@@ -171,7 +171,7 @@
 		if a := u.find(conn, v.Id); a != nil {
 			a.handleResponse(v)
 		} else if v.MoreBody { // nobody is there to take the pieces
-			conn.Send(&wire.CancelT{Id: v.Id})
+			_ = conn.Send(&wire.CancelT{Id: v.Id})
 		}
 	case *wire.BodyChunkT:
 		if a := u.find(conn, v.Id); a != nil {
--- a/internal/mesh/sidecar/upstream_attempt.go
+++ b/internal/mesh/sidecar/upstream_attempt.go
@@ -104,7 +104,7 @@
 	a.mu.Lock()
 	if a.finished {
 		a.mu.Unlock()
-		a.conn.Send(&wire.CancelT{Id: a.id})
+		_ = a.conn.Send(&wire.CancelT{Id: a.id})
 		return
 	}
 	if a.responseStream != nil {
@@ -126,7 +126,7 @@
 	}
 	stream := message.NewStream(fields, func(n int) {
 		if taken += n; taken >= windowUpdateBytes {
-			a.conn.Send(&wire.WindowUpdateT{Id: a.id, Increment: uint32(taken)})
+			_ = a.conn.Send(&wire.WindowUpdateT{Id: a.id, Increment: uint32(taken)})
 			taken = 0
 		}
 	})
@@ -158,12 +158,12 @@
 	for {
 		piece, err := m.More.Next(ctx)
 		if err != nil || piece == nil {
-			a.conn.Send(&wire.BodyChunkT{Id: a.id, Last: true, Aborted: err != nil || m.More.Trailer() == nil})
+			_ = a.conn.Send(&wire.BodyChunkT{Id: a.id, Last: true, Aborted: err != nil || m.More.Trailer() == nil})
 			return
 		}
 		if !a.sendWindow.acquire(ctx, len(piece)) {
 			return
 		}
-		a.conn.Send(&wire.BodyChunkT{Id: a.id, Data: piece})
+		_ = a.conn.Send(&wire.BodyChunkT{Id: a.id, Data: piece})
 	}
 }
--- a/internal/mesh/sidecar/upstream_sender.go
+++ b/internal/mesh/sidecar/upstream_sender.go
@@ -49,8 +49,10 @@
 	if m.More != nil && !m.Claim() {
 		return balancer.Void, nil
 	}
-	sent := &upstreamAttempt{attempt: a, id: u.lastStreamID.Add(1), attemptID: routed.attemptID, conn: conn, done: make(chan struct{}),
-		ruleTrace: routed.ruleTrace}
+	sent := &upstreamAttempt{
+		attempt: a, id: u.lastStreamID.Add(1), attemptID: routed.attemptID, conn: conn, done: make(chan struct{}),
+		ruleTrace: routed.ruleTrace,
+	}
 	sent.sendWindow.add(sendWindowBytes)
 	if !x.add(sent) {
 		return balancer.Unreachable, nil
@@ -86,7 +88,7 @@
 	case <-a.done:
 	case <-ctx.Done():
 		if m.Runs != message.RunsOnce || m.More != nil { // else it goes on, and its response is stored for a repeat
-			a.conn.Send(&wire.CancelT{Id: a.id})
+			_ = a.conn.Send(&wire.CancelT{Id: a.id})
 		}
 		a.finish(engine.EndingOf(ctx), nil)
 	}
@@ -103,9 +105,11 @@
 
 // newRequest is an attempt as it is sent.
 func (u *upstreams) newRequest(a *engine.Attempt, m *message.Request, routed *routedRequest, id uint64, nth uint32) *wire.RequestT {
-	r := &wire.RequestT{Id: id, AttemptId: routed.attemptID, Method: m.Method, Target: m.URL.Opaque, Host: m.Authority, Body: m.Body,
+	r := &wire.RequestT{
+		Id: id, AttemptId: routed.attemptID, Method: m.Method, Target: m.URL.Opaque, Host: m.Authority, Body: m.Body,
 		ContentLength: int64(len(m.Body)), TimeoutUs: int64(a.Timeout / time.Microsecond), ServerId: a.Endpoint.ID,
-		IdempotencyKey: routed.key, Token: routed.token, Attempt: nth, AtMostOnce: m.Runs == message.RunsOnce}
+		IdempotencyKey: routed.key, Token: routed.token, Attempt: nth, AtMostOnce: m.Runs == message.RunsOnce,
+	}
 	if m.More != nil {
 		r.MoreBody, r.ContentLength = true, m.More.Length
 	}
