--- a/internal/mesh/sim/disk/disk.go
+++ b/internal/mesh/sim/disk/disk.go
@@ -1,9 +1,13 @@
-// Package disk simulates the disk of one machine for goleveldb: one folder of files that a process writes through a cache.
-// What was synced survives a loss of power; of the rest each name that was made, renamed or removed is kept or lost by
-// itself, and each file's last writes are torn. Faults come when they are told to, all chance from the generator that is
-// passed in, so the same calls leave the same bytes.
+// Package disk simulates the disk of one machine for goleveldb: one folder of files that a process writes through a cache. What was
+// synced survives a loss of power. Of the rest, each name that was made, renamed or removed is kept or lost by itself, and the last
+// writes to each file are torn.
 //
-// The disk keeps no time. A stalled disk is told by OnAccess, whose callee may count or simulate what an access takes.
+// It owns the files' bytes, cached and durable. It must never draw a fault by itself: faults come when they are called for, and all
+// chance is from the generator that is passed in, so that the same calls leave the same bytes. It keeps no time: a slow disk is
+// simulated by the function that OnAccess sets.
+//
+// Sources: POSIX fsync (a file's data and its name in the directory are durable separately); SQLite's crash tests and FoundationDB's
+// simulation (torn and lost sectors by seed); goleveldb's storage.OpenFile, whose order of steps is followed.
 package disk
 
 import (
@@ -16,7 +20,7 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// AccessKind is what a process asks of the disk.
+// AccessKind says what a process does with the disk.
 type AccessKind string
 
 // Kinds of accesses.
@@ -30,36 +34,37 @@
 	AccessRead       AccessKind = "read"
 )
 
-// Access is one access to a file; Bytes are those written or read.
+// Access is one access to the disk.
 type Access struct {
 	Kind  AccessKind
-	File  string
-	Bytes int
+	File  string // "": the folder
+	Bytes int    // that are written or read
 }
 
 // Disk is one machine's disk. It may be used by several goroutines at once, as goleveldb does.
 type Disk struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards all but onAccess
 	folder      folder
 	process     uint64 // rises when a process ends: handles of earlier ones are closed
 	locked      bool   // by a store of the present process
 	full        bool
-	readErrors  bool // reads fail
-	ignoreSyncs bool // planted: syncs are acknowledged and not done
-	onAccess    func(Access)
+	readErrors  bool
+	ignoreSyncs bool // syncs are acknowledged and not done
+
+	onAccess func(Access) // set while the disk is not in use; nil: none
 }
 
-// New is an empty disk.
+// New returns an empty disk.
 func New() *Disk { return &Disk{folder: newFolder()} }
 
-// Open gives the files to the running process. The handle is closed by KillProcess, Crash and Wipe.
+// Open gives the files to the running process. KillProcess, LosePower and Wipe close the handle. There is no error.
 func (d *Disk) Open(readOnly bool) (storage.Storage, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return &handle{disk: d, process: d.process, readOnly: readOnly}, nil
 }
 
-// Sync syncs the folder: the names in it are as lasting as they stand.
+// Sync syncs the folder: the names in it are durable as they are now. There is no error.
 func (d *Disk) Sync() error {
 	d.access(Access{Kind: AccessSyncFolder})
 	d.mu.Lock()
@@ -80,7 +85,7 @@
 	}
 }
 
-// Discard removes all files, lasting, all at once.
+// Discard removes all files at once, durably. There is no error.
 func (d *Disk) Discard() error {
 	d.access(Access{Kind: AccessSyncFolder})
 	d.mu.Lock()
@@ -89,46 +94,45 @@
 	return nil
 }
 
-// OnAccess has every later access told before it is done, without the disk's lock. It must not be called while the disk is
-// in use.
-func (d *Disk) OnAccess(tell func(Access)) { d.onAccess = tell }
+// OnAccess sets a function that is called before each later access is done, without the disk's lock; it may cause faults. It must not
+// be set while the disk is in use.
+func (d *Disk) OnAccess(observe func(Access)) { d.onAccess = observe }
 
-// SetFull has every write and every new file refused, or no longer.
+// SetFull says whether writes and new files fail with ENOSPC.
 func (d *Disk) SetFull(full bool) { d.setFlag(&d.full, full) }
 
-// SetReadErrors has every read fail, or no longer.
+// SetReadErrors says whether reads fail with EIO.
 func (d *Disk) SetReadErrors(fail bool) { d.setFlag(&d.readErrors, fail) }
 
-// SetIgnoreSyncs has syncs acknowledged without being done, or no longer: a disk that lies.
-func (d *Disk) SetIgnoreSyncs(lies bool) { d.setFlag(&d.ignoreSyncs, lies) }
+// SetIgnoreSyncs says whether syncs are acknowledged without being done.
+func (d *Disk) SetIgnoreSyncs(ignore bool) { d.setFlag(&d.ignoreSyncs, ignore) }
 
-func (d *Disk) setFlag(flag *bool, to bool) {
+func (d *Disk) setFlag(flag *bool, value bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	*flag = to
+	*flag = value
 }
 
-// KillProcess ends the process: its handles are closed, all that it wrote stays.
+// KillProcess ends the process: its handles are closed, and everything that it wrote stays.
 func (d *Disk) KillProcess() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.endProcess()
 }
 
-// LosePower is a loss of power: the process ends, and what was not synced is kept, lost or torn by chance. tears are the ways in
-// which a file's first write that is not wholly kept may be torn; none: Cut, Zeroed and
-// Holed.
-func (d *Disk) LosePower(rng *rand.Rand, tears ...TearMode) {
-	if len(tears) == 0 {
-		tears = []TearMode{Truncated, ZeroFilled, SectorsLost}
+// LosePower ends the process, and what was not synced is kept, lost or torn by chance. modes are the ways in which the first write to a
+// file that is not kept as it was may be torn; none: Truncated, ZeroFilled and SectorsLost.
+func (d *Disk) LosePower(rng *rand.Rand, modes ...TearMode) {
+	if len(modes) == 0 {
+		modes = []TearMode{Truncated, ZeroFilled, SectorsLost}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.endProcess()
-	d.folder.losePower(rng, tears)
+	d.folder.losePower(rng, modes)
 }
 
-// Wipe empties the disk and ends the process.
+// Wipe ends the process and empties the disk.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -141,7 +145,7 @@
 	d.locked = false
 }
 
-// FlipBit turns one bit of one file that is not empty, synced or not; ok: there was one.
+// FlipBit flips one bit of one file that is not empty, synced or not. ok: there was such a file.
 func (d *Disk) FlipBit(rng *rand.Rand) (name string, at int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,26 +159,26 @@
 	return name, d.folder.cached[name].flipBit(rng), true
 }
 
-// FileNames are the files as a process sees them, in order.
+// FileNames returns the names of the files as a process sees them, in order.
 func (d *Disk) FileNames() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.folder.cached))
 }
 
-// Fingerprint is a sum over all names and bytes, as a process sees them and as they are lasting.
+// Fingerprint returns a hash of all names and bytes, as a process sees them and as they are durable.
 func (d *Disk) Fingerprint() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	sum := fnv.New64a()
 	for _, names := range []map[string]*file{d.folder.cached, d.folder.durable} {
 		for _, name := range slices.Sorted(maps.Keys(names)) {
-			sum.Write([]byte(name))
-			sum.Write(names[name].cached)
-			sum.Write([]byte{0})
-			sum.Write(names[name].synced)
+			_, _ = sum.Write([]byte(name))
+			_, _ = sum.Write(names[name].cached)
+			_, _ = sum.Write([]byte{0})
+			_, _ = sum.Write(names[name].synced)
 		}
-		sum.Write([]byte{1})
+		_, _ = sum.Write([]byte{1})
 	}
 	return sum.Sum64()
 }
--- a/internal/mesh/sim/disk/disk_test.go
+++ b/internal/mesh/sim/disk/disk_test.go
@@ -37,7 +37,7 @@
 	return w
 }
 
-func read(t *testing.T, files storage.Storage, fd storage.FileDesc) (text string, is bool) {
+func read(t *testing.T, files storage.Storage, fd storage.FileDesc) (text string, exists bool) {
 	t.Helper()
 	r, err := files.Open(fd)
 	if errors.Is(err, os.ErrNotExist) {
@@ -49,7 +49,7 @@
 	return string(p), true
 }
 
-// What was synced is there after every loss of power; a file whose folder was not synced is there in some of them.
+// What was synced is there after every loss of power. A file whose folder was not synced is there in some of them.
 func TestPowerLossKeepsSyncedData(t *testing.T) {
 	var kept, torn int
 	for seed := range uint64(runs) {
@@ -62,12 +62,12 @@
 		assert.NilError(t, err)
 		assert.NilError(t, create(t, files, table, "table").Sync())
 		d.LosePower(rand.New(rand.NewPCG(seed, 1)), Truncated)
-		text, is := read(t, open(t, d), journal)
-		assert.Assert(t, is && text >= "synced" && len(text) <= len("syncedunsynced"), "%q", text)
+		text, exists := read(t, open(t, d), journal)
+		assert.Assert(t, exists && text >= "synced" && len(text) <= len("syncedunsynced"), "%q", text)
 		if len(text) < len("syncedunsynced") {
 			torn++
 		}
-		if text, is := read(t, open(t, d), table); is {
+		if text, exists := read(t, open(t, d), table); exists {
 			kept++
 			assert.Equal(t, text, "table")
 		}
@@ -76,7 +76,7 @@
 	assert.Assert(t, torn > 0 && torn < runs, "the unsynced write was torn in %d of %d", torn, runs)
 }
 
-// Every name is kept or lost by itself: all four outcomes of a removal and a renaming are seen.
+// Each name is kept or lost by itself: all four outcomes of a removal and a renaming are seen.
 func TestPowerLossKeepsOrLosesEachName(t *testing.T) {
 	seen := map[[3]bool]int{}
 	renamed := storage.FileDesc{Type: storage.TypeTable, Num: 4}
@@ -89,16 +89,17 @@
 		assert.NilError(t, files.Remove(journal))
 		assert.NilError(t, files.Rename(table, renamed))
 		d.LosePower(rand.New(rand.NewPCG(seed, 2)))
-		var is [3]bool
+		var exists [3]bool
 		for n, fd := range []storage.FileDesc{journal, table, renamed} {
-			_, is[n] = read(t, open(t, d), fd)
+			_, exists[n] = read(t, open(t, d), fd)
 		}
-		assert.Assert(t, is[1] != is[2], "a renaming is kept or lost whole")
-		seen[is]++
+		assert.Assert(t, exists[1] != exists[2], "a renaming is kept or lost as one")
+		seen[exists]++
 	}
 	assert.Equal(t, len(seen), 4, "%v", seen)
 }
 
+// A torn write leaves what its mode says, and the write itself is not changed.
 func TestTornWrites(t *testing.T) {
 	data := []byte("0123456789")
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -113,26 +114,26 @@
 	assert.DeepEqual(t, data, []byte("0123456789"))
 }
 
-// Sectors reach the disk in any order: those that do not are zeros, and none that was synced is touched.
+// Sectors that are lost are zeros, each of them is lost in some runs, and none that was synced is changed.
 func TestLostSectors(t *testing.T) {
 	content := bytes.Repeat([]byte("x"), 10*sectorBytes)
 	const synced = sectorBytes + 100
 	rng := rand.New(rand.NewPCG(1, 1))
 	lost := map[int]bool{}
 	for range runs {
-		left := loseSectors(content, synced, rng)
-		assert.Assert(t, len(left) == len(content) && bytes.HasPrefix(left, content[:synced]))
-		for start := synced; start < len(left); start = start - start%sectorBytes + sectorBytes {
-			lost[start] = lost[start] || left[start] == 0
+		kept := loseSectors(content, synced, rng)
+		assert.Assert(t, len(kept) == len(content) && bytes.HasPrefix(kept, content[:synced]))
+		for start := synced; start < len(kept); start = start - start%sectorBytes + sectorBytes {
+			lost[start] = lost[start] || kept[start] == 0
 		}
 	}
-	for start, is := range lost {
-		assert.Assert(t, is, "sector at byte %d", start)
+	for start, wasLost := range lost {
+		assert.Assert(t, wasLost, "sector at byte %d", start)
 	}
 	assert.Equal(t, len(lost), 9)
 }
 
-// A manifest's sync makes the names in the folder lasting, and the pointer to it comes after every loss of power.
+// The sync of a manifest makes the names in the folder durable, and its pointer outlasts every loss of power.
 func TestManifestPointerIsDurable(t *testing.T) {
 	for seed := range uint64(runs) {
 		d := New()
@@ -142,11 +143,11 @@
 		assert.NilError(t, files.SetMeta(manifest))
 		d.LosePower(rand.New(rand.NewPCG(seed, 3)))
 		files = open(t, d)
-		held, err := files.GetMeta()
+		inUse, err := files.GetMeta()
 		assert.NilError(t, err)
-		assert.Equal(t, held, manifest)
-		_, is := read(t, files, journal)
-		assert.Assert(t, is)
+		assert.Equal(t, inUse, manifest)
+		_, exists := read(t, files, journal)
+		assert.Assert(t, exists)
 	}
 }
 
@@ -166,14 +167,14 @@
 		_ = files.SetMeta(next)
 		d.OnAccess(nil)
 		d.KillProcess()
-		held, err := open(t, d).GetMeta()
+		inUse, err := open(t, d).GetMeta()
 		assert.NilError(t, err)
-		seen[held]++
+		seen[inUse]++
 	}
 	assert.Equal(t, len(seen), 2, "%v", seen)
 }
 
-// losePowerAt has the power go before the n-th access from now on.
+// losePowerAt has the power lost before the n-th access from now on.
 func losePowerAt(d *Disk, rng *rand.Rand, n int) {
 	d.OnAccess(func(Access) {
 		if n == 0 {
@@ -183,6 +184,7 @@
 	})
 }
 
+// A process that was killed keeps what it wrote, synced or not; its handles are closed.
 func TestKilledProcessKeepsItsWritesAndLosesItsHandles(t *testing.T) {
 	d := New()
 	files := open(t, d)
@@ -196,6 +198,7 @@
 	assert.Equal(t, text, "unsynced")
 }
 
+// A full disk refuses writes, one with read errors refuses reads, and one that is wiped is empty and unlocked.
 func TestFullUnreadableWipedAndLocked(t *testing.T) {
 	d := New()
 	files := open(t, d)
@@ -228,7 +231,7 @@
 	assert.NilError(t, err)
 }
 
-// A disk whose syncs do nothing loses what was synced in some losses of power.
+// A disk that ignores syncs loses what was synced in some losses of power.
 func TestIgnoredSyncsLoseData(t *testing.T) {
 	var lost int
 	for seed := range uint64(runs) {
@@ -244,26 +247,26 @@
 	assert.Assert(t, lost > 0)
 }
 
-// The same calls and the same seed leave the same bytes; an access is told with its file and bytes.
+// The same calls and the same seed leave the same bytes. An access is observed with its file and bytes.
 func TestSameSeedSameDisk(t *testing.T) {
 	run := func(seed uint64) (uint64, []Access) {
-		var told []Access
+		var accesses []Access
 		d := New()
-		d.OnAccess(func(a Access) { told = append(told, a) })
+		d.OnAccess(func(a Access) { accesses = append(accesses, a) })
 		files := open(t, d)
 		create(t, files, journal, "one")
 		create(t, files, table, "two")
 		assert.NilError(t, files.Remove(journal))
 		d.LosePower(rand.New(rand.NewPCG(seed, 6)))
 		_, _, _ = d.FlipBit(rand.New(rand.NewPCG(seed, 7)))
-		return d.Fingerprint(), told
+		return d.Fingerprint(), accesses
 	}
 	sums := map[uint64]bool{}
 	for seed := range uint64(20) {
-		first, told := run(seed)
+		first, accesses := run(seed)
 		again, _ := run(seed)
 		assert.Equal(t, first, again)
-		assert.DeepEqual(t, told[1], Access{Kind: AccessWrite, File: "000001.log", Bytes: 3})
+		assert.DeepEqual(t, accesses[1], Access{Kind: AccessWrite, File: "000001.log", Bytes: 3})
 		sums[first] = true
 	}
 	assert.Assert(t, len(sums) > 3, "seeds differ")
--- a/internal/mesh/sim/disk/file.go
+++ b/internal/mesh/sim/disk/file.go
@@ -6,28 +6,28 @@
 	"slices"
 )
 
-// TearMode is a way in which a loss of power leaves a write that was not synced.
+// TearMode is the way in which a loss of power modes a write that was not synced.
 type TearMode uint8
 
-// Ways to tear a write.
+// Modes of tearing a write.
 const (
 	Truncated   TearMode = iota // the file ends within it
-	ZeroFilled                  // the file has its length, but from some byte on zeros
-	BitsFlipped                 // it is there, with some bits turned
-	SectorsLost                 // all that was written is there, but for some sectors, which are zeros: they reach a disk in any order
+	ZeroFilled                  // the file has its length, with zeros from some byte on
+	BitsFlipped                 // it is there, with some bits flipped
+	SectorsLost                 // it is there, but for some sectors, which are zeros: they reach a disk in any order
 )
 
-// sectorBytes is what a disk writes whole, in bytes.
+// sectorBytes is what a disk writes as a unit.
 const sectorBytes = 512
 
-// file is one file's bytes. Slices that were handed out are never written to: bytes are appended behind them or replaced.
+// file is the bytes of one file. Slices that were handed out are never written to: bytes are appended behind them, or replaced.
 type file struct {
 	cached   []byte  // as processes see it
 	synced   []byte  // as of its last sync
 	unsynced []write // what was done to it since then
 }
 
-// write is one write behind a file's end, or the removal of all its bytes.
+// write is one append to a file, or the removal of all its bytes.
 type write struct {
 	truncate bool
 	data     []byte
@@ -49,32 +49,32 @@
 	f.unsynced = nil
 }
 
-// losePower keeps some of the unsynced writes, and tears the next one.
-func (f *file) losePower(rng *rand.Rand, tears []TearMode) {
+// losePower keeps some of the unsynced writes and modes the one after them.
+func (f *file) losePower(rng *rand.Rand, modes []TearMode) {
 	if len(f.unsynced) == 0 {
 		return
 	}
-	how := tears[rng.IntN(len(tears))]
-	if how == SectorsLost {
-		left := loseSectors(f.cached, f.firstUnsynced(), rng)
-		f.cached, f.synced, f.unsynced = left, left, nil
+	mode := modes[rng.IntN(len(modes))]
+	if mode == SectorsLost {
+		kept := loseSectors(f.cached, f.firstUnsynced(), rng)
+		f.cached, f.synced, f.unsynced = kept, kept, nil
 		return
 	}
 	kept := bytes.Clone(f.synced)
-	whole := rng.IntN(len(f.unsynced) + 1)
-	for _, w := range f.unsynced[:whole] {
+	complete := rng.IntN(len(f.unsynced) + 1)
+	for _, w := range f.unsynced[:complete] {
 		if w.truncate {
 			kept = nil
 		}
 		kept = append(kept, w.data...)
 	}
-	if whole < len(f.unsynced) {
-		kept = append(kept, tear(f.unsynced[whole].data, rng, how)...)
+	if complete < len(f.unsynced) {
+		kept = append(kept, tear(f.unsynced[complete].data, rng, mode)...)
 	}
 	f.cached, f.synced, f.unsynced = kept, kept, nil
 }
 
-// firstUnsynced is where the bytes begin that were not synced.
+// firstUnsynced is the offset of the first byte that was not synced.
 func (f *file) firstUnsynced() int {
 	if slices.ContainsFunc(f.unsynced, func(w write) bool { return w.truncate }) {
 		return 0
@@ -82,39 +82,39 @@
 	return len(f.synced)
 }
 
-// loseSectors is a file of which some sectors, or what lies of them behind a byte, are zeros.
+// loseSectors returns a copy of a content in which some sectors, as far as they lie behind an offset, are zeros.
 func loseSectors(content []byte, from int, rng *rand.Rand) []byte {
-	left := bytes.Clone(content)
-	for start := from; start < len(left); {
-		end := min(start-start%sectorBytes+sectorBytes, len(left))
+	kept := bytes.Clone(content)
+	for start := from; start < len(kept); {
+		end := min(start-start%sectorBytes+sectorBytes, len(kept))
 		if rng.IntN(2) == 0 {
-			clear(left[start:end])
+			clear(kept[start:end])
 		}
 		start = end
 	}
-	return left
+	return kept
 }
 
-// tear is what a torn write leaves.
-func tear(data []byte, rng *rand.Rand, how TearMode) []byte {
+// tear returns what is left of a torn write.
+func tear(data []byte, rng *rand.Rand, mode TearMode) []byte {
 	if len(data) == 0 {
 		return nil
 	}
 	at := rng.IntN(len(data))
-	switch how {
+	switch mode {
 	case ZeroFilled:
 		return append(bytes.Clone(data[:at]), make([]byte, len(data)-at)...)
 	case BitsFlipped:
-		turned := bytes.Clone(data)
+		flipped := bytes.Clone(data)
 		for range 1 + rng.IntN(3) {
-			turned[rng.IntN(len(turned))] ^= 1 << rng.IntN(8)
+			flipped[rng.IntN(len(flipped))] ^= 1 << rng.IntN(8)
 		}
-		return turned
+		return flipped
 	}
 	return data[:at]
 }
 
-// flipBit turns one bit, also in what was synced, and says where.
+// flipBit flips one bit, in what was synced as well, and returns the offset of its byte.
 func (f *file) flipBit(rng *rand.Rand) int {
 	at, bit := rng.IntN(len(f.cached)), byte(1)<<rng.IntN(8)
 	f.cached = bytes.Clone(f.cached)
--- a/internal/mesh/sim/disk/folder.go
+++ b/internal/mesh/sim/disk/folder.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// folder is the names of files.
+// folder maps names to files.
 type folder struct {
 	cached   map[string]*file // as processes see them
 	durable  map[string]*file // as of the last sync of the folder
 	unsynced []nameChange     // what was done since then
 }
 
-// nameChange is one change of names: file gets the name to, and loses the name from. One of the names may be empty.
+// nameChange is one change of names: file gets the name to and loses the name from. One of the names may be "": none.
 type nameChange struct {
 	file     *file
 	from, to string
@@ -38,20 +38,20 @@
 	f.unsynced = append(f.unsynced, n)
 }
 
-// create is the file of a name, emptied if there was one.
+// create returns the file of a name, which is emptied if there was one.
 func (f *folder) create(name string) *file {
-	if old, is := f.cached[name]; is {
+	if old, ok := f.cached[name]; ok {
 		old.truncate()
 		return old
 	}
-	made := &file{}
-	f.apply(nameChange{file: made, to: name})
-	return made
+	created := &file{}
+	f.apply(nameChange{file: created, to: name})
+	return created
 }
 
 func (f *folder) remove(name string) error {
-	old, is := f.cached[name]
-	if !is {
+	old, ok := f.cached[name]
+	if !ok {
 		return notExist("remove", name)
 	}
 	f.apply(nameChange{file: old, from: name})
@@ -59,8 +59,8 @@
 }
 
 func (f *folder) rename(from, to string) error {
-	old, is := f.cached[from]
-	if !is {
+	old, ok := f.cached[from]
+	if !ok {
 		return notExist("rename", from)
 	}
 	f.apply(nameChange{file: old, from: from, to: to})
@@ -72,8 +72,8 @@
 	f.unsynced = nil
 }
 
-// losePower keeps each unsynced change of names or not, by itself, and tears the files that are left.
-func (f *folder) losePower(rng *rand.Rand, tears []TearMode) {
+// losePower keeps or loses each unsynced change of names by itself, and modes the files that are left.
+func (f *folder) losePower(rng *rand.Rand, modes []TearMode) {
 	for _, n := range f.unsynced {
 		if rng.IntN(2) == 0 {
 			n.apply(f.durable)
@@ -81,7 +81,7 @@
 	}
 	f.cached, f.unsynced = maps.Clone(f.durable), nil
 	for _, name := range slices.Sorted(maps.Keys(f.cached)) {
-		f.cached[name].losePower(rng, tears)
+		f.cached[name].losePower(rng, modes)
 	}
 }
 
--- a/internal/mesh/sim/disk/handle.go
+++ b/internal/mesh/sim/disk/handle.go
@@ -9,16 +9,16 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// handle is the disk as one process sees it.
+// handle is the disk as one process sees it. It implements goleveldb's storage.Storage.
 type handle struct {
 	disk     *Disk
-	process  uint64
+	process  uint64 // that opened it
 	readOnly bool
-	closed   bool // guarded by disk.mu, as locked is
-	locked   bool
+	closed   bool // guarded by disk.mu
+	locked   bool // it has the disk's lock; guarded by disk.mu
 }
 
-var errReadOnly = errors.New("the files were opened for reading only")
+const errReadOnly = errors.ConstError("the files were opened for reading only")
 
 // withFolder runs f under the disk's lock while the handle is open.
 func (h *handle) withFolder(f func(*folder) error) error {
@@ -30,7 +30,7 @@
 	return f(&h.disk.folder)
 }
 
-// modify is use for what writes; needsRoom: a full disk refuses it.
+// modify is withFolder for what writes. needsRoom: it fails on a full disk.
 func (h *handle) modify(a Access, needsRoom bool, f func(*folder) error) error {
 	if h.readOnly {
 		return errReadOnly
@@ -44,7 +44,7 @@
 	})
 }
 
-// Lock keeps a second store from the same files.
+// Lock keeps another store from the same files.
 func (h *handle) Lock() (storage.Locker, error) {
 	if h.readOnly {
 		return &lock{}, nil
@@ -58,12 +58,16 @@
 	})
 }
 
+// lock is the lock of a handle. handle is nil where nothing was locked.
 type lock struct{ handle *handle }
 
 // Unlock ends a Lock.
 func (l *lock) Unlock() {
 	if l.handle != nil {
-		_ = l.handle.withFolder(func(*folder) error { l.handle.releaseLock(); return nil })
+		_ = l.handle.withFolder(func(*folder) error { // the end of the process has released it otherwise
+			l.handle.releaseLock()
+			return nil
+		})
 	}
 }
 
@@ -73,12 +77,12 @@
 	}
 }
 
-// Log drops goleveldb's notes.
+// Log drops what goleveldb logs.
 func (h *handle) Log(string) {}
 
-// List names the files of some types.
+// List returns the files of some types, in order.
 func (h *handle) List(types storage.FileType) (found []storage.FileDesc, err error) {
-	return found, h.withFolder(func(files *folder) error {
+	err = h.withFolder(func(files *folder) error {
 		for name := range files.cached {
 			if fd, known := parseName(name); known && fd.Type&types != 0 {
 				found = append(found, fd)
@@ -87,6 +91,7 @@
 		sortDescriptors(found)
 		return nil
 	})
+	return found, err
 }
 
 // Open opens a file for reading.
@@ -95,17 +100,18 @@
 		return nil, storage.ErrInvalidFile
 	}
 	var r *reader
-	return r, h.withFolder(func(files *folder) error {
-		f, is := files.cached[fd.String()]
-		if !is {
+	err := h.withFolder(func(files *folder) error {
+		f, ok := files.cached[fd.String()]
+		if !ok {
 			return notExist("open", fd.String())
 		}
 		r = &reader{Reader: *bytes.NewReader(f.cached), handle: h, name: fd.String()}
 		return nil
 	})
+	return r, err
 }
 
-// Create makes a file, or empties it, for writing.
+// Create opens a file for writing: a new one, or one that is emptied.
 func (h *handle) Create(fd storage.FileDesc) (storage.Writer, error) {
 	if !storage.FileDescOk(fd) {
 		return nil, storage.ErrInvalidFile
@@ -124,7 +130,7 @@
 	})
 }
 
-// Rename renames a file, in place of any that has the name.
+// Rename renames a file, and replaces one that has the name.
 func (h *handle) Rename(from, to storage.FileDesc) error {
 	if from == to {
 		return nil
@@ -143,14 +149,14 @@
 	})
 }
 
-// reader reads a file as it was when it was opened.
+// reader reads a file as it was when the reader was opened.
 type reader struct {
 	bytes.Reader
 	handle *handle
 	name   string
 }
 
-// Read reads on.
+// Read implements io.Reader.
 func (r *reader) Read(p []byte) (int, error) {
 	if err := r.checkRead(len(p)); err != nil {
 		return 0, err
@@ -158,7 +164,7 @@
 	return r.Reader.Read(p)
 }
 
-// ReadAt reads anywhere.
+// ReadAt implements io.ReaderAt.
 func (r *reader) ReadAt(p []byte, at int64) (int, error) {
 	if err := r.checkRead(len(p)); err != nil {
 		return 0, err
@@ -176,17 +182,17 @@
 	})
 }
 
-// Close ends the reading.
+// Close implements io.Closer.
 func (r *reader) Close() error { return nil }
 
-// writer writes behind a file's end.
+// writer appends to a file.
 type writer struct {
 	handle     *handle
 	descriptor storage.FileDesc
 	file       *file
 }
 
-// Write writes into the cache.
+// Write appends to the cached bytes.
 func (w *writer) Write(p []byte) (int, error) {
 	a := Access{Kind: AccessWrite, File: w.descriptor.String(), Bytes: len(p)}
 	err := w.handle.modify(a, true, func(*folder) error {
@@ -199,8 +205,7 @@
 	return len(p), nil
 }
 
-// Sync makes the file's bytes lasting; a manifest's sync does the same with the names in the folder, as goleveldb's own
-// storage of files has it.
+// Sync makes the file's bytes durable. That of a manifest does the same with the names in the folder, as goleveldb's own storage does.
 func (w *writer) Sync() error {
 	return w.handle.modify(Access{Kind: AccessSync, File: w.descriptor.String()}, false, func(*folder) error {
 		w.handle.disk.syncFile(w.file)
@@ -211,5 +216,5 @@
 	})
 }
 
-// Close ends the writing. It syncs nothing.
+// Close implements io.Closer. It syncs nothing.
 func (w *writer) Close() error { return nil }
--- a/internal/mesh/sim/disk/current.go
+++ b/internal/mesh/sim/disk/pointer.go
@@ -12,31 +12,33 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// Names of the files that say which manifest holds. They are written, renamed and looked for in the order that goleveldb's
-// storage of files documents: a new pointer under a name of its own, synced, renamed over the present one, the folder synced.
+// Names of the pointers, which are files that name the manifest in use. They are written, renamed and looked for in the order that
+// goleveldb's storage of files documents: a new pointer under a name of its own, synced, renamed over the current one, the folder
+// synced.
 const (
 	currentPointerName   = "CURRENT"
 	backupPointerName    = "CURRENT.bak"
 	pendingPointerPrefix = "CURRENT."
 )
 
-// SetMeta has a manifest hold. A loss of power may come between any two of its steps.
+// SetMeta makes a manifest the one in use. A loss of power may come between any two of its steps.
 func (h *handle) SetMeta(fd storage.FileDesc) error {
 	if !storage.FileDescOk(fd) {
 		return storage.ErrInvalidFile
 	}
-	pointer, present := []byte(fd.String()+"\n"), []byte(nil)
+	pointer := []byte(fd.String() + "\n")
+	var current []byte // the content of the pointer in use; nil: there is none
 	err := h.withFolder(func(files *folder) error {
-		if current, is := files.cached[currentPointerName]; is {
-			present = current.cached
+		if f, ok := files.cached[currentPointerName]; ok {
+			current = f.cached
 		}
 		return nil
 	})
-	if err != nil || bytes.Equal(present, pointer) {
+	if err != nil || bytes.Equal(current, pointer) {
 		return err
 	}
-	if present != nil {
-		if err := h.writeSynced(backupPointerName, present); err != nil {
+	if current != nil {
+		if err := h.writeSynced(backupPointerName, current); err != nil {
 			return err
 		}
 	}
@@ -56,16 +58,16 @@
 	})
 }
 
-// writeSynced makes a file of one synced write.
+// writeSynced makes a file by one synced write.
 func (h *handle) writeSynced(name string, content []byte) error {
-	var made *file
+	var created *file
 	steps := []struct {
 		kind AccessKind
 		do   func(*folder)
 	}{
-		{AccessCreate, func(files *folder) { made = files.create(name) }},
-		{AccessWrite, func(*folder) { made.write(content) }},
-		{AccessSync, func(*folder) { h.disk.syncFile(made) }},
+		{AccessCreate, func(files *folder) { created = files.create(name) }},
+		{AccessWrite, func(*folder) { created.write(content) }},
+		{AccessSync, func(*folder) { h.disk.syncFile(created) }},
 	}
 	for _, step := range steps {
 		a := Access{Kind: step.kind, File: name, Bytes: len(content)}
@@ -80,8 +82,8 @@
 	return nil
 }
 
-// GetMeta is the manifest that holds: the newest of the pointers that are whole and point at a file that is there. What a
-// loss of power left undone is done.
+// GetMeta returns the manifest in use: that of the newest pointer that is complete and points at a file that exists. It completes what
+// a loss of power interrupted.
 func (h *handle) GetMeta() (fd storage.FileDesc, err error) {
 	var pending []string
 	var name string
@@ -96,7 +98,7 @@
 	if err != nil || h.readOnly || name == currentPointerName && len(pending) == 0 {
 		return fd, err
 	}
-	if h.SetMeta(fd) == nil { // else it is found as it was found now
+	if h.SetMeta(fd) == nil { // otherwise the next call finds it as this one did
 		for _, name := range pending {
 			_ = h.modify(Access{Kind: AccessRemove, File: name}, false, func(files *folder) error { return files.remove(name) })
 		}
@@ -104,7 +106,7 @@
 	return fd, nil
 }
 
-// pendingPointers are the names of pointers that were not renamed, the newest first.
+// pendingPointers returns the names of the pointers that were not renamed, the newest first.
 func (f *folder) pendingPointers() (pending []string) {
 	number := func(name string) int64 {
 		n, err := strconv.ParseInt(strings.TrimPrefix(name, pendingPointerPrefix), 10, 64)
@@ -122,8 +124,8 @@
 	return pending
 }
 
-// newestPointer is the newest manifest that a pending pointer, the present one or else its backup points at, and the
-// pointer's name; without one err says whether there was none at all or a damaged one.
+// newestPointer returns the newest manifest that a pending pointer, the current one or else its backup points at, and the pointer's
+// name. Without one the error says whether there was none at all or a damaged one.
 func (f *folder) newestPointer(pending []string) (fd storage.FileDesc, name string, err error) {
 	err = os.ErrNotExist
 	for _, group := range [][]string{{currentPointerName, backupPointerName}, pending} {
@@ -143,10 +145,10 @@
 	return fd, name, err
 }
 
-// pointer is where one pointer points.
+// pointer returns the manifest that one pointer names.
 func (f *folder) pointer(name string) (storage.FileDesc, error) {
-	file, is := f.cached[name]
-	if !is {
+	file, ok := f.cached[name]
+	if !ok {
 		return storage.FileDesc{}, os.ErrNotExist
 	}
 	target, whole := strings.CutSuffix(string(file.cached), "\n")
@@ -154,7 +156,7 @@
 	if !whole || !known {
 		return storage.FileDesc{}, &storage.ErrCorrupted{Err: fmt.Errorf("%s is damaged", name)}
 	}
-	if _, is := f.cached[target]; !is {
+	if _, ok := f.cached[target]; !ok {
 		return storage.FileDesc{}, os.ErrNotExist
 	}
 	return fd, nil
