--- a/internal/mesh/controlplane/store_test.go
+++ b/internal/mesh/controlplane/store_test.go
@@ -31,6 +31,44 @@
 	}
 }
 
+var testReady = raft.Ready{HardState: &raft.HardState{Term: 3}}
+
+// newTestWriter returns a writer to the store on a disk.
+func newTestWriter(t *testing.T, simulated *disk.Disk, terminating <-chan struct{}) *stateWriter {
+	t.Helper()
+	opened, err := openStore(simulated, zerolog.Nop())
+	assert.NilError(t, err)
+	writer := &stateWriter{store: opened.store, log: zerolog.Nop(), terminating: terminating}
+	t.Cleanup(writer.store.Close)
+	return writer
+}
+
+func TestSaveWaitsForAFullDisk(t *testing.T) {
+	simulated := newDisk(t)
+	writer := newTestWriter(t, simulated, nil)
+	simulated.SetFull(true)
+	seen := ""
+	simulated.OnAccess(func(disk.Access) {
+		if fault := writer.fault(); fault != "" { // the first attempt has failed
+			seen = fault
+			simulated.SetFull(false)
+		}
+	})
+	assert.Assert(t, writer.save(testReady, 0))
+	assert.Assert(t, seen != "")
+	assert.Equal(t, writer.fault(), "")
+}
+
+func TestSaveGivesUpWhenTheProcessIsToEnd(t *testing.T) {
+	simulated := newDisk(t)
+	terminating := make(chan struct{})
+	close(terminating)
+	writer := newTestWriter(t, simulated, terminating)
+	simulated.SetFull(true)
+	assert.Assert(t, !writer.save(testReady, 0))
+	assert.Assert(t, writer.fault() != "")
+}
+
 // newDisk returns a disk that holds the store of member 7.
 func newDisk(t *testing.T) *disk.Disk {
 	t.Helper()
