--- a/internal/mesh/controlplane/initial_orders.go
+++ b/internal/mesh/controlplane/initial_orders.go
@@ -77,6 +77,10 @@
 	order := next.Order
 	order.Machines = c.addressesOf(order.Machines)
 	c.propose(replica.MaintenanceOrder, order, func(err error) {
-		c.log.Info().Err(err).Str("order_id", order.ID).Msg("initial order placed")
+		if err != nil {
+			c.log.Warn().Err(err).Str("order_id", order.ID).Msg("initial order not placed")
+			return
+		}
+		c.log.Info().Str("order_id", order.ID).Msg("initial order placed")
 	})
 }
--- a/internal/mesh/controlplane/maintenance.go
+++ b/internal/mesh/controlplane/maintenance.go
@@ -120,7 +120,7 @@
 	}
 	agreed, err := committed.Agree(c.replica.LogTime(now), c.survey.samples, now, len(members), gap)
 	if err != nil {
-		c.log.Info().Err(err).Msg("no time of day agreed on")
+		c.log.Warn().Err(err).Int("samples", len(c.survey.samples)).Int("members", len(members)).Msg("no time of day agreed on")
 		return
 	}
 	c.timeAgreedAt, c.trustClocks = now, false
