--- a/internal/mesh/sim/faults.go
+++ b/internal/mesh/sim/faults.go
@@ -257,7 +257,7 @@
 
 // reset resets all connections of a process.
 func (w *World) reset(p *process) {
-	for _, e := range append([]*side(nil), p.ends...) {
+	for _, e := range append([]*side(nil), p.connections...) {
 		peer := e.peer
 		e.lose()
 		peer.lose()
--- a/internal/mesh/sim/link.go
+++ b/internal/mesh/sim/link.go
@@ -21,7 +21,7 @@
 type link struct {
 	host         *replicaHost
 	address      string
-	end          *side
+	side         *side
 	dialing      bool
 	noDialBefore time.Duration // no dial before, by the host's clock
 	redials      int           // dials since a connection ended
@@ -41,8 +41,8 @@
 }
 
 func (l *link) connect() *side {
-	if l.end != nil && l.end.open {
-		return l.end
+	if l.side != nil && l.side.open {
+		return l.side
 	}
 	h := l.host
 	if !l.dialing && h.now() >= l.noDialBefore {
@@ -65,7 +65,7 @@
 		}
 		return
 	}
-	l.end = e
+	l.side = e
 	began := h.now()
 	e.message = func(m codec.Message) {
 		if t, is := m.Value.(*wire.CallReplyT); is {
@@ -73,7 +73,7 @@
 		}
 	}
 	e.closed = func() {
-		l.end = nil
+		l.side = nil
 		l.calls.fail()
 		l.ended(h.now() - began)
 	}
--- a/internal/mesh/sim/network.go
+++ b/internal/mesh/sim/network.go
@@ -93,31 +93,30 @@
 
 // side is one side of a connection.
 type side struct {
-	owner       *process
+	process     *process
 	incarnation uint64
 	peer        *side
 	open        bool
-	accepts     bool // the other side has dialled
 	lastArrival time.Duration
 	lastHeard   time.Duration
-	message     func(codec.Message)     // called by the owner
-	closed      func()                  // called by the owner, once, unless it closed the connection itself
-	heartbeat   func() *wire.HeartbeatT // makes the owner's heartbeats; nil for empty ones
+	message     func(codec.Message)     // called by the process
+	closed      func()                  // called by the process, once, unless it closed the connection itself
+	heartbeat   func() *wire.HeartbeatT // makes the heartbeats to send; nil for empty ones
 }
 
 // dial connects a process with the one that listens at an address. done gets nil if there is no answer in time or, with refused set,
 // if the machine answers that nobody listens there.
 func (n *network) dial(from *process, address string, hello *wire.HelloT, done func(e *side, refused bool)) {
-	w, life := n.world, from.incarnation
-	over := false
+	w, incarnation := n.world, from.incarnation
+	finished := false
 	finish := func(e *side, refused bool) {
-		if over || from.incarnation != life {
+		if finished || from.incarnation != incarnation {
 			if e != nil {
 				e.close()
 			}
 			return
 		}
-		over = true
+		finished = true
 		from.post(func() { done(e, refused) })
 	}
 	w.after(dialTimeout, func() { finish(nil, false) })
@@ -133,19 +132,19 @@
 			n.carry(host.process, from, n.delay(), func() { finish(nil, true) })
 			return
 		}
-		near := &side{owner: from, incarnation: life, open: true, lastHeard: w.now}
-		far := &side{owner: host.process, incarnation: host.incarnation, open: true, accepts: true, lastHeard: w.now, peer: near}
+		near := &side{process: from, incarnation: incarnation, open: true, lastHeard: w.now}
+		far := &side{process: host.process, incarnation: host.incarnation, open: true, lastHeard: w.now, peer: near}
 		near.peer = far
-		host.ends = append(host.ends, far)
+		host.connections = append(host.connections, far)
 		far.keepAlive(n)
 		host.post(func() { host.accept(far, hello) })
 		n.carry(host.process, from, n.delay(), func() {
-			if over || from.incarnation != life || !from.up {
+			if finished || from.incarnation != incarnation || !from.up {
 				near.open = false
 				near.tellPeer()
 				return
 			}
-			from.ends = append(from.ends, near)
+			from.connections = append(from.connections, near)
 			near.keepAlive(n)
 			finish(near, false)
 		})
@@ -156,10 +155,10 @@
 func (e *side) send(message any) { e.sendFrame(codec.Encode(message)) }
 
 func (e *side) sendFrame(frame []byte) {
-	if !e.open || !e.owner.up {
+	if !e.open || !e.process.up {
 		return
 	}
-	n := &e.owner.world.network
+	n := &e.process.world.network
 	w := n.world
 	at := max(w.now+n.delay(), e.lastArrival+1)
 	e.lastArrival = at
@@ -168,17 +167,17 @@
 
 // sendLoose sends a message that may be lost, repeated or reordered.
 func (e *side) sendLoose(frame []byte) {
-	if !e.open || !e.owner.up {
+	if !e.open || !e.process.up {
 		return
 	}
-	n := &e.owner.world.network
+	n := &e.process.world.network
 	w := n.world
 	if n.disorder == 0 || !w.chance(n.disorder) {
 		e.sendFrame(frame)
 		return
 	}
 	if w.chance(1 / 3.0) {
-		w.trace("lost", e.owner.name, e.peer.owner.name, frame)
+		w.trace("lost", e.process.name, e.peer.process.name, frame)
 		return
 	}
 	e.transmit(n, frame, n.delay()+w.between(0, 300*time.Millisecond))
@@ -189,32 +188,32 @@
 
 func (e *side) transmit(n *network, frame []byte, delay time.Duration) {
 	peer := e.peer
-	n.carry(e.owner, peer.owner, delay, func() { peer.arrive(frame) })
+	n.carry(e.process, peer.process, delay, func() { peer.arrive(frame) })
 }
 
 // arrive receives a frame.
 func (e *side) arrive(frame []byte) {
 	if !e.open {
-		if e.owner.up { // a running machine resets a connection that it does not know
+		if e.process.up { // a running machine resets a connection that it does not know
 			e.tellPeer()
 		}
 		return
 	}
-	w := e.owner.world
+	w := e.process.world
 	e.lastHeard = w.now
-	w.trace("frame", e.peer.owner.name, e.owner.name, frame)
+	w.trace("frame", e.peer.process.name, e.process.name, frame)
 	m, err := codec.Decode(frame[4:])
 	if err != nil {
 		panic("sim: a frame that was encoded can't be decoded: " + err.Error())
 	}
-	e.owner.post(func() {
+	e.process.post(func() {
 		if e.open && e.message != nil {
 			e.message(m)
 		}
 	})
 }
 
-// close closes the connection on behalf of the owner. The other side is told if the link is open.
+// close closes the connection on behalf of the process. The other side is told if the link is open.
 func (e *side) close() {
 	if !e.open {
 		return
@@ -226,24 +225,24 @@
 // vanish ends this side without telling the other.
 func (e *side) vanish() {
 	e.open = false
-	e.owner.ends = slices.DeleteFunc(e.owner.ends, func(o *side) bool { return o == e })
+	e.process.connections = slices.DeleteFunc(e.process.connections, func(o *side) bool { return o == e })
 }
 
 // tellPeer tells the other side that this one is closed.
 func (e *side) tellPeer() {
 	peer := e.peer
-	n := &e.owner.world.network
-	n.carry(e.owner, peer.owner, n.delay(), peer.lose)
+	n := &e.process.world.network
+	n.carry(e.process, peer.process, n.delay(), peer.lose)
 }
 
-// lose ends this side against the owner's will.
+// lose ends this side against the will of the process.
 func (e *side) lose() {
 	if !e.open {
 		return
 	}
 	e.vanish()
-	if e.owner.up && e.owner.incarnation == e.incarnation {
-		e.owner.post(func() {
+	if e.process.up && e.process.incarnation == e.incarnation {
+		e.process.post(func() {
 			if e.closed != nil {
 				e.closed()
 			}
@@ -256,10 +255,10 @@
 func (e *side) keepAlive(n *network) {
 	w := n.world
 	w.after(heartbeatInterval, func() {
-		if !e.open || !e.owner.up || e.owner.incarnation != e.incarnation {
+		if !e.open || !e.process.up || e.process.incarnation != e.incarnation {
 			return
 		}
-		if !e.owner.frozen {
+		if !e.process.frozen {
 			if w.now-e.lastHeard > silenceTimeout {
 				e.lose()
 				return
--- a/internal/mesh/sim/operator.go
+++ b/internal/mesh/sim/operator.go
@@ -83,11 +83,11 @@
 	o.try(&changeRequest{id: fmt.Sprintf("%s-%d", o.name, w.id()), body: body, items: itemVersions(items)})
 }
 
-func (o *operator) finished(x *changeRequest, outcome history.Outcome) {
+func (o *operator) finished(change *changeRequest, outcome history.Outcome) {
 	w := o.world
-	if outcome == history.Acknowledged && x.repeats < maxRepeats && w.chance(repeatShare) {
-		x.repeats++
-		o.after(w.between(minPause, 10*maxPause), func() { o.try(x) })
+	if outcome == history.Acknowledged && change.repeats < maxRepeats && w.chance(repeatShare) {
+		change.repeats++
+		o.after(w.between(minPause, 10*maxPause), func() { o.try(change) })
 		return
 	}
 	o.inFlight--
@@ -95,12 +95,12 @@
 }
 
 // try sends a change to a member.
-func (o *operator) try(x *changeRequest) {
-	x.attempts++
-	member := o.member(x.last)
-	x.last = member
+func (o *operator) try(change *changeRequest) {
+	change.attempts++
+	member := o.member(change.last)
+	change.last = member
 	begun := o.world.now
-	o.call(member, func(h *replicaHost, done func(replica.Reply)) { h.modify(x.body, done) }, func(r replica.Reply) {
+	o.call(member, func(h *replicaHost, done func(replica.Reply)) { h.modify(change.body, done) }, func(r replica.Reply) {
 		outcome := history.Unknown
 		switch r.Status {
 		case http.StatusOK:
@@ -109,29 +109,29 @@
 			outcome = history.Refused
 		}
 		o.world.history.Record(history.Change{
-			Call: o.callSince(begun, outcome), ChangeID: x.id, Member: o.world.memberName(member), Items: x.items,
+			Call: o.callSince(begun, outcome), ChangeID: change.id, Member: o.world.memberName(member), Items: change.items,
 		})
-		o.world.trace("order", x.id, member, []byte(outcome))
-		if outcome == history.Unknown && x.attempts < maxAttempts {
-			o.after(o.world.between(minPause, maxPause), func() { o.try(x) })
+		o.world.trace("order", change.id, member, []byte(outcome))
+		if outcome == history.Unknown && change.attempts < maxAttempts {
+			o.after(o.world.between(minPause, maxPause), func() { o.try(change) })
 			return
 		}
-		o.finished(x, outcome)
+		o.finished(change, outcome)
 	})
 }
 
 // member draws a member to call, another than the last if there is one.
 func (o *operator) member(last string) string {
-	var l []string
+	var candidates []string
 	for _, a := range o.world.replicaAddresses() {
 		if a != last {
-			l = append(l, a)
+			candidates = append(candidates, a)
 		}
 	}
-	if len(l) == 0 {
+	if len(candidates) == 0 {
 		return last
 	}
-	return l[o.world.random.IntN(len(l))]
+	return candidates[o.world.random.IntN(len(candidates))]
 }
 
 func (o *operator) fetchLoop() {
@@ -173,37 +173,37 @@
 }
 
 // call simulates an HTTP call. done gets one answer: that of the member, or Unavailable after operatorCallTimeout.
-func (o *operator) call(member string, at func(*replicaHost, func(replica.Reply)), done func(replica.Reply)) {
+func (o *operator) call(member string, handle func(*replicaHost, func(replica.Reply)), done func(replica.Reply)) {
 	n := &o.world.network
-	over := false
+	finished := false
 	finish := func(r replica.Reply) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			done(r)
 		}
 	}
 	o.after(operatorCallTimeout, func() { finish(replica.Unavailable("no answer")) })
-	h := o.world.listener(member)
-	if h == nil {
+	host := o.world.listener(member)
+	if host == nil {
 		return
 	}
 	answer := func(r replica.Reply) {
-		n.carry(h.process, o.process, n.delay(), func() { o.post(func() { finish(r) }) })
+		n.carry(host.process, o.process, n.delay(), func() { o.post(func() { finish(r) }) })
 	}
-	n.carry(o.process, h.process, n.delay(), func() {
-		if !h.up {
+	n.carry(o.process, host.process, n.delay(), func() {
+		if !host.up {
 			answer(replica.Unavailable("connection refused"))
 			return
 		}
-		life, answered := h.incarnation, false
+		incarnation, answered := host.incarnation, false
 		once := func(r replica.Reply) {
-			if !answered && h.up && h.incarnation == life {
+			if !answered && host.up && host.incarnation == incarnation {
 				answered = true
 				answer(r)
 			}
 		}
-		h.post(func() { at(h, once) })
-		h.world.after(replica.CallTimeout, func() { once(replica.Unavailable("not agreed on in time; it may still be taken")) })
+		host.post(func() { handle(host, once) })
+		host.world.after(replica.CallTimeout, func() { once(replica.Unavailable("not agreed on in time; it may still be taken")) })
 	})
 }
 
--- a/internal/mesh/sim/process.go
+++ b/internal/mesh/sim/process.go
@@ -24,7 +24,7 @@
 	waiting     []func()
 	settle      func() // called after each batch of events
 	clock       clock
-	ends        []*side // open connections
+	connections []*side // open connections
 }
 
 // clock is the monotonic clock of a process. It drifts, and stops while its machine is suspended.
@@ -67,7 +67,7 @@
 // endIncarnation ends the process. If clean, the machine goes on and closes its connections; otherwise the peers are told nothing.
 func (p *process) endIncarnation(clean bool) {
 	p.up, p.poweredOff, p.frozen, p.busy, p.waiting = false, !clean, false, false, nil
-	for _, e := range append([]*side(nil), p.ends...) {
+	for _, e := range append([]*side(nil), p.connections...) {
 		if clean {
 			e.close()
 		} else {
@@ -114,9 +114,9 @@
 
 // after has the process handle an event after a time of its own clock, unless this incarnation has ended by then.
 func (p *process) after(d time.Duration, f func()) {
-	life := p.incarnation
+	incarnation := p.incarnation
 	p.world.after(d-d*time.Duration(p.clock.drift)/1e6, func() {
-		if p.incarnation == life {
+		if p.incarnation == incarnation {
 			p.post(f)
 		}
 	})
--- a/internal/mesh/sim/replica_host.go
+++ b/internal/mesh/sim/replica_host.go
@@ -193,9 +193,9 @@
 
 // finishWrite has the write in flight done after a time, unless the disk stalls or is full.
 func (h *replicaHost) finishWrite(d time.Duration) {
-	life, write := h.incarnation, h.write
+	incarnation, write := h.incarnation, h.write
 	h.world.after(d, func() {
-		if h.incarnation != life || !h.up || h.write != write {
+		if h.incarnation != incarnation || !h.up || h.write != write {
 			return
 		}
 		if h.stalled || h.disk.save(write.ready, write.lastIndex) != nil {
--- a/internal/mesh/sim/sidecar.go
+++ b/internal/mesh/sim/sidecar.go
@@ -99,7 +99,7 @@
 func (s *sidecar) announceRecord() {
 	s.record++
 	if m := s.controlPlane.current(); m != nil {
-		m.end.send(directory.ToWire([]directory.Record{{
+		m.side.send(directory.ToWire([]directory.Record{{
 			Node: s.name, Incarnation: s.incarnation, Sequence: s.record, Addr: s.address,
 			Service: "service0", ServerID: s.name, State: directory.ServerReady,
 		}}))
@@ -130,74 +130,79 @@
 func (s *sidecar) holder() string { return fmt.Sprintf("%s/%d", s.address, s.incarnation) }
 
 // requestLease requests the lease of a request's key, again and again until the deadline.
-func (s *sidecar) requestLease(q *keyedRequest) {
+func (s *sidecar) requestLease(request *keyedRequest) {
 	again := func() {
-		if s.now() >= q.deadline {
-			s.leaseAnswered(q, history.Unknown, "")
+		if s.now() >= request.deadline {
+			s.leaseAnswered(request, history.Unknown, "")
 			return
 		}
-		s.after(leaseRetryInterval, func() { s.requestLease(q) })
+		s.after(leaseRetryInterval, func() { s.requestLease(request) })
 	}
-	home := s.controlPlane.current()
-	if home == nil {
+	connection := s.controlPlane.current()
+	if connection == nil {
 		again()
 		return
 	}
 	body := encodeLeaseRequests(&wire.KeyLeaseRequestT{
-		Key: q.key, Token: q.token, Holder: s.holder(), WindowUs: (keyWindow + windowSlack).Microseconds(),
+		Key: request.key, Token: request.token, Holder: s.holder(), WindowUs: (keyWindow + windowSlack).Microseconds(),
 	})
-	home.calls.call(s.process, home.end, max(0, q.deadline-s.now()), codec.CallLeaseKeys, body, func(r replica.Reply) {
-		if r.Status != http.StatusOK {
+	connection.calls.call(s.process, connection.side, max(0, request.deadline-s.now()), codec.CallLeaseKeys, body, func(reply replica.Reply) {
+		if reply.Status != http.StatusOK {
 			again()
 			return
 		}
-		g, err := codec.DecodeTable(r.Body, func(p []byte) *wire.KeyLeaseResultsT { return wire.GetRootAsKeyLeaseResults(p, 0).UnPack() })
-		if err != nil || len(g.List) != 1 {
+		results, err := codec.DecodeTable(reply.Body, unpackLeaseResults)
+		if err != nil || len(results.List) != 1 {
 			again()
 			return
 		}
-		if s.now() >= q.deadline {
-			s.leaseAnswered(q, history.Unknown, "")
+		if s.now() >= request.deadline {
+			s.leaseAnswered(request, history.Unknown, "")
 			return
 		}
-		s.decide(q, g.List[0])
+		s.decide(request, results.List[0])
 	})
 }
 
-func encodeLeaseRequests(l ...*wire.KeyLeaseRequestT) []byte {
-	return codec.EncodeTable(&wire.KeyLeaseRequestsT{List: l})
+func unpackLeaseResults(table []byte) *wire.KeyLeaseResultsT {
+	return wire.GetRootAsKeyLeaseResults(table, 0).UnPack()
+}
+
+func encodeLeaseRequests(requests ...*wire.KeyLeaseRequestT) []byte {
+	return codec.EncodeTable(&wire.KeyLeaseRequestsT{List: requests})
 }
 
 // decide runs a request whose lease was granted, or releases the lease.
-func (s *sidecar) decide(q *keyedRequest, g *wire.KeyLeaseResultT) {
+func (s *sidecar) decide(request *keyedRequest, result *wire.KeyLeaseResultT) {
 	w := s.world
-	if !g.Granted {
-		s.leaseAnswered(q, history.Refused, g.Holder)
+	if !result.Granted {
+		s.leaseAnswered(request, history.Refused, result.Holder)
 		return
 	}
-	s.leaseAnswered(q, history.Acknowledged, s.holder())
+	s.leaseAnswered(request, history.Acknowledged, s.holder())
 	if w.chance(releaseShare) {
-		s.release(&wire.KeyLeaseRequestT{Key: q.key, Token: q.token, Holder: s.holder(), Release: true})
+		s.release(&wire.KeyLeaseRequestT{Key: request.key, Token: request.token, Holder: s.holder(), Release: true})
 		return
 	}
-	w.history.Record(history.Run{At: w.now, Server: s.name, Key: q.key, Window: keyWindow, Request: q.token})
-	w.trace("run", s.name, q.key, []byte(q.token))
+	w.history.Record(history.Run{At: w.now, Server: s.name, Key: request.key, Window: keyWindow, Request: request.token})
+	w.trace("run", s.name, request.key, []byte(request.token))
 }
 
-func (s *sidecar) leaseAnswered(q *keyedRequest, outcome history.Outcome, holder string) {
+func (s *sidecar) leaseAnswered(request *keyedRequest, outcome history.Outcome, holder string) {
 	s.controlPlane.countWaiting(-1)
-	s.world.history.Record(history.Claim{Call: s.callSince(q.begun, outcome), Key: q.key, Window: keyWindow, Holder: holder})
+	s.world.history.Record(history.Claim{Call: s.callSince(request.begun, outcome), Key: request.key, Window: keyWindow, Holder: holder})
 }
 
 // release releases a lease, again and again until that is acknowledged.
-func (s *sidecar) release(c *wire.KeyLeaseRequestT) {
-	again := func() { s.after(releaseRetryInterval, func() { s.release(c) }) }
-	home := s.controlPlane.current()
-	if home == nil {
+func (s *sidecar) release(lease *wire.KeyLeaseRequestT) {
+	again := func() { s.after(releaseRetryInterval, func() { s.release(lease) }) }
+	connection := s.controlPlane.current()
+	if connection == nil {
 		again()
 		return
 	}
-	home.calls.call(s.process, home.end, sidecarCallTimeout, codec.CallLeaseKeys, encodeLeaseRequests(c), func(r replica.Reply) {
+	body := encodeLeaseRequests(lease)
+	connection.calls.call(s.process, connection.side, sidecarCallTimeout, codec.CallLeaseKeys, body, func(r replica.Reply) {
 		if r.Status != http.StatusOK {
 			again()
 		}
--- a/internal/mesh/sim/sidecar_connection.go
+++ b/internal/mesh/sim/sidecar_connection.go
@@ -28,7 +28,7 @@
 type memberConnection struct {
 	id        memberselection.ConnID
 	address   string
-	end       *side // nil while it is dialled
+	side      *side // nil while it is dialled
 	hasSpoken bool
 	calls     pendingCalls
 }
@@ -56,7 +56,7 @@
 func (h *controlPlaneConnection) tick() {
 	s := h.sidecar
 	if m := h.current(); m != nil {
-		h.decider.MessageReceived(s.now(), m.id, s.now()-(s.world.now-m.end.lastHeard))
+		h.decider.MessageReceived(s.now(), m.id, s.now()-(s.world.now-m.side.lastHeard))
 	}
 	h.decider.Tick(s.now())
 	h.carryOutAll()
@@ -92,7 +92,7 @@
 		case e == nil:
 			h.closed(m)
 		default:
-			m.end = e
+			m.side = e
 			e.message = func(x codec.Message) { h.take(m, x) }
 			e.closed = func() { h.closed(m) }
 		}
@@ -105,8 +105,8 @@
 		return
 	}
 	delete(h.members, m.id)
-	if m.end != nil {
-		m.end.close()
+	if m.side != nil {
+		m.side.close()
 	}
 	h.sidecar.after(0, m.calls.fail)
 }
@@ -152,7 +152,7 @@
 func (h *controlPlaneConnection) confirm(m *memberConnection) {
 	s := h.sidecar
 	begun := s.world.now
-	m.calls.call(s.process, m.end, sidecarCallTimeout, codec.CallItems, nil, func(r replica.Reply) {
+	m.calls.call(s.process, m.side, sidecarCallTimeout, codec.CallItems, nil, func(r replica.Reply) {
 		some := h.takeTable(m, begun, r)
 		h.decider.ConfirmationReceived(s.now(), m.id, some)
 		h.carryOutAll()
