--- a/internal/mesh/sim/observer.go
+++ b/internal/mesh/sim/observer.go
@@ -45,7 +45,7 @@
 }
 
 // acknowledgementFlightTime is how long after a disk's loss its acknowledgements may still be in flight to a leader that runs.
-const acknowledgementFlightTime = 400 * time.Millisecond
+const acknowledgementFlightTime = 100 * time.Millisecond
 
 // observed is what was last seen of a replica.
 type observed struct {
