--- a/internal/mesh/controlplane/leader_test.go
+++ b/internal/mesh/controlplane/leader_test.go
@@ -34,8 +34,10 @@
 func newSoloLeader(t *testing.T) soloLeader {
 	t.Helper()
 	self := raft.Member{ID: 7, Addr: testAddress}
-	config := replica.Config{Address: self.Addr, Log: zerolog.Nop(),
-		Stored: raft.StoredState{Self: self.ID, Snapshot: raft.BootstrapSnapshot([]raft.Member{self})}}
+	config := replica.Config{
+		Address: self.Addr, Log: zerolog.Nop(),
+		Stored: raft.StoredState{Self: self.ID, Snapshot: raft.BootstrapSnapshot([]raft.Member{self})},
+	}
 	r, err := replica.New(config, soloEnvironment{}, 0)
 	assert.NilError(t, err)
 	now := time.Duration(0)
--- a/internal/mesh/controlplane/maintenance_test.go
+++ b/internal/mesh/controlplane/maintenance_test.go
@@ -31,8 +31,10 @@
 	current.Store(&defaults)
 	survey := &surveyor{running: true, clock: leader.clock, replica: leader.Replica, self: testAddress}
 	survey.status = map[string]*wire.StatusT{testAddress: {Name: "member-1", ControlPlane: true}}
-	controller := &maintenanceController{log: zerolog.Nop(), settings: &current, clock: leader.clock, replica: leader.Replica, survey: survey,
-		self: testAddress}
+	controller := &maintenanceController{
+		log: zerolog.Nop(), settings: &current, clock: leader.clock, replica: leader.Replica, survey: survey,
+		self: testAddress,
+	}
 	return controller, leader
 }
 
--- a/internal/mesh/controlplane/peer_link_test.go
+++ b/internal/mesh/controlplane/peer_link_test.go
@@ -19,8 +19,10 @@
 // newTestLink returns a link whose peer set reports to nobody.
 func newTestLink(t *testing.T, address string) *peerLink {
 	t.Helper()
-	peers := &peerSet{ctx: t.Context(), log: zerolog.Nop(), hello: func() *wire.HelloT { return &wire.HelloT{ControlPlane: true} },
-		onConnected: func(*transport.Conn) {}, onRefused: func(string) {}}
+	peers := &peerSet{
+		ctx: t.Context(), log: zerolog.Nop(), hello: func() *wire.HelloT { return &wire.HelloT{ControlPlane: true} },
+		onConnected: func(*transport.Conn) {}, onRefused: func(string) {},
+	}
 	return peers.link(address)
 }
 
--- a/internal/mesh/daemon/options_test.go
+++ b/internal/mesh/daemon/options_test.go
@@ -13,8 +13,10 @@
 	for name, args := range map[string][]string{
 		"names of today": {"--initial-orders", "orders.json", "--clock-offset", "40m", "--listen-transport", "127.0.0.1:7001"},
 		"former names":   {"--standing", "orders.json", "--ahead", "40m", "--listen-trunks", "127.0.0.1:7001"},
-		"names of either": {"--initial-orders", "orders.json", "--standing", "former.json", "--ahead", "40m",
-			"--listen-transport", "127.0.0.1:7001"},
+		"names of either": {
+			"--initial-orders", "orders.json", "--standing", "former.json", "--ahead", "40m",
+			"--listen-transport", "127.0.0.1:7001",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			options, err := parseOptions(args)
