--- a/internal/mesh/sidecar/controlplane_connection.go
+++ b/internal/mesh/sidecar/controlplane_connection.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"sync/atomic"
 	"time"
 
@@ -257,16 +256,13 @@
 	ctx, cancel := context.WithTimeout(c.env.ctx, callTimeout)
 	defer cancel()
 	askedAt := c.env.clock.Now()
-	reply, err := c.env.calls.Call(ctx, conn, codec.CallItems, nil)
+	body, err := c.env.callMember(ctx, conn, codec.CallItems, nil)
 	if err != nil {
-		return false, err
+		return false, errors.Annotate(err, "confirmed read of the items")
 	}
-	if reply.Status != http.StatusOK {
-		return false, errors.Errorf("status %d", reply.Status)
-	}
-	items, err := codec.DecodeTable(reply.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	items, err := codec.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 	if err != nil {
-		return false, err
+		return false, errors.Annotatef(err, "items of %s", conn.RemoteAddr())
 	}
 	if !c.configuration.applyConfirmedTable(items, askedAt) {
 		return false, errors.New("the active policies did not come complete")
--- a/internal/mesh/sidecar/key_claims.go
+++ b/internal/mesh/sidecar/key_claims.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"time"
 
 	"github.com/juju/errors"
@@ -54,11 +53,11 @@
 
 // callClaim makes one call for one claim; nil: there is no usable reply.
 func (k *keyClaims) callClaim(ctx context.Context, conn *transport.Conn, body []byte) *wire.KeyLeaseResultT {
-	reply, err := k.env.calls.Call(ctx, conn, codec.CallLeaseKeys, body)
-	if err != nil || reply.Status != http.StatusOK {
+	reply, err := k.env.callMember(ctx, conn, codec.CallLeaseKeys, body)
+	if err != nil {
 		return nil
 	}
-	grants, err := codec.DecodeTable(reply.Body, func(p []byte) *wire.KeyLeaseResultsT {
+	grants, err := codec.DecodeTable(reply, func(p []byte) *wire.KeyLeaseResultsT {
 		return wire.GetRootAsKeyLeaseResults(p, 0).UnPack()
 	})
 	if err != nil || len(grants.List) != 1 {
--- /dev/null
+++ b/internal/mesh/sidecar/member_call_test.go
@@ -0,0 +1,38 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+// A call that a member answers with a status says which member and status; one without a reply ends with its context.
+func TestMemberCallErrors(t *testing.T) {
+	s, conn, far := newFollowingSidecar(t)
+	go func() {
+		for {
+			m, err := far.Receive()
+			if err != nil {
+				return
+			}
+			if call, is := m.Value.(*wire.CallT); is && call.Kind == codec.CallLeaseKeys {
+				far.Send(&wire.CallReplyT{Id: call.Id, Status: http.StatusServiceUnavailable})
+			}
+		}
+	}()
+	_, err := s.env.callMember(t.Context(), conn, codec.CallLeaseKeys, nil)
+	var status *statusError
+	assert.Assert(t, errors.As(err, &status))
+	assert.Equal(t, *status, statusError{addr: conn.RemoteAddr(), status: http.StatusServiceUnavailable})
+	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
+	defer cancel()
+	_, err = s.env.callMember(ctx, conn, codec.CallItems, nil)
+	assert.ErrorIs(t, err, context.DeadlineExceeded)
+}
--- a/internal/mesh/sidecar/policy_poller.go
+++ b/internal/mesh/sidecar/policy_poller.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"sync"
 	"time"
 
@@ -63,16 +62,13 @@
 	ctx, cancel := context.WithTimeout(p.env.ctx, callTimeout)
 	defer cancel()
 	askedAt := p.env.clock.Now()
-	reply, err := p.env.calls.Call(ctx, conn, codec.CallActivePolicy, nil)
+	body, err := p.env.callMember(ctx, conn, codec.CallActivePolicy, nil)
 	if err != nil {
-		return err
+		return errors.Annotate(err, "read of the active policies")
 	}
-	if reply.Status != http.StatusOK {
-		return errors.Errorf("status %d", reply.Status)
-	}
-	active, err := codec.DecodeTable(reply.Body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
+	active, err := codec.DecodeTable(body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
 	if err != nil {
-		return err
+		return errors.Annotatef(err, "reply of %s on the active policies", conn.RemoteAddr())
 	}
 	if p.configuration.confirmPolicies(active, askedAt) {
 		return nil
--- a/internal/mesh/sidecar/release_queue.go
+++ b/internal/mesh/sidecar/release_queue.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"sync"
 	"time"
 
@@ -19,6 +18,9 @@
 	releaseRetryInterval = 50 * time.Millisecond
 )
 
+// errNoMember says that no control-plane member has been followed yet.
+const errNoMember = errors.ConstError("no control-plane member is followed")
+
 // releaseQueue is the keys that are to be given back to the control plane, for their requests never ran. Its goroutine run sends
 // them in order, each until it is acknowledged.
 type releaseQueue struct {
@@ -88,16 +90,10 @@
 func (q *releaseQueue) send(releases []*wire.KeyLeaseRequestT) error {
 	conn := q.controlPlane.conn.Load()
 	if conn == nil {
-		return errors.New("no member is followed")
+		return errNoMember
 	}
 	ctx, cancel := context.WithTimeout(q.env.ctx, callTimeout)
 	defer cancel()
-	reply, err := q.env.calls.Call(ctx, conn, codec.CallLeaseKeys, codec.EncodeTable(&wire.KeyLeaseRequestsT{List: releases}))
-	if err != nil {
-		return err
-	}
-	if reply.Status != http.StatusOK {
-		return errors.Errorf("status %d", reply.Status)
-	}
-	return nil
+	_, err := q.env.callMember(ctx, conn, codec.CallLeaseKeys, codec.EncodeTable(&wire.KeyLeaseRequestsT{List: releases}))
+	return err
 }
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -10,7 +10,7 @@
 // Each concern is a type that owns its state: configuration (items, active policies, routing table), directoryView,
 // maintenanceView, localServer, controlPlaneConn with keyClaims and releaseQueue, inboundServer with responseStore, upstreams,
 // servicePools, outboundListener. Locks are taken in the order configuration or maintenanceView, localServer, servicePools,
-// service, and none is held over I/O.
+// service, and none is held during a call or a wait.
 package sidecar
 
 import (
--- a/internal/mesh/sidecar/upstream.go
+++ b/internal/mesh/sidecar/upstream.go
@@ -16,7 +16,8 @@
 // upstreamDialBackoff is the pause between dials of an address that can't be reached.
 const upstreamDialBackoff = 250 * time.Millisecond
 
-var errUpstreamUnreachable = errors.New("the sidecar can't be reached")
+// errUpstreamUnreachable says that no connection could be made, now or a moment ago.
+const errUpstreamUnreachable = errors.ConstError("the sidecar can't be reached")
 
 // upstream is the connection to one other sidecar, dialed when it is needed, with the attempts that are open on it.
 type upstream struct {
