--- /dev/null
+++ b/internal/mesh/daemon/oncall_test.go
@@ -0,0 +1,159 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+)
+
+const (
+	repository = "../../.."
+	oncallPage = repository + "/docs/ONCALL.md"
+)
+
+// loggedLevels are the methods of zerolog.Logger that begin a line which the page has to explain.
+var loggedLevels = map[string]string{"Warn": "warn", "Error": "error", "Fatal": "fatal", "Panic": "panic"}
+
+// The page has a heading "### `message` (level)" for each log line of level warn and above, and for none besides.
+func TestOncallPageExplainsEachLogLine(t *testing.T) {
+	var logged []string
+	for _, file := range sourceFiles(t, "internal/mesh", "cmd/sidecar", "cmd/controlplane") {
+		logged = append(logged, logLines(t, file)...)
+	}
+	assert.Assert(t, len(logged) > 0)
+	assert.DeepEqual(t, sortedSet(headings(t)), sortedSet(logged))
+}
+
+// The page's table of exit codes has a row "| `program` | code |" for each constant of a program.
+func TestOncallPageExplainsEachExitCode(t *testing.T) {
+	page := readPage(t)
+	codes := map[string][]string{
+		"sidecar":      exitCodes(t, "internal/mesh/daemon"),
+		"controlplane": exitCodes(t, "internal/mesh/daemon"),
+		"meshctl":      append(exitCodes(t, "cmd/meshctl", "internal/mesh/cli"), "0"),
+	}
+	for program, codes := range codes {
+		assert.Assert(t, len(codes) > 2, program)
+		for _, code := range codes {
+			row := fmt.Sprintf("\n| `%s` | %s |", program, code)
+			assert.Assert(t, strings.Contains(page, row), "no row %q", row)
+		}
+	}
+}
+
+func readPage(t *testing.T) string {
+	t.Helper()
+	page, err := os.ReadFile(oncallPage)
+	assert.NilError(t, err)
+	return string(page)
+}
+
+// headings are the log lines that the page explains, as "message (level)".
+func headings(t *testing.T) (lines []string) {
+	t.Helper()
+	for _, match := range regexp.MustCompile("(?m)^### `([^`]+)` (\\([a-z]+\\))$").FindAllStringSubmatch(readPage(t), -1) {
+		lines = append(lines, match[1]+" "+match[2])
+	}
+	return lines
+}
+
+func sortedSet(lines []string) []string {
+	lines = slices.Clone(lines)
+	slices.Sort(lines)
+	return slices.Compact(lines)
+}
+
+// sourceFiles parses the files of directories and those below them, tests left out.
+func sourceFiles(t *testing.T, directories ...string) (files []*ast.File) {
+	t.Helper()
+	for _, directory := range directories {
+		err := filepath.WalkDir(filepath.Join(repository, directory), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			files = append(files, file)
+			return err
+		})
+		assert.NilError(t, err)
+	}
+	return files
+}
+
+// logLines are the log lines of a file, as "message (level)". A message has to be a literal, so that it can be searched for.
+func logLines(t *testing.T, file *ast.File) (lines []string) {
+	t.Helper()
+	ast.Inspect(file, func(node ast.Node) bool {
+		call, ok := node.(*ast.CallExpr)
+		if !ok {
+			return true
+		}
+		selector, ok := call.Fun.(*ast.SelectorExpr)
+		if !ok || !slices.Contains([]string{"Msg", "Msgf", "Send", "MsgFunc"}, selector.Sel.Name) {
+			return true
+		}
+		level := chainLevel(selector.X)
+		if level == "" {
+			return true
+		}
+		literal, ok := call.Args[0].(*ast.BasicLit)
+		assert.Assert(t, ok && selector.Sel.Name == "Msg", "a log line of level %s in package %s has no constant message", level, file.Name.Name)
+		message, err := strconv.Unquote(literal.Value)
+		assert.NilError(t, err)
+		lines = append(lines, fmt.Sprintf("%s (%s)", message, level))
+		return true
+	})
+	return lines
+}
+
+// chainLevel is the level that a chain of zerolog calls begins with, as in log.Error().Err(err); "": it is below warn, or no such chain.
+func chainLevel(expression ast.Expr) string {
+	for {
+		call, ok := expression.(*ast.CallExpr)
+		if !ok {
+			return ""
+		}
+		selector, ok := call.Fun.(*ast.SelectorExpr)
+		if !ok {
+			return ""
+		}
+		if level := loggedLevels[selector.Sel.Name]; level != "" && len(call.Args) == 0 {
+			return level
+		}
+		expression = selector.X
+	}
+}
+
+// exitCodes are the values of constants whose names begin with exit, in packages that may have them.
+func exitCodes(t *testing.T, directories ...string) (codes []string) {
+	t.Helper()
+	exist := slices.DeleteFunc(directories, func(directory string) bool {
+		_, err := os.Stat(filepath.Join(repository, directory))
+		return errors.Is(err, fs.ErrNotExist)
+	})
+	for _, file := range sourceFiles(t, exist...) {
+		ast.Inspect(file, func(node ast.Node) bool {
+			spec, ok := node.(*ast.ValueSpec)
+			if !ok || !strings.HasPrefix(strings.ToLower(spec.Names[0].Name), "exit") || len(spec.Values) == 0 {
+				return true
+			}
+			if literal, ok := spec.Values[0].(*ast.BasicLit); ok {
+				codes = append(codes, literal.Value)
+			}
+			return true
+		})
+	}
+	return codes
+}
