--- a/cmd/cranegrade/main.go
+++ b/cmd/cranegrade/main.go
@@ -52,7 +52,7 @@
 }
 
 // newH2 makes a sender for servers that speak HTTP/2.
-func newH2(c wire.Connections, m operator.Mux, connections engine.Room) engine.Sender {
+func newH2(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender {
 	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.Each, Streams: m.Streams})
 }
 
--- a/internal/engine/arriving_test.go
+++ b/internal/engine/arriving_test.go
@@ -16,8 +16,8 @@
 // attempt's time-out ends it; from then on both do.
 func TestArriving(t *testing.T) {
 	t.Parallel()
-	h := newHand()
-	e := run(t, Config{Sender: h})
+	h := newManualSender()
+	e := startEngine(t, Config{Sender: h})
 	e.Start(serverList("a"))
 	c, r := newCall(e, "1", "read", 50*time.Millisecond)
 	c.Arriving, c.Payload = true, spendable{true}
@@ -50,8 +50,8 @@
 // Answers that have begun go on when all else is abandoned.
 func TestAbandonSparesWhatHasBegun(t *testing.T) {
 	t.Parallel()
-	h := newHand()
-	e := run(t, Config{Sender: h})
+	h := newManualSender()
+	e := startEngine(t, Config{Sender: h})
 	e.Start(serverList("a"))
 	begun, br := newCall(e, "1", "read", limit)
 	e.Submit(begun)
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -53,11 +53,11 @@
 // Endpoint is a listed server as senders see it. A server that starts anew or moves is another
 // Endpoint.
 type Endpoint struct {
-	ID, Addr string
-	boot     time.Duration
-	usable   atomic.Bool // ready by our list; cleared when it drains or is gone
-	orders   Orders      // nil: none
-	listed   Listed      // as the list has it; owned by the engine's goroutine
+	ID, Addr    string
+	boot        time.Duration
+	usable      atomic.Bool // ready by our list; cleared when it drains or is gone
+	adminStates AdminStates // nil: none
+	listed      Listed      // as the list has it; owned by the engine's goroutine
 }
 
 // NewEndpoint returns an endpoint that is usable, for senders' own tests and tools.
@@ -69,7 +69,7 @@
 
 // Usable says that the list names the endpoint ready, and that it is not taken out by hand.
 func (ep *Endpoint) Usable() bool {
-	return ep.usable.Load() && (ep.orders == nil || !ep.orders.Out(ep.ID))
+	return ep.usable.Load() && (ep.adminStates == nil || !ep.adminStates.Out(ep.ID))
 }
 
 // SetUsable is the engine's, and that of senders' tests.
@@ -82,22 +82,22 @@
 	Timeout  time.Duration // how long its answer is waited for
 	Spares   []*Endpoint   // that may be tried in its place, in order, by whoever carries it
 
-	host     host
-	call     *Call
-	n        int
-	server   string
-	sent     time.Duration
-	cancel   context.CancelCauseFunc
-	timer    *time.Timer // cancels when the answer has been waited for long enough
-	observer Observer    // that heard of its beginning; nil: none did
-	ended    atomic.Bool
-	crossed  atomic.Pointer[crossed]
+	host      host
+	call      *Call
+	index     int
+	serverID  string
+	startedAt time.Duration
+	cancel    context.CancelCauseFunc
+	timer     *time.Timer // cancels when the answer has been waited for long enough
+	observer  Observer    // that heard of its beginning; nil: none did
+	ended     atomic.Bool
+	transfer  atomic.Pointer[transfer]
 }
 
-// crossed is what went between for an attempt.
-type crossed struct {
-	out, in int64
-	served  string // address
+// transfer is what went between for an attempt.
+type transfer struct {
+	bytesSent, bytesReceived int64
+	served        string // address
 }
 
 // host is what an attempt belongs to: an engine, or a sender's test.
@@ -120,10 +120,12 @@
 	return 0, true
 }
 
-// Crossed says, before End, that the attempt's request was written whole, with a body of so many bytes. Whoever
+// RecordTransfer says, before End, that the attempt's request was written whole, with a body of so many bytes. Whoever
 // carries attempts in the engine's place tells the bytes of the answer's body, too, and the address that served, if
 // they know it; else in is that of the reply that End brings, and served is empty.
-func (a *Attempt) Crossed(out, in int64, served string) { a.crossed.Store(&crossed{out, in, served}) }
+func (a *Attempt) RecordTransfer(out, in int64, served string) {
+	a.transfer.Store(&transfer{out, in, served})
+}
 
 // Began says that a streamed reply has begun. It may be called once, before End; the engine releases r
 // if nobody wants it.
@@ -174,48 +176,48 @@
 }
 
 // send starts an attempt. Every Send gets exactly one Outcome.
-func (e *Engine) send(s balancer.Send) {
-	c := e.calls[s.ID]
-	if c == nil {
-		e.logf("send for the unknown request %s", s.ID)
+func (e *Engine) send(send balancer.Send) {
+	call := e.calls[send.ID]
+	if call == nil {
+		e.logf("send for the unknown request %s", send.ID)
 		return
 	}
 	now := e.cfg.Clock.Now()
-	timeout := c.Deadline - now
+	timeout := call.Deadline - now
 	switch {
-	case c.arriving:
-		timeout = c.left // from its last byte on
-	case s.Timeout != 0: // 0: until the deadline
-		timeout = min(timeout, s.Timeout)
+	case call.arriving:
+		timeout = call.timeLeft // from its last byte on
+	case send.Timeout != 0: // 0: until the deadline
+		timeout = min(timeout, send.Timeout)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	a := &Attempt{Endpoint: e.endpoints[s.Server], Payload: c.Payload, Timeout: timeout, host: e, call: c,
-		n: len(c.attempts), server: s.Server, sent: now, cancel: cancel}
-	c.attempts = append(c.attempts, a)
-	c.out++
-	e.unhold(c)
-	if c.finished.Load() || timeout <= 0 || a.Endpoint == nil || e.cfg.MaxAttempts > 0 && a.n >= e.cfg.MaxAttempts {
-		a.ended.Store(true)
-		e.queue = append(e.queue, e.ending(a, balancer.Void, nil))
+	attempt := &Attempt{Endpoint: e.endpoints[send.Server], Payload: call.Payload, Timeout: timeout, host: e, call: call,
+		index: len(call.attempts), serverID: send.Server, startedAt: now, cancel: cancel}
+	call.attempts = append(call.attempts, attempt)
+	call.attemptsInFlight++
+	e.releasePending(call)
+	if call.finished.Load() || timeout <= 0 || attempt.Endpoint == nil || e.cfg.MaxAttempts > 0 && attempt.index >= e.cfg.MaxAttempts {
+		attempt.ended.Store(true)
+		e.pendingEvents = append(e.pendingEvents, e.recordEnding(attempt, balancer.Void, nil))
 		return
 	}
 	// The time for a streamed reply is over once it has begun, so it is not the context's deadline.
-	if !c.arriving {
-		a.expire(timeout)
+	if !call.arriving {
+		attempt.expire(timeout)
 	}
-	if a.observer = e.observer; a.observer != nil {
-		a.observer.Began(a.server)
+	if attempt.observer = e.observer; attempt.observer != nil {
+		attempt.observer.Began(attempt.serverID)
 	}
-	for _, id := range s.Spares {
+	for _, id := range send.Spares {
 		if ep := e.endpoints[id]; ep != nil {
-			a.Spares = append(a.Spares, ep)
+			attempt.Spares = append(attempt.Spares, ep)
 		}
 	}
-	if c, is := c.Payload.(Carrier); is {
-		c.Carry(ctx, a)
+	if carrier, is := call.Payload.(Carrier); is {
+		carrier.Carry(ctx, attempt)
 		return
 	}
-	e.cfg.Sender.Start(ctx, a)
+	e.cfg.Sender.Start(ctx, attempt)
 }
 
 // expire gives the attempt up once that has passed.
@@ -229,66 +231,66 @@
 }
 
 // began gives a call the streamed reply that came first; any other attempt's is withdrawn.
-func (e *Engine) began(a *Attempt, r Reply) {
+func (e *Engine) began(attempt *Attempt, reply Reply) {
 	e.Do(func() {
-		c := a.call
-		if c.finished.Load() || c.stream != nil || c.attempts[a.n] != a {
-			a.cancel(ErrWithdrawn)
-			release(r)
+		call := attempt.call
+		if call.finished.Load() || call.streaming != nil || call.attempts[attempt.index] != attempt {
+			attempt.cancel(ErrWithdrawn)
+			release(reply)
 			return
 		}
-		c.stream = a
-		if a.timer != nil {
-			a.timer.Stop()
+		call.streaming = attempt
+		if attempt.timer != nil {
+			attempt.timer.Stop()
 		}
-		c.lastCall.Stop() // a stream that has begun has no deadline
-		c.To.Began(r)
-		s, is := r.(Transferred)
-		e.handle(balancer.Started{ID: c.id, Attempt: a.n, Transfer: is && s.Transfer()})
+		call.fallbackTimer.Stop() // a stream that has begun has no deadline
+		call.To.Began(reply)
+		s, is := reply.(Transferred)
+		e.handle(balancer.Started{ID: call.id, Attempt: attempt.index, Transfer: is && s.Transfer()})
 	})
 }
 
 func (e *Engine) end(a *Attempt, ending balancer.Ending, r Reply) {
-	e.Do(func() { e.handle(e.ending(a, ending, r)) })
+	e.Do(func() { e.handle(e.recordEnding(a, ending, r)) })
 }
 
-// ending notes that an attempt has ended and words it for the module. The first success is the call's
+// recordEnding notes that an attempt has ended and words it for the module. The first success is the call's
 // answer; once a streamed reply has begun, how that attempt ends is.
-func (e *Engine) ending(a *Attempt, ending balancer.Ending, r Reply) balancer.Outcome {
-	c := a.call
-	if a.timer != nil {
-		a.timer.Stop()
+func (e *Engine) recordEnding(attempt *Attempt, ending balancer.Ending, reply Reply) balancer.Outcome {
+	call := attempt.call
+	if attempt.timer != nil {
+		attempt.timer.Stop()
 	}
-	a.cancel(nil)
-	c.out--
-	if a.observer != nil {
-		a.observer.Ended(a.server, ending)
+	attempt.cancel(nil)
+	call.attemptsInFlight--
+	if attempt.observer != nil {
+		attempt.observer.Ended(attempt.serverID, ending)
 	}
-	o := balancer.Outcome{ID: c.id, Attempt: a.n, Server: a.server, Ending: ending}
-	if p, is := c.Payload.(Spendable); is {
-		o.Spent = p.Spent()
+	outcome := balancer.Outcome{ID: call.id, Attempt: attempt.index, Server: attempt.serverID, Ending: ending}
+	if p, is := call.Payload.(Spendable); is {
+		outcome.Spent = p.Spent()
 	}
-	if x := a.crossed.Load(); x != nil {
-		o.Wrote, o.Out, o.In = true, x.out, x.in
-		if r, is := r.(Sized); is {
-			o.In += r.Size()
+	if done := attempt.transfer.Load(); done != nil {
+		outcome.Wrote, outcome.Out, outcome.In = true, done.bytesSent, done.bytesReceived
+		if sized, is := reply.(Sized); is {
+			outcome.In += sized.Size()
 		}
-		if x.served != "" {
-			o.Server = e.byAddr[x.served] // "": none that is listed
+		if done.served != "" {
+			outcome.Server = e.idByAddr[done.served] // "": none that is listed
 		}
 	}
 	answered := false
 	switch {
-	case ending == balancer.Success && (c.stream == nil || c.stream == a):
-		answered = e.finish(c.id, Answer{Verdict: Served, Reply: r})
-	case c.stream == a:
+	case ending == balancer.Success && (call.streaming == nil || call.streaming == attempt):
+		answered = e.finish(call.id, Answer{Verdict: Served, Reply: reply})
+	case call.streaming == attempt:
 		// It broke midway. What came has run and can't be taken back, so no other attempt may follow.
-		e.finish(c.id, Answer{Verdict: Failed})
+		e.finish(call.id, Answer{Verdict: Failed})
 	}
 	if !answered {
-		release(r)
+		release(reply)
 	}
-	e.forget(c)
-	o.Latency, o.Ended = e.cfg.Clock.Now()-a.sent, c.finished.Load()
-	return o
+	e.forgetIfDone(call)
+	outcome.Latency, outcome.Ended = e.cfg.Clock.Now()-attempt.startedAt, call.finished.Load()
+	return outcome
 }
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -71,193 +71,193 @@
 	// until then nobody but its front gives it up for them.
 	Arriving bool
 
-	id       string      // ours: a caller's id may come again
-	finished atomic.Bool // answered, or its caller has gone; set by the engine's goroutine alone
-	lastCall *time.Timer // for an answer by the engine itself
-	attempts []*Attempt
-	stream   *Attempt // whose streamed reply has begun
-	out      int      // attempts that have not ended
-	held     bool     // counted in Config.Held
-	arriving bool
-	left     time.Duration // for the module, from its last byte on
-	own      time.Duration // and on top of that for the engine
+	id               string      // ours: a caller's id may come again
+	finished         atomic.Bool // answered, or its caller has gone; set by the engine's goroutine alone
+	fallbackTimer    *time.Timer // for an answer by the engine itself
+	attempts         []*Attempt
+	streaming        *Attempt // whose streamed reply has begun
+	attemptsInFlight int      // attempts that have not ended
+	countedPending   bool     // counted in Config.Pending
+	arriving         bool
+	timeLeft         time.Duration // for the module, from its last byte on
+	fallbackDelay    time.Duration // and on top of that for the engine
 }
 
 // Submit hands the engine a call.
-func (e *Engine) Submit(c *Call) { e.Do(func() { e.accept(c) }) }
+func (e *Engine) Submit(call *Call) { e.Do(func() { e.accept(call) }) }
 
 // Gone notes that the caller of a submitted call has left: nothing more is owed. An Ended that crosses
 // it may still come; the front then releases its reply.
-func (e *Engine) Gone(c *Call) { e.Do(func() { e.gone(c) }) }
+func (e *Engine) Gone(call *Call) { e.Do(func() { e.callerGone(call) }) }
 
 // Arrived notes that the last byte of a call that was Arriving has come: its time runs from now on.
-func (e *Engine) Arrived(c *Call) {
+func (e *Engine) Arrived(call *Call) {
 	e.Do(func() {
-		if !c.arriving || c.finished.Load() {
+		if !call.arriving || call.finished.Load() {
 			return
 		}
-		c.arriving = false
-		c.Deadline = e.cfg.Clock.Now() + c.left
-		c.Last = c.Deadline + c.own
-		if c.stream != nil {
+		call.arriving = false
+		call.Deadline = e.cfg.Clock.Now() + call.timeLeft
+		call.Last = call.Deadline + call.fallbackDelay
+		if call.streaming != nil {
 			return // its answer has begun
 		}
-		e.answerBy(c)
-		for _, a := range c.attempts {
-			if !a.ended.Load() {
-				a.expire(c.left)
+		e.armFallbackAnswer(call)
+		for _, attempt := range call.attempts {
+			if !attempt.ended.Load() {
+				attempt.expire(call.timeLeft)
 			}
 		}
 	})
 }
 
-// answerBy has the engine answer at the last, should the module never say anything.
-func (e *Engine) answerBy(c *Call) {
-	c.lastCall = e.after(c.Last-e.cfg.Clock.Now(), func() {
-		if !c.finished.Load() && c.stream == nil {
-			e.logf("request %s: no answer from the module by its deadline", c.id)
-			e.abandon(c)
+// armFallbackAnswer has the engine answer at the last, should the module never say anything.
+func (e *Engine) armFallbackAnswer(call *Call) {
+	call.fallbackTimer = e.after(call.Last-e.cfg.Clock.Now(), func() {
+		if !call.finished.Load() && call.streaming == nil {
+			e.logf("request %s: no answer from the module by its deadline", call.id)
+			e.abandon(call)
 		}
 	})
 }
 
-// Settle is Gone and the attempt's End in one: whoever carries the attempt has answered the caller.
-func (e *Engine) Settle(c *Call, a *Attempt, ending balancer.Ending) {
-	if !a.ended.CompareAndSwap(false, true) {
-		e.Gone(c)
+// EndCallAndAttempt is Gone and the attempt's End in one: whoever carries the attempt has answered the caller.
+func (e *Engine) EndCallAndAttempt(call *Call, attempt *Attempt, ending balancer.Ending) {
+	if !attempt.ended.CompareAndSwap(false, true) {
+		e.Gone(call)
 		return
 	}
 	e.Do(func() {
-		e.gone(c)
-		e.handle(e.ending(a, ending, nil))
+		e.callerGone(call)
+		e.handle(e.recordEnding(attempt, ending, nil))
 	})
 }
 
 // AbandonAll fails whatever is unanswered, but for answers that have begun: these go on for as long as they can.
 func (e *Engine) AbandonAll() {
 	e.Do(func() {
-		for _, c := range e.calls {
-			if !c.finished.Load() && c.stream == nil {
-				e.abandon(c)
+		for _, call := range e.calls {
+			if !call.finished.Load() && call.streaming == nil {
+				e.abandon(call)
 			}
 		}
 	})
 }
 
-func (e *Engine) accept(c *Call) {
-	if c.ID != "" && e.callerIDs[c.ID] {
+func (e *Engine) accept(call *Call) {
+	if call.ID != "" && e.callerIDs[call.ID] {
 		// Passed on it would be a second copy of the one that is open.
-		c.finished.Store(true)
-		c.To.Ended(Answer{Verdict: Duplicate})
+		call.finished.Store(true)
+		call.To.Ended(Answer{Verdict: Duplicate})
 		return
 	}
-	if e.drop > 0 && e.rng.Float64() < e.drop {
+	if e.dropShare > 0 && e.rng.Float64() < e.dropShare {
 		// Harmless: nothing was done for it, and the module has not heard of it.
-		c.finished.Store(true)
+		call.finished.Store(true)
 		if e.observer != nil {
 			e.observer.Dropped()
 		}
-		c.To.Ended(Answer{Verdict: Refused, RetryAfter: refusedRetryAfter})
+		call.To.Ended(Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
 		return
 	}
-	among, ok := e.among(c.Among)
+	among, ok := e.endpointIDs(call.Among)
 	if !ok {
 		// Harmless: nothing was done for it.
-		c.finished.Store(true)
-		c.To.Ended(Answer{Verdict: Refused, RetryAfter: refusedRetryAfter})
+		call.finished.Store(true)
+		call.To.Ended(Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
 		return
 	}
-	if c.ID != "" {
-		e.callerIDs[c.ID] = true
+	if call.ID != "" {
+		e.callerIDs[call.ID] = true
 	}
 	e.nextID++
-	c.id = strconv.FormatUint(e.nextID, 10)
-	e.calls[c.id] = c
-	e.open.Add(1)
+	call.id = strconv.FormatUint(e.nextID, 10)
+	e.calls[call.id] = call
+	e.openCalls.Add(1)
 	// The module answers by the deadline; should it ever say nothing, the caller still gets an answer in time.
-	if c.arriving = c.Arriving; c.arriving {
+	if call.arriving = call.Arriving; call.arriving {
 		now := e.cfg.Clock.Now()
-		c.left, c.own = c.Deadline-now, c.Last-c.Deadline
-		c.lastCall = time.AfterFunc(time.Hour, func() {})
-		c.lastCall.Stop()
+		call.timeLeft, call.fallbackDelay = call.Deadline-now, call.Last-call.Deadline
+		call.fallbackTimer = time.AfterFunc(time.Hour, func() {})
+		call.fallbackTimer.Stop()
 	} else {
-		e.answerBy(c)
+		e.armFallbackAnswer(call)
 	}
-	e.handle(balancer.Request{ID: c.id, Class: c.Class, Deadline: c.Deadline, Repeat: c.Repeat, Cost: c.Cost,
-		Tenant: c.Tenant[:min(len(c.Tenant), MaxTenant)], Among: among, From: c.From[:min(len(c.From), MaxZone)], Size: c.Size})
-	if e.cfg.Held == nil || c.finished.Load() || len(c.attempts) > 0 {
+	e.handle(balancer.Request{ID: call.id, Class: call.Class, Deadline: call.Deadline, Repeat: call.Repeat, Cost: call.Cost,
+		Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)], Among: among, From: call.From[:min(len(call.From), MaxZone)], Size: call.Size})
+	if e.cfg.Pending == nil || call.finished.Load() || len(call.attempts) > 0 {
 		return
 	}
-	if c.held = e.cfg.Held.Take(1); !c.held {
-		e.refused++
+	if call.countedPending = e.cfg.Pending.Take(1); !call.countedPending {
+		e.rejectedOverLimit++
 		// Harmless: nothing was done for it. The module hears that nothing is owed any more.
-		e.finish(c.id, Answer{Verdict: Refused, RetryAfter: refusedRetryAfter})
-		e.handle(balancer.ClientGone{ID: c.id})
+		e.finish(call.id, Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
+		e.handle(balancer.ClientGone{ID: call.id})
 	}
 }
 
-// among are the ids of the endpoints at some addresses, as the list has them now; false: there are none.
-func (e *Engine) among(addrs []string) (ids []string, ok bool) {
+// endpointIDs are the ids of the endpoints at some addresses, as the list has them now; false: there are none.
+func (e *Engine) endpointIDs(addrs []string) (ids []string, ok bool) {
 	if addrs == nil {
 		return nil, true
 	}
-	for _, a := range addrs {
-		if id := e.byAddr[a]; id != "" {
+	for _, addr := range addrs {
+		if id := e.idByAddr[addr]; id != "" {
 			ids = append(ids, id)
 		}
 	}
 	return ids, ids != nil
 }
 
-// refusedRetryAfter is the advice with a refusal that is not the module's.
-const refusedRetryAfter = time.Second
+// rejectionRetryAfter is the advice with a refusal that is not the module's.
+const rejectionRetryAfter = time.Second
 
 // abandon fails a call without the module, which is told that nothing is owed any more.
-func (e *Engine) abandon(c *Call) {
-	e.finish(c.id, Answer{Verdict: Failed})
-	e.handle(balancer.ClientGone{ID: c.id})
+func (e *Engine) abandon(call *Call) {
+	e.finish(call.id, Answer{Verdict: Failed})
+	e.handle(balancer.ClientGone{ID: call.id})
 }
 
-func (e *Engine) gone(c *Call) {
-	if e.close(c) {
-		e.handle(balancer.ClientGone{ID: c.id})
-		e.forget(c)
+func (e *Engine) callerGone(call *Call) {
+	if e.markFinished(call) {
+		e.handle(balancer.ClientGone{ID: call.id})
+		e.forgetIfDone(call)
 	}
 }
 
 // finish gives a call its final answer, once; false if it had one.
-func (e *Engine) finish(id string, a Answer) bool {
-	c := e.calls[id]
-	if c == nil || !e.close(c) {
+func (e *Engine) finish(id string, answer Answer) bool {
+	call := e.calls[id]
+	if call == nil || !e.markFinished(call) {
 		return false
 	}
-	c.To.Ended(a)
-	e.forget(c)
+	call.To.Ended(answer)
+	e.forgetIfDone(call)
 	return true
 }
 
-// close finishes a call; false if it was before.
-func (e *Engine) close(c *Call) bool {
-	if c.lastCall == nil || !c.finished.CompareAndSwap(false, true) {
+// markFinished finishes a call; false if it was before.
+func (e *Engine) markFinished(call *Call) bool {
+	if call.fallbackTimer == nil || !call.finished.CompareAndSwap(false, true) {
 		return false
 	}
-	c.lastCall.Stop()
-	e.unhold(c)
+	call.fallbackTimer.Stop()
+	e.releasePending(call)
 	return true
 }
 
-func (e *Engine) unhold(c *Call) {
-	if c.held {
-		c.held = false
-		e.cfg.Held.Give(1)
+func (e *Engine) releasePending(call *Call) {
+	if call.countedPending {
+		call.countedPending = false
+		e.cfg.Pending.Give(1)
 	}
 }
 
-// forget drops a call that is finished and has no attempt out.
-func (e *Engine) forget(c *Call) {
-	if c.finished.Load() && c.out == 0 && e.calls[c.id] == c {
-		delete(e.calls, c.id)
-		delete(e.callerIDs, c.ID)
-		e.open.Add(-1)
+// forgetIfDone drops a call that is finished and has no attempt out.
+func (e *Engine) forgetIfDone(call *Call) {
+	if call.finished.Load() && call.attemptsInFlight == 0 && e.calls[call.id] == call {
+		delete(e.calls, call.id)
+		delete(e.callerIDs, call.ID)
+		e.openCalls.Add(-1)
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -37,9 +37,9 @@
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
-// Room is a limit shared with others: so much can be taken, and is given back. It is called from many
+// SharedLimit is a limit shared with others: so much can be taken, and is given back. It is called from many
 // goroutines.
-type Room interface {
+type SharedLimit interface {
 	Take(n int64) bool
 	Give(n int64)
 }
@@ -50,16 +50,16 @@
 	Clock       Clock
 	Module      Module
 	Sender      Sender
-	Source      Source // may be nil: then the list is what Apply brings
-	MaxAttempts int    // of a call; 0: no limit but the module's
-	Pushed      bool   // the list comes unasked: it is followed without a Subscribe
-	Held        Room   // calls that wait for an endpoint; nil: no limit
-	Orders      Orders // what operators have taken out by hand; nil: nothing ever
+	Source      Source      // may be nil: then the list is what Apply brings
+	MaxAttempts int         // of a call; 0: no limit but the module's
+	Pushed      bool        // the list comes unasked: it is followed without a Subscribe
+	Pending     SharedLimit // calls that wait for an endpoint; nil: no limit
+	AdminStates AdminStates // what operators have taken out by hand; nil: nothing ever
 }
 
-// Orders are what operators have taken out by hand. They lie over the list: a server that is out drains, whatever
+// AdminStates are what operators have taken out by hand. They lie over the list: a server that is out drains, whatever
 // the list says of it. Its methods are called from many goroutines and never wait.
-type Orders interface {
+type AdminStates interface {
 	// Out says that a server is taken out. It binds attempts from the moment that it says so.
 	Out(id string) bool
 	// Boot is when a server is to be taken to have started, where the list says boot.
@@ -71,53 +71,53 @@
 
 // Engine owns a module. Its exported methods may be called from any goroutine.
 type Engine struct {
-	cfg    Config
-	events chan func()
-	done   chan struct{} // closed when Run has ended
-	open   atomic.Int64  // calls that are unanswered or have attempts out
+	cfg       Config
+	events    chan func()
+	done      chan struct{} // closed when Run has ended
+	openCalls atomic.Int64  // calls that are unanswered or have attempts out
 
 	// Owned by Run's goroutine.
-	queue     []balancer.Event // for the module, in order
-	calls     map[string]*Call
-	callerIDs map[string]bool // of calls
-	endpoints map[string]*Endpoint
-	byAddr    map[string]string // ids of endpoints by address
-	source    Source
-	observer  Observer // the source, if it is one; else nil
-	version   string   // of the list we hold; "": not this source's
-	drop      float64  // share of calls to refuse
-	rng       *rand.Rand
-	nextID    uint64
-	stopWatch context.CancelFunc
-	refused   int // calls held over the limit since the last line about it
+	pendingEvents     []balancer.Event // for the module, in order
+	calls             map[string]*Call
+	callerIDs         map[string]bool // of calls
+	endpoints         map[string]*Endpoint
+	idByAddr          map[string]string // ids of endpoints by address
+	source            Source
+	observer          Observer // the source, if it is one; else nil
+	listVersion       string   // of the list we hold; "": not this source's
+	dropShare         float64  // share of calls to refuse
+	rng               *rand.Rand
+	nextID            uint64
+	stopWatch         context.CancelFunc
+	rejectedOverLimit int // calls held over the limit since the last line about it
 }
 
 // New returns an engine that does nothing until Run.
 func New(cfg Config) *Engine {
 	e := &Engine{cfg: cfg, events: make(chan func(), 256), done: make(chan struct{}),
-		calls: map[string]*Call{}, callerIDs: map[string]bool{}, endpoints: map[string]*Endpoint{}, byAddr: map[string]string{},
+		calls: map[string]*Call{}, callerIDs: map[string]bool{}, endpoints: map[string]*Endpoint{}, idByAddr: map[string]string{},
 		source: cfg.Source, stopWatch: func() {}, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 	e.observe(cfg.Source)
 	return e
 }
 
-// sweepEvery is how often the sender may look for what it need not keep.
-const sweepEvery = time.Second
+// sweepInterval is how often the sender may look for what it need not keep.
+const sweepInterval = time.Second
 
 // Run works off events until ctx ends.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.done)
 	defer func() { e.stopWatch() }()
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
 		case f := <-e.events:
 			f()
 		case <-sweep.C:
-			if e.refused > 0 {
-				e.logf("%d calls refused: too many held", e.refused)
-				e.refused = 0
+			if e.rejectedOverLimit > 0 {
+				e.logf("%d calls refused: too many held", e.rejectedOverLimit)
+				e.rejectedOverLimit = 0
 			}
 			go e.cfg.Sender.Sweep()
 		case <-ctx.Done():
@@ -143,7 +143,7 @@
 func (e *Engine) Done() <-chan struct{} { return e.done }
 
 // Open is the number of calls that are unanswered or have attempts out.
-func (e *Engine) Open() int64 { return e.open.Load() }
+func (e *Engine) Open() int64 { return e.openCalls.Load() }
 
 // Now is the engine's clock time.
 func (e *Engine) Now() time.Duration { return e.cfg.Clock.Now() }
@@ -184,17 +184,17 @@
 
 // handle gives the module an event, and then those that its own actions caused at once.
 func (e *Engine) handle(ev balancer.Event) {
-	e.queue = append(e.queue, ev)
-	for len(e.queue) > 0 {
-		ev := e.queue[0]
-		e.queue = e.queue[1:]
+	e.pendingEvents = append(e.pendingEvents, ev)
+	for len(e.pendingEvents) > 0 {
+		ev := e.pendingEvents[0]
+		e.pendingEvents = e.pendingEvents[1:]
 		for _, a := range e.cfg.Module.Handle(e.cfg.Clock.Now(), ev) {
-			e.carryOut(a)
+			e.perform(a)
 		}
 	}
 }
 
-func (e *Engine) carryOut(a balancer.Action) {
+func (e *Engine) perform(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
 		e.send(a)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -24,25 +24,25 @@
 
 func (f moduleFunc) Handle(_ time.Duration, e balancer.Event) []balancer.Action { return f(e) }
 
-// hand is a sender whose attempts end when the test says so.
-type hand struct {
+// manualSender is a sender whose attempts end when the test says so.
+type manualSender struct {
 	started chan *Attempt
 	ctx     sync.Map // *Attempt to its context
 	dropped chan string
 }
 
-func newHand() *hand {
-	return &hand{started: make(chan *Attempt, 100), dropped: make(chan string, 100)}
+func newManualSender() *manualSender {
+	return &manualSender{started: make(chan *Attempt, 100), dropped: make(chan string, 100)}
 }
 
-func (h *hand) Start(ctx context.Context, a *Attempt) {
+func (h *manualSender) Start(ctx context.Context, a *Attempt) {
 	h.ctx.Store(a, ctx)
 	h.started <- a
 }
-func (h *hand) Drop(ep *Endpoint) { h.dropped <- ep.ID }
-func (h *hand) Sweep()            {}
+func (h *manualSender) Drop(ep *Endpoint) { h.dropped <- ep.ID }
+func (h *manualSender) Sweep()            {}
 
-func (h *hand) cause(t *testing.T, a *Attempt) error {
+func (h *manualSender) cause(t *testing.T, a *Attempt) error {
 	v, _ := h.ctx.Load(a)
 	ctx := v.(context.Context)
 	select {
@@ -78,8 +78,8 @@
 		SecondCopies: true, Tick: time.Millisecond}
 }
 
-// run runs an engine until the test ends; nil m stands for the real module.
-func run(t testing.TB, cfg Config) *Engine {
+// startEngine runs an engine until the test ends; nil m stands for the real module.
+func startEngine(t testing.TB, cfg Config) *Engine {
 	t.Helper()
 	if cfg.Module == nil {
 		b, err := balancer.New(settings(), 1)
@@ -113,8 +113,8 @@
 	return &Call{ID: id, Class: class, Deadline: now + left, Last: now + left + left/10, To: r}, r
 }
 
-// settle returns once the engine has worked off what was posted before.
-func settle(t testing.TB, e *Engine) {
+// waitIdle returns once the engine has worked off what was posted before.
+func waitIdle(t testing.TB, e *Engine) {
 	t.Helper()
 	done := make(chan struct{})
 	e.Do(func() { close(done) })
@@ -122,8 +122,8 @@
 }
 
 func TestServed(t *testing.T) {
-	h := newHand()
-	e := run(t, Config{Sender: h})
+	h := newManualSender()
+	e := startEngine(t, Config{Sender: h})
 	e.Start(serverList("a", "b"))
 	c, r := newCall(e, "c-1", "order", limit)
 	c.Payload = "payload"
@@ -139,7 +139,7 @@
 	}
 	late := &reply{}
 	a.End(balancer.Success, late) // an attempt ends once
-	settle(t, e)
+	waitIdle(t, e)
 	if e.Open() != 0 || len(r.ended) != 0 || got.released.Load() != 0 || late.released.Load() != 1 {
 		t.Errorf("%d open, %d more answers, released %d and %d", e.Open(), len(r.ended), got.released.Load(), late.released.Load())
 	}
@@ -153,8 +153,8 @@
 		again  bool
 	}{{balancer.Unreachable, true}, {balancer.Overloaded, true}, {balancer.Failure, false},
 		{balancer.Broken, false}, {balancer.TimedOut, false}, {balancer.Withdrawn, false}} {
-		h := newHand()
-		e := run(t, Config{Sender: h})
+		h := newManualSender()
+		e := startEngine(t, Config{Sender: h})
 		e.Start(serverList("a", "b", "c"))
 		call, r := newCall(e, "c-1", "order", limit)
 		e.Submit(call)
@@ -167,7 +167,7 @@
 		} else if a := testkit.Wait(t, r.ended); a.Verdict != Failed {
 			t.Errorf("ending %d: answer %+v", c.ending, a)
 		}
-		settle(t, e)
+		waitIdle(t, e)
 		if len(h.started) > 0 {
 			t.Errorf("ending %d: another attempt", c.ending)
 		}
@@ -177,8 +177,8 @@
 // At the moment of writing an attempt asks again: a finished call or an endpoint that has left the
 // list stops it.
 func TestBegin(t *testing.T) {
-	h := newHand()
-	e := run(t, Config{Sender: h})
+	h := newManualSender()
+	e := startEngine(t, Config{Sender: h})
 	e.Start(serverList("a"))
 	c, _ := newCall(e, "c-1", "read", limit)
 	e.Submit(c)
@@ -190,13 +190,13 @@
 	n.Servers[0].State = balancer.Draining
 	e.Apply(n)
 	testkit.Wait(t, h.dropped)
-	settle(t, e)
+	waitIdle(t, e)
 	if ending, ok := a.Begin(); ok || ending != balancer.Unreachable {
 		t.Errorf("begins at a server that drains: %v %v", ending, ok)
 	}
 	e.Apply(serverList("a"))
 	e.Gone(c)
-	settle(t, e)
+	waitIdle(t, e)
 	if ending, ok := a.Begin(); ok || ending != balancer.Void {
 		t.Errorf("begins for a caller that has gone: %v %v", ending, ok)
 	}
@@ -207,7 +207,7 @@
 		t.Errorf("%d calls open while an attempt is out", e.Open())
 	}
 	a.End(balancer.Withdrawn, nil)
-	settle(t, e)
+	waitIdle(t, e)
 	if e.Open() != 0 {
 		t.Errorf("%d calls open", e.Open())
 	}
@@ -215,8 +215,8 @@
 
 // An id that is open is turned away; once it is not, it may come again. No id is never open.
 func TestDuplicateID(t *testing.T) {
-	h := newHand()
-	e := run(t, Config{Sender: h})
+	h := newManualSender()
+	e := startEngine(t, Config{Sender: h})
 	e.Start(serverList("a"))
 	for range 2 {
 		first, r := newCall(e, "c-1", "read", limit)
@@ -229,7 +229,7 @@
 		e.Gone(again) // which the engine never took
 		testkit.Wait(t, h.started).End(balancer.Success, &reply{})
 		testkit.Wait(t, r.ended)
-		settle(t, e)
+		waitIdle(t, e)
 	}
 	for range 2 {
 		c, _ := newCall(e, "", "read", limit)
@@ -241,7 +241,7 @@
 // Whatever the module forgets, the caller has an answer, and the module hears of it.
 func TestLastCall(t *testing.T) {
 	gone := make(chan balancer.ClientGone, 1)
-	e := run(t, Config{Sender: newHand(), Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
+	e := startEngine(t, Config{Sender: newManualSender(), Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
 		if g, is := ev.(balancer.ClientGone); is {
 			gone <- g
 		}
@@ -259,7 +259,7 @@
 // deadline, and a break midway is the call's failure, never a second run.
 func TestStream(t *testing.T) {
 	for _, broken := range []bool{false, true} {
-		h := newHand()
+		h := newManualSender()
 		started := make(chan balancer.Started, 1)
 		outcomes := make(chan balancer.Outcome, 10)
 		m, err := balancer.New(settings(), 1)
@@ -267,7 +267,7 @@
 			t.Fatal(err)
 		}
 		clock := NewClock()
-		e := run(t, Config{Sender: h, Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
+		e := startEngine(t, Config{Sender: h, Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
 			switch ev := ev.(type) {
 			case balancer.Request: // and a second copy, as a module that hedges would send
 				return append(m.Handle(clock.Now(), ev), balancer.Send{ID: ev.ID, Server: "b"})
@@ -297,7 +297,7 @@
 		}
 		first.Began(loser) // crosses the cancel
 		first.End(balancer.Success, nil)
-		settle(t, e)
+		waitIdle(t, e)
 		if loser.released.Load() != 1 || len(r.ended) != 0 {
 			t.Errorf("the loser: released %d times, %d answers", loser.released.Load(), len(r.ended))
 		}
@@ -305,7 +305,7 @@
 		for e.Now() < c.Last+time.Millisecond {
 			time.Sleep(time.Millisecond)
 		}
-		settle(t, e)
+		waitIdle(t, e)
 		if len(r.ended) != 0 {
 			t.Fatal("a stream that has begun ended at the deadline")
 		}
@@ -320,7 +320,7 @@
 		if o := testkit.Wait(t, outcomes); !o.Ended || o.Attempt != 1 {
 			t.Errorf("outcome %+v", o)
 		}
-		settle(t, e)
+		waitIdle(t, e)
 		if e.Open() != 0 || len(h.started) != 0 {
 			t.Errorf("%d calls open, %d more attempts", e.Open(), len(h.started))
 		}
@@ -330,8 +330,8 @@
 // Calls that wait for a server are counted: over the limit they are refused at once, and each that
 // stops waiting gives its place back.
 func TestHeldLimit(t *testing.T) {
-	h, held := newHand(), testkit.NewRoom(2)
-	e := run(t, Config{Sender: h, Held: held})
+	h, held := newManualSender(), testkit.NewRoom(2)
+	e := startEngine(t, Config{Sender: h, Pending: held})
 	var rs []*receiver
 	var cs []*Call
 	for i := range 3 {
@@ -343,33 +343,33 @@
 		t.Errorf("over the limit: %+v", a)
 	}
 	e.Gone(cs[0])
-	settle(t, e)
+	waitIdle(t, e)
 	if n := held.Left(); n != 1 {
 		t.Errorf("room for %d after one has gone, not 1", n)
 	}
 	e.Apply(serverList("a"))
 	testkit.Wait(t, h.started).End(balancer.Success, &reply{})
 	testkit.Wait(t, rs[1].ended)
-	settle(t, e)
+	waitIdle(t, e)
 	if n := held.Left(); n != 2 || e.Open() != 0 {
 		t.Errorf("room for %d after all, %d open", n, e.Open())
 	}
 }
 
-// observed is a source that hears of attempts.
-type observed struct {
-	*scripted
+// observingSource is a source that hears of attempts.
+type observingSource struct {
+	*scriptedSource
 	began, ended, dropped atomic.Int64
 }
 
-func (o *observed) Began(string)                  { o.began.Add(1) }
-func (o *observed) Ended(string, balancer.Ending) { o.ended.Add(1) }
-func (o *observed) Dropped()                      { o.dropped.Add(1) }
+func (o *observingSource) Began(string)                  { o.began.Add(1) }
+func (o *observingSource) Ended(string, balancer.Ending) { o.ended.Add(1) }
+func (o *observingSource) Dropped()                      { o.dropped.Add(1) }
 
 // A source may have a share of calls refused: harmlessly, with advice, and without a word to the module.
 func TestDrops(t *testing.T) {
-	h, o := newHand(), &observed{scripted: newScripted("drops")}
-	e := run(t, Config{Sender: h, Source: o})
+	h, o := newManualSender(), &observingSource{scriptedSource: newScriptedSource("drops")}
+	e := startEngine(t, Config{Sender: h, Source: o})
 	n := serverList("a", "b", "c", "d")
 	n.Drop = 0.5
 	e.Apply(n)
@@ -393,7 +393,7 @@
 			t.Fatal("neither")
 		}
 	}
-	settle(t, e)
+	waitIdle(t, e)
 	if refused < calls/4 || refused > calls*3/4 || o.dropped.Load() != int64(refused) ||
 		o.began.Load() != int64(calls-refused) || o.ended.Load() != o.began.Load() || e.Open() != 0 {
 		t.Errorf("%d refused of %d; the source heard of %d, of %d begun and %d ended; %d open", refused, calls,
@@ -411,17 +411,17 @@
 
 // Whoever carried the attempt has answered the caller: both are over, and no answer follows.
 func TestSettle(t *testing.T) {
-	h := newHand()
-	e := run(t, Config{Sender: h})
+	h := newManualSender()
+	e := startEngine(t, Config{Sender: h})
 	e.Start(serverList("a"))
 	for range 3 {
 		c, r := newCall(e, "c-1", "order", limit)
 		e.Submit(c)
 		a := testkit.Wait(t, h.started)
-		e.Settle(c, a, balancer.Failure)
-		e.Settle(c, a, balancer.Failure) // again changes nothing
+		e.EndCallAndAttempt(c, a, balancer.Failure)
+		e.EndCallAndAttempt(c, a, balancer.Failure) // again changes nothing
 		a.End(balancer.Success, nil)
-		settle(t, e)
+		waitIdle(t, e)
 		if e.Open() != 0 || len(r.ended) != 0 {
 			t.Errorf("%d open, %d answers", e.Open(), len(r.ended))
 		}
@@ -429,8 +429,8 @@
 }
 
 func TestAbandonAll(t *testing.T) {
-	h := newHand()
-	e := run(t, Config{Sender: h})
+	h := newManualSender()
+	e := startEngine(t, Config{Sender: h})
 	e.Start(serverList("a"))
 	c, r := newCall(e, "c-1", "order", limit)
 	e.Submit(c)
@@ -441,7 +441,7 @@
 	}
 	late := &reply{}
 	a.End(balancer.Success, late)
-	settle(t, e)
+	waitIdle(t, e)
 	if late.released.Load() != 1 || e.Open() != 0 {
 		t.Errorf("late reply released %d times, %d open", late.released.Load(), e.Open())
 	}
@@ -449,7 +449,7 @@
 
 // The engine must not use a server that a list no longer names, nor an address that it has left.
 func TestListRulesEndpoints(t *testing.T) {
-	e := New(Config{Clock: NewClock(), Sender: newHand(), Module: moduleFunc(func(balancer.Event) []balancer.Action { return nil })})
+	e := New(Config{Clock: NewClock(), Sender: newManualSender(), Module: moduleFunc(func(balancer.Event) []balancer.Action { return nil })})
 	e.apply(serverList("a", "b", "c"))
 	a, b, c := e.endpoints["a"], e.endpoints["b"], e.endpoints["c"]
 	drain := serverList("a", "b")
@@ -476,8 +476,8 @@
 	}
 }
 
-// scripted is a source that a test feeds.
-type scripted struct {
+// scriptedSource is a source that a test feeds.
+type scriptedSource struct {
 	name   string
 	asked  chan string
 	news   chan News
@@ -485,12 +485,12 @@
 	closed chan struct{}
 }
 
-func newScripted(name string) *scripted {
-	return &scripted{name, make(chan string, 100), make(chan News), make(chan error), make(chan struct{}, 100)}
+func newScriptedSource(name string) *scriptedSource {
+	return &scriptedSource{name, make(chan string, 100), make(chan News), make(chan error), make(chan struct{}, 100)}
 }
 
-func (s *scripted) String() string { return s.name }
-func (s *scripted) Follow(ctx context.Context, since string, news func(News)) error {
+func (s *scriptedSource) String() string { return s.name }
+func (s *scriptedSource) Follow(ctx context.Context, since string, news func(News)) error {
 	s.asked <- since
 	defer func() { s.closed <- struct{}{} }()
 	for {
@@ -508,9 +508,9 @@
 // One source is followed at a time, from the version that was applied last; another source from the
 // beginning, whose news alone count.
 func TestSources(t *testing.T) {
-	one, two := newScripted("one"), newScripted("two")
+	one, two := newScriptedSource("one"), newScriptedSource("two")
 	lists := make(chan balancer.ServerList, 10)
-	e := run(t, Config{Sender: newHand(), Source: one, Pushed: true, Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
+	e := startEngine(t, Config{Sender: newManualSender(), Source: one, Pushed: true, Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
 		if l, is := ev.(balancer.ServerList); is {
 			lists <- l
 		}
@@ -539,7 +539,7 @@
 	if v := testkit.Wait(t, two.asked); v != "" {
 		t.Errorf("again since %q", v)
 	}
-	settle(t, e)
+	waitIdle(t, e)
 	e.Do(func() {
 		if len(e.endpoints) != 2 {
 			t.Errorf("the list does not stay as it was: %d", len(e.endpoints))
@@ -551,12 +551,12 @@
 	}
 }
 
-// instant answers at once.
-type instant struct{ r reply }
+// instantSender answers at once.
+type instantSender struct{ r reply }
 
-func (s *instant) Start(_ context.Context, a *Attempt) { go a.End(balancer.Success, &s.r) }
-func (s *instant) Drop(*Endpoint)                      {}
-func (s *instant) Sweep()                              {}
+func (s *instantSender) Start(_ context.Context, a *Attempt) { go a.End(balancer.Success, &s.r) }
+func (s *instantSender) Drop(*Endpoint)                      {}
+func (s *instantSender) Sweep()                              {}
 
 type signal chan struct{}
 
@@ -565,7 +565,7 @@
 
 // BenchmarkEngine measures calls through one engine whose sender answers at once.
 func BenchmarkEngine(b *testing.B) {
-	e := run(b, Config{Sender: &instant{}})
+	e := startEngine(b, Config{Sender: &instantSender{}})
 	e.Start(serverList("a", "b", "c", "d", "e", "f", "g", "h", "i", "j"))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
@@ -579,18 +579,18 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
 }
 
-// brisk is a sender that ends every attempt at once and keeps nothing.
-type brisk struct{}
+// alternatingSender is a sender that ends every attempt at once and keeps nothing.
+type alternatingSender struct{}
 
-func (brisk) Start(_ context.Context, a *Attempt) {
+func (alternatingSender) Start(_ context.Context, a *Attempt) {
 	go a.End([]balancer.Ending{balancer.Success, balancer.Unreachable}[int(a.Endpoint.ID[len(a.Endpoint.ID)-1])%2], nil)
 }
-func (brisk) Drop(*Endpoint) {}
-func (brisk) Sweep()         {}
+func (alternatingSender) Drop(*Endpoint) {}
+func (alternatingSender) Sweep()         {}
 
 // What an engine and its module hold for servers that are gone: nothing, however many there were.
 func TestChurnIsForgotten(t *testing.T) {
-	e := run(t, Config{Sender: brisk{}})
+	e := startEngine(t, Config{Sender: alternatingSender{}})
 	var first []string
 	for i := range 60 {
 		first = append(first, fmt.Sprintf("s%06d", i))
@@ -608,12 +608,12 @@
 			testkit.Wait(t, r.ended)
 		}
 		if i%1800 == 1799 {
-			testkit.Eventually(t, "attempts still out", func() bool { settle(t, e); return e.Open() == 0 })
+			testkit.Eventually(t, "attempts still out", func() bool { waitIdle(t, e); return e.Open() == 0 })
 			e.Do(func() {
-				held = append(held, testkit.Held(e.endpoints)+testkit.Held(e.byAddr)+testkit.Held(e.calls)+
+				held = append(held, testkit.Held(e.endpoints)+testkit.Held(e.idByAddr)+testkit.Held(e.calls)+
 					testkit.Held(e.callerIDs)+testkit.Held(e.cfg.Module))
 			})
-			settle(t, e)
+			waitIdle(t, e)
 		}
 	}
 	t.Log("held:", held)
--- a/internal/engine/list.go
+++ b/internal/engine/list.go
@@ -31,9 +31,9 @@
 	Dropped()
 }
 
-// ErrGarbled is the reason for a watch's end where the source answered and what it said can't be read, or
+// ErrMalformedUpdate is the reason for a watch's end where the source answered and what it said can't be read, or
 // broke off in the midst.
-var ErrGarbled = errors.New("malformed news")
+var ErrMalformedUpdate = errors.New("malformed news")
 
 // Source tells of the servers.
 type Source interface {
@@ -50,16 +50,16 @@
 
 // apply takes news of the servers: first to what the I/O may use, then to the module.
 func (e *Engine) apply(n News) {
-	e.version, e.drop = n.Version, n.Drop
-	e.merge(n, false)
+	e.listVersion, e.dropShare = n.Version, n.Drop
+	e.mergeServers(n, false)
 }
 
-// Ordered has what operators ordered of a server take effect in the module, too. It returns at once.
-func (e *Engine) Ordered(id string) {
+// AdminStateChanged has what operators ordered of a server take effect in the module, too. It returns at once.
+func (e *Engine) AdminStateChanged(id string) {
 	// Not from the caller's goroutine: operators are answered in time, however long the queue of events is.
 	go e.Do(func() {
 		if ep := e.endpoints[id]; ep != nil {
-			e.merge(News{Servers: []Listed{ep.listed}}, true)
+			e.mergeServers(News{Servers: []Listed{ep.listed}}, true)
 		}
 	})
 }
@@ -72,10 +72,10 @@
 
 // Export gives the list as the source told it and what the module has learned, nil if it is no Learner; false if ctx
 // ends before the engine comes to it.
-func (e *Engine) Export(ctx context.Context) (x Exported, ok bool) {
-	got := make(chan Exported, 1)
+func (e *Engine) Export(ctx context.Context) (x Snapshot, ok bool) {
+	got := make(chan Snapshot, 1)
 	go e.Do(func() {
-		x := Exported{Version: e.version}
+		x := Snapshot{Version: e.listVersion}
 		for _, ep := range e.endpoints {
 			x.Servers = append(x.Servers, ep.listed)
 		}
@@ -90,82 +90,83 @@
 	case <-ctx.Done():
 	case <-e.done:
 	}
-	return Exported{}, false
+	return Snapshot{}, false
 }
 
-// Exported is what another engine needs to go on as this one would.
-type Exported struct {
+// Snapshot is what another engine needs to go on as this one would.
+type Snapshot struct {
 	Version   string // of the list
 	Servers   []Listed
 	Knowledge *balancer.Knowledge // nil: none
 }
 
-// merge takes over entries with the operators' orders laid over them; ordered: nothing new came from the source.
-func (e *Engine) merge(n News, ordered bool) {
-	listed := make(map[string]bool, len(n.Servers))
-	list := balancer.ServerList{Full: n.Full, Cached: n.Cached, Ordered: ordered, Servers: make([]balancer.Server, 0, len(n.Servers))}
-	for _, s := range n.Servers {
-		told := s
-		if e.cfg.Orders != nil {
-			s.Boot = e.cfg.Orders.Boot(s.ID, s.Boot)
-			if s.State == balancer.Ready && e.cfg.Orders.Out(s.ID) {
-				s.State = balancer.Draining
+// mergeServers takes over entries with the operators' orders laid over them; ordered: nothing new came from the source.
+func (e *Engine) mergeServers(update News, ordered bool) {
+	listed := make(map[string]bool, len(update.Servers))
+	list := balancer.ServerList{Full: update.Full, Cached: update.Cached, Ordered: ordered,
+		Servers: make([]balancer.Server, 0, len(update.Servers))}
+	for _, server := range update.Servers {
+		reported := server
+		if e.cfg.AdminStates != nil {
+			server.Boot = e.cfg.AdminStates.Boot(server.ID, server.Boot)
+			if server.State == balancer.Ready && e.cfg.AdminStates.Out(server.ID) {
+				server.State = balancer.Draining
 			}
 		}
-		list.Servers = append(list.Servers, s.Server)
-		listed[s.ID] = s.State != balancer.Gone
-		ep := e.endpoints[s.ID]
-		if ep == nil || ep.Addr != s.Addr || ep.boot != s.Boot {
+		list.Servers = append(list.Servers, server.Server)
+		listed[server.ID] = server.State != balancer.Gone
+		endpoint := e.endpoints[server.ID]
+		if endpoint == nil || endpoint.Addr != server.Addr || endpoint.boot != server.Boot {
 			// Connections to an earlier process or address are of no use.
-			e.remove(s.ID)
-			ep = &Endpoint{ID: s.ID, Addr: s.Addr, boot: s.Boot, orders: e.cfg.Orders}
-			e.endpoints[s.ID] = ep
-			e.byAddr[s.Addr] = s.ID
-			if e.cfg.Orders != nil {
-				e.cfg.Orders.Entered(s.ID)
+			e.removeEndpoint(server.ID)
+			endpoint = &Endpoint{ID: server.ID, Addr: server.Addr, boot: server.Boot, adminStates: e.cfg.AdminStates}
+			e.endpoints[server.ID] = endpoint
+			e.idByAddr[server.Addr] = server.ID
+			if e.cfg.AdminStates != nil {
+				e.cfg.AdminStates.Entered(server.ID)
 			}
 		}
-		ep.listed = told
-		ep.usable.Store(s.State == balancer.Ready)
-		if s.State != balancer.Ready {
-			e.cfg.Sender.Drop(ep)
+		endpoint.listed = reported
+		endpoint.usable.Store(server.State == balancer.Ready)
+		if server.State != balancer.Ready {
+			e.cfg.Sender.Drop(endpoint)
 		}
-		if s.State == balancer.Gone {
-			e.remove(s.ID)
+		if server.State == balancer.Gone {
+			e.removeEndpoint(server.ID)
 		}
 	}
-	if n.Full {
+	if update.Full {
 		for id := range e.endpoints {
 			if !listed[id] {
-				e.remove(id)
+				e.removeEndpoint(id)
 			}
 		}
 	}
 	e.handle(list)
 }
 
-func (e *Engine) remove(id string) {
-	if ep := e.endpoints[id]; ep != nil {
-		ep.usable.Store(false)
-		e.cfg.Sender.Drop(ep)
+func (e *Engine) removeEndpoint(id string) {
+	if endpoint := e.endpoints[id]; endpoint != nil {
+		endpoint.usable.Store(false)
+		e.cfg.Sender.Drop(endpoint)
 		delete(e.endpoints, id)
-		if e.cfg.Orders != nil {
-			e.cfg.Orders.Left(id)
+		if e.cfg.AdminStates != nil {
+			e.cfg.AdminStates.Left(id)
 		}
-		if e.byAddr[ep.Addr] == id { // else a newer one has the address
-			delete(e.byAddr, ep.Addr)
+		if e.idByAddr[endpoint.Addr] == id { // else a newer one has the address
+			delete(e.idByAddr, endpoint.Addr)
 		}
 	}
 }
 
 const (
-	// rewatch is how long a broken watch rests where the list comes unasked; elsewhere the module says.
-	rewatch = time.Second
-	// moveAgain is the rest between tries to reach a new source for the first time. What it has to
+	// pushedListRetryDelay is how long a broken watch rests where the list comes unasked; elsewhere the module says.
+	pushedListRetryDelay = time.Second
+	// newSourceRetryDelay is the rest between tries to reach a new source for the first time. What it has to
 	// tell counts as told 4 s after the reload, which leaves no time for the module's growing waits.
-	moveAgain = 500 * time.Millisecond
-	// watchRest follows every failure, whatever the module's wait: it has none if AskWithin is unset.
-	watchRest = 50 * time.Millisecond
+	newSourceRetryDelay = 500 * time.Millisecond
+	// watchRetryDelay follows every failure, whatever the module's wait: it has none if AskWithin is unset.
+	watchRetryDelay = 50 * time.Millisecond
 )
 
 // SetSource goes over to another source. Its versions do not compare with those of the one before, so
@@ -174,7 +175,7 @@
 	e.Do(func() {
 		e.logf("the list comes from %s from now on", s)
 		e.observe(s)
-		e.source, e.version = s, ""
+		e.source, e.listVersion = s, ""
 		e.subscribe()
 	})
 }
@@ -194,7 +195,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.stopWatch = cancel
-	source, since := e.source, e.version
+	source, since := e.source, e.listVersion
 	go func() {
 		err := source.Follow(ctx, since, func(n News) {
 			e.Do(func() {
@@ -208,13 +209,13 @@
 				return
 			}
 			e.logf("watch: %v", err)
-			failed := balancer.ListFailed{Garbled: errors.Is(err, ErrGarbled)}
-			rest, then := watchRest, func() { e.handle(failed) }
+			failed := balancer.ListFailed{Garbled: errors.Is(err, ErrMalformedUpdate)}
+			rest, then := watchRetryDelay, func() { e.handle(failed) }
 			switch {
-			case e.version == "":
-				rest, then = moveAgain, e.subscribe
+			case e.listVersion == "":
+				rest, then = newSourceRetryDelay, e.subscribe
 			case e.cfg.Pushed:
-				rest, then = rewatch, e.subscribe
+				rest, then = pushedListRetryDelay, e.subscribe
 				e.handle(failed)
 			}
 			e.after(rest, func() {
--- a/internal/front/extproc/ticket.go
+++ b/internal/front/extproc/ticket.go
@@ -108,7 +108,7 @@
 		t.pool.Engine().Gone(&t.Call)
 		return
 	}
-	t.pool.Engine().Settle(&t.Call, out, ending)
+	t.pool.Engine().EndCallAndAttempt(&t.Call, out, ending)
 }
 
 // crossed notes what the proxy tells of what went between, by the endpoint that served.
@@ -116,7 +116,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.out != nil {
-		t.out.Crossed(t.Size, in, served)
+		t.out.RecordTransfer(t.Size, in, served)
 	}
 }
 
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -29,9 +29,9 @@
 	// calls Claim first.
 	More *Stream
 	// Most is how many bytes Body and More may have together where no length was told; 0: as many as come.
-	Most    int64
-	claimed atomic.Bool
-	failed  atomic.Pointer[Reply]
+	Most          int64
+	streamClaimed atomic.Bool
+	failureReply  atomic.Pointer[Reply]
 }
 
 // Runs says how often a request may run.
@@ -45,16 +45,16 @@
 )
 
 // Fail keeps the answer that a server gave with a failure, for a caller that gets no better one.
-func (r *Request) Fail(with *Reply) { r.failed.Store(with) }
+func (r *Request) Fail(with *Reply) { r.failureReply.Store(with) }
 
 // Failed is the last answer that Fail kept; nil: none.
-func (r *Request) Failed() *Reply { return r.failed.Load() }
+func (r *Request) Failed() *Reply { return r.failureReply.Load() }
 
 // Spent says that no further attempt can send all of it.
-func (r *Request) Spent() bool { return r.More != nil && r.claimed.Load() }
+func (r *Request) Spent() bool { return r.More != nil && r.streamClaimed.Load() }
 
 // Claim says, once, that More may be taken.
-func (r *Request) Claim() bool { return r.claimed.CompareAndSwap(false, true) }
+func (r *Request) Claim() bool { return r.streamClaimed.CompareAndSwap(false, true) }
 
 // Reply is a server's whole answer to a request that was served.
 type Reply struct {
@@ -63,8 +63,8 @@
 	Status          int     // of HTTP; 0: 200
 	Header, Trailer []Field // of gRPC, and where a front passes all on
 
-	room  Room
-	freed atomic.Bool
+	bodyLimit Room
+	released  atomic.Bool
 }
 
 // Room is where the bytes of a long body were taken from.
@@ -72,7 +72,7 @@
 
 // NewReply returns a reply whose body's bytes go back to room, if that is not nil, once it is released.
 func NewReply(contentType string, body []byte, room Room) *Reply {
-	return &Reply{ContentType: contentType, Body: body, room: room}
+	return &Reply{ContentType: contentType, Body: body, bodyLimit: room}
 }
 
 // Size is how many bytes the body has.
@@ -80,7 +80,7 @@
 
 // Release gives back what the reply holds. The body must not be used after it.
 func (r *Reply) Release() {
-	if r.room != nil && r.freed.CompareAndSwap(false, true) {
-		r.room.Give(int64(len(r.Body)))
+	if r.bodyLimit != nil && r.released.CompareAndSwap(false, true) {
+		r.bodyLimit.Give(int64(len(r.Body)))
 	}
 }
--- a/internal/message/stream.go
+++ b/internal/message/stream.go
@@ -42,11 +42,11 @@
 	// Dropped is told of what Release gives up, and of what comes after it; nil: nobody. Set before the first Push.
 	Dropped func(n int)
 
-	consumed func(n int) // told, outside of any lock, as pieces are taken
-	wake     chan struct{}
+	onConsumed func(n int) // told, outside of any lock, as pieces are taken
+	wake       chan struct{}
 
 	mu       sync.Mutex
-	pieces   [][]byte
+	chunks   [][]byte
 	ended    bool
 	released bool
 	trailer  []Field
@@ -54,7 +54,7 @@
 
 // NewStream returns a stream with its header; consumed is told of what is taken.
 func NewStream(header []Field, consumed func(n int)) *Stream {
-	return &Stream{Header: header, consumed: consumed, wake: make(chan struct{}, 1)}
+	return &Stream{Header: header, onConsumed: consumed, wake: make(chan struct{}, 1)}
 }
 
 // Transfer says that it is one answer that takes long to pass on, and no work that goes on.
@@ -65,13 +65,13 @@
 	s.mu.Lock()
 	released := s.released // nobody reads, and the attempt is about to be given up
 	if !released {
-		s.pieces = append(s.pieces, p)
+		s.chunks = append(s.chunks, p)
 	}
 	s.mu.Unlock()
 	if released && s.Dropped != nil {
 		s.Dropped(len(p))
 	}
-	s.rouse()
+	s.signal()
 }
 
 // Finish ends the stream; with a trailer it ended as it should. Calls but the first are ignored.
@@ -81,10 +81,10 @@
 		s.ended, s.trailer = true, trailer
 	}
 	s.mu.Unlock()
-	s.rouse()
+	s.signal()
 }
 
-func (s *Stream) rouse() {
+func (s *Stream) signal() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -95,11 +95,11 @@
 func (s *Stream) Next(ctx context.Context) ([]byte, error) {
 	for {
 		s.mu.Lock()
-		if len(s.pieces) > 0 {
-			p := s.pieces[0]
-			s.pieces = s.pieces[1:]
+		if len(s.chunks) > 0 {
+			p := s.chunks[0]
+			s.chunks = s.chunks[1:]
 			s.mu.Unlock()
-			s.consumed(len(p))
+			s.onConsumed(len(p))
 			return p, nil
 		}
 		ended := s.ended
@@ -118,13 +118,13 @@
 // Drain takes all that is there, without waiting.
 func (s *Stream) Drain() (all []byte) {
 	s.mu.Lock()
-	for _, p := range s.pieces {
+	for _, p := range s.chunks {
 		all = append(all, p...)
 	}
-	s.pieces = nil
+	s.chunks = nil
 	s.mu.Unlock()
 	if len(all) > 0 {
-		s.consumed(len(all))
+		s.onConsumed(len(all))
 	}
 	return all
 }
@@ -140,7 +140,7 @@
 func (s *Stream) Held() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.pieces {
+	for _, p := range s.chunks {
 		n += len(p)
 	}
 	return n
@@ -150,10 +150,10 @@
 func (s *Stream) Release() {
 	n := 0
 	s.mu.Lock()
-	for _, p := range s.pieces {
+	for _, p := range s.chunks {
 		n += len(p)
 	}
-	s.pieces, s.released = nil, true
+	s.chunks, s.released = nil, true
 	s.mu.Unlock()
 	if n > 0 && s.Dropped != nil {
 		s.Dropped(n)
--- a/internal/node/h2_test.go
+++ b/internal/node/h2_test.go
@@ -23,7 +23,7 @@
 	"cranegrade/internal/wire"
 )
 
-func newH2Sender(c wire.Connections, m operator.Mux, connections engine.Room) engine.Sender {
+func newH2Sender(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender {
 	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.Each, Streams: m.Streams})
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -84,7 +84,7 @@
 	// is built without.
 	ExtProc func(net.Listener, operator.ExtProc, engine.Clock, *Node) Front
 	// H2 makes a sender for servers that speak HTTP/2; nil: this program is built without.
-	H2 func(c wire.Connections, m operator.Mux, connections engine.Room) engine.Sender
+	H2 func(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender
 	// GRPC makes the dialect that answers callers of gRPC on the listeners for HTTP/2; nil: this program is built without.
 	GRPC func(*Node) front.Dialect
 	// ZoneStore opens the file that keeps the account of zones; nil: this program is built without.
@@ -468,10 +468,10 @@
 	defer n.mu.Unlock()
 	for _, id := range servers {
 		for _, p := range n.serving.Load().pools {
-			p.Engine().Ordered(id)
+			p.Engine().AdminStateChanged(id)
 		}
 		for p := range n.retiring {
-			p.Engine().Ordered(id)
+			p.Engine().AdminStateChanged(id)
 		}
 	}
 }
@@ -488,9 +488,9 @@
 func (n *Node) relieve() {
 	if s := n.serving.Load(); len(s.pools) > 1 {
 		for _, p := range s.pools {
-			p.Relieve()
+			p.ReturnBorrowedConnections()
 		}
-		n.budgets.connections.Calm()
+		n.budgets.connections.ClearDenied()
 	}
 }
 
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -14,7 +14,7 @@
 )
 
 // desk keeps what operators have ordered of a running node, and sees that it takes effect. It implements
-// engine.Orders; what it reads on the way of requests takes no lock.
+// engine.AdminStates; what it reads on the way of requests takes no lock.
 type desk struct {
 	clock  engine.Clock
 	stands atomic.Pointer[adminstate.State] // never nil, never changed in place
@@ -36,22 +36,22 @@
 	return d
 }
 
-// Out implements engine.Orders.
+// Out implements engine.AdminStates.
 func (d *desk) Out(id string) bool { return d.stands.Load().Out(id) }
 
-// Boot implements engine.Orders.
+// Boot implements engine.AdminStates.
 func (d *desk) Boot(id string, boot time.Duration) time.Duration {
 	return d.stands.Load().Boot(id, boot)
 }
 
-// Entered implements engine.Orders.
+// Entered implements engine.AdminStates.
 func (d *desk) Entered(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listed[id]++ // several pools may list it
 }
 
-// Left implements engine.Orders.
+// Left implements engine.AdminStates.
 func (d *desk) Left(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,6 +1,6 @@
 // Package pool is a service: its own engine with its own decision module, list of servers, classes and
 // limits. Several pools share a process through budgets, in which each is sure of its minimum and may
-// borrow what is free (Ledger). A pool decides nothing about requests but whether there is room to
+// borrow what is free (QuotaTable). A pool decides nothing about requests but whether there is room to
 // take one at all.
 package pool
 
@@ -32,7 +32,7 @@
 	Clock    engine.Clock
 	Sender   engine.Sender
 	Source   engine.Source
-	Orders   engine.Orders       // nil: operators order nothing
+	Orders   engine.AdminStates  // nil: operators order nothing
 	Known    engine.News         // the list as it was held before; may be empty
 	Pushed   bool                // the list is followed unasked
 	Learned  *balancer.Knowledge // by another that this one takes over from; nil: none
@@ -43,19 +43,19 @@
 
 // Pool is a service in this process.
 type Pool struct {
-	name    string
-	classes map[string]balancer.Class
-	engine  *engine.Engine
-	shares  Shares
-	sender  engine.Sender
-	known   engine.News
-	learned *balancer.Knowledge
-	pushed  bool
-	grpc    bool
-
-	users   atomic.Int64 // calls entered and not left
-	retired atomic.Bool
-	stop    context.CancelFunc
+	name        string
+	classes     map[string]balancer.Class
+	engine      *engine.Engine
+	shares      Shares
+	sender      engine.Sender
+	initialList engine.News
+	knowledge   *balancer.Knowledge
+	pushed      bool
+	grpc        bool
+
+	activeCalls atomic.Int64 // calls entered and not left
+	retired     atomic.Bool
+	stop        context.CancelFunc
 }
 
 // New returns a pool that does nothing until Run.
@@ -68,13 +68,13 @@
 		cfg.Module = b
 	}
 	p := &Pool{name: cfg.Name, classes: make(map[string]balancer.Class, len(cfg.Settings.Classes)), shares: cfg.Shares,
-		sender: cfg.Sender, known: cfg.Known, learned: cfg.Learned, pushed: cfg.Pushed, grpc: cfg.GRPC, stop: func() {}}
+		sender: cfg.Sender, initialList: cfg.Known, knowledge: cfg.Learned, pushed: cfg.Pushed, grpc: cfg.GRPC, stop: func() {}}
 	for _, c := range cfg.Settings.Classes {
 		p.classes[c.Name] = c
 	}
 	p.engine = engine.New(engine.Config{Name: cfg.Name, Clock: cfg.Clock, Module: cfg.Module, Sender: cfg.Sender,
-		Source: cfg.Source, MaxAttempts: cfg.Settings.MaxAttempts, Pushed: cfg.Pushed, Held: cfg.Shares.Held,
-		Orders: cfg.Orders})
+		Source: cfg.Source, MaxAttempts: cfg.Settings.MaxAttempts, Pushed: cfg.Pushed, Pending: cfg.Shares.Held,
+		AdminStates: cfg.Orders})
 	return p, nil
 }
 
@@ -83,9 +83,9 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	go p.engine.Run(ctx)
-	p.engine.Start(p.known)
-	if p.learned != nil {
-		p.engine.Learn(p.learned)
+	p.engine.Start(p.initialList)
+	if p.knowledge != nil {
+		p.engine.Learn(p.knowledge)
 	}
 }
 
@@ -126,19 +126,19 @@
 // caller looks for the pool that has taken the place of this one; the other errors are refusals that
 // are harmless, for nothing was done.
 func (p *Pool) Enter(body int64) error {
-	p.users.Add(1)
+	p.activeCalls.Add(1)
 	// The count first: Retire sees it, or we see that it has begun.
 	if p.retired.Load() {
-		p.users.Add(-1)
+		p.activeCalls.Add(-1)
 		return ErrRetired
 	}
 	if !p.shares.Calls.Take(1) {
-		p.users.Add(-1)
+		p.activeCalls.Add(-1)
 		return ErrCalls
 	}
 	if body > 0 && !p.shares.Bodies.Take(body) {
 		p.shares.Calls.Give(1)
-		p.users.Add(-1)
+		p.activeCalls.Add(-1)
 		return ErrBodies
 	}
 	return nil
@@ -150,20 +150,20 @@
 		p.shares.Bodies.Give(body)
 	}
 	p.shares.Calls.Give(1)
-	p.users.Add(-1)
+	p.activeCalls.Add(-1)
 }
 
-// retirePoll is how often a pool that was removed looks whether it is empty.
-const retirePoll = 20 * time.Millisecond
+// retirePollInterval is how often a pool that was removed looks whether it is empty.
+const retirePollInterval = 20 * time.Millisecond
 
 // Retire takes nothing new, waits until all that was taken is answered and every attempt has ended,
 // and ends the pool. What is still open when ctx ends is failed first.
 func (p *Pool) Retire(ctx context.Context) {
 	p.retired.Store(true)
-	tick := time.NewTicker(retirePoll)
+	tick := time.NewTicker(retirePollInterval)
 	defer tick.Stop()
 	over := ctx.Done()
-	for p.users.Load() > 0 || p.engine.Open() > 0 {
+	for p.activeCalls.Load() > 0 || p.engine.Open() > 0 {
 		select {
 		case <-tick.C:
 		case <-over:
@@ -180,17 +180,17 @@
 	<-p.engine.Done()
 }
 
-// gives is a sender that can close idle connections for others' sake.
-type gives interface{ GiveBack(n int) int }
+// idleCloser is a sender that can close idle connections for others' sake.
+type idleCloser interface{ GiveBack(n int) int }
 
-// maxRelief is how many connections are closed at a time for others' sake.
-const maxRelief = 64
+// maxClosedAtOnce is how many connections are closed at a time for others' sake.
+const maxClosedAtOnce = 64
 
-// Relieve closes idle connections that the pool has borrowed while another one wants for them.
-func (p *Pool) Relieve() {
+// ReturnBorrowedConnections closes idle connections that the pool has borrowed while another one wants for them.
+func (p *Pool) ReturnBorrowedConnections() {
 	if n := p.shares.Connections.Excess(); n > 0 {
-		if s, can := p.sender.(gives); can {
-			s.GiveBack(int(min(n, maxRelief)))
+		if s, can := p.sender.(idleCloser); can {
+			s.GiveBack(int(min(n, maxClosedAtOnce)))
 		}
 	}
 }
--- a/internal/pool/ledger.go
+++ b/internal/pool/quota_table.go
@@ -16,7 +16,7 @@
 type Holder struct {
 	Quota
 	used    int64
-	leaving bool
+	removed bool
 }
 
 // Used is what the holder has taken and not given back.
@@ -25,21 +25,21 @@
 // Borrowed is how much of that lies beyond its minimum.
 func (h *Holder) Borrowed() int64 { return max(0, h.used-h.Min) }
 
-// Ledger divides a total among holders: each is sure of its minimum, what is left is shared by whoever
+// QuotaTable divides a total among holders: each is sure of its minimum, what is left is shared by whoever
 // comes first and is shared anew as it is given back. It is pure: no lock, no clock, no I/O.
 //
 // It keeps two sums. used, of what is taken, never passes the total. promised, of the larger of what a
 // holder has and its minimum, decides on borrowing: while it stays within the total every holder can
 // take up to its minimum at once. A Configure that raises a minimum while the remainder is borrowed
 // puts promised over the total for a while; borrowing then stops until enough has come back.
-type Ledger struct {
-	total, used, promised int64
+type QuotaTable struct {
+	total, used, reserved int64
 	holders               map[*Holder]struct{}
 }
 
-// NewLedger returns a ledger of so much, with no holders.
-func NewLedger(total int64) *Ledger {
-	return &Ledger{total: total, holders: map[*Holder]struct{}{}}
+// NewQuotaTable returns a ledger of so much, with no holders.
+func NewQuotaTable(total int64) *QuotaTable {
+	return &QuotaTable{total: total, holders: map[*Holder]struct{}{}}
 }
 
 // ErrOverTotal says that the holders' minima exceed the total.
@@ -49,7 +49,7 @@
 // are not named leave: they have no minimum any more, keep what they have taken, may still borrow up
 // to their old maximum, and are forgotten once they have given all back. On an error nothing has
 // changed.
-func (l *Ledger) Configure(total int64, quotas map[*Holder]Quota) error {
+func (l *QuotaTable) Configure(total int64, quotas map[*Holder]Quota) error {
 	if total < 0 {
 		return fmt.Errorf("a total of %d", total)
 	}
@@ -69,41 +69,41 @@
 	}
 	for h := range l.holders {
 		if _, stays := quotas[h]; !stays {
-			h.leaving, h.Min = true, 0
+			h.removed, h.Min = true, 0
 		}
 	}
 	for h, q := range quotas {
-		h.Quota, h.leaving = q, false
+		h.Quota, h.removed = q, false
 		l.holders[h] = struct{}{}
 	}
-	l.total, l.promised = total, 0
+	l.total, l.reserved = total, 0
 	for h := range l.holders {
-		l.promised += max(h.used, h.Min)
-		l.forget(h)
+		l.reserved += max(h.used, h.Min)
+		l.forgetIfEmpty(h)
 	}
 	return nil
 }
 
-func (l *Ledger) forget(h *Holder) {
-	if h.leaving && h.used == 0 {
+func (l *QuotaTable) forgetIfEmpty(h *Holder) {
+	if h.removed && h.used == 0 {
 		delete(l.holders, h)
 	}
 }
 
 // Take takes n for h, or nothing; false if h may not have so much now. A holder that is not the
 // ledger's, or has left it, gets nothing.
-func (l *Ledger) Take(h *Holder, n int64) bool {
+func (l *QuotaTable) Take(h *Holder, n int64) bool {
 	if _, is := l.holders[h]; !is || n < 0 || n > math.MaxInt64-h.used {
 		return false
 	}
 	after := h.used + n
-	switch promised := l.promised - max(h.used, h.Min) + max(after, h.Min); {
+	switch promised := l.reserved - max(h.used, h.Min) + max(after, h.Min); {
 	case h.Max > 0 && after > h.Max, n > l.total-l.used:
 		return false
-	case promised > l.promised && promised > l.total:
+	case promised > l.reserved && promised > l.total:
 		return false // it would eat into another's minimum
 	default:
-		l.promised = promised
+		l.reserved = promised
 	}
 	h.used = after
 	l.used += n
@@ -112,25 +112,25 @@
 
 // Give gives back n of what h took. Giving back more than was taken is a fault of the program: it
 // panics, lest a sum go wrong for good.
-func (l *Ledger) Give(h *Holder, n int64) {
+func (l *QuotaTable) Give(h *Holder, n int64) {
 	if n < 0 || n > h.used {
 		panic(fmt.Sprintf("pool: %d given back of %d taken", n, h.used))
 	}
-	l.promised += max(h.used-n, h.Min) - max(h.used, h.Min)
+	l.reserved += max(h.used-n, h.Min) - max(h.used, h.Min)
 	h.used -= n
 	l.used -= n
-	l.forget(h)
+	l.forgetIfEmpty(h)
 }
 
-// Move has another holder have n of what from took, if it may; false, and nothing changed, if not.
-func (l *Ledger) Move(from, to *Holder, n int64) bool {
+// Transfer has another holder have n of what from took, if it may; false, and nothing changed, if not.
+func (l *QuotaTable) Transfer(from, to *Holder, n int64) bool {
 	if n < 0 || n > from.used {
 		return false
 	}
-	promised := l.promised + max(from.used-n, from.Min) - max(from.used, from.Min) +
+	promised := l.reserved + max(from.used-n, from.Min) - max(from.used, from.Min) +
 		max(to.used+n, to.Min) - max(to.used, to.Min)
 	_, is := l.holders[to]
-	if !is || to.Max > 0 && to.used+n > to.Max || promised > l.promised && promised > l.total {
+	if !is || to.Max > 0 && to.used+n > to.Max || promised > l.reserved && promised > l.total {
 		return false
 	}
 	if from == to {
@@ -138,13 +138,13 @@
 	}
 	from.used -= n
 	to.used += n
-	l.promised = promised
-	l.forget(from)
+	l.reserved = promised
+	l.forgetIfEmpty(from)
 	return true
 }
 
 // Total is what there is, Used what is taken of it.
-func (l *Ledger) Total() int64 { return l.total }
+func (l *QuotaTable) Total() int64 { return l.total }
 
 // Used is the sum of what the holders have taken.
-func (l *Ledger) Used() int64 { return l.used }
+func (l *QuotaTable) Used() int64 { return l.used }
--- a/internal/pool/ledger_test.go
+++ b/internal/pool/quota_table_test.go
@@ -12,7 +12,7 @@
 func TestLedgerProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 60).Draw(t, "total")
-		l := NewLedger(total)
+		l := NewQuotaTable(total)
 		staying := map[*Holder]Quota{}
 		taken := map[*Holder]int64{} // the model
 		var all []*Holder
@@ -86,7 +86,7 @@
 			},
 			"take": func(t *rapid.T) {
 				h, n := pick(t), rapid.Int64Range(0, 15).Draw(t, "n")
-				before, promised := sum(), l.promised
+				before, promised := sum(), l.reserved
 				q, stays := staying[h]
 				got := l.Take(h, n)
 				if got {
@@ -105,7 +105,7 @@
 			"move": func(t *rapid.T) {
 				from, to := pick(t), pick(t)
 				n := rapid.Int64Range(0, 15).Draw(t, "n")
-				if l.Move(from, to, n) {
+				if l.Transfer(from, to, n) {
 					if taken[from] < n {
 						t.Fatalf("moved %d of %d", n, taken[from])
 					}
@@ -133,11 +133,11 @@
 						t.Fatal("a holder that has left and has nothing is kept")
 					}
 				}
-				if promised != l.promised {
-					t.Fatalf("promised %d, reckoned %d", l.promised, promised)
+				if promised != l.reserved {
+					t.Fatalf("promised %d, reckoned %d", l.reserved, promised)
 				}
 				// The guarantee itself: while nothing is over-promised all minima can be had together.
-				if l.promised <= total {
+				if l.reserved <= total {
 					var missing int64
 					for h, q := range staying {
 						missing += max(0, q.Min-h.used)
@@ -154,15 +154,15 @@
 		if l.Used() != 0 {
 			t.Fatalf("%d used after all was given back", l.Used())
 		}
-		if reconfigure(t, total, nil); len(l.holders) != 0 || l.promised != 0 {
-			t.Fatalf("%d holders and %d promised are left", len(l.holders), l.promised)
+		if reconfigure(t, total, nil); len(l.holders) != 0 || l.reserved != 0 {
+			t.Fatalf("%d holders and %d promised are left", len(l.holders), l.reserved)
 		}
 	})
 }
 
 // What was borrowed comes back as it is given; until then a raised minimum waits and nobody borrows.
 func TestLedgerBorrowing(t *testing.T) {
-	l, a, b := NewLedger(0), &Holder{}, &Holder{}
+	l, a, b := NewQuotaTable(0), &Holder{}, &Holder{}
 	if err := l.Configure(10, map[*Holder]Quota{a: {Min: 2}, b: {Min: 3}}); err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 }
 
 func TestLedgerMisuse(t *testing.T) {
-	l, a := NewLedger(10), &Holder{}
+	l, a := NewQuotaTable(10), &Holder{}
 	if l.Take(a, 1) {
 		t.Error("a stranger took")
 	}
@@ -240,7 +240,7 @@
 	if x.Excess() != 6 {
 		t.Errorf("%d asked back, not 6", x.Excess())
 	}
-	b.Calm()
+	b.ClearDenied()
 	if x.Excess() != 0 {
 		t.Error("still asked back")
 	}
--- a/internal/route/normalise.go
+++ b/internal/route/normalise.go
@@ -13,10 +13,10 @@
 
 // Why a host or path can't be matched.
 var (
-	ErrHost   = errors.New("the host is no name or address")
-	ErrPath   = errors.New("the path does not begin with a slash, or is too long")
-	ErrEscape = errors.New("the path has a broken or forbidden escape")
-	ErrAbove  = errors.New("the path leads above its root")
+	ErrHost      = errors.New("the host is no name or address")
+	ErrPath      = errors.New("the path does not begin with a slash, or is too long")
+	ErrEscape    = errors.New("the path has a broken or forbidden escape")
+	ErrAboveRoot = errors.New("the path leads above its root")
 )
 
 // Host brings a host, as in a Host header or :authority, to the form that routes are matched in: lower
@@ -38,7 +38,7 @@
 				return "", ErrHost
 			}
 		}
-		return lower(s[:end+1]), nil
+		return lowerCase(s[:end+1]), nil
 	}
 	if i := strings.IndexByte(s, ':'); i >= 0 {
 		if !isPort(s[i:]) {
@@ -55,7 +55,7 @@
 			return "", ErrHost
 		}
 	}
-	return lower(s), nil
+	return lowerCase(s), nil
 }
 
 // isPort says that s is empty, or a colon and at most five digits.
@@ -74,7 +74,7 @@
 	return true
 }
 
-func lower(s string) string {
+func lowerCase(s string) string {
 	for _, c := range []byte(s) {
 		if 'A' <= c && c <= 'Z' {
 			return strings.ToLower(s)
@@ -100,7 +100,7 @@
 	if s == "" || s[0] != '/' || len(s) > MaxPath {
 		return "", ErrPath
 	}
-	if plain(s) {
+	if isNormalised(s) {
 		return s, nil
 	}
 	var b strings.Builder
@@ -116,7 +116,7 @@
 		case i+2 >= len(s) || !isHex(s[i+1]) || !isHex(s[i+2]):
 			return "", ErrEscape
 		}
-		v := unhex(s[i+1])<<4 | unhex(s[i+2])
+		v := hexValue(s[i+1])<<4 | hexValue(s[i+2])
 		switch {
 		case v < 0x20 || v == 0x7f:
 			return "", ErrEscape
@@ -129,11 +129,11 @@
 		}
 		i += 2
 	}
-	return removeDots(b.String())
+	return removeDotSegments(b.String())
 }
 
-// plain says that a path is in the form already: the usual case, without an allocation.
-func plain(s string) bool {
+// isNormalised says that a path is in the form already: the usual case, without an allocation.
+func isNormalised(s string) bool {
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
 		case c == '%' || c == '\\' || c < 0x20 || c == 0x7f:
@@ -145,8 +145,8 @@
 	return true
 }
 
-// removeDots merges empty segments and removes dot segments.
-func removeDots(s string) (string, error) {
+// removeDotSegments merges empty segments and removes dot segments.
+func removeDotSegments(s string) (string, error) {
 	out := make([]byte, 0, len(s))
 	last := "" // the segment before the end, if that is no name
 	for rest := s[1:]; ; {
@@ -156,7 +156,7 @@
 		case "", ".":
 		case "..":
 			if len(out) == 0 {
-				return "", ErrAbove
+				return "", ErrAboveRoot
 			}
 			for out[len(out)-1] != '/' {
 				out = out[:len(out)-1]
@@ -184,7 +184,7 @@
 	return '0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F'
 }
 
-func unhex(c byte) byte {
+func hexValue(c byte) byte {
 	switch {
 	case c <= '9':
 		return c - '0'
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -90,39 +90,39 @@
 // rule is a compiled route.
 type rule struct {
 	Route
-	order  int
-	regexp *regexp.Regexp
-	total  uint64 // of the weights
-	salt   uint64 // lest routes split the same ids alike
+	index       int
+	regexp      *regexp.Regexp
+	totalWeight uint64 // of the weights
+	salt        uint64 // lest routes split the same ids alike
 }
 
-// paths are the routes of one host.
-type paths struct {
-	exact   map[string][]*rule
-	regexps []*rule
-	prefix  map[string][]*rule // without trailing slash, but for "" as /
-	deepest int                // segments of the longest prefix
-	any     []*rule
+// hostRules are the routes of one host.
+type hostRules struct {
+	byPath         map[string][]*rule
+	regexps        []*rule
+	byPrefix       map[string][]*rule // without trailing slash, but for "" as /
+	maxPrefixDepth int                // segments of the longest prefix
+	anyPath        []*rule
 }
 
 // Table is a compiled set of routes. It may be read by many goroutines.
 type Table struct {
-	hosts    map[string]*paths
-	suffixes map[string]*paths // by what follows "*."
-	any      *paths
+	hosts    map[string]*hostRules
+	suffixes map[string]*hostRules // by what follows "*."
+	anyHost  *hostRules
 	fallback string
 }
 
 // Compile makes a table. Requests that match no route go to the pool named by fallback; "": none. The
 // faults are all there are, in the order of the routes; with any there is no table.
 func Compile(routes []Route, fallback string) (*Table, []Fault) {
-	t := &Table{hosts: map[string]*paths{}, suffixes: map[string]*paths{}, any: newPaths(), fallback: fallback}
+	t := &Table{hosts: map[string]*hostRules{}, suffixes: map[string]*hostRules{}, anyHost: newHostRules(), fallback: fallback}
 	var faults []Fault
 	for i, r := range routes {
 		fault := func(key, format string, args ...any) {
 			faults = append(faults, Fault{i, key, fmt.Sprintf(format, args...)})
 		}
-		at := t.bucket(r.Host, fault)
+		at := t.rulesForHost(r.Host, fault)
 		c := compile(r, i, fault)
 		if at == nil || c == nil {
 			continue
@@ -135,21 +135,21 @@
 	if faults != nil {
 		return nil, faults
 	}
-	t.each(func(p *paths) {
-		sortRules(p.regexps)
-		sortRules(p.any)
-		for _, l := range p.exact {
-			sortRules(l)
+	t.forEachHost(func(p *hostRules) {
+		sortBySpecificity(p.regexps)
+		sortBySpecificity(p.anyPath)
+		for _, l := range p.byPath {
+			sortBySpecificity(l)
 		}
-		for _, l := range p.prefix {
-			sortRules(l)
+		for _, l := range p.byPrefix {
+			sortBySpecificity(l)
 		}
 	})
 	return t, nil
 }
 
-func (t *Table) each(f func(*paths)) {
-	f(t.any)
+func (t *Table) forEachHost(f func(*hostRules)) {
+	f(t.anyHost)
 	for _, p := range t.hosts {
 		f(p)
 	}
@@ -158,12 +158,14 @@
 	}
 }
 
-func newPaths() *paths { return &paths{exact: map[string][]*rule{}, prefix: map[string][]*rule{}} }
+func newHostRules() *hostRules {
+	return &hostRules{byPath: map[string][]*rule{}, byPrefix: map[string][]*rule{}}
+}
 
-// bucket is the host's place in the table; nil after a fault.
-func (t *Table) bucket(host string, fault func(key, format string, args ...any)) *paths {
+// rulesForHost is the host's place in the table; nil after a fault.
+func (t *Table) rulesForHost(host string, fault func(key, format string, args ...any)) *hostRules {
 	if host == "" || host == "*" {
-		return t.any
+		return t.anyHost
 	}
 	in := t.hosts
 	name, wild := strings.CutPrefix(host, "*.")
@@ -180,14 +182,14 @@
 		return nil
 	}
 	if in[normal] == nil {
-		in[normal] = newPaths()
+		in[normal] = newHostRules()
 	}
 	return in[normal]
 }
 
 // compile checks all of a route but its host; nil after a fault.
 func compile(r Route, order int, report func(key, format string, args ...any)) *rule {
-	c := &rule{Route: r, order: order}
+	c := &rule{Route: r, index: order}
 	bad := false
 	fault := func(key, format string, args ...any) {
 		bad = true
@@ -242,9 +244,9 @@
 			fault("to", "%s stands there twice", s.Pool)
 		}
 		seen[s.Pool] = true
-		c.total += uint64(max(0, s.Weight))
+		c.totalWeight += uint64(max(0, s.Weight))
 	}
-	if len(r.To) > 0 && c.total == 0 {
+	if len(r.To) > 0 && c.totalWeight == 0 {
 		fault("to", "no pool has a weight")
 	}
 	if bad {
@@ -257,31 +259,31 @@
 }
 
 // add puts a rule in its place and says what kind that is and how many are there now.
-func (p *paths) add(c *rule) (key string, same int) {
+func (p *hostRules) add(c *rule) (key string, same int) {
 	switch {
 	case c.Path != "":
-		p.exact[c.Path] = append(p.exact[c.Path], c)
-		return "path", len(p.exact[c.Path])
+		p.byPath[c.Path] = append(p.byPath[c.Path], c)
+		return "path", len(p.byPath[c.Path])
 	case c.regexp != nil:
 		p.regexps = append(p.regexps, c)
 		return "regexp", len(p.regexps)
 	case c.Prefix != "":
 		at := strings.TrimSuffix(c.Prefix, "/")
-		p.prefix[at] = append(p.prefix[at], c)
-		p.deepest = max(p.deepest, strings.Count(at, "/"))
-		return "prefix", len(p.prefix[at])
+		p.byPrefix[at] = append(p.byPrefix[at], c)
+		p.maxPrefixDepth = max(p.maxPrefixDepth, strings.Count(at, "/"))
+		return "prefix", len(p.byPrefix[at])
 	}
-	p.any = append(p.any, c)
-	return "host", len(p.any)
+	p.anyPath = append(p.anyPath, c)
+	return "host", len(p.anyPath)
 }
 
-// sortRules puts the most specific first.
-func sortRules(l []*rule) {
+// sortBySpecificity puts the most specific first.
+func sortBySpecificity(l []*rule) {
 	named := func(n int) int { return min(n, 1) }
 	slices.SortFunc(l, func(a, b *rule) int {
 		return cmp.Or(cmp.Compare(named(len(b.Methods)), named(len(a.Methods))),
 			cmp.Compare(len(b.Headers), len(a.Headers)),
-			cmp.Compare(named(len(b.Classes)), named(len(a.Classes))), cmp.Compare(a.order, b.order))
+			cmp.Compare(named(len(b.Classes)), named(len(a.Classes))), cmp.Compare(a.index, b.index))
 	})
 }
 
@@ -303,40 +305,40 @@
 		c, rest = t.suffixes[below].match(r), below
 	}
 	if c == nil {
-		c = t.any.match(r)
+		c = t.anyHost.match(r)
 	}
 	if c == nil {
 		return Target{Pool: t.fallback, Route: -1}, t.fallback != ""
 	}
-	return Target{Pool: c.pool(r.ID), Class: c.Class, Route: c.order}, true
+	return Target{Pool: c.splitPool(r.ID), Class: c.Class, Route: c.index}, true
 }
 
-func (p *paths) match(r *Request) *rule {
+func (p *hostRules) match(r *Request) *rule {
 	if p == nil {
 		return nil
 	}
-	if c := first(p.exact[r.Path], r); c != nil {
+	if c := firstMatch(p.byPath[r.Path], r); c != nil {
 		return c
 	}
 	for _, c := range p.regexps {
-		if c.wants(r) && c.regexp.MatchString(r.Path) {
+		if c.matches(r) && c.regexp.MatchString(r.Path) {
 			return c
 		}
 	}
-	if len(p.prefix) > 0 {
+	if len(p.byPrefix) > 0 {
 		if c := p.matchPrefix(r); c != nil {
 			return c
 		}
 	}
-	return first(p.any, r)
+	return firstMatch(p.anyPath, r)
 }
 
 // matchPrefix tries the prefixes of the path from the longest that there is any of.
-func (p *paths) matchPrefix(r *Request) *rule {
+func (p *hostRules) matchPrefix(r *Request) *rule {
 	end, depth := len(r.Path), 0
 	for i := 0; i < len(r.Path); i++ {
 		if r.Path[i] == '/' {
-			if depth == p.deepest {
+			if depth == p.maxPrefixDepth {
 				end = i
 				break
 			}
@@ -344,7 +346,7 @@
 		}
 	}
 	for at := r.Path[:end]; ; {
-		if c := first(p.prefix[at], r); c != nil {
+		if c := firstMatch(p.byPrefix[at], r); c != nil {
 			return c
 		}
 		i := strings.LastIndexByte(at, '/')
@@ -355,17 +357,17 @@
 	}
 }
 
-func first(l []*rule, r *Request) *rule {
+func firstMatch(l []*rule, r *Request) *rule {
 	for _, c := range l {
-		if c.wants(r) {
+		if c.matches(r) {
 			return c
 		}
 	}
 	return nil
 }
 
-// wants says that a request has the methods, headers and classes that a rule names.
-func (c *rule) wants(r *Request) bool {
+// matches says that a request has the methods, headers and classes that a rule names.
+func (c *rule) matches(r *Request) bool {
 	if len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method) ||
 		len(c.Classes) > 0 && !slices.Contains(c.Classes, r.Class) {
 		return false
@@ -379,13 +381,13 @@
 	return true
 }
 
-// pool splits by the id alone, so that every node sends a request, and each repeat under its id, to the
+// splitPool splits by the id alone, so that every node sends a request, and each repeat under its id, to the
 // same pool.
-func (c *rule) pool(id string) string {
+func (c *rule) splitPool(id string) string {
 	if len(c.To) == 1 {
 		return c.To[0].Pool
 	}
-	at := mix(hash(id)^c.salt) % c.total
+	at := mix(hash(id)^c.salt) % c.totalWeight
 	for _, s := range c.To {
 		if at < uint64(s.Weight) {
 			return s.Pool
--- a/internal/sender/h2/h2.go
+++ b/internal/sender/h2/h2.go
@@ -24,11 +24,11 @@
 
 // Config is what a sender is made of.
 type Config struct {
-	Idle        time.Duration // after which servers close idle connections; ours are closed before
-	Connect     time.Duration // within which a connection must come up
-	Connections engine.Room   // connections there may be, dials among them
-	Each        int           // connections to one server at the most: 4
-	Streams     int           // attempts on one connection at the most, whatever the server allows: 100
+	Idle        time.Duration      // after which servers close idle connections; ours are closed before
+	Connect     time.Duration      // within which a connection must come up
+	Connections engine.SharedLimit // connections there may be, dials among them
+	Each        int                // connections to one server at the most: 4
+	Streams     int                // attempts on one connection at the most, whatever the server allows: 100
 }
 
 // Sender makes attempts over connections of its own. It implements engine.Sender; the payload is a *message.Request,
@@ -146,7 +146,7 @@
 	if d.Ending == client.Answered && d.Answer.Status != http.StatusOK {
 		in = int64(len(d.Answer.Body))
 	}
-	q.a.Crossed(int64(len(q.m.Body)), in, "")
+	q.a.RecordTransfer(int64(len(q.m.Body)), in, "")
 	if d.Ending != client.Answered {
 		return engine.EndingOf(ctx), nil
 	}
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -24,7 +24,7 @@
 	idleFor time.Duration // ours are closed after standing idle for so long
 	connect time.Duration
 	settled time.Duration
-	room    engine.Room
+	room    engine.SharedLimit
 
 	start time.Time // trust's times count from it
 
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -23,12 +23,12 @@
 
 // Config is what a sender is made of.
 type Config struct {
-	Idle        time.Duration // after which servers close idle connections; ours are closed before
-	Connect     time.Duration // within which a connection must come up
-	Connections engine.Room   // connections there may be, idle ones and dials among them
-	LongAnswers engine.Room   // bytes of answers that are passed on as they come
-	Speech      Speech        // nil: the platform's
-	Quiet       time.Duration // that a server may rest amid an answer; 0: as long as suits one that something can take the place of
+	Idle        time.Duration      // after which servers close idle connections; ours are closed before
+	Connect     time.Duration      // within which a connection must come up
+	Connections engine.SharedLimit // connections there may be, idle ones and dials among them
+	LongAnswers engine.SharedLimit // bytes of answers that are passed on as they come
+	Speech      Speech             // nil: the platform's
+	Quiet       time.Duration      // that a server may rest amid an answer; 0: as long as suits one that something can take the place of
 }
 
 // Speech is what requests and answers say beyond HTTP itself: the platform's, or the mesh's.
@@ -87,7 +87,7 @@
 // *message.Request, the reply a *message.Reply.
 type Sender struct {
 	conns
-	answers     engine.Room
+	answers     engine.SharedLimit
 	quietWithin time.Duration
 	streamQuiet time.Duration
 	holdFor     time.Duration
@@ -279,7 +279,7 @@
 		}
 		return result{ending: balancer.Unreachable}, false
 	}
-	a.Crossed(out, 0, "")
+	a.RecordTransfer(out, 0, "")
 	got, err := s.read(ctx, a, c, r)
 	if err != nil {
 		if !whole {
@@ -288,7 +288,7 @@
 		return result{ending: engine.EndingOf(ctx)}, false
 	}
 	if got.reply == nil {
-		a.Crossed(out, got.size, "")
+		a.RecordTransfer(out, got.size, "")
 	}
 	res.ending, _ = s.speech.Ending(got.resp)
 	if res.ending == balancer.Success {
--- a/internal/sender/http1/read.go
+++ b/internal/sender/http1/read.go
@@ -254,7 +254,7 @@
 // flow is a stream whose pieces take room of a budget that all share.
 type flow struct {
 	*message.Stream
-	room engine.Room
+	room engine.SharedLimit
 	wake chan struct{}
 
 	mu    sync.Mutex // guards below
@@ -262,7 +262,7 @@
 	taken int        // of those, what the budget gave
 }
 
-func newFlow(room engine.Room, header []message.Field, length int64) *flow {
+func newFlow(room engine.SharedLimit, header []message.Field, length int64) *flow {
 	f := &flow{room: room, wake: make(chan struct{}, 1)}
 	f.Stream = message.NewStream(header, f.give)
 	f.Stream.Length, f.Stream.Dropped = length, f.give
--- a/internal/source/registry/registry.go
+++ b/internal/source/registry/registry.go
@@ -147,7 +147,7 @@
 		}
 		l, err := ParseList(line)
 		if err != nil {
-			return fmt.Errorf("%w: %w", engine.ErrGarbled, err)
+			return fmt.Errorf("%w: %w", engine.ErrMalformedUpdate, err)
 		}
 		n := l.News()
 		since = n.Version
@@ -175,7 +175,7 @@
 		err = errors.New("it says that it is not whole")
 	}
 	if err != nil {
-		return List{}, fmt.Errorf("%w: %w", engine.ErrGarbled, err)
+		return List{}, fmt.Errorf("%w: %w", engine.ErrMalformedUpdate, err)
 	}
 	return l, nil
 }
--- a/internal/source/registry/registry_test.go
+++ b/internal/source/registry/registry_test.go
@@ -137,7 +137,7 @@
 		go func() { ended <- d.Follow(context.Background(), "7", func(n engine.News) { t.Errorf("told %+v", n) }) }()
 		testkit.Wait(t, asked)
 		lines <- text
-		if err := testkit.Wait(t, ended); !errors.Is(err, engine.ErrGarbled) {
+		if err := testkit.Wait(t, ended); !errors.Is(err, engine.ErrMalformedUpdate) {
 			t.Errorf("%.20s: %v", text, err)
 		}
 	}
@@ -155,7 +155,7 @@
 		}
 	}
 	lines <- "end"
-	if err := testkit.Wait(t, ended); errors.Is(err, engine.ErrGarbled) {
+	if err := testkit.Wait(t, ended); errors.Is(err, engine.ErrMalformedUpdate) {
 		t.Errorf("a proper end: %v", err)
 	}
 }
