--- a/internal/engine/arriving_test.go
+++ b/internal/engine/arriving_test.go
@@ -14,11 +14,9 @@
 
 // The times of a call that is arriving run from its last byte: until then neither the engine's last call nor its
 // attempt's time-out ends it; from then on both do.
-func TestArriving(t *testing.T) {
+func TestArrivingCallTimesOutFromItsLastByte(t *testing.T) {
 	t.Parallel()
-	h := newManualSender()
-	e := startEngine(t, Config{Sender: h})
-	e.Start(serverList("a"))
+	e, h := startWithServers(t, "a")
 	c, r := newCall(e, "1", "read", 50*time.Millisecond)
 	c.Arriving, c.Payload = true, spendable{true}
 	e.Submit(c)
@@ -48,11 +46,9 @@
 }
 
 // Answers that have begun go on when all else is abandoned.
-func TestAbandonSparesWhatHasBegun(t *testing.T) {
+func TestAbandonAllSparesBegunStreams(t *testing.T) {
 	t.Parallel()
-	h := newManualSender()
-	e := startEngine(t, Config{Sender: h})
-	e.Start(serverList("a"))
+	e, h := startWithServers(t, "a")
 	begun, br := newCall(e, "1", "read", limit)
 	e.Submit(begun)
 	a := testkit.Wait(t, h.started)
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -11,8 +11,8 @@
 // Verdict is the kind of a final answer.
 type Verdict int
 
-// Verdicts. Refused promises that trying again does no harm, Failed promises nothing, and Duplicate
-// says that a call with this id is open already.
+// Verdicts. Refused promises that no attempt has run, so that a retry is safe; Failed promises nothing;
+// Duplicate says that a call with this id is already open.
 const (
 	Served Verdict = iota
 	Refused
@@ -20,77 +20,76 @@
 	Duplicate
 )
 
-// Reply is what an attempt brought back; the engine does not read it. Whoever holds it last releases
-// it, once.
+// Reply is the response of an attempt, which the engine does not read. Its last owner calls Release, once.
 type Reply interface{ Release() }
 
-// Sized is a reply that tells the bytes of its body.
+// Sized is a reply that knows the size of its body, in bytes.
 type Sized interface{ Size() int64 }
 
-// Transferred is a streamed reply that says whether its server has done all its work, and only hands it over.
+// Transferred is a streamed reply that says whether its server has finished the work and only transfers the result.
 type Transferred interface{ Transfer() bool }
 
 // Answer is the final answer to a call.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // advice with Refused; 0: none
-	Reply      Reply         // with Served; the receiver releases it. May be nil after Began
+	RetryAfter time.Duration // for the caller, with Refused; 0: no advice
+	Reply      Reply         // with Served; the receiver releases it; may be nil after Began
 }
 
-// Receiver is a front's side of a call. The engine's goroutine calls it, so it must not wait.
+// Receiver is the downstream side of a call. The engine's goroutine calls it, so its methods must not block.
 type Receiver interface {
-	// Began says that a streamed reply has begun: from here on it belongs to that attempt. It comes at
-	// most once and before Ended. The receiver releases the reply.
+	// Began passes on a streamed reply that has begun: from now on the call belongs to that attempt. It is called
+	// at most once, before Ended. The receiver releases the reply.
 	Began(Reply)
-	// Ended brings the final answer. It comes exactly once, unless Gone comes first.
+	// Ended passes on the final answer. It is called exactly once, unless Engine.Gone comes first.
 	Ended(Answer)
 }
 
-// MaxTenant is how many bytes of a tenant's name the module is told.
-const MaxTenant = 64
-
-// MaxZone is how many bytes of a zone's name the module is told.
-const MaxZone = 64
+// Limits on the names that the module is given, in bytes; what is longer is cut off.
+const (
+	MaxTenant = 64 // of a tenant
+	MaxZone   = 64 // of a zone
+)
 
-// Call is a caller's request. The front fills in the exported fields before Submit and leaves them
-// alone after it.
+// Call is a request of a downstream caller. The front sets the exported fields before Submit and does not change
+// them afterwards; the unexported ones belong to the engine's goroutine, but for finished, which any may read.
 type Call struct {
-	ID       string        // the caller's; no two open calls of an engine share one. "": not told
-	Class    string        // of the module's settings
+	ID       string        // given by the caller; no two open calls of an engine share one; "": none
+	Class    string        // one of the module's settings
 	Deadline time.Duration // clock time by which the module is to answer
-	Last     time.Duration // clock time at which the engine answers for it
+	Last     time.Duration // clock time at which the engine answers in its place
 	Repeat   bool          // the caller marked it as a repeat
-	Cost     time.Duration // hint of its work; 0: none
-	Tenant   string        // who asks, as far as the front can tell; MaxTenant bytes of it count
-	Among    []string      // addresses of the endpoints that it may go to; nil: any
-	From     string        // zone of the caller, if told; MaxZone bytes of it count
-	Size     int64         // bytes of its body
+	Cost     time.Duration // estimate of the work, given by the caller; 0: none
+	Tenant   string        // on whose behalf, as far as the front knows; see MaxTenant
+	Among    []string      // addresses of the endpoints that may serve it; nil: any
+	From     string        // zone of the caller, if known; see MaxZone
+	Size     int64         // of the body, in bytes
 	Payload  any           // what the sender sends
 	To       Receiver
-	// Arriving says that the rest of it is still on its way: its times run from when Arrived says that it is there, and
-	// until then nobody but its front gives it up for them.
+	// Arriving says that the request body is not complete yet. Deadline and Last count from the call of Arrived; until
+	// then only the front may time the call out.
 	Arriving bool
 
-	id               string      // ours: a caller's id may come again
-	finished         atomic.Bool // answered, or its caller has gone; set by the engine's goroutine alone
-	fallbackTimer    *time.Timer // for an answer by the engine itself
+	id               string      // unique within the engine, unlike ID, which may be used again
+	finished         atomic.Bool // answered, or the caller has gone; set by the engine's goroutine alone
+	fallbackTimer    *time.Timer // answers at Last; nil before the call is registered
 	attempts         []*Attempt
-	streaming        *Attempt // whose streamed reply has begun
-	attemptsInFlight int      // attempts that have not ended
-	countedPending   bool     // counted in Config.Pending
-	arriving         bool
-	timeLeft         time.Duration // for the module, from its last byte on
-	fallbackDelay    time.Duration // and on top of that for the engine
+	streaming        *Attempt      // the attempt whose streamed reply has begun; nil: none
+	attemptsInFlight int           // attempts that have not ended yet
+	countedPending   bool          // counted in Config.Pending
+	arriving         bool          // Arriving, and Arrived has not been called
+	timeLeft         time.Duration // from the last byte of the body to Deadline
+	fallbackDelay    time.Duration // from Deadline to Last
 }
 
-// Submit hands the engine a call.
+// Submit passes a call to the engine, which owns it from then on.
 func (e *Engine) Submit(call *Call) { e.Do(func() { e.accept(call) }) }
 
-// Gone notes that the caller of a submitted call has left: nothing more is owed. An Ended that crosses
-// it may still come; the front then releases its reply.
+// Gone tells the engine that the caller of a submitted call has gone: it needs no answer any more. An Ended that is
+// already on its way may still come; the front then releases its reply.
 func (e *Engine) Gone(call *Call) { e.Do(func() { e.callerGone(call) }) }
 
-// Arrived notes that the last byte of a call that was Arriving has come: its time runs from now on.
+// Arrived tells the engine that the body of a call that was Arriving is complete: its deadline counts from now.
 func (e *Engine) Arrived(call *Call) {
 	e.Do(func() {
 		if !call.arriving || call.finished.Load() {
@@ -100,7 +99,7 @@
 		call.Deadline = e.cfg.Clock.Now() + call.timeLeft
 		call.Last = call.Deadline + call.fallbackDelay
 		if call.streaming != nil {
-			return // its answer has begun
+			return // a streamed reply that has begun has no deadline
 		}
 		e.armFallbackAnswer(call)
 		for _, attempt := range call.attempts {
@@ -111,7 +110,7 @@
 	})
 }
 
-// armFallbackAnswer has the engine answer at the last, should the module never say anything.
+// armFallbackAnswer has the engine fail the call at its Last time, in case the module never answers it.
 func (e *Engine) armFallbackAnswer(call *Call) {
 	call.fallbackTimer = e.after(call.Last-e.cfg.Clock.Now(), func() {
 		if !call.finished.Load() && call.streaming == nil {
@@ -121,7 +120,7 @@
 	})
 }
 
-// EndCallAndAttempt is Gone and the attempt's End in one: whoever carries the attempt has answered the caller.
+// EndCallAndAttempt is Gone and the attempt's End in one step, for a Carrier that has answered the caller itself.
 func (e *Engine) EndCallAndAttempt(call *Call, attempt *Attempt, ending balancer.Ending) {
 	if !attempt.ended.CompareAndSwap(false, true) {
 		e.Gone(call)
@@ -133,7 +132,7 @@
 	})
 }
 
-// AbandonAll fails whatever is unanswered, but for answers that have begun: these go on for as long as they can.
+// AbandonAll fails every unanswered call, except those whose streamed reply has begun: these run on while they can.
 func (e *Engine) AbandonAll() {
 	e.Do(func() {
 		for _, call := range e.calls {
@@ -146,27 +145,37 @@
 
 func (e *Engine) accept(call *Call) {
 	if call.ID != "" && e.callerIDs[call.ID] {
-		// Passed on it would be a second copy of the one that is open.
+		// Forwarding it would run the request that is already open a second time.
 		call.finished.Store(true)
 		call.To.Ended(Answer{Verdict: Duplicate})
 		return
 	}
 	if e.dropShare > 0 && e.rng.Float64() < e.dropShare {
-		// Harmless: nothing was done for it, and the module has not heard of it.
-		call.finished.Store(true)
 		if e.observer != nil {
 			e.observer.Dropped()
 		}
-		call.To.Ended(Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
+		reject(call)
 		return
 	}
 	among, ok := e.endpointIDs(call.Among)
 	if !ok {
-		// Harmless: nothing was done for it.
-		call.finished.Store(true)
-		call.To.Ended(Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
+		reject(call)
 		return
 	}
+	e.register(call)
+	e.handle(balancer.Request{ID: call.id, Class: call.Class, Deadline: call.Deadline, Repeat: call.Repeat, Cost: call.Cost,
+		Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)], Among: among, From: call.From[:min(len(call.From), MaxZone)], Size: call.Size})
+	e.limitPending(call)
+}
+
+// reject refuses a call that the module has not heard of. Retrying it is safe: no attempt was made.
+func reject(call *Call) {
+	call.finished.Store(true)
+	call.To.Ended(Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
+}
+
+// register makes a call one of the engine's open calls, under an id of its own.
+func (e *Engine) register(call *Call) {
 	if call.ID != "" {
 		e.callerIDs[call.ID] = true
 	}
@@ -174,29 +183,35 @@
 	call.id = strconv.FormatUint(e.nextID, 10)
 	e.calls[call.id] = call
 	e.openCalls.Add(1)
-	// The module answers by the deadline; should it ever say nothing, the caller still gets an answer in time.
-	if call.arriving = call.Arriving; call.arriving {
-		now := e.cfg.Clock.Now()
-		call.timeLeft, call.fallbackDelay = call.Deadline-now, call.Last-call.Deadline
-		call.fallbackTimer = time.AfterFunc(time.Hour, func() {})
-		call.fallbackTimer.Stop()
-	} else {
+	call.arriving = call.Arriving
+	if !call.arriving {
 		e.armFallbackAnswer(call)
+		return
 	}
-	e.handle(balancer.Request{ID: call.id, Class: call.Class, Deadline: call.Deadline, Repeat: call.Repeat, Cost: call.Cost,
-		Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)], Among: among, From: call.From[:min(len(call.From), MaxZone)], Size: call.Size})
+	now := e.cfg.Clock.Now()
+	call.timeLeft, call.fallbackDelay = call.Deadline-now, call.Last-call.Deadline
+	// A stopped timer marks the call as registered (see markFinished) until Arrived arms the real one.
+	call.fallbackTimer = time.AfterFunc(time.Hour, func() {})
+	call.fallbackTimer.Stop()
+}
+
+// limitPending counts a call that the module left without an attempt, and rejects it when the limit is reached.
+func (e *Engine) limitPending(call *Call) {
 	if e.cfg.Pending == nil || call.finished.Load() || len(call.attempts) > 0 {
 		return
 	}
-	if call.countedPending = e.cfg.Pending.Take(1); !call.countedPending {
-		e.rejectedOverLimit++
-		// Harmless: nothing was done for it. The module hears that nothing is owed any more.
-		e.finish(call.id, Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
-		e.handle(balancer.ClientGone{ID: call.id})
+	call.countedPending = e.cfg.Pending.Take(1)
+	if call.countedPending {
+		return
 	}
+	e.rejectedOverLimit++
+	// Retrying is safe: no attempt was made. The module is told, so that it forgets the call.
+	e.finish(call.id, Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
+	e.handle(balancer.ClientGone{ID: call.id})
 }
 
-// endpointIDs are the ids of the endpoints at some addresses, as the list has them now; false: there are none.
+// endpointIDs returns the ids of the listed endpoints at the given addresses. Nil addresses mean any endpoint; ok is
+// false when addresses are given and none of them is listed.
 func (e *Engine) endpointIDs(addrs []string) (ids []string, ok bool) {
 	if addrs == nil {
 		return nil, true
@@ -209,10 +224,10 @@
 	return ids, ids != nil
 }
 
-// rejectionRetryAfter is the advice with a refusal that is not the module's.
+// rejectionRetryAfter is the advice with a rejection by the engine itself.
 const rejectionRetryAfter = time.Second
 
-// abandon fails a call without the module, which is told that nothing is owed any more.
+// abandon fails a call without asking the module, which is then told to forget it.
 func (e *Engine) abandon(call *Call) {
 	e.finish(call.id, Answer{Verdict: Failed})
 	e.handle(balancer.ClientGone{ID: call.id})
@@ -225,7 +240,7 @@
 	}
 }
 
-// finish gives a call its final answer, once; false if it had one.
+// finish gives a call its final answer; it returns false if the call is unknown or already finished.
 func (e *Engine) finish(id string, answer Answer) bool {
 	call := e.calls[id]
 	if call == nil || !e.markFinished(call) {
@@ -236,7 +251,7 @@
 	return true
 }
 
-// markFinished finishes a call; false if it was before.
+// markFinished ends a call without an answer; it returns false if the call was never registered or is finished.
 func (e *Engine) markFinished(call *Call) bool {
 	if call.fallbackTimer == nil || !call.finished.CompareAndSwap(false, true) {
 		return false
@@ -253,7 +268,7 @@
 	}
 }
 
-// forgetIfDone drops a call that is finished and has no attempt out.
+// forgetIfDone removes a call that is finished and has no attempt in flight.
 func (e *Engine) forgetIfDone(call *Call) {
 	if call.finished.Load() && call.attemptsInFlight == 0 && e.calls[call.id] == call {
 		delete(e.calls, call.id)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,14 +1,19 @@
-// Package engine is the life of a request apart from any protocol: it owns one decision module, hands
-// it events and carries out its actions.
+// Package engine runs the life cycle of a request, independently of any protocol. It owns one decision module
+// (package balancer), passes it events and carries out its actions.
 //
-// One goroutine, that of Run, owns the module and all that hangs on it; fronts, senders and sources
-// post to it. It hands each call exactly one final answer, starts attempts through a Sender, and
-// applies the news of a Source. What it guards whatever the module says: one answer each, in time
-// (the last call); an id that is open is not taken twice; nothing is begun for a finished call or at
-// an endpoint that the list no longer names ready (Attempt.Begin); an attempt ends once.
+// The goroutine of Run owns the module and all state of the engine; fronts (downstream), senders (upstream) and
+// sources (lists of servers) post to it. The engine starts attempts through a Sender, follows the list of a Source,
+// and holds these invariants whatever the module says:
 //
-// It decides nothing that the module decides, and knows no protocol: what a call carries and what an
-// attempt brings back pass through it unread.
+//   - each call gets exactly one final answer, at the latest at Call.Last;
+//   - no two open calls have the same caller's id;
+//   - nothing is written for a finished call, or to an endpoint that is not usable (Attempt.Begin);
+//   - each attempt ends once.
+//
+// It must never decide what the module decides, and never read a payload or a reply: it knows no protocol.
+//
+// Files: engine.go has the goroutine and its queue, call.go the calls, attempt.go the attempts, sender.go and source.go
+// what it needs of the two sides, servers.go the list in use, snapshot.go what a successor takes over.
 package engine
 
 import (
@@ -21,50 +26,50 @@
 	"cranegrade/balancer"
 )
 
-// Clock is Unix time that never goes back: the wall's at the start plus what has passed since.
+// Clock is monotonic Unix time: the wall clock's time at the start plus the time that has passed since.
 type Clock struct{ start time.Time }
 
-// NewClock returns a clock that starts now.
+// NewClock returns a clock that starts at the wall clock's present time.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now is the clock time, as Unix time.
+// Now is the time since the Unix epoch.
 func (c Clock) Now() time.Duration {
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// Module decides; balancer.Balancer is the one in service.
+// Module is the decision module; balancer.Balancer is the one in service. Only the engine's goroutine calls it.
 type Module interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
-// SharedLimit is a limit shared with others: so much can be taken, and is given back. It is called from many
-// goroutines.
+// SharedLimit is a counting limit that several owners share, like a semaphore. Take takes n or returns false without
+// blocking; Give returns what was taken. Both are called from many goroutines.
 type SharedLimit interface {
 	Take(n int64) bool
 	Give(n int64)
 }
 
-// Config is what an engine is made of.
+// Config holds the parts and limits of an engine.
 type Config struct {
-	Name        string // for the log: the pool's; may be empty
+	Name        string // the pool's, for log lines; may be empty
 	Clock       Clock
 	Module      Module
 	Sender      Sender
-	Source      Source      // may be nil: then the list is what Apply brings
-	MaxAttempts int         // of a call; 0: no limit but the module's
-	Pushed      bool        // the list comes unasked: it is followed without a Subscribe
+	Source      Source      // nil: the list comes through Apply only
+	MaxAttempts int         // per call; 0: only the module limits them
+	Pushed      bool        // the source pushes the list: it is watched without a Subscribe of the module
 	Pending     SharedLimit // calls that wait for an endpoint; nil: no limit
-	AdminStates AdminStates // what operators have taken out by hand; nil: nothing ever
+	AdminStates AdminStates // set by operators; nil: none
 }
 
-// AdminStates are what operators have taken out by hand. They lie over the list: a server that is out drains, whatever
-// the list says of it. Its methods are called from many goroutines and never wait.
+// AdminStates are the administrative states of servers, set by operators. They override the list: a server that is out
+// of service drains, whatever the list says. The methods are called from many goroutines and never block.
 type AdminStates interface {
-	// Out says that a server is taken out. It binds attempts from the moment that it says so.
+	// Out says that a server is out of service. Attempts observe it at once (Endpoint.Usable).
 	Out(id string) bool
-	// Boot is when a server is to be taken to have started, where the list says boot.
+	// Boot returns the start time to assume for a server whose listed start time is boot.
 	Boot(id string, boot time.Duration) time.Duration
-	// Entered hears of a server that is listed from now on, and Left of one that no longer is; in turn for each id.
+	// Entered is told of each server that is now listed, and Left of each that no longer is; alternately for an id.
 	Entered(id string)
 	Left(id string)
 }
@@ -74,37 +79,39 @@
 	cfg       Config
 	events    chan func()
 	done      chan struct{} // closed when Run has ended
-	openCalls atomic.Int64  // calls that are unanswered or have attempts out
+	openCalls atomic.Int64  // calls that are unanswered or have attempts in flight
 
 	// Owned by Run's goroutine.
-	pendingEvents     []balancer.Event // for the module, in order
+	pendingEvents     []balancer.Event // for the module, in order of arrival
 	calls             map[string]*Call
-	callerIDs         map[string]bool // of calls
+	callerIDs         map[string]bool // the non-empty Call.ID of all calls
 	endpoints         map[string]*Endpoint
-	idByAddr          map[string]string // ids of endpoints by address
+	idByAddr          map[string]string // ids of endpoints
 	source            Source
-	observer          Observer // the source, if it is one; else nil
-	listVersion       string   // of the list we hold; "": not this source's
-	dropShare         float64  // share of calls to refuse
+	observer          Observer // the source, if it is an Observer; otherwise nil
+	listVersion       string   // of the list in use; "": it is not this source's
+	dropShare         float64  // share of calls to reject, 0 to 1
 	rng               *rand.Rand
 	nextID            uint64
 	stopWatch         context.CancelFunc
-	rejectedOverLimit int // calls held over the limit since the last line about it
+	rejectedOverLimit int // calls over the limit of pending ones since it was last logged
 }
 
-// New returns an engine that does nothing until Run.
+// New returns an engine that is idle until Run.
 func New(cfg Config) *Engine {
-	e := &Engine{cfg: cfg, events: make(chan func(), 256), done: make(chan struct{}),
+	e := &Engine{cfg: cfg, events: make(chan func(), eventQueueSize), done: make(chan struct{}),
 		calls: map[string]*Call{}, callerIDs: map[string]bool{}, endpoints: map[string]*Endpoint{}, idByAddr: map[string]string{},
 		source: cfg.Source, stopWatch: func() {}, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 	e.observe(cfg.Source)
 	return e
 }
 
-// sweepInterval is how often the sender may look for what it need not keep.
-const sweepInterval = time.Second
+const (
+	sweepInterval  = time.Second // between calls of Sender.Sweep
+	eventQueueSize = 256         // posted events that may wait before Do blocks
+)
 
-// Run works off events until ctx ends.
+// Run handles events until ctx ends. It is called once; its goroutine owns the engine.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.done)
 	defer func() { e.stopWatch() }()
@@ -130,8 +137,8 @@
 	}
 }
 
-// Do has f run on the engine's goroutine; it returns before that. It may wait, so that goroutine must
-// not call it. After Run has ended it does nothing.
+// Do posts f to run on the engine's goroutine. It blocks while the queue is full, so the engine's goroutine must not
+// call it. After the end of Run it does nothing.
 func (e *Engine) Do(f func()) {
 	select {
 	case e.events <- f:
@@ -142,13 +149,13 @@
 // Done is closed when Run has ended.
 func (e *Engine) Done() <-chan struct{} { return e.done }
 
-// Open is the number of calls that are unanswered or have attempts out.
+// Open is the number of calls that are unanswered or have attempts in flight.
 func (e *Engine) Open() int64 { return e.openCalls.Load() }
 
-// Now is the engine's clock time.
+// Now is the time of the engine's clock.
 func (e *Engine) Now() time.Duration { return e.cfg.Clock.Now() }
 
-// Learn has the module go on with what another learned, if it can. It follows Start.
+// Learn gives the module the estimates of another one, if it is a Learner. It must come after Start.
 func (e *Engine) Learn(k *balancer.Knowledge) {
 	e.Do(func() {
 		if l, is := e.cfg.Module.(Learner); is {
@@ -157,10 +164,10 @@
 	})
 }
 
-// Tell hands the module an event that no call, attempt or list brings: of classes, or of the fleet.
+// Tell passes the module an event that comes from no call, attempt or list: of classes, or of the fleet.
 func (e *Engine) Tell(ev balancer.Event) { e.Do(func() { e.handle(ev) }) }
 
-// Start applies a list that was held before, if any, and follows the source if lists are pushed.
+// Start applies the list that was known before, if any, and opens a watch of the source if it pushes lists.
 func (e *Engine) Start(known News) {
 	e.Do(func() {
 		e.apply(known)
@@ -175,6 +182,7 @@
 	return time.AfterFunc(d, func() { e.Do(f) })
 }
 
+// logf writes a log line that names the pool.
 func (e *Engine) logf(format string, args ...any) {
 	if e.cfg.Name != "" {
 		format, args = "pool %s: "+format, append([]any{e.cfg.Name}, args...)
@@ -182,7 +190,7 @@
 	log.Printf(format, args...)
 }
 
-// handle gives the module an event, and then those that its own actions caused at once.
+// handle passes the module an event, and then the events that its actions have caused meanwhile.
 func (e *Engine) handle(ev balancer.Event) {
 	e.pendingEvents = append(e.pendingEvents, ev)
 	for len(e.pendingEvents) > 0 {
@@ -194,6 +202,7 @@
 	}
 }
 
+// perform carries out one action of the module.
 func (e *Engine) perform(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"sync"
 	"sync/atomic"
@@ -24,7 +23,7 @@
 
 func (f moduleFunc) Handle(_ time.Duration, e balancer.Event) []balancer.Action { return f(e) }
 
-// manualSender is a sender whose attempts end when the test says so.
+// manualSender is a sender whose attempts end when the test ends them.
 type manualSender struct {
 	started chan *Attempt
 	ctx     sync.Map // *Attempt to its context
@@ -42,7 +41,9 @@
 func (h *manualSender) Drop(ep *Endpoint) { h.dropped <- ep.ID }
 func (h *manualSender) Sweep()            {}
 
+// cause waits for the end of an attempt's context and returns its cause.
 func (h *manualSender) cause(t *testing.T, a *Attempt) error {
+	t.Helper()
 	v, _ := h.ctx.Load(a)
 	ctx := v.(context.Context)
 	select {
@@ -78,7 +79,7 @@
 		SecondCopies: true, Tick: time.Millisecond}
 }
 
-// startEngine runs an engine until the test ends; nil m stands for the real module.
+// startEngine runs an engine until the test ends. Without a module in cfg it gets the real one.
 func startEngine(t testing.TB, cfg Config) *Engine {
 	t.Helper()
 	if cfg.Module == nil {
@@ -99,6 +100,16 @@
 	return e
 }
 
+// startWithServers runs an engine with the real module and these servers, whose attempts the test ends by hand.
+func startWithServers(t *testing.T, ids ...string) (*Engine, *manualSender) {
+	t.Helper()
+	sender := newManualSender()
+	e := startEngine(t, Config{Sender: sender})
+	e.Start(serverList(ids...))
+	return e, sender
+}
+
+// serverList is a full list, version 1, of servers that are ready.
 func serverList(ids ...string) News {
 	n := News{Full: true, Version: "1"}
 	for _, id := range ids {
@@ -107,13 +118,14 @@
 	return n
 }
 
+// newCall returns a call that is due after left, and its receiver.
 func newCall(e *Engine, id, class string, left time.Duration) (*Call, *receiver) {
 	r := newReceiver()
 	now := e.Now()
 	return &Call{ID: id, Class: class, Deadline: now + left, Last: now + left + left/10, To: r}, r
 }
 
-// waitIdle returns once the engine has worked off what was posted before.
+// waitIdle returns once the engine has handled all that was posted before.
 func waitIdle(t testing.TB, e *Engine) {
 	t.Helper()
 	done := make(chan struct{})
@@ -121,10 +133,8 @@
 	testkit.Wait(t, done)
 }
 
-func TestServed(t *testing.T) {
-	h := newManualSender()
-	e := startEngine(t, Config{Sender: h})
-	e.Start(serverList("a", "b"))
+func TestSuccessAnswersCallOnce(t *testing.T) {
+	e, h := startWithServers(t, "a", "b")
 	c, r := newCall(e, "c-1", "order", limit)
 	c.Payload = "payload"
 	e.Submit(c)
@@ -147,15 +157,13 @@
 
 // The endings that prove that nothing ran lead to another attempt, even of an unsafe call; the others
 // to its failure.
-func TestEndingsOfUnsafe(t *testing.T) {
+func TestUnsafeCallIsRetriedOnlyIfNothingRan(t *testing.T) {
 	for _, c := range []struct {
 		ending balancer.Ending
 		again  bool
 	}{{balancer.Unreachable, true}, {balancer.Overloaded, true}, {balancer.Failure, false},
 		{balancer.Broken, false}, {balancer.TimedOut, false}, {balancer.Withdrawn, false}} {
-		h := newManualSender()
-		e := startEngine(t, Config{Sender: h})
-		e.Start(serverList("a", "b", "c"))
+		e, h := startWithServers(t, "a", "b", "c")
 		call, r := newCall(e, "c-1", "order", limit)
 		e.Submit(call)
 		testkit.Wait(t, h.started).End(c.ending, nil)
@@ -176,10 +184,8 @@
 
 // At the moment of writing an attempt asks again: a finished call or an endpoint that has left the
 // list stops it.
-func TestBegin(t *testing.T) {
-	h := newManualSender()
-	e := startEngine(t, Config{Sender: h})
-	e.Start(serverList("a"))
+func TestBeginRefusesFinishedCallAndUnusableEndpoint(t *testing.T) {
+	e, h := startWithServers(t, "a")
 	c, _ := newCall(e, "c-1", "read", limit)
 	e.Submit(c)
 	a := testkit.Wait(t, h.started)
@@ -214,10 +220,8 @@
 }
 
 // An id that is open is turned away; once it is not, it may come again. No id is never open.
-func TestDuplicateID(t *testing.T) {
-	h := newManualSender()
-	e := startEngine(t, Config{Sender: h})
-	e.Start(serverList("a"))
+func TestOpenIDIsRejectedAsDuplicate(t *testing.T) {
+	e, h := startWithServers(t, "a")
 	for range 2 {
 		first, r := newCall(e, "c-1", "read", limit)
 		again, r2 := newCall(e, "c-1", "read", limit)
@@ -239,7 +243,7 @@
 }
 
 // Whatever the module forgets, the caller has an answer, and the module hears of it.
-func TestLastCall(t *testing.T) {
+func TestSilentModuleGetsFallbackAnswer(t *testing.T) {
 	gone := make(chan balancer.ClientGone, 1)
 	e := startEngine(t, Config{Sender: newManualSender(), Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
 		if g, is := ev.(balancer.ClientGone); is {
@@ -255,81 +259,9 @@
 	testkit.Wait(t, gone)
 }
 
-// Once a streamed reply has begun it belongs to its attempt: other attempts are withdrawn, there is no
-// deadline, and a break midway is the call's failure, never a second run.
-func TestStream(t *testing.T) {
-	for _, broken := range []bool{false, true} {
-		h := newManualSender()
-		started := make(chan balancer.Started, 1)
-		outcomes := make(chan balancer.Outcome, 10)
-		m, err := balancer.New(settings(), 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		clock := NewClock()
-		e := startEngine(t, Config{Sender: h, Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
-			switch ev := ev.(type) {
-			case balancer.Request: // and a second copy, as a module that hedges would send
-				return append(m.Handle(clock.Now(), ev), balancer.Send{ID: ev.ID, Server: "b"})
-			case balancer.Started:
-				started <- ev
-				return []balancer.Action{balancer.Cancel{ID: ev.ID, Attempt: 1 - ev.Attempt}}
-			case balancer.Outcome:
-				outcomes <- ev
-				return nil
-			}
-			return m.Handle(clock.Now(), ev)
-		})})
-		e.Start(serverList("a", "b"))
-		c, r := newCall(e, "c-1", "read", 50*time.Millisecond)
-		e.Submit(c)
-		first, second := testkit.Wait(t, h.started), testkit.Wait(t, h.started)
-		head, loser := &reply{}, &reply{}
-		second.Began(head)
-		if b := testkit.Wait(t, r.began); b != head {
-			t.Errorf("began with %v", b)
-		}
-		if s := testkit.Wait(t, started); s.Attempt != 1 {
-			t.Errorf("started %+v", s)
-		}
-		if cause := h.cause(t, first); cause != ErrWithdrawn {
-			t.Errorf("the other attempt ends with %v", cause)
-		}
-		first.Began(loser) // crosses the cancel
-		first.End(balancer.Success, nil)
-		waitIdle(t, e)
-		if loser.released.Load() != 1 || len(r.ended) != 0 {
-			t.Errorf("the loser: released %d times, %d answers", loser.released.Load(), len(r.ended))
-		}
-		// Past the deadline and the last call the stream still runs.
-		for e.Now() < c.Last+time.Millisecond {
-			time.Sleep(time.Millisecond)
-		}
-		waitIdle(t, e)
-		if len(r.ended) != 0 {
-			t.Fatal("a stream that has begun ended at the deadline")
-		}
-		if testkit.Wait(t, outcomes); broken {
-			second.End(balancer.Broken, nil)
-		} else {
-			second.End(balancer.Success, nil)
-		}
-		if a := testkit.Wait(t, r.ended); (a.Verdict == Failed) != broken {
-			t.Errorf("broken %v: answer %+v", broken, a)
-		}
-		if o := testkit.Wait(t, outcomes); !o.Ended || o.Attempt != 1 {
-			t.Errorf("outcome %+v", o)
-		}
-		waitIdle(t, e)
-		if e.Open() != 0 || len(h.started) != 0 {
-			t.Errorf("%d calls open, %d more attempts", e.Open(), len(h.started))
-		}
-	}
-}
-
 // Calls that wait for a server are counted: over the limit they are refused at once, and each that
 // stops waiting gives its place back.
-func TestHeldLimit(t *testing.T) {
+func TestPendingLimitRejectsAndReleases(t *testing.T) {
 	h, held := newManualSender(), testkit.NewRoom(2)
 	e := startEngine(t, Config{Sender: h, Pending: held})
 	var rs []*receiver
@@ -356,64 +288,9 @@
 	}
 }
 
-// observingSource is a source that hears of attempts.
-type observingSource struct {
-	*scriptedSource
-	began, ended, dropped atomic.Int64
-}
-
-func (o *observingSource) Began(string)                  { o.began.Add(1) }
-func (o *observingSource) Ended(string, balancer.Ending) { o.ended.Add(1) }
-func (o *observingSource) Dropped()                      { o.dropped.Add(1) }
-
-// A source may have a share of calls refused: harmlessly, with advice, and without a word to the module.
-func TestDrops(t *testing.T) {
-	h, o := newManualSender(), &observingSource{scriptedSource: newScriptedSource("drops")}
-	e := startEngine(t, Config{Sender: h, Source: o})
-	n := serverList("a", "b", "c", "d")
-	n.Drop = 0.5
-	e.Apply(n)
-	const calls = 400
-	refused := 0
-	for i := range calls {
-		c, r := newCall(e, fmt.Sprint(i), "order", limit)
-		e.Submit(c)
-		select {
-		case a := <-h.started:
-			a.End(balancer.Success, nil)
-			if ans := testkit.Wait(t, r.ended); ans.Verdict != Served {
-				t.Fatalf("answer %+v", ans)
-			}
-		case ans := <-r.ended:
-			if ans.Verdict != Refused || ans.RetryAfter <= 0 {
-				t.Fatalf("answer %+v", ans)
-			}
-			refused++
-		case <-time.After(limit):
-			t.Fatal("neither")
-		}
-	}
-	waitIdle(t, e)
-	if refused < calls/4 || refused > calls*3/4 || o.dropped.Load() != int64(refused) ||
-		o.began.Load() != int64(calls-refused) || o.ended.Load() != o.began.Load() || e.Open() != 0 {
-		t.Errorf("%d refused of %d; the source heard of %d, of %d begun and %d ended; %d open", refused, calls,
-			o.dropped.Load(), o.began.Load(), o.ended.Load(), e.Open())
-	}
-	n.Drop = 0
-	e.Apply(n)
-	for i := range 50 {
-		c, r := newCall(e, fmt.Sprint("more", i), "order", limit)
-		e.Submit(c)
-		testkit.Wait(t, h.started).End(balancer.Success, nil)
-		testkit.Wait(t, r.ended)
-	}
-}
-
 // Whoever carried the attempt has answered the caller: both are over, and no answer follows.
-func TestSettle(t *testing.T) {
-	h := newManualSender()
-	e := startEngine(t, Config{Sender: h})
-	e.Start(serverList("a"))
+func TestEndCallAndAttemptGivesNoAnswer(t *testing.T) {
+	e, h := startWithServers(t, "a")
 	for range 3 {
 		c, r := newCall(e, "c-1", "order", limit)
 		e.Submit(c)
@@ -428,10 +305,8 @@
 	}
 }
 
-func TestAbandonAll(t *testing.T) {
-	h := newManualSender()
-	e := startEngine(t, Config{Sender: h})
-	e.Start(serverList("a"))
+func TestAbandonAllFailsOpenCalls(t *testing.T) {
+	e, h := startWithServers(t, "a")
 	c, r := newCall(e, "c-1", "order", limit)
 	e.Submit(c)
 	a := testkit.Wait(t, h.started)
@@ -446,178 +321,3 @@
 		t.Errorf("late reply released %d times, %d open", late.released.Load(), e.Open())
 	}
 }
-
-// The engine must not use a server that a list no longer names, nor an address that it has left.
-func TestListRulesEndpoints(t *testing.T) {
-	e := New(Config{Clock: NewClock(), Sender: newManualSender(), Module: moduleFunc(func(balancer.Event) []balancer.Action { return nil })})
-	e.apply(serverList("a", "b", "c"))
-	a, b, c := e.endpoints["a"], e.endpoints["b"], e.endpoints["c"]
-	drain := serverList("a", "b")
-	drain.Full, drain.Servers[0].State, drain.Servers[1].Addr = false, balancer.Draining, "b:9"
-	e.apply(drain)
-	if a.Usable() || b.Usable() || !c.Usable() || !e.endpoints["b"].Usable() {
-		t.Error("after changes: a drains, b moved, c stays")
-	}
-	back := serverList("a")
-	back.Full = false
-	e.apply(back)
-	if !a.Usable() || e.endpoints["a"] != a {
-		t.Error("a serves again")
-	}
-	e.apply(serverList("a"))
-	if c.Usable() || len(e.endpoints) != 1 {
-		t.Error("a full list that names only a")
-	}
-	restarted := serverList("a")
-	restarted.Servers[0].Boot = time.Second
-	e.apply(restarted)
-	if a.Usable() || !e.endpoints["a"].Usable() {
-		t.Error("a started anew: its old connections are of no use")
-	}
-}
-
-// scriptedSource is a source that a test feeds.
-type scriptedSource struct {
-	name   string
-	asked  chan string
-	news   chan News
-	fail   chan error
-	closed chan struct{}
-}
-
-func newScriptedSource(name string) *scriptedSource {
-	return &scriptedSource{name, make(chan string, 100), make(chan News), make(chan error), make(chan struct{}, 100)}
-}
-
-func (s *scriptedSource) String() string { return s.name }
-func (s *scriptedSource) Follow(ctx context.Context, since string, news func(News)) error {
-	s.asked <- since
-	defer func() { s.closed <- struct{}{} }()
-	for {
-		select {
-		case n := <-s.news:
-			news(n)
-		case err := <-s.fail:
-			return err
-		case <-ctx.Done():
-			return ctx.Err()
-		}
-	}
-}
-
-// One source is followed at a time, from the version that was applied last; another source from the
-// beginning, whose news alone count.
-func TestSources(t *testing.T) {
-	one, two := newScriptedSource("one"), newScriptedSource("two")
-	lists := make(chan balancer.ServerList, 10)
-	e := startEngine(t, Config{Sender: newManualSender(), Source: one, Pushed: true, Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
-		if l, is := ev.(balancer.ServerList); is {
-			lists <- l
-		}
-		return nil
-	})})
-	e.Start(serverList("a"))
-	testkit.Wait(t, lists)
-	if v := testkit.Wait(t, one.asked); v != "1" {
-		t.Errorf("asked since %q", v)
-	}
-	n := serverList("a", "b")
-	n.Version = "2"
-	one.news <- n
-	testkit.Wait(t, lists)
-	one.fail <- errors.New("broke")
-	if v := testkit.Wait(t, one.asked); v != "2" {
-		t.Errorf("after a break asked since %q", v)
-	}
-	testkit.Wait(t, one.closed)
-	e.SetSource(two)
-	if v := testkit.Wait(t, two.asked); v != "" {
-		t.Errorf("the new source asked since %q", v)
-	}
-	testkit.Wait(t, one.closed)
-	two.fail <- errors.New("down from the start")
-	if v := testkit.Wait(t, two.asked); v != "" {
-		t.Errorf("again since %q", v)
-	}
-	waitIdle(t, e)
-	e.Do(func() {
-		if len(e.endpoints) != 2 {
-			t.Errorf("the list does not stay as it was: %d", len(e.endpoints))
-		}
-	})
-	two.news <- serverList("c")
-	if l := testkit.Wait(t, lists); len(l.Servers) != 1 || l.Servers[0].ID != "c" {
-		t.Errorf("list %+v", l)
-	}
-}
-
-// instantSender answers at once.
-type instantSender struct{ r reply }
-
-func (s *instantSender) Start(_ context.Context, a *Attempt) { go a.End(balancer.Success, &s.r) }
-func (s *instantSender) Drop(*Endpoint)                      {}
-func (s *instantSender) Sweep()                              {}
-
-type signal chan struct{}
-
-func (s signal) Began(Reply)  {}
-func (s signal) Ended(Answer) { s <- struct{}{} }
-
-// BenchmarkEngine measures calls through one engine whose sender answers at once.
-func BenchmarkEngine(b *testing.B) {
-	e := startEngine(b, Config{Sender: &instantSender{}})
-	e.Start(serverList("a", "b", "c", "d", "e", "f", "g", "h", "i", "j"))
-	b.ReportAllocs()
-	b.RunParallel(func(pb *testing.PB) {
-		done := make(signal, 1)
-		for pb.Next() {
-			now := e.Now()
-			e.Submit(&Call{Class: "read", Deadline: now + time.Second, Last: now + 2*time.Second, To: done})
-			<-done
-		}
-	})
-	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
-}
-
-// alternatingSender is a sender that ends every attempt at once and keeps nothing.
-type alternatingSender struct{}
-
-func (alternatingSender) Start(_ context.Context, a *Attempt) {
-	go a.End([]balancer.Ending{balancer.Success, balancer.Unreachable}[int(a.Endpoint.ID[len(a.Endpoint.ID)-1])%2], nil)
-}
-func (alternatingSender) Drop(*Endpoint) {}
-func (alternatingSender) Sweep()         {}
-
-// What an engine and its module hold for servers that are gone: nothing, however many there were.
-func TestChurnIsForgotten(t *testing.T) {
-	e := startEngine(t, Config{Sender: alternatingSender{}})
-	var first []string
-	for i := range 60 {
-		first = append(first, fmt.Sprintf("s%06d", i))
-	}
-	e.Start(serverList(first...))
-	var held []int
-	for i := range 7200 { // an hour of two a second
-		gone, come := fmt.Sprintf("s%06d", i), fmt.Sprintf("s%06d", i+60)
-		n := serverList(gone, come)
-		n.Full, n.Servers[0].State, n.Servers[1].Boot = false, balancer.Gone, e.Now()
-		e.Apply(n)
-		if i%4 == 0 {
-			c, r := newCall(e, fmt.Sprint("c-", i), "read", limit)
-			e.Submit(c)
-			testkit.Wait(t, r.ended)
-		}
-		if i%1800 == 1799 {
-			testkit.Eventually(t, "attempts still out", func() bool { waitIdle(t, e); return e.Open() == 0 })
-			e.Do(func() {
-				held = append(held, testkit.Held(e.endpoints)+testkit.Held(e.idByAddr)+testkit.Held(e.calls)+
-					testkit.Held(e.callerIDs)+testkit.Held(e.cfg.Module))
-			})
-			waitIdle(t, e)
-		}
-	}
-	t.Log("held:", held)
-	if held[3] > held[0]*5/4 {
-		t.Errorf("held after each quarter: %v", held)
-	}
-}
