--- a/internal/front/http1/callers.go
+++ b/internal/front/http1/callers.go
@@ -195,7 +195,7 @@
 	if to == nil || to == c.share || c.closed {
 		return !c.closed
 	}
-	if !c.share.Move(to, 1) {
+	if !c.share.Transfer(to, 1) {
 		return false
 	}
 	quiet := c.place != nil
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,5 +1,6 @@
-// Package message is the form of requests and replies between fronts and senders, which do not know
-// each other: what every HTTP-like protocol has, and nothing of how one frames it. It is data only.
+// Package message defines requests and replies as they pass between fronts (downstream) and senders (upstream), which do
+// not know each other. It holds what all HTTP semantics share (RFC 9110) and nothing of the framing of one version; it is
+// data only and must never do I/O.
 package message
 
 import (
@@ -7,78 +8,78 @@
 	"sync/atomic"
 )
 
-// MaxBody is the most bytes that a body holds, either way, by the protocol's page.
+// MaxBody is the limit on a body that is kept in memory as a whole, in bytes, for requests and replies.
 const MaxBody = 64 << 10
 
-// CallerZone is the header by which whoever calls says in which zone it stands.
+// CallerZone is the header by which a caller names its zone.
 const CallerZone = "X-Caller-Zone"
 
-// Request is what goes to a server. It is shared by all attempts of a call, so no sender changes it.
+// Request is a request to a server. All attempts of a call share it, so senders must not change its fields.
 type Request struct {
 	Method    string
-	URL       *url.URL // path and query as the caller wrote them
-	Authority string   // "": the server's own address
+	URL       *url.URL // path and query, exactly as the caller wrote them
+	Authority string   // Host or :authority; "": the server's address
 	Header    map[string][]string
 	Body      []byte
-	GRPC      *GRPC // nil: it is no request of gRPC
-	// Runs says how often it may run, where its form does not tell.
+	GRPC      *GRPC // nil: not a gRPC request
+	// Runs says whether it may run more than once, where method and headers do not tell.
 	Runs Runs
-	// Note is whoever made it's own; senders that know it read it.
+	// Note is data of the front that made the request, for senders that know its type.
 	Note any
-	// More is what follows Body, as its caller sends it; nil: nothing. It can be sent once: whoever takes of it
-	// calls Claim first.
+	// More is the rest of the body after Body, as the caller sends it; nil: nothing. It can be read only once: a
+	// sender must Claim it first.
 	More *Stream
-	// Most is how many bytes Body and More may have together where no length was told; 0: as many as come.
+	// Most is the limit on Body and More together, in bytes, if no length is declared; 0: no limit.
 	Most          int64
 	streamClaimed atomic.Bool
 	failureReply  atomic.Pointer[Reply]
 }
 
-// Runs says how often a request may run.
+// Runs says whether a request may run more than once: whether it is idempotent (RFC 9110, section 9.2.2).
 type Runs uint8
 
-// How often; the zero Runs is told by method and key.
+// Values of Runs.
 const (
-	RunsByForm Runs = iota
-	RunsOnce
-	RunsOften
+	RunsByForm Runs = iota // as method and idempotency key tell
+	RunsOnce               // never more than once
+	RunsOften              // any number of times
 )
 
-// Fail keeps the answer that a server gave with a failure, for a caller that gets no better one.
+// Fail keeps the response that came with a failure, for a caller that gets no better one.
 func (r *Request) Fail(with *Reply) { r.failureReply.Store(with) }
 
-// Failed is the last answer that Fail kept; nil: none.
+// Failed is the last response that Fail kept; nil: none.
 func (r *Request) Failed() *Reply { return r.failureReply.Load() }
 
-// Spent says that no further attempt can send all of it.
+// Spent says that no further attempt can send the complete request, because More was claimed.
 func (r *Request) Spent() bool { return r.More != nil && r.streamClaimed.Load() }
 
-// Claim says, once, that More may be taken.
+// Claim returns true to the first caller only, which may then read More.
 func (r *Request) Claim() bool { return r.streamClaimed.CompareAndSwap(false, true) }
 
-// Reply is a server's whole answer to a request that was served.
+// Reply is a server's complete response.
 type Reply struct {
 	ContentType     string
 	Body            []byte
-	Status          int     // of HTTP; 0: 200
-	Header, Trailer []Field // of gRPC, and where a front passes all on
+	Status          int     // HTTP status; 0: 200
+	Header, Trailer []Field // for gRPC, and where a front forwards all fields
 
 	bodyLimit Room
 	released  atomic.Bool
 }
 
-// Room is where the bytes of a long body were taken from.
+// Room is the limit that the bytes of a long body count against.
 type Room interface{ Give(n int64) }
 
-// NewReply returns a reply whose body's bytes go back to room, if that is not nil, once it is released.
+// NewReply returns a reply. Release returns the bytes of its body to room, unless that is nil.
 func NewReply(contentType string, body []byte, room Room) *Reply {
 	return &Reply{ContentType: contentType, Body: body, bodyLimit: room}
 }
 
-// Size is how many bytes the body has.
+// Size is the length of the body, in bytes.
 func (r *Reply) Size() int64 { return int64(len(r.Body)) }
 
-// Release gives back what the reply holds. The body must not be used after it.
+// Release returns what the reply holds of a limit, once. The body must not be used afterwards.
 func (r *Reply) Release() {
 	if r.bodyLimit != nil && r.released.CompareAndSwap(false, true) {
 		r.bodyLimit.Give(int64(len(r.Body)))
--- a/internal/message/stream.go
+++ b/internal/message/stream.go
@@ -5,19 +5,19 @@
 	"sync"
 )
 
-// Field is a field of a header or trailer, its name in lower case.
+// Field is a field of a header or trailer section, with its name in lower case.
 type Field struct{ Name, Value string }
 
-// GRPC is what a request of gRPC has beyond others. It is shared by all attempts of a call.
+// GRPC is what a gRPC request has in addition. All attempts of a call share it.
 type GRPC struct {
-	Safe     bool // may run any number of times
-	Streamed bool // its answer may come in pieces
+	Safe     bool // idempotent: may run any number of times
+	Streamed bool // the response may be streamed
 
 	mu     sync.Mutex
 	failed []Field
 }
 
-// Fail keeps the status that a server gave with a failure, for a caller that gets no better answer.
+// Fail keeps the status fields that came with a failure, for a caller that gets no better response.
 func (g *GRPC) Fail(status []Field) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -31,18 +31,20 @@
 	return g.failed
 }
 
-// Stream is an answer that comes in pieces: a sender pushes, a front takes, and what is taken the sender may ask the
-// server to send more of. So what is held is bounded by what the sender has allowed the server.
+// Stream is a body that is passed on in chunks as it comes: one side pushes, the other takes. Flow control is the pusher's:
+// it is told of each chunk that was taken and lets its peer send no more than that, which bounds the bytes held here.
+// One goroutine pushes and one takes.
 type Stream struct {
-	Status int // of HTTP; 0: 200
+	Status int // HTTP status; 0: 200
 	Header []Field
-	// Length is how many bytes the body has of which it is the whole or the rest; -1: not told. 0 of gRPC, whose streams
-	// may be worked on for as long as they last.
+	// Length is the declared length of the whole body, in bytes; -1: none. It is 0 for gRPC, whose streams may be the
+	// work itself and not only the transfer of its result.
 	Length int64
-	// Dropped is told of what Release gives up, and of what comes after it; nil: nobody. Set before the first Push.
+	// Dropped is called with the bytes that Release discards and those that come after it; nil: not called. It must be
+	// set before the first Push.
 	Dropped func(n int)
 
-	onConsumed func(n int) // told, outside of any lock, as pieces are taken
+	onConsumed func(n int) // called without a lock for each chunk that is taken
 	wake       chan struct{}
 
 	mu       sync.Mutex
@@ -52,18 +54,18 @@
 	trailer  []Field
 }
 
-// NewStream returns a stream with its header; consumed is told of what is taken.
+// NewStream returns a stream with its header section; consumed is called with the bytes of each chunk that is taken.
 func NewStream(header []Field, consumed func(n int)) *Stream {
 	return &Stream{Header: header, onConsumed: consumed, wake: make(chan struct{}, 1)}
 }
 
-// Transfer says that it is one answer that takes long to pass on, and no work that goes on.
+// Transfer says that the stream only transfers a result, and is no work that goes on (see Length).
 func (s *Stream) Transfer() bool { return s.Length != 0 }
 
-// Push adds a piece, which is the stream's from then on. It does not wait.
+// Push appends a chunk, which then belongs to the stream. It does not block.
 func (s *Stream) Push(p []byte) {
 	s.mu.Lock()
-	released := s.released // nobody reads, and the attempt is about to be given up
+	released := s.released // nobody reads it any more, and the attempt is about to be cancelled
 	if !released {
 		s.chunks = append(s.chunks, p)
 	}
@@ -74,7 +76,7 @@
 	s.signal()
 }
 
-// Finish ends the stream; with a trailer it ended as it should. Calls but the first are ignored.
+// Finish ends the stream. A nil trailer says that it was cut off; otherwise it is complete. Later calls have no effect.
 func (s *Stream) Finish(trailer []Field) {
 	s.mu.Lock()
 	if !s.ended {
@@ -84,6 +86,7 @@
 	s.signal()
 }
 
+// signal wakes Next.
 func (s *Stream) signal() {
 	select {
 	case s.wake <- struct{}{}:
@@ -91,7 +94,7 @@
 	}
 }
 
-// Next waits for the next piece; nil: it ended, or ctx did, with its error.
+// Next waits for the next chunk. It returns nil at the end of the stream, and the cause of ctx if that ends first.
 func (s *Stream) Next(ctx context.Context) ([]byte, error) {
 	for {
 		s.mu.Lock()
@@ -115,7 +118,7 @@
 	}
 }
 
-// Drain takes all that is there, without waiting.
+// Drain takes all chunks that are there, without waiting.
 func (s *Stream) Drain() (all []byte) {
 	s.mu.Lock()
 	for _, p := range s.chunks {
@@ -129,14 +132,14 @@
 	return all
 }
 
-// Trailer is what it ended with; nil: it broke off, or has not ended.
+// Trailer is the trailer section that Finish was given; nil: the stream was cut off or has not ended.
 func (s *Stream) Trailer() []Field {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.trailer
 }
 
-// Held is how many bytes wait to be taken.
+// Held is how many bytes were pushed and not taken yet.
 func (s *Stream) Held() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +149,7 @@
 	return n
 }
 
-// Release gives up what has not been taken, and whatever comes.
+// Release discards all chunks that were not taken, and those that are still to come.
 func (s *Stream) Release() {
 	n := 0
 	s.mu.Lock()
--- a/internal/message/timeleft.go
+++ b/internal/message/timeleft.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// ParseTimeLeft reads X-Time-Left: a number and a unit: m for milliseconds, u for microseconds.
+// ParseTimeLeft reads the value of X-Time-Left: a number followed by its unit, m for milliseconds or u for microseconds.
 func ParseTimeLeft(s string) (d time.Duration, ok bool) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(s, "m")
@@ -17,16 +17,16 @@
 	}
 	v, err := strconv.ParseFloat(number, 64)
 	v *= float64(unit)
-	if !ok || err != nil || !(v >= 1 && v < math.MaxInt64) { // NaN is neither
+	if !ok || err != nil || !(v >= 1 && v < math.MaxInt64) { // written so that NaN fails
 		return 0, false
 	}
 	return time.Duration(v), true
 }
 
-// TimeLeft words a duration for X-Time-Left; never less than 1u.
+// TimeLeft formats a duration as the value of X-Time-Left, at least 1u.
 func TimeLeft(d time.Duration) string { return strconv.FormatInt(max(1, d.Microseconds()), 10) + "u" }
 
-// Length reads a content-length; 0 where it is none.
+// Length reads the value of Content-Length (RFC 9110, section 8.6); 0 if it is invalid.
 func Length(s string) int64 {
 	n, err := strconv.ParseInt(s, 10, 63)
 	if err != nil || n < 0 {
--- a/internal/pool/budget.go
+++ b/internal/pool/budget.go
@@ -2,28 +2,28 @@
 
 import "sync"
 
-// Budget is a QuotaTable for use by many goroutines.
+// Budget is a QuotaTable that many goroutines may use.
 type Budget struct {
-	mu     sync.Mutex // guards ledger, every holder of it, and denied
+	mu     sync.Mutex // guards quotas, every holder of it, and denied
 	quotas *QuotaTable
-	denied map[*Share]struct{} // that were given nothing since ClearDenied
+	denied map[*Share]struct{} // whose Take has failed since ClearDenied, by the lack of others' quota
 }
 
-// NewBudget returns a budget of so much, with no shares.
+// NewBudget returns a budget with that total and no shares.
 func NewBudget(total int64) *Budget {
 	return &Budget{quotas: NewQuotaTable(total), denied: map[*Share]struct{}{}}
 }
 
-// Share is one holder's side of a budget. It implements engine.Room.
+// Share is one pool's part of a budget. It implements engine.SharedLimit.
 type Share struct {
 	budget *Budget
 	holder *Holder
 }
 
-// NewShare returns a share that has nothing until Configure names it.
+// NewShare returns a share without a quota, until Configure names it.
 func (b *Budget) NewShare() *Share { return &Share{b, &Holder{}} }
 
-// Configure sets the total and the quotas of the shares named; the others leave. See QuotaTable.Configure.
+// Configure sets the total and the quotas of the given shares; all others are removed. See QuotaTable.Configure.
 func (b *Budget) Configure(total int64, quotas map[*Share]Quota) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,36 +34,36 @@
 	return b.quotas.Configure(total, byHolder)
 }
 
-// Used is how much is taken in all, and the total.
+// Used returns how much is taken by all shares, and the total.
 func (b *Budget) Used() (used, total int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.quotas.Used(), b.quotas.Total()
 }
 
-// Take takes n, or nothing and says false.
+// Take takes n, or takes nothing and returns false. It does not block.
 func (s *Share) Take(n int64) bool {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
 	if s.budget.quotas.Take(s.holder, n) {
 		return true
 	}
-	if s.holder.Max == 0 || s.holder.used+n <= s.holder.Max { // its own maximum is no matter of the others'
+	if s.holder.Max == 0 || s.holder.used+n <= s.holder.Max { // over its own maximum nothing that others return would help
 		s.budget.denied[s] = struct{}{}
 	}
 	return false
 }
 
-// Give gives back n of what was taken.
+// Give returns n of what was taken.
 func (s *Share) Give(n int64) {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
 	s.budget.quotas.Give(s.holder, n)
 }
 
-// Move has another share of the same budget have n of what was taken; false, and nothing changed, if
-// it may not have that.
-func (s *Share) Move(to *Share, n int64) bool {
+// Transfer transfers n of what was taken to another share of the same budget. It returns false, and changes nothing, if the
+// other share may not have that much.
+func (s *Share) Transfer(to *Share, n int64) bool {
 	if to.budget != s.budget {
 		return false
 	}
@@ -72,15 +72,15 @@
 	return s.budget.quotas.Transfer(s.holder, to.holder, n)
 }
 
-// Used is what is taken and not given back, Borrowed how much of that lies beyond the minimum.
+// Used returns how much the share has taken, and how much of that is borrowed: over its minimum.
 func (s *Share) Used() (used, borrowed int64) {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
 	return s.holder.Used(), s.holder.Borrowed()
 }
 
-// Excess is how much the share should give back if it does not need it: what it has borrowed, if
-// another one has been given nothing since ClearDenied.
+// Excess is how much the share should return if it can: what it has borrowed, if another share has been denied since
+// ClearDenied.
 func (s *Share) Excess() int64 {
 	s.budget.mu.Lock()
 	defer s.budget.mu.Unlock()
@@ -92,7 +92,7 @@
 	return 0
 }
 
-// ClearDenied forgets who was given nothing: Excess has been asked for.
+// ClearDenied forgets which shares were denied. It is called after each round of Excess.
 func (b *Budget) ClearDenied() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,7 +1,8 @@
-// Package pool is a service: its own engine with its own decision module, list of servers, classes and
-// limits. Several pools share a process through budgets, in which each is sure of its minimum and may
-// borrow what is free (QuotaTable). A pool decides nothing about requests but whether there is room to
-// take one at all.
+// Package pool owns one service of a process: an engine with its decision module, list of servers, classes and limits.
+//
+// Pools of one process share its resources through budgets (Budget over QuotaTable): each pool is guaranteed its minimum
+// and may borrow what no other is using. A pool must never decide about a request, except whether there is capacity
+// to accept it at all.
 package pool
 
 import (
@@ -14,17 +15,17 @@
 	"cranegrade/internal/engine"
 )
 
-// Shares are a pool's sides of the process's budgets.
+// Shares are a pool's parts of the budgets of the process.
 type Shares struct {
-	Calls       *Share // calls taken and not yet answered
+	Calls       *Share // calls that are accepted and not yet answered
 	Held        *Share // of those, the ones that wait for a server
-	Connections *Share // to servers, idle ones and dials among them
-	Bodies      *Share // bytes of callers' bodies
-	LongAnswers *Share // bytes of answers over message.MaxBody
-	Callers     *Share // callers' connections whose last request was for this pool
+	Connections *Share // to servers, with idle ones and those being dialled
+	Bodies      *Share // bytes of request bodies
+	LongAnswers *Share // bytes of response bodies over message.MaxBody
+	Callers     *Share // downstream connections whose last request was for this pool
 }
 
-// Config is what a pool is made of.
+// Config holds the parts and limits of a pool.
 type Config struct {
 	Name     string
 	Settings balancer.Settings
@@ -32,16 +33,16 @@
 	Clock    engine.Clock
 	Sender   engine.Sender
 	Source   engine.Source
-	Orders   engine.AdminStates  // nil: operators order nothing
-	Known    engine.News         // the list as it was held before; may be empty
-	Pushed   bool                // the list is followed unasked
-	Learned  *balancer.Knowledge // by another that this one takes over from; nil: none
+	Orders   engine.AdminStates  // set by operators; nil: none
+	Known    engine.News         // the list from before the start; may be empty
+	Pushed   bool                // the source pushes the list
+	Learned  *balancer.Knowledge // by the pool that this one takes over from; nil: none
 	Shares   Shares
-	Module   engine.Module // nil: the one in service
-	GRPC     bool          // its servers take requests of gRPC, and no others
+	Module   engine.Module // nil: a balancer.Balancer of Settings and Seed
+	GRPC     bool          // its servers accept gRPC requests only
 }
 
-// Pool is a service in this process.
+// Pool is one service of the process. Its methods may be called from any goroutine, but for Run.
 type Pool struct {
 	name        string
 	classes     map[string]balancer.Class
@@ -53,12 +54,12 @@
 	pushed      bool
 	grpc        bool
 
-	activeCalls atomic.Int64 // calls entered and not left
+	activeCalls atomic.Int64 // calls between Enter and Leave
 	retired     atomic.Bool
 	stop        context.CancelFunc
 }
 
-// New returns a pool that does nothing until Run.
+// New returns a pool that is idle until Run. It fails if the settings are invalid.
 func New(cfg Config) (*Pool, error) {
 	if cfg.Module == nil {
 		b, err := balancer.New(cfg.Settings, cfg.Seed)
@@ -78,7 +79,7 @@
 	return p, nil
 }
 
-// Run starts the pool's engine; Retire or Stop ends it. It is called once.
+// Run starts the pool's engine on a goroutine of its own, which Retire or Stop ends. It is called once, before all else.
 func (p *Pool) Run() {
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
@@ -89,16 +90,16 @@
 	}
 }
 
-// Name is the pool's name; empty for the only pool of a platform's node.
+// Name is the pool's name; it is empty for the only pool of a platform's node.
 func (p *Pool) Name() string { return p.name }
 
-// Class is what the settings say of a class.
+// Class returns the settings of a class, and whether there is such a class.
 func (p *Pool) Class(name string) (balancer.Class, bool) {
 	c, known := p.classes[name]
 	return c, known
 }
 
-// LongestDeadline is that of its classes.
+// LongestDeadline is the longest deadline of the pool's classes.
 func (p *Pool) LongestDeadline() (longest time.Duration) {
 	for _, c := range p.classes {
 		longest = max(longest, c.Deadline)
@@ -106,28 +107,27 @@
 	return longest
 }
 
-// GRPC says that its servers take requests of gRPC, and no others.
+// GRPC says that its servers accept gRPC requests only.
 func (p *Pool) GRPC() bool { return p.grpc }
 
-// Engine is the pool's own; it ends with the pool.
+// Engine is the pool's engine, which ends with the pool.
 func (p *Pool) Engine() *engine.Engine { return p.engine }
 
-// Shares are the pool's sides of the budgets.
+// Shares are the pool's parts of the budgets.
 func (p *Pool) Shares() Shares { return p.shares }
 
-// Why a call was not taken.
+// Reasons why Enter rejects a call.
 var (
 	ErrRetired = errors.New("the pool has been removed")
 	ErrCalls   = errors.New("too many calls are open")
 	ErrBodies  = errors.New("no room for the body")
 )
 
-// Enter takes room for a call with a body of so many bytes; Leave gives it back. After ErrRetired the
-// caller looks for the pool that has taken the place of this one; the other errors are refusals that
-// are harmless, for nothing was done.
+// Enter reserves capacity for a call whose body has that many bytes; Leave returns it. After ErrRetired the caller looks
+// up the pool that has replaced this one. After any other error a retry is safe, since no attempt was made.
 func (p *Pool) Enter(body int64) error {
 	p.activeCalls.Add(1)
-	// The count first: Retire sees it, or we see that it has begun.
+	// Count before the check: either Retire sees this call, or this call sees that Retire has begun.
 	if p.retired.Load() {
 		p.activeCalls.Add(-1)
 		return ErrRetired
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// Leave gives back what Enter took.
+// Leave returns what Enter reserved for a body of the same size.
 func (p *Pool) Leave(body int64) {
 	if body > 0 {
 		p.shares.Bodies.Give(body)
@@ -153,11 +153,11 @@
 	p.activeCalls.Add(-1)
 }
 
-// retirePollInterval is how often a pool that was removed looks whether it is empty.
+// retirePollInterval is the time between checks whether a retired pool is empty.
 const retirePollInterval = 20 * time.Millisecond
 
-// Retire takes nothing new, waits until all that was taken is answered and every attempt has ended,
-// and ends the pool. What is still open when ctx ends is failed first.
+// Retire drains the pool: it accepts no new calls, waits until all open calls are answered and all attempts have ended,
+// and then stops the pool. Calls that are still open when ctx ends are failed. It blocks until the pool has stopped.
 func (p *Pool) Retire(ctx context.Context) {
 	p.retired.Store(true)
 	tick := time.NewTicker(retirePollInterval)
@@ -174,19 +174,19 @@
 	p.Stop()
 }
 
-// Stop ends the pool at once; what is unanswered stays so.
+// Stop ends the pool at once, without an answer to the calls that are open, and waits for its goroutine.
 func (p *Pool) Stop() {
 	p.stop()
 	<-p.engine.Done()
 }
 
-// idleCloser is a sender that can close idle connections for others' sake.
+// idleCloser is a sender that can close up to n idle connections, to release their share of the budget.
 type idleCloser interface{ GiveBack(n int) int }
 
-// maxClosedAtOnce is how many connections are closed at a time for others' sake.
+// maxClosedAtOnce bounds the connections that one call of ReturnBorrowedConnections closes.
 const maxClosedAtOnce = 64
 
-// ReturnBorrowedConnections closes idle connections that the pool has borrowed while another one wants for them.
+// ReturnBorrowedConnections closes idle connections that the pool has borrowed, if another pool was denied one.
 func (p *Pool) ReturnBorrowedConnections() {
 	if n := p.shares.Connections.Excess(); n > 0 {
 		if s, can := p.sender.(idleCloser); can {
--- a/internal/pool/quota_table_test.go
+++ b/internal/pool/quota_table_test.go
@@ -6,10 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestLedgerProperty plays any order of take, give, resize, join and leave. Never over the total;
+// TestQuotasHoldInAnyOrderOfSteps plays any order of take, give, resize, join and leave. Never over the total;
 // while no resize has taken a minimum out of what was borrowed, every holder can have its minimum at
 // once; and once all is given back nothing is left.
-func TestLedgerProperty(t *testing.T) {
+func TestQuotasHoldInAnyOrderOfSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 60).Draw(t, "total")
 		l := NewQuotaTable(total)
@@ -86,7 +86,7 @@
 			},
 			"take": func(t *rapid.T) {
 				h, n := pick(t), rapid.Int64Range(0, 15).Draw(t, "n")
-				before, promised := sum(), l.reserved
+				before, reserved := sum(), l.reserved
 				q, stays := staying[h]
 				got := l.Take(h, n)
 				if got {
@@ -98,7 +98,7 @@
 						t.Fatalf("%d taken with a maximum of %d", taken[h], q.Max)
 					}
 				}
-				if stays && !got && taken[h]+n <= q.Min && promised <= total {
+				if stays && !got && taken[h]+n <= q.Min && reserved <= total {
 					t.Fatalf("refused %d more than %d under a minimum of %d; %d of %d taken", n, taken[h], q.Min, before, total)
 				}
 			},
@@ -126,17 +126,17 @@
 				if l.Used() != sum() {
 					t.Fatalf("used %d, taken %d", l.Used(), sum())
 				}
-				var promised int64
+				var reserved int64
 				for h := range l.holders {
-					promised += max(h.used, h.Min)
+					reserved += max(h.used, h.Min)
 					if _, stays := staying[h]; !stays && h.used == 0 {
 						t.Fatal("a holder that has left and has nothing is kept")
 					}
 				}
-				if promised != l.reserved {
-					t.Fatalf("promised %d, reckoned %d", l.reserved, promised)
+				if reserved != l.reserved {
+					t.Fatalf("reserved %d, reckoned %d", l.reserved, reserved)
 				}
-				// The guarantee itself: while nothing is over-promised all minima can be had together.
+				// The guarantee itself: while nothing is over-reserved all minima can be had together.
 				if l.reserved <= total {
 					var missing int64
 					for h, q := range staying {
@@ -155,13 +155,13 @@
 			t.Fatalf("%d used after all was given back", l.Used())
 		}
 		if reconfigure(t, total, nil); len(l.holders) != 0 || l.reserved != 0 {
-			t.Fatalf("%d holders and %d promised are left", len(l.holders), l.reserved)
+			t.Fatalf("%d holders and %d reserved are left", len(l.holders), l.reserved)
 		}
 	})
 }
 
 // What was borrowed comes back as it is given; until then a raised minimum waits and nobody borrows.
-func TestLedgerBorrowing(t *testing.T) {
+func TestQuotaTableBorrowing(t *testing.T) {
 	l, a, b := NewQuotaTable(0), &Holder{}, &Holder{}
 	if err := l.Configure(10, map[*Holder]Quota{a: {Min: 2}, b: {Min: 3}}); err != nil {
 		t.Fatal(err)
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestLedgerMisuse(t *testing.T) {
+func TestQuotaTableMisuse(t *testing.T) {
 	l, a := NewQuotaTable(10), &Holder{}
 	if l.Take(a, 1) {
 		t.Error("a stranger took")
--- a/internal/route/normalise.go
+++ b/internal/route/normalise.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// Bounds of what is matched.
+// Limits on what can be matched, in bytes.
 const (
-	MaxHost = 253      // bytes of a host name (RFC 1035, section 2.3.4)
-	MaxPath = 16 << 10 // bytes of a path
+	MaxHost = 253      // host name (RFC 1035, section 2.3.4)
+	MaxPath = 16 << 10 // path
 )
 
-// Why a host or path can't be matched.
+// Reasons why a host or path can't be normalised.
 var (
 	ErrHost      = errors.New("the host is no name or address")
 	ErrPath      = errors.New("the path does not begin with a slash, or is too long")
@@ -19,11 +19,10 @@
 	ErrAboveRoot = errors.New("the path leads above its root")
 )
 
-// Host brings a host, as in a Host header or :authority, to the form that routes are matched in: lower
-// case, without port and without the one trailing dot of a fully qualified name (RFC 3986, sections
-// 3.2.2 and 6.2.2.1). An empty host stays empty and matches only routes for any host. IPv6 addresses
-// keep their brackets and lose the port. Everything but letters, digits, '-', '_' and single dots
-// between labels is refused: names beyond ASCII come in their A-label form (RFC 5890).
+// Host normalises the value of a Host field or :authority (RFC 9110, section 7.2) for matching: lower case, without port
+// and without the one trailing dot of a fully qualified name (RFC 3986, sections 3.2.2 and 6.2.2.1). An empty host stays
+// empty and matches only routes for any host. IPv6 addresses keep their brackets and lose the port. Anything but letters,
+// digits, '-', '_' and single dots between labels is rejected: names beyond ASCII come as A-labels (RFC 5890).
 func Host(s string) (string, error) {
 	if s == "" {
 		return "", nil
@@ -58,7 +57,7 @@
 	return lowerCase(s), nil
 }
 
-// isPort says that s is empty, or a colon and at most five digits.
+// isPort says that s is empty, or a colon followed by at most five digits.
 func isPort(s string) bool {
 	if s == "" {
 		return true
@@ -74,6 +73,7 @@
 	return true
 }
 
+// lowerCase returns s in lower case, without an allocation if it already is.
 func lowerCase(s string) string {
 	for _, c := range []byte(s) {
 		if 'A' <= c && c <= 'Z' {
@@ -83,19 +83,18 @@
 	return s
 }
 
-// Path brings a path as it was written (escaped, without query) to the form that routes are matched
-// in. In this order:
+// Path normalises a path as the caller wrote it (escaped, without query) for matching. In this order:
 //
 //   - escapes of unreserved characters are decoded, the hexadecimal digits of all others made upper
-//     case (RFC 3986, sections 6.2.2.1 and 6.2.2.2); a broken escape, %00 and control characters are
-//     refused;
-//   - an encoded slash or backslash stays encoded and separates nothing; a bare backslash is refused,
-//     since some servers take it for a slash;
+//     case (RFC 3986, sections 6.2.2.1 and 6.2.2.2); a malformed escape, %00 and control characters
+//     are rejected;
+//   - an encoded slash or backslash stays encoded and separates nothing; a bare backslash is rejected,
+//     since some servers treat it as a slash;
 //   - empty segments are merged: //a///b is /a/b; a trailing slash stays;
-//   - dot segments are removed (section 5.2.4), whether written as dots or escaped; a path that leads
-//     above its root is refused rather than cut, for a server may read it otherwise.
+//   - dot segments are removed (section 5.2.4), whether escaped or not; a path that leads above its
+//     root is rejected rather than cut there, for a server may interpret it in another way.
 //
-// The result begins with a slash. Only matching sees it: servers get the path as the caller wrote it.
+// The result begins with a slash. Only matching uses it: servers get the path as the caller wrote it.
 func Path(s string) (string, error) {
 	if s == "" || s[0] != '/' || len(s) > MaxPath {
 		return "", ErrPath
@@ -132,7 +131,7 @@
 	return removeDotSegments(b.String())
 }
 
-// isNormalised says that a path is in the form already: the usual case, without an allocation.
+// isNormalised says that a path is already normal: the common case, which needs no allocation.
 func isNormalised(s string) bool {
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
@@ -148,7 +147,7 @@
 // removeDotSegments merges empty segments and removes dot segments.
 func removeDotSegments(s string) (string, error) {
 	out := make([]byte, 0, len(s))
-	last := "" // the segment before the end, if that is no name
+	last := "" // the last segment
 	for rest := s[1:]; ; {
 		segment, more, found := strings.Cut(rest, "/")
 		last = segment
@@ -171,7 +170,7 @@
 		rest = more
 	}
 	if last == "" || last == "." || last == ".." {
-		out = append(out, '/') // it names a folder
+		out = append(out, '/') // it names a directory
 	}
 	return string(out), nil
 }
