--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -34,13 +34,13 @@
 
 // Endings. NotWritten, Refused and Above prove that the request never ran.
 const (
-	Answered   Ending = iota // a whole answer came
-	NotWritten               // the connection ended before the request's last byte was written
-	Refused                  // by REFUSED_STREAM
-	Above                    // the last stream that a GOAWAY names
-	Reset                    // by the server, or for an answer that makes no sense, after it was written
-	Lost                     // the connection ended after it was written
-	GivenUp                  // by Cancel, after it was written
+	Answered       Ending = iota // a whole answer came
+	NotWritten                   // the connection ended before the request's last byte was written
+	Refused                      // by REFUSED_STREAM
+	AboveGoAway                  // the last stream that a GOAWAY names
+	Reset                        // by the server, or for an answer that makes no sense, after it was written
+	ConnectionLost               // the connection ended after it was written
+	Cancelled                    // by Cancel, after it was written
 )
 
 // String names an ending.
@@ -54,17 +54,17 @@
 	Header   []Field // without pseudo-fields
 	Trailer  []Field
 	Body     []byte
-	Unstated bool // no content-length told how long the body is
+	NoLength bool // no content-length told how long the body is
 }
 
 // Error codes of RFC 9113, section 7, as far as they are used here.
 const (
-	codeNo          = 0x0
-	codeProtocol    = 0x1
-	codeFlowControl = 0x3
-	codeRefused     = 0x7
-	codeCancel      = 0x8
-	codeCalm        = 0xb
+	codeNoError         = 0x0
+	codeProtocol        = 0x1
+	codeFlowControl     = 0x3
+	codeRefusedStream   = 0x7
+	codeCancel          = 0x8
+	codeEnhanceYourCalm = 0xb
 )
 
 // Events are frames from the server, as a framer reads them.
@@ -91,8 +91,8 @@
 	ResetFrame struct{ Stream, Code uint32 }
 	// GoAway is GOAWAY.
 	GoAway struct{ Last, Code uint32 }
-	// Window is WINDOW_UPDATE; Stream 0: of the connection.
-	Window struct{ Stream, Add uint32 }
+	// WindowUpdate is WINDOW_UPDATE; Stream 0: of the connection.
+	WindowUpdate struct{ Stream, Add uint32 }
 	// Ping is PING.
 	Ping struct {
 		Ack  bool
@@ -111,8 +111,8 @@
 type (
 	// WriteSettings, and the rest of the first frames.
 	WriteSettings struct{ InitialWindow, MaxHeader uint32 }
-	// WriteAck acknowledges settings.
-	WriteAck struct{}
+	// WriteSettingsAck acknowledges settings.
+	WriteSettingsAck struct{}
 	// WriteHeaders begins a stream.
 	WriteHeaders struct {
 		Stream uint32
@@ -127,8 +127,8 @@
 	}
 	// WriteReset is RST_STREAM.
 	WriteReset struct{ Stream, Code uint32 }
-	// WriteWindow is WINDOW_UPDATE.
-	WriteWindow struct{ Stream, Add uint32 }
+	// WriteWindowUpdate is WINDOW_UPDATE.
+	WriteWindowUpdate struct{ Stream, Add uint32 }
 	// WritePing is PING.
 	WritePing struct {
 		Ack  bool
@@ -139,8 +139,8 @@
 		Stream uint32
 		Answer Answer
 	}
-	// Piece is a part of a streamed answer's body. Consumed gives its bytes back to the server.
-	Piece struct {
+	// BodyChunk is a part of a streamed answer's body. Consumed gives its bytes back to the server.
+	BodyChunk struct {
 		Stream uint32
 		Bytes  []byte
 	}
@@ -163,68 +163,68 @@
 type Action any
 
 const (
-	defaultStreams = 100
-	defaultBody    = 64 << 10
-	defaultHeader  = 16 << 10
-	defaultQuiet   = time.Second
-	firstWindow    = 65535 // of a connection, and of streams until SETTINGS say otherwise
-	defaultFrame   = 16384
-	maxWindow      = math.MaxInt32
-	connWindow     = 1 << 20 // that we open at the start
-	maxID          = 1<<31 - 1
-	maxIdleFrames  = 1000 // frames in a row that bring no stream on
-	maxEmptyData   = 100  // empty DATA frames of a stream
-	maxInterims    = 10   // interim answers of a stream
-	windowGrain    = connWindow / 4
+	defaultStreams           = 100
+	defaultBody              = 64 << 10
+	defaultHeader            = 16 << 10
+	defaultQuiet             = time.Second
+	defaultWindow            = 65535 // of a connection, and of streams until SETTINGS say otherwise
+	defaultFrame             = 16384
+	maxWindow                = math.MaxInt32
+	connectionWindow         = 1 << 20 // that we open at the start
+	maxStreamID              = 1<<31 - 1
+	maxFramesWithoutProgress = 1000 // frames in a row that bring no stream on
+	maxEmptyFrames           = 100  // empty DATA frames of a stream
+	maxInterimAnswers        = 10   // interim answers of a stream
+	connectionWindowStep     = connectionWindow / 4
 )
 
 // Conn is a connection. It is not safe for concurrent use.
 type Conn struct {
-	cfg     Config
-	now     time.Duration
-	heard   time.Duration // when the last frame came
-	next    uint32
-	streams map[uint32]*stream
-	order   []uint32 // of streams with bodies to send
-
-	window    int64 // that we may send on the connection
-	initial   int64 // of new streams
-	frame     int   // longest that we may send
-	allowed   int   // streams that the server allows
-	owed      int64 // bytes of DATA to give back to the connection's window
-	idle      int   // frames in a row that brought no stream on
-	goingAway bool
-	closed    bool
-	pings     uint64
-	waiting   map[uint64][]uint32 // streams that wait for a PING's answer
-	told      bool                // SETTINGS came
-	out       []Action
+	cfg         Config
+	now         time.Duration
+	lastFrameAt time.Duration // when the last frame came
+	nextID      uint32
+	streams     map[uint32]*stream
+	sendOrder   []uint32 // of streams with bodies to send
+
+	sendWindow            int64 // that we may send on the connection
+	initialSendWindow     int64 // of new streams
+	maxFrameSize          int   // longest that we may send
+	peerMaxStreams        int   // streams that the server allows
+	unreturnedBytes       int64 // bytes of DATA to give back to the connection's window
+	framesWithoutProgress int   // frames in a row that brought no stream on
+	goingAway             bool
+	closed                bool
+	lastPing              uint64
+	awaitingPing          map[uint64][]uint32 // streams that wait for a PING's answer
+	settingsReceived      bool                // SETTINGS came
+	actions               []Action
 }
 
 // stream is one request.
 type stream struct {
-	id      uint32
-	fields  []Field
-	body    []byte // that is not sent yet
-	begun   bool   // HEADERS are written
-	wrote   bool   // the last byte is
-	window  int64  // that we may send
-	receive int    // bytes that the server may send
-	head    bool   // the final headers came
-	length  int    // by content-length; -1: not told
-	empty   int
-	interim int
-	answer  Answer
-	method  string
-	open    bool // there will be more of the body
-	parts   bool // it was open: what came of it may have run before its end
-	pieces  bool // the answer's body is told as it comes, and has no bound
-	got     int  // bytes of the body
-	back    int  // bytes taken that the server has not been told of
-}
-
-// mayRun says that a server may have begun with it: it was written whole, or it goes on while it is being run.
-func (s *stream) mayRun() bool { return s.wrote || s.parts && s.begun }
+	id              uint32
+	fields          []Field
+	body            []byte // that is not sent yet
+	headersWritten  bool   // HEADERS are written
+	endWritten      bool   // the last byte is
+	sendWindow      int64  // that we may send
+	receiveWindow   int    // bytes that the server may send
+	finalHeaders    bool   // the final headers came
+	contentLength   int    // by content-length; -1: not told
+	emptyFrames     int
+	interimAnswers  int
+	answer          Answer
+	method          string
+	moreToCome      bool // there will be more of the body
+	openedWithParts bool // it was open: what came of it may have run before its end
+	streamed        bool // the answer's body is told as it comes, and has no bound
+	received        int  // bytes of the body
+	unreturned      int  // bytes taken that the server has not been told of
+}
+
+// mayHaveRun says that a server may have begun with it: it was written whole, or it goes on while it is being run.
+func (s *stream) mayHaveRun() bool { return s.endWritten || s.openedWithParts && s.headersWritten }
 
 // New returns a connection and its first frames, which follow the client's preface.
 func New(now time.Duration, cfg Config) (*Conn, []Action) {
@@ -239,25 +239,25 @@
 	if cfg.Quiet == 0 {
 		cfg.Quiet = defaultQuiet
 	}
-	c := &Conn{cfg: cfg, now: now, heard: now, next: 1, streams: map[uint32]*stream{}, window: firstWindow, initial: firstWindow,
-		frame: defaultFrame, allowed: cfg.MaxStreams, waiting: map[uint64][]uint32{}}
+	c := &Conn{cfg: cfg, now: now, lastFrameAt: now, nextID: 1, streams: map[uint32]*stream{}, sendWindow: defaultWindow, initialSendWindow: defaultWindow,
+		maxFrameSize: defaultFrame, peerMaxStreams: cfg.MaxStreams, awaitingPing: map[uint64][]uint32{}}
 	return c, []Action{WriteSettings{InitialWindow: uint32(cfg.MaxBody), MaxHeader: uint32(cfg.MaxHeader)},
-		WriteWindow{0, connWindow - firstWindow}}
+		WriteWindowUpdate{0, connectionWindow - defaultWindow}}
 }
 
-// Room is how many streams may be opened now.
-func (c *Conn) Room() int {
-	if c.closed || c.goingAway || c.next > maxID {
+// StreamsAvailable is how many streams may be opened now.
+func (c *Conn) StreamsAvailable() int {
+	if c.closed || c.goingAway || c.nextID > maxStreamID {
 		return 0
 	}
-	return max(0, min(c.cfg.MaxStreams, c.allowed)-len(c.streams))
+	return max(0, min(c.cfg.MaxStreams, c.peerMaxStreams)-len(c.streams))
 }
 
 // Open is how many streams are open.
 func (c *Conn) Open() int { return len(c.streams) }
 
-// Over says that the connection takes no stream any more: it is closed, goes away, or has used up its numbers.
-func (c *Conn) Over() bool { return c.closed || c.goingAway || c.next > maxID }
+// Closing says that the connection takes no stream any more: it is closed, goes away, or has used up its numbers.
+func (c *Conn) Closing() bool { return c.closed || c.goingAway || c.nextID > maxStreamID }
 
 // Request opens a stream; its caller has seen to it that there is Room. A careful one must not run twice: on a connection that
 // has been quiet it waits until a PING is answered, so that a connection that is gone has had nothing of it.
@@ -269,54 +269,54 @@
 // Answer has no body. The server may send MaxBody bytes more than Consumed was told of.
 // Of an open one the body goes on with Append, after each Sent.
 func (c *Conn) RequestStreamed(now time.Duration, fields []Field, body []byte, careful, open bool) (uint32, []Action) {
-	return c.request(now, &stream{fields: fields, body: body, pieces: true, open: open, parts: open}, careful)
+	return c.request(now, &stream{fields: fields, body: body, streamed: true, moreToCome: open, openedWithParts: open}, careful)
 }
 
 // Append adds to the body of an open request that was Sent; the last part ends it.
 func (c *Conn) Append(now time.Duration, id uint32, part []byte, last bool) []Action {
 	c.now = max(c.now, now)
 	s := c.streams[id]
-	if s == nil || !s.open || c.closed {
+	if s == nil || !s.moreToCome || c.closed {
 		return nil // it has ended
 	}
-	s.body, s.open = append(s.body, part...), !last
-	if !s.begun {
+	s.body, s.moreToCome = append(s.body, part...), !last
+	if !s.headersWritten {
 		return nil // it goes with the first part
 	}
 	if last && len(s.body) == 0 {
-		s.wrote = true
-		c.do(WriteData{s.id, nil, true})
-		return c.take()
+		s.endWritten = true
+		c.emit(WriteData{s.id, nil, true})
+		return c.takeActions()
 	}
-	if !slices.Contains(c.order, id) {
-		c.order = append(c.order, id)
+	if !slices.Contains(c.sendOrder, id) {
+		c.sendOrder = append(c.sendOrder, id)
 	}
-	c.send()
-	return c.take()
+	c.sendBodies()
+	return c.takeActions()
 }
 
 func (c *Conn) request(now time.Duration, s *stream, careful bool) (uint32, []Action) {
 	c.now = max(c.now, now)
-	s.id, s.window, s.receive, s.length = c.next, c.initial, c.cfg.MaxBody, -1
+	s.id, s.sendWindow, s.receiveWindow, s.contentLength = c.nextID, c.initialSendWindow, c.cfg.MaxBody, -1
 	for _, f := range s.fields {
 		if f.Name == ":method" {
 			s.method = f.Value
 		}
 	}
-	c.next += 2
+	c.nextID += 2
 	c.streams[s.id] = s
-	if careful && c.now-c.heard > c.cfg.Quiet {
-		c.pings++
-		c.waiting[c.pings] = append(c.waiting[c.pings], s.id)
+	if careful && c.now-c.lastFrameAt > c.cfg.Quiet {
+		c.lastPing++
+		c.awaitingPing[c.lastPing] = append(c.awaitingPing[c.lastPing], s.id)
 		var data [8]byte
 		for i := range data {
-			data[i] = byte(c.pings >> (8 * i))
+			data[i] = byte(c.lastPing >> (8 * i))
 		}
-		c.do(WritePing{Data: data})
-		return s.id, c.take()
+		c.emit(WritePing{Data: data})
+		return s.id, c.takeActions()
 	}
-	c.begin(s)
-	return s.id, c.take()
+	c.beginStreams(s)
+	return s.id, c.takeActions()
 }
 
 // Consumed says that so many bytes of a streamed answer have been taken.
@@ -326,56 +326,56 @@
 	if s == nil || c.closed {
 		return nil // it has ended: its window is nobody's any more
 	}
-	c.giveBack(s, n)
-	return c.take()
+	c.returnWindow(s, n)
+	return c.takeActions()
 }
 
-// giveBack opens a stream's window again, in grains.
-func (c *Conn) giveBack(s *stream, n int) {
-	if s.back += n; s.back >= c.cfg.MaxBody/4 {
-		s.receive += s.back
-		c.do(WriteWindow{s.id, uint32(s.back)})
-		s.back = 0
+// returnWindow opens a stream's window again, in grains.
+func (c *Conn) returnWindow(s *stream, n int) {
+	if s.unreturned += n; s.unreturned >= c.cfg.MaxBody/4 {
+		s.receiveWindow += s.unreturned
+		c.emit(WriteWindowUpdate{s.id, uint32(s.unreturned)})
+		s.unreturned = 0
 	}
 }
 
-func (c *Conn) do(a Action) { c.out = append(c.out, a) }
+func (c *Conn) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Conn) take() []Action {
-	l := c.out
-	c.out = nil
+func (c *Conn) takeActions() []Action {
+	l := c.actions
+	c.actions = nil
 	return l
 }
 
-// begin writes a stream's headers, and what may go of its body. Streams are begun in the order of their numbers, as
+// beginStreams writes a stream's headers, and what may go of its body. Streams are begun in the order of their numbers, as
 // they have to be: those that wait for a PING hold up the ones behind them.
-func (c *Conn) begin(s *stream) {
-	for _, id := range c.ids() {
-		if x := c.streams[id]; x.id < s.id && !x.begun {
+func (c *Conn) beginStreams(s *stream) {
+	for _, id := range c.sortedIDs() {
+		if x := c.streams[id]; x.id < s.id && !x.headersWritten {
 			return // it is begun with that one
 		}
 	}
-	for _, id := range c.ids() {
+	for _, id := range c.sortedIDs() {
 		x := c.streams[id]
-		if x.begun || x.id < s.id {
+		if x.headersWritten || x.id < s.id {
 			continue
 		}
-		if x.id > s.id && c.waits(x.id) {
+		if x.id > s.id && c.awaitsPing(x.id) {
 			return
 		}
-		x.begun = true
-		x.wrote = len(x.body) == 0 && !x.open
-		c.do(WriteHeaders{x.id, x.fields, x.wrote})
+		x.headersWritten = true
+		x.endWritten = len(x.body) == 0 && !x.moreToCome
+		c.emit(WriteHeaders{x.id, x.fields, x.endWritten})
 		x.fields = nil
-		if !x.wrote {
-			c.order = append(c.order, x.id)
-			c.send()
+		if !x.endWritten {
+			c.sendOrder = append(c.sendOrder, x.id)
+			c.sendBodies()
 		}
 	}
 }
 
-// ids are the open streams' numbers in order.
-func (c *Conn) ids() []uint32 {
+// sortedIDs are the open streams' numbers in order.
+func (c *Conn) sortedIDs() []uint32 {
 	l := make([]uint32, 0, len(c.streams))
 	for id := range c.streams {
 		l = append(l, id)
@@ -384,8 +384,8 @@
 	return l
 }
 
-func (c *Conn) waits(id uint32) bool {
-	for _, l := range c.waiting {
+func (c *Conn) awaitsPing(id uint32) bool {
+	for _, l := range c.awaitingPing {
 		if slices.Contains(l, id) {
 			return true
 		}
@@ -393,33 +393,33 @@
 	return false
 }
 
-// send writes what the windows allow of the bodies, in the order of their streams.
-func (c *Conn) send() {
-	for i := 0; i < len(c.order); {
-		s := c.streams[c.order[i]]
+// sendBodies writes what the windows allow of the bodies, in the order of their streams.
+func (c *Conn) sendBodies() {
+	for i := 0; i < len(c.sendOrder); {
+		s := c.streams[c.sendOrder[i]]
 		if s == nil {
-			c.order = slices.Delete(c.order, i, i+1)
+			c.sendOrder = slices.Delete(c.sendOrder, i, i+1)
 			continue
 		}
 		for len(s.body) > 0 {
-			n := min(int64(len(s.body)), int64(c.frame), s.window, c.window)
+			n := min(int64(len(s.body)), int64(c.maxFrameSize), s.sendWindow, c.sendWindow)
 			if n <= 0 {
 				break
 			}
-			s.wrote = n == int64(len(s.body)) && !s.open
-			c.do(WriteData{s.id, s.body[:n], s.wrote})
+			s.endWritten = n == int64(len(s.body)) && !s.moreToCome
+			c.emit(WriteData{s.id, s.body[:n], s.endWritten})
 			s.body = s.body[n:]
-			s.window -= n
-			c.window -= n
+			s.sendWindow -= n
+			c.sendWindow -= n
 		}
 		if len(s.body) == 0 {
-			c.order = slices.Delete(c.order, i, i+1)
-			if s.open {
-				c.do(Sent{s.id})
+			c.sendOrder = slices.Delete(c.sendOrder, i, i+1)
+			if s.moreToCome {
+				c.emit(Sent{s.id})
 			}
 			continue
 		}
-		if c.window <= 0 {
+		if c.sendWindow <= 0 {
 			return
 		}
 		i++
@@ -433,30 +433,30 @@
 	if s == nil {
 		return nil
 	}
-	if s.begun {
-		c.do(WriteReset{id, codeCancel})
+	if s.headersWritten {
+		c.emit(WriteReset{id, codeCancel})
 	}
-	e := GivenUp
-	if !s.mayRun() {
+	e := Cancelled
+	if !s.mayHaveRun() {
 		e = NotWritten
 	}
-	c.end(s, e)
-	return c.take()
+	c.endStream(s, e)
+	return c.takeActions()
 }
 
-// end ends a stream.
-func (c *Conn) end(s *stream, e Ending) {
+// endStream ends a stream.
+func (c *Conn) endStream(s *stream, e Ending) {
 	delete(c.streams, s.id)
 	d := Done{Stream: s.id, Ending: e}
 	if e == Answered {
 		d.Answer = s.answer
 	}
-	c.do(d)
-	if !s.begun { // those behind it may go on
-		for _, id := range c.ids() {
-			if x := c.streams[id]; !x.begun {
-				if !c.waits(id) {
-					c.begin(x)
+	c.emit(d)
+	if !s.headersWritten { // those behind it may go on
+		for _, id := range c.sortedIDs() {
+			if x := c.streams[id]; !x.headersWritten {
+				if !c.awaitsPing(id) {
+					c.beginStreams(x)
 				}
 				break
 			}
@@ -464,35 +464,35 @@
 	}
 }
 
-// resetBy ends a stream for an answer that makes no sense.
-func (c *Conn) resetBy(s *stream, code uint32) {
-	c.do(WriteReset{s.id, code})
+// resetStream ends a stream for an answer that makes no sense.
+func (c *Conn) resetStream(s *stream, code uint32) {
+	c.emit(WriteReset{s.id, code})
 	e := Reset
-	if !s.mayRun() {
+	if !s.mayHaveRun() {
 		e = NotWritten // it goes no further, so it is never whole
 	}
-	c.end(s, e)
+	c.endStream(s, e)
 }
 
 // Close ends every stream that is left: the connection has ended. unwritten are streams whose last write did not
 // succeed, though it was told to be made.
 func (c *Conn) Close(unwritten ...uint32) []Action {
 	c.closed = true
-	for _, id := range c.ids() {
+	for _, id := range c.sortedIDs() {
 		s := c.streams[id]
 		delete(c.streams, id)
-		e := Lost
-		if !s.mayRun() || slices.Contains(unwritten, id) && !s.parts {
+		e := ConnectionLost
+		if !s.mayHaveRun() || slices.Contains(unwritten, id) && !s.openedWithParts {
 			e = NotWritten
 		}
-		c.do(Done{Stream: id, Ending: e})
+		c.emit(Done{Stream: id, Ending: e})
 	}
-	return c.take()
+	return c.takeActions()
 }
 
 func (c *Conn) fail(code uint32, format string, args ...any) {
 	c.closed = true
-	c.do(Fail{code, fmt.Sprintf(format, args...)})
+	c.emit(Fail{code, fmt.Sprintf(format, args...)})
 }
 
 // Handle takes a frame of the server.
@@ -501,12 +501,12 @@
 		return nil
 	}
 	c.now = max(c.now, now)
-	c.heard = c.now
-	if _, is := e.(Settings); !is && !c.told {
+	c.lastFrameAt = c.now
+	if _, is := e.(Settings); !is && !c.settingsReceived {
 		c.fail(codeProtocol, "the first frame is no SETTINGS")
-		return c.take()
+		return c.takeActions()
 	}
-	c.idle++
+	c.framesWithoutProgress++
 	switch e := e.(type) {
 	case Settings:
 		c.settings(e)
@@ -518,61 +518,61 @@
 		c.reset(e)
 	case GoAway:
 		c.goAway(e)
-	case Window:
+	case WindowUpdate:
 		c.windowUpdate(e)
 	case Ping:
 		c.ping(e)
 	case Malformed:
 		if s := c.streams[e.Stream]; s != nil {
-			c.resetBy(s, e.Code)
+			c.resetStream(s, e.Code)
 		}
 	case Other:
 		if e.Push {
 			c.fail(codeProtocol, "PUSH_PROMISE, which was not allowed")
 		}
 	}
-	if c.idle > maxIdleFrames && !c.closed {
-		c.fail(codeCalm, "%d frames in a row that bring no stream on", c.idle)
+	if c.framesWithoutProgress > maxFramesWithoutProgress && !c.closed {
+		c.fail(codeEnhanceYourCalm, "%d frames in a row that bring no stream on", c.framesWithoutProgress)
 	}
-	return c.take()
+	return c.takeActions()
 }
 
 func (c *Conn) settings(e Settings) {
-	c.told = true
+	c.settingsReceived = true
 	if e.Ack {
 		return
 	}
 	if e.MaxStreams != nil {
-		c.allowed = int(min(*e.MaxStreams, math.MaxInt32))
+		c.peerMaxStreams = int(min(*e.MaxStreams, math.MaxInt32))
 	}
 	if e.MaxFrame != nil {
 		if *e.MaxFrame < defaultFrame || *e.MaxFrame > 1<<24-1 {
 			c.fail(codeProtocol, "SETTINGS_MAX_FRAME_SIZE of %d", *e.MaxFrame)
 			return
 		}
-		c.frame = int(*e.MaxFrame)
+		c.maxFrameSize = int(*e.MaxFrame)
 	}
 	if e.InitialWindow != nil {
 		if *e.InitialWindow > maxWindow {
 			c.fail(codeFlowControl, "SETTINGS_INITIAL_WINDOW_SIZE of %d", *e.InitialWindow)
 			return
 		}
-		diff := int64(*e.InitialWindow) - c.initial
-		c.initial += diff
+		diff := int64(*e.InitialWindow) - c.initialSendWindow
+		c.initialSendWindow += diff
 		for _, s := range c.streams {
-			if s.window += diff; s.window > maxWindow {
+			if s.sendWindow += diff; s.sendWindow > maxWindow {
 				c.fail(codeFlowControl, "SETTINGS open a stream's window too far")
 				return
 			}
 		}
 	}
-	c.do(WriteAck{})
-	c.send()
+	c.emit(WriteSettingsAck{})
+	c.sendBodies()
 }
 
 // idleStream says that a stream of that number has not been opened yet, or is none of ours: frames on it are the
 // server's error.
-func (c *Conn) idleStream(id uint32) bool { return id%2 == 0 || id >= c.next }
+func (c *Conn) idleStream(id uint32) bool { return id%2 == 0 || id >= c.nextID }
 
 func (c *Conn) headers(e Headers) {
 	s := c.streams[e.Stream]
@@ -582,62 +582,62 @@
 		}
 		return // of a stream that was given up; its fields were decoded, as they must be
 	}
-	if !s.begun {
+	if !s.headersWritten {
 		c.fail(codeProtocol, "HEADERS on stream %d, which was not begun", e.Stream)
 		return
 	}
-	c.idle = 0
-	if s.head {
+	c.framesWithoutProgress = 0
+	if s.finalHeaders {
 		// Trailers.
 		for _, f := range e.Fields {
 			if f.Name == "" || f.Name[0] == ':' {
-				c.resetBy(s, codeProtocol)
+				c.resetStream(s, codeProtocol)
 				return
 			}
 		}
 		if !e.End {
-			c.resetBy(s, codeProtocol)
+			c.resetStream(s, codeProtocol)
 			return
 		}
 		s.answer.Trailer = e.Fields
-		c.whole(s)
+		c.completeAnswer(s)
 		return
 	}
-	status, fields, ok := split(e.Fields)
+	status, fields, ok := splitStatus(e.Fields)
 	if !ok || status == 101 {
-		c.resetBy(s, codeProtocol)
+		c.resetStream(s, codeProtocol)
 		return
 	}
 	if status < 200 {
-		if s.interim++; e.End || s.interim > maxInterims {
-			c.resetBy(s, codeProtocol)
+		if s.interimAnswers++; e.End || s.interimAnswers > maxInterimAnswers {
+			c.resetStream(s, codeProtocol)
 		}
 		return
 	}
-	s.head, s.answer.Status, s.answer.Header = true, status, fields
+	s.finalHeaders, s.answer.Status, s.answer.Header = true, status, fields
 	for _, f := range fields {
 		if f.Name != "content-length" {
 			continue
 		}
 		n, err := strconv.ParseUint(f.Value, 10, 31)
-		if err != nil || s.length >= 0 && s.length != int(n) {
-			c.resetBy(s, codeProtocol)
+		if err != nil || s.contentLength >= 0 && s.contentLength != int(n) {
+			c.resetStream(s, codeProtocol)
 			return
 		}
-		s.length = int(n)
+		s.contentLength = int(n)
 	}
-	s.answer.Unstated = s.length < 0
-	if s.length > c.cfg.MaxBody && !s.pieces && s.method != "HEAD" {
-		c.resetBy(s, codeCancel)
+	s.answer.NoLength = s.contentLength < 0
+	if s.contentLength > c.cfg.MaxBody && !s.streamed && s.method != "HEAD" {
+		c.resetStream(s, codeCancel)
 		return
 	}
 	if e.End {
-		c.whole(s)
+		c.completeAnswer(s)
 	}
 }
 
-// split takes the status off an answer's fields; false if they make no answer (RFC 9113, section 8).
-func split(l []Field) (status int, fields []Field, ok bool) {
+// splitStatus takes the status off an answer's fields; false if they make no answer (RFC 9113, section 8).
+func splitStatus(l []Field) (status int, fields []Field, ok bool) {
 	for i, f := range l {
 		if f.Name == "" {
 			return 0, nil, false
@@ -669,25 +669,25 @@
 	return status, l[1:], true
 }
 
-// whole ends a stream whose answer is there. One that ends before our request does is an answer all the same; what
+// completeAnswer ends a stream whose answer is there. One that ends before our request does is an answer all the same; what
 // is left of the body is not sent.
-func (c *Conn) whole(s *stream) {
-	if s.length >= 0 && s.length != s.got && s.method != "HEAD" && s.answer.Status != 304 {
-		c.resetBy(s, codeProtocol)
+func (c *Conn) completeAnswer(s *stream) {
+	if s.contentLength >= 0 && s.contentLength != s.received && s.method != "HEAD" && s.answer.Status != 304 {
+		c.resetStream(s, codeProtocol)
 		return
 	}
-	if !s.wrote {
-		c.do(WriteReset{s.id, codeNo})
+	if !s.endWritten {
+		c.emit(WriteReset{s.id, codeNoError})
 	}
-	c.end(s, Answered)
+	c.endStream(s, Answered)
 }
 
 func (c *Conn) data(e Data) {
 	n := len(e.Bytes) + e.Padded
 	// The connection's window counts whatever becomes of the stream, and is given back in grains.
-	if c.owed += int64(n); c.owed >= windowGrain {
-		c.do(WriteWindow{0, uint32(c.owed)})
-		c.owed = 0
+	if c.unreturnedBytes += int64(n); c.unreturnedBytes >= connectionWindowStep {
+		c.emit(WriteWindowUpdate{0, uint32(c.unreturnedBytes)})
+		c.unreturnedBytes = 0
 	}
 	s := c.streams[e.Stream]
 	if s == nil {
@@ -696,37 +696,37 @@
 		}
 		return
 	}
-	if !s.head {
-		c.resetBy(s, codeProtocol)
+	if !s.finalHeaders {
+		c.resetStream(s, codeProtocol)
 		return
 	}
-	if s.receive -= n; s.receive < 0 {
-		c.resetBy(s, codeFlowControl)
+	if s.receiveWindow -= n; s.receiveWindow < 0 {
+		c.resetStream(s, codeFlowControl)
 		return
 	}
 	if len(e.Bytes) > 0 {
-		c.idle = 0
-	} else if s.empty++; s.empty > maxEmptyData && !e.End {
-		c.resetBy(s, codeCalm)
+		c.framesWithoutProgress = 0
+	} else if s.emptyFrames++; s.emptyFrames > maxEmptyFrames && !e.End {
+		c.resetStream(s, codeEnhanceYourCalm)
 		return
 	}
-	s.got += len(e.Bytes)
-	if s.length >= 0 && s.got > s.length {
-		c.resetBy(s, codeProtocol)
+	s.received += len(e.Bytes)
+	if s.contentLength >= 0 && s.received > s.contentLength {
+		c.resetStream(s, codeProtocol)
 		return
 	}
-	if !s.pieces {
+	if !s.streamed {
 		s.answer.Body = append(s.answer.Body, e.Bytes...)
 	} else {
-		if c.giveBack(s, e.Padded); len(e.Bytes) > 0 {
-			if s.got == len(e.Bytes) {
-				c.do(Began{s.id, s.answer})
+		if c.returnWindow(s, e.Padded); len(e.Bytes) > 0 {
+			if s.received == len(e.Bytes) {
+				c.emit(Began{s.id, s.answer})
 			}
-			c.do(Piece{s.id, e.Bytes})
+			c.emit(BodyChunk{s.id, e.Bytes})
 		}
 	}
 	if e.End {
-		c.whole(s)
+		c.completeAnswer(s)
 	}
 }
 
@@ -738,14 +738,14 @@
 		}
 		return
 	}
-	c.idle = 0
+	c.framesWithoutProgress = 0
 	switch {
-	case e.Code == codeRefused && !s.head: // after an answer began it is no refusal, whatever it says
-		c.end(s, Refused)
-	case !s.mayRun():
-		c.end(s, NotWritten) // what is left of it will not go
+	case e.Code == codeRefusedStream && !s.finalHeaders: // after an answer began it is no refusal, whatever it says
+		c.endStream(s, Refused)
+	case !s.mayHaveRun():
+		c.endStream(s, NotWritten) // what is left of it will not go
 	default:
-		c.end(s, Reset)
+		c.endStream(s, Reset)
 	}
 }
 
@@ -753,24 +753,24 @@
 // it may not name more than before, but if it does nothing is lost by it.
 func (c *Conn) goAway(e GoAway) {
 	c.goingAway = true
-	for _, id := range c.ids() {
+	for _, id := range c.sortedIDs() {
 		if s := c.streams[id]; s != nil && id > e.Last {
-			c.end(s, Above)
+			c.endStream(s, AboveGoAway)
 		}
 	}
 }
 
-func (c *Conn) windowUpdate(e Window) {
+func (c *Conn) windowUpdate(e WindowUpdate) {
 	if e.Stream == 0 {
 		if e.Add == 0 {
 			c.fail(codeProtocol, "WINDOW_UPDATE of nothing")
 			return
 		}
-		if c.window += int64(e.Add); c.window > maxWindow {
+		if c.sendWindow += int64(e.Add); c.sendWindow > maxWindow {
 			c.fail(codeFlowControl, "WINDOW_UPDATE opens the connection too far")
 			return
 		}
-		c.send()
+		c.sendBodies()
 		return
 	}
 	s := c.streams[e.Stream]
@@ -781,34 +781,34 @@
 		return
 	}
 	if e.Add == 0 {
-		c.resetBy(s, codeProtocol)
+		c.resetStream(s, codeProtocol)
 		return
 	}
-	if s.window += int64(e.Add); s.window > maxWindow {
-		c.resetBy(s, codeFlowControl)
+	if s.sendWindow += int64(e.Add); s.sendWindow > maxWindow {
+		c.resetStream(s, codeFlowControl)
 		return
 	}
-	c.send()
+	c.sendBodies()
 }
 
 func (c *Conn) ping(e Ping) {
 	if !e.Ack {
-		c.do(WritePing{Ack: true, Data: e.Data})
+		c.emit(WritePing{Ack: true, Data: e.Data})
 		return
 	}
 	n := uint64(0)
 	for i, b := range e.Data {
 		n |= uint64(b) << (8 * i)
 	}
-	l, asked := c.waiting[n]
+	l, asked := c.awaitingPing[n]
 	if !asked {
 		return
 	}
-	delete(c.waiting, n)
+	delete(c.awaitingPing, n)
 	for _, id := range l {
 		if s := c.streams[id]; s != nil {
-			c.idle = 0
-			c.begin(s)
+			c.framesWithoutProgress = 0
+			c.beginStreams(s)
 		}
 	}
 }
--- a/internal/h2/client/client_test.go
+++ b/internal/h2/client/client_test.go
@@ -68,8 +68,8 @@
 		{"answered with a body", nil, []Event{answer(1, false, "content-length", "2"), Data{Stream: 1, Bytes: []byte("ok"), End: true}}, "1 answered"},
 		{"answered with a trailer", nil, []Event{answer(1, false), Data{Stream: 1, Bytes: []byte("ok")}, Headers{1, []Field{{"grpc-status", "0"}}, true}}, "1 answered"},
 		{"after an interim answer", nil, []Event{Headers{1, []Field{{":status", "103"}}, false}, answer(1, true)}, "1 answered"},
-		{"refused", nil, []Event{ResetFrame{1, codeRefused}}, "1 refused"},
-		{"refused after the head is no refusal", nil, []Event{answer(1, false), ResetFrame{1, codeRefused}}, "1 reset"},
+		{"refused", nil, []Event{ResetFrame{1, codeRefusedStream}}, "1 refused"},
+		{"refused after the head is no refusal", nil, []Event{answer(1, false), ResetFrame{1, codeRefusedStream}}, "1 reset"},
 		{"reset after the head and before the data", nil, []Event{answer(1, false, "content-length", "5"), ResetFrame{1, 2}}, "1 reset"},
 		{"reset", nil, []Event{ResetFrame{1, 2}}, "1 reset"},
 		{"reset before the last byte was written", body, []Event{ResetFrame{1, 2}}, "1 not written"},
@@ -91,8 +91,8 @@
 		{"a trailer that does not end it", nil, []Event{answer(1, false), Headers{1, []Field{{"a", "b"}}, false}}, "1 reset"},
 		{"a trailer with a status", nil, []Event{answer(1, false), Headers{1, []Field{{":status", "200"}}, true}}, "1 reset"},
 		{"more than its window", nil, []Event{answer(1, false), Data{Stream: 1, Bytes: make([]byte, 65537)}}, "1 reset"},
-		{"a window of its own too far", nil, []Event{Window{1, maxWindow}}, "1 reset"},
-		{"a window update of nothing", nil, []Event{Window{1, 0}}, "1 reset"},
+		{"a window of its own too far", nil, []Event{WindowUpdate{1, maxWindow}}, "1 reset"},
+		{"a window update of nothing", nil, []Event{WindowUpdate{1, 0}}, "1 reset"},
 		{"malformed by the framer", nil, []Event{Malformed{1, codeProtocol}}, "1 reset"},
 		{"an answer before the request is whole", body, []Event{answer(1, true)}, "1 answered"},
 	} {
@@ -120,9 +120,9 @@
 func TestConnectionErrors(t *testing.T) {
 	for name, e := range map[string]Event{
 		"a stream that was not opened": answer(3, true), "one of the server's": Data{Stream: 2, Bytes: []byte("x")},
-		"a reset of one that was not opened": ResetFrame{9, 0}, "a window of one that was not opened": Window{9, 1},
+		"a reset of one that was not opened": ResetFrame{9, 0}, "a window of one that was not opened": WindowUpdate{9, 1},
 		"a push": Other{Push: true}, "a frame size too small": Settings{MaxFrame: u(100)}, "an initial window too large": Settings{InitialWindow: u(1 << 31)},
-		"a window update of nothing": Window{0, 0}, "a window too far": Window{0, maxWindow},
+		"a window update of nothing": WindowUpdate{0, 0}, "a window too far": WindowUpdate{0, maxWindow},
 	} {
 		k := talk(t, Config{}, Settings{})
 		k.Request(0, get, nil, false)
@@ -156,8 +156,8 @@
 	if n := strings.Count(ends(l), "above"); n != 25 {
 		t.Errorf("%d streams never ran", n)
 	}
-	if k.Room() != 0 || !k.Over() || k.Open() != 25 {
-		t.Errorf("room %d, over %v, %d open", k.Room(), k.Over(), k.Open())
+	if k.StreamsAvailable() != 0 || !k.Closing() || k.Open() != 25 {
+		t.Errorf("room %d, over %v, %d open", k.StreamsAvailable(), k.Closing(), k.Open())
 	}
 	if got := ends(k.Handle(0, answer(49, true))); got != "49 answered" {
 		t.Errorf("a stream below: %q", got)
@@ -169,14 +169,14 @@
 
 // Floods end the connection at a bounded cost.
 func TestFloods(t *testing.T) {
-	for name, e := range map[string]Event{"ping": Ping{}, "settings": Settings{}, "windows of one byte": Window{0, 1}, "empty data of no stream": Data{Stream: 1}, "unknown": Other{}} {
+	for name, e := range map[string]Event{"ping": Ping{}, "settings": Settings{}, "windows of one byte": WindowUpdate{0, 1}, "empty data of no stream": Data{Stream: 1}, "unknown": Other{}} {
 		k := talk(t, Config{}, Settings{})
 		k.Request(0, get, nil, false)
 		k.Cancel(0, 1)
 		n := 0
 		for ; n < 10_000 && failed(k.Handle(0, e)) == ""; n++ {
 		}
-		if n < 100 || n > maxIdleFrames+2 {
+		if n < 100 || n > maxFramesWithoutProgress+2 {
 			t.Errorf("%s: it ended after %d", name, n)
 		}
 	}
@@ -187,7 +187,7 @@
 	for ; n < 1000 && got == ""; n++ {
 		got = ends(k.Handle(0, Data{Stream: 1}))
 	}
-	if got != "1 reset" || n > maxEmptyData+2 {
+	if got != "1 reset" || n > maxEmptyFrames+2 {
 		t.Errorf("empty data: %q after %d", got, n)
 	}
 }
@@ -247,7 +247,7 @@
 			begun, ended bool
 		}
 		streams := map[uint32]*state{}
-		initial, conn := k.initial, int64(firstWindow)
+		initial, conn := k.initialSendWindow, int64(defaultWindow)
 		open := func() (l []uint32) {
 			for id, s := range streams {
 				if !s.ended {
@@ -283,7 +283,7 @@
 					if a.Ending == NotWritten && s.begun && s.sent == s.body {
 						t.Fatalf("stream %d was written whole", a.Stream)
 					}
-					if (a.Ending == Lost || a.Ending == GivenUp) && s.sent < s.body {
+					if (a.Ending == ConnectionLost || a.Ending == Cancelled) && s.sent < s.body {
 						t.Fatalf("stream %d ends as %v with %d of %d bytes sent", a.Stream, a.Ending, s.sent, s.body)
 					}
 				case Fail:
@@ -300,11 +300,11 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"request": func(t *rapid.T) {
-				if k.Room() == 0 {
+				if k.StreamsAvailable() == 0 {
 					t.Skip("no room")
 				}
 				n := rapid.IntRange(0, 200).Draw(t, "body")
-				streams[k.next] = &state{body: n, window: initial}
+				streams[k.nextID] = &state{body: n, window: initial}
 				_, l := k.Request(k.now, get, make([]byte, n), rapid.Bool().Draw(t, "careful"))
 				check(l)
 			},
@@ -326,11 +326,11 @@
 				if !closed {
 					streams[id].window += int64(n)
 				}
-				check(k.Handle(k.now, Window{id, uint32(n)}))
+				check(k.Handle(k.now, WindowUpdate{id, uint32(n)}))
 			},
 			"ping": func(t *rapid.T) {
 				var data [8]byte
-				data[0] = byte(rapid.IntRange(0, int(k.pings)).Draw(t, "which"))
+				data[0] = byte(rapid.IntRange(0, int(k.lastPing)).Draw(t, "which"))
 				check(k.Handle(k.now, Ping{Ack: true, Data: data}))
 			},
 			"answer": func(t *rapid.T) {
@@ -358,8 +358,8 @@
 				if n := len(open()); n != k.Open() {
 					t.Fatalf("%d streams are open, it holds %d", n, k.Open())
 				}
-				if len(k.order) > k.Open()+5 || len(k.waiting) > int(k.pings) {
-					t.Fatalf("it keeps %d of bodies, %d of PINGs", len(k.order), len(k.waiting))
+				if len(k.sendOrder) > k.Open()+5 || len(k.awaitingPing) > int(k.lastPing) {
+					t.Fatalf("it keeps %d of bodies, %d of PINGs", len(k.sendOrder), len(k.awaitingPing))
 				}
 			},
 		})
@@ -388,7 +388,7 @@
 		}
 		for i := 0; i+2 < len(text); i += 3 {
 			id, n := uint32(text[i+1]%8), uint32(text[i+2])
-			if k.Room() > 0 {
+			if k.StreamsAvailable() > 0 {
 				s, l := uint32(0), []Action(nil)
 				if i%2 == 0 {
 					s, l = k.Request(k.now, get, make([]byte, n), n%2 == 0)
@@ -402,7 +402,7 @@
 			done(k.Append(k.now, id, make([]byte, n), n%4 == 0))
 			fields := []Field{{":status", fmt.Sprint(n * 4)}, {"content-length", fmt.Sprint(n % 7)}, {string(text[i : i+1]), "x"}}
 			done(k.Handle(k.now, []Event{Settings{InitialWindow: &n, MaxStreams: &id}, Headers{id, fields[:n%4%3+1], n > 128}, Data{id, make([]byte, n), int(n), n > 128},
-				ResetFrame{id, n % 16}, GoAway{id, n}, Window{id, n << 20}, Ping{Ack: n%2 == 0, Data: [8]byte{byte(id)}}, Malformed{id, n}, Other{Push: n == 7}}[text[i]%9]))
+				ResetFrame{id, n % 16}, GoAway{id, n}, WindowUpdate{id, n << 20}, Ping{Ack: n%2 == 0, Data: [8]byte{byte(id)}}, Malformed{id, n}, Other{Push: n == 7}}[text[i]%9]))
 		}
 		done(k.Close())
 		if len(open) > 0 {
@@ -421,16 +421,16 @@
 		t.Errorf("the header alone begins nothing: %+v", l)
 	}
 	l := c.Handle(0, Data{Stream: id, Bytes: make([]byte, 900)})
-	if len(l) != 2 || l[0].(Began).Answer.Header[0].Value != "a" || len(l[1].(Piece).Bytes) != 900 {
+	if len(l) != 2 || l[0].(Began).Answer.Header[0].Value != "a" || len(l[1].(BodyChunk).Bytes) != 900 {
 		t.Fatalf("the first piece: %+v", l)
 	}
 	if l := c.Consumed(0, id, 200); len(l) != 0 {
 		t.Errorf("a grain is 250 bytes: %+v", l)
 	}
-	if l := c.Consumed(0, id, 100); len(l) != 1 || l[0].(WriteWindow) != (WriteWindow{id, 300}) {
+	if l := c.Consumed(0, id, 100); len(l) != 1 || l[0].(WriteWindowUpdate) != (WriteWindowUpdate{id, 300}) {
 		t.Errorf("a grain is 250 bytes: %+v", l)
 	}
-	if l := c.Handle(0, Data{Stream: id, Bytes: make([]byte, 400)}); len(l) != 1 || len(l[0].(Piece).Bytes) != 400 {
+	if l := c.Handle(0, Data{Stream: id, Bytes: make([]byte, 400)}); len(l) != 1 || len(l[0].(BodyChunk).Bytes) != 400 {
 		t.Errorf("what the window allows: %+v", l)
 	}
 	l = c.Handle(0, Data{Stream: id, Bytes: make([]byte, 1)})
@@ -473,7 +473,7 @@
 	if l = c.Append(0, id, []byte("defg"), false); len(l) != 1 || string(l[0].(WriteData).Bytes) != "de" {
 		t.Errorf("what the window allows: %+v", l)
 	}
-	if l = c.Handle(0, Window{id, 10}); len(l) != 2 || string(l[0].(WriteData).Bytes) != "fg" || l[0].(WriteData).End || l[1].(Sent).Stream != id {
+	if l = c.Handle(0, WindowUpdate{id, 10}); len(l) != 2 || string(l[0].(WriteData).Bytes) != "fg" || l[0].(WriteData).End || l[1].(Sent).Stream != id {
 		t.Errorf("the rest: %+v", l)
 	}
 	if l = c.Append(0, id, nil, true); len(l) != 1 || !l[0].(WriteData).End {
@@ -485,16 +485,16 @@
 	c.Handle(0, Headers{Stream: id, Fields: []Field{{":status", "200"}}, End: true})
 
 	c, id, _ = start()
-	if l = c.Cancel(0, id); l[len(l)-1].(Done).Ending != GivenUp { // the server may have begun with its first part
+	if l = c.Cancel(0, id); l[len(l)-1].(Done).Ending != Cancelled { // the server may have begun with its first part
 		t.Errorf("given up before its end: %+v", l)
 	}
 	c, id, _ = start()
-	if l = c.Close(id); l[len(l)-1].(Done).Ending != Lost {
+	if l = c.Close(id); l[len(l)-1].(Done).Ending != ConnectionLost {
 		t.Errorf("lost before its end: %+v", l)
 	}
 	c, id, _ = start() // an answer may be whole before the request is
 	l = c.Handle(0, Headers{Stream: id, Fields: []Field{{":status", "200"}}, End: true})
-	if len(l) != 2 || l[0].(WriteReset) != (WriteReset{id, codeNo}) || l[1].(Done).Ending != Answered {
+	if len(l) != 2 || l[0].(WriteReset) != (WriteReset{id, codeNoError}) || l[1].(Done).Ending != Answered {
 		t.Errorf("an early answer: %+v", l)
 	}
 }
--- a/internal/sender/h2/conn.go
+++ b/internal/sender/h2/conn.go
@@ -97,7 +97,7 @@
 	var l []client.Action
 	switch e := e.(type) {
 	case *request:
-		if k.Room() == 0 {
+		if k.StreamsAvailable() == 0 {
 			// The server allows fewer than was thought, or goes away.
 			e.finish(client.Done{Ending: client.NotWritten})
 			break
@@ -143,8 +143,8 @@
 		l = k.Handle(now, e)
 	}
 	err := c.carryOut(w, k, open, l)
-	if !k.Over() {
-		c.limit.Store(int64(k.Room() + k.Open()))
+	if !k.Closing() {
+		c.limit.Store(int64(k.StreamsAvailable() + k.Open()))
 	} else if c.limit.Store(0); k.Open() == 0 && err == nil {
 		err = errOver
 	}
@@ -162,7 +162,7 @@
 		case client.WriteSettings:
 			w.fr.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 0}, http2.Setting{ID: http2.SettingInitialWindowSize, Val: a.InitialWindow},
 				http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: a.MaxHeader})
-		case client.WriteAck:
+		case client.WriteSettingsAck:
 			w.fr.WriteSettingsAck()
 		case client.WriteHeaders:
 			w.headers(a)
@@ -176,7 +176,7 @@
 			}
 		case client.WriteReset:
 			w.fr.WriteRSTStream(a.Stream, http2.ErrCode(a.Code))
-		case client.WriteWindow:
+		case client.WriteWindowUpdate:
 			w.fr.WriteWindowUpdate(a.Stream, a.Add)
 		case client.WritePing:
 			w.fr.WritePing(a.Ack, a.Data)
@@ -192,7 +192,7 @@
 				default:
 				}
 			}
-		case client.Piece:
+		case client.BodyChunk:
 			switch q := open[a.Stream]; {
 			case q == nil:
 			case q.pieces == nil: // of no answer of gRPC: what it sends stays unread, its window runs out
@@ -311,7 +311,7 @@
 	case *http2.GoAwayFrame:
 		return client.GoAway{Last: f.LastStreamID, Code: uint32(f.ErrCode)}
 	case *http2.WindowUpdateFrame:
-		return client.Window{Stream: f.StreamID, Add: f.Increment}
+		return client.WindowUpdate{Stream: f.StreamID, Add: f.Increment}
 	case *http2.PingFrame:
 		return client.Ping{Ack: f.IsAck(), Data: f.Data}
 	case *http2.PushPromiseFrame:
--- a/internal/sender/h2/h2.go
+++ b/internal/sender/h2/h2.go
@@ -139,7 +139,7 @@
 		return balancer.Unreachable, nil
 	case client.Refused:
 		return balancer.Overloaded, nil
-	case client.Above:
+	case client.AboveGoAway:
 		return balancer.Void, nil
 	}
 	in := int64(0)
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -15,53 +15,53 @@
 	"cranegrade/internal/engine"
 )
 
-// settled is how long a connection rests after an answer. What a server sends behind one comes within
+// settleTime is how long a connection rests after an answer. What a server sends behind one comes within
 // that and is seen before the next request is written; it would pass for its answer.
-const settled = 10 * time.Millisecond
+const settleTime = 10 * time.Millisecond
 
-// conns are the connections to servers.
-type conns struct {
-	idleFor time.Duration // ours are closed after standing idle for so long
-	connect time.Duration
-	settled time.Duration
-	room    engine.SharedLimit
+// connectionPool are the connections to servers.
+type connectionPool struct {
+	idleTimeout    time.Duration // ours are closed after standing idle for so long
+	connectTimeout time.Duration
+	settleTime     time.Duration
+	limit          engine.SharedLimit
 
 	start time.Time // trust's times count from it
 
-	leastKnock time.Duration
+	minProbeWait time.Duration
 
 	mu    sync.Mutex                   // guards all below
 	idle  map[*engine.Endpoint][]*conn // the latest used last
 	open  int                          // connections there are, idle ones and dials among them
-	trust trust
+	trust reuseTrust
 }
 
 // conn is a connection to a server; it carries one request at a time.
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	limit *io.LimitedReader // under r
-	since time.Time         // idle since
-	kept  bool              // it carried a request before this one
+	reader    *bufio.Reader
+	readLimit *io.LimitedReader // under r
+	idleSince time.Time         // idle since
+	reused    bool              // it carried a request before this one
 	// unnamed: an answer on it named no request, so a second copy of that could not be told from the next answer
-	unnamed bool
-	trip    time.Duration // how long it took to come up: a trip there and back, and more
+	hadUnnamedAnswer bool
+	dialTime         time.Duration // how long it took to come up: a trip there and back, and more
 }
 
-var errNoRoom = errors.New("no descriptor left for another connection")
+var errConnectionLimit = errors.New("no descriptor left for another connection")
 
-// get takes the settled connection used last, or dials; for an unsafe request only where kept ones hold.
-func (p *conns) get(ctx context.Context, ep *engine.Endpoint, unsafe bool) (*conn, error) {
+// acquire takes the settled connection used last, or dials; for an unsafe request only where kept ones hold.
+func (p *connectionPool) acquire(ctx context.Context, ep *engine.Endpoint, unsafe bool) (*conn, error) {
 	p.mu.Lock()
-	trusted := p.trust.may(time.Since(p.start), unsafe)
+	trusted := p.trust.mayReuse(time.Since(p.start), unsafe)
 	p.mu.Unlock()
 	for {
 		c := p.takeIdle(ep, unsafe)
 		if c == nil {
 			break
 		}
-		if trusted && time.Since(c.since) < p.idleFor && c.alive() {
-			c.kept = true
+		if trusted && time.Since(c.idleSince) < p.idleTimeout && c.alive() {
+			c.reused = true
 			return c, nil
 		}
 		p.close(c)
@@ -73,35 +73,35 @@
 }
 
 // dial brings up a connection.
-func (p *conns) dial(ctx context.Context, ep *engine.Endpoint) (*conn, error) {
-	if !p.reserve() {
-		return nil, errNoRoom
+func (p *connectionPool) dial(ctx context.Context, ep *engine.Endpoint) (*conn, error) {
+	if !p.reserveSlot() {
+		return nil, errConnectionLimit
 	}
 	began := time.Now()
-	d := net.Dialer{Timeout: p.connect}
+	d := net.Dialer{Timeout: p.connectTimeout}
 	nc, err := d.DialContext(ctx, "tcp", ep.Addr)
 	if err != nil {
-		p.release()
+		p.releaseSlot()
 		return nil, err
 	}
 	limit := &io.LimitedReader{R: nc}
-	return &conn{Conn: nc, r: bufio.NewReader(limit), limit: limit, trip: time.Since(began)}, nil
+	return &conn{Conn: nc, reader: bufio.NewReader(limit), readLimit: limit, dialTime: time.Since(began)}, nil
 }
 
-// wary says that a request which must not run twice is to be written in two parts on this connection.
-func (p *conns) wary(c *conn) bool {
+// needsProbe says that a request which must not run twice is to be written in two parts on this connection.
+func (p *connectionPool) needsProbe(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.trust.wary(time.Since(p.start), c.kept)
+	return p.trust.needsProbe(time.Since(p.start), c.reused)
 }
 
 // takeIdle takes the settled connection used last that may carry the request; nil: there is none.
-func (p *conns) takeIdle(ep *engine.Endpoint, unsafe bool) *conn {
+func (p *connectionPool) takeIdle(ep *engine.Endpoint, unsafe bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.idle[ep]
 	for i, c := range slices.Backward(l) {
-		if time.Since(c.since) >= p.settled && !(unsafe && c.unnamed) {
+		if time.Since(c.idleSince) >= p.settleTime && !(unsafe && c.hadUnnamedAnswer) {
 			p.idle[ep] = slices.Delete(l, i, i+1)
 			return c
 		}
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// reserve counts a connection to be dialled. With no room left an idle one of any server makes it.
-func (p *conns) reserve() bool {
-	if p.room.Take(1) {
+// reserveSlot counts a connection to be dialled. With no room left an idle one of any server makes it.
+func (p *connectionPool) reserveSlot() bool {
+	if p.limit.Take(1) {
 		p.mu.Lock()
 		p.open++
 		p.mu.Unlock()
@@ -127,7 +127,7 @@
 }
 
 // oldestOfAny takes an idle connection of some server; nil if there is none. The caller of it holds mu.
-func (p *conns) oldestOfAny() *conn {
+func (p *connectionPool) oldestOfAny() *conn {
 	for ep, l := range p.idle {
 		if len(l) > 0 {
 			p.idle[ep] = l[1:]
@@ -138,7 +138,7 @@
 }
 
 // GiveBack closes up to n idle connections, so that others may have their room, and returns how many.
-func (p *conns) GiveBack(n int) (given int) {
+func (p *connectionPool) GiveBack(n int) (given int) {
 	for ; given < n; given++ {
 		p.mu.Lock()
 		c := p.oldestOfAny()
@@ -151,21 +151,21 @@
 	return given
 }
 
-func (p *conns) release() {
+func (p *connectionPool) releaseSlot() {
 	p.mu.Lock()
 	p.open--
 	p.mu.Unlock()
-	p.room.Give(1)
+	p.limit.Give(1)
 }
 
-func (p *conns) close(c *conn) {
+func (p *connectionPool) close(c *conn) {
 	c.Conn.Close()
-	p.release()
+	p.releaseSlot()
 }
 
-// put keeps a connection for the next attempt, unless the server has left meanwhile.
-func (p *conns) put(ep *engine.Endpoint, c *conn) {
-	c.since = time.Now()
+// release keeps a connection for the next attempt, unless the server has left meanwhile.
+func (p *connectionPool) release(ep *engine.Endpoint, c *conn) {
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	usable := ep.Usable() // under the lock, so that Drop comes after or is seen here
 	if usable {
@@ -177,11 +177,11 @@
 	}
 }
 
-// saw notes whether an exchange ended in the connection's end, which says how far kept ones can be trusted.
-func (p *conns) saw(c *conn, broke bool) {
+// recordExchange notes whether an exchange ended in the connection's end, which says how far kept ones can be trusted.
+func (p *connectionPool) recordExchange(c *conn, broke bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trust.saw(time.Since(p.start), c.kept, broke)
+	p.trust.record(time.Since(p.start), c.reused, broke)
 }
 
 // alive says that an idle connection is still open and holds no bytes: a server that closed it
@@ -189,7 +189,7 @@
 func (c *conn) alive() bool { return conncheck.At(c.Conn) == syscall.EAGAIN }
 
 // Drop closes the idle connections to an endpoint.
-func (p *conns) Drop(ep *engine.Endpoint) {
+func (p *connectionPool) Drop(ep *engine.Endpoint) {
 	p.mu.Lock()
 	l := p.idle[ep]
 	delete(p.idle, ep)
@@ -201,12 +201,12 @@
 
 // Sweep closes idle connections that are too old or that their server has closed, lest they hold
 // descriptors until they would be used next.
-func (p *conns) Sweep() {
+func (p *connectionPool) Sweep() {
 	var drop []*conn
 	p.mu.Lock()
 	for ep, l := range p.idle {
 		keep := slices.DeleteFunc(l, func(c *conn) bool {
-			stale := time.Since(c.since) >= p.idleFor || !c.alive()
+			stale := time.Since(c.idleSince) >= p.idleTimeout || !c.alive()
 			if stale {
 				drop = append(drop, c)
 			}
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -54,16 +54,16 @@
 	OfRequest
 )
 
-// platform is the Speech of the protocol's page.
-type platform struct{}
+// platformProtocol is the Speech of the protocol's page.
+type platformProtocol struct{}
 
-func (platform) Head(a *engine.Attempt, h http.Header) {
+func (platformProtocol) Head(a *engine.Attempt, h http.Header) {
 	h["X-Time-Left"] = []string{message.TimeLeft(a.Timeout)}
 }
 
-func (platform) Matches(*message.Request, *http.Response) Match { return OfRequest }
+func (platformProtocol) Matches(*message.Request, *http.Response) Match { return OfRequest }
 
-func (platform) Ending(resp *http.Response) (balancer.Ending, bool) {
+func (platformProtocol) Ending(resp *http.Response) (balancer.Ending, bool) {
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return balancer.Success, true
@@ -74,7 +74,7 @@
 	return balancer.Failure, false
 }
 
-func (platform) Word(resp *http.Response) (int, []message.Field, string) {
+func (platformProtocol) Word(resp *http.Response) (int, []message.Field, string) {
 	h := []message.Field{}
 	v := resp.Header.Get("Content-Type")
 	if v != "" {
@@ -86,12 +86,12 @@
 // Sender makes attempts over connections of its own. It implements engine.Sender; the payload is a
 // *message.Request, the reply a *message.Reply.
 type Sender struct {
-	conns
-	answers     engine.SharedLimit
-	quietWithin time.Duration
-	streamQuiet time.Duration
-	holdFor     time.Duration
-	speech      Speech
+	connectionPool
+	answerLimit       engine.SharedLimit
+	readTimeout       time.Duration
+	streamReadTimeout time.Duration
+	bufferTime        time.Duration
+	speech            Speech
 }
 
 var _ engine.Sender = (*Sender)(nil)
@@ -99,12 +99,12 @@
 // New returns a sender with no connections.
 func New(cfg Config) *Sender {
 	if cfg.Speech == nil {
-		cfg.Speech = platform{}
+		cfg.Speech = platformProtocol{}
 	}
-	return &Sender{answers: cfg.LongAnswers, quietWithin: cmp.Or(cfg.Quiet, quietWithin), streamQuiet: max(cfg.Quiet, streamQuiet), holdFor: holdFor, speech: cfg.Speech, conns: conns{
+	return &Sender{answerLimit: cfg.LongAnswers, readTimeout: cmp.Or(cfg.Quiet, readTimeout), streamReadTimeout: max(cfg.Quiet, streamReadTimeout), bufferTime: bufferTime, speech: cfg.Speech, connectionPool: connectionPool{
 		// Clearly before the server closes it: a request that crosses the close is lost to a reset.
-		idleFor: cfg.Idle * 3 / 4, connect: cfg.Connect, settled: settled,
-		start: time.Now(), leastKnock: leastKnock, idle: map[*engine.Endpoint][]*conn{}, room: cfg.Connections}}
+		idleTimeout: cfg.Idle * 3 / 4, connectTimeout: cfg.Connect, settleTime: settleTime,
+		start: time.Now(), minProbeWait: minProbeWait, idle: map[*engine.Endpoint][]*conn{}, limit: cfg.Connections}}
 }
 
 // Start makes an attempt on a goroutine of its own.
@@ -138,8 +138,8 @@
 		return result{ending: balancer.Void}
 	}
 	// What can be sent once is worth as much care as what may run once.
-	careful := unsafe(m) || m.More != nil
-	c, err := s.get(ctx, a.Endpoint, careful)
+	careful := nonIdempotent(m) || m.More != nil
+	c, err := s.acquire(ctx, a.Endpoint, careful)
 	switch {
 	case err != nil && ctx.Err() == nil:
 		return result{ending: balancer.Unreachable}
@@ -147,19 +147,19 @@
 		return result{ending: balancer.Void}
 	case ctx.Err() != nil:
 		// The dial took the attempt's time or its reason away.
-		s.put(a.Endpoint, c)
+		s.release(a.Endpoint, c)
 		return result{ending: balancer.Void}
 	}
 	if ending, ok := a.Begin(); !ok {
-		s.put(a.Endpoint, c) // which closes it if the endpoint is no longer usable
+		s.release(a.Endpoint, c) // which closes it if the endpoint is no longer usable
 		return result{ending: ending}
 	}
 	stop := context.AfterFunc(ctx, func() { c.Conn.Close() }) // all that stops an exchange
 	rest := text
-	if careful && s.wary(c) || m.More != nil && c.kept {
-		if rest, err = c.knock(rest, s.leastKnock); err != nil && ctx.Err() == nil {
+	if careful && s.needsProbe(c) || m.More != nil && c.reused {
+		if rest, err = c.probe(rest, s.minProbeWait); err != nil && ctx.Err() == nil {
 			// No server has a request yet, so another connection makes no second attempt of it.
-			s.saw(c, true)
+			s.recordExchange(c, true)
 			stop()
 			s.close(c)
 			if c, err = s.dial(ctx, a.Endpoint); err != nil {
@@ -170,10 +170,10 @@
 				return result{ending: balancer.Unreachable}
 			}
 			stop = context.AfterFunc(ctx, func() { c.Conn.Close() })
-			rest, err = c.knock(text, s.leastKnock)
+			rest, err = c.probe(text, s.minProbeWait)
 		}
 		if err != nil {
-			s.saw(c, ctx.Err() == nil)
+			s.recordExchange(c, ctx.Err() == nil)
 			stop()
 			s.close(c)
 			if ctx.Err() != nil {
@@ -184,10 +184,10 @@
 	}
 	res, keep := s.exchange(ctx, a, c, r, rest)
 	if ctx.Err() == nil { // else what ended it was not the connection
-		s.saw(c, res.ending == balancer.Broken || res.ending == balancer.Unreachable)
+		s.recordExchange(c, res.ending == balancer.Broken || res.ending == balancer.Unreachable)
 	}
 	if stop() && keep {
-		s.put(a.Endpoint, c)
+		s.release(a.Endpoint, c)
 	} else {
 		s.close(c)
 	}
@@ -196,14 +196,14 @@
 
 // Bounds of the wait between the two parts of a request.
 const (
-	leastKnock = 500 * time.Microsecond
-	mostKnock  = 20 * time.Millisecond
+	minProbeWait = 500 * time.Microsecond
+	maxProbeWait = 20 * time.Millisecond
 )
 
-// knock writes a request's head but for its last byte, and waits for as long as a reset would take to come back. No
+// probe writes a request's head but for its last byte, and waits for as long as a reset would take to come back. No
 // server begins a request whose head is not whole (RFC 9112, section 2.1), so an error proves that it never ran.
 // rest is what is still to be written.
-func (c *conn) knock(text []byte, least time.Duration) (rest []byte, err error) {
+func (c *conn) probe(text []byte, least time.Duration) (rest []byte, err error) {
 	n := bytes.Index(text, headEnd)
 	if n < 0 {
 		return text, nil
@@ -212,11 +212,11 @@
 	if _, err := c.Write(text[:n]); err != nil {
 		return nil, err
 	}
-	c.limit.N = maxHeads
-	if err := c.SetReadDeadline(time.Now().Add(max(min(2*c.trip, mostKnock), least))); err != nil {
+	c.readLimit.N = maxHeaderBytes
+	if err := c.SetReadDeadline(time.Now().Add(max(min(2*c.dialTime, maxProbeWait), least))); err != nil {
 		return nil, err
 	}
-	_, err = c.r.Peek(1)
+	_, err = c.reader.Peek(1)
 	var timeout net.Error
 	if err == nil || !errors.As(err, &timeout) || !timeout.Timeout() {
 		return nil, errors.Join(errors.New("an answer, or the end, before the request"), err)
@@ -274,7 +274,7 @@
 	out, whole, err := s.write(ctx, a, c, text)
 	if err != nil {
 		// Not all of it was written, so it can't have run.
-		if ctx.Err() != nil || errors.Is(err, errBrokenOff) || errors.Is(err, errSpent) {
+		if ctx.Err() != nil || errors.Is(err, errBrokenOff) || errors.Is(err, errBodySpent) {
 			return result{ending: balancer.Void}, false
 		}
 		return result{ending: balancer.Unreachable}, false
@@ -297,7 +297,7 @@
 		m := a.Payload.(*message.Request)
 		m.Fail(got.reply)
 	}
-	return res, whole && !got.stray && !got.resp.Close && c.r.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
+	return res, whole && !got.sawStray && !got.resp.Close && c.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
 }
 
 // write writes a request, whose head or whole text is given. whole: to its end; else the server answered before that, and
@@ -309,36 +309,36 @@
 		return int64(len(m.Body)), true, err
 	}
 	if !m.Claim() {
-		return 0, false, errSpent
+		return 0, false, errBodySpent
 	}
 	return s.upload(ctx, c, text, m)
 }
 
-var errSpent = errors.New("its body has gone elsewhere")
+var errBodySpent = errors.New("its body has gone elsewhere")
 
-// writeQuiet is how long a server may take nothing of a long request.
-const writeQuiet = 10 * time.Second
+// writeTimeout is how long a server may take nothing of a long request.
+const writeTimeout = 10 * time.Second
 
 // upload writes a request whose body comes as its caller sends it. A server that answers before the end is heard. whole: the
 // server can have all of it, so it may run, whatever the caller or the attempt's time does after its last byte.
 func (s *Sender) upload(ctx context.Context, c *conn, head []byte, m *message.Request) (out int64, whole bool, err error) {
 	writing, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	c.limit.N = maxHeads
+	c.readLimit.N = maxHeaderBytes
 	early := make(chan error, 1)
 	go func() {
-		_, err := c.r.Peek(1)
+		_, err := c.reader.Peek(1)
 		if writing.Err() == nil {
-			stop(errEarly)
+			stop(errEarlyAnswer)
 			c.SetWriteDeadline(time.Now()) // wakes a write that waits
 		}
 		early <- err
 	}()
-	out, whole, err = uploadBody(writing, deadlined{c.Conn}, head, m)
+	out, whole, err = uploadBody(writing, timedWriter{c.Conn}, head, m)
 	if err == nil || whole {
 		// It is written. What the goroutine is looking for is the answer.
 		stop(nil)
-	} else if context.Cause(writing) != errEarly {
+	} else if context.Cause(writing) != errEarlyAnswer {
 		c.SetReadDeadline(time.Now())
 		<-early
 		return out, false, err
@@ -390,15 +390,15 @@
 )
 
 var (
-	errEarly     = errors.New("the server answered before the request's end")
-	errBrokenOff = errors.New("the request broke off")
+	errEarlyAnswer = errors.New("the server answered before the request's end")
+	errBrokenOff   = errors.New("the request broke off")
 )
 
-// deadlined writes to a server that may not rest for long.
-type deadlined struct{ net.Conn }
+// timedWriter writes to a server that may not rest for long.
+type timedWriter struct{ net.Conn }
 
-func (d deadlined) Write(p []byte) (int, error) {
-	if err := d.SetWriteDeadline(time.Now().Add(writeQuiet)); err != nil {
+func (d timedWriter) Write(p []byte) (int, error) {
+	if err := d.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	return d.Conn.Write(p)
--- a/internal/sender/http1/http1_test.go
+++ b/internal/sender/http1/http1_test.go
@@ -22,7 +22,7 @@
 
 func newTestSender(most int64) *Sender {
 	s := New(Config{Idle: time.Minute, Connect: limit, Connections: testkit.NewRoom(most), LongAnswers: testkit.NewRoom(1 << 40)})
-	s.quietWithin, s.holdFor, s.settled = limit, limit, 0 // a slow machine gets more, and no test waits for it
+	s.readTimeout, s.bufferTime, s.settleTime = limit, limit, 0 // a slow machine gets more, and no test waits for it
 	return s
 }
 
@@ -154,7 +154,7 @@
 			io.Copy(io.Discard, r)
 		})
 		u := newTestSender(10)
-		u.quietWithin = 50 * time.Millisecond
+		u.readTimeout = 50 * time.Millisecond
 		if res := try(t, u, newEndpoint(addr)); res.ending != balancer.Broken {
 			t.Errorf("%s: ending %d", name, res.ending)
 		}
@@ -176,8 +176,8 @@
 		}
 	})
 	u := newTestSender(10)
-	u.quietWithin = 100 * time.Millisecond
-	time.AfterFunc(3*u.quietWithin, func() { close(work) })
+	u.readTimeout = 100 * time.Millisecond
+	time.AfterFunc(3*u.readTimeout, func() { close(work) })
 	if res := try(t, u, newEndpoint(addr)); res.ending != balancer.Success {
 		t.Errorf("ending %d", res.ending)
 	}
@@ -188,13 +188,13 @@
 	t.Parallel()
 	addr, _ := testkit.Stub(t, ok, false)
 	u, s := newTestSender(10), newEndpoint(addr)
-	u.settled = time.Hour
+	u.settleTime = time.Hour
 	try(t, u, s)
 	try(t, u, s)
 	if open, idle := u.counts(); open != 2 || idle != 2 {
 		t.Errorf("%d open, %d idle", open, idle)
 	}
-	u.settled = 0
+	u.settleTime = 0
 	try(t, u, s)
 	if open, idle := u.counts(); open != 2 || idle != 2 {
 		t.Errorf("once settled %d open, %d idle", open, idle)
@@ -313,28 +313,28 @@
 	addr, _ := testkit.Stub(t, ok, false)
 	u, s := newTestSender(10), newEndpoint(addr)
 	ctx := context.Background()
-	a, err := u.get(ctx, s, false)
+	a, err := u.acquire(ctx, s, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := u.get(ctx, s, false)
+	b, err := u.acquire(ctx, s, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u.put(s, a)
-	u.put(s, b)
-	if c, _ := u.get(ctx, s, false); c != b {
+	u.release(s, a)
+	u.release(s, b)
+	if c, _ := u.acquire(ctx, s, false); c != b {
 		t.Error("not the connection used last")
 	} else {
-		u.put(s, c)
+		u.release(s, c)
 	}
 	for _, c := range []*conn{a, b} {
-		c.since = c.since.Add(-u.idleFor)
+		c.idleSince = c.idleSince.Add(-u.idleTimeout)
 	}
-	if u.idleFor >= time.Minute {
-		t.Errorf("connections idle for %v", u.idleFor)
+	if u.idleTimeout >= time.Minute {
+		t.Errorf("connections idle for %v", u.idleTimeout)
 	}
-	if c, err := u.get(ctx, s, false); err != nil || c == a || c == b {
+	if c, err := u.acquire(ctx, s, false); err != nil || c == a || c == b {
 		t.Errorf("reused a connection idle for too long, or %v", err)
 	}
 	if open, idle := u.counts(); open != 1 || idle != 0 {
@@ -417,7 +417,7 @@
 			t.Fatalf("ending %d", res.ending)
 		}
 	}
-	c, err := u.get(context.Background(), sb, false) // the only one, busy
+	c, err := u.acquire(context.Background(), sb, false) // the only one, busy
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -436,14 +436,14 @@
 	addr, _ := testkit.Stub(t, ok, false)
 	u, s := newTestSender(10), newEndpoint(addr)
 	try(t, u, s)
-	busy, err := u.get(context.Background(), s, false)
+	busy, err := u.acquire(context.Background(), s, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	try(t, u, s)
 	s.SetUsable(false)
 	u.Drop(s)
-	u.put(s, busy)
+	u.release(s, busy)
 	if open, idle := u.counts(); open != 0 || idle != 0 {
 		t.Errorf("%d open, %d idle", open, idle)
 	}
--- a/internal/sender/http1/once_test.go
+++ b/internal/sender/http1/once_test.go
@@ -72,7 +72,7 @@
 
 // named is a Speech whose answers name their requests in a header, as the mesh's do.
 type named struct {
-	platform
+	platformProtocol
 	anyOrder bool // planted: answers are matched by their order
 }
 
@@ -92,7 +92,7 @@
 
 func namedSender(anyOrder bool) *Sender {
 	s := New(Config{Idle: testkit.Limit, Connect: limit, Connections: testkit.NewRoom(10), LongAnswers: testkit.NewRoom(1 << 40), Speech: named{anyOrder: anyOrder}})
-	s.quietWithin, s.settled = limit, 0
+	s.readTimeout, s.settleTime = limit, 0
 	return s
 }
 
@@ -169,7 +169,7 @@
 			text, _ := wireText(s.outgoing(a), a.Payload.(*message.Request))
 			x.Write(text)
 			testkit.Wait(t, read)
-			s.put(ep, x)
+			s.release(ep, x)
 		} else {
 			go func() { <-read; cancel(engine.ErrTimedOut) }()
 			if res := s.attempt(ctx, a); res.ending != balancer.TimedOut {
--- a/internal/sender/http1/read.go
+++ b/internal/sender/http1/read.go
@@ -21,15 +21,15 @@
 	// What is longer goes on as it comes.
 	maxBody = message.MaxBody
 	// maxAnswer is the most that is passed on of one answer.
-	maxAnswer = 64 << 20
-	maxHeads  = 32 << 10 // bytes of the head and any interim ones before it
-	// quietWithin is how long a server that has begun an answer which is kept whole may say nothing.
-	quietWithin = 500 * time.Millisecond
-	// streamQuiet is the same for one that is passed on as it comes: nothing can take its place.
-	streamQuiet = 10 * time.Second
-	// holdFor is how long an answer of untold length is kept back, in case it is short: longer would hold back what the
+	maxAnswer      = 64 << 20
+	maxHeaderBytes = 32 << 10 // bytes of the head and any interim ones before it
+	// readTimeout is how long a server that has begun an answer which is kept whole may say nothing.
+	readTimeout = 500 * time.Millisecond
+	// streamReadTimeout is the same for one that is passed on as it comes: nothing can take its place.
+	streamReadTimeout = 10 * time.Second
+	// bufferTime is how long an answer of untold length is kept back, in case it is short: longer would hold back what the
 	// server gives.
-	holdFor = 100 * time.Millisecond
+	bufferTime = 100 * time.Millisecond
 )
 
 var (
@@ -40,26 +40,26 @@
 
 // answer is what came back. Its reply is nil if what came was passed on, or said nothing that a caller wants.
 type answer struct {
-	resp  *http.Response
-	reply *message.Reply
-	size  int64 // bytes of its body
-	stray bool  // another's came before it
+	resp     *http.Response
+	reply    *message.Reply
+	size     int64 // bytes of its body
+	sawStray bool  // another's came before it
 }
 
 // read reads an answer, and passes a long one on as it comes. An error says that what came is none, whatever its head
 // said of whether the request has run.
 func (s *Sender) read(ctx context.Context, a *engine.Attempt, c *conn, r *http.Request) (answer, error) {
 	stray := false
-	c.limit.N = maxHeads
+	c.readLimit.N = maxHeaderBytes
 	for {
-		if _, err := c.r.Peek(1); err != nil {
+		if _, err := c.reader.Peek(1); err != nil {
 			return answer{}, err
 		}
-		if err := c.SetReadDeadline(time.Now().Add(s.quietWithin)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(s.readTimeout)); err != nil {
 			return answer{}, err
 		}
-		close := saysClose(c.r)
-		resp, err := http.ReadResponse(c.r, r)
+		close := announcesClose(c.reader)
+		resp, err := http.ReadResponse(c.reader, r)
 		if err != nil {
 			return answer{}, err
 		}
@@ -70,34 +70,34 @@
 			continue
 		}
 		match := s.speech.Matches(a.Payload.(*message.Request), resp)
-		c.unnamed = c.unnamed || match == Unnamed
+		c.hadUnnamedAnswer = c.hadUnnamedAnswer || match == Unnamed
 		if match == OfAnother {
 			// A second answer to an earlier request, which came late; ours may be behind it.
-			c.limit.N = maxAnswer / 64
-			if _, err := io.Copy(io.Discard, quiet{c, resp.Body, s.quietWithin}); err != nil || stray || resp.Close {
+			c.readLimit.N = maxAnswer / 64
+			if _, err := io.Copy(io.Discard, timedReader{c, resp.Body, s.readTimeout}); err != nil || stray || resp.Close {
 				return answer{}, errors.Join(errStray, err)
 			}
-			stray, c.limit.N = true, maxHeads
+			stray, c.readLimit.N = true, maxHeaderBytes
 			if err := c.SetReadDeadline(time.Time{}); err != nil {
 				return answer{}, err
 			}
 			continue
 		}
 		got, err := s.readBody(ctx, a, c, resp, close)
-		got.stray = stray
+		got.sawStray = stray
 		return got, err
 	}
 }
 
-// quiet reads a body from a server that may not rest for longer than so long.
-type quiet struct {
-	c      *conn
-	body   io.Reader
-	within time.Duration
+// timedReader reads a body from a server that may not rest for longer than so long.
+type timedReader struct {
+	c       *conn
+	body    io.Reader
+	timeout time.Duration
 }
 
-func (q quiet) Read(p []byte) (int, error) {
-	if err := q.c.SetReadDeadline(time.Now().Add(q.within)); err != nil {
+func (q timedReader) Read(p []byte) (int, error) {
+	if err := q.c.SetReadDeadline(time.Now().Add(q.timeout)); err != nil {
 		return 0, err
 	}
 	return q.body.Read(p)
@@ -112,31 +112,31 @@
 	if n > maxAnswer {
 		return answer{}, errTooLong
 	}
-	var body io.Reader = quiet{c, resp.Body, s.quietWithin}
-	if n >= 0 && int64(c.r.Buffered()) >= n {
+	var body io.Reader = timedReader{c, resp.Body, s.readTimeout}
+	if n >= 0 && int64(c.reader.Buffered()) >= n {
 		body = resp.Body // it is here
 	}
 	_, wanted := s.speech.Ending(resp)
 	switch {
 	case !wanted:
-		c.limit.N = maxAnswer / 64
+		c.readLimit.N = maxAnswer / 64
 		size, err := io.Copy(io.Discard, body)
 		return answer{resp: resp, size: size}, err
 	case n >= 0 && n <= maxBody:
-		c.limit.N = n
+		c.readLimit.N = n
 		whole := make([]byte, n)
 		_, err := io.ReadFull(body, whole)
 		status, header, ct := s.speech.Word(resp)
-		return answer{resp: resp, reply: worded(message.NewReply(ct, whole, nil), status, header), size: n}, err
+		return answer{resp: resp, reply: withHead(message.NewReply(ct, whole, nil), status, header), size: n}, err
 	}
-	c.limit.N = 2 * maxAnswer // of a body in chunks with their framing
-	reply, size, err := s.passOn(ctx, a, quiet{c, resp.Body, s.streamQuiet}, resp)
+	c.readLimit.N = 2 * maxAnswer // of a body in chunks with their framing
+	reply, size, err := s.forwardBody(ctx, a, timedReader{c, resp.Body, s.streamReadTimeout}, resp)
 	return answer{resp: resp, reply: reply, size: size}, err
 }
 
-// saysClose says that the head which comes announces that the connection is closed behind the answer. The library drops
+// announcesClose says that the head which comes announces that the connection is closed behind the answer. The library drops
 // that word, and says the same of an answer whose length is told nowhere. A head over the reader's buffer announces nothing.
-func saysClose(r *bufio.Reader) bool {
+func announcesClose(r *bufio.Reader) bool {
 	for n := 1; ; n = r.Buffered() + 1 {
 		if _, err := r.Peek(n); err != nil {
 			return false
@@ -155,38 +155,38 @@
 var connectionClose = regexp.MustCompile(`(?i)\nconnection:(?:[^\n]*,)?[ \t]*close[ \t]*(?:,[^\n]*)?\r\n`)
 
 const (
-	// piece is how much is read at a time, and least so much where the room for answers is used up: less than all of them
+	// chunkSize is how much is read at a time, and least so much where the room for answers is used up: less than all of them
 	// can go on with together would be a deadlock.
-	piece = 16 << 10
-	least = 2 << 10
-	// ahead is how much of an answer may wait for its caller: over maxBody, or one of untold length could not be told to
+	chunkSize    = 16 << 10
+	minChunkSize = 2 << 10
+	// maxUnread is how much of an answer may wait for its caller: over maxBody, or one of untold length could not be told to
 	// be longer.
-	ahead = maxBody + piece
+	maxUnread = maxBody + chunkSize
 )
 
-var pieces = sync.Pool{New: func() any { return new([piece]byte) }}
+var chunkBuffers = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// passOn hands the body on as it comes. An answer of untold length that ends soon and is short is kept whole instead,
+// forwardBody hands the body on as it comes. An answer of untold length that ends soon and is short is kept whole instead,
 // and is the reply.
-func (s *Sender) passOn(ctx context.Context, a *engine.Attempt, body io.Reader, resp *http.Response) (reply *message.Reply, size int64, err error) {
+func (s *Sender) forwardBody(ctx context.Context, a *engine.Attempt, body io.Reader, resp *http.Response) (reply *message.Reply, size int64, err error) {
 	status, h, ct := s.speech.Word(resp)
-	f := newFlow(s.answers, h, resp.ContentLength)
+	f := newLimitedStream(s.answerLimit, h, resp.ContentLength)
 	f.Status = status
-	begin := &beginning{a: a, f: f}
+	begin := &streamStart{a: a, f: f}
 	if resp.ContentLength < 0 {
-		timer := time.AfterFunc(s.holdFor, func() { begin.now() })
+		timer := time.AfterFunc(s.bufferTime, func() { begin.now() })
 		defer timer.Stop()
 	}
-	buf := pieces.Get().(*[piece]byte)
-	defer pieces.Put(buf)
+	buf := chunkBuffers.Get().(*[chunkSize]byte)
+	defer chunkBuffers.Put(buf)
 	for {
-		room, err := f.wait(ctx)
+		room, err := f.reserve(ctx)
 		if err != nil {
 			begin.end(false)
 			return nil, size, err
 		}
 		n, err := body.Read(buf[:room])
-		f.give(room - n)
+		f.release(room - n)
 		if size += int64(n); n > 0 {
 			f.Push(append([]byte(nil), buf[:n]...))
 		}
@@ -197,7 +197,7 @@
 			if begin.end(true) {
 				return nil, size, nil
 			}
-			return worded(message.NewReply(ct, f.Drain(), nil), status, h), size, nil
+			return withHead(message.NewReply(ct, f.Drain(), nil), status, h), size, nil
 		}
 		if err != nil {
 			begin.end(false)
@@ -209,24 +209,24 @@
 	}
 }
 
-// worded gives a reply the head that goes with it, where all of it is passed on.
-func worded(r *message.Reply, status int, header []message.Field) *message.Reply {
+// withHead gives a reply the head that goes with it, where all of it is passed on.
+func withHead(r *message.Reply, status int, header []message.Field) *message.Reply {
 	if status != 0 {
 		r.Status, r.Header = status, header
 	}
 	return r
 }
 
-// beginning says once that a streamed answer begins, unless it has ended before.
-type beginning struct {
+// streamStart says once that a streamed answer begins, unless it has ended before.
+type streamStart struct {
 	a *engine.Attempt
-	f *flow
+	f *limitedStream
 
 	mu           sync.Mutex // guards below
 	begun, ended bool
 }
 
-func (b *beginning) now() {
+func (b *streamStart) now() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.begun && !b.ended {
@@ -236,7 +236,7 @@
 }
 
 // end ends the answer; true if it had begun.
-func (b *beginning) end(whole bool) bool {
+func (b *streamStart) end(whole bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ended = true
@@ -251,38 +251,38 @@
 	return b.begun
 }
 
-// flow is a stream whose pieces take room of a budget that all share.
-type flow struct {
+// limitedStream is a stream whose pieces take room of a budget that all share.
+type limitedStream struct {
 	*message.Stream
-	room engine.SharedLimit
-	wake chan struct{}
+	limit engine.SharedLimit
+	wake  chan struct{}
 
-	mu    sync.Mutex // guards below
-	held  int        // bytes that wait to be taken, or are about to be read
-	taken int        // of those, what the budget gave
+	mu       sync.Mutex // guards below
+	unread   int        // bytes that wait to be taken, or are about to be read
+	reserved int        // of those, what the budget gave
 }
 
-func newFlow(room engine.SharedLimit, header []message.Field, length int64) *flow {
-	f := &flow{room: room, wake: make(chan struct{}, 1)}
-	f.Stream = message.NewStream(header, f.give)
-	f.Stream.Length, f.Stream.Dropped = length, f.give
+func newLimitedStream(room engine.SharedLimit, header []message.Field, length int64) *limitedStream {
+	f := &limitedStream{limit: room, wake: make(chan struct{}, 1)}
+	f.Stream = message.NewStream(header, f.release)
+	f.Stream.Length, f.Stream.Dropped = length, f.release
 	return f
 }
 
-// wait waits until more may be read, and says how much.
-func (f *flow) wait(ctx context.Context) (int, error) {
+// reserve waits until more may be read, and says how much.
+func (f *limitedStream) reserve(ctx context.Context) (int, error) {
 	for {
 		f.mu.Lock()
 		switch {
-		case f.held+piece <= ahead && f.room.Take(piece):
-			f.held += piece
-			f.taken += piece
+		case f.unread+chunkSize <= maxUnread && f.limit.Take(chunkSize):
+			f.unread += chunkSize
+			f.reserved += chunkSize
 			f.mu.Unlock()
-			return piece, nil
-		case f.held == 0:
-			f.held += least
+			return chunkSize, nil
+		case f.unread == 0:
+			f.unread += minChunkSize
 			f.mu.Unlock()
-			return least, nil
+			return minChunkSize, nil
 		}
 		f.mu.Unlock()
 		select {
@@ -293,15 +293,15 @@
 	}
 }
 
-// give gives back what has been taken or dropped, or was not read after all.
-func (f *flow) give(n int) {
+// release gives back what has been taken or dropped, or was not read after all.
+func (f *limitedStream) release(n int) {
 	f.mu.Lock()
-	f.held -= n
-	back := max(0, f.taken-f.held)
-	f.taken -= back
+	f.unread -= n
+	back := max(0, f.reserved-f.unread)
+	f.reserved -= back
 	f.mu.Unlock()
 	if back > 0 {
-		f.room.Give(int64(back))
+		f.limit.Give(int64(back))
 	}
 	select {
 	case f.wake <- struct{}{}:
--- a/internal/sender/http1/stream_test.go
+++ b/internal/sender/http1/stream_test.go
@@ -43,16 +43,16 @@
 			written <- int(n)
 		}
 	})
-	for _, room := range []int64{1 << 30, piece + least, 0} {
+	for _, room := range []int64{1 << 30, chunkSize + minChunkSize, 0} {
 		u := newTestSender(10)
-		u.answers = testkit.NewRoom(room)
+		u.answerLimit = testkit.NewRoom(room)
 		st, ended := long(t, u, context.Background(), addr, keyed())
 		if st.Length != size || st.Header[0] != (message.Field{Name: "content-type", Value: "a/b"}) {
 			t.Errorf("%d, %v", st.Length, st.Header)
 		}
 		got := 0
 		for {
-			if h := st.Held(); h > ahead {
+			if h := st.Held(); h > maxUnread {
 				t.Fatalf("%d bytes wait", h)
 			}
 			p, err := st.Next(context.Background())
@@ -67,7 +67,7 @@
 		if res := testkit.Wait(t, ended); got != size || st.Trailer() == nil || res.ending != balancer.Success || testkit.Wait(t, written) != size {
 			t.Errorf("room %d: %d bytes, ending %d", room, got, res.ending)
 		}
-		if left := u.answers.(*testkit.Room).Left(); left != room {
+		if left := u.answerLimit.(*testkit.Room).Left(); left != room {
 			t.Errorf("room %d: %d is left", room, left)
 		}
 	}
@@ -100,7 +100,7 @@
 			}
 		})
 		u := newTestSender(10)
-		u.answers = testkit.NewRoom(1 << 20)
+		u.answerLimit = testkit.NewRoom(1 << 20)
 		ctx, cancel := context.WithCancelCause(context.Background())
 		defer cancel(nil)
 		st, ended := long(t, u, ctx, addr, keyed())
@@ -128,7 +128,7 @@
 		if res := testkit.Wait(t, ended); res.ending != want || st.Trailer() != nil {
 			t.Errorf("%s: ending %d, want %d; whole %v", how, res.ending, want, st.Trailer() != nil)
 		}
-		if left := u.answers.(*testkit.Room).Left(); left != 1<<20 {
+		if left := u.answerLimit.(*testkit.Room).Left(); left != 1<<20 {
 			t.Errorf("%s: %d of room is left", how, left)
 		}
 		if open, _ := u.counts(); open != 0 {
@@ -150,7 +150,7 @@
 		}
 	})
 	u := newTestSender(10)
-	u.holdFor = 0
+	u.bufferTime = 0
 	st, ended := long(t, u, context.Background(), addr, keyed())
 	if p, err := st.Next(context.Background()); string(p) != "hi" || err != nil || st.Length >= 0 {
 		t.Errorf("%q, %v, length %d", p, err, st.Length)
@@ -253,25 +253,25 @@
 // The budget's arithmetic: nothing is given back twice or lost, whoever comes first.
 func TestFlowProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		room := testkit.NewRoom(5 * piece)
-		var flows [3]*flow
+		room := testkit.NewRoom(5 * chunkSize)
+		var flows [3]*limitedStream
 		for i := range flows {
-			flows[i] = newFlow(room, nil, 1)
+			flows[i] = newLimitedStream(room, nil, 1)
 		}
 		over, cancel := context.WithCancelCause(context.Background())
 		cancel(errors.New("over"))
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			f := flows[rapid.IntRange(0, 2).Draw(t, "flow")]
 			if rapid.Bool().Draw(t, "read") {
-				n, err := f.wait(over) // does not wait
+				n, err := f.reserve(over) // does not wait
 				if err != nil {
-					if f.held == 0 {
+					if f.unread == 0 {
 						t.Fatal("one that holds nothing can't go on")
 					}
 					continue
 				}
 				got := rapid.IntRange(0, n).Draw(t, "got")
-				f.give(n - got)
+				f.release(n - got)
 				if got > 0 {
 					f.Push(make([]byte, got))
 				}
@@ -280,19 +280,19 @@
 			}
 			var taken int64
 			for _, f := range flows {
-				if f.taken > f.held || f.held > ahead || f.held != f.Held() {
-					t.Fatalf("taken %d, held %d of %d", f.taken, f.held, f.Held())
+				if f.reserved > f.unread || f.unread > maxUnread || f.unread != f.Held() {
+					t.Fatalf("taken %d, held %d of %d", f.reserved, f.unread, f.Held())
 				}
-				taken += int64(f.taken)
+				taken += int64(f.reserved)
 			}
-			if taken+room.Left() != 5*piece {
+			if taken+room.Left() != 5*chunkSize {
 				t.Fatalf("%d taken, %d left", taken, room.Left())
 			}
 		}
 		for _, f := range flows {
 			f.Release()
 		}
-		if room.Left() != 5*piece {
+		if room.Left() != 5*chunkSize {
 			t.Fatalf("%d left in the end", room.Left())
 		}
 	})
--- a/internal/sender/http1/trust.go
+++ b/internal/sender/http1/trust.go
@@ -8,16 +8,16 @@
 	"cranegrade/internal/message"
 )
 
-// trust judges whether a kept connection should carry a request. Servers, and what stands before them, drop kept
+// reuseTrust judges whether a kept connection should carry a request. Servers, and what stands before them, drop kept
 // connections, and the close is not always seen before the next request is written; that request then ends in a
 // reset and may have run, as far as anybody knows. Where kept connections break more often than fresh ones, what
 // must not run twice goes over a fresh one, and everything does where they break often.
 //
 // It is pure: time is an argument. Its owner locks it.
-type trust struct {
-	kept, fresh breaks
-	at          time.Duration // of the last sample
-	passed      int           // requests in a row that were kept off kept connections
+type reuseTrust struct {
+	kept, fresh  breaks
+	at           time.Duration // of the last sample
+	avoidedInRow int           // requests in a row that were kept off kept connections
 }
 
 // breaks are decayed counts of exchanges and of those that broke.
@@ -37,8 +37,8 @@
 // rate is the share that broke.
 func (b breaks) rate() float64 { return b.broke / (b.n + trustPrior) }
 
-// saw takes an exchange that came to an answer, or to the connection's end.
-func (t *trust) saw(now time.Duration, kept, broke bool) {
+// record takes an exchange that came to an answer, or to the connection's end.
+func (t *reuseTrust) record(now time.Duration, kept, broke bool) {
 	t.fade(now)
 	b := &t.fresh
 	if kept {
@@ -52,7 +52,7 @@
 	}
 }
 
-func (t *trust) fade(now time.Duration) {
+func (t *reuseTrust) fade(now time.Duration) {
 	d := min(max(0, now-t.at), maxSpan)
 	t.at = max(t.at, now)
 	f := math.Exp(-float64(d) / float64(trustTime))
@@ -62,8 +62,8 @@
 	}
 }
 
-// may says that a request may go over a kept connection.
-func (t *trust) may(now time.Duration, unsafe bool) bool {
+// mayReuse says that a request may go over a kept connection.
+func (t *reuseTrust) mayReuse(now time.Duration, unsafe bool) bool {
 	t.fade(now)
 	excess := t.kept.rate() + trustDoubt/(t.kept.n+trustPrior) - t.fresh.rate()
 	switch {
@@ -72,16 +72,16 @@
 	case excess <= otherRisk:
 		return true
 	}
-	if t.passed++; t.passed < lookAgain {
+	if t.avoidedInRow++; t.avoidedInRow < lookAgain {
 		return false
 	}
-	t.passed = 0
+	t.avoidedInRow = 0
 	return true
 }
 
-// wary says that connections of that kind break often enough for a request that must not run twice to be written in
+// needsProbe says that connections of that kind break often enough for a request that must not run twice to be written in
 // two parts, so that a break between them proves that it never ran.
-func (t *trust) wary(now time.Duration, kept bool) bool {
+func (t *reuseTrust) needsProbe(now time.Duration, kept bool) bool {
 	t.fade(now)
 	if kept {
 		return t.kept.rate() > unsafeRisk
@@ -89,9 +89,9 @@
 	return t.fresh.rate() > unsafeRisk || t.kept.rate() > unsafeRisk
 }
 
-// unsafe says that a request must not run twice, as far as its form tells: its method is not idempotent (RFC 9110,
+// nonIdempotent says that a request must not run twice, as far as its form tells: its method is not idempotent (RFC 9110,
 // section 9.2.2) and it has no key by which servers drop a repeat.
-func unsafe(m *message.Request) bool {
+func nonIdempotent(m *message.Request) bool {
 	if m.Runs != message.RunsByForm {
 		return m.Runs == message.RunsOnce
 	}
--- a/internal/sender/http1/trust_test.go
+++ b/internal/sender/http1/trust_test.go
@@ -25,27 +25,27 @@
 		{"none break", 0, 0, true, true}, {"kept ones now and then", 50, 0, false, true}, {"kept ones often", 8, 0, false, false},
 		{"all alike", 8, 8, true, true}, {"only fresh ones", 0, 8, true, true}, {"one in a thousand", 1000, 0, true, true}, // the last was not seen
 	} {
-		var x trust
-		if x.may(0, true) || !x.may(0, false) {
+		var x reuseTrust
+		if x.mayReuse(0, true) || !x.mayReuse(0, false) {
 			t.Errorf("%s: at the start an unsafe request goes over a kept connection, or no other does", c.name)
 		}
 		for i := 1; i <= 900; i++ {
-			x.saw(0, true, c.kept > 0 && i%c.kept == 0)
-			x.saw(0, false, c.fresh > 0 && i%c.fresh == 0)
+			x.record(0, true, c.kept > 0 && i%c.kept == 0)
+			x.record(0, false, c.fresh > 0 && i%c.fresh == 0)
 		}
-		if u, o := x.may(0, true), x.may(0, false); u != c.unsafe || o != c.otherwise {
+		if u, o := x.mayReuse(0, true), x.mayReuse(0, false); u != c.unsafe || o != c.otherwise {
 			t.Errorf("%s: unsafe %v, others %v", c.name, u, o)
 		}
 		again := 0
 		for range 3 * lookAgain {
-			if x.may(0, false) {
+			if x.mayReuse(0, false) {
 				again++
 			}
 		}
 		if again < 3 {
 			t.Errorf("%s: %d of %d look again", c.name, again, 3*lookAgain)
 		}
-		if x.may(10*trustTime, true) || !x.may(10*trustTime, false) {
+		if x.mayReuse(10*trustTime, true) || !x.mayReuse(10*trustTime, false) {
 			t.Errorf("%s: ten minutes later it is not as at the start", c.name)
 		}
 	}
@@ -54,13 +54,13 @@
 // Whatever is seen, and however time runs, the shares stay shares.
 func TestTrustProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		var x trust
+		var x reuseTrust
 		for range rapid.IntRange(0, 300).Draw(r, "n") {
 			now := time.Duration(rapid.Int64Range(-1<<62, 1<<62).Draw(r, "now"))
 			if rapid.Bool().Draw(r, "ask") {
-				x.may(now, rapid.Bool().Draw(r, "unsafe"))
+				x.mayReuse(now, rapid.Bool().Draw(r, "unsafe"))
 			} else {
-				x.saw(now, rapid.Bool().Draw(r, "kept"), rapid.Bool().Draw(r, "broke"))
+				x.record(now, rapid.Bool().Draw(r, "kept"), rapid.Bool().Draw(r, "broke"))
 			}
 			for _, b := range []breaks{x.kept, x.fresh} {
 				if !(b.rate() >= 0 && b.rate() <= 1) || b.n > trustMemory+1 {
@@ -101,10 +101,10 @@
 		}
 	})
 	s, ep := newTestSender(100), newEndpoint(addr)
-	s.leastKnock = 200 * time.Millisecond // a slow machine gets more
+	s.minProbeWait = 200 * time.Millisecond // a slow machine gets more
 	for range 100 {
-		s.trust.saw(time.Since(s.start), true, true)
-		s.trust.saw(time.Since(s.start), false, true)
+		s.trust.record(time.Since(s.start), true, true)
+		s.trust.record(time.Since(s.start), false, true)
 	}
 	for i := range 10 {
 		res := send(t, s, ep, &message.Request{Method: "POST", URL: keyed().URL, Authority: "a", Body: []byte("x")})
