--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -11,8 +11,8 @@
 // Verdict is the kind of a final answer.
 type Verdict int
 
-// Verdicts. Refused promises that trying again does no harm, Failed promises nothing, and Duplicate
-// says that a call with this id is open already.
+// Verdicts. Refused promises that no attempt has run, so that a retry is safe; Failed promises nothing;
+// Duplicate says that a call with this id is already open.
 const (
 	Served Verdict = iota
 	Refused
@@ -20,244 +20,259 @@
 	Duplicate
 )
 
-// Reply is what an attempt brought back; the engine does not read it. Whoever holds it last releases
-// it, once.
+// Reply is the response of an attempt, which the engine does not read. Its last owner calls Release, once.
 type Reply interface{ Release() }
 
-// Sized is a reply that tells the bytes of its body.
+// Sized is a reply that knows the size of its body, in bytes.
 type Sized interface{ Size() int64 }
 
-// Transferred is a streamed reply that says whether its server has done all its work, and only hands it over.
+// Transferred is a streamed reply that says whether its server has finished the work and only transfers the result.
 type Transferred interface{ Transfer() bool }
 
 // Answer is the final answer to a call.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // advice with Refused; 0: none
-	Reply      Reply         // with Served; the receiver releases it. May be nil after Began
+	RetryAfter time.Duration // for the caller, with Refused; 0: no advice
+	Reply      Reply         // with Served; the receiver releases it; may be nil after Began
 }
 
-// Receiver is a front's side of a call. The engine's goroutine calls it, so it must not wait.
+// Receiver is the downstream side of a call. The engine's goroutine calls it, so its methods must not block.
 type Receiver interface {
-	// Began says that a streamed reply has begun: from here on it belongs to that attempt. It comes at
-	// most once and before Ended. The receiver releases the reply.
+	// Began passes on a streamed reply that has begun: from now on the call belongs to that attempt. It is called
+	// at most once, before Ended. The receiver releases the reply.
 	Began(Reply)
-	// Ended brings the final answer. It comes exactly once, unless Gone comes first.
+	// Ended passes on the final answer. It is called exactly once, unless Engine.Gone comes first.
 	Ended(Answer)
 }
 
-// MaxTenant is how many bytes of a tenant's name the module is told.
-const MaxTenant = 64
-
-// MaxZone is how many bytes of a zone's name the module is told.
-const MaxZone = 64
+// Limits on the names that the module is given, in bytes; what is longer is cut off.
+const (
+	MaxTenant = 64 // of a tenant
+	MaxZone   = 64 // of a zone
+)
 
-// Call is a caller's request. The front fills in the exported fields before Submit and leaves them
-// alone after it.
+// Call is a request of a downstream caller. The front sets the exported fields before Submit and does not change
+// them afterwards; the unexported ones belong to the engine's goroutine, but for finished, which any may read.
 type Call struct {
-	ID       string        // the caller's; no two open calls of an engine share one. "": not told
-	Class    string        // of the module's settings
+	ID       string        // given by the caller; no two open calls of an engine share one; "": none
+	Class    string        // one of the module's settings
 	Deadline time.Duration // clock time by which the module is to answer
-	Last     time.Duration // clock time at which the engine answers for it
+	Last     time.Duration // clock time at which the engine answers in its place
 	Repeat   bool          // the caller marked it as a repeat
-	Cost     time.Duration // hint of its work; 0: none
-	Tenant   string        // who asks, as far as the front can tell; MaxTenant bytes of it count
-	Among    []string      // addresses of the endpoints that it may go to; nil: any
-	From     string        // zone of the caller, if told; MaxZone bytes of it count
-	Size     int64         // bytes of its body
+	Cost     time.Duration // estimate of the work, given by the caller; 0: none
+	Tenant   string        // on whose behalf, as far as the front knows; see MaxTenant
+	Among    []string      // addresses of the endpoints that may serve it; nil: any
+	From     string        // zone of the caller, if known; see MaxZone
+	Size     int64         // of the body, in bytes
 	Payload  any           // what the sender sends
 	To       Receiver
-	// Arriving says that the rest of it is still on its way: its times run from when Arrived says that it is there, and
-	// until then nobody but its front gives it up for them.
+	// Arriving says that the request body is not complete yet. Deadline and Last count from the call of Arrived; until
+	// then only the front may time the call out.
 	Arriving bool
 
-	id       string      // ours: a caller's id may come again
-	finished atomic.Bool // answered, or its caller has gone; set by the engine's goroutine alone
-	lastCall *time.Timer // for an answer by the engine itself
-	attempts []*Attempt
-	stream   *Attempt // whose streamed reply has begun
-	out      int      // attempts that have not ended
-	held     bool     // counted in Config.Held
-	arriving bool
-	left     time.Duration // for the module, from its last byte on
-	own      time.Duration // and on top of that for the engine
+	id               string      // unique within the engine, unlike ID, which may be used again
+	finished         atomic.Bool // answered, or the caller has gone; set by the engine's goroutine alone
+	fallbackTimer    *time.Timer // answers at Last; nil before the call is registered
+	attempts         []*Attempt
+	streaming        *Attempt      // the attempt whose streamed reply has begun; nil: none
+	attemptsInFlight int           // attempts that have not ended yet
+	countedPending   bool          // counted in Config.Pending
+	arriving         bool          // Arriving, and Arrived has not been called
+	timeLeft         time.Duration // from the last byte of the body to Deadline
+	fallbackDelay    time.Duration // from Deadline to Last
 }
 
-// Submit hands the engine a call.
-func (e *Engine) Submit(c *Call) { e.Do(func() { e.accept(c) }) }
+// Submit passes a call to the engine, which owns it from then on.
+func (e *Engine) Submit(call *Call) { e.Do(func() { e.accept(call) }) }
 
-// Gone notes that the caller of a submitted call has left: nothing more is owed. An Ended that crosses
-// it may still come; the front then releases its reply.
-func (e *Engine) Gone(c *Call) { e.Do(func() { e.gone(c) }) }
+// Gone tells the engine that the caller of a submitted call has gone: it needs no answer any more. An Ended that is
+// already on its way may still come; the front then releases its reply.
+func (e *Engine) Gone(call *Call) { e.Do(func() { e.callerGone(call) }) }
 
-// Arrived notes that the last byte of a call that was Arriving has come: its time runs from now on.
-func (e *Engine) Arrived(c *Call) {
+// Arrived tells the engine that the body of a call that was Arriving is complete: its deadline counts from now.
+func (e *Engine) Arrived(call *Call) {
 	e.Do(func() {
-		if !c.arriving || c.finished.Load() {
+		if !call.arriving || call.finished.Load() {
 			return
 		}
-		c.arriving = false
-		c.Deadline = e.cfg.Clock.Now() + c.left
-		c.Last = c.Deadline + c.own
-		if c.stream != nil {
-			return // its answer has begun
+		call.arriving = false
+		call.Deadline = e.cfg.Clock.Now() + call.timeLeft
+		call.Last = call.Deadline + call.fallbackDelay
+		if call.streaming != nil {
+			return // a streamed reply that has begun has no deadline
 		}
-		e.answerBy(c)
-		for _, a := range c.attempts {
-			if !a.ended.Load() {
-				a.expire(c.left)
+		e.armFallbackAnswer(call)
+		for _, attempt := range call.attempts {
+			if !attempt.ended.Load() {
+				attempt.expire(call.timeLeft)
 			}
 		}
 	})
 }
 
-// answerBy has the engine answer at the last, should the module never say anything.
-func (e *Engine) answerBy(c *Call) {
-	c.lastCall = e.after(c.Last-e.cfg.Clock.Now(), func() {
-		if !c.finished.Load() && c.stream == nil {
-			e.logf("request %s: no answer from the module by its deadline", c.id)
-			e.abandon(c)
+// armFallbackAnswer has the engine fail the call at its Last time, in case the module never answers it.
+func (e *Engine) armFallbackAnswer(call *Call) {
+	call.fallbackTimer = e.after(call.Last-e.cfg.Clock.Now(), func() {
+		if !call.finished.Load() && call.streaming == nil {
+			e.logf("request %s: no answer from the module by its deadline", call.id)
+			e.abandon(call)
 		}
 	})
 }
 
-// Settle is Gone and the attempt's End in one: whoever carries the attempt has answered the caller.
-func (e *Engine) Settle(c *Call, a *Attempt, ending balancer.Ending) {
-	if !a.ended.CompareAndSwap(false, true) {
-		e.Gone(c)
+// EndCallAndAttempt is Gone and the attempt's End in one step, for a Carrier that has answered the caller itself.
+func (e *Engine) EndCallAndAttempt(call *Call, attempt *Attempt, ending balancer.Ending) {
+	if !attempt.ended.CompareAndSwap(false, true) {
+		e.Gone(call)
 		return
 	}
 	e.Do(func() {
-		e.gone(c)
-		e.handle(e.ending(a, ending, nil))
+		e.callerGone(call)
+		e.handle(e.recordEnding(attempt, ending, nil))
 	})
 }
 
-// AbandonAll fails whatever is unanswered, but for answers that have begun: these go on for as long as they can.
+// AbandonAll fails every unanswered call, except those whose streamed reply has begun: these run on while they can.
 func (e *Engine) AbandonAll() {
 	e.Do(func() {
-		for _, c := range e.calls {
-			if !c.finished.Load() && c.stream == nil {
-				e.abandon(c)
+		for _, call := range e.calls {
+			if !call.finished.Load() && call.streaming == nil {
+				e.abandon(call)
 			}
 		}
 	})
 }
 
-func (e *Engine) accept(c *Call) {
-	if c.ID != "" && e.callerIDs[c.ID] {
-		// Passed on it would be a second copy of the one that is open.
-		c.finished.Store(true)
-		c.To.Ended(Answer{Verdict: Duplicate})
+func (e *Engine) accept(call *Call) {
+	if call.ID != "" && e.callerIDs[call.ID] {
+		// Forwarding it would run the request that is already open a second time.
+		call.finished.Store(true)
+		call.To.Ended(Answer{Verdict: Duplicate})
 		return
 	}
-	if e.drop > 0 && e.rng.Float64() < e.drop {
-		// Harmless: nothing was done for it, and the module has not heard of it.
-		c.finished.Store(true)
+	if e.dropShare > 0 && e.rng.Float64() < e.dropShare {
 		if e.observer != nil {
 			e.observer.Dropped()
 		}
-		c.To.Ended(Answer{Verdict: Refused, RetryAfter: refusedRetryAfter})
+		reject(call)
 		return
 	}
-	among, ok := e.among(c.Among)
+	among, ok := e.endpointIDs(call.Among)
 	if !ok {
-		// Harmless: nothing was done for it.
-		c.finished.Store(true)
-		c.To.Ended(Answer{Verdict: Refused, RetryAfter: refusedRetryAfter})
+		reject(call)
 		return
 	}
-	if c.ID != "" {
-		e.callerIDs[c.ID] = true
+	e.register(call)
+	e.handle(balancer.Request{ID: call.id, Class: call.Class, Deadline: call.Deadline, Repeat: call.Repeat, Cost: call.Cost,
+		Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)], Among: among, From: call.From[:min(len(call.From), MaxZone)], Size: call.Size})
+	e.limitPending(call)
+}
+
+// reject refuses a call that the module has not heard of. Retrying it is safe: no attempt was made.
+func reject(call *Call) {
+	call.finished.Store(true)
+	call.To.Ended(Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
+}
+
+// register makes a call one of the engine's open calls, under an id of its own.
+func (e *Engine) register(call *Call) {
+	if call.ID != "" {
+		e.callerIDs[call.ID] = true
 	}
 	e.nextID++
-	c.id = strconv.FormatUint(e.nextID, 10)
-	e.calls[c.id] = c
-	e.open.Add(1)
-	// The module answers by the deadline; should it ever say nothing, the caller still gets an answer in time.
-	if c.arriving = c.Arriving; c.arriving {
-		now := e.cfg.Clock.Now()
-		c.left, c.own = c.Deadline-now, c.Last-c.Deadline
-		c.lastCall = time.AfterFunc(time.Hour, func() {})
-		c.lastCall.Stop()
-	} else {
-		e.answerBy(c)
+	call.id = strconv.FormatUint(e.nextID, 10)
+	e.calls[call.id] = call
+	e.openCalls.Add(1)
+	call.arriving = call.Arriving
+	if !call.arriving {
+		e.armFallbackAnswer(call)
+		return
 	}
-	e.handle(balancer.Request{ID: c.id, Class: c.Class, Deadline: c.Deadline, Repeat: c.Repeat, Cost: c.Cost,
-		Tenant: c.Tenant[:min(len(c.Tenant), MaxTenant)], Among: among, From: c.From[:min(len(c.From), MaxZone)], Size: c.Size})
-	if e.cfg.Held == nil || c.finished.Load() || len(c.attempts) > 0 {
+	now := e.cfg.Clock.Now()
+	call.timeLeft, call.fallbackDelay = call.Deadline-now, call.Last-call.Deadline
+	// A stopped timer marks the call as registered (see markFinished) until Arrived arms the real one.
+	call.fallbackTimer = time.AfterFunc(time.Hour, func() {})
+	call.fallbackTimer.Stop()
+}
+
+// limitPending counts a call that the module left without an attempt, and rejects it when the limit is reached.
+func (e *Engine) limitPending(call *Call) {
+	if e.cfg.Pending == nil || call.finished.Load() || len(call.attempts) > 0 {
 		return
 	}
-	if c.held = e.cfg.Held.Take(1); !c.held {
-		e.refused++
-		// Harmless: nothing was done for it. The module hears that nothing is owed any more.
-		e.finish(c.id, Answer{Verdict: Refused, RetryAfter: refusedRetryAfter})
-		e.handle(balancer.ClientGone{ID: c.id})
+	call.countedPending = e.cfg.Pending.Take(1)
+	if call.countedPending {
+		return
 	}
+	e.rejectedOverLimit++
+	// Retrying is safe: no attempt was made. The module is told, so that it forgets the call.
+	e.finish(call.id, Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
+	e.handle(balancer.ClientGone{ID: call.id})
 }
 
-// among are the ids of the endpoints at some addresses, as the list has them now; false: there are none.
-func (e *Engine) among(addrs []string) (ids []string, ok bool) {
+// endpointIDs returns the ids of the listed endpoints at the given addresses. Nil addresses mean any endpoint; ok is
+// false when addresses are given and none of them is listed.
+func (e *Engine) endpointIDs(addrs []string) (ids []string, ok bool) {
 	if addrs == nil {
 		return nil, true
 	}
-	for _, a := range addrs {
-		if id := e.byAddr[a]; id != "" {
+	for _, addr := range addrs {
+		if id := e.idByAddr[addr]; id != "" {
 			ids = append(ids, id)
 		}
 	}
 	return ids, ids != nil
 }
 
-// refusedRetryAfter is the advice with a refusal that is not the module's.
-const refusedRetryAfter = time.Second
+// rejectionRetryAfter is the advice with a rejection by the engine itself.
+const rejectionRetryAfter = time.Second
 
-// abandon fails a call without the module, which is told that nothing is owed any more.
-func (e *Engine) abandon(c *Call) {
-	e.finish(c.id, Answer{Verdict: Failed})
-	e.handle(balancer.ClientGone{ID: c.id})
+// abandon fails a call without asking the module, which is then told to forget it.
+func (e *Engine) abandon(call *Call) {
+	e.finish(call.id, Answer{Verdict: Failed})
+	e.handle(balancer.ClientGone{ID: call.id})
 }
 
-func (e *Engine) gone(c *Call) {
-	if e.close(c) {
-		e.handle(balancer.ClientGone{ID: c.id})
-		e.forget(c)
+func (e *Engine) callerGone(call *Call) {
+	if e.markFinished(call) {
+		e.handle(balancer.ClientGone{ID: call.id})
+		e.forgetIfDone(call)
 	}
 }
 
-// finish gives a call its final answer, once; false if it had one.
-func (e *Engine) finish(id string, a Answer) bool {
-	c := e.calls[id]
-	if c == nil || !e.close(c) {
+// finish gives a call its final answer; it returns false if the call is unknown or already finished.
+func (e *Engine) finish(id string, answer Answer) bool {
+	call := e.calls[id]
+	if call == nil || !e.markFinished(call) {
 		return false
 	}
-	c.To.Ended(a)
-	e.forget(c)
+	call.To.Ended(answer)
+	e.forgetIfDone(call)
 	return true
 }
 
-// close finishes a call; false if it was before.
-func (e *Engine) close(c *Call) bool {
-	if c.lastCall == nil || !c.finished.CompareAndSwap(false, true) {
+// markFinished ends a call without an answer; it returns false if the call was never registered or is finished.
+func (e *Engine) markFinished(call *Call) bool {
+	if call.fallbackTimer == nil || !call.finished.CompareAndSwap(false, true) {
 		return false
 	}
-	c.lastCall.Stop()
-	e.unhold(c)
+	call.fallbackTimer.Stop()
+	e.releasePending(call)
 	return true
 }
 
-func (e *Engine) unhold(c *Call) {
-	if c.held {
-		c.held = false
-		e.cfg.Held.Give(1)
+func (e *Engine) releasePending(call *Call) {
+	if call.countedPending {
+		call.countedPending = false
+		e.cfg.Pending.Give(1)
 	}
 }
 
-// forget drops a call that is finished and has no attempt out.
-func (e *Engine) forget(c *Call) {
-	if c.finished.Load() && c.out == 0 && e.calls[c.id] == c {
-		delete(e.calls, c.id)
-		delete(e.callerIDs, c.ID)
-		e.open.Add(-1)
+// forgetIfDone removes a call that is finished and has no attempt in flight.
+func (e *Engine) forgetIfDone(call *Call) {
+	if call.finished.Load() && call.attemptsInFlight == 0 && e.calls[call.id] == call {
+		delete(e.calls, call.id)
+		delete(e.callerIDs, call.ID)
+		e.openCalls.Add(-1)
 	}
 }
--- a/internal/route/normalise.go
+++ b/internal/route/normalise.go
@@ -5,25 +5,24 @@
 	"strings"
 )
 
-// Bounds of what is matched.
+// Limits on what can be matched, in bytes.
 const (
-	MaxHost = 253      // bytes of a host name (RFC 1035, section 2.3.4)
-	MaxPath = 16 << 10 // bytes of a path
+	MaxHost = 253      // host name (RFC 1035, section 2.3.4)
+	MaxPath = 16 << 10 // path
 )
 
-// Why a host or path can't be matched.
+// Reasons why a host or path can't be normalised.
 var (
-	ErrHost   = errors.New("the host is no name or address")
-	ErrPath   = errors.New("the path does not begin with a slash, or is too long")
-	ErrEscape = errors.New("the path has a broken or forbidden escape")
-	ErrAbove  = errors.New("the path leads above its root")
+	ErrHost      = errors.New("the host is no name or address")
+	ErrPath      = errors.New("the path does not begin with a slash, or is too long")
+	ErrEscape    = errors.New("the path has a broken or forbidden escape")
+	ErrAboveRoot = errors.New("the path leads above its root")
 )
 
-// Host brings a host, as in a Host header or :authority, to the form that routes are matched in: lower
-// case, without port and without the one trailing dot of a fully qualified name (RFC 3986, sections
-// 3.2.2 and 6.2.2.1). An empty host stays empty and matches only routes for any host. IPv6 addresses
-// keep their brackets and lose the port. Everything but letters, digits, '-', '_' and single dots
-// between labels is refused: names beyond ASCII come in their A-label form (RFC 5890).
+// Host normalises the value of a Host field or :authority (RFC 9110, section 7.2) for matching: lower case, without port
+// and without the one trailing dot of a fully qualified name (RFC 3986, sections 3.2.2 and 6.2.2.1). An empty host stays
+// empty and matches only routes for any host. IPv6 addresses keep their brackets and lose the port. Anything but letters,
+// digits, '-', '_' and single dots between labels is rejected: names beyond ASCII come as A-labels (RFC 5890).
 func Host(s string) (string, error) {
 	if s == "" {
 		return "", nil
@@ -38,7 +37,7 @@
 				return "", ErrHost
 			}
 		}
-		return lower(s[:end+1]), nil
+		return lowerCase(s[:end+1]), nil
 	}
 	if i := strings.IndexByte(s, ':'); i >= 0 {
 		if !isPort(s[i:]) {
@@ -55,10 +54,10 @@
 			return "", ErrHost
 		}
 	}
-	return lower(s), nil
+	return lowerCase(s), nil
 }
 
-// isPort says that s is empty, or a colon and at most five digits.
+// isPort says that s is empty, or a colon followed by at most five digits.
 func isPort(s string) bool {
 	if s == "" {
 		return true
@@ -74,7 +73,8 @@
 	return true
 }
 
-func lower(s string) string {
+// lowerCase returns s in lower case, without an allocation if it already is.
+func lowerCase(s string) string {
 	for _, c := range []byte(s) {
 		if 'A' <= c && c <= 'Z' {
 			return strings.ToLower(s)
@@ -83,24 +83,23 @@
 	return s
 }
 
-// Path brings a path as it was written (escaped, without query) to the form that routes are matched
-// in. In this order:
+// Path normalises a path as the caller wrote it (escaped, without query) for matching. In this order:
 //
 //   - escapes of unreserved characters are decoded, the hexadecimal digits of all others made upper
-//     case (RFC 3986, sections 6.2.2.1 and 6.2.2.2); a broken escape, %00 and control characters are
-//     refused;
-//   - an encoded slash or backslash stays encoded and separates nothing; a bare backslash is refused,
-//     since some servers take it for a slash;
+//     case (RFC 3986, sections 6.2.2.1 and 6.2.2.2); a malformed escape, %00 and control characters
+//     are rejected;
+//   - an encoded slash or backslash stays encoded and separates nothing; a bare backslash is rejected,
+//     since some servers treat it as a slash;
 //   - empty segments are merged: //a///b is /a/b; a trailing slash stays;
-//   - dot segments are removed (section 5.2.4), whether written as dots or escaped; a path that leads
-//     above its root is refused rather than cut, for a server may read it otherwise.
+//   - dot segments are removed (section 5.2.4), whether escaped or not; a path that leads above its
+//     root is rejected rather than cut there, for a server may interpret it in another way.
 //
-// The result begins with a slash. Only matching sees it: servers get the path as the caller wrote it.
+// The result begins with a slash. Only matching uses it: servers get the path as the caller wrote it.
 func Path(s string) (string, error) {
 	if s == "" || s[0] != '/' || len(s) > MaxPath {
 		return "", ErrPath
 	}
-	if plain(s) {
+	if isNormalised(s) {
 		return s, nil
 	}
 	var b strings.Builder
@@ -116,7 +115,7 @@
 		case i+2 >= len(s) || !isHex(s[i+1]) || !isHex(s[i+2]):
 			return "", ErrEscape
 		}
-		v := unhex(s[i+1])<<4 | unhex(s[i+2])
+		v := hexValue(s[i+1])<<4 | hexValue(s[i+2])
 		switch {
 		case v < 0x20 || v == 0x7f:
 			return "", ErrEscape
@@ -129,11 +128,11 @@
 		}
 		i += 2
 	}
-	return removeDots(b.String())
+	return removeDotSegments(b.String())
 }
 
-// plain says that a path is in the form already: the usual case, without an allocation.
-func plain(s string) bool {
+// isNormalised says that a path is already normal: the common case, which needs no allocation.
+func isNormalised(s string) bool {
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
 		case c == '%' || c == '\\' || c < 0x20 || c == 0x7f:
@@ -145,10 +144,10 @@
 	return true
 }
 
-// removeDots merges empty segments and removes dot segments.
-func removeDots(s string) (string, error) {
+// removeDotSegments merges empty segments and removes dot segments.
+func removeDotSegments(s string) (string, error) {
 	out := make([]byte, 0, len(s))
-	last := "" // the segment before the end, if that is no name
+	last := "" // the last segment
 	for rest := s[1:]; ; {
 		segment, more, found := strings.Cut(rest, "/")
 		last = segment
@@ -156,7 +155,7 @@
 		case "", ".":
 		case "..":
 			if len(out) == 0 {
-				return "", ErrAbove
+				return "", ErrAboveRoot
 			}
 			for out[len(out)-1] != '/' {
 				out = out[:len(out)-1]
@@ -171,7 +170,7 @@
 		rest = more
 	}
 	if last == "" || last == "." || last == ".." {
-		out = append(out, '/') // it names a folder
+		out = append(out, '/') // it names a directory
 	}
 	return string(out), nil
 }
@@ -184,7 +183,7 @@
 	return '0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F'
 }
 
-func unhex(c byte) byte {
+func hexValue(c byte) byte {
 	switch {
 	case c <= '9':
 		return c - '0'
