--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -60,7 +60,7 @@
 		}
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			for b.Loop() {
-				share(members, 3, servers, false)
+				assign(members, 3, servers, false)
 			}
 		})
 	}
--- a/internal/fleet/emulated_test.go
+++ b/internal/fleet/emulated_test.go
@@ -34,7 +34,7 @@
 	d.Pool, d.Seq = membership.PoolID("app"), f.seq
 	x, _ := signal.Decode(d.Encode())
 	for _, other := range f.gates[1:] {
-		other.put(word{f.names[0], 0, x})
+		other.deliver(peerDigest{f.names[0], 0, x})
 	}
 	f.w.After(250*time.Millisecond, f.speakNow)
 }
@@ -47,9 +47,9 @@
 	pool := membership.PoolID("app")
 	for i := range n {
 		g := &Gate{pool: pool}
-		g.heard.Store(&Hearsay{})
+		g.hearsay.Store(&Hearsay{})
 		g.role.Store(&Role{Place: membership.Place{Order: f.names, Index: i, Seen: n, Agreed: n}, Share: membership.Share{Divisor: n, Until: math.MaxInt64}, Divisor: n})
-		g.tell = func(d signal.Digest, _ []string) {
+		g.broadcast = func(d signal.Digest, _ []string) {
 			if f.speaker != nil && i == 0 {
 				return
 			}
@@ -61,7 +61,7 @@
 			f.w.After(50*time.Millisecond, func() {
 				for j, other := range f.gates {
 					if j != i {
-						other.put(word{f.names[i], uint64(i), x})
+						other.deliver(peerDigest{f.names[i], uint64(i), x})
 					}
 				}
 			})
@@ -79,7 +79,7 @@
 			panic(fmt.Sprint(err, tier))
 		}
 		m := NewModule(b, f.gates[index], f.names[index], set, func() time.Duration { return f.w.Now() + time.Hour })
-		m.most = math.MaxInt // or the course would hang on the machine's own time
+		m.maxInlinePairs = math.MaxInt // or the course would hang on the machine's own time
 		return m
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -39,41 +39,41 @@
 	Pools     []membership.Service
 }
 
-// calm is how long a member has to be there until one of its flaps is forgiven.
-const calm = 30 * time.Second
+// flapForget is how long a member has to be there until one of its flaps is forgiven.
+const flapForget = 30 * time.Second
 
 // Fleet is this node among the others. Its methods may be called from any goroutine.
 type Fleet struct {
-	cfg  Config
-	run  uint64
-	poke chan struct{}
-	stop chan struct{}
-	done sync.WaitGroup
+	cfg         Config
+	incarnation uint64
+	wakeups     chan struct{}
+	stop        chan struct{}
+	done        sync.WaitGroup
 
 	sent, received atomic.Int64                     // bytes of beats, rolls and digests, without the gossip's own
-	news           *memberlist.TransmitLimitedQueue // digests on their way to all
+	broadcasts     *memberlist.TransmitLimitedQueue // digests on their way to all
 	known          atomic.Int64                     // members
 
-	mu       sync.Mutex // guards what follows; never held over a call of the gossip, which calls back under its own lock
-	list     *memberlist.Memberlist
-	view     *membership.View
-	roll     *membership.Roll
-	share    membership.Share // as of the last round
-	loans    *shares.Book
-	nodes    map[string]memberlist.Node // as last heard of, also those that have failed
-	gates    map[uint32]*Gate
-	pools    map[uint32]string
-	told     map[string]time.Duration // when a member was last told the whole roll
-	leaving  bool
-	stalls   []Stall
-	bad      int // messages that could not be read
-	lateAt   time.Duration
-	dialing  bool
-	retry    time.Duration
-	retryAt  time.Duration
-	closed   bool
-	lastWord map[string]word // that a member told of a pool, without what it said
-	tries    int             // to reach who is lost, in vain
+	mu                 sync.Mutex // guards what follows; never held over a call of the gossip, which calls back under its own lock
+	list               *memberlist.Memberlist
+	view               *membership.View
+	roster             *membership.Roster
+	share              membership.Share // as of the last round
+	loans              *shares.Book
+	nodes              map[string]memberlist.Node // as last heard of, also those that have failed
+	gates              map[uint32]*Gate
+	pools              map[uint32]string
+	rosterSentAt       map[string]time.Duration // when a member was last told the whole roll
+	leaving            bool
+	stalls             []Stall
+	unreadableMessages int // messages that could not be read
+	lastRound          time.Duration
+	dialing            bool
+	retry              time.Duration
+	retryAt            time.Duration
+	closed             bool
+	latestDigests      map[string]peerDigest // that a member told of a pool, without what it said
+	failedJoins        int                   // to reach who is lost, in vain
 }
 
 // Stall is a time in which this process did not run.
@@ -92,28 +92,28 @@
 		cfg.Advertise = cfg.Listen
 	}
 	now := BootTime()
-	f := &Fleet{cfg: cfg, run: rand.Uint64(), poke: make(chan struct{}, 1), stop: make(chan struct{}), nodes: map[string]memberlist.Node{},
-		gates: map[uint32]*Gate{}, pools: map[uint32]string{}, told: map[string]time.Duration{}, lastWord: map[string]word{}, lateAt: now}
-	f.news = &memberlist.TransmitLimitedQueue{RetransmitMult: 2, NumNodes: func() int { return int(f.known.Load()) + 1 }}
-	f.view = membership.NewView(now, f.card(), membership.Settle{After: cfg.Settle, Calm: calm})
-	f.roll = membership.NewRoll(now, cfg.Name, f.run, f.lease())
-	f.loans = shares.NewBook(f.lease().Loan())
+	f := &Fleet{cfg: cfg, incarnation: rand.Uint64(), wakeups: make(chan struct{}, 1), stop: make(chan struct{}), nodes: map[string]memberlist.Node{},
+		gates: map[uint32]*Gate{}, pools: map[uint32]string{}, rosterSentAt: map[string]time.Duration{}, latestDigests: map[string]peerDigest{}, lastRound: now}
+	f.broadcasts = &memberlist.TransmitLimitedQueue{RetransmitMult: 2, NumNodes: func() int { return int(f.known.Load()) + 1 }}
+	f.view = membership.NewView(now, f.card(), membership.Settle{After: cfg.Settle, FlapForget: flapForget})
+	f.roster = membership.NewRoster(now, cfg.Name, f.incarnation, f.lease())
+	f.loans = shares.NewBook(f.lease().MaxLoan())
 	if err := f.open(); err != nil {
 		if !errors.Is(err, errInUse) {
 			return nil, err
 		}
 		log.Printf("fleet: %v; it is tried again until that is free", err)
 	}
-	f.done.Go(f.keep)
+	f.done.Go(f.run)
 	return f, nil
 }
 
 func (f *Fleet) lease() membership.Lease {
-	return membership.Lease{For: f.cfg.Lease, Nodes: f.cfg.Nodes}
+	return membership.Lease{Duration: f.cfg.Lease, Nodes: f.cfg.Nodes}
 }
 
 func (f *Fleet) card() membership.Card {
-	return membership.Card{Name: f.cfg.Name, Run: f.run, Protocol: membership.Protocol, Zone: f.cfg.Zone, Pools: f.cfg.Pools}
+	return membership.Card{Name: f.cfg.Name, Run: f.incarnation, Protocol: membership.Protocol, Zone: f.cfg.Zone, Pools: f.cfg.Pools}
 }
 
 var errInUse = errors.New("the address is in use")
@@ -157,7 +157,7 @@
 	if closed {
 		return l.Shutdown()
 	}
-	log.Printf("fleet: member %s on %s:%d, run %x", f.cfg.Name, host, t.GetAutoBindPort(), f.run)
+	log.Printf("fleet: member %s on %s:%d, run %x", f.cfg.Name, host, t.GetAutoBindPort(), f.incarnation)
 	return nil
 }
 
@@ -172,33 +172,33 @@
 	return host, port, nil
 }
 
-// keep beats, and tries again what failed, until the end.
-func (f *Fleet) keep() {
-	every := f.lease().BeatEvery()
+// run beats, and tries again what failed, until the end.
+func (f *Fleet) run() {
+	every := f.lease().HeartbeatInterval()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	var next time.Duration
 	for {
 		select {
 		case <-timer.C:
-		case <-f.poke:
+		case <-f.wakeups:
 		case <-f.stop:
 			return
 		}
 		now := BootTime()
 		if now >= next {
-			f.beat(now)
+			f.sendHeartbeats(now)
 			next = now + every
 		} else {
 			f.advance(now)
 		}
-		f.again(now)
-		timer.Reset(max(time.Millisecond, min(next, f.due())-now))
+		f.reconnect(now)
+		timer.Reset(max(time.Millisecond, min(next, f.nextChange())-now))
 	}
 }
 
-// due is when the view wants to be asked again.
-func (f *Fleet) due() time.Duration {
+// nextChange is when the view wants to be asked again.
+func (f *Fleet) nextChange() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if at, is := f.view.Next(); is {
@@ -219,16 +219,16 @@
 		return // the gates say that this node has ended
 	}
 	f.view.Advance(now)
-	share := f.roll.Share(now)
+	share := f.roster.Share(now)
 	f.share = share
 	for pool, g := range f.gates {
 		r := f.role(now, pool, share)
-		if was := g.role.Load(); plantStalled && was != nil && was.Until > 0 && !r.Standing(now) {
+		if was := g.role.Load(); plantStalled && was != nil && was.Until > 0 && !r.IsValid(now) {
 			r = was
 		}
 		g.role.Store(r)
 		own := 0.0
-		if r.Standing(now) {
+		if r.IsValid(now) {
 			own = 1 / float64(r.Divisor)
 		}
 		g.share(now, f.loans, own)
@@ -256,16 +256,16 @@
 	return r
 }
 
-// beat sends a round of beats, and notes how long this process has not run.
-func (f *Fleet) beat(now time.Duration) {
+// sendHeartbeats sends a round of beats, and notes how long this process has not run.
+func (f *Fleet) sendHeartbeats(now time.Duration) {
 	f.mu.Lock()
-	if gap := now - f.lateAt; gap > 2*f.lease().BeatEvery() {
+	if gap := now - f.lastRound; gap > 2*f.lease().HeartbeatInterval() {
 		if f.stalls = append(f.stalls, Stall{now, gap}); len(f.stalls) > maxStalls {
 			f.stalls = f.stalls[1:]
 		}
 		log.Printf("fleet: this process did not run for %v; until others are heard again it goes by no share that is older than %v", gap.Round(time.Millisecond), f.cfg.Lease)
 	}
-	f.lateAt = now
+	f.lastRound = now
 	l := f.list
 	type addressed struct {
 		to memberlist.Node
@@ -275,10 +275,10 @@
 	if l != nil && !f.closed {
 		f.loans.Forget(now, func(name string) bool { _, is := f.nodes[name]; return is })
 		wants := f.loans.Wants()
-		for _, name := range f.roll.Round(now) {
+		for _, name := range f.roster.StartRound(now) {
 			if n, is := f.nodes[name]; is {
-				b := append([]byte{beatMessage}, f.roll.Beat(name).Encode()...)
-				lent := f.loans.Lend(now, name, 1/f.share.Part(now), f.share.Until, f.share.Counts)
+				b := append([]byte{heartbeatMessage}, f.roster.Heartbeat(name).Encode()...)
+				lent := f.loans.Lend(now, name, 1/f.share.DivisorAt(now), f.share.Until, f.share.Counts)
 				letters = append(letters, addressed{n, append(b, shares.Encode(wants, lent)...)})
 			}
 		}
@@ -295,14 +295,14 @@
 
 // Between tries to reach who is lost, at first and at the most.
 const (
-	retryFirst = 500 * time.Millisecond
-	retryMost  = 30 * time.Second
-	openAgain  = 100 * time.Millisecond
+	minJoinBackoff = 500 * time.Millisecond
+	maxJoinBackoff = 30 * time.Second
+	reopenInterval = 100 * time.Millisecond
 )
 
-// again opens the gossip if that failed, and looks for members that are not seen: two halves of a fleet that have
+// reconnect opens the gossip if that failed, and looks for members that are not seen: two halves of a fleet that have
 // given each other up never meet unless somebody asks.
-func (f *Fleet) again(now time.Duration) {
+func (f *Fleet) reconnect(now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.dialing || f.closed || f.leaving || now < f.retryAt {
@@ -318,13 +318,13 @@
 		lost = append(lost, f.cfg.Join...)
 	}
 	if f.list != nil && len(lost) == 0 {
-		f.retry, f.retryAt = 0, now+retryFirst
+		f.retry, f.retryAt = 0, now+minJoinBackoff
 		return
 	}
-	f.retry = min(retryMost, max(retryFirst, 2*f.retry))
+	f.retry = min(maxJoinBackoff, max(minJoinBackoff, 2*f.retry))
 	f.retryAt = now + f.retry/2 + rand.N(f.retry)
 	if f.list == nil { // whoever has the address is about to give it up: a predecessor, or a process that has just died
-		f.retry, f.retryAt = 0, now+openAgain
+		f.retry, f.retryAt = 0, now+reopenInterval
 	}
 	f.dialing = true
 	l := f.list
@@ -336,7 +336,7 @@
 		} else {
 			rand.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
 			if n, err := l.Join(lost[:min(len(lost), 3)]); n == 0 && err != nil {
-				f.unreached(err)
+				f.logJoinFailure(err)
 			}
 		}
 		f.mu.Lock()
@@ -346,19 +346,19 @@
 	})
 }
 
-// unreached says why nobody was reached, at first and after ever more tries.
-func (f *Fleet) unreached(err error) {
+// logJoinFailure says why nobody was reached, at first and after ever more tries.
+func (f *Fleet) logJoinFailure(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.tries++; f.tries&(f.tries-1) == 0 {
+	if f.failedJoins++; f.failedJoins&(f.failedJoins-1) == 0 {
 		text := strings.Join(strings.Fields(err.Error()), " ")
-		log.Printf("fleet: nobody was reached, in %d tries, the last: %s", f.tries, text[:min(len(text), maxLogLine)])
+		log.Printf("fleet: nobody was reached, in %d tries, the last: %s", f.failedJoins, text[:min(len(text), maxLogLine)])
 	}
 }
 
 func (f *Fleet) wake() {
 	select {
-	case f.poke <- struct{}{}:
+	case f.wakeups <- struct{}{}:
 	default:
 	}
 }
@@ -371,29 +371,29 @@
 	g := f.gates[id]
 	if g == nil {
 		now := BootTime()
-		g = &Gate{pool: id, tell: f.say, wants: f.wants}
-		g.heard.Store(&Hearsay{})
+		g = &Gate{pool: id, broadcast: f.broadcastDigest, updateDemand: f.updateDemand}
+		g.hearsay.Store(&Hearsay{})
 		f.gates[id], f.pools[id] = g, name
-		g.role.Store(f.role(now, id, f.roll.Share(now)))
+		g.role.Store(f.role(now, id, f.roster.Share(now)))
 	}
 	return g
 }
 
-// wants notes what tenants would take at this node.
-func (f *Fleet) wants(g *Gate, l map[string]float64) {
+// updateDemand notes what tenants would take at this node.
+func (f *Fleet) updateDemand(g *Gate, l map[string]float64) {
 	rations := g.rations()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, share := range l {
-		if share < leastWant {
+		if share < minDemand {
 			share = 0
 		}
 		f.loans.Want(rations[name], share)
 	}
 }
 
-// leastWant is what a want is worth telling from on.
-const leastWant = 0.002
+// minDemand is what a want is worth telling from on.
+const minDemand = 0.002
 
 // SetPools tells others that this node's pools are these, after a reload.
 func (f *Fleet) SetPools(pools []membership.Service) {
@@ -415,7 +415,7 @@
 // Forget takes a member off the roll: whoever calls says that it is dead. One that is not comes back as a new one.
 func (f *Fleet) Forget(name string) error {
 	f.mu.Lock()
-	is := f.roll.Forget(BootTime(), name)
+	is := f.roster.Remove(BootTime(), name)
 	f.mu.Unlock()
 	if !is {
 		return fmt.Errorf("%w: %q", ErrNoMember, name)
@@ -430,11 +430,11 @@
 	f.mu.Lock()
 	now := BootTime()
 	f.leaving = true
-	f.roll.Leave(now)
+	f.roster.Leave(now)
 	f.publish(now)
 	l := f.list
 	f.mu.Unlock()
-	f.beat(now)
+	f.sendHeartbeats(now)
 	if l == nil {
 		return
 	}
@@ -445,7 +445,7 @@
 	if limit > 0 {
 		l.Leave(limit)
 	}
-	f.beat(BootTime()) // a lost beat would have the others wait for a roll
+	f.sendHeartbeats(BootTime()) // a lost beat would have the others wait for a roll
 }
 
 // Close ends it; without Leave others miss this node and take it for failed.
@@ -459,7 +459,7 @@
 	l := f.list
 	for _, g := range f.gates {
 		r := *g.role.Load()
-		r.Share = membership.Share{Divisor: r.Share.Divisor, Why: "this node has ended"}
+		r.Share = membership.Share{Divisor: r.Share.Divisor, Reason: "this node has ended"}
 		g.role.Store(&r)
 	}
 	f.mu.Unlock()
--- a/internal/fleet/gate.go
+++ b/internal/fleet/gate.go
@@ -34,15 +34,15 @@
 // Gate is where a pool's module and the fleet meet: its role, which is read at each decision, what others have seen, and
 // what it has seen itself.
 type Gate struct {
-	pool  uint32
-	role  atomic.Pointer[Role]
-	heard atomic.Pointer[Hearsay]
-	parts atomic.Pointer[Parts]
-	tell  func(d signal.Digest, to []string) // never waits
-	wants func(g *Gate, shares map[string]float64)
+	pool         uint32
+	role         atomic.Pointer[Role]
+	hearsay      atomic.Pointer[Hearsay]
+	parts        atomic.Pointer[Parts]
+	broadcast    func(d signal.Digest, to []string) // never waits
+	updateDemand func(g *Gate, shares map[string]float64)
 
 	mu      sync.Mutex // guards what follows
-	inbox   []word
+	inbox   []peerDigest
 	tenants map[string]shares.Ration
 }
 
@@ -68,7 +68,7 @@
 var noParts = &Parts{}
 
 // ration tells which tenants of the pool have quotas.
-func (g *Gate) ration(uses map[string]*use) {
+func (g *Gate) ration(uses map[string]*demand) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tenants = map[string]shares.Ration{}
@@ -86,9 +86,9 @@
 	return g.tenants
 }
 
-func (g *Gate) want(l map[string]float64) {
-	if g.wants != nil {
-		g.wants(g, l)
+func (g *Gate) reportDemand(l map[string]float64) {
+	if g.updateDemand != nil {
+		g.updateDemand(g, l)
 	}
 }
 
@@ -121,8 +121,8 @@
 	return len(was) == len(is)
 }
 
-// word is what another member has told.
-type word struct {
+// peerDigest is what another member has told.
+type peerDigest struct {
 	from   string
 	run    uint64
 	digest signal.Digest
@@ -134,13 +134,13 @@
 // Role is the latest, and the part that may be taken by it at that time: +Inf if what it stands on is too old.
 func (g *Gate) Role(now time.Duration) (*Role, float64) {
 	r := g.role.Load()
-	if !r.Standing(now) && !(plantStalled && r.Until > 0) {
+	if !r.IsValid(now) && !(plantStalled && r.Until > 0) {
 		return r, math.Inf(1)
 	}
 	return r, float64(r.Divisor)
 }
 
-func (g *Gate) put(w word) {
+func (g *Gate) deliver(w peerDigest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.inbox = append(g.inbox, w); len(g.inbox) > maxInbox {
@@ -148,45 +148,45 @@
 	}
 }
 
-func (g *Gate) hear() (l []word) {
+func (g *Gate) takeInbox() (l []peerDigest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l, g.inbox = g.inbox, nil
 	return l
 }
 
-func (g *Gate) heardOf(h Hearsay) { g.heard.Store(&h) }
+func (g *Gate) setHearsay(h Hearsay) { g.hearsay.Store(&h) }
 
-func (g *Gate) speak(d signal.Digest, to []string) {
-	if g.tell != nil {
-		g.tell(d, to)
+func (g *Gate) send(d signal.Digest, to []string) {
+	if g.broadcast != nil {
+		g.broadcast(d, to)
 	}
 }
 
-// letter is a digest on its way to everybody by the gossip; a later one of the same member and pool takes its place.
-type letter struct {
+// digestBroadcast is a digest on its way to everybody by the gossip; a later one of the same member and pool takes its place.
+type digestBroadcast struct {
 	of  string
 	msg []byte
 }
 
-func (l letter) Name() string    { return l.of }
-func (l letter) Message() []byte { return l.msg }
-func (l letter) Finished()       {}
-func (l letter) Invalidates(o memberlist.Broadcast) bool {
-	x, is := o.(letter)
+func (l digestBroadcast) Name() string    { return l.of }
+func (l digestBroadcast) Message() []byte { return l.msg }
+func (l digestBroadcast) Finished()       {}
+func (l digestBroadcast) Invalidates(o memberlist.Broadcast) bool {
+	x, is := o.(digestBroadcast)
 	return is && x.of == l.of
 }
 
-// say sends a digest at once to those who draw from the same servers, and by the gossip to all.
-func (f *Fleet) say(d signal.Digest, to []string) {
-	b := append([]byte{signalMessage, byte(len(f.cfg.Name))}, f.cfg.Name...)
-	b = binary.LittleEndian.AppendUint64(b, f.run)
+// broadcastDigest sends a digest at once to those who draw from the same servers, and by the gossip to all.
+func (f *Fleet) broadcastDigest(d signal.Digest, to []string) {
+	b := append([]byte{digestMessage, byte(len(f.cfg.Name))}, f.cfg.Name...)
+	b = binary.LittleEndian.AppendUint64(b, f.incarnation)
 	b = append(b, d.Encode()...)
 	f.mu.Lock()
 	l := f.list
 	var nodes []memberlist.Node
 	for _, name := range to {
-		if n, is := f.nodes[name]; is && len(nodes) < maxBeside {
+		if n, is := f.nodes[name]; is && len(nodes) < maxDirectPeers {
 			nodes = append(nodes, n)
 		}
 	}
@@ -195,18 +195,18 @@
 	if !open {
 		return
 	}
-	f.news.QueueBroadcast(letter{f.cfg.Name + "\x00" + string(binary.LittleEndian.AppendUint32(nil, d.Pool)), b})
+	f.broadcasts.QueueBroadcast(digestBroadcast{f.cfg.Name + "\x00" + string(binary.LittleEndian.AppendUint32(nil, d.Pool)), b})
 	for i := range nodes {
 		f.sent.Add(int64(len(b)))
 		l.SendBestEffort(&nodes[i], b)
 	}
 }
 
-// maxBeside bounds whom a digest goes to directly.
-const maxBeside = 64
+// maxDirectPeers bounds whom a digest goes to directly.
+const maxDirectPeers = 64
 
 // told takes a digest, and passes it on as it is if it is news: by the gossip, in the name of who said it.
-func (f *Fleet) toldOf(b []byte) {
+func (f *Fleet) receiveDigest(b []byte) {
 	if len(b) < 2 || int(b[1]) > membership.MaxName || len(b) < 2+int(b[1])+8 {
 		f.unreadable(signal.ErrDigest)
 		return
@@ -222,15 +222,15 @@
 	_, known := f.nodes[from]
 	g := f.gates[d.Pool]
 	key := from + "\x00" + string(binary.LittleEndian.AppendUint32(nil, d.Pool))
-	last := f.lastWord[key]
+	last := f.latestDigests[key]
 	news := known && g != nil && (last.run != run || int32(d.Seq-last.digest.Seq) > 0)
 	if news {
-		f.lastWord[key] = word{run: run, digest: signal.Digest{Seq: d.Seq}}
+		f.latestDigests[key] = peerDigest{run: run, digest: signal.Digest{Seq: d.Seq}}
 	}
 	f.mu.Unlock()
 	if !news {
 		return
 	}
-	g.put(word{from, run, d})
-	f.news.QueueBroadcast(letter{key, slices.Clone(b)})
+	g.deliver(peerDigest{from, run, d})
+	f.broadcasts.QueueBroadcast(digestBroadcast{key, slices.Clone(b)})
 }
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -29,14 +29,14 @@
 
 // Kinds of messages between members, in their first byte.
 const (
-	beatMessage = 1
-	rollMessage = 2
+	heartbeatMessage = 1
+	rosterMessage    = 2
 	// of what a member has seen of servers, in its own name
-	signalMessage = 3
+	digestMessage = 3
 )
 
-// tellEvery bounds how often a member is told the whole roll.
-const tellEvery = time.Second
+// rosterInterval bounds how often a member is told the whole roll.
+const rosterInterval = time.Second
 
 // delegate is what the gossip calls. It calls back under its own lock, so nothing here calls the gossip.
 type delegate struct{ f *Fleet }
@@ -64,7 +64,7 @@
 	if c.Name != f.cfg.Name {
 		if len(f.nodes) < membership.MaxMembers || f.nodes[c.Name].Name != "" {
 			f.nodes[c.Name] = memberlist.Node{Name: n.Name, Addr: n.Addr, Port: n.Port}
-			f.roll.Join(now, c.Name)
+			f.roster.Join(now, c.Name)
 			f.known.Store(int64(len(f.nodes)))
 		}
 	}
@@ -80,7 +80,7 @@
 	f.mu.Lock()
 	f.view.Down(now, n.Name, left)
 	if left {
-		f.roll.Forget(now, n.Name) // by its own word, which nobody else can say
+		f.roster.Remove(now, n.Name) // by its own word, which nobody else can say
 	}
 	f.mu.Unlock()
 	f.wake()
@@ -92,7 +92,7 @@
 		return
 	}
 	d.f.mu.Lock()
-	d.f.view.Twin(BootTime(), c.Name, c.Run)
+	d.f.view.Duplicate(BootTime(), c.Name, c.Run)
 	d.f.mu.Unlock()
 }
 
@@ -110,8 +110,8 @@
 		return
 	}
 	switch b[0] {
-	case beatMessage:
-		x, rest, err := membership.DecodeBeat(b[1:])
+	case heartbeatMessage:
+		x, rest, err := membership.DecodeHeartbeat(b[1:])
 		if err != nil {
 			f.unreadable(err)
 			return
@@ -121,20 +121,20 @@
 			f.unreadable(err)
 			return
 		}
-		f.heard(x, wants, loans)
-	case rollMessage:
+		f.receiveHeartbeat(x, wants, loans)
+	case rosterMessage:
 		d.MergeRemoteState(b[1:], false)
-	case signalMessage:
-		f.toldOf(b)
+	case digestMessage:
+		f.receiveDigest(b)
 	default: // of a later version
 	}
 }
 
-// heard takes a beat, and tells its sender the roll if that seems to know another.
-func (f *Fleet) heard(x membership.Beat, wants []shares.Want, loans []shares.Loan) {
+// receiveHeartbeat takes a beat, and tells its sender the roll if that seems to know another.
+func (f *Fleet) receiveHeartbeat(x membership.Heartbeat, wants []shares.Want, loans []shares.Loan) {
 	now := BootTime()
 	f.mu.Lock()
-	stranger, sent := f.roll.Heard(now, x)
+	stranger, sent := f.roster.Receive(now, x)
 	if _, is := f.nodes[x.From]; is && x.To == membership.NameID(f.cfg.Name) {
 		f.loans.Heard(now, x.From, wants, loans, sent)
 		if len(loans) > 0 {
@@ -142,12 +142,12 @@
 		}
 	}
 	n, known := f.nodes[x.From]
-	if !stranger || !known || f.list == nil || f.closed || now-f.told[x.From] < tellEvery {
+	if !stranger || !known || f.list == nil || f.closed || now-f.rosterSentAt[x.From] < rosterInterval {
 		f.mu.Unlock()
 		return
 	}
-	f.told[x.From] = now
-	l, b := f.list, append([]byte{rollMessage}, membership.EncodeEntries(f.roll.Entries())...)
+	f.rosterSentAt[x.From] = now
+	l, b := f.list, append([]byte{rosterMessage}, membership.EncodeEntries(f.roster.Entries())...)
 	f.done.Go(func() {
 		if l.SendReliable(&n, b) == nil {
 			f.sent.Add(int64(len(b)))
@@ -159,19 +159,19 @@
 func (f *Fleet) unreadable(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.bad++; f.bad == 1 || f.bad%1000 == 0 {
-		log.Printf("fleet: %d messages of members could not be read, the last for: %v", f.bad, err)
+	if f.unreadableMessages++; f.unreadableMessages == 1 || f.unreadableMessages%1000 == 0 {
+		log.Printf("fleet: %d messages of members could not be read, the last for: %v", f.unreadableMessages, err)
 	}
 }
 
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.f.news.GetBroadcasts(overhead, limit)
+	return d.f.broadcasts.GetBroadcasts(overhead, limit)
 }
 
 func (d delegate) LocalState(bool) []byte {
 	d.f.mu.Lock()
 	defer d.f.mu.Unlock()
-	return membership.EncodeEntries(d.f.roll.Entries())
+	return membership.EncodeEntries(d.f.roster.Entries())
 }
 
 func (d delegate) MergeRemoteState(b []byte, _ bool) {
@@ -181,7 +181,7 @@
 		return
 	}
 	d.f.mu.Lock()
-	d.f.roll.Merge(BootTime(), l)
+	d.f.roster.Merge(BootTime(), l)
 	d.f.mu.Unlock()
 	d.f.wake()
 }
--- a/internal/fleet/membership/beat.go
+++ b/internal/fleet/membership/heartbeat.go
@@ -7,32 +7,32 @@
 	"hash/fnv"
 )
 
-// Beat is what each member tells each other one, again and again: that it can act, what it last heard of the other, and
+// Heartbeat is what each member tells each other one, again and again: that it can act, what it last heard of the other, and
 // whom it has not heard. It grants: whoever is echoed may act for a lease from when it sent what is echoed.
-type Beat struct {
-	From    string
-	Run     uint64 // of the sender
-	To      uint64 // NameID of whom it is for
-	Seq     uint64 // grows with each round of the sender's beats
-	Epoch   uint32 // of the sender's entry of the roll
-	Leaving bool   // it acts no more
-	Settled bool   // all that it knows to be seated take part in its majorities
-	Roll    uint64 // what the sender's roll holds, see Roll.Hash
-	Echo    uint64 // the receiver's latest beat that was heard; 0: no grant
-	EchoRun uint64 // of the receiver's process
-	Out     []uint64
+type Heartbeat struct {
+	From       string
+	Run        uint64 // of the sender
+	To         uint64 // NameID of whom it is for
+	Seq        uint64 // grows with each round of the sender's beats
+	Epoch      uint32 // of the sender's entry of the roll
+	Leaving    bool   // it acts no more
+	Settled    bool   // all that it knows to be seated take part in its majorities
+	RosterHash uint64 // what the sender's roll holds, see Roll.Hash
+	Echo       uint64 // the receiver's latest beat that was heard; 0: no grant
+	EchoRun    uint64 // of the receiver's process
+	Out        []uint64
 }
 
 // MaxOut bounds the names in a Beat; of more, those beyond are not claimed to be out, which is the careful side.
 const MaxOut = 100
 
-// MaxBeat is the most bytes of an encoded Beat.
-const MaxBeat = 80 + MaxName + 8*MaxOut
+// MaxHeartbeatBytes is the most bytes of an encoded Beat.
+const MaxHeartbeatBytes = 80 + MaxName + 8*MaxOut
 
-const beatVersion = 1
+const wireVersion = 1
 
-// ErrBeat is the reason for a message that is no Beat.
-var ErrBeat = errors.New("not a beat")
+// ErrHeartbeat is the reason for a message that is no Beat.
+var ErrHeartbeat = errors.New("not a beat")
 
 // NameID is how beats name members.
 func NameID(name string) uint64 {
@@ -42,7 +42,7 @@
 }
 
 // Encode writes the beat.
-func (b Beat) Encode() []byte {
+func (b Heartbeat) Encode() []byte {
 	var flags byte
 	if b.Settled {
 		flags |= 1
@@ -51,9 +51,9 @@
 		flags |= 2
 	}
 	e := binary.LittleEndian
-	t := append(make([]byte, 0, 80+len(b.From)+8*len(b.Out)), beatVersion, flags, byte(len(b.From)))
+	t := append(make([]byte, 0, 80+len(b.From)+8*len(b.Out)), wireVersion, flags, byte(len(b.From)))
 	t = append(t, b.From...)
-	for _, n := range []uint64{b.Run, b.To, b.Seq, b.Roll, b.Echo, b.EchoRun} {
+	for _, n := range []uint64{b.Run, b.To, b.Seq, b.RosterHash, b.Echo, b.EchoRun} {
 		t = e.AppendUint64(t, n)
 	}
 	t = e.AppendUint32(t, b.Epoch)
@@ -65,18 +65,18 @@
 	return t
 }
 
-// DecodeBeat reads a beat, and gives what follows it.
-func DecodeBeat(t []byte) (b Beat, rest []byte, err error) {
+// DecodeHeartbeat reads a beat, and gives what follows it.
+func DecodeHeartbeat(t []byte) (b Heartbeat, rest []byte, err error) {
 	r := reader{b: t}
-	if r.byte() != beatVersion {
-		return Beat{}, nil, fmt.Errorf("%w: another version", ErrBeat)
+	if r.byte() != wireVersion {
+		return Heartbeat{}, nil, fmt.Errorf("%w: another version", ErrHeartbeat)
 	}
 	flags := r.byte()
-	b = Beat{Settled: flags&1 != 0, Leaving: flags&2 != 0, From: r.text(MaxName), Run: r.uint64(), To: r.uint64(), Seq: r.uint64(),
-		Roll: r.uint64(), Echo: r.uint64(), EchoRun: r.uint64(), Epoch: r.uint32()}
+	b = Heartbeat{Settled: flags&1 != 0, Leaving: flags&2 != 0, From: r.text(MaxName), Run: r.uint64(), To: r.uint64(), Seq: r.uint64(),
+		RosterHash: r.uint64(), Echo: r.uint64(), EchoRun: r.uint64(), Epoch: r.uint32()}
 	n := int(r.uint16())
-	if r.bad || n > MaxOut || len(r.b) < 8*n || !GoodName(b.From) || b.Seq == 0 || b.Epoch == 0 {
-		return Beat{}, nil, ErrBeat
+	if r.bad || n > MaxOut || len(r.b) < 8*n || !IsValidName(b.From) || b.Seq == 0 || b.Epoch == 0 {
+		return Heartbeat{}, nil, ErrHeartbeat
 	}
 	for range n {
 		b.Out = append(b.Out, r.uint64())
@@ -109,7 +109,7 @@
 // EncodeEntries writes a roll, and DecodeEntries reads one.
 func EncodeEntries(l []Entry) []byte {
 	l = l[:min(len(l), MaxMembers)]
-	t := binary.LittleEndian.AppendUint16([]byte{beatVersion}, uint16(len(l)))
+	t := binary.LittleEndian.AppendUint16([]byte{wireVersion}, uint16(len(l)))
 	for _, e := range l {
 		var flags byte
 		if e.Seated {
@@ -131,7 +131,7 @@
 // DecodeEntries reads what EncodeEntries wrote.
 func DecodeEntries(t []byte) ([]Entry, error) {
 	r := reader{b: t}
-	if r.byte() != beatVersion {
+	if r.byte() != wireVersion {
 		return nil, fmt.Errorf("%w: another version", ErrEntries)
 	}
 	n := int(r.uint16())
@@ -142,7 +142,7 @@
 	for range n {
 		flags := r.byte()
 		e := Entry{Seated: flags&1 != 0, Gone: flags&2 != 0, Name: r.text(MaxName), Epoch: r.uint32()}
-		if r.bad || !GoodName(e.Name) || e.Epoch == 0 || e.Epoch > MaxEpoch {
+		if r.bad || !IsValidName(e.Name) || e.Epoch == 0 || e.Epoch > MaxEpoch {
 			return nil, ErrEntries
 		}
 		l = append(l, e)
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -21,18 +21,18 @@
 
 // Bounds of all that others tell.
 const (
-	MaxName    = 64   // bytes of a member's name
-	MaxZone    = 32   // bytes of a zone
-	MaxMembers = 4096 // names that are kept, whatever their state
-	MaxPools   = 48   // pools that a card names; a member with more is taken to serve every pool
-	MaxCard    = 512  // bytes of a card, which is what the gossip carries for each member
+	MaxName      = 64   // bytes of a member's name
+	MaxZone      = 32   // bytes of a zone
+	MaxMembers   = 4096 // names that are kept, whatever their state
+	MaxPools     = 48   // pools that a card names; a member with more is taken to serve every pool
+	MaxCardBytes = 512  // bytes of a card, which is what the gossip carries for each member
 )
 
 // Versions of what members say to each other. A member outside of them is not counted as one that takes part, but may
 // act: it keeps its part of every ration.
 const (
-	Protocol      = 1
-	ProtocolLeast = 1
+	Protocol    = 1
+	MinProtocol = 1
 )
 
 // Service is a pool as members compare it: by its name and by what its settings say.
@@ -99,7 +99,7 @@
 // DecodeCard reads a card. What follows it, from a later version, is left unread.
 func DecodeCard(b []byte) (Card, error) {
 	r := reader{b: b}
-	if len(b) > MaxCard {
+	if len(b) > MaxCardBytes {
 		return Card{}, fmt.Errorf("%w: %d bytes", ErrCard, len(b))
 	}
 	c := Card{Protocol: r.byte(), Name: r.text(MaxName), Zone: r.text(MaxZone), Run: r.uint64()}
@@ -116,14 +116,14 @@
 			c.Pools = append(c.Pools, s)
 		}
 	}
-	if r.bad || !GoodName(c.Name) || c.Protocol == 0 {
+	if r.bad || !IsValidName(c.Name) || c.Protocol == 0 {
 		return Card{}, ErrCard
 	}
 	return c, nil
 }
 
-// GoodName says that a name can stand in a log line as it is.
-func GoodName(s string) bool {
+// IsValidName says that a name can stand in a log line as it is.
+func IsValidName(s string) bool {
 	if s == "" || len(s) > MaxName {
 		return false
 	}
--- a/internal/fleet/membership/roll_test.go
+++ b/internal/fleet/membership/roster_test.go
@@ -32,7 +32,7 @@
 
 type proc struct {
 	name    string
-	roll    *Roll
+	roll    *Roster
 	rate    float64 // of its clock
 	began   time.Duration
 	offset  time.Duration
@@ -48,7 +48,7 @@
 type letter struct {
 	at       time.Duration
 	from, to *proc
-	beat     *Beat
+	beat     *Heartbeat
 	entries  []Entry
 	wants    []shares.Want
 	loans    []shares.Loan
@@ -67,15 +67,15 @@
 func (w *world) start(name string, rate float64) *proc {
 	w.runs++
 	p := &proc{name: name, rate: rate, began: w.now, offset: time.Duration(w.runs) * time.Hour, nextAt: w.now, told: map[string]time.Duration{}}
-	p.book = shares.NewBook(w.lease.Loan())
+	p.book = shares.NewBook(w.lease.MaxLoan())
 	p.book.Want(ration, w.want())
-	p.roll = NewRoll(p.clock(w.now), name, w.runs, w.lease)
+	p.roll = NewRoster(p.clock(w.now), name, w.runs, w.lease)
 	w.procs = append(w.procs, p)
 	return p
 }
 
 // own is a process's part of the divisor.
-func (p *proc) own(t time.Duration) float64 { return 1 / p.share.Part(t) }
+func (p *proc) own(t time.Duration) float64 { return 1 / p.share.DivisorAt(t) }
 
 // find is the process that runs under a name; nil if none does.
 func (w *world) find(name string) *proc {
@@ -120,7 +120,7 @@
 			l.to.roll.Merge(t, l.entries)
 			continue
 		}
-		stranger, sent := l.to.roll.Heard(t, *l.beat)
+		stranger, sent := l.to.roll.Receive(t, *l.beat)
 		l.to.book.Heard(t, l.from.name, l.wants, l.loans, sent)
 		if stranger && (l.to.told[l.from.name] == 0 || t-l.to.told[l.from.name] > 200*ms) {
 			l.to.told[l.from.name] = t
@@ -131,12 +131,12 @@
 		if p.dead || p.paused || w.now < p.nextAt {
 			continue
 		}
-		p.nextAt = w.now + w.lease.BeatEvery()
-		for _, to := range p.roll.Round(p.clock(w.now)) {
+		p.nextAt = w.now + w.lease.HeartbeatInterval()
+		for _, to := range p.roll.StartRound(p.clock(w.now)) {
 			if q := w.find(to); q != nil {
-				b, t := p.roll.Beat(to), p.clock(w.now)
+				b, t := p.roll.Heartbeat(to), p.clock(w.now)
 				w.send(letter{from: p, to: q, beat: &b, wants: p.book.Wants(), loans: p.book.Lend(t, to, p.own(t), p.share.Until, func(name string) bool {
-					return slices.Contains(p.share.Count, name)
+					return slices.Contains(p.share.Members, name)
 				})})
 			}
 		}
@@ -159,8 +159,8 @@
 
 func (w *world) tell() (s string) {
 	for _, p := range w.procs {
-		s += fmt.Sprintf("%s dead=%v paused=%v part=%v %+v voters=%v\n", p.name, p.dead, p.paused, p.share.Part(p.clock(w.now)), p.share, p.roll.voters)
-		for _, x := range p.roll.Seats(p.clock(w.now)) {
+		s += fmt.Sprintf("%s dead=%v paused=%v part=%v %+v voters=%v\n", p.name, p.dead, p.paused, p.share.DivisorAt(p.clock(w.now)), p.share, p.roll.voters)
+		for _, x := range p.roll.Members(p.clock(w.now)) {
 			s += fmt.Sprintf("    %+v\n", x)
 		}
 	}
@@ -207,7 +207,7 @@
 func (w *world) parts() (l []float64) {
 	for _, p := range w.procs {
 		if !p.dead {
-			l = append(l, p.share.Part(p.clock(w.now)))
+			l = append(l, p.share.DivisorAt(p.clock(w.now)))
 		}
 	}
 	return l
@@ -249,7 +249,7 @@
 		"twins":           {3, 3, func(w *world) { p := w.start("n0", 1); p.name = "twin"; w.meet(w.procs[1], p) }, []float64{3, 3, 3, inf}, []float64{3, 3, 3, inf}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(Lease{For: time.Second, Nodes: c.nodes})
+			w := newWorld(Lease{Duration: time.Second, Nodes: c.nodes})
 			w.group(c.n)
 			w.run(t, settled)
 			c.fault(w)
@@ -295,7 +295,7 @@
 		// found another, and no process comes back without its memory.
 		more := rapid.IntRange(0, (n-1)/2).Draw(t, "more")
 		grows := rapid.Bool().Draw(t, "grows")
-		w := newWorld(Lease{For: time.Second, Nodes: n + more})
+		w := newWorld(Lease{Duration: time.Second, Nodes: n + more})
 		if grows {
 			w.lease.Nodes = n
 		}
@@ -427,7 +427,7 @@
 			return
 		}
 		for _, p := range live {
-			if got := p.share.Part(p.clock(w.now)); got != float64(len(live)) {
+			if got := p.share.DivisorAt(p.clock(w.now)); got != float64(len(live)) {
 				t.Fatalf("%d members are there, all is mended, and %s has a part of 1/%v\n%s", len(live), p.name, got, w.tell())
 			}
 		}
@@ -437,7 +437,7 @@
 // TestLoans: with use at one of eight members only, and then at another, that one has nearly all of the whole within two
 // leases, and all together never more.
 func TestLoans(t *testing.T) {
-	w := newWorld(Lease{For: time.Second, Nodes: 8})
+	w := newWorld(Lease{Duration: time.Second, Nodes: 8})
 	w.group(8)
 	w.run(t, 4*time.Second)
 	for _, who := range []int{0, 5} {
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -9,8 +9,8 @@
 
 // Settle says how slowly a view follows what is seen.
 type Settle struct {
-	After time.Duration // a member that is seen to come or go for so long, without a break, has
-	Calm  time.Duration // a member that was there for so long is forgiven one flap
+	After      time.Duration // a member that is seen to come or go for so long, without a break, has
+	FlapForget time.Duration // a member that was there for so long is forgiven one flap
 }
 
 // maxFlaps bounds how often a flapping member doubles the time that it must stay: 32 times After.
@@ -62,7 +62,7 @@
 func (v *View) Up(now time.Duration, c Card, addr string) {
 	if c.Name == v.me.Name {
 		if c.Run != v.me.Run {
-			v.Twin(now, c.Name, c.Run)
+			v.Duplicate(now, c.Name, c.Run)
 		}
 		return
 	}
@@ -108,8 +108,8 @@
 	v.history.add(Change{now, name, "failed", "nobody reaches it"})
 }
 
-// Twin is told of two processes with one name.
-func (v *View) Twin(now time.Duration, name string, run uint64) {
+// Duplicate is told of two processes with one name.
+func (v *View) Duplicate(now time.Duration, name string, run uint64) {
 	m := v.members[name]
 	if m == nil || m.Twin == run {
 		return
@@ -121,7 +121,7 @@
 // flap counts that a member came back after it had been given up.
 func (m *Member) flap(now time.Duration, s Settle) {
 	m.Flaps = min(m.Flaps+1, maxFlaps)
-	m.calm = now + s.Calm
+	m.calm = now + s.FlapForget
 }
 
 // due is when a member's place changes if nothing happens before; false: never.
@@ -151,7 +151,7 @@
 		}
 		if m.Flaps > 0 && m.State == Alive && m.Agreed && now >= m.calm {
 			m.Flaps--
-			m.calm = now + v.settle.Calm
+			m.calm = now + v.settle.FlapForget
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	own, _ := v.me.serves(pool)
 	digest, is := m.serves(pool)
 	switch {
-	case m.Protocol < ProtocolLeast || m.Protocol > Protocol:
+	case m.Protocol < MinProtocol || m.Protocol > Protocol:
 		return Foreign
 	case !is:
 		return Without
--- a/internal/fleet/membership/view_test.go
+++ b/internal/fleet/membership/view_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-var settle = Settle{After: time.Second, Calm: 30 * time.Second}
+var settle = Settle{After: time.Second, FlapForget: 30 * time.Second}
 
 func card(name string, run uint64) Card {
 	return Card{Name: name, Run: run, Protocol: Protocol, Zone: "a", Pools: []Service{{PoolID("app"), 7}}}
@@ -175,21 +175,21 @@
 		c.Pools = append(c.Pools, Service{uint32(i) + 10, 1})
 	}
 	c.Name, c.Zone = strings.Repeat("n", MaxName), strings.Repeat("z", MaxZone)
-	if b := c.Encode(); len(b) > MaxCard {
+	if b := c.Encode(); len(b) > MaxCardBytes {
 		t.Errorf("a card of %d bytes", len(b))
 	} else if got, err := DecodeCard(b); err != nil || !got.All {
 		t.Errorf("%+v, %v", got, err)
 	}
-	beat := Beat{From: "n1", Run: 1, To: 2, Seq: 3, Epoch: 4, Settled: true, Roll: 5, Echo: 6, EchoRun: 7, Out: []uint64{8, 9}}
-	if got, _, err := DecodeBeat(beat.Encode()); err != nil || !reflect.DeepEqual(got, beat) {
+	beat := Heartbeat{From: "n1", Run: 1, To: 2, Seq: 3, Epoch: 4, Settled: true, RosterHash: 5, Echo: 6, EchoRun: 7, Out: []uint64{8, 9}}
+	if got, _, err := DecodeHeartbeat(beat.Encode()); err != nil || !reflect.DeepEqual(got, beat) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	for _, bad := range []Beat{{From: strings.Repeat("n", 200), Seq: 1, Epoch: 1}, {From: "n", Epoch: 1}, {From: "a b", Seq: 1, Epoch: 1}} {
-		if _, _, err := DecodeBeat(bad.Encode()); !errors.Is(err, ErrBeat) {
+	for _, bad := range []Heartbeat{{From: strings.Repeat("n", 200), Seq: 1, Epoch: 1}, {From: "n", Epoch: 1}, {From: "a b", Seq: 1, Epoch: 1}} {
+		if _, _, err := DecodeHeartbeat(bad.Encode()); !errors.Is(err, ErrHeartbeat) {
 			t.Errorf("%+v is taken: %v", bad, err)
 		}
 	}
-	if beat.Out = make([]uint64, 1000); len(beat.Encode()) > MaxBeat {
+	if beat.Out = make([]uint64, 1000); len(beat.Encode()) > MaxHeartbeatBytes {
 		t.Errorf("a beat of %d bytes", len(beat.Encode()))
 	}
 }
@@ -197,7 +197,7 @@
 // FuzzDecode: what is read is written as it was read, and nothing read is over its bounds.
 func FuzzDecode(f *testing.F) {
 	f.Add(card("n1", 3).Encode())
-	f.Add(Beat{From: "n1", Run: 1, To: 2, Seq: 3, Epoch: 4, Out: []uint64{8}}.Encode())
+	f.Add(Heartbeat{From: "n1", Run: 1, To: 2, Seq: 3, Epoch: 4, Out: []uint64{8}}.Encode())
 	f.Add(EncodeEntries([]Entry{{"n1", 1, true, false}, {"n2", 7, false, true}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if c, err := DecodeCard(b); err == nil {
@@ -205,14 +205,14 @@
 				t.Errorf("%x is read as %+v", b, c)
 			}
 		}
-		if x, _, err := DecodeBeat(b); err == nil {
-			if y, _, err := DecodeBeat(x.Encode()); err != nil || !reflect.DeepEqual(x, y) || len(x.Out) > MaxOut {
+		if x, _, err := DecodeHeartbeat(b); err == nil {
+			if y, _, err := DecodeHeartbeat(x.Encode()); err != nil || !reflect.DeepEqual(x, y) || len(x.Out) > MaxOut {
 				t.Errorf("%x is read as %+v", b, x)
 			}
-			r := NewRoll(0, "me", 1, Lease{For: time.Second, Nodes: 3})
+			r := NewRoster(0, "me", 1, Lease{Duration: time.Second, Nodes: 3})
 			x.To = NameID("me")
-			r.Heard(time.Second, x)
-			if r.Share(time.Second).Standing(time.Second) || len(r.seats) > 2 {
+			r.Receive(time.Second, x)
+			if r.Share(time.Second).IsValid(time.Second) || len(r.members) > 2 {
 				t.Errorf("%+v alone gives standing or more than one name", x)
 			}
 		}
@@ -226,7 +226,7 @@
 
 func BenchmarkRoll(b *testing.B) {
 	for _, n := range []int{5, 50, 300} {
-		w := newWorld(Lease{For: time.Second, Nodes: n})
+		w := newWorld(Lease{Duration: time.Second, Nodes: n})
 		w.group(n)
 		for range 50 {
 			w.step(50 * ms)
@@ -239,7 +239,7 @@
 		})
 		b.Run(fmt.Sprintf("beat/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				p.roll.Beat("n1")
+				p.roll.Heartbeat("n1")
 			}
 		})
 	}
--- a/internal/fleet/model/model.go
+++ b/internal/fleet/model/model.go
@@ -97,7 +97,7 @@
 		return membership.Card{Name: name(i), Run: 1, Protocol: membership.Protocol, Pools: []membership.Service{{ID: 1, Digest: 1}}}
 	}
 	for i := range c.Members {
-		n := &node{view: membership.NewView(0, card(i), membership.Settle{After: c.Settle, Calm: 30 * time.Second}), known: make([]belief, c.Members)}
+		n := &node{view: membership.NewView(0, card(i), membership.Settle{After: c.Settle, FlapForget: 30 * time.Second}), known: make([]belief, c.Members)}
 		for j := range c.Members {
 			n.view.Up(0, card(j), "")
 		}
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -24,95 +24,95 @@
 // was stopped finds its part gone, for the grants that it stands on have run out meanwhile, before it decides anything
 // else. Of what passes it notes how calls end, for the others. Like its module it belongs to one goroutine.
 type Module struct {
-	in    Decider
-	gate  *Gate
-	now   func() time.Duration
-	sized bool // the list tells sizes, which the shared order goes by
-	me    uint64
-	uses  map[string]*use // of tenants with a quota
+	decider Decider
+	gate    *Gate
+	now     func() time.Duration
+	sized   bool // the list tells sizes, which the shared order goes by
+	me      uint64
+	uses    map[string]*demand // of tenants with a quota
 
-	listed map[string]balancer.Server
-	boots  map[string]time.Duration // of the ready ones
-	change bool                     // of the list, since it was last shared out
-	order  []string                 // of members, that it was shared out to
-	plan   chan plan                // of a sharing that is under way; nil: none is
-	owners map[string][]uint64      // of each server: members that draw from it, as of the last sharing
-	most   int                      // pairs of members and servers that are shared out on the engine's goroutine
-	mover  *subset.Mover
-	book   *signal.Book
-	beside []string // members that draw from any server that this one does
+	listed         map[string]balancer.Server
+	startedAt      map[string]time.Duration // of the ready ones
+	listChanged    bool                     // of the list, since it was last shared out
+	order          []string                 // of members, that it was shared out to
+	pending        chan assignment          // of a sharing that is under way; nil: none is
+	owners         map[string][]uint64      // of each server: members that draw from it, as of the last sharing
+	maxInlinePairs int                      // pairs of members and servers that are shared out on the engine's goroutine
+	mover          *subset.Mover
+	book           *signal.Book
+	peers          []string // members that draw from any server that this one does
 
-	part   float64
-	place  [2]int
-	set    []string
-	aside  []balancer.Aside
-	looked time.Duration
-	spoke  time.Duration
-	urgent bool // a call has ended badly since
-	quotas *Parts
-	counts time.Duration // when uses were last reckoned
+	part      float64
+	place     [2]int
+	set       []string
+	aside     []balancer.Aside
+	checkedAt time.Duration
+	sentAt    time.Duration
+	urgent    bool // a call has ended badly since
+	quotas    *Parts
+	countedAt time.Duration // when uses were last reckoned
 }
 
-// use is what a tenant asks of this node.
-type use struct {
-	quota float64 // of all nodes, requests a second
-	asked int     // since it was last reckoned
-	rate  float64
+// demand is what a tenant asks of this node.
+type demand struct {
+	quota    float64 // of all nodes, requests a second
+	requests int     // since it was last reckoned
+	rate     float64
 }
 
-// countEvery is how often what tenants ask is reckoned; the latest counts for half.
-const countEvery = 250 * time.Millisecond
+// demandInterval is how often what tenants ask is reckoned; the latest counts for half.
+const demandInterval = 250 * time.Millisecond
 
-// count tells the fleet what tenants would take here, as shares of their quotas.
-func (m *Module) count(at time.Duration) {
-	if len(m.uses) == 0 || at < m.counts+countEvery {
+// reportDemand tells the fleet what tenants would take here, as shares of their quotas.
+func (m *Module) reportDemand(at time.Duration) {
+	if len(m.uses) == 0 || at < m.countedAt+demandInterval {
 		return
 	}
-	long := (at - m.counts).Seconds()
-	m.counts = at
-	if long > 10*countEvery.Seconds() { // nothing has come for a while
-		long = 10 * countEvery.Seconds()
+	long := (at - m.countedAt).Seconds()
+	m.countedAt = at
+	if long > 10*demandInterval.Seconds() { // nothing has come for a while
+		long = 10 * demandInterval.Seconds()
 	}
 	shares := make(map[string]float64, len(m.uses))
 	for name, u := range m.uses {
-		u.rate = (u.rate + float64(u.asked)/long) / 2
-		u.asked = 0
+		u.rate = (u.rate + float64(u.requests)/long) / 2
+		u.requests = 0
 		shares[name] = u.rate / u.quota
 	}
-	m.gate.want(shares)
+	m.gate.reportDemand(shares)
 }
 
-// plan is how servers are shared out.
-type plan struct {
+// assignment is how servers are shared out.
+type assignment struct {
 	mine   []string // sorted; nil: there is nobody to share with
 	owners map[string][]uint64
-	beside []string
+	peers  []string
 }
 
 // Times of the module's looks.
 const (
-	lookEvery  = 20 * time.Millisecond
-	speakEvery = 250 * time.Millisecond // what a member says changes no more often
-	moveEvery  = 200 * time.Millisecond
-	// atOnce is how many pairs of members and servers are shared out on the engine's goroutine.
-	atOnce = 20_000
+	checkInterval  = 20 * time.Millisecond
+	digestInterval = 250 * time.Millisecond // what a member says changes no more often
+	moveInterval   = 200 * time.Millisecond
+	// maxInlineAssignment is how many pairs of members and servers are shared out on the engine's goroutine.
+	maxInlineAssignment = 20_000
 )
 
 // NewModule returns a module that goes by a gate; now tells the time that the gate goes by.
 func NewModule(in Decider, g *Gate, me string, s balancer.Settings, now func() time.Duration) *Module {
 	id := membership.NameID(me)
-	uses := make(map[string]*use, len(s.Tenants))
+	uses := make(map[string]*demand, len(s.Tenants))
 	for _, t := range s.Tenants {
 		if t.Quota > 0 {
-			uses[t.Name] = &use{quota: t.Quota}
+			uses[t.Name] = &demand{quota: t.Quota}
 		}
 	}
 	g.ration(uses)
 	book := signal.NewBook(g.pool, id)
 	book.Gullible = plantGullible
 	sized := s.Sizes == balancer.SizesNominal || s.Sizes == balancer.SizesRough
-	return &Module{uses: uses, in: in, gate: g, now: now, sized: sized, me: id, listed: map[string]balancer.Server{}, boots: map[string]time.Duration{},
-		most: atOnce, mover: subset.NewMover(moveEvery), book: book, looked: math.MinInt64, quotas: &Parts{}}
+	return &Module{uses: uses, decider: in, gate: g, now: now, sized: sized, me: id, listed: map[string]balancer.Server{}, startedAt: map[string]time.Duration{},
+		maxInlinePairs: maxInlineAssignment, mover: subset.NewMover(moveInterval), book: book, checkedAt: math.MinInt64, quotas: &Parts{}}
 }
 
 // Handle passes an event on, after what has changed.
@@ -120,10 +120,10 @@
 	at := m.now()
 	switch x := e.(type) {
 	case balancer.ServerList:
-		m.list(x)
+		m.updateServers(x)
 	case balancer.Request:
 		if u := m.uses[x.Tenant]; u != nil && !x.Repeat {
-			u.asked++
+			u.requests++
 		}
 	case balancer.Outcome:
 		bad := x.Ending == balancer.Failure || x.Ending == balancer.TimedOut || x.Ending == balancer.Unreachable || x.Ending == balancer.Broken
@@ -132,24 +132,24 @@
 	}
 	role, part := m.gate.Role(at)
 	quotas := m.gate.quotas(at)
-	if part != m.part || at >= m.looked+lookEvery || m.change || quotas != m.quotas {
-		m.looked = at
-		actions = m.look(now, at, role, part, quotas)
+	if part != m.part || at >= m.checkedAt+checkInterval || m.listChanged || quotas != m.quotas {
+		m.checkedAt = at
+		actions = m.update(now, at, role, part, quotas)
 	}
-	return append(actions, m.in.Handle(now, e)...)
+	return append(actions, m.decider.Handle(now, e)...)
 }
 
 // lie is what a member tells that is planted to: that a few servers fail, the same all the time.
 func (m *Module) lie() signal.Digest {
-	d := signal.Digest{Pool: m.gate.pool, Seq: uint32(m.spoke / time.Millisecond), Draws: math.MaxUint16}
+	d := signal.Digest{Pool: m.gate.pool, Seq: uint32(m.sentAt / time.Millisecond), Draws: math.MaxUint16}
 	for _, id := range slices.Sorted(maps.Keys(m.listed))[:min(len(m.listed), 3)] {
 		d.Facts = append(d.Facts, signal.Fact{Server: signal.ID(id), Boot: signal.BootByte(m.listed[id].Boot), Bad: 9, Streak: 9})
 	}
 	return d
 }
 
-// list keeps what is listed.
-func (m *Module) list(x balancer.ServerList) {
+// updateServers keeps what is listed.
+func (m *Module) updateServers(x balancer.ServerList) {
 	if x.Full {
 		clear(m.listed)
 	}
@@ -160,18 +160,18 @@
 			m.listed[s.ID] = s
 		}
 	}
-	m.change = m.change || x.Full || len(x.Servers) > 0
+	m.listChanged = m.listChanged || x.Full || len(x.Servers) > 0
 }
 
-// look tells the module what has changed.
-func (m *Module) look(now, at time.Duration, r *Role, part float64, quotas *Parts) (actions []balancer.Action) {
-	if m.change || !slices.Equal(m.order, r.Order) {
-		m.share(r)
+// update tells the module what has changed.
+func (m *Module) update(now, at time.Duration, r *Role, part float64, quotas *Parts) (actions []balancer.Action) {
+	if m.listChanged || !slices.Equal(m.order, r.Order) {
+		m.assignSubsets(r)
 	}
-	if m.plan != nil {
+	if m.pending != nil {
 		select {
-		case p := <-m.plan:
-			m.take(p)
+		case p := <-m.pending:
+			m.adoptAssignment(p)
 		default:
 		}
 	}
@@ -182,52 +182,52 @@
 		if math.IsInf(part, 1) {
 			of = nil // what it stood on is too old for what was lent, too
 		}
-		actions = append(actions, m.in.Handle(now, balancer.Fleet{Balancers: r.Agreed, Index: r.Index, Divisor: part, Subset: set, Quotas: of})...)
+		actions = append(actions, m.decider.Handle(now, balancer.Fleet{Balancers: r.Agreed, Index: r.Index, Divisor: part, Subset: set, Quotas: of})...)
 	}
-	m.count(at)
-	actions = append(actions, m.listen(now, at)...)
-	if (at >= m.spoke+speakEvery || m.urgent && at >= m.spoke+lookEvery) && len(m.order) > 1 {
-		m.spoke, m.urgent = at, false
+	m.reportDemand(at)
+	actions = append(actions, m.applyDigests(now, at)...)
+	if (at >= m.sentAt+digestInterval || m.urgent && at >= m.sentAt+checkInterval) && len(m.order) > 1 {
+		m.sentAt, m.urgent = at, false
 		if d, is := m.book.Digest(at); is || plantLiar {
 			if plantLiar {
 				d = m.lie()
 			}
-			m.gate.speak(d, m.beside)
+			m.gate.send(d, m.peers)
 		}
 	}
 	return actions
 }
 
-// share has the servers shared out among the members that count; of many it takes the answer later.
-func (m *Module) share(r *Role) {
-	if m.plan != nil {
+// assignSubsets has the servers shared out among the members that count; of many it takes the answer later.
+func (m *Module) assignSubsets(r *Role) {
+	if m.pending != nil {
 		return // one after the other: it is looked at again
 	}
-	m.change, m.order = false, r.Order
-	clear(m.boots)
+	m.listChanged, m.order = false, r.Order
+	clear(m.startedAt)
 	servers := make([]balancer.Server, 0, len(m.listed))
 	for _, s := range m.listed {
 		if s.State == balancer.Ready {
 			servers = append(servers, s)
-			m.boots[s.ID] = s.Boot
+			m.startedAt[s.ID] = s.Boot
 		}
 	}
 	order, me, sized := m.order, r.Index, m.sized
 	if len(order) < 2 || me >= len(order) {
-		m.take(plan{})
+		m.adoptAssignment(assignment{})
 		return
 	}
-	if len(order)*len(servers) <= m.most {
-		m.take(share(order, me, servers, sized))
+	if len(order)*len(servers) <= m.maxInlinePairs {
+		m.adoptAssignment(assign(order, me, servers, sized))
 		return
 	}
-	done := make(chan plan, 1)
-	m.plan = done
-	go func() { done <- share(order, me, servers, sized) }()
+	done := make(chan assignment, 1)
+	m.pending = done
+	go func() { done <- assign(order, me, servers, sized) }()
 }
 
-// share shares servers out. Their order is the module's own, so that the groups are.
-func share(members []string, me int, servers []balancer.Server, sized bool) (p plan) {
+// assign shares servers out. Their order is the module's own, so that the groups are.
+func assign(members []string, me int, servers []balancer.Server, sized bool) (p assignment) {
 	size := func(s balancer.Server) float64 {
 		if sized && s.Size > 0 {
 			return s.Size
@@ -258,7 +258,7 @@
 			p.mine = append(p.mine, s.ID)
 		}
 		slices.Sort(p.mine)
-		p.beside = slices.Delete(slices.Clone(members), me, me+1)
+		p.peers = slices.Delete(slices.Clone(members), me, me+1)
 		return p
 	}
 	with := map[uint64]bool{}
@@ -271,39 +271,39 @@
 	slices.Sort(p.mine)
 	for j, name := range members {
 		if j != me && with[ids[j]] {
-			p.beside = append(p.beside, name)
+			p.peers = append(p.peers, name)
 		}
 	}
 	return p
 }
 
-// take goes over to a sharing.
-func (m *Module) take(p plan) {
-	m.plan, m.owners, m.beside = nil, p.owners, p.beside
+// adoptAssignment goes over to a sharing.
+func (m *Module) adoptAssignment(p assignment) {
+	m.pending, m.owners, m.peers = nil, p.owners, p.peers
 	if p.mine == nil { // nobody to share with: all are this node's, at once
-		m.mover = subset.NewMover(moveEvery)
+		m.mover = subset.NewMover(moveInterval)
 	}
-	m.mover.Aim(p.mine, func(id string) bool { _, is := m.boots[id]; return is })
+	m.mover.Aim(p.mine, func(id string) bool { _, is := m.startedAt[id]; return is })
 	draws := len(p.mine)
 	if draws == 0 {
-		draws = len(m.boots)
+		draws = len(m.startedAt)
 	}
-	m.book.List(m.boots, draws)
+	m.book.List(m.startedAt, draws)
 }
 
-// listen takes what others have told, and tells the module what is made of it.
-func (m *Module) listen(now, at time.Duration) []balancer.Action {
-	for _, w := range m.gate.hear() {
+// applyDigests takes what others have told, and tells the module what is made of it.
+func (m *Module) applyDigests(now, at time.Duration) []balancer.Action {
+	for _, w := range m.gate.takeInbox() {
 		m.book.Heard(at, w.from, membership.NameID(w.from), w.run, w.digest)
 	}
 	verdicts := m.book.Verdicts(at, func(server string) []uint64 { return m.owners[server] }, rotation.Place)
-	m.gate.heardOf(Hearsay{Verdicts: verdicts, Set: m.set, Moving: m.mover.Moving()})
+	m.gate.setHearsay(Hearsay{Verdicts: verdicts, Set: m.set, Moving: m.mover.Moving()})
 	var l, news []balancer.Aside
 	for _, v := range verdicts {
 		l = append(l, balancer.Aside{ID: v.Server, StartedAt: v.Boot, Until: now + v.Until - at})
 	}
 	for _, a := range l { // whom the module has not been told of, but for what the two clocks differ by
-		if i := slices.IndexFunc(m.aside, func(b balancer.Aside) bool { return b.ID == a.ID && b.StartedAt == a.StartedAt }); i < 0 || (m.aside[i].Until-a.Until).Abs() > lookEvery {
+		if i := slices.IndexFunc(m.aside, func(b balancer.Aside) bool { return b.ID == a.ID && b.StartedAt == a.StartedAt }); i < 0 || (m.aside[i].Until-a.Until).Abs() > checkInterval {
 			news = append(news, a)
 		}
 	}
@@ -316,7 +316,7 @@
 	if len(news) == 0 {
 		return nil
 	}
-	return m.in.Handle(now, balancer.Hearsay{Aside: news})
+	return m.decider.Handle(now, balancer.Hearsay{Aside: news})
 }
 
 type learner interface {
@@ -326,7 +326,7 @@
 
 // Knowledge is what the module behind it has learned; nil if it can't tell.
 func (m *Module) Knowledge() *balancer.Knowledge {
-	if l, is := m.in.(learner); is {
+	if l, is := m.decider.(learner); is {
 		return l.Knowledge()
 	}
 	return nil
@@ -334,7 +334,7 @@
 
 // Learn has the module behind it go on with that, if it can.
 func (m *Module) Learn(k *balancer.Knowledge) {
-	if l, is := m.in.(learner); is {
+	if l, is := m.decider.(learner); is {
 		l.Learn(k)
 	}
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -109,8 +109,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := BootTime()
-	s := Status{Name: f.cfg.Name, Run: fmt.Sprintf("%x", f.run), At: time.Now(), Open: l != nil, LeaseMS: millis(f.cfg.Lease), Nodes: f.cfg.Nodes,
-		Roll: fmt.Sprintf("%016x", f.roll.Hash()), Health: health, Sent: f.sent.Load(), Got: f.received.Load(), Bad: f.bad}
+	s := Status{Name: f.cfg.Name, Run: fmt.Sprintf("%x", f.incarnation), At: time.Now(), Open: l != nil, LeaseMS: millis(f.cfg.Lease), Nodes: f.cfg.Nodes,
+		Roll: fmt.Sprintf("%016x", f.roster.Hash()), Health: health, Sent: f.sent.Load(), Got: f.received.Load(), Bad: f.unreadableMessages}
 	members := map[string]*MemberStatus{}
 	get := func(name string) *MemberStatus {
 		m := members[name]
@@ -129,10 +129,10 @@
 			x.Twin = fmt.Sprintf("%x", m.Twin)
 		}
 	}
-	for name, run := range f.roll.Twins() {
+	for name, run := range f.roster.Duplicates() {
 		get(name).Twin = fmt.Sprintf("%x", run)
 	}
-	for _, e := range f.roll.Seats(now) {
+	for _, e := range f.roster.Members(now) {
 		x := get(e.Name)
 		x.Seated, x.Gone, x.Out, x.Same, x.HeardMS = e.Seated, e.Gone, e.Out, e.Same, millis(e.Heard)
 	}
@@ -143,8 +143,8 @@
 	for id, name := range f.pools {
 		r, part := f.gates[id].Role(now) // what the pool's module goes by
 		p := PoolStatus{Pool: name, Index: r.Index, Seen: r.Seen, Agreed: r.Agreed, Divisor: r.Divisor, Standing: !math.IsInf(part, 1), Granted: r.Granted,
-			Wanted: r.Wanted, Of100: 100 / part, Why: r.Why, Order: r.Order}
-		h := f.gates[id].heard.Load()
+			Wanted: r.Wanted, Of100: 100 / part, Why: r.Reason, Order: r.Order}
+		h := f.gates[id].hearsay.Load()
 		p.Subset, p.Moving = h.Set, h.Moving
 		for _, v := range h.Verdicts {
 			p.Aside = append(p.Aside, AsideStatus{v.Server, millis(max(0, v.Until-now)), v.By})
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -56,7 +56,7 @@
 			x.fault(d.key, "%v is not between %v and %v", d.is, d.least, d.most)
 		}
 	}
-	if !membership.GoodName(p.Name) {
+	if !membership.IsValidName(p.Name) {
 		t.fault("name", "%q can't be a member's: 1 to %d visible characters without spaces", p.Name, membership.MaxName)
 	} else if !t.has("name") {
 		x.fault("listen", "a member needs a name of its own: say name = \"...\" at the top of the file")
