--- a/cmd/drill/members.go
+++ b/cmd/drill/members.go
@@ -30,7 +30,7 @@
 }
 
 // planted are the breaches that are built into the program.
-var planted = map[string]string{"seen": "plant_seen", "stalled": "plant_stalled", "gullible": "plant_gullible"}
+var planted = map[string]rigs.Mutation{"seen": rigs.MutationSeen, "stalled": rigs.MutationStalled, "gullible": rigs.MutationGullible}
 
 // plantedInProgram is what drills without a fleet do with such a breach.
 func plantedInProgram(context.Context, *rig) error {
@@ -40,9 +40,9 @@
 // fleetOf starts a fleet as the drill's options say.
 func (r *rig) fleetOf(c rigs.FleetConfig) (*rigs.Fleet, error) {
 	c.Program, c.Seed, c.Slack = r.program, r.seed, r.slack
-	if tag := planted[r.plant]; tag != "" {
+	if mutation := planted[r.plant]; mutation != "" {
 		var err error
-		if c.Program, err = rigs.Build(r.dir, tag); err != nil {
+		if c.Program, err = rigs.BuildMutant(r.dir, mutation); err != nil {
 			return nil, err
 		}
 	}
@@ -206,13 +206,13 @@
 // and lose links, and one member tells all the others that three healthy servers fail.
 func signals(ctx context.Context, r *rig) error {
 	const count, servers = 6, 12
-	liar, err := rigs.Build(r.dir, "plant_liar")
+	liar, err := rigs.BuildMutant(r.dir, rigs.MutationLiar)
 	if err != nil {
 		return err
 	}
 	program := r.program
-	if tag := planted[r.plant]; tag != "" {
-		if program, err = rigs.Build(r.dir, tag); err != nil {
+	if mutation := planted[r.plant]; mutation != "" {
+		if program, err = rigs.BuildMutant(r.dir, mutation); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -223,8 +223,8 @@
 	f.share = share
 	for pool, g := range f.gates {
 		r := f.role(now, pool, share)
-		if was := g.role.Load(); plantStalled && was != nil && was.Until > 0 && !r.IsValid(now) {
-			r = was
+		if mutations.publishedRole != nil {
+			r = mutations.publishedRole(now, g.role.Load(), r)
 		}
 		g.role.Store(r)
 		own := 0.0
@@ -250,8 +250,8 @@
 		}
 	}
 	r.Divisor = max(1, share.Divisor-others)
-	if plantSeen {
-		r.Divisor, r.Until = max(1, r.Seen), math.MaxInt64
+	if mutations.role != nil {
+		mutations.role(r)
 	}
 	return r
 }
--- a/internal/fleet/gate.go
+++ b/internal/fleet/gate.go
@@ -134,7 +134,7 @@
 // Role is the latest, and the part that may be taken by it at that time: +Inf if what it stands on is too old.
 func (g *Gate) Role(now time.Duration) (*Role, float64) {
 	r := g.role.Load()
-	if !r.IsValid(now) && !(plantStalled && r.Until > 0) {
+	if !r.IsValid(now) && !(mutations.ignoreExpiry && r.Until > 0) {
 		return r, math.Inf(1)
 	}
 	return r, float64(r.Divisor)
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"maps"
 	"math"
 	"slices"
 	"time"
@@ -109,7 +108,7 @@
 	}
 	g.ration(uses)
 	book := signal.NewBook(g.pool, id)
-	book.Gullible = plantGullible
+	book.TrustUnbounded = mutations.trustUnbounded
 	sized := s.Sizes == balancer.SizesNominal || s.Sizes == balancer.SizesRough
 	return &Module{uses: uses, decider: in, gate: g, now: now, sized: sized, me: id, listed: map[string]balancer.Server{}, startedAt: map[string]time.Duration{},
 		maxInlinePairs: maxInlineAssignment, mover: subset.NewMover(moveInterval), book: book, checkedAt: math.MinInt64, quotas: &Parts{}}
@@ -139,15 +138,6 @@
 	return append(actions, m.decider.Handle(now, e)...)
 }
 
-// lie is what a member tells that is planted to: that a few servers fail, the same all the time.
-func (m *Module) lie() signal.Digest {
-	d := signal.Digest{Pool: m.gate.pool, Seq: uint32(m.sentAt / time.Millisecond), Draws: math.MaxUint16}
-	for _, id := range slices.Sorted(maps.Keys(m.listed))[:min(len(m.listed), 3)] {
-		d.Facts = append(d.Facts, signal.Fact{Server: signal.ID(id), Boot: signal.BootByte(m.listed[id].Boot), Bad: 9, Streak: 9})
-	}
-	return d
-}
-
 // updateServers keeps what is listed.
 func (m *Module) updateServers(x balancer.ServerList) {
 	if x.Full {
@@ -188,9 +178,9 @@
 	actions = append(actions, m.applyDigests(now, at)...)
 	if (at >= m.sentAt+digestInterval || m.urgent && at >= m.sentAt+checkInterval) && len(m.order) > 1 {
 		m.sentAt, m.urgent = at, false
-		if d, is := m.book.Digest(at); is || plantLiar {
-			if plantLiar {
-				d = m.lie()
+		if d, is := m.book.Digest(at); is || mutations.digest != nil {
+			if mutations.digest != nil {
+				d = mutations.digest(m)
 			}
 			m.gate.send(d, m.peers)
 		}
--- /dev/null
+++ b/internal/fleet/mutation.go
@@ -0,0 +1,24 @@
+package fleet
+
+import (
+	"time"
+
+	"cranegrade/internal/fleet/signal"
+)
+
+// mutations is the seam by which tests and drills make a member misbehave on purpose, to show that the misbehaviour is
+// found. All fields are zero in service: nothing that ships sets them. Test files of this package may, and so does the
+// source that the rig adds when it builds a faulty program (see internal/rig). They are set before the first member starts
+// and not changed while one runs.
+var mutations struct {
+	// role alters a member's role in a pool once it has been derived from its view and its share.
+	role func(*Role)
+	// publishedRole replaces the role that is about to be published; previous is nil before the first.
+	publishedRole func(now time.Duration, previous, next *Role) *Role
+	// ignoreExpiry has a role hold on after the grants that it stands on have run out.
+	ignoreExpiry bool
+	// digest replaces what a member tells the others of the servers that it has seen.
+	digest func(*Module) signal.Digest
+	// trustUnbounded has others' digests believed without the bounds that protect servers from a wrong accuser.
+	trustUnbounded bool
+}
--- a/internal/fleet/signal/signal.go
+++ b/internal/fleet/signal/signal.go
@@ -141,8 +141,8 @@
 	seq     uint32
 	doubts  map[[2]uint64]time.Duration // of a member and a server, until when
 
-	// Gullible takes the bounds on what words may do away: a breach for drills to plant.
-	Gullible bool
+	// TrustUnbounded takes away the bounds on what others' digests may do. False in service: package fleet's mutations set it.
+	TrustUnbounded bool
 }
 
 // other is a member's last digest.
@@ -315,7 +315,7 @@
 		at := o.at - time.Duration(f.Age)*100*time.Millisecond
 		switch {
 		case now-at > fresh:
-		case accuses(f) && believed[o] && (b.Gullible || b.doubts[[2]uint64{o.name, uint64(s.id)}] == 0):
+		case accuses(f) && believed[o] && (b.TrustUnbounded || b.doubts[[2]uint64{o.name, uint64(s.id)}] == 0):
 			by = append(by, from)
 			bad += min(int(f.Streak), run)
 			latest = max(latest, at)
@@ -338,7 +338,7 @@
 	believed := map[*other]bool{}
 	spoken := map[*server]bool{}
 	for _, o := range b.others {
-		if believed[o] = o.believed() || b.Gullible; now-o.at > fresh {
+		if believed[o] = o.believed() || b.TrustUnbounded; now-o.at > fresh {
 			continue
 		}
 		for _, f := range o.facts {
@@ -351,9 +351,9 @@
 		by, bad, latest, well := b.weigh(now, s, believed)
 		own := s.streak == 0 && s.lastGood > latest
 		switch {
-		case (own || well && s.streak == 0) && !b.Gullible:
+		case (own || well && s.streak == 0) && !b.TrustUnbounded:
 			s.until = min(s.until, now)
-		case b.Gullible && len(by) > 0:
+		case b.TrustUnbounded && len(by) > 0:
 			s.until, s.by = now+longest, by
 		case now < s.until || len(by) == 0 || bad+min(s.streak, run) < run || latest <= s.evidence:
 			// Nothing new; and what comes while it is put aside is not of a try that was due.
@@ -386,6 +386,6 @@
 		if len(v.By) == 1 {
 			alone++
 		}
-		return len(v.By) == 1 && alone > most && !b.Gullible
+		return len(v.By) == 1 && alone > most && !b.TrustUnbounded
 	})
 }
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"sync"
@@ -14,15 +13,6 @@
 	"time"
 )
 
-// Build builds the program into a directory and gives its path. With tags it is one with a breach planted.
-func Build(dir string, tags ...string) (string, error) {
-	path := filepath.Join(dir, "cranegrade"+strings.Join(tags, "-"))
-	if out, err := exec.Command("go", "build", "-tags", strings.Join(tags, ","), "-o", path, "cranegrade/cmd/cranegrade").CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the program: %w\n%s", err, out)
-	}
-	return path, nil
-}
-
 // Await looks again and again, for as long as limit.
 func Await(limit time.Duration, f func() bool) bool {
 	for end := time.Now().Add(limit); !f(); time.Sleep(5 * time.Millisecond) {
--- a/internal/rig/together_test.go
+++ b/internal/rig/together_test.go
@@ -222,7 +222,7 @@
 func TestOneWay(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	liar, err := Build(dir, "plant_liar")
+	liar, err := BuildMutant(dir, MutationLiar)
 	if err != nil {
 		t.Fatal(err)
 	}
