--- a/cmd/meshctl/main_test.go
+++ b/cmd/meshctl/main_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fmt"
 	"io"
 	"os"
 	"path/filepath"
@@ -14,7 +13,6 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/testcluster"
-	"cranegrade/internal/mesh/topology"
 	"cranegrade/internal/rig"
 )
 
@@ -57,8 +55,8 @@
 	assert.Assert(t, m.AwaitReady(patience))
 	assert.Assert(t, rig.Await(patience, func() bool { code, text = runCommand(t, "status", trunk); return code == 0 }), text)
 	_, all := runCommand(t, "--json", "status", trunk)
-	assert.Assert(t, strings.Contains(all, `"purpose": "records"`), all)
-	assert.Assert(t, strings.HasPrefix(text, "all is well\n3 registers, 3 lines, 3 items, 1 routes") && strings.Contains(text, "LEADS"), text)
+	assert.Assert(t, strings.Contains(all, `"messageType": "records"`), all)
+	assert.Assert(t, strings.HasPrefix(text, "all is well\n3 members, 3 sidecars, 3 items, 1 routes") && strings.Contains(text, "LEADER"), text)
 
 	for _, x := range []struct {
 		code int
@@ -84,7 +82,7 @@
 		{3, "trunk to", []string{"--within", "300ms", "status", m.Members[0].IP + ":1"}},
 		{0, `"message":"home"`, []string{"ring", m.Sidecars[0].Addr("Inbound")}},
 		{0, "stock 100 %", []string{"draw", trunk, "--save", filepath.Join(dir, "mesh.json")}},
-		{0, "subgraph cluster_core", []string{"draw", "--dot", "--from", filepath.Join(dir, "mesh.json")}},
+		{0, "subgraph cluster_control_plane", []string{"draw", "--dot", "--from", filepath.Join(dir, "mesh.json")}},
 		{0, "</svg>", []string{"draw", "--svg", "--from", filepath.Join(dir, "mesh.json")}},
 		{1, "either ADDR or --from", []string{"draw"}},
 		{0, "", []string{"drain", m.Sidecars[0].Addr("Inbound")}},
@@ -142,11 +140,11 @@
 	// A register that stands still, and a line that is gone, are told apart from those that are well.
 	m.Members[2].Process.Pause()
 	code, text = runCommand(t, "--within", "1500ms", "status", trunk)
-	assert.Assert(t, code == 1 && strings.Contains(text, "! register "+m.Members[2].Process.Addr+" does not answer"), text)
+	assert.Assert(t, code == 1 && strings.Contains(text, "! member "+m.Members[2].Process.Addr+" does not answer"), text)
 	m.Members[2].Process.Resume()
 	m.Sidecars[1].Kill()
 	code, text = runCommand(t, "--within", "1500ms", "status", trunk)
-	assert.Assert(t, code == 1 && strings.Contains(text, "! line side-2 does not answer"), text)
+	assert.Assert(t, code == 1 && strings.Contains(text, "! sidecar side-2 does not answer"), text)
 	// A register's disk, at rest.
 	m.Members[1].Kill()
 	code, text = runCommand(t, "inspect", m.Members[1].DataDir())
@@ -160,57 +158,3 @@
 	assert.Equal(t, code, 1)
 	assert.Assert(t, len(m.Recorder.Violations()) == 0, "%v", m.Recorder.Violations())
 }
-
-// What a topology shows at 16 and at 80 machines: every machine, route and sign is in the picture, and nothing lies beyond it.
-func TestDrawingShowsEverything(t *testing.T) {
-	for _, n := range []int{13, 77} {
-		top := sampleTopology(n)
-		var b bytes.Buffer
-		top.WriteSVG(&b)
-		text := b.String()
-		for _, l := range top.Sidecars {
-			assert.Assert(t, strings.Contains(text, ">"+l.Name+"<"), l.Name)
-		}
-		for _, r := range top.Routes {
-			assert.Assert(t, strings.Contains(text, r.Host+r.Prefix))
-		}
-		for i, r := range top.Members {
-			assert.Assert(t, strings.Contains(text, map[bool]string{true: ">leader ", false: ">register "}[i == 1]+r.Name+"<"))
-		}
-		for _, s := range top.Warnings() {
-			assert.Assert(t, strings.Contains(text, ">"+s+"<"), s)
-		}
-		if dir := os.Getenv("SWITCHBOARD_DRAW"); dir != "" {
-			assert.NilError(t, os.WriteFile(filepath.Join(dir, fmt.Sprint("mesh-", n, ".svg")), b.Bytes(), 0o600))
-		}
-	}
-}
-
-// sampleTopology is a mesh of so many lines with some of them out.
-func sampleTopology(n int) topology.Topology {
-	top := topology.Topology{AskedMember: "10.1.0.42:7380", QuorumContact: true, ConfigurationIndex: 5, Items: []topology.ItemVersion{{Kind: "route", Name: "r-1", Version: 7}}}
-	for i := range 3 {
-		addr := fmt.Sprintf("10.%d.0.42:7380", i+1)
-		top.Members = append(top.Members, topology.Member{Process: topology.Process{Name: fmt.Sprint("core-", i+1), Addr: addr, Zone: fmt.Sprint("hall-", i%3), QuorumContact: true}, IsMember: true, IsLeader: i == 1, Term: 4, AppliedIndex: 1200})
-	}
-	for i := range n {
-		l := topology.Sidecar{Process: topology.Process{Name: fmt.Sprintf("sidecar-hall-%d-%d", i%3, i), Addr: fmt.Sprintf("10.%d.0.%d:7381", i%3+1, i), Zone: fmt.Sprint("hall-", i%3), QuorumContact: true},
-			FollowedMember: fmt.Sprintf("10.%d.0.42:7380", i%3+1), Ready: true, Service: fmt.Sprint("service-", i%4), ServerID: fmt.Sprintf("i-%06x", i*7919), State: "ready", Slots: 12}
-		switch i {
-		case 2:
-			l.State, l.StateReason = "draining", "it said that it leaves"
-		case 5:
-			l.State, l.StateReason = "down", "it has not beaten for 5s"
-		case 7:
-			l.Unreachable = "no answer"
-		case 8:
-			l.StaleItems = top.Items
-		}
-		top.Sidecars = append(top.Sidecars, l)
-	}
-	for i := range 8 {
-		top.Routes = append(top.Routes, topology.Route{Name: fmt.Sprint("r-", i), Host: "push.example", Prefix: fmt.Sprintf("/p%d/", i), Kind: "idempotent", Version: 7, TimeoutS: 2, MaxAttempts: 2,
-			Destinations: []topology.WeightedService{{Service: fmt.Sprint("service-", i%4), Share: 0.9}, {Service: fmt.Sprint("service-", (i+1)%4), Share: 0.1}}})
-	}
-	return top
-}
--- /dev/null
+++ b/internal/mesh/topology/collect.go
@@ -0,0 +1,186 @@
+package topology
+
+import (
+	"context"
+	"sort"
+	"sync"
+	"time"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
+	"cranegrade/internal/mesh/transport/wire"
+)
+
+// ClientName is by what an operator's tool calls itself on a connection.
+const ClientName = "meshctl"
+
+const (
+	// maxParallelQueries is how many processes are asked at a time.
+	maxParallelQueries = 32
+	// completeHeartbeats is after how many heartbeats a member has announced all that it knows: the first may have been
+	// made before the connection.
+	completeHeartbeats = 2
+	// directoryTime is the time that records are merged at. It only must not be zero.
+	directoryTime = time.Second
+)
+
+// Errors of Collect, besides those of the transport.
+const (
+	ErrIncomplete = errors.ConstError("the announcements are incomplete")
+	ErrNotMember  = errors.ConstError("not a control-plane member")
+)
+
+// Collect asks a control-plane member for the mesh, by its transport address, and then each process that it names. Those that
+// give no answer before the context ends are Unreachable; an error: the member itself gave none.
+func Collect(ctx context.Context, addr string) (Topology, error) {
+	t := Topology{AskedMember: addr}
+	heard := &announcements{complete: make(chan struct{})}
+	client, err := transport.DialClient(ctx, addr, ClientName, heard.handle)
+	if err != nil {
+		return t, err
+	}
+	defer client.Close()
+	if err := heard.await(ctx, client); err != nil {
+		return t, errors.Annotate(err, addr)
+	}
+	members, records := heard.read(&t)
+	if members == nil {
+		return t, errors.WithType(errors.Annotate(ErrNotMember, addr), transport.ErrRejected)
+	}
+	t.ConfigurationIndex = members.Index
+	t.readConfiguration(ctx, client)
+	q := &queries{held: map[string][]ItemVersion{}, slots: make(chan struct{}, maxParallelQueries)}
+	t.Members = q.members(ctx, members.List)
+	t.Sidecars = q.sidecars(ctx, records)
+	q.running.Wait()
+	sort.Slice(t.Members, func(i, j int) bool { return t.Members[i].Addr < t.Members[j].Addr })
+	t.fillLag(q.held)
+	return t, nil
+}
+
+// readConfiguration takes the configuration that a majority confirms. Where none does, the topology is without.
+func (t *Topology) readConfiguration(ctx context.Context, client *transport.Client) {
+	body, err := client.Call(ctx, codec.CallItems, nil)
+	if err != nil {
+		return
+	}
+	items, err := codec.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	if err != nil {
+		return
+	}
+	list := config.ItemsFromWire(items)
+	table, _ := config.Table{}.Merge(list)
+	t.Items, t.Routes, t.PolicyFingerprint = itemVersions(table.Versions()), routesFromItems(list), items.ActiveFingerprint
+}
+
+// announcements are what a member says by itself to whoever connects.
+type announcements struct {
+	complete chan struct{} // closed once all has been announced
+
+	mu            sync.Mutex // guards below
+	members       *wire.MembersT
+	directory     directory.Table
+	quorumContact bool
+	heartbeats    int
+}
+
+// handle takes one message of the member.
+func (a *announcements) handle(message codec.Message) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	switch value := message.Value.(type) {
+	case *wire.MembersT:
+		a.members = value
+	case *wire.RecordsT:
+		a.directory, _ = a.directory.Merge(directoryTime, directory.FromWire(value))
+	case *wire.HeartbeatT:
+		a.quorumContact = value.QuorumContact
+		if a.heartbeats++; a.heartbeats == completeHeartbeats {
+			close(a.complete)
+		}
+	}
+}
+
+// await waits until all has been announced.
+func (a *announcements) await(ctx context.Context, client *transport.Client) error {
+	select {
+	case <-a.complete:
+		return nil
+	case <-client.Done():
+	case <-ctx.Done():
+	}
+	return errors.WithType(ErrIncomplete, transport.ErrNoReply)
+}
+
+// read gives the members (nil: the process is none) and the records of sidecars.
+func (a *announcements) read(t *Topology) (*wire.MembersT, []directory.Record) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	t.QuorumContact = a.quorumContact
+	return a.members, a.directory.All()
+}
+
+// queries asks processes for their status, some at a time.
+type queries struct {
+	running sync.WaitGroup
+	slots   chan struct{}
+
+	mu   sync.Mutex // guards held, and what the functions given to status write
+	held map[string][]ItemVersion
+}
+
+// members asks each member. The list is complete once all queries have ended.
+func (q *queries) members(ctx context.Context, list []*wire.MemberT) []Member {
+	members := make([]Member, len(list))
+	for i, m := range list {
+		q.status(ctx, m.Addr, func(status *wire.StatusT, unreachable string) {
+			if status != nil {
+				members[i] = memberFromStatus(status)
+			}
+			members[i].Addr, members[i].Unreachable = m.Addr, unreachable
+		})
+	}
+	return members
+}
+
+// sidecars asks each sidecar. The list is complete once all queries have ended.
+func (q *queries) sidecars(ctx context.Context, records []directory.Record) []Sidecar {
+	sidecars := make([]Sidecar, len(records))
+	for i, record := range records {
+		q.status(ctx, record.Addr, func(status *wire.StatusT, unreachable string) {
+			sidecars[i] = sidecarFromStatus(record, status)
+			sidecars[i].Unreachable = unreachable
+		})
+	}
+	return sidecars
+}
+
+// status asks one process and calls use with its status, or with why there is none. Calls of use do not overlap.
+func (q *queries) status(ctx context.Context, addr string, use func(status *wire.StatusT, unreachable string)) {
+	q.running.Go(func() {
+		q.slots <- struct{}{}
+		defer func() { <-q.slots }()
+		status, err := queryStatus(ctx, addr)
+		q.mu.Lock()
+		defer q.mu.Unlock()
+		if err != nil {
+			use(nil, err.Error())
+			return
+		}
+		q.held[addr] = itemVersions(status.ItemVersions)
+		use(status, "")
+	})
+}
+
+func queryStatus(ctx context.Context, addr string) (*wire.StatusT, error) {
+	client, err := transport.DialClient(ctx, addr, ClientName, nil)
+	if err != nil {
+		return nil, err
+	}
+	defer client.Close()
+	return client.Status(ctx)
+}
--- a/internal/mesh/topology/svg.go
+++ b/internal/mesh/topology/svg.go
@@ -20,15 +20,31 @@
 	routeRowHeight   = 34
 	weightBarWidth   = 220
 	warningRowHeight = 18
-	maxWarnings      = 24 // lines of what stands out; the rest is counted
-	text12           = "font-family:sans-serif;font-size:12px;fill:#222"
-	text10           = "font-family:sans-serif;font-size:10px;fill:#444"
-	bold13           = "font-family:sans-serif;font-size:13px;font-weight:bold;fill:#222"
+	maxWarnings      = 24 // lines of warnings; the rest is counted
+	oneColumnCards   = 6  // of a zone that is one card wide
+	twoColumnCards   = 24 // of a zone that is two cards wide; beyond that it is three
 )
 
-// palette tells services apart, and registers.
+// Styles of texts.
+const (
+	styleText    = "font-family:sans-serif;font-size:12px;fill:#222"
+	styleSmall   = "font-family:sans-serif;font-size:10px;fill:#444"
+	styleHeading = "font-family:sans-serif;font-size:13px;font-weight:bold;fill:#222"
+)
+
+// Fill colours, by how well something is.
+const (
+	fillWell        = "#cfeccf"
+	fillMember      = "#e4ecf6"
+	fillDegraded    = "#f6dd8f"
+	fillDown        = "#f4a7a0"
+	fillUnreachable = "#d0d0d0"
+)
+
+// palette tells services apart, and members.
 var palette = []string{"#4878a8", "#c8743c", "#5a9a58", "#a05a8c", "#8c7a3c", "#3c9a9a", "#b84a4a", "#6a6ab0"}
 
+// colorOf is the colour of a name among names; grey: it is not among them.
 func colorOf(names []string, name string) string {
 	if i := slices.Index(names, name); i >= 0 {
 		return palette[i%len(palette)]
@@ -37,175 +53,227 @@
 }
 
 // truncate shortens a text to about so many pixels of small type.
-func truncate(s string, wide int) string {
-	r := []rune(s)
-	if n := max(2, wide*2/11); len(r) > n {
-		return string(r[:n-1]) + "…"
+func truncate(text string, width int) string {
+	runes := []rune(text)
+	if n := max(2, width*2/11); len(runes) > n {
+		return string(runes[:n-1]) + "…"
 	}
-	return s
+	return text
 }
 
-// WriteSVG draws it: a column for each zone with its registers above its lines, trunks between registers, each line with a dot
-// in the tone of its home; the routes with their weights beside, and below what stands out.
+// fillColor is how a sidecar's server is.
+func (s Sidecar) fillColor() string {
+	switch {
+	case s.Unreachable != "":
+		return fillUnreachable
+	case s.State == stateDown:
+		return fillDown
+	case s.IsUnavailable():
+		return fillDegraded
+	}
+	return fillWell
+}
+
+// drawing is a topology on its way to an SVG.
+type drawing struct {
+	Topology
+	canvas   *svg.SVG
+	zones    []string
+	services []string
+	members  []string // their addresses, in order
+	warnings []string
+
+	columns     int // cards beside each other in a zone
+	memberRows  int // of the zone with the most
+	zoneWidth   int
+	zoneHeight  int
+	zonesTop    int
+	routesLeft  int
+	routesBelow int // where the list of routes ends
+	width       int
+}
+
+// WriteSVG draws the topology: a column for each zone with its members above its sidecars, lines between the members, each
+// sidecar with a dot in the colour of the member that it follows; the routes with their weights beside, the warnings below.
 func (t Topology) WriteSVG(w io.Writer) {
-	zones, services := t.Zones(), t.Services()
-	most, mostRegs := 0, 1
-	for _, z := range zones {
-		most, mostRegs = max(most, len(t.sidecarsIn(z))), max(mostRegs, len(t.membersIn(z)))
-	}
-	across := 1 // cards beside each other in a zone
-	if most > 6 {
-		across = 2
-	}
-	if most > 24 {
-		across = 3
-	}
-	zoneWide := across*(cardWidth+cardGap) + cardGap
-	rows := (most + across - 1) / across
-	zoneTall := headerHeight + mostRegs*(memberHeight+cardGap) + rows*(cardHeight+cardGap) + cardGap
-	signs := t.Warnings()
-	signsShown := min(len(signs), maxWarnings)
-	routesX := margin + len(zones)*(zoneWide+margin)
-	wide := routesX + 2*weightBarWidth + 2*margin
-	tall := max(margin+headerHeight+zoneTall, margin+headerHeight+30+len(t.Routes)*routeRowHeight) + 40 + (signsShown+2)*warningRowHeight + margin
-	c := svg.New(w)
-	c.Start(wide, tall)
-	c.Rect(0, 0, wide, tall, "fill:white")
-	title := fmt.Sprintf("%d registers, %d lines, %d routes; view %d, as %s has it", len(t.Members), len(t.Sidecars), len(t.Routes), t.ConfigurationIndex, t.AskedMember)
-	c.Text(margin, margin+12, title, bold13)
-	c.Text(routesX, margin+12, "strip: service; dot: home register; bold: leads", text10)
-	top := margin + headerHeight - 16
-	type point struct{ x, y int }
-	centre := map[string]point{} // of registers
-	var addrs []string
-	for _, r := range t.Members {
-		addrs = append(addrs, r.Addr)
-	}
-	for zi, z := range zones {
-		x := margin + zi*(zoneWide+margin)
-		for i, r := range t.membersIn(z) {
-			centre[r.Addr] = point{x + zoneWide/2, top + headerHeight - 14 + i*(memberHeight+cardGap) + memberHeight/2}
-		}
-		c.Roundrect(x, top, zoneWide, zoneTall, 6, 6, "fill:#f7f7f5;stroke:#ccc")
-		name := z
-		if name == "" {
-			name = "zone not known"
-		}
-		c.Text(x+cardGap, top+20, "zone "+name, bold13)
+	d := newDrawing(t, svg.New(w))
+	listBottom := max(d.zonesTop+d.zoneHeight, d.routesBelow)
+	shown := min(len(d.warnings), maxWarnings)
+	height := listBottom + 56 + (shown+2)*warningRowHeight + margin
+	d.canvas.Start(d.width, height)
+	d.canvas.Rect(0, 0, d.width, height, "fill:white")
+	title := fmt.Sprintf("%d members, %d sidecars, %d routes; configuration %d, as %s has it",
+		len(t.Members), len(t.Sidecars), len(t.Routes), t.ConfigurationIndex, t.AskedMember)
+	d.canvas.Text(margin, margin+12, title, styleHeading)
+	d.canvas.Text(d.routesLeft, margin+12, "strip: service; dot: followed member; bold: leader", styleSmall)
+	d.drawZones()
+	d.drawRoutes()
+	d.drawWarnings(listBottom+28, shown)
+	d.canvas.End()
+}
+
+// newDrawing measures the drawing.
+func newDrawing(t Topology, canvas *svg.SVG) *drawing {
+	d := &drawing{Topology: t, canvas: canvas, zones: t.Zones(), services: t.Services(), warnings: t.Warnings(), columns: 1, memberRows: 1}
+	for _, m := range t.Members {
+		d.members = append(d.members, m.Addr)
 	}
-	for i, a := range addrs { // trunks of the core, under the boxes
-		for _, b := range addrs[i+1:] {
-			c.Line(centre[a].x, centre[a].y, centre[b].x, centre[b].y, "stroke:#999;stroke-width:2")
+	cards := 0
+	for _, zone := range d.zones {
+		cards = max(cards, len(t.sidecarsIn(zone)))
+		d.memberRows = max(d.memberRows, len(t.membersIn(zone)))
+	}
+	switch {
+	case cards > twoColumnCards:
+		d.columns = 3
+	case cards > oneColumnCards:
+		d.columns = 2
+	}
+	rows := (cards + d.columns - 1) / d.columns
+	d.zoneWidth = d.columns*(cardWidth+cardGap) + cardGap
+	d.zoneHeight = headerHeight + d.memberRows*(memberHeight+cardGap) + rows*(cardHeight+cardGap) + cardGap
+	d.zonesTop = margin + headerHeight - 16
+	d.routesLeft = margin + len(d.zones)*(d.zoneWidth+margin)
+	d.routesBelow = d.zonesTop + 30 + len(t.Routes)*routeRowHeight
+	d.width = d.routesLeft + 2*weightBarWidth + 2*margin
+	return d
+}
+
+func (d *drawing) zoneLeft(zone int) int { return margin + zone*(d.zoneWidth+margin) }
+
+// memberTop is where the nth member of a zone stands.
+func (d *drawing) memberTop(n int) int {
+	return d.zonesTop + headerHeight - 14 + n*(memberHeight+cardGap)
+}
+
+// drawZones draws the zones' frames, then the connections between members, then the boxes over both.
+func (d *drawing) drawZones() {
+	for i, zone := range d.zones {
+		left := d.zoneLeft(i)
+		d.canvas.Roundrect(left, d.zonesTop, d.zoneWidth, d.zoneHeight, 6, 6, "fill:#f7f7f5;stroke:#ccc")
+		if zone == "" {
+			zone = "zone not known"
 		}
+		d.canvas.Text(left+cardGap, d.zonesTop+20, "zone "+zone, styleHeading)
 	}
-	for zi, z := range zones {
-		x := margin + zi*(zoneWide+margin)
-		for i, r := range t.membersIn(z) {
-			t.drawMember(c, r, x+cardGap, top+headerHeight-14+i*(memberHeight+cardGap), zoneWide-2*cardGap, colorOf(addrs, r.Addr))
+	d.drawMemberConnections()
+	for i, zone := range d.zones {
+		left := d.zoneLeft(i) + cardGap
+		for n, m := range d.membersIn(zone) {
+			d.drawMember(m, left, d.memberTop(n))
 		}
-		for i, l := range t.sidecarsIn(z) {
-			t.drawSidecar(c, l, x+cardGap+(i%across)*(cardWidth+cardGap), top+headerHeight-14+mostRegs*(memberHeight+cardGap)+(i/across)*(cardHeight+cardGap),
-				colorOf(services, l.Service), colorOf(addrs, l.FollowedMember))
+		top := d.memberTop(d.memberRows)
+		for n, s := range d.sidecarsIn(zone) {
+			d.drawSidecar(s, left+(n%d.columns)*(cardWidth+cardGap), top+(n/d.columns)*(cardHeight+cardGap))
 		}
 	}
-	t.drawRoutes(c, routesX, top, services)
-	y := max(top+zoneTall, top+30+len(t.Routes)*routeRowHeight) + 28
-	head := "all is well"
-	if len(signs) > 0 {
-		head = "what stands out"
-	}
-	c.Text(margin, y, head, bold13)
-	for i, s := range signs[:signsShown] {
-		c.Text(margin, y+(i+1)*warningRowHeight, truncate(s, wide), text12+";fill:#a02020")
-	}
-	if more := len(signs) - signsShown; more > 0 {
-		c.Text(margin, y+(signsShown+1)*warningRowHeight, fmt.Sprintf("and %d more", more), text12)
-	}
-	c.End()
 }
 
-func (t Topology) sidecarsIn(zone string) (l []Sidecar) {
-	for _, x := range t.Sidecars {
-		if x.Zone == zone {
-			l = append(l, x)
+func (d *drawing) drawMemberConnections() {
+	type point struct{ x, y int }
+	var centres []point
+	for i, zone := range d.zones {
+		for n := range d.membersIn(zone) {
+			centres = append(centres, point{d.zoneLeft(i) + d.zoneWidth/2, d.memberTop(n) + memberHeight/2})
 		}
 	}
-	return l
-}
-
-func (t Topology) membersIn(zone string) (l []Member) {
-	for _, x := range t.Members {
-		if x.Zone == zone {
-			l = append(l, x)
+	for i, from := range centres {
+		for _, to := range centres[i+1:] {
+			d.canvas.Line(from.x, from.y, to.x, to.y, "stroke:#999;stroke-width:2")
 		}
 	}
-	return l
 }
 
-func (t Topology) drawMember(c *svg.SVG, r Member, x, y, wide int, dot string) {
-	fill, stroke := "#e4ecf6", "stroke:#4878a8;stroke-width:1"
+func (d *drawing) drawMember(m Member, x, y int) {
+	width := d.zoneWidth - 2*cardGap
+	fill, stroke := fillMember, "stroke:#4878a8;stroke-width:1"
 	switch {
-	case r.Unreachable != "" || r.Fault != "":
-		fill, stroke = "#f4a7a0", "stroke:#a02020;stroke-width:2"
-	case r.IsLeader:
+	case m.Unreachable != "" || m.Fault != "":
+		fill, stroke = fillDown, "stroke:#a02020;stroke-width:2"
+	case m.IsLeader:
 		stroke = "stroke:#1c3c66;stroke-width:3"
-	case !r.QuorumContact || !r.IsMember || len(r.StaleItems) > 0:
-		fill = "#f6dd8f"
+	case !m.QuorumContact || !m.IsMember || len(m.StaleItems) > 0:
+		fill = fillDegraded
 	}
-	c.Roundrect(x, y, wide, memberHeight, 5, 5, "fill:"+fill+";"+stroke)
-	c.Circle(x+wide-14, y+14, 5, "fill:"+dot)
-	role := "register "
-	if r.IsLeader {
+	d.canvas.Roundrect(x, y, width, memberHeight, 5, 5, "fill:"+fill+";"+stroke)
+	d.canvas.Circle(x+width-14, y+14, 5, "fill:"+colorOf(d.members, m.Addr))
+	role := "member "
+	if m.IsLeader {
 		role = "leader "
 	}
-	c.Text(x+8, y+17, truncate(role+r.displayName(), wide-44), bold13)
-	c.Text(x+8, y+33, truncate(r.Addr, wide-16), text10)
-	says := r.summary()
-	if i := strings.IndexByte(says, ','); i > 0 && r.Unreachable == "" && r.Fault == "" {
-		says = strings.TrimSpace(says[i+1:])
+	state := m.summary()
+	if m.Unreachable == "" && m.Fault == "" {
+		state = m.progress() // the role stands in the first line
 	}
-	c.Text(x+8, y+49, truncate(says, wide-16), text10)
+	d.canvas.Text(x+8, y+17, truncate(role+m.displayName(), width-44), styleHeading)
+	d.canvas.Text(x+8, y+33, truncate(m.Addr, width-16), styleSmall)
+	d.canvas.Text(x+8, y+49, truncate(state, width-16), styleSmall)
 }
 
-func (t Topology) drawSidecar(c *svg.SVG, l Sidecar, x, y int, service, home string) {
-	c.Roundrect(x, y, cardWidth, cardHeight, 4, 4, "fill:"+l.fillColor()+";stroke:#999")
-	c.Rect(x, y+2, 5, cardHeight-4, "fill:"+service)
-	c.Circle(x+cardWidth-10, y+11, 4, "fill:"+home)
-	c.Text(x+10, y+15, truncate(l.displayName(), cardWidth-28), text12)
-	c.Text(x+10, y+29, truncate(strings.TrimSpace(l.Service+" "+l.ServerID), cardWidth-14), text10)
-	state := l.State
+func (d *drawing) drawSidecar(s Sidecar, x, y int) {
+	d.canvas.Roundrect(x, y, cardWidth, cardHeight, 4, 4, "fill:"+s.fillColor()+";stroke:#999")
+	d.canvas.Rect(x, y+2, 5, cardHeight-4, "fill:"+colorOf(d.services, s.Service))
+	d.canvas.Circle(x+cardWidth-10, y+11, 4, "fill:"+colorOf(d.members, s.FollowedMember))
+	d.canvas.Text(x+10, y+15, truncate(s.displayName(), cardWidth-28), styleText)
+	d.canvas.Text(x+10, y+29, truncate(strings.TrimSpace(s.Service+" "+s.ServerID), cardWidth-14), styleSmall)
+	d.canvas.Text(x+10, y+43, truncate(s.cardState(), cardWidth-14), styleSmall)
+}
+
+// cardState is how a sidecar and its server are, in few words.
+func (s Sidecar) cardState() string {
+	state := s.State
 	switch {
-	case l.Unreachable != "":
-		state = "line silent"
-	case l.Leaving:
-		state = "line leaving"
-	case !l.Ready:
-		state = "line not ready"
-	case l.State != "ready" && l.StateReason != "":
-		state += ": " + l.StateReason
-	}
-	if n := len(l.StaleItems); n > 0 {
-		state += fmt.Sprintf(", lags by %d", n)
-	}
-	c.Text(x+10, y+43, truncate(state, cardWidth-14), text10)
+	case s.Unreachable != "":
+		state = "sidecar unreachable"
+	case s.Leaving:
+		state = "sidecar leaving"
+	case !s.Ready:
+		state = "sidecar not ready"
+	case s.State != stateReady && s.StateReason != "":
+		state += ": " + s.StateReason
+	}
+	if stale := len(s.StaleItems); stale > 0 {
+		state += fmt.Sprintf(", lags by %d", stale)
+	}
+	return state
 }
 
-func (t Topology) drawRoutes(c *svg.SVG, x, y int, services []string) {
-	c.Text(x, y+20, "routes", bold13)
-	y += 30
-	for _, r := range t.Routes {
-		c.Text(x, y+12, truncate(fmt.Sprintf("%s%s", r.Host, r.Prefix), weightBarWidth), text12)
-		c.Text(x, y+26, truncate(fmt.Sprintf("%s, %s, version %d, %g s, %d tries", r.Name, r.Kind, r.Version, r.TimeoutS, r.MaxAttempts), weightBarWidth+10), text10)
-		at := 0.0
-		for _, p := range r.Destinations {
-			from, to := int(at*weightBarWidth), int((at+p.Share)*weightBarWidth)
-			at += p.Share
-			if to <= from {
-				continue
-			}
-			c.Rect(x+weightBarWidth+10+from, y+2, to-from, 18, "fill:"+colorOf(services, p.Service))
-			c.Text(x+weightBarWidth+14+from, y+15, truncate(fmt.Sprintf("%s %.0f %%", p.Service, p.Share*100), to-from-6), text10+";fill:white")
-		}
+func (d *drawing) drawRoutes() {
+	d.canvas.Text(d.routesLeft, d.zonesTop+20, "routes", styleHeading)
+	y := d.zonesTop + 30
+	for _, r := range d.Routes {
+		d.canvas.Text(d.routesLeft, y+12, truncate(r.Host+r.Prefix, weightBarWidth), styleText)
+		details := fmt.Sprintf("%s, %s, version %d, %g s, %d attempts", r.Name, r.Kind, r.Version, r.TimeoutS, r.MaxAttempts)
+		d.canvas.Text(d.routesLeft, y+26, truncate(details, weightBarWidth+10), styleSmall)
+		d.drawWeights(r.Destinations, d.routesLeft+weightBarWidth+10, y+2)
 		y += routeRowHeight
 	}
 }
+
+// drawWeights draws a bar that is divided as a route divides its requests.
+func (d *drawing) drawWeights(destinations []WeightedService, x, y int) {
+	sum := 0.0
+	for _, w := range destinations {
+		from, to := int(sum*weightBarWidth), int((sum+w.Share)*weightBarWidth)
+		sum += w.Share
+		if to <= from {
+			continue
+		}
+		d.canvas.Rect(x+from, y, to-from, 18, "fill:"+colorOf(d.services, w.Service))
+		d.canvas.Text(x+4+from, y+13, truncate(fmt.Sprintf("%s %.0f %%", w.Service, w.Share*100), to-from-6), styleSmall+";fill:white")
+	}
+}
+
+func (d *drawing) drawWarnings(y, shown int) {
+	heading := "all is well"
+	if len(d.warnings) > 0 {
+		heading = "what stands out"
+	}
+	d.canvas.Text(margin, y, heading, styleHeading)
+	for i, warning := range d.warnings[:shown] {
+		d.canvas.Text(margin, y+(i+1)*warningRowHeight, truncate(warning, d.width), styleText+";fill:#a02020")
+	}
+	if more := len(d.warnings) - shown; more > 0 {
+		d.canvas.Text(margin, y+(shown+1)*warningRowHeight, fmt.Sprintf("and %d more", more), styleText)
+	}
+}
--- a/internal/mesh/topology/text.go
+++ b/internal/mesh/topology/text.go
@@ -5,145 +5,105 @@
 	"io"
 	"strings"
 	"time"
-
-	"cranegrade/internal/mesh/directory"
 )
 
-// WriteText draws it as a tree.
+// WriteText draws the topology as a tree.
 func (t Topology) WriteText(w io.Writer) {
-	touch := "in touch with a majority"
+	contact := "in contact with a majority"
 	if !t.QuorumContact {
-		touch = "OUT OF TOUCH: what follows may be old"
-	}
-	fmt.Fprintf(w, "core, as %s has it (view %d, %s)\n", t.AskedMember, t.ConfigurationIndex, touch)
-	for _, r := range t.Members {
-		fmt.Fprintf(w, "  register %-14s %-21s %s\n", r.Name, r.Addr, r.summary())
-	}
-	for _, z := range t.Zones() {
-		fmt.Fprintf(w, "zone %s\n", z)
-		for _, l := range t.Sidecars {
-			if l.Zone == z {
-				fmt.Fprintf(w, "  line %-18s %-21s serves %-12s %s\n", l.Name, l.Addr, l.Service, l.summary())
-			}
+		contact = "OUT OF CONTACT: what follows may be old"
+	}
+	fmt.Fprintf(w, "control plane, as %s has it (configuration %d, %s)\n", t.AskedMember, t.ConfigurationIndex, contact)
+	for _, m := range t.Members {
+		fmt.Fprintf(w, "  member %-14s %-21s %s\n", m.Name, m.Addr, m.summary())
+	}
+	for _, zone := range t.Zones() {
+		fmt.Fprintf(w, "zone %s\n", zone)
+		for _, s := range t.sidecarsIn(zone) {
+			fmt.Fprintf(w, "  sidecar %-18s %-21s serves %-12s %s\n", s.Name, s.Addr, s.Service, s.summary())
 		}
 	}
 	if len(t.Routes) > 0 {
 		fmt.Fprintln(w, "routes")
 	}
 	for _, r := range t.Routes {
-		var to []string
-		for _, p := range r.Destinations {
-			to = append(to, fmt.Sprintf("%s %.0f %%", p.Service, p.Share*100))
+		var destinations []string
+		for _, d := range r.Destinations {
+			destinations = append(destinations, fmt.Sprintf("%s %.0f %%", d.Service, d.Share*100))
 		}
-		fmt.Fprintf(w, "  %-24s %-15s version %-4d %s%s -> %s\n", r.Name, r.Kind, r.Version, r.Host, r.Prefix, strings.Join(to, ", "))
+		fmt.Fprintf(w, "  %-24s %-15s version %-4d %s%s -> %s\n", r.Name, r.Kind, r.Version, r.Host, r.Prefix, strings.Join(destinations, ", "))
 	}
 }
 
-// WriteReport tells how it is: what stands out first, then who holds what.
+// WriteReport tells how the mesh is: the warnings first, then every process.
 func (t Topology) WriteReport(w io.Writer) {
-	signs := t.Warnings()
-	if len(signs) == 0 {
+	warnings := t.Warnings()
+	if len(warnings) == 0 {
 		fmt.Fprintln(w, "all is well")
 	}
-	for _, s := range signs {
-		fmt.Fprintln(w, "! "+s)
+	for _, warning := range warnings {
+		fmt.Fprintln(w, "! "+warning)
 	}
-	fmt.Fprintf(w, "%d registers, %d lines, %d items, %d routes\n", len(t.Members), len(t.Sidecars), len(t.Items), len(t.Routes))
-	for _, r := range t.Members {
-		fmt.Fprintf(w, "register %-14s %-21s %s\n", r.Name, r.Addr, r.summary())
+	fmt.Fprintf(w, "%d members, %d sidecars, %d items, %d routes\n", len(t.Members), len(t.Sidecars), len(t.Items), len(t.Routes))
+	for _, m := range t.Members {
+		fmt.Fprintf(w, "member %-14s %-21s %s\n", m.Name, m.Addr, m.summary())
 	}
-	for _, l := range t.Sidecars {
-		fmt.Fprintf(w, "line %-18s %-21s home %-21s up %v, %s\n", l.Name, l.Addr, l.FollowedMember, roundedUptime(l.UptimeS), l.summary())
+	for _, s := range t.Sidecars {
+		fmt.Fprintf(w, "sidecar %-18s %-21s follows %-21s up %v, %s\n", s.Name, s.Addr, s.FollowedMember, roundedUptime(s.UptimeS), s.summary())
 	}
 }
 
-func roundedUptime(s float64) time.Duration {
-	return time.Duration(s * float64(time.Second)).Round(time.Second)
+func roundedUptime(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second)).Round(time.Second)
 }
 
-func (r Member) summary() string {
+func (m Member) summary() string {
 	switch {
-	case r.Unreachable != "":
-		return "SILENT: " + r.Unreachable
-	case r.Fault != "":
-		return "IN TROUBLE: " + r.Fault
+	case m.Unreachable != "":
+		return "UNREACHABLE: " + m.Unreachable
+	case m.Fault != "":
+		return "FAULT: " + m.Fault
 	}
-	role := "follows"
+	return fmt.Sprintf("%s, %s", m.role(), m.progress())
+}
+
+func (m Member) role() string {
 	switch {
-	case r.IsLeader:
-		role = "LEADS"
-	case !r.IsMember:
-		role = "NO MEMBER"
-	case !r.QuorumContact:
-		role = "OUT OF TOUCH"
-	}
-	return fmt.Sprintf("%s, term %d, %d entries applied, %d behind, home of %d lines, %d keys", role, r.Term, r.AppliedIndex, r.LagEntries, len(r.Sidecars), r.KeyCount)
+	case m.IsLeader:
+		return "LEADER"
+	case !m.IsMember:
+		return "NO VOTER"
+	case !m.QuorumContact:
+		return "OUT OF CONTACT"
+	}
+	return "follower"
 }
 
-func (l Sidecar) summary() string {
-	if l.Unreachable != "" {
-		return "SILENT: " + l.Unreachable
-	}
-	s := l.ServerID
-	if s == "" {
-		s = "no server"
-	}
-	s += ", " + l.State
-	if l.State != "ready" && l.StateReason != "" {
-		s += " (" + l.StateReason + ")"
-	}
-	if l.Leaving {
-		s += ", line leaving"
+func (m Member) progress() string {
+	return fmt.Sprintf("term %d, %d entries applied, %d behind, followed by %d sidecars, %d keys",
+		m.Term, m.AppliedIndex, m.LagEntries, len(m.Sidecars), m.KeyCount)
+}
+
+func (s Sidecar) summary() string {
+	if s.Unreachable != "" {
+		return "UNREACHABLE: " + s.Unreachable
 	}
-	if !l.Ready {
-		s += ", NOT READY"
+	server := s.ServerID
+	if server == "" {
+		server = "no server"
 	}
-	if n := len(l.StaleItems); n > 0 {
-		s += fmt.Sprintf(", LAGS by %d items", n)
+	parts := []string{server, s.State}
+	if s.State != stateReady && s.StateReason != "" {
+		parts[1] += " (" + s.StateReason + ")"
 	}
-	return fmt.Sprintf("%s, %d slots, %d at work", s, l.Slots, l.OpenRequests)
-}
-
-// WriteDOT draws it for Graphviz.
-func (t Topology) WriteDOT(w io.Writer) {
-	fmt.Fprintln(w, "graph mesh {\n  rankdir=LR; node [shape=box, fontname=\"sans-serif\"];\n  subgraph cluster_core { label=\"core\";")
-	at := map[string]int{}
-	for i, r := range t.Members {
-		at[r.Addr] = i
-		fmt.Fprintf(w, "    r%d [label=%q%s];\n", i, "register "+r.Name+"\n"+r.Addr, map[bool]string{true: ", penwidth=3"}[r.IsLeader])
-	}
-	fmt.Fprintln(w, "  }")
-	for i, z := range t.Zones() {
-		fmt.Fprintf(w, "  subgraph cluster_%d { label=%q;\n", i, z)
-		for n, l := range t.Sidecars {
-			if l.Zone == z {
-				fmt.Fprintf(w, "    l%d [label=%q, style=filled, fillcolor=%q];\n", n, strings.Join([]string{l.Name, l.Service, l.ServerID, l.State}, "\n"), l.fillColor())
-			}
-		}
-		fmt.Fprintln(w, "  }")
+	if s.Leaving {
+		parts = append(parts, "sidecar leaving")
 	}
-	for i := range t.Members {
-		for j := i + 1; j < len(t.Members); j++ {
-			fmt.Fprintf(w, "  r%d -- r%d [style=bold];\n", i, j)
-		}
+	if !s.Ready {
+		parts = append(parts, "NOT READY")
 	}
-	for n, l := range t.Sidecars {
-		if i, is := at[l.FollowedMember]; is {
-			fmt.Fprintf(w, "  l%d -- r%d;\n", n, i)
-		}
+	if stale := len(s.StaleItems); stale > 0 {
+		parts = append(parts, fmt.Sprintf("LAGS by %d items", stale))
 	}
-	fmt.Fprintln(w, "}")
-}
-
-// fillColor is how a line's server stands.
-func (l Sidecar) fillColor() string {
-	switch {
-	case l.Unreachable != "":
-		return "#d0d0d0"
-	case l.State == stateNames[directory.ServerDown]:
-		return "#f4a7a0"
-	case l.IsUnavailable():
-		return "#f6dd8f"
-	}
-	return "#cfeccf"
+	return fmt.Sprintf("%s, %d slots, %d in flight", strings.Join(parts, ", "), s.Slots, s.OpenRequests)
 }
