--- /dev/null
+++ b/internal/mesh/apiclient/await.go
@@ -0,0 +1,83 @@
+package apiclient
+
+import (
+	"fmt"
+	"io"
+	"time"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/mesh/controlplane"
+	"cranegrade/internal/mesh/maintenance"
+)
+
+const (
+	// pollInterval is the time between two calls of those that wait.
+	pollInterval = 200 * time.Millisecond
+	// policyActiveTimeout is far beyond what a policy set waits for sidecars that do not answer.
+	policyActiveTimeout = 15 * time.Second
+)
+
+// Errors of waiting.
+const (
+	ErrUnknownOrder  = errors.ConstError("unknown order")
+	ErrPolicyPending = errors.ConstError("the policy set is agreed on and not active yet")
+)
+
+// AwaitPolicyActive waits until the policy set that is agreed on is active.
+func (c Client) AwaitPolicyActive() error {
+	for deadline := time.Now().Add(policyActiveTimeout); ; time.Sleep(pollInterval) {
+		response, err := c.Policy(controlplane.PolicyRequest{})
+		switch {
+		case err == nil && !response.Rollout.IsPending():
+			return nil
+		case time.Now().Before(deadline):
+		case err != nil:
+			return err
+		default:
+			return errors.Annotate(ErrPolicyPending, response.WaitingFor)
+		}
+	}
+}
+
+// OrderProgress is what has happened to a maintenance order since it was looked at last.
+type OrderProgress struct {
+	Order      maintenance.Order
+	Events     []maintenance.Event // that are new
+	WaitingFor string              // "" where it waits for nothing else than before
+}
+
+// WriteText prints the new events, and what the order waits for.
+func (p OrderProgress) WriteText(w io.Writer) {
+	for _, e := range p.Events {
+		fmt.Fprintf(w, "%s  %-24s %-10s %s\n", e.Time.Earliest.UTC().Format("15:04:05.0"), e.Machine, e.Step, e.Text)
+	}
+	if p.WaitingFor != "" {
+		fmt.Fprintf(w, "%10s  %-24s %-10s waits: %s\n", "", p.Order.CurrentMachineName(), p.Order.Step, p.WaitingFor)
+	}
+}
+
+// FollowOrder reports the progress of an order until it is finished, and gives its last step.
+func (c Client) FollowOrder(id string, report func(OrderProgress)) (maintenance.Step, error) {
+	shown, lastWait := 0, ""
+	for ; ; time.Sleep(pollInterval) {
+		response, err := c.Maintenance(controlplane.MaintenanceRequest{})
+		if err != nil {
+			return "", err
+		}
+		order, found := maintenance.OrderTable{Orders: response.Orders}.Find(id)
+		if !found {
+			return "", errors.Annotatef(ErrUnknownOrder, "%q", id)
+		}
+		progress := OrderProgress{Order: order, Events: order.Events[min(shown, len(order.Events)):]}
+		shown = len(order.Events)
+		finished := order.Step.IsFinished()
+		if wait := response.WaitingFor[id]; !finished && wait != "" && wait != lastWait {
+			lastWait, progress.WaitingFor = wait, wait
+		}
+		report(progress)
+		if finished {
+			return order.Step, nil
+		}
+	}
+}
--- /dev/null
+++ b/internal/mesh/apiclient/client.go
@@ -0,0 +1,136 @@
+// Package apiclient calls the operators' HTTP API of a control-plane member.
+//
+// It owns the requests and the decoding of their responses. It must never decide anything about the mesh, and it sends nothing
+// again: whether a change that had no answer is sent once more is the operator's decision. The API's paths and forms are those of
+// the operators' pages, of docs/maintenance.md and of docs/rules.md.
+package apiclient
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/mesh/config"
+	"cranegrade/internal/mesh/controlplane"
+)
+
+// ErrUnavailable is a member that gives no answer, or answers that it has none: with 503.
+const ErrUnavailable = errors.ConstError("the control plane is not available")
+
+// maxResponseBytes bounds what is read of a response.
+const maxResponseBytes = 64 << 20
+
+// Paths of the API, and those of the build before, which a member of that build answers.
+const (
+	pathFetch             = "/v1/configuration/fetch"
+	pathModify            = "/v1/configuration/modify"
+	pathMaintenance       = "/v1/maintenance"
+	pathFormerMaintenance = "/v1/night"
+	pathPolicy            = "/v1/policy"
+	pathFormerPolicy      = "/v1/rules"
+)
+
+// StatusError is a response with another status than 200.
+type StatusError struct {
+	Addr   string // of the member
+	Code   int
+	Status string // code and text, as HTTP has them
+	Text   string // the member's reason
+}
+
+// Error names the member, the status and the reason.
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("%s answers %s: %s", e.Addr, e.Status, e.Text)
+}
+
+// Is says that a response with 503 is ErrUnavailable.
+func (e *StatusError) Is(target error) bool {
+	return target == ErrUnavailable && e.Code == http.StatusServiceUnavailable
+}
+
+// Client calls one member. The zero Timeout waits without a bound.
+type Client struct {
+	Addr    string        // ControlPlane of the member: host and port
+	Timeout time.Duration // of each call
+}
+
+// Configuration is the configuration as a majority confirmed it, as text and as a table.
+func (c Client) Configuration() (text []byte, table config.Table, err error) {
+	text, err = c.call(http.MethodGet, pathFetch, nil)
+	if err != nil {
+		return nil, config.Table{}, err
+	}
+	items, err := config.ParseItems([]byte(`{"Upsert":` + string(text) + `}`))
+	if err != nil {
+		return nil, config.Table{}, errors.Annotatef(err, "reading the configuration that %s sent", c.Addr)
+	}
+	table, _ = config.Table{}.Merge(items)
+	return text, table, nil
+}
+
+// Modify has a change acknowledged. A change without an answer may have been accepted; it may be sent again unchanged.
+func (c Client) Modify(body []byte) error {
+	_, err := c.call(http.MethodPost, pathModify, body)
+	return err
+}
+
+// Maintenance is a call about machines in maintenance, which the leader answers.
+func (c Client) Maintenance(request controlplane.MaintenanceRequest) (response controlplane.MaintenanceResponse, err error) {
+	err = c.callJSON(request, &response, pathMaintenance, pathFormerMaintenance)
+	return response, err
+}
+
+// Policy is a call about namespaces' policies, which the leader answers.
+func (c Client) Policy(request controlplane.PolicyRequest) (response controlplane.PolicyResponse, err error) {
+	err = c.callJSON(request, &response, pathPolicy, pathFormerPolicy)
+	return response, err
+}
+
+// callJSON posts a request to the first of the paths that the member knows.
+func (c Client) callJSON(request, response any, paths ...string) error {
+	body, err := json.Marshal(request)
+	if err != nil {
+		return err
+	}
+	var text []byte
+	for _, path := range paths {
+		text, err = c.call(http.MethodPost, path, body)
+		var status *StatusError
+		if !errors.As(err, &status) || status.Code != http.StatusNotFound {
+			break
+		}
+	}
+	if err != nil {
+		return err
+	}
+	return errors.Annotatef(json.Unmarshal(text, response), "reading the response of %s", c.Addr)
+}
+
+// call sends one request and gives the body of a response with 200.
+func (c Client) call(method, path string, body []byte) ([]byte, error) {
+	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.Addr+path, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set("Content-Type", "application/json")
+	response, err := (&http.Client{Timeout: c.Timeout}).Do(request)
+	if err != nil {
+		return nil, errors.WithType(err, ErrUnavailable)
+	}
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	if err != nil {
+		return nil, errors.WithType(err, ErrUnavailable)
+	}
+	if response.StatusCode != http.StatusOK {
+		return nil, &StatusError{Addr: c.Addr, Code: response.StatusCode, Status: response.Status, Text: strings.TrimSpace(string(text))}
+	}
+	return text, nil
+}
--- /dev/null
+++ b/internal/mesh/cli/process.go
@@ -0,0 +1,46 @@
+package cli
+
+import (
+	"cranegrade/internal/mesh/topology"
+	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/codec"
+)
+
+type logsCommand struct {
+	env  *environment
+	Args struct {
+		Addr string `positional-arg-name:"ADDR" description:"transport of a control-plane member or a sidecar: the latter's Inbound"`
+	} `positional-args:"yes" required:"yes"`
+}
+
+// Execute prints a process's log: lines of JSON already, with or without --json.
+func (c *logsCommand) Execute([]string) error {
+	ctx, cancel := c.env.context()
+	defer cancel()
+	text, err := transport.CallOnce(ctx, c.Args.Addr, topology.ClientName, codec.CallLogRing, nil)
+	if err != nil {
+		return err
+	}
+	_, err = c.env.out.Write(text)
+	return err
+}
+
+type drainCommand struct {
+	env  *environment
+	Undo bool `long:"undo" description:"let it in again"`
+	Args struct {
+		Sidecar string `positional-arg-name:"ADDR" description:"transport of the sidecar beside the server: its Inbound"`
+	} `positional-args:"yes" required:"yes"`
+}
+
+// Execute takes a server out for as long as its sidecar runs, or lets it in again.
+func (c *drainCommand) Execute([]string) error {
+	ctx, cancel := c.env.context()
+	defer cancel()
+	var body []byte
+	if !c.Undo {
+		body = []byte{1}
+	}
+	_, err := transport.CallOnce(ctx, c.Args.Sidecar, topology.ClientName, codec.CallDrain, body)
+	return err
+}
--- /dev/null
+++ b/internal/mesh/demo/audit.go
@@ -0,0 +1,90 @@
+package demo
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"cranegrade/internal/mesh/policy"
+)
+
+// observedPolicy is by which policy a request was decided, as its response named it.
+type observedPolicy struct {
+	began, ended time.Time // of the request
+	sidecar      string
+	route        string
+	caller       string // the service beside the sidecar
+	policy       string // the merged policy's fingerprint
+	set          string // the fingerprint of the policy set
+}
+
+// policyAudit is what the observations of a run show.
+type policyAudit struct {
+	differences []string      // that are against the rules
+	sets        int           // that were seen in force
+	widest      time.Duration // for which a sidecar went by a set after another had shown the next
+}
+
+// auditPolicies checks by what requests were decided: under one policy set a route has one merged policy for one caller, on
+// every sidecar; and no sidecar goes by a set for longer than policy.FenceTimeout after another has shown the next one.
+func auditPolicies(observed []observedPolicy) policyAudit {
+	observed = slices.Clone(observed)
+	slices.SortStableFunc(observed, func(a, b observedPolicy) int { return a.began.Compare(b.began) })
+	audit := policyAudit{differences: differingPolicies(observed)}
+	firstSeen := firstSeenSets(observed)
+	audit.sets = len(firstSeen)
+	next := successors(firstSeen)
+	for _, x := range observed {
+		successor, replaced := next[x.set]
+		if !replaced {
+			continue
+		}
+		late := x.began.Sub(firstSeen[successor])
+		audit.widest = max(audit.widest, late)
+		if late > policy.FenceTimeout {
+			audit.differences = append(audit.differences,
+				fmt.Sprintf("%s goes by set %s %v after set %s was in force elsewhere", x.sidecar, x.set, late, successor))
+		}
+	}
+	return audit
+}
+
+// differingPolicies are the requests of one route and caller that one set decided by different merged policies.
+func differingPolicies(observed []observedPolicy) (differences []string) {
+	type decision struct{ route, caller, set string }
+	last := map[decision]observedPolicy{}
+	for _, x := range observed {
+		key := decision{x.route, x.caller, x.set}
+		if before, found := last[key]; found && before.policy != x.policy {
+			differences = append(differences, fmt.Sprintf("%s from %s: %s has policy %s and %s has %s, both by set %s",
+				x.route, x.caller, before.sidecar, before.policy, x.sidecar, x.policy, x.set))
+		}
+		last[key] = x
+	}
+	return differences
+}
+
+// firstSeenSets is when each set was in force at the latest: when the first response that names it had come.
+func firstSeenSets(observed []observedPolicy) map[string]time.Time {
+	first := map[string]time.Time{}
+	for _, x := range observed {
+		if at, seen := first[x.set]; !seen || x.ended.Before(at) {
+			first[x.set] = x.ended
+		}
+	}
+	return first
+}
+
+// successors are the sets that came after each set.
+func successors(firstSeen map[string]time.Time) map[string]string {
+	var order []string
+	for set := range firstSeen {
+		order = append(order, set)
+	}
+	slices.SortFunc(order, func(a, b string) int { return firstSeen[a].Compare(firstSeen[b]) })
+	next := map[string]string{}
+	for i := 1; i < len(order); i++ {
+		next[order[i-1]] = order[i]
+	}
+	return next
+}
--- /dev/null
+++ b/internal/mesh/demo/cluster.go
@@ -0,0 +1,104 @@
+// Package demo plays scenes on a small mesh of real processes on loopback, for people to watch: traffic of several kinds runs
+// while machines fail, are maintained, or change their policies, and every request is accounted for.
+//
+// It owns the scenes and their audit; the mesh itself is package testcluster's. It must never be part of a program that serves.
+package demo
+
+import (
+	"fmt"
+	"io"
+	"os"
+	"slices"
+	"time"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/mesh/testcluster"
+	"cranegrade/internal/rig"
+)
+
+// startTimeout is how long the mesh may take to come up, and a change to be acknowledged.
+const startTimeout = 20 * time.Second
+
+// memberCount is the number of control-plane members of a demo's mesh.
+const memberCount = 3
+
+// cluster is a small mesh on loopback with traffic through it.
+type cluster struct {
+	*testcluster.Cluster
+	*traffic
+	out io.Writer
+	dir string
+}
+
+// startCluster builds the programs and starts control-plane members, and a sidecar for each service named, with the routes.
+func startCluster(out io.Writer, services []string, routes ...map[string]any) (*cluster, error) {
+	dir, err := os.MkdirTemp("", "mesh")
+	if err != nil {
+		return nil, err
+	}
+	c := &cluster{out: out, dir: dir, traffic: newTraffic()}
+	fmt.Fprintf(out, "%d control-plane members, %d sidecars with fake servers: %v\n", memberCount, len(services), services)
+	if err := c.start(services, routes); err != nil {
+		c.closeAndRemove()
+		return nil, err
+	}
+	return c, nil
+}
+
+func (c *cluster) start(services []string, routes []map[string]any) (err error) {
+	if err := testcluster.BuildPrograms(c.dir); err != nil {
+		return err
+	}
+	if c.Cluster, err = testcluster.New(c.dir, memberCount, services...); err != nil {
+		return err
+	}
+	known := slices.Clone(services)
+	slices.Sort(known)
+	if err := c.modify(testcluster.ModifyCall(1, slices.Compact(known), routes...)); err != nil {
+		return err
+	}
+	if !c.AwaitReady(startTimeout) {
+		return errors.New("the sidecars do not get ready")
+	}
+	return nil
+}
+
+// closeAndRemove ends all processes and removes what they have written.
+func (c *cluster) closeAndRemove() {
+	if c.Cluster != nil {
+		c.Close()
+	}
+	os.RemoveAll(c.dir)
+}
+
+// modify has a change acknowledged by whichever member does.
+func (c *cluster) modify(body []byte) error {
+	status, text := 0, ""
+	acknowledged := rig.Await(startTimeout, func() bool {
+		for _, member := range c.Members {
+			if member.Process == nil {
+				continue
+			}
+			if status, text = member.Modify(body); status == 200 {
+				return true
+			}
+		}
+		return false
+	})
+	if !acknowledged {
+		return errors.Errorf("the change is not acknowledged: %d %s", status, text)
+	}
+	return nil
+}
+
+// sidecar is one of the sidecars, in turn.
+func (c *cluster) sidecar(n int) *testcluster.Machine { return c.Sidecars[n%len(c.Sidecars)] }
+
+// checkRecords is what the servers' and callers' own records say of the rules.
+func (c *cluster) checkRecords() error {
+	if violations := c.Recorder.Violations(); len(violations) > 0 {
+		return errors.Errorf("broken: %v", violations)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/mesh/demo/failover.go
@@ -0,0 +1,73 @@
+package demo
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"time"
+
+	"cranegrade/internal/mesh/testcluster"
+	"cranegrade/internal/mesh/topology"
+)
+
+// Failover plays four seconds of traffic while a control-plane member is killed, one server drains and another crashes, and
+// prints what became of every request. An error: the scene could not be played, or the mesh broke a rule. It returns once
+// stay has ended, which keeps the mesh up to play with; a context that is done already ends it at once.
+func Failover(stay context.Context, out io.Writer, timeout time.Duration) error {
+	c, err := startCluster(out, []string{"orders", "orders", "stock", "stock"},
+		testcluster.RouteItem("lookup", "idempotent", "/lookup/", "stock", 1), testcluster.RouteItem("order", "keyed", "/order/", "orders", 1))
+	if err != nil {
+		return err
+	}
+	defer c.closeAndRemove()
+	if err := c.printTopology(timeout); err != nil {
+		return err
+	}
+	fmt.Fprintln(out, "\nfour seconds of traffic; a control-plane member is killed, one server drains, one crashes")
+	c.startCalls("lookup", 4*time.Millisecond, func(n int) (testcluster.Response, bool) {
+		return c.sidecar(n).Send("GET", fmt.Sprint("/lookup/", n), "", nil), true
+	})
+	c.startOrders(4*time.Millisecond, 5)
+	time.Sleep(time.Second)
+	c.Members[0].Kill()
+	time.Sleep(700 * time.Millisecond)
+	c.Sidecars[2].App.Drain()
+	time.Sleep(time.Second)
+	c.Sidecars[1].App.Crash()
+	time.Sleep(1300 * time.Millisecond)
+	c.stopCalls()
+	c.printOutcomes(out, "")
+	fmt.Fprintln(out, "503 has not run, 409 is in flight, 502 and 504 may have run")
+	if err := c.checkRecords(); err != nil {
+		return err
+	}
+	fmt.Fprintln(out, "by the servers' own record no order ran twice, and every answer belongs to its request")
+	if stay.Err() == nil {
+		fmt.Fprintf(out, "operators call %s; callers %s with Host: %s; end it with Ctrl-C\n",
+			c.Members[1].Addr("ControlPlane"), c.Sidecars[0].Addr("Outbound"), testcluster.Host)
+		<-stay.Done()
+	}
+	return nil
+}
+
+// printTopology asks the mesh for its topology and prints it.
+func (c *cluster) printTopology(timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	t, err := topology.Collect(ctx, c.Members[0].Process.Addr)
+	if err != nil {
+		return err
+	}
+	t.WriteText(c.out)
+	return nil
+}
+
+// startOrders begins keyed orders every so often, and sends each nth of them once more through another sidecar.
+func (c *cluster) startOrders(interval time.Duration, repeated int) {
+	c.startCalls("order", interval, func(n int) (testcluster.Response, bool) {
+		return c.sidecar(n).Send("POST", "/order/new", fmt.Sprint("k-", n), []byte("one")), true
+	})
+	c.startCalls("order, again elsewhere", 20*time.Millisecond, func(n int) (testcluster.Response, bool) {
+		return c.sidecar(n+1).Send("POST", "/order/new", fmt.Sprint("k-", repeated*n), []byte("one")), true
+	})
+}
--- /dev/null
+++ b/internal/mesh/demo/maintenance.go
@@ -0,0 +1,120 @@
+package demo
+
+import (
+	"fmt"
+	"io"
+	"time"
+
+	"github.com/juju/errors"
+
+	"cranegrade/internal/mesh/apiclient"
+	"cranegrade/internal/mesh/controlplane"
+	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/testcluster"
+	"cranegrade/internal/rig"
+)
+
+const (
+	maintenanceOrder = "rack-7"
+	downloadBytes    = 200_000
+	// orderTimeout bounds a call of the demos at a control-plane member.
+	orderTimeout = 3 * time.Second
+)
+
+// Maintenance plays the maintenance of a machine within the hours that a contract approves, on live traffic, after an attempt
+// outside them, and prints what became of every request. length is how long the maintenance itself takes. An error: the scene
+// could not be played, or a request was lost or ran twice.
+func Maintenance(out io.Writer, length time.Duration) error {
+	c, err := startCluster(out, []string{"orders", "orders", "orders", "stock", "stock", "stock"},
+		testcluster.RouteItem("lookup", "idempotent", "/lookup/", "stock", 1),
+		testcluster.RouteItem("export", "download", "/export/", "stock", 1),
+		testcluster.RouteItem("order", "keyed", "/order/", "orders", 1))
+	if err != nil {
+		return err
+	}
+	defer c.closeAndRemove()
+	machine := c.Sidecars[0]
+	now := time.Now()
+	if err := c.showRefusal(machine, now); err != nil {
+		return err
+	}
+	if err := c.modify(testcluster.ContractCall("vintage", 2, now.Add(-time.Hour), now.Add(3*time.Hour), nil)); err != nil {
+		return err
+	}
+	fmt.Fprintln(out, "\nthe contract approves the present hours; traffic of all kinds begins")
+	c.startMaintenanceTraffic()
+	time.Sleep(length)
+	c.startSecondPhase()
+	before, during, err := c.maintain(machine, length)
+	c.stopCalls()
+	if err != nil {
+		return err
+	}
+	faulty := c.printOutcomes(out, "from the drain on")
+	fmt.Fprintf(out, "\n%s ran %d requests before it was drained, %d when it was in maintenance, %d in all\n",
+		machine.App.Instance, before, during, c.Recorder.RunsBy(machine.App.Instance))
+	if err := c.checkRecords(); err != nil {
+		return err
+	}
+	if faulty {
+		return errors.New("some requests were lost, failed or cut short (0: no answer)")
+	}
+	fmt.Fprintln(out, "every request is accounted for: 200 served, 503 rejected at once and never run, 409 the key was in flight; "+
+		"no order ran twice, downloads are complete")
+	return nil
+}
+
+// showRefusal has a contract approve two hours tomorrow, and shows why a machine may not come out now.
+func (c *cluster) showRefusal(machine *testcluster.Machine, now time.Time) error {
+	if err := c.modify(testcluster.ContractCall("vintage", 1, now.Add(24*time.Hour), now.Add(26*time.Hour), nil)); err != nil {
+		return err
+	}
+	fmt.Fprintf(c.out, "\na contract approves two hours tomorrow; may %s come out now?\n", machine.Name)
+	var response controlplane.MaintenanceResponse
+	if !rig.Await(startTimeout, func() bool {
+		response, _, _ = c.Members[0].CallMaintenance(controlplane.MaintenanceRequest{Machine: machine.Name, LengthSeconds: 60})
+		return response.TimeAgreed && response.Verdict != nil
+	}) {
+		return errors.New("no time of day is agreed on")
+	}
+	for _, reason := range response.Verdict.Reasons {
+		fmt.Fprintln(c.out, "  no: "+reason.String())
+	}
+	if response.Verdict.Approved {
+		return errors.New("it was approved outside the contract's hours")
+	}
+	return nil
+}
+
+func (c *cluster) startMaintenanceTraffic() {
+	c.startCalls("lookup", 5*time.Millisecond, func(n int) (testcluster.Response, bool) {
+		return c.sidecar(n).Send("GET", fmt.Sprint("/lookup/", n), "", nil), true
+	})
+	c.startCalls("export", 40*time.Millisecond, func(n int) (testcluster.Response, bool) {
+		response := c.sidecar(n).Send("GET", fmt.Sprintf("/export/%d?bytes=%d", n, downloadBytes), "", nil)
+		return response, len(response.Body) > downloadBytes
+	})
+	c.startOrders(10*time.Millisecond, 2)
+}
+
+// maintain orders the machine out and follows the order to its end. It gives how many requests the machine's server had run
+// before it was drained, and once the machine was in maintenance (-1: that was not seen).
+func (c *cluster) maintain(machine *testcluster.Machine, length time.Duration) (before, during int, err error) {
+	member := c.Members[0]
+	order := &maintenance.Order{ID: maintenanceOrder, Machines: []string{machine.Name}, Duration: length, PlacedBy: "ana", Reason: "a disk"}
+	if _, status, text := member.CallMaintenance(controlplane.MaintenanceRequest{Order: order}); status != 200 {
+		return 0, 0, errors.Errorf("the order was not accepted: %d %s", status, text)
+	}
+	before, during = c.Recorder.RunsBy(machine.App.Instance), -1
+	api := apiclient.Client{Addr: member.Addr("ControlPlane"), Timeout: orderTimeout}
+	step, err := api.FollowOrder(maintenanceOrder, func(p apiclient.OrderProgress) {
+		if during < 0 && p.Order.Step == maintenance.StepInMaintenance {
+			during = c.Recorder.RunsBy(machine.App.Instance)
+		}
+		p.WriteText(c.out)
+	})
+	if err == nil && step == maintenance.StepAborted {
+		err = errors.New("the order was aborted")
+	}
+	return before, during, err
+}
--- /dev/null
+++ b/internal/mesh/demo/traffic.go
@@ -0,0 +1,141 @@
+package demo
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"sync"
+	"time"
+
+	"cranegrade/internal/mesh/testcluster"
+)
+
+// phases of a demo's traffic: before what is shown, and from then on.
+const phases = 2
+
+// traffic is calls of several kinds, open loop: each kind begins one every so often whether or not those before are answered.
+type traffic struct {
+	stop       chan struct{}
+	generators sync.WaitGroup
+	calls      sync.WaitGroup
+
+	mu    sync.Mutex // guards below
+	kinds map[string]*callOutcomes
+	order []string // of kinds
+	phase int
+}
+
+// callOutcomes is what became of the calls of one kind, in each phase.
+type callOutcomes struct {
+	byStatus   [phases]map[int]int
+	latencies  [phases][]time.Duration // of those that were answered 200
+	incomplete int                     // answers with 200 that were cut short
+}
+
+// call is what makes the nth call of a kind. It gives the response, and whether that was complete.
+type call func(n int) (response testcluster.Response, complete bool)
+
+func newTraffic() *traffic {
+	return &traffic{kinds: map[string]*callOutcomes{}, stop: make(chan struct{})}
+}
+
+// startCalls begins a call of a kind every so often, until stopCalls.
+func (t *traffic) startCalls(kind string, interval time.Duration, call call) {
+	t.mu.Lock()
+	t.kinds[kind] = &callOutcomes{byStatus: [phases]map[int]int{{}, {}}}
+	t.order = append(t.order, kind)
+	t.mu.Unlock()
+	t.generators.Go(func() {
+		tick := time.NewTicker(interval)
+		defer tick.Stop()
+		for n := 0; ; n++ {
+			select {
+			case <-t.stop:
+				return
+			case <-tick.C:
+			}
+			t.calls.Go(func() { t.measure(kind, n, call) })
+		}
+	})
+}
+
+// measure makes one call and records its outcome in the phase in which it began.
+func (t *traffic) measure(kind string, n int, call call) {
+	t.mu.Lock()
+	phase := t.phase
+	t.mu.Unlock()
+	began := time.Now()
+	response, complete := call(n)
+	latency := time.Since(began)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	outcomes := t.kinds[kind]
+	outcomes.byStatus[phase][response.Status]++
+	if response.Status != 200 {
+		return
+	}
+	outcomes.latencies[phase] = append(outcomes.latencies[phase], latency)
+	if !complete {
+		outcomes.incomplete++
+	}
+}
+
+// startSecondPhase has what begins from now on be of the second phase.
+func (t *traffic) startSecondPhase() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.phase = 1
+}
+
+// stopCalls ends the traffic and waits for what is in flight.
+func (t *traffic) stopCalls() {
+	close(t.stop)
+	t.generators.Wait()
+	t.calls.Wait()
+}
+
+// printOutcomes prints what became of each kind of calls. secondPhase names the second phase, if there was one. It says
+// whether some calls were lost, failed or were cut short.
+func (t *traffic) printOutcomes(out io.Writer, secondPhase string) (faulty bool) {
+	fmt.Fprintf(out, "\n%-26s %-36s", "", "answers by status, p99")
+	if secondPhase != "" {
+		fmt.Fprintf(out, " %-36s %s", secondPhase, "p99, times that before")
+	}
+	fmt.Fprintln(out)
+	for _, kind := range t.order {
+		outcomes := t.kinds[kind]
+		before, after := p99(outcomes.latencies[0]), p99(outcomes.latencies[1])
+		fmt.Fprintf(out, "%-26s %-36s", kind, fmt.Sprint(outcomes.byStatus[0], " ", before))
+		if secondPhase != "" {
+			fmt.Fprintf(out, " %-36s %.2f", fmt.Sprint(outcomes.byStatus[1], " ", after), float64(after)/float64(max(1, before)))
+		}
+		fmt.Fprintln(out)
+		if outcomes.incomplete > 0 {
+			fmt.Fprintf(out, "%-26s %d answers were not complete\n", "", outcomes.incomplete)
+		}
+		faulty = faulty || outcomes.isFaulty()
+	}
+	return faulty
+}
+
+// isFaulty says that calls were cut short, had no answer, or failed so that they may have run.
+func (o *callOutcomes) isFaulty() bool {
+	if o.incomplete > 0 {
+		return true
+	}
+	for _, byStatus := range o.byStatus {
+		if byStatus[0] > 0 || byStatus[500] > 0 || byStatus[502] > 0 || byStatus[504] > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// p99 is the 99th percentile; 0 of none. It sorts the list.
+func p99(list []time.Duration) time.Duration {
+	if len(list) == 0 {
+		return 0
+	}
+	slices.Sort(list)
+	return list[len(list)*99/100].Round(100 * time.Microsecond)
+}
