--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -221,7 +221,7 @@
 	stopped.Kill()
 	recovered := m.path("recovered.json")
 	for _, x := range []commandTest{
-		{0, "route read version 3, stands", []string{"inspect", stopped.DataDir()}},
+		{0, "route read version 3, present", []string{"inspect", stopped.DataDir()}},
 		{0, "6 items in", []string{"recover", stopped.DataDir(), recovered}},
 		{0, "sets route read, version 3", []string{"check", recovered}},
 		{1, "", []string{"inspect", m.dir}},
