--- a/internal/mesh/sidecar/key_orders_test.go
+++ b/internal/mesh/sidecar/key_orders_test.go
@@ -100,95 +100,124 @@
 	t.state = attemptNotExecuted
 }
 
+// after is the world after one step.
+func (w *keyWorld) after(name string, step func(v *keyWorld)) *keyWorld {
+	v := w.clone()
+	v.trace = append(v.trace, name)
+	step(v)
+	return v
+}
+
 // next gives every state that one step leads to. released: the injected fault.
 func (w *keyWorld) next(released bool) (out []*keyWorld) {
-	step := func(name string, f func(v *keyWorld)) {
-		v := w.clone()
-		v.trace = append(v.trace, name)
-		f(v)
-		out = append(out, v)
-	}
-	for i, t := range w.attempts {
-		switch t.state {
-		case attemptIdle:
-			if t.after >= 0 && w.attempts[t.after].state != attemptNotExecuted {
-				continue
-			}
-			step(fmt.Sprint("begin ", i), func(v *keyWorld) {
-				if _, fresh := v.responses[t.sidecar].begin("k", t.token, t.attempt, time.Hour); !fresh {
-					v.attempts[i].state = attemptSettled
-					return
-				}
-				v.attempts[i].state = attemptWaiting
-				claim := idempotency.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: v.holder(t.sidecar), Window: time.Hour}
-				v.messages = append(v.messages, keyMessage{claim: claim, attempt: i})
-			})
-		case attemptWaiting:
-			step(fmt.Sprint("give up ", i), func(v *keyWorld) { v.releaseKey(i) })
-		case attemptRunning:
-			step(fmt.Sprint("done ", i), func(v *keyWorld) {
-				v.executions++
-				v.responses[t.sidecar].setState("k", keyAnswered, nil)
-				v.attempts[i].state = attemptSettled
-			})
-			step(fmt.Sprint("unknown ", i), func(v *keyWorld) {
-				v.executions++
-				v.responses[t.sidecar].setState("k", keyOutcomeUnknown, nil)
-				if released {
-					v.releaseKey(i)
-				}
-				v.attempts[i].state = attemptSettled
-			})
-			step(fmt.Sprint("rejected ", i), func(v *keyWorld) { v.releaseKey(i) })
-		}
+	for i := range w.attempts {
+		out = append(out, w.attemptSteps(i, released)...)
 	}
-	for n, m := range w.messages {
-		take := func(v *keyWorld) {
-			if !m.isReply {
-				g := v.store.Apply(time.Second, m.claim)
-				if !m.claim.Release {
-					v.messages = append(v.messages, keyMessage{claim: m.claim, attempt: m.attempt, isReply: true, granted: g.Granted})
-				}
-				return
-			}
-			t := &v.attempts[m.attempt]
-			if t.state != attemptWaiting || m.claim.Holder != v.holder(t.sidecar) {
-				return // it has given up, or this is another incarnation
-			}
-			if m.granted {
-				v.responses[t.sidecar].setState("k", keyRunning, nil)
-				t.state = attemptRunning
-			} else {
-				v.responses[t.sidecar].markNotExecuted("k")
-				t.state = attemptSettled
-			}
-		}
-		step(fmt.Sprint("take ", m), func(v *keyWorld) { v.messages = slices.Delete(v.messages, n, n+1); take(v) })
-		if w.faultsLeft > 0 {
-			step(fmt.Sprint("lose ", m), func(v *keyWorld) { v.faultsLeft--; v.messages = slices.Delete(v.messages, n, n+1) })
-			step(fmt.Sprint("twice ", m), func(v *keyWorld) { v.faultsLeft--; take(v) })
-		}
+	for n := range w.messages {
+		out = append(out, w.messageSteps(n)...)
 	}
 	for sidecar := range w.responses {
 		if w.faultsLeft > 0 && w.incarnations[sidecar] == 0 {
-			step(fmt.Sprint("crash ", sidecar), func(v *keyWorld) {
-				v.faultsLeft--
-				v.incarnations[sidecar]++
-				v.responses[sidecar] = newResponseStore()
-				for i := range v.attempts {
-					if t := &v.attempts[i]; t.sidecar == sidecar && (t.state == attemptWaiting || t.state == attemptRunning) {
-						if t.state == attemptRunning {
-							v.executions++
-						}
-						t.state = attemptSettled
-					}
-				}
-			})
+			out = append(out, w.after(fmt.Sprint("crash ", sidecar), func(v *keyWorld) { v.crash(sidecar) }))
 		}
 	}
 	return out
 }
 
+// attemptSteps are the steps of one attempt by itself.
+func (w *keyWorld) attemptSteps(i int, released bool) []*keyWorld {
+	t := w.attempts[i]
+	switch t.state {
+	case attemptIdle:
+		if t.after >= 0 && w.attempts[t.after].state != attemptNotExecuted {
+			return nil
+		}
+		return []*keyWorld{w.after(fmt.Sprint("begin ", i), func(v *keyWorld) { v.begin(i) })}
+	case attemptWaiting:
+		return []*keyWorld{w.after(fmt.Sprint("give up ", i), func(v *keyWorld) { v.releaseKey(i) })}
+	case attemptRunning:
+		return []*keyWorld{
+			w.after(fmt.Sprint("done ", i), func(v *keyWorld) { v.end(i, keyAnswered, false) }),
+			w.after(fmt.Sprint("unknown ", i), func(v *keyWorld) { v.end(i, keyOutcomeUnknown, released) }),
+			w.after(fmt.Sprint("rejected ", i), func(v *keyWorld) { v.releaseKey(i) }),
+		}
+	}
+	return nil
+}
+
+func (w *keyWorld) begin(i int) {
+	t := &w.attempts[i]
+	if _, fresh := w.responses[t.sidecar].begin("k", t.token, t.attempt, time.Hour); !fresh {
+		t.state = attemptSettled
+		return
+	}
+	t.state = attemptWaiting
+	claim := idempotency.LeaseRequest{Key: "k", Token: t.token, Attempt: t.attempt, Holder: w.holder(t.sidecar), Window: time.Hour}
+	w.messages = append(w.messages, keyMessage{claim: claim, attempt: i})
+}
+
+// end has an attempt have run; released: its key is given back all the same.
+func (w *keyWorld) end(i int, state keyState, released bool) {
+	t := &w.attempts[i]
+	w.executions++
+	w.responses[t.sidecar].setState("k", state, nil)
+	if released {
+		w.releaseKey(i)
+	}
+	t.state = attemptSettled
+}
+
+// messageSteps are what may become of a message: it is taken, lost, or taken and comes again.
+func (w *keyWorld) messageSteps(n int) []*keyWorld {
+	m := w.messages[n]
+	out := []*keyWorld{w.after(fmt.Sprint("take ", m), func(v *keyWorld) { v.messages = slices.Delete(v.messages, n, n+1); v.take(m) })}
+	if w.faultsLeft > 0 {
+		out = append(out,
+			w.after(fmt.Sprint("lose ", m), func(v *keyWorld) { v.faultsLeft--; v.messages = slices.Delete(v.messages, n, n+1) }),
+			w.after(fmt.Sprint("twice ", m), func(v *keyWorld) { v.faultsLeft--; v.take(m) }))
+	}
+	return out
+}
+
+// take delivers a message to the lease store, or a reply to its sidecar.
+func (w *keyWorld) take(m keyMessage) {
+	if !m.isReply {
+		result := w.store.Apply(time.Second, m.claim)
+		if !m.claim.Release {
+			w.messages = append(w.messages, keyMessage{claim: m.claim, attempt: m.attempt, isReply: true, granted: result.Granted})
+		}
+		return
+	}
+	t := &w.attempts[m.attempt]
+	if t.state != attemptWaiting || m.claim.Holder != w.holder(t.sidecar) {
+		return // it has given up, or this is another incarnation
+	}
+	if m.granted {
+		w.responses[t.sidecar].setState("k", keyRunning, nil)
+		t.state = attemptRunning
+	} else {
+		w.responses[t.sidecar].markNotExecuted("k")
+		t.state = attemptSettled
+	}
+}
+
+// crash restarts a sidecar, which forgets its keys; what ran there may have run.
+func (w *keyWorld) crash(sidecar int) {
+	w.faultsLeft--
+	w.incarnations[sidecar]++
+	w.responses[sidecar] = newResponseStore()
+	for i := range w.attempts {
+		t := &w.attempts[i]
+		if t.sidecar != sidecar || t.state != attemptWaiting && t.state != attemptRunning {
+			continue
+		}
+		if t.state == attemptRunning {
+			w.executions++
+		}
+		t.state = attemptSettled
+	}
+}
+
 func searchKeys(released bool) (states int, broken []string) {
 	w := &keyWorld{store: idempotency.New(), faultsLeft: 1, attempts: []keyAttempt{
 		{sidecar: 0, token: "a", after: -1, state: attemptIdle},
