--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -15,24 +15,24 @@
 	"cranegrade/internal/engine"
 )
 
-// settleTime is how long a connection rests after an answer. What a server sends behind one comes within
-// that and is seen before the next request is written; it would pass for its answer.
+// settleTime is how long a connection stays unused after a response. Surplus bytes of the server arrive within that time
+// and are seen before the next request is written; otherwise they would be read as its response.
 const settleTime = 10 * time.Millisecond
 
-// connectionPool are the connections to servers.
+// connectionPool owns the connections to servers. Its methods may be called from any goroutine.
 type connectionPool struct {
-	idleTimeout    time.Duration // ours are closed after standing idle for so long
+	idleTimeout    time.Duration // idle connections are closed after that
 	connectTimeout time.Duration
 	settleTime     time.Duration
 	limit          engine.SharedLimit
 
-	start time.Time // trust's times count from it
+	start time.Time // origin of trust's times
 
 	minProbeWait time.Duration
 
 	mu    sync.Mutex                   // guards all below
-	idle  map[*engine.Endpoint][]*conn // the latest used last
-	open  int                          // connections there are, idle ones and dials among them
+	idle  map[*engine.Endpoint][]*conn // the most recently used one last
+	open  int                          // connections, with idle ones and those being dialled
 	trust reuseTrust
 }
 
@@ -42,15 +42,15 @@
 	reader    *bufio.Reader
 	readLimit *io.LimitedReader // under r
 	idleSince time.Time         // idle since
-	reused    bool              // it carried a request before this one
-	// unnamed: an answer on it named no request, so a second copy of that could not be told from the next answer
+	reused    bool              // it carried a request before
+	// hadUnnamedAnswer: a response on it was Unnamed, so a duplicate of that could not be told from the next response.
 	hadUnnamedAnswer bool
-	dialTime         time.Duration // how long it took to come up: a trip there and back, and more
+	dialTime         time.Duration // how long it took to connect: at least one round trip
 }
 
 var errConnectionLimit = errors.New("no descriptor left for another connection")
 
-// acquire takes the settled connection used last, or dials; for an unsafe request only where kept ones hold.
+// acquire takes the settled connection used last, or dials; for a request that is not idempotent only where reuse is safe enough.
 func (p *connectionPool) acquire(ctx context.Context, ep *engine.Endpoint, unsafe bool) (*conn, error) {
 	p.mu.Lock()
 	trusted := p.trust.mayReuse(time.Since(p.start), unsafe)
@@ -72,7 +72,7 @@
 	return p.dial(ctx, ep)
 }
 
-// dial brings up a connection.
+// dial establishes a connection.
 func (p *connectionPool) dial(ctx context.Context, ep *engine.Endpoint) (*conn, error) {
 	if !p.reserveSlot() {
 		return nil, errConnectionLimit
@@ -88,14 +88,14 @@
 	return &conn{Conn: nc, reader: bufio.NewReader(limit), readLimit: limit, dialTime: time.Since(began)}, nil
 }
 
-// needsProbe says that a request which must not run twice is to be written in two parts on this connection.
+// needsProbe says that a request that is not idempotent is to be written in two parts on this connection; see probe.
 func (p *connectionPool) needsProbe(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.trust.needsProbe(time.Since(p.start), c.reused)
 }
 
-// takeIdle takes the settled connection used last that may carry the request; nil: there is none.
+// takeIdle takes the most recently used settled connection that may carry the request; nil: there is none.
 func (p *connectionPool) takeIdle(ep *engine.Endpoint, unsafe bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// reserveSlot counts a connection to be dialled. With no room left an idle one of any server makes it.
+// reserveSlot counts a connection to be dialled. At the limit, an idle one to any server is closed in its place.
 func (p *connectionPool) reserveSlot() bool {
 	if p.limit.Take(1) {
 		p.mu.Lock()
@@ -126,7 +126,7 @@
 	return c != nil
 }
 
-// oldestOfAny takes an idle connection of some server; nil if there is none. The caller of it holds mu.
+// oldestOfAny takes the oldest idle connection to some server; nil if there is none. The caller holds mu.
 func (p *connectionPool) oldestOfAny() *conn {
 	for ep, l := range p.idle {
 		if len(l) > 0 {
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// GiveBack closes up to n idle connections, so that others may have their room, and returns how many.
+// GiveBack closes up to n idle connections, to return their part of the limit, and returns how many.
 func (p *connectionPool) GiveBack(n int) (given int) {
 	for ; given < n; given++ {
 		p.mu.Lock()
@@ -163,11 +163,11 @@
 	p.releaseSlot()
 }
 
-// release keeps a connection for the next attempt, unless the server has left meanwhile.
+// release keeps a connection for the next attempt, or closes it if the endpoint is no longer usable.
 func (p *connectionPool) release(ep *engine.Endpoint, c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
-	usable := ep.Usable() // under the lock, so that Drop comes after or is seen here
+	usable := ep.Usable() // under the lock, so that a concurrent Drop either comes later or is seen here
 	if usable {
 		p.idle[ep] = append(p.idle[ep], c)
 	}
@@ -177,15 +177,15 @@
 	}
 }
 
-// recordExchange notes whether an exchange ended in the connection's end, which says how far kept ones can be trusted.
+// recordExchange records whether the connection broke during an exchange, by which reuse of connections is judged.
 func (p *connectionPool) recordExchange(c *conn, broke bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.trust.record(time.Since(p.start), c.reused, broke)
 }
 
-// alive says that an idle connection is still open and holds no bytes: a server that closed it
-// would reset the next request, and leftover bytes would pass for that request's answer.
+// alive says that an idle connection is still open and has no unread bytes: a server that has closed it would reset the
+// next request, and surplus bytes would be read as its response.
 func (c *conn) alive() bool { return conncheck.At(c.Conn) == syscall.EAGAIN }
 
 // Drop closes the idle connections to an endpoint.
@@ -199,8 +199,8 @@
 	}
 }
 
-// Sweep closes idle connections that are too old or that their server has closed, lest they hold
-// descriptors until they would be used next.
+// Sweep closes idle connections that are too old or that their server has closed, so that they do not hold descriptors
+// until their next use.
 func (p *connectionPool) Sweep() {
 	var drop []*conn
 	p.mu.Lock()
--- a/internal/sender/http1/trust.go
+++ b/internal/sender/http1/trust.go
@@ -8,36 +8,36 @@
 	"cranegrade/internal/message"
 )
 
-// reuseTrust judges whether a kept connection should carry a request. Servers, and what stands before them, drop kept
-// connections, and the close is not always seen before the next request is written; that request then ends in a
-// reset and may have run, as far as anybody knows. Where kept connections break more often than fresh ones, what
-// must not run twice goes over a fresh one, and everything does where they break often.
+// reuseTrust judges whether a reused connection should carry a request. Servers and proxies close idle connections, and
+// the close may cross the next request (RFC 9112, section 9.5), which then ends in a reset and may have run. Where reused
+// connections break more often than new ones, requests that are not idempotent go over new ones, and where they break
+// very often all requests do.
 //
-// It is pure: time is an argument. Its owner locks it.
+// It is pure: time is an argument. It is not safe for concurrent use; its owner locks it.
 type reuseTrust struct {
 	kept, fresh  breaks
 	at           time.Duration // of the last sample
-	avoidedInRow int           // requests in a row that were kept off kept connections
+	avoidedInRow int           // requests in a row that were sent over new connections instead
 }
 
-// breaks are decayed counts of exchanges and of those that broke.
+// breaks are counts of exchanges and of those that broke, with exponential decay.
 type breaks struct{ n, broke float64 }
 
 const (
-	trustMemory = 200.0           // exchanges that are remembered
-	trustPrior  = 20.0            // exchanges that are taken for granted at the start
-	trustDoubt  = 0.2             // and breaks of kept ones: unsafe requests wait until others have shown that they hold
-	trustTime   = time.Minute     // in which what was seen fades, for servers are replaced and mended
-	unsafeRisk  = 0.005           // share of breaks, beyond those of fresh ones, that an unsafe request may risk
-	otherRisk   = 0.05            // and others, which can be tried again: each costs one of few attempts
-	lookAgain   = 16              // of those that are kept off, one in so many goes over a kept one, to see
-	maxSpan     = 365 * time.Hour // lest a clock that jumps makes numbers of no meaning
+	trustMemory = 200.0           // exchanges that the counts cover
+	trustPrior  = 20.0            // assumed exchanges without a break, at the start
+	trustDoubt  = 0.2             // assumed breaks of reused ones: others must show first that reuse is safe
+	trustTime   = time.Minute     // time constant of the decay, since servers are replaced and repaired
+	unsafeRisk  = 0.005           // accepted rate of breaks, over that of new ones, for requests that are not idempotent
+	otherRisk   = 0.05            // and for others, which can be retried: each break costs one of few attempts
+	lookAgain   = 16              // one in so many of the avoided reuses is made, to measure again
+	maxSpan     = 365 * time.Hour // limit on a step of the clock, so that the decay stays a number
 )
 
-// rate is the share that broke.
+// rate is the share of exchanges that broke.
 func (b breaks) rate() float64 { return b.broke / (b.n + trustPrior) }
 
-// record takes an exchange that came to an answer, or to the connection's end.
+// record counts an exchange that ended in a response or in the end of its connection.
 func (t *reuseTrust) record(now time.Duration, kept, broke bool) {
 	t.fade(now)
 	b := &t.fresh
@@ -52,6 +52,7 @@
 	}
 }
 
+// fade applies the decay up to now.
 func (t *reuseTrust) fade(now time.Duration) {
 	d := min(max(0, now-t.at), maxSpan)
 	t.at = max(t.at, now)
@@ -62,7 +63,7 @@
 	}
 }
 
-// mayReuse says that a request may go over a kept connection.
+// mayReuse says that a request may go over a reused connection.
 func (t *reuseTrust) mayReuse(now time.Duration, unsafe bool) bool {
 	t.fade(now)
 	excess := t.kept.rate() + trustDoubt/(t.kept.n+trustPrior) - t.fresh.rate()
@@ -79,7 +80,7 @@
 	return true
 }
 
-// needsProbe says that connections of that kind break often enough for a request that must not run twice to be written in
+// needsProbe says that connections of that kind break often enough for a request that is not idempotent to be written in
 // two parts, so that a break between them proves that it never ran.
 func (t *reuseTrust) needsProbe(now time.Duration, kept bool) bool {
 	t.fade(now)
@@ -89,8 +90,8 @@
 	return t.fresh.rate() > unsafeRisk || t.kept.rate() > unsafeRisk
 }
 
-// nonIdempotent says that a request must not run twice, as far as its form tells: its method is not idempotent (RFC 9110,
-// section 9.2.2) and it has no key by which servers drop a repeat.
+// nonIdempotent says that a request must not run twice: its method is not idempotent (RFC 9110, section 9.2.2) and it has
+// no Idempotency-Key by which servers recognise a retry.
 func nonIdempotent(m *message.Request) bool {
 	if m.Runs != message.RunsByForm {
 		return m.Runs == message.RunsOnce
--- /dev/null
+++ b/internal/sender/http1/write.go
@@ -0,0 +1,197 @@
+package http1
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httputil"
+	"strings"
+	"time"
+
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+)
+
+// outgoing returns the request of an attempt as it goes to the server.
+func (s *Sender) outgoing(a *engine.Attempt) *http.Request {
+	m := a.Payload.(*message.Request)
+	h := make(http.Header, len(m.Header)+2)
+	for k, v := range m.Header {
+		h[k] = v
+	}
+	h["User-Agent"] = nil // omitted, rather than net/http's default
+	s.speech.Head(a, h)
+	r := &http.Request{Method: m.Method, URL: m.URL, Host: m.Authority, Header: h, ContentLength: int64(len(m.Body))}
+	if m.More != nil {
+		r.ContentLength = m.More.Length
+	}
+	if r.Host == "" { // HTTP/1.0 callers need not send a Host; HTTP/1.1 servers require it (RFC 9112, section 3.2)
+		r.Host = a.Endpoint.Addr
+	}
+	if r.ContentLength != 0 {
+		r.Body = io.NopCloser(bytes.NewReader(m.Body))
+	}
+	return r
+}
+
+// wireText returns a request as it is written; if the body is still to come, its head.
+func wireText(r *http.Request, m *message.Request) ([]byte, error) {
+	var written bytes.Buffer
+	err := r.Write(&written)
+	text := written.Bytes()
+	if strings.HasPrefix(r.URL.Opaque, "//") {
+		// net/http takes such a target for an authority, and puts an empty scheme in front of it.
+		text = bytes.Replace(text, []byte(" ://"), []byte(" //"), 1)
+	}
+	if m.More == nil {
+		return text, err
+	}
+	// net/http reports that the body is too short, or ends it.
+	n := bytes.Index(text, headEnd)
+	if n < 0 {
+		return nil, errors.Join(errors.New("no head"), err)
+	}
+	return text[:n+len(headEnd)], nil
+}
+
+var headEnd = []byte("\r\n\r\n")
+
+// exchange writes one request and reads its response. keep says whether the connection can be reused.
+func (s *Sender) exchange(ctx context.Context, a *engine.Attempt, c *conn, r *http.Request, text []byte) (res result, keep bool) {
+	out, whole, err := s.write(ctx, a, c, text)
+	if err != nil {
+		// It was not written completely, so it can't have run.
+		if ctx.Err() != nil || errors.Is(err, errBrokenOff) || errors.Is(err, errBodySpent) {
+			return result{ending: balancer.Void}, false
+		}
+		return result{ending: balancer.Unreachable}, false
+	}
+	a.RecordTransfer(out, 0, "")
+	got, err := s.read(ctx, a, c, r)
+	if err != nil {
+		if !whole {
+			return result{ending: balancer.Unreachable}, false
+		}
+		return result{ending: engine.EndingOf(ctx)}, false
+	}
+	if got.reply == nil {
+		a.RecordTransfer(out, got.size, "")
+	}
+	res.ending, _ = s.speech.Ending(got.resp)
+	if res.ending == balancer.Success {
+		res.reply = got.reply
+	} else if got.reply != nil {
+		m := a.Payload.(*message.Request)
+		m.Fail(got.reply)
+	}
+	return res, whole && !got.sawStray && !got.resp.Close && c.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
+}
+
+// write writes a request, of which text is the head or all. If whole is false without an error, the server has responded
+// before the end of the request, and the response can be read.
+func (s *Sender) write(ctx context.Context, a *engine.Attempt, c *conn, text []byte) (out int64, whole bool, err error) {
+	m := a.Payload.(*message.Request)
+	if m.More == nil {
+		_, err := c.Write(text)
+		return int64(len(m.Body)), true, err
+	}
+	if !m.Claim() {
+		return 0, false, errBodySpent
+	}
+	return s.upload(ctx, c, text, m)
+}
+
+var errBodySpent = errors.New("its body has gone elsewhere")
+
+// writeTimeout is the time-out of each write of a long request.
+const writeTimeout = 10 * time.Second
+
+// upload writes a request while its caller still sends the body, and stops when the server responds before the end. whole
+// says that the server can have all of it, so that it may run, whatever becomes of the caller or the attempt after that.
+// The goroutine that waits for an early response has ended when upload returns.
+func (s *Sender) upload(ctx context.Context, c *conn, head []byte, m *message.Request) (out int64, whole bool, err error) {
+	writing, stop := context.WithCancelCause(ctx)
+	defer stop(nil)
+	c.readLimit.N = maxHeaderBytes
+	early := make(chan error, 1)
+	go func() {
+		_, err := c.reader.Peek(1)
+		if writing.Err() == nil {
+			stop(errEarlyAnswer)
+			c.SetWriteDeadline(time.Now()) // wakes a write that waits
+		}
+		early <- err
+	}()
+	out, whole, err = uploadBody(writing, timedWriter{c.Conn}, head, m)
+	if err == nil || whole {
+		// It is written. The goroutine now waits for the response proper.
+		stop(nil)
+	} else if context.Cause(writing) != errEarlyAnswer {
+		c.SetReadDeadline(time.Now())
+		<-early
+		return out, false, err
+	}
+	if err := <-early; err != nil {
+		if whole {
+			return out, true, nil // the reader meets the same error, and classifies it
+		}
+		return out, false, err
+	}
+	return out, whole, c.SetWriteDeadline(time.Time{})
+}
+
+// uploadBody writes a head and the body that follows. whole says that all of it was written, or what a server may take for
+// all of it. A body of declared length ends with its last byte, without waiting for the caller's end of stream.
+func uploadBody(ctx context.Context, w io.Writer, head []byte, m *message.Request) (out int64, whole bool, err error) {
+	if _, err = w.Write(head); err != nil {
+		return 0, false, err
+	}
+	length, to := m.More.Length, w
+	if length < 0 {
+		to = httputil.NewChunkedWriter(w)
+	}
+	for p := m.Body; len(p) > 0; {
+		if length >= 0 && out+int64(len(p)) > length {
+			return out, false, errBrokenOff // a server would read the excess as the next request
+		}
+		if _, err = to.Write(p); err != nil {
+			return out, false, err
+		}
+		if out += int64(len(p)); out == length {
+			return out, true, nil
+		}
+		if p, err = m.More.Next(ctx); err != nil {
+			return out, false, err
+		}
+	}
+	if length >= 0 || m.More.Trailer() == nil {
+		return out, false, errBrokenOff
+	}
+	n, err := io.WriteString(w, chunksEnd)
+	return out, n >= len(lastChunk), err
+}
+
+// The end of a chunked body (RFC 9112, section 7.1). Some servers take a request as complete at the last chunk's line.
+const (
+	lastChunk = "0\r\n"
+	chunksEnd = lastChunk + "\r\n"
+)
+
+var (
+	errEarlyAnswer = errors.New("the server answered before the request's end")
+	errBrokenOff   = errors.New("the request broke off")
+)
+
+// timedWriter is a connection with a time-out for each write.
+type timedWriter struct{ net.Conn }
+
+func (d timedWriter) Write(p []byte) (int, error) {
+	if err := d.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+		return 0, err
+	}
+	return d.Conn.Write(p)
+}
