--- /dev/null
+++ b/internal/h2/client/receive.go
@@ -0,0 +1,271 @@
+package client
+
+import (
+	"math"
+	"strconv"
+)
+
+// settings applies SETTINGS (RFC 9113, section 6.5). A change of SETTINGS_INITIAL_WINDOW_SIZE moves the windows of all
+// open streams, possibly below zero (section 6.9.2).
+func (c *Conn) settings(e Settings) {
+	c.settingsReceived = true
+	if e.Ack {
+		return
+	}
+	if e.MaxStreams != nil {
+		c.peerMaxStreams = int(min(*e.MaxStreams, math.MaxInt32))
+	}
+	if e.MaxFrame != nil {
+		if *e.MaxFrame < defaultFrame || *e.MaxFrame > 1<<24-1 {
+			c.fail(codeProtocol, "SETTINGS_MAX_FRAME_SIZE of %d", *e.MaxFrame)
+			return
+		}
+		c.maxFrameSize = int(*e.MaxFrame)
+	}
+	if e.InitialWindow != nil {
+		if *e.InitialWindow > maxWindow {
+			c.fail(codeFlowControl, "SETTINGS_INITIAL_WINDOW_SIZE of %d", *e.InitialWindow)
+			return
+		}
+		diff := int64(*e.InitialWindow) - c.initialSendWindow
+		c.initialSendWindow += diff
+		for _, s := range c.streams {
+			if s.sendWindow += diff; s.sendWindow > maxWindow {
+				c.fail(codeFlowControl, "SETTINGS open a stream's window too far")
+				return
+			}
+		}
+	}
+	c.emit(WriteSettingsAck{})
+	c.sendBodies()
+}
+
+// idleStream says that a stream is in the state idle, or not one that a client opens: frames on it are a connection error
+// (RFC 9113, section 5.1).
+func (c *Conn) idleStream(id uint32) bool { return id%2 == 0 || id >= c.nextID }
+
+// headers takes a field section: interim response, final response or trailers (RFC 9113, section 8.1).
+func (c *Conn) headers(e Headers) {
+	s := c.streams[e.Stream]
+	if s == nil {
+		if c.idleStream(e.Stream) {
+			c.fail(codeProtocol, "HEADERS on stream %d, which was not opened", e.Stream)
+		}
+		return // a cancelled stream; its fields had to be decoded, to keep the state of the compression (section 4.3)
+	}
+	if !s.headersWritten {
+		c.fail(codeProtocol, "HEADERS on stream %d, which was not begun", e.Stream)
+		return
+	}
+	c.framesWithoutProgress = 0
+	if s.finalHeaders {
+		c.trailers(s, e)
+		return
+	}
+	status, fields, ok := splitStatus(e.Fields)
+	if !ok || status == 101 {
+		c.resetStream(s, codeProtocol)
+		return
+	}
+	if status < 200 {
+		if s.interimAnswers++; e.End || s.interimAnswers > maxInterimAnswers {
+			c.resetStream(s, codeProtocol)
+		}
+		return
+	}
+	s.finalHeaders, s.answer.Status, s.answer.Header = true, status, fields
+	if !s.readContentLength(fields) {
+		c.resetStream(s, codeProtocol)
+		return
+	}
+	s.answer.NoLength = s.contentLength < 0
+	if s.contentLength > c.cfg.MaxBody && !s.streamed && s.method != "HEAD" {
+		c.resetStream(s, codeCancel)
+		return
+	}
+	if e.End {
+		c.completeAnswer(s)
+	}
+}
+
+// trailers takes the trailer section, which ends the stream and has no pseudo-header fields (RFC 9113, section 8.1).
+func (c *Conn) trailers(s *stream, e Headers) {
+	for _, f := range e.Fields {
+		if f.Name == "" || f.Name[0] == ':' {
+			c.resetStream(s, codeProtocol)
+			return
+		}
+	}
+	if !e.End {
+		c.resetStream(s, codeProtocol)
+		return
+	}
+	s.answer.Trailer = e.Fields
+	c.completeAnswer(s)
+}
+
+// readContentLength notes the declared length; false if it is invalid or declared twice with different values.
+func (s *stream) readContentLength(fields []Field) bool {
+	for _, f := range fields {
+		if f.Name != "content-length" {
+			continue
+		}
+		n, err := strconv.ParseUint(f.Value, 10, 31)
+		if err != nil || s.contentLength >= 0 && s.contentLength != int(n) {
+			return false
+		}
+		s.contentLength = int(n)
+	}
+	return true
+}
+
+// splitStatus separates :status from the header fields; false if the response is malformed (RFC 9113, sections 8.1.1, 8.2
+// and 8.3.2).
+func splitStatus(l []Field) (status int, fields []Field, ok bool) {
+	for i, f := range l {
+		if f.Name == "" {
+			return 0, nil, false
+		}
+		if f.Name[0] == ':' {
+			if f.Name != ":status" || i != 0 || len(f.Value) != 3 {
+				return 0, nil, false
+			}
+			n, err := strconv.Atoi(f.Value)
+			if err != nil || n < 100 {
+				return 0, nil, false
+			}
+			status = n
+			continue
+		}
+		for j := range len(f.Name) {
+			if b := f.Name[j]; b <= ' ' || b >= 0x7f || 'A' <= b && b <= 'Z' {
+				return 0, nil, false
+			}
+		}
+		switch f.Name {
+		case "connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade":
+			return 0, nil, false
+		}
+	}
+	if status == 0 {
+		return 0, nil, false
+	}
+	return status, l[1:], true
+}
+
+// completeAnswer ends a stream whose response is complete. A response may end before the request does; the rest of the
+// request body is then not sent, and RST_STREAM with NO_ERROR says so (RFC 9113, section 8.1).
+func (c *Conn) completeAnswer(s *stream) {
+	if s.contentLength >= 0 && s.contentLength != s.received && s.method != "HEAD" && s.answer.Status != 304 {
+		c.resetStream(s, codeProtocol)
+		return
+	}
+	if !s.endWritten {
+		c.emit(WriteReset{s.id, codeNoError})
+	}
+	c.endStream(s, Answered)
+}
+
+// data takes a part of a response body (RFC 9113, section 6.1).
+func (c *Conn) data(e Data) {
+	n := len(e.Bytes) + e.Padded
+	// The connection's window counts whatever becomes of the stream (section 6.9), and is opened again in steps.
+	if c.unreturnedBytes += int64(n); c.unreturnedBytes >= connectionWindowStep {
+		c.emit(WriteWindowUpdate{0, uint32(c.unreturnedBytes)})
+		c.unreturnedBytes = 0
+	}
+	s := c.streams[e.Stream]
+	if s == nil {
+		if c.idleStream(e.Stream) {
+			c.fail(codeProtocol, "DATA on stream %d, which was not opened", e.Stream)
+		}
+		return
+	}
+	if !s.finalHeaders {
+		c.resetStream(s, codeProtocol)
+		return
+	}
+	if s.receiveWindow -= n; s.receiveWindow < 0 {
+		c.resetStream(s, codeFlowControl)
+		return
+	}
+	if len(e.Bytes) > 0 {
+		c.framesWithoutProgress = 0
+	} else if s.emptyFrames++; s.emptyFrames > maxEmptyFrames && !e.End {
+		c.resetStream(s, codeEnhanceYourCalm)
+		return
+	}
+	s.received += len(e.Bytes)
+	if s.contentLength >= 0 && s.received > s.contentLength {
+		c.resetStream(s, codeProtocol)
+		return
+	}
+	if !s.streamed {
+		s.answer.Body = append(s.answer.Body, e.Bytes...)
+	} else {
+		if c.returnWindow(s, e.Padded); len(e.Bytes) > 0 {
+			if s.received == len(e.Bytes) {
+				c.emit(Began{s.id, s.answer})
+			}
+			c.emit(BodyChunk{s.id, e.Bytes})
+		}
+	}
+	if e.End {
+		c.completeAnswer(s)
+	}
+}
+
+// reset takes RST_STREAM. REFUSED_STREAM proves that the request was not processed (RFC 9113, section 8.7).
+func (c *Conn) reset(e ResetFrame) {
+	s := c.streams[e.Stream]
+	if s == nil {
+		if c.idleStream(e.Stream) {
+			c.fail(codeProtocol, "RST_STREAM on stream %d, which was not opened", e.Stream)
+		}
+		return
+	}
+	c.framesWithoutProgress = 0
+	switch {
+	case e.Code == codeRefusedStream && !s.finalHeaders: // once a response has begun the request was processed, whatever the code
+		c.endStream(s, Refused)
+	case !s.mayHaveRun():
+		c.endStream(s, NotWritten) // the rest of it will not be sent
+	default:
+		c.endStream(s, Reset)
+	}
+}
+
+// goAway takes GOAWAY: streams above its last one were not processed (RFC 9113, section 6.8). For a graceful shutdown a
+// server sends a first one that names the largest id, and a second one later. It must not raise the last stream; if it
+// does, nothing is lost by that.
+func (c *Conn) goAway(e GoAway) {
+	c.goingAway = true
+	for _, id := range c.sortedIDs() {
+		if s := c.streams[id]; s != nil && id > e.Last {
+			c.endStream(s, AboveGoAway)
+		}
+	}
+}
+
+// ping answers a PING (RFC 9113, section 6.7), or opens the streams that waited for the answer to ours.
+func (c *Conn) ping(e Ping) {
+	if !e.Ack {
+		c.emit(WritePing{Ack: true, Data: e.Data})
+		return
+	}
+	n := uint64(0)
+	for i, b := range e.Data {
+		n |= uint64(b) << (8 * i)
+	}
+	l, asked := c.awaitingPing[n]
+	if !asked {
+		return
+	}
+	delete(c.awaitingPing, n)
+	for _, id := range l {
+		if s := c.streams[id]; s != nil {
+			c.framesWithoutProgress = 0
+			c.beginStreams(s)
+		}
+	}
+}
