--- a/internal/mesh/daemon/oncall_test.go
+++ b/internal/mesh/daemon/oncall_test.go
@@ -53,6 +53,49 @@
 	}
 }
 
+// The page's table of alarms names each warning of meshctl status.
+func TestOncallPageExplainsEachAlarm(t *testing.T) {
+	page := readPage(t)
+	alarms := warningTexts(t)
+	assert.Assert(t, len(alarms) > 10)
+	for _, alarm := range alarms {
+		assert.Assert(t, strings.Contains(page, "\n| `"+alarm+"` |"), "no alarm %q", alarm)
+	}
+}
+
+// warningTexts are the phrases of the functions of package topology that word a warning.
+func warningTexts(t *testing.T) (texts []string) {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(repository, "internal/mesh/topology/warnings.go"), nil,
+		parser.SkipObjectResolution)
+	assert.NilError(t, err)
+	for _, declaration := range file.Decls {
+		if function, ok := declaration.(*ast.FuncDecl); ok && strings.Contains(strings.ToLower(function.Name.Name), "warning") {
+			texts = append(texts, phrases(t, function)...)
+		}
+	}
+	return texts
+}
+
+// phrases are the string literals of a function that say something, without the colon before a reason.
+func phrases(t *testing.T, function *ast.FuncDecl) (phrases []string) {
+	t.Helper()
+	ast.Inspect(function, func(node ast.Node) bool {
+		literal, ok := node.(*ast.BasicLit)
+		if !ok || literal.Kind != token.STRING {
+			return true
+		}
+		text, err := strconv.Unquote(literal.Value)
+		assert.NilError(t, err)
+		text = strings.TrimSuffix(strings.TrimSpace(text), ":")
+		if text == "lags" || strings.Contains(text, " ") {
+			phrases = append(phrases, text)
+		}
+		return true
+	})
+	return phrases
+}
+
 func readPage(t *testing.T) string {
 	t.Helper()
 	page, err := os.ReadFile(oncallPage)
