--- a/internal/node/inspection_server.go
+++ b/internal/node/inspection_server.go
@@ -30,8 +30,9 @@
 		w.Header().Set("Content-Type", "application/json")
 		n.Zones().JSON(w)
 	})
-	n.fleetPages(mux)
-	return &inspectionServer{l, &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 10 * time.Second}}, nil
+	n.registerFleetPages(mux)
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 10 * time.Second}
+	return &inspectionServer{l, server}, nil
 }
 
 func (a *inspectionServer) serve() {
@@ -45,12 +46,12 @@
 	a.listener.Close()
 }
 
-// Admin is the address where the node tells what it holds; nil: nowhere.
-func (n *Node) Admin() net.Addr {
-	if n.admin == nil {
+// InspectionAddr is the address where the node tells what it holds; nil: nowhere.
+func (n *Node) InspectionAddr() net.Addr {
+	if n.inspection == nil {
 		return nil
 	}
-	return n.admin.listener.Addr()
+	return n.inspection.listener.Addr()
 }
 
 // DumpXDS writes what the node holds of clusters and endpoints.
