--- a/internal/front/http1/ahead.go
+++ b/internal/front/http1/ahead.go
@@ -19,8 +19,8 @@
 // begun at once. Their answers wait for the library to come to them, and so go out in order.
 
 const (
-	mostAhead      = 8        // requests of a connection that are begun behind the one being answered
-	mostAheadBytes = 32 << 10 // that are kept to be looked at
+	maxAhead      = 8        // requests of a connection that are begun behind the one being answered
+	maxAheadBytes = 32 << 10 // that are kept to be looked at
 )
 
 // ahead is what of a caller's connection has been read and not yet been taken by the library, or not yet been answered.
@@ -32,15 +32,15 @@
 	filling bool   // a goroutine reads
 	seen    []byte // the bytes of requests that have not been begun, whoever has them
 	off     bool   // the connection is read as ever from now on
-	begun   []*early
+	begun   []*earlyRequest
 	open    atomic.Int64 // bytes of requests, and requests, that nobody has answered yet; read without the lock
 }
 
 // count keeps open. The caller holds the lock.
 func (a *ahead) count() { a.open.Store(int64(len(a.buf) + len(a.seen) + len(a.begun))) }
 
-// early is a request that was begun before the library came to it.
-type early struct {
+// earlyRequest is a request that was begun before the library came to it.
+type earlyRequest struct {
 	method, uri, id string
 	pool            *pool.Pool
 	call            *call
@@ -53,7 +53,7 @@
 }
 
 // read is the library's. It is given what is there; for a look behind the request that it serves it asks for a single byte.
-func (a *ahead) read(c *caller, p []byte) (int, error) {
+func (a *ahead) read(c *connection, p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for {
@@ -61,7 +61,7 @@
 			n := copy(p, a.buf)
 			a.buf = a.buf[n:]
 			a.count()
-			if len(p) == 1 && !a.filling && len(a.buf) < mostAheadBytes {
+			if len(p) == 1 && !a.filling && len(a.buf) < maxAheadBytes {
 				// The library looks no further, but there may be more.
 				a.filling = true
 				go func() {
@@ -87,7 +87,7 @@
 }
 
 // fill reads once. The caller holds the lock, which is let go meanwhile, and has set filling.
-func (a *ahead) fill(c *caller) {
+func (a *ahead) fill(c *connection) {
 	a.mu.Unlock()
 	p := make([]byte, 4<<10)
 	n, err := c.Conn.Read(p)
@@ -96,7 +96,7 @@
 	if n > 0 {
 		a.buf = append(a.buf, p[:n]...)
 		if !a.off {
-			if a.seen = append(a.seen, p[:n]...); len(a.seen) > mostAheadBytes {
+			if a.seen = append(a.seen, p[:n]...); len(a.seen) > maxAheadBytes {
 				a.stop()
 			}
 		}
@@ -108,8 +108,8 @@
 	a.cond.Broadcast()
 	if n > 0 {
 		a.mu.Unlock()
-		c.came(n, time.Now())
-		c.front.look(c)
+		c.recordBytes(n, time.Now())
+		c.front.beginAhead(c)
 		a.mu.Lock()
 	}
 }
@@ -127,7 +127,7 @@
 }
 
 // take says that the library has come to a request: the early one, if it was begun.
-func (a *ahead) take(hr *http.Request, id string) *early {
+func (a *ahead) take(hr *http.Request, id string) *earlyRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	defer a.count()
@@ -138,8 +138,8 @@
 			return e
 		}
 		a.stop() // it is not understood as the library does; what was begun is let go
-		for _, x := range append([]*early{e}, a.begun...) {
-			go x.leave()
+		for _, x := range append([]*earlyRequest{e}, a.begun...) {
+			go x.abandon()
 		}
 		a.begun = nil
 		return nil
@@ -158,13 +158,13 @@
 
 var headEnd = []byte("\r\n\r\n")
 
-// look begins what is whole behind the request that is being served.
-func (f *Front) look(c *caller) {
+// beginAhead begins what is whole behind the request that is being served.
+func (f *Front) beginAhead(c *connection) {
 	a := c.ahead
 	for {
 		a.mu.Lock()
 		n := -1
-		if !a.off && !f.leading.Load() && c.busy.Load() && len(a.begun) < mostAhead {
+		if !a.off && !f.draining.Load() && c.busy.Load() && len(a.begun) < maxAhead {
 			n = bytes.Index(a.seen, headEnd)
 		}
 		if n < 0 {
@@ -172,14 +172,14 @@
 			return
 		}
 		head := bytes.Clone(a.seen[:n+len(headEnd)])
-		hr, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(head), failing{})))
+		hr, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(head), noMoreBytes{})))
 		if err != nil || !bodiless(hr) || hr.Method != http.MethodGet || !hr.ProtoAtLeast(1, 1) || hr.Close || !f.Speech.Ahead(hr) {
 			a.stop()
 			a.mu.Unlock()
 			return
 		}
 		a.seen = a.seen[n+len(headEnd):]
-		e := &early{method: hr.Method, uri: hr.RequestURI, id: f.Speech.ID(hr)}
+		e := &earlyRequest{method: hr.Method, uri: hr.RequestURI, id: f.Speech.ID(hr)}
 		p, refusal := f.enter(hr, 0, func(p *pool.Pool, class string) (refusal *Refusal) {
 			e.call, refusal = f.check(hr, p, class)
 			return refusal
@@ -204,13 +204,13 @@
 	return len(a.begun) > 0
 }
 
-// failing says that there is no more.
-type failing struct{}
+// noMoreBytes says that there is no more.
+type noMoreBytes struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (noMoreBytes) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// leave gives an early request up.
-func (e *early) leave() {
+// abandon gives an early request up.
+func (e *earlyRequest) abandon() {
 	e.pool.Engine().Gone(&e.call.Call)
 	e.call.gone.Store(true)
 	e.call.discard()
@@ -223,7 +223,7 @@
 	defer a.mu.Unlock()
 	a.stop()
 	for _, e := range a.begun {
-		go e.leave()
+		go e.abandon()
 	}
 	a.begun = nil
 	a.count()
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	// headWithin is how long a head may take, on a new connection from when that came up.
-	headWithin = 5 * time.Second
+	// headTimeout is how long a head may take, on a new connection from when that came up.
+	headTimeout = 5 * time.Second
 	// A body may rest for bodySlack in all and come at leastRate bytes a second besides: half of the slowest that callers
 	// may be.
-	bodySlack = 3 * time.Second
-	leastRate = 32 << 10
-	// piece is how much of a long body is read at a time, and bodyAhead how much of it may wait to be sent on.
-	piece     = 16 << 10
-	bodyAhead = message.MaxBody
-	// lingerFor is how long the rest of a body is read on that nobody wants: a connection closed with bytes unread is
+	bodySlack   = 3 * time.Second
+	minBodyRate = 32 << 10
+	// chunkSize is how much of a long body is read at a time, and bodyAhead how much of it may wait to be sent on.
+	chunkSize     = 16 << 10
+	maxUnsentBody = message.MaxBody
+	// lingerTime is how long the rest of a body is read on that nobody wants: a connection closed with bytes unread is
 	// reset, and the answer may be lost with it.
-	lingerFor = 2 * time.Second
-	// writeQuiet is how long a caller may take nothing of a long answer.
-	writeQuiet = 15 * time.Second
+	lingerTime = 2 * time.Second
+	// streamWriteTimeout is how long a caller may take nothing of a long answer.
+	streamWriteTimeout = 15 * time.Second
 )
 
 var errSlow = errors.New("the body comes too slowly")
 
-var buffers = sync.Pool{New: func() any { return new([piece]byte) }}
+var buffers = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// paced reads a body whose caller may not take for ever. Only the time that it is waited for counts.
-type paced struct {
-	rc    *http.ResponseController
-	body  io.Reader
-	spent time.Duration
-	got   int64
-	most  int64 // bytes that may come; 0: any number
+// pacedBody reads a body whose caller may not take for ever. Only the time that it is waited for counts.
+type pacedBody struct {
+	rc       *http.ResponseController
+	body     io.Reader
+	waited   time.Duration
+	received int64
+	limit    int64 // bytes that may come; 0: any number
 }
 
-func (p *paced) Read(b []byte) (int, error) {
-	left := bodySlack + time.Duration(p.got)*time.Second/leastRate - p.spent
+func (p *pacedBody) Read(b []byte) (int, error) {
+	left := bodySlack + time.Duration(p.received)*time.Second/minBodyRate - p.waited
 	if left <= 0 {
 		return 0, errSlow
 	}
@@ -52,8 +52,8 @@
 		return 0, err
 	}
 	n, err := p.body.Read(b)
-	p.spent += time.Since(began)
-	if p.got += int64(n); p.most > 0 && p.got > p.most {
+	p.waited += time.Since(began)
+	if p.received += int64(n); p.limit > 0 && p.received > p.limit {
 		return 0, errLong
 	}
 	if err != nil && err != io.EOF {
@@ -68,8 +68,8 @@
 	errLong   = errors.New("the body is too long")
 )
 
-// bodyRoom is how much of a request's body is kept at the most.
-func bodyRoom(hr *http.Request) int64 {
+// bufferedSize is how much of a request's body is kept at the most.
+func bufferedSize(hr *http.Request) int64 {
 	if hr.ContentLength < 0 || hr.ContentLength > message.MaxBody {
 		return message.MaxBody
 	}
@@ -82,8 +82,8 @@
 func (f *Front) readBody(w http.ResponseWriter, hr *http.Request, c *call) *Refusal {
 	out := c.Payload.(*message.Request)
 	rc := http.NewResponseController(w)
-	in := &paced{rc: rc, body: hr.Body, most: out.Most}
-	buf := make([]byte, bodyRoom(hr))
+	in := &pacedBody{rc: rc, body: hr.Body, limit: out.Most}
+	buf := make([]byte, bufferedSize(hr))
 	n, err := io.ReadFull(in, buf)
 	ended := hr.ContentLength == int64(n)
 	if hr.ContentLength < 0 && (errors.Is(err, io.ErrUnexpectedEOF) || err == io.EOF) && !errors.Is(err, errBroken) {
@@ -95,8 +95,8 @@
 		if hr.ProtoMajor > 1 {
 			err = nil
 		}
-		c.rest = newRest(hr, in)
-		out.More = c.rest.more
+		c.upload = newUpload(hr, in)
+		out.More = c.upload.stream
 		c.Arriving = true
 	}
 	if err == nil {
@@ -108,7 +108,7 @@
 	case err != nil:
 		return &Refusal{Status: http.StatusBadRequest, Text: errBroken.Error()}
 	}
-	if !f.Speech.Body(hr) && (n > 0 || c.rest != nil) {
+	if !f.Speech.Body(hr) && (n > 0 || c.upload != nil) {
 		return &Refusal{Status: http.StatusBadRequest, Text: "GET has no body"}
 	}
 	out.Body = buf[:n:n]
@@ -116,25 +116,25 @@
 	return nil
 }
 
-// rest is what follows of a long body. Its goroutine reads; nobody else touches the request's body until it has ended.
-type rest struct {
-	in    *paced
-	more  *message.Stream
-	wake  chan struct{}
-	stop  chan struct{} // closed when nothing more is read
-	drop  atomic.Bool   // what comes is thrown away
-	ended chan struct{} // closed when nothing more is read
-	err   error         // why it is not whole; set before that
+// upload is what follows of a long body. Its goroutine reads; nobody else touches the request's body until it has ended.
+type upload struct {
+	body    *pacedBody
+	stream  *message.Stream
+	wake    chan struct{}
+	stop    chan struct{} // closed when nothing more is read
+	discard atomic.Bool   // what comes is thrown away
+	ended   chan struct{} // closed when nothing more is read
+	err     error         // why it is not whole; set before that
 }
 
-func newRest(hr *http.Request, in *paced) *rest {
-	r := &rest{in: in, wake: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{})}
-	r.more = message.NewStream(nil, func(int) { r.rouse() })
-	r.more.Length = hr.ContentLength
+func newUpload(hr *http.Request, in *pacedBody) *upload {
+	r := &upload{body: in, wake: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{})}
+	r.stream = message.NewStream(nil, func(int) { r.signal() })
+	r.stream.Length = hr.ContentLength
 	return r
 }
 
-func (r *rest) rouse() {
+func (r *upload) signal() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -142,12 +142,12 @@
 }
 
 // pump reads the rest, no more ahead than bodyAhead, and calls whole once all of it is there.
-func (r *rest) pump(whole func()) {
+func (r *upload) pump(whole func()) {
 	defer close(r.ended)
-	buf := buffers.Get().(*[piece]byte)
+	buf := buffers.Get().(*[chunkSize]byte)
 	defer buffers.Put(buf)
 	for {
-		for !r.drop.Load() && r.more.Held() >= bodyAhead {
+		for !r.discard.Load() && r.stream.Held() >= maxUnsentBody {
 			select {
 			case <-r.wake:
 			case <-r.stop:
@@ -155,48 +155,48 @@
 			select {
 			case <-r.stop:
 				r.err = errBroken
-				r.more.Finish(nil)
+				r.stream.Finish(nil)
 				return
 			default:
 			}
 		}
-		n, err := r.in.Read(buf[:])
-		if n > 0 && !r.drop.Load() {
-			r.more.Push(append([]byte(nil), buf[:n]...))
+		n, err := r.body.Read(buf[:])
+		if n > 0 && !r.discard.Load() {
+			r.stream.Push(append([]byte(nil), buf[:n]...))
 		}
 		if err == io.EOF {
-			r.in.rc.SetReadDeadline(time.Time{})
-			r.more.Finish([]message.Field{}) // as it should
+			r.body.rc.SetReadDeadline(time.Time{})
+			r.stream.Finish([]message.Field{}) // as it should
 			whole()
 			return
 		}
 		if err != nil {
 			r.err = err
-			r.more.Finish(nil)
+			r.stream.Finish(nil)
 			return
 		}
 	}
 }
 
-// leave has the rest read and thrown away for a while, after the answer was written, and returns when nothing reads it any
+// drain has the rest read and thrown away for a while, after the answer was written, and returns when nothing reads it any
 // more. true: it came to its end, so that the connection can go on.
-func (r *rest) leave(within time.Duration) bool {
-	r.drop.Store(true)
-	r.rouse()
+func (r *upload) drain(within time.Duration) bool {
+	r.discard.Store(true)
+	r.signal()
 	wait := time.NewTimer(within)
 	defer wait.Stop()
 	select {
 	case <-r.ended:
 	case <-wait.C:
 		close(r.stop)
-		r.in.rc.SetReadDeadline(time.Unix(1, 0))
+		r.body.rc.SetReadDeadline(time.Unix(1, 0))
 		<-r.ended
 	}
 	return r.err == nil
 }
 
-// pass writes a streamed answer as it comes. false: it is not whole, and its caller must see that.
-func (f *Front) pass(ctx context.Context, w http.ResponseWriter, st *message.Stream, from *caller) bool {
+// forwardStream writes a streamed answer as it comes. false: it is not whole, and its caller must see that.
+func (f *Front) forwardStream(ctx context.Context, w http.ResponseWriter, st *message.Stream, from *connection) bool {
 	defer st.Release()
 	rc := http.NewResponseController(w)
 	h := w.Header()
@@ -207,7 +207,7 @@
 	if st.Length >= 0 {
 		h.Set("Content-Length", itoa(st.Length))
 	}
-	f.lead(w, from)
+	f.closeIfDraining(w, from)
 	if st.Status != 0 {
 		w.WriteHeader(st.Status)
 	}
@@ -219,7 +219,7 @@
 		if p == nil {
 			return st.Trailer() != nil && rc.Flush() == nil
 		}
-		if rc.SetWriteDeadline(time.Now().Add(writeQuiet)) != nil {
+		if rc.SetWriteDeadline(time.Now().Add(streamWriteTimeout)) != nil {
 			return false
 		}
 		if _, err := w.Write(p); err != nil {
--- a/internal/front/http1/body_test.go
+++ b/internal/front/http1/body_test.go
@@ -46,7 +46,7 @@
 		}
 		out := &message.Request{}
 		k := &call{Call: engine.Call{Payload: out}}
-		refusal := (&Front{Speech: platform{}}).readBody(writer{httptest.NewRecorder()}, hr, k)
+		refusal := (&Front{Speech: platformProtocol{}}).readBody(writer{httptest.NewRecorder()}, hr, k)
 		if (refusal == nil) != c.whole || c.whole && string(out.Body) != c.want || (out.More != nil) != c.more || k.Arriving != c.more {
 			t.Errorf("%s: %+v, %d bytes, more: %v", name, refusal, len(out.Body), out.More != nil)
 		}
@@ -56,11 +56,11 @@
 // Only the time that a caller is waited for counts, and what it has sent earns it more.
 func TestPaced(t *testing.T) {
 	rc := http.NewResponseController(writer{httptest.NewRecorder()})
-	p := &paced{rc: rc, body: strings.NewReader("abc"), spent: bodySlack + time.Second}
+	p := &pacedBody{rc: rc, body: strings.NewReader("abc"), waited: bodySlack + time.Second}
 	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errSlow) {
 		t.Errorf("over its time: %v", err)
 	}
-	p.got = 2 * leastRate
+	p.received = 2 * minBodyRate
 	if n, err := p.Read(make([]byte, 3)); n != 3 || err != nil {
 		t.Errorf("with more sent: %d, %v", n, err)
 	}
--- a/internal/front/http1/callers_test.go
+++ b/internal/front/http1/callers_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newCallers(&failingListener{Listener: inner}, share)
+	l := newConnections(&failingListener{Listener: inner}, share)
 	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
 	served := make(chan error, 1)
 	go func() { served <- srv.Serve(l) }()
@@ -74,8 +74,8 @@
 		t.Fatal(err)
 	}
 	defer inner.Close()
-	l := newCallers(inner, share)
-	accept := func() *caller {
+	l := newConnections(inner, share)
+	accept := func() *connection {
 		nc, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -85,25 +85,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c.(*caller)
+		return c.(*connection)
 	}
 	ago := func(d time.Duration) int64 { return time.Now().Add(-d).UnixNano() }
 	slow, stuck, older, idle := accept(), accept(), accept(), accept()
-	slow.began.Store(ago(time.Minute))
-	slow.last.Store(ago(stalled / 4))
-	stuck.began.Store(ago(2 * time.Second))
-	stuck.last.Store(ago(2 * time.Second))
-	older.began.Store(ago(3 * time.Second))
-	older.last.Store(ago(time.Second))
-	idle.since = time.Now().Add(-2 * fresh)
-	for i, want := range []*caller{idle, stuck, older} {
+	slow.requestBegan.Store(ago(time.Minute))
+	slow.lastByteAt.Store(ago(stallTime / 4))
+	stuck.requestBegan.Store(ago(2 * time.Second))
+	stuck.lastByteAt.Store(ago(2 * time.Second))
+	older.requestBegan.Store(ago(3 * time.Second))
+	older.lastByteAt.Store(ago(time.Second))
+	idle.quietSince = time.Now().Add(-2 * newConnectionGrace)
+	for i, want := range []*connection{idle, stuck, older} {
 		busy := accept()
-		busy.take()
+		busy.beginRequest()
 		if !want.closed || slow.closed {
 			t.Errorf("for connection %d: not the one wanted was closed (the slow one: %v)", i, slow.closed)
 		}
 	}
-	if l.mu.Lock(); l.makeRoom() {
+	if l.mu.Lock(); l.closeLeastUseful() {
 		t.Error("one whose request goes on coming was closed")
 	}
 	l.mu.Unlock()
@@ -123,9 +123,9 @@
 		t.Fatal(err)
 	}
 	defer inner.Close()
-	l := newCallers(inner, share)
-	l.heads = true
-	l.headIn.Store(int64(50 * time.Millisecond))
+	l := newConnections(inner, share)
+	l.scanHeads = true
+	l.headTimeout.Store(int64(50 * time.Millisecond))
 	caller := func(pieces ...string) (net.Conn, net.Conn) {
 		far, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
@@ -177,8 +177,8 @@
 	if f.server.IdleTimeout <= idle || f.server.ReadHeaderTimeout <= head {
 		t.Error("the library gives", f.server.IdleTimeout, "and", f.server.ReadHeaderTimeout)
 	}
-	l := f.callers
-	caller := func() (net.Conn, *caller) {
+	l := f.conns
+	caller := func() (net.Conn, *connection) {
 		far, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -188,11 +188,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return far, near.(*caller)
+		return far, near.(*connection)
 	}
 	far, near := caller()
 	l.mu.Lock()
-	since := near.since
+	since := near.quietSince
 	l.mu.Unlock()
 	near.expire(since) // as a timer does that was set when less was given
 	if l.open() != 1 {
@@ -202,11 +202,11 @@
 	if n, err := near.Read(make([]byte, 100)); n == 0 || err != nil {
 		t.Fatal(n, err)
 	}
-	if near.slow == nil {
+	if near.headTimer == nil {
 		t.Error("nothing bounds a head that may take longer than by the library")
 	}
 	near.Close()
-	if near.resting == nil || near.resting.Stop() {
+	if near.idleTimer == nil || near.idleTimer.Stop() {
 		t.Error("a timer keeps the closed connection in memory")
 	}
 	// One that never says anything goes once its time is over, and not before.
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -79,30 +79,30 @@
 	// Speech is set before Serve; nil: the platform's.
 	Speech Speech
 
-	clock   engine.Clock
-	routes  Routes
-	callers *callers
-	server  *http.Server
-	leading atomic.Bool   // callers are led away
-	unready atomic.Bool   // and told so when they ask
-	handed  atomic.Bool   // the listener is another process's
-	over    chan struct{} // closed once nobody waits any more for what holds others up
+	clock              engine.Clock
+	routes             Routes
+	conns              *connections
+	server             *http.Server
+	draining           atomic.Bool   // callers are led away
+	unready            atomic.Bool   // and told so when they ask
+	listenerHandedOver atomic.Bool   // the listener is another process's
+	giveUp             chan struct{} // closed once nobody waits any more for what holds others up
 }
 
 // New returns a front that accepts callers from l once Serve is called. Callers' connections are held
 // on the share of the pool of their last request; before their first on fresh, and for all of them if
 // a pool has no share of its own.
 func New(l net.Listener, clock engine.Clock, routes Routes, fresh *pool.Share) *Front {
-	f := &Front{clock: clock, routes: routes, callers: newCallers(l, fresh), over: make(chan struct{})}
-	f.callers.heads = true
-	f.server = &http.Server{Handler: f, ReadHeaderTimeout: headWithin, IdleTimeout: idleTimeout,
+	f := &Front{clock: clock, routes: routes, conns: newConnections(l, fresh), giveUp: make(chan struct{})}
+	f.conns.scanHeads = true
+	f.server = &http.Server{Handler: f, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeader, DisableGeneralOptionsHandler: true,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, callerKey{}, c)
+			return context.WithValue(ctx, connectionKey{}, c)
 		},
 		ConnState: func(c net.Conn, s http.ConnState) {
 			if s == http.StateIdle {
-				c.(*caller).rest()
+				c.(*connection).endRequest()
 			}
 		}}
 	return f
@@ -115,31 +115,31 @@
 }
 
 const (
-	h2Streams    = 250
-	h2Connection = 1 << 20
-	h2Quiet      = 15 * time.Second // after which a PING finds out whether the caller is there
-	h2PingWithin = 5 * time.Second
+	h2Streams     = 250
+	h2Window      = 1 << 20
+	h2PingAfter   = 15 * time.Second // after which a PING finds out whether the caller is there
+	h2PingTimeout = 5 * time.Second
 )
 
 // NewH2 is New for callers that speak HTTP/2 without TLS, by prior knowledge (RFC 9113, section 3.3). Requests and
 // answers mean the same as over HTTP/1.1; framing, flow control, GOAWAY and the bounds against floods are the standard
 // library's. A caller's connection carries many requests, so that one which is turned away does not end it.
 func NewH2(l net.Listener, clock engine.Clock, routes Routes, fresh *pool.Share, limits H2Limits) *Front {
-	limits.Streams, limits.Window = cmp.Or(limits.Streams, h2Streams), cmp.Or(limits.Window, h2Connection)
+	limits.Streams, limits.Window = cmp.Or(limits.Streams, h2Streams), cmp.Or(limits.Window, h2Window)
 	f := New(l, clock, routes, fresh)
-	f.callers.heads = false
+	f.conns.scanHeads = false
 	f.server.Protocols = new(http.Protocols)
 	f.server.Protocols.SetUnencryptedHTTP2(true)
 	f.server.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: limits.Streams, MaxReadFrameSize: 16 << 10, MaxReceiveBufferPerConnection: limits.Window,
-		MaxReceiveBufferPerStream: message.MaxBody, SendPingTimeout: h2Quiet, PingTimeout: h2PingWithin, WriteByteTimeout: WriteTimeout}
+		MaxReceiveBufferPerStream: message.MaxBody, SendPingTimeout: h2PingAfter, PingTimeout: h2PingTimeout, WriteByteTimeout: WriteTimeout}
 	return f
 }
 
 // Addr is the address that the front listens on.
-func (f *Front) Addr() net.Addr { return f.callers.Addr() }
+func (f *Front) Addr() net.Addr { return f.conns.Addr() }
 
 // LookAhead has requests that callers send behind one another be begun as they come, before Serve.
-func (f *Front) LookAhead() { f.callers.front = f }
+func (f *Front) LookAhead() { f.conns.front = f }
 
 // Heads sets how many bytes a request's head may have, before Serve.
 func (f *Front) Heads(n int) { f.server.MaxHeaderBytes = n }
@@ -154,30 +154,30 @@
 // a head may take, before Serve: up to 10 and 2 minutes. Without it more than the bounds of New is never given.
 func (f *Front) OwnTimes() {
 	f.server.IdleTimeout, f.server.ReadHeaderTimeout = libraryIdle, libraryHead
-	f.callers.ownTimes = true
-	f.callers.idle.CompareAndSwap(0, int64(idleTimeout))
+	f.conns.ownTimes = true
+	f.conns.idleTimeout.CompareAndSwap(0, int64(idleTimeout))
 	f.HeadWithin(0)
 }
 
 // Idle sets how long callers' connections may be idle, also while it serves.
-func (f *Front) Idle(d time.Duration) { f.callers.idle.Store(int64(d)) }
+func (f *Front) Idle(d time.Duration) { f.conns.idleTimeout.Store(int64(d)) }
 
 // HeadWithin sets how long a request's head may take from its first byte, also while it serves; 0: the bound of New. Without
 // OwnTimes more than that is never given.
 func (f *Front) HeadWithin(d time.Duration) {
-	if d == 0 && f.callers.ownTimes {
-		d = headWithin
+	if d == 0 && f.conns.ownTimes {
+		d = headTimeout
 	}
-	f.callers.headIn.Store(int64(d))
+	f.conns.headTimeout.Store(int64(d))
 }
 
 // Serve serves until Shutdown, and then returns http.ErrServerClosed.
 func (f *Front) Serve() error {
 	if f.Speech == nil {
-		f.Speech = platform{}
+		f.Speech = platformProtocol{}
 	}
-	err := f.server.Serve(f.callers)
-	if f.handed.Load() {
+	err := f.server.Serve(f.conns)
+	if f.listenerHandedOver.Load() {
 		return http.ErrServerClosed
 	}
 	return err
@@ -185,38 +185,38 @@
 
 // LeadAway has callers go elsewhere, or lets them stay again: answers end their connections, and idle ones are closed
 // by LeadIdle. Whatever comes is served all the same.
-func (f *Front) LeadAway(on bool) { f.leading.Store(on) }
+func (f *Front) LeadAway(on bool) { f.draining.Store(on) }
 
 // Unready has GET /health/ready answered with 503, or with 200 again.
 func (f *Front) Unready(on bool) { f.unready.Store(on) }
 
 // LeadIdle closes, while callers are led away, connections on which nothing is under way.
 func (f *Front) LeadIdle() {
-	if f.leading.Load() {
-		f.callers.leadAway()
+	if f.draining.Load() {
+		f.conns.closeIdle()
 	}
 }
 
 // Hand accepts nothing more and goes on with the connections that there are. Those that nobody has accepted yet stay
 // for whoever else has the listening socket.
 func (f *Front) Hand() {
-	f.handed.Store(true)
-	f.callers.Listener.Close()
+	f.listenerHandedOver.Store(true)
+	f.conns.Listener.Close()
 }
 
 // Open is how many connections of callers there are.
-func (f *Front) Open() int { return f.callers.open() }
+func (f *Front) Open() int { return f.conns.open() }
 
-// lead ends the connection with the answer, if callers are led away. HTTP/2 says it with GOAWAY.
-func (f *Front) lead(w http.ResponseWriter, from *caller) {
-	if f.leading.Load() && (from == nil || from.ahead == nil || !from.ahead.follows()) { // else the last of them ends it
+// closeIfDraining ends the connection with the answer, if callers are led away. HTTP/2 says it with GOAWAY.
+func (f *Front) closeIfDraining(w http.ResponseWriter, from *connection) {
+	if f.draining.Load() && (from == nil || from.ahead == nil || !from.ahead.follows()) { // else the last of them ends it
 		w.Header().Set("Connection", "close")
 	}
 }
 
 // GiveUp has requests that others on their connection wait behind be answered as failed, if they may run more than once:
 // the end is near, and the others' answers would be lost with them. It is called once.
-func (f *Front) GiveUp() { close(f.over) }
+func (f *Front) GiveUp() { close(f.giveUp) }
 
 // Shutdown accepts nothing more and waits until every request taken is answered, or ctx ends.
 func (f *Front) Shutdown(ctx context.Context) error { return f.server.Shutdown(ctx) }
@@ -224,18 +224,18 @@
 // Close closes the listener and all connections at once.
 func (f *Front) Close() error { return f.server.Close() }
 
-type callerKey struct{}
+type connectionKey struct{}
 
 // call is a request on its way through an engine. It implements engine.Receiver.
 type call struct {
 	engine.Call
-	came chan came   // holds the final answer, and one that comes in pieces before it; never blocks
-	gone atomic.Bool // nobody will read it
-	rest *rest       // of a long body; nil: none
+	answers chan callEvent // holds the final answer, and one that comes in pieces before it; never blocks
+	gone    atomic.Bool    // nobody will read it
+	upload  *upload        // of a long body; nil: none
 }
 
-// came is what the engine tells: an answer that begins, or the final one.
-type came struct {
+// callEvent is what the engine tells: an answer that begins, or the final one.
+type callEvent struct {
 	stream *message.Stream // nil: the final one
 	answer engine.Answer
 }
@@ -246,14 +246,14 @@
 		r.Release()
 		return
 	}
-	c.came <- came{stream: st}
+	c.answers <- callEvent{stream: st}
 	if c.gone.Load() {
 		c.discard()
 	}
 }
 
 func (c *call) Ended(a engine.Answer) {
-	c.came <- came{answer: a}
+	c.answers <- callEvent{answer: a}
 	if c.gone.Load() {
 		c.discard()
 	}
@@ -263,7 +263,7 @@
 func (c *call) discard() {
 	for {
 		select {
-		case x := <-c.came:
+		case x := <-c.answers:
 			if x.stream != nil {
 				x.stream.Release()
 			}
@@ -285,7 +285,7 @@
 		f.Dialect.Serve(f, w, hr)
 		return
 	}
-	from := hr.Context().Value(callerKey{}).(*caller)
+	from := hr.Context().Value(connectionKey{}).(*connection)
 	if hr.TransferEncoding != nil && from.head.lengths > 0 {
 		// Others may see the body's end elsewhere (RFC 9112, section 6.1), and the library has dropped the length.
 		f.refuse(w, hr, from, &Refusal{Status: http.StatusBadRequest, Text: "both a length and a transfer coding"})
@@ -295,10 +295,10 @@
 		e := from.ahead.take(hr, f.Speech.ID(hr))
 		from.busy.Store(true)
 		defer from.busy.Store(false)
-		f.look(from)
+		f.beginAhead(from)
 		if e != nil {
 			defer e.pool.Leave(0)
-			if !from.take() {
+			if !from.beginRequest() {
 				e.pool.Engine().Gone(&e.call.Call)
 				e.call.gone.Store(true)
 				e.call.discard()
@@ -309,7 +309,7 @@
 		}
 	}
 	var c *call
-	size := bodyRoom(hr)
+	size := bufferedSize(hr)
 	p, err := f.Enter(hr, size, func(p *pool.Pool, class string) (refusal *Refusal) {
 		c, refusal = f.check(hr, p, class)
 		return refusal
@@ -331,28 +331,28 @@
 		// It came with the one before, so a length beside the coding would not have been seen.
 		w.Header().Set("Connection", "close")
 	}
-	if !from.take() {
+	if !from.beginRequest() {
 		panic(http.ErrAbortHandler)
 	}
 	p.Engine().Submit(&c.Call)
-	if c.rest != nil {
-		go c.rest.pump(func() { p.Engine().Arrived(&c.Call) })
+	if c.upload != nil {
+		go c.upload.pump(func() { p.Engine().Arrived(&c.Call) })
 	}
 	f.answer(w, hr, p, c, from)
 }
 
 // answer writes the one answer to a call that was submitted.
-func (f *Front) answer(w http.ResponseWriter, hr *http.Request, p *pool.Pool, c *call, from *caller) {
+func (f *Front) answer(w http.ResponseWriter, hr *http.Request, p *pool.Pool, c *call, from *connection) {
 	var arrived chan struct{}
-	if c.rest != nil {
-		arrived = c.rest.ended
+	if c.upload != nil {
+		arrived = c.upload.ended
 	}
-	over := f.over
+	over := f.giveUp
 	for {
 		select {
 		case <-over:
 			over = nil
-			if len(c.came) == 0 && c.rest == nil && c.Payload.(*message.Request).Runs == message.RunsOften && from.ahead != nil && from.ahead.follows() {
+			if len(c.answers) == 0 && c.upload == nil && c.Payload.(*message.Request).Runs == message.RunsOften && from.ahead != nil && from.ahead.follows() {
 				p.Engine().Gone(&c.Call)
 				c.gone.Store(true)
 				c.discard()
@@ -360,14 +360,14 @@
 				return
 			}
 			continue
-		case x := <-c.came:
+		case x := <-c.answers:
 			if x.stream == nil {
 				f.write(w, c, x.answer, from)
-			} else if !f.pass(hr.Context(), w, x.stream, from) {
+			} else if !f.forwardStream(hr.Context(), w, x.stream, from) {
 				f.abort(hr, p, c, from)
 			}
 		case <-arrived:
-			if c.rest.err != nil {
+			if c.upload.err != nil {
 				f.abort(hr, p, c, from)
 			}
 			arrived = nil
@@ -375,9 +375,9 @@
 		case <-hr.Context().Done():
 			f.abort(hr, p, c, from)
 		}
-		if c.rest != nil {
+		if c.upload != nil {
 			http.NewResponseController(w).Flush()
-			if !c.rest.leave(lingerFor) {
+			if !c.upload.drain(lingerTime) {
 				panic(http.ErrAbortHandler) // the answer is written, and nothing on the connection can be read any more
 			}
 		}
@@ -386,35 +386,35 @@
 }
 
 // abort ends a call whose caller gets no whole answer, and its connection so that it sees that.
-func (f *Front) abort(hr *http.Request, p *pool.Pool, c *call, from *caller) {
+func (f *Front) abort(hr *http.Request, p *pool.Pool, c *call, from *connection) {
 	p.Engine().Gone(&c.Call)
 	c.gone.Store(true)
 	c.discard()
-	if c.rest != nil {
-		c.rest.leave(0)
+	if c.upload != nil {
+		c.upload.drain(0)
 	}
-	from.reset(hr)
+	from.resetOnClose(hr)
 	// Returning would answer 200 with nothing in it, or end an answer that is not whole.
 	panic(http.ErrAbortHandler)
 }
 
 // refuse answers a request that is not taken.
-func (f *Front) refuse(w http.ResponseWriter, hr *http.Request, from *caller, err *Refusal) {
+func (f *Front) refuse(w http.ResponseWriter, hr *http.Request, from *connection, err *Refusal) {
 	f.Speech.Refuse(w.Header(), hr, err)
 	rc := http.NewResponseController(w)
-	f.lead(w, from)
+	f.closeIfDraining(w, from)
 	if err.Keep || hr.ProtoMajor > 1 {
 		http.Error(w, err.Text, err.Status)
 		return
 	}
 	// What follows on the connection can't be told from the rest of what was not understood. It is read for a while, for
 	// the caller may write all of it before it looks for an answer.
-	from.refuse()
+	from.markUseless()
 	rc.EnableFullDuplex()
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Text, err.Status)
 	rc.Flush()
-	rc.SetReadDeadline(time.Now().Add(lingerFor))
+	rc.SetReadDeadline(time.Now().Add(lingerTime))
 	if hr.ContentLength != 0 && hr.Header.Get("Expect") == "" {
 		io.Copy(io.Discard, hr.Body)
 	}
@@ -423,10 +423,10 @@
 // Enter finds the request's pool, has check look at the request, and takes room in the pool for a body of so many
 // bytes; the pool is left by whoever gets no error.
 func (f *Front) Enter(hr *http.Request, size int64, check func(p *pool.Pool, class string) *Refusal) (*pool.Pool, *Refusal) {
-	return f.enter(hr, size, check, hr.Context().Value(callerKey{}).(*caller))
+	return f.enter(hr, size, check, hr.Context().Value(connectionKey{}).(*connection))
 }
 
-func (f *Front) enter(hr *http.Request, size int64, check func(p *pool.Pool, class string) *Refusal, from *caller) (*pool.Pool, *Refusal) {
+func (f *Front) enter(hr *http.Request, size int64, check func(p *pool.Pool, class string) *Refusal, from *connection) (*pool.Pool, *Refusal) {
 	for {
 		p, class, refusal := f.routes.Route(hr)
 		if refusal == nil {
@@ -454,7 +454,7 @@
 
 // Take notes that a request of the connection is taken; false: the connection is being closed.
 func (f *Front) Take(hr *http.Request) bool {
-	return hr.Context().Value(callerKey{}).(*caller).take()
+	return hr.Context().Value(connectionKey{}).(*connection).beginRequest()
 }
 
 // Clock is the node's.
@@ -466,7 +466,7 @@
 
 // check reads a request's head.
 func (f *Front) check(hr *http.Request, p *pool.Pool, class string) (*call, *Refusal) {
-	c := &call{came: make(chan came, 2)}
+	c := &call{answers: make(chan callEvent, 2)}
 	out, refusal := f.Speech.Read(hr, p, class, f.clock.Now(), &c.Call)
 	if refusal != nil {
 		return nil, refusal
@@ -476,11 +476,11 @@
 }
 
 // write writes a final answer that nothing of went before.
-func (f *Front) write(w http.ResponseWriter, c *call, a engine.Answer, from *caller) {
-	f.lead(w, from)
-	if c.rest != nil {
+func (f *Front) write(w http.ResponseWriter, c *call, a engine.Answer, from *connection) {
+	f.closeIfDraining(w, from)
+	if c.upload != nil {
 		select {
-		case <-c.rest.ended:
+		case <-c.upload.ended:
 		default:
 			w.Header().Set("Connection", "close") // what the caller still sends is not read to its end
 		}
--- a/internal/front/http1/head.go
+++ b/internal/front/http1/head.go
@@ -2,9 +2,9 @@
 
 import "bytes"
 
-// head looks at a request's head as its bytes come, for what the library drops: a length beside a transfer coding. Of a
+// headScanner looks at a request's head as its bytes come, for what the library drops: a length beside a transfer coding. Of a
 // request whose first bytes came with the one before it sees nothing, and says so.
-type head struct {
+type headScanner struct {
 	name    [len("transfer-encoding") + 1]byte // of the field whose line comes, in lower case
 	n       int                                // bytes of that; those beyond are not kept
 	value   bool                               // its colon has come
@@ -15,13 +15,13 @@
 }
 
 // take looks at the next bytes.
-func (h *head) take(p []byte) {
+func (h *headScanner) take(p []byte) {
 	for len(p) > 0 && !h.done {
 		end := bytes.IndexByte(p, '\n') + 1
 		if end == 0 {
 			end = len(p)
 		}
-		if h.n == 0 && !h.value && end > 2 && !may[p[0]] && p[end-1] == '\n' {
+		if h.n == 0 && !h.value && end > 2 && !mayBeginField[p[0]] && p[end-1] == '\n' {
 			h.some = true // a whole line that names nothing of what is looked for
 		} else {
 			h.bytes(p[:end])
@@ -30,11 +30,11 @@
 	}
 }
 
-// may says which bytes a line may begin with that names what is looked for, or that has nothing to say.
-var may = [256]bool{'c': true, 'C': true, 't': true, 'T': true, '\r': true, '\n': true}
+// mayBeginField says which bytes a line may begin with that names what is looked for, or that has nothing to say.
+var mayBeginField = [256]bool{'c': true, 'C': true, 't': true, 'T': true, '\r': true, '\n': true}
 
 // bytes looks at bytes of one line.
-func (h *head) bytes(p []byte) {
+func (h *headScanner) bytes(p []byte) {
 	for _, c := range p {
 		switch {
 		case c == '\n':
--- a/internal/front/http1/head_test.go
+++ b/internal/front/http1/head_test.go
@@ -14,7 +14,7 @@
 		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n":                             {1, 1},
 		"POST / HTTP/1.1\r\nX-Transfer-Encoding: a\r\nTransfer-Encodings: b\r\n:\r\n\r\n":                        {0, 0},
 	} {
-		var h, bytewise head
+		var h, bytewise headScanner
 		h.take([]byte(text))
 		for _, c := range []byte(text) {
 			bytewise.take([]byte{c})
@@ -35,7 +35,7 @@
 		if err != nil {
 			return
 		}
-		var h head
+		var h headScanner
 		h.take([]byte(text))
 		if r.TransferEncoding != nil && h.codings == 0 {
 			t.Fatalf("%q: a coding is not seen", text)
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -12,15 +12,15 @@
 	"cranegrade/internal/pool"
 )
 
-// platform is the Speech of the protocol's page.
-type platform struct{}
+// platformProtocol is the Speech of the protocol's page.
+type platformProtocol struct{}
 
 // Own implements Speech: whoever asks hears whether clients are taken.
-func (platform) Own(f *Front, w http.ResponseWriter, hr *http.Request) bool {
+func (platformProtocol) Own(f *Front, w http.ResponseWriter, hr *http.Request) bool {
 	if hr.Method != http.MethodGet || hr.URL.Path != "/health/ready" || !bodiless(hr) {
 		return false
 	}
-	f.lead(w, nil)
+	f.closeIfDraining(w, nil)
 	if f.unready.Load() {
 		http.Error(w, "clients are sent away", http.StatusServiceUnavailable)
 	}
@@ -28,37 +28,37 @@
 }
 
 // Ahead implements Speech: the library takes requests one after another.
-func (platform) Ahead(*http.Request) bool { return false }
+func (platformProtocol) Ahead(*http.Request) bool { return false }
 
 // ID implements Speech.
-func (platform) ID(*http.Request) string { return "" }
+func (platformProtocol) ID(*http.Request) string { return "" }
 
 // Body implements Speech.
-func (platform) Body(hr *http.Request) bool { return hr.Method != http.MethodGet }
+func (platformProtocol) Body(hr *http.Request) bool { return hr.Method != http.MethodGet }
 
 // Refuse implements Speech.
-func (platform) Refuse(h http.Header, _ *http.Request, r *Refusal) {
+func (platformProtocol) Refuse(h http.Header, _ *http.Request, r *Refusal) {
 	if r.Retry {
 		h.Set("Retry-After", "1")
 	}
 }
 
 // Head implements Speech.
-func (platform) Head(h http.Header, _ *engine.Call, a engine.Answer) int {
+func (platformProtocol) Head(h http.Header, _ *engine.Call, a engine.Answer) int {
 	if r, is := a.Reply.(*message.Reply); is && r.ContentType != "" {
 		h.Set("Content-Type", r.ContentType)
 	}
 	if a.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
 	}
-	return statuses[a.Verdict]
+	return statusOf[a.Verdict]
 }
 
-// longClaim is how many times its class's deadline a caller may claim to wait.
-const longClaim = 10
+// maxClaimFactor is how many times its class's deadline a caller may claim to wait.
+const maxClaimFactor = 10
 
 // Read implements Speech.
-func (platform) Read(hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call) (*message.Request, *Refusal) {
+func (platformProtocol) Read(hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call) (*message.Request, *Refusal) {
 	h := hr.Header
 	class, known := p.Class(name)
 	method := http.MethodPost
@@ -88,7 +88,7 @@
 	case class.Effect == balancer.Keyed && (len(keys) != 1 || keys[0] == ""):
 		// Without its key the servers would run every repeat.
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
-	case !claimed || claim > longClaim*class.Deadline:
+	case !claimed || claim > maxClaimFactor*class.Deadline:
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "X-Time-Left is no time with the unit m or u, or too long"}
 	}
 
@@ -115,8 +115,8 @@
 	c.Tenant, c.From = h.Get("X-Account"), h.Get(message.CallerZone)
 }
 
-// statuses of the verdicts, by the protocol's page.
-var statuses = map[engine.Verdict]int{
+// statusOf of the verdicts, by the protocol's page.
+var statusOf = map[engine.Verdict]int{
 	engine.Served:    http.StatusOK,
 	engine.Refused:   http.StatusServiceUnavailable,
 	engine.Failed:    http.StatusBadGateway,
