--- a/internal/front/http1/ahead.go
+++ b/internal/front/http1/ahead.go
@@ -14,32 +14,32 @@
 	"cranegrade/internal/pool"
 )
 
-// A caller may send requests behind one that is still being answered (RFC 9112, section 9.3.2). The library reads them
-// one after another; where the Speech allows it, those that are safe and have no body are looked at as they come and
-// begun at once. Their answers wait for the library to come to them, and so go out in order.
+// Callers may pipeline requests (RFC 9112, section 9.3.2). net/http reads them one after another; where the Speech allows
+// it, safe ones without a body are parsed as they come and started at once. Their answers wait until net/http comes to the
+// request, and so are sent in order.
 
 const (
-	maxAhead      = 8        // requests of a connection that are begun behind the one being answered
-	maxAheadBytes = 32 << 10 // that are kept to be looked at
+	maxAhead      = 8        // requests of a connection that are started behind the one being answered
+	maxAheadBytes = 32 << 10 // that are kept to be parsed
 )
 
-// ahead is what of a caller's connection has been read and not yet been taken by the library, or not yet been answered.
+// ahead is what was read of a connection and is not read by net/http yet, or not answered yet.
 type ahead struct {
 	mu      sync.Mutex // guards below
 	cond    *sync.Cond
-	buf     []byte // read from the connection, not yet by the library
-	err     error  // why no more was read; told once
-	filling bool   // a goroutine reads
-	seen    []byte // the bytes of requests that have not been begun, whoever has them
-	off     bool   // the connection is read as ever from now on
+	buf     []byte // read from the connection and not by net/http yet
+	err     error  // of the last read; returned once
+	filling bool   // a goroutine is reading
+	seen    []byte // bytes of requests that are not started, whether net/http has read them or not
+	off     bool   // no more requests are started ahead
 	begun   []*earlyRequest
-	open    atomic.Int64 // bytes of requests, and requests, that nobody has answered yet; read without the lock
+	open    atomic.Int64 // over 0: there are unanswered requests or parts of them; read without the lock
 }
 
-// count keeps open. The caller holds the lock.
+// count updates open. The caller holds the lock.
 func (a *ahead) count() { a.open.Store(int64(len(a.buf) + len(a.seen) + len(a.begun))) }
 
-// earlyRequest is a request that was begun before the library came to it.
+// earlyRequest is a request that was started before net/http has read it.
 type earlyRequest struct {
 	method, uri, id string
 	pool            *pool.Pool
@@ -52,7 +52,7 @@
 	return a
 }
 
-// read is the library's. It is given what is there; for a look behind the request that it serves it asks for a single byte.
+// read is called by net/http, which asks for a single byte while it serves a request, to notice the end of the connection.
 func (a *ahead) read(c *connection, p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -62,7 +62,7 @@
 			a.buf = a.buf[n:]
 			a.count()
 			if len(p) == 1 && !a.filling && len(a.buf) < maxAheadBytes {
-				// The library looks no further, but there may be more.
+				// net/http reads no more, but there may be more requests.
 				a.filling = true
 				go func() {
 					a.mu.Lock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// fill reads once. The caller holds the lock, which is let go meanwhile, and has set filling.
+// fill reads once. The caller has set filling and holds the lock, which is released during the read.
 func (a *ahead) fill(c *connection) {
 	a.mu.Unlock()
 	p := make([]byte, 4<<10)
@@ -114,10 +114,10 @@
 	}
 }
 
-// stop has no more requests be looked at on this connection. The caller holds the lock.
+// stop ends the parsing ahead on this connection. The caller holds the lock.
 func (a *ahead) stop() { a.off, a.seen = true, nil }
 
-// forgive forgets that a read ran into a deadline which has been set anew since.
+// forgive drops the error of a read deadline that was extended meanwhile.
 func (a *ahead) forgive(deadline time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// take says that the library has come to a request: the early one, if it was begun.
+// take notes that net/http has read a request, and returns the early one if it was started.
 func (a *ahead) take(hr *http.Request, id string) *earlyRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -184,7 +184,7 @@
 			e.call, refusal = f.check(hr, p, class)
 			return refusal
 		}, c)
-		if refusal != nil { // the library's turn will say so
+		if refusal != nil { // it is rejected when net/http comes to it
 			a.stop()
 			a.mu.Unlock()
 			return
@@ -197,19 +197,19 @@
 	}
 }
 
-// follows says that a request which was begun waits for its turn to be answered.
+// follows says that a request was started that waits for its turn to be answered.
 func (a *ahead) follows() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.begun) > 0
 }
 
-// noMoreBytes says that there is no more.
+// noMoreBytes is a reader at its end.
 type noMoreBytes struct{}
 
 func (noMoreBytes) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// abandon gives an early request up.
+// abandon cancels an early request.
 func (e *earlyRequest) abandon() {
 	e.pool.Engine().Gone(&e.call.Call)
 	e.call.gone.Store(true)
@@ -217,7 +217,7 @@
 	e.pool.Leave(0)
 }
 
-// end gives up what was begun on a connection that has ended.
+// end abandons what was started on a connection that has ended.
 func (a *ahead) end() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -13,19 +13,18 @@
 )
 
 const (
-	// headTimeout is how long a head may take, on a new connection from when that came up.
+	// headTimeout is the time-out of a header section, on a new connection from its start.
 	headTimeout = 5 * time.Second
-	// A body may rest for bodySlack in all and come at leastRate bytes a second besides: half of the slowest that callers
-	// may be.
+	// A body must come at minBodyRate bytes a second, after bodySlack: half of the slowest rate that callers may have.
 	bodySlack   = 3 * time.Second
 	minBodyRate = 32 << 10
-	// chunkSize is how much of a long body is read at a time, and bodyAhead how much of it may wait to be sent on.
+	// chunkSize is how much of a long body is read at a time, and maxUnsentBody how much may wait to be forwarded.
 	chunkSize     = 16 << 10
 	maxUnsentBody = message.MaxBody
-	// lingerTime is how long the rest of a body is read on that nobody wants: a connection closed with bytes unread is
-	// reset, and the answer may be lost with it.
+	// lingerTime is how long the rest of a body that is not needed is read: a connection that is closed with unread bytes is
+	// reset, and the answer may be lost with it (RFC 9112, section 9.6).
 	lingerTime = 2 * time.Second
-	// streamWriteTimeout is how long a caller may take nothing of a long answer.
+	// streamWriteTimeout is the time-out of each write of a streamed answer.
 	streamWriteTimeout = 15 * time.Second
 )
 
@@ -33,13 +32,13 @@
 
 var buffers = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// pacedBody reads a body whose caller may not take for ever. Only the time that it is waited for counts.
+// pacedBody reads a body at a minimum rate. Only the time spent waiting for bytes counts.
 type pacedBody struct {
 	rc       *http.ResponseController
 	body     io.Reader
 	waited   time.Duration
 	received int64
-	limit    int64 // bytes that may come; 0: any number
+	limit    int64 // in bytes; 0: none
 }
 
 func (p *pacedBody) Read(b []byte) (int, error) {
@@ -57,7 +56,7 @@
 		return 0, errLong
 	}
 	if err != nil && err != io.EOF {
-		// Also with bytes, and whatever the library calls it: io.ReadFull has a word of its own for an end that came early.
+		// Joined, because io.ReadFull turns an early EOF into an error of its own.
 		err = errors.Join(err, errBroken)
 	}
 	return n, err
@@ -68,7 +67,7 @@
 	errLong   = errors.New("the body is too long")
 )
 
-// bufferedSize is how much of a request's body is kept at the most.
+// bufferedSize is how many bytes of a request's body are buffered.
 func bufferedSize(hr *http.Request) int64 {
 	if hr.ContentLength < 0 || hr.ContentLength > message.MaxBody {
 		return message.MaxBody
@@ -76,9 +75,8 @@
 	return hr.ContentLength
 }
 
-// readBody reads the body, or as much of it as is kept; what follows of a longer one is read by pump. The limit of time
-// is lifted afterwards: run out once the body is in, it would pass for the caller's going away, and its request would be
-// lost.
+// readBody reads the body, or the buffered part of a longer one, whose rest pump reads. It removes the read deadline
+// afterwards: if that expired during the call, net/http would take it for the end of the connection.
 func (f *Front) readBody(w http.ResponseWriter, hr *http.Request, c *call) *Refusal {
 	out := c.Payload.(*message.Request)
 	rc := http.NewResponseController(w)
@@ -90,7 +88,7 @@
 		ended, err = true, nil
 	}
 	if err == nil && !ended {
-		// Of a long body the caller writes on while it may already be answered.
+		// The caller may still write the body when the answer begins.
 		err = rc.EnableFullDuplex()
 		if hr.ProtoMajor > 1 {
 			err = nil
@@ -116,15 +114,15 @@
 	return nil
 }
 
-// upload is what follows of a long body. Its goroutine reads; nobody else touches the request's body until it has ended.
+// upload is the rest of a long body. The goroutine of pump owns the request's body until ended is closed.
 type upload struct {
 	body    *pacedBody
 	stream  *message.Stream
 	wake    chan struct{}
-	stop    chan struct{} // closed when nothing more is read
-	discard atomic.Bool   // what comes is thrown away
-	ended   chan struct{} // closed when nothing more is read
-	err     error         // why it is not whole; set before that
+	stop    chan struct{} // closed to end the reading
+	discard atomic.Bool   // bytes are discarded
+	ended   chan struct{} // closed by pump at its end
+	err     error         // why the body is incomplete; set before ended is closed
 }
 
 func newUpload(hr *http.Request, in *pacedBody) *upload {
@@ -141,7 +139,7 @@
 	}
 }
 
-// pump reads the rest, no more ahead than bodyAhead, and calls whole once all of it is there.
+// pump reads the rest, with at most maxUnsentBody waiting to be forwarded, and calls whole when it is complete.
 func (r *upload) pump(whole func()) {
 	defer close(r.ended)
 	buf := buffers.Get().(*[chunkSize]byte)
@@ -166,7 +164,7 @@
 		}
 		if err == io.EOF {
 			r.body.rc.SetReadDeadline(time.Time{})
-			r.stream.Finish([]message.Field{}) // as it should
+			r.stream.Finish([]message.Field{}) // complete
 			whole()
 			return
 		}
@@ -178,8 +176,8 @@
 	}
 }
 
-// drain has the rest read and thrown away for a while, after the answer was written, and returns when nothing reads it any
-// more. true: it came to its end, so that the connection can go on.
+// drain discards the rest for up to that time, after the answer was written, and returns when pump has ended. It returns
+// true if the body came to its end, so that the connection can be kept.
 func (r *upload) drain(within time.Duration) bool {
 	r.discard.Store(true)
 	r.signal()
@@ -195,12 +193,12 @@
 	return r.err == nil
 }
 
-// forwardStream writes a streamed answer as it comes. false: it is not whole, and its caller must see that.
+// forwardStream writes a streamed answer as it comes. False says that it is incomplete, which the caller must see.
 func (f *Front) forwardStream(ctx context.Context, w http.ResponseWriter, st *message.Stream, from *connection) bool {
 	defer st.Release()
 	rc := http.NewResponseController(w)
 	h := w.Header()
-	h["Content-Type"] = nil // no guessing
+	h["Content-Type"] = nil // net/http is not to guess one
 	for _, field := range st.Header {
 		h.Add(field.Name, field.Value)
 	}
--- /dev/null
+++ b/internal/front/http1/call.go
@@ -0,0 +1,61 @@
+package http1
+
+import (
+	"sync/atomic"
+
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+)
+
+// call is a request that an engine is handling. It implements engine.Receiver.
+type call struct {
+	engine.Call
+	answers chan callEvent // has space for a streamed answer and the final one, so that the engine never blocks
+	gone    atomic.Bool    // nobody reads answers any more
+	upload  *upload        // the rest of a long body; nil: none
+}
+
+// callEvent is what the engine reports: a streamed answer that begins, or the final one.
+type callEvent struct {
+	stream *message.Stream // nil: the final one
+	answer engine.Answer
+}
+
+// Began implements engine.Receiver.
+func (c *call) Began(r engine.Reply) {
+	st, is := r.(*message.Stream)
+	if !is {
+		r.Release()
+		return
+	}
+	c.answers <- callEvent{stream: st}
+	if c.gone.Load() {
+		c.discard()
+	}
+}
+
+// Ended implements engine.Receiver.
+func (c *call) Ended(a engine.Answer) {
+	c.answers <- callEvent{answer: a}
+	if c.gone.Load() {
+		c.discard()
+	}
+}
+
+// discard releases answers that nobody will read. Both sides call it after they have done their part, so that the later
+// one finds them.
+func (c *call) discard() {
+	for {
+		select {
+		case x := <-c.answers:
+			if x.stream != nil {
+				x.stream.Release()
+			}
+			if x.answer.Reply != nil {
+				x.answer.Reply.Release()
+			}
+		default:
+			return
+		}
+	}
+}
--- a/internal/front/http1/callers.go
+++ b/internal/front/http1/connections.go
@@ -14,44 +14,43 @@
 	"cranegrade/internal/pool"
 )
 
-// connections accepts callers' connections, as many at once as there is room for: each is held on the
-// share of the pool that its last request was for, or of fresh ones. Where no room is left it closes
-// the connection that has been of no use for the longest, of the share that has borrowed most:
-// callers that say nothing, or keep what they no longer need, would shut out those that ask, and the
-// many of one pool those of the others.
+// connections accepts downstream connections, as many as the shares have capacity for. Each counts against the share of the
+// pool of its last request, or against unassigned before its first one. At the limit the least useful connection is closed,
+// of the share that has borrowed most: otherwise idle callers would shut out active ones, and the many callers of one pool
+// those of the others.
 type connections struct {
 	net.Listener
 	unassigned *pool.Share
 
-	mu          sync.Mutex                 // guards all below, and what is said of callers
-	quiet       map[*pool.Share]*list.List // of *caller: those with no request that was taken, the longest so first
-	freed       chan struct{}              // holds a token when a connection may have become free to close
-	count       atomic.Int64               // connections that are open
-	scanHeads   bool                       // requests' heads are looked at as they come: HTTP/1.1
-	front       *Front                     // that looks ahead; nil: none does
-	idleTimeout atomic.Int64               // ns that a connection may be idle; 0: as the library has it
-	// headIn is the ns that a request's head may take; 0: as the library has it
+	mu          sync.Mutex                 // guards quiet, and fields of connections that are neither atomic nor marked
+	quiet       map[*pool.Share]*list.List // of *connection: those without an accepted request, the longest such first
+	freed       chan struct{}              // has a token when a connection may have become one that can be closed
+	count       atomic.Int64               // open connections
+	scanHeads   bool                       // header sections are scanned as they come: HTTP/1.1
+	front       *Front                     // starts pipelined requests; nil: none does
+	idleTimeout atomic.Int64               // in ns; 0: net/http's
+	// headTimeout is the time-out of a header section, in ns; 0: net/http's.
 	headTimeout atomic.Int64
-	ownTimes    bool // idle and headIn alone bound callers' times; not changed once callers come
+	ownTimes    bool // idleTimeout and headTimeout alone apply; not changed after the first Accept
 }
 
-// connection is a caller's connection.
+// connection is a downstream connection.
 type connection struct {
 	net.Conn
 	owner        *connections
-	share        *pool.Share   // that it is held on
-	quietEntry   *list.Element // in of.quiet of share, or nil
-	quietSince   time.Time     // quiet since
+	share        *pool.Share   // that it counts against
+	quietEntry   *list.Element // in owner.quiet of share, or nil
+	quietSince   time.Time     // time of its last change to quiet
 	closed       bool
-	used         bool         // a request came on it before
-	requestBegan atomic.Int64 // Unix time in ns of the first byte of the request that is coming; 0: none is
-	lastByteAt   atomic.Int64 // and of its latest
-	head         headScanner  // of the request that is coming; of whoever reads the connection
+	used         bool         // it has carried a request
+	requestBegan atomic.Int64 // Unix time in ns of the first byte of the request that is being received; 0: none is
+	lastByteAt   atomic.Int64 // and of its latest byte
+	head         headScanner  // of that request; owned by the goroutine that reads
 	front        *Front       // that looks ahead; nil: none does
-	ahead        *ahead       // what it has read
+	ahead        *ahead       // pipelined requests; nil: they are not started
 	busy         atomic.Bool  // a request is being served
-	headTimer    *time.Timer  // runs while a head comes in pieces; of whoever reads the connection
-	idleTimer    *time.Timer  // runs while it is quiet; nil: it never was
+	headTimer    *time.Timer  // runs while a header section is incomplete; owned by the goroutine that reads
+	idleTimer    *time.Timer  // runs while it is quiet; nil: it was not yet
 }
 
 func newConnections(l net.Listener, fresh *pool.Share) *connections {
@@ -61,15 +60,15 @@
 const (
 	acceptErrorPause    = 20 * time.Millisecond
 	acceptRetryInterval = 20 * time.Millisecond
-	// newConnectionGrace is how long a connection may be quiet before it counts as of no use: callers connect to ask.
+	// newConnectionGrace is how long a new connection may be without a request before it may be closed at the limit.
 	newConnectionGrace = 100 * time.Millisecond
-	// stallTime is how long nothing may have come of a request that is coming before its connection counts as of no use. A
-	// caller may take seconds for a request, but goes on with it.
+	// stallTime is how long no byte of an incomplete request may have come before its connection may be closed at the limit.
+	// A slow caller may take seconds for a request, but it sends on.
 	stallTime = 500 * time.Millisecond
 )
 
-// Accept survives failed accepts: on Linux they also report what befell a connection or the network
-// for a moment, and http.Server gives up on most of these.
+// Accept retries after errors: on Linux they also report faults of one connection or of the network, after most of which
+// http.Server would stop serving. It waits while there is no capacity and no connection that may be closed.
 func (l *connections) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	for err != nil {
@@ -89,7 +88,7 @@
 		l.mu.Unlock()
 		select {
 		case <-l.freed:
-		case <-time.After(acceptRetryInterval): // one may have stalled meanwhile
+		case <-time.After(acceptRetryInterval): // one may have stalled since
 		}
 		l.mu.Lock()
 	}
@@ -105,8 +104,8 @@
 	return c, nil
 }
 
-// closeLeastUseful closes a connection that is of no use; false if there is none. Only what a share has borrowed makes room: its
-// minimum is kept for it. Of a share's, those on which nothing comes go first, then the one whose request rests longest.
+// closeLeastUseful closes a connection that may be closed at the limit; false if there is none. A share keeps its minimum:
+// only those that have borrowed lose one. Connections without a request go first, then the one stalled for longest.
 func (l *connections) closeLeastUseful() bool {
 	var best *connection
 	var most int64
@@ -126,17 +125,17 @@
 	return true
 }
 
-// leastUseful finds the quiet connection that is of least use; nil: all may be of some.
+// leastUseful returns the quiet connection to be closed first; nil: none may be closed.
 func leastUseful(quiet *list.List) (least *connection) {
 	now := time.Now()
 	oldest := now.Add(-stallTime).UnixNano()
 	for e := quiet.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*connection)
 		if c.ahead != nil && c.ahead.open.Load() > 0 {
-			continue // a request of it is here, or begins to be
+			continue // at least a part of a request was received
 		}
 		if c.requestBegan.Load() == 0 {
-			if now.Sub(c.quietSince) > newConnectionGrace && conncheck.At(c.Conn) != nil { // else a request is there, yet unread
+			if now.Sub(c.quietSince) > newConnectionGrace && conncheck.At(c.Conn) != nil { // otherwise there are unread bytes of a request
 				return c
 			}
 		} else if last := c.lastByteAt.Load(); last < oldest {
@@ -146,7 +145,7 @@
 	return least
 }
 
-// addQuiet puts the connection among the quiet ones.
+// addQuiet adds the connection to the quiet ones. The caller holds the lock.
 func (c *connection) addQuiet() {
 	c.quietSince = time.Now()
 	quiet := c.owner.quiet[c.share]
@@ -157,14 +156,14 @@
 	c.quietEntry = quiet.PushBack(c)
 }
 
-// close closes the connection, once. The caller of close holds the lock.
+// close closes the connection, once. The caller holds the lock.
 func (c *connection) close() error {
 	if c.closed {
 		return net.ErrClosed
 	}
 	c.closed = true
 	if c.idleTimer != nil {
-		c.idleTimer.Stop() // else it would keep what is closed in memory
+		c.idleTimer.Stop() // otherwise it would keep the closed connection in memory
 	}
 	c.owner.count.Add(-1)
 	c.removeQuiet()
@@ -176,19 +175,19 @@
 	return c.Conn.Close()
 }
 
-// removeQuiet takes the connection out of the quiet ones.
+// removeQuiet removes the connection from the quiet ones. The caller holds the lock.
 func (c *connection) removeQuiet() {
 	if c.quietEntry != nil {
 		quiet := c.owner.quiet[c.share]
 		if quiet.Remove(c.quietEntry); quiet.Len() == 0 {
-			delete(c.owner.quiet, c.share) // a pool that is removed leaves nothing
+			delete(c.owner.quiet, c.share) // nothing remains of a pool that was removed
 		}
 		c.quietEntry = nil
 	}
 }
 
-// assign has the connection held on a pool's share from now on; false if that has no room for it, or
-// the connection was closed before. A pool without a share of its own leaves it where it is.
+// assign moves the connection to the share of a pool. It returns false if that has no capacity, or if the connection was
+// closed before. With a nil share it changes nothing.
 func (c *connection) assign(to *pool.Share) bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -206,14 +205,14 @@
 	return true
 }
 
-// drainNewAfter is how long a connection may say nothing before it is closed while callers are led away: its first request
-// may be on the way, which a close would only send to another.
+// drainNewAfter is how old a connection without a request must be before it is closed while draining: its first request may
+// already be on its way.
 const drainNewAfter = time.Second
 
-// drainStalledAfter is the same for one of which nothing more comes.
+// drainStalledAfter is how long no byte of an incomplete request must have come before its connection is closed while draining.
 const drainStalledAfter = 2200 * time.Millisecond
 
-// closeIdle closes the connections on which no request is and none is coming.
+// closeIdle closes the connections without a request, and those whose request has stalled, to drain the front.
 func (l *connections) closeIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -225,7 +224,8 @@
 				continue
 			}
 			idle := c.requestBegan.Load() == 0 && (c.used || time.Since(c.quietSince) > drainNewAfter)
-			if (idle || c.requestBegan.Load() != 0 && time.Since(time.Unix(0, c.lastByteAt.Load())) > drainStalledAfter) && conncheck.At(c.Conn) != nil {
+			stalled := c.requestBegan.Load() != 0 && time.Since(time.Unix(0, c.lastByteAt.Load())) > drainStalledAfter
+			if (idle || stalled) && conncheck.At(c.Conn) != nil {
 				away = append(away, c)
 			}
 		}
@@ -235,7 +235,7 @@
 	}
 }
 
-// open is how many connections there are that nothing has closed.
+// open returns how many connections are open.
 func (l *connections) open() int { return int(l.count.Load()) }
 
 func (l *connections) signalFreed() {
@@ -264,7 +264,7 @@
 	return n, err
 }
 
-// watchHead bounds the time of a head that does not come at once.
+// watchHead applies the time-out of a header section that does not come at once.
 func (c *connection) watchHead() {
 	switch d := time.Duration(c.owner.headTimeout.Load()); {
 	case c.head.done && c.headTimer != nil:
@@ -276,7 +276,7 @@
 	}
 }
 
-// closeSlow closes a connection whose request has not come since then, and is not in work.
+// closeSlow closes a connection whose request began then and has still not been accepted.
 func (c *connection) closeSlow(began int64) {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -285,7 +285,7 @@
 	}
 }
 
-// recordBytes notes that bytes have come.
+// recordBytes notes that n bytes of a request have come.
 func (c *connection) recordBytes(n int, at time.Time) {
 	c.lastByteAt.Store(at.UnixNano())
 	c.requestBegan.CompareAndSwap(0, at.UnixNano())
@@ -300,15 +300,16 @@
 	return err
 }
 
-// resetOnClose has the end of the connection be no end of an answer: one of HTTP/1.0 ends with it.
+// resetOnClose has the connection end with a TCP reset, which a caller can't take for the end of an answer that ends with
+// its connection (RFC 9112, section 6.3).
 func (c *connection) resetOnClose(hr *http.Request) {
 	if t, is := c.Conn.(*net.TCPConn); is && hr.ProtoMajor == 1 {
 		t.SetLinger(0)
 	}
 }
 
-// beginRequest notes that a request is taken: the connection stays until it is answered. False says that it
-// was closed before, so the request must not be passed on.
+// beginRequest notes that a request is accepted: the connection is not closed until it is answered. It returns false if it
+// was closed before; the request must then not be forwarded.
 func (c *connection) beginRequest() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -316,7 +317,7 @@
 	return !c.closed
 }
 
-// endRequest notes that no request is open.
+// endRequest notes that the request was answered.
 func (c *connection) endRequest() {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -333,7 +334,7 @@
 	}
 }
 
-// armIdleTimer has the connection closed once it has been quiet for as long as it may. The caller holds the lock.
+// armIdleTimer has the connection closed after the idle time-out. The caller holds the lock.
 func (c *connection) armIdleTimer() {
 	if d := time.Duration(c.owner.idleTimeout.Load()); d > 0 {
 		if c.idleTimer != nil {
@@ -344,8 +345,8 @@
 	}
 }
 
-// expire closes a connection that has been quiet since then, unless something of a request is here by now, or more time is
-// given than when it became quiet.
+// expire closes a connection that has been quiet since then, unless a part of a request was received or the idle time-out
+// was raised meanwhile.
 func (c *connection) expire(since time.Time) {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -353,12 +354,13 @@
 		c.armIdleTimer()
 		return
 	}
-	if c.quietEntry != nil && c.quietSince.Equal(since) && c.requestBegan.Load() == 0 && (c.ahead == nil || c.ahead.open.Load() == 0) && conncheck.At(c.Conn) != nil {
+	if c.quietEntry != nil && c.quietSince.Equal(since) && c.requestBegan.Load() == 0 &&
+		(c.ahead == nil || c.ahead.open.Load() == 0) && conncheck.At(c.Conn) != nil {
 		c.close()
 	}
 }
 
-// markUseless notes that what came was turned away, so the connection is of no use from now on.
+// markUseless notes that a request was rejected, so that the connection is the first to be closed at the limit.
 func (c *connection) markUseless() {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
--- a/internal/front/http1/head.go
+++ b/internal/front/http1/head.go
@@ -2,19 +2,19 @@
 
 import "bytes"
 
-// headScanner looks at a request's head as its bytes come, for what the library drops: a length beside a transfer coding. Of a
-// request whose first bytes came with the one before it sees nothing, and says so.
+// headScanner reads a header section as its bytes come, for what net/http drops: a Content-Length beside a Transfer-Encoding
+// (RFC 9112, section 6.1). It misses a request whose first bytes came with the former one; done is then false.
 type headScanner struct {
-	name    [len("transfer-encoding") + 1]byte // of the field whose line comes, in lower case
-	n       int                                // bytes of that; those beyond are not kept
-	value   bool                               // its colon has come
-	some    bool                               // a line that is not empty has come
-	done    bool                               // the head has
-	lengths int                                // Content-Length fields
-	codings int                                // Transfer-Encoding fields
+	name    [len("transfer-encoding") + 1]byte // of the field on the present line, in lower case
+	n       int                                // length of the name, of which only a part may be kept
+	value   bool                               // the colon was read
+	some    bool                               // a line that is not empty was read
+	done    bool                               // the end of the header section was read
+	lengths int                                // number of Content-Length fields
+	codings int                                // number of Transfer-Encoding fields
 }
 
-// take looks at the next bytes.
+// take reads the next bytes.
 func (h *headScanner) take(p []byte) {
 	for len(p) > 0 && !h.done {
 		end := bytes.IndexByte(p, '\n') + 1
@@ -22,7 +22,7 @@
 			end = len(p)
 		}
 		if h.n == 0 && !h.value && end > 2 && !mayBeginField[p[0]] && p[end-1] == '\n' {
-			h.some = true // a whole line that names nothing of what is looked for
+			h.some = true // a complete line of another field
 		} else {
 			h.bytes(p[:end])
 		}
@@ -30,10 +30,10 @@
 	}
 }
 
-// mayBeginField says which bytes a line may begin with that names what is looked for, or that has nothing to say.
+// mayBeginField says with which bytes a line of the two fields, or an empty line, begins.
 var mayBeginField = [256]bool{'c': true, 'C': true, 't': true, 'T': true, '\r': true, '\n': true}
 
-// bytes looks at bytes of one line.
+// bytes reads bytes of one line.
 func (h *headScanner) bytes(p []byte) {
 	for _, c := range p {
 		switch {
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -12,10 +12,10 @@
 	"cranegrade/internal/pool"
 )
 
-// platformProtocol is the Speech of the protocol's page.
+// platformProtocol is the Speech of the platform's protocol.
 type platformProtocol struct{}
 
-// Own implements Speech: whoever asks hears whether clients are taken.
+// Own implements Speech: GET /health/ready says whether the node accepts clients.
 func (platformProtocol) Own(f *Front, w http.ResponseWriter, hr *http.Request) bool {
 	if hr.Method != http.MethodGet || hr.URL.Path != "/health/ready" || !bodiless(hr) {
 		return false
@@ -24,10 +24,10 @@
 	if f.unready.Load() {
 		http.Error(w, "clients are sent away", http.StatusServiceUnavailable)
 	}
-	return true // else 200: the front listens only once requests can be handled
+	return true // otherwise 200: the front listens only when requests can be handled
 }
 
-// Ahead implements Speech: the library takes requests one after another.
+// Ahead implements Speech: pipelined requests are not started ahead.
 func (platformProtocol) Ahead(*http.Request) bool { return false }
 
 // ID implements Speech.
@@ -54,7 +54,7 @@
 	return statusOf[a.Verdict]
 }
 
-// maxClaimFactor is how many times its class's deadline a caller may claim to wait.
+// maxClaimFactor is the limit on a caller's X-Time-Left, in deadlines of the class.
 const maxClaimFactor = 10
 
 // Read implements Speech.
@@ -69,7 +69,7 @@
 	left := min(claim, class.Deadline)
 	switch ids, keys := h["X-Correlation-Id"], h["Idempotency-Key"]; {
 	case len(h["Content-Length"]) > 1:
-		// The library takes the first of HTTP/2's; whoever stands behind us might take another.
+		// Of HTTP/2's net/http takes the first; a server might take another (RFC 9110, section 8.6).
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "more than one content-length"}
 	case !hr.ProtoAtLeast(1, 1) && !bodiless(hr):
 		return nil, &Refusal{Status: http.StatusHTTPVersionNotSupported, Text: "a body needs HTTP/1.1"}
@@ -86,7 +86,7 @@
 	case len(ids) != 1 || ids[0] == "":
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one X-Correlation-Id"}
 	case class.Effect == balancer.Keyed && (len(keys) != 1 || keys[0] == ""):
-		// Without its key the servers would run every repeat.
+		// Without a key the servers would run every retry.
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
 	case !claimed || claim > maxClaimFactor*class.Deadline:
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "X-Time-Left is no time with the unit m or u, or too long"}
@@ -100,14 +100,14 @@
 	}
 	Describe(c, h, name, now, left)
 	if us, err := strconv.ParseFloat(h.Get("X-Weight-Hint"), 64); err == nil && us > 0 {
-		// More than the deadline is no guess, and would outweigh all others in the module's mean.
+		// An estimate over the deadline is of no use, and would outweigh all others in the module's mean.
 		c.Cost = time.Duration(min(us*float64(time.Microsecond), float64(class.Deadline)))
 	}
 	return out, nil
 }
 
-// Describe fills in what the head of any request tells of a call: who asks, of what class, and until when, where its
-// caller waits so long from now.
+// Describe fills in the fields of a call that every protocol reads from the same header fields: id, class, tenant and zone;
+// and its deadline, if the caller waits for left from now on.
 func Describe(c *engine.Call, h http.Header, class string, now, left time.Duration) {
 	own := min(OwnDelay, left/4)
 	c.ID, c.Class, c.Repeat = h.Get("X-Correlation-Id"), class, h.Get("X-Repeat") == "1"
@@ -115,7 +115,7 @@
 	c.Tenant, c.From = h.Get("X-Account"), h.Get(message.CallerZone)
 }
 
-// statusOf of the verdicts, by the protocol's page.
+// statusOf maps verdicts to status codes.
 var statusOf = map[engine.Verdict]int{
 	engine.Served:    http.StatusOK,
 	engine.Refused:   http.StatusServiceUnavailable,
--- /dev/null
+++ b/internal/front/http1/request.go
@@ -0,0 +1,252 @@
+package http1
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+	"cranegrade/internal/pool"
+)
+
+// ServeHTTP answers one request. There is no ServeMux, because that redirects paths which are not clean.
+func (f *Front) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
+	if f.Speech.Own(f, w, hr) {
+		return
+	}
+	if f.Dialect != nil && f.Dialect.Speaks(hr) {
+		f.Dialect.Serve(f, w, hr)
+		return
+	}
+	from := hr.Context().Value(connectionKey{}).(*connection)
+	if hr.TransferEncoding != nil && from.head.lengths > 0 {
+		// Others may see the end of the body elsewhere (RFC 9112, section 6.1), and net/http has dropped the length.
+		f.refuse(w, hr, from, &Refusal{Status: http.StatusBadRequest, Text: "both a length and a transfer coding"})
+		return
+	}
+	if from.ahead != nil {
+		e := from.ahead.take(hr, f.Speech.ID(hr))
+		from.busy.Store(true)
+		defer from.busy.Store(false)
+		f.beginAhead(from)
+		if e != nil {
+			f.answerEarly(w, hr, e, from)
+			return
+		}
+	}
+	var c *call
+	size := bufferedSize(hr)
+	p, err := f.Enter(hr, size, func(p *pool.Pool, class string) (refusal *Refusal) {
+		c, refusal = f.check(hr, p, class)
+		return refusal
+	})
+	if err == nil {
+		defer p.Leave(size)
+		if hr.ContentLength != 0 {
+			head := f.clock.Now()
+			err = f.readBody(w, hr, c)
+			read := f.clock.Now() - head // the deadline counts from the request's last byte
+			c.Deadline, c.Last = c.Deadline+read, c.Last+read
+		}
+	}
+	if err != nil {
+		f.refuse(w, hr, from, err)
+		return
+	}
+	if hr.TransferEncoding != nil && !from.head.done {
+		// Its head came together with the former request, so a length beside the coding was not noticed.
+		w.Header().Set("Connection", "close")
+	}
+	if !from.beginRequest() {
+		panic(http.ErrAbortHandler)
+	}
+	p.Engine().Submit(&c.Call)
+	if c.upload != nil {
+		go c.upload.pump(func() { p.Engine().Arrived(&c.Call) })
+	}
+	f.answer(w, hr, p, c, from)
+}
+
+// answerEarly answers a pipelined request that was started before net/http has read it.
+func (f *Front) answerEarly(w http.ResponseWriter, hr *http.Request, e *earlyRequest, from *connection) {
+	defer e.pool.Leave(0)
+	if !from.beginRequest() {
+		e.pool.Engine().Gone(&e.call.Call)
+		e.call.gone.Store(true)
+		e.call.discard()
+		panic(http.ErrAbortHandler)
+	}
+	f.answer(w, hr, e.pool, e.call, from)
+}
+
+// answer writes the one answer to a call that was submitted.
+func (f *Front) answer(w http.ResponseWriter, hr *http.Request, p *pool.Pool, c *call, from *connection) {
+	var arrived chan struct{}
+	if c.upload != nil {
+		arrived = c.upload.ended
+	}
+	over := f.giveUp
+	for {
+		select {
+		case <-over:
+			over = nil
+			if mayGiveUp(c, from) {
+				p.Engine().Gone(&c.Call)
+				c.gone.Store(true)
+				c.discard()
+				f.write(w, c, engine.Answer{Verdict: engine.Failed}, from)
+				return
+			}
+			continue
+		case x := <-c.answers:
+			if x.stream == nil {
+				f.write(w, c, x.answer, from)
+			} else if !f.forwardStream(hr.Context(), w, x.stream, from) {
+				f.abort(hr, p, c, from)
+			}
+		case <-arrived:
+			if c.upload.err != nil {
+				f.abort(hr, p, c, from)
+			}
+			arrived = nil
+			continue
+		case <-hr.Context().Done():
+			f.abort(hr, p, c, from)
+		}
+		if c.upload != nil {
+			http.NewResponseController(w).Flush()
+			if !c.upload.drain(lingerTime) {
+				panic(http.ErrAbortHandler) // the answer is written, but the next request can't be read
+			}
+		}
+		return
+	}
+}
+
+// mayGiveUp says that a call without an answer is idempotent and holds up the answers of pipelined requests.
+func mayGiveUp(c *call, from *connection) bool {
+	return len(c.answers) == 0 && c.upload == nil && c.Payload.(*message.Request).Runs == message.RunsOften &&
+		from.ahead != nil && from.ahead.follows()
+}
+
+// abort ends a call that gets no complete answer, and its connection, by which the caller sees that.
+func (f *Front) abort(hr *http.Request, p *pool.Pool, c *call, from *connection) {
+	p.Engine().Gone(&c.Call)
+	c.gone.Store(true)
+	c.discard()
+	if c.upload != nil {
+		c.upload.drain(0)
+	}
+	from.resetOnClose(hr)
+	// Returning would send an empty 200, or end an incomplete answer as if it were complete.
+	panic(http.ErrAbortHandler)
+}
+
+// refuse answers a rejected request.
+func (f *Front) refuse(w http.ResponseWriter, hr *http.Request, from *connection, err *Refusal) {
+	f.Speech.Refuse(w.Header(), hr, err)
+	rc := http.NewResponseController(w)
+	f.closeIfDraining(w, from)
+	if err.Keep || hr.ProtoMajor > 1 {
+		http.Error(w, err.Text, err.Status)
+		return
+	}
+	// The next request can't be told from the rest of this one, so the connection is closed. It is read for a while first:
+	// the caller may write all of the body before it reads the answer.
+	from.markUseless()
+	rc.EnableFullDuplex()
+	w.Header().Set("Connection", "close")
+	http.Error(w, err.Text, err.Status)
+	rc.Flush()
+	rc.SetReadDeadline(time.Now().Add(lingerTime))
+	if hr.ContentLength != 0 && hr.Header.Get("Expect") == "" {
+		io.Copy(io.Discard, hr.Body)
+	}
+}
+
+// Enter selects the pool of a request, has check examine the request, and reserves capacity in the pool for a body of size
+// bytes. Unless there is a Refusal the caller must call Leave on the pool.
+func (f *Front) Enter(hr *http.Request, size int64, check func(p *pool.Pool, class string) *Refusal) (*pool.Pool, *Refusal) {
+	return f.enter(hr, size, check, hr.Context().Value(connectionKey{}).(*connection))
+}
+
+// enter is Enter for a connection that is known.
+func (f *Front) enter(
+	hr *http.Request, size int64, check func(p *pool.Pool, class string) *Refusal, from *connection,
+) (*pool.Pool, *Refusal) {
+	for {
+		p, class, refusal := f.routes.Route(hr)
+		if refusal == nil {
+			refusal = check(p, class)
+		}
+		if refusal != nil {
+			return nil, refusal
+		}
+		switch err := p.Enter(size); {
+		case err == pool.ErrRetired:
+			continue // the routes name its successor by now
+		case err != nil:
+			// Callers over the limit of calls retry at once: a new connection each time would cost more than the rejection.
+			return nil, &Refusal{Status: http.StatusServiceUnavailable, Text: err.Error(), Retry: true,
+				Keep: err == pool.ErrCalls && size == 0}
+		}
+		if !from.assign(p.Shares().Callers) {
+			p.Leave(size)
+			return nil, &Refusal{Status: http.StatusServiceUnavailable, Text: "too many callers", Retry: true}
+		}
+		return p, nil
+	}
+}
+
+// Take marks the connection of a request as in use; false: it is being closed.
+func (f *Front) Take(hr *http.Request) bool {
+	return hr.Context().Value(connectionKey{}).(*connection).beginRequest()
+}
+
+// bodiless says that a request has no body. net/http has already removed a length beside a Transfer-Encoding, and any
+// Transfer-Encoding of HTTP/1.0.
+func bodiless(hr *http.Request) bool { return hr.ContentLength == 0 && hr.TransferEncoding == nil }
+
+// check examines a request's head and returns its call.
+func (f *Front) check(hr *http.Request, p *pool.Pool, class string) (*call, *Refusal) {
+	c := &call{answers: make(chan callEvent, 2)}
+	out, refusal := f.Speech.Read(hr, p, class, f.clock.Now(), &c.Call)
+	if refusal != nil {
+		return nil, refusal
+	}
+	c.Payload, c.To = out, c
+	return c, nil
+}
+
+// write writes a final answer of which nothing was sent before.
+func (f *Front) write(w http.ResponseWriter, c *call, a engine.Answer, from *connection) {
+	f.closeIfDraining(w, from)
+	if c.upload != nil {
+		select {
+		case <-c.upload.ended:
+		default:
+			w.Header().Set("Connection", "close") // the rest of the request is not read
+		}
+	}
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(WriteTimeout))
+	h := w.Header()
+	h["Content-Type"] = nil // net/http is not to guess one
+	if a.Verdict == engine.Failed {
+		if r := c.Payload.(*message.Request).Failed(); r != nil {
+			a.Reply = r
+		}
+	}
+	status := f.Speech.Head(h, &c.Call, a)
+	var body []byte
+	if r, is := a.Reply.(*message.Reply); is {
+		defer r.Release()
+		body = r.Body
+	}
+	h.Set("Content-Length", itoa(int64(len(body))))
+	w.WriteHeader(status)
+	w.Write(body) // after an error the caller has gone
+}
+
+func itoa(n int64) string { return strconv.FormatInt(n, 10) }
