--- a/internal/front/http1/ahead.go
+++ b/internal/front/http1/ahead.go
@@ -14,33 +14,33 @@
 	"cranegrade/internal/pool"
 )
 
-// A caller may send requests behind one that is still being answered (RFC 9112, section 9.3.2). The library reads them
-// one after another; where the Speech allows it, those that are safe and have no body are looked at as they come and
-// begun at once. Their answers wait for the library to come to them, and so go out in order.
+// Callers may pipeline requests (RFC 9112, section 9.3.2). net/http reads them one after another; where the Speech allows
+// it, safe ones without a body are parsed as they come and started at once. Their answers wait until net/http comes to the
+// request, and so are sent in order.
 
 const (
-	mostAhead      = 8        // requests of a connection that are begun behind the one being answered
-	mostAheadBytes = 32 << 10 // that are kept to be looked at
+	maxAhead      = 8        // requests of a connection that are started behind the one being answered
+	maxAheadBytes = 32 << 10 // that are kept to be parsed
 )
 
-// ahead is what of a caller's connection has been read and not yet been taken by the library, or not yet been answered.
+// ahead is what was read of a connection and is not read by net/http yet, or not answered yet.
 type ahead struct {
 	mu      sync.Mutex // guards below
 	cond    *sync.Cond
-	buf     []byte // read from the connection, not yet by the library
-	err     error  // why no more was read; told once
-	filling bool   // a goroutine reads
-	seen    []byte // the bytes of requests that have not been begun, whoever has them
-	off     bool   // the connection is read as ever from now on
-	begun   []*early
-	open    atomic.Int64 // bytes of requests, and requests, that nobody has answered yet; read without the lock
+	buf     []byte // read from the connection and not by net/http yet
+	err     error  // of the last read; returned once
+	filling bool   // a goroutine is reading
+	seen    []byte // bytes of requests that are not started, whether net/http has read them or not
+	off     bool   // no more requests are started ahead
+	begun   []*earlyRequest
+	open    atomic.Int64 // over 0: there are unanswered requests or parts of them; read without the lock
 }
 
-// count keeps open. The caller holds the lock.
+// count updates open. The caller holds the lock.
 func (a *ahead) count() { a.open.Store(int64(len(a.buf) + len(a.seen) + len(a.begun))) }
 
-// early is a request that was begun before the library came to it.
-type early struct {
+// earlyRequest is a request that was started before net/http has read it.
+type earlyRequest struct {
 	method, uri, id string
 	pool            *pool.Pool
 	call            *call
@@ -52,8 +52,8 @@
 	return a
 }
 
-// read is the library's. It is given what is there; for a look behind the request that it serves it asks for a single byte.
-func (a *ahead) read(c *caller, p []byte) (int, error) {
+// read is called by net/http, which asks for a single byte while it serves a request, to notice the end of the connection.
+func (a *ahead) read(c *connection, p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for {
@@ -61,8 +61,8 @@
 			n := copy(p, a.buf)
 			a.buf = a.buf[n:]
 			a.count()
-			if len(p) == 1 && !a.filling && len(a.buf) < mostAheadBytes {
-				// The library looks no further, but there may be more.
+			if len(p) == 1 && !a.filling && len(a.buf) < maxAheadBytes {
+				// net/http reads no more, but there may be more requests.
 				a.filling = true
 				go func() {
 					a.mu.Lock()
@@ -86,8 +86,8 @@
 	}
 }
 
-// fill reads once. The caller holds the lock, which is let go meanwhile, and has set filling.
-func (a *ahead) fill(c *caller) {
+// fill reads once. The caller has set filling and holds the lock, which is released during the read.
+func (a *ahead) fill(c *connection) {
 	a.mu.Unlock()
 	p := make([]byte, 4<<10)
 	n, err := c.Conn.Read(p)
@@ -96,7 +96,7 @@
 	if n > 0 {
 		a.buf = append(a.buf, p[:n]...)
 		if !a.off {
-			if a.seen = append(a.seen, p[:n]...); len(a.seen) > mostAheadBytes {
+			if a.seen = append(a.seen, p[:n]...); len(a.seen) > maxAheadBytes {
 				a.stop()
 			}
 		}
@@ -108,16 +108,16 @@
 	a.cond.Broadcast()
 	if n > 0 {
 		a.mu.Unlock()
-		c.came(n, time.Now())
-		c.front.look(c)
+		c.recordBytes(n, time.Now())
+		c.front.beginAhead(c)
 		a.mu.Lock()
 	}
 }
 
-// stop has no more requests be looked at on this connection. The caller holds the lock.
+// stop ends the parsing ahead on this connection. The caller holds the lock.
 func (a *ahead) stop() { a.off, a.seen = true, nil }
 
-// forgive forgets that a read ran into a deadline which has been set anew since.
+// forgive drops the error of a read deadline that was extended meanwhile.
 func (a *ahead) forgive(deadline time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -126,8 +126,8 @@
 	}
 }
 
-// take says that the library has come to a request: the early one, if it was begun.
-func (a *ahead) take(hr *http.Request, id string) *early {
+// take notes that net/http has read a request, and returns the early one if it was started.
+func (a *ahead) take(hr *http.Request, id string) *earlyRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	defer a.count()
@@ -138,8 +138,8 @@
 			return e
 		}
 		a.stop() // it is not understood as the library does; what was begun is let go
-		for _, x := range append([]*early{e}, a.begun...) {
-			go x.leave()
+		for _, x := range append([]*earlyRequest{e}, a.begun...) {
+			go x.abandon()
 		}
 		a.begun = nil
 		return nil
@@ -158,13 +158,13 @@
 
 var headEnd = []byte("\r\n\r\n")
 
-// look begins what is whole behind the request that is being served.
-func (f *Front) look(c *caller) {
+// beginAhead begins what is whole behind the request that is being served.
+func (f *Front) beginAhead(c *connection) {
 	a := c.ahead
 	for {
 		a.mu.Lock()
 		n := -1
-		if !a.off && !f.leading.Load() && c.busy.Load() && len(a.begun) < mostAhead {
+		if !a.off && !f.draining.Load() && c.busy.Load() && len(a.begun) < maxAhead {
 			n = bytes.Index(a.seen, headEnd)
 		}
 		if n < 0 {
@@ -172,19 +172,19 @@
 			return
 		}
 		head := bytes.Clone(a.seen[:n+len(headEnd)])
-		hr, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(head), failing{})))
+		hr, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(head), noMoreBytes{})))
 		if err != nil || !bodiless(hr) || hr.Method != http.MethodGet || !hr.ProtoAtLeast(1, 1) || hr.Close || !f.Speech.Ahead(hr) {
 			a.stop()
 			a.mu.Unlock()
 			return
 		}
 		a.seen = a.seen[n+len(headEnd):]
-		e := &early{method: hr.Method, uri: hr.RequestURI, id: f.Speech.ID(hr)}
+		e := &earlyRequest{method: hr.Method, uri: hr.RequestURI, id: f.Speech.ID(hr)}
 		p, refusal := f.enter(hr, 0, func(p *pool.Pool, class string) (refusal *Refusal) {
 			e.call, refusal = f.check(hr, p, class)
 			return refusal
 		}, c)
-		if refusal != nil { // the library's turn will say so
+		if refusal != nil { // it is rejected when net/http comes to it
 			a.stop()
 			a.mu.Unlock()
 			return
@@ -197,33 +197,33 @@
 	}
 }
 
-// follows says that a request which was begun waits for its turn to be answered.
+// follows says that a request was started that waits for its turn to be answered.
 func (a *ahead) follows() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.begun) > 0
 }
 
-// failing says that there is no more.
-type failing struct{}
+// noMoreBytes is a reader at its end.
+type noMoreBytes struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (noMoreBytes) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// leave gives an early request up.
-func (e *early) leave() {
+// abandon cancels an early request.
+func (e *earlyRequest) abandon() {
 	e.pool.Engine().Gone(&e.call.Call)
 	e.call.gone.Store(true)
 	e.call.discard()
 	e.pool.Leave(0)
 }
 
-// end gives up what was begun on a connection that has ended.
+// end abandons what was started on a connection that has ended.
 func (a *ahead) end() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.stop()
 	for _, e := range a.begun {
-		go e.leave()
+		go e.abandon()
 	}
 	a.begun = nil
 	a.count()
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -12,53 +12,53 @@
 	"cranegrade/internal/pool"
 )
 
-// platform is the Speech of the protocol's page.
-type platform struct{}
+// platformProtocol is the Speech of the platform's protocol.
+type platformProtocol struct{}
 
-// Own implements Speech: whoever asks hears whether clients are taken.
-func (platform) Own(f *Front, w http.ResponseWriter, hr *http.Request) bool {
+// Own implements Speech: GET /health/ready says whether the node accepts clients.
+func (platformProtocol) Own(f *Front, w http.ResponseWriter, hr *http.Request) bool {
 	if hr.Method != http.MethodGet || hr.URL.Path != "/health/ready" || !bodiless(hr) {
 		return false
 	}
-	f.lead(w, nil)
+	f.closeIfDraining(w, nil)
 	if f.unready.Load() {
 		http.Error(w, "clients are sent away", http.StatusServiceUnavailable)
 	}
-	return true // else 200: the front listens only once requests can be handled
+	return true // otherwise 200: the front listens only when requests can be handled
 }
 
-// Ahead implements Speech: the library takes requests one after another.
-func (platform) Ahead(*http.Request) bool { return false }
+// Ahead implements Speech: pipelined requests are not started ahead.
+func (platformProtocol) Ahead(*http.Request) bool { return false }
 
 // ID implements Speech.
-func (platform) ID(*http.Request) string { return "" }
+func (platformProtocol) ID(*http.Request) string { return "" }
 
 // Body implements Speech.
-func (platform) Body(hr *http.Request) bool { return hr.Method != http.MethodGet }
+func (platformProtocol) Body(hr *http.Request) bool { return hr.Method != http.MethodGet }
 
 // Refuse implements Speech.
-func (platform) Refuse(h http.Header, _ *http.Request, r *Refusal) {
+func (platformProtocol) Refuse(h http.Header, _ *http.Request, r *Refusal) {
 	if r.Retry {
 		h.Set("Retry-After", "1")
 	}
 }
 
 // Head implements Speech.
-func (platform) Head(h http.Header, _ *engine.Call, a engine.Answer) int {
+func (platformProtocol) Head(h http.Header, _ *engine.Call, a engine.Answer) int {
 	if r, is := a.Reply.(*message.Reply); is && r.ContentType != "" {
 		h.Set("Content-Type", r.ContentType)
 	}
 	if a.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
 	}
-	return statuses[a.Verdict]
+	return statusOf[a.Verdict]
 }
 
-// longClaim is how many times its class's deadline a caller may claim to wait.
-const longClaim = 10
+// maxClaimFactor is the limit on a caller's X-Time-Left, in deadlines of the class.
+const maxClaimFactor = 10
 
 // Read implements Speech.
-func (platform) Read(hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call) (*message.Request, *Refusal) {
+func (platformProtocol) Read(hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call) (*message.Request, *Refusal) {
 	h := hr.Header
 	class, known := p.Class(name)
 	method := http.MethodPost
@@ -69,7 +69,7 @@
 	left := min(claim, class.Deadline)
 	switch ids, keys := h["X-Correlation-Id"], h["Idempotency-Key"]; {
 	case len(h["Content-Length"]) > 1:
-		// The library takes the first of HTTP/2's; whoever stands behind us might take another.
+		// Of HTTP/2's net/http takes the first; a server might take another (RFC 9110, section 8.6).
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "more than one content-length"}
 	case !hr.ProtoAtLeast(1, 1) && !bodiless(hr):
 		return nil, &Refusal{Status: http.StatusHTTPVersionNotSupported, Text: "a body needs HTTP/1.1"}
@@ -86,9 +86,9 @@
 	case len(ids) != 1 || ids[0] == "":
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one X-Correlation-Id"}
 	case class.Effect == balancer.Keyed && (len(keys) != 1 || keys[0] == ""):
-		// Without its key the servers would run every repeat.
+		// Without a key the servers would run every retry.
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
-	case !claimed || claim > longClaim*class.Deadline:
+	case !claimed || claim > maxClaimFactor*class.Deadline:
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "X-Time-Left is no time with the unit m or u, or too long"}
 	}
 
@@ -100,14 +100,14 @@
 	}
 	Describe(c, h, name, now, left)
 	if us, err := strconv.ParseFloat(h.Get("X-Weight-Hint"), 64); err == nil && us > 0 {
-		// More than the deadline is no guess, and would outweigh all others in the module's mean.
+		// An estimate over the deadline is of no use, and would outweigh all others in the module's mean.
 		c.Cost = time.Duration(min(us*float64(time.Microsecond), float64(class.Deadline)))
 	}
 	return out, nil
 }
 
-// Describe fills in what the head of any request tells of a call: who asks, of what class, and until when, where its
-// caller waits so long from now.
+// Describe fills in the fields of a call that every protocol reads from the same header fields: id, class, tenant and zone;
+// and its deadline, if the caller waits for left from now on.
 func Describe(c *engine.Call, h http.Header, class string, now, left time.Duration) {
 	own := min(OwnDelay, left/4)
 	c.ID, c.Class, c.Repeat = h.Get("X-Correlation-Id"), class, h.Get("X-Repeat") == "1"
@@ -115,8 +115,8 @@
 	c.Tenant, c.From = h.Get("X-Account"), h.Get(message.CallerZone)
 }
 
-// statuses of the verdicts, by the protocol's page.
-var statuses = map[engine.Verdict]int{
+// statusOf maps verdicts to status codes.
+var statusOf = map[engine.Verdict]int{
 	engine.Served:    http.StatusOK,
 	engine.Refused:   http.StatusServiceUnavailable,
 	engine.Failed:    http.StatusBadGateway,
