--- a/internal/mesh/raft/election_test.go
+++ b/internal/mesh/raft/election_test.go
@@ -63,7 +63,7 @@
 			sim.run(3 * time.Second)
 			old := sim.leaderAddr()
 			assert.Assert(t, old != "")
-			behind := sim.addrs()[(seed)%3]
+			behind := sim.addrs()[seed%3]
 			sim.cutLinks[[2]string{old, behind}] = behind != old && seed%2 == 0
 			_, _, ok := sim.members[old].raft.Propose(sim.now, []byte("x"))
 			assert.Assert(t, ok)
--- a/internal/mesh/raft/rules_test.go
+++ b/internal/mesh/raft/rules_test.go
@@ -298,3 +298,102 @@
 	acknowledge(first, 3, first.raft.LastIndex(), round)
 	assert.Equal(t, len(first.raft.Ready().ReadStates), 1)
 }
+
+// A leader counts its own entries only once they are on its disk, whoever else has them.
+func TestLeaderCountsItselfOnceSaved(t *testing.T) {
+	model := modelWithLeader(t, 3)
+	first := model.nodes[0]
+	index, _, ok := first.raft.Propose(first.now, []byte("x"))
+	assert.Assert(t, ok)
+	first.raft.Flush()
+	ready := first.raft.Ready()
+	acknowledge(first, 2, index, 0)
+	first.raft.Ready()
+	assert.Equal(t, first.raft.AppliedIndex(), index-1)
+	first.raft.MarkSaved(ready)
+	first.raft.Ready()
+	assert.Equal(t, first.raft.AppliedIndex(), index)
+}
+
+// A member that is sent a snapshot acknowledges what is committed, and nothing of what it has behind that: it may conflict with the
+// leader's log.
+func TestSnapshotAcknowledgedUpToCommit(t *testing.T) {
+	model := modelWithLeader(t, 3)
+	first := model.nodes[0]
+	first.raft.Propose(first.now, []byte("nobody hears of it"))
+	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
+	committed := first.raft.AppliedIndex()
+	members, _ := first.raft.Members()
+	snapshot := Snapshot{Index: 1, Term: 1, ConfigurationIndex: 1, Members: members}
+	for _, kind := range []MessageKind{InstallSnapshot, SnapshotChunk} {
+		first.raft.Step(first.now, Message{Kind: kind, From: 2, To: 1, Term: first.raft.Term() + 1, Snapshot: &snapshot})
+		sent := first.raft.Ready().MessagesAfterSave
+		assert.Assert(t, len(sent) == 1 && sent[0].Kind == AppendResponse && !sent[0].Reject)
+		assert.Assert(t, sent[0].Index == committed && committed < first.raft.LastIndex())
+	}
+}
+
+// A follower acknowledges and commits only what it has compared with the leader's log: what it has behind that may be from another
+// leader, though the leader has committed as many entries.
+func TestOnlyComparedEntriesCount(t *testing.T) {
+	model := modelWithLeader(t, 3)
+	first := model.nodes[0]
+	first.raft.Propose(first.now, []byte("nobody hears of it"))
+	assert.NilError(t, model.processReady(0, noCrash, modelFaults{}))
+	committed, last, term := first.raft.AppliedIndex(), first.raft.LastIndex(), first.raft.Term()
+	assert.Assert(t, committed < last)
+	first.raft.Step(first.now, Message{
+		Kind: AppendEntries, From: 2, To: 1, Term: term + 1, Index: committed, LogTerm: term, Commit: last, ProtocolVersion: ProtocolVersion,
+	})
+	sent := first.raft.Ready().MessagesAfterSave
+	assert.Assert(t, len(sent) == 1 && sent[0].Kind == AppendResponse && !sent[0].Reject)
+	assert.Equal(t, sent[0].Index, committed)
+	assert.Equal(t, first.raft.AppliedIndex(), committed)
+}
+
+// A log is as up to date as another by its last term first, and by its length where the terms are the same (Raft paper, section 5.4.1).
+func TestLogIsUpToDate(t *testing.T) {
+	l := newRaftLog(Snapshot{Index: 1, Term: 1}, []Entry{{Index: 2, Term: 1}, {Index: 3, Term: 2}}, nil)
+	for _, test := range []struct {
+		name string
+		last position
+		want bool
+	}{
+		{"the same", position{3, 2}, true},
+		{"longer", position{4, 2}, true},
+		{"shorter", position{2, 2}, false},
+		{"longer, of an earlier term", position{9, 1}, false},
+		{"shorter, of a later term", position{2, 3}, true},
+	} {
+		t.Run(test.name, func(t *testing.T) { assert.Equal(t, l.isUpToDate(test.last), test.want) })
+	}
+}
+
+// A vote holds for one term: in the next one a member may vote for another.
+func TestVoteHoldsForOneTerm(t *testing.T) {
+	model := modelWithLeader(t, 3)
+	third := model.nodes[2]
+	third.now += 3 * testElectionTimeout
+	term := third.raft.Term()
+	last, lastTerm := third.raft.log.lastIndex(), third.raft.log.lastTerm()
+	for _, test := range []struct {
+		from    ID
+		term    uint64
+		granted bool
+	}{{1, term + 1, true}, {2, term + 1, false}, {2, term + 2, true}} {
+		third.raft.Step(third.now, Message{Kind: RequestVote, From: test.from, To: 3, Term: test.term, Index: last, LogTerm: lastTerm})
+		sent := third.raft.Ready().MessagesAfterSave
+		assert.Assert(t, len(sent) == 1 && sent[0].Kind == VoteResponse && sent[0].Term == test.term)
+		assert.Equal(t, !sent[0].Reject, test.granted, "vote for %d in term %d", test.from, test.term)
+	}
+}
+
+// A late message cuts nothing off that was appended since: only an entry that conflicts does.
+func TestLateAppendCutsNothingOff(t *testing.T) {
+	l := newRaftLog(Snapshot{Index: 1, Term: 1}, []Entry{{Index: 2, Term: 1}, {Index: 3, Term: 1}, {Index: 4, Term: 1}}, nil)
+	l.merge([]Entry{{Index: 2, Term: 1}, {Index: 3, Term: 1}})
+	assert.Equal(t, l.lastIndex(), uint64(4))
+	l.merge([]Entry{{Index: 3, Term: 2}})
+	assert.Equal(t, l.lastIndex(), uint64(3))
+	assert.Equal(t, l.lastTerm(), uint64(2))
+}
--- a/internal/mesh/raft/search_test.go
+++ b/internal/mesh/raft/search_test.go
@@ -471,7 +471,9 @@
 	}{
 		{"an answer before the sync", modelFaults{noSync: true}, searchOptions{crashes: true, mayElect: 3}, proposeToSecond},
 		{
-			"a member that lost its disk keeps its ID and votes", modelFaults{keepWipedID: true}, searchOptions{wipes: true, mayElect: 3},
+			"a member that lost its disk keeps its ID and votes",
+			modelFaults{keepWipedID: true},
+			searchOptions{wipes: true, mayElect: 3},
 			func(t *testing.T, model *modelState) {
 				proposeToSecond(t, model)
 				deliverAllExcept(t, model, 3)
@@ -479,7 +481,9 @@
 		},
 		{"a lease by the leader's own clock", modelFaults{localLease: true}, searchOptions{reads: true, mayElect: 9}, isolateFirst},
 		{
-			"two members changed at once", modelFaults{}, searchOptions{mayElect: 9},
+			"two members changed at once",
+			modelFaults{},
+			searchOptions{mayElect: 9},
 			func(t *testing.T, model *modelState) {
 				changeMembersAtFirst(t, model, Member{1, "r1"}, Member{4, "r4"}, Member{5, "r5"})
 			},
