--- a/cmd/cranegrade/crowd_test.go
+++ b/cmd/cranegrade/crowd_test.go
@@ -61,7 +61,7 @@
 	testkit.Eventually(t, "never says yes", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		yes, _, err := admin.Ask(ctx, u.port, admin.Call{Verb: admin.Check})
+		yes, _, err := admin.Send(ctx, u.port, admin.Command{Verb: admin.Check})
 		return err == nil && yes
 	})
 	return u, listen
--- a/cmd/cranegrade/main.go
+++ b/cmd/cranegrade/main.go
@@ -53,7 +53,7 @@
 
 // newH2 makes a sender for servers that speak HTTP/2.
 func newH2(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender {
-	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.Each, Streams: m.Streams})
+	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.ConnectionsPerServer, Streams: m.StreamsPerConnection})
 }
 
 // newGRPC makes what answers callers of gRPC.
@@ -61,8 +61,8 @@
 
 // newExtProc makes the front for proxies that ask.
 func newExtProc(l net.Listener, x operator.ExtProc, clock engine.Clock, n *node.Node) node.Front {
-	return extproc.New(l, extproc.Config{Clock: clock, Routes: questions{n}, Within: x.Within, Linger: x.Linger, Retries: x.Retries,
-		Streams: uint32(x.Streams), Rate: x.Rate, ID: x.ID, Clear: x.Clear, Slim: x.Slim, TimeLeft: x.TimeLeft, Known: int(x.Known),
+	return extproc.New(l, extproc.Config{Clock: clock, Routes: questions{n}, Within: x.DecisionTimeout, Linger: x.Linger, Retries: x.Retries,
+		Streams: uint32(x.Streams), Rate: x.Rate, ID: x.IDHeader, Clear: x.ClearRouteCache, Slim: x.HeadersOnly, TimeLeft: x.TimeLeft, Known: int(x.RememberedRequests),
 		RetryHeader: x.RetryHeader, ProxyStreams: int(x.ProxyStreams)})
 }
 
--- a/cmd/cranegrade/ops.go
+++ b/cmd/cranegrade/ops.go
@@ -57,14 +57,14 @@
 			if len(to) == 0 {
 				return errors.New("no node is named: --at ADDRESS or --config FILE")
 			}
-			c := admin.Call{Verb: verb}
+			c := admin.Command{Verb: verb}
 			if arguments > 0 {
 				c.ID = args[0]
 			}
 			var failed error
 			for _, addr := range to {
 				ctx, cancel := context.WithTimeout(cmd.Context(), within)
-				yes, text, err := admin.Ask(ctx, addr, c)
+				yes, text, err := admin.Send(ctx, addr, c)
 				cancel()
 				switch {
 				case err != nil:
--- a/cmd/cranegrade/proxycheck.go
+++ b/cmd/cranegrade/proxycheck.go
@@ -75,7 +75,7 @@
 
 // facts are what a proxy's configuration must fit.
 func facts(plan operator.Plan) envoyconf.Facts {
-	f := envoyconf.Facts{DecideWithin: plan.ExtProc.Within, Retries: plan.ExtProc.Retries, RetryHeader: plan.ExtProc.RetryHeader}
+	f := envoyconf.Facts{DecideWithin: plan.ExtProc.DecisionTimeout, Retries: plan.ExtProc.Retries, RetryHeader: plan.ExtProc.RetryHeader}
 	for _, p := range plan.Pools {
 		f.Spares = max(f.Spares, p.Settings.Spares)
 	}
--- a/cmd/cranegrade/upgrade_test.go
+++ b/cmd/cranegrade/upgrade_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	yes, text, err := admin.Ask(ctx, u.port, admin.Call{Verb: verb, ID: id})
+	yes, text, err := admin.Send(ctx, u.port, admin.Command{Verb: verb, ID: id})
 	if err != nil {
 		t.Fatalf("%s %s: %v", verb, id, err)
 	}
@@ -129,7 +129,7 @@
 		testkit.Eventually(t, "never says yes", func() bool {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			yes, _, err := admin.Ask(ctx, u.port, admin.Call{Verb: admin.Check})
+			yes, _, err := admin.Send(ctx, u.port, admin.Command{Verb: admin.Check})
 			return err == nil && yes
 		})
 		return u
@@ -235,7 +235,7 @@
 
 // The command line calls a running node, and says by its exit code what the node said.
 func TestOps(t *testing.T) {
-	port, err := admin.New("127.0.0.1:0", func(c admin.Call) (string, error) {
+	port, err := admin.Listen("127.0.0.1:0", func(c admin.Command) (string, error) {
 		if c.ID == "none" {
 			return "", fmt.Errorf("no server %q was ever listed", c.ID)
 		}
--- a/cmd/drill/operators.go
+++ b/cmd/drill/operators.go
@@ -58,7 +58,7 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	yes, text, err := admin.Ask(ctx, addr, admin.Call{Verb: verb, ID: id})
+	yes, text, err := admin.Send(ctx, addr, admin.Command{Verb: verb, ID: id})
 	took := time.Since(began)
 	if err != nil || !yes || took > time.Second+10*r.slack {
 		r.failf("%s %s: %v %q after %v, %v", verb, id, yes, text, took, err)
@@ -108,7 +108,7 @@
 	if !rigs.Await(6*time.Second, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		yes, _, err := admin.Ask(ctx, addr, admin.Call{Verb: admin.Check})
+		yes, _, err := admin.Send(ctx, addr, admin.Command{Verb: admin.Check})
 		return yes && err == nil
 	}) {
 		return errors.New("the new process does not say yes")
--- a/internal/admin/ask.go
+++ b/internal/admin/client.go
@@ -9,9 +9,9 @@
 	"strings"
 )
 
-// Ask makes a call at a node's operators' port: yes and the node's words, or why not. An error says that there was no
+// Send makes a call at a node's operators' port: yes and the node's words, or why not. An error says that there was no
 // answer.
-func Ask(ctx context.Context, addr string, c Call) (yes bool, text string, err error) {
+func Send(ctx context.Context, addr string, c Command) (yes bool, text string, err error) {
 	line := strings.TrimSpace(string(c.Verb) + " " + c.ID)
 	if again, err := Parse(line); err != nil || again != c {
 		return false, "", fmt.Errorf("%q is no call: %v", line, err)
--- a/internal/admin/admin.go
+++ b/internal/admin/server.go
@@ -13,44 +13,44 @@
 )
 
 // Handler carries out a call and words the answer. An error is a no, with its text.
-type Handler func(Call) (text string, err error)
+type Handler func(Command) (text string, err error)
 
-// Port listens for operators' calls.
-type Port struct {
-	listener net.Listener
-	handle   Handler
-	most     int
+// Server listens for operators' calls.
+type Server struct {
+	listener       net.Listener
+	handle         Handler
+	maxConnections int
 
-	mu    sync.Mutex // guards all below
-	quiet *list.List // of net.Conn: callers whose line has not come, the longest silent first
-	open  int
-	done  bool
+	mu     sync.Mutex // guards all below
+	silent *list.List // of net.Conn: callers whose line has not come, the longest silent first
+	open   int
+	closed bool
 }
 
 const (
-	// Callers is how many connections are kept at once: beyond it the one that has been silent longest is closed.
-	Callers = 16
-	// lineWithin is how long a caller may take for its line.
-	lineWithin = 5 * time.Second
-	// answerWithin is how long an answer may take to be written.
-	answerWithin = time.Second
+	// MaxConnections is how many connections are kept at once: beyond it the one that has been silent longest is closed.
+	MaxConnections = 16
+	// readTimeout is how long a caller may take for its line.
+	readTimeout = 5 * time.Second
+	// writeTimeout is how long an answer may take to be written.
+	writeTimeout = time.Second
 	acceptPause  = 20 * time.Millisecond
 )
 
-// New listens at addr, host:port. Serve answers.
-func New(addr string, handle Handler) (*Port, error) {
+// Listen listens at addr, host:port. Serve answers.
+func Listen(addr string, handle Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &Port{listener: l, handle: handle, most: Callers, quiet: list.New()}, nil
+	return &Server{listener: l, handle: handle, maxConnections: MaxConnections, silent: list.New()}, nil
 }
 
 // Addr is where it listens.
-func (p *Port) Addr() net.Addr { return p.listener.Addr() }
+func (p *Server) Addr() net.Addr { return p.listener.Addr() }
 
 // Serve answers calls until Close.
-func (p *Port) Serve() {
+func (p *Server) Serve() {
 	for {
 		c, err := p.listener.Accept()
 		switch {
@@ -61,69 +61,69 @@
 			time.Sleep(acceptPause)
 			continue
 		}
-		if e := p.enter(c); e != nil {
+		if e := p.admit(c); e != nil {
 			go p.serve(c, e)
 		}
 	}
 }
 
 // Close closes the listener and all that is connected.
-func (p *Port) Close() {
+func (p *Server) Close() {
 	p.listener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.done = true
-	for e := p.quiet.Front(); e != nil; e = e.Next() {
+	p.closed = true
+	for e := p.silent.Front(); e != nil; e = e.Next() {
 		e.Value.(net.Conn).Close()
 	}
 }
 
-// enter keeps a connection, in place of the longest silent if there are too many.
-func (p *Port) enter(c net.Conn) *list.Element {
+// admit keeps a connection, in place of the longest silent if there are too many.
+func (p *Server) admit(c net.Conn) *list.Element {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.done {
+	if p.closed {
 		c.Close()
 		return nil
 	}
-	if p.open++; p.open > p.most {
-		if e := p.quiet.Front(); e != nil {
+	if p.open++; p.open > p.maxConnections {
+		if e := p.silent.Front(); e != nil {
 			e.Value.(net.Conn).Close() // its goroutine counts it off
-			p.quiet.Remove(e)
+			p.silent.Remove(e)
 		}
 	}
-	return p.quiet.PushBack(c)
+	return p.silent.PushBack(c)
 }
 
-// heard moves a caller that has said something behind the silent ones; took takes it from among those that may be closed.
-func (p *Port) heard(e *list.Element) {
+// markActive moves a caller that has said something behind the silent ones; took takes it from among those that may be closed.
+func (p *Server) markActive(e *list.Element) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.quiet.MoveToBack(e) // does nothing to one that was closed
+	p.silent.MoveToBack(e) // does nothing to one that was closed
 }
 
-func (p *Port) took(e *list.Element) {
+func (p *Server) removeSilent(e *list.Element) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.quiet.Remove(e)
+	p.silent.Remove(e)
 }
 
-func (p *Port) serve(c net.Conn, e *list.Element) {
+func (p *Server) serve(c net.Conn, e *list.Element) {
 	defer func() {
-		p.took(e)
+		p.removeSilent(e)
 		c.Close()
 		p.mu.Lock()
 		p.open--
 		p.mu.Unlock()
 	}()
-	c.SetReadDeadline(time.Now().Add(lineWithin))
-	line, err := readLine(c, func() { p.heard(e) })
-	if err != nil && err != ErrLong {
+	c.SetReadDeadline(time.Now().Add(readTimeout))
+	line, err := readLine(c, func() { p.markActive(e) })
+	if err != nil && err != ErrTooLong {
 		return // it said nothing whole, and is owed nothing
 	}
-	p.took(e)
+	p.removeSilent(e)
 	var text string
-	var call Call
+	var call Command
 	if err == nil {
 		call, err = Parse(line)
 	}
@@ -134,12 +134,12 @@
 	if err != nil {
 		answer = "400 " + err.Error() + "\n"
 	}
-	c.SetWriteDeadline(time.Now().Add(answerWithin))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	io.WriteString(c, answer)
 	if t, is := c.(*net.TCPConn); is {
 		// What the caller sent beyond its line is read, or the answer might be lost to a reset.
 		t.CloseWrite()
-		c.SetReadDeadline(time.Now().Add(answerWithin / 4))
+		c.SetReadDeadline(time.Now().Add(writeTimeout / 4))
 		io.Copy(io.Discard, io.LimitReader(c, MaxLine))
 	}
 }
@@ -163,7 +163,7 @@
 		}
 		line = append(line, part...)
 		if len(line) > MaxLine {
-			return "", ErrLong
+			return "", ErrTooLong
 		}
 		r.Discard(len(part))
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/server_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestParse(t *testing.T) {
-	for line, want := range map[string]Call{"check": {Verb: Check}, " set-down  s-1 ": {SetDown, "s-1"}, "set-up\ts-1": {SetUp, "s-1"},
+	for line, want := range map[string]Command{"check": {Verb: Check}, " set-down  s-1 ": {SetDown, "s-1"}, "set-up\ts-1": {SetUp, "s-1"},
 		"drain-on": {Verb: DrainOn}, "drain-off": {Verb: DrainOff}} {
 		if c, err := Parse(line); err != nil || c != want {
 			t.Errorf("%q: %+v, %v", line, c, err)
@@ -44,9 +44,9 @@
 	})
 }
 
-func start(t *testing.T, h Handler) *Port {
+func start(t *testing.T, h Handler) *Server {
 	t.Helper()
-	p, err := New("127.0.0.1:0", h)
+	p, err := Listen("127.0.0.1:0", h)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 	return p
 }
 
-func dial(t *testing.T, p *Port) net.Conn {
+func dial(t *testing.T, p *Server) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Addr().String())
 	if err != nil {
@@ -66,7 +66,7 @@
 	return c
 }
 
-func echo(c Call) (string, error) {
+func echo(c Command) (string, error) {
 	if c.ID == "no" {
 		return "", errors.New("none such")
 	}
@@ -105,7 +105,7 @@
 func TestSilentCallers(t *testing.T) {
 	t.Parallel()
 	began, release := make(chan struct{}), make(chan struct{})
-	p := start(t, func(c Call) (string, error) {
+	p := start(t, func(c Command) (string, error) {
 		if c.Verb == DrainOn {
 			close(began)
 			<-release
@@ -116,7 +116,7 @@
 	io.WriteString(busy, "drain-on\n")
 	testkit.Wait(t, began)
 	var silent []net.Conn
-	for i := range 5 * Callers {
+	for i := range 5 * MaxConnections {
 		c := dial(t, p)
 		io.WriteString(c, "che"[:i%3])
 		silent = append(silent, c)
--- a/internal/adminstate/adminstate_test.go
+++ b/internal/adminstate/state_test.go
@@ -11,24 +11,24 @@
 
 func TestServer(t *testing.T) {
 	var s State
-	if s.Server("a", false, 1); s.Out("a") || len(s.Servers) != 0 {
+	if s.SetServer("a", false, 1); s.IsDown("a") || len(s.Servers) != 0 {
 		t.Error("a call back of what was not out is remembered")
 	}
-	s.Server("a", true, 10)
-	s.Server("a", true, 20)
-	if !s.Out("a") || s.Out("b") || s.Servers["a"].At != 10 {
+	s.SetServer("a", true, 10)
+	s.SetServer("a", true, 20)
+	if !s.IsDown("a") || s.IsDown("b") || s.Servers["a"].At != 10 {
 		t.Errorf("after two calls: %+v", s)
 	}
-	s.Server("a", false, 5) // the clock stood
-	if s.Out("a") || s.Servers["a"].At != 11 {
+	s.SetServer("a", false, 5) // the clock stood
+	if s.IsDown("a") || s.Servers["a"].At != 11 {
 		t.Errorf("one call back ends it: %+v", s)
 	}
 	for boot, want := range map[time.Duration]time.Duration{0: 11, 10: 11, 12: 12} {
-		if b := s.Boot("a", boot); b != want {
+		if b := s.EffectiveBoot("a", boot); b != want {
 			t.Errorf("listed start %d: %d, want %d", boot, b, want)
 		}
 	}
-	if s.Boot("b", 3) != 3 {
+	if s.EffectiveBoot("b", 3) != 3 {
 		t.Error("a server that nobody took out starts anew")
 	}
 }
@@ -36,16 +36,16 @@
 // The ban lasts however many servers come and go; what was called back is forgotten first.
 func TestMost(t *testing.T) {
 	var s State
-	for i := range Most {
-		if err := s.Server(fmt.Sprint(i), true, time.Duration(i+1)); err != nil {
+	for i := range MaxServersDown {
+		if err := s.SetServer(fmt.Sprint(i), true, time.Duration(i+1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.Server("more", true, Most+1); err != ErrMany {
+	if err := s.SetServer("more", true, MaxServersDown+1); err != ErrTooManyDown {
 		t.Errorf("one more: %v", err)
 	}
-	s.Server("0", false, Most+2)
-	if err := s.Server("more", true, Most+3+keep); err != nil || len(s.Servers) != Most {
+	s.SetServer("0", false, MaxServersDown+2)
+	if err := s.SetServer("more", true, MaxServersDown+3+revokedRetention); err != nil || len(s.Servers) != MaxServersDown {
 		t.Errorf("%v, %d kept", err, len(s.Servers))
 	}
 }
@@ -61,7 +61,7 @@
 			if rapid.IntRange(0, 4).Draw(t, "drain") == 0 {
 				side[at].SetDrain(on, now)
 			} else {
-				side[at].Server(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"), on, now)
+				side[at].SetServer(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "id"), on, now)
 			}
 			if rapid.Bool().Draw(t, "tell") {
 				side[1-at].Merge(side[at].Clone())
@@ -87,14 +87,14 @@
 }
 
 func TestSeen(t *testing.T) {
-	s := NewSeen(3)
+	s := NewSeenServers(3)
 	for _, id := range []string{"a", "b", "a", "c", "d"} {
 		s.Add(id)
 	}
-	if s.Has("a") || !s.Has("b") || !s.Has("c") || !s.Has("d") || len(s.has) != 3 {
-		t.Errorf("remembers %v", s.has)
+	if s.Has("a") || !s.Has("b") || !s.Has("c") || !s.Has("d") || len(s.counts) != 3 {
+		t.Errorf("remembers %v", s.counts)
 	}
-	other := NewSeen(3)
+	other := NewSeenServers(3)
 	other.Import(s.Export(2))
 	if other.Has("b") || !other.Has("c") || !other.Has("d") {
 		t.Error("the latest go over")
--- a/internal/hotrestart/file.go
+++ b/internal/hotrestart/file.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return State{}, err
 	}
-	if !info.Mode().IsRegular() || !owned(info) {
+	if !info.Mode().IsRegular() || !isOwnFile(info) {
 		return State{}, fmt.Errorf("%s is no file of this user's", path)
 	}
 	f, err := os.Open(path)
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -19,8 +19,8 @@
 
 func sample() State {
 	s := State{Version: Version, At: 5, Seen: []uint64{1, 1 << 63}, Pools: []Pool{{Name: "p", List: "41",
-		Servers: []Listed{{ID: "a", Addr: "127.0.0.1:1", State: balancer.Draining, Boot: 7}}, Knowledge: &balancer.Knowledge{Window: 3}}}}
-	s.Orders.Server("a", true, 9)
+		Servers: []ListedServer{{ID: "a", Addr: "127.0.0.1:1", State: balancer.Draining, Boot: 7}}, Knowledge: &balancer.Knowledge{Window: 3}}}}
+	s.Orders.SetServer("a", true, 9)
 	return s
 }
 
@@ -35,7 +35,7 @@
 		}
 	}
 	s, err := Load(dir)
-	if err != nil || !s.Orders.Out("a") || s.Seen[1] != 1<<63 {
+	if err != nil || !s.Orders.IsDown("a") || s.Seen[1] != 1<<63 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if l, _ := os.ReadDir(dir); len(l) != 1 {
@@ -50,7 +50,7 @@
 		}
 	}
 	os.WriteFile(filepath.Join(dir, fileName), []byte(`{"version":1,"later":{"x":[1]},"orders":{"servers":{"b":{"on":true,"at":1}}}}`), 0o600)
-	if s, err := Load(dir); err != nil || !s.Orders.Out("b") {
+	if s, err := Load(dir); err != nil || !s.Orders.IsDown("b") {
 		t.Errorf("with a field of a later build: %+v, %v", s, err)
 	}
 	os.Remove(filepath.Join(dir, fileName))
@@ -86,7 +86,7 @@
 	for name, dir := range map[string]string{"short": t.TempDir(), "long": filepath.Join(t.TempDir(), strings.Repeat("x", 120))} {
 		t.Run(name, func(t *testing.T) {
 			os.MkdirAll(dir, 0o700)
-			if _, err := Join(dir); err != ErrAlone {
+			if _, err := Connect(dir); err != ErrNoPredecessor {
 				t.Fatalf("of nobody: %v", err)
 			}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,19 +97,19 @@
 			links := make(chan *Link, 1)
 			serving, orders1, orders2 := make(chan bool, 1), make(chan adminstate.State, 1), make(chan adminstate.State, 1)
 			s, err := Listen(dir, func() (State, []*net.TCPListener) { return sample(), []*net.TCPListener{l.(*net.TCPListener)} }, func(k *Link) {
-				k.Start(Events{Serving: func() { serving <- true }, Orders: func(s adminstate.State) { orders1 <- s }})
+				k.Start(Handlers{Serving: func() { serving <- true }, Orders: func(s adminstate.State) { orders1 <- s }})
 				links <- k
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			j, err := Join(dir)
+			j, err := Connect(dir)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer j.Done()
-			j.Link.Start(Events{Orders: func(s adminstate.State) { orders2 <- s }})
-			if j.State.Pools[0].Knowledge.Window != 3 || !j.State.Orders.Out("a") {
+			defer j.CloseUnclaimed()
+			j.Link.Start(Handlers{Orders: func(s adminstate.State) { orders2 <- s }})
+			if j.State.Pools[0].Knowledge.Window != 3 || !j.State.Orders.IsDown("a") {
 				t.Errorf("told %+v", j.State)
 			}
 			if j.Listener("127.0.0.1:1") != nil {
@@ -132,22 +132,22 @@
 				a.Close()
 			}
 			old := testkit.Wait(t, links)
-			if err := j.Link.TellServing(); err != nil || !testkit.Wait(t, serving) {
+			if err := j.Link.SendServing(); err != nil || !testkit.Wait(t, serving) {
 				t.Error(err)
 			}
-			if err := old.TellOrders(adminstate.State{Drain: adminstate.Order{On: true, At: 1}}); err != nil || !testkit.Wait(t, orders2).Drain.On {
+			if err := old.SendAdminState(adminstate.State{Drain: adminstate.Override{On: true, At: 1}}); err != nil || !testkit.Wait(t, orders2).Drain.On {
 				t.Error(err)
 			}
-			if err := j.Link.TellOrders(adminstate.State{Drain: adminstate.Order{On: true, At: 1}}); err != nil || !testkit.Wait(t, orders1).Drain.On {
+			if err := j.Link.SendAdminState(adminstate.State{Drain: adminstate.Override{On: true, At: 1}}); err != nil || !testkit.Wait(t, orders1).Drain.On {
 				t.Error(err)
 			}
 			old.Close()
 			testkit.Wait(t, j.Link.Done())
-			if err := j.Link.TellOrders(adminstate.State{}); err != nil {
+			if err := j.Link.SendAdminState(adminstate.State{}); err != nil {
 				t.Errorf("one that is gone owes nothing: %v", err)
 			}
 			s.Close()
-			if _, err := Join(dir); err != ErrAlone {
+			if _, err := Connect(dir); err != ErrNoPredecessor {
 				t.Errorf("of one that is dead: %v", err)
 			}
 		})
@@ -179,14 +179,14 @@
 					serve(c)
 				}
 			}()
-			if j, err := Join(dir); err == nil || errors.Is(err, ErrAlone) {
+			if j, err := Connect(dir); err == nil || errors.Is(err, ErrNoPredecessor) {
 				t.Errorf("%+v, %v", j, err)
 			}
 		})
 	}
 	dir := t.TempDir()
 	os.WriteFile(filepath.Join(dir, socketName), nil, 0o600)
-	if _, err := Join(dir); err == nil || errors.Is(err, ErrAlone) {
+	if _, err := Connect(dir); err == nil || errors.Is(err, ErrNoPredecessor) {
 		t.Errorf("of a file: %v", err)
 	}
 }
@@ -196,7 +196,7 @@
 	t.Parallel()
 	dir := t.TempDir()
 	joined := make(chan *Link, 1)
-	s, err := Listen(dir, func() (State, []*net.TCPListener) { return sample(), nil }, func(k *Link) { k.Start(Events{}); joined <- k })
+	s, err := Listen(dir, func() (State, []*net.TCPListener) { return sample(), nil }, func(k *Link) { k.Start(Handlers{}); joined <- k })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +213,7 @@
 			t.Errorf("%.20q hears %q", text, b)
 		}
 	}
-	j, err := Join(dir)
+	j, err := Connect(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -21,10 +21,10 @@
 
 const (
 	socketName = "cranegrade.sock"
-	// helloWithin bounds each step of a start: a predecessor that is silent must not hold up its successor.
-	helloWithin = time.Second
-	// ackWithin is how long the other process has to confirm an order.
-	ackWithin = 600 * time.Millisecond
+	// handshakeTimeout bounds each step of a start: a predecessor that is silent must not hold up its successor.
+	handshakeTimeout = time.Second
+	// ackTimeout is how long the other process has to confirm an order.
+	ackTimeout = 600 * time.Millisecond
 	// maxLine bounds what the other process says at a time.
 	maxLine      = 4 << 20
 	maxListeners = 128
@@ -32,8 +32,8 @@
 
 // Link is the connection of two processes of one node. Both may tell and are told.
 type Link struct {
-	conn   *net.UnixConn
-	events Events
+	conn     *net.UnixConn
+	handlers Handlers
 
 	write sync.Mutex // held while a line is written
 	mu    sync.Mutex // guards below
@@ -42,16 +42,16 @@
 	done  chan struct{} // closed when the other side is gone
 }
 
-// Events hear what the other process says, on the link's goroutine. Any may be nil.
-type Events struct {
+// Handlers hear what the other process says, on the link's goroutine. Any may be nil.
+type Handlers struct {
 	Orders  func(adminstate.State) // its orders changed
 	Serving func()                 // the successor takes clients
 	Gone    func()                 // it has ended, or its link did
 }
 
-// note is a line of a link.
-type note struct {
-	N       uint64            `json:"n,omitempty"`
+// message is a line of a link.
+type message struct {
+	ID      uint64            `json:"n,omitempty"`
 	Ack     uint64            `json:"ack,omitempty"`
 	Orders  *adminstate.State `json:"orders,omitempty"`
 	Serving bool              `json:"serving,omitempty"`
@@ -75,14 +75,14 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), socketName), func() { d.Close() }, nil
 }
 
-// owned says that a file is this user's own, and so not put there by another.
-func owned(info os.FileInfo) bool {
+// isOwnFile says that a file is this user's own, and so not put there by another.
+func isOwnFile(info os.FileInfo) bool {
 	st, is := info.Sys().(*syscall.Stat_t)
 	return is && int(st.Uid) == os.Getuid()
 }
 
-// peerIsUs says that this user's process is at the other end.
-func peerIsUs(c *net.UnixConn) bool {
+// isSameUser says that this user's process is at the other end.
+func isSameUser(c *net.UnixConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
@@ -96,40 +96,40 @@
 	return uid == os.Getuid()
 }
 
-// ErrAlone says that no process of the node runs here.
-var ErrAlone = errors.New("no predecessor")
+// ErrNoPredecessor says that no process of the node runs here.
+var ErrNoPredecessor = errors.New("no predecessor")
 
-// Joined is what a successor has from its predecessor.
-type Joined struct {
-	Link  *Link
-	State State
-	files map[string]*os.File
+// Predecessor is what a successor has from its predecessor.
+type Predecessor struct {
+	Link    *Link
+	State   State
+	sockets map[string]*os.File
 }
 
-// Join asks the process whose socket stands in dir. ErrAlone: there is none; any other error says why what is there is
+// Connect asks the process whose socket stands in dir. ErrAlone: there is none; any other error says why what is there is
 // of no use. Start begins the exchange; until then nothing is heard.
-func Join(dir string) (*Joined, error) {
+func Connect(dir string) (*Predecessor, error) {
 	info, err := os.Lstat(filepath.Join(dir, socketName))
 	if err != nil {
-		return nil, ErrAlone
+		return nil, ErrNoPredecessor
 	}
-	if info.Mode().Type() != os.ModeSocket || !owned(info) {
+	if info.Mode().Type() != os.ModeSocket || !isOwnFile(info) {
 		return nil, fmt.Errorf("%s is no socket of this user's", filepath.Join(dir, socketName))
 	}
 	path, done, err := socketPath(dir)
 	if err != nil {
 		return nil, err
 	}
-	nc, err := net.DialTimeout("unix", path, helloWithin)
+	nc, err := net.DialTimeout("unix", path, handshakeTimeout)
 	done()
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ENOENT) {
-		return nil, ErrAlone // left by one that is dead
+		return nil, ErrNoPredecessor // left by one that is dead
 	}
 	if err != nil {
 		return nil, err
 	}
 	c := nc.(*net.UnixConn)
-	j, err := join(c)
+	j, err := receiveState(c)
 	if err != nil {
 		c.Close()
 		return nil, err
@@ -137,11 +137,11 @@
 	return j, nil
 }
 
-func join(c *net.UnixConn) (*Joined, error) {
-	if !peerIsUs(c) {
+func receiveState(c *net.UnixConn) (*Predecessor, error) {
+	if !isSameUser(c) {
 		return nil, errors.New("the predecessor is another user's")
 	}
-	c.SetDeadline(time.Now().Add(helloWithin))
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	text, _ := json.Marshal(hello{Version, os.Getpid()})
 	if _, err := c.Write(append(text, '\n')); err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 	var size [4]byte
 	oob := make([]byte, unix.CmsgSpace(maxListeners*4))
 	n, oobn, _, _, err := c.ReadMsgUnix(size[:], oob)
-	files := receive(oob[:max(0, oobn)])
+	files := receiveSockets(oob[:max(0, oobn)])
 	closeAll := func() {
 		for _, f := range files {
 			f.Close()
@@ -180,18 +180,18 @@
 		return nil, errors.Join(fmt.Errorf("its state: %d sockets of %d", len(files), len(s.Listeners)), err)
 	}
 	c.SetDeadline(time.Time{})
-	j := &Joined{Link: newLink(c), State: s, files: map[string]*os.File{}}
+	j := &Predecessor{Link: newLink(c), State: s, sockets: map[string]*os.File{}}
 	for i, a := range s.Listeners {
-		if old := j.files[a]; old != nil {
+		if old := j.sockets[a]; old != nil {
 			old.Close()
 		}
-		j.files[a] = files[i]
+		j.sockets[a] = files[i]
 	}
 	return j, nil
 }
 
-// receive takes the sockets out of what came beside a message.
-func receive(oob []byte) (files []*os.File) {
+// receiveSockets takes the sockets out of what came beside a message.
+func receiveSockets(oob []byte) (files []*os.File) {
 	messages, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil
@@ -210,15 +210,15 @@
 }
 
 // Listener is the predecessor's own at that address, whose queue both accept from; nil: it has none, or it is no such.
-func (j *Joined) Listener(addr string) net.Listener {
+func (j *Predecessor) Listener(addr string) net.Listener {
 	if j == nil {
 		return nil
 	}
-	f := j.files[addr]
+	f := j.sockets[addr]
 	if f == nil {
 		return nil
 	}
-	delete(j.files, addr)
+	delete(j.sockets, addr)
 	defer f.Close()
 	l, err := net.FileListener(f)
 	if err != nil {
@@ -231,14 +231,14 @@
 	return l
 }
 
-// Done closes the sockets that nobody took.
-func (j *Joined) Done() {
+// CloseUnclaimed closes the sockets that nobody took.
+func (j *Predecessor) CloseUnclaimed() {
 	if j == nil {
 		return
 	}
-	for a, f := range j.files {
+	for a, f := range j.sockets {
 		f.Close()
-		delete(j.files, a)
+		delete(j.sockets, a)
 	}
 }
 
@@ -246,8 +246,8 @@
 type Server struct {
 	listener *net.UnixListener
 	// State is what a successor is told, and the listeners that stand in it.
-	state  func() (State, []*net.TCPListener)
-	joined func(*Link)
+	state       func() (State, []*net.TCPListener)
+	onSuccessor func(*Link)
 }
 
 // Listen waits in dir, in place of whoever did before. state is asked for each successor; joined is told of it before
@@ -285,20 +285,20 @@
 		if err != nil {
 			return
 		}
-		if l, err := s.welcome(c); err == nil {
-			s.joined(l)
+		if l, err := s.handshake(c); err == nil {
+			s.onSuccessor(l)
 		} else {
 			c.Close()
 		}
 	}
 }
 
-// welcome answers one that wants to succeed. One at a time: each takes helloWithin at most.
-func (s *Server) welcome(c *net.UnixConn) (*Link, error) {
-	if !peerIsUs(c) {
+// handshake answers one that wants to succeed. One at a time: each takes helloWithin at most.
+func (s *Server) handshake(c *net.UnixConn) (*Link, error) {
+	if !isSameUser(c) {
 		return nil, errors.New("another user's")
 	}
-	c.SetDeadline(time.Now().Add(helloWithin))
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	var h hello
 	line, err := readLine(bufio.NewReaderSize(c, 256), 256)
 	if err == nil {
@@ -350,8 +350,8 @@
 }
 
 // Start hears the other side from now on.
-func (l *Link) Start(e Events) {
-	l.events = e
+func (l *Link) Start(e Handlers) {
+	l.handlers = e
 	go l.run()
 }
 
@@ -365,8 +365,8 @@
 	defer func() {
 		l.conn.Close()
 		close(l.done)
-		if l.events.Gone != nil {
-			l.events.Gone()
+		if l.handlers.Gone != nil {
+			l.handlers.Gone()
 		}
 	}()
 	r := bufio.NewReader(l.conn)
@@ -375,7 +375,7 @@
 		if err != nil {
 			return
 		}
-		var n note
+		var n message
 		if json.Unmarshal(line, &n) != nil {
 			return
 		}
@@ -387,26 +387,26 @@
 			}
 			l.mu.Unlock()
 		}
-		if n.Orders != nil && l.events.Orders != nil {
-			l.events.Orders(*n.Orders)
+		if n.Orders != nil && l.handlers.Orders != nil {
+			l.handlers.Orders(*n.Orders)
 		}
-		if n.Serving && l.events.Serving != nil {
-			l.events.Serving()
+		if n.Serving && l.handlers.Serving != nil {
+			l.handlers.Serving()
 		}
-		if n.N != 0 && l.send(note{Ack: n.N}) != nil {
+		if n.ID != 0 && l.send(message{Ack: n.ID}) != nil {
 			return
 		}
 	}
 }
 
-func (l *Link) send(n note) error {
+func (l *Link) send(n message) error {
 	text, err := json.Marshal(n)
 	if err != nil {
 		return err
 	}
 	l.write.Lock()
 	defer l.write.Unlock()
-	l.conn.SetWriteDeadline(time.Now().Add(ackWithin))
+	l.conn.SetWriteDeadline(time.Now().Add(ackTimeout))
 	_, err = l.conn.Write(append(text, '\n'))
 	return err
 }
@@ -414,23 +414,23 @@
 // ErrUnconfirmed says that the other process did not confirm in time.
 var ErrUnconfirmed = errors.New("the node's other process has not confirmed it")
 
-// tell sends a note and waits until it has taken effect there; nil if the other side is gone, and so owes nothing.
-func (l *Link) tell(n note) error {
+// sendAndWait sends a note and waits until it has taken effect there; nil if the other side is gone, and so owes nothing.
+func (l *Link) sendAndWait(n message) error {
 	ack := make(chan struct{})
 	l.mu.Lock()
 	l.next++
-	n.N = l.next
-	l.acks[n.N] = ack
+	n.ID = l.next
+	l.acks[n.ID] = ack
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.acks, n.N)
+		delete(l.acks, n.ID)
 		l.mu.Unlock()
 	}()
 	if err := l.send(n); err != nil {
 		l.conn.Close()
 	}
-	wait := time.NewTimer(ackWithin)
+	wait := time.NewTimer(ackTimeout)
 	defer wait.Stop()
 	select {
 	case <-ack:
@@ -441,11 +441,11 @@
 	return nil
 }
 
-// TellOrders has the other process hold the same orders.
-func (l *Link) TellOrders(s adminstate.State) error { return l.tell(note{Orders: &s}) }
+// SendAdminState has the other process hold the same orders.
+func (l *Link) SendAdminState(s adminstate.State) error { return l.sendAndWait(message{Orders: &s}) }
 
-// TellServing tells the predecessor that this process takes clients.
-func (l *Link) TellServing() error { return l.tell(note{Serving: true}) }
+// SendServing tells the predecessor that this process takes clients.
+func (l *Link) SendServing() error { return l.sendAndWait(message{Serving: true}) }
 
 // readLine reads up to a line's end.
 func readLine(r *bufio.Reader, most int) ([]byte, error) {
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -1,7 +1,8 @@
-// Package hotrestart is how a process of a node learns from the one that it takes over from, and how the two hold the same
-// orders while both run. What is handed over is a value with a version (state.go); link.go carries it over a Unix socket
-// in a directory that both see, with the listening sockets beside it. It decides nothing: without a predecessor, or with
-// one that says nothing sensible in time, a process starts as if it were alone.
+// Package hotrestart is how a process of a node takes over from the one before it, as in Envoy's hot restart, and how
+// both hold the same administrative state while they run. What is handed over is a value with a version (state.go); link.go
+// carries it over a Unix socket in a directory that both see, with the listening sockets beside it (SCM_RIGHTS).
+// It never delays a start: without a predecessor, or with one that says nothing valid in time, a process starts as if it
+// were alone.
 package hotrestart
 
 import (
@@ -33,21 +34,21 @@
 type Pool struct {
 	Name      string              `json:"name"`
 	List      string              `json:"list"` // the list's version; "": none was had from the source
-	Servers   []Listed            `json:"servers"`
+	Servers   []ListedServer      `json:"servers"`
 	Knowledge *balancer.Knowledge `json:"knowledge,omitempty"`
 }
 
-// Listed is an entry of the list as the source told it, without orders.
-type Listed struct {
-	ID     string               `json:"id"`
-	Addr   string               `json:"addr"`
-	Zone   string               `json:"zone,omitempty"`
-	Cell   int                  `json:"cell,omitempty"`
-	State  balancer.ServerState `json:"state"`
-	Size   float64              `json:"size,omitempty"`
-	Boot   time.Duration        `json:"boot,omitempty"`
-	Weight float64              `json:"weight,omitempty"`
-	Rank   int                  `json:"priority,omitempty"`
+// ListedServer is an entry of the list as the source told it, without orders.
+type ListedServer struct {
+	ID       string               `json:"id"`
+	Addr     string               `json:"addr"`
+	Zone     string               `json:"zone,omitempty"`
+	Cell     int                  `json:"cell,omitempty"`
+	State    balancer.ServerState `json:"state"`
+	Size     float64              `json:"size,omitempty"`
+	Boot     time.Duration        `json:"boot,omitempty"`
+	Weight   float64              `json:"weight,omitempty"`
+	Priority int                  `json:"priority,omitempty"`
 }
 
 // maxState bounds the text of a state.
@@ -71,8 +72,8 @@
 	if err := json.Unmarshal(text, &s); err != nil {
 		return State{}, err
 	}
-	if len(s.Orders.Servers) > 2*adminstate.Most {
-		return State{}, adminstate.ErrMany
+	if len(s.Orders.Servers) > 2*adminstate.MaxServersDown {
+		return State{}, adminstate.ErrTooManyDown
 	}
 	for _, p := range s.Pools {
 		seen := make(map[string]bool, len(p.Servers))
--- a/internal/node/orders.go
+++ b/internal/node/admin_state.go
@@ -13,46 +13,46 @@
 	"cranegrade/internal/engine"
 )
 
-// desk keeps what operators have ordered of a running node, and sees that it takes effect. It implements
+// adminState keeps what operators have ordered of a running node, and sees that it takes effect. It implements
 // engine.AdminStates; what it reads on the way of requests takes no lock.
-type desk struct {
-	clock  engine.Clock
-	stands atomic.Pointer[adminstate.State] // never nil, never changed in place
+type adminState struct {
+	clock engine.Clock
+	state atomic.Pointer[adminstate.State] // never nil, never changed in place
 
 	mu     sync.Mutex // guards what follows, and orders changes of stands; not held over I/O
 	listed map[string]int
-	seen   *adminstate.Seen
+	seen   *adminstate.SeenServers
 
 	// change is called after stands has changed, without the lock: of some servers, and perhaps of the drain.
-	change func(servers []string)
+	onChange func(servers []string)
 	// share makes a change known where it must outlive this process or bind another; it waits for that.
-	share func() error
+	replicate func() error
 }
 
-func newDesk(clock engine.Clock) *desk {
-	d := &desk{clock: clock, listed: map[string]int{}, seen: adminstate.NewSeen(adminstate.MostSeen),
-		change: func([]string) {}, share: func() error { return nil }}
-	d.stands.Store(&adminstate.State{})
+func newAdminState(clock engine.Clock) *adminState {
+	d := &adminState{clock: clock, listed: map[string]int{}, seen: adminstate.NewSeenServers(adminstate.SeenCapacity),
+		onChange: func([]string) {}, replicate: func() error { return nil }}
+	d.state.Store(&adminstate.State{})
 	return d
 }
 
 // Out implements engine.AdminStates.
-func (d *desk) Out(id string) bool { return d.stands.Load().Out(id) }
+func (d *adminState) Out(id string) bool { return d.state.Load().IsDown(id) }
 
 // Boot implements engine.AdminStates.
-func (d *desk) Boot(id string, boot time.Duration) time.Duration {
-	return d.stands.Load().Boot(id, boot)
+func (d *adminState) Boot(id string, boot time.Duration) time.Duration {
+	return d.state.Load().EffectiveBoot(id, boot)
 }
 
 // Entered implements engine.AdminStates.
-func (d *desk) Entered(id string) {
+func (d *adminState) Entered(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.listed[id]++ // several pools may list it
 }
 
 // Left implements engine.AdminStates.
-func (d *desk) Left(id string) {
+func (d *adminState) Left(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.listed[id]--; d.listed[id] <= 0 {
@@ -61,68 +61,68 @@
 	}
 }
 
-// draining says that clients are to be sent away.
-func (d *desk) draining() bool { return d.stands.Load().Drain.On }
+// isDraining says that clients are to be sent away.
+func (d *adminState) isDraining() bool { return d.state.Load().Drain.On }
 
-// known says that a server is listed, or was once.
-func (d *desk) known(id string) bool {
+// isKnown says that a server is listed, or was once.
+func (d *adminState) isKnown(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, ordered := d.stands.Load().Servers[id]
+	_, ordered := d.state.Load().Servers[id]
 	return d.listed[id] > 0 || ordered || d.seen.Has(id)
 }
 
 // update changes what stands. It takes effect for attempts before it returns.
-func (d *desk) update(f func(s *adminstate.State) error) error {
+func (d *adminState) update(f func(s *adminstate.State) error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := d.stands.Load().Clone()
+	s := d.state.Load().Clone()
 	if err := f(&s); err != nil {
 		return err
 	}
-	d.stands.Store(&s)
+	d.state.Store(&s)
 	return nil
 }
 
 // merge takes over what another process of this node knows; false: nothing new.
-func (d *desk) merge(of adminstate.State) bool {
+func (d *adminState) merge(of adminstate.State) bool {
 	var changed []string
-	drained := d.draining()
+	drained := d.isDraining()
 	d.update(func(s *adminstate.State) error {
 		changed = s.Merge(of)
 		return nil
 	})
-	if len(changed) == 0 && drained == d.draining() {
+	if len(changed) == 0 && drained == d.isDraining() {
 		return false
 	}
-	d.change(changed)
+	d.onChange(changed)
 	return true
 }
 
 // export is what another process needs to answer as this one does.
-func (d *desk) export() (adminstate.State, []uint64) {
+func (d *adminState) export() (adminstate.State, []uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	seen := d.seen.Export(maxExported)
 	for id := range d.listed {
 		seen = append(seen, adminstate.Hash(id))
 	}
-	return *d.stands.Load(), seen
+	return *d.state.Load(), seen
 }
 
-// Operators is the address where operators call; nil: nowhere.
-func (n *Node) Operators() net.Addr {
-	if n.port == nil {
+// OperatorAddr is the address where operators call; nil: nowhere.
+func (n *Node) OperatorAddr() net.Addr {
+	if n.commandServer == nil {
 		return nil
 	}
-	return n.port.Addr()
+	return n.commandServer.Addr()
 }
 
 // maxExported is how many ids of servers that have left go over to a successor.
 const maxExported = 1 << 13
 
-// call carries out an operator's call.
-func (d *desk) call(c admin.Call, serving func() bool) (string, error) {
+// execute carries out an operator's call.
+func (d *adminState) execute(c admin.Command, serving func() bool) (string, error) {
 	now := d.clock.Now()
 	var servers []string
 	var err error
@@ -132,17 +132,17 @@
 		switch {
 		case !serving():
 			return "", fmt.Errorf("not taking clients")
-		case d.draining():
+		case d.isDraining():
 			return "taking clients, and sending them away: drain-on", nil
 		}
 		return "taking clients", nil
 	case admin.SetDown, admin.SetUp:
-		if !d.known(c.ID) {
+		if !d.isKnown(c.ID) {
 			return "", fmt.Errorf("no server %.80q was ever listed", c.ID)
 		}
 		out := c.Verb == admin.SetDown
 		servers = []string{c.ID}
-		err = d.update(func(s *adminstate.State) error { return s.Server(c.ID, out, now) })
+		err = d.update(func(s *adminstate.State) error { return s.SetServer(c.ID, out, now) })
 		if text = c.ID + " is in use"; out {
 			text = c.ID + " is taken out"
 		}
@@ -156,9 +156,9 @@
 	if err != nil {
 		return "", err
 	}
-	d.change(servers)
+	d.onChange(servers)
 	log.Printf("operator: %s %s", c.Verb, c.ID)
-	if err := d.share(); err != nil {
+	if err := d.replicate(); err != nil {
 		log.Printf("operator: %v", err)
 		text += "; " + err.Error()
 	}
--- a/internal/node/orders_test.go
+++ b/internal/node/admin_state_test.go
@@ -18,7 +18,7 @@
 // callPort calls a node's operators' port.
 func callPort(t *testing.T, n *Node, line string) string {
 	t.Helper()
-	c := dial(t, n.port.Addr().String())
+	c := dial(t, n.commandServer.Addr().String())
 	fmt.Fprintln(c, line)
 	s, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil {
@@ -86,7 +86,7 @@
 		}
 	}
 	n.only().Do(func() {})
-	if s := n.desk.stands.Load(); s.Boot("a", 0) == 0 {
+	if s := n.adminState.state.Load(); s.EffectiveBoot("a", 0) == 0 {
 		t.Error("a counts as warm, though it may have been restarted")
 	}
 	lines <- testkit.ListMessage(12, false, entry("DELETED"))
@@ -105,7 +105,7 @@
 	n.only().Do(func() { close(held); <-hold })
 	testkit.Wait(t, held)
 	wantOrder(t, n, "set-down a", "200")
-	if !n.desk.Out("a") {
+	if !n.adminState.Out("a") {
 		t.Error("the yes came before the ban")
 	}
 	close(hold)
@@ -196,7 +196,7 @@
 	t.Parallel()
 	addr, _ := testkit.Stub(t, ok, false)
 	n := startNode(t, withPort(testConfig("127.0.0.1:1", listed("a", addr))), nil)
-	n.gaveWay.Store(true)
+	n.handedOff.Store(true)
 	for _, line := range []string{"drain-off", "drain-on", "drain-off", "set-down a", "set-up a"} {
 		wantOrder(t, n, line, "200")
 		c := dial(t, n.Addr().String())
--- a/internal/node/bench_h2_test.go
+++ b/internal/node/bench_h2_test.go
@@ -121,9 +121,9 @@
 func BenchmarkH2Memory(b *testing.B) {
 	plan := planOf(b, "listen_h2 = [\"127.0.0.1:0\"]\ndefault = \"p\"\n", poolOf("p", "[[pools.servers]]\naddress = \"127.0.0.1:1\""))
 	plan.Totals.Calls, plan.Totals.Held, plan.Totals.Callers = 20_000, 20_000, 5000
-	plan.Totals.Fresh.Max = 5000
+	plan.Totals.NewCallers.Max = 5000
 	// A module that says nothing: what a stream holds is the front's and the engine's.
-	n, err := newNode(plan, Options{H2: newH2Sender}, moduleFunc(func(balancer.Event) []balancer.Action { return nil }))
+	n, err := provision(plan, Options{H2: newH2Sender}, moduleFunc(func(balancer.Event) []balancer.Action { return nil }))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet_member.go
@@ -33,22 +33,22 @@
 // ErrNoFleet says that a file wants what the program has not.
 var ErrNoFleet = errors.New("this program is built without [fleet]")
 
-// leaveWithin bounds how long a node that stops tells the others so.
-const leaveWithin = time.Second
+// leaveTimeout bounds how long a node that stops tells the others so.
+const leaveTimeout = time.Second
 
-// openFleet joins the fleet that a plan names; nil: none.
-func openFleet(p operator.Plan, open func(string, operator.Fleet, map[string]uint32) (Member, error)) (Member, error) {
+// joinFleet joins the fleet that a plan names; nil: none.
+func joinFleet(p operator.Plan, open func(string, operator.Fleet, map[string]uint32) (Member, error)) (Member, error) {
 	if p.Fleet == nil {
 		return nil, nil
 	}
 	if open == nil {
 		return nil, ErrNoFleet
 	}
-	return open(p.Name, *p.Fleet, digests(p))
+	return open(p.Name, *p.Fleet, settingsDigests(p))
 }
 
-// digests are what members compare of their pools: the settings, but for what each has of its own.
-func digests(p operator.Plan) map[string]uint32 {
+// settingsDigests are what members compare of their pools: the settings, but for what each has of its own.
+func settingsDigests(p operator.Plan) map[string]uint32 {
 	l := make(map[string]uint32, len(p.Pools))
 	for _, pp := range p.Pools {
 		s := pp.Settings
@@ -60,23 +60,23 @@
 	return l
 }
 
-// stopFleet has the others know that this node stops. A successor has its name and takes its place: to that it leaves
+// leaveFleet has the others know that this node stops. A successor has its name and takes its place: to that it leaves
 // the address.
-func (n *Node) stopFleet() {
+func (n *Node) leaveFleet() {
 	if n.fleet == nil {
 		return
 	}
-	if n.relay.succeededBy() {
+	if n.hotRestart.hasSuccessor() {
 		n.fleet.Close()
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	n.fleet.Leave(ctx)
 }
 
-// fleetPages tells of the fleet on the admin address.
-func (n *Node) fleetPages(mux *http.ServeMux) {
+// registerFleetPages tells of the fleet on the admin address.
+func (n *Node) registerFleetPages(mux *http.ServeMux) {
 	none := func(w http.ResponseWriter) bool {
 		if n.fleet == nil {
 			http.Error(w, "this node is in no fleet", http.StatusNotFound)
--- a/internal/node/h2_test.go
+++ b/internal/node/h2_test.go
@@ -24,7 +24,7 @@
 )
 
 func newH2Sender(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender {
-	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.Each, Streams: m.Streams})
+	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.ConnectionsPerServer, Streams: m.StreamsPerConnection})
 }
 
 // h2Server is a server that speaks HTTP/2.
--- a/internal/node/handover.go
+++ b/internal/node/hot_restart.go
@@ -18,65 +18,65 @@
 	"cranegrade/internal/operator"
 )
 
-// relay is a node's side of its other processes: the one that it takes over from, and those that take over from it.
-type relay struct {
-	n    *Node
-	dir  string
-	from *hotrestart.Joined // nil: nobody, or it is over
+// hotRestart is a node's side of its other processes: the one that it takes over from, and those that take over from it.
+type hotRestart struct {
+	n           *Node
+	dir         string
+	predecessor *hotrestart.Predecessor // nil: nobody, or it is over
 
 	server *hotrestart.Server // nil: no successor can come
 
-	mu      sync.Mutex // guards all below; not held over I/O
-	links   map[*hotrestart.Link]bool
-	serving map[*hotrestart.Link]bool // successors that take clients
+	mu         sync.Mutex // guards all below; not held over I/O
+	peers      map[*hotrestart.Link]bool
+	successors map[*hotrestart.Link]bool // successors that take clients
 }
 
-// newRelay joins the process that it finds in the plan's directory; nil where the plan has none.
-func newRelay(n *Node, dir string) *relay {
+// newHotRestart joins the process that it finds in the plan's directory; nil where the plan has none.
+func newHotRestart(n *Node, dir string) *hotRestart {
 	if dir == "" {
 		return nil
 	}
-	r := &relay{n: n, dir: dir, links: map[*hotrestart.Link]bool{}, serving: map[*hotrestart.Link]bool{}}
+	r := &hotRestart{n: n, dir: dir, peers: map[*hotrestart.Link]bool{}, successors: map[*hotrestart.Link]bool{}}
 	if s, err := hotrestart.Load(dir); err != nil {
 		log.Printf("handover: orders of before: %v; starting without them", err)
 	} else {
-		r.learn(s)
+		r.importState(s)
 	}
-	j, err := hotrestart.Join(dir)
+	j, err := hotrestart.Connect(dir)
 	switch {
 	case err == nil:
-		r.from = j
-		r.learn(j.State)
+		r.predecessor = j
+		r.importState(j.State)
 		log.Printf("handover: taking over from another process, with %d sockets of its", len(j.State.Listeners))
-	case !errors.Is(err, hotrestart.ErrAlone):
+	case !errors.Is(err, hotrestart.ErrNoPredecessor):
 		log.Printf("handover: %v; starting without what the other process knows", err)
 	}
 	return r
 }
 
-func (r *relay) learn(s hotrestart.State) {
-	r.n.desk.merge(s.Orders)
-	r.n.desk.mu.Lock()
-	defer r.n.desk.mu.Unlock()
-	r.n.desk.seen.Import(s.Seen)
+func (r *hotRestart) importState(s hotrestart.State) {
+	r.n.adminState.merge(s.Orders)
+	r.n.adminState.mu.Lock()
+	defer r.n.adminState.mu.Unlock()
+	r.n.adminState.seen.Import(s.Seen)
 }
 
-// pool is what the predecessor knew of a pool; nil: nothing.
-func (r *relay) pool(name string) *hotrestart.Pool {
-	if r == nil || r.from == nil {
+// predecessorPool is what the predecessor knew of a pool; nil: nothing.
+func (r *hotRestart) predecessorPool(name string) *hotrestart.Pool {
+	if r == nil || r.predecessor == nil {
 		return nil
 	}
-	for i, p := range r.from.State.Pools {
+	for i, p := range r.predecessor.State.Pools {
 		if p.Name == name {
-			return &r.from.State.Pools[i]
+			return &r.predecessor.State.Pools[i]
 		}
 	}
 	return nil
 }
 
-// takeOver has a pool go on with what the predecessor's knew.
-func (r *relay) takeOver(pp *operator.Pool) {
-	p := r.pool(pp.Name)
+// inheritServers has a pool go on with what the predecessor's knew.
+func (r *hotRestart) inheritServers(pp *operator.Pool) {
+	p := r.predecessorPool(pp.Name)
 	if p == nil || len(p.Servers) == 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 	for _, s := range p.Servers {
 		var l engine.Listed
 		l.ID, l.Addr, l.Zone, l.Cell, l.State, l.Size, l.Boot, l.Weight, l.Priority =
-			s.ID, s.Addr, s.Zone, s.Cell, s.State, s.Size, s.Boot, s.Weight, s.Rank
+			s.ID, s.Addr, s.Zone, s.Cell, s.State, s.Size, s.Boot, s.Weight, s.Priority
 		known.Servers = append(known.Servers, l)
 	}
 	pp.Known = known
@@ -92,11 +92,11 @@
 
 // listen gives the predecessor's listener at an address, whose queue both accept from, or a new one. Where there may be
 // a successor, the address can be shared with one that could not get this one's.
-func (r *relay) listen(addr string) (net.Listener, error) {
+func (r *hotRestart) listen(addr string) (net.Listener, error) {
 	if r == nil {
 		return net.Listen("tcp", addr)
 	}
-	if l := r.from.Listener(addr); l != nil {
+	if l := r.predecessor.Listener(addr); l != nil {
 		return l, nil
 	}
 	c := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
@@ -109,17 +109,17 @@
 	return c.Listen(context.Background(), "tcp", addr)
 }
 
-// exportWithin bounds the wait for an engine when a successor asks.
-const exportWithin = 400 * time.Millisecond
+// exportTimeout bounds the wait for an engine when a successor asks.
+const exportTimeout = 400 * time.Millisecond
 
-// state is what a successor is told.
-func (r *relay) state() (hotrestart.State, []*net.TCPListener) {
+// exportState is what a successor is told.
+func (r *hotRestart) exportState() (hotrestart.State, []*net.TCPListener) {
 	s := hotrestart.State{At: r.n.clock.Now()}
-	s.Orders, s.Seen = r.n.desk.export()
+	s.Orders, s.Seen = r.n.adminState.export()
 	r.n.mu.Lock()
 	pools := r.n.serving.Load().pools
 	r.n.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), exportWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), exportTimeout)
 	defer cancel()
 	for name, p := range pools {
 		x, ok := p.Engine().Export(ctx)
@@ -128,8 +128,8 @@
 		}
 		hp := hotrestart.Pool{Name: name, List: x.Version, Knowledge: x.Knowledge}
 		for _, v := range x.Servers {
-			hp.Servers = append(hp.Servers, hotrestart.Listed{ID: v.ID, Addr: v.Addr, Zone: v.Zone, Cell: v.Cell, State: v.State,
-				Size: v.Size, Boot: v.Boot, Weight: v.Weight, Rank: v.Priority})
+			hp.Servers = append(hp.Servers, hotrestart.ListedServer{ID: v.ID, Addr: v.Addr, Zone: v.Zone, Cell: v.Cell, State: v.State,
+				Size: v.Size, Boot: v.Boot, Weight: v.Weight, Priority: v.Priority})
 		}
 		s.Pools = append(s.Pools, hp)
 	}
@@ -143,103 +143,103 @@
 }
 
 // start tells the predecessor that clients are taken, and waits for successors.
-func (r *relay) start() {
+func (r *hotRestart) start() {
 	if r == nil {
 		return
 	}
-	r.from.Done()
-	if r.from != nil {
+	r.predecessor.CloseUnclaimed()
+	if r.predecessor != nil {
 		r.n.resize()
-		l := r.from.Link
-		r.add(l, hotrestart.Events{Gone: func() {
-			r.gone(l)
+		l := r.predecessor.Link
+		r.addPeer(l, hotrestart.Handlers{Gone: func() {
+			r.removePeer(l)
 			log.Print("handover: the process before has ended")
 		}})
-		if err := l.TellServing(); err != nil {
+		if err := l.SendServing(); err != nil {
 			log.Printf("handover: %v", err)
 		}
 	}
 	var err error
-	if r.server, err = hotrestart.Listen(r.dir, r.state, r.joined); err != nil {
+	if r.server, err = hotrestart.Listen(r.dir, r.exportState, r.addSuccessor); err != nil {
 		log.Printf("handover: no successor can come: %v", err)
 	}
 }
 
-// joined takes a successor.
-func (r *relay) joined(l *hotrestart.Link) {
+// addSuccessor takes a successor.
+func (r *hotRestart) addSuccessor(l *hotrestart.Link) {
 	log.Print("handover: another process is starting in place of this one")
-	r.add(l, hotrestart.Events{
+	r.addPeer(l, hotrestart.Handlers{
 		Serving: func() {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.serving[l] = true
+			r.successors[l] = true
 		},
-		Gone: func() { r.gone(l) },
+		Gone: func() { r.removePeer(l) },
 	})
 	r.n.resize()
 }
 
-// add starts a link, both sides of which tell each other what they hold.
-func (r *relay) add(l *hotrestart.Link, e hotrestart.Events) {
+// addPeer starts a link, both sides of which tell each other what they hold.
+func (r *hotRestart) addPeer(l *hotrestart.Link, e hotrestart.Handlers) {
 	e.Orders = func(s adminstate.State) {
-		if r.n.desk.merge(s) {
+		if r.n.adminState.merge(s) {
 			r.save()
-			go r.tell(l) // a third process, if there is one
+			go r.broadcast(l) // a third process, if there is one
 		}
 	}
 	r.mu.Lock()
-	r.links[l] = true
+	r.peers[l] = true
 	r.mu.Unlock()
 	l.Start(e)
-	s, _ := r.n.desk.export()
-	go l.TellOrders(s)
+	s, _ := r.n.adminState.export()
+	go l.SendAdminState(s)
 }
 
-func (r *relay) gone(l *hotrestart.Link) {
+func (r *hotRestart) removePeer(l *hotrestart.Link) {
 	r.mu.Lock()
-	delete(r.links, l)
-	delete(r.serving, l)
+	delete(r.peers, l)
+	delete(r.successors, l)
 	r.mu.Unlock()
 	r.n.resize()
 }
 
-// others is how many other processes of the node run.
-func (r *relay) others() int {
+// peerCount is how many other processes of the node run.
+func (r *hotRestart) peerCount() int {
 	if r == nil {
 		return 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.links)
+	return len(r.peers)
 }
 
-// succeededBy says that another process takes clients in place of this one.
-func (r *relay) succeededBy() bool {
+// hasSuccessor says that another process takes clients in place of this one.
+func (r *hotRestart) hasSuccessor() bool {
 	if r == nil {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.serving) > 0
+	return len(r.successors) > 0
 }
 
-// share keeps orders for whoever comes after, and has the other processes hold them before it returns.
-func (r *relay) share() error {
-	return errors.Join(r.save(), r.tell(nil))
+// replicate keeps orders for whoever comes after, and has the other processes hold them before it returns.
+func (r *hotRestart) replicate() error {
+	return errors.Join(r.save(), r.broadcast(nil))
 }
 
-func (r *relay) save() error {
+func (r *hotRestart) save() error {
 	s := hotrestart.State{At: r.n.clock.Now()}
-	s.Orders, s.Seen = r.n.desk.export()
+	s.Orders, s.Seen = r.n.adminState.export()
 	return hotrestart.Save(r.dir, s)
 }
 
-// tell has all other processes but one hold the same orders.
-func (r *relay) tell(but *hotrestart.Link) error {
-	s, _ := r.n.desk.export()
+// broadcast has all other processes but one hold the same orders.
+func (r *hotRestart) broadcast(but *hotrestart.Link) error {
+	s, _ := r.n.adminState.export()
 	r.mu.Lock()
 	var to []*hotrestart.Link
-	for l := range r.links {
+	for l := range r.peers {
 		if l != but {
 			to = append(to, l)
 		}
@@ -247,7 +247,7 @@
 	r.mu.Unlock()
 	failed := make(chan error, len(to))
 	for _, l := range to {
-		go func() { failed <- l.TellOrders(s) }()
+		go func() { failed <- l.SendAdminState(s) }()
 	}
 	var err error
 	for range to {
@@ -256,20 +256,20 @@
 	return err
 }
 
-func (r *relay) close() {
+func (r *hotRestart) close() {
 	if r == nil {
 		return
 	}
 	if r.server != nil {
 		r.server.Close()
 	}
-	r.from.Done()
-	if r.from != nil {
-		r.from.Link.Close()
+	r.predecessor.CloseUnclaimed()
+	if r.predecessor != nil {
+		r.predecessor.Link.Close()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for l := range r.links {
+	for l := range r.peers {
 		l.Close()
 	}
 }
@@ -282,7 +282,7 @@
 
 // resize gives this process its part of the node's limits: all of it, or an equal part while others run.
 func (n *Node) resize() {
-	processes := 1 + n.relay.others()
+	processes := 1 + n.hotRestart.peerCount()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.serving.Load() == nil {
@@ -291,7 +291,7 @@
 	if n.plan.MemoryMB > 0 {
 		debug.SetMemoryLimit(MemoryLimit(n.plan.MemoryMB, processes))
 	}
-	n.parts = int64(processes)
+	n.processes = int64(processes)
 	if err := n.divide(n.plan, n.serving.Load().pools); err != nil {
 		log.Printf("handover: dividing the limits: %v", err)
 	}
--- a/internal/node/handover_test.go
+++ b/internal/node/hot_restart_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.linger = 0
+	n.drainDelay = 0
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &process{n, cancel, make(chan error, 1)}
 	go func() { p.done <- n.Run(ctx) }()
@@ -141,24 +141,24 @@
 	cfg.Listen = old.Addr().String()
 	cfg.Known.Targets = nil
 	next := startProcess(t, cfg)
-	if !next.desk.Out("a") {
+	if !next.adminState.Out("a") {
 		t.Error("a ban is forgotten over an upgrade")
 	}
 	wantOrder(t, next.Node, "set-down b", "200")
-	if !old.desk.Out("b") {
+	if !old.adminState.Out("b") {
 		t.Error("the old process does not hold what the new one confirmed")
 	}
 	wantOrder(t, old.Node, "set-down c", "200")
-	if !next.desk.Out("c") {
+	if !next.adminState.Out("c") {
 		t.Error("the new process does not hold what the old one confirmed")
 	}
 	wantOrder(t, old.Node, "drain-on", "200")
-	if !next.desk.draining() {
+	if !next.adminState.isDraining() {
 		t.Error("a drain told to either binds both")
 	}
 	wantOrder(t, next.Node, "drain-off", "200")
 	wantOrder(t, next.Node, "set-up a", "200")
-	if old.desk.draining() || old.desk.Out("a") {
+	if old.adminState.isDraining() || old.adminState.Out("a") {
 		t.Error("a call back is forgotten")
 	}
 	old.end(t)
@@ -167,8 +167,8 @@
 	cfg.Listen = "127.0.0.1:0"
 	last := startProcess(t, cfg)
 	defer last.end(t)
-	if last.desk.Out("a") || !last.desk.Out("b") || !last.desk.Out("c") || last.desk.draining() {
-		t.Errorf("of the file: %+v", last.desk.stands.Load())
+	if last.adminState.Out("a") || !last.adminState.Out("b") || !last.adminState.Out("c") || last.adminState.isDraining() {
+		t.Errorf("of the file: %+v", last.adminState.state.Load())
 	}
 	wantOrder(t, last.Node, "set-up b", "200") // listed once, as far as the file knows
 }
@@ -181,12 +181,12 @@
 	p := startProcess(t, cfg)
 	defer p.end(t)
 	bad := cfg
-	bad.Listen, bad.Operator = p.Addr().String(), p.port.Addr().String() // in use
+	bad.Listen, bad.Operator = p.Addr().String(), p.commandServer.Addr().String() // in use
 	if n, err := New(bad, Options{}); err == nil {
 		t.Fatalf("%v started", n)
 	}
-	testkit.Eventually(t, "the one that failed is still counted", func() bool { return p.relay.others() == 0 })
-	if p.relay.succeededBy() {
+	testkit.Eventually(t, "the one that failed is still counted", func() bool { return p.hotRestart.peerCount() == 0 })
+	if p.hotRestart.hasSuccessor() {
 		t.Error("it counts as succeeded")
 	}
 	if resp, _ := do(t, newRequest(t, p.Node, "GET", "/health/ready", "")); resp.StatusCode != 200 {
--- a/internal/node/inspection_server.go
+++ b/internal/node/inspection_server.go
@@ -30,7 +30,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		n.Zones().JSON(w)
 	})
-	n.fleetPages(mux)
+	n.registerFleetPages(mux)
 	return &inspectionServer{l, &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 10 * time.Second}}, nil
 }
 
@@ -45,12 +45,12 @@
 	a.listener.Close()
 }
 
-// Admin is the address where the node tells what it holds; nil: nowhere.
-func (n *Node) Admin() net.Addr {
-	if n.admin == nil {
+// InspectionAddr is the address where the node tells what it holds; nil: nowhere.
+func (n *Node) InspectionAddr() net.Addr {
+	if n.inspection == nil {
 		return nil
 	}
-	return n.admin.listener.Addr()
+	return n.inspection.listener.Addr()
 }
 
 // DumpXDS writes what the node holds of clusters and endpoints.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,26 +29,26 @@
 
 // Node is one process's worth of fronts and pools.
 type Node struct {
-	options   Options
-	admin     *inspectionServer // nil: none
-	zones     *zones
-	fleet     Member // nil: this node is in none
-	clock     engine.Clock
-	budgets   budgets
-	fresh     *pool.Share // for callers' connections before their first request
-	fronts    []Front
-	serving   atomic.Pointer[serving]
-	linger    time.Duration // how long a stopping node goes on as before
-	desk      *desk
-	port      *admin.Port // nil: operators can't call
-	relay     *relay      // nil: nobody hands anything over
-	parts     int64       // processes that share the node's limits
-	listeners []net.Listener
-	ready     atomic.Bool // clients are taken
-
-	stopping atomic.Bool
-	gaveWay  atomic.Bool  // a successor takes new callers
-	patience atomic.Int64 // ns that callers may wait for what a stopping node has taken
+	options       Options
+	inspection    *inspectionServer // nil: none
+	zones         *zoneAccounts
+	fleet         Member // nil: this node is in none
+	clock         engine.Clock
+	budgets       budgets
+	newCallers    *pool.Share // for callers' connections before their first request
+	fronts        []Front
+	serving       atomic.Pointer[servingSet]
+	drainDelay    time.Duration // how long a stopping node goes on as before
+	adminState    *adminState
+	commandServer *admin.Server // nil: operators can't call
+	hotRestart    *hotRestart   // nil: nobody hands anything over
+	processes     int64         // processes that share the node's limits
+	listeners     []net.Listener
+	ready         atomic.Bool // clients are taken
+
+	stopping          atomic.Bool
+	handedOff         atomic.Bool  // a successor takes new callers
+	drainTimeoutNanos atomic.Int64 // ns that callers may wait for what a stopping node has taken
 
 	mu       sync.Mutex // guards what follows, and orders reloads
 	plan     operator.Plan
@@ -58,11 +58,11 @@
 	retired  sync.WaitGroup
 }
 
-// serving is what fronts use, replaced as a whole by a reload.
-type serving struct {
-	routes *route.Table          // nil: all is for the only pool, by the first part of the path
-	pools  map[string]*pool.Pool // by name
-	only   *pool.Pool
+// servingSet is what fronts use, replaced as a whole by a reload.
+type servingSet struct {
+	routes   *route.Table          // nil: all is for the only pool, by the first part of the path
+	pools    map[string]*pool.Pool // by name
+	onlyPool *pool.Pool
 }
 
 // budgets divide the process among the pools.
@@ -113,10 +113,10 @@
 var ErrNoXDS = errors.New("this program is built without xDS")
 
 // New returns a node that listens, by the platform's configuration.
-func New(cfg Config, o Options) (*Node, error) { return newNode(cfg.plan(), o, nil) }
+func New(cfg Config, o Options) (*Node, error) { return provision(cfg.plan(), o, nil) }
 
 // NewFromPlan returns a node that listens, by an operator's plan.
-func NewFromPlan(p operator.Plan, o Options) (*Node, error) { return newNode(p, o, nil) }
+func NewFromPlan(p operator.Plan, o Options) (*Node, error) { return provision(p, o, nil) }
 
 // openXDS opens the client that a plan wants; nil if it wants none.
 func (n *Node) openXDS(p operator.Plan) (XDSClient, error) {
@@ -129,21 +129,21 @@
 	return n.options.XDS(*p.XDS)
 }
 
-// newNode takes a module of a test's own for every pool, unless that is nil.
-func newNode(plan operator.Plan, o Options, m engine.Module) (_ *Node, err error) {
+// provision takes a module of a test's own for every pool, unless that is nil.
+func provision(plan operator.Plan, o Options, m engine.Module) (_ *Node, err error) {
 	clock := engine.NewClock()
-	n := &Node{options: o, clock: clock, desk: newDesk(clock), retiring: map[*pool.Pool]struct{}{}, stopped: make(chan struct{}),
+	n := &Node{options: o, clock: clock, adminState: newAdminState(clock), retiring: map[*pool.Pool]struct{}{}, stopped: make(chan struct{}),
 		budgets: budgets{pool.NewBudget(0), pool.NewBudget(0), pool.NewBudget(0), pool.NewBudget(0),
 			pool.NewBudget(0), pool.NewBudget(0)}}
-	n.fresh = n.budgets.callers.NewShare()
+	n.newCallers = n.budgets.callers.NewShare()
 	defer func() {
 		if err != nil {
 			n.closeAll()
 		}
 	}()
-	n.relay, n.parts = newRelay(n, plan.State), 1
-	if n.relay != nil && n.relay.from != nil {
-		n.parts = 2
+	n.hotRestart, n.processes = newHotRestart(n, plan.State), 1
+	if n.hotRestart != nil && n.hotRestart.predecessor != nil {
+		n.processes = 2
 	}
 	if n.xds, err = n.openXDS(plan); err != nil {
 		return nil, err
@@ -151,23 +151,23 @@
 	if n.zones, err = openZones(plan.Zones, o.ZoneStore); err != nil {
 		return nil, err
 	}
-	if n.fleet, err = openFleet(plan, o.Fleet); err != nil {
+	if n.fleet, err = joinFleet(plan, o.Fleet); err != nil {
 		return nil, err
 	}
-	s := &serving{routes: plan.Routes, pools: make(map[string]*pool.Pool, len(plan.Pools))}
+	s := &servingSet{routes: plan.Routes, pools: make(map[string]*pool.Pool, len(plan.Pools))}
 	for _, pp := range plan.Pools {
-		n.relay.takeOver(&pp)
+		n.hotRestart.inheritServers(&pp)
 		p, err := n.newPool(pp, n.xds, m)
 		if err != nil {
 			return nil, err
 		}
-		s.pools[pp.Name], s.only = p, p
+		s.pools[pp.Name], s.onlyPool = p, p
 	}
 	if err := n.divide(plan, s.pools); err != nil {
 		return nil, err
 	}
 	listen := func(addr string) (net.Listener, error) {
-		l, err := n.relay.listen(addr)
+		l, err := n.hotRestart.listen(addr)
 		if err == nil {
 			n.listeners = append(n.listeners, l)
 		}
@@ -178,14 +178,14 @@
 		if err != nil {
 			return nil, err
 		}
-		n.fronts = append(n.fronts, front.New(l, n.clock, routes{n}, n.fresh))
+		n.fronts = append(n.fronts, front.New(l, n.clock, callerRoutes{n}, n.newCallers))
 	}
 	for _, addr := range plan.ListenH2 {
 		l, err := listen(addr)
 		if err != nil {
 			return nil, err
 		}
-		f := front.NewH2(l, n.clock, routes{n}, n.fresh, front.H2Limits(plan.H2))
+		f := front.NewH2(l, n.clock, callerRoutes{n}, n.newCallers, front.H2Limits(plan.H2))
 		if o.GRPC != nil {
 			f.Dialect = o.GRPC(n)
 		}
@@ -202,25 +202,25 @@
 		n.fronts = append(n.fronts, o.ExtProc(l, *plan.ExtProc, n.clock, n))
 	}
 	if plan.Operator != "" {
-		n.port, err = admin.New(plan.Operator, func(c admin.Call) (string, error) { return n.desk.call(c, n.ready.Load) })
+		n.commandServer, err = admin.Listen(plan.Operator, func(c admin.Command) (string, error) { return n.adminState.execute(c, n.ready.Load) })
 		if err != nil {
 			return nil, fmt.Errorf("operator: %w", err)
 		}
 	}
 	if plan.Admin != "" {
-		if n.admin, err = newInspectionServer(n, plan.Admin); err != nil {
+		if n.inspection, err = newInspectionServer(n, plan.Admin); err != nil {
 			return nil, err
 		}
 	}
 	n.plan = plan
 	n.serving.Store(s)
-	n.await(s.pools)
-	n.linger = max(minLinger, n.wait()-settling)
-	n.desk.change = n.ordered
-	if n.relay != nil {
-		n.desk.share = n.relay.share
+	n.setDrainTimeout(s.pools)
+	n.drainDelay = max(minDrainDelay, n.drainTimeout()-drainMargin)
+	n.adminState.onChange = n.applyAdminState
+	if n.hotRestart != nil {
+		n.adminState.replicate = n.hotRestart.replicate
 	}
-	n.ordered(nil) // what stands from before
+	n.applyAdminState(nil) // what stands from before
 	return n, nil
 }
 
@@ -262,12 +262,12 @@
 		to = n.options.H2(pp.Conns, pp.Mux, shares.Connections)
 	}
 	var learned *balancer.Knowledge
-	if was := n.relay.pool(pp.Name); was != nil {
+	if was := n.hotRestart.predecessorPool(pp.Name); was != nil {
 		learned = was.Knowledge
 	}
 	p, err := pool.New(pool.Config{Name: pp.Name, Settings: pp.Settings, Seed: seed(pp), Clock: n.clock,
 		Sender: to,
-		Source: n.source(pp.List, x), Known: pp.Known, Pushed: pp.Pushed, Shares: shares, Module: m, GRPC: pp.GRPC, Orders: n.desk, Learned: learned})
+		Source: n.source(pp.List, x), Known: pp.Known, Pushed: pp.Pushed, Shares: shares, Module: m, GRPC: pp.GRPC, Orders: n.adminState, Learned: learned})
 	if err != nil {
 		return nil, fmt.Errorf("pool %q: %w", pp.Name, err)
 	}
@@ -297,9 +297,9 @@
 			}
 		}
 		for s, q := range quotas {
-			quotas[s] = pool.Quota{Min: q.Min / n.parts, Max: q.Max / n.parts}
+			quotas[s] = pool.Quota{Min: q.Min / n.processes, Max: q.Max / n.processes}
 		}
-		err = errors.Join(err, b.Configure(max(1, total/n.parts), quotas))
+		err = errors.Join(err, b.Configure(max(1, total/n.processes), quotas))
 	}
 	t := plan.Totals
 	configure(n.budgets.calls, t.Calls, func(s pool.Shares) *pool.Share { return s.Calls },
@@ -313,7 +313,7 @@
 	configure(n.budgets.longAnswers, t.LongAnswers, func(s pool.Shares) *pool.Share { return s.LongAnswers },
 		func(l operator.Limits) pool.Quota { return l.LongAnswers }, nil)
 	configure(n.budgets.callers, t.Callers, func(s pool.Shares) *pool.Share { return s.Callers },
-		func(l operator.Limits) pool.Quota { return l.Callers }, map[*pool.Share]pool.Quota{n.fresh: t.Fresh})
+		func(l operator.Limits) pool.Quota { return l.Callers }, map[*pool.Share]pool.Quota{n.newCallers: t.NewCallers})
 	return err
 }
 
@@ -331,29 +331,29 @@
 const (
 	// New connections come for up to 0.4 s after the signal, and closing the listener would reset those
 	// not yet accepted.
-	minLinger = 500 * time.Millisecond
+	minDrainDelay = 500 * time.Millisecond
 	// Callers go on using the connections that they have, and may have no other node to turn to: these
 	// stay open until what comes on them would hardly be answered before the kill.
-	settling = 500 * time.Millisecond
+	drainMargin = 500 * time.Millisecond
 	// A stopping node is killed once the longest deadline, maxPatience at the most, and killedAfter
 	// more have passed. It answers everything by lastCall before that.
-	maxPatience = 3 * time.Second
-	killedAfter = 700 * time.Millisecond
-	lastCall    = 250 * time.Millisecond
-	// relieveEvery is how often pools are asked for what they have borrowed and do not need.
-	relieveEvery = 100 * time.Millisecond
+	maxDrainTimeout = 3 * time.Second
+	killGrace       = 700 * time.Millisecond
+	answerMargin    = 250 * time.Millisecond
+	// reclaimInterval is how often pools are asked for what they have borrowed and do not need.
+	reclaimInterval = 100 * time.Millisecond
 )
 
-// await sets how long a stopping node waits for what these pools have taken.
-func (n *Node) await(pools map[string]*pool.Pool) {
+// setDrainTimeout sets how long a stopping node waits for what these pools have taken.
+func (n *Node) setDrainTimeout(pools map[string]*pool.Pool) {
 	var longest time.Duration
 	for _, p := range pools {
-		longest = max(longest, min(p.LongestDeadline(), maxPatience))
+		longest = max(longest, min(p.LongestDeadline(), maxDrainTimeout))
 	}
-	n.patience.Store(int64(longest))
+	n.drainTimeoutNanos.Store(int64(longest))
 }
 
-func (n *Node) wait() time.Duration { return time.Duration(n.patience.Load()) }
+func (n *Node) drainTimeout() time.Duration { return time.Duration(n.drainTimeoutNanos.Load()) }
 
 // Run serves until ctx ends, and then until all that was taken is answered.
 func (n *Node) Run(ctx context.Context) error {
@@ -364,26 +364,26 @@
 	n.mu.Unlock()
 	defer n.stopPools()
 	served := make(chan error, len(n.fronts))
-	if n.admin != nil {
-		go n.admin.serve()
+	if n.inspection != nil {
+		go n.inspection.serve()
 	}
-	if n.port != nil {
-		go n.port.Serve()
+	if n.commandServer != nil {
+		go n.commandServer.Serve()
 	}
 	for _, f := range n.fronts {
 		go func() { served <- f.Serve() }()
 	}
-	n.relay.start()
+	n.hotRestart.start()
 	n.ready.Store(true)
-	relieve := time.NewTicker(relieveEvery)
+	relieve := time.NewTicker(reclaimInterval)
 	defer relieve.Stop()
 	for running := true; running; {
 		select {
 		case err := <-served:
 			return fmt.Errorf("serving callers: %w", err)
 		case <-relieve.C:
-			n.relieve()
-			n.leadIdle()
+			n.reclaimIdleConnections()
+			n.redirectIdleCallers()
 		case <-ctx.Done():
 			running = false
 		}
@@ -392,21 +392,21 @@
 	n.stopping.Store(true)
 	n.ready.Store(false)
 	log.Print("told to stop")
-	n.retired.Go(n.stopFleet) // its part is taken over while it still serves what it has; the end waits for it
+	n.retired.Go(n.leaveFleet) // its part is taken over while it still serves what it has; the end waits for it
 	defer log.Print("stopped")
-	cutoff := time.Now().Add(n.wait() + killedAfter - lastCall)
+	cutoff := time.Now().Add(n.drainTimeout() + killGrace - answerMargin)
 	abandon := time.AfterFunc(time.Until(cutoff), n.abandonAll)
 	defer abandon.Stop()
-	if n.relay.succeededBy() {
-		n.giveWay(cutoff)
+	if n.hotRestart.hasSuccessor() {
+		n.yieldToSuccessor(cutoff)
 	} else {
 		select {
 		case err := <-served:
 			return fmt.Errorf("serving callers: %w", err)
-		case <-time.After(n.linger):
+		case <-time.After(n.drainDelay):
 		}
 	}
-	closing, cancel := context.WithDeadline(context.Background(), cutoff.Add(lastCall/2))
+	closing, cancel := context.WithDeadline(context.Background(), cutoff.Add(answerMargin/2))
 	defer cancel()
 	var stopping sync.WaitGroup
 	for _, f := range n.fronts {
@@ -416,8 +416,8 @@
 	return nil
 }
 
-// leads are fronts whose callers can be sent elsewhere.
-type leads interface {
+// drainable are fronts whose callers can be sent elsewhere.
+type drainable interface {
 	LeadAway(on bool)
 	LeadIdle()
 	Unready(on bool)
@@ -425,26 +425,26 @@
 	Hand() // accepts nothing more: a successor accepts from the same queue
 }
 
-// leadEvery is how often a process that gives way looks for idle connections.
-const leadEvery = 20 * time.Millisecond
+// redirectInterval is how often a process that gives way looks for idle connections.
+const redirectInterval = 20 * time.Millisecond
 
-// giveWay leaves new connections to the successor and leads callers there, until none is left or time is up.
-func (n *Node) giveWay(until time.Time) {
+// yieldToSuccessor leaves new connections to the successor and leads callers there, until none is left or time is up.
+func (n *Node) yieldToSuccessor(until time.Time) {
 	log.Print("giving way to a successor")
-	n.gaveWay.Store(true) // whatever is ordered from here on
+	n.handedOff.Store(true) // whatever is ordered from here on
 	for _, f := range n.fronts {
-		if l, can := f.(leads); can {
+		if l, can := f.(drainable); can {
 			l.Hand()
 			l.LeadAway(true)
 		}
 	}
-	tick := time.NewTicker(leadEvery)
+	tick := time.NewTicker(redirectInterval)
 	defer tick.Stop()
 	for time.Now().Before(until) {
-		n.leadIdle()
+		n.redirectIdleCallers()
 		open := 0
 		for _, f := range n.fronts {
-			if l, can := f.(leads); can {
+			if l, can := f.(drainable); can {
 				open += l.Open()
 			}
 		}
@@ -455,13 +455,13 @@
 	}
 }
 
-// ordered has operators' orders take effect: those for some servers, and the drain.
-func (n *Node) ordered(servers []string) {
-	draining := n.desk.draining()
+// applyAdminState has operators' orders take effect: those for some servers, and the drain.
+func (n *Node) applyAdminState(servers []string) {
+	draining := n.adminState.isDraining()
 	for _, f := range n.fronts {
-		if l, can := f.(leads); can {
+		if l, can := f.(drainable); can {
 			l.Unready(draining)
-			l.LeadAway(draining || n.gaveWay.Load())
+			l.LeadAway(draining || n.handedOff.Load())
 		}
 	}
 	n.mu.Lock()
@@ -476,16 +476,16 @@
 	}
 }
 
-func (n *Node) leadIdle() {
+func (n *Node) redirectIdleCallers() {
 	for _, f := range n.fronts {
-		if l, can := f.(leads); can {
+		if l, can := f.(drainable); can {
 			l.LeadIdle()
 		}
 	}
 }
 
-// relieve has pools close idle connections that others want for.
-func (n *Node) relieve() {
+// reclaimIdleConnections has pools close idle connections that others want for.
+func (n *Node) reclaimIdleConnections() {
 	if s := n.serving.Load(); len(s.pools) > 1 {
 		for _, p := range s.pools {
 			p.ReturnBorrowedConnections()
@@ -523,13 +523,13 @@
 	for _, f := range n.fronts {
 		f.Close()
 	}
-	if n.admin != nil {
-		n.admin.close()
+	if n.inspection != nil {
+		n.inspection.close()
 	}
-	if n.port != nil {
-		n.port.Close()
+	if n.commandServer != nil {
+		n.commandServer.Close()
 	}
-	n.relay.close()
+	n.hotRestart.close()
 	if n.fleet != nil {
 		n.fleet.Close()
 	}
@@ -541,13 +541,13 @@
 	n.zones.close()
 }
 
-// routes is the node as fronts see it.
-type routes struct{ n *Node }
+// callerRoutes is the node as fronts see it.
+type callerRoutes struct{ n *Node }
 
-func (r routes) Route(hr *http.Request) (*pool.Pool, string, *front.Refusal) {
+func (r callerRoutes) Route(hr *http.Request) (*pool.Pool, string, *front.Refusal) {
 	s := r.n.serving.Load()
 	if s.routes == nil {
-		return s.only, firstSegment(hr.URL.Path), nil
+		return s.onlyPool, firstSegment(hr.URL.Path), nil
 	}
 	return s.route(hr)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -47,11 +47,11 @@
 // startNode runs a node until the test ends; nil m stands for the real modules.
 func startNode(t *testing.T, cfg Config, m engine.Module) *Node {
 	t.Helper()
-	n, err := newNode(cfg.plan(), Options{}, m)
+	n, err := provision(cfg.plan(), Options{}, m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.linger = 0 // no test that is over waits for callers
+	n.drainDelay = 0 // no test that is over waits for callers
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
@@ -65,7 +65,7 @@
 }
 
 // only is the engine of the only pool.
-func (n *Node) only() *engine.Engine { return n.serving.Load().only.Engine() }
+func (n *Node) only() *engine.Engine { return n.serving.Load().onlyPool.Engine() }
 
 // moduleFunc is a module of a test's own.
 type moduleFunc func(e balancer.Event) []balancer.Action
@@ -404,11 +404,11 @@
 		t.Fatal(err)
 	}
 	// Callers that have a connection and no other node are served on for most of the time until the kill.
-	if n.linger != 2500*time.Millisecond {
-		t.Errorf("connections stay open for %v of %v", n.linger, n.wait())
+	if n.drainDelay != 2500*time.Millisecond {
+		t.Errorf("connections stay open for %v of %v", n.drainDelay, n.drainTimeout())
 	}
-	n.linger = 3 * time.Second // a slow machine gets more
-	n.patience.Store(int64(limit))
+	n.drainDelay = 3 * time.Second // a slow machine gets more
+	n.drainTimeoutNanos.Store(int64(limit))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
@@ -465,8 +465,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.linger = 0
-	n.patience.Store(int64(300 * time.Millisecond))
+	n.drainDelay = 0
+	n.drainTimeoutNanos.Store(int64(300 * time.Millisecond))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
--- a/internal/node/plan.go
+++ b/internal/node/plan.go
@@ -32,7 +32,7 @@
 	if addr == "" {
 		return 0
 	}
-	return admin.Callers + 8
+	return admin.MaxConnections + 8
 }
 
 // source opens where a pool's list comes from.
@@ -61,7 +61,7 @@
 }
 
 // route names the pool and class of a request by the operator's routes.
-func (s *serving) route(hr *http.Request) (*pool.Pool, string, *front.Refusal) {
+func (s *servingSet) route(hr *http.Request) (*pool.Pool, string, *front.Refusal) {
 	id := ""
 	if ids := hr.Header["X-Correlation-Id"]; len(ids) > 0 {
 		id = ids[0]
@@ -81,7 +81,7 @@
 
 // find is route for any protocol. path is as the caller wrote it, without the query; header is by
 // canonical name.
-func (s *serving) find(method, authority, path string, header map[string][]string, id string) (*pool.Pool, string, *NoRoute) {
+func (s *servingSet) find(method, authority, path string, header map[string][]string, id string) (*pool.Pool, string, *NoRoute) {
 	r := route.Request{Method: method, Header: header, ID: id}
 	var err error
 	if r.Host, err = route.Host(authority); err == nil {
@@ -92,7 +92,7 @@
 	}
 	r.Class = firstSegment(r.Path)
 	if s.routes == nil {
-		return s.only, r.Class, nil
+		return s.onlyPool, r.Class, nil
 	}
 	to, found := s.routes.Match(&r)
 	if !found {
@@ -117,6 +117,6 @@
 	return known && !n.stopping.Load(), known
 }
 
-// retireWithin bounds how long a pool that was removed waits for what it has taken, beyond its longest
+// retireGrace bounds how long a pool that was removed waits for what it has taken, beyond its longest
 // deadline.
-const retireWithin = 2 * time.Second
+const retireGrace = 2 * time.Second
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -442,7 +442,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.linger = 0
+	n.drainDelay = 0
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -57,7 +57,7 @@
 	if !reflect.DeepEqual(plan.Fleet, n.plan.Fleet) || plan.Fleet != nil && plan.Name != n.plan.Name {
 		return errors.New("[fleet] and a member's name change only at a start")
 	}
-	if err := n.zones.reload(plan.Zones); err != nil {
+	if err := n.zones.checkReload(plan.Zones); err != nil {
 		return err
 	}
 	// Another set of control planes is another client: all that follow clusters go over to it, and keep
@@ -80,7 +80,7 @@
 		before[pp.Name] = pp
 	}
 	old := n.serving.Load()
-	next := &serving{routes: plan.Routes, pools: make(map[string]*pool.Pool, len(plan.Pools))}
+	next := &servingSet{routes: plan.Routes, pools: make(map[string]*pool.Pool, len(plan.Pools))}
 	var fresh []*pool.Pool
 	var moved []operator.Pool
 	for _, pp := range plan.Pools {
@@ -98,7 +98,7 @@
 			}
 			fresh = append(fresh, p)
 		}
-		next.pools[pp.Name], next.only = p, p
+		next.pools[pp.Name], next.onlyPool = p, p
 	}
 	var gone []*pool.Pool
 	for name, p := range old.pools {
@@ -133,14 +133,14 @@
 		}
 	}
 	if n.zones.plan != nil {
-		n.zones.limit(plan.Zones.Limits)
+		n.zones.setLimits(plan.Zones.Limits)
 	}
 	n.plan = plan
 	if n.fleet != nil {
-		go n.fleet.Serve(digests(plan)) // it waits until the others are told
+		go n.fleet.Serve(settingsDigests(plan)) // it waits until the others are told
 	}
 	n.serving.Store(next)
-	n.await(next.pools)
+	n.setDrainTimeout(next.pools)
 	for _, p := range gone {
 		n.retired.Go(func() { n.retire(p) })
 	}
@@ -152,7 +152,7 @@
 
 // retire waits until a pool that was removed has finished, and lets go of its part of the budgets.
 func (n *Node) retire(p *pool.Pool) {
-	ctx, cancel := context.WithTimeout(context.Background(), p.LongestDeadline()+retireWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), p.LongestDeadline()+retireGrace)
 	defer cancel()
 	p.Retire(ctx)
 	n.mu.Lock()
--- a/internal/node/xds_test.go
+++ b/internal/node/xds_test.go
@@ -291,7 +291,7 @@
 	plan.Admin = "127.0.0.1:0"
 	w.start(plan)
 	testkit.Eventually(t, "the dump does not tell what there is", func() bool {
-		resp, err := http.Get("http://" + w.node.Admin().String() + "/xds/dump")
+		resp, err := http.Get("http://" + w.node.InspectionAddr().String() + "/xds/dump")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -313,7 +313,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	n.linger = 0
+	n.drainDelay = 0
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
--- a/internal/node/zones.go
+++ b/internal/node/zone_accounts.go
@@ -23,8 +23,8 @@
 // ErrNoZoneStore says that a file wants what the program has not.
 var ErrNoZoneStore = errors.New("this program is built without a store for the account of zones")
 
-// zones is a node's book of zones, and the modules that write it.
-type zones struct {
+// zoneAccounts is a node's book of zones, and the modules that write it.
+type zoneAccounts struct {
 	plan  *operator.Zones // nil: zones are not told apart
 	book  *zone.Book
 	store ZoneStore // nil: nothing is kept
@@ -37,12 +37,12 @@
 	modules map[string]*zone.Module
 }
 
-// saveEvery is how often the account is kept: what a crash may lose of it.
-const saveEvery = time.Second
+// saveInterval is how often the account is kept: what a crash may lose of it.
+const saveInterval = time.Second
 
 // openZones opens what a plan says of zones; without any it is empty.
-func openZones(plan *operator.Zones, open func(string) (ZoneStore, error)) (*zones, error) {
-	z := &zones{plan: plan, stop: make(chan struct{}), modules: map[string]*zone.Module{}}
+func openZones(plan *operator.Zones, open func(string) (ZoneStore, error)) (*zoneAccounts, error) {
+	z := &zoneAccounts{plan: plan, stop: make(chan struct{}), modules: map[string]*zone.Module{}}
 	if plan == nil {
 		return z, nil
 	}
@@ -67,17 +67,17 @@
 	}
 	z.book.Restore(state)
 	z.book.Keep()
-	if err := z.lease(s); err != nil { // what can't be written can't be spent
+	if err := z.saveLease(s); err != nil { // what can't be written can't be spent
 		s.Close()
 		return nil, err
 	}
 	z.store = s
-	z.ended.Go(z.keep)
+	z.ended.Go(z.saveLoop)
 	return z, nil
 }
 
-// lease saves what has changed, and what may be spent of budgets until the next time.
-func (z *zones) lease(s ZoneStore) error {
+// saveLease saves what has changed, and what may be spent of budgets until the next time.
+func (z *zoneAccounts) saveLease(s ZoneStore) error {
 	z.saving.Lock()
 	defer z.saving.Unlock()
 	state := z.book.Lease(time.Duration(time.Now().UnixNano()))
@@ -89,17 +89,17 @@
 	return nil
 }
 
-// keep saves what has changed until close, and then what was really spent.
-func (z *zones) keep() {
-	tick := time.NewTicker(saveEvery)
+// saveLoop saves what has changed until close, and then what was really spent.
+func (z *zoneAccounts) saveLoop() {
+	tick := time.NewTicker(saveInterval)
 	defer tick.Stop()
 	failed := false
 	for {
 		select {
 		case <-tick.C:
-			err := z.lease(z.store)
+			err := z.saveLease(z.store)
 			if err != nil && !failed {
-				log.Printf("zones: %v; it is tried again every %v", err, saveEvery)
+				log.Printf("zones: %v; it is tried again every %v", err, saveInterval)
 			}
 			failed = err != nil
 		case <-z.stop:
@@ -112,7 +112,7 @@
 }
 
 // close saves what is left and closes the store.
-func (z *zones) close() {
+func (z *zoneAccounts) close() {
 	if z == nil || z.store == nil {
 		return
 	}
@@ -124,14 +124,14 @@
 	z.store = nil
 }
 
-func (z *zones) add(pool string, m *zone.Module) {
+func (z *zoneAccounts) add(pool string, m *zone.Module) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.modules[pool] = m
 }
 
-// reload goes over to another plan's budgets. What else zones are told by changes only at a start.
-func (z *zones) reload(plan *operator.Zones) error {
+// checkReload goes over to another plan's budgets. What else zones are told by changes only at a start.
+func (z *zoneAccounts) checkReload(plan *operator.Zones) error {
 	if (plan == nil) != (z.plan == nil) {
 		return errors.New("[zones] comes and goes only at a start")
 	}
@@ -144,12 +144,12 @@
 	return nil
 }
 
-// limit puts other budgets in place of the present ones.
-func (z *zones) limit(l []zone.Limit) {
+// setLimits puts other budgets in place of the present ones.
+func (z *zoneAccounts) setLimits(l []zone.Limit) {
 	z.book.Limits(l)
 	if z.store != nil {
-		if err := z.lease(z.store); err != nil {
-			log.Printf("zones: %v; it is tried again every %v", err, saveEvery)
+		if err := z.saveLease(z.store); err != nil {
+			log.Printf("zones: %v; it is tried again every %v", err, saveInterval)
 		}
 	}
 }
--- a/internal/node/zones_test.go
+++ b/internal/node/zone_accounts_test.go
@@ -118,7 +118,7 @@
 			if err := n.ReloadPlan(at("a", 10)); err == nil {
 				t.Error("a reload moved the node to another zone")
 			}
-			resp, err := http.Get("http://" + n.Admin().String() + "/zones")
+			resp, err := http.Get("http://" + n.InspectionAddr().String() + "/zones")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -11,13 +11,13 @@
 )
 
 // fleet reads how this node finds the others.
-func (f *file) fleet(t *table, p *Plan, nodes int) {
-	x := t.one("fleet")
+func (f *document) fleet(t *table, p *Plan, nodes int) {
+	x := t.subtable("fleet")
 	if x == nil {
 		return
 	}
-	fl := &Fleet{Listen: x.text("listen", ""), Join: x.texts("join"), Zone: x.text("zone", ""), Nodes: nodes,
-		Lease: x.time("lease", defaultLease), Settle: x.time("settle", defaultSettle), Probe: x.time("probe", defaultProbe)}
+	fl := &Fleet{Listen: x.text("listen", ""), Join: x.textList("join"), Zone: x.text("zone", ""), Nodes: nodes,
+		Lease: x.duration("lease", defaultLease), Settle: x.duration("settle", defaultSettle), Probe: x.duration("probe", defaultProbe)}
 	p.Fleet = fl
 	fl.Advertise = x.text("advertise", fl.Listen)
 	if err := ipAddress(fl.Listen, true); err != nil {
@@ -67,7 +67,7 @@
 	if t.has("index") {
 		t.fault("index", "is of no effect with [fleet], which finds it out")
 	}
-	x.end()
+	x.rejectUnknownKeys()
 }
 
 // ipAddress checks a host:port whose host is an IP address.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -36,7 +36,7 @@
 
 // Parse reads a file's text; name is for the faults. An error is of the type Faults.
 func Parse(name string, text []byte) (Plan, error) {
-	f := &file{name: name}
+	f := &document{name: name}
 	root, ok := f.parse(text)
 	if !ok {
 		return Plan{}, f.sorted()
@@ -48,12 +48,12 @@
 	return p, nil
 }
 
-func (f *file) plan(t *table) Plan {
-	p := Plan{Name: t.text("name", "cranegrade"), Listen: t.texts("listen"), ListenH2: t.texts("listen_h2")}
-	h2 := t.some("h2")
-	p.H2 = H2{Streams: h2.between("streams", 250, 1, 10_000), Window: h2.between("window", 1<<20, 64<<10, 64<<20)}
+func (f *document) plan(t *table) Plan {
+	p := Plan{Name: t.text("name", "cranegrade"), Listen: t.textList("listen"), ListenH2: t.textList("listen_h2")}
+	h2 := t.tableOrEmpty("h2")
+	p.H2 = H2{Streams: h2.countBetween("streams", 250, 1, 10_000), Window: h2.countBetween("window", 1<<20, 64<<10, 64<<20)}
 	windowed := h2.has("window")
-	h2.end()
+	h2.rejectUnknownKeys()
 	f.extProc(t, &p)
 	if len(p.Listen)+len(p.ListenH2) == 0 && p.ExtProc == nil && !slices.ContainsFunc(f.faults, func(x Fault) bool { return strings.HasPrefix(x.Key, "listen") }) {
 		t.fault("listen", `missing: the addresses to listen on, as ["127.0.0.1:3000"], or an [ext_proc]`)
@@ -84,7 +84,7 @@
 	} else if index >= nodes {
 		t.fault("index", "%d is no index of %d nodes, which count from 0", index, nodes)
 	}
-	tables := t.many("pools")
+	tables := t.subtables("pools")
 	if len(tables) == 0 {
 		t.fault("pools", "missing: a file needs at least one [[pools]]")
 	}
@@ -128,7 +128,7 @@
 		}
 		names[pp.Name] = true
 	}
-	t.end()
+	t.rejectUnknownKeys()
 	return p
 }
 
@@ -161,20 +161,20 @@
 }
 
 // extProc reads how proxies ask.
-func (f *file) extProc(t *table, p *Plan) {
-	x := t.one("ext_proc")
+func (f *document) extProc(t *table, p *Plan) {
+	x := t.subtable("ext_proc")
 	if x == nil {
 		return
 	}
-	p.ExtProc = &ExtProc{Listen: x.text("listen", ""), Within: x.time("decide_within", 150e6), Linger: x.time("linger", 500e6),
-		Retries: x.yes("retries", false), Streams: x.count("streams", 10_000), Rate: x.number("rate", 0),
-		ID: strings.ToLower(x.text("id_header", "x-request-id")), Clear: x.yes("clear_route_cache", false),
-		Slim: x.yes("headers_only", true), TimeLeft: x.yes("time_left", false), Known: x.count("remember", 100_000), ProxyStreams: x.count("proxy_streams", 0),
+	p.ExtProc = &ExtProc{Listen: x.text("listen", ""), DecisionTimeout: x.duration("decide_within", 150e6), Linger: x.duration("linger", 500e6),
+		Retries: x.boolean("retries", false), Streams: x.count("streams", 10_000), Rate: x.number("rate", 0),
+		IDHeader: strings.ToLower(x.text("id_header", "x-request-id")), ClearRouteCache: x.boolean("clear_route_cache", false),
+		HeadersOnly: x.boolean("headers_only", true), TimeLeft: x.boolean("time_left", false), RememberedRequests: x.count("remember", 100_000), ProxyStreams: x.count("proxy_streams", 0),
 		RetryHeader: strings.ToLower(x.text("retry_header", defaultRetryHeader))}
 	if err := address(p.ExtProc.Listen, true); err != nil {
 		x.fault("listen", "%v", err)
 	}
-	if w := p.ExtProc.Within; w < 1e6 || w > 10e9 {
+	if w := p.ExtProc.DecisionTimeout; w < 1e6 || w > 10e9 {
 		x.fault("decide_within", "%v is not between 1ms and 10s", w)
 	}
 	if l := p.ExtProc.Linger; l < 1e6 || l > 60e9 {
@@ -183,7 +183,7 @@
 	if n := p.ExtProc.Streams; n < 1 || n > 1<<24 {
 		x.fault("streams", "%d is not between 1 and %d", n, 1<<24)
 	}
-	if n := p.ExtProc.Known; n < 1 || n > 1<<24 {
+	if n := p.ExtProc.RememberedRequests; n < 1 || n > 1<<24 {
 		x.fault("remember", "%d is not between 1 and %d", n, 1<<24)
 	}
 	if h := p.ExtProc.RetryHeader; h != "" && !isToken(h) {
@@ -191,15 +191,15 @@
 	} else if x.has("retry_header") && !p.ExtProc.Retries {
 		x.fault("retry_header", "is of no effect without retries = true")
 	}
-	if !isToken(p.ExtProc.ID) {
-		x.fault("id_header", "%q is no name of a header", p.ExtProc.ID)
+	if !isToken(p.ExtProc.IDHeader) {
+		x.fault("id_header", "%q is no name of a header", p.ExtProc.IDHeader)
 	}
-	x.end()
+	x.rejectUnknownKeys()
 }
 
 // xds reads the control planes, which some pools' lists come from.
-func (f *file) xds(t *table, pools []*table, p *Plan) {
-	x := t.one("xds")
+func (f *document) xds(t *table, pools []*table, p *Plan) {
+	x := t.subtable("xds")
 	if x == nil {
 		for i, pt := range pools {
 			if p.Pools[i].List.XDS != "" {
@@ -208,13 +208,13 @@
 		}
 		return
 	}
-	loc := x.some("locality")
-	p.XDS = &XDS{Servers: x.texts("servers"), Delta: choice(x, "variant", true, map[string]bool{"delta": true, "sotw": false}),
+	loc := x.tableOrEmpty("locality")
+	p.XDS = &XDS{Servers: x.textList("servers"), Delta: choice(x, "variant", true, map[string]bool{"delta": true, "sotw": false}),
 		NodeID: x.text("node_id", p.Name), NodeCluster: x.text("node_cluster", "cranegrade"),
 		Region: loc.text("region", ""), Zone: loc.text("zone", ""), SubZone: loc.text("sub_zone", ""),
-		Timeout: x.time("resource_timeout", defaultTimeout), KeepOnRemoval: x.yes("keep_on_removal", false),
-		EmptyGrace: x.time("empty_grace", defaultGrace), MaxResponse: x.bytes("max_response", defaultMaxResponse),
-		LoadReports: x.time("load_reports", 0)}
+		Timeout: x.duration("resource_timeout", defaultTimeout), KeepOnRemoval: x.boolean("keep_on_removal", false),
+		EmptyGrace: x.duration("empty_grace", defaultGrace), MaxResponse: x.bytes("max_response", defaultMaxResponse),
+		LoadReports: x.duration("load_reports", 0)}
 	if len(p.XDS.Servers) == 0 {
 		x.fault("servers", "missing: the control planes, the preferred one first")
 	}
@@ -235,8 +235,8 @@
 	if r := p.XDS.LoadReports; r > 0 && r < 100e6 {
 		x.fault("load_reports", "%v is under 100ms", r)
 	}
-	loc.end()
-	x.end()
+	loc.rejectUnknownKeys()
+	x.rejectUnknownKeys()
 }
 
 var (
@@ -247,7 +247,7 @@
 )
 
 // pool reads a [[pools]] but for its limits.
-func (f *file) pool(t *table, nodes, index int) Pool {
+func (f *document) pool(t *table, nodes, index int) Pool {
 	p := Pool{Name: t.text("name", ""), Pushed: true}
 	if p.Name == "" && !t.has("name") {
 		t.fault("name", "missing")
@@ -257,15 +257,15 @@
 	protocol := choice(t, "protocol", "http1", map[string]string{"http1": "http1", "h2": "h2", "grpc": "grpc"})
 	p.GRPC = protocol == "grpc"
 	p.H2 = p.GRPC || protocol == "h2"
-	mux := t.some("h2")
-	p.Mux = Mux{Each: mux.between("connections", 4, 1, 1000), Streams: mux.between("streams", 100, 1, 10_000)}
-	mux.end()
+	mux := t.tableOrEmpty("h2")
+	p.Mux = Mux{ConnectionsPerServer: mux.countBetween("connections", 4, 1, 1000), StreamsPerConnection: mux.countBetween("streams", 100, 1, 10_000)}
+	mux.rejectUnknownKeys()
 	if t.has("h2") && !p.H2 {
 		t.fault("h2", "is only for pools whose protocol is h2 or grpc")
 	}
-	conns, cold, weights := t.some("connections"), t.some("cold"), t.some("weights")
-	p.Conns.Idle = conns.time("idle", defaultIdle)
-	p.Conns.ConnectWithin = conns.time("connect_within", defaultConnect)
+	conns, cold, weights := t.tableOrEmpty("connections"), t.tableOrEmpty("cold"), t.tableOrEmpty("weights")
+	p.Conns.Idle = conns.duration("idle", defaultIdle)
+	p.Conns.ConnectWithin = conns.duration("connect_within", defaultConnect)
 	if p.Conns.Idle == 0 {
 		conns.fault("idle", "must be over 0")
 	}
@@ -276,11 +276,11 @@
 		WholeWeight: weights.number("whole", defaultWhole), ClassWeight: weights.number("worst_class", defaultWorstClass),
 		TenantWeight: weights.number("tenants", 0), OverShare: weights.number("over_quota", defaultOverQuota),
 		WorstTenantWeight: weights.number("worst_tenant", defaultWorstTenant),
-		MaxAttempts:       int(t.count("attempts", defaultAttempts)), SecondCopies: t.yes("second_copies", false), Spares: int(t.count("fallbacks", 0)), StartCalls: int(t.count("start_calls", 0)),
-		MayCancel: t.yes("cancel", true), Sizes: choice(t, "sizes", balancer.SizesUnknown, sizes),
-		Tick: 1e6, MaxRetryAfter: t.time("retry_after", defaultRetryAfter),
-		ColdFrom: cold.number("from", defaultColdFrom), WarmAfter: cold.time("warm_after", defaultWarmAfter),
-		FallMultiple: cold.number("fall_multiple", defaultFallMultiple), FallFor: cold.time("fall_for", defaultFallFor)}
+		MaxAttempts:       int(t.count("attempts", defaultAttempts)), SecondCopies: t.boolean("second_copies", false), Spares: int(t.count("fallbacks", 0)), StartCalls: int(t.count("start_calls", 0)),
+		MayCancel: t.boolean("cancel", true), Sizes: choice(t, "sizes", balancer.SizesUnknown, sizes),
+		Tick: 1e6, MaxRetryAfter: t.duration("retry_after", defaultRetryAfter),
+		ColdFrom: cold.number("from", defaultColdFrom), WarmAfter: cold.duration("warm_after", defaultWarmAfter),
+		FallMultiple: cold.number("fall_multiple", defaultFallMultiple), FallFor: cold.duration("fall_for", defaultFallFor)}
 	if p.Settings.MaxAttempts < 1 || p.Settings.MaxAttempts > 100 {
 		t.fault("attempts", "%d is not between 1 and 100", p.Settings.MaxAttempts)
 	}
@@ -295,9 +295,9 @@
 	}
 	f.classes(t, &p)
 	f.tenants(t, weights, &p)
-	conns.end()
-	cold.end()
-	weights.end()
+	conns.rejectUnknownKeys()
+	cold.rejectUnknownKeys()
+	weights.rejectUnknownKeys()
 	f.list(t, &p)
 	return p
 }
@@ -309,17 +309,17 @@
 	})
 }
 
-func (f *file) classes(t *table, p *Pool) {
-	tables := t.many("classes")
+func (f *document) classes(t *table, p *Pool) {
+	tables := t.subtables("classes")
 	if len(tables) == 0 {
 		t.fault("classes", "missing: a pool needs at least one [[pools.classes]]")
 	}
 	names := map[string]bool{}
 	for _, ct := range tables {
 		c := balancer.Class{Name: ct.text("name", ""), Effect: choice(ct, "effect", balancer.Unsafe, effects),
-			Scope: choice(ct, "scope", balancer.ScopeCell, scopes), Window: ct.time("window", 0),
-			Aim: ct.time("aim", 0), Deadline: ct.time("deadline", 0), LateShare: ct.number("late_share", 0),
-			Worth: ct.number("worth", 1), Stream: ct.yes("stream", false)}
+			Scope: choice(ct, "scope", balancer.ScopeCell, scopes), Window: ct.duration("window", 0),
+			Aim: ct.duration("aim", 0), Deadline: ct.duration("deadline", 0), LateShare: ct.number("late_share", 0),
+			Worth: ct.number("worth", 1), Stream: ct.boolean("stream", false)}
 		if c.Stream && !p.GRPC {
 			ct.fault("stream", "is only for pools whose protocol is grpc")
 		}
@@ -357,7 +357,7 @@
 				ct.fault(key, "is only for classes whose effect is keyed")
 			}
 		}
-		ct.end()
+		ct.rejectUnknownKeys()
 		p.Settings.Classes = append(p.Settings.Classes, c)
 	}
 }
@@ -367,11 +367,11 @@
 const maxQuotas = 64
 
 // tenants reads who has a quota. Without any, what is told of quotas would be without effect.
-func (f *file) tenants(t, weights *table, p *Pool) {
+func (f *document) tenants(t, weights *table, p *Pool) {
 	if w := p.Settings.OverShare; w > 1 {
 		weights.fault("over_quota", "%v is over 1: it is a share of the worth", w)
 	}
-	tables := t.many("tenants")
+	tables := t.subtables("tenants")
 	if len(tables) == 0 {
 		for _, key := range []string{"over_quota", "worst_tenant"} {
 			if weights.has(key) {
@@ -397,15 +397,15 @@
 		if !tt.has("quota") {
 			tt.fault("quota", "missing: requests a second, over all nodes")
 		}
-		tt.end()
+		tt.rejectUnknownKeys()
 		p.Settings.Tenants = append(p.Settings.Tenants, x)
 	}
 }
 
 // list reads where a pool's servers are told.
-func (f *file) list(t *table, p *Pool) {
+func (f *document) list(t *table, p *Pool) {
 	p.List.Registry, p.List.XDS = t.text("registry", ""), t.text("xds", "")
-	tables := t.many("servers")
+	tables := t.subtables("servers")
 	switch {
 	case t.has("xds"):
 		if t.has("registry") {
@@ -439,10 +439,10 @@
 			st.fault(key, "two servers of this pool have the id %q", s.ID)
 		}
 		ids[s.ID] = true
-		if st.yes("draining", false) {
+		if st.boolean("draining", false) {
 			s.State = balancer.Draining
 		}
-		st.end()
+		st.rejectUnknownKeys()
 		p.List.Static = append(p.List.Static, s)
 	}
 	if p.List.XDS != "" && p.List.Static != nil {
@@ -451,13 +451,13 @@
 	}
 }
 
-// part is one of the things that pools share.
-type part struct {
-	key   string
-	bytes bool
-	total *int64
-	quota func(*Limits) *pool.Quota
-	kept  int64 // of the total, for other than pools
+// sharedLimit is one of the things that pools share.
+type sharedLimit struct {
+	key      string
+	bytes    bool
+	total    *int64
+	quota    func(*Limits) *pool.Quota
+	reserved int64 // of the total, for other than pools
 }
 
 // questionBytes is what an open question of a proxy takes, as measured (docs/design/extproc.md), rounded up.
@@ -465,16 +465,16 @@
 
 // limits reads what the process may hold and each pool's part of it. Where a pool's minimum is not
 // told, half the total is dealt out evenly, so that none can be starved by default.
-func (f *file) limits(t *table, pools []*table, p *Plan) {
-	l := t.some("limits")
+func (f *document) limits(t *table, pools []*table, p *Plan) {
+	l := t.tableOrEmpty("limits")
 	p.MemoryMB, p.Cores = l.number("memory_mb", 0), l.number("cores", 0)
 	descriptors := l.count("descriptors", defaultDescriptors)
-	if least := int64(reserved + 2*len(pools) + 8); descriptors < least || descriptors > 1<<24 {
+	if least := int64(reservedDescriptors + 2*len(pools) + 8); descriptors < least || descriptors > 1<<24 {
 		l.fault("descriptors", "%d is not between %d, the least for %d pools, and %d", descriptors, least, len(pools), 1<<24)
 		descriptors = max(least, defaultDescriptors)
 	}
 	p.Totals = TotalsFor(int(descriptors), p.MemoryMB, len(pools))
-	p.Totals.Fresh.Min = p.Totals.Callers / 8
+	p.Totals.NewCallers.Min = p.Totals.Callers / 8
 	// An HTTP/1.1 caller's connection carries one call at a time, so there can be no more of these.
 	p.Totals.Calls, p.Totals.Held = p.Totals.Callers, p.Totals.Callers
 	if p.ExtProc != nil { // a proxy's connection carries many, and what they cost is memory
@@ -484,11 +484,11 @@
 		}
 		p.Totals.Calls, p.Totals.Held = p.Totals.Calls+asked, p.Totals.Held+asked
 	}
-	parts := []part{
+	parts := []sharedLimit{
 		{"calls", false, &p.Totals.Calls, func(l *Limits) *pool.Quota { return &l.Calls }, 0},
 		{"held", false, &p.Totals.Held, func(l *Limits) *pool.Quota { return &l.Held }, 0},
 		{"connections", false, &p.Totals.Connections, func(l *Limits) *pool.Quota { return &l.Connections }, 0},
-		{"callers", false, &p.Totals.Callers, func(l *Limits) *pool.Quota { return &l.Callers }, p.Totals.Fresh.Min},
+		{"callers", false, &p.Totals.Callers, func(l *Limits) *pool.Quota { return &l.Callers }, p.Totals.NewCallers.Min},
 		{"bodies", true, &p.Totals.Bodies, func(l *Limits) *pool.Quota { return &l.Bodies }, 0},
 		{"long_answers", true, &p.Totals.LongAnswers, func(l *Limits) *pool.Quota { return &l.LongAnswers }, 0},
 	}
@@ -496,23 +496,23 @@
 		k := &parts[i]
 		*k.total = k.read(l, k.key, *k.total)
 		if k.key == "callers" {
-			p.Totals.Fresh.Min = min(p.Totals.Fresh.Min, *k.total/8)
-			k.kept = p.Totals.Fresh.Min
+			p.Totals.NewCallers.Min = min(p.Totals.NewCallers.Min, *k.total/8)
+			k.reserved = p.Totals.NewCallers.Min
 		}
 	}
-	if sum := p.Totals.Connections + p.Totals.Callers; sum > descriptors-reserved-int64(len(pools)) {
+	if sum := p.Totals.Connections + p.Totals.Callers; sum > descriptors-reservedDescriptors-int64(len(pools)) {
 		l.fault("connections", "%d connections and %d callers need more than the %d descriptors, of which %d are reserved",
-			p.Totals.Connections, p.Totals.Callers, descriptors, reserved+len(pools))
+			p.Totals.Connections, p.Totals.Callers, descriptors, reservedDescriptors+len(pools))
 	}
-	l.end()
+	l.rejectUnknownKeys()
 	for i, pt := range pools {
-		lt := pt.some("limits")
+		lt := pt.tableOrEmpty("limits")
 		for _, k := range parts {
 			q := k.quota(&p.Pools[i].Limits)
 			if *k.total < Unlimited {
-				q.Min = (*k.total - k.kept) / int64(2*len(pools))
+				q.Min = (*k.total - k.reserved) / int64(2*len(pools))
 			}
-			if kt := lt.one(k.key); kt != nil {
+			if kt := lt.subtable(k.key); kt != nil {
 				q.Max = k.read(kt, "max", 0)
 				if q.Max > 0 {
 					q.Min = min(q.Min, q.Max)
@@ -523,14 +523,14 @@
 				} else if q.Max > 0 && q.Min > q.Max {
 					kt.fault("min", "%d is over the maximum of %d", q.Min, q.Max)
 				}
-				kt.end()
+				kt.rejectUnknownKeys()
 			}
 		}
-		lt.end()
-		pt.end()
+		lt.rejectUnknownKeys()
+		pt.rejectUnknownKeys()
 	}
 	for _, k := range parts {
-		sum := k.kept
+		sum := k.reserved
 		for i, pt := range pools {
 			q := k.quota(&p.Pools[i].Limits)
 			if q.Min > *k.total-sum {
@@ -542,7 +542,7 @@
 	}
 }
 
-func (k *part) read(t *table, key string, def int64) int64 {
+func (k *sharedLimit) read(t *table, key string, def int64) int64 {
 	if k.bytes {
 		return t.bytes(key, def)
 	}
@@ -550,7 +550,7 @@
 }
 
 // routes reads the [[routes]] and compiles them.
-func (f *file) routes(t *table, p *Plan) {
+func (f *document) routes(t *table, p *Plan) {
 	pools := map[string]*Pool{}
 	for i := range p.Pools {
 		pools[p.Pools[i].Name] = &p.Pools[i]
@@ -559,7 +559,7 @@
 	if t.has("default") && pools[fallback] == nil {
 		t.fault("default", "there is no pool %q", fallback)
 	}
-	tables := t.many("routes")
+	tables := t.subtables("routes")
 	if len(tables) == 0 && fallback == "" {
 		t.fault("routes", "missing: without routes a default pool is needed")
 	}
@@ -590,18 +590,18 @@
 }
 
 // route reads one of the [[routes]].
-func (f *file) route(t *table, pools map[string]*Pool) route.Route {
+func (f *document) route(t *table, pools map[string]*Pool) route.Route {
 	r := route.Route{Host: t.text("host", ""), Path: t.text("path", ""), Prefix: t.text("prefix", ""),
-		Regexp: t.text("regexp", ""), Methods: t.texts("methods"), Classes: t.texts("classes"), Class: t.text("class", "")}
+		Regexp: t.text("regexp", ""), Methods: t.textList("methods"), Classes: t.textList("classes"), Class: t.text("class", "")}
 	if r.Host == "*" {
 		r.Host = ""
 	}
 	r.Host = strings.ToLower(strings.TrimSuffix(r.Host, "."))
-	if h := t.one("headers"); h != nil {
+	if h := t.subtable("headers"); h != nil {
 		r.Headers = headers(h)
 	}
 	only := t.text("pool", "")
-	switch split := t.one("split"); {
+	switch split := t.subtable("split"); {
 	case split != nil && t.has("pool"):
 		t.fault("split", "a route has a pool or a split, not both")
 		r.To = []route.Split{{Pool: only, Weight: 1}}
@@ -636,7 +636,7 @@
 			}
 		}
 	}
-	t.end()
+	t.rejectUnknownKeys()
 	return r
 }
 
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -69,17 +69,17 @@
 
 // ExtProc says how proxies ask where requests should go (docs/extproc.md).
 type ExtProc struct {
-	Listen   string        // host:port
-	Within   time.Duration // for a decision
-	Linger   time.Duration // for a request whose stream is lost
-	Retries  bool          // proxies ask again for further tries
-	Streams  int64         // open on one connection
-	Rate     float64       // questions a second of one proxy; 0: no limit
-	ID       string        // header that names a request
-	Clear    bool          // clear_route_cache
-	Slim     bool          // mode_override to headers only
-	TimeLeft bool          // tell servers, in x-time-left, how long they have
-	Known    int64         // requests that are over and remembered
+	Listen             string        // host:port
+	DecisionTimeout    time.Duration // for a decision
+	Linger             time.Duration // for a request whose stream is lost
+	Retries            bool          // proxies ask again for further tries
+	Streams            int64         // open on one connection
+	Rate               float64       // questions a second of one proxy; 0: no limit
+	IDHeader           string        // header that names a request
+	ClearRouteCache    bool          // clear_route_cache
+	HeadersOnly        bool          // mode_override to headers only
+	TimeLeft           bool          // tell servers, in x-time-left, how long they have
+	RememberedRequests int64         // requests that are over and remembered
 
 	ProxyStreams int64 // of one proxy, over all its connections; 0: no limit
 
@@ -89,7 +89,7 @@
 // Totals are what the process may hold in all.
 type Totals struct {
 	Calls, Held, Connections, Bodies, LongAnswers, Callers int64
-	Fresh                                                  pool.Quota // of Callers, for those without a request yet
+	NewCallers                                             pool.Quota // of Callers, for those without a request yet
 }
 
 // Limits are a pool's parts of the totals.
@@ -120,8 +120,8 @@
 
 // Mux bounds connections to a server over HTTP/2.
 type Mux struct {
-	Each    int // to one server
-	Streams int // attempts on one, whatever the server allows
+	ConnectionsPerServer int // to one server
+	StreamsPerConnection int // attempts on one, whatever the server allows
 }
 
 // List says where a pool's list comes from: a registry, a cluster, or else the file.
@@ -136,8 +136,8 @@
 const Unlimited = 1 << 62
 
 const (
-	// reserved descriptors are for the listeners, the watches, the log and the runtime.
-	reserved = 32
+	// reservedDescriptors descriptors are for the listeners, the watches, the log and the runtime.
+	reservedDescriptors = 32
 	// answersShare of the memory is for answers over message.MaxBody.
 	answersShare = 0.15
 	// bodiesShare of the memory is for callers' bodies: every caller with the longest is too much.
@@ -148,7 +148,7 @@
 // bodies and answers. more descriptors are needed besides: one for each list that is watched.
 func TotalsFor(sockets int, memoryMB float64, more int) Totals {
 	t := Totals{Calls: Unlimited, Held: Unlimited, Bodies: Unlimited, LongAnswers: Unlimited}
-	left := sockets - reserved - more
+	left := sockets - reservedDescriptors - more
 	// A call out needs a caller, and callers hold idle connections besides: they get the larger part.
 	t.Connections = int64(max(1, left*2/5))
 	t.Callers = max(1, int64(left)-t.Connections)
--- a/internal/operator/toml.go
+++ b/internal/operator/toml.go
@@ -47,22 +47,22 @@
 // maxFile is the most bytes that a file may have.
 const maxFile = 8 << 20
 
-// file is a document on its way to a Plan. It collects every fault instead of ending at the first, so
+// document is a document on its way to a Plan. It collects every fault instead of ending at the first, so
 // the library's own strict decoding, which ends at the first value of a wrong type, is not used: the
 // document is decoded as a tree, and every key that nobody asked for is a fault.
-type file struct {
+type document struct {
 	name   string
 	lines  map[string]int // of each key's path
 	ends   []int          // offsets of the line ends
 	faults Faults
 }
 
-func (f *file) fault(path, format string, args ...any) {
+func (f *document) fault(path, format string, args ...any) {
 	f.faults = append(f.faults, Fault{f.name, f.line(path), path, fmt.Sprintf(format, args...)})
 }
 
 // line is where a path stands, or else the nearest one around it.
-func (f *file) line(path string) int {
+func (f *document) line(path string) int {
 	for {
 		if n, is := f.lines[path]; is || path == "" {
 			return n
@@ -72,7 +72,7 @@
 }
 
 // parse reads the document's tree and where its keys stand.
-func (f *file) parse(text []byte) (*table, bool) {
+func (f *document) parse(text []byte) (*table, bool) {
 	if len(text) > maxFile {
 		f.fault("", "the file is longer than %d bytes", maxFile)
 		return nil, false
@@ -94,7 +94,7 @@
 }
 
 // locate notes the line of each key.
-func (f *file) locate(text []byte) {
+func (f *document) locate(text []byte) {
 	f.lines = map[string]int{}
 	f.ends = f.ends[:0]
 	for i, c := range text {
@@ -138,12 +138,12 @@
 }
 
 // lineOf is the line of a node. The library's own way reads the text from its beginning each time.
-func (f *file) lineOf(n *unstable.Node) int {
+func (f *document) lineOf(n *unstable.Node) int {
 	i, _ := slices.BinarySearch(f.ends, int(n.Raw.Offset))
 	return i + 1
 }
 
-func (f *file) locateValue(at string, kv *unstable.Node) {
+func (f *document) locateValue(at string, kv *unstable.Node) {
 	line := 0
 	for it := kv.Key(); it.Next(); {
 		at = join(at, string(it.Node().Data))
@@ -155,7 +155,7 @@
 	f.locateInside(at, kv.Value(), line)
 }
 
-func (f *file) locateInside(at string, v *unstable.Node, line int) {
+func (f *document) locateInside(at string, v *unstable.Node, line int) {
 	switch v.Kind {
 	case unstable.InlineTable:
 		for it := v.Children(); it.Next(); {
@@ -186,7 +186,7 @@
 
 // table is a table of the document. Each method that reads a key marks it as known.
 type table struct {
-	f     *file
+	f     *document
 	path  string
 	m     map[string]any
 	known map[string]bool
@@ -204,8 +204,8 @@
 
 func (t *table) has(key string) bool { _, is := t.m[key]; return is }
 
-// end reports the keys that nobody asked for.
-func (t *table) end() {
+// rejectUnknownKeys reports the keys that nobody asked for.
+func (t *table) rejectUnknownKeys() {
 	for key := range t.m {
 		if !t.known[key] {
 			t.fault(key, "unknown key%s", t.nearest(key))
@@ -279,7 +279,9 @@
 
 func (t *table) text(key, def string) string { return read(t, key, "a string", def, as[string]) }
 
-func (t *table) yes(key string, def bool) bool { return read(t, key, "true or false", def, as[bool]) }
+func (t *table) boolean(key string, def bool) bool {
+	return read(t, key, "true or false", def, as[bool])
+}
 
 func (t *table) count(key string, def int64) int64 {
 	return read(t, key, "a whole number of 0 or more", def, func(v any) (int64, bool) {
@@ -288,8 +290,8 @@
 	})
 }
 
-// between is count within bounds.
-func (t *table) between(key string, def, least, most int) int {
+// countBetween is count within bounds.
+func (t *table) countBetween(key string, def, least, most int) int {
 	n := t.count(key, int64(def))
 	if n < int64(least) || n > int64(most) {
 		t.fault(key, "%d is not between %d and %d", n, least, most)
@@ -313,7 +315,7 @@
 // maxTime bounds every time in a file.
 const maxTime = 24 * time.Hour
 
-func (t *table) time(key string, def time.Duration) time.Duration {
+func (t *table) duration(key string, def time.Duration) time.Duration {
 	return read(t, key, `a time as "250ms" or "1.5s", of a day at most`, def, func(v any) (time.Duration, bool) {
 		s, ok := v.(string)
 		if !ok {
@@ -348,8 +350,8 @@
 	})
 }
 
-// texts reads an array of strings.
-func (t *table) texts(key string) []string {
+// textList reads an array of strings.
+func (t *table) textList(key string) []string {
 	l := read(t, key, "an array of strings", nil, as[[]any])
 	out := make([]string, 0, len(l))
 	for i, v := range l {
@@ -365,8 +367,8 @@
 	return out
 }
 
-// one reads a table; nil if it is absent.
-func (t *table) one(key string) *table {
+// subtable reads a table; nil if it is absent.
+func (t *table) subtable(key string) *table {
 	m := read(t, key, "a table", nil, as[map[string]any])
 	if m == nil {
 		return nil
@@ -374,16 +376,16 @@
 	return &table{f: t.f, path: t.at(key), m: m, known: map[string]bool{}}
 }
 
-// some reads a table, and an empty one if it is absent.
-func (t *table) some(key string) *table {
-	if s := t.one(key); s != nil {
+// tableOrEmpty reads a table, and an empty one if it is absent.
+func (t *table) tableOrEmpty(key string) *table {
+	if s := t.subtable(key); s != nil {
 		return s
 	}
 	return &table{f: t.f, path: t.at(key), m: map[string]any{}, known: map[string]bool{}}
 }
 
-// many reads an array of tables.
-func (t *table) many(key string) (l []*table) {
+// subtables reads an array of tables.
+func (t *table) subtables(key string) (l []*table) {
 	for i, v := range read(t, key, "an array of tables", nil, as[[]any]) {
 		at := fmt.Sprintf("%s[%d]", t.at(key), i)
 		m, ok := v.(map[string]any)
@@ -411,7 +413,7 @@
 }
 
 // sorted are the faults by line, and by key in a line.
-func (f *file) sorted() Faults {
+func (f *document) sorted() Faults {
 	slices.SortStableFunc(f.faults, func(a, b Fault) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Key, b.Key))
 	})
--- a/internal/operator/zones.go
+++ b/internal/operator/zones.go
@@ -14,10 +14,10 @@
 const maxPairs = zone.MaxZones * zone.MaxZones
 
 // zones reads [zones], and which pools it is for: all that don't say otherwise.
-func (f *file) zones(t *table, pools []*table, p *Plan, nodes int) {
-	x := t.one("zones")
+func (f *document) zones(t *table, pools []*table, p *Plan, nodes int) {
+	x := t.subtable("zones")
 	for i, pt := range pools {
-		p.Pools[i].Zoned = pt.yes("zones", x != nil)
+		p.Pools[i].Zoned = pt.boolean("zones", x != nil)
 		if x == nil && p.Pools[i].Zoned {
 			pt.fault("zones", "there is no [zones] that says which zone is home")
 		}
@@ -32,10 +32,10 @@
 	if z.Config.Home == "" {
 		x.fault("home", "missing: the zone that this node stands in")
 	}
-	def := x.some("default")
+	def := x.tableOrEmpty("default")
 	z.Config.Default = cost(def)
-	def.end()
-	tables := x.many("pairs")
+	def.rejectUnknownKeys()
+	tables := x.subtables("pairs")
 	if len(tables) > maxPairs {
 		x.fault("pairs", "%d pairs, %d at most", len(tables), maxPairs)
 		tables = nil
@@ -58,7 +58,7 @@
 		}
 		z.Config.Costs[pair] = cost(pt)
 		l := zone.Limit{Pair: pair, RequestsHour: pt.count("requests_hour", 0), RequestsDay: pt.count("requests_day", 0),
-			BytesHour: pt.bytes("bytes_hour", 0), BytesDay: pt.bytes("bytes_day", 0), Beyond: pt.texts("beyond"),
+			BytesHour: pt.bytes("bytes_hour", 0), BytesDay: pt.bytes("bytes_day", 0), Beyond: pt.textList("beyond"),
 			Lend: pt.number("lend", 0), Reply: pt.bytes("reply", 0)}
 		limited := l.RequestsHour+l.RequestsDay+l.BytesHour+l.BytesDay > 0
 		for i, name := range l.Beyond {
@@ -84,18 +84,18 @@
 			l.RequestsHour, l.RequestsDay, l.BytesHour, l.BytesDay = part(l.RequestsHour), part(l.RequestsDay), part(l.BytesHour), part(l.BytesDay)
 			z.Limits = append(z.Limits, l)
 		}
-		pt.end()
+		pt.rejectUnknownKeys()
 	}
 	if !slices.ContainsFunc(p.Pools, func(pp Pool) bool { return pp.Zoned }) {
 		x.fault("home", "no pool is served by zone")
 	}
-	x.end()
+	x.rejectUnknownKeys()
 }
 
 // cost reads what a call costs; never is an infinite price.
 func cost(t *table) zone.Cost {
-	c := zone.Cost{Latency: t.time("latency", 0), Price: t.number("price", 0)}
-	if t.yes("never", false) {
+	c := zone.Cost{Latency: t.duration("latency", 0), Price: t.number("price", 0)}
+	if t.boolean("never", false) {
 		if t.has("price") {
 			t.fault("price", "of a pair that is never used")
 		}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -268,10 +268,10 @@
 	for _, a := range n.Addrs() {
 		log.Printf("listening on %s", a)
 	}
-	if a := n.Admin(); a != nil {
+	if a := n.InspectionAddr(); a != nil {
 		log.Printf("telling what it holds on %s", a)
 	}
-	if a := n.Operators(); a != nil {
+	if a := n.OperatorAddr(); a != nil {
 		log.Printf("operators call on %s", a)
 	}
 	done := make(chan struct{})
--- a/internal/rig/faults_test.go
+++ b/internal/rig/faults_test.go
@@ -368,7 +368,7 @@
 		if !Await(patience, func() bool { // its list may not have come yet
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			yes, _, err := admin.Ask(ctx, addr, admin.Call{Verb: verb, ID: id})
+			yes, _, err := admin.Send(ctx, addr, admin.Command{Verb: verb, ID: id})
 			return yes && err == nil
 		}) {
 			t.Fatalf("%s %s is refused", verb, id)
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -219,7 +219,7 @@
 	if !Await(10*time.Second, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		yes, _, err := admin.Ask(ctx, addr, admin.Call{Verb: admin.Check})
+		yes, _, err := admin.Send(ctx, addr, admin.Command{Verb: admin.Check})
 		return yes && err == nil
 	}) {
 		return errors.New("the successor does not say yes")
