--- a/internal/node/admin_state.go
+++ b/internal/node/admin_state.go
@@ -164,3 +164,24 @@
 	}
 	return text, nil
 }
+
+// applyAdminState has operators' orders take effect: those for some servers, and the drain.
+func (n *Node) applyAdminState(servers []string) {
+	draining := n.adminState.isDraining()
+	for _, f := range n.fronts {
+		if l, can := f.(drainable); can {
+			l.Unready(draining)
+			l.LeadAway(draining || n.handedOff.Load())
+		}
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, id := range servers {
+		for _, p := range n.serving.Load().pools {
+			p.Engine().AdminStateChanged(id)
+		}
+		for p := range n.retiring {
+			p.Engine().AdminStateChanged(id)
+		}
+	}
+}
--- a/internal/node/inspection_server.go
+++ b/internal/node/inspection_server.go
@@ -31,7 +31,8 @@
 		n.Zones().JSON(w)
 	})
 	n.registerFleetPages(mux)
-	return &inspectionServer{l, &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 10 * time.Second}}, nil
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 10 * time.Second}
+	return &inspectionServer{l, server}, nil
 }
 
 func (a *inspectionServer) serve() {
--- a/internal/node/plan.go
+++ b/internal/node/plan.go
@@ -4,7 +4,6 @@
 	"math/rand/v2"
 	"net/http"
 	"strings"
-	"time"
 
 	"cranegrade/internal/admin"
 	"cranegrade/internal/engine"
@@ -116,7 +115,3 @@
 	known = name == "" || s.pools[name] != nil
 	return known && !n.stopping.Load(), known
 }
-
-// retireGrace bounds how long a pool that was removed waits for what it has taken, beyond its longest
-// deadline.
-const retireGrace = 2 * time.Second
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -3,10 +3,9 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log"
-	"reflect"
 	"slices"
+	"time"
 
 	"cranegrade/internal/operator"
 	"cranegrade/internal/pool"
@@ -29,9 +28,8 @@
 // ReloadPlan goes over to another plan, pool by pool: one that stays as it was is not touched; of one
 // whose list or limits change the module, connections and calls stay; any other change puts a new pool
 // in the place of the old one. A pool that goes finishes what it has taken. The addresses to listen on
-// can't change. On an error nothing has changed.
+// can't change. On an error nothing has changed. Any goroutine may call it; reloads take turns.
 func (n *Node) ReloadPlan(plan operator.Plan) error {
-	var unused XDSClient // that is closed in the end
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
@@ -39,117 +37,66 @@
 		return ErrStopping
 	default:
 	}
-	if !slices.Equal(plan.ListenH2, n.plan.ListenH2) {
-		return fmt.Errorf("the addresses to listen on for HTTP/2 are %v; they change only at a start", n.plan.ListenH2)
-	}
-	if !slices.Equal(plan.Listen, n.plan.Listen) {
-		return fmt.Errorf("the addresses to listen on are %v; they change only at a start", n.plan.Listen)
-	}
-	if !reflect.DeepEqual(plan.ExtProc, n.plan.ExtProc) {
-		return errors.New("[ext_proc] changes only at a start")
-	}
-	if plan.Admin != n.plan.Admin {
-		return fmt.Errorf("the admin address is %q; it changes only at a start", n.plan.Admin)
-	}
-	if plan.Operator != n.plan.Operator || plan.State != n.plan.State {
-		return fmt.Errorf("the operators' address is %q and the directory of state %q; they change only at a start", n.plan.Operator, n.plan.State)
-	}
-	if !reflect.DeepEqual(plan.Fleet, n.plan.Fleet) || plan.Fleet != nil && plan.Name != n.plan.Name {
-		return errors.New("[fleet] and a member's name change only at a start")
-	}
-	if err := n.zones.checkReload(plan.Zones); err != nil {
+	if err := n.checkReload(plan); err != nil {
 		return err
 	}
-	// Another set of control planes is another client: all that follow clusters go over to it, and keep
-	// what they have until it has told them.
-	x, moveXDS := n.xds, !reflect.DeepEqual(plan.XDS, n.plan.XDS)
-	if moveXDS {
-		var err error
-		if x, err = n.openXDS(plan); err != nil {
-			return err
-		}
-		defer func() {
-			if unused != nil {
-				unused.Close()
-			}
-		}()
-		unused = x
-	}
-	before := map[string]operator.Pool{}
-	for _, pp := range n.plan.Pools {
-		before[pp.Name] = pp
-	}
-	old := n.serving.Load()
-	next := &servingSet{routes: plan.Routes, pools: make(map[string]*pool.Pool, len(plan.Pools))}
-	var fresh []*pool.Pool
-	var moved []operator.Pool
-	for _, pp := range plan.Pools {
-		was, is := before[pp.Name]
-		p := old.pools[pp.Name]
-		switch {
-		case is && samePool(was, pp):
-			if !reflect.DeepEqual(was.List, pp.List) || moveXDS && pp.List.XDS != "" {
-				moved = append(moved, pp)
-			}
-		default:
-			var err error
-			if p, err = n.newPool(pp, x, nil); err != nil {
-				return err
-			}
-			fresh = append(fresh, p)
-		}
-		next.pools[pp.Name], next.onlyPool = p, p
-	}
-	var gone []*pool.Pool
-	for name, p := range old.pools {
-		if next.pools[name] != p {
-			gone = append(gone, p)
-			n.retiring[p] = struct{}{}
-		}
-	}
-	if err := n.divide(plan, next.pools); err != nil {
-		for _, p := range gone {
-			delete(n.retiring, p)
-		}
-		return errors.Join(err, n.divide(n.plan, old.pools))
+	r, err := n.planReload(plan)
+	if err != nil {
+		return err
 	}
-	for _, p := range fresh {
+	n.apply(r)
+	return nil
+}
+
+// apply carries a reload out; it can't fail. Callers hold n.mu.
+func (n *Node) apply(r *reloadPlan) {
+	for _, p := range r.added {
 		p.Run()
 	}
-	for _, pp := range moved {
-		next.pools[pp.Name].Engine().SetSource(n.source(pp.List, x))
+	for _, pp := range r.moved {
+		r.next.pools[pp.Name].Engine().SetSource(n.source(pp.List, r.xds))
 	}
-	if moveXDS {
-		old := n.xds
-		unused, n.xds = nil, x
-		if old != nil {
-			// Pools that are finishing still hear of drains from it.
-			n.retired.Go(func() {
-				for _, p := range gone {
-					<-p.Engine().Done()
-				}
-				old.Close()
-			})
-		}
+	if r.replaceXDS {
+		n.replaceXDS(r)
 	}
 	if n.zones.plan != nil {
-		n.zones.setLimits(plan.Zones.Limits)
+		n.zones.setLimits(r.plan.Zones.Limits)
 	}
-	n.plan = plan
+	n.plan = r.plan
 	if n.fleet != nil {
-		go n.fleet.Serve(settingsDigests(plan)) // it waits until the others are told
+		go n.fleet.Serve(settingsDigests(r.plan)) // it waits until the others are told
 	}
-	n.serving.Store(next)
-	n.setDrainTimeout(next.pools)
-	for _, p := range gone {
+	n.serving.Store(r.next)
+	n.setDrainTimeout(r.next.pools)
+	for _, p := range r.removed {
 		n.retired.Go(func() { n.retire(p) })
 	}
-	if plan.Routes != nil {
-		log.Printf("reload: %d pools, of these %d new, %d with another list; %d removed", len(plan.Pools), len(fresh), len(moved), len(gone))
+	if r.plan.Routes != nil {
+		log.Printf("reload: %d pools, of these %d new, %d with another list; %d removed",
+			len(r.plan.Pools), len(r.added), len(r.moved), len(r.removed))
 	}
-	return nil
 }
 
+// replaceXDS puts the new client in the place of the old one, which is closed once the pools that are finishing have no
+// more need to hear of drains from it.
+func (n *Node) replaceXDS(r *reloadPlan) {
+	old := n.xds
+	n.xds = r.xds
+	if old == nil {
+		return
+	}
+	n.retired.Go(func() {
+		for _, p := range r.removed {
+			<-p.Engine().Done()
+		}
+		old.Close()
+	})
+}
+
+// retireGrace bounds how long a pool that was removed waits for what it has taken, beyond its longest
+// deadline.
+const retireGrace = 2 * time.Second
+
 // retire waits until a pool that was removed has finished, and lets go of its part of the budgets.
 func (n *Node) retire(p *pool.Pool) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.LongestDeadline()+retireGrace)
@@ -162,10 +109,3 @@
 		log.Printf("pool %s: giving back its part of the limits: %v", p.Name(), err)
 	}
 }
-
-// samePool says that a running pool can go over from one plan to the other as it is.
-func samePool(a, b operator.Pool) bool {
-	a.Limits, b.Limits, a.List, b.List = operator.Limits{}, operator.Limits{}, operator.List{}, operator.List{}
-	a.Known = b.Known // only for the start
-	return reflect.DeepEqual(a, b)
-}
