--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -24,7 +24,7 @@
 	Version int              `json:"version"`
 	At      time.Duration    `json:"at"` // Unix time when this was so
 	Orders  adminstate.State `json:"orders"`
-	Seen    []uint64         `json:"seen,omitempty"` // orders.Seen
+	Seen    []uint64         `json:"seen,omitempty"` // hashes of ids, as adminstate.SeenServers exports them
 	Pools   []Pool           `json:"pools,omitempty"`
 	// Listeners are the addresses of the sockets that come beside it, in their order.
 	Listeners []string `json:"listeners,omitempty"`
