--- a/internal/mesh/testcluster/worst_catchup_test.go
+++ b/internal/mesh/testcluster/catchup_test.go
@@ -18,16 +18,16 @@
 	"cranegrade/internal/rig"
 )
 
-// What happens while a register is away, and how it catches up.
+// What happens while a member is away, and how it catches up.
 const (
 	changesWhileAway     = 1000
 	claimsWhileAway      = 3500    // entries of the log, each of several keys; with the changes more than the log keeps
-	defaultKeysWhileAway = 21000   // WORST_KEYS names more
+	defaultKeysWhileAway = 21000   // CATCHUP_KEYS names more
 	slowLinkRate         = 250_000 // bytes a second: 2 Mbit/s
 	maxKeyBytes          = 250     // of a key in a snapshot, at the most
 	maxChangeBytes       = 1000    // of a change in the log, at the most
 	catchUpSlack         = 15 * time.Second
-	maxHeartbeatGap      = 1500 * time.Millisecond // that beats may wait behind a snapshot
+	maxHeartbeatGap      = 1500 * time.Millisecond // that heartbeats may wait behind a snapshot
 )
 
 // catchUpBound is the bound: twice the time that everything takes on the link, and some for elections and a busy machine.
@@ -38,7 +38,7 @@
 
 func keysWhileAway(t *testing.T) int {
 	t.Helper()
-	text := os.Getenv("WORST_KEYS")
+	text := os.Getenv("CATCHUP_KEYS")
 	if text == "" {
 		return defaultKeysWhileAway
 	}
@@ -47,9 +47,9 @@
 	return n
 }
 
-// A register is away for a thousand changes and thousands of keys, comes back behind links of 2 Mbit/s, and the leader is lost while
-// it catches up. The one that is left leads on, in touch and without another election, until the register has all, which it has within the bound;
-// the register itself does not lead before.
+// A member is away for a thousand changes and thousands of keys, comes back behind links of 2 Mbit/s, and the leader is lost while
+// it catches up. The one that is left leads on, in contact and without another election, until the member has all, which it has
+// within the bound; the member itself does not lead before.
 func TestCatchUpOverSlowLinks(t *testing.T) {
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
 	seen, ana := newObserver(), m.Operator(0)
@@ -81,13 +81,15 @@
 		}
 		caught = at.AppliedIndex >= target
 		assert.Assert(t, caught || !at.IsLeader, "it leads with entry %d of %d", at.AppliedIndex, target)
-		assert.Assert(t, caught || heads.IsLeader && heads.Term == term, "another election: leads %v, term %d after %d", heads.IsLeader, heads.Term, term)
+		assert.Assert(t, caught || heads.IsLeader && heads.Term == term,
+			"another election: leads %v, term %d after %d", heads.IsLeader, heads.Term, term)
 		assert.Assert(t, time.Since(touched) < maxHeartbeatGap, "the leader hears no majority for %v", time.Since(touched))
 		assert.Assert(t, time.Since(began) < catchUpBound(keys), "entry %d of %d after %v", at.AppliedIndex, target, time.Since(began))
 		assert.Equal(t, m.Sidecars[1].Send("GET", "/read/x", "", nil).Status, 200)
 	}
-	t.Logf("caught up after %v; %d bytes were sent to it", time.Since(began), relay.Passed(lead.PathTo(away))+relay.Passed(stays.PathTo(away)))
-	seen.awaitAcknowledged(t, ana, newRouteOrder("after", "after", 2, "/after/"), stays, away)
+	t.Logf("caught up after %v; %d bytes were sent to it", time.Since(began),
+		relay.Passed(lead.PathTo(away))+relay.Passed(stays.PathTo(away)))
+	seen.awaitAcknowledged(t, ana, newRouteChange("after", "after", 2, "/after/"), stays, away)
 	seen.awaitFetched(t, ana, away)
 	assert.Equal(t, int(away.statusPastRelay().KeyCount), int(stays.statusPastRelay().KeyCount))
 	stop()
@@ -105,7 +107,7 @@
 		all.Go(func() {
 			for k := n; k < changesWhileAway; k += operators {
 				route, version := fmt.Sprint("many-", k%routes), 2+k/routes
-				x := newRouteOrder(fmt.Sprint(route, "-", version), route, version, fmt.Sprintf("/%s-%d/", route, version))
+				x := newRouteChange(fmt.Sprint(route, "-", version), route, version, fmt.Sprintf("/%s-%d/", route, version))
 				for outcome := history.Unknown; outcome == history.Unknown && !t.Failed(); {
 					var text string
 					if outcome, text = o.send(by, at, x); outcome == history.Refused {
@@ -119,7 +121,7 @@
 	assert.Assert(t, !t.Failed())
 }
 
-// claimKeys has keys granted, as a line claims them.
+// claimKeys has keys granted, as a sidecar claims them.
 func claimKeys(t *testing.T, at *Machine, keys int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -134,7 +136,8 @@
 			for n := range work {
 				c := &wire.KeyLeaseRequestsT{}
 				for k := range keys / claimsWhileAway {
-					c.List = append(c.List, &wire.KeyLeaseRequestT{Key: fmt.Sprintf("away-%d-%d", n, k), Token: fmt.Sprint("ticket-", n), Holder: "127.0.0.1:1/abcdef",
+					c.List = append(c.List, &wire.KeyLeaseRequestT{Key: fmt.Sprintf("away-%d-%d", n, k), Token: fmt.Sprint("ticket-", n),
+						Holder:   "127.0.0.1:1/abcdef",
 						WindowUs: time.Hour.Microseconds()})
 				}
 				if _, err := x.Call(ctx, codec.CallLeaseKeys, codec.EncodeTable(c)); err != nil {
--- a/internal/mesh/testcluster/worst_losses_test.go
+++ b/internal/mesh/testcluster/disk_loss_test.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/rig"
 )
 
-// diskLossTest is a mesh whose registers are lost one after the other, each within what it is to bear.
+// diskLossTest is a mesh whose members are lost one after the other, each within what the mesh tolerates.
 type diskLossTest struct {
 	cluster   *Cluster
 	relay     *rig.Relay
@@ -24,21 +24,22 @@
 func newDiskLossTest(t *testing.T) *diskLossTest {
 	t.Helper()
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
-	r := &diskLossTest{cluster: m, relay: relay, observer: newObserver(), operator: m.Operator(0), version: 1, bodyByKey: map[string]string{}}
+	r := &diskLossTest{cluster: m, relay: relay, observer: newObserver(), operator: m.Operator(0), version: 1,
+		bodyByKey: map[string]string{}}
 	r.observer.recordInitialRoutes()
 	return r
 }
 
-// writeDurable has an order acknowledged and a key answered, which are to survive.
+// writeDurable has a change acknowledged and a key answered, which are to survive.
 func (r *diskLossTest) writeDurable(t *testing.T, at ...*Machine) {
 	t.Helper()
 	r.version++
 	key := fmt.Sprint("kept-", r.version)
 	r.bodyByKey[key] = r.cluster.Sidecars[0].awaitServed(t, "POST", "/send/x", key).Body
-	r.observer.awaitAcknowledged(t, r.operator, newRouteOrder(key, "kept", r.version, fmt.Sprintf("/kept-%d/", r.version)), at...)
+	r.observer.awaitAcknowledged(t, r.operator, newRouteChange(key, "kept", r.version, fmt.Sprintf("/kept-%d/", r.version)), at...)
 }
 
-// assertSurvives checks that the registers named come back without help: each shows all that was acknowledged, orders go on, and
+// assertSurvives checks that the members named come back without help: each shows all that was acknowledged, changes go on, and
 // keys are answered as they were, without a second run.
 func (r *diskLossTest) assertSurvives(t *testing.T, at ...*Machine) {
 	t.Helper()
@@ -53,8 +54,8 @@
 	r.cluster.assertNoViolations(t)
 }
 
-// awaitMembersComplete waits until so many members are agreed on, which are the registers named with the disks that they have now, and until each has
-// all that the leader has.
+// awaitMembersComplete waits until the members named are the voters, with the disks that they have now, and each has all that the
+// leader has.
 func (r *diskLossTest) awaitMembersComplete(t *testing.T, of ...*Machine) {
 	t.Helper()
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
@@ -72,10 +73,10 @@
 			}
 		}
 		return true
-	}), "the members are not whole")
+	}), "the members are not complete")
 }
 
-// wipeAndRestart has a register lose its disk at once and start again.
+// wipeAndRestart has a member lose its disk at once and start again.
 func (x *Machine) wipeAndRestart(t *testing.T) {
 	t.Helper()
 	x.Kill()
@@ -83,10 +84,10 @@
 	assert.NilError(t, x.Start())
 }
 
-// diskLossDelay is the time from the SIGTERM of one register to the loss of another's disk.
+// diskLossDelay is the time from the SIGTERM of one member to the loss of another's disk.
 const diskLossDelay = 50 * time.Millisecond
 
-// terminate tells a register to end, and gives what waits for that.
+// terminate tells a member to end, and gives what waits for that.
 func (x *Machine) terminate(t *testing.T) (ended func()) {
 	t.Helper()
 	p := x.Process
@@ -97,7 +98,7 @@
 	}
 }
 
-// A register is told to end, and starts again with its disk; 50 ms after it was told so another loses its disk.
+// A member is told to shut down, and starts again with its disk; 50 ms after it was told so another loses its disk.
 func TestDiskLossDuringRestart(t *testing.T) {
 	r := newDiskLossTest(t)
 	restarts := r.cluster.awaitLeader(t)
@@ -111,8 +112,8 @@
 	r.assertSurvives(t, r.cluster.Members...)
 }
 
-// One register loses its disk, then another is replaced for good by one at a new address, then the third loses its disk, each once the one
-// before is a member again: nothing that stands was ever on the disks that are left but by what the others told.
+// One member loses its disk, then another is replaced for good by one at a new address, then the third loses its disk, each once the
+// one before is a voter again: all that is left was written to the disks that are left by replication alone.
 func TestDiskLossesAroundReplacement(t *testing.T) {
 	r := newDiskLossTest(t)
 	a, b, c := r.cluster.Members[0], r.cluster.Members[1], r.cluster.Members[2]
@@ -130,7 +131,7 @@
 	r.assertSurvives(t, a, c, added)
 }
 
-// The leader is killed while a replacement of another register catches up over a slow link, and comes back with its disk.
+// The leader is killed while a replacement of another member catches up over a slow link, and comes back with its disk.
 func TestLeaderKilledDuringReplacement(t *testing.T) {
 	r := newDiskLossTest(t)
 	lead := r.cluster.awaitLeader(t)
@@ -138,7 +139,7 @@
 	r.cluster.addFillerRoutes(t, r.operator, lead, 300)
 	r.writeDurable(t, lead)
 	gone.Kill()
-	added := fmt.Sprintf("%s.%d", r.cluster.subnet, 10+len(r.cluster.Members)) // where the next one will be
+	added := r.cluster.ip(firstMemberIP + len(r.cluster.Members)) // where the next one will be
 	for _, x := range []*Machine{lead, stays} {
 		r.relay.Set(rig.Link{Rate: 20 << 10}, rig.Way{From: x.IP, To: added})
 	}
@@ -158,3 +159,29 @@
 	r.awaitMembersComplete(t, lead, stays, fresh)
 	r.assertSurvives(t, lead, stays, fresh)
 }
+
+// A member that is to leave for good, its successor being there, ends; 50 ms after it was told so another loses its disk.
+func TestDiskLossDuringDeparture(t *testing.T) {
+	for _, leads := range []bool{true, false} {
+		t.Run(fmt.Sprint("the leader leaves: ", leads), func(t *testing.T) {
+			r := newDiskLossTest(t)
+			leaves := r.cluster.awaitLeader(t)
+			stays := r.cluster.membersExcept(leaves)
+			if !leads {
+				leaves, stays = stays[0], []*Machine{leaves, stays[1]}
+			}
+			added, err := r.cluster.AddMember(false)
+			assert.NilError(t, err)
+			assert.Assert(t, rig.Await(testTimeout, func() bool {
+				s := added.statusPastRelay()
+				return s != nil && s.AppliedIndex > 0
+			}), "the successor hears nothing")
+			r.writeDurable(t, leaves)
+			ended := leaves.terminate(t)
+			time.Sleep(diskLossDelay) // this is the fault, not a wait
+			stays[0].wipeAndRestart(t)
+			ended()
+			r.assertSurvives(t, stays[0], stays[1], added)
+		})
+	}
+}
--- a/internal/mesh/testcluster/failover_test.go
+++ b/internal/mesh/testcluster/failover_bench_test.go
@@ -1,7 +1,6 @@
 package testcluster
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -14,8 +13,6 @@
 	"testing"
 	"time"
 
-	"cranegrade/internal/mesh/transport"
-	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/rig"
 )
 
@@ -44,8 +41,7 @@
 		{"kill", killLeader}, {"freeze", freezeLeader}, {"power", restartAll},
 	} {
 		b.Run(fault.name, func(b *testing.B) {
-			m := startConfiguredWith(b, "stock", "stock", "orders")
-			defer m.Close()
+			m := startConfigured(b, "stock", "stock", "orders")
 			f := newFailover(m)
 			disk := startDiskProbe(b.TempDir())
 			defer disk.report(b)
@@ -109,52 +105,55 @@
 	succeeded    bool
 }
 
-// trial brings the fault about under probes and notes how long each kind of them went without success.
+// trial brings the fault about under probes and records how long each kind of them went without success.
 func (f *failoverBench) trial(bring func(*Cluster, *Machine) (time.Time, func() error)) error {
-	leader, err := f.awaitSettled()
-	if err != nil {
-		return err
+	leader := f.cluster.awaitSettled(recoverTimeout)
+	if leader == nil {
+		return fmt.Errorf("the mesh does not settle in %v", recoverTimeout)
 	}
 	stop := make(chan struct{})
 	var all sync.WaitGroup
-	grants := make([]*probe, 2)
-	for i := range grants {
-		x := f.cluster.Sidecars[i]
-		grants[i] = startProbe(&all, stop, func() bool {
-			return x.Send("POST", "/send/x", fmt.Sprint("failover-", f.keys.Add(1)), nil).Status == 200
-		})
-	}
-	changes := make([]*probe, len(f.cluster.Members))
-	for i, x := range f.cluster.Members {
-		changes[i] = startProbe(&all, stop, func() bool {
-			v := int(f.version.Add(1))
-			name := fmt.Sprint("failover", i)
-			status, _ := x.Modify(ModifyCall(v, nil, RouteItem(name, "idempotent", "/"+name+"/", "stock", v)))
-			return status == 200
-		})
-	}
+	defer all.Wait()
+	grants, changes := f.startProbes(&all, stop)
 	time.Sleep(3 * probeInterval)
 	at, undo := bring(f.cluster, leader)
-	ok := rig.Await(recoverTimeout, func() bool {
+	recovered := rig.Await(recoverTimeout, func() bool {
 		for _, p := range grants {
-			if _, is := p.firstSuccessAfter(at); !is {
+			if _, succeeded := p.firstSuccessAfter(at); !succeeded {
 				return false
 			}
 		}
-		_, is := earliestSuccess(changes, at)
-		return is
+		_, succeeded := earliestSuccess(changes, at)
+		return succeeded
 	})
 	close(stop)
-	defer all.Wait()
-	if !ok {
+	if !recovered {
 		return fmt.Errorf("nothing is granted or acknowledged %v after the fault", recoverTimeout)
 	}
-	f.record(at, leader, grants, changes)
+	f.record(at, grants, changes)
 	return undo()
 }
 
+// startProbes sends keyed requests through two sidecars, and changes to all members.
+func (f *failoverBench) startProbes(all *sync.WaitGroup, stop <-chan struct{}) (grants, changes []*probe) {
+	for _, x := range f.cluster.Sidecars[:2] {
+		grants = append(grants, startProbe(all, stop, func() bool {
+			return x.Send("POST", "/send/x", fmt.Sprint("failover-", f.keys.Add(1)), nil).Status == 200
+		}))
+	}
+	for i, x := range f.cluster.Members {
+		changes = append(changes, startProbe(all, stop, func() bool {
+			version := int(f.version.Add(1))
+			name := fmt.Sprint("failover", i)
+			status, _ := x.Modify(ModifyCall(version, nil, RouteItem(name, "idempotent", "/"+name+"/", "stock", version)))
+			return status == 200
+		}))
+	}
+	return grants, changes
+}
+
 // record keeps the spans of a trial.
-func (f *failoverBench) record(at time.Time, leader *Machine, grants, changes []*probe) {
+func (f *failoverBench) record(at time.Time, grants, changes []*probe) {
 	first, _ := earliestSuccess(grants, at)
 	f.add("grant", first.Sub(at))
 	var last time.Time
@@ -166,14 +165,14 @@
 		asked, refused := p.counts(at)
 		f.asked, f.refused = f.asked+asked, f.refused+refused
 	}
-	f.add("grant-all-lines", last.Sub(at))
+	f.add("grant-all-sidecars", last.Sub(at))
 	change, _ := earliestSuccess(changes, at)
 	f.add("change", change.Sub(at))
 	if elected, is := f.firstLogged(at, "leader changed", func(l logLine) bool { return l.Leader != 0 }); is {
 		f.add("new-leader", elected.Sub(at))
 	}
 	if found, is := f.firstLogged(at, "items confirmed", func(logLine) bool { return true }); is {
-		f.add("line-confirmed", found.Sub(at))
+		f.add("sidecar-confirmed", found.Sub(at))
 	}
 }
 
@@ -208,44 +207,6 @@
 	return first, found
 }
 
-// awaitSettled waits until all members follow one leader and have all of its log, and all lines have a home.
-func (f *failoverBench) awaitSettled() (leader *Machine, err error) {
-	if rig.Await(recoverTimeout, func() bool {
-		leader = nil
-		terms := map[uint64]bool{}
-		for _, x := range f.cluster.Members {
-			s, err := x.Status()
-			if err != nil || !s.QuorumContact || s.IsNonMember || len(s.Members) != len(f.cluster.Members) {
-				return false
-			}
-			if terms[s.Term] = true; s.IsLeader {
-				leader = x
-			}
-		}
-		for _, x := range f.cluster.Sidecars {
-			if s, err := x.Status(); err != nil || !s.QuorumContact || s.FollowedMember == "" {
-				return false
-			}
-		}
-		return leader != nil && len(terms) == 1
-	}) {
-		return leader, nil
-	}
-	return nil, fmt.Errorf("the mesh does not settle in %v", recoverTimeout)
-}
-
-// Status asks a machine's process how it is.
-func (x *Machine) Status() (*wire.StatusT, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-	defer cancel()
-	c, err := transport.DialClient(ctx, x.Process.Addr, "bench", nil)
-	if err != nil {
-		return nil, err
-	}
-	defer c.Close()
-	return c.Status(ctx)
-}
-
 // report tells the median and the 99th in 100 of each span, in milliseconds.
 func (f *failoverBench) report(b *testing.B) {
 	for name, spans := range f.durations {
--- /dev/null
+++ b/internal/mesh/testcluster/machine.go
@@ -0,0 +1,117 @@
+package testcluster
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+
+	"sigs.k8s.io/yaml"
+
+	"cranegrade/internal/mesh/settings"
+	"cranegrade/internal/rig"
+)
+
+// Programs of a mesh.
+const (
+	sidecarProgram = "sidecar"
+	memberProgram  = "controlplane"
+)
+
+// ProgramNames are the programs that BuildPrograms makes.
+var ProgramNames = []string{sidecarProgram, memberProgram}
+
+// BuildPrograms builds the mesh's programs into a folder.
+func BuildPrograms(dir string) error {
+	for _, name := range ProgramNames {
+		build := exec.Command("go", "build", "-o", filepath.Join(dir, name), "cranegrade/cmd/"+name)
+		if out, err := build.CombinedOutput(); err != nil {
+			return fmt.Errorf("building %s: %w\n%s", name, err, out)
+		}
+	}
+	return nil
+}
+
+// Machine is one machine of the mesh: a sidecar with its server, or a control-plane member.
+type Machine struct {
+	Name, IP string
+	Args     []string     // of its program, from its next start on
+	Process  *rig.Process // nil: it does not run
+	App      *FakeApp     // of a sidecar
+
+	cluster         *Cluster
+	program         string
+	programs        string // the folder of its program
+	settings        map[string]any
+	listenAddrs     map[string]string // never changed once made
+	appIncarnations int
+}
+
+// StartApp starts a server beside a sidecar, as a new instance.
+func (x *Machine) StartApp() (err error) {
+	x.appIncarnations++
+	instance := fmt.Sprintf("i-%s-%d", x.Name, x.appIncarnations)
+	x.App, err = newFakeApp(x.setting("Service"), instance, x.setting("AppAddress"), x.Addr("ControlPlane"),
+		x.setting("Zone"), x.cluster.Recorder)
+	return err
+}
+
+// setting is one of the settings that are text.
+func (x *Machine) setting(name string) string { return x.settings[name].(string) }
+
+// SetSeeds sets the seeds that the machine is told, and writes its file; its program reads that when it will.
+func (x *Machine) SetSeeds(seeds ...string) error {
+	x.settings["SeedNodes"] = seeds
+	_, err := x.writeSettings()
+	return err
+}
+
+// writeSettings writes the settings as they are now.
+func (x *Machine) writeSettings() (file string, err error) {
+	text, err := yaml.Marshal(x.settings)
+	if err != nil {
+		return "", err
+	}
+	file = filepath.Join(x.cluster.Dir, x.Name+".yaml")
+	return file, os.WriteFile(file, text, 0o600)
+}
+
+// UsePrograms names the folder that holds the machine's program from its next start on.
+func (x *Machine) UsePrograms(dir string) { x.programs = dir }
+
+// Start starts the machine's program, with the settings as they are now, and waits until it listens.
+func (x *Machine) Start() error {
+	file, err := x.writeSettings()
+	if err != nil {
+		return err
+	}
+	command := exec.Command(filepath.Join(x.programs, x.program), append([]string{"-v"}, x.Args...)...)
+	command.Env = append(os.Environ(), settings.PathVariable+"="+file)
+	x.Process, err = rig.StartCommand(command, file)
+	x.settings["FirstStart"] = false
+	return err
+}
+
+// Kill ends the program at once, by SIGKILL.
+func (x *Machine) Kill() {
+	if x.Process != nil {
+		x.Process.Kill()
+		x.Process = nil
+	}
+}
+
+// SignalReload tells the program that its settings have changed.
+func (x *Machine) SignalReload() error { return x.Process.Cmd.Process.Signal(syscall.SIGHUP) }
+
+// DataDir is a member's data folder.
+func (x *Machine) DataDir() string { return x.setting("DataDir") }
+
+// WipeDisk removes what a member's disk holds; it must not run.
+func (x *Machine) WipeDisk() error { return os.RemoveAll(x.DataDir()) }
+
+// Addr is one of the machine's addresses, by its name in the settings.
+func (x *Machine) Addr(name string) string { return x.listenAddrs[name] }
+
+// PathTo is the path from one machine to another, for the relay.
+func (x *Machine) PathTo(to *Machine) rig.Way { return rig.Way{From: x.IP, To: to.IP} }
--- /dev/null
+++ b/internal/mesh/testcluster/member_faults_test.go
@@ -0,0 +1,168 @@
+package testcluster
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"cranegrade/internal/rig"
+)
+
+// The member that acknowledged is killed at once, then its disk is lost, too; then another is replaced by one elsewhere, and at
+// last all are killed. What was acknowledged stands, and keys stay leased.
+func TestMemberLossesKeepAcknowledgedState(t *testing.T) {
+	m := startCluster(t, "orders", "stock")
+	m.Sidecars[0].awaitServed(t, "POST", "/send/x", "kept")
+	by := m.applyRoutes(t, 2, RouteItem("one", "idempotent", "/one/", "stock", 2))
+	by.Kill()
+	for _, x := range m.membersExcept(by) {
+		x.awaitConfigHas(t, `"/one/"`)
+	}
+	assert.NilError(t, by.WipeDisk())
+	assert.NilError(t, by.Start())
+	by.awaitConfigHas(t, `"/one/"`)
+	m.applyRoutes(t, 3, RouteItem("two", "idempotent", "/two/", "stock", 3))
+	added := m.replaceMember(t, m.Members[0])
+	remaining := m.Members[1:]
+	for _, x := range remaining {
+		x.Kill()
+	}
+	for _, x := range remaining {
+		assert.NilError(t, x.Start())
+	}
+	added.awaitConfigHas(t, `"/three/"`)
+	m.Sidecars[1].awaitServed(t, "GET", "/three/", "")
+	m.Sidecars[1].awaitServed(t, "POST", "/send/x", "kept")
+	m.assertNoViolations(t)
+}
+
+// replaceMember loses a member for good, and starts one with an empty disk at another address, which is to be a voter in its place.
+func (m *Cluster) replaceMember(t *testing.T, lost *Machine) (added *Machine) {
+	t.Helper()
+	lost.Kill()
+	assert.NilError(t, lost.WipeDisk())
+	added, err := m.AddMember(false)
+	assert.NilError(t, err)
+	added.awaitConfigHas(t, `"/two/"`)
+	_, err = added.Process.Said(`"members":3`)
+	assert.NilError(t, err)
+	m.applyRoutes(t, 4, RouteItem("three", "idempotent", "/three/", "stock", 4))
+	assert.Assert(t, rig.Await(testTimeout, func() bool {
+		for _, x := range m.membersExcept(lost) {
+			if members := x.memberIPs(); len(members) != 3 || !members[added.IP] || members[lost.IP] {
+				return false
+			}
+		}
+		return true
+	}))
+	return added
+}
+
+// memberIPs are the addresses of the machines that a member says to be the members; nil: it gives no answer.
+func (x *Machine) memberIPs() map[string]bool {
+	status, err := x.Status()
+	if err != nil {
+		return nil
+	}
+	ips := map[string]bool{}
+	for _, member := range status.Members {
+		ip, _, _ := strings.Cut(member.Addr, ":")
+		ips[ip] = true
+	}
+	return ips
+}
+
+// A leader whose process has ended is detected by its closed port, not by its silence; one that is frozen is not taken for ended.
+func TestKilledLeaderIsDetectedByItsPort(t *testing.T) {
+	for _, x := range []struct {
+		name    string
+		version int
+		fault   func(leader *Machine)
+		undo    func(leader *Machine)
+		found   bool
+	}{
+		{"frozen", 10, func(leader *Machine) { leader.Process.Pause() }, func(leader *Machine) { leader.Process.Resume() }, false},
+		{"killed", 11, func(leader *Machine) { leader.Kill() }, func(*Machine) {}, true},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			m := startCluster(t, "orders", "stock")
+			leader := m.awaitLeader(t)
+			addr := leader.Process.Addr
+			x.fault(leader)
+			m.applyRouteWithout(t, leader, x.version)
+			found := false
+			for _, other := range m.membersExcept(leader) {
+				found = found || strings.Contains(other.Process.Tail(), `"leader_address":"`+addr+`","wait_ms"`)
+			}
+			assert.Equal(t, found, x.found)
+			x.undo(leader)
+			m.Sidecars[0].awaitServed(t, "POST", "/send/x", "found")
+			m.assertNoViolations(t)
+		})
+	}
+}
+
+// No sidecar follows a member that is frozen, and one that wakes does not lead.
+func TestFrozenMemberIsReplaced(t *testing.T) {
+	m := startCluster(t, "orders", "stock")
+	for round := range 2 {
+		frozen := m.Members[round]
+		frozen.Process.Pause()
+		path := m.applyRouteWithout(t, frozen, 10+round)
+		for _, x := range m.Sidecars {
+			x.awaitServed(t, "GET", path, "")
+			x.awaitServed(t, "POST", "/send/x", fmt.Sprint(x.Name, round))
+		}
+		frozen.Process.Resume()
+		frozen.awaitConfigHas(t, `"`+path+`"`)
+	}
+	m.assertNoViolations(t)
+}
+
+// applyRouteWithout has a route acknowledged by the members other than one, and gives its path.
+func (m *Cluster) applyRouteWithout(t *testing.T, frozen *Machine, version int) (path string) {
+	t.Helper()
+	name := fmt.Sprint("frozen", version)
+	path = "/" + name + "/"
+	call := ModifyCall(version, []string{"stock", "orders"}, RouteItem(name, "idempotent", path, "stock", version))
+	m.awaitAcknowledged(t, m.membersExcept(frozen), call)
+	return path
+}
+
+// A store whose bytes are flipped is as a lost disk: the member says so, and is taken in again.
+func TestCorruptedStoreIsRebuilt(t *testing.T) {
+	m := startCluster(t, "orders", "stock")
+	x := m.Members[2]
+	x.Kill()
+	corruptStore(t, filepath.Join(x.DataDir(), "vault"))
+	assert.NilError(t, x.Start())
+	_, err := x.Process.Said("store damaged, discarding it")
+	assert.NilError(t, err)
+	m.applyRoutes(t, 5, RouteItem("after", "idempotent", "/after/", "stock", 5))
+	x.awaitConfigHas(t, `"/after/"`)
+	m.assertNoViolations(t)
+}
+
+// corruptStore flips bits in two thirds of each file that holds data.
+func corruptStore(t *testing.T, dir string) {
+	t.Helper()
+	files, err := os.ReadDir(dir)
+	assert.NilError(t, err)
+	for _, f := range files {
+		name := f.Name()
+		if !strings.HasSuffix(name, ".log") && !strings.HasSuffix(name, ".ldb") && !strings.HasPrefix(name, "MANIFEST") {
+			continue
+		}
+		path := filepath.Join(dir, name)
+		text, err := os.ReadFile(path)
+		assert.NilError(t, err)
+		for i := len(text) / 3; i < len(text); i += 97 {
+			text[i] ^= 0x41
+		}
+		assert.NilError(t, os.WriteFile(path, text, 0o600))
+	}
+}
--- a/internal/mesh/testcluster/mixed_test.go
+++ b/internal/mesh/testcluster/mixed_test.go
@@ -6,6 +6,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -24,11 +25,8 @@
 	previousCommit = "54ffd36"
 )
 
-// programNames are the programs of a mesh, and previousNames the same by their names in the build before.
-var (
-	programNames  = []string{"sidecar", "controlplane"}
-	previousNames = [2]string{"line", "register"}
-)
+// previousNames are the programs of ProgramNames by their names in the build before.
+var previousNames = [...]string{"line", "register"}
 
 // TestMixedVersions replaces the processes of a mesh one by one under keyed and plain traffic, first from the build before to
 // this one and then back, so that both builds share one wire in every mixture. After each replacement the configuration that was
@@ -47,9 +45,9 @@
 			m := startPrograms(t, previous, "stock", "stock", "orders", "orders")
 			r := &rollingReplacement{cluster: m, away: make([]atomic.Bool, len(m.Sidecars)), version: 1}
 			stop := r.startTraffic()
-			machines := append(append([]*Machine(nil), m.Members...), m.Sidecars...)
+			machines := m.machines()
 			if !test.membersFirst {
-				machines = append(append([]*Machine(nil), m.Sidecars...), m.Members...)
+				machines = slices.Concat(m.Sidecars, m.Members)
 			}
 			for _, x := range machines {
 				r.replace(t, x, programsDir)
@@ -58,7 +56,8 @@
 				r.replace(t, x, previous)
 			}
 			stop()
-			t.Logf("%d requests; by status: plain %v, keyed %v, repeated %v", r.plain.count()+r.keyed.count()+r.repeated.count(), r.plain.byStatus, r.keyed.byStatus, r.repeated.byStatus)
+			t.Logf("%d requests; by status: plain %v, keyed %v, repeated %v",
+				r.plain.count()+r.keyed.count()+r.repeated.count(), r.plain.byStatus, r.keyed.byStatus, r.repeated.byStatus)
 			r.assertNothingLost(t)
 			m.assertNoViolations(t)
 		})
@@ -75,7 +74,7 @@
 	}
 	dir := t.TempDir()
 	for i, then := range previousNames {
-		here := filepath.Join(dir, programNames[i])
+		here := filepath.Join(dir, ProgramNames[i])
 		assert.NilError(t, os.Symlink(filepath.Join(built, then), here))
 		_, err := os.Stat(here)
 		assert.NilError(t, err, "%s is to hold the program %s", built, then)
@@ -133,19 +132,19 @@
 	lost     []string
 }
 
-func (o *outcomes) add(what string, told Response, accepted ...int) {
+func (o *outcomes) add(what string, response Response, accepted ...int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.byStatus == nil {
 		o.byStatus = map[int]int{}
 	}
-	o.byStatus[told.Status]++
+	o.byStatus[response.Status]++
 	for _, s := range accepted {
-		if told.Status == s {
+		if response.Status == s {
 			return
 		}
 	}
-	o.lost = append(o.lost, fmt.Sprintf("%s: answered %d %.200s", what, told.Status, told.Body))
+	o.lost = append(o.lost, fmt.Sprintf("%s: answered %d %.200s", what, response.Status, response.Body))
 }
 
 func (o *outcomes) count() (n int) {
@@ -208,8 +207,8 @@
 	t.Helper()
 	m := r.cluster
 	r.keep(t, x)
-	for i, line := range m.Sidecars {
-		if line == x {
+	for i, sidecar := range m.Sidecars {
+		if sidecar == x {
 			r.away[i].Store(true)
 			defer r.away[i].Store(false)
 		}
@@ -218,7 +217,7 @@
 	assert.Assert(t, !x.Process.Crashed())
 	x.UsePrograms(programs)
 	assert.NilError(t, x.Start())
-	r.awaitComplete(t)
+	assert.Assert(t, m.awaitSettled(testTimeout) != nil, "the mesh does not settle")
 	assert.Assert(t, m.AwaitReady(testTimeout), "the sidecars are not ready")
 	for _, y := range m.Members {
 		y.awaitConfigHas(t, fmt.Sprintf(`"/mixed-%d/"`, r.version))
@@ -246,27 +245,3 @@
 		return next.App == nil || !strings.Contains(r.kept.Body, " "+next.App.Instance+" ")
 	}), "no key runs but beside %s", next.Name)
 }
-
-// awaitComplete waits until all members follow one leader and hold all that it holds, and all sidecars are in contact.
-func (r *rollingReplacement) awaitComplete(t *testing.T) {
-	t.Helper()
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
-		leaders, terms := 0, map[uint64]bool{}
-		for _, x := range r.cluster.Members {
-			s, err := x.Status()
-			if err != nil || !s.QuorumContact || s.IsNonMember || len(s.Members) != len(r.cluster.Members) {
-				return false
-			}
-			terms[s.Term] = true
-			if s.IsLeader {
-				leaders++
-			}
-		}
-		for _, x := range r.cluster.Sidecars {
-			if s, err := x.Status(); err != nil || !s.QuorumContact || s.FollowedMember == "" {
-				return false
-			}
-		}
-		return leaders == 1 && len(terms) == 1
-	}), "the mesh does not settle")
-}
--- a/internal/mesh/testcluster/worst_observer_test.go
+++ b/internal/mesh/testcluster/observer_test.go
@@ -20,7 +20,7 @@
 type observer struct {
 	began time.Time
 
-	mu      sync.Mutex // guards h
+	mu      sync.Mutex // guards history
 	history history.History
 }
 
@@ -51,28 +51,29 @@
 
 const routeKind = "route"
 
-// routeOrder is one order of an operator, which may be sent many times.
-type routeOrder struct {
+// routeChange is one change of an operator, which may be sent many times.
+type routeChange struct {
 	name  string
 	body  []byte
 	items []history.ItemVersion
 }
 
-// newRouteOrder words an order of one route; content, a path, is what another order of the same version may differ in.
-func newRouteOrder(name, route string, version int, content string) routeOrder {
-	return routeOrder{name, ModifyCall(version, nil, RouteItem(route, "idempotent", content, "stock", version)),
+// newRouteChange is a change of one route; content, a path, is what another change of the same version may differ in.
+func newRouteChange(name, route string, version int, content string) routeChange {
+	return routeChange{name, ModifyCall(version, nil, RouteItem(route, "idempotent", content, "stock", version)),
 		[]history.ItemVersion{{Item: history.Item{Kind: routeKind, Name: route}, Version: int64(version), Digest: content}}}
 }
 
-// recordInitialRoutes records the routes that startRelayed has had acknowledged.
+// recordInitialRoutes records the routes that startRelayedCluster has had acknowledged.
 func (o *observer) recordInitialRoutes() {
 	for name, content := range map[string]string{"read": "/read/", "send": "/send/"} {
-		o.record(history.Change{Call: history.Call{Process: "start", Outcome: history.Acknowledged, Return: o.elapsed()}, ChangeID: "start-" + name,
-			Items: []history.ItemVersion{{Item: history.Item{Kind: routeKind, Name: name}, Version: 1, Digest: content}}})
+		o.record(history.Change{Call: history.Call{Process: "start", Outcome: history.Acknowledged, Return: o.elapsed()},
+			ChangeID: "start-" + name,
+			Items:    []history.ItemVersion{{Item: history.Item{Kind: routeKind, Name: name}, Version: 1, Digest: content}}})
 	}
 }
 
-// outcomeOfStatus is what an answer's status says of an order.
+// outcomeOfStatus is what an answer's status says of a change.
 func outcomeOfStatus(status int) history.Outcome {
 	switch status {
 	case http.StatusOK:
@@ -83,7 +84,7 @@
 	return history.Unknown
 }
 
-// watchLeaders records who leads, by the registers' own word, until stop is called.
+// watchLeaders records who leads, by the members' own word, until stop is called.
 func (o *observer) watchLeaders(at ...*Machine) (stop func()) {
 	end, ended := make(chan struct{}), make(chan struct{})
 	type reign struct{ id, term uint64 }
@@ -109,8 +110,8 @@
 
 const watchInterval = 50 * time.Millisecond
 
-// send sends an order once, and records how that ended.
-func (o *observer) send(by *Operator, at *Machine, x routeOrder) (history.Outcome, string) {
+// send sends a change once, and records how that ended.
+func (o *observer) send(by *Operator, at *Machine, x routeChange) (history.Outcome, string) {
 	begin := o.elapsed()
 	status, text := by.Modify(at, x.body)
 	call := history.Call{Process: by.IP, Begin: begin, Return: o.elapsed(), Outcome: outcomeOfStatus(status)}
@@ -118,8 +119,8 @@
 	return call.Outcome, fmt.Sprintf("%d %s", status, text)
 }
 
-// awaitAcknowledged sends an order to the registers named, one after the other, until one acknowledges it. None may refuse it.
-func (o *observer) awaitAcknowledged(t *testing.T, by *Operator, x routeOrder, at ...*Machine) {
+// awaitAcknowledged sends a change to the members named, one after the other, until one acknowledges it. None may refuse it.
+func (o *observer) awaitAcknowledged(t *testing.T, by *Operator, x routeChange, at ...*Machine) {
 	t.Helper()
 	n, last := 0, ""
 	assert.Assert(t, rig.Await(testTimeout, func() bool {
@@ -143,7 +144,7 @@
 	return status == http.StatusOK
 }
 
-// awaitFetched waits until a register shows the configuration.
+// awaitFetched waits until a member shows the configuration.
 func (o *observer) awaitFetched(t *testing.T, by *Operator, at *Machine) {
 	t.Helper()
 	assert.Assert(t, rig.Await(testTimeout, func() bool { return o.fetch(by, at) }), "%s shows no configuration", at.Name)
@@ -171,7 +172,8 @@
 			if strings.HasPrefix(r.Name, fillerPrefix) {
 				continue
 			}
-			l = append(l, history.ItemVersion{Item: history.Item{Kind: routeKind, Name: r.Name}, Version: r.ConfigVersion, Digest: r.MatchCriteria.PathPrefix})
+			l = append(l, history.ItemVersion{Item: history.Item{Kind: routeKind, Name: r.Name},
+				Version: r.ConfigVersion, Digest: r.MatchCriteria.PathPrefix})
 		}
 	}
 	return l
@@ -189,7 +191,7 @@
 	return l
 }
 
-// writers are operators that write and read at every register in turn until they are stopped.
+// writers are operators that write and read at every member in turn until they are stopped.
 type writers struct {
 	stop    chan struct{}
 	all     sync.WaitGroup
@@ -217,7 +219,7 @@
 
 func (o *observer) writeRoute(w *writers, by *Operator, route string, n int, at []*Machine) {
 	for version := 2; !w.stopped(); version++ {
-		x := newRouteOrder(fmt.Sprint(route, "-", version), route, version, fmt.Sprintf("/%s-%d/", route, version))
+		x := newRouteChange(fmt.Sprint(route, "-", version), route, version, fmt.Sprintf("/%s-%d/", route, version))
 		for try := n + version; !w.stopped(); try++ {
 			outcome, text := o.send(by, at[try%len(at)], x)
 			if outcome == history.Refused {
@@ -241,7 +243,7 @@
 	}
 }
 
-// stopAndAssert stops them and waits for what is under way. None of their orders may have been refused.
+// stopAndAssert stops them and waits for what is in flight. None of their changes may have been refused.
 func (w *writers) stopAndAssert(t *testing.T) {
 	t.Helper()
 	close(w.stop)
--- a/internal/mesh/testcluster/worst_cut_test.go
+++ b/internal/mesh/testcluster/partition_test.go
@@ -12,10 +12,10 @@
 	"cranegrade/internal/rig"
 )
 
-// partitionDuration is how long a register stays cut off; WORST_CUT names a longer time.
+// partitionDuration is how long a member stays partitioned; PARTITION_DURATION names a longer time.
 func partitionDuration(t *testing.T) time.Duration {
 	t.Helper()
-	text := os.Getenv("WORST_CUT")
+	text := os.Getenv("PARTITION_DURATION")
 	if text == "" {
 		return 2 * time.Second
 	}
@@ -24,23 +24,23 @@
 	return d
 }
 
-// partitionTest is a mesh under the calls of operators, one register of which is cut off again and again.
+// partitionTest is a mesh under the calls of operators, one member of which is partitioned from the others again and again.
 type partitionTest struct {
 	cluster  *Cluster
 	relay    *rig.Relay
 	observer *observer
 	operator *Operator
-	version  int // of the order that is sent at the moment of a cut
+	version  int // of the change that is sent at the moment of a partition
 }
 
-// partitionKinds of a cut.
+// partitionKinds are the directions in which a member is partitioned.
 var partitionKinds = []struct {
-	name string
-	ways func(x *Machine, others ...*Machine) []rig.Way
+	name  string
+	paths func(x *Machine, others ...*Machine) []rig.Way
 }{
-	{"both ways", pathsBetween},
-	{"it is not heard", pathsTo},
-	{"it hears nobody", func(x *Machine, others ...*Machine) (l []rig.Way) {
+	{"both directions", pathsBetween},
+	{"from it", pathsTo},
+	{"to it", func(x *Machine, others ...*Machine) (l []rig.Way) {
 		for _, w := range pathsTo(x, others...) {
 			l = append(l, w.Back())
 		}
@@ -48,9 +48,10 @@
 	}},
 }
 
-// A register is cut off from the others: the leader, a follower, and one that lost its disk and catches up. While it is, orders go on at the others;
-// it confirms and refuses none, and shows no configuration; a line that is told of it first gets the whole one all the same.
-// An order that was acknowledged at the moment of the cut, with its answer lost, is acknowledged again elsewhere.
+// A member is partitioned from the others: the leader, a follower, and one that lost its disk and catches up. While it is, changes
+// go on at the others; it confirms and rejects none, and shows no configuration; a sidecar whose first seed it is gets the complete
+// one all the same.
+// A change that was acknowledged at the moment of the partition, with its answer lost, is acknowledged again elsewhere.
 func TestPartitionedMemberConfirmsNothing(t *testing.T) {
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
 	r := &partitionTest{cluster: m, relay: relay, observer: newObserver(), operator: m.Operator(0), version: 1}
@@ -59,18 +60,18 @@
 	for _, d := range partitionKinds {
 		t.Run("leader, "+d.name, func(t *testing.T) {
 			x := m.awaitLeader(t)
-			r.partition(t, x, d.ways(x, m.membersExcept(x)...))
+			r.partition(t, x, d.paths(x, m.membersExcept(x)...))
 		})
 		t.Run("follower, "+d.name, func(t *testing.T) {
 			x := m.membersExcept(m.awaitLeader(t))[0]
-			r.partition(t, x, d.ways(x, m.membersExcept(x)...))
+			r.partition(t, x, d.paths(x, m.membersExcept(x)...))
 		})
 	}
 	for _, d := range partitionKinds[:2] {
-		t.Run("half in, "+d.name, func(t *testing.T) {
+		t.Run("catching up, "+d.name, func(t *testing.T) {
 			x := m.membersExcept(m.awaitLeader(t))[1]
 			r.wipeBehindSlowLinks(t, x)
-			r.partition(t, x, d.ways(x, m.membersExcept(x)...))
+			r.partition(t, x, d.paths(x, m.membersExcept(x)...))
 		})
 	}
 	stop()
@@ -78,7 +79,7 @@
 	m.assertNoViolations(t)
 }
 
-// partition cuts x off on some ways while operators write and read everywhere, and heals them again.
+// partition cuts some paths of x while operators write and read everywhere, and heals them again.
 func (r *partitionTest) partition(t *testing.T, x *Machine, ways []rig.Way) {
 	t.Helper()
 	others := r.cluster.membersExcept(x)
@@ -89,8 +90,8 @@
 	r.relay.Set(rig.Link{}, r.operator.PathTo(x).Back())
 	r.observer.awaitAcknowledged(t, r.operator, before, others...)
 	r.restartSidecar(t, x, others)
-	for n := 0; n == 0 || r.observer.elapsed() < began+partitionDuration(t); n++ { // orders go on
-		r.observer.awaitAcknowledged(t, r.operator, r.nextOrder(), others...)
+	for n := 0; n == 0 || r.observer.elapsed() < began+partitionDuration(t); n++ { // changes go on
+		r.observer.awaitAcknowledged(t, r.operator, r.nextChange(), others...)
 	}
 	ended := r.observer.elapsed()
 	r.relay.Heal()
@@ -105,18 +106,18 @@
 	}
 }
 
-// nextOrder is another order of this run.
-func (r *partitionTest) nextOrder() routeOrder {
+// nextChange is another change of this run.
+func (r *partitionTest) nextChange() routeChange {
 	r.version++
-	return newRouteOrder(fmt.Sprint("ana-", r.version), "ana", r.version, fmt.Sprintf("/ana-%d/", r.version))
+	return newRouteChange(fmt.Sprint("ana-", r.version), "ana", r.version, fmt.Sprintf("/ana-%d/", r.version))
 }
 
-// loseAnswer sends an order to x whose answer stays on its way. A register that is no member yet may give none.
-func (r *partitionTest) loseAnswer(t *testing.T, x *Machine) routeOrder {
+// loseAnswer sends a change to x whose answer stays on its way. A member that is no member yet may give none.
+func (r *partitionTest) loseAnswer(t *testing.T, x *Machine) routeChange {
 	t.Helper()
 	back := r.operator.PathTo(x).Back()
 	r.relay.Set(rig.Link{Cut: true}, back)
-	o, done := r.nextOrder(), make(chan history.Outcome, 1)
+	o, done := r.nextChange(), make(chan history.Outcome, 1)
 	go func() {
 		outcome, _ := r.observer.send(r.operator, x, o)
 		done <- outcome
@@ -134,7 +135,7 @@
 	return o
 }
 
-// restartSidecar starts a line anew that is told of x first. Once it is ready it has all that had been acknowledged before.
+// restartSidecar starts a sidecar anew that is told of x first. Once it is ready it has all that had been acknowledged before.
 func (r *partitionTest) restartSidecar(t *testing.T, x *Machine, others []*Machine) {
 	t.Helper()
 	line := r.cluster.Sidecars[0]
@@ -144,15 +145,16 @@
 		seeds = append(seeds, y.Addr("ControlPlane"))
 	}
 	assert.NilError(t, line.SetSeeds(seeds...))
-	o := r.nextOrder()
+	o := r.nextChange()
 	r.observer.awaitAcknowledged(t, r.operator, o, others...)
 	assert.NilError(t, line.Start())
 	assert.Assert(t, r.cluster.AwaitReady(testTimeout), "the line that started is not ready")
 	held := line.itemVersions(t)[o.items[0].Name]
-	assert.Assert(t, held >= o.items[0].Version, "the line is ready with version %d; %d had been acknowledged before it started", held, o.items[0].Version)
+	assert.Assert(t, held >= o.items[0].Version,
+		"the sidecar is ready with version %d; %d had been acknowledged before it started", held, o.items[0].Version)
 }
 
-// assertSilent checks that x answered nothing while it was cut off: it confirmed and refused no order, and showed no configuration.
+// assertSilent checks that x answered nothing while it was partitioned: it confirmed and rejected no change, and showed no configuration.
 func (r *partitionTest) assertSilent(t *testing.T, x *Machine, began, ended time.Duration) {
 	t.Helper()
 	inside := func(c history.Call, member string) bool {
@@ -168,7 +170,7 @@
 	}
 }
 
-// wipeBehindSlowLinks has x lose its disk and start again behind links so slow that it is half in for a while.
+// wipeBehindSlowLinks has x lose its disk and start again behind links so slow that it catches up for a while.
 func (r *partitionTest) wipeBehindSlowLinks(t *testing.T, x *Machine) {
 	t.Helper()
 	others := r.cluster.membersExcept(x)
--- /dev/null
+++ b/internal/mesh/testcluster/recorder.go
@@ -0,0 +1,68 @@
+package testcluster
+
+import (
+	"fmt"
+	"sync"
+)
+
+// Recorder is what servers and callers saw.
+type Recorder struct {
+	mu                 sync.Mutex // guards below
+	instancesByAttempt map[string][]string
+	attemptsByKey      map[string][]string
+	violations         []string
+}
+
+// NewRecorder returns an empty one.
+func NewRecorder() *Recorder {
+	return &Recorder{instancesByAttempt: map[string][]string{}, attemptsByKey: map[string][]string{}}
+}
+
+func (r *Recorder) recordRun(attempt, key, instance string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.instancesByAttempt[attempt] = append(r.instancesByAttempt[attempt], instance)
+	if key != "" {
+		r.attemptsByKey[key] = append(r.attemptsByKey[key], attempt)
+	}
+}
+
+func (r *Recorder) recordViolation(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
+}
+
+// Runs are the instances that ran an attempt.
+func (r *Recorder) Runs(attempt string) []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.instancesByAttempt[attempt]
+}
+
+// RunsBy is how many runs an instance made.
+func (r *Recorder) RunsBy(instance string) (runs int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, instances := range r.instancesByAttempt {
+		for _, ran := range instances {
+			if ran == instance {
+				runs++
+			}
+		}
+	}
+	return runs
+}
+
+// Violations are the rules that were broken, as far as the records tell: keys that ran twice, and what servers and callers noted.
+func (r *Recorder) Violations() (list []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	list = append(list, r.violations...)
+	for key, attempts := range r.attemptsByKey {
+		if len(attempts) > 1 {
+			list = append(list, fmt.Sprintf("TWICE: key %s ran as %v", key, attempts))
+		}
+	}
+	return list
+}
--- /dev/null
+++ b/internal/mesh/testcluster/relay_test.go
@@ -0,0 +1,106 @@
+package testcluster
+
+import (
+	"fmt"
+	"testing"
+
+	"gotest.tools/v3/assert"
+
+	"cranegrade/internal/rig"
+)
+
+// startRelayedCluster starts a mesh whose connections, and the calls of whose operators, go through a relay.
+func startRelayedCluster(t *testing.T, members, tolerance int, services ...string) (*Cluster, *rig.Relay) {
+	t.Helper()
+	m, relay, err := NewRelayed(linkPrograms(t, programsDir), members, tolerance, services...)
+	closeAfter(t, m)
+	assert.NilError(t, err)
+	m.applyInitialRoutes(t)
+	return m, relay
+}
+
+// awaitLeader waits until one of the members named, all if none is, leads and is in contact with a majority.
+func (m *Cluster) awaitLeader(t *testing.T, of ...*Machine) (lead *Machine) {
+	t.Helper()
+	if len(of) == 0 {
+		of = m.Members
+	}
+	assert.Assert(t, rig.Await(testTimeout, func() bool {
+		for _, x := range of {
+			if x.Process == nil {
+				continue
+			}
+			if s := x.statusPastRelay(); s != nil && s.IsLeader && s.QuorumContact {
+				lead = x
+				return true
+			}
+		}
+		return false
+	}), "nobody leads")
+	return lead
+}
+
+// addFillerRoutes has so many routes acknowledged that only make the state larger.
+func (m *Cluster) addFillerRoutes(t *testing.T, by *Operator, at *Machine, routes int) {
+	t.Helper()
+	var items []map[string]any
+	for n := range routes {
+		name := fmt.Sprint(fillerPrefix, n)
+		items = append(items, RouteItem(name, "idempotent", "/"+name+"/", "stock", 1))
+	}
+	body, last := ModifyCall(1, nil, items...), ""
+	assert.Assert(t, rig.Await(testTimeout, func() bool {
+		status, text := by.Modify(at, body)
+		last = text
+		return status == 200
+	}), last)
+}
+
+// membersExcept are the members other than one.
+func (m *Cluster) membersExcept(x *Machine) (others []*Machine) {
+	for _, other := range m.Members {
+		if other != x {
+			others = append(others, other)
+		}
+	}
+	return others
+}
+
+// pathsTo are the paths from one machine to others.
+func pathsTo(x *Machine, others ...*Machine) (paths []rig.Way) {
+	for _, other := range others {
+		paths = append(paths, x.PathTo(other))
+	}
+	return paths
+}
+
+// pathsBetween are the paths from one machine to others, and back.
+func pathsBetween(x *Machine, others ...*Machine) (paths []rig.Way) {
+	for _, path := range pathsTo(x, others...) {
+		paths = append(paths, path, path.Back())
+	}
+	return paths
+}
+
+// Every connection goes through the relay, both ways, and so do operators' calls; a partition of two machines is one of theirs only.
+func TestRelayCarriesAllConnections(t *testing.T) {
+	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
+	m.Sidecars[0].awaitServed(t, "POST", "/send/x", "k")
+	m.Sidecars[1].awaitServed(t, "GET", "/read/x", "")
+	ana := m.Operator(0)
+	status, text := ana.Fetch(m.Members[0])
+	assert.Equal(t, status, 200, text)
+	ways := []rig.Way{ana.PathTo(m.Members[0]), m.Sidecars[0].PathTo(m.Sidecars[1]), m.Sidecars[1].PathTo(m.Sidecars[0])}
+	for _, x := range m.Members {
+		ways = append(ways, pathsBetween(x, m.membersExcept(x)...)...)
+	}
+	for _, w := range ways {
+		assert.Assert(t, rig.Await(testTimeout, func() bool { return relay.Passed(w) > 0 && relay.Passed(w.Back()) > 0 }), "%v", w)
+	}
+	old := m.awaitLeader(t)
+	relay.Set(rig.Link{Cut: true}, pathsBetween(old, m.membersExcept(old)...)...)
+	m.awaitLeader(t, m.membersExcept(old)...)
+	status, text = ana.Modify(old, ModifyCall(2, nil, RouteItem("cut", "idempotent", "/cut/", "stock", 2)))
+	assert.Assert(t, status == 503 || status == 0, "%d %s", status, text)
+	m.assertNoViolations(t)
+}
--- a/internal/mesh/testcluster/worst_repeats_test.go
+++ b/internal/mesh/testcluster/repeated_changes_test.go
@@ -11,13 +11,14 @@
 	"cranegrade/internal/rig"
 )
 
-// repeatRounds is how often eight orders are under way at once.
+// repeatRounds is how often eight changes are in flight at once.
 const repeatRounds = 6
 
-// Two operators, four orders each under way at once, which give every version two contents. One register's answers to them are lost,
-// and the leader is killed, cut off or sound. Each order is sent on to other registers until it is acknowledged or refused, and once
-// more after that. Of each version one content is acknowledged; an order that was taken is acknowledged again or left open.
-func TestRepeatedOrdersKeepOneContent(t *testing.T) {
+// Two operators, four changes each in flight at once, which give every version two contents. One member's answers to them are lost,
+// and the leader is killed, partitioned or loses its connections. Each change is sent to other members until it is acknowledged or
+// rejected, and once more after that. Of each version one content is acknowledged; a change that was accepted is acknowledged again
+// or left open.
+func TestRepeatedChangesKeepOneContent(t *testing.T) {
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
 	seen, operators := newObserver(), []*Operator{m.Operator(0), m.Operator(1)}
 	seen.recordInitialRoutes()
@@ -27,16 +28,16 @@
 		for _, by := range operators {
 			relay.Set(rig.Link{Cut: true}, by.PathTo(deaf).Back())
 		}
-		orders := competingOrders(round, operators)
-		under := seen.sendAll(orders, m.Members, round)
+		changes := competingRouteChanges(round, operators)
+		under := seen.sendAll(changes, m.Members, round)
 		lead := m.awaitLeader(t)
 		restore := m.injectLeaderFault(t, relay, lead, round)
 		under.Wait()
 		restore()
 		relay.Heal()
-		again := seen.sendAll(orders, m.Members, round+1)
+		again := seen.sendAll(changes, m.Members, round+1)
 		again.Wait()
-		seen.assertOneContent(t, orders)
+		seen.assertOneContent(t, changes)
 		for _, x := range m.Members {
 			seen.awaitFetched(t, operators[0], x)
 		}
@@ -46,30 +47,30 @@
 	m.assertNoViolations(t)
 }
 
-// placedOrder is an order and who gives it.
-type placedOrder struct {
-	routeOrder
+// operatorChange is a change and who gives it.
+type operatorChange struct {
+	routeChange
 	operator *Operator
 }
 
-// competingOrders are those of a round: of four routes the same version by each operator, each with a content of its own.
-func competingOrders(round int, operators []*Operator) (l []placedOrder) {
+// competingRouteChanges are those of a round: of four routes the same version by each operator, each with a content of its own.
+func competingRouteChanges(round int, operators []*Operator) (l []operatorChange) {
 	for n := range 4 {
 		for i, by := range operators {
 			content := fmt.Sprintf("/by-%d-%d-%d/", i, n, round)
-			l = append(l, placedOrder{newRouteOrder(fmt.Sprintf("%d-%d-%d", i, n, round), fmt.Sprint("race-", n), round+2, content), by})
+			l = append(l, operatorChange{newRouteChange(fmt.Sprintf("%d-%d-%d", i, n, round), fmt.Sprint("race-", n), round+2, content), by})
 		}
 	}
 	return l
 }
 
-// sendAll sends all orders at once, each until it is acknowledged or refused, at the registers in turn.
-func (o *observer) sendAll(orders []placedOrder, at []*Machine, first int) *sync.WaitGroup {
+// sendAll sends all changes at once, each until it is acknowledged or rejected, at the members in turn.
+func (o *observer) sendAll(changes []operatorChange, at []*Machine, first int) *sync.WaitGroup {
 	var all sync.WaitGroup
-	for n, x := range orders {
+	for n, x := range changes {
 		all.Go(func() {
 			for try := first + n; try < first+n+3*len(at); try++ {
-				if outcome, _ := o.send(x.operator, at[try%len(at)], x.routeOrder); outcome != history.Unknown {
+				if outcome, _ := o.send(x.operator, at[try%len(at)], x.routeChange); outcome != history.Unknown {
 					return
 				}
 			}
@@ -97,21 +98,22 @@
 	return func() {}
 }
 
-// assertOneContent checks that each route's version has been acknowledged for one operator, and refused to none whose order it was.
-func (o *observer) assertOneContent(t *testing.T, orders []placedOrder) {
+// assertOneContent checks that each route's version has been acknowledged for one operator, and rejected to none whose change it was.
+func (o *observer) assertOneContent(t *testing.T, changes []operatorChange) {
 	t.Helper()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	outcomes := map[string]map[history.Outcome]int{} // by order
+	outcomes := map[string]map[history.Outcome]int{} // by change
 	for _, c := range o.history.Changes {
 		if outcomes[c.ChangeID] == nil {
 			outcomes[c.ChangeID] = map[history.Outcome]int{}
 		}
 		outcomes[c.ChangeID][c.Outcome]++
 	}
-	for n := 0; n < len(orders); n += 2 {
-		one, other := outcomes[orders[n].name], outcomes[orders[n+1].name]
-		assert.Assert(t, (one[history.Acknowledged] > 0) != (other[history.Acknowledged] > 0), "%s %v, %s %v", orders[n].name, one, orders[n+1].name, other)
+	for n := 0; n < len(changes); n += 2 {
+		one, other := outcomes[changes[n].name], outcomes[changes[n+1].name]
+		assert.Assert(t, (one[history.Acknowledged] > 0) != (other[history.Acknowledged] > 0),
+			"%s %v, %s %v", changes[n].name, one, changes[n+1].name, other)
 		for _, x := range []map[history.Outcome]int{one, other} {
 			assert.Assert(t, x[history.Acknowledged] == 0 || x[history.Refused] == 0, "acknowledged and refused: %v", x)
 		}
--- a/internal/mesh/testcluster/seeds_test.go
+++ b/internal/mesh/testcluster/settings_test.go
@@ -5,10 +5,35 @@
 	"testing"
 
 	"gotest.tools/v3/assert"
+
+	"cranegrade/internal/rig"
 )
 
-// After the first start the seeds may be others, fewer, or down. Registers find each other by their disks where nobody answers at
-// their seeds, and none of them founds a second core; a line finds them by the one seed that is there.
+// Settings that change while a program runs are read, with SIGHUP and without: sidecars that start with seeds where nobody is
+// come up once the file names others, in the life that they have.
+func TestSettingsReload(t *testing.T) {
+	m := startCluster(t, "stock", "orders")
+	for n, hup := range []bool{true, false} {
+		x := m.Sidecars[n]
+		right := m.seeds
+		x.Kill()
+		assert.NilError(t, x.SetSeeds(m.subnet+".250:9"))
+		assert.NilError(t, x.Start())
+		var got Response
+		assert.Assert(t, rig.Await(testTimeout, func() bool { got = x.Send("GET", "/read/", "", nil); return got.Status == 503 }), "%v", got)
+		id := x.Process.Cmd.Process.Pid
+		assert.NilError(t, x.SetSeeds(right...))
+		if hup {
+			assert.NilError(t, x.SignalReload())
+		}
+		x.awaitServed(t, "GET", "/read/", "")
+		assert.Assert(t, !x.Process.Crashed() && x.Process.Cmd.Process.Pid == id)
+	}
+	m.assertNoViolations(t)
+}
+
+// After the first start the seeds may be others, fewer, or down. Members find each other by their disks where nobody answers at
+// their seeds, and none of them founds a second core; a sidecar finds them by the one seed that is there.
 func TestSeedsAreReplaced(t *testing.T) {
 	m := startCluster(t, "stock", "orders")
 	nobody := func(n int) string { return fmt.Sprintf("%s.%d:9", m.subnet, 240+n) }
--- a/internal/mesh/testcluster/speed_test.go
+++ b/internal/mesh/testcluster/speed_bench_test.go
@@ -34,11 +34,10 @@
 }
 
 // BenchmarkSpeed is how many changes are acknowledged and how soon at 1, 100 and 1,000 a second (open loop, two of three at
-// a register that does not lead), how many claims on keys one leader carries at most, with what of its processor, and the
-// most memory that registers and lines have held by then.
+// a member that does not lead), how many claims on keys one leader carries at most, with what of its processor, and the
+// most memory that members and sidecars have held by then.
 func BenchmarkSpeed(b *testing.B) {
-	m := startConfiguredWith(b, "stock", "orders")
-	defer m.Close()
+	m := startConfigured(b, "stock", "orders")
 	load := secondsOf(speedSecondsEnv, 5)
 	disk := startDiskProbe(b.TempDir())
 	for _, rate := range []int{1, 100, 1000} {
@@ -46,8 +45,8 @@
 	}
 	b.Run("claims", func(b *testing.B) { benchmarkClaims(b, m, load) })
 	b.Run("memory", func(b *testing.B) {
-		b.ReportMetric(peakMB(m.Members), "register-MB")
-		b.ReportMetric(peakMB(m.Sidecars), "line-MB")
+		b.ReportMetric(peakMB(m.Members), "member-MB")
+		b.ReportMetric(peakMB(m.Sidecars), "sidecar-MB")
 		disk.report(b)
 		b.ReportMetric(0, "ns/op")
 	})
@@ -144,7 +143,8 @@
 	t := &wire.KeyLeaseRequestsT{}
 	for n := range count {
 		key := fmt.Sprintf("%s-%08d", name, from+n)
-		t.List = append(t.List, &wire.KeyLeaseRequestT{Key: key, Token: "a1b2c3d4e5f6" + key, Holder: "127.0.0.1:30000/a1b2c3d4e5f6", WindowUs: time.Hour.Microseconds()})
+		t.List = append(t.List, &wire.KeyLeaseRequestT{Key: key, Token: "a1b2c3d4e5f6" + key,
+			Holder: "127.0.0.1:30000/a1b2c3d4e5f6", WindowUs: time.Hour.Microseconds()})
 	}
 	return codec.EncodeTable(t)
 }
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// awaitLeader waits until a register leads and says so.
+// awaitLeader waits until a member leads and says so.
 func awaitLeader(b *testing.B, m *Cluster) (leader *Machine) {
 	if !rig.Await(recoverTimeout, func() bool { leader = leaderOf(m); return leader != nil }) {
 		b.Fatal("no leader")
@@ -260,7 +260,7 @@
 	b.ReportMetric(spent.Seconds(), "s")
 	b.ReportMetric(min(1, float64(applied)/float64(target.AppliedIndex)), "applied-share")
 	b.ReportMetric(float64(passed()-before)/1e6, "MB-over-the-link")
-	b.ReportMetric(peakMB(m.Members), "register-MB")
+	b.ReportMetric(peakMB(m.Members), "member-MB")
 	claims.report(b, "claim")
 	changes.report(b, "change")
 }
