--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -155,7 +155,8 @@
 		`{"Name":"shop","ConfigVersion":1,"Owners":["ana"],"Hosts":["`+testcluster.Host+`"]},`+
 		`{"Name":"store","ConfigVersion":1,"Owners":["bo"],"Services":["stock"]}]}}`)
 	calmPolicy := func(version, attempts int) string {
-		return fmt.Sprintf(`{"Upsert":{"RulingList":[{"Name":"calm","Namespace":"store","ConfigVersion":%d,"Tries":%d,"TimeoutS":1.5}]}}`, version, attempts)
+		return fmt.Sprintf(`{"Upsert":{"RulingList":[{"Name":"calm","Namespace":"store","ConfigVersion":%d,"Tries":%d,"TimeoutS":1.5}]}}`,
+			version, attempts)
 	}
 	calm, looser := m.write(t, "calm.json", calmPolicy(1, 1)), m.write(t, "looser.json", calmPolicy(2, 2))
 	saved := m.path("saved.json")
--- /dev/null
+++ b/internal/mesh/cli/docs_test.go
@@ -0,0 +1,112 @@
+package cli
+
+import (
+	"fmt"
+	"os"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"cranegrade/internal/mesh/testcluster"
+	"cranegrade/internal/rig"
+)
+
+// pollPause is the time between two attempts at what is to happen soon.
+const pollPause = 100 * time.Millisecond
+
+// documentedPages are the operators' pages whose commands are run.
+var documentedPages = []string{"mesh.md", "maintenance.md", "rules.md", "teams.md"}
+
+var (
+	// documentedCommand is a command on an indented line of a page; what it does stands two spaces behind it.
+	documentedCommand = regexp.MustCompile(`^    meshctl ((?:\S+ )*?\S+)(?:   *\S.*)?$`)
+	optionalPart      = regexp.MustCompile(`\[([^\]]*)\]`)
+)
+
+// documentedCommands are the commands of a page, each with and without its optional parts.
+func documentedCommands(t *testing.T, page string) (commands []string) {
+	t.Helper()
+	text, err := os.ReadFile("../../../docs/" + page)
+	assert.NilError(t, err)
+	for line := range strings.Lines(string(text)) {
+		match := documentedCommand.FindStringSubmatch(strings.TrimRight(line, "\n"))
+		if match == nil {
+			continue
+		}
+		commands = append(commands, optionalPart.ReplaceAllString(match[1], ""))
+		for _, choice := range []string{"$1", ""} {
+			if with := optionalPart.ReplaceAllString(match[1], choice); with != commands[len(commands)-1] && !strings.Contains(with, "|") {
+				commands = append(commands, with)
+			}
+		}
+	}
+	assert.Assert(t, len(commands) > 0, "%s shows no commands", page)
+	return commands
+}
+
+// Each command that the operators' pages show is one that meshctl knows, and gets an answer from a running mesh.
+func TestDocumentedCommands(t *testing.T) {
+	m := startCommandsTest(t)
+	change := m.routeCall(t, "change.json", 3, []string{"stock", "orders"}, "read", "stock")
+	assert.Assert(t, rig.Await(testTimeout, func() bool { code, _ := runCommand(t, "apply", m.api, change); return code == ExitOK }))
+	assert.Assert(t, m.AwaitReady(testTimeout))
+	stopped := m.Members[2]
+	stopped.Kill()
+	patience := `{"Upsert":{"RulingList":[{"Name":"patience","Namespace":"shop","ConfigVersion":1,"Tries":1}]}}`
+	namespaces := `{"Upsert":{"NamespaceList":[{"Name":"shop","ConfigVersion":1,"Owners":["ana"],"Hosts":["` + testcluster.Host + `"]}]}}`
+	code, text := runCommand(t, "apply", "--wait", m.api, m.write(t, "namespaces.json", namespaces))
+	assert.Equal(t, code, ExitOK, text)
+	values := map[string]string{
+		"MEMBER": m.transport, "API": m.api, "SIDECAR": m.Sidecars[0].Addr("Inbound"), "CHANGE": change, "DIR": stopped.DataDir(),
+		"FILE": m.path("kept.json"), "MACHINE": m.Sidecars[0].Name, "MACHINE...": m.Sidecars[0].Name, "ORDER": "order-1", "NAME": "ana",
+		"NAME...": "stock", "SERVICE": "orders", "ROUTE": "read", "NAMESPACE": "shop", "NAMESPACE:NAME": "shop:ana",
+		"HOST": testcluster.Host, "PATH": "/read/x", "patience.json": m.write(t, "patience.json", patience), "saved.json": m.path("saved.json"),
+	}
+	code, text = runCommand(t, "backup", m.api, values["saved.json"])
+	assert.Equal(t, code, ExitOK, text)
+	for _, page := range documentedPages {
+		for _, command := range documentedCommands(t, page) {
+			t.Run(fmt.Sprint(page, " ", command), func(t *testing.T) { runDocumented(t, strings.Fields(command), values) })
+		}
+	}
+}
+
+// runDocumented runs a command with its placeholders filled in. Scenes of demos are only looked up: package demo plays them.
+func runDocumented(t *testing.T, args []string, values map[string]string) {
+	t.Helper()
+	for i, arg := range args {
+		if value, found := values[arg]; found {
+			args[i] = value
+		}
+	}
+	if args[0] == "demo" {
+		args = append(args, "--help")
+	}
+	if slices.Contains(args, "watch") || slices.Contains(args, "--watch") {
+		defer abortRepeatedly(t, values)()
+	}
+	code, text := runCommand(t, args...)
+	assert.Assert(t, code == ExitOK || code == ExitRejected, "%v: %d %s", args, code, text)
+}
+
+// abortRepeatedly aborts the order that a command follows, which would wait for approved hours else, until it is stopped.
+func abortRepeatedly(t *testing.T, values map[string]string) (stop func()) {
+	t.Helper()
+	done, ended := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(ended)
+		for {
+			select {
+			case <-done:
+				return
+			case <-time.After(pollPause):
+				runCommand(t, "maintenance", "abort", "--by", "ana", values["API"], values["ORDER"])
+			}
+		}
+	}()
+	return func() { close(done); <-ended }
+}
