--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -135,7 +135,7 @@
 		{commandTest: commandTest{0, "3 items acknowledged", []string{"restore", m.api, m.path("kept.json")}}},
 		{commandTest: commandTest{2, "Unknown command", []string{"nonsense"}}},
 		{commandTest: commandTest{2, "ADDR", []string{"status"}}},
-		{commandTest: commandTest{3, m.Members[0].IP + ":1", []string{"--timeout", "300ms", "status", m.Members[0].IP + ":1"}}},
+		{commandTest: commandTest{3, "dial " + m.Members[0].IP + ":1", []string{"--timeout", "300ms", "status", m.Members[0].IP + ":1"}}},
 		{commandTest: commandTest{0, `"message":"control-plane member followed"`, []string{"logs", inbound}}, noJSON: true},
 		{commandTest: commandTest{0, "stock 100 %", []string{"topology", m.transport, "--save", m.path("mesh.json")}}},
 		{commandTest: commandTest{0, "subgraph cluster_control_plane",
--- a/internal/mesh/testcluster/maintenance_members_test.go
+++ b/internal/mesh/testcluster/maintenance_members_test.go
@@ -80,7 +80,7 @@
 func (x *Machine) skewClock(t *testing.T) {
 	t.Helper()
 	x.Kill()
-	x.Args = []string{"--ahead", "40m"}
+	x.Args = []string{"--clock-offset", "40m"}
 	assert.NilError(t, x.Start())
 }
 
--- a/internal/mesh/testcluster/relay.go
+++ b/internal/mesh/testcluster/relay.go
@@ -43,7 +43,7 @@
 
 func (m *Cluster) relayTransport(x *Machine, known int) error {
 	behind := m.addr(x.IP, portBehindRelay)
-	x.Args = append(x.Args, "--listen-trunks", behind)
+	x.Args = append(x.Args, "--listen-transport", behind)
 	return m.relay.Listen(x.IP, m.addr(x.IP, known), behind, identifyByHello)
 }
 
