--- a/cmd/cranegrade/fleet.go
+++ b/cmd/cranegrade/fleet.go
@@ -28,8 +28,10 @@
 
 // joinFleet has a node join the fleet that its file names.
 func joinFleet(name string, c operator.Fleet, pools map[string]uint32) (node.Member, error) {
-	f, err := fleet.Start(fleet.Config{Name: name, Zone: c.Zone, Listen: c.Listen, Advertise: c.Advertise, Join: c.Join, Key: c.Key, Lease: c.Lease,
-		Nodes: c.Nodes, Settle: c.Settle, Probe: c.Probe, Pools: fleet.Services(pools)})
+	f, err := fleet.Start(fleet.Config{
+		Name: name, Zone: c.Zone, Listen: c.Listen, Advertise: c.Advertise, Join: c.Join, Key: c.Key, Lease: c.Lease,
+		Nodes: c.Nodes, Settle: c.Settle, Probe: c.Probe, Pools: fleet.Services(pools),
+	})
 	if err != nil {
 		return nil, err // no nil *Fleet in an interface
 	}
@@ -56,14 +58,16 @@
 		}
 		return s.Write(stdout)
 	}
-	root.AddCommand(&cobra.Command{Use: "forget NAME", Short: "take a member off the roll that is dead and won't come back", Args: cobra.ExactArgs(1),
+	root.AddCommand(&cobra.Command{
+		Use: "forget NAME", Short: "take a member off the roll that is dead and won't come back", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if _, err := askFleet(http.MethodPost, *config, "/fleet/forget?name="+url.QueryEscape(args[0])); err != nil {
 				return err
 			}
 			_, err := fmt.Fprintf(stdout, "%s is off the roll\n", args[0])
 			return err
-		}})
+		},
+	})
 	root.SetArgs(longFlags(args))
 	root.SetOut(stdout)
 	root.SetErr(stderr)
--- a/cmd/cranegrade/main.go
+++ b/cmd/cranegrade/main.go
@@ -45,10 +45,14 @@
 
 // openXDS dials the control planes of an operator's file.
 func openXDS(x operator.XDS) (node.XDSClient, error) {
-	return xds.Open(client.Config{Servers: x.Servers, Delta: x.Delta, Timeout: x.Timeout, MaxBytes: int(x.MaxResponse),
+	return xds.Open(client.Config{
+		Servers: x.Servers, Delta: x.Delta, Timeout: x.Timeout, MaxBytes: int(x.MaxResponse),
 		Clusters: resource.ClustersConfig{Keep: x.KeepOnRemoval, Grace: x.EmptyGrace}, Reports: x.LoadReports,
-		Node: &corev3.Node{Id: x.NodeID, Cluster: x.NodeCluster, UserAgentName: "cranegrade",
-			Locality: &corev3.Locality{Region: x.Region, Zone: x.Zone, SubZone: x.SubZone}}})
+		Node: &corev3.Node{
+			Id: x.NodeID, Cluster: x.NodeCluster, UserAgentName: "cranegrade",
+			Locality: &corev3.Locality{Region: x.Region, Zone: x.Zone, SubZone: x.SubZone},
+		},
+	})
 }
 
 // newH2 makes a sender for servers that speak HTTP/2.
@@ -61,9 +65,11 @@
 
 // newExtProc makes the front for proxies that ask.
 func newExtProc(l net.Listener, x operator.ExtProc, clock engine.Clock, n *node.Node) node.Front {
-	return extproc.New(l, extproc.Config{Clock: clock, Routes: questions{n}, Within: x.DecisionTimeout, Linger: x.Linger, Retries: x.Retries,
+	return extproc.New(l, extproc.Config{
+		Clock: clock, Routes: questions{n}, Within: x.DecisionTimeout, Linger: x.Linger, Retries: x.Retries,
 		Streams: uint32(x.Streams), Rate: x.Rate, ID: x.IDHeader, Clear: x.ClearRouteCache, Slim: x.HeadersOnly, TimeLeft: x.TimeLeft, Known: int(x.RememberedRequests),
-		RetryHeader: x.RetryHeader, ProxyStreams: int(x.ProxyStreams)})
+		RetryHeader: x.RetryHeader, ProxyStreams: int(x.ProxyStreams),
+	})
 }
 
 // questions finds the pools of proxies' questions by the node's routes.
--- a/cmd/cranegrade/main_test.go
+++ b/cmd/cranegrade/main_test.go
@@ -181,9 +181,14 @@
 			t.Errorf("%s: exit %d, %s%s", example, code, &out, &complaint)
 		}
 	}
-	for _, args := range [][]string{{}, {"-config", "../../deploy/examples/extproc.toml"}, {"-config", "none", "-mode", "header"},
-		{"-config", "../../deploy/examples/extproc.toml", "-mode", "every-try"}, {"-config", "../../deploy/examples/routes.toml", "-mode", "header"},
-		{"-config", "../../deploy/examples/extproc.toml", "-mode", "header", "-processor", "127.0.0.1:0"}} {
+	for _, args := range [][]string{
+		{},
+		{"-config", "../../deploy/examples/extproc.toml"},
+		{"-config", "none", "-mode", "header"},
+		{"-config", "../../deploy/examples/extproc.toml", "-mode", "every-try"},
+		{"-config", "../../deploy/examples/routes.toml", "-mode", "header"},
+		{"-config", "../../deploy/examples/extproc.toml", "-mode", "header", "-processor", "127.0.0.1:0"},
+	} {
 		var out, complaint bytes.Buffer
 		if code := proxyConfig(args, &out, &complaint); code == 0 || out.Len() > 0 || complaint.Len() == 0 {
 			t.Errorf("%v: exit %d, %s%s", args, code, &out, &complaint)
--- a/cmd/cranegrade/ops.go
+++ b/cmd/cranegrade/ops.go
@@ -27,9 +27,11 @@
 	var at []string
 	var config string
 	var within time.Duration
-	root := &cobra.Command{Use: "cranegrade ops", Short: "Call running nodes at their operators' ports",
+	root := &cobra.Command{
+		Use: "cranegrade ops", Short: "Call running nodes at their operators' ports",
 		Long:         "Each call goes to every node named with --at, or to the one whose file --config names. docs/operators-port.md says what they do.",
-		SilenceUsage: true, SilenceErrors: true}
+		SilenceUsage: true, SilenceErrors: true,
+	}
 	root.SetArgs(args)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
--- a/cmd/cranegrade/zones.go
+++ b/cmd/cranegrade/zones.go
@@ -124,8 +124,10 @@
 	book := zone.NewBook(plan.Zones.Limits)
 	book.Restore(state)
 	now := time.Now()
-	return report.Report{Node: plan.Name, Home: plan.Zones.Config.Home, At: now, Budgets: report.Budgets(book.Left(time.Duration(now.UnixNano()))),
-		Rows: report.Rows(book.Rows(), "", report.By{Pool: true, Class: true, Customer: true})}, nil
+	return report.Report{
+		Node: plan.Name, Home: plan.Zones.Config.Home, At: now, Budgets: report.Budgets(book.Left(time.Duration(now.UnixNano()))),
+		Rows: report.Rows(book.Rows(), "", report.By{Pool: true, Class: true, Customer: true}),
+	}, nil
 }
 
 // maxReport is the most bytes of a node's answer.
@@ -161,8 +163,10 @@
 		if err != nil {
 			continue
 		}
-		l = append(l, zone.Row{Key: zone.Key{Day: at.Unix() / 86400, Pair: zone.Pair{From: r.From, To: r.To}, Pool: r.Pool, Class: r.Class, Customer: r.Customer},
-			Traffic: zone.Traffic{Requests: r.Requests, Out: r.Out, In: r.In}})
+		l = append(l, zone.Row{
+			Key:     zone.Key{Day: at.Unix() / 86400, Pair: zone.Pair{From: r.From, To: r.To}, Pool: r.Pool, Class: r.Class, Customer: r.Customer},
+			Traffic: zone.Traffic{Requests: r.Requests, Out: r.Out, In: r.In},
+		})
 	}
 	return report.Rows(l, day, by)
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -116,9 +116,9 @@
 		p.open--
 		p.mu.Unlock()
 	}()
-	c.SetReadDeadline(time.Now().Add(readTimeout))
+	_ = c.SetReadDeadline(time.Now().Add(readTimeout))
 	line, err := readLine(c, func() { p.markActive(e) })
-	if err != nil && err != ErrTooLong {
+	if err != nil && !errors.Is(err, ErrTooLong) {
 		return // it said nothing whole, and is owed nothing
 	}
 	p.removeSilent(e)
@@ -134,13 +134,13 @@
 	if err != nil {
 		answer = "400 " + err.Error() + "\n"
 	}
-	c.SetWriteDeadline(time.Now().Add(writeTimeout))
-	io.WriteString(c, answer)
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, _ = io.WriteString(c, answer)
 	if t, is := c.(*net.TCPConn); is {
 		// What the caller sent beyond its line is read, or the answer might be lost to a reset.
-		t.CloseWrite()
-		c.SetReadDeadline(time.Now().Add(writeTimeout / 4))
-		io.Copy(io.Discard, io.LimitReader(c, MaxLine))
+		_ = t.CloseWrite()
+		_ = c.SetReadDeadline(time.Now().Add(writeTimeout / 4))
+		_, _ = io.Copy(io.Discard, io.LimitReader(c, MaxLine))
 	}
 }
 
@@ -165,6 +165,6 @@
 		if len(line) > MaxLine {
 			return "", ErrTooLong
 		}
-		r.Discard(len(part))
+		_, _ = r.Discard(len(part))
 	}
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -13,8 +13,10 @@
 )
 
 func TestParse(t *testing.T) {
-	for line, want := range map[string]Command{"check": {Verb: Check}, " set-down  s-1 ": {SetDown, "s-1"}, "set-up\ts-1": {SetUp, "s-1"},
-		"drain-on": {Verb: DrainOn}, "drain-off": {Verb: DrainOff}} {
+	for line, want := range map[string]Command{
+		"check": {Verb: Check}, " set-down  s-1 ": {SetDown, "s-1"}, "set-up\ts-1": {SetUp, "s-1"},
+		"drain-on": {Verb: DrainOn}, "drain-off": {Verb: DrainOff},
+	} {
 		if c, err := Parse(line); err != nil || c != want {
 			t.Errorf("%q: %+v, %v", line, c, err)
 		}
@@ -76,8 +78,10 @@
 func TestPort(t *testing.T) {
 	t.Parallel()
 	p := start(t, echo)
-	for text, want := range map[string]string{"check\n": "200 check\n", "set-down s\r\n": "200 set-downs\n", "set-up no\n": "400 none such\n",
-		"what\n": "400 ", "check\ncheck\n": "200 check\n", "\n": "400 ", "\x00\n": "400 ", strings.Repeat("x", 5*MaxLine): "400 "} {
+	for text, want := range map[string]string{
+		"check\n": "200 check\n", "set-down s\r\n": "200 set-downs\n", "set-up no\n": "400 none such\n",
+		"what\n": "400 ", "check\ncheck\n": "200 check\n", "\n": "400 ", "\x00\n": "400 ", strings.Repeat("x", 5*MaxLine): "400 ",
+	} {
 		c := dial(t, p)
 		go io.WriteString(c, text)
 		answer, err := io.ReadAll(c)
--- a/internal/hotrestart/file.go
+++ b/internal/hotrestart/file.go
@@ -32,7 +32,7 @@
 		err = os.Rename(f.Name(), filepath.Join(dir, fileName))
 	}
 	if err != nil {
-		os.Remove(f.Name())
+		_ = os.Remove(f.Name())
 	}
 	return err
 }
@@ -54,7 +54,7 @@
 	if err != nil {
 		return State{}, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	text, err := io.ReadAll(io.LimitReader(f, maxFile+1))
 	if err == nil && len(text) > maxFile {
 		err = errors.New("too long")
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -18,8 +18,10 @@
 )
 
 func sample() State {
-	s := State{Version: Version, At: 5, Seen: []uint64{1, 1 << 63}, Pools: []Pool{{Name: "p", List: "41",
-		Servers: []ListedServer{{ID: "a", Addr: "127.0.0.1:1", State: balancer.Draining, Boot: 7}}, Knowledge: &balancer.Knowledge{Window: 3}}}}
+	s := State{Version: Version, At: 5, Seen: []uint64{1, 1 << 63}, Pools: []Pool{{
+		Name: "p", List: "41",
+		Servers: []ListedServer{{ID: "a", Addr: "127.0.0.1:1", State: balancer.Draining, Boot: 7}}, Knowledge: &balancer.Knowledge{Window: 3},
+	}}}
 	s.Orders.SetServer("a", true, 9)
 	return s
 }
@@ -42,8 +44,10 @@
 		t.Errorf("%d files are left", len(l))
 	}
 	whole, _ := os.ReadFile(filepath.Join(dir, fileName))
-	for name, text := range map[string]string{"torn": string(whole[:len(whole)/2]), "empty": "", "of another version": `{"version":99}`,
-		"nonsense": "\x00\xff", "long": `{"version":1,"x":"` + strings.Repeat("x", maxFile) + `"}`} {
+	for name, text := range map[string]string{
+		"torn": string(whole[:len(whole)/2]), "empty": "", "of another version": `{"version":99}`,
+		"nonsense": "\x00\xff", "long": `{"version":1,"x":"` + strings.Repeat("x", maxFile) + `"}`,
+	} {
 		os.WriteFile(filepath.Join(dir, fileName), []byte(text), 0o600)
 		if s, err := Load(dir); err == nil || len(s.Orders.Servers) > 0 {
 			t.Errorf("%s: %+v, %v", name, s.Orders, err)
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -67,11 +67,11 @@
 func (l *Link) Done() <-chan struct{} { return l.done }
 
 // Close ends the link.
-func (l *Link) Close() { l.conn.Close() }
+func (l *Link) Close() { _ = l.conn.Close() }
 
 func (l *Link) run() {
 	defer func() {
-		l.conn.Close()
+		_ = l.conn.Close()
 		close(l.done)
 		if l.handlers.Gone != nil {
 			l.handlers.Gone()
@@ -114,7 +114,7 @@
 	}
 	l.write.Lock()
 	defer l.write.Unlock()
-	l.conn.SetWriteDeadline(time.Now().Add(ackTimeout))
+	_ = l.conn.SetWriteDeadline(time.Now().Add(ackTimeout))
 	_, err = l.conn.Write(append(text, '\n'))
 	return err
 }
@@ -136,7 +136,7 @@
 		l.mu.Unlock()
 	}()
 	if err := l.send(n); err != nil {
-		l.conn.Close()
+		_ = l.conn.Close()
 	}
 	wait := time.NewTimer(ackTimeout)
 	defer wait.Stop()
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -50,7 +50,7 @@
 	c := nc.(*net.UnixConn)
 	j, err := receiveState(c)
 	if err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil, err
 	}
 	return j, nil
@@ -61,7 +61,7 @@
 	if !isSameUser(c) {
 		return nil, errors.New("the predecessor is another user's")
 	}
-	c.SetDeadline(time.Now().Add(handshakeTimeout))
+	_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
 	text, _ := json.Marshal(hello{Version, os.Getpid()})
 	if _, err := c.Write(append(text, '\n')); err != nil {
 		return nil, err
@@ -76,11 +76,11 @@
 		closeFiles(files)
 		return nil, errors.Join(fmt.Errorf("its state: %d sockets of %d", len(files), len(s.Listeners)), err)
 	}
-	c.SetDeadline(time.Time{})
+	_ = c.SetDeadline(time.Time{})
 	j := &Predecessor{Link: newLink(c), State: s, sockets: map[string]*os.File{}}
 	for i, a := range s.Listeners {
 		if old := j.sockets[a]; old != nil {
-			old.Close()
+			_ = old.Close()
 		}
 		j.sockets[a] = files[i]
 	}
@@ -111,7 +111,7 @@
 
 func closeFiles(files []*os.File) {
 	for _, f := range files {
-		f.Close()
+		_ = f.Close()
 	}
 }
 
@@ -144,7 +144,7 @@
 		return nil
 	}
 	delete(j.sockets, addr)
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil
@@ -162,7 +162,7 @@
 		return
 	}
 	for a, f := range j.sockets {
-		f.Close()
+		_ = f.Close()
 		delete(j.sockets, a)
 	}
 }
--- a/internal/hotrestart/server.go
+++ b/internal/hotrestart/server.go
@@ -31,15 +31,15 @@
 	defer done()
 	// Under another name first, so that whoever looks finds the old one or ours, and neither half made.
 	own := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(own)
+	_ = os.Remove(own)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	l.SetUnlinkOnClose(false) // by then the name is a successor's
 	if err := errors.Join(os.Chmod(own, 0o600), os.Rename(own, path)); err != nil {
-		l.Close()
-		os.Remove(own)
+		_ = l.Close()
+		_ = os.Remove(own)
 		return nil, err
 	}
 	s := &Server{l, state, joined}
@@ -48,7 +48,7 @@
 }
 
 // Close takes no more successors; links go on.
-func (s *Server) Close() { s.listener.Close() }
+func (s *Server) Close() { _ = s.listener.Close() }
 
 func (s *Server) serve() {
 	for {
@@ -59,7 +59,7 @@
 		if l, err := s.handshake(c); err == nil {
 			s.onSuccessor(l)
 		} else {
-			c.Close()
+			_ = c.Close()
 		}
 	}
 }
@@ -69,7 +69,7 @@
 	if !isSameUser(c) {
 		return nil, errors.New("another user's")
 	}
-	c.SetDeadline(time.Now().Add(handshakeTimeout))
+	_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
 	var h hello
 	line, err := readLine(bufio.NewReaderSize(c, 256), 256)
 	if err == nil {
@@ -89,7 +89,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }()
 		state.Listeners = append(state.Listeners, l.Addr().String())
 		fds = append(fds, int(f.Fd()))
 	}
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	for _, fd := range fds {
-		unix.SetNonblock(fd, true) // File and Fd may have made it wait, and the flag is the socket's
+		_ = unix.SetNonblock(fd, true) // File and Fd may have made it wait, and the flag is the socket's
 	}
 	var size [4]byte
 	binary.BigEndian.PutUint32(size[:], uint32(len(text)))
@@ -112,6 +112,6 @@
 	if _, err := c.Write(text); err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Time{})
+	_ = c.SetDeadline(time.Time{})
 	return newLink(c), nil
 }
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return "", nil, err
 	}
-	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), socketName), func() { d.Close() }, nil
+	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), socketName), func() { _ = d.Close() }, nil
 }
 
 // isOwnFile says that a file is this user's own, and so not put there by another.
@@ -41,7 +41,7 @@
 		return false
 	}
 	uid := -1
-	raw.Control(func(fd uintptr) {
+	_ = raw.Control(func(fd uintptr) {
 		if cred, err := unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED); err == nil {
 			uid = int(cred.Uid)
 		}
@@ -58,7 +58,7 @@
 		switch {
 		case err == nil:
 			return line[:len(line)-1], nil
-		case err != bufio.ErrBufferFull:
+		case !errors.Is(err, bufio.ErrBufferFull):
 			return nil, err
 		case len(line) > most:
 			return nil, errors.New("the line is too long")
--- a/internal/node/admin_state.go
+++ b/internal/node/admin_state.go
@@ -30,8 +30,10 @@
 }
 
 func newAdminState(clock engine.Clock) *adminState {
-	d := &adminState{clock: clock, listed: map[string]int{}, seen: adminstate.NewSeenServers(adminstate.SeenCapacity),
-		onChange: func([]string) {}, replicate: func() error { return nil }}
+	d := &adminState{
+		clock: clock, listed: map[string]int{}, seen: adminstate.NewSeenServers(adminstate.SeenCapacity),
+		onChange: func([]string) {}, replicate: func() error { return nil },
+	}
 	d.state.Store(&adminstate.State{})
 	return d
 }
--- a/internal/node/bench_h2_test.go
+++ b/internal/node/bench_h2_test.go
@@ -108,8 +108,10 @@
 	}
 	onward := &http.Transport{Protocols: new(http.Protocols)}
 	onward.Protocols.SetUnencryptedHTTP2(true)
-	s := &http.Server{Protocols: new(http.Protocols), Handler: &httputil.ReverseProxy{Transport: onward,
-		Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(&url.URL{Scheme: "http", Host: server}) }}}
+	s := &http.Server{Protocols: new(http.Protocols), Handler: &httputil.ReverseProxy{
+		Transport: onward,
+		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(&url.URL{Scheme: "http", Host: server}) },
+	}}
 	s.Protocols.SetUnencryptedHTTP2(true)
 	done := make(chan struct{})
 	go func() { defer close(done); s.Serve(l) }()
@@ -168,8 +170,14 @@
 			fr := http2.NewFramer(open(), nil)
 			for j := range 250 {
 				block.Reset()
-				for _, f := range [][2]string{{":method", "GET"}, {":scheme", "http"}, {":authority", "p"}, {":path", "/read/x"},
-					{"x-correlation-id", fmt.Sprint(i, "-", j)}, {"x-time-left", "9000m"}} {
+				for _, f := range [][2]string{
+					{":method", "GET"},
+					{":scheme", "http"},
+					{":authority", "p"},
+					{":path", "/read/x"},
+					{"x-correlation-id", fmt.Sprint(i, "-", j)},
+					{"x-time-left", "9000m"},
+				} {
 					enc.WriteField(hpack.HeaderField{Name: f[0], Value: f[1], Sensitive: true})
 				}
 				fr.WriteHeaders(http2.HeadersFrameParam{StreamID: uint32(2*j + 1), BlockFragment: block.Bytes(), EndHeaders: true, EndStream: true})
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -73,8 +73,10 @@
 func TestHalfARequest(t *testing.T) {
 	t.Parallel()
 	n := startNode(t, testConfig("127.0.0.1:1"), nil)
-	for _, text := range []string{"", "GET /read/1 HT", "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Corr",
-		"POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 5000m\r\nContent-Length: 9\r\n\r\nhalf"} {
+	for _, text := range []string{
+		"", "GET /read/1 HT", "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Corr",
+		"POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 5000m\r\nContent-Length: 9\r\n\r\nhalf",
+	} {
 		c := dial(t, n.Addr().String())
 		io.WriteString(c, text)
 		answer, err := io.ReadAll(c)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -77,8 +77,10 @@
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return Config{}, err
 	}
-	c := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Operator: raw.Operator,
-		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets}
+	c := Config{
+		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Operator: raw.Operator,
+		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets,
+	}
 	var err error
 	for _, a := range []struct{ name, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -68,8 +68,10 @@
 	failed(false)
 	query(9)
 	// A line that is not whole or makes no sense ends the watch and changes nothing.
-	for _, bad := range []string{"{", testkit.ListMessage(12, true, testkit.Entry("c", "SLEEPING")), testkit.ListMessage(12, true, testkit.Entry("", "SERVING")),
-		testkit.ListMessage(12, true, strings.Replace(testkit.Entry("c", "SERVING"), "127.0.0.1:1", "nowhere", 1))} {
+	for _, bad := range []string{
+		"{", testkit.ListMessage(12, true, testkit.Entry("c", "SLEEPING")), testkit.ListMessage(12, true, testkit.Entry("", "SERVING")),
+		testkit.ListMessage(12, true, strings.Replace(testkit.Entry("c", "SERVING"), "127.0.0.1:1", "nowhere", 1)),
+	} {
 		lines <- bad
 		failed(true)
 		query(9)
--- a/internal/node/grpc_test.go
+++ b/internal/node/grpc_test.go
@@ -80,8 +80,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, stop := running(t, plan, Options{H2: newH2Sender,
-		GRPC: func(n *Node) front.Dialect { return grpcfront.Dialect{Serving: n.Serves} }})
+	n, stop := running(t, plan, Options{
+		H2:   newH2Sender,
+		GRPC: func(n *Node) front.Dialect { return grpcfront.Dialect{Serving: n.Serves} },
+	})
 	c, err = grpc.NewClient(n.Addrs()[0].String(), grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.ForceCodec(raw{})), grpc.WithDisableRetry())
 	if err != nil {
--- a/internal/node/h2_attacks_test.go
+++ b/internal/node/h2_attacks_test.go
@@ -63,8 +63,14 @@
 
 // fields are a good request's, and more.
 func fields(addr, id string, more ...[2]string) [][2]string {
-	return append([][2]string{{":method", "POST"}, {":scheme", "http"}, {":authority", addr}, {":path", "/order/x"},
-		{"x-correlation-id", id}, {"x-time-left", "5000m"}}, more...)
+	return append([][2]string{
+		{":method", "POST"},
+		{":scheme", "http"},
+		{":authority", addr},
+		{":path", "/order/x"},
+		{"x-correlation-id", id},
+		{"x-time-left", "5000m"},
+	}, more...)
 }
 
 func (a *attacker) block(l [][2]string) []byte {
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -128,8 +128,10 @@
 		}
 		hp := hotrestart.Pool{Name: name, List: x.Version, Knowledge: x.Knowledge}
 		for _, v := range x.Servers {
-			hp.Servers = append(hp.Servers, hotrestart.ListedServer{ID: v.ID, Addr: v.Addr, Zone: v.Zone, Cell: v.Cell, State: v.State,
-				Size: v.Size, Boot: v.Boot, Weight: v.Weight, Priority: v.Priority})
+			hp.Servers = append(hp.Servers, hotrestart.ListedServer{
+				ID: v.ID, Addr: v.Addr, Zone: v.Zone, Cell: v.Cell, State: v.State,
+				Size: v.Size, Boot: v.Boot, Weight: v.Weight, Priority: v.Priority,
+			})
 		}
 		s.Pools = append(s.Pools, hp)
 	}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -40,18 +40,30 @@
 // shared are the budgets with a plan's totals.
 func (b *budgets) shared(t operator.Totals) []sharedBudget {
 	return []sharedBudget{
-		{b.calls, t.Calls, func(s pool.Shares) *pool.Share { return s.Calls },
-			func(l operator.Limits) pool.Quota { return l.Calls }},
-		{b.held, t.Held, func(s pool.Shares) *pool.Share { return s.Held },
-			func(l operator.Limits) pool.Quota { return l.Held }},
-		{b.connections, t.Connections, func(s pool.Shares) *pool.Share { return s.Connections },
-			func(l operator.Limits) pool.Quota { return l.Connections }},
-		{b.bodies, t.Bodies, func(s pool.Shares) *pool.Share { return s.Bodies },
-			func(l operator.Limits) pool.Quota { return l.Bodies }},
-		{b.longAnswers, t.LongAnswers, func(s pool.Shares) *pool.Share { return s.LongAnswers },
-			func(l operator.Limits) pool.Quota { return l.LongAnswers }},
-		{b.callers, t.Callers, func(s pool.Shares) *pool.Share { return s.Callers },
-			func(l operator.Limits) pool.Quota { return l.Callers }},
+		{
+			b.calls, t.Calls, func(s pool.Shares) *pool.Share { return s.Calls },
+			func(l operator.Limits) pool.Quota { return l.Calls },
+		},
+		{
+			b.held, t.Held, func(s pool.Shares) *pool.Share { return s.Held },
+			func(l operator.Limits) pool.Quota { return l.Held },
+		},
+		{
+			b.connections, t.Connections, func(s pool.Shares) *pool.Share { return s.Connections },
+			func(l operator.Limits) pool.Quota { return l.Connections },
+		},
+		{
+			b.bodies, t.Bodies, func(s pool.Shares) *pool.Share { return s.Bodies },
+			func(l operator.Limits) pool.Quota { return l.Bodies },
+		},
+		{
+			b.longAnswers, t.LongAnswers, func(s pool.Shares) *pool.Share { return s.LongAnswers },
+			func(l operator.Limits) pool.Quota { return l.LongAnswers },
+		},
+		{
+			b.callers, t.Callers, func(s pool.Shares) *pool.Share { return s.Callers },
+			func(l operator.Limits) pool.Quota { return l.Callers },
+		},
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -27,17 +27,24 @@
 
 func testConfig(discovery string, targets ...registry.Target) Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Effect: e, Scope: balancer.ScopeAll, Window: 10 * time.Second,
-			Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1}
+		return balancer.Class{
+			Name: name, Effect: e, Scope: balancer.ScopeAll, Window: 10 * time.Second,
+			Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1,
+		}
 	}
-	return Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, Sockets: 256,
+	return Config{
+		Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, Sockets: 256,
 		Known: registry.List{Rev: 7, All: true, Targets: targets},
 		Settings: balancer.Settings{
-			Classes: []balancer.Class{class("read", balancer.Safe), class("send", balancer.Keyed),
-				class("order", balancer.Unsafe)},
+			Classes: []balancer.Class{
+				class("read", balancer.Safe), class("send", balancer.Keyed),
+				class("order", balancer.Unsafe),
+			},
 			Balancers: 1, MaxAttempts: 6, MayCancel: true, AskDiscovery: true,
-			AskWithin: 160 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second},
-		Conns: wire.Connections{Idle: time.Minute, ConnectWithin: limit}}
+			AskWithin: 160 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second,
+		},
+		Conns: wire.Connections{Idle: time.Minute, ConnectWithin: limit},
+	}
 }
 
 func listed(uid, addr string) registry.Target {
@@ -226,8 +233,10 @@
 	n := startNode(t, testConfig("127.0.0.1:1"), moduleFunc(func(e balancer.Event) []balancer.Action {
 		switch r, _ := e.(balancer.Request); r.Class {
 		case "read":
-			return []balancer.Action{balancer.Refuse{ID: r.ID, RetryAfter: 250 * time.Millisecond},
-				balancer.Fail{ID: r.ID}} // the second is ignored
+			return []balancer.Action{
+				balancer.Refuse{ID: r.ID, RetryAfter: 250 * time.Millisecond},
+				balancer.Fail{ID: r.ID},
+			} // the second is ignored
 		case "order":
 			return []balancer.Action{balancer.Fail{ID: r.ID}}
 		}
@@ -334,8 +343,12 @@
 			if e.Class == "read" {
 				return []balancer.Action{send("nowhere"), send("nowhere"), send("s"), balancer.Fail{ID: e.ID}}
 			}
-			return []balancer.Action{balancer.Cancel{ID: e.ID, Attempt: 3}, send("nowhere"),
-				balancer.Fail{ID: e.ID}, send("s")}
+			return []balancer.Action{
+				balancer.Cancel{ID: e.ID, Attempt: 3},
+				send("nowhere"),
+				balancer.Fail{ID: e.ID},
+				send("s"),
+			}
 		case balancer.Outcome:
 			outcomes <- e
 		}
--- a/internal/node/plan.go
+++ b/internal/node/plan.go
@@ -19,11 +19,15 @@
 func (c Config) plan() operator.Plan {
 	known := c.Known.News()
 	known.Cached = true
-	return operator.Plan{Name: c.Name, Listen: []string{c.Listen}, Cores: c.Cores, MemoryMB: c.MemoryMB,
+	return operator.Plan{
+		Name: c.Name, Listen: []string{c.Listen}, Cores: c.Cores, MemoryMB: c.MemoryMB,
 		Operator: c.Operator, State: c.State,
 		Totals: operator.TotalsFor(c.Sockets, c.MemoryMB, operatorsDescriptors(c.Operator)),
-		Pools: []operator.Pool{{Settings: c.Settings, Conns: c.Conns, Seed: c.Seed, Known: known,
-			Pushed: !c.Settings.AskDiscovery, List: operator.List{Registry: c.Discovery}}}}
+		Pools: []operator.Pool{{
+			Settings: c.Settings, Conns: c.Conns, Seed: c.Seed, Known: known,
+			Pushed: !c.Settings.AskDiscovery, List: operator.List{Registry: c.Discovery},
+		}},
+	}
 }
 
 // operatorsDescriptors are set aside for operators' calls and a successor.
--- a/internal/node/xds_test.go
+++ b/internal/node/xds_test.go
@@ -37,10 +37,12 @@
 
 // openXDS is the program's, with shorter waits.
 func openXDS(x operator.XDS) (XDSClient, error) {
-	return sourcexds.Open(client.Config{Servers: x.Servers, Delta: x.Delta, Timeout: x.Timeout, MaxBytes: int(x.MaxResponse),
+	return sourcexds.Open(client.Config{
+		Servers: x.Servers, Delta: x.Delta, Timeout: x.Timeout, MaxBytes: int(x.MaxResponse),
 		Clusters: resource.ClustersConfig{Keep: x.KeepOnRemoval, Grace: x.EmptyGrace}, Reports: x.LoadReports,
 		Node:     &corev3.Node{Id: x.NodeID},
-		Failover: ads.FailoverConfig{First: 5 * time.Millisecond, Most: 50 * time.Millisecond}})
+		Failover: ads.FailoverConfig{First: 5 * time.Millisecond, Most: 50 * time.Millisecond},
+	})
 }
 
 func newXDSWorld(t *testing.T) *xdsWorld {
@@ -74,10 +76,13 @@
 }
 
 func (w *xdsWorld) cluster(name string) {
-	w.plane.Set(resource.ClusterURL, map[string]proto.Message{name: &clusterv3.Cluster{Name: name,
+	w.plane.Set(resource.ClusterURL, map[string]proto.Message{name: &clusterv3.Cluster{
+		Name:                 name,
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
 		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{
-			EdsConfig: &corev3.ConfigSource{ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}}}})
+			EdsConfig: &corev3.ConfigSource{ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}},
+		},
+	}})
 }
 
 func (w *xdsWorld) list(name string, drop uint32, entries ...xdsEntry) {
@@ -85,17 +90,21 @@
 	l := &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: "z"}}
 	for _, e := range entries {
 		_, ms := e.Boot()
-		l.LbEndpoints = append(l.LbEndpoints, &endpointv3.LbEndpoint{HealthStatus: e.health,
+		l.LbEndpoints = append(l.LbEndpoints, &endpointv3.LbEndpoint{
+			HealthStatus:   e.health,
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Address: resource.Address(e.Addr())}},
 			Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{resource.Metadata: {Fields: map[string]*structpb.Value{
-				"uid": structpb.NewStringValue(e.ID()), "boot_ms": structpb.NewNumberValue(ms)}}}}})
+				"uid": structpb.NewStringValue(e.ID()), "boot_ms": structpb.NewNumberValue(ms),
+			}}}},
+		})
 	}
 	if entries != nil {
 		a.Endpoints = append(a.Endpoints, l)
 	}
 	if drop > 0 {
 		a.Policy = &endpointv3.ClusterLoadAssignment_Policy{DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{
-			{Category: "all", DropPercentage: &typev3.FractionalPercent{Numerator: drop}}}}
+			{Category: "all", DropPercentage: &typev3.FractionalPercent{Numerator: drop}},
+		}}
 	}
 	w.plane.Set(resource.EndpointURL, map[string]proto.Message{name: a})
 }
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -131,6 +131,7 @@
 				at += "[" + strconv.Itoa(n-1) + "]"
 			}
 			f.lines[at] = line
+		default: // the parser gives no other kind of expression
 		}
 	}
 }
@@ -172,6 +173,7 @@
 			f.lines[element] = line
 			f.locateInside(element, n, line)
 		}
+	default: // a single value has nothing inside
 	}
 }
 
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -16,8 +16,10 @@
 	if x == nil {
 		return
 	}
-	fl := &Fleet{Listen: x.text("listen", ""), Join: x.textList("join"), Zone: x.text("zone", ""), Nodes: nodes,
-		Lease: x.duration("lease", defaultLease), Settle: x.duration("settle", defaultSettle), Probe: x.duration("probe", defaultProbe)}
+	fl := &Fleet{
+		Listen: x.text("listen", ""), Join: x.textList("join"), Zone: x.text("zone", ""), Nodes: nodes,
+		Lease: x.duration("lease", defaultLease), Settle: x.duration("settle", defaultSettle), Probe: x.duration("probe", defaultProbe),
+	}
 	p.Fleet = fl
 	fl.Advertise = x.text("advertise", fl.Listen)
 	if err := ipAddress(fl.Listen, true); err != nil {
@@ -37,12 +39,7 @@
 			x.fault(fmt.Sprintf("join[%d]", i), "%v", err)
 		}
 	}
-	if key := x.text("key", ""); x.has("key") {
-		var err error
-		if fl.Key, err = base64.StdEncoding.DecodeString(key); err != nil || !slices.Contains([]int{16, 24, 32}, len(fl.Key)) {
-			x.fault("key", "is not the base64 of 16, 24 or 32 bytes")
-		}
-	}
+	fl.Key = fleetKey(x)
 	if len(fl.Zone) > membership.MaxZone {
 		x.fault("zone", "is longer than %d bytes", membership.MaxZone)
 	}
@@ -50,8 +47,11 @@
 		key         string
 		is          time.Duration
 		least, most time.Duration
-	}{{"lease", fl.Lease, 500 * time.Millisecond, time.Minute}, {"settle", fl.Settle, 100 * time.Millisecond, time.Minute},
-		{"probe", fl.Probe, 50 * time.Millisecond, 10 * time.Second}} {
+	}{
+		{"lease", fl.Lease, 500 * time.Millisecond, time.Minute},
+		{"settle", fl.Settle, 100 * time.Millisecond, time.Minute},
+		{"probe", fl.Probe, 50 * time.Millisecond, 10 * time.Second},
+	} {
 		if d.is < d.least || d.is > d.most {
 			x.fault(d.key, "%v is not between %v and %v", d.is, d.least, d.most)
 		}
@@ -70,6 +70,19 @@
 	x.rejectUnknownKeys()
 }
 
+// fleetKey reads the key that all members share, of AES-128, -192 or -256; nil: there is none.
+func fleetKey(x *table) (key []byte) {
+	text := x.text("key", "")
+	if !x.has("key") {
+		return nil
+	}
+	key, err := base64.StdEncoding.DecodeString(text)
+	if err != nil || !slices.Contains([]int{16, 24, 32}, len(key)) {
+		x.fault("key", "is not the base64 of 16, 24 or 32 bytes")
+	}
+	return key
+}
+
 // ipAddress checks a host:port whose host is an IP address.
 func ipAddress(s string, listener bool) error {
 	if err := address(s, listener); err != nil {
--- a/internal/operator/pools.go
+++ b/internal/operator/pools.go
@@ -9,8 +9,10 @@
 var (
 	effects = map[string]balancer.Effect{"unsafe": balancer.Unsafe, "keyed": balancer.Keyed, "safe": balancer.Safe}
 	scopes  = map[string]balancer.Scope{"cell": balancer.ScopeCell, "zone": balancer.ScopeZone, "all": balancer.ScopeAll}
-	sizes   = map[string]balancer.Sizes{"unknown": balancer.SizesUnknown, "nominal": balancer.SizesNominal,
-		"rough": balancer.SizesRough, "live": balancer.SizesLive}
+	sizes   = map[string]balancer.Sizes{
+		"unknown": balancer.SizesUnknown, "nominal": balancer.SizesNominal,
+		"rough": balancer.SizesRough, "live": balancer.SizesLive,
+	}
 )
 
 // pools reads the [[pools]] but for their limits, with the tables that they stand in.
@@ -83,7 +85,8 @@
 // settings reads what the balancer is told of a pool.
 func (f *document) settings(t *table, p *Pool, nodes, index int) {
 	cold, weights := t.tableOrEmpty("cold"), t.tableOrEmpty("weights")
-	p.Settings = balancer.Settings{Balancers: nodes, Index: index, Tier: int(t.count("tier", 0)),
+	p.Settings = balancer.Settings{
+		Balancers: nodes, Index: index, Tier: int(t.count("tier", 0)),
 		WholeWeight: weights.number("whole", defaultWhole), ClassWeight: weights.number("worst_class", defaultWorstClass),
 		TenantWeight: weights.number("tenants", 0), OverShare: weights.number("over_quota", defaultOverQuota),
 		WorstTenantWeight: weights.number("worst_tenant", defaultWorstTenant),
@@ -92,7 +95,8 @@
 		MayCancel: t.boolean("cancel", true), Sizes: choice(t, "sizes", balancer.SizesUnknown, sizes),
 		Tick: 1e6, MaxRetryAfter: t.duration("retry_after", defaultRetryAfter),
 		ColdFrom: cold.number("from", defaultColdFrom), WarmAfter: cold.duration("warm_after", defaultWarmAfter),
-		FallMultiple: cold.number("fall_multiple", defaultFallMultiple), FallFor: cold.duration("fall_for", defaultFallFor)}
+		FallMultiple: cold.number("fall_multiple", defaultFallMultiple), FallFor: cold.duration("fall_for", defaultFallFor),
+	}
 	if p.Settings.MaxAttempts < 1 || p.Settings.MaxAttempts > 100 {
 		t.fault("attempts", "%d is not between 1 and 100", p.Settings.MaxAttempts)
 	}
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -52,8 +52,10 @@
 
 // route reads one of the [[routes]].
 func (f *document) route(t *table, pools map[string]*Pool) route.Route {
-	r := route.Route{Host: t.text("host", ""), Path: t.text("path", ""), Prefix: t.text("prefix", ""),
-		Regexp: t.text("regexp", ""), Methods: t.textList("methods"), Classes: t.textList("classes"), Class: t.text("class", "")}
+	r := route.Route{
+		Host: t.text("host", ""), Path: t.text("path", ""), Prefix: t.text("prefix", ""),
+		Regexp: t.text("regexp", ""), Methods: t.textList("methods"), Classes: t.textList("classes"), Class: t.text("class", ""),
+	}
 	if r.Host == "*" {
 		r.Host = ""
 	}
--- a/internal/operator/servers.go
+++ b/internal/operator/servers.go
@@ -29,8 +29,10 @@
 	}
 	ids := map[string]bool{}
 	for _, st := range tables {
-		s := engine.Listed{Addr: st.text("address", ""), Server: balancer.Server{ID: st.text("id", ""),
-			Zone: st.text("zone", ""), Cell: int(st.count("cell", 0)), Size: st.number("size", 1)}}
+		s := engine.Listed{Addr: st.text("address", ""), Server: balancer.Server{
+			ID:   st.text("id", ""),
+			Zone: st.text("zone", ""), Cell: int(st.count("cell", 0)), Size: st.number("size", 1),
+		}}
 		if err := address(s.Addr, false); err != nil {
 			st.fault("address", "%v", err)
 		}
--- a/internal/operator/xds.go
+++ b/internal/operator/xds.go
@@ -14,12 +14,14 @@
 		return
 	}
 	loc := x.tableOrEmpty("locality")
-	p.XDS = &XDS{Servers: x.textList("servers"), Delta: choice(x, "variant", true, map[string]bool{"delta": true, "sotw": false}),
+	p.XDS = &XDS{
+		Servers: x.textList("servers"), Delta: choice(x, "variant", true, map[string]bool{"delta": true, "sotw": false}),
 		NodeID: x.text("node_id", p.Name), NodeCluster: x.text("node_cluster", "cranegrade"),
 		Region: loc.text("region", ""), Zone: loc.text("zone", ""), SubZone: loc.text("sub_zone", ""),
 		Timeout: x.duration("resource_timeout", defaultTimeout), KeepOnRemoval: x.boolean("keep_on_removal", false),
 		EmptyGrace: x.duration("empty_grace", defaultGrace), MaxResponse: x.bytes("max_response", defaultMaxResponse),
-		LoadReports: x.duration("load_reports", 0)}
+		LoadReports: x.duration("load_reports", 0),
+	}
 	p.XDS.check(x)
 	loc.rejectUnknownKeys()
 	x.rejectUnknownKeys()
--- a/internal/operator/zones.go
+++ b/internal/operator/zones.go
@@ -26,8 +26,10 @@
 	if x == nil {
 		return
 	}
-	z := &Zones{State: x.text("state", ""), Config: zone.Config{Home: x.text("home", ""), Second: x.number("second", 0),
-		Unknown: choice(x, "unknown", zone.Last, unknowns), Nodes: max(1, nodes), Costs: map[zone.Pair]zone.Cost{}}}
+	z := &Zones{State: x.text("state", ""), Config: zone.Config{
+		Home: x.text("home", ""), Second: x.number("second", 0),
+		Unknown: choice(x, "unknown", zone.Last, unknowns), Nodes: max(1, nodes), Costs: map[zone.Pair]zone.Cost{},
+	}}
 	p.Zones = z
 	if z.Config.Home == "" {
 		x.fault("home", "missing: the zone that this node stands in")
@@ -80,9 +82,11 @@
 
 // zoneLimit reads this node's part of a pair's limits; limited: the pair has one.
 func zoneLimit(pt *table, pair zone.Pair, classes map[string]bool, nodes int) (l zone.Limit, limited bool) {
-	l = zone.Limit{Pair: pair, RequestsHour: pt.count("requests_hour", 0), RequestsDay: pt.count("requests_day", 0),
+	l = zone.Limit{
+		Pair: pair, RequestsHour: pt.count("requests_hour", 0), RequestsDay: pt.count("requests_day", 0),
 		BytesHour: pt.bytes("bytes_hour", 0), BytesDay: pt.bytes("bytes_day", 0), Beyond: pt.textList("beyond"),
-		Lend: pt.number("lend", 0), Reply: pt.bytes("reply", 0)}
+		Lend: pt.number("lend", 0), Reply: pt.bytes("reply", 0),
+	}
 	limited = l.RequestsHour+l.RequestsDay+l.BytesHour+l.BytesDay > 0
 	for i, name := range l.Beyond {
 		if !classes[name] {
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -147,7 +147,7 @@
 	code := 0
 	for _, path := range paths {
 		p, err := operator.Load(path)
-		switch faults := (operator.Faults)(nil); {
+		switch faults := operator.Faults(nil); {
 		case errors.As(err, &faults):
 			for _, f := range faults {
 				fmt.Fprintln(stdout, f.Error())
