--- a/cmd/cranegrade/ops.go
+++ b/cmd/cranegrade/ops.go
@@ -45,41 +45,15 @@
 			use += " ID"
 		}
 		root.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(arguments), RunE: func(cmd *cobra.Command, args []string) error {
-			to := at
-			if config != "" {
-				plan, err := operator.Load(config)
-				if err != nil {
-					return err
-				}
-				if plan.Operator == "" {
-					return fmt.Errorf("%s names no operator address", config)
-				}
-				to = append(to, plan.Operator)
-			}
-			if len(to) == 0 {
-				return errors.New("no node is named: --at ADDRESS or --config FILE")
+			to, err := nodesOf(at, config)
+			if err != nil {
+				return err
 			}
 			c := admin.Command{Verb: verb}
 			if arguments > 0 {
 				c.ID = args[0]
 			}
-			var failed error
-			for _, addr := range to {
-				ctx, cancel := context.WithTimeout(cmd.Context(), within)
-				yes, text, err := admin.Send(ctx, addr, c)
-				cancel()
-				switch {
-				case err != nil:
-					fmt.Fprintf(stdout, "%s: no answer: %v\n", addr, err)
-					failed = errNo
-				case yes:
-					fmt.Fprintf(stdout, "%s: yes: %s\n", addr, text)
-				default:
-					fmt.Fprintf(stdout, "%s: no: %s\n", addr, text)
-					failed = errNo
-				}
-			}
-			return failed
+			return sendToAll(cmd.Context(), stdout, to, c, within)
 		}})
 	}
 	call(admin.Check, "does the node take clients", 0)
@@ -96,3 +70,43 @@
 	}
 	return 1
 }
+
+// nodesOf are the nodes to call: those of at, and the one whose file config names.
+func nodesOf(at []string, config string) ([]string, error) {
+	to := at
+	if config != "" {
+		plan, err := operator.Load(config)
+		if err != nil {
+			return nil, err
+		}
+		if plan.Operator == "" {
+			return nil, fmt.Errorf("%s names no operator address", config)
+		}
+		to = append(to, plan.Operator)
+	}
+	if len(to) == 0 {
+		return nil, errors.New("no node is named: --at ADDRESS or --config FILE")
+	}
+	return to, nil
+}
+
+// sendToAll sends a command to one node after the other, and prints what each answers. errNo: not all said yes.
+func sendToAll(ctx context.Context, stdout io.Writer, to []string, c admin.Command, within time.Duration) error {
+	var failed error
+	for _, addr := range to {
+		limited, cancel := context.WithTimeout(ctx, within)
+		yes, text, err := admin.Send(limited, addr, c)
+		cancel()
+		switch {
+		case err != nil:
+			fmt.Fprintf(stdout, "%s: no answer: %v\n", addr, err)
+			failed = errNo
+		case yes:
+			fmt.Fprintf(stdout, "%s: yes: %s\n", addr, text)
+		default:
+			fmt.Fprintf(stdout, "%s: no: %s\n", addr, text)
+			failed = errNo
+		}
+	}
+	return failed
+}
