--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet is a node among others: the gossip that finds out who lives, the beats by which members grant each
+// Package fleet is a node among others: the gossip that finds out who lives, the heartbeats by which members grant each
 // other their parts, and the clock that goes on while the process is stopped. What it hears it hands to
 // fleet/membership, which decides; what comes out it publishes to the modules of the pools. It decides nothing itself.
 package fleet
@@ -50,7 +50,7 @@
 	stop        chan struct{}
 	done        sync.WaitGroup
 
-	sent, received atomic.Int64                     // bytes of beats, rolls and digests, without the gossip's own
+	sent, received atomic.Int64                     // bytes of heartbeats, rosters and digests, without the gossip's own
 	broadcasts     *memberlist.TransmitLimitedQueue // digests on their way to all
 	known          atomic.Int64                     // members
 
@@ -63,7 +63,7 @@
 	nodes              map[string]memberlist.Node // as last heard of, also those that have failed
 	gates              map[uint32]*Gate
 	pools              map[uint32]string
-	rosterSentAt       map[string]time.Duration // when a member was last told the whole roll
+	rosterSentAt       map[string]time.Duration // when a member was last told the whole roster
 	leaving            bool
 	stalls             []Stall
 	unreadableMessages int // messages that could not be read
@@ -172,7 +172,7 @@
 	return host, port, nil
 }
 
-// run beats, and tries again what failed, until the end.
+// run heartbeats, and tries again what failed, until the end.
 func (f *Fleet) run() {
 	every := f.lease().HeartbeatInterval()
 	timer := time.NewTimer(0)
@@ -213,7 +213,7 @@
 	f.publish(now)
 }
 
-// publish has the view and the roll take what has come due, and tells the gates of the pools what they say now. f.mu is held.
+// publish has the view and the roster take what has come due, and tells the gates of the pools what they say now. f.mu is held.
 func (f *Fleet) publish(now time.Duration) {
 	if f.closed {
 		return // the gates say that this node has ended
@@ -256,7 +256,7 @@
 	return r
 }
 
-// sendHeartbeats sends a round of beats, and notes how long this process has not run.
+// sendHeartbeats sends a round of heartbeats, and notes how long this process has not run.
 func (f *Fleet) sendHeartbeats(now time.Duration) {
 	f.mu.Lock()
 	if gap := now - f.lastRound; gap > 2*f.lease().HeartbeatInterval() {
@@ -287,7 +287,7 @@
 	f.mu.Unlock()
 	for _, x := range letters {
 		f.sent.Add(int64(len(x.b)))
-		l.SendBestEffort(&x.to, x.b) // an error is a beat that did not come
+		l.SendBestEffort(&x.to, x.b) // an error is a heartbeat that did not come
 	}
 }
 
@@ -409,10 +409,10 @@
 	f.wake()
 }
 
-// ErrNoMember says that a name is not on the roll, or is this node's own.
+// ErrNoMember says that a name is not on the roster, or is this node's own.
 var ErrNoMember = errors.New("no such member")
 
-// Forget takes a member off the roll: whoever calls says that it is dead. One that is not comes back as a new one.
+// Forget takes a member off the roster: whoever calls says that it is dead. One that is not comes back as a new one.
 func (f *Fleet) Forget(name string) error {
 	f.mu.Lock()
 	is := f.roster.Remove(BootTime(), name)
@@ -445,7 +445,7 @@
 	if limit > 0 {
 		l.Leave(limit)
 	}
-	f.sendHeartbeats(BootTime()) // a lost beat would have the others wait for a roll
+	f.sendHeartbeats(BootTime()) // a lost heartbeat would have the others wait for a roster
 }
 
 // Close ends it; without Leave others miss this node and take it for failed.
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -35,7 +35,7 @@
 	digestMessage = 3
 )
 
-// rosterInterval bounds how often a member is told the whole roll.
+// rosterInterval bounds how often a member is told the whole roster.
 const rosterInterval = time.Second
 
 // delegate is what the gossip calls. It calls back under its own lock, so nothing here calls the gossip.
@@ -130,7 +130,7 @@
 	}
 }
 
-// receiveHeartbeat takes a beat, and tells its sender the roll if that seems to know another.
+// receiveHeartbeat takes a heartbeat, and tells its sender the roster if that seems to know another.
 func (f *Fleet) receiveHeartbeat(x membership.Heartbeat, wants []shares.Want, loans []shares.Loan) {
 	now := BootTime()
 	f.mu.Lock()
--- a/internal/fleet/membership/heartbeat.go
+++ b/internal/fleet/membership/heartbeat.go
@@ -13,35 +13,35 @@
 	From       string
 	Run        uint64 // of the sender
 	To         uint64 // NameID of whom it is for
-	Seq        uint64 // grows with each round of the sender's beats
-	Epoch      uint32 // of the sender's entry of the roll
+	Seq        uint64 // grows with each round of the sender's heartbeats
+	Epoch      uint32 // of the sender's entry of the roster
 	Leaving    bool   // it acts no more
 	Settled    bool   // all that it knows to be seated take part in its majorities
-	RosterHash uint64 // what the sender's roll holds, see Roll.Hash
-	Echo       uint64 // the receiver's latest beat that was heard; 0: no grant
+	RosterHash uint64 // what the sender's roster holds, see Roster.Hash
+	Echo       uint64 // the receiver's latest heartbeat that was heard; 0: no grant
 	EchoRun    uint64 // of the receiver's process
 	Out        []uint64
 }
 
-// MaxOut bounds the names in a Beat; of more, those beyond are not claimed to be out, which is the careful side.
+// MaxOut bounds the names in a Heartbeat; of more, those beyond are not claimed to be out, which is the careful side.
 const MaxOut = 100
 
-// MaxHeartbeatBytes is the most bytes of an encoded Beat.
+// MaxHeartbeatBytes is the most bytes of an encoded Heartbeat.
 const MaxHeartbeatBytes = 80 + MaxName + 8*MaxOut
 
 const wireVersion = 1
 
-// ErrHeartbeat is the reason for a message that is no Beat.
+// ErrHeartbeat is the reason for a message that is no Heartbeat.
 var ErrHeartbeat = errors.New("not a beat")
 
-// NameID is how beats name members.
+// NameID is how heartbeats name members.
 func NameID(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// Encode writes the beat.
+// Encode writes the heartbeat.
 func (b Heartbeat) Encode() []byte {
 	var flags byte
 	if b.Settled {
@@ -65,7 +65,7 @@
 	return t
 }
 
-// DecodeHeartbeat reads a beat, and gives what follows it.
+// DecodeHeartbeat reads a heartbeat, and gives what follows it.
 func DecodeHeartbeat(t []byte) (b Heartbeat, rest []byte, err error) {
 	r := reader{b: t}
 	if r.byte() != wireVersion {
@@ -84,7 +84,7 @@
 	return b, r.b, nil
 }
 
-// Entry is a name on the roll. Of two for one name the one of the higher epoch holds; of one epoch whoever is gone is
+// Entry is a name on the roster. Of two for one name the one of the higher epoch holds; of one epoch whoever is gone is
 // gone, and whoever is seated is seated: entries may be merged in any order and any number of times.
 type Entry struct {
 	Name   string
@@ -106,7 +106,7 @@
 // MaxEpoch bounds how often a name can come back; beyond it entries are not believed.
 const MaxEpoch = 1 << 30
 
-// EncodeEntries writes a roll, and DecodeEntries reads one.
+// EncodeEntries writes a roster, and DecodeEntries reads one.
 func EncodeEntries(l []Entry) []byte {
 	l = l[:min(len(l), MaxMembers)]
 	t := binary.LittleEndian.AppendUint16([]byte{wireVersion}, uint16(len(l)))
@@ -125,7 +125,7 @@
 	return t
 }
 
-// ErrEntries is the reason for a message that is no roll.
+// ErrEntries is the reason for a message that is no roster.
 var ErrEntries = errors.New("not a roll")
 
 // DecodeEntries reads what EncodeEntries wrote.
--- a/internal/fleet/membership/membership.go
+++ b/internal/fleet/membership/membership.go
@@ -1,7 +1,7 @@
 // Package membership answers, for a node among others, who is there, who it is among them, and how sure that is.
 //
 // View keeps who is seen to live and turns that, slowly, into who is agreed to be there: what capacity is divided by.
-// Roll keeps who must be taken to be able to act, and whether this node may: what rations are divided by. The first may
+// Roster keeps who must be taken to be able to act, and whether this node may: what rations are divided by. The first may
 // err for a while and cost only service; the second must not. Both are pure: time is an argument, elapsed time on the
 // node's own clock that goes on while the process is stopped, and what comes out is values. Neither starts anything,
 // and neither is safe for use by several goroutines.
