--- a/cmd/drill/crowd.go
+++ b/internal/drill/crowd.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 // extprocCrowd has 2,000 questions come at once to a processor that has just started, for 200 idle servers
 // that its file says take twelve calls each: hardly any may be refused.
-func extprocCrowd(ctx context.Context, r *rig) error {
+func extprocCrowd(ctx context.Context, r *environment) error {
 	const host = "crowd.example.org"
 	servers, questions := 200, 2000
 	if r.length < 4*time.Second { // the short form
@@ -33,12 +33,12 @@
 	if err := r.settle(g); err != nil {
 		return err
 	}
-	l, err := r.proxies(4, proxy.Config{})
+	l, err := r.startProxies(4, proxy.Config{})
 	if err != nil {
 		return err
 	}
 	var faults sync.WaitGroup
-	if r.plant == "" {
+	if r.violation == "" {
 		r.at(ctx, &faults, 0.1, func() {
 			var crowd sync.WaitGroup
 			for i := range questions {
@@ -54,13 +54,13 @@
 	}
 	r.extFigures()
 	refused := 0
-	for _, x := range r.rec.View().Exchanges {
+	for _, x := range r.records.View().Exchanges {
 		if x.Stream == "crowd" && (x.Status == 503 || x.Status == 429) {
 			refused++
 		}
 	}
-	r.figure("questions", questions, "at once")
-	r.figure("refused_share", float64(refused)/float64(questions), "of them that were refused")
-	r.tables = append(r.tables, streamTable(r.rec.View()))
+	r.addFigure("questions", questions, "at once")
+	r.addFigure("refused_share", float64(refused)/float64(questions), "of them that were refused")
+	r.tables = append(r.tables, streamTable(r.records.View()))
 	return nil
 }
--- a/cmd/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"bytes"
@@ -29,11 +29,11 @@
 	os.Exit(code)
 }
 
-// drill runs a short form, with patience for slow machines: rules are judged, not speed.
-func drill(t *testing.T, args ...string) (map[string]any, int) {
+// runDrill runs a short form, with patience for slow machines: rules are judged, not speed.
+func runDrill(t *testing.T, args ...string) (map[string]any, int) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
-	code := run(context.Background(), append([]string{"-json", "-slack", "3s", "-program", programPath}, args...), &stdout, &stderr)
+	code := Run(context.Background(), append([]string{"-json", "-slack", "3s", "-program", programPath}, args...), &stdout, &stderr)
 	object := map[string]any{}
 	if err := json.Unmarshal(stdout.Bytes(), &object); err != nil {
 		t.Fatalf("%v: %q, %s", err, stdout.String(), stderr.String())
@@ -43,12 +43,12 @@
 
 // Each drill keeps the rules, and something happens in it.
 func TestDrills(t *testing.T) {
-	for _, s := range scenarios {
+	for _, s := range drills {
 		t.Run(s.name, func(t *testing.T) {
 			if strings.HasPrefix(s.name, "extproc") || slices.Contains(fleetDrills, s.name) {
 				t.Parallel() // so many, and mostly waiting
 			}
-			got, code := drill(t, "-for", "2s", s.name)
+			got, code := runDrill(t, "-for", "2s", s.name)
 			if code != 0 {
 				t.Errorf("exit %d, %v", code, got["wrong"])
 			}
@@ -77,7 +77,7 @@
 		for _, name := range []string{"tour", "xds-chaos", "extproc-chaos", "grpc-chaos"} {
 			t.Run(name+" "+plant, func(t *testing.T) {
 				t.Parallel()
-				got, code := drill(t, "-plant", plant, name)
+				got, code := runDrill(t, "-plant", plant, name)
 				if code != 1 || got[key].(float64) == 0 {
 					t.Errorf("exit %d, %v", code, got)
 				}
@@ -91,7 +91,7 @@
 	for plant, key := range map[string]string{"ban": "after_ban", "lost": "lost", "twice": "twice", "drain": "drain_late", "cold": "cold_over"} {
 		t.Run(plant, func(t *testing.T) {
 			t.Parallel()
-			got, code := drill(t, "-plant", plant, "operators")
+			got, code := runDrill(t, "-plant", plant, "operators")
 			if code != 1 || got[key].(float64) == 0 {
 				t.Errorf("exit %d, %v", code, got)
 			}
@@ -105,7 +105,7 @@
 	for _, plant := range []string{"seen", "stalled"} {
 		t.Run(plant, func(t *testing.T) {
 			t.Parallel()
-			got, code := drill(t, "-plant", plant, "members")
+			got, code := runDrill(t, "-plant", plant, "members")
 			if over, _ := got["over"].(float64); code != 1 || over == 0 {
 				t.Errorf("exit %d, %v", code, got)
 			}
@@ -116,7 +116,7 @@
 // A fleet that believes one member's words without bounds is found to leave healthy servers unused.
 func TestPlantOfSignals(t *testing.T) {
 	t.Parallel()
-	got, code := drill(t, "-plant", "gullible", "signals")
+	got, code := runDrill(t, "-plant", "gullible", "signals")
 	if share, _ := got["named_share"].(float64); code != 1 || share >= 0.6 {
 		t.Errorf("exit %d, %v", code, got)
 	}
@@ -125,12 +125,12 @@
 func TestUsage(t *testing.T) {
 	for _, args := range [][]string{{}, {"nothing"}, {"-plant", "weeds", "tour"}, {"-colour", "tour"}, {"tour", "pools"}} {
 		var stdout, stderr bytes.Buffer
-		if code := run(context.Background(), args, &stdout, &stderr); code != 2 || stderr.Len() == 0 {
+		if code := Run(context.Background(), args, &stdout, &stderr); code != 2 || stderr.Len() == 0 {
 			t.Errorf("%q: exit %d, %q", args, code, stderr.String())
 		}
 	}
 	var stdout, stderr bytes.Buffer
-	if code := run(context.Background(), []string{"-list"}, &stdout, &stderr); code != 0 || strings.Count(stdout.String(), "\n") != len(scenarios) {
+	if code := Run(context.Background(), []string{"-list"}, &stdout, &stderr); code != 0 || strings.Count(stdout.String(), "\n") != len(drills) {
 		t.Errorf("-list: exit %d, %q", code, stdout.String())
 	}
 }
--- a/cmd/drill/rig.go
+++ b/internal/drill/environment.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -11,34 +11,34 @@
 	"syscall"
 	"time"
 
-	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/rig"
 	"cranegrade/internal/standin"
 	"cranegrade/internal/standin/proxy"
 )
 
-// rig is a program among stand-ins.
-type rig struct {
+// environment is a program among stand-ins.
+type environment struct {
 	options
 	rng     *rand.Rand
-	rec     *standin.Records
+	records *standin.Records
 	keys    *standin.Keys
 	dir     string
 	err     io.Writer
-	node    *rigs.Process // nil: there are several, in fleet
-	fleet   *rigs.Fleet   // nil: there is one
-	groups  []*group
+	node    *rig.Process // nil: there are several, in fleet
+	fleet   *rig.Fleet   // nil: there is one
+	groups  []*serverGroup
 	relay   *standin.Relay
 	callers *standin.Callers
-	asking  []*proxy.Proxy // proxies that ask the program
+	proxies []*proxy.Proxy // proxies that ask the program
 	classes []standin.Class
 
 	towards  func(node string) (*standin.Sidecar, error) // callers go through such a sidecar; nil: through none
 	sidecars []*standin.Sidecar
 
-	bansMu  sync.Mutex      // guards what follows
-	bans    []ban           // servers taken out by hand
-	calls   int             // operators' calls
-	gaveWay []time.Duration // how long a process that was succeeded took to end
+	bansMu        sync.Mutex      // guards what follows
+	bans          []ban           // servers taken out by hand
+	calls         int             // operators' calls
+	handoverTimes []time.Duration // how long a process that was succeeded took to end
 
 	schedule string // of faults, which can be played again
 
@@ -55,8 +55,8 @@
 	about string
 }
 
-// group is the servers of a pool and the registry that lists them.
-type group struct {
+// serverGroup is the servers of a pool and the registry that lists them.
+type serverGroup struct {
 	name     string            // of the pool
 	host     string            // whose requests it serves
 	registry *standin.Registry // nil if something else tells the list
@@ -66,22 +66,22 @@
 
 // What all drills share with the rig.
 var (
-	readClass, sendClass, cellClass, orderClass = rigs.Read, rigs.Send, rigs.Cell, rigs.Order
-	allClasses, cold, usual                     = rigs.Classes, rigs.Cold, rigs.Usual
-	poolText, inCell                            = rigs.PoolText, rigs.InCell
-	times, quantile, streamTable, serverTable   = rigs.Times, rigs.Quantile, rigs.StreamTable, rigs.ServerTable
+	readClass, sendClass, cellClass, orderClass = rig.Read, rig.Send, rig.Cell, rig.Order
+	allClasses, cold, usual                     = rig.Classes, rig.Cold, rig.Usual
+	poolText, inCell                            = rig.PoolText, rig.InCell
+	times, quantile, streamTable, serverTable   = rig.Times, rig.Quantile, rig.StreamTable, rig.ServerTable
 )
 
-func newRig(o options, stderr io.Writer) (*rig, error) {
-	r := &rig{options: o, rng: rand.New(rand.NewPCG(o.seed, 0xd811)), err: stderr, keys: standin.NewKeys(),
-		rec: standin.NewRecords(allClasses...)}
+func newEnvironment(o options, stderr io.Writer) (*environment, error) {
+	r := &environment{options: o, rng: rand.New(rand.NewPCG(o.seed, 0xd811)), err: stderr, keys: standin.NewKeys(),
+		records: standin.NewRecords(allClasses...)}
 	dir, err := os.MkdirTemp("", "drill")
 	if err != nil {
 		return nil, err
 	}
 	r.dir = dir
 	if r.program == "" {
-		if r.program, err = rigs.Build(dir); err != nil {
+		if r.program, err = rig.Build(dir); err != nil {
 			r.close()
 			return nil, err
 		}
@@ -89,14 +89,14 @@
 	return r, nil
 }
 
-func (r *rig) close() {
+func (r *environment) close() {
 	if r.callers != nil {
 		r.callers.Close()
 	}
 	if r.fleet != nil {
 		r.fleet.Close()
 	}
-	for _, p := range r.asking {
+	for _, p := range r.proxies {
 		p.Close()
 	}
 	if r.node != nil {
@@ -119,7 +119,7 @@
 	os.RemoveAll(r.dir)
 }
 
-func (r *rig) figure(name string, value any, about string) {
+func (r *environment) addFigure(name string, value any, about string) {
 	if d, is := value.(time.Duration); is {
 		value = float64(d.Microseconds()) / 1000
 	}
@@ -129,22 +129,22 @@
 	r.figures = append(r.figures, figure{name, value, about})
 }
 
-func (r *rig) failf(format string, args ...any) {
+func (r *environment) failf(format string, args ...any) {
 	r.failures = append(r.failures, fmt.Sprintf(format, args...))
 }
 
 // group starts servers and a registry that lists them.
-func (r *rig) group(name, host string, servers ...standin.ServerConfig) (*group, error) {
-	g := &group{name: name, host: host}
+func (r *environment) group(name, host string, servers ...standin.ServerConfig) (*serverGroup, error) {
+	g := &serverGroup{name: name, host: host}
 	r.groups = append(r.groups, g)
 	var err error
-	if g.registry, err = standin.NewRegistry(host, r.rec); err != nil {
+	if g.registry, err = standin.NewRegistry(host, r.records); err != nil {
 		return nil, err
 	}
 	g.list = g.registry.Set
 	for i, cfg := range servers {
 		cfg.ID = fmt.Sprintf("%s-%d", name, i)
-		s, err := standin.NewServer(cfg, r.rec, r.keys)
+		s, err := standin.NewServer(cfg, r.records, r.keys)
 		if err != nil {
 			return nil, err
 		}
@@ -154,16 +154,16 @@
 	return g, nil
 }
 
-func (g *group) registryText() string { return fmt.Sprintf("registry = %q", g.registry.Addr()) }
+func (g *serverGroup) registryText() string { return fmt.Sprintf("registry = %q", g.registry.Addr()) }
 
 // start starts the program with an operator's file, and the callers.
-func (r *rig) start(file string) error {
+func (r *environment) start(file string) error {
 	path := filepath.Join(r.dir, "node.toml")
 	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 		return err
 	}
 	var err error
-	if r.node, err = rigs.Start(r.program, path); err != nil {
+	if r.node, err = rig.Start(r.program, path); err != nil {
 		return err
 	}
 	addr := r.node.Addr
@@ -175,18 +175,18 @@
 		r.sidecars = append(r.sidecars, s)
 		addr = s.Addr()
 	}
-	if r.plant == "lost" { // else nothing of ours stands on the path
+	if r.violation == "lost" { // else nothing of ours stands on the path
 		if r.relay, err = standin.NewRelay(addr); err != nil {
 			return err
 		}
 		addr = r.relay.Addr()
 	}
-	r.callers = standin.NewCallers(r.rec, addr, r.seed, 2*time.Second+r.slack)
+	r.callers = standin.NewCallers(r.records, addr, r.seed, 2*time.Second+r.slack)
 	return nil
 }
 
 // rewrite gives the program another file and tells it to read that.
-func (r *rig) rewrite(file string) error {
+func (r *environment) rewrite(file string) error {
 	if err := os.WriteFile(r.node.Config, []byte(file), 0o600); err != nil {
 		return err
 	}
@@ -195,9 +195,9 @@
 
 // settle waits until every watch that is wanted is open, so that traffic does not begin before lists
 // are told. It gives up, without an error, when that takes too long: a drill may want a dark registry.
-func (r *rig) settle(groups ...*group) error {
+func (r *environment) settle(groups ...*serverGroup) error {
 	for _, g := range groups {
-		if !rigs.Await(10*time.Second, func() bool { return g.registry.Watchers() > 0 }) {
+		if !rig.Await(10*time.Second, func() bool { return g.registry.Watchers() > 0 }) {
 			return fmt.Errorf("the list of %s is not followed", g.name)
 		}
 	}
@@ -205,7 +205,7 @@
 }
 
 // at runs f once a share of the drill's length has passed, unless ctx ends before.
-func (r *rig) at(ctx context.Context, all *sync.WaitGroup, share float64, f func()) {
+func (r *environment) at(ctx context.Context, all *sync.WaitGroup, share float64, f func()) {
 	all.Go(func() {
 		select {
 		case <-time.After(time.Duration(share * float64(r.length))):
@@ -217,12 +217,12 @@
 
 // play runs the streams for the drill's length, with the breach that was asked for, and waits for all
 // to end.
-func (r *rig) play(ctx context.Context, faults *sync.WaitGroup, streams ...standin.Stream) error {
+func (r *environment) play(ctx context.Context, faults *sync.WaitGroup, streams ...standin.Stream) error {
 	return r.drive(ctx, faults, r.callers.Run, streams)
 }
 
 // drive is play for whoever sends the streams.
-func (r *rig) drive(ctx context.Context, faults *sync.WaitGroup, send func(context.Context, ...standin.Stream),
+func (r *environment) drive(ctx context.Context, faults *sync.WaitGroup, send func(context.Context, ...standin.Stream),
 	streams []standin.Stream) error {
 	for i := range streams {
 		if streams[i].For == 0 {
@@ -230,19 +230,19 @@
 		}
 	}
 	var planted error
-	if r.plant != "" {
-		faults.Go(func() { planted = plants[r.plant](ctx, r) })
+	if r.violation != "" {
+		faults.Go(func() { planted = violations[r.violation](ctx, r) })
 	}
 	send(ctx, streams...)
 	faults.Wait()
 	if planted != nil {
-		return fmt.Errorf("planting %s: %w", r.plant, planted)
+		return fmt.Errorf("planting %s: %w", r.violation, planted)
 	}
 	return ctx.Err()
 }
 
 // stay keeps everything up until ctx ends.
-func (r *rig) stay(ctx context.Context, w io.Writer) {
+func (r *environment) stay(ctx context.Context, w io.Writer) {
 	if ctx.Err() != nil {
 		return
 	}
--- a/cmd/drill/extproc.go
+++ b/internal/drill/extproc.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -9,18 +9,18 @@
 	"time"
 
 	"cranegrade/internal/envoyconf"
-	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/rig"
 	"cranegrade/internal/standin"
 	"cranegrade/internal/standin/proxy"
 )
 
 // extText is the operator's file of a node that proxies ask.
-func extText(listen, more string, g *group, pool ...string) string {
+func extText(listen, more string, g *serverGroup, pool ...string) string {
 	return fmt.Sprintf("default = %q\n[ext_proc]\nlisten = %q\n%s\n", g.name, listen, more) + poolText(g.name, g.registryText(), pool...)
 }
 
-// proxies starts proxies that ask the program.
-func (r *rig) proxies(n int, cfg proxy.Config) (l []*proxy.Proxy, err error) {
+// startProxies starts proxies that ask the program.
+func (r *environment) startProxies(n int, cfg proxy.Config) (l []*proxy.Proxy, err error) {
 	cfg.Processor, cfg.Classes = r.node.Addr, allClasses
 	for _, g := range r.groups {
 		for _, s := range g.servers {
@@ -29,21 +29,21 @@
 	}
 	cfg.Timeout = 200*time.Millisecond + r.slack
 	for i := range n {
-		p, err := proxy.New(fmt.Sprintf("p%d-%d", len(r.asking), i), r.rec, cfg)
+		p, err := proxy.New(fmt.Sprintf("p%d-%d", len(r.proxies), i), r.records, cfg)
 		if err != nil {
 			return nil, err
 		}
-		r.asking = append(r.asking, p)
+		r.proxies = append(r.proxies, p)
 		l = append(l, p)
 	}
 	return l, nil
 }
 
 // extFigures are those of the proxies.
-func (r *rig) extFigures() {
+func (r *environment) extFigures() {
 	var decisions, immediate, unanswered, sent, heeded int64
 	var waits []time.Duration
-	for _, p := range r.asking {
+	for _, p := range r.proxies {
 		decisions += p.Decisions.Load()
 		immediate += p.Immediate.Load()
 		unanswered += p.Unanswered.Load()
@@ -53,27 +53,27 @@
 		p.Waits.Unlock()
 	}
 	slices.Sort(waits)
-	r.figure("decisions", decisions, "questions answered with a server")
-	r.figure("immediate", immediate, "questions answered with a final answer")
-	r.figure("unanswered", unanswered, "questions without a word within the proxy's message time-out")
-	r.figure("sent", sent, "tries that the proxies sent to a server")
-	r.figure("heeded", heeded, "and to one that was named for it")
+	r.addFigure("decisions", decisions, "questions answered with a server")
+	r.addFigure("immediate", immediate, "questions answered with a final answer")
+	r.addFigure("unanswered", unanswered, "questions without a word within the proxy's message time-out")
+	r.addFigure("sent", sent, "tries that the proxies sent to a server")
+	r.addFigure("heeded", heeded, "and to one that was named for it")
 	if heeded != sent {
 		r.failf("%d of %d tries went elsewhere than decided", sent-heeded, sent)
 	}
-	r.figure("word_p50_ms", quantile(waits, 0.5), "from a question to the word")
-	r.figure("word_p99_ms", quantile(waits, 0.99), "")
+	r.addFigure("word_p50_ms", quantile(waits, 0.5), "from a question to the word")
+	r.addFigure("word_p99_ms", quantile(waits, 0.99), "")
 }
 
 // plays runs proxies' traffic and the breach that was asked for.
-func (r *rig) plays(ctx context.Context, faults *sync.WaitGroup, l []*proxy.Proxy, streams ...standin.Stream) error {
+func (r *environment) plays(ctx context.Context, faults *sync.WaitGroup, l []*proxy.Proxy, streams ...standin.Stream) error {
 	send := func(ctx context.Context, streams ...standin.Stream) { proxy.Run(ctx, l, r.seed, streams...) }
 	return r.drive(ctx, faults, send, streams)
 }
 
 // asked is a program that proxies ask in a mode, and the servers that it names.
 type asked struct {
-	g    *group
+	g    *serverGroup
 	base proxy.Config // of a good proxy
 	ext  string       // keys of [ext_proc]
 	pool string       // and of the pool
@@ -83,7 +83,7 @@
 func (a *asked) text(listen string) string { return extText(listen, a.ext, a.g, a.pool) }
 
 // startAsked starts servers and the program.
-func (r *rig) startAsked(host string, mode envoyconf.Mode, servers ...standin.ServerConfig) (*asked, error) {
+func (r *environment) startAsked(host string, mode envoyconf.Mode, servers ...standin.ServerConfig) (*asked, error) {
 	a := &asked{base: proxy.Config{Mode: mode}}
 	switch mode {
 	case envoyconf.EveryTry:
@@ -103,11 +103,11 @@
 
 // extproc has three proxies ask for each request; in the middle a rolling deploy replaces 77 % of the
 // servers, and a burst of 5,000 questions comes within 200 ms of its end.
-func extproc(mode envoyconf.Mode) func(context.Context, *rig) error {
-	return func(ctx context.Context, r *rig) error { return r.extproc(ctx, mode) }
+func extproc(mode envoyconf.Mode) func(context.Context, *environment) error {
+	return func(ctx context.Context, r *environment) error { return r.extproc(ctx, mode) }
 }
 
-func (r *rig) extproc(ctx context.Context, mode envoyconf.Mode) error {
+func (r *environment) extproc(ctx context.Context, mode envoyconf.Mode) error {
 	const host = "ext.example.org"
 	cfgs := make([]standin.ServerConfig, 26)
 	for i := range cfgs {
@@ -118,12 +118,12 @@
 		return err
 	}
 	g := a.g
-	l, err := r.proxies(3, a.base)
+	l, err := r.startProxies(3, a.base)
 	if err != nil {
 		return err
 	}
 	var faults sync.WaitGroup
-	if r.plant == "" {
+	if r.violation == "" {
 		r.at(ctx, &faults, 0.4, func() {
 			replaced := g.servers[:len(g.servers)*77/100]
 			for _, s := range replaced {
@@ -155,25 +155,24 @@
 		return err
 	}
 	r.extFigures()
-	r.figure("after_drain_max_ms", quantile(afterDrains(r.rec.View()), 1), "from the write to the last first byte at a drained server")
-	r.tables = append(r.tables, streamTable(r.rec.View()))
+	r.addFigure("after_drain_max_ms", quantile(afterDrains(r.records.View()), 1), "from the write to the last first byte at a drained server")
+	r.tables = append(r.tables, streamTable(r.records.View()))
 	return nil
 }
 
 // extprocChaos has proxies that drop the side channel, try again whatever happened, use servers of their
 // own liking, and answer clients by themselves; and a processor that dies and starts again.
-func extprocChaos(mode envoyconf.Mode) func(context.Context, *rig) error {
-	return func(ctx context.Context, r *rig) error { return r.extprocChaos(ctx, mode) }
+func extprocChaos(mode envoyconf.Mode) func(context.Context, *environment) error {
+	return func(ctx context.Context, r *environment) error { return r.extprocChaos(ctx, mode) }
 }
 
-func (r *rig) extprocChaos(ctx context.Context, mode envoyconf.Mode) error {
+func (r *environment) extprocChaos(ctx context.Context, mode envoyconf.Mode) error {
 	const host = "ext.example.org"
 	a, err := r.startAsked(host, mode, inCell(usual, 1), inCell(usual, 1), inCell(usual, 2), inCell(usual, 2), inCell(usual, 2))
 	if err != nil {
 		return err
 	}
-	g := a.g
-	good, err := r.proxies(2, a.base)
+	good, err := r.startProxies(2, a.base)
 	if err != nil {
 		return err
 	}
@@ -187,33 +186,14 @@
 		n++
 		return n%3 == 0
 	}
-	dropping, err := r.proxies(2, careless)
+	dropping, err := r.startProxies(2, careless)
 	if err != nil {
 		return err
 	}
 	var faults sync.WaitGroup
 	kills := 0
-	if r.plant == "" {
-		r.at(ctx, &faults, 0.25, func() { g.servers[0].SetMode(standin.Failing) })
-		r.at(ctx, &faults, 0.4, func() { g.servers[0].SetMode(standin.Serving); g.servers[1].SetMode(standin.Refusing) })
-		r.at(ctx, &faults, 0.55, func() {
-			g.servers[1].SetMode(standin.Serving)
-			g.servers[2].Crash()
-			time.Sleep(300 * time.Millisecond)
-			if g.servers[2].Restart() == nil {
-				g.list(g.servers[2], "SERVING")
-			}
-		})
-		r.at(ctx, &faults, 0.7, func() { // the processor dies with what it has, and starts again at its address
-			r.node.Kill()
-			again, err := r.again(a.text(r.node.Addr))
-			if err != nil {
-				r.failf("starting the processor again: %v", err)
-				return
-			}
-			r.node = again
-			kills++
-		})
+	if r.violation == "" {
+		r.scheduleExtprocFaults(ctx, &faults, a, &kills)
 	}
 	streams := func(name string, rate float64) (l []standin.Stream) {
 		for _, c := range allClasses {
@@ -226,15 +206,41 @@
 		return err
 	}
 	r.extFigures()
-	r.figure("kills", kills, "of the processor")
-	r.tables = append(r.tables, streamTable(r.rec.View()), serverTable(r.rec.View()))
+	r.addFigure("kills", kills, "of the processor")
+	r.tables = append(r.tables, streamTable(r.records.View()), serverTable(r.records.View()))
 	return nil
 }
 
+// scheduleExtprocFaults has servers fail, refuse and crash, and the processor die with what it has and start again at its
+// address; kills counts how often.
+func (r *environment) scheduleExtprocFaults(ctx context.Context, faults *sync.WaitGroup, a *asked, kills *int) {
+	g := a.g
+	r.at(ctx, faults, 0.25, func() { g.servers[0].SetMode(standin.Failing) })
+	r.at(ctx, faults, 0.4, func() { g.servers[0].SetMode(standin.Serving); g.servers[1].SetMode(standin.Refusing) })
+	r.at(ctx, faults, 0.55, func() {
+		g.servers[1].SetMode(standin.Serving)
+		g.servers[2].Crash()
+		time.Sleep(300 * time.Millisecond)
+		if g.servers[2].Restart() == nil {
+			g.list(g.servers[2], "SERVING")
+		}
+	})
+	r.at(ctx, faults, 0.7, func() { // the processor dies with what it has, and starts again at its address
+		r.node.Kill()
+		again, err := r.again(a.text(r.node.Addr))
+		if err != nil {
+			r.failf("starting the processor again: %v", err)
+			return
+		}
+		r.node = again
+		*kills++
+	})
+}
+
 // again starts the program once more.
-func (r *rig) again(file string) (*rigs.Process, error) {
+func (r *environment) again(file string) (*rig.Process, error) {
 	if err := os.WriteFile(r.node.Config, []byte(file), 0o600); err != nil {
 		return nil, err
 	}
-	return rigs.Start(r.program, r.node.Config)
+	return rig.Start(r.program, r.node.Config)
 }
--- a/cmd/drill/fleetsize.go
+++ b/internal/drill/fleetsize.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 // fleetSize measures views of fleets that no machine holds, in simulated time: how soon deaths are right everywhere, and
 // how often the living are given up.
-func fleetSize(ctx context.Context, r *rig) error {
+func fleetSize(ctx context.Context, r *environment) error {
 	r.unjudged = true
 	long := 10 * time.Minute
 	if r.length < 5*time.Second {
@@ -51,7 +51,7 @@
 		}
 	}
 	t.Flush()
-	r.figure("fleets", fleets, "that were played")
+	r.addFigure("fleets", fleets, "that were played")
 	r.tables = append(r.tables, b.String())
 	return nil
 }
--- a/cmd/drill/manypools.go
+++ b/internal/drill/manypools.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 // overloadPools has a hundred pools in one process. The servers of ten become ten times as slow for a while;
 // the other ninety must not notice, and the ten must be back once it is over.
-func overloadPools(ctx context.Context, r *rig) error {
+func overloadPools(ctx context.Context, r *environment) error {
 	pools, choked := 100, 10
 	if r.length < 6*time.Second { // the short form
 		pools, choked = 20, 2
@@ -40,7 +40,7 @@
 	if err := r.settle(r.groups...); err != nil {
 		return err
 	}
-	start := r.rec.Now()
+	start := r.records.Now()
 	const from, to = 0.25, 0.5
 	var faults sync.WaitGroup
 	slower := func(share, times float64) {
@@ -50,20 +50,20 @@
 			}
 		})
 	}
-	if r.plant == "" {
+	if r.violation == "" {
 		slower(from, 10)
 		slower(to, 1)
 	}
 	if err := r.play(ctx, &faults, streams...); err != nil {
 		return err
 	}
-	v := r.rec.View()
+	v := r.records.View()
 	share := func(x float64) time.Duration { return start + time.Duration(x*float64(r.length)) }
 	good := func(stream string, from, to float64) float64 { return goodput(v, stream, share(from), share(to)) }
-	r.figure("pools", pools, "in one process, each with a server")
-	r.figure("calm_goodput_during", good("calm", from, to), "of those whose servers were as ever, while the others were slow")
-	r.figure("calm_goodput", good("calm", 0, 1), "and over the whole")
-	r.figure("choked_goodput_during", good("choked", from, to), "of those whose servers were ten times as slow")
-	r.figure("choked_goodput_after", good("choked", to+0.1, 1), "from a tenth of the drill after that on")
+	r.addFigure("pools", pools, "in one process, each with a server")
+	r.addFigure("calm_goodput_during", good("calm", from, to), "of those whose servers were as ever, while the others were slow")
+	r.addFigure("calm_goodput", good("calm", 0, 1), "and over the whole")
+	r.addFigure("choked_goodput_during", good("choked", from, to), "of those whose servers were ten times as slow")
+	r.addFigure("choked_goodput_after", good("choked", to+0.1, 1), "from a tenth of the drill after that on")
 	return nil
 }
--- /dev/null
+++ b/internal/drill/members.go
@@ -0,0 +1,403 @@
+package drill
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"sync"
+	"time"
+
+	"cranegrade/internal/rig"
+	"cranegrade/internal/standin"
+)
+
+// fleetDrills are those that need several processes.
+var fleetDrills = []string{"members", "deaths", "stops", "signals", "fleet-size"}
+
+// fleetList lists them.
+func fleetList(_ context.Context, r *environment) error {
+	r.unjudged = true
+	r.addFigure("drills", len(fleetDrills), "")
+	for _, s := range drills {
+		for _, name := range fleetDrills {
+			if s.name == name {
+				r.tables = append(r.tables, fmt.Sprintf("%-12s %s\n", s.name, s.about))
+			}
+		}
+	}
+	return nil
+}
+
+// mutations are the breaches that are built into the program.
+var mutations = map[string]rig.Mutation{"seen": rig.MutationSeen, "stalled": rig.MutationStalled, "gullible": rig.MutationGullible}
+
+// mutationOnly is what drills without a fleet do with such a breach.
+func mutationOnly(context.Context, *environment) error {
+	return errors.New("this breach is one of fleets: it is found by drill members")
+}
+
+// startFleet starts a fleet as the drill's options say.
+func (r *environment) startFleet(c rig.FleetConfig) (*rig.Fleet, error) {
+	c.Program, c.Seed, c.Slack = r.program, r.seed, r.slack
+	if mutation := mutations[r.violation]; mutation != "" {
+		var err error
+		if c.Program, err = rig.BuildMutant(r.dir, mutation); err != nil {
+			return nil, err
+		}
+	}
+	f, err := rig.NewFleet(c)
+	if err != nil {
+		return nil, err
+	}
+	r.fleet, r.records = f, f.Rec
+	if err := f.StartAll(c.Members); err != nil {
+		return nil, err
+	}
+	return f, nil
+}
+
+// memberCount is how many processes the drills of fleets start.
+const memberCount = 5
+
+func memberIndices(n int) (l []int) {
+	for i := range n {
+		l = append(l, i)
+	}
+	return l
+}
+
+// faultSchedule plays a schedule of faults on five processes under load, while servers are replaced, and holds what they
+// may take together against the whole all the time.
+func faultSchedule(ctx context.Context, r *environment) error {
+	f, err := r.startFleet(rig.FleetConfig{Members: memberCount, Servers: 20})
+	if err != nil {
+		return err
+	}
+	limit := 20*time.Second + 10*r.slack
+	if _, err := f.Agree(limit, true, memberIndices(memberCount)...); err != nil {
+		return err
+	}
+	schedule, length, err := r.schedulePlan(len(f.Servers))
+	if err != nil {
+		return err
+	}
+	watching, stop := context.WithCancel(ctx)
+	var w *rig.Watch
+	var load, watch sync.WaitGroup
+	watch.Go(func() { w = f.Watch(watching, 25*time.Millisecond) })
+	for _, m := range f.Members {
+		m.Stream(watching, &load, rig.Traffic(60, length)...)
+	}
+	sent := f.Fabric.Bytes(0)
+	err = f.Play(ctx, schedule, func(s string) {
+		if r.verbose {
+			fmt.Fprintln(r.err, s)
+		}
+	})
+	load.Wait()
+	bytes := f.Fabric.Bytes(0) - sent
+	if err != nil {
+		stop()
+		return err
+	}
+	healed, err := f.Agree(limit, true, memberIndices(memberCount)...)
+	stop()
+	watch.Wait()
+	if err != nil {
+		r.failf("after all is undone: %v", err)
+	}
+	r.addFigure("faults", len(schedule), "of the schedule")
+	r.judgeWatch(w)
+	r.addFigure("whole_again_ms", healed, "from the end of the last fault until all count each other and have their parts")
+	r.addFigure("bytes_per_s", float64(bytes)/length.Seconds(), "that a member sends to others")
+	r.schedule = schedule.String()
+	return nil
+}
+
+// schedulePlan is the schedule to play and for how long: drawn from the seed, read from a file, or, for a mutation, the
+// faults that show it: a partition into two halves, and a member that stands still.
+func (r *environment) schedulePlan(servers int) (schedule rig.Schedule, length time.Duration, err error) {
+	length = max(r.length, 8*time.Second)
+	if r.replay != "" {
+		if schedule, err = rig.ReadSchedule(r.replay, memberCount, servers); err != nil {
+			return nil, 0, err
+		}
+	} else {
+		schedule = rig.Draw(r.seed, memberCount, servers, length)
+	}
+	if r.violation == "" {
+		return schedule, length, nil
+	}
+	schedule = rig.Schedule{
+		{At: 0, What: rig.CutParts, Parts: [][]int{{0, 1}, {2, 3, 4}}, For: 5 * time.Second},
+		{At: 8 * time.Second, What: rig.StopMembers, Members: []int{3}, For: 4 * time.Second},
+	}
+	return schedule, 14 * time.Second, nil
+}
+
+// judgeWatch reports what all members held together, which must never be more than the whole.
+func (r *environment) judgeWatch(w *rig.Watch) {
+	r.addFigure("samples", w.Samples, "of what all members hold to be theirs of a ration")
+	r.addFigure("most_held", w.Most, "of the whole, by all together at one moment")
+	r.addFigure("over", w.Over, "moments at which that was more than the whole")
+	if w.Over > 0 {
+		r.failf("more than the whole was taken: %s", w.Detail)
+	}
+	if w.Samples < 10 || w.Most <= 0.5 {
+		r.failf("%d samples, the most %v: nothing was watched", w.Samples, w.Most)
+	}
+}
+
+// pausedMembers has one of five stand still for a while, three times, each for longer, while servers are replaced all the time; what
+// it holds and sends in the first moments after each is what it may.
+func pausedMembers(ctx context.Context, r *environment) error {
+	f, err := r.startFleet(rig.FleetConfig{Members: memberCount, Servers: 20, Pool: "tenants = [{ name = \"acme\", quota = 100 }]"})
+	if err != nil {
+		return err
+	}
+	limit := 20*time.Second + 10*r.slack
+	all := memberIndices(memberCount)
+	if _, err := f.Agree(limit, true, all...); err != nil {
+		return err
+	}
+	playing, over := context.WithCancel(ctx)
+	defer over()
+	var w *rig.Watch
+	var load, watch sync.WaitGroup
+	watch.Go(func() { w = f.Watch(playing, 25*time.Millisecond) })
+	for _, m := range f.Members {
+		l := rig.Traffic(60, time.Hour)
+		l[0].Account = "acme"
+		m.Stream(playing, &load, l...)
+	}
+	load.Go(func() { r.rollServers(playing, f) })
+	for i, share := range []float64{1.0 / 41, 10.0 / 41, 30.0 / 41} {
+		long := time.Duration(share * float64(r.length))
+		m := f.Members[(2*i+1)%memberCount]
+		m.Pause()
+		select {
+		case <-time.After(long):
+		case <-ctx.Done():
+		}
+		m.Resume()
+		held := heldAtFirst(m)
+		r.addFigure(fmt.Sprintf("held_after_%d", i+1), held, fmt.Sprintf("of a ration, in the first 100 ms after %v", long.Round(time.Millisecond)))
+		if long > 2*f.Lease && held > 0 {
+			r.failf("%v of a ration was held just after a stop of %v", held, long)
+		}
+		if _, err := f.Agree(limit, true, all...); err != nil {
+			r.failf("after a stop of %v: %v", long, err)
+		}
+	}
+	over()
+	load.Wait()
+	watch.Wait()
+	r.addFigure("most_held", w.Most, "of the whole, by all together at one moment")
+	r.addFigure("samples", w.Samples, "of what all members held")
+	if w.Over > 0 {
+		r.failf("more than the whole was taken: %s", w.Detail)
+	}
+	return nil
+}
+
+// rollServers restarts one server after the other until ctx ends, so that most of them are cold.
+func (r *environment) rollServers(ctx context.Context, f *rig.Fleet) {
+	for i := 0; ctx.Err() == nil; i++ {
+		s := f.Servers[i%len(f.Servers)]
+		f.Registry.Set(s, "DRAINING")
+		select {
+		case <-time.After(300 * time.Millisecond):
+		case <-ctx.Done():
+			return
+		}
+		s.Crash()
+		if s.Restart() == nil {
+			f.Registry.Set(s, "SERVING")
+		}
+	}
+}
+
+// heldAtFirst is the most of a ration that a member holds in its first 100 ms after it was resumed.
+func heldAtFirst(m *rig.Member) (held float64) {
+	for first := time.Now(); time.Since(first) < 100*time.Millisecond; {
+		if role, err := m.Role(); err == nil {
+			held = max(held, role.Of100/100)
+		}
+	}
+	return held
+}
+
+// Sizes of the drill of wrong accusations.
+const (
+	accusedMembers = 6  // the last of them accuses healthy servers
+	accusedServers = 12 // the first three of them are accused
+	accusedCount   = 3
+	minNamedShare  = 0.6 // of the mean, that an accused server must get
+)
+
+// illness is a time in which a server was really unhealthy.
+type illness struct {
+	server   *standin.Server
+	from, to time.Duration
+}
+
+// wrongAccusations has servers of a fleet fail, hang and refuse, one after the other as the seed says, while members die,
+// stand still and lose links, and one member tells all the others that three healthy servers fail.
+func wrongAccusations(ctx context.Context, r *environment) error {
+	f, err := r.startWithLiar()
+	if err != nil {
+		return err
+	}
+	limit := 20*time.Second + 10*r.slack
+	if _, err := f.Agree(limit, true, memberIndices(accusedMembers)...); err != nil {
+		return err
+	}
+	length := max(r.length, 8*time.Second)
+	playing, over := context.WithCancel(ctx)
+	defer over()
+	var load sync.WaitGroup
+	for _, m := range f.Members {
+		m.Stream(playing, &load, rig.Traffic(60, length)...)
+	}
+	var illnesses []illness
+	begin := f.Rec.Now()
+	load.Go(func() { illnesses = r.sickenServers(playing, f, begin, length) })
+	var schedule rig.Schedule
+	for _, x := range rig.Draw(r.seed, accusedMembers-1, accusedServers, length) { // the liar lives
+		if x.What != rig.RollServers {
+			schedule = append(schedule, x)
+		}
+	}
+	if r.violation != "" {
+		schedule = nil
+	}
+	if err := f.Play(ctx, schedule, func(string) {}); err != nil {
+		return err
+	}
+	load.Wait()
+	if _, err := f.Agree(limit, true, memberIndices(accusedMembers)...); err != nil {
+		r.failf("after all is undone: %v", err)
+	}
+	r.judgeAccused(f, illnesses)
+	r.schedule = schedule.String()
+	return nil
+}
+
+// startWithLiar starts a fleet whose last member accuses healthy servers.
+func (r *environment) startWithLiar() (*rig.Fleet, error) {
+	liar, err := rig.BuildMutant(r.dir, rig.MutationLiar)
+	if err != nil {
+		return nil, err
+	}
+	program := r.program
+	if mutation := mutations[r.violation]; mutation != "" {
+		if program, err = rig.BuildMutant(r.dir, mutation); err != nil {
+			return nil, err
+		}
+	}
+	f, err := rig.NewFleet(rig.FleetConfig{Program: program, Members: accusedMembers, Servers: accusedServers, Seed: r.seed, Slack: r.slack})
+	if err != nil {
+		return nil, err
+	}
+	r.fleet, r.records = f, f.Rec
+	f.Members[accusedMembers-1].Program = liar
+	return f, f.StartAll(accusedMembers)
+}
+
+// sickenServers has one server at a time be unhealthy, none of those that are wrongly accused, and returns when which was.
+func (r *environment) sickenServers(ctx context.Context, f *rig.Fleet, begin, length time.Duration) (l []illness) {
+	for ctx.Err() == nil && f.Rec.Now() < begin+length*7/10 {
+		s := f.Servers[accusedCount+r.rng.IntN(accusedServers-accusedCount)]
+		s.SetMode([]standin.Mode{standin.Failing, standin.Hanging, standin.Refusing}[r.rng.IntN(3)])
+		x := illness{server: s, from: f.Rec.Now()}
+		select {
+		case <-time.After(length/8 + time.Duration(r.rng.Int64N(int64(length/8)))):
+		case <-ctx.Done():
+		}
+		s.SetMode(standin.Serving)
+		x.to = f.Rec.Now()
+		l = append(l, x)
+	}
+	return l
+}
+
+// judgeAccused reports what unhealthy servers cost, and holds what the accused servers got against the mean.
+func (r *environment) judgeAccused(f *rig.Fleet, illnesses []illness) {
+	paid, well := 0, 0
+	perServer := map[string]int{}
+	for _, a := range f.Rec.View().Arrivals {
+		sick := slices.ContainsFunc(illnesses, func(x illness) bool {
+			return a.Server == x.server.ID() && a.First >= x.from && a.First < x.to
+		})
+		if sick {
+			paid++
+		} else {
+			well++
+			perServer[a.Server]++
+		}
+	}
+	share := math.Inf(1) // the module keeps out a fifth of the list at the most, whatever it is told: two of the three
+	for _, s := range f.Servers[:accusedCount] {
+		share = min(share, float64(perServer[s.ID()])/(float64(well)/accusedServers))
+	}
+	r.addFigure("illnesses", len(illnesses), "of servers, one at a time")
+	r.addFigure("paid", paid, "attempts at servers while these were sick")
+	r.addFigure("paid_each", float64(paid)/float64(max(1, len(illnesses))), "the same for each")
+	r.addFigure("named_share", share, "of the mean: the least that a server got of the three that one member told all others were failing")
+	if share < minNamedShare {
+		r.failf("a server that is well got %.2f of the mean, on one member's word", share)
+	}
+}
+
+// memberDeaths kills two of five and measures what the servers get after that, with the members' view and as it was without.
+func memberDeaths(ctx context.Context, r *environment) error {
+	length := max(r.length, 6*time.Second)
+	for _, alone := range []bool{true, false} {
+		if r.fleet != nil {
+			r.fleet.Close()
+		}
+		f, err := r.startFleet(rig.FleetConfig{Members: memberCount, Servers: 20, Alone: alone})
+		if err != nil {
+			return err
+		}
+		name := map[bool]string{true: "before", false: "fleet"}[alone]
+		if !alone {
+			if _, err := f.Agree(20*time.Second+10*r.slack, true, memberIndices(memberCount)...); err != nil {
+				return err
+			}
+		}
+		var load sync.WaitGroup
+		for _, m := range f.Members {
+			m.Stream(ctx, &load, rig.Traffic(200, 2*length)...)
+		}
+		begin := f.Rec.Now()
+		time.Sleep(length / 2)
+		died := f.Rec.Now()
+		least, most := f.Load(begin, died)
+		r.addFigure(name+"_alive_least", least, "requests of the server that got least, of the mean")
+		r.addFigure(name+"_alive_most", most, "and of the one that got most")
+		f.Members[1].Kill()
+		f.Members[3].Kill()
+		if !alone {
+			took, err := f.Agree(20*time.Second+10*r.slack, false, 0, 2, 4)
+			if err != nil {
+				return err
+			}
+			r.addFigure("agreed_ms", took, "from the deaths until the others count each other and nobody else")
+			if took, err = f.Agree(20*time.Second+10*r.slack, true, 0, 2, 4); err != nil {
+				return err
+			}
+			r.addFigure("parts_ms", f.Rec.Now()-died, "and until they have taken over what the dead might have taken")
+		}
+		load.Wait()
+		least, most = f.Load(died+6*time.Second, died+2*length)
+		if math.IsNaN(least) || least > 1e8 {
+			least, most = f.Load(died, f.Rec.Now())
+		}
+		r.addFigure(name+"_after_least", least, "the same from six seconds after two of five have died")
+		r.addFigure(name+"_after_most", most, "")
+	}
+	return nil
+}
--- a/cmd/drill/operators.go
+++ b/internal/drill/operators.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"cranegrade/internal/admin"
-	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/rig"
 	"cranegrade/internal/standin"
 )
 
@@ -22,7 +22,7 @@
 }
 
 // isOut names a server that is out now: that one, or "" for any; "" if none is.
-func (r *rig) isOut(server string) string {
+func (r *environment) isOut(server string) string {
 	r.bansMu.Lock()
 	defer r.bansMu.Unlock()
 	for _, b := range r.bans {
@@ -34,7 +34,7 @@
 }
 
 // banned judges the bans: nothing may begin at a server from the grace after the yes until the call back.
-func (r *rig) banned(v standin.View) (late int) {
+func (r *environment) banned(v standin.View) (late int) {
 	r.bansMu.Lock()
 	defer r.bansMu.Unlock()
 	for _, b := range r.bans {
@@ -49,7 +49,7 @@
 }
 
 // call makes an operator's call at a program, and wants a yes within the second.
-func (r *rig) call(p *rigs.Process, verb admin.Verb, id string) {
+func (r *environment) call(p *rig.Process, verb admin.Verb, id string) {
 	addr, err := operatorsOf(p)
 	if err != nil {
 		r.failf("%v", err)
@@ -66,7 +66,7 @@
 	r.bansMu.Lock()
 	defer r.bansMu.Unlock()
 	r.calls++
-	switch now := r.rec.Now(); verb {
+	switch now := r.records.Now(); verb {
 	case admin.SetDown:
 		r.bans = append(r.bans, ban{server: id, from: now})
 	case admin.SetUp:
@@ -79,8 +79,8 @@
 }
 
 // operators is the address where a program takes operators' calls.
-func operatorsOf(p *rigs.Process) (addr string, err error) {
-	if rigs.Await(10*time.Second, func() bool {
+func operatorsOf(p *rig.Process) (addr string, err error) {
+	if rig.Await(10*time.Second, func() bool {
 		_, after, is := strings.Cut(p.Tail(), "operators call on ")
 		addr, _, _ = strings.Cut(after, "\n")
 		return is
@@ -91,12 +91,12 @@
 }
 
 // upgrade starts the program again beside itself, and ends the old one once the new one says yes.
-func (r *rig) upgrade(file string) error {
+func (r *environment) upgrade(file string) error {
 	path := filepath.Join(r.dir, fmt.Sprintf("node-%d.toml", time.Now().UnixNano()))
 	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 		return err
 	}
-	next, err := rigs.Start(r.program, path)
+	next, err := rig.Start(r.program, path)
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	if !rigs.Await(6*time.Second, func() bool {
+	if !rig.Await(6*time.Second, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		yes, _, err := admin.Send(ctx, addr, admin.Command{Verb: admin.Check})
@@ -120,14 +120,14 @@
 		r.failf("the process before ended with %d:\n%s", code, old.Tail())
 	}
 	r.bansMu.Lock()
-	r.gaveWay = append(r.gaveWay, time.Since(began))
+	r.handoverTimes = append(r.handoverTimes, time.Since(began))
 	r.bansMu.Unlock()
 	return nil
 }
 
 // operators plays a day of operators: a server is taken out, restarted while it is out and called back cold, over an
 // upgrade; clients are sent away and come back; two upgrades more.
-func operators(ctx context.Context, r *rig) error {
+func operators(ctx context.Context, r *environment) error {
 	g, err := r.group("app", "app.example.org", inCell(usual, 0), inCell(usual, 0), inCell(usual, 1), inCell(usual, 1))
 	if err != nil {
 		return err
@@ -145,13 +145,26 @@
 	if err := r.settle(g); err != nil {
 		return err
 	}
-	addr := r.node.Addr
 	var faults sync.WaitGroup
+	r.scheduleOperators(ctx, &faults, g, file(r.node.Addr))
+	if err := r.play(ctx, &faults,
+		standin.Stream{Host: g.host, Class: readClass, Rate: 150},
+		standin.Stream{Host: g.host, Class: sendClass, Rate: 60, Body: 200},
+		standin.Stream{Host: g.host, Class: cellClass, Rate: 30, Body: 60_000},
+		standin.Stream{Host: g.host, Class: orderClass, Rate: 30, Body: 500}); err != nil {
+		return err
+	}
+	r.judgeOperators(r.records.View())
+	return nil
+}
+
+// scheduleOperators plans the day's calls and upgrades; file is the one that each upgraded process starts with.
+func (r *environment) scheduleOperators(ctx context.Context, faults *sync.WaitGroup, g *serverGroup, file string) {
 	var upgrading sync.Mutex // r.node changes under it
 	upgrade := func() {
 		upgrading.Lock()
 		defer upgrading.Unlock()
-		if err := r.upgrade(file(addr)); err != nil {
+		if err := r.upgrade(file); err != nil {
 			r.failf("upgrade: %v", err)
 		}
 	}
@@ -161,30 +174,27 @@
 		r.call(r.node, verb, id)
 	}
 	out := g.servers[0]
-	r.at(ctx, &faults, 0.08, func() { call(admin.SetDown, out.ID()) })
-	if r.plant == "" {
-		r.at(ctx, &faults, 0.2, upgrade)
-		r.at(ctx, &faults, 0.3, func() {
-			out.Crash()
-			time.Sleep(300 * time.Millisecond)
-			if err := out.Restart(); err == nil {
-				g.registry.Set(out, "SERVING") // it still may not be used
-			}
-		})
-		r.at(ctx, &faults, 0.45, func() { call(admin.SetUp, out.ID()) })
-		r.at(ctx, &faults, 0.5, func() { call(admin.DrainOn, "") })
-		r.at(ctx, &faults, 0.55, upgrade)
-		r.at(ctx, &faults, 0.65, func() { call(admin.DrainOff, "") })
-		r.at(ctx, &faults, 0.75, upgrade)
-	}
-	if err := r.play(ctx, &faults,
-		standin.Stream{Host: g.host, Class: readClass, Rate: 150},
-		standin.Stream{Host: g.host, Class: sendClass, Rate: 60, Body: 200},
-		standin.Stream{Host: g.host, Class: cellClass, Rate: 30, Body: 60_000},
-		standin.Stream{Host: g.host, Class: orderClass, Rate: 30, Body: 500}); err != nil {
-		return err
-	}
-	v := r.rec.View()
+	r.at(ctx, faults, 0.08, func() { call(admin.SetDown, out.ID()) })
+	if r.violation != "" {
+		return // the violation alone
+	}
+	r.at(ctx, faults, 0.2, upgrade)
+	r.at(ctx, faults, 0.3, func() {
+		out.Crash()
+		time.Sleep(300 * time.Millisecond)
+		if err := out.Restart(); err == nil {
+			g.registry.Set(out, "SERVING") // it still may not be used
+		}
+	})
+	r.at(ctx, faults, 0.45, func() { call(admin.SetUp, out.ID()) })
+	r.at(ctx, faults, 0.5, func() { call(admin.DrainOn, "") })
+	r.at(ctx, faults, 0.55, upgrade)
+	r.at(ctx, faults, 0.65, func() { call(admin.DrainOff, "") })
+	r.at(ctx, faults, 0.75, upgrade)
+}
+
+// judgeOperators judges the bans and reports the day's figures.
+func (r *environment) judgeOperators(v standin.View) {
 	late := r.banned(v)
 	back := 0
 	r.bansMu.Lock()
@@ -195,14 +205,14 @@
 			}
 		}
 	}
-	r.figure("calls", r.calls, "of operators, each answered yes within the second")
-	r.figure("after_ban", late, "requests that began at a server while it was taken out")
-	r.figure("after_call_back", back, "requests at the server that was called back")
-	for _, t := range r.gaveWay {
-		r.figure("gave_way_ms", t, "from SIGTERM until the process before had ended")
+	r.addFigure("calls", r.calls, "of operators, each answered yes within the second")
+	r.addFigure("after_ban", late, "requests that began at a server while it was taken out")
+	r.addFigure("after_call_back", back, "requests at the server that was called back")
+	for _, t := range r.handoverTimes {
+		r.addFigure("gave_way_ms", t, "from SIGTERM until the process before had ended")
 	}
 	r.bansMu.Unlock()
-	if r.plant == "" && back == 0 {
+	if r.violation == "" && back == 0 {
 		r.failf("the server that was called back got nothing")
 	}
 	crossed := 0
@@ -211,7 +221,6 @@
 			crossed++
 		}
 	}
-	r.figure("crossed", crossed, "requests that crossed the close of a kept connection, and were sent once more")
+	r.addFigure("crossed", crossed, "requests that crossed the close of a kept connection, and were sent once more")
 	r.tables = append(r.tables, streamTable(v), serverTable(v))
-	return nil
 }
--- a/cmd/drill/overload.go
+++ b/internal/drill/overload.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -28,8 +28,8 @@
 
 // overloaded is the two tiers of one play.
 type overloaded struct {
-	r            *rig
-	upper, lower *group
+	r            *environment
+	upper, lower *serverGroup
 	end          time.Duration // of the play
 	span         time.Duration // of the trigger
 }
@@ -109,16 +109,16 @@
 
 // overload plays a shape on two tiers that both call through the program, and for comparison through a
 // balancer with a fixed limit and one with none.
-func overload(name string) func(context.Context, *rig) error {
+func overload(name string) func(context.Context, *environment) error {
 	shape := overloadShapes[name]
-	return func(ctx context.Context, r *rig) error {
+	return func(ctx context.Context, r *environment) error {
 		rows := []overloadRow{}
 		row, err := r.playOverload(ctx, shape)
 		if err != nil {
 			return err
 		}
 		rows = append(rows, row)
-		if r.length >= 8*time.Second && r.plant == "" {
+		if r.length >= 8*time.Second && r.violation == "" {
 			for _, ref := range []struct {
 				name  string
 				limit int
@@ -131,12 +131,12 @@
 			}
 		}
 		p := rows[0]
-		r.figure("goodput_before", p.before, "share answered within the aim before the trigger")
-		r.figure("goodput_during", p.during, "while it lasts")
-		r.figure("goodput_after", p.after, "and after it")
-		r.figure("back_after_s", p.back.Seconds(), "until goodput is back at 0.95 of that before, for good; under 0: never")
-		r.figure("vain_work", p.vain, "share of the servers' work that was for nobody")
-		r.figure("worst_class", p.worst, "goodput of the class served worst")
+		r.addFigure("goodput_before", p.before, "share answered within the aim before the trigger")
+		r.addFigure("goodput_during", p.during, "while it lasts")
+		r.addFigure("goodput_after", p.after, "and after it")
+		r.addFigure("back_after_s", p.back.Seconds(), "until goodput is back at 0.95 of that before, for good; under 0: never")
+		r.addFigure("vain_work", p.vain, "share of the servers' work that was for nobody")
+		r.addFigure("worst_class", p.worst, "goodput of the class served worst")
 		var b strings.Builder
 		t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "policy\tbefore\tduring\tafter\tback after s\tvain work\tworst class")
@@ -151,7 +151,7 @@
 
 // tiers starts two tiers of stubborn servers; the upper ones call the lower host at an address that is told
 // later.
-func (r *rig) tiers(prefix string) (s *overloaded, at func(addr string), err error) {
+func (r *environment) tiers(prefix string) (s *overloaded, at func(addr string), err error) {
 	var through *standin.Callers
 	var mu sync.Mutex
 	next := func(class string, left time.Duration) bool {
@@ -161,7 +161,7 @@
 		if left <= 0 {
 			return false
 		}
-		of := r.rec.Classes[class]
+		of := r.records.Classes[class]
 		of.Deadline = left
 		return c.Do(standin.Stream{Name: "down", Host: lowerHost, Class: of, Body: 100}).Status == 200
 	}
@@ -184,11 +184,11 @@
 	return s, func(addr string) {
 		mu.Lock()
 		defer mu.Unlock()
-		through = standin.NewCallers(r.rec, addr, r.seed+1000, 2*time.Second+r.slack)
+		through = standin.NewCallers(r.records, addr, r.seed+1000, 2*time.Second+r.slack)
 	}, nil
 }
 
-func (r *rig) playOverload(ctx context.Context, shape overloadShape) (overloadRow, error) {
+func (r *environment) playOverload(ctx context.Context, shape overloadShape) (overloadRow, error) {
 	s, at, err := r.tiers("")
 	if err != nil {
 		return overloadRow{}, err
@@ -208,8 +208,8 @@
 
 // referOverload plays a shape through a reference. What that breaks is not the program's, so its records
 // are its own.
-func (r *rig) referOverload(ctx context.Context, shape overloadShape, name string, limit int) (overloadRow, error) {
-	own := &rig{options: r.options, rng: r.rng, rec: standin.NewRecords(allClasses...), keys: standin.NewKeys(), err: r.err}
+func (r *environment) referOverload(ctx context.Context, shape overloadShape, name string, limit int) (overloadRow, error) {
+	own := &environment{options: r.options, rng: r.rng, records: standin.NewRecords(allClasses...), keys: standin.NewKeys(), err: r.err}
 	defer own.close()
 	s, at, err := own.tiers(name + "-")
 	if err != nil {
@@ -227,7 +227,7 @@
 	}
 	defer b.Close()
 	at(b.Addr())
-	own.callers = standin.NewCallers(own.rec, b.Addr(), r.seed, 2*time.Second)
+	own.callers = standin.NewCallers(own.records, b.Addr(), r.seed, 2*time.Second)
 	return own.judgeOverload(ctx, s, shape, name)
 }
 
@@ -248,20 +248,20 @@
 }
 
 // judgeOverload plays a shape and reads from the callers' records what became of it.
-func (r *rig) judgeOverload(ctx context.Context, s *overloaded, shape overloadShape, name string) (overloadRow, error) {
+func (r *environment) judgeOverload(ctx context.Context, s *overloaded, shape overloadShape, name string) (overloadRow, error) {
 	share := func(x float64) time.Duration { return time.Duration(x * float64(r.length)) }
 	s.span = share(shape.to) - share(shape.from)
-	start := r.rec.Now()
+	start := r.records.Now()
 	from, to := start+share(shape.from), start+share(shape.to)
 	var faults sync.WaitGroup
-	if r.plant == "" {
+	if r.violation == "" {
 		r.at(ctx, &faults, shape.from, func() { shape.trigger(ctx, s) })
 	}
 	if err := r.play(ctx, &faults, steadily(overLoad*s.capacity(), r.length)...); err != nil {
 		return overloadRow{}, err
 	}
 	end := start + r.length
-	v := r.rec.View()
+	v := r.records.View()
 	good := func(from, to time.Duration, stream string) float64 { return goodput(v, stream, from, to) }
 	row := overloadRow{name: name, before: good(start, from, "up-"), during: good(from, to, "up-"), after: good(to, end, "up-"), worst: 1}
 	if from == start {
@@ -282,7 +282,7 @@
 		row.worst = min(row.worst, good(start, end, "up-"+c.class.Name))
 	}
 	var all, vain time.Duration
-	for _, g := range []*group{s.upper, s.lower} {
+	for _, g := range []*serverGroup{s.upper, s.lower} {
 		for _, x := range g.servers {
 			a, b := x.Labour()
 			all, vain = all+a, vain+b
--- a/cmd/drill/pools.go
+++ b/internal/drill/pools.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -17,29 +17,63 @@
 	floodTimes = 20
 )
 
+// The servers of the pools: few and slow ones for the pool that is flooded, quick ones for the others.
+var (
+	floodedServer = standin.ServerConfig{Slots: 2, Queue: 4, Work: 40 * time.Millisecond, Choke: 0.05, Cold: cold, Zone: "a"}
+	quickServer   = standin.ServerConfig{Slots: 8, Queue: 16, Work: 10 * time.Millisecond, Cold: cold, Zone: "a"}
+)
+
 // pools runs five services in one process and lets four of them suffer in their ways: a flood of 20
 // times the capacity comes in every second phase, all servers of one hang, all of one refuse, and one
 // has no registry from the start. The calm one must not notice.
-func pools(ctx context.Context, r *rig) error {
-	small := standin.ServerConfig{Slots: 2, Queue: 4, Work: 40 * time.Millisecond, Choke: 0.05, Cold: cold, Zone: "a"}
-	quick := standin.ServerConfig{Slots: 8, Queue: 16, Work: 10 * time.Millisecond, Cold: cold, Zone: "a"}
-	type setup struct {
-		name, host string
-		cfg        standin.ServerConfig
-		n          int
+func pools(ctx context.Context, r *environment) error {
+	groups, err := r.startPools()
+	if err != nil {
+		return err
+	}
+	capacity := float64(floodedServer.Slots) / floodedServer.Work.Seconds() * float64(len(groups["intake"].servers))
+	phase := r.length / phases
+	start := r.records.Now()
+	var faults sync.WaitGroup
+	r.floodEverySecondPhase(ctx, &faults, phase, floodTimes*capacity)
+	calm := func(c standin.Class) standin.Stream {
+		return standin.Stream{Name: "calm", Host: statusHost, Class: c, Rate: 60}
+	}
+	few := func(host string, c standin.Class) standin.Stream {
+		name, _, _ := strings.Cut(host, ".")
+		return standin.Stream{Name: name, Host: host, Class: c, Rate: 20, Most: 100}
+	}
+	if err := r.play(ctx, &faults, calm(readClass), calm(sendClass), calm(orderClass),
+		few(intakeHost, orderClass),
+		few("hung.example.org", readClass), few("hung.example.org", orderClass), few("refusing.example.org", sendClass),
+		few("dark.example.org", readClass), few("dark.example.org", orderClass)); err != nil {
+		return err
 	}
-	groups := map[string]*group{}
+	v := r.records.View()
+	r.judgeCalmPool(v, start, phase)
+	r.reportFlood(v, (phase * (phases / 2)).Seconds(), capacity)
+	r.tables = append(r.tables, streamTable(v))
+	return nil
+}
+
+// startPools starts the servers, each group with its fault, and the program; it returns the groups by name.
+func (r *environment) startPools() (map[string]*serverGroup, error) {
+	groups := map[string]*serverGroup{}
 	file := "listen = [\"127.0.0.1:0\"]\nlimits = { cores = 1, memory_mb = 192, descriptors = 1024 }\n"
 	routes := ""
-	for _, s := range []setup{{"status", statusHost, quick, 2}, {"intake", intakeHost, small, 2},
-		{"hung", "hung.example.org", quick, 2}, {"refusing", "refusing.example.org", quick, 2}, {"dark", "dark.example.org", quick, 2}} {
-		cfgs := make([]standin.ServerConfig, s.n)
-		for i := range cfgs {
-			cfgs[i] = s.cfg
-		}
-		g, err := r.group(s.name, s.host, cfgs...)
+	for _, s := range []struct {
+		name, host string
+		server     standin.ServerConfig
+	}{
+		{"status", statusHost, quickServer},
+		{"intake", intakeHost, floodedServer},
+		{"hung", "hung.example.org", quickServer},
+		{"refusing", "refusing.example.org", quickServer},
+		{"dark", "dark.example.org", quickServer},
+	} {
+		g, err := r.group(s.name, s.host, s.server, s.server)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		groups[s.name] = g
 		file += poolText(s.name, g.registryText())
@@ -53,39 +87,26 @@
 	}
 	groups["dark"].registry.Down()
 	if err := r.start(file + routes); err != nil {
-		return err
-	}
-	if err := r.settle(groups["status"], groups["intake"], groups["hung"], groups["refusing"]); err != nil {
-		return err
+		return nil, err
 	}
+	return groups, r.settle(groups["status"], groups["intake"], groups["hung"], groups["refusing"])
+}
 
-	capacity := float64(small.Slots) / small.Work.Seconds() * float64(len(groups["intake"].servers))
-	phase := r.length / phases
-	start := r.rec.Now()
-	var faults sync.WaitGroup
+// floodEverySecondPhase sends a rate of requests a second to the pool that is flooded, in every second phase.
+func (r *environment) floodEverySecondPhase(ctx context.Context, faults *sync.WaitGroup, phase time.Duration, rate float64) {
 	for i := 1; i < phases; i += 2 {
-		r.at(ctx, &faults, float64(i)/phases, func() {
+		r.at(ctx, faults, float64(i)/phases, func() {
 			flood := []standin.Stream{
-				{Name: "flood", Host: intakeHost, Class: readClass, Rate: floodTimes * capacity / 2, For: phase, Most: 300},
-				{Name: "flood", Host: intakeHost, Class: sendClass, Rate: floodTimes * capacity / 2, For: phase, Most: 300, Body: 1000}}
+				{Name: "flood", Host: intakeHost, Class: readClass, Rate: rate / 2, For: phase, Most: 300},
+				{Name: "flood", Host: intakeHost, Class: sendClass, Rate: rate / 2, For: phase, Most: 300, Body: 1000},
+			}
 			r.callers.Run(ctx, flood...)
 		})
 	}
-	calm := func(c standin.Class) standin.Stream {
-		return standin.Stream{Name: "calm", Host: statusHost, Class: c, Rate: 60}
-	}
-	few := func(host string, c standin.Class) standin.Stream {
-		name, _, _ := strings.Cut(host, ".")
-		return standin.Stream{Name: name, Host: host, Class: c, Rate: 20, Most: 100}
-	}
-	if err := r.play(ctx, &faults, calm(readClass), calm(sendClass), calm(orderClass),
-		few(intakeHost, orderClass),
-		few("hung.example.org", readClass), few("hung.example.org", orderClass), few("refusing.example.org", sendClass),
-		few("dark.example.org", readClass), few("dark.example.org", orderClass)); err != nil {
-		return err
-	}
+}
 
-	v := r.rec.View()
+// judgeCalmPool compares what the calm pool served with and without the flood.
+func (r *environment) judgeCalmPool(v standin.View, start, phase time.Duration) {
 	// The first moments of a phase belong to neither.
 	in := func(flooded bool) func(standin.Exchange) bool {
 		return func(x standin.Exchange) bool {
@@ -107,24 +128,12 @@
 		return served / max(1, float64(n))
 	}
 	without, with := times(v.Exchanges, in(false)), times(v.Exchanges, in(true))
-	r.figure("calm_served_without", share(false), "share of the calm pool's requests served without the flood")
-	r.figure("calm_served_with", share(true), "and with it")
-	r.figure("calm_p99_without_ms", quantile(without, 0.99), "")
-	r.figure("calm_p99_with_ms", quantile(with, 0.99), "")
-	r.figure("calm_p99_ratio", float64(quantile(with, 0.99))/float64(max(1, quantile(without, 0.99))), "at most 1.3 is wanted, on an idle machine")
-	offered, served := 0, 0
-	for _, x := range v.Exchanges {
-		if x.Stream == "flood" {
-			offered++
-			if x.Status == 200 {
-				served++
-			}
-		}
-	}
-	seconds := (phase * (phases / 2)).Seconds()
-	r.figure("flood_offered_per_s", float64(offered)/seconds, fmt.Sprintf("of a pool that serves %.0f", capacity))
-	r.figure("flood_served_per_s", float64(served)/seconds, "")
-	r.figure("flood_unsent", r.callers.Unsent("flood"), "not sent, for 300 of a stream were open")
+	ratio := float64(quantile(with, 0.99)) / float64(max(1, quantile(without, 0.99)))
+	r.addFigure("calm_served_without", share(false), "share of the calm pool's requests served without the flood")
+	r.addFigure("calm_served_with", share(true), "and with it")
+	r.addFigure("calm_p99_without_ms", quantile(without, 0.99), "")
+	r.addFigure("calm_p99_with_ms", quantile(with, 0.99), "")
+	r.addFigure("calm_p99_ratio", ratio, "at most 1.3 is wanted, on an idle machine")
 	if n := len(without); n == 0 || len(with) == 0 {
 		r.failf("the calm pool served nothing: %d without the flood, %d with it", n, len(with))
 	}
@@ -137,6 +146,20 @@
 	if share(true) < least {
 		r.failf("the calm pool served %.3f of its requests under the flood, %.3f without", share(true), share(false))
 	}
-	r.tables = append(r.tables, streamTable(v))
-	return nil
+}
+
+// reportFlood reports how much of the flood came and was served, over the seconds that it lasted.
+func (r *environment) reportFlood(v standin.View, seconds, capacity float64) {
+	offered, served := 0, 0
+	for _, x := range v.Exchanges {
+		if x.Stream == "flood" {
+			offered++
+			if x.Status == 200 {
+				served++
+			}
+		}
+	}
+	r.addFigure("flood_offered_per_s", float64(offered)/seconds, fmt.Sprintf("of a pool that serves %.0f", capacity))
+	r.addFigure("flood_served_per_s", float64(served)/seconds, "")
+	r.addFigure("flood_unsent", r.callers.Unsent("flood"), "not sent, for 300 of a stream were open")
 }
--- a/cmd/drill/reload.go
+++ b/internal/drill/reload.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -7,78 +7,26 @@
 	"sync"
 	"time"
 
-	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/rig"
 	"cranegrade/internal/standin"
 )
 
 // reload changes the operator's file again and again under load: pools are changed, removed and added,
 // a host moves between two pools, lists change, and some files are bad. One server is listed in two
 // pools and drains in one of them.
-func reload(ctx context.Context, r *rig) error {
-	a, err := r.group("a", "a.example.org", inCell(usual, 1), inCell(usual, 1), inCell(usual, 2))
-	if err != nil {
-		return err
-	}
-	b, err := r.group("b", "", inCell(usual, 1), inCell(usual, 1), inCell(usual, 2)) // its registry counts for every other host
+func reload(ctx context.Context, r *environment) error {
+	f, err := r.startReloadable()
 	if err != nil {
 		return err
 	}
-	c, err := r.group("c", "c.example.org", inCell(usual, 1), inCell(usual, 1))
-	if err != nil {
-		return err
-	}
-	shared := b.servers[0]
-	a.registry.Set(shared, "SERVING")
-
-	f := fileState{groups: map[string]*group{"a": a, "b": b, "c": c}, moving: "b", hasC: true}
-	if err := r.start(f.text()); err != nil {
-		return err
-	}
-	if err := r.settle(a, b, c); err != nil {
-		return err
-	}
 	before, residentBefore := r.node.Resources()
-
 	var faults sync.WaitGroup
 	reloads, bad := 0, 0
 	playing, over := context.WithCancel(ctx)
 	defer over()
-	faults.Go(func() {
-		for end := time.Now().Add(r.length); time.Now().Before(end); {
-			select {
-			case <-time.After(time.Duration(20+r.rng.IntN(120)) * time.Millisecond):
-			case <-playing.Done():
-				return
-			}
-			text := f.step(r)
-			if r.rng.IntN(8) == 0 {
-				bad++
-				text = strings.Replace(text, "[[pools]]", "[[poools]]", 1)
-			}
-			if err := r.rewrite(text); err != nil {
-				r.failf("reload: %v", err)
-				return
-			}
-			reloads++
-		}
-	})
-	if r.plant == "" {
-		faults.Go(func() { // the shared server drains in a, and only there
-			for draining := false; ; {
-				select {
-				case <-time.After(r.length / 7):
-				case <-playing.Done():
-					return
-				}
-				draining = !draining
-				a.registry.Set(shared, map[bool]string{true: "DRAINING", false: "SERVING"}[draining])
-				if draining {
-					b.registry.Set(b.servers[1], "DRAINING")
-				} else {
-					b.registry.Set(b.servers[1], "SERVING")
-				}
-			}
-		})
+	faults.Go(func() { reloads, bad = r.reloadAgainAndAgain(playing, f) })
+	if r.violation == "" {
+		faults.Go(func() { r.drainSharedServer(playing, f) })
 	}
 	faults.Go(func() { // ends what goes on for as long as there is traffic
 		select {
@@ -96,31 +44,105 @@
 		stream("c.example.org", readClass, 40)); err != nil {
 		return err
 	}
+	r.addFigure("reloads", reloads, "files read while requests ran")
+	r.addFigure("bad_files", bad, "of these with a fault, and so without effect")
+	if err := r.judgeResources(f, before, residentBefore); err != nil {
+		return err
+	}
+	v := r.records.View()
+	r.judgeRouted(v)
+	r.tables = append(r.tables, streamTable(v), serverTable(v))
+	return nil
+}
 
-	// Back to the first file: what pools that have gone held must be given back.
+// startReloadable starts three groups, of which b's first server is listed in a, too, and the program with its first file.
+func (r *environment) startReloadable() (*fileState, error) {
+	a, err := r.group("a", "a.example.org", inCell(usual, 1), inCell(usual, 1), inCell(usual, 2))
+	if err != nil {
+		return nil, err
+	}
+	b, err := r.group("b", "", inCell(usual, 1), inCell(usual, 1), inCell(usual, 2)) // its registry counts for every other host
+	if err != nil {
+		return nil, err
+	}
+	c, err := r.group("c", "c.example.org", inCell(usual, 1), inCell(usual, 1))
+	if err != nil {
+		return nil, err
+	}
+	a.registry.Set(b.servers[0], "SERVING")
+	f := &fileState{groups: map[string]*serverGroup{"a": a, "b": b, "c": c}, moving: "b", hasC: true}
+	if err := r.start(f.text()); err != nil {
+		return nil, err
+	}
+	return f, r.settle(a, b, c)
+}
+
+// reloadAgainAndAgain rewrites the file for the drill's length, one in eight with a fault, and returns how many were
+// written and how many of them were bad.
+func (r *environment) reloadAgainAndAgain(ctx context.Context, f *fileState) (reloads, bad int) {
+	for end := time.Now().Add(r.length); time.Now().Before(end); {
+		select {
+		case <-time.After(time.Duration(20+r.rng.IntN(120)) * time.Millisecond):
+		case <-ctx.Done():
+			return reloads, bad
+		}
+		text := f.step(r)
+		if r.rng.IntN(8) == 0 {
+			bad++
+			text = strings.Replace(text, "[[pools]]", "[[poools]]", 1)
+		}
+		if err := r.rewrite(text); err != nil {
+			r.failf("reload: %v", err)
+			return reloads, bad
+		}
+		reloads++
+	}
+	return reloads, bad
+}
+
+// drainSharedServer has the shared server drain in a, and only there, while another one drains in b.
+func (r *environment) drainSharedServer(ctx context.Context, f *fileState) {
+	a, b := f.groups["a"], f.groups["b"]
+	for draining := false; ; {
+		select {
+		case <-time.After(r.length / 7):
+		case <-ctx.Done():
+			return
+		}
+		draining = !draining
+		state := map[bool]string{true: "DRAINING", false: "SERVING"}[draining]
+		a.registry.Set(b.servers[0], state)
+		b.registry.Set(b.servers[1], state)
+	}
+}
+
+// judgeResources goes back to the first file: what pools that are gone held must have been given back.
+func (r *environment) judgeResources(f *fileState, before, residentBefore int) error {
 	f.moving, f.hasC, f.calls, f.static, f.aim = "b", true, 0, false, 0
 	if err := r.rewrite(f.text()); err != nil {
 		return err
 	}
 	r.callers.Close()
 	var after, resident int
-	returned := rigs.Await(20*time.Second, func() bool {
+	returned := rig.Await(20*time.Second, func() bool {
 		after, resident = r.node.Resources()
 		return after <= before+2
 	})
-	r.figure("reloads", reloads, "files read while requests ran")
-	r.figure("bad_files", bad, "of these with a fault, and so without effect")
-	r.figure("descriptors_before", before, "of the program, before any traffic")
-	r.figure("descriptors_after", after, "and after it, once idle connections had ended")
-	r.figure("resident_before_kb", residentBefore, "")
-	r.figure("resident_after_kb", resident, "")
+	r.addFigure("descriptors_before", before, "of the program, before any traffic")
+	r.addFigure("descriptors_after", after, "and after it, once idle connections had ended")
+	r.addFigure("resident_before_kb", residentBefore, "")
+	r.addFigure("resident_after_kb", resident, "")
 	if !returned && before > 0 {
 		r.failf("%d descriptors before and %d after", before, after)
 	}
 	if r.node.Crashed() {
 		r.failf("the program ended")
 	}
-	v := r.rec.View()
+	return nil
+}
+
+// judgeRouted counts requests that were refused for want of a pool although their host always had one.
+func (r *environment) judgeRouted(v standin.View) {
 	wrong := 0
 	for _, x := range v.Exchanges {
 		if x.Status == 404 && x.Stream != "c" || x.Status == 409 || x.Status == 400 {
@@ -130,13 +152,11 @@
 	if wrong > 0 {
 		r.failf("%d requests for hosts that always had a pool were turned away without one", wrong)
 	}
-	r.tables = append(r.tables, streamTable(v), serverTable(v))
-	return nil
 }
 
 // fileState is what the file says now.
 type fileState struct {
-	groups map[string]*group
+	groups map[string]*serverGroup
 	moving string // the pool of m.example.org
 	hasC   bool
 	calls  int  // a's limit; 0: none of its own
@@ -145,7 +165,7 @@
 }
 
 // step changes one thing.
-func (f *fileState) step(r *rig) string {
+func (f *fileState) step(r *environment) string {
 	switch r.rng.IntN(5) {
 	case 0:
 		f.moving = map[string]string{"a": "b", "b": "a"}[f.moving]
--- a/cmd/drill/tour.go
+++ b/internal/drill/tour.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 // tour is a first look: one pool, three servers, every class; one server drains and comes back, one
 // crashes and starts again.
-func tour(ctx context.Context, r *rig) error {
+func tour(ctx context.Context, r *environment) error {
 	const host = "tour.example.org"
 	g, err := r.group("tour", host, inCell(usual, 1), inCell(usual, 1), inCell(usual, 2))
 	if err != nil {
@@ -23,7 +23,7 @@
 		return err
 	}
 	var faults sync.WaitGroup
-	if r.plant == "" {
+	if r.violation == "" {
 		r.at(ctx, &faults, 0.2, func() { g.registry.Set(g.servers[0], "DRAINING") })
 		r.at(ctx, &faults, 0.4, func() { g.registry.Set(g.servers[0], "SERVING") })
 		r.at(ctx, &faults, 0.5, func() {
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	v := r.rec.View()
+	v := r.records.View()
 	r.tables = append(r.tables, streamTable(v), serverTable(v))
 	return nil
 }
--- a/cmd/drill/plant.go
+++ b/internal/drill/violation.go
@@ -1,4 +1,4 @@
-package main
+package drill
 
 import (
 	"context"
@@ -7,48 +7,48 @@
 	"sync"
 	"time"
 
-	rigs "cranegrade/internal/rig"
+	"cranegrade/internal/rig"
 	"cranegrade/internal/standin"
 )
 
-// plantTime is how long a drill runs at the least when a breach is planted.
-const plantTime = 4 * time.Second
+// minViolationTime is how long a drill runs at the least when a breach is planted.
+const minViolationTime = 4 * time.Second
 
-// plants commit a breach of each rule on the path between the program and what stands outside. A drill
+// violations commit a breach of each rule on the path between the program and what stands outside. A drill
 // that does not find it is at fault.
-var plants = map[string]func(context.Context, *rig) error{
-	"lost": plantLost, "twice": plantTwice, "drain": plantDrain, "cold": plantCold, "ban": plantBan,
-	"seen": plantedInProgram, "stalled": plantedInProgram, "gullible": plantedInProgram,
+var violations = map[string]func(context.Context, *environment) error{
+	"lost": violateLost, "twice": violateTwice, "drain": violateDrain, "cold": violateCold, "ban": violateBan,
+	"seen": mutationOnly, "stalled": mutationOnly, "gullible": mutationOnly,
 }
 
-func plantNames() (l []string) {
-	for name := range plants {
+func violationNames() (l []string) {
+	for name := range violations {
 		l = append(l, name)
 	}
 	sort.Strings(l)
 	return l
 }
 
-// plantLost loses an answer on its way to the caller. A caller whose kept connection ends so takes it
+// violateLost loses an answer on its way to the caller. A caller whose kept connection ends so takes it
 // for a crossed close and sends the request once more, as the protocol has it; that the first had
 // reached a server gives it away. Two in a row are lost in any case.
-func plantLost(ctx context.Context, r *rig) error {
+func violateLost(ctx context.Context, r *environment) error {
 	select {
 	case <-time.After(time.Second):
 	case <-ctx.Done():
 	}
-	if len(r.asking) > 0 {
-		r.asking[0].Lose(3)
+	if len(r.proxies) > 0 {
+		r.proxies[0].Lose(3)
 	} else {
 		r.relay.Lose(3)
 	}
 	return nil
 }
 
-// served waits for a request of a class that was served, and says at which server and host.
-func (r *rig) served(classes ...standin.Class) (x standin.Exchange, a standin.Arrival, c standin.Class, err error) {
-	if !rigs.Await(plantTime, func() bool {
-		v := r.rec.View()
+// awaitServed waits for a request of a class that was served, and says at which server and host.
+func (r *environment) awaitServed(classes ...standin.Class) (x standin.Exchange, a standin.Arrival, c standin.Class, err error) {
+	if !rig.Await(minViolationTime, func() bool {
+		v := r.records.View()
 		ends := map[string]standin.Exchange{}
 		for _, x := range v.Exchanges {
 			if x.Status == 200 {
@@ -70,8 +70,8 @@
 	return x, a, c, err
 }
 
-// home is the group whose host a request named.
-func (r *rig) home(host string) *group {
+// groupOf is the group whose host a request named.
+func (r *environment) groupOf(host string) *serverGroup {
 	for _, g := range r.groups {
 		if g.host == host {
 			return g
@@ -85,13 +85,13 @@
 	return r.groups[0]
 }
 
-// plantTwice sends an unsafe request that has run to a server once more.
-func plantTwice(_ context.Context, r *rig) error {
-	x, a, c, err := r.served(orderClass)
+// violateTwice sends an unsafe request that has run to a server once more.
+func violateTwice(_ context.Context, r *environment) error {
+	x, a, c, err := r.awaitServed(orderClass)
 	if err != nil {
 		return err
 	}
-	servers := r.home(a.Host).servers
+	servers := r.groupOf(a.Host).servers
 	for _, s := range servers {
 		if s.ID() != a.Server {
 			return standin.Ghost(s, x, a.Host, c)
@@ -100,10 +100,10 @@
 	return standin.Ghost(servers[0], x, a.Host, c)
 }
 
-// told waits until the node has been told of a server's state.
-func (r *rig) told(server string, gone bool, boot int) error {
-	if !rigs.Await(plantTime, func() bool {
-		l := r.rec.View().Told
+// awaitListed waits until the node has been told of a server's state.
+func (r *environment) awaitListed(server string, gone bool, boot int) error {
+	if !rig.Await(minViolationTime, func() bool {
+		l := r.records.View().Told
 		for i := len(l) - 1; i >= 0; i-- {
 			if l[i].Server == server {
 				return l[i].Gone == gone && l[i].Boot == boot
@@ -116,17 +116,17 @@
 	return nil
 }
 
-// plantDrain has a server drain and sends to it long after the node was told.
-func plantDrain(ctx context.Context, r *rig) error {
-	x, a, c, err := r.served(readClass)
+// violateDrain has a server drain and sends to it long after the node was told.
+func violateDrain(ctx context.Context, r *environment) error {
+	x, a, c, err := r.awaitServed(readClass)
 	if err != nil {
 		return err
 	}
-	g := r.home(a.Host)
+	g := r.groupOf(a.Host)
 	s := g.servers[len(g.servers)-1]
 	g.list(s, "DRAINING")
 	boot, _ := s.Boot()
-	if err := r.told(s.ID(), true, boot); err != nil {
+	if err := r.awaitListed(s.ID(), true, boot); err != nil {
 		return err
 	}
 	select {
@@ -141,13 +141,13 @@
 	return nil
 }
 
-// plantCold starts a server anew and sends it far more than it can take.
-func plantCold(_ context.Context, r *rig) error {
-	x, a, c, err := r.served(readClass)
+// violateCold starts a server anew and sends it far more than it can take.
+func violateCold(_ context.Context, r *environment) error {
+	x, a, c, err := r.awaitServed(readClass)
 	if err != nil {
 		return err
 	}
-	g := r.home(a.Host)
+	g := r.groupOf(a.Host)
 	s := g.servers[len(g.servers)-1]
 	s.Crash()
 	if err := s.Restart(); err != nil {
@@ -155,7 +155,7 @@
 	}
 	g.list(s, "SERVING")
 	boot, _ := s.Boot()
-	if err := r.told(s.ID(), false, boot); err != nil {
+	if err := r.awaitListed(s.ID(), false, boot); err != nil {
 		return err
 	}
 	cfg := s.Config()
@@ -176,20 +176,20 @@
 	return nil
 }
 
-// plantBan sends to a server that the drill has taken out, as a node that forgot the ban would.
-func plantBan(ctx context.Context, r *rig) error {
-	x, a, c, err := r.served(readClass)
+// violateBan sends to a server that the drill has taken out, as a node that forgot the ban would.
+func violateBan(ctx context.Context, r *environment) error {
+	x, a, c, err := r.awaitServed(readClass)
 	if err != nil {
 		return err
 	}
-	if !rigs.Await(plantTime, func() bool { return r.isOut("") != "" }) {
+	if !rig.Await(minViolationTime, func() bool { return r.isOut("") != "" }) {
 		return errors.New("this drill takes no server out by hand")
 	}
 	select {
 	case <-time.After(time.Second + r.slack):
 	case <-ctx.Done():
 	}
-	for _, s := range r.home(a.Host).servers {
+	for _, s := range r.groupOf(a.Host).servers {
 		if r.isOut(s.ID()) != "" {
 			return standin.Ghost(s, x, a.Host, c)
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -92,8 +92,18 @@
 		cfg.Advertise = cfg.Listen
 	}
 	now := BootTime()
-	f := &Fleet{cfg: cfg, incarnation: rand.Uint64(), wakeups: make(chan struct{}, 1), stop: make(chan struct{}), nodes: map[string]memberlist.Node{},
-		gates: map[uint32]*Gate{}, pools: map[uint32]string{}, rosterSentAt: map[string]time.Duration{}, latestDigests: map[string]peerDigest{}, lastRound: now}
+	f := &Fleet{
+		cfg:           cfg,
+		incarnation:   rand.Uint64(),
+		wakeups:       make(chan struct{}, 1),
+		stop:          make(chan struct{}),
+		nodes:         map[string]memberlist.Node{},
+		gates:         map[uint32]*Gate{},
+		pools:         map[uint32]string{},
+		rosterSentAt:  map[string]time.Duration{},
+		latestDigests: map[string]peerDigest{},
+		lastRound:     now,
+	}
 	f.broadcasts = &memberlist.TransmitLimitedQueue{RetransmitMult: 2, NumNodes: func() int { return int(f.known.Load()) + 1 }}
 	f.view = membership.NewView(now, f.card(), membership.Settle{After: cfg.Settle, FlapForget: flapForget})
 	f.roster = membership.NewRoster(now, cfg.Name, f.incarnation, f.lease())
@@ -263,7 +273,8 @@
 		if f.stalls = append(f.stalls, Stall{now, gap}); len(f.stalls) > maxStalls {
 			f.stalls = f.stalls[1:]
 		}
-		log.Printf("fleet: this process did not run for %v; until others are heard again it goes by no share that is older than %v", gap.Round(time.Millisecond), f.cfg.Lease)
+		log.Printf("fleet: this process did not run for %v; until others are heard again it goes by no share that is older than %v",
+			gap.Round(time.Millisecond), f.cfg.Lease)
 	}
 	f.lastRound = now
 	l := f.list
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -200,7 +200,8 @@
 	var err error
 	for range 10 { // a free port for TCP may be taken for UDP
 		var t *memberlist.NetTransport
-		if t, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: to}); err == nil {
+		cfg := &memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: to}
+		if t, err = memberlist.NewNetTransport(cfg); err == nil {
 			return &transport{t, ip}, nil
 		}
 		if port != 0 {
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -59,8 +59,8 @@
 // NewRoster returns the roster of a node that has just started.
 func NewRoster(now time.Duration, name string, run uint64, l Lease) *Roster {
 	l.Nodes = max(1, l.Nodes)
-	r := &Roster{lease: l, self: name, run: run, started: now, last: now, members: map[string]*peer{}, namesByID: map[uint64]string{}, voters: map[string]bool{},
-		duplicates: map[string]uint64{}}
+	r := &Roster{lease: l, self: name, run: run, started: now, last: now, members: map[string]*peer{},
+		namesByID: map[uint64]string{}, voters: map[string]bool{}, duplicates: map[string]uint64{}}
 	r.Merge(now, []Entry{{Name: name, Epoch: 1}})
 	return r
 }
@@ -90,7 +90,9 @@
 		s := r.members[e.Name]
 		if s == nil {
 			id := NameID(e.Name)
-			if other, is := r.namesByID[id]; len(r.members) >= MaxMembers || is && other != e.Name || !IsValidName(e.Name) || e.Epoch == 0 || e.Epoch > MaxEpoch {
+			other, is := r.namesByID[id]
+			invalid := !IsValidName(e.Name) || e.Epoch == 0 || e.Epoch > MaxEpoch
+			if len(r.members) >= MaxMembers || is && other != e.Name || invalid {
 				continue
 			}
 			s = &peer{Entry: e, id: id, heardAt: r.last}
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -110,7 +110,8 @@
 	book := signal.NewBook(g.pool, id)
 	book.TrustUnbounded = mutations.trustUnbounded
 	sized := s.Sizes == balancer.SizesNominal || s.Sizes == balancer.SizesRough
-	return &Module{uses: uses, decider: in, gate: g, now: now, sized: sized, me: id, listed: map[string]balancer.Server{}, startedAt: map[string]time.Duration{},
+	return &Module{uses: uses, decider: in, gate: g, now: now, sized: sized, me: id, listed: map[string]balancer.Server{},
+		startedAt:      map[string]time.Duration{},
 		maxInlinePairs: maxInlineAssignment, mover: subset.NewMover(moveInterval), book: book, checkedAt: math.MinInt64, quotas: &Parts{}}
 }
 
@@ -172,7 +173,8 @@
 		if math.IsInf(part, 1) {
 			of = nil // what it stood on is too old for what was lent, too
 		}
-		actions = append(actions, m.decider.Handle(now, balancer.Fleet{Balancers: r.Agreed, Index: r.Index, Divisor: part, Subset: set, Quotas: of})...)
+		event := balancer.Fleet{Balancers: r.Agreed, Index: r.Index, Divisor: part, Subset: set, Quotas: of}
+		actions = append(actions, m.decider.Handle(now, event)...)
 	}
 	m.reportDemand(at)
 	actions = append(actions, m.applyDigests(now, at)...)
@@ -293,7 +295,8 @@
 		l = append(l, balancer.Aside{ID: v.Server, StartedAt: v.Boot, Until: now + v.Until - at})
 	}
 	for _, a := range l { // whom the module has not been told of, but for what the two clocks differ by
-		if i := slices.IndexFunc(m.aside, func(b balancer.Aside) bool { return b.ID == a.ID && b.StartedAt == a.StartedAt }); i < 0 || (m.aside[i].Until-a.Until).Abs() > checkInterval {
+		i := slices.IndexFunc(m.aside, func(b balancer.Aside) bool { return b.ID == a.ID && b.StartedAt == a.StartedAt })
+		if i < 0 || (m.aside[i].Until-a.Until).Abs() > checkInterval {
 			news = append(news, a)
 		}
 	}
