--- a/cmd/cranegrade/zones.go
+++ b/cmd/cranegrade/zones.go
@@ -124,7 +124,7 @@
 	book := zone.NewBook(plan.Zones.Limits)
 	book.Restore(state)
 	now := time.Now()
-	return report.Report{Node: plan.Name, Home: plan.Zones.Config.Home, At: now, Budgets: report.Budgets(book.Left(time.Duration(now.UnixNano()))),
+	return report.Report{Node: plan.Name, Home: plan.Zones.Config.Home, At: now, Budgets: report.Budgets(book.Remaining(time.Duration(now.UnixNano()))),
 		Rows: report.Rows(book.Rows(), "", report.By{Pool: true, Class: true, Customer: true})}, nil
 }
 
--- a/cmd/cranegrade/zones_test.go
+++ b/cmd/cranegrade/zones_test.go
@@ -37,7 +37,7 @@
 		}
 		book := zone.NewBook(nil)
 		book.Add(time.Duration(time.Now().UnixNano()), zone.Key{Pair: zone.Pair{From: "a", To: "b"}, Pool: "p", Class: "c"}, zone.Traffic{Requests: 2, Out: 3, In: 4})
-		if err := s.Save(book.Changed(), 0); err != nil {
+		if err := s.Save(book.TakeChanges(), 0); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
--- a/internal/drill/overload.go
+++ b/internal/drill/overload.go
@@ -284,7 +284,7 @@
 	var all, vain time.Duration
 	for _, g := range []*serverGroup{s.upper, s.lower} {
 		for _, x := range g.servers {
-			a, b := x.Labour()
+			a, b := x.WorkDone()
 			all, vain = all+a, vain+b
 		}
 	}
--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -94,10 +94,10 @@
 	servers := r.groupOf(a.Host).servers
 	for _, s := range servers {
 		if s.ID() != a.Server {
-			return standin.Ghost(s, x, a.Host, c)
+			return standin.SendStrayRequest(s, x, a.Host, c)
 		}
 	}
-	return standin.Ghost(servers[0], x, a.Host, c)
+	return standin.SendStrayRequest(servers[0], x, a.Host, c)
 }
 
 // awaitListed waits until the node has been told of a server's state.
@@ -133,7 +133,7 @@
 	case <-time.After(time.Second + r.slack):
 	case <-ctx.Done():
 	}
-	if err := standin.Ghost(s, x, a.Host, c); err != nil {
+	if err := standin.SendStrayRequest(s, x, a.Host, c); err != nil {
 		return err
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -166,7 +166,7 @@
 	for range sides {
 		all.Go(func() {
 			for range int(most)/sides + 1 {
-				if standin.Ghost(s, x, a.Host, c) != nil {
+				if standin.SendStrayRequest(s, x, a.Host, c) != nil {
 					return // it has fallen over
 				}
 			}
@@ -191,7 +191,7 @@
 	}
 	for _, s := range r.groupOf(a.Host).servers {
 		if r.isOut(s.ID()) != "" {
-			return standin.Ghost(s, x, a.Host, c)
+			return standin.SendStrayRequest(s, x, a.Host, c)
 		}
 	}
 	return errors.New("no server is out any more")
--- a/internal/node/zone_accounts.go
+++ b/internal/node/zone_accounts.go
@@ -66,7 +66,7 @@
 		log.Printf("zones: %d entries of %s can't be read and are left out", unread, plan.State)
 	}
 	z.book.Restore(state)
-	z.book.Keep()
+	z.book.RequireLeases()
 	if err := z.saveLease(s); err != nil { // what can't be written can't be spent
 		s.Close()
 		return nil, err
@@ -80,12 +80,12 @@
 func (z *zoneAccounts) saveLease(s ZoneStore) error {
 	z.saving.Lock()
 	defer z.saving.Unlock()
-	state := z.book.Lease(time.Duration(time.Now().UnixNano()))
-	if err := s.Save(state, z.book.Oldest()); err != nil {
-		z.book.Again(state)
+	state := z.book.PrepareLease(time.Duration(time.Now().UnixNano()))
+	if err := s.Save(state, z.book.OldestDay()); err != nil {
+		z.book.RestoreChanges(state)
 		return err
 	}
-	z.book.Leased(state)
+	z.book.ConfirmLease(state)
 	return nil
 }
 
@@ -103,7 +103,7 @@
 			}
 			failed = err != nil
 		case <-z.stop:
-			if err := z.store.Save(z.book.Changed(), z.book.Oldest()); err != nil {
+			if err := z.store.Save(z.book.TakeChanges(), z.book.OldestDay()); err != nil {
 				log.Printf("zones: %v", err)
 			}
 			return
@@ -146,7 +146,7 @@
 
 // setLimits puts other budgets in place of the present ones.
 func (z *zoneAccounts) setLimits(l []zone.Limit) {
-	z.book.Limits(l)
+	z.book.SetLimits(l)
 	if z.store != nil {
 		if err := z.saveLease(z.store); err != nil {
 			log.Printf("zones: %v; it is tried again every %v", err, saveInterval)
@@ -184,7 +184,7 @@
 		r.Pools[pool] = report.Areas(m.Views())
 	}
 	z.mu.Unlock()
-	r.Budgets = report.Budgets(z.book.Left(time.Duration(now.UnixNano())))
+	r.Budgets = report.Budgets(z.book.Remaining(time.Duration(now.UnixNano())))
 	r.Rows = report.Rows(z.book.Rows(), "", report.By{Pool: true, Class: true, Customer: true})
 	return r
 }
--- a/internal/program/trace.go
+++ b/internal/program/trace.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s := trace.NewSink(f, trace.FileLimit)
+		s := trace.NewSink(f, trace.MaxFileBytes)
 		t.mu.Lock()
 		t.sinks, t.files = append(t.sinks, s), append(t.files, f)
 		t.mu.Unlock()
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -60,23 +60,23 @@
 	keys *Keys
 	addr string
 
-	behind string // "": nothing stands before it
-
-	mu       sync.Mutex // guards all below
-	mode     Mode
-	boot     int
-	started  time.Duration
-	bootMS   float64
-	listener net.Listener // nil while it is down
-	conns    map[net.Conn]struct{}
-	busy     int
-	waiting  []chan struct{} // of requests in the queue
-	recent   []time.Duration // arrivals within the cold span
-	fallen   bool
-	slower   float64 // what its work takes longer; 0: nothing
-	vain     time.Duration
-	worked   time.Duration
-	done     sync.WaitGroup
+	proxyAddr string // "": nothing stands before it
+
+	mu         sync.Mutex // guards all below
+	mode       Mode
+	boot       int
+	started    time.Duration
+	bootMS     float64
+	listener   net.Listener // nil while it is down
+	conns      map[net.Conn]struct{}
+	busy       int
+	waiting    []chan struct{} // of requests in the queue
+	recent     []time.Duration // arrivals within the cold span
+	fallen     bool
+	slower     float64 // what its work takes longer; 0: nothing
+	wastedWork time.Duration
+	totalWork  time.Duration
+	done       sync.WaitGroup
 }
 
 // NewServer starts a server on a free loopback port. Servers that share keys drop each other's repeats.
@@ -93,11 +93,11 @@
 
 // Behind has lists name another address in the place of its own: of what stands before it. It is called before the
 // first list.
-func (s *Server) Behind(addr string) { s.behind = addr }
+func (s *Server) Behind(addr string) { s.proxyAddr = addr }
 
 func (s *Server) listed() string {
-	if s.behind != "" {
-		return s.behind
+	if s.proxyAddr != "" {
+		return s.proxyAddr
 	}
 	return s.addr
 }
@@ -327,7 +327,7 @@
 		took = 0
 	}
 	if s.cfg.Stubborn {
-		return s.labour(a, time.Duration(took*float64(time.Second)), left, gone)
+		return s.workToEnd(a, time.Duration(took*float64(time.Second)), left, gone)
 	}
 	select {
 	case <-time.After(time.Duration(took * float64(time.Second))):
--- a/internal/standin/ghost.go
+++ b/internal/standin/stray.go
@@ -6,9 +6,9 @@
 	"net"
 )
 
-// Ghost writes a request to a server as the node would, and does not wait for the answer. Rigs use it
-// to commit breaches that an audit must find.
-func Ghost(s *Server, x Exchange, host string, c Class) error {
+// SendStrayRequest writes a request to a server as the node would, and does not wait for the answer. Drills use it
+// to violate rules, which the audit must find.
+func SendStrayRequest(s *Server, x Exchange, host string, c Class) error {
 	conn, err := net.Dial("tcp", s.Addr())
 	if err != nil {
 		return fmt.Errorf("reaching %s: %w", s.ID(), err)
--- a/internal/standin/labour.go
+++ b/internal/standin/work.go
@@ -20,9 +20,9 @@
 	return 0
 }
 
-// labour is the work of a stubborn server: it looks for its caller only when it is done. Half comes before
+// workToEnd does the work of a stubborn server: it looks for its caller only when it is done. Half comes before
 // the call to the next server, half after it, and the slot is held all along.
-func (s *Server) labour(a *Arrival, took, left time.Duration, gone <-chan struct{}) (status int, text string, ok bool) {
+func (s *Server) workToEnd(a *Arrival, took, left time.Duration, gone <-chan struct{}) (status int, text string, ok bool) {
 	began := time.Now()
 	defer s.release()
 	good := true
@@ -36,10 +36,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.worked += took
+	s.totalWork += took
 	select {
 	case <-gone:
-		s.vain += took
+		s.wastedWork += took
 		return 0, "", false
 	default:
 	}
@@ -56,9 +56,9 @@
 	s.slower = times
 }
 
-// Labour is how long a stubborn server has worked, and how much of that for callers that had left.
-func (s *Server) Labour() (all, vain time.Duration) {
+// WorkDone is how long a stubborn server has worked, and how much of that for callers that had left.
+func (s *Server) WorkDone() (all, vain time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.worked, s.vain
+	return s.totalWork, s.wastedWork
 }
--- a/internal/trace/sink.go
+++ b/internal/trace/sink.go
@@ -10,24 +10,24 @@
 	"sync/atomic"
 )
 
-// sinkLines is how many lines may wait for the writer.
-const sinkLines = 4096
+// maxQueuedLines is how many lines may wait for the writer.
+const maxQueuedLines = 4096
 
 // Sink takes the lines of traces to a writer, on a goroutine of its own: a slow disk costs lines, not
 // requests.
 type Sink struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	left    int64 // bytes that may still be written
-	once    sync.Once
-	quit    chan struct{}
-	done    chan struct{}
+	lines     chan []byte
+	dropped   atomic.Int64
+	remaining int64 // bytes that may still be written
+	once      sync.Once
+	quit      chan struct{}
+	done      chan struct{}
 }
 
 // NewSink returns a sink that writes to w, at most limit bytes in all (0: no limit). The caller closes
 // the sink, and then w.
 func NewSink(w io.Writer, limit int64) *Sink {
-	s := &Sink{lines: make(chan []byte, sinkLines), left: limit, quit: make(chan struct{}), done: make(chan struct{})}
+	s := &Sink{lines: make(chan []byte, maxQueuedLines), remaining: limit, quit: make(chan struct{}), done: make(chan struct{})}
 	go s.run(w, limit > 0)
 	return s
 }
@@ -36,8 +36,8 @@
 	defer close(s.done)
 	write := func(line []byte) {
 		if bounded {
-			if s.left -= int64(len(line)); s.left < 0 {
-				s.left = 0
+			if s.remaining -= int64(len(line)); s.remaining < 0 {
+				s.remaining = 0
 				s.dropped.Add(1)
 				return
 			}
@@ -63,7 +63,7 @@
 	}
 }
 
-func (s *Sink) put(v any) {
+func (s *Sink) enqueue(v any) {
 	select {
 	case s.lines <- encode(v):
 	default:
@@ -80,8 +80,8 @@
 	<-s.done
 }
 
-// FileLimit is how much a trace file may hold: a node that is traced and forgotten fills no disk.
-const FileLimit = 256 << 20
+// MaxFileBytes is how much a trace file may hold: a node that is traced and forgotten fills no disk.
+const MaxFileBytes = 256 << 20
 
 // Create opens a file for the trace of a pool of a node, in dir. No file is written over: a node that
 // starts again under its name gets another number.
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -14,13 +14,13 @@
 	"cranegrade/balancer"
 )
 
-// Handler is a decision module; engine.Module is the same.
-type Handler interface {
+// Decider is a decision module; engine.Module is the same.
+type Decider interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
-// Believer is a module that can tell what it believes.
-type Believer interface {
+// Estimator is a module that can tell what it believes.
+type Estimator interface {
 	Beliefs(servers int) balancer.Beliefs
 }
 
@@ -69,36 +69,36 @@
 // Module passes everything on to another module and writes down what passes. Like that it belongs to
 // one goroutine.
 type Module struct {
-	in     Handler
-	to     *Sink
-	opt    Options
-	aims   map[string]time.Duration
-	last   time.Duration // of the last summary
-	counts Counts
-	took   time.Duration // of successes, summed
-	open   map[string]*call
+	next           Decider
+	sink           *Sink
+	options        Options
+	latencyTargets map[string]time.Duration
+	lastSummary    time.Duration // of the last summary
+	counts         Counts
+	successTime    time.Duration // of successes, summed
+	open           map[string]*openRequest
 }
 
-// call is an unanswered request.
-type call struct {
-	class   string
-	arrived time.Duration
-	sent    []time.Duration
-	out     int
-	done    bool
+// openRequest is an unanswered request.
+type openRequest struct {
+	class    string
+	arrived  time.Duration
+	sent     []time.Duration
+	inFlight int
+	answered bool
 }
 
 // New returns a module that traces in.
-func New(in Handler, classes []balancer.Class, to *Sink, opt Options) *Module {
+func New(in Decider, classes []balancer.Class, to *Sink, opt Options) *Module {
 	if opt.Every <= 0 {
 		opt.Every = time.Second
 	}
 	if opt.Servers == 0 {
 		opt.Servers = 32
 	}
-	m := &Module{in: in, to: to, opt: opt, aims: map[string]time.Duration{}, open: map[string]*call{}}
+	m := &Module{next: in, sink: to, options: opt, latencyTargets: map[string]time.Duration{}, open: map[string]*openRequest{}}
 	for _, c := range classes {
-		m.aims[c.Name] = c.Aim
+		m.latencyTargets[c.Name] = c.Aim
 	}
 	m.reset()
 	return m
@@ -106,94 +106,94 @@
 
 func (m *Module) reset() {
 	m.counts = Counts{Endings: map[string]int{}, Answers: map[string]int{}}
-	m.took = 0
+	m.successTime = 0
 }
 
 // Handle passes an event on.
 func (m *Module) Handle(now time.Duration, e balancer.Event) []balancer.Action {
-	if m.last == 0 {
-		m.last = now
+	if m.lastSummary == 0 {
+		m.lastSummary = now
 	}
-	if now-m.last >= m.opt.Every {
-		m.summary(now)
+	if now-m.lastSummary >= m.options.Every {
+		m.writeSummary(now)
 	}
-	m.event(now, e)
-	actions := m.in.Handle(now, e)
+	m.observeEvent(now, e)
+	actions := m.next.Handle(now, e)
 	for _, a := range actions {
-		m.action(now, a)
+		m.observeAction(now, a)
 	}
 	return actions
 }
 
-func (m *Module) summary(now time.Duration) {
-	s := Summary{AtMS: ms(now), SpanMS: ms(now - m.last), Counts: m.counts, Dropped: m.to.Dropped()}
-	if n := m.counts.Endings[endings[balancer.Success]]; n > 0 {
-		s.Counts.MeanMS = ms(m.took) / float64(n)
+func (m *Module) writeSummary(now time.Duration) {
+	s := Summary{AtMS: ms(now), SpanMS: ms(now - m.lastSummary), Counts: m.counts, Dropped: m.sink.Dropped()}
+	if n := m.counts.Endings[endingNames[balancer.Success]]; n > 0 {
+		s.Counts.MeanMS = ms(m.successTime) / float64(n)
 	}
-	if b, can := m.in.(Believer); can {
-		v := b.Beliefs(m.opt.Servers)
+	if b, can := m.next.(Estimator); can {
+		v := b.Beliefs(m.options.Servers)
 		s.Beliefs = &v
 	}
-	m.to.put(s)
-	m.last = now
+	m.sink.enqueue(s)
+	m.lastSummary = now
 	m.reset()
 }
 
-func (m *Module) event(now time.Duration, e balancer.Event) {
+func (m *Module) observeEvent(now time.Duration, e balancer.Event) {
 	switch e := e.(type) {
 	case balancer.Request:
 		m.counts.Requests++
 		if m.open[e.ID] == nil {
-			m.open[e.ID] = &call{class: e.Class, arrived: now}
+			m.open[e.ID] = &openRequest{class: e.Class, arrived: now}
 		}
-		m.detail(Detail{AtMS: ms(now), What: "request", ID: e.ID, Class: e.Class, LeftMS: ms(e.Deadline - now)})
+		m.writeDetail(Detail{AtMS: ms(now), What: "request", ID: e.ID, Class: e.Class, LeftMS: ms(e.Deadline - now)})
 	case balancer.Outcome:
-		m.counts.Endings[endings[e.Ending]]++
+		m.counts.Endings[endingNames[e.Ending]]++
 		c := m.open[e.ID]
-		d := Detail{AtMS: ms(now), What: "end", ID: e.ID, Server: e.Server, Attempt: e.Attempt, How: endings[e.Ending]}
+		d := Detail{AtMS: ms(now), What: "end", ID: e.ID, Server: e.Server, Attempt: e.Attempt, How: endingNames[e.Ending]}
 		if c != nil {
 			if e.Attempt >= 0 && e.Attempt < len(c.sent) {
 				d.TookMS = ms(now - c.sent[e.Attempt])
 				if e.Ending == balancer.Success {
-					m.took += now - c.sent[e.Attempt]
+					m.successTime += now - c.sent[e.Attempt]
 				}
 			}
 			d.Class = c.class
-			c.out--
+			c.inFlight--
 		}
-		m.detail(d)
+		m.writeDetail(d)
 		if c != nil {
 			if e.Ended {
 				how := "failed"
 				if e.Ending == balancer.Success {
 					how = "served"
-					if aim := m.aims[c.class]; aim > 0 && now-c.arrived > aim {
+					if aim := m.latencyTargets[c.class]; aim > 0 && now-c.arrived > aim {
 						how = "late"
 					}
 				}
-				m.answer(now, e.ID, c, how)
+				m.recordAnswer(now, e.ID, c, how)
 			}
 			m.forget(e.ID, c)
 		}
 	case balancer.ClientGone:
 		if c := m.open[e.ID]; c != nil {
-			m.answer(now, e.ID, c, "gone")
+			m.recordAnswer(now, e.ID, c, "gone")
 			m.forget(e.ID, c)
 		}
 	case balancer.Fleet:
-		m.detail(Detail{AtMS: ms(now), What: "fleet", How: fmt.Sprintf("%d of %d, 1/%v of rations, %d servers", e.Index, e.Balancers, e.Divisor, len(e.Subset))})
+		m.writeDetail(Detail{AtMS: ms(now), What: "fleet", How: fmt.Sprintf("%d of %d, 1/%v of rations, %d servers", e.Index, e.Balancers, e.Divisor, len(e.Subset))})
 	case balancer.Hearsay:
 		for _, a := range e.Aside {
-			m.detail(Detail{AtMS: ms(now), What: "aside", Server: a.ID, LeftMS: ms(a.Until - now)})
+			m.writeDetail(Detail{AtMS: ms(now), What: "aside", Server: a.ID, LeftMS: ms(a.Until - now)})
 		}
 	case balancer.ServerList:
 		for _, s := range e.Servers {
-			m.detail(Detail{AtMS: ms(now), What: "list", Server: s.ID, How: states[s.State]})
+			m.writeDetail(Detail{AtMS: ms(now), What: "list", Server: s.ID, How: stateNames[s.State]})
 		}
 	}
 }
 
-func (m *Module) action(now time.Duration, a balancer.Action) {
+func (m *Module) observeAction(now time.Duration, a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
 		m.counts.Sends++
@@ -207,44 +207,44 @@
 			m.counts.HeldMS = max(m.counts.HeldMS, ms(now-c.arrived))
 		}
 		c.sent = append(c.sent, now)
-		c.out++
-		m.detail(Detail{AtMS: ms(now), What: "send", ID: a.ID, Class: c.class, Server: a.Server, Attempt: len(c.sent) - 1, TookMS: ms(now - c.arrived)})
+		c.inFlight++
+		m.writeDetail(Detail{AtMS: ms(now), What: "send", ID: a.ID, Class: c.class, Server: a.Server, Attempt: len(c.sent) - 1, TookMS: ms(now - c.arrived)})
 	case balancer.Cancel:
 		m.counts.Cancelled++
 	case balancer.Refuse:
-		m.answered(now, a.ID, "refused")
+		m.recordAnswerByID(now, a.ID, "refused")
 	case balancer.Fail:
-		m.answered(now, a.ID, "failed")
+		m.recordAnswerByID(now, a.ID, "failed")
 	}
 }
 
-func (m *Module) answered(now time.Duration, id, how string) {
+func (m *Module) recordAnswerByID(now time.Duration, id, how string) {
 	if c := m.open[id]; c != nil {
-		m.answer(now, id, c, how)
+		m.recordAnswer(now, id, c, how)
 		m.forget(id, c)
 	}
 }
 
-func (m *Module) answer(now time.Duration, id string, c *call, how string) {
-	if c.done {
+func (m *Module) recordAnswer(now time.Duration, id string, c *openRequest, how string) {
+	if c.answered {
 		return
 	}
-	c.done = true
+	c.answered = true
 	m.counts.Answers[how]++
 	m.counts.AnswerMS = max(m.counts.AnswerMS, ms(now-c.arrived))
-	m.detail(Detail{AtMS: ms(now), What: "answer", ID: id, Class: c.class, How: how, TookMS: ms(now - c.arrived)})
+	m.writeDetail(Detail{AtMS: ms(now), What: "answer", ID: id, Class: c.class, How: how, TookMS: ms(now - c.arrived)})
 }
 
 // forget drops a call that is answered and has no attempt out.
-func (m *Module) forget(id string, c *call) {
-	if c.done && c.out <= 0 {
+func (m *Module) forget(id string, c *openRequest) {
+	if c.answered && c.inFlight <= 0 {
 		delete(m.open, id)
 	}
 }
 
-func (m *Module) detail(d Detail) {
-	if m.opt.Detail {
-		m.to.put(d)
+func (m *Module) writeDetail(d Detail) {
+	if m.options.Detail {
+		m.sink.enqueue(d)
 	}
 }
 
@@ -252,11 +252,11 @@
 	return float64(d.Round(time.Microsecond)) / float64(time.Millisecond)
 }
 
-var endings = map[balancer.Ending]string{balancer.Success: "success", balancer.Failure: "failure",
+var endingNames = map[balancer.Ending]string{balancer.Success: "success", balancer.Failure: "failure",
 	balancer.Overloaded: "overloaded", balancer.TimedOut: "timed_out", balancer.Unreachable: "unreachable",
 	balancer.Broken: "broken", balancer.Withdrawn: "withdrawn", balancer.Void: "void"}
 
-var states = map[balancer.ServerState]string{balancer.Ready: "ready", balancer.Draining: "draining", balancer.Gone: "gone"}
+var stateNames = map[balancer.ServerState]string{balancer.Ready: "ready", balancer.Draining: "draining", balancer.Gone: "gone"}
 
 // encode is apart for its error, which only a value that JSON has no word for could cause.
 func encode(v any) []byte {
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -105,7 +105,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var h Handler = b
+		var h Decider = b
 		to := NewSink(&bytes.Buffer{}, 0)
 		defer to.Close()
 		if wrap {
@@ -143,8 +143,8 @@
 func TestSinkNeverWaits(t *testing.T) {
 	b := blocked(make(chan struct{}))
 	s := NewSink(b, 0)
-	for range sinkLines + 100 {
-		s.put(1)
+	for range maxQueuedLines + 100 {
+		s.enqueue(1)
 	}
 	if s.Dropped() < 98 {
 		t.Errorf("%d dropped", s.Dropped())
@@ -162,14 +162,14 @@
 	var text bytes.Buffer
 	s := NewSink(&text, 10)
 	for range 10 {
-		s.put("abc") // 6 bytes a line
+		s.enqueue("abc") // 6 bytes a line
 	}
 	s.Close()
 	if text.Len() > 10 || s.Dropped() != 9 {
 		t.Errorf("%d bytes, %d dropped", text.Len(), s.Dropped())
 	}
 	f := NewSink(failing{}, 0)
-	f.put(1)
+	f.enqueue(1)
 	f.Close()
 	if f.Dropped() != 1 {
 		t.Errorf("%d dropped", f.Dropped())
--- a/internal/zone/book.go
+++ b/internal/zone/book.go
@@ -8,10 +8,10 @@
 // Book is a process's budgets and account, shared by the modules of its pools. The lock guards all fields; nothing
 // waits under it.
 type Book struct {
-	mu      sync.Mutex
-	budgets map[Pair]*Budget
-	account *Account
-	kept    bool
+	mu            sync.Mutex
+	budgets       map[Pair]*Budget
+	account       *Account
+	leaseRequired bool
 }
 
 // NewBook returns a book with budgets of which nothing is spent.
@@ -23,8 +23,8 @@
 	return b
 }
 
-// take reserves a request of a pair; a pair without a budget may always cross.
-func (b *Book) take(now time.Duration, p Pair, class string, size int64, out bool) (Reservation, bool) {
+// reserve reserves a request of a pair; a pair without a budget may always cross.
+func (b *Book) reserve(now time.Duration, p Pair, class string, size int64, out bool) (Reservation, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if x := b.budgets[p]; x != nil {
@@ -54,25 +54,25 @@
 	Spent []Spent
 }
 
-// Changed is what changed of the account since it was last called, and all that is spent.
-func (b *Book) Changed() State {
+// TakeChanges is what changed of the account since it was last called, and all that is spent.
+func (b *Book) TakeChanges() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return State{b.account.Changed(), b.spent()}
 }
 
-// Keep has budgets be spent only as far as Leased has told.
-func (b *Book) Keep() {
+// RequireLeases has budgets be spent only as far as Leased has told.
+func (b *Book) RequireLeases() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.kept = true
+	b.leaseRequired = true
 	for _, x := range b.budgets {
 		x.Keep()
 	}
 }
 
-// Lease is Changed with what may be spent until the next time: once it is saved, Leased lets it be.
-func (b *Book) Lease(now time.Duration) State {
+// PrepareLease is Changed with what may be spent until the next time: once it is saved, Leased lets it be.
+func (b *Book) PrepareLease(now time.Duration) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := State{Rows: b.account.Changed()}
@@ -82,8 +82,8 @@
 	return s
 }
 
-// Leased says that a Lease is saved.
-func (b *Book) Leased(s State) {
+// ConfirmLease says that a Lease is saved.
+func (b *Book) ConfirmLease(s State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, x := range s.Spent {
@@ -100,8 +100,8 @@
 	return l
 }
 
-// Again has the rows of a Changed that could not be saved count as changed once more.
-func (b *Book) Again(s State) {
+// RestoreChanges has the rows of a Changed that could not be saved count as changed once more.
+func (b *Book) RestoreChanges(s State) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range s.Rows {
@@ -111,8 +111,8 @@
 	}
 }
 
-// Oldest is the first day that the account still keeps.
-func (b *Book) Oldest() int64 {
+// OldestDay is the first day that the account still keeps.
+func (b *Book) OldestDay() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return max(0, b.account.latest-keepDays+1)
@@ -130,14 +130,14 @@
 	}
 }
 
-// Limits puts other limits in place of the present ones; what is spent of a pair stays spent.
-func (b *Book) Limits(limits []Limit) {
+// SetLimits puts other limits in place of the present ones; what is spent of a pair stays spent.
+func (b *Book) SetLimits(limits []Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	next := make(map[Pair]*Budget, len(limits))
 	for _, l := range limits {
 		x := NewBudget(l)
-		x.kept = b.kept
+		x.kept = b.leaseRequired
 		if was := b.budgets[l.Pair]; was != nil {
 			limit := x.Limit
 			*x = *was
@@ -155,8 +155,8 @@
 	return b.account.Rows()
 }
 
-// Left is what the budgets still allow, by pair: requests and bytes of this hour and this day; -1: no limit.
-func (b *Book) Left(now time.Duration) map[Pair][2][2]int64 {
+// Remaining is what the budgets still allow, by pair: requests and bytes of this hour and this day; -1: no limit.
+func (b *Book) Remaining(now time.Duration) map[Pair][2][2]int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	m := make(map[Pair][2][2]int64, len(b.budgets))
--- a/internal/zone/module.go
+++ b/internal/zone/module.go
@@ -7,46 +7,46 @@
 	"cranegrade/balancer"
 )
 
-// Handler is a decision module; engine.Module is the same.
-type Handler interface {
+// Decider is a decision module; engine.Module is the same.
+type Decider interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
 // Module stands between an engine and its decision module: it names in each request the places that it may go to,
 // keeps the budgets, and accounts for what crosses. It belongs to the engine's goroutine; Views may be read from any.
 type Module struct {
-	in       Handler
-	pool     string
-	home     string
-	spreader *Spreader
-	book     *Book
-	places   map[string]Place // of servers, also of those that have left with calls of ours out
-	listed   map[string]bool
-	open     map[string]*crossing
-	tries    int64
-	views    atomic.Pointer[[]View]
-	viewed   time.Duration
+	next        Decider
+	pool        string
+	home        string
+	spreader    *Spreader
+	book        *Book
+	places      map[string]Place // of servers, also of those that have left with calls of ours out
+	listed      map[string]bool
+	open        map[string]*openRequest
+	maxAttempts int64
+	views       atomic.Pointer[[]View]
+	viewsAt     time.Duration
 }
 
-// crossing is an open request.
-type crossing struct {
+// openRequest is an open request.
+type openRequest struct {
 	class, customer, from string
 	size                  int64
-	attempts              []leg
-	out                   int
+	attempts              []attempt
+	inFlight              int
 	answered              bool
-	held                  map[string]held // reservations, by the zone that it may cross to
+	reservations          map[string]reservation // reservations, by the zone that it may cross to
 }
 
-// held is a reservation and what was spent on it.
-type held struct {
-	r     Reservation
-	bytes int64
-	used  bool
+// reservation is a reservation and what was spent on it.
+type reservation struct {
+	budget Reservation
+	bytes  int64
+	used   bool
 }
 
-// leg is an attempt.
-type leg struct {
+// attempt is an attempt.
+type attempt struct {
 	server string
 	place  Place
 	sent   time.Duration
@@ -54,9 +54,9 @@
 }
 
 // NewModule returns a module of a pool that asks in.
-func NewModule(in Handler, pool string, cfg Config, book *Book, seed uint64) *Module {
-	m := &Module{in: in, pool: pool, home: cfg.Home, spreader: NewSpreader(cfg, seed), book: book,
-		tries: int64(max(1, cfg.Tries)), places: map[string]Place{}, listed: map[string]bool{}, open: map[string]*crossing{}}
+func NewModule(in Decider, pool string, cfg Config, book *Book, seed uint64) *Module {
+	m := &Module{next: in, pool: pool, home: cfg.Home, spreader: NewSpreader(cfg, seed), book: book,
+		maxAttempts: int64(max(1, cfg.Tries)), places: map[string]Place{}, listed: map[string]bool{}, open: map[string]*openRequest{}}
 	m.views.Store(&[]View{})
 	return m
 }
@@ -66,7 +66,7 @@
 
 // Beliefs are those of the module within, for a trace round this one.
 func (m *Module) Beliefs(servers int) balancer.Beliefs {
-	if b, is := m.in.(interface {
+	if b, is := m.next.(interface {
 		Beliefs(int) balancer.Beliefs
 	}); is {
 		return b.Beliefs(servers)
@@ -74,42 +74,42 @@
 	return balancer.Beliefs{}
 }
 
-// viewEvery is how old Views may be.
-const viewEvery = time.Second
+// viewInterval is how old Views may be.
+const viewInterval = time.Second
 
 // Handle takes an event and passes it on, a request with its places.
 func (m *Module) Handle(now time.Duration, e balancer.Event) []balancer.Action {
 	switch x := e.(type) {
 	case balancer.ServerList:
-		m.list(now, x)
+		m.updateServers(now, x)
 	case balancer.Request:
-		x.Places = m.request(now, x)
+		x.Places = m.choosePlaces(now, x)
 		e = x
 	case balancer.Outcome:
-		m.outcome(now, x)
+		m.attemptEnded(now, x)
 	case balancer.ClientGone:
-		m.answered(now, x.ID)
+		m.requestAnswered(now, x.ID)
 	}
-	actions := m.in.Handle(now, e)
+	actions := m.next.Handle(now, e)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case balancer.Send:
-			m.send(now, a)
+			m.attemptStarted(now, a)
 		case balancer.Refuse:
-			m.answered(now, a.ID)
+			m.requestAnswered(now, a.ID)
 		case balancer.Fail:
-			m.answered(now, a.ID)
+			m.requestAnswered(now, a.ID)
 		}
 	}
-	if now >= m.viewed+viewEvery {
-		m.viewed = now
+	if now >= m.viewsAt+viewInterval {
+		m.viewsAt = now
 		l := m.spreader.Views()
 		m.views.Store(&l)
 	}
 	return actions
 }
 
-func (m *Module) list(now time.Duration, x balancer.ServerList) {
+func (m *Module) updateServers(now time.Duration, x balancer.ServerList) {
 	if x.Full {
 		clear(m.listed)
 	}
@@ -133,20 +133,20 @@
 	}
 }
 
-// request decides where a request may go, and reserves what it may cross for.
-func (m *Module) request(now time.Duration, x balancer.Request) []Place {
-	c := &crossing{class: x.Class, customer: x.Tenant, from: x.From, size: x.Size}
+// choosePlaces decides where a request may go, and reserves what it may cross for.
+func (m *Module) choosePlaces(now time.Duration, x balancer.Request) []Place {
+	c := &openRequest{class: x.Class, customer: x.Tenant, from: x.From, size: x.Size}
 	if !m.spreader.Knows(c.from) {
 		c.from = m.home
 	}
 	out := m.spreader.Out(c.from)
 	l := m.spreader.Choose(now, c.from, c.class, func(to string) bool {
-		r, ok := m.book.take(now, Pair{c.from, to}, c.class, m.tries*c.size, out)
+		r, ok := m.book.reserve(now, Pair{c.from, to}, c.class, m.maxAttempts*c.size, out)
 		if ok {
-			if c.held == nil {
-				c.held = make(map[string]held, 2)
+			if c.reservations == nil {
+				c.reservations = make(map[string]reservation, 2)
 			}
-			c.held[to] = held{r: r}
+			c.reservations[to] = reservation{budget: r}
 		}
 		return ok
 	})
@@ -154,25 +154,25 @@
 	return l
 }
 
-func (m *Module) send(now time.Duration, a balancer.Send) {
+func (m *Module) attemptStarted(now time.Duration, a balancer.Send) {
 	c := m.open[a.ID]
 	if c == nil {
 		return
 	}
 	p := m.places[a.Server]
-	c.attempts = append(c.attempts, leg{server: a.Server, place: p, sent: now})
-	c.out++
+	c.attempts = append(c.attempts, attempt{server: a.Server, place: p, sent: now})
+	c.inFlight++
 	m.spreader.Began(now, p)
 }
 
-func (m *Module) outcome(now time.Duration, x balancer.Outcome) {
+func (m *Module) attemptEnded(now time.Duration, x balancer.Outcome) {
 	c := m.open[x.ID]
 	if c == nil || x.Attempt < 0 || x.Attempt >= len(c.attempts) || c.attempts[x.Attempt].ended {
 		return
 	}
 	a := &c.attempts[x.Attempt]
 	a.ended = true
-	c.out--
+	c.inFlight--
 	place := a.place
 	if x.Server != a.server { // a proxy sent it elsewhere than told; where is unknown if that is not listed
 		place = m.places[x.Server]
@@ -181,37 +181,37 @@
 	if x.Wrote {
 		m.book.Add(now, Key{Pair: Pair{c.from, place.Zone}, Pool: m.pool, Class: c.class, Customer: c.customer},
 			Traffic{1, x.Out, x.In})
-		if h, is := c.held[place.Zone]; is {
+		if h, is := c.reservations[place.Zone]; is {
 			h.used = true
 			h.bytes += x.Out + x.In
-			c.held[place.Zone] = h
+			c.reservations[place.Zone] = h
 		}
 	}
 	if x.Ended {
 		c.answered = true
 	}
-	m.forget(now, x.ID, c)
+	m.releaseIfDone(now, x.ID, c)
 }
 
-// answered notes that a request has its answer, or that nobody wants one.
-func (m *Module) answered(now time.Duration, id string) {
+// requestAnswered notes that a request has its answer, or that nobody wants one.
+func (m *Module) requestAnswered(now time.Duration, id string) {
 	if c := m.open[id]; c != nil {
 		c.answered = true
-		m.forget(now, id, c)
+		m.releaseIfDone(now, id, c)
 	}
 }
 
-// forget settles what an ended request holds.
-func (m *Module) forget(now time.Duration, id string, c *crossing) {
-	if !c.answered || c.out > 0 {
+// releaseIfDone settles what an ended request holds.
+func (m *Module) releaseIfDone(now time.Duration, id string, c *openRequest) {
+	if !c.answered || c.inFlight > 0 {
 		return
 	}
-	for to, h := range c.held {
+	for to, h := range c.reservations {
 		requests := int64(0)
 		if h.used {
 			requests = 1
 		}
-		m.book.settle(now, Pair{c.from, to}, h.r, requests, h.bytes)
+		m.book.settle(now, Pair{c.from, to}, h.budget, requests, h.bytes)
 	}
 	delete(m.open, id)
 }
--- a/internal/zone/module_test.go
+++ b/internal/zone/module_test.go
@@ -101,7 +101,7 @@
 	if s.Server != "s0" {
 		t.Fatalf("goes to %s", s.Server)
 	}
-	if r := book.Left(now)[Pair{"a", "b"}][0][hour]; r != 99 {
+	if r := book.Remaining(now)[Pair{"a", "b"}][0][hour]; r != 99 {
 		t.Errorf("%d requests left while one may cross", r)
 	}
 	s, _ = send(m.Handle(now+ms, balancer.Outcome{ID: "1", Attempt: 0, Server: "s0", Ending: balancer.Unreachable}))
@@ -109,13 +109,13 @@
 		t.Fatalf("the next attempt goes to %q", s.Server)
 	}
 	m.Handle(now+2*ms, balancer.Outcome{ID: "1", Attempt: 1, Server: "s1", Ending: balancer.Success, Ended: true, Wrote: true})
-	if r := book.Left(now)[Pair{"a", "b"}][0][hour]; r != 99 {
+	if r := book.Remaining(now)[Pair{"a", "b"}][0][hour]; r != 99 {
 		t.Errorf("%d requests left after one crossed", r)
 	}
 	// A request that ends at home gives back what it did not need.
 	s, _ = send(m.Handle(now+3*ms, balancer.Request{ID: "2", Class: "read", Deadline: now + 2*time.Second}))
 	m.Handle(now+4*ms, balancer.Outcome{ID: "2", Server: s.Server, Ending: balancer.Success, Ended: true, Wrote: true})
-	if r := book.Left(now)[Pair{"a", "b"}][0][hour]; r != 99 {
+	if r := book.Remaining(now)[Pair{"a", "b"}][0][hour]; r != 99 {
 		t.Errorf("%d requests left after one that stayed", r)
 	}
 }
@@ -218,9 +218,9 @@
 			for i := range 60 {
 				l = append(l, balancer.Server{ID: fmt.Sprint("s", i), Zone: fmt.Sprint("z", i%max(1, zones))})
 			}
-			var h Handler = m
+			var h Decider = m
 			if zones == 0 {
-				h = m.in
+				h = m.next
 			}
 			h.Handle(0, balancer.ServerList{Full: true, Servers: l})
 			b.ReportAllocs()
--- a/internal/zone/store/store_test.go
+++ b/internal/zone/store/store_test.go
@@ -33,7 +33,7 @@
 	now := 20000 * 24 * time.Hour
 	for i := range 5 {
 		book.Add(now, zone.Key{Pair: zone.Pair{From: "a", To: "b"}, Pool: "p", Class: "read", Customer: "acme"}, zone.Traffic{Requests: 1, Out: 10, In: 20})
-		if err := s.Save(book.Changed(), 0); err != nil {
+		if err := s.Save(book.TakeChanges(), 0); err != nil {
 			t.Fatal(err)
 		}
 		text, err := os.ReadFile(path)
