--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -1,22 +1,13 @@
 package rig
 
 import (
-	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"net/http"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
-	"cranegrade/internal/admin"
-	"cranegrade/internal/fleet"
 	"cranegrade/internal/standin"
 )
 
@@ -51,22 +42,6 @@
 	faults []Fault    // that were played, by the time since Began
 }
 
-// Member is one of the processes.
-type Member struct {
-	I       int
-	Name    string
-	P       *Process // nil: it was never started
-	Callers *standin.Callers
-
-	Program  string            // another than the fleet's; "": that
-	Registry *standin.Registry // another than the fleet's; nil: that
-
-	fleet  *Fleet
-	addr   string // where callers come, the same after a restart
-	admin  string
-	paused bool
-}
-
 // Host is whose requests the fleet serves.
 const Host = "app.example.org"
 
@@ -145,139 +120,6 @@
 	os.RemoveAll(f.Dir)
 }
 
-// State is a member's own directory.
-func (m *Member) State() string { return filepath.Join(m.fleet.Dir, m.Name) }
-
-// file is the member's.
-func (m *Member) file() string {
-	f := m.fleet
-	var b strings.Builder
-	fmt.Fprintf(&b, "name = %q\nlisten = [%q]\nadmin = \"127.0.0.1:0\"\ndefault = \"app\"\nlimits = { cores = 1 }\nnodes = %d\n%s\n", m.Name, m.addr, f.Nodes, strings.ReplaceAll(f.Top, "{state}", m.State()))
-	if f.Alone {
-		fmt.Fprintf(&b, "index = %d\n", m.I%f.Nodes)
-	} else {
-		var join []string
-		for i := range min(3, f.FleetConfig.Members) {
-			join = append(join, fmt.Sprintf("%q", f.Fabric.Seen(i)))
-		}
-		fmt.Fprintf(&b, "[fleet]\n")
-		if f.Key != "" {
-			fmt.Fprintf(&b, "key = %q\n", f.Key)
-		}
-		fmt.Fprintf(&b, "listen = %q\nadvertise = %q\njoin = [%s]\nlease = %q\nsettle = \"500ms\"\nprobe = \"200ms\"\n",
-			f.Fabric.Own(m.I), f.Fabric.Seen(m.I), strings.Join(join, ", "), f.Lease)
-	}
-	registry := f.Registry
-	if m.Registry != nil {
-		registry = m.Registry
-	}
-	b.WriteString(PoolText("app", fmt.Sprintf("registry = %q", registry.Addr()), f.Pool))
-	return b.String()
-}
-
-// Start starts a member, or starts it again, and returns once it listens.
-func (m *Member) Start() error {
-	f := m.fleet
-	config := filepath.Join(m.State(), "node.toml")
-	if err := os.WriteFile(config, []byte(m.file()), 0o600); err != nil {
-		return err
-	}
-	program := f.Program
-	if m.Program != "" {
-		program = m.Program
-	}
-	p, err := Start(program, config)
-	if err != nil {
-		return fmt.Errorf("%s: %w", m.Name, err)
-	}
-	admin, err := p.Said("telling what it holds on ")
-	if err != nil {
-		p.Kill()
-		return err
-	}
-	f.mu.Lock()
-	m.P, m.addr, m.admin, m.paused = p, p.Addr, admin, false
-	if m.Callers == nil {
-		m.Callers = standin.NewCallers(f.Rec, p.Addr, f.Seed<<8|uint64(m.I+1), 2*time.Second+f.Slack)
-		m.Callers.Through(m.Name)
-	}
-	f.mu.Unlock()
-	f.Rec.Back(m.Name)
-	return nil
-}
-
-// Upgrade starts a successor beside the running process, and ends that once the new one has taken over.
-func (m *Member) Upgrade() error {
-	old := m.P
-	if err := m.Start(); err != nil {
-		return err
-	}
-	addr, err := m.P.Said("operators call on ")
-	if err != nil {
-		return err
-	}
-	if !Await(10*time.Second, func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		defer cancel()
-		yes, _, err := admin.Send(ctx, addr, admin.Command{Verb: admin.Check})
-		return yes && err == nil
-	}) {
-		return errors.New("the successor does not say yes")
-	}
-	old.Stop()
-	return nil
-}
-
-// Ask runs a command of the program about this member, with a file that names where it can be asked.
-func (m *Member) Ask(args ...string) (string, error) {
-	path := filepath.Join(m.State(), "ask.toml")
-	text := strings.Replace(m.file(), `admin = "127.0.0.1:0"`, fmt.Sprintf("admin = %q", m.admin), 1)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		return "", err
-	}
-	out, err := exec.Command(m.fleet.Program, append(args, "-config", path)...).CombinedOutput()
-	return string(out), err
-}
-
-// Lives says that its process runs or is stopped.
-func (m *Member) Lives() bool {
-	m.fleet.mu.Lock()
-	defer m.fleet.mu.Unlock()
-	if m.P == nil {
-		return false
-	}
-	select {
-	case <-m.P.Ended:
-		return false
-	default:
-		return true
-	}
-}
-
-// Kill ends it by SIGKILL.
-func (m *Member) Kill() {
-	m.fleet.Rec.Out(m.Name, true)
-	m.P.Kill()
-}
-
-// Leave ends it by SIGTERM.
-func (m *Member) Leave() {
-	m.P.Stop()
-	m.fleet.Rec.Out(m.Name, true) // what comes to it from now on finds nobody
-}
-
-// Pause stops it by SIGSTOP, and Resume has it go on.
-func (m *Member) Pause() {
-	m.fleet.Rec.Out(m.Name, false)
-	m.P.Pause()
-}
-
-// Resume has it go on.
-func (m *Member) Resume() {
-	m.P.Resume()
-	m.fleet.Rec.Back(m.Name)
-}
-
 // StartAll starts the first n members at once.
 func (f *Fleet) StartAll(n int) error {
 	errs := make([]error, n)
@@ -295,44 +137,6 @@
 	return nil
 }
 
-// Status is what a member holds of the fleet.
-func (m *Member) Status() (s fleet.Status, err error) {
-	m.fleet.mu.Lock()
-	admin := m.admin
-	m.fleet.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/fleet", nil)
-	if err != nil {
-		return s, err
-	}
-	resp, err := http.DefaultClient.Do(r)
-	if err != nil {
-		return s, err
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
-	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s: %s", resp.Status, text)
-	}
-	if err != nil {
-		return s, err
-	}
-	return s, json.Unmarshal(text, &s)
-}
-
-// Role is what a member holds its role in the pool to be.
-func (m *Member) Role() (fleet.PoolStatus, error) {
-	s, err := m.Status()
-	if err == nil && len(s.Pools) != 1 {
-		err = fmt.Errorf("%s has %d pools", m.Name, len(s.Pools))
-	}
-	if err != nil {
-		return fleet.PoolStatus{}, err
-	}
-	return s.Pools[0], nil
-}
-
 // Agree waits until the members of these numbers count exactly each other, each with a part of its own, and says how
 // long that took; parts false: whether they have parts is left open.
 func (f *Fleet) Agree(limit time.Duration, parts bool, members ...int) (took time.Duration, err error) {
@@ -397,161 +201,8 @@
 	return least, most
 }
 
-// Stream is a stream of requests that come to one member.
-func (m *Member) Stream(ctx context.Context, all *sync.WaitGroup, streams ...standin.Stream) {
-	for i := range streams {
-		streams[i].Host = Host
-		if streams[i].Name == "" {
-			streams[i].Name = m.Name
-		}
-	}
-	all.Go(func() { m.Callers.Run(ctx, streams...) })
-}
-
 // Traffic is requests of all classes at a rate together, for so long.
 func Traffic(rate float64, long time.Duration) []standin.Stream {
 	return []standin.Stream{{Class: Read, Rate: rate * 0.5, For: long}, {Class: Send, Rate: rate * 0.25, For: long, Body: 200},
 		{Class: Cell, Rate: rate * 0.125, For: long, Body: 500}, {Class: Order, Rate: rate * 0.125, For: long, Body: 200}}
 }
-
-// Watch is what members were found to hold.
-type Watch struct {
-	Samples int
-	Most    float64 // of the whole that all together held at a time
-	Over    int     // times that it was more than the whole
-	Detail  string  // of the first
-}
-
-// Watch watches until ctx ends. What two members hold counts together only if each held it from before the other was asked
-// until after: a sum that never was at one moment is no breach.
-func (f *Fleet) Watch(ctx context.Context, every time.Duration) *Watch {
-	w := &Watch{}
-	type answer struct {
-		name        string
-		asked, came time.Time
-		part        float64
-		ok          bool
-	}
-	before := make([]answer, len(f.Members))
-	for ctx.Err() == nil {
-		answers := make([]answer, len(f.Members))
-		var all sync.WaitGroup
-		for i, m := range f.Members {
-			all.Go(func() {
-				if !m.Lives() {
-					return
-				}
-				a := answer{name: m.Name, asked: time.Now()}
-				r, err := m.Role()
-				a.came, a.ok = time.Now(), err == nil
-				a.part = r.Of100 / 100
-				answers[i] = a
-			})
-		}
-		all.Wait() // for a second at the most, where one is stopped
-		// Held from the answer before to the question now: it is the same in both.
-		sum, n, text := 0.0, 0, ""
-		var from, to time.Time
-		for i, a := range answers {
-			b := before[i]
-			if !a.ok || !b.ok || a.name != b.name {
-				continue
-			}
-			from, to = later(from, b.came), earlier(to, a.asked)
-			sum += min(a.part, b.part)
-			n++
-			text += fmt.Sprintf(" %s %.3f", a.name, min(a.part, b.part))
-		}
-		before = answers
-		w.Samples++
-		if n > 0 && from.Before(to) {
-			if w.Most = max(w.Most, sum); sum > 1+1e-6 {
-				if w.Over++; w.Over == 1 {
-					w.Detail = fmt.Sprintf("together%s at %v", text, time.Since(f.began).Round(time.Millisecond))
-				}
-			}
-		}
-		select {
-		case <-time.After(every):
-		case <-ctx.Done():
-		}
-	}
-	return w
-}
-
-func later(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
-func earlier(a, b time.Time) time.Time {
-	if a.IsZero() || b.Before(a) {
-		return b
-	}
-	return a
-}
-
-// Keep copies a member's state directory as it is, under a name; Restore puts that copy back, of another member's too,
-// copyFiles copies the regular files of a directory; sockets are the process's that made them.
-func copyFiles(to, from string) error {
-	files, err := os.ReadDir(from)
-	if err == nil {
-		err = os.MkdirAll(to, 0o700)
-	}
-	for _, x := range files {
-		if err != nil || !x.Type().IsRegular() {
-			continue
-		}
-		var text []byte
-		if text, err = os.ReadFile(filepath.Join(from, x.Name())); err == nil {
-			err = os.WriteFile(filepath.Join(to, x.Name()), text, 0o600)
-		}
-	}
-	return err
-}
-
-// Empty leaves nothing, and Tear cuts every file in it short. None is done while its process lives.
-func (m *Member) Keep(name string) error {
-	to := filepath.Join(m.fleet.Dir, "kept-"+name)
-	if err := os.RemoveAll(to); err != nil {
-		return err
-	}
-	return copyFiles(to, m.State())
-}
-
-// Restore puts a copy back that Keep made.
-func (m *Member) Restore(name string) error {
-	if err := m.Empty(); err != nil {
-		return err
-	}
-	return copyFiles(m.State(), filepath.Join(m.fleet.Dir, "kept-"+name))
-}
-
-// Empty leaves nothing of its state.
-func (m *Member) Empty() error {
-	if err := os.RemoveAll(m.State()); err != nil {
-		return err
-	}
-	return os.MkdirAll(m.State(), 0o700)
-}
-
-// Tear cuts every file of its state short by a half.
-func (m *Member) Tear() error {
-	files, err := os.ReadDir(m.State())
-	if err != nil {
-		return err
-	}
-	for _, x := range files {
-		path := filepath.Join(m.State(), x.Name())
-		info, err := x.Info()
-		if err != nil || !info.Mode().IsRegular() {
-			continue
-		}
-		if err := os.Truncate(path, info.Size()/2); err != nil {
-			return err
-		}
-	}
-	return nil
-}
--- a/internal/zone/spread.go
+++ b/internal/zone/spread.go
@@ -61,24 +61,6 @@
 	boot  time.Duration
 }
 
-// area is what is known of a place.
-type area struct {
-	place  Place
-	home   bool
-	hosts  map[string]struct{}
-	weight float64 // the control plane's; 0: none
-	units  float64 // of servers, cold ones by their share
-	each   float64 // own calls that one unit takes
-	out    int     // own calls there
-
-	// Since each was last reckoned:
-	peak, good, bad, turned, began int
-	offs                           float64 // sum of logs of latency over the aim
-	steps                          int
-	sick, shaky                    bool                // most calls end badly; some do, or are turned away
-	paces                          map[string]*float64 // mean log of latency, by class
-}
-
 // NewSpreader returns a Spreader that knows no servers.
 func NewSpreader(cfg Config, seed uint64) *Spreader {
 	cfg.Nodes = max(1, cfg.Nodes)
@@ -146,18 +128,6 @@
 	clear(s.orders)
 }
 
-func compare(x, y Place) int {
-	switch {
-	case x.Priority != y.Priority:
-		return x.Priority - y.Priority
-	case x.Zone < y.Zone:
-		return -1
-	case x.Zone > y.Zone:
-		return 1
-	}
-	return 0
-}
-
 // area finds or makes the place's; beyond MaxZones those of no known zone.
 func (s *Spreader) area(p Place) *area {
 	if a := s.areas[p]; a != nil {
@@ -189,28 +159,6 @@
 	}
 }
 
-// limit is how many own calls a place gets at a time; one at the least while it has servers at all.
-func (a *area) limit() float64 {
-	if len(a.hosts) == 0 {
-		return 0
-	}
-	return max(1, a.each*a.units)
-}
-
-// room says that a place may have one more call. A sick one gets a few a step, to see whether it is well again:
-// calls that fail at once leave it idle, and it would have every request's first attempt.
-func (a *area) room() bool {
-	return float64(a.out) < a.limit() && (!a.sick || float64(a.began) < max(1, a.limit()/2))
-}
-
-// better says that a call in a place is answered sooner than in another one, by a margin, or that this can't be told.
-// Without it zones crowd each other out: what one sends to the next displaces that one's own load to a third, and in
-// the end all of it is away from home, at places no better than that.
-func (a *area) better(than *area, class string) bool {
-	p, q := a.paces[class], than.paces[class]
-	return than.sick || p == nil || q == nil || *p < *q-margin
-}
-
 // Advance lets time pass: at most one step's change, however much has passed, since nothing was seen meanwhile.
 func (s *Spreader) Advance(now time.Duration) {
 	if s.now = max(s.now, now); s.now < s.next {
@@ -225,35 +173,6 @@
 	}
 }
 
-// reckon adapts what a place gets to what became of its calls.
-func (a *area) reckon(least float64) {
-	a.steps++
-	ended := a.good + a.bad + a.turned
-	if ended == 0 || ended < enough && a.steps < patience {
-		a.began = 0
-		return
-	}
-	share := func(n int) float64 { return float64(n) / float64(ended) }
-	crowd, ease, rise := crowdAway, easeAway, riseAway
-	if a.home {
-		crowd, ease, rise = crowdHome, easeHome, riseHome
-	}
-	off := 0.0
-	if a.good > 0 {
-		off = a.offs / float64(a.good)
-	}
-	a.shaky = a.bad+a.turned > 0
-	if a.sick = share(a.bad) > sickShare || a.sick && share(a.bad) > wellShare; a.sick {
-		a.each, least = a.each*fallSick, leastSick*least
-	} else if off > math.Log(crowd) || share(a.turned) > turnShare {
-		a.each *= fallFull
-	} else if off < math.Log(ease) && float64(a.peak) >= used*a.limit() {
-		a.each = max(a.each*rise, a.each+(rise-1)/max(1, a.units))
-	}
-	a.each = min(mostEach, max(a.each, least))
-	a.peak, a.good, a.bad, a.turned, a.began, a.offs, a.steps = a.out, 0, 0, 0, 0, 0, 0
-}
-
 // Began notes an attempt at a place, and Ended how it ended and how long it took. A place that has lost its last
 // server meanwhile learns nothing.
 func (s *Spreader) Began(now time.Duration, p Place) {
@@ -290,21 +209,6 @@
 // maxClasses bounds the classes whose latency is told apart in a place.
 const maxClasses = 64
 
-// pace takes a latency into the mean of its class, and gives that. Single answers say little: work varies.
-func (a *area) pace(class string, took time.Duration) float64 {
-	if a.paces[class] == nil && len(a.paces) >= maxClasses {
-		class = ""
-	}
-	x := math.Log(max(float64(took), float64(time.Microsecond)))
-	p := a.paces[class]
-	if p == nil {
-		p = &x
-		a.paces[class] = p
-	}
-	*p += paceMemo * (x - *p)
-	return *p
-}
-
 // aim is within what a class wants its answers.
 func (s *Spreader) aim(class string) time.Duration {
 	if d := s.cfg.Aims[class]; d > 0 {
@@ -313,134 +217,6 @@
 	return defaultAim
 }
 
-// Choose says where a request of a zone goes: places in order, the first for its first attempt and the others should
-// that have no server for it. may says whether the budget lets it cross to a zone; it is asked once a zone at the
-// most. Empty: nowhere, for every place that has servers is beyond the budget or the price.
-func (s *Spreader) Choose(now time.Duration, from, class string, may func(to string) bool) []Place {
-	s.Advance(now)
-	order := s.orderOf(from)
-	if len(order) == 0 {
-		return []Place{}
-	}
-	first := -1
-	allowed := make([]int8, len(order)) // 1: it may, 2: it may not
-	ok := func(i int) bool {
-		if allowed[i] == 0 {
-			allowed[i] = 2
-			if order[i].Zone == from || may(order[i].Zone) {
-				allowed[i] = 1
-			}
-		}
-		return allowed[i] == 1
-	}
-	for i := 0; i < len(order) && first < 0; i++ {
-		if a := s.areas[order[i]]; a.room() && (i == 0 || a.better(s.areas[order[0]], class)) && ok(i) {
-			first = i
-		}
-	}
-	if first < 0 {
-		// Nowhere is room: the place that is least over what it takes, and whether it is held or turned away
-		// there is the decision module's. At equal loads the first in order.
-		least := math.Inf(1)
-		for i, p := range order {
-			a := s.areas[p]
-			load := float64(a.out+1) / a.limit()
-			if a.sick {
-				load *= sickLoad
-			}
-			if load < least*(1-margin) && ok(i) {
-				first, least = i, load
-			}
-		}
-	}
-	if first < 0 {
-		return []Place{}
-	}
-	l := []Place{order[first]}
-	if a := s.areas[order[first]]; len(a.hosts) > 1 && !a.shaky && a.bad+a.turned == 0 {
-		return l
-	}
-	for i, p := range order {
-		// One alternative, and only where it may be needed: it costs a reservation of the budget until the request
-		// has ended.
-		if i != first && !s.areas[p].sick && ok(i) {
-			return append(l, p)
-		}
-	}
-	return l
-}
-
-// orderOf is the order in which a zone's load takes the places. Where the control plane gives weights to the zones
-// of a priority, they are taken in an order drawn by these, as it means, and not by cost.
-func (s *Spreader) orderOf(from string) []Place {
-	l, known := s.orders[from]
-	if !known {
-		if len(s.orders) >= MaxZones {
-			clear(s.orders)
-		}
-		l = s.cfg.order(from, s.places)
-		s.orders[from] = l
-	}
-	if !s.weigh {
-		return l
-	}
-	l = slices.Clone(l)
-	for i := 0; i < len(l); {
-		j := i
-		for j < len(l) && l[j].Priority == l[i].Priority {
-			j++
-		}
-		s.drawByWeight(l[i:j])
-		i = j
-	}
-	return l
-}
-
-// drawByWeight puts places into an order drawn by their weights, without replacement; those without weight come last
-// in their order.
-func (s *Spreader) drawByWeight(l []Place) {
-	slices.SortStableFunc(l, func(x, y Place) int {
-		wx, wy := s.areas[x].weight, s.areas[y].weight
-		switch {
-		case wx > 0 && wy <= 0:
-			return -1
-		case wx <= 0 && wy > 0:
-			return 1
-		}
-		return 0
-	})
-	for i := range l {
-		total := 0.0
-		for _, p := range l[i:] {
-			total += s.areas[p].weight
-		}
-		if total <= 0 {
-			return
-		}
-		x := s.rng.Float64() * total
-		for j := i; j < len(l); j++ {
-			if x -= s.areas[l[j]].weight; x < 0 {
-				l[i], l[j] = l[j], l[i]
-				break
-			}
-		}
-	}
-}
-
-// Out says that a zone has lost most of what it takes: it has no servers, or is sick.
-func (s *Spreader) Out(zone string) bool {
-	any := false
-	for _, p := range s.places {
-		if p.Zone == zone {
-			any = true
-			if !s.areas[p].sick {
-				return false
-			}
-		}
-	}
-	return any || len(s.places) > 0
-}
-
 // View is what a Spreader holds of a place, for reports.
 type View struct {
 	Place   Place
