--- /dev/null
+++ b/internal/drill/violation.go
@@ -0,0 +1,198 @@
+package drill
+
+import (
+	"context"
+	"errors"
+	"sort"
+	"sync"
+	"time"
+
+	"cranegrade/internal/rig"
+	"cranegrade/internal/standin"
+)
+
+// minViolationTime is how long a drill runs at the least when a breach is planted.
+const minViolationTime = 4 * time.Second
+
+// violations commit a breach of each rule on the path between the program and what stands outside. A drill
+// that does not find it is at fault.
+var violations = map[string]func(context.Context, *environment) error{
+	"lost": violateLost, "twice": violateTwice, "drain": violateDrain, "cold": violateCold, "ban": violateBan,
+	"seen": mutationOnly, "stalled": mutationOnly, "gullible": mutationOnly,
+}
+
+func violationNames() (l []string) {
+	for name := range violations {
+		l = append(l, name)
+	}
+	sort.Strings(l)
+	return l
+}
+
+// violateLost loses an answer on its way to the caller. A caller whose kept connection ends so takes it
+// for a crossed close and sends the request once more, as the protocol has it; that the first had
+// reached a server gives it away. Two in a row are lost in any case.
+func violateLost(ctx context.Context, r *environment) error {
+	select {
+	case <-time.After(time.Second):
+	case <-ctx.Done():
+	}
+	if len(r.proxies) > 0 {
+		r.proxies[0].Lose(3)
+	} else {
+		r.relay.Lose(3)
+	}
+	return nil
+}
+
+// awaitServed waits for a request of a class that was served, and says at which server and host.
+func (r *environment) awaitServed(classes ...standin.Class) (x standin.Exchange, a standin.Arrival, c standin.Class, err error) {
+	if !rig.Await(minViolationTime, func() bool {
+		v := r.records.View()
+		ends := map[string]standin.Exchange{}
+		for _, x := range v.Exchanges {
+			if x.Status == 200 {
+				ends[x.ID] = x
+			}
+		}
+		for _, arrival := range v.Arrivals {
+			for _, class := range classes {
+				if end, is := ends[arrival.ID]; is && arrival.Class == class.Name && arrival.Ran {
+					x, a, c = end, arrival, class
+					return true
+				}
+			}
+		}
+		return false
+	}) {
+		err = errors.New("no request was served to do it with")
+	}
+	return x, a, c, err
+}
+
+// groupOf is the group whose host a request named.
+func (r *environment) groupOf(host string) *serverGroup {
+	for _, g := range r.groups {
+		if g.host == host {
+			return g
+		}
+	}
+	for _, g := range r.groups {
+		if g.host == "" { // its list counts for every other host
+			return g
+		}
+	}
+	return r.groups[0]
+}
+
+// violateTwice sends an unsafe request that has run to a server once more.
+func violateTwice(_ context.Context, r *environment) error {
+	x, a, c, err := r.awaitServed(orderClass)
+	if err != nil {
+		return err
+	}
+	servers := r.groupOf(a.Host).servers
+	for _, s := range servers {
+		if s.ID() != a.Server {
+			return standin.SendStrayRequest(s, x, a.Host, c)
+		}
+	}
+	return standin.SendStrayRequest(servers[0], x, a.Host, c)
+}
+
+// awaitListed waits until the node has been told of a server's state.
+func (r *environment) awaitListed(server string, gone bool, boot int) error {
+	if !rig.Await(minViolationTime, func() bool {
+		l := r.records.View().Told
+		for i := len(l) - 1; i >= 0; i-- {
+			if l[i].Server == server {
+				return l[i].Gone == gone && l[i].Boot == boot
+			}
+		}
+		return false
+	}) {
+		return errors.New("the list was not told")
+	}
+	return nil
+}
+
+// violateDrain has a server drain and sends to it long after the node was told.
+func violateDrain(ctx context.Context, r *environment) error {
+	x, a, c, err := r.awaitServed(readClass)
+	if err != nil {
+		return err
+	}
+	g := r.groupOf(a.Host)
+	s := g.servers[len(g.servers)-1]
+	g.list(s, "DRAINING")
+	boot, _ := s.Boot()
+	if err := r.awaitListed(s.ID(), true, boot); err != nil {
+		return err
+	}
+	select {
+	case <-time.After(time.Second + r.slack):
+	case <-ctx.Done():
+	}
+	if err := standin.SendStrayRequest(s, x, a.Host, c); err != nil {
+		return err
+	}
+	time.Sleep(100 * time.Millisecond)
+	g.list(s, "SERVING")
+	return nil
+}
+
+// violateCold starts a server anew and sends it far more than it can take.
+func violateCold(_ context.Context, r *environment) error {
+	x, a, c, err := r.awaitServed(readClass)
+	if err != nil {
+		return err
+	}
+	g := r.groupOf(a.Host)
+	s := g.servers[len(g.servers)-1]
+	s.Crash()
+	if err := s.Restart(); err != nil {
+		return err
+	}
+	g.list(s, "SERVING")
+	boot, _ := s.Boot()
+	if err := r.awaitListed(s.ID(), false, boot); err != nil {
+		return err
+	}
+	cfg := s.Config()
+	most := cold.Multiple * cold.For.Seconds() * float64(cfg.Slots) / cfg.Work.Seconds()
+	// Enough even for a warm one, and from many sides, for it must come within the span on a busy machine too.
+	const sides = 16
+	var all sync.WaitGroup
+	for range sides {
+		all.Go(func() {
+			for range int(most)/sides + 1 {
+				if standin.SendStrayRequest(s, x, a.Host, c) != nil {
+					return // it has fallen over
+				}
+			}
+		})
+	}
+	all.Wait()
+	return nil
+}
+
+// violateBan sends to a server that the drill has taken out, as a node that forgot the ban would.
+func violateBan(ctx context.Context, r *environment) error {
+	x, a, c, err := r.awaitServed(readClass)
+	if err != nil {
+		return err
+	}
+	if !rig.Await(minViolationTime, func() bool { return r.isOut("") != "" }) {
+		return errors.New("this drill takes no server out by hand")
+	}
+	select {
+	case <-time.After(time.Second + r.slack):
+	case <-ctx.Done():
+	}
+	for _, s := range r.groupOf(a.Host).servers {
+		if r.isOut(s.ID()) != "" {
+			return standin.SendStrayRequest(s, x, a.Host, c)
+		}
+	}
+	return errors.New("no server is out any more")
+}
