--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		last := a.sent + r.class.Window - 2*b.settings.Tick
-		if r.class.Effect == Unsafe || r.class.Effect == Keyed && b.now >= last {
+		if r.class.Effect == NonIdempotent || r.class.Effect == IdempotentByKey && b.now >= last {
 			return false
 		}
 	}
@@ -139,14 +139,14 @@
 // choke and stay slow, so the crowd must wait or be refused here. It grows slowly: the crowd let in
 // a moment ago shows only when its answers come.
 func (b *Balancer) adjustWindow(r *request, e Outcome) {
-	if b.settings.Tier > 0 || e.Ending == Void || e.Ending == Failure {
+	if b.settings.Tier > 0 || e.Ending == NeverSent || e.Ending == Failure {
 		return
 	}
 	over := float64(b.now-r.attempts[e.Attempt].sent) / float64(r.class.Aim)
 	switch {
-	case e.Ending == Withdrawn && over <= b.targetUse:
+	case e.Ending == Canceled && over <= b.targetUse:
 		return // how long it would have taken is not known, only that it was no less
-	case e.Ending != Success && e.Ending != Withdrawn:
+	case e.Ending != Success && e.Ending != Canceled:
 		over = max(over, 1)
 	}
 	weight := 2 / (b.window + 16)
@@ -171,7 +171,7 @@
 	busy := busyRatio * (1 + calmRatio*math.Pow(1-b.shedShare, calmPower))
 	crowd := max(b.targetUse/targetFill, math.Exp(b.logUse-b.leastLogUse)/busy) / lean
 	least := min(b.window, b.serverCalls*b.fairServers())
-	vain := e.Ending == TimedOut || e.Ending == Withdrawn && over > 1
+	vain := e.Ending == TimedOut || e.Ending == Canceled && over > 1
 	if vain {
 		b.abandonedShare += pooledWeight * (1 - b.abandonedShare)
 	} else {
@@ -313,7 +313,8 @@
 	}
 	harmless := true
 	for _, a := range r.attempts {
-		if !a.neverRan && (r.class.Effect == Unsafe || r.class.Effect == Keyed && r.class.Scope != ScopeAll) {
+		effect := r.class.Effect
+		if !a.neverRan && (effect == NonIdempotent || effect == IdempotentByKey && r.class.Scope != ScopeAll) {
 			harmless = false
 		}
 	}
@@ -323,7 +324,7 @@
 	if harmless {
 		// A client sent away for long comes back when its aim is mostly over, and its late answer
 		// takes the room of one in time; the window, not the clients' absence, holds the load off.
-		b.emit(Refuse{ID: r.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
+		b.emit(Reject{ID: r.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
 		b.emit(Fail{ID: r.id})
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -19,9 +19,9 @@
 
 // The zero Effect is the careful one.
 const (
-	Unsafe Effect = iota // must never run twice
-	Keyed                // the servers of one scope discard repeats for a while
-	Safe                 // may run any number of times
+	NonIdempotent   Effect = iota // must never run twice
+	IdempotentByKey               // the servers of one scope discard repeats for a while
+	Idempotent                    // may run any number of times
 )
 
 // Scope names the servers that discard the repeats of a keyed request.
@@ -166,20 +166,20 @@
 
 // Server is an entry of the discovery list.
 type Server struct {
-	ID       string
-	Zone     string
-	Priority int     // in its zone, where the list tells one; 0 comes first
-	Weight   float64 // of its zone among those of that priority, where the list tells one; the module does not read it
-	Cell     int
-	State    ServerState
-	Size     float64       // as registered, against other servers'; see Settings.Sizes. 0: as 1
-	Boot     time.Duration // clock time of its last start; 0: long ago
+	ID        string
+	Zone      string
+	Priority  int     // in its zone, where the list tells one; 0 comes first
+	Weight    float64 // of its zone among those of that priority, where the list tells one; the module does not read it
+	Cell      int
+	State     ServerState
+	Size      float64       // as registered, against other servers'; see Settings.Sizes. 0: as 1
+	StartedAt time.Duration // clock time of its last start; 0: long ago
 }
 
 // Ending says how an attempt ended.
 type Ending int
 
-// Endings. Overloaded, Unreachable and Void prove that the attempt never ran.
+// Endings. Overloaded, Unreachable and NeverSent prove that the attempt never ran.
 const (
 	Success Ending = iota
 	Failure
@@ -187,8 +187,8 @@
 	TimedOut
 	Unreachable
 	Broken
-	Withdrawn
-	Void
+	Canceled
+	NeverSent
 )
 
 // Load is a server's own report, late and noisy. Absent values are negative.
@@ -204,10 +204,10 @@
 	// ServerList brings news from discovery. Full: the complete list, absent servers are gone.
 	// Otherwise only changed entries; none says that discovery is heard and has nothing new.
 	ServerList struct {
-		Full    bool
-		Cached  bool // last held before a restart, possibly out of date
-		Ordered bool // an operator's word, not discovery's, which has not been heard by it
-		Servers []Server
+		Full     bool
+		Cached   bool // last held before a restart, possibly out of date
+		Operator bool // an operator's word, not discovery's, which has not been heard by it
+		Servers  []Server
 	}
 	// Fleet tells this copy's place anew, where the copies are not fixed by the settings. Divisor is what rations of all
 	// copies are divided by for this one, 1 or more; +Inf: no part of any is this copy's until it is told another.
@@ -218,17 +218,17 @@
 		Subset []string
 		Whole  bool // first attempts are drawn from the whole list, whatever their number
 		// Takes is how many calls a server takes at once from all copies together, as far as is known; 0: not known.
-		Takes float64
+		ServerCalls float64
 		// Quotas are this copy's parts of tenants' quotas, 0 to 1, in place of 1/Divisor where they name one.
 		Quotas map[string]float64
 	}
 	// Classes adds classes to those of the settings, or tells some of them anew, where they change while it runs.
 	Classes struct{ Classes []Class }
-	// Hearsay tells what other copies have seen of servers. One that is named is put aside until then as if it were
+	// PeerReports tells what other copies have seen of servers. One that is named is put aside until then as if it were
 	// ejected, and comes back by one safe trial, for nothing of it was seen by this copy.
-	Hearsay struct{ Aside []Aside }
-	// Aside is a server that others have good reason not to use.
-	Aside struct {
+	PeerReports struct{ Exclusions []Exclusion }
+	// Exclusion is a server that others have good reason not to use.
+	Exclusion struct {
 		ID        string
 		StartedAt time.Duration // its start that this is said of
 		Until     time.Duration // clock time
@@ -238,13 +238,13 @@
 	ListFailed struct{ Garbled bool }
 	// Request is a client's request; the Balancer owes it one final answer by Deadline.
 	Request struct {
-		ID       string
-		Class    string
-		Deadline time.Duration // clock time
-		Repeat   bool          // the client marked it as a repeat
-		Cost     time.Duration // hint of its work, as time on a standard core; 0: no hint
-		Tenant   string        // who asks, see Settings.TenantWeight and Settings.Tenants
-		Among    []string      // ids of the servers that it may go to; nil: any
+		ID          string
+		Class       string
+		Deadline    time.Duration // clock time
+		ClientRetry bool          // the client marked it as a repeat
+		Cost        time.Duration // hint of its work, as time on a standard core; 0: no hint
+		Tenant      string        // who asks, see Settings.TenantWeight and Settings.Tenants
+		Candidates  []string      // ids of the servers that it may go to; nil: any
 		// Places are those that it may go to, in order: the next only if the one before has no server for it. nil:
 		// any; empty: none.
 		Places []Place
@@ -253,14 +253,14 @@
 	}
 	// Outcome ends one attempt. Ended: the request has its final answer.
 	Outcome struct {
-		ID      string
-		Attempt int
-		Server  string
-		Ending  Ending
-		Latency time.Duration
-		Ended   bool
-		Spent   bool // part of the request has gone and can't be sent again
-		Load    *Load
+		ID       string
+		Attempt  int
+		Server   string
+		Ending   Ending
+		Latency  time.Duration
+		Ended    bool
+		Consumed bool // part of the request has gone and can't be sent again
+		Load     *Load
 		// What went between: the bytes of bodies, and whether the request was written whole. The module reads none.
 		Wrote   bool
 		Out, In int64
@@ -278,16 +278,16 @@
 	Timer struct{ Token string }
 )
 
-func (ServerList) event() {}
-func (Fleet) event()      {}
-func (Classes) event()    {}
-func (Hearsay) event()    {}
-func (ListFailed) event() {}
-func (Request) event()    {}
-func (Outcome) event()    {}
-func (Started) event()    {}
-func (ClientGone) event() {}
-func (Timer) event()      {}
+func (ServerList) event()  {}
+func (Fleet) event()       {}
+func (Classes) event()     {}
+func (PeerReports) event() {}
+func (ListFailed) event()  {}
+func (Request) event()     {}
+func (Outcome) event()     {}
+func (Started) event()     {}
+func (ClientGone) event()  {}
+func (Timer) event()       {}
 
 // Action is something the host must do, in the order given: one of the types below.
 type Action interface{ action() }
@@ -305,8 +305,8 @@
 		ID      string
 		Attempt int
 	}
-	// Refuse is a final answer that promises that a retry does no harm.
-	Refuse struct {
+	// Reject is a final answer that promises that a retry does no harm.
+	Reject struct {
 		ID         string
 		RetryAfter time.Duration // advice; 0: none
 	}
@@ -323,7 +323,7 @@
 
 func (Send) action()      {}
 func (Cancel) action()    {}
-func (Refuse) action()    {}
+func (Reject) action()    {}
 func (Fail) action()      {}
 func (Wake) action()      {}
 func (Subscribe) action() {}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -12,7 +12,7 @@
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{
-			Name: "read", Effect: balancer.Safe, Scope: balancer.ScopeAll,
+			Name: "read", Effect: balancer.Idempotent, Scope: balancer.ScopeAll,
 			Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1,
 		}},
 		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
@@ -52,7 +52,7 @@
 func BenchmarkHandle(bench *testing.B) {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{
-			Name: "read", Effect: balancer.Safe, Aim: time.Second,
+			Name: "read", Effect: balancer.Idempotent, Aim: time.Second,
 			Deadline: time.Second, Worth: 1,
 		}},
 		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -77,7 +77,7 @@
 		case Cancel:
 			g.counts[1]++
 			fmt.Fprintln(g.hash, 1, a.ID, a.Attempt)
-		case Refuse:
+		case Reject:
 			g.counts[2]++
 			fmt.Fprintln(g.hash, 2, a.ID, int64(a.RetryAfter))
 		case Fail:
@@ -111,9 +111,9 @@
 		p := g.pending[g.random.IntN(len(g.pending))]
 		g.handle(Started{ID: p.id, Attempt: p.number, Transfer: g.random.IntN(2) == 0})
 	case x < 96:
-		g.handle(Fleet{Balancers: 1 + g.random.IntN(20), Index: 0, Divisor: 1 + float64(g.random.IntN(20)), Whole: g.random.IntN(2) == 0, Takes: float64(g.random.IntN(12))})
+		g.handle(Fleet{Balancers: 1 + g.random.IntN(20), Index: 0, Divisor: 1 + float64(g.random.IntN(20)), Whole: g.random.IntN(2) == 0, ServerCalls: float64(g.random.IntN(12))})
 	case x < 97:
-		g.handle(Hearsay{[]Aside{{ID: g.server(), Until: g.now + time.Duration(g.random.IntN(500))*time.Millisecond}}})
+		g.handle(PeerReports{[]Exclusion{{ID: g.server(), Until: g.now + time.Duration(g.random.IntN(500))*time.Millisecond}}})
 	case x < 98:
 		g.handle(ListFailed{Garbled: g.random.IntN(2) == 0})
 	}
@@ -141,10 +141,10 @@
 	classes := g.b.classList
 	r := Request{
 		ID: fmt.Sprint("r", g.next), Class: classes[g.random.IntN(len(classes))].Name, Deadline: g.now + time.Duration(100+g.random.IntN(1500))*time.Millisecond,
-		Repeat: g.random.IntN(5) == 0, Cost: time.Duration(g.random.IntN(20)) * time.Millisecond, Tenant: []string{"", "acme", "bolt", "else"}[g.random.IntN(4)],
+		ClientRetry: g.random.IntN(5) == 0, Cost: time.Duration(g.random.IntN(20)) * time.Millisecond, Tenant: []string{"", "acme", "bolt", "else"}[g.random.IntN(4)],
 	}
 	if g.random.IntN(20) == 0 {
-		r.Among = []string{g.server(), g.server(), g.server()}
+		r.Candidates = []string{g.server(), g.server(), g.server()}
 	}
 	if g.random.IntN(20) == 0 {
 		r.Places = []Place{{"za", 0}, {"zb", 0}}[:g.random.IntN(3)]
@@ -162,14 +162,14 @@
 	g.pending = append(g.pending[:i], g.pending[i+1:]...)
 	ending := Success
 	if x := g.random.IntN(100); x < 25 {
-		ending = Ending(g.random.IntN(int(Void) + 1))
+		ending = Ending(g.random.IntN(int(NeverSent) + 1))
 	}
-	g.handle(Outcome{ID: p.id, Attempt: p.number, Server: p.server, Ending: ending, Latency: g.now - p.sentAt, Ended: ending == Success || g.random.IntN(10) == 0, Spent: g.random.IntN(12) == 0})
+	g.handle(Outcome{ID: p.id, Attempt: p.number, Server: p.server, Ending: ending, Latency: g.now - p.sentAt, Ended: ending == Success || g.random.IntN(10) == 0, Consumed: g.random.IntN(12) == 0})
 }
 
 // list brings news of some servers, or the whole list.
 func (g *goldenRun) list() {
-	e := ServerList{Full: g.random.IntN(4) == 0, Cached: g.random.IntN(10) == 0, Ordered: g.random.IntN(10) == 0}
+	e := ServerList{Full: g.random.IntN(4) == 0, Cached: g.random.IntN(10) == 0, Operator: g.random.IntN(10) == 0}
 	n := g.random.IntN(4)
 	if e.Full {
 		n = 4 + g.random.IntN(20)
@@ -182,7 +182,7 @@
 			s.State = []ServerState{Ready, Ready, Draining, Gone}[g.random.IntN(4)]
 		}
 		if g.random.IntN(3) == 0 {
-			s.Boot = g.now - time.Duration(g.random.IntN(3000))*time.Millisecond
+			s.StartedAt = g.now - time.Duration(g.random.IntN(3000))*time.Millisecond
 		}
 		e.Servers = append(e.Servers, s)
 	}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -12,7 +12,7 @@
 	}
 	// After an ejection one safe trial at a time decides: a bad server must not eat a request that
 	// cannot be repeated, nor many at once.
-	return s.ejectionLevel > 0 && s.successStreak == 0 && (r.class.Effect == Unsafe || s.calls > 0)
+	return s.ejectionLevel > 0 && s.successStreak == 0 && (r.class.Effect == NonIdempotent || s.calls > 0)
 }
 
 // isEjected says that a server is ejected, put aside on others' word, or silent.
@@ -51,7 +51,7 @@
 			b.addPacingDebt(c, latency) // a server may work on for nobody
 			b.abandoned(1, c.mean)
 		}
-	case Withdrawn:
+	case Canceled:
 		if latency > c.mean+overlongDeviations*c.deviation {
 			b.abandoned(1, c.mean)
 			b.learnSpeed(s, a.request, latency)
--- a/balancer/learned_state.go
+++ b/balancer/learned_state.go
@@ -62,7 +62,7 @@
 	for _, s := range b.servers {
 		if s.listed {
 			k.Servers = append(k.Servers, ServerKnowledge{
-				s.ID, s.Boot, s.failureStreak, s.ejectionLevel, s.successStreak, s.ejectedUntil, s.slowness, s.samples,
+				s.ID, s.StartedAt, s.failureStreak, s.ejectionLevel, s.successStreak, s.ejectedUntil, s.slowness, s.samples,
 				s.lastSuccess, s.acceptedAt, s.refusalRoom, s.refusedAt, s.fullUntil, s.refusals,
 			})
 		}
@@ -109,7 +109,7 @@
 	soon := b.now + 10*time.Minute
 	for _, l := range k.Servers {
 		s := b.servers[l.ID]
-		if s == nil || s.Boot != l.Boot || l.Streak < 0 || l.Level < 0 || l.Level > maxEjectionLevel || l.Goods < 0 || l.Samples < 0 ||
+		if s == nil || s.StartedAt != l.Boot || l.Streak < 0 || l.Level < 0 || l.Level > maxEjectionLevel || l.Goods < 0 || l.Samples < 0 ||
 			l.Room < 0 || l.Refusals < 0 || l.Refusals > maxEjectionLevel || l.Until > soon || l.Full > soon ||
 			max(l.LastOK, l.Took, l.Turned) > soon || !sound(l.Slow, -50, 50) {
 			continue
--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -14,8 +14,8 @@
 
 // A Balancer that learned from another believes what that one did.
 func TestLearn(t *testing.T) {
-	list := ServerList{Full: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c", Boot: 5}}}
-	set := Settings{Classes: []Class{{Name: "x", Effect: Safe, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}, Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond}
+	list := ServerList{Full: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c", StartedAt: 5}}}
+	set := Settings{Classes: []Class{{Name: "x", Effect: Idempotent, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}, Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond}
 	old, _ := New(set, 1)
 	now := time.Hour
 	old.Handle(now, list)
@@ -42,7 +42,7 @@
 		t.Fatal(err)
 	}
 	next, _ := New(set, 2)
-	list.Servers[2].Boot = 6 // it started anew
+	list.Servers[2].StartedAt = 6 // it started anew
 	next.Handle(now, list)
 	next.Learn(&k)
 	x, y := old.Beliefs(10), next.Beliefs(10)
@@ -62,7 +62,7 @@
 
 // Whatever it is told, a Balancer keeps its own bounds and goes on serving.
 func TestLearnProperty(t *testing.T) {
-	set := Settings{Classes: []Class{{Name: "x", Effect: Safe, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}, Balancers: 2, MaxAttempts: 3, Tick: time.Millisecond}
+	set := Settings{Classes: []Class{{Name: "x", Effect: Idempotent, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}, Balancers: 2, MaxAttempts: 3, Tick: time.Millisecond}
 	rapid.Check(t, func(t *rapid.T) {
 		number := rapid.SampledFrom([]float64{0, 1, -1, 0.5, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, 17})
 		span := rapid.SampledFrom([]time.Duration{0, 1, -1, math.MaxInt64, math.MinInt64, time.Hour})
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -9,7 +9,7 @@
 func longBalancer(t *testing.T) (*Balancer, time.Duration) {
 	t.Helper()
 	b, err := New(Settings{
-		Classes:   []Class{{Name: "x", Effect: Safe, Aim: time.Second, Deadline: 10 * time.Second, Worth: 1}},
+		Classes:   []Class{{Name: "x", Effect: Idempotent, Aim: time.Second, Deadline: 10 * time.Second, Worth: 1}},
 		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond, MayCancel: true,
 	}, 1)
 	if err != nil {
@@ -25,8 +25,8 @@
 	for _, spent := range []bool{false, true} {
 		b, now := longBalancer(t)
 		s := sends(b.Handle(now, Request{ID: "r", Class: "x", Deadline: now + 5*time.Second}))
-		again := b.Handle(now+1, Outcome{ID: "r", Server: s[0].Server, Ending: Unreachable, Spent: spent})
-		refused := slices.ContainsFunc(again, func(a Action) bool { _, is := a.(Refuse); return is })
+		again := b.Handle(now+1, Outcome{ID: "r", Server: s[0].Server, Ending: Unreachable, Consumed: spent})
+		refused := slices.ContainsFunc(again, func(a Action) bool { _, is := a.(Reject); return is })
 		if len(sends(again)) > 0 == spent || refused != spent {
 			t.Errorf("spent %v: %v", spent, again)
 		}
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -101,7 +101,7 @@
 		}, 15, 15},
 		"one cold": {func(b *Balancer) {
 			l := servers(4)
-			l[0].Boot = 4 * time.Second
+			l[0].StartedAt = 4 * time.Second
 			b.Handle(9*time.Second, ServerList{Full: true, Servers: l}) // half warm: 0.6
 		}, 17, 18},
 		// It turned one away with two calls out, so the others get no more for it: three parts and two calls.
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -66,7 +66,7 @@
 		b.handleFleet(e)
 	case Classes:
 		b.handleClasses(e.Classes)
-	case Hearsay:
+	case PeerReports:
 		b.handlePeerReports(e)
 	case ListFailed:
 		b.subscribeFailures++
@@ -126,13 +126,13 @@
 		c = b.classList[len(b.classList)-1] // unknown: unsafe
 	}
 	r := &request{
-		id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, clientRetry: e.Repeat,
+		id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, clientRetry: e.ClientRetry,
 		cost: float64(e.Cost), places: e.Places,
 	}
 	b.requests[e.ID] = r
-	if e.Among != nil {
-		r.candidates = make(map[string]bool, len(e.Among))
-		for _, id := range e.Among {
+	if e.Candidates != nil {
+		r.candidates = make(map[string]bool, len(e.Candidates))
+		for _, id := range e.Candidates {
 			r.candidates[id] = true
 		}
 	}
@@ -216,7 +216,7 @@
 // alternates are further servers for a request that was just sent, each picked as the next attempt would be.
 // Only warm ones: what is tried there is not counted until it has ended.
 func (b *Balancer) alternates(r *request) (ids []string) {
-	if b.settings.Spares == 0 || r.class.Effect != Safe {
+	if b.settings.Spares == 0 || r.class.Effect != Idempotent {
 		return nil
 	}
 	sent := len(r.attempts)
@@ -365,10 +365,10 @@
 	}
 	a := r.attempts[e.Attempt]
 	a.ended = true
-	a.neverRan = e.Ending == Overloaded || e.Ending == Unreachable || e.Ending == Void
+	a.neverRan = e.Ending == Overloaded || e.Ending == Unreachable || e.Ending == NeverSent
 	r.inFlight--
 	b.endCall(a)
-	r.consumed = r.consumed || e.Spent
+	r.consumed = r.consumed || e.Consumed
 	b.endWait(a, e)
 	b.learn(a, e)
 	if !a.server.listed && a.server.calls == 0 && b.servers[a.server.ID] == a.server {
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -14,12 +14,12 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Safe, Scope: ScopeAll, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 1},
+			{Name: "get", Effect: Idempotent, Scope: ScopeAll, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 1},
 			{
-				Name: "post", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, Aim: 500 * msec,
+				Name: "post", Effect: IdempotentByKey, Scope: ScopeCell, Window: 900 * msec, Aim: 500 * msec,
 				Deadline: 1500 * msec, Worth: 2,
 			},
-			{Name: "pay", Effect: Unsafe, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 3},
+			{Name: "pay", Effect: NonIdempotent, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 3},
 		},
 		Balancers: 2, Tier: 0, WholeWeight: 0.6, ClassWeight: 0.3,
 		MaxAttempts: 5, SecondCopies: true, MayCancel: true, Tick: 2 * msec,
@@ -138,7 +138,7 @@
 			switch a := a.(type) {
 			case Wake:
 				next = a
-			case Refuse:
+			case Reject:
 				return
 			}
 		}
@@ -372,7 +372,7 @@
 	}
 	for i := range list {
 		if cold[list[i].ID] {
-			list[i].Boot = time.Minute
+			list[i].StartedAt = time.Minute
 		}
 	}
 	b.Handle(time.Minute, ServerList{Full: true, Servers: list})
@@ -476,7 +476,7 @@
 	b.Handle(0, ServerList{Full: true, Servers: list})
 	s := b.servers["s01"]
 	s.ejectedUntil, s.ejectionLevel, s.slowness = time.Hour, 3, 1
-	list[1].Boot = time.Second
+	list[1].StartedAt = time.Second
 	b.Handle(2*time.Second, ServerList{Servers: list[1:2]})
 	if s := b.servers["s01"]; s.ejectedUntil != 0 || s.ejectionLevel != 0 || s.slowness != 0 {
 		t.Errorf("after its restart: %+v", s)
@@ -620,7 +620,7 @@
 	b.window = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
-	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Repeat: true})
+	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, ClientRetry: true})
 	b.classes["get"].LateShare = 0.5
 	b.inFlight = int(windowFloor*b.fairServers()) + 2
 	b.window = float64(b.inFlight) // one comes free by the next answer
@@ -737,7 +737,7 @@
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
-		if f, ok := a.(Refuse); ok {
+		if f, ok := a.(Reject); ok {
 			if limit := b.settings.Classes[0].Aim / 10; f.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
 			}
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -99,7 +99,7 @@
 		for i, g := range gaps {
 			now += time.Duration(g) * msec
 			id := fmt.Sprint(i)
-			b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute, Tenant: "flood", Repeat: g%7 == 0})
+			b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute, Tenant: "flood", ClientRetry: g%7 == 0})
 			if x := b.requests[id]; x.overQuota == false && !x.clientRetry {
 				within = append(within, now)
 			}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -46,7 +46,7 @@
 }
 
 func (t *tracking) mayHaveRun() bool {
-	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != Void)
+	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != NeverSent)
 }
 
 func (c *checker) event(now time.Duration, e Event) {
@@ -62,7 +62,7 @@
 		}
 	case Request:
 		if c.reqs[e.ID] == nil {
-			cl := Class{Effect: Unsafe}
+			cl := Class{Effect: NonIdempotent}
 			for _, k := range c.set.Classes {
 				if k.Name == e.Class {
 					cl = k
@@ -96,10 +96,10 @@
 		switch a := a.(type) {
 		case Send:
 			c.send(now, a)
-		case Refuse:
+		case Reject:
 			if r := c.final(a.ID); r != nil {
 				for _, t := range r.tries {
-					loose := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll
+					loose := r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll
 					if t.mayHaveRun() && !loose {
 						c.fault("rule 2: %s refused though it may have run", a.ID)
 					}
@@ -149,9 +149,9 @@
 			continue
 		}
 		switch r.class.Effect {
-		case Unsafe:
+		case NonIdempotent:
 			c.fault("rule 2: unsafe %s sent again", a.ID)
-		case Keyed:
+		case IdempotentByKey:
 			if now > t.at+r.class.Window {
 				c.fault("rule 2: %s sent again outside its window", a.ID)
 			}
@@ -174,10 +174,10 @@
 		steps []any
 	}{
 		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
-		{"rule 1: final answer", []any{list, req("get"), Refuse{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
 		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
 		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
-		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Refuse{ID: "r"}}},
+		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}}},
 		{"outside its window", []any{
 			list, req("post"),
 			Send{ID: "r", Server: "a"},
@@ -283,7 +283,7 @@
 			case p.timeout:
 				e.Ending = TimedOut
 			case rng.IntN(3) == 0:
-				e.Ending = Ending(1 + rng.IntN(int(Void)))
+				e.Ending = Ending(1 + rng.IntN(int(NeverSent)))
 			}
 			if r := b.requests[p.id]; e.Ending == Success || r == nil || r.answered {
 				ended[p.id] = true
@@ -308,7 +308,7 @@
 			s := &fleet[rng.IntN(len(fleet))]
 			s.State = ServerState(rng.IntN(3))
 			if rng.IntN(2) == 0 {
-				s.State, s.Boot = Ready, now
+				s.State, s.StartedAt = Ready, now
 			}
 			switch rng.IntN(4) {
 			case 0:
@@ -389,7 +389,7 @@
 	set.Tier = 1
 	const copies, capacity = 12, 50.0 // a warm server's calls a second
 	list := servers(6)
-	list[2].Boot = time.Second
+	list[2].StartedAt = time.Second
 	var bs []*Balancer
 	for i := range copies {
 		b, err := New(set, uint64(i))
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -175,7 +175,7 @@
 
 // inScope keeps a keyed request that may have run to the servers that discard its repeats.
 func (b *Balancer) inScope(r *request, s *server) bool {
-	if r.class.Effect != Keyed {
+	if r.class.Effect != IdempotentByKey {
 		return true
 	}
 	for _, a := range r.attempts {
@@ -208,8 +208,8 @@
 
 // warmth is the share of its capacity that a server surely has.
 func (b *Balancer) warmth(s *server) float64 {
-	age := b.now - s.Boot
-	if s.Boot <= 0 || age >= b.settings.WarmAfter {
+	age := b.now - s.StartedAt
+	if s.StartedAt <= 0 || age >= b.settings.WarmAfter {
 		return 1
 	}
 	grown := max(0, float64(age)/float64(b.settings.WarmAfter))
--- a/balancer/server_list.go
+++ b/balancer/server_list.go
@@ -10,7 +10,7 @@
 // handleServerList applies news of the servers. A new boot time resets what is known of a server. News of
 // changes costs in step with the changes: the ready servers are kept in their order.
 func (b *Balancer) handleServerList(e ServerList) {
-	if !e.Ordered {
+	if !e.Operator {
 		b.discoveryHeardAt = b.now
 	}
 	if !e.Full && len(e.Servers) == 0 {
@@ -33,7 +33,7 @@
 			if !e.Full {
 				b.removeReady(s)
 			}
-			if s.Boot != n.Boot {
+			if s.StartedAt != n.StartedAt {
 				*s = server{calls: s.calls, openAttempts: s.openAttempts}
 			}
 		}
--- a/balancer/server_list_test.go
+++ b/balancer/server_list_test.go
@@ -15,7 +15,7 @@
 func TestListNewsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{
-			Classes:   []Class{{Name: "read", Effect: Safe, Aim: time.Second, Deadline: time.Second, Worth: 1}},
+			Classes:   []Class{{Name: "read", Effect: Idempotent, Aim: time.Second, Deadline: time.Second, Worth: 1}},
 			Balancers: rapid.IntRange(1, 5).Draw(t, "balancers"), MaxAttempts: 3, Tick: time.Millisecond,
 			Sizes: Sizes(rapid.IntRange(0, 2).Draw(t, "sizes")),
 		}
@@ -28,7 +28,7 @@
 			return Server{
 				ID: fmt.Sprint("s", rapid.IntRange(0, 15).Draw(t, "id")), Cell: rapid.IntRange(0, 2).Draw(t, "cell"),
 				State: ServerState(rapid.IntRange(0, 2).Draw(t, "state")), Size: float64(rapid.IntRange(0, 2).Draw(t, "size")),
-				Boot: time.Duration(rapid.IntRange(0, 1).Draw(t, "boot")),
+				StartedAt: time.Duration(rapid.IntRange(0, 1).Draw(t, "boot")),
 			}
 		})
 		model := map[string]Server{}
@@ -107,7 +107,7 @@
 	for _, n := range []int{100, 10_000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
 			b, err := New(Settings{
-				Classes:   []Class{{Name: "read", Effect: Safe, Aim: time.Second, Deadline: time.Second, Worth: 1}},
+				Classes:   []Class{{Name: "read", Effect: Idempotent, Aim: time.Second, Deadline: time.Second, Worth: 1}},
 				Balancers: 100, MaxAttempts: 3, Tick: time.Millisecond,
 			}, 1)
 			if err != nil {
--- a/balancer/spares_test.go
+++ b/balancer/spares_test.go
@@ -15,7 +15,7 @@
 	}
 	for _, want := range []int{0, 2, 9} {
 		b, err := New(Settings{
-			Classes: []Class{class("read", Safe), class("order", Unsafe), class("send", Keyed)}, Balancers: 1, Spares: want,
+			Classes: []Class{class("read", Idempotent), class("order", NonIdempotent), class("send", IdempotentByKey)}, Balancers: 1, Spares: want,
 			MaxAttempts: 3, Tick: time.Millisecond, ColdFrom: 0.3, WarmAfter: time.Hour, FallMultiple: 3, FallFor: time.Second,
 		}, 1)
 		if err != nil {
@@ -27,7 +27,7 @@
 			{ID: "b"},
 			{ID: "c"},
 			{ID: "d"},
-			{ID: "cold", Boot: now},
+			{ID: "cold", StartedAt: now},
 			{ID: "drains", State: Draining},
 		}})
 		for i, name := range []string{"read", "order", "send", "read"} {
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -41,8 +41,8 @@
 	before := b.fairServers()
 	b.settings.Balancers, b.settings.Index, b.divisor = max(1, e.Balancers), e.Index, e.Divisor
 	b.wholeList = e.Whole
-	if e.Takes > 0 {
-		b.serverCalls = e.Takes
+	if e.ServerCalls > 0 {
+		b.serverCalls = e.ServerCalls
 	}
 	if b.subsetIDs = nil; e.Subset != nil {
 		b.subsetIDs = make(map[string]bool, len(e.Subset))
@@ -63,10 +63,10 @@
 }
 
 // handlePeerReports puts servers aside. How many are kept out in all is bounded as for those this copy ejects.
-func (b *Balancer) handlePeerReports(e Hearsay) {
-	for _, a := range e.Aside {
+func (b *Balancer) handlePeerReports(e PeerReports) {
+	for _, a := range e.Exclusions {
 		s := b.servers[a.ID]
-		if s == nil || s.Boot != a.StartedAt || a.Until > b.now+time.Minute {
+		if s == nil || s.StartedAt != a.StartedAt || a.Until > b.now+time.Minute {
 			continue
 		}
 		if s.reportedUntil = a.Until; a.Until > b.now && s.ejectionLevel == 0 {
--- a/cmd/cranegrade/proxyconfig.go
+++ b/cmd/cranegrade/proxyconfig.go
@@ -64,7 +64,7 @@
 			}
 			// What a class of that name is in one pool, it may be in the proxy's eyes in all.
 			x := &p.Classes[i]
-			x.Deadline, x.Safe = max(x.Deadline, c.Deadline), x.Safe && c.Effect == balancer.Safe
+			x.Deadline, x.Safe = max(x.Deadline, c.Deadline), x.Safe && c.Effect == balancer.Idempotent
 		}
 		for _, s := range pool.List.Static {
 			p.Endpoints = append(p.Endpoints, s.Addr)
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -104,7 +104,7 @@
 			n.handle(balancer.ClientGone{ID: k.id})
 		}
 	})
-	n.handle(balancer.Request{ID: k.id, Class: c.Name, Deadline: deadline, Repeat: repeat, Tenant: c.Tenant})
+	n.handle(balancer.Request{ID: k.id, Class: c.Name, Deadline: deadline, ClientRetry: repeat, Tenant: c.Tenant})
 	return k
 }
 
@@ -158,9 +158,9 @@
 		n.send(a)
 	case balancer.Cancel:
 		if k := n.open[a.ID]; k != nil && a.Attempt < len(k.attempts) {
-			k.attempts[a.Attempt].end(balancer.Withdrawn)
+			k.attempts[a.Attempt].end(balancer.Canceled)
 		}
-	case balancer.Refuse:
+	case balancer.Reject:
 		if k := n.open[a.ID]; k != nil {
 			k.answer(verdictRefused, a.RetryAfter)
 		}
@@ -183,7 +183,7 @@
 	}
 	a := &attempt{c: k, n: len(k.attempts)}
 	for _, x := range k.attempts {
-		if x.running && k.class.Effect == balancer.Unsafe {
+		if x.running && k.class.Effect == balancer.NonIdempotent {
 			n.w.Broken = append(n.w.Broken, fmt.Sprintf("an unsafe request sent again after it ran, at %v", n.w.now))
 		}
 	}
@@ -196,7 +196,7 @@
 	k.out++
 	n.checkDrain(a.server)
 	if k.done || a.server == nil {
-		a.end(balancer.Void)
+		a.end(balancer.NeverSent)
 		return
 	}
 	deadline := k.deadline
--- a/internal/emulator/reference.go
+++ b/internal/emulator/reference.go
@@ -35,7 +35,7 @@
 		}
 	case balancer.Request:
 		if r.Limit > 0 && r.out >= r.Limit*len(r.servers) || len(r.servers) == 0 {
-			return []balancer.Action{balancer.Refuse{ID: e.ID, RetryAfter: 100 * time.Millisecond}}
+			return []balancer.Action{balancer.Reject{ID: e.ID, RetryAfter: 100 * time.Millisecond}}
 		}
 		x, y := r.servers[r.rng.IntN(len(r.servers))], r.servers[r.rng.IntN(len(r.servers))]
 		if r.calls[y] < r.calls[x] {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -65,7 +65,7 @@
 }
 
 func (s *Server) entry() balancer.Server {
-	return balancer.Server{ID: s.id, Zone: "z", Cell: 0, State: s.state, Size: 1, Boot: s.Boot}
+	return balancer.Server{ID: s.id, Zone: "z", Cell: 0, State: s.state, Size: 1, StartedAt: s.Boot}
 }
 
 // Held is how many requests it runs or keeps waiting.
--- a/internal/emulator/shapes.go
+++ b/internal/emulator/shapes.go
@@ -26,9 +26,9 @@
 	}
 	aim := 10 * work
 	return []Class{
-		{Class: balancer.Class{Name: "read", Effect: balancer.Safe, Aim: aim, Deadline: 5 * aim / 2, LateShare: 0.5, Worth: 1}, Share: 0.6, Work: part, Dist: d},
-		{Class: balancer.Class{Name: "send", Effect: balancer.Keyed, Scope: balancer.ScopeAll, Window: 10 * time.Second, Aim: aim, Deadline: 3 * aim, LateShare: 0.5, Worth: 3}, Share: 0.25, Work: part, Dist: d},
-		{Class: balancer.Class{Name: "order", Effect: balancer.Unsafe, Aim: aim, Deadline: 3 * aim, LateShare: 0.5, Worth: 2}, Share: 0.15, Work: part, Dist: d},
+		{Class: balancer.Class{Name: "read", Effect: balancer.Idempotent, Aim: aim, Deadline: 5 * aim / 2, LateShare: 0.5, Worth: 1}, Share: 0.6, Work: part, Dist: d},
+		{Class: balancer.Class{Name: "send", Effect: balancer.IdempotentByKey, Scope: balancer.ScopeAll, Window: 10 * time.Second, Aim: aim, Deadline: 3 * aim, LateShare: 0.5, Worth: 3}, Share: 0.25, Work: part, Dist: d},
+		{Class: balancer.Class{Name: "order", Effect: balancer.NonIdempotent, Aim: aim, Deadline: 3 * aim, LateShare: 0.5, Worth: 2}, Share: 0.15, Work: part, Dist: d},
 	}
 }
 
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -103,7 +103,7 @@
 	e.releasePending(call)
 	if call.finished.Load() || timeout <= 0 || attempt.Endpoint == nil || e.cfg.MaxAttempts > 0 && attempt.index >= e.cfg.MaxAttempts {
 		attempt.ended.Store(true)
-		e.pendingEvents = append(e.pendingEvents, e.recordEnding(attempt, balancer.Void, nil))
+		e.pendingEvents = append(e.pendingEvents, e.recordEnding(attempt, balancer.NeverSent, nil))
 		return
 	}
 	// A timer and not the context's deadline: it must stop once a streamed reply has begun.
@@ -132,7 +132,7 @@
 
 // begin implements host: the last check before a request is written.
 func (e *Engine) begin(a *Attempt) (balancer.Ending, bool) {
-	return balancer.Void, !a.call.finished.Load()
+	return balancer.NeverSent, !a.call.finished.Load()
 }
 
 // began implements host: it gives the call the first streamed reply, and withdraws any other attempt that has one.
@@ -173,7 +173,7 @@
 	}
 	outcome := balancer.Outcome{ID: call.id, Attempt: attempt.index, Server: attempt.serverID, Ending: ending}
 	if p, is := call.Payload.(Spendable); is {
-		outcome.Spent = p.Spent()
+		outcome.Consumed = p.Spent()
 	}
 	e.addTransfer(&outcome, attempt, reply)
 	e.answerFrom(attempt, ending, reply)
--- a/internal/engine/churn_test.go
+++ b/internal/engine/churn_test.go
@@ -30,7 +30,7 @@
 	for i := range 7200 { // an hour of two a second
 		gone, come := fmt.Sprintf("s%06d", i), fmt.Sprintf("s%06d", i+60)
 		n := serverList(gone, come)
-		n.Full, n.Servers[0].State, n.Servers[1].Boot = false, balancer.Gone, e.Now()
+		n.Full, n.Servers[0].State, n.Servers[1].StartedAt = false, balancer.Gone, e.Now()
 		e.Apply(n)
 		if i%4 == 0 {
 			c, r := newCall(e, fmt.Sprint("c-", i), "read", limit)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -211,7 +211,7 @@
 		if c := e.calls[a.ID]; c != nil && a.Attempt < len(c.attempts) {
 			c.attempts[a.Attempt].cancel(ErrWithdrawn)
 		}
-	case balancer.Refuse:
+	case balancer.Reject:
 		e.finish(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
 	case balancer.Fail:
 		e.finish(a.ID, Answer{Verdict: Failed})
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -71,8 +71,8 @@
 func (r *receiver) Began(b Reply)  { r.began <- b }
 func (r *receiver) Ended(a Answer) { r.ended <- a }
 
-var classes = []balancer.Class{{Name: "order", Effect: balancer.Unsafe, Aim: time.Second, Deadline: limit, Worth: 1},
-	{Name: "read", Effect: balancer.Safe, Aim: time.Second, Deadline: limit, Worth: 1}}
+var classes = []balancer.Class{{Name: "order", Effect: balancer.NonIdempotent, Aim: time.Second, Deadline: limit, Worth: 1},
+	{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: limit, Worth: 1}}
 
 func settings() balancer.Settings {
 	return balancer.Settings{Classes: classes, Balancers: 1, MaxAttempts: 4, MayCancel: true,
@@ -162,7 +162,7 @@
 		ending balancer.Ending
 		again  bool
 	}{{balancer.Unreachable, true}, {balancer.Overloaded, true}, {balancer.Failure, false},
-		{balancer.Broken, false}, {balancer.TimedOut, false}, {balancer.Withdrawn, false}} {
+		{balancer.Broken, false}, {balancer.TimedOut, false}, {balancer.Canceled, false}} {
 		e, h := startWithServers(t, "a", "b", "c")
 		call, r := newCall(e, "c-1", "order", limit)
 		e.Submit(call)
@@ -203,7 +203,7 @@
 	e.Apply(serverList("a"))
 	e.Gone(c)
 	waitIdle(t, e)
-	if ending, ok := a.Begin(); ok || ending != balancer.Void {
+	if ending, ok := a.Begin(); ok || ending != balancer.NeverSent {
 		t.Errorf("begins for a caller that has gone: %v %v", ending, ok)
 	}
 	if cause := h.cause(t, a); cause != ErrWithdrawn {
@@ -212,7 +212,7 @@
 	if e.Open() != 1 {
 		t.Errorf("%d calls open while an attempt is out", e.Open())
 	}
-	a.End(balancer.Withdrawn, nil)
+	a.End(balancer.Canceled, nil)
 	waitIdle(t, e)
 	if e.Open() != 0 {
 		t.Errorf("%d calls open", e.Open())
--- a/internal/engine/hooks.go
+++ b/internal/engine/hooks.go
@@ -19,7 +19,7 @@
 }
 
 func (h Hooks) begin(*Attempt) (balancer.Ending, bool) {
-	return balancer.Void, h.Finished == nil || !h.Finished()
+	return balancer.NeverSent, h.Finished == nil || !h.Finished()
 }
 
 func (h Hooks) began(_ *Attempt, r Reply) {
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -47,7 +47,7 @@
 	case ErrTimedOut:
 		return balancer.TimedOut
 	}
-	return balancer.Withdrawn
+	return balancer.Canceled
 }
 
 // Endpoint is a listed server as senders see it. A server that restarts or changes its address becomes a new
--- a/internal/engine/servers.go
+++ b/internal/engine/servers.go
@@ -22,7 +22,7 @@
 // state has changed and nothing came from the source.
 func (e *Engine) mergeServers(update News, ordered bool) {
 	listed := make(map[string]bool, len(update.Servers))
-	list := balancer.ServerList{Full: update.Full, Cached: update.Cached, Ordered: ordered,
+	list := balancer.ServerList{Full: update.Full, Cached: update.Cached, Operator: ordered,
 		Servers: make([]balancer.Server, 0, len(update.Servers))}
 	for _, server := range update.Servers {
 		reported := server
@@ -54,7 +54,7 @@
 	if e.cfg.AdminStates == nil {
 		return
 	}
-	server.Boot = e.cfg.AdminStates.Boot(server.ID, server.Boot)
+	server.StartedAt = e.cfg.AdminStates.Boot(server.ID, server.StartedAt)
 	if server.State == balancer.Ready && e.cfg.AdminStates.Out(server.ID) {
 		server.State = balancer.Draining
 	}
@@ -64,11 +64,11 @@
 // connections are of no use.
 func (e *Engine) endpointOf(server Listed) *Endpoint {
 	endpoint := e.endpoints[server.ID]
-	if endpoint != nil && endpoint.Addr == server.Addr && endpoint.boot == server.Boot {
+	if endpoint != nil && endpoint.Addr == server.Addr && endpoint.boot == server.StartedAt {
 		return endpoint
 	}
 	e.removeEndpoint(server.ID)
-	endpoint = &Endpoint{ID: server.ID, Addr: server.Addr, boot: server.Boot, adminStates: e.cfg.AdminStates}
+	endpoint = &Endpoint{ID: server.ID, Addr: server.Addr, boot: server.StartedAt, adminStates: e.cfg.AdminStates}
 	e.endpoints[server.ID] = endpoint
 	e.idByAddr[server.Addr] = server.ID
 	if e.cfg.AdminStates != nil {
--- a/internal/engine/source_test.go
+++ b/internal/engine/source_test.go
@@ -163,7 +163,7 @@
 		t.Error("a full list that names only a")
 	}
 	restarted := serverList("a")
-	restarted.Servers[0].Boot = time.Second
+	restarted.Servers[0].StartedAt = time.Second
 	e.apply(restarted)
 	if a.Usable() || !e.endpoints["a"].Usable() {
 		t.Error("a started anew: its old connections are of no use")
--- a/internal/extproc/stream/stream.go
+++ b/internal/extproc/stream/stream.go
@@ -181,7 +181,7 @@
 	case decided:
 		// The proxy had its decision, so the request may be at the server. The side channel says nothing of
 		// the server's health: the ending does not blame it.
-		s.book(Outcome{Ending: balancer.Withdrawn})
+		s.book(Outcome{Ending: balancer.Canceled})
 	}
 	s.phase, s.pending, s.bytes = over, nil, 0
 }
@@ -581,7 +581,7 @@
 
 // Unrun says that an ending proves that the attempt never ran.
 func Unrun(e balancer.Ending) bool {
-	return e == balancer.Overloaded || e == balancer.Unreachable || e == balancer.Void
+	return e == balancer.Overloaded || e == balancer.Unreachable || e == balancer.NeverSent
 }
 
 // endingOf reads the truth about whether the request can have run. Only a server's own word
@@ -609,7 +609,7 @@
 	case (status == 503 || status == 504) && unprocessed:
 		return balancer.Overloaded
 	case strings.Contains(details, "{overflow}"):
-		return balancer.Void // the proxy's own circuit breaker: nothing was sent, and no server is to blame
+		return balancer.NeverSent // the proxy's own circuit breaker: nothing was sent, and no server is to blame
 	case strings.Contains(details, "connection_failure") || strings.Contains(details, "connection_timeout") || details == "no_healthy_upstream":
 		return balancer.Unreachable
 	case strings.Contains(details, "response_timeout") || strings.Contains(details, "per_try_timeout"):
--- a/internal/extproc/stream/stream_test.go
+++ b/internal/extproc/stream/stream_test.go
@@ -146,7 +146,7 @@
 		{details("503", "upstream_reset_before_response_started{remote_connection_failure}"), balancer.Unreachable},
 		{details("503", "upstream_reset_before_response_started{connection_timeout}"), balancer.Unreachable},
 		{details("503", "upstream_reset_before_response_started{connection_termination}"), balancer.Broken},
-		{details("503", "upstream_reset_before_response_started{overflow}"), balancer.Void},
+		{details("503", "upstream_reset_before_response_started{overflow}"), balancer.NeverSent},
 		{details("503", "no_healthy_upstream"), balancer.Unreachable}, {details("504", "upstream_per_try_timeout"), balancer.TimedOut},
 		{details("504", "response_timeout"), balancer.TimedOut}, {details("200", "via_upstream"), balancer.Success},
 	} {
@@ -269,7 +269,7 @@
 	s = New()
 	s.Receive(request(true))
 	decide(t, s)
-	expect(t, "decided", s.End(), fmt.Sprintf("outcome(%d 0  false) hangup", balancer.Withdrawn))
+	expect(t, "decided", s.End(), fmt.Sprintf("outcome(%d 0  false) hangup", balancer.Canceled))
 	s = New()
 	s.Receive(request(true))
 	expect(t, "the proxy answers the client itself", s.Receive(response("504")), "lost ResponseHeaders")
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -12,7 +12,7 @@
 // BenchmarkDecision is a request, its attempt and the attempt's end, through the module alone and through the one in front
 // of it, with the same servers to draw from: 60 servers, 50 members.
 func BenchmarkDecision(b *testing.B) {
-	class := balancer.Class{Name: "read", Effect: balancer.Safe, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}
+	class := balancer.Class{Name: "read", Effect: balancer.Idempotent, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}
 	set := balancer.Settings{Classes: []balancer.Class{class}, MaxAttempts: 3, Balancers: 50, Index: 7, Tick: time.Millisecond}
 	list := balancer.ServerList{Full: true}
 	for i := range 60 {
--- a/internal/fleet/emulated_test.go
+++ b/internal/fleet/emulated_test.go
@@ -96,7 +96,7 @@
 	if change != nil {
 		change(f)
 	}
-	class := balancer.Class{Name: "read", Effect: balancer.Safe, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.5, Worth: 1}
+	class := balancer.Class{Name: "read", Effect: balancer.Idempotent, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.5, Worth: 1}
 	set := balancer.Settings{Classes: []balancer.Class{class}, WholeWeight: 0.6, ClassWeight: 0.3, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond,
 		MaxRetryAfter: time.Second, ColdFrom: 0.3, WarmAfter: 4 * time.Second, FallMultiple: 4, FallFor: 1500 * time.Millisecond}
 	rate := 6 * float64(servers)
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -44,7 +44,7 @@
 	part      float64
 	place     [2]int
 	set       []string
-	aside     []balancer.Aside
+	aside     []balancer.Exclusion
 	checkedAt time.Duration
 	sentAt    time.Duration
 	urgent    bool // a call has ended badly since
@@ -122,7 +122,7 @@
 	case balancer.ServerList:
 		m.updateServers(x)
 	case balancer.Request:
-		if u := m.uses[x.Tenant]; u != nil && !x.Repeat {
+		if u := m.uses[x.Tenant]; u != nil && !x.ClientRetry {
 			u.requests++
 		}
 	case balancer.Outcome:
@@ -201,7 +201,7 @@
 	for _, s := range m.listed {
 		if s.State == balancer.Ready {
 			servers = append(servers, s)
-			m.startedAt[s.ID] = s.Boot
+			m.startedAt[s.ID] = s.StartedAt
 		}
 	}
 	order, me, sized := m.order, r.Index, m.sized
@@ -290,26 +290,26 @@
 	}
 	verdicts := m.book.Verdicts(at, func(server string) []uint64 { return m.owners[server] }, rotation.Place)
 	m.gate.setHearsay(Hearsay{Verdicts: verdicts, Set: m.set, Moving: m.mover.Moving()})
-	var l, news []balancer.Aside
+	var l, news []balancer.Exclusion
 	for _, v := range verdicts {
-		l = append(l, balancer.Aside{ID: v.Server, StartedAt: v.Boot, Until: now + v.Until - at})
+		l = append(l, balancer.Exclusion{ID: v.Server, StartedAt: v.Boot, Until: now + v.Until - at})
 	}
 	for _, a := range l { // whom the module has not been told of, but for what the two clocks differ by
-		i := slices.IndexFunc(m.aside, func(b balancer.Aside) bool { return b.ID == a.ID && b.StartedAt == a.StartedAt })
+		i := slices.IndexFunc(m.aside, func(b balancer.Exclusion) bool { return b.ID == a.ID && b.StartedAt == a.StartedAt })
 		if i < 0 || (m.aside[i].Until-a.Until).Abs() > checkInterval {
 			news = append(news, a)
 		}
 	}
 	for _, b := range m.aside { // and who is not put aside any more
-		if b.Until > now && !slices.ContainsFunc(l, func(a balancer.Aside) bool { return a.ID == b.ID && a.StartedAt == b.StartedAt }) {
-			news = append(news, balancer.Aside{ID: b.ID, StartedAt: b.StartedAt, Until: now})
+		if b.Until > now && !slices.ContainsFunc(l, func(a balancer.Exclusion) bool { return a.ID == b.ID && a.StartedAt == b.StartedAt }) {
+			news = append(news, balancer.Exclusion{ID: b.ID, StartedAt: b.StartedAt, Until: now})
 		}
 	}
 	m.aside = l
 	if len(news) == 0 {
 		return nil
 	}
-	return m.decider.Handle(now, balancer.Hearsay{Aside: news})
+	return m.decider.Handle(now, balancer.PeerReports{Exclusions: news})
 }
 
 type learner interface {
--- a/internal/front/extproc/front.go
+++ b/internal/front/extproc/front.go
@@ -343,7 +343,7 @@
 		case found:
 			// The proxy's next try. Its last one is over for it, and may have run.
 			t.ticket = open
-			open.end(nil, balancer.Withdrawn)
+			open.end(nil, balancer.Canceled)
 			return t.await()
 		}
 		if c, _ := p.Class(class); tries > 1 && mustNotRunAgain(c) {
@@ -369,7 +369,7 @@
 
 // mustNotRunAgain says that a request which may have run can do harm when it runs elsewhere.
 func mustNotRunAgain(c balancer.Class) bool {
-	return c.Effect == balancer.Unsafe || c.Effect == balancer.Keyed && c.Scope != balancer.ScopeAll
+	return c.Effect == balancer.NonIdempotent || c.Effect == balancer.IdempotentByKey && c.Scope != balancer.ScopeAll
 }
 
 // ownDelay is what is left of a request's time for the way through proxy and node.
@@ -381,7 +381,7 @@
 	if !known {
 		return nil, &stream.Final{Status: http.StatusNotFound, Text: fmt.Sprintf("no class %.40q", name)}
 	}
-	if class.Effect == balancer.Keyed && len(q.Header["idempotency-key"]) != 1 {
+	if class.Effect == balancer.IdempotentByKey && len(q.Header["idempotency-key"]) != 1 {
 		return nil, &stream.Final{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
 	}
 	left, ok := timeLeft(q, class.Deadline)
@@ -467,7 +467,7 @@
 				continue
 			}
 			if o.ctx.Err() != nil {
-				o.a.End(balancer.Void, nil)
+				o.a.End(balancer.NeverSent, nil)
 				continue
 			}
 			// From here on the proxy may have it, and with it the server.
@@ -526,7 +526,7 @@
 		// It ran elsewhere: our server has had nothing of it.
 		f.stray(told, o.Served)
 		if o.Ending == balancer.Success || o.Ending == balancer.Failure {
-			o.Ending = balancer.Void
+			o.Ending = balancer.NeverSent
 		}
 	}
 	if !o.Answered {
@@ -595,10 +595,10 @@
 	now := t.f.cfg.Clock.Now()
 	class, _ := k.pool.Class(k.Class)
 	until := max(k.Last, now+t.f.cfg.Linger)
-	if class.Effect == balancer.Keyed {
+	if class.Effect == balancer.IdempotentByKey {
 		until = max(until, now+class.Window)
 	}
-	if class.Effect == balancer.Safe || a.Verdict == engine.Refused {
+	if class.Effect == balancer.Idempotent || a.Verdict == engine.Refused {
 		until = 0 // it may run again
 	}
 	t.f.book.close(now, k.id, k, a, until)
@@ -622,7 +622,7 @@
 			return // it has
 		}
 		k.pool.Engine().Gone(&k.Call)
-		k.end(nil, balancer.Withdrawn)
+		k.end(nil, balancer.Canceled)
 		answer := engine.Answer{Verdict: engine.Failed}
 		select {
 		case answer = <-k.answers:
--- a/internal/front/extproc/front_test.go
+++ b/internal/front/extproc/front_test.go
@@ -83,8 +83,8 @@
 	var err error
 	w.pool, err = pool.New(pool.Config{Name: "p", Module: module, Seed: 1, Clock: clock, Sender: noSender{t}, Shares: pool.Shares{Calls: share(), Held: share(),
 		Connections: share(), Bodies: share(), LongAnswers: share(), Callers: share()},
-		Settings: balancer.Settings{Classes: []balancer.Class{class("read", balancer.Safe, 0), class("order", balancer.Unsafe, 0),
-			class("cell", balancer.Keyed, balancer.ScopeCell), class("all", balancer.Keyed, balancer.ScopeAll)},
+		Settings: balancer.Settings{Classes: []balancer.Class{class("read", balancer.Idempotent, 0), class("order", balancer.NonIdempotent, 0),
+			class("cell", balancer.IdempotentByKey, balancer.ScopeCell), class("all", balancer.IdempotentByKey, balancer.ScopeAll)},
 			Balancers: 1, Tier: tier, Spares: spares, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond, MaxRetryAfter: time.Second}, Pushed: false})
 	if err != nil {
 		t.Fatal(err)
@@ -508,7 +508,7 @@
 // What a proxy carries is accounted by the endpoint that served, the zone that the proxy says it stands in, and the
 // lengths that it shows.
 func TestZones(t *testing.T) {
-	in, err := balancer.New(balancer.Settings{Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
+	in, err := balancer.New(balancer.Settings{Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
 		MaxAttempts: 3, Tick: time.Millisecond}, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/extproc/ticket.go
+++ b/internal/front/extproc/ticket.go
@@ -43,7 +43,7 @@
 func (t *ticket) Carry(ctx context.Context, a *engine.Attempt) {
 	select {
 	case old := <-t.offers:
-		go old.a.End(balancer.Void, nil) // never sent; End posts to this goroutine's queue
+		go old.a.End(balancer.NeverSent, nil) // never sent; End posts to this goroutine's queue
 	default:
 	}
 	t.offers <- offer{ctx, a}
@@ -53,7 +53,7 @@
 		select {
 		case o := <-t.offers:
 			if o.a == a {
-				a.End(balancer.Void, nil)
+				a.End(balancer.NeverSent, nil)
 				return
 			}
 			t.offers <- o // a later one; there is room, for it was taken out just now
@@ -65,14 +65,14 @@
 // offer puts back an attempt that was looked at; false if it could not wait on, and has ended.
 func (t *ticket) offer(o offer) bool {
 	if o.ctx.Err() != nil {
-		o.a.End(balancer.Void, nil)
+		o.a.End(balancer.NeverSent, nil)
 		return false
 	}
 	select {
 	case t.offers <- o:
 		return true
 	default: // there is a later one
-		o.a.End(balancer.Void, nil)
+		o.a.End(balancer.NeverSent, nil)
 		return true
 	}
 }
@@ -81,7 +81,7 @@
 func (t *ticket) void() {
 	select {
 	case o := <-t.offers:
-		o.a.End(balancer.Void, nil)
+		o.a.End(balancer.NeverSent, nil)
 	default:
 	}
 }
--- a/internal/front/grpc/front.go
+++ b/internal/front/grpc/front.go
@@ -197,12 +197,12 @@
 		return nil, &http1.Refusal{Status: http.StatusBadRequest, Text: "more than one content-length"}
 	case len(ids) > 1 || len(keys) > 1:
 		return nil, &http1.Refusal{Status: http.StatusBadRequest, Text: "more than one x-correlation-id or idempotency-key"}
-	case class.Effect == balancer.Keyed && (len(keys) != 1 || keys[0] == ""):
+	case class.Effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""):
 		// Without its key the servers would run every repeat.
 		return nil, &http1.Refusal{Status: http.StatusBadRequest, Text: "no idempotency-key among the metadata"}
 	}
 	out := &message.Request{Method: http.MethodPost, URL: hr.URL, Authority: hr.Host, Header: make(map[string][]string, len(h)),
-		GRPC: &message.GRPC{Safe: class.Effect == balancer.Safe, Streamed: class.Stream}}
+		GRPC: &message.GRPC{Safe: class.Effect == balancer.Idempotent, Streamed: class.Stream}}
 	for k, v := range h {
 		switch k { // what belongs to the way here, and what the sender says itself
 		case "Te", "Grpc-Timeout", "Content-Length", "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Upgrade", "X-Time-Left":
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -62,7 +62,7 @@
 	h := hr.Header
 	class, known := p.Class(name)
 	method := http.MethodPost
-	if class.Effect == balancer.Safe {
+	if class.Effect == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	claim, claimed := message.ParseTimeLeft(h.Get("X-Time-Left"))
@@ -85,7 +85,7 @@
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "GET has no body"}
 	case len(ids) != 1 || ids[0] == "":
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one X-Correlation-Id"}
-	case class.Effect == balancer.Keyed && (len(keys) != 1 || keys[0] == ""):
+	case class.Effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""):
 		// Without a key the servers would run every retry.
 		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
 	case !claimed || claim > maxClaimFactor*class.Deadline:
--- a/internal/mesh/sidecar/directory_source.go
+++ b/internal/mesh/sidecar/directory_source.go
@@ -53,7 +53,7 @@
 			listed.State = balancer.Draining
 		}
 		if r.WarmAt > 0 {
-			listed.Boot = r.WarmAt - warmupPeriod
+			listed.StartedAt = r.WarmAt - warmupPeriod
 		}
 		servers = append(servers, listed)
 	}
--- a/internal/mesh/sidecar/inbound_request.go
+++ b/internal/mesh/sidecar/inbound_request.go
@@ -93,7 +93,7 @@
 		r.ownsKey.Store(true)
 	}
 	if time.Until(until) <= 0 {
-		return r.conclude(balancer.Void, nil)
+		return r.conclude(balancer.NeverSent, nil)
 	}
 	ctx, stop := context.WithDeadlineCause(ctx, until, engine.ErrTimedOut)
 	defer stop()
@@ -173,7 +173,7 @@
 		response.Ending = codeOverloaded
 		r.releaseOwnedKey()
 		return response
-	case balancer.Unreachable, balancer.Void:
+	case balancer.Unreachable, balancer.NeverSent:
 		response.Ending = codeNotAccepted
 		r.releaseOwnedKey()
 		return response
--- a/internal/mesh/sidecar/module_classes.go
+++ b/internal/mesh/sidecar/module_classes.go
@@ -37,7 +37,7 @@
 	target := min(r.LatencyTarget, timeout)
 	class := balancer.Class{Name: r.Name, Aim: target, Deadline: timeout, LateShare: 1, Worth: 1 / float64(1+priority), Typical: target / 2}
 	if r.Kind.IsIdempotent() {
-		class.Effect = balancer.Safe
+		class.Effect = balancer.Idempotent
 	}
 	return class
 }
--- a/internal/mesh/sidecar/service.go
+++ b/internal/mesh/sidecar/service.go
@@ -54,7 +54,7 @@
 		s.position = position
 		go s.pool.Engine().Tell(balancer.Fleet{
 			Balancers: position.sidecars, Index: position.index,
-			Divisor: max(1, float64(position.sidecars)/2), Whole: true, Takes: position.serverCapacity,
+			Divisor: max(1, float64(position.sidecars)/2), Whole: true, ServerCalls: position.serverCapacity,
 		})
 	}
 	select {
--- a/internal/mesh/sidecar/upstream_attempt.go
+++ b/internal/mesh/sidecar/upstream_attempt.go
@@ -78,7 +78,7 @@
 			a.keyNotGranted = true
 		}
 		a.mu.Unlock()
-		a.finish(balancer.Void, nil)
+		a.finish(balancer.NeverSent, nil)
 		return
 	}
 	ending, known := endingsByCode[response.Ending]
--- a/internal/mesh/sidecar/upstream_sender.go
+++ b/internal/mesh/sidecar/upstream_sender.go
@@ -29,11 +29,11 @@
 	m := a.Payload.(*message.Request)
 	routed := m.Note.(*routedRequest)
 	if m.Spent() {
-		return balancer.Void, nil
+		return balancer.NeverSent, nil
 	}
 	nth := int(routed.attempts.Load())
 	if !routed.allowsAttempt(nth) {
-		return balancer.Void, nil
+		return balancer.NeverSent, nil
 	}
 	x := u.get(a.Endpoint.Addr)
 	conn, err := x.connect(ctx)
@@ -41,13 +41,13 @@
 	case err != nil && ctx.Err() == nil:
 		return balancer.Unreachable, nil
 	case err != nil:
-		return balancer.Void, nil
+		return balancer.NeverSent, nil
 	}
 	if ending, ok := u.beginAttempt(a, routed, nth); !ok {
 		return ending, nil
 	}
 	if m.More != nil && !m.Claim() {
-		return balancer.Void, nil
+		return balancer.NeverSent, nil
 	}
 	sent := &upstreamAttempt{
 		attempt: a, id: u.lastStreamID.Add(1), attemptID: routed.attemptID, conn: conn, done: make(chan struct{}),
@@ -77,7 +77,7 @@
 	}
 	if !routed.service.admitAttempt(u.env.clock.Now(), nth, routed) {
 		routed.attempts.Add(-1)
-		return balancer.Void, false
+		return balancer.NeverSent, false
 	}
 	return 0, true
 }
@@ -94,7 +94,7 @@
 	}
 	if a.keyNotGranted {
 		routed.keyNotGranted.Store(true)
-		return balancer.Void, nil
+		return balancer.NeverSent, nil
 	}
 	if a.ending == balancer.Failure && a.reply != nil {
 		m.Fail(a.reply)
--- a/internal/node/admin_state_test.go
+++ b/internal/node/admin_state_test.go
@@ -122,11 +122,11 @@
 	}))
 	testkit.Wait(t, lists)
 	wantOrder(t, n, "set-down a", "200")
-	if l := testkit.Wait(t, lists); !l.Ordered || l.Full || len(l.Servers) != 1 || l.Servers[0].State != balancer.Draining {
+	if l := testkit.Wait(t, lists); !l.Operator || l.Full || len(l.Servers) != 1 || l.Servers[0].State != balancer.Draining {
 		t.Errorf("the module is told %+v", l)
 	}
 	wantOrder(t, n, "set-up a", "200")
-	if l := testkit.Wait(t, lists); !l.Ordered || l.Servers[0].State != balancer.Ready || l.Servers[0].Boot == 0 {
+	if l := testkit.Wait(t, lists); !l.Operator || l.Servers[0].State != balancer.Ready || l.Servers[0].StartedAt == 0 {
 		t.Errorf("the module is told %+v", l)
 	}
 }
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -83,7 +83,7 @@
 	known := engine.News{Full: true, Cached: true, Version: p.List}
 	for _, s := range p.Servers {
 		var l engine.Listed
-		l.ID, l.Addr, l.Zone, l.Cell, l.State, l.Size, l.Boot, l.Weight, l.Priority =
+		l.ID, l.Addr, l.Zone, l.Cell, l.State, l.Size, l.StartedAt, l.Weight, l.Priority =
 			s.ID, s.Addr, s.Zone, s.Cell, s.State, s.Size, s.Boot, s.Weight, s.Priority
 		known.Servers = append(known.Servers, l)
 	}
@@ -130,7 +130,7 @@
 		for _, v := range x.Servers {
 			hp.Servers = append(hp.Servers, hotrestart.ListedServer{
 				ID: v.ID, Addr: v.Addr, Zone: v.Zone, Cell: v.Cell, State: v.State,
-				Size: v.Size, Boot: v.Boot, Weight: v.Weight, Priority: v.Priority,
+				Size: v.Size, Boot: v.StartedAt, Weight: v.Weight, Priority: v.Priority,
 			})
 		}
 		s.Pools = append(s.Pools, hp)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -37,8 +37,8 @@
 		Known: registry.List{Rev: 7, All: true, Targets: targets},
 		Settings: balancer.Settings{
 			Classes: []balancer.Class{
-				class("read", balancer.Safe), class("send", balancer.Keyed),
-				class("order", balancer.Unsafe),
+				class("read", balancer.Idempotent), class("send", balancer.IdempotentByKey),
+				class("order", balancer.NonIdempotent),
 			},
 			Balancers: 1, MaxAttempts: 6, MayCancel: true, AskDiscovery: true,
 			AskWithin: 160 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second,
@@ -234,7 +234,7 @@
 		switch r, _ := e.(balancer.Request); r.Class {
 		case "read":
 			return []balancer.Action{
-				balancer.Refuse{ID: r.ID, RetryAfter: 250 * time.Millisecond},
+				balancer.Reject{ID: r.ID, RetryAfter: 250 * time.Millisecond},
 				balancer.Fail{ID: r.ID},
 			} // the second is ignored
 		case "order":
@@ -329,7 +329,7 @@
 	}
 }
 
-// A finished request sends nothing more; Sends past the limit or to servers not listed are Void too.
+// A finished request sends nothing more; Sends past the limit or to servers not listed are NeverSent too.
 func TestVoidSends(t *testing.T) {
 	t.Parallel()
 	addr, got := testkit.Stub(t, ok, false)
@@ -356,7 +356,7 @@
 	}))
 	do(t, newRequest(t, n, "GET", "/read/1", ""))
 	for i := range 3 {
-		if o := testkit.Wait(t, outcomes); o.Ending != balancer.Void || o.Attempt != i {
+		if o := testkit.Wait(t, outcomes); o.Ending != balancer.NeverSent || o.Attempt != i {
 			t.Errorf("outcome %+v", o)
 		}
 	}
--- a/internal/operator/classes.go
+++ b/internal/operator/classes.go
@@ -15,7 +15,7 @@
 	names := map[string]bool{}
 	for _, ct := range tables {
 		c := balancer.Class{
-			Name: ct.text("name", ""), Effect: choice(ct, "effect", balancer.Unsafe, effects),
+			Name: ct.text("name", ""), Effect: choice(ct, "effect", balancer.NonIdempotent, effects),
 			Scope: choice(ct, "scope", balancer.ScopeCell, scopes), Window: ct.duration("window", 0),
 			Aim: ct.duration("aim", 0), Deadline: ct.duration("deadline", 0), LateShare: ct.number("late_share", 0),
 			Worth: ct.number("worth", 1), Stream: ct.boolean("stream", false),
@@ -48,7 +48,7 @@
 		if c.LateShare > 1 {
 			ct.fault("late_share", "%v is over 1: it is a share of the worth", c.LateShare)
 		}
-		keyed := c.Effect == balancer.Keyed
+		keyed := c.Effect == balancer.IdempotentByKey
 		if keyed && c.Window == 0 {
 			ct.fault("window", "missing: for how long servers drop the repeats of a key")
 		}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -86,7 +86,7 @@
 		a.Settings.Balancers != 4 || a.Settings.Index != 2 || a.List.Registry != "127.0.0.1:8500" || !a.Pushed {
 		t.Errorf("%+v", p)
 	}
-	if c := a.Settings.Classes[0]; c.Effect != balancer.Keyed || c.Scope != balancer.ScopeZone || c.Window != 10*time.Second ||
+	if c := a.Settings.Classes[0]; c.Effect != balancer.IdempotentByKey || c.Scope != balancer.ScopeZone || c.Window != 10*time.Second ||
 		c.Aim != 2*time.Second || c.Deadline != 5*time.Second || c.LateShare != 0.5 || c.Worth != 2 {
 		t.Errorf("class %+v", c)
 	}
--- a/internal/operator/pools.go
+++ b/internal/operator/pools.go
@@ -7,7 +7,7 @@
 )
 
 var (
-	effects = map[string]balancer.Effect{"unsafe": balancer.Unsafe, "keyed": balancer.Keyed, "safe": balancer.Safe}
+	effects = map[string]balancer.Effect{"unsafe": balancer.NonIdempotent, "keyed": balancer.IdempotentByKey, "safe": balancer.Idempotent}
 	scopes  = map[string]balancer.Scope{"cell": balancer.ScopeCell, "zone": balancer.ScopeZone, "all": balancer.ScopeAll}
 	sizes   = map[string]balancer.Sizes{
 		"unknown": balancer.SizesUnknown, "nominal": balancer.SizesNominal,
--- a/internal/sender/h2/h2.go
+++ b/internal/sender/h2/h2.go
@@ -91,7 +91,7 @@
 	case err != nil && ctx.Err() == nil:
 		return balancer.Unreachable, nil
 	case err != nil:
-		return balancer.Void, nil
+		return balancer.NeverSent, nil
 	}
 	q := &request{a: a, m: m, fields: fields(a, m), done: make(chan struct{}), sent: make(chan struct{}, 1)}
 	if !c.post(q) {
@@ -134,13 +134,13 @@
 	switch d.Ending {
 	case client.NotWritten:
 		if ctx.Err() != nil {
-			return balancer.Void, nil
+			return balancer.NeverSent, nil
 		}
 		return balancer.Unreachable, nil
 	case client.Refused:
 		return balancer.Overloaded, nil
 	case client.AboveGoAway:
-		return balancer.Void, nil
+		return balancer.NeverSent, nil
 	}
 	in := int64(0)
 	if d.Ending == client.Answered && d.Answer.Status != http.StatusOK {
--- a/internal/sender/h2/h2_test.go
+++ b/internal/sender/h2/h2_test.go
@@ -243,7 +243,7 @@
 		}, balancer.Broken},
 		{"the connection ends", get(), func(r *raw, id uint32) {}, balancer.Broken},
 		{"the connection ends before the body is whole", post(100_000), func(r *raw, id uint32) {}, balancer.Unreachable},
-		{"above a GOAWAY", get(), func(r *raw, id uint32) { r.fr.WriteGoAway(0, http2.ErrCodeNo, nil); r.drain() }, balancer.Void},
+		{"above a GOAWAY", get(), func(r *raw, id uint32) { r.fr.WriteGoAway(0, http2.ErrCodeNo, nil); r.drain() }, balancer.NeverSent},
 		{"a body shorter than its length", get(), func(r *raw, id uint32) {
 			r.answer(id, false, ":status", "200", "content-length", "5")
 			r.fr.WriteData(id, true, []byte("x"))
@@ -341,7 +341,7 @@
 			switch e, _ := try(s, ep, get(), limit); e {
 			case balancer.Success:
 				ok.Add(1)
-			case balancer.Void:
+			case balancer.NeverSent:
 				never.Add(1)
 			default:
 				t.Errorf("%v", e)
@@ -404,7 +404,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	a := engine.NewAttempt(ep, get(), limit, engine.Hooks{Finished: func() bool { return true }})
-	if e, _ := s.attempt(ctx, a); e != balancer.Void {
+	if e, _ := s.attempt(ctx, a); e != balancer.NeverSent {
 		t.Errorf("a finished call: %v", e)
 	}
 	got := make(chan balancer.Ending, 1)
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -95,12 +95,12 @@
 func (s *Sender) attempt(ctx context.Context, a *engine.Attempt) result {
 	m := a.Payload.(*message.Request)
 	if m.Spent() {
-		return result{ending: balancer.Void} // the rest of its body went to another server
+		return result{ending: balancer.NeverSent} // the rest of its body went to another server
 	}
 	r := s.outgoing(a)
 	text, err := wireText(r, m)
 	if err != nil {
-		return result{ending: balancer.Void}
+		return result{ending: balancer.NeverSent}
 	}
 	// A body that can be sent only once needs the same care as a request that may run only once.
 	careful := nonIdempotent(m) || m.More != nil
@@ -109,11 +109,11 @@
 	case err != nil && ctx.Err() == nil:
 		return result{ending: balancer.Unreachable}
 	case err != nil:
-		return result{ending: balancer.Void}
+		return result{ending: balancer.NeverSent}
 	case ctx.Err() != nil:
 		// The attempt timed out or was withdrawn while the connection was being established.
 		s.release(a.Endpoint, c)
-		return result{ending: balancer.Void}
+		return result{ending: balancer.NeverSent}
 	}
 	if ending, ok := a.Begin(); !ok {
 		s.release(a.Endpoint, c) // closes it if the endpoint is no longer usable
--- a/internal/sender/http1/http1_test.go
+++ b/internal/sender/http1/http1_test.go
@@ -354,7 +354,7 @@
 	})
 	u, s := newTestSender(10), newEndpoint(addr)
 	ctx := context.Background()
-	if res := u.attempt(ctx, engine.NewAttempt(s, keyed(), limit, engine.Hooks{Finished: yes})); res.ending != balancer.Void {
+	if res := u.attempt(ctx, engine.NewAttempt(s, keyed(), limit, engine.Hooks{Finished: yes})); res.ending != balancer.NeverSent {
 		t.Errorf("request finished: ending %d, want Void", res.ending)
 	}
 	if _, idle := u.counts(); idle != 1 {
@@ -368,7 +368,7 @@
 	s.SetUsable(true)
 	ctx, cancel := context.WithCancelCause(ctx)
 	cancel(engine.ErrWithdrawn)
-	if res := u.attempt(ctx, engine.NewAttempt(s, keyed(), limit, engine.Hooks{})); res.ending != balancer.Void {
+	if res := u.attempt(ctx, engine.NewAttempt(s, keyed(), limit, engine.Hooks{})); res.ending != balancer.NeverSent {
 		t.Errorf("cancelled: ending %d, want Void", res.ending)
 	}
 	if n := bytes.Load(); n > 0 {
@@ -390,7 +390,7 @@
 	})
 	u, s := newTestSender(10), newEndpoint(addr)
 	for cause, want := range map[error]balancer.Ending{
-		engine.ErrTimedOut: balancer.TimedOut, engine.ErrWithdrawn: balancer.Withdrawn} {
+		engine.ErrTimedOut: balancer.TimedOut, engine.ErrWithdrawn: balancer.Canceled} {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		go func() {
 			<-began
--- a/internal/sender/http1/once_test.go
+++ b/internal/sender/http1/once_test.go
@@ -27,7 +27,7 @@
 	}{
 		"the caller breaks off": {func(more *message.Stream, _ context.CancelCauseFunc) { more.Finish(nil) }, balancer.Broken},
 		"timed out":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrTimedOut) }, balancer.TimedOut},
-		"withdrawn":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrWithdrawn) }, balancer.Withdrawn},
+		"withdrawn":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrWithdrawn) }, balancer.Canceled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ran, proceed := make(chan struct{}), make(chan struct{})
@@ -62,7 +62,7 @@
 	m, more := upload(11, "hello")
 	more.Push([]byte(" worldGET /other HTTP/1.1\r\nHost: a\r\n\r\n"))
 	more.Finish([]message.Field{})
-	if res := send(t, newTestSender(10), newEndpoint(addr), m); res.ending != balancer.Void {
+	if res := send(t, newTestSender(10), newEndpoint(addr), m); res.ending != balancer.NeverSent {
 		t.Errorf("ending %d", res.ending)
 	}
 	if len(got) > 0 {
--- a/internal/sender/http1/probe.go
+++ b/internal/sender/http1/probe.go
@@ -38,7 +38,7 @@
 	on.stop()
 	s.close(on.conn)
 	if ctx.Err() != nil {
-		return on, balancer.Void, false
+		return on, balancer.NeverSent, false
 	}
 	return on, balancer.Unreachable, false
 }
--- a/internal/sender/http1/stream_test.go
+++ b/internal/sender/http1/stream_test.go
@@ -111,12 +111,12 @@
 		switch how {
 		case "withdrawn":
 			cancel(engine.ErrWithdrawn)
-			want = balancer.Withdrawn
+			want = balancer.Canceled
 			st.Release()
 		case "released":
 			st.Release()
 			cancel(engine.ErrWithdrawn) // the engine hears that its caller has gone
-			want = balancer.Withdrawn
+			want = balancer.Canceled
 		}
 		close(stop)
 		for p := []byte{0}; p != nil && want == balancer.Broken; {
@@ -194,7 +194,7 @@
 			if r := testkit.Wait(t, got); r.Text != "hello world" || r.ContentLength != length {
 				t.Errorf("the server got %q of %d", r.Text, r.ContentLength)
 			}
-			if res := send(t, u, newEndpoint(addr), m); res.ending != balancer.Void {
+			if res := send(t, u, newEndpoint(addr), m); res.ending != balancer.NeverSent {
 				t.Errorf("sent again: ending %d", res.ending)
 			}
 		}
@@ -210,7 +210,7 @@
 		off   bool // the caller breaks off
 		want  balancer.Ending
 	}{
-		"caller": {func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }, true, balancer.Void},
+		"caller": {func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }, true, balancer.NeverSent},
 		"turned away": {func(c net.Conn, r *bufio.Reader) {
 			http.ReadRequest(r)
 			io.WriteString(c, "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
@@ -245,7 +245,7 @@
 	read := make(chan struct{})
 	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) { http.ReadRequest(r); close(read); io.Copy(io.Discard, r) })
 	go func() { <-read; cancel(engine.ErrWithdrawn) }()
-	if res := newTestSender(10).attempt(ctx, engine.NewAttempt(newEndpoint(addr), m, limit, engine.Hooks{})); res.ending != balancer.Void {
+	if res := newTestSender(10).attempt(ctx, engine.NewAttempt(newEndpoint(addr), m, limit, engine.Hooks{})); res.ending != balancer.NeverSent {
 		t.Errorf("withdrawn: ending %d", res.ending)
 	}
 }
--- a/internal/sender/http1/write.go
+++ b/internal/sender/http1/write.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		// It was not written completely, so it can't have run.
 		if ctx.Err() != nil || errors.Is(err, errBrokenOff) || errors.Is(err, errBodySpent) {
-			return result{ending: balancer.Void}, false
+			return result{ending: balancer.NeverSent}, false
 		}
 		return result{ending: balancer.Unreachable}, false
 	}
--- a/internal/source/registry/registry.go
+++ b/internal/source/registry/registry.go
@@ -70,7 +70,7 @@
 // conversion but of their unit.
 func (t Target) server() balancer.Server {
 	return balancer.Server{ID: t.UID, Zone: t.Zone, Cell: t.Cell, State: states[t.State],
-		Size: t.Size, Boot: time.Duration(t.BootMS * float64(time.Millisecond))}
+		Size: t.Size, StartedAt: time.Duration(t.BootMS * float64(time.Millisecond))}
 }
 
 // silence is how long a watch may say nothing, and a call wait for its answer: a heartbeat, one every 2 s,
--- a/internal/source/registry/registry_test.go
+++ b/internal/source/registry/registry_test.go
@@ -97,11 +97,11 @@
 	c := engine.NewClock()
 	boot := time.Now().Add(-3 * time.Second) // before the node
 	s := Target{UID: "s", State: "SERVING", BootMS: float64(boot.UnixMilli())}.server()
-	if age := c.Now() - s.Boot; age < 3*time.Second-time.Millisecond || age > 3*time.Second+limit {
+	if age := c.Now() - s.StartedAt; age < 3*time.Second-time.Millisecond || age > 3*time.Second+limit {
 		t.Errorf("age %v", age)
 	}
-	if s := (Target{}).server(); s.Boot != 0 {
-		t.Errorf("a boot long ago is %v", s.Boot)
+	if s := (Target{}).server(); s.StartedAt != 0 {
+		t.Errorf("a boot long ago is %v", s.StartedAt)
 	}
 }
 
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -182,8 +182,8 @@
 		}
 	case balancer.Fleet:
 		m.writeDetail(Detail{AtMS: ms(now), What: "fleet", How: fmt.Sprintf("%d of %d, 1/%v of rations, %d servers", e.Index, e.Balancers, e.Divisor, len(e.Subset))})
-	case balancer.Hearsay:
-		for _, a := range e.Aside {
+	case balancer.PeerReports:
+		for _, a := range e.Exclusions {
 			m.writeDetail(Detail{AtMS: ms(now), What: "aside", Server: a.ID, LeftMS: ms(a.Until - now)})
 		}
 	case balancer.ServerList:
@@ -211,7 +211,7 @@
 		m.writeDetail(Detail{AtMS: ms(now), What: "send", ID: a.ID, Class: c.class, Server: a.Server, Attempt: len(c.sent) - 1, TookMS: ms(now - c.arrived)})
 	case balancer.Cancel:
 		m.counts.Cancelled++
-	case balancer.Refuse:
+	case balancer.Reject:
 		m.recordAnswerByID(now, a.ID, "refused")
 	case balancer.Fail:
 		m.recordAnswerByID(now, a.ID, "failed")
@@ -254,7 +254,7 @@
 
 var endingNames = map[balancer.Ending]string{balancer.Success: "success", balancer.Failure: "failure",
 	balancer.Overloaded: "overloaded", balancer.TimedOut: "timed_out", balancer.Unreachable: "unreachable",
-	balancer.Broken: "broken", balancer.Withdrawn: "withdrawn", balancer.Void: "void"}
+	balancer.Broken: "broken", balancer.Canceled: "withdrawn", balancer.NeverSent: "void"}
 
 var stateNames = map[balancer.ServerState]string{balancer.Ready: "ready", balancer.Draining: "draining", balancer.Gone: "gone"}
 
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -58,7 +58,7 @@
 	m := New(script{
 		"ok":        {balancer.Send{ID: "ok", Server: "s"}},
 		"late":      {balancer.Send{ID: "late", Server: "s"}},
-		"away":      {balancer.Refuse{ID: "away"}},
+		"away":      {balancer.Reject{ID: "away"}},
 		"two":       {balancer.Send{ID: "two", Server: "s"}},
 		"again two": {balancer.Send{ID: "two", Server: "t"}},
 	}, []balancer.Class{{Name: "get", Aim: 100 * time.Millisecond}}, to, Options{Detail: true})
@@ -99,7 +99,7 @@
 
 // A traced module decides as it would untraced.
 func TestTracingChangesNothing(t *testing.T) {
-	set := balancer.Settings{Classes: []balancer.Class{{Name: "get", Effect: balancer.Safe, Aim: time.Second, Deadline: 3 * time.Second}}, MaxAttempts: 3}
+	set := balancer.Settings{Classes: []balancer.Class{{Name: "get", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 3 * time.Second}}, MaxAttempts: 3}
 	play := func(wrap bool) (all []balancer.Action) {
 		b, err := balancer.New(set, 3)
 		if err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -150,7 +150,7 @@
 		}
 	case "job_in":
 		r := balancer.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
-			Repeat: f.optNum(4)&2 != 0, Tenant: f.opt(5)}
+			ClientRetry: f.optNum(4)&2 != 0, Tenant: f.opt(5)}
 		if f.optNum(4)&1 != 0 {
 			r.Cost = f.optMS(6)
 		}
@@ -194,7 +194,7 @@
 		}
 		g := &fields{name: name, parts: strings.Split(rest, "\t")}
 		sv := balancer.Server{ID: g.text(0), Zone: g.text(1), Cell: g.num(3), Size: g.optFloat(5),
-			Boot: g.optMS(6)}
+			StartedAt: g.optMS(6)}
 		switch g.num(4) {
 		case 2:
 			sv.State = balancer.Ready
@@ -300,7 +300,7 @@
 	"success": balancer.Success, "failure": balancer.Failure,
 	"overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
 	"unreachable": balancer.Unreachable, "broken": balancer.Broken,
-	"withdrawn": balancer.Withdrawn, "void": balancer.Void,
+	"withdrawn": balancer.Canceled, "void": balancer.NeverSent,
 }
 
 func (f *fields) ending(i int) balancer.Ending {
@@ -400,7 +400,7 @@
 }
 
 var effects = map[string]balancer.Effect{
-	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
+	"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentByKey,
 }
 
 // Connections holds the settings of connections to servers. On the wire the simulator keeps to them;
@@ -468,7 +468,7 @@
 		fmt.Fprintf(e.w, "forward\t%s\t%s\t%s\n", a.ID, a.Server, ms(a.Timeout))
 	case balancer.Cancel:
 		fmt.Fprintf(e.w, "retract\t%s\t%d\n", a.ID, a.Attempt)
-	case balancer.Refuse:
+	case balancer.Reject:
 		fmt.Fprintf(e.w, "turn_away\t%s\t%s\n", a.ID, ms(a.RetryAfter))
 	case balancer.Fail:
 		fmt.Fprintf(e.w, "report_failure\t%s\n", a.ID)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,8 +38,8 @@
 	want := []Message{
 		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
 		{Kind: Event, Instance: 3, Event: balancer.ServerList{Full: true, Cached: true,
-			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, Boot: 6100500 * time.Microsecond}}}},
-		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", Repeat: true, Cost: 12 * time.Millisecond,
+			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, StartedAt: 6100500 * time.Microsecond}}}},
+		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", ClientRetry: true, Cost: 12 * time.Millisecond,
 			Deadline: 8652250 * time.Microsecond}},
 		{Kind: Event, Instance: 3, Event: balancer.Outcome{ID: "id", Server: "s:1", Ended: true,
 			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1}}},
@@ -71,7 +71,7 @@
 
 func TestUnknownEffectIsUnsafe(t *testing.T) {
 	s, _, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`))
-	if err != nil || s.Classes[0].Effect != balancer.Unsafe || s.Classes[1].Effect != balancer.Safe {
+	if err != nil || s.Classes[0].Effect != balancer.NonIdempotent || s.Classes[1].Effect != balancer.Idempotent {
 		t.Fatalf("got %+v, %v", s, err)
 	}
 }
@@ -81,7 +81,7 @@
 	e := NewEncoder(&out)
 	e.Action(3, balancer.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
 	e.Action(3, balancer.Cancel{ID: "a", Attempt: 1})
-	e.Action(5, balancer.Refuse{ID: "b"})
+	e.Action(5, balancer.Reject{ID: "b"})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/xds/client/loads.go
+++ b/internal/xds/client/loads.go
@@ -117,7 +117,7 @@
 	switch ending {
 	case balancer.Success:
 		e.succeeded++
-	case balancer.Void, balancer.Withdrawn: // never sent, or called off: no error of the endpoint's
+	case balancer.NeverSent, balancer.Canceled: // never sent, or called off: no error of the endpoint's
 	default:
 		e.failed++
 	}
--- a/internal/xds/resource/list.go
+++ b/internal/xds/resource/list.go
@@ -35,7 +35,7 @@
 	n := engine.News{Full: l.last == nil, Drop: a.dropShare()}
 	next := make(map[string]engine.Listed, len(a.Endpoints))
 	for i, ep := range a.Endpoints {
-		s := engine.Listed{Addr: ep.Addr, Server: balancer.Server{ID: ep.ID, Zone: ep.Zone, Cell: ep.Cell, Size: ep.Weight, Boot: ep.Boot}}
+		s := engine.Listed{Addr: ep.Addr, Server: balancer.Server{ID: ep.ID, Zone: ep.Zone, Cell: ep.Cell, Size: ep.Weight, StartedAt: ep.Boot}}
 		if !ready[i] {
 			s.State = balancer.Draining
 		}
--- a/internal/xds/resource/resource_test.go
+++ b/internal/xds/resource/resource_test.go
@@ -270,7 +270,7 @@
 				t.Fatalf("%d held of %d", len(held), len(a.Endpoints))
 			}
 			for k, ep := range a.Endpoints {
-				if s := held[ep.ID]; s.Addr != ep.Addr || s.Boot != ep.Boot || (s.State == balancer.Ready) != ready[k] {
+				if s := held[ep.ID]; s.Addr != ep.Addr || s.StartedAt != ep.Boot || (s.State == balancer.Ready) != ready[k] {
 					t.Fatalf("%+v is held as %+v", ep, s)
 				}
 			}
@@ -390,7 +390,7 @@
 			t.Fatalf("%+v becomes %+v", a, n)
 		}
 		for _, s := range n.Servers {
-			if s.ID == "" || s.Addr == "" || !(s.Size > 0) || s.Boot < 0 {
+			if s.ID == "" || s.Addr == "" || !(s.Size > 0) || s.StartedAt < 0 {
 				t.Fatalf("%+v", s)
 			}
 		}
--- a/internal/zone/module.go
+++ b/internal/zone/module.go
@@ -95,7 +95,7 @@
 		switch a := a.(type) {
 		case balancer.Send:
 			m.attemptStarted(now, a)
-		case balancer.Refuse:
+		case balancer.Reject:
 			m.requestAnswered(now, a.ID)
 		case balancer.Fail:
 			m.requestAnswered(now, a.ID)
@@ -121,7 +121,7 @@
 		} else {
 			m.places[s.ID], m.listed[s.ID] = p, true
 		}
-		l = append(l, Server{ID: s.ID, Place: p, Size: s.Size, Boot: s.Boot, Ready: s.State == balancer.Ready, Weight: s.Weight})
+		l = append(l, Server{ID: s.ID, Place: p, Size: s.Size, Boot: s.StartedAt, Ready: s.State == balancer.Ready, Weight: s.Weight})
 	}
 	m.spreader.Servers(now, x.Full, l)
 	if len(m.places) > 2*len(m.listed)+64 { // those that left; what is out at them knows its own place
--- a/internal/zone/module_test.go
+++ b/internal/zone/module_test.go
@@ -20,8 +20,8 @@
 func newModule(t testing.TB, cfg Config, limits ...Limit) (*Module, *Book) {
 	t.Helper()
 	b, err := balancer.New(balancer.Settings{Classes: []balancer.Class{
-		{Name: "read", Effect: balancer.Safe, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-		{Name: "alert-send", Effect: balancer.Keyed, Scope: balancer.ScopeAll, Window: 10 * time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 3}},
+		{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
+		{Name: "alert-send", Effect: balancer.IdempotentByKey, Scope: balancer.ScopeAll, Window: 10 * time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 3}},
 		MaxAttempts: 3, Tick: time.Millisecond, MaxRetryAfter: time.Second}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 		switch a := a.(type) {
 		case balancer.Send:
 			s = a
-		case balancer.Refuse:
+		case balancer.Reject:
 			refused = true
 		}
 	}
@@ -175,7 +175,7 @@
 				o := open[j]
 				open = append(open[:j], open[j+1:]...)
 				e := balancer.Outcome{ID: o.id, Attempt: o.n, Server: o.server, Ending: balancer.Ending(rng.IntN(8)), Out: 5, In: 7}
-				e.Wrote = e.Ending != balancer.Unreachable && e.Ending != balancer.Void
+				e.Wrote = e.Ending != balancer.Unreachable && e.Ending != balancer.NeverSent
 				e.Ended = e.Ending == balancer.Success
 				if e.Wrote {
 					wrote.Requests, wrote.Out, wrote.In = wrote.Requests+1, wrote.Out+5, wrote.In+7
