--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -313,8 +313,8 @@
 	}
 	harmless := true
 	for _, a := range r.attempts {
-		effect := r.class.Effect
-		if !a.neverRan && (effect == NonIdempotent || effect == IdempotentByKey && r.class.Scope != ScopeAll) {
+		effect, scope := r.class.Effect, r.class.Scope
+		if !a.neverRan && (effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll) {
 			harmless = false
 		}
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -159,6 +159,7 @@
 				r.class.Scope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
 				c.fault("rule 2: %s sent again outside its scope", a.ID)
 			}
+		case Idempotent: // may run any number of times
 		}
 	}
 	r.tries = append(r.tries, &tracking{server: a.Server, at: now})
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -4,6 +4,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -29,7 +30,7 @@
 	var now time.Duration
 	for {
 		m, err := dec.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
@@ -61,6 +62,7 @@
 			if _, err := reply.WriteTo(out); err != nil {
 				return err
 			}
+		case wire.Other: // kinds of a later simulator are skipped
 		}
 	}
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -46,17 +46,23 @@
 		"refused":  {standin.View{Exchanges: one("order", 503)}, [8]int{1, 0, 1}},
 		"too many": {standin.View{Exchanges: one("order", 429)}, [8]int{1, 0, 1}},
 		"failed":   {standin.View{Exchanges: one("order", 502), Arrivals: []standin.Arrival{at("a1", "order", 0)}}, [8]int{1, 0, 0, 1}},
-		"no answer": {standin.View{Exchanges: change(ask("read", 0), func(x *standin.Exchange) { x.Err = errors.New("reset") })},
-			[8]int{1, 0, 0, 1, 1}},
+		"no answer": {
+			standin.View{Exchanges: change(ask("read", 0), func(x *standin.Exchange) { x.Err = errors.New("reset") })},
+			[8]int{1, 0, 0, 1, 1},
+		},
 		"not accepted": {standin.View{Exchanges: change(ask("read", 0), func(x *standin.Exchange) { x.Connected = false })}, [8]int{1, 0, 0, 1}},
 		"a hair late":  {standin.View{Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Answered = 1150 * ms })}, [8]int{1, 1}},
 		"late":         {standin.View{Exchanges: change(ask("read", 503), func(x *standin.Exchange) { x.Answered = 1200 * ms })}, [8]int{1, 0, 1, 0, 1}},
 		"foreign":      {standin.View{Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Foreign = true })}, [8]int{1, 1, 0, 0, 1}},
 		"surplus":      {standin.View{Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Surplus = true })}, [8]int{1, 1, 0, 0, 1}},
-		"crossed, not taken": {standin.View{Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Crossed = true }),
-			Arrivals: []standin.Arrival{at("a1", "read", 150*ms)}}, [8]int{1, 1}},
-		"crossed, taken": {standin.View{Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Crossed = true }),
-			Arrivals: []standin.Arrival{at("a1", "read", 50*ms), at("a1", "read", 150*ms)}}, [8]int{1, 1, 0, 0, 1}},
+		"crossed, not taken": {standin.View{
+			Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Crossed = true }),
+			Arrivals:  []standin.Arrival{at("a1", "read", 150*ms)},
+		}, [8]int{1, 1}},
+		"crossed, taken": {standin.View{
+			Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Crossed = true }),
+			Arrivals:  []standin.Arrival{at("a1", "read", 50*ms), at("a1", "read", 150*ms)},
+		}, [8]int{1, 1, 0, 0, 1}},
 
 		"unsafe twice":        {standin.View{Exchanges: one("order", 200), Arrivals: []standin.Arrival{at("a1", "order", 0), at("b1", "order", 9)}}, [8]int{1, 1, 0, 0, 0, 1}},
 		"unsafe, first unrun": {standin.View{Exchanges: one("order", 200), Arrivals: []standin.Arrival{unrun(at("a1", "order", 0)), at("b1", "order", 9)}}, [8]int{1, 1}},
@@ -74,23 +80,37 @@
 		"harmless, unrun":     {standin.View{Exchanges: one("order", 503), Arrivals: []standin.Arrival{unrun(at("a1", "order", 0))}}, [8]int{1, 0, 1}},
 		"of nobody":           {standin.View{Arrivals: []standin.Arrival{at("a1", "read", 0)}}, [8]int{0, 0, 0, 0, 0, 1}},
 
-		"drained": {standin.View{Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
-			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}}}, [8]int{1, 1, 0, 0, 0, 0, 1}},
-		"drained just now": {standin.View{Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 700*ms)},
-			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}}}, [8]int{1, 1}},
-		"drained, told again": {standin.View{Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
-			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}, {Server: "a1", Gone: true, At: 800 * ms}}}, [8]int{1, 1, 0, 0, 0, 0, 1}},
-		"drained and back": {standin.View{Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
-			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}, {Server: "a1", At: 800 * ms}}}, [8]int{1, 1}},
-		"drained in another list": {standin.View{Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
-			Told: []standin.Told{{List: "other", Server: "a1", Gone: true, At: 500 * ms}}}, [8]int{1, 1}},
+		"drained": {standin.View{
+			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
+			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}},
+		}, [8]int{1, 1, 0, 0, 0, 0, 1}},
+		"drained just now": {standin.View{
+			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 700*ms)},
+			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}},
+		}, [8]int{1, 1}},
+		"drained, told again": {standin.View{
+			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
+			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}, {Server: "a1", Gone: true, At: 800 * ms}},
+		}, [8]int{1, 1, 0, 0, 0, 0, 1}},
+		"drained and back": {standin.View{
+			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
+			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}, {Server: "a1", At: 800 * ms}},
+		}, [8]int{1, 1}},
+		"drained in another list": {standin.View{
+			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
+			Told: []standin.Told{{List: "other", Server: "a1", Gone: true, At: 500 * ms}},
+		}, [8]int{1, 1}},
 
-		"fell, told": {standin.View{Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
+		"fell, told": {standin.View{
+			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
 			Starts: []standin.Start{{Server: "a1", Boot: 0, Cold: standin.Cold{For: time.Second}}},
-			Told:   []standin.Told{{Server: "a1", At: 500 * ms}}, Falls: []standin.Fall{{Server: "a1", At: 950 * ms}}}, [8]int{1, 1, 0, 0, 0, 0, 0, 1}},
-		"fell, told too late": {standin.View{Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
+			Told:   []standin.Told{{Server: "a1", At: 500 * ms}}, Falls: []standin.Fall{{Server: "a1", At: 950 * ms}},
+		}, [8]int{1, 1, 0, 0, 0, 0, 0, 1}},
+		"fell, told too late": {standin.View{
+			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
 			Starts: []standin.Start{{Server: "a1", Boot: 0, Cold: standin.Cold{For: time.Second}}},
-			Told:   []standin.Told{{Server: "a1", At: 920 * ms}}, Falls: []standin.Fall{{Server: "a1", At: 950 * ms}}}, [8]int{1, 1}},
+			Told:   []standin.Told{{Server: "a1", At: 920 * ms}}, Falls: []standin.Fall{{Server: "a1", At: 950 * ms}},
+		}, [8]int{1, 1}},
 	} {
 		c.view.Classes = classes
 		v := Judge(c.view, Options{})
--- a/internal/drill/environment.go
+++ b/internal/drill/environment.go
@@ -73,8 +73,10 @@
 )
 
 func newEnvironment(o options, stderr io.Writer) (*environment, error) {
-	r := &environment{options: o, rng: rand.New(rand.NewPCG(o.seed, 0xd811)), err: stderr, keys: standin.NewKeys(),
-		records: standin.NewRecords(allClasses...)}
+	r := &environment{
+		options: o, rng: rand.New(rand.NewPCG(o.seed, 0xd811)), err: stderr, keys: standin.NewKeys(),
+		records: standin.NewRecords(allClasses...),
+	}
 	dir, err := os.MkdirTemp("", "drill")
 	if err != nil {
 		return nil, err
@@ -223,7 +225,8 @@
 
 // drive is play for whoever sends the streams.
 func (r *environment) drive(ctx context.Context, faults *sync.WaitGroup, send func(context.Context, ...standin.Stream),
-	streams []standin.Stream) error {
+	streams []standin.Stream,
+) error {
 	for i := range streams {
 		if streams[i].For == 0 {
 			streams[i].For = r.length
--- a/internal/drill/h2.go
+++ b/internal/drill/h2.go
@@ -29,7 +29,8 @@
 
 // multiplexed is the tour of h2Drill with servers behind such sidecars.
 func multiplexed(ctx context.Context, r *environment, name string, before func(server string, seed uint64) (*standin.Sidecar, error),
-	more string) error {
+	more string,
+) error {
 	host := name + ".example.org"
 	g, err := r.groupBehindSidecars(name, host, before)
 	if err != nil {
--- a/internal/drill/tenants.go
+++ b/internal/drill/tenants.go
@@ -91,8 +91,10 @@
 func (r *environment) floodTenants(ctx context.Context, rate float64) {
 	var l []standin.Stream
 	for _, g := range r.groups {
-		l = append(l, standin.Stream{Name: g.name + "/flood", Host: g.host, Class: readClass, Account: "flood",
-			Rate: rate, For: r.part(floodTo - floodFrom), Most: 3000})
+		l = append(l, standin.Stream{
+			Name: g.name + "/flood", Host: g.host, Class: readClass, Account: "flood",
+			Rate: rate, For: r.part(floodTo - floodFrom), Most: 3000,
+		})
 	}
 	r.callers.Run(ctx, l...)
 }
--- a/internal/drill/xds.go
+++ b/internal/drill/xds.go
@@ -34,8 +34,10 @@
 
 // planeGroup starts servers that a control plane lists as a cluster.
 func (r *environment) planeGroup(plane *standinxds.Plane, name, host string, servers ...standin.ServerConfig) (*planeGroup, error) {
-	g := &planeGroup{serverGroup: &serverGroup{name: name, host: host}, r: r, plane: plane, states: map[string]corev3.HealthStatus{},
-		removed: map[string]bool{}, pending: map[string][]standin.Told{}}
+	g := &planeGroup{
+		serverGroup: &serverGroup{name: name, host: host}, r: r, plane: plane, states: map[string]corev3.HealthStatus{},
+		removed: map[string]bool{}, pending: map[string][]standin.Told{},
+	}
 	r.groups = append(r.groups, g.serverGroup)
 	g.serverGroup.list = func(s *standin.Server, state string) {
 		g.change(func() []*standin.Server {
@@ -79,8 +81,10 @@
 	var told []standin.Told
 	for _, s := range f() {
 		boot, _ := s.Boot()
-		told = append(told, standin.Told{List: g.host, Server: s.ID(), Boot: boot,
-			Gone: g.removed[s.ID()] || g.states[s.ID()] == corev3.HealthStatus_DRAINING})
+		told = append(told, standin.Told{
+			List: g.host, Server: s.ID(), Boot: boot,
+			Gone: g.removed[s.ID()] || g.states[s.ID()] == corev3.HealthStatus_DRAINING,
+		})
 	}
 	version := g.plane.Set(resource.EndpointURL, map[string]proto.Message{g.name: g.assignment()})
 	if told != nil {
@@ -124,10 +128,13 @@
 			a.Endpoints = append(a.Endpoints, l)
 		}
 		_, ms := s.Boot()
-		l.LbEndpoints = append(l.LbEndpoints, &endpointv3.LbEndpoint{HealthStatus: g.states[cfg.ID],
+		l.LbEndpoints = append(l.LbEndpoints, &endpointv3.LbEndpoint{
+			HealthStatus:   g.states[cfg.ID],
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Address: resource.Address(s.Addr())}},
 			Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{resource.Metadata: {Fields: map[string]*structpb.Value{
-				"uid": structpb.NewStringValue(cfg.ID), "cell": structpb.NewNumberValue(float64(cfg.Cell)), "boot_ms": structpb.NewNumberValue(ms)}}}}})
+				"uid": structpb.NewStringValue(cfg.ID), "cell": structpb.NewNumberValue(float64(cfg.Cell)), "boot_ms": structpb.NewNumberValue(ms),
+			}}}},
+		})
 	}
 	return a
 }
--- a/internal/drill/xdssize.go
+++ b/internal/drill/xdssize.go
@@ -89,7 +89,8 @@
 	l := &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: "z"}}
 	for k := range sizeEndpoints {
 		l.LbEndpoints = append(l.LbEndpoints, &endpointv3.LbEndpoint{HostIdentifier: &endpointv3.LbEndpoint_Endpoint{
-			Endpoint: &endpointv3.Endpoint{Address: resource.Address(fmt.Sprintf("127.%d.%d.1:1", 1+i, k))}}})
+			Endpoint: &endpointv3.Endpoint{Address: resource.Address(fmt.Sprintf("127.%d.%d.1:1", 1+i, k))},
+		}})
 	}
 	return &endpointv3.ClusterLoadAssignment{ClusterName: name, Endpoints: []*endpointv3.LocalityLbEndpoints{l}}
 }
@@ -110,7 +111,8 @@
 
 // changeEndpoints drains an endpoint, or brings it back, at sizeRate for the drill's length, and returns how often.
 func (r *environment) changeEndpoints(ctx context.Context, plane *standinxds.Plane, assignments []*endpointv3.ClusterLoadAssignment,
-	start time.Time) (changes int, err error) {
+	start time.Time,
+) (changes int, err error) {
 	tick := time.NewTicker(time.Second / sizeRate)
 	defer tick.Stop()
 	for time.Since(start) < r.length {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -41,9 +41,11 @@
 func one(work time.Duration, change func(*Plan)) Plan {
 	c := Classes(work, 1, Dist{})[:1]
 	c[0].Share = 1
-	p := Plan{Classes: c, Tiers: []Tier{{Servers: 1, Slots: 4, Queue: 2, Settings: settings()}}, Length: 20 * time.Second,
+	p := Plan{
+		Classes: c, Tiers: []Tier{{Servers: 1, Slots: 4, Queue: 2, Settings: settings()}}, Length: 20 * time.Second,
 		Rate: func(time.Duration) float64 { return 1 }, Most: 1,
-		Decider: func(int, int, balancer.Settings) Decider { return NewReference(0, 1) }}
+		Decider: func(int, int, balancer.Settings) Decider { return NewReference(0, 1) },
+	}
 	if change != nil {
 		change(&p)
 	}
--- a/internal/emulator/fleet_test.go
+++ b/internal/emulator/fleet_test.go
@@ -15,13 +15,19 @@
 	set := settings()
 	set.AskDiscovery, set.AskWithin, set.ToldAfter = true, 10*time.Second, 5800*time.Millisecond
 	set.ColdFrom, set.WarmAfter = 0.2, 4*time.Second
-	return Plan{Seed: seed, Nodes: 80, Retries: 1, Wire: 300 * time.Microsecond, Length: 30 * time.Second,
+	return Plan{
+		Seed: seed, Nodes: 80, Retries: 1, Wire: 300 * time.Microsecond, Length: 30 * time.Second,
 		Classes: Classes(100*time.Millisecond, 1, Dist{Kind: "lognormal", CV: 1}),
-		Tiers: []Tier{{Servers: 60, Slots: 6, Queue: 100, Settings: set, Slowdown: Slowdown{Kind: "proportional", At: 6, Factor: 0.04},
-			Cold: Cold{From: 0.2, Warm: 4 * time.Second, Multiple: 4, For: 1500 * time.Millisecond}}},
+		Tiers: []Tier{{
+			Servers: 60, Slots: 6, Queue: 100, Settings: set, Slowdown: Slowdown{Kind: "proportional", At: 6, Factor: 0.04},
+			Cold: Cold{From: 0.2, Warm: 4 * time.Second, Multiple: 4, For: 1500 * time.Millisecond},
+		}},
 		Rate: func(time.Duration) float64 { return 360 }, Most: 360,
-		Discovery: &Discovery{Call: 150 * time.Millisecond, TimeOut: 2 * time.Second, Beat: 2 * time.Second,
-			Silence: 2500 * time.Millisecond, Told: 6 * time.Second, Grace: 250 * time.Millisecond, Rest: 50 * time.Millisecond, Turned: 800 * time.Millisecond}}
+		Discovery: &Discovery{
+			Call: 150 * time.Millisecond, TimeOut: 2 * time.Second, Beat: 2 * time.Second,
+			Silence: 2500 * time.Millisecond, Told: 6 * time.Second, Grace: 250 * time.Millisecond, Rest: 50 * time.Millisecond, Turned: 800 * time.Millisecond,
+		},
+	}
 }
 
 // replace has the n oldest servers listed as draining, gone 8 s later, and as many start cold, evenly within a time.
@@ -48,14 +54,17 @@
 }{
 	"nothing": {good: 0.97, hear: 80},
 	"six in ten replaced in 7 s, every watch silent since before": {good: 0.85, hear: 55, at: []Change{
-		{4 * time.Second, (*World).Mute}, {5 * time.Second, func(w *World) { replace(w, 36, 7*time.Second) }}}},
+		{4 * time.Second, (*World).Mute}, {5 * time.Second, func(w *World) { replace(w, 36, 7*time.Second) }},
+	}},
 	"six in ten replaced in 7 s, one in fifty of the news garbled": {good: 0.88, hear: 15, most: 0.02, at: []Change{
-		{5 * time.Second, func(w *World) { replace(w, 36, 7*time.Second) }}}},
+		{5 * time.Second, func(w *World) { replace(w, 36, 7*time.Second) }},
+	}},
 	"a zone lost without a word, back cold, and a release as all watches break": {good: 0.9, hear: 55, at: []Change{
 		{5 * time.Second, func(w *World) { each(w, 20, func(s *Server) { s.Silence(true) }) }},
 		{11 * time.Second, func(w *World) { each(w, 20, (*Server).Reboot) }},
 		{12 * time.Second, (*World).BreakWatches},
-		{12500 * time.Millisecond, func(w *World) { replace(w, 10, 4*time.Second) }}}},
+		{12500 * time.Millisecond, func(w *World) { replace(w, 10, 4*time.Second) }},
+	}},
 	// Discovery needs 24 s for 80 calls, and nodes that have not heard have only the old servers: two thirds of what
 	// is asked at the best, less the fifth that errs.
 	"one in five answers errors as six in ten are replaced and discovery takes twice as long": {good: 0.3, hear: 5, at: []Change{
@@ -65,7 +74,8 @@
 				s.Errors = 0.7
 			}
 			replace(w, 36, 7*time.Second)
-		}}}},
+		}},
+	}},
 	"watches that break every second for ten": {good: 0.9, at: func() (l []Change) {
 		for i := range 10 {
 			l = append(l, Change{time.Duration(5+i) * time.Second, (*World).BreakWatches})
@@ -130,8 +140,10 @@
 		change    func(*Plan)
 		day, want string
 	}{
-		"the age of the list is not known": {func(p *Plan) { p.Tiers[0].Settings.ToldAfter = 0; p.Discovery.Turned = time.Hour },
-			"six in ten replaced in 7 s, every watch silent since before", "drain"},
+		"the age of the list is not known": {
+			func(p *Plan) { p.Tiers[0].Settings.ToldAfter = 0; p.Discovery.Turned = time.Hour },
+			"six in ten replaced in 7 s, every watch silent since before", "drain",
+		},
 		"nobody tells of cold servers": {func(p *Plan) {
 			p.Tiers[0].Settings.ColdFrom, p.Tiers[0].Cold.From = 1, 0.05
 			p.Rate, p.Most = func(time.Duration) float64 { return 500 }, 500
--- a/internal/emulator/shapes.go
+++ b/internal/emulator/shapes.go
@@ -34,9 +34,11 @@
 
 // settings are what a node of the shapes is told.
 func settings() balancer.Settings {
-	return balancer.Settings{WholeWeight: 0.55, ClassWeight: 0.3, MaxAttempts: 4, MayCancel: true,
+	return balancer.Settings{
+		WholeWeight: 0.55, ClassWeight: 0.3, MaxAttempts: 4, MayCancel: true,
 		Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second, ColdFrom: 1, WarmAfter: time.Second,
-		FallMultiple: 4, FallFor: 1500 * time.Millisecond}
+		FallMultiple: 4, FallFor: 1500 * time.Millisecond,
+	}
 }
 
 // NewShape builds a shape: servers of the lower tier, and as many of the upper one where it has two.
@@ -53,10 +55,14 @@
 		tiers = 1
 	}
 	classes := Classes(work, tiers, d)
-	upper := Tier{Servers: servers, Slots: 20, Queue: 300, Settings: settings(),
-		Slowdown: Slowdown{Kind: "proportional", At: 24, Factor: 0.02}}
-	lower := Tier{Servers: servers, Slots: 6, Queue: 300, Settings: settings(),
-		Slowdown: Slowdown{Kind: "proportional", At: 6, Factor: 0.04}}
+	upper := Tier{
+		Servers: servers, Slots: 20, Queue: 300, Settings: settings(),
+		Slowdown: Slowdown{Kind: "proportional", At: 24, Factor: 0.02},
+	}
+	lower := Tier{
+		Servers: servers, Slots: 6, Queue: 300, Settings: settings(),
+		Slowdown: Slowdown{Kind: "proportional", At: 6, Factor: 0.04},
+	}
 	p := Plan{Seed: seed, Nodes: 2, Classes: classes, Length: 60 * time.Second, Wire: 300 * time.Microsecond, Retries: 1}
 	if tiers == 2 {
 		p.Tiers = []Tier{upper, lower}
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -96,8 +96,10 @@
 		timeout = min(timeout, send.Timeout)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	attempt := &Attempt{Endpoint: e.endpoints[send.Server], Payload: call.Payload, Timeout: timeout, host: e, call: call,
-		index: len(call.attempts), serverID: send.Server, startedAt: now, cancel: cancel}
+	attempt := &Attempt{
+		Endpoint: e.endpoints[send.Server], Payload: call.Payload, Timeout: timeout, host: e, call: call,
+		index: len(call.attempts), serverID: send.Server, startedAt: now, cancel: cancel,
+	}
 	call.attempts = append(call.attempts, attempt)
 	call.attemptsInFlight++
 	e.releasePending(call)
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -163,8 +163,10 @@
 		return
 	}
 	e.register(call)
-	e.handle(balancer.Request{ID: call.id, Class: call.Class, Deadline: call.Deadline, ClientRetry: call.Repeat, Cost: call.Cost,
-		Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)], Candidates: among, From: call.From[:min(len(call.From), MaxZone)], Size: call.Size})
+	e.handle(balancer.Request{
+		ID: call.id, Class: call.Class, Deadline: call.Deadline, ClientRetry: call.Repeat, Cost: call.Cost,
+		Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)], Candidates: among, From: call.From[:min(len(call.From), MaxZone)], Size: call.Size,
+	})
 	e.limitPending(call)
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -99,9 +99,11 @@
 
 // New returns an engine that is idle until Run.
 func New(cfg Config) *Engine {
-	e := &Engine{cfg: cfg, events: make(chan func(), eventQueueSize), done: make(chan struct{}),
+	e := &Engine{
+		cfg: cfg, events: make(chan func(), eventQueueSize), done: make(chan struct{}),
 		calls: map[string]*Call{}, callerIDs: map[string]bool{}, endpoints: map[string]*Endpoint{}, idByAddr: map[string]string{},
-		source: cfg.Source, stopWatch: func() {}, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+		source: cfg.Source, stopWatch: func() {}, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+	}
 	e.observe(cfg.Source)
 	return e
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -71,12 +71,16 @@
 func (r *receiver) Began(b Reply)  { r.began <- b }
 func (r *receiver) Ended(a Answer) { r.ended <- a }
 
-var classes = []balancer.Class{{Name: "order", Effect: balancer.NonIdempotent, Aim: time.Second, Deadline: limit, Worth: 1},
-	{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: limit, Worth: 1}}
+var classes = []balancer.Class{
+	{Name: "order", Effect: balancer.NonIdempotent, Aim: time.Second, Deadline: limit, Worth: 1},
+	{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: limit, Worth: 1},
+}
 
 func settings() balancer.Settings {
-	return balancer.Settings{Classes: classes, Balancers: 1, MaxAttempts: 4, MayCancel: true,
-		SecondCopies: true, Tick: time.Millisecond}
+	return balancer.Settings{
+		Classes: classes, Balancers: 1, MaxAttempts: 4, MayCancel: true,
+		SecondCopies: true, Tick: time.Millisecond,
+	}
 }
 
 // startEngine runs an engine until the test ends. Without a module in cfg it gets the real one.
@@ -161,8 +165,14 @@
 	for _, c := range []struct {
 		ending balancer.Ending
 		again  bool
-	}{{balancer.Unreachable, true}, {balancer.Overloaded, true}, {balancer.Failure, false},
-		{balancer.Broken, false}, {balancer.TimedOut, false}, {balancer.Canceled, false}} {
+	}{
+		{balancer.Unreachable, true},
+		{balancer.Overloaded, true},
+		{balancer.Failure, false},
+		{balancer.Broken, false},
+		{balancer.TimedOut, false},
+		{balancer.Canceled, false},
+	} {
 		e, h := startWithServers(t, "a", "b", "c")
 		call, r := newCall(e, "c-1", "order", limit)
 		e.Submit(call)
--- a/internal/engine/servers.go
+++ b/internal/engine/servers.go
@@ -22,8 +22,10 @@
 // state has changed and nothing came from the source.
 func (e *Engine) mergeServers(update News, ordered bool) {
 	listed := make(map[string]bool, len(update.Servers))
-	list := balancer.ServerList{Full: update.Full, Cached: update.Cached, Operator: ordered,
-		Servers: make([]balancer.Server, 0, len(update.Servers))}
+	list := balancer.ServerList{
+		Full: update.Full, Cached: update.Cached, Operator: ordered,
+		Servers: make([]balancer.Server, 0, len(update.Servers)),
+	}
 	for _, server := range update.Servers {
 		reported := server
 		e.overlayAdminState(&server)
--- a/internal/envoyconf/build.go
+++ b/internal/envoyconf/build.go
@@ -94,8 +94,10 @@
 		p.Connect = 250 * time.Millisecond
 	}
 	slices.SortFunc(p.Classes, func(a, b Class) int { return strings.Compare(a.Name, b.Name) })
-	v := view{Proxy: p, Every: p.Mode == EveryTry, List: p.Mode == Fallbacks, Override: p.Mode == ByMetadata || p.Mode == Fallbacks,
-		Header: Header, Served: stream.ServedHeader, Subset: stream.SubsetHeader, Namespace: Namespace, Inner: everyTry, OwnTime: ownTimeHeader}
+	v := view{
+		Proxy: p, Every: p.Mode == EveryTry, List: p.Mode == Fallbacks, Override: p.Mode == ByMetadata || p.Mode == Fallbacks,
+		Header: Header, Served: stream.ServedHeader, Subset: stream.SubsetHeader, Namespace: Namespace, Inner: everyTry, OwnTime: ownTimeHeader,
+	}
 	for _, c := range p.Classes {
 		v.Longest = max(v.Longest, c.Deadline)
 	}
@@ -141,8 +143,10 @@
 	return fmt.Sprintf("{ socket_address: { address: %q, port_value: %s } }", host, port), nil
 }
 
-var page = template.Must(template.New("envoy").Funcs(template.FuncMap{"seconds": seconds, "address": address,
-	"until": func(d time.Duration) string { return seconds(d + slack) }}).Parse(`
+var page = template.Must(template.New("envoy").Funcs(template.FuncMap{
+	"seconds": seconds, "address": address,
+	"until": func(d time.Duration) string { return seconds(d + slack) },
+}).Parse(`
 {{- define "asking"}}
                   - name: envoy.filters.http.ext_proc
                     typed_config:
--- a/internal/envoyconf/check_test.go
+++ b/internal/envoyconf/check_test.go
@@ -129,13 +129,17 @@
 	}
 }
 
-var facts = map[Mode]Facts{ByHeader: asked, ByMetadata: asked, Fallbacks: {DecideWithin: asked.DecideWithin, Spares: 2},
-	EveryTry: {DecideWithin: asked.DecideWithin, Retries: true, RetryHeader: "x-again"}}
+var facts = map[Mode]Facts{
+	ByHeader: asked, ByMetadata: asked, Fallbacks: {DecideWithin: asked.DecideWithin, Spares: 2},
+	EveryTry: {DecideWithin: asked.DecideWithin, Retries: true, RetryHeader: "x-again"},
+}
 
 func build(t testing.TB, m Mode) string {
 	t.Helper()
-	text, err := Build(Proxy{Mode: m, Processor: "127.0.0.1:9002", Facts: facts[m], Retries: 2, Streams: 100,
-		Endpoints: []string{"127.0.0.1:1", "127.0.0.1:2"}, Classes: []Class{{"read", 2 * time.Second, true}, {"order", 6 * time.Second, false}}})
+	text, err := Build(Proxy{
+		Mode: m, Processor: "127.0.0.1:9002", Facts: facts[m], Retries: 2, Streams: 100,
+		Endpoints: []string{"127.0.0.1:1", "127.0.0.1:2"}, Classes: []Class{{"read", 2 * time.Second, true}, {"order", 6 * time.Second, false}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/extproc/stream/stream.go
+++ b/internal/extproc/stream/stream.go
@@ -328,8 +328,10 @@
 		}
 		return ""
 	}
-	q := &Question{Method: one(":method"), Path: one(":path"), Authority: one(":authority"), Header: header,
-		EndOfStream: h.GetEndOfStream(), Observed: s.observed, Subset: subset(m)}
+	q := &Question{
+		Method: one(":method"), Path: one(":path"), Authority: one(":authority"), Header: header,
+		EndOfStream: h.GetEndOfStream(), Observed: s.observed, Subset: subset(m),
+	}
 	if err == nil && (q.Method == "" || q.Path == "" || len(pseudo[":authority"]) > 1) {
 		err = fmt.Errorf("%w: not one :method, :path and :authority", ErrHeaders)
 	}
@@ -370,24 +372,32 @@
 func (d Decision) Word() *extproc.ProcessingResponse {
 	list := strings.Join(append([]string{d.Endpoint}, d.Fallbacks...), ",")
 	common := &extproc.CommonResponse{ClearRouteCache: d.Clear, HeaderMutation: &extproc.HeaderMutation{
-		SetHeaders: []*corev3.HeaderValueOption{set(DestinationHeader, list)}}}
+		SetHeaders: []*corev3.HeaderValueOption{set(DestinationHeader, list)},
+	}}
 	if d.TimeLeft > 0 {
 		common.HeaderMutation.SetHeaders = append(common.HeaderMutation.SetHeaders, set("x-time-left", message.TimeLeft(d.TimeLeft)))
 	}
-	m := &extproc.ProcessingResponse{Response: &extproc.ProcessingResponse_RequestHeaders{RequestHeaders: &extproc.HeadersResponse{Response: common}},
+	m := &extproc.ProcessingResponse{
+		Response: &extproc.ProcessingResponse_RequestHeaders{RequestHeaders: &extproc.HeadersResponse{Response: common}},
 		DynamicMetadata: &structpb.Struct{Fields: map[string]*structpb.Value{MetadataNamespace: structpb.NewStructValue(&structpb.Struct{
-			Fields: map[string]*structpb.Value{DestinationHeader: structpb.NewStringValue(list)}})}}}
+			Fields: map[string]*structpb.Value{DestinationHeader: structpb.NewStringValue(list)},
+		})}},
+	}
 	if d.Slim {
-		m.ModeOverride = &modev3.ProcessingMode{RequestBodyMode: modev3.ProcessingMode_NONE, RequestTrailerMode: modev3.ProcessingMode_SKIP,
-			ResponseHeaderMode: modev3.ProcessingMode_SEND, ResponseBodyMode: modev3.ProcessingMode_NONE, ResponseTrailerMode: modev3.ProcessingMode_SKIP}
+		m.ModeOverride = &modev3.ProcessingMode{
+			RequestBodyMode: modev3.ProcessingMode_NONE, RequestTrailerMode: modev3.ProcessingMode_SKIP,
+			ResponseHeaderMode: modev3.ProcessingMode_SEND, ResponseBodyMode: modev3.ProcessingMode_NONE, ResponseTrailerMode: modev3.ProcessingMode_SKIP,
+		}
 	}
 	return m
 }
 
 // set words a header that replaces any of its name; raw_value is what proxies read.
 func set(name, value string) *corev3.HeaderValueOption {
-	return &corev3.HeaderValueOption{Header: &corev3.HeaderValue{Key: name, RawValue: []byte(value)},
-		AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD}
+	return &corev3.HeaderValueOption{
+		Header:       &corev3.HeaderValue{Key: name, RawValue: []byte(value)},
+		AppendAction: corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD,
+	}
 }
 
 // flush handles what came while the decision was awaited.
@@ -427,8 +437,10 @@
 }
 
 func (s *Stream) final(f Final) {
-	r := &extproc.ImmediateResponse{Status: &typev3.HttpStatus{Code: typev3.StatusCode(f.Status)}, Details: "cranegrade: " + f.Text,
-		Headers: &extproc.HeaderMutation{}}
+	r := &extproc.ImmediateResponse{
+		Status: &typev3.HttpStatus{Code: typev3.StatusCode(f.Status)}, Details: "cranegrade: " + f.Text,
+		Headers: &extproc.HeaderMutation{},
+	}
 	if f.RetryAfter > 0 {
 		r.Headers.SetHeaders = append(r.Headers.SetHeaders, set("retry-after", strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', -1, 64)))
 	}
@@ -465,7 +477,8 @@
 		// The proxy passes on only what comes back.
 		common.BodyMutation = &extproc.BodyMutation{Mutation: &extproc.BodyMutation_StreamedResponse{StreamedResponse: &extproc.StreamedBodyResponse{
 			Body: b.GetBody(), EndOfStream: b.GetEndOfStream(), EndOfStreamWithoutMessage: b.GetEndOfStreamWithoutMessage(),
-			GrpcMessageCompressed: b.GetGrpcMessageCompressed()}}}
+			GrpcMessageCompressed: b.GetGrpcMessageCompressed(),
+		}}}
 	}
 	r := &extproc.BodyResponse{Response: common}
 	if request {
@@ -576,7 +589,8 @@
 		common.HeaderMutation = m
 	}
 	s.do(Reply{&extproc.ProcessingResponse{Response: &extproc.ProcessingResponse_ResponseHeaders{
-		ResponseHeaders: &extproc.HeadersResponse{Response: common}}}})
+		ResponseHeaders: &extproc.HeadersResponse{Response: common},
+	}}})
 }
 
 // Unrun says that an ending proves that the attempt never ran.
--- a/internal/extproc/stream/stream_test.go
+++ b/internal/extproc/stream/stream_test.go
@@ -28,13 +28,16 @@
 }
 
 func request(end bool, more ...string) *extproc.ProcessingRequest {
-	return &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_RequestHeaders{RequestHeaders: &extproc.HttpHeaders{EndOfStream: end,
-		Headers: headers(append([]string{":method", "POST", ":path", "/order/1", ":authority", "a.test"}, more...)...)}}}
+	return &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_RequestHeaders{RequestHeaders: &extproc.HttpHeaders{
+		EndOfStream: end,
+		Headers:     headers(append([]string{":method", "POST", ":path", "/order/1", ":authority", "a.test"}, more...)...),
+	}}}
 }
 
 func response(status string, more ...string) *extproc.ProcessingRequest {
 	return &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_ResponseHeaders{ResponseHeaders: &extproc.HttpHeaders{
-		Headers: headers(append([]string{":status", status}, more...)...)}}}
+		Headers: headers(append([]string{":status", status}, more...)...),
+	}}}
 }
 
 func requestBody(text string, end bool) *extproc.ProcessingRequest {
@@ -132,23 +135,32 @@
 	details := func(status, details string) *extproc.ProcessingRequest {
 		m := response(status)
 		m.Attributes = map[string]*structpb.Struct{"envoy.filters.http.ext_proc": {Fields: map[string]*structpb.Value{
-			"response.code_details": structpb.NewStringValue(details)}}}
+			"response.code_details": structpb.NewStringValue(details),
+		}}}
 		return m
 	}
 	for i, c := range []struct {
 		m    *extproc.ProcessingRequest
 		want balancer.Ending
 	}{
-		{response("200"), balancer.Success}, {response("404"), balancer.Success}, {response("500"), balancer.Failure},
-		{response("503"), balancer.Failure}, {response("503", "x-unprocessed", "1"), balancer.Overloaded},
-		{response("504", "X-Unprocessed", "1"), balancer.Overloaded}, {response("500", "x-unprocessed", "1"), balancer.Failure},
-		{response("503", "x-unprocessed", "0"), balancer.Failure}, {response("x"), balancer.Broken}, {response("99"), balancer.Broken},
+		{response("200"), balancer.Success},
+		{response("404"), balancer.Success},
+		{response("500"), balancer.Failure},
+		{response("503"), balancer.Failure},
+		{response("503", "x-unprocessed", "1"), balancer.Overloaded},
+		{response("504", "X-Unprocessed", "1"), balancer.Overloaded},
+		{response("500", "x-unprocessed", "1"), balancer.Failure},
+		{response("503", "x-unprocessed", "0"), balancer.Failure},
+		{response("x"), balancer.Broken},
+		{response("99"), balancer.Broken},
 		{details("503", "upstream_reset_before_response_started{remote_connection_failure}"), balancer.Unreachable},
 		{details("503", "upstream_reset_before_response_started{connection_timeout}"), balancer.Unreachable},
 		{details("503", "upstream_reset_before_response_started{connection_termination}"), balancer.Broken},
 		{details("503", "upstream_reset_before_response_started{overflow}"), balancer.NeverSent},
-		{details("503", "no_healthy_upstream"), balancer.Unreachable}, {details("504", "upstream_per_try_timeout"), balancer.TimedOut},
-		{details("504", "response_timeout"), balancer.TimedOut}, {details("200", "via_upstream"), balancer.Success},
+		{details("503", "no_healthy_upstream"), balancer.Unreachable},
+		{details("504", "upstream_per_try_timeout"), balancer.TimedOut},
+		{details("504", "response_timeout"), balancer.TimedOut},
+		{details("200", "via_upstream"), balancer.Success},
 	} {
 		s := New()
 		s.Receive(request(true))
@@ -166,10 +178,14 @@
 		m    *extproc.ProcessingRequest
 		want bool
 	}{
-		{Decision{Unsafe: true}, response("503"), true}, {Decision{Unsafe: true}, response("429"), true},
-		{Decision{Unsafe: true}, response("503", "x-unprocessed", "1"), false}, {Decision{Unsafe: true, Ran: true}, response("503", "x-unprocessed", "1"), true},
-		{Decision{}, response("503"), false}, {Decision{Ran: true}, response("503"), false},
-		{Decision{Unsafe: true}, response("500"), false}, {Decision{Unsafe: true, Ran: true}, response("200"), false},
+		{Decision{Unsafe: true}, response("503"), true},
+		{Decision{Unsafe: true}, response("429"), true},
+		{Decision{Unsafe: true}, response("503", "x-unprocessed", "1"), false},
+		{Decision{Unsafe: true, Ran: true}, response("503", "x-unprocessed", "1"), true},
+		{Decision{}, response("503"), false},
+		{Decision{Ran: true}, response("503"), false},
+		{Decision{Unsafe: true}, response("500"), false},
+		{Decision{Unsafe: true, Ran: true}, response("200"), false},
 	} {
 		s := New()
 		s.Receive(request(true))
@@ -373,7 +389,8 @@
 	} {
 		s := New()
 		expect(t, name, s.Receive(&extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_RequestHeaders{
-			RequestHeaders: &extproc.HttpHeaders{Headers: h}}}), "ImmediateResponse(400) hangup")
+			RequestHeaders: &extproc.HttpHeaders{Headers: h},
+		}}), "ImmediateResponse(400) hangup")
 	}
 }
 
--- a/internal/fleet/emulated_test.go
+++ b/internal/fleet/emulated_test.go
@@ -97,12 +97,16 @@
 		change(f)
 	}
 	class := balancer.Class{Name: "read", Effect: balancer.Idempotent, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.5, Worth: 1}
-	set := balancer.Settings{Classes: []balancer.Class{class}, WholeWeight: 0.6, ClassWeight: 0.3, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond,
-		MaxRetryAfter: time.Second, ColdFrom: 0.3, WarmAfter: 4 * time.Second, FallMultiple: 4, FallFor: 1500 * time.Millisecond}
+	set := balancer.Settings{
+		Classes: []balancer.Class{class}, WholeWeight: 0.6, ClassWeight: 0.3, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond,
+		MaxRetryAfter: time.Second, ColdFrom: 0.3, WarmAfter: 4 * time.Second, FallMultiple: 4, FallFor: 1500 * time.Millisecond,
+	}
 	rate := 6 * float64(servers)
-	p := emulator.Plan{Seed: seed, Nodes: n, Wire: 300 * time.Microsecond, Length: 25 * time.Second, Rate: func(time.Duration) float64 { return rate }, Most: rate,
+	p := emulator.Plan{
+		Seed: seed, Nodes: n, Wire: 300 * time.Microsecond, Length: 25 * time.Second, Rate: func(time.Duration) float64 { return rate }, Most: rate,
 		Classes: []emulator.Class{{Class: class, Share: 1, Work: []time.Duration{40 * time.Millisecond}, Dist: emulator.Dist{Kind: "lognormal", CV: 0.5}}},
-		Tiers:   []emulator.Tier{{Servers: servers, Slots: 4, Queue: 50, Settings: set}}}
+		Tiers:   []emulator.Tier{{Servers: servers, Slots: 4, Queue: 50, Settings: set}},
+	}
 	if with {
 		p.Decider = f.decider(seed)
 	}
--- a/internal/fleet/membership/exchange.go
+++ b/internal/fleet/membership/exchange.go
@@ -27,8 +27,10 @@
 // to be out for a round longer, and granted nothing before that is long over.
 func (r *Roster) Heartbeat(to string) Heartbeat {
 	me := r.members[r.self]
-	b := Heartbeat{From: r.self, Run: r.run, To: NameID(to), Seq: r.seq, Epoch: me.Epoch,
-		Leaving: r.leaving, Settled: r.allSettled, RosterHash: r.hash, Out: r.allOut}
+	b := Heartbeat{
+		From: r.self, Run: r.run, To: NameID(to), Seq: r.seq, Epoch: me.Epoch,
+		Leaving: r.leaving, Settled: r.allSettled, RosterHash: r.hash, Out: r.allOut,
+	}
 	if s := r.members[to]; s != nil && s.run != 0 && !s.out && !s.Gone && r.last >= s.grantAfter && !r.leaving {
 		b.Echo, b.EchoRun = s.seq, s.run
 	}
--- a/internal/fleet/membership/heartbeat.go
+++ b/internal/fleet/membership/heartbeat.go
@@ -72,8 +72,10 @@
 		return Heartbeat{}, nil, fmt.Errorf("%w: another version", ErrHeartbeat)
 	}
 	flags := r.byte()
-	b = Heartbeat{Settled: flags&1 != 0, Leaving: flags&2 != 0, From: r.text(MaxName), Run: r.uint64(), To: r.uint64(), Seq: r.uint64(),
-		RosterHash: r.uint64(), Echo: r.uint64(), EchoRun: r.uint64(), Epoch: r.uint32()}
+	b = Heartbeat{
+		Settled: flags&1 != 0, Leaving: flags&2 != 0, From: r.text(MaxName), Run: r.uint64(), To: r.uint64(), Seq: r.uint64(),
+		RosterHash: r.uint64(), Echo: r.uint64(), EchoRun: r.uint64(), Epoch: r.uint32(),
+	}
 	n := int(r.uint16())
 	if r.bad || n > MaxOut || len(r.b) < 8*n || !IsValidName(b.From) || b.Seq == 0 || b.Epoch == 0 {
 		return Heartbeat{}, nil, ErrHeartbeat
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -59,8 +59,10 @@
 // NewRoster returns the roster of a node that has just started.
 func NewRoster(now time.Duration, name string, run uint64, l Lease) *Roster {
 	l.Nodes = max(1, l.Nodes)
-	r := &Roster{lease: l, self: name, run: run, started: now, last: now, members: map[string]*peer{},
-		namesByID: map[uint64]string{}, voters: map[string]bool{}, duplicates: map[string]uint64{}}
+	r := &Roster{
+		lease: l, self: name, run: run, started: now, last: now, members: map[string]*peer{},
+		namesByID: map[uint64]string{}, voters: map[string]bool{}, duplicates: map[string]uint64{},
+	}
 	r.Merge(now, []Entry{{Name: name, Epoch: 1}})
 	return r
 }
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -110,9 +110,11 @@
 	book := signal.NewBook(g.pool, id)
 	book.TrustUnbounded = mutations.trustUnbounded
 	sized := s.Sizes == balancer.SizesNominal || s.Sizes == balancer.SizesRough
-	return &Module{uses: uses, decider: in, gate: g, now: now, sized: sized, me: id, listed: map[string]balancer.Server{},
+	return &Module{
+		uses: uses, decider: in, gate: g, now: now, sized: sized, me: id, listed: map[string]balancer.Server{},
 		startedAt:      map[string]time.Duration{},
-		maxInlinePairs: maxInlineAssignment, mover: subset.NewMover(moveInterval), book: book, checkedAt: math.MinInt64, quotas: &Parts{}}
+		maxInlinePairs: maxInlineAssignment, mover: subset.NewMover(moveInterval), book: book, checkedAt: math.MinInt64, quotas: &Parts{},
+	}
 }
 
 // Handle passes an event on, after what has changed.
--- a/internal/fleet/signal/signal.go
+++ b/internal/fleet/signal/signal.go
@@ -233,8 +233,10 @@
 		if s.last == 0 || now-s.last > fresh {
 			continue
 		}
-		f := Fact{Server: s.id, Boot: BootByte(s.boot), Bad: uint8(min(s.bad, 255)), Good: uint8(min(s.good, 255)), Streak: uint8(min(s.streak, 255)),
-			Age: uint8(min((now-s.last)/(100*time.Millisecond), 255))}
+		f := Fact{
+			Server: s.id, Boot: BootByte(s.boot), Bad: uint8(min(s.bad, 255)), Good: uint8(min(s.good, 255)), Streak: uint8(min(s.streak, 255)),
+			Age: uint8(min((now-s.last)/(100*time.Millisecond), 255)),
+		}
 		worth := 0
 		switch {
 		case accuses(f):
--- a/internal/fleet/signal/signal_test.go
+++ b/internal/fleet/signal/signal_test.go
@@ -77,8 +77,10 @@
 			who := rapid.IntRange(0, len(from)-1).Draw(t, "who")
 			d := Digest{Pool: 1, Seq: uint32(i + 1), Draws: uint16(rapid.IntRange(0, 65535).Draw(t, "draws"))}
 			for range rapid.IntRange(0, MaxFacts).Draw(t, "facts") {
-				d.Facts = append(d.Facts, Fact{ID(rapid.SampledFrom(names).Draw(t, "server")), 0, rapid.Byte().Draw(t, "bad"), rapid.Byte().Draw(t, "good"),
-					rapid.Byte().Draw(t, "streak"), rapid.Byte().Draw(t, "age")})
+				d.Facts = append(d.Facts, Fact{
+					ID(rapid.SampledFrom(names).Draw(t, "server")), 0, rapid.Byte().Draw(t, "bad"), rapid.Byte().Draw(t, "good"),
+					rapid.Byte().Draw(t, "streak"), rapid.Byte().Draw(t, "age"),
+				})
 			}
 			b.Heard(now, from[who], uint64(who), 1, d)
 			for _, v := range b.Verdicts(now, all, rotation.Place) {
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -109,8 +109,10 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := BootTime()
-	s := Status{Name: f.cfg.Name, Run: fmt.Sprintf("%x", f.incarnation), At: time.Now(), Open: l != nil, LeaseMS: millis(f.cfg.Lease), Nodes: f.cfg.Nodes,
-		Roll: fmt.Sprintf("%016x", f.roster.Hash()), Health: health, Sent: f.sent.Load(), Got: f.received.Load(), Bad: f.unreadableMessages}
+	s := Status{
+		Name: f.cfg.Name, Run: fmt.Sprintf("%x", f.incarnation), At: time.Now(), Open: l != nil, LeaseMS: millis(f.cfg.Lease), Nodes: f.cfg.Nodes,
+		Roll: fmt.Sprintf("%016x", f.roster.Hash()), Health: health, Sent: f.sent.Load(), Got: f.received.Load(), Bad: f.unreadableMessages,
+	}
 	members := map[string]*MemberStatus{}
 	get := func(name string) *MemberStatus {
 		m := members[name]
@@ -142,8 +144,10 @@
 	slices.SortFunc(s.Members, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
 	for id, name := range f.pools {
 		r, part := f.gates[id].Role(now) // what the pool's module goes by
-		p := PoolStatus{Pool: name, Index: r.Index, Seen: r.Seen, Agreed: r.Agreed, Divisor: r.Divisor, Standing: !math.IsInf(part, 1), Granted: r.Granted,
-			Wanted: r.Wanted, Of100: 100 / part, Why: r.Reason, Order: r.Order}
+		p := PoolStatus{
+			Pool: name, Index: r.Index, Seen: r.Seen, Agreed: r.Agreed, Divisor: r.Divisor, Standing: !math.IsInf(part, 1), Granted: r.Granted,
+			Wanted: r.Wanted, Of100: 100 / part, Why: r.Reason, Order: r.Order,
+		}
 		h := f.gates[id].hearsay.Load()
 		p.Subset, p.Moving = h.Set, h.Moving
 		for _, v := range h.Verdicts {
@@ -199,8 +203,13 @@
 		for _, n := range []struct {
 			is   bool
 			text string
-		}{{m.Gone, "off the roll"}, {m.Out, "its beats are missed"}, {!m.Gone && !m.Seated, "not yet in majorities"}, {m.Flaps > 0, fmt.Sprintf("flapped %d times", m.Flaps)},
-			{m.Twin != "", "ANOTHER PROCESS HAS ITS NAME, run " + m.Twin}} {
+		}{
+			{m.Gone, "off the roll"},
+			{m.Out, "its beats are missed"},
+			{!m.Gone && !m.Seated, "not yet in majorities"},
+			{m.Flaps > 0, fmt.Sprintf("flapped %d times", m.Flaps)},
+			{m.Twin != "", "ANOTHER PROCESS HAS ITS NAME, run " + m.Twin},
+		} {
 			if n.is {
 				notes = append(notes, n.text)
 			}
--- a/internal/front/extproc/bench_test.go
+++ b/internal/front/extproc/bench_test.go
@@ -78,14 +78,16 @@
 					}
 					st.Send(&extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_RequestHeaders{RequestHeaders: &extproc.HttpHeaders{
 						Headers: fields(":method", "GET", ":path", "/read/1", ":authority", "a", "x-request-id", fmt.Sprintf("%d-%d-%d", n, i, k),
-							"user-agent", "bench", "accept", "*/*", "x-forwarded-for", "127.0.0.1"), EndOfStream: true}}})
+							"user-agent", "bench", "accept", "*/*", "x-forwarded-for", "127.0.0.1"), EndOfStream: true,
+					}}})
 					if _, err := st.Recv(); err != nil {
 						b.Error(err)
 						return
 					}
 					mine = append(mine, time.Since(start))
 					st.Send(&extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_ResponseHeaders{ResponseHeaders: &extproc.HttpHeaders{
-						Headers: fields(":status", "200")}}})
+						Headers: fields(":status", "200"),
+					}}})
 					st.Recv()
 					st.CloseSend()
 					st.Recv()
@@ -141,7 +143,8 @@
 				b.Fatal(err)
 			}
 			st.Send(&extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_RequestHeaders{RequestHeaders: &extproc.HttpHeaders{
-				Headers: fields(":method", "GET", ":path", "/read/1", ":authority", "a", "x-request-id", fmt.Sprint(i)), EndOfStream: true}}})
+				Headers: fields(":method", "GET", ":path", "/read/1", ":authority", "a", "x-request-id", fmt.Sprint(i)), EndOfStream: true,
+			}}})
 			if _, err := st.Recv(); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/front/extproc/front.go
+++ b/internal/front/extproc/front.go
@@ -112,8 +112,10 @@
 	if cfg.Known == 0 {
 		cfg.Known = 100_000
 	}
-	f := &Front{cfg: cfg, listener: l, health: health.NewServer(), book: newBook(cfg.Known),
-		proxies: limits{rate: cfg.Rate, streams: cfg.ProxyStreams}}
+	f := &Front{
+		cfg: cfg, listener: l, health: health.NewServer(), book: newBook(cfg.Known),
+		proxies: limits{rate: cfg.Rate, streams: cfg.ProxyStreams},
+	}
 	f.server = grpc.NewServer(grpc.MaxConcurrentStreams(cfg.Streams), grpc.MaxRecvMsgSize(maxMessage), grpc.InTapHandle(f.arrive),
 		// A stream lives for a moment: goroutines that are kept have grown their stacks already.
 		grpc.NumStreamWorkers(uint32(2*runtime.GOMAXPROCS(0)+64)), grpc.SharedWriteBuffer(true),
@@ -394,9 +396,11 @@
 	if id != "" {
 		t.id = p.Name() + "\x00" + id
 	}
-	t.Call = engine.Call{ID: id, Class: name, Deadline: now + left - own, Last: now + left - own/2, To: t, Payload: t,
+	t.Call = engine.Call{
+		ID: id, Class: name, Deadline: now + left - own, Last: now + left - own/2, To: t, Payload: t,
 		Repeat: q.Get("x-repeat") == "1", Tenant: q.Get("x-account"),
-		Among: q.Subset, From: q.Get(callerZone), Size: message.Length(q.Get("content-length"))}
+		Among: q.Subset, From: q.Get(callerZone), Size: message.Length(q.Get("content-length")),
+	}
 	return t, nil
 }
 
--- a/internal/front/extproc/front_test.go
+++ b/internal/front/extproc/front_test.go
@@ -81,11 +81,19 @@
 	}
 	w := &world{t: t}
 	var err error
-	w.pool, err = pool.New(pool.Config{Name: "p", Module: module, Seed: 1, Clock: clock, Sender: noSender{t}, Shares: pool.Shares{Calls: share(), Held: share(),
-		Connections: share(), Bodies: share(), LongAnswers: share(), Callers: share()},
-		Settings: balancer.Settings{Classes: []balancer.Class{class("read", balancer.Idempotent, 0), class("order", balancer.NonIdempotent, 0),
-			class("cell", balancer.IdempotentByKey, balancer.ScopeCell), class("all", balancer.IdempotentByKey, balancer.ScopeAll)},
-			Balancers: 1, Tier: tier, Spares: spares, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond, MaxRetryAfter: time.Second}, Pushed: false})
+	w.pool, err = pool.New(pool.Config{
+		Name: "p", Module: module, Seed: 1, Clock: clock, Sender: noSender{t}, Shares: pool.Shares{
+			Calls: share(), Held: share(),
+			Connections: share(), Bodies: share(), LongAnswers: share(), Callers: share(),
+		},
+		Settings: balancer.Settings{
+			Classes: []balancer.Class{
+				class("read", balancer.Idempotent, 0), class("order", balancer.NonIdempotent, 0),
+				class("cell", balancer.IdempotentByKey, balancer.ScopeCell), class("all", balancer.IdempotentByKey, balancer.ScopeAll),
+			},
+			Balancers: 1, Tier: tier, Spares: spares, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond, MaxRetryAfter: time.Second,
+		}, Pushed: false,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,13 +168,16 @@
 // ask sends request headers and says what came: the server, or a status.
 func (s *side) ask(class, id string, tries int, more ...string) string {
 	s.t.Helper()
-	h := append([]string{":method", "POST", ":path", "/" + class + "/1", ":authority", "a", "idempotency-key", "k",
-		"x-envoy-attempt-count", fmt.Sprint(tries)}, more...)
+	h := append([]string{
+		":method", "POST", ":path", "/" + class + "/1", ":authority", "a", "idempotency-key", "k",
+		"x-envoy-attempt-count", fmt.Sprint(tries),
+	}, more...)
 	if id != "" {
 		h = append(h, "x-request-id", id)
 	}
 	if err := s.st.Send(&extproc.ProcessingRequest{MetadataContext: s.meta, Request: &extproc.ProcessingRequest_RequestHeaders{
-		RequestHeaders: &extproc.HttpHeaders{Headers: fields(h...)}}}); err != nil {
+		RequestHeaders: &extproc.HttpHeaders{Headers: fields(h...)},
+	}}); err != nil {
 		s.t.Fatal(err)
 	}
 	m, err := s.st.Recv()
@@ -193,7 +204,8 @@
 func (s *side) answer(status string, more ...string) {
 	s.t.Helper()
 	s.st.Send(&extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_ResponseHeaders{ResponseHeaders: &extproc.HttpHeaders{
-		Headers: fields(append([]string{":status", status}, more...)...)}}})
+		Headers: fields(append([]string{":status", status}, more...)...),
+	}}})
 	if _, err := s.st.Recv(); err != nil {
 		s.t.Fatalf("response headers get no word: %v", err)
 	}
@@ -263,7 +275,8 @@
 	for _, waited := range []time.Duration{0, w.front.cfg.Within - w.front.cfg.Within/lateShare/2} {
 		s := &lateStream{ctx: context.WithValue(context.Background(), arrivedKey{}, w.front.cfg.Clock.Now()-waited)}
 		s.got = []*extproc.ProcessingRequest{{Request: &extproc.ProcessingRequest_RequestHeaders{RequestHeaders: &extproc.HttpHeaders{
-			Headers: fields(":method", "GET", ":path", "/read/1", ":authority", "a")}}}}
+			Headers: fields(":method", "GET", ":path", "/read/1", ":authority", "a"),
+		}}}}
 		if err := w.front.Process(s); err != nil {
 			t.Fatal(err)
 		}
@@ -358,7 +371,8 @@
 func (s *side) word(retry, status string, more ...string) string {
 	s.t.Helper()
 	s.st.Send(&extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_ResponseHeaders{ResponseHeaders: &extproc.HttpHeaders{
-		Headers: fields(append([]string{":status", status}, more...)...)}}})
+		Headers: fields(append([]string{":status", status}, more...)...),
+	}}})
 	m, err := s.st.Recv()
 	if err != nil {
 		s.t.Fatalf("response headers get no word: %v", err)
@@ -383,8 +397,14 @@
 		class, status, unprocessed string
 		want                       string
 	}{
-		{"order", "503", "1", "again"}, {"order", "503", "0", "502"}, {"order", "500", "0", "500"}, {"read", "500", "0", "again"},
-		{"cell", "500", "0", "again"}, {"all", "503", "0", "again"}, {"read", "404", "0", "404"}, {"order", "200", "0", "200"},
+		{"order", "503", "1", "again"},
+		{"order", "503", "0", "502"},
+		{"order", "500", "0", "500"},
+		{"read", "500", "0", "again"},
+		{"cell", "500", "0", "again"},
+		{"all", "503", "0", "again"},
+		{"read", "404", "0", "404"},
+		{"order", "200", "0", "200"},
 	} {
 		w := newWorld(t, Config{Retries: true, RetryHeader: retry, Linger: limit}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 		s := w.stream()
@@ -508,8 +528,10 @@
 // What a proxy carries is accounted by the endpoint that served, the zone that the proxy says it stands in, and the
 // lengths that it shows.
 func TestZones(t *testing.T) {
-	in, err := balancer.New(balancer.Settings{Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
-		MaxAttempts: 3, Tick: time.Millisecond}, 1)
+	in, err := balancer.New(balancer.Settings{
+		Classes:     []balancer.Class{{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
+		MaxAttempts: 3, Tick: time.Millisecond,
+	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -524,7 +546,8 @@
 	}
 	w.pool.Engine().Apply(n)
 	for i, c := range []struct{ from, goes, served string }{
-		{"", "127.0.0.1:1", "127.0.0.1:1"}, {"b", "127.0.0.1:2", ""}, {"", "127.0.0.1:1", "127.0.0.1:2"}, {"", "127.0.0.1:1", "10.9.9.9:1"}} {
+		{"", "127.0.0.1:1", "127.0.0.1:1"}, {"b", "127.0.0.1:2", ""}, {"", "127.0.0.1:1", "127.0.0.1:2"}, {"", "127.0.0.1:1", "10.9.9.9:1"},
+	} {
 		s := w.stream()
 		if got := s.ask("read", fmt.Sprint(i), 1, "x-caller-zone", c.from, "content-length", "100"); got != c.goes {
 			t.Errorf("%+v: goes to %s", c, got)
@@ -579,8 +602,10 @@
 			t.Errorf("time %q: %s", bad, got)
 		}
 	}
-	for v, want := range map[string]time.Duration{"1H": time.Hour, "2M": 2 * time.Minute, "3S": 3 * time.Second, "4m": 4 * time.Millisecond,
-		"5u": 5 * time.Microsecond, "6n": 6, "99999999H": 1 << 62} {
+	for v, want := range map[string]time.Duration{
+		"1H": time.Hour, "2M": 2 * time.Minute, "3S": 3 * time.Second, "4m": 4 * time.Millisecond,
+		"5u": 5 * time.Microsecond, "6n": 6, "99999999H": 1 << 62,
+	} {
 		if got, ok := grpcTimeout(v); !ok || got != want {
 			t.Errorf("%s: %v, %v", v, got, ok)
 		}
@@ -716,7 +741,8 @@
 				return
 			}
 			st.Send(&extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_RequestHeaders{RequestHeaders: &extproc.HttpHeaders{
-				Headers: fields(":method", "POST", ":path", "/order/1", ":authority", "a", "x-request-id", fmt.Sprint(i))}}})
+				Headers: fields(":method", "POST", ":path", "/order/1", ":authority", "a", "x-request-id", fmt.Sprint(i)),
+			}}})
 			if i%2 == 0 {
 				st.Recv()
 			}
--- a/internal/front/grpc/front.go
+++ b/internal/front/grpc/front.go
@@ -201,8 +201,10 @@
 		// Without its key the servers would run every repeat.
 		return nil, &http1.Refusal{Status: http.StatusBadRequest, Text: "no idempotency-key among the metadata"}
 	}
-	out := &message.Request{Method: http.MethodPost, URL: hr.URL, Authority: hr.Host, Header: make(map[string][]string, len(h)),
-		GRPC: &message.GRPC{Safe: class.Effect == balancer.Idempotent, Streamed: class.Stream}}
+	out := &message.Request{
+		Method: http.MethodPost, URL: hr.URL, Authority: hr.Host, Header: make(map[string][]string, len(h)),
+		GRPC: &message.GRPC{Safe: class.Effect == balancer.Idempotent, Streamed: class.Stream},
+	}
 	for k, v := range h {
 		switch k { // what belongs to the way here, and what the sender says itself
 		case "Te", "Grpc-Timeout", "Content-Length", "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Upgrade", "X-Time-Left":
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -55,7 +55,8 @@
 func New(l net.Listener, clock engine.Clock, routes Routes, fresh *pool.Share) *Front {
 	f := &Front{clock: clock, routes: routes, conns: newConnections(l, fresh), giveUp: make(chan struct{})}
 	f.conns.scanHeads = true
-	f.server = &http.Server{Handler: f, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
+	f.server = &http.Server{
+		Handler: f, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeader, DisableGeneralOptionsHandler: true,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, c)
@@ -64,7 +65,8 @@
 			if s == http.StateIdle {
 				c.(*connection).endRequest()
 			}
-		}}
+		},
+	}
 	return f
 }
 
--- a/internal/front/http1/h2.go
+++ b/internal/front/http1/h2.go
@@ -33,8 +33,10 @@
 	f.conns.scanHeads = false
 	f.server.Protocols = new(http.Protocols)
 	f.server.Protocols.SetUnencryptedHTTP2(true)
-	f.server.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: limits.Streams, MaxReadFrameSize: 16 << 10,
+	f.server.HTTP2 = &http.HTTP2Config{
+		MaxConcurrentStreams: limits.Streams, MaxReadFrameSize: 16 << 10,
 		MaxReceiveBufferPerConnection: limits.Window,
-		MaxReceiveBufferPerStream:     message.MaxBody, SendPingTimeout: h2PingAfter, PingTimeout: h2PingTimeout, WriteByteTimeout: WriteTimeout}
+		MaxReceiveBufferPerStream:     message.MaxBody, SendPingTimeout: h2PingAfter, PingTimeout: h2PingTimeout, WriteByteTimeout: WriteTimeout,
+	}
 	return f
 }
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -189,8 +189,10 @@
 			continue // the routes name its successor by now
 		case err != nil:
 			// Callers over the limit of calls retry at once: a new connection each time would cost more than the rejection.
-			return nil, &Refusal{Status: http.StatusServiceUnavailable, Text: err.Error(), Retry: true,
-				Keep: err == pool.ErrCalls && size == 0}
+			return nil, &Refusal{
+				Status: http.StatusServiceUnavailable, Text: err.Error(), Retry: true,
+				Keep: err == pool.ErrCalls && size == 0,
+			}
 		}
 		if !from.assign(p.Shares().Callers) {
 			p.Leave(size)
--- a/internal/grpc/grpc_test.go
+++ b/internal/grpc/grpc_test.go
@@ -17,8 +17,10 @@
 )
 
 func TestTimeout(t *testing.T) {
-	for text, want := range map[string]time.Duration{"1H": time.Hour, "90M": 90 * time.Minute, "5S": 5 * time.Second, "250m": 250 * time.Millisecond,
-		"10u": 10 * time.Microsecond, "0n": 0, "00000007n": 7, "99999999H": math.MaxInt64} {
+	for text, want := range map[string]time.Duration{
+		"1H": time.Hour, "90M": 90 * time.Minute, "5S": 5 * time.Second, "250m": 250 * time.Millisecond,
+		"10u": 10 * time.Microsecond, "0n": 0, "00000007n": 7, "99999999H": math.MaxInt64,
+	} {
 		if d, err := ParseTimeout(text); err != nil || d != want {
 			t.Errorf("%s: %v, %v", text, d, err)
 		}
--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -111,11 +111,15 @@
 	if cfg.Quiet == 0 {
 		cfg.Quiet = defaultQuiet
 	}
-	c := &Conn{cfg: cfg, now: now, lastFrameAt: now, nextID: 1, streams: map[uint32]*stream{},
+	c := &Conn{
+		cfg: cfg, now: now, lastFrameAt: now, nextID: 1, streams: map[uint32]*stream{},
 		sendWindow: defaultWindow, initialSendWindow: defaultWindow, maxFrameSize: defaultFrame,
-		peerMaxStreams: cfg.MaxStreams, awaitingPing: map[uint64][]uint32{}}
-	return c, []Action{WriteSettings{InitialWindow: uint32(cfg.MaxBody), MaxHeader: uint32(cfg.MaxHeader)},
-		WriteWindowUpdate{0, connectionWindow - defaultWindow}}
+		peerMaxStreams: cfg.MaxStreams, awaitingPing: map[uint64][]uint32{},
+	}
+	return c, []Action{
+		WriteSettings{InitialWindow: uint32(cfg.MaxBody), MaxHeader: uint32(cfg.MaxHeader)},
+		WriteWindowUpdate{0, connectionWindow - defaultWindow},
+	}
 }
 
 // StreamsAvailable returns how many streams may be opened now.
--- a/internal/h2/client/client_test.go
+++ b/internal/h2/client/client_test.go
@@ -15,7 +15,8 @@
 func talk(t interface {
 	Helper()
 	Fatalf(string, ...any)
-}, cfg Config, s Settings) *Conn {
+}, cfg Config, s Settings,
+) *Conn {
 	t.Helper()
 	c, first := New(0, cfg)
 	if len(first) != 2 {
@@ -401,8 +402,17 @@
 			done(k.Consumed(k.now, id, int(n)))
 			done(k.Append(k.now, id, make([]byte, n), n%4 == 0))
 			fields := []Field{{":status", fmt.Sprint(n * 4)}, {"content-length", fmt.Sprint(n % 7)}, {string(text[i : i+1]), "x"}}
-			done(k.Handle(k.now, []Event{Settings{InitialWindow: &n, MaxStreams: &id}, Headers{id, fields[:n%4%3+1], n > 128}, Data{id, make([]byte, n), int(n), n > 128},
-				ResetFrame{id, n % 16}, GoAway{id, n}, WindowUpdate{id, n << 20}, Ping{Ack: n%2 == 0, Data: [8]byte{byte(id)}}, Malformed{id, n}, Other{Push: n == 7}}[text[i]%9]))
+			done(k.Handle(k.now, []Event{
+				Settings{InitialWindow: &n, MaxStreams: &id},
+				Headers{id, fields[:n%4%3+1], n > 128},
+				Data{id, make([]byte, n), int(n), n > 128},
+				ResetFrame{id, n % 16},
+				GoAway{id, n},
+				WindowUpdate{id, n << 20},
+				Ping{Ack: n%2 == 0, Data: [8]byte{byte(id)}},
+				Malformed{id, n},
+				Other{Push: n == 7},
+			}[text[i]%9]))
 		}
 		done(k.Close())
 		if len(open) > 0 {
--- a/internal/mesh/cli/cli.go
+++ b/internal/mesh/cli/cli.go
@@ -123,8 +123,10 @@
 		{"maintenance", "machines come out within the hours that contracts approve", newMaintenanceCommands(env)},
 		{"policy", "namespaces' policies: what holds on a request and by whom, where they meet, which set is active", newPolicyCommands(env)},
 		{"logs", "print the log that a process still has in memory", &logsCommand{env: env}},
-		{"recover", "write the configuration that a stopped member's disk holds, after more was lost than the mesh tolerates",
-			&recoverCommand{env: env}},
+		{
+			"recover", "write the configuration that a stopped member's disk holds, after more was lost than the mesh tolerates",
+			&recoverCommand{env: env},
+		},
 		{"inspect", "tell what a member's disk holds, changing nothing", &inspectCommand{env: env}},
 		{"demo", "start a small mesh on loopback, play a scene on it, tell what became of every request", newDemoCommands(env)},
 	}
--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -126,10 +126,14 @@
 		{commandTest: commandTest{1, "line 2: route bad: ForwardAction.TimeoutS is 0", []string{"check", m.write(t, "bad.json", badRoute)}}},
 		{commandTest: commandTest{1, "line 1: NodeName", []string{"check", m.write(t, "bad.yaml", badSettings)}}},
 		{commandTest: commandTest{0, "leaves    route read, version 3 -> 3", []string{"diff", m.api, call}}},
-		{commandTest: commandTest{1, "ForwardAction.Service: stock -> orders",
-			[]string{"diff", m.api, m.routeCall(t, "more.json", 5, nil, "read", "orders")}}},
-		{commandTest: commandTest{1, `the service "nobody" is not known`,
-			[]string{"diff", m.api, m.routeCall(t, "unknown.json", 5, nil, "read", "nobody")}}},
+		{commandTest: commandTest{
+			1, "ForwardAction.Service: stock -> orders",
+			[]string{"diff", m.api, m.routeCall(t, "more.json", 5, nil, "read", "orders")},
+		}},
+		{commandTest: commandTest{
+			1, `the service "nobody" is not known`,
+			[]string{"diff", m.api, m.routeCall(t, "unknown.json", 5, nil, "read", "nobody")},
+		}},
 		{commandTest: commandTest{1, "409", []string{"apply", m.api, m.routeCall(t, "other.json", 3, nil, "read", "orders")}}},
 		{commandTest: commandTest{0, "3 items in", []string{"backup", m.api, m.path("kept.json")}}},
 		{commandTest: commandTest{0, "3 items acknowledged", []string{"restore", m.api, m.path("kept.json")}}},
@@ -138,8 +142,10 @@
 		{commandTest: commandTest{3, "dial " + m.Members[0].IP + ":1", []string{"--timeout", "300ms", "status", m.Members[0].IP + ":1"}}},
 		{commandTest: commandTest{0, `"message":"control-plane member followed"`, []string{"logs", inbound}}, noJSON: true},
 		{commandTest: commandTest{0, "stock 100 %", []string{"topology", m.transport, "--save", m.path("mesh.json")}}},
-		{commandTest: commandTest{0, "subgraph cluster_control_plane",
-			[]string{"topology", "--dot", "--from", m.path("mesh.json")}}, noJSON: true},
+		{commandTest: commandTest{
+			0, "subgraph cluster_control_plane",
+			[]string{"topology", "--dot", "--from", m.path("mesh.json")},
+		}, noJSON: true},
 		{commandTest: commandTest{0, "</svg>", []string{"topology", "--svg", "--from", m.path("mesh.json")}}, noJSON: true},
 		{commandTest: commandTest{1, "either ADDR or --from", []string{"topology"}}},
 		{commandTest: commandTest{0, "", []string{"drain", inbound}}, noJSON: true},
@@ -163,24 +169,32 @@
 	for _, x := range []commandTest{
 		{0, "no namespace has set any policy", []string{"policy", "status", m.api}},
 		{0, "2 items acknowledged", []string{"apply", "--wait", m.api, namespaces}},
-		{0, "tightens route read to stock, of shop: TimeoutS 3 -> 1.5, by ruling calm of store",
-			[]string{"apply", "--dry-run", "--by", "bo", m.api, calm}},
+		{
+			0, "tightens route read to stock, of shop: TimeoutS 3 -> 1.5, by ruling calm of store",
+			[]string{"apply", "--dry-run", "--by", "bo", m.api, calm},
+		},
 		{1, "ruling calm is of store, and ana owns shop", []string{"apply", "--dry-run", "--by", "ana", m.api, calm}},
 		{1, "403", []string{"apply", "--by", "ana", m.api, calm}},
 		{0, "1 items acknowledged", []string{"apply", "--wait", "--by", "bo", m.api, calm}},
 		{0, "is active, by entry", []string{"policy", "status", m.api}},
-		{0, "over 3 of route read of mesh, version 3 (as item)",
-			[]string{"policy", "explain", "--sidecar", m.Sidecars[1].Addr("Inbound"), m.api, testcluster.Host, "/read/x"}},
-		{0, "with the change:\n",
-			[]string{"policy", "explain", "--with", looser, "--caller", "orders", m.api, testcluster.Host, "/read/x"}},
+		{
+			0, "over 3 of route read of mesh, version 3 (as item)",
+			[]string{"policy", "explain", "--sidecar", m.Sidecars[1].Addr("Inbound"), m.api, testcluster.Host, "/read/x"},
+		},
+		{
+			0, "with the change:\n",
+			[]string{"policy", "explain", "--with", looser, "--caller", "orders", m.api, testcluster.Host, "/read/x"},
+		},
 		{1, "no route takes", []string{"policy", "explain", m.api, testcluster.Host, "/nowhere/"}},
 		{0, "service stock is of store: bo", []string{"policy", "owner", m.api, "read"}},
 		{0, "no two namespaces meet on a route", []string{"policy", "report", m.api}},
 		{0, "by bo: tightens route read to stock", []string{"policy", "notices", m.api, "shop"}},
 		{0, "items in", []string{"backup", m.api, saved}},
 		{1, "shop has to consent", []string{"policy", "check", "--against", saved, "--by", "bo", looser}},
-		{0, "LOOSENS route read to stock, of shop: Tries 1 -> 2",
-			[]string{"policy", "check", "--against", saved, "--by", "bo", "--consent", "shop:ana", looser}},
+		{
+			0, "LOOSENS route read to stock, of shop: Tries 1 -> 2",
+			[]string{"policy", "check", "--against", saved, "--by", "bo", "--consent", "shop:ana", looser},
+		},
 	} {
 		x.run(t, x.args[0] == "policy")
 	}
--- a/internal/mesh/cli/config.go
+++ b/internal/mesh/cli/config.go
@@ -43,7 +43,7 @@
 func (c *getCommand) printNamed(table config.Table, name string) error {
 	found := false
 	for _, item := range table.Items() {
-		if item.Key.Name == name || item.Kind == config.KindLimits && name == limitsName {
+		if item.Name == name || item.Kind == config.KindLimits && name == limitsName {
 			found = true
 			if err := c.env.printIndented(item.Body); err != nil {
 				return err
--- a/internal/mesh/cli/demo.go
+++ b/internal/mesh/cli/demo.go
@@ -16,8 +16,10 @@
 }
 
 func newDemoCommands(env *environment) *demoCommands {
-	return &demoCommands{Failover: demoFailover{env: env}, Maintenance: demoMaintenance{env: env}, Policy: demoPolicy{env: env},
-		PolicyDownloads: demoPolicyDownloads{env: env}}
+	return &demoCommands{
+		Failover: demoFailover{env: env}, Maintenance: demoMaintenance{env: env}, Policy: demoPolicy{env: env},
+		PolicyDownloads: demoPolicyDownloads{env: env},
+	}
 }
 
 type demoFailover struct {
--- a/internal/mesh/cli/maintenance.go
+++ b/internal/mesh/cli/maintenance.go
@@ -140,8 +140,10 @@
 		crand.Read(random[:]) // never fails
 		c.ID = "order-" + hex.EncodeToString(random[:])
 	}
-	order := maintenance.Order{ID: c.ID, Machines: c.Args.Machines, Duration: c.Length, PlacedBy: c.By, Reason: c.Reason,
-		Override: c.Override, NeedsApproval: c.Ask}
+	order := maintenance.Order{
+		ID: c.ID, Machines: c.Args.Machines, Duration: c.Length, PlacedBy: c.By, Reason: c.Reason,
+		Override: c.Override, NeedsApproval: c.Ask,
+	}
 	response, err := c.env.api(c.Args.API).Maintenance(controlplane.MaintenanceRequest{Order: &order})
 	if err != nil {
 		return err
--- a/internal/mesh/cli/status.go
+++ b/internal/mesh/cli/status.go
@@ -92,7 +92,7 @@
 	if err != nil {
 		return topology.Topology{}, err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }() // it was only read
 	t, err := topology.Load(file)
 	return t, errors.Annotate(err, c.From)
 }
@@ -103,7 +103,7 @@
 		return err
 	}
 	if err := t.Save(file); err != nil {
-		file.Close()
+		_ = file.Close() // the first error is the one to tell
 		return errors.Annotate(err, path)
 	}
 	return file.Close()
--- a/internal/mesh/demo/audit_test.go
+++ b/internal/mesh/demo/audit_test.go
@@ -27,12 +27,21 @@
 		{"nothing was observed", nil, 0, 0},
 		{"one set, one policy", []observedPolicy{observe(0, 1, "a", "p", "s"), observe(0, 1, "b", "p", "s")}, 0, 1},
 		{"one set, two policies", []observedPolicy{observe(0, 1, "a", "p", "s"), observe(1, 2, "b", "q", "s")}, 1, 1},
-		{"the former set just within the fence",
-			[]observedPolicy{observe(0, 1, "a", "p", "s"), observe(2, 3, "a", "q", "t"), observe(3+fence, 4+fence, "b", "p", "s")}, 0, 2},
-		{"the former set beyond the fence",
-			[]observedPolicy{observe(0, 1, "a", "p", "s"), observe(2, 3, "a", "q", "t"), observe(3.1+fence, 4+fence, "b", "p", "s")}, 1, 2},
-		{"requests out of their order",
-			[]observedPolicy{observe(3.1+fence, 4+fence, "b", "p", "s"), observe(2, 3, "a", "q", "t"), observe(0, 1, "a", "p", "s")}, 1, 2},
+		{
+			"the former set just within the fence",
+			[]observedPolicy{observe(0, 1, "a", "p", "s"), observe(2, 3, "a", "q", "t"), observe(3+fence, 4+fence, "b", "p", "s")},
+			0, 2,
+		},
+		{
+			"the former set beyond the fence",
+			[]observedPolicy{observe(0, 1, "a", "p", "s"), observe(2, 3, "a", "q", "t"), observe(3.1+fence, 4+fence, "b", "p", "s")},
+			1, 2,
+		},
+		{
+			"requests out of their order",
+			[]observedPolicy{observe(3.1+fence, 4+fence, "b", "p", "s"), observe(2, 3, "a", "q", "t"), observe(0, 1, "a", "p", "s")},
+			1, 2,
+		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			audit := auditPolicies(x.observed)
--- a/internal/mesh/demo/cluster.go
+++ b/internal/mesh/demo/cluster.go
@@ -69,7 +69,9 @@
 	if c.Cluster != nil {
 		c.Close()
 	}
-	os.RemoveAll(c.dir)
+	if err := os.RemoveAll(c.dir); err != nil {
+		fmt.Fprintln(c.out, err)
+	}
 }
 
 // modify has a change acknowledged by whichever member does.
--- a/internal/mesh/demo/demo_test.go
+++ b/internal/mesh/demo/demo_test.go
@@ -21,10 +21,14 @@
 		play func(out *bytes.Buffer) error
 		last string // that the scene prints
 	}{
-		{"failover", func(out *bytes.Buffer) error { return Failover(over, out, 3*time.Second) },
-			"no order ran twice, and every answer belongs to its request"},
-		{"maintenance", func(out *bytes.Buffer) error { return Maintenance(out, time.Second) },
-			"no order ran twice, downloads are complete"},
+		{
+			"failover", func(out *bytes.Buffer) error { return Failover(over, out, 3*time.Second) },
+			"no order ran twice, and every answer belongs to its request",
+		},
+		{
+			"maintenance", func(out *bytes.Buffer) error { return Maintenance(out, time.Second) },
+			"no order ran twice, downloads are complete",
+		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			var out bytes.Buffer
--- a/internal/mesh/demo/failover.go
+++ b/internal/mesh/demo/failover.go
@@ -20,6 +20,7 @@
 		return err
 	}
 	defer c.closeAndRemove()
+	//nolint:contextcheck // stay only says how long the mesh is kept up afterwards; the scene itself is bounded by timeout
 	if err := c.printTopology(timeout); err != nil {
 		return err
 	}
--- a/internal/mesh/demo/policy.go
+++ b/internal/mesh/demo/policy.go
@@ -29,14 +29,18 @@
 
 // DispatchScenario is the day of a dispatch office.
 func DispatchScenario(length time.Duration) PolicyScenario {
-	return PolicyScenario{Length: length, Services: [2]string{"dispatch", "devicebook"}, Owners: [2]string{"ana", "cy"},
-		KeyedRoute: "send", ReadRoute: "tokens"}
+	return PolicyScenario{
+		Length: length, Services: [2]string{"dispatch", "devicebook"}, Owners: [2]string{"ana", "cy"},
+		KeyedRoute: "send", ReadRoute: "tokens",
+	}
 }
 
 // IntakeScenario is a winery's intake day, with downloads.
 func IntakeScenario(length time.Duration) PolicyScenario {
-	return PolicyScenario{Length: length, Services: [2]string{"crew-log", "cellar-ledger"}, Owners: [2]string{"kit", "lou"},
-		KeyedRoute: "weighing", ReadRoute: "block", DownloadRoute: "export"}
+	return PolicyScenario{
+		Length: length, Services: [2]string{"crew-log", "cellar-ledger"}, Owners: [2]string{"kit", "lou"},
+		KeyedRoute: "weighing", ReadRoute: "block", DownloadRoute: "export",
+	}
 }
 
 const (
@@ -104,8 +108,10 @@
 // namespaces is the call that gives each team its namespace.
 func (s PolicyScenario) namespaces() []byte {
 	return encode(map[string]any{"Upsert": map[string]any{"NamespaceList": []policy.Namespace{
-		{Name: s.Services[0], ConfigVersion: 1, Owners: []string{s.Owners[0]}, Services: []string{s.Services[0]},
-			Hosts: []string{testcluster.Host}},
+		{
+			Name: s.Services[0], ConfigVersion: 1, Owners: []string{s.Owners[0]}, Services: []string{s.Services[0]},
+			Hosts: []string{testcluster.Host},
+		},
 		{Name: s.Services[1], ConfigVersion: 1, Owners: []string{s.Owners[1]}, Services: []string{s.Services[1]}},
 	}}})
 }
@@ -150,8 +156,10 @@
 	merged, set, _ := strings.Cut(response.PolicyTrace, " ")
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.observed = append(d.observed, observedPolicy{began: began, ended: time.Now(), sidecar: x.Name,
-		route: strings.Split(path, "/")[1], policy: merged, set: set, caller: x.App.Service})
+	d.observed = append(d.observed, observedPolicy{
+		began: began, ended: time.Now(), sidecar: x.Name,
+		route: strings.Split(path, "/")[1], policy: merged, set: set, caller: x.App.Service,
+	})
 	return response
 }
 
--- a/internal/mesh/raft/raftwire/compat_test.go
+++ b/internal/mesh/raft/raftwire/compat_test.go
@@ -15,9 +15,11 @@
 
 // Kinds of messages and entries keep their numbers on the wire and on disk.
 func TestKindsOfEarlierBuild(t *testing.T) {
-	messages := []raft.MessageKind{raft.AppendEntries, raft.AppendResponse, raft.PreVote, raft.PreVoteResponse, raft.RequestVote,
+	messages := []raft.MessageKind{
+		raft.AppendEntries, raft.AppendResponse, raft.PreVote, raft.PreVoteResponse, raft.RequestVote,
 		raft.VoteResponse, raft.InstallSnapshot, raft.JoinRequest, raft.NotMember, raft.TimeoutNow, raft.LeaveRequest, raft.LeaveGranted,
-		raft.SnapshotChunk, raft.SnapshotChunkResponse}
+		raft.SnapshotChunk, raft.SnapshotChunkResponse,
+	}
 	for number, kind := range messages {
 		encoded := MessageToWire(raft.Message{Kind: kind})
 		assert.Equal(t, int(encoded.Kind), number)
@@ -38,11 +40,15 @@
 		Kind: raft.InstallSnapshot, From: 11, To: 22, Term: 5, Index: 100, LogTerm: 4, Commit: 99, Reject: true, Hint: 98, HeartbeatRound: 77,
 		Entries: []raft.Entry{
 			{Index: 101, Term: 5, Kind: raft.EntryCommand, LogTime: 2 * time.Second, Data: []byte("change")},
-			{Index: 102, Term: 5, Kind: raft.EntryConfiguration, LogTime: 3 * time.Second, Members: members, Outgoing: outgoing,
-				ProtocolVersion: 1},
+			{
+				Index: 102, Term: 5, Kind: raft.EntryConfiguration, LogTime: 3 * time.Second, Members: members, Outgoing: outgoing,
+				ProtocolVersion: 1,
+			},
+		},
+		Snapshot: &raft.Snapshot{
+			Index: 100, Term: 4, LogTime: time.Second, ConfigurationIndex: 90, Members: members, Outgoing: outgoing,
+			ProtocolVersion: 1, Data: []byte("state"),
 		},
-		Snapshot: &raft.Snapshot{Index: 100, Term: 4, LogTime: time.Second, ConfigurationIndex: 90, Members: members, Outgoing: outgoing,
-			ProtocolVersion: 1, Data: []byte("state")},
 		Addr: "10.0.0.1:7380", Members: members, ConfigurationIndex: 90, ProtocolVersion: 1, Offset: 32_768, TotalBytes: 65_536,
 		Checksum: 0xdeadbeef, Leaving: true,
 	}
--- a/internal/mesh/raft/raftwire/raftwire.go
+++ b/internal/mesh/raft/raftwire/raftwire.go
@@ -33,8 +33,10 @@
 func EntryToWire(e raft.Entry) *wire.EntryT {
 	t := &wire.EntryT{Index: e.Index, Term: e.Term, Kind: byte(e.Kind), LogTimeNs: int64(e.LogTime), Data: e.Data}
 	if e.Kind == raft.EntryConfiguration {
-		t.Data = codec.EncodeTable(&wire.MembersT{List: MembersToWire(e.Members), Index: e.Index, Outgoing: MembersToWire(e.Outgoing),
-			RaftVersion: e.ProtocolVersion})
+		t.Data = codec.EncodeTable(&wire.MembersT{
+			List: MembersToWire(e.Members), Index: e.Index, Outgoing: MembersToWire(e.Outgoing),
+			RaftVersion: e.ProtocolVersion,
+		})
 	}
 	return t
 }
--- a/internal/mesh/scale/experiment.go
+++ b/internal/mesh/scale/experiment.go
@@ -102,10 +102,12 @@
 
 // DefaultExperiment is what holds where a file names nothing else.
 func DefaultExperiment() Experiment {
-	return Experiment{Full: []int{30}, Seeds: []uint64{1}, RepeatTo: largestSize, Registers: 3,
+	return Experiment{
+		Full: []int{30}, Seeds: []uint64{1}, RepeatTo: largestSize, Registers: 3,
 		Phases:   []string{PhaseIdle, PhaseChanges, PhaseClaims, PhaseRestarts, PhaseHeartbeats},
 		Services: 3, Routes: 6, PhaseS: 5, SettleS: 2, HeartbeatS: 0.3,
-		ChangesPerS: 5, ClaimsPerS: 200, RestartsPerS: 2, HeartbeatFactor: 4, MemoryGiB: 15}
+		ChangesPerS: 5, ClaimsPerS: 200, RestartsPerS: 2, HeartbeatFactor: 4, MemoryGiB: 15,
+	}
 }
 
 // LoadExperiment reads an experiment file.
--- a/internal/mesh/scale/fit.go
+++ b/internal/mesh/scale/fit.go
@@ -36,8 +36,10 @@
 	if !ok {
 		return f, false
 	}
-	f = PowerFit{Factor: math.Exp(line.Intercept), Exponent: line.Slope, ExponentError: line.SlopeError, Residual: line.Residual, Points: len(logs),
-		meanX: line.meanX, squares: line.squares, Spread: spread(l)}
+	f = PowerFit{
+		Factor: math.Exp(line.Intercept), Exponent: line.Slope, ExponentError: line.SlopeError, Residual: line.Residual, Points: len(logs),
+		meanX: line.meanX, squares: line.squares, Spread: spread(l),
+	}
 	return f, true
 }
 
--- a/internal/mesh/scale/fleet.go
+++ b/internal/mesh/scale/fleet.go
@@ -233,8 +233,10 @@
 
 func (f *fleet) startServer(s settings.Settings) {
 	host, _, _ := net.SplitHostPort(s.ListenAddrs.ControlPlane)
-	v := &server{sidecar: s.ListenAddrs.Inbound, control: s.ListenAddrs.ControlPlane, address: net.JoinHostPort(host, "2"), service: s.Service, zone: s.Zone, client: f.client,
-		beats: &f.beats, node: s.NodeName}
+	v := &server{
+		sidecar: s.ListenAddrs.Inbound, control: s.ListenAddrs.ControlPlane, address: net.JoinHostPort(host, "2"), service: s.Service, zone: s.Zone, client: f.client,
+		beats: &f.beats, node: s.NodeName,
+	}
 	v.period.Store(int64(seconds(f.x.HeartbeatS)))
 	v.start()
 	f.servers = append(f.servers, v)
--- a/internal/mesh/scale/metrics_test.go
+++ b/internal/mesh/scale/metrics_test.go
@@ -12,10 +12,12 @@
 	idle := Phase{Name: PhaseIdle, Seconds: 5, Events: 100, Roles: map[string]Load{
 		RoleSidecar:  {Processor: 0.1, Heard: map[string]float64{"records": 50 * float64(size)}},
 		RoleLeader:   {Processor: 0.2, Said: map[string]float64{"core": 100, "records": 7}},
-		RoleFollower: {Processor: 0.1}}}
+		RoleFollower: {Processor: 0.1},
+	}}
 	claims := Phase{Name: PhaseClaims, Seconds: 5, Events: 1000, Roles: map[string]Load{
 		RoleSidecar: {Processor: 0.3, Said: map[string]float64{"ask": 10}, Heard: map[string]float64{"told": 20}},
-		RoleLeader:  {Processor: 0.7, Said: map[string]float64{"core": 700, "told": 400, "records": 9000}}}}
+		RoleLeader:  {Processor: 0.7, Said: map[string]float64{"core": 700, "told": 400, "records": 9000}},
+	}}
 	return Measurement{Size: size, Full: 10, Services: 3, Routes: 6, Phases: []Phase{idle, claims}}
 }
 
--- a/internal/mesh/scale/sample.go
+++ b/internal/mesh/scale/sample.go
@@ -171,8 +171,10 @@
 
 // load is what a role's processes used between two moments, for each of n.
 func load(from, to Usage, said, saidNow map[string]int64, span, n float64) Load {
-	return Load{Processor: (to.Processor - from.Processor) / span / n, Resident: int64(float64(to.Resident) / n), Said: rates(said, saidNow, span*n),
-		Read: float64(to.Read-from.Read) / span / n, Written: float64(to.Written-from.Written) / span / n}
+	return Load{
+		Processor: (to.Processor - from.Processor) / span / n, Resident: int64(float64(to.Resident) / n), Said: rates(said, saidNow, span*n),
+		Read: float64(to.Read-from.Read) / span / n, Written: float64(to.Written-from.Written) / span / n,
+	}
 }
 
 func rates(from, to map[string]int64, by float64) map[string]float64 {
--- a/internal/mesh/scale/servers.go
+++ b/internal/mesh/scale/servers.go
@@ -71,8 +71,10 @@
 	s.mu.Lock()
 	s.seq++
 	instance := fmt.Sprintf("i-%s-%d", s.node, s.life)
-	b := sidecar.Heartbeat{Address: s.address, SystemInfo: sidecar.SystemInfo{Service: s.service, ConfigVersion: "v1", Zone: s.zone, SlotCount: serverSlots},
-		OperStatus: sidecar.OperationalStatus{State: s.state, CallSeq: s.seq}}
+	b := sidecar.Heartbeat{
+		Address: s.address, SystemInfo: sidecar.SystemInfo{Service: s.service, ConfigVersion: "v1", Zone: s.zone, SlotCount: serverSlots},
+		OperStatus: sidecar.OperationalStatus{State: s.state, CallSeq: s.seq},
+	}
 	s.mu.Unlock()
 	body, err := json.Marshal(b)
 	if err != nil {
--- a/internal/mesh/scale/target.go
+++ b/internal/mesh/scale/target.go
@@ -210,31 +210,47 @@
 	said, factor, from := b.at(sidecarSaidIdle)
 	l = append(l, Need{Role: role, What: "bytes said with no event", Unit: BytesPerSecond, Value: said, Factor: factor, Budget: budgetBytes, From: from})
 	change, from := b.median(sidecarChangeBytes)
-	l = append(l, Need{Role: role, What: "bytes of changes, every one to every node", Unit: BytesPerSecond, Value: change * targetChangesPS, Factor: math.NaN(), Budget: budgetBytes,
-		From: from + fmt.Sprintf(" × %.2f changes a second", targetChangesPS)})
+	l = append(l, Need{
+		Role: role, What: "bytes of changes, every one to every node", Unit: BytesPerSecond, Value: change * targetChangesPS, Factor: math.NaN(), Budget: budgetBytes,
+		From: from + fmt.Sprintf(" × %.2f changes a second", targetChangesPS),
+	})
 	restart, from := b.median(sidecarRestartBytes)
-	l = append(l, Need{Role: role, What: "bytes of restarts of servers", Unit: BytesPerSecond, Value: restart * targetRestartsPS, Factor: math.NaN(), Budget: budgetBytes,
-		From: from + fmt.Sprintf(" × %.3f a second", targetRestartsPS)})
+	l = append(l, Need{
+		Role: role, What: "bytes of restarts of servers", Unit: BytesPerSecond, Value: restart * targetRestartsPS, Factor: math.NaN(), Budget: budgetBytes,
+		From: from + fmt.Sprintf(" × %.3f a second", targetRestartsPS),
+	})
 	idle, factor, from := b.at(sidecarProcessorIdle)
 	l = append(l, Need{Role: role, What: "processor with no event: merging all records", Unit: Cores, Value: idle, Factor: factor, Budget: budgetProcessor, From: from})
 	service, _, from := b.varied(sidecarProcessorIdle, "service")
-	l = append(l, Need{Role: role, What: "processor of services with as few sidecars as were measured: an engine for each, and its list at each record", Unit: Cores,
-		Value: service * targetServices, Factor: math.NaN(), Budget: budgetProcessor, From: from + fmt.Sprintf(" × %d", targetServices)})
+	l = append(l, Need{
+		Role: role, What: "processor of services with as few sidecars as were measured: an engine for each, and its list at each record", Unit: Cores,
+		Value: service * targetServices, Factor: math.NaN(), Budget: budgetProcessor, From: from + fmt.Sprintf(" × %d", targetServices),
+	})
 	most := b.mostServices()
-	l = append(l, Need{Role: role, What: "processor with no event, sidecars and services together", Unit: Cores, Value: idle * targetServices / most, Factor: math.NaN(), Budget: budgetProcessor,
-		From: fmt.Sprintf("the row of no event × %d / %.0f services", targetServices, most), Assumed: "that the two multiply"})
+	l = append(l, Need{
+		Role: role, What: "processor with no event, sidecars and services together", Unit: Cores, Value: idle * targetServices / most, Factor: math.NaN(), Budget: budgetProcessor,
+		From: fmt.Sprintf("the row of no event × %d / %.0f services", targetServices, most), Assumed: "that the two multiply",
+	})
 	route, base, from := b.varied(sidecarPerChange, "route")
-	l = append(l, Need{Role: role, What: "processor of changes: a plan of all routes for each", Unit: Cores, Value: (base + route*assumedRoutes) * targetChangesPS, Factor: math.NaN(),
-		Budget: budgetProcessor, From: from + fmt.Sprintf(" × %d routes × %.2f changes a second", assumedRoutes, targetChangesPS), Assumed: "routes"})
+	l = append(l, Need{
+		Role: role, What: "processor of changes: a plan of all routes for each", Unit: Cores, Value: (base + route*assumedRoutes) * targetChangesPS, Factor: math.NaN(),
+		Budget: budgetProcessor, From: from + fmt.Sprintf(" × %d routes × %.2f changes a second", assumedRoutes, targetChangesPS), Assumed: "routes",
+	})
 	beat, from := b.median(sidecarPerHeartbeat)
-	l = append(l, Need{Role: role, What: "processor of its server's heartbeats", Unit: Cores, Value: beat / assumedHeartbeat, Factor: math.NaN(), Budget: budgetProcessor,
-		From: from + fmt.Sprintf(", every %.1f s", assumedHeartbeat), Assumed: "period"})
+	l = append(l, Need{
+		Role: role, What: "processor of its server's heartbeats", Unit: Cores, Value: beat / assumedHeartbeat, Factor: math.NaN(), Budget: budgetProcessor,
+		From: from + fmt.Sprintf(", every %.1f s", assumedHeartbeat), Assumed: "period",
+	})
 	claim, from := b.median(sidecarPerClaim)
-	l = append(l, Need{Role: role, What: "processor of its own claims", Unit: Cores, Value: claim * keysPerSecond / targetNodes, Factor: math.NaN(), Budget: budgetProcessor,
-		From: from + fmt.Sprintf(" × %.1f claims a second", keysPerSecond/targetNodes), Assumed: "share of keyed calls"})
+	l = append(l, Need{
+		Role: role, What: "processor of its own claims", Unit: Cores, Value: claim * keysPerSecond / targetNodes, Factor: math.NaN(), Budget: budgetProcessor,
+		From: from + fmt.Sprintf(" × %.1f claims a second", keysPerSecond/targetNodes), Assumed: "share of keyed calls",
+	})
 	bytes, from := b.median(sidecarClaimBytes)
-	l = append(l, Need{Role: role, What: "bytes of its own claims", Unit: BytesPerSecond, Value: bytes * keysPerSecond / targetNodes, Factor: math.NaN(), Budget: budgetBytes,
-		From: from + fmt.Sprintf(" × %.1f claims a second", keysPerSecond/targetNodes), Assumed: "share of keyed calls"})
+	l = append(l, Need{
+		Role: role, What: "bytes of its own claims", Unit: BytesPerSecond, Value: bytes * keysPerSecond / targetNodes, Factor: math.NaN(), Budget: budgetBytes,
+		From: from + fmt.Sprintf(" × %.1f claims a second", keysPerSecond/targetNodes), Assumed: "share of keyed calls",
+	})
 	return append(l, b.sidecarMemory())
 }
 
@@ -246,24 +262,34 @@
 	service, _, _ := b.varied(sidecarHeap, "service")
 	route, _, _ := b.varied(sidecarHeap, "route")
 	heap := max(0, peer.At(targetNodes)) + service*targetServices + route*assumedRoutes
-	return Need{Role: "sidecar", What: "memory: directory, services, routes", Unit: Bytes, Value: codeSidecarMB + assumedGarbage*heap, Factor: math.NaN(), Budget: budgetMemory,
+	return Need{
+		Role: "sidecar", What: "memory: directory, services, routes", Unit: Bytes, Value: codeSidecarMB + assumedGarbage*heap, Factor: math.NaN(), Budget: budgetMemory,
 		From: fmt.Sprintf("heap of %s a sidecar known, %s a service, %s a route; × %.1f, and %s of the process", format(peer.Slope, Bytes), format(service, Bytes),
-			format(route, Bytes), assumedGarbage, format(codeSidecarMB, Bytes)), Assumed: "routes, share of garbage, process"}
+			format(route, Bytes), assumedGarbage, format(codeSidecarMB, Bytes)), Assumed: "routes, share of garbage, process",
+	}
 }
 
 func (b *basis) leaderNeeds() (l []Need) {
 	const role = "leader"
 	claim, from := b.median(leaderPerClaim)
-	l = append(l, Need{Role: role, What: "processor of claims, all at one leader", Unit: Cores, Value: claim * keysPerSecond, Factor: math.NaN(), Budget: assumedMemberCores,
-		From: from + fmt.Sprintf(" × %.0f a second", keysPerSecond), Assumed: "share of keyed calls; cores of a machine"})
+	l = append(l, Need{
+		Role: role, What: "processor of claims, all at one leader", Unit: Cores, Value: claim * keysPerSecond, Factor: math.NaN(), Budget: assumedMemberCores,
+		From: from + fmt.Sprintf(" × %.0f a second", keysPerSecond), Assumed: "share of keyed calls; cores of a machine",
+	})
 	bytes, from := b.median(leaderClaimBytes)
-	l = append(l, Need{Role: role, What: "bytes said of claims", Unit: BytesPerSecond, Value: bytes * keysPerSecond, Factor: math.NaN(), Budget: assumedMemberLink,
-		From: from + fmt.Sprintf(" × %.0f a second", keysPerSecond), Assumed: "share of keyed calls; link of a machine"})
-	l = append(l, Need{Role: role, What: "keys held, of which the code bounds the number", Unit: Count, Value: keysPerSecond * assumedKeyWindow, Factor: math.NaN(), Budget: codeMostKeys,
-		From: fmt.Sprintf("%.0f claims a second × %.0f s", keysPerSecond, assumedKeyWindow), Assumed: "all"})
+	l = append(l, Need{
+		Role: role, What: "bytes said of claims", Unit: BytesPerSecond, Value: bytes * keysPerSecond, Factor: math.NaN(), Budget: assumedMemberLink,
+		From: from + fmt.Sprintf(" × %.0f a second", keysPerSecond), Assumed: "share of keyed calls; link of a machine",
+	})
+	l = append(l, Need{
+		Role: role, What: "keys held, of which the code bounds the number", Unit: Count, Value: keysPerSecond * assumedKeyWindow, Factor: math.NaN(), Budget: codeMostKeys,
+		From: fmt.Sprintf("%.0f claims a second × %.0f s", keysPerSecond, assumedKeyWindow), Assumed: "all",
+	})
 	change, factor, from := b.at(leaderPerChange)
-	l = append(l, Need{Role: role, What: "processor of changes", Unit: Cores, Value: change * targetChangesPS, Factor: factor, Budget: assumedMemberCores,
-		From: from + fmt.Sprintf(" × %.2f a second", targetChangesPS), Assumed: "cores of a machine"})
+	l = append(l, Need{
+		Role: role, What: "processor of changes", Unit: Cores, Value: change * targetChangesPS, Factor: factor, Budget: assumedMemberCores,
+		From: from + fmt.Sprintf(" × %.2f a second", targetChangesPS), Assumed: "cores of a machine",
+	})
 	return l
 }
 
@@ -276,18 +302,24 @@
 	for _, homes := range []float64{codeMembers, targetMachines} {
 		sidecars := targetNodes / homes
 		of := fmt.Sprintf("with %.0f homes of %.0f sidecars", homes, sidecars)
-		l = append(l, Need{Role: role, What: "bytes said with no event, " + of, Unit: BytesPerSecond, Value: heard * sidecars, Factor: math.NaN(),
-			Budget: assumedMemberLink, From: heardFrom + fmt.Sprintf(" × %.0f", sidecars), Assumed: "link of a machine"})
+		l = append(l, Need{
+			Role: role, What: "bytes said with no event, " + of, Unit: BytesPerSecond, Value: heard * sidecars, Factor: math.NaN(),
+			Budget: assumedMemberLink, From: heardFrom + fmt.Sprintf(" × %.0f", sidecars), Assumed: "link of a machine",
+		})
 		frames := targetNodes / codeRefresh * sidecars
-		l = append(l, Need{Role: role, What: "processor with no event, " + of, Unit: Cores, Value: frame * frames, Factor: math.NaN(), Budget: assumedMemberCores,
-			From: frameFrom + fmt.Sprintf(" × %.3g frames a second", frames), Assumed: "cores of a machine"})
+		l = append(l, Need{
+			Role: role, What: "processor with no event, " + of, Unit: Cores, Value: frame * frames, Factor: math.NaN(), Budget: assumedMemberCores,
+			From: frameFrom + fmt.Sprintf(" × %.3g frames a second", frames), Assumed: "cores of a machine",
+		})
 	}
 	memory, ok := FitLine(Grow(metricNamed(followerResident), b.all).Points)
 	if !ok {
 		b.missing = append(b.missing, followerResident)
 	}
-	l = append(l, Need{Role: role, What: "memory, with no keys", Unit: Bytes, Value: memory.At(targetNodes), Factor: math.NaN(), Budget: assumedMemberMemory,
-		From: fmt.Sprintf("%s a sidecar of the mesh, with a third of them at home", format(memory.Slope, Bytes)), Assumed: "memory of a machine"})
+	l = append(l, Need{
+		Role: role, What: "memory, with no keys", Unit: Bytes, Value: memory.At(targetNodes), Factor: math.NaN(), Budget: assumedMemberMemory,
+		From: fmt.Sprintf("%s a sidecar of the mesh, with a third of them at home", format(memory.Slope, Bytes)), Assumed: "memory of a machine",
+	})
 	return l
 }
 
@@ -316,8 +348,10 @@
 	after, factor, from := b.at(delayInForce)
 	l = append(l, Need{Role: role, What: "change in force everywhere, longest", Unit: Seconds, Value: after / 1000, Factor: factor, Budget: budgetInForce, From: from})
 	granted, from := b.median(delayGranted)
-	l = append(l, Need{Role: role, What: "a keyed call's wait for its claim, 99 in 100, on loopback", Unit: Milliseconds, Value: granted, Factor: math.NaN(), Budget: budgetAdded,
-		From: from, Assumed: "that the whole budget is the claim's"})
+	l = append(l, Need{
+		Role: role, What: "a keyed call's wait for its claim, 99 in 100, on loopback", Unit: Milliseconds, Value: granted, Factor: math.NaN(), Budget: budgetAdded,
+		From: from, Assumed: "that the whole budget is the claim's",
+	})
 	out, from := b.median(crashToOut)
 	l = append(l, Need{Role: role, What: "a crashed server out everywhere", Unit: Seconds, Value: out, Factor: math.NaN(), From: from + ", at the runs' heartbeat; three heartbeats and 0.5 s of it are the code's"})
 	start, factor, from := b.at(startAll)
--- a/internal/mesh/sim/disk/file.go
+++ b/internal/mesh/sim/disk/file.go
@@ -110,6 +110,7 @@
 			flipped[rng.IntN(len(flipped))] ^= 1 << rng.IntN(8)
 		}
 		return flipped
+	case Truncated, SectorsLost:
 	}
 	return data[:at]
 }
--- a/internal/mesh/sim/disk/pointer.go
+++ b/internal/mesh/sim/disk/pointer.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"cmp"
+	"errors"
 	"fmt"
 	"os"
 	"slices"
@@ -137,7 +138,7 @@
 				}
 				break
 			}
-			if wrong != os.ErrNotExist {
+			if !errors.Is(wrong, os.ErrNotExist) {
 				err = wrong
 			}
 		}
--- a/internal/mesh/storage/faultschedule_test.go
+++ b/internal/mesh/storage/faultschedule_test.go
@@ -90,8 +90,10 @@
 }
 
 func newFaultSchedule(seed uint64, options Options, maxEntryBytes int) *faultSchedule {
-	s := &faultSchedule{rng: rand.New(rand.NewPCG(seed, seed)), faultRNG: rand.New(rand.NewPCG(seed, 0)), disk: disk.New(), options: options,
-		maxEntryBytes: maxEntryBytes}
+	s := &faultSchedule{
+		rng: rand.New(rand.NewPCG(seed, seed)), faultRNG: rand.New(rand.NewPCG(seed, 0)), disk: disk.New(), options: options,
+		maxEntryBytes: maxEntryBytes,
+	}
 	s.accessesUntilFault.Store(neverReached)
 	s.folder = s.disk
 	s.disk.OnAccess(func(disk.Access) { s.onAccess() })
--- a/internal/mesh/storage/store_test.go
+++ b/internal/mesh/storage/store_test.go
@@ -67,8 +67,10 @@
 
 	// A compaction has a snapshot stand for the beginning of the log.
 	store, _, _ = openDir(t, dir)
-	assert.NilError(t, store.Compact(raft.Snapshot{Index: 2, Term: 2, ConfigurationIndex: 1, Members: members, Outgoing: members[:1],
-		ProtocolVersion: 1, Data: []byte("state")}, 2))
+	assert.NilError(t, store.Compact(raft.Snapshot{
+		Index: 2, Term: 2, ConfigurationIndex: 1, Members: members, Outgoing: members[:1],
+		ProtocolVersion: 1, Data: []byte("state"),
+	}, 2))
 	store.Close()
 	store, state, _ = openDir(t, dir)
 	assert.DeepEqual(t, state.Snapshot.Outgoing, members[:1])
--- a/internal/mesh/testcluster/api.go
+++ b/internal/mesh/testcluster/api.go
@@ -24,27 +24,35 @@
 
 // RouteItem is a route for ModifyCall.
 func RouteItem(name, kind, prefix, service string, version int) map[string]any {
-	return map[string]any{"Name": name, "RouteType": kind, "TargetLatencyS": 1, "Priority": 1, "ConfigVersion": version,
+	return map[string]any{
+		"Name": name, "RouteType": kind, "TargetLatencyS": 1, "Priority": 1, "ConfigVersion": version,
 		"MatchCriteria": map[string]any{"PathPrefix": prefix},
-		"ForwardAction": map[string]any{"Service": service, "TimeoutS": 3, "RetryCount": 2}}
+		"ForwardAction": map[string]any{"Service": service, "TimeoutS": 3, "RetryCount": 2},
+	}
 }
 
 // ModifyCall is an operator's call that sets services, and routes on one host.
 func ModifyCall(version int, services []string, routes ...map[string]any) []byte {
 	var groups []map[string]any
 	for _, s := range services {
-		groups = append(groups, map[string]any{"Name": s, "HealthPath": "/health", "MaxConnections": 100, "Protocol": "h1",
-			"ConfigVersion": version})
+		groups = append(groups, map[string]any{
+			"Name": s, "HealthPath": "/health", "MaxConnections": 100, "Protocol": "h1",
+			"ConfigVersion": version,
+		})
 	}
-	return encode(map[string]any{"Upsert": map[string]any{"UpstreamGroups": groups,
-		"ListenerList": []any{map[string]any{"HostName": Host, "PolicyRules": routes}}}})
+	return encode(map[string]any{"Upsert": map[string]any{
+		"UpstreamGroups": groups,
+		"ListenerList":   []any{map[string]any{"HostName": Host, "PolicyRules": routes}},
+	}})
 }
 
 // ContractCall is an operator's call that sets a contract, which approves maintenance in a span by UTC. more are further fields.
 func ContractCall(name string, version int, from, to time.Time, more map[string]any) []byte {
-	contract := map[string]any{"Name": name, "ConfigVersion": version, "TimeZone": "UTC", "Approvers": []string{"ana"},
+	contract := map[string]any{
+		"Name": name, "ConfigVersion": version, "TimeZone": "UTC", "Approvers": []string{"ana"},
 		"MostOut": map[string]any{"Service": 1, "Zone": 4},
-		"Dates":   []any{map[string]any{"From": from.UTC().Format(contractTime), "To": to.UTC().Format(contractTime)}}}
+		"Dates":   []any{map[string]any{"From": from.UTC().Format(contractTime), "To": to.UTC().Format(contractTime)}},
+	}
 	maps.Copy(contract, more)
 	return encode(map[string]any{"Upsert": map[string]any{"ContractList": []any{contract}}})
 }
--- a/internal/mesh/testcluster/catchup_test.go
+++ b/internal/mesh/testcluster/catchup_test.go
@@ -136,9 +136,11 @@
 			for n := range work {
 				c := &wire.KeyLeaseRequestsT{}
 				for k := range keys / claimsWhileAway {
-					c.List = append(c.List, &wire.KeyLeaseRequestT{Key: fmt.Sprintf("away-%d-%d", n, k), Token: fmt.Sprint("ticket-", n),
+					c.List = append(c.List, &wire.KeyLeaseRequestT{
+						Key: fmt.Sprintf("away-%d-%d", n, k), Token: fmt.Sprint("ticket-", n),
 						Holder:   "127.0.0.1:1/abcdef",
-						WindowUs: time.Hour.Microseconds()})
+						WindowUs: time.Hour.Microseconds(),
+					})
 				}
 				if _, err := x.Call(ctx, codec.CallLeaseKeys, codec.EncodeTable(c)); err != nil {
 					t.Errorf("claim %d: %v", n, err)
--- a/internal/mesh/testcluster/cluster.go
+++ b/internal/mesh/testcluster/cluster.go
@@ -72,8 +72,10 @@
 }
 
 func newClusterBehind(dir string, members, tolerance int, relay *rig.Relay, services ...string) (*Cluster, error) {
-	m := &Cluster{Dir: dir, tolerance: tolerance, relay: relay, Recorder: NewRecorder(),
-		subnet: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(256))}
+	m := &Cluster{
+		Dir: dir, tolerance: tolerance, relay: relay, Recorder: NewRecorder(),
+		subnet: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(256)),
+	}
 	if err := m.choosePorts(); err != nil {
 		return nil, err
 	}
@@ -119,8 +121,10 @@
 	return map[string]any{
 		"NodeName": name, "IpAddress": ip, "Zone": zone, "Region": "r", "InternalPortRange": []int{transport, transport + transportPorts - 1},
 		"SeedNodes": m.seeds, "HeartbeatS": heartbeatInterval.Seconds(), "FaultTolerance": map[string]any{"Machines": m.tolerance},
-		"Bounds": map[string]any{"DrainS": 2, "GraceS": 3, "KeyWindowS": 60, "ConfigApplyS": 2, "AckS": 5,
-			"RetryBudgetRatio": 0.2, "RetryWindowS": 10, "RetrySlack": 50},
+		"Bounds": map[string]any{
+			"DrainS": 2, "GraceS": 3, "KeyWindowS": 60, "ConfigApplyS": 2, "AckS": 5,
+			"RetryBudgetRatio": 0.2, "RetryWindowS": 10, "RetrySlack": 50,
+		},
 		"Limits": map[string]any{"MemoryMb": 256, "MaxFds": 1024},
 	}
 }
@@ -145,8 +149,10 @@
 func (m *Cluster) AddSidecar(service string) (*Machine, error) {
 	n := len(m.Sidecars)
 	x := &Machine{Name: fmt.Sprintf("side-%d", n+1), IP: m.ip(firstSidecarIP + n), cluster: m, program: sidecarProgram, programs: m.Dir}
-	x.listenAddrs = map[string]string{"ControlPlane": m.addr(x.IP, portControlPlane), "Inbound": m.addr(x.IP, portSidecarTransport),
-		"Outbound": m.addr(x.IP, portOutbound), "Readiness": m.addr(x.IP, portReadiness)}
+	x.listenAddrs = map[string]string{
+		"ControlPlane": m.addr(x.IP, portControlPlane), "Inbound": m.addr(x.IP, portSidecarTransport),
+		"Outbound": m.addr(x.IP, portOutbound), "Readiness": m.addr(x.IP, portReadiness),
+	}
 	x.settings = m.baseSettings(x.Name, x.IP, fmt.Sprintf("zone-%d", n%zoneCount))
 	x.settings["ListenAddrs"] = x.listenAddrs
 	x.settings["AppAddress"], x.settings["Service"] = m.addr(x.IP, portApp), service
--- a/internal/mesh/testcluster/disk_loss_test.go
+++ b/internal/mesh/testcluster/disk_loss_test.go
@@ -24,8 +24,10 @@
 func newDiskLossTest(t *testing.T) *diskLossTest {
 	t.Helper()
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
-	r := &diskLossTest{cluster: m, relay: relay, observer: newObserver(), operator: m.Operator(0), version: 1,
-		bodyByKey: map[string]string{}}
+	r := &diskLossTest{
+		cluster: m, relay: relay, observer: newObserver(), operator: m.Operator(0), version: 1,
+		bodyByKey: map[string]string{},
+	}
 	r.observer.recordInitialRoutes()
 	return r
 }
--- a/internal/mesh/testcluster/fakeapp.go
+++ b/internal/mesh/testcluster/fakeapp.go
@@ -43,8 +43,10 @@
 
 // newFakeApp starts a server.
 func newFakeApp(service, instance, addr, controlAddr, zone string, recorder *Recorder) (*FakeApp, error) {
-	a := &FakeApp{Service: service, Instance: instance, Addr: addr, controlAddr: controlAddr, zone: zone,
-		recorder: recorder, stop: make(chan struct{})}
+	a := &FakeApp{
+		Service: service, Instance: instance, Addr: addr, controlAddr: controlAddr, zone: zone,
+		recorder: recorder, stop: make(chan struct{}),
+	}
 	a.state.Store(appReady)
 	a.SetServiceTime(defaultServiceTime)
 	listener, err := net.Listen("tcp", addr)
@@ -52,7 +54,7 @@
 		return nil, err
 	}
 	a.server = &http.Server{Handler: a}
-	go a.server.Serve(listener) // ends with Close of the server
+	go func() { _ = a.server.Serve(listener) }() // ends with Close of the server
 	go a.heartbeatLoop()
 	return a, nil
 }
@@ -91,9 +93,11 @@
 
 // sendHeartbeat sends one heartbeat, and says whether it was acknowledged.
 func (a *FakeApp) sendHeartbeat() (acknowledged bool) {
-	body := encode(map[string]any{"Address": a.Addr,
+	body := encode(map[string]any{
+		"Address":    a.Addr,
 		"SystemInfo": map[string]any{"Service": a.Service, "ConfigVersion": "v1", "Zone": a.zone, "SlotCount": appSlots},
-		"OperStatus": map[string]any{"State": a.state.Load(), "CallSeq": a.heartbeatSeq.Add(1), "WarmupLeftS": 0}})
+		"OperStatus": map[string]any{"State": a.state.Load(), "CallSeq": a.heartbeatSeq.Add(1), "WarmupLeftS": 0},
+	})
 	client := http.Client{Timeout: heartbeatTimeout}
 	response, err := client.Post("http://"+a.controlAddr+"/v1/endpoints/"+a.Instance+"/heartbeat", "application/json", bytes.NewReader(body))
 	if err != nil {
@@ -162,5 +166,5 @@
 	padding, _ := strconv.Atoi(r.URL.Query().Get("bytes")) // 0 where none is asked for
 	w.Header().Set("Server-Seal", sealOf(attempt))
 	text := append([]byte(r.Method+" "+r.RequestURI+" "+a.Instance+" "), body...)
-	w.Write(append(text, bytes.Repeat([]byte("x"), padding)...)) // a caller that has gone is no fault of the server's
+	_, _ = w.Write(append(text, bytes.Repeat([]byte("x"), padding)...)) // a caller that has gone is no fault of the server's
 }
--- a/internal/mesh/testcluster/http_test.go
+++ b/internal/mesh/testcluster/http_test.go
@@ -106,7 +106,8 @@
 func TestLimitsBoundRequests(t *testing.T) {
 	m := startCluster(t, "stock", "orders")
 	m.awaitAcknowledged(t, m.Members[:1], encode(map[string]any{"Upsert": map[string]any{"Limits": map[string]any{
-		"MaxHeaderBytes": 2000, "MaxBodyBytes": 100000, "HeaderTimeoutS": 0.3, "IdleTimeoutS": 60, "ConfigVersion": 2}}}))
+		"MaxHeaderBytes": 2000, "MaxBodyBytes": 100000, "HeaderTimeoutS": 0.3, "IdleTimeoutS": 60, "ConfigVersion": 2,
+	}}}))
 	x := m.Sidecars[0]
 	longHeader := "X: " + strings.Repeat("y", 2000) + "\r\n\r\n"
 	assert.Assert(t, rig.Await(testTimeout, func() bool { return x.sendPieces(t, "GET /read/ HTTP/1.1", longHeader) == 431 }))
--- a/internal/mesh/testcluster/link_faults_test.go
+++ b/internal/mesh/testcluster/link_faults_test.go
@@ -119,8 +119,10 @@
 			t.Errorf("%s has run at %v and is answered 503", response.Attempt, runs)
 		}
 		for _, server := range runs {
-			seen.Runs = append(seen.Runs, history.Run{At: time.Duration(n), Server: server, Key: response.Attempt, Window: time.Hour,
-				Request: response.Attempt})
+			seen.Runs = append(seen.Runs, history.Run{
+				At: time.Duration(n), Server: server, Key: response.Attempt, Window: time.Hour,
+				Request: response.Attempt,
+			})
 		}
 	}
 	for _, violation := range history.AtMostOnce(&seen) {
--- a/internal/mesh/testcluster/maintenance_test.go
+++ b/internal/mesh/testcluster/maintenance_test.go
@@ -212,8 +212,10 @@
 // place places an order; override is why it goes against the contracts, "" that it does not.
 func (r *rolledBackMaintenance) place(t *testing.T, id string, x *Machine, override string) {
 	t.Helper()
-	r.placeOrder(t, maintenance.Order{ID: id, Machines: []string{x.Name}, Duration: time.Hour, PlacedBy: "ana",
-		Override: override != "", Reason: override}, http.StatusOK)
+	r.placeOrder(t, maintenance.Order{
+		ID: id, Machines: []string{x.Name}, Duration: time.Hour, PlacedBy: "ana",
+		Override: override != "", Reason: override,
+	}, http.StatusOK)
 }
 
 // testOneAfterTheOther: the second machine of a service waits for the first, and is let in again as the hours end.
--- a/internal/mesh/testcluster/observer_test.go
+++ b/internal/mesh/testcluster/observer_test.go
@@ -60,16 +60,20 @@
 
 // newRouteChange is a change of one route; content, a path, is what another change of the same version may differ in.
 func newRouteChange(name, route string, version int, content string) routeChange {
-	return routeChange{name, ModifyCall(version, nil, RouteItem(route, "idempotent", content, "stock", version)),
-		[]history.ItemVersion{{Item: history.Item{Kind: routeKind, Name: route}, Version: int64(version), Digest: content}}}
+	return routeChange{
+		name, ModifyCall(version, nil, RouteItem(route, "idempotent", content, "stock", version)),
+		[]history.ItemVersion{{Item: history.Item{Kind: routeKind, Name: route}, Version: int64(version), Digest: content}},
+	}
 }
 
 // recordInitialRoutes records the routes that startRelayedCluster has had acknowledged.
 func (o *observer) recordInitialRoutes() {
 	for name, content := range map[string]string{"read": "/read/", "send": "/send/"} {
-		o.record(history.Change{Call: history.Call{Process: "start", Outcome: history.Acknowledged, Return: o.elapsed()},
+		o.record(history.Change{
+			Call:     history.Call{Process: "start", Outcome: history.Acknowledged, Return: o.elapsed()},
 			ChangeID: "start-" + name,
-			Items:    []history.ItemVersion{{Item: history.Item{Kind: routeKind, Name: name}, Version: 1, Digest: content}}})
+			Items:    []history.ItemVersion{{Item: history.Item{Kind: routeKind, Name: name}, Version: 1, Digest: content}},
+		})
 	}
 }
 
@@ -172,8 +176,10 @@
 			if strings.HasPrefix(r.Name, fillerPrefix) {
 				continue
 			}
-			l = append(l, history.ItemVersion{Item: history.Item{Kind: routeKind, Name: r.Name},
-				Version: r.ConfigVersion, Digest: r.MatchCriteria.PathPrefix})
+			l = append(l, history.ItemVersion{
+				Item:    history.Item{Kind: routeKind, Name: r.Name},
+				Version: r.ConfigVersion, Digest: r.MatchCriteria.PathPrefix,
+			})
 		}
 	}
 	return l
--- a/internal/mesh/testcluster/policy_test.go
+++ b/internal/mesh/testcluster/policy_test.go
@@ -171,8 +171,10 @@
 // testCallersAreDenied denies a caller by the service beside its sidecar, and not by what it says of itself.
 func (m *Cluster) testCallersAreDenied(t *testing.T, allowed, denied *Machine) {
 	t.Helper()
-	m.setPolicy(t, m.Members, "bo", policy.Policy{Name: "private", ConfigVersion: 1, Namespace: "store",
-		On: policy.Selector{Services: []string{"stock"}}, Callers: policy.CallerRules{Deny: []string{"orders"}}})
+	m.setPolicy(t, m.Members, "bo", policy.Policy{
+		Name: "private", ConfigVersion: 1, Namespace: "store",
+		On: policy.Selector{Services: []string{"stock"}}, Callers: policy.CallerRules{Deny: []string{"orders"}},
+	})
 	m.awaitPolicyActive(t)
 	got := denied.awaitStatus(t, "/read/x", http.StatusForbidden)
 	assert.Assert(t, strings.Contains(got.Body, "by ruling private of store, version 1 (as service) orders may not call it"), got.Body)
@@ -184,8 +186,10 @@
 
 func (m *Cluster) testPolicyBeforeItsService(t *testing.T, denied, allowed *Machine) {
 	t.Helper()
-	m.setPolicy(t, m.Members, "ana", policy.Policy{Name: "later", ConfigVersion: 1, Namespace: "shop",
-		On: policy.Selector{Services: []string{"later"}}, Callers: policy.CallerRules{Deny: []string{"stock"}}})
+	m.setPolicy(t, m.Members, "ana", policy.Policy{
+		Name: "later", ConfigVersion: 1, Namespace: "shop",
+		On: policy.Selector{Services: []string{"later"}}, Callers: policy.CallerRules{Deny: []string{"stock"}},
+	})
 	m.awaitAcknowledged(t, m.Members, ModifyCall(9, []string{"later"}, RouteItem("later", "idempotent", "/later/", "later", 9)))
 	_, err := m.AddSidecar("later")
 	assert.NilError(t, err)
@@ -206,8 +210,10 @@
 	call := func(tables map[string]any) []byte { return encode(map[string]any{"Remove": tables}) }
 	status, text := m.Members[0].Modify(call(map[string]any{"NamespaceTable": removals("shop")}))
 	assert.Assert(t, status == 400 && strings.Contains(text, "ruling later: its namespace"), "%d %s", status, text)
-	m.awaitAcknowledged(t, m.Members, call(map[string]any{"NamespaceTable": removals("shop", "store"),
-		"RulingTable": removals("patience", "shelter", "private", "later")}))
+	m.awaitAcknowledged(t, m.Members, call(map[string]any{
+		"NamespaceTable": removals("shop", "store"),
+		"RulingTable":    removals("patience", "shelter", "private", "later"),
+	}))
 	assert.Equal(t, m.awaitPolicyActive(t), "")
 	for _, x := range m.Sidecars {
 		var got Response
--- a/internal/mesh/testcluster/speed_bench_test.go
+++ b/internal/mesh/testcluster/speed_bench_test.go
@@ -143,8 +143,10 @@
 	t := &wire.KeyLeaseRequestsT{}
 	for n := range count {
 		key := fmt.Sprintf("%s-%08d", name, from+n)
-		t.List = append(t.List, &wire.KeyLeaseRequestT{Key: key, Token: "a1b2c3d4e5f6" + key,
-			Holder: "127.0.0.1:30000/a1b2c3d4e5f6", WindowUs: time.Hour.Microseconds()})
+		t.List = append(t.List, &wire.KeyLeaseRequestT{
+			Key: key, Token: "a1b2c3d4e5f6" + key,
+			Holder: "127.0.0.1:30000/a1b2c3d4e5f6", WindowUs: time.Hour.Microseconds(),
+		})
 	}
 	return codec.EncodeTable(t)
 }
--- a/internal/mesh/topology/svg_test.go
+++ b/internal/mesh/topology/svg_test.go
@@ -41,18 +41,24 @@
 
 // sampleTopology is a mesh of so many sidecars with some of them unavailable.
 func sampleTopology(sidecars int) Topology {
-	t := Topology{AskedMember: "10.1.0.42:7380", QuorumContact: true, ConfigurationIndex: 5,
-		Items: []ItemVersion{{Kind: "route", Name: "r-1", Version: 7}}}
+	t := Topology{
+		AskedMember: "10.1.0.42:7380", QuorumContact: true, ConfigurationIndex: 5,
+		Items: []ItemVersion{{Kind: "route", Name: "r-1", Version: 7}},
+	}
 	for i := range 3 {
 		addr := fmt.Sprintf("10.%d.0.42:7380", i+1)
 		process := Process{Name: fmt.Sprint("core-", i+1), Addr: addr, Zone: fmt.Sprint("hall-", i%3), QuorumContact: true}
 		t.Members = append(t.Members, Member{Process: process, IsMember: true, IsLeader: i == 1, Term: 4, AppliedIndex: 1200})
 	}
 	for i := range sidecars {
-		process := Process{Name: fmt.Sprintf("sidecar-hall-%d-%d", i%3, i), Addr: fmt.Sprintf("10.%d.0.%d:7381", i%3+1, i),
-			Zone: fmt.Sprint("hall-", i%3), QuorumContact: true}
-		s := Sidecar{Process: process, FollowedMember: fmt.Sprintf("10.%d.0.42:7380", i%3+1), Ready: true, Service: fmt.Sprint("service-", i%4),
-			ServerID: fmt.Sprintf("i-%06x", i*7919), State: stateReady, Slots: 12}
+		process := Process{
+			Name: fmt.Sprintf("sidecar-hall-%d-%d", i%3, i), Addr: fmt.Sprintf("10.%d.0.%d:7381", i%3+1, i),
+			Zone: fmt.Sprint("hall-", i%3), QuorumContact: true,
+		}
+		s := Sidecar{
+			Process: process, FollowedMember: fmt.Sprintf("10.%d.0.42:7380", i%3+1), Ready: true, Service: fmt.Sprint("service-", i%4),
+			ServerID: fmt.Sprintf("i-%06x", i*7919), State: stateReady, Slots: 12,
+		}
 		switch i {
 		case 2:
 			s.State, s.StateReason = stateDraining, "it said that it leaves"
@@ -66,9 +72,12 @@
 		t.Sidecars = append(t.Sidecars, s)
 	}
 	for i := range 8 {
-		t.Routes = append(t.Routes, Route{Name: fmt.Sprint("r-", i), Host: "push.example", Prefix: fmt.Sprintf("/p%d/", i), Kind: "idempotent",
+		t.Routes = append(t.Routes, Route{
+			Name: fmt.Sprint("r-", i), Host: "push.example", Prefix: fmt.Sprintf("/p%d/", i), Kind: "idempotent",
 			Version: 7, TimeoutS: 2, MaxAttempts: 2, Destinations: []WeightedService{
-				{Service: fmt.Sprint("service-", i%4), Share: 0.9}, {Service: fmt.Sprint("service-", (i+1)%4), Share: 0.1}}})
+				{Service: fmt.Sprint("service-", i%4), Share: 0.9}, {Service: fmt.Sprint("service-", (i+1)%4), Share: 0.1},
+			},
+		})
 	}
 	return t
 }
--- a/internal/mesh/topology/topology_test.go
+++ b/internal/mesh/topology/topology_test.go
@@ -20,24 +20,40 @@
 		want   []string
 	}{
 		{"all is well", func(*Topology) {}, nil},
-		{"the asked member has no quorum", func(t *Topology) { t.QuorumContact = false },
-			[]string{"10.1.0.42:7380 is out of contact with a majority of the members: what it told may be old"}},
-		{"no configuration", func(t *Topology) { t.Items = nil },
-			[]string{"the configuration could not be confirmed by a majority, or there is none yet"}},
-		{"a member is unreachable", func(t *Topology) { t.Members[0].Unreachable = "refused" },
-			[]string{"member core-1 does not answer: refused"}},
+		{
+			"the asked member has no quorum", func(t *Topology) { t.QuorumContact = false },
+			[]string{"10.1.0.42:7380 is out of contact with a majority of the members: what it told may be old"},
+		},
+		{
+			"no configuration", func(t *Topology) { t.Items = nil },
+			[]string{"the configuration could not be confirmed by a majority, or there is none yet"},
+		},
+		{
+			"a member is unreachable", func(t *Topology) { t.Members[0].Unreachable = "refused" },
+			[]string{"member core-1 does not answer: refused"},
+		},
 		{"a member has a fault", func(t *Topology) { t.Members[0].Fault = "disk full" }, []string{"member core-1 has a fault: disk full"}},
-		{"a process is no member yet", func(t *Topology) { t.Members[0].IsMember = false },
-			[]string{"member core-1 is no voter, and asks to be taken in"}},
+		{
+			"a process is no member yet", func(t *Topology) { t.Members[0].IsMember = false },
+			[]string{"member core-1 is no voter, and asks to be taken in"},
+		},
 		{"nobody leads", func(t *Topology) { t.Members[1].IsLeader = false }, []string{"no member leads"}},
-		{"a sidecar is unreachable, and its server with it", func(t *Topology) { t.Sidecars[0].Unreachable = "refused" },
-			[]string{"sidecar sidecar-hall-0-0 does not answer: refused", "service service-0 has no server"}},
-		{"a sidecar is fenced", func(t *Topology) { t.Sidecars[0].Fenced = true },
-			[]string{"sidecar sidecar-hall-0-0 rejects what namespaces own: it could not confirm which policies are active"}},
-		{"a sidecar goes by another policy set", func(t *Topology) { t.PolicyFingerprint = "p"; t.Sidecars = t.Sidecars[:1]; t.Routes = nil },
-			[]string{"sidecar sidecar-hall-0-0 goes by other policies than the active ones"}},
-		{"a server is down", func(t *Topology) { t.Sidecars[1].State, t.Sidecars[1].StateReason = stateDown, "its port is closed" },
-			[]string{"server i-001eef of service-1 at sidecar-hall-1-1 is out (down): its port is closed", "service service-1 has no server"}},
+		{
+			"a sidecar is unreachable, and its server with it", func(t *Topology) { t.Sidecars[0].Unreachable = "refused" },
+			[]string{"sidecar sidecar-hall-0-0 does not answer: refused", "service service-0 has no server"},
+		},
+		{
+			"a sidecar is fenced", func(t *Topology) { t.Sidecars[0].Fenced = true },
+			[]string{"sidecar sidecar-hall-0-0 rejects what namespaces own: it could not confirm which policies are active"},
+		},
+		{
+			"a sidecar goes by another policy set", func(t *Topology) { t.PolicyFingerprint = "p"; t.Sidecars = t.Sidecars[:1]; t.Routes = nil },
+			[]string{"sidecar sidecar-hall-0-0 goes by other policies than the active ones"},
+		},
+		{
+			"a server is down", func(t *Topology) { t.Sidecars[1].State, t.Sidecars[1].StateReason = stateDown, "its port is closed" },
+			[]string{"server i-001eef of service-1 at sidecar-hall-1-1 is out (down): its port is closed", "service service-1 has no server"},
+		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			mesh := well()
--- a/internal/mesh/transport/codec/compat_test.go
+++ b/internal/mesh/transport/codec/compat_test.go
@@ -30,85 +30,130 @@
 	sampleMembers  = []*wire.MemberT{{Id: 11, Addr: "10.0.0.1:7380"}, {Id: 22, Addr: "10.0.0.2:7380"}}
 	sampleOutgoing = []*wire.MemberT{{Id: 33, Addr: "10.0.0.3:7380"}}
 	sampleItems    = []*wire.ItemT{
-		{Kind: 1, Name: "stock", Version: 7, Deleted: true, Host: "shop.example", Body: []byte(`{"Name":"stock"}`),
-			LogTimeNs: 1_500_000_001, History: []byte{1, 2, 3}},
-		{Kind: 2, Name: "read", Version: 8, Deleted: true, Host: "shop.example", Body: []byte(`{"Name":"read"}`),
-			LogTimeNs: 1_500_000_002, History: []byte{4}},
+		{
+			Kind: 1, Name: "stock", Version: 7, Deleted: true, Host: "shop.example", Body: []byte(`{"Name":"stock"}`),
+			LogTimeNs: 1_500_000_001, History: []byte{1, 2, 3},
+		},
+		{
+			Kind: 2, Name: "read", Version: 8, Deleted: true, Host: "shop.example", Body: []byte(`{"Name":"read"}`),
+			LogTimeNs: 1_500_000_002, History: []byte{4},
+		},
 	}
 	sampleActive = []*wire.ItemT{
-		{Kind: 5, Name: "shelter", Version: 9, Deleted: true, Host: "h", Body: []byte(`{"Name":"shelter"}`),
-			LogTimeNs: 1_500_000_003, History: []byte{5}}}
+		{
+			Kind: 5, Name: "shelter", Version: 9, Deleted: true, Host: "h", Body: []byte(`{"Name":"shelter"}`),
+			LogTimeNs: 1_500_000_003, History: []byte{5},
+		},
+	}
 	sampleEntries = []*wire.EntryT{
-		{Index: 101, Term: 5, Kind: 1, LogTimeNs: 2_000_000_001, Data: []byte("first")}, {Index: 102, Term: 5, Kind: 2,
-			LogTimeNs: 2_000_000_002, Data: []byte("second")}}
-	sampleSnapshot = &wire.SnapshotT{Index: 100, Term: 4, LogTimeNs: 1_900_000_000, ConfigurationIndex: 90,
-		Members: sampleMembers, Data: []byte("state"), Outgoing: sampleOutgoing, RaftVersion: 1}
-	sampleStoredResponse = &wire.StoredResponseT{Found: true, Running: true, OutcomeUnknown: true, Status: 201,
-		HeaderFields: sampleFields, Body: []byte("kept"), Key: "t\x00k1", TtlUs: 30_000_000}
+		{Index: 101, Term: 5, Kind: 1, LogTimeNs: 2_000_000_001, Data: []byte("first")}, {
+			Index: 102, Term: 5, Kind: 2,
+			LogTimeNs: 2_000_000_002, Data: []byte("second"),
+		},
+	}
+	sampleSnapshot = &wire.SnapshotT{
+		Index: 100, Term: 4, LogTimeNs: 1_900_000_000, ConfigurationIndex: 90,
+		Members: sampleMembers, Data: []byte("state"), Outgoing: sampleOutgoing, RaftVersion: 1,
+	}
+	sampleStoredResponse = &wire.StoredResponseT{
+		Found: true, Running: true, OutcomeUnknown: true, Status: 201,
+		HeaderFields: sampleFields, Body: []byte("kept"), Key: "t\x00k1", TtlUs: 30_000_000,
+	}
 	sampleLeaseRequests = []*wire.KeyLeaseRequestT{
 		{Key: "t\x00k1", Token: "ticket-1", Attempt: 2, Holder: "10.1.0.1:7000/life", Release: true, WindowUs: 62_000_000},
-		{Key: "t\x00k2", Token: "ticket-2", Attempt: 3, Holder: "10.1.0.2:7000/life", Release: true, WindowUs: 61_000_000}}
+		{Key: "t\x00k2", Token: "ticket-2", Attempt: 3, Holder: "10.1.0.2:7000/life", Release: true, WindowUs: 61_000_000},
+	}
 )
 
 // unionCases are the members of the union of a frame, in their order: the place of each is its number on the wire.
 var unionCases = []encodingCase{
-	{"01-hello", &wire.HelloT{TransportVersion: 2, Name: "side-1", Addr: "10.1.0.1:7000", Zone: "zone-1",
-		ControlPlane: true, MemberId: 11, Incarnation: 1_700_000_000}},
+	{"01-hello", &wire.HelloT{
+		TransportVersion: 2, Name: "side-1", Addr: "10.1.0.1:7000", Zone: "zone-1",
+		ControlPlane: true, MemberId: 11, Incarnation: 1_700_000_000,
+	}},
 	{"02-heartbeat", &wire.HeartbeatT{QuorumContact: true, AppliedIndex: 104}},
-	{"03-request", &wire.RequestT{Id: 9, AttemptId: "9c41d07be2a35f68", Method: "POST", Target: "/send/x?y=z",
+	{"03-request", &wire.RequestT{
+		Id: 9, AttemptId: "9c41d07be2a35f68", Method: "POST", Target: "/send/x?y=z",
 		Host: "shop.example", HeaderFields: sampleFields,
 		Body: []byte("body"), MoreBody: true, ContentLength: 70_000, TimeoutUs: 2_500_000, ServerId: "i-side-1-1",
 		IdempotencyKey: "t\x00k1", Token: "ticket-1", Attempt: 2, AtMostOnce: true,
-		PackedHeader: []byte{1, 2, 'i', 'd'}}},
+		PackedHeader: []byte{1, 2, 'i', 'd'},
+	}},
 	{"04-body-chunk", &wire.BodyChunkT{Id: 9, Data: []byte("more"), Last: true, Aborted: true}},
-	{"05-response", &wire.ResponseT{Id: 9, Ending: 3, Arrived: true, Status: 503, HeaderFields: sampleFields,
-		Body: []byte("no"), MoreBody: true, ContentLength: 12, PackedHeader: []byte{6, 1, 'x'}}},
+	{"05-response", &wire.ResponseT{
+		Id: 9, Ending: 3, Arrived: true, Status: 503, HeaderFields: sampleFields,
+		Body: []byte("no"), MoreBody: true, ContentLength: 12, PackedHeader: []byte{6, 1, 'x'},
+	}},
 	{"06-window-update", &wire.WindowUpdateT{Id: 9, Increment: 32_768}},
 	{"07-cancel", &wire.CancelT{Id: 9}},
 	{"08-records", &wire.RecordsT{List: []*wire.RecordT{
-		{Node: "side-1", Incarnation: 1_700_000_000, Sequence: 4, Addr: "10.1.0.1:7000", Zone: "zone-1", Service: "stock",
+		{
+			Node: "side-1", Incarnation: 1_700_000_000, Sequence: 4, Addr: "10.1.0.1:7000", Zone: "zone-1", Service: "stock",
 			ServerId: "i-side-1-1", State: 0x82, Slots: 16,
-			WarmupUs: 3_000_000, TransportVersion: 2},
-		{Node: "side-2", Incarnation: 1_700_000_001, Sequence: 5, Addr: "10.1.0.2:7000", Zone: "zone-2", Service: "orders",
+			WarmupUs: 3_000_000, TransportVersion: 2,
+		},
+		{
+			Node: "side-2", Incarnation: 1_700_000_001, Sequence: 5, Addr: "10.1.0.2:7000", Zone: "zone-2", Service: "orders",
 			ServerId: "i-side-2-1", State: 1, Slots: 6,
-			WarmupUs: 1, TransportVersion: 1}}}},
-	{"09-items", &wire.ItemsT{List: sampleItems, Complete: true, Index: 103, Author: "ana", Consents: []string{"bo", "cy"},
+			WarmupUs: 1, TransportVersion: 1,
+		},
+	}}},
+	{"09-items", &wire.ItemsT{
+		List: sampleItems, Complete: true, Index: 103, Author: "ana", Consents: []string{"bo", "cy"},
 		ActivePolicy:      sampleActive,
-		ActiveFingerprint: "0123456789abcdef", ActiveIndex: 99}},
+		ActiveFingerprint: "0123456789abcdef", ActiveIndex: 99,
+	}},
 	{"10-members", &wire.MembersT{List: sampleMembers, Index: 90, Outgoing: sampleOutgoing, RaftVersion: 1}},
-	{"11-raft-message", &wire.RaftMessageT{Kind: 6, From: 11, To: 22, Term: 5, Index: 100, LogTerm: 4, Commit: 99,
+	{"11-raft-message", &wire.RaftMessageT{
+		Kind: 6, From: 11, To: 22, Term: 5, Index: 100, LogTerm: 4, Commit: 99,
 		Entries: sampleEntries, Reject: true, Hint: 98, HeartbeatRound: 77,
 		Snapshot: sampleSnapshot, Addr: "10.0.0.1:7380", Members: sampleMembers, ConfigurationIndex: 90, RaftVersion: 1,
-		Offset: 32_768, TotalBytes: 65_536, Checksum: 0xdeadbeef, Leaving: true}},
+		Offset: 32_768, TotalBytes: 65_536, Checksum: 0xdeadbeef, Leaving: true,
+	}},
 	{"12-call", &wire.CallT{Id: 8, Kind: 4, Body: []byte("call")}},
 	{"13-call-reply", &wire.CallReplyT{Id: 8, Status: 409, Body: []byte("conflict")}},
-	{"14-machines-in-maintenance", &wire.MachinesInMaintenanceT{List: []*wire.MachineInMaintenanceT{{Addr: "10.1.0.1:7000",
-		OrderId: "o1", DrainCallers: true, Successor: "10.1.0.2:7000"}}, Index: 55}},
-	{"15-active-policy", &wire.ActivePolicyT{Fingerprint: "0123456789abcdef", Index: 99,
-		CommittedFingerprint: "fedcba9876543210"}},
+	{"14-machines-in-maintenance", &wire.MachinesInMaintenanceT{List: []*wire.MachineInMaintenanceT{{
+		Addr:    "10.1.0.1:7000",
+		OrderId: "o1", DrainCallers: true, Successor: "10.1.0.2:7000",
+	}}, Index: 55}},
+	{"15-active-policy", &wire.ActivePolicyT{
+		Fingerprint: "0123456789abcdef", Index: 99,
+		CommittedFingerprint: "fedcba9876543210",
+	}},
 }
 
 // tableCases are the tables that stand by themselves: on disk, or as the body of a call or its reply.
 var tableCases = []encodingCase{
 	{"entry", sampleEntries[0]},
 	{"snapshot", sampleSnapshot},
-	{"state", &wire.StateT{Items: sampleItems, KeyLeases: []*wire.KeyLeaseT{
-		{Key: "t\x00k1", Token: "ticket-1", Attempt: 2, Holder: "10.1.0.1:7000/life", GrantedAtNs: 1_800_000_000,
-			WindowNs: 62_000_000_000}},
-		Maintenance: []byte(`{"index":55}`), ActivePolicy: sampleActive, Policy: []byte(`{"board":{}}`)}},
+	{"state", &wire.StateT{
+		Items: sampleItems, KeyLeases: []*wire.KeyLeaseT{
+			{
+				Key: "t\x00k1", Token: "ticket-1", Attempt: 2, Holder: "10.1.0.1:7000/life", GrantedAtNs: 1_800_000_000,
+				WindowNs: 62_000_000_000,
+			},
+		},
+		Maintenance: []byte(`{"index":55}`), ActivePolicy: sampleActive, Policy: []byte(`{"board":{}}`),
+	}},
 	{"configuration", &wire.MembersT{List: sampleMembers, Index: 90, Outgoing: sampleOutgoing, RaftVersion: 1}},
-	{"items", &wire.ItemsT{List: sampleItems, Complete: true, Index: 103, Author: "ana", Consents: []string{"bo", "cy"},
+	{"items", &wire.ItemsT{
+		List: sampleItems, Complete: true, Index: 103, Author: "ana", Consents: []string{"bo", "cy"},
 		ActivePolicy:      sampleActive,
-		ActiveFingerprint: "0123456789abcdef", ActiveIndex: 99}},
+		ActiveFingerprint: "0123456789abcdef", ActiveIndex: 99,
+	}},
 	{"active-policy", &wire.ActivePolicyT{Fingerprint: "0123456789abcdef", Index: 99, CommittedFingerprint: "fedcba9876543210"}},
 	{"maintenance-change", &wire.MaintenanceChangeT{Kind: 2, Json: []byte(`{"id":"o1"}`)}},
 	{"key-lease-requests", &wire.KeyLeaseRequestsT{List: sampleLeaseRequests}},
 	{"key-lease-results", &wire.KeyLeaseResultsT{List: []*wire.KeyLeaseResultT{
-		{Granted: true, Holder: "10.1.0.1:7000/life", Token: "ticket-1"}, {Granted: true, Holder: "10.1.0.2:7000/life",
-			Token: "ticket-2"}}}},
+		{Granted: true, Holder: "10.1.0.1:7000/life", Token: "ticket-1"}, {
+			Granted: true, Holder: "10.1.0.2:7000/life",
+			Token: "ticket-2",
+		},
+	}}},
 	{"stored-response", sampleStoredResponse},
 	{"key-handover", &wire.KeyHandoverT{SourceAddr: "10.1.0.1:7000", List: []*wire.StoredResponseT{sampleStoredResponse}}},
-	{"status", &wire.StatusT{Name: "core-1", Addr: "10.0.0.1:7380", Zone: "zone-1", ControlPlane: true, UptimeUs: 9_000_000,
+	{"status", &wire.StatusT{
+		Name: "core-1", Addr: "10.0.0.1:7380", Zone: "zone-1", ControlPlane: true, UptimeUs: 9_000_000,
 		Fault:        "disk full",
 		ItemVersions: []*wire.ItemVersionT{{Kind: 1, Name: "stock", Version: 7, Deleted: true}}, MemberId: 11,
 		LeaderAddr: "10.0.0.2:7380", IsLeader: true, IsNonMember: true, QuorumContact: true, Term: 5,
@@ -117,11 +162,14 @@
 		Stopping: true, InMaintenance: true, Service: "stock", ServerId: "i-side-1-1", ServerState: 2,
 		ServerStateReason: "drained", OpenRequests: 4, MaintenanceIndex: 55, UpstreamAddrs: []string{"10.1.0.2:7000"},
 		DownstreamRequests: 6,
-		WallTimeNs:         1_700_000_000_000_000_000, HandedOverOrder: "o1", Work: []*wire.WorkCounterT{{Kind: "keyed", Open: 1,
-			Answered: 2, Rejected: 3, Broken: 4}},
+		WallTimeNs:         1_700_000_000_000_000_000, HandedOverOrder: "o1", Work: []*wire.WorkCounterT{{
+			Kind: "keyed", Open: 1,
+			Answered: 2, Rejected: 3, Broken: 4,
+		}},
 		CommittedPolicy: "fedcba9876543210", ActivePolicy: "0123456789abcdef", ActivePolicyIndex: 99,
 		ActivePolicyAgeUs: 1_000_000, Fenced: true,
-		Traffic: []*wire.TrafficCounterT{{MessageType: "beat", Frames: 10, Bytes: 360}}}},
+		Traffic: []*wire.TrafficCounterT{{MessageType: "beat", Frames: 10, Bytes: 360}},
+	}},
 }
 
 // tableReaders read the tables of tableCases, by the file's name.
@@ -231,8 +279,10 @@
 
 // The numbers of the kinds of calls are those of earlier builds.
 func TestCallKindsOfEarlierBuild(t *testing.T) {
-	kinds := []byte{CallModify, CallReadIndex, CallItems, CallLeaseKeys, CallStoredResponse, CallStatus, CallLogRing,
-		CallHandOverKeys, CallDrain, CallActivePolicy}
+	kinds := []byte{
+		CallModify, CallReadIndex, CallItems, CallLeaseKeys, CallStoredResponse, CallStatus, CallLogRing,
+		CallHandOverKeys, CallDrain, CallActivePolicy,
+	}
 	for i, kind := range kinds {
 		assert.Equal(t, int(kind), i+1)
 	}
--- a/internal/mesh/transport/compat_test.go
+++ b/internal/mesh/transport/compat_test.go
@@ -13,6 +13,8 @@
 
 // The names by which frames are counted are read by other builds' tools.
 func TestMessageTypesOfEarlierBuild(t *testing.T) {
-	assert.DeepEqual(t, messageTypes[:], []string{"none", "hello", "beat", "request", "piece", "answer", "credit", "cancel", "records",
-		"items", "members", "core", "ask", "told", "outs", "bound"})
+	assert.DeepEqual(t, messageTypes[:], []string{
+		"none", "hello", "beat", "request", "piece", "answer", "credit", "cancel", "records",
+		"items", "members", "core", "ask", "told", "outs", "bound",
+	})
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -68,14 +68,18 @@
 		}
 		cfg.Module = b
 	}
-	p := &Pool{name: cfg.Name, classes: make(map[string]balancer.Class, len(cfg.Settings.Classes)), shares: cfg.Shares,
-		sender: cfg.Sender, initialList: cfg.Known, knowledge: cfg.Learned, pushed: cfg.Pushed, grpc: cfg.GRPC, stop: func() {}}
+	p := &Pool{
+		name: cfg.Name, classes: make(map[string]balancer.Class, len(cfg.Settings.Classes)), shares: cfg.Shares,
+		sender: cfg.Sender, initialList: cfg.Known, knowledge: cfg.Learned, pushed: cfg.Pushed, grpc: cfg.GRPC, stop: func() {},
+	}
 	for _, c := range cfg.Settings.Classes {
 		p.classes[c.Name] = c
 	}
-	p.engine = engine.New(engine.Config{Name: cfg.Name, Clock: cfg.Clock, Module: cfg.Module, Sender: cfg.Sender,
+	p.engine = engine.New(engine.Config{
+		Name: cfg.Name, Clock: cfg.Clock, Module: cfg.Module, Sender: cfg.Sender,
 		Source: cfg.Source, MaxAttempts: cfg.Settings.MaxAttempts, Pushed: cfg.Pushed, Pending: cfg.Shares.Held,
-		AdminStates: cfg.Orders})
+		AdminStates: cfg.Orders,
+	})
 	return p, nil
 }
 
--- a/internal/rig/fabric.go
+++ b/internal/rig/fabric.go
@@ -48,8 +48,10 @@
 	}
 	var err error
 	for range 50 {
-		f := &Fabric{port: 20_000 + rand.IntN(10_000), close: make(chan struct{}), links: map[[2]int]Link{}, free: map[[2]int]time.Time{}, bytes: map[[2]int]int64{},
-			conns: map[net.Conn][2]int{}, rng: rand.New(rand.NewPCG(seed, 0xfab))}
+		f := &Fabric{
+			port: 20_000 + rand.IntN(10_000), close: make(chan struct{}), links: map[[2]int]Link{}, free: map[[2]int]time.Time{}, bytes: map[[2]int]int64{},
+			conns: map[net.Conn][2]int{}, rng: rand.New(rand.NewPCG(seed, 0xfab)),
+		}
 		if err = f.listen(n); err == nil {
 			return f, nil
 		}
--- a/internal/rig/faults_test.go
+++ b/internal/rig/faults_test.go
@@ -255,8 +255,11 @@
 		name string
 		meta []byte
 	}{
-		{strings.Repeat("n", 10_000), membership.Card{Name: "x", Protocol: 1}.Encode()}, {"noise", []byte("noise")}, {"other", membership.Card{Name: "n1", Protocol: 1}.Encode()},
-		{"bad name", membership.Card{Name: "bad name", Protocol: 1}.Encode()}, {"later", membership.Card{Name: "later", Protocol: 9, Run: 1, All: true}.Encode()},
+		{strings.Repeat("n", 10_000), membership.Card{Name: "x", Protocol: 1}.Encode()},
+		{"noise", []byte("noise")},
+		{"other", membership.Card{Name: "n1", Protocol: 1}.Encode()},
+		{"bad name", membership.Card{Name: "bad name", Protocol: 1}.Encode()},
+		{"later", membership.Card{Name: "later", Protocol: 9, Run: 1, All: true}.Encode()},
 	} {
 		c := memberlist.DefaultLocalConfig()
 		c.Name, c.BindAddr, c.BindPort, c.AdvertiseAddr, c.Label, c.SecretKey, c.LogOutput = s.name, fmt.Sprintf("127.0.3.%d", i+1), 0, fmt.Sprintf("127.0.3.%d", i+1), "cranegrade", key, discard{}
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -203,6 +203,10 @@
 
 // Traffic is requests of all classes at a rate together, for so long.
 func Traffic(rate float64, long time.Duration) []standin.Stream {
-	return []standin.Stream{{Class: Read, Rate: rate * 0.5, For: long}, {Class: Send, Rate: rate * 0.25, For: long, Body: 200},
-		{Class: Cell, Rate: rate * 0.125, For: long, Body: 500}, {Class: Order, Rate: rate * 0.125, For: long, Body: 200}}
+	return []standin.Stream{
+		{Class: Read, Rate: rate * 0.5, For: long},
+		{Class: Send, Rate: rate * 0.25, For: long, Body: 200},
+		{Class: Cell, Rate: rate * 0.125, For: long, Body: 500},
+		{Class: Order, Rate: rate * 0.125, For: long, Body: 200},
+	}
 }
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -56,8 +56,10 @@
 
 // NewRelay returns a relay that listens nowhere yet.
 func NewRelay() *Relay {
-	return &Relay{close: make(chan struct{}), links: map[Way]Link{}, free: map[Way]time.Time{}, passed: map[Way]int64{},
-		held: map[Way]int64{}, conns: map[*relayed]bool{}, changed: make(chan struct{})}
+	return &Relay{
+		close: make(chan struct{}), links: map[Way]Link{}, free: map[Way]time.Time{}, passed: map[Way]int64{},
+		held: map[Way]int64{}, conns: map[*relayed]bool{}, changed: make(chan struct{}),
+	}
 }
 
 // Listen takes connections to a machine at an address and passes them on to another one.
--- a/internal/rig/relay_test.go
+++ b/internal/rig/relay_test.go
@@ -162,8 +162,10 @@
 	r, addr := relayedPair(t)
 	c, in := dialRelay(t, addr, "a")
 	hears(t, in, "a")
-	assert.NilError(t, r.Play([]LinkStep{{Link: Link{Cut: true}, Ways: []Way{{"a", "b"}}},
-		{At: 10 * time.Millisecond, Link: Link{Delay: 60 * time.Millisecond}, Ways: []Way{{"a", "b"}, {"b", "a"}}}}))
+	assert.NilError(t, r.Play([]LinkStep{
+		{Link: Link{Cut: true}, Ways: []Way{{"a", "b"}}},
+		{At: 10 * time.Millisecond, Link: Link{Delay: 60 * time.Millisecond}, Ways: []Way{{"a", "b"}, {"b", "a"}}},
+	}))
 	began := time.Now()
 	say(t, c, "late")
 	hears(t, in, "late")
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -66,14 +66,29 @@
 		change     func(*Request)
 		want       int
 	}{
-		{"", "/", nil, 0}, {"other.net", "/x", nil, 0}, {"127.0.0.1:80", "/", nil, 0},
-		{"a.example.org", "/", nil, 1}, {"A.Example.ORG.", "/", nil, 1}, {"a.example.org:8080", "/", nil, 1},
-		{"z.example.org", "/", nil, 2}, {"z.y.example.org", "/", nil, 2}, {"example.org", "/", nil, 0},
-		{"z.b.example.org", "/", nil, 3}, {"b.example.org", "/", nil, 2}, {"xexample.org", "/", nil, 0},
-		{"a.example.org", "/x", nil, 4}, {"a.example.org", "/x/", nil, 4}, {"a.example.org", "/xy", nil, 1},
-		{"a.example.org", "/x/q/r/s/t", nil, 4}, {"a.example.org", "/x/y", nil, 5}, {"a.example.org", "/x/y/", nil, 5},
-		{"a.example.org", "/x/y/z", nil, 6}, {"a.example.org", "/x/y/z/", nil, 5}, {"a.example.org", "/x/yz", nil, 4},
-		{"a.example.org", "/x/y/12", nil, 7}, {"a.example.org", "/x/y/12a", nil, 5},
+		{"", "/", nil, 0},
+		{"other.net", "/x", nil, 0},
+		{"127.0.0.1:80", "/", nil, 0},
+		{"a.example.org", "/", nil, 1},
+		{"A.Example.ORG.", "/", nil, 1},
+		{"a.example.org:8080", "/", nil, 1},
+		{"z.example.org", "/", nil, 2},
+		{"z.y.example.org", "/", nil, 2},
+		{"example.org", "/", nil, 0},
+		{"z.b.example.org", "/", nil, 3},
+		{"b.example.org", "/", nil, 2},
+		{"xexample.org", "/", nil, 0},
+		{"a.example.org", "/x", nil, 4},
+		{"a.example.org", "/x/", nil, 4},
+		{"a.example.org", "/xy", nil, 1},
+		{"a.example.org", "/x/q/r/s/t", nil, 4},
+		{"a.example.org", "/x/y", nil, 5},
+		{"a.example.org", "/x/y/", nil, 5},
+		{"a.example.org", "/x/y/z", nil, 6},
+		{"a.example.org", "/x/y/z/", nil, 5},
+		{"a.example.org", "/x/yz", nil, 4},
+		{"a.example.org", "/x/y/12", nil, 7},
+		{"a.example.org", "/x/y/12a", nil, 5},
 		{"a.example.org", "/x/a", func(r *Request) { r.Method = "POST" }, 8},
 		{"a.example.org", "/x/a", func(r *Request) { r.Header = map[string][]string{"X-A": {"0", "1"}} }, 9},
 		{"a.example.org", "/x/a", func(r *Request) { r.Header = map[string][]string{"X-A": {"2"}} }, 4},
@@ -82,12 +97,17 @@
 			r.Method, r.Header = "POST", map[string][]string{"X-A": {"1"}, "X-B": {""}}
 		}, 8}, // a method comes before any number of headers
 		{"a.example.org", "/x/a", func(r *Request) { r.Class = "alert" }, 11},
-		{"", "/only/this", nil, 12}, {"c.example.org", "/only/this", nil, 13},
+		{"", "/only/this", nil, 12},
+		{"c.example.org", "/only/this", nil, 13},
 		{"c.example.org", "/other", nil, 2}, // the host's own routes do not match: on to the less specific
-		{"q.example.org", "/exact", nil, 14}, {"[::1]:99", "/", nil, 16},
+		{"q.example.org", "/exact", nil, 14},
+		{"[::1]:99", "/", nil, 16},
 		// As paths are matched.
-		{"a.example.org", "//x///y//z", nil, 6}, {"a.example.org", "/x/./y/q/../z", nil, 6},
-		{"a.example.org", "/%78/%79/z", nil, 6}, {"a.example.org", "/x%2fy/z", nil, 1}, {"a.example.org", "/x/%2e%2E/x/y/z", nil, 6},
+		{"a.example.org", "//x///y//z", nil, 6},
+		{"a.example.org", "/x/./y/q/../z", nil, 6},
+		{"a.example.org", "/%78/%79/z", nil, 6},
+		{"a.example.org", "/x%2fy/z", nil, 1},
+		{"a.example.org", "/x/%2e%2E/x/y/z", nil, 6},
 	} {
 		r := request(t, c.host, c.path)
 		if c.change != nil {
@@ -114,14 +134,18 @@
 }
 
 func TestHost(t *testing.T) {
-	for in, want := range map[string]string{"": "", "A.b": "a.b", "a.b.": "a.b", "a:1": "a", "a.:80": "a", "a:": "a",
-		"[::1]": "[::1]", "[::FF]:80": "[::ff]", "1.2.3.4": "1.2.3.4", "a_b-c": "a_b-c"} {
+	for in, want := range map[string]string{
+		"": "", "A.b": "a.b", "a.b.": "a.b", "a:1": "a", "a.:80": "a", "a:": "a",
+		"[::1]": "[::1]", "[::FF]:80": "[::ff]", "1.2.3.4": "1.2.3.4", "a_b-c": "a_b-c",
+	} {
 		if got, err := Host(in); err != nil || got != want {
 			t.Errorf("%q: %q, %v", in, got, err)
 		}
 	}
-	for _, in := range []string{".", "a..b", ".a", "a..", "a b", "a/b", "u@a", "a:b", "a:1:2", "a:123456", "[::1", "[::1]x", "[zz]",
-		"é", "a%41", "a?", "a#", "a\x00", strings.Repeat("a", MaxHost+1)} {
+	for _, in := range []string{
+		".", "a..b", ".a", "a..", "a b", "a/b", "u@a", "a:b", "a:1:2", "a:123456", "[::1", "[::1]x", "[zz]",
+		"é", "a%41", "a?", "a#", "a\x00", strings.Repeat("a", MaxHost+1),
+	} {
 		if got, err := Host(in); err == nil {
 			t.Errorf("%q passes as %q", in, got)
 		}
@@ -129,16 +153,20 @@
 }
 
 func TestPath(t *testing.T) {
-	for in, want := range map[string]string{"/": "/", "/a": "/a", "/a/": "/a/", "//": "/", "/a//b": "/a/b", "/a/.": "/a/",
+	for in, want := range map[string]string{
+		"/": "/", "/a": "/a", "/a/": "/a/", "//": "/", "/a//b": "/a/b", "/a/.": "/a/",
 		"/./a": "/a", "/a/../b": "/b", "/a/..": "/", "/a/b/..": "/a/", "/..a": "/..a", "/a/...": "/a/...", "/.a": "/.a",
 		"/%61": "/a", "/%2F": "/%2F", "/%2f": "/%2F", "/a%2fb": "/a%2Fb", "/%7e": "/~", "/%2e": "/", "/a/%2e%2e/b": "/b",
-		"/a%20b": "/a%20b", "/%C3%a9": "/%C3%A9", "/%5c": "/%5C", "/a/.//../b": "/b", "/%252f": "/%252f", "/a;b=c": "/a;b=c"} {
+		"/a%20b": "/a%20b", "/%C3%a9": "/%C3%A9", "/%5c": "/%5C", "/a/.//../b": "/b", "/%252f": "/%252f", "/a;b=c": "/a;b=c",
+	} {
 		if got, err := Path(in); err != nil || got != want {
 			t.Errorf("%q: %q, %v, not %q", in, got, err, want)
 		}
 	}
-	for _, in := range []string{"", "a", "*", "/..", "/a/../..", "/../a", "/%2e%2e/a", "/%", "/%4", "/%zz", "/%00", "/%0a",
-		"/a\x00", "/a\nb", "/a\\b", "/" + strings.Repeat("a", MaxPath)} {
+	for _, in := range []string{
+		"", "a", "*", "/..", "/a/../..", "/../a", "/%2e%2e/a", "/%", "/%4", "/%zz", "/%00", "/%0a",
+		"/a\x00", "/a\nb", "/a\\b", "/" + strings.Repeat("a", MaxPath),
+	} {
 		if got, err := Path(in); err == nil {
 			t.Errorf("%q passes as %q", in, got)
 		}
@@ -304,9 +332,11 @@
 			t.Fatal(faults)
 		}
 		for range 20 {
-			r := &Request{Host: one([]string{"", "a", "b.a", "c.b.a", "d.c.b.a", "z", "y.z"}).Draw(t, "host"),
+			r := &Request{
+				Host: one([]string{"", "a", "b.a", "c.b.a", "d.c.b.a", "z", "y.z"}).Draw(t, "host"),
 				Path: one(append(paths, "/q", "/x/y/z/w")).Draw(t, "path"), Method: one([]string{"GET", "POST"}).Draw(t, "method"),
-				Class: one([]string{"", "k", "m"}).Draw(t, "class"), Header: map[string][]string{}}
+				Class: one([]string{"", "k", "m"}).Draw(t, "class"), Header: map[string][]string{},
+			}
 			for _, h := range []string{"A", "B"} {
 				if rapid.Bool().Draw(t, h) {
 					r.Header[h] = []string{one([]string{"1", "2"}).Draw(t, "value")}
--- a/internal/sender/h2/h2.go
+++ b/internal/sender/h2/h2.go
@@ -221,8 +221,12 @@
 	if authority == "" {
 		authority = a.Endpoint.Addr
 	}
-	l := []client.Field{{Name: ":method", Value: m.Method}, {Name: ":scheme", Value: "http"}, {Name: ":authority", Value: authority},
-		{Name: ":path", Value: m.URL.RequestURI()}}
+	l := []client.Field{
+		{Name: ":method", Value: m.Method},
+		{Name: ":scheme", Value: "http"},
+		{Name: ":authority", Value: authority},
+		{Name: ":path", Value: m.URL.RequestURI()},
+	}
 	if m.GRPC != nil {
 		l = append(l, client.Field{Name: "te", Value: "trailers"}, client.Field{Name: "grpc-timeout", Value: grpc.FormatTimeout(a.Timeout)})
 	} else {
--- a/internal/sender/h2/h2_test.go
+++ b/internal/sender/h2/h2_test.go
@@ -131,8 +131,10 @@
 			<-r.Context().Done()
 		}
 	})
-	for id, want := range map[string]balancer.Ending{"full": balancer.Overloaded, "503": balancer.Failure, "500": balancer.Failure,
-		"long": balancer.TimedOut, "slow": balancer.TimedOut, "": balancer.Success} {
+	for id, want := range map[string]balancer.Ending{
+		"full": balancer.Overloaded, "503": balancer.Failure, "500": balancer.Failure,
+		"long": balancer.TimedOut, "slow": balancer.TimedOut, "": balancer.Success,
+	} {
 		m := get()
 		m.Header["X-Correlation-Id"] = []string{id}
 		within := limit
--- a/internal/sender/http1/http1_test.go
+++ b/internal/sender/http1/http1_test.go
@@ -29,8 +29,10 @@
 func newEndpoint(addr string) *engine.Endpoint { return engine.NewEndpoint(addr, addr) }
 
 func keyed() *message.Request {
-	return &message.Request{Method: "POST", URL: &url.URL{Path: "/send/1"}, Authority: "app.svc",
-		Header: map[string][]string{"Idempotency-Key": {"k-1"}}, Body: []byte("body")}
+	return &message.Request{
+		Method: "POST", URL: &url.URL{Path: "/send/1"}, Authority: "app.svc",
+		Header: map[string][]string{"Idempotency-Key": {"k-1"}}, Body: []byte("body"),
+	}
 }
 
 func try(t *testing.T, s *Sender, ep *engine.Endpoint) result {
@@ -390,7 +392,8 @@
 	})
 	u, s := newTestSender(10), newEndpoint(addr)
 	for cause, want := range map[error]balancer.Ending{
-		engine.ErrTimedOut: balancer.TimedOut, engine.ErrWithdrawn: balancer.Canceled} {
+		engine.ErrTimedOut: balancer.TimedOut, engine.ErrWithdrawn: balancer.Canceled,
+	} {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		go func() {
 			<-began
--- a/internal/sender/http1/trust_test.go
+++ b/internal/sender/http1/trust_test.go
@@ -22,8 +22,12 @@
 		kept, fresh       int // every so manieth breaks; 0: none
 		unsafe, otherwise bool
 	}{
-		{"none break", 0, 0, true, true}, {"kept ones now and then", 50, 0, false, true}, {"kept ones often", 8, 0, false, false},
-		{"all alike", 8, 8, true, true}, {"only fresh ones", 0, 8, true, true}, {"one in a thousand", 1000, 0, true, true}, // the last was not seen
+		{"none break", 0, 0, true, true},
+		{"kept ones now and then", 50, 0, false, true},
+		{"kept ones often", 8, 0, false, false},
+		{"all alike", 8, 8, true, true},
+		{"only fresh ones", 0, 8, true, true},
+		{"one in a thousand", 1000, 0, true, true}, // the last was not seen
 	} {
 		var x reuseTrust
 		if x.mayReuse(0, true) || !x.mayReuse(0, false) {
--- a/internal/source/registry/registry.go
+++ b/internal/source/registry/registry.go
@@ -69,8 +69,10 @@
 // server is the entry in the module's form. The node's clock is Unix time, so boot times need no
 // conversion but of their unit.
 func (t Target) server() balancer.Server {
-	return balancer.Server{ID: t.UID, Zone: t.Zone, Cell: t.Cell, State: states[t.State],
-		Size: t.Size, StartedAt: time.Duration(t.BootMS * float64(time.Millisecond))}
+	return balancer.Server{
+		ID: t.UID, Zone: t.Zone, Cell: t.Cell, State: states[t.State],
+		Size: t.Size, StartedAt: time.Duration(t.BootMS * float64(time.Millisecond)),
+	}
 }
 
 // silence is how long a watch may say nothing, and a call wait for its answer: a heartbeat, one every 2 s,
@@ -95,16 +97,20 @@
 
 // New returns a source that asks the registry at addr, host:port.
 func New(addr string) *Source {
-	return &Source{addr: addr, silence: silence,
-		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	return &Source{
+		addr: addr, silence: silence,
+		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+	}
 }
 
 func (d *Source) String() string { return "the registry at " + d.addr }
 
 // News is a message in the engine's form.
 func (l List) News() engine.News {
-	n := engine.News{Full: l.All, Version: strconv.FormatInt(l.Rev, 10),
-		Servers: make([]engine.Listed, 0, len(l.Targets))}
+	n := engine.News{
+		Full: l.All, Version: strconv.FormatInt(l.Rev, 10),
+		Servers: make([]engine.Listed, 0, len(l.Targets)),
+	}
 	for _, t := range l.Targets {
 		n.Servers = append(n.Servers, engine.Listed{Server: t.server(), Addr: t.Endpoint})
 	}
--- a/internal/source/registry/registry_test.go
+++ b/internal/source/registry/registry_test.go
@@ -109,9 +109,11 @@
 func TestOddMessages(t *testing.T) {
 	a, b := testkit.Entry("a", "SERVING"), testkit.Entry("b", "DRAINING")
 	whole := testkit.ListMessage(4, true, a, b)
-	bad := map[string]string{"a uid twice": testkit.ListMessage(4, true, a, a), "a wrong type": `{"rev":"four","all":true,"targets":[]}`,
+	bad := map[string]string{
+		"a uid twice": testkit.ListMessage(4, true, a, a), "a wrong type": `{"rev":"four","all":true,"targets":[]}`,
 		"targets of a wrong type": `{"rev":4,"all":true,"targets":{}}`, "an unknown state": testkit.ListMessage(4, true, testkit.Entry("a", "ASLEEP")),
-		"no uid": testkit.ListMessage(4, true, testkit.Entry("", "SERVING")), "nothing": "", "two messages": whole + whole}
+		"no uid": testkit.ListMessage(4, true, testkit.Entry("", "SERVING")), "nothing": "", "two messages": whole + whole,
+	}
 	for n := range len(whole) { // broken off at every byte
 		bad["broken off at "+strconv.Itoa(n)] = whole[:n]
 	}
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -60,8 +60,10 @@
 
 // NewCallers returns callers of the node at addr. They wait for answers until slow after the deadline.
 func NewCallers(rec *Records, addr string, seed uint64, slow time.Duration) *Callers {
-	return &Callers{rec: rec, addr: addr, slow: slow, unsent: map[string]int{}, rng: rand.New(rand.NewPCG(seed, 0xca11)),
-		next: seed << 32}
+	return &Callers{
+		rec: rec, addr: addr, slow: slow, unsent: map[string]int{}, rng: rand.New(rand.NewPCG(seed, 0xca11)),
+		next: seed << 32,
+	}
 }
 
 // Through has the records name the process that these callers ask. It is called before the first request.
--- a/internal/standin/h2.go
+++ b/internal/standin/h2.go
@@ -35,11 +35,13 @@
 
 func newSidecar(to string, onward *http.Transport, h2 bool) (*Sidecar, error) {
 	target := &url.URL{Scheme: "http", Host: to}
-	proxy := &httputil.ReverseProxy{Transport: onward, ErrorLog: log.New(nothing{}, "", 0),
+	proxy := &httputil.ReverseProxy{
+		Transport: onward, ErrorLog: log.New(nothing{}, "", 0),
 		Rewrite: func(r *httputil.ProxyRequest) { r.SetURL(target); r.Out.Host = r.In.Host },
 		ErrorHandler: func(http.ResponseWriter, *http.Request, error) {
 			panic(http.ErrAbortHandler) // a stream is reset, a connection ends: whoever asked is told nothing
-		}}
+		},
+	}
 	return serveSidecar(proxy, h2, onward.CloseIdleConnections)
 }
 
--- a/internal/standin/proxy/compile.go
+++ b/internal/standin/proxy/compile.go
@@ -87,9 +87,11 @@
 	if !is(chains[0].GetFilters()[0].GetTypedConfig(), h) {
 		return nil, errors.New("no HTTP connection manager")
 	}
-	m := &manager{p: p, internal: l.GetInternalListener() != nil, remote: h.GetUseRemoteAddress().GetValue(),
+	m := &manager{
+		p: p, internal: l.GetInternalListener() != nil, remote: h.GetUseRemoteAddress().GetValue(),
 		preserve: h.GetPreserveExternalRequestId(), ids: h.GetGenerateRequestId() == nil || h.GetGenerateRequestId().GetValue(),
-		hosts: h.GetRouteConfig().GetVirtualHosts()}
+		hosts: h.GetRouteConfig().GetVirtualHosts(),
+	}
 	for _, x := range h.GetRouteConfig().GetInternalOnlyHeaders() {
 		m.only = append(m.only, strings.ToLower(x))
 	}
--- a/internal/standin/proxy/layers.go
+++ b/internal/standin/proxy/layers.go
@@ -103,10 +103,12 @@
 
 // fromOutside are the headers that are taken off external requests (ConnectionManagerUtility::
 // mutateRequestHeaders, as the documentation of "HTTP header sanitizing" lists them).
-var fromOutside = []string{"x-envoy-retriable-status-codes", "x-envoy-retriable-header-names", "x-envoy-retry-on", "x-envoy-retry-grpc-on",
+var fromOutside = []string{
+	"x-envoy-retriable-status-codes", "x-envoy-retriable-header-names", "x-envoy-retry-on", "x-envoy-retry-grpc-on",
 	"x-envoy-max-retries", "x-envoy-upstream-alt-stat-name", "x-envoy-upstream-rq-timeout-ms", "x-envoy-upstream-rq-per-try-timeout-ms",
 	"x-envoy-upstream-rq-timeout-alt-response", "x-envoy-expected-rq-timeout-ms", "x-envoy-force-trace", "x-envoy-ip-tags",
-	"x-envoy-original-url", "x-envoy-hedge-on-per-try-timeout"}
+	"x-envoy-original-url", "x-envoy-hedge-on-per-try-timeout",
+}
 
 // sanitise does what a connection manager does before any filter runs.
 func (m *manager) sanitise(r *request) {
@@ -511,7 +513,8 @@
 	s.st = st
 	asked := time.Now()
 	err = st.Send(&extproc.ProcessingRequest{ObservabilityMode: a.cfg.GetObservabilityMode(), Request: &extproc.ProcessingRequest_RequestHeaders{
-		RequestHeaders: &extproc.HttpHeaders{Headers: headerMap(r.head), EndOfStream: r.body == ""}}})
+		RequestHeaders: &extproc.HttpHeaders{Headers: headerMap(r.head), EndOfStream: r.body == ""},
+	}})
 	if err != nil && !errors.Is(err, io.EOF) {
 		return false, a.failed(s)
 	}
@@ -561,10 +564,12 @@
 	}
 	s.over = true
 	m := &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_ResponseHeaders{ResponseHeaders: &extproc.HttpHeaders{
-		Headers: headerMap(resp.head), EndOfStream: true}}}
+		Headers: headerMap(resp.head), EndOfStream: true,
+	}}}
 	if resp.details != "" && slices.Contains(a.cfg.GetResponseAttributes(), "response.code_details") {
 		m.Attributes = map[string]*structpb.Struct{"envoy.filters.http.ext_proc": {Fields: map[string]*structpb.Value{
-			"response.code_details": structpb.NewStringValue(resp.details)}}}
+			"response.code_details": structpb.NewStringValue(resp.details),
+		}}}
 	}
 	for _, space := range a.cfg.GetMetadataOptions().GetForwardingNamespaces().GetUntyped() {
 		if v := r.meta[space]; v != nil {
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -153,8 +153,10 @@
 	}
 	x := standin.Exchange{ID: id, Class: s.Class.Name, Stream: name, Sent: p.rec.Now(), Connected: true}
 	x.Deadline = x.Sent + s.Class.Deadline
-	r := &request{x: &x, meta: map[string]*structpb.Struct{}, sides: map[*asker]*side{}, head: header{":method": {method(s.Class)}, ":scheme": {"http"},
-		":authority": {s.Host}, ":path": {"/" + s.Class.Name + "/" + id}, "x-correlation-id": {id}}}
+	r := &request{x: &x, meta: map[string]*structpb.Struct{}, sides: map[*asker]*side{}, head: header{
+		":method": {method(s.Class)}, ":scheme": {"http"},
+		":authority": {s.Host}, ":path": {"/" + s.Class.Name + "/" + id}, "x-correlation-id": {id},
+	}}
 	if s.Account != "" {
 		r.head.set("x-account", s.Account)
 	}
--- a/internal/standin/proxy/proxy_test.go
+++ b/internal/standin/proxy/proxy_test.go
@@ -140,8 +140,10 @@
 				t.Fatal(err)
 			}
 			defer p.Close()
-			forged := map[string]string{envoyconf.Header: "127.0.0.1:1", "x-request-id": "another's", "x-envoy-attempt-count": "7", "x-time-left": "1m",
-				"x-envoy-expected-rq-timeout-ms": "1", "x-envoy-retry-on": "5xx", "x-envoy-max-retries": "9"}
+			forged := map[string]string{
+				envoyconf.Header: "127.0.0.1:1", "x-request-id": "another's", "x-envoy-attempt-count": "7", "x-time-left": "1m",
+				"x-envoy-expected-rq-timeout-ms": "1", "x-envoy-retry-on": "5xx", "x-envoy-max-retries": "9",
+			}
 			x := p.DoWith(context.Background(), standin.Stream{Class: class, Host: "a"}, "mine", forged)
 			if x.Status != c.status || p.Sent.Load() != c.sent || p.Heeded.Load() != c.sent || len(k.saw) != c.asked {
 				t.Fatalf("status %d, sent %d, heeded %d, asked %d", x.Status, p.Sent.Load(), p.Heeded.Load(), len(k.saw))
--- a/internal/standin/record.go
+++ b/internal/standin/record.go
@@ -197,8 +197,10 @@
 func (r *Records) View() View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := View{Classes: r.Classes, Told: append([]Told(nil), r.told...),
-		Starts: append([]Start(nil), r.starts...), Falls: append([]Fall(nil), r.falls...), Outages: append([]Outage(nil), r.outages...)}
+	v := View{
+		Classes: r.Classes, Told: append([]Told(nil), r.told...),
+		Starts: append([]Start(nil), r.starts...), Falls: append([]Fall(nil), r.falls...), Outages: append([]Outage(nil), r.outages...),
+	}
 	for _, a := range r.arrivals {
 		v.Arrivals = append(v.Arrivals, *a)
 	}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -215,9 +215,11 @@
 		if err != nil {
 			return
 		}
-		a := &Arrival{ID: req.Header.Get("X-Correlation-Id"), Key: req.Header.Get("Idempotency-Key"),
+		a := &Arrival{
+			ID: req.Header.Get("X-Correlation-Id"), Key: req.Header.Get("Idempotency-Key"),
 			Class: firstSegment(req.URL.Path), Host: req.Host, Path: req.URL.Path, Server: s.cfg.ID, Boot: boot, Zone: s.cfg.Zone, Cell: s.cfg.Cell,
-			First: first, Last: s.rec.Now(), Bytes: bytes, Answered: -1}
+			First: first, Last: s.rec.Now(), Bytes: bytes, Answered: -1,
+		}
 		s.rec.arrive(a)
 		// What closes the connection ends the wait for a turn: a caller that has gone wants nothing.
 		gone := make(chan struct{})
--- a/internal/standin/xds/plane.go
+++ b/internal/standin/xds/plane.go
@@ -312,8 +312,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.opened++
-	s := &stream{n: p.opened, delta: delta, cancel: cancel, out: make(chan proto.Message, 4096), asked: map[string]map[string]bool{},
-		all: map[string]bool{}, sent: map[string]map[string]string{}}
+	s := &stream{
+		n: p.opened, delta: delta, cancel: cancel, out: make(chan proto.Message, 4096), asked: map[string]map[string]bool{},
+		all: map[string]bool{}, sent: map[string]map[string]string{},
+	}
 	p.streams[s] = struct{}{}
 	return s, ctx
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -252,9 +252,11 @@
 	return float64(d.Round(time.Microsecond)) / float64(time.Millisecond)
 }
 
-var endingNames = map[balancer.Ending]string{balancer.Success: "success", balancer.Failure: "failure",
+var endingNames = map[balancer.Ending]string{
+	balancer.Success: "success", balancer.Failure: "failure",
 	balancer.Overloaded: "overloaded", balancer.TimedOut: "timed_out", balancer.Unreachable: "unreachable",
-	balancer.Broken: "broken", balancer.Canceled: "withdrawn", balancer.NeverSent: "void"}
+	balancer.Broken: "broken", balancer.Canceled: "withdrawn", balancer.NeverSent: "void",
+}
 
 var stateNames = map[balancer.ServerState]string{balancer.Ready: "ready", balancer.Draining: "draining", balancer.Gone: "gone"}
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -149,8 +149,10 @@
 			f.fail(0, "is no mode")
 		}
 	case "job_in":
-		r := balancer.Request{ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
-			ClientRetry: f.optNum(4)&2 != 0, Tenant: f.opt(5)}
+		r := balancer.Request{
+			ID: f.text(0), Deadline: f.ms(1), Class: f.text(3),
+			ClientRetry: f.optNum(4)&2 != 0, Tenant: f.opt(5),
+		}
 		if f.optNum(4)&1 != 0 {
 			r.Cost = f.optMS(6)
 		}
@@ -158,8 +160,10 @@
 	case "ring":
 		m.Event = balancer.Timer{Token: f.text(0)}
 	case "outcome":
-		m.Event = balancer.Outcome{ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
-			Ended: f.text(3) == "1", Attempt: f.num(4), Ending: f.ending(5), Load: f.load(6)}
+		m.Event = balancer.Outcome{
+			ID: f.text(0), Server: f.text(1), Latency: f.ms(2),
+			Ended: f.text(3) == "1", Attempt: f.num(4), Ending: f.ending(5), Load: f.load(6),
+		}
 	case "timed_out_client":
 		m.Event = balancer.ClientGone{ID: f.text(0)}
 	case "flowing":
@@ -193,8 +197,10 @@
 			return fmt.Errorf("want item %d of %d, got %s", i+1, n, quote(name))
 		}
 		g := &fields{name: name, parts: strings.Split(rest, "\t")}
-		sv := balancer.Server{ID: g.text(0), Zone: g.text(1), Cell: g.num(3), Size: g.optFloat(5),
-			StartedAt: g.optMS(6)}
+		sv := balancer.Server{
+			ID: g.text(0), Zone: g.text(1), Cell: g.num(3), Size: g.optFloat(5),
+			StartedAt: g.optMS(6),
+		}
 		switch g.num(4) {
 		case 2:
 			sv.State = balancer.Ready
@@ -431,9 +437,11 @@
 		s.MaxRetryAfter = fromMS(p.Limits.MaxRetryAfter)
 	}
 	for _, l := range p.Lanes {
-		s.Classes = append(s.Classes, balancer.Class{Name: l.Name, Effect: effects[l.Effect],
+		s.Classes = append(s.Classes, balancer.Class{
+			Name: l.Name, Effect: effects[l.Effect],
 			Scope: scopes[l.Scope], Window: fromMS(l.Window), Aim: fromMS(l.Target),
-			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, Worth: l.Worth, Stream: l.Stream})
+			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, Worth: l.Worth, Stream: l.Stream,
+		})
 	}
 	for _, t := range p.Tenants {
 		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -37,12 +37,18 @@
 	}
 	want := []Message{
 		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
-		{Kind: Event, Instance: 3, Event: balancer.ServerList{Full: true, Cached: true,
-			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, StartedAt: 6100500 * time.Microsecond}}}},
-		{Kind: Event, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", ClientRetry: true, Cost: 12 * time.Millisecond,
-			Deadline: 8652250 * time.Microsecond}},
-		{Kind: Event, Instance: 3, Event: balancer.Outcome{ID: "id", Server: "s:1", Ended: true,
-			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1}}},
+		{Kind: Event, Instance: 3, Event: balancer.ServerList{
+			Full: true, Cached: true,
+			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, StartedAt: 6100500 * time.Microsecond}},
+		}},
+		{Kind: Event, Instance: 3, Event: balancer.Request{
+			ID: "id", Class: "get", ClientRetry: true, Cost: 12 * time.Millisecond,
+			Deadline: 8652250 * time.Microsecond,
+		}},
+		{Kind: Event, Instance: 3, Event: balancer.Outcome{
+			ID: "id", Server: "s:1", Ended: true,
+			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1},
+		}},
 		{Kind: End, Instance: 3},
 	}
 	if !reflect.DeepEqual(l, want) {
--- a/internal/xds/ads/ads.go
+++ b/internal/xds/ads/ads.go
@@ -291,8 +291,10 @@
 // request is a state-of-the-world request: the subscription, the last accepted version, and the nonce
 // of the last response, which it acknowledges or refuses.
 func (m *Machine) request(s *state, refusal *statuspb.Status) *discovery.DiscoveryRequest {
-	r := &discovery.DiscoveryRequest{TypeUrl: s.URL, VersionInfo: s.version, ResponseNonce: s.nonce,
-		ResourceNames: s.names(), ErrorDetail: refusal}
+	r := &discovery.DiscoveryRequest{
+		TypeUrl: s.URL, VersionInfo: s.version, ResponseNonce: s.nonce,
+		ResourceNames: s.names(), ErrorDetail: refusal,
+	}
 	if s.nonce == "" {
 		r.Node = m.cfg.Node // needed on the first request of a stream; until something came each may be it
 	}
@@ -362,8 +364,10 @@
 	}
 	changes := make([]change, 0, len(r.GetResources()))
 	for _, w := range r.GetResources() {
-		changes = append(changes, change{name: w.GetName(), version: w.GetVersion(), body: w.GetResource(),
-			ttl: w.GetTtl().AsDuration(), hasTTL: w.GetTtl() != nil})
+		changes = append(changes, change{
+			name: w.GetName(), version: w.GetVersion(), body: w.GetResource(),
+			ttl: w.GetTtl().AsDuration(), hasTTL: w.GetTtl() != nil,
+		})
 	}
 	news, _, faults := m.apply(now, s, changes)
 	for _, n := range r.GetRemovedResources() {
--- a/internal/xds/ads/ads_test.go
+++ b/internal/xds/ads/ads_test.go
@@ -38,8 +38,10 @@
 }
 
 func newMachine(delta bool) *Machine {
-	return New(Config{Delta: delta, Node: &corev3.Node{Id: "me"},
-		Types: []Type{{URL: whole, Whole: true, Decode: decode}, {URL: part, Decode: decode}}})
+	return New(Config{
+		Delta: delta, Node: &corev3.Node{Id: "me"},
+		Types: []Type{{URL: whole, Whole: true, Decode: decode}, {URL: part, Decode: decode}},
+	})
 }
 
 func body(url, text string) *anypb.Any { return &anypb.Any{TypeUrl: url, Value: []byte(text)} }
@@ -174,8 +176,10 @@
 	expect(t, "removed again", m.ReceiveDelta(2*sec, incremental(whole, "4", "-a")), "ask hole n=4")
 	expect(t, "back", m.ReceiveDelta(2*sec, incremental(whole, "5", "a=1")), "news a=1; ask hole n=5")
 	expect(t, "the same again", m.ReceiveDelta(2*sec, incremental(whole, "6", "a=1")), "ask hole n=6")
-	expect(t, "another name inside", m.ReceiveDelta(2*sec, &discovery.DeltaDiscoveryResponse{TypeUrl: whole, Nonce: "7",
-		Resources: []*discovery.Resource{{Name: "a", Version: "9", Resource: body(whole, "q=1")}}}),
+	expect(t, "another name inside", m.ReceiveDelta(2*sec, &discovery.DeltaDiscoveryResponse{
+		TypeUrl: whole, Nonce: "7",
+		Resources: []*discovery.Resource{{Name: "a", Version: "9", Resource: body(whole, "q=1")}},
+	}),
 		`report; ask hole n=7 NACK(a: it is named "q" inside)`)
 	expect(t, "want", m.Want(3*sec, whole, false, []string{"b", "c"}), "ask hole +[c] -[a] n=")
 	expect(t, "told not to exist", m.ReceiveDelta(3*sec, incremental(whole, "8", "-c")), "news -c; ask hole n=8")
--- a/internal/xds/client/client.go
+++ b/internal/xds/client/client.go
@@ -90,11 +90,13 @@
 	}
 	cfg.Failover.Servers = len(cfg.Servers)
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Client{cfg: cfg, events: make(chan func(), 64), done: make(chan struct{}), ctx: ctx, cancel: cancel,
+	c := &Client{
+		cfg: cfg, events: make(chan func(), 64), done: make(chan struct{}), ctx: ctx, cancel: cancel,
 		start: time.Now(), wakeup: time.NewTimer(time.Hour), used: -1,
 		machine:  ads.New(ads.Config{Delta: cfg.Delta, Node: cfg.Node, Types: resource.Types(), Timeout: cfg.Timeout}),
 		failover: ads.NewFailover(cfg.Failover, rand.Uint64()), clusters: resource.NewClusters(cfg.Clusters),
-		watchers: map[string][]*watcher{}, streams: map[int]*stream{}, problems: make([]string, len(cfg.Servers))}
+		watchers: map[string][]*watcher{}, streams: map[int]*stream{}, problems: make([]string, len(cfg.Servers)),
+	}
 	for _, addr := range cfg.Servers {
 		conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(cfg.MaxBytes)),
--- a/internal/xds/client/client_test.go
+++ b/internal/xds/client/client_test.go
@@ -65,9 +65,13 @@
 }
 
 func cluster(name, service string) proto.Message {
-	return &clusterv3.Cluster{Name: name, ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
-		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{ServiceName: service,
-			EdsConfig: &corev3.ConfigSource{ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}}}
+	return &clusterv3.Cluster{
+		Name: name, ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
+		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{
+			ServiceName: service,
+			EdsConfig:   &corev3.ConfigSource{ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}},
+		},
+	}
 }
 
 func endpoints(service string, addrs ...string) proto.Message {
@@ -75,7 +79,8 @@
 	l := &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: "z"}}
 	for _, a := range addrs {
 		l.LbEndpoints = append(l.LbEndpoints, &endpointv3.LbEndpoint{HostIdentifier: &endpointv3.LbEndpoint_Endpoint{
-			Endpoint: &endpointv3.Endpoint{Address: resource.Address(a)}}})
+			Endpoint: &endpointv3.Endpoint{Address: resource.Address(a)},
+		}})
 	}
 	if addrs != nil {
 		m.Endpoints = append(m.Endpoints, l)
--- a/internal/xds/client/dump.go
+++ b/internal/xds/client/dump.go
@@ -74,8 +74,10 @@
 		slices.Sort(names)
 		for _, n := range names {
 			r := held[n]
-			x := ResourceDump{Type: t.URL[strings.LastIndexByte(t.URL, '.')+1:], Name: n, Version: r.Version,
-				Status: r.Status.String(), Age: now - r.Since, Refused: r.Error}
+			x := ResourceDump{
+				Type: t.URL[strings.LastIndexByte(t.URL, '.')+1:], Name: n, Version: r.Version,
+				Status: r.Status.String(), Age: now - r.Since, Refused: r.Error,
+			}
 			if r.Error != "" {
 				x.RefusedAge = now - r.ErrorAt
 			}
--- a/internal/xds/client/loads.go
+++ b/internal/xds/client/loads.go
@@ -154,8 +154,10 @@
 		k := key{e.locality, e.priority}
 		s := by[k]
 		if s == nil {
-			s = &endpointv3.UpstreamLocalityStats{Priority: uint32(e.priority),
-				Locality: &corev3.Locality{Region: e.locality.Region, Zone: e.locality.Zone, SubZone: e.locality.SubZone}}
+			s = &endpointv3.UpstreamLocalityStats{
+				Priority: uint32(e.priority),
+				Locality: &corev3.Locality{Region: e.locality.Region, Zone: e.locality.Zone, SubZone: e.locality.SubZone},
+			}
 			by[k] = s
 			order = append(order, k)
 		}
@@ -166,7 +168,8 @@
 		if endpoints {
 			s.UpstreamEndpointStats = append(s.UpstreamEndpointStats, &endpointv3.UpstreamEndpointStats{
 				Address: resource.Address(e.addr), TotalIssuedRequests: e.issued, TotalSuccessfulRequests: e.succeeded,
-				TotalErrorRequests: e.failed, TotalRequestsInProgress: e.out})
+				TotalErrorRequests: e.failed, TotalRequestsInProgress: e.out,
+			})
 		}
 		if e.issued, e.succeeded, e.failed = 0, 0, 0; e.out == 0 {
 			delete(l.endpoints, id)
@@ -175,8 +178,10 @@
 	if len(by) == 0 && l.dropped == 0 {
 		return nil
 	}
-	stats := &endpointv3.ClusterStats{ClusterName: l.cluster, TotalDroppedRequests: l.dropped,
-		LoadReportInterval: durationpb.New(now.Sub(l.since))}
+	stats := &endpointv3.ClusterStats{
+		ClusterName: l.cluster, TotalDroppedRequests: l.dropped,
+		LoadReportInterval: durationpb.New(now.Sub(l.since)),
+	}
 	for _, k := range order {
 		stats.UpstreamLocalityStats = append(stats.UpstreamLocalityStats, by[k])
 	}
--- a/internal/xds/resource/clusters.go
+++ b/internal/xds/resource/clusters.go
@@ -45,8 +45,10 @@
 
 // NewClusters returns a set that follows nothing.
 func NewClusters(cfg ClustersConfig) *Clusters {
-	return &Clusters{cfg: cfg, followed: map[string]*followed{}, clusters: map[string]*Cluster{},
-		services: map[string]*Assignment{}, missing: map[string]bool{}}
+	return &Clusters{
+		cfg: cfg, followed: map[string]*followed{}, clusters: map[string]*Cluster{},
+		services: map[string]*Assignment{}, missing: map[string]bool{},
+	}
 }
 
 // Follow and Unfollow set which clusters are of interest.
--- a/internal/xds/resource/resource.go
+++ b/internal/xds/resource/resource.go
@@ -44,7 +44,8 @@
 			}
 			return name, c, nil
 		}},
-		{URL: EndpointURL, Name: func(a *anypb.Any) string { return assignmentName(a.GetValue()) },
+		{
+			URL: EndpointURL, Name: func(a *anypb.Any) string { return assignmentName(a.GetValue()) },
 			Decode: func(a *anypb.Any, prev any) (string, any, error) {
 				before, _ := prev.(*Assignment)
 				name, x, err := ReadAssignment(a.GetValue(), before)
@@ -52,7 +53,8 @@
 					return name, nil, err
 				}
 				return name, x, nil
-			}},
+			},
+		},
 	}
 }
 
@@ -386,7 +388,8 @@
 		}
 		denominator, known := map[typev3.FractionalPercent_DenominatorType]float64{
 			typev3.FractionalPercent_HUNDRED: 100, typev3.FractionalPercent_TEN_THOUSAND: 10_000,
-			typev3.FractionalPercent_MILLION: 1_000_000}[d.GetDropPercentage().GetDenominator()]
+			typev3.FractionalPercent_MILLION: 1_000_000,
+		}[d.GetDropPercentage().GetDenominator()]
 		if !known {
 			return fmt.Errorf("drop_overloads %q: the denominator %v is not known", d.GetCategory(), d.GetDropPercentage().GetDenominator())
 		}
@@ -490,5 +493,6 @@
 		return nil
 	}
 	return &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
-		Address: ap.Addr().String(), PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(ap.Port())}}}}
+		Address: ap.Addr().String(), PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(ap.Port())},
+	}}}
 }
--- a/internal/xds/resource/resource_test.go
+++ b/internal/xds/resource/resource_test.go
@@ -33,14 +33,19 @@
 }
 
 func eds(name, service string) *clusterv3.Cluster {
-	return &clusterv3.Cluster{Name: name, ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
-		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{ServiceName: service,
-			EdsConfig: &corev3.ConfigSource{ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}}}
+	return &clusterv3.Cluster{
+		Name: name, ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
+		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{
+			ServiceName: service,
+			EdsConfig:   &corev3.ConfigSource{ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}},
+		},
+	}
 }
 
 func lb(addr string, health corev3.HealthStatus) *endpointv3.LbEndpoint {
 	return &endpointv3.LbEndpoint{HealthStatus: health, HostIdentifier: &endpointv3.LbEndpoint_Endpoint{
-		Endpoint: &endpointv3.Endpoint{Address: Address(addr)}}}
+		Endpoint: &endpointv3.Endpoint{Address: Address(addr)},
+	}}
 }
 
 func meta(ep *endpointv3.LbEndpoint, fields map[string]any) *endpointv3.LbEndpoint {
@@ -120,18 +125,25 @@
 	ep.LoadBalancingWeight = wrapperspb.UInt32(7)
 	ep.GetEndpoint().Hostname = "h"
 	m := cla("c", group("z", 0, ep, lb("[::1]:81", unknown)),
-		&endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Region: "r", Zone: "z", SubZone: "q"}, LoadBalancingWeight: wrapperspb.UInt32(3),
-			LbEndpoints: []*endpointv3.LbEndpoint{meta(lb("10.0.0.1:1", healthy), map[string]any{"boot_ms": "1700000000000"})}})
-	m.Policy = &endpointv3.ClusterLoadAssignment_Policy{OverprovisioningFactor: wrapperspb.UInt32(200), EndpointStaleAfter: durationpb.New(time.Second),
+		&endpointv3.LocalityLbEndpoints{
+			Locality: &corev3.Locality{Region: "r", Zone: "z", SubZone: "q"}, LoadBalancingWeight: wrapperspb.UInt32(3),
+			LbEndpoints: []*endpointv3.LbEndpoint{meta(lb("10.0.0.1:1", healthy), map[string]any{"boot_ms": "1700000000000"})},
+		})
+	m.Policy = &endpointv3.ClusterLoadAssignment_Policy{
+		OverprovisioningFactor: wrapperspb.UInt32(200), EndpointStaleAfter: durationpb.New(time.Second),
 		DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{
 			{Category: "a", DropPercentage: &typev3.FractionalPercent{Numerator: 50}},
-			{Category: "b", DropPercentage: &typev3.FractionalPercent{Numerator: 500_000, Denominator: typev3.FractionalPercent_MILLION}}}}
+			{Category: "b", DropPercentage: &typev3.FractionalPercent{Numerator: 500_000, Denominator: typev3.FractionalPercent_MILLION}},
+		},
+	}
 	name, a, err := ReadAssignment(wire(t, m), nil)
 	if err != nil || name != "c" {
 		t.Fatal(err)
 	}
-	if want := (Endpoint{ID: "s-1", Addr: "127.0.0.1:80", Zone: "z", Locality: Locality{Zone: "z"}, Weight: 7, Health: Degraded, Cell: 3,
-		Boot: 1500 * time.Millisecond}); a.Endpoints[0] != want {
+	if want := (Endpoint{
+		ID: "s-1", Addr: "127.0.0.1:80", Zone: "z", Locality: Locality{Zone: "z"}, Weight: 7, Health: Degraded, Cell: 3,
+		Boot: 1500 * time.Millisecond,
+	}); a.Endpoints[0] != want {
 		t.Errorf("%+v", a.Endpoints[0])
 	}
 	if e := a.Endpoints[1]; e.ID != "[::1]:81" || e.Weight != 1 || e.Health != Healthy {
@@ -157,7 +169,8 @@
 	zero.Policy = &endpointv3.ClusterLoadAssignment_Policy{OverprovisioningFactor: wrapperspb.UInt32(0)}
 	drop := cla("c")
 	drop.Policy = &endpointv3.ClusterLoadAssignment_Policy{DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{
-		{Category: "x", DropPercentage: &typev3.FractionalPercent{Numerator: 1, Denominator: 77}}}}
+		{Category: "x", DropPercentage: &typev3.FractionalPercent{Numerator: 1, Denominator: 77}},
+	}}
 	for want, m := range map[string]*endpointv3.ClusterLoadAssignment{
 		"without a name":                         cla(""),
 		"without a socket address":               one(&endpointv3.LbEndpoint{HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{}}}),
@@ -192,12 +205,22 @@
 func TestUsable(t *testing.T) {
 	letters := map[rune]Health{'h': Healthy, 'd': Degraded, 'u': Unhealthy, 'x': Draining}
 	for _, c := range []struct{ priorities, want string }{
-		{"hhh", "HHH"}, {"hux", "Hux"}, {"hhhhh/h", "HHHHH/h"},
+		{"hhh", "HHH"},
+		{"hux", "Hux"},
+		{"hhhhh/h", "HHHHH/h"},
 		{"hhhhu/hh", "HHHHu/hh"}, // 0.8 x 1.4 suffices
 		{"hhuuu/hh", "HHuuu/HH"}, // 0.4 x 1.4 does not: the next level too
-		{"huuuu/huuuu/h", "Huuuu/Huuuu/H"}, {"uu/hh/hh", "uu/HH/hh"},
-		{"hddd", "HDDD"}, {"hhhd", "HHHd"}, {"dd/h", "dd/H"}, {"du/uu", "Du/uu"},
-		{"uu", "UU"}, {"ux", "Ux"}, {"xx", "xx"}, {"uu/ux", "UU/Ux"}, {"", ""},
+		{"huuuu/huuuu/h", "Huuuu/Huuuu/H"},
+		{"uu/hh/hh", "uu/HH/hh"},
+		{"hddd", "HDDD"},
+		{"hhhd", "HHHd"},
+		{"dd/h", "dd/H"},
+		{"du/uu", "Du/uu"},
+		{"uu", "UU"},
+		{"ux", "Ux"},
+		{"xx", "xx"},
+		{"uu/ux", "UU/Ux"},
+		{"", ""},
 	} {
 		a := &Assignment{Overshoot: 1.4}
 		for p, l := range strings.Split(c.priorities, "/") {
@@ -236,8 +259,10 @@
 			a := &Assignment{Overshoot: 1.4}
 			for id := range 6 {
 				if rapid.Bool().Draw(t, "there") {
-					a.Endpoints = append(a.Endpoints, Endpoint{ID: fmt.Sprint(id), Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, "addr")),
-						Health: Health(rapid.IntRange(0, 3).Draw(t, "health")), Boot: time.Duration(rapid.IntRange(0, 1).Draw(t, "boot"))})
+					a.Endpoints = append(a.Endpoints, Endpoint{
+						ID: fmt.Sprint(id), Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, "addr")),
+						Health: Health(rapid.IntRange(0, 3).Draw(t, "health")), Boot: time.Duration(rapid.IntRange(0, 1).Draw(t, "boot")),
+					})
 				}
 			}
 			if rapid.IntRange(0, 4).Draw(t, "none") == 0 {
--- a/internal/zone/budget_test.go
+++ b/internal/zone/budget_test.go
@@ -95,9 +95,11 @@
 // than was reserved, whatever the order of events, the clock and restarts.
 func TestBudgetProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limit{RequestsHour: int64(rapid.IntRange(0, 5).Draw(t, "rh")), RequestsDay: int64(rapid.IntRange(0, 9).Draw(t, "rd")),
+		l := Limit{
+			RequestsHour: int64(rapid.IntRange(0, 5).Draw(t, "rh")), RequestsDay: int64(rapid.IntRange(0, 9).Draw(t, "rd")),
 			BytesHour: int64(rapid.IntRange(0, 900).Draw(t, "bh")), BytesDay: int64(rapid.IntRange(0, 2000).Draw(t, "bd")),
-			Beyond: []string{"alert"}, Reply: 100}
+			Beyond: []string{"alert"}, Reply: 100,
+		}
 		b := NewBudget(l)
 		now := 100 * 24 * hourLong
 		type open struct {
@@ -209,8 +211,10 @@
 // after one, before or after a span turns. A writing that failed lets nothing be spent.
 func TestLeaseProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limit{RequestsHour: int64(rapid.IntRange(0, 60).Draw(t, "rh")), RequestsDay: int64(rapid.IntRange(0, 200).Draw(t, "rd")),
-			BytesHour: int64(rapid.IntRange(0, 9000).Draw(t, "bh")), BytesDay: int64(rapid.IntRange(0, 20000).Draw(t, "bd")), Reply: 100}
+		l := Limit{
+			RequestsHour: int64(rapid.IntRange(0, 60).Draw(t, "rh")), RequestsDay: int64(rapid.IntRange(0, 200).Draw(t, "rd")),
+			BytesHour: int64(rapid.IntRange(0, 9000).Draw(t, "bh")), BytesDay: int64(rapid.IntRange(0, 20000).Draw(t, "bd")), Reply: 100,
+		}
 		now := 100 * 24 * hourLong
 		var disk *Spent
 		write := func(b *Budget, works bool) {
--- a/internal/zone/model/model.go
+++ b/internal/zone/model/model.go
@@ -57,9 +57,11 @@
 
 // Default is a play of a minute.
 func Default(zones int, t Trouble, seed uint64) Config {
-	return Config{Zones: zones, Servers: 10, Work: 20 * time.Millisecond, Load: 0.55, Cross: 5 * time.Millisecond, Queue: 30,
+	return Config{
+		Zones: zones, Servers: 10, Work: 20 * time.Millisecond, Load: 0.55, Cross: 5 * time.Millisecond, Queue: 30,
 		Aim: 200 * time.Millisecond, Limit: time.Second, Length: 40 * time.Second, From: 10 * time.Second, Until: 25 * time.Second,
-		Notice: time.Second, Trouble: t, Seed: seed}
+		Notice: time.Second, Trouble: t, Seed: seed,
+	}
 }
 
 // Result is what came of a play, from the beginning of the trouble on.
--- a/internal/zone/module.go
+++ b/internal/zone/module.go
@@ -55,8 +55,10 @@
 
 // NewModule returns a module of a pool that asks in.
 func NewModule(in Decider, pool string, cfg Config, book *Book, seed uint64) *Module {
-	m := &Module{next: in, pool: pool, home: cfg.Home, spreader: NewSpreader(cfg, seed), book: book,
-		maxAttempts: int64(max(1, cfg.Tries)), places: map[string]Place{}, listed: map[string]bool{}, open: map[string]*openRequest{}}
+	m := &Module{
+		next: in, pool: pool, home: cfg.Home, spreader: NewSpreader(cfg, seed), book: book,
+		maxAttempts: int64(max(1, cfg.Tries)), places: map[string]Place{}, listed: map[string]bool{}, open: map[string]*openRequest{},
+	}
 	m.views.Store(&[]View{})
 	return m
 }
--- a/internal/zone/module_test.go
+++ b/internal/zone/module_test.go
@@ -19,10 +19,13 @@
 
 func newModule(t testing.TB, cfg Config, limits ...Limit) (*Module, *Book) {
 	t.Helper()
-	b, err := balancer.New(balancer.Settings{Classes: []balancer.Class{
-		{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-		{Name: "alert-send", Effect: balancer.IdempotentByKey, Scope: balancer.ScopeAll, Window: 10 * time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 3}},
-		MaxAttempts: 3, Tick: time.Millisecond, MaxRetryAfter: time.Second}, 1)
+	b, err := balancer.New(balancer.Settings{
+		Classes: []balancer.Class{
+			{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "alert-send", Effect: balancer.IdempotentByKey, Scope: balancer.ScopeAll, Window: 10 * time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 3},
+		},
+		MaxAttempts: 3, Tick: time.Millisecond, MaxRetryAfter: time.Second,
+	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/zone/page/page.go
+++ b/internal/zone/page/page.go
@@ -9,8 +9,10 @@
 	"cranegrade/internal/zone/report"
 )
 
-var page = template.Must(template.New("").Funcs(template.FuncMap{"zone": report.Name, "left": report.Left,
-	"percent": func(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }}).Parse(`<!doctype html>
+var page = template.Must(template.New("").Funcs(template.FuncMap{
+	"zone": report.Name, "left": report.Left,
+	"percent": func(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) },
+}).Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>Zones of {{.Node}}</title>
 <style>body{font:14px sans-serif;margin:2em}table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .8em;border-bottom:1px solid #ccc;text-align:right}tr.cross{background:#fff3d6}</style>
 <h1>Zones of {{.Node}}</h1>
--- a/internal/zone/report/report.go
+++ b/internal/zone/report/report.go
@@ -149,8 +149,10 @@
 		}
 		for _, b := range r.Budgets {
 			if was, is := budgets[[2]string{b.From, b.To}]; is {
-				b = Budget{b.From, b.To, plus(was.RequestsHour, b.RequestsHour), plus(was.RequestsDay, b.RequestsDay),
-					plus(was.BytesHour, b.BytesHour), plus(was.BytesDay, b.BytesDay)}
+				b = Budget{
+					b.From, b.To, plus(was.RequestsHour, b.RequestsHour), plus(was.RequestsDay, b.RequestsDay),
+					plus(was.BytesHour, b.BytesHour), plus(was.BytesDay, b.BytesDay),
+				}
 			}
 			budgets[[2]string{b.From, b.To}] = b
 		}
--- a/internal/zone/report/report_test.go
+++ b/internal/zone/report/report_test.go
@@ -17,9 +17,11 @@
 		{Key: zone.Key{Day: 20000, Pair: zone.Pair{From: "a"}, Pool: "p", Class: "read"}, Traffic: zone.Traffic{Requests: 99}},
 		{Key: zone.Key{Day: 20001, Pair: zone.Pair{From: "a", To: "b"}, Pool: "p", Class: "alert-send"}, Traffic: zone.Traffic{Requests: 1}},
 	}
-	return Report{Node: "n1", Home: "a", At: time.Unix(1728000000, 0).UTC(), Rows: Rows(rows, "", By{true, true, true}),
+	return Report{
+		Node: "n1", Home: "a", At: time.Unix(1728000000, 0).UTC(), Rows: Rows(rows, "", By{true, true, true}),
 		Pools:   map[string][]Area{"p": Areas([]zone.View{{Place: zone.Place{Zone: "a"}, Servers: 3, Units: 2.5, Limit: 12, Out: 4, Sick: true}})},
-		Budgets: Budgets(map[zone.Pair][2][2]int64{{From: "a", To: "b"}: {{5, -1}, {-1, 1000}}})}
+		Budgets: Budgets(map[zone.Pair][2][2]int64{{From: "a", To: "b"}: {{5, -1}, {-1, 1000}}}),
+	}
 }
 
 func TestForms(t *testing.T) {
@@ -76,10 +78,14 @@
 // Several nodes' figures together are the sums of each one's; a pair that is without limit anywhere has none.
 func TestMerge(t *testing.T) {
 	now := time.Unix(1000, 0)
-	a := Report{Node: "a", Home: "x", At: now, Pools: map[string][]Area{"p": {{Zone: "x"}}},
-		Budgets: []Budget{{"x", "y", 5, -1, 7, 8}}, Rows: []Row{{Day: "2026-12-01", From: "x", To: "y", Requests: 3, Out: 4, In: 5}}}
-	b := Report{Node: "b", Home: "x", At: now.Add(-time.Second), Pools: map[string][]Area{"p": {{Zone: "y"}}},
-		Budgets: []Budget{{"x", "y", 1, 2, -1, 4}, {"y", "x", 9, 9, 9, 9}}, Rows: []Row{{Day: "2026-12-01", From: "x", To: "y", Requests: 1, Out: 1, In: 1}}}
+	a := Report{
+		Node: "a", Home: "x", At: now, Pools: map[string][]Area{"p": {{Zone: "x"}}},
+		Budgets: []Budget{{"x", "y", 5, -1, 7, 8}}, Rows: []Row{{Day: "2026-12-01", From: "x", To: "y", Requests: 3, Out: 4, In: 5}},
+	}
+	b := Report{
+		Node: "b", Home: "x", At: now.Add(-time.Second), Pools: map[string][]Area{"p": {{Zone: "y"}}},
+		Budgets: []Budget{{"x", "y", 1, 2, -1, 4}, {"y", "x", 9, 9, 9, 9}}, Rows: []Row{{Day: "2026-12-01", From: "x", To: "y", Requests: 1, Out: 1, In: 1}},
+	}
 	m := Merge([]Report{a, b})
 	if m.Node != "a, b" || m.Home != "x" || !m.At.Equal(b.At) || len(m.Pools) != 2 || m.Pools["b/p"][0].Zone != "y" || len(m.Rows) != 2 {
 		t.Errorf("%+v", m)
--- a/internal/zone/spread.go
+++ b/internal/zone/spread.go
@@ -67,8 +67,10 @@
 	if cfg.Start == 0 {
 		cfg.Start = startEach
 	}
-	return &Spreader{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x20e5)), areas: map[Place]*area{},
-		orders: map[string][]Place{}, hosts: map[string]host{}}
+	return &Spreader{
+		cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0x20e5)), areas: map[Place]*area{},
+		orders: map[string][]Place{}, hosts: map[string]host{},
+	}
 }
 
 // Server is a server as the list tells it.
@@ -136,8 +138,10 @@
 	if len(s.areas) >= MaxZones && p.Zone != "" {
 		return s.area(Place{Priority: p.Priority})
 	}
-	a := &area{place: p, hosts: map[string]struct{}{}, paces: map[string]*float64{},
-		home: p.Zone == s.cfg.Home || p.Zone == "" && s.cfg.Unknown == AsHome}
+	a := &area{
+		place: p, hosts: map[string]struct{}{}, paces: map[string]*float64{},
+		home: p.Zone == s.cfg.Home || p.Zone == "" && s.cfg.Unknown == AsHome,
+	}
 	a.each = s.cfg.Start / float64(s.cfg.Nodes)
 	if !a.home {
 		a.each *= startAway
--- a/internal/zone/spread_test.go
+++ b/internal/zone/spread_test.go
@@ -42,14 +42,30 @@
 		without func(string) bool
 	}{
 		{"home first", Config{Home: "b"}, []Place{{Zone: "a"}, {Zone: "b"}}, "b", "[{b 0} {a 0}]", nil},
-		{"by price", Config{Home: "a", Costs: map[Pair]Cost{{"a", "b"}: {Price: 2}, {"a", "c"}: {Price: 1}}},
-			[]Place{{Zone: "a"}, {Zone: "b"}, {Zone: "c"}}, "a", "[{a 0} {c 0} {b 0}]", nil},
-		{"a price of zero", Config{Home: "a", Costs: map[Pair]Cost{{"a", "b"}: {}, {"a", "c"}: {Price: 1}}, Default: Cost{Price: 5}},
-			[]Place{{Zone: "b"}, {Zone: "c"}, {Zone: "d"}}, "a", "[{b 0} {c 0} {d 0}]", nil},
-		{"a price of infinity", Config{Home: "a", Costs: map[Pair]Cost{{"a", "b"}: {Price: inf}}},
-			[]Place{{Zone: "b"}, {Zone: "c"}}, "a", "[{c 0}]", nil},
-		{"latency has a price", Config{Home: "a", Second: 10, Costs: map[Pair]Cost{{"a", "b"}: {Latency: time.Second}, {"a", "c"}: {Price: 9}}},
-			[]Place{{Zone: "b"}, {Zone: "c"}}, "a", "[{c 0} {b 0}]", nil},
+		{
+			"by price",
+			Config{Home: "a", Costs: map[Pair]Cost{{"a", "b"}: {Price: 2}, {"a", "c"}: {Price: 1}}},
+			[]Place{{Zone: "a"}, {Zone: "b"}, {Zone: "c"}},
+			"a", "[{a 0} {c 0} {b 0}]", nil,
+		},
+		{
+			"a price of zero",
+			Config{Home: "a", Costs: map[Pair]Cost{{"a", "b"}: {}, {"a", "c"}: {Price: 1}}, Default: Cost{Price: 5}},
+			[]Place{{Zone: "b"}, {Zone: "c"}, {Zone: "d"}},
+			"a", "[{b 0} {c 0} {d 0}]", nil,
+		},
+		{
+			"a price of infinity",
+			Config{Home: "a", Costs: map[Pair]Cost{{"a", "b"}: {Price: inf}}},
+			[]Place{{Zone: "b"}, {Zone: "c"}},
+			"a", "[{c 0}]", nil,
+		},
+		{
+			"latency has a price",
+			Config{Home: "a", Second: 10, Costs: map[Pair]Cost{{"a", "b"}: {Latency: time.Second}, {"a", "c"}: {Price: 9}}},
+			[]Place{{Zone: "b"}, {Zone: "c"}},
+			"a", "[{c 0} {b 0}]", nil,
+		},
 		{"priorities before cost", Config{Home: "a"}, []Place{{Zone: "a", Priority: 1}, {Zone: "b"}}, "a", "[{b 0} {a 1}]", nil},
 		{"unknown last", Config{Home: "a", Default: Cost{Price: 1e9}}, []Place{{}, {Zone: "z"}}, "a", "[{z 0} { 0}]", nil},
 		{"unknown never", Config{Home: "a", Unknown: Never}, []Place{{}, {Zone: "z"}}, "a", "[{z 0}]", nil},
@@ -244,8 +260,10 @@
 // servers, and no place is chosen beyond its limit while one before it in order has room.
 func TestSpreadProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewSpreader(Config{Home: "a", Nodes: rapid.IntRange(1, 4).Draw(t, "nodes"), Cold: 0.3, Warm: time.Second,
-			Unknown: Unknown(rapid.IntRange(0, 2).Draw(t, "unknown"))}, 1)
+		s := NewSpreader(Config{
+			Home: "a", Nodes: rapid.IntRange(1, 4).Draw(t, "nodes"), Cold: 0.3, Warm: time.Second,
+			Unknown: Unknown(rapid.IntRange(0, 2).Draw(t, "unknown")),
+		}, 1)
 		zone := rapid.SampledFrom([]string{"", "a", "b", "c"})
 		now := time.Duration(0)
 		type call struct{ p Place }
@@ -256,10 +274,12 @@
 				full := rapid.Bool().Draw(t, "full")
 				var l []Server
 				for range rapid.IntRange(0, 6).Draw(t, "n") {
-					l = append(l, Server{ID: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "id")), Ready: rapid.Bool().Draw(t, "ready"),
+					l = append(l, Server{
+						ID: fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "id")), Ready: rapid.Bool().Draw(t, "ready"),
 						Place: Place{Zone: zone.Draw(t, "zone"), Priority: rapid.IntRange(0, 1).Draw(t, "priority")},
 						Boot:  rapid.SampledFrom([]time.Duration{0, now}).Draw(t, "boot"), Size: float64(rapid.IntRange(0, 2).Draw(t, "size")),
-						Weight: float64(rapid.IntRange(0, 1).Draw(t, "weight"))})
+						Weight: float64(rapid.IntRange(0, 1).Draw(t, "weight")),
+					})
 				}
 				s.Servers(now, full, l)
 			},
