--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -7,7 +7,7 @@
 	"sort"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 // Options are the limits that the rules leave to the settings.
@@ -48,7 +48,7 @@
 }
 
 // Judge judges a finished run.
-func Judge(r standin.View, o Options) Verdict {
+func Judge(r fake.View, o Options) Verdict {
 	if o.Slack == 0 {
 		o.Slack = 70 * time.Millisecond
 	}
@@ -56,7 +56,7 @@
 		o.StopAfter = 250 * time.Millisecond
 	}
 	var v Verdict
-	byID := map[string][]standin.Arrival{}
+	byID := map[string][]fake.Arrival{}
 	for _, a := range r.Arrivals {
 		byID[a.ID] = append(byID[a.ID], a)
 	}
@@ -87,7 +87,7 @@
 }
 
 // outages are those of each process.
-type outages map[string][]standin.Outage
+type outages map[string][]fake.Outage
 
 // during says that a process was dead or stopped at some time of a span.
 func (l outages) during(via string, from, to time.Duration) bool {
@@ -101,7 +101,7 @@
 
 // answers judges the first rule on a request, and the promise of a refusal, and counts its end. What the rig took from a
 // process by killing or stopping it is not that process's to answer.
-func (v *Verdict) answers(x standin.Exchange, arrivals []standin.Arrival, out outages, o Options) {
+func (v *Verdict) answers(x fake.Exchange, arrivals []fake.Arrival, out outages, o Options) {
 	v.Requests++
 	switch x.Status {
 	case 200:
@@ -130,13 +130,13 @@
 }
 
 // mayHaveRun says that nothing proves to the node that an arrival did not run.
-func mayHaveRun(a standin.Arrival) bool { return !a.Unprocessed }
+func mayHaveRun(a fake.Arrival) bool { return !a.Unprocessed }
 
 // effects judges the second rule on the arrivals of one request.
-func (v *Verdict) effects(classes map[string]standin.Class, l []standin.Arrival, o Options) {
+func (v *Verdict) effects(classes map[string]fake.Class, l []fake.Arrival, o Options) {
 	sort.SliceStable(l, func(i, j int) bool { return l[i].Last < l[j].Last })
 	c := classes[l[0].Class]
-	if c.Effect == standin.Safe {
+	if c.Effect == fake.Safe {
 		return
 	}
 	for i, later := range l {
@@ -144,7 +144,7 @@
 			switch {
 			case !mayHaveRun(before):
 				continue
-			case c.Effect == standin.Unsafe:
+			case c.Effect == fake.Unsafe:
 				v.breach(&v.Twice, "%s (%s) went to %s though it may have run at %s", later.ID, c.Name, later.Server, before.Server)
 			case !sameScope(c.Scope, before, later):
 				v.breach(&v.Twice, "%s (%s) went to %s, which does not know the keys of %s", later.ID, c.Name, later.Server, before.Server)
@@ -158,22 +158,22 @@
 	}
 }
 
-func sameScope(s standin.Scope, a, b standin.Arrival) bool {
+func sameScope(s fake.Scope, a, b fake.Arrival) bool {
 	switch s {
-	case standin.ScopeAll:
+	case fake.ScopeAll:
 		return true
-	case standin.ScopeZone:
+	case fake.ScopeZone:
 		return a.Zone == b.Zone
 	}
 	return a.Zone == b.Zone && a.Cell == b.Cell
 }
 
 // Refusals judges refusals: one promises that trying again does no harm.
-func refusals(v *Verdict, r standin.View) {
-	harm := map[string]standin.Arrival{}
+func refusals(v *Verdict, r fake.View) {
+	harm := map[string]fake.Arrival{}
 	for _, a := range r.Arrivals {
 		c := r.Classes[a.Class]
-		if mayHaveRun(a) && (c.Effect == standin.Unsafe || c.Effect == standin.Keyed && c.Scope != standin.ScopeAll) {
+		if mayHaveRun(a) && (c.Effect == fake.Unsafe || c.Effect == fake.Keyed && c.Scope != fake.ScopeAll) {
 			harm[a.ID] = a
 		}
 	}
@@ -185,16 +185,16 @@
 }
 
 // drains judges the third rule.
-func (v *Verdict) drains(r standin.View, out outages, o Options) {
+func (v *Verdict) drains(r fake.View, out outages, o Options) {
 	refusals(v, r)
-	asked := map[string]standin.Exchange{}
+	asked := map[string]fake.Exchange{}
 	if len(out) > 0 {
 		for _, x := range r.Exchanges {
 			asked[x.ID] = x
 		}
 	}
 	type place struct{ list, server string }
-	told := map[place][]standin.Told{}
+	told := map[place][]fake.Told{}
 	for _, t := range r.Told { // in the order of time
 		p := place{t.List, t.Server}
 		told[p] = append(told[p], t)
@@ -232,8 +232,8 @@
 
 // colds judges the fourth rule: a server was pushed over by work of which two thirds came after its
 // start was told.
-func (v *Verdict) colds(r standin.View) {
-	start := map[string]standin.Start{}
+func (v *Verdict) colds(r fake.View) {
+	start := map[string]fake.Start{}
 	for _, s := range r.Starts {
 		start[fmt.Sprint(s.Server, s.Boot)] = s
 	}
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -6,110 +6,110 @@
 	"testing"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 const ms = time.Millisecond
 
-var classes = map[string]standin.Class{
-	"read":  {Name: "read", Effect: standin.Safe, Deadline: time.Second},
-	"order": {Name: "order", Effect: standin.Unsafe, Deadline: time.Second},
-	"cell":  {Name: "cell", Effect: standin.Keyed, Scope: standin.ScopeCell, Window: 10 * time.Second, Deadline: time.Second},
-	"zone":  {Name: "zone", Effect: standin.Keyed, Scope: standin.ScopeZone, Window: 10 * time.Second, Deadline: time.Second},
-	"all":   {Name: "all", Effect: standin.Keyed, Scope: standin.ScopeAll, Window: 10 * time.Second, Deadline: time.Second},
+var classes = map[string]fake.Class{
+	"read":  {Name: "read", Effect: fake.Safe, Deadline: time.Second},
+	"order": {Name: "order", Effect: fake.Unsafe, Deadline: time.Second},
+	"cell":  {Name: "cell", Effect: fake.Keyed, Scope: fake.ScopeCell, Window: 10 * time.Second, Deadline: time.Second},
+	"zone":  {Name: "zone", Effect: fake.Keyed, Scope: fake.ScopeZone, Window: 10 * time.Second, Deadline: time.Second},
+	"all":   {Name: "all", Effect: fake.Keyed, Scope: fake.ScopeAll, Window: 10 * time.Second, Deadline: time.Second},
 }
 
-func ask(class string, status int) standin.Exchange {
-	return standin.Exchange{ID: "1", Class: class, Connected: true, Sent: 100 * ms, Deadline: 1100 * ms, Answered: 200 * ms, Status: status}
+func ask(class string, status int) fake.Exchange {
+	return fake.Exchange{ID: "1", Class: class, Connected: true, Sent: 100 * ms, Deadline: 1100 * ms, Answered: 200 * ms, Status: status}
 }
 
-func at(server, class string, first time.Duration) standin.Arrival {
-	return standin.Arrival{ID: "1", Class: class, Server: server, Zone: server[:1], Cell: int(server[1]), First: first, Last: first}
+func at(server, class string, first time.Duration) fake.Arrival {
+	return fake.Arrival{ID: "1", Class: class, Server: server, Zone: server[:1], Cell: int(server[1]), First: first, Last: first}
 }
 
-func unrun(a standin.Arrival) standin.Arrival { a.Unprocessed = true; return a }
+func unrun(a fake.Arrival) fake.Arrival { a.Unprocessed = true; return a }
 
 // Each case breaks one rule once, or none; the counts are requests, served, refused, failed, lost,
 // twice, drain_late, cold_over.
 func TestJudge(t *testing.T) {
-	change := func(x standin.Exchange, f func(*standin.Exchange)) []standin.Exchange {
+	change := func(x fake.Exchange, f func(*fake.Exchange)) []fake.Exchange {
 		f(&x)
-		return []standin.Exchange{x}
+		return []fake.Exchange{x}
 	}
-	one := func(class string, status int) []standin.Exchange { return []standin.Exchange{ask(class, status)} }
+	one := func(class string, status int) []fake.Exchange { return []fake.Exchange{ask(class, status)} }
 	for name, c := range map[string]struct {
-		view standin.View
+		view fake.View
 		want [8]int
 	}{
-		"nothing":  {standin.View{}, [8]int{}},
-		"served":   {standin.View{Exchanges: one("order", 200), Arrivals: []standin.Arrival{at("a1", "order", 0)}}, [8]int{1, 1}},
-		"refused":  {standin.View{Exchanges: one("order", 503)}, [8]int{1, 0, 1}},
-		"too many": {standin.View{Exchanges: one("order", 429)}, [8]int{1, 0, 1}},
-		"failed":   {standin.View{Exchanges: one("order", 502), Arrivals: []standin.Arrival{at("a1", "order", 0)}}, [8]int{1, 0, 0, 1}},
+		"nothing":  {fake.View{}, [8]int{}},
+		"served":   {fake.View{Exchanges: one("order", 200), Arrivals: []fake.Arrival{at("a1", "order", 0)}}, [8]int{1, 1}},
+		"refused":  {fake.View{Exchanges: one("order", 503)}, [8]int{1, 0, 1}},
+		"too many": {fake.View{Exchanges: one("order", 429)}, [8]int{1, 0, 1}},
+		"failed":   {fake.View{Exchanges: one("order", 502), Arrivals: []fake.Arrival{at("a1", "order", 0)}}, [8]int{1, 0, 0, 1}},
 		"no answer": {
-			standin.View{Exchanges: change(ask("read", 0), func(x *standin.Exchange) { x.Err = errors.New("reset") })},
+			fake.View{Exchanges: change(ask("read", 0), func(x *fake.Exchange) { x.Err = errors.New("reset") })},
 			[8]int{1, 0, 0, 1, 1},
 		},
-		"not accepted": {standin.View{Exchanges: change(ask("read", 0), func(x *standin.Exchange) { x.Connected = false })}, [8]int{1, 0, 0, 1}},
-		"a hair late":  {standin.View{Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Answered = 1150 * ms })}, [8]int{1, 1}},
-		"late":         {standin.View{Exchanges: change(ask("read", 503), func(x *standin.Exchange) { x.Answered = 1200 * ms })}, [8]int{1, 0, 1, 0, 1}},
-		"foreign":      {standin.View{Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Foreign = true })}, [8]int{1, 1, 0, 0, 1}},
-		"surplus":      {standin.View{Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Surplus = true })}, [8]int{1, 1, 0, 0, 1}},
-		"crossed, not taken": {standin.View{
-			Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Crossed = true }),
-			Arrivals:  []standin.Arrival{at("a1", "read", 150*ms)},
+		"not accepted": {fake.View{Exchanges: change(ask("read", 0), func(x *fake.Exchange) { x.Connected = false })}, [8]int{1, 0, 0, 1}},
+		"a hair late":  {fake.View{Exchanges: change(ask("read", 200), func(x *fake.Exchange) { x.Answered = 1150 * ms })}, [8]int{1, 1}},
+		"late":         {fake.View{Exchanges: change(ask("read", 503), func(x *fake.Exchange) { x.Answered = 1200 * ms })}, [8]int{1, 0, 1, 0, 1}},
+		"foreign":      {fake.View{Exchanges: change(ask("read", 200), func(x *fake.Exchange) { x.Foreign = true })}, [8]int{1, 1, 0, 0, 1}},
+		"surplus":      {fake.View{Exchanges: change(ask("read", 200), func(x *fake.Exchange) { x.Surplus = true })}, [8]int{1, 1, 0, 0, 1}},
+		"crossed, not taken": {fake.View{
+			Exchanges: change(ask("read", 200), func(x *fake.Exchange) { x.Crossed = true }),
+			Arrivals:  []fake.Arrival{at("a1", "read", 150*ms)},
 		}, [8]int{1, 1}},
-		"crossed, taken": {standin.View{
-			Exchanges: change(ask("read", 200), func(x *standin.Exchange) { x.Crossed = true }),
-			Arrivals:  []standin.Arrival{at("a1", "read", 50*ms), at("a1", "read", 150*ms)},
+		"crossed, taken": {fake.View{
+			Exchanges: change(ask("read", 200), func(x *fake.Exchange) { x.Crossed = true }),
+			Arrivals:  []fake.Arrival{at("a1", "read", 50*ms), at("a1", "read", 150*ms)},
 		}, [8]int{1, 1, 0, 0, 1}},
 
-		"unsafe twice":        {standin.View{Exchanges: one("order", 200), Arrivals: []standin.Arrival{at("a1", "order", 0), at("b1", "order", 9)}}, [8]int{1, 1, 0, 0, 0, 1}},
-		"unsafe, first unrun": {standin.View{Exchanges: one("order", 200), Arrivals: []standin.Arrival{unrun(at("a1", "order", 0)), at("b1", "order", 9)}}, [8]int{1, 1}},
-		"unsafe, last unrun":  {standin.View{Exchanges: one("order", 200), Arrivals: []standin.Arrival{at("a1", "order", 0), unrun(at("b1", "order", 9))}}, [8]int{1, 1, 0, 0, 0, 1}},
-		"safe twice":          {standin.View{Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 0), at("b1", "read", 9)}}, [8]int{1, 1}},
-		"keyed in its cell":   {standin.View{Exchanges: one("cell", 200), Arrivals: []standin.Arrival{at("a1", "cell", 0), at("a1", "cell", 9)}}, [8]int{1, 1}},
-		"keyed, other cell":   {standin.View{Exchanges: one("cell", 200), Arrivals: []standin.Arrival{at("a1", "cell", 0), at("a2", "cell", 9)}}, [8]int{1, 1, 0, 0, 0, 1}},
-		"keyed in its zone":   {standin.View{Exchanges: one("zone", 200), Arrivals: []standin.Arrival{at("a1", "zone", 0), at("a2", "zone", 9)}}, [8]int{1, 1}},
-		"keyed, other zone":   {standin.View{Exchanges: one("zone", 200), Arrivals: []standin.Arrival{at("a1", "zone", 0), at("b1", "zone", 9)}}, [8]int{1, 1, 0, 0, 0, 1}},
-		"keyed anywhere":      {standin.View{Exchanges: one("all", 200), Arrivals: []standin.Arrival{at("a1", "all", 0), at("b2", "all", 9)}}, [8]int{1, 1}},
-		"keyed, too late":     {standin.View{Exchanges: one("all", 200), Arrivals: []standin.Arrival{at("a1", "all", 0), at("b2", "all", 11*time.Second)}}, [8]int{1, 1, 0, 0, 0, 1}},
-		"harmful refusal":     {standin.View{Exchanges: one("order", 503), Arrivals: []standin.Arrival{at("a1", "order", 0)}}, [8]int{1, 0, 1, 0, 0, 1}},
-		"harmful of a cell":   {standin.View{Exchanges: one("cell", 429), Arrivals: []standin.Arrival{at("a1", "cell", 0)}}, [8]int{1, 0, 1, 0, 0, 1}},
-		"harmless of all":     {standin.View{Exchanges: one("all", 503), Arrivals: []standin.Arrival{at("a1", "all", 0)}}, [8]int{1, 0, 1}},
-		"harmless, unrun":     {standin.View{Exchanges: one("order", 503), Arrivals: []standin.Arrival{unrun(at("a1", "order", 0))}}, [8]int{1, 0, 1}},
-		"of nobody":           {standin.View{Arrivals: []standin.Arrival{at("a1", "read", 0)}}, [8]int{0, 0, 0, 0, 0, 1}},
+		"unsafe twice":        {fake.View{Exchanges: one("order", 200), Arrivals: []fake.Arrival{at("a1", "order", 0), at("b1", "order", 9)}}, [8]int{1, 1, 0, 0, 0, 1}},
+		"unsafe, first unrun": {fake.View{Exchanges: one("order", 200), Arrivals: []fake.Arrival{unrun(at("a1", "order", 0)), at("b1", "order", 9)}}, [8]int{1, 1}},
+		"unsafe, last unrun":  {fake.View{Exchanges: one("order", 200), Arrivals: []fake.Arrival{at("a1", "order", 0), unrun(at("b1", "order", 9))}}, [8]int{1, 1, 0, 0, 0, 1}},
+		"safe twice":          {fake.View{Exchanges: one("read", 200), Arrivals: []fake.Arrival{at("a1", "read", 0), at("b1", "read", 9)}}, [8]int{1, 1}},
+		"keyed in its cell":   {fake.View{Exchanges: one("cell", 200), Arrivals: []fake.Arrival{at("a1", "cell", 0), at("a1", "cell", 9)}}, [8]int{1, 1}},
+		"keyed, other cell":   {fake.View{Exchanges: one("cell", 200), Arrivals: []fake.Arrival{at("a1", "cell", 0), at("a2", "cell", 9)}}, [8]int{1, 1, 0, 0, 0, 1}},
+		"keyed in its zone":   {fake.View{Exchanges: one("zone", 200), Arrivals: []fake.Arrival{at("a1", "zone", 0), at("a2", "zone", 9)}}, [8]int{1, 1}},
+		"keyed, other zone":   {fake.View{Exchanges: one("zone", 200), Arrivals: []fake.Arrival{at("a1", "zone", 0), at("b1", "zone", 9)}}, [8]int{1, 1, 0, 0, 0, 1}},
+		"keyed anywhere":      {fake.View{Exchanges: one("all", 200), Arrivals: []fake.Arrival{at("a1", "all", 0), at("b2", "all", 9)}}, [8]int{1, 1}},
+		"keyed, too late":     {fake.View{Exchanges: one("all", 200), Arrivals: []fake.Arrival{at("a1", "all", 0), at("b2", "all", 11*time.Second)}}, [8]int{1, 1, 0, 0, 0, 1}},
+		"harmful refusal":     {fake.View{Exchanges: one("order", 503), Arrivals: []fake.Arrival{at("a1", "order", 0)}}, [8]int{1, 0, 1, 0, 0, 1}},
+		"harmful of a cell":   {fake.View{Exchanges: one("cell", 429), Arrivals: []fake.Arrival{at("a1", "cell", 0)}}, [8]int{1, 0, 1, 0, 0, 1}},
+		"harmless of all":     {fake.View{Exchanges: one("all", 503), Arrivals: []fake.Arrival{at("a1", "all", 0)}}, [8]int{1, 0, 1}},
+		"harmless, unrun":     {fake.View{Exchanges: one("order", 503), Arrivals: []fake.Arrival{unrun(at("a1", "order", 0))}}, [8]int{1, 0, 1}},
+		"of nobody":           {fake.View{Arrivals: []fake.Arrival{at("a1", "read", 0)}}, [8]int{0, 0, 0, 0, 0, 1}},
 
-		"drained": {standin.View{
-			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
-			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}},
+		"drained": {fake.View{
+			Exchanges: one("read", 200), Arrivals: []fake.Arrival{at("a1", "read", 900*ms)},
+			Told: []fake.Told{{Server: "a1", Gone: true, At: 500 * ms}},
 		}, [8]int{1, 1, 0, 0, 0, 0, 1}},
-		"drained just now": {standin.View{
-			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 700*ms)},
-			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}},
+		"drained just now": {fake.View{
+			Exchanges: one("read", 200), Arrivals: []fake.Arrival{at("a1", "read", 700*ms)},
+			Told: []fake.Told{{Server: "a1", Gone: true, At: 500 * ms}},
 		}, [8]int{1, 1}},
-		"drained, told again": {standin.View{
-			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
-			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}, {Server: "a1", Gone: true, At: 800 * ms}},
+		"drained, told again": {fake.View{
+			Exchanges: one("read", 200), Arrivals: []fake.Arrival{at("a1", "read", 900*ms)},
+			Told: []fake.Told{{Server: "a1", Gone: true, At: 500 * ms}, {Server: "a1", Gone: true, At: 800 * ms}},
 		}, [8]int{1, 1, 0, 0, 0, 0, 1}},
-		"drained and back": {standin.View{
-			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
-			Told: []standin.Told{{Server: "a1", Gone: true, At: 500 * ms}, {Server: "a1", At: 800 * ms}},
+		"drained and back": {fake.View{
+			Exchanges: one("read", 200), Arrivals: []fake.Arrival{at("a1", "read", 900*ms)},
+			Told: []fake.Told{{Server: "a1", Gone: true, At: 500 * ms}, {Server: "a1", At: 800 * ms}},
 		}, [8]int{1, 1}},
-		"drained in another list": {standin.View{
-			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
-			Told: []standin.Told{{List: "other", Server: "a1", Gone: true, At: 500 * ms}},
+		"drained in another list": {fake.View{
+			Exchanges: one("read", 200), Arrivals: []fake.Arrival{at("a1", "read", 900*ms)},
+			Told: []fake.Told{{List: "other", Server: "a1", Gone: true, At: 500 * ms}},
 		}, [8]int{1, 1}},
 
-		"fell, told": {standin.View{
-			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
-			Starts: []standin.Start{{Server: "a1", Boot: 0, Cold: standin.Cold{For: time.Second}}},
-			Told:   []standin.Told{{Server: "a1", At: 500 * ms}}, Falls: []standin.Fall{{Server: "a1", At: 950 * ms}},
+		"fell, told": {fake.View{
+			Exchanges: one("read", 200), Arrivals: []fake.Arrival{at("a1", "read", 900*ms)},
+			Starts: []fake.Start{{Server: "a1", Boot: 0, Cold: fake.Cold{For: time.Second}}},
+			Told:   []fake.Told{{Server: "a1", At: 500 * ms}}, Falls: []fake.Fall{{Server: "a1", At: 950 * ms}},
 		}, [8]int{1, 1, 0, 0, 0, 0, 0, 1}},
-		"fell, told too late": {standin.View{
-			Exchanges: one("read", 200), Arrivals: []standin.Arrival{at("a1", "read", 900*ms)},
-			Starts: []standin.Start{{Server: "a1", Boot: 0, Cold: standin.Cold{For: time.Second}}},
-			Told:   []standin.Told{{Server: "a1", At: 920 * ms}}, Falls: []standin.Fall{{Server: "a1", At: 950 * ms}},
+		"fell, told too late": {fake.View{
+			Exchanges: one("read", 200), Arrivals: []fake.Arrival{at("a1", "read", 900*ms)},
+			Starts: []fake.Start{{Server: "a1", Boot: 0, Cold: fake.Cold{For: time.Second}}},
+			Told:   []fake.Told{{Server: "a1", At: 920 * ms}}, Falls: []fake.Fall{{Server: "a1", At: 950 * ms}},
 		}, [8]int{1, 1}},
 	} {
 		c.view.Classes = classes
--- a/internal/drill/crowd.go
+++ b/internal/drill/crowd.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"cranegrade/internal/standin"
-	"cranegrade/internal/standin/proxy"
+	"cranegrade/internal/fake"
+	"cranegrade/internal/fake/proxy"
 )
 
 // extprocCrowd has 2,000 questions come at once to a processor that has just started, for 200 idle servers
@@ -18,9 +18,9 @@
 	if r.length < 4*time.Second { // the short form
 		servers, questions = 40, 400
 	}
-	cfgs := make([]standin.ServerConfig, servers)
+	cfgs := make([]fake.ServerConfig, servers)
 	for i := range cfgs {
-		cfgs[i] = standin.ServerConfig{Slots: 16, Queue: 16, Work: 50 * time.Millisecond, Cold: cold, Zone: "a", Cell: i % 8}
+		cfgs[i] = fake.ServerConfig{Slots: 16, Queue: 16, Work: 50 * time.Millisecond, Cold: cold, Zone: "a", Cell: i % 8}
 	}
 	g, err := r.group("crowd", host, cfgs...)
 	if err != nil {
@@ -43,13 +43,13 @@
 			var crowd sync.WaitGroup
 			for i := range questions {
 				crowd.Go(func() {
-					l[i%len(l)].Do(ctx, standin.Stream{Name: "crowd", Host: host, Class: allClasses[i%len(allClasses)], Body: 100})
+					l[i%len(l)].Do(ctx, fake.Stream{Name: "crowd", Host: host, Class: allClasses[i%len(allClasses)], Body: 100})
 				})
 			}
 			crowd.Wait()
 		})
 	}
-	if err := r.plays(ctx, &faults, l, standin.Stream{Host: host, Class: readClass, Rate: 30}); err != nil {
+	if err := r.plays(ctx, &faults, l, fake.Stream{Host: host, Class: readClass, Rate: 30}); err != nil {
 		return err
 	}
 	r.extFigures()
--- a/internal/drill/environment.go
+++ b/internal/drill/environment.go
@@ -11,29 +11,29 @@
 	"syscall"
 	"time"
 
+	"cranegrade/internal/fake"
+	"cranegrade/internal/fake/proxy"
 	"cranegrade/internal/rig"
-	"cranegrade/internal/standin"
-	"cranegrade/internal/standin/proxy"
 )
 
 // environment is a program among stand-ins.
 type environment struct {
 	options
 	rng     *rand.Rand
-	records *standin.Records
-	keys    *standin.Keys
+	records *fake.Records
+	keys    *fake.Keys
 	dir     string
 	err     io.Writer
 	node    *rig.Process // nil: there are several, in fleet
 	fleet   *rig.Fleet   // nil: there is one
 	groups  []*serverGroup
-	relay   *standin.Relay
-	callers *standin.Callers
+	relay   *fake.Relay
+	callers *fake.Callers
 	proxies []*proxy.Proxy // proxies that ask the program
-	classes []standin.Class
+	classes []fake.Class
 
-	towards  func(node string) (*standin.Sidecar, error) // callers go through such a sidecar; nil: through none
-	sidecars []*standin.Sidecar
+	towards  func(node string) (*fake.Sidecar, error) // callers go through such a sidecar; nil: through none
+	sidecars []*fake.Sidecar
 
 	bansMu        sync.Mutex      // guards what follows
 	bans          []ban           // servers taken out by hand
@@ -57,11 +57,11 @@
 
 // serverGroup is the servers of a pool and the registry that lists them.
 type serverGroup struct {
-	name     string            // of the pool
-	host     string            // whose requests it serves
-	registry *standin.Registry // nil if something else tells the list
-	servers  []*standin.Server
-	list     func(s *standin.Server, state string) // has the list tell a server: SERVING, DRAINING or DELETED
+	name     string         // of the pool
+	host     string         // whose requests it serves
+	registry *fake.Registry // nil if something else tells the list
+	servers  []*fake.Server
+	list     func(s *fake.Server, state string) // has the list tell a server: SERVING, DRAINING or DELETED
 }
 
 // What all drills share with the rig.
@@ -74,8 +74,8 @@
 
 func newEnvironment(o options, stderr io.Writer) (*environment, error) {
 	r := &environment{
-		options: o, rng: rand.New(rand.NewPCG(o.seed, 0xd811)), err: stderr, keys: standin.NewKeys(),
-		records: standin.NewRecords(allClasses...),
+		options: o, rng: rand.New(rand.NewPCG(o.seed, 0xd811)), err: stderr, keys: fake.NewKeys(),
+		records: fake.NewRecords(allClasses...),
 	}
 	dir, err := os.MkdirTemp("", "drill")
 	if err != nil {
@@ -136,17 +136,17 @@
 }
 
 // group starts servers and a registry that lists them.
-func (r *environment) group(name, host string, servers ...standin.ServerConfig) (*serverGroup, error) {
+func (r *environment) group(name, host string, servers ...fake.ServerConfig) (*serverGroup, error) {
 	g := &serverGroup{name: name, host: host}
 	r.groups = append(r.groups, g)
 	var err error
-	if g.registry, err = standin.NewRegistry(host, r.records); err != nil {
+	if g.registry, err = fake.NewRegistry(host, r.records); err != nil {
 		return nil, err
 	}
 	g.list = g.registry.Set
 	for i, cfg := range servers {
 		cfg.ID = fmt.Sprintf("%s-%d", name, i)
-		s, err := standin.NewServer(cfg, r.records, r.keys)
+		s, err := fake.NewServer(cfg, r.records, r.keys)
 		if err != nil {
 			return nil, err
 		}
@@ -178,12 +178,12 @@
 		addr = s.Addr()
 	}
 	if r.violation == "lost" { // else nothing of ours stands on the path
-		if r.relay, err = standin.NewRelay(addr); err != nil {
+		if r.relay, err = fake.NewRelay(addr); err != nil {
 			return err
 		}
 		addr = r.relay.Addr()
 	}
-	r.callers = standin.NewCallers(r.records, addr, r.seed, 2*time.Second+r.slack)
+	r.callers = fake.NewCallers(r.records, addr, r.seed, 2*time.Second+r.slack)
 	return nil
 }
 
@@ -219,13 +219,13 @@
 
 // play runs the streams for the drill's length, with the breach that was asked for, and waits for all
 // to end.
-func (r *environment) play(ctx context.Context, faults *sync.WaitGroup, streams ...standin.Stream) error {
+func (r *environment) play(ctx context.Context, faults *sync.WaitGroup, streams ...fake.Stream) error {
 	return r.drive(ctx, faults, r.callers.Run, streams)
 }
 
 // drive is play for whoever sends the streams.
-func (r *environment) drive(ctx context.Context, faults *sync.WaitGroup, send func(context.Context, ...standin.Stream),
-	streams []standin.Stream,
+func (r *environment) drive(ctx context.Context, faults *sync.WaitGroup, send func(context.Context, ...fake.Stream),
+	streams []fake.Stream,
 ) error {
 	for i := range streams {
 		if streams[i].For == 0 {
--- a/internal/drill/extproc.go
+++ b/internal/drill/extproc.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"cranegrade/internal/envoyconf"
+	"cranegrade/internal/fake"
+	"cranegrade/internal/fake/proxy"
 	"cranegrade/internal/rig"
-	"cranegrade/internal/standin"
-	"cranegrade/internal/standin/proxy"
 )
 
 // extText is the operator's file of a node that proxies ask.
@@ -66,8 +66,8 @@
 }
 
 // plays runs proxies' traffic and the breach that was asked for.
-func (r *environment) plays(ctx context.Context, faults *sync.WaitGroup, l []*proxy.Proxy, streams ...standin.Stream) error {
-	send := func(ctx context.Context, streams ...standin.Stream) { proxy.Run(ctx, l, r.seed, streams...) }
+func (r *environment) plays(ctx context.Context, faults *sync.WaitGroup, l []*proxy.Proxy, streams ...fake.Stream) error {
+	send := func(ctx context.Context, streams ...fake.Stream) { proxy.Run(ctx, l, r.seed, streams...) }
 	return r.drive(ctx, faults, send, streams)
 }
 
@@ -83,7 +83,7 @@
 func (a *asked) text(listen string) string { return extText(listen, a.ext, a.g, a.pool) }
 
 // startAsked starts servers and the program.
-func (r *environment) startAsked(host string, mode envoyconf.Mode, servers ...standin.ServerConfig) (*asked, error) {
+func (r *environment) startAsked(host string, mode envoyconf.Mode, servers ...fake.ServerConfig) (*asked, error) {
 	a := &asked{base: proxy.Config{Mode: mode}}
 	switch mode {
 	case envoyconf.EveryTry:
@@ -109,7 +109,7 @@
 
 func (r *environment) extproc(ctx context.Context, mode envoyconf.Mode) error {
 	const host = "ext.example.org"
-	cfgs := make([]standin.ServerConfig, 26)
+	cfgs := make([]fake.ServerConfig, 26)
 	for i := range cfgs {
 		cfgs[i] = inCell(usual, i%4)
 	}
@@ -144,14 +144,14 @@
 			for i := range r.size(5000) {
 				burst.Go(func() {
 					time.Sleep(time.Duration(i%200) * time.Millisecond)
-					l[i%len(l)].Do(ctx, standin.Stream{Name: "burst", Host: host, Class: allClasses[i%len(allClasses)]})
+					l[i%len(l)].Do(ctx, fake.Stream{Name: "burst", Host: host, Class: allClasses[i%len(allClasses)]})
 				})
 			}
 			burst.Wait()
 		})
 	}
-	if err := r.plays(ctx, &faults, l, standin.Stream{Host: host, Class: readClass, Rate: 150}, standin.Stream{Host: host, Class: sendClass, Rate: 80, Body: 100},
-		standin.Stream{Host: host, Class: cellClass, Rate: 40, Body: 100}, standin.Stream{Host: host, Class: orderClass, Rate: 40, Body: 100}); err != nil {
+	if err := r.plays(ctx, &faults, l, fake.Stream{Host: host, Class: readClass, Rate: 150}, fake.Stream{Host: host, Class: sendClass, Rate: 80, Body: 100},
+		fake.Stream{Host: host, Class: cellClass, Rate: 40, Body: 100}, fake.Stream{Host: host, Class: orderClass, Rate: 40, Body: 100}); err != nil {
 		return err
 	}
 	r.extFigures()
@@ -195,9 +195,9 @@
 	if r.violation == "" {
 		r.scheduleExtprocFaults(ctx, &faults, a, &kills)
 	}
-	streams := func(name string, rate float64) (l []standin.Stream) {
+	streams := func(name string, rate float64) (l []fake.Stream) {
 		for _, c := range allClasses {
-			l = append(l, standin.Stream{Name: name, Host: host, Class: c, Rate: rate, Body: 100, For: r.length})
+			l = append(l, fake.Stream{Name: name, Host: host, Class: c, Rate: rate, Body: 100, For: r.length})
 		}
 		return l
 	}
@@ -215,10 +215,10 @@
 // address; kills counts how often.
 func (r *environment) scheduleExtprocFaults(ctx context.Context, faults *sync.WaitGroup, a *asked, kills *int) {
 	g := a.g
-	r.at(ctx, faults, 0.25, func() { g.servers[0].SetMode(standin.Failing) })
-	r.at(ctx, faults, 0.4, func() { g.servers[0].SetMode(standin.Serving); g.servers[1].SetMode(standin.Refusing) })
+	r.at(ctx, faults, 0.25, func() { g.servers[0].SetMode(fake.Failing) })
+	r.at(ctx, faults, 0.4, func() { g.servers[0].SetMode(fake.Serving); g.servers[1].SetMode(fake.Refusing) })
 	r.at(ctx, faults, 0.55, func() {
-		g.servers[1].SetMode(standin.Serving)
+		g.servers[1].SetMode(fake.Serving)
 		g.servers[2].Crash()
 		time.Sleep(300 * time.Millisecond)
 		if g.servers[2].Restart() == nil {
--- a/internal/drill/h2.go
+++ b/internal/drill/h2.go
@@ -6,29 +6,29 @@
 	"sync"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 // h2Drill is the tour over HTTP/2 on both sides: callers share few connections to the program, which shares few to
 // each server. One server drains, one crashes and comes back cold, one hangs for a while and one answers with errors.
 func h2Drill(ctx context.Context, r *environment) error {
-	r.towards = standin.Towards
-	return multiplexed(ctx, r, "h2", func(server string, _ uint64) (*standin.Sidecar, error) { return standin.Before(server) }, `protocol = "h2"`)
+	r.towards = fake.Towards
+	return multiplexed(ctx, r, "h2", func(server string, _ uint64) (*fake.Sidecar, error) { return fake.Before(server) }, `protocol = "h2"`)
 }
 
 // grpcDrill is the same in gRPC, where reads are answered in pieces; with chaos servers also break answers in every
 // way that the protocol has.
 func grpcDrill(chaos float64) func(context.Context, *environment) error {
 	return func(ctx context.Context, r *environment) error {
-		r.towards = func(node string) (*standin.Sidecar, error) { return standin.TowardsGRPC(node, "grpc.example.org") }
-		return multiplexed(ctx, r, "grpc", func(server string, seed uint64) (*standin.Sidecar, error) {
-			return standin.BeforeGRPC(server, seed, chaos)
+		r.towards = func(node string) (*fake.Sidecar, error) { return fake.TowardsGRPC(node, "grpc.example.org") }
+		return multiplexed(ctx, r, "grpc", func(server string, seed uint64) (*fake.Sidecar, error) {
+			return fake.BeforeGRPC(server, seed, chaos)
 		}, `protocol = "grpc"`)
 	}
 }
 
 // multiplexed is the tour of h2Drill with servers behind such sidecars.
-func multiplexed(ctx context.Context, r *environment, name string, before func(server string, seed uint64) (*standin.Sidecar, error),
+func multiplexed(ctx context.Context, r *environment, name string, before func(server string, seed uint64) (*fake.Sidecar, error),
 	more string,
 ) error {
 	host := name + ".example.org"
@@ -51,10 +51,10 @@
 		r.scheduleServerFaults(ctx, &faults, g)
 	}
 	if err := r.play(ctx, &faults,
-		standin.Stream{Host: host, Class: readClass, Rate: 150},
-		standin.Stream{Host: host, Class: sendClass, Rate: 60, Body: 200},
-		standin.Stream{Host: host, Class: cellClass, Rate: 30, Body: 60_000},
-		standin.Stream{Host: host, Class: orderClass, Rate: 30, Body: 500}); err != nil {
+		fake.Stream{Host: host, Class: readClass, Rate: 150},
+		fake.Stream{Host: host, Class: sendClass, Rate: 60, Body: 200},
+		fake.Stream{Host: host, Class: cellClass, Rate: 30, Body: 60_000},
+		fake.Stream{Host: host, Class: orderClass, Rate: 30, Body: 500}); err != nil {
 		return err
 	}
 	v := r.records.View()
@@ -63,7 +63,7 @@
 }
 
 // groupBehindSidecars starts five servers, each behind a sidecar of its own that speaks the protocol for it.
-func (r *environment) groupBehindSidecars(name, host string, before func(server string, seed uint64) (*standin.Sidecar, error)) (*serverGroup, error) {
+func (r *environment) groupBehindSidecars(name, host string, before func(server string, seed uint64) (*fake.Sidecar, error)) (*serverGroup, error) {
 	g, err := r.group(name, host)
 	if err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 	for i := range 5 {
 		cfg := inCell(usual, i/2)
 		cfg.ID = name + "-" + string(rune('0'+i))
-		s, err := standin.NewServer(cfg, r.records, r.keys)
+		s, err := fake.NewServer(cfg, r.records, r.keys)
 		if err != nil {
 			return nil, err
 		}
@@ -89,7 +89,7 @@
 
 // scheduleServerFaults has one server after the other drain, crash, hang, fail and refuse.
 func (r *environment) scheduleServerFaults(ctx context.Context, faults *sync.WaitGroup, g *serverGroup) {
-	set := func(i int, m standin.Mode) func() { return func() { g.servers[i].SetMode(m) } }
+	set := func(i int, m fake.Mode) func() { return func() { g.servers[i].SetMode(m) } }
 	r.at(ctx, faults, 0.1, func() { g.registry.Set(g.servers[0], "DRAINING") })
 	r.at(ctx, faults, 0.3, func() { g.registry.Set(g.servers[0], "SERVING") })
 	r.at(ctx, faults, 0.35, func() {
@@ -99,10 +99,10 @@
 			g.registry.Set(g.servers[1], "SERVING")
 		}
 	})
-	r.at(ctx, faults, 0.5, set(2, standin.Hanging))
-	r.at(ctx, faults, 0.6, set(2, standin.Serving))
-	r.at(ctx, faults, 0.7, set(3, standin.Failing))
-	r.at(ctx, faults, 0.8, set(3, standin.Serving))
-	r.at(ctx, faults, 0.85, set(4, standin.Refusing))
-	r.at(ctx, faults, 0.9, set(4, standin.Serving))
+	r.at(ctx, faults, 0.5, set(2, fake.Hanging))
+	r.at(ctx, faults, 0.6, set(2, fake.Serving))
+	r.at(ctx, faults, 0.7, set(3, fake.Failing))
+	r.at(ctx, faults, 0.8, set(3, fake.Serving))
+	r.at(ctx, faults, 0.85, set(4, fake.Refusing))
+	r.at(ctx, faults, 0.9, set(4, fake.Serving))
 }
--- a/internal/drill/manypools.go
+++ b/internal/drill/manypools.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 // overloadPools has a hundred pools in one process. The servers of ten become ten times as slow for a while;
@@ -16,10 +16,10 @@
 	if r.length < 6*time.Second { // the short form
 		pools, choked = 20, 2
 	}
-	cfg := standin.ServerConfig{Slots: 4, Queue: 100, Work: 30 * time.Millisecond, Cold: cold, Zone: "a", Stubborn: true}
+	cfg := fake.ServerConfig{Slots: 4, Queue: 100, Work: 30 * time.Millisecond, Cold: cold, Zone: "a", Stubborn: true}
 	file := "listen = [\"127.0.0.1:0\"]\n"
 	routes := ""
-	var streams []standin.Stream
+	var streams []fake.Stream
 	for i := range pools {
 		name := fmt.Sprintf("p%03d", i)
 		g, err := r.group(name, name+".example.org", cfg)
@@ -28,7 +28,7 @@
 		}
 		file += poolText(name, g.registryText())
 		routes += fmt.Sprintf("\n[[routes]]\nhost = %q\npool = %q\n", g.host, name)
-		s := standin.Stream{Name: "calm", Host: g.host, Class: readClass, Rate: 4}
+		s := fake.Stream{Name: "calm", Host: g.host, Class: readClass, Rate: 4}
 		if i < choked {
 			s.Name, s.Rate = "choked", 40
 		}
--- a/internal/drill/members.go
+++ b/internal/drill/members.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
+	"cranegrade/internal/fake"
 	"cranegrade/internal/rig"
-	"cranegrade/internal/standin"
 )
 
 // fleetDrills are those that need several processes.
@@ -239,7 +239,7 @@
 
 // illness is a time in which a server was really unhealthy.
 type illness struct {
-	server   *standin.Server
+	server   *fake.Server
 	from, to time.Duration
 }
 
@@ -310,13 +310,13 @@
 func (r *environment) sickenServers(ctx context.Context, f *rig.Fleet, begin, length time.Duration) (l []illness) {
 	for ctx.Err() == nil && f.Rec.Now() < begin+length*7/10 {
 		s := f.Servers[accusedCount+r.rng.IntN(accusedServers-accusedCount)]
-		s.SetMode([]standin.Mode{standin.Failing, standin.Hanging, standin.Refusing}[r.rng.IntN(3)])
+		s.SetMode([]fake.Mode{fake.Failing, fake.Hanging, fake.Refusing}[r.rng.IntN(3)])
 		x := illness{server: s, from: f.Rec.Now()}
 		select {
 		case <-time.After(length/8 + time.Duration(r.rng.Int64N(int64(length/8)))):
 		case <-ctx.Done():
 		}
-		s.SetMode(standin.Serving)
+		s.SetMode(fake.Serving)
 		x.to = f.Rec.Now()
 		l = append(l, x)
 	}
--- a/internal/drill/operators.go
+++ b/internal/drill/operators.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"cranegrade/internal/admin"
+	"cranegrade/internal/fake"
 	"cranegrade/internal/rig"
-	"cranegrade/internal/standin"
 )
 
 // ban is a time for which a server is taken out by hand, by the records' clock.
@@ -34,7 +34,7 @@
 }
 
 // banned judges the bans: nothing may begin at a server from the grace after the yes until the call back.
-func (r *environment) banned(v standin.View) (late int) {
+func (r *environment) banned(v fake.View) (late int) {
 	r.bansMu.Lock()
 	defer r.bansMu.Unlock()
 	for _, b := range r.bans {
@@ -148,10 +148,10 @@
 	var faults sync.WaitGroup
 	r.scheduleOperators(ctx, &faults, g, file(r.node.Addr))
 	if err := r.play(ctx, &faults,
-		standin.Stream{Host: g.host, Class: readClass, Rate: 150},
-		standin.Stream{Host: g.host, Class: sendClass, Rate: 60, Body: 200},
-		standin.Stream{Host: g.host, Class: cellClass, Rate: 30, Body: 60_000},
-		standin.Stream{Host: g.host, Class: orderClass, Rate: 30, Body: 500}); err != nil {
+		fake.Stream{Host: g.host, Class: readClass, Rate: 150},
+		fake.Stream{Host: g.host, Class: sendClass, Rate: 60, Body: 200},
+		fake.Stream{Host: g.host, Class: cellClass, Rate: 30, Body: 60_000},
+		fake.Stream{Host: g.host, Class: orderClass, Rate: 30, Body: 500}); err != nil {
 		return err
 	}
 	r.judgeOperators(r.records.View())
@@ -194,7 +194,7 @@
 }
 
 // judgeOperators judges the bans and reports the day's figures.
-func (r *environment) judgeOperators(v standin.View) {
+func (r *environment) judgeOperators(v fake.View) {
 	late := r.banned(v)
 	back := 0
 	r.bansMu.Lock()
--- a/internal/drill/overload.go
+++ b/internal/drill/overload.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 const (
@@ -41,14 +41,14 @@
 }
 
 var overClasses = []struct {
-	class standin.Class
+	class fake.Class
 	share float64
 }{{readClass, 0.6}, {sendClass, 0.25}, {orderClass, 0.15}}
 
 // steadily is the classes' streams at one rate in all.
-func steadily(rate float64, length time.Duration) (l []standin.Stream) {
+func steadily(rate float64, length time.Duration) (l []fake.Stream) {
 	for _, c := range overClasses {
-		l = append(l, standin.Stream{Name: "up-" + c.class.Name, Host: upperHost, Class: c.class, Rate: rate * c.share, For: length, Most: 2000, Body: 100})
+		l = append(l, fake.Stream{Name: "up-" + c.class.Name, Host: upperHost, Class: c.class, Rate: rate * c.share, For: length, Most: 2000, Body: 100})
 	}
 	return l
 }
@@ -152,7 +152,7 @@
 // tiers starts two tiers of stubborn servers; the upper ones call the lower host at an address that is told
 // later.
 func (r *environment) tiers(prefix string) (s *overloaded, at func(addr string), err error) {
-	var through *standin.Callers
+	var through *fake.Callers
 	var mu sync.Mutex
 	next := func(class string, left time.Duration) bool {
 		mu.Lock()
@@ -163,13 +163,13 @@
 		}
 		of := r.records.Classes[class]
 		of.Deadline = left
-		return c.Do(standin.Stream{Name: "down", Host: lowerHost, Class: of, Body: 100}).Status == 200
+		return c.Do(fake.Stream{Name: "down", Host: lowerHost, Class: of, Body: 100}).Status == 200
 	}
-	cfg := standin.ServerConfig{Slots: 4, Queue: 300, Work: 60 * time.Millisecond, Cold: cold, Zone: "a", Stubborn: true, Choke: 0.02}
+	cfg := fake.ServerConfig{Slots: 4, Queue: 300, Work: 60 * time.Millisecond, Cold: cold, Zone: "a", Stubborn: true, Choke: 0.02}
 	up := cfg
 	up.Slots, up.Work, up.Next = 40, 20*time.Millisecond, next
 	s = &overloaded{r: r}
-	many := func(c standin.ServerConfig) (l []standin.ServerConfig) {
+	many := func(c fake.ServerConfig) (l []fake.ServerConfig) {
 		for range overServer {
 			l = append(l, c)
 		}
@@ -184,7 +184,7 @@
 	return s, func(addr string) {
 		mu.Lock()
 		defer mu.Unlock()
-		through = standin.NewCallers(r.records, addr, r.seed+1000, 2*time.Second+r.slack)
+		through = fake.NewCallers(r.records, addr, r.seed+1000, 2*time.Second+r.slack)
 	}, nil
 }
 
@@ -209,7 +209,7 @@
 // referOverload plays a shape through a reference. What that breaks is not the program's, so its records
 // are its own.
 func (r *environment) referOverload(ctx context.Context, shape overloadShape, name string, limit int) (overloadRow, error) {
-	own := &environment{options: r.options, rng: r.rng, records: standin.NewRecords(allClasses...), keys: standin.NewKeys(), err: r.err}
+	own := &environment{options: r.options, rng: r.rng, records: fake.NewRecords(allClasses...), keys: fake.NewKeys(), err: r.err}
 	defer own.close()
 	s, at, err := own.tiers(name + "-")
 	if err != nil {
@@ -221,19 +221,19 @@
 			hosts[g.host] = append(hosts[g.host], x.Addr())
 		}
 	}
-	b, err := standin.NewBalancer(limit, hosts, r.seed)
+	b, err := fake.NewBalancer(limit, hosts, r.seed)
 	if err != nil {
 		return overloadRow{}, err
 	}
 	defer b.Close()
 	at(b.Addr())
-	own.callers = standin.NewCallers(own.records, b.Addr(), r.seed, 2*time.Second)
+	own.callers = fake.NewCallers(own.records, b.Addr(), r.seed, 2*time.Second)
 	return own.judgeOverload(ctx, s, shape, name)
 }
 
 // goodput is the share of a stream's requests sent within a span that were answered within the aim; of all
 // streams whose names begin so.
-func goodput(v standin.View, stream string, from, to time.Duration) float64 {
+func goodput(v fake.View, stream string, from, to time.Duration) float64 {
 	n, ok := 0, 0
 	for _, x := range v.Exchanges {
 		if !strings.HasPrefix(x.Stream, stream) || x.Sent < from || x.Sent >= to {
--- a/internal/drill/pools.go
+++ b/internal/drill/pools.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 const (
@@ -19,8 +19,8 @@
 
 // The servers of the pools: few and slow ones for the pool that is flooded, quick ones for the others.
 var (
-	floodedServer = standin.ServerConfig{Slots: 2, Queue: 4, Work: 40 * time.Millisecond, Choke: 0.05, Cold: cold, Zone: "a"}
-	quickServer   = standin.ServerConfig{Slots: 8, Queue: 16, Work: 10 * time.Millisecond, Cold: cold, Zone: "a"}
+	floodedServer = fake.ServerConfig{Slots: 2, Queue: 4, Work: 40 * time.Millisecond, Choke: 0.05, Cold: cold, Zone: "a"}
+	quickServer   = fake.ServerConfig{Slots: 8, Queue: 16, Work: 10 * time.Millisecond, Cold: cold, Zone: "a"}
 )
 
 // pools runs five services in one process and lets four of them suffer in their ways: a flood of 20
@@ -36,12 +36,12 @@
 	start := r.records.Now()
 	var faults sync.WaitGroup
 	r.floodEverySecondPhase(ctx, &faults, phase, floodTimes*capacity)
-	calm := func(c standin.Class) standin.Stream {
-		return standin.Stream{Name: "calm", Host: statusHost, Class: c, Rate: 60}
+	calm := func(c fake.Class) fake.Stream {
+		return fake.Stream{Name: "calm", Host: statusHost, Class: c, Rate: 60}
 	}
-	few := func(host string, c standin.Class) standin.Stream {
+	few := func(host string, c fake.Class) fake.Stream {
 		name, _, _ := strings.Cut(host, ".")
-		return standin.Stream{Name: name, Host: host, Class: c, Rate: 20, Most: 100}
+		return fake.Stream{Name: name, Host: host, Class: c, Rate: 20, Most: 100}
 	}
 	if err := r.play(ctx, &faults, calm(readClass), calm(sendClass), calm(orderClass),
 		few(intakeHost, orderClass),
@@ -63,7 +63,7 @@
 	routes := ""
 	for _, s := range []struct {
 		name, host string
-		server     standin.ServerConfig
+		server     fake.ServerConfig
 	}{
 		{"status", statusHost, quickServer},
 		{"intake", intakeHost, floodedServer},
@@ -80,10 +80,10 @@
 		routes += fmt.Sprintf("\n[[routes]]\nhost = %q\npool = %q\n", s.host, s.name)
 	}
 	for _, s := range groups["hung"].servers {
-		s.SetMode(standin.Hanging)
+		s.SetMode(fake.Hanging)
 	}
 	for _, s := range groups["refusing"].servers {
-		s.SetMode(standin.Refusing)
+		s.SetMode(fake.Refusing)
 	}
 	groups["dark"].registry.Down()
 	if err := r.start(file + routes); err != nil {
@@ -96,7 +96,7 @@
 func (r *environment) floodEverySecondPhase(ctx context.Context, faults *sync.WaitGroup, phase time.Duration, rate float64) {
 	for i := 1; i < phases; i += 2 {
 		r.at(ctx, faults, float64(i)/phases, func() {
-			flood := []standin.Stream{
+			flood := []fake.Stream{
 				{Name: "flood", Host: intakeHost, Class: readClass, Rate: rate / 2, For: phase, Most: 300},
 				{Name: "flood", Host: intakeHost, Class: sendClass, Rate: rate / 2, For: phase, Most: 300, Body: 1000},
 			}
@@ -106,10 +106,10 @@
 }
 
 // judgeCalmPool compares what the calm pool served with and without the flood.
-func (r *environment) judgeCalmPool(v standin.View, start, phase time.Duration) {
+func (r *environment) judgeCalmPool(v fake.View, start, phase time.Duration) {
 	// The first moments of a phase belong to neither.
-	in := func(flooded bool) func(standin.Exchange) bool {
-		return func(x standin.Exchange) bool {
+	in := func(flooded bool) func(fake.Exchange) bool {
+		return func(x fake.Exchange) bool {
 			at := x.Sent - start
 			i := int(at / phase)
 			return x.Stream == "calm" && i < phases && (i%2 == 1) == flooded && at-time.Duration(i)*phase > phase/10
@@ -149,7 +149,7 @@
 }
 
 // reportFlood reports how much of the flood came and was served, over the seconds that it lasted.
-func (r *environment) reportFlood(v standin.View, seconds, capacity float64) {
+func (r *environment) reportFlood(v fake.View, seconds, capacity float64) {
 	offered, served := 0, 0
 	for _, x := range v.Exchanges {
 		if x.Stream == "flood" {
--- a/internal/drill/reload.go
+++ b/internal/drill/reload.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"cranegrade/internal/fake"
 	"cranegrade/internal/rig"
-	"cranegrade/internal/standin"
 )
 
 // reload changes the operator's file again and again under load: pools are changed, removed and added,
@@ -35,8 +35,8 @@
 		}
 		over()
 	})
-	stream := func(host string, class standin.Class, rate float64) standin.Stream {
-		return standin.Stream{Name: strings.SplitN(host, ".", 2)[0], Host: host, Class: class, Rate: rate, Body: 100}
+	stream := func(host string, class fake.Class, rate float64) fake.Stream {
+		return fake.Stream{Name: strings.SplitN(host, ".", 2)[0], Host: host, Class: class, Rate: rate, Body: 100}
 	}
 	if err := r.play(ctx, &faults, stream("a.example.org", readClass, 60), stream("a.example.org", orderClass, 30),
 		stream("b.example.org", sendClass, 60), stream("b.example.org", cellClass, 30),
@@ -142,7 +142,7 @@
 }
 
 // judgeRouted counts requests that were refused for want of a pool although their host always had one.
-func (r *environment) judgeRouted(v standin.View) {
+func (r *environment) judgeRouted(v fake.View) {
 	wrong := 0
 	for _, x := range v.Exchanges {
 		if x.Status == 404 && x.Stream != "c" || x.Status == 409 || x.Status == 400 {
--- a/internal/drill/tenants.go
+++ b/internal/drill/tenants.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 // tenantCase is a way to tell a pool of its tenants.
@@ -30,7 +30,7 @@
 // Each pool has three such servers.
 const tenantServers = 3
 
-var tenantServer = standin.ServerConfig{Slots: 4, Queue: 100, Work: 50 * time.Millisecond, Cold: cold, Zone: "a", Stubborn: true}
+var tenantServer = fake.ServerConfig{Slots: 4, Queue: 100, Work: 50 * time.Millisecond, Cold: cold, Zone: "a", Stubborn: true}
 
 // overloadTenants has one tenant flood at three times what the servers can do, from a fifth of the drill on to
 // four fifths, beside three that keep within their quotas. The same servers and streams stand behind a pool
@@ -40,7 +40,7 @@
 	cases := tenantCases(capacity)
 	// Room for three floods at once, or the process's limit of calls refuses before any pool can weigh.
 	file, routes := "listen = [\"127.0.0.1:0\"]\nlimits = { descriptors = 4096 }\n", ""
-	var streams []standin.Stream
+	var streams []fake.Stream
 	for _, c := range cases {
 		g, err := r.group(c.name, c.name+".example.org", tenantServer, tenantServer, tenantServer)
 		if err != nil {
@@ -49,12 +49,12 @@
 		file += poolText(c.name, g.registryText(), c.more)
 		routes += fmt.Sprintf("\n[[routes]]\nhost = %q\npool = %q\n", g.host, c.name)
 		for name, part := range calmTenants {
-			streams = append(streams, standin.Stream{Name: c.name + "/" + name, Host: g.host, Class: readClass, Account: name, Rate: part * capacity})
+			streams = append(streams, fake.Stream{Name: c.name + "/" + name, Host: g.host, Class: readClass, Account: name, Rate: part * capacity})
 		}
-		streams = append(streams, standin.Stream{Name: c.name + "/flood", Host: g.host, Class: readClass, Account: "flood", Rate: 0.1 * capacity})
+		streams = append(streams, fake.Stream{Name: c.name + "/flood", Host: g.host, Class: readClass, Account: "flood", Rate: 0.1 * capacity})
 	}
 	if r.violation != "" { // what must not run twice, for the breach that runs it twice
-		streams = append(streams, standin.Stream{Name: "order", Host: r.groups[0].host, Class: orderClass, Rate: 10, Body: 100})
+		streams = append(streams, fake.Stream{Name: "order", Host: r.groups[0].host, Class: orderClass, Rate: 10, Body: 100})
 	}
 	if err := r.start(file + routes); err != nil {
 		return err
@@ -89,9 +89,9 @@
 
 // floodTenants sends the flood to every pool, each at a rate of requests a second.
 func (r *environment) floodTenants(ctx context.Context, rate float64) {
-	var l []standin.Stream
+	var l []fake.Stream
 	for _, g := range r.groups {
-		l = append(l, standin.Stream{
+		l = append(l, fake.Stream{
 			Name: g.name + "/flood", Host: g.host, Class: readClass, Account: "flood",
 			Rate: rate, For: r.part(floodTo - floodFrom), Most: 3000,
 		})
@@ -103,7 +103,7 @@
 func (r *environment) part(x float64) time.Duration { return time.Duration(x * float64(r.length)) }
 
 // reportTenants reports the goodput of the calm tenants and of the flood for each case.
-func (r *environment) reportTenants(v standin.View, cases []tenantCase, start time.Duration) {
+func (r *environment) reportTenants(v fake.View, cases []tenantCase, start time.Duration) {
 	from, to := start+r.part(floodFrom), start+r.part(floodTo)
 	var b strings.Builder
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
--- a/internal/drill/tour.go
+++ b/internal/drill/tour.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 // tour is a first look: one pool, three servers, every class; one server drains and comes back, one
@@ -35,10 +35,10 @@
 		})
 	}
 	err = r.play(ctx, &faults,
-		standin.Stream{Host: host, Class: readClass, Rate: 120},
-		standin.Stream{Host: host, Class: sendClass, Rate: 60, Body: 200},
-		standin.Stream{Host: host, Class: cellClass, Rate: 30, Body: 2000},
-		standin.Stream{Host: host, Class: orderClass, Rate: 30, Body: 500})
+		fake.Stream{Host: host, Class: readClass, Rate: 120},
+		fake.Stream{Host: host, Class: sendClass, Rate: 60, Body: 200},
+		fake.Stream{Host: host, Class: cellClass, Rate: 30, Body: 2000},
+		fake.Stream{Host: host, Class: orderClass, Rate: 30, Body: 500})
 	if err != nil {
 		return err
 	}
--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
+	"cranegrade/internal/fake"
 	"cranegrade/internal/rig"
-	"cranegrade/internal/standin"
 )
 
 // minViolationTime is how long a drill runs at the least when a breach is planted.
@@ -46,10 +46,10 @@
 }
 
 // awaitServed waits for a request of a class that was served, and says at which server and host.
-func (r *environment) awaitServed(classes ...standin.Class) (x standin.Exchange, a standin.Arrival, c standin.Class, err error) {
+func (r *environment) awaitServed(classes ...fake.Class) (x fake.Exchange, a fake.Arrival, c fake.Class, err error) {
 	if !rig.Await(minViolationTime, func() bool {
 		v := r.records.View()
-		ends := map[string]standin.Exchange{}
+		ends := map[string]fake.Exchange{}
 		for _, x := range v.Exchanges {
 			if x.Status == 200 {
 				ends[x.ID] = x
@@ -94,10 +94,10 @@
 	servers := r.groupOf(a.Host).servers
 	for _, s := range servers {
 		if s.ID() != a.Server {
-			return standin.SendStrayRequest(s, x, a.Host, c)
+			return fake.SendStrayRequest(s, x, a.Host, c)
 		}
 	}
-	return standin.SendStrayRequest(servers[0], x, a.Host, c)
+	return fake.SendStrayRequest(servers[0], x, a.Host, c)
 }
 
 // awaitListed waits until the node has been told of a server's state.
@@ -133,7 +133,7 @@
 	case <-time.After(time.Second + r.slack):
 	case <-ctx.Done():
 	}
-	if err := standin.SendStrayRequest(s, x, a.Host, c); err != nil {
+	if err := fake.SendStrayRequest(s, x, a.Host, c); err != nil {
 		return err
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -166,7 +166,7 @@
 	for range sides {
 		all.Go(func() {
 			for range int(most)/sides + 1 {
-				if standin.SendStrayRequest(s, x, a.Host, c) != nil {
+				if fake.SendStrayRequest(s, x, a.Host, c) != nil {
 					return // it has fallen over
 				}
 			}
@@ -191,7 +191,7 @@
 	}
 	for _, s := range r.groupOf(a.Host).servers {
 		if r.isOut(s.ID()) != "" {
-			return standin.SendStrayRequest(s, x, a.Host, c)
+			return fake.SendStrayRequest(s, x, a.Host, c)
 		}
 	}
 	return errors.New("no server is out any more")
--- a/internal/drill/xds.go
+++ b/internal/drill/xds.go
@@ -13,9 +13,9 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/structpb"
 
+	"cranegrade/internal/fake"
+	fakexds "cranegrade/internal/fake/xds"
 	"cranegrade/internal/rig"
-	"cranegrade/internal/standin"
-	standinxds "cranegrade/internal/standin/xds"
 	"cranegrade/internal/xds/resource"
 )
 
@@ -23,39 +23,39 @@
 type planeGroup struct {
 	*serverGroup
 	r     *environment
-	plane *standinxds.Plane
+	plane *fakexds.Plane
 
 	mu      sync.Mutex // guards all below; held over a change of the plane, so that a write finds it noted
 	states  map[string]corev3.HealthStatus
 	removed map[string]bool
-	pending map[string][]standin.Told // by the version that tells it
-	newest  int                       // of the versions noted
+	pending map[string][]fake.Told // by the version that tells it
+	newest  int                    // of the versions noted
 }
 
 // planeGroup starts servers that a control plane lists as a cluster.
-func (r *environment) planeGroup(plane *standinxds.Plane, name, host string, servers ...standin.ServerConfig) (*planeGroup, error) {
+func (r *environment) planeGroup(plane *fakexds.Plane, name, host string, servers ...fake.ServerConfig) (*planeGroup, error) {
 	g := &planeGroup{
 		serverGroup: &serverGroup{name: name, host: host}, r: r, plane: plane, states: map[string]corev3.HealthStatus{},
-		removed: map[string]bool{}, pending: map[string][]standin.Told{},
+		removed: map[string]bool{}, pending: map[string][]fake.Told{},
 	}
 	r.groups = append(r.groups, g.serverGroup)
-	g.serverGroup.list = func(s *standin.Server, state string) {
-		g.change(func() []*standin.Server {
+	g.serverGroup.list = func(s *fake.Server, state string) {
+		g.change(func() []*fake.Server {
 			g.removed[s.ID()] = state == "DELETED"
 			g.states[s.ID()] = map[string]corev3.HealthStatus{"SERVING": corev3.HealthStatus_HEALTHY, "DRAINING": corev3.HealthStatus_DRAINING}[state]
-			return []*standin.Server{s}
+			return []*fake.Server{s}
 		})
 	}
 	for i, cfg := range servers {
 		cfg.ID = fmt.Sprintf("%s-%d", name, i)
-		s, err := standin.NewServer(cfg, r.records, r.keys)
+		s, err := fake.NewServer(cfg, r.records, r.keys)
 		if err != nil {
 			return nil, err
 		}
 		g.servers = append(g.servers, s)
 	}
 	g.setCluster()
-	g.change(func() []*standin.Server { return nil })
+	g.change(func() []*fake.Server { return nil })
 	return g, nil
 }
 
@@ -75,13 +75,13 @@
 }
 
 // change has the control plane tell the servers' states after f, and notes which are news.
-func (g *planeGroup) change(f func() []*standin.Server) {
+func (g *planeGroup) change(f func() []*fake.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var told []standin.Told
+	var told []fake.Told
 	for _, s := range f() {
 		boot, _ := s.Boot()
-		told = append(told, standin.Told{
+		told = append(told, fake.Told{
 			List: g.host, Server: s.ID(), Boot: boot,
 			Gone: g.removed[s.ID()] || g.states[s.ID()] == corev3.HealthStatus_DRAINING,
 		})
@@ -140,7 +140,7 @@
 }
 
 // xdsText is the operator's file's part that names control planes.
-func xdsText(delta bool, planes ...*standinxds.Plane) string {
+func xdsText(delta bool, planes ...*fakexds.Plane) string {
 	variant := map[bool]string{true: "delta", false: "sotw"}[delta]
 	text := fmt.Sprintf("\n[xds]\nvariant = %q\nempty_grace = \"5s\"\nservers = [", variant)
 	for _, p := range planes {
@@ -150,7 +150,7 @@
 }
 
 // watchWrites has every write of a control plane noted by the groups it lists.
-func watchWrites(plane *standinxds.Plane, groups ...*planeGroup) {
+func watchWrites(plane *fakexds.Plane, groups ...*planeGroup) {
 	plane.OnWrite(func(typeURL, version string) {
 		if typeURL == resource.EndpointURL {
 			for _, g := range groups {
@@ -170,12 +170,12 @@
 // xds drains servers out of an assignment of 10,000, ten a second and more, under load: those that have
 // just been sent to, so that it matters.
 func xds(ctx context.Context, r *environment) error {
-	plane, err := standinxds.New()
+	plane, err := fakexds.New()
 	if err != nil {
 		return err
 	}
 	defer plane.Close()
-	cfgs := make([]standin.ServerConfig, r.size(xdsServers))
+	cfgs := make([]fake.ServerConfig, r.size(xdsServers))
 	for i := range cfgs {
 		cfgs[i] = inCell(usual, i/100)
 		cfgs[i].Zone = fmt.Sprintf("z%d", i%3)
@@ -194,7 +194,7 @@
 	}
 	_, residentBefore := r.node.Resources()
 	if !rig.Await(20*time.Second, func() bool {
-		x := r.callers.Do(standin.Stream{Host: host, Class: readClass})
+		x := r.callers.Do(fake.Stream{Host: host, Class: readClass})
 		return x.Status == 200
 	}) {
 		return fmt.Errorf("nothing is served by the control plane's list")
@@ -205,9 +205,9 @@
 	playing, over := context.WithTimeout(ctx, r.length)
 	defer over()
 	faults.Go(func() { changes = r.drainRecentlyUsed(playing, g) })
-	if err := r.play(ctx, &faults, standin.Stream{Host: host, Class: readClass, Rate: 150},
-		standin.Stream{Host: host, Class: sendClass, Rate: 100, Body: 100},
-		standin.Stream{Host: host, Class: orderClass, Rate: 50, Body: 100}); err != nil {
+	if err := r.play(ctx, &faults, fake.Stream{Host: host, Class: readClass, Rate: 150},
+		fake.Stream{Host: host, Class: sendClass, Rate: 100, Body: 100},
+		fake.Stream{Host: host, Class: orderClass, Rate: 50, Body: 100}); err != nil {
 		return err
 	}
 	_, resident := r.node.Resources()
@@ -234,11 +234,11 @@
 func (r *environment) drainRecentlyUsed(ctx context.Context, g *planeGroup) (changes int) {
 	type drained struct {
 		until  time.Time
-		server *standin.Server
+		server *fake.Server
 	}
 	var queue []drained
 	out := map[string]bool{}
-	byID := map[string]*standin.Server{}
+	byID := map[string]*fake.Server{}
 	for _, s := range g.servers {
 		byID[s.ID()] = s
 	}
@@ -249,7 +249,7 @@
 			return changes
 		}
 		recent := r.records.Recent(3)
-		g.change(func() (news []*standin.Server) {
+		g.change(func() (news []*fake.Server) {
 			for _, a := range recent {
 				if s := byID[a.Server]; !out[a.Server] {
 					out[a.Server] = true
@@ -284,7 +284,7 @@
 
 // afterDrains is, for each time that a server was told to be gone, how long after that the last request
 // reached it, sorted; 0 for none.
-func afterDrains(v standin.View) []time.Duration {
+func afterDrains(v fake.View) []time.Duration {
 	type span struct{ from, to time.Duration }
 	spans := map[string][]span{}
 	for _, t := range v.Told {
--- a/internal/drill/xdschaos.go
+++ b/internal/drill/xdschaos.go
@@ -9,20 +9,20 @@
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"cranegrade/internal/standin"
-	standinxds "cranegrade/internal/standin/xds"
+	"cranegrade/internal/fake"
+	fakexds "cranegrade/internal/fake/xds"
 	"cranegrade/internal/xds/resource"
 )
 
 // xdsChaos has two control planes do all that control planes do wrong, one thing after the other, while
 // three services go on.
 func xdsChaos(ctx context.Context, r *environment) error {
-	one, err := standinxds.New()
+	one, err := fakexds.New()
 	if err != nil {
 		return err
 	}
 	defer one.Close()
-	two, err := standinxds.New()
+	two, err := fakexds.New()
 	if err != nil {
 		return err
 	}
@@ -35,10 +35,10 @@
 	playing, over := context.WithTimeout(ctx, r.length)
 	defer over()
 	faults.Go(func() { chaos.play(playing) })
-	var streams []standin.Stream
+	var streams []fake.Stream
 	for _, g := range chaos.groups {
-		for _, c := range []standin.Class{readClass, sendClass, cellClass, orderClass} {
-			streams = append(streams, standin.Stream{Name: g.name, Host: g.host, Class: c, Rate: 25, Body: 100})
+		for _, c := range []fake.Class{readClass, sendClass, cellClass, orderClass} {
+			streams = append(streams, fake.Stream{Name: g.name, Host: g.host, Class: c, Rate: 25, Body: 100})
 		}
 	}
 	if err := r.play(ctx, &faults, streams...); err != nil {
@@ -51,13 +51,13 @@
 // planeChaos is what a control plane does wrong, and to whom.
 type planeChaos struct {
 	r      *environment
-	plane  *standinxds.Plane
+	plane  *fakexds.Plane
 	groups []*planeGroup
 	done   map[string]int // how often, by the action's name
 }
 
 // start starts three groups of servers, which both control planes are to tell, and the program while both are down.
-func (c *planeChaos) start(second *standinxds.Plane) error {
+func (c *planeChaos) start(second *fakexds.Plane) error {
 	file := "listen = [\"127.0.0.1:0\"]\nlimits = { cores = 1 }\n" + xdsText(c.r.seed%2 == 1, c.plane, second)
 	routes := ""
 	for _, name := range []string{"a", "b", "c"} {
@@ -125,7 +125,7 @@
 
 func (c *planeChaos) storm() {
 	for range 400 {
-		c.groups[0].change(func() []*standin.Server { return nil })
+		c.groups[0].change(func() []*fake.Server { return nil })
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -147,7 +147,7 @@
 	time.Sleep(500 * time.Millisecond)
 	for _, g := range c.groups {
 		g.setCluster()
-		g.change(func() []*standin.Server { return nil })
+		g.change(func() []*fake.Server { return nil })
 	}
 }
 
@@ -193,7 +193,7 @@
 }
 
 // judge reports what was done, and wants nearly all requests served, for the servers worked all the time.
-func (c *planeChaos) judge(v standin.View) {
+func (c *planeChaos) judge(v fake.View) {
 	total := 0
 	for _, n := range c.done {
 		total += n
--- a/internal/drill/xdssize.go
+++ b/internal/drill/xdssize.go
@@ -9,8 +9,8 @@
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	"google.golang.org/protobuf/proto"
 
+	fakexds "cranegrade/internal/fake/xds"
 	"cranegrade/internal/rig"
-	standinxds "cranegrade/internal/standin/xds"
 	"cranegrade/internal/xds/resource"
 )
 
@@ -24,7 +24,7 @@
 // without any traffic: what does a change cost, and does memory stay flat?
 func xdsSize(ctx context.Context, r *environment) error {
 	r.unjudged = true
-	plane, err := standinxds.New()
+	plane, err := fakexds.New()
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 
 // startManyClusters has the control plane tell all clusters, starts the program with a pool for each, and returns the
 // assignments by the clusters' numbers.
-func (r *environment) startManyClusters(plane *standinxds.Plane) ([]*endpointv3.ClusterLoadAssignment, error) {
+func (r *environment) startManyClusters(plane *fakexds.Plane) ([]*endpointv3.ClusterLoadAssignment, error) {
 	file := "listen = [\"127.0.0.1:0\"]\nlimits = { cores = 1, memory_mb = 192, descriptors = 4096 }\n" + xdsText(r.seed%2 == 1, plane)
 	routes := ""
 	assignments := make([]*endpointv3.ClusterLoadAssignment, sizeClusters)
@@ -96,7 +96,7 @@
 }
 
 // acknowledgements counts the assignments' acknowledgements; a rejection is a failure of the drill.
-func (r *environment) acknowledgements(plane *standinxds.Plane) (n int) {
+func (r *environment) acknowledgements(plane *fakexds.Plane) (n int) {
 	for _, q := range plane.Requests() {
 		if q.SotW.GetTypeUrl() == resource.EndpointURL && q.SotW.GetResponseNonce() != "" ||
 			q.Delta.GetTypeUrl() == resource.EndpointURL && q.Delta.GetResponseNonce() != "" {
@@ -110,7 +110,7 @@
 }
 
 // changeEndpoints drains an endpoint, or brings it back, at sizeRate for the drill's length, and returns how often.
-func (r *environment) changeEndpoints(ctx context.Context, plane *standinxds.Plane, assignments []*endpointv3.ClusterLoadAssignment,
+func (r *environment) changeEndpoints(ctx context.Context, plane *fakexds.Plane, assignments []*endpointv3.ClusterLoadAssignment,
 	start time.Time,
 ) (changes int, err error) {
 	tick := time.NewTicker(time.Second / sizeRate)
--- a/internal/drill/zones.go
+++ b/internal/drill/zones.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 	zonereport "cranegrade/internal/zone/report"
 )
 
@@ -47,10 +47,10 @@
 	if r.violation == "" {
 		r.disturbHomeZone(ctx, &faults, g)
 	}
-	if err := r.play(ctx, &faults, standin.Stream{Host: zonesHost, Class: readClass, Rate: 150, Account: "acme"},
-		standin.Stream{Host: zonesHost, Class: orderClass, Rate: 20, Body: 500},
-		standin.Stream{Host: zonesHost, Class: sendClass, Rate: 30, Body: 200, Account: "beta"},
-		standin.Stream{Host: zonesHost, Class: cellClass, Rate: 20, Body: 100}); err != nil {
+	if err := r.play(ctx, &faults, fake.Stream{Host: zonesHost, Class: readClass, Rate: 150, Account: "acme"},
+		fake.Stream{Host: zonesHost, Class: orderClass, Rate: 20, Body: 500},
+		fake.Stream{Host: zonesHost, Class: sendClass, Rate: 30, Body: 200, Account: "beta"},
+		fake.Stream{Host: zonesHost, Class: cellClass, Rate: 20, Body: 100}); err != nil {
 		return err
 	}
 	r.node.Stop() // what it holds is in the file now
@@ -66,7 +66,7 @@
 }
 
 // zonesServers are those of the three zones, each with the latency from home.
-func zonesServers() (servers []standin.ServerConfig) {
+func zonesServers() (servers []fake.ServerConfig) {
 	for _, z := range []struct {
 		zone    string
 		latency time.Duration
@@ -133,9 +133,9 @@
 }
 
 // compareZoneAccount holds the program's account against what the servers of each zone saw.
-func (r *environment) compareZoneAccount(account zonereport.Report, v standin.View) {
+func (r *environment) compareZoneAccount(account zonereport.Report, v fake.View) {
 	seen := zoneTrafficSeen(v)
-	allServed := !slices.ContainsFunc(v.Exchanges, func(x standin.Exchange) bool { return x.Status != 200 })
+	allServed := !slices.ContainsFunc(v.Exchanges, func(x fake.Exchange) bool { return x.Status != 200 })
 	var b strings.Builder
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "zone\trequests\tbytes out\tbytes in\taccounted\tbytes out\tbytes in\t\n")
@@ -159,7 +159,7 @@
 }
 
 // zoneTrafficSeen is what the servers of each zone saw.
-func zoneTrafficSeen(v standin.View) map[string]zoneTraffic {
+func zoneTrafficSeen(v fake.View) map[string]zoneTraffic {
 	seen := map[string]zoneTraffic{}
 	for _, a := range v.Arrivals {
 		s := seen[a.Zone]
@@ -191,7 +191,7 @@
 }
 
 // reportZoneShares reports the share of attempts away from home in each phase of the drill.
-func (r *environment) reportZoneShares(v standin.View, start time.Duration) {
+func (r *environment) reportZoneShares(v fake.View, start time.Duration) {
 	at := func(x float64) time.Duration { return time.Duration(x * float64(r.length)) }
 	away := func(from, to float64) float64 {
 		all, crossed := 0, 0
@@ -211,7 +211,7 @@
 }
 
 // judgeZoneBudget holds the requests to the nearest zone that its budget covers against the budget.
-func (r *environment) judgeZoneBudget(v standin.View) {
+func (r *environment) judgeZoneBudget(v fake.View) {
 	spent := map[string]bool{} // by request: a retry in the same zone counts once
 	for _, a := range v.Arrivals {
 		if a.Zone == "b" && a.Class != sendClass.Name {
--- a/internal/standin/proxy/layers.go
+++ b/internal/fake/proxy/layers.go
@@ -24,7 +24,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 
 	"cranegrade/internal/envoyconf"
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 // header is a message's fields by lower-case name, with the pseudo-headers.
@@ -69,7 +69,7 @@
 	sides map[*asker]*side
 	pos   int      // hosts of an override list that were taken
 	told  []string // hosts that the processor named
-	x     *standin.Exchange
+	x     *fake.Exchange
 }
 
 // response is what comes back. details is response.code_details of one that a proxy made itself.
--- a/internal/standin/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -24,20 +24,20 @@
 	"google.golang.org/protobuf/types/known/structpb"
 
 	"cranegrade/internal/envoyconf"
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 // Config is what a proxy is made of.
 type Config struct {
-	Processor string          // host:port
-	Timeout   time.Duration   // message_timeout; 0: 200 ms
-	Mode      envoyconf.Mode  // "": header, or with Retries every-try
-	YAML      string          // its configuration; "": envoyconf.Build's for the mode
-	Endpoints []string        // that it knows, in the modes that need that
-	Classes   []standin.Class // safe ones may be tried again in mode fallbacks
-	Retries   int             // further tries, in the modes that have any
-	Greedy    bool            // it also tries again by itself whatever failed, as a careless one does
-	Deaf      bool            // it sends requests elsewhere than it is told
+	Processor string         // host:port
+	Timeout   time.Duration  // message_timeout; 0: 200 ms
+	Mode      envoyconf.Mode // "": header, or with Retries every-try
+	YAML      string         // its configuration; "": envoyconf.Build's for the mode
+	Endpoints []string       // that it knows, in the modes that need that
+	Classes   []fake.Class   // safe ones may be tried again in mode fallbacks
+	Retries   int            // further tries, in the modes that have any
+	Greedy    bool           // it also tries again by itself whatever failed, as a careless one does
+	Deaf      bool           // it sends requests elsewhere than it is told
 	Elsewhere func(told string) string
 	Drop      func() bool // asked for each request: drop the side channel while the request is at its server
 }
@@ -45,7 +45,7 @@
 // Proxy is a proxy.
 type Proxy struct {
 	cfg  Config
-	rec  *standin.Records
+	rec  *fake.Records
 	conn *grpc.ClientConn
 	svc  extproc.ExternalProcessorClient
 	next atomic.Uint64
@@ -71,7 +71,7 @@
 }
 
 // New returns a proxy with a side channel of its own.
-func New(name string, rec *standin.Records, cfg Config) (*Proxy, error) {
+func New(name string, rec *fake.Records, cfg Config) (*Proxy, error) {
 	if cfg.Timeout == 0 {
 		cfg.Timeout = 200 * time.Millisecond
 	}
@@ -112,7 +112,7 @@
 	}
 	longest := 5 * time.Second
 	for _, k := range c.Classes {
-		p.Classes = append(p.Classes, envoyconf.Class{Name: k.Name, Deadline: k.Deadline, Safe: k.Effect == standin.Safe})
+		p.Classes = append(p.Classes, envoyconf.Class{Name: k.Name, Deadline: k.Deadline, Safe: k.Effect == fake.Safe})
 		longest = max(longest, k.Deadline)
 	}
 	if len(p.Classes) == 0 {
@@ -136,22 +136,22 @@
 func (p *Proxy) NewID() string { return p.name + "-" + strconv.FormatUint(p.next.Add(1), 36) }
 
 // Do carries one request of a client and records what the client saw.
-func (p *Proxy) Do(ctx context.Context, s standin.Stream) standin.Exchange {
+func (p *Proxy) Do(ctx context.Context, s fake.Stream) fake.Exchange {
 	return p.DoID(ctx, s, p.NewID())
 }
 
 // DoID is Do of a request with this id.
-func (p *Proxy) DoID(ctx context.Context, s standin.Stream, id string) standin.Exchange {
+func (p *Proxy) DoID(ctx context.Context, s fake.Stream, id string) fake.Exchange {
 	return p.DoWith(ctx, s, id, nil)
 }
 
 // DoWith is DoID of a client that sends further headers.
-func (p *Proxy) DoWith(ctx context.Context, s standin.Stream, id string, more map[string]string) standin.Exchange {
+func (p *Proxy) DoWith(ctx context.Context, s fake.Stream, id string, more map[string]string) fake.Exchange {
 	name := s.Name
 	if name == "" {
 		name = s.Class.Name
 	}
-	x := standin.Exchange{ID: id, Class: s.Class.Name, Stream: name, Sent: p.rec.Now(), Connected: true}
+	x := fake.Exchange{ID: id, Class: s.Class.Name, Stream: name, Sent: p.rec.Now(), Connected: true}
 	x.Deadline = x.Sent + s.Class.Deadline
 	r := &request{x: &x, meta: map[string]*structpb.Struct{}, sides: map[*asker]*side{}, head: header{
 		":method": {method(s.Class)}, ":scheme": {"http"},
@@ -160,11 +160,11 @@
 	if s.Account != "" {
 		r.head.set("x-account", s.Account)
 	}
-	if s.Class.Effect == standin.Keyed {
+	if s.Class.Effect == fake.Keyed {
 		x.Key = "k-" + id
 		r.head.set("idempotency-key", x.Key)
 	}
-	if s.Class.Effect != standin.Safe {
+	if s.Class.Effect != fake.Safe {
 		r.body = strings.Repeat("x", s.Body)
 	}
 	for k, v := range more {
@@ -174,7 +174,7 @@
 	defer cancel()
 	resp := p.entry.serve(ctx, r)
 	x.Status, x.RetryAfter = resp.status(), len(resp.head["retry-after"]) > 0
-	x.Foreign = x.Status == 200 && resp.body != standin.Body(id)
+	x.Foreign = x.Status == 200 && resp.body != fake.Body(id)
 	x.Answered = p.rec.Now()
 	if p.lose.Add(-1) >= 0 {
 		x.Status, x.Err = 0, errors.New("lost on its way")
@@ -184,8 +184,8 @@
 }
 
 // method of a class.
-func method(c standin.Class) string {
-	if c.Effect == standin.Safe {
+func method(c fake.Class) string {
+	if c.Effect == fake.Safe {
 		return "GET"
 	}
 	return "POST"
@@ -215,9 +215,9 @@
 }
 
 // Run sends the streams' requests through the proxies in turn and returns once all have ended.
-func Run(ctx context.Context, proxies []*Proxy, seed uint64, streams ...standin.Stream) {
+func Run(ctx context.Context, proxies []*Proxy, seed uint64, streams ...fake.Stream) {
 	n := atomic.Uint64{}
-	standin.Drive(ctx, seed, func(s standin.Stream) {
+	fake.Drive(ctx, seed, func(s fake.Stream) {
 		proxies[int(n.Add(1))%len(proxies)].Do(ctx, s)
-	}, func(standin.Stream) {}, streams...)
+	}, func(fake.Stream) {}, streams...)
 }
--- a/internal/standin/proxy/proxy_test.go
+++ b/internal/fake/proxy/proxy_test.go
@@ -14,7 +14,7 @@
 
 	"cranegrade/internal/envoyconf"
 	"cranegrade/internal/extproc/stream"
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 // picker is a processor that always names the same list, and allows one more try if a retry header is told.
@@ -69,13 +69,13 @@
 }
 
 // rig is a picker and servers of one class, of which the first is down.
-func rig(t *testing.T, retry string) (k *picker, addr string, rec *standin.Records, class standin.Class) {
+func rig(t *testing.T, retry string) (k *picker, addr string, rec *fake.Records, class fake.Class) {
 	t.Helper()
-	class = standin.Class{Name: "read", Effect: standin.Safe, Deadline: 5 * time.Second}
-	rec = standin.NewRecords(class)
+	class = fake.Class{Name: "read", Effect: fake.Safe, Deadline: 5 * time.Second}
+	rec = fake.NewRecords(class)
 	k = &picker{retry: retry}
 	for _, id := range []string{"a", "b"} {
-		s, err := standin.NewServer(standin.ServerConfig{ID: id, Slots: 4, Queue: 10, Work: time.Millisecond}, rec, standin.NewKeys())
+		s, err := fake.NewServer(fake.ServerConfig{ID: id, Slots: 4, Queue: 10, Work: time.Millisecond}, rec, fake.NewKeys())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -111,12 +111,12 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	x := p.Do(context.Background(), standin.Stream{Class: class, Host: "a"})
+	x := p.Do(context.Background(), fake.Stream{Class: class, Host: "a"})
 	if x.Status != 503 || p.Heeded.Load() != 0 {
 		t.Errorf("status %d, %d heeded", x.Status, p.Heeded.Load())
 	}
 	// A caller who names a server himself gets it, whatever the processor says.
-	x = p.DoWith(context.Background(), standin.Stream{Class: class, Host: "a"}, "forged", map[string]string{envoyconf.Header: k.list[1]})
+	x = p.DoWith(context.Background(), fake.Stream{Class: class, Host: "a"}, "forged", map[string]string{envoyconf.Header: k.list[1]})
 	if x.Status != 200 || p.Heeded.Load() != 1 && p.Decisions.Load() == 0 {
 		t.Errorf("status %d, heeded %d of %d decisions", x.Status, p.Heeded.Load(), p.Decisions.Load())
 	}
@@ -135,7 +135,7 @@
 		t.Run(string(c.mode), func(t *testing.T) {
 			k, addr, rec, class := rig(t, c.retry)
 			k.fallbacks = c.mode == envoyconf.Fallbacks
-			p, err := New("p", rec, Config{Processor: addr, Timeout: 5 * time.Second, Mode: c.mode, Retries: c.retries, Endpoints: k.list, Classes: []standin.Class{class}})
+			p, err := New("p", rec, Config{Processor: addr, Timeout: 5 * time.Second, Mode: c.mode, Retries: c.retries, Endpoints: k.list, Classes: []fake.Class{class}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -144,7 +144,7 @@
 				envoyconf.Header: "127.0.0.1:1", "x-request-id": "another's", "x-envoy-attempt-count": "7", "x-time-left": "1m",
 				"x-envoy-expected-rq-timeout-ms": "1", "x-envoy-retry-on": "5xx", "x-envoy-max-retries": "9",
 			}
-			x := p.DoWith(context.Background(), standin.Stream{Class: class, Host: "a"}, "mine", forged)
+			x := p.DoWith(context.Background(), fake.Stream{Class: class, Host: "a"}, "mine", forged)
 			if x.Status != c.status || p.Sent.Load() != c.sent || p.Heeded.Load() != c.sent || len(k.saw) != c.asked {
 				t.Fatalf("status %d, sent %d, heeded %d, asked %d", x.Status, p.Sent.Load(), p.Heeded.Load(), len(k.saw))
 			}
@@ -181,7 +181,7 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	if x := p.Do(context.Background(), standin.Stream{Class: class, Host: "a"}); x.Status != 504 || p.Sent.Load() != 1 {
+	if x := p.Do(context.Background(), fake.Stream{Class: class, Host: "a"}); x.Status != 504 || p.Sent.Load() != 1 {
 		t.Errorf("status %d after %d tries", x.Status, p.Sent.Load())
 	}
 }
@@ -203,7 +203,7 @@
 		if text == good {
 			t.Fatalf("%s: nothing changed", name)
 		}
-		if _, err := New("p", standin.NewRecords(), Config{YAML: text}); err == nil {
+		if _, err := New("p", fake.NewRecords(), Config{YAML: text}); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
--- a/internal/standin/record.go
+++ b/internal/fake/record.go
@@ -1,7 +1,7 @@
-// Package standin plays what stands outside the program: servers, the registry and callers, on
+// Package fake plays what stands outside the program: servers, the registry and callers, on
 // loopback, from the protocol's page. Each writes down what it saw with the times of one clock; what
 // the program says of itself is not asked. Package audit judges these records.
-package standin
+package fake
 
 import (
 	"sync"
--- a/internal/standin/work.go
+++ b/internal/fake/work.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"net/http"
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -18,15 +18,15 @@
 
 	"cranegrade/balancer"
 	"cranegrade/internal/engine"
+	"cranegrade/internal/fake"
 	"cranegrade/internal/operator"
-	"cranegrade/internal/standin"
 	"cranegrade/internal/testkit"
 )
 
 var (
-	read  = standin.Class{Name: "read", Effect: standin.Safe, Deadline: limit}
-	order = standin.Class{Name: "order", Effect: standin.Unsafe, Deadline: limit}
-	quick = standin.ServerConfig{Slots: 50, Queue: 50, Work: time.Millisecond, Zone: "a"}
+	read  = fake.Class{Name: "read", Effect: fake.Safe, Deadline: limit}
+	order = fake.Class{Name: "order", Effect: fake.Unsafe, Deadline: limit}
+	quick = fake.ServerConfig{Slots: 50, Queue: 50, Work: time.Millisecond, Zone: "a"}
 )
 
 // planOf is the plan of an operator's file with these pools; each of them has the host NAME.test.
@@ -66,7 +66,7 @@
 `, name, source, strings.Join(more, "\n"), limit, limit, name, name)
 }
 
-func servers(l ...*standin.Server) string {
+func servers(l ...*fake.Server) string {
 	text := "servers = ["
 	for _, s := range l {
 		text += fmt.Sprintf("{ id = %q, address = %q },", s.ID(), s.Addr())
@@ -77,19 +77,19 @@
 // world is stand-ins for a test.
 type world struct {
 	t       testing.TB
-	rec     *standin.Records
-	keys    *standin.Keys
-	callers *standin.Callers
+	rec     *fake.Records
+	keys    *fake.Keys
+	callers *fake.Callers
 }
 
 func newWorld(t testing.TB) *world {
-	return &world{t: t, rec: standin.NewRecords(read, order), keys: standin.NewKeys()}
+	return &world{t: t, rec: fake.NewRecords(read, order), keys: fake.NewKeys()}
 }
 
-func (w *world) server(id string, cfg standin.ServerConfig) *standin.Server {
+func (w *world) server(id string, cfg fake.ServerConfig) *fake.Server {
 	w.t.Helper()
 	cfg.ID = id
-	s, err := standin.NewServer(cfg, w.rec, w.keys)
+	s, err := fake.NewServer(cfg, w.rec, w.keys)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -97,9 +97,9 @@
 	return s
 }
 
-func (w *world) registry(name string) *standin.Registry {
+func (w *world) registry(name string) *fake.Registry {
 	w.t.Helper()
-	g, err := standin.NewRegistry(name, w.rec)
+	g, err := fake.NewRegistry(name, w.rec)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -110,8 +110,8 @@
 // run runs a node until the test ends, and callers of it.
 func (w *world) run(plan operator.Plan) *Node { return w.runWith(plan, Options{}) }
 
-func (w *world) ask(name string, c standin.Class) standin.Exchange {
-	return w.callers.Do(standin.Stream{Host: name + ".test", Class: c})
+func (w *world) ask(name string, c fake.Class) fake.Exchange {
+	return w.callers.Do(fake.Stream{Host: name + ".test", Class: c})
 }
 
 func reload(t testing.TB, n *Node, plan operator.Plan) {
@@ -198,7 +198,7 @@
 	}
 	n := w.run(with(fmt.Sprintf("registry = %q", list.Addr())))
 	old := n.serving.Load().pools["a"]
-	answers := make(chan standin.Exchange, 1)
+	answers := make(chan fake.Exchange, 1)
 	go func() { answers <- w.ask("a", order) }()
 	testkit.Eventually(t, "the request is not taken", func() bool { return old.Engine().Open() == 1 })
 
@@ -246,7 +246,7 @@
 	s, other := w.server("s", quick), w.server("other", quick)
 	source := fmt.Sprintf("registry = %q", list.Addr())
 	n := w.run(planOf(t, "", poolOf("a", source), poolOf("b", servers(other))))
-	answers := make(chan standin.Exchange, 1)
+	answers := make(chan fake.Exchange, 1)
 	go func() { answers <- w.ask("a", order) }()
 	a := n.serving.Load().pools["a"]
 	testkit.Eventually(t, "the request is not taken", func() bool { return a.Engine().Open() == 1 })
@@ -308,10 +308,10 @@
 func TestPoolsDoNotStarveEachOther(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t)
-	slow := standin.ServerConfig{Slots: 1, Queue: 1, Work: 50 * time.Millisecond, Zone: "a"}
+	slow := fake.ServerConfig{Slots: 1, Queue: 1, Work: 50 * time.Millisecond, Zone: "a"}
 	calm, flooded, hung, refusing := w.server("calm", quick), w.server("flooded", slow), w.server("hung", quick), w.server("refusing", quick)
-	hung.SetMode(standin.Hanging)
-	refusing.SetMode(standin.Refusing)
+	hung.SetMode(fake.Hanging)
+	refusing.SetMode(fake.Refusing)
 	down := w.registry("")
 	down.Down()
 	n := w.run(planOf(t, "limits = { descriptors = 400 }\n", poolOf("calm", servers(calm)), poolOf("flooded", servers(flooded)),
@@ -320,12 +320,12 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	var flood atomic.Int64
-	short := standin.Class{Name: "read", Effect: standin.Safe, Deadline: 300 * time.Millisecond}
+	short := fake.Class{Name: "read", Effect: fake.Safe, Deadline: 300 * time.Millisecond}
 	for _, name := range []string{"flooded", "hung", "refusing", "dark"} {
 		for range 150 {
 			all.Go(func() {
 				for ctx.Err() == nil {
-					w.callers.Do(standin.Stream{Host: name + ".test", Class: short})
+					w.callers.Do(fake.Stream{Host: name + ".test", Class: short})
 					flood.Add(1)
 				}
 			})
@@ -363,7 +363,7 @@
 	t.Parallel()
 	w := newWorld(t)
 	s := w.server("s", quick)
-	s.SetMode(standin.Hanging)
+	s.SetMode(fake.Hanging)
 	n := w.run(planOf(t, "", poolOf("a", servers(s), "limits = { calls = { max = 1 } }")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -424,10 +424,10 @@
 	const reloads = 2000
 	before := goleak.IgnoreCurrent()
 	defer goleak.VerifyNone(t, before)
-	w := &world{t: t, rec: standin.NewRecords(read, order), keys: standin.NewKeys()}
+	w := &world{t: t, rec: fake.NewRecords(read, order), keys: fake.NewKeys()}
 	cfg := quick
 	cfg.ID = "s"
-	s, err := standin.NewServer(cfg, w.rec, w.keys)
+	s, err := fake.NewServer(cfg, w.rec, w.keys)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -446,11 +446,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
-	callers := standin.NewCallers(w.rec, n.Addr().String(), 1, limit)
+	callers := fake.NewCallers(w.rec, n.Addr().String(), 1, limit)
 	round := func(k int) {
 		for i := range k {
 			reload(t, n, plans[i%len(plans)])
-			if x := callers.Do(standin.Stream{Host: "a.test", Class: read}); x.Status != 200 {
+			if x := callers.Do(fake.Stream{Host: "a.test", Class: read}); x.Status != 200 {
 				t.Fatalf("reload %d: %d, %v", i, x.Status, x.Err)
 			}
 		}
--- a/internal/node/xds_test.go
+++ b/internal/node/xds_test.go
@@ -18,10 +18,10 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"google.golang.org/protobuf/types/known/structpb"
 
+	"cranegrade/internal/fake"
+	fakexds "cranegrade/internal/fake/xds"
 	"cranegrade/internal/operator"
 	sourcexds "cranegrade/internal/source/xds"
-	"cranegrade/internal/standin"
-	standinxds "cranegrade/internal/standin/xds"
 	"cranegrade/internal/testkit"
 	"cranegrade/internal/xds/ads"
 	"cranegrade/internal/xds/client"
@@ -31,7 +31,7 @@
 // xdsWorld is a world with a control plane.
 type xdsWorld struct {
 	*world
-	plane *standinxds.Plane
+	plane *fakexds.Plane
 	node  *Node
 }
 
@@ -47,7 +47,7 @@
 
 func newXDSWorld(t *testing.T) *xdsWorld {
 	t.Helper()
-	p, err := standinxds.New()
+	p, err := fakexds.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 
 // entry is a server as the control plane lists it.
 type xdsEntry struct {
-	*standin.Server
+	*fake.Server
 	health corev3.HealthStatus
 }
 
@@ -131,7 +131,7 @@
 				w.cluster("c")
 				w.list("c", 0, xdsEntry{busy, corev3.HealthStatus_HEALTHY})
 				w.start(w.xdsPlan(delta, "", poolOf("a", `xds = "c"`)))
-				answer := make(chan standin.Exchange, 1)
+				answer := make(chan fake.Exchange, 1)
 				go func() { answer <- w.ask("a", order) }()
 				testkit.Eventually(t, "the request does not reach the server", func() bool { return len(w.rec.View().Arrivals) == 1 })
 				switch state {
@@ -187,7 +187,7 @@
 		w.list("c", 0) // no server: requests are held
 		w.start(w.xdsPlan(delta, "", poolOf("a", `xds = "c"`)))
 		p := w.node.serving.Load().pools["a"]
-		answer := make(chan standin.Exchange, 1)
+		answer := make(chan fake.Exchange, 1)
 		go func() { answer <- w.ask("a", order) }()
 		testkit.Eventually(t, "the request is not taken", func() bool { return p.Engine().Open() == 1 })
 		for range 3 {
@@ -326,7 +326,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- n.Run(ctx) }()
-	w.callers = standin.NewCallers(w.rec, n.Addr().String(), 1, limit)
+	w.callers = fake.NewCallers(w.rec, n.Addr().String(), 1, limit)
 	w.t.Cleanup(func() {
 		w.callers.Close()
 		cancel()
--- a/internal/rig/faults_test.go
+++ b/internal/rig/faults_test.go
@@ -16,9 +16,9 @@
 	"github.com/hashicorp/memberlist"
 
 	"cranegrade/internal/admin"
+	"cranegrade/internal/fake"
 	"cranegrade/internal/fleet"
 	"cranegrade/internal/fleet/membership"
-	"cranegrade/internal/standin"
 )
 
 // moves is how often a member's place moved at others, as they tell of it.
@@ -406,7 +406,7 @@
 		f.agree(t, true, 0, 1, 2)
 		from := f.Rec.Now()
 		for range 60 {
-			m.Callers.Do(standin.Stream{Host: Host, Class: Read})
+			m.Callers.Do(fake.Stream{Host: Host, Class: Read})
 		}
 		n := 0
 		for _, a := range f.Rec.View().Arrivals {
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 // FleetConfig says what a fleet of real processes is.
@@ -32,9 +32,9 @@
 	FleetConfig
 	Dir      string
 	Fabric   *Fabric
-	Rec      *standin.Records
-	Registry *standin.Registry
-	Servers  []*standin.Server
+	Rec      *fake.Records
+	Registry *fake.Registry
+	Servers  []*fake.Server
 	Members  []*Member
 
 	began  time.Time
@@ -53,7 +53,7 @@
 	if c.Lease == 0 {
 		c.Lease = 1200 * time.Millisecond
 	}
-	f := &Fleet{FleetConfig: c, Rec: standin.NewRecords(Classes...), began: time.Now()}
+	f := &Fleet{FleetConfig: c, Rec: fake.NewRecords(Classes...), began: time.Now()}
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -70,14 +70,14 @@
 	if f.Fabric, err = NewFabric(c.Members+c.Room, c.Seed); err != nil {
 		return nil, err
 	}
-	if f.Registry, err = standin.NewRegistry(Host, f.Rec); err != nil {
+	if f.Registry, err = fake.NewRegistry(Host, f.Rec); err != nil {
 		return nil, err
 	}
-	keys := standin.NewKeys()
+	keys := fake.NewKeys()
 	for i := range c.Servers {
 		s := InCell(Usual, i%2)
 		s.ID = fmt.Sprintf("s-%02d", i)
-		server, err := standin.NewServer(s, f.Rec, keys)
+		server, err := fake.NewServer(s, f.Rec, keys)
 		if err != nil {
 			return nil, err
 		}
@@ -202,8 +202,8 @@
 }
 
 // Traffic is requests of all classes at a rate together, for so long.
-func Traffic(rate float64, long time.Duration) []standin.Stream {
-	return []standin.Stream{
+func Traffic(rate float64, long time.Duration) []fake.Stream {
+	return []fake.Stream{
 		{Class: Read, Rate: rate * 0.5, For: long},
 		{Class: Send, Rate: rate * 0.25, For: long, Body: 200},
 		{Class: Cell, Rate: rate * 0.125, For: long, Body: 500},
--- a/internal/rig/member.go
+++ b/internal/rig/member.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"cranegrade/internal/admin"
+	"cranegrade/internal/fake"
 	"cranegrade/internal/fleet"
-	"cranegrade/internal/standin"
 )
 
 // Member is one of the processes.
@@ -24,10 +24,10 @@
 	I       int
 	Name    string
 	P       *Process // nil: it was never started
-	Callers *standin.Callers
+	Callers *fake.Callers
 
-	Program  string            // another than the fleet's; "": that
-	Registry *standin.Registry // another than the fleet's; nil: that
+	Program  string         // another than the fleet's; "": that
+	Registry *fake.Registry // another than the fleet's; nil: that
 
 	fleet  *Fleet
 	addr   string // where callers come, the same after a restart
@@ -88,7 +88,7 @@
 	f.mu.Lock()
 	m.P, m.addr, m.admin, m.paused = p, p.Addr, admin, false
 	if m.Callers == nil {
-		m.Callers = standin.NewCallers(f.Rec, p.Addr, f.Seed<<8|uint64(m.I+1), 2*time.Second+f.Slack)
+		m.Callers = fake.NewCallers(f.Rec, p.Addr, f.Seed<<8|uint64(m.I+1), 2*time.Second+f.Slack)
 		m.Callers.Through(m.Name)
 	}
 	f.mu.Unlock()
@@ -207,7 +207,7 @@
 }
 
 // Stream is a stream of requests that come to one member.
-func (m *Member) Stream(ctx context.Context, all *sync.WaitGroup, streams ...standin.Stream) {
+func (m *Member) Stream(ctx context.Context, all *sync.WaitGroup, streams ...fake.Stream) {
 	for i := range streams {
 		streams[i].Host = Host
 		if streams[i].Name == "" {
--- a/internal/rig/stage.go
+++ b/internal/rig/stage.go
@@ -8,23 +8,23 @@
 	"text/tabwriter"
 	"time"
 
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
 )
 
 // The classes of all drills. Their windows and deadlines are short, so that short drills reach them.
 var (
-	Read    = standin.Class{Name: "read", Effect: standin.Safe, Deadline: 2 * time.Second}
-	Send    = standin.Class{Name: "alert-send", Effect: standin.Keyed, Scope: standin.ScopeAll, Window: 10 * time.Second, Deadline: 3 * time.Second}
-	Cell    = standin.Class{Name: "campaign-send", Effect: standin.Keyed, Scope: standin.ScopeCell, Window: 10 * time.Second, Deadline: 3 * time.Second}
-	Order   = standin.Class{Name: "order", Effect: standin.Unsafe, Deadline: 3 * time.Second}
-	Classes = []standin.Class{Read, Send, Cell, Order}
-	Cold    = standin.Cold{From: 0.33, Warm: 4 * time.Second, Multiple: 4, For: 1500 * time.Millisecond}
+	Read    = fake.Class{Name: "read", Effect: fake.Safe, Deadline: 2 * time.Second}
+	Send    = fake.Class{Name: "alert-send", Effect: fake.Keyed, Scope: fake.ScopeAll, Window: 10 * time.Second, Deadline: 3 * time.Second}
+	Cell    = fake.Class{Name: "campaign-send", Effect: fake.Keyed, Scope: fake.ScopeCell, Window: 10 * time.Second, Deadline: 3 * time.Second}
+	Order   = fake.Class{Name: "order", Effect: fake.Unsafe, Deadline: 3 * time.Second}
+	Classes = []fake.Class{Read, Send, Cell, Order}
+	Cold    = fake.Cold{From: 0.33, Warm: 4 * time.Second, Multiple: 4, For: 1500 * time.Millisecond}
 	// Usual is a server that serves 400 requests a second.
-	Usual = standin.ServerConfig{Slots: 4, Queue: 16, Work: 10 * time.Millisecond, Choke: 0.02, Cold: Cold, Zone: "a"}
+	Usual = fake.ServerConfig{Slots: 4, Queue: 16, Work: 10 * time.Millisecond, Choke: 0.02, Cold: Cold, Zone: "a"}
 )
 
 // InCell is the same in a cell.
-func InCell(s standin.ServerConfig, cell int) standin.ServerConfig {
+func InCell(s fake.ServerConfig, cell int) fake.ServerConfig {
 	s.Cell = cell
 	return s
 }
@@ -39,17 +39,17 @@
 	fmt.Fprintf(&b, "connections = { idle = \"2s\", connect_within = \"250ms\" }\n")
 	fmt.Fprintf(&b, "cold = { from = %v, warm_after = %q, fall_multiple = %v, fall_for = %q }\n", Cold.From, Cold.Warm, Cold.Multiple, Cold.For)
 	for _, c := range Classes {
-		effect := map[standin.Effect]string{standin.Safe: "safe", standin.Keyed: "keyed", standin.Unsafe: "unsafe"}[c.Effect]
+		effect := map[fake.Effect]string{fake.Safe: "safe", fake.Keyed: "keyed", fake.Unsafe: "unsafe"}[c.Effect]
 		fmt.Fprintf(&b, "[[pools.classes]]\nname = %q\neffect = %q\naim = \"500ms\"\ndeadline = %q\nlate_share = 0.5\n", c.Name, effect, c.Deadline)
-		if c.Effect == standin.Keyed {
-			fmt.Fprintf(&b, "scope = %q\nwindow = %q\n", map[standin.Scope]string{standin.ScopeAll: "all", standin.ScopeCell: "cell"}[c.Scope], c.Window)
+		if c.Effect == fake.Keyed {
+			fmt.Fprintf(&b, "scope = %q\nwindow = %q\n", map[fake.Scope]string{fake.ScopeAll: "all", fake.ScopeCell: "cell"}[c.Scope], c.Window)
 		}
 	}
 	return b.String()
 }
 
 // Times are the sorted times to the answers of a stream's requests that were sent within a span.
-func Times(l []standin.Exchange, keep func(standin.Exchange) bool) (t []time.Duration) {
+func Times(l []fake.Exchange, keep func(fake.Exchange) bool) (t []time.Duration) {
 	for _, x := range l {
 		if keep(x) && x.Status == 200 {
 			t = append(t, x.Answered-x.Sent)
@@ -67,7 +67,7 @@
 }
 
 // StreamTable tells what became of each stream.
-func StreamTable(v standin.View) string {
+func StreamTable(v fake.View) string {
 	type row struct{ n, served, refused, failed int }
 	rows := map[string]*row{}
 	for _, x := range v.Exchanges {
@@ -91,7 +91,7 @@
 	fmt.Fprintln(t, "stream\trequests\tserved\trefused\tfailed\tp50 ms\tp99 ms")
 	for _, n := range slices.Sorted(maps.Keys(rows)) {
 		w := rows[n]
-		l := Times(v.Exchanges, func(x standin.Exchange) bool { return x.Stream == n })
+		l := Times(v.Exchanges, func(x fake.Exchange) bool { return x.Stream == n })
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.1f\t%.1f\n", n, w.n, w.served, w.refused, w.failed,
 			Quantile(l, 0.5).Seconds()*1000, Quantile(l, 0.99).Seconds()*1000)
 	}
@@ -100,7 +100,7 @@
 }
 
 // ServerTable tells what each server got.
-func ServerTable(v standin.View) string {
+func ServerTable(v fake.View) string {
 	type row struct{ n, ran, repeats, away int }
 	rows := map[string]*row{}
 	for _, a := range v.Arrivals {
--- a/internal/rig/together_test.go
+++ b/internal/rig/together_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"cranegrade/internal/audit"
+	"cranegrade/internal/fake"
 	"cranegrade/internal/fleet"
 	"cranegrade/internal/fleet/subset"
-	"cranegrade/internal/standin"
 )
 
 // shared waits until the subsets of these members share the servers out as evenly as they should, and gives them.
@@ -115,7 +115,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	for _, m := range f.Members {
-		m.Stream(ctx, &load, standin.Stream{Class: Read, Rate: 40, For: time.Hour})
+		m.Stream(ctx, &load, fake.Stream{Class: Read, Rate: 40, For: time.Hour})
 	}
 	aside := func(server string) (n int) {
 		for _, i := range all {
@@ -127,7 +127,7 @@
 		return n
 	}
 	sick := f.Servers[4]
-	sick.SetMode(standin.Failing)
+	sick.SetMode(fake.Failing)
 	if !Await(patience, func() bool { return aside(sick.ID()) >= 2 }) {
 		t.Fatal("nobody goes by others' words")
 	}
@@ -138,7 +138,7 @@
 	}
 	f.Members[2].Pause()
 	f.agree(t, true, 0, 1, 3, 4, 5)
-	sick.SetMode(standin.Serving)
+	sick.SetMode(fake.Serving)
 	from := f.Rec.Now()
 	f.Members[2].Resume()
 	if !Await(patience, func() bool {
@@ -188,7 +188,7 @@
 	to := func(i int) (stop func()) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var load sync.WaitGroup
-		f.Members[i].Stream(ctx, &load, standin.Stream{Class: Read, Rate: 100, For: time.Hour, Account: "acme"})
+		f.Members[i].Stream(ctx, &load, fake.Stream{Class: Read, Rate: 100, For: time.Hour, Account: "acme"})
 		return func() { cancel(); load.Wait() }
 	}
 	stop := to(1)
@@ -229,8 +229,8 @@
 	f := start(t, FleetConfig{Room: 6, Nodes: 6, Servers: 6, Seed: 11})
 	f.FleetConfig.Members = 2
 	// A list in which relays stand before some servers and lose every answer.
-	behind := func(broken ...*standin.Server) *standin.Registry {
-		own, err := standin.NewRegistry(Host, f.Rec)
+	behind := func(broken ...*fake.Server) *fake.Registry {
+		own, err := fake.NewRegistry(Host, f.Rec)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -238,7 +238,7 @@
 		for _, s := range f.Servers {
 			addr := s.Addr()
 			if slices.Contains(broken, s) {
-				relay, err := standin.NewRelay(addr)
+				relay, err := fake.NewRelay(addr)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -262,7 +262,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	for _, m := range f.Members {
-		m.Stream(ctx, &load, standin.Stream{Class: Read, Rate: 60, For: time.Hour})
+		m.Stream(ctx, &load, fake.Stream{Class: Read, Rate: 60, For: time.Hour})
 	}
 	from := f.Rec.Now()
 	counts := func() (n map[string]int, total int) {
--- a/internal/xds/client/client_test.go
+++ b/internal/xds/client/client_test.go
@@ -18,7 +18,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"cranegrade/balancer"
-	standin "cranegrade/internal/standin/xds"
+	fakexds "cranegrade/internal/fake/xds"
 	"cranegrade/internal/testkit"
 	"cranegrade/internal/xds/ads"
 	"cranegrade/internal/xds/resource"
@@ -28,9 +28,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func plane(t testing.TB) *standin.Plane {
+func plane(t testing.TB) *fakexds.Plane {
 	t.Helper()
-	p, err := standin.New()
+	p, err := fakexds.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 	return p
 }
 
-func open(t testing.TB, cfg Config, planes ...*standin.Plane) *Client {
+func open(t testing.TB, cfg Config, planes ...*fakexds.Plane) *Client {
 	t.Helper()
 	for _, p := range planes {
 		cfg.Servers = append(cfg.Servers, p.Addr())
@@ -253,7 +253,7 @@
 func TestSeveralControlPlanes(t *testing.T) {
 	both(t, func(t *testing.T, delta bool) {
 		one, two := plane(t), plane(t)
-		for i, p := range []*standin.Plane{one, two} {
+		for i, p := range []*fakexds.Plane{one, two} {
 			p.Set(resource.ClusterURL, set{"c": cluster("c", "")})
 			p.Set(resource.EndpointURL, set{"c": endpoints("c", fmt.Sprintf("10.0.0.%d:1", i+1))})
 		}
