--- a/internal/drill/environment.go
+++ b/internal/drill/environment.go
@@ -13,7 +13,7 @@
 
 	"cranegrade/internal/fake"
 	"cranegrade/internal/fake/proxy"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // environment is a program among stand-ins.
@@ -24,8 +24,8 @@
 	keys    *fake.Keys
 	dir     string
 	err     io.Writer
-	node    *rig.Process // nil: there are several, in fleet
-	fleet   *rig.Fleet   // nil: there is one
+	node    *testfleet.Process // nil: there are several, in fleet
+	fleet   *testfleet.Fleet   // nil: there is one
 	groups  []*serverGroup
 	relay   *fake.Relay
 	callers *fake.Callers
@@ -66,10 +66,10 @@
 
 // What all drills share with the rig.
 var (
-	readClass, sendClass, cellClass, orderClass = rig.Read, rig.Send, rig.Cell, rig.Order
-	allClasses, cold, usual                     = rig.Classes, rig.Cold, rig.Usual
-	poolText, inCell                            = rig.PoolText, rig.InCell
-	times, quantile, streamTable, serverTable   = rig.Times, rig.Quantile, rig.StreamTable, rig.ServerTable
+	readClass, sendClass, cellClass, orderClass = testfleet.Read, testfleet.Send, testfleet.Cell, testfleet.Order
+	allClasses, cold, usual                     = testfleet.Classes, testfleet.Cold, testfleet.Usual
+	poolText, inCell                            = testfleet.PoolText, testfleet.InCell
+	times, quantile, streamTable, serverTable   = testfleet.Times, testfleet.Quantile, testfleet.StreamTable, testfleet.ServerTable
 )
 
 func newEnvironment(o options, stderr io.Writer) (*environment, error) {
@@ -83,7 +83,7 @@
 	}
 	r.dir = dir
 	if r.program == "" {
-		if r.program, err = rig.Build(dir); err != nil {
+		if r.program, err = testfleet.Build(dir); err != nil {
 			r.close()
 			return nil, err
 		}
@@ -165,7 +165,7 @@
 		return err
 	}
 	var err error
-	if r.node, err = rig.Start(r.program, path); err != nil {
+	if r.node, err = testfleet.Start(r.program, path); err != nil {
 		return err
 	}
 	addr := r.node.Addr
@@ -199,7 +199,7 @@
 // are told. It gives up, without an error, when that takes too long: a drill may want a dark registry.
 func (r *environment) settle(groups ...*serverGroup) error {
 	for _, g := range groups {
-		if !rig.Await(10*time.Second, func() bool { return g.registry.Watchers() > 0 }) {
+		if !testfleet.Await(10*time.Second, func() bool { return g.registry.Watchers() > 0 }) {
 			return fmt.Errorf("the list of %s is not followed", g.name)
 		}
 	}
--- a/internal/drill/extproc.go
+++ b/internal/drill/extproc.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/envoyconf"
 	"cranegrade/internal/fake"
 	"cranegrade/internal/fake/proxy"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // extText is the operator's file of a node that proxies ask.
@@ -238,9 +238,9 @@
 }
 
 // again starts the program once more.
-func (r *environment) again(file string) (*rig.Process, error) {
+func (r *environment) again(file string) (*testfleet.Process, error) {
 	if err := os.WriteFile(r.node.Config, []byte(file), 0o600); err != nil {
 		return nil, err
 	}
-	return rig.Start(r.program, r.node.Config)
+	return testfleet.Start(r.program, r.node.Config)
 }
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -18,7 +18,7 @@
 	"sync/atomic"
 	"time"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 const (
@@ -134,7 +134,7 @@
 	}
 	cmd := exec.Command(path)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
-	p, err := rig.StartCommand(cmd, config)
+	p, err := testfleet.StartCommand(cmd, config)
 	if err != nil {
 		return round{}, err
 	}
--- a/internal/drill/members.go
+++ b/internal/drill/members.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"cranegrade/internal/fake"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // fleetDrills are those that need several processes.
@@ -31,7 +31,7 @@
 }
 
 // mutations are the breaches that are built into the program.
-var mutations = map[string]rig.Mutation{"seen": rig.MutationSeen, "stalled": rig.MutationStalled, "gullible": rig.MutationGullible}
+var mutations = map[string]testfleet.Mutation{"seen": testfleet.MutationSeen, "stalled": testfleet.MutationStalled, "gullible": testfleet.MutationGullible}
 
 // mutationOnly is what drills without a fleet do with such a breach.
 func mutationOnly(context.Context, *environment) error {
@@ -39,15 +39,15 @@
 }
 
 // startFleet starts a fleet as the drill's options say.
-func (r *environment) startFleet(c rig.FleetConfig) (*rig.Fleet, error) {
+func (r *environment) startFleet(c testfleet.FleetConfig) (*testfleet.Fleet, error) {
 	c.Program, c.Seed, c.Slack = r.program, r.seed, r.slack
 	if mutation := mutations[r.violation]; mutation != "" {
 		var err error
-		if c.Program, err = rig.BuildMutant(r.dir, mutation); err != nil {
+		if c.Program, err = testfleet.BuildMutant(r.dir, mutation); err != nil {
 			return nil, err
 		}
 	}
-	f, err := rig.NewFleet(c)
+	f, err := testfleet.NewFleet(c)
 	if err != nil {
 		return nil, err
 	}
@@ -71,7 +71,7 @@
 // faultSchedule plays a schedule of faults on five processes under load, while servers are replaced, and holds what they
 // may take together against the whole all the time.
 func faultSchedule(ctx context.Context, r *environment) error {
-	f, err := r.startFleet(rig.FleetConfig{Members: memberCount, Servers: 20})
+	f, err := r.startFleet(testfleet.FleetConfig{Members: memberCount, Servers: 20})
 	if err != nil {
 		return err
 	}
@@ -84,11 +84,11 @@
 		return err
 	}
 	watching, stop := context.WithCancel(ctx)
-	var w *rig.Watch
+	var w *testfleet.Watch
 	var load, watch sync.WaitGroup
 	watch.Go(func() { w = f.Watch(watching, 25*time.Millisecond) })
 	for _, m := range f.Members {
-		m.Stream(watching, &load, rig.Traffic(60, length)...)
+		m.Stream(watching, &load, testfleet.Traffic(60, length)...)
 	}
 	sent := f.Fabric.Bytes(0)
 	err = f.Play(ctx, schedule, func(s string) {
@@ -118,27 +118,27 @@
 
 // schedulePlan is the schedule to play and for how long: drawn from the seed, read from a file, or, for a mutation, the
 // faults that show it: a partition into two halves, and a member that stands still.
-func (r *environment) schedulePlan(servers int) (schedule rig.Schedule, length time.Duration, err error) {
+func (r *environment) schedulePlan(servers int) (schedule testfleet.Schedule, length time.Duration, err error) {
 	length = max(r.length, 8*time.Second)
 	if r.replay != "" {
-		if schedule, err = rig.ReadSchedule(r.replay, memberCount, servers); err != nil {
+		if schedule, err = testfleet.ReadSchedule(r.replay, memberCount, servers); err != nil {
 			return nil, 0, err
 		}
 	} else {
-		schedule = rig.Draw(r.seed, memberCount, servers, length)
+		schedule = testfleet.Draw(r.seed, memberCount, servers, length)
 	}
 	if r.violation == "" {
 		return schedule, length, nil
 	}
-	schedule = rig.Schedule{
-		{At: 0, What: rig.CutParts, Parts: [][]int{{0, 1}, {2, 3, 4}}, For: 5 * time.Second},
-		{At: 8 * time.Second, What: rig.StopMembers, Members: []int{3}, For: 4 * time.Second},
+	schedule = testfleet.Schedule{
+		{At: 0, What: testfleet.CutParts, Parts: [][]int{{0, 1}, {2, 3, 4}}, For: 5 * time.Second},
+		{At: 8 * time.Second, What: testfleet.StopMembers, Members: []int{3}, For: 4 * time.Second},
 	}
 	return schedule, 14 * time.Second, nil
 }
 
 // judgeWatch reports what all members held together, which must never be more than the whole.
-func (r *environment) judgeWatch(w *rig.Watch) {
+func (r *environment) judgeWatch(w *testfleet.Watch) {
 	r.addFigure("samples", w.Samples, "of what all members hold to be theirs of a ration")
 	r.addFigure("most_held", w.Most, "of the whole, by all together at one moment")
 	r.addFigure("over", w.Over, "moments at which that was more than the whole")
@@ -153,7 +153,7 @@
 // pausedMembers has one of five stand still for a while, three times, each for longer, while servers are replaced all the time; what
 // it holds and sends in the first moments after each is what it may.
 func pausedMembers(ctx context.Context, r *environment) error {
-	f, err := r.startFleet(rig.FleetConfig{Members: memberCount, Servers: 20, Pool: "tenants = [{ name = \"acme\", quota = 100 }]"})
+	f, err := r.startFleet(testfleet.FleetConfig{Members: memberCount, Servers: 20, Pool: "tenants = [{ name = \"acme\", quota = 100 }]"})
 	if err != nil {
 		return err
 	}
@@ -164,11 +164,11 @@
 	}
 	playing, over := context.WithCancel(ctx)
 	defer over()
-	var w *rig.Watch
+	var w *testfleet.Watch
 	var load, watch sync.WaitGroup
 	watch.Go(func() { w = f.Watch(playing, 25*time.Millisecond) })
 	for _, m := range f.Members {
-		l := rig.Traffic(60, time.Hour)
+		l := testfleet.Traffic(60, time.Hour)
 		l[0].Account = "acme"
 		m.Stream(playing, &load, l...)
 	}
@@ -203,7 +203,7 @@
 }
 
 // rollServers restarts one server after the other until ctx ends, so that most of them are cold.
-func (r *environment) rollServers(ctx context.Context, f *rig.Fleet) {
+func (r *environment) rollServers(ctx context.Context, f *testfleet.Fleet) {
 	for i := 0; ctx.Err() == nil; i++ {
 		s := f.Servers[i%len(f.Servers)]
 		f.Registry.Set(s, "DRAINING")
@@ -220,7 +220,7 @@
 }
 
 // heldAtFirst is the most of a ration that a member holds in its first 100 ms after it was resumed.
-func heldAtFirst(m *rig.Member) (held float64) {
+func heldAtFirst(m *testfleet.Member) (held float64) {
 	for first := time.Now(); time.Since(first) < 100*time.Millisecond; {
 		if role, err := m.Role(); err == nil {
 			held = max(held, role.Of100/100)
@@ -259,14 +259,14 @@
 	defer over()
 	var load sync.WaitGroup
 	for _, m := range f.Members {
-		m.Stream(playing, &load, rig.Traffic(60, length)...)
+		m.Stream(playing, &load, testfleet.Traffic(60, length)...)
 	}
 	var illnesses []illness
 	begin := f.Rec.Now()
 	load.Go(func() { illnesses = r.sickenServers(playing, f, begin, length) })
-	var schedule rig.Schedule
-	for _, x := range rig.Draw(r.seed, accusedMembers-1, accusedServers, length) { // the liar lives
-		if x.What != rig.RollServers {
+	var schedule testfleet.Schedule
+	for _, x := range testfleet.Draw(r.seed, accusedMembers-1, accusedServers, length) { // the liar lives
+		if x.What != testfleet.RollServers {
 			schedule = append(schedule, x)
 		}
 	}
@@ -286,18 +286,18 @@
 }
 
 // startWithLiar starts a fleet whose last member accuses healthy servers.
-func (r *environment) startWithLiar() (*rig.Fleet, error) {
-	liar, err := rig.BuildMutant(r.dir, rig.MutationLiar)
+func (r *environment) startWithLiar() (*testfleet.Fleet, error) {
+	liar, err := testfleet.BuildMutant(r.dir, testfleet.MutationLiar)
 	if err != nil {
 		return nil, err
 	}
 	program := r.program
 	if mutation := mutations[r.violation]; mutation != "" {
-		if program, err = rig.BuildMutant(r.dir, mutation); err != nil {
+		if program, err = testfleet.BuildMutant(r.dir, mutation); err != nil {
 			return nil, err
 		}
 	}
-	f, err := rig.NewFleet(rig.FleetConfig{Program: program, Members: accusedMembers, Servers: accusedServers, Seed: r.seed, Slack: r.slack})
+	f, err := testfleet.NewFleet(testfleet.FleetConfig{Program: program, Members: accusedMembers, Servers: accusedServers, Seed: r.seed, Slack: r.slack})
 	if err != nil {
 		return nil, err
 	}
@@ -307,7 +307,7 @@
 }
 
 // sickenServers has one server at a time be unhealthy, none of those that are wrongly accused, and returns when which was.
-func (r *environment) sickenServers(ctx context.Context, f *rig.Fleet, begin, length time.Duration) (l []illness) {
+func (r *environment) sickenServers(ctx context.Context, f *testfleet.Fleet, begin, length time.Duration) (l []illness) {
 	for ctx.Err() == nil && f.Rec.Now() < begin+length*7/10 {
 		s := f.Servers[accusedCount+r.rng.IntN(accusedServers-accusedCount)]
 		s.SetMode([]fake.Mode{fake.Failing, fake.Hanging, fake.Refusing}[r.rng.IntN(3)])
@@ -324,7 +324,7 @@
 }
 
 // judgeAccused reports what unhealthy servers cost, and holds what the accused servers got against the mean.
-func (r *environment) judgeAccused(f *rig.Fleet, illnesses []illness) {
+func (r *environment) judgeAccused(f *testfleet.Fleet, illnesses []illness) {
 	paid, well := 0, 0
 	perServer := map[string]int{}
 	for _, a := range f.Rec.View().Arrivals {
@@ -358,7 +358,7 @@
 		if r.fleet != nil {
 			r.fleet.Close()
 		}
-		f, err := r.startFleet(rig.FleetConfig{Members: memberCount, Servers: 20, Alone: alone})
+		f, err := r.startFleet(testfleet.FleetConfig{Members: memberCount, Servers: 20, Alone: alone})
 		if err != nil {
 			return err
 		}
@@ -370,7 +370,7 @@
 		}
 		var load sync.WaitGroup
 		for _, m := range f.Members {
-			m.Stream(ctx, &load, rig.Traffic(200, 2*length)...)
+			m.Stream(ctx, &load, testfleet.Traffic(200, 2*length)...)
 		}
 		begin := f.Rec.Now()
 		time.Sleep(length / 2)
--- a/internal/drill/operators.go
+++ b/internal/drill/operators.go
@@ -12,7 +12,7 @@
 
 	"cranegrade/internal/admin"
 	"cranegrade/internal/fake"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // ban is a time for which a server is taken out by hand, by the records' clock.
@@ -49,7 +49,7 @@
 }
 
 // call makes an operator's call at a program, and wants a yes within the second.
-func (r *environment) call(p *rig.Process, verb admin.Verb, id string) {
+func (r *environment) call(p *testfleet.Process, verb admin.Verb, id string) {
 	addr, err := operatorsOf(p)
 	if err != nil {
 		r.failf("%v", err)
@@ -79,8 +79,8 @@
 }
 
 // operators is the address where a program takes operators' calls.
-func operatorsOf(p *rig.Process) (addr string, err error) {
-	if rig.Await(10*time.Second, func() bool {
+func operatorsOf(p *testfleet.Process) (addr string, err error) {
+	if testfleet.Await(10*time.Second, func() bool {
 		_, after, is := strings.Cut(p.Tail(), "operators call on ")
 		addr, _, _ = strings.Cut(after, "\n")
 		return is
@@ -96,7 +96,7 @@
 	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 		return err
 	}
-	next, err := rig.Start(r.program, path)
+	next, err := testfleet.Start(r.program, path)
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	if !rig.Await(6*time.Second, func() bool {
+	if !testfleet.Await(6*time.Second, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		yes, _, err := admin.Send(ctx, addr, admin.Command{Verb: admin.Check})
--- a/internal/drill/reload.go
+++ b/internal/drill/reload.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cranegrade/internal/fake"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // reload changes the operator's file again and again under load: pools are changed, removed and added,
@@ -124,7 +124,7 @@
 	}
 	r.callers.Close()
 	var after, resident int
-	returned := rig.Await(20*time.Second, func() bool {
+	returned := testfleet.Await(20*time.Second, func() bool {
 		after, resident = r.node.Resources()
 		return after <= before+2
 	})
--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"cranegrade/internal/fake"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // minViolationTime is how long a drill runs at the least when a breach is planted.
@@ -47,7 +47,7 @@
 
 // awaitServed waits for a request of a class that was served, and says at which server and host.
 func (r *environment) awaitServed(classes ...fake.Class) (x fake.Exchange, a fake.Arrival, c fake.Class, err error) {
-	if !rig.Await(minViolationTime, func() bool {
+	if !testfleet.Await(minViolationTime, func() bool {
 		v := r.records.View()
 		ends := map[string]fake.Exchange{}
 		for _, x := range v.Exchanges {
@@ -102,7 +102,7 @@
 
 // awaitListed waits until the node has been told of a server's state.
 func (r *environment) awaitListed(server string, gone bool, boot int) error {
-	if !rig.Await(minViolationTime, func() bool {
+	if !testfleet.Await(minViolationTime, func() bool {
 		l := r.records.View().Told
 		for i := len(l) - 1; i >= 0; i-- {
 			if l[i].Server == server {
@@ -182,7 +182,7 @@
 	if err != nil {
 		return err
 	}
-	if !rig.Await(minViolationTime, func() bool { return r.isOut("") != "" }) {
+	if !testfleet.Await(minViolationTime, func() bool { return r.isOut("") != "" }) {
 		return errors.New("this drill takes no server out by hand")
 	}
 	select {
--- a/internal/drill/xds.go
+++ b/internal/drill/xds.go
@@ -15,7 +15,7 @@
 
 	"cranegrade/internal/fake"
 	fakexds "cranegrade/internal/fake/xds"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 	"cranegrade/internal/xds/resource"
 )
 
@@ -193,7 +193,7 @@
 		return err
 	}
 	_, residentBefore := r.node.Resources()
-	if !rig.Await(20*time.Second, func() bool {
+	if !testfleet.Await(20*time.Second, func() bool {
 		x := r.callers.Do(fake.Stream{Host: host, Class: readClass})
 		return x.Status == 200
 	}) {
--- a/internal/drill/xdssize.go
+++ b/internal/drill/xdssize.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 
 	fakexds "cranegrade/internal/fake/xds"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 	"cranegrade/internal/xds/resource"
 )
 
@@ -34,7 +34,7 @@
 		return err
 	}
 	acknowledged := func() int { return r.acknowledgements(plane) }
-	if !rig.Await(20*time.Second, func() bool { return acknowledged() > 0 }) {
+	if !testfleet.Await(20*time.Second, func() bool { return acknowledged() > 0 }) {
 		return fmt.Errorf("the assignments are not taken")
 	}
 	const settled = time.Second
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	if !rig.Await(10*time.Second, func() bool { return acknowledged()-before >= changes }) {
+	if !testfleet.Await(10*time.Second, func() bool { return acknowledged()-before >= changes }) {
 		r.failf("%d changes, and %d acknowledged", changes, acknowledged()-before)
 	}
 	used := r.node.CPU() - cpu - time.Duration(time.Since(start).Seconds()*float64(idle)/settled.Seconds())
--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/testcluster"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 const testTimeout = 20 * time.Second
@@ -99,9 +99,9 @@
 	t.Helper()
 	var code int
 	var text string
-	assert.Assert(t, rig.Await(testTimeout, func() bool { code, text = runCommand(t, "apply", m.api, call); return code == 0 }), text)
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { code, text = runCommand(t, "apply", m.api, call); return code == 0 }), text)
 	assert.Assert(t, m.AwaitReady(testTimeout))
-	assert.Assert(t, rig.Await(testTimeout, func() bool { code, text = runCommand(t, "status", m.transport); return code == 0 }), text)
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { code, text = runCommand(t, "status", m.transport); return code == 0 }), text)
 	_, all := runCommand(t, "--json", "status", m.transport)
 	assert.Assert(t, strings.Contains(all, `"messageType": "records"`), all)
 	assert.Assert(t, strings.HasPrefix(text, "all is well\n3 members, 3 sidecars, 3 items, 1 routes"), text)
@@ -211,7 +211,7 @@
 	}
 	code, _ = runCommand(t, "drain", "--undo", m.Sidecars[0].Addr("Inbound"))
 	assert.Equal(t, code, 0)
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		return strings.Contains(m.Sidecars[1].Send("GET", "/read/", "", nil).Body, "i-side-1-1")
 	}))
 }
--- a/internal/mesh/cli/docs_test.go
+++ b/internal/mesh/cli/docs_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/testcluster"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // pollPause is the time between two attempts at what is to happen soon.
@@ -52,7 +52,7 @@
 func TestDocumentedCommands(t *testing.T) {
 	m := startCommandsTest(t)
 	change := m.routeCall(t, "change.json", 3, []string{"stock", "orders"}, "read", "stock")
-	assert.Assert(t, rig.Await(testTimeout, func() bool { code, _ := runCommand(t, "apply", m.api, change); return code == ExitOK }))
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { code, _ := runCommand(t, "apply", m.api, change); return code == ExitOK }))
 	assert.Assert(t, m.AwaitReady(testTimeout))
 	stopped := m.Members[2]
 	stopped.Kill()
--- a/internal/mesh/controlplane/peer_link_test.go
+++ b/internal/mesh/controlplane/peer_link_test.go
@@ -11,7 +11,7 @@
 
 	"cranegrade/internal/mesh/transport"
 	"cranegrade/internal/mesh/transport/wire"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 const testTimeout = 20 * time.Second
@@ -69,7 +69,7 @@
 	for range 1 + maxQuickRedials {
 		awaitDial("the peer is not dialled again")
 	}
-	assert.Assert(t, rig.Await(testTimeout, func() bool { return link.redialCount() == maxQuickRedials }))
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return link.redialCount() == maxQuickRedials }))
 	link.connectionEnded(0)
 	assert.Equal(t, link.redialCount(), maxQuickRedials)
 	link.connectionEnded(redialInterval + 1)
--- a/internal/mesh/demo/cluster.go
+++ b/internal/mesh/demo/cluster.go
@@ -14,7 +14,7 @@
 	"github.com/juju/errors"
 
 	"cranegrade/internal/mesh/testcluster"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // startTimeout is how long the mesh may take to come up, and a change to be acknowledged.
@@ -77,7 +77,7 @@
 // modify has a change acknowledged by whichever member does.
 func (c *cluster) modify(body []byte) error {
 	status, text := 0, ""
-	acknowledged := rig.Await(startTimeout, func() bool {
+	acknowledged := testfleet.Await(startTimeout, func() bool {
 		for _, member := range c.Members {
 			if member.Process == nil {
 				continue
--- a/internal/mesh/demo/maintenance.go
+++ b/internal/mesh/demo/maintenance.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/mesh/controlplane"
 	"cranegrade/internal/mesh/maintenance"
 	"cranegrade/internal/mesh/testcluster"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 const (
@@ -71,7 +71,7 @@
 	}
 	fmt.Fprintf(c.out, "\na contract approves two hours tomorrow; may %s come out now?\n", machine.Name)
 	var response controlplane.MaintenanceResponse
-	if !rig.Await(startTimeout, func() bool {
+	if !testfleet.Await(startTimeout, func() bool {
 		response, _, _ = c.Members[0].CallMaintenance(controlplane.MaintenanceRequest{Machine: machine.Name, LengthSeconds: 60})
 		return response.TimeAgreed && response.Verdict != nil
 	}) {
--- a/internal/mesh/scale/run_test.go
+++ b/internal/mesh/scale/run_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // TestMain is also the worker: runs start this program again.
@@ -48,7 +48,7 @@
 	assert.NilError(t, err)
 	r, err := Run(ctx, x, program, func(text string) { t.Log(text); progress(text) })
 	assert.NilError(t, err)
-	assert.Assert(t, rig.Await(5*time.Second, func() bool { return len(children()) == 0 }), "left: %v", children())
+	assert.Assert(t, testfleet.Await(5*time.Second, func() bool { return len(children()) == 0 }), "left: %v", children())
 	return r
 }
 
@@ -126,7 +126,7 @@
 	r, err := Run(t.Context(), x, program, func(text string) { t.Log(text) })
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(r.Stopped, "memory_gib"), r.Stopped)
-	assert.Assert(t, rig.Await(5*time.Second, func() bool { return len(children()) == 0 }), "left: %v", children())
+	assert.Assert(t, testfleet.Await(5*time.Second, func() bool { return len(children()) == 0 }), "left: %v", children())
 }
 
 // Real sidecars and hollow ones are told the same of a change. A comparison counts where one member led throughout.
--- a/internal/mesh/sidecar/controlplane_connection_test.go
+++ b/internal/mesh/sidecar/controlplane_connection_test.go
@@ -9,7 +9,7 @@
 
 	"cranegrade/internal/mesh/transport"
 	"cranegrade/internal/mesh/transport/wire"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // A member is followed for as long as it has a leader: one that stands still is found silent soon, not after the long time of a
@@ -24,10 +24,10 @@
 	_, is := m.Value.(*wire.RecordsT)
 	assert.Assert(t, is, "its record: it follows by now")
 	assert.Equal(t, s.controlPlane.conn.Load().Pending(), int64(1))
-	assert.Assert(t, rig.Await(patience, s.controlPlane.isReachable))
+	assert.Assert(t, testfleet.Await(patience, s.controlPlane.isReachable))
 	ended := drainUntilClosed(first)
 	loseLeader := func() { first.Send(&wire.HeartbeatT{QuorumContact: false}) }
-	assert.Assert(t, rig.Await(patience, func() bool { loseLeader(); return !s.controlPlane.isReachable() }))
+	assert.Assert(t, testfleet.Await(patience, func() bool { loseLeader(); return !s.controlPlane.isReachable() }))
 	select {
 	case <-ended:
 		t.Fatal("it was left though no other has a leader")
@@ -39,7 +39,7 @@
 			go conn.Receive()
 		}
 	}()
-	assert.Assert(t, rig.Await(patience, func() bool {
+	assert.Assert(t, testfleet.Await(patience, func() bool {
 		loseLeader()
 		select {
 		case <-ended:
@@ -71,7 +71,7 @@
 	assert.NilError(t, err)
 	nobody.Close()
 	s := sidecarWith(t, &fakeMember{addr: nobody.Addr().String()})
-	assert.Assert(t, rig.Await(patience, func() bool {
+	assert.Assert(t, testfleet.Await(patience, func() bool {
 		refused := make(chan bool, 1)
 		s.controlPlane.post(func(time.Duration) { refused <- len(s.controlPlane.members) == 0 })
 		return <-refused
@@ -79,5 +79,5 @@
 	late := newFakeMember(t)
 	s.controlPlane.post(func(now time.Duration) { s.controlPlane.selector.SetMembers(now, 1, []string{late.addr}) })
 	late.acceptDial(true)
-	assert.Assert(t, rig.Await(patience, s.controlPlane.isReachable))
+	assert.Assert(t, testfleet.Await(patience, s.controlPlane.isReachable))
 }
--- a/internal/mesh/sidecar/fake_member_test.go
+++ b/internal/mesh/sidecar/fake_member_test.go
@@ -12,7 +12,7 @@
 	"cranegrade/internal/mesh/settings"
 	"cranegrade/internal/mesh/transport"
 	"cranegrade/internal/mesh/transport/wire"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // patience is how long a test waits for what has to come about.
@@ -81,6 +81,6 @@
 	s = sidecarWith(t, m)
 	far = m.acceptDial(true)
 	t.Cleanup(func() { far.Close(nil) })
-	assert.Assert(t, rig.Await(patience, func() bool { near = s.controlPlane.conn.Load(); return near != nil }))
+	assert.Assert(t, testfleet.Await(patience, func() bool { near = s.controlPlane.conn.Load(); return near != nil }))
 	return s, near, far
 }
--- a/internal/mesh/testcluster/catchup_test.go
+++ b/internal/mesh/testcluster/catchup_test.go
@@ -15,7 +15,7 @@
 	"cranegrade/internal/mesh/transport"
 	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // What happens while a member is away, and how it catches up.
@@ -62,12 +62,12 @@
 	claimKeys(t, lead, keys)
 	target := lead.statusPastRelay().AppliedIndex
 	for _, x := range []*Machine{lead, stays} {
-		relay.Set(rig.Link{Rate: slowLinkRate}, pathsBetween(away, x)...)
+		relay.Set(testfleet.Link{Rate: slowLinkRate}, pathsBetween(away, x)...)
 	}
 	stop := seen.watchLeaders(m.Members...)
 	assert.NilError(t, away.Start())
 	began := time.Now()
-	assert.Assert(t, rig.Await(testTimeout, func() bool { return relay.Passed(lead.PathTo(away)) > 64<<10 }), "it is told nothing")
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return relay.Passed(lead.PathTo(away)) > 64<<10 }), "it is told nothing")
 	assert.Assert(t, away.statusPastRelay().AppliedIndex < target, "it has caught up before the leader is lost")
 	lead.Kill()
 	m.awaitLeader(t, stays)
--- a/internal/mesh/testcluster/cluster.go
+++ b/internal/mesh/testcluster/cluster.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 const (
@@ -56,8 +56,8 @@
 	subnet    string // the first three parts of all addresses
 	seeds     []string
 	tolerance int
-	relay     *rig.Relay    // on the ways between the machines; nil: there is none
-	attempts  atomic.Uint64 // that callers have made
+	relay     *testfleet.Relay // on the ways between the machines; nil: there is none
+	attempts  atomic.Uint64    // that callers have made
 }
 
 // New starts a mesh of so many control-plane members, and a sidecar with a server for each service named. It tolerates the loss
@@ -71,7 +71,7 @@
 	return newClusterBehind(dir, members, tolerance, nil, services...)
 }
 
-func newClusterBehind(dir string, members, tolerance int, relay *rig.Relay, services ...string) (*Cluster, error) {
+func newClusterBehind(dir string, members, tolerance int, relay *testfleet.Relay, services ...string) (*Cluster, error) {
 	m := &Cluster{
 		Dir: dir, tolerance: tolerance, relay: relay, Recorder: NewRecorder(),
 		subnet: fmt.Sprintf("127.%d.%d", 1+rand.IntN(250), rand.IntN(256)),
@@ -183,7 +183,7 @@
 
 // AwaitReady waits until all sidecars that run are ready.
 func (m *Cluster) AwaitReady(timeout time.Duration) bool {
-	return rig.Await(timeout, func() bool {
+	return testfleet.Await(timeout, func() bool {
 		for _, x := range m.Sidecars {
 			if x.Process != nil && !x.isReady() {
 				return false
--- a/internal/mesh/testcluster/concurrent_operators_test.go
+++ b/internal/mesh/testcluster/concurrent_operators_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/config"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // modifyAttempt is a change of one of two operators, and how it was answered.
@@ -144,7 +144,7 @@
 		RouteItem("race-0", "idempotent", "/race-0/", loser, 2))
 	for _, x := range m.Members {
 		var status int
-		assert.Assert(t, rig.Await(testTimeout, func() bool {
+		assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 			status, _ = x.Modify(call)
 			return isFinal(status)
 		}))
@@ -158,7 +158,7 @@
 	t.Helper()
 	var document config.Document
 	var shown string
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		var status int
 		status, shown = x.Fetch()
 		return status == http.StatusOK && json.Unmarshal([]byte(shown), &document) == nil
--- a/internal/mesh/testcluster/disk_loss_test.go
+++ b/internal/mesh/testcluster/disk_loss_test.go
@@ -8,13 +8,13 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // diskLossTest is a mesh whose members are lost one after the other, each within what the mesh tolerates.
 type diskLossTest struct {
 	cluster   *Cluster
-	relay     *rig.Relay
+	relay     *testfleet.Relay
 	observer  *observer
 	operator  *Operator
 	version   int
@@ -60,7 +60,7 @@
 // leader has.
 func (r *diskLossTest) awaitMembersComplete(t *testing.T, of ...*Machine) {
 	t.Helper()
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		lead := r.cluster.awaitLeader(t, of...).statusPastRelay()
 		if lead == nil || len(lead.Members) != len(of) {
 			return false
@@ -143,12 +143,12 @@
 	gone.Kill()
 	added := r.cluster.ip(firstMemberIP + len(r.cluster.Members)) // where the next one will be
 	for _, x := range []*Machine{lead, stays} {
-		r.relay.Set(rig.Link{Rate: 20 << 10}, rig.Way{From: x.IP, To: added})
+		r.relay.Set(testfleet.Link{Rate: 20 << 10}, testfleet.Way{From: x.IP, To: added})
 	}
 	fresh, err := r.cluster.AddMember(false)
 	assert.NilError(t, err)
 	assert.Equal(t, fresh.IP, added)
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		return r.relay.Held(lead.PathTo(fresh)) > 0 && r.relay.Passed(lead.PathTo(fresh)) > 16<<10
 	}),
 		"the replacement is told nothing")
@@ -174,7 +174,7 @@
 			}
 			added, err := r.cluster.AddMember(false)
 			assert.NilError(t, err)
-			assert.Assert(t, rig.Await(testTimeout, func() bool {
+			assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 				s := added.statusPastRelay()
 				return s != nil && s.AppliedIndex > 0
 			}), "the successor hears nothing")
--- a/internal/mesh/testcluster/failover_bench_test.go
+++ b/internal/mesh/testcluster/failover_bench_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // failoverTrialsEnv names the variable that holds how many trials BenchmarkFailover makes of each fault.
@@ -117,7 +117,7 @@
 	grants, changes := f.startProbes(&all, stop)
 	time.Sleep(3 * probeInterval)
 	at, undo := bring(f.cluster, leader)
-	recovered := rig.Await(recoverTimeout, func() bool {
+	recovered := testfleet.Await(recoverTimeout, func() bool {
 		for _, p := range grants {
 			if _, succeeded := p.firstSuccessAfter(at); !succeeded {
 				return false
--- a/internal/mesh/testcluster/helpers_test.go
+++ b/internal/mesh/testcluster/helpers_test.go
@@ -11,7 +11,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // testTimeout is how long a test waits for what is to happen soon.
@@ -100,7 +100,7 @@
 	t.Helper()
 	var status int
 	var text string
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		for _, x := range members {
 			if x.Process == nil {
 				continue
@@ -119,7 +119,7 @@
 func (x *Machine) awaitConfigHas(t *testing.T, text string) {
 	t.Helper()
 	var shown string
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		var status int
 		status, shown = x.Fetch()
 		return status == http.StatusOK
@@ -130,7 +130,7 @@
 // awaitServed waits until a sidecar serves a request, and gives the response.
 func (x *Machine) awaitServed(t *testing.T, method, path, key string) (response Response) {
 	t.Helper()
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		response = x.Send(method, path, key, []byte("body"))
 		return response.Status == http.StatusOK
 	}), "%v", response)
--- a/internal/mesh/testcluster/hops_bench_test.go
+++ b/internal/mesh/testcluster/hops_bench_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // startConfigured is a mesh of three members that has its configuration, with a sidecar and a server for each service named. It is
@@ -33,7 +33,7 @@
 	}
 	call := ModifyCall(1, []string{"stock", "orders"}, RouteItem("read", "idempotent", "/read/", "stock", 1),
 		RouteItem("send", "keyed", "/send/", "stock", 1))
-	acknowledged := rig.Await(testTimeout, func() bool {
+	acknowledged := testfleet.Await(testTimeout, func() bool {
 		status, _ := m.Members[0].Modify(call)
 		return status == http.StatusOK
 	})
@@ -127,27 +127,27 @@
 	for _, x := range []struct {
 		name string
 		send func(n int) (status int)
-		cost map[string]*rig.Process
+		cost map[string]*testfleet.Process
 	}{
 		{"node", func(n int) int {
 			id := fmt.Sprint("n", b.N, "-", n)
 			return client.send(node.Addr, "GET", "/read/x", map[string]string{"X-Correlation-Id": id, "X-Time-Left": "3000m"})
-		}, map[string]*rig.Process{"node": node}},
+		}, map[string]*testfleet.Process{"node": node}},
 		{"mesh", func(n int) int {
 			id := fmt.Sprint("m", b.N, "-", n)
 			return client.send(outbound, "GET", "/read/x", map[string]string{"Attempt-Id": id, "Time-Budget": "3000"})
-		}, map[string]*rig.Process{"caller": caller, "server": server}},
+		}, map[string]*testfleet.Process{"caller": caller, "server": server}},
 		{"mesh-keyed", func(n int) int {
 			id := fmt.Sprint("k", b.N, "-", n)
 			return client.send(outbound, "POST", "/send/x", map[string]string{"Attempt-Id": id, "Operation-Key": id, "Time-Budget": "3000"})
-		}, map[string]*rig.Process{"caller": caller, "server": server, "member": member}},
+		}, map[string]*testfleet.Process{"caller": caller, "server": server, "member": member}},
 	} {
 		b.Run(x.name, func(b *testing.B) { benchmarkHop(b, x.send, x.cost) })
 	}
 }
 
 // benchmarkHop sends requests by four clients and reports what each of some processes used for one.
-func benchmarkHop(b *testing.B, send func(n int) (status int), cost map[string]*rig.Process) {
+func benchmarkHop(b *testing.B, send func(n int) (status int), cost map[string]*testfleet.Process) {
 	before := map[string]time.Duration{}
 	for name, process := range cost {
 		before[name] = process.CPU()
@@ -197,7 +197,7 @@
 `
 
 // startNode builds and starts the program in service with one server.
-func startNode(dir, server string) (*rig.Process, error) {
+func startNode(dir, server string) (*testfleet.Process, error) {
 	path := filepath.Join(dir, "cranegrade")
 	if out, err := exec.Command("go", "build", "-o", path, "cranegrade/cmd/cranegrade").CombinedOutput(); err != nil {
 		return nil, fmt.Errorf("%w: %s", err, out)
@@ -206,5 +206,5 @@
 	if err := os.WriteFile(file, []byte(fmt.Sprintf(nodeFile, server)), 0o600); err != nil {
 		return nil, err
 	}
-	return rig.Start(path, file)
+	return testfleet.Start(path, file)
 }
--- a/internal/mesh/testcluster/http_test.go
+++ b/internal/mesh/testcluster/http_test.go
@@ -13,7 +13,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // dialOutbound connects with a sidecar as a caller does. The connection is closed with the test, and bounded in time.
@@ -66,7 +66,7 @@
 	conn := caller.dialOutbound(t)
 	awaitRun := func(attempt string) {
 		t.Helper()
-		assert.Assert(t, rig.Await(testTimeout, func() bool { return len(m.Recorder.Runs(attempt)) == 1 }))
+		assert.Assert(t, testfleet.Await(testTimeout, func() bool { return len(m.Recorder.Runs(attempt)) == 1 }))
 	}
 	server.App.SetServiceTime(20 * time.Second)
 	writeRead(t, conn, "ends", 0, 30000)
@@ -110,7 +110,7 @@
 	}}}))
 	x := m.Sidecars[0]
 	longHeader := "X: " + strings.Repeat("y", 2000) + "\r\n\r\n"
-	assert.Assert(t, rig.Await(testTimeout, func() bool { return x.sendPieces(t, "GET /read/ HTTP/1.1", longHeader) == 431 }))
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return x.sendPieces(t, "GET /read/ HTTP/1.1", longHeader) == 431 }))
 	const chunked, lastChunk = "Transfer-Encoding: chunked\r\n\r\n", "0\r\n\r\n"
 	chunk := "8000\r\n" + strings.Repeat("z", 0x8000) + "\r\n"
 	for _, test := range []struct {
--- a/internal/mesh/testcluster/link_faults_test.go
+++ b/internal/mesh/testcluster/link_faults_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/history"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // faultDuration is how long a fault of a link lasts.
@@ -62,7 +62,7 @@
 
 func (f *linkFaultTest) awaitOnceServed(t *testing.T) {
 	t.Helper()
-	assert.Assert(t, rig.Await(testTimeout, func() bool { return f.near.Send("POST", "/once/x", "", nil).Status == 200 }))
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return f.near.Send("POST", "/once/x", "", nil).Status == 200 }))
 }
 
 // call makes one call of the nth caller. A keyed one is sent again through another sidecar, whatever came of it.
@@ -89,18 +89,18 @@
 }
 
 // injectFaults brings each fault about on the link to a sidecar, while requests run at its server, and heals it again.
-func (f *linkFaultTest) injectFaults(t *testing.T, relay *rig.Relay, x *Machine) {
+func (f *linkFaultTest) injectFaults(t *testing.T, relay *testfleet.Relay, x *Machine) {
 	t.Helper()
 	path := f.near.PathTo(x)
 	process := x.Process.Cmd.Process
 	for _, inject := range []func() error{
 		func() error { relay.Reset(path); return nil },
 		func() error { relay.Silence(path); return nil },
-		func() error { relay.Set(rig.Link{Cut: true}, path); return nil },
-		func() error { relay.Set(rig.Link{Cut: true}, path.Back()); return nil },
+		func() error { relay.Set(testfleet.Link{Cut: true}, path); return nil },
+		func() error { relay.Set(testfleet.Link{Cut: true}, path.Back()); return nil },
 		func() error { return process.Signal(syscall.SIGSTOP) },
 	} {
-		rig.Await(time.Second, func() bool { return x.App.inFlight.Load() > 0 })
+		testfleet.Await(time.Second, func() bool { return x.App.inFlight.Load() > 0 })
 		assert.NilError(t, inject())
 		time.Sleep(faultDuration)
 		relay.Heal()
--- a/internal/mesh/testcluster/machine.go
+++ b/internal/mesh/testcluster/machine.go
@@ -10,7 +10,7 @@
 	"sigs.k8s.io/yaml"
 
 	"cranegrade/internal/mesh/settings"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // Programs of a mesh.
@@ -36,9 +36,9 @@
 // Machine is one machine of the mesh: a sidecar with its server, or a control-plane member.
 type Machine struct {
 	Name, IP string
-	Args     []string     // of its program, from its next start on
-	Process  *rig.Process // nil: it does not run
-	App      *FakeApp     // of a sidecar
+	Args     []string           // of its program, from its next start on
+	Process  *testfleet.Process // nil: it does not run
+	App      *FakeApp           // of a sidecar
 
 	cluster         *Cluster
 	program         string
@@ -88,7 +88,7 @@
 	}
 	command := exec.Command(filepath.Join(x.programs, x.program), append([]string{"-v"}, x.Args...)...)
 	command.Env = append(os.Environ(), settings.PathVariable+"="+file)
-	x.Process, err = rig.StartCommand(command, file)
+	x.Process, err = testfleet.StartCommand(command, file)
 	x.settings["FirstStart"] = false
 	return err
 }
@@ -114,4 +114,4 @@
 func (x *Machine) Addr(name string) string { return x.listenAddrs[name] }
 
 // PathTo is the path from one machine to another, for the relay.
-func (x *Machine) PathTo(to *Machine) rig.Way { return rig.Way{From: x.IP, To: to.IP} }
+func (x *Machine) PathTo(to *Machine) testfleet.Way { return testfleet.Way{From: x.IP, To: to.IP} }
--- a/internal/mesh/testcluster/maintenance_helpers_test.go
+++ b/internal/mesh/testcluster/maintenance_helpers_test.go
@@ -13,7 +13,7 @@
 
 	"cranegrade/internal/mesh/controlplane"
 	"cranegrade/internal/mesh/maintenance"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // callMaintenance is a call about maintenance at whichever member answers it with the wanted status.
@@ -21,7 +21,7 @@
 	t.Helper()
 	var response controlplane.MaintenanceResponse
 	var text string
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		for _, x := range m.Members {
 			if x.Process == nil {
 				continue
@@ -77,7 +77,7 @@
 func (m *Cluster) awaitStep(t *testing.T, id string, steps ...maintenance.Step) (order maintenance.Order) {
 	t.Helper()
 	var status controlplane.MaintenanceResponse
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		status = m.maintenanceStatus(t)
 		order, _ = maintenance.OrderTable{Orders: status.Orders}.Find(id)
 		return slices.Contains(steps, order.Step)
@@ -89,7 +89,7 @@
 func (m *Cluster) awaitWaitingFor(t *testing.T, id, text string) {
 	t.Helper()
 	var waiting string
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		waiting = m.maintenanceStatus(t).WaitingFor[id]
 		return strings.Contains(waiting, text)
 	}), waiting)
--- a/internal/mesh/testcluster/maintenance_members_test.go
+++ b/internal/mesh/testcluster/maintenance_members_test.go
@@ -11,7 +11,7 @@
 
 	"cranegrade/internal/mesh/controlplane"
 	"cranegrade/internal/mesh/maintenance"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // Of three members none may come out: the loss of another could not be tolerated then.
@@ -34,7 +34,7 @@
 	assert.NilError(t, err)
 	m.applyInitialRoutes(t)
 	m.approvePresentHours(t, 1, time.Now())
-	assert.Assert(t, rig.Await(testTimeout, func() bool { // the two that no seed names are taken in
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { // the two that no seed names are taken in
 		plan := m.planMaintenance(t, m.Members[1].Process.Addr, 0)
 		return strings.Contains(fmt.Sprint(plan.Verdict.Reasons), "4 of 5 registers would stay")
 	}))
@@ -44,7 +44,7 @@
 		assert.NilError(t, err)
 		assert.NilError(t, x.SignalReload())
 	}
-	assert.Assert(t, rig.Await(testTimeout, func() bool { return m.planMaintenance(t, m.Members[1].Process.Addr, 0).Verdict.Approved }))
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return m.planMaintenance(t, m.Members[1].Process.Addr, 0).Verdict.Approved }))
 	return m
 }
 
@@ -87,7 +87,7 @@
 // awaitPlan waits until the plan for a machine says whether it is approved, and why, with a text in that.
 func (m *Cluster) awaitPlan(t *testing.T, machine, want string) (plan controlplane.MaintenanceResponse) {
 	t.Helper()
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		plan = m.planMaintenance(t, machine, 1)
 		return plan.TimeAgreed && plan.Verdict != nil && strings.Contains(fmt.Sprint(plan.Verdict.Approved, plan.Verdict.Reasons), want)
 	}), "%v", plan)
@@ -122,7 +122,7 @@
 	m.Members[1].Kill()
 	m.Members[1].Args = nil
 	assert.NilError(t, m.Members[1].Start())
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		response := m.callMaintenance(t, controlplane.MaintenanceRequest{TrustClocks: true, By: "ana"}, http.StatusOK)
 		return !response.ClocksDisagree && response.TimeAgreed
 	}))
--- a/internal/mesh/testcluster/maintenance_test.go
+++ b/internal/mesh/testcluster/maintenance_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/maintenance"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // faultedMaintenance is one machine's maintenance under traffic, whose leader is lost at its steps.
@@ -47,7 +47,7 @@
 	frozen.Process.Resume()
 	stop()
 	f.checkRecord(t, done)
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		m.Sidecars[3].Send("POST", "/send/x", fmt.Sprint("back", time.Now().UnixNano()), []byte("one"))
 		return m.Recorder.RunsBy(f.machine.App.Instance) > f.ran
 	}), "it is sent to again")
@@ -78,7 +78,7 @@
 // keepKey has the machine's server answer a key.
 func (f *faultedMaintenance) keepKey(t *testing.T) {
 	t.Helper()
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		f.keptKey = fmt.Sprint("kept", time.Now().UnixNano())
 		f.kept = f.Sidecars[3].Send("POST", "/send/x", f.keptKey, []byte("one"))
 		return strings.Contains(f.kept.Body, f.machine.App.Instance+" ")
@@ -107,7 +107,7 @@
 	calls := f.startKeyedCalls()
 	before := f.Recorder.RunsBy(f.machine.App.Instance)
 	// One that has broken calls off and is slow beside another gets few for a while, rightly.
-	assert.Assert(t, rig.Await(3*testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(3*testTimeout, func() bool {
 		return f.Recorder.RunsBy(f.machine.App.Instance) >= before+4
 	}), "its server gets no calls")
 	f.approvePresentHours(t, 2, f.now)
--- a/internal/mesh/testcluster/member_faults_test.go
+++ b/internal/mesh/testcluster/member_faults_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // The member that acknowledged is killed at once, then its disk is lost, too; then another is replaced by one elsewhere, and at
@@ -51,7 +51,7 @@
 	_, err = added.Process.Said(`"members":3`)
 	assert.NilError(t, err)
 	m.applyRoutes(t, 4, RouteItem("three", "idempotent", "/three/", "stock", 4))
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		for _, x := range m.membersExcept(lost) {
 			if members := x.memberIPs(); len(members) != 3 || !members[added.IP] || members[lost.IP] {
 				return false
--- a/internal/mesh/testcluster/mixed_test.go
+++ b/internal/mesh/testcluster/mixed_test.go
@@ -15,7 +15,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 const (
@@ -239,7 +239,7 @@
 	for _, x := range m.Sidecars {
 		x.awaitServed(t, "GET", path, "")
 	}
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		r.keptKey = fmt.Sprint("kept-", r.version, "-", r.seq.Add(1))
 		r.kept = m.Sidecars[r.version%len(m.Sidecars)].awaitServed(t, "POST", "/send/x", r.keptKey)
 		return next.App == nil || !strings.Contains(r.kept.Body, " "+next.App.Instance+" ")
--- a/internal/mesh/testcluster/observer_test.go
+++ b/internal/mesh/testcluster/observer_test.go
@@ -13,7 +13,7 @@
 
 	"cranegrade/internal/mesh/history"
 	"cranegrade/internal/mesh/transport/wire"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // observer records what operators were told by a mesh of real processes, for the checkers.
@@ -127,7 +127,7 @@
 func (o *observer) awaitAcknowledged(t *testing.T, by *Operator, x routeChange, at ...*Machine) {
 	t.Helper()
 	n, last := 0, ""
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		outcome, text := o.send(by, at[n%len(at)], x)
 		n, last = n+1, text
 		assert.Assert(t, outcome != history.Refused, "order %s is refused: %s", x.name, text)
@@ -151,7 +151,7 @@
 // awaitFetched waits until a member shows the configuration.
 func (o *observer) awaitFetched(t *testing.T, by *Operator, at *Machine) {
 	t.Helper()
-	assert.Assert(t, rig.Await(testTimeout, func() bool { return o.fetch(by, at) }), "%s shows no configuration", at.Name)
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return o.fetch(by, at) }), "%s shows no configuration", at.Name)
 }
 
 // fillerPrefix begins the names of routes that only make the state larger; they are no part of the history.
@@ -189,7 +189,7 @@
 func (x *Machine) itemVersions(t *testing.T) map[string]int64 {
 	t.Helper()
 	var s *wire.StatusT
-	assert.Assert(t, rig.Await(testTimeout, func() bool { s = x.statusPastRelay(); return s != nil }), "%s does not say how it is", x.Name)
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { s = x.statusPastRelay(); return s != nil }), "%s does not say how it is", x.Name)
 	l := map[string]int64{}
 	for _, i := range s.ItemVersions {
 		l[i.Name] = max(l[i.Name], i.Version)
--- a/internal/mesh/testcluster/operator.go
+++ b/internal/mesh/testcluster/operator.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // operatorTimeout is how long an operator waits for an answer: callers of the control plane move on after a second.
@@ -28,7 +28,7 @@
 }
 
 // PathTo is the path from an operator to a member.
-func (o *Operator) PathTo(to *Machine) rig.Way { return rig.Way{From: o.IP, To: to.IP} }
+func (o *Operator) PathTo(to *Machine) testfleet.Way { return testfleet.Way{From: o.IP, To: to.IP} }
 
 // Modify sends a change of the configuration. The status is 0 where no answer came; the text says why.
 func (o *Operator) Modify(at *Machine, body []byte) (status int, text string) {
--- a/internal/mesh/testcluster/partition_test.go
+++ b/internal/mesh/testcluster/partition_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/history"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // partitionDuration is how long a member stays partitioned; PARTITION_DURATION names a longer time.
@@ -27,7 +27,7 @@
 // partitionTest is a mesh under the calls of operators, one member of which is partitioned from the others again and again.
 type partitionTest struct {
 	cluster  *Cluster
-	relay    *rig.Relay
+	relay    *testfleet.Relay
 	observer *observer
 	operator *Operator
 	version  int // of the change that is sent at the moment of a partition
@@ -36,11 +36,11 @@
 // partitionKinds are the directions in which a member is partitioned.
 var partitionKinds = []struct {
 	name  string
-	paths func(x *Machine, others ...*Machine) []rig.Way
+	paths func(x *Machine, others ...*Machine) []testfleet.Way
 }{
 	{"both directions", pathsBetween},
 	{"from it", pathsTo},
-	{"to it", func(x *Machine, others ...*Machine) (l []rig.Way) {
+	{"to it", func(x *Machine, others ...*Machine) (l []testfleet.Way) {
 		for _, w := range pathsTo(x, others...) {
 			l = append(l, w.Back())
 		}
@@ -80,14 +80,14 @@
 }
 
 // partition cuts some paths of x while operators write and read everywhere, and heals them again.
-func (r *partitionTest) partition(t *testing.T, x *Machine, ways []rig.Way) {
+func (r *partitionTest) partition(t *testing.T, x *Machine, ways []testfleet.Way) {
 	t.Helper()
 	others := r.cluster.membersExcept(x)
 	w := r.observer.startWriters(r.cluster, 1, 3, r.cluster.Members...)
 	before := r.loseAnswer(t, x)
-	r.relay.Set(rig.Link{Cut: true}, ways...)
+	r.relay.Set(testfleet.Link{Cut: true}, ways...)
 	began := r.observer.elapsed()
-	r.relay.Set(rig.Link{}, r.operator.PathTo(x).Back())
+	r.relay.Set(testfleet.Link{}, r.operator.PathTo(x).Back())
 	r.observer.awaitAcknowledged(t, r.operator, before, others...)
 	r.restartSidecar(t, x, others)
 	for n := 0; n == 0 || r.observer.elapsed() < began+partitionDuration(t); n++ { // changes go on
@@ -116,14 +116,14 @@
 func (r *partitionTest) loseAnswer(t *testing.T, x *Machine) routeChange {
 	t.Helper()
 	back := r.operator.PathTo(x).Back()
-	r.relay.Set(rig.Link{Cut: true}, back)
+	r.relay.Set(testfleet.Link{Cut: true}, back)
 	o, done := r.nextChange(), make(chan history.Outcome, 1)
 	go func() {
 		outcome, _ := r.observer.send(r.operator, x, o)
 		done <- outcome
 	}()
 	over := false
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		select {
 		case outcome := <-done:
 			assert.Equal(t, outcome, history.Unknown, "an answer has passed a cut")
@@ -176,11 +176,11 @@
 	others := r.cluster.membersExcept(x)
 	lead := r.cluster.awaitLeader(t, others...)
 	r.cluster.addFillerRoutes(t, r.operator, lead, 300)
-	r.relay.Set(rig.Link{Rate: 20 << 10}, append(pathsTo(others[0], x), pathsTo(others[1], x)...)...)
+	r.relay.Set(testfleet.Link{Rate: 20 << 10}, append(pathsTo(others[0], x), pathsTo(others[1], x)...)...)
 	x.Kill()
 	assert.NilError(t, x.WipeDisk())
 	assert.NilError(t, x.Start())
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		at, s := lead.statusPastRelay(), x.statusPastRelay()
 		return at != nil && s != nil && s.AppliedIndex < at.AppliedIndex && r.relay.Held(lead.PathTo(x)) > 0
 	}), "it is not seen to catch up")
--- a/internal/mesh/testcluster/policy_test.go
+++ b/internal/mesh/testcluster/policy_test.go
@@ -13,7 +13,7 @@
 	"cranegrade/internal/mesh/controlplane"
 	"cranegrade/internal/mesh/policy"
 	"cranegrade/internal/mesh/topology"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // policyCall is a call of one team: policies that it sets, and those that it removes, by name and version.
@@ -47,7 +47,7 @@
 func (m *Cluster) awaitPolicyActive(t *testing.T) (set string) {
 	t.Helper()
 	var response controlplane.PolicyResponse
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		response = m.policyStatus()
 		return response.Leader != "" && !response.Rollout.IsPending()
 	}), "%v", response)
@@ -78,7 +78,7 @@
 // awaitDecidedBy waits until a sidecar answers a request by a policy set.
 func (x *Machine) awaitDecidedBy(t *testing.T, path, set string) (response Response) {
 	t.Helper()
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		response = x.Send("GET", path, "", nil)
 		return response.isDecidedBy(set)
 	}), "%v", response)
@@ -88,7 +88,7 @@
 // awaitStatus waits until a sidecar answers a request with a status.
 func (x *Machine) awaitStatus(t *testing.T, path string, status int) (response Response) {
 	t.Helper()
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		response = x.Send("GET", path, "", nil)
 		return response.Status == status
 	}), "%v", response)
@@ -126,7 +126,7 @@
 	var held Response
 	before := runs()
 	inFlight.Go(func() { held = caller.Send("GET", "/read/held", "", nil) })
-	assert.Assert(t, rig.Await(testTimeout, func() bool { return runs() > before }))
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return runs() > before }))
 	var both sync.WaitGroup
 	both.Go(func() {
 		m.setPolicy(t, m.Members[:1], "ana", policy.Policy{Name: "patience", ConfigVersion: 1, Namespace: "shop", TimeoutS: 0.4, Tries: 2})
@@ -140,7 +140,7 @@
 	assert.Assert(t, held.Status == 200 && !held.isDecidedBy(set), "what was in flight goes on by the set that it began with: %v", held)
 	var began time.Time
 	var got Response
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		began = time.Now()
 		got = caller.Send("GET", "/read/short", "", nil)
 		return got.isDecidedBy(set)
@@ -159,7 +159,7 @@
 	traces := map[string]bool{}
 	for _, x := range m.Sidecars {
 		var got Response
-		assert.Assert(t, rig.Await(testTimeout, func() bool {
+		assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 			got = x.Send("GET", "/read/x", "", nil)
 			return got.Status == 200 && got.isDecidedBy(set)
 		}), "%v", got)
@@ -217,7 +217,7 @@
 	assert.Equal(t, m.awaitPolicyActive(t), "")
 	for _, x := range m.Sidecars {
 		var got Response
-		assert.Assert(t, rig.Await(testTimeout, func() bool {
+		assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 			got = x.Send("GET", "/read/x", "", nil)
 			return got.Status == 200 && got.PolicyTrace == ""
 		}), "%v", got)
@@ -274,7 +274,7 @@
 // awaitMembers waits until so many reachable processes are members, as one of them has it.
 func (m *Cluster) awaitMembers(t *testing.T, asked *Machine, count int) {
 	t.Helper()
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		seen, err := topology.Collect(ctx, asked.Process.Addr)
--- a/internal/mesh/testcluster/relay.go
+++ b/internal/mesh/testcluster/relay.go
@@ -8,7 +8,7 @@
 
 	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // frameLengthBytes is the size of a frame's length, which stands before it.
@@ -16,8 +16,8 @@
 
 // NewRelayed is New with so many losses to be tolerated, and with a relay before the transport of all machines and before the
 // calls of Operators. The cluster closes the relay; its paths are named by the machines' and operators' addresses (PathTo).
-func NewRelayed(dir string, members, tolerance int, services ...string) (*Cluster, *rig.Relay, error) {
-	relay := rig.NewRelay()
+func NewRelayed(dir string, members, tolerance int, services ...string) (*Cluster, *testfleet.Relay, error) {
+	relay := testfleet.NewRelay()
 	m, err := newClusterBehind(dir, members, tolerance, relay, services...)
 	return m, relay, err
 }
--- a/internal/mesh/testcluster/relay_test.go
+++ b/internal/mesh/testcluster/relay_test.go
@@ -6,11 +6,11 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // startRelayedCluster starts a mesh whose connections, and the calls of whose operators, go through a relay.
-func startRelayedCluster(t *testing.T, members, tolerance int, services ...string) (*Cluster, *rig.Relay) {
+func startRelayedCluster(t *testing.T, members, tolerance int, services ...string) (*Cluster, *testfleet.Relay) {
 	t.Helper()
 	m, relay, err := NewRelayed(linkPrograms(t, programsDir), members, tolerance, services...)
 	closeAfter(t, m)
@@ -25,7 +25,7 @@
 	if len(of) == 0 {
 		of = m.Members
 	}
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		for _, x := range of {
 			if x.Process == nil {
 				continue
@@ -49,7 +49,7 @@
 		items = append(items, RouteItem(name, "idempotent", "/"+name+"/", "stock", 1))
 	}
 	body, last := ModifyCall(1, nil, items...), ""
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		status, text := by.Modify(at, body)
 		last = text
 		return status == 200
@@ -67,7 +67,7 @@
 }
 
 // pathsTo are the paths from one machine to others.
-func pathsTo(x *Machine, others ...*Machine) (paths []rig.Way) {
+func pathsTo(x *Machine, others ...*Machine) (paths []testfleet.Way) {
 	for _, other := range others {
 		paths = append(paths, x.PathTo(other))
 	}
@@ -75,7 +75,7 @@
 }
 
 // pathsBetween are the paths from one machine to others, and back.
-func pathsBetween(x *Machine, others ...*Machine) (paths []rig.Way) {
+func pathsBetween(x *Machine, others ...*Machine) (paths []testfleet.Way) {
 	for _, path := range pathsTo(x, others...) {
 		paths = append(paths, path, path.Back())
 	}
@@ -90,15 +90,15 @@
 	ana := m.Operator(0)
 	status, text := ana.Fetch(m.Members[0])
 	assert.Equal(t, status, 200, text)
-	ways := []rig.Way{ana.PathTo(m.Members[0]), m.Sidecars[0].PathTo(m.Sidecars[1]), m.Sidecars[1].PathTo(m.Sidecars[0])}
+	ways := []testfleet.Way{ana.PathTo(m.Members[0]), m.Sidecars[0].PathTo(m.Sidecars[1]), m.Sidecars[1].PathTo(m.Sidecars[0])}
 	for _, x := range m.Members {
 		ways = append(ways, pathsBetween(x, m.membersExcept(x)...)...)
 	}
 	for _, w := range ways {
-		assert.Assert(t, rig.Await(testTimeout, func() bool { return relay.Passed(w) > 0 && relay.Passed(w.Back()) > 0 }), "%v", w)
+		assert.Assert(t, testfleet.Await(testTimeout, func() bool { return relay.Passed(w) > 0 && relay.Passed(w.Back()) > 0 }), "%v", w)
 	}
 	old := m.awaitLeader(t)
-	relay.Set(rig.Link{Cut: true}, pathsBetween(old, m.membersExcept(old)...)...)
+	relay.Set(testfleet.Link{Cut: true}, pathsBetween(old, m.membersExcept(old)...)...)
 	m.awaitLeader(t, m.membersExcept(old)...)
 	status, text = ana.Modify(old, ModifyCall(2, nil, RouteItem("cut", "idempotent", "/cut/", "stock", 2)))
 	assert.Assert(t, status == 503 || status == 0, "%d %s", status, text)
--- a/internal/mesh/testcluster/repeated_changes_test.go
+++ b/internal/mesh/testcluster/repeated_changes_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/history"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // repeatRounds is how often eight changes are in flight at once.
@@ -26,7 +26,7 @@
 	for round := range repeatRounds {
 		deaf := m.Members[round%3]
 		for _, by := range operators {
-			relay.Set(rig.Link{Cut: true}, by.PathTo(deaf).Back())
+			relay.Set(testfleet.Link{Cut: true}, by.PathTo(deaf).Back())
 		}
 		changes := competingRouteChanges(round, operators)
 		under := seen.sendAll(changes, m.Members, round)
@@ -80,7 +80,7 @@
 }
 
 // injectLeaderFault does to the leader what a round is for, and gives how to undo it.
-func (m *Cluster) injectLeaderFault(t *testing.T, relay *rig.Relay, lead *Machine, round int) (restore func()) {
+func (m *Cluster) injectLeaderFault(t *testing.T, relay *testfleet.Relay, lead *Machine, round int) (restore func()) {
 	t.Helper()
 	switch round % 3 {
 	case 0:
@@ -88,7 +88,7 @@
 		m.awaitLeader(t, m.membersExcept(lead)...)
 		return func() { assert.NilError(t, lead.Start()) }
 	case 1:
-		relay.Set(rig.Link{Cut: true}, pathsBetween(lead, m.membersExcept(lead)...)...)
+		relay.Set(testfleet.Link{Cut: true}, pathsBetween(lead, m.membersExcept(lead)...)...)
 		m.awaitLeader(t, m.membersExcept(lead)...)
 	case 2:
 		for _, x := range m.membersExcept(lead) {
--- a/internal/mesh/testcluster/serving_test.go
+++ b/internal/mesh/testcluster/serving_test.go
@@ -8,7 +8,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // Requests of all kinds are served through every sidecar; a key runs once, and whoever repeats it, through any sidecar, has the
@@ -43,7 +43,7 @@
 func (x *Machine) awaitServedBy(t *testing.T, path string, instances ...string) {
 	t.Helper()
 	var got Response
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		got = x.Send("GET", path, "", nil)
 		for _, instance := range instances {
 			if strings.Contains(got.Body, instance) {
--- a/internal/mesh/testcluster/settings_test.go
+++ b/internal/mesh/testcluster/settings_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // Settings that change while a program runs are read, with SIGHUP and without: sidecars that start with seeds where nobody is
@@ -20,7 +20,7 @@
 		assert.NilError(t, x.SetSeeds(m.subnet+".250:9"))
 		assert.NilError(t, x.Start())
 		var got Response
-		assert.Assert(t, rig.Await(testTimeout, func() bool { got = x.Send("GET", "/read/", "", nil); return got.Status == 503 }), "%v", got)
+		assert.Assert(t, testfleet.Await(testTimeout, func() bool { got = x.Send("GET", "/read/", "", nil); return got.Status == 503 }), "%v", got)
 		id := x.Process.Cmd.Process.Pid
 		assert.NilError(t, x.SetSeeds(right...))
 		if hup {
--- a/internal/mesh/testcluster/speed_bench_test.go
+++ b/internal/mesh/testcluster/speed_bench_test.go
@@ -17,7 +17,7 @@
 	"cranegrade/internal/mesh/transport"
 	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // Variables that bound the benches of speed, in seconds.
@@ -165,7 +165,7 @@
 
 // awaitLeader waits until a member leads and says so.
 func awaitLeader(b *testing.B, m *Cluster) (leader *Machine) {
-	if !rig.Await(recoverTimeout, func() bool { leader = leaderOf(m); return leader != nil }) {
+	if !testfleet.Await(recoverTimeout, func() bool { leader = leaderOf(m); return leader != nil }) {
 		b.Fatal("no leader")
 	}
 	return leader
@@ -214,7 +214,7 @@
 	}
 	leader := awaitLeader(b, m)
 	var away *Machine
-	var ways []rig.Way
+	var ways []testfleet.Way
 	for _, x := range m.Members {
 		if x != leader && away == nil {
 			away = x
@@ -229,7 +229,7 @@
 			ways = append(ways, x.PathTo(away), away.PathTo(x))
 		}
 	}
-	relay.Set(rig.Link{Rate: catchUpRate}, ways...)
+	relay.Set(testfleet.Link{Rate: catchUpRate}, ways...)
 	passed := func() (n int64) {
 		for _, w := range ways {
 			n += relay.Passed(w)
@@ -247,7 +247,7 @@
 	stop := make(chan struct{})
 	claims, changes := startBackgroundCalls(m, leader, stop)
 	applied := uint64(0)
-	caughtUp := rig.Await(secondsOf(catchUpSecondsEnv, 100), func() bool {
+	caughtUp := testfleet.Await(secondsOf(catchUpSecondsEnv, 100), func() bool {
 		time.Sleep(50 * time.Millisecond)
 		s, err := away.Status()
 		if err == nil {
@@ -276,7 +276,7 @@
 			routes = append(routes, RouteItem(name, "idempotent", "/"+name+"/", "stock", 1))
 		}
 		body := ModifyCall(1, []string{"stock"}, routes...)
-		if !rig.Await(loadTimeout, func() bool { s, _ := m.Members[from/itemsPerCall%3].Modify(body); return s == http.StatusOK }) {
+		if !testfleet.Await(loadTimeout, func() bool { s, _ := m.Members[from/itemsPerCall%3].Modify(body); return s == http.StatusOK }) {
 			return errors.New("the items are not acknowledged")
 		}
 	}
--- a/internal/mesh/testcluster/status_test.go
+++ b/internal/mesh/testcluster/status_test.go
@@ -6,7 +6,7 @@
 
 	"cranegrade/internal/mesh/transport"
 	"cranegrade/internal/mesh/transport/wire"
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // statusTimeout is how long a process may take to say how it is.
@@ -47,7 +47,7 @@
 
 // awaitSettled waits until all members are voters and follow one leader, and all sidecars follow a member. nil: they do not.
 func (m *Cluster) awaitSettled(timeout time.Duration) (leader *Machine) {
-	rig.Await(timeout, func() bool {
+	testfleet.Await(timeout, func() bool {
 		leader = m.settledLeader()
 		return leader != nil
 	})
--- a/internal/rig/fleet.go
+++ b/internal/testfleet/fleet.go
@@ -1,4 +1,4 @@
-package rig
+package testfleet
 
 import (
 	"errors"
