--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -48,7 +48,7 @@
 }
 
 // Judge judges a finished run.
-func Judge(r fake.View, o Options) Verdict {
+func Judge(r fake.History, o Options) Verdict {
 	if o.Slack == 0 {
 		o.Slack = 70 * time.Millisecond
 	}
@@ -63,7 +63,7 @@
 	known := map[string]bool{}
 	out := outages{}
 	for _, x := range r.Outages {
-		out[x.Via] = append(out[x.Via], x)
+		out[x.Process] = append(out[x.Process], x)
 	}
 	for _, x := range r.Exchanges {
 		known[x.ID] = true
@@ -114,17 +114,17 @@
 	switch {
 	case !x.Connected:
 		// Nobody had taken it.
-	case (x.Status == 0 || x.Answered > x.Deadline+o.Slack) && out.during(x.Via, x.Sent, x.Deadline+o.Slack):
+	case (x.Status == 0 || x.AnsweredAt > x.Deadline+o.Slack) && out.during(x.Process, x.SentAt, x.Deadline+o.Slack):
 		v.Taken++
 	case x.Status == 0:
 		v.breach(&v.Lost, "%s (%s) got no answer: %v", x.ID, x.Class, x.Err)
-	case x.Answered > x.Deadline+o.Slack:
-		v.breach(&v.Lost, "%s (%s) was answered %v after its deadline", x.ID, x.Class, x.Answered-x.Deadline)
-	case x.Foreign:
+	case x.AnsweredAt > x.Deadline+o.Slack:
+		v.breach(&v.Lost, "%s (%s) was answered %v after its deadline", x.ID, x.Class, x.AnsweredAt-x.Deadline)
+	case x.ForeignBody:
 		v.breach(&v.Lost, "%s (%s) was served what no server made for it", x.ID, x.Class)
-	case x.Surplus:
+	case x.SurplusBytes:
 		v.breach(&v.Lost, "%s (%s) was answered with more than an answer", x.ID, x.Class)
-	case x.Crossed && len(arrivals) > 0 && arrivals[0].First < x.Sent:
+	case x.Resent && len(arrivals) > 0 && arrivals[0].FirstByteAt < x.SentAt:
 		v.breach(&v.Lost, "%s (%s) was taken, and its connection closed without an answer", x.ID, x.Class)
 	}
 }
@@ -134,7 +134,7 @@
 
 // effects judges the second rule on the arrivals of one request.
 func (v *Verdict) effects(classes map[string]fake.Class, l []fake.Arrival, o Options) {
-	sort.SliceStable(l, func(i, j int) bool { return l[i].Last < l[j].Last })
+	sort.SliceStable(l, func(i, j int) bool { return l[i].LastByteAt < l[j].LastByteAt })
 	c := classes[l[0].Class]
 	if c.Effect == fake.Safe {
 		return
@@ -148,8 +148,8 @@
 				v.breach(&v.Twice, "%s (%s) went to %s though it may have run at %s", later.ID, c.Name, later.Server, before.Server)
 			case !sameScope(c.Scope, before, later):
 				v.breach(&v.Twice, "%s (%s) went to %s, which does not know the keys of %s", later.ID, c.Name, later.Server, before.Server)
-			case later.Last > before.Last+c.Window+o.Slack:
-				v.breach(&v.Twice, "%s (%s) went to %s %v after it went to %s", later.ID, c.Name, later.Server, later.Last-before.Last, before.Server)
+			case later.LastByteAt > before.LastByteAt+c.Window+o.Slack:
+				v.breach(&v.Twice, "%s (%s) went to %s %v after it went to %s", later.ID, c.Name, later.Server, later.LastByteAt-before.LastByteAt, before.Server)
 			default:
 				continue
 			}
@@ -169,7 +169,7 @@
 }
 
 // Refusals judges refusals: one promises that trying again does no harm.
-func refusals(v *Verdict, r fake.View) {
+func refusals(v *Verdict, r fake.History) {
 	harm := map[string]fake.Arrival{}
 	for _, a := range r.Arrivals {
 		c := r.Classes[a.Class]
@@ -185,7 +185,7 @@
 }
 
 // drains judges the third rule.
-func (v *Verdict) drains(r fake.View, out outages, o Options) {
+func (v *Verdict) drains(r fake.History, out outages, o Options) {
 	refusals(v, r)
 	asked := map[string]fake.Exchange{}
 	if len(out) > 0 {
@@ -194,8 +194,8 @@
 		}
 	}
 	type place struct{ list, server string }
-	told := map[place][]fake.Told{}
-	for _, t := range r.Told { // in the order of time
+	told := map[place][]fake.ListUpdate{}
+	for _, t := range r.Updates { // in the order of time
 		p := place{t.List, t.Server}
 		told[p] = append(told[p], t)
 	}
@@ -207,20 +207,20 @@
 		// Since when the server has been told to be gone without a break.
 		since, gone := time.Duration(0), false
 		for _, t := range l {
-			if t.At > a.First {
+			if t.At > a.FirstByteAt {
 				break
 			}
-			if t.Gone && !gone {
+			if t.Withdrawn && !gone {
 				since = t.At
 			}
-			gone = t.Gone
+			gone = t.Withdrawn
 		}
 		if !gone {
 			continue
 		}
-		after := a.First - since
+		after := a.FirstByteAt - since
 		// A process that was stopped could not read what it was told. It has the same time once it goes on.
-		if x := asked[a.ID]; out.during(x.Via, since, a.First) && out.during(x.Via, a.First-o.StopAfter-o.Slack, a.First) {
+		if x := asked[a.ID]; out.during(x.Process, since, a.FirstByteAt) && out.during(x.Process, a.FirstByteAt-o.StopAfter-o.Slack, a.FirstByteAt) {
 			continue
 		}
 		v.LatestAfterDrain = max(v.LatestAfterDrain, after)
@@ -232,24 +232,24 @@
 
 // colds judges the fourth rule: a server was pushed over by work of which two thirds came after its
 // start was told.
-func (v *Verdict) colds(r fake.View) {
-	start := map[string]fake.Start{}
+func (v *Verdict) colds(r fake.History) {
+	start := map[string]fake.ServerStart{}
 	for _, s := range r.Starts {
-		start[fmt.Sprint(s.Server, s.Boot)] = s
+		start[fmt.Sprint(s.Server, s.Incarnation)] = s
 	}
-	for _, f := range r.Falls {
+	for _, f := range r.WarmupCrashes {
 		toldAt, is := time.Duration(0), false
-		for _, t := range r.Told {
-			if t.Server == f.Server && t.Boot == f.Boot && !is {
+		for _, t := range r.Updates {
+			if t.Server == f.Server && t.Incarnation == f.Incarnation && !is {
 				toldAt, is = t.At, true
 			}
 		}
-		span := start[fmt.Sprint(f.Server, f.Boot)].Cold.For
+		span := start[fmt.Sprint(f.Server, f.Incarnation)].SlowStart.OverloadWindow
 		all, knowing := 0, 0
 		for _, a := range r.Arrivals {
-			if a.Server == f.Server && a.Boot == f.Boot && a.Last <= f.At && a.Last >= f.At-span {
+			if a.Server == f.Server && a.Incarnation == f.Incarnation && a.LastByteAt <= f.At && a.LastByteAt >= f.At-span {
 				all++
-				if is && a.First >= toldAt {
+				if is && a.FirstByteAt >= toldAt {
 					knowing++
 				}
 			}
--- a/internal/drill/crowd.go
+++ b/internal/drill/crowd.go
@@ -20,7 +20,7 @@
 	}
 	cfgs := make([]fake.ServerConfig, servers)
 	for i := range cfgs {
-		cfgs[i] = fake.ServerConfig{Slots: 16, Queue: 16, Work: 50 * time.Millisecond, Cold: cold, Zone: "a", Cell: i % 8}
+		cfgs[i] = fake.ServerConfig{Concurrency: 16, QueueLimit: 16, ServiceTime: 50 * time.Millisecond, SlowStart: cold, Zone: "a", Cell: i % 8}
 	}
 	g, err := r.group("crowd", host, cfgs...)
 	if err != nil {
@@ -43,7 +43,7 @@
 			var crowd sync.WaitGroup
 			for i := range questions {
 				crowd.Go(func() {
-					l[i%len(l)].Do(ctx, fake.Stream{Name: "crowd", Host: host, Class: allClasses[i%len(allClasses)], Body: 100})
+					l[i%len(l)].Do(ctx, fake.Stream{Name: "crowd", Host: host, Class: allClasses[i%len(allClasses)], BodyBytes: 100})
 				})
 			}
 			crowd.Wait()
@@ -54,13 +54,13 @@
 	}
 	r.extFigures()
 	refused := 0
-	for _, x := range r.records.View().Exchanges {
+	for _, x := range r.records.History().Exchanges {
 		if x.Stream == "crowd" && (x.Status == 503 || x.Status == 429) {
 			refused++
 		}
 	}
 	r.addFigure("questions", questions, "at once")
 	r.addFigure("refused_share", float64(refused)/float64(questions), "of them that were refused")
-	r.tables = append(r.tables, streamTable(r.records.View()))
+	r.tables = append(r.tables, streamTable(r.records.History()))
 	return nil
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -171,7 +171,7 @@
 		}
 		return exitBroken
 	}
-	v := audit.Judge(r.records.View(), audit.Options{Slack: o.slack})
+	v := audit.Judge(r.records.History(), audit.Options{Slack: o.slack})
 	if r.node != nil && r.node.Crashed() {
 		r.failf("the program ended by itself")
 	}
--- a/internal/drill/environment.go
+++ b/internal/drill/environment.go
@@ -20,8 +20,8 @@
 type environment struct {
 	options
 	rng     *rand.Rand
-	records *fake.Records
-	keys    *fake.Keys
+	records *fake.Recorder
+	keys    *fake.KeyStore
 	dir     string
 	err     io.Writer
 	node    *testfleet.Process // nil: there are several, in fleet
@@ -32,8 +32,8 @@
 	proxies []*proxy.Proxy // proxies that ask the program
 	classes []fake.Class
 
-	towards  func(node string) (*fake.Sidecar, error) // callers go through such a sidecar; nil: through none
-	sidecars []*fake.Sidecar
+	towards  func(node string) (*fake.Gateway, error) // callers go through such a sidecar; nil: through none
+	sidecars []*fake.Gateway
 
 	bansMu        sync.Mutex      // guards what follows
 	bans          []ban           // servers taken out by hand
@@ -66,16 +66,16 @@
 
 // What all drills share with the rig.
 var (
-	readClass, sendClass, cellClass, orderClass = testfleet.Read, testfleet.Send, testfleet.Cell, testfleet.Order
-	allClasses, cold, usual                     = testfleet.Classes, testfleet.Cold, testfleet.Usual
-	poolText, inCell                            = testfleet.PoolText, testfleet.InCell
-	times, quantile, streamTable, serverTable   = testfleet.Times, testfleet.Quantile, testfleet.StreamTable, testfleet.ServerTable
+	readClass, sendClass, cellClass, orderClass = testfleet.ReadClass, testfleet.AlertClass, testfleet.CampaignClass, testfleet.OrderClass
+	allClasses, cold, usual                     = testfleet.Classes, testfleet.SlowStart, testfleet.DefaultServer
+	poolText, inCell                            = testfleet.PoolConfig, testfleet.InCell
+	times, quantile, streamTable, serverTable   = testfleet.Latencies, testfleet.Quantile, testfleet.StreamTable, testfleet.ServerTable
 )
 
 func newEnvironment(o options, stderr io.Writer) (*environment, error) {
 	r := &environment{
-		options: o, rng: rand.New(rand.NewPCG(o.seed, 0xd811)), err: stderr, keys: fake.NewKeys(),
-		records: fake.NewRecords(allClasses...),
+		options: o, rng: rand.New(rand.NewPCG(o.seed, 0xd811)), err: stderr, keys: fake.NewKeyStore(),
+		records: fake.NewRecorder(allClasses...),
 	}
 	dir, err := os.MkdirTemp("", "drill")
 	if err != nil {
@@ -228,8 +228,8 @@
 	streams []fake.Stream,
 ) error {
 	for i := range streams {
-		if streams[i].For == 0 {
-			streams[i].For = r.length
+		if streams[i].Duration == 0 {
+			streams[i].Duration = r.length
 		}
 	}
 	var planted error
--- a/internal/drill/extproc.go
+++ b/internal/drill/extproc.go
@@ -45,9 +45,9 @@
 	var waits []time.Duration
 	for _, p := range r.proxies {
 		decisions += p.Decisions.Load()
-		immediate += p.Immediate.Load()
-		unanswered += p.Unanswered.Load()
-		sent, heeded = sent+p.Sent.Load(), heeded+p.Heeded.Load()
+		immediate += p.ImmediateResponses.Load()
+		unanswered += p.MessageTimeouts.Load()
+		sent, heeded = sent+p.UpstreamRequests.Load(), heeded+p.DecisionsFollowed.Load()
 		p.Waits.Lock()
 		waits = append(waits, p.Waits.L...)
 		p.Waits.Unlock()
@@ -87,9 +87,9 @@
 	a := &asked{base: proxy.Config{Mode: mode}}
 	switch mode {
 	case envoyconf.EveryTry:
-		a.ext, a.base.Retries = "retries = true\n", 2
+		a.ext, a.base.MaxRetries = "retries = true\n", 2
 	case envoyconf.Fallbacks:
-		a.pool, a.base.Retries = "fallbacks = 2", 2
+		a.pool, a.base.MaxRetries = "fallbacks = 2", 2
 	}
 	var err error
 	if a.g, err = r.group("ext", host, servers...); err != nil {
@@ -150,13 +150,13 @@
 			burst.Wait()
 		})
 	}
-	if err := r.plays(ctx, &faults, l, fake.Stream{Host: host, Class: readClass, Rate: 150}, fake.Stream{Host: host, Class: sendClass, Rate: 80, Body: 100},
-		fake.Stream{Host: host, Class: cellClass, Rate: 40, Body: 100}, fake.Stream{Host: host, Class: orderClass, Rate: 40, Body: 100}); err != nil {
+	if err := r.plays(ctx, &faults, l, fake.Stream{Host: host, Class: readClass, Rate: 150}, fake.Stream{Host: host, Class: sendClass, Rate: 80, BodyBytes: 100},
+		fake.Stream{Host: host, Class: cellClass, Rate: 40, BodyBytes: 100}, fake.Stream{Host: host, Class: orderClass, Rate: 40, BodyBytes: 100}); err != nil {
 		return err
 	}
 	r.extFigures()
-	r.addFigure("after_drain_max_ms", quantile(afterDrains(r.records.View()), 1), "from the write to the last first byte at a drained server")
-	r.tables = append(r.tables, streamTable(r.records.View()))
+	r.addFigure("after_drain_max_ms", quantile(afterDrains(r.records.History()), 1), "from the write to the last first byte at a drained server")
+	r.tables = append(r.tables, streamTable(r.records.History()))
 	return nil
 }
 
@@ -179,8 +179,8 @@
 	var n int
 	var mu sync.Mutex
 	careless := a.base
-	careless.Greedy = mode == envoyconf.EveryTry
-	careless.Drop = func() bool {
+	careless.RetryEverything = mode == envoyconf.EveryTry
+	careless.DropStream = func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		n++
@@ -197,7 +197,7 @@
 	}
 	streams := func(name string, rate float64) (l []fake.Stream) {
 		for _, c := range allClasses {
-			l = append(l, fake.Stream{Name: name, Host: host, Class: c, Rate: rate, Body: 100, For: r.length})
+			l = append(l, fake.Stream{Name: name, Host: host, Class: c, Rate: rate, BodyBytes: 100, Duration: r.length})
 		}
 		return l
 	}
@@ -207,7 +207,7 @@
 	}
 	r.extFigures()
 	r.addFigure("kills", kills, "of the processor")
-	r.tables = append(r.tables, streamTable(r.records.View()), serverTable(r.records.View()))
+	r.tables = append(r.tables, streamTable(r.records.History()), serverTable(r.records.History()))
 	return nil
 }
 
@@ -216,7 +216,7 @@
 func (r *environment) scheduleExtprocFaults(ctx context.Context, faults *sync.WaitGroup, a *asked, kills *int) {
 	g := a.g
 	r.at(ctx, faults, 0.25, func() { g.servers[0].SetMode(fake.Failing) })
-	r.at(ctx, faults, 0.4, func() { g.servers[0].SetMode(fake.Serving); g.servers[1].SetMode(fake.Refusing) })
+	r.at(ctx, faults, 0.4, func() { g.servers[0].SetMode(fake.Serving); g.servers[1].SetMode(fake.Rejecting) })
 	r.at(ctx, faults, 0.55, func() {
 		g.servers[1].SetMode(fake.Serving)
 		g.servers[2].Crash()
--- a/internal/drill/h2.go
+++ b/internal/drill/h2.go
@@ -12,23 +12,23 @@
 // h2Drill is the tour over HTTP/2 on both sides: callers share few connections to the program, which shares few to
 // each server. One server drains, one crashes and comes back cold, one hangs for a while and one answers with errors.
 func h2Drill(ctx context.Context, r *environment) error {
-	r.towards = fake.Towards
-	return multiplexed(ctx, r, "h2", func(server string, _ uint64) (*fake.Sidecar, error) { return fake.Before(server) }, `protocol = "h2"`)
+	r.towards = fake.NewH2ClientGateway
+	return multiplexed(ctx, r, "h2", func(server string, _ uint64) (*fake.Gateway, error) { return fake.NewH2ServerGateway(server) }, `protocol = "h2"`)
 }
 
 // grpcDrill is the same in gRPC, where reads are answered in pieces; with chaos servers also break answers in every
 // way that the protocol has.
 func grpcDrill(chaos float64) func(context.Context, *environment) error {
 	return func(ctx context.Context, r *environment) error {
-		r.towards = func(node string) (*fake.Sidecar, error) { return fake.TowardsGRPC(node, "grpc.example.org") }
-		return multiplexed(ctx, r, "grpc", func(server string, seed uint64) (*fake.Sidecar, error) {
-			return fake.BeforeGRPC(server, seed, chaos)
+		r.towards = func(node string) (*fake.Gateway, error) { return fake.NewGRPCClientGateway(node, "grpc.example.org") }
+		return multiplexed(ctx, r, "grpc", func(server string, seed uint64) (*fake.Gateway, error) {
+			return fake.NewGRPCServerGateway(server, seed, chaos)
 		}, `protocol = "grpc"`)
 	}
 }
 
 // multiplexed is the tour of h2Drill with servers behind such sidecars.
-func multiplexed(ctx context.Context, r *environment, name string, before func(server string, seed uint64) (*fake.Sidecar, error),
+func multiplexed(ctx context.Context, r *environment, name string, before func(server string, seed uint64) (*fake.Gateway, error),
 	more string,
 ) error {
 	host := name + ".example.org"
@@ -52,18 +52,18 @@
 	}
 	if err := r.play(ctx, &faults,
 		fake.Stream{Host: host, Class: readClass, Rate: 150},
-		fake.Stream{Host: host, Class: sendClass, Rate: 60, Body: 200},
-		fake.Stream{Host: host, Class: cellClass, Rate: 30, Body: 60_000},
-		fake.Stream{Host: host, Class: orderClass, Rate: 30, Body: 500}); err != nil {
+		fake.Stream{Host: host, Class: sendClass, Rate: 60, BodyBytes: 200},
+		fake.Stream{Host: host, Class: cellClass, Rate: 30, BodyBytes: 60_000},
+		fake.Stream{Host: host, Class: orderClass, Rate: 30, BodyBytes: 500}); err != nil {
 		return err
 	}
-	v := r.records.View()
+	v := r.records.History()
 	r.tables = append(r.tables, streamTable(v), serverTable(v))
 	return nil
 }
 
 // groupBehindSidecars starts five servers, each behind a sidecar of its own that speaks the protocol for it.
-func (r *environment) groupBehindSidecars(name, host string, before func(server string, seed uint64) (*fake.Sidecar, error)) (*serverGroup, error) {
+func (r *environment) groupBehindSidecars(name, host string, before func(server string, seed uint64) (*fake.Gateway, error)) (*serverGroup, error) {
 	g, err := r.group(name, host)
 	if err != nil {
 		return nil, err
@@ -81,7 +81,7 @@
 			return nil, err
 		}
 		r.sidecars = append(r.sidecars, side)
-		s.Behind(side.Addr())
+		s.AdvertiseAs(side.Addr())
 		g.registry.Set(s, "SERVING")
 	}
 	return g, nil
@@ -103,6 +103,6 @@
 	r.at(ctx, faults, 0.6, set(2, fake.Serving))
 	r.at(ctx, faults, 0.7, set(3, fake.Failing))
 	r.at(ctx, faults, 0.8, set(3, fake.Serving))
-	r.at(ctx, faults, 0.85, set(4, fake.Refusing))
+	r.at(ctx, faults, 0.85, set(4, fake.Rejecting))
 	r.at(ctx, faults, 0.9, set(4, fake.Serving))
 }
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -155,9 +155,9 @@
 		})
 	}
 	time.Sleep(time.Until(warm))
-	before := p.CPU()
+	before := p.CPUTime()
 	all.Wait()
-	used := p.CPU() - before
+	used := p.CPUTime() - before
 	sorted := slices.Concat(times...)
 	slices.Sort(sorted)
 	if n := failed.Load(); n > 0 || len(sorted) == 0 {
--- a/internal/drill/manypools.go
+++ b/internal/drill/manypools.go
@@ -16,7 +16,7 @@
 	if r.length < 6*time.Second { // the short form
 		pools, choked = 20, 2
 	}
-	cfg := fake.ServerConfig{Slots: 4, Queue: 100, Work: 30 * time.Millisecond, Cold: cold, Zone: "a", Stubborn: true}
+	cfg := fake.ServerConfig{Concurrency: 4, QueueLimit: 100, ServiceTime: 30 * time.Millisecond, SlowStart: cold, Zone: "a", IgnoreDisconnects: true}
 	file := "listen = [\"127.0.0.1:0\"]\n"
 	routes := ""
 	var streams []fake.Stream
@@ -46,7 +46,7 @@
 	slower := func(share, times float64) {
 		r.at(ctx, &faults, share, func() {
 			for _, g := range r.groups[:choked] {
-				g.servers[0].Slower(times)
+				g.servers[0].SetSlowdown(times)
 			}
 		})
 	}
@@ -57,7 +57,7 @@
 	if err := r.play(ctx, &faults, streams...); err != nil {
 		return err
 	}
-	v := r.records.View()
+	v := r.records.History()
 	share := func(x float64) time.Duration { return start + time.Duration(x*float64(r.length)) }
 	good := func(stream string, from, to float64) float64 { return goodput(v, stream, share(from), share(to)) }
 	r.addFigure("pools", pools, "in one process, each with a server")
--- a/internal/drill/members.go
+++ b/internal/drill/members.go
@@ -51,8 +51,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r.fleet, r.records = f, f.Rec
-	if err := f.StartAll(c.Members); err != nil {
+	r.fleet, r.records = f, f.Recorder
+	if err := f.StartAll(c.MemberCount); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -71,12 +71,12 @@
 // faultSchedule plays a schedule of faults on five processes under load, while servers are replaced, and holds what they
 // may take together against the whole all the time.
 func faultSchedule(ctx context.Context, r *environment) error {
-	f, err := r.startFleet(testfleet.FleetConfig{Members: memberCount, Servers: 20})
+	f, err := r.startFleet(testfleet.FleetConfig{MemberCount: memberCount, ServerCount: 20})
 	if err != nil {
 		return err
 	}
 	limit := 20*time.Second + 10*r.slack
-	if _, err := f.Agree(limit, true, memberIndices(memberCount)...); err != nil {
+	if _, err := f.AwaitAgreement(limit, true, memberIndices(memberCount)...); err != nil {
 		return err
 	}
 	schedule, length, err := r.schedulePlan(len(f.Servers))
@@ -84,25 +84,25 @@
 		return err
 	}
 	watching, stop := context.WithCancel(ctx)
-	var w *testfleet.Watch
+	var w *testfleet.ShareWatch
 	var load, watch sync.WaitGroup
-	watch.Go(func() { w = f.Watch(watching, 25*time.Millisecond) })
+	watch.Go(func() { w = f.WatchShares(watching, 25*time.Millisecond) })
 	for _, m := range f.Members {
-		m.Stream(watching, &load, testfleet.Traffic(60, length)...)
+		m.RunStreams(watching, &load, testfleet.Traffic(60, length)...)
 	}
-	sent := f.Fabric.Bytes(0)
-	err = f.Play(ctx, schedule, func(s string) {
+	sent := f.Fabric.BytesSent(0)
+	err = f.PlaySchedule(ctx, schedule, func(s string) {
 		if r.verbose {
 			fmt.Fprintln(r.err, s)
 		}
 	})
 	load.Wait()
-	bytes := f.Fabric.Bytes(0) - sent
+	bytes := f.Fabric.BytesSent(0) - sent
 	if err != nil {
 		stop()
 		return err
 	}
-	healed, err := f.Agree(limit, true, memberIndices(memberCount)...)
+	healed, err := f.AwaitAgreement(limit, true, memberIndices(memberCount)...)
 	stop()
 	watch.Wait()
 	if err != nil {
@@ -125,52 +125,52 @@
 			return nil, 0, err
 		}
 	} else {
-		schedule = testfleet.Draw(r.seed, memberCount, servers, length)
+		schedule = testfleet.DrawSchedule(r.seed, memberCount, servers, length)
 	}
 	if r.violation == "" {
 		return schedule, length, nil
 	}
 	schedule = testfleet.Schedule{
-		{At: 0, What: testfleet.CutParts, Parts: [][]int{{0, 1}, {2, 3, 4}}, For: 5 * time.Second},
-		{At: 8 * time.Second, What: testfleet.StopMembers, Members: []int{3}, For: 4 * time.Second},
+		{At: 0, Kind: testfleet.PartitionMembers, Partitions: [][]int{{0, 1}, {2, 3, 4}}, Duration: 5 * time.Second},
+		{At: 8 * time.Second, Kind: testfleet.PauseMembers, Members: []int{3}, Duration: 4 * time.Second},
 	}
 	return schedule, 14 * time.Second, nil
 }
 
 // judgeWatch reports what all members held together, which must never be more than the whole.
-func (r *environment) judgeWatch(w *testfleet.Watch) {
+func (r *environment) judgeWatch(w *testfleet.ShareWatch) {
 	r.addFigure("samples", w.Samples, "of what all members hold to be theirs of a ration")
-	r.addFigure("most_held", w.Most, "of the whole, by all together at one moment")
-	r.addFigure("over", w.Over, "moments at which that was more than the whole")
-	if w.Over > 0 {
-		r.failf("more than the whole was taken: %s", w.Detail)
+	r.addFigure("most_held", w.MaxTotal, "of the whole, by all together at one moment")
+	r.addFigure("over", w.Violations, "moments at which that was more than the whole")
+	if w.Violations > 0 {
+		r.failf("more than the whole was taken: %s", w.FirstViolation)
 	}
-	if w.Samples < 10 || w.Most <= 0.5 {
-		r.failf("%d samples, the most %v: nothing was watched", w.Samples, w.Most)
+	if w.Samples < 10 || w.MaxTotal <= 0.5 {
+		r.failf("%d samples, the most %v: nothing was watched", w.Samples, w.MaxTotal)
 	}
 }
 
 // pausedMembers has one of five stand still for a while, three times, each for longer, while servers are replaced all the time; what
 // it holds and sends in the first moments after each is what it may.
 func pausedMembers(ctx context.Context, r *environment) error {
-	f, err := r.startFleet(testfleet.FleetConfig{Members: memberCount, Servers: 20, Pool: "tenants = [{ name = \"acme\", quota = 100 }]"})
+	f, err := r.startFleet(testfleet.FleetConfig{MemberCount: memberCount, ServerCount: 20, ExtraPoolSettings: "tenants = [{ name = \"acme\", quota = 100 }]"})
 	if err != nil {
 		return err
 	}
 	limit := 20*time.Second + 10*r.slack
 	all := memberIndices(memberCount)
-	if _, err := f.Agree(limit, true, all...); err != nil {
+	if _, err := f.AwaitAgreement(limit, true, all...); err != nil {
 		return err
 	}
 	playing, over := context.WithCancel(ctx)
 	defer over()
-	var w *testfleet.Watch
+	var w *testfleet.ShareWatch
 	var load, watch sync.WaitGroup
-	watch.Go(func() { w = f.Watch(playing, 25*time.Millisecond) })
+	watch.Go(func() { w = f.WatchShares(playing, 25*time.Millisecond) })
 	for _, m := range f.Members {
 		l := testfleet.Traffic(60, time.Hour)
 		l[0].Account = "acme"
-		m.Stream(playing, &load, l...)
+		m.RunStreams(playing, &load, l...)
 	}
 	load.Go(func() { r.rollServers(playing, f) })
 	for i, share := range []float64{1.0 / 41, 10.0 / 41, 30.0 / 41} {
@@ -187,17 +187,17 @@
 		if long > 2*f.Lease && held > 0 {
 			r.failf("%v of a ration was held just after a stop of %v", held, long)
 		}
-		if _, err := f.Agree(limit, true, all...); err != nil {
+		if _, err := f.AwaitAgreement(limit, true, all...); err != nil {
 			r.failf("after a stop of %v: %v", long, err)
 		}
 	}
 	over()
 	load.Wait()
 	watch.Wait()
-	r.addFigure("most_held", w.Most, "of the whole, by all together at one moment")
+	r.addFigure("most_held", w.MaxTotal, "of the whole, by all together at one moment")
 	r.addFigure("samples", w.Samples, "of what all members held")
-	if w.Over > 0 {
-		r.failf("more than the whole was taken: %s", w.Detail)
+	if w.Violations > 0 {
+		r.failf("more than the whole was taken: %s", w.FirstViolation)
 	}
 	return nil
 }
@@ -251,7 +251,7 @@
 		return err
 	}
 	limit := 20*time.Second + 10*r.slack
-	if _, err := f.Agree(limit, true, memberIndices(accusedMembers)...); err != nil {
+	if _, err := f.AwaitAgreement(limit, true, memberIndices(accusedMembers)...); err != nil {
 		return err
 	}
 	length := max(r.length, 8*time.Second)
@@ -259,25 +259,25 @@
 	defer over()
 	var load sync.WaitGroup
 	for _, m := range f.Members {
-		m.Stream(playing, &load, testfleet.Traffic(60, length)...)
+		m.RunStreams(playing, &load, testfleet.Traffic(60, length)...)
 	}
 	var illnesses []illness
-	begin := f.Rec.Now()
+	begin := f.Recorder.Now()
 	load.Go(func() { illnesses = r.sickenServers(playing, f, begin, length) })
 	var schedule testfleet.Schedule
-	for _, x := range testfleet.Draw(r.seed, accusedMembers-1, accusedServers, length) { // the liar lives
-		if x.What != testfleet.RollServers {
+	for _, x := range testfleet.DrawSchedule(r.seed, accusedMembers-1, accusedServers, length) { // the liar lives
+		if x.Kind != testfleet.RestartServer {
 			schedule = append(schedule, x)
 		}
 	}
 	if r.violation != "" {
 		schedule = nil
 	}
-	if err := f.Play(ctx, schedule, func(string) {}); err != nil {
+	if err := f.PlaySchedule(ctx, schedule, func(string) {}); err != nil {
 		return err
 	}
 	load.Wait()
-	if _, err := f.Agree(limit, true, memberIndices(accusedMembers)...); err != nil {
+	if _, err := f.AwaitAgreement(limit, true, memberIndices(accusedMembers)...); err != nil {
 		r.failf("after all is undone: %v", err)
 	}
 	r.judgeAccused(f, illnesses)
@@ -297,27 +297,27 @@
 			return nil, err
 		}
 	}
-	f, err := testfleet.NewFleet(testfleet.FleetConfig{Program: program, Members: accusedMembers, Servers: accusedServers, Seed: r.seed, Slack: r.slack})
+	f, err := testfleet.NewFleet(testfleet.FleetConfig{Program: program, MemberCount: accusedMembers, ServerCount: accusedServers, Seed: r.seed, Slack: r.slack})
 	if err != nil {
 		return nil, err
 	}
-	r.fleet, r.records = f, f.Rec
+	r.fleet, r.records = f, f.Recorder
 	f.Members[accusedMembers-1].Program = liar
 	return f, f.StartAll(accusedMembers)
 }
 
 // sickenServers has one server at a time be unhealthy, none of those that are wrongly accused, and returns when which was.
 func (r *environment) sickenServers(ctx context.Context, f *testfleet.Fleet, begin, length time.Duration) (l []illness) {
-	for ctx.Err() == nil && f.Rec.Now() < begin+length*7/10 {
+	for ctx.Err() == nil && f.Recorder.Now() < begin+length*7/10 {
 		s := f.Servers[accusedCount+r.rng.IntN(accusedServers-accusedCount)]
-		s.SetMode([]fake.Mode{fake.Failing, fake.Hanging, fake.Refusing}[r.rng.IntN(3)])
-		x := illness{server: s, from: f.Rec.Now()}
+		s.SetMode([]fake.Mode{fake.Failing, fake.Hanging, fake.Rejecting}[r.rng.IntN(3)])
+		x := illness{server: s, from: f.Recorder.Now()}
 		select {
 		case <-time.After(length/8 + time.Duration(r.rng.Int64N(int64(length/8)))):
 		case <-ctx.Done():
 		}
 		s.SetMode(fake.Serving)
-		x.to = f.Rec.Now()
+		x.to = f.Recorder.Now()
 		l = append(l, x)
 	}
 	return l
@@ -327,9 +327,9 @@
 func (r *environment) judgeAccused(f *testfleet.Fleet, illnesses []illness) {
 	paid, well := 0, 0
 	perServer := map[string]int{}
-	for _, a := range f.Rec.View().Arrivals {
+	for _, a := range f.Recorder.History().Arrivals {
 		sick := slices.ContainsFunc(illnesses, func(x illness) bool {
-			return a.Server == x.server.ID() && a.First >= x.from && a.First < x.to
+			return a.Server == x.server.ID() && a.FirstByteAt >= x.from && a.FirstByteAt < x.to
 		})
 		if sick {
 			paid++
@@ -358,43 +358,43 @@
 		if r.fleet != nil {
 			r.fleet.Close()
 		}
-		f, err := r.startFleet(testfleet.FleetConfig{Members: memberCount, Servers: 20, Alone: alone})
+		f, err := r.startFleet(testfleet.FleetConfig{MemberCount: memberCount, ServerCount: 20, Standalone: alone})
 		if err != nil {
 			return err
 		}
 		name := map[bool]string{true: "before", false: "fleet"}[alone]
 		if !alone {
-			if _, err := f.Agree(20*time.Second+10*r.slack, true, memberIndices(memberCount)...); err != nil {
+			if _, err := f.AwaitAgreement(20*time.Second+10*r.slack, true, memberIndices(memberCount)...); err != nil {
 				return err
 			}
 		}
 		var load sync.WaitGroup
 		for _, m := range f.Members {
-			m.Stream(ctx, &load, testfleet.Traffic(200, 2*length)...)
+			m.RunStreams(ctx, &load, testfleet.Traffic(200, 2*length)...)
 		}
-		begin := f.Rec.Now()
+		begin := f.Recorder.Now()
 		time.Sleep(length / 2)
-		died := f.Rec.Now()
-		least, most := f.Load(begin, died)
+		died := f.Recorder.Now()
+		least, most := f.LoadSpread(begin, died)
 		r.addFigure(name+"_alive_least", least, "requests of the server that got least, of the mean")
 		r.addFigure(name+"_alive_most", most, "and of the one that got most")
 		f.Members[1].Kill()
 		f.Members[3].Kill()
 		if !alone {
-			took, err := f.Agree(20*time.Second+10*r.slack, false, 0, 2, 4)
+			took, err := f.AwaitAgreement(20*time.Second+10*r.slack, false, 0, 2, 4)
 			if err != nil {
 				return err
 			}
 			r.addFigure("agreed_ms", took, "from the deaths until the others count each other and nobody else")
-			if took, err = f.Agree(20*time.Second+10*r.slack, true, 0, 2, 4); err != nil {
+			if took, err = f.AwaitAgreement(20*time.Second+10*r.slack, true, 0, 2, 4); err != nil {
 				return err
 			}
-			r.addFigure("parts_ms", f.Rec.Now()-died, "and until they have taken over what the dead might have taken")
+			r.addFigure("parts_ms", f.Recorder.Now()-died, "and until they have taken over what the dead might have taken")
 		}
 		load.Wait()
-		least, most = f.Load(died+6*time.Second, died+2*length)
+		least, most = f.LoadSpread(died+6*time.Second, died+2*length)
 		if math.IsNaN(least) || least > 1e8 {
-			least, most = f.Load(died, f.Rec.Now())
+			least, most = f.LoadSpread(died, f.Recorder.Now())
 		}
 		r.addFigure(name+"_after_least", least, "the same from six seconds after two of five have died")
 		r.addFigure(name+"_after_most", most, "")
--- a/internal/drill/operators.go
+++ b/internal/drill/operators.go
@@ -34,14 +34,14 @@
 }
 
 // banned judges the bans: nothing may begin at a server from the grace after the yes until the call back.
-func (r *environment) banned(v fake.View) (late int) {
+func (r *environment) banned(v fake.History) (late int) {
 	r.bansMu.Lock()
 	defer r.bansMu.Unlock()
 	for _, b := range r.bans {
 		for _, a := range v.Arrivals {
-			if a.Server == b.server && a.First > b.from+250*time.Millisecond+r.slack && (b.to == 0 || a.First < b.to) {
+			if a.Server == b.server && a.FirstByteAt > b.from+250*time.Millisecond+r.slack && (b.to == 0 || a.FirstByteAt < b.to) {
 				late++
-				r.failf("%s got %s %v after it was taken out", b.server, a.ID, a.First-b.from)
+				r.failf("%s got %s %v after it was taken out", b.server, a.ID, a.FirstByteAt-b.from)
 			}
 		}
 	}
@@ -149,12 +149,12 @@
 	r.scheduleOperators(ctx, &faults, g, file(r.node.Addr))
 	if err := r.play(ctx, &faults,
 		fake.Stream{Host: g.host, Class: readClass, Rate: 150},
-		fake.Stream{Host: g.host, Class: sendClass, Rate: 60, Body: 200},
-		fake.Stream{Host: g.host, Class: cellClass, Rate: 30, Body: 60_000},
-		fake.Stream{Host: g.host, Class: orderClass, Rate: 30, Body: 500}); err != nil {
+		fake.Stream{Host: g.host, Class: sendClass, Rate: 60, BodyBytes: 200},
+		fake.Stream{Host: g.host, Class: cellClass, Rate: 30, BodyBytes: 60_000},
+		fake.Stream{Host: g.host, Class: orderClass, Rate: 30, BodyBytes: 500}); err != nil {
 		return err
 	}
-	r.judgeOperators(r.records.View())
+	r.judgeOperators(r.records.History())
 	return nil
 }
 
@@ -194,13 +194,13 @@
 }
 
 // judgeOperators judges the bans and reports the day's figures.
-func (r *environment) judgeOperators(v fake.View) {
+func (r *environment) judgeOperators(v fake.History) {
 	late := r.banned(v)
 	back := 0
 	r.bansMu.Lock()
 	for _, a := range v.Arrivals {
 		for _, b := range r.bans {
-			if a.Server == b.server && b.to > 0 && a.First >= b.to {
+			if a.Server == b.server && b.to > 0 && a.FirstByteAt >= b.to {
 				back++
 			}
 		}
@@ -217,7 +217,7 @@
 	}
 	crossed := 0
 	for _, x := range v.Exchanges {
-		if x.Crossed {
+		if x.Resent {
 			crossed++
 		}
 	}
--- a/internal/drill/overload.go
+++ b/internal/drill/overload.go
@@ -37,7 +37,7 @@
 // capacity is what the lower tier can do, in requests a second.
 func (s *overloaded) capacity() float64 {
 	c := s.lower.servers[0].Config()
-	return float64(c.Slots) / c.Work.Seconds() * float64(len(s.lower.servers))
+	return float64(c.Concurrency) / c.ServiceTime.Seconds() * float64(len(s.lower.servers))
 }
 
 var overClasses = []struct {
@@ -48,7 +48,7 @@
 // steadily is the classes' streams at one rate in all.
 func steadily(rate float64, length time.Duration) (l []fake.Stream) {
 	for _, c := range overClasses {
-		l = append(l, fake.Stream{Name: "up-" + c.class.Name, Host: upperHost, Class: c.class, Rate: rate * c.share, For: length, Most: 2000, Body: 100})
+		l = append(l, fake.Stream{Name: "up-" + c.class.Name, Host: upperHost, Class: c.class, Rate: rate * c.share, Duration: length, MaxOpen: 2000, BodyBytes: 100})
 	}
 	return l
 }
@@ -57,11 +57,11 @@
 	// Servers that are for a while as slow as brings them to 1.3 times their capacity.
 	"overload": {from: 0.25, to: 0.45, trigger: func(ctx context.Context, s *overloaded) {
 		for _, x := range s.lower.servers {
-			x.Slower(1.3 / overLoad)
+			x.SetSlowdown(1.3 / overLoad)
 		}
 		pause(ctx, s.span)
 		for _, x := range s.lower.servers {
-			x.Slower(1)
+			x.SetSlowdown(1)
 		}
 	}},
 	// The upper tier's servers start anew one after the other: told to drain, gone, back cold.
@@ -163,11 +163,11 @@
 		}
 		of := r.records.Classes[class]
 		of.Deadline = left
-		return c.Do(fake.Stream{Name: "down", Host: lowerHost, Class: of, Body: 100}).Status == 200
+		return c.Do(fake.Stream{Name: "down", Host: lowerHost, Class: of, BodyBytes: 100}).Status == 200
 	}
-	cfg := fake.ServerConfig{Slots: 4, Queue: 300, Work: 60 * time.Millisecond, Cold: cold, Zone: "a", Stubborn: true, Choke: 0.02}
+	cfg := fake.ServerConfig{Concurrency: 4, QueueLimit: 300, ServiceTime: 60 * time.Millisecond, SlowStart: cold, Zone: "a", IgnoreDisconnects: true, QueueSlowdown: 0.02}
 	up := cfg
-	up.Slots, up.Work, up.Next = 40, 20*time.Millisecond, next
+	up.Concurrency, up.ServiceTime, up.CallDownstream = 40, 20*time.Millisecond, next
 	s = &overloaded{r: r}
 	many := func(c fake.ServerConfig) (l []fake.ServerConfig) {
 		for range overServer {
@@ -209,7 +209,7 @@
 // referOverload plays a shape through a reference. What that breaks is not the program's, so its records
 // are its own.
 func (r *environment) referOverload(ctx context.Context, shape overloadShape, name string, limit int) (overloadRow, error) {
-	own := &environment{options: r.options, rng: r.rng, records: fake.NewRecords(allClasses...), keys: fake.NewKeys(), err: r.err}
+	own := &environment{options: r.options, rng: r.rng, records: fake.NewRecorder(allClasses...), keys: fake.NewKeyStore(), err: r.err}
 	defer own.close()
 	s, at, err := own.tiers(name + "-")
 	if err != nil {
@@ -233,14 +233,14 @@
 
 // goodput is the share of a stream's requests sent within a span that were answered within the aim; of all
 // streams whose names begin so.
-func goodput(v fake.View, stream string, from, to time.Duration) float64 {
+func goodput(v fake.History, stream string, from, to time.Duration) float64 {
 	n, ok := 0, 0
 	for _, x := range v.Exchanges {
-		if !strings.HasPrefix(x.Stream, stream) || x.Sent < from || x.Sent >= to {
+		if !strings.HasPrefix(x.Stream, stream) || x.SentAt < from || x.SentAt >= to {
 			continue
 		}
 		n++
-		if x.Status == 200 && x.Answered-x.Sent <= overAim {
+		if x.Status == 200 && x.AnsweredAt-x.SentAt <= overAim {
 			ok++
 		}
 	}
@@ -261,7 +261,7 @@
 		return overloadRow{}, err
 	}
 	end := start + r.length
-	v := r.records.View()
+	v := r.records.History()
 	good := func(from, to time.Duration, stream string) float64 { return goodput(v, stream, from, to) }
 	row := overloadRow{name: name, before: good(start, from, "up-"), during: good(from, to, "up-"), after: good(to, end, "up-"), worst: 1}
 	if from == start {
--- a/internal/drill/pools.go
+++ b/internal/drill/pools.go
@@ -19,8 +19,8 @@
 
 // The servers of the pools: few and slow ones for the pool that is flooded, quick ones for the others.
 var (
-	floodedServer = fake.ServerConfig{Slots: 2, Queue: 4, Work: 40 * time.Millisecond, Choke: 0.05, Cold: cold, Zone: "a"}
-	quickServer   = fake.ServerConfig{Slots: 8, Queue: 16, Work: 10 * time.Millisecond, Cold: cold, Zone: "a"}
+	floodedServer = fake.ServerConfig{Concurrency: 2, QueueLimit: 4, ServiceTime: 40 * time.Millisecond, QueueSlowdown: 0.05, SlowStart: cold, Zone: "a"}
+	quickServer   = fake.ServerConfig{Concurrency: 8, QueueLimit: 16, ServiceTime: 10 * time.Millisecond, SlowStart: cold, Zone: "a"}
 )
 
 // pools runs five services in one process and lets four of them suffer in their ways: a flood of 20
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	capacity := float64(floodedServer.Slots) / floodedServer.Work.Seconds() * float64(len(groups["intake"].servers))
+	capacity := float64(floodedServer.Concurrency) / floodedServer.ServiceTime.Seconds() * float64(len(groups["intake"].servers))
 	phase := r.length / phases
 	start := r.records.Now()
 	var faults sync.WaitGroup
@@ -41,7 +41,7 @@
 	}
 	few := func(host string, c fake.Class) fake.Stream {
 		name, _, _ := strings.Cut(host, ".")
-		return fake.Stream{Name: name, Host: host, Class: c, Rate: 20, Most: 100}
+		return fake.Stream{Name: name, Host: host, Class: c, Rate: 20, MaxOpen: 100}
 	}
 	if err := r.play(ctx, &faults, calm(readClass), calm(sendClass), calm(orderClass),
 		few(intakeHost, orderClass),
@@ -49,7 +49,7 @@
 		few("dark.example.org", readClass), few("dark.example.org", orderClass)); err != nil {
 		return err
 	}
-	v := r.records.View()
+	v := r.records.History()
 	r.judgeCalmPool(v, start, phase)
 	r.reportFlood(v, (phase * (phases / 2)).Seconds(), capacity)
 	r.tables = append(r.tables, streamTable(v))
@@ -83,7 +83,7 @@
 		s.SetMode(fake.Hanging)
 	}
 	for _, s := range groups["refusing"].servers {
-		s.SetMode(fake.Refusing)
+		s.SetMode(fake.Rejecting)
 	}
 	groups["dark"].registry.Down()
 	if err := r.start(file + routes); err != nil {
@@ -97,8 +97,8 @@
 	for i := 1; i < phases; i += 2 {
 		r.at(ctx, faults, float64(i)/phases, func() {
 			flood := []fake.Stream{
-				{Name: "flood", Host: intakeHost, Class: readClass, Rate: rate / 2, For: phase, Most: 300},
-				{Name: "flood", Host: intakeHost, Class: sendClass, Rate: rate / 2, For: phase, Most: 300, Body: 1000},
+				{Name: "flood", Host: intakeHost, Class: readClass, Rate: rate / 2, Duration: phase, MaxOpen: 300},
+				{Name: "flood", Host: intakeHost, Class: sendClass, Rate: rate / 2, Duration: phase, MaxOpen: 300, BodyBytes: 1000},
 			}
 			r.callers.Run(ctx, flood...)
 		})
@@ -106,11 +106,11 @@
 }
 
 // judgeCalmPool compares what the calm pool served with and without the flood.
-func (r *environment) judgeCalmPool(v fake.View, start, phase time.Duration) {
+func (r *environment) judgeCalmPool(v fake.History, start, phase time.Duration) {
 	// The first moments of a phase belong to neither.
 	in := func(flooded bool) func(fake.Exchange) bool {
 		return func(x fake.Exchange) bool {
-			at := x.Sent - start
+			at := x.SentAt - start
 			i := int(at / phase)
 			return x.Stream == "calm" && i < phases && (i%2 == 1) == flooded && at-time.Duration(i)*phase > phase/10
 		}
@@ -149,7 +149,7 @@
 }
 
 // reportFlood reports how much of the flood came and was served, over the seconds that it lasted.
-func (r *environment) reportFlood(v fake.View, seconds, capacity float64) {
+func (r *environment) reportFlood(v fake.History, seconds, capacity float64) {
 	offered, served := 0, 0
 	for _, x := range v.Exchanges {
 		if x.Stream == "flood" {
--- a/internal/drill/reload.go
+++ b/internal/drill/reload.go
@@ -36,7 +36,7 @@
 		over()
 	})
 	stream := func(host string, class fake.Class, rate float64) fake.Stream {
-		return fake.Stream{Name: strings.SplitN(host, ".", 2)[0], Host: host, Class: class, Rate: rate, Body: 100}
+		return fake.Stream{Name: strings.SplitN(host, ".", 2)[0], Host: host, Class: class, Rate: rate, BodyBytes: 100}
 	}
 	if err := r.play(ctx, &faults, stream("a.example.org", readClass, 60), stream("a.example.org", orderClass, 30),
 		stream("b.example.org", sendClass, 60), stream("b.example.org", cellClass, 30),
@@ -49,7 +49,7 @@
 	if err := r.judgeResources(f, before, residentBefore); err != nil {
 		return err
 	}
-	v := r.records.View()
+	v := r.records.History()
 	r.judgeRouted(v)
 	r.tables = append(r.tables, streamTable(v), serverTable(v))
 	return nil
@@ -142,7 +142,7 @@
 }
 
 // judgeRouted counts requests that were refused for want of a pool although their host always had one.
-func (r *environment) judgeRouted(v fake.View) {
+func (r *environment) judgeRouted(v fake.History) {
 	wrong := 0
 	for _, x := range v.Exchanges {
 		if x.Status == 404 && x.Stream != "c" || x.Status == 409 || x.Status == 400 {
--- a/internal/drill/tenants.go
+++ b/internal/drill/tenants.go
@@ -30,13 +30,13 @@
 // Each pool has three such servers.
 const tenantServers = 3
 
-var tenantServer = fake.ServerConfig{Slots: 4, Queue: 100, Work: 50 * time.Millisecond, Cold: cold, Zone: "a", Stubborn: true}
+var tenantServer = fake.ServerConfig{Concurrency: 4, QueueLimit: 100, ServiceTime: 50 * time.Millisecond, SlowStart: cold, Zone: "a", IgnoreDisconnects: true}
 
 // overloadTenants has one tenant flood at three times what the servers can do, from a fifth of the drill on to
 // four fifths, beside three that keep within their quotas. The same servers and streams stand behind a pool
 // that knows of quotas, one that serves tenants by equal parts, and one that is told nothing.
 func overloadTenants(ctx context.Context, r *environment) error {
-	capacity := float64(tenantServer.Slots*tenantServers) / tenantServer.Work.Seconds()
+	capacity := float64(tenantServer.Concurrency*tenantServers) / tenantServer.ServiceTime.Seconds()
 	cases := tenantCases(capacity)
 	// Room for three floods at once, or the process's limit of calls refuses before any pool can weigh.
 	file, routes := "listen = [\"127.0.0.1:0\"]\nlimits = { descriptors = 4096 }\n", ""
@@ -54,7 +54,7 @@
 		streams = append(streams, fake.Stream{Name: c.name + "/flood", Host: g.host, Class: readClass, Account: "flood", Rate: 0.1 * capacity})
 	}
 	if r.violation != "" { // what must not run twice, for the breach that runs it twice
-		streams = append(streams, fake.Stream{Name: "order", Host: r.groups[0].host, Class: orderClass, Rate: 10, Body: 100})
+		streams = append(streams, fake.Stream{Name: "order", Host: r.groups[0].host, Class: orderClass, Rate: 10, BodyBytes: 100})
 	}
 	if err := r.start(file + routes); err != nil {
 		return err
@@ -70,7 +70,7 @@
 	if err := r.play(ctx, &faults, streams...); err != nil {
 		return err
 	}
-	r.reportTenants(r.records.View(), cases, start)
+	r.reportTenants(r.records.History(), cases, start)
 	return nil
 }
 
@@ -93,7 +93,7 @@
 	for _, g := range r.groups {
 		l = append(l, fake.Stream{
 			Name: g.name + "/flood", Host: g.host, Class: readClass, Account: "flood",
-			Rate: rate, For: r.part(floodTo - floodFrom), Most: 3000,
+			Rate: rate, Duration: r.part(floodTo - floodFrom), MaxOpen: 3000,
 		})
 	}
 	r.callers.Run(ctx, l...)
@@ -103,7 +103,7 @@
 func (r *environment) part(x float64) time.Duration { return time.Duration(x * float64(r.length)) }
 
 // reportTenants reports the goodput of the calm tenants and of the flood for each case.
-func (r *environment) reportTenants(v fake.View, cases []tenantCase, start time.Duration) {
+func (r *environment) reportTenants(v fake.History, cases []tenantCase, start time.Duration) {
 	from, to := start+r.part(floodFrom), start+r.part(floodTo)
 	var b strings.Builder
 	t := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
--- a/internal/drill/tour.go
+++ b/internal/drill/tour.go
@@ -36,13 +36,13 @@
 	}
 	err = r.play(ctx, &faults,
 		fake.Stream{Host: host, Class: readClass, Rate: 120},
-		fake.Stream{Host: host, Class: sendClass, Rate: 60, Body: 200},
-		fake.Stream{Host: host, Class: cellClass, Rate: 30, Body: 2000},
-		fake.Stream{Host: host, Class: orderClass, Rate: 30, Body: 500})
+		fake.Stream{Host: host, Class: sendClass, Rate: 60, BodyBytes: 200},
+		fake.Stream{Host: host, Class: cellClass, Rate: 30, BodyBytes: 2000},
+		fake.Stream{Host: host, Class: orderClass, Rate: 30, BodyBytes: 500})
 	if err != nil {
 		return err
 	}
-	v := r.records.View()
+	v := r.records.History()
 	r.tables = append(r.tables, streamTable(v), serverTable(v))
 	return nil
 }
--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -38,9 +38,9 @@
 	case <-ctx.Done():
 	}
 	if len(r.proxies) > 0 {
-		r.proxies[0].Lose(3)
+		r.proxies[0].DropResponses(3)
 	} else {
-		r.relay.Lose(3)
+		r.relay.DropResponses(3)
 	}
 	return nil
 }
@@ -48,7 +48,7 @@
 // awaitServed waits for a request of a class that was served, and says at which server and host.
 func (r *environment) awaitServed(classes ...fake.Class) (x fake.Exchange, a fake.Arrival, c fake.Class, err error) {
 	if !testfleet.Await(minViolationTime, func() bool {
-		v := r.records.View()
+		v := r.records.History()
 		ends := map[string]fake.Exchange{}
 		for _, x := range v.Exchanges {
 			if x.Status == 200 {
@@ -103,10 +103,10 @@
 // awaitListed waits until the node has been told of a server's state.
 func (r *environment) awaitListed(server string, gone bool, boot int) error {
 	if !testfleet.Await(minViolationTime, func() bool {
-		l := r.records.View().Told
+		l := r.records.History().Updates
 		for i := len(l) - 1; i >= 0; i-- {
 			if l[i].Server == server {
-				return l[i].Gone == gone && l[i].Boot == boot
+				return l[i].Withdrawn == gone && l[i].Incarnation == boot
 			}
 		}
 		return false
@@ -125,7 +125,7 @@
 	g := r.groupOf(a.Host)
 	s := g.servers[len(g.servers)-1]
 	g.list(s, "DRAINING")
-	boot, _ := s.Boot()
+	boot, _ := s.Incarnation()
 	if err := r.awaitListed(s.ID(), true, boot); err != nil {
 		return err
 	}
@@ -154,12 +154,12 @@
 		return err
 	}
 	g.list(s, "SERVING")
-	boot, _ := s.Boot()
+	boot, _ := s.Incarnation()
 	if err := r.awaitListed(s.ID(), false, boot); err != nil {
 		return err
 	}
 	cfg := s.Config()
-	most := cold.Multiple * cold.For.Seconds() * float64(cfg.Slots) / cfg.Work.Seconds()
+	most := cold.OverloadFactor * cold.OverloadWindow.Seconds() * float64(cfg.Concurrency) / cfg.ServiceTime.Seconds()
 	// Enough even for a warm one, and from many sides, for it must come within the span on a busy machine too.
 	const sides = 16
 	var all sync.WaitGroup
--- a/internal/drill/xds.go
+++ b/internal/drill/xds.go
@@ -23,20 +23,20 @@
 type planeGroup struct {
 	*serverGroup
 	r     *environment
-	plane *fakexds.Plane
+	plane *fakexds.ControlPlane
 
 	mu      sync.Mutex // guards all below; held over a change of the plane, so that a write finds it noted
 	states  map[string]corev3.HealthStatus
 	removed map[string]bool
-	pending map[string][]fake.Told // by the version that tells it
-	newest  int                    // of the versions noted
+	pending map[string][]fake.ListUpdate // by the version that tells it
+	newest  int                          // of the versions noted
 }
 
 // planeGroup starts servers that a control plane lists as a cluster.
-func (r *environment) planeGroup(plane *fakexds.Plane, name, host string, servers ...fake.ServerConfig) (*planeGroup, error) {
+func (r *environment) planeGroup(plane *fakexds.ControlPlane, name, host string, servers ...fake.ServerConfig) (*planeGroup, error) {
 	g := &planeGroup{
 		serverGroup: &serverGroup{name: name, host: host}, r: r, plane: plane, states: map[string]corev3.HealthStatus{},
-		removed: map[string]bool{}, pending: map[string][]fake.Told{},
+		removed: map[string]bool{}, pending: map[string][]fake.ListUpdate{},
 	}
 	r.groups = append(r.groups, g.serverGroup)
 	g.serverGroup.list = func(s *fake.Server, state string) {
@@ -78,12 +78,12 @@
 func (g *planeGroup) change(f func() []*fake.Server) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var told []fake.Told
+	var told []fake.ListUpdate
 	for _, s := range f() {
-		boot, _ := s.Boot()
-		told = append(told, fake.Told{
-			List: g.host, Server: s.ID(), Boot: boot,
-			Gone: g.removed[s.ID()] || g.states[s.ID()] == corev3.HealthStatus_DRAINING,
+		boot, _ := s.Incarnation()
+		told = append(told, fake.ListUpdate{
+			List: g.host, Server: s.ID(), Incarnation: boot,
+			Withdrawn: g.removed[s.ID()] || g.states[s.ID()] == corev3.HealthStatus_DRAINING,
 		})
 	}
 	version := g.plane.Set(resource.EndpointURL, map[string]proto.Message{g.name: g.assignment()})
@@ -108,7 +108,7 @@
 	slices.Sort(due)
 	for _, k := range due {
 		v := fmt.Sprint(k)
-		g.r.records.Tell(g.pending[v]...)
+		g.r.records.RecordUpdates(g.pending[v]...)
 		delete(g.pending, v)
 	}
 }
@@ -127,7 +127,7 @@
 			by[cfg.Zone] = l
 			a.Endpoints = append(a.Endpoints, l)
 		}
-		_, ms := s.Boot()
+		_, ms := s.Incarnation()
 		l.LbEndpoints = append(l.LbEndpoints, &endpointv3.LbEndpoint{
 			HealthStatus:   g.states[cfg.ID],
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Address: resource.Address(s.Addr())}},
@@ -140,7 +140,7 @@
 }
 
 // xdsText is the operator's file's part that names control planes.
-func xdsText(delta bool, planes ...*fakexds.Plane) string {
+func xdsText(delta bool, planes ...*fakexds.ControlPlane) string {
 	variant := map[bool]string{true: "delta", false: "sotw"}[delta]
 	text := fmt.Sprintf("\n[xds]\nvariant = %q\nempty_grace = \"5s\"\nservers = [", variant)
 	for _, p := range planes {
@@ -150,7 +150,7 @@
 }
 
 // watchWrites has every write of a control plane noted by the groups it lists.
-func watchWrites(plane *fakexds.Plane, groups ...*planeGroup) {
+func watchWrites(plane *fakexds.ControlPlane, groups ...*planeGroup) {
 	plane.OnWrite(func(typeURL, version string) {
 		if typeURL == resource.EndpointURL {
 			for _, g := range groups {
@@ -199,19 +199,19 @@
 	}) {
 		return fmt.Errorf("nothing is served by the control plane's list")
 	}
-	cpu := r.node.CPU()
+	cpu := r.node.CPUTime()
 	var faults sync.WaitGroup
 	changes := 0
 	playing, over := context.WithTimeout(ctx, r.length)
 	defer over()
 	faults.Go(func() { changes = r.drainRecentlyUsed(playing, g) })
 	if err := r.play(ctx, &faults, fake.Stream{Host: host, Class: readClass, Rate: 150},
-		fake.Stream{Host: host, Class: sendClass, Rate: 100, Body: 100},
-		fake.Stream{Host: host, Class: orderClass, Rate: 50, Body: 100}); err != nil {
+		fake.Stream{Host: host, Class: sendClass, Rate: 100, BodyBytes: 100},
+		fake.Stream{Host: host, Class: orderClass, Rate: 50, BodyBytes: 100}); err != nil {
 		return err
 	}
 	_, resident := r.node.Resources()
-	v := r.records.View()
+	v := r.records.History()
 	after := afterDrains(v)
 	r.addFigure("variant", map[bool]string{true: "delta", false: "state of the world"}[delta], "")
 	r.addFigure("endpoints", len(g.servers), "in the assignment")
@@ -219,7 +219,7 @@
 	r.addFigure("drains", len(after), "servers drained or removed")
 	r.addFigure("after_drain_max_ms", quantile(after, 1), "from the write to the last first byte at the server; 250 is allowed")
 	r.addFigure("after_drain_p99_ms", quantile(after, 0.99), "")
-	r.addFigure("cpu_share", (r.node.CPU()-cpu).Seconds()/r.length.Seconds(), "of one core, by the program")
+	r.addFigure("cpu_share", (r.node.CPUTime()-cpu).Seconds()/r.length.Seconds(), "of one core, by the program")
 	r.addFigure("resident_start_kb", residentBefore, "of the program, before the list")
 	r.addFigure("resident_end_kb", resident, "")
 	if len(after) == 0 && r.violation == "" {
@@ -248,7 +248,7 @@
 		case <-ctx.Done():
 			return changes
 		}
-		recent := r.records.Recent(3)
+		recent := r.records.RecentArrivals(3)
 		g.change(func() (news []*fake.Server) {
 			for _, a := range recent {
 				if s := byID[a.Server]; !out[a.Server] {
@@ -284,16 +284,16 @@
 
 // afterDrains is, for each time that a server was told to be gone, how long after that the last request
 // reached it, sorted; 0 for none.
-func afterDrains(v fake.View) []time.Duration {
+func afterDrains(v fake.History) []time.Duration {
 	type span struct{ from, to time.Duration }
 	spans := map[string][]span{}
-	for _, t := range v.Told {
+	for _, t := range v.Updates {
 		l := spans[t.Server]
 		open := len(l) > 0 && l[len(l)-1].to == 0
 		switch {
-		case t.Gone && !open:
+		case t.Withdrawn && !open:
 			spans[t.Server] = append(l, span{from: t.At})
-		case !t.Gone && open:
+		case !t.Withdrawn && open:
 			l[len(l)-1].to = t.At
 		}
 	}
@@ -303,8 +303,8 @@
 	}
 	for _, a := range v.Arrivals {
 		for i, s := range spans[a.Server] {
-			if a.First >= s.from && (s.to == 0 || a.First < s.to) {
-				last[a.Server][i] = max(last[a.Server][i], a.First-s.from)
+			if a.FirstByteAt >= s.from && (s.to == 0 || a.FirstByteAt < s.to) {
+				last[a.Server][i] = max(last[a.Server][i], a.FirstByteAt-s.from)
 			}
 		}
 	}
--- a/internal/drill/xdschaos.go
+++ b/internal/drill/xdschaos.go
@@ -38,26 +38,26 @@
 	var streams []fake.Stream
 	for _, g := range chaos.groups {
 		for _, c := range []fake.Class{readClass, sendClass, cellClass, orderClass} {
-			streams = append(streams, fake.Stream{Name: g.name, Host: g.host, Class: c, Rate: 25, Body: 100})
+			streams = append(streams, fake.Stream{Name: g.name, Host: g.host, Class: c, Rate: 25, BodyBytes: 100})
 		}
 	}
 	if err := r.play(ctx, &faults, streams...); err != nil {
 		return err
 	}
-	chaos.judge(r.records.View())
+	chaos.judge(r.records.History())
 	return nil
 }
 
 // planeChaos is what a control plane does wrong, and to whom.
 type planeChaos struct {
 	r      *environment
-	plane  *fakexds.Plane
+	plane  *fakexds.ControlPlane
 	groups []*planeGroup
 	done   map[string]int // how often, by the action's name
 }
 
 // start starts three groups of servers, which both control planes are to tell, and the program while both are down.
-func (c *planeChaos) start(second *fakexds.Plane) error {
+func (c *planeChaos) start(second *fakexds.ControlPlane) error {
 	file := "listen = [\"127.0.0.1:0\"]\nlimits = { cores = 1 }\n" + xdsText(c.r.seed%2 == 1, c.plane, second)
 	routes := ""
 	for _, name := range []string{"a", "b", "c"} {
@@ -111,7 +111,7 @@
 func (c *planeChaos) flap() {
 	for range 8 {
 		time.Sleep(100 * time.Millisecond)
-		c.plane.Break()
+		c.plane.BreakStreams()
 	}
 }
 
@@ -165,10 +165,10 @@
 
 func (c *planeChaos) fallSilent() {
 	c.plane.SetSilent(true)
-	c.plane.Break()
+	c.plane.BreakStreams()
 	time.Sleep(400 * time.Millisecond)
 	c.plane.SetSilent(false)
-	c.plane.Break()
+	c.plane.BreakStreams()
 }
 
 // play does one thing after the other until ctx ends; with a violation asked for, only the first.
@@ -193,13 +193,13 @@
 }
 
 // judge reports what was done, and wants nearly all requests served, for the servers worked all the time.
-func (c *planeChaos) judge(v fake.View) {
+func (c *planeChaos) judge(v fake.History) {
 	total := 0
 	for _, n := range c.done {
 		total += n
 	}
 	c.r.addFigure("deeds", total, fmt.Sprint("of the control plane: ", c.done))
-	c.r.addFigure("streams", c.plane.Opened(), "that the program opened to it")
+	c.r.addFigure("streams", c.plane.StreamsOpened(), "that the program opened to it")
 	c.r.addFigure("after_drain_max_ms", quantile(afterDrains(v), 1), "")
 	served := 0
 	for _, x := range v.Exchanges {
--- a/internal/drill/xdssize.go
+++ b/internal/drill/xdssize.go
@@ -39,10 +39,10 @@
 	}
 	const settled = time.Second
 	time.Sleep(settled)
-	idle := r.node.CPU()
+	idle := r.node.CPUTime()
 	time.Sleep(settled)
-	idle = r.node.CPU() - idle // what the program costs a second without changes
-	before, cpu, start := acknowledged(), r.node.CPU(), time.Now()
+	idle = r.node.CPUTime() - idle // what the program costs a second without changes
+	before, cpu, start := acknowledged(), r.node.CPUTime(), time.Now()
 	_, early := r.node.Resources()
 	changes, err := r.changeEndpoints(ctx, plane, assignments, start)
 	if err != nil {
@@ -51,7 +51,7 @@
 	if !testfleet.Await(10*time.Second, func() bool { return acknowledged()-before >= changes }) {
 		r.failf("%d changes, and %d acknowledged", changes, acknowledged()-before)
 	}
-	used := r.node.CPU() - cpu - time.Duration(time.Since(start).Seconds()*float64(idle)/settled.Seconds())
+	used := r.node.CPUTime() - cpu - time.Duration(time.Since(start).Seconds()*float64(idle)/settled.Seconds())
 	_, late := r.node.Resources()
 	r.addFigure("clusters", sizeClusters, fmt.Sprintf("each a pool of %d endpoints", sizeEndpoints))
 	r.addFigure("changes", changes, "of one endpoint each")
@@ -67,7 +67,7 @@
 
 // startManyClusters has the control plane tell all clusters, starts the program with a pool for each, and returns the
 // assignments by the clusters' numbers.
-func (r *environment) startManyClusters(plane *fakexds.Plane) ([]*endpointv3.ClusterLoadAssignment, error) {
+func (r *environment) startManyClusters(plane *fakexds.ControlPlane) ([]*endpointv3.ClusterLoadAssignment, error) {
 	file := "listen = [\"127.0.0.1:0\"]\nlimits = { cores = 1, memory_mb = 192, descriptors = 4096 }\n" + xdsText(r.seed%2 == 1, plane)
 	routes := ""
 	assignments := make([]*endpointv3.ClusterLoadAssignment, sizeClusters)
@@ -96,7 +96,7 @@
 }
 
 // acknowledgements counts the assignments' acknowledgements; a rejection is a failure of the drill.
-func (r *environment) acknowledgements(plane *fakexds.Plane) (n int) {
+func (r *environment) acknowledgements(plane *fakexds.ControlPlane) (n int) {
 	for _, q := range plane.Requests() {
 		if q.SotW.GetTypeUrl() == resource.EndpointURL && q.SotW.GetResponseNonce() != "" ||
 			q.Delta.GetTypeUrl() == resource.EndpointURL && q.Delta.GetResponseNonce() != "" {
@@ -110,7 +110,7 @@
 }
 
 // changeEndpoints drains an endpoint, or brings it back, at sizeRate for the drill's length, and returns how often.
-func (r *environment) changeEndpoints(ctx context.Context, plane *fakexds.Plane, assignments []*endpointv3.ClusterLoadAssignment,
+func (r *environment) changeEndpoints(ctx context.Context, plane *fakexds.ControlPlane, assignments []*endpointv3.ClusterLoadAssignment,
 	start time.Time,
 ) (changes int, err error) {
 	tick := time.NewTicker(time.Second / sizeRate)
--- a/internal/drill/zones.go
+++ b/internal/drill/zones.go
@@ -48,9 +48,9 @@
 		r.disturbHomeZone(ctx, &faults, g)
 	}
 	if err := r.play(ctx, &faults, fake.Stream{Host: zonesHost, Class: readClass, Rate: 150, Account: "acme"},
-		fake.Stream{Host: zonesHost, Class: orderClass, Rate: 20, Body: 500},
-		fake.Stream{Host: zonesHost, Class: sendClass, Rate: 30, Body: 200, Account: "beta"},
-		fake.Stream{Host: zonesHost, Class: cellClass, Rate: 20, Body: 100}); err != nil {
+		fake.Stream{Host: zonesHost, Class: orderClass, Rate: 20, BodyBytes: 500},
+		fake.Stream{Host: zonesHost, Class: sendClass, Rate: 30, BodyBytes: 200, Account: "beta"},
+		fake.Stream{Host: zonesHost, Class: cellClass, Rate: 20, BodyBytes: 100}); err != nil {
 		return err
 	}
 	r.node.Stop() // what it holds is in the file now
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	v := r.records.View()
+	v := r.records.History()
 	r.compareZoneAccount(account, v)
 	r.reportZoneShares(v, start)
 	r.judgeZoneBudget(v)
@@ -73,7 +73,7 @@
 	}{{zonesHome, 0}, {"b", 3 * time.Millisecond}, {"c", 8 * time.Millisecond}} {
 		for i := range serversPerZone {
 			s := inCell(usual, i/2)
-			s.Zone, s.Way = z.zone, z.latency
+			s.Zone, s.ResponseDelay = z.zone, z.latency
 			servers = append(servers, s)
 		}
 	}
@@ -108,7 +108,7 @@
 	slow := func(factor float64) func() {
 		return func() {
 			for _, s := range home {
-				s.Slower(factor)
+				s.SetSlowdown(factor)
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 }
 
 // compareZoneAccount holds the program's account against what the servers of each zone saw.
-func (r *environment) compareZoneAccount(account zonereport.Report, v fake.View) {
+func (r *environment) compareZoneAccount(account zonereport.Report, v fake.History) {
 	seen := zoneTrafficSeen(v)
 	allServed := !slices.ContainsFunc(v.Exchanges, func(x fake.Exchange) bool { return x.Status != 200 })
 	var b strings.Builder
@@ -159,13 +159,13 @@
 }
 
 // zoneTrafficSeen is what the servers of each zone saw.
-func zoneTrafficSeen(v fake.View) map[string]zoneTraffic {
+func zoneTrafficSeen(v fake.History) map[string]zoneTraffic {
 	seen := map[string]zoneTraffic{}
 	for _, a := range v.Arrivals {
 		s := seen[a.Zone]
-		s.requests, s.out = s.requests+1, s.out+a.Bytes
-		if a.Answered >= 0 {
-			s.in += a.Answered
+		s.requests, s.out = s.requests+1, s.out+a.RequestBytes
+		if a.ResponseBytes >= 0 {
+			s.in += a.ResponseBytes
 		}
 		seen[a.Zone] = s
 	}
@@ -191,12 +191,12 @@
 }
 
 // reportZoneShares reports the share of attempts away from home in each phase of the drill.
-func (r *environment) reportZoneShares(v fake.View, start time.Duration) {
+func (r *environment) reportZoneShares(v fake.History, start time.Duration) {
 	at := func(x float64) time.Duration { return time.Duration(x * float64(r.length)) }
 	away := func(from, to float64) float64 {
 		all, crossed := 0, 0
 		for _, a := range v.Arrivals {
-			if since := a.First - start; since >= at(from) && since < at(to) {
+			if since := a.FirstByteAt - start; since >= at(from) && since < at(to) {
 				if all++; a.Zone != zonesHome {
 					crossed++
 				}
@@ -211,7 +211,7 @@
 }
 
 // judgeZoneBudget holds the requests to the nearest zone that its budget covers against the budget.
-func (r *environment) judgeZoneBudget(v fake.View) {
+func (r *environment) judgeZoneBudget(v fake.History) {
 	spent := map[string]bool{} // by request: a retry in the same zone counts once
 	for _, a := range v.Arrivals {
 		if a.Zone == "b" && a.Class != sendClass.Name {
--- a/internal/fake/grpc.go
+++ b/internal/fake/grpc.go
@@ -30,13 +30,13 @@
 // TowardsGRPC is a sidecar that takes HTTP/1.1 of callers and calls a node in gRPC, with the library's client: the
 // path is the method, the body the one message, and the messages of the answer together its body. A refusal with
 // RetryInfo is a 503 with Retry-After.
-func TowardsGRPC(node, authority string) (*Sidecar, error) {
+func NewGRPCClientGateway(node, authority string) (*Gateway, error) {
 	c, err := grpc.NewClient(node, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithAuthority(authority),
 		grpc.WithDefaultCallOptions(grpc.ForceCodec(bytesCodec{})), grpc.WithDisableRetry())
 	if err != nil {
 		return nil, fmt.Errorf("a sidecar: %w", err)
 	}
-	return serveSidecar(http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
+	return startGateway(http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
 		body, err := io.ReadAll(hr.Body)
 		if err != nil {
 			panic(http.ErrAbortHandler)
@@ -47,7 +47,7 @@
 				md.Set(name, v)
 			}
 		}
-		ctx, cancel := context.WithTimeout(metadata.NewOutgoingContext(hr.Context(), md), timeLeft(hr))
+		ctx, cancel := context.WithTimeout(metadata.NewOutgoingContext(hr.Context(), md), requestTimeLeft(hr))
 		defer cancel()
 		text, err := callGRPC(ctx, c, hr.URL.Path, body)
 		s := status.Convert(err)
@@ -107,7 +107,7 @@
 }
 
 // breaks are the ways in which an answer in gRPC goes wrong once the server has run the request.
-var breaks = []func(w http.ResponseWriter, text []byte){
+var faultyAnswers = []func(w http.ResponseWriter, text []byte){
 	func(w http.ResponseWriter, text []byte) { // midway
 		writeMessage(w, len(text), text[:len(text)/2])
 		panic(http.ErrAbortHandler)
@@ -143,11 +143,11 @@
 
 // BeforeGRPC is a sidecar that takes gRPC for a server that speaks HTTP/1.1: the answer's body comes in two messages.
 // What fails is reset, and says nothing. A share of the answers of requests that have run goes wrong.
-func BeforeGRPC(server string, seed uint64, broken float64) (*Sidecar, error) {
+func NewGRPCServerGateway(server string, seed uint64, broken float64) (*Gateway, error) {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 0x6bc))
 	onward := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
-	return serveSidecar(http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
+	return startGateway(http.HandlerFunc(func(w http.ResponseWriter, hr *http.Request) {
 		body, err := io.ReadAll(hr.Body)
 		if err != nil || len(body) < 5 || int(binary.BigEndian.Uint32(body[1:])) != len(body)-5 {
 			panic(http.ErrAbortHandler)
@@ -177,11 +177,11 @@
 		}
 		w.Header().Set("Content-Type", "application/grpc")
 		mu.Lock()
-		goesWrong, how := rng.Float64() < broken, rng.IntN(len(breaks))
+		goesWrong, how := rng.Float64() < broken, rng.IntN(len(faultyAnswers))
 		mu.Unlock()
 		switch {
 		case resp.StatusCode == http.StatusOK && goesWrong && len(text) > 1:
-			breaks[how](w, text)
+			faultyAnswers[how](w, text)
 		case resp.StatusCode == http.StatusOK:
 			half := len(text) / 2
 			writeMessage(w, half, text[:half])
--- a/internal/fake/proxy/compile.go
+++ b/internal/fake/proxy/compile.go
@@ -31,39 +31,39 @@
 	if err != nil {
 		return fmt.Errorf("the proxy's configuration: %w", err)
 	}
-	p.clusters, p.inner = map[string]*cluster{}, map[string]*manager{}
+	p.clusters, p.internalListeners = map[string]*cluster{}, map[string]*connectionManager{}
 	for _, c := range b.GetStaticResources().GetClusters() {
-		x, err := p.cluster(c)
+		x, err := p.compileCluster(c)
 		if err != nil {
 			return fmt.Errorf("cluster %s: %w", c.GetName(), err)
 		}
 		p.clusters[c.GetName()] = x
 	}
 	for _, l := range b.GetStaticResources().GetListeners() {
-		m, err := p.listener(l)
+		m, err := p.compileListener(l)
 		if err != nil {
 			return fmt.Errorf("listener %s: %w", l.GetName(), err)
 		}
 		switch {
 		case m.internal:
-			p.inner[l.GetName()] = m
-		case p.entry != nil:
+			p.internalListeners[l.GetName()] = m
+		case p.downstream != nil:
 			return fmt.Errorf("listener %s: a second one for callers", l.GetName())
 		default:
-			p.entry = m
+			p.downstream = m
 		}
 	}
-	if p.entry == nil {
+	if p.downstream == nil {
 		return errors.New("no listener for callers")
 	}
 	for _, c := range p.clusters {
-		if c.leads != "" && p.inner[c.leads] == nil {
-			return fmt.Errorf("there is no internal listener %s", c.leads)
+		if c.internalListener != "" && p.internalListeners[c.internalListener] == nil {
+			return fmt.Errorf("there is no internal listener %s", c.internalListener)
 		}
 	}
 	processor := ""
-	for _, a := range p.askers {
-		c := p.clusters[a.of]
+	for _, a := range p.processorFilters {
+		c := p.clusters[a.cluster]
 		if c == nil || len(c.hosts) == 0 || processor != "" && c.hosts[0] != processor {
 			return errors.New("the processor's cluster has no address, or there are several")
 		}
@@ -76,34 +76,36 @@
 	return nil
 }
 
-func is(a *anypb.Any, m proto.Message) bool { return a.MessageIs(m) && a.UnmarshalTo(m) == nil }
+func unmarshalsTo(a *anypb.Any, m proto.Message) bool {
+	return a.MessageIs(m) && a.UnmarshalTo(m) == nil
+}
 
-func (p *Proxy) listener(l *listenerv3.Listener) (*manager, error) {
+func (p *Proxy) compileListener(l *listenerv3.Listener) (*connectionManager, error) {
 	chains := l.GetFilterChains()
 	if len(chains) != 1 || len(chains[0].GetFilters()) != 1 {
 		return nil, errors.New("not one filter chain of one filter")
 	}
 	h := &hcmv3.HttpConnectionManager{}
-	if !is(chains[0].GetFilters()[0].GetTypedConfig(), h) {
+	if !unmarshalsTo(chains[0].GetFilters()[0].GetTypedConfig(), h) {
 		return nil, errors.New("no HTTP connection manager")
 	}
-	m := &manager{
-		p: p, internal: l.GetInternalListener() != nil, remote: h.GetUseRemoteAddress().GetValue(),
-		preserve: h.GetPreserveExternalRequestId(), ids: h.GetGenerateRequestId() == nil || h.GetGenerateRequestId().GetValue(),
-		hosts: h.GetRouteConfig().GetVirtualHosts(),
+	m := &connectionManager{
+		proxy: p, internal: l.GetInternalListener() != nil, useRemoteAddress: h.GetUseRemoteAddress().GetValue(),
+		preserveRequestID: h.GetPreserveExternalRequestId(), generateRequestID: h.GetGenerateRequestId() == nil || h.GetGenerateRequestId().GetValue(),
+		virtualHosts: h.GetRouteConfig().GetVirtualHosts(),
 	}
 	for _, x := range h.GetRouteConfig().GetInternalOnlyHeaders() {
-		m.only = append(m.only, strings.ToLower(x))
+		m.internalOnlyHeaders = append(m.internalOnlyHeaders, strings.ToLower(x))
 	}
 	routed := false
 	for _, f := range h.GetHttpFilters() {
 		x := &extprocv3.ExternalProcessor{}
 		switch {
-		case is(f.GetTypedConfig(), &routerv3.Router{}):
+		case unmarshalsTo(f.GetTypedConfig(), &routerv3.Router{}):
 			routed = true
 		case routed: // the router ends the chain: what stands behind it never runs
-		case is(f.GetTypedConfig(), x):
-			a, err := p.asker(x)
+		case unmarshalsTo(f.GetTypedConfig(), x):
+			a, err := p.newProcessorFilter(x)
 			if err != nil {
 				return nil, err
 			}
@@ -115,9 +117,9 @@
 	if !routed {
 		return nil, errors.New("no router filter")
 	}
-	for _, vh := range m.hosts {
+	for _, vh := range m.virtualHosts {
 		for _, r := range vh.GetRoutes() {
-			if err := p.known(r); err != nil {
+			if err := p.checkRoute(r); err != nil {
 				return nil, err
 			}
 		}
@@ -126,7 +128,7 @@
 }
 
 // known refuses a route with more in it than is modelled.
-func (p *Proxy) known(r *routev3.Route) error {
+func (p *Proxy) checkRoute(r *routev3.Route) error {
 	a := r.GetRoute()
 	switch {
 	case a == nil:
@@ -157,31 +159,31 @@
 	return strings.FieldsFunc(p.GetRetryOn(), func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-func (p *Proxy) asker(x *extprocv3.ExternalProcessor) (*asker, error) {
+func (p *Proxy) newProcessorFilter(x *extprocv3.ExternalProcessor) (*processorFilter, error) {
 	mode := x.GetProcessingMode()
 	for _, m := range []extprocv3.ProcessingMode_BodySendMode{mode.GetRequestBodyMode(), mode.GetResponseBodyMode()} {
 		if m != extprocv3.ProcessingMode_NONE {
 			return nil, fmt.Errorf("body mode %v is not modelled", m)
 		}
 	}
-	a := &asker{p: p, cfg: x, wait: 200 * time.Millisecond, of: x.GetGrpcService().GetEnvoyGrpc().GetClusterName()}
-	p.askers = append(p.askers, a)
+	a := &processorFilter{proxy: p, config: x, messageTimeout: 200 * time.Millisecond, cluster: x.GetGrpcService().GetEnvoyGrpc().GetClusterName()}
+	p.processorFilters = append(p.processorFilters, a)
 	if x.GetMessageTimeout() != nil {
-		a.wait = x.GetMessageTimeout().AsDuration()
+		a.messageTimeout = x.GetMessageTimeout().AsDuration()
 	}
 	return a, nil
 }
 
-func (p *Proxy) cluster(c *clusterv3.Cluster) (*cluster, error) {
-	x := &cluster{p: p, connect: 5 * time.Second}
+func (p *Proxy) compileCluster(c *clusterv3.Cluster) (*cluster, error) {
+	x := &cluster{proxy: p, connectTimeout: 5 * time.Second}
 	if c.GetConnectTimeout() != nil {
-		x.connect = c.GetConnectTimeout().AsDuration()
+		x.connectTimeout = c.GetConnectTimeout().AsDuration()
 	}
 	for _, e := range c.GetLoadAssignment().GetEndpoints() {
 		for _, le := range e.GetLbEndpoints() {
 			a := le.GetEndpoint().GetAddress()
 			if n := a.GetEnvoyInternalAddress().GetServerListenerName(); n != "" {
-				x.leads = n
+				x.internalListener = n
 				continue
 			}
 			s := a.GetSocketAddress()
@@ -193,13 +195,13 @@
 	}
 	for _, a := range c.GetTypedExtensionProtocolOptions() {
 		o := &httpv3.HttpProtocolOptions{}
-		if !is(a, o) {
+		if !unmarshalsTo(a, o) {
 			continue
 		}
 		for _, f := range o.GetHttpFilters() {
 			y := &extprocv3.ExternalProcessor{}
-			if is(f.GetTypedConfig(), y) {
-				up, err := p.asker(y)
+			if unmarshalsTo(f.GetTypedConfig(), y) {
+				up, err := p.newProcessorFilter(y)
 				if err != nil {
 					return nil, err
 				}
@@ -210,24 +212,24 @@
 	switch c.GetType() {
 	case clusterv3.Cluster_ORIGINAL_DST:
 		o := c.GetOriginalDstLbConfig()
-		x.original = true
+		x.originalDst = true
 		if o.GetUseHttpHeader() {
-			x.header = "x-envoy-original-dst-host"
+			x.originalDstHeader = "x-envoy-original-dst-host"
 			if n := o.GetHttpHeaderName(); n != "" {
-				x.header = strings.ToLower(n)
+				x.originalDstHeader = strings.ToLower(n)
 			}
 		}
-		x.metadata = o.GetMetadataKey()
+		x.originalDstMetadata = o.GetMetadataKey()
 	case clusterv3.Cluster_STATIC:
 		for _, pol := range c.GetLoadBalancingPolicy().GetPolicies() {
 			o := &overridev3.OverrideHost{}
-			if !is(pol.GetTypedExtensionConfig().GetTypedConfig(), o) {
+			if !unmarshalsTo(pol.GetTypedExtensionConfig().GetTypedConfig(), o) {
 				return nil, errors.New("of load-balancing policies only override_host is modelled")
 			}
-			x.override = o
+			x.overrideHost = o
 			for _, fb := range o.GetFallbackPolicy().GetPolicies() {
 				s := &subsetv3.Subset{}
-				x.ends = is(fb.GetTypedExtensionConfig().GetTypedConfig(), s) && s.GetFallbackPolicy() == subsetv3.Subset_NO_FALLBACK
+				x.noFallback = unmarshalsTo(fb.GetTypedExtensionConfig().GetTypedConfig(), s) && s.GetFallbackPolicy() == subsetv3.Subset_NO_FALLBACK
 			}
 		}
 	default:
@@ -237,7 +239,7 @@
 }
 
 // keyOf is the namespace and the one step of a metadata key.
-func keyOf(k *metadatav3.MetadataKey) (namespace, name string) {
+func metadataPath(k *metadatav3.MetadataKey) (namespace, name string) {
 	if path := k.GetPath(); len(path) > 0 {
 		name = path[0].GetKey()
 	}
@@ -245,7 +247,7 @@
 }
 
 // format is the value of a header to add, of those that are modelled: text, %REQ(NAME)% and %UPSTREAM_REMOTE_ADDRESS%.
-func format(o *corev3.HeaderValueOption, req header, host string) string {
+func formatHeader(o *corev3.HeaderValueOption, req headers, host string) string {
 	v := o.GetHeader().GetValue()
 	if host == "" {
 		host = "-"
--- a/internal/fake/proxy/layers.go
+++ b/internal/fake/proxy/layers.go
@@ -28,19 +28,19 @@
 )
 
 // header is a message's fields by lower-case name, with the pseudo-headers.
-type header map[string][]string
+type headers map[string][]string
 
-func (h header) get(name string) string {
+func (h headers) get(name string) string {
 	if v := h[name]; len(v) > 0 {
 		return v[0]
 	}
 	return ""
 }
 
-func (h header) set(name, value string) { h[name] = []string{value} }
+func (h headers) set(name, value string) { h[name] = []string{value} }
 
-func (h header) copy() header {
-	c := make(header, len(h))
+func (h headers) copy() headers {
+	c := make(headers, len(h))
 	for k, v := range h {
 		c[k] = slices.Clone(v)
 	}
@@ -48,7 +48,7 @@
 }
 
 // apply carries out a mutation.
-func (h header) apply(m *extproc.HeaderMutation) {
+func (h headers) apply(m *extproc.HeaderMutation) {
 	for _, f := range m.GetSetHeaders() {
 		v := string(f.GetHeader().GetRawValue())
 		if v == "" {
@@ -63,47 +63,47 @@
 
 // request is one on its way through the layers of one connection manager.
 type request struct {
-	head  header
-	body  string
-	meta  map[string]*structpb.Struct // dynamic metadata
-	sides map[*asker]*side
-	pos   int      // hosts of an override list that were taken
-	told  []string // hosts that the processor named
-	x     *fake.Exchange
+	headers          headers
+	body             string
+	metadata         map[string]*structpb.Struct // dynamic metadata
+	streams          map[*processorFilter]*processorStream
+	overridePosition int      // hosts of an override list that were taken
+	decided          []string // hosts that the processor named
+	exchange         *fake.Exchange
 }
 
 // response is what comes back. details is response.code_details of one that a proxy made itself.
 type response struct {
-	head    header
+	headers headers
 	body    string
 	details string
 	host    string // that it came from, or was tried
 }
 
-func local(status int, details string) *response {
-	return &response{head: header{":status": {strconv.Itoa(status)}}, details: details}
+func localReply(status int, details string) *response {
+	return &response{headers: headers{":status": {strconv.Itoa(status)}}, details: details}
 }
 
 func (r *response) status() int {
-	n, _ := strconv.Atoi(r.head.get(":status"))
+	n, _ := strconv.Atoi(r.headers.get(":status"))
 	return n
 }
 
 // manager is an HTTP connection manager: what it takes off, its filters in order, and the router at their end.
-type manager struct {
-	p        *Proxy
-	internal bool
-	remote   bool // use_remote_address
-	preserve bool // preserve_external_request_id
-	ids      bool // generate_request_id
-	only     []string
-	hosts    []*routev3.VirtualHost
-	filters  []*asker
+type connectionManager struct {
+	proxy               *Proxy
+	internal            bool
+	useRemoteAddress    bool // use_remote_address
+	preserveRequestID   bool // preserve_external_request_id
+	generateRequestID   bool // generate_request_id
+	internalOnlyHeaders []string
+	virtualHosts        []*routev3.VirtualHost
+	filters             []*processorFilter
 }
 
 // fromOutside are the headers that are taken off external requests (ConnectionManagerUtility::
 // mutateRequestHeaders, as the documentation of "HTTP header sanitizing" lists them).
-var fromOutside = []string{
+var externalRequestHeaders = []string{
 	"x-envoy-retriable-status-codes", "x-envoy-retriable-header-names", "x-envoy-retry-on", "x-envoy-retry-grpc-on",
 	"x-envoy-max-retries", "x-envoy-upstream-alt-stat-name", "x-envoy-upstream-rq-timeout-ms", "x-envoy-upstream-rq-per-try-timeout-ms",
 	"x-envoy-upstream-rq-timeout-alt-response", "x-envoy-expected-rq-timeout-ms", "x-envoy-force-trace", "x-envoy-ip-tags",
@@ -111,40 +111,40 @@
 }
 
 // sanitise does what a connection manager does before any filter runs.
-func (m *manager) sanitise(r *request) {
+func (m *connectionManager) sanitize(r *request) {
 	// Callers connect from outside as far as this stand-in goes; the address they are known by at an inner
 	// listener is what the outer one appended, so they are external there too.
-	external := m.remote || m.internal
-	if m.remote {
-		r.head["x-forwarded-for"] = []string{strings.Join(append(r.head["x-forwarded-for"], "203.0.113.7"), ",")}
+	external := m.useRemoteAddress || m.internal
+	if m.useRemoteAddress {
+		r.headers["x-forwarded-for"] = []string{strings.Join(append(r.headers["x-forwarded-for"], "203.0.113.7"), ",")}
 	}
 	if external {
-		for _, n := range fromOutside {
-			delete(r.head, n)
+		for _, n := range externalRequestHeaders {
+			delete(r.headers, n)
 		}
-		for _, n := range m.only {
-			delete(r.head, n)
+		for _, n := range m.internalOnlyHeaders {
+			delete(r.headers, n)
 		}
 	}
-	if m.ids && (r.head.get("x-request-id") == "" || m.remote && !m.preserve) {
-		r.head.set("x-request-id", r.x.ID) // as good as any: no two exchanges share one
+	if m.generateRequestID && (r.headers.get("x-request-id") == "" || m.useRemoteAddress && !m.preserveRequestID) {
+		r.headers.set("x-request-id", r.exchange.ID) // as good as any: no two exchanges share one
 	}
 }
 
 // route finds the first route of the virtual host that matches.
-func (m *manager) route(r *request) (*routev3.VirtualHost, *routev3.Route) {
-	for _, vh := range m.hosts {
-		if !slices.Contains(vh.GetDomains(), "*") && !slices.Contains(vh.GetDomains(), r.head.get(":authority")) {
+func (m *connectionManager) route(r *request) (*routev3.VirtualHost, *routev3.Route) {
+	for _, vh := range m.virtualHosts {
+		if !slices.Contains(vh.GetDomains(), "*") && !slices.Contains(vh.GetDomains(), r.headers.get(":authority")) {
 			continue
 		}
 		for _, one := range vh.GetRoutes() {
-			path, _, _ := strings.Cut(r.head.get(":path"), "?")
+			path, _, _ := strings.Cut(r.headers.get(":path"), "?")
 			ok := one.GetMatch().GetPath() == path
 			if pre := one.GetMatch().GetPrefix(); pre != "" {
 				ok = strings.HasPrefix(path, pre)
 			}
 			for _, h := range one.GetMatch().GetHeaders() {
-				ok = ok && r.head.get(strings.ToLower(h.GetName())) != ""
+				ok = ok && r.headers.get(strings.ToLower(h.GetName())) != ""
 			}
 			if ok {
 				return vh, one
@@ -156,14 +156,14 @@
 
 // serve is the order of things: headers are cleaned, the route is chosen, the filters run, the router sends; then
 // the filters see the answer in reverse.
-func (m *manager) serve(ctx context.Context, r *request) *response {
-	m.sanitise(r)
+func (m *connectionManager) serve(ctx context.Context, r *request) *response {
+	m.sanitize(r)
 	vh, route := m.route(r)
 	var resp *response
 	passed := 0
 	for _, f := range m.filters {
 		passed++
-		clear, answer := f.request(ctx, r)
+		clear, answer := f.handleRequest(ctx, r)
 		if resp = answer; resp != nil {
 			break
 		}
@@ -173,24 +173,24 @@
 	}
 	defer func() {
 		for _, f := range m.filters {
-			f.done(r)
+			f.closeStream(r)
 		}
 	}()
 	switch {
 	case resp != nil:
 	case route == nil:
-		resp = local(http.StatusNotFound, "route_not_found")
+		resp = localReply(http.StatusNotFound, "route_not_found")
 	default:
-		resp = m.p.router(ctx, vh, route, r)
+		resp = m.proxy.routeRequest(ctx, vh, route, r)
 	}
 	for _, f := range slices.Backward(m.filters[:passed]) {
-		f.response(ctx, r, resp)
+		f.handleResponse(ctx, r, resp)
 	}
 	return resp
 }
 
 // router is the router filter: time-outs, the tries, and what is added and taken off.
-func (p *Proxy) router(ctx context.Context, vh *routev3.VirtualHost, route *routev3.Route, r *request) *response {
+func (p *Proxy) routeRequest(ctx context.Context, vh *routev3.VirtualHost, route *routev3.Route, r *request) *response {
 	a := route.GetRoute()
 	whole := 15 * time.Second
 	if a.GetTimeout() != nil {
@@ -214,20 +214,20 @@
 	}
 	count := func(try int) {
 		if end, has := ctx.Deadline(); has {
-			r.head.set("x-envoy-expected-rq-timeout-ms", strconv.FormatInt(max(1, time.Until(end).Milliseconds()), 10))
+			r.headers.set("x-envoy-expected-rq-timeout-ms", strconv.FormatInt(max(1, time.Until(end).Milliseconds()), 10))
 		}
 		if vh.GetIncludeRequestAttemptCount() {
-			r.head.set("x-envoy-attempt-count", strconv.Itoa(try))
+			r.headers.set("x-envoy-attempt-count", strconv.Itoa(try))
 		}
 	}
 	count(1)
 	for _, l := range [][]*corev3.HeaderValueOption{route.GetRequestHeadersToAdd(), vh.GetRequestHeadersToAdd()} {
 		for _, o := range l {
-			r.head.set(strings.ToLower(o.GetHeader().GetKey()), format(o, r.head, ""))
+			r.headers.set(strings.ToLower(o.GetHeader().GetKey()), formatHeader(o, r.headers, ""))
 		}
 	}
 	for _, n := range append(slices.Clone(route.GetRequestHeadersToRemove()), vh.GetRequestHeadersToRemove()...) {
-		delete(r.head, strings.ToLower(n))
+		delete(r.headers, strings.ToLower(n))
 	}
 	var resp *response
 	try := 1
@@ -235,8 +235,8 @@
 		if try > 1 {
 			count(try)
 		}
-		resp = c.try(ctx, r, policy)
-		if try >= most || ctx.Err() != nil || !again(policy, resp) {
+		resp = c.sendAttempt(ctx, r, policy)
+		if try >= most || ctx.Err() != nil || !shouldRetry(policy, resp) {
 			break
 		}
 		// Fully jittered back-off of 25 ms and on, as by default.
@@ -246,21 +246,21 @@
 		}
 	}
 	if vh.GetIncludeAttemptCountInResponse() {
-		resp.head.set("x-envoy-attempt-count", strconv.Itoa(try))
+		resp.headers.set("x-envoy-attempt-count", strconv.Itoa(try))
 	}
 	if resp.details == "" { // answers of its own it leaves as they are
 		for _, o := range append(slices.Clone(route.GetResponseHeadersToAdd()), vh.GetResponseHeadersToAdd()...) {
-			resp.head.set(strings.ToLower(o.GetHeader().GetKey()), format(o, r.head, resp.host))
+			resp.headers.set(strings.ToLower(o.GetHeader().GetKey()), formatHeader(o, r.headers, resp.host))
 		}
 	}
 	for _, n := range append(slices.Clone(route.GetResponseHeadersToRemove()), vh.GetResponseHeadersToRemove()...) {
-		delete(resp.head, strings.ToLower(n))
+		delete(resp.headers, strings.ToLower(n))
 	}
 	return resp
 }
 
 // again says that a policy has the router try once more after this.
-func again(policy *routev3.RetryPolicy, resp *response) bool {
+func shouldRetry(policy *routev3.RetryPolicy, resp *response) bool {
 	reset := strings.Contains(resp.details, "upstream_reset") || strings.Contains(resp.details, "per_try_timeout")
 	unconnected := strings.Contains(resp.details, "connection_failure") || strings.Contains(resp.details, "connection_timeout")
 	for _, on := range retryOn(policy) {
@@ -287,7 +287,7 @@
 			}
 		case "retriable-headers":
 			for _, h := range policy.GetRetriableHeaders() {
-				if len(resp.head[strings.ToLower(h.GetName())]) > 0 {
+				if len(resp.headers[strings.ToLower(h.GetName())]) > 0 {
 					return true
 				}
 			}
@@ -299,20 +299,20 @@
 // cluster is where requests go: by the address that was decided, by a list of them, to an internal listener, or to
 // whichever of its hosts.
 type cluster struct {
-	p        *Proxy
-	connect  time.Duration
-	hosts    []string
-	leads    string // internal listener
-	original bool   // ORIGINAL_DST
-	header   string
-	metadata *metadatav3.MetadataKey
-	override *overridev3.OverrideHost
-	ends     bool     // past the list there is no host
-	filters  []*asker // upstream filters: they run once the host is chosen
+	proxy               *Proxy
+	connectTimeout      time.Duration
+	hosts               []string
+	internalListener    string // internal listener
+	originalDst         bool   // ORIGINAL_DST
+	originalDstHeader   string
+	originalDstMetadata *metadatav3.MetadataKey
+	overrideHost        *overridev3.OverrideHost
+	noFallback          bool               // past the list there is no host
+	filters             []*processorFilter // upstream filters: they run once the host is chosen
 }
 
 // try is one upstream request: the host is chosen, then the upstream filters run, then it is sent.
-func (c *cluster) try(ctx context.Context, r *request, policy *routev3.RetryPolicy) *response {
+func (c *cluster) sendAttempt(ctx context.Context, r *request, policy *routev3.RetryPolicy) *response {
 	if per := policy.GetPerTryTimeout(); per != nil {
 		var cancel context.CancelFunc
 		whole := ctx
@@ -328,81 +328,81 @@
 }
 
 func (c *cluster) send(ctx context.Context, r *request) *response {
-	if c.leads != "" {
-		in := &request{head: r.head.copy(), body: r.body, meta: map[string]*structpb.Struct{}, sides: map[*asker]*side{}, x: r.x}
-		resp := c.p.inner[c.leads].serve(ctx, in)
+	if c.internalListener != "" {
+		in := &request{headers: r.headers.copy(), body: r.body, metadata: map[string]*structpb.Struct{}, streams: map[*processorFilter]*processorStream{}, exchange: r.exchange}
+		resp := c.proxy.internalListeners[c.internalListener].serve(ctx, in)
 		if ctx.Err() != nil {
-			return local(http.StatusGatewayTimeout, "response_timeout")
+			return localReply(http.StatusGatewayTimeout, "response_timeout")
 		}
 		// For this side it is an answer like any other.
-		return &response{head: resp.head.copy(), body: resp.body, host: c.leads}
+		return &response{headers: resp.headers.copy(), body: resp.body, host: c.internalListener}
 	}
-	host := c.choose(r)
+	host := c.chooseHost(r)
 	if host == "" {
-		return local(http.StatusServiceUnavailable, "no_healthy_upstream")
+		return localReply(http.StatusServiceUnavailable, "no_healthy_upstream")
 	}
 	for _, f := range c.filters {
-		defer f.done(r)
-		if _, answer := f.request(ctx, r); answer != nil {
+		defer f.closeStream(r)
+		if _, answer := f.handleRequest(ctx, r); answer != nil {
 			return answer
 		}
 	}
-	c.p.Sent.Add(1)
-	if slices.Contains(r.told, host) {
-		c.p.Heeded.Add(1)
+	c.proxy.UpstreamRequests.Add(1)
+	if slices.Contains(r.decided, host) {
+		c.proxy.DecisionsFollowed.Add(1)
 	}
-	resp := c.p.carry(ctx, r, host, c.connect)
+	resp := c.proxy.sendUpstream(ctx, r, host, c.connectTimeout)
 	resp.host = host
 	for _, f := range slices.Backward(c.filters) {
-		f.response(ctx, r, resp)
+		f.handleResponse(ctx, r, resp)
 	}
 	return resp
 }
 
 // text is what dynamic metadata says under a key; "": nothing.
-func (r *request) text(k *metadatav3.MetadataKey) string {
-	space, name := keyOf(k)
-	return r.meta[space].GetFields()[name].GetStringValue()
+func (r *request) metadataString(k *metadatav3.MetadataKey) string {
+	space, name := metadataPath(k)
+	return r.metadata[space].GetFields()[name].GetStringValue()
 }
 
-func (c *cluster) choose(r *request) string {
+func (c *cluster) chooseHost(r *request) string {
 	switch {
-	case c.original:
-		to := r.head.get(c.header)
-		if c.metadata != nil {
-			to = r.text(c.metadata)
+	case c.originalDst:
+		to := r.headers.get(c.originalDstHeader)
+		if c.originalDstMetadata != nil {
+			to = r.metadataString(c.originalDstMetadata)
 		}
 		if _, _, err := net.SplitHostPort(to); err != nil {
 			return ""
 		}
-		if c.p.cfg.Deaf && c.p.cfg.Elsewhere != nil {
-			to = c.p.cfg.Elsewhere(to)
+		if c.proxy.cfg.IgnoreDecisions && c.proxy.cfg.OtherServer != nil {
+			to = c.proxy.cfg.OtherServer(to)
 		}
 		return to
-	case c.override != nil:
+	case c.overrideHost != nil:
 		// The sources are searched in their order; addresses that the cluster does not know are passed over.
 		var list []string
-		for _, s := range c.override.GetOverrideHostSources() {
-			v := r.head.get(strings.ToLower(s.GetHeader()))
+		for _, s := range c.overrideHost.GetOverrideHostSources() {
+			v := r.headers.get(strings.ToLower(s.GetHeader()))
 			if s.GetMetadata() != nil {
-				v = r.text(s.GetMetadata())
+				v = r.metadataString(s.GetMetadata())
 			}
 			if v != "" {
 				list = strings.Split(v, ",")
 				break
 			}
 		}
-		for r.pos < len(list) {
-			to := strings.TrimSpace(list[r.pos])
-			if r.pos++; slices.Contains(c.hosts, to) {
-				if k := c.override.GetSelectedHostKey(); k != nil {
-					space, name := keyOf(k)
-					r.put(space, &structpb.Struct{Fields: map[string]*structpb.Value{name: structpb.NewStringValue(to)}})
+		for r.overridePosition < len(list) {
+			to := strings.TrimSpace(list[r.overridePosition])
+			if r.overridePosition++; slices.Contains(c.hosts, to) {
+				if k := c.overrideHost.GetSelectedHostKey(); k != nil {
+					space, name := metadataPath(k)
+					r.mergeMetadata(space, &structpb.Struct{Fields: map[string]*structpb.Value{name: structpb.NewStringValue(to)}})
 				}
 				return to
 			}
 		}
-		if c.ends {
+		if c.noFallback {
 			return ""
 		}
 	}
@@ -413,33 +413,33 @@
 }
 
 // put merges fields into a namespace of dynamic metadata.
-func (r *request) put(space string, s *structpb.Struct) {
-	if r.meta[space] == nil {
-		r.meta[space] = &structpb.Struct{Fields: map[string]*structpb.Value{}}
+func (r *request) mergeMetadata(space string, s *structpb.Struct) {
+	if r.metadata[space] == nil {
+		r.metadata[space] = &structpb.Struct{Fields: map[string]*structpb.Value{}}
 	}
-	maps.Copy(r.meta[space].Fields, s.GetFields())
+	maps.Copy(r.metadata[space].Fields, s.GetFields())
 }
 
 // carry sends a request to a server over HTTP/1.1 and reads the answer.
-func (p *Proxy) carry(ctx context.Context, r *request, to string, connect time.Duration) *response {
+func (p *Proxy) sendUpstream(ctx context.Context, r *request, to string, connect time.Duration) *response {
 	// A connection of its own: a proxy that wrote to a kept one which its server has closed would have to
 	// guess whether the request ran.
 	c, err := (&net.Dialer{Timeout: connect}).DialContext(ctx, "tcp", to)
 	if err != nil {
 		if ctx.Err() != nil {
-			return local(http.StatusGatewayTimeout, "response_timeout")
+			return localReply(http.StatusGatewayTimeout, "response_timeout")
 		}
-		return local(http.StatusServiceUnavailable, "upstream_reset_before_response_started{remote_connection_failure}")
+		return localReply(http.StatusServiceUnavailable, "upstream_reset_before_response_started{remote_connection_failure}")
 	}
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	key := ""
-	if v := r.head.get("idempotency-key"); v != "" {
+	if v := r.headers.get("idempotency-key"); v != "" {
 		key = "Idempotency-Key: " + v + "\r\n"
 	}
 	_, err = fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s",
-		r.head.get(":method"), r.head.get(":path"), r.head.get(":authority"), r.head.get("x-correlation-id"), key, len(r.body), r.body)
+		r.headers.get(":method"), r.headers.get(":path"), r.headers.get(":authority"), r.headers.get("x-correlation-id"), key, len(r.body), r.body)
 	var resp *http.Response
 	in := bufio.NewReader(c)
 	if err == nil {
@@ -451,44 +451,44 @@
 	}
 	if err != nil {
 		if ctx.Err() != nil {
-			return local(http.StatusGatewayTimeout, "response_timeout")
+			return localReply(http.StatusGatewayTimeout, "response_timeout")
 		}
-		return local(http.StatusServiceUnavailable, "upstream_reset_before_response_started{connection_termination}")
+		return localReply(http.StatusServiceUnavailable, "upstream_reset_before_response_started{connection_termination}")
 	}
-	out := &response{head: header{":status": {strconv.Itoa(resp.StatusCode)}}, body: string(text)}
+	out := &response{headers: headers{":status": {strconv.Itoa(resp.StatusCode)}}, body: string(text)}
 	for n, v := range resp.Header {
-		out.head[strings.ToLower(n)] = slices.Clone(v)
+		out.headers[strings.ToLower(n)] = slices.Clone(v)
 	}
 	return out
 }
 
 // asker is the external processing filter, of a connection manager or of a cluster.
-type asker struct {
-	p    *Proxy
-	cfg  *extprocv3.ExternalProcessor
-	of   string // the processor's cluster
-	wait time.Duration
+type processorFilter struct {
+	proxy          *Proxy
+	config         *extprocv3.ExternalProcessor
+	cluster        string // the processor's cluster
+	messageTimeout time.Duration
 }
 
 // side is its stream for one request.
-type side struct {
-	st     extproc.ExternalProcessor_ProcessClient
-	hangup context.CancelFunc
-	over   bool
+type processorStream struct {
+	client extproc.ExternalProcessor_ProcessClient
+	cancel context.CancelFunc
+	closed bool
 }
 
 // failed is what follows when the processor does not answer.
-func (a *asker) failed(s *side) *response {
-	a.p.Unanswered.Add(1)
-	s.over = true
-	s.hangup()
-	if a.cfg.GetFailureModeAllow() {
+func (a *processorFilter) fail(s *processorStream) *response {
+	a.proxy.MessageTimeouts.Add(1)
+	s.closed = true
+	s.cancel()
+	if a.config.GetFailureModeAllow() {
 		return nil
 	}
-	return local(http.StatusInternalServerError, "ext_proc_error")
+	return localReply(http.StatusInternalServerError, "ext_proc_error")
 }
 
-func headerMap(h header) *corev3.HeaderMap {
+func headerMap(h headers) *corev3.HeaderMap {
 	m := &corev3.HeaderMap{}
 	for _, n := range slices.Sorted(maps.Keys(h)) {
 		for _, v := range h[n] {
@@ -499,106 +499,106 @@
 }
 
 // request asks where a request should go. clear: the route is to be chosen anew. An answer ends the request.
-func (a *asker) request(ctx context.Context, r *request) (clear bool, answer *response) {
-	if a.cfg.GetProcessingMode().GetRequestHeaderMode() == extprocv3.ProcessingMode_SKIP {
+func (a *processorFilter) handleRequest(ctx context.Context, r *request) (clear bool, answer *response) {
+	if a.config.GetProcessingMode().GetRequestHeaderMode() == extprocv3.ProcessingMode_SKIP {
 		return false, nil
 	}
 	own, hangup := context.WithCancel(ctx)
-	s := &side{hangup: hangup}
-	r.sides[a] = s
-	st, err := a.p.svc.Process(own)
+	s := &processorStream{cancel: hangup}
+	r.streams[a] = s
+	st, err := a.proxy.processorClient.Process(own)
 	if err != nil {
-		return false, a.failed(s)
+		return false, a.fail(s)
 	}
-	s.st = st
+	s.client = st
 	asked := time.Now()
-	err = st.Send(&extproc.ProcessingRequest{ObservabilityMode: a.cfg.GetObservabilityMode(), Request: &extproc.ProcessingRequest_RequestHeaders{
-		RequestHeaders: &extproc.HttpHeaders{Headers: headerMap(r.head), EndOfStream: r.body == ""},
+	err = st.Send(&extproc.ProcessingRequest{ObservabilityMode: a.config.GetObservabilityMode(), Request: &extproc.ProcessingRequest_RequestHeaders{
+		RequestHeaders: &extproc.HttpHeaders{Headers: headerMap(r.headers), EndOfStream: r.body == ""},
 	}})
 	if err != nil && !errors.Is(err, io.EOF) {
-		return false, a.failed(s)
+		return false, a.fail(s)
 	}
-	if a.cfg.GetObservabilityMode() {
+	if a.config.GetObservabilityMode() {
 		return false, nil
 	}
-	word, err := receive(st, a.wait)
-	a.p.Waits.Lock()
-	a.p.Waits.L = append(a.p.Waits.L, time.Since(asked))
-	a.p.Waits.Unlock()
+	word, err := receiveWithin(st, a.messageTimeout)
+	a.proxy.Waits.Lock()
+	a.proxy.Waits.L = append(a.proxy.Waits.L, time.Since(asked))
+	a.proxy.Waits.Unlock()
 	if err != nil {
-		return false, a.failed(s)
+		return false, a.fail(s)
 	}
 	if i := word.GetImmediateResponse(); i != nil {
-		a.p.Immediate.Add(1)
-		s.over = true
-		resp := local(int(i.GetStatus().GetCode()), i.GetDetails())
-		resp.head.apply(i.GetHeaders())
+		a.proxy.ImmediateResponses.Add(1)
+		s.closed = true
+		resp := localReply(int(i.GetStatus().GetCode()), i.GetDetails())
+		resp.headers.apply(i.GetHeaders())
 		return false, resp
 	}
-	a.p.Decisions.Add(1)
+	a.proxy.Decisions.Add(1)
 	common := word.GetRequestHeaders().GetResponse()
 	for _, f := range common.GetHeaderMutation().GetSetHeaders() {
 		if f.GetHeader().GetKey() == envoyconf.Header {
-			r.told = strings.Split(string(f.GetHeader().GetRawValue()), ",")
+			r.decided = strings.Split(string(f.GetHeader().GetRawValue()), ",")
 		}
 	}
-	if !a.cfg.GetMutationRules().GetDisallowAll().GetValue() {
-		r.head.apply(common.GetHeaderMutation())
+	if !a.config.GetMutationRules().GetDisallowAll().GetValue() {
+		r.headers.apply(common.GetHeaderMutation())
 	}
 	for space, v := range word.GetDynamicMetadata().GetFields() {
-		if slices.Contains(a.cfg.GetMetadataOptions().GetReceivingNamespaces().GetUntyped(), space) {
-			r.put(space, v.GetStructValue())
+		if slices.Contains(a.config.GetMetadataOptions().GetReceivingNamespaces().GetUntyped(), space) {
+			r.mergeMetadata(space, v.GetStructValue())
 		}
 	}
-	if a.p.cfg.Drop != nil && a.p.cfg.Drop() {
+	if a.proxy.cfg.DropStream != nil && a.proxy.cfg.DropStream() {
 		time.AfterFunc(2*time.Millisecond, hangup) // while it is on its way, or at its server
 	}
 	return common.GetClearRouteCache(), nil
 }
 
 // response shows the processor what came back, and does as it says.
-func (a *asker) response(ctx context.Context, r *request, resp *response) {
-	s := r.sides[a]
-	if s == nil || s.over || ctx.Err() != nil || a.cfg.GetProcessingMode().GetResponseHeaderMode() == extprocv3.ProcessingMode_SKIP {
+func (a *processorFilter) handleResponse(ctx context.Context, r *request, resp *response) {
+	s := r.streams[a]
+	if s == nil || s.closed || ctx.Err() != nil || a.config.GetProcessingMode().GetResponseHeaderMode() == extprocv3.ProcessingMode_SKIP {
 		return
 	}
-	s.over = true
+	s.closed = true
 	m := &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_ResponseHeaders{ResponseHeaders: &extproc.HttpHeaders{
-		Headers: headerMap(resp.head), EndOfStream: true,
+		Headers: headerMap(resp.headers), EndOfStream: true,
 	}}}
-	if resp.details != "" && slices.Contains(a.cfg.GetResponseAttributes(), "response.code_details") {
+	if resp.details != "" && slices.Contains(a.config.GetResponseAttributes(), "response.code_details") {
 		m.Attributes = map[string]*structpb.Struct{"envoy.filters.http.ext_proc": {Fields: map[string]*structpb.Value{
 			"response.code_details": structpb.NewStringValue(resp.details),
 		}}}
 	}
-	for _, space := range a.cfg.GetMetadataOptions().GetForwardingNamespaces().GetUntyped() {
-		if v := r.meta[space]; v != nil {
+	for _, space := range a.config.GetMetadataOptions().GetForwardingNamespaces().GetUntyped() {
+		if v := r.metadata[space]; v != nil {
 			m.MetadataContext = &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{space: v}}
 		}
 	}
-	if s.st.Send(m) != nil {
+	if s.client.Send(m) != nil {
 		return
 	}
-	word, err := receive(s.st, a.wait)
+	word, err := receiveWithin(s.client, a.messageTimeout)
 	switch {
 	case err != nil: // after the decision too it fails closed, but what came is an answer
-		if !a.cfg.GetFailureModeAllow() && !errors.Is(err, context.Canceled) && a.p.cfg.Drop == nil {
-			resp.head, resp.body, resp.details = header{":status": {"500"}}, "", "ext_proc_error"
+		if !a.config.GetFailureModeAllow() && !errors.Is(err, context.Canceled) && a.proxy.cfg.DropStream == nil {
+			resp.headers, resp.body, resp.details = headers{":status": {"500"}}, "", "ext_proc_error"
 		}
 	case word.GetImmediateResponse() != nil:
 		i := word.GetImmediateResponse()
-		resp.head, resp.body, resp.details = header{":status": {strconv.Itoa(int(i.GetStatus().GetCode()))}}, "", i.GetDetails()
-		resp.head.apply(i.GetHeaders())
+		resp.headers, resp.body, resp.details = headers{":status": {strconv.Itoa(int(i.GetStatus().GetCode()))}}, "", i.GetDetails()
+		resp.headers.apply(i.GetHeaders())
 	default:
-		resp.head.apply(word.GetResponseHeaders().GetResponse().GetHeaderMutation())
+		resp.headers.apply(word.GetResponseHeaders().GetResponse().GetHeaderMutation())
 	}
-	s.st.CloseSend()
+	s.client.CloseSend()
 }
 
 // done ends the stream of a request that is over.
-func (a *asker) done(r *request) {
-	if s := r.sides[a]; s != nil {
-		s.hangup()
-		delete(r.sides, a)
+func (a *processorFilter) closeStream(r *request) {
+	if s := r.streams[a]; s != nil {
+		s.cancel()
+		delete(r.streams, a)
 	}
 }
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -29,49 +29,49 @@
 
 // Config is what a proxy is made of.
 type Config struct {
-	Processor string         // host:port
-	Timeout   time.Duration  // message_timeout; 0: 200 ms
-	Mode      envoyconf.Mode // "": header, or with Retries every-try
-	YAML      string         // its configuration; "": envoyconf.Build's for the mode
-	Endpoints []string       // that it knows, in the modes that need that
-	Classes   []fake.Class   // safe ones may be tried again in mode fallbacks
-	Retries   int            // further tries, in the modes that have any
-	Greedy    bool           // it also tries again by itself whatever failed, as a careless one does
-	Deaf      bool           // it sends requests elsewhere than it is told
-	Elsewhere func(told string) string
-	Drop      func() bool // asked for each request: drop the side channel while the request is at its server
+	Processor       string         // host:port
+	Timeout         time.Duration  // message_timeout; 0: 200 ms
+	Mode            envoyconf.Mode // "": header, or with Retries every-try
+	YAML            string         // its configuration; "": envoyconf.Build's for the mode
+	Endpoints       []string       // that it knows, in the modes that need that
+	Classes         []fake.Class   // safe ones may be tried again in mode fallbacks
+	MaxRetries      int            // further tries, in the modes that have any
+	RetryEverything bool           // it also tries again by itself whatever failed, as a careless one does
+	IgnoreDecisions bool           // it sends requests elsewhere than it is told
+	OtherServer     func(told string) string
+	DropStream      func() bool // asked for each request: drop the side channel while the request is at its server
 }
 
 // Proxy is a proxy.
 type Proxy struct {
-	cfg  Config
-	rec  *fake.Records
-	conn *grpc.ClientConn
-	svc  extproc.ExternalProcessorClient
-	next atomic.Uint64
-	name string
-
-	entry     *manager
-	inner     map[string]*manager
-	clusters  map[string]*cluster
-	askers    []*asker
-	processor string
-
-	lose atomic.Int64
-
-	Decisions  atomic.Int64 // that named a server
-	Immediate  atomic.Int64 // that answered at once
-	Unanswered atomic.Int64 // questions that got no word in time
-	Sent       atomic.Int64 // tries that went to a server
-	Heeded     atomic.Int64 // and to one that the processor had named for it
-	Waits      struct {
+	cfg             Config
+	recorder        *fake.Recorder
+	conn            *grpc.ClientConn
+	processorClient extproc.ExternalProcessorClient
+	lastID          atomic.Uint64
+	name            string
+
+	downstream        *connectionManager
+	internalListeners map[string]*connectionManager
+	clusters          map[string]*cluster
+	processorFilters  []*processorFilter
+	processor         string
+
+	toDrop atomic.Int64
+
+	Decisions          atomic.Int64 // that named a server
+	ImmediateResponses atomic.Int64 // that answered at once
+	MessageTimeouts    atomic.Int64 // questions that got no word in time
+	UpstreamRequests   atomic.Int64 // tries that went to a server
+	DecisionsFollowed  atomic.Int64 // and to one that the processor had named for it
+	Waits              struct {
 		sync.Mutex
 		L []time.Duration // for each word
 	}
 }
 
 // New returns a proxy with a side channel of its own.
-func New(name string, rec *fake.Records, cfg Config) (*Proxy, error) {
+func New(name string, rec *fake.Recorder, cfg Config) (*Proxy, error) {
 	if cfg.Timeout == 0 {
 		cfg.Timeout = 200 * time.Millisecond
 	}
@@ -82,7 +82,7 @@
 		}
 		cfg.YAML = text
 	}
-	p := &Proxy{cfg: cfg, rec: rec, name: name}
+	p := &Proxy{cfg: cfg, recorder: rec, name: name}
 	if err := p.compile([]byte(cfg.YAML)); err != nil {
 		return nil, fmt.Errorf("proxy %s: %w", name, err)
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("proxy %s: %w", name, err)
 	}
-	p.conn, p.svc = conn, extproc.NewExternalProcessorClient(conn)
+	p.conn, p.processorClient = conn, extproc.NewExternalProcessorClient(conn)
 	return p, nil
 }
 
@@ -100,15 +100,15 @@
 
 // yaml is what an operator would have of cranegrade proxy-config.
 func (c Config) yaml() (string, error) {
-	p := envoyconf.Proxy{Mode: c.Mode, Processor: c.Processor, Retries: c.Retries, Endpoints: c.Endpoints}
+	p := envoyconf.Proxy{Mode: c.Mode, Processor: c.Processor, Retries: c.MaxRetries, Endpoints: c.Endpoints}
 	if p.Mode == "" {
-		if p.Mode = envoyconf.ByHeader; c.Retries > 0 {
+		if p.Mode = envoyconf.ByHeader; c.MaxRetries > 0 {
 			p.Mode = envoyconf.EveryTry
 		}
 	}
 	p.Facts = envoyconf.Facts{DecideWithin: c.Timeout - 50*time.Millisecond, Retries: p.Mode == envoyconf.EveryTry, RetryHeader: RetryHeader}
 	if p.Mode == envoyconf.Fallbacks {
-		p.Facts.Spares = c.Retries
+		p.Facts.Spares = c.MaxRetries
 	}
 	longest := 5 * time.Second
 	for _, k := range c.Classes {
@@ -120,81 +120,81 @@
 	}
 	text, err := envoyconf.Build(p)
 	out := string(text)
-	if c.Greedy {
+	if c.RetryEverything {
 		out = strings.Replace(out, "retry_on: retriable-headers", `retry_on: "retriable-headers,5xx,reset,connect-failure"`, 1)
 	}
 	return out, err
 }
 
 // Lose has the next n answers lost on their way to the proxy's clients.
-func (p *Proxy) Lose(n int64) { p.lose.Store(n) }
+func (p *Proxy) DropResponses(n int64) { p.toDrop.Store(n) }
 
 // Close ends its side channel.
 func (p *Proxy) Close() { p.conn.Close() }
 
 // NewID names a request as no other.
-func (p *Proxy) NewID() string { return p.name + "-" + strconv.FormatUint(p.next.Add(1), 36) }
+func (p *Proxy) NewID() string { return p.name + "-" + strconv.FormatUint(p.lastID.Add(1), 36) }
 
 // Do carries one request of a client and records what the client saw.
 func (p *Proxy) Do(ctx context.Context, s fake.Stream) fake.Exchange {
-	return p.DoID(ctx, s, p.NewID())
+	return p.DoWithID(ctx, s, p.NewID())
 }
 
 // DoID is Do of a request with this id.
-func (p *Proxy) DoID(ctx context.Context, s fake.Stream, id string) fake.Exchange {
-	return p.DoWith(ctx, s, id, nil)
+func (p *Proxy) DoWithID(ctx context.Context, s fake.Stream, id string) fake.Exchange {
+	return p.DoWithHeaders(ctx, s, id, nil)
 }
 
 // DoWith is DoID of a client that sends further headers.
-func (p *Proxy) DoWith(ctx context.Context, s fake.Stream, id string, more map[string]string) fake.Exchange {
+func (p *Proxy) DoWithHeaders(ctx context.Context, s fake.Stream, id string, more map[string]string) fake.Exchange {
 	name := s.Name
 	if name == "" {
 		name = s.Class.Name
 	}
-	x := fake.Exchange{ID: id, Class: s.Class.Name, Stream: name, Sent: p.rec.Now(), Connected: true}
-	x.Deadline = x.Sent + s.Class.Deadline
-	r := &request{x: &x, meta: map[string]*structpb.Struct{}, sides: map[*asker]*side{}, head: header{
-		":method": {method(s.Class)}, ":scheme": {"http"},
+	x := fake.Exchange{ID: id, Class: s.Class.Name, Stream: name, SentAt: p.recorder.Now(), Connected: true}
+	x.Deadline = x.SentAt + s.Class.Deadline
+	r := &request{exchange: &x, metadata: map[string]*structpb.Struct{}, streams: map[*processorFilter]*processorStream{}, headers: headers{
+		":method": {methodOf(s.Class)}, ":scheme": {"http"},
 		":authority": {s.Host}, ":path": {"/" + s.Class.Name + "/" + id}, "x-correlation-id": {id},
 	}}
 	if s.Account != "" {
-		r.head.set("x-account", s.Account)
+		r.headers.set("x-account", s.Account)
 	}
 	if s.Class.Effect == fake.Keyed {
 		x.Key = "k-" + id
-		r.head.set("idempotency-key", x.Key)
+		r.headers.set("idempotency-key", x.Key)
 	}
 	if s.Class.Effect != fake.Safe {
-		r.body = strings.Repeat("x", s.Body)
+		r.body = strings.Repeat("x", s.BodyBytes)
 	}
 	for k, v := range more {
-		r.head.set(strings.ToLower(k), v)
+		r.headers.set(strings.ToLower(k), v)
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.Class.Deadline)
 	defer cancel()
-	resp := p.entry.serve(ctx, r)
-	x.Status, x.RetryAfter = resp.status(), len(resp.head["retry-after"]) > 0
-	x.Foreign = x.Status == 200 && resp.body != fake.Body(id)
-	x.Answered = p.rec.Now()
-	if p.lose.Add(-1) >= 0 {
+	resp := p.downstream.serve(ctx, r)
+	x.Status, x.RetryAfter = resp.status(), len(resp.headers["retry-after"]) > 0
+	x.ForeignBody = x.Status == 200 && resp.body != fake.ResponseBody(id)
+	x.AnsweredAt = p.recorder.Now()
+	if p.toDrop.Add(-1) >= 0 {
 		x.Status, x.Err = 0, errors.New("lost on its way")
 	}
-	p.rec.Exchange(x)
+	p.recorder.RecordExchange(x)
 	return x
 }
 
 // method of a class.
-func method(c fake.Class) string {
+func methodOf(c fake.Class) string {
 	if c.Effect == fake.Safe {
 		return "GET"
 	}
 	return "POST"
 }
 
-var errTimeout = errors.New("no word within the message time-out")
+var errMessageTimeout = errors.New("no word within the message time-out")
 
 // receive waits for the processor's next message.
-func receive(st extproc.ExternalProcessor_ProcessClient, wait time.Duration) (*extproc.ProcessingResponse, error) {
+func receiveWithin(st extproc.ExternalProcessor_ProcessClient, wait time.Duration) (*extproc.ProcessingResponse, error) {
 	type result struct {
 		m   *extproc.ProcessingResponse
 		err error
@@ -210,14 +210,14 @@
 	case r := <-ch:
 		return r.m, r.err
 	case <-t.C:
-		return nil, errTimeout
+		return nil, errMessageTimeout
 	}
 }
 
 // Run sends the streams' requests through the proxies in turn and returns once all have ended.
 func Run(ctx context.Context, proxies []*Proxy, seed uint64, streams ...fake.Stream) {
 	n := atomic.Uint64{}
-	fake.Drive(ctx, seed, func(s fake.Stream) {
+	fake.RunStreams(ctx, seed, func(s fake.Stream) {
 		proxies[int(n.Add(1))%len(proxies)].Do(ctx, s)
 	}, func(fake.Stream) {}, streams...)
 }
--- a/internal/fake/proxy/proxy_test.go
+++ b/internal/fake/proxy/proxy_test.go
@@ -69,13 +69,13 @@
 }
 
 // rig is a picker and servers of one class, of which the first is down.
-func rig(t *testing.T, retry string) (k *picker, addr string, rec *fake.Records, class fake.Class) {
+func startPicker(t *testing.T, retry string) (k *picker, addr string, rec *fake.Recorder, class fake.Class) {
 	t.Helper()
 	class = fake.Class{Name: "read", Effect: fake.Safe, Deadline: 5 * time.Second}
-	rec = fake.NewRecords(class)
+	rec = fake.NewRecorder(class)
 	k = &picker{retry: retry}
 	for _, id := range []string{"a", "b"} {
-		s, err := fake.NewServer(fake.ServerConfig{ID: id, Slots: 4, Queue: 10, Work: time.Millisecond}, rec, fake.NewKeys())
+		s, err := fake.NewServer(fake.ServerConfig{ID: id, Concurrency: 4, QueueLimit: 10, ServiceTime: time.Millisecond}, rec, fake.NewKeyStore())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -99,7 +99,7 @@
 // In the real order the host is chosen before upstream filters run: the configuration of before, in which the
 // processor was one of these, gets decisions and heeds none.
 func TestUpstreamFilterIsTooLate(t *testing.T) {
-	k, addr, rec, class := rig(t, "")
+	k, addr, rec, class := startPicker(t, "")
 	text, err := os.ReadFile("../../envoyconf/testdata/upstream-filter.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -112,13 +112,13 @@
 	}
 	defer p.Close()
 	x := p.Do(context.Background(), fake.Stream{Class: class, Host: "a"})
-	if x.Status != 503 || p.Heeded.Load() != 0 {
-		t.Errorf("status %d, %d heeded", x.Status, p.Heeded.Load())
+	if x.Status != 503 || p.DecisionsFollowed.Load() != 0 {
+		t.Errorf("status %d, %d heeded", x.Status, p.DecisionsFollowed.Load())
 	}
 	// A caller who names a server himself gets it, whatever the processor says.
-	x = p.DoWith(context.Background(), fake.Stream{Class: class, Host: "a"}, "forged", map[string]string{envoyconf.Header: k.list[1]})
-	if x.Status != 200 || p.Heeded.Load() != 1 && p.Decisions.Load() == 0 {
-		t.Errorf("status %d, heeded %d of %d decisions", x.Status, p.Heeded.Load(), p.Decisions.Load())
+	x = p.DoWithHeaders(context.Background(), fake.Stream{Class: class, Host: "a"}, "forged", map[string]string{envoyconf.Header: k.list[1]})
+	if x.Status != 200 || p.DecisionsFollowed.Load() != 1 && p.Decisions.Load() == 0 {
+		t.Errorf("status %d, heeded %d of %d decisions", x.Status, p.DecisionsFollowed.Load(), p.Decisions.Load())
 	}
 }
 
@@ -133,9 +133,9 @@
 		retries int
 	}{{envoyconf.ByHeader, 503, 1, 1, "", 0}, {envoyconf.ByMetadata, 503, 1, 1, "", 0}, {envoyconf.Fallbacks, 200, 2, 1, "", 2}, {envoyconf.EveryTry, 200, 2, 2, RetryHeader, 2}} {
 		t.Run(string(c.mode), func(t *testing.T) {
-			k, addr, rec, class := rig(t, c.retry)
+			k, addr, rec, class := startPicker(t, c.retry)
 			k.fallbacks = c.mode == envoyconf.Fallbacks
-			p, err := New("p", rec, Config{Processor: addr, Timeout: 5 * time.Second, Mode: c.mode, Retries: c.retries, Endpoints: k.list, Classes: []fake.Class{class}})
+			p, err := New("p", rec, Config{Processor: addr, Timeout: 5 * time.Second, Mode: c.mode, MaxRetries: c.retries, Endpoints: k.list, Classes: []fake.Class{class}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -144,9 +144,9 @@
 				envoyconf.Header: "127.0.0.1:1", "x-request-id": "another's", "x-envoy-attempt-count": "7", "x-time-left": "1m",
 				"x-envoy-expected-rq-timeout-ms": "1", "x-envoy-retry-on": "5xx", "x-envoy-max-retries": "9",
 			}
-			x := p.DoWith(context.Background(), fake.Stream{Class: class, Host: "a"}, "mine", forged)
-			if x.Status != c.status || p.Sent.Load() != c.sent || p.Heeded.Load() != c.sent || len(k.saw) != c.asked {
-				t.Fatalf("status %d, sent %d, heeded %d, asked %d", x.Status, p.Sent.Load(), p.Heeded.Load(), len(k.saw))
+			x := p.DoWithHeaders(context.Background(), fake.Stream{Class: class, Host: "a"}, "mine", forged)
+			if x.Status != c.status || p.UpstreamRequests.Load() != c.sent || p.DecisionsFollowed.Load() != c.sent || len(k.saw) != c.asked {
+				t.Fatalf("status %d, sent %d, heeded %d, asked %d", x.Status, p.UpstreamRequests.Load(), p.DecisionsFollowed.Load(), len(k.saw))
 			}
 			for i, q := range k.saw {
 				if q.Get("x-request-id") != "mine" || q.Get(envoyconf.Header) != "" {
@@ -165,8 +165,8 @@
 
 // A per-try time-out ends a try without headers, so that a policy on headers never tries again.
 func TestPerTryTimeout(t *testing.T) {
-	k, addr, rec, class := rig(t, RetryHeader)
-	text, err := Config{Processor: addr, Timeout: 5 * time.Second, Retries: 2}.yaml()
+	k, addr, rec, class := startPicker(t, RetryHeader)
+	text, err := Config{Processor: addr, Timeout: 5 * time.Second, MaxRetries: 2}.yaml()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,8 +181,8 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	if x := p.Do(context.Background(), fake.Stream{Class: class, Host: "a"}); x.Status != 504 || p.Sent.Load() != 1 {
-		t.Errorf("status %d after %d tries", x.Status, p.Sent.Load())
+	if x := p.Do(context.Background(), fake.Stream{Class: class, Host: "a"}); x.Status != 504 || p.UpstreamRequests.Load() != 1 {
+		t.Errorf("status %d after %d tries", x.Status, p.UpstreamRequests.Load())
 	}
 }
 
@@ -203,7 +203,7 @@
 		if text == good {
 			t.Fatalf("%s: nothing changed", name)
 		}
-		if _, err := New("p", fake.NewRecords(), Config{YAML: text}); err == nil {
+		if _, err := New("p", fake.NewRecorder(), Config{YAML: text}); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -12,27 +12,27 @@
 )
 
 // heartbeat is how often a watch says something though nothing changes.
-const heartbeat = 2 * time.Second
+const watchHeartbeat = 2 * time.Second
 
 // Registry is a stand-in for the platform's registry: whole lists, and watches of what changes.
 type Registry struct {
-	name string
-	rec  *Records
-	addr string
+	name     string
+	recorder *Recorder
+	addr     string
 
 	mu       sync.Mutex // guards all below
-	rev      int64
-	entries  map[string]*entry
+	revision int64
+	entries  map[string]*registryEntry
 	changed  chan struct{} // closed at each change
 	server   *http.Server  // nil while it is down
 	watchers int
 }
 
 // entry is a server as the registry lists it.
-type entry struct {
-	rev  int64
-	boot int
-	JSON struct {
+type registryEntry struct {
+	revision    int64
+	incarnation int
+	JSON        struct {
 		UID      string  `json:"uid"`
 		Endpoint string  `json:"endpoint"`
 		Zone     string  `json:"az"`
@@ -46,8 +46,8 @@
 
 // NewRegistry starts a registry on a free loopback port, with an empty list. Its name is the host whose
 // requests its servers are for; "" if there is no other registry.
-func NewRegistry(name string, rec *Records) (*Registry, error) {
-	g := &Registry{name: name, rec: rec, entries: map[string]*entry{}, changed: make(chan struct{})}
+func NewRegistry(name string, rec *Recorder) (*Registry, error) {
+	g := &Registry{name: name, recorder: rec, entries: map[string]*registryEntry{}, changed: make(chan struct{})}
 	return g, g.listen("127.0.0.1:0")
 }
 
@@ -85,16 +85,16 @@
 func (g *Registry) Close() { g.Down() }
 
 // Set lists a server as it is now; state is SERVING, DRAINING or DELETED.
-func (g *Registry) Set(s *Server, state string) { g.SetAt(s, state, s.listed()) }
+func (g *Registry) Set(s *Server, state string) { g.SetAt(s, state, s.advertisedAddr()) }
 
 // SetAt is Set with another address: of the way that this registry's callers have to the server.
 func (g *Registry) SetAt(s *Server, state, addr string) {
-	boot, ms := s.Boot()
+	boot, ms := s.Incarnation()
 	cfg := s.Config()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.rev++
-	e := &entry{rev: g.rev, boot: boot}
+	g.revision++
+	e := &registryEntry{revision: g.revision, incarnation: boot}
 	e.JSON.UID, e.JSON.Endpoint, e.JSON.Zone, e.JSON.Model, e.JSON.Cell = cfg.ID, addr, cfg.Zone, "m", cfg.Cell
 	e.JSON.State, e.JSON.Size, e.JSON.BootMS = state, 1, ms
 	g.entries[cfg.ID] = e
@@ -111,28 +111,28 @@
 
 // since are the entries that changed after a revision, in the order of the changes; the whole list if
 // that is not one of ours.
-func (g *Registry) since(rev int64) (text []byte, now int64, told []Told, changed chan struct{}) {
+func (g *Registry) updatesSince(rev int64) (text []byte, now int64, told []ListUpdate, changed chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	all := rev < 0 || rev > g.rev
-	var l []*entry
+	all := rev < 0 || rev > g.revision
+	var l []*registryEntry
 	for _, e := range g.entries {
-		if all && e.JSON.State != "DELETED" || !all && e.rev > rev {
+		if all && e.JSON.State != "DELETED" || !all && e.revision > rev {
 			l = append(l, e)
 		}
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i].rev < l[j].rev })
+	sort.Slice(l, func(i, j int) bool { return l[i].revision < l[j].revision })
 	message := struct {
 		Rev     int64 `json:"rev"`
 		All     bool  `json:"all"`
 		Targets []any `json:"targets"`
-	}{g.rev, all, []any{}}
+	}{g.revision, all, []any{}}
 	for _, e := range l {
 		message.Targets = append(message.Targets, e.JSON)
-		told = append(told, Told{List: g.name, Server: e.JSON.UID, Gone: e.JSON.State != "SERVING", Boot: e.boot})
+		told = append(told, ListUpdate{List: g.name, Server: e.JSON.UID, Withdrawn: e.JSON.State != "SERVING", Incarnation: e.incarnation})
 	}
 	text, _ = json.Marshal(message)
-	return append(text, '\n'), g.rev, told, g.changed
+	return append(text, '\n'), g.revision, told, g.changed
 }
 
 func (g *Registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -142,9 +142,9 @@
 	}
 	q := r.URL.Query()
 	if q.Get("follow") != "1" {
-		text, _, told, _ := g.since(-1)
+		text, _, told, _ := g.updatesSince(-1)
 		if _, err := w.Write(text); err == nil {
-			g.rec.Tell(told...)
+			g.recorder.RecordUpdates(told...)
 		}
 		return
 	}
@@ -166,15 +166,15 @@
 		g.mu.Unlock()
 	}()
 	rc := http.NewResponseController(w)
-	beat := time.NewTicker(heartbeat)
+	beat := time.NewTicker(watchHeartbeat)
 	defer beat.Stop()
 	for first := true; ; first = false {
-		text, now, told, changed := g.since(rev)
+		text, now, told, changed := g.updatesSince(rev)
 		if first || now != rev {
 			if _, err := w.Write(text); err != nil || rc.Flush() != nil {
 				return
 			}
-			g.rec.Tell(told...)
+			g.recorder.RecordUpdates(told...)
 			rev = now
 		}
 		select {
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -9,12 +9,12 @@
 
 // Relay stands on the path between callers and a node, and can lose an answer on it.
 type Relay struct {
-	to   string
-	l    net.Listener
-	lose atomic.Int64
-	mu   sync.Mutex // guards conns
-	open map[net.Conn]struct{}
-	done sync.WaitGroup
+	target      string
+	listener    net.Listener
+	toDrop      atomic.Int64
+	mu          sync.Mutex // guards conns
+	connections map[net.Conn]struct{}
+	goroutines  sync.WaitGroup
 }
 
 // NewRelay passes connections on to an address.
@@ -23,62 +23,62 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{to: to, l: l, open: map[net.Conn]struct{}{}}
-	r.done.Go(r.accept)
+	r := &Relay{target: to, listener: l, connections: map[net.Conn]struct{}{}}
+	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
 // Addr is where callers connect.
-func (r *Relay) Addr() string { return r.l.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
 // Lose has the next n answers lost: their callers' connections end in place of them.
-func (r *Relay) Lose(n int64) { r.lose.Store(n) }
+func (r *Relay) DropResponses(n int64) { r.toDrop.Store(n) }
 
 // Close ends it and all connections.
 func (r *Relay) Close() {
-	r.l.Close()
+	r.listener.Close()
 	r.mu.Lock()
-	for c := range r.open {
+	for c := range r.connections {
 		c.Close()
 	}
 	r.mu.Unlock()
-	r.done.Wait()
+	r.goroutines.Wait()
 }
 
 func (r *Relay) track(c net.Conn) {
 	r.mu.Lock()
-	r.open[c] = struct{}{}
+	r.connections[c] = struct{}{}
 	r.mu.Unlock()
 }
 
-func (r *Relay) end(c net.Conn) {
+func (r *Relay) closeConnection(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
-	delete(r.open, c)
+	delete(r.connections, c)
 	r.mu.Unlock()
 }
 
 func (r *Relay) accept() {
 	for {
-		c, err := r.l.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
 		r.track(c)
-		r.done.Go(func() { r.pass(c) })
+		r.goroutines.Go(func() { r.forward(c) })
 	}
 }
 
-func (r *Relay) pass(c net.Conn) {
-	defer r.end(c)
-	out, err := net.Dial("tcp", r.to)
+func (r *Relay) forward(c net.Conn) {
+	defer r.closeConnection(c)
+	out, err := net.Dial("tcp", r.target)
 	if err != nil {
 		reset(c)
 		return
 	}
 	r.track(out)
-	defer r.end(out)
-	r.done.Go(func() {
+	defer r.closeConnection(out)
+	r.goroutines.Go(func() {
 		io.Copy(out, c)
 		out.Close()
 	})
@@ -86,7 +86,7 @@
 	for {
 		n, err := out.Read(buf)
 		if n > 0 {
-			if r.lose.Add(-1) >= 0 {
+			if r.toDrop.Add(-1) >= 0 {
 				return
 			}
 			if _, err := c.Write(buf[:n]); err != nil {
--- a/internal/fake/work.go
+++ b/internal/fake/work.go
@@ -8,7 +8,7 @@
 )
 
 // timeLeft is what X-Time-Left says; 0: nothing.
-func timeLeft(r *http.Request) time.Duration {
+func requestTimeLeft(r *http.Request) time.Duration {
 	text := r.Header.Get("X-Time-Left")
 	for unit, d := range map[string]time.Duration{"m": time.Millisecond, "u": time.Microsecond} {
 		if n, is := strings.CutSuffix(text, unit); is {
@@ -26,11 +26,11 @@
 	began := time.Now()
 	defer s.release()
 	good := true
-	if s.cfg.Next == nil {
+	if s.config.CallDownstream == nil {
 		time.Sleep(took)
 	} else {
 		time.Sleep(took / 2)
-		if good = s.cfg.Next(a.Class, left-time.Since(began)); good {
+		if good = s.config.CallDownstream(a.Class, left-time.Since(began)); good {
 			time.Sleep(took / 2)
 		}
 	}
@@ -46,14 +46,14 @@
 	if !good {
 		return http.StatusInternalServerError, "", true
 	}
-	return http.StatusOK, Body(a.ID), true
+	return http.StatusOK, ResponseBody(a.ID), true
 }
 
 // Slower has the work of requests that begin from now on take so many times as long; 1: as before.
-func (s *Server) Slower(times float64) {
+func (s *Server) SetSlowdown(times float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slower = times
+	s.slowdown = times
 }
 
 // WorkDone is how long a stubborn server has worked, and how much of that for callers that had left.
--- a/internal/fake/xds/plane.go
+++ b/internal/fake/xds/plane.go
@@ -21,27 +21,27 @@
 )
 
 // Plane is a control plane.
-type Plane struct {
+type ControlPlane struct {
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	loadstats.UnimplementedLoadReportingServiceServer
 
 	addr string
 
-	mu        sync.Mutex // guards all below
-	server    *grpc.Server
-	version   int
-	resources map[string]map[string]held // by type and name
-	streams   map[*stream]struct{}
-	opened    int
-	silent    bool // it takes requests and sends nothing by itself
-	requests  []Request
-	loads     []*loadstats.LoadStatsRequest
-	wish      *loadstats.LoadStatsResponse
-	onWrite   func(typeURL, version string)
+	mu                sync.Mutex // guards all below
+	server            *grpc.Server
+	version           int
+	resources         map[string]map[string]servedResource // by type and name
+	streams           map[*stream]struct{}
+	streamsOpened     int
+	silent            bool // it takes requests and sends nothing by itself
+	requests          []Request
+	loadReports       []*loadstats.LoadStatsRequest
+	loadReportRequest *loadstats.LoadStatsResponse
+	onWrite           func(typeURL, version string)
 }
 
 // held is a resource that the plane serves.
-type held struct {
+type servedResource struct {
 	version string
 	body    *anypb.Any
 	ttl     time.Duration
@@ -56,27 +56,27 @@
 
 // stream is one stream to a client.
 type stream struct {
-	n      int
-	delta  bool
-	cancel context.CancelFunc
-	out    chan proto.Message
-	nonce  int
+	number    int
+	delta     bool
+	cancel    context.CancelFunc
+	responses chan proto.Message
+	nonce     int
 	// by type: what was asked for, and what was sent in which version
-	asked map[string]map[string]bool
-	all   map[string]bool
-	sent  map[string]map[string]string
+	subscribed   map[string]map[string]bool
+	wildcard     map[string]bool
+	sentVersions map[string]map[string]string
 }
 
 // New starts a control plane on a free loopback port, with no resources.
-func New() (*Plane, error) {
-	p := &Plane{resources: map[string]map[string]held{}, streams: map[*stream]struct{}{}}
+func New() (*ControlPlane, error) {
+	p := &ControlPlane{resources: map[string]map[string]servedResource{}, streams: map[*stream]struct{}{}}
 	return p, p.listen("127.0.0.1:0")
 }
 
 // Addr is its address, the same after Down and Up.
-func (p *Plane) Addr() string { return p.addr }
+func (p *ControlPlane) Addr() string { return p.addr }
 
-func (p *Plane) listen(addr string) error {
+func (p *ControlPlane) listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("control plane: %w", err)
@@ -92,7 +92,7 @@
 }
 
 // Down ends it: its streams break and connections are refused.
-func (p *Plane) Down() {
+func (p *ControlPlane) Down() {
 	p.mu.Lock()
 	srv := p.server
 	p.server = nil
@@ -103,13 +103,13 @@
 }
 
 // Up starts it again, with the resources that it had.
-func (p *Plane) Up() error { return p.listen(p.addr) }
+func (p *ControlPlane) Up() error { return p.listen(p.addr) }
 
 // Close ends it.
-func (p *Plane) Close() { p.Down() }
+func (p *ControlPlane) Close() { p.Down() }
 
 // Break ends every stream, and says how many there were.
-func (p *Plane) Break() int {
+func (p *ControlPlane) BreakStreams() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.streams {
@@ -119,46 +119,46 @@
 }
 
 // SetSilent has it take requests and send nothing but what it is told to.
-func (p *Plane) SetSilent(is bool) {
+func (p *ControlPlane) SetSilent(is bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.silent = is
 }
 
 // OnWrite has f called right before each response is written, with its type and version.
-func (p *Plane) OnWrite(f func(typeURL, version string)) {
+func (p *ControlPlane) OnWrite(f func(typeURL, version string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.onWrite = f
 }
 
 // Opened is how many streams it has had.
-func (p *Plane) Opened() int {
+func (p *ControlPlane) StreamsOpened() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.opened
+	return p.streamsOpened
 }
 
 // Requests are all that it got.
-func (p *Plane) Requests() []Request {
+func (p *ControlPlane) Requests() []Request {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.requests)
 }
 
 // Set serves resources, by name; a nil one is removed. All are one change, whose version is returned.
-func (p *Plane) Set(typeURL string, resources map[string]proto.Message) (version string) {
+func (p *ControlPlane) Set(typeURL string, resources map[string]proto.Message) (version string) {
 	return p.SetTTL(typeURL, 0, resources)
 }
 
 // SetTTL is Set with a time to live.
-func (p *Plane) SetTTL(typeURL string, ttl time.Duration, resources map[string]proto.Message) (version string) {
+func (p *ControlPlane) SetTTL(typeURL string, ttl time.Duration, resources map[string]proto.Message) (version string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.version++
 	of := p.resources[typeURL]
 	if of == nil {
-		of = map[string]held{}
+		of = map[string]servedResource{}
 		p.resources[typeURL] = of
 	}
 	for name, m := range resources {
@@ -170,28 +170,28 @@
 		if err != nil {
 			panic(err) // a message of ours
 		}
-		of[name] = held{"v" + strconv.Itoa(p.version), body, ttl}
+		of[name] = servedResource{"v" + strconv.Itoa(p.version), body, ttl}
 	}
 	if p.silent {
 		return strconv.Itoa(p.version)
 	}
 	for s := range p.streams {
-		p.update(s, typeURL)
+		p.sendChanges(s, typeURL)
 	}
 	return strconv.Itoa(p.version)
 }
 
 // Clear forgets all resources, and tells nobody: as one that comes back empty.
-func (p *Plane) Clear() {
+func (p *ControlPlane) Clear() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.resources = map[string]map[string]held{}
+	p.resources = map[string]map[string]servedResource{}
 	p.version++
 }
 
 // Send sends a response of either variant as it is to every stream of its variant; an empty nonce is
 // filled in unless keep says to leave it.
-func (p *Plane) Send(m proto.Message, keep bool) {
+func (p *ControlPlane) Send(m proto.Message, keep bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.streams {
@@ -202,44 +202,44 @@
 				continue
 			}
 			if r.Nonce == "" && !keep {
-				r.Nonce = s.next()
+				r.Nonce = s.nextNonce()
 			}
 		case *discovery.DeltaDiscoveryResponse:
 			if !s.delta {
 				continue
 			}
 			if r.Nonce == "" && !keep {
-				r.Nonce = s.next()
+				r.Nonce = s.nextNonce()
 			}
 		}
-		s.put(m)
+		s.enqueue(m)
 	}
 }
 
-func (s *stream) next() string {
+func (s *stream) nextNonce() string {
 	s.nonce++
-	return fmt.Sprintf("n%d-%d", s.n, s.nonce)
+	return fmt.Sprintf("n%d-%d", s.number, s.nonce)
 }
 
 // put queues a response; a client that reads nothing loses its stream.
-func (s *stream) put(m proto.Message) {
+func (s *stream) enqueue(m proto.Message) {
 	select {
-	case s.out <- m:
+	case s.responses <- m:
 	default:
 		s.cancel()
 	}
 }
 
 // update sends a stream what it does not have yet of a type. The caller holds mu.
-func (p *Plane) update(s *stream, typeURL string) {
-	asked, all := s.asked[typeURL], s.all[typeURL]
+func (p *ControlPlane) sendChanges(s *stream, typeURL string) {
+	asked, all := s.subscribed[typeURL], s.wildcard[typeURL]
 	if !all && len(asked) == 0 {
 		return
 	}
-	sent := s.sent[typeURL]
+	sent := s.sentVersions[typeURL]
 	if sent == nil {
 		sent = map[string]string{}
-		s.sent[typeURL] = sent
+		s.sentVersions[typeURL] = sent
 	}
 	of := p.resources[typeURL]
 	var names, gone []string
@@ -259,7 +259,7 @@
 		if len(names)+len(gone) == 0 {
 			return
 		}
-		r := &discovery.DeltaDiscoveryResponse{TypeUrl: typeURL, Nonce: s.next(), SystemVersionInfo: strconv.Itoa(p.version), RemovedResources: gone}
+		r := &discovery.DeltaDiscoveryResponse{TypeUrl: typeURL, Nonce: s.nextNonce(), SystemVersionInfo: strconv.Itoa(p.version), RemovedResources: gone}
 		for _, n := range names {
 			w := &discovery.Resource{Name: n, Version: of[n].version, Resource: of[n].body}
 			if of[n].ttl > 0 {
@@ -271,7 +271,7 @@
 		for _, n := range gone {
 			delete(sent, n)
 		}
-		s.put(r)
+		s.enqueue(r)
 		return
 	}
 	// Clusters: whatever changed, all that is asked for is sent. Endpoints: only what changed.
@@ -288,7 +288,7 @@
 		}
 		slices.Sort(names)
 	}
-	r := &discovery.DiscoveryResponse{TypeUrl: typeURL, Nonce: s.next(), VersionInfo: strconv.Itoa(p.version)}
+	r := &discovery.DiscoveryResponse{TypeUrl: typeURL, Nonce: s.nextNonce(), VersionInfo: strconv.Itoa(p.version)}
 	for _, n := range names {
 		body := of[n].body
 		if of[n].ttl > 0 {
@@ -300,28 +300,28 @@
 	for _, n := range gone {
 		delete(sent, n)
 	}
-	s.put(r)
+	s.enqueue(r)
 }
 
 // ClusterURL is the type whose state-of-the-world responses are whole.
 const ClusterURL = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 
 // open registers a stream.
-func (p *Plane) open(ctx context.Context, delta bool) (*stream, context.Context) {
+func (p *ControlPlane) openStream(ctx context.Context, delta bool) (*stream, context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.opened++
+	p.streamsOpened++
 	s := &stream{
-		n: p.opened, delta: delta, cancel: cancel, out: make(chan proto.Message, 4096), asked: map[string]map[string]bool{},
-		all: map[string]bool{}, sent: map[string]map[string]string{},
+		number: p.streamsOpened, delta: delta, cancel: cancel, responses: make(chan proto.Message, 4096), subscribed: map[string]map[string]bool{},
+		wildcard: map[string]bool{}, sentVersions: map[string]map[string]string{},
 	}
 	p.streams[s] = struct{}{}
 	return s, ctx
 }
 
 // run writes a stream's responses until it ends.
-func (p *Plane) run(ctx context.Context, s *stream, send func(proto.Message) error) error {
+func (p *ControlPlane) writeResponses(ctx context.Context, s *stream, send func(proto.Message) error) error {
 	defer func() {
 		s.cancel()
 		p.mu.Lock()
@@ -330,12 +330,12 @@
 	}()
 	for {
 		select {
-		case m := <-s.out:
+		case m := <-s.responses:
 			p.mu.Lock()
 			f := p.onWrite
 			p.mu.Unlock()
 			if f != nil {
-				f(told(m))
+				f(typeAndVersion(m))
 			}
 			if err := send(m); err != nil {
 				return err
@@ -347,7 +347,7 @@
 }
 
 // told is the type and the version of a response.
-func told(m proto.Message) (typeURL, version string) {
+func typeAndVersion(m proto.Message) (typeURL, version string) {
 	switch r := m.(type) {
 	case *discovery.DiscoveryResponse:
 		return r.TypeUrl, r.VersionInfo
@@ -358,7 +358,7 @@
 }
 
 // receive records a stream's requests and has each answered, until the stream ends.
-func receive[R any](p *Plane, s *stream, recv func() (R, error), record func(R) Request, take func(*stream, R)) {
+func receive[R any](p *ControlPlane, s *stream, recv func() (R, error), record func(R) Request, take func(*stream, R)) {
 	defer s.cancel()
 	for {
 		r, err := recv()
@@ -375,94 +375,94 @@
 }
 
 // StreamAggregatedResources serves the state of the world.
-func (p *Plane) StreamAggregatedResources(st grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]) error {
-	s, ctx := p.open(st.Context(), false)
-	go receive(p, s, st.Recv, func(r *discovery.DiscoveryRequest) Request { return Request{Stream: s.n, SotW: r} }, p.takeSotW)
-	return p.run(ctx, s, func(m proto.Message) error { return st.Send(m.(*discovery.DiscoveryResponse)) })
+func (p *ControlPlane) StreamAggregatedResources(st grpc.BidiStreamingServer[discovery.DiscoveryRequest, discovery.DiscoveryResponse]) error {
+	s, ctx := p.openStream(st.Context(), false)
+	go receive(p, s, st.Recv, func(r *discovery.DiscoveryRequest) Request { return Request{Stream: s.number, SotW: r} }, p.handleSotW)
+	return p.writeResponses(ctx, s, func(m proto.Message) error { return st.Send(m.(*discovery.DiscoveryResponse)) })
 }
 
-func (p *Plane) takeSotW(s *stream, r *discovery.DiscoveryRequest) {
+func (p *ControlPlane) handleSotW(s *stream, r *discovery.DiscoveryRequest) {
 	url := r.GetTypeUrl()
 	asked := map[string]bool{}
 	for _, n := range r.GetResourceNames() {
 		asked[n] = true
 	}
 	// No names mean all of them only in a stream's first request of the type, and as long as there are none.
-	s.all[url] = asked["*"] || len(asked) == 0 && (s.asked[url] == nil || s.all[url])
-	s.asked[url] = asked
+	s.wildcard[url] = asked["*"] || len(asked) == 0 && (s.subscribed[url] == nil || s.wildcard[url])
+	s.subscribed[url] = asked
 	// What is no longer asked for is sent anew should it be asked for again.
-	for n := range s.sent[url] {
-		if !s.all[url] && !asked[n] {
-			delete(s.sent[url], n)
+	for n := range s.sentVersions[url] {
+		if !s.wildcard[url] && !asked[n] {
+			delete(s.sentVersions[url], n)
 		}
 	}
-	p.update(s, url)
+	p.sendChanges(s, url)
 }
 
 // DeltaAggregatedResources serves changes.
-func (p *Plane) DeltaAggregatedResources(st grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
-	s, ctx := p.open(st.Context(), true)
-	go receive(p, s, st.Recv, func(r *discovery.DeltaDiscoveryRequest) Request { return Request{Stream: s.n, Delta: r} }, p.takeDelta)
-	return p.run(ctx, s, func(m proto.Message) error { return st.Send(m.(*discovery.DeltaDiscoveryResponse)) })
+func (p *ControlPlane) DeltaAggregatedResources(st grpc.BidiStreamingServer[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]) error {
+	s, ctx := p.openStream(st.Context(), true)
+	go receive(p, s, st.Recv, func(r *discovery.DeltaDiscoveryRequest) Request { return Request{Stream: s.number, Delta: r} }, p.handleDelta)
+	return p.writeResponses(ctx, s, func(m proto.Message) error { return st.Send(m.(*discovery.DeltaDiscoveryResponse)) })
 }
 
-func (p *Plane) takeDelta(s *stream, r *discovery.DeltaDiscoveryRequest) {
+func (p *ControlPlane) handleDelta(s *stream, r *discovery.DeltaDiscoveryRequest) {
 	url := r.GetTypeUrl()
-	if s.asked[url] == nil {
-		s.asked[url], s.sent[url] = map[string]bool{}, map[string]string{}
-		s.all[url] = len(r.GetResourceNamesSubscribe()) == 0
+	if s.subscribed[url] == nil {
+		s.subscribed[url], s.sentVersions[url] = map[string]bool{}, map[string]string{}
+		s.wildcard[url] = len(r.GetResourceNamesSubscribe()) == 0
 		for n, v := range r.GetInitialResourceVersions() {
-			s.sent[url][n] = v
+			s.sentVersions[url][n] = v
 		}
 	}
 	of := p.resources[url]
 	var absent []string
 	for _, n := range r.GetResourceNamesSubscribe() {
 		if n == "*" {
-			s.all[url] = true
+			s.wildcard[url] = true
 			continue
 		}
-		s.asked[url][n] = true
+		s.subscribed[url][n] = true
 		if _, is := of[n]; !is {
-			if _, was := s.sent[url][n]; !was {
+			if _, was := s.sentVersions[url][n]; !was {
 				absent = append(absent, n)
 			}
 		}
 	}
 	for _, n := range r.GetResourceNamesUnsubscribe() {
-		delete(s.asked[url], n)
-		delete(s.sent[url], n)
+		delete(s.subscribed[url], n)
+		delete(s.sentVersions[url], n)
 	}
 	if len(absent) > 0 && url == ClusterURL { // a resource that is not there is told so at once
-		s.put(&discovery.DeltaDiscoveryResponse{TypeUrl: url, Nonce: s.next(), SystemVersionInfo: strconv.Itoa(p.version), RemovedResources: absent})
+		s.enqueue(&discovery.DeltaDiscoveryResponse{TypeUrl: url, Nonce: s.nextNonce(), SystemVersionInfo: strconv.Itoa(p.version), RemovedResources: absent})
 	}
-	p.update(s, url)
+	p.sendChanges(s, url)
 }
 
 // Wish sets what load reports it wants.
-func (p *Plane) Wish(r *loadstats.LoadStatsResponse) {
+func (p *ControlPlane) SetLoadReportRequest(r *loadstats.LoadStatsResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wish = r
+	p.loadReportRequest = r
 }
 
 // Loads are the load reports that it got.
-func (p *Plane) Loads() []*loadstats.LoadStatsRequest {
+func (p *ControlPlane) LoadReports() []*loadstats.LoadStatsRequest {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.loads)
+	return slices.Clone(p.loadReports)
 }
 
 // StreamLoadStats takes load reports.
-func (p *Plane) StreamLoadStats(st grpc.BidiStreamingServer[loadstats.LoadStatsRequest, loadstats.LoadStatsResponse]) error {
+func (p *ControlPlane) StreamLoadStats(st grpc.BidiStreamingServer[loadstats.LoadStatsRequest, loadstats.LoadStatsResponse]) error {
 	for first := true; ; first = false {
 		r, err := st.Recv()
 		if err != nil {
 			return err
 		}
 		p.mu.Lock()
-		p.loads = append(p.loads, r)
-		wish := p.wish
+		p.loadReports = append(p.loadReports, r)
+		wish := p.loadReportRequest
 		p.mu.Unlock()
 		if first && wish != nil {
 			if err := st.Send(wish); err != nil {
--- a/internal/mesh/testcluster/catchup_test.go
+++ b/internal/mesh/testcluster/catchup_test.go
@@ -67,7 +67,7 @@
 	stop := seen.watchLeaders(m.Members...)
 	assert.NilError(t, away.Start())
 	began := time.Now()
-	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return relay.Passed(lead.PathTo(away)) > 64<<10 }), "it is told nothing")
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return relay.BytesForwarded(lead.PathTo(away)) > 64<<10 }), "it is told nothing")
 	assert.Assert(t, away.statusPastRelay().AppliedIndex < target, "it has caught up before the leader is lost")
 	lead.Kill()
 	m.awaitLeader(t, stays)
@@ -88,7 +88,7 @@
 		assert.Equal(t, m.Sidecars[1].Send("GET", "/read/x", "", nil).Status, 200)
 	}
 	t.Logf("caught up after %v; %d bytes were sent to it", time.Since(began),
-		relay.Passed(lead.PathTo(away))+relay.Passed(stays.PathTo(away)))
+		relay.BytesForwarded(lead.PathTo(away))+relay.BytesForwarded(stays.PathTo(away)))
 	seen.awaitAcknowledged(t, ana, newRouteChange("after", "after", 2, "/after/"), stays, away)
 	seen.awaitFetched(t, ana, away)
 	assert.Equal(t, int(away.statusPastRelay().KeyCount), int(stays.statusPastRelay().KeyCount))
--- a/internal/mesh/testcluster/disk_loss_test.go
+++ b/internal/mesh/testcluster/disk_loss_test.go
@@ -143,13 +143,13 @@
 	gone.Kill()
 	added := r.cluster.ip(firstMemberIP + len(r.cluster.Members)) // where the next one will be
 	for _, x := range []*Machine{lead, stays} {
-		r.relay.Set(testfleet.Link{Rate: 20 << 10}, testfleet.Way{From: x.IP, To: added})
+		r.relay.Set(testfleet.Link{Rate: 20 << 10}, testfleet.Direction{From: x.IP, To: added})
 	}
 	fresh, err := r.cluster.AddMember(false)
 	assert.NilError(t, err)
 	assert.Equal(t, fresh.IP, added)
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
-		return r.relay.Held(lead.PathTo(fresh)) > 0 && r.relay.Passed(lead.PathTo(fresh)) > 16<<10
+		return r.relay.BytesPending(lead.PathTo(fresh)) > 0 && r.relay.BytesForwarded(lead.PathTo(fresh)) > 16<<10
 	}),
 		"the replacement is told nothing")
 	lead.Kill()
--- a/internal/mesh/testcluster/hops_bench_test.go
+++ b/internal/mesh/testcluster/hops_bench_test.go
@@ -78,11 +78,11 @@
 
 func benchmarkIdle(b *testing.B, m *Cluster) {
 	sidecar, member := m.Sidecars[0].Process, m.Members[0].Process
-	sidecarCPU, memberCPU, began := sidecar.CPU(), member.CPU(), time.Now()
+	sidecarCPU, memberCPU, began := sidecar.CPUTime(), member.CPUTime(), time.Now()
 	time.Sleep(time.Duration(b.N) * time.Second)
 	seconds := time.Since(began).Seconds()
-	b.ReportMetric(milliseconds(sidecar.CPU()-sidecarCPU)/seconds, "sidecar-ms/s")
-	b.ReportMetric(milliseconds(member.CPU()-memberCPU)/seconds, "member-ms/s")
+	b.ReportMetric(milliseconds(sidecar.CPUTime()-sidecarCPU)/seconds, "sidecar-ms/s")
+	b.ReportMetric(milliseconds(member.CPUTime()-memberCPU)/seconds, "member-ms/s")
 }
 
 // hopClient sends the requests of BenchmarkHops.
@@ -150,7 +150,7 @@
 func benchmarkHop(b *testing.B, send func(n int) (status int), cost map[string]*testfleet.Process) {
 	before := map[string]time.Duration{}
 	for name, process := range cost {
-		before[name] = process.CPU()
+		before[name] = process.CPUTime()
 	}
 	var all sync.WaitGroup
 	var failed sync.Map // statuses
@@ -172,7 +172,7 @@
 	failed.Range(func(status, _ any) bool { b.Errorf("answered %v", status); return true })
 	for name, process := range cost {
 		_, residentKB := process.Resources()
-		b.ReportMetric(float64((process.CPU()-before[name]).Microseconds())/float64(b.N), name+"-us/op")
+		b.ReportMetric(float64((process.CPUTime()-before[name]).Microseconds())/float64(b.N), name+"-us/op")
 		b.ReportMetric(float64(residentKB)/1024, name+"-MB")
 	}
 }
--- a/internal/mesh/testcluster/link_faults_test.go
+++ b/internal/mesh/testcluster/link_faults_test.go
@@ -95,9 +95,9 @@
 	process := x.Process.Cmd.Process
 	for _, inject := range []func() error{
 		func() error { relay.Reset(path); return nil },
-		func() error { relay.Silence(path); return nil },
+		func() error { relay.Blackhole(path); return nil },
 		func() error { relay.Set(testfleet.Link{Cut: true}, path); return nil },
-		func() error { relay.Set(testfleet.Link{Cut: true}, path.Back()); return nil },
+		func() error { relay.Set(testfleet.Link{Cut: true}, path.Reverse()); return nil },
 		func() error { return process.Signal(syscall.SIGSTOP) },
 	} {
 		testfleet.Await(time.Second, func() bool { return x.App.inFlight.Load() > 0 })
--- a/internal/mesh/testcluster/machine.go
+++ b/internal/mesh/testcluster/machine.go
@@ -114,4 +114,6 @@
 func (x *Machine) Addr(name string) string { return x.listenAddrs[name] }
 
 // PathTo is the path from one machine to another, for the relay.
-func (x *Machine) PathTo(to *Machine) testfleet.Way { return testfleet.Way{From: x.IP, To: to.IP} }
+func (x *Machine) PathTo(to *Machine) testfleet.Direction {
+	return testfleet.Direction{From: x.IP, To: to.IP}
+}
--- a/internal/mesh/testcluster/maintenance_test.go
+++ b/internal/mesh/testcluster/maintenance_test.go
@@ -167,7 +167,7 @@
 	again := f.Sidecars[1].awaitServed(t, "POST", "/send/x", f.keptKey)
 	assert.Assert(t, again.Body == f.kept.Body && again.Seal == f.kept.Seal, "%v, first %v", again, f.kept)
 	assert.NilError(t, f.machine.Start())
-	_, err := f.machine.Process.Said("items confirmed")
+	_, err := f.machine.Process.AwaitLogged("items confirmed")
 	assert.NilError(t, err)
 	response, err := http.Get("http://" + f.machine.Addr("Readiness") + "/v1/readiness")
 	assert.NilError(t, err)
--- a/internal/mesh/testcluster/member_faults_test.go
+++ b/internal/mesh/testcluster/member_faults_test.go
@@ -48,7 +48,7 @@
 	added, err := m.AddMember(false)
 	assert.NilError(t, err)
 	added.awaitConfigHas(t, `"/two/"`)
-	_, err = added.Process.Said(`"members":3`)
+	_, err = added.Process.AwaitLogged(`"members":3`)
 	assert.NilError(t, err)
 	m.applyRoutes(t, 4, RouteItem("three", "idempotent", "/three/", "stock", 4))
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
@@ -140,7 +140,7 @@
 	x.Kill()
 	corruptStore(t, filepath.Join(x.DataDir(), "vault"))
 	assert.NilError(t, x.Start())
-	_, err := x.Process.Said("store damaged, discarding it")
+	_, err := x.Process.AwaitLogged("store damaged, discarding it")
 	assert.NilError(t, err)
 	m.applyRoutes(t, 5, RouteItem("after", "idempotent", "/after/", "stock", 5))
 	x.awaitConfigHas(t, `"/after/"`)
--- a/internal/mesh/testcluster/operator.go
+++ b/internal/mesh/testcluster/operator.go
@@ -28,7 +28,9 @@
 }
 
 // PathTo is the path from an operator to a member.
-func (o *Operator) PathTo(to *Machine) testfleet.Way { return testfleet.Way{From: o.IP, To: to.IP} }
+func (o *Operator) PathTo(to *Machine) testfleet.Direction {
+	return testfleet.Direction{From: o.IP, To: to.IP}
+}
 
 // Modify sends a change of the configuration. The status is 0 where no answer came; the text says why.
 func (o *Operator) Modify(at *Machine, body []byte) (status int, text string) {
--- a/internal/mesh/testcluster/partition_test.go
+++ b/internal/mesh/testcluster/partition_test.go
@@ -36,13 +36,13 @@
 // partitionKinds are the directions in which a member is partitioned.
 var partitionKinds = []struct {
 	name  string
-	paths func(x *Machine, others ...*Machine) []testfleet.Way
+	paths func(x *Machine, others ...*Machine) []testfleet.Direction
 }{
 	{"both directions", pathsBetween},
 	{"from it", pathsTo},
-	{"to it", func(x *Machine, others ...*Machine) (l []testfleet.Way) {
+	{"to it", func(x *Machine, others ...*Machine) (l []testfleet.Direction) {
 		for _, w := range pathsTo(x, others...) {
-			l = append(l, w.Back())
+			l = append(l, w.Reverse())
 		}
 		return l
 	}},
@@ -80,14 +80,14 @@
 }
 
 // partition cuts some paths of x while operators write and read everywhere, and heals them again.
-func (r *partitionTest) partition(t *testing.T, x *Machine, ways []testfleet.Way) {
+func (r *partitionTest) partition(t *testing.T, x *Machine, ways []testfleet.Direction) {
 	t.Helper()
 	others := r.cluster.membersExcept(x)
 	w := r.observer.startWriters(r.cluster, 1, 3, r.cluster.Members...)
 	before := r.loseAnswer(t, x)
 	r.relay.Set(testfleet.Link{Cut: true}, ways...)
 	began := r.observer.elapsed()
-	r.relay.Set(testfleet.Link{}, r.operator.PathTo(x).Back())
+	r.relay.Set(testfleet.Link{}, r.operator.PathTo(x).Reverse())
 	r.observer.awaitAcknowledged(t, r.operator, before, others...)
 	r.restartSidecar(t, x, others)
 	for n := 0; n == 0 || r.observer.elapsed() < began+partitionDuration(t); n++ { // changes go on
@@ -115,7 +115,7 @@
 // loseAnswer sends a change to x whose answer stays on its way. A member that is no member yet may give none.
 func (r *partitionTest) loseAnswer(t *testing.T, x *Machine) routeChange {
 	t.Helper()
-	back := r.operator.PathTo(x).Back()
+	back := r.operator.PathTo(x).Reverse()
 	r.relay.Set(testfleet.Link{Cut: true}, back)
 	o, done := r.nextChange(), make(chan history.Outcome, 1)
 	go func() {
@@ -130,7 +130,7 @@
 			over = true
 		default:
 		}
-		return over || r.relay.Held(back) > 0
+		return over || r.relay.BytesPending(back) > 0
 	}))
 	return o
 }
@@ -182,6 +182,6 @@
 	assert.NilError(t, x.Start())
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		at, s := lead.statusPastRelay(), x.statusPastRelay()
-		return at != nil && s != nil && s.AppliedIndex < at.AppliedIndex && r.relay.Held(lead.PathTo(x)) > 0
+		return at != nil && s != nil && s.AppliedIndex < at.AppliedIndex && r.relay.BytesPending(lead.PathTo(x)) > 0
 	}), "it is not seen to catch up")
 }
--- a/internal/mesh/testcluster/relay_test.go
+++ b/internal/mesh/testcluster/relay_test.go
@@ -67,7 +67,7 @@
 }
 
 // pathsTo are the paths from one machine to others.
-func pathsTo(x *Machine, others ...*Machine) (paths []testfleet.Way) {
+func pathsTo(x *Machine, others ...*Machine) (paths []testfleet.Direction) {
 	for _, other := range others {
 		paths = append(paths, x.PathTo(other))
 	}
@@ -75,9 +75,9 @@
 }
 
 // pathsBetween are the paths from one machine to others, and back.
-func pathsBetween(x *Machine, others ...*Machine) (paths []testfleet.Way) {
+func pathsBetween(x *Machine, others ...*Machine) (paths []testfleet.Direction) {
 	for _, path := range pathsTo(x, others...) {
-		paths = append(paths, path, path.Back())
+		paths = append(paths, path, path.Reverse())
 	}
 	return paths
 }
@@ -90,12 +90,12 @@
 	ana := m.Operator(0)
 	status, text := ana.Fetch(m.Members[0])
 	assert.Equal(t, status, 200, text)
-	ways := []testfleet.Way{ana.PathTo(m.Members[0]), m.Sidecars[0].PathTo(m.Sidecars[1]), m.Sidecars[1].PathTo(m.Sidecars[0])}
+	ways := []testfleet.Direction{ana.PathTo(m.Members[0]), m.Sidecars[0].PathTo(m.Sidecars[1]), m.Sidecars[1].PathTo(m.Sidecars[0])}
 	for _, x := range m.Members {
 		ways = append(ways, pathsBetween(x, m.membersExcept(x)...)...)
 	}
 	for _, w := range ways {
-		assert.Assert(t, testfleet.Await(testTimeout, func() bool { return relay.Passed(w) > 0 && relay.Passed(w.Back()) > 0 }), "%v", w)
+		assert.Assert(t, testfleet.Await(testTimeout, func() bool { return relay.BytesForwarded(w) > 0 && relay.BytesForwarded(w.Reverse()) > 0 }), "%v", w)
 	}
 	old := m.awaitLeader(t)
 	relay.Set(testfleet.Link{Cut: true}, pathsBetween(old, m.membersExcept(old)...)...)
--- a/internal/mesh/testcluster/repeated_changes_test.go
+++ b/internal/mesh/testcluster/repeated_changes_test.go
@@ -26,7 +26,7 @@
 	for round := range repeatRounds {
 		deaf := m.Members[round%3]
 		for _, by := range operators {
-			relay.Set(testfleet.Link{Cut: true}, by.PathTo(deaf).Back())
+			relay.Set(testfleet.Link{Cut: true}, by.PathTo(deaf).Reverse())
 		}
 		changes := competingRouteChanges(round, operators)
 		under := seen.sendAll(changes, m.Members, round)
--- a/internal/mesh/testcluster/speed_bench_test.go
+++ b/internal/mesh/testcluster/speed_bench_test.go
@@ -64,7 +64,7 @@
 	failed := map[int]int{}
 	count := rate * int(load/time.Second)
 	leader := awaitLeader(b, m)
-	cpu, began := leader.Process.CPU(), time.Now()
+	cpu, began := leader.Process.CPUTime(), time.Now()
 	for n := range count {
 		time.Sleep(time.Until(began.Add(time.Duration(n) * time.Second / time.Duration(rate))))
 		all.Go(func() {
@@ -89,7 +89,7 @@
 	reportDurations(b, took)
 	b.ReportMetric(float64(len(took))/spent.Seconds(), "acked/s")
 	b.ReportMetric(float64(count-len(took)), "not-acked")
-	b.ReportMetric((leader.Process.CPU()-cpu).Seconds()/spent.Seconds(), "leader-cores")
+	b.ReportMetric((leader.Process.CPUTime()-cpu).Seconds()/spent.Seconds(), "leader-cores")
 }
 
 func reportDurations(b *testing.B, took []time.Duration) {
@@ -117,7 +117,7 @@
 	var mu sync.Mutex
 	var took []time.Duration
 	var all sync.WaitGroup
-	cpu, began := leader.Process.CPU(), time.Now()
+	cpu, began := leader.Process.CPUTime(), time.Now()
 	for g := range claimClients {
 		all.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
@@ -135,7 +135,7 @@
 	spent := time.Since(began)
 	reportDurations(b, took)
 	b.ReportMetric(float64(len(took))/spent.Seconds(), "claims/s")
-	b.ReportMetric((leader.Process.CPU()-cpu).Seconds()/spent.Seconds(), "leader-cores")
+	b.ReportMetric((leader.Process.CPUTime()-cpu).Seconds()/spent.Seconds(), "leader-cores")
 }
 
 // claimsBody words so many claims on keys of a name, as a sidecar does.
@@ -214,7 +214,7 @@
 	}
 	leader := awaitLeader(b, m)
 	var away *Machine
-	var ways []testfleet.Way
+	var ways []testfleet.Direction
 	for _, x := range m.Members {
 		if x != leader && away == nil {
 			away = x
@@ -232,7 +232,7 @@
 	relay.Set(testfleet.Link{Rate: catchUpRate}, ways...)
 	passed := func() (n int64) {
 		for _, w := range ways {
-			n += relay.Passed(w)
+			n += relay.BytesForwarded(w)
 		}
 		return n
 	}
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -26,7 +26,7 @@
 var (
 	read  = fake.Class{Name: "read", Effect: fake.Safe, Deadline: limit}
 	order = fake.Class{Name: "order", Effect: fake.Unsafe, Deadline: limit}
-	quick = fake.ServerConfig{Slots: 50, Queue: 50, Work: time.Millisecond, Zone: "a"}
+	quick = fake.ServerConfig{Concurrency: 50, QueueLimit: 50, ServiceTime: time.Millisecond, Zone: "a"}
 )
 
 // planOf is the plan of an operator's file with these pools; each of them has the host NAME.test.
@@ -77,13 +77,13 @@
 // world is stand-ins for a test.
 type world struct {
 	t       testing.TB
-	rec     *fake.Records
-	keys    *fake.Keys
+	rec     *fake.Recorder
+	keys    *fake.KeyStore
 	callers *fake.Callers
 }
 
 func newWorld(t testing.TB) *world {
-	return &world{t: t, rec: fake.NewRecords(read, order), keys: fake.NewKeys()}
+	return &world{t: t, rec: fake.NewRecorder(read, order), keys: fake.NewKeyStore()}
 }
 
 func (w *world) server(id string, cfg fake.ServerConfig) *fake.Server {
@@ -134,7 +134,7 @@
 			}
 			continue
 		}
-		l := w.rec.View().Arrivals
+		l := w.rec.History().Arrivals
 		if x.Status != 200 || l[len(l)-1].Server != want {
 			t.Errorf("%s: %d at %v", name, x.Status, l)
 		}
@@ -168,7 +168,7 @@
 	}
 	testkit.Eventually(t, "the new list is not used", func() bool {
 		w.ask("a", read)
-		l := w.rec.View().Arrivals
+		l := w.rec.History().Arrivals
 		return l[len(l)-1].Server == "b"
 	})
 	worse := planOf(t, "", poolOf("a", servers(a)))
@@ -223,12 +223,12 @@
 	}
 	testkit.Wait(t, old.Engine().Done())
 	testkit.Eventually(t, "the old pool's watch goes on", func() bool { return list.Watchers() == 0 })
-	for _, a := range w.rec.View().Arrivals {
+	for _, a := range w.rec.History().Arrivals {
 		if a.Server == "s" && a.Host != "a.test" {
 			t.Errorf("%+v", a)
 		}
 	}
-	if got := len(w.rec.View().Arrivals); got != 2 {
+	if got := len(w.rec.History().Arrivals); got != 2 {
 		t.Errorf("%d arrivals, not 2", got)
 	}
 	n.mu.Lock()
@@ -262,7 +262,7 @@
 	if x := testkit.Wait(t, answers); x.Status != 200 {
 		t.Errorf("the held request: %d", x.Status)
 	}
-	l := w.rec.View().Arrivals
+	l := w.rec.History().Arrivals
 	if len(l) != 2 || l[0].Server != "other" || l[1].Server != "s" {
 		t.Errorf("arrivals %+v", l)
 	}
@@ -285,11 +285,11 @@
 	ga.Set(spare, "SERVING")
 	ga.Set(s, "DRAINING")
 	testkit.Eventually(t, "a goes on using the server", func() bool {
-		seen := len(w.rec.View().Arrivals)
+		seen := len(w.rec.History().Arrivals)
 		for range 5 {
 			w.ask("a", read)
 		}
-		for _, a := range w.rec.View().Arrivals[seen:] {
+		for _, a := range w.rec.History().Arrivals[seen:] {
 			if a.Server == "s" {
 				return false
 			}
@@ -308,10 +308,10 @@
 func TestPoolsDoNotStarveEachOther(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t)
-	slow := fake.ServerConfig{Slots: 1, Queue: 1, Work: 50 * time.Millisecond, Zone: "a"}
+	slow := fake.ServerConfig{Concurrency: 1, QueueLimit: 1, ServiceTime: 50 * time.Millisecond, Zone: "a"}
 	calm, flooded, hung, refusing := w.server("calm", quick), w.server("flooded", slow), w.server("hung", quick), w.server("refusing", quick)
 	hung.SetMode(fake.Hanging)
-	refusing.SetMode(fake.Refusing)
+	refusing.SetMode(fake.Rejecting)
 	down := w.registry("")
 	down.Down()
 	n := w.run(planOf(t, "limits = { descriptors = 400 }\n", poolOf("calm", servers(calm)), poolOf("flooded", servers(flooded)),
@@ -389,7 +389,7 @@
 	t.Parallel()
 	w := newWorld(t)
 	slow := quick
-	slow.Work = 100 * time.Millisecond
+	slow.ServiceTime = 100 * time.Millisecond
 	a, b := w.server("a", slow), w.server("b", slow)
 	n := w.run(planOf(t, "limits = { connections = 8 }\n", poolOf("a", servers(a)), poolOf("b", servers(b))))
 	at := func(name string, requests int) (served int64) {
@@ -424,7 +424,7 @@
 	const reloads = 2000
 	before := goleak.IgnoreCurrent()
 	defer goleak.VerifyNone(t, before)
-	w := &world{t: t, rec: fake.NewRecords(read, order), keys: fake.NewKeys()}
+	w := &world{t: t, rec: fake.NewRecorder(read, order), keys: fake.NewKeyStore()}
 	cfg := quick
 	cfg.ID = "s"
 	s, err := fake.NewServer(cfg, w.rec, w.keys)
--- a/internal/node/xds_test.go
+++ b/internal/node/xds_test.go
@@ -31,7 +31,7 @@
 // xdsWorld is a world with a control plane.
 type xdsWorld struct {
 	*world
-	plane *fakexds.Plane
+	plane *fakexds.ControlPlane
 	node  *Node
 }
 
@@ -89,7 +89,7 @@
 	a := &endpointv3.ClusterLoadAssignment{ClusterName: name}
 	l := &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: "z"}}
 	for _, e := range entries {
-		_, ms := e.Boot()
+		_, ms := e.Incarnation()
 		l.LbEndpoints = append(l.LbEndpoints, &endpointv3.LbEndpoint{
 			HealthStatus:   e.health,
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Address: resource.Address(e.Addr())}},
@@ -126,14 +126,14 @@
 		t.Run(name, func(t *testing.T) {
 			bothVariants(t, func(t *testing.T, w *xdsWorld, delta bool) {
 				slow := quick
-				slow.Work = 300 * time.Millisecond
+				slow.ServiceTime = 300 * time.Millisecond
 				busy, spare := w.server("busy", slow), w.server("spare", quick)
 				w.cluster("c")
 				w.list("c", 0, xdsEntry{busy, corev3.HealthStatus_HEALTHY})
 				w.start(w.xdsPlan(delta, "", poolOf("a", `xds = "c"`)))
 				answer := make(chan fake.Exchange, 1)
 				go func() { answer <- w.ask("a", order) }()
-				testkit.Eventually(t, "the request does not reach the server", func() bool { return len(w.rec.View().Arrivals) == 1 })
+				testkit.Eventually(t, "the request does not reach the server", func() bool { return len(w.rec.History().Arrivals) == 1 })
 				switch state {
 				case 0:
 					w.list("c", 0, xdsEntry{spare, corev3.HealthStatus_HEALTHY})
@@ -149,10 +149,10 @@
 				}
 				p := w.node.serving.Load().pools["a"]
 				testkit.Eventually(t, "the news is not taken", func() bool {
-					seen := len(w.rec.View().Arrivals)
+					seen := len(w.rec.History().Arrivals)
 					w.ask("a", read)
-					l := w.rec.View().Arrivals[seen:]
-					return len(l) > 0 && (l[0].Server == "spare" || state == 2 && l[0].Boot == 1)
+					l := w.rec.History().Arrivals[seen:]
+					return len(l) > 0 && (l[0].Server == "spare" || state == 2 && l[0].Incarnation == 1)
 				})
 				want := 200
 				if state == 2 {
@@ -167,8 +167,8 @@
 						w.ask("a", read)
 					}
 				}
-				for _, a := range w.rec.View().Arrivals[1:] {
-					if a.ID == x.ID || state < 2 && a.Server == "busy" && a.First > x.Sent+time.Second {
+				for _, a := range w.rec.History().Arrivals[1:] {
+					if a.ID == x.ID || state < 2 && a.Server == "busy" && a.FirstByteAt > x.SentAt+time.Second {
 						t.Errorf("sent to %s: %+v", a.Server, a)
 					}
 				}
@@ -198,7 +198,7 @@
 		if x := testkit.Wait(t, answer); x.Status != 200 {
 			t.Errorf("the held request: %d", x.Status)
 		}
-		if n := len(w.rec.View().Arrivals); n != 1 {
+		if n := len(w.rec.History().Arrivals); n != 1 {
 			t.Errorf("%d arrivals", n)
 		}
 	})
@@ -213,15 +213,15 @@
 		w.list("c", 0, xdsEntry{told, corev3.HealthStatus_UNKNOWN})
 		w.plane.Down()
 		w.start(w.xdsPlan(delta, "", poolOf("a", "xds = \"c\"\n"+servers(known))))
-		if x := w.ask("a", order); x.Status != 200 || w.rec.View().Arrivals[0].Server != "known" {
-			t.Errorf("%d by %v", x.Status, w.rec.View().Arrivals)
+		if x := w.ask("a", order); x.Status != 200 || w.rec.History().Arrivals[0].Server != "known" {
+			t.Errorf("%d by %v", x.Status, w.rec.History().Arrivals)
 		}
 		if err := w.plane.Up(); err != nil {
 			t.Fatal(err)
 		}
 		testkit.Eventually(t, "the control plane's list is not used", func() bool {
 			w.ask("a", read)
-			l := w.rec.View().Arrivals
+			l := w.rec.History().Arrivals
 			return l[len(l)-1].Server == "told"
 		})
 	})
@@ -231,21 +231,21 @@
 func TestXDSDropsAndLoad(t *testing.T) {
 	t.Parallel()
 	w := newXDSWorld(t)
-	w.plane.Wish(&loadstats.LoadStatsResponse{SendAllClusters: true, LoadReportingInterval: durationpb.New(time.Millisecond)})
+	w.plane.SetLoadReportRequest(&loadstats.LoadStatsResponse{SendAllClusters: true, LoadReportingInterval: durationpb.New(time.Millisecond)})
 	s := w.server("s", quick)
 	w.cluster("c")
 	w.list("c", 100, xdsEntry{s, corev3.HealthStatus_HEALTHY})
 	w.start(w.xdsPlan(true, "load_reports = \"100ms\"\n", poolOf("a", `xds = "c"`)))
 	testkit.Eventually(t, "nothing is dropped", func() bool {
-		before := len(w.rec.View().Arrivals) // the first may be held until the list comes, and then sent
+		before := len(w.rec.History().Arrivals) // the first may be held until the list comes, and then sent
 		x := w.ask("a", order)
-		return x.Status == 503 && x.RetryAfter && len(w.rec.View().Arrivals) == before
+		return x.Status == 503 && x.RetryAfter && len(w.rec.History().Arrivals) == before
 	})
 	w.list("c", 0, xdsEntry{s, corev3.HealthStatus_HEALTHY})
 	testkit.Eventually(t, "still dropped", func() bool { return w.ask("a", order).Status == 200 })
 	testkit.Eventually(t, "the load is not reported", func() bool {
 		issued, dropped := uint64(0), uint64(0)
-		for _, r := range w.plane.Loads() {
+		for _, r := range w.plane.LoadReports() {
 			for _, c := range r.ClusterStats {
 				dropped += c.TotalDroppedRequests
 				for _, l := range c.UpstreamLocalityStats {
@@ -271,20 +271,20 @@
 	if x := w.ask("a", order); x.Status != 200 {
 		t.Errorf("with the new control plane silent: %d", x.Status)
 	}
-	testkit.Eventually(t, "the old control plane is still followed", func() bool { return w.plane.Break() == 0 })
+	testkit.Eventually(t, "the old control plane is still followed", func() bool { return w.plane.BreakStreams() == 0 })
 	next := w.server("next", quick)
 	other.cluster("c")
 	other.list("c", 0, xdsEntry{next, corev3.HealthStatus_HEALTHY})
 	testkit.Eventually(t, "the new list is not used", func() bool {
 		w.ask("a", read)
-		l := w.rec.View().Arrivals
+		l := w.rec.History().Arrivals
 		return l[len(l)-1].Server == "next"
 	})
 	if w.node.serving.Load().pools["a"].Engine() != engine {
 		t.Error("another control plane makes another pool")
 	}
 	reload(t, w.node, planOf(t, "", poolOf("a", servers(s)))) // without any
-	testkit.Eventually(t, "the control plane is still followed", func() bool { return other.plane.Break() == 0 })
+	testkit.Eventually(t, "the control plane is still followed", func() bool { return other.plane.BreakStreams() == 0 })
 	if x := w.ask("a", order); x.Status != 200 {
 		t.Errorf("without control planes: %d", x.Status)
 	}
--- a/internal/node/zone_accounts_test.go
+++ b/internal/node/zone_accounts_test.go
@@ -16,13 +16,13 @@
 )
 
 // zoned starts servers, one in each zone, and gives the part of a file that lists them.
-func zoned(t *testing.T, rec *fake.Records, zones ...string) string {
+func zoned(t *testing.T, rec *fake.Recorder, zones ...string) string {
 	t.Helper()
 	var b strings.Builder
 	for i, z := range zones {
 		cfg := quick
 		cfg.Zone, cfg.ID = z, fmt.Sprint(z, i)
-		s, err := fake.NewServer(cfg, rec, fake.NewKeys())
+		s, err := fake.NewServer(cfg, rec, fake.NewKeyStore())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 // servers saw, and both budget and account go on after a restart.
 func TestZones(t *testing.T) {
 	t.Parallel()
-	rec := fake.NewRecords(read, order)
+	rec := fake.NewRecorder(read, order)
 	state := filepath.Join(t.TempDir(), "zones.db")
 	head := func(home string, most int) string {
 		return fmt.Sprintf("default = \"p\"\nadmin = \"127.0.0.1:0\"\n[zones]\nhome = %q\nstate = %q\ndefault = { never = true }\n[[zones.pairs]]\nfrom = \"x\"\nto = \"b\"\nprice = 1\nrequests_day = %d\n", home, state, most)
@@ -130,7 +130,7 @@
 		r := n.Zones()
 		stop()
 		seen := map[string]int64{}
-		for _, a := range rec.View().Arrivals {
+		for _, a := range rec.History().Arrivals {
 			seen[a.Zone]++
 		}
 		told := map[string]int64{}
--- a/internal/testfleet/fabric.go
+++ b/internal/testfleet/fabric.go
@@ -24,18 +24,18 @@
 // from it, all others know it as 127.0.2.i+1, which is the fabric's; so it tells by the two addresses who sends to
 // whom, and a process that answers a datagram answers through it.
 type Fabric struct {
-	port  int
-	udp   []*net.UDPConn
-	tcp   []*net.TCPListener
-	done  sync.WaitGroup
-	close chan struct{}
+	port        int
+	packetConns []*net.UDPConn
+	listeners   []*net.TCPListener
+	goroutines  sync.WaitGroup
+	closing     chan struct{}
 
-	mu    sync.Mutex // guards what follows
-	links map[[2]int]Link
-	rng   *rand.Rand
-	free  map[[2]int]time.Time // when a limited link has sent what it has
-	bytes map[[2]int]int64     // that were sent to a link, by direction
-	conns map[net.Conn][2]int
+	mu        sync.Mutex // guards what follows
+	links     map[[2]int]Link
+	rng       *rand.Rand
+	idleAt    map[[2]int]time.Time // when a limited link has sent what it has
+	bytesSent map[[2]int]int64     // that were sent to a link, by direction
+	conns     map[net.Conn][2]int
 }
 
 // MostProcesses is how many a fabric can connect.
@@ -49,7 +49,7 @@
 	var err error
 	for range 50 {
 		f := &Fabric{
-			port: 20_000 + rand.IntN(10_000), close: make(chan struct{}), links: map[[2]int]Link{}, free: map[[2]int]time.Time{}, bytes: map[[2]int]int64{},
+			port: 20_000 + rand.IntN(10_000), closing: make(chan struct{}), links: map[[2]int]Link{}, idleAt: map[[2]int]time.Time{}, bytesSent: map[[2]int]int64{},
 			conns: map[net.Conn][2]int{}, rng: rand.New(rand.NewPCG(seed, 0xfab)),
 		}
 		if err = f.listen(n); err == nil {
@@ -60,46 +60,46 @@
 	return nil, fmt.Errorf("no port is free: %w", err)
 }
 
-func own(i int) net.IP  { return net.IPv4(127, 0, 1, byte(i+1)) }
-func seen(i int) net.IP { return net.IPv4(127, 0, 2, byte(i+1)) }
+func listenIP(i int) net.IP { return net.IPv4(127, 0, 1, byte(i+1)) }
+func publicIP(i int) net.IP { return net.IPv4(127, 0, 2, byte(i+1)) }
 
 // Own is the address that process i listens on and dials from, Seen the one that others know it by.
-func (f *Fabric) Own(i int) string  { return fmt.Sprintf("%v:%d", own(i), f.port) }
-func (f *Fabric) Seen(i int) string { return fmt.Sprintf("%v:%d", seen(i), f.port) }
+func (f *Fabric) ListenAddr(i int) string { return fmt.Sprintf("%v:%d", listenIP(i), f.port) }
+func (f *Fabric) PublicAddr(i int) string { return fmt.Sprintf("%v:%d", publicIP(i), f.port) }
 
 func (f *Fabric) listen(n int) error {
 	for i := range n {
 		// What the process will listen on must be free, too.
-		probe, err := net.ListenTCP("tcp", &net.TCPAddr{IP: own(i), Port: f.port})
+		probe, err := net.ListenTCP("tcp", &net.TCPAddr{IP: listenIP(i), Port: f.port})
 		if err != nil {
 			return err
 		}
 		probe.Close()
-		u, err := net.ListenUDP("udp", &net.UDPAddr{IP: seen(i), Port: f.port})
+		u, err := net.ListenUDP("udp", &net.UDPAddr{IP: publicIP(i), Port: f.port})
 		if err != nil {
 			return err
 		}
-		f.udp = append(f.udp, u)
-		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: seen(i), Port: f.port})
+		f.packetConns = append(f.packetConns, u)
+		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: publicIP(i), Port: f.port})
 		if err != nil {
 			return err
 		}
-		f.tcp = append(f.tcp, l)
+		f.listeners = append(f.listeners, l)
 	}
 	for i := range n {
-		f.done.Go(func() { f.datagrams(i) })
-		f.done.Go(func() { f.streams(i) })
+		f.goroutines.Go(func() { f.forwardDatagrams(i) })
+		f.goroutines.Go(func() { f.acceptStreams(i) })
 	}
 	return nil
 }
 
 // Close ends it and all that goes through it.
 func (f *Fabric) Close() {
-	close(f.close)
-	for _, u := range f.udp {
+	close(f.closing)
+	for _, u := range f.packetConns {
 		u.Close()
 	}
-	for _, l := range f.tcp {
+	for _, l := range f.listeners {
 		l.Close()
 	}
 	f.mu.Lock()
@@ -107,11 +107,11 @@
 		c.Close()
 	}
 	f.mu.Unlock()
-	f.done.Wait()
+	f.goroutines.Wait()
 }
 
 // Set has the way from one process to another be so from now on.
-func (f *Fabric) Set(from, to int, l Link) {
+func (f *Fabric) SetLink(from, to int, l Link) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.links[[2]int{from, to}] = l
@@ -125,24 +125,24 @@
 }
 
 // All sets every way.
-func (f *Fabric) All(l Link) {
-	for i := range f.udp {
-		for j := range f.udp {
+func (f *Fabric) SetAllLinks(l Link) {
+	for i := range f.packetConns {
+		for j := range f.packetConns {
 			if i != j {
-				f.Set(i, j, l)
+				f.SetLink(i, j, l)
 			}
 		}
 	}
 }
 
 // Part cuts every way between processes of different parts. Who is in none is left as it is.
-func (f *Fabric) Part(parts ...[]int) {
+func (f *Fabric) Partition(parts ...[]int) {
 	for i, a := range parts {
 		for j, b := range parts {
 			for _, x := range a {
 				for _, y := range b {
 					if i != j {
-						f.Set(x, y, Link{Cut: true})
+						f.SetLink(x, y, Link{Cut: true})
 					}
 				}
 			}
@@ -151,13 +151,13 @@
 }
 
 // Heal makes every way sound.
-func (f *Fabric) Heal() { f.All(Link{}) }
+func (f *Fabric) Heal() { f.SetAllLinks(Link{}) }
 
 // Bytes is what a process sent to others since the start, datagrams and streams.
-func (f *Fabric) Bytes(from int) (n int64) {
+func (f *Fabric) BytesSent(from int) (n int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for way, b := range f.bytes {
+	for way, b := range f.bytesSent {
 		if way[0] == from {
 			n += b
 		}
@@ -166,20 +166,20 @@
 }
 
 // who is the process of an address; -1: none.
-func (f *Fabric) who(a net.IP) int {
+func (f *Fabric) processOf(a net.IP) int {
 	a = a.To4()
-	if a == nil || a[0] != 127 || a[1] != 0 || a[2] != 1 || int(a[3]) > len(f.udp) {
+	if a == nil || a[0] != 127 || a[1] != 0 || a[2] != 1 || int(a[3]) > len(f.packetConns) {
 		return -1
 	}
 	return int(a[3]) - 1
 }
 
 // plan is what becomes of a message of so many bytes: how long each copy of it takes, none if it is lost.
-func (f *Fabric) plan(from, to, size int, datagram bool) (copies []time.Duration) {
+func (f *Fabric) schedule(from, to, size int, datagram bool) (copies []time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	way := [2]int{from, to}
-	f.bytes[way] += int64(size)
+	f.bytesSent[way] += int64(size)
 	l := f.links[way]
 	if l.Cut || l.Refuse || datagram && f.rng.Float64() < l.Loss {
 		return nil
@@ -195,11 +195,11 @@
 		}
 		if l.Rate > 0 {
 			now := time.Now()
-			if f.free[way].Before(now) {
-				f.free[way] = now
+			if f.idleAt[way].Before(now) {
+				f.idleAt[way] = now
 			}
-			f.free[way] = f.free[way].Add(time.Duration(size) * time.Second / time.Duration(l.Rate))
-			d += f.free[way].Sub(now)
+			f.idleAt[way] = f.idleAt[way].Add(time.Duration(size) * time.Second / time.Duration(l.Rate))
+			d += f.idleAt[way].Sub(now)
 		}
 		copies = append(copies, d)
 	}
@@ -207,25 +207,25 @@
 }
 
 // datagrams passes on what is sent to process i.
-func (f *Fabric) datagrams(i int) {
+func (f *Fabric) forwardDatagrams(i int) {
 	buf := make([]byte, 64<<10)
 	for {
-		n, from, err := f.udp[i].ReadFromUDP(buf)
+		n, from, err := f.packetConns[i].ReadFromUDP(buf)
 		if err != nil {
 			select {
-			case <-f.close:
+			case <-f.closing:
 				return
 			default: // a process that was not there said so
 				continue
 			}
 		}
-		j := f.who(from.IP)
+		j := f.processOf(from.IP)
 		if j < 0 {
 			continue
 		}
 		b := append([]byte(nil), buf[:n]...)
-		for _, d := range f.plan(j, i, n, true) {
-			pass := func() { f.udp[j].WriteToUDP(b, &net.UDPAddr{IP: own(i), Port: f.port}) }
+		for _, d := range f.schedule(j, i, n, true) {
+			pass := func() { f.packetConns[j].WriteToUDP(b, &net.UDPAddr{IP: listenIP(i), Port: f.port}) }
 			if d == 0 {
 				pass()
 			} else {
@@ -236,18 +236,18 @@
 }
 
 // streams passes on connections to process i.
-func (f *Fabric) streams(i int) {
+func (f *Fabric) acceptStreams(i int) {
 	for {
-		c, err := f.tcp[i].Accept()
+		c, err := f.listeners[i].Accept()
 		if err != nil {
 			return
 		}
-		j := f.who(c.RemoteAddr().(*net.TCPAddr).IP)
+		j := f.processOf(c.RemoteAddr().(*net.TCPAddr).IP)
 		if j < 0 {
 			c.Close()
 			continue
 		}
-		f.done.Go(func() { f.stream(c, j, i) })
+		f.goroutines.Go(func() { f.forwardStream(c, j, i) })
 	}
 }
 
@@ -263,7 +263,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	select {
-	case <-f.close:
+	case <-f.closing:
 		return false
 	default:
 	}
@@ -280,17 +280,17 @@
 
 // stream is one connection of process j to process i. While a way is cut it stays open and silent, half-open for
 // either side; what was sent comes when the way is whole again, as it would be sent again.
-func (f *Fabric) stream(c net.Conn, j, i int) {
+func (f *Fabric) forwardStream(c net.Conn, j, i int) {
 	defer f.forget(c)
 	if !f.track(c, [2]int{j, i}) {
 		reset(c)
 		return
 	}
-	if !f.whole(j, i) || !f.whole(i, j) {
+	if !f.awaitUncut(j, i) || !f.awaitUncut(i, j) {
 		return
 	}
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: seen(j)}, Timeout: 5 * time.Second}
-	out, err := d.Dial("tcp", f.Own(i))
+	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: publicIP(j)}, Timeout: 5 * time.Second}
+	out, err := d.Dial("tcp", f.ListenAddr(i))
 	if err != nil {
 		reset(c)
 		return
@@ -301,13 +301,13 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { f.copy(out, c, j, i) })
-	both.Go(func() { f.copy(c, out, i, j) })
+	both.Go(func() { f.copyStream(out, c, j, i) })
+	both.Go(func() { f.copyStream(c, out, i, j) })
 	both.Wait()
 }
 
 // whole waits until a way is not cut; false: the fabric has ended.
-func (f *Fabric) whole(from, to int) bool {
+func (f *Fabric) awaitUncut(from, to int) bool {
 	for {
 		f.mu.Lock()
 		cut := f.links[[2]int{from, to}].Cut
@@ -316,14 +316,14 @@
 			return true
 		}
 		select {
-		case <-f.close:
+		case <-f.closing:
 			return false
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-func (f *Fabric) copy(to, from net.Conn, j, i int) {
+func (f *Fabric) copyStream(to, from net.Conn, j, i int) {
 	defer func() {
 		if t, is := to.(*net.TCPConn); is {
 			t.CloseWrite()
@@ -333,10 +333,10 @@
 	for {
 		n, err := from.Read(buf)
 		if n > 0 {
-			if !f.whole(j, i) {
+			if !f.awaitUncut(j, i) {
 				return
 			}
-			for _, d := range f.plan(j, i, n, false) {
+			for _, d := range f.schedule(j, i, n, false) {
 				time.Sleep(d)
 			}
 			if _, err := to.Write(buf[:n]); err != nil {
--- a/internal/testfleet/faults_test.go
+++ b/internal/testfleet/faults_test.go
@@ -22,7 +22,7 @@
 )
 
 // moves is how often a member's place moved at others, as they tell of it.
-func (f *Fleet) moves(t *testing.T, of string, at ...int) (n int) {
+func (f *Fleet) rosterMoves(t *testing.T, of string, at ...int) (n int) {
 	t.Helper()
 	for _, i := range at {
 		s, err := f.Members[i].Status()
@@ -42,57 +42,57 @@
 // for long enough: who has the majority goes on, nobody else has a part, and all is whole after it.
 func TestPartitions(t *testing.T) {
 	t.Parallel()
-	f := start(t, FleetConfig{Members: 6, Servers: 4, Seed: 2})
+	f := startFleet(t, FleetConfig{MemberCount: 6, ServerCount: 4, Seed: 2})
 	all := []int{0, 1, 2, 3, 4, 5}
-	f.agree(t, true, all...)
+	f.awaitAgreement(t, true, all...)
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	for _, m := range f.Members {
-		m.Stream(ctx, &load, Traffic(20, time.Hour)...)
+		m.RunStreams(ctx, &load, Traffic(20, time.Hour)...)
 	}
-	cut := func(from, to int) { f.Fabric.Set(from, to, Link{Cut: true}) }
+	cut := func(from, to int) { f.Fabric.SetLink(from, to, Link{Cut: true}) }
 	for _, c := range []struct {
 		name     string
 		fault    func()
 		standing []int
 	}{
-		{"1 and 5", func() { f.Fabric.Part([]int{0}, []int{1, 2, 3, 4, 5}) }, []int{1, 2, 3, 4, 5}},
-		{"3 and 3", func() { f.Fabric.Part([]int{0, 1, 2}, []int{3, 4, 5}) }, nil},
-		{"three parts", func() { f.Fabric.Part([]int{0, 1}, []int{2, 3}, []int{4, 5}) }, nil},
+		{"1 and 5", func() { f.Fabric.Partition([]int{0}, []int{1, 2, 3, 4, 5}) }, []int{1, 2, 3, 4, 5}},
+		{"3 and 3", func() { f.Fabric.Partition([]int{0, 1, 2}, []int{3, 4, 5}) }, nil},
+		{"three parts", func() { f.Fabric.Partition([]int{0, 1}, []int{2, 3}, []int{4, 5}) }, nil},
 		{"a chain: 0 and 5 don't hear each other", func() { cut(0, 5); cut(5, 0) }, all},
 		{"one is not heard", func() {
-			f.Fabric.Part([]int{0})
+			f.Fabric.Partition([]int{0})
 			cut(0, 1)
 			cut(0, 2)
 			cut(0, 3)
 			cut(0, 4)
 			cut(0, 5)
 		}, []int{1, 2, 3, 4, 5}},
-		{"400 ms each way", func() { f.Fabric.All(Link{Delay: 400 * time.Millisecond}) }, all},
-		{"30 % lost, some twice and out of turn", func() { f.Fabric.All(Link{Loss: 0.3, Duplicate: 0.2, Jitter: 100 * time.Millisecond}) }, nil},
+		{"400 ms each way", func() { f.Fabric.SetAllLinks(Link{Delay: 400 * time.Millisecond}) }, all},
+		{"30 % lost, some twice and out of turn", func() { f.Fabric.SetAllLinks(Link{Loss: 0.3, Duplicate: 0.2, Jitter: 100 * time.Millisecond}) }, nil},
 	} {
 		c.fault()
-		if sum, _ := f.Parts(all...); sum > 1+1e-9 {
+		if sum, _ := f.SumShares(all...); sum > 1+1e-9 {
 			t.Errorf("%s: %v of the whole is taken", c.name, sum)
 		}
 		f.Fabric.Heal()
-		f.agree(t, true, all...)
+		f.awaitAgreement(t, true, all...)
 		c.fault()
 		if strings.HasPrefix(c.name, "30") { // who stands in it is chance; that is never too much
 			for range 20 {
-				if sum, _ := f.Parts(all...); sum > 1+1e-9 {
+				if sum, _ := f.SumShares(all...); sum > 1+1e-9 {
 					t.Errorf("%s: %v of the whole is taken", c.name, sum)
 				}
 			}
 		} else {
-			f.standing(t, c.standing...)
+			f.awaitShares(t, c.standing...)
 		}
 		f.Fabric.Heal()
-		f.agree(t, true, all...)
+		f.awaitAgreement(t, true, all...)
 	}
 	stop()
 	load.Wait()
-	if v := judge(t, f); v.Served < 100 {
+	if v := assertRulesKept(t, f); v.Served < 100 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -101,7 +101,7 @@
 // anybody missed it, five back under their names at new addresses, a copy of a running one, all but one dead.
 func TestComingAndGoing(t *testing.T) {
 	t.Parallel()
-	f := start(t, FleetConfig{Members: 1, Room: 9, Nodes: 1, Servers: 4, Seed: 3})
+	f := startFleet(t, FleetConfig{MemberCount: 1, SpareMembers: 9, ConfiguredNodes: 1, ServerCount: 4, Seed: 3})
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -110,30 +110,30 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
-	f.Members[0].Stream(ctx, &load, Traffic(40, time.Hour)...)
-	f.agree(t, true, 0)
+	f.Members[0].RunStreams(ctx, &load, Traffic(40, time.Hour)...)
+	f.awaitAgreement(t, true, 0)
 	five := []int{0, 1, 2, 3, 4}
 	for _, i := range five[1:] { // growth
 		must(f.Members[i].Start())
 	}
-	f.agree(t, true, five...)
+	f.awaitAgreement(t, true, five...)
 	for _, i := range five[1:] { // a rolling restart
-		f.Members[i].Leave()
+		f.Members[i].Terminate()
 		must(f.Members[i].Start())
-		f.agree(t, true, five...)
+		f.awaitAgreement(t, true, five...)
 	}
 	// Back before anybody missed it: it never stops counting at the others.
-	moved := f.moves(t, "n4", 0, 1, 2, 3)
+	moved := f.rosterMoves(t, "n4", 0, 1, 2, 3)
 	f.Members[4].Kill()
 	must(f.Members[4].Start())
-	f.agree(t, true, five...)
-	if now := f.moves(t, "n4", 0, 1, 2, 3); now != moved {
+	f.awaitAgreement(t, true, five...)
+	if now := f.rosterMoves(t, "n4", 0, 1, 2, 3); now != moved {
 		t.Errorf("its place moved %d times", now-moved)
 	}
 	// A copy of a running member, at another address: one of them counts, and operators are told.
 	f.Members[5].Name = "n4"
 	must(f.Members[5].Start())
-	if !Await(patience, func() bool {
+	if !Await(timeout, func() bool {
 		s, err := f.Members[1].Status()
 		return err == nil && slices.ContainsFunc(s.Members, func(m fleet.MemberStatus) bool { return m.Name == "n4" && m.Twin != "" })
 	}) {
@@ -143,62 +143,62 @@
 		t.Errorf("the copy has a part: %+v, %v", r, err)
 	}
 	f.Members[5].Kill()
-	f.agree(t, true, five...)
+	f.awaitAgreement(t, true, five...)
 	// Four die and come back one after the other at new addresses.
 	for _, i := range five[1:] {
 		f.Members[i].Kill()
 		f.Members[i+5].Name = f.Members[i].Name
 		must(f.Members[i+5].Start())
 	}
-	f.agree(t, true, 0, 6, 7, 8, 9)
+	f.awaitAgreement(t, true, 0, 6, 7, 8, 9)
 	// All but one die. It goes on, and takes no part until operators say that the others are dead.
 	for _, i := range []int{6, 7, 8, 9} {
 		f.Members[i].Kill()
 	}
-	f.standing(t)
+	f.awaitShares(t)
 	for _, i := range five[1:] {
-		resp, err := http.Post("http://"+f.Members[0].admin+"/fleet/forget?name="+f.Members[i].Name, "", nil)
+		resp, err := http.Post("http://"+f.Members[0].inspectionAddr+"/fleet/forget?name="+f.Members[i].Name, "", nil)
 		if err != nil || resp.StatusCode != http.StatusOK {
 			t.Fatal(resp, err)
 		}
 		resp.Body.Close()
 	}
-	f.standing(t, 0)
+	f.awaitShares(t, 0)
 	stop()
 	load.Wait()
-	judge(t, f)
+	assertRulesKept(t, f)
 }
 
 // TestSeedsLast: the members whose addresses all the others have are the last to start.
 func TestSeedsLast(t *testing.T) {
 	t.Parallel()
-	f := start(t, FleetConfig{Room: 5, Nodes: 5, Servers: 1, Seed: 4})
-	f.FleetConfig.Members = 2 // of whom the files tell
+	f := startFleet(t, FleetConfig{SpareMembers: 5, ConfiguredNodes: 5, ServerCount: 1, Seed: 4})
+	f.FleetConfig.MemberCount = 2 // of whom the files tell
 	for _, i := range []int{4, 3, 2} {
 		if err := f.Members[i].Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.standing(t) // three of five, but nobody knows of another
+	f.awaitShares(t) // three of five, but nobody knows of another
 	for _, i := range []int{1, 0} {
 		if err := f.Members[i].Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.agree(t, true, 0, 1, 2, 3, 4)
+	f.awaitAgreement(t, true, 0, 1, 2, 3, 4)
 }
 
 // TestFlapping stops and resumes a member four times a second: nobody's place moves, nobody else is given up, and what
 // is sent for it stays small.
 func TestFlapping(t *testing.T) {
 	t.Parallel()
-	f := start(t, FleetConfig{Members: 4, Servers: 2, Seed: 5})
-	f.agree(t, true, 0, 1, 2, 3)
+	f := startFleet(t, FleetConfig{MemberCount: 4, ServerCount: 2, Seed: 5})
+	f.awaitAgreement(t, true, 0, 1, 2, 3)
 	before := make([]int, 4)
 	for i, m := range f.Members {
-		before[i] = f.moves(t, m.Name, 0, 1, 2)
+		before[i] = f.rosterMoves(t, m.Name, 0, 1, 2)
 	}
-	sent, began := f.Fabric.Bytes(0), time.Now()
+	sent, began := f.Fabric.BytesSent(0), time.Now()
 	for range 20 {
 		f.Members[3].Pause()
 		time.Sleep(125 * time.Millisecond)
@@ -206,14 +206,14 @@
 		time.Sleep(125 * time.Millisecond)
 	}
 	for i, m := range f.Members {
-		if now := f.moves(t, m.Name, 0, 1, 2); now != before[i] {
+		if now := f.rosterMoves(t, m.Name, 0, 1, 2); now != before[i] {
 			t.Errorf("the place of %s moved %d times", m.Name, now-before[i])
 		}
 	}
-	if rate := float64(f.Fabric.Bytes(0)-sent) / time.Since(began).Seconds(); rate > 50_000 {
+	if rate := float64(f.Fabric.BytesSent(0)-sent) / time.Since(began).Seconds(); rate > 50_000 {
 		t.Errorf("%.0f bytes a second are sent by one of four", rate)
 	}
-	f.agree(t, true, 0, 1, 2, 3)
+	f.awaitAgreement(t, true, 0, 1, 2, 3)
 }
 
 // TestForged has strangers talk to members: noise, messages cut short, too long, played again, and members that are not
@@ -221,10 +221,10 @@
 func TestForged(t *testing.T) {
 	t.Parallel()
 	key := []byte("0123456789abcdef")
-	f := start(t, FleetConfig{Members: 3, Servers: 1, Seed: 6, Key: base64.StdEncoding.EncodeToString(key)})
-	f.agree(t, true, 0, 1, 2)
-	_, before := f.Members[0].P.Resources()
-	to := f.Fabric.Own(0)
+	f := startFleet(t, FleetConfig{MemberCount: 3, ServerCount: 1, Seed: 6, GossipKey: base64.StdEncoding.EncodeToString(key)})
+	f.awaitAgreement(t, true, 0, 1, 2)
+	_, before := f.Members[0].Process.Resources()
+	to := f.Fabric.ListenAddr(0)
 	u, err := net.Dial("udp", to)
 	if err != nil {
 		t.Fatal(err)
@@ -247,7 +247,7 @@
 			}
 		}
 	}
-	f.Fabric.All(Link{Duplicate: 1, Jitter: 500 * time.Millisecond}) // all is played twice, and in any order
+	f.Fabric.SetAllLinks(Link{Duplicate: 1, Jitter: 500 * time.Millisecond}) // all is played twice, and in any order
 	time.Sleep(time.Second)
 	f.Fabric.Heal()
 	// Strangers that know the key, but are no members that can be counted.
@@ -262,17 +262,17 @@
 		{"later", membership.Card{Name: "later", Protocol: 9, Run: 1, All: true}.Encode()},
 	} {
 		c := memberlist.DefaultLocalConfig()
-		c.Name, c.BindAddr, c.BindPort, c.AdvertiseAddr, c.Label, c.SecretKey, c.LogOutput = s.name, fmt.Sprintf("127.0.3.%d", i+1), 0, fmt.Sprintf("127.0.3.%d", i+1), "cranegrade", key, discard{}
-		c.Delegate = stranger(s.meta)
+		c.Name, c.BindAddr, c.BindPort, c.AdvertiseAddr, c.Label, c.SecretKey, c.LogOutput = s.name, fmt.Sprintf("127.0.3.%d", i+1), 0, fmt.Sprintf("127.0.3.%d", i+1), "cranegrade", key, discardWriter{}
+		c.Delegate = strangerDelegate(s.meta)
 		l, err := memberlist.Create(c)
 		if err != nil {
 			continue // the library itself turns it away
 		}
 		defer l.Shutdown()
-		l.Join([]string{f.Fabric.Seen(0), to})
+		l.Join([]string{f.Fabric.PublicAddr(0), to})
 	}
 	// The last is of a later protocol: it takes no part, but may act, as far as anybody knows.
-	if !Await(patience, func() bool {
+	if !Await(timeout, func() bool {
 		r, err := f.Members[0].Role()
 		return err == nil && r.Differ["later"] == "another protocol"
 	}) {
@@ -289,63 +289,63 @@
 		if len(s.Members) > 4 {
 			t.Errorf("%s knows %d members", m.Name, len(s.Members))
 		}
-		if n := strings.Count(m.P.Tail(), "\n"); n > 40 {
+		if n := strings.Count(m.Process.Tail(), "\n"); n > 40 {
 			t.Errorf("%s has said %d lines", m.Name, n)
 		}
 	}
-	if _, after := f.Members[0].P.Resources(); before > 0 && after > before+40_000 {
+	if _, after := f.Members[0].Process.Resources(); before > 0 && after > before+40_000 {
 		t.Errorf("%d kB resident, %d before", after, before)
 	}
 }
 
-type discard struct{}
+type discardWriter struct{}
 
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
+func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
 // stranger tells only its card.
-type stranger []byte
+type strangerDelegate []byte
 
-func (s stranger) NodeMeta(int) []byte           { return s }
-func (stranger) NotifyMsg([]byte)                {}
-func (stranger) GetBroadcasts(int, int) [][]byte { return nil }
-func (stranger) LocalState(bool) []byte          { return nil }
-func (stranger) MergeRemoteState([]byte, bool)   {}
+func (s strangerDelegate) NodeMeta(int) []byte           { return s }
+func (strangerDelegate) NotifyMsg([]byte)                {}
+func (strangerDelegate) GetBroadcasts(int, int) [][]byte { return nil }
+func (strangerDelegate) LocalState(bool) []byte          { return nil }
+func (strangerDelegate) MergeRemoteState([]byte, bool)   {}
 
 // TestUpgradeOfMember: a successor takes its predecessor's place, and nobody else's moves. Operators see it all.
 func TestUpgradeOfMember(t *testing.T) {
 	t.Parallel()
-	f := start(t, FleetConfig{Members: 3, Servers: 2, Seed: 10, Top: "operator = \"127.0.0.1:0\"\nstate = \"{state}\""})
-	f.agree(t, true, 0, 1, 2)
+	f := startFleet(t, FleetConfig{MemberCount: 3, ServerCount: 2, Seed: 10, ExtraSettings: "operator = \"127.0.0.1:0\"\nstate = \"{state}\""})
+	f.awaitAgreement(t, true, 0, 1, 2)
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
-	f.Members[1].Stream(ctx, &load, Traffic(60, time.Hour)...)
-	before := f.moves(t, "n1", 0, 2)
+	f.Members[1].RunStreams(ctx, &load, Traffic(60, time.Hour)...)
+	before := f.rosterMoves(t, "n1", 0, 2)
 	if err := f.Members[1].Upgrade(); err != nil {
 		t.Fatal(err)
 	}
-	f.agree(t, true, 0, 1, 2)
-	if now := f.moves(t, "n1", 0, 2) - before; now > 0 {
+	f.awaitAgreement(t, true, 0, 1, 2)
+	if now := f.rosterMoves(t, "n1", 0, 2) - before; now > 0 {
 		t.Errorf("its place moved %d times", now)
 	}
 	stop()
 	load.Wait()
-	if v := judge(t, f); v.Served < 20 || v.Failed > 0 {
+	if v := assertRulesKept(t, f); v.Served < 20 || v.Failed > 0 {
 		t.Errorf("%+v", v)
 	}
-	text, err := f.Members[0].Ask("fleet")
+	text, err := f.Members[0].RunCommand("fleet")
 	if err != nil || !strings.Contains(text, "3 names") || !strings.Contains(text, "3 of 2") {
 		t.Errorf("%v: %s", err, text)
 	}
-	if text, err := f.Members[0].Ask("fleet", "forget", "nobody"); err == nil || !strings.Contains(text, "no such member") {
+	if text, err := f.Members[0].RunCommand("fleet", "forget", "nobody"); err == nil || !strings.Contains(text, "no such member") {
 		t.Errorf("%v: %s", err, text)
 	}
 	f.Members[2].Kill()
-	f.agree(t, true, 0, 1)
-	if text, err := f.Members[0].Ask("fleet", "forget", "n2"); err != nil || !strings.Contains(text, "off the roll") {
+	f.awaitAgreement(t, true, 0, 1)
+	if text, err := f.Members[0].RunCommand("fleet", "forget", "n2"); err != nil || !strings.Contains(text, "off the roll") {
 		t.Errorf("%v: %s", err, text)
 	}
-	if !Await(patience, func() bool {
-		text, err := f.Members[1].Ask("fleet", "-json")
+	if !Await(timeout, func() bool {
+		text, err := f.Members[1].RunCommand("fleet", "-json")
 		return err == nil && strings.Contains(text, `"gone": true`)
 	}) {
 		t.Error("the others do not hear of it")
@@ -356,8 +356,8 @@
 // starts each time, takes its place, and has the orders that its state holds.
 func TestStates(t *testing.T) {
 	t.Parallel()
-	f := start(t, FleetConfig{Members: 3, Servers: 4, Seed: 13, Top: "operator = \"127.0.0.1:0\"\nstate = \"{state}\""})
-	f.agree(t, true, 0, 1, 2)
+	f := startFleet(t, FleetConfig{MemberCount: 3, ServerCount: 4, Seed: 13, ExtraSettings: "operator = \"127.0.0.1:0\"\nstate = \"{state}\""})
+	f.awaitAgreement(t, true, 0, 1, 2)
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -366,10 +366,10 @@
 	}
 	order := func(m *Member, verb admin.Verb, id string) {
 		t.Helper()
-		addr, err := m.P.Said("operators call on ")
+		addr, err := m.Process.AwaitLogged("operators call on ")
 		must(err)
-		if !Await(patience, func() bool { // its list may not have come yet
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+		if !Await(timeout, func() bool { // its list may not have come yet
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			yes, _, err := admin.Send(ctx, addr, admin.Command{Verb: verb, ID: id})
 			return yes && err == nil
@@ -379,11 +379,11 @@
 	}
 	m := f.Members[1]
 	m.Kill()
-	must(m.Keep("before"))
+	must(m.SaveState("before"))
 	must(m.Start())
 	order(m, admin.SetDown, "s-00")
 	f.Members[2].Kill()
-	must(f.Members[2].Keep("another's"))
+	must(f.Members[2].SaveState("another's"))
 	must(f.Members[2].Start())
 	for _, c := range []struct {
 		name string
@@ -391,26 +391,26 @@
 		out  bool
 	}{
 		{"its own", func() error { return nil }, true},
-		{"an older copy", func() error { return m.Restore("before") }, false},
-		{"its own once more", func() error { return m.Restore("after") }, true},
-		{"a torn one", m.Tear, false},
-		{"another's", func() error { return m.Restore("another's") }, false},
-		{"none", m.Empty, false},
+		{"an older copy", func() error { return m.RestoreState("before") }, false},
+		{"its own once more", func() error { return m.RestoreState("after") }, true},
+		{"a torn one", m.TruncateState, false},
+		{"another's", func() error { return m.RestoreState("another's") }, false},
+		{"none", m.ClearState, false},
 	} {
 		m.Kill()
 		if c.name == "its own" {
-			must(m.Keep("after"))
+			must(m.SaveState("after"))
 		}
 		must(c.do())
 		must(m.Start())
-		f.agree(t, true, 0, 1, 2)
-		from := f.Rec.Now()
+		f.awaitAgreement(t, true, 0, 1, 2)
+		from := f.Recorder.Now()
 		for range 60 {
-			m.Callers.Do(fake.Stream{Host: Host, Class: Read})
+			m.Callers.Do(fake.Stream{Host: Host, Class: ReadClass})
 		}
 		n := 0
-		for _, a := range f.Rec.View().Arrivals {
-			if a.First > from && a.Server == "s-00" {
+		for _, a := range f.Recorder.History().Arrivals {
+			if a.FirstByteAt > from && a.Server == "s-00" {
 				n++
 			}
 		}
@@ -418,5 +418,5 @@
 			t.Errorf("with %s the server that was taken out got %d of 60", c.name, n)
 		}
 	}
-	judge(t, f)
+	assertRulesKept(t, f)
 }
