--- a/internal/testfleet/fleet.go
+++ b/internal/testfleet/fleet.go
@@ -13,18 +13,18 @@
 
 // FleetConfig says what a fleet of real processes is.
 type FleetConfig struct {
-	Program string // its path; "": it is built
-	Members int
-	Room    int // members that may be added later
-	Nodes   int // as their files tell; 0: Members
-	Servers int
-	Seed    uint64
-	Lease   time.Duration // 0: 1.2 s, so that short drills see the ends of leases
-	Slack   time.Duration // see audit.Options
-	Key     string        // of the gossip, in base64; "": none
-	Alone   bool          // no [fleet]: count and place stand in the files, as they did
-	Top     string        // more for the top of each file; {state} is the member's directory
-	Pool    string        // more for the pool
+	Program           string // its path; "": it is built
+	MemberCount       int
+	SpareMembers      int // members that may be added later
+	ConfiguredNodes   int // as their files tell; 0: Members
+	ServerCount       int
+	Seed              uint64
+	Lease             time.Duration // 0: 1.2 s, so that short drills see the ends of leases
+	Slack             time.Duration // see audit.Options
+	GossipKey         string        // of the gossip, in base64; "": none
+	Standalone        bool          // no [fleet]: count and place stand in the files, as they did
+	ExtraSettings     string        // more for the top of each file; {state} is the member's directory
+	ExtraPoolSettings string        // more for the pool
 }
 
 // Fleet is real processes of the program, each with a state directory of its own, among servers, a registry and callers.
@@ -32,14 +32,14 @@
 	FleetConfig
 	Dir      string
 	Fabric   *Fabric
-	Rec      *fake.Records
+	Recorder *fake.Recorder
 	Registry *fake.Registry
 	Servers  []*fake.Server
 	Members  []*Member
 
-	began  time.Time
-	mu     sync.Mutex // guards what follows, and the members' processes
-	faults []Fault    // that were played, by the time since Began
+	startedAt time.Time
+	mu        sync.Mutex // guards what follows, and the members' processes
+	faults    []Fault    // that were played, by the time since Began
 }
 
 // Host is whose requests the fleet serves.
@@ -47,13 +47,13 @@
 
 // NewFleet starts servers, registry and fabric; no member is started yet.
 func NewFleet(c FleetConfig) (_ *Fleet, err error) {
-	if c.Nodes == 0 {
-		c.Nodes = c.Members
+	if c.ConfiguredNodes == 0 {
+		c.ConfiguredNodes = c.MemberCount
 	}
 	if c.Lease == 0 {
 		c.Lease = 1200 * time.Millisecond
 	}
-	f := &Fleet{FleetConfig: c, Rec: fake.NewRecords(Classes...), began: time.Now()}
+	f := &Fleet{FleetConfig: c, Recorder: fake.NewRecorder(Classes...), startedAt: time.Now()}
 	defer func() {
 		if err != nil {
 			f.Close()
@@ -67,26 +67,26 @@
 			return nil, err
 		}
 	}
-	if f.Fabric, err = NewFabric(c.Members+c.Room, c.Seed); err != nil {
+	if f.Fabric, err = NewFabric(c.MemberCount+c.SpareMembers, c.Seed); err != nil {
 		return nil, err
 	}
-	if f.Registry, err = fake.NewRegistry(Host, f.Rec); err != nil {
+	if f.Registry, err = fake.NewRegistry(Host, f.Recorder); err != nil {
 		return nil, err
 	}
-	keys := fake.NewKeys()
-	for i := range c.Servers {
-		s := InCell(Usual, i%2)
+	keys := fake.NewKeyStore()
+	for i := range c.ServerCount {
+		s := InCell(DefaultServer, i%2)
 		s.ID = fmt.Sprintf("s-%02d", i)
-		server, err := fake.NewServer(s, f.Rec, keys)
+		server, err := fake.NewServer(s, f.Recorder, keys)
 		if err != nil {
 			return nil, err
 		}
 		f.Servers = append(f.Servers, server)
 		f.Registry.Set(server, "SERVING")
 	}
-	for i := range c.Members + c.Room {
-		m := &Member{I: i, Name: fmt.Sprintf("n%d", i), fleet: f, addr: "127.0.0.1:0"}
-		if err := os.MkdirAll(m.State(), 0o700); err != nil {
+	for i := range c.MemberCount + c.SpareMembers {
+		m := &Member{Index: i, Name: fmt.Sprintf("n%d", i), fleet: f, callerAddr: "127.0.0.1:0"}
+		if err := os.MkdirAll(m.StateDir(), 0o700); err != nil {
 			return nil, err
 		}
 		f.Members = append(f.Members, m)
@@ -99,8 +99,8 @@
 	var all sync.WaitGroup
 	for _, m := range f.Members {
 		all.Go(func() {
-			if m.P != nil && m.Lives() {
-				m.P.Kill()
+			if m.Process != nil && m.IsRunning() {
+				m.Process.Kill()
 			}
 			if m.Callers != nil {
 				m.Callers.Close()
@@ -139,8 +139,8 @@
 
 // Agree waits until the members of these numbers count exactly each other, each with a part of its own, and says how
 // long that took; parts false: whether they have parts is left open.
-func (f *Fleet) Agree(limit time.Duration, parts bool, members ...int) (took time.Duration, err error) {
-	want := f.names(members)
+func (f *Fleet) AwaitAgreement(limit time.Duration, parts bool, members ...int) (took time.Duration, err error) {
+	want := f.sortedNames(members)
 	began := time.Now()
 	last := ""
 	if Await(limit, func() bool {
@@ -162,7 +162,7 @@
 	return 0, fmt.Errorf("%v do not agree within %v: %s", want, limit, last)
 }
 
-func (f *Fleet) names(members []int) (l []string) {
+func (f *Fleet) sortedNames(members []int) (l []string) {
 	for _, i := range members {
 		l = append(l, f.Members[i].Name)
 	}
@@ -172,7 +172,7 @@
 
 // Parts is the sum of the parts that these members hold to be theirs, and how many have one. Each is asked after the
 // other, so a sum over 1 may be one that never was at one moment, but not where nothing changes.
-func (f *Fleet) Parts(members ...int) (sum float64, n int) {
+func (f *Fleet) SumShares(members ...int) (sum float64, n int) {
 	for _, i := range members {
 		if r, err := f.Members[i].Role(); err == nil && r.Standing {
 			sum += 1 / float64(r.Divisor)
@@ -184,11 +184,11 @@
 
 // Load is how the requests that reached servers from one time of the records to another lie over them: the least and
 // the most of the mean.
-func (f *Fleet) Load(from, to time.Duration) (least, most float64) {
+func (f *Fleet) LoadSpread(from, to time.Duration) (least, most float64) {
 	count := map[string]int{}
 	total := 0
-	for _, a := range f.Rec.View().Arrivals {
-		if a.First >= from && a.First < to {
+	for _, a := range f.Recorder.History().Arrivals {
+		if a.FirstByteAt >= from && a.FirstByteAt < to {
 			count[a.Server]++
 			total++
 		}
@@ -204,9 +204,9 @@
 // Traffic is requests of all classes at a rate together, for so long.
 func Traffic(rate float64, long time.Duration) []fake.Stream {
 	return []fake.Stream{
-		{Class: Read, Rate: rate * 0.5, For: long},
-		{Class: Send, Rate: rate * 0.25, For: long, Body: 200},
-		{Class: Cell, Rate: rate * 0.125, For: long, Body: 500},
-		{Class: Order, Rate: rate * 0.125, For: long, Body: 200},
+		{Class: ReadClass, Rate: rate * 0.5, Duration: long},
+		{Class: AlertClass, Rate: rate * 0.25, Duration: long, BodyBytes: 200},
+		{Class: CampaignClass, Rate: rate * 0.125, Duration: long, BodyBytes: 500},
+		{Class: OrderClass, Rate: rate * 0.125, Duration: long, BodyBytes: 200},
 	}
 }
--- a/internal/testfleet/member.go
+++ b/internal/testfleet/member.go
@@ -21,55 +21,55 @@
 
 // Member is one of the processes.
 type Member struct {
-	I       int
+	Index   int
 	Name    string
-	P       *Process // nil: it was never started
+	Process *Process // nil: it was never started
 	Callers *fake.Callers
 
 	Program  string         // another than the fleet's; "": that
 	Registry *fake.Registry // another than the fleet's; nil: that
 
-	fleet  *Fleet
-	addr   string // where callers come, the same after a restart
-	admin  string
-	paused bool
+	fleet          *Fleet
+	callerAddr     string // where callers come, the same after a restart
+	inspectionAddr string
+	paused         bool
 }
 
 // State is a member's own directory.
-func (m *Member) State() string { return filepath.Join(m.fleet.Dir, m.Name) }
+func (m *Member) StateDir() string { return filepath.Join(m.fleet.Dir, m.Name) }
 
 // file is the member's.
-func (m *Member) file() string {
+func (m *Member) configText() string {
 	f := m.fleet
 	var b strings.Builder
-	fmt.Fprintf(&b, "name = %q\nlisten = [%q]\nadmin = \"127.0.0.1:0\"\ndefault = \"app\"\nlimits = { cores = 1 }\nnodes = %d\n%s\n", m.Name, m.addr, f.Nodes, strings.ReplaceAll(f.Top, "{state}", m.State()))
-	if f.Alone {
-		fmt.Fprintf(&b, "index = %d\n", m.I%f.Nodes)
+	fmt.Fprintf(&b, "name = %q\nlisten = [%q]\nadmin = \"127.0.0.1:0\"\ndefault = \"app\"\nlimits = { cores = 1 }\nnodes = %d\n%s\n", m.Name, m.callerAddr, f.ConfiguredNodes, strings.ReplaceAll(f.ExtraSettings, "{state}", m.StateDir()))
+	if f.Standalone {
+		fmt.Fprintf(&b, "index = %d\n", m.Index%f.ConfiguredNodes)
 	} else {
 		var join []string
-		for i := range min(3, f.FleetConfig.Members) {
-			join = append(join, fmt.Sprintf("%q", f.Fabric.Seen(i)))
+		for i := range min(3, f.FleetConfig.MemberCount) {
+			join = append(join, fmt.Sprintf("%q", f.Fabric.PublicAddr(i)))
 		}
 		fmt.Fprintf(&b, "[fleet]\n")
-		if f.Key != "" {
-			fmt.Fprintf(&b, "key = %q\n", f.Key)
+		if f.GossipKey != "" {
+			fmt.Fprintf(&b, "key = %q\n", f.GossipKey)
 		}
 		fmt.Fprintf(&b, "listen = %q\nadvertise = %q\njoin = [%s]\nlease = %q\nsettle = \"500ms\"\nprobe = \"200ms\"\n",
-			f.Fabric.Own(m.I), f.Fabric.Seen(m.I), strings.Join(join, ", "), f.Lease)
+			f.Fabric.ListenAddr(m.Index), f.Fabric.PublicAddr(m.Index), strings.Join(join, ", "), f.Lease)
 	}
 	registry := f.Registry
 	if m.Registry != nil {
 		registry = m.Registry
 	}
-	b.WriteString(PoolText("app", fmt.Sprintf("registry = %q", registry.Addr()), f.Pool))
+	b.WriteString(PoolConfig("app", fmt.Sprintf("registry = %q", registry.Addr()), f.ExtraPoolSettings))
 	return b.String()
 }
 
 // Start starts a member, or starts it again, and returns once it listens.
 func (m *Member) Start() error {
 	f := m.fleet
-	config := filepath.Join(m.State(), "node.toml")
-	if err := os.WriteFile(config, []byte(m.file()), 0o600); err != nil {
+	config := filepath.Join(m.StateDir(), "node.toml")
+	if err := os.WriteFile(config, []byte(m.configText()), 0o600); err != nil {
 		return err
 	}
 	program := f.Program
@@ -80,29 +80,29 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.Name, err)
 	}
-	admin, err := p.Said("telling what it holds on ")
+	admin, err := p.AwaitLogged("telling what it holds on ")
 	if err != nil {
 		p.Kill()
 		return err
 	}
 	f.mu.Lock()
-	m.P, m.addr, m.admin, m.paused = p, p.Addr, admin, false
+	m.Process, m.callerAddr, m.inspectionAddr, m.paused = p, p.Addr, admin, false
 	if m.Callers == nil {
-		m.Callers = fake.NewCallers(f.Rec, p.Addr, f.Seed<<8|uint64(m.I+1), 2*time.Second+f.Slack)
-		m.Callers.Through(m.Name)
+		m.Callers = fake.NewCallers(f.Recorder, p.Addr, f.Seed<<8|uint64(m.Index+1), 2*time.Second+f.Slack)
+		m.Callers.SetProcess(m.Name)
 	}
 	f.mu.Unlock()
-	f.Rec.Back(m.Name)
+	f.Recorder.ProcessUp(m.Name)
 	return nil
 }
 
 // Upgrade starts a successor beside the running process, and ends that once the new one has taken over.
 func (m *Member) Upgrade() error {
-	old := m.P
+	old := m.Process
 	if err := m.Start(); err != nil {
 		return err
 	}
-	addr, err := m.P.Said("operators call on ")
+	addr, err := m.Process.AwaitLogged("operators call on ")
 	if err != nil {
 		return err
 	}
@@ -119,9 +119,9 @@
 }
 
 // Ask runs a command of the program about this member, with a file that names where it can be asked.
-func (m *Member) Ask(args ...string) (string, error) {
-	path := filepath.Join(m.State(), "ask.toml")
-	text := strings.Replace(m.file(), `admin = "127.0.0.1:0"`, fmt.Sprintf("admin = %q", m.admin), 1)
+func (m *Member) RunCommand(args ...string) (string, error) {
+	path := filepath.Join(m.StateDir(), "ask.toml")
+	text := strings.Replace(m.configText(), `admin = "127.0.0.1:0"`, fmt.Sprintf("admin = %q", m.inspectionAddr), 1)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return "", err
 	}
@@ -130,14 +130,14 @@
 }
 
 // Lives says that its process runs or is stopped.
-func (m *Member) Lives() bool {
+func (m *Member) IsRunning() bool {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
-	if m.P == nil {
+	if m.Process == nil {
 		return false
 	}
 	select {
-	case <-m.P.Ended:
+	case <-m.Process.Exited:
 		return false
 	default:
 		return true
@@ -146,32 +146,32 @@
 
 // Kill ends it by SIGKILL.
 func (m *Member) Kill() {
-	m.fleet.Rec.Out(m.Name, true)
-	m.P.Kill()
+	m.fleet.Recorder.ProcessDown(m.Name, true)
+	m.Process.Kill()
 }
 
 // Leave ends it by SIGTERM.
-func (m *Member) Leave() {
-	m.P.Stop()
-	m.fleet.Rec.Out(m.Name, true) // what comes to it from now on finds nobody
+func (m *Member) Terminate() {
+	m.Process.Stop()
+	m.fleet.Recorder.ProcessDown(m.Name, true) // what comes to it from now on finds nobody
 }
 
 // Pause stops it by SIGSTOP, and Resume has it go on.
 func (m *Member) Pause() {
-	m.fleet.Rec.Out(m.Name, false)
-	m.P.Pause()
+	m.fleet.Recorder.ProcessDown(m.Name, false)
+	m.Process.Pause()
 }
 
 // Resume has it go on.
 func (m *Member) Resume() {
-	m.P.Resume()
-	m.fleet.Rec.Back(m.Name)
+	m.Process.Resume()
+	m.fleet.Recorder.ProcessUp(m.Name)
 }
 
 // Status is what a member holds of the fleet.
 func (m *Member) Status() (s fleet.Status, err error) {
 	m.fleet.mu.Lock()
-	admin := m.admin
+	admin := m.inspectionAddr
 	m.fleet.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -207,7 +207,7 @@
 }
 
 // Stream is a stream of requests that come to one member.
-func (m *Member) Stream(ctx context.Context, all *sync.WaitGroup, streams ...fake.Stream) {
+func (m *Member) RunStreams(ctx context.Context, all *sync.WaitGroup, streams ...fake.Stream) {
 	for i := range streams {
 		streams[i].Host = Host
 		if streams[i].Name == "" {
--- a/internal/testfleet/process.go
+++ b/internal/testfleet/process.go
@@ -28,15 +28,15 @@
 	Cmd    *exec.Cmd
 	Config string        // its file
 	Addr   string        // where it listens, the first if there are several
-	Ended  chan struct{} // closed once it has
+	Exited chan struct{} // closed once it has
 
-	mu    sync.Mutex // guards lines and told
-	lines []string
-	told  bool // to stop
+	mu       sync.Mutex // guards lines and told
+	lines    []string
+	stopping bool // to stop
 }
 
 // keptLines of what it says are kept.
-const keptLines = 400
+const maxLogLines = 400
 
 // Start starts the program with a file and waits until it listens.
 func Start(path, config string) (*Process, error) {
@@ -45,7 +45,7 @@
 
 // StartCommand is Start for any way to start it.
 func StartCommand(cmd *exec.Cmd, config string) (*Process, error) {
-	p := &Process{Cmd: cmd, Config: config, Ended: make(chan struct{})}
+	p := &Process{Cmd: cmd, Config: config, Exited: make(chan struct{})}
 	stderr, err := p.Cmd.StderrPipe()
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 		lines := bufio.NewScanner(stderr)
 		for lines.Scan() {
 			p.mu.Lock()
-			if p.lines = append(p.lines, lines.Text()); len(p.lines) > keptLines {
+			if p.lines = append(p.lines, lines.Text()); len(p.lines) > maxLogLines {
 				p.lines = p.lines[1:]
 			}
 			p.mu.Unlock()
@@ -70,12 +70,12 @@
 			}
 		}
 		p.Cmd.Wait()
-		close(p.Ended)
+		close(p.Exited)
 	}()
 	select {
 	case p.Addr = <-listening:
 		return p, nil
-	case <-p.Ended:
+	case <-p.Exited:
 		return nil, errors.New("the program ended at once:\n" + p.Tail())
 	case <-time.After(20 * time.Second):
 		p.Stop()
@@ -91,7 +91,7 @@
 }
 
 // Said waits for a line that holds these words, and gives the rest of it.
-func (p *Process) Said(words string) (rest string, err error) {
+func (p *Process) AwaitLogged(words string) (rest string, err error) {
 	if Await(10*time.Second, func() bool {
 		_, after, is := strings.Cut(p.Tail(), words)
 		rest, _, _ = strings.Cut(after, "\n")
@@ -105,28 +105,28 @@
 // Crashed says that it ended without being told to.
 func (p *Process) Crashed() bool {
 	select {
-	case <-p.Ended:
+	case <-p.Exited:
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return !p.told
+		return !p.stopping
 	default:
 		return false
 	}
 }
 
-func (p *Process) tell() {
+func (p *Process) markStopping() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.told = true
+	p.stopping = true
 }
 
 // Stop ends it by SIGTERM, and waits for it.
 func (p *Process) Stop() {
-	p.tell()
+	p.markStopping()
 	p.Cmd.Process.Signal(syscall.SIGTERM)
 	p.Cmd.Process.Signal(syscall.SIGCONT)
 	select {
-	case <-p.Ended:
+	case <-p.Exited:
 	case <-time.After(10 * time.Second):
 		p.Kill()
 	}
@@ -134,9 +134,9 @@
 
 // Kill ends it at once, and waits until it is gone.
 func (p *Process) Kill() {
-	p.tell()
+	p.markStopping()
 	p.Cmd.Process.Kill()
-	<-p.Ended
+	<-p.Exited
 }
 
 // Pause stops it as it is, and returns once it stands; Resume has it go on.
@@ -169,7 +169,7 @@
 }
 
 // CPU is the processor time that the program has used, from /proc; 0 where there is none.
-func (p *Process) CPU() time.Duration {
+func (p *Process) CPUTime() time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Cmd.Process.Pid))
 	if err != nil {
 		return 0
--- a/internal/testfleet/relay_test.go
+++ b/internal/testfleet/relay_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-const relayPatience = 10 * time.Second
+const relayTimeout = 10 * time.Second
 
 // relayedPair is a relay to an echo at machine b, whose callers say who they are in their first line.
-func relayedPair(t *testing.T) (*Relay, string) {
+func startRelay(t *testing.T) (*Relay, string) {
 	t.Helper()
 	echo, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -46,18 +46,18 @@
 	c, err := net.Dial("tcp4", addr)
 	assert.NilError(t, err)
 	t.Cleanup(func() { c.Close() })
-	assert.NilError(t, c.SetDeadline(time.Now().Add(relayPatience)))
-	say(t, c, word)
+	assert.NilError(t, c.SetDeadline(time.Now().Add(relayTimeout)))
+	send(t, c, word)
 	return c, bufio.NewReader(c)
 }
 
 // isRefused checks that a connection is reset, as it is opened or after its first word.
-func isRefused(t *testing.T, addr string) {
+func assertRefused(t *testing.T, addr string) {
 	t.Helper()
 	c, err := net.Dial("tcp4", addr)
 	if err == nil {
 		defer c.Close()
-		assert.NilError(t, c.SetDeadline(time.Now().Add(relayPatience)))
+		assert.NilError(t, c.SetDeadline(time.Now().Add(relayTimeout)))
 		if _, err = io.WriteString(c, "a\n"); err == nil {
 			_, err = c.Read(make([]byte, 1))
 		}
@@ -65,13 +65,13 @@
 	assert.ErrorContains(t, err, "reset")
 }
 
-func say(t *testing.T, c net.Conn, word string) {
+func send(t *testing.T, c net.Conn, word string) {
 	t.Helper()
 	_, err := io.WriteString(c, word+"\n")
 	assert.NilError(t, err)
 }
 
-func hears(t *testing.T, r *bufio.Reader, word string) {
+func assertReceives(t *testing.T, r *bufio.Reader, word string) {
 	t.Helper()
 	got, err := r.ReadString('\n')
 	assert.NilError(t, err)
@@ -80,124 +80,124 @@
 
 // What is sent and the end of it come through, whole and in order, and are counted by way.
 func TestRelayPasses(t *testing.T) {
-	r, addr := relayedPair(t)
+	r, addr := startRelay(t)
 	c, in := dialRelay(t, addr, "a")
-	hears(t, in, "a")
+	assertReceives(t, in, "a")
 	long := strings.Repeat("x", 1<<20)
 	go io.WriteString(c, long+"\n")
-	hears(t, in, long)
+	assertReceives(t, in, long)
 	assert.NilError(t, c.(*net.TCPConn).CloseWrite())
 	_, err := in.ReadByte()
 	assert.Equal(t, err, io.EOF)
-	assert.Equal(t, r.Passed(Way{"a", "b"}), int64(1<<20+3))
-	assert.Equal(t, r.Passed(Way{"b", "a"}), int64(1<<20+3))
+	assert.Equal(t, r.BytesForwarded(Direction{"a", "b"}), int64(1<<20+3))
+	assert.Equal(t, r.BytesForwarded(Direction{"b", "a"}), int64(1<<20+3))
 }
 
 // A cut of one way holds what is sent on that way only, and only of that pair of machines; it comes once the way is whole.
 func TestRelayCutsOneWay(t *testing.T) {
-	for _, way := range []Way{{"a", "b"}, {"b", "a"}} {
-		r, addr := relayedPair(t)
+	for _, way := range []Direction{{"a", "b"}, {"b", "a"}} {
+		r, addr := startRelay(t)
 		c, in := dialRelay(t, addr, "a")
-		hears(t, in, "a")
+		assertReceives(t, in, "a")
 		r.Set(Link{Cut: true}, way)
-		say(t, c, "held")
-		assert.Assert(t, Await(relayPatience, func() bool { return r.Held(way) == 5 }))
-		assert.Equal(t, r.Held(way.Back()), int64(0))
+		send(t, c, "held")
+		assert.Assert(t, Await(relayTimeout, func() bool { return r.BytesPending(way) == 5 }))
+		assert.Equal(t, r.BytesPending(way.Reverse()), int64(0))
 		_, other := dialRelay(t, addr, "c")
-		hears(t, other, "c")
-		assert.Equal(t, r.Passed(Way{"b", "a"}), int64(2), "the answer has passed a cut")
+		assertReceives(t, other, "c")
+		assert.Equal(t, r.BytesForwarded(Direction{"b", "a"}), int64(2), "the answer has passed a cut")
 		r.Heal()
-		hears(t, in, "held")
-		assert.Assert(t, Await(relayPatience, func() bool { return r.Held(way) == 0 }))
+		assertReceives(t, in, "held")
+		assert.Assert(t, Await(relayTimeout, func() bool { return r.BytesPending(way) == 0 }))
 	}
 }
 
 // A connection that is opened during a cut is silent until the way is whole.
 func TestRelayOpensInCut(t *testing.T) {
-	r, addr := relayedPair(t)
-	r.Set(Link{Cut: true}, Way{"a", "b"})
+	r, addr := startRelay(t)
+	r.Set(Link{Cut: true}, Direction{"a", "b"})
 	c, in := dialRelay(t, addr, "a")
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
 	_, err := in.ReadByte()
 	assert.ErrorContains(t, err, "timeout")
-	assert.NilError(t, c.SetReadDeadline(time.Now().Add(relayPatience)))
+	assert.NilError(t, c.SetReadDeadline(time.Now().Add(relayTimeout)))
 	r.Heal()
-	hears(t, in, "a")
+	assertReceives(t, in, "a")
 }
 
 // A reset strikes what is open, a refusal also what comes after it; silence leaves both sides with a connection that carries nothing,
 // also after the ways were healed.
 func TestRelayEnds(t *testing.T) {
-	r, addr := relayedPair(t)
+	r, addr := startRelay(t)
 	c, in := dialRelay(t, addr, "a")
-	hears(t, in, "a")
-	r.Reset(Way{"b", "a"})
+	assertReceives(t, in, "a")
+	r.Reset(Direction{"b", "a"})
 	_, err := in.ReadByte()
 	assert.ErrorContains(t, err, "reset")
 
 	c, in = dialRelay(t, addr, "a")
-	hears(t, in, "a")
-	r.Silence(Way{"a", "b"})
-	say(t, c, "lost")
+	assertReceives(t, in, "a")
+	r.Blackhole(Direction{"a", "b"})
+	send(t, c, "lost")
 	r.Heal()
-	assert.Assert(t, Await(relayPatience, func() bool { return r.Held(Way{"a", "b"}) == 5 }))
+	assert.Assert(t, Await(relayTimeout, func() bool { return r.BytesPending(Direction{"a", "b"}) == 5 }))
 	_, after := dialRelay(t, addr, "a")
-	hears(t, after, "a")
+	assertReceives(t, after, "a")
 	assert.NilError(t, c.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 	_, err = in.ReadByte()
 	assert.ErrorContains(t, err, "timeout")
 
-	r.Set(Link{Refuse: true}, Way{"a", "b"})
+	r.Set(Link{Refuse: true}, Direction{"a", "b"})
 	_, err = after.ReadByte()
 	assert.ErrorContains(t, err, "reset")
-	isRefused(t, addr)
+	assertRefused(t, addr)
 	r.Heal()
 	_, in = dialRelay(t, addr, "a")
-	hears(t, in, "a")
+	assertReceives(t, in, "a")
 }
 
 // A delay and a rate hold up what passes, by no less than they say; the rate is shared by a pair's connections. A schedule
 // sets them in its order.
 func TestRelayHoldsUp(t *testing.T) {
-	r, addr := relayedPair(t)
+	r, addr := startRelay(t)
 	c, in := dialRelay(t, addr, "a")
-	hears(t, in, "a")
-	assert.NilError(t, r.Play([]LinkStep{
-		{Link: Link{Cut: true}, Ways: []Way{{"a", "b"}}},
-		{At: 10 * time.Millisecond, Link: Link{Delay: 60 * time.Millisecond}, Ways: []Way{{"a", "b"}, {"b", "a"}}},
+	assertReceives(t, in, "a")
+	assert.NilError(t, r.PlaySteps([]LinkStep{
+		{Link: Link{Cut: true}, Directions: []Direction{{"a", "b"}}},
+		{At: 10 * time.Millisecond, Link: Link{Delay: 60 * time.Millisecond}, Directions: []Direction{{"a", "b"}, {"b", "a"}}},
 	}))
 	began := time.Now()
-	say(t, c, "late")
-	hears(t, in, "late")
+	send(t, c, "late")
+	assertReceives(t, in, "late")
 	assert.Assert(t, time.Since(began) >= 120*time.Millisecond)
 
 	const bytes, rate = 64 << 10, 640 << 10
-	r.Set(Link{}, Way{"b", "a"})
-	r.Set(Link{Rate: rate}, Way{"a", "b"})
+	r.Set(Link{}, Direction{"b", "a"})
+	r.Set(Link{Rate: rate}, Direction{"a", "b"})
 	c2, in2 := dialRelay(t, addr, "a")
-	hears(t, in2, "a")
+	assertReceives(t, in2, "a")
 	word := strings.Repeat("x", bytes/2)
 	began = time.Now()
-	say(t, c, word)
-	say(t, c2, word)
-	hears(t, in, word)
-	hears(t, in2, word)
+	send(t, c, word)
+	send(t, c2, word)
+	assertReceives(t, in, word)
+	assertReceives(t, in2, word)
 	assert.Assert(t, time.Since(began) >= time.Second*bytes/rate)
 }
 
 // A machine whose process does not listen resets what comes, and a closed relay ends all and plays no more.
 func TestRelayCloses(t *testing.T) {
-	r, addr := relayedPair(t)
+	r, addr := startRelay(t)
 	_, in := dialRelay(t, addr, "a")
-	hears(t, in, "a")
+	assertReceives(t, in, "a")
 	nobody, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, nobody.Close())
 	assert.NilError(t, r.Listen("c", "127.0.0.1:0", nobody.Addr().String(), func(net.Addr, *bufio.Reader) (string, error) { return "a", nil }))
-	isRefused(t, r.listeners[1].Addr().String())
-	r.Silence(Way{"a", "b"})
+	assertRefused(t, r.listeners[1].Addr().String())
+	r.Blackhole(Direction{"a", "b"})
 	r.Close()
 	_, err = in.ReadByte()
 	assert.ErrorContains(t, err, "reset")
-	assert.Equal(t, r.Play([]LinkStep{{At: time.Hour}}), errRelayClosed)
+	assert.Equal(t, r.PlaySteps([]LinkStep{{At: time.Hour}}), errRelayClosed)
 }
--- a/internal/testfleet/state.go
+++ b/internal/testfleet/state.go
@@ -25,38 +25,38 @@
 
 // Keep copies a member's state directory as it is, under a name; Restore puts that copy back, of another member's, too.
 // The methods of the state directory must not be called while the member's process lives.
-func (m *Member) Keep(name string) error {
+func (m *Member) SaveState(name string) error {
 	to := filepath.Join(m.fleet.Dir, "kept-"+name)
 	if err := os.RemoveAll(to); err != nil {
 		return err
 	}
-	return copyFiles(to, m.State())
+	return copyFiles(to, m.StateDir())
 }
 
 // Restore puts a copy back that Keep made.
-func (m *Member) Restore(name string) error {
-	if err := m.Empty(); err != nil {
+func (m *Member) RestoreState(name string) error {
+	if err := m.ClearState(); err != nil {
 		return err
 	}
-	return copyFiles(m.State(), filepath.Join(m.fleet.Dir, "kept-"+name))
+	return copyFiles(m.StateDir(), filepath.Join(m.fleet.Dir, "kept-"+name))
 }
 
 // Empty leaves nothing of its state.
-func (m *Member) Empty() error {
-	if err := os.RemoveAll(m.State()); err != nil {
+func (m *Member) ClearState() error {
+	if err := os.RemoveAll(m.StateDir()); err != nil {
 		return err
 	}
-	return os.MkdirAll(m.State(), 0o700)
+	return os.MkdirAll(m.StateDir(), 0o700)
 }
 
 // Tear cuts every file of its state short by a half.
-func (m *Member) Tear() error {
-	files, err := os.ReadDir(m.State())
+func (m *Member) TruncateState() error {
+	files, err := os.ReadDir(m.StateDir())
 	if err != nil {
 		return err
 	}
 	for _, x := range files {
-		path := filepath.Join(m.State(), x.Name())
+		path := filepath.Join(m.StateDir(), x.Name())
 		info, err := x.Info()
 		if err != nil || !info.Mode().IsRegular() {
 			continue
--- a/internal/testfleet/together_test.go
+++ b/internal/testfleet/together_test.go
@@ -15,11 +15,11 @@
 )
 
 // shared waits until the subsets of these members share the servers out as evenly as they should, and gives them.
-func (f *Fleet) shared(t *testing.T, members ...int) map[[2]string]bool {
+func (f *Fleet) awaitSubsets(t *testing.T, members ...int) map[[2]string]bool {
 	t.Helper()
 	var pairs map[[2]string]bool
 	last := ""
-	if !Await(patience, func() bool {
+	if !Await(timeout, func() bool {
 		pairs = map[[2]string]bool{}
 		copies := map[string]int{}
 		for _, i := range members {
@@ -57,14 +57,14 @@
 // shared out evenly each time, and a death moves little more than what the dead had.
 func TestSharedOut(t *testing.T) {
 	t.Parallel()
-	f := start(t, FleetConfig{Members: 2, Room: 6, Nodes: 2, Servers: 24, Seed: 7})
-	f.agree(t, true, 0, 1)
+	f := startFleet(t, FleetConfig{MemberCount: 2, SpareMembers: 6, ConfiguredNodes: 2, ServerCount: 24, Seed: 7})
+	f.awaitAgreement(t, true, 0, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
-	run := func(i int) { f.Members[i].Stream(ctx, &load, Traffic(25, time.Hour)...) }
+	run := func(i int) { f.Members[i].RunStreams(ctx, &load, Traffic(25, time.Hour)...) }
 	run(0)
 	run(1)
-	f.shared(t, 0, 1)
+	f.awaitSubsets(t, 0, 1)
 	all := []int{0, 1, 2, 3, 4, 5, 6, 7}
 	for _, i := range all[2:] {
 		if err := f.Members[i].Start(); err != nil {
@@ -72,12 +72,12 @@
 		}
 		run(i)
 	}
-	f.agree(t, true, all...)
-	before := f.shared(t, all...)
+	f.awaitAgreement(t, true, all...)
+	before := f.awaitSubsets(t, all...)
 	f.Members[6].Kill()
 	left := []int{0, 1, 2, 3, 4, 5, 7}
-	f.agree(t, true, left...)
-	after := f.shared(t, left...)
+	f.awaitAgreement(t, true, left...)
+	after := f.awaitSubsets(t, left...)
 	moved := 0
 	for p := range after {
 		if !before[p] {
@@ -94,13 +94,13 @@
 	}
 	f.Registry.Set(f.Servers[5], "SERVING")
 	for _, i := range []int{1, 3, 5, 7} {
-		f.Members[i].Leave()
+		f.Members[i].Terminate()
 	}
-	f.agree(t, true, 0, 2, 4)
-	f.shared(t, 0, 2, 4)
+	f.awaitAgreement(t, true, 0, 2, 4)
+	f.awaitSubsets(t, 0, 2, 4)
 	stop()
 	load.Wait()
-	if v := judge(t, f); v.Served < 200 {
+	if v := assertRulesKept(t, f); v.Served < 200 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -109,13 +109,13 @@
 // told most is stopped, and use it again once it is well.
 func TestWords(t *testing.T) {
 	t.Parallel()
-	f := start(t, FleetConfig{Members: 6, Servers: 12, Seed: 8})
+	f := startFleet(t, FleetConfig{MemberCount: 6, ServerCount: 12, Seed: 8})
 	all := []int{0, 1, 2, 3, 4, 5}
-	f.agree(t, true, all...)
+	f.awaitAgreement(t, true, all...)
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	for _, m := range f.Members {
-		m.Stream(ctx, &load, fake.Stream{Class: Read, Rate: 40, For: time.Hour})
+		m.RunStreams(ctx, &load, fake.Stream{Class: ReadClass, Rate: 40, Duration: time.Hour})
 	}
 	aside := func(server string) (n int) {
 		for _, i := range all {
@@ -128,7 +128,7 @@
 	}
 	sick := f.Servers[4]
 	sick.SetMode(fake.Failing)
-	if !Await(patience, func() bool { return aside(sick.ID()) >= 2 }) {
+	if !Await(timeout, func() bool { return aside(sick.ID()) >= 2 }) {
 		t.Fatal("nobody goes by others' words")
 	}
 	for _, s := range f.Servers {
@@ -137,14 +137,14 @@
 		}
 	}
 	f.Members[2].Pause()
-	f.agree(t, true, 0, 1, 3, 4, 5)
+	f.awaitAgreement(t, true, 0, 1, 3, 4, 5)
 	sick.SetMode(fake.Serving)
-	from := f.Rec.Now()
+	from := f.Recorder.Now()
 	f.Members[2].Resume()
-	if !Await(patience, func() bool {
+	if !Await(timeout, func() bool {
 		n := 0
-		for _, a := range f.Rec.Recent(2000) {
-			if a.Server == sick.ID() && a.First > from && a.Ran {
+		for _, a := range f.Recorder.RecentArrivals(2000) {
+			if a.Server == sick.ID() && a.FirstByteAt > from && a.Ran {
 				n++
 			}
 		}
@@ -154,16 +154,16 @@
 	}
 	stop()
 	load.Wait()
-	judge(t, f)
+	assertRulesKept(t, f)
 }
 
 // TestQuotas has a tenant's traffic come to one of five processes, and then to another: that one has most of the quota, all
 // together never more than the whole, also while links are cut and the borrower dies.
 func TestQuotas(t *testing.T) {
 	t.Parallel()
-	f := start(t, FleetConfig{Members: 5, Servers: 4, Seed: 9, Pool: "tenants = [{ name = \"acme\", quota = 50 }]"})
+	f := startFleet(t, FleetConfig{MemberCount: 5, ServerCount: 4, Seed: 9, ExtraPoolSettings: "tenants = [{ name = \"acme\", quota = 50 }]"})
 	all := []int{0, 1, 2, 3, 4}
-	f.agree(t, true, all...)
+	f.awaitAgreement(t, true, all...)
 	watching, enough := context.WithCancel(context.Background())
 	var watch sync.WaitGroup
 	var most float64
@@ -188,33 +188,33 @@
 	to := func(i int) (stop func()) {
 		ctx, cancel := context.WithCancel(context.Background())
 		var load sync.WaitGroup
-		f.Members[i].Stream(ctx, &load, fake.Stream{Class: Read, Rate: 100, For: time.Hour, Account: "acme"})
+		f.Members[i].RunStreams(ctx, &load, fake.Stream{Class: ReadClass, Rate: 100, Duration: time.Hour, Account: "acme"})
 		return func() { cancel(); load.Wait() }
 	}
 	stop := to(1)
-	if !Await(patience, func() bool { return part(1) > 0.85 }) {
+	if !Await(timeout, func() bool { return part(1) > 0.85 }) {
 		t.Errorf("the only one with use has %v of the quota", part(1))
 	}
 	stop()
 	stop = to(3)
-	if !Await(patience, func() bool { return part(3) > 0.85 && part(1) < 0.1 }) {
+	if !Await(timeout, func() bool { return part(3) > 0.85 && part(1) < 0.1 }) {
 		t.Errorf("the only one with use has %v of the quota, the one before %v", part(3), part(1))
 	}
-	f.Fabric.Part([]int{3}, []int{0, 1, 2, 4})
-	f.standing(t, 0, 1, 2, 4)
+	f.Fabric.Partition([]int{3}, []int{0, 1, 2, 4})
+	f.awaitShares(t, 0, 1, 2, 4)
 	if got := part(3); got > 0 {
 		t.Errorf("cut off it has %v of the quota", got)
 	}
 	f.Fabric.Heal()
-	f.agree(t, true, all...)
-	if !Await(patience, func() bool { return part(3) > 0.85 }) {
+	f.awaitAgreement(t, true, all...)
+	if !Await(timeout, func() bool { return part(3) > 0.85 }) {
 		t.Errorf("after the cut it has %v of the quota", part(3))
 	}
 	stop()
 	enough()
 	watch.Wait()
 	t.Logf("all together held %v of the whole at the most, each asked after the other", most)
-	judge(t, f)
+	assertRulesKept(t, f)
 }
 
 // TestOneWay: two members whose own way to a server is broken, one whose ways to all are, and one that lies about others put
@@ -226,11 +226,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := start(t, FleetConfig{Room: 6, Nodes: 6, Servers: 6, Seed: 11})
-	f.FleetConfig.Members = 2
+	f := startFleet(t, FleetConfig{SpareMembers: 6, ConfiguredNodes: 6, ServerCount: 6, Seed: 11})
+	f.FleetConfig.MemberCount = 2
 	// A list in which relays stand before some servers and lose every answer.
 	behind := func(broken ...*fake.Server) *fake.Registry {
-		own, err := fake.NewRegistry(Host, f.Rec)
+		own, err := fake.NewRegistry(Host, f.Recorder)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -243,7 +243,7 @@
 					t.Fatal(err)
 				}
 				t.Cleanup(relay.Close)
-				relay.Lose(1 << 40)
+				relay.DropResponses(1 << 40)
 				addr = relay.Addr()
 			}
 			own.SetAt(s, "SERVING", addr)
@@ -258,24 +258,24 @@
 			t.Fatal(err)
 		}
 	}
-	f.agree(t, true, all...)
+	f.awaitAgreement(t, true, all...)
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	for _, m := range f.Members {
-		m.Stream(ctx, &load, fake.Stream{Class: Read, Rate: 60, For: time.Hour})
+		m.RunStreams(ctx, &load, fake.Stream{Class: ReadClass, Rate: 60, Duration: time.Hour})
 	}
-	from := f.Rec.Now()
+	from := f.Recorder.Now()
 	counts := func() (n map[string]int, total int) {
 		n = map[string]int{}
-		for _, a := range f.Rec.View().Arrivals {
-			if a.First > from && a.Ran {
+		for _, a := range f.Recorder.History().Arrivals {
+			if a.FirstByteAt > from && a.Ran {
 				n[a.Server]++
 				total++
 			}
 		}
 		return n, total
 	}
-	if !Await(patience, func() bool { _, total := counts(); return total > 3000 }) {
+	if !Await(timeout, func() bool { _, total := counts(); return total > 3000 }) {
 		t.Fatal("little is served")
 	}
 	stop()
@@ -287,7 +287,7 @@
 		}
 	}
 	t.Logf("%v of %d", n, total)
-	v := audit.Judge(f.Rec.View(), audit.Options{Slack: f.Slack})
+	v := audit.Judge(f.Recorder.History(), audit.Options{Slack: f.Slack})
 	if !v.Clean() || v.Served < 2000 {
 		t.Errorf("%+v\n%s", v, strings.Join(v.Details, "\n"))
 	}
@@ -297,15 +297,15 @@
 // both together, and parts are whole again after it.
 func TestHalves(t *testing.T) {
 	t.Parallel()
-	f := start(t, FleetConfig{Members: 8, Servers: 6, Seed: 12})
+	f := startFleet(t, FleetConfig{MemberCount: 8, ServerCount: 6, Seed: 12})
 	all := []int{0, 1, 2, 3, 4, 5, 6, 7}
-	f.agree(t, true, all...)
+	f.awaitAgreement(t, true, all...)
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	for _, m := range f.Members {
-		m.Stream(ctx, &load, Traffic(40, time.Hour)...)
+		m.RunStreams(ctx, &load, Traffic(40, time.Hour)...)
 	}
-	f.Fabric.Part([]int{0, 1, 2}, []int{3, 4, 5, 6, 7})
+	f.Fabric.Partition([]int{0, 1, 2}, []int{3, 4, 5, 6, 7})
 	for _, s := range f.Servers {
 		f.Registry.Set(s, "DRAINING")
 		time.Sleep(300 * time.Millisecond) // what it has ends meanwhile
@@ -314,16 +314,16 @@
 			t.Fatal(err)
 		}
 		f.Registry.Set(s, "SERVING")
-		if sum, _ := f.Parts(all...); sum > 1+1e-9 {
+		if sum, _ := f.SumShares(all...); sum > 1+1e-9 {
 			t.Errorf("%v of the whole is taken", sum)
 		}
 	}
-	f.standing(t, 3, 4, 5, 6, 7)
+	f.awaitShares(t, 3, 4, 5, 6, 7)
 	f.Fabric.Heal()
-	f.agree(t, true, all...)
+	f.awaitAgreement(t, true, all...)
 	stop()
 	load.Wait()
-	if v := judge(t, f); v.Served < 300 {
+	if v := assertRulesKept(t, f); v.Served < 300 {
 		t.Errorf("%+v", v)
 	}
 }
--- a/internal/testfleet/watch.go
+++ b/internal/testfleet/watch.go
@@ -8,17 +8,17 @@
 )
 
 // Watch is what members were found to hold.
-type Watch struct {
-	Samples int
-	Most    float64 // of the whole that all together held at a time
-	Over    int     // times that it was more than the whole
-	Detail  string  // of the first
+type ShareWatch struct {
+	Samples        int
+	MaxTotal       float64 // of the whole that all together held at a time
+	Violations     int     // times that it was more than the whole
+	FirstViolation string  // of the first
 }
 
 // Watch watches until ctx ends. What two members hold counts together only if each held it from before the other was asked
 // until after: a sum that never was at one moment is no breach.
-func (f *Fleet) Watch(ctx context.Context, every time.Duration) *Watch {
-	w := &Watch{}
+func (f *Fleet) WatchShares(ctx context.Context, every time.Duration) *ShareWatch {
+	w := &ShareWatch{}
 	type answer struct {
 		name        string
 		asked, came time.Time
@@ -31,7 +31,7 @@
 		var all sync.WaitGroup
 		for i, m := range f.Members {
 			all.Go(func() {
-				if !m.Lives() {
+				if !m.IsRunning() {
 					return
 				}
 				a := answer{name: m.Name, asked: time.Now()}
@@ -58,9 +58,9 @@
 		before = answers
 		w.Samples++
 		if n > 0 && from.Before(to) {
-			if w.Most = max(w.Most, sum); sum > 1+1e-6 {
-				if w.Over++; w.Over == 1 {
-					w.Detail = fmt.Sprintf("together%s at %v", text, time.Since(f.began).Round(time.Millisecond))
+			if w.MaxTotal = max(w.MaxTotal, sum); sum > 1+1e-6 {
+				if w.Violations++; w.Violations == 1 {
+					w.FirstViolation = fmt.Sprintf("together%s at %v", text, time.Since(f.startedAt).Round(time.Millisecond))
 				}
 			}
 		}
--- a/internal/xds/client/client_test.go
+++ b/internal/xds/client/client_test.go
@@ -28,7 +28,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func plane(t testing.TB) *fakexds.Plane {
+func plane(t testing.TB) *fakexds.ControlPlane {
 	t.Helper()
 	p, err := fakexds.New()
 	if err != nil {
@@ -38,7 +38,7 @@
 	return p
 }
 
-func open(t testing.TB, cfg Config, planes ...*fakexds.Plane) *Client {
+func open(t testing.TB, cfg Config, planes ...*fakexds.ControlPlane) *Client {
 	t.Helper()
 	for _, p := range planes {
 		cfg.Servers = append(cfg.Servers, p.Addr())
@@ -238,7 +238,7 @@
 		}
 		p.Send(&discovery.DiscoveryResponse{TypeUrl: resource.EndpointURL, VersionInfo: "x"}, true)
 		p.Send(&discovery.DeltaDiscoveryResponse{TypeUrl: resource.EndpointURL, RemovedResources: []string{"c"}}, true) // without a nonce
-		testkit.Eventually(t, "the stream over the limit does not break", func() bool { return p.Opened() > 1 })
+		testkit.Eventually(t, "the stream over the limit does not break", func() bool { return p.StreamsOpened() > 1 })
 		p.Set(resource.EndpointURL, set{"c": endpoints("c", "10.0.0.2:1")})
 		for got := addrs(testkit.Wait(t, ch)); got != "10.0.0.2:1"; got = addrs(testkit.Wait(t, ch)) {
 			if got != "10.0.0.1:1" {
@@ -253,7 +253,7 @@
 func TestSeveralControlPlanes(t *testing.T) {
 	both(t, func(t *testing.T, delta bool) {
 		one, two := plane(t), plane(t)
-		for i, p := range []*fakexds.Plane{one, two} {
+		for i, p := range []*fakexds.ControlPlane{one, two} {
 			p.Set(resource.ClusterURL, set{"c": cluster("c", "")})
 			p.Set(resource.EndpointURL, set{"c": endpoints("c", fmt.Sprintf("10.0.0.%d:1", i+1))})
 		}
@@ -265,7 +265,7 @@
 			t.Fatal(err)
 		}
 		expect(t, "back to the first", ch, "10.0.0.1:1")
-		testkit.Eventually(t, "the second's stream goes on", func() bool { return two.Break() == 0 })
+		testkit.Eventually(t, "the second's stream goes on", func() bool { return two.BreakStreams() == 0 })
 		for _, r := range one.Requests() {
 			if r.SotW.GetResponseNonce() == "" && r.SotW.GetVersionInfo() != "" || len(r.Delta.GetInitialResourceVersions()) > 0 {
 				t.Errorf("the first is told the second's version: %v", r)
@@ -349,7 +349,7 @@
 		p.Set(resource.EndpointURL, set{"c": endpoints("c", "10.0.0.2:1")})
 		expect(t, "the next news is the next change", ch, "10.0.0.2:1")
 		for i := range 20 {
-			p.Break()
+			p.BreakStreams()
 			p.Set(resource.EndpointURL, set{"c": endpoints("c", fmt.Sprintf("10.0.1.%d:1", i))})
 		}
 		for got := ""; got != "10.0.1.19:1"; got = addrs(testkit.Wait(t, ch)) {
@@ -359,7 +359,7 @@
 
 func TestLoadReports(t *testing.T) {
 	p := plane(t)
-	p.Wish(&loadstats.LoadStatsResponse{SendAllClusters: true, LoadReportingInterval: durationpb.New(time.Millisecond), ReportEndpointGranularity: true})
+	p.SetLoadReportRequest(&loadstats.LoadStatsResponse{SendAllClusters: true, LoadReportingInterval: durationpb.New(time.Millisecond), ReportEndpointGranularity: true})
 	p.Set(resource.ClusterURL, set{"c": cluster("c", "")})
 	p.Set(resource.EndpointURL, set{"c": endpoints("c", "10.0.0.1:1", "10.0.0.2:1")})
 	c := open(t, Config{Reports: 10 * time.Millisecond}, p)
@@ -377,7 +377,7 @@
 	var out uint64
 	testkit.Eventually(t, "the load is not reported", func() bool {
 		issued, ok, failed, dropped = 0, 0, 0, 0
-		for _, r := range p.Loads() {
+		for _, r := range p.LoadReports() {
 			for _, s := range r.ClusterStats {
 				if s.ClusterName != "c" || s.LoadReportInterval.AsDuration() <= 0 {
 					t.Errorf("%v", s)
@@ -399,7 +399,7 @@
 	if out != 2 {
 		t.Errorf("%d in progress", out)
 	}
-	if p.Loads()[0].Node.GetId() != "me" {
+	if p.LoadReports()[0].Node.GetId() != "me" {
 		t.Error("the first report does not say who we are")
 	}
 	var none *Load
