--- a/internal/drill/environment.go
+++ b/internal/drill/environment.go
@@ -61,7 +61,7 @@
 	host     string         // whose requests it serves
 	registry *fake.Registry // nil if something else tells the list
 	servers  []*fake.Server
-	list     func(s *fake.Server, state string) // has the list tell a server: SERVING, DRAINING or DELETED
+	list     func(s *fake.Server, state fake.ListState) // has the list tell a server: SERVING, DRAINING or DELETED
 }
 
 // What all drills share with the rig.
--- a/internal/drill/extproc.go
+++ b/internal/drill/extproc.go
@@ -48,9 +48,7 @@
 		immediate += p.ImmediateResponses.Load()
 		unanswered += p.MessageTimeouts.Load()
 		sent, heeded = sent+p.UpstreamRequests.Load(), heeded+p.DecisionsFollowed.Load()
-		p.Waits.Lock()
-		waits = append(waits, p.Waits.L...)
-		p.Waits.Unlock()
+		waits = append(waits, p.DecisionTimes.All()...)
 	}
 	slices.Sort(waits)
 	r.addFigure("decisions", decisions, "questions answered with a server")
--- a/internal/drill/reload.go
+++ b/internal/drill/reload.go
@@ -110,7 +110,7 @@
 			return
 		}
 		draining = !draining
-		state := map[bool]string{true: "DRAINING", false: "SERVING"}[draining]
+		state := map[bool]fake.ListState{true: "DRAINING", false: "SERVING"}[draining]
 		a.registry.Set(b.servers[0], state)
 		b.registry.Set(b.servers[1], state)
 	}
--- a/internal/drill/xds.go
+++ b/internal/drill/xds.go
@@ -39,10 +39,10 @@
 		removed: map[string]bool{}, pending: map[string][]fake.ListUpdate{},
 	}
 	r.groups = append(r.groups, g.serverGroup)
-	g.serverGroup.list = func(s *fake.Server, state string) {
+	g.serverGroup.list = func(s *fake.Server, state fake.ListState) {
 		g.change(func() []*fake.Server {
 			g.removed[s.ID()] = state == "DELETED"
-			g.states[s.ID()] = map[string]corev3.HealthStatus{"SERVING": corev3.HealthStatus_HEALTHY, "DRAINING": corev3.HealthStatus_DRAINING}[state]
+			g.states[s.ID()] = map[fake.ListState]corev3.HealthStatus{"SERVING": corev3.HealthStatus_HEALTHY, "DRAINING": corev3.HealthStatus_DRAINING}[state]
 			return []*fake.Server{s}
 		})
 	}
--- a/internal/drill/xdschaos.go
+++ b/internal/drill/xdschaos.go
@@ -116,7 +116,7 @@
 }
 
 // change tells another state of a server for a while.
-func (c *planeChaos) change(server int, state string, long time.Duration) {
+func (c *planeChaos) change(server int, state fake.ListState, long time.Duration) {
 	g := c.anyGroup()
 	g.list(g.servers[server], state)
 	time.Sleep(long)
--- a/internal/fake/proxy/compile.go
+++ b/internal/fake/proxy/compile.go
@@ -9,7 +9,6 @@
 	"time"
 
 	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
-	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	listenerv3 "github.com/envoyproxy/go-control-plane/envoy/config/listener/v3"
 	routev3 "github.com/envoyproxy/go-control-plane/envoy/config/route/v3"
 	extprocv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/http/ext_proc/v3"
@@ -18,28 +17,48 @@
 	overridev3 "github.com/envoyproxy/go-control-plane/envoy/extensions/load_balancing_policies/override_host/v3"
 	subsetv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/load_balancing_policies/subset/v3"
 	httpv3 "github.com/envoyproxy/go-control-plane/envoy/extensions/upstreams/http/v3"
-	metadatav3 "github.com/envoyproxy/go-control-plane/envoy/type/metadata/v3"
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
 	"cranegrade/internal/envoyconf"
 )
 
-// compile takes from a bootstrap the part that matters here, and refuses what would matter and is not modelled.
+// Defaults of a configuration.
+const (
+	defaultMessageTimeout    = 200 * time.Millisecond
+	defaultConnectTimeout    = 5 * time.Second
+	defaultOriginalDstHeader = "x-envoy-original-dst-host"
+)
+
+// compile makes the layers of a bootstrap configuration. What is not modelled and would matter is an error.
 func (p *Proxy) compile(text []byte) error {
-	b, err := envoyconf.Parse(text)
+	bootstrap, err := envoyconf.Parse(text)
 	if err != nil {
-		return fmt.Errorf("the proxy's configuration: %w", err)
+		return fmt.Errorf("reading the proxy's configuration: %w", err)
 	}
 	p.clusters, p.internalListeners = map[string]*cluster{}, map[string]*connectionManager{}
-	for _, c := range b.GetStaticResources().GetClusters() {
-		x, err := p.compileCluster(c)
+	for _, c := range bootstrap.GetStaticResources().GetClusters() {
+		compiled, err := p.compileCluster(c)
 		if err != nil {
 			return fmt.Errorf("cluster %s: %w", c.GetName(), err)
 		}
-		p.clusters[c.GetName()] = x
+		p.clusters[c.GetName()] = compiled
+	}
+	if err := p.compileListeners(bootstrap.GetStaticResources().GetListeners()); err != nil {
+		return err
 	}
-	for _, l := range b.GetStaticResources().GetListeners() {
+	for _, c := range p.clusters {
+		if c.internalListener != "" && p.internalListeners[c.internalListener] == nil {
+			return fmt.Errorf("there is no internal listener %s", c.internalListener)
+		}
+	}
+	p.processor, err = p.processorAddr()
+	return err
+}
+
+// compileListeners makes the connection managers: one for callers, any number of internal ones.
+func (p *Proxy) compileListeners(listeners []*listenerv3.Listener) error {
+	for _, l := range listeners {
 		m, err := p.compileListener(l)
 		if err != nil {
 			return fmt.Errorf("listener %s: %w", l.GetName(), err)
@@ -56,26 +75,26 @@
 	if p.downstream == nil {
 		return errors.New("no listener for callers")
 	}
-	for _, c := range p.clusters {
-		if c.internalListener != "" && p.internalListeners[c.internalListener] == nil {
-			return fmt.Errorf("there is no internal listener %s", c.internalListener)
-		}
-	}
-	processor := ""
-	for _, a := range p.processorFilters {
-		c := p.clusters[a.cluster]
-		if c == nil || len(c.hosts) == 0 || processor != "" && c.hosts[0] != processor {
-			return errors.New("the processor's cluster has no address, or there are several")
+	return nil
+}
+
+// processorAddr is the address of the only processor that filters ask.
+func (p *Proxy) processorAddr() (string, error) {
+	addr := ""
+	for _, f := range p.processorFilters {
+		c := p.clusters[f.cluster]
+		if c == nil || len(c.hosts) == 0 || addr != "" && c.hosts[0] != addr {
+			return "", errors.New("the processor's cluster has no address, or there are several")
 		}
-		processor = c.hosts[0]
+		addr = c.hosts[0]
 	}
-	if processor == "" {
-		return errors.New("no filter asks a processor")
+	if addr == "" {
+		return "", errors.New("no filter asks a processor")
 	}
-	p.processor = processor
-	return nil
+	return addr, nil
 }
 
+// unmarshalsTo reports whether a message is of m's type, and fills in m.
 func unmarshalsTo(a *anypb.Any, m proto.Message) bool {
 	return a.MessageIs(m) && a.UnmarshalTo(m) == nil
 }
@@ -85,37 +104,22 @@
 	if len(chains) != 1 || len(chains[0].GetFilters()) != 1 {
 		return nil, errors.New("not one filter chain of one filter")
 	}
-	h := &hcmv3.HttpConnectionManager{}
-	if !unmarshalsTo(chains[0].GetFilters()[0].GetTypedConfig(), h) {
+	hcm := &hcmv3.HttpConnectionManager{}
+	if !unmarshalsTo(chains[0].GetFilters()[0].GetTypedConfig(), hcm) {
 		return nil, errors.New("no HTTP connection manager")
 	}
 	m := &connectionManager{
-		proxy: p, internal: l.GetInternalListener() != nil, useRemoteAddress: h.GetUseRemoteAddress().GetValue(),
-		preserveRequestID: h.GetPreserveExternalRequestId(), generateRequestID: h.GetGenerateRequestId() == nil || h.GetGenerateRequestId().GetValue(),
-		virtualHosts: h.GetRouteConfig().GetVirtualHosts(),
+		proxy: p, internal: l.GetInternalListener() != nil, useRemoteAddress: hcm.GetUseRemoteAddress().GetValue(),
+		preserveRequestID: hcm.GetPreserveExternalRequestId(),
+		generateRequestID: hcm.GetGenerateRequestId() == nil || hcm.GetGenerateRequestId().GetValue(),
+		virtualHosts:      hcm.GetRouteConfig().GetVirtualHosts(),
 	}
-	for _, x := range h.GetRouteConfig().GetInternalOnlyHeaders() {
-		m.internalOnlyHeaders = append(m.internalOnlyHeaders, strings.ToLower(x))
+	for _, name := range hcm.GetRouteConfig().GetInternalOnlyHeaders() {
+		m.internalOnlyHeaders = append(m.internalOnlyHeaders, strings.ToLower(name))
 	}
-	routed := false
-	for _, f := range h.GetHttpFilters() {
-		x := &extprocv3.ExternalProcessor{}
-		switch {
-		case unmarshalsTo(f.GetTypedConfig(), &routerv3.Router{}):
-			routed = true
-		case routed: // the router ends the chain: what stands behind it never runs
-		case unmarshalsTo(f.GetTypedConfig(), x):
-			a, err := p.newProcessorFilter(x)
-			if err != nil {
-				return nil, err
-			}
-			m.filters = append(m.filters, a)
-		default:
-			return nil, fmt.Errorf("the filter %s is not modelled", f.GetName())
-		}
-	}
-	if !routed {
-		return nil, errors.New("no router filter")
+	var err error
+	if m.filters, err = p.compileHTTPFilters(hcm.GetHttpFilters()); err != nil {
+		return nil, err
 	}
 	for _, vh := range m.virtualHosts {
 		for _, r := range vh.GetRoutes() {
@@ -127,17 +131,37 @@
 	return m, nil
 }
 
-// known refuses a route with more in it than is modelled.
+// compileHTTPFilters makes the filters of a connection manager up to the router, which ends the chain: what stands behind it never runs.
+func (p *Proxy) compileHTTPFilters(configured []*hcmv3.HttpFilter) (filters []*processorFilter, err error) {
+	for _, c := range configured {
+		processor := &extprocv3.ExternalProcessor{}
+		switch {
+		case unmarshalsTo(c.GetTypedConfig(), &routerv3.Router{}):
+			return filters, nil
+		case unmarshalsTo(c.GetTypedConfig(), processor):
+			f, err := p.newProcessorFilter(processor)
+			if err != nil {
+				return nil, err
+			}
+			filters = append(filters, f)
+		default:
+			return nil, fmt.Errorf("the filter %s is not modelled", c.GetName())
+		}
+	}
+	return nil, errors.New("no router filter")
+}
+
+// checkRoute refuses a route that holds more than is modelled.
 func (p *Proxy) checkRoute(r *routev3.Route) error {
-	a := r.GetRoute()
+	action := r.GetRoute()
 	switch {
-	case a == nil:
-		return errors.New("a route that goes nowhere")
-	case p.clusters[a.GetCluster()] == nil:
-		return fmt.Errorf("there is no cluster %q", a.GetCluster())
+	case action == nil:
+		return errors.New("a route without a cluster")
+	case p.clusters[action.GetCluster()] == nil:
+		return fmt.Errorf("there is no cluster %q", action.GetCluster())
 	case r.GetMatch().GetPrefix() == "" && r.GetMatch().GetPath() == "":
 		return errors.New("a route with neither prefix nor path")
-	case len(a.GetRequestMirrorPolicies()) > 0:
+	case len(action.GetRequestMirrorPolicies()) > 0:
 		return errors.New("mirrors are not modelled")
 	}
 	for _, h := range r.GetMatch().GetHeaders() {
@@ -145,120 +169,123 @@
 			return errors.New("of header matches only present_match is modelled")
 		}
 	}
-	for _, on := range retryOn(a.GetRetryPolicy()) {
-		switch on {
+	for _, condition := range retryConditions(action.GetRetryPolicy()) {
+		switch condition {
 		case "connect-failure", "reset", "5xx", "gateway-error", "refused-stream", "retriable-headers", "retriable-status-codes":
 		default:
-			return fmt.Errorf("retry_on %q is not modelled", on)
+			return fmt.Errorf("retry_on %q is not modelled", condition)
 		}
 	}
 	return nil
 }
 
-func retryOn(p *routev3.RetryPolicy) []string {
-	return strings.FieldsFunc(p.GetRetryOn(), func(r rune) bool { return r == ',' || r == ' ' })
-}
-
-func (p *Proxy) newProcessorFilter(x *extprocv3.ExternalProcessor) (*processorFilter, error) {
-	mode := x.GetProcessingMode()
+// newProcessorFilter makes an external processing filter. Bodies are not modelled.
+func (p *Proxy) newProcessorFilter(config *extprocv3.ExternalProcessor) (*processorFilter, error) {
+	mode := config.GetProcessingMode()
 	for _, m := range []extprocv3.ProcessingMode_BodySendMode{mode.GetRequestBodyMode(), mode.GetResponseBodyMode()} {
 		if m != extprocv3.ProcessingMode_NONE {
 			return nil, fmt.Errorf("body mode %v is not modelled", m)
 		}
 	}
-	a := &processorFilter{proxy: p, config: x, messageTimeout: 200 * time.Millisecond, cluster: x.GetGrpcService().GetEnvoyGrpc().GetClusterName()}
-	p.processorFilters = append(p.processorFilters, a)
-	if x.GetMessageTimeout() != nil {
-		a.messageTimeout = x.GetMessageTimeout().AsDuration()
+	f := &processorFilter{
+		proxy: p, config: config, messageTimeout: defaultMessageTimeout,
+		cluster: config.GetGrpcService().GetEnvoyGrpc().GetClusterName(),
+	}
+	if config.GetMessageTimeout() != nil {
+		f.messageTimeout = config.GetMessageTimeout().AsDuration()
 	}
-	return a, nil
+	p.processorFilters = append(p.processorFilters, f)
+	return f, nil
 }
 
 func (p *Proxy) compileCluster(c *clusterv3.Cluster) (*cluster, error) {
-	x := &cluster{proxy: p, connectTimeout: 5 * time.Second}
+	compiled := &cluster{proxy: p, connectTimeout: defaultConnectTimeout}
 	if c.GetConnectTimeout() != nil {
-		x.connectTimeout = c.GetConnectTimeout().AsDuration()
+		compiled.connectTimeout = c.GetConnectTimeout().AsDuration()
+	}
+	if err := compiled.addEndpoints(c); err != nil {
+		return nil, err
+	}
+	if err := compiled.addUpstreamFilters(c); err != nil {
+		return nil, err
 	}
-	for _, e := range c.GetLoadAssignment().GetEndpoints() {
-		for _, le := range e.GetLbEndpoints() {
-			a := le.GetEndpoint().GetAddress()
-			if n := a.GetEnvoyInternalAddress().GetServerListenerName(); n != "" {
-				x.internalListener = n
+	switch c.GetType() {
+	case clusterv3.Cluster_ORIGINAL_DST:
+		compiled.useOriginalDst(c.GetOriginalDstLbConfig())
+	case clusterv3.Cluster_STATIC:
+		if err := compiled.useLoadBalancingPolicy(c.GetLoadBalancingPolicy()); err != nil {
+			return nil, err
+		}
+	default:
+		return nil, fmt.Errorf("the type %v is not modelled", c.GetType())
+	}
+	return compiled, nil
+}
+
+// addEndpoints adds the hosts of a cluster, or its internal listener.
+func (c *cluster) addEndpoints(config *clusterv3.Cluster) error {
+	for _, locality := range config.GetLoadAssignment().GetEndpoints() {
+		for _, endpoint := range locality.GetLbEndpoints() {
+			address := endpoint.GetEndpoint().GetAddress()
+			if name := address.GetEnvoyInternalAddress().GetServerListenerName(); name != "" {
+				c.internalListener = name
 				continue
 			}
-			s := a.GetSocketAddress()
-			if s == nil {
-				return nil, errors.New("an endpoint without an address")
+			socket := address.GetSocketAddress()
+			if socket == nil {
+				return errors.New("an endpoint without an address")
 			}
-			x.hosts = append(x.hosts, net.JoinHostPort(s.GetAddress(), strconv.Itoa(int(s.GetPortValue()))))
+			c.hosts = append(c.hosts, net.JoinHostPort(socket.GetAddress(), strconv.Itoa(int(socket.GetPortValue()))))
 		}
 	}
-	for _, a := range c.GetTypedExtensionProtocolOptions() {
-		o := &httpv3.HttpProtocolOptions{}
-		if !unmarshalsTo(a, o) {
+	return nil
+}
+
+// addUpstreamFilters adds the external processing filters among a cluster's own.
+func (c *cluster) addUpstreamFilters(config *clusterv3.Cluster) error {
+	for _, extension := range config.GetTypedExtensionProtocolOptions() {
+		options := &httpv3.HttpProtocolOptions{}
+		if !unmarshalsTo(extension, options) {
 			continue
 		}
-		for _, f := range o.GetHttpFilters() {
-			y := &extprocv3.ExternalProcessor{}
-			if unmarshalsTo(f.GetTypedConfig(), y) {
-				up, err := p.newProcessorFilter(y)
-				if err != nil {
-					return nil, err
-				}
-				x.filters = append(x.filters, up)
-			}
-		}
-	}
-	switch c.GetType() {
-	case clusterv3.Cluster_ORIGINAL_DST:
-		o := c.GetOriginalDstLbConfig()
-		x.originalDst = true
-		if o.GetUseHttpHeader() {
-			x.originalDstHeader = "x-envoy-original-dst-host"
-			if n := o.GetHttpHeaderName(); n != "" {
-				x.originalDstHeader = strings.ToLower(n)
-			}
-		}
-		x.originalDstMetadata = o.GetMetadataKey()
-	case clusterv3.Cluster_STATIC:
-		for _, pol := range c.GetLoadBalancingPolicy().GetPolicies() {
-			o := &overridev3.OverrideHost{}
-			if !unmarshalsTo(pol.GetTypedExtensionConfig().GetTypedConfig(), o) {
-				return nil, errors.New("of load-balancing policies only override_host is modelled")
+		for _, configured := range options.GetHttpFilters() {
+			processor := &extprocv3.ExternalProcessor{}
+			if !unmarshalsTo(configured.GetTypedConfig(), processor) {
+				continue
 			}
-			x.overrideHost = o
-			for _, fb := range o.GetFallbackPolicy().GetPolicies() {
-				s := &subsetv3.Subset{}
-				x.noFallback = unmarshalsTo(fb.GetTypedExtensionConfig().GetTypedConfig(), s) && s.GetFallbackPolicy() == subsetv3.Subset_NO_FALLBACK
+			f, err := c.proxy.newProcessorFilter(processor)
+			if err != nil {
+				return err
 			}
+			c.filters = append(c.filters, f)
 		}
-	default:
-		return nil, fmt.Errorf("the type %v is not modelled", c.GetType())
 	}
-	return x, nil
+	return nil
 }
 
-// keyOf is the namespace and the one step of a metadata key.
-func metadataPath(k *metadatav3.MetadataKey) (namespace, name string) {
-	if path := k.GetPath(); len(path) > 0 {
-		name = path[0].GetKey()
+func (c *cluster) useOriginalDst(config *clusterv3.Cluster_OriginalDstLbConfig) {
+	c.originalDst = true
+	if config.GetUseHttpHeader() {
+		c.originalDstHeader = defaultOriginalDstHeader
+		if name := config.GetHttpHeaderName(); name != "" {
+			c.originalDstHeader = strings.ToLower(name)
+		}
 	}
-	return k.GetKey(), name
+	c.originalDstMetadata = config.GetMetadataKey()
 }
 
-// format is the value of a header to add, of those that are modelled: text, %REQ(NAME)% and %UPSTREAM_REMOTE_ADDRESS%.
-func formatHeader(o *corev3.HeaderValueOption, req headers, host string) string {
-	v := o.GetHeader().GetValue()
-	if host == "" {
-		host = "-"
-	}
-	v = strings.ReplaceAll(v, "%UPSTREAM_REMOTE_ADDRESS%", host)
-	for {
-		before, rest, found := strings.Cut(v, "%REQ(")
-		if !found {
-			return v
+func (c *cluster) useLoadBalancingPolicy(config *clusterv3.LoadBalancingPolicy) error {
+	for _, policy := range config.GetPolicies() {
+		override := &overridev3.OverrideHost{}
+		if !unmarshalsTo(policy.GetTypedExtensionConfig().GetTypedConfig(), override) {
+			return errors.New("of load-balancing policies only override_host is modelled")
+		}
+		c.overrideHost = override
+		for _, fallback := range override.GetFallbackPolicy().GetPolicies() {
+			subset := &subsetv3.Subset{}
+			c.noFallback = unmarshalsTo(fallback.GetTypedExtensionConfig().GetTypedConfig(), subset) &&
+				subset.GetFallbackPolicy() == subsetv3.Subset_NO_FALLBACK
 		}
-		name, after, _ := strings.Cut(rest, ")%")
-		v = before + req.get(strings.ToLower(name)) + after
 	}
+	return nil
 }
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -1,17 +1,18 @@
-// Package proxy is a stand-in for a proxy that asks an external processor where requests should go
-// (envoy.service.ext_proc.v3, and the endpoint picker's conventions). It is made of layers in the order of the
-// real one: a connection manager cleans headers, chooses a route and runs its filters; the router adds and takes
-// off headers, chooses a host of its cluster and tries again as its policy says; only then the cluster's own
-// filters run (layers.go). It takes the same YAML, of which it models a part and refuses the rest (compile.go).
+// Package proxy is a fake of a proxy that asks an external processor where requests should go (envoy.service.ext_proc.v3, and the
+// conventions of the endpoint picker). Its layers run in the order of Envoy's: a connection manager sanitizes headers, chooses a route
+// and runs its filters (connection_manager.go); the router adds and removes headers and retries by its policy (router.go); a cluster
+// chooses a host, and only then runs its own filters (cluster.go). A filter that asks the processor is in processor_filter.go. The fake
+// reads the same YAML as Envoy, of which it models a part and refuses the rest (compile.go).
 //
-// Requests are carried to stand-in servers over HTTP/1.1; it records what its clients saw, and can be told to
-// misbehave.
+// Requests are sent to fake servers over HTTP/1.1. The proxy records what its clients saw, and can be told to misbehave.
 package proxy
 
 import (
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -21,73 +22,100 @@
 	extproc "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
-	"google.golang.org/protobuf/types/known/structpb"
 
 	"cranegrade/internal/envoyconf"
 	"cranegrade/internal/fake"
 )
 
+const (
+	// RetryHeader is the response header by which the processor allows another attempt, by default.
+	RetryHeader = "x-cranegrade-retry"
+
+	processorConnectTimeout = time.Second
+	decisionMargin          = 50 * time.Millisecond // by which the processor is to decide before the message time-out
+	minLongestDeadline      = 5 * time.Second       // of the class that stands for all, if none is given
+)
+
 // Config is what a proxy is made of.
 type Config struct {
-	Processor       string         // host:port
-	Timeout         time.Duration  // message_timeout; 0: 200 ms
-	Mode            envoyconf.Mode // "": header, or with Retries every-try
-	YAML            string         // its configuration; "": envoyconf.Build's for the mode
-	Endpoints       []string       // that it knows, in the modes that need that
-	Classes         []fake.Class   // safe ones may be tried again in mode fallbacks
-	MaxRetries      int            // further tries, in the modes that have any
-	RetryEverything bool           // it also tries again by itself whatever failed, as a careless one does
-	IgnoreDecisions bool           // it sends requests elsewhere than it is told
-	OtherServer     func(told string) string
-	DropStream      func() bool // asked for each request: drop the side channel while the request is at its server
+	Processor  string         // host:port
+	Timeout    time.Duration  // message_timeout; 0: 200 ms
+	Mode       envoyconf.Mode // "": by header, or with MaxRetries every-try
+	YAML       string         // its configuration; "": what envoyconf.Build makes for the mode
+	Endpoints  []string       // the addresses that it knows, in the modes that need them
+	Classes    []fake.Class   // safe ones may be retried in mode fallbacks
+	MaxRetries int            // of a request, in the modes that have retries
+
+	// Faults:
+	RetryEverything bool                        // it also retries by itself whatever failed
+	IgnoreDecisions bool                        // it sends requests to OtherServer
+	OtherServer     func(decided string) string // returns an address
+	// DropStream is called for each request. True: drop the stream to the processor while the request is at its server.
+	DropStream func() bool
 }
 
-// Proxy is a proxy.
+// Proxy is a fake proxy. All methods may be called from any goroutine.
 type Proxy struct {
-	cfg             Config
+	config          Config
 	recorder        *fake.Recorder
-	conn            *grpc.ClientConn
+	conn            *grpc.ClientConn // to the processor
 	processorClient extproc.ExternalProcessorClient
 	lastID          atomic.Uint64
 	name            string
+	toDrop          atomic.Int64 // responses
 
-	downstream        *connectionManager
+	// The layers, made by compile and not changed later:
+	downstream        *connectionManager // of the listener for callers
 	internalListeners map[string]*connectionManager
 	clusters          map[string]*cluster
 	processorFilters  []*processorFilter
-	processor         string
+	processor         string // host:port
+
+	Decisions          atomic.Int64 // answers of the processor that named a server
+	ImmediateResponses atomic.Int64 // answers of the processor that ended the request
+	MessageTimeouts    atomic.Int64 // questions without an answer in time
+	UpstreamRequests   atomic.Int64 // attempts that were sent to a server
+	DecisionsFollowed  atomic.Int64 // those of them to a server that the processor had named
+	DecisionTimes      Durations    // from each question to its answer
+}
 
-	toDrop atomic.Int64
+// Durations is a list of durations that may be added to from any goroutine. The zero value is empty.
+type Durations struct {
+	mu   sync.Mutex // guards list
+	list []time.Duration
+}
 
-	Decisions          atomic.Int64 // that named a server
-	ImmediateResponses atomic.Int64 // that answered at once
-	MessageTimeouts    atomic.Int64 // questions that got no word in time
-	UpstreamRequests   atomic.Int64 // tries that went to a server
-	DecisionsFollowed  atomic.Int64 // and to one that the processor had named for it
-	Waits              struct {
-		sync.Mutex
-		L []time.Duration // for each word
-	}
+func (d *Durations) add(t time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.list = append(d.list, t)
+}
+
+// All returns the durations in the order in which they were added.
+func (d *Durations) All() []time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.list)
 }
 
-// New returns a proxy with a side channel of its own.
-func New(name string, rec *fake.Recorder, cfg Config) (*Proxy, error) {
-	if cfg.Timeout == 0 {
-		cfg.Timeout = 200 * time.Millisecond
+// New returns a proxy with a connection of its own to the processor.
+func New(name string, recorder *fake.Recorder, config Config) (*Proxy, error) {
+	if config.Timeout == 0 {
+		config.Timeout = defaultMessageTimeout
 	}
-	if cfg.YAML == "" {
-		text, err := cfg.yaml()
+	if config.YAML == "" {
+		text, err := config.yaml()
 		if err != nil {
 			return nil, fmt.Errorf("proxy %s: %w", name, err)
 		}
-		cfg.YAML = text
+		config.YAML = text
 	}
-	p := &Proxy{cfg: cfg, recorder: rec, name: name}
-	if err := p.compile([]byte(cfg.YAML)); err != nil {
+	p := &Proxy{config: config, recorder: recorder, name: name}
+	if err := p.compile([]byte(config.YAML)); err != nil {
 		return nil, fmt.Errorf("proxy %s: %w", name, err)
 	}
 	conn, err := grpc.NewClient("passthrough:///"+p.processor, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second}))
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: processorConnectTimeout}))
 	if err != nil {
 		return nil, fmt.Errorf("proxy %s: %w", name, err)
 	}
@@ -95,10 +123,7 @@
 	return p, nil
 }
 
-// RetryHeader is the header by which the processor allows another try, by default.
-const RetryHeader = "x-cranegrade-retry"
-
-// yaml is what an operator would have of cranegrade proxy-config.
+// yaml is the configuration that `cranegrade proxy-config` prints for an operator, with the faults of this proxy.
 func (c Config) yaml() (string, error) {
 	p := envoyconf.Proxy{Mode: c.Mode, Processor: c.Processor, Retries: c.MaxRetries, Endpoints: c.Endpoints}
 	if p.Mode == "" {
@@ -106,14 +131,14 @@
 			p.Mode = envoyconf.EveryTry
 		}
 	}
-	p.Facts = envoyconf.Facts{DecideWithin: c.Timeout - 50*time.Millisecond, Retries: p.Mode == envoyconf.EveryTry, RetryHeader: RetryHeader}
+	p.Facts = envoyconf.Facts{DecideWithin: c.Timeout - decisionMargin, Retries: p.Mode == envoyconf.EveryTry, RetryHeader: RetryHeader}
 	if p.Mode == envoyconf.Fallbacks {
 		p.Facts.Spares = c.MaxRetries
 	}
-	longest := 5 * time.Second
-	for _, k := range c.Classes {
-		p.Classes = append(p.Classes, envoyconf.Class{Name: k.Name, Deadline: k.Deadline, Safe: k.Effect == fake.Safe})
-		longest = max(longest, k.Deadline)
+	longest := minLongestDeadline
+	for _, class := range c.Classes {
+		p.Classes = append(p.Classes, envoyconf.Class{Name: class.Name, Deadline: class.Deadline, Safe: class.Effect == fake.Safe})
+		longest = max(longest, class.Deadline)
 	}
 	if len(p.Classes) == 0 {
 		p.Classes = []envoyconf.Class{{Name: "any", Deadline: longest}}
@@ -126,13 +151,13 @@
 	return out, err
 }
 
-// Lose has the next n answers lost on their way to the proxy's clients.
+// DropResponses has the next n responses lost on their way to the proxy's clients.
 func (p *Proxy) DropResponses(n int64) { p.toDrop.Store(n) }
 
-// Close ends its side channel.
-func (p *Proxy) Close() { p.conn.Close() }
+// Close closes the connection to the processor.
+func (p *Proxy) Close() { _ = p.conn.Close() }
 
-// NewID names a request as no other.
+// NewID returns an id that no other request has.
 func (p *Proxy) NewID() string { return p.name + "-" + strconv.FormatUint(p.lastID.Add(1), 36) }
 
 // Do carries one request of a client and records what the client saw.
@@ -140,84 +165,73 @@
 	return p.DoWithID(ctx, s, p.NewID())
 }
 
-// DoID is Do of a request with this id.
+// DoWithID is Do of a request with a given id.
 func (p *Proxy) DoWithID(ctx context.Context, s fake.Stream, id string) fake.Exchange {
 	return p.DoWithHeaders(ctx, s, id, nil)
 }
 
-// DoWith is DoID of a client that sends further headers.
-func (p *Proxy) DoWithHeaders(ctx context.Context, s fake.Stream, id string, more map[string]string) fake.Exchange {
-	name := s.Name
-	if name == "" {
-		name = s.Class.Name
-	}
-	x := fake.Exchange{ID: id, Class: s.Class.Name, Stream: name, SentAt: p.recorder.Now(), Connected: true}
-	x.Deadline = x.SentAt + s.Class.Deadline
-	r := &request{exchange: &x, metadata: map[string]*structpb.Struct{}, streams: map[*processorFilter]*processorStream{}, headers: headers{
-		":method": {methodOf(s.Class)}, ":scheme": {"http"},
-		":authority": {s.Host}, ":path": {"/" + s.Class.Name + "/" + id}, "x-correlation-id": {id},
-	}}
-	if s.Account != "" {
-		r.headers.set("x-account", s.Account)
-	}
-	if s.Class.Effect == fake.Keyed {
-		x.Key = "k-" + id
-		r.headers.set("idempotency-key", x.Key)
-	}
-	if s.Class.Effect != fake.Safe {
-		r.body = strings.Repeat("x", s.BodyBytes)
-	}
-	for k, v := range more {
-		r.headers.set(strings.ToLower(k), v)
+// DoWithHeaders is DoWithID of a client that sends further headers.
+func (p *Proxy) DoWithHeaders(ctx context.Context, s fake.Stream, id string, extra map[string]string) fake.Exchange {
+	x := p.newExchange(s, id)
+	r := newRequest(requestHeaders(s, x), requestBody(s), x)
+	for name, v := range extra {
+		r.headers.set(strings.ToLower(name), v)
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.Class.Deadline)
 	defer cancel()
 	resp := p.downstream.serve(ctx, r)
 	x.Status, x.RetryAfter = resp.status(), len(resp.headers["retry-after"]) > 0
-	x.ForeignBody = x.Status == 200 && resp.body != fake.ResponseBody(id)
+	x.ForeignBody = x.Status == http.StatusOK && resp.body != fake.ResponseBody(id)
 	x.AnsweredAt = p.recorder.Now()
 	if p.toDrop.Add(-1) >= 0 {
-		x.Status, x.Err = 0, errors.New("lost on its way")
+		x.Status, x.Err = 0, errors.New("the response was dropped")
+	}
+	p.recorder.RecordExchange(*x)
+	return *x
+}
+
+func (p *Proxy) newExchange(s fake.Stream, id string) *fake.Exchange {
+	name := s.Name
+	if name == "" {
+		name = s.Class.Name
+	}
+	x := &fake.Exchange{ID: id, Class: s.Class.Name, Stream: name, SentAt: p.recorder.Now(), Connected: true}
+	x.Deadline = x.SentAt + s.Class.Deadline
+	if s.Class.Effect == fake.Keyed {
+		x.Key = "k-" + id
 	}
-	p.recorder.RecordExchange(x)
 	return x
 }
 
-// method of a class.
-func methodOf(c fake.Class) string {
-	if c.Effect == fake.Safe {
-		return "GET"
+// requestHeaders are the headers that a client sends.
+func requestHeaders(s fake.Stream, x *fake.Exchange) headers {
+	h := headers{
+		":method": {http.MethodPost}, ":scheme": {"http"}, ":authority": {s.Host}, ":path": {"/" + s.Class.Name + "/" + x.ID},
+		"x-correlation-id": {x.ID},
+	}
+	if s.Class.Effect == fake.Safe {
+		h.set(":method", http.MethodGet)
+	}
+	if s.Account != "" {
+		h.set("x-account", s.Account)
+	}
+	if x.Key != "" {
+		h.set("idempotency-key", x.Key)
 	}
-	return "POST"
+	return h
 }
 
-var errMessageTimeout = errors.New("no word within the message time-out")
-
-// receive waits for the processor's next message.
-func receiveWithin(st extproc.ExternalProcessor_ProcessClient, wait time.Duration) (*extproc.ProcessingResponse, error) {
-	type result struct {
-		m   *extproc.ProcessingResponse
-		err error
-	}
-	ch := make(chan result, 1)
-	go func() {
-		m, err := st.Recv()
-		ch <- result{m, err}
-	}()
-	t := time.NewTimer(wait)
-	defer t.Stop()
-	select {
-	case r := <-ch:
-		return r.m, r.err
-	case <-t.C:
-		return nil, errMessageTimeout
+func requestBody(s fake.Stream) string {
+	if s.Class.Effect == fake.Safe {
+		return ""
 	}
+	return strings.Repeat("x", s.BodyBytes)
 }
 
-// Run sends the streams' requests through the proxies in turn and returns once all have ended.
+// Run sends the requests of the streams through the proxies in turn, and returns once all of them have ended.
 func Run(ctx context.Context, proxies []*Proxy, seed uint64, streams ...fake.Stream) {
-	n := atomic.Uint64{}
+	var next atomic.Uint64
 	fake.RunStreams(ctx, seed, func(s fake.Stream) {
-		proxies[int(n.Add(1))%len(proxies)].Do(ctx, s)
+		proxies[int(next.Add(1))%len(proxies)].Do(ctx, s)
 	}, func(fake.Stream) {}, streams...)
 }
--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -5,182 +5,218 @@
 	"fmt"
 	"net"
 	"net/http"
-	"sort"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
 )
 
-// heartbeat is how often a watch says something though nothing changes.
-const watchHeartbeat = 2 * time.Second
+const (
+	watchHeartbeat = 2 * time.Second // how often a watch sends an empty line while nothing changes
+	wholeList      = -1              // the revision that asks for the whole list
+)
+
+// ListState is the state of a server in the registry's list.
+type ListState string
+
+// The states that the registry's page knows.
+const (
+	ListServing  ListState = "SERVING"
+	ListDraining ListState = "DRAINING"
+	ListDeleted  ListState = "DELETED"
+)
 
-// Registry is a stand-in for the platform's registry: whole lists, and watches of what changes.
+// Registry is a fake of the platform's registry. It serves the whole list, and watches that send what changes.
 type Registry struct {
 	name     string
 	recorder *Recorder
 	addr     string
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	revision int64
-	entries  map[string]*registryEntry
-	changed  chan struct{} // closed at each change
-	server   *http.Server  // nil while it is down
+	entries  map[string]*registryEntry // by the server's id
+	changed  chan struct{}             // closed at each change, and replaced
+	server   *http.Server              // nil while the registry is down
 	watchers int
 }
 
-// entry is a server as the registry lists it.
+// registryEntry is a server as the registry lists it.
 type registryEntry struct {
-	revision    int64
+	revision    int64 // of its latest change
 	incarnation int
-	JSON        struct {
-		UID      string  `json:"uid"`
-		Endpoint string  `json:"endpoint"`
-		Zone     string  `json:"az"`
-		Model    string  `json:"model"`
-		Cell     int     `json:"pod_group"`
-		State    string  `json:"state"`
-		Size     float64 `json:"capacity_hint"`
-		BootMS   float64 `json:"boot_ms"`
-	}
+	target      registryTarget
+}
+
+// registryTarget is a server on the registry's wire.
+type registryTarget struct {
+	UID      string    `json:"uid"`
+	Endpoint string    `json:"endpoint"`
+	Zone     string    `json:"az"`
+	Model    string    `json:"model"`
+	Cell     int       `json:"pod_group"`
+	State    ListState `json:"state"`
+	Size     float64   `json:"capacity_hint"`
+	BootMS   float64   `json:"boot_ms"`
+}
+
+// registryMessage is a list, or the changes since an earlier one, on the registry's wire.
+type registryMessage struct {
+	Revision int64            `json:"rev"`
+	All      bool             `json:"all"`
+	Targets  []registryTarget `json:"targets"`
 }
 
-// NewRegistry starts a registry on a free loopback port, with an empty list. Its name is the host whose
-// requests its servers are for; "" if there is no other registry.
-func NewRegistry(name string, rec *Recorder) (*Registry, error) {
-	g := &Registry{name: name, recorder: rec, entries: map[string]*registryEntry{}, changed: make(chan struct{})}
+// NewRegistry starts a registry on a free loopback port, with an empty list. Its name is the host whose requests its servers serve; ""
+// if there is no other registry.
+func NewRegistry(name string, recorder *Recorder) (*Registry, error) {
+	g := &Registry{name: name, recorder: recorder, entries: map[string]*registryEntry{}, changed: make(chan struct{})}
 	return g, g.listen("127.0.0.1:0")
 }
 
-// Addr is its address, the same after Down and Up.
+// Addr is the address of the registry. It stays the same over Down and Up.
 func (g *Registry) Addr() string { return g.addr }
 
 func (g *Registry) listen(addr string) error {
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return fmt.Errorf("registry: %w", err)
+		return fmt.Errorf("starting the fake registry: %w", err)
 	}
-	srv := &http.Server{Handler: g}
+	server := &http.Server{Handler: g}
 	g.mu.Lock()
-	g.addr, g.server = l.Addr().String(), srv
+	g.addr, g.server = listener.Addr().String(), server
 	g.mu.Unlock()
-	go srv.Serve(l)
+	go func() { _ = server.Serve(listener) }() // until Down closes the server
 	return nil
 }
 
-// Down ends its watches and refuses connections.
+// Down ends the watches and refuses connections.
 func (g *Registry) Down() {
 	g.mu.Lock()
-	srv := g.server
+	server := g.server
 	g.server = nil
 	g.mu.Unlock()
-	if srv != nil {
-		srv.Close()
+	if server != nil {
+		server.Close()
 	}
 }
 
-// Up starts it again with the list that it had.
+// Up starts the registry again after Down, with the list that it had.
 func (g *Registry) Up() error { return g.listen(g.addr) }
 
-// Close ends it.
+// Close ends the registry.
 func (g *Registry) Close() { g.Down() }
 
-// Set lists a server as it is now; state is SERVING, DRAINING or DELETED.
-func (g *Registry) Set(s *Server, state string) { g.SetAt(s, state, s.advertisedAddr()) }
+// Set lists a server in a state, with its present incarnation.
+func (g *Registry) Set(s *Server, state ListState) { g.SetAt(s, state, s.advertisedAddr()) }
 
-// SetAt is Set with another address: of the way that this registry's callers have to the server.
-func (g *Registry) SetAt(s *Server, state, addr string) {
-	boot, ms := s.Incarnation()
-	cfg := s.Config()
+// SetAt is Set with another address, for a registry whose readers reach the server by another way.
+func (g *Registry) SetAt(s *Server, state ListState, addr string) {
+	incarnation, startedUnixMillis := s.Incarnation()
+	config := s.Config()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.revision++
-	e := &registryEntry{revision: g.revision, incarnation: boot}
-	e.JSON.UID, e.JSON.Endpoint, e.JSON.Zone, e.JSON.Model, e.JSON.Cell = cfg.ID, addr, cfg.Zone, "m", cfg.Cell
-	e.JSON.State, e.JSON.Size, e.JSON.BootMS = state, 1, ms
-	g.entries[cfg.ID] = e
+	g.entries[config.ID] = &registryEntry{revision: g.revision, incarnation: incarnation, target: registryTarget{
+		UID: config.ID, Endpoint: addr, Zone: config.Zone, Model: "m", Cell: config.Cell,
+		State: state, Size: 1, BootMS: startedUnixMillis,
+	}}
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// Watchers is the number of watches that are open.
+// Watchers is the number of open watches.
 func (g *Registry) Watchers() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.watchers
 }
 
-// since are the entries that changed after a revision, in the order of the changes; the whole list if
-// that is not one of ours.
-func (g *Registry) updatesSince(rev int64) (text []byte, now int64, told []ListUpdate, changed chan struct{}) {
+// listUpdate is a message of the registry with what it tells its reader.
+type listUpdate struct {
+	text     []byte
+	revision int64
+	updates  []ListUpdate
+	changed  <-chan struct{} // closed at the next change
+}
+
+// updatesSince returns the entries that changed after a revision, in the order of the changes. For a revision that the registry does
+// not know it returns the whole list.
+func (g *Registry) updatesSince(revision int64) (listUpdate, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	all := rev < 0 || rev > g.revision
-	var l []*registryEntry
+	all := revision < 0 || revision > g.revision
+	var entries []*registryEntry
 	for _, e := range g.entries {
-		if all && e.JSON.State != "DELETED" || !all && e.revision > rev {
-			l = append(l, e)
+		if all && e.target.State != ListDeleted || !all && e.revision > revision {
+			entries = append(entries, e)
 		}
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i].revision < l[j].revision })
-	message := struct {
-		Rev     int64 `json:"rev"`
-		All     bool  `json:"all"`
-		Targets []any `json:"targets"`
-	}{g.revision, all, []any{}}
-	for _, e := range l {
-		message.Targets = append(message.Targets, e.JSON)
-		told = append(told, ListUpdate{List: g.name, Server: e.JSON.UID, Withdrawn: e.JSON.State != "SERVING", Incarnation: e.incarnation})
+	slices.SortFunc(entries, func(a, b *registryEntry) int { return int(a.revision - b.revision) })
+	message := registryMessage{Revision: g.revision, All: all, Targets: []registryTarget{}}
+	var updates []ListUpdate
+	for _, e := range entries {
+		message.Targets = append(message.Targets, e.target)
+		updates = append(updates, ListUpdate{
+			List: g.name, Server: e.target.UID, Withdrawn: e.target.State != ListServing, Incarnation: e.incarnation,
+		})
 	}
-	text, _ = json.Marshal(message)
-	return append(text, '\n'), g.revision, told, g.changed
+	text, err := json.Marshal(message)
+	return listUpdate{append(text, '\n'), g.revision, updates, g.changed}, err
 }
 
+// ServeHTTP answers with the whole list, or with follow=1 keeps sending what changed since a revision.
 func (g *Registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
 		return
 	}
-	q := r.URL.Query()
-	if q.Get("follow") != "1" {
-		text, _, told, _ := g.updatesSince(-1)
-		if _, err := w.Write(text); err == nil {
-			g.recorder.RecordUpdates(told...)
+	query := r.URL.Query()
+	if query.Get("follow") != "1" {
+		list, err := g.updatesSince(wholeList)
+		if err != nil {
+			http.Error(w, err.Error(), http.StatusInternalServerError)
+			return
+		}
+		if _, err := w.Write(list.text); err == nil {
+			g.recorder.RecordUpdates(list.updates...)
 		}
 		return
 	}
-	rev, err := strconv.ParseInt(q.Get("since"), 10, 64)
+	revision, err := strconv.ParseInt(query.Get("since"), 10, 64)
 	if err != nil {
 		http.Error(w, "since is no number", http.StatusBadRequest)
 		return
 	}
-	g.watch(w, r, rev)
+	g.watch(w, r, revision)
 }
 
-func (g *Registry) watch(w http.ResponseWriter, r *http.Request, rev int64) {
-	g.mu.Lock()
-	g.watchers++
-	g.mu.Unlock()
-	defer func() {
-		g.mu.Lock()
-		g.watchers--
-		g.mu.Unlock()
-	}()
-	rc := http.NewResponseController(w)
-	beat := time.NewTicker(watchHeartbeat)
-	defer beat.Stop()
+// watch sends changes until the reader disconnects or the registry goes down.
+func (g *Registry) watch(w http.ResponseWriter, r *http.Request, revision int64) {
+	g.countWatchers(1)
+	defer g.countWatchers(-1)
+	controller := http.NewResponseController(w)
+	send := func(text []byte) bool {
+		_, err := w.Write(text)
+		return err == nil && controller.Flush() == nil
+	}
+	heartbeat := time.NewTicker(watchHeartbeat)
+	defer heartbeat.Stop()
 	for first := true; ; first = false {
-		text, now, told, changed := g.updatesSince(rev)
-		if first || now != rev {
-			if _, err := w.Write(text); err != nil || rc.Flush() != nil {
+		list, err := g.updatesSince(revision)
+		if err != nil {
+			return
+		}
+		if first || list.revision != revision {
+			if !send(list.text) {
 				return
 			}
-			g.recorder.RecordUpdates(told...)
-			rev = now
+			g.recorder.RecordUpdates(list.updates...)
+			revision = list.revision
 		}
 		select {
-		case <-changed:
-		case <-beat.C:
-			if _, err := w.Write([]byte("\n")); err != nil || rc.Flush() != nil {
+		case <-list.changed:
+		case <-heartbeat.C:
+			if !send([]byte("\n")) {
 				return
 			}
 		case <-r.Context().Done():
@@ -188,3 +224,9 @@
 		}
 	}
 }
+
+func (g *Registry) countWatchers(change int) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.watchers += change
+}
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -7,34 +7,38 @@
 	"sync/atomic"
 )
 
-// Relay stands on the path between callers and a node, and can lose an answer on it.
+const relayBufferBytes = 32 << 10
+
+// Relay forwards connections between callers and a node, and can lose responses. It knows no messages: what it takes for a response is
+// what one read returns.
 type Relay struct {
-	target      string
-	listener    net.Listener
-	toDrop      atomic.Int64
-	mu          sync.Mutex // guards conns
+	target     string
+	listener   net.Listener
+	toDrop     atomic.Int64
+	goroutines sync.WaitGroup
+
+	mu          sync.Mutex // guards connections
 	connections map[net.Conn]struct{}
-	goroutines  sync.WaitGroup
 }
 
-// NewRelay passes connections on to an address.
-func NewRelay(to string) (*Relay, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// NewRelay starts a relay on a free loopback port that forwards connections to an address.
+func NewRelay(target string) (*Relay, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{target: to, listener: l, connections: map[net.Conn]struct{}{}}
+	r := &Relay{target: target, listener: listener, connections: map[net.Conn]struct{}{}}
 	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
-// Addr is where callers connect.
+// Addr is the address that callers connect to.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Lose has the next n answers lost: their callers' connections end in place of them.
+// DropResponses has the next n responses lost: their callers' connections are closed in place of them.
 func (r *Relay) DropResponses(n int64) { r.toDrop.Store(n) }
 
-// Close ends it and all connections.
+// Close ends the relay and all connections, and waits for its goroutines.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.mu.Lock()
@@ -47,15 +51,15 @@
 
 func (r *Relay) track(c net.Conn) {
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	r.connections[c] = struct{}{}
-	r.mu.Unlock()
 }
 
 func (r *Relay) closeConnection(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	delete(r.connections, c)
-	r.mu.Unlock()
 }
 
 func (r *Relay) accept() {
@@ -69,27 +73,28 @@
 	}
 }
 
-func (r *Relay) forward(c net.Conn) {
-	defer r.closeConnection(c)
-	out, err := net.Dial("tcp", r.target)
+// forward copies both directions of one connection until either side closes it or a response is dropped.
+func (r *Relay) forward(downstream net.Conn) {
+	defer r.closeConnection(downstream)
+	upstream, err := net.Dial("tcp", r.target)
 	if err != nil {
-		reset(c)
+		ResetConnection(downstream)
 		return
 	}
-	r.track(out)
-	defer r.closeConnection(out)
+	r.track(upstream)
+	defer r.closeConnection(upstream)
 	r.goroutines.Go(func() {
-		io.Copy(out, c)
-		out.Close()
+		_, _ = io.Copy(upstream, downstream)
+		upstream.Close()
 	})
-	buf := make([]byte, 32<<10)
+	buffer := make([]byte, relayBufferBytes)
 	for {
-		n, err := out.Read(buf)
+		n, err := upstream.Read(buffer)
 		if n > 0 {
 			if r.toDrop.Add(-1) >= 0 {
 				return
 			}
-			if _, err := c.Write(buf[:n]); err != nil {
+			if _, err := downstream.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
