--- a/internal/fake/proxy/proxy_test.go
+++ b/internal/fake/proxy/proxy_test.go
@@ -3,7 +3,9 @@
 import (
 	"context"
 	"net"
+	"net/http"
 	"os"
+	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -17,50 +19,41 @@
 	"cranegrade/internal/fake"
 )
 
-// picker is a processor that always names the same list, and allows one more try if a retry header is told.
+// picker is a processor that always names the same servers, and allows one more attempt if it has a retry header.
 type picker struct {
 	extproc.UnimplementedExternalProcessorServer
-	list      []string
-	retry     string
-	fallbacks bool
+	servers     []string
+	retryHeader string
+	fallbacks   bool
 
-	mu  sync.Mutex // guards saw
-	saw []*stream.Question
+	mu        sync.Mutex // guards questions
+	questions []*stream.Question
 }
 
-func (k *picker) Process(st extproc.ExternalProcessor_ProcessServer) error {
+// Process answers the messages of one request's stream.
+func (p *picker) Process(client extproc.ExternalProcessor_ProcessServer) error {
 	s := stream.New()
 	for !s.Over() {
-		m, err := st.Recv()
+		message, err := client.Recv()
 		if err != nil {
 			return nil
 		}
-		l := s.Receive(m)
-		for len(l) > 0 {
-			a := l[0]
-			l = l[1:]
-			switch a := a.(type) {
+		actions := s.Receive(message)
+		for len(actions) > 0 {
+			action := actions[0]
+			actions = actions[1:]
+			switch action := action.(type) {
 			case stream.Reply:
-				st.Send(a.Message)
-			case stream.Ask:
-				k.mu.Lock()
-				k.saw = append(k.saw, a.Question)
-				k.mu.Unlock()
-				// Of two servers the second is named for the second try.
-				n := 0
-				if k.retry != "" && a.Question.Get("x-envoy-attempt-count") == "2" {
-					n = 1
-				}
-				d := stream.Decision{Endpoint: k.list[n], RetryHeader: k.retry}
-				if k.fallbacks {
-					d.Fallbacks = k.list[1:]
+				if err := client.Send(action.Message); err != nil {
+					return nil
 				}
-				more, _ := s.Decide(d)
-				l = append(l, more...)
+			case stream.Ask:
+				more, _ := s.Decide(p.decide(action.Question))
+				actions = append(actions, more...)
 			case stream.Outcome:
-				if a.Judging {
+				if action.Judging {
 					more, _ := s.Judge(stream.Judgement{Again: true})
-					l = append(l, more...)
+					actions = append(actions, more...)
 				}
 			}
 		}
@@ -68,143 +61,201 @@
 	return nil
 }
 
-// rig is a picker and servers of one class, of which the first is down.
-func startPicker(t *testing.T, retry string) (k *picker, addr string, rec *fake.Recorder, class fake.Class) {
+// decide records a question and names the first server, or the second one for the second attempt.
+func (p *picker) decide(q *stream.Question) stream.Decision {
+	p.mu.Lock()
+	p.questions = append(p.questions, q)
+	p.mu.Unlock()
+	chosen := 0
+	if p.retryHeader != "" && q.Get("x-envoy-attempt-count") == "2" {
+		chosen = 1
+	}
+	d := stream.Decision{Endpoint: p.servers[chosen], RetryHeader: p.retryHeader}
+	if p.fallbacks {
+		d.Fallbacks = p.servers[1:]
+	}
+	return d
+}
+
+// testEnvironment is a picker and two servers of one class, of which the first is down.
+type testEnvironment struct {
+	picker   *picker
+	addr     string // of the picker
+	recorder *fake.Recorder
+	class    fake.Class
+}
+
+func startPicker(t *testing.T, retryHeader string) testEnvironment {
 	t.Helper()
-	class = fake.Class{Name: "read", Effect: fake.Safe, Deadline: 5 * time.Second}
-	rec = fake.NewRecorder(class)
-	k = &picker{retry: retry}
+	class := fake.Class{Name: "read", Effect: fake.Safe, Deadline: 5 * time.Second}
+	env := testEnvironment{picker: &picker{retryHeader: retryHeader}, recorder: fake.NewRecorder(class), class: class}
 	for _, id := range []string{"a", "b"} {
-		s, err := fake.NewServer(fake.ServerConfig{ID: id, Concurrency: 4, QueueLimit: 10, ServiceTime: time.Millisecond}, rec, fake.NewKeyStore())
+		config := fake.ServerConfig{ID: id, Concurrency: 4, QueueLimit: 10, ServiceTime: time.Millisecond}
+		s, err := fake.NewServer(config, env.recorder, fake.NewKeyStore())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(s.Close)
-		k.list = append(k.list, s.Addr())
+		env.picker.servers = append(env.picker.servers, s.Addr())
 		if id == "a" {
 			s.Crash()
 		}
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := grpc.NewServer()
-	extproc.RegisterExternalProcessorServer(srv, k)
-	go srv.Serve(l)
-	t.Cleanup(srv.Stop)
-	return k, l.Addr().String(), rec, class
+	server := grpc.NewServer()
+	extproc.RegisterExternalProcessorServer(server, env.picker)
+	go server.Serve(listener)
+	t.Cleanup(server.Stop)
+	env.addr = listener.Addr().String()
+	return env
 }
 
-// In the real order the host is chosen before upstream filters run: the configuration of before, in which the
-// processor was one of these, gets decisions and heeds none.
+// newProxy returns a proxy that is closed with the test.
+func (env testEnvironment) newProxy(t *testing.T, config Config) *Proxy {
+	t.Helper()
+	p, err := New("p", env.recorder, config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(p.Close)
+	return p
+}
+
+// stream is the one that all requests belong to.
+func (env testEnvironment) stream() fake.Stream { return fake.Stream{Class: env.class, Host: "a"} }
+
+// The host is chosen before upstream filters run. A configuration that asks the processor in one of these gets decisions and follows none.
 func TestUpstreamFilterIsTooLate(t *testing.T) {
-	k, addr, rec, class := startPicker(t, "")
+	env := startPicker(t, "")
 	text, err := os.ReadFile("../../envoyconf/testdata/upstream-filter.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	host, port, _ := net.SplitHostPort(addr)
-	yaml := strings.Replace(string(text), "address: 127.0.0.1, port_value: 9002", "address: "+host+", port_value: "+port, 1)
-	p, err := New("p", rec, Config{YAML: yaml})
+	host, port, err := net.SplitHostPort(env.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Close()
-	x := p.Do(context.Background(), fake.Stream{Class: class, Host: "a"})
-	if x.Status != 503 || p.DecisionsFollowed.Load() != 0 {
-		t.Errorf("status %d, %d heeded", x.Status, p.DecisionsFollowed.Load())
+	yaml := strings.Replace(string(text), "address: 127.0.0.1, port_value: 9002", "address: "+host+", port_value: "+port, 1)
+	p := env.newProxy(t, Config{YAML: yaml})
+	x := p.Do(context.Background(), env.stream())
+	if x.Status != http.StatusServiceUnavailable || p.DecisionsFollowed.Load() != 0 {
+		t.Errorf("status %d, %d decisions followed; want 503 and 0", x.Status, p.DecisionsFollowed.Load())
 	}
-	// A caller who names a server himself gets it, whatever the processor says.
-	x = p.DoWithHeaders(context.Background(), fake.Stream{Class: class, Host: "a"}, "forged", map[string]string{envoyconf.Header: k.list[1]})
-	if x.Status != 200 || p.DecisionsFollowed.Load() != 1 && p.Decisions.Load() == 0 {
-		t.Errorf("status %d, heeded %d of %d decisions", x.Status, p.DecisionsFollowed.Load(), p.Decisions.Load())
+	// A caller that names a server itself gets it, whatever the processor says.
+	forged := map[string]string{envoyconf.Header: env.picker.servers[1]}
+	x = p.DoWithHeaders(context.Background(), env.stream(), "forged", forged)
+	if x.Status != http.StatusOK || p.DecisionsFollowed.Load() != 1 && p.Decisions.Load() == 0 {
+		t.Errorf("status %d, %d of %d decisions followed", x.Status, p.DecisionsFollowed.Load(), p.Decisions.Load())
 	}
 }
 
-// Each mode heeds each decision, whatever a client sends; those that try again get to the second server.
-func TestModes(t *testing.T) {
+// Each mode follows each decision, whatever a client sends. The modes that retry reach the second server.
+func TestEachModeFollowsDecisions(t *testing.T) {
 	for _, c := range []struct {
-		mode    envoyconf.Mode
-		status  int
-		sent    int64
-		asked   int
-		retry   string
-		retries int
-	}{{envoyconf.ByHeader, 503, 1, 1, "", 0}, {envoyconf.ByMetadata, 503, 1, 1, "", 0}, {envoyconf.Fallbacks, 200, 2, 1, "", 2}, {envoyconf.EveryTry, 200, 2, 2, RetryHeader, 2}} {
+		mode        envoyconf.Mode
+		status      int
+		attempts    int64
+		questions   int
+		retryHeader string
+		maxRetries  int
+	}{
+		{envoyconf.ByHeader, http.StatusServiceUnavailable, 1, 1, "", 0},
+		{envoyconf.ByMetadata, http.StatusServiceUnavailable, 1, 1, "", 0},
+		{envoyconf.Fallbacks, http.StatusOK, 2, 1, "", 2},
+		{envoyconf.EveryTry, http.StatusOK, 2, 2, RetryHeader, 2},
+	} {
 		t.Run(string(c.mode), func(t *testing.T) {
-			k, addr, rec, class := startPicker(t, c.retry)
-			k.fallbacks = c.mode == envoyconf.Fallbacks
-			p, err := New("p", rec, Config{Processor: addr, Timeout: 5 * time.Second, Mode: c.mode, MaxRetries: c.retries, Endpoints: k.list, Classes: []fake.Class{class}})
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer p.Close()
+			env := startPicker(t, c.retryHeader)
+			env.picker.fallbacks = c.mode == envoyconf.Fallbacks
+			p := env.newProxy(t, Config{
+				Processor: env.addr, Timeout: 5 * time.Second, Mode: c.mode, MaxRetries: c.maxRetries,
+				Endpoints: env.picker.servers, Classes: []fake.Class{env.class},
+			})
 			forged := map[string]string{
 				envoyconf.Header: "127.0.0.1:1", "x-request-id": "another's", "x-envoy-attempt-count": "7", "x-time-left": "1m",
 				"x-envoy-expected-rq-timeout-ms": "1", "x-envoy-retry-on": "5xx", "x-envoy-max-retries": "9",
 			}
-			x := p.DoWithHeaders(context.Background(), fake.Stream{Class: class, Host: "a"}, "mine", forged)
-			if x.Status != c.status || p.UpstreamRequests.Load() != c.sent || p.DecisionsFollowed.Load() != c.sent || len(k.saw) != c.asked {
-				t.Fatalf("status %d, sent %d, heeded %d, asked %d", x.Status, p.UpstreamRequests.Load(), p.DecisionsFollowed.Load(), len(k.saw))
+			x := p.DoWithHeaders(context.Background(), env.stream(), "mine", forged)
+			sent, followed, questions := p.UpstreamRequests.Load(), p.DecisionsFollowed.Load(), env.picker.questions
+			if x.Status != c.status || sent != c.attempts || followed != c.attempts || len(questions) != c.questions {
+				t.Fatalf("status %d, sent %d, followed %d, asked %d", x.Status, sent, followed, len(questions))
 			}
-			for i, q := range k.saw {
-				if q.Get("x-request-id") != "mine" || q.Get(envoyconf.Header) != "" {
-					t.Errorf("question %d: id %q, %q", i, q.Get("x-request-id"), q.Get(envoyconf.Header))
-				}
-				if q.Get("x-envoy-expected-rq-timeout-ms") == "1" || q.Get("x-time-left") == "1m" {
-					t.Errorf("question %d believes the caller's time", i)
-				}
-				if c.mode == envoyconf.EveryTry && (q.Get("x-envoy-attempt-count") != string(rune('1'+i)) || !strings.HasSuffix(q.Get("x-time-left"), "m") || q.Get("x-envoy-expected-rq-timeout-ms") != "") {
-					t.Errorf("question %d: %v", i, q.Header)
+			for i, q := range questions {
+				assertNotForged(t, i, q)
+				if c.mode == envoyconf.EveryTry {
+					assertAttemptHeaders(t, i, q)
 				}
 			}
 		})
 	}
 }
 
-// A per-try time-out ends a try without headers, so that a policy on headers never tries again.
-func TestPerTryTimeout(t *testing.T) {
-	k, addr, rec, class := startPicker(t, RetryHeader)
-	text, err := Config{Processor: addr, Timeout: 5 * time.Second, MaxRetries: 2}.yaml()
-	if err != nil {
-		t.Fatal(err)
+// assertNotForged checks that a question holds nothing that the client forged.
+func assertNotForged(t *testing.T, i int, q *stream.Question) {
+	t.Helper()
+	if q.Get("x-request-id") != "mine" || q.Get(envoyconf.Header) != "" {
+		t.Errorf("question %d: id %q, %q", i, q.Get("x-request-id"), q.Get(envoyconf.Header))
+	}
+	if q.Get("x-envoy-expected-rq-timeout-ms") == "1" || q.Get("x-time-left") == "1m" {
+		t.Errorf("question %d holds the caller's time", i)
+	}
+}
+
+// assertAttemptHeaders checks that a question tells which attempt it is for and how much time is left.
+func assertAttemptHeaders(t *testing.T, i int, q *stream.Question) {
+	t.Helper()
+	isAttempt := q.Get("x-envoy-attempt-count") == strconv.Itoa(i+1)
+	hasTimeLeft := strings.HasSuffix(q.Get("x-time-left"), "m") && q.Get("x-envoy-expected-rq-timeout-ms") == ""
+	if !isAttempt || !hasTimeLeft {
+		t.Errorf("question %d: %v", i, q.Header)
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
+}
+
+// A per-try time-out ends an attempt without response headers, so a policy that retries on headers never retries after one.
+func TestPerTryTimeoutIsNotRetried(t *testing.T) {
+	env := startPicker(t, RetryHeader)
+	text, err := Config{Processor: env.addr, Timeout: 5 * time.Second, MaxRetries: 2}.yaml()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	k.list[0] = l.Addr().String()
-	p, err := New("p", rec, Config{YAML: strings.Replace(text, "num_retries: 2", "num_retries: 2\n                              per_try_timeout: 0.05s", 1)})
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer p.Close()
-	if x := p.Do(context.Background(), fake.Stream{Class: class, Host: "a"}); x.Status != 504 || p.UpstreamRequests.Load() != 1 {
-		t.Errorf("status %d after %d tries", x.Status, p.UpstreamRequests.Load())
+	defer silent.Close()
+	env.picker.servers[0] = silent.Addr().String()
+	const retries = "num_retries: 2"
+	p := env.newProxy(t, Config{YAML: strings.Replace(text, retries, retries+"\n                              per_try_timeout: 0.05s", 1)})
+	x := p.Do(context.Background(), env.stream())
+	if x.Status != http.StatusGatewayTimeout || p.UpstreamRequests.Load() != 1 {
+		t.Errorf("status %d after %d attempts; want 504 after 1", x.Status, p.UpstreamRequests.Load())
 	}
 }
 
-// What is not modelled is refused, not passed over.
-func TestRefused(t *testing.T) {
+// A configuration that is not modelled is refused and not ignored.
+func TestUnmodelledConfigIsRefused(t *testing.T) {
 	good, err := Config{Processor: "127.0.0.1:1", Timeout: time.Second}.yaml()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, change := range map[string][2]string{
-		"filter":    {"envoy.extensions.filters.http.router.v3.Router", "envoy.extensions.filters.http.other.v3.Other"},
-		"cluster":   {"type: ORIGINAL_DST\n      lb_policy: CLUSTER_PROVIDED", "type: STRICT_DNS"},
-		"body mode": {"request_body_mode: NONE", "request_body_mode: BUFFERED"},
-		"retry":     {"route: { cluster: chosen,", "route: { cluster: chosen, retry_policy: { retry_on: some-day },"},
-		"no field":  {"use_remote_address", "use_remote_adress"},
+	for name, change := range map[string]struct{ from, to string }{
+		"filter":        {"envoy.extensions.filters.http.router.v3.Router", "envoy.extensions.filters.http.other.v3.Other"},
+		"cluster":       {"type: ORIGINAL_DST\n      lb_policy: CLUSTER_PROVIDED", "type: STRICT_DNS"},
+		"body mode":     {"request_body_mode: NONE", "request_body_mode: BUFFERED"},
+		"retry":         {"route: { cluster: chosen,", "route: { cluster: chosen, retry_policy: { retry_on: some-day },"},
+		"unknown field": {"use_remote_address", "use_remote_addr"},
 	} {
-		text := strings.Replace(good, change[0], change[1], 1)
-		if text == good {
-			t.Fatalf("%s: nothing changed", name)
-		}
-		if _, err := New("p", fake.NewRecorder(), Config{YAML: text}); err == nil {
-			t.Errorf("%s: taken", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			text := strings.Replace(good, change.from, change.to, 1)
+			if text == good {
+				t.Fatal("the change changes nothing")
+			}
+			if _, err := New("p", fake.NewRecorder(), Config{YAML: text}); err == nil {
+				t.Error("the configuration was accepted")
+			}
+		})
 	}
 }
