--- a/internal/drill/members.go
+++ b/internal/drill/members.go
@@ -76,7 +76,7 @@
 		return err
 	}
 	limit := 20*time.Second + 10*r.slack
-	if _, err := f.AwaitAgreement(limit, true, memberIndices(memberCount)...); err != nil {
+	if _, err := f.AwaitAgreement(ctx, limit, true, memberIndices(memberCount)...); err != nil {
 		return err
 	}
 	schedule, length, err := r.schedulePlan(len(f.Servers))
@@ -102,7 +102,7 @@
 		stop()
 		return err
 	}
-	healed, err := f.AwaitAgreement(limit, true, memberIndices(memberCount)...)
+	healed, err := f.AwaitAgreement(ctx, limit, true, memberIndices(memberCount)...)
 	stop()
 	watch.Wait()
 	if err != nil {
@@ -159,7 +159,7 @@
 	}
 	limit := 20*time.Second + 10*r.slack
 	all := memberIndices(memberCount)
-	if _, err := f.AwaitAgreement(limit, true, all...); err != nil {
+	if _, err := f.AwaitAgreement(ctx, limit, true, all...); err != nil {
 		return err
 	}
 	playing, over := context.WithCancel(ctx)
@@ -182,12 +182,12 @@
 		case <-ctx.Done():
 		}
 		m.Resume()
-		held := heldAtFirst(m)
+		held := heldAtFirst(ctx, m)
 		r.addFigure(fmt.Sprintf("held_after_%d", i+1), held, fmt.Sprintf("of a ration, in the first 100 ms after %v", long.Round(time.Millisecond)))
 		if long > 2*f.Lease && held > 0 {
 			r.failf("%v of a ration was held just after a stop of %v", held, long)
 		}
-		if _, err := f.AwaitAgreement(limit, true, all...); err != nil {
+		if _, err := f.AwaitAgreement(ctx, limit, true, all...); err != nil {
 			r.failf("after a stop of %v: %v", long, err)
 		}
 	}
@@ -220,9 +220,9 @@
 }
 
 // heldAtFirst is the most of a ration that a member holds in its first 100 ms after it was resumed.
-func heldAtFirst(m *testfleet.Member) (held float64) {
+func heldAtFirst(ctx context.Context, m *testfleet.Member) (held float64) {
 	for first := time.Now(); time.Since(first) < 100*time.Millisecond; {
-		if role, err := m.Role(); err == nil {
+		if role, err := m.Role(ctx); err == nil {
 			held = max(held, role.Of100/100)
 		}
 	}
@@ -251,7 +251,7 @@
 		return err
 	}
 	limit := 20*time.Second + 10*r.slack
-	if _, err := f.AwaitAgreement(limit, true, memberIndices(accusedMembers)...); err != nil {
+	if _, err := f.AwaitAgreement(ctx, limit, true, memberIndices(accusedMembers)...); err != nil {
 		return err
 	}
 	length := max(r.length, 8*time.Second)
@@ -277,7 +277,7 @@
 		return err
 	}
 	load.Wait()
-	if _, err := f.AwaitAgreement(limit, true, memberIndices(accusedMembers)...); err != nil {
+	if _, err := f.AwaitAgreement(ctx, limit, true, memberIndices(accusedMembers)...); err != nil {
 		r.failf("after all is undone: %v", err)
 	}
 	r.judgeAccused(f, illnesses)
@@ -364,7 +364,7 @@
 		}
 		name := map[bool]string{true: "before", false: "fleet"}[alone]
 		if !alone {
-			if _, err := f.AwaitAgreement(20*time.Second+10*r.slack, true, memberIndices(memberCount)...); err != nil {
+			if _, err := f.AwaitAgreement(ctx, 20*time.Second+10*r.slack, true, memberIndices(memberCount)...); err != nil {
 				return err
 			}
 		}
@@ -381,12 +381,12 @@
 		f.Members[1].Kill()
 		f.Members[3].Kill()
 		if !alone {
-			took, err := f.AwaitAgreement(20*time.Second+10*r.slack, false, 0, 2, 4)
+			took, err := f.AwaitAgreement(ctx, 20*time.Second+10*r.slack, false, 0, 2, 4)
 			if err != nil {
 				return err
 			}
 			r.addFigure("agreed_ms", took, "from the deaths until the others count each other and nobody else")
-			if took, err = f.AwaitAgreement(20*time.Second+10*r.slack, true, 0, 2, 4); err != nil {
+			if took, err = f.AwaitAgreement(ctx, 20*time.Second+10*r.slack, true, 0, 2, 4); err != nil {
 				return err
 			}
 			r.addFigure("parts_ms", f.Recorder.Now()-died, "and until they have taken over what the dead might have taken")
--- a/internal/testfleet/fabric.go
+++ b/internal/testfleet/fabric.go
@@ -1,90 +1,81 @@
 package testfleet
 
 import (
+	"errors"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"sync"
 	"time"
+
+	"cranegrade/internal/fake"
 )
 
-// Link is what may be wrong with the way from one process to another, in that direction. The zero Link is sound.
-type Link struct {
-	Cut       bool          `json:"cut,omitempty"`       // nothing passes, and nobody is told
-	Refuse    bool          `json:"refuse,omitempty"`    // connections are reset, new ones at once
-	Loss      float64       `json:"loss,omitempty"`      // share of datagrams that don't come
-	Duplicate float64       `json:"duplicate,omitempty"` // share that comes twice
-	Delay     time.Duration `json:"delay,omitempty"`
-	Jitter    time.Duration `json:"jitter,omitempty"` // up to so much more, so that datagrams overtake each other
-	Rate      int           `json:"rate,omitempty"`   // bytes a second; 0: no limit
-}
+// MaxProcesses is the number of processes that a fabric can connect.
+const MaxProcesses = 100
 
-// Fabric stands on every way between processes, for UDP and TCP. Process i has the address 127.0.1.i+1 and dials
-// from it, all others know it as 127.0.2.i+1, which is the fabric's; so it tells by the two addresses who sends to
-// whom, and a process that answers a datagram answers through it.
+const (
+	firstFabricPort = 20_000
+	fabricPorts     = 10_000
+	portAttempts    = 50
+)
+
+// Fabric is the network between processes, for UDP and TCP, with a Link for each direction between two of them. Process i listens on
+// 127.0.1.i+1 and dials from there. All others know it as 127.0.2.i+1, where the fabric listens. By the two addresses the fabric knows who
+// sends to whom, and an answer to a datagram goes through it, too. All methods may be called from any goroutine.
 type Fabric struct {
 	port        int
-	packetConns []*net.UDPConn
-	listeners   []*net.TCPListener
+	packetConns []*net.UDPConn     // by process
+	listeners   []*net.TCPListener // by process
 	goroutines  sync.WaitGroup
 	closing     chan struct{}
 
-	mu        sync.Mutex // guards what follows
-	links     map[[2]int]Link
+	mu        sync.Mutex // guards the fields below
+	links     map[route]Link
 	rng       *rand.Rand
-	idleAt    map[[2]int]time.Time // when a limited link has sent what it has
-	bytesSent map[[2]int]int64     // that were sent to a link, by direction
-	conns     map[net.Conn][2]int
+	bandwidth map[route]*bandwidth // of rate-limited links
+	bytesSent map[route]int64
+	conns     map[net.Conn]route
 }
 
-// MostProcesses is how many a fabric can connect.
-const MostProcesses = 100
+// route is the direction from one process to another, by their numbers.
+type route struct{ from, to int }
+
+func (r route) reverse() route { return route{from: r.to, to: r.from} }
 
-// NewFabric connects n processes by addresses of a port that is free at all of them.
+// NewFabric connects n processes on a port that is free at all of their addresses.
 func NewFabric(n int, seed uint64) (*Fabric, error) {
-	if n > MostProcesses {
-		return nil, fmt.Errorf("%d processes, %d at most", n, MostProcesses)
+	if n > MaxProcesses {
+		return nil, fmt.Errorf("connecting %d processes: at most %d are possible", n, MaxProcesses)
 	}
 	var err error
-	for range 50 {
+	for range portAttempts {
 		f := &Fabric{
-			port: 20_000 + rand.IntN(10_000), closing: make(chan struct{}), links: map[[2]int]Link{}, idleAt: map[[2]int]time.Time{}, bytesSent: map[[2]int]int64{},
-			conns: map[net.Conn][2]int{}, rng: rand.New(rand.NewPCG(seed, 0xfab)),
+			port: firstFabricPort + rand.IntN(fabricPorts), closing: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 0xfab)),
+			links: map[route]Link{}, bandwidth: map[route]*bandwidth{}, bytesSent: map[route]int64{}, conns: map[net.Conn]route{},
 		}
 		if err = f.listen(n); err == nil {
 			return f, nil
 		}
 		f.Close()
 	}
-	return nil, fmt.Errorf("no port is free: %w", err)
+	return nil, fmt.Errorf("connecting %d processes: no port is free: %w", n, err)
 }
 
 func listenIP(i int) net.IP { return net.IPv4(127, 0, 1, byte(i+1)) }
 func publicIP(i int) net.IP { return net.IPv4(127, 0, 2, byte(i+1)) }
 
-// Own is the address that process i listens on and dials from, Seen the one that others know it by.
+// ListenAddr is the address that process i listens on and dials from.
 func (f *Fabric) ListenAddr(i int) string { return fmt.Sprintf("%v:%d", listenIP(i), f.port) }
+
+// PublicAddr is the address that the others know process i by.
 func (f *Fabric) PublicAddr(i int) string { return fmt.Sprintf("%v:%d", publicIP(i), f.port) }
 
 func (f *Fabric) listen(n int) error {
 	for i := range n {
-		// What the process will listen on must be free, too.
-		probe, err := net.ListenTCP("tcp", &net.TCPAddr{IP: listenIP(i), Port: f.port})
-		if err != nil {
-			return err
-		}
-		probe.Close()
-		u, err := net.ListenUDP("udp", &net.UDPAddr{IP: publicIP(i), Port: f.port})
-		if err != nil {
-			return err
-		}
-		f.packetConns = append(f.packetConns, u)
-		l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: publicIP(i), Port: f.port})
-		if err != nil {
+		if err := f.listenFor(i); err != nil {
 			return err
 		}
-		f.listeners = append(f.listeners, l)
 	}
 	for i := range n {
 		f.goroutines.Go(func() { f.forwardDatagrams(i) })
@@ -93,14 +84,35 @@
 	return nil
 }
 
-// Close ends it and all that goes through it.
+// listenFor opens the sockets of process i's public address.
+func (f *Fabric) listenFor(i int) error {
+	// The process needs the port at its own address, too.
+	probe, err := net.ListenTCP("tcp", &net.TCPAddr{IP: listenIP(i), Port: f.port})
+	if err != nil {
+		return err
+	}
+	_ = probe.Close()
+	packetConn, err := net.ListenUDP("udp", &net.UDPAddr{IP: publicIP(i), Port: f.port})
+	if err != nil {
+		return err
+	}
+	f.packetConns = append(f.packetConns, packetConn)
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: publicIP(i), Port: f.port})
+	if err != nil {
+		return err
+	}
+	f.listeners = append(f.listeners, listener)
+	return nil
+}
+
+// Close ends the fabric and all connections, and waits for its goroutines.
 func (f *Fabric) Close() {
 	close(f.closing)
-	for _, u := range f.packetConns {
-		u.Close()
+	for _, c := range f.packetConns {
+		_ = c.Close()
 	}
 	for _, l := range f.listeners {
-		l.Close()
+		_ = l.Close()
 	}
 	f.mu.Lock()
 	for c := range f.conns {
@@ -110,21 +122,23 @@
 	f.goroutines.Wait()
 }
 
-// Set has the way from one process to another be so from now on.
+// SetLink sets the link from one process to another. Where it refuses connections, the open ones of both directions are reset.
 func (f *Fabric) SetLink(from, to int, l Link) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.links[[2]int{from, to}] = l
-	if l.Refuse {
-		for c, way := range f.conns {
-			if way == [2]int{from, to} || way == [2]int{to, from} {
-				reset(c)
-			}
+	changed := route{from, to}
+	f.links[changed] = l
+	if !l.Refuse {
+		return
+	}
+	for c, r := range f.conns {
+		if r == changed || r == changed.reverse() {
+			fake.ResetConnection(c)
 		}
 	}
 }
 
-// All sets every way.
+// SetAllLinks sets the links of all directions.
 func (f *Fabric) SetAllLinks(l Link) {
 	for i := range f.packetConns {
 		for j := range f.packetConns {
@@ -135,220 +149,84 @@
 	}
 }
 
-// Part cuts every way between processes of different parts. Who is in none is left as it is.
+// Partition cuts the links between processes of different parts. The links of processes in no part stay as they are.
 func (f *Fabric) Partition(parts ...[]int) {
-	for i, a := range parts {
-		for j, b := range parts {
-			for _, x := range a {
-				for _, y := range b {
-					if i != j {
-						f.SetLink(x, y, Link{Cut: true})
-					}
-				}
+	for i, part := range parts {
+		for j, other := range parts {
+			if i != j {
+				f.cut(part, other)
 			}
 		}
 	}
 }
 
-// Heal makes every way sound.
-func (f *Fabric) Heal() { f.SetAllLinks(Link{}) }
-
-// Bytes is what a process sent to others since the start, datagrams and streams.
-func (f *Fabric) BytesSent(from int) (n int64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for way, b := range f.bytesSent {
-		if way[0] == from {
-			n += b
+// cut cuts the links from all processes of one part to all of another.
+func (f *Fabric) cut(from, to []int) {
+	for _, i := range from {
+		for _, j := range to {
+			f.SetLink(i, j, Link{Cut: true})
 		}
 	}
-	return n
 }
 
-// who is the process of an address; -1: none.
-func (f *Fabric) processOf(a net.IP) int {
-	a = a.To4()
-	if a == nil || a[0] != 127 || a[1] != 0 || a[2] != 1 || int(a[3]) > len(f.packetConns) {
-		return -1
-	}
-	return int(a[3]) - 1
-}
+// Heal makes all links sound.
+func (f *Fabric) Heal() { f.SetAllLinks(Link{}) }
 
-// plan is what becomes of a message of so many bytes: how long each copy of it takes, none if it is lost.
-func (f *Fabric) schedule(from, to, size int, datagram bool) (copies []time.Duration) {
+// BytesSent is the number of bytes that a process has sent to others, by datagrams and streams, also those that were lost.
+func (f *Fabric) BytesSent(from int) (total int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	way := [2]int{from, to}
-	f.bytesSent[way] += int64(size)
-	l := f.links[way]
-	if l.Cut || l.Refuse || datagram && f.rng.Float64() < l.Loss {
-		return nil
-	}
-	n := 1
-	if datagram && f.rng.Float64() < l.Duplicate {
-		n = 2
-	}
-	for range n {
-		d := l.Delay
-		if l.Jitter > 0 {
-			d += time.Duration(f.rng.Int64N(int64(l.Jitter)))
+	for r, n := range f.bytesSent {
+		if r.from == from {
+			total += n
 		}
-		if l.Rate > 0 {
-			now := time.Now()
-			if f.idleAt[way].Before(now) {
-				f.idleAt[way] = now
-			}
-			f.idleAt[way] = f.idleAt[way].Add(time.Duration(size) * time.Second / time.Duration(l.Rate))
-			d += f.idleAt[way].Sub(now)
-		}
-		copies = append(copies, d)
 	}
-	return copies
+	return total
 }
 
-// datagrams passes on what is sent to process i.
-func (f *Fabric) forwardDatagrams(i int) {
-	buf := make([]byte, 64<<10)
-	for {
-		n, from, err := f.packetConns[i].ReadFromUDP(buf)
-		if err != nil {
-			select {
-			case <-f.closing:
-				return
-			default: // a process that was not there said so
-				continue
-			}
-		}
-		j := f.processOf(from.IP)
-		if j < 0 {
-			continue
-		}
-		b := append([]byte(nil), buf[:n]...)
-		for _, d := range f.schedule(j, i, n, true) {
-			pass := func() { f.packetConns[j].WriteToUDP(b, &net.UDPAddr{IP: listenIP(i), Port: f.port}) }
-			if d == 0 {
-				pass()
-			} else {
-				time.AfterFunc(d, pass)
-			}
-		}
-	}
-}
+// errUnknownProcess is of a peer whose address is none of the fabric's.
+var errUnknownProcess = errors.New("the address belongs to no process of the fabric")
 
-// streams passes on connections to process i.
-func (f *Fabric) acceptStreams(i int) {
-	for {
-		c, err := f.listeners[i].Accept()
-		if err != nil {
-			return
-		}
-		j := f.processOf(c.RemoteAddr().(*net.TCPAddr).IP)
-		if j < 0 {
-			c.Close()
-			continue
-		}
-		f.goroutines.Go(func() { f.forwardStream(c, j, i) })
+// processAt returns the process that dials from an address.
+func (f *Fabric) processAt(ip net.IP) (int, error) {
+	ip = ip.To4()
+	if ip == nil || ip[0] != 127 || ip[1] != 0 || ip[2] != 1 || ip[3] == 0 || int(ip[3]) > len(f.packetConns) {
+		return 0, errUnknownProcess
 	}
+	return int(ip[3]) - 1, nil
 }
 
-func reset(c net.Conn) {
-	if t, is := c.(*net.TCPConn); is {
-		t.SetLinger(0)
-	}
-	c.Close()
-}
-
-// track keeps a connection until its end, unless the fabric or the way ends first.
-func (f *Fabric) track(c net.Conn, way [2]int) (ok bool) {
+// copyDelays decides what becomes of a message of a size: how long each copy of it takes; none if it is lost. The loss and duplication
+// of a link apply to datagrams only.
+func (f *Fabric) copyDelays(r route, size int, isDatagram bool) (delays []time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	select {
-	case <-f.closing:
-		return false
-	default:
-	}
-	f.conns[c] = way
-	return !f.links[way].Refuse && !f.links[[2]int{way[1], way[0]}].Refuse
-}
-
-func (f *Fabric) forget(c net.Conn) {
-	f.mu.Lock()
-	delete(f.conns, c)
-	f.mu.Unlock()
-	c.Close()
-}
-
-// stream is one connection of process j to process i. While a way is cut it stays open and silent, half-open for
-// either side; what was sent comes when the way is whole again, as it would be sent again.
-func (f *Fabric) forwardStream(c net.Conn, j, i int) {
-	defer f.forget(c)
-	if !f.track(c, [2]int{j, i}) {
-		reset(c)
-		return
-	}
-	if !f.awaitUncut(j, i) || !f.awaitUncut(i, j) {
-		return
-	}
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: publicIP(j)}, Timeout: 5 * time.Second}
-	out, err := d.Dial("tcp", f.ListenAddr(i))
-	if err != nil {
-		reset(c)
-		return
+	f.bytesSent[r] += int64(size)
+	l := f.links[r]
+	if l.Cut || l.Refuse || isDatagram && f.rng.Float64() < l.Loss {
+		return nil
 	}
-	defer f.forget(out)
-	if !f.track(out, [2]int{i, j}) {
-		reset(c)
-		return
+	copies := 1
+	if isDatagram && f.rng.Float64() < l.Duplicate {
+		copies = 2
 	}
-	var both sync.WaitGroup
-	both.Go(func() { f.copyStream(out, c, j, i) })
-	both.Go(func() { f.copyStream(c, out, i, j) })
-	both.Wait()
-}
-
-// whole waits until a way is not cut; false: the fabric has ended.
-func (f *Fabric) awaitUncut(from, to int) bool {
-	for {
-		f.mu.Lock()
-		cut := f.links[[2]int{from, to}].Cut
-		f.mu.Unlock()
-		if !cut {
-			return true
+	for range copies {
+		delay := l.Delay
+		if l.Jitter > 0 {
+			delay += time.Duration(f.rng.Int64N(int64(l.Jitter)))
 		}
-		select {
-		case <-f.closing:
-			return false
-		case <-time.After(10 * time.Millisecond):
+		if l.Rate > 0 {
+			delay += f.bandwidthOf(r).reserve(size, l.Rate)
 		}
+		delays = append(delays, delay)
 	}
+	return delays
 }
 
-func (f *Fabric) copyStream(to, from net.Conn, j, i int) {
-	defer func() {
-		if t, is := to.(*net.TCPConn); is {
-			t.CloseWrite()
-		}
-	}()
-	buf := make([]byte, 16<<10)
-	for {
-		n, err := from.Read(buf)
-		if n > 0 {
-			if !f.awaitUncut(j, i) {
-				return
-			}
-			for _, d := range f.schedule(j, i, n, false) {
-				time.Sleep(d)
-			}
-			if _, err := to.Write(buf[:n]); err != nil {
-				reset(from)
-				return
-			}
-		}
-		if err != nil {
-			if err != io.EOF {
-				reset(to)
-			}
-			return
-		}
+// bandwidthOf returns the bandwidth of a rate-limited link. The caller holds mu.
+func (f *Fabric) bandwidthOf(r route) *bandwidth {
+	if f.bandwidth[r] == nil {
+		f.bandwidth[r] = &bandwidth{}
 	}
+	return f.bandwidth[r]
 }
--- a/internal/testfleet/faults_test.go
+++ b/internal/testfleet/faults_test.go
@@ -25,7 +25,7 @@
 func (f *Fleet) rosterMoves(t *testing.T, of string, at ...int) (n int) {
 	t.Helper()
 	for _, i := range at {
-		s, err := f.Members[i].Status()
+		s, err := f.Members[i].Status(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,7 +72,7 @@
 		{"30 % lost, some twice and out of turn", func() { f.Fabric.SetAllLinks(Link{Loss: 0.3, Duplicate: 0.2, Jitter: 100 * time.Millisecond}) }, nil},
 	} {
 		c.fault()
-		if sum, _ := f.SumShares(all...); sum > 1+1e-9 {
+		if sum, _ := f.SumShares(t.Context(), all...); sum > 1+1e-9 {
 			t.Errorf("%s: %v of the whole is taken", c.name, sum)
 		}
 		f.Fabric.Heal()
@@ -80,7 +80,7 @@
 		c.fault()
 		if strings.HasPrefix(c.name, "30") { // who stands in it is chance; that is never too much
 			for range 20 {
-				if sum, _ := f.SumShares(all...); sum > 1+1e-9 {
+				if sum, _ := f.SumShares(t.Context(), all...); sum > 1+1e-9 {
 					t.Errorf("%s: %v of the whole is taken", c.name, sum)
 				}
 			}
@@ -134,12 +134,12 @@
 	f.Members[5].Name = "n4"
 	must(f.Members[5].Start())
 	if !Await(timeout, func() bool {
-		s, err := f.Members[1].Status()
+		s, err := f.Members[1].Status(t.Context())
 		return err == nil && slices.ContainsFunc(s.Members, func(m fleet.MemberStatus) bool { return m.Name == "n4" && m.Twin != "" })
 	}) {
 		t.Error("two processes of one name are not told")
 	}
-	if r, err := f.Members[5].Role(); err != nil || r.Standing {
+	if r, err := f.Members[5].Role(t.Context()); err != nil || r.Standing {
 		t.Errorf("the copy has a part: %+v, %v", r, err)
 	}
 	f.Members[5].Kill()
@@ -273,13 +273,13 @@
 	}
 	// The last is of a later protocol: it takes no part, but may act, as far as anybody knows.
 	if !Await(timeout, func() bool {
-		r, err := f.Members[0].Role()
+		r, err := f.Members[0].Role(t.Context())
 		return err == nil && r.Differ["later"] == "another protocol"
 	}) {
 		t.Error("a member of another protocol is not told")
 	}
 	for _, m := range f.Members {
-		s, err := m.Status()
+		s, err := m.Status(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -320,7 +320,7 @@
 	var load sync.WaitGroup
 	f.Members[1].RunStreams(ctx, &load, Traffic(60, time.Hour)...)
 	before := f.rosterMoves(t, "n1", 0, 2)
-	if err := f.Members[1].Upgrade(); err != nil {
+	if err := f.Members[1].Upgrade(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	f.awaitAgreement(t, true, 0, 1, 2)
--- a/internal/testfleet/fleet.go
+++ b/internal/testfleet/fleet.go
@@ -1,6 +1,7 @@
 package testfleet
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"os"
@@ -11,23 +12,33 @@
 	"cranegrade/internal/fake"
 )
 
-// FleetConfig says what a fleet of real processes is.
+// Host is the host whose requests the fleet serves.
+const Host = "app.example.org"
+
+const (
+	defaultLease     = 1200 * time.Millisecond // short, so that short drills see leases expire
+	watchesTimeout   = 10 * time.Second        // until all members follow the list
+	shareSumRounding = 1e-6                    // by which a sum of shares may exceed 1
+)
+
+// FleetConfig describes a fleet of real processes.
 type FleetConfig struct {
-	Program           string // its path; "": it is built
-	MemberCount       int
-	SpareMembers      int // members that may be added later
-	ConfiguredNodes   int // as their files tell; 0: Members
-	ServerCount       int
-	Seed              uint64
-	Lease             time.Duration // 0: 1.2 s, so that short drills see the ends of leases
-	Slack             time.Duration // see audit.Options
-	GossipKey         string        // of the gossip, in base64; "": none
-	Standalone        bool          // no [fleet]: count and place stand in the files, as they did
-	ExtraSettings     string        // more for the top of each file; {state} is the member's directory
-	ExtraPoolSettings string        // more for the pool
+	Program         string // path of the program; "": it is built
+	MemberCount     int
+	SpareMembers    int // further members, which a test may start later
+	ConfiguredNodes int // the number of nodes in the members' files; 0: MemberCount
+	ServerCount     int
+	Seed            uint64
+	Lease           time.Duration // of a member's shares; 0: 1.2 s
+	Slack           time.Duration // see audit.Options
+	GossipKey       string        // in base64; "": none
+	Standalone      bool          // no [fleet]: the files say how many nodes there are, and which one each is
+
+	ExtraSettings     string // further lines for the top of each file; {state} is the member's directory
+	ExtraPoolSettings string // further lines for the pool
 }
 
-// Fleet is real processes of the program, each with a state directory of its own, among servers, a registry and callers.
+// Fleet is a set of real processes of the program, each with a state directory of its own, among servers, a registry and callers.
 type Fleet struct {
 	FleetConfig
 	Dir      string
@@ -38,20 +49,16 @@
 	Members  []*Member
 
 	startedAt time.Time
-	mu        sync.Mutex // guards what follows, and the members' processes
-	faults    []Fault    // that were played, by the time since Began
+	mu        sync.Mutex // guards the members' processes and addresses
 }
 
-// Host is whose requests the fleet serves.
-const Host = "app.example.org"
-
-// NewFleet starts servers, registry and fabric; no member is started yet.
+// NewFleet starts servers, registry and fabric, and no member yet.
 func NewFleet(c FleetConfig) (_ *Fleet, err error) {
 	if c.ConfiguredNodes == 0 {
 		c.ConfiguredNodes = c.MemberCount
 	}
 	if c.Lease == 0 {
-		c.Lease = 1200 * time.Millisecond
+		c.Lease = defaultLease
 	}
 	f := &Fleet{FleetConfig: c, Recorder: fake.NewRecorder(Classes...), startedAt: time.Now()}
 	defer func() {
@@ -73,32 +80,46 @@
 	if f.Registry, err = fake.NewRegistry(Host, f.Recorder); err != nil {
 		return nil, err
 	}
+	if err := f.startServers(); err != nil {
+		return nil, err
+	}
+	if err := f.addMembers(); err != nil {
+		return nil, err
+	}
+	return f, nil
+}
+
+func (f *Fleet) startServers() error {
 	keys := fake.NewKeyStore()
-	for i := range c.ServerCount {
-		s := InCell(DefaultServer, i%2)
-		s.ID = fmt.Sprintf("s-%02d", i)
-		server, err := fake.NewServer(s, f.Recorder, keys)
+	for i := range f.ServerCount {
+		config := InCell(DefaultServer, i%2)
+		config.ID = fmt.Sprintf("s-%02d", i)
+		server, err := fake.NewServer(config, f.Recorder, keys)
 		if err != nil {
-			return nil, err
+			return err
 		}
 		f.Servers = append(f.Servers, server)
-		f.Registry.Set(server, "SERVING")
+		f.Registry.Set(server, fake.ListServing)
 	}
-	for i := range c.MemberCount + c.SpareMembers {
+	return nil
+}
+
+func (f *Fleet) addMembers() error {
+	for i := range f.MemberCount + f.SpareMembers {
 		m := &Member{Index: i, Name: fmt.Sprintf("n%d", i), fleet: f, callerAddr: "127.0.0.1:0"}
-		if err := os.MkdirAll(m.StateDir(), 0o700); err != nil {
-			return nil, err
+		if err := os.MkdirAll(m.StateDir(), stateDirMode); err != nil {
+			return err
 		}
 		f.Members = append(f.Members, m)
 	}
-	return f, nil
+	return nil
 }
 
-// Close ends all of it.
+// Close kills all processes, closes all fakes and removes the fleet's directory.
 func (f *Fleet) Close() {
-	var all sync.WaitGroup
+	var closing sync.WaitGroup
 	for _, m := range f.Members {
-		all.Go(func() {
+		closing.Go(func() {
 			if m.Process != nil && m.IsRunning() {
 				m.Process.Kill()
 			}
@@ -107,7 +128,7 @@
 			}
 		})
 	}
-	all.Wait()
+	closing.Wait()
 	if f.Fabric != nil {
 		f.Fabric.Close()
 	}
@@ -117,73 +138,75 @@
 	for _, s := range f.Servers {
 		s.Close()
 	}
-	os.RemoveAll(f.Dir)
+	_ = os.RemoveAll(f.Dir) // a temporary directory
 }
 
-// StartAll starts the first n members at once.
+// StartAll starts the first n members at once and waits until all of them follow the list.
 func (f *Fleet) StartAll(n int) error {
 	errs := make([]error, n)
-	var all sync.WaitGroup
+	var starting sync.WaitGroup
 	for i, m := range f.Members[:n] {
-		all.Go(func() { errs[i] = m.Start() })
+		starting.Go(func() { errs[i] = m.Start() })
 	}
-	all.Wait()
+	starting.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	if !Await(10*time.Second, func() bool { return f.Registry.Watchers() >= n }) {
-		return errors.New("the list is not followed by all")
+	if !Await(watchesTimeout, func() bool { return f.Registry.Watchers() >= n }) {
+		return errors.New("not all members follow the list")
 	}
 	return nil
 }
 
-// Agree waits until the members of these numbers count exactly each other, each with a part of its own, and says how
-// long that took; parts false: whether they have parts is left open.
-func (f *Fleet) AwaitAgreement(limit time.Duration, parts bool, members ...int) (took time.Duration, err error) {
-	want := f.sortedNames(members)
-	began := time.Now()
-	last := ""
+// AwaitAgreement waits until the members of these numbers count exactly each other, each with a share of its own, and returns how long
+// that took. Without withShares it does not matter whether they have shares.
+func (f *Fleet) AwaitAgreement(
+	ctx context.Context, limit time.Duration, withShares bool, members ...int,
+) (took time.Duration, err error) {
+	names := f.sortedNames(members)
+	start := time.Now()
+	lastDisagreement := ""
 	if Await(limit, func() bool {
 		for _, i := range members {
-			r, err := f.Members[i].Role()
+			role, err := f.Members[i].Role(ctx)
 			if err != nil {
-				last = fmt.Sprintf("%s: %v", f.Members[i].Name, err)
+				lastDisagreement = fmt.Sprintf("%s: %v", f.Members[i].Name, err)
 				return false
 			}
-			if !slices.Equal(r.Order, want) || parts && (!r.Standing || r.Divisor != len(want)) {
-				last = fmt.Sprintf("%s holds %+v", f.Members[i].Name, r)
+			if !slices.Equal(role.Order, names) || withShares && (!role.Standing || role.Divisor != len(names)) {
+				lastDisagreement = fmt.Sprintf("%s reports %+v", f.Members[i].Name, role)
 				return false
 			}
 		}
 		return true
 	}) {
-		return time.Since(began), nil
+		return time.Since(start), nil
 	}
-	return 0, fmt.Errorf("%v do not agree within %v: %s", want, limit, last)
+	return 0, fmt.Errorf("%v do not agree within %v: %s", names, limit, lastDisagreement)
 }
 
-func (f *Fleet) sortedNames(members []int) (l []string) {
+func (f *Fleet) sortedNames(members []int) (names []string) {
 	for _, i := range members {
-		l = append(l, f.Members[i].Name)
+		names = append(names, f.Members[i].Name)
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(names)
+	return names
 }
 
-// Parts is the sum of the parts that these members hold to be theirs, and how many have one. Each is asked after the
-// other, so a sum over 1 may be one that never was at one moment, but not where nothing changes.
-func (f *Fleet) SumShares(members ...int) (sum float64, n int) {
+// SumShares returns the sum of the shares that these members report, and how many have one. They are asked one after the other, so
+// while shares change the sum may exceed 1 although it never did at one moment.
+func (f *Fleet) SumShares(ctx context.Context, members ...int) (sum float64, count int) {
 	for _, i := range members {
-		if r, err := f.Members[i].Role(); err == nil && r.Standing {
-			sum += 1 / float64(r.Divisor)
-			n++
+		if role, err := f.Members[i].Role(ctx); err == nil && role.Standing {
+			sum += 1 / float64(role.Divisor)
+			count++
 		}
 	}
-	return sum, n
+	return sum, count
 }
 
-// Load is how the requests that reached servers from one time of the records to another lie over them: the least and
-// the most of the mean.
+// LoadSpread returns how the requests that arrived between two times of the recorder are spread over the servers: the fewest and the
+// most that a server received, as multiples of the mean.
 func (f *Fleet) LoadSpread(from, to time.Duration) (least, most float64) {
 	count := map[string]int{}
 	total := 0
@@ -200,13 +223,3 @@
 	}
 	return least, most
 }
-
-// Traffic is requests of all classes at a rate together, for so long.
-func Traffic(rate float64, long time.Duration) []fake.Stream {
-	return []fake.Stream{
-		{Class: ReadClass, Rate: rate * 0.5, Duration: long},
-		{Class: AlertClass, Rate: rate * 0.25, Duration: long, BodyBytes: 200},
-		{Class: CampaignClass, Rate: rate * 0.125, Duration: long, BodyBytes: 500},
-		{Class: OrderClass, Rate: rate * 0.125, Duration: long, BodyBytes: 200},
-	}
-}
--- a/internal/testfleet/fleet_test.go
+++ b/internal/testfleet/fleet_test.go
@@ -57,7 +57,7 @@
 
 func (f *Fleet) awaitAgreement(t *testing.T, parts bool, members ...int) {
 	t.Helper()
-	if _, err := f.AwaitAgreement(timeout, parts, members...); err != nil {
+	if _, err := f.AwaitAgreement(t.Context(), timeout, parts, members...); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -83,7 +83,7 @@
 			if !m.IsRunning() {
 				continue
 			}
-			r, err := m.Role()
+			r, err := m.Role(t.Context())
 			if err != nil {
 				return false
 			}
@@ -142,7 +142,7 @@
 	f.Members[2].Pause()
 	f.awaitAgreement(t, true, 0, 1, 3, 4)
 	f.Members[2].Resume()
-	if r, err := f.Members[2].Role(); err != nil || r.Standing && r.Divisor != 5 {
+	if r, err := f.Members[2].Role(t.Context()); err != nil || r.Standing && r.Divisor != 5 {
 		t.Errorf("just after it was stopped it holds %+v, %v", r, err)
 	}
 	f.awaitAgreement(t, true, 0, 1, 2, 3, 4)
--- a/internal/testfleet/member.go
+++ b/internal/testfleet/member.go
@@ -19,43 +19,47 @@
 	"cranegrade/internal/fleet"
 )
 
-// Member is one of the processes.
+const (
+	joinAddresses    = 3 // members whose addresses are in the others' files
+	callTimeout      = time.Second
+	successorTimeout = 10 * time.Second // until a successor in an upgrade is ready
+	answerGrace      = 2 * time.Second  // for which callers wait after a deadline
+)
+
+// Lines that the program logs, by which its addresses are found.
+const (
+	loggedInspectionAddr = "telling what it holds on "
+	loggedOperatorAddr   = "operators call on "
+)
+
+// Member is one of a fleet's processes. Its exported fields may be set before Start.
 type Member struct {
 	Index   int
 	Name    string
-	Process *Process // nil: it was never started
+	Process *Process // nil until the first start
 	Callers *fake.Callers
 
-	Program  string         // another than the fleet's; "": that
-	Registry *fake.Registry // another than the fleet's; nil: that
+	Program  string         // another program than the fleet's; "": the same
+	Registry *fake.Registry // another registry than the fleet's; nil: the same
 
 	fleet          *Fleet
-	callerAddr     string // where callers come, the same after a restart
+	callerAddr     string // where callers connect; a restart does not change it
 	inspectionAddr string
-	paused         bool
 }
 
-// State is a member's own directory.
+// StateDir is the member's own directory.
 func (m *Member) StateDir() string { return filepath.Join(m.fleet.Dir, m.Name) }
 
-// file is the member's.
+// configText is the member's file.
 func (m *Member) configText() string {
 	f := m.fleet
 	var b strings.Builder
-	fmt.Fprintf(&b, "name = %q\nlisten = [%q]\nadmin = \"127.0.0.1:0\"\ndefault = \"app\"\nlimits = { cores = 1 }\nnodes = %d\n%s\n", m.Name, m.callerAddr, f.ConfiguredNodes, strings.ReplaceAll(f.ExtraSettings, "{state}", m.StateDir()))
+	fmt.Fprintf(&b, "name = %q\nlisten = [%q]\nadmin = \"127.0.0.1:0\"\ndefault = \"app\"\nlimits = { cores = 1 }\nnodes = %d\n%s\n",
+		m.Name, m.callerAddr, f.ConfiguredNodes, strings.ReplaceAll(f.ExtraSettings, "{state}", m.StateDir()))
 	if f.Standalone {
 		fmt.Fprintf(&b, "index = %d\n", m.Index%f.ConfiguredNodes)
 	} else {
-		var join []string
-		for i := range min(3, f.FleetConfig.MemberCount) {
-			join = append(join, fmt.Sprintf("%q", f.Fabric.PublicAddr(i)))
-		}
-		fmt.Fprintf(&b, "[fleet]\n")
-		if f.GossipKey != "" {
-			fmt.Fprintf(&b, "key = %q\n", f.GossipKey)
-		}
-		fmt.Fprintf(&b, "listen = %q\nadvertise = %q\njoin = [%s]\nlease = %q\nsettle = \"500ms\"\nprobe = \"200ms\"\n",
-			f.Fabric.ListenAddr(m.Index), f.Fabric.PublicAddr(m.Index), strings.Join(join, ", "), f.Lease)
+		b.WriteString(m.fleetSection())
 	}
 	registry := f.Registry
 	if m.Registry != nil {
@@ -65,11 +69,26 @@
 	return b.String()
 }
 
+// fleetSection is the part of the member's file that says how it joins the others.
+func (m *Member) fleetSection() string {
+	f := m.fleet
+	var join []string
+	for i := range min(joinAddresses, f.MemberCount) {
+		join = append(join, fmt.Sprintf("%q", f.Fabric.PublicAddr(i)))
+	}
+	text := "[fleet]\n"
+	if f.GossipKey != "" {
+		text += fmt.Sprintf("key = %q\n", f.GossipKey)
+	}
+	return text + fmt.Sprintf("listen = %q\nadvertise = %q\njoin = [%s]\nlease = %q\nsettle = \"500ms\"\nprobe = \"200ms\"\n",
+		f.Fabric.ListenAddr(m.Index), f.Fabric.PublicAddr(m.Index), strings.Join(join, ", "), f.Lease)
+}
+
 // Start starts a member, or starts it again, and returns once it listens.
 func (m *Member) Start() error {
 	f := m.fleet
 	config := filepath.Join(m.StateDir(), "node.toml")
-	if err := os.WriteFile(config, []byte(m.configText()), 0o600); err != nil {
+	if err := os.WriteFile(config, []byte(m.configText()), stateFileMode); err != nil {
 		return err
 	}
 	program := f.Program
@@ -78,17 +97,17 @@
 	}
 	p, err := Start(program, config)
 	if err != nil {
-		return fmt.Errorf("%s: %w", m.Name, err)
+		return fmt.Errorf("starting %s: %w", m.Name, err)
 	}
-	admin, err := p.AwaitLogged("telling what it holds on ")
+	inspectionAddr, err := p.AwaitLogged(loggedInspectionAddr)
 	if err != nil {
 		p.Kill()
 		return err
 	}
 	f.mu.Lock()
-	m.Process, m.callerAddr, m.inspectionAddr, m.paused = p, p.Addr, admin, false
+	m.Process, m.callerAddr, m.inspectionAddr = p, p.Addr, inspectionAddr
 	if m.Callers == nil {
-		m.Callers = fake.NewCallers(f.Recorder, p.Addr, f.Seed<<8|uint64(m.Index+1), 2*time.Second+f.Slack)
+		m.Callers = fake.NewCallers(f.Recorder, p.Addr, f.Seed<<8|uint64(m.Index+1), answerGrace+f.Slack)
 		m.Callers.SetProcess(m.Name)
 	}
 	f.mu.Unlock()
@@ -96,40 +115,40 @@
 	return nil
 }
 
-// Upgrade starts a successor beside the running process, and ends that once the new one has taken over.
-func (m *Member) Upgrade() error {
+// Upgrade starts a successor beside the running process, and ends that once the successor is ready.
+func (m *Member) Upgrade(ctx context.Context) error {
 	old := m.Process
 	if err := m.Start(); err != nil {
 		return err
 	}
-	addr, err := m.Process.AwaitLogged("operators call on ")
+	addr, err := m.Process.AwaitLogged(loggedOperatorAddr)
 	if err != nil {
 		return err
 	}
-	if !Await(10*time.Second, func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	if !Await(successorTimeout, func() bool {
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		yes, _, err := admin.Send(ctx, addr, admin.Command{Verb: admin.Check})
-		return yes && err == nil
+		ready, _, err := admin.Send(callCtx, addr, admin.Command{Verb: admin.Check})
+		return ready && err == nil
 	}) {
-		return errors.New("the successor does not say yes")
+		return errors.New("the successor does not become ready")
 	}
 	old.Stop()
 	return nil
 }
 
-// Ask runs a command of the program about this member, with a file that names where it can be asked.
-func (m *Member) RunCommand(args ...string) (string, error) {
+// RunCommand runs a command of the program about this member, with a file that names the member's address for it.
+func (m *Member) RunCommand(args ...string) (output string, err error) {
 	path := filepath.Join(m.StateDir(), "ask.toml")
 	text := strings.Replace(m.configText(), `admin = "127.0.0.1:0"`, fmt.Sprintf("admin = %q", m.inspectionAddr), 1)
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(text), stateFileMode); err != nil {
 		return "", err
 	}
 	out, err := exec.Command(m.fleet.Program, append(args, "-config", path)...).CombinedOutput()
 	return string(out), err
 }
 
-// Lives says that its process runs or is stopped.
+// IsRunning reports whether the member's process exists, also if it is paused.
 func (m *Member) IsRunning() bool {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
@@ -144,49 +163,49 @@
 	}
 }
 
-// Kill ends it by SIGKILL.
+// Kill ends the member by SIGKILL.
 func (m *Member) Kill() {
 	m.fleet.Recorder.ProcessDown(m.Name, true)
 	m.Process.Kill()
 }
 
-// Leave ends it by SIGTERM.
+// Terminate ends the member by SIGTERM and waits for its end.
 func (m *Member) Terminate() {
 	m.Process.Stop()
-	m.fleet.Recorder.ProcessDown(m.Name, true) // what comes to it from now on finds nobody
+	m.fleet.Recorder.ProcessDown(m.Name, true) // requests that come to it from now on are refused
 }
 
-// Pause stops it by SIGSTOP, and Resume has it go on.
+// Pause stops the member's process by SIGSTOP until Resume.
 func (m *Member) Pause() {
 	m.fleet.Recorder.ProcessDown(m.Name, false)
 	m.Process.Pause()
 }
 
-// Resume has it go on.
+// Resume continues a paused member.
 func (m *Member) Resume() {
 	m.Process.Resume()
 	m.fleet.Recorder.ProcessUp(m.Name)
 }
 
-// Status is what a member holds of the fleet.
-func (m *Member) Status() (s fleet.Status, err error) {
+// Status returns what the member reports of the fleet.
+func (m *Member) Status(ctx context.Context) (s fleet.Status, err error) {
 	m.fleet.mu.Lock()
-	admin := m.inspectionAddr
+	addr := m.inspectionAddr
 	m.fleet.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/fleet", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/fleet", nil)
 	if err != nil {
 		return s, err
 	}
-	resp, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return s, err
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
-	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("%s: %s", resp.Status, text)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = fmt.Errorf("status of %s: %s: %s", m.Name, response.Status, text)
 	}
 	if err != nil {
 		return s, err
@@ -194,9 +213,9 @@
 	return s, json.Unmarshal(text, &s)
 }
 
-// Role is what a member holds its role in the pool to be.
-func (m *Member) Role() (fleet.PoolStatus, error) {
-	s, err := m.Status()
+// Role returns what the member reports of its role in the pool.
+func (m *Member) Role(ctx context.Context) (fleet.PoolStatus, error) {
+	s, err := m.Status(ctx)
 	if err == nil && len(s.Pools) != 1 {
 		err = fmt.Errorf("%s has %d pools", m.Name, len(s.Pools))
 	}
@@ -206,13 +225,13 @@
 	return s.Pools[0], nil
 }
 
-// Stream is a stream of requests that come to one member.
-func (m *Member) RunStreams(ctx context.Context, all *sync.WaitGroup, streams ...fake.Stream) {
+// RunStreams sends the requests of streams to this member, on a goroutine that running counts.
+func (m *Member) RunStreams(ctx context.Context, running *sync.WaitGroup, streams ...fake.Stream) {
 	for i := range streams {
 		streams[i].Host = Host
 		if streams[i].Name == "" {
 			streams[i].Name = m.Name
 		}
 	}
-	all.Go(func() { m.Callers.Run(ctx, streams...) })
+	running.Go(func() { m.Callers.Run(ctx, streams...) })
 }
--- a/internal/testfleet/process.go
+++ b/internal/testfleet/process.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/exec"
 	"strconv"
@@ -13,9 +14,20 @@
 	"time"
 )
 
-// Await looks again and again, for as long as limit.
-func Await(limit time.Duration, f func() bool) bool {
-	for end := time.Now().Add(limit); !f(); time.Sleep(5 * time.Millisecond) {
+const (
+	awaitInterval   = 5 * time.Millisecond
+	listenTimeout   = 20 * time.Second // until the program listens
+	logTimeout      = 10 * time.Second // until the program has logged a line
+	stopTimeout     = 10 * time.Second // from SIGTERM to SIGKILL
+	pauseTimeout    = time.Second      // until a process is stopped
+	maxLogLines     = 400              // that are kept of what a process logs
+	clockTick       = 10 * time.Millisecond
+	loggedListening = " listening on " // followed by the address, in the program's log
+)
+
+// Await calls condition until it holds, for as long as limit, and reports whether it did.
+func Await(limit time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(limit); !condition(); time.Sleep(awaitInterval) {
 		if time.Now().After(end) {
 			return false
 		}
@@ -23,27 +35,24 @@
 	return true
 }
 
-// Process is the real program, running.
+// Process is a running process of the real program. All methods may be called from any goroutine.
 type Process struct {
 	Cmd    *exec.Cmd
-	Config string        // its file
-	Addr   string        // where it listens, the first if there are several
-	Exited chan struct{} // closed once it has
+	Config string        // path of its file
+	Addr   string        // that it listens on; the first one if there are several
+	Exited chan struct{} // closed once the process has ended
 
-	mu       sync.Mutex // guards lines and told
-	lines    []string
-	stopping bool // to stop
+	mu       sync.Mutex // guards the fields below
+	lines    []string   // the latest of the log
+	stopping bool       // it was told to end
 }
 
-// keptLines of what it says are kept.
-const maxLogLines = 400
-
 // Start starts the program with a file and waits until it listens.
 func Start(path, config string) (*Process, error) {
 	return StartCommand(exec.Command(path, "-config", config), config)
 }
 
-// StartCommand is Start for any way to start it.
+// StartCommand is Start for a command of the caller's own.
 func StartCommand(cmd *exec.Cmd, config string) (*Process, error) {
 	p := &Process{Cmd: cmd, Config: config, Exited: make(chan struct{})}
 	stderr, err := p.Cmd.StderrPipe()
@@ -54,55 +63,62 @@
 		return nil, fmt.Errorf("starting the program: %w", err)
 	}
 	listening := make(chan string, 1)
-	go func() {
-		lines := bufio.NewScanner(stderr)
-		for lines.Scan() {
-			p.mu.Lock()
-			if p.lines = append(p.lines, lines.Text()); len(p.lines) > maxLogLines {
-				p.lines = p.lines[1:]
-			}
-			p.mu.Unlock()
-			if _, addr, is := strings.Cut(lines.Text(), " listening on "); is {
-				select {
-				case listening <- addr:
-				default:
-				}
-			}
-		}
-		p.Cmd.Wait()
-		close(p.Exited)
-	}()
+	go p.readLog(stderr, listening)
 	select {
 	case p.Addr = <-listening:
 		return p, nil
 	case <-p.Exited:
 		return nil, errors.New("the program ended at once:\n" + p.Tail())
-	case <-time.After(20 * time.Second):
+	case <-time.After(listenTimeout):
 		p.Stop()
 		return nil, errors.New("the program does not listen:\n" + p.Tail())
 	}
 }
 
-// Tail is the last that it said.
+// readLog keeps the process's log, sends the first address that it listens on, and waits for the end of the process.
+func (p *Process) readLog(stderr io.Reader, listening chan<- string) {
+	lines := bufio.NewScanner(stderr)
+	for lines.Scan() {
+		p.addLine(lines.Text())
+		if _, addr, found := strings.Cut(lines.Text(), loggedListening); found {
+			select {
+			case listening <- addr:
+			default:
+			}
+		}
+	}
+	_ = p.Cmd.Wait() // the exit code is in Cmd.ProcessState
+	close(p.Exited)
+}
+
+func (p *Process) addLine(line string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.lines = append(p.lines, line); len(p.lines) > maxLogLines {
+		p.lines = p.lines[1:]
+	}
+}
+
+// Tail returns the latest lines of the process's log.
 func (p *Process) Tail() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.lines, "\n")
 }
 
-// Said waits for a line that holds these words, and gives the rest of it.
-func (p *Process) AwaitLogged(words string) (rest string, err error) {
-	if Await(10*time.Second, func() bool {
-		_, after, is := strings.Cut(p.Tail(), words)
+// AwaitLogged waits for a line of the log that contains text, and returns what follows it on that line.
+func (p *Process) AwaitLogged(text string) (rest string, err error) {
+	if Await(logTimeout, func() bool {
+		_, after, found := strings.Cut(p.Tail(), text)
 		rest, _, _ = strings.Cut(after, "\n")
-		return is
+		return found
 	}) {
 		return rest, nil
 	}
-	return "", fmt.Errorf("the program does not say %q", words)
+	return "", fmt.Errorf("the program does not log %q", text)
 }
 
-// Crashed says that it ended without being told to.
+// Crashed reports whether the process ended without being told to.
 func (p *Process) Crashed() bool {
 	select {
 	case <-p.Exited:
@@ -120,67 +136,86 @@
 	p.stopping = true
 }
 
-// Stop ends it by SIGTERM, and waits for it.
+// Stop ends the process by SIGTERM and waits for its end; after a time-out it kills it. A paused process is resumed.
 func (p *Process) Stop() {
 	p.markStopping()
-	p.Cmd.Process.Signal(syscall.SIGTERM)
-	p.Cmd.Process.Signal(syscall.SIGCONT)
+	p.signal(syscall.SIGTERM)
+	p.signal(syscall.SIGCONT)
 	select {
 	case <-p.Exited:
-	case <-time.After(10 * time.Second):
+	case <-time.After(stopTimeout):
 		p.Kill()
 	}
 }
 
-// Kill ends it at once, and waits until it is gone.
+// Kill ends the process by SIGKILL and waits for its end.
 func (p *Process) Kill() {
 	p.markStopping()
-	p.Cmd.Process.Kill()
+	p.signal(syscall.SIGKILL)
 	<-p.Exited
 }
 
-// Pause stops it as it is, and returns once it stands; Resume has it go on.
+// Pause stops the process by SIGSTOP until Resume, and returns once it stands still.
 func (p *Process) Pause() {
-	p.Cmd.Process.Signal(syscall.SIGSTOP)
-	Await(time.Second, func() bool {
-		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Cmd.Process.Pid))
-		_, state, _ := strings.Cut(string(text), ") ")
+	p.signal(syscall.SIGSTOP)
+	Await(pauseTimeout, func() bool {
+		state, err := p.stat()
 		return err != nil || strings.HasPrefix(state, "T")
 	})
 }
 
-// Resume has a stopped process go on.
-func (p *Process) Resume() { p.Cmd.Process.Signal(syscall.SIGCONT) }
+// Resume continues a paused process.
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
+
+// signal sends a signal. It fails only where the process has ended, of which Exited tells.
+func (p *Process) signal(s os.Signal) { _ = p.Cmd.Process.Signal(s) }
 
-// Resources are what it holds, from /proc; zeros where there is none.
-func (p *Process) Resources() (descriptors int, residentKB int) {
-	dir := fmt.Sprintf("/proc/%d", p.Cmd.Process.Pid)
-	if l, err := os.ReadDir(dir + "/fd"); err == nil {
-		descriptors = len(l)
+// Resources returns how many file descriptors the process has open, and its resident memory, from /proc; zeros where there is none.
+func (p *Process) Resources() (descriptors, residentKB int) {
+	if files, err := os.ReadDir(p.procPath("fd")); err == nil {
+		descriptors = len(files)
 	}
-	text, err := os.ReadFile(dir + "/status")
+	text, err := os.ReadFile(p.procPath("status"))
 	if err != nil {
 		return descriptors, 0
 	}
 	for _, line := range strings.Split(string(text), "\n") {
-		fmt.Sscanf(line, "VmRSS: %d kB", &residentKB)
+		if _, err := fmt.Sscanf(line, "VmRSS: %d kB", &residentKB); err == nil {
+			break
+		}
 	}
 	return descriptors, residentKB
 }
 
-// CPU is the processor time that the program has used, from /proc; 0 where there is none.
+// CPUTime returns the processor time that the process has used, from /proc; 0 where there is none.
 func (p *Process) CPUTime() time.Duration {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Cmd.Process.Pid))
+	stat, err := p.stat()
 	if err != nil {
 		return 0
 	}
-	// After the name in brackets: the 12th and 13th fields are user and system time in ticks of 10 ms.
-	_, rest, _ := strings.Cut(string(text), ") ")
-	fields := strings.Fields(rest)
+	// The 12th and 13th fields after the name are user and system time in clock ticks (proc_pid_stat(5)).
+	fields := strings.Fields(stat)
 	if len(fields) < 13 {
 		return 0
 	}
-	user, _ := strconv.Atoi(fields[11])
-	system, _ := strconv.Atoi(fields[12])
-	return time.Duration(user+system) * 10 * time.Millisecond
+	user, userErr := strconv.Atoi(fields[11])
+	system, systemErr := strconv.Atoi(fields[12])
+	if userErr != nil || systemErr != nil {
+		return 0
+	}
+	return time.Duration(user+system) * clockTick
+}
+
+// stat returns the fields of /proc/PID/stat that follow the program's name, the first of which is the process's state.
+func (p *Process) stat() (string, error) {
+	text, err := os.ReadFile(p.procPath("stat"))
+	if err != nil {
+		return "", err
+	}
+	_, fields, _ := strings.Cut(string(text), ") ")
+	return fields, nil
+}
+
+func (p *Process) procPath(file string) string {
+	return fmt.Sprintf("/proc/%d/%s", p.Cmd.Process.Pid, file)
 }
--- a/internal/testfleet/schedule.go
+++ b/internal/testfleet/schedule.go
@@ -3,175 +3,254 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
 	"slices"
 	"time"
+
+	"cranegrade/internal/fake"
+)
+
+// FaultKind is the kind of a fault, as it is written in schedules.
+type FaultKind string
+
+// The kinds of faults.
+const (
+	KillMembers      FaultKind = "kill"   // SIGKILL, and a restart after Duration
+	PauseMembers     FaultKind = "stop"   // SIGSTOP, and SIGCONT after Duration
+	TerminateMembers FaultKind = "leave"  // SIGTERM, and a restart after Duration
+	PartitionMembers FaultKind = "part"   // cuts all links between Partitions
+	CutOneWay        FaultKind = "oneway" // cuts the links from Members[0] to all others
+	ImpairLinks      FaultKind = "links"  // sets all links to Link
+	RestartServer    FaultKind = "roll"   // drains a server, and restarts it in slow start after Duration
 )
 
-// Fault is one thing that is done to a fleet.
+// Fault is one fault that is injected into a fleet, and undone after its duration. The JSON form is that of files of schedules; its
+// durations are nanoseconds.
 type Fault struct {
 	At         time.Duration `json:"at"` // since the beginning of the schedule
-	Kind       string        `json:"what"`
-	Members    []int         `json:"members,omitempty"` // whom it is done to
-	Server     int           `json:"server,omitempty"`
-	Partitions [][]int       `json:"parts,omitempty"`
+	Kind       FaultKind     `json:"what"`
+	Members    []int         `json:"members,omitempty"` // their numbers
+	Server     int           `json:"server,omitempty"`  // its number
+	Partitions [][]int       `json:"parts,omitempty"`   // the numbers of each partition's members
 	Link       *Link         `json:"link,omitempty"`
-	Duration   time.Duration `json:"for,omitempty"` // until it is undone
+	Duration   time.Duration `json:"for,omitempty"`
 }
 
-// What may be done.
-const (
-	KillMembers      = "kill"   // SIGKILL, and a start again after For
-	PauseMembers     = "stop"   // SIGSTOP, and SIGCONT after For
-	TerminateMembers = "leave"  // SIGTERM, and a start again after For
-	PartitionMembers = "part"   // every way between the parts
-	CutOneWay        = "oneway" // from Members[0] to all others
-	ImpairLinks      = "links"  // Link on every way
-	RestartServer    = "roll"   // a server is restarted, cold
-)
-
-// Schedule is faults in the order of time.
+// Schedule is a list of faults in the order of time.
 type Schedule []Fault
 
-// String is the schedule as it can be written down and played again.
+// String returns the schedule as ReadSchedule reads it.
 func (s Schedule) String() string {
-	b, _ := json.Marshal(s)
-	return string(b)
+	text, err := json.Marshal(s)
+	if err != nil {
+		return err.Error() // a schedule holds nothing that cannot be marshalled
+	}
+	return string(text)
 }
 
-// Draw draws a schedule for members of a fleet from a seed: faults of all kinds, one after the other or together, the
-// last of them undone before the end. At least a majority of the members is let live.
+// DrawSchedule draws a schedule from a seed, for a fleet of a size and a run of a length. It has faults of all kinds, one after the other
+// or at once, the last of them undone before the end. A majority of the members is always left running.
 func DrawSchedule(seed uint64, members, servers int, length time.Duration) (s Schedule) {
-	rng := rand.New(rand.NewPCG(seed, 0xfa17))
-	up := func(to time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(to))) }
-	some := func(most int) []int { return rng.Perm(members)[:1+rng.IntN(max(1, most))] }
-	minority := (members - 1) / 2
-	busy := 0 * time.Second // until when a member is dead, so that no two such faults take the majority
-	for at := length / 20; at < length*7/10; at += length/20 + up(length/8) {
-		left := length*17/20 - at
-		f := Fault{At: at, Duration: min(left, length/20+up(length/4))}
-		switch k := rng.IntN(8); {
-		case k < 3 && at >= busy && minority > 0:
-			f.Kind, f.Members = []string{KillMembers, PauseMembers, TerminateMembers}[k], some(minority)
-			busy = at + f.Duration + length/20
-		case k == 3:
-			cut := 1 + rng.IntN(max(1, members-1))
-			p := rng.Perm(members)
-			f.Kind, f.Partitions = PartitionMembers, [][]int{p[:cut], p[cut:]}
-		case k == 4:
-			f.Kind, f.Members = CutOneWay, some(1)
-		case k == 5:
-			f.Kind, f.Link = ImpairLinks, &Link{Loss: 0.3 * rng.Float64(), Duplicate: 0.2 * rng.Float64(), Delay: up(200 * time.Millisecond), Jitter: 1 + up(200*time.Millisecond)}
-		default:
-			f.Kind, f.Server, f.Duration = RestartServer, rng.IntN(servers), 300*time.Millisecond
-		}
-		s = append(s, f)
+	d := &scheduleDrawer{rng: rand.New(rand.NewPCG(seed, 0xfa17)), members: members, servers: servers, length: length}
+	for at := length / 20; at < length*7/10; at += length/20 + d.upTo(length/8) {
+		s = append(s, d.drawFault(at))
 	}
 	return s
 }
 
-// Play does what a schedule says and returns once the last fault is undone, or ctx ends. tell hears of each.
-func (f *Fleet) PlaySchedule(ctx context.Context, s Schedule, tell func(string)) error {
-	type step struct {
-		at time.Duration
-		do func() error
-		as string
-	}
-	var steps []step
-	for _, x := range s {
-		do, undo := f.steps(x)
-		steps = append(steps, step{x.At, do, x.Kind})
-		if undo != nil {
-			steps = append(steps, step{x.At + x.Duration, undo, "end of " + x.Kind})
+// scheduleDrawer draws the faults of a schedule. The order of its draws decides what a seed gives.
+type scheduleDrawer struct {
+	rng              *rand.Rand
+	members, servers int
+	length           time.Duration
+	membersDownUntil time.Duration // so that no two faults take down a majority together
+}
+
+// upTo draws a duration below a limit.
+func (d *scheduleDrawer) upTo(limit time.Duration) time.Duration {
+	return time.Duration(d.rng.Int64N(int64(limit)))
+}
+
+// someMembers draws between 1 and limit members.
+func (d *scheduleDrawer) someMembers(limit int) []int {
+	return d.rng.Perm(d.members)[:1+d.rng.IntN(max(1, limit))]
+}
+
+func (d *scheduleDrawer) drawFault(at time.Duration) Fault {
+	minority := (d.members - 1) / 2
+	timeLeft := d.length*17/20 - at
+	f := Fault{At: at, Duration: min(timeLeft, d.length/20+d.upTo(d.length/4))}
+	switch draw := d.rng.IntN(8); {
+	case draw < 3 && at >= d.membersDownUntil && minority > 0:
+		f.Kind = []FaultKind{KillMembers, PauseMembers, TerminateMembers}[draw]
+		f.Members = d.someMembers(minority)
+		d.membersDownUntil = at + f.Duration + d.length/20
+	case draw == 3:
+		size := 1 + d.rng.IntN(max(1, d.members-1))
+		order := d.rng.Perm(d.members)
+		f.Kind, f.Partitions = PartitionMembers, [][]int{order[:size], order[size:]}
+	case draw == 4:
+		f.Kind, f.Members = CutOneWay, d.someMembers(1)
+	case draw == 5:
+		f.Kind, f.Link = ImpairLinks, &Link{
+			Loss: 0.3 * d.rng.Float64(), Duplicate: 0.2 * d.rng.Float64(),
+			Delay: d.upTo(200 * time.Millisecond), Jitter: 1 + d.upTo(200*time.Millisecond),
 		}
+	default:
+		f.Kind, f.Server, f.Duration = RestartServer, d.rng.IntN(d.servers), 300*time.Millisecond
 	}
-	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
-	began := time.Now()
-	for _, x := range steps {
+	return f
+}
+
+// scheduleStep is the beginning or the end of a fault.
+type scheduleStep struct {
+	at   time.Duration
+	do   func() error
+	name string
+}
+
+// PlaySchedule injects the faults of a schedule and returns once the last one is undone, an injection fails, or ctx ends. report is called
+// with a line for each step.
+func (f *Fleet) PlaySchedule(ctx context.Context, s Schedule, report func(string)) error {
+	start := time.Now()
+	for _, step := range f.steps(s) {
 		select {
-		case <-time.After(x.at - time.Since(began)):
+		case <-time.After(step.at - time.Since(start)):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		tell(fmt.Sprintf("%6.2fs %s", time.Since(began).Seconds(), x.as))
-		if err := x.do(); err != nil {
-			return fmt.Errorf("%s: %w", x.as, err)
+		report(fmt.Sprintf("%6.2fs %s", time.Since(start).Seconds(), step.name))
+		if err := step.do(); err != nil {
+			return fmt.Errorf("injecting the fault %s: %w", step.name, err)
 		}
 	}
 	return nil
 }
 
-// fault is how to do something, and how to undo it.
-func (f *Fleet) steps(x Fault) (do, undo func() error) {
-	each := func(g func(m *Member) error) func() error {
-		return func() error {
-			for _, i := range x.Members {
-				if err := g(f.Members[i]); err != nil {
-					return err
-				}
-			}
-			return nil
+// steps are the beginnings and ends of a schedule's faults in the order of time.
+func (f *Fleet) steps(s Schedule) (steps []scheduleStep) {
+	for _, fault := range s {
+		inject, undo := f.actions(fault)
+		steps = append(steps, scheduleStep{fault.At, inject, string(fault.Kind)})
+		if undo != nil {
+			steps = append(steps, scheduleStep{fault.At + fault.Duration, undo, "end of " + string(fault.Kind)})
 		}
 	}
-	quiet := func(g func(m *Member)) func() error {
-		return each(func(m *Member) error { g(m); return nil })
+	slices.SortStableFunc(steps, func(a, b scheduleStep) int { return int(a.at - b.at) })
+	return steps
+}
+
+// actions returns how a fault is injected, and how it is undone; a nil undo means that it cannot be.
+func (f *Fleet) actions(fault Fault) (inject, undo func() error) {
+	restart := f.forMembers(fault.Members, (*Member).Start)
+	heal := func() error {
+		f.Fabric.Heal()
+		return nil
 	}
-	again := each(func(m *Member) error { return m.Start() })
-	heal := func() error { f.Fabric.Heal(); return nil }
-	switch x.Kind {
+	switch fault.Kind {
 	case KillMembers:
-		return quiet((*Member).Kill), again
+		return f.forMembers(fault.Members, withoutError((*Member).Kill)), restart
 	case PauseMembers:
-		return quiet((*Member).Pause), quiet((*Member).Resume)
+		return f.forMembers(fault.Members, withoutError((*Member).Pause)), f.forMembers(fault.Members, withoutError((*Member).Resume))
 	case TerminateMembers:
-		return quiet((*Member).Terminate), again
+		return f.forMembers(fault.Members, withoutError((*Member).Terminate)), restart
 	case PartitionMembers:
-		return func() error { f.Fabric.Partition(x.Partitions...); return nil }, heal
+		return func() error {
+			f.Fabric.Partition(fault.Partitions...)
+			return nil
+		}, heal
 	case CutOneWay:
 		return func() error {
-			for i := range f.Members {
-				if i != x.Members[0] {
-					f.Fabric.SetLink(x.Members[0], i, Link{Cut: true})
-				}
-			}
+			f.cutOneWay(fault.Members[0])
 			return nil
 		}, heal
 	case ImpairLinks:
-		return func() error { f.Fabric.SetAllLinks(*x.Link); return nil }, heal
+		return func() error {
+			f.Fabric.SetAllLinks(*fault.Link)
+			return nil
+		}, heal
 	case RestartServer:
-		s := f.Servers[x.Server]
-		return func() error { f.Registry.Set(s, "DRAINING"); return nil }, func() error {
-			s.Crash()
-			if err := s.Restart(); err != nil {
+		return f.serverRestart(f.Servers[fault.Server])
+	}
+	return func() error { return fmt.Errorf("there is no fault %q", fault.Kind) }, nil
+}
+
+// forMembers returns a function that does something to each of these members, until it fails for one.
+func (f *Fleet) forMembers(members []int, do func(*Member) error) func() error {
+	return func() error {
+		for _, i := range members {
+			if err := do(f.Members[i]); err != nil {
 				return err
 			}
-			f.Registry.Set(s, "SERVING")
-			return nil
 		}
+		return nil
+	}
+}
+
+func withoutError(do func(*Member)) func(*Member) error {
+	return func(m *Member) error {
+		do(m)
+		return nil
+	}
+}
+
+func (f *Fleet) cutOneWay(from int) {
+	for to := range f.Members {
+		if to != from {
+			f.Fabric.SetLink(from, to, Link{Cut: true})
+		}
+	}
+}
+
+// serverRestart returns how a server is drained, and how it is restarted after that.
+func (f *Fleet) serverRestart(s *fake.Server) (drain, restart func() error) {
+	drain = func() error {
+		f.Registry.Set(s, fake.ListDraining)
+		return nil
+	}
+	restart = func() error {
+		s.Crash()
+		if err := s.Restart(); err != nil {
+			return err
+		}
+		f.Registry.Set(s, fake.ListServing)
+		return nil
 	}
-	return func() error { return fmt.Errorf("no fault %q", x.Kind) }, nil
+	return drain, restart
 }
 
-// ReadSchedule reads a schedule from a file, for a fleet of so many members and servers.
+// ReadSchedule reads a schedule from a JSON file, for a fleet of a size.
 func ReadSchedule(path string, members, servers int) (s Schedule, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("reading the schedule %s: %w", path, err)
 	}
-	for i, x := range s {
-		all := x.Members
-		for _, p := range x.Partitions {
-			all = append(slices.Clone(all), p...)
-		}
-		if x.Server < 0 || x.Server >= servers || slices.ContainsFunc(all, func(m int) bool { return m < 0 || m >= members }) ||
-			x.Kind == ImpairLinks && x.Link == nil || x.Kind == CutOneWay && len(x.Members) == 0 {
-			return nil, fmt.Errorf("%s: fault %d is of no member or server that there is", path, i)
+	for i, f := range s {
+		if err := f.validate(members, servers); err != nil {
+			return nil, fmt.Errorf("%s: fault %d: %w", path, i, err)
 		}
 	}
 	return s, nil
 }
+
+// validate reports what of a fault does not fit a fleet of a size.
+func (f Fault) validate(members, servers int) error {
+	named := slices.Concat(append([][]int{f.Members}, f.Partitions...)...)
+	switch {
+	case f.Server < 0 || f.Server >= servers:
+		return fmt.Errorf("there is no server %d", f.Server)
+	case slices.ContainsFunc(named, func(m int) bool { return m < 0 || m >= members }):
+		return fmt.Errorf("not all of the members %v exist", named)
+	case f.Kind == ImpairLinks && f.Link == nil:
+		return errors.New("no link is given")
+	case f.Kind == CutOneWay && len(f.Members) == 0:
+		return errors.New("no member is given")
+	}
+	return nil
+}
--- a/internal/testfleet/together_test.go
+++ b/internal/testfleet/together_test.go
@@ -23,7 +23,7 @@
 		pairs = map[[2]string]bool{}
 		copies := map[string]int{}
 		for _, i := range members {
-			r, err := f.Members[i].Role()
+			r, err := f.Members[i].Role(t.Context())
 			if err != nil || r.Moving {
 				last = r.Pool
 				return false
@@ -119,7 +119,7 @@
 	}
 	aside := func(server string) (n int) {
 		for _, i := range all {
-			r, err := f.Members[i].Role()
+			r, err := f.Members[i].Role(t.Context())
 			if err == nil && slices.ContainsFunc(r.Aside, func(a fleet.AsideStatus) bool { return a.Server == server }) {
 				n++
 			}
@@ -171,7 +171,7 @@
 		for watching.Err() == nil {
 			sum := 0.0
 			for _, i := range all {
-				if r, err := f.Members[i].Role(); err == nil && len(r.Quotas) == 1 {
+				if r, err := f.Members[i].Role(t.Context()); err == nil && len(r.Quotas) == 1 {
 					sum += r.Quotas[0].Part
 				}
 			}
@@ -179,7 +179,7 @@
 		}
 	})
 	part := func(i int) float64 {
-		r, err := f.Members[i].Role()
+		r, err := f.Members[i].Role(t.Context())
 		if err != nil || len(r.Quotas) != 1 {
 			return 0
 		}
@@ -314,7 +314,7 @@
 			t.Fatal(err)
 		}
 		f.Registry.Set(s, "SERVING")
-		if sum, _ := f.SumShares(all...); sum > 1+1e-9 {
+		if sum, _ := f.SumShares(t.Context(), all...); sum > 1+1e-9 {
 			t.Errorf("%v of the whole is taken", sum)
 		}
 	}
