--- a/internal/testfleet/build_test.go
+++ b/internal/testfleet/build_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestBuildMutant: each mutation still fits the package that it is put into, and an unknown one is refused.
+// Each mutation still fits the package that it is put into, and an unknown one is refused.
 func TestBuildMutant(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/internal/testfleet/relay_test.go
+++ b/internal/testfleet/relay_test.go
@@ -13,7 +13,7 @@
 
 const relayTimeout = 10 * time.Second
 
-// relayedPair is a relay to an echo at machine b, whose callers say who they are in their first line.
+// startRelay starts a relay to an echo server at machine b, whose callers name their machine by the first byte that they send.
 func startRelay(t *testing.T) (*Relay, string) {
 	t.Helper()
 	echo, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -33,25 +33,26 @@
 	}()
 	r := NewRelay()
 	t.Cleanup(r.Close)
-	at := "127.0.0.1:0"
-	assert.NilError(t, r.Listen("b", at, echo.Addr().String(), func(_ net.Addr, first *bufio.Reader) (string, error) {
-		p, err := first.Peek(1)
-		return string(p), err
-	}))
+	identify := func(_ net.Addr, first *bufio.Reader) (string, error) {
+		name, err := first.Peek(1)
+		return string(name), err
+	}
+	assert.NilError(t, r.Listen("b", "127.0.0.1:0", echo.Addr().String(), identify))
 	return r, r.listeners[0].Addr().String()
 }
 
-func dialRelay(t *testing.T, addr, word string) (net.Conn, *bufio.Reader) {
+// dialRelay connects through a relay and sends a line, whose first byte names the machine that connects.
+func dialRelay(t *testing.T, addr, line string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp4", addr)
 	assert.NilError(t, err)
 	t.Cleanup(func() { c.Close() })
 	assert.NilError(t, c.SetDeadline(time.Now().Add(relayTimeout)))
-	send(t, c, word)
+	send(t, c, line)
 	return c, bufio.NewReader(c)
 }
 
-// isRefused checks that a connection is reset, as it is opened or after its first word.
+// assertRefused checks that a connection is reset, when it is opened or after its first line.
 func assertRefused(t *testing.T, addr string) {
 	t.Helper()
 	c, err := net.Dial("tcp4", addr)
@@ -65,21 +66,21 @@
 	assert.ErrorContains(t, err, "reset")
 }
 
-func send(t *testing.T, c net.Conn, word string) {
+func send(t *testing.T, c net.Conn, line string) {
 	t.Helper()
-	_, err := io.WriteString(c, word+"\n")
+	_, err := io.WriteString(c, line+"\n")
 	assert.NilError(t, err)
 }
 
-func assertReceives(t *testing.T, r *bufio.Reader, word string) {
+func assertReceives(t *testing.T, r *bufio.Reader, line string) {
 	t.Helper()
 	got, err := r.ReadString('\n')
 	assert.NilError(t, err)
-	assert.Equal(t, got, word+"\n")
+	assert.Equal(t, got, line+"\n")
 }
 
-// What is sent and the end of it come through, whole and in order, and are counted by way.
-func TestRelayPasses(t *testing.T) {
+// What is sent, and its end, arrive completely and in order, and are counted by direction.
+func TestRelayForwards(t *testing.T) {
 	r, addr := startRelay(t)
 	c, in := dialRelay(t, addr, "a")
 	assertReceives(t, in, "a")
@@ -93,27 +94,28 @@
 	assert.Equal(t, r.BytesForwarded(Direction{"b", "a"}), int64(1<<20+3))
 }
 
-// A cut of one way holds what is sent on that way only, and only of that pair of machines; it comes once the way is whole.
-func TestRelayCutsOneWay(t *testing.T) {
-	for _, way := range []Direction{{"a", "b"}, {"b", "a"}} {
+// A cut of one direction holds back what is sent in that direction only, and only between that pair of machines. It arrives once the cut is
+// healed.
+func TestRelayCutsOneDirection(t *testing.T) {
+	for _, direction := range []Direction{{"a", "b"}, {"b", "a"}} {
 		r, addr := startRelay(t)
 		c, in := dialRelay(t, addr, "a")
 		assertReceives(t, in, "a")
-		r.Set(Link{Cut: true}, way)
+		r.Set(Link{Cut: true}, direction)
 		send(t, c, "held")
-		assert.Assert(t, Await(relayTimeout, func() bool { return r.BytesPending(way) == 5 }))
-		assert.Equal(t, r.BytesPending(way.Reverse()), int64(0))
+		assert.Assert(t, Await(relayTimeout, func() bool { return r.BytesPending(direction) == 5 }))
+		assert.Equal(t, r.BytesPending(direction.Reverse()), int64(0))
 		_, other := dialRelay(t, addr, "c")
 		assertReceives(t, other, "c")
-		assert.Equal(t, r.BytesForwarded(Direction{"b", "a"}), int64(2), "the answer has passed a cut")
+		assert.Equal(t, r.BytesForwarded(Direction{"b", "a"}), int64(2), "the echo has passed a cut")
 		r.Heal()
 		assertReceives(t, in, "held")
-		assert.Assert(t, Await(relayTimeout, func() bool { return r.BytesPending(way) == 0 }))
+		assert.Assert(t, Await(relayTimeout, func() bool { return r.BytesPending(direction) == 0 }))
 	}
 }
 
-// A connection that is opened during a cut is silent until the way is whole.
-func TestRelayOpensInCut(t *testing.T) {
+// A connection that is opened during a cut is silent until the cut is healed.
+func TestRelayAcceptsDuringCut(t *testing.T) {
 	r, addr := startRelay(t)
 	r.Set(Link{Cut: true}, Direction{"a", "b"})
 	c, in := dialRelay(t, addr, "a")
@@ -125,17 +127,17 @@
 	assertReceives(t, in, "a")
 }
 
-// A reset strikes what is open, a refusal also what comes after it; silence leaves both sides with a connection that carries nothing,
-// also after the ways were healed.
-func TestRelayEnds(t *testing.T) {
+// A reset ends the open connections, a refusal later ones, too. A black hole leaves both sides with a connection that carries nothing, also
+// after the links are healed.
+func TestRelayResetsBlackholesAndRefuses(t *testing.T) {
 	r, addr := startRelay(t)
-	c, in := dialRelay(t, addr, "a")
+	_, in := dialRelay(t, addr, "a")
 	assertReceives(t, in, "a")
 	r.Reset(Direction{"b", "a"})
 	_, err := in.ReadByte()
 	assert.ErrorContains(t, err, "reset")
 
-	c, in = dialRelay(t, addr, "a")
+	c, in := dialRelay(t, addr, "a")
 	assertReceives(t, in, "a")
 	r.Blackhole(Direction{"a", "b"})
 	send(t, c, "lost")
@@ -156,9 +158,9 @@
 	assertReceives(t, in, "a")
 }
 
-// A delay and a rate hold up what passes, by no less than they say; the rate is shared by a pair's connections. A schedule
-// sets them in its order.
-func TestRelayHoldsUp(t *testing.T) {
+// A delay and a rate delay what passes by no less than they say. The connections between two machines share the rate. A schedule sets links in
+// its order.
+func TestRelayDelaysAndLimits(t *testing.T) {
 	r, addr := startRelay(t)
 	c, in := dialRelay(t, addr, "a")
 	assertReceives(t, in, "a")
@@ -166,26 +168,26 @@
 		{Link: Link{Cut: true}, Directions: []Direction{{"a", "b"}}},
 		{At: 10 * time.Millisecond, Link: Link{Delay: 60 * time.Millisecond}, Directions: []Direction{{"a", "b"}, {"b", "a"}}},
 	}))
-	began := time.Now()
+	start := time.Now()
 	send(t, c, "late")
 	assertReceives(t, in, "late")
-	assert.Assert(t, time.Since(began) >= 120*time.Millisecond)
+	assert.Assert(t, time.Since(start) >= 120*time.Millisecond)
 
 	const bytes, rate = 64 << 10, 640 << 10
 	r.Set(Link{}, Direction{"b", "a"})
 	r.Set(Link{Rate: rate}, Direction{"a", "b"})
-	c2, in2 := dialRelay(t, addr, "a")
-	assertReceives(t, in2, "a")
-	word := strings.Repeat("x", bytes/2)
-	began = time.Now()
-	send(t, c, word)
-	send(t, c2, word)
-	assertReceives(t, in, word)
-	assertReceives(t, in2, word)
-	assert.Assert(t, time.Since(began) >= time.Second*bytes/rate)
+	secondConn, second := dialRelay(t, addr, "a")
+	assertReceives(t, second, "a")
+	line := strings.Repeat("x", bytes/2)
+	start = time.Now()
+	send(t, c, line)
+	send(t, secondConn, line)
+	assertReceives(t, in, line)
+	assertReceives(t, second, line)
+	assert.Assert(t, time.Since(start) >= time.Second*bytes/rate)
 }
 
-// A machine whose process does not listen resets what comes, and a closed relay ends all and plays no more.
+// Connections to a machine whose process does not listen are reset, and a closed relay resets all connections and stops its schedule.
 func TestRelayCloses(t *testing.T) {
 	r, addr := startRelay(t)
 	_, in := dialRelay(t, addr, "a")
@@ -193,7 +195,8 @@
 	nobody, err := net.Listen("tcp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, nobody.Close())
-	assert.NilError(t, r.Listen("c", "127.0.0.1:0", nobody.Addr().String(), func(net.Addr, *bufio.Reader) (string, error) { return "a", nil }))
+	identify := func(net.Addr, *bufio.Reader) (string, error) { return "a", nil }
+	assert.NilError(t, r.Listen("c", "127.0.0.1:0", nobody.Addr().String(), identify))
 	assertRefused(t, r.listeners[1].Addr().String())
 	r.Blackhole(Direction{"a", "b"})
 	r.Close()
