--- a/internal/drill/extproc.go
+++ b/internal/drill/extproc.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"cranegrade/internal/envoyconf"
-	"cranegrade/internal/rig"
-	"cranegrade/internal/standin"
-	"cranegrade/internal/standin/proxy"
+	"cranegrade/internal/fake"
+	"cranegrade/internal/fake/proxy"
+	"cranegrade/internal/testfleet"
 )
 
 // extText is the operator's file of a node that proxies ask.
@@ -45,12 +45,10 @@
 	var waits []time.Duration
 	for _, p := range r.proxies {
 		decisions += p.Decisions.Load()
-		immediate += p.Immediate.Load()
-		unanswered += p.Unanswered.Load()
-		sent, heeded = sent+p.Sent.Load(), heeded+p.Heeded.Load()
-		p.Waits.Lock()
-		waits = append(waits, p.Waits.L...)
-		p.Waits.Unlock()
+		immediate += p.ImmediateResponses.Load()
+		unanswered += p.MessageTimeouts.Load()
+		sent, heeded = sent+p.UpstreamRequests.Load(), heeded+p.DecisionsFollowed.Load()
+		waits = append(waits, p.DecisionTimes.All()...)
 	}
 	slices.Sort(waits)
 	r.addFigure("decisions", decisions, "questions answered with a server")
@@ -66,8 +64,8 @@
 }
 
 // plays runs proxies' traffic and the breach that was asked for.
-func (r *environment) plays(ctx context.Context, faults *sync.WaitGroup, l []*proxy.Proxy, streams ...standin.Stream) error {
-	send := func(ctx context.Context, streams ...standin.Stream) { proxy.Run(ctx, l, r.seed, streams...) }
+func (r *environment) plays(ctx context.Context, faults *sync.WaitGroup, l []*proxy.Proxy, streams ...fake.Stream) error {
+	send := func(ctx context.Context, streams ...fake.Stream) { proxy.Run(ctx, l, r.seed, streams...) }
 	return r.drive(ctx, faults, send, streams)
 }
 
@@ -83,13 +81,13 @@
 func (a *asked) text(listen string) string { return extText(listen, a.ext, a.g, a.pool) }
 
 // startAsked starts servers and the program.
-func (r *environment) startAsked(host string, mode envoyconf.Mode, servers ...standin.ServerConfig) (*asked, error) {
+func (r *environment) startAsked(host string, mode envoyconf.Mode, servers ...fake.ServerConfig) (*asked, error) {
 	a := &asked{base: proxy.Config{Mode: mode}}
 	switch mode {
 	case envoyconf.EveryTry:
-		a.ext, a.base.Retries = "retries = true\n", 2
+		a.ext, a.base.MaxRetries = "retries = true\n", 2
 	case envoyconf.Fallbacks:
-		a.pool, a.base.Retries = "fallbacks = 2", 2
+		a.pool, a.base.MaxRetries = "fallbacks = 2", 2
 	}
 	var err error
 	if a.g, err = r.group("ext", host, servers...); err != nil {
@@ -109,7 +107,7 @@
 
 func (r *environment) extproc(ctx context.Context, mode envoyconf.Mode) error {
 	const host = "ext.example.org"
-	cfgs := make([]standin.ServerConfig, 26)
+	cfgs := make([]fake.ServerConfig, 26)
 	for i := range cfgs {
 		cfgs[i] = inCell(usual, i%4)
 	}
@@ -144,19 +142,19 @@
 			for i := range r.size(5000) {
 				burst.Go(func() {
 					time.Sleep(time.Duration(i%200) * time.Millisecond)
-					l[i%len(l)].Do(ctx, standin.Stream{Name: "burst", Host: host, Class: allClasses[i%len(allClasses)]})
+					l[i%len(l)].Do(ctx, fake.Stream{Name: "burst", Host: host, Class: allClasses[i%len(allClasses)]})
 				})
 			}
 			burst.Wait()
 		})
 	}
-	if err := r.plays(ctx, &faults, l, standin.Stream{Host: host, Class: readClass, Rate: 150}, standin.Stream{Host: host, Class: sendClass, Rate: 80, Body: 100},
-		standin.Stream{Host: host, Class: cellClass, Rate: 40, Body: 100}, standin.Stream{Host: host, Class: orderClass, Rate: 40, Body: 100}); err != nil {
+	if err := r.plays(ctx, &faults, l, fake.Stream{Host: host, Class: readClass, Rate: 150}, fake.Stream{Host: host, Class: sendClass, Rate: 80, BodyBytes: 100},
+		fake.Stream{Host: host, Class: cellClass, Rate: 40, BodyBytes: 100}, fake.Stream{Host: host, Class: orderClass, Rate: 40, BodyBytes: 100}); err != nil {
 		return err
 	}
 	r.extFigures()
-	r.addFigure("after_drain_max_ms", quantile(afterDrains(r.records.View()), 1), "from the write to the last first byte at a drained server")
-	r.tables = append(r.tables, streamTable(r.records.View()))
+	r.addFigure("after_drain_max_ms", quantile(afterDrains(r.records.History()), 1), "from the write to the last first byte at a drained server")
+	r.tables = append(r.tables, streamTable(r.records.History()))
 	return nil
 }
 
@@ -179,8 +177,8 @@
 	var n int
 	var mu sync.Mutex
 	careless := a.base
-	careless.Greedy = mode == envoyconf.EveryTry
-	careless.Drop = func() bool {
+	careless.RetryEverything = mode == envoyconf.EveryTry
+	careless.DropStream = func() bool {
 		mu.Lock()
 		defer mu.Unlock()
 		n++
@@ -195,9 +193,9 @@
 	if r.violation == "" {
 		r.scheduleExtprocFaults(ctx, &faults, a, &kills)
 	}
-	streams := func(name string, rate float64) (l []standin.Stream) {
+	streams := func(name string, rate float64) (l []fake.Stream) {
 		for _, c := range allClasses {
-			l = append(l, standin.Stream{Name: name, Host: host, Class: c, Rate: rate, Body: 100, For: r.length})
+			l = append(l, fake.Stream{Name: name, Host: host, Class: c, Rate: rate, BodyBytes: 100, Duration: r.length})
 		}
 		return l
 	}
@@ -207,7 +205,7 @@
 	}
 	r.extFigures()
 	r.addFigure("kills", kills, "of the processor")
-	r.tables = append(r.tables, streamTable(r.records.View()), serverTable(r.records.View()))
+	r.tables = append(r.tables, streamTable(r.records.History()), serverTable(r.records.History()))
 	return nil
 }
 
@@ -215,10 +213,10 @@
 // address; kills counts how often.
 func (r *environment) scheduleExtprocFaults(ctx context.Context, faults *sync.WaitGroup, a *asked, kills *int) {
 	g := a.g
-	r.at(ctx, faults, 0.25, func() { g.servers[0].SetMode(standin.Failing) })
-	r.at(ctx, faults, 0.4, func() { g.servers[0].SetMode(standin.Serving); g.servers[1].SetMode(standin.Refusing) })
+	r.at(ctx, faults, 0.25, func() { g.servers[0].SetMode(fake.Failing) })
+	r.at(ctx, faults, 0.4, func() { g.servers[0].SetMode(fake.Serving); g.servers[1].SetMode(fake.Rejecting) })
 	r.at(ctx, faults, 0.55, func() {
-		g.servers[1].SetMode(standin.Serving)
+		g.servers[1].SetMode(fake.Serving)
 		g.servers[2].Crash()
 		time.Sleep(300 * time.Millisecond)
 		if g.servers[2].Restart() == nil {
@@ -238,9 +236,9 @@
 }
 
 // again starts the program once more.
-func (r *environment) again(file string) (*rig.Process, error) {
+func (r *environment) again(file string) (*testfleet.Process, error) {
 	if err := os.WriteFile(r.node.Config, []byte(file), 0o600); err != nil {
 		return nil, err
 	}
-	return rig.Start(r.program, r.node.Config)
+	return testfleet.Start(r.program, r.node.Config)
 }
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -18,7 +18,7 @@
 	"sync/atomic"
 	"time"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 const (
@@ -134,7 +134,7 @@
 	}
 	cmd := exec.Command(path)
 	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
-	p, err := rig.StartCommand(cmd, config)
+	p, err := testfleet.StartCommand(cmd, config)
 	if err != nil {
 		return round{}, err
 	}
@@ -155,9 +155,9 @@
 		})
 	}
 	time.Sleep(time.Until(warm))
-	before := p.CPU()
+	before := p.CPUTime()
 	all.Wait()
-	used := p.CPU() - before
+	used := p.CPUTime() - before
 	sorted := slices.Concat(times...)
 	slices.Sort(sorted)
 	if n := failed.Load(); n > 0 || len(sorted) == 0 {
--- a/internal/drill/operators.go
+++ b/internal/drill/operators.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"cranegrade/internal/admin"
-	"cranegrade/internal/rig"
-	"cranegrade/internal/standin"
+	"cranegrade/internal/fake"
+	"cranegrade/internal/testfleet"
 )
 
 // ban is a time for which a server is taken out by hand, by the records' clock.
@@ -34,14 +34,14 @@
 }
 
 // banned judges the bans: nothing may begin at a server from the grace after the yes until the call back.
-func (r *environment) banned(v standin.View) (late int) {
+func (r *environment) banned(v fake.History) (late int) {
 	r.bansMu.Lock()
 	defer r.bansMu.Unlock()
 	for _, b := range r.bans {
 		for _, a := range v.Arrivals {
-			if a.Server == b.server && a.First > b.from+250*time.Millisecond+r.slack && (b.to == 0 || a.First < b.to) {
+			if a.Server == b.server && a.FirstByteAt > b.from+250*time.Millisecond+r.slack && (b.to == 0 || a.FirstByteAt < b.to) {
 				late++
-				r.failf("%s got %s %v after it was taken out", b.server, a.ID, a.First-b.from)
+				r.failf("%s got %s %v after it was taken out", b.server, a.ID, a.FirstByteAt-b.from)
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 }
 
 // call makes an operator's call at a program, and wants a yes within the second.
-func (r *environment) call(p *rig.Process, verb admin.Verb, id string) {
+func (r *environment) call(p *testfleet.Process, verb admin.Verb, id string) {
 	addr, err := operatorsOf(p)
 	if err != nil {
 		r.failf("%v", err)
@@ -79,8 +79,8 @@
 }
 
 // operators is the address where a program takes operators' calls.
-func operatorsOf(p *rig.Process) (addr string, err error) {
-	if rig.Await(10*time.Second, func() bool {
+func operatorsOf(p *testfleet.Process) (addr string, err error) {
+	if testfleet.Await(10*time.Second, func() bool {
 		_, after, is := strings.Cut(p.Tail(), "operators call on ")
 		addr, _, _ = strings.Cut(after, "\n")
 		return is
@@ -96,7 +96,7 @@
 	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 		return err
 	}
-	next, err := rig.Start(r.program, path)
+	next, err := testfleet.Start(r.program, path)
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	if !rig.Await(6*time.Second, func() bool {
+	if !testfleet.Await(6*time.Second, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		yes, _, err := admin.Send(ctx, addr, admin.Command{Verb: admin.Check})
@@ -148,13 +148,13 @@
 	var faults sync.WaitGroup
 	r.scheduleOperators(ctx, &faults, g, file(r.node.Addr))
 	if err := r.play(ctx, &faults,
-		standin.Stream{Host: g.host, Class: readClass, Rate: 150},
-		standin.Stream{Host: g.host, Class: sendClass, Rate: 60, Body: 200},
-		standin.Stream{Host: g.host, Class: cellClass, Rate: 30, Body: 60_000},
-		standin.Stream{Host: g.host, Class: orderClass, Rate: 30, Body: 500}); err != nil {
+		fake.Stream{Host: g.host, Class: readClass, Rate: 150},
+		fake.Stream{Host: g.host, Class: sendClass, Rate: 60, BodyBytes: 200},
+		fake.Stream{Host: g.host, Class: cellClass, Rate: 30, BodyBytes: 60_000},
+		fake.Stream{Host: g.host, Class: orderClass, Rate: 30, BodyBytes: 500}); err != nil {
 		return err
 	}
-	r.judgeOperators(r.records.View())
+	r.judgeOperators(r.records.History())
 	return nil
 }
 
@@ -194,13 +194,13 @@
 }
 
 // judgeOperators judges the bans and reports the day's figures.
-func (r *environment) judgeOperators(v standin.View) {
+func (r *environment) judgeOperators(v fake.History) {
 	late := r.banned(v)
 	back := 0
 	r.bansMu.Lock()
 	for _, a := range v.Arrivals {
 		for _, b := range r.bans {
-			if a.Server == b.server && b.to > 0 && a.First >= b.to {
+			if a.Server == b.server && b.to > 0 && a.FirstByteAt >= b.to {
 				back++
 			}
 		}
@@ -217,7 +217,7 @@
 	}
 	crossed := 0
 	for _, x := range v.Exchanges {
-		if x.Crossed {
+		if x.Resent {
 			crossed++
 		}
 	}
--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"cranegrade/internal/rig"
-	"cranegrade/internal/standin"
+	"cranegrade/internal/testfleet"
+	"cranegrade/internal/fake"
 )
 
 // minViolationTime is how long a drill runs at the least when a breach is planted.
@@ -40,18 +40,18 @@
 	case <-ctx.Done():
 	}
 	if len(r.proxies) > 0 {
-		r.proxies[0].Lose(3)
+		r.proxies[0].DropResponses(3)
 	} else {
-		r.relay.Lose(3)
+		r.relay.DropResponses(3)
 	}
 	return nil
 }
 
 // awaitServed waits for a request of a class that was served, and says at which server and host.
-func (r *environment) awaitServed(classes ...standin.Class) (x standin.Exchange, a standin.Arrival, c standin.Class, err error) {
-	if !rig.Await(minViolationTime+r.slack, func() bool {
-		v := r.records.View()
-		ends := map[string]standin.Exchange{}
+func (r *environment) awaitServed(classes ...fake.Class) (x fake.Exchange, a fake.Arrival, c fake.Class, err error) {
+	if !testfleet.Await(minViolationTime+r.slack, func() bool {
+		v := r.records.History()
+		ends := map[string]fake.Exchange{}
 		for _, x := range v.Exchanges {
 			if x.Status == 200 {
 				ends[x.ID] = x
@@ -96,19 +96,19 @@
 	servers := r.groupOf(a.Host).servers
 	for _, s := range servers {
 		if s.ID() != a.Server {
-			return standin.SendStrayRequest(s, x, a.Host, c)
+			return fake.SendStrayRequest(s, x, a.Host, c)
 		}
 	}
-	return standin.SendStrayRequest(servers[0], x, a.Host, c)
+	return fake.SendStrayRequest(servers[0], x, a.Host, c)
 }
 
 // awaitListed waits until the node has been told of a server's state.
 func (r *environment) awaitListed(server string, gone bool, boot int) error {
-	if !rig.Await(minViolationTime+r.slack, func() bool {
-		l := r.records.View().Told
+	if !testfleet.Await(minViolationTime+r.slack, func() bool {
+		l := r.records.History().Updates
 		for i := len(l) - 1; i >= 0; i-- {
 			if l[i].Server == server {
-				return l[i].Gone == gone && l[i].Boot == boot
+				return l[i].Withdrawn == gone && l[i].Incarnation == boot
 			}
 		}
 		return false
@@ -127,7 +127,7 @@
 	g := r.groupOf(a.Host)
 	s := g.servers[len(g.servers)-1]
 	g.list(s, "DRAINING")
-	boot, _ := s.Boot()
+	boot, _ := s.Incarnation()
 	if err := r.awaitListed(s.ID(), true, boot); err != nil {
 		return err
 	}
@@ -136,10 +136,10 @@
 	case <-ctx.Done():
 	}
 	before := r.arrivalsAt(s, x.ID)
-	if err := standin.SendStrayRequest(s, x, a.Host, c); err != nil {
+	if err := fake.SendStrayRequest(s, x, a.Host, c); err != nil {
 		return err
 	}
-	arrived := rig.Await(minViolationTime+r.slack, func() bool { return r.arrivalsAt(s, x.ID) > before })
+	arrived := testfleet.Await(minViolationTime+r.slack, func() bool { return r.arrivalsAt(s, x.ID) > before })
 	g.list(s, "SERVING")
 	if !arrived {
 		return fmt.Errorf("the request sent to %s did not arrive", s.ID())
@@ -148,8 +148,8 @@
 }
 
 // arrivalsAt counts the arrivals of a request at a server.
-func (r *environment) arrivalsAt(s *standin.Server, requestID string) (n int) {
-	for _, arrival := range r.records.View().Arrivals {
+func (r *environment) arrivalsAt(s *fake.Server, requestID string) (n int) {
+	for _, arrival := range r.records.History().Arrivals {
 		if arrival.Server == s.ID() && arrival.ID == requestID {
 			n++
 		}
@@ -180,7 +180,7 @@
 			return err
 		}
 		overloadServer(s, x, a.Host, c)
-		if rig.Await(cold.For, func() bool { return r.hasFallen(s) }) {
+		if testfleet.Await(cold.OverloadWindow, func() bool { return r.hasFallen(s) }) {
 			return nil
 		}
 	}
@@ -188,35 +188,37 @@
 }
 
 // restartListed crashes a server, starts it again, and waits until the node has been told of the restart.
-func (r *environment) restartListed(g *serverGroup, s *standin.Server) error {
+func (r *environment) restartListed(g *serverGroup, s *fake.Server) error {
 	s.Crash()
 	if err := s.Restart(); err != nil {
 		return err
 	}
 	g.list(s, "SERVING")
-	boot, _ := s.Boot()
+	boot, _ := s.Incarnation()
 	return r.awaitListed(s.ID(), false, boot)
 }
 
 // overloadServer sends a server, over many connections at once, more requests than even a warm one takes.
-func overloadServer(s *standin.Server, x standin.Exchange, host string, c standin.Class) {
+func overloadServer(s *fake.Server, x fake.Exchange, host string, c fake.Class) {
 	const connections = 64
 	cfg := s.Config()
-	limit := cold.Multiple * cold.For.Seconds() * float64(cfg.Slots) / cfg.Work.Seconds()
+	limit := cold.OverloadFactor * cold.OverloadWindow.Seconds() * float64(cfg.Concurrency) / cfg.ServiceTime.Seconds()
 	var all sync.WaitGroup
 	for range connections {
 		all.Go(func() {
 			// An error means that the server has fallen over, which the caller looks for.
-			_ = standin.SendStrayRequests(s, x, host, c, int(limit)/connections+1)
+			_ = fake.SendStrayRequests(s, x, host, c, int(limit)/connections+1)
 		})
 	}
 	all.Wait()
 }
 
 // hasFallen reports whether the present incarnation of a server was overloaded while it warmed up.
-func (r *environment) hasFallen(s *standin.Server) bool {
-	boot, _ := s.Boot()
-	return slices.ContainsFunc(r.records.View().Falls, func(f standin.Fall) bool { return f.Server == s.ID() && f.Boot == boot })
+func (r *environment) hasFallen(s *fake.Server) bool {
+	incarnation, _ := s.Incarnation()
+	return slices.ContainsFunc(r.records.History().WarmupCrashes, func(crash fake.WarmupCrash) bool {
+		return crash.Server == s.ID() && crash.Incarnation == incarnation
+	})
 }
 
 // violateBan sends to a server that the drill has taken out, as a node that forgot the ban would.
@@ -225,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	if !rig.Await(minViolationTime+r.slack, func() bool { return r.isOut("") != "" }) {
+	if !testfleet.Await(minViolationTime+r.slack, func() bool { return r.isOut("") != "" }) {
 		return errors.New("this drill takes no server out by hand")
 	}
 	select {
@@ -234,7 +236,7 @@
 	}
 	for _, s := range r.groupOf(a.Host).servers {
 		if r.isOut(s.ID()) != "" {
-			return standin.SendStrayRequest(s, x, a.Host, c)
+			return fake.SendStrayRequest(s, x, a.Host, c)
 		}
 	}
 	return errors.New("no server is out any more")
--- a/internal/drill/xdschaos.go
+++ b/internal/drill/xdschaos.go
@@ -9,20 +9,20 @@
 	discovery "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"cranegrade/internal/standin"
-	standinxds "cranegrade/internal/standin/xds"
+	"cranegrade/internal/fake"
+	fakexds "cranegrade/internal/fake/xds"
 	"cranegrade/internal/xds/resource"
 )
 
 // xdsChaos has two control planes do all that control planes do wrong, one thing after the other, while
 // three services go on.
 func xdsChaos(ctx context.Context, r *environment) error {
-	one, err := standinxds.New()
+	one, err := fakexds.New()
 	if err != nil {
 		return err
 	}
 	defer one.Close()
-	two, err := standinxds.New()
+	two, err := fakexds.New()
 	if err != nil {
 		return err
 	}
@@ -35,29 +35,29 @@
 	playing, over := context.WithTimeout(ctx, r.length)
 	defer over()
 	faults.Go(func() { chaos.play(playing) })
-	var streams []standin.Stream
+	var streams []fake.Stream
 	for _, g := range chaos.groups {
-		for _, c := range []standin.Class{readClass, sendClass, cellClass, orderClass} {
-			streams = append(streams, standin.Stream{Name: g.name, Host: g.host, Class: c, Rate: 25, Body: 100})
+		for _, c := range []fake.Class{readClass, sendClass, cellClass, orderClass} {
+			streams = append(streams, fake.Stream{Name: g.name, Host: g.host, Class: c, Rate: 25, BodyBytes: 100})
 		}
 	}
 	if err := r.play(ctx, &faults, streams...); err != nil {
 		return err
 	}
-	chaos.judge(r.records.View())
+	chaos.judge(r.records.History())
 	return nil
 }
 
 // planeChaos is what a control plane does wrong, and to whom.
 type planeChaos struct {
 	r      *environment
-	plane  *standinxds.Plane
+	plane  *fakexds.ControlPlane
 	groups []*planeGroup
 	done   map[string]int // how often, by the action's name
 }
 
 // start starts three groups of servers, which both control planes are to tell, and the program while both are down.
-func (c *planeChaos) start(second *standinxds.Plane) error {
+func (c *planeChaos) start(second *fakexds.ControlPlane) error {
 	file := "listen = [\"127.0.0.1:0\"]\nlimits = { cores = 1 }\n" + xdsText(c.r.seed%2 == 1, c.plane, second)
 	routes := ""
 	for _, name := range []string{"a", "b", "c"} {
@@ -111,12 +111,12 @@
 func (c *planeChaos) flap() {
 	for range 8 {
 		time.Sleep(100 * time.Millisecond)
-		c.plane.Break()
+		c.plane.BreakStreams()
 	}
 }
 
 // change tells another state of a server for a while.
-func (c *planeChaos) change(server int, state string, long time.Duration) {
+func (c *planeChaos) change(server int, state fake.ListState, long time.Duration) {
 	g := c.anyGroup()
 	g.list(g.servers[server], state)
 	time.Sleep(long)
@@ -125,7 +125,7 @@
 
 func (c *planeChaos) storm() {
 	for range 400 {
-		c.groups[0].change(func() []*standin.Server { return nil })
+		c.groups[0].change(func() []*fake.Server { return nil })
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -147,7 +147,7 @@
 	time.Sleep(500 * time.Millisecond)
 	for _, g := range c.groups {
 		g.setCluster()
-		g.change(func() []*standin.Server { return nil })
+		g.change(func() []*fake.Server { return nil })
 	}
 }
 
@@ -165,10 +165,10 @@
 
 func (c *planeChaos) fallSilent() {
 	c.plane.SetSilent(true)
-	c.plane.Break()
+	c.plane.BreakStreams()
 	time.Sleep(400 * time.Millisecond)
 	c.plane.SetSilent(false)
-	c.plane.Break()
+	c.plane.BreakStreams()
 }
 
 // play does one thing after the other until ctx ends; with a violation asked for, only the first.
@@ -193,13 +193,13 @@
 }
 
 // judge reports what was done, and wants nearly all requests served, for the servers worked all the time.
-func (c *planeChaos) judge(v standin.View) {
+func (c *planeChaos) judge(v fake.History) {
 	total := 0
 	for _, n := range c.done {
 		total += n
 	}
 	c.r.addFigure("deeds", total, fmt.Sprint("of the control plane: ", c.done))
-	c.r.addFigure("streams", c.plane.Opened(), "that the program opened to it")
+	c.r.addFigure("streams", c.plane.StreamsOpened(), "that the program opened to it")
 	c.r.addFigure("after_drain_max_ms", quantile(afterDrains(v), 1), "")
 	served := 0
 	for _, x := range v.Exchanges {
--- a/internal/mesh/testcluster/member_faults_test.go
+++ b/internal/mesh/testcluster/member_faults_test.go
@@ -9,7 +9,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/rig"
+	"cranegrade/internal/testfleet"
 )
 
 // The member that acknowledged is killed at once, then its disk is lost, too; then another is replaced by one elsewhere, and at
@@ -48,10 +48,10 @@
 	added, err := m.AddMember(false)
 	assert.NilError(t, err)
 	added.awaitConfigHas(t, `"/two/"`)
-	_, err = added.Process.Said(`"members":3`)
+	_, err = added.Process.AwaitLogged(`"members":3`)
 	assert.NilError(t, err)
 	m.applyRoutes(t, 4, RouteItem("three", "idempotent", "/three/", "stock", 4))
-	assert.Assert(t, rig.Await(testTimeout, func() bool {
+	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
 		for _, x := range m.membersExcept(lost) {
 			if members := x.memberIPs(); len(members) != 3 || !members[added.IP] || members[lost.IP] {
 				return false
@@ -140,7 +140,7 @@
 	x.Kill()
 	corruptStore(t, filepath.Join(x.DataDir(), "vault"))
 	assert.NilError(t, x.Start())
-	_, err := x.Process.Said("store damaged, discarding it")
+	_, err := x.Process.AwaitLogged("store damaged, discarding it")
 	assert.NilError(t, err)
 	m.applyRoutes(t, 5, RouteItem("after", "idempotent", "/after/", "stock", 5))
 	x.awaitConfigHas(t, `"/after/"`)
