--- a/internal/mesh/idempotency/golden_test.go
+++ b/internal/mesh/idempotency/golden_test.go
@@ -3,15 +3,13 @@
 import (
 	"crypto/sha256"
 	"encoding/hex"
-	"encoding/json"
 	"fmt"
 	"hash"
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"gotest.tools/v3/assert"
-	"gotest.tools/v3/golden"
+	"cranegrade/internal/testkit/goldenrecord"
 )
 
 // Size of the golden record.
@@ -37,9 +35,7 @@
 	for seed := range uint64(goldenSeeds) {
 		runs = append(runs, playGolden(seed))
 	}
-	text, err := json.MarshalIndent(runs, "", " ")
-	assert.NilError(t, err)
-	golden.Assert(t, string(text)+"\n", "golden.json")
+	goldenrecord.AssertFile(t, runs, " ")
 }
 
 // playGolden plays one seed. Now and then the store is restored from its leases, as after a restart.
--- a/internal/mesh/memberselection/golden_test.go
+++ b/internal/mesh/memberselection/golden_test.go
@@ -3,15 +3,13 @@
 import (
 	"crypto/sha256"
 	"encoding/hex"
-	"encoding/json"
 	"fmt"
 	"hash"
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"gotest.tools/v3/assert"
-	"gotest.tools/v3/golden"
+	"cranegrade/internal/testkit/goldenrecord"
 )
 
 const (
@@ -142,7 +140,5 @@
 		}
 		record[fmt.Sprintf("seed %02d", seed)] = hex.EncodeToString(g.hash.Sum(nil)[:16])
 	}
-	text, err := json.MarshalIndent(record, "", "\t")
-	assert.NilError(t, err)
-	golden.Assert(t, string(text)+"\n", "golden.json")
+	goldenrecord.AssertFile(t, record, "\t")
 }
--- a/internal/mesh/raft/golden_test.go
+++ b/internal/mesh/raft/golden_test.go
@@ -4,7 +4,6 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
-	"encoding/json"
 	"fmt"
 	"hash"
 	"math/rand/v2"
@@ -12,7 +11,8 @@
 	"time"
 
 	"gotest.tools/v3/assert"
-	"gotest.tools/v3/golden"
+
+	"cranegrade/internal/testkit/goldenrecord"
 )
 
 // goldenRecord is what one run did: how many Readys it gave, and a hash of all of them in order.
@@ -200,7 +200,8 @@
 	return recorder.record(fmt.Sprintf("versions %03b", mask))
 }
 
-// The same events give the same actions as when the golden file was written, byte for byte.
+// TestGolden shows that the same events give the same actions as when testdata/golden.json was written, byte for byte. After a change of
+// behaviour that is meant: go test -run TestGolden -update.
 func TestGolden(t *testing.T) {
 	var records []goldenRecord
 	for seed := range uint64(40) {
@@ -209,7 +210,5 @@
 	for mask := range 8 {
 		records = append(records, goldenMixedVersions(t, mask))
 	}
-	text, err := json.MarshalIndent(records, "", "\t")
-	assert.NilError(t, err)
-	golden.Assert(t, string(text)+"\n", "golden.json") // -update writes it anew
+	goldenrecord.AssertFile(t, records, "\t")
 }
--- a/internal/mesh/raft/mutation_test.go
+++ b/internal/mesh/raft/mutation_test.go
@@ -5,8 +5,6 @@
 	"flag"
 	"fmt"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"regexp"
 	"slices"
 	"strconv"
@@ -17,6 +15,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/testkit"
+	"cranegrade/internal/testkit/mutation"
 )
 
 var updateMutations = flag.Bool("update-mutations", false, "write testdata/mutations.json anew; with RAFT_MUTATIONS=all for all of them")
@@ -31,11 +30,11 @@
 // schedulesPlayed is how many random schedules look for a mutation.
 const schedulesPlayed = 3000
 
-// edit is a replacement of text that a source file holds once.
-type edit struct{ file, right, wrong string }
+// edit is a mutation.Edit, as the tables of mutations name it without its fields.
+type edit struct{ file, original, replacement string }
 
-// mutation is an error that is put into the package's source for one run of a test.
-type mutation struct {
+// mutant is the package with an error put into its source, for one run of a test.
+type mutant struct {
 	name  string
 	edits []edit
 	test  string // the test that finds it; "": TestRandomSchedules
@@ -147,16 +146,16 @@
 }
 
 // find runs the test that is to find the mutation on the source with it, and says how it was found.
-func (x mutation) find(t *testing.T) finding {
+func (x mutant) find(t *testing.T) finding {
 	test := x.test
 	if test == "" {
 		test = "TestRandomSchedules"
 	}
 	if x.maskedBy != "" && os.Getenv("RAFT_MUTATIONS") == "all" {
-		text, failed := runMutated(t, x.edits, test)
+		text, failed := runEdited(t, x.edits, test)
 		assert.Assert(t, !failed, "it is masked by nothing: %s", text)
 	}
-	text, failed := runMutated(t, slices.Concat(x.edits, x.with), test)
+	text, failed := runEdited(t, slices.Concat(x.edits, x.with), test)
 	assert.Assert(t, failed, "the tests pass with it")
 	found := finding{Mutation: x.name, MaskedBy: x.maskedBy, Test: test, Schedule: -1}
 	if x.test != "" {
@@ -172,30 +171,12 @@
 	return found
 }
 
-// runMutated runs a test on the source with edits, and returns its output and whether it failed.
-func runMutated(t *testing.T, edits []edit, test string) (text string, failed bool) {
-	dir := t.TempDir()
-	replaced := map[string]string{}
-	for i, x := range edits {
-		path, err := filepath.Abs(x.file)
-		assert.NilError(t, err)
-		read := path
-		if replaced[path] != "" {
-			read = replaced[path]
-		}
-		source, err := os.ReadFile(read)
-		assert.NilError(t, err)
-		assert.Equal(t, strings.Count(string(source), x.right), 1, "%s does not hold this once: %s", x.file, x.right)
-		replaced[path] = filepath.Join(dir, fmt.Sprint("wrong", i, ".go"))
-		assert.NilError(t, os.WriteFile(replaced[path], []byte(strings.Replace(string(source), x.right, x.wrong, 1)), 0o600))
+// runEdited runs a test on the source with edits, and returns its output and whether it failed.
+func runEdited(t *testing.T, edits []edit, test string) (output string, failed bool) {
+	t.Helper()
+	var replaced []mutation.Edit
+	for _, e := range edits {
+		replaced = append(replaced, mutation.Edit{File: e.file, Original: e.original, Replacement: e.replacement})
 	}
-	overlay, err := json.Marshal(map[string]any{"Replace": replaced})
-	assert.NilError(t, err)
-	file := filepath.Join(dir, "overlay.json")
-	assert.NilError(t, os.WriteFile(file, overlay, 0o600))
-	cmd := exec.Command("go", "test", "-count=1", "-vet=off", "-overlay", file, "-run", fmt.Sprintf("^%s$", test), ".")
-	cmd.Env = append(os.Environ(), fmt.Sprint("RAFT_SCHEDULES=", schedulesPlayed))
-	output, err := cmd.CombinedOutput()
-	assert.Assert(t, !strings.Contains(string(output), "build failed"), "%s", output)
-	return string(output), err != nil
+	return mutation.RunTest(t, replaced, test, fmt.Sprint("RAFT_SCHEDULES=", schedulesPlayed))
 }
--- a/internal/mesh/raft/mutations_test.go
+++ b/internal/mesh/raft/mutations_test.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Mutations of the rules of votes: sections 5.2 and 5.4.1 of the Raft paper, section 9.6 of Ongaro's dissertation.
-var voteMutations = []mutation{
+var voteMutations = []mutant{
 	{name: "an answer before the sync", edits: []edit{{
 		"ready.go",
 		"	ready.Entries = r.log.takeUnsaved()\n",
@@ -87,7 +87,7 @@
 )
 
 // Mutations of the rules of the log and of what is committed: sections 5.3 and 5.4.2 of the Raft paper.
-var commitMutations = []mutation{
+var commitMutations = []mutant{
 	{name: "entries of earlier terms committed by counting", test: "TestEarlierTermNotCounted", edits: []edit{{
 		"replication.go",
 		"if term, _ := r.log.termAt(index); term != r.term {",
@@ -136,7 +136,7 @@
 }
 
 // Mutations of confirmed reads: section 6.4 of Ongaro's dissertation.
-var readMutations = []mutation{
+var readMutations = []mutant{
 	{name: "a lease by the local clock", slow: true, edits: []edit{{
 		"read_index.go",
 		"if r.log.configuration.isSoleVoter(r.config.Self.ID) {",
@@ -178,7 +178,7 @@
 }
 
 // Mutations of snapshots: section 7 of the Raft paper.
-var snapshotMutations = []mutation{
+var snapshotMutations = []mutant{
 	{name: "a snapshot without the members", edits: []edit{{
 		"log.go",
 		"		Members:            configuration.Members,\n",
@@ -219,7 +219,7 @@
 }
 
 // Mutations of changes of the membership: section 6 of the Raft paper, chapter 4 of Ongaro's dissertation.
-var membershipMutations = []mutation{
+var membershipMutations = []mutant{
 	{name: "a joint change decided by the new members alone", slow: true, edits: []edit{{
 		"configuration.go",
 		"return hasMajority(c.Members, counts) && (!c.isJoint() || hasMajority(c.Outgoing, counts))",
@@ -294,7 +294,7 @@
 }
 
 // Mutations of the rules that fence members that got leave, or lost their disk.
-var fencingMutations = []mutation{
+var fencingMutations = []mutant{
 	{name: "an answer under way taken for that of the next process", edits: []edit{{
 		"leave.go",
 		"p.leaveGranted && !m.Leaving &&",
--- a/internal/testkit/goldenrecord/goldenrecord.go
+++ b/internal/testkit/goldenrecord/goldenrecord.go
@@ -39,6 +39,9 @@
 // Play draws inputs and records what the package decides on them.
 type Play func(draw *rand.Rand, r *Record)
 
+// fileName is the golden file of each package, in its folder testdata.
+const fileName = "golden.json"
+
 // drawStream is the second half of each seed.
 const drawStream = 57
 
@@ -59,9 +62,22 @@
 		}
 		sections[name] = section{hex.EncodeToString(r.decisions.Sum(nil)), hex.EncodeToString(r.texts.Sum(nil)), r.counts}
 	}
-	text, err := json.MarshalIndent(sections, "", "  ")
+	AssertFile(t, sections, "  ")
+}
+
+// AssertFile compares a record, as JSON that is indented by indent, with testdata/golden.json of the package under test. With -update
+// it writes that file.
+func AssertFile(t *testing.T, record any, indent string) {
+	t.Helper()
+	text, err := json.MarshalIndent(record, "", indent)
 	assert.NilError(t, err)
-	golden.Assert(t, string(text)+"\n", "golden.json")
+	golden.Assert(t, string(text)+"\n", fileName)
+}
+
+// ReadFile reads testdata/golden.json of the package under test into record, a pointer.
+func ReadFile(t *testing.T, record any) {
+	t.Helper()
+	assert.NilError(t, json.Unmarshal(golden.Get(t, fileName), record))
 }
 
 // JSON is a value as it is stored or sent. It panics where there is none.
--- a/internal/testkit/mutation/mutation.go
+++ b/internal/testkit/mutation/mutation.go
@@ -3,7 +3,9 @@
 package mutation
 
 import (
+	"cmp"
 	"encoding/json"
+	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -18,6 +20,13 @@
 // maxConcurrent is how many mutants of one package are built and tested at once.
 const maxConcurrent = 4
 
+// Edit is a replacement of text in a source file of the package under test.
+type Edit struct {
+	File        string // of the package
+	Original    string // must stand in File exactly once
+	Replacement string
+}
+
 // Mutation is an error that is put into the source of the package under test, for one run of one test.
 type Mutation struct {
 	Name        string
@@ -40,30 +49,43 @@
 			t.Parallel()
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			output := m.test(t)
+			edit := Edit{File: m.File, Original: m.Original, Replacement: m.Replacement}
+			output, failed := RunTest(t, []Edit{edit}, m.KilledBy)
+			assert.Assert(t, failed, "the test passes with it")
 			assert.Assert(t, strings.Contains(output, "--- FAIL: "+m.KilledBy), "another test failed: %s", output)
 		})
 	}
 }
 
-// test runs the test that has to fail and returns its output.
-func (m Mutation) test(t *testing.T) string {
+// RunTest runs a test of the package under test on its source with edits, and returns its output and whether it failed. Edits of one
+// file are made in their order. environment is added to that of this process, as KEY=value. A source that does not build ends t.
+func RunTest(t *testing.T, edits []Edit, test string, environment ...string) (output string, failed bool) {
 	t.Helper()
-	source, err := os.ReadFile(m.File)
-	assert.NilError(t, err)
-	assert.Equal(t, strings.Count(string(source), m.Original), 1, "%s does not hold this once: %s", m.File, m.Original)
 	dir := t.TempDir()
-	mutant := filepath.Join(dir, "mutant.go")
-	assert.NilError(t, os.WriteFile(mutant, []byte(strings.Replace(string(source), m.Original, m.Replacement, 1)), 0o600))
-	path, err := filepath.Abs(m.File)
-	assert.NilError(t, err)
-	overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{path: mutant}})
+	overlay, err := json.Marshal(map[string]any{"Replace": writeEdited(t, dir, edits)})
 	assert.NilError(t, err)
 	overlayFile := filepath.Join(dir, "overlay.json")
 	assert.NilError(t, os.WriteFile(overlayFile, overlay, 0o600))
-	cmd := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-vet=off", "-overlay", overlayFile, "-run", "^"+m.KilledBy+"$", ".")
-	output, err := cmd.CombinedOutput()
-	assert.Assert(t, err != nil, "the test passes with it")
-	assert.Assert(t, !strings.Contains(string(output), "build failed"), "%s", output)
-	return string(output)
+	cmd := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-vet=off", "-overlay", overlayFile, "-run", "^"+test+"$", ".")
+	cmd.Env = append(os.Environ(), environment...)
+	text, err := cmd.CombinedOutput()
+	assert.Assert(t, !strings.Contains(string(text), "build failed"), "%s", text)
+	return string(text), err != nil
+}
+
+// writeEdited writes the edited files into a folder, and returns where each is by the path of its original.
+func writeEdited(t *testing.T, dir string, edits []Edit) map[string]string {
+	t.Helper()
+	edited := map[string]string{}
+	for i, edit := range edits {
+		path, err := filepath.Abs(edit.File)
+		assert.NilError(t, err)
+		source, err := os.ReadFile(cmp.Or(edited[path], path))
+		assert.NilError(t, err)
+		assert.Equal(t, strings.Count(string(source), edit.Original), 1, "%s does not hold this once: %s", edit.File, edit.Original)
+		edited[path] = filepath.Join(dir, fmt.Sprint("edited", i, ".go"))
+		text := strings.Replace(string(source), edit.Original, edit.Replacement, 1)
+		assert.NilError(t, os.WriteFile(edited[path], []byte(text), 0o600))
+	}
+	return edited
 }
