--- a/internal/mesh/controlplane/api_server.go
+++ b/internal/mesh/controlplane/api_server.go
@@ -71,18 +71,14 @@
 
 // fetch reads the configuration, no older than anything that was acknowledged.
 func (m *Member) fetch(ctx context.Context, _ *http.Request, _ api.Empty) (config.Document, error) {
-	type outcome struct {
-		set config.Document
-		ok  bool
-	}
-	done := make(chan outcome, 1)
+	done := make(chan replica.FetchResult, 1)
 	m.loop.post(func() {
-		m.replica.Fetch(m.clock.now(), func(set config.Document, ok bool) { done <- outcome{set, ok} })
+		m.replica.Fetch(m.clock.now(), func(fetched replica.FetchResult) { done <- fetched })
 	})
 	select {
-	case got := <-done:
-		if got.ok {
-			return got.set, nil
+	case fetched := <-done:
+		if fetched.Confirmed {
+			return fetched.Document, nil
 		}
 	case <-ctx.Done():
 	}
@@ -92,25 +88,27 @@
 // handlerFunc is a function that api.NewHandler makes a handler of.
 type handlerFunc[Request, Response any] func(ctx context.Context, httpRequest *http.Request, request Request) (Response, error)
 
+// apiResult is the answer to one request of an operator.
+type apiResult[Response any] struct {
+	response Response
+	err      error // nil, or an *api.Error with the status to answer with
+}
+
 // atLeader makes a handler of a function that only the leader can answer, which runs on the loop's goroutine. Another member
-// redirects whoever calls to the leader.
-func atLeader[Request, Response any](m *Member, answer func(Request, func(Response, error))) handlerFunc[Request, Response] {
-	type outcome struct {
-		response Response
-		err      error
-	}
+// redirects the caller to the leader.
+func atLeader[Request, Response any](m *Member, answer func(Request, func(apiResult[Response]))) handlerFunc[Request, Response] {
 	return func(ctx context.Context, httpRequest *http.Request, request Request) (Response, error) {
-		done := make(chan outcome, 1)
+		done := make(chan apiResult[Response], 1)
 		m.loop.post(func() {
 			if err := m.redirectToLeader(httpRequest.URL.Path); err != nil {
-				done <- outcome{err: err}
+				done <- apiResult[Response]{err: err}
 				return
 			}
-			answer(request, func(response Response, err error) { done <- outcome{response, err} })
+			answer(request, func(result apiResult[Response]) { done <- result })
 		})
 		select {
-		case got := <-done:
-			return got.response, got.err
+		case result := <-done:
+			return result.response, result.err
 		case <-ctx.Done():
 			return *new(Response), api.NewError(http.StatusServiceUnavailable, textNotCommitted)
 		}
--- a/internal/mesh/controlplane/initial_orders.go
+++ b/internal/mesh/controlplane/initial_orders.go
@@ -59,7 +59,7 @@
 	if initial.configuredAt == 0 {
 		initial.configuredAt = now
 		items, _ := config.ParseItems(initial.Contracts) // readInitialOrders has checked it
-		c.replica.Propose(c.clock.now(), replica.EncodeChange(replica.ChangeItems, config.ItemsToWire(items)), func(replica.Outcome, bool) {})
+		c.replica.Propose(c.clock.now(), replica.EncodeChange(replica.ChangeItems, config.ItemsToWire(items)), func(replica.ProposalResult) {})
 		return
 	}
 	if initial.placed >= len(initial.Orders) || c.survey.running {
--- a/internal/mesh/controlplane/maintenance.go
+++ b/internal/mesh/controlplane/maintenance.go
@@ -142,12 +142,12 @@
 		return
 	}
 	entry := replica.EncodeChange(replica.ChangeMaintenance, &wire.MaintenanceChangeT{Kind: kind, Json: text})
-	proposed := c.replica.Propose(c.clock.now(), entry, func(outcome replica.Outcome, known bool) {
-		if !known {
+	proposed := c.replica.Propose(c.clock.now(), entry, func(result replica.ProposalResult) {
+		if !result.Known {
 			done(api.NewError(http.StatusServiceUnavailable, textLeaderChanged))
 			return
 		}
-		done(outcome.Err)
+		done(result.Outcome.Err)
 	})
 	if !proposed {
 		done(api.NewError(http.StatusServiceUnavailable, textNotLeader))
--- a/internal/mesh/controlplane/maintenance_api.go
+++ b/internal/mesh/controlplane/maintenance_api.go
@@ -43,9 +43,9 @@
 }
 
 // answer answers a request at the leader. done is called once, on the loop's goroutine.
-func (c *maintenanceController) answer(request MaintenanceRequest, done func(MaintenanceResponse, error)) {
+func (c *maintenanceController) answer(request MaintenanceRequest, done func(apiResult[MaintenanceResponse])) {
 	if !c.replica.IsLeader() {
-		done(MaintenanceResponse{}, api.NewError(http.StatusServiceUnavailable, textNotLeader))
+		done(apiResult[MaintenanceResponse]{err: api.NewError(http.StatusServiceUnavailable, textNotLeader)})
 		return
 	}
 	if c.survey.status == nil && !c.survey.running { // the members' names may not be known yet
@@ -57,7 +57,9 @@
 	}
 	request.Machine = c.addressOf(request.Machine)
 	request.Machines = c.addressesOf(request.Machines)
-	respond := func(err error) { done(c.response(request), toAPIError(err)) }
+	respond := func(err error) {
+		done(apiResult[MaintenanceResponse]{response: c.response(request), err: toAPIError(err)})
+	}
 	switch {
 	case request.TrustClocks:
 		c.acceptClocks(request.By, respond)
@@ -142,11 +144,11 @@
 }
 
 // confirmAndPlan answers from what this member holds once a quorum has confirmed that it still leads; a plan is made on a new survey.
-func (c *maintenanceController) confirmAndPlan(request MaintenanceRequest, respond func(error), done func(MaintenanceResponse, error)) {
-	c.replica.ReadIndex(c.clock.now(), func(_ uint64, ok bool) {
+func (c *maintenanceController) confirmAndPlan(request MaintenanceRequest, respond func(error), done func(apiResult[MaintenanceResponse])) {
+	c.replica.ReadIndex(c.clock.now(), func(read replica.ReadIndexResult) {
 		switch {
-		case !ok:
-			done(MaintenanceResponse{}, api.NewError(http.StatusServiceUnavailable, textNotConfirmed))
+		case !read.Confirmed:
+			done(apiResult[MaintenanceResponse]{err: api.NewError(http.StatusServiceUnavailable, textNotConfirmed)})
 		case request.Machine == "" || c.survey.running:
 			respond(nil)
 		default:
--- a/internal/mesh/controlplane/maintenance_test.go
+++ b/internal/mesh/controlplane/maintenance_test.go
@@ -44,7 +44,9 @@
 	var response MaintenanceResponse
 	var err error
 	answered := false
-	controller.answer(request, func(r MaintenanceResponse, e error) { response, err, answered = r, e, true })
+	controller.answer(request, func(result apiResult[MaintenanceResponse]) {
+		response, err, answered = result.response, result.err, true
+	})
 	leader.ProcessReady()
 	assert.Assert(t, answered, "no answer")
 	return response, err
--- a/internal/mesh/controlplane/policy_activation.go
+++ b/internal/mesh/controlplane/policy_activation.go
@@ -68,7 +68,7 @@
 	a.log.Info().Str("policy_set", rollout.Agreed).Int("sidecars", len(sidecars)).Msg("policy set activation proposed")
 	entry := replica.EncodeChange(replica.ChangeActivePolicy, &wire.ActivePolicyT{Fingerprint: rollout.Agreed})
 	a.pending.proposed = true
-	if !a.replica.Propose(a.clock.now(), entry, func(replica.Outcome, bool) { a.pending.proposed = false }) {
+	if !a.replica.Propose(a.clock.now(), entry, func(replica.ProposalResult) { a.pending.proposed = false }) {
 		a.pending.proposed = false
 	}
 }
@@ -101,13 +101,13 @@
 }
 
 // answer answers a request at the leader, once a quorum has confirmed that it still leads. done is called once, on the loop's goroutine.
-func (a *policyActivator) answer(request PolicyRequest, done func(PolicyResponse, error)) {
-	a.replica.ReadIndex(a.clock.now(), func(_ uint64, ok bool) {
-		if !ok {
-			done(PolicyResponse{}, api.NewError(http.StatusServiceUnavailable, textNotConfirmed))
+func (a *policyActivator) answer(request PolicyRequest, done func(apiResult[PolicyResponse])) {
+	a.replica.ReadIndex(a.clock.now(), func(read replica.ReadIndexResult) {
+		if !read.Confirmed {
+			done(apiResult[PolicyResponse]{err: api.NewError(http.StatusServiceUnavailable, textNotConfirmed)})
 			return
 		}
-		done(a.response(request), nil)
+		done(apiResult[PolicyResponse]{response: a.response(request)})
 	})
 }
 
--- a/internal/mesh/controlplane/policy_activation_test.go
+++ b/internal/mesh/controlplane/policy_activation_test.go
@@ -60,9 +60,9 @@
 func TestPolicyResponse(t *testing.T) {
 	activator, leader := newTestActivator(t)
 	var got PolicyResponse
-	activator.answer(PolicyRequest{}, func(response PolicyResponse, err error) {
-		assert.NilError(t, err)
-		got = response
+	activator.answer(PolicyRequest{}, func(result apiResult[PolicyResponse]) {
+		assert.NilError(t, result.err)
+		got = result.response
 	})
 	leader.ProcessReady()
 	assert.Equal(t, got.Leader, testAddress)
--- a/internal/mesh/replica/calls.go
+++ b/internal/mesh/replica/calls.go
@@ -46,19 +46,19 @@
 		reply(Unavailable(""))
 		return
 	}
-	r.ReadIndex(r.now, func(index uint64, ok bool) {
-		if !ok {
+	r.ReadIndex(r.now, func(read ReadIndexResult) {
+		if !read.Confirmed {
 			reply(Unavailable(""))
 			return
 		}
-		reply(Reply{Status: http.StatusOK, Body: binary.BigEndian.AppendUint64(nil, index)})
+		reply(Reply{Status: http.StatusOK, Body: binary.BigEndian.AppendUint64(nil, read.Index)})
 	})
 }
 
 // replyAfterRead answers with what read returns, after a linearizable read.
 func (r *Replica) replyAfterRead(reply func(Reply), read func() Reply) {
-	r.LinearizableRead(r.now, func(ok bool) {
-		if !ok {
+	r.LinearizableRead(r.now, func(confirmed bool) {
+		if !confirmed {
 			reply(Unavailable(""))
 			return
 		}
@@ -82,12 +82,12 @@
 		reply(Reply{Status: http.StatusBadRequest})
 		return
 	}
-	ok := r.Propose(r.now, append([]byte{ChangeKeyLeases}, body...), func(outcome Outcome, known bool) {
-		if !known || outcome.Err != nil {
+	ok := r.Propose(r.now, append([]byte{ChangeKeyLeases}, body...), func(result ProposalResult) {
+		if !result.Known || result.Outcome.Err != nil {
 			reply(Unavailable(""))
 			return
 		}
-		reply(Reply{Status: http.StatusOK, Body: codec.EncodeTable(encodeLeaseResults(outcome.LeaseResults))})
+		reply(Reply{Status: http.StatusOK, Body: codec.EncodeTable(encodeLeaseResults(result.Outcome.LeaseResults))})
 	})
 	if !ok {
 		reply(Unavailable(""))
--- a/internal/mesh/replica/disk_test.go
+++ b/internal/mesh/replica/disk_test.go
@@ -48,9 +48,9 @@
 	for range 2 {
 		r, store, now := startFromDisk(t, dir)
 		var set config.Document
-		r.Fetch(now, func(got config.Document, ok bool) {
-			assert.Assert(t, ok)
-			set = got
+		r.Fetch(now, func(fetched FetchResult) {
+			assert.Assert(t, fetched.Confirmed)
+			set = fetched.Document
 		})
 		r.ProcessReady()
 		text, err := json.Marshal(set)
--- a/internal/mesh/replica/golden_test.go
+++ b/internal/mesh/replica/golden_test.go
@@ -9,13 +9,12 @@
 	"time"
 
 	"gotest.tools/v3/assert"
-	"gotest.tools/v3/golden"
 
-	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/testkit"
+	"cranegrade/internal/testkit/goldenrecord"
 )
 
 // Size of the golden record.
@@ -47,13 +46,11 @@
 	}
 	if testkit.Race {
 		var recorded []goldenRun
-		assert.NilError(t, json.Unmarshal(golden.Get(t, "golden.json"), &recorded))
+		goldenrecord.ReadFile(t, &recorded)
 		assert.DeepEqual(t, runs, recorded[:seeds])
 		return
 	}
-	text, err := json.MarshalIndent(runs, "", " ")
-	assert.NilError(t, err)
-	golden.Assert(t, string(text)+"\n", "golden.json")
+	goldenrecord.AssertFile(t, runs, " ")
 }
 
 func playGolden(seed uint64) goldenRun {
@@ -175,12 +172,12 @@
 		return
 	}
 	n.call(func(r *Replica) {
-		r.Fetch(p.now, func(set config.Document, ok bool) {
-			text, err := json.Marshal(set)
+		r.Fetch(p.now, func(fetched FetchResult) {
+			text, err := json.Marshal(fetched.Document)
 			if err != nil {
 				panic(err)
 			}
-			p.record.add("fetched", ok, text)
+			p.record.add("fetched", fetched.Confirmed, text)
 		})
 	})
 }
@@ -250,8 +247,9 @@
 
 func (p *goldenPlay) propose(n *clusterNode, kind string, data []byte) {
 	n.call(func(r *Replica) {
-		taken := r.Propose(p.now, data, func(o Outcome, known bool) {
-			p.record.add(kind+" agreed", known, o.Err != nil, o.PolicyActivated, o.MaintenanceChanged, len(o.UpdatedItems), len(o.LeaseResults))
+		taken := r.Propose(p.now, data, func(result ProposalResult) {
+			o := result.Outcome
+			p.record.add(kind+" agreed", result.Known, o.Err != nil, o.PolicyActivated, o.MaintenanceChanged, len(o.UpdatedItems), len(o.LeaseResults))
 		})
 		p.record.add(kind+" proposed", taken)
 	})
@@ -260,8 +258,8 @@
 // readIndex finds out what has to be applied.
 func (p *goldenPlay) readIndex(n *clusterNode) {
 	n.call(func(r *Replica) {
-		r.ReadIndex(p.now, func(index uint64, ok bool) {
-			p.record.add("read index", binary.BigEndian.AppendUint64(nil, index), ok)
+		r.ReadIndex(p.now, func(read ReadIndexResult) {
+			p.record.add("read index", binary.BigEndian.AppendUint64(nil, read.Index), read.Confirmed)
 		})
 	})
 }
--- a/internal/mesh/replica/planted_test.go
+++ b/internal/mesh/replica/planted_test.go
@@ -36,13 +36,13 @@
 		},
 		{
 			Name: "another leader's entry taken for one's own", File: "proposals.go", KilledBy: "TestOvertakenProposalIsUnknown",
-			Original:    "p.done(outcome, p.term == term)",
-			Replacement: "p.done(outcome, true)",
+			Original:    "ProposalResult{Known: p.term == term,",
+			Replacement: "ProposalResult{Known: true,",
 		},
 		{
 			Name: "a read by a leader that is not confirmed", File: "reads.go", KilledBy: "TestIsolatedLeaderServesNoRead",
-			Original:    "	if !r.raft.ReadIndex(r.now, r.reads.lastID) {\n		done(0, false)",
-			Replacement: "	if true {\n		done(r.raft.AppliedIndex(), true)",
+			Original:    "	if !r.raft.ReadIndex(r.now, r.reads.lastID) {\n		done(ReadIndexResult{})",
+			Replacement: "	if true {\n		done(ReadIndexResult{Confirmed: true, Index: r.raft.AppliedIndex()})",
 		},
 		{
 			Name: "a read before what it needs is applied", File: "reads.go", KilledBy: "TestReadWaitsForItsIndex",
--- a/internal/mesh/replica/proposals.go
+++ b/internal/mesh/replica/proposals.go
@@ -5,13 +5,20 @@
 // proposal is an entry that this replica has proposed and that is not applied yet.
 type proposal struct {
 	term uint64
-	done func(outcome Outcome, known bool)
+	done func(ProposalResult)
 }
 
-// Propose has a change committed; done is called once an entry at its index is applied. known is false if another leader's entry came
-// to stand there: the change may or may not be committed. Propose returns false, and done is not called, if this replica does not lead
-// or has too many proposals under way.
-func (r *Replica) Propose(now time.Duration, data []byte, done func(outcome Outcome, known bool)) bool {
+// ProposalResult is how a proposal ended. The zero value is that of a proposal whose fate is not known.
+type ProposalResult struct {
+	// Known is false if another leader's entry was applied at the proposal's index. The proposed change may be committed all the same,
+	// at another index, so the caller may neither acknowledge nor reject it.
+	Known   bool
+	Outcome Outcome // of applying the change; only meaningful if Known
+}
+
+// Propose proposes a change, and calls done once an entry is applied at the index of the proposal. It returns false, and does not call
+// done, if this replica does not lead or has too many proposals in flight.
+func (r *Replica) Propose(now time.Duration, data []byte, done func(ProposalResult)) bool {
 	r.advanceTime(now)
 	if len(r.proposals) > maxProposals {
 		return false
@@ -21,7 +28,7 @@
 		return false
 	}
 	if overtaken, found := r.proposals[index]; found { // of a term in which this replica led before
-		overtaken.done(Outcome{}, false)
+		overtaken.done(ProposalResult{})
 	}
 	r.proposals[index] = proposal{term, done}
 	r.lastProposed = index
@@ -35,5 +42,5 @@
 		return
 	}
 	delete(r.proposals, index)
-	p.done(outcome, p.term == term)
+	p.done(ProposalResult{Known: p.term == term, Outcome: outcome})
 }
--- a/internal/mesh/replica/proposals_test.go
+++ b/internal/mesh/replica/proposals_test.go
@@ -15,17 +15,17 @@
 	answers := 0
 	old.call(func(r *Replica) {
 		for range 3 {
-			assert.Assert(t, r.Propose(c.now, leaseRequestChange("old", time.Hour), func(_ Outcome, known bool) {
+			assert.Assert(t, r.Propose(c.now, leaseRequestChange("old", time.Hour), func(result ProposalResult) {
 				answers++
-				assert.Assert(t, !known)
+				assert.Assert(t, !result.Known)
 			}))
 		}
 	})
 	next := c.awaitLeader(t, old)
 	next.call(func(r *Replica) {
 		for range 3 {
-			assert.Assert(t, r.Propose(c.now, leaseRequestChange("next", time.Hour), func(_ Outcome, known bool) {
-				assert.Assert(t, known)
+			assert.Assert(t, r.Propose(c.now, leaseRequestChange("next", time.Hour), func(result ProposalResult) {
+				assert.Assert(t, result.Known)
 			}))
 		}
 	})
--- a/internal/mesh/replica/reads.go
+++ b/internal/mesh/replica/reads.go
@@ -16,11 +16,11 @@
 // readQueue is the reads that the leader has not confirmed yet.
 type readQueue struct {
 	lastID uint64
-	done   map[uint64]func(index uint64, ok bool) // by id
+	done   map[uint64]func(ReadIndexResult) // by id
 }
 
 func newReadQueue() readQueue {
-	return readQueue{done: map[uint64]func(uint64, bool){}}
+	return readQueue{done: map[uint64]func(ReadIndexResult){}}
 }
 
 // complete answers a read; one that is unknown is ignored.
@@ -30,7 +30,7 @@
 		return
 	}
 	delete(q.done, read.RequestID)
-	done(read.Index, read.Index > 0)
+	done(ReadIndexResult{Confirmed: read.Index > 0, Index: read.Index})
 }
 
 // waiter is what is to be done once an entry is applied.
@@ -39,9 +39,21 @@
 	resume func()
 }
 
-// ReadIndex finds out up to which entry must be applied so that nothing that was acknowledged is missing. ok is false if that can't be
-// confirmed.
-func (r *Replica) ReadIndex(now time.Duration, done func(index uint64, ok bool)) {
+// ReadIndexResult is how a ReadIndex ended. The zero value is that of one that was not confirmed.
+type ReadIndexResult struct {
+	Confirmed bool   // a quorum has confirmed the leader since the call
+	Index     uint64 // the entry up to which the state has to be applied before it is read; only meaningful if Confirmed
+}
+
+// FetchResult is how a Fetch ended. The zero value is that of one that was not confirmed.
+type FetchResult struct {
+	Confirmed bool
+	Document  config.Document // only meaningful if Confirmed
+}
+
+// ReadIndex finds the index up to which entries must be applied so that nothing that was acknowledged before the call is missing. done
+// is called once.
+func (r *Replica) ReadIndex(now time.Duration, done func(ReadIndexResult)) {
 	r.advanceTime(now)
 	if r.raft.IsLeader() {
 		r.readIndexAsLeader(done)
@@ -49,49 +61,50 @@
 	}
 	leader := r.remoteLeaderAddress()
 	if leader == "" {
-		done(0, false)
+		done(ReadIndexResult{})
 		return
 	}
 	r.forwardToLeader(leader, codec.CallReadIndex, nil, func(reply Reply) {
 		if reply.Status != http.StatusOK || len(reply.Body) != indexSize {
-			done(0, false)
+			done(ReadIndexResult{})
 			return
 		}
-		done(binary.BigEndian.Uint64(reply.Body), true)
+		done(ReadIndexResult{Confirmed: true, Index: binary.BigEndian.Uint64(reply.Body)})
 	})
 }
 
-func (r *Replica) readIndexAsLeader(done func(index uint64, ok bool)) {
+func (r *Replica) readIndexAsLeader(done func(ReadIndexResult)) {
 	r.reads.lastID++
 	if !r.raft.ReadIndex(r.now, r.reads.lastID) {
-		done(0, false)
+		done(ReadIndexResult{})
 		return
 	}
 	r.reads.done[r.reads.lastID] = done
 }
 
-// LinearizableRead calls done once the state holds all that was acknowledged before the call; ok is false if that can't be confirmed.
-func (r *Replica) LinearizableRead(now time.Duration, done func(ok bool)) {
-	r.ReadIndex(now, func(index uint64, ok bool) {
-		if !ok {
+// LinearizableRead calls done once the state holds all that was acknowledged before the call, or with confirmed false if the leader can't
+// be confirmed by a quorum.
+func (r *Replica) LinearizableRead(now time.Duration, done func(confirmed bool)) {
+	r.ReadIndex(now, func(read ReadIndexResult) {
+		if !read.Confirmed {
 			done(false)
 			return
 		}
-		r.waiters = append(r.waiters, waiter{index, func() { done(true) }})
-		if index <= r.raft.AppliedIndex() {
+		r.waiters = append(r.waiters, waiter{read.Index, func() { done(true) }})
+		if read.Index <= r.raft.AppliedIndex() {
 			r.resumeWaiters()
 		}
 	})
 }
 
-// Fetch reads the configuration, no older than anything acknowledged before the call; ok is false if that can't be confirmed.
-func (r *Replica) Fetch(now time.Duration, done func(document config.Document, ok bool)) {
-	r.LinearizableRead(now, func(ok bool) {
-		if !ok {
-			done(config.Document{}, false)
+// Fetch reads the configuration, which holds all that was acknowledged before the call. done is called once.
+func (r *Replica) Fetch(now time.Duration, done func(FetchResult)) {
+	r.LinearizableRead(now, func(confirmed bool) {
+		if !confirmed {
+			done(FetchResult{})
 			return
 		}
-		done(r.state.Items.Document(), true)
+		done(FetchResult{Confirmed: true, Document: r.state.Items.Document()})
 	})
 }
 
--- a/internal/mesh/replica/reads_test.go
+++ b/internal/mesh/replica/reads_test.go
@@ -8,7 +8,6 @@
 
 	"gotest.tools/v3/assert"
 
-	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/raft"
 )
 
@@ -18,9 +17,9 @@
 	c.isolate(old)
 	answers := 0
 	old.call(func(r *Replica) {
-		r.Fetch(c.now, func(_ config.Document, ok bool) {
+		r.Fetch(c.now, func(fetched FetchResult) {
 			answers++
-			assert.Assert(t, !ok)
+			assert.Assert(t, !fetched.Confirmed)
 		})
 	})
 	c.awaitLeader(t, old)
@@ -34,9 +33,9 @@
 	r, env := newRecordedReplicaA(t)
 	receiveHeartbeat(r, 0, "b", 2)
 	answers := 0
-	r.LinearizableRead(time.Millisecond, func(ok bool) {
+	r.LinearizableRead(time.Millisecond, func(confirmed bool) {
 		answers++
-		assert.Assert(t, ok)
+		assert.Assert(t, confirmed)
 	})
 	env.callbacks[0](Reply{Status: http.StatusOK, Body: binary.BigEndian.AppendUint64(nil, 3)})
 	receiveHeartbeat(r, 2*time.Millisecond, "b", 2)
--- a/internal/mesh/replica/replica_test.go
+++ b/internal/mesh/replica/replica_test.go
@@ -25,9 +25,9 @@
 		t.Helper()
 		data := EncodeChange(ChangeMaintenance, &wire.MaintenanceChangeT{Kind: kind, Json: []byte(text)})
 		c.leader().call(func(r *Replica) {
-			assert.Assert(t, r.Propose(c.now, data, func(outcome Outcome, known bool) {
-				assert.Assert(t, known)
-				assert.NilError(t, outcome.Err)
+			assert.Assert(t, r.Propose(c.now, data, func(result ProposalResult) {
+				assert.Assert(t, result.Known)
+				assert.NilError(t, result.Outcome.Err)
 			}))
 		})
 		c.run(time.Second)
--- a/internal/mesh/replica/updates.go
+++ b/internal/mesh/replica/updates.go
@@ -119,8 +119,8 @@
 // present members then has the update on disk. A linearizable read would not do, for a majority may follow this leader while the other
 // disk that held the update has just been lost.
 func (r *Replica) confirmDuplicate(done func(Reply)) {
-	ok := r.Propose(r.now, nil, func(_ Outcome, known bool) {
-		if !known {
+	ok := r.Propose(r.now, nil, func(result ProposalResult) {
+		if !result.Known {
 			done(Unavailable("it was taken before; another leader took over before that was confirmed"))
 			return
 		}
@@ -134,13 +134,13 @@
 // proposeUpdate proposes an update that is admitted.
 func (r *Replica) proposeUpdate(update config.Update, done func(Reply)) {
 	term, index := r.raft.Term(), uint64(0)
-	ok := r.Propose(r.now, EncodeChange(ChangeItems, config.UpdateToWire(update)), func(outcome Outcome, known bool) {
+	ok := r.Propose(r.now, EncodeChange(ChangeItems, config.UpdateToWire(update)), func(result ProposalResult) {
 		r.pendingUpdates.remove(term, index, update)
 		switch {
-		case !known:
+		case !result.Known:
 			done(Unavailable("another leader took over; it may still be taken"))
-		case outcome.Err != nil:
-			done(ErrorReply(outcome.Err))
+		case result.Outcome.Err != nil:
+			done(ErrorReply(result.Outcome.Err))
 		default:
 			done(Reply{Status: http.StatusOK})
 		}
--- a/internal/mesh/sim/operator.go
+++ b/internal/mesh/sim/operator.go
@@ -147,12 +147,12 @@
 func (o *operator) fetch() {
 	member, begun := o.member(""), o.world.now
 	o.call(member, func(h *replicaHost, done func(replica.Reply)) {
-		h.fetch(func(set config.Document, ok bool) {
-			if !ok {
+		h.fetch(func(fetched replica.FetchResult) {
+			if !fetched.Confirmed {
 				done(replica.Unavailable("not confirmed"))
 				return
 			}
-			text, err := json.Marshal(config.ModifyRequest{Upsert: &set})
+			text, err := json.Marshal(config.ModifyRequest{Upsert: &fetched.Document})
 			if err != nil {
 				panic("sim: a configuration can't be worded: " + err.Error())
 			}
--- a/internal/mesh/sim/replica_host.go
+++ b/internal/mesh/sim/replica_host.go
@@ -333,9 +333,9 @@
 }
 
 // fetch handles an operator's read.
-func (h *replicaHost) fetch(done func(set config.Document, ok bool)) {
+func (h *replicaHost) fetch(done func(replica.FetchResult)) {
 	if h.world.options.Mutations.UnconfirmedFetch {
-		done(h.replica.State().Items.Document(), true)
+		done(replica.FetchResult{Confirmed: true, Document: h.replica.State().Items.Document()})
 		return
 	}
 	h.replica.Fetch(h.now(), done)
