--- a/internal/mesh/controlplane/environment.go
+++ b/internal/mesh/controlplane/environment.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 
 	"cranegrade/internal/mesh/api"
 	"cranegrade/internal/mesh/raft"
@@ -14,11 +15,12 @@
 
 // environment is what the replica acts through. The replica calls it on the loop's goroutine.
 type environment struct {
-	ctx      context.Context // of calls to other members: ends with this one
-	loop     *eventLoop
-	peers    *peerSet
-	writer   *stateWriter
-	sidecars *sidecarSet
+	ctx        context.Context // of calls to other members: ends with this one
+	loop       *eventLoop
+	peers      *peerSet
+	writer     *stateWriter
+	sidecars   *sidecarSet
+	background *sync.WaitGroup // of calls to other members
 }
 
 // Send sends a consensus message to a peer.
@@ -32,12 +34,12 @@
 // CallReplica calls a peer. done runs on the loop's goroutine.
 func (e environment) CallReplica(address string, kind byte, body []byte, done func(replica.Reply)) {
 	link := e.peers.link(address)
-	go func() {
+	e.background.Go(func() {
 		ctx, cancel := context.WithTimeout(e.ctx, api.TimeoutFor(replica.CallTimeout, len(body)))
 		defer cancel()
 		reply := callPeer(ctx, link, kind, body)
 		e.loop.post(func() { done(reply) })
-	}()
+	})
 }
 
 func callPeer(ctx context.Context, link *peerLink, kind byte, body []byte) replica.Reply {
--- a/internal/mesh/controlplane/member.go
+++ b/internal/mesh/controlplane/member.go
@@ -14,6 +14,7 @@
 	"encoding/binary"
 	"net"
 	"net/http"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -49,6 +50,9 @@
 	self     raft.Member
 	ctx      context.Context
 	cancel   context.CancelFunc // ends what was begun on behalf of this member
+	// background is the goroutines whose end Run waits for. Only Run's goroutine starts any, so that none is added during the wait.
+	// The goroutines of connections are not among them: connections with other members stay open until the process ends.
+	background sync.WaitGroup
 
 	transportListener net.Listener
 	apiListener       net.Listener
@@ -113,7 +117,7 @@
 	m.peers.onConnected, m.peers.onRefused = m.sendRecords, m.peerRefused
 	m.writer.log = m.log
 	self := m.self.Addr
-	m.survey = surveyor{ctx: m.ctx, loop: m.loop, clock: &m.clock, self: self, ownStatus: m.status, done: m.policies.activate}
+	m.survey = surveyor{ctx: m.ctx, loop: m.loop, clock: &m.clock, self: self, ownStatus: m.status, done: m.policies.activate, background: &m.background}
 	m.maintenance = maintenanceController{log: m.log, settings: &m.settings, clock: &m.clock, survey: &m.survey, self: self, initial: orders}
 	m.policies = policyActivator{log: m.log, clock: &m.clock, survey: &m.survey, self: self}
 }
@@ -145,7 +149,7 @@
 		RandomSeed:      uint64(held.Self) ^ uint64(time.Now().UnixNano()),
 		Log:             m.log,
 	}
-	env := environment{ctx: m.ctx, loop: m.loop, peers: &m.peers, writer: &m.writer, sidecars: &m.sidecars}
+	env := environment{ctx: m.ctx, loop: m.loop, peers: &m.peers, writer: &m.writer, sidecars: &m.sidecars, background: &m.background}
 	if m.replica, err = replica.New(config, env, m.clock.now()); err != nil {
 		return err
 	}
@@ -173,11 +177,12 @@
 
 // Run serves until ctx ends, and then until what was accepted is answered and another member leads, within maxLeaveTime.
 func (m *Member) Run(ctx context.Context) error {
+	defer m.background.Wait()
 	defer m.cancel()
 	m.writer.terminating = ctx.Done()
 	m.apiServer = newAPIServer(m)
-	go m.serveAPI()
-	go m.acceptConnections()
+	m.background.Go(m.serveAPI)
+	m.background.Go(m.acceptConnections)
 	ticker := time.NewTicker(replica.TickInterval)
 	defer ticker.Stop()
 	terminate := ctx.Done()
--- a/internal/mesh/controlplane/survey.go
+++ b/internal/mesh/controlplane/survey.go
@@ -27,6 +27,7 @@
 	self        string // this member's address
 	ownStatus   func() *wire.StatusT
 	done        func() // called after each survey, behind what it was asked for
+	background  *sync.WaitGroup
 	connections statusConnections
 
 	startedAt time.Duration // the latest survey
@@ -63,14 +64,14 @@
 		}
 	}
 	own := s.ownStatus()
-	go func() {
+	s.background.Go(func() {
 		found := s.ask(addresses, memberIDs, own)
 		s.loop.post(func() {
 			s.take(found)
 			then()
 			s.done()
 		})
-	}()
+	})
 }
 
 // findings are what one survey found.
--- a/internal/mesh/sidecar/controlplane_connection.go
+++ b/internal/mesh/sidecar/controlplane_connection.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -46,8 +47,9 @@
 	graceEnds atomic.Int64
 
 	// Owned by run's goroutine.
-	selector *memberselection.Selector
-	members  map[memberselection.ConnID]*memberConn
+	selector   *memberselection.Selector
+	members    map[memberselection.ConnID]*memberConn
+	confirming sync.WaitGroup // of the goroutines that have the configuration confirmed
 }
 
 // memberConn is a connection to a member, or the dial of one.
@@ -98,8 +100,9 @@
 	}
 }
 
-// run follows a member until the sidecar's end.
+// run follows a member until the sidecar's end, and waits for the confirmations that are in flight.
 func (c *controlPlaneConn) run() {
+	defer c.confirming.Wait()
 	clock := c.env.clock
 	c.selector = memberselection.New(clock.Now(), c.seeds())
 	timer := time.NewTimer(0)
@@ -153,7 +156,7 @@
 		c.env.log.Info().Str("member_addr", conn.RemoteAddr()).Msg("control-plane member followed")
 	case memberselection.Confirm:
 		conn := c.members[a.ID].conn
-		go c.confirm(conn, a.ID)
+		c.confirming.Go(func() { c.confirm(conn, a.ID) })
 	case memberselection.Close:
 		m := c.members[a.ID]
 		delete(c.members, a.ID)
--- a/internal/mesh/sidecar/hollow.go
+++ b/internal/mesh/sidecar/hollow.go
@@ -38,12 +38,13 @@
 func (h *Hollow) Run(ctx context.Context) {
 	s := h.sidecar
 	work, cancel := context.WithCancel(context.Background())
+	defer s.background.Wait()
 	defer cancel()
 	s.env.ctx = work
 	localAPIServer := api.NewServer(s.localServer.handler())
 	defer localAPIServer.Close()
-	go serveUntilClosed(localAPIServer, s.localAPIListener)
-	s.startControl() //nolint:contextcheck // what it starts lasts as long as the sidecar
+	s.background.Go(func() { serveUntilClosed(localAPIServer, s.localAPIListener) })
+	s.startControl()
 	<-ctx.Done()
 	s.readiness.stopping.Store(true)
 	s.localServer.leave() //nolint:contextcheck // what it starts lasts as long as the sidecar
--- a/internal/mesh/sidecar/outbound_listener.go
+++ b/internal/mesh/sidecar/outbound_listener.go
@@ -4,6 +4,7 @@
 	"context"
 	"net"
 	"net/http"
+	"sync"
 	"sync/atomic"
 	"time"
 
@@ -34,6 +35,7 @@
 	readiness   *readiness
 	callerShare *pool.Share
 	front       atomic.Pointer[front.Front] // nil: it is not open yet
+	serving     sync.WaitGroup              // of the goroutine that accepts connections
 }
 
 // open opens the listener. Until the configuration is confirmed callers are told when to retry: a refused connection would cost
@@ -50,11 +52,11 @@
 	f.OwnTimes()
 	f.Heads(maxRequestHeadBytes)
 	o.front.Store(f)
-	go func() {
+	o.serving.Go(func() {
 		if err := f.Serve(); !errors.Is(err, http.ErrServerClosed) && !o.readiness.stopping.Load() {
 			o.env.log.Error().Err(err).Msg("outbound listener failed")
 		}
-	}()
+	})
 	return nil
 }
 
@@ -101,4 +103,5 @@
 		}
 	}
 	_ = f.Shutdown(ctx) // what is still open ends with the process
+	o.serving.Wait()
 }
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -17,6 +17,7 @@
 	"context"
 	"net"
 	"net/http"
+	"sync"
 	"time"
 
 	"github.com/juju/errors"
@@ -53,6 +54,10 @@
 	readinessListener net.Listener
 	localAPIListener  net.Listener
 	httpServers       []*http.Server
+
+	// background is the goroutines whose end Run waits for. Not in it are those of connections, which end with their connection,
+	// and that of the inbound listener, which stays open until the process ends.
+	background sync.WaitGroup
 }
 
 // New opens the listeners for other sidecars, the readiness check and the local server's calls; an error names the one that can't
@@ -136,6 +141,7 @@
 // Run serves until ctx ends, then lets callers leave and finishes what was taken, within the grace period of the settings.
 func (s *Sidecar) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
+	defer s.background.Wait()
 	defer cancel()
 	s.env.ctx = work
 	readinessServer, localAPIServer := api.NewServer(s.readiness.handler()), api.NewServer(s.localServer.handler())
@@ -145,10 +151,10 @@
 	if err := s.outbound.open(resolver, protocol); err != nil {
 		return err
 	}
-	go serveUntilClosed(readinessServer, s.readinessListener)
-	go serveUntilClosed(localAPIServer, s.localAPIListener)
+	s.background.Go(func() { serveUntilClosed(readinessServer, s.readinessListener) })
+	s.background.Go(func() { serveUntilClosed(localAPIServer, s.localAPIListener) })
 	go s.inbound.acceptConns(s.inboundListener) //nolint:contextcheck // what it starts lasts as long as the sidecar
-	s.startControl()                            //nolint:contextcheck // what it starts lasts as long as the sidecar
+	s.startControl()
 	<-ctx.Done()
 	s.shutdown() //nolint:contextcheck // it begins when ctx has ended
 	return nil
@@ -161,18 +167,19 @@
 
 // startControl starts the goroutines that follow the control plane and the local server.
 func (s *Sidecar) startControl() {
-	go s.releases.run()
-	go s.controlPlane.run()
-	go s.localServer.watch()
+	s.background.Go(s.releases.run)
+	s.background.Go(s.controlPlane.run)
+	s.background.Go(s.localServer.watch)
 }
 
-// configConfirmed is called once the configuration is known to be no older than what was acknowledged.
+// configConfirmed is called each time that the configuration was found to be no older than what was acknowledged. It runs on a
+// goroutine that controlPlaneConn.run waits for, so that background is not empty meanwhile.
 func (s *Sidecar) configConfirmed() {
 	if !s.readiness.configured.CompareAndSwap(false, true) {
 		return
 	}
 	if group := s.configuration.routing.Load().Services[s.env.settings.Load().Service]; group.HealthPath != "" {
-		go s.localServer.probe(group.HealthPath)
+		s.background.Go(func() { s.localServer.probe(group.HealthPath) })
 	}
 }
 
