--- a/internal/mesh/raft/configuration.go
+++ b/internal/mesh/raft/configuration.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// Configuration is the membership as one entry of the log states it. A member counts by the latest configuration in its log, whether
-// or not that is committed (Raft paper, section 6).
+// Configuration is the membership that one entry of the log defines. A member always uses the latest configuration in its log, whether or
+// not that is committed (Raft paper, section 6).
 type Configuration struct {
 	Index   uint64 // of the entry
 	Members []Member
-	// Outgoing are the voters of the configuration before, while a joint change is under way. Until the joint entry is committed
-	// and the next one takes them out, every decision takes a majority of Outgoing and one of Members.
+	// Outgoing is the voters of the previous configuration, during a joint change. Until the joint entry is committed and the next one
+	// removes them, every decision needs both a majority of Outgoing and a majority of Members.
 	Outgoing        []Member
-	ProtocolVersion uint32 // that all Members were known to speak when the entry was made
+	ProtocolVersion uint32 // that all Members were known to speak when the entry was appended
 }
 
-// isJoint reports whether a joint change is under way.
+// isJoint reports whether this is the configuration of a joint change.
 func (c Configuration) isJoint() bool { return len(c.Outgoing) > 0 }
 
 // isVoter reports whether a member's vote counts.
@@ -21,7 +21,7 @@
 	return containsMember(c.Members, id) || containsMember(c.Outgoing, id)
 }
 
-// voters are Members and Outgoing, each member once.
+// voters returns Members and Outgoing, each member once.
 func (c Configuration) voters() []Member {
 	all := slices.Clone(c.Members)
 	for _, member := range c.Outgoing {
@@ -32,13 +32,13 @@
 	return all
 }
 
-// hasQuorum reports whether the members that count are enough to decide: a majority, and during a joint change a majority of each
-// set by itself. Either set alone could decide against what the other one has decided (Raft paper, section 6).
+// hasQuorum reports whether the members for which counts is true are a quorum: a majority, and during a joint change a majority of each of
+// the two sets. With a majority of only one set, the other could decide otherwise (Raft paper, section 6).
 func (c Configuration) hasQuorum(counts func(ID) bool) bool {
 	return hasMajority(c.Members, counts) && (!c.isJoint() || hasMajority(c.Outgoing, counts))
 }
 
-// isSoleVoter reports whether a member is a quorum by itself.
+// isSoleVoter reports whether a member alone is a quorum.
 func (c Configuration) isSoleVoter(id ID) bool {
 	return c.hasQuorum(func(other ID) bool { return other == id })
 }
--- a/internal/mesh/raft/election.go
+++ b/internal/mesh/raft/election.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// campaignKind says how a member asks to be elected.
+// campaignKind is why and how a member asks for votes.
 type campaignKind uint8
 
 const (
@@ -15,7 +15,8 @@
 	campaignTransfer // the leader asked for it (dissertation, section 3.10)
 )
 
-// campaign asks all voters for their pre-votes or votes. Messages go out after the save: a vote for oneself counts from then on.
+// campaign asks all voters for their pre-votes or votes. The requests are sent after the save, since this member's vote for itself, which
+// they rely on, only counts once it is on disk.
 func (r *Raft) campaign(kind campaignKind) {
 	term := r.term + 1
 	request := Message{Kind: RequestVote, Term: term}
@@ -41,7 +42,7 @@
 	r.countVotes()
 }
 
-// countVotes has a pre-candidate or candidate go on once a quorum has voted for it.
+// countVotes turns a pre-candidate into a candidate, or a candidate into the leader, once a quorum has voted for it.
 func (r *Raft) countVotes() {
 	if !r.log.configuration.hasQuorum(func(id ID) bool { return r.votes[id] }) {
 		return
@@ -53,8 +54,8 @@
 	r.becomeLeader()
 }
 
-// becomeLeader begins a leader's term with an entry of its own: entries of earlier terms are committed only by one behind them (Raft
-// paper, section 5.4.2), and until then the leader does not know what is committed (section 8).
+// becomeLeader appends an entry of the leader's own term: entries of earlier terms are only committed by committing a later one of its
+// term (Raft paper, section 5.4.2), and until then the leader does not know what is committed (section 8).
 func (r *Raft) becomeLeader() {
 	r.changeRole(leader, r.term, r.config.Self.ID)
 	r.peers = nil
@@ -70,17 +71,17 @@
 	return r.role == leader || r.leaderID != 0 && r.now-r.followed.heardAt < r.config.ElectionTimeout
 }
 
-// isUpToDate reports whether the log of a member that asks for votes is at least as up to date as this one's. A majority would not
-// vote for a member that lacks a committed entry (Raft paper, section 5.4.1).
+// isUpToDate reports whether the log of a member that asks for votes is at least as up to date as this one's. Because voters check that,
+// no member that lacks a committed entry gets the votes of a majority (Raft paper, section 5.4.1).
 func (r *Raft) isUpToDate(request Message) bool {
 	return r.log.isUpToDate(position{request.Index, request.LogTerm})
 }
 
-// handlePreVote answers a pre-vote. Its sender may be a member by entries that this log lacks. So if its log is up to date it is
-// answered like a known one: it knows itself whose votes it needs.
+// handlePreVote answers a pre-vote. The sender may have become a member by entries that are not in this log yet. So an unknown sender whose
+// log is up to date is answered like a voter: it knows itself whose votes it needs.
 func (r *Raft) handlePreVote(m Message) {
 	if m.From == r.leaderID && m.Term > r.term {
-		r.leaderID = 0 // it asks for votes, so it has restarted and does not lead any more
+		r.leaderID = 0 // the leader asks for votes, so it has restarted and no longer leads
 	}
 	granted := m.Term > r.term && !r.hearsLeader() && r.isUpToDate(m)
 	if !granted && !r.log.configuration.isVoter(m.From) {
@@ -97,8 +98,8 @@
 	}
 }
 
-// preVoteInstead has this member ask for pre-votes at once after it refused another's only because that one lacks entries: both miss
-// the leader, and the other can't be elected before this member's next attempt.
+// preVoteInstead starts a pre-vote of this member at once after it rejected another's only because the other lacks entries. Neither hears
+// a leader, and the other can't be elected, so there is no reason to wait for this member's own deadline.
 func (r *Raft) preVoteInstead(refused Message) {
 	isBehind := refused.Term > r.term && !r.isUpToDate(refused)
 	if isBehind && !r.hearsLeader() && r.role != candidate && !r.IsNonMember() {
@@ -115,14 +116,14 @@
 	}
 }
 
-// isDisruptive reports whether a RequestVote of a later term is to be ignored: its sender can't hear the leader that this member
-// hears, or it was removed (dissertation, section 4.2.3).
+// isDisruptive reports whether a RequestVote of a later term has to be ignored, because its sender can't hear the leader that this member
+// hears, or was removed from the configuration (dissertation, section 4.2.3).
 func (r *Raft) isDisruptive(m Message) bool {
 	return r.hearsLeader() && m.Hint != leadershipTransferHint ||
 		!r.log.configuration.isVoter(m.From) && !r.isUpToDate(m)
 }
 
-// handleRequestVote votes at most once in a term, and only for a log that is up to date (Raft paper, sections 5.2 and 5.4.1).
+// handleRequestVote votes at most once in a term, and only for a member whose log is up to date (Raft paper, sections 5.2 and 5.4.1).
 func (r *Raft) handleRequestVote(m Message) {
 	granted := (r.vote == 0 || r.vote == m.From) && r.isUpToDate(m)
 	if granted && r.vote == 0 {
@@ -140,19 +141,19 @@
 	}
 }
 
-// handleTimeoutNow has this member be elected at once, for the leader that it follows hands over.
+// handleTimeoutNow starts an election at once, because the leader that this member follows transfers leadership to it.
 func (r *Raft) handleTimeoutNow(m Message) {
 	if r.role == follower && m.From == r.leaderID && containsMember(r.log.configuration.Members, r.config.Self.ID) {
 		r.campaign(campaignTransfer)
 	}
 }
 
-// resetElectionDeadline begins a new wait for a leader.
+// resetElectionDeadline sets when this member campaigns next if it hears no leader until then.
 func (r *Raft) resetElectionDeadline() {
 	switch r.role {
 	case follower:
 		r.electionDeadline = r.now + r.config.ElectionTimeout + r.electionDelay()
-	case preCandidate: // a pre-vote disturbs nobody, and a member that was not there may be by now
+	case preCandidate: // pre-votes disrupt nobody, and a voter that was down may be back soon
 		wait := r.config.ElectionTimeout / 4
 		r.electionDeadline = r.now + wait + r.randomBelow(wait)
 	case candidate, leader:
@@ -160,18 +161,18 @@
 	}
 }
 
-// electionDelay is how much longer than the election timeout this member waits for the leader that it follows: members wait in the
-// order of their rank, and the random part is too small for two of them to ask together. Raft's wholly random timeouts (Raft paper,
-// section 5.2) split votes more often.
+// electionDelay returns how much longer than the election timeout this member waits before it campaigns. Members wait by their rank, and
+// the random part is too small for two of them to campaign at the same time. With Raft's purely random timeouts (Raft paper, section
+// 5.2) votes are split more often.
 func (r *Raft) electionDelay() time.Duration {
 	jitter := r.randomBelow(r.config.ElectionTimeout / 10)
 	return time.Duration(r.voterRank(r.leaderID))*r.config.ElectionTimeout/5 + jitter
 }
 
-// ReportLeaderExited takes note that the process of a member has ended, by better evidence than silence: its host is reachable and
-// refuses connections at its address. If that is the leader that this member follows, the rest of the election timeout is not waited
-// for: Tick is due after wait. Wrong evidence does no harm, since a member asks for pre-votes first, and a leader that is alive is
-// followed again with its next heartbeat.
+// ReportLeaderExited reports that the process of a member has ended, by better evidence than silence: its host is reachable and refuses
+// connections at its address. If that member is the leader that this one follows, isLeader is true, and the caller has to call Tick
+// after wait, so that the rest of the election timeout is skipped. Wrong evidence does no harm: a member asks for pre-votes first, and
+// follows a leader that is alive again with its next heartbeat.
 func (r *Raft) ReportLeaderExited(now time.Duration, id ID) (wait time.Duration, isLeader bool) {
 	r.advanceTime(now)
 	if r.role != follower || r.leaderID != id || id == r.config.Self.ID || r.IsNonMember() {
@@ -183,7 +184,7 @@
 	return wait, true
 }
 
-// voterRank is this member's place among the voters in the order of their IDs, without one of them.
+// voterRank returns this member's position, from 0, among the voters other than one, in the order of their IDs.
 func (r *Raft) voterRank(without ID) int {
 	rank := 0
 	for _, voter := range r.sortedVoters() {
--- a/internal/mesh/raft/follower.go
+++ b/internal/mesh/raft/follower.go
@@ -1,7 +1,7 @@
 package raft
 
-// recordLeader takes note that the term's leader is there. A term has one leader, so a candidate of the same term has lost (Raft
-// paper, section 5.2).
+// recordLeader records contact with the leader of the current term. A term has at most one leader, so a candidate of the same term has
+// lost and becomes a follower (Raft paper, section 5.2).
 func (r *Raft) recordLeader(m Message) {
 	if r.role != follower {
 		r.changeRole(follower, r.term, m.From)
@@ -16,18 +16,19 @@
 	}
 }
 
-// recordCatchUp takes note if this member has committed all that the leader had when it sent a message.
+// recordCatchUp records that this member has committed all that the leader had committed when it sent a message, if that is so.
 func (r *Raft) recordCatchUp(m Message) {
 	if r.log.committed >= m.Commit {
 		r.followed.caughtUpAt = r.now
 	}
 }
 
-// handleAppendEntries takes the leader's entries if the log agrees with the leader's at the entry in front of them, and acknowledges
-// no more than it has compared: what is behind them here may be from another leader (Raft paper, section 5.3).
+// handleAppendEntries appends the leader's entries if the log agrees with the leader's at the entry before them. It acknowledges only up to
+// the last entry of the message: later entries in this log have not been compared, and may be from another leader (Raft paper, section
+// 5.3).
 func (r *Raft) handleAppendEntries(m Message) {
 	reply := Message{Kind: AppendResponse, To: m.From, Term: r.term, HeartbeatRound: m.HeartbeatRound}
-	if snapshot := r.log.snapshot; m.Index < snapshot.Index { // what the snapshot stands for is committed, and agrees
+	if snapshot := r.log.snapshot; m.Index < snapshot.Index { // what the snapshot covers is committed, so it agrees
 		m.Entries = m.Entries[min(snapshot.Index-m.Index, uint64(len(m.Entries))):]
 		m.Index, m.LogTerm = snapshot.Index, snapshot.Term
 		if len(m.Entries) == 0 {
--- a/internal/mesh/raft/join.go
+++ b/internal/mesh/raft/join.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// A non-member asks the leader to join, and is a learner from then on until admitLearner gives it a place. Members answer one that
-// is none with the voters that they know, so that a removed member learns of its removal though the log does not reach it any more.
+// A non-member asks the leader to join. From then on it is a learner, until admitLearner makes it a voter. Members answer a non-member with
+// the voters that they know, so that a removed member learns of its removal although it is not sent the log any more.
 
-// maxLearners that a leader brings up to date at once.
+// maxLearners is how many learners a leader replicates to at once.
 const maxLearners = 16
 
-// joinState is what a member that has to join keeps.
+// joinState is the state of a member that has to join.
 type joinState struct {
-	toldNonMemberAt time.Duration // when one that knows a later configuration said so last; 0: none did
-	contacts        []Member      // the voters that it named: to be asked to join, and nothing else
-	requestedAt     time.Duration // last; 0: never
+	toldNonMemberAt time.Duration // when a member that knows a later configuration said last that this one is no voter; 0: never
+	contacts        []Member      // the voters that it named, which are only used to ask them to join
+	requestedAt     time.Duration // when this member last asked to join; 0: never
 }
 
-// mustJoin reports whether this member has to ask to join: it is no voter by its own log, or by what others have lately said.
+// mustJoin reports whether this member has to ask to join: it is not a voter according to its own log, or to what others have lately said.
 func (r *Raft) mustJoin() bool { return r.IsNonMember() || r.wasToldNonMember() }
 
-// wasToldNonMember reports whether one that knows a later configuration has lately told this member that it is no voter.
+// wasToldNonMember reports whether a member that knows a later configuration has lately said that this one is not a voter.
 func (r *Raft) wasToldNonMember() bool {
 	return r.join.toldNonMemberAt > 0 && r.now-r.join.toldNonMemberAt < 2*r.config.ElectionTimeout
 }
 
-// handleNotMember takes the word of one that knows a later configuration. It changes nothing of what this member counts by, which is
-// the log's alone: it only names whom to ask.
+// handleNotMember handles the notice of a member that knows a later configuration. The configuration that this member counts votes by is
+// that of its log; the notice only names the members to ask.
 func (r *Raft) handleNotMember(m Message) {
 	if m.ConfigurationIndex > r.log.configuration.Index {
 		r.join.toldNonMemberAt, r.join.contacts = max(r.now, 1), m.Members
 	}
 }
 
-// sendNotMember tells one that is no voter by this member's log who the voters are.
+// sendNotMember sends the voters to the sender of a message, unless it is a voter according to this member's log.
 func (r *Raft) sendNotMember(m Message) {
 	configuration := r.log.configuration
 	if configuration.isVoter(m.From) {
@@ -47,7 +47,7 @@
 	})
 }
 
-// requestJoin asks all that are known to take this member in. Those that are known by their address only are asked by the caller.
+// requestJoin asks all known members to let this one join. The caller asks those of whom it only knows the address.
 func (r *Raft) requestJoin() {
 	hasJustAsked := r.join.requestedAt > 0 && r.now-r.join.requestedAt < r.config.ElectionTimeout/4
 	isFollowing := r.now-r.followed.heardAt < r.config.ElectionTimeout/2 && !r.IsNonMember()
@@ -63,7 +63,7 @@
 	}
 }
 
-// handleJoinRequest has a leader keep a learner up to date from now on. Others tell it who the voters are.
+// handleJoinRequest makes the sender a learner, which the leader replicates to from now on. Other members answer with the voters.
 func (r *Raft) handleJoinRequest(m Message) {
 	if r.role != leader {
 		r.sendNotMember(m)
--- a/internal/mesh/raft/leave.go
+++ b/internal/mesh/raft/leave.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// A planned departure: the process of a member is told to stop, and comes back later with its disk, or not at all. Raft lets it go at
-// any moment, but then one more lost disk could be the loss of the last copy of something that was acknowledged. So the member sends
-// LeaveRequest to the leader until that answers LeaveGranted: whatever is committed is on the disks of a majority of the members that
-// stay, and what the member holds from then on does not count. A leader that is told to stop hands over first, and then leaves as a
-// follower. How long to wait at most is the caller's decision.
+// A planned departure is the stop of a member's process that was announced: it comes back later with its disk, or not at all. Raft allows a
+// member to stop at any moment, but until it is back the loss of one more disk could lose the last copy of an acknowledged entry. So
+// the member sends LeaveRequest to the leader until the leader answers LeaveGranted: everything committed is then on the disks of a
+// majority of the members that stay, and whatever the member acknowledges later does not count. A leader that is to stop transfers
+// leadership first, and then leaves as a follower. The caller decides how long to wait at most.
 
-// leaveState is what a member that is told to stop keeps.
+// leaveState is the state of a member's own planned departure.
 type leaveState struct {
-	requested   bool          // it was told to stop
+	requested   bool          // BeginLeave was called
 	granted     bool          // the leader has answered LeaveGranted
-	requestedAt time.Duration // when it last asked the leader, or had another take over; 0: never
+	requestedAt time.Duration // when this member last sent LeaveRequest or transferred leadership; 0: never
 }
 
-// BeginLeave tells this member that it is going to stop. It goes on as before until MayLeave.
+// BeginLeave begins a planned departure. The member goes on as before until MayLeave.
 func (r *Raft) BeginLeave(now time.Duration) {
 	r.advanceTime(now)
 	r.leave.requested = true
 	r.advanceLeave()
 }
 
-// MayLeave reports whether a member that was told to stop holds nothing that is not on the disks of a majority of those that stay; or
-// that nobody can tell: it is no voter, all others leave as well, or the leader's protocol version knows no departures.
+// MayLeave reports whether the process of a member that leaves may stop: everything that it holds is on the disks of a majority of the
+// members that stay. It is also true where there is nothing to wait for, because the member is not a voter, all others leave as well,
+// or the leader's protocol version has no planned departures.
 func (r *Raft) MayLeave() bool {
 	if !r.leave.requested {
 		return false
@@ -45,16 +46,16 @@
 	return r.role == follower && r.leaderID != 0 && r.followed.protocolVersion < 1
 }
 
-// advanceLeave asks the leader for leave, or has another lead.
+// advanceLeave sends LeaveRequest to the leader, or transfers leadership if this member leads.
 func (r *Raft) advanceLeave() {
 	if r.leave.requestedAt > 0 && r.now-r.leave.requestedAt < r.config.ElectionTimeout/8 {
 		return
 	}
 	switch {
 	case r.role == leader && r.log.configuration.Index > r.log.committed:
-		// One that takes over now may not know of the change.
+		// A member that took over now might not know of the configuration change.
 	case r.role == leader && r.isReplacementReady(r.config.Self.ID):
-		r.maintainMembership() // it hands over once it is no member any more
+		r.maintainMembership() // leadership is transferred once this member is replaced
 	case r.role == leader:
 		if target := r.transferTarget(); target != nil && target.match >= r.log.committed && !r.isTransferringLeadership() {
 			r.leave.requestedAt = max(r.now, 1)
@@ -66,13 +67,13 @@
 	}
 }
 
-// isTransferringLeadership reports whether a leader that is told to stop has lately asked another to take over: what it appended now
-// would be lost.
+// isTransferringLeadership reports whether a leader that leaves has lately sent TimeoutNow. Entries that it appended now would probably be
+// lost.
 func (r *Raft) isTransferringLeadership() bool {
 	return r.leave.requested && r.role == leader && r.leave.requestedAt > 0 && r.now-r.leave.requestedAt < r.config.ElectionTimeout/2
 }
 
-// areAllVotersLeaving reports whether all voters are told to stop, as far as the leader knows: there is nobody to wait for.
+// areAllVotersLeaving reports whether all voters leave, as far as the leader knows, so that there is nobody to wait for.
 func (r *Raft) areAllVotersLeaving() bool {
 	return !slices.ContainsFunc(r.log.configuration.voters(), func(member Member) bool {
 		if member.ID == r.config.Self.ID {
@@ -83,7 +84,7 @@
 	})
 }
 
-// handleLeaveRequest takes note that a member is told to stop.
+// handleLeaveRequest records that a member leaves.
 func (r *Raft) handleLeaveRequest(m Message) {
 	p := r.peers.get(m.From)
 	if r.role != leader || p == nil {
@@ -91,12 +92,12 @@
 	}
 	p.recordContact(r.now, m)
 	if !p.isLeavingSince(r.now - r.config.ElectionTimeout/2) {
-		r.broadcastHeartbeat() // who answers this round has not lost its disk before
+		r.broadcastHeartbeat() // a member that answers this round still has its disk
 		p.leaveRound = r.leading.heartbeatRound
 	}
 	p.leavingAt = max(r.now, 1)
 	if p.leaveGranted {
-		r.sendLeaveGranted(p) // the answer was lost
+		r.sendLeaveGranted(p) // the first one was lost
 	}
 	r.grantLeaves()
 }
@@ -105,8 +106,8 @@
 	r.leave.granted = r.leave.granted || r.leave.requested && m.From == r.leaderID
 }
 
-// grantLeaves answers the members that are told to stop, once nothing rests on them. From then on nothing that they acknowledge
-// counts, nor what they have acknowledged beyond the commit index: nobody has checked that it is held by others.
+// grantLeaves answers the members that leave, once nothing depends on them. From then on nothing that they acknowledge counts, and neither
+// does what they have acknowledged beyond the commit index, since nobody has checked that others hold it.
 func (r *Raft) grantLeaves() {
 	if r.role != leader || !r.hasCommittedOwnTerm() {
 		return
@@ -119,28 +120,28 @@
 	}
 }
 
-// mayGrantLeave reports whether nothing rests on a member that goes: neither what is committed nor a change of the membership.
+// mayGrantLeave reports whether nothing depends on a member that leaves: neither a committed entry nor a configuration change.
 func (r *Raft) mayGrantLeave(p *progress) bool {
 	return r.log.isConfigurationCommitted() && !r.isReplacementReady(p.ID) && r.isCommittedWithout(p)
 }
 
-// isLeavingSince reports whether a member has said since an instant that it is told to stop, and was not granted leave yet.
+// isLeavingSince reports whether a member has sent LeaveRequest since an instant, and was not granted leave yet.
 func (p *progress) isLeavingSince(since time.Duration) bool {
 	return p.leavingAt > 0 && p.leavingAt > since && !p.leaveGranted
 }
 
-// recordReturn takes note that a member that was granted leave has started again: what answers a round of heartbeats that began after
-// its LeaveRequest, and does not say that it is leaving, is from its next process. An answer of the former process that was under way
-// must not count.
+// recordReturn records that a member that was granted leave has started again. A response to a round of heartbeats that began after its
+// LeaveRequest, and that does not say that the member is leaving, is from its new process. Other responses may be from the former
+// process, still in flight, and must not count.
 func (p *progress) recordReturn(m Message) {
 	if p.leaveGranted && !m.Leaving && m.HeartbeatRound >= p.leaveRound {
 		p.leaveGranted, p.leavingAt = false, 0
 	}
 }
 
-// isCommittedWithout reports whether what is committed is held by a majority of the voters without one that goes, and whether these
-// were heard since it said so. One that was granted leave before has to be back: else a restart of all, one after the other, would
-// leave a single copy.
+// isCommittedWithout reports whether everything committed is held by a majority of the voters other than one that leaves, and whether that
+// majority was heard since its LeaveRequest. A voter that was granted leave before does not count until it is back: otherwise
+// restarting all members one after the other could leave a single copy.
 func (r *Raft) isCommittedWithout(leaving *progress) bool {
 	holds := func(id ID) bool {
 		if r.matchIndex(id) < r.log.committed {
@@ -159,7 +160,7 @@
 	return isHeldBy(r.log.configuration.Members) && isHeldBy(r.log.configuration.Outgoing)
 }
 
-// isLeaving reports whether a member is told to stop and was not granted leave yet, as far as the leader knows.
+// isLeaving reports whether a member leaves and was not granted that yet, as far as the leader knows.
 func (r *Raft) isLeaving(id ID) bool {
 	if id == r.config.Self.ID {
 		return r.leave.requested
@@ -168,8 +169,8 @@
 	return p != nil && p.isLeavingSince(r.now-r.config.ElectionTimeout/2)
 }
 
-// isReplacementReady reports whether a learner that has caught up is to take the place of a member that goes, or is just taking it.
-// That member may go only once it is replaced: with its vote gone as well, the loss of one more disk would leave no majority for good.
+// isReplacementReady reports whether a learner that has caught up is about to replace a member that leaves, or is just doing so. That member
+// may only stop once it is replaced: without its vote, the loss of one more disk could leave no majority for good.
 func (r *Raft) isReplacementReady(leaving ID) bool {
 	configuration := r.log.configuration
 	if configuration.isJoint() {
--- a/internal/mesh/raft/log.go
+++ b/internal/mesh/raft/log.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Bounds of the entries that are kept in front of a snapshot, so that a follower that was away for a short time needs no snapshot.
+// Bounds of the entries that are kept before a snapshot, so that a follower that was away for a short time needs no snapshot.
 const (
 	DefaultCatchUpEntries = 4096
 	maxCatchUpBytes       = 4 << 20
-	entryOverhead         = 64 // bytes that an entry takes beside its data, about
+	entryOverhead         = 64 // bytes that an entry takes besides its data, approximately
 )
 
-// raftLog is a member's log: its entries, the snapshot that stands for those before them, what of it is on disk, committed and
-// applied, and the latest configuration in it.
+// raftLog is a member's log: its entries, the snapshot that replaces those before them, up to where they are on disk, committed and applied,
+// and the latest configuration in them.
 type raftLog struct {
 	start    position // of the last entry before entries
-	entries  []Entry  // without a gap; the first ones may be in front of the snapshot
+	entries  []Entry  // without a gap; the first ones may be before the end of the snapshot
 	snapshot Snapshot
 
 	savedIndex         uint64 // on disk up to here
 	committed, applied uint64
 	configuration      Configuration // the latest in the log, committed or not
 
-	firstUnsavedIndex uint64 // entries from here on are to be written; 0: none
-	snapshotUnsaved   bool   // the snapshot was received and is to be written
+	firstUnsavedIndex uint64 // entries from here on have to be written; 0: none
+	snapshotUnsaved   bool   // the snapshot was received and has to be written
 }
 
-// newRaftLog returns the log that a disk holds: a snapshot, the entries behind it, and entries in front of it.
+// newRaftLog returns the log that a disk holds: a snapshot, the entries after it, and catch-up entries before its end.
 func newRaftLog(snapshot Snapshot, entries, catchUp []Entry) raftLog {
 	l := raftLog{
 		start:     position{snapshot.Index, snapshot.Term},
@@ -42,7 +42,7 @@
 	return l
 }
 
-// restoreCatchUpEntries puts entries in front of the snapshot, if they lead up to it. Of the oldest only the position is kept.
+// restoreCatchUpEntries adds catch-up entries, if they end where the snapshot does. Of the oldest only the position is kept, as the start.
 func (l *raftLog) restoreCatchUpEntries(catchUp []Entry) {
 	n := len(catchUp)
 	if n == 0 || catchUp[n-1].Index != l.snapshot.Index || catchUp[n-1].Term != l.snapshot.Term {
@@ -56,10 +56,10 @@
 
 func (l *raftLog) entriesSinceSnapshot() int { return int(l.lastIndex() - l.snapshot.Index) }
 
-// entriesFrom are the entries from an index on, which must be behind start.
+// entriesFrom returns the entries from an index on, which must be after start.
 func (l *raftLog) entriesFrom(index uint64) []Entry { return l.entries[index-l.start.index-1:] }
 
-// termAt is the term of the entry at an index; false: the log does not reach there.
+// termAt returns the term of the entry at an index. known is false if the log does not hold it.
 func (l *raftLog) termAt(index uint64) (term uint64, known bool) {
 	switch {
 	case index == l.start.index:
@@ -87,7 +87,7 @@
 	return last.term > l.lastTerm() || last.term == l.lastTerm() && last.index >= l.lastIndex()
 }
 
-// append puts entries at the log's end and follows the configurations in them.
+// append adds entries at the end of the log, and adopts the latest configuration among them.
 func (l *raftLog) append(entries ...Entry) {
 	l.entries = append(l.entries, entries...)
 	l.markUnsaved(entries[0].Index)
@@ -98,8 +98,8 @@
 	}
 }
 
-// merge puts the leader's entries into the log, whose entry in front of them agrees with the leader's. Only an entry that conflicts
-// with one of them cuts the log off there: a late message must not remove entries that were acknowledged since it was sent (Raft
+// merge adds the leader's entries to the log, which must agree with the leader's at the entry before them. The log is only truncated at an
+// entry that conflicts with one of them: a delayed message must not remove entries that were acknowledged since it was sent (Raft
 // paper, section 5.3).
 func (l *raftLog) merge(entries []Entry) {
 	for i, entry := range entries {
@@ -130,7 +130,7 @@
 	}
 }
 
-// takeUnsaved returns the entries that are to be written since the last call.
+// takeUnsaved returns the entries that have to be written since the last call.
 func (l *raftLog) takeUnsaved() []Entry {
 	if l.firstUnsavedIndex == 0 {
 		return nil
@@ -140,7 +140,7 @@
 	return entries
 }
 
-// takeUnsavedSnapshot returns a received snapshot that is to be written since the last call; nil: there is none.
+// takeUnsavedSnapshot returns the snapshot that was received since the last call and has to be written; nil: none was.
 func (l *raftLog) takeUnsavedSnapshot() *Snapshot {
 	if !l.snapshotUnsaved {
 		return nil
@@ -161,9 +161,9 @@
 	return entries
 }
 
-// rejectHint is the highest index at which the log may agree with a leader's whose entry at an index it lacks or has of another
-// term. All entries of that other term are skipped: they are from a leader that lost its term, and one attempt per entry would take
-// a heartbeat interval each (Raft paper, section 5.3). What is committed agrees.
+// rejectHint returns the highest index at which the log may agree with the leader's, given an index at which it does not: the entry is missing
+// or of another term. All entries of that other term are skipped, since they are from a former leader and trying them one by one would
+// take a heartbeat interval each (Raft paper, section 5.3). Committed entries always agree.
 func (l *raftLog) rejectHint(index uint64) uint64 {
 	hint := min(index-1, l.lastIndex())
 	conflicting, known := l.termAt(index)
@@ -182,7 +182,7 @@
 // refreshConfiguration looks for the latest configuration in the log.
 func (l *raftLog) refreshConfiguration() { l.configuration = l.configurationAt(l.lastIndex()) }
 
-// configurationAt is the configuration as of an index, which must not be before the snapshot's.
+// configurationAt returns the latest configuration up to an index, which must not be before the end of the snapshot.
 func (l *raftLog) configurationAt(index uint64) Configuration {
 	for _, entry := range slices.Backward(l.entries[:index-l.start.index]) {
 		if entry.Index <= l.snapshot.Index {
@@ -195,14 +195,14 @@
 	return l.snapshot.configuration()
 }
 
-// isConfigurationCommitted reports whether the latest configuration is committed and no joint one, so that no change is under way as
-// far as this member knows.
+// isConfigurationCommitted reports whether the latest configuration is committed and not joint, so that no change is in progress as far as
+// this member knows.
 func (l *raftLog) isConfigurationCommitted() bool {
 	return l.configuration.Index <= l.committed && !l.configuration.isJoint()
 }
 
-// restore replaces the log up to a received snapshot, which is ahead of what is committed. Entries behind it are kept only if the
-// log has the snapshot's last entry, for only then do they follow it.
+// restore replaces the log up to the end of a received snapshot, which must be ahead of the commit index. Later entries are kept only if the
+// log holds the snapshot's last entry, since only then do they follow it.
 func (l *raftLog) restore(snapshot Snapshot) {
 	if term, known := l.termAt(snapshot.Index); known && term == snapshot.Term {
 		l.entries = slices.Clone(l.entriesFrom(snapshot.Index + 1))
@@ -220,8 +220,8 @@
 	l.refreshConfiguration()
 }
 
-// compact has data, the replicated state as of an applied index, replace the log up to there. Entries from keepFrom on, which is not
-// behind the index, stay in front of the snapshot.
+// compact replaces the log up to an applied index by a snapshot with data, the state machine at that index. Entries after keepFrom, which
+// must not be after the index, stay as catch-up entries.
 func (l *raftLog) compact(index uint64, data []byte, keepFrom uint64) {
 	entry, configuration := l.entriesFrom(index)[0], l.configurationAt(index)
 	l.snapshot = Snapshot{
@@ -239,7 +239,7 @@
 	l.start = position{keepFrom, term}
 }
 
-// entryBytes is what an entry counts for where bytes are bounded.
+// entryBytes returns the size of an entry as the bounds of this package count it.
 func entryBytes(entry Entry) int { return len(entry.Data) + entryOverhead }
 
 func sizeOf(entries []Entry) (bytes int) {
--- a/internal/mesh/raft/membership.go
+++ b/internal/mesh/raft/membership.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// maintainMembership makes the next change of the membership, if one is due: one at a time.
+// maintainMembership starts the next configuration change if one is due. There is one change at a time.
 func (r *Raft) maintainMembership() {
 	r.peers = slices.DeleteFunc(r.peers, func(p *progress) bool {
 		return !r.log.configuration.isVoter(p.ID) && r.now-p.heardAt > 4*r.config.DeadMemberTimeout
@@ -17,15 +17,15 @@
 	}
 }
 
-// mayChangeMembership reports whether a change may begin. An entry of the leader's own term has to be committed: until then the
-// configuration that it counts by may be one that another leader's majority has replaced (Ongaro's correction of single-server
-// changes, raft-dev mailing list, July 2015).
+// mayChangeMembership reports whether a change may begin. An entry of the leader's own term has to be committed first: until then a majority
+// of another leader may have replaced the configuration that this leader uses (Ongaro's correction of single-server changes, raft-dev
+// mailing list, July 2015).
 func (r *Raft) mayChangeMembership() bool {
 	return r.hasCommittedOwnTerm() && r.log.isConfigurationCommitted()
 }
 
-// raiseProtocolVersion has the log state what all members speak once each has said so, so that it is known also of those that are
-// silent later. It takes one entry in a cluster's life for each version.
+// raiseProtocolVersion records in the log the protocol version that all members speak, once each has announced it, so that it is known also of
+// members that are silent later. It needs one entry per version over the lifetime of a cluster.
 func (r *Raft) raiseProtocolVersion() bool {
 	common := r.protocolVersion()
 	for _, member := range r.log.configuration.Members {
@@ -42,11 +42,11 @@
 		r.proposeConfiguration(Configuration{Members: r.log.configuration.Members, ProtocolVersion: common})
 }
 
-// noMember is the place of a member that there is not.
+// noMember is the position of a member that does not exist.
 const noMember = -1
 
-// admitLearner gives a learner the place of a lost member, or a free one, and reports whether a change was proposed. The learner has
-// to catch up first, so that the loss of another disk meanwhile leaves a majority that can commit (dissertation, section 4.2.1).
+// admitLearner proposes to make a learner a voter, in place of a lost member or in addition, and reports whether it did. The learner has to
+// catch up first, so that the loss of another disk meanwhile leaves a majority that can commit (dissertation, section 4.2.1).
 func (r *Raft) admitLearner(p *progress) bool {
 	members := slices.Clone(r.log.configuration.Members)
 	replaced, isFree := r.replaceableMember(p)
@@ -70,9 +70,9 @@
 	return r.proposeConfiguration(Configuration{Members: members, Outgoing: r.log.configuration.Members, ProtocolVersion: version})
 }
 
-// replaceableMember is the place of the member that a learner may replace: one at the learner's own address, for it came back
-// without its disk; else, where there are as many as there should be, one that was silent for long or is going to stop. isFree: there
-// is room for one more instead.
+// replaceableMember returns the position of the member that a learner may replace. That is the one at the learner's own address, which has
+// come back without its disk; or else, if the cluster has its full size, one that has been silent for long or that leaves. isFree says
+// that the cluster is smaller than it should be, so that the learner replaces nobody.
 func (r *Raft) replaceableMember(p *progress) (place int, isFree bool) {
 	self := r.config.Self.ID
 	members := r.log.configuration.Members
@@ -97,7 +97,7 @@
 	return p.match > 0 && p.match >= r.leading.committedAtHeartbeat
 }
 
-// protocolVersionWith is what a learner and all members but the one at a place speak, as far as it is known.
+// protocolVersionWith returns the version that a learner and all members but the one at a position speak, as far as is known.
 func (r *Raft) protocolVersionWith(p *progress, without int) uint32 {
 	common := min(r.protocolVersion(), p.protocolVersion)
 	for i, member := range r.log.configuration.Members {
@@ -108,7 +108,7 @@
 	return common
 }
 
-// protocolVersionOf is what a member speaks: what it said to this leader, or else what the log states of all.
+// protocolVersionOf returns the version that a member speaks: what it announced to this leader, or else what the log records for all.
 func (r *Raft) protocolVersionOf(id ID) uint32 {
 	if p := r.peers.get(id); p != nil && p.hasAnswered {
 		return p.protocolVersion
@@ -116,7 +116,7 @@
 	return r.log.configuration.ProtocolVersion
 }
 
-// proposeConfiguration appends a configuration if a quorum of it is there to commit it, and reports whether it did.
+// proposeConfiguration appends a configuration if a quorum of it is active and can commit it, and reports whether it did.
 func (r *Raft) proposeConfiguration(to Configuration) bool {
 	if !to.hasQuorum(r.IsRecentlyActive) {
 		return false
@@ -135,8 +135,8 @@
 	r.Flush()
 }
 
-// continueConfigurationChange goes on with a change whose entry is committed. Behind a joint configuration comes the one of the new
-// members alone; a leader that is no member of that hands over and steps down (Raft paper, section 6).
+// continueConfigurationChange continues a change whose entry is committed. A joint configuration is followed by that of the new members
+// alone. A leader that is not among them transfers leadership and steps down (Raft paper, section 6).
 func (r *Raft) continueConfigurationChange() {
 	configuration := r.log.configuration
 	if configuration.Index > r.log.committed || !r.hasCommittedOwnTerm() {
--- a/internal/mesh/raft/message.go
+++ b/internal/mesh/raft/message.go
@@ -7,12 +7,12 @@
 // lastVersion0Kind is the last kind of message that protocol version 0 knows.
 const lastVersion0Kind = TimeoutNow
 
-// MessageKind says what a message is. Its values are sent.
+// MessageKind is what a message says. Its values are sent.
 type MessageKind uint8
 
 // Kinds of messages.
 const (
-	AppendEntries         MessageKind = iota // Entries behind the entry at Index of LogTerm; without Entries a heartbeat
+	AppendEntries         MessageKind = iota // Entries that follow the entry at Index of LogTerm; without Entries a heartbeat
 	AppendResponse                           // Index: the logs agree up to there; Reject: they do not, and Hint says where they may
 	PreVote                                  // asks: would you vote for me in Term? The log ends at Index, LogTerm
 	PreVoteResponse                          // Reject: no
@@ -45,7 +45,7 @@
 	SnapshotChunkResponse: "snapshot chunk response",
 }
 
-// String is the kind's name.
+// String returns the kind's name.
 func (k MessageKind) String() string {
 	if int(k) < len(messageKindNames) {
 		return messageKindNames[k]
@@ -53,7 +53,7 @@
 	return "unknown message kind"
 }
 
-// Message goes between members. To is the ID that it is meant for: another member that has come to that address ignores it.
+// Message is sent between members. To is the ID of the receiver; another member that now listens at its address ignores the message.
 type Message struct {
 	Kind               MessageKind
 	From, To           ID
@@ -71,9 +71,9 @@
 	ProtocolVersion    uint32 // that the sender speaks; Ready sets it
 	Offset, TotalBytes uint64 // of a SnapshotChunk, in the snapshot's data
 	Checksum           uint32 // of a SnapshotChunk: CRC-32C of all of the snapshot's data
-	Leaving            bool   // the sender is going to stop; Ready sets it
+	Leaving            bool   // the sender is in a planned departure; Ready sets it
 }
 
-// leadershipTransferHint is the Hint of a RequestVote that the leader itself asked for: those who hear the leader vote all the same
-// (dissertation, section 4.2.3).
+// leadershipTransferHint is the Hint of a RequestVote that the leader asked for by TimeoutNow. Members vote for it although they hear the
+// leader (dissertation, section 4.2.3).
 const leadershipTransferHint = 1
--- a/internal/mesh/raft/progress.go
+++ b/internal/mesh/raft/progress.go
@@ -10,26 +10,26 @@
 type progress struct {
 	Member
 
-	match uint64 // the peer's log agrees with the leader's up to here, on disk
+	match uint64 // up to here the peer's log agrees with the leader's and is on the peer's disk
 	next  uint64 // the next entry to send
 
 	heardAt         time.Duration
-	hasAnswered     bool   // it has said something to this leader, so protocolVersion is known
+	hasAnswered     bool   // it has sent something to this leader, so protocolVersion is known
 	protocolVersion uint32 // that it speaks
 	answeredRound   uint64 // latest round of heartbeats that it has answered
 	isVoter         bool   // of the latest configuration
-	isJoining       bool   // a learner that has asked to join; one that was removed has to ask anew
+	isJoining       bool   // a learner that has asked to join; a removed voter has to ask again
 
-	inflight []inflightAppend // messages with entries that it has not acknowledged
-	paused   bool             // no more is sent until it answers or a heartbeat is due
+	inflight []inflightAppend // messages with entries that the peer has not acknowledged
+	paused   bool             // no more is sent until the peer answers or a heartbeat is due
 
 	transfer            *snapshotTransfer // of a snapshot in chunks; nil: none
 	wholeSnapshotSentAt time.Duration     // of a snapshot in one message; 0: none
 
-	// Of a member that is going to stop; see leave.go.
-	leavingAt    time.Duration // when it last said so; 0: it has not
-	leaveRound   uint64        // round of heartbeats that began when it first said so
-	leaveGranted bool          // it was told that it may stop: what it holds from then on does not count
+	// Of a member in a planned departure; see leave.go.
+	leavingAt    time.Duration // when its last LeaveRequest came; 0: none did
+	leaveRound   uint64        // round of heartbeats that began with its first LeaveRequest
+	leaveGranted bool          // it was sent LeaveGranted: what it acknowledges from then on does not count
 }
 
 // inflightAppend is one message with entries that is not acknowledged yet.
@@ -38,7 +38,7 @@
 	bytes     int
 }
 
-// recordContact takes note that the peer has said something.
+// recordContact records that a message of the peer came.
 func (p *progress) recordContact(now time.Duration, m Message) {
 	p.heardAt, p.hasAnswered, p.protocolVersion = now, true, m.ProtocolVersion
 }
@@ -52,7 +52,7 @@
 	return bytes >= maxInflightBytes
 }
 
-// acknowledge takes note of up to where the peer has the log. Of one that was granted leave nothing new counts: it may stop at any
+// acknowledge records up to which index the peer has the log. Nothing new counts of a peer that was granted leave, since it may stop at any
 // moment.
 func (p *progress) acknowledge(index uint64) {
 	if !p.leaveGranted {
@@ -64,8 +64,7 @@
 	}
 }
 
-// progressTracker is a leader's progress records in ascending order of ID, so that whatever is done for each of them is done in the
-// same order when the same events are replayed.
+// progressTracker holds a leader's progress records in ascending order of ID, so that the same events always handle them in the same order.
 type progressTracker []*progress
 
 func (t progressTracker) find(id ID) (at int, found bool) {
@@ -80,7 +79,7 @@
 	return nil
 }
 
-// heardAfter reports whether a peer was heard later than an instant.
+// heardAfter reports whether a message of a peer came after an instant.
 func (t progressTracker) heardAfter(id ID, instant time.Duration) bool {
 	p := t.get(id)
 	return p != nil && p.heardAt > instant
@@ -92,9 +91,9 @@
 	*t = slices.Insert(*t, at, p)
 }
 
-// trackVoters has a leader keep a record of each other voter of the latest configuration. A removed one learns from the log that it
-// is none any more, while it hears the leader. If it asks to join again it has to show anew what it holds: its disk may be what was
-// lost.
+// trackVoters adds a progress record for each other voter of the latest configuration. The record of a removed voter is kept while it is heard,
+// so that it learns of its removal from the log. If it asks to join again it has to acknowledge its log again, since it may have been
+// removed because its disk was lost.
 func (r *Raft) trackVoters() {
 	for _, p := range r.peers {
 		isVoter := r.log.configuration.isVoter(p.ID)
--- a/internal/mesh/raft/raft.go
+++ b/internal/mesh/raft/raft.go
@@ -7,13 +7,14 @@
 // consensus (4.3). Snapshots go in chunks (Raft paper, section 7). What is not from there is a planned departure, which leave.go
 // describes.
 //
-// The package owns the state of one member: its term and vote, its log, the progress of its peers. It is a pure state machine, like
-// etcd's: messages and the time go in through Step, Tick and the calls of Raft; what is to be written, sent and applied comes out of
-// Ready. It must never do I/O, read a clock, start a goroutine, log or use global state: the same calls give the same output.
+// The package owns the state of one member: its term and vote, its log, and the progress of its peers. It is a pure state machine, like
+// etcd's: messages and the time go in through Step, Tick and the other methods of Raft; what the caller has to write, send and apply
+// comes out of Ready. It must never do I/O, read a clock, start a goroutine, log or use global state: the same calls give the same
+// output.
 //
-// A member is identified by an ID that its disk holds, not by its address: one that lost its disk has another ID. It starts as a
-// learner, which does not count for any majority, until it has caught up. A joint configuration change then gives it the place of
-// the ID that was lost, so the votes and acknowledgements of the lost disk are never needed again.
+// A member is identified by an ID that is stored on its disk, not by its address: a member that has lost its disk comes back with
+// another ID. It starts as a learner, which does not count towards any majority, until it has caught up. A joint configuration change
+// then replaces the lost ID by the new one, so that the votes and acknowledgements of the lost disk are never needed again.
 package raft
 
 import (
@@ -32,7 +33,7 @@
 	Addr string
 }
 
-// HardState must be on disk before any message that rests on it is sent (Raft paper, figure 2: persistent state).
+// HardState must be on disk before any message that depends on it is sent (Raft paper, figure 2: persistent state).
 type HardState struct {
 	Term uint64
 	Vote ID // given in Term; 0: none
@@ -43,18 +44,18 @@
 	Self      Member
 	HardState HardState
 	Snapshot  Snapshot
-	// Entries of the log behind Snapshot.Index, without a gap.
+	// Entries is the log after Snapshot.Index, without a gap.
 	Entries []Entry
-	// CatchUpEntries of the log up to Snapshot.Index, without a gap: kept for followers that lag.
+	// CatchUpEntries is the end of the log up to Snapshot.Index, without a gap. It is kept for followers that lag.
 	CatchUpEntries []Entry
-	// MaxCatchUpEntries to keep in front of a snapshot at a compaction; DefaultCatchUpEntries as a rule.
+	// MaxCatchUpEntries is how many entries before a snapshot a compaction keeps. DefaultCatchUpEntries suits most uses.
 	MaxCatchUpEntries  int
-	SnapshotChunkBytes int // in one message; 0: 32 KiB
-	ClusterSize        int // number of voters that there should be
+	SnapshotChunkBytes int // of data in one message; 0: 32 KiB
+	ClusterSize        int // number of voters that the cluster should have
 	HeartbeatInterval  time.Duration
-	// ElectionTimeout is the least silence of a leader after which another is elected. Followers wait for up to twice that.
+	// ElectionTimeout is how long a leader has to be silent, at least, before another is elected. Followers wait for up to twice that.
 	ElectionTimeout time.Duration
-	// DeadMemberTimeout is the silence after which a learner may take a voter's place.
+	// DeadMemberTimeout is how long a voter has to be silent before a learner may replace it.
 	DeadMemberTimeout time.Duration
 	Seed              uint64 // of the random part of election timeouts
 	// legacyProtocol has this member speak protocol version 0. Tests of mixed versions set it.
@@ -66,12 +67,12 @@
 
 const (
 	follower     role = iota
-	preCandidate      // asks whether it would be elected (dissertation, section 9.6)
+	preCandidate      // has asked whether it would be elected (dissertation, section 9.6)
 	candidate
 	leader
 )
 
-// String is the role's name.
+// String returns the role's name.
 func (r role) String() string {
 	switch r {
 	case follower:
@@ -88,7 +89,8 @@
 
 // Raft is the state machine of one member. It belongs to one goroutine.
 //
-// All times are durations since an instant that the caller chooses. They must not go back; where one does, the latest counts.
+// All times are durations since an instant that the caller chooses. They should not go back; if one does, the latest time before it is
+// used instead.
 type Raft struct {
 	config   Config
 	rng      *rand.Rand
@@ -99,7 +101,7 @@
 	leaderID ID // as far as is known; 0: none
 	log      raftLog
 
-	electionDeadline time.Duration // until which silence of the leader is borne
+	electionDeadline time.Duration // when to campaign unless the leader is heard before
 	votes            map[ID]bool   // granted to this member, as pre-candidate or candidate
 
 	followed leaderContact
@@ -118,7 +120,7 @@
 // leaderContact is what a follower knows of the leader that it follows.
 type leaderContact struct {
 	heardAt         time.Duration
-	caughtUpAt      time.Duration // when all that the leader had committed was committed here; 0: never since the start
+	caughtUpAt      time.Duration // when this member had last committed all that the leader had; 0: never since the start
 	protocolVersion uint32        // that the leader speaks
 }
 
@@ -126,15 +128,15 @@
 type leaderState struct {
 	electedAt            time.Duration
 	logTimeAtElection    time.Duration
-	heartbeatRound       uint64 // number of the latest round of heartbeats; it goes on over terms
+	heartbeatRound       uint64 // number of the latest round of heartbeats; a new term does not reset it
 	nextHeartbeatAt      time.Duration
 	committedAtHeartbeat uint64 // commit index at the last regular heartbeat
 }
 
-// randomStream tells this package's random numbers from others that are drawn from the same seed.
+// randomStream is the PCG stream of this package, so that others may draw from the same seed independently.
 const randomStream = 0xc0de
 
-// New returns a member that continues from what its disk holds.
+// New returns a member in the state that its disk holds.
 func New(config Config, now time.Duration) *Raft {
 	r := &Raft{
 		config: config,
@@ -144,48 +146,48 @@
 		vote:   config.HardState.Vote,
 		log:    newRaftLog(config.Snapshot, config.Entries, config.CatchUpEntries),
 	}
-	// A member that has just started asks for pre-votes early: where there is a leader the others refuse, and where there is none
-	// the cluster should not wait.
+	// A member that has just started asks for pre-votes early. If there is a leader the others reject them, which does no harm; if there
+	// is none the cluster should not wait.
 	r.electionDeadline = now + config.ElectionTimeout/8 + r.randomBelow(config.ElectionTimeout/4)
 	return r
 }
 
-// BootstrapSnapshot is the first snapshot of a cluster that these members found. All of them must start with the same.
+// BootstrapSnapshot returns the first snapshot of a cluster that these members bootstrap. All of them must start with the same one.
 func BootstrapSnapshot(members []Member) Snapshot {
 	members = slices.Clone(members)
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Addr, b.Addr) })
 	return Snapshot{Index: 1, Term: 1, ConfigurationIndex: 1, Members: members}
 }
 
-// Leader is the leader as far as this member knows; 0: none.
+// Leader returns the leader as far as this member knows; 0: none.
 func (r *Raft) Leader() ID { return r.leaderID }
 
-// IsLeader reports whether this member leads its term. A leader that was cut off may not know yet that another leads a later one:
-// what must be up to date takes ReadIndex.
+// IsLeader reports whether this member leads its term. A leader that is partitioned from the others may not know yet that another
+// leads a later term: reads that must be up to date need ReadIndex.
 func (r *Raft) IsLeader() bool { return r.role == leader }
 
-// Term is the present term.
+// Term returns the current term.
 func (r *Raft) Term() uint64 { return r.term }
 
-// AppliedIndex is the index of the last entry that Ready has handed out as committed.
+// AppliedIndex returns the index of the last entry that Ready has handed out as committed.
 func (r *Raft) AppliedIndex() uint64 { return r.log.applied }
 
-// LastIndex is the index of the log's last entry, on disk or not.
+// LastIndex returns the index of the log's last entry, on disk or not.
 func (r *Raft) LastIndex() uint64 { return r.log.lastIndex() }
 
-// EntriesSinceSnapshot is the number of entries that the log holds behind the latest snapshot.
+// EntriesSinceSnapshot returns the number of entries after the latest snapshot.
 func (r *Raft) EntriesSinceSnapshot() int { return r.log.entriesSinceSnapshot() }
 
-// OldestRetainedIndex is the index of the oldest entry that belongs on disk.
+// OldestRetainedIndex returns the index of the oldest entry that has to stay on disk.
 func (r *Raft) OldestRetainedIndex() uint64 { return r.log.start.index }
 
-// Members are the voters of the latest configuration in the log, without those that a joint change takes out, and the index of its
-// entry.
+// Members returns the voters of the latest configuration in the log, without those that a joint change removes, and the index of the
+// configuration's entry.
 func (r *Raft) Members() ([]Member, uint64) {
 	return r.log.configuration.Members, r.log.configuration.Index
 }
 
-// Addr is the address of a member; "": it is not known.
+// Addr returns the address of a member; "": it is not known.
 func (r *Raft) Addr(id ID) string {
 	if p := r.peers.get(id); p != nil && r.role == leader {
 		return p.Addr
@@ -200,8 +202,8 @@
 	return ""
 }
 
-// HasQuorumContact reports whether this member leads and is heard by a quorum, or hears the leader and has committed all that the
-// leader had. A member that hears the leader but lags must not serve others as a source.
+// HasQuorumContact reports whether this member leads and has heard a quorum lately, or follows a leader and has committed all that the
+// leader had. Clients must not read from a member that hears the leader but lags behind it.
 func (r *Raft) HasQuorumContact(now time.Duration) bool {
 	if r.role == leader {
 		return r.isQuorumActive(now, r.config.ElectionTimeout)
@@ -211,10 +213,10 @@
 		contact.caughtUpAt > 0 && now-contact.caughtUpAt < r.config.ElectionTimeout
 }
 
-// IsNonMember reports whether this member is no voter of the latest configuration in its log, so that it has to ask to join.
+// IsNonMember reports whether this member is not a voter in the latest configuration of its log, and so has to ask to join.
 func (r *Raft) IsNonMember() bool { return !r.log.configuration.isVoter(r.config.Self.ID) }
 
-// protocolVersion is the version that this member speaks.
+// protocolVersion returns the protocol version that this member speaks.
 func (r *Raft) protocolVersion() uint32 {
 	if r.config.legacyProtocol {
 		return 0
@@ -222,17 +224,17 @@
 	return ProtocolVersion
 }
 
-// isQuorumActive reports whether a quorum was heard in the span before now.
+// isQuorumActive reports whether a quorum, this member included, was heard from in the time span before now.
 func (r *Raft) isQuorumActive(now, span time.Duration) bool {
 	return r.log.configuration.hasQuorum(func(id ID) bool {
 		return id == r.config.Self.ID || r.peers.heardAfter(id, now-span)
 	})
 }
 
-// advanceTime takes the caller's time, which never goes back.
+// advanceTime sets the time, unless it would go back.
 func (r *Raft) advanceTime(now time.Duration) { r.now = max(r.now, now) }
 
-// randomBelow draws a duration from 0 up to, but not including, a limit.
+// randomBelow returns a random duration from 0 up to, but not including, a limit.
 func (r *Raft) randomBelow(limit time.Duration) time.Duration {
 	return time.Duration(r.rng.Int64N(int64(limit)))
 }
--- a/internal/mesh/raft/read_index.go
+++ b/internal/mesh/raft/read_index.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// ReadState is a read that was confirmed: the replicated state answers it once everything up to Index is applied. Index 0: the read
-// was not confirmed, and must be asked for anew.
+// ReadState is the result of a ReadIndex. The read may be served once everything up to Index is applied. Index 0 says that it was not
+// confirmed, so that the caller has to ask again.
 type ReadState struct{ RequestID, Index uint64 }
 
 // pendingRead waits until a quorum has answered a round of heartbeats.
 type pendingRead struct {
 	requestID uint64
-	index     uint64 // committed when the read was asked for
+	index     uint64 // the commit index when the read was requested
 	round     uint64
 }
 
 // readQueue holds a leader's pending reads in the order of their rounds.
 type readQueue []pendingRead
 
-// ReadIndex asks for a confirmed read, which Ready answers under this ID; false: this member does not lead, or does not know yet
-// what earlier leaders have committed, and the caller has to ask again later (dissertation, section 6.4).
+// ReadIndex requests a linearizable read. Ready returns its result as a ReadState with this request ID. It returns false if this member does
+// not lead, or does not know yet what earlier leaders have committed; the caller then has to ask again later (dissertation, section
+// 6.4).
 func (r *Raft) ReadIndex(now time.Duration, requestID uint64) bool {
 	r.advanceTime(now)
 	if r.role != leader || !r.hasCommittedOwnTerm() {
@@ -27,13 +28,14 @@
 		r.answerRead(ReadState{RequestID: requestID, Index: r.log.committed})
 		return true
 	}
-	// Answers to a round that began before the read was asked for would not show that no other member leads since.
+	// Responses to a round that began before the request would not show that no other member has become leader since.
 	r.broadcastHeartbeat()
 	r.reads = append(r.reads, pendingRead{requestID: requestID, index: r.log.committed, round: r.leading.heartbeatRound})
 	return true
 }
 
-// confirmReads answers the reads whose round of heartbeats a quorum has answered: this member still led when that round began.
+// confirmReads confirms the reads whose round of heartbeats a quorum has answered, which shows that this member still led when the round
+// began.
 func (r *Raft) confirmReads() {
 	for len(r.reads) > 0 {
 		read := r.reads[0]
@@ -49,7 +51,7 @@
 	}
 }
 
-// rejectReads answers all pending reads as not confirmed, for this member leads no more.
+// rejectReads answers all pending reads as not confirmed, because this member has stopped leading.
 func (r *Raft) rejectReads() {
 	for _, read := range r.reads {
 		r.answerRead(ReadState{RequestID: read.requestID})
--- a/internal/mesh/raft/replication.go
+++ b/internal/mesh/raft/replication.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Bounds of the entries that go with one message, and of those that are in flight to one peer, in bytes of their data; one entry goes
-// whatever its size. A heartbeat waits behind no more than maxInflightBytes.
+// Bounds of the entries in one message, and of those in flight to one peer, in bytes. A message may hold one entry of any size. A heartbeat
+// never waits behind more than maxInflightBytes.
 const (
 	maxEntriesPerMessage = 256
 	maxBytesPerMessage   = 32 << 10
 	maxInflightBytes     = 64 << 10
 )
 
-// Propose appends a command to the leader's log; ok: this member leads. The command is committed once Ready hands out the entry of
-// this index with this term, and is lost if it hands out another one there. Flush sends it.
+// Propose appends a command to the leader's log. ok is false if this member does not lead. The command is committed once Ready returns the
+// entry with this index and term among CommittedEntries, and lost if it returns one of another term at the index. Flush sends it.
 func (r *Raft) Propose(now time.Duration, data []byte) (index, term uint64, ok bool) {
 	r.advanceTime(now)
 	if r.role != leader || r.isTransferringLeadership() {
@@ -24,7 +24,7 @@
 	return entry.Index, entry.Term, true
 }
 
-// Flush sends what was proposed, so that several proposals go out together.
+// Flush sends what was proposed since the last call, so that several proposals are sent together.
 func (r *Raft) Flush() {
 	if r.role != leader {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// BroadcastCommit has the leader tell the others at once of what is committed, which goes with the next heartbeat otherwise.
+// BroadcastCommit sends the commit index to the others at once, rather than with the next regular heartbeat. It does nothing on a follower.
 func (r *Raft) BroadcastCommit(now time.Duration) {
 	r.advanceTime(now)
 	if r.role == leader {
@@ -44,7 +44,7 @@
 	}
 }
 
-// LogTime is the log's own time now, at the leader. It continues from the last entry of the leader before, so it never runs faster
+// LogTime returns the log's own time now, at the leader. It continues from the last entry of the previous leader, so it never runs faster
 // than real time.
 func (r *Raft) LogTime(now time.Duration) time.Duration {
 	r.advanceTime(now)
@@ -57,13 +57,13 @@
 	return r.role == leader && term == r.term
 }
 
-// IsRecentlyActive reports whether the leader heard a member in the last election timeout.
+// IsRecentlyActive reports whether the leader has heard from a member in the last election timeout.
 func (r *Raft) IsRecentlyActive(id ID) bool {
 	return id == r.config.Self.ID || r.peers.heardAfter(id, r.now-r.config.ElectionTimeout)
 }
 
-// TransferLeadership has the member that holds most of the log be elected, for this leader is about to stop (dissertation, section
-// 3.10). Nothing is lost if the message is: this member leads on.
+// TransferLeadership asks the member with the longest matching log to start an election, because this leader is about to stop (dissertation,
+// section 3.10). If the message is lost this member simply goes on leading.
 func (r *Raft) TransferLeadership(now time.Duration) {
 	r.advanceTime(now)
 	if r.role != leader {
@@ -74,7 +74,7 @@
 	}
 }
 
-// transferTarget is the member that holds most of the log, of those that are active and stay; nil: there is none.
+// transferTarget returns the member with the longest matching log among those that are active and do not leave; nil: there is none.
 func (r *Raft) transferTarget() (target *progress) {
 	for _, member := range r.log.configuration.Members {
 		p := r.peers.get(member.ID)
@@ -88,7 +88,7 @@
 	return target
 }
 
-// appendAsLeader puts an entry of the present term at the log's end.
+// appendAsLeader appends an entry of the current term.
 func (r *Raft) appendAsLeader(entry Entry) Entry {
 	entry.Index, entry.Term = r.log.lastIndex()+1, r.term
 	entry.LogTime = r.LogTime(r.now)
@@ -99,7 +99,7 @@
 	return entry
 }
 
-// broadcastHeartbeat begins a round of heartbeats: each peer is sent what it lacks, or at least that the leader is there.
+// broadcastHeartbeat begins a round of heartbeats: each peer is sent the entries that it lacks, or a message without any.
 func (r *Raft) broadcastHeartbeat() {
 	r.leading.heartbeatRound++
 	r.leading.nextHeartbeatAt = r.now + r.config.HeartbeatInterval
@@ -114,12 +114,12 @@
 	}
 }
 
-// sendHeartbeat tells a peer that needs a snapshot that the leader is there. It says nothing about the log.
+// sendHeartbeat sends a heartbeat without a log position to a peer that needs a snapshot.
 func (r *Raft) sendHeartbeat(p *progress) {
 	r.sendBeforeSave(Message{Kind: AppendEntries, To: p.ID, Term: r.term, Commit: r.log.committed, HeartbeatRound: r.leading.heartbeatRound})
 }
 
-// replicateTo sends a peer what it lacks, as far as more may be in flight.
+// replicateTo sends a peer what it lacks, within the bounds of what may be in flight.
 func (r *Raft) replicateTo(p *progress) {
 	if r.needsSnapshot(p) {
 		r.sendSnapshot(p)
@@ -128,8 +128,8 @@
 	}
 }
 
-// sendEntries sends entries, or none where enough are in flight. It does not wait for an answer before it sends the next ones: an
-// entry that was lost is noticed when those behind it are rejected (dissertation, section 10.2.2: pipelining).
+// sendEntries sends entries, or a heartbeat where enough are in flight. It does not wait for responses in between: the loss of an entry is
+// detected when those after it are rejected (dissertation, section 10.2.2: pipelining).
 func (r *Raft) sendEntries(p *progress) {
 	previous := p.next - 1
 	previousTerm, _ := r.log.termAt(previous)
@@ -153,7 +153,7 @@
 	r.sendBeforeSave(message)
 }
 
-// limitBatch is as many of the entries as go with one message.
+// limitBatch returns as many of the entries as may be sent in one message.
 func limitBatch(entries []Entry) []Entry {
 	n, bytes := 0, 0
 	for n < min(len(entries), maxEntriesPerMessage) {
@@ -165,7 +165,7 @@
 	return slices.Clone(entries[:n])
 }
 
-// handleAppendResponse takes note of what a peer has, and sends it what it lacks.
+// handleAppendResponse records what a peer has, and sends it what it lacks.
 func (r *Raft) handleAppendResponse(m Message) {
 	p := r.peers.get(m.From)
 	if r.role != leader || p == nil {
@@ -183,8 +183,8 @@
 	r.grantLeaves()
 }
 
-// handleRejection goes back to where a peer's log may agree, but not in front of what it has acknowledged. Only one attempt is made
-// until it is answered or a heartbeat is due: all that was in flight is rejected, too.
+// handleRejection goes back to where a peer's log may agree, but not before what it has acknowledged. Only one attempt is made until it is
+// answered or a heartbeat is due, since the peer will also reject everything that was in flight.
 func (r *Raft) handleRejection(p *progress, hint uint64) {
 	p.next = max(p.match+1, min(hint+1, r.log.lastIndex()+1))
 	p.inflight = nil
@@ -204,9 +204,9 @@
 	}
 }
 
-// advanceCommit commits what a quorum has on disk. Only an entry of the leader's own term is committed by counting, and those before
-// it with it: an entry of an earlier term may be held by a majority and yet be replaced by a leader that lacks it (Raft paper,
-// section 5.4.2).
+// advanceCommit commits what a quorum has on disk. Only entries of the leader's own term are committed by counting replicas, and all earlier
+// entries with them: an entry of an earlier term may be on a majority of disks and still be replaced by a leader that lacks it (Raft
+// paper, section 5.4.2).
 func (r *Raft) advanceCommit() {
 	for index := r.log.lastIndex(); index > r.log.committed; index-- {
 		if term, _ := r.log.termAt(index); term != r.term {
@@ -221,8 +221,8 @@
 	}
 }
 
-// matchIndex is up to where a voter has the leader's log on disk. The leader's own disk may lag behind its peers' (dissertation,
-// section 10.2.1).
+// matchIndex returns up to which index a voter has the leader's log on disk. The leader's own disk may lag behind those of its peers
+// (dissertation, section 10.2.1).
 func (r *Raft) matchIndex(id ID) uint64 {
 	if id == r.config.Self.ID {
 		return r.log.savedIndex
--- a/internal/mesh/raft/snapshot_receive.go
+++ b/internal/mesh/raft/snapshot_receive.go
@@ -2,7 +2,7 @@
 
 import "hash/crc32"
 
-// incomingSnapshot is a snapshot of which some chunks have come.
+// incomingSnapshot is a snapshot that is being received.
 type incomingSnapshot struct {
 	position   position
 	totalBytes uint64
@@ -16,7 +16,7 @@
 		s.totalBytes == m.TotalBytes && s.checksum == m.Checksum
 }
 
-// handleInstallSnapshot takes a snapshot in one message, unless what it stands for is committed here already.
+// handleInstallSnapshot installs a snapshot that came in one message, unless everything in it is committed here already.
 func (r *Raft) handleInstallSnapshot(m Message) {
 	if snapshot := m.Snapshot; snapshot != nil && snapshot.Index > r.log.committed && len(snapshot.Members) > 0 {
 		r.restoreSnapshot(*snapshot)
@@ -24,14 +24,14 @@
 	r.sendAfterSave(Message{Kind: AppendResponse, To: m.From, Term: r.term, Index: r.log.committed, HeartbeatRound: m.HeartbeatRound})
 }
 
-// handleSnapshotChunk takes a chunk, if it is the next one. The last chunk installs the snapshot, if its checksum is right.
+// handleSnapshotChunk adds a chunk if it is the next one. After the last chunk the snapshot is installed, if its checksum is right.
 func (r *Raft) handleSnapshotChunk(m Message) {
 	snapshot := m.Snapshot
 	if snapshot == nil || len(snapshot.Members) == 0 || m.TotalBytes > maxSnapshotBytes ||
 		m.Offset+uint64(len(snapshot.Data)) > m.TotalBytes {
 		return
 	}
-	if snapshot.Index <= r.log.committed { // it would undo what is committed
+	if snapshot.Index <= r.log.committed { // installing it would undo what is committed
 		r.incoming = nil
 		r.acknowledgeSnapshot(m)
 		return
@@ -48,7 +48,7 @@
 	if m.Offset == uint64(len(incoming.data)) {
 		incoming.data = append(incoming.data, snapshot.Data...)
 	} else {
-		reply.Reject = m.Offset > uint64(len(incoming.data)) // else it has come before
+		reply.Reject = m.Offset > uint64(len(incoming.data)) // otherwise it is a duplicate
 	}
 	reply.Offset = uint64(len(incoming.data))
 	if reply.Offset < incoming.totalBytes {
@@ -67,8 +67,7 @@
 	r.acknowledgeSnapshot(m)
 }
 
-// acknowledgeSnapshot tells the leader up to where this member agrees with it: what is committed, and no more. Entries behind a
-// snapshot may be of another leader.
+// acknowledgeSnapshot acknowledges the log up to the commit index, and not further: entries after the snapshot may be from another leader.
 func (r *Raft) acknowledgeSnapshot(m Message) {
 	r.sendAfterSave(Message{Kind: AppendResponse, To: m.From, Term: r.term, Index: r.log.committed})
 }
--- a/internal/mesh/raft/snapshot_send.go
+++ b/internal/mesh/raft/snapshot_send.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Snapshots go in chunks, of which at most maxInflightChunks are in flight to a peer, so that a heartbeat never waits behind more
-// than 64 KiB (0.26 s on a link of 2 Mbit/s). A transfer goes on with the snapshot that it began with, whatever is compacted
-// meanwhile. The log behind that snapshot is kept for it, up to as many bytes as the snapshot has; where more is written while it is
-// being sent, the transfer starts again with the latest. A receiver that restarts begins at the first chunk again. One that has a new
-// leader goes on where it was if the new leader's snapshot is the same.
+// Snapshots are sent in chunks, of which at most maxInflightChunks are in flight to a peer, so that a heartbeat never waits behind more than
+// 64 KiB (0.26 s on a link of 2 Mbit/s). A transfer continues with the snapshot that it began with, whatever is compacted meanwhile. For
+// that, the log after the snapshot is kept, up to as many bytes as the snapshot has; if more is written during the transfer, it starts
+// again with the latest snapshot. A receiver that restarts begins at the first chunk again. A receiver with a new leader continues
+// where it was if the new leader's snapshot is the same.
 const (
 	defaultSnapshotChunkBytes = 32 << 10
 	maxInflightChunks         = 2
-	maxSnapshotBytes          = 1 << 30 // a larger one is not taken
+	maxSnapshotBytes          = 1 << 30 // a larger one is rejected
 )
 
-// wholeSnapshotResendFactor is how many election timeouts after a snapshot in one message it is sent again, to a peer of protocol
-// version 0, which knows no chunks.
+// wholeSnapshotResendFactor is after how many election timeouts a snapshot in one message is sent again. Peers of protocol version 0, which
+// has no chunks, get snapshots in this form.
 const wholeSnapshotResendFactor = 8
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -28,20 +28,20 @@
 	checksum     uint32
 	ackedBytes   uint64
 	sentBytes    uint64
-	hasSentAny   bool          // a chunk was sent since the transfer began or was rewound: an empty snapshot takes one as well
-	progressedAt time.Duration // when it began, was acknowledged further, or was rewound
+	hasSentAny   bool          // a chunk was sent since the transfer began or was rewound: an empty snapshot needs one as well
+	progressedAt time.Duration // when it last began, was acknowledged further, or was rewound
 }
 
 func (t *snapshotTransfer) totalBytes() uint64 { return uint64(len(t.snapshot.Data)) }
 
-// rewind has everything from an offset on sent again.
+// rewind makes the transfer send everything from an offset on again.
 func (t *snapshotTransfer) rewind(offset uint64, now time.Duration) {
 	offset = min(offset, t.totalBytes())
 	t.ackedBytes, t.sentBytes = offset, offset
 	t.hasSentAny, t.progressedAt = false, now
 }
 
-// acknowledge takes note that a peer has the bytes up to an offset.
+// acknowledge records that the peer has the bytes up to an offset.
 func (t *snapshotTransfer) acknowledge(offset uint64, now time.Duration) {
 	if offset <= t.ackedBytes || offset > t.totalBytes() {
 		return
@@ -50,12 +50,12 @@
 	t.progressedAt = now
 }
 
-// mayContinue reports whether a transfer may go on: the log still reaches back to its snapshot.
+// mayContinue reports whether a transfer may continue: the log still reaches back to the end of its snapshot.
 func (t *snapshotTransfer) mayContinue(l *raftLog) bool {
 	return t != nil && t.snapshot.Index >= l.start.index
 }
 
-// needsSnapshot reports whether the log does not reach back to what a peer has.
+// needsSnapshot reports whether the log no longer holds the next entry for a peer.
 func (r *Raft) needsSnapshot(p *progress) bool {
 	_, known := r.log.termAt(p.next - 1)
 	return !known
@@ -64,7 +64,7 @@
 // sendSnapshot sends as much of a snapshot as may be in flight.
 func (r *Raft) sendSnapshot(p *progress) {
 	switch {
-	case !p.hasAnswered: // its answer to a heartbeat will say what it speaks
+	case !p.hasAnswered: // its response to a heartbeat will carry its protocol version
 	case p.protocolVersion < 1 || r.protocolVersion() < 1:
 		r.sendWholeSnapshot(p)
 	default:
@@ -72,7 +72,7 @@
 	}
 }
 
-// sendWholeSnapshot sends a snapshot in one message, not again with every heartbeat.
+// sendWholeSnapshot sends a snapshot in one message, but does not repeat it with every heartbeat.
 func (r *Raft) sendWholeSnapshot(p *progress) {
 	if p.wholeSnapshotSentAt != 0 && r.now-p.wholeSnapshotSentAt <= wholeSnapshotResendFactor*r.config.ElectionTimeout {
 		return
@@ -123,7 +123,8 @@
 	return defaultSnapshotChunkBytes
 }
 
-// beginTransfer takes the snapshot that is being sent to another peer, if that may go on, so that at most two are held in memory.
+// beginTransfer starts a transfer. It uses the snapshot that is being sent to another peer, if there is one, so that at most two snapshots
+// are kept in memory.
 func (r *Raft) beginTransfer() *snapshotTransfer {
 	for _, p := range r.peers {
 		if other := p.transfer; other.mayContinue(&r.log) {
@@ -134,7 +135,7 @@
 	return &snapshotTransfer{snapshot: snapshot, checksum: crc32.Checksum(snapshot.Data, castagnoli), progressedAt: r.now}
 }
 
-// handleSnapshotChunkResponse takes note of how much of a snapshot a peer has, and sends the next chunks.
+// handleSnapshotChunkResponse records how much of a snapshot a peer has, and sends the next chunks.
 func (r *Raft) handleSnapshotChunkResponse(m Message) {
 	p := r.peers.get(m.From)
 	if r.role != leader || p == nil {
@@ -153,7 +154,7 @@
 	r.sendSnapshot(p)
 }
 
-// oldestTransfer is the index of the oldest snapshot that is being sent, and how many bytes it has; 0: none is.
+// oldestTransfer returns the index and size of the oldest snapshot that is being sent; 0: none is.
 func (r *Raft) oldestTransfer() (index uint64, bytes int) {
 	for _, p := range r.peers {
 		if transfer := p.transfer; transfer != nil && (index == 0 || transfer.snapshot.Index < index) {
@@ -163,8 +164,8 @@
 	return index, bytes
 }
 
-// Compact has data, the replicated state as of an index that was applied, replace the log up to there. It returns the snapshot to
-// write; entries before OldestRetainedIndex may be deleted from disk.
+// Compact replaces the log up to an applied index by a snapshot with data, the state machine at that index. It returns the snapshot for the
+// caller to write; entries before OldestRetainedIndex may then be deleted from disk.
 func (r *Raft) Compact(index uint64, data []byte) Snapshot {
 	if index <= r.log.snapshot.Index || index > r.log.applied {
 		return r.log.snapshot
@@ -173,8 +174,8 @@
 	return r.log.snapshot
 }
 
-// catchUpStart is where the log is to begin behind which a snapshot at an index is compacted: MaxCatchUpEntries in front of it, or
-// where the oldest transfer needs it to.
+// catchUpStart returns where the log has to start after a compaction at an index: up to MaxCatchUpEntries before it, or as early as the oldest
+// transfer needs.
 func (r *Raft) catchUpStart(index uint64) uint64 {
 	transferIndex, transferBytes := r.oldestTransfer()
 	bytes, start := 0, index
--- a/internal/mesh/raft/step.go
+++ b/internal/mesh/raft/step.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Step takes a message of another member.
+// Step handles a message from another member.
 func (r *Raft) Step(now time.Duration, m Message) {
 	r.advanceTime(now)
 	switch {
-	case m.Kind == JoinRequest: // its sender knows an address, and no ID
+	case m.Kind == JoinRequest: // its sender may only know this member's address, not its ID
 		r.handleJoinRequest(m)
 		return
 	case m.To != r.config.Self.ID:
@@ -14,7 +14,7 @@
 	case m.Kind == NotMember:
 		r.handleNotMember(m)
 		return
-	case m.Kind == PreVote: // a pre-vote and its response change no term (dissertation, section 9.6)
+	case m.Kind == PreVote: // pre-votes and their responses do not change the term (dissertation, section 9.6)
 		r.handlePreVote(m)
 		return
 	case m.Kind == PreVoteResponse:
@@ -33,7 +33,7 @@
 	r.stepCurrentTerm(m)
 }
 
-// rejectStaleTerm tells the sender of an earlier term of the present one (Raft paper, section 5.1).
+// rejectStaleTerm answers the sender of an earlier term with the current one (Raft paper, section 5.1).
 func (r *Raft) rejectStaleTerm(m Message) {
 	switch m.Kind {
 	case AppendEntries, InstallSnapshot, SnapshotChunk:
@@ -44,7 +44,7 @@
 	}
 }
 
-// stepCurrentTerm takes a message of the present term.
+// stepCurrentTerm handles a message of the current term.
 func (r *Raft) stepCurrentTerm(m Message) {
 	switch m.Kind {
 	case AppendEntries:
@@ -70,11 +70,11 @@
 		r.handleLeaveRequest(m)
 	case LeaveGranted:
 		r.handleLeaveGranted(m)
-	case JoinRequest, NotMember, PreVote, PreVoteResponse: // Step takes these whatever their term
+	case JoinRequest, NotMember, PreVote, PreVoteResponse: // Step handles these whatever their term
 	}
 }
 
-// Tick lets time pass. It is to be called several times in each heartbeat interval.
+// Tick does what is due by time. It has to be called several times in each heartbeat interval.
 func (r *Raft) Tick(now time.Duration) {
 	r.advanceTime(now)
 	if r.leave.requested {
@@ -98,8 +98,8 @@
 	}
 }
 
-// tickLeader sends heartbeats that are due. A leader that has not heard a quorum for long steps down, so that its clients look for
-// another one (dissertation, section 6.2).
+// tickLeader sends heartbeats that are due. A leader that has not heard from a quorum for long steps down, so that clients look for another
+// (dissertation, section 6.2).
 func (r *Raft) tickLeader() {
 	span := 2 * r.config.ElectionTimeout
 	if r.now-r.leading.electedAt > span && !r.isQuorumActive(r.now, span) {
@@ -113,7 +113,7 @@
 	r.maintainMembership()
 }
 
-// changeRole takes a role in a term, which is the present one or a later one.
+// changeRole changes the role and, if it is a later one, the term.
 func (r *Raft) changeRole(to role, term uint64, leaderID ID) {
 	if term > r.term {
 		r.term, r.vote = term, 0
--- a/internal/mesh/raft/stored_state.go
+++ b/internal/mesh/raft/stored_state.go
@@ -5,6 +5,6 @@
 	Self           ID
 	HardState      HardState
 	Snapshot       Snapshot
-	Entries        []Entry // behind Snapshot, without a gap
-	CatchUpEntries []Entry // in front of it, up to its Index, without a gap
+	Entries        []Entry // after Snapshot, without a gap
+	CatchUpEntries []Entry // up to the Index of Snapshot, without a gap
 }
