--- a/cmd/meshscale/main.go
+++ b/cmd/meshscale/main.go
@@ -1,7 +1,7 @@
-// Command meshscale measures how the control side of a mesh grows (run), draws what was measured (report) and writes the
-// tables of docs/CAPACITY.md from it (page). See internal/mesh/scale.
+// Command meshscale measures how the cost of a mesh's control plane grows (run), draws the results (report) and writes the tables of
+// docs/CAPACITY.md (page). See internal/mesh/scale.
 //
-// Exit codes: 0 done, 1 a fault or a run that stopped before its end, 2 the command line or the experiment file.
+// Exit codes: 0 done, 1 a fault or a run that stopped early, 2 an invalid command line or experiment file.
 package main
 
 import (
@@ -23,8 +23,15 @@
 	exitUsage = 2
 )
 
+// errStopped is the error of a run that stopped early.
 var errStopped = errors.New("the run stopped before its end; what it measured is kept")
 
+// usageError is an error of the caller: in the experiment file.
+type usageError struct{ error }
+
+// Unwrap returns the error itself.
+func (e usageError) Unwrap() error { return e.error }
+
 type runCommand struct {
 	Out  string `short:"o" long:"out" value-name:"FILE" description:"where the results go; else docs/capacity/NAME.json, by the experiment's name"`
 	Args struct {
@@ -32,11 +39,11 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute measures. An interrupt ends all that was started and keeps what was measured.
+// Execute carries out an experiment. An interrupt ends all processes that were started; what was measured is written all the same.
 func (c *runCommand) Execute([]string) error {
-	x, err := scale.LoadExperiment(c.Args.File)
+	experiment, err := scale.LoadExperiment(c.Args.File)
 	if err != nil {
-		return usage{err}
+		return usageError{err}
 	}
 	program, err := os.Executable()
 	if err != nil {
@@ -44,13 +51,13 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	results, err := scale.Run(ctx, x, program, func(text string) { fmt.Fprintln(os.Stderr, text) })
+	results, err := scale.Run(ctx, experiment, program, func(text string) { fmt.Fprintln(os.Stderr, text) })
 	if err != nil {
 		return err
 	}
 	out := c.Out
 	if out == "" {
-		out = scale.ResultsDir + "/" + x.Name + ".json"
+		out = scale.ResultsDir + "/" + experiment.Name + ".json"
 	}
 	if err := results.Write(out); err != nil {
 		return err
@@ -69,7 +76,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute runs sidecars as standard input tells.
+// Execute runs sidecars by the requests on standard input. Only a run starts it.
 func (c *workerCommand) Execute([]string) error {
 	return scale.ServeWorker(c.Args.Kind, os.Stdin, os.Stdout)
 }
@@ -78,7 +85,7 @@
 	Out string `short:"o" long:"out" value-name:"FILE" default:"docs/capacity/report.html" description:"where the report goes"`
 }
 
-// Execute draws the committed results.
+// Execute draws the committed results as an HTML page.
 func (c *reportCommand) Execute([]string) error {
 	all, err := scale.ReadAll(scale.ResultsDir)
 	if err != nil {
@@ -91,7 +98,7 @@
 	Page string `short:"p" long:"page" value-name:"FILE" default:"docs/CAPACITY.md" description:"the page whose tables are written"`
 }
 
-// Execute writes the page's tables anew from the committed results.
+// Execute writes the page's tables from the committed results.
 func (c *pageCommand) Execute([]string) error {
 	all, err := scale.ReadAll(scale.ResultsDir)
 	if err != nil {
@@ -100,28 +107,50 @@
 	return scale.UpdatePage(c.Page, all)
 }
 
-// usage is a fault of whoever calls.
-type usage struct{ error }
-
 func main() {
-	p := flags.NewParser(nil, flags.HelpFlag|flags.PassDoubleDash)
-	p.AddCommand("run", "measure what an experiment file names", "", &runCommand{})
-	p.AddCommand("report", "draw the results under docs/capacity", "", &reportCommand{})
-	p.AddCommand("page", "write the tables of docs/CAPACITY.md", "", &pageCommand{})
-	if w, err := p.AddCommand("worker", "run sidecars for a run", "", &workerCommand{}); err == nil {
-		w.Hidden = true
+	parser, err := newParser()
+	if err == nil {
+		_, err = parser.Parse()
 	}
-	_, err := p.Parse()
-	var f *flags.Error
+	os.Exit(exitCode(err))
+}
+
+// newParser returns the parser of the command line, with all commands.
+func newParser() (*flags.Parser, error) {
+	parser := flags.NewParser(nil, flags.HelpFlag|flags.PassDoubleDash)
+	for _, c := range []struct {
+		name, description string
+		command           any
+		hidden            bool
+	}{
+		{"run", "measure what an experiment file names", &runCommand{}, false},
+		{"report", "draw the results under docs/capacity", &reportCommand{}, false},
+		{"page", "write the tables of docs/CAPACITY.md", &pageCommand{}, false},
+		{"worker", "run sidecars for a run", &workerCommand{}, true},
+	} {
+		added, err := parser.AddCommand(c.name, c.description, "", c.command)
+		if err != nil {
+			return nil, err
+		}
+		added.Hidden = c.hidden
+	}
+	return parser, nil
+}
+
+// exitCode prints an error, or the help that was asked for, and returns the exit code.
+func exitCode(err error) int {
+	var usage usageError
+	var parseError *flags.Error
 	switch {
 	case err == nil:
+		return 0
 	case flags.WroteHelp(err):
 		fmt.Println(err)
-	default:
-		fmt.Fprintln(os.Stderr, err)
-		if errors.As(err, &f) || errors.As(err, &usage{}) {
-			os.Exit(exitUsage)
-		}
-		os.Exit(exitFault)
+		return 0
+	}
+	fmt.Fprintln(os.Stderr, err)
+	if errors.As(err, &parseError) || errors.As(err, &usage) {
+		return exitUsage
 	}
+	return exitFault
 }
--- a/cmd/meshscale/main_test.go
+++ b/cmd/meshscale/main_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestABadExperimentIsRefusedWithLineAndField(t *testing.T) {
+// TestExitCodes shows that an invalid experiment file is rejected with its line and field, and which exit codes errors have.
+func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	program, file := filepath.Join(dir, "meshscale"), filepath.Join(dir, "e.toml")
 	out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput()
--- a/internal/mesh/scale/announcer.go
+++ b/internal/mesh/scale/announcer.go
@@ -16,21 +16,20 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Times of an announcer, as a sidecar has them.
+// Times of an announcer, which are those of a sidecar.
 const (
-	announceEvery = 5 * time.Second
-	redialAfter   = 100 * time.Millisecond
-	askTimeout    = time.Second
+	recordInterval = 5 * time.Second
+	redialInterval = 100 * time.Millisecond
+	readTimeout    = time.Second
 )
 
-// announcer is to the control plane what a sidecar is: a connection with heartbeats, a record that is told again and again,
-// and one reading of the whole table. It reads all that it is told and keeps nothing of it but the versions of routes, so
-// that a large mesh fits a small machine; no figure of a sidecar is taken from it. It connects to one member at a time, and
-// not to all at once as a sidecar does.
+// announcer is to the control plane what a sidecar is: a connection with heartbeats, a record that is sent again and again, and one read
+// of all items. It reads everything that it is sent but keeps only the versions of routes, so that a large mesh fits on a small
+// machine. No figure of a sidecar is taken from it. Unlike a sidecar it connects to one member at a time.
 type announcer struct {
-	set       settings.Settings
+	settings  settings.Settings
 	record    directory.Record
-	asks      transport.Calls
+	calls     transport.Calls
 	confirmed atomic.Bool
 
 	mu       sync.Mutex // guards versions
@@ -38,98 +37,110 @@
 }
 
 func newAnnouncer(set settings.Settings) *announcer {
-	r := directory.Record{
+	record := directory.Record{
 		Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1, Addr: set.ListenAddrs.Inbound, Zone: set.Zone,
-		Service: set.Service, ServerID: "i-" + set.NodeName + "-1", State: directory.ServerReady, Slots: serverSlots, ProtocolVersion: transport.ProtocolVersion,
+		Service: set.Service, ServerID: "i-" + set.NodeName + "-1", State: directory.ServerReady, Slots: serverSlots,
+		ProtocolVersion: transport.ProtocolVersion,
 	}
-	return &announcer{set: set, record: r, versions: map[string]int64{}}
+	return &announcer{settings: set, record: record, versions: map[string]int64{}}
 }
 
 // Run stays connected until ctx ends.
 func (a *announcer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		seeds := a.set.SeedAddresses()
-		hello := &wire.HelloT{Name: a.set.NodeName, Addr: a.record.Addr, Zone: a.set.Zone}
-		if c, err := transport.Dial(ctx, seeds[rand.IntN(len(seeds))], hello, nil); err == nil {
-			a.follow(ctx, c)
-		}
-		select {
-		case <-time.After(redialAfter):
-		case <-ctx.Done():
+		seeds := a.settings.SeedAddresses()
+		hello := &wire.HelloT{Name: a.settings.NodeName, Addr: a.record.Addr, Zone: a.settings.Zone}
+		if conn, err := transport.Dial(ctx, seeds[rand.IntN(len(seeds))], hello, nil); err == nil {
+			a.serve(ctx, conn)
 		}
+		sleep(ctx, redialInterval)
 	}
 }
 
-// follow reads from one member until the connection ends.
-func (a *announcer) follow(ctx context.Context, c *transport.Conn) {
-	defer c.Close(nil)
-	defer context.AfterFunc(ctx, func() { c.Close(ctx.Err()) })()
-	c.AddPending(1)
-	go a.announce(c)
-	go a.confirm(ctx, c)
+// serve receives from one member until the connection ends.
+func (a *announcer) serve(ctx context.Context, conn *transport.Conn) {
+	var sending sync.WaitGroup
+	defer sending.Wait()
+	defer conn.Close(nil)
+	defer context.AfterFunc(ctx, func() { conn.Close(ctx.Err()) })()
+	conn.AddPending(1)
+	sending.Go(func() { a.announce(conn) })
+	sending.Go(func() { a.readItems(ctx, conn) })
 	for {
-		m, err := c.Receive()
+		message, err := conn.Receive()
 		if err != nil {
 			return
 		}
-		switch v := m.Value.(type) {
+		switch v := message.Value.(type) {
 		case *wire.ItemsT:
-			a.take(config.ItemsFromWire(v))
+			a.noteVersions(config.ItemsFromWire(v))
 		case *wire.CallReplyT:
-			a.asks.Deliver(c, v)
+			a.calls.Deliver(conn, v)
 		}
 	}
 }
 
-// announce tells the record at once and then at a sidecar's pace.
-func (a *announcer) announce(c *transport.Conn) {
-	again := time.NewTicker(announceEvery)
-	defer again.Stop()
-	r := a.record
-	r.Incarnation = uint64(time.Now().UnixNano())
+// announce sends the record at once and then at a sidecar's interval, until the connection ends.
+func (a *announcer) announce(conn *transport.Conn) {
+	ticker := time.NewTicker(recordInterval)
+	defer ticker.Stop()
+	record := a.record
+	record.Incarnation = uint64(time.Now().UnixNano())
 	for {
-		c.Send(directory.ToWire([]directory.Record{r}))
-		r.Sequence++
+		_ = conn.Send(directory.ToWire([]directory.Record{record})) // a connection that has ended is seen below
+		record.Sequence++
 		select {
-		case <-again.C:
-		case <-c.Done():
+		case <-ticker.C:
+		case <-conn.Done():
 			return
 		}
 	}
 }
 
-// confirm reads the whole table once, as a sidecar does with each member that it follows.
-func (a *announcer) confirm(ctx context.Context, c *transport.Conn) {
-	for c.Err() == nil {
-		within, cancel := context.WithTimeout(ctx, askTimeout)
-		t, err := a.asks.Call(within, c, codec.CallItems, nil)
-		cancel()
-		if err == nil && t.Status == http.StatusOK {
-			items, err := codec.DecodeTable(t.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
-			if err == nil && len(items.List) > 0 {
-				a.take(config.ItemsFromWire(items))
-				a.confirmed.Store(true)
-				return
-			}
+// readItems reads all items once, as a sidecar does from each member that it follows. It retries until there are some.
+func (a *announcer) readItems(ctx context.Context, conn *transport.Conn) {
+	for conn.Err() == nil {
+		if items := a.callItems(ctx, conn); items != nil && len(items.List) > 0 {
+			a.noteVersions(config.ItemsFromWire(items))
+			a.confirmed.Store(true)
+			return
+		}
+		select {
+		case <-time.After(redialInterval):
+		case <-conn.Done():
 		}
-		time.Sleep(redialAfter)
 	}
 }
 
-func (a *announcer) take(items []config.Item) {
+// callItems returns the items of the member at the other end; nil: it gave none.
+func (a *announcer) callItems(ctx context.Context, conn *transport.Conn) *wire.ItemsT {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	reply, err := a.calls.Call(ctx, conn, codec.CallItems, nil)
+	if err != nil || reply.Status != http.StatusOK {
+		return nil
+	}
+	items, err := codec.DecodeTable(reply.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	if err != nil {
+		return nil
+	}
+	return items
+}
+
+func (a *announcer) noteVersions(items []config.Item) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, i := range items {
-		if i.Kind == config.KindRoute {
-			a.versions[i.Key.Name] = max(a.versions[i.Key.Name], i.Version)
+	for _, item := range items {
+		if item.Kind == config.KindRoute {
+			a.versions[item.Name] = max(a.versions[item.Name], item.Version)
 		}
 	}
 }
 
-// Confirmed says that the table was read.
+// Confirmed reports whether all items were read.
 func (a *announcer) Confirmed() bool { return a.confirmed.Load() }
 
-// RouteVersion is the latest version of a route that was told.
+// RouteVersion returns the latest version of a route that was received; 0: none.
 func (a *announcer) RouteVersion(name string) int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/mesh/scale/fit.go
+++ b/internal/mesh/scale/fit.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Point is one measured value; X is what it grows with.
+// Point is one measured value Y, and X, what it grows with.
 type Point struct{ X, Y float64 }
 
 // PowerFit is y = Factor * x^Exponent, by least squares on logarithms.
@@ -14,20 +14,17 @@
 	// ExponentError is the exponent's standard error, and Residual the standard deviation of the points about the fit, on
 	// natural logarithms. Both are NaN with fewer than three points.
 	ExponentError, Residual float64
-	// Spread is the largest ratio of two values at the same x, less one: of the seeds.
+	// Spread is the largest ratio of two values at the same x, less one: how far apart the seeds are.
 	Spread float64
 	Points int
 	meanX  float64 // of the logarithms
-	squares
+	sumXX  float64 // of the squared deviations of the logarithms from meanX
 }
 
-// squares are sums of squares that the errors need.
-type squares struct{ xx float64 }
-
-// FitPower fits points whose values are above 0, the others are left out; false: there are fewer than two different x.
-func FitPower(l []Point) (f PowerFit, ok bool) {
+// FitPower fits the points whose values are above 0, and leaves out the others. ok is false if they have fewer than two different x.
+func FitPower(points []Point) (f PowerFit, ok bool) {
 	var logs []Point
-	for _, p := range l {
+	for _, p := range points {
 		if p.X > 0 && p.Y > 0 {
 			logs = append(logs, Point{math.Log(p.X), math.Log(p.Y)})
 		}
@@ -38,16 +35,16 @@
 	}
 	f = PowerFit{
 		Factor: math.Exp(line.Intercept), Exponent: line.Slope, ExponentError: line.SlopeError, Residual: line.Residual, Points: len(logs),
-		meanX: line.meanX, squares: line.squares, Spread: spread(l),
+		meanX: line.meanX, sumXX: line.sumXX, Spread: spread(points),
 	}
 	return f, true
 }
 
-// At is the fit's value, and the factor by which it may be off: two standard errors of a prediction. The factor is NaN where
-// the points are too few to tell.
+// At returns the fit's value, and the factor by which it may be off: two standard errors of a prediction. The factor is NaN with fewer
+// than three points.
 func (f PowerFit) At(x float64) (y, factor float64) {
 	d := math.Log(x) - f.meanX
-	deviation := f.Residual * math.Sqrt(1+1/float64(f.Points)+d*d/f.xx)
+	deviation := f.Residual * math.Sqrt(1+1/float64(f.Points)+d*d/f.sumXX)
 	return f.Factor * math.Pow(x, f.Exponent), math.Exp(2 * deviation)
 }
 
@@ -57,52 +54,52 @@
 	SlopeError, Residual float64 // standard error and deviation; NaN with fewer than three points
 	Points               int
 	meanX                float64
-	squares
+	sumXX                float64 // of the squared deviations of x from meanX
 }
 
-// FitLine fits points; false: there are fewer than two different x.
-func FitLine(l []Point) (f LineFit, ok bool) {
-	n := float64(len(l))
+// FitLine fits points. ok is false if they have fewer than two different x.
+func FitLine(points []Point) (f LineFit, ok bool) {
+	n := float64(len(points))
 	var meanX, meanY float64
-	for _, p := range l {
+	for _, p := range points {
 		meanX += p.X / n
 		meanY += p.Y / n
 	}
-	var xx, xy float64
-	for _, p := range l {
-		xx += (p.X - meanX) * (p.X - meanX)
-		xy += (p.X - meanX) * (p.Y - meanY)
+	var sumXX, sumXY float64
+	for _, p := range points {
+		sumXX += (p.X - meanX) * (p.X - meanX)
+		sumXY += (p.X - meanX) * (p.Y - meanY)
 	}
-	if xx == 0 || len(l) < 2 {
+	if sumXX == 0 || len(points) < 2 {
 		return f, false
 	}
-	f = LineFit{Slope: xy / xx, Points: len(l), meanX: meanX, squares: squares{xx}, SlopeError: math.NaN(), Residual: math.NaN()}
+	f = LineFit{Slope: sumXY / sumXX, Points: len(points), meanX: meanX, sumXX: sumXX, SlopeError: math.NaN(), Residual: math.NaN()}
 	f.Intercept = meanY - f.Slope*meanX
-	if len(l) > 2 {
-		var rest float64
-		for _, p := range l {
+	if len(points) > 2 {
+		var residuals float64 // the sum of their squares
+		for _, p := range points {
 			d := p.Y - f.Intercept - f.Slope*p.X
-			rest += d * d
+			residuals += d * d
 		}
-		f.Residual = math.Sqrt(rest / (n - 2))
-		f.SlopeError = f.Residual / math.Sqrt(xx)
+		f.Residual = math.Sqrt(residuals / (n - 2))
+		f.SlopeError = f.Residual / math.Sqrt(sumXX)
 	}
 	return f, true
 }
 
-// At is the fit's value.
+// At returns the fit's value.
 func (f LineFit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
-// spread is the largest ratio of two values at the same x, less one.
-func spread(l []Point) (most float64) {
+// spread returns the largest ratio of two values at the same x, less one.
+func spread(points []Point) (largest float64) {
 	byX := map[float64][]float64{}
-	for _, p := range l {
+	for _, p := range points {
 		if p.Y > 0 {
 			byX[p.X] = append(byX[p.X], p.Y)
 		}
 	}
 	for _, ys := range byX {
-		most = max(most, slices.Max(ys)/slices.Min(ys)-1)
+		largest = max(largest, slices.Max(ys)/slices.Min(ys)-1)
 	}
-	return most
+	return largest
 }
--- a/internal/mesh/scale/page_test.go
+++ b/internal/mesh/scale/page_test.go
@@ -11,8 +11,8 @@
 
 const pagePath = "../../../docs/CAPACITY.md"
 
-// The page's tables are those that the committed results give: `meshscale page` writes them.
-func TestThePageIsOfTheResults(t *testing.T) {
+// TestPageMatchesCommittedResults shows that the page's tables are those that `meshscale page` writes for the committed results.
+func TestPageMatchesCommittedResults(t *testing.T) {
 	all, err := ReadAll("../../../" + ResultsDir)
 	assert.NilError(t, err)
 	assert.Assert(t, len(all) > 0, "no results are committed")
@@ -23,26 +23,28 @@
 	assert.Equal(t, string(page), want, "run: go run ./cmd/meshscale page")
 }
 
-func TestAnotherFigureGivesAnotherPage(t *testing.T) {
-	one := Results{Experiment: Experiment{Services: 3}, Measurements: []Measurement{measurement(30), measurement(100)}}
-	other := Results{Experiment: Experiment{Services: 3}, Measurements: []Measurement{measurement(30), measurement(100)}}
+// TestTablesFollowFromResults shows that another figure gives other tables, and the same figures the same.
+func TestTablesFollowFromResults(t *testing.T) {
+	one := Results{Experiment: Experiment{Services: 3}, Measurements: []Measurement{newTestMeasurement(30), newTestMeasurement(100)}}
+	other := Results{Experiment: Experiment{Services: 3}, Measurements: []Measurement{newTestMeasurement(30), newTestMeasurement(100)}}
 	other.Measurements[1].Phases[1].Roles[RoleLeader] = Load{Processor: 0.8}
 	assert.Assert(t, Tables([]Results{one}) != Tables([]Results{other}))
 	assert.Equal(t, Tables([]Results{one}), Tables([]Results{one}))
 }
 
-func TestWhatDoesNotFitIsMarked(t *testing.T) {
-	r := Results{Experiment: Experiment{Services: 3, Registers: 3}, Measurements: []Measurement{measurement(30), measurement(100)}}
+// TestTablesMarkExceededBudgets shows that a need beyond its budget is marked, and that figures which no run gave are named.
+func TestTablesMarkExceededBudgets(t *testing.T) {
+	r := Results{Experiment: Experiment{Services: 3, Members: 3}, Measurements: []Measurement{newTestMeasurement(30), newTestMeasurement(100)}}
 	needs, missing := Needs([]Results{r})
 	assert.Assert(t, len(missing) > 0, "what is not measured is named")
-	var heard Need
+	var received Need
 	for _, n := range needs {
 		if strings.HasPrefix(n.What, "bytes heard") {
-			heard = n
+			received = n
 		}
 	}
-	near(t, heard.Value, 50*targetNodes, 1e-6) // 650 kB a second, of 4
-	assert.Equal(t, heard.Verdict(), Exceeds)
+	assertNear(t, received.Value, 50*targetNodes, 1e-6) // 650 kB a second, of 4
+	assert.Equal(t, received.Verdict(), Exceeds)
 	tables := Tables([]Results{r})
 	for _, line := range strings.Split(tables, "\n") {
 		if strings.Contains(line, "bytes heard with no event") {
@@ -52,7 +54,8 @@
 	assert.Assert(t, strings.Contains(tables, "Not measured, counted as 0 above: "), tables)
 }
 
-func TestTablesNeedTheirPlace(t *testing.T) {
+// TestReplaceTables shows that only what stands between the marks is replaced, and that a page without them is left alone.
+func TestReplaceTables(t *testing.T) {
 	_, err := replaceTables("a page\n"+pageEnd+pageBegin, "x")
 	assert.ErrorIs(t, err, ErrMarks)
 	page, err := replaceTables("a\n"+pageBegin+"old\n"+pageEnd+"b\n", "new\n")
@@ -60,7 +63,8 @@
 	assert.Equal(t, page, "a\n"+pageBegin+"new\n"+pageEnd+"b\n")
 }
 
-func TestAVerdictHoldsForAllThatTheErrorAllows(t *testing.T) {
+// TestVerdict shows that a verdict holds for all values that the error allows.
+func TestVerdict(t *testing.T) {
 	for _, c := range []struct {
 		n    Need
 		want Verdict
--- a/internal/mesh/scale/proc_test.go
+++ b/internal/mesh/scale/process_usage_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestStatIsReadWhateverTheProgramsName(t *testing.T) {
+// TestParseStatWithAnyProgramName shows that spaces and parentheses in the name do not shift the fields.
+func TestParseStatWithAnyProgramName(t *testing.T) {
 	processor, resident, err := parseStat("12 (a ) S b) S 1 12 12 0 -1 4194304 100 0 0 0 250 50 0 0 20 0 9 0 100 999999 32 18446744073709551615 1 1")
 	assert.NilError(t, err)
 	assert.Equal(t, processor, 3.0)
--- a/internal/mesh/scale/report.go
+++ b/internal/mesh/scale/report.go
@@ -17,12 +17,18 @@
 )
 
 const (
-	plotWidth  = 12 * vg.Centimeter
-	plotHeight = 8 * vg.Centimeter
-	curveSteps = 50
+	plotWidth   = 12 * vg.Centimeter
+	plotHeight  = 8 * vg.Centimeter
+	pointRadius = vg.Length(3)
+	curveSteps  = 50 // points by which the curve of a fit is drawn
 )
 
-// WriteReport writes one page of HTML with a plot of each metric, by size, on logarithmic axes.
+var (
+	pointColor = color.RGBA{R: 160, A: 255}
+	curveColor = color.RGBA{B: 160, A: 255}
+)
+
+// WriteReport writes an HTML page with a plot of each metric by size, on logarithmic axes.
 func WriteReport(path string, all []Results) error {
 	var b strings.Builder
 	b.WriteString("<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>How the control side grows</title>\n")
@@ -39,7 +45,7 @@
 		}
 		svg, err := drawGrowth(g)
 		if err != nil {
-			return fmt.Errorf("%s: %w", m.Name, err)
+			return fmt.Errorf("draw %q: %w", m.Name, err)
 		}
 		fmt.Fprintf(&b, "<figure>%s<figcaption>%s: %s</figcaption></figure>\n", svg, html.EscapeString(m.Name), html.EscapeString(exponent(g)))
 	}
@@ -47,43 +53,53 @@
 	return os.WriteFile(path, []byte(b.String()), 0o644)
 }
 
-// drawGrowth draws the points and their fit, up to the size to design for.
+// drawGrowth draws the points and their fit, up to the size to design for, as SVG.
 func drawGrowth(g Growth) (string, error) {
 	p := plot.New()
 	p.Title.Text = g.Metric.Name
 	p.X.Label.Text, p.Y.Label.Text = "sidecars", string(g.Metric.Unit)
 	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
 	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
-	var points, curve plotter.XYs
-	least := math.Inf(1)
-	for _, x := range g.Points {
-		if x.Y > 0 {
-			points = append(points, plotter.XY(x))
-			least = min(least, x.X)
-		}
-	}
-	for i := range curveSteps + 1 {
-		x := least * math.Pow(targetNodes/least, float64(i)/curveSteps)
-		y, _ := g.Fit.At(x)
-		curve = append(curve, plotter.XY{X: x, Y: y})
-	}
+	points, curve := growthPoints(g)
 	dots, err := plotter.NewScatter(points)
 	if err != nil {
 		return "", err
 	}
-	dots.GlyphStyle = draw.GlyphStyle{Color: color.RGBA{R: 160, A: 255}, Radius: vg.Points(3), Shape: draw.CircleGlyph{}}
+	dots.GlyphStyle = draw.GlyphStyle{Color: pointColor, Radius: pointRadius, Shape: draw.CircleGlyph{}}
 	line, err := plotter.NewLine(curve)
 	if err != nil {
 		return "", err
 	}
-	line.Color = color.RGBA{B: 160, A: 255}
+	line.Color = curveColor
 	p.Add(plotter.NewGrid(), line, dots)
-	c := vgsvg.New(plotWidth, plotHeight)
-	p.Draw(draw.New(c))
+	return svgOf(p)
+}
+
+// growthPoints returns the points that a logarithmic axis can show, and the curve of the fit from the smallest of their sizes on.
+func growthPoints(g Growth) (points, curve plotter.XYs) {
+	smallest := math.Inf(1)
+	for _, point := range g.Points {
+		if point.Y > 0 {
+			points = append(points, plotter.XY(point))
+			smallest = min(smallest, point.X)
+		}
+	}
+	for i := range curveSteps + 1 {
+		x := smallest * math.Pow(targetNodes/smallest, float64(i)/curveSteps)
+		y, _ := g.Fit.At(x)
+		curve = append(curve, plotter.XY{X: x, Y: y})
+	}
+	return points, curve
+}
+
+// svgOf returns a plot as an SVG element, without the XML declaration, which has no place in HTML.
+func svgOf(p *plot.Plot) (string, error) {
+	canvas := vgsvg.New(plotWidth, plotHeight)
+	p.Draw(draw.New(canvas))
 	var out bytes.Buffer
-	if _, err := c.WriteTo(&out); err != nil {
+	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	_, svg, _ := strings.Cut(out.String(), "?>\n") // in HTML the declaration has no place
+	_, svg, _ := strings.Cut(out.String(), "?>\n")
 	return svg, nil
 }
--- a/internal/mesh/scale/sample.go
+++ b/internal/mesh/scale/sample.go
@@ -5,200 +5,135 @@
 	"fmt"
 	"time"
 
+	"cranegrade/internal/mesh/testcluster"
 	"cranegrade/internal/mesh/transport"
+	"cranegrade/internal/mesh/transport/wire"
 )
 
-// machineBound is the share of the machine's cores beyond which a phase counts as limited by the machine.
-const machineBound = 0.85
+// statusAttempts is how often a member is asked for its status before the measurement fails.
+const statusAttempts = 10
 
-// statusTries is how often a member is asked how it is.
-const statusTries = 10
-
-// member is a control-plane process at a moment.
-type member struct {
-	usage Usage
-	said  map[string]int64
-	leads bool
-	keys  uint32
+// memberSample is a control-plane process at a moment.
+type memberSample struct {
+	usage    Usage
+	sent     map[string]int64 // bytes since its start, by type of message
+	isLeader bool
+	keys     uint32 // leased
 }
 
-// sidecars are all full sidecars at a moment, together.
-type sidecars struct {
-	usage       Usage
-	said, heard map[string]int64
+// sidecarSample is all full sidecars together at a moment.
+type sidecarSample struct {
+	usage    Usage
+	sent     map[string]int64 // bytes since their start, by type of message
+	received map[string]int64 // not known of real sidecars
 }
 
 // sample is a fleet at a moment.
 type sample struct {
-	at        time.Time
-	all, idle float64 // the machine's processor time
-	members   []member
-	sidecars  sidecars
-	beats     int64
+	at         time.Time
+	machine    machineTime
+	members    []memberSample
+	sidecars   sidecarSample
+	heartbeats int64
 }
 
-func (f *fleet) sample() (s sample, err error) {
-	for i, r := range f.mesh.Members {
-		m, err := f.member(i, r.Process.Cmd.Process.Pid)
+func (f *fleet) sample(ctx context.Context) (s sample, err error) {
+	for i, member := range f.cluster.Members {
+		m, err := f.sampleMember(ctx, i, member.Process.Cmd.Process.Pid)
 		if err != nil {
 			return s, err
 		}
 		s.members = append(s.members, m)
 	}
-	if f.plan.real {
-		s.sidecars, err = f.realSidecars()
+	if f.plan.kind == realSidecars {
+		s.sidecars, err = f.sampleReal(ctx)
 	} else {
-		s.sidecars, err = f.hollowSidecars()
+		s.sidecars, err = f.sampleHollow()
 	}
-	s.at, s.beats = time.Now(), f.beats.Load()
-	s.all, s.idle = machineTime()
+	s.at, s.heartbeats = time.Now(), f.heartbeats.Load()
+	s.machine = readMachineTime()
 	return s, err
 }
 
-// member asks a control-plane process how it is. One whose main goroutine is late says so and little else, and is asked again.
-func (f *fleet) member(i, pid int) (m member, err error) {
-	for range statusTries {
-		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-		status, err := f.callers[i].Status(ctx)
-		cancel()
+// sampleMember asks a control-plane member for its status. One whose event loop is late answers with little but that, and is asked again.
+func (f *fleet) sampleMember(ctx context.Context, i, pid int) (m memberSample, err error) {
+	for range statusAttempts {
+		status, err := readStatus(ctx, f.memberClients[i])
 		if err != nil { // on a machine that is too busy the connection may have ended for its silence
-			if err := f.dial(i); err != nil {
+			if err := f.dialMember(ctx, i); err != nil {
 				return m, err
 			}
 			continue
 		}
 		if status.Fault == "" {
-			m.said, m.leads, m.keys = byPurpose(status.Traffic), status.IsLeader, status.KeyCount
+			m.sent, m.isLeader, m.keys = bytesByType(status.Traffic), status.IsLeader, status.KeyCount
 			m.usage, err = processUsage(pid)
 			return m, err
 		}
 	}
-	return m, fmt.Errorf("member %d of the control plane is too late to say how it is", i+1)
+	return m, fmt.Errorf("member %d of the control plane gave no status in %d attempts", i+1, statusAttempts)
+}
+
+func readStatus(ctx context.Context, client *transport.Client) (*wire.StatusT, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	return client.Status(ctx)
 }
 
-func (f *fleet) hollowSidecars() (s sidecars, err error) {
-	s.said, s.heard = map[string]int64{}, map[string]int64{}
+func (f *fleet) sampleHollow() (s sidecarSample, err error) {
+	s.sent, s.received = map[string]int64{}, map[string]int64{}
 	err = f.callFull(request{Account: &accountRequest{}}, func(r response) {
-		addAll(s.said, r.Account.Said)
-		addAll(s.heard, r.Account.Heard)
+		addTraffic(s.sent, r.Account.Sent)
+		addTraffic(s.received, r.Account.Received)
 	})
 	if err != nil {
 		return s, err
 	}
-	for _, w := range f.full {
-		u, err := processUsage(w.pid())
+	for _, w := range f.fullWorkers {
+		usage, err := processUsage(w.pid())
 		if err != nil {
 			return s, err
 		}
-		s.usage.add(u)
+		s.usage.add(usage)
 	}
 	return s, nil
 }
 
-func addAll(to, from map[string]int64) {
-	for purpose, n := range from {
-		to[purpose] += n
+func addTraffic(to, from map[string]int64) {
+	for messageType, bytes := range from {
+		to[messageType] += bytes
 	}
 }
 
-func (f *fleet) realSidecars() (s sidecars, err error) {
-	s.said = map[string]int64{}
-	for _, x := range f.mesh.Sidecars {
-		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-		c, err := transport.DialClient(ctx, x.Addr("Inbound"), "meshscale", nil)
+func (f *fleet) sampleReal(ctx context.Context) (s sidecarSample, err error) {
+	s.sent = map[string]int64{}
+	for _, machine := range f.cluster.Sidecars {
+		traffic, err := readTraffic(ctx, machine)
 		if err != nil {
-			cancel()
 			return s, err
 		}
-		status, err := c.Status(ctx)
-		c.Close()
-		cancel()
+		addTraffic(s.sent, traffic)
+		usage, err := processUsage(machine.Process.Cmd.Process.Pid)
 		if err != nil {
 			return s, err
 		}
-		addAll(s.said, byPurpose(status.Traffic))
-		u, err := processUsage(x.Process.Cmd.Process.Pid)
-		if err != nil {
-			return s, err
-		}
-		s.usage.add(u)
+		s.usage.add(usage)
 	}
 	return s, nil
 }
 
-// between makes a phase of two samples.
-func (f *fleet) between(name string, from, to sample) Phase {
-	span := to.at.Sub(from.at).Seconds()
-	p := Phase{Name: name, Seconds: span, Events: float64(to.beats - from.beats), Roles: map[string]Load{}, Delays: map[string]Quantiles{}}
-	if all := to.all - from.all; all > 0 {
-		p.Busy = 1 - (to.idle-from.idle)/all
-	}
-	if p.Busy > machineBound {
-		p.Bound, p.Kept = "machine", f.x.KeepBound
-	}
-	n := float64(f.plan.full)
-	side := load(from.sidecars.usage, to.sidecars.usage, from.sidecars.said, to.sidecars.said, span, n)
-	side.Heard = rates(from.sidecars.heard, to.sidecars.heard, span*n)
-	p.Roles[RoleSidecar] = side
-	p.Told = f.told(from, to) / span
-	var followers []Load
-	for i, m := range to.members {
-		was := from.members[i]
-		l := load(was.usage, m.usage, was.said, m.said, span, 1)
-		l.Keys = float64(m.keys)
-		p.LeaderChanged = p.LeaderChanged || m.leads != was.leads
-		if m.leads {
-			p.Roles[RoleLeader] = l
-		} else {
-			followers = append(followers, l)
-		}
-	}
-	if len(followers) > 0 {
-		p.Roles[RoleFollower] = mean(followers)
-	}
-	return p
-}
-
-// told is how many bytes of records the control plane said to each connection: to each sidecar and to each member's caller
-// here, and a record's home besides to the other members.
-func (f *fleet) told(from, to sample) (bytes float64) {
-	for i, m := range to.members {
-		bytes += float64(m.said["records"] - from.members[i].said["records"])
-	}
-	members := len(to.members)
-	return bytes / float64(f.started+members+members-1)
-}
-
-// load is what a role's processes used between two moments, for each of n.
-func load(from, to Usage, said, saidNow map[string]int64, span, n float64) Load {
-	return Load{
-		Processor: (to.Processor - from.Processor) / span / n, Resident: int64(float64(to.Resident) / n), Said: rates(said, saidNow, span*n),
-		Read: float64(to.Read-from.Read) / span / n, Written: float64(to.Written-from.Written) / span / n,
-	}
-}
-
-func rates(from, to map[string]int64, by float64) map[string]float64 {
-	m := map[string]float64{}
-	for purpose, n := range to {
-		if d := n - from[purpose]; d != 0 {
-			m[purpose] = float64(d) / by
-		}
+// readTraffic returns what a real sidecar has sent since its start, by type of message.
+func readTraffic(ctx context.Context, machine *testcluster.Machine) (map[string]int64, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	client, err := transport.DialClient(ctx, machine.Addr("Inbound"), clientName, nil)
+	if err != nil {
+		return nil, err
 	}
-	return m
-}
-
-func mean(l []Load) (m Load) {
-	n := float64(len(l))
-	m.Said = map[string]float64{}
-	for _, x := range l {
-		m.Processor += x.Processor / n
-		m.Resident += int64(float64(x.Resident) / n)
-		m.Read += x.Read / n
-		m.Written += x.Written / n
-		m.Keys += x.Keys / n
-		for p, b := range x.Said {
-			m.Said[p] += b / n
-		}
+	defer client.Close()
+	status, err := client.Status(ctx)
+	if err != nil {
+		return nil, err
 	}
-	return m
+	return bytesByType(status.Traffic), nil
 }
--- a/internal/mesh/scale/worker.go
+++ b/internal/mesh/scale/worker.go
@@ -10,9 +10,7 @@
 	"path/filepath"
 	"runtime"
 	"runtime/debug"
-	"slices"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"sigs.k8s.io/yaml"
@@ -25,59 +23,66 @@
 )
 
 const (
-	observeEvery  = 5 * time.Millisecond // the resolution of what is observed
-	longestLine   = 64 << 20             // bytes of a request to a worker
-	gcPercent     = 50                   // as the programs set it
-	settingsEvery = time.Second          // the programs look for changes of their settings
+	observeInterval  = 5 * time.Millisecond // the resolution of what is observed
+	gcPercent        = 50                   // as package daemon sets it
+	settingsInterval = time.Second          // as package daemon polls its settings file
 )
 
-// hollowSidecar is a hollow sidecar or an announcer.
-type hollowSidecar interface {
+// measuredSidecar is a hollow sidecar or an announcer.
+type measuredSidecar interface {
 	Run(ctx context.Context)
 	Confirmed() bool
 	RouteVersion(name string) int64
 }
 
-// Worker runs many sidecars in one process, as it is told. Its methods run on the goroutine of Serve, but for the observer.
-type Worker struct {
+var (
+	_ measuredSidecar = (*sidecar.Hollow)(nil)
+	_ measuredSidecar = (*announcer)(nil)
+)
+
+// worker runs many sidecars in one process. Its methods run on the goroutine of ServeWorker.
+type worker struct {
 	kind     string
-	ctx      context.Context
-	sidecars []hollowSidecar
+	ctx      context.Context // of the sidecars
+	sidecars []measuredSidecar
 	running  sync.WaitGroup
-	observer *observer
-	dir      string // of settings files; empty: there are none yet
+	observer *observer // nil: nothing is observed
+	dir      string    // of settings files; empty: there are none yet
 }
 
-// ServeWorker runs a worker until in ends: then all its sidecars end.
+// ServeWorker answers requests until in ends, and then ends all its sidecars.
 func ServeWorker(kind string, in io.Reader, out io.Writer) error {
 	if kind != workerFull && kind != workerAnnounce {
 		return fmt.Errorf("no worker of kind %q", kind)
 	}
 	debug.SetGCPercent(gcPercent)
 	ctx, cancel := context.WithCancel(context.Background())
+	w := &worker{kind: kind, ctx: ctx}
+	defer w.removeSettings()
 	defer cancel()
-	w := &Worker{kind: kind, ctx: ctx}
-	defer func() {
-		if w.dir != "" {
-			os.RemoveAll(w.dir)
-		}
-	}()
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, longestLine)
-	answers := json.NewEncoder(out)
+	lines.Buffer(nil, maxLineBytes)
+	responses := json.NewEncoder(out)
 	for lines.Scan() {
 		var q request
 		if err := json.Unmarshal(lines.Bytes(), &q); err != nil {
 			return err
 		}
-		if err := answers.Encode(w.answer(q)); err != nil {
+		if err := responses.Encode(w.handle(q)); err != nil {
 			return err
 		}
 	}
 	return lines.Err()
 }
 
-func (w *Worker) answer(q request) (r response) {
+// removeSettings removes the settings files. It does not wait for the sidecars, whose process is about to end.
+func (w *worker) removeSettings() {
+	if w.dir != "" {
+		_ = os.RemoveAll(w.dir)
+	}
+}
+
+func (w *worker) handle(q request) (r response) {
 	switch {
 	case q.Start != nil:
 		if err := w.start(q.Start.Sidecars); err != nil {
@@ -87,16 +92,16 @@
 		r.Await = w.await(*q.Await)
 	case q.Observe != nil:
 		r.Observe = w.observe(*q.Observe)
-	case q.Claim != nil:
-		r.Claim = w.claim(*q.Claim)
+	case q.Lease != nil:
+		r.Lease = w.leaseKeys(*q.Lease)
 	case q.Account != nil:
 		r.Account = w.account(q.Account.Collect)
 	}
 	return r
 }
 
-func (w *Worker) start(l []settings.Settings) error {
-	for _, set := range l {
+func (w *worker) start(all []settings.Settings) error {
+	for _, set := range all {
 		s, err := w.newSidecar(set)
 		if err != nil {
 			return err
@@ -107,19 +112,20 @@
 	return nil
 }
 
-func (w *Worker) newSidecar(set settings.Settings) (hollowSidecar, error) {
+func (w *worker) newSidecar(set settings.Settings) (measuredSidecar, error) {
 	if w.kind == workerAnnounce {
 		return newAnnouncer(set), nil
 	}
-	if err := w.watchSettings(set); err != nil {
+	if err := w.pollSettings(set); err != nil {
 		return nil, err
 	}
-	log, ring := logring.New(io.Discard, set.NodeName) // a log is kept, as in the program, and nothing is written out
+	log, ring := logring.New(io.Discard, set.NodeName) // the ring costs memory in the program as well; nothing is written out
 	return sidecar.NewHollow(set, log, ring)
 }
 
-// watchSettings writes a sidecar's settings file and reads it again and again, as the program does: it looks for changes.
-func (w *Worker) watchSettings(set settings.Settings) error {
+// pollSettings writes a sidecar's settings file and reads it again and again, as the program does to find changes. Nothing changes the
+// file; the work is part of what a sidecar costs.
+func (w *worker) pollSettings(set settings.Settings) error {
 	if w.dir == "" {
 		dir, err := os.MkdirTemp("", "meshscale-worker")
 		if err != nil {
@@ -136,174 +142,75 @@
 		return err
 	}
 	w.running.Go(func() {
-		for sleep(w.ctx, settingsEvery) {
-			settings.Load(path) // nothing changes it: what counts is the work
+		for sleep(w.ctx, settingsInterval) {
+			_, _ = settings.Load(path) // only its cost counts
 		}
 	})
 	return nil
 }
 
-func (w *Worker) full() (l []*sidecar.Hollow) {
+// full returns the full sidecars.
+func (w *worker) full() (all []*sidecar.Hollow) {
 	for _, s := range w.sidecars {
-		if h, is := s.(*sidecar.Hollow); is {
-			l = append(l, h)
+		if hollow, ok := s.(*sidecar.Hollow); ok {
+			all = append(all, hollow)
 		}
 	}
-	return l
+	return all
 }
 
-func (w *Worker) await(q awaitRequest) *awaited {
+func (w *worker) await(q awaitRequest) *awaitResponse {
 	deadline := time.Now().Add(seconds(q.TimeoutS))
 	for {
-		a := w.progress(q)
-		a.At = time.Now().UnixNano()
-		if a.Reached || time.Now().After(deadline) {
-			return a
+		r := w.progress(q)
+		r.At = time.Now().UnixNano()
+		if r.Reached || time.Now().After(deadline) {
+			return r
 		}
-		time.Sleep(observeEvery)
+		time.Sleep(observeInterval)
 	}
 }
 
-// progress is how far the sidecars are with what is awaited.
-func (w *Worker) progress(q awaitRequest) *awaited {
-	a := &awaited{Reached: true, FewestKnown: -1}
+// progress returns how far the sidecars are with what is awaited.
+func (w *worker) progress(q awaitRequest) *awaitResponse {
+	r := &awaitResponse{Reached: true, FewestKnown: -1}
 	for _, s := range w.sidecars {
 		if s.Confirmed() {
-			a.Confirmed++
+			r.Confirmed++
 		} else {
-			a.Reached = false
-		}
-	}
-	for _, h := range w.full() {
-		if n := h.KnownSidecars(); a.FewestKnown < 0 || n < a.FewestKnown {
-			a.FewestKnown = n
-		}
-		if h.KnownSidecars() < q.Known || h.ItemCount() < q.Items {
-			a.Reached = false
-		}
-	}
-	return a
-}
-
-// observer looks at all sidecars again and again.
-type observer struct {
-	of   observeRequest
-	done chan struct{}
-	over chan struct{}
-	// reached is when the last sidecar knew the server's state, in Unix nanoseconds
-	reached atomic.Int64
-	latest  atomic.Int64 // version that all sidecars have
-	seen    observed     // read once the observation is over
-}
-
-func (w *Worker) observe(q observeRequest) *observed {
-	if q.Look && w.observer != nil {
-		return &observed{Reached: w.observer.reached.Load(), Latest: w.observer.latest.Load()}
-	}
-	if !q.End {
-		o := &observer{of: q, done: make(chan struct{}), over: make(chan struct{}), seen: observed{Versions: map[int64]int64{}}}
-		w.observer = o
-		go o.run(slices.Clone(w.sidecars))
-		return &observed{}
-	}
-	o := w.observer
-	if o == nil {
-		return &observed{}
-	}
-	w.observer = nil
-	close(o.done)
-	<-o.over
-	o.seen.Reached, o.seen.Latest = o.reached.Load(), o.latest.Load()
-	return &o.seen
-}
-
-func (o *observer) run(l []hollowSidecar) {
-	defer close(o.over)
-	last := fewestVersion(l, o.of.Route)
-	tick := time.NewTicker(observeEvery)
-	defer tick.Stop()
-	for {
-		select {
-		case <-tick.C:
-		case <-o.done:
-			return
-		}
-		now := time.Now().UnixNano()
-		if o.of.Route != "" {
-			for v := fewestVersion(l, o.of.Route); last < v; {
-				last++
-				o.seen.Versions[last] = now
-			}
-			o.latest.Store(last)
-		}
-		if o.of.Server != "" && o.reached.Load() == 0 && o.allSee(l) {
-			o.reached.Store(now)
+			r.Reached = false
 		}
 	}
-}
-
-// fewestVersion is the least version of a route that any has in force.
-func fewestVersion(l []hollowSidecar, route string) (least int64) {
-	for i, s := range l {
-		if v := s.RouteVersion(route); i == 0 || v < least {
-			least = v
+	for _, hollow := range w.full() {
+		known := hollow.KnownSidecars()
+		if r.FewestKnown < 0 || known < r.FewestKnown {
+			r.FewestKnown = known
 		}
-	}
-	return least
-}
-
-func (o *observer) allSee(l []hollowSidecar) bool {
-	for _, s := range l {
-		if h, is := s.(*sidecar.Hollow); is && h.ServerState(o.of.Server) != o.of.State {
-			return false
+		if known < q.Known || hollow.ItemCount() < q.Items {
+			r.Reached = false
 		}
 	}
-	return true
+	return r
 }
 
-// claim claims keys at an even pace, whatever becomes of those before.
-func (w *Worker) claim(q claimRequest) *claimOutcome {
-	var mu sync.Mutex // guards delays
-	var delays []time.Duration
-	var failed atomic.Int64
-	var all sync.WaitGroup
-	l := w.full()
-	began := time.Now()
-	total := int(q.PerSecond * q.Seconds)
-	for n := range total {
-		time.Sleep(time.Until(began.Add(time.Duration(float64(n) / q.PerSecond * float64(time.Second)))))
-		all.Go(func() {
-			at := time.Now()
-			granted, err := l[n%len(l)].Claim(w.ctx, fmt.Sprintf("%s-%d", q.Prefix, n))
-			if err != nil || !granted {
-				failed.Add(1)
-				return
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			delays = append(delays, time.Since(at))
-		})
+// account returns the traffic of all sidecars, and with collect the memory that they use after a garbage collection.
+func (w *worker) account(collect bool) *account {
+	a := &account{
+		Sent: bytesByType(transport.SentTraffic()), Received: bytesByType(transport.ReceivedTraffic()), Goroutines: runtime.NumGoroutine(),
 	}
-	started := time.Since(began)
-	all.Wait()
-	return &claimOutcome{Granted: len(delays), Failed: int(failed.Load()), Delays: quantiles(delays), StartedS: started.Seconds()}
-}
-
-func (w *Worker) account(collect bool) *account {
-	a := &account{Said: byPurpose(transport.SentTraffic()), Heard: byPurpose(transport.ReceivedTraffic()), Goroutines: runtime.NumGoroutine()}
 	if collect {
 		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		a.Heap = int64(m.HeapAlloc + m.StackInuse)
+		var memory runtime.MemStats
+		runtime.ReadMemStats(&memory)
+		a.Heap = int64(memory.HeapAlloc + memory.StackInuse)
 	}
 	return a
 }
 
-func byPurpose(l []*wire.TrafficCounterT) map[string]int64 {
-	m := map[string]int64{}
-	for _, s := range l {
-		m[s.MessageType] = s.Bytes
+func bytesByType(counters []*wire.TrafficCounterT) map[string]int64 {
+	bytes := map[string]int64{}
+	for _, counter := range counters {
+		bytes[counter.MessageType] = counter.Bytes
 	}
-	return m
+	return bytes
 }
--- a/internal/mesh/scale/child.go
+++ b/internal/mesh/scale/worker_process.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// endWithin is how long a worker may take to end by itself.
-const endWithin = 3 * time.Second
+// workerExitTimeout is how long a worker may take to end once its input is closed.
+const workerExitTimeout = 3 * time.Second
 
 // workerProcess is a worker in a process of its own.
 type workerProcess struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	lines *bufio.Scanner
-	mu    sync.Mutex // held over a call: one at a time
-	once  sync.Once
+	cmd       *exec.Cmd
+	in        io.WriteCloser
+	lines     *bufio.Scanner
+	mu        sync.Mutex // held over a call, so that there is one at a time
+	closeOnce sync.Once
 }
 
 // startWorker starts this program again as a worker.
@@ -38,14 +38,15 @@
 		return nil, err
 	}
 	w.in, w.lines = in, bufio.NewScanner(out)
-	w.lines.Buffer(nil, longestLine)
-	w.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true} // a terminal's interrupt reaches the orchestrator, which ends it in order
+	w.lines.Buffer(nil, maxLineBytes)
+	// In a process group of its own, a worker is not reached by an interrupt from the terminal: the orchestrator ends it in order.
+	w.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	return w, w.cmd.Start()
 }
 
 func (w *workerProcess) pid() int { return w.cmd.Process.Pid }
 
-// call asks the worker and waits for its answer.
+// call sends a request to the worker and waits for its response. It may be called from any goroutine.
 func (w *workerProcess) call(q request) (r response, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -60,7 +61,7 @@
 		return r, fmt.Errorf("a worker has ended: %w", errors.Join(w.lines.Err(), io.ErrUnexpectedEOF))
 	}
 	if err := json.Unmarshal(w.lines.Bytes(), &r); err != nil {
-		return r, err
+		return r, fmt.Errorf("response of a worker: %w", err)
 	}
 	if r.Err != "" {
 		return r, errors.New(r.Err)
@@ -68,12 +69,12 @@
 	return r, nil
 }
 
-// close ends the worker: by closing its input, and if that does not help by a signal.
+// close ends the worker by closing its input, and kills it if it does not end in time. It may be called again.
 func (w *workerProcess) close() {
-	w.once.Do(func() {
+	w.closeOnce.Do(func() {
 		w.in.Close()
-		late := time.AfterFunc(endWithin, func() { w.cmd.Process.Kill() })
-		defer late.Stop()
-		w.cmd.Wait()
+		kill := time.AfterFunc(workerExitTimeout, func() { _ = w.cmd.Process.Kill() }) // it fails if the worker has just ended
+		defer kill.Stop()
+		_ = w.cmd.Wait() // how a worker ends does not matter any more
 	})
 }
--- a/internal/mesh/scale/worker_protocol.go
+++ b/internal/mesh/scale/worker_protocol.go
@@ -7,26 +7,29 @@
 
 // Kinds of workers, as the command line names them.
 const (
-	workerFull     = "full"     // hollow sidecars with their whole control side
+	workerFull     = "full"     // hollow sidecars with their complete control side
 	workerAnnounce = "announce" // announcers
 )
 
-// request is one call to a worker, a line of JSON on its standard input; one field is set.
+// maxLineBytes bounds a line of the protocol.
+const maxLineBytes = 64 << 20
+
+// request is one call to a worker, a line of JSON on its standard input. One field is set.
 type request struct {
 	Start   *startRequest   `json:"start,omitempty"`
 	Await   *awaitRequest   `json:"await,omitempty"`
 	Observe *observeRequest `json:"observe,omitempty"`
-	Claim   *claimRequest   `json:"claim,omitempty"`
+	Lease   *leaseRequest   `json:"claim,omitempty"`
 	Account *accountRequest `json:"account,omitempty"`
 }
 
-// response answers one, a line of JSON on standard output.
+// response is the answer to one request, a line of JSON on the worker's standard output.
 type response struct {
-	Err     string        `json:"err,omitempty"`
-	Await   *awaited      `json:"await,omitempty"`
-	Observe *observed     `json:"observe,omitempty"`
-	Claim   *claimOutcome `json:"claim,omitempty"`
-	Account *account      `json:"account,omitempty"`
+	Err     string           `json:"err,omitempty"`
+	Await   *awaitResponse   `json:"await,omitempty"`
+	Observe *observeResponse `json:"observe,omitempty"`
+	Lease   *leaseOutcome    `json:"claim,omitempty"`
+	Account *account         `json:"account,omitempty"`
 }
 
 // startRequest starts sidecars with these settings.
@@ -34,62 +37,62 @@
 	Sidecars []settings.Settings `json:"sidecars"`
 }
 
-// awaitRequest waits until every sidecar has confirmed its configuration, knows so many sidecars and holds so many items.
+// awaitRequest waits until every sidecar has confirmed its configuration, and every full one knows Known sidecars and has Items items.
 type awaitRequest struct {
 	Known    int     `json:"known"`
 	Items    int     `json:"items"`
 	TimeoutS float64 `json:"timeout_s"`
 }
 
-// awaited is when that came about, in Unix nanoseconds.
-type awaited struct {
+// awaitResponse says whether the state was reached in time.
+type awaitResponse struct {
 	Reached bool  `json:"reached"`
-	At      int64 `json:"at"`
-	// FewestKnown and Confirmed tell how far it got where it was not reached.
+	At      int64 `json:"at"` // Unix nanoseconds
+	// FewestKnown and Confirmed say how far the sidecars got.
 	FewestKnown int `json:"fewest_known"`
 	Confirmed   int `json:"confirmed"`
 }
 
-// observeRequest begins an observation, or ends the one that runs and asks what it saw.
+// observeRequest begins an observation of a route or of a server, or asks about the one that runs.
 type observeRequest struct {
 	Route  string                `json:"route,omitempty"`  // whose versions are noted
-	Server string                `json:"server,omitempty"` // the sidecar whose server's state is waited for
+	Server string                `json:"server,omitempty"` // address of the sidecar whose server is to reach State
 	State  directory.ServerState `json:"state,omitempty"`
-	Look   bool                  `json:"look,omitempty"` // only asks how far it is
-	End    bool                  `json:"end,omitempty"`
+	Look   bool                  `json:"look,omitempty"` // only asks how far the sidecars are
+	End    bool                  `json:"end,omitempty"`  // ends the observation, and asks what it saw
 }
 
-// observed is what every sidecar of the worker had in force and when, in Unix nanoseconds.
-type observed struct {
+// observeResponse is what all sidecars of the worker had in force, and since when, in Unix nanoseconds.
+type observeResponse struct {
 	Versions map[int64]int64 `json:"versions"` // by version of the route: when the last sidecar had it or a later one
-	Latest   int64           `json:"latest"`   // the last of them
+	Latest   int64           `json:"latest"`   // version that all sidecars have
 	Reached  int64           `json:"reached"`  // when the last sidecar knew the server's state; 0: not yet
 }
 
-// claimRequest has the sidecars claim keys, each one never claimed before, at an even pace.
-type claimRequest struct {
+// leaseRequest has the sidecars lease keys at an even pace. Each key is new.
+type leaseRequest struct {
 	PerSecond float64 `json:"per_second"`
 	Seconds   float64 `json:"seconds"`
-	Prefix    string  `json:"prefix"`
+	Prefix    string  `json:"prefix"` // of the keys
 }
 
-// claimOutcome is what became of them.
-type claimOutcome struct {
+// leaseOutcome is what became of the leases.
+type leaseOutcome struct {
 	Granted  int       `json:"granted"`
 	Failed   int       `json:"failed"`
 	Delays   Quantiles `json:"delays"` // of those that were granted
 	StartedS float64   `json:"started_s"`
 }
 
-// accountRequest asks what the worker has said and heard; Collect: and what its heap holds after a collection.
+// accountRequest asks for the traffic of the worker, and with Collect for its memory after a garbage collection.
 type accountRequest struct {
 	Collect bool `json:"collect"`
 }
 
-// account is the answer.
+// account is the traffic and memory of a worker.
 type account struct {
-	Said       map[string]int64 `json:"said"`  // bytes sent to the control plane since the start, by purpose
-	Heard      map[string]int64 `json:"heard"` // bytes received, the same
-	Heap       int64            `json:"heap"`  // bytes in use after a collection, with goroutines' stacks; 0: not asked for
+	Sent       map[string]int64 `json:"said"`  // bytes sent to the control plane since the start, by type of message
+	Received   map[string]int64 `json:"heard"` // bytes received, the same
+	Heap       int64            `json:"heap"`  // bytes in use after a collection, with the stacks of goroutines; 0: not asked for
 	Goroutines int              `json:"goroutines"`
 }
