--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"cranegrade/internal/testfleet"
 	"cranegrade/internal/fake"
+	"cranegrade/internal/testfleet"
 )
 
 // minViolationTime is how long a drill runs at the least when a breach is planted.
