--- a/internal/operator/classes.go
+++ b/internal/operator/classes.go
@@ -4,10 +4,10 @@
 	"strings"
 
 	"cranegrade/balancer"
-	"cranegrade/internal/engine"
 )
 
-func (f *document) classes(t *table, p *Pool) {
+// classes reads the [[pools.classes]] of a pool.
+func (d *document) classes(t *table, p *Pool) {
 	tables := t.subtables("classes")
 	if len(tables) == 0 {
 		t.fault("classes", "missing: a pool needs at least one [[pools.classes]]")
@@ -23,81 +23,55 @@
 		if c.Stream && !p.GRPC {
 			ct.fault("stream", "is only for pools whose protocol is grpc")
 		}
-		if c.Name == "" {
-			ct.fault("name", "missing")
-		} else if strings.Contains(c.Name, "/") {
-			ct.fault("name", "%q has a slash, but is the first part of a path", c.Name)
-		} else if names[c.Name] {
-			ct.fault("name", "two classes of this pool have the name %q", c.Name)
-		}
+		checkClassName(ct, c.Name, names)
 		names[c.Name] = true
-		if !ct.has("effect") {
-			ct.fault("effect", "missing: say whether requests are safe, keyed or unsafe to repeat")
-		}
-		for _, need := range []struct {
-			key  string
-			zero bool
-		}{{"aim", c.Aim == 0}, {"deadline", c.Deadline == 0}} {
-			if need.zero {
-				ct.fault(need.key, "must be told, and over 0")
-			}
-		}
-		if c.Deadline > 0 && c.Aim > c.Deadline {
-			ct.fault("aim", "%v is after the deadline of %v", c.Aim, c.Deadline)
-		}
-		if c.LateShare > 1 {
-			ct.fault("late_share", "%v is over 1: it is a share of the worth", c.LateShare)
-		}
-		keyed := c.Effect == balancer.IdempotentByKey
-		if keyed && c.Window == 0 {
-			ct.fault("window", "missing: for how long servers drop the repeats of a key")
-		}
-		for _, key := range []string{"window", "scope"} {
-			if !keyed && ct.has(key) {
-				ct.fault(key, "is only for classes whose effect is keyed")
-			}
-		}
+		checkClassTimes(ct, c)
+		checkClassEffect(ct, c)
 		ct.rejectUnknownKeys()
 		p.Settings.Classes = append(p.Settings.Classes, c)
 	}
 }
 
-// maxQuotas bounds the tenants with a quota: the module goes over all of them for each request that it
-// must weigh.
-const maxQuotas = 64
+// checkClassName checks the name of a class against those of the pool's classes before it.
+func checkClassName(ct *table, name string, before map[string]bool) {
+	switch {
+	case name == "":
+		ct.fault("name", "missing")
+	case strings.Contains(name, "/"):
+		ct.fault("name", "%q has a slash, but is the first part of a path", name)
+	case before[name]:
+		ct.fault("name", "two classes of this pool have the name %q", name)
+	}
+}
 
-// tenants reads who has a quota. Without any, what is told of quotas would be without effect.
-func (f *document) tenants(t, weights *table, p *Pool) {
-	if w := p.Settings.OverShare; w > 1 {
-		weights.fault("over_quota", "%v is over 1: it is a share of the worth", w)
+// checkClassTimes checks the latency target and the deadline, and what a late answer is worth.
+func checkClassTimes(ct *table, c balancer.Class) {
+	if c.Aim == 0 {
+		ct.fault("aim", "must be told, and over 0")
 	}
-	tables := t.subtables("tenants")
-	if len(tables) == 0 {
-		for _, key := range []string{"over_quota", "worst_tenant"} {
-			if weights.has(key) {
-				weights.fault(key, "is of no effect without [[pools.tenants]] that have quotas")
-			}
-		}
+	if c.Deadline == 0 {
+		ct.fault("deadline", "must be told, and over 0")
 	}
-	if len(tables) > maxQuotas {
-		t.fault("tenants", "%d tenants, %d at most", len(tables), maxQuotas)
+	if c.Deadline > 0 && c.Aim > c.Deadline {
+		ct.fault("aim", "%v is after the deadline of %v", c.Aim, c.Deadline)
 	}
-	names := map[string]bool{}
-	for _, tt := range tables {
-		x := balancer.Tenant{Name: tt.text("name", ""), Quota: tt.number("quota", 0)}
-		switch {
-		case x.Name == "":
-			tt.fault("name", "missing: as the callers' X-Account has it")
-		case len(x.Name) > engine.MaxTenant:
-			tt.fault("name", "is longer than the %d bytes that are told apart", engine.MaxTenant)
-		case names[x.Name]:
-			tt.fault("name", "two tenants of this pool have the name %q", x.Name)
-		}
-		names[x.Name] = true
-		if !tt.has("quota") {
-			tt.fault("quota", "missing: requests a second, over all nodes")
+	if c.LateShare > 1 {
+		ct.fault("late_share", "%v is over 1: it is a share of the worth", c.LateShare)
+	}
+}
+
+// checkClassEffect checks that the effect is given, and the settings that depend on it.
+func checkClassEffect(ct *table, c balancer.Class) {
+	if !ct.has("effect") {
+		ct.fault("effect", "missing: say whether requests are safe, keyed or unsafe to repeat")
+	}
+	keyed := c.Effect == balancer.IdempotentByKey
+	if keyed && c.Window == 0 {
+		ct.fault("window", "missing: for how long servers drop the repeats of a key")
+	}
+	for _, key := range []string{"window", "scope"} {
+		if !keyed && ct.has(key) {
+			ct.fault(key, "is only for classes whose effect is keyed")
 		}
-		tt.rejectUnknownKeys()
-		p.Settings.Tenants = append(p.Settings.Tenants, x)
 	}
 }
--- a/internal/operator/extproc.go
+++ b/internal/operator/extproc.go
@@ -1,43 +1,62 @@
 package operator
 
-import "strings"
+import (
+	"strings"
+	"time"
+)
 
-// extProc reads [ext_proc]: how proxies ask (docs/extproc.md).
-func (f *document) extProc(t *table, p *Plan) {
-	x := t.subtable("ext_proc")
-	if x == nil {
+// Bounds of [ext_proc].
+const (
+	minDecisionTimeout    = time.Millisecond
+	maxDecisionTimeout    = 10 * time.Second
+	minLinger             = time.Millisecond
+	maxLinger             = time.Minute
+	maxExtProcStreams     = 1 << 24
+	maxRememberedRequests = 1 << 24
+)
+
+// extProc reads [ext_proc]: how proxies ask where to send requests (docs/extproc.md).
+func (d *document) extProc(t *table, p *Plan) {
+	et := t.subtable("ext_proc")
+	if et == nil {
 		return
 	}
 	p.ExtProc = &ExtProc{
-		Listen: x.text("listen", ""), DecisionTimeout: x.duration("decide_within", 150e6), Linger: x.duration("linger", 500e6),
-		Retries: x.boolean("retries", false), Streams: x.count("streams", 10_000), Rate: x.number("rate", 0),
-		IDHeader: strings.ToLower(x.text("id_header", "x-request-id")), ClearRouteCache: x.boolean("clear_route_cache", false),
-		HeadersOnly: x.boolean("headers_only", true), TimeLeft: x.boolean("time_left", false),
-		RememberedRequests: x.count("remember", 100_000), ProxyStreams: x.count("proxy_streams", 0),
-		RetryHeader: strings.ToLower(x.text("retry_header", defaultRetryHeader)),
-	}
-	if err := address(p.ExtProc.Listen, true); err != nil {
-		x.fault("listen", "%v", err)
+		Listen:          et.text("listen", ""),
+		DecisionTimeout: et.duration("decide_within", defaultDecisionTimeout), Linger: et.duration("linger", defaultLinger),
+		Retries: et.boolean("retries", false), Streams: et.count("streams", defaultExtProcStreams), Rate: et.number("rate", 0),
+		IDHeader: strings.ToLower(et.text("id_header", defaultIDHeader)), ClearRouteCache: et.boolean("clear_route_cache", false),
+		HeadersOnly: et.boolean("headers_only", true), TimeLeft: et.boolean("time_left", false),
+		RememberedRequests: et.count("remember", defaultRememberedRequests), ProxyStreams: et.count("proxy_streams", 0),
+		RetryHeader: strings.ToLower(et.text("retry_header", defaultRetryHeader)),
+	}
+	p.ExtProc.check(et)
+	et.rejectUnknownKeys()
+}
+
+// check reports what is out of bounds, and names of headers that can't be.
+func (e *ExtProc) check(et *table) {
+	if err := checkAddress(e.Listen, true); err != nil {
+		et.fault("listen", "%v", err)
 	}
-	if w := p.ExtProc.DecisionTimeout; w < 1e6 || w > 10e9 {
-		x.fault("decide_within", "%v is not between 1ms and 10s", w)
+	if e.DecisionTimeout < minDecisionTimeout || e.DecisionTimeout > maxDecisionTimeout {
+		et.fault("decide_within", "%v is not between 1ms and 10s", e.DecisionTimeout)
 	}
-	if l := p.ExtProc.Linger; l < 1e6 || l > 60e9 {
-		x.fault("linger", "%v is not between 1ms and 1m", l)
+	if e.Linger < minLinger || e.Linger > maxLinger {
+		et.fault("linger", "%v is not between 1ms and 1m", e.Linger)
 	}
-	if n := p.ExtProc.Streams; n < 1 || n > 1<<24 {
-		x.fault("streams", "%d is not between 1 and %d", n, 1<<24)
+	if e.Streams < 1 || e.Streams > maxExtProcStreams {
+		et.fault("streams", "%d is not between 1 and %d", e.Streams, maxExtProcStreams)
 	}
-	if n := p.ExtProc.RememberedRequests; n < 1 || n > 1<<24 {
-		x.fault("remember", "%d is not between 1 and %d", n, 1<<24)
+	if e.RememberedRequests < 1 || e.RememberedRequests > maxRememberedRequests {
+		et.fault("remember", "%d is not between 1 and %d", e.RememberedRequests, maxRememberedRequests)
 	}
-	if h := p.ExtProc.RetryHeader; h != "" && !isToken(h) {
-		x.fault("retry_header", "%q is no name of a header", h)
-	} else if x.has("retry_header") && !p.ExtProc.Retries {
-		x.fault("retry_header", "is of no effect without retries = true")
+	if e.RetryHeader != "" && !isToken(e.RetryHeader) {
+		et.fault("retry_header", "%q is no name of a header", e.RetryHeader)
+	} else if et.has("retry_header") && !e.Retries {
+		et.fault("retry_header", "is of no effect without retries = true")
 	}
-	if !isToken(p.ExtProc.IDHeader) {
-		x.fault("id_header", "%q is no name of a header", p.ExtProc.IDHeader)
+	if !isToken(e.IDHeader) {
+		et.fault("id_header", "%q is no name of a header", e.IDHeader)
 	}
-	x.rejectUnknownKeys()
 }
--- a/internal/operator/limits.go
+++ b/internal/operator/limits.go
@@ -2,79 +2,92 @@
 
 import "cranegrade/internal/pool"
 
-// sharedLimit is one of the things that pools share.
+const (
+	// questionBytes is the memory that an open question of a proxy takes, as measured (docs/design/extproc.md) and rounded up.
+	questionBytes = 24 << 10
+	// maxDescriptors bounds the descriptors of a process.
+	maxDescriptors = 1 << 24
+	// descriptorsPerPool and minCallerDescriptors make the least number of descriptors, with those that are reserved: each
+	// pool needs a watch and a connection.
+	descriptorsPerPool   = 2
+	minCallerDescriptors = 8
+	// newCallersShare is the part of the callers' total for connections before their first request: one of so many.
+	newCallersShare = 8
+	// questionsMemoryShare is the part of the memory for open questions of proxies: one of so many.
+	questionsMemoryShare = 4
+)
+
+// sharedLimit is one of the limits that pools share.
 type sharedLimit struct {
 	key      string
-	bytes    bool
+	bytes    bool // values may have a unit of bytes
 	total    *int64
 	quota    func(*Limits) *pool.Quota
-	reserved int64 // of the total, for other than pools
+	reserved int64 // part of the total that pools can't have
 }
 
-// questionBytes is what an open question of a proxy takes, as measured (docs/design/extproc.md), rounded up.
-const questionBytes = 24 << 10
-
-// limits reads what the process may hold and each pool's part of it. Where a pool's minimum is not
-// told, half the total is dealt out evenly, so that none can be starved by default.
-func (f *document) limits(t *table, pools []*table, p *Plan) {
-	shared := f.totals(t, len(pools), p)
+// limits reads [limits], what the process may use in all, and each pool's quotas. By default the pools' minima are equal
+// parts of half the total, so that no pool can be starved.
+func (d *document) limits(t *table, pools []*table, p *Plan) {
+	shared := d.totals(t, len(pools), p)
 	for i, pt := range pools {
 		lt := pt.tableOrEmpty("limits")
-		for _, k := range shared {
-			k.readQuota(lt, k.quota(&p.Pools[i].Limits), len(pools))
+		for _, limit := range shared {
+			limit.readQuota(lt, limit.quota(&p.Pools[i].Limits), len(pools))
 		}
 		lt.rejectUnknownKeys()
 		pt.rejectUnknownKeys()
 	}
-	for _, k := range shared {
-		k.checkMinima(pools, p)
+	for _, limit := range shared {
+		limit.checkMinima(pools, p)
 	}
 }
 
 // totals reads [limits].
-func (f *document) totals(t *table, pools int, p *Plan) []sharedLimit {
-	l := t.tableOrEmpty("limits")
-	p.MemoryMB, p.Cores = l.number("memory_mb", 0), l.number("cores", 0)
-	descriptors := l.count("descriptors", defaultDescriptors)
-	if least := int64(reservedDescriptors + 2*pools + 8); descriptors < least || descriptors > 1<<24 {
-		l.fault("descriptors", "%d is not between %d, the least for %d pools, and %d", descriptors, least, pools, 1<<24)
+func (d *document) totals(t *table, pools int, p *Plan) []sharedLimit {
+	lt := t.tableOrEmpty("limits")
+	p.MemoryMB, p.Cores = lt.number("memory_mb", 0), lt.number("cores", 0)
+	descriptors := lt.count("descriptors", defaultDescriptors)
+	if least := int64(reservedDescriptors + descriptorsPerPool*pools + minCallerDescriptors); descriptors < least || descriptors > maxDescriptors {
+		lt.fault("descriptors", "%d is not between %d, the least for %d pools, and %d", descriptors, least, pools, maxDescriptors)
 		descriptors = max(least, defaultDescriptors)
 	}
 	p.defaultTotals(int(descriptors), pools)
 	shared := p.sharedLimits()
 	for i := range shared {
-		k := &shared[i]
-		*k.total = k.read(l, k.key, *k.total)
-		if k.key == "callers" {
-			p.Totals.NewCallers.Min = min(p.Totals.NewCallers.Min, *k.total/8)
-			k.reserved = p.Totals.NewCallers.Min
+		limit := &shared[i]
+		*limit.total = limit.read(lt, limit.key, *limit.total)
+		if limit.key == "callers" {
+			p.Totals.NewCallers.Min = min(p.Totals.NewCallers.Min, *limit.total/newCallersShare)
+			limit.reserved = p.Totals.NewCallers.Min
 		}
 	}
 	if sum := p.Totals.Connections + p.Totals.Callers; sum > descriptors-reservedDescriptors-int64(pools) {
-		l.fault("connections", "%d connections and %d callers need more than the %d descriptors, of which %d are reserved",
+		lt.fault("connections", "%d connections and %d callers need more than the %d descriptors, of which %d are reserved",
 			p.Totals.Connections, p.Totals.Callers, descriptors, reservedDescriptors+pools)
 	}
-	l.rejectUnknownKeys()
+	lt.rejectUnknownKeys()
 	return shared
 }
 
-// defaultTotals are those that follow from the descriptors and the memory.
+// defaultTotals sets the totals that follow from the descriptors and the memory.
 func (p *Plan) defaultTotals(descriptors, pools int) {
 	p.Totals = TotalsFor(descriptors, p.MemoryMB, pools)
-	p.Totals.NewCallers.Min = p.Totals.Callers / 8
-	// An HTTP/1.1 caller's connection carries one call at a time, so there can be no more of these.
+	p.Totals.NewCallers.Min = p.Totals.Callers / newCallersShare
+	// A caller's connection carries one call at a time (HTTP/1.1), so there can't be more calls than callers.
 	p.Totals.Calls, p.Totals.Held = p.Totals.Callers, p.Totals.Callers
 	if p.ExtProc == nil {
 		return
 	}
-	asked := p.ExtProc.Streams // a proxy's connection carries many, and what they cost is memory
+	// A proxy's connection carries many questions, which cost memory but no descriptors.
+	questions := p.ExtProc.Streams
 	if p.MemoryMB > 0 {
-		asked = min(asked, int64(p.MemoryMB*(1<<20)/4/questionBytes))
+		questions = min(questions, int64(p.MemoryMB*(1<<20)/questionsMemoryShare/questionBytes))
 	}
-	p.Totals.Calls, p.Totals.Held = p.Totals.Calls+asked, p.Totals.Held+asked
+	p.Totals.Calls, p.Totals.Held = p.Totals.Calls+questions, p.Totals.Held+questions
 }
 
-// sharedLimits are all that pools share, in the order in which faults of them are found.
+// sharedLimits returns all limits that pools share.
 func (p *Plan) sharedLimits() []sharedLimit {
 	return []sharedLimit{
 		{"calls", false, &p.Totals.Calls, func(l *Limits) *pool.Quota { return &l.Calls }, 0},
@@ -86,43 +99,43 @@
 	}
 }
 
-// readQuota reads one pool's quota of one limit.
-func (k *sharedLimit) readQuota(lt *table, q *pool.Quota, pools int) {
-	if *k.total < Unlimited {
-		q.Min = (*k.total - k.reserved) / int64(2*pools)
+// readQuota reads a pool's quota of the limit.
+func (s *sharedLimit) readQuota(lt *table, q *pool.Quota, pools int) {
+	if *s.total < Unlimited {
+		q.Min = (*s.total - s.reserved) / int64(2*pools)
 	}
-	kt := lt.subtable(k.key)
-	if kt == nil {
+	qt := lt.subtable(s.key)
+	if qt == nil {
 		return
 	}
-	q.Max = k.read(kt, "max", 0)
+	q.Max = s.read(qt, "max", 0)
 	if q.Max > 0 {
 		q.Min = min(q.Min, q.Max)
 	}
-	q.Min = k.read(kt, "min", q.Min)
-	if kt.has("max") && q.Max == 0 {
-		kt.fault("max", "must be over 0")
+	q.Min = s.read(qt, "min", q.Min)
+	if qt.has("max") && q.Max == 0 {
+		qt.fault("max", "must be over 0")
 	} else if q.Max > 0 && q.Min > q.Max {
-		kt.fault("min", "%d is over the maximum of %d", q.Min, q.Max)
+		qt.fault("min", "%d is over the maximum of %d", q.Min, q.Max)
 	}
-	kt.rejectUnknownKeys()
+	qt.rejectUnknownKeys()
 }
 
 // checkMinima reports the first pool whose minimum no longer fits into the total.
-func (k *sharedLimit) checkMinima(pools []*table, p *Plan) {
-	sum := k.reserved
+func (s *sharedLimit) checkMinima(pools []*table, p *Plan) {
+	sum := s.reserved
 	for i, pt := range pools {
-		q := k.quota(&p.Pools[i].Limits)
-		if q.Min > *k.total-sum {
-			pt.fault("limits."+k.key, "the minima of the pools up to this one, %d for this one, pass the total of %d", q.Min, *k.total)
+		q := s.quota(&p.Pools[i].Limits)
+		if q.Min > *s.total-sum {
+			pt.fault("limits."+s.key, "the minima of the pools up to this one, %d for this one, pass the total of %d", q.Min, *s.total)
 			return
 		}
 		sum += q.Min
 	}
 }
 
-func (k *sharedLimit) read(t *table, key string, def int64) int64 {
-	if k.bytes {
+func (s *sharedLimit) read(t *table, key string, def int64) int64 {
+	if s.bytes {
 		return t.bytes(key, def)
 	}
 	return t.count(key, def)
--- a/internal/operator/listeners.go
+++ b/internal/operator/listeners.go
@@ -2,87 +2,70 @@
 
 import (
 	"fmt"
-	"net"
 	"slices"
-	"strconv"
 	"strings"
 
 	"cranegrade/internal/message"
 )
 
-// listeners reads the addresses to listen on, with what callers over HTTP/2 and proxies may do there. windowed: the file
-// says the window of HTTP/2 itself.
-func (f *document) listeners(t *table, p *Plan) (windowed bool) {
+// Bounds of [h2].
+const (
+	maxH2Streams = 10_000
+	minH2Window  = 64 << 10 // bytes
+	maxH2Window  = 64 << 20 // bytes
+)
+
+// listeners reads the addresses to listen on, with what callers over HTTP/2 and proxies may do there. It reports whether the
+// file sets the window of HTTP/2.
+func (d *document) listeners(t *table, p *Plan) (hasWindow bool) {
 	p.Listen, p.ListenH2 = t.textList("listen"), t.textList("listen_h2")
 	h2 := t.tableOrEmpty("h2")
-	p.H2 = H2{Streams: h2.countBetween("streams", 250, 1, 10_000), Window: h2.countBetween("window", 1<<20, 64<<10, 64<<20)}
-	windowed = h2.has("window")
+	p.H2 = H2{
+		Streams: h2.countBetween("streams", defaultH2Streams, 1, maxH2Streams),
+		Window:  h2.countBetween("window", defaultH2Window, minH2Window, maxH2Window),
+	}
+	hasWindow = h2.has("window")
 	h2.rejectUnknownKeys()
-	f.extProc(t, p)
-	faultyListen := func(x Fault) bool { return strings.HasPrefix(x.Key, "listen") }
-	if len(p.Listen)+len(p.ListenH2) == 0 && p.ExtProc == nil && !slices.ContainsFunc(f.faults, faultyListen) {
+	d.extProc(t, p)
+	isOfListen := func(f Fault) bool { return strings.HasPrefix(f.Key, "listen") }
+	if len(p.Listen)+len(p.ListenH2) == 0 && p.ExtProc == nil && !slices.ContainsFunc(d.faults, isOfListen) {
 		t.fault("listen", `missing: the addresses to listen on, as ["127.0.0.1:3000"], or an [ext_proc]`)
 	}
-	if len(p.Listen) > maxListen {
-		t.fault("listen", "%d addresses, %d at most", len(p.Listen), maxListen)
-		p.Listen = nil
-	}
-	if len(p.ListenH2) > maxListen {
-		t.fault("listen_h2", "%d addresses, %d at most", len(p.ListenH2), maxListen)
-		p.ListenH2 = nil
+	p.Listen = limitAddresses(t, "listen", p.Listen)
+	p.ListenH2 = limitAddresses(t, "listen_h2", p.ListenH2)
+	checkListenAddresses(t, p)
+	return hasWindow
+}
+
+// limitAddresses reports a list that is too long, and returns nil for it.
+func limitAddresses(t *table, key string, addrs []string) []string {
+	if len(addrs) > maxAddresses {
+		t.fault(key, "%d addresses, %d at most", len(addrs), maxAddresses)
+		return nil
 	}
-	f.listenAddresses(t, p)
-	return windowed
+	return addrs
 }
 
-// listenAddresses checks each address, and that none is there twice, over both protocols.
-func (f *document) listenAddresses(t *table, p *Plan) {
+// checkListenAddresses checks each address, and that none is listed twice, also for different protocols.
+func checkListenAddresses(t *table, p *Plan) {
 	all := append(slices.Clone(p.Listen), p.ListenH2...)
-	for i, a := range all {
-		at := fmt.Sprintf("listen[%d]", i)
+	for i, addr := range all {
+		key := fmt.Sprintf("listen[%d]", i)
 		if i >= len(p.Listen) {
-			at = fmt.Sprintf("listen_h2[%d]", i-len(p.Listen))
+			key = fmt.Sprintf("listen_h2[%d]", i-len(p.Listen))
 		}
-		if err := address(a, true); err != nil {
-			t.fault(at, "%v", err)
-		} else if slices.Contains(all[:i], a) && !strings.HasSuffix(a, ":0") {
-			t.fault(at, "%s stands there twice", a)
+		if err := checkAddress(addr, true); err != nil {
+			t.fault(key, "%v", err)
+		} else if slices.Contains(all[:i], addr) && !strings.HasSuffix(addr, ":0") {
+			t.fault(key, "%s stands there twice", addr)
 		}
 	}
 }
 
-// limitH2Window keeps what all callers may have on its way at once to no more than there is room for bodies. A single body
-// of the longest kind always fits.
+// limitH2Window lowers the default window so that all callers together can't send more than the memory for bodies. One body
+// of the greatest length always fits.
 func (p *Plan) limitH2Window() {
 	if p.MemoryMB > 0 {
 		p.H2.Window = int(min(int64(p.H2.Window), max(message.MaxBody, p.Totals.Bodies/max(1, p.Totals.Callers))))
 	}
 }
-
-// maxListen bounds the addresses that a node listens on.
-const maxListen = 64
-
-// address checks a host:port. Port 0 means any free one, which only a listener can have.
-func address(s string, listener bool) error {
-	host, port, err := net.SplitHostPort(s)
-	if err != nil || host == "" {
-		return fmt.Errorf("%q is no host:port", s)
-	}
-	n, err := strconv.Atoi(port)
-	if err != nil || n < 0 || n > 65535 || n == 0 && !listener {
-		return fmt.Errorf("%q has no port between 1 and 65535", s)
-	}
-	return nil
-}
-
-// loopback checks an address that only this machine may reach.
-func loopback(s string) error {
-	if err := address(s, true); err != nil {
-		return err
-	}
-	host, _, _ := net.SplitHostPort(s)
-	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return fmt.Errorf("%q is no loopback address", s)
-	}
-	return nil
-}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,10 +1,14 @@
-// Package operator reads the operator's file: TOML that says which services a node carries. It checks
-// all of it, reports every fault with its file, line and key, and makes a Plan. It owns the form of the file and its
-// defaults; docs/operators.md and deploy/examples describe it. It is pure but for Load and for the look at the directory
-// that the key state names: it opens no listener and follows no address.
+// Package operator reads the operator's file: TOML that says which services a node carries, where their servers are listed
+// and what the process may use. It owns the form of the file and its defaults, checks all of it, reports every mistake with
+// file, line and key, and makes a Plan that internal/node provisions and, at a reload, compares with the one before. Pages:
+// docs/pools.md, docs/xds.md, docs/extproc.md, docs/zones.md, docs/fleet.md; examples: deploy/examples.
 //
-// Each file here reads one table of the document: listeners.go, pools.go, limits.go, routes.go, xds.go, extproc.go, zones.go,
-// fleet.go. document.go decodes and finds lines, table.go reads values.
+// It never opens a listener or follows an address. Its only I/O is reading the file, and looking whether the directory of
+// the key state is there.
+//
+// Most files read one table of the document: listeners.go, pools.go, classes.go, servers.go, limits.go, routes.go, xds.go,
+// extproc.go, zones.go and fleet.go. document.go decodes the file, key_lines.go finds the line of each key, table.go reads
+// values, and plan.go is the result.
 package operator
 
 import (
@@ -12,14 +16,17 @@
 	"os"
 )
 
-// Load reads a file. An error is of the type Faults, or says why the file can't be read.
+// maxNodes bounds the nodes that share the servers.
+const maxNodes = 1_000_000
+
+// Load reads a file. The error is of the type Faults if the file was read and has mistakes.
 func Load(path string) (Plan, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return Plan{}, fmt.Errorf("reading the operator's file: %w", err)
 	}
-	if info.Size() > maxFile {
-		return Plan{}, Faults{{File: path, Text: fmt.Sprintf("the file is longer than %d bytes", maxFile)}}
+	if info.Size() > maxFileBytes {
+		return Plan{}, Faults{{File: path, Text: fmt.Sprintf("the file is longer than %d bytes", maxFileBytes)}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -28,43 +35,43 @@
 	return Parse(path, text)
 }
 
-// Parse reads a file's text; name is for the faults. An error is of the type Faults.
+// Parse reads the text of a file. Faults name the file by name. An error is of the type Faults.
 func Parse(name string, text []byte) (Plan, error) {
-	f := &document{name: name}
-	root, ok := f.parse(text)
+	d := &document{name: name}
+	root, ok := d.decode(text)
 	if !ok {
-		return Plan{}, f.sorted()
+		return Plan{}, d.faults.sorted()
 	}
-	p := f.plan(root)
-	if len(f.faults) > 0 {
-		return Plan{}, f.sorted()
+	p := d.plan(root)
+	if len(d.faults) > 0 {
+		return Plan{}, d.faults.sorted()
 	}
 	return p, nil
 }
 
-// plan reads the document's keys in the order in which they depend on each other. Faults are collected, and what is read
-// after one only serves to find more of them.
-func (f *document) plan(t *table) Plan {
+// plan reads the tables in the order in which they depend on each other. After a fault it goes on, to find further ones; the
+// plan is of no use then.
+func (d *document) plan(t *table) Plan {
 	p := Plan{Name: t.text("name", "cranegrade")}
-	windowed := f.listeners(t, &p)
-	nodes, index := f.position(t)
-	pools := f.pools(t, &p, nodes, index)
-	f.zones(t, pools, &p, nodes)
-	f.fleet(t, &p, nodes)
-	f.limits(t, pools, &p)
-	if !windowed {
+	hasWindow := d.listeners(t, &p)
+	nodes, index := d.position(t)
+	pools := d.pools(t, &p, nodes, index)
+	d.zones(t, pools, &p, nodes)
+	d.fleet(t, &p, nodes)
+	d.limits(t, pools, &p)
+	if !hasWindow {
 		p.limitH2Window()
 	}
-	f.routes(t, &p)
-	f.xds(t, pools, &p)
-	f.control(t, &p)
-	f.uniquePools(pools, &p)
+	d.routes(t, &p)
+	d.xds(t, pools, &p)
+	d.control(t, &p)
+	d.uniquePools(pools, &p)
 	t.rejectUnknownKeys()
 	return p
 }
 
-// position reads how many nodes share the servers, and which of them this one is.
-func (f *document) position(t *table) (nodes, index int) {
+// position reads how many nodes share the servers, and which of them this one is, counted from 0.
+func (d *document) position(t *table) (nodes, index int) {
 	n, i := t.count("nodes", 1), t.count("index", 0)
 	if n < 1 || n > maxNodes {
 		t.fault("nodes", "%d is not between 1 and %d", n, maxNodes)
@@ -74,22 +81,12 @@
 	return int(n), int(i)
 }
 
-// maxNodes bounds the nodes that share the servers.
-const maxNodes = 1_000_000
-
-// control reads where operators look and call, and what a successor of the process is to find.
-func (f *document) control(t *table, p *Plan) {
-	if p.Admin = t.text("admin", ""); t.has("admin") {
-		if err := loopback(p.Admin); err != nil {
-			t.fault("admin", "%v", err)
-		}
-	}
-	if p.Operator = t.text("operator", ""); t.has("operator") {
-		if err := loopback(p.Operator); err != nil {
-			t.fault("operator", "%v", err)
-		}
-	}
-	if p.State = t.text("state", ""); !t.has("state") {
+// control reads the addresses for inspection and for operators' commands, and the directory for a hot restart.
+func (d *document) control(t *table, p *Plan) {
+	p.Admin = loopbackKey(t, "admin")
+	p.Operator = loopbackKey(t, "operator")
+	p.State = t.text("state", "")
+	if !t.has("state") {
 		return
 	}
 	if info, err := os.Stat(p.State); err != nil || !info.IsDir() {
@@ -98,3 +95,14 @@
 		t.fault("state", "it keeps operators' orders, and no operator address takes any")
 	}
 }
+
+// loopbackKey reads an address that only this machine may reach; "" if it is absent.
+func loopbackKey(t *table, key string) string {
+	addr := t.text(key, "")
+	if t.has(key) {
+		if err := checkLoopback(addr); err != nil {
+			t.fault(key, "%v", err)
+		}
+	}
+	return addr
+}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -185,7 +185,7 @@
 	if _, err := Load(filepath.Join(t.TempDir(), "none.toml")); err == nil || !strings.Contains(err.Error(), "none.toml") {
 		t.Errorf("%v", err)
 	}
-	if _, err := Parse("long", make([]byte, maxFile+1)); err == nil {
+	if _, err := Parse("long", make([]byte, maxFileBytes+1)); err == nil {
 		t.Error("a file over the limit passes")
 	}
 }
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -11,145 +11,149 @@
 	"cranegrade/internal/zone"
 )
 
-// Plan says what a node is made of. Two plans are compared at a reload, so it is data only.
+// Plan says what a node is made of. It is data only: a reload compares two plans with reflect.DeepEqual.
 type Plan struct {
-	Name     string   // of the node, for its log
-	Listen   []string // host:port each
-	ListenH2 []string // and those for HTTP/2 without TLS
-	H2       H2
-	Cores    float64 // 0: not told
-	MemoryMB float64 // 0: not told
-	Totals   Totals
-	Pools    []Pool
-	Routes   *route.Table // nil: all is for the only pool, by the first part of the path
-	XDS      *XDS         // nil: none
-	ExtProc  *ExtProc     // nil: no proxies ask
-	Admin    string       // host:port on loopback where the node tells what it holds; "": nowhere
-	Zones    *Zones       // nil: zones are not told apart
-	Fleet    *Fleet       // nil: what others there are is told by nodes and index alone
-	Operator string       // host:port where operators call; "": nowhere
-	State    string       // directory for what a successor of this process is to find; "": none
+	Name     string       // of the node, for its log and as a fleet member; default "cranegrade"
+	Listen   []string     // host:port each, for callers by HTTP/1.1
+	ListenH2 []string     // host:port each, for callers by HTTP/2 without TLS
+	H2       H2           // of the connections to ListenH2
+	Cores    float64      // CPU cores that the process may use; default 0: not known
+	MemoryMB float64      // MiB that the process may use; default 0: not known
+	Totals   Totals       // what the process may use in all
+	Pools    []Pool       // at least one
+	Routes   *route.Table // nil: every request is for the only pool, and its class is the first segment of the path
+	XDS      *XDS         // nil: no control planes
+	ExtProc  *ExtProc     // nil: no front for proxies that ask
+	Admin    string       // host:port on loopback for inspection; default "": none
+	Zones    *Zones       // nil: requests are not told apart by zone
+	Fleet    *Fleet       // nil: the other nodes are known by their number alone
+	Operator string       // host:port on loopback for operators' commands; default "": none
+	State    string       // directory for a hot restart; default "": none
 }
 
-// Fleet says how this node finds the others (docs/fleet.md).
+// Fleet says how this node finds the other members of its fleet (docs/fleet.md).
 type Fleet struct {
-	Listen    string   // host:port, TCP and UDP
-	Advertise string   // host:port that the others reach it at
-	Join      []string // members to ask at the start
-	Key       []byte   // that all members share; nil: in the clear
-	Zone      string
-	Nodes     int           // that start the fleet
-	Lease     time.Duration // for which a grant holds
-	Settle    time.Duration // until who comes or goes counts as there or not
-	Probe     time.Duration // between probes of members
+	Listen    string        // host:port, TCP and UDP
+	Advertise string        // host:port by which the others reach this node; default Listen
+	Join      []string      // host:port of members to ask at the start; default none
+	Key       []byte        // AES key that all members share; nil: messages are not encrypted
+	Zone      string        // of this node; default ""
+	Nodes     int           // how many nodes start the fleet
+	Lease     time.Duration // how long a share of what all members use is valid; default 5 s
+	Settle    time.Duration // how long until a member counts as joined or gone; default 1 s
+	Probe     time.Duration // between probes of members; default 300 ms
 }
 
-// Zones says where the load of a zone goes (docs/zones.md).
+// Zones says where the requests of a zone go (docs/zones.md).
 type Zones struct {
-	Config zone.Config  // but for what depends on the pool
+	Config zone.Config  // without what depends on the pool
 	Limits []zone.Limit // this node's part of the budgets
-	State  string       // the file that keeps the account; "": it ends with the process
+	State  string       // file that keeps the account; default "": the account ends with the process
 }
 
 // XDS says where clusters and endpoints come from (docs/xds.md).
 type XDS struct {
-	Servers       []string // control planes, host:port, in order of priority
-	Delta         bool     // the incremental variant
-	NodeID        string
-	NodeCluster   string
-	Region        string
-	Zone          string
-	SubZone       string
-	Timeout       time.Duration // for a resource that does not come
-	KeepOnRemoval bool          // a cluster that is removed keeps its servers
-	EmptyGrace    time.Duration // how long all clusters stay that one response removes
-	MaxResponse   int64         // bytes
-	LoadReports   time.Duration // how often load is reported at the most; 0: never
+	Servers       []string      // control planes, host:port, in order of priority
+	Delta         bool          // the incremental variant of the protocol; default true
+	NodeID        string        // default Plan.Name
+	NodeCluster   string        // default "cranegrade"
+	Region        string        // of this node, as are Zone and SubZone; default ""
+	Zone          string        // default ""
+	SubZone       string        // default ""
+	Timeout       time.Duration // until a resource that does not come counts as missing; default 15 s, as the specification says
+	KeepOnRemoval bool          // a cluster that is removed keeps its servers; default false
+	EmptyGrace    time.Duration // how long clusters stay if one response removes all of them; default 30 s
+	MaxResponse   int64         // bytes of a response; default 16 MiB
+	LoadReports   time.Duration // least interval between load reports; default 0: none are sent
 }
 
-// ExtProc says how proxies ask where requests should go (docs/extproc.md).
+// ExtProc says how proxies ask where requests should go, by Envoy's external processor protocol (docs/extproc.md).
 type ExtProc struct {
 	Listen             string        // host:port
-	DecisionTimeout    time.Duration // for a decision
-	Linger             time.Duration // for a request whose stream is lost
-	Retries            bool          // proxies ask again for further tries
-	Streams            int64         // open on one connection
-	Rate               float64       // questions a second of one proxy; 0: no limit
-	IDHeader           string        // header that names a request
-	ClearRouteCache    bool          // clear_route_cache
-	HeadersOnly        bool          // mode_override to headers only
-	TimeLeft           bool          // tell servers, in x-time-left, how long they have
-	RememberedRequests int64         // requests that are over and remembered
-
-	ProxyStreams int64 // of one proxy, over all its connections; 0: no limit
-
-	RetryHeader string // set in the answer to a failed try if there may be another
+	DecisionTimeout    time.Duration // how long a question may wait for its decision; default 150 ms
+	Linger             time.Duration // for how long a request outlives its stream; default 500 ms
+	Retries            bool          // proxies ask again for retries; default false
+	Streams            int64         // open at a time on one connection; default 10,000
+	Rate               float64       // questions per second of one proxy; default 0: no limit
+	IDHeader           string        // header with the id of a request; default x-request-id
+	ClearRouteCache    bool          // set clear_route_cache in answers; default false
+	HeadersOnly        bool          // have proxies send headers only, by mode_override; default true
+	TimeLeft           bool          // tell servers how much time they have, in x-time-left; default false
+	RememberedRequests int64         // finished requests that are remembered; default 100,000
+	ProxyStreams       int64         // open at a time by one proxy on all its connections; default 0: no limit
+	RetryHeader        string        // set in the answer to a failed attempt that may be retried; default x-cranegrade-retry
 }
 
-// Totals are what the process may hold in all.
+// Totals are what the process may use in all, in calls, connections or bytes.
 type Totals struct {
-	Calls, Held, Connections, Bodies, LongAnswers, Callers int64
-	NewCallers                                             pool.Quota // of Callers, for those without a request yet
+	Calls       int64      // accepted and not yet answered
+	Held        int64      // pending calls, which wait for a server
+	Connections int64      // to servers
+	Bodies      int64      // bytes of request bodies
+	LongAnswers int64      // bytes of responses over message.MaxBody
+	Callers     int64      // connections of callers
+	NewCallers  pool.Quota // part of Callers for connections before their first request
 }
 
-// Limits are a pool's parts of the totals.
+// Limits are a pool's quotas of the totals.
 type Limits struct{ Calls, Held, Connections, Bodies, LongAnswers, Callers pool.Quota }
 
-// Pool says what a pool is made of. A reload that changes Limits or List does so in the running pool;
-// one that changes anything else puts a new pool in its place.
+// Pool says what a pool is made of. A reload that changes Limits or List alone keeps the running pool; after any other
+// change a new pool takes its place.
 type Pool struct {
-	Name     string
-	Settings balancer.Settings
-	Conns    wire.Connections
-	Seed     uint64 // 0: the node draws one
-	Known    engine.News
-	Pushed   bool
-	List     List
-	Limits   Limits
-	Zoned    bool // its requests are served by zone
-	H2       bool // its servers speak HTTP/2 without TLS
-	GRPC     bool // and over that gRPC only
-	Mux      Mux  // how these are used
+	Name     string            // unique in the file; "" for the only pool of the platform's configuration
+	Settings balancer.Settings // of the balancer
+	Conns    wire.Connections  // to servers; idle default 15 s, connect time-out default 250 ms
+	Seed     uint64            // of the balancer's random choices; 0: the node draws one
+	Known    engine.News       // servers that are used until the first list comes
+	Pushed   bool              // the list is followed without the balancer asking for it
+	List     List              // where the servers are listed
+	Limits   Limits            // of what the process may use
+	Zoned    bool              // requests are served by zone; default: whether there is [zones]
+	H2       bool              // servers speak HTTP/2 without TLS; default false
+	GRPC     bool              // servers speak gRPC, which implies H2; default false
+	Mux      Mux               // of connections over HTTP/2
 }
 
-// H2 bounds what a caller's connection over HTTP/2 may hold.
+// H2 bounds what a caller's connection over HTTP/2 may use.
 type H2 struct {
-	Streams int // open at a time; those beyond are refused as never begun
-	Window  int // bytes of bodies on their way, over all its streams
+	Streams int // open at a time, 1 to 10,000; those beyond are refused as not processed; default 250
+	Window  int // flow-control window of all streams together, 64 KiB to 64 MiB; default 1 MiB, less if memory is short
 }
 
-// Mux bounds connections to a server over HTTP/2.
+// Mux bounds the connections to a server over HTTP/2.
 type Mux struct {
-	ConnectionsPerServer int // to one server
-	StreamsPerConnection int // attempts on one, whatever the server allows
+	ConnectionsPerServer int // 1 to 1,000; default 4
+	StreamsPerConnection int // attempts in flight, 1 to 10,000, however many the server allows; default 100
 }
 
-// List says where a pool's list comes from: a registry, a cluster, or else the file.
+// List says where a pool's servers are listed: by a registry, by a cluster, or in the file.
 type List struct {
-	Registry string // host:port
-	XDS      string // a cluster's name
-	Levels   bool   // of the cluster all priorities are told
-	Static   []engine.Listed
+	Registry string          // host:port; "": none
+	XDS      string          // name of a cluster; "": none
+	Levels   bool            // the endpoints of all the cluster's priorities are used
+	Static   []engine.Listed // if neither Registry nor XDS is set
 }
 
 // Unlimited is a total that never runs out.
 const Unlimited = 1 << 62
 
 const (
-	// reservedDescriptors descriptors are for the listeners, the watches, the log and the runtime.
+	// reservedDescriptors are set aside for the listeners, the watches, the log and the runtime.
 	reservedDescriptors = 32
-	// answersShare of the memory is for answers over message.MaxBody.
+	// answersShare is the share of the memory for responses over message.MaxBody.
 	answersShare = 0.15
-	// bodiesShare of the memory is for callers' bodies: every caller with the longest is too much.
+	// bodiesShare is the share of the memory for request bodies. It is too little for the longest from every caller at once.
 	bodiesShare = 0.1
 )
 
-// TotalsFor divides a process's descriptors and memory. Without a limit of memory there is none of
-// bodies and answers. more descriptors are needed besides: one for each list that is watched.
-func TotalsFor(sockets int, memoryMB float64, more int) Totals {
+// TotalsFor divides a process's descriptors, without those for other uses, and its memory in MiB. If the memory is not known
+// (0), bodies and answers are unlimited, as are calls, which connections limit. descriptorsForOthers has one for each list
+// that is watched.
+func TotalsFor(descriptors int, memoryMB float64, descriptorsForOthers int) Totals {
 	t := Totals{Calls: Unlimited, Held: Unlimited, Bodies: Unlimited, LongAnswers: Unlimited}
-	left := sockets - reservedDescriptors - more
-	// A call out needs a caller, and callers hold idle connections besides: they get the larger part.
+	left := descriptors - reservedDescriptors - descriptorsForOthers
+	// Each call to a server needs a caller, and callers keep idle connections as well, so they get the larger part.
 	t.Connections = int64(max(1, left*2/5))
 	t.Callers = max(1, int64(left)-t.Connections)
 	if memoryMB > 0 {
@@ -158,27 +162,3 @@
 	}
 	return t
 }
-
-// Defaults of a file.
-const (
-	defaultDescriptors  = 1024
-	defaultIdle         = 15 * time.Second
-	defaultConnect      = 250 * time.Millisecond
-	defaultAttempts     = 3
-	defaultRetryAfter   = 2 * time.Second
-	defaultColdFrom     = 0.33
-	defaultWarmAfter    = 10 * time.Second
-	defaultFallMultiple = 4
-	defaultFallFor      = 1500 * time.Millisecond
-	defaultWhole        = 0.55
-	defaultWorstClass   = 0.3
-	defaultWorstTenant  = 0.1
-	defaultOverQuota    = 0.2
-	defaultRetryHeader  = "x-cranegrade-retry"
-	defaultTimeout      = 15 * time.Second // the specification's
-	defaultGrace        = 30 * time.Second
-	defaultLease        = 5 * time.Second
-	defaultSettle       = time.Second
-	defaultProbe        = 300 * time.Millisecond
-	defaultMaxResponse  = 16 << 20
-)
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -10,8 +10,11 @@
 	"cranegrade/internal/route"
 )
 
+// maxSplitWeight keeps the weight of a pool in a split within an int of any size; internal/route checks it further.
+const maxSplitWeight = 1 << 31
+
 // routes reads the [[routes]] and compiles them.
-func (f *document) routes(t *table, p *Plan) {
+func (d *document) routes(t *table, p *Plan) {
 	pools := map[string]*Pool{}
 	for i := range p.Pools {
 		pools[p.Pools[i].Name] = &p.Pools[i]
@@ -24,66 +27,72 @@
 	if len(tables) == 0 && fallback == "" {
 		t.fault("routes", "missing: without routes a default pool is needed")
 	}
+	routes := d.readRoutes(tables, pools)
+	compiled, faults := route.Compile(routes, fallback)
+	for _, f := range faults {
+		rt := tables[f.Route]
+		rt.fault(fileKey(rt, f.Key), "%s", f.Text)
+	}
+	p.Routes = compiled
+}
+
+// readRoutes reads the routes, and reports those that a route before hides because it matches the same requests.
+func (d *document) readRoutes(tables []*table, pools map[string]*Pool) []route.Route {
 	routes := make([]route.Route, 0, len(tables))
 	seen := map[string]int{}
 	for i, rt := range tables {
-		r := f.route(rt, pools)
-		key := fmt.Sprintf("%q", []any{r.Host, r.Path, r.Prefix, r.Regexp, r.Methods, r.Headers, r.Classes})
-		if first, is := seen[key]; is {
-			f.fault(rt.path, "would never be reached: routes[%d] matches the same and stands before it", first)
+		r := readRoute(rt, pools)
+		match := fmt.Sprintf("%q", []any{r.Host, r.Path, r.Prefix, r.Regexp, r.Methods, r.Headers, r.Classes})
+		if first, is := seen[match]; is {
+			d.fault(rt.path, "would never be reached: routes[%d] matches the same and stands before it", first)
 		} else {
-			seen[key] = i
+			seen[match] = i
 		}
 		routes = append(routes, r)
 	}
-	table, faults := route.Compile(routes, fallback)
-	for _, x := range faults {
-		at := tables[x.Route]
-		if x.Key == "to" {
-			x.Key = "pool"
-			if at.has("split") {
-				x.Key = "split"
-			}
-		}
-		at.fault(x.Key, "%s", x.Text)
+	return routes
+}
+
+// fileKey returns the key in the file for a field that internal/route names.
+func fileKey(rt *table, field string) string {
+	switch {
+	case field != "to":
+		return field
+	case rt.has("split"):
+		return "split"
 	}
-	p.Routes = table
+	return "pool"
 }
 
-// route reads one of the [[routes]].
-func (f *document) route(t *table, pools map[string]*Pool) route.Route {
+// readRoute reads one of the [[routes]].
+func readRoute(t *table, pools map[string]*Pool) route.Route {
 	r := route.Route{
 		Host: t.text("host", ""), Path: t.text("path", ""), Prefix: t.text("prefix", ""),
 		Regexp: t.text("regexp", ""), Methods: t.textList("methods"), Classes: t.textList("classes"), Class: t.text("class", ""),
 	}
 	if r.Host == "*" {
-		r.Host = ""
+		r.Host = "" // any host
 	}
 	r.Host = strings.ToLower(strings.TrimSuffix(r.Host, "."))
-	if h := t.subtable("headers"); h != nil {
-		r.Headers = headers(h)
+	if ht := t.subtable("headers"); ht != nil {
+		r.Headers = readHeaders(ht)
 	}
-	r.To = splits(t)
+	r.To = readTargets(t)
 	checkTargets(t, &r, pools)
 	t.rejectUnknownKeys()
 	return r
 }
 
-// splits reads which pools a route goes to: one, or several by weight.
-func splits(t *table) (to []route.Split) {
+// readTargets reads the pools that a route leads to: one, or several by weight.
+func readTargets(t *table) (to []route.Split) {
 	only := t.text("pool", "")
 	switch split := t.subtable("split"); {
 	case split != nil && t.has("pool"):
 		t.fault("split", "a route has a pool or a split, not both")
 		to = []route.Split{{Pool: only, Weight: 1}}
 	case split != nil:
-		names := make([]string, 0, len(split.m))
-		for name := range split.m {
-			names = append(names, name)
-		}
-		slices.Sort(names) // the file's order is not kept; by name every node splits alike
-		for _, name := range names {
-			to = append(to, route.Split{Pool: name, Weight: int(min(split.count(name, 0), 1<<31))})
+		for _, name := range split.sortedKeys() { // the same order on every node, so that all split alike
+			to = append(to, route.Split{Pool: name, Weight: int(min(split.count(name, 0), maxSplitWeight))})
 		}
 	case t.has("pool"):
 		to = []route.Split{{Pool: only, Weight: 1}}
@@ -91,7 +100,7 @@
 	return to
 }
 
-// checkTargets reports pools that there are not, and classes that these do not have.
+// checkTargets reports pools that do not exist, and classes that these pools do not have.
 func checkTargets(t *table, r *route.Route, pools map[string]*Pool) {
 	for _, to := range r.To {
 		key := "pool"
@@ -103,25 +112,28 @@
 			t.fault(key, "there is no pool %q", to.Pool)
 			continue
 		}
-		for _, c := range append(r.Classes[:len(r.Classes):len(r.Classes)], r.Class) {
-			if c == "" || r.Class != "" && c != r.Class {
-				continue
-			}
-			if !slices.ContainsFunc(p.Settings.Classes, func(x balancer.Class) bool { return x.Name == c }) {
-				t.fault(key, "pool %s has no class %q", to.Pool, c)
+		for _, name := range neededClasses(r) {
+			if !slices.ContainsFunc(p.Settings.Classes, func(c balancer.Class) bool { return c.Name == name }) {
+				t.fault(key, "pool %s has no class %q", to.Pool, name)
 			}
 		}
 	}
 }
 
-// headers reads the headers that a route wants: a value, or true for any.
-func headers(t *table) (l []route.Header) {
-	names := make([]string, 0, len(t.m))
-	for name := range t.m {
-		names = append(names, name)
+// neededClasses returns the classes that a pool must have for a route to lead to it: the one that the route gives to its
+// requests, or else those that it matches.
+func neededClasses(r *route.Route) (names []string) {
+	for _, name := range append(slices.Clone(r.Classes), r.Class) {
+		if name != "" && (r.Class == "" || name == r.Class) {
+			names = append(names, name)
+		}
 	}
-	slices.Sort(names)
-	for _, name := range names {
+	return names
+}
+
+// readHeaders reads the headers that a route matches: by a value, or true for any value.
+func readHeaders(t *table) (headers []route.Header) {
+	for _, name := range t.sortedKeys() {
 		v, _ := t.get(name)
 		h := route.Header{Name: textproto.CanonicalMIMEHeaderKey(name)}
 		switch v := v.(type) {
@@ -137,17 +149,15 @@
 		if !isToken(name) {
 			t.fault(name, "%q is no name of a header", name)
 		}
-		if slices.ContainsFunc(l, func(x route.Header) bool { return x.Name == h.Name }) {
+		if slices.ContainsFunc(headers, func(before route.Header) bool { return before.Name == h.Name }) {
 			t.fault(name, "stands there twice in another spelling")
 		}
-		l = append(l, h)
+		headers = append(headers, h)
 	}
-	return l
+	return headers
 }
 
-// isToken says that s can be the name of a header (RFC 9110, section 5.6.2).
+// isToken reports whether s can be the name of a header (RFC 9110, section 5.6.2).
 func isToken(s string) bool {
-	return s != "" && !strings.ContainsFunc(s, func(c rune) bool {
-		return !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || strings.ContainsRune("!#$%&'*+-.^_`|~", c))
-	})
+	return s != "" && consistsOf(s, "!#$%&'*+-.^_`|~")
 }
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math"
 	"slices"
 	"strconv"
@@ -9,73 +10,61 @@
 	"time"
 )
 
-// table is a table of the document. Each method that reads a key marks it as known.
+// maxDuration bounds every duration in a file.
+const maxDuration = 24 * time.Hour
+
+// maxDescribed is how many bytes of a string a fault repeats.
+const maxDescribed = 60
+
+// table is a table of a file. Each method that reads a key marks it as known, so that rejectUnknownKeys can report the
+// others. A value of a wrong type is a fault, and reads as the default.
 type table struct {
-	f     *document
-	path  string
-	m     map[string]any
-	known map[string]bool
+	document *document
+	path     string // "" for the root
+	values   map[string]any
+	known    map[string]bool // the keys that were asked for
+}
+
+func newTable(d *document, path string, values map[string]any) *table {
+	return &table{document: d, path: path, values: values, known: map[string]bool{}}
 }
 
-func (t *table) at(key string) string { return join(t.path, key) }
+// pathOf returns the path of a key of this table.
+func (t *table) pathOf(key string) string { return joinPath(t.path, key) }
 
-func (t *table) fault(key, format string, args ...any) { t.f.fault(t.at(key), format, args...) }
+// fault adds a fault of a key of this table.
+func (t *table) fault(key, format string, args ...any) {
+	t.document.fault(t.pathOf(key), format, args...)
+}
 
 func (t *table) get(key string) (any, bool) {
 	t.known[key] = true
-	v, is := t.m[key]
+	v, is := t.values[key]
 	return v, is
 }
 
-func (t *table) has(key string) bool { _, is := t.m[key]; return is }
-
-// rejectUnknownKeys reports the keys that nobody asked for.
-func (t *table) rejectUnknownKeys() {
-	for key := range t.m {
-		if !t.known[key] {
-			t.fault(key, "unknown key%s", t.nearest(key))
-		}
-	}
+// has reports whether the file has the key. It does not mark the key as known.
+func (t *table) has(key string) bool {
+	_, is := t.values[key]
+	return is
 }
 
-// nearest names the known key that one was probably meant to be.
-func (t *table) nearest(key string) string {
-	best, least := "", 3
-	for k := range t.known {
-		if d := distance(key, k); d < least || d == least && best != "" && k < best {
-			best, least = k, d
-		}
-	}
-	if best == "" {
-		return ""
-	}
-	return fmt.Sprintf("; is %s meant?", best)
+// sortedKeys returns the keys of the table in the order of their names, since TOML does not keep the file's order.
+func (t *table) sortedKeys() []string {
+	return slices.Sorted(maps.Keys(t.values))
 }
 
-// distance is Levenshtein's.
-func distance(a, b string) int {
-	if len(a) > 40 || len(b) > 40 {
-		return max(len(a), len(b))
-	}
-	row := make([]int, len(b)+1)
-	for j := range row {
-		row[j] = j
-	}
-	for i := range len(a) {
-		diagonal := row[0]
-		row[0] = i + 1
-		for j := range len(b) {
-			cost := 1
-			if a[i] == b[j] {
-				cost = 0
-			}
-			diagonal, row[j+1] = row[j+1], min(row[j+1]+1, row[j]+1, diagonal+cost)
+// rejectUnknownKeys reports the keys that were not asked for.
+func (t *table) rejectUnknownKeys() {
+	for key := range t.values {
+		if !t.known[key] {
+			t.fault(key, "unknown key%s", t.suggestion(key))
 		}
 	}
-	return row[len(b)]
 }
 
-// read gets a value of type T, or def if the key is absent. what names the type in the fault.
+// read returns the value of a key, converted to T, or def if the key is absent. If convert fails, that is a fault which says
+// that what is wanted.
 func read[T any](t *table, key, what string, def T, convert func(any) (T, bool)) T {
 	v, is := t.get(key)
 	if !is {
@@ -88,10 +77,11 @@
 	return def
 }
 
+// describe returns a value as a fault shows it.
 func describe(v any) string {
 	switch v := v.(type) {
 	case string:
-		return strconv.Quote(v[:min(len(v), 60)])
+		return strconv.Quote(v[:min(len(v), maxDescribed)])
 	case map[string]any:
 		return "a table"
 	case []any:
@@ -100,14 +90,21 @@
 	return fmt.Sprint(v)
 }
 
-func as[T any](v any) (T, bool) { c, ok := v.(T); return c, ok }
+// as is a conversion for read that accepts values of the type T.
+func as[T any](v any) (T, bool) {
+	c, ok := v.(T)
+	return c, ok
+}
 
+// text reads a string.
 func (t *table) text(key, def string) string { return read(t, key, "a string", def, as[string]) }
 
+// boolean reads true or false.
 func (t *table) boolean(key string, def bool) bool {
 	return read(t, key, "true or false", def, as[bool])
 }
 
+// count reads a whole number that is not negative.
 func (t *table) count(key string, def int64) int64 {
 	return read(t, key, "a whole number of 0 or more", def, func(v any) (int64, bool) {
 		n, ok := v.(int64)
@@ -115,7 +112,7 @@
 	})
 }
 
-// countBetween is count within bounds.
+// countBetween is count for a number from least to most. Outside it is a fault, and def is returned.
 func (t *table) countBetween(key string, def, least, most int) int {
 	n := t.count(key, int64(def))
 	if n < int64(least) || n > int64(most) {
@@ -125,6 +122,7 @@
 	return int(n)
 }
 
+// number reads a finite number that is not negative.
 func (t *table) number(key string, def float64) float64 {
 	return read(t, key, "a number of 0 or more", def, func(v any) (float64, bool) {
 		switch v := v.(type) {
@@ -137,9 +135,7 @@
 	})
 }
 
-// maxTime bounds every time in a file.
-const maxTime = 24 * time.Hour
-
+// duration reads a duration in the form of time.ParseDuration, up to maxDuration.
 func (t *table) duration(key string, def time.Duration) time.Duration {
 	return read(t, key, `a time as "250ms" or "1.5s", of a day at most`, def, func(v any) (time.Duration, bool) {
 		s, ok := v.(string)
@@ -147,24 +143,24 @@
 			return 0, false
 		}
 		d, err := time.ParseDuration(s)
-		return d, err == nil && d >= 0 && d <= maxTime
+		return d, err == nil && d >= 0 && d <= maxDuration
 	})
 }
 
-// units of sizes in bytes.
-var units = []struct {
+// byteUnits are the units of numbers of bytes.
+var byteUnits = []struct {
 	suffix string
 	bytes  int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}}
 
-// bytes reads a number of bytes, or a string with a unit.
+// bytes reads a number of bytes: a whole number, or a string with a unit.
 func (t *table) bytes(key string, def int64) int64 {
 	return read(t, key, `a number of bytes, or one as "64KiB", "16MiB" or "1GiB"`, def, func(v any) (int64, bool) {
 		switch v := v.(type) {
 		case int64:
 			return v, v >= 0
 		case string:
-			for _, u := range units {
+			for _, u := range byteUnits {
 				if s, is := strings.CutSuffix(v, u.suffix); is {
 					n, err := strconv.ParseInt(strings.TrimSpace(s), 10, 64)
 					return n * u.bytes, err == nil && n >= 0 && n <= math.MaxInt64/2/u.bytes
@@ -175,7 +171,7 @@
 	})
 }
 
-// textList reads an array of strings.
+// textList reads an array of strings; nil if it is absent or empty.
 func (t *table) textList(key string) []string {
 	l := read(t, key, "an array of strings", nil, as[[]any])
 	out := make([]string, 0, len(l))
@@ -194,42 +190,38 @@
 
 // subtable reads a table; nil if it is absent.
 func (t *table) subtable(key string) *table {
-	m := read(t, key, "a table", nil, as[map[string]any])
-	if m == nil {
+	values := read(t, key, "a table", nil, as[map[string]any])
+	if values == nil {
 		return nil
 	}
-	return &table{f: t.f, path: t.at(key), m: m, known: map[string]bool{}}
+	return newTable(t.document, t.pathOf(key), values)
 }
 
-// tableOrEmpty reads a table, and an empty one if it is absent.
+// tableOrEmpty reads a table; an empty one if it is absent.
 func (t *table) tableOrEmpty(key string) *table {
 	if s := t.subtable(key); s != nil {
 		return s
 	}
-	return &table{f: t.f, path: t.at(key), m: map[string]any{}, known: map[string]bool{}}
+	return newTable(t.document, t.pathOf(key), map[string]any{})
 }
 
 // subtables reads an array of tables.
-func (t *table) subtables(key string) (l []*table) {
+func (t *table) subtables(key string) (tables []*table) {
 	for i, v := range read(t, key, "an array of tables", nil, as[[]any]) {
-		at := fmt.Sprintf("%s[%d]", t.at(key), i)
-		m, ok := v.(map[string]any)
+		path := fmt.Sprintf("%s[%d]", t.pathOf(key), i)
+		values, ok := v.(map[string]any)
 		if !ok {
-			t.f.fault(at, "a table is wanted, not %s", describe(v))
+			t.document.fault(path, "a table is wanted, not %s", describe(v))
 			continue
 		}
-		l = append(l, &table{f: t.f, path: at, m: m, known: map[string]bool{}})
+		tables = append(tables, newTable(t.document, path, values))
 	}
-	return l
+	return tables
 }
 
-// choice reads one of the words of a map.
+// choice reads a string that is a key of words, and returns the value that it stands for.
 func choice[T any](t *table, key string, def T, words map[string]T) T {
-	names := make([]string, 0, len(words))
-	for w := range words {
-		names = append(names, w)
-	}
-	slices.Sort(names)
+	names := slices.Sorted(maps.Keys(words))
 	return read(t, key, "one of "+strings.Join(names, ", "), def, func(v any) (T, bool) {
 		s, _ := v.(string)
 		c, ok := words[s]
--- a/internal/operator/xds.go
+++ b/internal/operator/xds.go
@@ -1,11 +1,21 @@
 package operator
 
-import "fmt"
+import (
+	"fmt"
+	"time"
+)
 
-// xds reads the control planes, which some pools' lists come from.
-func (f *document) xds(t *table, pools []*table, p *Plan) {
-	x := t.subtable("xds")
-	if x == nil {
+// Bounds of [xds].
+const (
+	minMaxResponse = 1 << 10 // bytes
+	maxMaxResponse = 1 << 30 // bytes
+	minLoadReports = 100 * time.Millisecond
+)
+
+// xds reads [xds]: the control planes that list the clusters of pools.
+func (d *document) xds(t *table, pools []*table, p *Plan) {
+	xt := t.subtable("xds")
+	if xt == nil {
 		for i, pt := range pools {
 			if p.Pools[i].List.XDS != "" {
 				pt.fault("xds", "there is no [xds] that says where clusters come from")
@@ -13,40 +23,40 @@
 		}
 		return
 	}
-	loc := x.tableOrEmpty("locality")
+	locality := xt.tableOrEmpty("locality")
 	p.XDS = &XDS{
-		Servers: x.textList("servers"), Delta: choice(x, "variant", true, map[string]bool{"delta": true, "sotw": false}),
-		NodeID: x.text("node_id", p.Name), NodeCluster: x.text("node_cluster", "cranegrade"),
-		Region: loc.text("region", ""), Zone: loc.text("zone", ""), SubZone: loc.text("sub_zone", ""),
-		Timeout: x.duration("resource_timeout", defaultTimeout), KeepOnRemoval: x.boolean("keep_on_removal", false),
-		EmptyGrace: x.duration("empty_grace", defaultGrace), MaxResponse: x.bytes("max_response", defaultMaxResponse),
-		LoadReports: x.duration("load_reports", 0),
-	}
-	p.XDS.check(x)
-	loc.rejectUnknownKeys()
-	x.rejectUnknownKeys()
+		Servers: xt.textList("servers"), Delta: choice(xt, "variant", true, map[string]bool{"delta": true, "sotw": false}),
+		NodeID: xt.text("node_id", p.Name), NodeCluster: xt.text("node_cluster", "cranegrade"),
+		Region: locality.text("region", ""), Zone: locality.text("zone", ""), SubZone: locality.text("sub_zone", ""),
+		Timeout: xt.duration("resource_timeout", defaultResourceTimeout), KeepOnRemoval: xt.boolean("keep_on_removal", false),
+		EmptyGrace: xt.duration("empty_grace", defaultEmptyGrace), MaxResponse: xt.bytes("max_response", defaultMaxResponse),
+		LoadReports: xt.duration("load_reports", 0),
+	}
+	p.XDS.check(xt)
+	locality.rejectUnknownKeys()
+	xt.rejectUnknownKeys()
 }
 
 // check reports what is out of bounds.
-func (c *XDS) check(x *table) {
-	if len(c.Servers) == 0 {
-		x.fault("servers", "missing: the control planes, the preferred one first")
+func (x *XDS) check(xt *table) {
+	if len(x.Servers) == 0 {
+		xt.fault("servers", "missing: the control planes, the preferred one first")
 	}
-	for i, a := range c.Servers {
-		if err := address(a, false); err != nil {
-			x.fault(fmt.Sprintf("servers[%d]", i), "%v", err)
+	for i, addr := range x.Servers {
+		if err := checkAddress(addr, false); err != nil {
+			xt.fault(fmt.Sprintf("servers[%d]", i), "%v", err)
 		}
 	}
-	if len(c.Servers) > maxListen {
-		x.fault("servers", "%d control planes, %d at most", len(c.Servers), maxListen)
+	if len(x.Servers) > maxAddresses {
+		xt.fault("servers", "%d control planes, %d at most", len(x.Servers), maxAddresses)
 	}
-	if c.Timeout == 0 {
-		x.fault("resource_timeout", "must be over 0")
+	if x.Timeout == 0 {
+		xt.fault("resource_timeout", "must be over 0")
 	}
-	if c.MaxResponse < 1024 || c.MaxResponse > 1<<30 {
-		x.fault("max_response", "%d is not between 1024 and %d", c.MaxResponse, 1<<30)
+	if x.MaxResponse < minMaxResponse || x.MaxResponse > maxMaxResponse {
+		xt.fault("max_response", "%d is not between %d and %d", x.MaxResponse, minMaxResponse, maxMaxResponse)
 	}
-	if r := c.LoadReports; r > 0 && r < 100e6 {
-		x.fault("load_reports", "%v is under 100ms", r)
+	if x.LoadReports > 0 && x.LoadReports < minLoadReports {
+		xt.fault("load_reports", "%v is under %v", x.LoadReports, minLoadReports)
 	}
 }
--- a/internal/operator/zones.go
+++ b/internal/operator/zones.go
@@ -8,59 +8,65 @@
 	"cranegrade/internal/zone"
 )
 
-var unknowns = map[string]zone.Unknown{"last": zone.Last, "home": zone.AsHome, "never": zone.Never}
+const (
+	// maxPairs bounds the pairs of zones in a file.
+	maxPairs = zone.MaxZones * zone.MaxZones
+	// maxLend bounds how much of a limit may be lent, as a multiple of the limit.
+	maxLend = 10
+)
 
-// maxPairs bounds the pairs of zones in a file.
-const maxPairs = zone.MaxZones * zone.MaxZones
+// unknowns are the words for what to do with a caller whose zone is not known.
+var unknowns = map[string]zone.Unknown{"last": zone.Last, "home": zone.AsHome, "never": zone.Never}
 
-// zones reads [zones], and which pools it is for: all that don't say otherwise.
-func (f *document) zones(t *table, pools []*table, p *Plan, nodes int) {
-	x := t.subtable("zones")
+// zones reads [zones], and which pools are served by zone: all that don't say otherwise.
+func (d *document) zones(t *table, pools []*table, p *Plan, nodes int) {
+	zt := t.subtable("zones")
 	for i, pt := range pools {
-		p.Pools[i].Zoned = pt.boolean("zones", x != nil)
-		if x == nil && p.Pools[i].Zoned {
+		pool := &p.Pools[i]
+		pool.Zoned = pt.boolean("zones", zt != nil)
+		if zt == nil && pool.Zoned {
 			pt.fault("zones", "there is no [zones] that says which zone is home")
 		}
-		p.Pools[i].List.Levels = p.Pools[i].Zoned && p.Pools[i].List.XDS != ""
+		pool.List.Levels = pool.Zoned && pool.List.XDS != ""
 	}
-	if x == nil {
+	if zt == nil {
 		return
 	}
-	z := &Zones{State: x.text("state", ""), Config: zone.Config{
-		Home: x.text("home", ""), Second: x.number("second", 0),
-		Unknown: choice(x, "unknown", zone.Last, unknowns), Nodes: max(1, nodes), Costs: map[zone.Pair]zone.Cost{},
+	z := &Zones{State: zt.text("state", ""), Config: zone.Config{
+		Home: zt.text("home", ""), Second: zt.number("second", 0),
+		Unknown: choice(zt, "unknown", zone.Last, unknowns), Nodes: max(1, nodes), Costs: map[zone.Pair]zone.Cost{},
 	}}
 	p.Zones = z
 	if z.Config.Home == "" {
-		x.fault("home", "missing: the zone that this node stands in")
+		zt.fault("home", "missing: the zone that this node stands in")
 	}
-	def := x.tableOrEmpty("default")
-	z.Config.Default = cost(def)
-	def.rejectUnknownKeys()
-	tables := x.subtables("pairs")
-	if len(tables) > maxPairs {
-		x.fault("pairs", "%d pairs, %d at most", len(tables), maxPairs)
-		tables = nil
+	defaultCost := zt.tableOrEmpty("default")
+	z.Config.Default = zoneCost(defaultCost)
+	defaultCost.rejectUnknownKeys()
+	pairs := zt.subtables("pairs")
+	if len(pairs) > maxPairs {
+		zt.fault("pairs", "%d pairs, %d at most", len(pairs), maxPairs)
+		pairs = nil
 	}
-	z.readPairs(tables, p.classNames(), nodes)
-	if !slices.ContainsFunc(p.Pools, func(pp Pool) bool { return pp.Zoned }) {
-		x.fault("home", "no pool is served by zone")
+	z.readPairs(pairs, p.classNames(), nodes)
+	if !slices.ContainsFunc(p.Pools, func(pool Pool) bool { return pool.Zoned }) {
+		zt.fault("home", "no pool is served by zone")
 	}
-	x.rejectUnknownKeys()
+	zt.rejectUnknownKeys()
 }
 
-// classNames are those of all pools.
+// classNames returns the names of the classes of all pools.
 func (p *Plan) classNames() map[string]bool {
-	classes := map[string]bool{}
+	names := map[string]bool{}
 	for _, pool := range p.Pools {
 		for _, c := range pool.Settings.Classes {
-			classes[c.Name] = true
+			names[c.Name] = true
 		}
 	}
-	return classes
+	return names
 }
 
-// readPairs reads the [[zones.pairs]]: what a call from one zone to another costs, and how many there may be.
+// readPairs reads the [[zones.pairs]]: the cost of a request from one zone to another, and the limits of such requests.
 func (z *Zones) readPairs(tables []*table, classes map[string]bool, nodes int) {
 	for _, pt := range tables {
 		pair := zone.Pair{From: pt.text("from", ""), To: pt.text("to", "")}
@@ -72,7 +78,7 @@
 		case twice:
 			pt.fault("from", "the pair %v stands there twice", pair)
 		}
-		z.Config.Costs[pair] = cost(pt)
+		z.Config.Costs[pair] = zoneCost(pt)
 		if l, limited := zoneLimit(pt, pair, classes, nodes); limited {
 			z.Limits = append(z.Limits, l)
 		}
@@ -80,7 +86,7 @@
 	}
 }
 
-// zoneLimit reads this node's part of a pair's limits; limited: the pair has one.
+// zoneLimit reads a pair's limits and returns this node's part of them. limited reports whether the pair has any.
 func zoneLimit(pt *table, pair zone.Pair, classes map[string]bool, nodes int) (l zone.Limit, limited bool) {
 	l = zone.Limit{
 		Pair: pair, RequestsHour: pt.count("requests_hour", 0), RequestsDay: pt.count("requests_day", 0),
@@ -88,6 +94,16 @@
 		Lend: pt.number("lend", 0), Reply: pt.bytes("reply", 0),
 	}
 	limited = l.RequestsHour+l.RequestsDay+l.BytesHour+l.BytesDay > 0
+	checkZoneLimit(pt, l, limited, classes, nodes)
+	if limited {
+		part := func(n int64) int64 { return n / int64(max(1, nodes)) }
+		l.RequestsHour, l.RequestsDay, l.BytesHour, l.BytesDay = part(l.RequestsHour), part(l.RequestsDay), part(l.BytesHour), part(l.BytesDay)
+	}
+	return l, limited
+}
+
+// checkZoneLimit checks the limits of a pair as the file has them, for all nodes.
+func checkZoneLimit(pt *table, l zone.Limit, limited bool, classes map[string]bool, nodes int) {
 	for i, name := range l.Beyond {
 		if !classes[name] {
 			pt.fault(fmt.Sprintf("beyond[%d]", i), "no pool has a class %q", name)
@@ -98,8 +114,8 @@
 			pt.fault(key, "is of no effect without a limit of the pair")
 		}
 	}
-	if l.Lend > 10 {
-		pt.fault("lend", "%v is over 10: it is a share of the limits", l.Lend)
+	if l.Lend > maxLend {
+		pt.fault("lend", "%v is over %d: it is a share of the limits", l.Lend, maxLend)
 	}
 	for key, n := range map[string]int64{
 		"requests_hour": l.RequestsHour, "requests_day": l.RequestsDay, "bytes_hour": l.BytesHour, "bytes_day": l.BytesDay,
@@ -108,15 +124,10 @@
 			pt.fault(key, "%d is less than one for each of %d nodes, which have a part of it each", n, nodes)
 		}
 	}
-	if limited {
-		part := func(n int64) int64 { return n / int64(max(1, nodes)) }
-		l.RequestsHour, l.RequestsDay, l.BytesHour, l.BytesDay = part(l.RequestsHour), part(l.RequestsDay), part(l.BytesHour), part(l.BytesDay)
-	}
-	return l, limited
 }
 
-// cost reads what a call costs; never is an infinite price.
-func cost(t *table) zone.Cost {
+// zoneCost reads the cost of a request; never stands for an infinite price.
+func zoneCost(t *table) zone.Cost {
 	c := zone.Cost{Latency: t.duration("latency", 0), Price: t.number("price", 0)}
 	if t.boolean("never", false) {
 		if t.has("price") {
