--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -9,34 +10,39 @@
 	"time"
 
 	"cranegrade/balancer"
+	"cranegrade/internal/admin"
+	"cranegrade/internal/operator"
 	"cranegrade/internal/source/registry"
 	"cranegrade/internal/wire"
 )
 
 // Config is what the platform tells a node at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Cores     float64       // 0: not told
-	MemoryMB  float64       // 0: not told
-	Sockets   int           // file descriptors that the process may hold
-	Known     registry.List // the servers as this node last had them
-	Settings  balancer.Settings
-	Conns     wire.Connections
-	Operator  string // host:port where operators call; "": nowhere
-	State     string // directory for what a successor of this process is to find; "": none
+	Name      string            // of the node, for its log
+	Listen    string            // host:port for callers
+	Discovery string            // host:port of the registry
+	Seed      uint64            // of the balancer's random choices
+	Cores     float64           // CPU cores; 0: not known
+	MemoryMB  float64           // MiB at which the platform kills the process; 0: not known
+	Sockets   int               // file descriptors that the process may hold; default 1024
+	Known     registry.List     // the servers as this node last had them, possibly out of date
+	Settings  balancer.Settings // of the only pool
+	Conns     wire.Connections  // to servers; idle default 15 s, connect time-out default 250 ms
+	Operator  string            // host:port for operators' commands; default $ROUTER_OPERATOR; "": none
+	State     string            // directory for a hot restart, $TMPDIR; "": none, as always without Operator
 }
 
-// Used where the configuration does not tell.
+// Defaults of the platform's configuration.
 const (
 	defaultSockets        = 1024
 	defaultConnIdle       = 15 * time.Second
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// LoadConfig reads the configuration file.
+// descriptorsForSuccessor are set aside for the connections of a hot restart.
+const descriptorsForSuccessor = 8
+
+// LoadConfig reads the platform's configuration file. Errors name the file and the field.
 func LoadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -50,63 +56,100 @@
 		c.Operator = os.Getenv("ROUTER_OPERATOR")
 	}
 	if c.Operator == "" {
-		return c, nil // all as before: nobody hands anything over
+		return c, nil // no operator: the node offers no hot restart either
 	}
-	if _, _, err := net.SplitHostPort(c.Operator); err != nil {
-		return Config{}, fmt.Errorf("%s: operator: %q is no host:port", path, c.Operator)
+	if err := checkHostPort("operator", c.Operator); err != nil {
+		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
 	c.State = os.Getenv("TMPDIR")
 	return c, nil
 }
 
+// configDocument is the JSON of the platform's configuration.
+type configDocument struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Operator  string `json:"operator"`
+	Seed      string `json:"seed"`
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	Known    json.RawMessage `json:"known"`
+	Settings json.RawMessage `json:"settings"`
+}
+
+// parseConfig reads and validates the text of a configuration file, and fills in defaults.
 func parseConfig(text []byte) (Config, error) {
-	var raw struct {
-		Name      string `json:"name"`
-		Listen    string `json:"listen"`
-		Discovery string `json:"discovery"`
-		Operator  string `json:"operator"`
-		Seed      string `json:"seed"`
-		Limits    struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-	}
-	if err := json.Unmarshal(text, &raw); err != nil {
+	var document configDocument
+	if err := json.Unmarshal(text, &document); err != nil {
 		return Config{}, err
 	}
 	c := Config{
-		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Operator: raw.Operator,
-		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets,
+		Name: document.Name, Listen: document.Listen, Discovery: document.Discovery, Operator: document.Operator,
+		Cores: document.Limits.Cores, MemoryMB: document.Limits.MemoryMB, Sockets: document.Limits.Sockets,
 	}
-	var err error
-	for _, a := range []struct{ name, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return Config{}, fmt.Errorf("%s: %q is no host:port", a.name, a.addr)
+	for _, parse := range []func(*configDocument) error{c.checkAddresses, c.parseSeed, c.checkLimits, c.parseKnown, c.parseSettings} {
+		if err := parse(&document); err != nil {
+			return Config{}, err
 		}
 	}
-	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-		return Config{}, fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", raw.Seed)
+	c.setDefaults()
+	return c, c.Settings.Validate()
+}
+
+func (c *Config) checkAddresses(*configDocument) error {
+	if err := checkHostPort("listen", c.Listen); err != nil {
+		return err
 	}
-	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 {
-		return Config{}, fmt.Errorf("limits: negative")
+	return checkHostPort("discovery", c.Discovery)
+}
+
+// checkHostPort checks the address in a field of the configuration.
+func checkHostPort(field, addr string) error {
+	if _, _, err := net.SplitHostPort(addr); err != nil {
+		return fmt.Errorf("%s: %q is no host:port", field, addr)
 	}
-	if c.Sockets == 0 {
-		c.Sockets = defaultSockets
+	return nil
+}
+
+func (c *Config) parseSeed(document *configDocument) (err error) {
+	if c.Seed, err = strconv.ParseUint(document.Seed, 16, 64); err != nil {
+		return fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", document.Seed)
+	}
+	return nil
+}
+
+func (c *Config) checkLimits(*configDocument) error {
+	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 {
+		return errors.New("limits: negative")
 	}
-	if len(raw.Known) > 0 {
-		if c.Known, err = registry.ParseList(raw.Known); err != nil {
-			return Config{}, fmt.Errorf("known: %w", err)
+	return nil
+}
+
+func (c *Config) parseKnown(document *configDocument) (err error) {
+	if len(document.Known) > 0 {
+		if c.Known, err = registry.ParseList(document.Known); err != nil {
+			return fmt.Errorf("known: %w", err)
 		}
 	}
 	c.Known.All = true
-	if len(raw.Settings) == 0 {
-		return Config{}, fmt.Errorf("settings: missing")
+	return nil
+}
+
+func (c *Config) parseSettings(document *configDocument) (err error) {
+	if len(document.Settings) == 0 {
+		return errors.New("settings: missing")
 	}
-	if c.Settings, c.Conns, err = wire.ParseSettings(raw.Settings); err != nil {
-		return Config{}, err
+	c.Settings, c.Conns, err = wire.ParseSettings(document.Settings)
+	return err
+}
+
+func (c *Config) setDefaults() {
+	if c.Sockets == 0 {
+		c.Sockets = defaultSockets
 	}
 	if c.Settings.AskDiscovery {
 		c.Settings.ToldAfter = registry.ToldAfter
@@ -117,5 +160,27 @@
 	if c.Conns.ConnectWithin <= 0 {
 		c.Conns.ConnectWithin = defaultConnectTimeout
 	}
-	return c, c.Settings.Validate()
+}
+
+// plan returns the configuration as a plan with one pool, which may use all of the node's limits.
+func (c Config) plan() operator.Plan {
+	known := c.Known.News()
+	known.Cached = true
+	return operator.Plan{
+		Name: c.Name, Listen: []string{c.Listen}, Cores: c.Cores, MemoryMB: c.MemoryMB,
+		Operator: c.Operator, State: c.State,
+		Totals: operator.TotalsFor(c.Sockets, c.MemoryMB, operatorDescriptors(c.Operator)),
+		Pools: []operator.Pool{{
+			Settings: c.Settings, Conns: c.Conns, Seed: c.Seed, Known: known,
+			Pushed: !c.Settings.AskDiscovery, List: operator.List{Registry: c.Discovery},
+		}},
+	}
+}
+
+// operatorDescriptors returns how many descriptors are set aside for operators' commands and a successor.
+func operatorDescriptors(addr string) int {
+	if addr == "" {
+		return 0
+	}
+	return admin.MaxConnections + descriptorsForSuccessor
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -138,8 +138,8 @@
 	testkit.Wait(t, oldAsked)
 	testkit.Wait(t, events)
 	cfg.Discovery = strings.TrimPrefix(s.URL, "http://")
-	n.Reload(cfg)
-	n.Reload(cfg) // the same again changes nothing
+	n.ReloadConfig(cfg)
+	n.ReloadConfig(cfg) // the same again changes nothing
 	for range 2 {
 		if q := testkit.Wait(t, asked); q != "" {
 			t.Fatalf("asked with %q, not for the whole list", q)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -11,20 +11,23 @@
 )
 
 const (
-	// New connections come for up to 0.4 s after the signal, and closing the listener would reset those
-	// not yet accepted.
+	// minDrainDelay is the least time for which a draining node without a successor keeps its listeners open: callers open
+	// new connections for up to 0.4 s after the signal, and closing a listener resets those that are not yet accepted.
 	minDrainDelay = 500 * time.Millisecond
-	// Callers go on using the connections that they have, and may have no other node to turn to: these
-	// stay open until what comes on them would hardly be answered before the kill.
+	// drainMargin is how long before the drain time-out the listeners are closed. Callers go on using the connections that
+	// they have and may know no other node, so these stay open until a further request would hardly be answered in time.
 	drainMargin = 500 * time.Millisecond
-	// A stopping node is killed once the longest deadline, maxDrainTimeout at the most, and killGrace
-	// more have passed. It answers everything by answerMargin before that.
+	// maxDrainTimeout bounds the drain time-out, which otherwise is the longest deadline of a class. The platform kills a
+	// stopping node killGrace after the same time.
 	maxDrainTimeout = 3 * time.Second
 	killGrace       = 700 * time.Millisecond
-	answerMargin    = 250 * time.Millisecond
+	// answerMargin is how long before the kill all requests in flight are answered or abandoned.
+	answerMargin = 250 * time.Millisecond
+	// redirectInterval is how often a process with a successor closes idle connections of callers.
+	redirectInterval = 20 * time.Millisecond
 )
 
-// setDrainTimeout sets how long a stopping node waits for what these pools have taken.
+// setDrainTimeout sets the drain time-out to the longest deadline of these pools.
 func (n *Node) setDrainTimeout(pools map[string]*pool.Pool) {
 	var longest time.Duration
 	for _, p := range pools {
@@ -35,14 +38,16 @@
 
 func (n *Node) drainTimeout() time.Duration { return time.Duration(n.drainTimeoutNanos.Load()) }
 
-// drain completes what was taken. Without a successor new requests are still served for drainDelay, since clients may
-// have no other node; all is answered, or abandoned, answerMargin before the kill.
+// drain completes the requests in flight. With a successor new connections go there at once; without one they are still
+// served for drainDelay, since callers may know no other node. Every request is answered, or abandoned, answerMargin
+// before the platform kills the process. A front that ends during the drain delay is an error.
 func (n *Node) drain(served <-chan error) error {
 	n.stopping.Store(true)
 	n.ready.Store(false)
-	log.Print("told to stop")
-	n.retired.Go(n.leaveFleet) // its part is taken over while it still serves what it has; the end waits for it
-	defer log.Print("stopped")
+	log.Print("drain started")
+	// The other members take over this node's part while it still serves what it has; stop waits for that.
+	n.retired.Go(n.leaveFleet)
+	defer log.Print("drain complete, stopped")
 	cutoff := time.Now().Add(n.drainTimeout() + killGrace - answerMargin)
 	abandon := time.AfterFunc(time.Until(cutoff), n.abandonAll)
 	defer abandon.Stop()
@@ -59,48 +64,61 @@
 	return nil
 }
 
-// shutdownFronts waits for all fronts at once, until the deadline.
+// shutdownFronts shuts all fronts down at once, and waits for them until the deadline.
 func (n *Node) shutdownFronts(deadline time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	var stopping sync.WaitGroup
 	for _, f := range n.fronts {
-		stopping.Go(func() { f.Shutdown(ctx) }) // an error means connections that never sent a request
+		stopping.Go(func() {
+			_ = f.Shutdown(ctx) // past the deadline only connections that never sent a request are left; stop closes them
+		})
 	}
 	stopping.Wait()
 }
 
-// drainable are fronts whose callers can be sent elsewhere.
+// drainable is a front that can send its callers to another node or process. Fronts for proxies are not: a proxy decides
+// by itself when to turn elsewhere.
 type drainable interface {
+	// LeadAway closes callers' connections with their next answer, or no longer does.
 	LeadAway(on bool)
+	// LeadIdle closes the connections that are idle, if callers are being led away.
 	LeadIdle()
+	// Unready has the readiness endpoint say that the node takes no clients, or that it does again.
 	Unready(on bool)
+	// Open returns how many connections are open.
 	Open() int
-	Hand() // accepts nothing more: a successor accepts from the same queue
+	// Hand stops accepting: a successor accepts from the same queue.
+	Hand()
 }
 
-// redirectInterval is how often a process that gives way looks for idle connections.
-const redirectInterval = 20 * time.Millisecond
-
-// yieldToSuccessor leaves new connections to the successor and leads callers there, until none is left or time is up.
-func (n *Node) yieldToSuccessor(until time.Time) {
-	log.Print("giving way to a successor")
-	n.handedOff.Store(true) // whatever is ordered from here on
+// drainableFronts returns the fronts whose callers can be sent elsewhere.
+func (n *Node) drainableFronts() (fronts []drainable) {
 	for _, f := range n.fronts {
-		if l, can := f.(drainable); can {
-			l.Hand()
-			l.LeadAway(true)
+		if d, is := f.(drainable); is {
+			fronts = append(fronts, d)
 		}
 	}
+	return fronts
+}
+
+// yieldToSuccessor leaves new connections to the successor and sends callers there, until no connection is left or the
+// cutoff has come.
+func (n *Node) yieldToSuccessor(cutoff time.Time) {
+	log.Print("hot restart: yielding to the successor")
+	n.handedOff.Store(true) // from here on an operator's drain-off does not call callers back
+	fronts := n.drainableFronts()
+	for _, f := range fronts {
+		f.Hand()
+		f.LeadAway(true)
+	}
 	tick := time.NewTicker(redirectInterval)
 	defer tick.Stop()
-	for time.Now().Before(until) {
+	for time.Now().Before(cutoff) {
 		n.redirectIdleCallers()
 		open := 0
-		for _, f := range n.fronts {
-			if l, can := f.(drainable); can {
-				open += l.Open()
-			}
+		for _, f := range fronts {
+			open += f.Open()
 		}
 		if open == 0 {
 			return
@@ -109,14 +127,14 @@
 	}
 }
 
+// redirectIdleCallers closes idle connections of callers that are being sent elsewhere.
 func (n *Node) redirectIdleCallers() {
-	for _, f := range n.fronts {
-		if l, can := f.(drainable); can {
-			l.LeadIdle()
-		}
+	for _, f := range n.drainableFronts() {
+		f.LeadIdle()
 	}
 }
 
+// abandonAll has every pool answer its open calls with a failure, also those that finish after their removal.
 func (n *Node) abandonAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/fleet_member.go
+++ b/internal/node/fleet_member.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"hash/fnv"
 	"io"
@@ -15,53 +14,54 @@
 	"cranegrade/internal/operator"
 )
 
-// Member is this node among the others of its fleet. It is an interface so that a program can be built without what
-// it links.
+// Member is this node as a member of its fleet. It is an interface so that a program can be built without memberlist.
 type Member interface {
-	// Module stands between a pool's engine and its module, and tells that what changes among the nodes.
+	// Module wraps the module of a pool in one that tells it what changes among the fleet's nodes.
 	Module(pool string, s balancer.Settings, in engine.Module) engine.Module
-	// Serve tells the others which pools this node has, each with a digest of its settings.
+	// Serve tells the other members which pools this node has, each with a digest of its settings. It returns once they
+	// know, or after a second.
 	Serve(pools map[string]uint32)
+	// WriteStatus writes the state of the fleet as JSON.
 	WriteStatus(w io.Writer) error
-	// Forget takes a member that is dead off the roll.
+	// Forget removes a member from the roster that is dead and will not come back.
 	Forget(name string) error
-	// Leave has the others take this node's part over; Close ends it without a word.
+	// Leave has the other members take over this node's part, and ends its membership.
 	Leave(ctx context.Context)
+	// Close ends the membership without telling anyone.
 	Close()
 }
 
-// ErrNoFleet says that a file wants what the program has not.
-var ErrNoFleet = errors.New("this program is built without [fleet]")
-
-// leaveTimeout bounds how long a node that stops tells the others so.
+// leaveTimeout bounds how long a stopping node takes to tell the other members.
 const leaveTimeout = time.Second
 
-// joinFleet joins the fleet that a plan names; nil: none.
-func joinFleet(p operator.Plan, open func(string, operator.Fleet, map[string]uint32) (Member, error)) (Member, error) {
+// joinFleet joins the fleet that a plan names; nil if it names none.
+func joinFleet(p operator.Plan, join func(string, operator.Fleet, map[string]uint32) (Member, error)) (Member, error) {
 	if p.Fleet == nil {
 		return nil, nil
 	}
-	if open == nil {
+	if join == nil {
 		return nil, ErrNoFleet
 	}
-	return open(p.Name, *p.Fleet, settingsDigests(p))
+	return join(p.Name, *p.Fleet, settingsDigests(p))
 }
 
-// settingsDigests are what members compare of their pools: the settings, but for what each has of its own.
+// settingsDigests returns what members compare of their pools: a digest of the settings without those that differ between
+// members by design. The digest covers the names of fields, so these names are part of what members send
+// (settings_digest_test.go).
 func settingsDigests(p operator.Plan) map[string]uint32 {
-	l := make(map[string]uint32, len(p.Pools))
-	for _, pp := range p.Pools {
-		s := pp.Settings
-		s.Balancers, s.Index = 0, 0
+	digests := make(map[string]uint32, len(p.Pools))
+	for _, planned := range p.Pools {
+		settings := planned.Settings
+		settings.Balancers, settings.Index = 0, 0
 		h := fnv.New32a()
-		fmt.Fprintf(h, "%+v %+v", s, pp.Conns)
-		l[pp.Name] = h.Sum32()
+		fmt.Fprintf(h, "%+v %+v", settings, planned.Conns)
+		digests[planned.Name] = h.Sum32()
 	}
-	return l
+	return digests
 }
 
-// leaveFleet has the others know that this node stops. A successor has its name and takes its place: to that it leaves
-// the address.
+// leaveFleet tells the other members that this node stops. A successor has the same name and takes this node's place, so
+// with one the membership ends without a message, which frees the address for it.
 func (n *Node) leaveFleet() {
 	if n.fleet == nil {
 		return
@@ -75,28 +75,28 @@
 	n.fleet.Leave(ctx)
 }
 
-// registerFleetPages tells of the fleet on the admin address.
+// registerFleetPages adds the fleet's pages to the inspection server.
 func (n *Node) registerFleetPages(mux *http.ServeMux) {
-	none := func(w http.ResponseWriter) bool {
-		if n.fleet == nil {
-			http.Error(w, "this node is in no fleet", http.StatusNotFound)
-		}
-		return n.fleet == nil
-	}
-	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, _ *http.Request) {
-		if !none(w) {
-			w.Header().Set("Content-Type", "application/json")
-			if err := n.fleet.WriteStatus(w); err != nil {
-				log.Printf("admin: fleet: %v", err)
-			}
-		}
-	})
-	mux.HandleFunc("POST /fleet/forget", func(w http.ResponseWriter, r *http.Request) {
-		if none(w) {
-			return
+	mux.HandleFunc("GET /fleet", n.withFleet(func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Type", "application/json")
+		if err := n.fleet.WriteStatus(w); err != nil {
+			log.Printf("inspection server: fleet status not written: error=%q", err)
 		}
+	}))
+	mux.HandleFunc("POST /fleet/forget", n.withFleet(func(w http.ResponseWriter, r *http.Request) {
 		if err := n.fleet.Forget(r.URL.Query().Get("name")); err != nil {
 			http.Error(w, err.Error(), http.StatusNotFound)
 		}
-	})
+	}))
+}
+
+// withFleet answers 404 on a node that is in no fleet, and otherwise calls the handler.
+func (n *Node) withFleet(handle http.HandlerFunc) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		if n.fleet == nil {
+			http.Error(w, "this node is in no fleet", http.StatusNotFound)
+			return
+		}
+		handle(w, r)
+	}
 }
--- /dev/null
+++ b/internal/node/hot_restart_state.go
@@ -0,0 +1,125 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"net"
+	"time"
+
+	"cranegrade/internal/engine"
+	"cranegrade/internal/hotrestart"
+	"cranegrade/internal/operator"
+)
+
+// exportTimeout bounds how long a successor waits for this process's engines.
+const exportTimeout = 400 * time.Millisecond
+
+// importState adopts the administrative state of an earlier process.
+func (r *hotRestart) importState(s hotrestart.State) {
+	r.n.adminState.merge(s.Orders)
+	r.n.adminState.importSeen(s.Seen)
+}
+
+// predecessorPool returns what the predecessor knew of a pool; nil if it had no such pool, or there is no predecessor.
+func (r *hotRestart) predecessorPool(name string) *hotrestart.Pool {
+	if r == nil || r.predecessor == nil {
+		return nil
+	}
+	for i, p := range r.predecessor.State.Pools {
+		if p.Name == name {
+			return &r.predecessor.State.Pools[i]
+		}
+	}
+	return nil
+}
+
+// inheritServers has a pool begin with the servers that the predecessor's pool knew last.
+func (r *hotRestart) inheritServers(planned *operator.Pool) {
+	inherited := r.predecessorPool(planned.Name)
+	if inherited == nil || len(inherited.Servers) == 0 {
+		return
+	}
+	known := engine.News{Full: true, Cached: true, Version: inherited.List}
+	for _, s := range inherited.Servers {
+		var l engine.Listed
+		l.ID, l.Addr, l.Zone, l.Cell, l.State, l.Size, l.StartedAt, l.Weight, l.Priority =
+			s.ID, s.Addr, s.Zone, s.Cell, s.State, s.Size, s.Boot, s.Weight, s.Priority
+		known.Servers = append(known.Servers, l)
+	}
+	planned.Known = known
+}
+
+// exportState returns what a successor needs, and the listeners that it inherits. A pool whose engine does not answer in
+// time is left out: the successor's pool of that name starts from its list alone.
+func (r *hotRestart) exportState() (hotrestart.State, []*net.TCPListener) {
+	s := r.adminStateNow()
+	r.n.mu.Lock()
+	pools := r.n.serving.Load().pools
+	r.n.mu.Unlock()
+	ctx, cancel := context.WithTimeout(context.Background(), exportTimeout)
+	defer cancel()
+	for name, p := range pools {
+		exported, ok := p.Engine().Export(ctx)
+		if !ok {
+			continue
+		}
+		exportedPool := hotrestart.Pool{Name: name, List: exported.Version, Knowledge: exported.Knowledge}
+		for _, l := range exported.Servers {
+			exportedPool.Servers = append(exportedPool.Servers, hotrestart.ListedServer{
+				ID: l.ID, Addr: l.Addr, Zone: l.Zone, Cell: l.Cell, State: l.State,
+				Size: l.Size, Boot: l.StartedAt, Weight: l.Weight, Priority: l.Priority,
+			})
+		}
+		s.Pools = append(s.Pools, exportedPool)
+	}
+	var listeners []*net.TCPListener
+	for _, l := range r.n.listeners {
+		if tcp, is := l.(*net.TCPListener); is {
+			listeners = append(listeners, tcp)
+		}
+	}
+	return s, listeners
+}
+
+// adminStateNow returns a state that holds the administrative state alone.
+func (r *hotRestart) adminStateNow() hotrestart.State {
+	s := hotrestart.State{At: r.n.clock.Now()}
+	s.Orders, s.Seen = r.n.adminState.export()
+	return s
+}
+
+// replicate saves the administrative state for the processes that come after this one, and returns once those that run
+// have it, too.
+func (r *hotRestart) replicate() error {
+	return errors.Join(r.save(), r.broadcast(nil))
+}
+
+func (r *hotRestart) save() error {
+	return hotrestart.Save(r.dir, r.adminStateNow())
+}
+
+// broadcast sends the administrative state to all other processes except one, and waits for their confirmations.
+func (r *hotRestart) broadcast(except *hotrestart.Link) error {
+	s, _ := r.n.adminState.export()
+	links := r.linksExcept(except)
+	failed := make(chan error, len(links))
+	for _, link := range links {
+		go func() { failed <- link.SendAdminState(s) }()
+	}
+	var err error
+	for range links {
+		err = errors.Join(err, <-failed)
+	}
+	return err
+}
+
+func (r *hotRestart) linksExcept(except *hotrestart.Link) (links []*hotrestart.Link) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for link := range r.peers {
+		if link != except {
+			links = append(links, link)
+		}
+	}
+	return links
+}
--- a/internal/node/inspection_server.go
+++ b/internal/node/inspection_server.go
@@ -10,7 +10,15 @@
 	"time"
 )
 
-// inspectionServer tells on a loopback address what the node holds.
+// Time-outs of the inspection server.
+const (
+	inspectionHeaderTimeout = time.Second
+	inspectionIdleTimeout   = time.Second
+	inspectionWriteTimeout  = 10 * time.Second
+)
+
+// inspectionServer serves pages on a loopback address that show the state of the node. The setting of its address is called
+// admin.
 type inspectionServer struct {
 	listener net.Listener
 	server   *http.Server
@@ -28,25 +36,29 @@
 	})
 	mux.HandleFunc("GET /zones", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		n.Zones().JSON(w)
+		if err := n.Zones().JSON(w); err != nil {
+			log.Printf("inspection server: zones not written: error=%q", err)
+		}
 	})
 	n.registerFleetPages(mux)
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second, IdleTimeout: time.Second, WriteTimeout: 10 * time.Second}
-	return &inspectionServer{l, server}, nil
+	return &inspectionServer{listener: l, server: &http.Server{
+		Handler: mux, ReadHeaderTimeout: inspectionHeaderTimeout, IdleTimeout: inspectionIdleTimeout, WriteTimeout: inspectionWriteTimeout,
+	}}, nil
 }
 
-func (a *inspectionServer) serve() {
-	if err := a.server.Serve(a.listener); !errors.Is(err, http.ErrServerClosed) {
-		log.Printf("admin: %v", err)
+// serve returns after close.
+func (s *inspectionServer) serve() {
+	if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
+		log.Printf("inspection server ended: error=%q", err)
 	}
 }
 
-func (a *inspectionServer) close() {
-	a.server.Close()
-	a.listener.Close()
+func (s *inspectionServer) close() {
+	s.server.Close()
+	s.listener.Close() // the server does not know the listener if serve was never called
 }
 
-// InspectionAddr is the address where the node tells what it holds; nil: nowhere.
+// InspectionAddr returns the address of the node's inspection pages; nil if it has none.
 func (n *Node) InspectionAddr() net.Addr {
 	if n.inspection == nil {
 		return nil
@@ -54,14 +66,14 @@
 	return n.inspection.listener.Addr()
 }
 
-// DumpXDS writes what the node holds of clusters and endpoints.
+// DumpXDS writes, for people, what the node knows of clusters and endpoints.
 func (n *Node) DumpXDS(w io.Writer) {
 	n.mu.Lock()
-	x := n.xds
+	xds := n.xds
 	n.mu.Unlock()
-	if x == nil {
+	if xds == nil {
 		fmt.Fprintln(w, "this node follows no control plane")
 		return
 	}
-	x.Dump(w)
+	xds.Dump(w)
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -2,12 +2,18 @@
 
 import (
 	"errors"
+	"log"
+	"runtime/debug"
 
 	"cranegrade/internal/operator"
 	"cranegrade/internal/pool"
 )
 
-// budgets divide the process among the pools.
+// softMemoryShare is the share of the memory limit from which the runtime collects garbage harder. The rest is for
+// stacks, buffers of the kernel and the time that a collection takes.
+const softMemoryShare = 0.7
+
+// budgets divide the limits of the process among the pools.
 type budgets struct{ calls, held, connections, bodies, longAnswers, callers *pool.Budget }
 
 func newBudgets() budgets {
@@ -17,7 +23,8 @@
 	}
 }
 
-// newShares are a pool's part of each budget. The only pool, which has no name, leaves callers to newCallers.
+// newShares returns a pool's share of each budget. The only pool of the platform's configuration, which has no name, has
+// no share of callers: all of them are counted by newCallers.
 func (b *budgets) newShares(name string) pool.Shares {
 	shares := pool.Shares{
 		Calls: b.calls.NewShare(), Held: b.held.NewShare(), Connections: b.connections.NewShare(),
@@ -29,15 +36,15 @@
 	return shares
 }
 
-// sharedBudget is a budget with a plan's total of it, and how to find a pool's share and quota.
+// sharedBudget is a budget with its total in a plan, and with the way to a pool's share and quota of it.
 type sharedBudget struct {
 	budget *pool.Budget
 	total  int64
-	share  func(pool.Shares) *pool.Share // nil: the pool has none
+	share  func(pool.Shares) *pool.Share // returns nil for a pool that has no share
 	quota  func(operator.Limits) pool.Quota
 }
 
-// shared are the budgets with a plan's totals.
+// shared returns all budgets with a plan's totals.
 func (b *budgets) shared(t operator.Totals) []sharedBudget {
 	return []sharedBudget{
 		{
@@ -67,33 +74,57 @@
 	}
 }
 
-// divide shares the process's totals among the pools; those that are retiring keep what they have and
-// may borrow. Every budget is configured, also after an error of another. Callers hold n.mu, or are alone.
+// divide configures the budgets by a plan's totals and quotas, each divided by the number of processes that share them.
+// Pools that are retiring keep what they use and may borrow, without a quota of their own. Every budget is configured,
+// also after an error of another. Callers hold n.mu, except for provision, which nobody runs beside.
 func (n *Node) divide(plan operator.Plan, pools map[string]*pool.Pool) (err error) {
 	for _, shared := range n.budgets.shared(plan.Totals) {
 		quotas := map[*pool.Share]pool.Quota{}
 		if shared.budget == n.budgets.callers {
 			quotas[n.newCallers] = plan.Totals.NewCallers
 		}
-		for _, pp := range plan.Pools {
-			if s := shared.share(pools[pp.Name].Shares()); s != nil {
-				quotas[s] = shared.quota(pp.Limits)
+		for _, planned := range plan.Pools {
+			if share := shared.share(pools[planned.Name].Shares()); share != nil {
+				quotas[share] = shared.quota(planned.Limits)
 			}
 		}
 		for p := range n.retiring {
-			if s := shared.share(p.Shares()); s != nil {
-				quotas[s] = pool.Quota{}
+			if share := shared.share(p.Shares()); share != nil {
+				quotas[share] = pool.Quota{}
 			}
 		}
-		for s, q := range quotas {
-			quotas[s] = pool.Quota{Min: q.Min / n.processes, Max: q.Max / n.processes}
+		for share, quota := range quotas {
+			quotas[share] = pool.Quota{Min: quota.Min / n.processes, Max: quota.Max / n.processes}
 		}
 		err = errors.Join(err, shared.budget.Configure(max(1, shared.total/n.processes), quotas))
 	}
 	return err
 }
 
-// reclaimIdleConnections has pools close idle connections that others want for.
+// resize gives this process its part of the node's limits: all of them, or an equal part while other processes of the node
+// run.
+func (n *Node) resize() {
+	processes := 1 + n.hotRestart.peerCount()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.serving.Load() == nil {
+		return // provision divides the limits itself
+	}
+	if n.plan.MemoryMB > 0 {
+		debug.SetMemoryLimit(MemoryLimit(n.plan.MemoryMB, processes))
+	}
+	n.processes = int64(processes)
+	if err := n.divide(n.plan, n.serving.Load().pools); err != nil {
+		log.Printf("hot restart: limits not divided: processes=%d error=%q", processes, err)
+	}
+}
+
+// MemoryLimit returns the soft memory limit in bytes for each of several processes that share a limit of memoryMB MiB.
+func MemoryLimit(memoryMB float64, processes int) int64 {
+	return int64(memoryMB * softMemoryShare / float64(processes) * (1 << 20))
+}
+
+// reclaimIdleConnections has pools close the idle connections that they have borrowed and that others want.
 func (n *Node) reclaimIdleConnections() {
 	if s := n.serving.Load(); len(s.pools) > 1 {
 		for _, p := range s.pools {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,94 +1,73 @@
-// Package node is one process's worth of the load balancer: listeners towards clients, routes, pools with their
-// engines, and the senders and discovery sources that these use. It owns the life of a process, whose phases are
-// visible in the files:
-//
-//   - provision (provision.go): open what the plan names, without a request being served;
-//   - validate: the plan comes checked (internal/operator, config.go); a reload is checked in reload_plan.go;
-//   - serve (serve.go), with reloads (reload.go) and operators' commands (admin_state.go) meanwhile;
-//   - drain (drain.go): requests in flight are completed, new ones go elsewhere;
-//   - stop (stop.go): what is left is closed, the pools before what they use.
-//
-// It never decides where a request goes, which is the balancer's matter, and parses nothing but the platform's
-// configuration.
 package node
 
 import (
 	"net"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"cranegrade/internal/admin"
 	"cranegrade/internal/engine"
-	front "cranegrade/internal/front/http1"
 	"cranegrade/internal/operator"
 	"cranegrade/internal/pool"
 	"cranegrade/internal/route"
 )
 
-// Node is one process's worth of fronts and pools.
+// Node is one load balancer process. Run is called once; all other methods may be called from any goroutine.
 type Node struct {
+	// Set by provision and not replaced afterwards.
 	options       Options
-	inspection    *inspectionServer // nil: none
-	zones         *zoneAccounts
-	fleet         Member // nil: this node is in none
 	clock         engine.Clock
 	budgets       budgets
-	newCallers    *pool.Share // for callers' connections before their first request
+	newCallers    *pool.Share // connections of callers before their first request, which no pool owns yet
+	listeners     []net.Listener
 	fronts        []Front
-	serving       atomic.Pointer[servingSet]
-	drainDelay    time.Duration // how long a stopping node goes on as before
 	adminState    *adminState
-	commandServer *admin.Server // nil: operators can't call
-	hotRestart    *hotRestart   // nil: nobody hands anything over
-	processes     int64         // processes that share the node's limits
-	listeners     []net.Listener
-	ready         atomic.Bool // clients are taken
+	commandServer *admin.Server     // nil: the plan has no address for operators' commands
+	inspection    *inspectionServer // nil: the plan has no admin address
+	hotRestart    *hotRestart       // nil: the plan has no state directory, so no process can take over
+	zones         *zoneAccounts
+	fleet         Member        // nil: the node is not in a fleet
+	drainDelay    time.Duration // how long a draining node without a successor still accepts connections
+
+	serving           atomic.Pointer[servingSet]
+	ready             atomic.Bool  // requests are accepted
+	stopping          atomic.Bool  // the drain has begun
+	handedOff         atomic.Bool  // a successor accepts new callers
+	drainTimeoutNanos atomic.Int64 // how long a draining node waits for requests in flight
 
-	stopping          atomic.Bool
-	handedOff         atomic.Bool  // a successor takes new callers
-	drainTimeoutNanos atomic.Int64 // ns that callers may wait for what a stopping node has taken
+	mu        sync.Mutex // guards the fields below and serializes reloads; not held over I/O
+	plan      operator.Plan
+	processes int64                   // processes that share the node's limits, this one included
+	xds       XDSClient               // nil: the plan names no control planes
+	retiring  map[*pool.Pool]struct{} // removed by a reload, with calls still open
 
-	mu       sync.Mutex // guards what follows, and orders reloads
-	plan     operator.Plan
-	xds      XDSClient // nil: none
-	retiring map[*pool.Pool]struct{}
-	stopped  chan struct{} // closed when Run no longer wants the pools
-	retired  sync.WaitGroup
+	retired sync.WaitGroup // goroutines that finish what a reload or the drain has removed
+	stopped chan struct{}  // closed once Run no longer needs the pools; no reload is accepted from then on
 }
 
-// servingSet is what fronts use, replaced as a whole by a reload.
+// servingSet is what fronts use to find the pool of a request. A reload replaces it as a whole.
 type servingSet struct {
-	routes   *route.Table          // nil: all is for the only pool, by the first part of the path
-	pools    map[string]*pool.Pool // by name
-	onlyPool *pool.Pool
+	routes   *route.Table // nil: every request is for onlyPool, and its class is the first segment of the path
+	pools    map[string]*pool.Pool
+	onlyPool *pool.Pool // meaningful if routes is nil
 }
 
-// New returns a node that listens, by the platform's configuration. Run serves; a node that is not run must not be kept.
+// New returns a node for the platform's configuration. It listens but serves nothing before Run. A node that is not run
+// holds its listeners until the process ends.
 func New(cfg Config, o Options) (*Node, error) { return provision(cfg.plan(), o, nil) }
 
-// NewFromPlan returns a node that listens, by an operator's plan.
+// NewFromPlan is New for the plan of an operator's file. An error of the type ErrNo... says that the program was built
+// without something that the plan asks for.
 func NewFromPlan(p operator.Plan, o Options) (*Node, error) { return provision(p, o, nil) }
 
-// Addr is the address that the node listens on; of several the first.
+// Addr returns the address that the node listens on, the first if there are several.
 func (n *Node) Addr() net.Addr { return n.fronts[0].Addr() }
 
-// Addrs are the addresses that the node listens on.
-func (n *Node) Addrs() (l []net.Addr) {
+// Addrs returns the addresses that the node listens on: those for HTTP/1.1, for HTTP/2 and for proxies, in this order.
+func (n *Node) Addrs() (addrs []net.Addr) {
 	for _, f := range n.fronts {
-		l = append(l, f.Addr())
-	}
-	return l
-}
-
-// callerRoutes is the node as fronts see it.
-type callerRoutes struct{ n *Node }
-
-func (r callerRoutes) Route(hr *http.Request) (*pool.Pool, string, *front.Refusal) {
-	s := r.n.serving.Load()
-	if s.routes == nil {
-		return s.onlyPool, firstSegment(hr.URL.Path), nil
+		addrs = append(addrs, f.Addr())
 	}
-	return s.route(hr)
+	return addrs
 }
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -13,29 +13,42 @@
 	"cranegrade/internal/wire"
 )
 
-// Options are what a program brings.
+// Options are the parts that a program links into its node. Any of them may be nil: a plan that asks for a missing part
+// is rejected with the matching ErrNo... error.
 type Options struct {
-	// XDS opens a client of control planes; nil: this program is built without.
+	// XDS opens a client of the control planes that a plan names.
 	XDS func(operator.XDS) (XDSClient, error)
-	// ExtProc makes a front for proxies that ask, which finds pools with the node's Find; nil: this program
-	// is built without.
+	// ExtProc makes the front for proxies that ask where to send a request (Envoy's external processor). The front finds
+	// pools by the node's Find.
 	ExtProc func(net.Listener, operator.ExtProc, engine.Clock, *Node) Front
-	// H2 makes a sender for servers that speak HTTP/2; nil: this program is built without.
+	// H2 makes a sender for servers that speak HTTP/2.
 	H2 func(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender
-	// GRPC makes the dialect that answers callers of gRPC on the listeners for HTTP/2; nil: this program is built without.
+	// GRPC makes the dialect that answers gRPC callers on the HTTP/2 listeners. If it is nil those callers get plain HTTP
+	// answers.
 	GRPC func(*Node) front.Dialect
-	// ZoneStore opens the file that keeps the account of zones; nil: this program is built without.
+	// ZoneStore opens the file that keeps the zone account.
 	ZoneStore func(path string) (ZoneStore, error)
-	// Fleet joins the fleet that a file names; nil: this program is built without.
+	// Fleet joins the fleet that a plan names. pools maps each pool's name to a digest of its settings.
 	Fleet func(name string, f operator.Fleet, pools map[string]uint32) (Member, error)
-	// Trace stands between a pool's engine and its module and writes down what passes; nil: none does.
+	// Trace wraps the module of a pool in one that records its events and actions. If it is nil nothing is recorded.
 	Trace func(pool string, classes []balancer.Class, m engine.Module) (engine.Module, error)
 }
 
-// XDSClient follows clusters at control planes. It is an interface so that a program can be built
-// without what it links.
+// What a plan asks for and this program was built without.
+var (
+	ErrNoExtProc   = errors.New("this program is built without the external processor")
+	ErrNoFleet     = errors.New("this program is built without [fleet]")
+	ErrNoH2        = errors.New("this program is built without HTTP/2 towards servers")
+	ErrNoXDS       = errors.New("this program is built without xDS")
+	ErrNoZoneStore = errors.New("this program is built without a store for the account of zones")
+)
+
+// XDSClient follows clusters at control planes. It is an interface so that a program can be built without gRPC and the
+// xDS messages.
 type XDSClient interface {
+	// Source returns the endpoint list of a cluster. levels asks for the endpoints of all priorities.
 	Source(cluster string, levels bool) engine.Source
+	// Dump writes a text for people: what the client knows of clusters and endpoints.
 	Dump(w io.Writer)
 	Close()
 }
@@ -43,14 +56,8 @@
 // Front serves callers on a listener.
 type Front interface {
 	Addr() net.Addr
-	Serve() error // until Shutdown or Close; then http.ErrServerClosed
+	// Serve returns http.ErrServerClosed after Shutdown or Close, and any other error if accepting fails.
+	Serve() error
 	Shutdown(context.Context) error
 	Close() error
 }
-
-// What a plan asks for and this program was built without.
-var (
-	ErrNoExtProc = errors.New("this program is built without the external processor")
-	ErrNoH2      = errors.New("this program is built without HTTP/2 towards servers")
-	ErrNoXDS     = errors.New("this program is built without xDS")
-)
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -116,7 +116,7 @@
 
 func reload(t testing.TB, n *Node, plan operator.Plan) {
 	t.Helper()
-	if err := n.ReloadPlan(plan); err != nil {
+	if err := n.Reload(plan); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -173,12 +173,12 @@
 	})
 	worse := planOf(t, "", poolOf("a", servers(a)))
 	worse.Listen = []string{"127.0.0.1:1"}
-	if err := n.ReloadPlan(worse); err == nil || get("a") != ea || get("b") != eb {
+	if err := n.Reload(worse); err == nil || get("a") != ea || get("b") != eb {
 		t.Errorf("another address to listen on: %v", err)
 	}
 	spoilt := planOf(t, "", poolOf("a", servers(a)), poolOf("b", servers(b)), poolOf("c", servers(b)))
 	spoilt.Pools[2].Settings.Classes = nil
-	if err := n.ReloadPlan(spoilt); err == nil || get("a") != ea || get("b") != eb || get("c") != nil {
+	if err := n.Reload(spoilt); err == nil || get("a") != ea || get("b") != eb || get("c") != nil {
 		t.Errorf("a pool that can't be: %v", err)
 	}
 	if x := w.ask("b", order); x.Status != 200 {
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -11,9 +11,9 @@
 	"cranegrade/internal/pool"
 )
 
-// provision opens all that a plan names, in the order in which the parts need each other; nothing is served until Run. On
-// an error all that was opened is closed again. module, unless it is nil, takes the balancer's place in every pool: a
-// test's own.
+// provision opens everything that a plan names, in the order in which the parts depend on each other. Nothing is served
+// until Run. On an error everything that was opened is closed again. A module that is not nil takes the place of the
+// balancer in every pool; tests use it.
 func provision(plan operator.Plan, o Options, module engine.Module) (_ *Node, err error) {
 	n := emptyNode(o)
 	defer func() {
@@ -46,11 +46,11 @@
 	if n.hotRestart != nil {
 		n.adminState.replicate = n.hotRestart.replicate
 	}
-	n.applyAdminState(nil) // a predecessor's state, or that of an earlier process
+	n.applyAdminState(nil) // the state of a predecessor, or of an earlier process, is known by now
 	return n, nil
 }
 
-// emptyNode has a clock and budgets of nothing.
+// emptyNode returns a node without pools and listeners, whose budgets allow nothing.
 func emptyNode(o Options) *Node {
 	clock := engine.NewClock()
 	n := &Node{
@@ -69,7 +69,7 @@
 	}
 }
 
-// openClients opens what pools depend on: the control planes, the account of zones and the fleet.
+// openClients opens what pools depend on: the client of control planes, the zone account and the fleet.
 func (n *Node) openClients(plan operator.Plan) (err error) {
 	if n.xds, err = n.openXDS(plan); err != nil {
 		return err
@@ -81,7 +81,7 @@
 	return err
 }
 
-// openXDS opens the client that a plan wants; nil if it wants none.
+// openXDS opens the client of the control planes that a plan names; nil if it names none.
 func (n *Node) openXDS(p operator.Plan) (XDSClient, error) {
 	if p.XDS == nil {
 		return nil, nil
@@ -92,29 +92,21 @@
 	return n.options.XDS(*p.XDS)
 }
 
+// openPools makes the pools of a plan. Their engines do not run yet.
 func (n *Node) openPools(plan operator.Plan, module engine.Module) (*servingSet, error) {
 	s := &servingSet{routes: plan.Routes, pools: make(map[string]*pool.Pool, len(plan.Pools))}
-	for _, pp := range plan.Pools {
-		n.hotRestart.inheritServers(&pp)
-		p, err := n.newPool(pp, n.xds, module)
+	for _, planned := range plan.Pools {
+		n.hotRestart.inheritServers(&planned)
+		p, err := n.newPool(planned, n.xds, module)
 		if err != nil {
 			return nil, err
 		}
-		s.pools[pp.Name], s.onlyPool = p, p
+		s.pools[planned.Name], s.onlyPool = p, p
 	}
 	return s, nil
 }
 
-// listen opens an address, or inherits its socket from the predecessor.
-func (n *Node) listen(addr string) (net.Listener, error) {
-	l, err := n.hotRestart.listen(addr)
-	if err == nil {
-		n.listeners = append(n.listeners, l)
-	}
-	return l, err
-}
-
-// openFronts listens for clients: HTTP/1.1, HTTP/2 and proxies that ask, in this order.
+// openFronts listens for callers by HTTP/1.1, callers by HTTP/2, and proxies that ask, in this order.
 func (n *Node) openFronts(plan operator.Plan) error {
 	for _, addr := range plan.Listen {
 		l, err := n.listen(addr)
@@ -134,21 +126,35 @@
 		}
 		n.fronts = append(n.fronts, f)
 	}
-	if plan.ExtProc == nil {
+	return n.openExtProc(plan.ExtProc)
+}
+
+// openExtProc listens for proxies that ask where to send a request, if the plan has a front for them.
+func (n *Node) openExtProc(planned *operator.ExtProc) error {
+	if planned == nil {
 		return nil
 	}
 	if n.options.ExtProc == nil {
 		return ErrNoExtProc
 	}
-	l, err := n.listen(plan.ExtProc.Listen)
+	l, err := n.listen(planned.Listen)
 	if err != nil {
 		return err
 	}
-	n.fronts = append(n.fronts, n.options.ExtProc(l, *plan.ExtProc, n.clock, n))
+	n.fronts = append(n.fronts, n.options.ExtProc(l, *planned, n.clock, n))
 	return nil
 }
 
-// openControl listens for operators' commands and for those who look at what the node holds.
+// listen opens an address, or inherits its listener from the predecessor.
+func (n *Node) listen(addr string) (net.Listener, error) {
+	l, err := n.hotRestart.listen(addr)
+	if err == nil {
+		n.listeners = append(n.listeners, l)
+	}
+	return l, err
+}
+
+// openControl listens for operators' commands and opens the inspection server.
 func (n *Node) openControl(plan operator.Plan) (err error) {
 	if plan.Operator != "" {
 		execute := func(c admin.Command) (string, error) { return n.adminState.execute(c, n.ready.Load) }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -11,25 +11,28 @@
 	"cranegrade/internal/pool"
 )
 
-// ErrStopping says that a reload came when the node was ending.
+// ErrStopping says that a reload came after the node had begun to stop its pools. Nothing has changed.
 var ErrStopping = errors.New("the node is stopping")
 
-// Reload goes over to the discovery that the platform's configuration names. All else in it is for the
-// next start.
-func (n *Node) Reload(cfg Config) error {
+// retireGrace bounds how long a removed pool waits for its calls, beyond its longest deadline.
+const retireGrace = 2 * time.Second
+
+// ReloadConfig adopts the discovery address of the platform's configuration. The rest of the configuration takes effect
+// at the next start.
+func (n *Node) ReloadConfig(cfg Config) error {
 	n.mu.Lock()
 	plan := n.plan
 	n.mu.Unlock()
 	plan.Pools = slices.Clone(plan.Pools)
 	plan.Pools[0].List.Registry = cfg.Discovery
-	return n.ReloadPlan(plan)
+	return n.Reload(plan)
 }
 
-// ReloadPlan goes over to another plan, pool by pool: one that stays as it was is not touched; of one
-// whose list or limits change the module, connections and calls stay; any other change puts a new pool
-// in the place of the old one. A pool that goes finishes what it has taken. The addresses to listen on
-// can't change. On an error nothing has changed. Any goroutine may call it; reloads take turns.
-func (n *Node) ReloadPlan(plan operator.Plan) error {
+// Reload changes the node to another plan, pool by pool. A pool that the plan does not change is not touched. If only its
+// list or limits change, its module, connections and calls stay. After any other change a new pool takes its place, and
+// the old one finishes its calls. Listen addresses and what else validateReload names can't change. On an error nothing
+// has changed. Any goroutine may call it; reloads wait for each other.
+func (n *Node) Reload(plan operator.Plan) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
@@ -37,7 +40,7 @@
 		return ErrStopping
 	default:
 	}
-	if err := n.checkReload(plan); err != nil {
+	if err := n.validateReload(plan); err != nil {
 		return err
 	}
 	r, err := n.planReload(plan)
@@ -48,13 +51,13 @@
 	return nil
 }
 
-// apply carries a reload out; it can't fail. Callers hold n.mu.
+// apply executes the steps of a reload, none of which can fail. Callers hold n.mu.
 func (n *Node) apply(r *reloadPlan) {
 	for _, p := range r.added {
 		p.Run()
 	}
-	for _, pp := range r.moved {
-		r.next.pools[pp.Name].Engine().SetSource(n.source(pp.List, r.xds))
+	for _, planned := range r.moved {
+		r.next.pools[planned.Name].Engine().SetSource(newSource(planned.List, r.xds))
 	}
 	if r.replaceXDS {
 		n.replaceXDS(r)
@@ -64,7 +67,7 @@
 	}
 	n.plan = r.plan
 	if n.fleet != nil {
-		go n.fleet.Serve(settingsDigests(r.plan)) // it waits until the others are told
+		go n.fleet.Serve(settingsDigests(r.plan)) // not waited for: it returns within a second, and reloads hold n.mu
 	}
 	n.serving.Store(r.next)
 	n.setDrainTimeout(r.next.pools)
@@ -72,13 +75,12 @@
 		n.retired.Go(func() { n.retire(p) })
 	}
 	if r.plan.Routes != nil {
-		log.Printf("reload: %d pools, of these %d new, %d with another list; %d removed",
-			len(r.plan.Pools), len(r.added), len(r.moved), len(r.removed))
+		log.Printf("reload applied: pools=%d added=%d moved=%d removed=%d", len(r.plan.Pools), len(r.added), len(r.moved), len(r.removed))
 	}
 }
 
-// replaceXDS puts the new client in the place of the old one, which is closed once the pools that are finishing have no
-// more need to hear of drains from it.
+// replaceXDS replaces the client of control planes. The old one is closed once the removed pools have ended, which need it
+// until then to learn of servers that drain.
 func (n *Node) replaceXDS(r *reloadPlan) {
 	old := n.xds
 	n.xds = r.xds
@@ -93,11 +95,7 @@
 	})
 }
 
-// retireGrace bounds how long a pool that was removed waits for what it has taken, beyond its longest
-// deadline.
-const retireGrace = 2 * time.Second
-
-// retire waits until a pool that was removed has finished, and lets go of its part of the budgets.
+// retire waits until a removed pool has finished its calls, and returns its part of the limits to the others.
 func (n *Node) retire(p *pool.Pool) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.LongestDeadline()+retireGrace)
 	defer cancel()
@@ -106,6 +104,6 @@
 	defer n.mu.Unlock()
 	delete(n.retiring, p)
 	if err := n.divide(n.plan, n.serving.Load().pools); err != nil {
-		log.Printf("pool %s: giving back its part of the limits: %v", p.Name(), err)
+		log.Printf("limits of a removed pool not returned: pool=%s error=%q", p.Name(), err)
 	}
 }
--- a/internal/node/reload_plan.go
+++ b/internal/node/reload_plan.go
@@ -10,19 +10,21 @@
 	"cranegrade/internal/pool"
 )
 
-// reloadPlan is a change of plan, worked out and admitted by the budgets, but not yet in service.
+// reloadPlan holds the steps of a reload: what apply will do. It is admitted by the budgets, but nothing is in service
+// yet.
 type reloadPlan struct {
 	plan       operator.Plan
-	xds        XDSClient // that pools of the plan use; nil: none
-	replaceXDS bool      // xds is not the node's present one
+	xds        XDSClient // that the plan's pools use; nil if they use none
+	replaceXDS bool      // xds is to replace the node's present client
 	next       *servingSet
-	added      []*pool.Pool    // not yet running
-	moved      []operator.Pool // stay, but have their list from elsewhere
-	removed    []*pool.Pool    // finish what they have taken
+	added      []*pool.Pool    // to run
+	moved      []operator.Pool // keep their pool and get another source of their list
+	removed    []*pool.Pool    // to retire once they have finished their calls
 }
 
-// checkReload says which setting of a plan changes only at a start; nil: none.
-func (n *Node) checkReload(plan operator.Plan) error {
+// validateReload returns an error that names a setting which can only change at a start, if the plan changes one. Callers
+// hold n.mu.
+func (n *Node) validateReload(plan operator.Plan) error {
 	if !slices.Equal(plan.ListenH2, n.plan.ListenH2) {
 		return fmt.Errorf("the addresses to listen on for HTTP/2 are %v; they change only at a start", n.plan.ListenH2)
 	}
@@ -42,14 +44,14 @@
 	if !reflect.DeepEqual(plan.Fleet, n.plan.Fleet) || plan.Fleet != nil && plan.Name != n.plan.Name {
 		return errors.New("[fleet] and a member's name change only at a start")
 	}
-	return n.zones.checkReload(plan.Zones)
+	return n.zones.validateReload(plan.Zones)
 }
 
-// planReload works a reload out. On an error the node is as it was. Callers hold n.mu.
+// planReload prepares a reload. On an error the node is as it was before. Callers hold n.mu.
 func (n *Node) planReload(plan operator.Plan) (*reloadPlan, error) {
 	r := &reloadPlan{plan: plan, xds: n.xds, replaceXDS: !reflect.DeepEqual(plan.XDS, n.plan.XDS)}
-	// Another set of control planes is another client: all that follow clusters go over to it, and keep
-	// what they have until it has told them.
+	// Other control planes need another client. All pools that follow clusters move to it, and keep their servers until it
+	// has a list for them.
 	if r.replaceXDS {
 		var err error
 		if r.xds, err = n.openXDS(plan); err != nil {
@@ -67,36 +69,36 @@
 	return r, nil
 }
 
-// discard closes what only a reload that comes to nothing would have used.
+// discard closes what was opened for a reload that is not applied.
 func (r *reloadPlan) discard() {
 	if r.replaceXDS && r.xds != nil {
 		r.xds.Close()
 	}
 }
 
-// planPools sorts the pools into those that stay, are added, are moved to another list and are removed.
+// planPools sorts the pools into those that stay, are added, get another list, and are removed.
 func (n *Node) planPools(r *reloadPlan) error {
 	before := map[string]operator.Pool{}
-	for _, pp := range n.plan.Pools {
-		before[pp.Name] = pp
+	for _, planned := range n.plan.Pools {
+		before[planned.Name] = planned
 	}
 	old := n.serving.Load()
 	r.next = &servingSet{routes: r.plan.Routes, pools: make(map[string]*pool.Pool, len(r.plan.Pools))}
-	for _, pp := range r.plan.Pools {
-		was, is := before[pp.Name]
-		p := old.pools[pp.Name]
-		if is && samePool(was, pp) {
-			if !reflect.DeepEqual(was.List, pp.List) || r.replaceXDS && pp.List.XDS != "" {
-				r.moved = append(r.moved, pp)
+	for _, planned := range r.plan.Pools {
+		was, existed := before[planned.Name]
+		p := old.pools[planned.Name]
+		if existed && isSamePool(was, planned) {
+			if !reflect.DeepEqual(was.List, planned.List) || r.replaceXDS && planned.List.XDS != "" {
+				r.moved = append(r.moved, planned)
 			}
 		} else {
 			var err error
-			if p, err = n.newPool(pp, r.xds, nil); err != nil {
+			if p, err = n.newPool(planned, r.xds, nil); err != nil {
 				return err
 			}
 			r.added = append(r.added, p)
 		}
-		r.next.pools[pp.Name], r.next.onlyPool = p, p
+		r.next.pools[planned.Name], r.next.onlyPool = p, p
 	}
 	for name, p := range old.pools {
 		if r.next.pools[name] != p {
@@ -106,7 +108,8 @@
 	return nil
 }
 
-// admit divides the limits as they are to be, while removed pools still hold what they have; on an error, as they were.
+// admit divides the limits by the new plan, while removed pools still use what they have. On an error it divides them as
+// before.
 func (n *Node) admit(r *reloadPlan) error {
 	for _, p := range r.removed {
 		n.retiring[p] = struct{}{}
@@ -121,9 +124,10 @@
 	return errors.Join(err, n.divide(n.plan, n.serving.Load().pools))
 }
 
-// samePool says that a running pool can go over from one plan to the other as it is.
-func samePool(a, b operator.Pool) bool {
+// isSamePool reports whether a running pool can change from one plan to the other: they differ in limits and list alone.
+// The servers known at the start do not matter to a pool that runs.
+func isSamePool(a, b operator.Pool) bool {
 	a.Limits, b.Limits, a.List, b.List = operator.Limits{}, operator.Limits{}, operator.List{}, operator.List{}
-	a.Known = b.Known // only for the start
+	a.Known = b.Known
 	return reflect.DeepEqual(a, b)
 }
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// reclaimInterval is how often pools are asked for what they have borrowed and do not need.
+// reclaimInterval is how often pools give back idle connections that others want, and idle callers are redirected.
 const reclaimInterval = 100 * time.Millisecond
 
-// Run serves until ctx ends, then drains: it returns once all that was taken is answered, or cut off at the drain
-// timeout, and everything is closed. It is called once.
+// Run serves until ctx ends and then drains. It returns once every accepted request is answered, or abandoned at the
+// drain time-out, and everything is closed. A front that ends by itself is an error. Run is called once.
 func (n *Node) Run(ctx context.Context) error {
-	n.runPools()
-	defer n.stopPools()
+	n.runPools() //nolint:contextcheck // pools outlive ctx: they complete their calls while the node drains
+	defer n.stop()
 	served := n.startFronts()
 	if err := n.serve(ctx, served); err != nil {
 		return err
 	}
-	return n.drain(served)
+	return n.drain(served) //nolint:contextcheck // ctx has ended by now, and the drain has a deadline of its own
 }
 
 func (n *Node) runPools() {
@@ -29,10 +29,10 @@
 	}
 }
 
-// startFronts takes clients and operators' commands from now on, and tells a predecessor so. What it returns tells of each
-// front that has ended.
+// startFronts accepts callers and operators' commands from now on, and tells a predecessor that it may drain. The channel
+// receives the result of each front that ends. Closing the servers, which stop does, ends the goroutines.
 func (n *Node) startFronts() <-chan error {
-	served := make(chan error, len(n.fronts))
+	served := make(chan error, len(n.fronts)) // with room for every result, so that no front waits for a reader
 	if n.inspection != nil {
 		go n.inspection.serve()
 	}
@@ -47,7 +47,7 @@
 	return served
 }
 
-// serve lasts until ctx ends; a front that ends before is an error.
+// serve returns nil when ctx ends, and an error if a front ends before.
 func (n *Node) serve(ctx context.Context, served <-chan error) error {
 	reclaim := time.NewTicker(reclaimInterval)
 	defer reclaim.Stop()
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -1,9 +1,9 @@
 package node
 
-// stopPools ends all pools once nothing is owed any more.
-func (n *Node) stopPools() {
+// stop ends all pools, once no request needs them any more, and then closes everything that they used.
+func (n *Node) stop() {
 	n.mu.Lock()
-	close(n.stopped)
+	close(n.stopped) // from here on no reload adds a pool
 	pools := n.serving.Load().pools
 	n.mu.Unlock()
 	n.retired.Wait()
@@ -13,10 +13,11 @@
 	n.closeAll()
 }
 
-// closeAll closes all but the pools.
+// closeAll closes all parts but the pools. It also cleans up after a provision that failed halfway, so any part may be
+// missing.
 func (n *Node) closeAll() {
 	for _, f := range n.fronts {
-		f.Close()
+		_ = f.Close() // the listener may be closed already, by Shutdown
 	}
 	if n.inspection != nil {
 		n.inspection.close()
--- a/internal/node/zone_accounts.go
+++ b/internal/node/zone_accounts.go
@@ -13,34 +13,34 @@
 	"cranegrade/internal/zone/report"
 )
 
-// ZoneStore keeps the account of zones over restarts.
+// saveInterval is how often the zone account is saved: what a crash may lose of it.
+const saveInterval = time.Second
+
+// ZoneStore keeps the zone account over restarts.
 type ZoneStore interface {
+	// Load returns what was saved. unread counts the entries that could not be decoded, which are left out.
 	Load() (state zone.State, unread int, err error)
+	// Save adds the changes of an account and drops the days before oldest, in days since 1970.
 	Save(state zone.State, oldest int64) error
 	Close() error
 }
 
-// ErrNoZoneStore says that a file wants what the program has not.
-var ErrNoZoneStore = errors.New("this program is built without a store for the account of zones")
-
-// zoneAccounts is a node's book of zones, and the modules that write it.
+// zoneAccounts holds a node's zone account and budgets, saves them, and knows the modules that write them.
 type zoneAccounts struct {
-	plan  *operator.Zones // nil: zones are not told apart
+	plan  *operator.Zones // nil: requests are not told apart by zone, and nothing below is used
 	book  *zone.Book
-	store ZoneStore // nil: nothing is kept
-	stop  chan struct{}
-	ended sync.WaitGroup
+	store ZoneStore      // nil: nothing is saved
+	stop  chan struct{}  // closed by close
+	ended sync.WaitGroup // saveLoop
 
-	saving sync.Mutex // one writing after another: a later lease is never overwritten by an earlier one
+	saving sync.Mutex // held from taking changes until they are saved, so that no later lease is overwritten by an earlier one
 
-	mu      sync.Mutex // guards modules
-	modules map[string]*zone.Module
+	mu      sync.Mutex              // guards modules
+	modules map[string]*zone.Module // by pool
 }
 
-// saveInterval is how often the account is kept: what a crash may lose of it.
-const saveInterval = time.Second
-
-// openZones opens what a plan says of zones; without any it is empty.
+// openZones opens the zone account of a plan, and the store if the plan names one. Without zones in the plan the result is
+// empty but not nil.
 func openZones(plan *operator.Zones, open func(string) (ZoneStore, error)) (*zoneAccounts, error) {
 	z := &zoneAccounts{plan: plan, stop: make(chan struct{}), modules: map[string]*zone.Module{}}
 	if plan == nil {
@@ -53,35 +53,38 @@
 	if open == nil {
 		return nil, ErrNoZoneStore
 	}
-	s, err := open(plan.State)
+	store, err := open(plan.State)
 	if err != nil {
 		return nil, err
 	}
-	state, unread, err := s.Load()
+	if err := z.restore(store); err != nil {
+		return nil, errors.Join(err, store.Close())
+	}
+	z.store = store
+	z.ended.Go(z.saveLoop)
+	return z, nil
+}
+
+// restore loads the account, and saves the first lease of the budgets: what can't be saved must not be spent.
+func (z *zoneAccounts) restore(store ZoneStore) error {
+	state, unread, err := store.Load()
 	if err != nil {
-		s.Close()
-		return nil, err
+		return err
 	}
 	if unread > 0 {
-		log.Printf("zones: %d entries of %s can't be read and are left out", unread, plan.State)
+		log.Printf("zone account loaded without unreadable entries: file=%s entries=%d", z.plan.State, unread)
 	}
 	z.book.Restore(state)
 	z.book.RequireLeases()
-	if err := z.saveLease(s); err != nil { // what can't be written can't be spent
-		s.Close()
-		return nil, err
-	}
-	z.store = s
-	z.ended.Go(z.saveLoop)
-	return z, nil
+	return z.saveLease(store)
 }
 
-// saveLease saves what has changed, and what may be spent of budgets until the next time.
-func (z *zoneAccounts) saveLease(s ZoneStore) error {
+// saveLease saves what has changed, together with the amount of each budget that may be spent until the next save.
+func (z *zoneAccounts) saveLease(store ZoneStore) error {
 	z.saving.Lock()
 	defer z.saving.Unlock()
 	state := z.book.PrepareLease(time.Duration(time.Now().UnixNano()))
-	if err := s.Save(state, z.book.OldestDay()); err != nil {
+	if err := store.Save(state, z.book.OldestDay()); err != nil {
 		z.book.RestoreChanges(state)
 		return err
 	}
@@ -89,7 +92,8 @@
 	return nil
 }
 
-// saveLoop saves what has changed until close, and then what was really spent.
+// saveLoop saves the account until close, and at last what was really spent of the leases. It logs the first of several
+// failures in a row.
 func (z *zoneAccounts) saveLoop() {
 	tick := time.NewTicker(saveInterval)
 	defer tick.Stop()
@@ -99,19 +103,23 @@
 		case <-tick.C:
 			err := z.saveLease(z.store)
 			if err != nil && !failed {
-				log.Printf("zones: %v; it is tried again every %v", err, saveInterval)
+				logRetriedSave(err)
 			}
 			failed = err != nil
 		case <-z.stop:
 			if err := z.store.Save(z.book.TakeChanges(), z.book.OldestDay()); err != nil {
-				log.Printf("zones: %v", err)
+				log.Printf("zone account not saved at the stop: error=%q", err)
 			}
 			return
 		}
 	}
 }
 
-// close saves what is left and closes the store.
+func logRetriedSave(err error) {
+	log.Printf("zone account not saved, retrying: interval=%v error=%q", saveInterval, err)
+}
+
+// close saves what is left and closes the store. It may be called on a nil z, after a provision that failed early.
 func (z *zoneAccounts) close() {
 	if z == nil || z.store == nil {
 		return
@@ -119,19 +127,21 @@
 	close(z.stop)
 	z.ended.Wait()
 	if err := z.store.Close(); err != nil {
-		log.Printf("zones: closing the store: %v", err)
+		log.Printf("zone account store not closed: error=%q", err)
 	}
 	z.store = nil
 }
 
+// add registers the module of a pool, in place of the one of a pool of that name before.
 func (z *zoneAccounts) add(pool string, m *zone.Module) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.modules[pool] = m
 }
 
-// checkReload goes over to another plan's budgets. What else zones are told by changes only at a start.
-func (z *zoneAccounts) checkReload(plan *operator.Zones) error {
+// validateReload returns an error if a plan changes more of the zones than their budgets, which alone can change while the
+// node runs.
+func (z *zoneAccounts) validateReload(plan *operator.Zones) error {
 	if (plan == nil) != (z.plan == nil) {
 		return errors.New("[zones] comes and goes only at a start")
 	}
@@ -144,17 +154,18 @@
 	return nil
 }
 
-// setLimits puts other budgets in place of the present ones.
-func (z *zoneAccounts) setLimits(l []zone.Limit) {
-	z.book.SetLimits(l)
-	if z.store != nil {
-		if err := z.saveLease(z.store); err != nil {
-			log.Printf("zones: %v; it is tried again every %v", err, saveInterval)
-		}
+// setLimits replaces the budgets.
+func (z *zoneAccounts) setLimits(limits []zone.Limit) {
+	z.book.SetLimits(limits)
+	if z.store == nil {
+		return
+	}
+	if err := z.saveLease(z.store); err != nil {
+		logRetriedSave(err)
 	}
 }
 
-// zoneConfig is a plan's for a pool.
+// zoneConfig returns a plan's zone settings for a pool with these settings.
 func zoneConfig(p operator.Zones, s balancer.Settings) zone.Config {
 	c := p.Config
 	c.Cold, c.Warm, c.Tries = s.ColdFrom, s.WarmAfter, s.MaxAttempts
@@ -168,7 +179,7 @@
 	return c
 }
 
-// Zones is what the node holds of zones.
+// Zones returns the zone account, the remaining budgets and the estimates of the zones that pools use.
 func (n *Node) Zones() report.Report {
 	now := time.Now()
 	n.mu.Lock()
--- a/internal/node/zone_accounts_test.go
+++ b/internal/node/zone_accounts_test.go
@@ -109,13 +109,13 @@
 		}
 		// A reload that allows more does so at once.
 		if run == 1 {
-			if err := n.ReloadPlan(at("x", 10)); err != nil {
+			if err := n.Reload(at("x", 10)); err != nil {
 				t.Fatal(err)
 			}
 			if s := askZoned(t, n.Addr().String(), "x-more", ""); s != 200 {
 				t.Errorf("after the budget grew: %d", s)
 			}
-			if err := n.ReloadPlan(at("a", 10)); err == nil {
+			if err := n.Reload(at("a", 10)); err == nil {
 				t.Error("a reload moved the node to another zone")
 			}
 			resp, err := http.Get("http://" + n.InspectionAddr().String() + "/zones")
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -239,7 +239,7 @@
 		if err != nil {
 			return err
 		}
-		return n.Reload(cfg)
+		return n.ReloadConfig(cfg)
 	})
 }
 
@@ -259,7 +259,7 @@
 		if err != nil {
 			return err
 		}
-		return n.ReloadPlan(plan)
+		return n.Reload(plan)
 	})
 }
 
