--- a/internal/node/long_test.go
+++ b/internal/node/bodies_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,38 +19,40 @@
 	"cranegrade/internal/testkit"
 )
 
-// pattern is a body whose every byte tells where it stands.
-type pattern struct{ at, size int }
+// pattern is a body whose bytes follow from their offsets, so that a lost or repeated part shows.
+type pattern struct{ offset, size int }
 
 func (p *pattern) Read(b []byte) (int, error) {
-	if p.at >= p.size {
+	if p.offset >= p.size {
 		return 0, io.EOF
 	}
-	n := min(len(b), p.size-p.at)
+	n := min(len(b), p.size-p.offset)
 	for i := range n {
-		b[i] = byte((p.at + i) * 7 / 5)
+		b[i] = byte((p.offset + i) * 7 / 5)
 	}
-	p.at += n
+	p.offset += n
 	return n, nil
 }
 
-func isPattern(t testing.TB, r io.Reader, size int) error {
+// checkPattern reads a body to its end, and returns an error unless it is the pattern of that size.
+func checkPattern(r io.Reader, size int) error {
 	want := &pattern{size: size}
-	a, b := make([]byte, 8192), make([]byte, 8192)
-	for at := 0; ; {
-		n, err := io.ReadFull(r, a)
-		m, _ := io.ReadFull(want, b)
-		if n != m || !bytes.Equal(a[:n], b[:m]) {
-			return fmt.Errorf("%d bytes at %d, want %d: %v", n, at, m, err)
+	gotBytes, wantBytes := make([]byte, 8192), make([]byte, 8192)
+	for offset := 0; ; {
+		got, err := io.ReadFull(r, gotBytes)
+		wanted, _ := io.ReadFull(want, wantBytes)
+		if got != wanted || !bytes.Equal(gotBytes[:got], wantBytes[:wanted]) {
+			return errors.Join(fmt.Errorf("%d bytes at %d, want %d", got, offset, wanted), err)
 		}
-		if at += n; n < len(a) {
+		if offset += got; got < len(gotBytes) {
 			return nil
 		}
 	}
 }
 
-// echoStub answers each request with a body of so many bytes, in the framing named, once it has all of the request.
-func echoStub(t *testing.T, size int, framing string, ran *atomic.Int64) string {
+// patternServer answers each request, once it has all of its body, with the pattern of that size: framed by its length, in
+// chunks, or by the close of the connection; "cut" breaks off halfway. It counts on ran the requests that were complete.
+func patternServer(t *testing.T, size int, framing string, ran *atomic.Int64) string {
 	return testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(r)
@@ -58,10 +61,10 @@
 			}
 			if n := req.ContentLength; req.Method == "POST" {
 				if n < 0 {
-					fmt.Sscan(req.Header.Get("Content-Type"), &n) // where the caller's framing told no length
+					fmt.Sscan(req.Header.Get("Content-Type"), &n) // where the test writes the length of a chunked body
 				}
-				if err := isPattern(t, req.Body, int(n)); err != nil {
-					return // not whole, so it does not run
+				if err := checkPattern(req.Body, int(n)); err != nil {
+					return // the request is not complete, so it does not run
 				}
 			}
 			ran.Add(1)
@@ -93,17 +96,17 @@
 	})
 }
 
-// Long and short bodies go through unchanged in every framing, both ways.
-func TestLongBodies(t *testing.T) {
+// Long and short bodies pass unchanged in both directions, in every framing.
+func TestBodiesPassUnchanged(t *testing.T) {
 	t.Parallel()
 	for _, framing := range []string{"length", "chunked", "close"} {
 		for _, size := range []int{10, 64 << 10, 64<<10 + 1, 3 << 20} {
 			var ran atomic.Int64
-			n := startNode(t, testConfig("127.0.0.1:1", listed("s", echoStub(t, size, framing, &ran))), nil)
-			for _, told := range []bool{true, false} {
+			n := startNode(t, testConfig(unusedAddr, listed("s", patternServer(t, size, framing, &ran))), nil)
+			for _, hasLength := range []bool{true, false} {
 				r := newRequest(t, n, "POST", "/order/1", "")
 				r.Body, r.ContentLength = io.NopCloser(&pattern{size: size}), int64(size)
-				if !told {
+				if !hasLength {
 					r.ContentLength = -1
 					r.Header.Set("Content-Type", fmt.Sprint(size))
 				}
@@ -111,7 +114,7 @@
 				if err != nil {
 					t.Fatalf("%s, %d bytes: %v", framing, size, err)
 				}
-				if err := isPattern(t, resp.Body, size); err != nil || resp.StatusCode != 200 {
+				if err := checkPattern(resp.Body, size); err != nil || resp.StatusCode != 200 {
 					t.Errorf("%s, %d bytes: %s, %v", framing, size, resp.Status, err)
 				}
 				resp.Body.Close()
@@ -123,11 +126,11 @@
 	}
 }
 
-// An answer that its server cuts short is plainly not whole to the caller, also to one of HTTP/1.0, and is not tried again.
-func TestLongAnswerCutShort(t *testing.T) {
+// A caller can tell that a response was cut short by its server, also over HTTP/1.0, and the request is not retried.
+func TestTruncatedResponseIsVisible(t *testing.T) {
 	t.Parallel()
 	var ran atomic.Int64
-	n := startNode(t, testConfig("127.0.0.1:1", listed("s", echoStub(t, 1<<20, "cut", &ran))), nil)
+	n := startNode(t, testConfig(unusedAddr, listed("s", patternServer(t, 1<<20, "cut", &ran))), nil)
 	for _, proto := range []string{"HTTP/1.1", "HTTP/1.0"} {
 		c := dial(t, n.Addr().String())
 		fmt.Fprintf(c, "GET /read/1 %s\r\nHost: a\r\nX-Correlation-Id: %s\r\nX-Time-Left: 5000m\r\n\r\n", proto, proto)
@@ -144,11 +147,11 @@
 	}
 }
 
-// Of long answers to callers that read slowly the node holds no more than its room, however many there are.
-func TestManyLongAnswers(t *testing.T) {
+// The node buffers no more of long responses to slow callers than its budget allows, however many there are.
+func TestBufferedResponsesStayWithinBudget(t *testing.T) {
 	const size, callers = 8 << 20, 32
 	var ran atomic.Int64
-	cfg := testConfig("127.0.0.1:1", listed("s", echoStub(t, size, "length", &ran)))
+	cfg := testConfig(unusedAddr, listed("s", patternServer(t, size, "length", &ran)))
 	cfg.MemoryMB = 48
 	n := startNode(t, cfg, nil)
 	var all sync.WaitGroup
@@ -159,15 +162,14 @@
 		all.Go(func() {
 			c := dial(t, n.Addr().String())
 			c.(*net.TCPConn).SetReadBuffer(64 << 10)
-			fmt.Fprintf(c, "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: many-%d\r\nX-Time-Left: 10000m\r\n\r\n", i)
-			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			resp, err := exchange(c, requestHead("GET /read/1", fmt.Sprintf("many-%d", i), "10000m"))
 			began.Done()
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			<-release
-			if err := isPattern(t, resp.Body, size); err != nil {
+			if err := checkPattern(resp.Body, size); err != nil {
 				t.Error(err)
 			}
 		})
@@ -176,35 +178,36 @@
 	debug.FreeOSMemory()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	// This process holds the servers and callers, too.
-	if held, whole := m.HeapAlloc, uint64(callers*size); held > whole/4 {
-		t.Errorf("%d MB are held of answers of %d MB in all", held>>20, whole>>20)
+	// The servers and callers are in this process, too.
+	if inUse, total := m.HeapAlloc, uint64(callers*size); inUse > total/4 {
+		t.Errorf("%d MB in use for responses of %d MB in all", inUse>>20, total>>20)
 	}
 	close(release)
 	all.Wait()
-	n.only().Do(func() {})
-	testkit.Eventually(t, "the room for answers is not given back", func() bool {
+	n.onlyEngine().Do(func() {})
+	testkit.Eventually(t, "the memory for responses is not returned to its budget", func() bool {
 		used, _ := n.budgets.longAnswers.Used()
 		return used == 0
 	})
 }
 
-// A request's time runs from its last byte, and a caller may take longer for the bytes before than it gives for the answer.
+// The time left of a request counts from its last byte: a caller may take longer for the upload than it allows for the
+// response.
 func TestSlowUpload(t *testing.T) {
 	t.Parallel()
 	const size = 100 << 10
 	var ran atomic.Int64
-	n := startNode(t, testConfig("127.0.0.1:1", listed("s", echoStub(t, 10, "length", &ran))), nil)
+	n := startNode(t, testConfig(unusedAddr, listed("s", patternServer(t, 10, "length", &ran))), nil)
 	for _, short := range []bool{true, false} {
 		length := size
 		if short {
 			length = 1000
 		}
 		c := dial(t, n.Addr().String())
-		fmt.Fprintf(c, "POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: slow-%v\r\nX-Time-Left: 300m\r\nContent-Length: %d\r\n\r\n", short, length)
+		io.WriteString(c, requestHead("POST /order/1", fmt.Sprintf("slow-%v", short), "300m", fmt.Sprintf("Content-Length: %d", length)))
 		p := &pattern{size: length}
 		io.CopyN(c, p, int64(length-100))
-		// The wait is what is tested: longer than the time that is left for the answer.
+		// The wait is longer than the time left for the response.
 		time.Sleep(500 * time.Millisecond)
 		io.Copy(c, p)
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
@@ -216,9 +219,9 @@
 	}
 }
 
-// A long body whose server turns it away is refused and not sent elsewhere, for part of it has gone; the caller hears so
-// while it still writes. A caller that breaks off leaves nothing behind.
-func TestUploadTurnedAway(t *testing.T) {
+// A long upload that its server rejects is not sent to another server, because part of it is gone. The caller gets 503
+// while it still writes. An upload that its caller breaks off leaves nothing open.
+func TestRejectedUploadIsNotRetried(t *testing.T) {
 	t.Parallel()
 	var seen atomic.Int64
 	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -228,7 +231,7 @@
 			io.Copy(io.Discard, r)
 		}
 	})
-	n := startNode(t, testConfig("127.0.0.1:1", listed("a", addr), listed("b", addr)), nil)
+	n := startNode(t, testConfig(unusedAddr, listed("a", addr), listed("b", addr)), nil)
 	r := newRequest(t, n, "POST", "/order/1", "")
 	r.Body, r.ContentLength = io.NopCloser(&pattern{size: 16 << 20}), 16<<20
 	resp, err := http.DefaultTransport.RoundTrip(r)
@@ -239,20 +242,20 @@
 		t.Errorf("%d servers saw part of it", seen.Load())
 	}
 	c := dial(t, n.Addr().String())
-	fmt.Fprintf(c, "POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: off\r\nX-Time-Left: 300m\r\nContent-Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("x", 200<<10))
+	io.WriteString(c, requestHead("POST /order/1", "off", "300m", fmt.Sprintf("Content-Length: %d", 1<<20))+strings.Repeat("x", 200<<10))
 	testkit.Eventually(t, "the upload never reached a server", func() bool { return seen.Load() == 2 })
 	c.Close()
-	testkit.Eventually(t, "something is left open", func() bool { return n.only().Open() == 0 })
+	testkit.Eventually(t, "something is left open", func() bool { return n.onlyEngine().Open() == 0 })
 }
 
-// A caller that waits for 100 is told to go on only once its request is taken, and not at all if it is refused.
+// A caller that expects 100 Continue gets it once its request is accepted, and never if the request is rejected.
 func TestExpectContinue(t *testing.T) {
 	t.Parallel()
 	var ran atomic.Int64
-	n := startNode(t, testConfig("127.0.0.1:1", listed("s", echoStub(t, 10, "length", &ran))), nil)
+	n := startNode(t, testConfig(unusedAddr, listed("s", patternServer(t, 10, "length", &ran))), nil)
 	for path, want := range map[string]string{"/order/1": "HTTP/1.1 100 ", "/none/1": "HTTP/1.1 404 "} {
 		c := dial(t, n.Addr().String())
-		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: e\r\nX-Time-Left: 5000m\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n", path)
+		io.WriteString(c, requestHead("POST "+path, "e", "5000m", "Expect: 100-continue", "Content-Length: 5"))
 		r := bufio.NewReader(c)
 		line, err := r.ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, want) {
@@ -269,11 +272,11 @@
 	}
 }
 
-// A body that its caller cuts short, in whatever framing and wherever, is no request.
-func TestBodyCutShort(t *testing.T) {
+// A request whose body its caller cuts short runs nowhere, in any framing and wherever it is cut.
+func TestTruncatedRequestNeverRuns(t *testing.T) {
 	t.Parallel()
 	var ran atomic.Int64
-	n := startNode(t, testConfig("127.0.0.1:1", listed("s", echoStub(t, 10, "length", &ran))), nil)
+	n := startNode(t, testConfig(unusedAddr, listed("s", patternServer(t, 10, "length", &ran))), nil)
 	long := &bytes.Buffer{}
 	io.Copy(long, &pattern{size: 100 << 10})
 	for name, rest := range map[string]string{
@@ -288,8 +291,8 @@
 		fmt.Fprintf(c, "POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: cut-%d\r\nX-Time-Left: 5000m\r\nContent-Type: 1\r\n%s", len(name), rest)
 		c.(*net.TCPConn).CloseWrite()
 		answer, _ := io.ReadAll(c)
-		// Whoever comes first: the front, which says that the request is bad, or the engine, whose attempt never ran and is
-		// refused. Both are true, and nothing else may be said.
+		// Either the front answers first, that the request is malformed, or the engine, whose attempt never ran, that it is
+		// rejected. Both are true, and no other answer is.
 		if len(answer) > 0 && !strings.HasPrefix(string(answer), "HTTP/1.1 4") && !strings.HasPrefix(string(answer), "HTTP/1.1 503") {
 			t.Errorf("%s: %.60q", name, answer)
 		}
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -5,48 +5,22 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
 	"sync/atomic"
 	"testing"
-	"time"
 
 	"cranegrade/internal/message"
 	"cranegrade/internal/testkit"
 )
 
-func dial(t *testing.T, addr string) net.Conn {
-	t.Helper()
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(limit))
-	return c
-}
-
-// Callers that connect and say nothing, or keep a connection that they no longer use, make room for
-// one that asks; a request that was taken keeps its connection.
-func TestUselessCallersMakeRoom(t *testing.T) {
+// Connections on which nothing was sent, and idle ones, are closed in favour of a caller with a request. A connection with
+// a request in flight is kept.
+func TestIdleConnectionsGiveWayToRequests(t *testing.T) {
 	t.Parallel()
-	began, release := make(chan struct{}, 10), make(chan struct{})
-	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
-		for {
-			req, err := http.ReadRequest(r)
-			if err != nil {
-				return
-			}
-			if strings.HasSuffix(req.URL.Path, "slow") {
-				began <- struct{}{}
-				<-release
-			}
-			io.WriteString(c, ok)
-		}
-	})
-	cfg := testConfig("127.0.0.1:1", listed("s", addr))
+	addr, began, release := blockingServer(t, slowPaths)
+	cfg := testConfig(unusedAddr, listed("s", addr))
 	cfg.Sockets = 42 // 6 for callers
 	n := startNode(t, cfg, nil)
 	slow := make(chan int, 1)
@@ -56,23 +30,23 @@
 	}()
 	testkit.Wait(t, began)
 	for i := range 20 {
-		dial(t, n.Addr().String()) // and says nothing
-		c := dial(t, n.Addr().String())
-		fmt.Fprintf(c, "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: k-%d\r\nX-Time-Left: 5000m\r\n\r\n", i)
-		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
+		dial(t, n.Addr().String()) // sends nothing
+		keptOpen := dial(t, n.Addr().String())
+		resp, err := exchange(keptOpen, requestHead("GET /read/1", fmt.Sprintf("k-%d", i), "5000m"))
+		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("caller %d: %v, %v", i, resp, err)
-		} // and keeps the connection
+		}
 	}
 	close(release)
 	if s := testkit.Wait(t, slow); s != 200 {
-		t.Errorf("the request that was taken first: %d", s)
+		t.Errorf("the request in flight: %d", s)
 	}
 }
 
-// A request that never comes to its end is closed upon, wherever it stops.
-func TestHalfARequest(t *testing.T) {
+// A connection whose request stops halfway is closed, wherever it stops.
+func TestIncompleteRequestIsClosed(t *testing.T) {
 	t.Parallel()
-	n := startNode(t, testConfig("127.0.0.1:1"), nil)
+	n := startNode(t, testConfig(unusedAddr), nil)
 	for _, text := range []string{
 		"", "GET /read/1 HT", "GET /read/1 HTTP/1.1\r\nHost: a\r\nX-Corr",
 		"POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 5000m\r\nContent-Length: 9\r\n\r\nhalf",
@@ -86,12 +60,12 @@
 	}
 }
 
-// What frames its body in a way that others may read otherwise is refused, and nothing that follows
-// it on the connection is taken for a request.
-func TestNoRequestInABody(t *testing.T) {
+// A request whose framing another implementation might read differently is rejected, and nothing that follows it on the
+// connection is taken for a request (request smuggling, RFC 9112, section 11.2).
+func TestRequestSmugglingIsRejected(t *testing.T) {
 	t.Parallel()
 	addr, got := testkit.Stub(t, ok, false)
-	n := startNode(t, testConfig("127.0.0.1:1", listed("s", addr)), nil)
+	n := startNode(t, testConfig(unusedAddr, listed("s", addr)), nil)
 	const head = "Host: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 5000m\r\n"
 	const hidden = "GET /read/hidden HTTP/1.1\r\n" + head + "\r\n"
 	for name, text := range map[string]string{
@@ -120,7 +94,7 @@
 		}
 		io.Copy(io.Discard, resp.Body)
 		if rest, _ := io.ReadAll(r); len(rest) > 0 {
-			t.Errorf("%s: after the refusal came %q", name, rest)
+			t.Errorf("%s: the rejection is followed by %q", name, rest)
 		}
 	}
 	if len(got) > 0 {
@@ -128,16 +102,15 @@
 	}
 }
 
-// The bodies of all callers together stay within their share of the memory.
-func TestBodiesWithinMemory(t *testing.T) {
+// The bodies of all callers together stay within their part of the memory.
+func TestRequestBodiesStayWithinMemory(t *testing.T) {
 	t.Parallel()
-	cfg := testConfig("127.0.0.1:1")
-	cfg.MemoryMB = 1 // room for one of the longest
+	cfg := testConfig(unusedAddr)
+	cfg.MemoryMB = 1 // for one of the longest
 	n := startNode(t, cfg, nil)
 	begin := func() *bufio.Reader {
 		c := dial(t, n.Addr().String())
-		fmt.Fprintf(c, "POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: c-1\r\nX-Time-Left: 5000m\r\nExpect: 100-continue\r\n"+
-			"Content-Length: %d\r\n\r\n", message.MaxBody)
+		io.WriteString(c, requestHead("POST /order/1", "c-1", "5000m", "Expect: 100-continue", fmt.Sprintf("Content-Length: %d", message.MaxBody)))
 		return bufio.NewReader(c)
 	}
 	if l, err := begin().ReadString('\n'); err != nil || !strings.Contains(l, " 100 ") {
@@ -149,17 +122,17 @@
 	}
 }
 
-// More callers than descriptors wait their turn; none is lost and the node stays up.
-func TestCallersOverTheBudget(t *testing.T) {
+// Callers beyond the descriptors wait until one is free. None is lost, and the node keeps serving.
+func TestCallersWaitForDescriptors(t *testing.T) {
 	t.Parallel()
 	addr, _ := testkit.Stub(t, ok, false)
-	cfg := testConfig("127.0.0.1:1", listed("s", addr))
+	cfg := testConfig(unusedAddr, listed("s", addr))
 	cfg.Sockets = 42 // 6 for callers
 	n := startNode(t, cfg, nil)
-	client := &http.Client{Timeout: limit} // keeps its connections
+	client := &http.Client{Timeout: limit} // keeps idle connections
 	const callers = 30
 	errs := make(chan error, callers)
-	var refused atomic.Int64
+	var rejected atomic.Int64
 	for i := range callers {
 		r := newRequest(t, n, "GET", "/read/1", "")
 		r.Header.Set("X-Correlation-Id", strconv.Itoa(i))
@@ -170,8 +143,8 @@
 				resp.Body.Close()
 				switch resp.StatusCode {
 				case 200:
-				case 503: // by the module, for want of room
-					refused.Add(1)
+				case 503: // rejected by the module, which counts what its servers can take
+					rejected.Add(1)
 				default:
 					err = errors.New(resp.Status)
 				}
@@ -184,7 +157,7 @@
 			t.Error(err)
 		}
 	}
-	if refused.Load() == callers {
+	if rejected.Load() == callers {
 		t.Error("none was served")
 	}
 }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestBadConfig(t *testing.T) {
+func TestConfigErrorNamesTheField(t *testing.T) {
 	for name, replace := range map[string][2]string{
 		"listen":             {`"127.0.0.1:3000"`, `"here"`},
 		"discovery":          {`"discovery"`, `"d"`},
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -14,12 +14,12 @@
 	"cranegrade/internal/testkit"
 )
 
-// TestWatch follows a node through what a watch can bring.
-func TestWatch(t *testing.T) {
+// TestRegistryWatchEvents shows which events the module gets for what a watch of the registry can bring.
+func TestRegistryWatchEvents(t *testing.T) {
 	t.Parallel()
 	addr, lines, asked := testkit.RegistryStub(t)
 	events := make(chan balancer.Event, 10)
-	startNode(t, testConfig(addr, listed("old", "127.0.0.1:1")),
+	startNode(t, testConfig(addr, listed("old", unusedAddr)),
 		moduleFunc(func(e balancer.Event) []balancer.Action {
 			events <- e
 			switch e := e.(type) {
@@ -32,7 +32,7 @@
 			}
 			return nil
 		}))
-	list := func(full, cached bool, ids ...string) {
+	expectList := func(full, cached bool, ids ...string) {
 		t.Helper()
 		l, is := testkit.Wait(t, events).(balancer.ServerList)
 		if !is || l.Full != full || l.Cached != cached || len(l.Servers) != len(ids) {
@@ -44,44 +44,44 @@
 			}
 		}
 	}
-	failed := func(garbled bool) {
+	expectFailure := func(garbled bool) {
 		t.Helper()
 		if e, is := testkit.Wait(t, events).(balancer.ListFailed); !is || e.Garbled != garbled {
 			t.Fatalf("event %+v, want ListFailed, garbled: %v", e, garbled)
 		}
 	}
-	query := func(since int) {
+	expectQuery := func(since int) {
 		t.Helper()
 		if got, want := testkit.Wait(t, asked), fmt.Sprintf("/registry/instances?follow=1&since=%d", since); got != want {
 			t.Errorf("asked %s, want %s", got, want)
 		}
 	}
-	list(true, true, "old")
-	query(7)
+	expectList(true, true, "old")
+	expectQuery(7)
 	lines <- testkit.ListMessage(8, true, testkit.Entry("a", "SERVING"), testkit.Entry("b", "SERVING"))
-	list(true, false, "a", "b")
-	lines <- "" // a heartbeat
-	list(false, false)
+	expectList(true, false, "a", "b")
+	lines <- "" // a heartbeat of the registry
+	expectList(false, false)
 	lines <- testkit.ListMessage(9, false, testkit.Entry("b", "DRAINING"))
-	list(false, false, "b")
+	expectList(false, false, "b")
 	lines <- "end"
-	failed(false)
-	query(9)
-	// A line that is not whole or makes no sense ends the watch and changes nothing.
+	expectFailure(false)
+	expectQuery(9)
+	// A malformed line ends the watch and does not change the list.
 	for _, bad := range []string{
 		"{", testkit.ListMessage(12, true, testkit.Entry("c", "SLEEPING")), testkit.ListMessage(12, true, testkit.Entry("", "SERVING")),
 		testkit.ListMessage(12, true, strings.Replace(testkit.Entry("c", "SERVING"), "127.0.0.1:1", "nowhere", 1)),
 	} {
 		lines <- bad
-		failed(true)
-		query(9)
+		expectFailure(true)
+		expectQuery(9)
 	}
 	lines <- testkit.ListMessage(13, false, testkit.Entry("a", "DELETED"))
-	list(false, false, "a")
+	expectList(false, false, "a")
 }
 
-// A module that asks again at once does not make the node hammer a discovery that fails.
-func TestFailedWatchRests(t *testing.T) {
+// A module that subscribes again at once does not make the node flood a registry that fails with requests.
+func TestFailedWatchBacksOff(t *testing.T) {
 	t.Parallel()
 	asked := make(chan struct{}, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -97,15 +97,15 @@
 	for range 4 {
 		testkit.Wait(t, asked)
 	}
-	const rest = 50 * time.Millisecond
-	if took := time.Since(start); took < 3*rest {
+	const backoff = 50 * time.Millisecond
+	if took := time.Since(start); took < 3*backoff {
 		t.Errorf("five watches within %v", took)
 	}
 }
 
-// A reload that names another discovery asks there at once, again if that fails, and for the whole
-// list: the new one's revisions need not go on from the old one's, whose watch ends.
-func TestReloadMovesWatch(t *testing.T) {
+// A reload with another registry asks it at once, again if that fails, and for the complete list, since its revisions need
+// not continue those of the former registry. The watch of the former registry ends.
+func TestReloadFollowsAnotherRegistry(t *testing.T) {
 	t.Parallel()
 	oldAddr, oldLines, oldAsked := testkit.RegistryStub(t)
 	asked, oldEnded := make(chan string, 100), make(chan struct{})
@@ -127,7 +127,7 @@
 	t.Cleanup(s.CloseClientConnections)
 
 	events := make(chan balancer.Event, 10)
-	cfg := testConfig(oldAddr, listed("old", "127.0.0.1:1"))
+	cfg := testConfig(oldAddr, listed("old", unusedAddr))
 	n := startNode(t, cfg, moduleFunc(func(e balancer.Event) []balancer.Action {
 		events <- e
 		if l, is := e.(balancer.ServerList); is && l.Cached {
@@ -139,15 +139,15 @@
 	testkit.Wait(t, events)
 	cfg.Discovery = strings.TrimPrefix(s.URL, "http://")
 	n.ReloadConfig(cfg)
-	n.ReloadConfig(cfg) // the same again changes nothing
+	n.ReloadConfig(cfg) // changes nothing more
 	for range 2 {
 		if q := testkit.Wait(t, asked); q != "" {
-			t.Fatalf("asked with %q, not for the whole list", q)
+			t.Fatalf("asked with %q, not for the complete list", q)
 		}
 	}
 	select {
 	case oldLines <- testkit.ListMessage(8, true, testkit.Entry("stale", "SERVING")):
-		// The old watch may still be read, but counts no more.
+		// The former watch may still be read, but its lists are ignored.
 	default:
 	}
 	close(oldEnded)
@@ -160,8 +160,8 @@
 	}
 }
 
-// Where the list comes unasked the node watches by itself and again after a break.
-func TestPushedList(t *testing.T) {
+// If lists are pushed, the node watches the registry without a subscription of the module, and again after the watch ends.
+func TestPushedListIsWatchedAgain(t *testing.T) {
 	t.Parallel()
 	addr, lines, asked := testkit.RegistryStub(t)
 	cfg := testConfig(addr)
@@ -172,16 +172,16 @@
 	testkit.Wait(t, asked)
 }
 
-// A watch that discovery opens and ends at once, over and over: the node keeps the last good list and asks ever
-// later, and no list is told.
-func TestWatchThatEndsAtOnce(t *testing.T) {
+// If the registry ends every watch at once, the node keeps the last list, backs off exponentially, and the module gets no
+// list.
+func TestWatchEndingAtOnceBacksOff(t *testing.T) {
 	t.Parallel()
 	asked := make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
 	}))
 	t.Cleanup(s.Close)
-	cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), listed("old", "127.0.0.1:1"))
+	cfg := testConfig(strings.TrimPrefix(s.URL, "http://"), listed("old", unusedAddr))
 	cfg.Settings.AskDiscovery, cfg.Settings.AskWithin, cfg.Settings.Balancers = true, 400*time.Millisecond, 1
 	var mu sync.Mutex
 	var longest time.Duration
@@ -194,7 +194,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if l, is := e.(balancer.ServerList); is && !l.Cached {
-			t.Errorf("told %+v", l)
+			t.Errorf("the module got the list %+v", l)
 		}
 		now := clock.Now()
 		acts := b.Handle(now, e)
@@ -212,7 +212,7 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	if first := cfg.Settings.AskWithin / 40; longest < 4*first { // doubled six times by then, of which a part is drawn
+	if first := cfg.Settings.AskWithin / 40; longest < 4*first { // doubled six times by then, with jitter
 		t.Errorf("waits no longer than %v after eight failures", longest)
 	}
 }
--- a/internal/node/h2_test.go
+++ b/internal/node/h2_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"strings"
 	"sync"
@@ -14,87 +13,17 @@
 	"time"
 
 	"golang.org/x/net/http2"
-	"golang.org/x/net/http2/hpack"
 
-	"cranegrade/internal/engine"
-	"cranegrade/internal/operator"
-	"cranegrade/internal/sender/h2"
 	"cranegrade/internal/testkit"
-	"cranegrade/internal/wire"
 )
 
-func newH2Sender(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender {
-	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.ConnectionsPerServer, Streams: m.StreamsPerConnection})
-}
-
-// h2Server is a server that speaks HTTP/2.
-func h2Server(t *testing.T, h http.HandlerFunc) string {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := &http.Server{Handler: h, Protocols: new(http.Protocols)}
-	s.Protocols.SetUnencryptedHTTP2(true)
-	done := make(chan struct{})
-	go func() { defer close(done); s.Serve(l) }()
-	t.Cleanup(func() { s.Close(); <-done })
-	return l.Addr().String()
-}
-
-// running is a node by a plan that runs until it is stopped, or the test ends.
-func running(t testing.TB, plan operator.Plan, o Options) (n *Node, stop func()) {
-	t.Helper()
-	n, err := NewFromPlan(plan, o)
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(ctx) }()
-	stop = sync.OnceFunc(func() { cancel(); testkit.Wait(t, ended) })
-	t.Cleanup(stop)
-	return n, stop
-}
-
-// h2Node is a node for callers of HTTP/2 before these servers, and a client of it.
-func h2Node(t *testing.T, servers ...string) (addr string, client *http.Client, stop func()) {
-	t.Helper()
-	var list strings.Builder
-	list.WriteString("protocol = \"h2\"\n")
-	for _, s := range servers {
-		fmt.Fprintf(&list, "[[pools.servers]]\naddress = %q\n", s)
-	}
-	plan := planOf(t, "listen_h2 = [\"127.0.0.1:0\"]\ndefault = \"p\"\n", poolOf("p", list.String()))
-	n, stop := running(t, plan, Options{H2: newH2Sender})
-	tr := &http.Transport{Protocols: new(http.Protocols)}
-	tr.Protocols.SetUnencryptedHTTP2(true)
-	t.Cleanup(tr.CloseIdleConnections)
-	return n.Addrs()[len(n.Addrs())-1].String(), &http.Client{Transport: tr}, stop
-}
-
-func h2Request(ctx context.Context, addr, method, class, id string, body []byte) *http.Request {
-	r, _ := http.NewRequestWithContext(ctx, method, "http://"+addr+"/"+class+"/x", bytes.NewReader(body))
-	if body == nil {
-		r.Body, r.ContentLength = nil, 0
-	}
-	r.Header.Set("X-Correlation-Id", id)
-	r.Header.Set("X-Time-Left", "5000m")
-	return r
-}
-
-// TestH2 goes through a node by HTTP/2 on both sides: one final answer on each of many streams of one connection, one
-// attempt of each request that must not run twice, and a drain that finishes what is open.
-func TestH2(t *testing.T) {
+// TestH2RequestsResetAndDrain sends requests through a node that speaks HTTP/2 on both sides: each of many streams of one connection gets one
+// final answer, no request runs twice, and a drain completes what is open.
+func TestH2RequestsResetAndDrain(t *testing.T) {
 	t.Parallel()
 	var ran sync.Map
-	var most, now atomic.Int64
 	hold := make(chan struct{})
 	server := h2Server(t, func(w http.ResponseWriter, r *http.Request) {
-		n := now.Add(1)
-		defer now.Add(-1)
-		for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
-		}
 		id := r.Header.Get("X-Correlation-Id")
 		c, _ := ran.LoadOrStore(id, new(atomic.Int64))
 		c.(*atomic.Int64).Add(1)
@@ -131,7 +60,7 @@
 		}
 		return true
 	})
-	// A reset of a stream whose request has reached a server: it is not run again.
+	// A request whose stream is reset after it has reached a server is not retried.
 	ctx, cancel := context.WithCancel(context.Background())
 	reset := make(chan error, 1)
 	go func() {
@@ -141,9 +70,9 @@
 	testkit.Eventually(t, "the request does not reach the server", func() bool { _, is := ran.Load("held-reset"); return is })
 	cancel()
 	if err := testkit.Wait(t, reset); err == nil {
-		t.Error("a request that was reset has an answer")
+		t.Error("a request that was reset got an answer")
 	}
-	// A drain finishes what is open, on the connection that it is open on.
+	// A drain completes the open request, on its connection.
 	answered := make(chan string, 1)
 	go func() {
 		resp, err := client.Do(h2Request(context.Background(), addr, "GET", "read", "held-drain", nil))
@@ -160,16 +89,16 @@
 	go func() { defer close(stopped); stop() }()
 	time.AfterFunc(100*time.Millisecond, func() { close(hold) })
 	if got := testkit.Wait(t, answered); got != "HTTP/2.0 held-drain 0" {
-		t.Errorf("over the drain: %q", got)
+		t.Errorf("during the drain: %q", got)
 	}
 	<-stopped
 	if c, _ := ran.Load("held-reset"); c.(*atomic.Int64).Load() != 1 {
-		t.Errorf("what was reset ran %d times", c.(*atomic.Int64).Load())
+		t.Errorf("the request that was reset ran %d times", c.(*atomic.Int64).Load())
 	}
 }
 
-// What is no request over HTTP/2 is refused, and its connection goes on.
-func TestH2Refusals(t *testing.T) {
+// An invalid request over HTTP/2 is rejected without harm to its connection.
+func TestH2InvalidRequestsAreRejected(t *testing.T) {
 	t.Parallel()
 	addr, client, _ := h2Node(t, h2Server(t, func(w http.ResponseWriter, r *http.Request) {}))
 	for name, c := range map[string]struct {
@@ -201,22 +130,15 @@
 	}
 }
 
-// Streams that are opened and reset at once, over and over, cost their connection and nobody else's requests.
+// A caller that opens streams and resets them at once (rapid reset, CVE-2023-44487) loses its connection, and requests of
+// other callers are served.
 func TestH2RapidReset(t *testing.T) {
 	t.Parallel()
 	var ran atomic.Int64
 	addr, client, _ := h2Node(t, h2Server(t, func(w http.ResponseWriter, r *http.Request) { ran.Add(1) }))
-	nc, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
-	go io.Copy(io.Discard, nc)
-	fr := http2.NewFramer(nc, nil)
-	io.WriteString(nc, http2.ClientPreface)
-	fr.WriteSettings()
-	var b bytes.Buffer
-	enc := hpack.NewEncoder(&b)
+	c := dialH2(t, addr)
+	c.SetDeadline(time.Time{}) // the attack lasts as long as the node lets it
+	go io.Copy(io.Discard, c.Conn)
 	var other sync.WaitGroup
 	other.Go(func() {
 		for i := range 200 {
@@ -232,20 +154,16 @@
 		}
 	})
 	for id := uint32(1); id < 200_000; id += 2 {
-		b.Reset()
-		for _, f := range [][2]string{{":method", "GET"}, {":scheme", "http"}, {":authority", addr}, {":path", "/read/x"}, {"x-correlation-id", fmt.Sprint("f", id)}, {"x-time-left", "5000m"}} {
-			enc.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
-		}
-		if fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: b.Bytes(), EndHeaders: true, EndStream: true}) != nil ||
-			fr.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
-			break // the node has had enough
+		if c.writeHeaders(id, true, readFields(addr, fmt.Sprint("f", id), "5000m")) != nil ||
+			c.framer.WriteRSTStream(id, http2.ErrCodeCancel) != nil {
+			break // the node has closed the connection
 		}
 	}
 	other.Wait()
 }
 
-// A file that wants HTTP/2 towards servers needs a program that has it.
-func TestH2Missing(t *testing.T) {
+// A plan with HTTP/2 towards servers is rejected by a program that is built without it.
+func TestPlanWithH2IsRejectedWithoutIt(t *testing.T) {
 	t.Parallel()
 	plan := planOf(t, "default = \"p\"\n", poolOf("p", "protocol = \"h2\"\n[[pools.servers]]\naddress = \"127.0.0.1:1\""))
 	if _, err := NewFromPlan(plan, Options{}); err == nil || !strings.Contains(err.Error(), ErrNoH2.Error()) {
@@ -253,36 +171,21 @@
 	}
 }
 
-// A caller that gives one of its streams no window holds up that stream, and none of the 100 others of its connection.
+// A stream without a flow-control window stalls, and none of the 100 other streams of its connection does.
 func TestH2StalledStream(t *testing.T) {
 	t.Parallel()
 	addr, _, _ := h2Node(t, h2Server(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, "answer") }))
-	nc, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(limit))
-	fr := http2.NewFramer(nc, nc)
-	io.WriteString(nc, http2.ClientPreface)
-	fr.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
-	var b bytes.Buffer
-	enc := hpack.NewEncoder(&b)
+	c := dialH2(t, addr, http2.Setting{ID: http2.SettingInitialWindowSize, Val: 0})
 	for i := range uint32(101) {
 		id := 2*i + 1
-		b.Reset()
-		for _, f := range [][2]string{{":method", "GET"}, {":scheme", "http"}, {":authority", addr}, {":path", "/read/x"}, {"x-correlation-id", fmt.Sprint("w", id)}, {"x-time-left", "5000m"}} {
-			enc.WriteField(hpack.HeaderField{Name: f[0], Value: f[1]})
-		}
-		fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: b.Bytes(), EndHeaders: true, EndStream: true})
+		c.writeHeaders(id, true, readFields(addr, fmt.Sprint("w", id), "5000m"))
 		if id > 1 {
-			fr.WriteWindowUpdate(id, 100)
+			c.framer.WriteWindowUpdate(id, 100)
 		}
 	}
-	fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	ended := map[uint32]bool{}
 	for len(ended) < 100 {
-		f, err := fr.ReadFrame()
+		f, err := c.framer.ReadFrame()
 		if err != nil {
 			t.Fatalf("%d streams ended: %v", len(ended), err)
 		}
@@ -295,11 +198,11 @@
 				ended[f.StreamID] = true
 			}
 		case *http2.MetaHeadersFrame:
-			if f.StreamEnded() { // an answer without a body
+			if f.StreamEnded() { // a response without a body
 				ended[f.StreamID] = true
 			}
 		case *http2.RSTStreamFrame:
-			ended[f.StreamID] = true // beyond what it may have open
+			ended[f.StreamID] = true // over the limit of concurrent streams
 		}
 	}
 	delete(ended, 1)
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -16,13 +15,13 @@
 	"cranegrade/internal/testkit"
 )
 
-// process is a node that a test ends itself.
+// process is one of several processes of a node, which a test stops itself.
 type process struct {
 	*Node
-	stop context.CancelFunc
-	done chan error
+	stop func()
 }
 
+// startProcess runs a node and returns once it accepts requests.
 func startProcess(t *testing.T, cfg Config) *process {
 	t.Helper()
 	n, err := New(cfg, Options{})
@@ -30,24 +29,14 @@
 		t.Fatal(err)
 	}
 	n.drainDelay = 0
-	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{n, cancel, make(chan error, 1)}
-	go func() { p.done <- n.Run(ctx) }()
+	p := &process{n, runNode(t, n)}
 	testkit.Eventually(t, "never ready", n.ready.Load)
 	return p
 }
 
-func (p *process) end(t *testing.T) {
-	t.Helper()
-	p.stop()
-	if err := testkit.Wait(t, p.done); err != nil {
-		t.Errorf("Run: %v", err)
-	}
-}
-
-// A node is upgraded again and again under load, on kept and on fresh connections: every request is answered, each runs
-// once, and only requests that crossed the close of an idle connection are sent again.
-func TestUpgrades(t *testing.T) {
+// A node is replaced by successors under load, on reused and on new connections: every request is answered and runs once,
+// and a caller has to repeat a request only if it crossed the close of its idle connection.
+func TestHotRestartsUnderLoad(t *testing.T) {
 	t.Parallel()
 	var ran sync.Map
 	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -64,11 +53,11 @@
 			io.WriteString(c, ok)
 		}
 	})
-	cfg := withPort(testConfig("127.0.0.1:1", listed("s", addr)))
+	cfg := withPort(testConfig(unusedAddr, listed("s", addr)))
 	cfg.State = t.TempDir()
 	p := startProcess(t, cfg)
 	cfg.Listen = p.Addr().String()
-	cfg.Known.Targets = nil // what it needs to know the process before tells
+	cfg.Known.Targets = nil // the successor gets its servers from the predecessor
 	stop := make(chan struct{})
 	var served, crossed atomic.Int64
 	var clients sync.WaitGroup
@@ -83,22 +72,22 @@
 				default:
 				}
 				for {
-					kept := c != nil
+					reused := c != nil
 					var err error
-					if !kept {
+					if !reused {
 						if c, err = net.Dial("tcp", cfg.Listen); err != nil {
-							t.Errorf("not let in: %v", err)
+							t.Errorf("connection refused: %v", err)
 							return
 						}
 						r = bufio.NewReader(c)
 					}
-					fmt.Fprintf(c, "POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: %d-%d\r\nX-Time-Left: 5000m\r\nContent-Length: 2\r\n\r\nhi", client, i)
+					io.WriteString(c, requestHead("POST /order/1", fmt.Sprintf("%d-%d", client, i), "5000m", "Content-Length: 2")+"hi")
 					resp, err := http.ReadResponse(r, nil)
-					if err != nil && kept {
+					if err != nil && reused {
 						c.Close()
 						c = nil
 						crossed.Add(1)
-						continue // once more on a new connection, as callers do
+						continue // repeat it on a new connection, as callers do
 					}
 					if err != nil || resp.StatusCode != 200 {
 						t.Errorf("%d-%d: %v, %v", client, i, resp, err)
@@ -120,80 +109,81 @@
 		before := served.Load()
 		testkit.Eventually(t, "nothing is served", func() bool { return served.Load() > before+50 })
 		next := startProcess(t, cfg)
-		p.end(t)
+		p.stop()
 		p = next
 	}
 	close(stop)
 	clients.Wait()
-	p.end(t)
+	p.stop()
 	if n := crossed.Load(); n > 2*upgrades {
-		t.Errorf("%d requests crossed a close, over two an upgrade", n)
+		t.Errorf("%d requests crossed a close, more than two for each upgrade", n)
 	}
 }
 
-// What is ordered of either of two processes binds both before it is confirmed, and outlives the one that took it.
-func TestOrdersOverAnUpgrade(t *testing.T) {
+// A command to either of two processes takes effect in both before it is confirmed, and outlives the process that executed
+// it.
+func TestAdminStateOutlivesHotRestart(t *testing.T) {
 	t.Parallel()
-	cfg := withPort(testConfig("127.0.0.1:1", listed("a", "127.0.0.1:1"), listed("b", "127.0.0.1:1"), listed("c", "127.0.0.1:1")))
+	cfg := withPort(testConfig(unusedAddr, listed("a", unusedAddr), listed("b", unusedAddr), listed("c", unusedAddr)))
 	cfg.State = t.TempDir()
 	old := startProcess(t, cfg)
-	wantOrder(t, old.Node, "set-down a", "200")
+	wantAnswer(t, old.Node, "set-down a", "200")
 	cfg.Listen = old.Addr().String()
 	cfg.Known.Targets = nil
 	next := startProcess(t, cfg)
 	if !next.adminState.Out("a") {
-		t.Error("a ban is forgotten over an upgrade")
+		t.Error("the successor does not know that the server is down")
 	}
-	wantOrder(t, next.Node, "set-down b", "200")
+	wantAnswer(t, next.Node, "set-down b", "200")
 	if !old.adminState.Out("b") {
-		t.Error("the old process does not hold what the new one confirmed")
+		t.Error("the predecessor does not know what the successor confirmed")
 	}
-	wantOrder(t, old.Node, "set-down c", "200")
+	wantAnswer(t, old.Node, "set-down c", "200")
 	if !next.adminState.Out("c") {
-		t.Error("the new process does not hold what the old one confirmed")
+		t.Error("the successor does not know what the predecessor confirmed")
 	}
-	wantOrder(t, old.Node, "drain-on", "200")
+	wantAnswer(t, old.Node, "drain-on", "200")
 	if !next.adminState.isDraining() {
-		t.Error("a drain told to either binds both")
+		t.Error("the successor does not drain after a command to the predecessor")
 	}
-	wantOrder(t, next.Node, "drain-off", "200")
-	wantOrder(t, next.Node, "set-up a", "200")
+	wantAnswer(t, next.Node, "drain-off", "200")
+	wantAnswer(t, next.Node, "set-up a", "200")
 	if old.adminState.isDraining() || old.adminState.Out("a") {
-		t.Error("a call back is forgotten")
+		t.Error("the predecessor does not know what was revoked at the successor")
 	}
-	old.end(t)
-	next.end(t)
-	// Nobody is left to ask: the file tells.
+	old.stop()
+	next.stop()
+	// No process is left: the state comes from the file.
 	cfg.Listen = "127.0.0.1:0"
 	last := startProcess(t, cfg)
-	defer last.end(t)
+	defer last.stop()
 	if last.adminState.Out("a") || !last.adminState.Out("b") || !last.adminState.Out("c") || last.adminState.isDraining() {
-		t.Errorf("of the file: %+v", last.adminState.state.Load())
+		t.Errorf("the state of the file: %+v", last.adminState.state.Load())
 	}
-	wantOrder(t, last.Node, "set-up b", "200") // listed once, as far as the file knows
+	wantAnswer(t, last.Node, "set-up b", "200") // the file remembers that it was listed
 }
 
-// A successor that dies before it takes clients changes nothing for the one before.
-func TestSuccessorThatFails(t *testing.T) {
+// A successor that fails before it serves does not affect its predecessor.
+func TestFailedSuccessorLeavesPredecessorAlone(t *testing.T) {
 	t.Parallel()
-	cfg := withPort(testConfig("127.0.0.1:1", listed("a", "127.0.0.1:1")))
+	cfg := withPort(testConfig(unusedAddr, listed("a", unusedAddr)))
 	cfg.State = t.TempDir()
 	p := startProcess(t, cfg)
-	defer p.end(t)
+	defer p.stop()
 	bad := cfg
-	bad.Listen, bad.Operator = p.Addr().String(), p.commandServer.Addr().String() // in use
+	bad.Listen, bad.Operator = p.Addr().String(), p.commandServer.Addr().String() // the command port is in use
 	if n, err := New(bad, Options{}); err == nil {
 		t.Fatalf("%v started", n)
 	}
-	testkit.Eventually(t, "the one that failed is still counted", func() bool { return p.hotRestart.peerCount() == 0 })
+	testkit.Eventually(t, "the failed process is still counted", func() bool { return p.hotRestart.peerCount() == 0 })
 	if p.hotRestart.hasSuccessor() {
-		t.Error("it counts as succeeded")
+		t.Error("the failed process counts as a successor")
 	}
 	if resp, _ := do(t, newRequest(t, p.Node, "GET", "/health/ready", "")); resp.StatusCode != 200 {
 		t.Errorf("ready: %d", resp.StatusCode)
 	}
 	var failed *net.OpError
 	if _, err := New(bad, Options{}); !errors.As(err, &failed) || !strings.Contains(err.Error(), "operator") {
-		t.Errorf("the reason: %v", err)
+		t.Errorf("the error: %v", err)
 	}
 }
--- a/internal/node/layout_test.go
+++ b/internal/node/layout_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestLayout holds the imports of the packages against docs/ARCHITECTURE.md: what decides does no I/O,
-// and fronts, senders and sources do not know each other.
+// TestLayout checks the imports of packages against the layers of docs/ARCHITECTURE.md: packages that decide do no I/O, and
+// fronts, senders and sources do not import each other. A key or an import that ends with a slash stands for a folder.
 func TestLayout(t *testing.T) {
 	const module = "cranegrade"
 	out, err := exec.Command("go", "list", "-f", `{{.ImportPath}} {{join .Imports ","}} {{join .Deps ","}}`, module+"/...").Output()
@@ -35,30 +35,35 @@
 		sender:                                {front, source, module + "/internal/node", module + "/internal/operator"},
 		source:                                {front, sender, module + "/internal/node", module + "/internal/operator"},
 	}
-	seen := 0
+	checked := 0
 	for _, line := range strings.Split(strings.TrimSpace(string(out)), "\n") {
 		path, rest, _ := strings.Cut(line, " ")
 		imports, deps, _ := strings.Cut(rest, " ")
-		for of, not := range forbidden {
-			if path != of && !(strings.HasSuffix(of, "/") && strings.HasPrefix(path, of)) {
+		for pkg, forbiddenImports := range forbidden {
+			if !isOrIsIn(path, pkg) {
 				continue
 			}
-			seen++
-			for _, n := range not {
-				// The library's own packages are reached through harmless ones: only direct imports count.
+			checked++
+			for _, f := range forbiddenImports {
+				// Packages of the standard library are reached through harmless ones, so of these only direct imports count.
 				list := imports
-				if n == "net/http" || (n == "google.golang.org/grpc" || n == "github.com/hashicorp/memberlist") && path == module+"/cmd/cranegrade-platform" || strings.HasPrefix(n, module) {
+				if f == "net/http" || (f == "google.golang.org/grpc" || f == "github.com/hashicorp/memberlist") && path == module+"/cmd/cranegrade-platform" || strings.HasPrefix(f, module) {
 					list = deps
 				}
 				for _, dep := range strings.Split(list, ",") {
-					if dep == n || strings.HasSuffix(n, "/") && strings.HasPrefix(dep, n) {
+					if isOrIsIn(dep, f) {
 						t.Errorf("%s imports %s", path, dep)
 					}
 				}
 			}
 		}
 	}
-	if seen < len(forbidden) {
-		t.Errorf("%d packages found of %d", seen, len(forbidden))
+	if checked < len(forbidden) {
+		t.Errorf("%d packages found of %d", checked, len(forbidden))
 	}
 }
+
+// isOrIsIn reports whether a package is the one named, or is in the folder if the name ends with a slash.
+func isOrIsIn(path, name string) bool {
+	return path == name || strings.HasSuffix(name, "/") && strings.HasPrefix(path, name)
+}
--- a/internal/node/zone_accounts_test.go
+++ b/internal/node/zone_accounts_test.go
@@ -1,7 +1,7 @@
 package node
 
 import (
-	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"path/filepath"
@@ -15,8 +15,8 @@
 	"cranegrade/internal/zone/store"
 )
 
-// zoned starts servers, one in each zone, and gives the part of a file that lists them.
-func zoned(t *testing.T, rec *fake.Recorder, zones ...string) string {
+// zonedServers starts a server in each zone until the test ends, and returns the lines of an operator's file that list them.
+func zonedServers(t *testing.T, rec *fake.Recorder, zones ...string) string {
 	t.Helper()
 	var b strings.Builder
 	for i, z := range zones {
@@ -32,19 +32,13 @@
 	return b.String()
 }
 
-// runZoned starts a node with a store, and gives what ends it.
-func runZoned(t *testing.T, plan operator.Plan) (*Node, func()) {
+// startZoned runs a node that can keep its zone account, until stop is called or the test ends.
+func startZoned(t *testing.T, plan operator.Plan) (n *Node, stop func()) {
 	t.Helper()
-	n, err := NewFromPlan(plan, Options{ZoneStore: func(path string) (ZoneStore, error) { return store.Open(path) }})
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- n.Run(ctx) }()
-	return n, func() { cancel(); testkit.Wait(t, ended) }
+	return startPlan(t, plan, Options{ZoneStore: func(path string) (ZoneStore, error) { return store.Open(path) }})
 }
 
+// askZoned sends a request from a zone and returns the status of the response.
 func askZoned(t *testing.T, addr, id, from string) int {
 	t.Helper()
 	r, err := http.NewRequest(http.MethodGet, "http://"+addr+"/read/x", nil)
@@ -65,36 +59,36 @@
 	return resp.StatusCode
 }
 
-// servedZoned asks until it is served: on a busy machine the one server of a zone may be late once, and what follows
-// is then refused for a moment. A refusal has cost nothing, so the counts are those of requests that were served.
+// servedZoned repeats a request until it is served. On a busy machine the only server of a zone may be late once, and the
+// requests after it are rejected for a moment. A rejected request costs nothing, so the counts are those of served requests.
 func servedZoned(t *testing.T, addr, id, from string) {
 	t.Helper()
 	testkit.Eventually(t, id+" is not served", func() bool { return askZoned(t, addr, id, from) == 200 })
 }
 
-// TestZones: requests stay at home, go elsewhere by the budget where home has no servers, are accounted by what
-// servers saw, and both budget and account go on after a restart.
+// TestZones: requests stay in their zone. If it has no server they go to other zones as far as the budget allows. The account
+// agrees with what the servers received, and budget and account outlive a restart.
 func TestZones(t *testing.T) {
 	t.Parallel()
 	rec := fake.NewRecorder(read, order)
 	state := filepath.Join(t.TempDir(), "zones.db")
-	head := func(home string, most int) string {
-		return fmt.Sprintf("default = \"p\"\nadmin = \"127.0.0.1:0\"\n[zones]\nhome = %q\nstate = %q\ndefault = { never = true }\n[[zones.pairs]]\nfrom = \"x\"\nto = \"b\"\nprice = 1\nrequests_day = %d\n", home, state, most)
+	head := func(home string, budget int) string {
+		return fmt.Sprintf("default = \"p\"\nadmin = \"127.0.0.1:0\"\n[zones]\nhome = %q\nstate = %q\ndefault = { never = true }\n[[zones.pairs]]\nfrom = \"x\"\nto = \"b\"\nprice = 1\nrequests_day = %d\n", home, state, budget)
 	}
-	list := zoned(t, rec, "a", "b")
-	at := func(home string, most int) operator.Plan {
-		return planOf(t, head(home, most), poolOf("p", list))
+	list := zonedServers(t, rec, "a", "b")
+	planAt := func(home string, budget int) operator.Plan {
+		return planOf(t, head(home, budget), poolOf("p", list))
 	}
-	n, stop := runZoned(t, at("a", 3))
+	n, stop := startZoned(t, planAt("a", 3))
 	for i := range 5 {
 		servedZoned(t, n.Addr().String(), fmt.Sprint("home-", i), "")
 	}
 	servedZoned(t, n.Addr().String(), "from-b", "b")
 	stop()
-	// The node stands in a zone without servers now: two of three requests cross, it restarts, and one more does.
+	// The node now is in a zone without servers, with a budget of three requests: two cross, it restarts, and one more does.
 	left := 3
 	for run, want := range []int{2, 1} {
-		n, stop = runZoned(t, at("x", 3))
+		n, stop = startZoned(t, planAt("x", 3))
 		for i := range 2 {
 			id := fmt.Sprint("x-", run, "-", i)
 			if i < want {
@@ -107,15 +101,15 @@
 		if b := n.Zones().Budgets; len(b) != 1 || b[0].RequestsDay != int64(left) || b[0].RequestsHour != -1 {
 			t.Errorf("run %d: budgets %+v, %d left", run, b, left)
 		}
-		// A reload that allows more does so at once.
+		// A reload with a larger budget takes effect at once.
 		if run == 1 {
-			if err := n.Reload(at("x", 10)); err != nil {
+			if err := n.Reload(planAt("x", 10)); err != nil {
 				t.Fatal(err)
 			}
 			if s := askZoned(t, n.Addr().String(), "x-more", ""); s != 200 {
 				t.Errorf("after the budget grew: %d", s)
 			}
-			if err := n.Reload(at("a", 10)); err == nil {
+			if err := n.Reload(planAt("a", 10)); err == nil {
 				t.Error("a reload moved the node to another zone")
 			}
 			resp, err := http.Get("http://" + n.InspectionAddr().String() + "/zones")
@@ -129,28 +123,28 @@
 		}
 		r := n.Zones()
 		stop()
-		seen := map[string]int64{}
+		received := map[string]int64{}
 		for _, a := range rec.History().Arrivals {
-			seen[a.Zone]++
+			received[a.Zone]++
 		}
-		told := map[string]int64{}
+		accounted := map[string]int64{}
 		for _, x := range r.Rows {
-			told[x.To] += x.Requests
+			accounted[x.To] += x.Requests
 			if x.Customer != "acme" || x.Class != "read" || x.Pool != "p" || x.Day != time.Now().UTC().Format(time.DateOnly) {
 				t.Errorf("row %+v", x)
 			}
 		}
-		if told["a"] != seen["a"] || told["b"] != seen["b"] {
-			t.Errorf("run %d: accounted %v, servers saw %v", run, told, seen)
+		if accounted["a"] != received["a"] || accounted["b"] != received["b"] {
+			t.Errorf("run %d: accounted %v, servers received %v", run, accounted, received)
 		}
 	}
 }
 
-// A file that wants a store needs a program that has one, and one that is no store is a plain error.
-func TestZoneStoreMissing(t *testing.T) {
+// A plan with a zone account that is to be kept is rejected by a program that is built without a store.
+func TestPlanWithZoneStoreIsRejectedWithoutIt(t *testing.T) {
 	t.Parallel()
 	plan := planOf(t, fmt.Sprintf("default = \"p\"\n[zones]\nhome = \"a\"\nstate = %q\n", filepath.Join(t.TempDir(), "z.db")), poolOf("p", "registry = \"127.0.0.1:1\""))
-	if _, err := NewFromPlan(plan, Options{}); err != ErrNoZoneStore {
+	if _, err := NewFromPlan(plan, Options{}); !errors.Is(err, ErrNoZoneStore) {
 		t.Errorf("%v", err)
 	}
 }
