--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -14,8 +14,8 @@
 	"cranegrade/internal/route"
 )
 
-// Every example in the repository is good.
-func TestExamples(t *testing.T) {
+// Every example in the repository is valid.
+func TestExamplesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/examples/*.toml")
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("%d examples, %v", len(paths), err)
@@ -27,7 +27,8 @@
 	}
 }
 
-const good = `name = "edge"
+// validFile uses most tables, but its route names a class that pool b does not have.
+const validFile = `name = "edge"
 listen = ["127.0.0.1:0"]
 default = "a"
 nodes = 4
@@ -66,9 +67,10 @@
 class = "send"
 `
 
-func TestGood(t *testing.T) {
-	// The route above names a class that b does not have: give it one that both have.
-	p, err := Parse("good", []byte(strings.Replace(good, "class = \"send\"\n", "", 1)+`
+// What a valid file says is in the plan, and defaults fill in the rest.
+func TestParseFillsThePlan(t *testing.T) {
+	withoutClass := strings.Replace(validFile, "class = \"send\"\n", "", 1)
+	_, err := Parse("good", []byte(withoutClass+`
 [[routes]]
 path = "/x"
 pool = "a"
@@ -77,7 +79,7 @@
 	if err == nil || !strings.Contains(err.Error(), `pool a has no class "read"`) {
 		t.Fatalf("a split whose pool lacks the class: %v", err)
 	}
-	p, err = Parse("good", []byte(strings.Replace(strings.Replace(good, "class = \"send\"\n", "", 1), "classes = [\"read\"]\n", "", 1)))
+	p, err := Parse("good", []byte(strings.Replace(withoutClass, "classes = [\"read\"]\n", "", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,21 +96,21 @@
 		s[1].ID != "x" || s[1].State != balancer.Draining {
 		t.Errorf("servers %+v", s)
 	}
-	// a's part is not told: a quarter of the calls, half of them dealt to two pools.
+	// The file does not set a's minimum: half of the calls are divided evenly between the two pools, a quarter each.
 	if a.Limits.Calls.Min != 25 || a.Limits.Calls.Max != 0 || b.Limits.Calls.Min != 60 || b.Limits.Calls.Max != 80 || b.Limits.Bodies.Max != 64<<10 {
 		t.Errorf("limits %+v and %+v", a.Limits, b.Limits)
 	}
 	r := route.Request{Host: "x.b.example.org", Path: "/read/1", Header: map[string][]string{"X-Tenant": {"7"}, "X-Any": {"1"}}}
 	if to, ok := p.Routes.Match(&r); !ok || to.Route != 0 {
-		t.Errorf("goes to %+v", to)
+		t.Errorf("the request matches %+v", to)
 	}
 	if err := p.Pools[0].Settings.Validate(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Each fault is told with its line and key, and all of them at once.
-func TestFaults(t *testing.T) {
+// Each mistake of a file is reported with file, line and key, and all of them at once.
+func TestFaultsNameFileLineAndKey(t *testing.T) {
 	files, err := filepath.Glob("testdata/bad/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%d files, %v", len(files), err)
@@ -118,7 +120,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// A line that has a fault says so in a comment: "#! key: reason", more than one by " | ".
+		// A line with a mistake has the expected fault in a comment: "#! key: text", several of them separated by " | ".
 		var want []string
 		for i, line := range strings.Split(string(text), "\n") {
 			if _, marks, is := strings.Cut(line, "#! "); is {
@@ -145,26 +147,26 @@
 	}
 }
 
-// Every fault of [fleet] is told with its key.
-func TestFleetFaults(t *testing.T) {
-	const fine = "name = \"n1\"\nnodes = 3\n[fleet]\nlisten = \"127.0.0.1:7946\"\n"
+// Each mistake in [fleet] is reported with its key.
+func TestFleetFaultsNameTheKey(t *testing.T) {
+	const valid = "name = \"n1\"\nnodes = 3\n[fleet]\nlisten = \"127.0.0.1:7946\"\n"
 	for text, key := range map[string]string{
-		fine + "join = [\"nowhere\"]":                                 "fleet.join[0]",
-		fine + "key = \"short\"":                                      "fleet.key",
-		fine + "lease = \"10ms\"":                                     "fleet.lease",
-		fine + "settle = \"1h\"":                                      "fleet.settle",
-		fine + "probe = \"1ms\"":                                      "fleet.probe",
-		fine + "advertise = \"0.0.0.0:7946\"":                         "fleet.advertise",
-		fine + "zone = \"" + strings.Repeat("z", 40) + "\"":           "fleet.zone",
-		fine + "colour = 1":                                           "fleet.colour",
-		strings.Replace(fine, "nodes = 3", "", 1):                     "fleet.listen",
-		strings.Replace(fine, "name = \"n1\"", "", 1):                 "fleet.listen",
-		strings.Replace(fine, "\"n1\"", "\"n 1\"", 1):                 "name",
-		strings.Replace(fine, "127.0.0.1:7946", "here:7946", 1):       "fleet.listen",
-		strings.Replace(fine, "nodes = 3", "nodes = 3\nindex = 1", 1): "index",
-		fine: "",
+		valid + "join = [\"nowhere\"]":                                 "fleet.join[0]",
+		valid + "key = \"short\"":                                      "fleet.key",
+		valid + "lease = \"10ms\"":                                     "fleet.lease",
+		valid + "settle = \"1h\"":                                      "fleet.settle",
+		valid + "probe = \"1ms\"":                                      "fleet.probe",
+		valid + "advertise = \"0.0.0.0:7946\"":                         "fleet.advertise",
+		valid + "zone = \"" + strings.Repeat("z", 40) + "\"":           "fleet.zone",
+		valid + "colour = 1":                                           "fleet.colour",
+		strings.Replace(valid, "nodes = 3", "", 1):                     "fleet.listen",
+		strings.Replace(valid, "name = \"n1\"", "", 1):                 "fleet.listen",
+		strings.Replace(valid, "\"n1\"", "\"n 1\"", 1):                 "name",
+		strings.Replace(valid, "127.0.0.1:7946", "here:7946", 1):       "fleet.listen",
+		strings.Replace(valid, "nodes = 3", "nodes = 3\nindex = 1", 1): "index",
+		valid: "",
 	} {
-		_, rest, _ := strings.Cut(good, "index = 2")
+		_, rest, _ := strings.Cut(validFile, "index = 2")
 		rest, _, _ = strings.Cut(rest, "[[routes]]")
 		top, table, _ := strings.Cut(text, "[fleet]")
 		_, err := Parse("f", []byte(top+"listen = [\"127.0.0.1:0\"]\ndefault = \"a\"\n[fleet]"+table+rest))
@@ -181,7 +183,8 @@
 	}
 }
 
-func TestNoFile(t *testing.T) {
+// A file that is missing or too long is an error that names it.
+func TestUnreadableFileIsNamed(t *testing.T) {
 	if _, err := Load(filepath.Join(t.TempDir(), "none.toml")); err == nil || !strings.Contains(err.Error(), "none.toml") {
 		t.Errorf("%v", err)
 	}
@@ -190,10 +193,9 @@
 	}
 }
 
-// FuzzParse: whatever a file holds, there is a plan or there are faults with lines of the file, and a
-// plan's settings are valid.
+// FuzzParse: any text gives either a plan with valid settings or faults whose lines are in the file.
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	paths, _ := filepath.Glob("testdata/bad/*.toml")
 	more, _ := filepath.Glob("../../deploy/examples/*.toml")
 	for _, p := range append(paths, more...) {
@@ -225,8 +227,8 @@
 	})
 }
 
-// What callers over HTTP/2 may have on its way is bounded by the room for bodies, unless the file says more.
-func TestH2Window(t *testing.T) {
+// The flow-control window of callers over HTTP/2 fits the memory for bodies, unless the file sets it.
+func TestH2WindowFitsTheMemoryForBodies(t *testing.T) {
 	file := func(more string) string {
 		return "listen_h2 = [\"127.0.0.1:0\"]\ndefault = \"a\"\n" + more + "\n[[pools]]\nname = \"a\"\nregistry = \"127.0.0.1:1\"\n[[pools.classes]]\nname = \"read\"\neffect = \"safe\"\naim = \"1s\"\ndeadline = \"1s\"\n"
 	}
