--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -1,7 +1,9 @@
-// Package admin is the port where operators control a running node. A connection carries one command as a
-// line of text and is answered with one line that begins with 200 or 400. It shares nothing with requests: no
-// queue, no budget and no lock that is held over I/O, so that a node under overload still answers. It never
-// decides what a command does: a Handler that the node provides does.
+// Package admin is the command port of a node, where operators control it while it runs, and the client for it. A
+// connection carries one command as a line of text and is answered by one line that begins with 200 or 400
+// (docs/operators-port.md).
+//
+// The port shares nothing with requests, neither queue nor budget nor a lock that is held over I/O, so that a node under
+// overload still answers. The package never decides what a command does: that is up to the Handler.
 package admin
 
 import (
@@ -10,38 +12,43 @@
 	"strings"
 )
 
-// Verb is what a call asks for.
+// Verb says what a command does.
 type Verb string
 
-// Verbs.
+// The verbs.
 const (
-	Check    Verb = "check"
-	SetDown  Verb = "set-down"
-	SetUp    Verb = "set-up"
-	DrainOn  Verb = "drain-on"
-	DrainOff Verb = "drain-off"
+	Check    Verb = "check"     // does the node accept requests?
+	SetDown  Verb = "set-down"  // send no more requests to a server
+	SetUp    Verb = "set-up"    // revoke a set-down
+	DrainOn  Verb = "drain-on"  // send callers to other nodes
+	DrainOff Verb = "drain-off" // revoke a drain-on
 )
 
-// arguments of each verb.
-var arguments = map[Verb]string{Check: "", SetDown: "the id of a server", SetUp: "the id of a server", DrainOn: "", DrainOff: ""}
+const serverArgument = "the id of a server"
+
+// arguments describes the argument of each verb; "" if it takes none.
+var arguments = map[Verb]string{Check: "", SetDown: serverArgument, SetUp: serverArgument, DrainOn: "", DrainOff: ""}
 
 // Command is what an operator asks for.
 type Command struct {
 	Verb Verb
-	ID   string // of a server, where the verb names one
+	ID   string // of a server; "" unless the verb takes one
 }
 
-// MaxLine is the most bytes of a call, with its end.
+// String returns the command as a line, without its end.
+func (c Command) String() string { return strings.TrimSpace(string(c.Verb) + " " + c.ID) }
+
+// MaxLine bounds the bytes of a command's line, with its end.
 const MaxLine = 512
 
-// Why a line is no call.
+// Why a line is no command. Their texts are answers to operators.
 var (
 	ErrTooLong     = fmt.Errorf("the line is longer than %d bytes", MaxLine)
 	ErrEmpty       = errors.New("the line is empty: check, set-down ID, set-up ID, drain-on or drain-off")
 	ErrUnprintable = errors.New("the line has bytes that are no printable characters")
 )
 
-// Parse reads a line, without its end.
+// Parse reads a line without its end. The text of an error has no line break, so that it can be an answer.
 func Parse(line string) (Command, error) {
 	if len(line) > MaxLine {
 		return Command{}, ErrTooLong
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,7 +1,7 @@
 package admin
 
 import (
-	"bufio"
+	"bytes"
 	"container/list"
 	"errors"
 	"io"
@@ -12,32 +12,43 @@
 	"time"
 )
 
-// Handler carries out a call and words the answer. An error is a no, with its text.
+// Handler executes a command and returns the text of the answer. An error is a refusal, whose text is the answer. It is
+// called on one goroutine for each connection.
 type Handler func(Command) (text string, err error)
 
-// Server listens for operators' calls.
-type Server struct {
-	listener       net.Listener
-	handle         Handler
-	maxConnections int
-
-	mu     sync.Mutex // guards all below
-	silent *list.List // of net.Conn: callers whose line has not come, the longest silent first
-	open   int
-	closed bool
-}
+// The codes that answers begin with.
+const (
+	codeOK       = "200"
+	codeRejected = "400"
+)
 
 const (
-	// MaxConnections is how many connections are kept at once: beyond it the one that has been silent longest is closed.
+	// MaxConnections is how many connections are served at once. For a further one, that which has been silent longest is
+	// closed.
 	MaxConnections = 16
-	// readTimeout is how long a caller may take for its line.
+	// readTimeout is how long a caller may take to send its line.
 	readTimeout = 5 * time.Second
 	// writeTimeout is how long an answer may take to be written.
 	writeTimeout = time.Second
-	acceptPause  = 20 * time.Millisecond
+	// lingerTimeout is how long the rest of what a caller sends is read after the answer.
+	lingerTimeout = writeTimeout / 4
+	// acceptPause is how long the server waits after it could not accept a connection.
+	acceptPause = 20 * time.Millisecond
 )
 
-// Listen listens at addr, host:port. Serve answers.
+// Server listens for operators' commands. Its methods may be called from any goroutine.
+type Server struct {
+	listener       net.Listener
+	handle         Handler
+	maxConnections int
+
+	mu     sync.Mutex // guards the fields below
+	silent *list.List // of net.Conn: callers whose line is not complete, the one silent longest first
+	open   int        // connections
+	closed bool
+}
+
+// Listen listens at addr, host:port. Serve accepts.
 func Listen(addr string, handle Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -46,125 +57,134 @@
 	return &Server{listener: l, handle: handle, maxConnections: MaxConnections, silent: list.New()}, nil
 }
 
-// Addr is where it listens.
-func (p *Server) Addr() net.Addr { return p.listener.Addr() }
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve answers calls until Close.
-func (p *Server) Serve() {
+// Serve accepts and answers commands until Close.
+func (s *Server) Serve() {
 	for {
-		c, err := p.listener.Accept()
+		conn, err := s.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			log.Printf("operators' port: accept: %v", err)
+			log.Printf("command port: connection not accepted: error=%q", err)
 			time.Sleep(acceptPause)
 			continue
 		}
-		if e := p.admit(c); e != nil {
-			go p.serve(c, e)
+		if silent := s.admit(conn); silent != nil {
+			go s.serve(conn, silent)
 		}
 	}
 }
 
-// Close closes the listener and all that is connected.
-func (p *Server) Close() {
-	p.listener.Close()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closed = true
-	for e := p.silent.Front(); e != nil; e = e.Next() {
+// Close closes the listener, and the connections whose command is not complete. A command that is being executed is still
+// answered.
+func (s *Server) Close() {
+	s.listener.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	for e := s.silent.Front(); e != nil; e = e.Next() {
 		e.Value.(net.Conn).Close()
 	}
 }
 
-// admit keeps a connection, in place of the longest silent if there are too many.
-func (p *Server) admit(c net.Conn) *list.Element {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.closed {
-		c.Close()
+// admit adds a connection to the silent ones, and closes the one that has been silent longest if there are too many. It
+// returns nil, with the connection closed, after Close.
+func (s *Server) admit(conn net.Conn) *list.Element {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		conn.Close()
 		return nil
 	}
-	if p.open++; p.open > p.maxConnections {
-		if e := p.silent.Front(); e != nil {
-			e.Value.(net.Conn).Close() // its goroutine counts it off
-			p.silent.Remove(e)
+	if s.open++; s.open > s.maxConnections {
+		if longest := s.silent.Front(); longest != nil {
+			longest.Value.(net.Conn).Close() // its goroutine ends by that, and decrements open
+			s.silent.Remove(longest)
 		}
 	}
-	return p.silent.PushBack(c)
+	return s.silent.PushBack(conn)
 }
 
-// markActive moves a caller that has said something behind the silent ones; took takes it from among those that may be closed.
-func (p *Server) markActive(e *list.Element) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.silent.MoveToBack(e) // does nothing to one that was closed
+// markActive moves a connection on which bytes came behind the others. It does nothing to one that admit has closed.
+func (s *Server) markActive(silent *list.Element) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.silent.MoveToBack(silent)
 }
 
-func (p *Server) removeSilent(e *list.Element) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.silent.Remove(e)
+// removeSilent keeps a connection from being closed in favour of another.
+func (s *Server) removeSilent(silent *list.Element) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.silent.Remove(silent)
 }
 
-func (p *Server) serve(c net.Conn, e *list.Element) {
+// serve reads and answers the command of one connection.
+func (s *Server) serve(conn net.Conn, silent *list.Element) {
 	defer func() {
-		p.removeSilent(e)
-		c.Close()
-		p.mu.Lock()
-		p.open--
-		p.mu.Unlock()
+		s.removeSilent(silent)
+		conn.Close()
+		s.mu.Lock()
+		s.open--
+		s.mu.Unlock()
 	}()
-	_ = c.SetReadDeadline(time.Now().Add(readTimeout))
-	line, err := readLine(c, func() { p.markActive(e) })
+	_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
+	line, err := readLine(conn, func() { s.markActive(silent) })
 	if err != nil && !errors.Is(err, ErrTooLong) {
-		return // it said nothing whole, and is owed nothing
+		return // no complete command came, so no answer is due
 	}
-	p.removeSilent(e)
-	var text string
-	var call Command
+	s.removeSilent(silent)
+	answer := s.answer(line, err)
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, _ = io.WriteString(conn, answer)
+	if tcp, is := conn.(*net.TCPConn); is {
+		// The rest of what the caller has sent is read, because closing the connection with data unread resets it, and the
+		// caller might lose the answer.
+		_ = tcp.CloseWrite()
+		_ = conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+		_, _ = io.Copy(io.Discard, io.LimitReader(conn, MaxLine))
+	}
+}
+
+// answer executes a line, or refuses it if err says why it could not be read, and returns the line of the answer.
+func (s *Server) answer(line string, err error) string {
+	var command Command
 	if err == nil {
-		call, err = Parse(line)
+		command, err = Parse(line)
 	}
+	var text string
 	if err == nil {
-		text, err = p.handle(call)
+		text, err = s.handle(command)
 	}
-	answer := "200 " + text + "\n"
 	if err != nil {
-		answer = "400 " + err.Error() + "\n"
-	}
-	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
-	_, _ = io.WriteString(c, answer)
-	if t, is := c.(*net.TCPConn); is {
-		// What the caller sent beyond its line is read, or the answer might be lost to a reset.
-		_ = t.CloseWrite()
-		_ = c.SetReadDeadline(time.Now().Add(writeTimeout / 4))
-		_, _ = io.Copy(io.Discard, io.LimitReader(c, MaxLine))
+		return codeRejected + " " + err.Error() + "\n"
 	}
+	return codeOK + " " + text + "\n"
 }
 
-// readLine reads up to the line's end; some is called as bytes come. A line that ends with the connection's sending is
-// no whole line.
-func readLine(c io.Reader, some func()) (string, error) {
+// readLine reads a line, and returns it without its end. onBytes is called whenever bytes come. A connection that ends
+// within the line is an error.
+func readLine(r io.Reader, onBytes func()) (string, error) {
 	var line []byte
-	r := bufio.NewReaderSize(c, MaxLine)
+	chunk := make([]byte, MaxLine)
 	for {
-		if _, err := r.Peek(1); err != nil {
-			return "", err
-		}
-		some()
-		part, _ := r.Peek(r.Buffered())
-		for i, b := range part {
-			if b == '\n' {
-				line = append(line, part[:i]...)
+		n, err := r.Read(chunk)
+		if n > 0 {
+			onBytes()
+			before, _, complete := bytes.Cut(chunk[:n], []byte("\n"))
+			line = append(line, before...)
+			if complete {
 				return strings.TrimSuffix(string(line), "\r"), nil
 			}
+			if len(line) > MaxLine {
+				return "", ErrTooLong
+			}
 		}
-		line = append(line, part...)
-		if len(line) > MaxLine {
-			return "", ErrTooLong
+		if err != nil {
+			return "", err
 		}
-		_, _ = r.Discard(len(part))
 	}
 }
--- a/internal/adminstate/seen_servers.go
+++ b/internal/adminstate/seen_servers.go
@@ -2,63 +2,65 @@
 
 import "hash/fnv"
 
-// SeenServers remembers servers that were listed once and have left, by a hash of their ids: the latest, as many as it
-// was made for. The zero Seen remembers none.
+// SeenCapacity is how many servers that have left its list a node remembers. At two replacements a second these are those of
+// four and a half hours, for about 1 MB of memory. A command for one that left earlier is refused as if it had never been
+// listed.
+const SeenCapacity = 1 << 15
+
+// SeenServers remembers the servers that have left the list most recently, up to a capacity, by hashes of their ids. The zero
+// value remembers none. It is not safe for concurrent use.
 type SeenServers struct {
-	ring     []uint64
+	ring     []uint64 // hashes; the oldest is at next once the ring is full
 	next     int
-	counts   map[uint64]int // how often in the ring
+	counts   map[uint64]int // how often each hash is in the ring
 	capacity int
 }
 
-// SeenCapacity is how many ids of servers that left a node remembers: at two replacements a second those of four and
-// a half hours, for about 1 MB. A call that names one which left before is told that it was never listed.
-const SeenCapacity = 1 << 15
-
-// NewSeenServers remembers so many.
-func NewSeenServers(most int) *SeenServers {
-	return &SeenServers{capacity: most, counts: map[uint64]int{}}
+// NewSeenServers returns a SeenServers with that capacity.
+func NewSeenServers(capacity int) *SeenServers {
+	return &SeenServers{capacity: capacity, counts: map[uint64]int{}}
 }
 
-// Hash is what is remembered of an id.
+// Hash returns what is remembered of a server's id. Two ids with one hash are taken for one server, which at worst lets a
+// command for a server that was never listed pass.
 func Hash(id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return h.Sum64()
 }
 
-// Add notes that a server has left the list.
+// Add remembers that a server has left the list.
 func (s *SeenServers) Add(id string) { s.add(Hash(id)) }
 
-func (s *SeenServers) add(h uint64) {
-	if s.capacity == 0 || s.counts[h] > 0 {
-		return // it stays as old as it is: what comes and goes is listed most of the time
+func (s *SeenServers) add(hash uint64) {
+	if s.capacity == 0 || s.counts[hash] > 0 {
+		return // a server that comes and goes keeps its place: it is listed most of the time anyway
 	}
 	if len(s.ring) < s.capacity {
-		s.ring = append(s.ring, h)
+		s.ring = append(s.ring, hash)
 	} else {
-		old := s.ring[s.next]
-		if s.counts[old]--; s.counts[old] == 0 {
-			delete(s.counts, old)
+		oldest := s.ring[s.next]
+		if s.counts[oldest]--; s.counts[oldest] == 0 {
+			delete(s.counts, oldest)
 		}
-		s.ring[s.next] = h
+		s.ring[s.next] = hash
 		s.next = (s.next + 1) % s.capacity
 	}
-	s.counts[h]++
+	s.counts[hash]++
 }
 
-// Has says that a server was listed once and is remembered.
+// Has reports whether a server is remembered.
 func (s *SeenServers) Has(id string) bool { return s.counts[Hash(id)] > 0 }
 
-// Export gives up to most of the latest, oldest first, for Import in another process.
-func (s *SeenServers) Export(most int) []uint64 {
-	all := append(append([]uint64(nil), s.ring[s.next:]...), s.ring[:s.next]...)
-	return all[max(0, len(all)-most):]
+// Export returns the hashes of up to limit servers that have left last, the oldest first, for Import in another process.
+func (s *SeenServers) Export(limit int) []uint64 {
+	oldestFirst := append(append([]uint64(nil), s.ring[s.next:]...), s.ring[:s.next]...)
+	return oldestFirst[max(0, len(oldestFirst)-limit):]
 }
 
-// Import adds what another process remembers.
-func (s *SeenServers) Import(l []uint64) {
-	for _, h := range l {
-		s.add(h)
+// Import adds the hashes of another process.
+func (s *SeenServers) Import(hashes []uint64) {
+	for _, hash := range hashes {
+		s.add(hash)
 	}
 }
--- a/internal/adminstate/state.go
+++ b/internal/adminstate/state.go
@@ -1,7 +1,9 @@
-// Package adminstate holds the administrative state of a node: which servers operators have set down by hand and
-// whether its clients are drained, until an operator revokes it. It is data with a merge, as in a last-writer-wins
-// map: two processes of one node that each heard some of the commands converge to the same state, whatever the
-// order in which they exchange it. It is pure: it never reads a clock, and time is an argument.
+// Package adminstate holds the administrative state of a node: which servers operators have set down and whether its callers
+// are sent to other nodes, until an operator revokes it. It is a last-writer-wins map: two processes of one node that each
+// got some of the commands converge to the same state, in whatever order and however often they exchange it. The JSON of a
+// State is sent between processes and kept in a file.
+//
+// The package is pure: it never reads a clock, and times are arguments. Its values are not safe for concurrent use.
 package adminstate
 
 import (
@@ -10,117 +12,120 @@
 	"time"
 )
 
-// Override is one that stands or was called back.
+// Override is the latest command about one matter: a server, or the drain.
 type Override struct {
-	On    bool          `json:"on"`
-	At    time.Duration `json:"at"`              // Unix time when it was given or called back
-	Since time.Duration `json:"since,omitempty"` // Unix time when it was first given, before it was called back
+	On    bool          `json:"on"`              // the server is down, or callers are drained; false: that was revoked
+	At    time.Duration `json:"at"`              // Unix time of the command
+	Since time.Duration `json:"since,omitempty"` // Unix time of the first command that set On, before it was revoked
 }
 
-// supersedes says which of two words on one matter holds; of two at the same time the one that takes out or drains.
-func (o Override) supersedes(than Override) bool {
+// supersedes reports whether o is the later of two commands about one matter. Of two at the same time the one that sets On
+// counts as later.
+func (o Override) supersedes(other Override) bool {
 	switch {
-	case o.At != than.At:
-		return o.At > than.At
-	case o.On != than.On:
+	case o.At != other.At:
+		return o.At > other.At
+	case o.On != other.On:
 		return o.On
 	}
-	return o.Since > than.Since
+	return o.Since > other.Since
 }
 
-// State is all orders. The zero State has none.
+// next returns the override after a further command about the same matter. Its time is after that of o, even if the clock was
+// set back, so that it supersedes o everywhere.
+func (o Override) next(on bool, now time.Duration) Override {
+	if o.On == on && o.At > 0 {
+		return o // a repeated command changes nothing
+	}
+	following := Override{On: on, At: max(now, o.At+1), Since: o.Since}
+	if on {
+		following.Since = following.At
+	}
+	return following
+}
+
+// State is the administrative state of a node. In the zero value no server is down and callers are not drained.
 type State struct {
-	Servers map[string]Override `json:"servers,omitempty"` // taken out, or taken in again, by id
+	Servers map[string]Override `json:"servers,omitempty"` // by id
 	Drain   Override            `json:"drain"`
 }
 
 const (
-	// MaxServersDown servers are taken out at once.
+	// MaxServersDown bounds the servers that are down at a time.
 	MaxServersDown = 4096
-	// revokedRetention is how long an order that was called back is remembered: as long as a process may be behind.
+	// revokedRetention is how long a revoked override is kept: longer than another process may take to learn of it.
 	revokedRetention = 10 * time.Minute
 )
 
-// ErrTooManyDown says that Most servers are out.
+// ErrTooManyDown says that MaxServersDown servers are down. One of them has to be set up first.
 var ErrTooManyDown = errors.New("too many servers are taken out")
 
-// nextOverride is the order that follows another on the same matter.
-func nextOverride(was Override, on bool, now time.Duration) Override {
-	if was.On == on && was.At > 0 {
-		return was // repeating an order changes nothing
-	}
-	o := Override{On: on, At: max(now, was.At+1), Since: was.Since}
-	if on {
-		o.Since = o.At
+// SetServer sets a server down, or up again.
+func (s *State) SetServer(id string, down bool, now time.Duration) error {
+	before, known := s.Servers[id]
+	if !known && !down {
+		return nil // nothing to revoke
 	}
-	return o
-}
-
-// SetServer takes a server out, or in again.
-func (s *State) SetServer(id string, out bool, now time.Duration) error {
-	was, is := s.Servers[id]
-	if !is && !out {
-		return nil // nothing to call back
-	}
-	if out && !was.On {
+	if down && !before.On {
 		if n := s.purge(now); n >= MaxServersDown {
 			return ErrTooManyDown
 		}
 	}
+	s.set(id, before.next(down, now))
+	return nil
+}
+
+func (s *State) set(id string, o Override) {
 	if s.Servers == nil {
 		s.Servers = map[string]Override{}
 	}
-	s.Servers[id] = nextOverride(was, out, now)
-	return nil
+	s.Servers[id] = o
 }
 
-// SetDrain sends clients away, or lets them come again.
+// SetDrain sends callers to other nodes, or no longer does.
 func (s *State) SetDrain(on bool, now time.Duration) {
 	if on || s.Drain.At > 0 {
-		s.Drain = nextOverride(s.Drain, on, now)
+		s.Drain = s.Drain.next(on, now)
 	}
 }
 
-// purge drops what was called back long ago, and counts the servers that are out.
-func (s *State) purge(now time.Duration) (out int) {
+// purge deletes overrides that were revoked long ago, and returns how many servers are down.
+func (s *State) purge(now time.Duration) (down int) {
 	maps.DeleteFunc(s.Servers, func(_ string, o Override) bool { return !o.On && o.At+revokedRetention < now })
 	for _, o := range s.Servers {
 		if o.On {
-			out++
+			down++
 		}
 	}
-	return out
+	return down
 }
 
-// Merge takes over what another process knows that came later, and tells of which servers.
-func (s *State) Merge(of State) (changed []string) {
-	for id, o := range of.Servers {
-		if was, is := s.Servers[id]; is && !o.supersedes(was) {
+// Merge adopts the overrides of another process that supersede those of s, and returns the servers that it has changed.
+func (s *State) Merge(other State) (changed []string) {
+	for id, o := range other.Servers {
+		if before, known := s.Servers[id]; known && !o.supersedes(before) {
 			continue
 		}
-		if s.Servers == nil {
-			s.Servers = map[string]Override{}
-		}
-		s.Servers[id] = o
+		s.set(id, o)
 		changed = append(changed, id)
 	}
-	if of.Drain.supersedes(s.Drain) {
-		s.Drain = of.Drain
+	if other.Drain.supersedes(s.Drain) {
+		s.Drain = other.Drain
 	}
 	return changed
 }
 
-// Clone shares nothing with s.
+// Clone returns a copy that shares nothing with s.
 func (s State) Clone() State { return State{maps.Clone(s.Servers), s.Drain} }
 
-// IsDown says that a server is taken out.
+// IsDown reports whether a server is down.
 func (s State) IsDown(id string) bool { return s.Servers[id].On }
 
-// EffectiveBoot is when a server is to be taken to have started, where the list says boot: it may have been restarted
-// while it was out, and the list tells that late or not at all, so that it counts as cold from when it was
-// called back unless the list knows of a start since.
+// EffectiveBoot returns the start time to assume for a server whose listed start time is boot. A server may have been
+// restarted while it was down, and the list may tell that late or never. So it counts as started when it was set up, unless
+// the list has a start after it was set down.
 func (s State) EffectiveBoot(id string, boot time.Duration) time.Duration {
-	if o, is := s.Servers[id]; is && !o.On && boot <= o.Since {
+	if o, known := s.Servers[id]; known && !o.On && boot <= o.Since {
 		return o.At
 	}
 	return boot
