--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -12,6 +12,7 @@
 	"cranegrade/internal/testkit"
 )
 
+// Parse reads each verb with its argument, whatever the white space, and rejects everything else.
 func TestParse(t *testing.T) {
 	for line, want := range map[string]Command{
 		"check": {Verb: Check}, " set-down  s-1 ": {SetDown, "s-1"}, "set-up\ts-1": {SetUp, "s-1"},
@@ -28,6 +29,7 @@
 	}
 }
 
+// FuzzParse: an error fits into the one line of an answer, and a command is read again as it was.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"check", "set-down s", "set-up \xff", "drain-on x", "\x00"} {
 		f.Add(s)
@@ -36,16 +38,17 @@
 		c, err := Parse(s)
 		if err != nil {
 			if strings.ContainsAny(err.Error(), "\r\n") {
-				t.Fatalf("the answer to %q is no line: %q", s, err)
+				t.Fatalf("the answer to %q has more than one line: %q", s, err)
 			}
 			return
 		}
-		if again, err := Parse(string(c.Verb) + " " + c.ID); err != nil || again != c {
+		if again, err := Parse(c.String()); err != nil || again != c {
 			t.Fatalf("%q: %+v, then %+v, %v", s, c, again, err)
 		}
 	})
 }
 
+// start serves until the test ends.
 func start(t *testing.T, h Handler) *Server {
 	t.Helper()
 	p, err := Listen("127.0.0.1:0", h)
@@ -57,6 +60,7 @@
 	return p
 }
 
+// dial opens a connection that lasts until the test ends.
 func dial(t *testing.T, p *Server) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", p.Addr().String())
@@ -68,6 +72,7 @@
 	return c
 }
 
+// echo answers with the command, and refuses those for the server "no".
 func echo(c Command) (string, error) {
 	if c.ID == "no" {
 		return "", errors.New("none such")
@@ -75,7 +80,8 @@
 	return string(c.Verb) + c.ID, nil
 }
 
-func TestPort(t *testing.T) {
+// Each line gets one answer, whatever follows it and however it is cut into segments; half a line gets none.
+func TestEachLineGetsOneAnswer(t *testing.T) {
 	t.Parallel()
 	p := start(t, echo)
 	for text, want := range map[string]string{
@@ -100,13 +106,13 @@
 	io.WriteString(half, "drain-on")
 	half.(*net.TCPConn).CloseWrite()
 	if s, err := io.ReadAll(half); err != nil || len(s) > 0 {
-		t.Errorf("half a call: %q, %v", s, err)
+		t.Errorf("half a command: %q, %v", s, err)
 	}
 }
 
-// Callers that say nothing, or half a call, make room for one that does, the longest silent first; one whose call is
-// being carried out is not closed.
-func TestSilentCallers(t *testing.T) {
+// Connections without a complete command are closed in favour of new ones, the one silent longest first. A connection whose
+// command is being executed is not closed.
+func TestSilentConnectionsGiveWay(t *testing.T) {
 	t.Parallel()
 	began, release := make(chan struct{}), make(chan struct{})
 	p := start(t, func(c Command) (string, error) {
@@ -128,13 +134,13 @@
 	c := dial(t, p)
 	io.WriteString(c, "check\n")
 	if s, err := bufio.NewReader(c).ReadString('\n'); err != nil || s != "200 check\n" {
-		t.Errorf("behind the silent: %q, %v", s, err)
+		t.Errorf("after the silent ones: %q, %v", s, err)
 	}
 	if s, _ := io.ReadAll(silent[0]); len(s) > 0 {
-		t.Errorf("the longest silent hears %q", s)
+		t.Errorf("the connection silent longest got %q", s)
 	}
 	close(release)
 	if s, err := bufio.NewReader(busy).ReadString('\n'); err != nil || s != "200 drain-on\n" {
-		t.Errorf("the busy one: %q, %v", s, err)
+		t.Errorf("the command that was being executed: %q, %v", s, err)
 	}
 }
