--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -10,14 +10,14 @@
 	"cranegrade/internal/node"
 )
 
-// check says what is wrong with each file; help and the version need no configuration.
-func TestCheck(t *testing.T) {
+// Each command line has its exit code and its output: check names the mistakes of files, help and version need no file.
+func TestCommandLine(t *testing.T) {
 	good := "../../deploy/examples/two-services.toml"
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("listen = [\"127.0.0.1:0\"]\ncolour = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	none := filepath.Join(t.TempDir(), "none.toml")
+	missing := filepath.Join(t.TempDir(), "none.toml")
 	for _, c := range []struct {
 		args   []string
 		code   int
@@ -26,7 +26,7 @@
 	}{
 		{[]string{"check", good}, 0, good + ": good; 2 pools\n", ""},
 		{[]string{"check", bad, good}, 1, bad + ":2: colour: unknown key\n", ""},
-		{[]string{"check", none}, 1, "", "none.toml"},
+		{[]string{"check", missing}, 1, "", "none.toml"},
 		{[]string{"check"}, 2, "", "usage:"},
 		{[]string{"-h"}, 0, "usage:", ""},
 		{[]string{"-version"}, 0, "cranegrade ", ""},
--- a/internal/program/trace.go
+++ b/internal/program/trace.go
@@ -10,17 +10,17 @@
 	"cranegrade/internal/trace"
 )
 
-// tracer opens the traces that the command line asks for, and closes them at the end.
+// tracer opens the traces that the command line asks for, one for each pool, and closes them at the end.
 type tracer struct {
-	dir    string // "": none
-	detail bool
+	dir    string // "": no traces
+	detail bool   // also a line for each request, attempt and answer
 
-	mu    sync.Mutex // guards open: a reload opens more
+	mu    sync.Mutex // guards the fields below: reloads add to them
 	sinks []*trace.Sink
 	files []io.Closer
 }
 
-// options adds the tracing to what the program brings.
+// options returns the options with the tracing added, if there is any.
 func (t *tracer) options(o node.Options, name string) node.Options {
 	if t.dir == "" {
 		return o
@@ -39,11 +39,13 @@
 	return o
 }
 
+// close writes what is left of the traces. A trace that can't be written must not change how the program ends, so its errors
+// are dropped.
 func (t *tracer) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i, s := range t.sinks {
 		s.Close()
-		t.files[i].Close()
+		_ = t.files[i].Close()
 	}
 }
