--- a/internal/node/xds_test.go
+++ b/internal/node/xds_test.go
@@ -41,7 +41,7 @@
 		Servers: x.Servers, Delta: x.Delta, Timeout: x.Timeout, MaxBytes: int(x.MaxResponse),
 		Clusters: resource.ClustersConfig{Keep: x.KeepOnRemoval, Grace: x.EmptyGrace}, Reports: x.LoadReports,
 		Node:     &corev3.Node{Id: x.NodeID},
-		Failover: ads.FailoverConfig{First: 5 * time.Millisecond, Most: 50 * time.Millisecond},
+		Failover: ads.FailoverConfig{BaseDelay: 5 * time.Millisecond, MaxDelay: 50 * time.Millisecond},
 	})
 }
 
--- a/internal/xds/ads/failover.go
+++ b/internal/xds/ads/failover.go
@@ -1,159 +1,210 @@
 package ads
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"time"
 )
 
-// FailoverConfig sets how control planes are tried. Zeros take the defaults.
+// FailoverConfig sets how control planes are tried. Zero values take the defaults, which but for the
+// number of servers are given here.
 type FailoverConfig struct {
-	Servers  int           // in order of priority
-	First    time.Duration // first wait after a failure; 200 ms
-	Most     time.Duration // longest wait; 30 s
-	Factor   float64       // from one wait to the next; 1.6
-	Jitter   float64       // share by which a wait is drawn shorter or longer; 0.2
-	Patience time.Duration // within which a stream must bring a first response, or the next server is tried; 5 s
+	Servers              int           // number of control planes, in order of priority; no default
+	BaseDelay            time.Duration // backoff after the first failure; 200 ms
+	MaxDelay             time.Duration // longest backoff; 30 s
+	Multiplier           float64       // from one backoff to the next; 1.6
+	Jitter               float64       // share by which a backoff is randomly shortened or lengthened; 0.2
+	FirstResponseTimeout time.Duration // within which a stream must bring a response before the next server is tried too; 5 s
 }
 
-// Failover says which control plane to use. It prefers the first that works: while that does not, the
-// next is tried, and a better one is tried again by and by and gone back to once it has answered. It is
-// pure: its random numbers come from the seed.
+const (
+	defaultBaseDelay            = 200 * time.Millisecond
+	defaultMaxDelay             = 30 * time.Second
+	defaultMultiplier           = 1.6
+	defaultJitter               = 0.2
+	defaultFirstResponseTimeout = 5 * time.Second
+)
+
+// withDefaults fills in the defaults.
+func (c FailoverConfig) withDefaults() FailoverConfig {
+	setDefault(&c.BaseDelay, defaultBaseDelay)
+	setDefault(&c.MaxDelay, defaultMaxDelay)
+	setDefault(&c.Multiplier, defaultMultiplier)
+	setDefault(&c.Jitter, defaultJitter)
+	setDefault(&c.FirstResponseTimeout, defaultFirstResponseTimeout)
+	return c
+}
+
+func setDefault[T time.Duration | float64](value *T, to T) {
+	if *value == 0 {
+		*value = to
+	}
+}
+
+// randomStream is the PCG stream of the jitter: one seed gives the same delays in each run.
+const randomStream = 0xad5
+
+// noServer is the active server before any has responded.
+const noServer = -1
+
+// Failover decides which control plane to use. It prefers the first that works. While that one does not,
+// the next is tried as well; a better one keeps being tried and is returned to once it has responded.
+//
+// It is a state machine like Machine and belongs to one goroutine. Its randomness comes from the seed.
 type Failover struct {
 	cfg     FailoverConfig
-	rng     *rand.Rand
-	servers []server
-	active  int // whose news count; -1: none so far
+	random  *rand.Rand
+	servers []serverState
+	active  int // the server whose responses count, or noServer
 }
 
-type server struct {
-	phase  phase
-	since  time.Duration // of the phase
-	until  time.Duration // when a wait is over
-	wait   time.Duration // the last one
-	failed bool          // its last try failed before it brought anything
+// serverState is the state of one control plane.
+type serverState struct {
+	phase      phase
+	phaseSince time.Duration
+	retryAt    time.Duration // end of the backoff, while backingOff
+	backoff    time.Duration // the latest, without jitter
+	// failedUnanswered says that the latest attempt failed before it brought a response.
+	failedUnanswered bool
 }
 
 type phase int
 
 const (
-	idle    phase = iota // not wanted
-	dialing              // a stream was asked for and has brought nothing yet
-	up                   // it has brought a response
-	waiting              // until the next try
+	idle       phase = iota // not needed
+	connecting              // a stream was asked for and has brought nothing yet
+	responding              // the stream has brought a response
+	backingOff              // until the next attempt
 )
 
-// Step is what the shell must do about a control plane.
+// Step is something that the caller must do about a control plane.
 type Step struct {
-	Server int
-	Do     Do
+	Server int // index in order of priority
+	Kind   StepKind
 }
 
-// Do is a kind of step.
-type Do int
+// StepKind is what a step asks for.
+type StepKind int
 
-// Steps.
+// Kinds of steps.
 const (
-	Dial   Do = iota // open a stream
-	Hangup           // end the stream; its end is not to be reported
-	Use              // from now on this one's news count
+	OpenStream  StepKind = iota // open a stream to the server
+	CloseStream                 // close the stream; its end is not to be reported
+	UseServer                   // from now on the responses of this server count
 )
 
-// NewFailover returns one that has dialled nothing.
-func NewFailover(cfg FailoverConfig, seed uint64) *Failover {
-	def := func(d *time.Duration, to time.Duration) {
-		if *d == 0 {
-			*d = to
-		}
-	}
-	def(&cfg.First, 200*time.Millisecond)
-	def(&cfg.Most, 30*time.Second)
-	def(&cfg.Patience, 5*time.Second)
-	if cfg.Factor == 0 {
-		cfg.Factor = 1.6
+// String names the kind.
+func (k StepKind) String() string {
+	switch k {
+	case OpenStream:
+		return "open stream"
+	case CloseStream:
+		return "close stream"
+	case UseServer:
+		return "use server"
 	}
-	if cfg.Jitter == 0 {
-		cfg.Jitter = 0.2
+	return fmt.Sprintf("StepKind(%d)", int(k))
+}
+
+// NewFailover returns a failover that has not opened a stream yet.
+func NewFailover(cfg FailoverConfig, seed uint64) *Failover {
+	return &Failover{
+		cfg: cfg.withDefaults(), random: rand.New(rand.NewPCG(seed, randomStream)),
+		servers: make([]serverState, cfg.Servers), active: noServer,
 	}
-	return &Failover{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 0xad5)), servers: make([]server, cfg.Servers), active: -1}
 }
 
-// Active is the control plane whose news count; -1: none so far.
+// Active returns the index of the control plane whose responses count; -1 before any has responded.
 func (f *Failover) Active() int { return f.active }
 
-// Start dials the first.
+// Start opens a stream to the first server.
 func (f *Failover) Start(now time.Duration) []Step { return f.Advance(now) }
 
-// Up says that a stream has brought a response.
-func (f *Failover) Up(now time.Duration, i int) (steps []Step) {
-	s := &f.servers[i]
-	if s.phase != dialing {
+// StreamResponded notes that a server's stream has brought a response. Only the first response of a stream has an effect.
+func (f *Failover) StreamResponded(now time.Duration, server int) (steps []Step) {
+	s := &f.servers[server]
+	if s.phase != connecting {
 		return nil
 	}
-	s.phase, s.since, s.failed = up, now, false
-	if f.active != i {
-		f.active = i
-		steps = append(steps, Step{i, Use})
+	s.phase, s.phaseSince, s.failedUnanswered = responding, now, false
+	if f.active != server {
+		f.active = server
+		steps = append(steps, Step{server, UseServer})
 	}
-	// Those behind are not needed any more.
-	for j := i + 1; j < len(f.servers); j++ {
-		if f.servers[j].phase == dialing || f.servers[j].phase == up {
-			steps = append(steps, Step{j, Hangup})
+	// Servers of lower priority are no longer needed.
+	for i := server + 1; i < len(f.servers); i++ {
+		if lower := f.servers[i].phase; lower == connecting || lower == responding {
+			steps = append(steps, Step{i, CloseStream})
 		}
-		f.servers[j] = server{}
+		f.servers[i] = serverState{}
 	}
 	return append(steps, f.Advance(now)...)
 }
 
-// Down says that a stream has ended, or could not be opened.
-func (f *Failover) Down(now time.Duration, i int) []Step {
-	s := &f.servers[i]
-	if s.phase != dialing && s.phase != up {
+// StreamEnded notes that a server's stream has ended, or could not be opened.
+func (f *Failover) StreamEnded(now time.Duration, server int) []Step {
+	s := &f.servers[server]
+	if s.phase != connecting && s.phase != responding {
 		return nil
 	}
-	// A stream that lived for longer than the wait before it was a success: the next wait is the first
-	// again. One that flaps waits longer each time, though it brings something.
-	if s.phase == up && now-s.since > max(s.wait, f.cfg.First) {
-		s.wait = 0
+	// A stream that outlived the backoff before it was a success, so the backoff starts over. A server that
+	// flaps faster backs off longer each time, although it responds.
+	if s.phase == responding && now-s.phaseSince > max(s.backoff, f.cfg.BaseDelay) {
+		s.backoff = 0
 	}
-	s.failed = s.phase == dialing
-	s.wait = min(f.cfg.Most, max(f.cfg.First, time.Duration(float64(s.wait)*f.cfg.Factor)))
-	s.phase, s.since = waiting, now
-	s.until = now + time.Duration(float64(s.wait)*(1+f.cfg.Jitter*(2*f.rng.Float64()-1)))
+	s.failedUnanswered = s.phase == connecting
+	s.backoff = min(f.cfg.MaxDelay, max(f.cfg.BaseDelay, time.Duration(float64(s.backoff)*f.cfg.Multiplier)))
+	s.phase, s.phaseSince = backingOff, now
+	jitter := 1 + f.cfg.Jitter*(2*f.random.Float64()-1)
+	s.retryAt = now + time.Duration(float64(s.backoff)*jitter)
 	return f.Advance(now)
 }
 
-// Advance does what has come due.
+// Advance opens the streams that are due.
 func (f *Failover) Advance(now time.Duration) (steps []Step) {
 	for i := range f.servers {
 		s := &f.servers[i]
-		if s.phase == idle || s.phase == waiting && now >= s.until {
-			s.phase, s.since = dialing, now
-			steps = append(steps, Step{i, Dial})
+		if s.phase == idle || s.phase == backingOff && now >= s.retryAt {
+			s.phase, s.phaseSince = connecting, now
+			steps = append(steps, Step{i, OpenStream})
 		}
-		// The next is wanted only while this one has failed, or has been silent for too long; a stream
-		// that worked and broke is tried again first.
-		if s.phase == up || s.phase == waiting && !s.failed || s.phase == dialing && now-s.since < f.cfg.Patience && !s.failed {
-			if i >= f.active {
-				break
-			}
+		// Up to the active server all are tried: a better one may work again.
+		if i >= f.active && f.suffices(now, s) {
+			break
 		}
 	}
 	return steps
 }
 
-// Next is when Advance has something to do; false if never.
-func (f *Failover) Next() (at time.Duration, ok bool) {
-	note := func(t time.Duration) {
+// suffices says that no server of lower priority is needed beside this one: it responds, or may still
+// respond in time, or did respond before its stream broke and so is tried again by itself first.
+func (f *Failover) suffices(now time.Duration, s *serverState) bool {
+	switch s.phase {
+	case responding:
+		return true
+	case backingOff:
+		return !s.failedUnanswered
+	case connecting:
+		return !s.failedUnanswered && now-s.phaseSince < f.cfg.FirstResponseTimeout
+	case idle:
+	}
+	return false
+}
+
+// NextDeadline returns when Advance has something to do; false if never.
+func (f *Failover) NextDeadline() (at time.Duration, ok bool) {
+	consider := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
-	for i, s := range f.servers {
+	for i := range f.servers {
+		s := &f.servers[i]
 		switch {
-		case s.phase == waiting:
-			note(s.until)
-		case s.phase == dialing && !s.failed && i+1 < len(f.servers) && f.servers[i+1].phase == idle:
-			note(s.since + f.cfg.Patience)
+		case s.phase == backingOff:
+			consider(s.retryAt)
+		case s.phase == connecting && !s.failedUnanswered && i+1 < len(f.servers) && f.servers[i+1].phase == idle:
+			consider(s.phaseSince + f.cfg.FirstResponseTimeout)
 		}
 	}
 	return at, ok
--- a/internal/xds/ads/failover_test.go
+++ b/internal/xds/ads/failover_test.go
@@ -7,118 +7,118 @@
 	"pgregory.net/rapid"
 )
 
-const msec = time.Millisecond
-
-func steps(l []Step) (s string) {
-	for _, x := range l {
-		s += string("dhu"[x.Do]) + string(rune('0'+x.Server)) + " "
+// describeSteps writes steps as text: a letter for the kind and the server's index.
+func describeSteps(steps []Step) (text string) {
+	letters := map[StepKind]string{OpenStream: "o", CloseStream: "c", UseServer: "u"}
+	for _, s := range steps {
+		text += letters[s.Kind] + string(rune('0'+s.Server)) + " "
 	}
-	return s
+	return text
 }
 
-func wantSteps(t *testing.T, what string, got []Step, want string) {
+func expectSteps(t *testing.T, what string, got []Step, want string) {
 	t.Helper()
-	if s := steps(got); s != want {
-		t.Errorf("%s: %q, not %q", what, s, want)
+	if text := describeSteps(got); text != want {
+		t.Errorf("%s: %q, want %q", what, text, want)
 	}
 }
 
 func TestFailover(t *testing.T) {
 	f := NewFailover(FailoverConfig{Servers: 3, Jitter: 1e-9}, 1)
-	wantSteps(t, "start", f.Start(0), "d0 ")
-	wantSteps(t, "the first refuses", f.Down(10*msec, 0), "d1 ")
-	wantSteps(t, "the second works", f.Up(20*msec, 1), "u1 ")
+	expectSteps(t, "start", f.Start(0), "o0 ")
+	expectSteps(t, "the first fails", f.StreamEnded(10*msec, 0), "o1 ")
+	expectSteps(t, "the second responds", f.StreamResponded(20*msec, 1), "u1 ")
 	if f.Active() != 1 {
 		t.Errorf("active is %d", f.Active())
 	}
-	wantSteps(t, "too early", f.Advance(200*msec), "")
-	if at, ok := f.Next(); !ok || at < 209*msec || at > 211*msec {
-		t.Errorf("next at %v", at)
+	expectSteps(t, "before the end of the backoff", f.Advance(200*msec), "")
+	if at, ok := f.NextDeadline(); !ok || at < 209*msec || at > 211*msec {
+		t.Errorf("next deadline %v", at)
 	}
-	wantSteps(t, "the first again", f.Advance(211*msec), "d0 ")
-	wantSteps(t, "and it works: the second is not needed", f.Up(220*msec, 0), "u0 h1 ")
-	wantSteps(t, "it breaks: it is tried again first", f.Down(10*sec, 0), "")
-	wantSteps(t, "soon, for it lived long", f.Advance(10*sec+201*msec), "d0 ")
-	wantSteps(t, "it refuses: now the next", f.Down(10*sec+210*msec, 0), "d1 ")
-	wantSteps(t, "that too", f.Down(10*sec+220*msec, 1), "d2 ")
+	expectSteps(t, "the first is retried", f.Advance(211*msec), "o0 ")
+	expectSteps(t, "it responds: the second is not needed", f.StreamResponded(220*msec, 0), "u0 c1 ")
+	expectSteps(t, "its stream ends: it is retried before any other", f.StreamEnded(10*sec, 0), "")
+	expectSteps(t, "with the first backoff, since it lived long", f.Advance(10*sec+201*msec), "o0 ")
+	expectSteps(t, "it fails: now the second", f.StreamEnded(10*sec+210*msec, 0), "o1 ")
+	expectSteps(t, "the second fails too", f.StreamEnded(10*sec+220*msec, 1), "o2 ")
 }
 
-// A stream that brings nothing is not waited for alone.
-func TestFailoverPatience(t *testing.T) {
+// A stream that brings no response does not keep the next server from being tried.
+func TestFailoverFirstResponseTimeout(t *testing.T) {
 	f := NewFailover(FailoverConfig{Servers: 2}, 1)
 	f.Start(0)
-	if at, ok := f.Next(); !ok || at != 5*sec {
-		t.Errorf("next at %v, %v", at, ok)
+	if at, ok := f.NextDeadline(); !ok || at != 5*sec {
+		t.Errorf("next deadline %v, %v", at, ok)
 	}
-	wantSteps(t, "patience is over", f.Advance(5*sec), "d1 ")
-	wantSteps(t, "the second works", f.Up(5*sec+1, 1), "u1 ")
-	wantSteps(t, "the first at last", f.Up(6*sec, 0), "u0 h1 ")
-	wantSteps(t, "what the second brings now is late", f.Up(6*sec, 1), "")
+	expectSteps(t, "the time-out has passed", f.Advance(5*sec), "o1 ")
+	expectSteps(t, "the second responds", f.StreamResponded(5*sec+1, 1), "u1 ")
+	expectSteps(t, "the first responds at last", f.StreamResponded(6*sec, 0), "u0 c1 ")
+	expectSteps(t, "a response of the closed stream", f.StreamResponded(6*sec, 1), "")
 }
 
-// Waits grow to a bound while a control plane flaps, and are drawn differently.
+// The backoff grows up to its bound while a control plane flaps, and is jittered.
 func TestFailoverBackoff(t *testing.T) {
 	f := NewFailover(FailoverConfig{Servers: 1}, 7)
 	f.Start(0)
 	now, last := time.Duration(0), time.Duration(0)
 	for i := range 60 {
-		f.Up(now, 0) // it brings something each time
+		f.StreamResponded(now, 0)
 		now += 100 * msec
-		f.Down(now, 0)
-		at, ok := f.Next()
+		f.StreamEnded(now, 0)
+		at, ok := f.NextDeadline()
 		if !ok {
-			t.Fatal("it is never tried again")
+			t.Fatal("it is never retried")
 		}
-		wait := at - now
-		if wait < 160*msec || wait > 36*sec {
-			t.Fatalf("try %d after %v", i, wait)
+		backoff := at - now
+		if backoff < 160*msec || backoff > 36*sec {
+			t.Fatalf("attempt %d after %v", i, backoff)
 		}
-		if i > 30 && (wait < 24*sec || wait == last) {
-			t.Fatalf("try %d after %v, before it %v", i, wait, last)
+		if i > 30 && (backoff < 24*sec || backoff == last) {
+			t.Fatalf("attempt %d after %v, before it %v", i, backoff, last)
 		}
-		last, now = wait, at
-		wantSteps(t, "again", f.Advance(now), "d0 ")
+		last, now = backoff, at
+		expectSteps(t, "retry", f.Advance(now), "o0 ")
 	}
 }
 
-// TestFailoverProperty: whatever happens, at least one control plane is being tried or works, each
-// step makes sense, and once all work the first is the one in use.
+// TestFailoverProperty plays events in any order: at every time a stream is open or will be, each step
+// fits the state of its stream, and once all servers respond the first one is in use.
 func TestFailoverProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 4).Draw(t, "servers")
-		f := NewFailover(FailoverConfig{Servers: n}, rapid.Uint64().Draw(t, "seed"))
+		servers := rapid.IntRange(1, 4).Draw(t, "servers")
+		f := NewFailover(FailoverConfig{Servers: servers}, rapid.Uint64().Draw(t, "seed"))
 		now := time.Duration(0)
-		open := make([]bool, n)
+		open := make([]bool, servers)
 		used := -1
-		play := func(l []Step) {
-			for _, s := range l {
-				switch s.Do {
-				case Dial:
+		play := func(steps []Step) {
+			for _, s := range steps {
+				switch s.Kind {
+				case OpenStream:
 					if open[s.Server] {
-						t.Fatalf("%d is dialled twice", s.Server)
+						t.Fatalf("a second stream is opened to %d", s.Server)
 					}
 					open[s.Server] = true
-				case Hangup:
+				case CloseStream:
 					if !open[s.Server] {
-						t.Fatalf("%d is hung up and not open", s.Server)
+						t.Fatalf("the stream to %d is closed and was not open", s.Server)
 					}
 					open[s.Server] = false
-				case Use:
+				case UseServer:
 					used = s.Server
 				}
 			}
 		}
 		play(f.Start(now))
 		t.Repeat(map[string]func(*rapid.T){
-			"up": func(t *rapid.T) {
-				if i := rapid.IntRange(0, n-1).Draw(t, "server"); open[i] {
-					play(f.Up(now, i))
+			"responded": func(t *rapid.T) {
+				if i := rapid.IntRange(0, servers-1).Draw(t, "server"); open[i] {
+					play(f.StreamResponded(now, i))
 				}
 			},
-			"down": func(t *rapid.T) {
-				if i := rapid.IntRange(0, n-1).Draw(t, "server"); open[i] {
+			"ended": func(t *rapid.T) {
+				if i := rapid.IntRange(0, servers-1).Draw(t, "server"); open[i] {
 					open[i] = false
-					play(f.Down(now, i))
+					play(f.StreamEnded(now, i))
 				}
 			},
 			"time": func(t *rapid.T) {
@@ -127,29 +127,29 @@
 			},
 			"": func(t *rapid.T) {
 				if f.Active() != used {
-					t.Fatalf("active is %d, told %d", f.Active(), used)
+					t.Fatalf("active is %d, the steps say %d", f.Active(), used)
 				}
-				some := false
+				anyOpen := false
 				for _, o := range open {
-					some = some || o
+					anyOpen = anyOpen || o
 				}
-				if _, ok := f.Next(); !some && !ok {
-					t.Fatal("nothing is open, and nothing will be")
+				if _, ok := f.NextDeadline(); !anyOpen && !ok {
+					t.Fatal("no stream is open, and none will be")
 				}
 			},
 		})
-		// All work from now on.
-		for range 100 * n {
+		// From now on all servers respond.
+		for range 100 * servers {
 			now += 40 * sec
 			play(f.Advance(now))
 			for i := range open {
 				if open[i] {
-					play(f.Up(now, i))
+					play(f.StreamResponded(now, i))
 				}
 			}
 		}
 		if f.Active() != 0 {
-			t.Fatalf("all work, and %d is in use", f.Active())
+			t.Fatalf("all servers respond, and %d is in use", f.Active())
 		}
 	})
 }
--- a/internal/xds/client/client.go
+++ b/internal/xds/client/client.go
@@ -93,7 +93,7 @@
 	c := &Client{
 		cfg: cfg, events: make(chan func(), 64), done: make(chan struct{}), ctx: ctx, cancel: cancel,
 		start: time.Now(), wakeup: time.NewTimer(time.Hour), used: -1,
-		machine:  ads.New(ads.Config{Delta: cfg.Delta, Node: cfg.Node, Types: resource.Types(), Timeout: cfg.Timeout}),
+		machine:  ads.New(ads.Config{Delta: cfg.Delta, Node: cfg.Node, Types: resource.Types(), ResourceTimeout: cfg.Timeout}),
 		failover: ads.NewFailover(cfg.Failover, rand.Uint64()), clusters: resource.NewClusters(cfg.Clusters),
 		watchers: map[string][]*watcher{}, streams: map[int]*stream{}, problems: make([]string, len(cfg.Servers)),
 	}
@@ -188,7 +188,7 @@
 // wait sets the timer to what comes due first.
 func (c *Client) wait() {
 	next := time.Hour
-	for _, f := range []func() (time.Duration, bool){c.failover.Next, c.machine.Next, c.clusters.Next} {
+	for _, f := range []func() (time.Duration, bool){c.failover.NextDeadline, c.machine.NextDeadline, c.clusters.Next} {
 		if at, ok := f(); ok {
 			next = min(next, max(0, at-c.now()))
 		}
@@ -210,8 +210,8 @@
 func (c *Client) want() {
 	now := c.now()
 	clusters, services := c.clusters.Wanted()
-	c.actions(c.machine.Want(now, resource.ClusterURL, false, clusters))
-	c.actions(c.machine.Want(now, resource.EndpointURL, false, services))
+	c.actions(c.machine.SetSubscription(now, resource.ClusterURL, false, clusters))
+	c.actions(c.machine.SetSubscription(now, resource.EndpointURL, false, services))
 }
 
 func (c *Client) tell(updates []resource.Update) {
@@ -226,18 +226,18 @@
 func (c *Client) actions(l []ads.Action) {
 	for _, a := range l {
 		switch a := a.(type) {
-		case ads.Send:
+		case ads.SendRequest:
 			if s := c.streams[c.used]; s != nil && !s.probe {
 				s.send(a)
 			}
-		case ads.Changed:
+		case ads.ResourceUpdate:
 			updates, reports := c.clusters.Change(c.now(), a)
 			c.report(reports...)
 			c.tell(updates)
-			if a.Type == resource.ClusterURL {
+			if a.TypeURL == resource.ClusterURL {
 				c.want()
 			}
-		case ads.Report:
+		case ads.Notice:
 			c.report(a.Text)
 		}
 	}
@@ -246,15 +246,15 @@
 // steps carries out what the failover says.
 func (c *Client) steps(l []ads.Step) {
 	for _, s := range l {
-		switch s.Do {
-		case ads.Dial:
+		switch s.Kind {
+		case ads.OpenStream:
 			c.open(s.Server)
-		case ads.Hangup:
+		case ads.CloseStream:
 			if st := c.streams[s.Server]; st != nil {
 				st.cancel()
 				delete(c.streams, s.Server)
 			}
-		case ads.Use: // up sees to it
+		case ads.UseServer: // up sees to it
 		}
 	}
 }
@@ -263,11 +263,11 @@
 type stream struct {
 	server int
 	cancel context.CancelFunc
-	out    chan ads.Send
+	out    chan ads.SendRequest
 	probe  bool // not for the machine: it was sent a request of its own, to see whether it answers
 }
 
-func (s *stream) send(a ads.Send) {
+func (s *stream) send(a ads.SendRequest) {
 	select {
 	case s.out <- a:
 	default:
@@ -282,7 +282,7 @@
 // open opens a stream. Until it has answered the machine knows nothing of it, unless no other is in use.
 func (c *Client) open(i int) {
 	ctx, cancel := context.WithCancel(c.ctx)
-	s := &stream{server: i, cancel: cancel, out: make(chan ads.Send, maxOut)}
+	s := &stream{server: i, cancel: cancel, out: make(chan ads.SendRequest, maxOut)}
 	c.streams[i] = s
 	c.work.Go(func() {
 		defer cancel()
@@ -302,9 +302,9 @@
 		c.report(fmt.Sprintf("control plane %s: %v", c.cfg.Servers[s.server], err))
 	}
 	if c.used == s.server && !s.probe {
-		c.machine.Close()
+		c.machine.StreamClosed()
 	}
-	c.steps(c.failover.Down(c.now(), s.server))
+	c.steps(c.failover.StreamEnded(c.now(), s.server))
 }
 
 var errEnded = errors.New("the control plane ended the stream")
@@ -323,25 +323,25 @@
 		if err != nil {
 			return fmt.Errorf("opening a stream: %w", err)
 		}
-		return c.pump(s, st, func(a ads.Send) error { return st.Send(a.Delta) }, func() (func(), error) {
+		return c.pump(s, st, func(a ads.SendRequest) error { return st.Send(a.Delta) }, func() (func(), error) {
 			r, err := st.Recv()
-			return func() { c.actions(c.machine.ReceiveDelta(c.now(), r)) }, err
+			return func() { c.actions(c.machine.HandleDeltaResponse(c.now(), r)) }, err
 		})
 	}
 	st, err := svc.StreamAggregatedResources(ctx)
 	if err != nil {
 		return fmt.Errorf("opening a stream: %w", err)
 	}
-	return c.pump(s, st, func(a ads.Send) error { return st.Send(a.Request) }, func() (func(), error) {
+	return c.pump(s, st, func(a ads.SendRequest) error { return st.Send(a.SotW) }, func() (func(), error) {
 		r, err := st.Recv()
-		return func() { c.actions(c.machine.Receive(c.now(), r)) }, err
+		return func() { c.actions(c.machine.HandleResponse(c.now(), r)) }, err
 	})
 }
 
 // pump writes what the machine sends and reads what comes, one response after the other: the next is
 // read once the one before has been dealt with, so that a control plane that floods fills its own
 // window and not our memory.
-func (c *Client) pump(s *stream, st discoveryStream, send func(ads.Send) error, receive func() (func(), error)) error {
+func (c *Client) pump(s *stream, st discoveryStream, send func(ads.SendRequest) error, receive func() (func(), error)) error {
 	ctx := st.Context()
 	writing := make(chan struct{})
 	defer func() { <-writing }()
@@ -395,9 +395,9 @@
 		s.probe = true
 		clusters, _ := c.clusters.Wanted()
 		if c.cfg.Delta {
-			s.send(ads.Send{Delta: &discovery.DeltaDiscoveryRequest{Node: c.cfg.Node, TypeUrl: resource.ClusterURL, ResourceNamesSubscribe: clusters}})
+			s.send(ads.SendRequest{Delta: &discovery.DeltaDiscoveryRequest{Node: c.cfg.Node, TypeUrl: resource.ClusterURL, ResourceNamesSubscribe: clusters}})
 		} else {
-			s.send(ads.Send{Request: &discovery.DiscoveryRequest{Node: c.cfg.Node, TypeUrl: resource.ClusterURL, ResourceNames: clusters}})
+			s.send(ads.SendRequest{SotW: &discovery.DiscoveryRequest{Node: c.cfg.Node, TypeUrl: resource.ClusterURL, ResourceNames: clusters}})
 		}
 		return
 	}
@@ -408,11 +408,11 @@
 func (c *Client) enter(s *stream) {
 	same := c.used == s.server
 	if c.used >= 0 {
-		c.machine.Close()
+		c.machine.StreamClosed()
 	}
 	c.used, s.probe = s.server, false
-	for _, a := range c.machine.Open(c.now(), same) {
-		if send, is := a.(ads.Send); is {
+	for _, a := range c.machine.StreamOpened(c.now(), same) {
+		if send, is := a.(ads.SendRequest); is {
 			s.send(send)
 		} else {
 			c.actions([]ads.Action{a})
@@ -424,7 +424,7 @@
 func (c *Client) up(s *stream) bool {
 	c.problems[s.server] = ""
 	before := c.failover.Active()
-	c.steps(c.failover.Up(c.now(), s.server))
+	c.steps(c.failover.StreamResponded(c.now(), s.server))
 	if before != s.server && c.failover.Active() == s.server {
 		c.report(fmt.Sprintf("control plane %s is in use", c.cfg.Servers[s.server]))
 	}
--- a/internal/xds/client/client_test.go
+++ b/internal/xds/client/client_test.go
@@ -44,8 +44,8 @@
 		cfg.Servers = append(cfg.Servers, p.Addr())
 	}
 	cfg.Node = &corev3.Node{Id: "me"}
-	cfg.Failover.First = 5 * time.Millisecond
-	cfg.Failover.Most = 50 * time.Millisecond
+	cfg.Failover.BaseDelay = 5 * time.Millisecond
+	cfg.Failover.MaxDelay = 50 * time.Millisecond
 	c, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -285,7 +285,7 @@
 	one.SetSilent(true)
 	two.Set(resource.ClusterURL, set{"c": cluster("c", "")})
 	two.Set(resource.EndpointURL, set{"c": endpoints("c", "10.0.0.2:1")})
-	c := open(t, Config{Failover: ads.FailoverConfig{Patience: 50 * time.Millisecond}}, one, two)
+	c := open(t, Config{Failover: ads.FailoverConfig{FirstResponseTimeout: 50 * time.Millisecond}}, one, two)
 	ch, _ := follow(t, c, "c")
 	expect(t, "the second", ch, "10.0.0.2:1")
 }
--- a/internal/xds/client/dump.go
+++ b/internal/xds/client/dump.go
@@ -76,10 +76,10 @@
 			r := held[n]
 			x := ResourceDump{
 				Type: t.URL[strings.LastIndexByte(t.URL, '.')+1:], Name: n, Version: r.Version,
-				Status: r.Status.String(), Age: now - r.Since, Refused: r.Error,
+				Status: r.Status.String(), Age: now - r.ChangedAt, Refused: r.RejectionReason,
 			}
-			if r.Error != "" {
-				x.RefusedAge = now - r.ErrorAt
+			if r.RejectionReason != "" {
+				x.RefusedAge = now - r.RejectedAt
 			}
 			switch v := r.Value.(type) {
 			case *resource.Assignment:
--- a/internal/xds/resource/clusters.go
+++ b/internal/xds/resource/clusters.go
@@ -90,8 +90,8 @@
 }
 
 // Change takes news of the machine and gives the updates that follow, and what to report.
-func (c *Clusters) Change(now time.Duration, n ads.Changed) (updates []Update, reports []string) {
-	switch n.Type {
+func (c *Clusters) Change(now time.Duration, n ads.ResourceUpdate) (updates []Update, reports []string) {
+	switch n.TypeURL {
 	case ClusterURL:
 		for _, r := range n.Updated {
 			c.clusters[r.Name] = r.Value.(*Cluster)
--- a/internal/xds/resource/resource.go
+++ b/internal/xds/resource/resource.go
@@ -37,7 +37,7 @@
 // Types are those that a client asks for, in the order in which it does (clusters first).
 func Types() []ads.Type {
 	return []ads.Type{
-		{URL: ClusterURL, Whole: true, Decode: func(a *anypb.Any, _ any) (string, any, error) {
+		{URL: ClusterURL, AllResourcesRequiredInSotW: true, Decode: func(a *anypb.Any, _ any) (string, any, error) {
 			name, c, err := ReadCluster(a.GetValue())
 			if err != nil {
 				return name, nil, err
@@ -45,7 +45,7 @@
 			return name, c, nil
 		}},
 		{
-			URL: EndpointURL, Name: func(a *anypb.Any) string { return assignmentName(a.GetValue()) },
+			URL: EndpointURL, ResourceName: func(a *anypb.Any) string { return assignmentName(a.GetValue()) },
 			Decode: func(a *anypb.Any, prev any) (string, any, error) {
 				before, _ := prev.(*Assignment)
 				name, x, err := ReadAssignment(a.GetValue(), before)
--- a/internal/xds/resource/resource_test.go
+++ b/internal/xds/resource/resource_test.go
@@ -311,8 +311,12 @@
 		return &ads.Resource{Name: name, Value: &Cluster{Name: name, Service: service}}
 	}
 	assignment := func(name string) *ads.Resource { return &ads.Resource{Name: name, Value: &Assignment{Name: name}} }
-	updated := func(url string, l ...*ads.Resource) ads.Changed { return ads.Changed{Type: url, Updated: l} }
-	removed := func(url string, names ...string) ads.Changed { return ads.Changed{Type: url, Removed: names} }
+	updated := func(url string, l ...*ads.Resource) ads.ResourceUpdate {
+		return ads.ResourceUpdate{TypeURL: url, Updated: l}
+	}
+	removed := func(url string, names ...string) ads.ResourceUpdate {
+		return ads.ResourceUpdate{TypeURL: url, Removed: names}
+	}
 	words := func(l []Update) (s string) {
 		for _, u := range l {
 			if u.Assignment == nil {
@@ -329,7 +333,7 @@
 			t.Errorf("%s: %q, not %q", what, w, want)
 		}
 	}
-	change := func(c *Clusters, n ads.Changed) []Update {
+	change := func(c *Clusters, n ads.ResourceUpdate) []Update {
 		u, _ := c.Change(0, n)
 		c.Wanted()
 		return u
