--- a/cmd/cranegrade/main.go
+++ b/cmd/cranegrade/main.go
@@ -46,8 +46,9 @@
 // openXDS dials the control planes of an operator's file.
 func openXDS(x operator.XDS) (node.XDSClient, error) {
 	return xds.Open(client.Config{
-		Servers: x.Servers, Delta: x.Delta, Timeout: x.Timeout, MaxBytes: int(x.MaxResponse),
-		Clusters: resource.ClustersConfig{Keep: x.KeepOnRemoval, Grace: x.EmptyGrace}, Reports: x.LoadReports,
+		Servers: x.Servers, Delta: x.Delta, ResourceTimeout: x.Timeout, MaxResponseBytes: int(x.MaxResponse),
+		Clusters:           resource.ClustersConfig{KeepOnRemoval: x.KeepOnRemoval, EmptyGrace: x.EmptyGrace},
+		LoadReportInterval: x.LoadReports,
 		Node: &corev3.Node{
 			Id: x.NodeID, Cluster: x.NodeCluster, UserAgentName: "cranegrade",
 			Locality: &corev3.Locality{Region: x.Region, Zone: x.Zone, SubZone: x.SubZone},
--- a/internal/drill/xds.go
+++ b/internal/drill/xds.go
@@ -131,7 +131,7 @@
 		l.LbEndpoints = append(l.LbEndpoints, &endpointv3.LbEndpoint{
 			HealthStatus:   g.states[cfg.ID],
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Address: resource.Address(s.Addr())}},
-			Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{resource.Metadata: {Fields: map[string]*structpb.Value{
+			Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{resource.MetadataNamespace: {Fields: map[string]*structpb.Value{
 				"uid": structpb.NewStringValue(cfg.ID), "cell": structpb.NewNumberValue(float64(cfg.Cell)), "boot_ms": structpb.NewNumberValue(ms),
 			}}}},
 		})
--- a/internal/node/xds_test.go
+++ b/internal/node/xds_test.go
@@ -38,10 +38,11 @@
 // openXDS is the program's, with shorter waits.
 func openXDS(x operator.XDS) (XDSClient, error) {
 	return sourcexds.Open(client.Config{
-		Servers: x.Servers, Delta: x.Delta, Timeout: x.Timeout, MaxBytes: int(x.MaxResponse),
-		Clusters: resource.ClustersConfig{Keep: x.KeepOnRemoval, Grace: x.EmptyGrace}, Reports: x.LoadReports,
-		Node:     &corev3.Node{Id: x.NodeID},
-		Failover: ads.FailoverConfig{BaseDelay: 5 * time.Millisecond, MaxDelay: 50 * time.Millisecond},
+		Servers: x.Servers, Delta: x.Delta, ResourceTimeout: x.Timeout, MaxResponseBytes: int(x.MaxResponse),
+		Clusters:           resource.ClustersConfig{KeepOnRemoval: x.KeepOnRemoval, EmptyGrace: x.EmptyGrace},
+		LoadReportInterval: x.LoadReports,
+		Node:               &corev3.Node{Id: x.NodeID},
+		Failover:           ads.FailoverConfig{BaseDelay: 5 * time.Millisecond, MaxDelay: 50 * time.Millisecond},
 	})
 }
 
@@ -93,7 +94,7 @@
 		l.LbEndpoints = append(l.LbEndpoints, &endpointv3.LbEndpoint{
 			HealthStatus:   e.health,
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Address: resource.Address(e.Addr())}},
-			Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{resource.Metadata: {Fields: map[string]*structpb.Value{
+			Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{resource.MetadataNamespace: {Fields: map[string]*structpb.Value{
 				"uid": structpb.NewStringValue(e.ID()), "boot_ms": structpb.NewNumberValue(ms),
 			}}}},
 		})
--- a/internal/source/registry/registry_test.go
+++ b/internal/source/registry/registry_test.go
@@ -28,7 +28,7 @@
 	go func() { ended <- d.Follow(context.Background(), "0", func(n engine.News) { got <- n }) }()
 	lines <- testkit.ListMessage(1, true)
 	testkit.Wait(t, got)
-	if err := testkit.Wait(t, ended); err != errSilent {
+	if err := testkit.Wait(t, ended); !errors.Is(err, errSilent) {
 		t.Errorf("the watch ended with %v", err)
 	}
 }
--- a/internal/source/xds/xds.go
+++ b/internal/source/xds/xds.go
@@ -1,4 +1,7 @@
-// Package xds is a list of servers that an xDS control plane tells: the endpoints of one cluster.
+// Package xds is the source of a pool's servers that follows a cluster of an xDS control plane.
+//
+// A Client, shared by all pools of a node, owns the connections to the control planes; a Source follows
+// one cluster through it. docs/xds.md says how a cluster becomes a list of servers.
 package xds
 
 import (
@@ -12,10 +15,10 @@
 	"cranegrade/internal/xds/resource"
 )
 
-// Client is a client of control planes, for all pools of a node.
+// Client is a client of control planes, for all pools of a node. It implements node.XDSClient.
 type Client struct{ *client.Client }
 
-// Open dials the control planes.
+// Open connects to the control planes. Close ends the client.
 func Open(cfg client.Config) (*Client, error) {
 	c, err := client.New(cfg)
 	if err != nil {
@@ -24,54 +27,59 @@
 	return &Client{c}, nil
 }
 
-// Source follows a cluster; with levels it tells the endpoints of all priorities, each with its own.
-func (c *Client) Source(cluster string, levels bool) engine.Source {
-	s := New(c.Client, cluster)
-	s.levels = levels
-	return s
+// Source returns a source that follows a cluster. With allPriorities it lists the endpoints of all
+// priorities, each with its own; otherwise those of the priorities that are in use.
+func (c *Client) Source(cluster string, allPriorities bool) engine.Source {
+	return newSource(c.Client, cluster, allPriorities)
 }
 
-// Dump writes what the client holds.
+// Dump writes what the client holds, for operators.
 func (c *Client) Dump(w io.Writer) { c.Client.Dump().Write(w) }
 
 // Source follows a cluster. It implements engine.Source and engine.Observer.
 type Source struct {
-	client  *client.Client
-	cluster string
-	load    *client.Load // nil if load is not reported
-	levels  bool
+	client        *client.Client
+	cluster       string
+	load          *client.ClusterLoad // nil if load is not reported
+	allPriorities bool
 }
 
-// New returns a source that follows a cluster at the client's control planes.
-func New(c *client.Client, cluster string) *Source {
-	return &Source{client: c, cluster: cluster, load: c.Load(cluster)}
+var (
+	_ engine.Source   = (*Source)(nil)
+	_ engine.Observer = (*Source)(nil)
+)
+
+func newSource(c *client.Client, cluster string, allPriorities bool) *Source {
+	return &Source{client: c, cluster: cluster, load: c.ClusterLoad(cluster), allPriorities: allPriorities}
 }
 
+// String names the source in log messages.
 func (s *Source) String() string { return "the xDS cluster " + s.cluster }
 
-// Follow tells the cluster's endpoints, the whole list first, whatever was told before: the client knows
-// what has changed since only while it is followed.
+// Follow passes on the cluster's endpoints until ctx ends, and returns why that ended. The first list is
+// complete, whichever version the engine has: what changed while nobody followed the cluster is unknown.
 func (s *Source) Follow(ctx context.Context, _ string, news func(engine.News)) error {
-	// What comes faster than it is taken replaces what was not taken yet: only the latest counts.
-	latest := make(chan resource.Update, 1)
-	s.client.Watch(ctx, s.cluster, func(u resource.Update) {
+	// The watcher must not block, and only the latest assignment matters: one that has not been taken yet is
+	// replaced. The watcher is the only sender, so there is room after it has emptied the channel.
+	latest := make(chan resource.ClusterUpdate, 1)
+	s.client.Watch(ctx, s.cluster, func(u resource.ClusterUpdate) {
 		select {
 		case <-latest:
 		default:
 		}
 		latest <- u
 	})
-	list := resource.Lister{Levels: s.levels}
+	differ := resource.Differ{AllPriorities: s.allPriorities}
 	for {
 		select {
 		case u := <-latest:
-			s.load.List(u.Assignment)
-			n, reports := list.News(u.Assignment)
-			for _, r := range reports {
-				log.Printf("xds: cluster %s: %s", s.cluster, r)
+			s.load.SetAssignment(u.Assignment)
+			update, notices := differ.Update(u.Assignment)
+			for _, text := range notices {
+				log.Printf("xds: cluster %s: %s", s.cluster, text)
 			}
-			if n != nil {
-				news(*n)
+			if update != nil {
+				news(*update)
 			}
 		case <-ctx.Done():
 			return context.Cause(ctx)
@@ -79,11 +87,11 @@
 	}
 }
 
-// Began, Ended and Dropped count what is reported as load.
-func (s *Source) Began(id string) { s.load.Began(id) }
+// Began counts the start of an attempt for the load reports.
+func (s *Source) Began(id string) { s.load.AttemptStarted(id) }
 
-// Ended counts the end of an attempt.
-func (s *Source) Ended(id string, e balancer.Ending) { s.load.Ended(id, e) }
+// Ended counts the end of an attempt for the load reports.
+func (s *Source) Ended(id string, ending balancer.Ending) { s.load.AttemptEnded(id, ending) }
 
-// Dropped counts a request refused by the control plane's drops.
-func (s *Source) Dropped() { s.load.Dropped() }
+// Dropped counts a request that was rejected by the control plane's drop_overloads.
+func (s *Source) Dropped() { s.load.RequestDropped() }
--- a/internal/xds/client/dump.go
+++ b/internal/xds/client/dump.go
@@ -1,8 +1,10 @@
 package client
 
 import (
+	"cmp"
 	"fmt"
 	"io"
+	"maps"
 	"slices"
 	"strings"
 	"text/tabwriter"
@@ -12,40 +14,43 @@
 	"cranegrade/internal/xds/resource"
 )
 
-// Dump is what a client holds.
+// maxNoticesWritten bounds the notices that Write writes.
+const maxNoticesWritten = 20
+
+// Dump is what a client holds at one time.
 type Dump struct {
 	Variant   string
 	Servers   []ServerDump
 	Resources []ResourceDump
 	Clusters  []ClusterDump
-	Reports   []Report
+	Notices   []Notice
 }
 
-// ServerDump is a control plane.
+// ServerDump is the state of a control plane.
 type ServerDump struct {
-	Addr    string
-	InUse   bool // its news count
-	Open    bool // a stream to it is open
-	Problem string
+	Addr       string
+	InUse      bool // its responses count
+	StreamOpen bool
+	LastError  string // why its last stream failed; "" since a response came
 }
 
-// ResourceDump is a resource.
+// ResourceDump is the state of a resource.
 type ResourceDump struct {
 	Type, Name, Version, Status string
-	Age                         time.Duration // since it got this version or status
-	Refused                     string        // why its last update was refused
-	RefusedAge                  time.Duration
+	Age                         time.Duration // since it got this value or status
+	RejectionReason             string        // why its latest update was rejected; "" if it was not
+	RejectionAge                time.Duration
 	Endpoints                   int
-	Ignored                     []string
+	IgnoredFields               []string
 }
 
-// ClusterDump is a cluster that a pool follows.
+// ClusterDump is the state of a watched cluster.
 type ClusterDump struct{ Name, State string }
 
-// Dump tells what the client holds now.
+// Dump returns what the client holds now; the zero Dump if the client has ended.
 func (c *Client) Dump() (d Dump) {
 	done := make(chan struct{})
-	c.do(func() {
+	c.post(func() {
 		defer close(done)
 		d = c.dump()
 	})
@@ -57,86 +62,93 @@
 }
 
 func (c *Client) dump() Dump {
-	d := Dump{Variant: "state of the world", Reports: slices.Clone(c.reports)}
+	d := Dump{Variant: "state of the world", Notices: slices.Clone(c.notices)}
 	if c.cfg.Delta {
 		d.Variant = "incremental"
 	}
 	for i, addr := range c.cfg.Servers {
-		d.Servers = append(d.Servers, ServerDump{addr, i == c.failover.Active(), c.streams[i] != nil, c.problems[i]})
+		d.Servers = append(d.Servers, ServerDump{
+			Addr: addr, InUse: i == c.failover.Active(), StreamOpen: c.streams[i] != nil, LastError: c.lastErrors[i],
+		})
 	}
 	now := c.now()
 	for _, t := range resource.Types() {
-		held := c.machine.Resources(t.URL)
-		names := make([]string, 0, len(held))
-		for n := range held {
-			names = append(names, n)
-		}
-		slices.Sort(names)
-		for _, n := range names {
-			r := held[n]
-			x := ResourceDump{
-				Type: t.URL[strings.LastIndexByte(t.URL, '.')+1:], Name: n, Version: r.Version,
-				Status: r.Status.String(), Age: now - r.ChangedAt, Refused: r.RejectionReason,
-			}
-			if r.RejectionReason != "" {
-				x.RefusedAge = now - r.RejectedAt
-			}
-			switch v := r.Value.(type) {
-			case *resource.Assignment:
-				x.Endpoints, x.Ignored = len(v.Endpoints), v.Ignored
-			case *resource.Cluster:
-				x.Ignored = v.Ignored
-			}
-			if r.Status != ads.Received {
-				x.Version = "-"
-			}
-			d.Resources = append(d.Resources, x)
+		resources := c.machine.Resources(t.URL)
+		for _, name := range slices.Sorted(maps.Keys(resources)) {
+			d.Resources = append(d.Resources, dumpResource(now, t.URL, resources[name]))
 		}
 	}
 	for name := range c.watchers {
 		d.Clusters = append(d.Clusters, ClusterDump{name, c.clusters.State(name)})
 	}
-	slices.SortFunc(d.Clusters, func(a, b ClusterDump) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(d.Clusters, func(a, b ClusterDump) int { return cmp.Compare(a.Name, b.Name) })
 	return d
 }
 
-// Write writes a dump for people.
+func dumpResource(now time.Duration, typeURL string, r *ads.Resource) ResourceDump {
+	d := ResourceDump{
+		Type: typeURL[strings.LastIndexByte(typeURL, '.')+1:], Name: r.Name, Version: r.Version,
+		Status: r.Status.String(), Age: now - r.ChangedAt, RejectionReason: r.RejectionReason,
+	}
+	if r.RejectionReason != "" {
+		d.RejectionAge = now - r.RejectedAt
+	}
+	switch value := r.Value.(type) {
+	case *resource.Assignment:
+		d.Endpoints, d.IgnoredFields = len(value.Endpoints), value.IgnoredFields
+	case *resource.Cluster:
+		d.IgnoredFields = value.IgnoredFields
+	}
+	if r.Status != ads.Received {
+		d.Version = "-"
+	}
+	return d
+}
+
+// Write writes a dump as text for operators. It is written to a connection of the inspection server, so
+// there is nobody to tell of a failure.
 func (d Dump) Write(w io.Writer) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "control planes (%s)\t\t\n", d.Variant)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "control planes (%s)\t\t\n", d.Variant)
 	for _, s := range d.Servers {
-		state := "no stream"
-		if s.Open {
-			state = "a stream is open"
-		}
-		if s.InUse {
-			state += ", in use"
-		}
-		fmt.Fprintf(t, "  %s\t%s\t%s\n", s.Addr, state, s.Problem)
+		fmt.Fprintf(table, "  %s\t%s\t%s\n", s.Addr, s.state(), s.LastError)
 	}
-	t.Flush()
-	fmt.Fprintf(t, "\ntype\tname\tversion\tstatus\tage\tendpoints\tlast refused\tignored fields\n")
+	_ = table.Flush() // columns are aligned anew from here on
+	fmt.Fprintf(table, "\ntype\tname\tversion\tstatus\tage\tendpoints\tlast refused\tignored fields\n")
 	for _, r := range d.Resources {
-		refused := ""
-		if r.Refused != "" {
-			refused = fmt.Sprintf("%s ago: %s", round(r.RefusedAge), r.Refused)
+		rejected := ""
+		if r.RejectionReason != "" {
+			rejected = fmt.Sprintf("%s ago: %s", roundAge(r.RejectionAge), r.RejectionReason)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n", r.Type, r.Name, r.Version, r.Status, round(r.Age), r.Endpoints, refused, strings.Join(r.Ignored, " "))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\n",
+			r.Type, r.Name, r.Version, r.Status, roundAge(r.Age), r.Endpoints, rejected, strings.Join(r.IgnoredFields, " "))
 	}
-	fmt.Fprintf(t, "\ncluster\tstate\n")
+	fmt.Fprintf(table, "\ncluster\tstate\n")
 	for _, c := range d.Clusters {
-		fmt.Fprintf(t, "%s\t%s\n", c.Name, c.State)
+		fmt.Fprintf(table, "%s\t%s\n", c.Name, c.State)
 	}
-	t.Flush()
-	if len(d.Reports) > 0 {
+	_ = table.Flush()
+	if len(d.Notices) > 0 {
 		fmt.Fprintf(w, "\nlatest reports\n")
 	}
-	for _, r := range d.Reports[max(0, len(d.Reports)-20):] {
-		fmt.Fprintf(w, "  %s %s\n", r.At.Format(time.TimeOnly), r.Text)
+	for _, n := range d.Notices[max(0, len(d.Notices)-maxNoticesWritten):] {
+		fmt.Fprintf(w, "  %s %s\n", n.At.Format(time.TimeOnly), n.Text)
+	}
+}
+
+func (s ServerDump) state() string {
+	state := "no stream"
+	if s.StreamOpen {
+		state = "a stream is open"
+	}
+	if s.InUse {
+		state += ", in use"
 	}
+	return state
 }
 
-func round(d time.Duration) time.Duration {
+// roundAge rounds to seconds, and ages below one to milliseconds.
+func roundAge(d time.Duration) time.Duration {
 	if d > time.Second {
 		return d.Round(time.Second)
 	}
--- a/internal/xds/resource/clusters.go
+++ b/internal/xds/resource/clusters.go
@@ -1,6 +1,7 @@
 package resource
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"time"
@@ -8,211 +9,211 @@
 	"cranegrade/internal/xds/ads"
 )
 
-// Clusters joins clusters with their assignments: it says which assignments are wanted, and gives the
-// present assignment of each cluster that someone follows. It is pure.
-type Clusters struct {
-	cfg      ClustersConfig
-	followed map[string]*followed
-	clusters map[string]*Cluster
-	services map[string]*Assignment
-	missing  map[string]bool // services that do not exist
-	emptyAt  time.Duration   // when every cluster went at once; 0: they did not
+// ClustersConfig says what the removal of a resource means.
+type ClustersConfig struct {
+	// KeepOnRemoval keeps a cluster's servers when the control plane removes the cluster, or says that its
+	// assignment does not exist. By default they are gone.
+	KeepOnRemoval bool
+	// EmptyGrace is how long all clusters are kept when one response removes every one of them, as does a
+	// control plane that restarted without its data. 0: they are not kept.
+	EmptyGrace time.Duration
 }
 
-// ClustersConfig says what a removal means.
-type ClustersConfig struct {
-	// Keep has a cluster's servers stay as they were when the control plane removes the cluster, or says
-	// that its assignment does not exist; else they are gone.
-	Keep bool
-	// Grace is how long all clusters together stay when one response removes every one of them, which a
-	// control plane that came back empty does. 0: no time.
-	Grace time.Duration
+// Clusters joins clusters with their assignments: it says which assignments have to be subscribed to, and
+// gives the present assignment of each cluster that is watched. It belongs to one goroutine.
+type Clusters struct {
+	cfg         ClustersConfig
+	watched     map[string]*watchedCluster
+	clusters    map[string]*Cluster
+	assignments map[string]*Assignment // by EDS service name
+	nonexistent map[string]bool        // EDS service names that have no assignment
+	emptiedAt   time.Duration          // when a response removed every cluster, while the grace runs; 0: it does not run
 }
 
-// followed is a cluster that someone follows.
-type followed struct {
-	told  bool
-	last  *Assignment
-	state string
+// watchedCluster is what the watchers of a cluster were last notified of.
+type watchedCluster struct {
+	notified   bool // they were notified at all
+	assignment *Assignment
 }
 
-// Update is a cluster's present assignment.
-type Update struct {
+// ClusterUpdate is the present assignment of a watched cluster.
+type ClusterUpdate struct {
 	Cluster    string
 	Assignment *Assignment // nil: there are no servers
-	State      string      // in words: why it is as it is
+	State      string      // in words: why it is so
 }
 
-// NewClusters returns a set that follows nothing.
+// NewClusters returns a set that watches nothing.
 func NewClusters(cfg ClustersConfig) *Clusters {
 	return &Clusters{
-		cfg: cfg, followed: map[string]*followed{}, clusters: map[string]*Cluster{},
-		services: map[string]*Assignment{}, missing: map[string]bool{},
+		cfg: cfg, watched: map[string]*watchedCluster{}, clusters: map[string]*Cluster{},
+		assignments: map[string]*Assignment{}, nonexistent: map[string]bool{},
 	}
 }
 
-// Follow and Unfollow set which clusters are of interest.
-func (c *Clusters) Follow(name string) []Update {
-	if c.followed[name] == nil {
-		c.followed[name] = &followed{}
+// Watch adds a watcher of a cluster. The updates notify it, and all other watchers of this cluster again.
+func (c *Clusters) Watch(name string) []ClusterUpdate {
+	if c.watched[name] == nil {
+		c.watched[name] = &watchedCluster{}
 	}
-	c.followed[name].told = false
+	c.watched[name].notified = false
 	return c.updates()
 }
 
-// Unfollow is the end of Follow.
-func (c *Clusters) Unfollow(name string) { delete(c.followed, name) }
+// Unwatch ends the watch of a cluster, for all its watchers.
+func (c *Clusters) Unwatch(name string) { delete(c.watched, name) }
 
-// Wanted are the names of the clusters to ask for, and of the assignments that these lead to. What is
-// known of other assignments is forgotten: nobody tells of them any more.
-func (c *Clusters) Wanted() (clusters, services []string) {
-	seen := map[string]bool{}
-	for name := range c.followed {
+// Subscriptions returns the names of the clusters and assignments to subscribe to, sorted. It forgets
+// other assignments: without a subscription, no control plane would say when they change.
+func (c *Clusters) Subscriptions() (clusters, assignments []string) {
+	subscribed := map[string]bool{}
+	for name := range c.watched {
 		clusters = append(clusters, name)
-		if k := c.clusters[name]; k != nil && k.Service != "" && !seen[k.Service] {
-			seen[k.Service] = true
-			services = append(services, k.Service)
+		if cluster := c.clusters[name]; cluster != nil && cluster.EDSServiceName != "" && !subscribed[cluster.EDSServiceName] {
+			subscribed[cluster.EDSServiceName] = true
+			assignments = append(assignments, cluster.EDSServiceName)
 		}
 	}
-	for name := range c.services {
-		if !seen[name] {
-			delete(c.services, name)
+	for name := range c.assignments {
+		if !subscribed[name] {
+			delete(c.assignments, name)
 		}
 	}
-	for name := range c.missing {
-		if !seen[name] {
-			delete(c.missing, name)
+	for name := range c.nonexistent {
+		if !subscribed[name] {
+			delete(c.nonexistent, name)
 		}
 	}
 	slices.Sort(clusters)
-	slices.Sort(services)
-	return clusters, services
+	slices.Sort(assignments)
+	return clusters, assignments
 }
 
-// Change takes news of the machine and gives the updates that follow, and what to report.
-func (c *Clusters) Change(now time.Duration, n ads.ResourceUpdate) (updates []Update, reports []string) {
-	switch n.TypeURL {
+// HandleUpdate takes a change of resources and returns the updates of watched clusters that follow from
+// it, and notices for operators.
+func (c *Clusters) HandleUpdate(now time.Duration, update ads.ResourceUpdate) (updates []ClusterUpdate, notices []string) {
+	switch update.TypeURL {
 	case ClusterURL:
-		for _, r := range n.Updated {
-			c.clusters[r.Name] = r.Value.(*Cluster)
-		}
-		gone := 0
-		for _, name := range n.Removed {
-			if c.clusters[name] != nil {
-				gone++
-			}
-		}
-		if c.cfg.Grace > 0 && gone > 0 && gone == len(c.clusters) {
-			// The clusters stay until the grace is over or the control plane names one again.
-			c.emptyAt = now
-			return c.updates(), []string{fmt.Sprintf("the control plane has removed all %d clusters at once; they stay for %v", gone, c.cfg.Grace)}
-		}
-		if len(n.Updated) > 0 && c.emptyAt > 0 {
-			// It names clusters again: what it does not name by now is gone.
-			c.emptyAt = 0
-		}
-		for _, name := range n.Removed {
-			if c.clusters[name] != nil {
-				reports = append(reports, c.lost("cluster "+name+" is removed"))
-			}
-			delete(c.clusters, name)
-		}
+		notices = c.updateClusters(now, update)
 	case EndpointURL:
-		for _, r := range n.Updated {
-			c.services[r.Name] = r.Value.(*Assignment)
-			delete(c.missing, r.Name)
+		notices = c.updateAssignments(update)
+	}
+	return c.updates(), notices
+}
+
+func (c *Clusters) updateClusters(now time.Duration, update ads.ResourceUpdate) (notices []string) {
+	for _, r := range update.Updated {
+		c.clusters[r.Name] = r.Value.(*Cluster)
+	}
+	removed := 0
+	for _, name := range update.Removed {
+		if c.clusters[name] != nil {
+			removed++
 		}
-		for _, name := range n.Removed {
-			if c.services[name] != nil {
-				reports = append(reports, c.lost("the assignment "+name+" does not exist any more"))
-			}
-			c.missing[name] = true
-			delete(c.services, name)
+	}
+	if c.cfg.EmptyGrace > 0 && removed > 0 && removed == len(c.clusters) {
+		c.emptiedAt = now
+		return []string{fmt.Sprintf("the control plane has removed all %d clusters at once; they stay for %v", removed, c.cfg.EmptyGrace)}
+	}
+	if len(update.Updated) > 0 {
+		// The control plane names clusters again, so the grace ends. The others stay as they are.
+		c.emptiedAt = 0
+	}
+	for _, name := range update.Removed {
+		if c.clusters[name] != nil {
+			notices = append(notices, c.removalNotice("cluster "+name+" is removed"))
 		}
+		delete(c.clusters, name)
 	}
-	return c.updates(), reports
+	return notices
 }
 
-func (c *Clusters) lost(what string) string {
-	if c.cfg.Keep {
+func (c *Clusters) updateAssignments(update ads.ResourceUpdate) (notices []string) {
+	for _, r := range update.Updated {
+		c.assignments[r.Name] = r.Value.(*Assignment)
+		delete(c.nonexistent, r.Name)
+	}
+	for _, name := range update.Removed {
+		if c.assignments[name] != nil {
+			notices = append(notices, c.removalNotice("the assignment "+name+" does not exist any more"))
+		}
+		c.nonexistent[name] = true
+		delete(c.assignments, name)
+	}
+	return notices
+}
+
+func (c *Clusters) removalNotice(what string) string {
+	if c.cfg.KeepOnRemoval {
 		return what + ": its servers stay as they were"
 	}
 	return what + ": its servers are gone"
 }
 
-// Advance ends a grace that is over. still are the clusters that the machine has by now.
-func (c *Clusters) Advance(now time.Duration, still map[string]*ads.Resource) (updates []Update, reports []string) {
-	if c.emptyAt == 0 || now < c.emptyAt+c.cfg.Grace {
+// Advance ends a grace that is over: the clusters that the machine does not hold by then are removed.
+// received are the cluster resources of the machine.
+func (c *Clusters) Advance(now time.Duration, received map[string]*ads.Resource) (updates []ClusterUpdate, notices []string) {
+	if c.emptiedAt == 0 || now < c.emptiedAt+c.cfg.EmptyGrace {
 		return nil, nil
 	}
-	c.emptyAt = 0
+	c.emptiedAt = 0
 	for name := range c.clusters {
-		if r := still[name]; r == nil || r.Status != ads.Received {
-			reports = append(reports, c.lost("cluster "+name+" is removed, and the grace is over"))
+		if r := received[name]; r == nil || r.Status != ads.Received {
+			notices = append(notices, c.removalNotice("cluster "+name+" is removed, and the grace is over"))
 			delete(c.clusters, name)
 		}
 	}
-	slices.Sort(reports)
-	return c.updates(), reports
+	slices.Sort(notices)
+	return c.updates(), notices
 }
 
-// Next is when Advance has something to do; false if never.
-func (c *Clusters) Next() (time.Duration, bool) { return c.emptyAt + c.cfg.Grace, c.emptyAt > 0 }
+// NextDeadline returns when Advance has something to do; false if never.
+func (c *Clusters) NextDeadline() (at time.Duration, ok bool) {
+	return c.emptiedAt + c.cfg.EmptyGrace, c.emptiedAt > 0
+}
 
-// updates are those of the followed clusters whose assignment is another than was told.
-func (c *Clusters) updates() (l []Update) {
-	for name, f := range c.followed {
-		a, state, known := c.present(name)
-		if !known && !f.told {
-			f.state = state
-			continue // nothing was ever told: what the node had before serves
-		}
-		if !known && (c.cfg.Keep || state == waiting) {
-			f.state = state
-			continue // what was told stays
-		}
-		if f.told && f.last == a && f.state == state {
+// updates returns the updates of the watched clusters whose assignment is not the one last notified of.
+func (c *Clusters) updates() (updates []ClusterUpdate) {
+	for name, watched := range c.watched {
+		assignment, state, known := c.present(name)
+		if !known && (!watched.notified || c.cfg.KeepOnRemoval || state == stateNotReceived) {
+			// What the watchers have stays in use: the servers of the node's file if they were never notified,
+			// else the last assignment.
 			continue
 		}
-		changed := !f.told || f.last != a
-		f.told, f.last, f.state = true, a, state
-		if changed {
-			l = append(l, Update{name, a, state})
+		if !watched.notified || watched.assignment != assignment {
+			updates = append(updates, ClusterUpdate{name, assignment, state})
 		}
+		watched.notified, watched.assignment = true, assignment
 	}
-	slices.SortFunc(l, func(a, b Update) int {
-		if a.Cluster < b.Cluster {
-			return -1
-		}
-		return 1
-	})
-	return l
+	slices.SortFunc(updates, func(a, b ClusterUpdate) int { return cmp.Compare(a.Cluster, b.Cluster) })
+	return updates
 }
 
-// waiting is the state of a cluster whose assignment has been asked for and not come yet: until it
-// comes, or is said not to exist, what was told before stays.
-const waiting = "its assignment has not come yet"
+// stateNotReceived is the state of a cluster whose assignment was subscribed to and has not come yet.
+// Until it comes, or is said not to exist, the assignment before stays in use.
+const stateNotReceived = "its assignment has not come yet"
 
-// present is a cluster's assignment; not known: there is none.
-func (c *Clusters) present(name string) (a *Assignment, state string, known bool) {
-	k := c.clusters[name]
+// present returns a cluster's assignment and its state in words; known is false if there is no assignment.
+func (c *Clusters) present(name string) (assignment *Assignment, state string, known bool) {
+	cluster := c.clusters[name]
 	switch {
-	case k == nil:
+	case cluster == nil:
 		return nil, "there is no such cluster", false
-	case k.Static != nil:
-		return k.Static, "static", true
-	case c.services[k.Service] != nil:
-		return c.services[k.Service], "by the assignment " + k.Service, true
-	case c.missing[k.Service]:
-		return nil, "its assignment " + k.Service + " does not exist", false
+	case cluster.StaticAssignment != nil:
+		return cluster.StaticAssignment, "static", true
+	case c.assignments[cluster.EDSServiceName] != nil:
+		return c.assignments[cluster.EDSServiceName], "by the assignment " + cluster.EDSServiceName, true
+	case c.nonexistent[cluster.EDSServiceName]:
+		return nil, "its assignment " + cluster.EDSServiceName + " does not exist", false
 	}
-	return nil, waiting, false
+	return nil, stateNotReceived, false
 }
 
-// State says in words how a followed cluster stands.
+// State says in words where a watched cluster's servers come from, or why it has none.
 func (c *Clusters) State(name string) string {
 	_, state, _ := c.present(name)
-	if c.emptyAt > 0 {
+	if c.emptiedAt > 0 {
 		state += "; the control plane has removed all clusters, and the grace runs"
 	}
 	return state
