--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -101,7 +101,7 @@
 			return Config{}, fmt.Errorf("known: %w", err)
 		}
 	}
-	c.Known.All = true
+	c.Known.Complete = true
 	if len(raw.Settings) == 0 {
 		return Config{}, fmt.Errorf("settings: missing")
 	}
@@ -109,7 +109,7 @@
 		return Config{}, err
 	}
 	if c.Settings.AskDiscovery {
-		c.Settings.ToldAfter = registry.ToldAfter
+		c.Settings.ToldAfter = registry.NotifiedAfter
 	}
 	if c.Conns.Idle <= 0 {
 		c.Conns.Idle = defaultConnIdle
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -34,7 +34,7 @@
 	}
 	return Config{
 		Name: "n0", Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, Sockets: 256,
-		Known: registry.List{Rev: 7, All: true, Targets: targets},
+		Known: registry.List{Revision: 7, Complete: true, Targets: targets},
 		Settings: balancer.Settings{
 			Classes: []balancer.Class{
 				class("read", balancer.Idempotent), class("send", balancer.IdempotentByKey),
--- a/internal/source/registry/fuzz_test.go
+++ b/internal/source/registry/fuzz_test.go
@@ -6,8 +6,8 @@
 	"cranegrade/internal/testkit"
 )
 
-// FuzzParseList: whatever a registry says, there is an error or a list whose every entry has an id, a
-// known state and, unless it is gone, an address.
+// FuzzParseList: what is accepted is a list whose every entry has an id, a known state and, unless it is
+// deleted, an address.
 func FuzzParseList(f *testing.F) {
 	f.Add([]byte(testkit.ListMessage(3, true, testkit.Entry("a", "SERVING"), testkit.Entry("b", "DELETED"))))
 	f.Add([]byte(`{"rev":1e400}`))
@@ -18,9 +18,8 @@
 		if err != nil {
 			return
 		}
-		n := l.News()
-		for i, s := range n.Servers {
-			if s.ID == "" || l.Targets[i].State != "DELETED" && s.Addr == "" {
+		for i, s := range l.News().Servers {
+			if s.ID == "" || l.Targets[i].State != stateDeleted && s.Addr == "" {
 				t.Fatalf("%+v", s)
 			}
 		}
--- a/internal/source/static/static.go
+++ b/internal/source/static/static.go
@@ -1,4 +1,5 @@
-// Package static is a list of servers that is told once and stays.
+// Package static is the source of a pool's servers whose list stands in the operator's file: it never
+// changes.
 package static
 
 import (
@@ -7,10 +8,15 @@
 	"cranegrade/internal/engine"
 )
 
-// Source is a fixed list. It implements engine.Source.
+// Source is a fixed list of servers. It implements engine.Source.
 type Source []engine.Listed
 
-// Follow tells the list, unless it was told, and then nothing until ctx ends.
+var _ engine.Source = Source(nil)
+
+// version is that of the only list there is.
+const version = "static"
+
+// Follow passes on the list, unless since says that the engine has it, and returns why ctx has ended.
 func (s Source) Follow(ctx context.Context, since string, news func(engine.News)) error {
 	if since != version {
 		news(engine.News{Full: true, Version: version, Servers: s})
@@ -19,7 +25,5 @@
 	return context.Cause(ctx)
 }
 
-// version of the one list there is.
-const version = "static"
-
+// String names the source in log messages.
 func (s Source) String() string { return "the file" }
