--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -37,15 +37,15 @@
 			return err
 		}
 		switch m.Kind {
-		case wire.Sync:
+		case wire.BatchStart:
 			now = m.Now
-		case wire.Hello:
+		case wire.InstanceStart:
 			b, err := balancer.New(m.Settings, m.Seed)
 			if err != nil {
 				return fmt.Errorf("hello for instance %d: %w", m.Instance, err)
 			}
 			hosted[m.Instance] = b
-		case wire.Stop:
+		case wire.InstanceStop:
 			delete(hosted, m.Instance)
 		case wire.Event:
 			b := hosted[m.Instance]
@@ -55,14 +55,14 @@
 			for _, a := range b.Handle(now, m.Event) {
 				enc.Action(m.Instance, a)
 			}
-		case wire.End:
+		case wire.BatchEnd:
 			if err := enc.Flush(); err != nil {
 				return err
 			}
 			if _, err := reply.WriteTo(out); err != nil {
 				return err
 			}
-		case wire.Other: // kinds of a later simulator are skipped
+		case wire.Ignored: // kinds of a later simulator are skipped
 		}
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"reflect"
 	"strings"
@@ -11,32 +12,33 @@
 	"cranegrade/balancer"
 )
 
-const sample = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
+// sampleBatch is a batch with a list, a request and an outcome.
+const sampleBatch = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
 	"job_in\tid\t8652.25\t-\tget\t3\t-\t12.0\noutcome\tid\ts:1\t18.5\t1\t0\tsuccess\tbusy_reqs:3,odd:1\neob\n"
 
-func all(t *testing.T, text string) ([]Message, error) {
+// decodeAll decodes messages until the input ends or is malformed.
+func decodeAll(t *testing.T, text string) (messages []Message, err error) {
 	t.Helper()
 	d := NewDecoder(strings.NewReader(text))
-	var l []Message
 	for {
 		m, err := d.Next()
-		if err == io.EOF {
-			return l, nil
+		if errors.Is(err, io.EOF) {
+			return messages, nil
 		}
 		if err != nil {
-			return l, err
+			return messages, err
 		}
-		l = append(l, m)
+		messages = append(messages, m)
 	}
 }
 
 func TestDecode(t *testing.T) {
-	l, err := all(t, sample)
+	got, err := decodeAll(t, sampleBatch)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := []Message{
-		{Kind: Sync, Instance: -1, Now: 8412250 * time.Microsecond},
+		{Kind: BatchStart, Instance: -1, Now: 8412250 * time.Microsecond},
 		{Kind: Event, Instance: 3, Event: balancer.ServerList{
 			Full: true, Cached: true,
 			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, StartedAt: 6100500 * time.Microsecond}},
@@ -49,33 +51,37 @@
 			ID: "id", Server: "s:1", Ended: true,
 			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1},
 		}},
-		{Kind: End, Instance: 3},
+		{Kind: BatchEnd, Instance: 3},
 	}
-	if !reflect.DeepEqual(l, want) {
-		t.Fatalf("got %+v\nwant %+v", l, want)
+	if !reflect.DeepEqual(got, want) {
+		t.Fatalf("got %+v\nwant %+v", got, want)
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
-	for text, want := range map[string]string{
-		"eob\n":                                "line 1: \"eob\" outside a batch",
-		"sync\tx\n":                            "line 1: sync: value 1 is no time",
-		"sync\t1\nhuh\t1\n":                    "line 2: \"huh\" before any about",
-		"sync\t1\nabout\t1\nhuh\t1\n":          "line 3: unknown message \"huh\"",
-		"sync\t1\nabout\t1\njob_in\ta\n":       "line 3: job_in: value 2",
-		"sync\t1\nlist\t0\t2\nitem\ta\tb\n":    "value 4 is missing",
-		"sync\t1\nlist\t77\t2\n":               "out of range",
-		"sync\t1\n":                            "input ends inside a batch",
-		"sync\t1\nabout\t1\nhello\t5\t{bad\n":  "settings",
-		"sync\t1\nabout\t1\nannounce\t9\t0\t0": "input ends inside a batch",
+func TestMalformedInputIsReportedWithItsLine(t *testing.T) {
+	for _, c := range []struct{ name, text, want string }{
+		{"end without a batch", "eob\n", "line 1: \"eob\" outside a batch"},
+		{"batch in a batch", "sync\t1\nsync\t2\n", "line 2: sync inside a batch"},
+		{"malformed time", "sync\tx\n", "line 1: sync: value 1 is no time"},
+		{"no instance", "sync\t1\nhuh\t1\n", "line 2: \"huh\" before any about"},
+		{"unknown message", "sync\t1\nabout\t1\nhuh\t1\n", "line 3: unknown message \"huh\""},
+		{"missing value", "sync\t1\nabout\t1\njob_in\ta\n", "line 3: job_in: value 2"},
+		{"short list item", "sync\t1\nlist\t0\t2\nitem\ta\tb\n", "value 4 is missing"},
+		{"unknown list", "sync\t1\nlist\t77\t2\n", "out of range"},
+		{"number that is too large", "sync\t1\nabout\t1\nannounce\t2\t99999999999999999999\t1\n", "line 3: announce: value 2 is no whole number"},
+		{"no end of the batch", "sync\t1\n", "input ends inside a batch"},
+		{"malformed settings", "sync\t1\nabout\t1\nhello\t5\t{bad\n", "settings"},
+		{"no end of the line", "sync\t1\nabout\t1\nannounce\t9\t0\t0", "input ends inside a batch"},
 	} {
-		if _, err := all(t, text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got %v, want %q", text, err, want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := decodeAll(t, c.text); err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%q: got %v, want %q", c.text, err, c.want)
+			}
+		})
 	}
 }
 
-func TestUnknownEffectIsUnsafe(t *testing.T) {
+func TestUnknownEffectIsNonIdempotent(t *testing.T) {
 	s, _, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1}`))
 	if err != nil || s.Classes[0].Effect != balancer.NonIdempotent || s.Classes[1].Effect != balancer.Idempotent {
 		t.Fatalf("got %+v, %v", s, err)
@@ -97,8 +103,9 @@
 	}
 }
 
+// FuzzDecode: no input makes the decoder panic.
 func FuzzDecode(f *testing.F) {
-	f.Add(sample)
+	f.Add(sampleBatch)
 	f.Add("sync\t1\nabout\t0\ncrash_now\neob\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		d := NewDecoder(strings.NewReader(text))
