--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -135,7 +135,7 @@
 			return fmt.Errorf("known: %w", err)
 		}
 	}
-	c.Known.All = true
+	c.Known.Complete = true
 	return nil
 }
 
@@ -152,7 +152,7 @@
 		c.Sockets = defaultSockets
 	}
 	if c.Settings.AskDiscovery {
-		c.Settings.ToldAfter = registry.ToldAfter
+		c.Settings.ToldAfter = registry.NotifiedAfter
 	}
 	if c.Conns.Idle <= 0 {
 		c.Conns.Idle = defaultConnIdle
