--- a/cmd/cranegrade/main.go
+++ b/cmd/cranegrade/main.go
@@ -66,24 +66,27 @@
 // newExtProc makes the front for proxies that ask.
 func newExtProc(l net.Listener, x operator.ExtProc, clock engine.Clock, n *node.Node) node.Front {
 	return extproc.New(l, extproc.Config{
-		Clock: clock, Routes: questions{n}, Within: x.DecisionTimeout, Linger: x.Linger, Retries: x.Retries,
-		Streams: uint32(x.Streams), Rate: x.Rate, ID: x.IDHeader, Clear: x.ClearRouteCache, Slim: x.HeadersOnly, TimeLeft: x.TimeLeft, Known: int(x.RememberedRequests),
-		RetryHeader: x.RetryHeader, ProxyStreams: int(x.ProxyStreams),
+		Clock: clock, Routes: extProcRoutes{n}, DecisionTimeout: x.DecisionTimeout, Linger: x.Linger,
+		Retries: x.Retries, RetryHeader: x.RetryHeader,
+		Streams: uint32(x.Streams), Rate: x.Rate, ProxyStreams: int(x.ProxyStreams),
+		IDHeader: x.IDHeader, ClearRouteCache: x.ClearRouteCache, HeadersOnly: x.HeadersOnly, TimeLeft: x.TimeLeft,
+		RememberedRequests: int(x.RememberedRequests),
 	})
 }
 
-// questions finds the pools of proxies' questions by the node's routes.
-type questions struct{ n *node.Node }
+// extProcRoutes routes the requests that proxies ask about by the node's routes.
+type extProcRoutes struct{ n *node.Node }
 
-func (r questions) Ask(q *stream.Question, id string) (*pool.Pool, string, *stream.Final) {
-	header := make(map[string][]string, len(q.Header))
-	for name, v := range q.Header {
+// Route implements extproc.Routes.
+func (r extProcRoutes) Route(request *stream.Request, id string) (*pool.Pool, string, *stream.ImmediateResponse) {
+	header := make(map[string][]string, len(request.Header))
+	for name, v := range request.Header {
 		header[textproto.CanonicalMIMEHeaderKey(name)] = v
 	}
-	path, _, _ := strings.Cut(q.Path, "?")
-	p, class, no := r.n.Find(q.Method, q.Authority, path, header, id)
+	path, _, _ := strings.Cut(request.Path, "?")
+	p, class, no := r.n.Find(request.Method, request.Authority, path, header, id)
 	if no != nil {
-		return nil, "", &stream.Final{Status: no.Status, Text: no.Text}
+		return nil, "", &stream.ImmediateResponse{Status: no.Status, Details: no.Text}
 	}
 	return p, class, nil
 }
--- a/internal/extproc/stream/stream_test.go
+++ b/internal/extproc/stream/stream_test.go
@@ -67,13 +67,13 @@
 				name += fmt.Sprintf("(%d)", r.Status.Code)
 			}
 			out = append(out, name)
-		case Ask:
+		case PickEndpoint:
 			out = append(out, "ask")
 		case Outcome:
 			out = append(out, fmt.Sprintf("outcome(%d %d %s %v)", a.Ending, a.Status, a.Served, a.Answered))
-		case Lost:
+		case Abandoned:
 			out = append(out, "lost")
-		case Hangup:
+		case Close:
 			out = append(out, "hangup")
 			if a.Err != nil {
 				out[len(out)-1] += "!"
@@ -92,7 +92,7 @@
 
 func decide(t *testing.T, s *Stream) *extproc.ProcessingResponse {
 	t.Helper()
-	l, used := s.Decide(Decision{Endpoint: "127.0.0.1:9", Fallbacks: []string{"127.0.0.1:8"}, TimeLeft: time.Second, Slim: true, Clear: true})
+	l, used := s.Decide(Decision{Endpoint: "127.0.0.1:9", Fallbacks: []string{"127.0.0.1:8"}, TimeLeft: time.Second, HeadersOnly: true, ClearRouteCache: true})
 	if !used {
 		t.Fatal("the decision is not used")
 	}
@@ -103,7 +103,7 @@
 	s := New()
 	l := s.Receive(request(true, "X-Request-Id", "1", "a", "\xff", "a", "2"))
 	expect(t, "headers", l, "ask")
-	q := l[0].(Ask).Question
+	q := l[0].(PickEndpoint).Request
 	if q.Method != "POST" || q.Path != "/order/1" || q.Authority != "a.test" || !q.EndOfStream || q.Get("x-request-id") != "1" ||
 		!reflect.DeepEqual(q.Header["a"], []string{"\xff", "2"}) || q.Get("none") != "" {
 		t.Errorf("question %+v", q)
@@ -124,7 +124,7 @@
 	if _, used := s.Decide(Decision{}); used {
 		t.Error("decided twice")
 	}
-	expect(t, "an answer that comes too late", s.Answer(Final{Status: 502}), "")
+	expect(t, "an answer that comes too late", s.Respond(ImmediateResponse{Status: 502}), "")
 	expect(t, "response", s.Receive(response("200", ServedHeader, "127.0.0.1:8")), "outcome(0 200 127.0.0.1:8 true) ResponseHeaders")
 	expect(t, "the end", s.End(), "hangup")
 	expect(t, "after it", s.Receive(response("200")), "")
@@ -178,14 +178,14 @@
 		m    *extproc.ProcessingRequest
 		want bool
 	}{
-		{Decision{Unsafe: true}, response("503"), true},
-		{Decision{Unsafe: true}, response("429"), true},
-		{Decision{Unsafe: true}, response("503", "x-unprocessed", "1"), false},
-		{Decision{Unsafe: true, Ran: true}, response("503", "x-unprocessed", "1"), true},
+		{Decision{AtMostOnce: true}, response("503"), true},
+		{Decision{AtMostOnce: true}, response("429"), true},
+		{Decision{AtMostOnce: true}, response("503", "x-unprocessed", "1"), false},
+		{Decision{AtMostOnce: true, MayHaveRun: true}, response("503", "x-unprocessed", "1"), true},
 		{Decision{}, response("503"), false},
-		{Decision{Ran: true}, response("503"), false},
-		{Decision{Unsafe: true}, response("500"), false},
-		{Decision{Unsafe: true, Ran: true}, response("200"), false},
+		{Decision{MayHaveRun: true}, response("503"), false},
+		{Decision{AtMostOnce: true}, response("500"), false},
+		{Decision{AtMostOnce: true, MayHaveRun: true}, response("200"), false},
 	} {
 		s := New()
 		s.Receive(request(true))
@@ -205,31 +205,31 @@
 	for name, c := range map[string]struct {
 		d       Decision
 		m       *extproc.ProcessingRequest
-		j       Judgement
+		j       RetryDecision
 		judged  bool
 		set     string // header: value, the first that is set
 		removes bool   // the retry header
 	}{
-		"served":           {Decision{}, response("200", retry, "1"), Judgement{Again: true}, false, "", true},
-		"again":            {Decision{Unsafe: true}, response("503", "x-unprocessed", "1"), Judgement{Again: true}, true, retry + ": 1", false},
-		"refused":          {Decision{Unsafe: true}, response("503", "x-unprocessed", "1"), Judgement{Refused: true, RetryAfter: time.Second}, true, ":status: 503", true},
-		"refused after it": {Decision{Unsafe: true}, response("503", retry, "1"), Judgement{Refused: true}, true, ":status: 502", true},
-		"failed, safe":     {Decision{}, response("500"), Judgement{}, true, "", true},
-		"failed, unsafe":   {Decision{Unsafe: true}, response("500"), Judgement{}, true, "", true},
-		"ran before":       {Decision{Unsafe: true, Ran: true}, response("503", "x-unprocessed", "1"), Judgement{}, true, ":status: 502", true},
+		"served":           {Decision{}, response("200", retry, "1"), RetryDecision{Retry: true}, false, "", true},
+		"again":            {Decision{AtMostOnce: true}, response("503", "x-unprocessed", "1"), RetryDecision{Retry: true}, true, retry + ": 1", false},
+		"refused":          {Decision{AtMostOnce: true}, response("503", "x-unprocessed", "1"), RetryDecision{Rejected: true, RetryAfter: time.Second}, true, ":status: 503", true},
+		"refused after it": {Decision{AtMostOnce: true}, response("503", retry, "1"), RetryDecision{Rejected: true}, true, ":status: 502", true},
+		"failed, safe":     {Decision{}, response("500"), RetryDecision{}, true, "", true},
+		"failed, unsafe":   {Decision{AtMostOnce: true}, response("500"), RetryDecision{}, true, "", true},
+		"ran before":       {Decision{AtMostOnce: true, MayHaveRun: true}, response("503", "x-unprocessed", "1"), RetryDecision{}, true, ":status: 502", true},
 	} {
 		s := New()
 		s.Receive(request(true))
 		c.d.RetryHeader = retry
 		s.Decide(c.d)
 		l := s.Receive(c.m)
-		if o := l[0].(Outcome); o.Judging != c.judged || (len(l) == 1) != c.judged {
-			t.Errorf("%s: %s, judging %v", name, words(l), o.Judging)
+		if o := l[0].(Outcome); o.AwaitsRetryDecision != c.judged || (len(l) == 1) != c.judged {
+			t.Errorf("%s: %s, judging %v", name, words(l), o.AwaitsRetryDecision)
 			continue
 		}
 		if c.judged {
 			expect(t, name+": what follows waits", s.Receive(responseBody("x", true)), "")
-			l, _ = s.Judge(c.j)
+			l, _ = s.DecideRetry(c.j)
 			expect(t, name, l, "ResponseHeaders ResponseBody")
 		} else {
 			l = l[1:]
@@ -242,7 +242,7 @@
 		if removes := slices.Contains(m.GetRemoveHeaders(), retry); got != c.set || removes != c.removes {
 			t.Errorf("%s: sets %q and not %q, takes the header off: %v", name, got, c.set, removes)
 		}
-		if _, used := s.Judge(c.j); used {
+		if _, used := s.DecideRetry(c.j); used {
 			t.Errorf("%s: judged twice", name)
 		}
 	}
@@ -251,7 +251,7 @@
 	s.Decide(Decision{RetryHeader: retry})
 	s.Receive(response("500"))
 	expect(t, "the end before the word", s.End(), "lost hangup")
-	if _, used := s.Judge(Judgement{Again: true}); used {
+	if _, used := s.DecideRetry(RetryDecision{Retry: true}); used {
 		t.Error("judged after the end")
 	}
 }
@@ -334,20 +334,20 @@
 	s.Receive(request(false))
 	n := 0
 	for ; !s.Full(); n++ {
-		if n > maxPendingMsgs {
+		if n > maxQueuedMessages {
 			t.Fatal("never full")
 		}
 		s.Receive(requestBody(strings.Repeat("x", 4096), false))
 	}
 	l, _ := s.Decide(Decision{Endpoint: "x:1"})
-	if len(l) != n+1 || s.Full() || s.bytes != 0 {
+	if len(l) != n+1 || s.Full() || s.queuedBytes != 0 {
 		t.Errorf("%d actions for %d pieces", len(l), n)
 	}
 	piece := requestBody(strings.Repeat("x", 64<<10), false)
 	if a := testing.AllocsPerRun(1000, func() { s.Receive(piece) }); a > 10 {
 		t.Errorf("%v allocations a piece", a)
 	}
-	if s.pending != nil || s.bytes != 0 {
+	if s.queued != nil || s.queuedBytes != 0 {
 		t.Error("pieces are kept")
 	}
 }
@@ -372,8 +372,8 @@
 	for name, f := range cases {
 		s := New()
 		l := f(s)
-		h, is := l[len(l)-1].(Hangup)
-		if !is || !errors.Is(h.Err, ErrOrder) && !errors.Is(h.Err, ErrEmpty) || !s.Over() {
+		h, is := l[len(l)-1].(Close)
+		if !is || !errors.Is(h.Err, ErrOutOfOrder) && !errors.Is(h.Err, ErrEmptyMessage) || !s.Over() {
 			t.Errorf("%s: %s", name, words(l))
 		}
 	}
@@ -397,7 +397,7 @@
 func TestFinal(t *testing.T) {
 	s := New()
 	s.Receive(request(true, "content-type", "application/grpc+proto"))
-	l := s.Answer(Final{Status: 503, RetryAfter: 1500 * time.Millisecond, Text: "refused"})
+	l := s.Respond(ImmediateResponse{Status: 503, RetryAfter: 1500 * time.Millisecond, Details: "refused"})
 	expect(t, "refused", l, "ImmediateResponse(503) hangup")
 	r := l[0].(Reply).Message.GetImmediateResponse()
 	if r.GetGrpcStatus().GetStatus() != 14 || string(r.Headers.SetHeaders[0].Header.RawValue) != "1.5" || r.Headers.SetHeaders[0].Header.Key != "retry-after" {
@@ -405,7 +405,7 @@
 	}
 	s = New()
 	s.Receive(request(true))
-	r = s.Answer(Final{Status: 502})[0].(Reply).Message.GetImmediateResponse()
+	r = s.Respond(ImmediateResponse{Status: 502})[0].(Reply).Message.GetImmediateResponse()
 	if r.GrpcStatus != nil || len(r.Headers.SetHeaders) != 0 {
 		t.Errorf("answer %v", r)
 	}
@@ -436,16 +436,16 @@
 					t.Fatalf("%s after the end", words(l))
 				}
 				switch a := a.(type) {
-				case Ask:
+				case PickEndpoint:
 					asked++
 				case Outcome:
 					outcomes++
 					if !used {
 						t.Fatal("an outcome without a decision")
 					}
-				case Lost:
+				case Abandoned:
 					lost++
-				case Hangup:
+				case Close:
 					hung++
 				case Reply:
 					replies = append(replies, words([]Action{a}))
@@ -465,7 +465,7 @@
 		actions := map[string]func(*rapid.T){
 			"decide": func(t *rapid.T) {
 				before := waiting
-				l, ok := s.Decide(Decision{Endpoint: "x:1", Slim: rapid.Bool().Draw(t, "slim"), RetryHeader: rapid.SampledFrom([]string{"", "x-again"}).Draw(t, "retry")})
+				l, ok := s.Decide(Decision{Endpoint: "x:1", HeadersOnly: rapid.Bool().Draw(t, "slim"), RetryHeader: rapid.SampledFrom([]string{"", "x-again"}).Draw(t, "retry")})
 				if ok && (used || asked != 1 || lost > 0) {
 					t.Fatal("a decision that nobody asked for is used")
 				}
@@ -476,13 +476,13 @@
 				waiting = 0
 			},
 			"judge": func(t *rapid.T) {
-				was := s.phase == judging
-				l, ok := s.Judge(Judgement{Again: rapid.Bool().Draw(t, "again")})
+				was := s.phase == awaitingRetryDecision
+				l, ok := s.DecideRetry(RetryDecision{Retry: rapid.Bool().Draw(t, "again")})
 				if replies := play(l); ok != was || ok && (len(replies) == 0 || replies[0] != "ResponseHeaders") {
 					t.Fatalf("judged %v, used %v: %v", was, ok, replies)
 				}
 			},
-			"answer": func(t *rapid.T) { play(s.Answer(Final{Status: 503})) },
+			"answer": func(t *rapid.T) { play(s.Respond(ImmediateResponse{Status: 503})) },
 			"end":    func(t *rapid.T) { play(s.End()) },
 			"empty":  func(t *rapid.T) { play(s.Receive(&extproc.ProcessingRequest{})) },
 			"": func(t *rapid.T) {
@@ -496,9 +496,9 @@
 		}
 		for name, f := range messages {
 			actions[name] = func(t *rapid.T) {
-				was := asked == 1 && !used && lost == 0 && hung == 0 && s.phase == asking
+				was := asked == 1 && !used && lost == 0 && hung == 0 && s.phase == awaitingDecision
 				replies := play(s.Receive(f()))
-				if was && s.phase == asking {
+				if was && s.phase == awaitingDecision {
 					waiting++
 				}
 				for _, r := range replies {
@@ -554,7 +554,7 @@
 	for b.Loop() {
 		s := New()
 		s.Receive(ask)
-		s.Decide(Decision{Endpoint: "127.0.0.1:9", Slim: true})
+		s.Decide(Decision{Endpoint: "127.0.0.1:9", HeadersOnly: true})
 		s.Receive(answer)
 		s.End()
 	}
--- a/internal/front/extproc/front_test.go
+++ b/internal/front/extproc/front_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"io"
+	"math"
 	"net"
 	"net/http"
 	"reflect"
@@ -53,8 +54,8 @@
 	health healthpb.HealthClient
 }
 
-func (w *world) Ask(q *stream.Question, id string) (*pool.Pool, string, *stream.Final) {
-	name, _, _ := strings.Cut(strings.TrimPrefix(q.Path, "/"), "/")
+func (w *world) Route(r *stream.Request, _ string) (*pool.Pool, string, *stream.ImmediateResponse) {
+	name, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
 	return w.pool, name, nil
 }
 
@@ -107,8 +108,8 @@
 		t.Fatal(err)
 	}
 	cfg.Clock, cfg.Routes = clock, w
-	if cfg.Within == 0 {
-		cfg.Within = limit // a slow machine gets more
+	if cfg.DecisionTimeout == 0 {
+		cfg.DecisionTimeout = limit // a slow machine gets more
 	}
 	w.front = New(l, cfg)
 	served := make(chan error, 1)
@@ -226,14 +227,14 @@
 		t.Errorf("no class: %s", got)
 	}
 	testkit.Eventually(t, "a slot is not given back", func() bool { return w.pool.Engine().Open() == 0 })
-	if n := w.front.book.size(); n != 3 { // all but the safe one
+	if n := w.front.calls.size(); n != 3 { // all but the safe one
 		t.Errorf("%d requests are remembered", n)
 	}
 }
 
 // With no server a question is answered before the proxy gives up, harmlessly.
 func TestNoServerInTime(t *testing.T) {
-	w := newWorld(t, Config{Within: 50 * time.Millisecond})
+	w := newWorld(t, Config{DecisionTimeout: 50 * time.Millisecond})
 	if got := w.stream().ask("order", "1", 1); got != "503 retry-after" {
 		t.Errorf("got %s", got)
 	}
@@ -272,8 +273,8 @@
 // A question's time runs from its arrival: what has waited for most of it is refused unbegun, harmlessly.
 func TestLateQuestion(t *testing.T) {
 	w := newWorld(t, Config{}, "127.0.0.1:1")
-	for _, waited := range []time.Duration{0, w.front.cfg.Within - w.front.cfg.Within/lateShare/2} {
-		s := &lateStream{ctx: context.WithValue(context.Background(), arrivedKey{}, w.front.cfg.Clock.Now()-waited)}
+	for _, waited := range []time.Duration{0, w.front.cfg.DecisionTimeout - w.front.cfg.DecisionTimeout/minTimeLeftDivisor/2} {
+		s := &lateStream{ctx: context.WithValue(context.Background(), arrivalKey{}, w.front.cfg.Clock.Now()-waited)}
 		s.got = []*extproc.ProcessingRequest{{Request: &extproc.ProcessingRequest_RequestHeaders{RequestHeaders: &extproc.HttpHeaders{
 			Headers: fields(":method", "GET", ":path", "/read/1", ":authority", "a"),
 		}}}}
@@ -438,7 +439,7 @@
 
 // A subset hint is the whole choice: a server of it, or a refusal at once.
 func TestSubset(t *testing.T) {
-	w := newWorld(t, Config{Within: time.Second}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
+	w := newWorld(t, Config{DecisionTimeout: time.Second}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 	many := make([]string, 5000)
 	for i := range many {
 		many[i] = fmt.Sprintf("10.0.%d.%d:80", i/250, i%250)
@@ -512,7 +513,7 @@
 	s := w.stream()
 	s.ask("read", "1", 1)
 	s.answer("500", stream.ServedHeader, "10.9.9.9:1")
-	if n := w.front.Astray(); n != 1 {
+	if n := w.front.Misrouted(); n != 1 {
 		t.Errorf("%d went astray", n)
 	}
 	s = w.stream()
@@ -520,7 +521,7 @@
 		t.Errorf("the server that had nothing of it: %s", got)
 	}
 	s.answer("200", stream.ServedHeader, "127.0.0.1:1")
-	if n := w.front.Astray(); n != 1 {
+	if n := w.front.Misrouted(); n != 1 {
 		t.Errorf("%d went astray", n)
 	}
 }
@@ -577,7 +578,7 @@
 		t.Fatalf("told %q", l)
 	}
 	s.answer("200", stream.ServedHeader, l[1])
-	if n := w.front.Astray(); n != 0 {
+	if n := w.front.Misrouted(); n != 0 {
 		t.Errorf("%d went astray", n)
 	}
 	for _, class := range []string{"order", "cell", "all"} {
@@ -604,7 +605,7 @@
 	}
 	for v, want := range map[string]time.Duration{
 		"1H": time.Hour, "2M": 2 * time.Minute, "3S": 3 * time.Second, "4m": 4 * time.Millisecond,
-		"5u": 5 * time.Microsecond, "6n": 6, "99999999H": 1 << 62,
+		"5u": 5 * time.Microsecond, "6n": 6, "99999999H": math.MaxInt64,
 	} {
 		if got, ok := grpcTimeout(v); !ok || got != want {
 			t.Errorf("%s: %v, %v", v, got, ok)
@@ -631,14 +632,14 @@
 	if refused == 0 {
 		t.Error("no question over the limit")
 	}
-	l := limits{rate: 10}
-	n, b := 0, l.of(0, identity{name: "a"})
+	l := proxyLimits{rate: 10}
+	n, b := 0, l.usage(0, proxyIdentity{id: "a"})
 	for range 20 {
-		if l.take(0, b) {
+		if l.takeToken(0, b) {
 			n++
 		}
 	}
-	if n != 10 || !l.take(100*time.Millisecond, b) || l.take(100*time.Millisecond, b) {
+	if n != 10 || !l.takeToken(100*time.Millisecond, b) || l.takeToken(100*time.Millisecond, b) {
 		t.Errorf("%d at once", n)
 	}
 }
@@ -677,7 +678,7 @@
 	testkit.Eventually(t, "streams are not given back", func() bool {
 		w.front.mu.Lock()
 		defer w.front.mu.Unlock()
-		return w.front.proxies.by[identity{name: "a"}].open == 0
+		return w.front.limits.proxies[proxyIdentity{id: "a"}].openStreams == 0
 	})
 	s = as("a")
 	if got := s.ask("read", "a4", 1); got != "127.0.0.1:1" {
@@ -756,31 +757,31 @@
 }
 
 func TestBook(t *testing.T) {
-	b := newBook(3)
-	tickets := make([]*ticket, 6)
+	b := newCallTable(3)
+	tickets := make([]*call, 6)
 	for i := range tickets {
-		tickets[i] = &ticket{}
-		if found, _, _ := b.enter(0, fmt.Sprint(i), tickets[i]); found {
+		tickets[i] = &call{}
+		if found, _, _ := b.findOrAdd(0, fmt.Sprint(i), tickets[i]); found {
 			t.Errorf("%d is known", i)
 		}
 	}
-	if found, open, _ := b.enter(0, "1", &ticket{}); !found || open != tickets[1] {
+	if found, open, _ := b.findOrAdd(0, "1", &call{}); !found || open != tickets[1] {
 		t.Error("an open one is not found")
 	}
-	b.close(0, "1", tickets[0], engine.Answer{}, time.Second) // not its ticket
+	b.finish(0, "1", tickets[0], engine.Answer{}, time.Second) // not its ticket
 	for i := range tickets {
-		b.close(time.Duration(i), fmt.Sprint(i), tickets[i], engine.Answer{Verdict: engine.Failed}, time.Second)
+		b.finish(time.Duration(i), fmt.Sprint(i), tickets[i], engine.Answer{Verdict: engine.Failed}, time.Second)
 	}
 	if n := b.size(); n != 3 {
 		t.Errorf("%d are remembered, 3 at most", n)
 	}
-	if found, open, a := b.enter(10, "5", &ticket{}); !found || open != nil || a.Verdict != engine.Failed {
+	if found, open, a := b.findOrAdd(10, "5", &call{}); !found || open != nil || a.Verdict != engine.Failed {
 		t.Errorf("what became of it: %v %v %v", found, open, a)
 	}
-	if found, _, _ := b.enter(2*time.Second, "5", &ticket{}); found {
+	if found, _, _ := b.findOrAdd(2*time.Second, "5", &call{}); found {
 		t.Error("remembered for too long")
 	}
-	if found, _, _ := b.enter(0, "", &ticket{}); found {
+	if found, _, _ := b.findOrAdd(0, "", &call{}); found {
 		t.Error("no id is known")
 	}
 }
--- a/internal/front/extproc/limit_test.go
+++ b/internal/front/extproc/proxy_limits_test.go
@@ -12,23 +12,23 @@
 // and the identities that are kept are bounded.
 func TestLimitsProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		l := limits{rate: 10, streams: 3}
+		l := proxyLimits{rate: 10, streams: 3}
 		now := time.Duration(0)
-		asked, open := map[string]float64{}, map[string][]*bucket{}
+		asked, open := map[string]float64{}, map[string][]*proxyUsage{}
 		for range rapid.IntRange(1, 200).Draw(r, "n") {
 			now += time.Duration(rapid.IntRange(0, 50).Draw(r, "gap")) * time.Millisecond
 			id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "id")
 			if o := open[id]; len(o) > 0 && rapid.Bool().Draw(r, "end") {
-				o[0].open--
+				l.closeStream(o[0])
 				open[id] = o[1:]
 				continue
 			}
-			b, ok := l.begin(now, identity{name: id})
+			b, ok := l.openStream(now, proxyIdentity{id: id})
 			if ok != (len(open[id]) < 3) {
 				r.Fatalf("%s has %d streams, one more: %v", id, len(open[id]), ok)
 			}
 			open[id] = append(open[id], b)
-			if l.take(now, b) {
+			if l.takeToken(now, b) {
 				asked[id]++
 			}
 			if most := 10 + 10*now.Seconds() + 1e-6; asked[id] > most {
@@ -36,17 +36,17 @@
 			}
 		}
 	})
-	l := limits{rate: 1}
+	l := proxyLimits{rate: 1}
 	for i := range 5 * maxProxies {
-		b, _ := l.begin(time.Duration(i)*time.Microsecond, identity{name: fmt.Sprint("made up ", i)})
-		l.take(time.Duration(i)*time.Microsecond, b)
+		b, _ := l.openStream(time.Duration(i)*time.Microsecond, proxyIdentity{id: fmt.Sprint("made up ", i)})
+		l.takeToken(time.Duration(i)*time.Microsecond, b)
 	}
-	if len(l.by) > maxProxies+1 {
-		t.Errorf("%d identities are kept", len(l.by))
+	if len(l.proxies) > maxProxies+1 {
+		t.Errorf("%d identities are kept", len(l.proxies))
 	}
 	many := 0
 	for i := range 100 { // of those beyond the bound all share one bucket
-		if b, _ := l.begin(time.Millisecond*30, identity{name: fmt.Sprint("another ", i)}); l.take(time.Millisecond*30, b) {
+		if b, _ := l.openStream(time.Millisecond*30, proxyIdentity{id: fmt.Sprint("another ", i)}); l.takeToken(time.Millisecond*30, b) {
 			many++
 		}
 	}
--- a/internal/standin/proxy/layers.go
+++ b/internal/standin/proxy/layers.go
@@ -23,7 +23,7 @@
 	metadatav3 "github.com/envoyproxy/go-control-plane/envoy/type/metadata/v3"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"cranegrade/internal/envoyconf"
+	"cranegrade/internal/extproc/stream"
 	"cranegrade/internal/standin"
 )
 
@@ -538,7 +538,7 @@
 	a.p.Decisions.Add(1)
 	common := word.GetRequestHeaders().GetResponse()
 	for _, f := range common.GetHeaderMutation().GetSetHeaders() {
-		if f.GetHeader().GetKey() == envoyconf.Header {
+		if f.GetHeader().GetKey() == stream.DestinationHeader {
 			r.told = strings.Split(string(f.GetHeader().GetRawValue()), ",")
 		}
 	}
--- a/internal/standin/proxy/proxy_test.go
+++ b/internal/standin/proxy/proxy_test.go
@@ -25,7 +25,7 @@
 	fallbacks bool
 
 	mu  sync.Mutex // guards saw
-	saw []*stream.Question
+	saw []*stream.Request
 }
 
 func (k *picker) Process(st extproc.ExternalProcessor_ProcessServer) error {
@@ -42,13 +42,13 @@
 			switch a := a.(type) {
 			case stream.Reply:
 				st.Send(a.Message)
-			case stream.Ask:
+			case stream.PickEndpoint:
 				k.mu.Lock()
-				k.saw = append(k.saw, a.Question)
+				k.saw = append(k.saw, a.Request)
 				k.mu.Unlock()
 				// Of two servers the second is named for the second try.
 				n := 0
-				if k.retry != "" && a.Question.Get("x-envoy-attempt-count") == "2" {
+				if k.retry != "" && a.Request.Get("x-envoy-attempt-count") == "2" {
 					n = 1
 				}
 				d := stream.Decision{Endpoint: k.list[n], RetryHeader: k.retry}
@@ -58,8 +58,8 @@
 				more, _ := s.Decide(d)
 				l = append(l, more...)
 			case stream.Outcome:
-				if a.Judging {
-					more, _ := s.Judge(stream.Judgement{Again: true})
+				if a.AwaitsRetryDecision {
+					more, _ := s.DecideRetry(stream.RetryDecision{Retry: true})
 					l = append(l, more...)
 				}
 			}
@@ -116,7 +116,7 @@
 		t.Errorf("status %d, %d heeded", x.Status, p.Heeded.Load())
 	}
 	// A caller who names a server himself gets it, whatever the processor says.
-	x = p.DoWith(context.Background(), standin.Stream{Class: class, Host: "a"}, "forged", map[string]string{envoyconf.Header: k.list[1]})
+	x = p.DoWith(context.Background(), standin.Stream{Class: class, Host: "a"}, "forged", map[string]string{stream.DestinationHeader: k.list[1]})
 	if x.Status != 200 || p.Heeded.Load() != 1 && p.Decisions.Load() == 0 {
 		t.Errorf("status %d, heeded %d of %d decisions", x.Status, p.Heeded.Load(), p.Decisions.Load())
 	}
@@ -141,7 +141,7 @@
 			}
 			defer p.Close()
 			forged := map[string]string{
-				envoyconf.Header: "127.0.0.1:1", "x-request-id": "another's", "x-envoy-attempt-count": "7", "x-time-left": "1m",
+				stream.DestinationHeader: "127.0.0.1:1", "x-request-id": "another's", "x-envoy-attempt-count": "7", "x-time-left": "1m",
 				"x-envoy-expected-rq-timeout-ms": "1", "x-envoy-retry-on": "5xx", "x-envoy-max-retries": "9",
 			}
 			x := p.DoWith(context.Background(), standin.Stream{Class: class, Host: "a"}, "mine", forged)
@@ -149,8 +149,8 @@
 				t.Fatalf("status %d, sent %d, heeded %d, asked %d", x.Status, p.Sent.Load(), p.Heeded.Load(), len(k.saw))
 			}
 			for i, q := range k.saw {
-				if q.Get("x-request-id") != "mine" || q.Get(envoyconf.Header) != "" {
-					t.Errorf("question %d: id %q, %q", i, q.Get("x-request-id"), q.Get(envoyconf.Header))
+				if q.Get("x-request-id") != "mine" || q.Get(stream.DestinationHeader) != "" {
+					t.Errorf("question %d: id %q, %q", i, q.Get("x-request-id"), q.Get(stream.DestinationHeader))
 				}
 				if q.Get("x-envoy-expected-rq-timeout-ms") == "1" || q.Get("x-time-left") == "1m" {
 					t.Errorf("question %d believes the caller's time", i)
