--- a/cmd/cranegrade/proxycheck.go
+++ b/cmd/cranegrade/proxycheck.go
@@ -66,18 +66,18 @@
 	if err != nil {
 		return nil, err
 	}
-	found, err := envoyconf.Check(text, facts(plan))
+	found, err := envoyconf.Check(text, processorSettings(plan))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	return found, nil
 }
 
-// facts are what a proxy's configuration must fit.
-func facts(plan operator.Plan) envoyconf.Facts {
-	f := envoyconf.Facts{DecideWithin: plan.ExtProc.DecisionTimeout, Retries: plan.ExtProc.Retries, RetryHeader: plan.ExtProc.RetryHeader}
+// processorSettings are the settings that a proxy's configuration has to fit.
+func processorSettings(plan operator.Plan) envoyconf.ProcessorSettings {
+	s := envoyconf.ProcessorSettings{DecisionTimeout: plan.ExtProc.DecisionTimeout, Retries: plan.ExtProc.Retries, RetryHeader: plan.ExtProc.RetryHeader}
 	for _, p := range plan.Pools {
-		f.Spares = max(f.Spares, p.Settings.Spares)
+		s.MaxFallbacks = max(s.MaxFallbacks, p.Settings.Spares)
 	}
-	return f
+	return s
 }
--- a/cmd/cranegrade/proxyconfig.go
+++ b/cmd/cranegrade/proxyconfig.go
@@ -29,7 +29,7 @@
 		fmt.Fprint(stderr, "usage:\n"+proxyConfigUsage)
 		return 2
 	}
-	text, err := buildProxy(*config, envoyconf.Proxy{Mode: envoyconf.Mode(*mode), Listen: *listen, Processor: *processor, Retries: *retries})
+	text, err := buildProxy(*config, envoyconf.Options{Mode: envoyconf.Mode(*mode), Listen: *listen, Processor: *processor, Retries: *retries})
 	if err != nil {
 		fmt.Fprintf(stderr, "cranegrade: %v\n", err)
 		return 1
@@ -38,7 +38,7 @@
 	return 0
 }
 
-func buildProxy(config string, p envoyconf.Proxy) ([]byte, error) {
+func buildProxy(config string, p envoyconf.Options) ([]byte, error) {
 	plan, err := operator.Load(config)
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 	if strings.HasSuffix(p.Processor, ":0") {
 		return nil, errors.New("the processor's port is any free one: name it with -processor")
 	}
-	p.Facts, p.Streams = facts(plan), plan.ExtProc.Streams
+	p.Settings, p.MaxStreams = processorSettings(plan), plan.ExtProc.Streams
 	at, told := map[string]int{}, true
 	for _, pool := range plan.Pools {
 		for _, c := range pool.Settings.Classes {
@@ -60,11 +60,11 @@
 			if !is {
 				i = len(p.Classes)
 				at[c.Name] = i
-				p.Classes = append(p.Classes, envoyconf.Class{Name: c.Name, Safe: true})
+				p.Classes = append(p.Classes, envoyconf.Class{Name: c.Name, Idempotent: true})
 			}
 			// What a class of that name is in one pool, it may be in the proxy's eyes in all.
 			x := &p.Classes[i]
-			x.Deadline, x.Safe = max(x.Deadline, c.Deadline), x.Safe && c.Effect == balancer.Idempotent
+			x.Deadline, x.Idempotent = max(x.Deadline, c.Deadline), x.Idempotent && c.Effect == balancer.Idempotent
 		}
 		for _, s := range pool.List.Static {
 			p.Endpoints = append(p.Endpoints, s.Addr)
--- a/internal/envoyconf/check_test.go
+++ b/internal/envoyconf/check_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-var asked = Facts{DecideWithin: 150 * time.Millisecond}
+var askedPerRequest = ProcessorSettings{DecisionTimeout: 150 * time.Millisecond}
 
 func example(t testing.TB) string {
 	t.Helper()
@@ -19,7 +19,7 @@
 }
 
 func TestExampleIsGood(t *testing.T) {
-	found, err := Check([]byte(example(t)), asked)
+	found, err := Check([]byte(example(t)), askedPerRequest)
 	if err != nil || len(found) > 0 {
 		t.Errorf("%v, %v", found, err)
 	}
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	found, err := Check(text, asked)
+	found, err := Check(text, askedPerRequest)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,38 +75,38 @@
 	cases := []struct {
 		name, old, new string
 		path           string // of the one finding; "": none
-		facts          Facts
+		settings       ProcessorSettings
 	}{
-		{"fails open", "failure_mode_allow: false", "failure_mode_allow: true", filter + ".failure_mode_allow", asked},
-		{"observes", "failure_mode_allow: false", "observability_mode: true", filter + ".observability_mode", asked},
-		{"cannot refuse", "failure_mode_allow: false", "disable_immediate_response: true", filter + ".disable_immediate_response", asked},
-		{"words too late", "message_timeout: 0.2s", "message_timeout: 0.1s", filter + ".message_timeout", asked},
-		{"words too late by default", "message_timeout: 0.2s", "max_message_timeout: 1s", "", asked},
-		{"decides too late", "message_timeout: 0.2s", "message_timeout: 0.2s", filter + ".message_timeout", Facts{DecideWithin: 300 * time.Millisecond}},
-		{"asks nothing", "request_header_mode: SEND", "request_header_mode: SKIP", filter + ".processing_mode.request_header_mode", asked},
-		{"tells nothing", "response_header_mode: SEND", "response_header_mode: SKIP", filter + ".processing_mode.response_header_mode", asked},
-		{"buffers", "request_body_mode: NONE", "request_body_mode: BUFFERED", filter + ".processing_mode.request_body_mode", asked},
-		{"buffers in part", "request_body_mode: NONE", "request_body_mode: BUFFERED_PARTIAL", filter + ".processing_mode.request_body_mode", asked},
-		{"lets no header be set", "allow_mode_override: true", "mutation_rules: { disallow_all: true }", filter + ".mutation_rules.disallow_all", asked},
-		{"believes callers", "use_remote_address: true", "use_remote_address: false", hcm + ".use_remote_address", asked},
-		{"keeps callers' ids", "use_remote_address: true", "use_remote_address: true\n                preserve_external_request_id: true", hcm + ".preserve_external_request_id", asked},
-		{"makes no ids", "use_remote_address: true", "use_remote_address: true\n                generate_request_id: false", hcm + ".generate_request_id", asked},
-		{"tries again unasked", "timeout: 6s }", "timeout: 6s, retry_policy: { retry_on: 5xx } }", route + ".route.retry_policy", asked},
-		{"tries again unasked for all", `domains: ["*"]`, "domains: [\"*\"]\n                      retry_policy: { retry_on: reset }", hcm + ".route_config.virtual_hosts[0].retry_policy", asked},
-		{"hedges", "timeout: 6s }", "timeout: 6s, hedge_policy: { hedge_on_per_try_timeout: true } }", route + ".route.hedge_policy", asked},
-		{"mirrors", "timeout: 6s }", "timeout: 6s, request_mirror_policies: [{ cluster: cranegrade }] }", route + ".route.request_mirror_policies", asked},
-		{"unknown cluster", "cluster: chosen,", "cluster: elsewhere,", route + ".route", asked},
-		{"routes by our header", `match: { prefix: "/" }`, `match: { prefix: "/", headers: [{ name: X-Gateway-Destination-Endpoint, present_match: true }] }`, route + ".match.headers[0]", asked},
-		{"ignores the header", "use_http_header: true, http_header_name: x-gateway-destination-endpoint", "use_http_header: false", chosen + ".original_dst_lb_config.use_http_header", asked},
-		{"another header", "http_header_name: x-gateway-destination-endpoint", "http_header_name: x-other", chosen + ".original_dst_lb_config.http_header_name", asked},
-		{"own balancer", dst, "      type: STATIC\n      connect_timeout: 0.25s\n", chosen, asked},
-		{"metadata kept out", dst, override(metadata), chosen + ".load_balancing_policy.policies[0].override_host_sources[0].metadata", asked},
-		{"header by policy", dst, override("{ header: x-gateway-destination-endpoint }"), "", asked},
-		{"another header by policy", dst, override("{ header: x-other }"), chosen + ".load_balancing_policy.policies[0].override_host_sources", asked},
-		{"after the router", "                http_filters:\n", "                http_filters:\n" + router, hcm + ".http_filters[1]", asked},
-		{"nobody asks", "type.googleapis.com/envoy.extensions.filters.http.ext_proc.v3.ExternalProcessor", "type.googleapis.com/some.Other", "static_resources.listeners", asked},
-		{"a list is no address", "timeout: 6s }", "timeout: 6s }", chosen + ".type", Facts{DecideWithin: time.Millisecond, Spares: 1}},
-		{"waits for tries that never ask", "timeout: 6s }", "timeout: 6s }", hcm + ".route_config.virtual_hosts[0]", Facts{DecideWithin: time.Millisecond, Retries: true}},
+		{"fails open", "failure_mode_allow: false", "failure_mode_allow: true", filter + ".failure_mode_allow", askedPerRequest},
+		{"observes", "failure_mode_allow: false", "observability_mode: true", filter + ".observability_mode", askedPerRequest},
+		{"cannot refuse", "failure_mode_allow: false", "disable_immediate_response: true", filter + ".disable_immediate_response", askedPerRequest},
+		{"words too late", "message_timeout: 0.2s", "message_timeout: 0.1s", filter + ".message_timeout", askedPerRequest},
+		{"words too late by default", "message_timeout: 0.2s", "max_message_timeout: 1s", "", askedPerRequest},
+		{"decides too late", "message_timeout: 0.2s", "message_timeout: 0.2s", filter + ".message_timeout", ProcessorSettings{DecisionTimeout: 300 * time.Millisecond}},
+		{"asks nothing", "request_header_mode: SEND", "request_header_mode: SKIP", filter + ".processing_mode.request_header_mode", askedPerRequest},
+		{"tells nothing", "response_header_mode: SEND", "response_header_mode: SKIP", filter + ".processing_mode.response_header_mode", askedPerRequest},
+		{"buffers", "request_body_mode: NONE", "request_body_mode: BUFFERED", filter + ".processing_mode.request_body_mode", askedPerRequest},
+		{"buffers in part", "request_body_mode: NONE", "request_body_mode: BUFFERED_PARTIAL", filter + ".processing_mode.request_body_mode", askedPerRequest},
+		{"lets no header be set", "allow_mode_override: true", "mutation_rules: { disallow_all: true }", filter + ".mutation_rules.disallow_all", askedPerRequest},
+		{"believes callers", "use_remote_address: true", "use_remote_address: false", hcm + ".use_remote_address", askedPerRequest},
+		{"keeps callers' ids", "use_remote_address: true", "use_remote_address: true\n                preserve_external_request_id: true", hcm + ".preserve_external_request_id", askedPerRequest},
+		{"makes no ids", "use_remote_address: true", "use_remote_address: true\n                generate_request_id: false", hcm + ".generate_request_id", askedPerRequest},
+		{"tries again unasked", "timeout: 6s }", "timeout: 6s, retry_policy: { retry_on: 5xx } }", route + ".route.retry_policy", askedPerRequest},
+		{"tries again unasked for all", `domains: ["*"]`, "domains: [\"*\"]\n                      retry_policy: { retry_on: reset }", hcm + ".route_config.virtual_hosts[0].retry_policy", askedPerRequest},
+		{"hedges", "timeout: 6s }", "timeout: 6s, hedge_policy: { hedge_on_per_try_timeout: true } }", route + ".route.hedge_policy", askedPerRequest},
+		{"mirrors", "timeout: 6s }", "timeout: 6s, request_mirror_policies: [{ cluster: cranegrade }] }", route + ".route.request_mirror_policies", askedPerRequest},
+		{"unknown cluster", "cluster: chosen,", "cluster: elsewhere,", route + ".route", askedPerRequest},
+		{"routes by our header", `match: { prefix: "/" }`, `match: { prefix: "/", headers: [{ name: X-Gateway-Destination-Endpoint, present_match: true }] }`, route + ".match.headers[0]", askedPerRequest},
+		{"ignores the header", "use_http_header: true, http_header_name: x-gateway-destination-endpoint", "use_http_header: false", chosen + ".original_dst_lb_config.use_http_header", askedPerRequest},
+		{"another header", "http_header_name: x-gateway-destination-endpoint", "http_header_name: x-other", chosen + ".original_dst_lb_config.http_header_name", askedPerRequest},
+		{"own balancer", dst, "      type: STATIC\n      connect_timeout: 0.25s\n", chosen, askedPerRequest},
+		{"metadata kept out", dst, override(metadata), chosen + ".load_balancing_policy.policies[0].override_host_sources[0].metadata", askedPerRequest},
+		{"header by policy", dst, override("{ header: x-gateway-destination-endpoint }"), "", askedPerRequest},
+		{"another header by policy", dst, override("{ header: x-other }"), chosen + ".load_balancing_policy.policies[0].override_host_sources", askedPerRequest},
+		{"after the router", "                http_filters:\n", "                http_filters:\n" + router, hcm + ".http_filters[1]", askedPerRequest},
+		{"nobody asks", "type.googleapis.com/envoy.extensions.filters.http.ext_proc.v3.ExternalProcessor", "type.googleapis.com/some.Other", "static_resources.listeners", askedPerRequest},
+		{"a list is no address", "timeout: 6s }", "timeout: 6s }", chosen + ".type", ProcessorSettings{DecisionTimeout: time.Millisecond, MaxFallbacks: 1}},
+		{"waits for tries that never ask", "timeout: 6s }", "timeout: 6s }", hcm + ".route_config.virtual_hosts[0]", ProcessorSettings{DecisionTimeout: time.Millisecond, Retries: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 			if !strings.Contains(text, c.old) {
 				t.Fatalf("the example has no %q", c.old)
 			}
-			found, err := Check([]byte(strings.Replace(text, c.old, c.new, 1)), c.facts)
+			found, err := Check([]byte(strings.Replace(text, c.old, c.new, 1)), c.settings)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -129,15 +129,15 @@
 	}
 }
 
-var facts = map[Mode]Facts{
-	ByHeader: asked, ByMetadata: asked, Fallbacks: {DecideWithin: asked.DecideWithin, Spares: 2},
-	EveryTry: {DecideWithin: asked.DecideWithin, Retries: true, RetryHeader: "x-again"},
+var settingsOf = map[Mode]ProcessorSettings{
+	ByHeader: askedPerRequest, ByMetadata: askedPerRequest, Fallbacks: {DecisionTimeout: askedPerRequest.DecisionTimeout, MaxFallbacks: 2},
+	EveryTry: {DecisionTimeout: askedPerRequest.DecisionTimeout, Retries: true, RetryHeader: "x-again"},
 }
 
 func build(t testing.TB, m Mode) string {
 	t.Helper()
-	text, err := Build(Proxy{
-		Mode: m, Processor: "127.0.0.1:9002", Facts: facts[m], Retries: 2, Streams: 100,
+	text, err := Build(Options{
+		Mode: m, Processor: "127.0.0.1:9002", Settings: settingsOf[m], Retries: 2, MaxStreams: 100,
 		Endpoints: []string{"127.0.0.1:1", "127.0.0.1:2"}, Classes: []Class{{"read", 2 * time.Second, true}, {"order", 6 * time.Second, false}},
 	})
 	if err != nil {
@@ -149,19 +149,19 @@
 // What is built is good, in each mode; and what can't be is refused.
 func TestBuild(t *testing.T) {
 	for _, m := range Modes {
-		if found, err := Check([]byte(build(t, m)), facts[m]); err != nil || len(found) > 0 {
+		if found, err := Check([]byte(build(t, m)), settingsOf[m]); err != nil || len(found) > 0 {
 			t.Errorf("%s: %v, %v", m, found, err)
 		}
 	}
-	for name, p := range map[string]Proxy{
+	for name, p := range map[string]Options{
 		"no mode":               {Mode: "x", Processor: "a:1"},
-		"retries beside":        {Mode: ByHeader, Processor: "a:1", Facts: facts[EveryTry]},
-		"no retries":            {Mode: EveryTry, Processor: "a:1", Facts: asked},
-		"no header":             {Mode: EveryTry, Processor: "a:1", Facts: Facts{Retries: true}},
-		"a list by header":      {Mode: ByHeader, Processor: "a:1", Facts: Facts{DecideWithin: asked.DecideWithin, Spares: 2}},
-		"a list of one":         {Mode: Fallbacks, Processor: "a:1", Facts: asked},
-		"no processor":          {Mode: ByHeader, Facts: asked},
-		"an address that isn't": {Mode: ByHeader, Listen: "x", Processor: "a:1", Facts: asked},
+		"retries beside":        {Mode: ByHeader, Processor: "a:1", Settings: settingsOf[EveryTry]},
+		"no retries":            {Mode: EveryTry, Processor: "a:1", Settings: askedPerRequest},
+		"no header":             {Mode: EveryTry, Processor: "a:1", Settings: ProcessorSettings{Retries: true}},
+		"a list by header":      {Mode: ByHeader, Processor: "a:1", Settings: ProcessorSettings{DecisionTimeout: askedPerRequest.DecisionTimeout, MaxFallbacks: 2}},
+		"a list of one":         {Mode: Fallbacks, Processor: "a:1", Settings: askedPerRequest},
+		"no processor":          {Mode: ByHeader, Settings: askedPerRequest},
+		"an address that isn't": {Mode: ByHeader, Listen: "x", Processor: "a:1", Settings: askedPerRequest},
 	} {
 		if text, err := Build(p); err == nil {
 			t.Errorf("%s: %s", name, text)
@@ -207,7 +207,7 @@
 			if !strings.Contains(text, c.old) {
 				t.Fatalf("there is no %q in\n%s", c.old, text)
 			}
-			found, err := Check([]byte(strings.Replace(text, c.old, c.new, 1)), facts[c.mode])
+			found, err := Check([]byte(strings.Replace(text, c.old, c.new, 1)), settingsOf[c.mode])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -227,11 +227,11 @@
 		"key twice":      "admin: {}\nadmin: {}",
 		"against rules":  "static_resources: { clusters: [{ name: '' }] }",
 		"deep":           strings.Repeat("{a: ", 300) + strings.Repeat("}", 300),
-		"too long":       strings.Repeat("#", maxText+1),
+		"too long":       strings.Repeat("#", maxFileBytes+1),
 		"broken yaml":    "a: [",
 		"not a duration": strings.Replace(example(t), "message_timeout: 0.2s", "message_timeout: soon", 1),
 	} {
-		if found, err := Check([]byte(text), asked); err == nil {
+		if found, err := Check([]byte(text), askedPerRequest); err == nil {
 			t.Errorf("%s: no error, %v", name, found)
 		}
 	}
@@ -241,7 +241,7 @@
 	f.Add([]byte(example(f)))
 	f.Add([]byte("static_resources: {}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		found, err := Check(text, asked)
+		found, err := Check(text, askedPerRequest)
 		if err != nil && found != nil {
 			t.Errorf("%v beside %v", found, err)
 		}
--- a/internal/envoyconf/parse.go
+++ b/internal/envoyconf/parse.go
@@ -6,7 +6,8 @@
 	"fmt"
 
 	bootstrapv3 "github.com/envoyproxy/go-control-plane/envoy/config/bootstrap/v3"
-	_ "github.com/envoyproxy/go-control-plane/envoy/extensions/bootstrap/internal_listener/v3" // in examples
+	// The extensions that the examples use: protojson can only read message types that are linked.
+	_ "github.com/envoyproxy/go-control-plane/envoy/extensions/bootstrap/internal_listener/v3"
 	_ "github.com/envoyproxy/go-control-plane/envoy/extensions/filters/http/upstream_codec/v3"
 	_ "github.com/envoyproxy/go-control-plane/envoy/extensions/load_balancing_policies/random/v3"
 	_ "github.com/envoyproxy/go-control-plane/envoy/extensions/transport_sockets/internal_upstream/v3"
@@ -16,17 +17,20 @@
 	"sigs.k8s.io/yaml"
 )
 
-// maxText bounds a file.
-const maxText = 4 << 20
+const (
+	maxFileBytes = 4 << 20
+	maxDepth     = 200 // of nested lists and mappings
+)
 
-// maxDepth bounds how deep a file nests.
-const maxDepth = 200
+// emptyMessageURL is the type of a message without fields, which replaces unknown extensions.
+const emptyMessageURL = "type.googleapis.com/google.protobuf.Empty"
 
-// Parse reads a bootstrap, strictly: a field that is in no message and a value against the published rules are
-// errors. Extensions that this package does not know are left out, since what they do is not known either.
+// Parse reads a bootstrap as strictly as Envoy does: unknown fields, and values that violate the published validation
+// rules, are errors. Extensions of types that are not linked into this program are left out, since their effect is not
+// known either.
 func Parse(text []byte) (*bootstrapv3.Bootstrap, error) {
-	if len(text) > maxText {
-		return nil, fmt.Errorf("%d bytes, over %d", len(text), maxText)
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("%d bytes, over %d", len(text), maxFileBytes)
 	}
 	body, err := yaml.YAMLToJSONStrict(text)
 	if err != nil {
@@ -36,47 +40,47 @@
 	if err := json.Unmarshal(body, &tree); err != nil {
 		return nil, err
 	}
-	if _, is := tree.(map[string]any); !is {
+	if _, ok := tree.(map[string]any); !ok {
 		return nil, errors.New("not a mapping of keys to values")
 	}
-	if err := blank(tree, 0); err != nil {
+	if err := clearUnknownExtensions(tree, 0); err != nil {
 		return nil, err
 	}
 	if body, err = json.Marshal(tree); err != nil {
 		return nil, err
 	}
-	b := &bootstrapv3.Bootstrap{}
-	if err := protojson.Unmarshal(body, b); err != nil {
+	bootstrap := &bootstrapv3.Bootstrap{}
+	if err := protojson.Unmarshal(body, bootstrap); err != nil {
 		return nil, err
 	}
-	if err := b.ValidateAll(); err != nil {
+	if err := bootstrap.ValidateAll(); err != nil {
 		return nil, err
 	}
-	return b, nil
+	return bootstrap, nil
 }
 
-// blank empties extensions of types that are not linked: protojson could not read them.
-func blank(v any, depth int) error {
+// clearUnknownExtensions replaces extensions of types that are not linked by empty messages, in place.
+func clearUnknownExtensions(node any, depth int) error {
 	if depth > maxDepth {
 		return errors.New("nested too deep")
 	}
-	switch v := v.(type) {
+	switch node := node.(type) {
 	case []any:
-		for _, x := range v {
-			if err := blank(x, depth+1); err != nil {
+		for _, element := range node {
+			if err := clearUnknownExtensions(element, depth+1); err != nil {
 				return err
 			}
 		}
 	case map[string]any:
-		if url, is := v["@type"].(string); is {
+		if url, ok := node["@type"].(string); ok {
 			if _, err := protoregistry.GlobalTypes.FindMessageByURL(url); err != nil {
-				clear(v)
-				v["@type"] = "type.googleapis.com/google.protobuf.Empty"
+				clear(node)
+				node["@type"] = emptyMessageURL
 				return nil
 			}
 		}
-		for _, x := range v {
-			if err := blank(x, depth+1); err != nil {
+		for _, value := range node {
+			if err := clearUnknownExtensions(value, depth+1); err != nil {
 				return err
 			}
 		}
--- a/internal/standin/proxy/proxy.go
+++ b/internal/standin/proxy/proxy.go
@@ -100,19 +100,19 @@
 
 // yaml is what an operator would have of cranegrade proxy-config.
 func (c Config) yaml() (string, error) {
-	p := envoyconf.Proxy{Mode: c.Mode, Processor: c.Processor, Retries: c.Retries, Endpoints: c.Endpoints}
+	p := envoyconf.Options{Mode: c.Mode, Processor: c.Processor, Retries: c.Retries, Endpoints: c.Endpoints}
 	if p.Mode == "" {
 		if p.Mode = envoyconf.ByHeader; c.Retries > 0 {
 			p.Mode = envoyconf.EveryTry
 		}
 	}
-	p.Facts = envoyconf.Facts{DecideWithin: c.Timeout - 50*time.Millisecond, Retries: p.Mode == envoyconf.EveryTry, RetryHeader: RetryHeader}
+	p.Settings = envoyconf.ProcessorSettings{DecisionTimeout: c.Timeout - 50*time.Millisecond, Retries: p.Mode == envoyconf.EveryTry, RetryHeader: RetryHeader}
 	if p.Mode == envoyconf.Fallbacks {
-		p.Facts.Spares = c.Retries
+		p.Settings.MaxFallbacks = c.Retries
 	}
 	longest := 5 * time.Second
 	for _, k := range c.Classes {
-		p.Classes = append(p.Classes, envoyconf.Class{Name: k.Name, Deadline: k.Deadline, Safe: k.Effect == standin.Safe})
+		p.Classes = append(p.Classes, envoyconf.Class{Name: k.Name, Deadline: k.Deadline, Idempotent: k.Effect == standin.Safe})
 		longest = max(longest, k.Deadline)
 	}
 	if len(p.Classes) == 0 {
