--- a/internal/fake/proxy/proxy_test.go
+++ b/internal/fake/proxy/proxy_test.go
@@ -27,7 +27,7 @@
 	fallbacks   bool
 
 	mu        sync.Mutex // guards questions
-	questions []*stream.Question
+	questions []*stream.Request
 }
 
 // Process answers the messages of one request's stream.
@@ -47,12 +47,12 @@
 				if err := client.Send(action.Message); err != nil {
 					return nil
 				}
-			case stream.Ask:
-				more, _ := s.Decide(p.decide(action.Question))
+			case stream.PickEndpoint:
+				more, _ := s.Decide(p.decide(action.Request))
 				actions = append(actions, more...)
 			case stream.Outcome:
-				if action.Judging {
-					more, _ := s.Judge(stream.Judgement{Again: true})
+				if action.AwaitsRetryDecision {
+					more, _ := s.DecideRetry(stream.RetryDecision{Retry: true})
 					actions = append(actions, more...)
 				}
 			}
@@ -62,7 +62,7 @@
 }
 
 // decide records a question and names the first server, or the second one for the second attempt.
-func (p *picker) decide(q *stream.Question) stream.Decision {
+func (p *picker) decide(q *stream.Request) stream.Decision {
 	p.mu.Lock()
 	p.questions = append(p.questions, q)
 	p.mu.Unlock()
@@ -145,7 +145,7 @@
 		t.Errorf("status %d, %d decisions followed; want 503 and 0", x.Status, p.DecisionsFollowed.Load())
 	}
 	// A caller that names a server itself gets it, whatever the processor says.
-	forged := map[string]string{envoyconf.Header: env.picker.servers[1]}
+	forged := map[string]string{stream.DestinationHeader: env.picker.servers[1]}
 	x = p.DoWithHeaders(context.Background(), env.stream(), "forged", forged)
 	if x.Status != http.StatusOK || p.DecisionsFollowed.Load() != 1 && p.Decisions.Load() == 0 {
 		t.Errorf("status %d, %d of %d decisions followed", x.Status, p.DecisionsFollowed.Load(), p.Decisions.Load())
@@ -175,7 +175,7 @@
 				Endpoints: env.picker.servers, Classes: []fake.Class{env.class},
 			})
 			forged := map[string]string{
-				envoyconf.Header: "127.0.0.1:1", "x-request-id": "another's", "x-envoy-attempt-count": "7", "x-time-left": "1m",
+				stream.DestinationHeader: "127.0.0.1:1", "x-request-id": "another's", "x-envoy-attempt-count": "7", "x-time-left": "1m",
 				"x-envoy-expected-rq-timeout-ms": "1", "x-envoy-retry-on": "5xx", "x-envoy-max-retries": "9",
 			}
 			x := p.DoWithHeaders(context.Background(), env.stream(), "mine", forged)
@@ -194,10 +194,10 @@
 }
 
 // assertNotForged checks that a question holds nothing that the client forged.
-func assertNotForged(t *testing.T, i int, q *stream.Question) {
+func assertNotForged(t *testing.T, i int, q *stream.Request) {
 	t.Helper()
-	if q.Get("x-request-id") != "mine" || q.Get(envoyconf.Header) != "" {
-		t.Errorf("question %d: id %q, %q", i, q.Get("x-request-id"), q.Get(envoyconf.Header))
+	if q.Get("x-request-id") != "mine" || q.Get(stream.DestinationHeader) != "" {
+		t.Errorf("question %d: id %q, %q", i, q.Get("x-request-id"), q.Get(stream.DestinationHeader))
 	}
 	if q.Get("x-envoy-expected-rq-timeout-ms") == "1" || q.Get("x-time-left") == "1m" {
 		t.Errorf("question %d holds the caller's time", i)
@@ -205,7 +205,7 @@
 }
 
 // assertAttemptHeaders checks that a question tells which attempt it is for and how much time is left.
-func assertAttemptHeaders(t *testing.T, i int, q *stream.Question) {
+func assertAttemptHeaders(t *testing.T, i int, q *stream.Request) {
 	t.Helper()
 	isAttempt := q.Get("x-envoy-attempt-count") == strconv.Itoa(i+1)
 	hasTimeLeft := strings.HasSuffix(q.Get("x-time-left"), "m") && q.Get("x-envoy-expected-rq-timeout-ms") == ""
