--- a/cmd/cranegrade/fleet.go
+++ b/cmd/cranegrade/fleet.go
@@ -30,7 +30,7 @@
 func joinFleet(name string, c operator.Fleet, pools map[string]uint32) (node.Member, error) {
 	f, err := fleet.Start(fleet.Config{
 		Name: name, Zone: c.Zone, Listen: c.Listen, Advertise: c.Advertise, Join: c.Join, Key: c.Key, Lease: c.Lease,
-		Nodes: c.Nodes, Settle: c.Settle, Probe: c.Probe, Pools: fleet.Services(pools),
+		Nodes: c.Nodes, SettleTime: c.Settle, ProbeInterval: c.Probe, Pools: fleet.PoolDigests(pools),
 	})
 	if err != nil {
 		return nil, err // no nil *Fleet in an interface
--- a/internal/drill/fleetsize.go
+++ b/internal/drill/fleetsize.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 	"time"
 
-	"cranegrade/internal/fleet/model"
+	"cranegrade/internal/fleet/gossipsim"
 )
 
 // fleetSize measures views of fleets that no machine holds, in simulated time: how soon deaths are right everywhere, and
@@ -31,23 +31,26 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			c := model.Config{Members: n, Loss: loss, Probe: 300 * time.Millisecond, Settle: time.Second, Seed: r.seed, Deaths: max(1, n/10), For: time.Minute}
+			c := gossipsim.Config{
+				Members: n, Loss: loss, ProbeInterval: 300 * time.Millisecond, SettleTime: time.Second, Seed: r.seed, Deaths: max(1, n/10),
+				Length: time.Minute,
+			}
 			var worst time.Duration
 			for seed := range uint64(3) {
 				c.Seed = r.seed + seed
-				x := model.Play(c)
-				if worst = max(worst, x.Right); x.Right == 0 {
+				x := gossipsim.Run(c)
+				if worst = max(worst, x.ConvergedAfter); x.ConvergedAfter == 0 {
 					r.failf("%d members at a loss of %v were not right within a minute", n, loss)
 				}
 			}
-			c.Deaths, c.For = 0, long
+			c.Deaths, c.Length = 0, long
 			if n > 5 {
-				c.For = long / time.Duration(n/5)
+				c.Length = long / time.Duration(n/5)
 			}
-			x := model.Play(c)
-			hours := c.For.Hours()
-			fmt.Fprintf(t, "%d\t%.0f %%\t%.2f s\t%.0f\t%.0f\t%.2f\n", n, 100*loss, worst.Seconds(), float64(x.Accused)/hours, float64(x.Moved)/hours,
-				float64(x.Rumours)/c.For.Seconds()/float64(n))
+			x := gossipsim.Run(c)
+			hours := c.Length.Hours()
+			fmt.Fprintf(t, "%d\t%.0f %%\t%.2f s\t%.0f\t%.0f\t%.2f\n", n, 100*loss, worst.Seconds(), float64(x.FalseFailures)/hours, float64(x.PositionChanges)/hours,
+				float64(x.RumoursSent)/c.Length.Seconds()/float64(n))
 		}
 	}
 	t.Flush()
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -9,37 +9,40 @@
 	"cranegrade/balancer"
 )
 
-// BenchmarkDecision is a request, its attempt and the attempt's end, through the module alone and through the one in front
-// of it, with the same servers to draw from: 60 servers, 50 members.
+// BenchmarkDecision measures a request, its attempt and the attempt's end in a fleet of 50 nodes and 60 servers: through the decision module
+// alone, and through the Module in front of it.
 func BenchmarkDecision(b *testing.B) {
-	class := balancer.Class{Name: "read", Effect: balancer.Idempotent, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}
-	set := balancer.Settings{Classes: []balancer.Class{class}, MaxAttempts: 3, Balancers: 50, Index: 7, Tick: time.Millisecond}
+	class := balancer.Class{
+		Name: "read", Effect: balancer.Idempotent, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1,
+	}
+	settings := balancer.Settings{Classes: []balancer.Class{class}, MaxAttempts: 3, Balancers: 50, Index: 7, Tick: time.Millisecond}
 	list := balancer.ServerList{Full: true}
 	for i := range 60 {
 		list.Servers = append(list.Servers, balancer.Server{ID: fmt.Sprintf("s-%02d", i), State: balancer.Ready, Size: 1})
 	}
 	for _, name := range []string{"alone", "fleet"} {
 		b.Run(name, func(b *testing.B) {
-			in, err := balancer.New(set, 1)
+			policy, err := balancer.New(settings, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			f := newTogether(50)
-			m := NewModule(in, f.gates[7], f.names[7], set, BootTime)
+			f := newEmulatedFleet(50)
+			m := NewModule(policy, f.pools[7], f.names[7], settings, BootTime)
 			m.Handle(0, list)
-			m.Handle(time.Second, list) // it has its place and its subset
-			var d Decider = in
+			m.Handle(time.Second, list) // it has its position and its subset
+			var decider Decider = policy
 			if name == "fleet" {
-				d = m
+				decider = m
 			}
 			now, n := time.Second, 0
 			for b.Loop() {
 				n++
 				now += 20 * time.Millisecond
 				id := strconv.Itoa(n)
-				for _, a := range d.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + 2*time.Second}) {
-					if s, is := a.(balancer.Send); is {
-						d.Handle(now+5*time.Millisecond, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})
+				for _, action := range decider.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + 2*time.Second}) {
+					if send, ok := action.(balancer.Send); ok {
+						outcome := balancer.Outcome{ID: id, Server: send.Server, Ending: balancer.Success, Ended: true}
+						decider.Handle(now+5*time.Millisecond, outcome)
 					}
 				}
 			}
@@ -47,8 +50,9 @@
 	}
 }
 
-// BenchmarkSharing is what a change of the members or the list costs one node, aside from its engine where it is large.
-func BenchmarkSharing(b *testing.B) {
+// BenchmarkAssign measures what a change of the members or of the list costs one node. A large assignment does not run on the engine's
+// goroutine.
+func BenchmarkAssign(b *testing.B) {
 	for _, size := range [][2]int{{50, 60}, {1000, 10_000}} {
 		var members []string
 		for i := range size[0] {
--- /dev/null
+++ b/internal/fleet/collect_status.go
@@ -0,0 +1,134 @@
+package fleet
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"cranegrade/internal/fleet/membership"
+)
+
+// Status returns what this node knows now.
+func (f *Fleet) Status() Status {
+	health := f.gossipHealth()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	now := BootTime()
+	s := Status{
+		Name: f.config.Name, Run: formatIncarnation(f.incarnation), At: time.Now(), Open: f.gossip != nil,
+		LeaseMS: milliseconds(f.config.Lease), Nodes: f.config.Nodes, Roll: fmt.Sprintf("%016x", f.roster.Hash()),
+		Health: health, Sent: f.bytesSent.Load(), Got: f.bytesReceived.Load(), Bad: f.unreadableMessages,
+	}
+	members := f.view.Members()
+	s.Members = f.memberStatuses(now, members)
+	for _, p := range f.pools {
+		s.Pools = append(s.Pools, f.poolStatus(now, p, members))
+	}
+	slices.SortFunc(s.Pools, func(a, b PoolStatus) int { return cmp.Compare(a.Pool, b.Pool) })
+	changes, ignored := f.view.Changes()
+	s.Ignored = ignored
+	for _, c := range changes {
+		s.Changes = append(s.Changes, ChangeStatus{milliseconds(now - c.At), c.Name, string(c.Kind), c.Reason})
+	}
+	for _, stall := range f.stalls {
+		reason := fmt.Sprintf("for %v", stall.For.Round(time.Millisecond))
+		s.Stalls = append(s.Stalls, ChangeStatus{milliseconds(now - stall.At), "", "did not run", reason})
+	}
+	return s
+}
+
+// gossipHealth returns the gossip's health score. It must not be asked for under f.mu.
+func (f *Fleet) gossipHealth() int {
+	f.mu.Lock()
+	gossip := f.gossip
+	f.mu.Unlock()
+	if gossip == nil {
+		return 0
+	}
+	return gossip.GetHealthScore()
+}
+
+// memberStatuses merges what the view and the roster know, by name. f.mu is held.
+func (f *Fleet) memberStatuses(now time.Duration, members []membership.Member) (statuses []MemberStatus) {
+	byName := map[string]*MemberStatus{}
+	status := func(name string) *MemberStatus {
+		s := byName[name]
+		if s == nil {
+			s = &MemberStatus{Name: name, State: "unknown"}
+			byName[name] = s
+		}
+		return s
+	}
+	for _, m := range members {
+		s := status(m.Name)
+		s.Run, s.Addr, s.Zone, s.State = formatIncarnation(m.Incarnation), m.Addr, m.Zone, m.State.String()
+		s.SinceMS, s.Counts, s.Flaps = milliseconds(now-m.Since), m.Agreed, m.Flaps
+		if m.DuplicateIncarnation != 0 {
+			s.Twin = formatIncarnation(m.DuplicateIncarnation)
+		}
+	}
+	for name, incarnation := range f.roster.Duplicates() {
+		status(name).Twin = formatIncarnation(incarnation)
+	}
+	for _, m := range f.roster.Members(now) {
+		s := status(m.Name)
+		s.Seated, s.Gone, s.Out, s.Same, s.HeardMS = m.Voter, m.Removed, m.Failed, m.SameRoster, milliseconds(m.SinceHeard)
+	}
+	for _, s := range byName {
+		statuses = append(statuses, *s)
+	}
+	slices.SortFunc(statuses, func(a, b MemberStatus) int { return cmp.Compare(a.Name, b.Name) })
+	return statuses
+}
+
+// maxShownTime bounds the time that a share holds as operators are shown it: a node alone grants itself its share for ever.
+const maxShownTime = 1000 * time.Hour
+
+// poolStatus returns the role that a pool's module applies now. f.mu is held.
+func (f *Fleet) poolStatus(now time.Duration, p *Pool, members []membership.Member) PoolStatus {
+	role, divisor := p.Role(now)
+	module := p.moduleState.Load()
+	s := PoolStatus{
+		Pool: p.name, Index: role.Index, Seen: role.Seen, Agreed: role.Agreed, Divisor: role.Divisor, Standing: !math.IsInf(divisor, 1),
+		Granted: role.Granted, Wanted: role.Wanted, Of100: 100 / divisor, Why: role.Reason, Order: role.Order,
+		Subset: module.Subset, Moving: module.SubsetMoving,
+	}
+	for _, e := range module.Ejections {
+		s.Aside = append(s.Aside, AsideStatus{e.Server, milliseconds(max(0, e.Until-now)), e.Reporters})
+	}
+	s.Quotas = f.quotaStatuses(now, p, divisor)
+	if s.Standing {
+		s.UntilMS = milliseconds(min(role.Until-now, maxShownTime))
+	} else if s.Why == "" {
+		s.Why = "what it stood on is too old"
+	}
+	for _, m := range members {
+		if c := f.view.Compare(&m, p.id); c != membership.Compatible && m.State == membership.Alive {
+			if s.Differ == nil {
+				s.Differ = map[string]string{}
+			}
+			s.Differ[m.Name] = c.String()
+		}
+	}
+	return s
+}
+
+// quotaStatuses returns this node's shares of the quotas of a pool, by tenant. f.mu is held.
+func (f *Fleet) quotaStatuses(now time.Duration, p *Pool, divisor float64) (statuses []QuotaStatus) {
+	shares := p.quotaShares(now)
+	for tenant, id := range p.quotaIDs() {
+		s := QuotaStatus{tenant, 1 / divisor, f.loans.Lent(now, id), f.loans.Borrowed(now, id)}
+		if share, ok := shares.ByTenant[tenant]; ok && !math.IsInf(divisor, 1) {
+			s.Part = share
+		}
+		statuses = append(statuses, s)
+	}
+	slices.SortFunc(statuses, func(a, b QuotaStatus) int { return cmp.Compare(a.Tenant, b.Tenant) })
+	return statuses
+}
+
+func formatIncarnation(incarnation uint64) string { return fmt.Sprintf("%x", incarnation) }
+
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/fleet/emulated_test.go
+++ b/internal/fleet/emulated_test.go
@@ -11,217 +11,278 @@
 	"cranegrade/balancer"
 	"cranegrade/internal/emulator"
 	"cranegrade/internal/fleet/membership"
-	"cranegrade/internal/fleet/signal"
+	"cranegrade/internal/fleet/outlier"
 )
 
-// together makes deciders for the nodes of an emulated fleet that tell each other what they see, after a delay.
-type together struct {
-	w       *emulator.World
-	gates   []*Gate
-	names   []string
-	bytes   int
-	speaker func(seq uint32) signal.Digest // of node 0, which speaks all the time; nil: it is as the others
-	seq     uint32
+// emulatedFleet makes the modules of an emulated fleet, whose nodes receive each other's digests after a delay.
+type emulatedFleet struct {
+	world       *emulator.World
+	pools       []*Pool // by node
+	names       []string
+	digestBytes int
+	// lie makes the digests of node 0, which then sends one every 250 ms; nil: it is like the others.
+	lie     func(seq uint32) outlier.Digest
+	lieSeq  uint32
+	poolID  uint32
+	latency time.Duration // of a digest
 }
 
-// speakNow has node 0 say what it likes, four times a second.
-func (f *together) speakNow() {
-	if f.w.Ended() {
-		return
+func newEmulatedFleet(nodes int) *emulatedFleet {
+	f := &emulatedFleet{poolID: membership.PoolID("app"), latency: 50 * time.Millisecond}
+	for i := range nodes {
+		f.names = append(f.names, fmt.Sprintf("n%03d", i))
 	}
-	f.seq++
-	d := f.speaker(f.seq)
-	d.Pool, d.Seq = membership.PoolID("app"), f.seq
-	x, _ := signal.Decode(d.Encode())
-	for _, other := range f.gates[1:] {
-		other.deliver(peerDigest{f.names[0], 0, x})
+	for i := range nodes {
+		p := newPool("app")
+		p.role.Store(&Role{
+			Position: membership.Position{Order: f.names, Index: i, Seen: nodes, Agreed: nodes},
+			Share:    membership.Share{Divisor: nodes, Until: math.MaxInt64}, Divisor: nodes,
+		})
+		p.broadcast = func(digest outlier.Digest, _ []string) { f.broadcast(i, digest) }
+		f.pools = append(f.pools, p)
 	}
-	f.w.After(250*time.Millisecond, f.speakNow)
+	return f
 }
 
-func newTogether(n int) *together {
-	f := &together{}
-	for i := range n {
-		f.names = append(f.names, fmt.Sprintf("n%03d", i))
+// broadcast has all other nodes receive a node's digest after the latency.
+func (f *emulatedFleet) broadcast(from int, digest outlier.Digest) {
+	if f.lie != nil && from == 0 {
+		return
 	}
-	pool := membership.PoolID("app")
-	for i := range n {
-		g := &Gate{pool: pool}
-		g.hearsay.Store(&Hearsay{})
-		g.role.Store(&Role{Place: membership.Place{Order: f.names, Index: i, Seen: n, Agreed: n}, Share: membership.Share{Divisor: n, Until: math.MaxInt64}, Divisor: n})
-		g.broadcast = func(d signal.Digest, _ []string) {
-			if f.speaker != nil && i == 0 {
-				return
-			}
-			x, err := signal.Decode(d.Encode())
-			if err != nil {
-				panic(err)
+	encoded := digest.Encode()
+	decoded, err := outlier.Decode(encoded)
+	if err != nil {
+		panic(err)
+	}
+	f.digestBytes += len(encoded)
+	f.world.After(f.latency, func() {
+		for i, p := range f.pools {
+			if i != from {
+				p.deliver(peerDigest{f.names[from], uint64(from), decoded})
 			}
-			f.bytes += len(d.Encode())
-			f.w.After(50*time.Millisecond, func() {
-				for j, other := range f.gates {
-					if j != i {
-						other.deliver(peerDigest{f.names[i], uint64(i), x})
-					}
-				}
-			})
 		}
-		f.gates = append(f.gates, g)
+	})
+}
+
+// sendLies has node 0 send a lie now and every 250 ms.
+func (f *emulatedFleet) sendLies() {
+	if f.world.Ended() {
+		return
 	}
-	return f
+	f.lieSeq++
+	digest := f.lie(f.lieSeq)
+	digest.Pool, digest.Seq = f.poolID, f.lieSeq
+	decoded, err := outlier.Decode(digest.Encode())
+	if err != nil {
+		panic(err)
+	}
+	for _, p := range f.pools[1:] {
+		p.deliver(peerDigest{f.names[0], 0, decoded})
+	}
+	f.world.After(250*time.Millisecond, f.sendLies)
 }
 
-// decider is of one node of the first tier.
-func (f *together) decider(seed uint64) func(int, int, balancer.Settings) emulator.Decider {
-	return func(tier, index int, set balancer.Settings) emulator.Decider {
-		b, err := balancer.New(set, seed+uint64(index)*7919)
+// decider returns a constructor of the nodes' modules.
+func (f *emulatedFleet) decider(seed uint64) func(int, int, balancer.Settings) emulator.Decider {
+	return func(tier, index int, settings balancer.Settings) emulator.Decider {
+		policy, err := balancer.New(settings, seed+uint64(index)*7919)
 		if err != nil || tier > 0 {
 			panic(fmt.Sprint(err, tier))
 		}
-		m := NewModule(b, f.gates[index], f.names[index], set, func() time.Duration { return f.w.Now() + time.Hour })
-		m.maxInlinePairs = math.MaxInt // or the course would hang on the machine's own time
+		clock := func() time.Duration { return f.world.Now() + time.Hour }
+		m := NewModule(policy, f.pools[index], f.names[index], settings, clock)
+		m.maxInlinePairs = math.MaxInt // on another goroutine the result would depend on the machine's own time
 		return m
 	}
 }
 
-type course struct {
-	failed, served float64 // of attempts at sick servers that ended badly, and share of requests served in time
-	least, most    float64 // requests of servers, of the mean
-	told           int     // bytes
+// emulation is one run of a fleet in front of servers of which some fail.
+type emulation struct {
+	nodes, servers int
+	failing        []int // servers that fail every request from failuresBegin on
+	seed           uint64
+	sharesReports  bool // the nodes exchange digests
+	lie            func(seq uint32) outlier.Digest
 }
 
-// play has n nodes before so many servers, some of which err from second 5 on.
-func play(t testing.TB, n, servers int, sick []int, seed uint64, with bool, change func(*together)) course {
-	f := newTogether(n)
-	if change != nil {
-		change(f)
-	}
-	class := balancer.Class{Name: "read", Effect: balancer.Idempotent, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.5, Worth: 1}
-	set := balancer.Settings{
-		Classes: []balancer.Class{class}, WholeWeight: 0.6, ClassWeight: 0.3, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond,
-		MaxRetryAfter: time.Second, ColdFrom: 0.3, WarmAfter: 4 * time.Second, FallMultiple: 4, FallFor: 1500 * time.Millisecond,
-	}
-	rate := 6 * float64(servers)
-	p := emulator.Plan{
-		Seed: seed, Nodes: n, Wire: 300 * time.Microsecond, Length: 25 * time.Second, Rate: func(time.Duration) float64 { return rate }, Most: rate,
-		Classes: []emulator.Class{{Class: class, Share: 1, Work: []time.Duration{40 * time.Millisecond}, Dist: emulator.Dist{Kind: "lognormal", CV: 0.5}}},
-		Tiers:   []emulator.Tier{{Servers: servers, Slots: 4, Queue: 50, Settings: set}},
-	}
-	if with {
-		p.Decider = f.decider(seed)
+const (
+	failuresBegin   = 5 * time.Second
+	emulationLength = 25 * time.Second
+)
+
+// emulationResult is what a run measured, from failuresBegin on; of load over all of it.
+type emulationResult struct {
+	failed      float64 // attempts at failing servers
+	served      float64 // fraction of requests that were served in time
+	least, most float64 // load of the other servers, as a multiple of the mean
+	digestBytes int
+}
+
+func (e emulation) run(t testing.TB) emulationResult {
+	f := newEmulatedFleet(e.nodes)
+	f.lie = e.lie
+	plan := e.plan()
+	if e.sharesReports {
+		plan.Decider = f.decider(e.seed)
 	}
-	p.At = []emulator.Change{{At: 5 * time.Second, Do: func(w *emulator.World) {
-		for _, i := range sick {
-			w.Servers(0)[i].Errors = 1
-		}
-	}}}
-	p.Begin = func(w *emulator.World) {
-		f.w = w
-		if f.speaker != nil {
-			f.speakNow()
+	plan.Begin = func(w *emulator.World) {
+		f.world = w
+		if f.lie != nil {
+			f.sendLies()
 		}
 	}
-	w, err := emulator.Play(p)
+	w, err := emulator.Play(plan)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(w.Broken) > 0 {
-		t.Errorf("%d rules broken, at first: %s", len(w.Broken), w.Broken[0])
+		t.Errorf("%d rules broken, the first: %s", len(w.Broken), w.Broken[0])
 	}
-	c := course{served: w.Goodput(5*time.Second, 25*time.Second), told: f.bytes, least: math.Inf(1)}
-	total := 0
-	for i := range servers {
-		total += w.Servers(0)[i].Arrived
+	result := e.measure(w)
+	result.digestBytes = f.digestBytes
+	return result
+}
+
+func (e emulation) plan() emulator.Plan {
+	class := balancer.Class{
+		Name: "read", Effect: balancer.Idempotent, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.5, Worth: 1,
+	}
+	settings := balancer.Settings{
+		Classes: []balancer.Class{class}, WholeWeight: 0.6, ClassWeight: 0.3, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond,
+		MaxRetryAfter: time.Second, ColdFrom: 0.3, WarmAfter: 4 * time.Second, FallMultiple: 4, FallFor: 1500 * time.Millisecond,
+	}
+	rate := 6 * float64(e.servers)
+	return emulator.Plan{
+		Seed: e.seed, Nodes: e.nodes, Wire: 300 * time.Microsecond, Length: emulationLength,
+		Rate: func(time.Duration) float64 { return rate }, Most: rate,
+		Classes: []emulator.Class{{
+			Class: class, Share: 1, Work: []time.Duration{40 * time.Millisecond}, Dist: emulator.Dist{Kind: "lognormal", CV: 0.5},
+		}},
+		Tiers: []emulator.Tier{{Servers: e.servers, Slots: 4, Queue: 50, Settings: settings}},
+		At: []emulator.Change{{At: failuresBegin, Do: func(w *emulator.World) {
+			for _, i := range e.failing {
+				w.Servers(0)[i].Errors = 1
+			}
+		}}},
 	}
-	for i := range servers {
-		s := w.Servers(0)[i]
-		if slices.Contains(sick, i) {
-			c.failed += float64(s.Erred)
+}
+
+func (e emulation) measure(w *emulator.World) emulationResult {
+	result := emulationResult{served: w.Goodput(failuresBegin, emulationLength), least: math.Inf(1)}
+	arrived := 0
+	for _, s := range w.Servers(0)[:e.servers] {
+		arrived += s.Arrived
+	}
+	mean := float64(arrived) / float64(e.servers)
+	for i, s := range w.Servers(0)[:e.servers] {
+		if slices.Contains(e.failing, i) {
+			result.failed += float64(s.Erred)
 			continue
 		}
-		x := float64(s.Arrived) / (float64(total) / float64(servers))
-		c.least, c.most = min(c.least, x), max(c.most, x)
+		load := float64(s.Arrived) / mean
+		result.least, result.most = min(result.least, load), max(result.most, load)
+	}
+	return result
+}
+
+// emulatedServer is the name that the emulator gives a server.
+func emulatedServer(i int) string { return fmt.Sprintf("t0-%04d", i) }
+
+// meanResult runs an emulation with several seeds, each with another failing server.
+func meanResult(t *testing.T, e emulation, seeds int) (mean emulationResult) {
+	n := float64(seeds)
+	for seed := range seeds {
+		e.seed, e.failing = uint64(seed), []int{seed}
+		result := e.run(t)
+		mean.failed += result.failed / n
+		mean.served += result.served / n
+		mean.digestBytes += result.digestBytes / seeds
+		mean.least += result.least / n
+		mean.most += result.most / n
 	}
-	return c
+	return mean
 }
 
-func serverName(i int) string { return fmt.Sprintf("t0-%04d", i) }
+// logComparison logs what sharing reports changes.
+func logComparison(t *testing.T, e emulation, without, with emulationResult) {
+	t.Logf("%d nodes, %d servers: %.0f failed attempts in 20 s without reports, %.0f with; served %.3f and %.3f; "+
+		"load %.2f to %.2f and %.2f to %.2f of the mean; %d bytes of digests", e.nodes, e.servers, without.failed, with.failed,
+		without.served, with.served, without.least, without.most, with.least, with.most, with.digestBytes)
+}
 
-// TestSickServer counts what a fleet pays for a server that fails every call, by size, with the others' words and without.
-func TestSickServer(t *testing.T) {
+// TestReportsReduceFailedAttempts compares what a server that fails every request costs fleets of several sizes, without others' reports and
+// with them.
+func TestReportsReduceFailedAttempts(t *testing.T) {
 	for _, size := range [][2]int{{5, 20}, {50, 60}, {100, 100}} {
-		var before, after course
-		const seeds = 3
-		for seed := range uint64(seeds) {
-			for _, x := range []struct {
-				with bool
-				sum  *course
-			}{{false, &before}, {true, &after}} {
-				c := play(t, size[0], size[1], []int{int(seed)}, seed, x.with, nil)
-				x.sum.failed += c.failed / seeds
-				x.sum.served += c.served / seeds
-				x.sum.told += c.told / seeds
-				x.sum.least += c.least / seeds
-				x.sum.most += c.most / seeds
+		t.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(t *testing.T) {
+			const seeds = 3
+			e := emulation{nodes: size[0], servers: size[1]}
+			without := meanResult(t, e, seeds)
+			e.sharesReports = true
+			with := meanResult(t, e, seeds)
+			logComparison(t, e, without, with)
+			if e.nodes >= 50 && with.failed > 0.6*without.failed || with.served < without.served-0.02 {
+				t.Errorf("%+v without reports, %+v with", without, with)
 			}
-		}
-		t.Logf("%d nodes, %d servers: %.0f failed calls in 20 s without others' words, %.0f with; served %.3f and %.3f; least and most of the mean %.2f to %.2f and %.2f to %.2f; %d bytes told",
-			size[0], size[1], before.failed, after.failed, before.served, after.served, before.least, before.most, after.least, after.most, after.told)
-		if size[0] >= 50 && after.failed > 0.6*before.failed || after.served < before.served-0.02 {
-			t.Errorf("%+v without, %+v with", before, after)
-		}
+		})
 	}
 }
 
-// TestLarge is 300 nodes before 300 servers, of which one in eight fails from second 5 on, with thin traffic.
-func TestLarge(t *testing.T) {
+// TestReportsInLargeFleet compares the same with one in eight servers failing and thin traffic.
+func TestReportsInLargeFleet(t *testing.T) {
 	if testing.Short() || raceEnabled {
 		t.Skip("a fleet of 300 takes half a minute")
 	}
-	var sick []int
-	for i := 0; i < 300; i += 8 {
-		sick = append(sick, i)
-	}
 	for _, size := range [][2]int{{50, 60}, {300, 300}} {
-		var bad []int
-		for _, i := range sick {
-			if i < size[1] {
-				bad = append(bad, i)
+		t.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(t *testing.T) {
+			e := emulation{nodes: size[0], servers: size[1], seed: 1}
+			for i := 0; i < e.servers; i += 8 {
+				e.failing = append(e.failing, i)
 			}
-		}
-		before, after := play(t, size[0], size[1], bad, 1, false, nil), play(t, size[0], size[1], bad, 1, true, nil)
-		t.Logf("%d nodes, %d servers, %d of them failing: %.0f failed calls in 20 s without others' words, %.0f with; served %.3f and %.3f; least and most of the others' mean %.2f to %.2f and %.2f to %.2f; %d bytes told",
-			size[0], size[1], len(bad), before.failed, after.failed, before.served, after.served, before.least, before.most, after.least, after.most, after.told)
-		if after.failed > before.failed || after.served < before.served-0.02 {
-			t.Errorf("%+v without, %+v with", before, after)
-		}
+			without := e.run(t)
+			e.sharesReports = true
+			with := e.run(t)
+			logComparison(t, e, without, with)
+			if with.failed > without.failed || with.served < without.served-0.02 {
+				t.Errorf("%+v without reports, %+v with", without, with)
+			}
+		})
 	}
 }
 
-// TestLiars: whatever one member tells, hardly less is served, and no healthy server is kept out.
-func TestLiars(t *testing.T) {
-	const n, servers = 10, 20
-	honest := play(t, n, servers, nil, 1, true, nil)
+// TestFalseReportsDoLittleHarm: whatever one member reports, hardly less is served, and no healthy server goes without load.
+func TestFalseReportsDoLittleHarm(t *testing.T) {
+	const nodes, servers = 10, 20
+	honest := emulation{nodes: nodes, servers: servers, seed: 1, sharesReports: true}.run(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	out := func(i int) signal.Fact { return signal.Fact{Server: signal.ID(serverName(i)), Bad: 255, Streak: 255} }
-	for name, speaker := range map[string]func(uint32) signal.Digest{
-		"all are out": func(uint32) (d signal.Digest) {
+	failing := func(i int) outlier.Observation {
+		return outlier.Observation{Server: outlier.ServerID(emulatedServer(i)), Failures: 255, ConsecutiveFailures: 255}
+	}
+	for name, lie := range map[string]func(uint32) outlier.Digest{
+		"all servers fail": func(uint32) (digest outlier.Digest) {
+			digest.SubsetSize = servers
 			for i := range servers {
-				d.Facts = append(d.Facts, out(i))
+				digest.Observations = append(digest.Observations, failing(i))
 			}
-			d.Draws = servers
-			return d
+			return digest
+		},
+		"one server fails": func(uint32) outlier.Digest {
+			return outlier.Digest{SubsetSize: 60000, Observations: []outlier.Observation{failing(3)}}
 		},
-		"one is out": func(uint32) signal.Digest { return signal.Digest{Draws: 60000, Facts: []signal.Fact{out(3)}} },
-		"a few are out, others each time": func(uint32) signal.Digest {
-			return signal.Digest{Draws: 60000, Facts: []signal.Fact{out(rng.IntN(servers)), out(rng.IntN(servers)), out(rng.IntN(servers)), out(rng.IntN(servers))}}
+		"a few servers fail, others each time": func(uint32) (digest outlier.Digest) {
+			digest.SubsetSize = 60000
+			for range 4 {
+				digest.Observations = append(digest.Observations, failing(rng.IntN(servers)))
+			}
+			return digest
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := play(t, n, servers, nil, 1, true, func(f *together) { f.speaker = speaker })
-			t.Logf("served %.3f, least and most %.2f to %.2f; with nobody lying %.3f, %.2f to %.2f", c.served, c.least, c.most, honest.served, honest.least, honest.most)
-			if c.served < honest.served-0.02 || c.least < 0.6*honest.least {
-				t.Errorf("%+v, with nobody lying %+v", c, honest)
+			result := emulation{nodes: nodes, servers: servers, seed: 1, sharesReports: true, lie: lie}.run(t)
+			t.Logf("served %.3f, load %.2f to %.2f of the mean; without false reports %.3f, %.2f to %.2f", result.served, result.least,
+				result.most, honest.served, honest.least, honest.most)
+			if result.served < honest.served-0.02 || result.least < 0.6*honest.least {
+				t.Errorf("%+v, without false reports %+v", result, honest)
 			}
 		})
 	}
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -9,23 +9,23 @@
 	"cranegrade/internal/fleet/membership"
 )
 
-// Services are pools as members compare them, from each pool's name and a digest of its settings.
-func Services(pools map[string]uint32) (l []membership.Service) {
+// PoolDigests returns pools as members compare them, from each pool's name and a digest of its settings.
+func PoolDigests(pools map[string]uint32) (digests []membership.PoolDigest) {
 	for name, digest := range pools {
-		l = append(l, membership.Service{ID: membership.PoolID(name), Digest: digest})
+		digests = append(digests, membership.PoolDigest{ID: membership.PoolID(name), Digest: digest})
 	}
-	return membership.SortServices(l)
+	return membership.SortPools(digests)
 }
 
-// Module puts a gate before a pool's module, which has these settings.
-func (f *Fleet) Module(pool string, s balancer.Settings, in engine.Module) engine.Module {
-	return NewModule(in, f.Gate(pool), f.cfg.Name, s, BootTime)
+// Module returns a module that stands in front of a pool's decision module, which has these settings. Only one may be made for a pool.
+func (f *Fleet) Module(pool string, settings balancer.Settings, decider engine.Module) engine.Module {
+	return NewModule(decider, f.Pool(pool), f.config.Name, settings, BootTime)
 }
 
-// Serve tells the others which pools this node has from now on.
-func (f *Fleet) Serve(pools map[string]uint32) { f.SetPools(Services(pools)) }
+// Serve tells the other members which pools this node has from now on, each with a digest of its settings.
+func (f *Fleet) Serve(pools map[string]uint32) { f.SetPools(PoolDigests(pools)) }
 
-// WriteStatus tells what this node holds as JSON.
+// WriteStatus writes the Status as JSON.
 func (f *Fleet) WriteStatus(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/internal/fleet/membership/exchange.go
+++ b/internal/fleet/membership/exchange.go
@@ -5,88 +5,110 @@
 	"time"
 )
 
-// StartRound begins a round of heartbeats: each goes to one of the names, by Heartbeat.
+// StartRound begins a round of heartbeats and returns the names that one has to be sent to, see Heartbeat.
 func (r *Roster) StartRound(now time.Duration) (to []string) {
 	r.advance(now)
 	r.seq++
-	r.sentAt[r.seq%uint64(len(r.sentAt))] = r.last
-	r.allSettled, r.allOut = r.votersSettled(), nil
-	for _, s := range r.sortedMembers() {
-		if s.Name == r.self || s.Gone {
+	r.sentAt[r.seq%rememberedRounds] = r.now
+	r.roundVotersCommitted, r.roundFailed = r.hasCommittedVoters(), nil
+	for _, p := range r.sortedMembers() {
+		if p.Name == r.self || p.Removed {
 			continue
 		}
-		to = append(to, s.Name)
-		if s.out && len(r.allOut) < MaxOut {
-			r.allOut = append(r.allOut, s.id)
+		to = append(to, p.Name)
+		if p.failed && len(r.roundFailed) < MaxFailed {
+			r.roundFailed = append(r.roundFailed, p.id)
 		}
 	}
 	return to
 }
 
-// Heartbeat is this round's for one member. What a heartbeat claims was so when the round began: who was heard since is claimed
-// to be out for a round longer, and granted nothing before that is long over.
+// Heartbeat returns the current round's heartbeat for one member. It reports as failed those who had failed when the round began. A
+// member that is heard during the round is so reported for a round longer, which is safe: it is granted nothing for rejoinDelay.
 func (r *Roster) Heartbeat(to string) Heartbeat {
-	me := r.members[r.self]
-	b := Heartbeat{
-		From: r.self, Run: r.run, To: NameID(to), Seq: r.seq, Epoch: me.Epoch,
-		Leaving: r.leaving, Settled: r.allSettled, RosterHash: r.hash, Out: r.allOut,
+	h := Heartbeat{
+		From: r.self, Incarnation: r.incarnation, To: NameID(to), Seq: r.seq, Epoch: r.members[r.self].Epoch, Leaving: r.leaving,
+		VotersCommitted: r.roundVotersCommitted, RosterHash: r.hash, Failed: r.roundFailed,
 	}
-	if s := r.members[to]; s != nil && s.run != 0 && !s.out && !s.Gone && r.last >= s.grantAfter && !r.leaving {
-		b.Echo, b.EchoRun = s.seq, s.run
+	if p := r.members[to]; p != nil && r.grantsTo(p) {
+		h.Echo, h.EchoIncarnation = p.seq, p.incarnation
 	}
-	return b
+	return h
 }
 
-// Receive takes a heartbeat. stranger says that the sender's roster is not known here, so that each should tell the other its;
-// sent is when the heartbeat of ours went out that this one echoes, zero if it grants nothing.
-func (r *Roster) Receive(now time.Duration, b Heartbeat) (stranger bool, sent time.Duration) {
+// grantsTo reports whether this node's heartbeats to a member are grants.
+func (r *Roster) grantsTo(p *peer) bool {
+	return p.incarnation != 0 && !p.failed && !p.Removed && r.now >= p.noGrantBefore && !r.leaving
+}
+
+// Receive processes a heartbeat. exchangeRosters says that the sender's roster is another than this node's, so that this node should send
+// it its own. echoedAt is when this node sent the heartbeat that is echoed; zero if this one is no grant.
+func (r *Roster) Receive(now time.Duration, h Heartbeat) (exchangeRosters bool, echoedAt time.Duration) {
 	r.advance(now)
-	if b.To != NameID(r.self) || b.From == r.self {
-		if b.From == r.self && b.Run != r.run && b.To == NameID(r.self) {
-			r.duplicates[r.self] = b.Run
+	if h.To != NameID(r.self) {
+		return false, 0
+	}
+	if h.From == r.self {
+		if h.Incarnation != r.incarnation {
+			r.duplicates[r.self] = h.Incarnation
 		}
 		return false, 0
 	}
-	if b.Epoch > MaxEpoch {
+	if h.Epoch > MaxEpoch {
 		return false, 0
 	}
-	r.Merge(now, []Entry{{Name: b.From, Epoch: b.Epoch, Gone: b.Leaving}})
-	s := r.members[b.From]
-	if s == nil || s.Gone || s.Epoch != b.Epoch {
-		return s != nil && !b.Leaving, 0 // it does not know that it is off the roster, or that it came back
-	}
-	if s.run != b.Run {
-		// Another process of that name. As long as the one before may still act on what it was granted, it does not
-		// count; if that one goes on, neither ever does.
-		if s.run != 0 && r.last-s.heardAt < r.lease.Duration {
-			r.duplicates[b.From] = b.Run
-			return false, 0
+	r.Merge(now, []Entry{{Name: h.From, Epoch: h.Epoch, Removed: h.Leaving}})
+	p := r.members[h.From]
+	if p == nil || p.Removed || p.Epoch != h.Epoch {
+		return p != nil && !h.Leaving, 0 // the sender does not know that it was removed, or that it came back
+	}
+	if !r.accept(p, h) {
+		return false, 0
+	}
+	if h.RosterHash == 0 || !slices.Contains(r.recentHashes[:], h.RosterHash) {
+		return true, 0 // no grant: a member that knows less than those who admit it must not act
+	}
+	return h.RosterHash != r.hash, r.receiveGrant(p, h)
+}
+
+// accept records that a peer was heard. It reports false if the heartbeat must be ignored: it is a replay, or it comes from
+// another process with the peer's name.
+func (r *Roster) accept(p *peer, h Heartbeat) bool {
+	if p.incarnation != h.Incarnation {
+		// While the process before may still act on what it was granted, the new one does not count. If the one before goes on
+		// sending, the new one never does.
+		if p.incarnation != 0 && r.now-p.heardAt < r.lease.Duration {
+			r.duplicates[p.Name] = h.Incarnation
+			return false
 		}
-		s.run, s.seq, s.hasGrant, s.hasClaim, s.claims = b.Run, 0, false, false, nil
+		p.incarnation, p.seq, p.hasGrant, p.hasReport, p.failureReports = h.Incarnation, 0, false, false, nil
+	}
+	if h.Seq <= p.seq {
+		return false
+	}
+	p.seq, p.heardAt, p.rosterHash, p.votersCommitted = h.Seq, r.now, h.RosterHash, h.VotersCommitted
+	if p.failed {
+		p.failed, p.noGrantBefore = false, r.now+r.lease.rejoinDelay()
 	}
-	if b.Seq <= s.seq {
-		return false, 0 // late, or played again
+	return true
+}
+
+// receiveGrant records the grant and the failure reports of a heartbeat that echoes one of this node's, and returns when that one was
+// sent; zero if the heartbeat echoes none of this process, or one of too long ago.
+func (r *Roster) receiveGrant(p *peer, h Heartbeat) (echoedAt time.Duration) {
+	if h.EchoIncarnation != r.incarnation || h.Echo == 0 || h.Echo > r.seq || r.seq-h.Echo >= rememberedRounds {
+		return 0
 	}
-	s.seq, s.heardAt, s.rosterHash, s.settled = b.Seq, r.last, b.RosterHash, b.Settled
-	if s.out {
-		s.out, s.grantAfter = false, r.last+r.lease.rejoinDelay()
+	echoedAt = r.sentAt[h.Echo%rememberedRounds]
+	if !p.hasGrant || echoedAt > p.grantedAt {
+		p.grantedAt, p.hasGrant = echoedAt, true
 	}
-	if b.RosterHash == 0 || !slices.Contains(r.recentHashes[:], b.RosterHash) {
-		return true, 0
+	p.reportedAt, p.hasReport, p.failureReports = echoedAt, true, nil
+	if len(h.Failed) > 0 {
+		p.failureReports = make(map[uint64]bool, len(h.Failed))
 	}
-	if age := r.seq - b.Echo; b.EchoRun == r.run && b.Echo > 0 && b.Echo <= r.seq && age < uint64(len(r.sentAt)) {
-		at := r.sentAt[b.Echo%uint64(len(r.sentAt))]
-		if !s.hasGrant || at > s.grantedAt {
-			s.grantedAt, s.hasGrant = at, true
-		}
-		s.claimedAt, s.hasClaim, s.claims = at, true, nil
-		sent = at
-		for _, id := range b.Out {
-			if s.claims == nil {
-				s.claims = map[uint64]bool{}
-			}
-			s.claims[id] = true
-		}
+	for _, id := range h.Failed {
+		p.failureReports[id] = true
 	}
-	return b.RosterHash != r.hash, sent
+	return echoedAt
 }
--- a/internal/fleet/membership/lease.go
+++ b/internal/fleet/membership/lease.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Lease is how long a grant is valid. It must be the same at all members: heartbeats of a member with another lease are
-// not accepted, because its roster hash differs.
+// Lease sets for how long a grant is valid. It must be the same at all members: members with another Lease have another roster
+// hash, so that neither accepts the other's grants.
 type Lease struct {
 	Duration time.Duration // how long a member may act on a grant, from when it sent the heartbeat that the grant echoes
 	Nodes    int           // the least number of members that found the fleet
 }
 
-// The other times follow from the lease. Each is such that what one member takes back has run out at the other first; the
+// The other times follow from the lease. Each is chosen so that what one member takes back has run out at the other one first; the
 // margins allow for clocks that run at different rates.
 
-// failureTimeout is the silence after which a member is considered failed.
+// failureTimeout is how long a member has to be silent until it is considered failed.
 func (l Lease) failureTimeout() time.Duration { return l.Duration * 13 / 10 }
 
 // rejoinDelay is how long a member that had failed is granted nothing after it is heard again.
--- a/internal/fleet/membership/majority.go
+++ b/internal/fleet/membership/majority.go
@@ -7,97 +7,101 @@
 	"time"
 )
 
-// missingFounders is how many of the founding members have not been met yet, given how many present ones have. Members
-// that left count as met.
-func (r *Roster) missingFounders(met int) int {
-	for _, s := range r.members {
-		if s.Gone {
+// forever is the end of what this node grants itself.
+const forever = time.Duration(math.MaxInt64)
+
+// missingFounders returns how many of the founding members have not been met yet if so many are present. Removed members count as met.
+func (r *Roster) missingFounders(present int) int {
+	met := present
+	for _, p := range r.members {
+		if p.Removed {
 			met++
 		}
 	}
 	return max(0, r.lease.Nodes-met)
 }
 
-// majorityEnd is the time at which a set of base members loses its majority, given when each member's grant or claim ends.
-// It is zero if there is no majority now.
-func majorityEnd(now time.Duration, base int, ends []time.Duration) time.Duration {
-	need := base/2 + 1
-	if len(ends) < need {
+// majorityEnd returns when a set of so many members loses its majority, given when each member's grant or report ends. It is zero if
+// there is no majority now.
+func majorityEnd(now time.Duration, size int, ends []time.Duration) time.Duration {
+	quorum := size/2 + 1
+	if len(ends) < quorum {
 		return 0
 	}
 	slices.SortFunc(ends, func(a, b time.Duration) int { return cmp.Compare(b, a) })
-	if ends[need-1] <= now {
+	if ends[quorum-1] <= now {
 		return 0
 	}
-	return ends[need-1]
+	return ends[quorum-1]
 }
 
-// forever is the end of what this node grants itself.
-const forever = time.Duration(math.MaxInt64)
-
-// electorates are the sets of names whose majorities must all agree: first those known to be seated, then those that were
-// when a majority was last known to agree on that. Before there is any, all that are met found the fleet.
-func (r *Roster) electorates() (l [][]*peer, founding bool) {
-	var all, seated, voters []*peer
-	for _, s := range r.members {
-		if s.Gone {
+// electorates returns the sets of members whose majorities must all agree: the voters, then the committed voters. While there are no
+// voters the fleet is being founded, by all members that were met.
+func (r *Roster) electorates() (electorates [][]*peer, founding bool) {
+	var present, voters, committed []*peer
+	for _, p := range r.members {
+		if p.Removed {
 			continue
 		}
-		all = append(all, s)
-		if s.Seated {
-			seated = append(seated, s)
+		present = append(present, p)
+		if p.Voter {
+			voters = append(voters, p)
 		}
-		if r.voters[s.Name] {
-			voters = append(voters, s)
+		if r.committedVoters[p.Name] {
+			committed = append(committed, p)
 		}
 	}
-	if len(seated) == 0 {
-		return [][]*peer{all}, true
-	}
 	if len(voters) == 0 {
-		return [][]*peer{seated}, false
+		return [][]*peer{present}, true
+	}
+	if len(committed) == 0 {
+		return [][]*peer{voters}, false
 	}
-	return [][]*peer{seated, voters}, false
+	return [][]*peer{voters, committed}, false
 }
 
-// majorityUntil is until when every electorate has a majority whose words last, word giving the end of one's; zero if not now.
-func (r *Roster) majorityUntil(councils [][]*peer, word func(*peer) time.Duration) time.Duration {
+// majorityUntil returns until when every electorate has a majority of members that agree, where agreesUntil says that of one member;
+// zero if one has none now.
+func (r *Roster) majorityUntil(electorates [][]*peer, agreesUntil func(*peer) time.Duration) time.Duration {
 	end := forever
-	missing := r.missingFounders(len(councils[0])) // electorates[0] is the largest; who is in it is not missing in the others
-	for _, c := range councils {
+	missing := r.missingFounders(len(electorates[0])) // the first electorate is the largest: whoever is in it has been met
+	for _, electorate := range electorates {
 		var ends []time.Duration
-		for _, s := range c {
-			if at := word(s); at > 0 {
+		for _, p := range electorate {
+			if at := agreesUntil(p); at > 0 {
 				ends = append(ends, at)
 			}
 		}
-		end = min(end, majorityEnd(r.last, len(c)+missing, ends))
+		end = min(end, majorityEnd(r.now, len(electorate)+missing, ends))
 	}
 	return end
 }
 
-// grantedUntil is until when a member's grant holds; its own word holds for itself.
-func (r *Roster) grantedUntil(s *peer) time.Duration {
+// grantedUntil returns until when a member's grant to this node holds; zero if it has given none. A node grants itself for ever.
+func (r *Roster) grantedUntil(p *peer) time.Duration {
 	switch {
-	case s.Name == r.self:
+	case p.Name == r.self:
 		return forever
-	case s.hasGrant:
-		return s.grantedAt + r.lease.Duration
+	case p.hasGrant:
+		return p.grantedAt + r.lease.Duration
 	}
 	return 0
 }
 
-// excludedUntil is until when a member counts no more, by the word of majorities that this node shares; zero: it counts.
-func (r *Roster) excludedUntil(councils [][]*peer, x *peer) time.Duration {
-	if x.Name == r.self || !x.out {
+// excludedUntil returns until when a member does not count, because this node and majorities report it as failed; zero: it counts.
+//
+// This is safe: each of these stopped granting it anything before they reported it, and more than a lease after it had sent what they
+// last heard. So it can't have a majority's grants any more.
+func (r *Roster) excludedUntil(electorates [][]*peer, target *peer) time.Duration {
+	if target.Name == r.self || !target.failed {
 		return 0
 	}
-	return r.majorityUntil(councils, func(s *peer) time.Duration {
+	return r.majorityUntil(electorates, func(p *peer) time.Duration {
 		switch {
-		case s.Name == r.self:
+		case p.Name == r.self:
 			return forever
-		case s.hasClaim && s.claims[x.id]:
-			return s.claimedAt + r.lease.Duration
+		case p.hasReport && p.failureReports[target.id]:
+			return p.reportedAt + r.lease.Duration
 		}
 		return 0
 	})
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -2,147 +2,171 @@
 
 import (
 	"cmp"
+	"encoding/binary"
 	"hash/fnv"
 	"slices"
 	"time"
 )
 
-// Roster decides which members must be assumed able to act, and which share of all rations this node may use.
+// rememberedRounds is how many rounds of heartbeats and how many hashes of the roster a Roster remembers. An echo, or a hash, that is
+// older counts as unknown: rounds are a sixth of a lease apart, so no grant that echoes one would be valid.
+const rememberedRounds = 64
+
+// Roster decides which members must be assumed able to act, and which share of all quotas this node may use.
 //
 // A member acts only on grants of a majority of the roster that are younger than the lease. Each member that has not heard
-// from another for longer considers it failed and grants it nothing. Once a majority says so, the failed member is excluded
+// from another for longer considers it failed and grants it nothing. Once a majority reports so, the failed member is excluded
 // from the divisor wherever that is known. So the divisor falls only on the side of a partition that has the majority, and
 // only after the excluded member can't act any more. Names stay on the roster until they leave, are removed by an operator,
 // or come back, because a crash and a broken link look the same. docs/design/membership.md has the whole argument.
 //
+// Majorities are of the voters. While the voters change, a majority is needed both of the new ones and of the committed ones, which are
+// the voters as of when a majority was last known to agree on them.
+//
 // A Roster is not safe for concurrent use: package fleet calls it under its lock.
 type Roster struct {
-	lease        Lease
-	self         string
-	run          uint64
-	started      time.Duration
-	last         time.Duration // when it was last told the time
-	members      map[string]*peer
-	namesByID    map[uint64]string
-	voters       map[string]bool // those seated as of when a majority was known to agree; see settleVoters
-	seq          uint64
-	sentAt       [64]time.Duration // when the heartbeats of a round went out, by seq
-	hash         uint64
-	recentHashes [64]uint64 // that the roster had, the newest at hashAt
-	latestHash   int
-	leaving      bool
-	admittedAt   time.Duration // when this node was let in by others; zero: it founded the fleet with them, or came back
-	// The same in all heartbeats of a round.
-	allSettled bool
-	allOut     []uint64
-	duplicates map[string]uint64
-}
-
-// peer is a name on the roster, as one member sees it.
+	lease           Lease
+	self            string
+	incarnation     uint64
+	startedAt       time.Duration
+	now             time.Duration // of the latest call; never goes back
+	members         map[string]*peer
+	namesByID       map[uint64]string // by NameID
+	committedVoters map[string]bool   // see commitVoters
+	leaving         bool
+	admittedAt      time.Duration     // when the others admitted this node; zero: it founded the fleet with them, or came back
+	duplicates      map[string]uint64 // incarnations of processes that have the name of another one
+
+	hash         uint64 // see Hash
+	recentHashes [rememberedRounds]uint64
+	latestHash   int // index in recentHashes
+
+	// The current round of heartbeats.
+	seq                  uint64
+	sentAt               [rememberedRounds]time.Duration // when a round was sent, by seq modulo rememberedRounds
+	roundVotersCommitted bool
+	roundFailed          []uint64
+}
+
+// peer is a member on the roster, as this node knows it.
 type peer struct {
 	Entry
-	id         uint64
-	run        uint64 // of the process that is listened to; 0: none yet
-	seq        uint64 // of its latest heartbeat
-	heardAt    time.Duration
-	out        bool          // not heard for too long
-	grantAfter time.Duration // nothing is granted before
-	grantedAt  time.Duration // when the latest heartbeat of ours went out that it echoed; valid if hasGrant
-	hasGrant   bool
-	rosterHash uint64 // its roster's hash in its latest heartbeat
-	settled    bool   // as it said there
-	claims     map[uint64]bool
-	claimedAt  time.Duration // when ours went out that came back with them
-	hasClaim   bool
+	id            uint64 // NameID
+	incarnation   uint64 // of the process that heartbeats are accepted from; 0: none yet
+	seq           uint64 // of its latest heartbeat
+	heardAt       time.Duration
+	failed        bool          // not heard from for the failure time-out
+	noGrantBefore time.Duration // see Lease.rejoinDelay
+
+	// As its latest heartbeat says.
+	rosterHash      uint64
+	votersCommitted bool
+
+	// Valid if hasGrant: when this node sent the latest heartbeat that the peer has echoed.
+	grantedAt time.Duration
+	hasGrant  bool
+
+	// Valid if hasReport: the members that the peer reports as failed, and when this node sent what came back with that report.
+	failureReports map[uint64]bool // by NameID
+	reportedAt     time.Duration
+	hasReport      bool
 }
 
 // NewRoster returns the roster of a node that has just started.
-func NewRoster(now time.Duration, name string, run uint64, l Lease) *Roster {
-	l.Nodes = max(1, l.Nodes)
+func NewRoster(now time.Duration, name string, incarnation uint64, lease Lease) *Roster {
+	lease.Nodes = max(1, lease.Nodes)
 	r := &Roster{
-		lease: l, self: name, run: run, started: now, last: now, members: map[string]*peer{},
-		namesByID: map[uint64]string{}, voters: map[string]bool{}, duplicates: map[string]uint64{},
+		lease: lease, self: name, incarnation: incarnation, startedAt: now, now: now, members: map[string]*peer{},
+		namesByID: map[uint64]string{}, committedVoters: map[string]bool{}, duplicates: map[string]uint64{},
 	}
 	r.Merge(now, []Entry{{Name: name, Epoch: 1}})
 	return r
 }
 
-// advance is told the time first by every call. A time that passed without any call was not spent listening: the process was
-// stopped, or so slow that it might as well have been, and others' silence in it tells nothing about them.
+// advance sets the time; each exported method that is given one calls it first. If much time has passed without any call, this process
+// was suspended or starved. It was not listening meanwhile, so that the others' silence in that time tells nothing about them.
 func (r *Roster) advance(now time.Duration) {
-	if gap := now - r.last; gap > 2*r.lease.HeartbeatInterval() {
-		for _, s := range r.members {
-			s.heardAt += gap
-			s.grantAfter += gap
+	if gap := now - r.now; gap > 2*r.lease.HeartbeatInterval() {
+		for _, p := range r.members {
+			p.heardAt += gap
+			p.noGrantBefore += gap
 		}
 	}
-	r.last = max(r.last, now)
-	for _, s := range r.members {
-		if s.Name != r.self && !s.out && r.last-s.heardAt >= r.lease.failureTimeout() {
-			s.out = true
+	r.now = max(r.now, now)
+	for _, p := range r.members {
+		if p.Name != r.self && !p.failed && r.now-p.heardAt >= r.lease.failureTimeout() {
+			p.failed = true
 		}
 	}
 }
 
-// Merge takes over what another knows of the roster.
-func (r *Roster) Merge(now time.Duration, l []Entry) {
+// Merge merges entries of another member's roster into this one.
+func (r *Roster) Merge(now time.Duration, entries []Entry) {
 	r.advance(now)
 	changed := false
-	for _, e := range l {
-		s := r.members[e.Name]
-		if s == nil {
-			id := NameID(e.Name)
-			other, is := r.namesByID[id]
-			invalid := !IsValidName(e.Name) || e.Epoch == 0 || e.Epoch > MaxEpoch
-			if len(r.members) >= MaxMembers || is && other != e.Name || invalid {
+	for _, e := range entries {
+		p := r.members[e.Name]
+		if p == nil {
+			if p = r.addPeer(e); p == nil {
 				continue
 			}
-			s = &peer{Entry: e, id: id, heardAt: r.last}
-			r.members[e.Name], r.namesByID[id] = s, e.Name
 			changed = true
-		} else if m := s.Entry.merge(e); m != s.Entry && e.Epoch <= MaxEpoch {
-			if s.Gone && !m.Gone { // back under a new epoch: as one that was never met
-				*s = peer{Entry: m, id: s.id, heardAt: r.last, grantAfter: r.last + r.lease.rejoinDelay()}
-			}
-			s.Entry, changed = m, true
-		}
-		if s.Name == r.self && s.Gone && !r.leaving {
-			// Others took us off the roster, or an earlier process of this name left. We come as a new one.
-			s.Entry = Entry{Name: r.self, Epoch: s.Epoch + 1}
-			r.voters = map[string]bool{}
-		}
-		if s.Gone {
-			delete(r.voters, s.Name)
+		} else if r.updatePeer(p, e) {
+			changed = true
 		}
+		r.reactToRemoval(p)
 	}
 	if changed {
-		r.rehash()
+		r.updateHash()
 	}
 }
 
-// rehash notes what the roster holds now. The hash covers the lease, too: members that keep different times can't
-// promise each other anything.
-func (r *Roster) rehash() {
-	h := fnv.New64a()
-	put := func(n uint64) {
-		var b [8]byte
-		for i := range b {
-			b[i] = byte(n >> (8 * i))
-		}
-		h.Write(b[:])
+// addPeer adds an entry of a name that is not on the roster. It returns nil if the entry is invalid or there is no room for it.
+func (r *Roster) addPeer(e Entry) *peer {
+	id := NameID(e.Name)
+	other, idTaken := r.namesByID[id]
+	if len(r.members) >= MaxMembers || idTaken && other != e.Name || !e.isValid() {
+		return nil
 	}
+	p := &peer{Entry: e, id: id, heardAt: r.now}
+	r.members[e.Name], r.namesByID[id] = p, e.Name
+	return p
+}
+
+// updatePeer merges an entry into that of a name on the roster, and reports whether that changed it.
+func (r *Roster) updatePeer(p *peer, e Entry) bool {
+	merged := p.merge(e)
+	if merged == p.Entry || e.Epoch > MaxEpoch {
+		return false
+	}
+	if p.Removed && !merged.Removed { // back in a new epoch: nothing that is known of it before holds
+		*p = peer{Entry: merged, id: p.id, heardAt: r.now, noGrantBefore: r.now + r.lease.rejoinDelay()}
+	}
+	p.Entry = merged
+	return true
+}
+
+// reactToRemoval takes a removed member out of the committed voters, and brings this node back if it is the one that was removed.
+func (r *Roster) reactToRemoval(p *peer) {
+	if p.Name == r.self && p.Removed && !r.leaving {
+		// The others have removed this node, or an earlier process of its name has left. It comes back as a new member.
+		p.Entry = Entry{Name: r.self, Epoch: p.Epoch + 1}
+		r.committedVoters = map[string]bool{}
+	}
+	if p.Removed {
+		delete(r.committedVoters, p.Name)
+	}
+}
+
+// updateHash recomputes the hash of the roster. It covers the lease, too: members with other times can't rely on each other's grants.
+func (r *Roster) updateHash() {
+	h := fnv.New64a()
+	put := func(n uint64) { h.Write(binary.LittleEndian.AppendUint64(nil, n)) }
 	put(uint64(r.lease.Duration))
 	put(uint64(r.lease.Nodes))
-	for _, s := range r.sortedMembers() {
-		put(s.id)
-		flags := uint64(0)
-		if s.Seated {
-			flags |= 1
-		}
-		if s.Gone {
-			flags |= 2
-		}
-		put(uint64(s.Epoch)<<2 | flags)
+	for _, p := range r.sortedMembers() {
+		put(p.id)
+		put(uint64(p.Epoch)<<2 | uint64(p.flags()))
 	}
 	r.hash = h.Sum64()
 	r.latestHash = (r.latestHash + 1) % len(r.recentHashes)
@@ -150,73 +174,74 @@
 }
 
 func (r *Roster) sortedMembers() []*peer {
-	l := make([]*peer, 0, len(r.members))
-	for _, s := range r.members {
-		l = append(l, s)
+	peers := make([]*peer, 0, len(r.members))
+	for _, p := range r.members {
+		peers = append(peers, p)
 	}
-	slices.SortFunc(l, func(a, b *peer) int { return cmp.Compare(a.Name, b.Name) })
-	return l
+	slices.SortFunc(peers, func(a, b *peer) int { return cmp.Compare(a.Name, b.Name) })
+	return peers
 }
 
-// Entries are the roster, for others to merge.
-func (r *Roster) Entries() (l []Entry) {
-	for _, s := range r.sortedMembers() {
-		l = append(l, s.Entry)
+// Entries returns the roster, sorted by name, for others to merge.
+func (r *Roster) Entries() (entries []Entry) {
+	for _, p := range r.sortedMembers() {
+		entries = append(entries, p.Entry)
 	}
-	return l
+	return entries
 }
 
-// Join is told that a member is seen to live.
+// Join adds a member that the gossip sees, unless it is on the roster.
 func (r *Roster) Join(now time.Duration, name string) {
 	if r.members[name] == nil {
 		r.Merge(now, []Entry{{Name: name, Epoch: 1}})
 	}
 }
 
-// Remove takes a name off the roster by hand: whoever calls says that it can't act. It says whether there was one.
+// Remove removes a member. The caller vouches that it can't act any more. It reports whether there was such a member; this node itself
+// can't be removed.
 func (r *Roster) Remove(now time.Duration, name string) bool {
-	s := r.members[name]
-	if s == nil || s.Gone || name == r.self {
+	p := r.members[name]
+	if p == nil || p.Removed || name == r.self {
 		return false
 	}
-	e := s.Entry
-	e.Gone = true
+	e := p.Entry
+	e.Removed = true
 	r.Merge(now, []Entry{e})
 	return true
 }
 
-// Leave has this node act no more and say so. The parts of the others grow as they hear it.
+// Leave has this node act no more, and say so in its heartbeats from now on. The others' shares grow as they receive that.
 func (r *Roster) Leave(now time.Duration) {
 	r.leaving = true
 	e := r.members[r.self].Entry
-	e.Gone = true
+	e.Removed = true
 	r.Merge(now, []Entry{e})
 }
 
-// Duplicates are names of which more than one process was heard, with the run of the one that does not count. A
-// process finds its own name there if it is one of them.
+// Duplicates returns the names under which more than one process was heard, each with the incarnation of the one that is not
+// accepted. A process finds its own name there if it is one of them. The caller must not change the map.
 func (r *Roster) Duplicates() map[string]uint64 { return r.duplicates }
 
-// Hash names what the roster holds: names, who is seated or gone, and the lease.
+// Hash identifies what the roster holds: names, epochs, voters, removals and the lease. Members with the same hash agree.
 func (r *Roster) Hash() uint64 { return r.hash }
 
-// RosterMember is what the roster tells of a name, for operators.
+// RosterMember is a member on the roster, for operators.
 type RosterMember struct {
 	Entry
-	Heard time.Duration // since its last heartbeat
-	Out   bool          // this node has not heard it for too long
-	Same  bool          // its roster is the same as this node's
+	SinceHeard time.Duration // since its latest heartbeat
+	Failed     bool          // this node has not heard from it for the failure time-out
+	SameRoster bool          // its roster is the same as this node's
 }
 
-// Members are all names on the roster.
-func (r *Roster) Members(now time.Duration) (l []RosterMember) {
+// Members returns all members on the roster, by name.
+func (r *Roster) Members(now time.Duration) (members []RosterMember) {
 	r.advance(now)
-	for _, s := range r.sortedMembers() {
-		x := RosterMember{Entry: s.Entry, Heard: r.last - s.heardAt, Out: s.out, Same: r.hasSameRoster(s)}
-		if s.Name == r.self {
-			x.Heard = 0
+	for _, p := range r.sortedMembers() {
+		m := RosterMember{Entry: p.Entry, SinceHeard: r.now - p.heardAt, Failed: p.failed, SameRoster: r.hasSameRoster(p)}
+		if p.Name == r.self {
+			m.SinceHeard = 0
 		}
-		l = append(l, x)
+		members = append(members, m)
 	}
-	return l
+	return members
 }
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -7,176 +7,193 @@
 	"time"
 )
 
-// Settle says how slowly a view follows what is seen.
-type Settle struct {
-	After      time.Duration // a member that is seen to come or go for so long, without a break, has
-	FlapForget time.Duration // a member that was there for so long is forgiven one flap
+// Damping sets how slowly a View follows what the gossip reports, in the manner of route flap damping (RFC 2439).
+type Damping struct {
+	// SettleTime is how long a member must be seen, or missed, without a break until it counts, or counts no more.
+	SettleTime time.Duration
+	// FlapDecay is how long a member must stay until one of its flaps is forgiven.
+	FlapDecay time.Duration
 }
 
-// maxFlaps bounds how often a flapping member doubles the time that it must stay: 32 times After.
+// maxFlaps bounds how often flaps double the time that a member must stay until it counts: to 32 times SettleTime.
 const maxFlaps = 5
 
-// Liveness is what is seen of a member now.
+// Liveness is the state of a member as the gossip reports it.
 type Liveness int
 
-// States of members.
+// The states of a member.
 const (
 	Alive  Liveness = iota
-	Failed          // it answers nobody
-	Left            // it said so
+	Failed          // the gossip reports it as dead
+	Left            // it announced that it leaves
 )
 
+// String returns the name of the state, as operators read it.
 func (l Liveness) String() string { return [...]string{"alive", "failed", "left"}[l] }
 
-// Member is what is known of one.
+// Member is what is known of a member.
 type Member struct {
-	Card
-	Addr   string
-	State  Liveness
-	Since  time.Duration // of State
-	Agreed bool          // it counts
-	Flaps  int           // how often it came and went of late
-	calm   time.Duration // when one of them is forgiven
-	Twin   uint64        // run of another process with the same name; 0: none was met
+	Metadata
+	Addr                 string // host:port of its gossip
+	State                Liveness
+	Since                time.Duration // when State began
+	Agreed               bool          // it counts: it has been in its state for long enough
+	Flaps                int           // how often it has failed and come back lately, up to maxFlaps
+	DuplicateIncarnation uint64        // of another process with the same name; 0: none was met
+	flapForgivenAt       time.Duration // when the next flap is forgiven if it stays
 }
 
-// View is who is there, as one node sees it.
+// View holds the members as one node sees them through the gossip.
 type View struct {
-	settle   Settle
-	me       Card
-	members  map[string]*Member // with me
-	history  history
-	ignored  int  // members beyond MaxMembers
-	released bool // the first settling is over
-	started  time.Duration
+	damping   Damping
+	self      Metadata
+	members   map[string]*Member // by name, with this node
+	history   history
+	ignored   int  // members that were not remembered, because of MaxMembers
+	settled   bool // the first SettleTime has passed
+	startedAt time.Duration
 }
 
 // NewView returns the view of a node that has just started and sees only itself.
-func NewView(now time.Duration, me Card, s Settle) *View {
-	v := &View{settle: s, me: me, members: map[string]*Member{}, started: now}
-	v.members[me.Name] = &Member{Card: me, State: Alive, Since: now, Agreed: true}
+func NewView(now time.Duration, self Metadata, damping Damping) *View {
+	v := &View{damping: damping, self: self, members: map[string]*Member{}, startedAt: now}
+	v.members[self.Name] = &Member{Metadata: self, State: Alive, Since: now, Agreed: true}
 	return v
 }
 
-// Up is told that a member lives, again or still, and what it says of itself.
-func (v *View) Up(now time.Duration, c Card, addr string) {
-	if c.Name == v.me.Name {
-		if c.Run != v.me.Run {
-			v.Duplicate(now, c.Name, c.Run)
+// MemberAlive records that the gossip sees a member, for the first time, again or still, with this metadata and address.
+func (v *View) MemberAlive(now time.Duration, metadata Metadata, addr string) {
+	if metadata.Name == v.self.Name {
+		if metadata.Incarnation != v.self.Incarnation {
+			v.DuplicateName(now, metadata.Name, metadata.Incarnation)
 		}
 		return
 	}
-	m := v.members[c.Name]
+	m := v.members[metadata.Name]
 	if m == nil {
-		if len(v.members) >= MaxMembers && !v.forget() {
+		if len(v.members) >= MaxMembers && !v.evictOldest() {
 			v.ignored++
 			return
 		}
-		m = &Member{State: Left, Since: now, calm: now}
-		v.members[c.Name] = m
+		m = &Member{State: Left, Since: now, flapForgivenAt: now}
+		v.members[metadata.Name] = m
 	}
 	switch {
 	case m.State != Alive:
-		why := "it is seen"
-		if m.Run != 0 && m.Run != c.Run {
-			why = "a new process of that name is seen"
-		}
-		if m.State == Failed && !m.Agreed {
-			m.flap(now, v.settle)
-		}
-		m.State, m.Since = Alive, now
-		v.history.add(Change{now, c.Name, "up", why})
-	case m.Run != c.Run:
-		v.history.add(Change{now, c.Name, "restarted", "a new process of that name is seen before the old one was missed"})
+		v.memberBack(now, m, metadata)
+	case m.Incarnation != metadata.Incarnation:
+		v.history.add(Change{now, metadata.Name, ChangeRestarted, "a new process of that name is seen before the old one was missed"})
 	}
-	m.Card, m.Addr = c, addr
+	m.Metadata, m.Addr = metadata, addr
 }
 
-// Down is told that a member is not seen any more, or that it said that it leaves.
-func (v *View) Down(now time.Duration, name string, left bool) {
-	m := v.members[name]
-	if m == nil || name == v.me.Name || m.State == Left || m.State == Failed && !left {
-		return
+// memberBack records that a member is alive which was not before.
+func (v *View) memberBack(now time.Duration, m *Member, metadata Metadata) {
+	reason := "it is seen"
+	if m.Incarnation != 0 && m.Incarnation != metadata.Incarnation {
+		reason = "a new process of that name is seen"
+	}
+	if m.State == Failed && !m.Agreed {
+		m.Flaps = min(m.Flaps+1, maxFlaps)
+		m.flapForgivenAt = now + v.damping.FlapDecay
 	}
-	m.Since = now
-	if left { // nobody accuses it, and it takes nothing more: others take its part over at once
-		m.State, m.Agreed = Left, false
-		v.history.add(Change{now, name, "left", "it said so"})
+	m.State, m.Since = Alive, now
+	v.history.add(Change{now, metadata.Name, ChangeUp, reason})
+}
+
+// MemberFailed records that the gossip reports a member as dead. It counts until it has been missed for SettleTime.
+func (v *View) MemberFailed(now time.Duration, name string) {
+	m := v.members[name]
+	if m == nil || name == v.self.Name || m.State != Alive {
 		return
 	}
-	m.State = Failed
-	v.history.add(Change{now, name, "failed", "nobody reaches it"})
+	m.State, m.Since = Failed, now
+	v.history.add(Change{now, name, ChangeFailed, "nobody reaches it"})
 }
 
-// Duplicate is told of two processes with one name.
-func (v *View) Duplicate(now time.Duration, name string, run uint64) {
+// MemberLeft records that a member has announced that it leaves. It stops counting at once: the announcement is its own, and it takes
+// no further work.
+func (v *View) MemberLeft(now time.Duration, name string) {
 	m := v.members[name]
-	if m == nil || m.Twin == run {
+	if m == nil || name == v.self.Name || m.State == Left {
 		return
 	}
-	m.Twin = run
-	v.history.add(Change{now, name, "twins", fmt.Sprintf("two processes have this name, runs %x and %x: a copied directory or file?", m.Run, run)})
+	m.State, m.Since, m.Agreed = Left, now, false
+	v.history.add(Change{now, name, ChangeLeft, "it said so"})
 }
 
-// flap counts that a member came back after it had been given up.
-func (m *Member) flap(now time.Duration, s Settle) {
-	m.Flaps = min(m.Flaps+1, maxFlaps)
-	m.calm = now + s.FlapForget
+// DuplicateName records that another process with the name of a member was met.
+func (v *View) DuplicateName(now time.Duration, name string, incarnation uint64) {
+	m := v.members[name]
+	if m == nil || m.DuplicateIncarnation == incarnation {
+		return
+	}
+	m.DuplicateIncarnation = incarnation
+	reason := fmt.Sprintf("two processes have this name, runs %x and %x: a copied directory or file?", m.Incarnation, incarnation)
+	v.history.add(Change{now, name, ChangeDuplicate, reason})
 }
 
-// due is when a member's place changes if nothing happens before; false: never.
-func (v *View) due(m *Member) (time.Duration, bool) {
+// agreementDue returns when Agreed of a member changes if its state stays; false: it does not change.
+func (v *View) agreementDue(m *Member) (at time.Duration, ok bool) {
 	switch {
-	case m.Name == v.me.Name:
+	case m.Name == v.self.Name:
 		return 0, false
 	case m.State == Alive && !m.Agreed:
-		return m.Since + v.settle.After<<m.Flaps, true
+		return m.Since + v.damping.SettleTime<<m.Flaps, true
 	case m.State == Failed && m.Agreed:
-		return m.Since + v.settle.After, true
+		return m.Since + v.damping.SettleTime, true
 	}
 	return 0, false
 }
 
-// Advance takes what has come due by now.
+// Advance applies everything that is due by now.
 func (v *View) Advance(now time.Duration) {
-	v.released = v.released || now >= v.started+v.settle.After
+	v.settled = v.settled || now >= v.startedAt+v.damping.SettleTime
 	for _, m := range v.members {
-		if at, is := v.due(m); is && now >= at {
-			m.Agreed = !m.Agreed
-			what, why := "counts", fmt.Sprintf("seen for %v", now-m.Since)
-			if !m.Agreed {
-				what, why = "does not count", fmt.Sprintf("not seen for %v", now-m.Since)
-			}
-			v.history.add(Change{now, m.Name, what, why})
+		if at, ok := v.agreementDue(m); ok && now >= at {
+			v.changeAgreement(now, m)
 		}
-		if m.Flaps > 0 && m.State == Alive && m.Agreed && now >= m.calm {
+		if m.Flaps > 0 && m.State == Alive && m.Agreed && now >= m.flapForgivenAt {
 			m.Flaps--
-			m.calm = now + v.settle.FlapForget
+			m.flapForgivenAt = now + v.damping.FlapDecay
 		}
 	}
 }
 
-// Next is when Advance has something to do; false: never, unless something is told before.
-func (v *View) Next() (next time.Duration, is bool) {
+// changeAgreement has a member count that did not, or the other way round.
+func (v *View) changeAgreement(now time.Duration, m *Member) {
+	m.Agreed = !m.Agreed
+	kind, reason := ChangeCounted, fmt.Sprintf("seen for %v", now-m.Since)
+	if !m.Agreed {
+		kind, reason = ChangeNotCounted, fmt.Sprintf("not seen for %v", now-m.Since)
+	}
+	v.history.add(Change{now, m.Name, kind, reason})
+}
+
+// Next returns when Advance has something to do if nothing is recorded before; false: never.
+func (v *View) Next() (next time.Duration, ok bool) {
 	for _, m := range v.members {
-		if at, due := v.due(m); due && (!is || at < next) {
-			next, is = at, true
+		if at, due := v.agreementDue(m); due && (!ok || at < next) {
+			next, ok = at, true
 		}
 	}
-	if at := v.started + v.settle.After; !v.released && (!is || at < next) {
-		next, is = at, true
+	if at := v.startedAt + v.damping.SettleTime; !v.settled && (!ok || at < next) {
+		next, ok = at, true
 	}
-	return next, is
+	return next, ok
 }
 
-// Settled says that the first settling is over: before that nobody else counts, and what is told of places is a guess.
-func (v *View) Settled() bool { return v.released }
+// IsSettled reports whether the first SettleTime is over. Until then no other member counts, and positions are guesses.
+func (v *View) IsSettled() bool { return v.settled }
 
-// forget drops the member that has been gone longest; false if none is gone.
-func (v *View) forget() bool {
+// evictOldest forgets the member that has been gone for longest; it reports false if none is gone.
+func (v *View) evictOldest() bool {
 	var oldest *Member
 	for _, m := range v.members {
-		if m.State != Alive && !m.Agreed && (oldest == nil || m.Since < oldest.Since || m.Since == oldest.Since && m.Name < oldest.Name) {
+		if m.State == Alive || m.Agreed {
+			continue
+		}
+		if oldest == nil || m.Since < oldest.Since || m.Since == oldest.Since && m.Name < oldest.Name {
 			oldest = m
 		}
 	}
@@ -186,78 +203,20 @@
 	return oldest != nil
 }
 
-// Standing of a member in a pool, by what it says of itself.
-type Fit int
-
-// How members fit, from what is tolerated to what is not counted.
-const (
-	Same     Fit = iota
-	Settings     // other settings of the pool: counted, and told, for both spend the same rations
-	Without      // it does not serve the pool: not counted
-	Foreign      // it speaks another protocol: not counted, but it may act
-)
-
-func (f Fit) String() string {
-	return [...]string{"same", "other settings", "not in this pool", "another protocol"}[f]
-}
-
-// Fits compares a member with this node as far as a pool goes.
-func (v *View) Fits(m *Member, pool uint32) Fit {
-	own, _ := v.me.serves(pool)
-	digest, is := m.serves(pool)
-	switch {
-	case m.Protocol < MinProtocol || m.Protocol > Protocol:
-		return Foreign
-	case !is:
-		return Without
-	case digest != own && !m.All && !v.me.All:
-		return Settings
-	}
-	return Same
-}
-
-// Place is who takes part in a pool.
-type Place struct {
-	Order  []string // the members that count, by name: the same at all who have seen the same
-	Index  int      // of this node among them
-	Seen   int      // members that serve the pool and are seen now, whether they count yet or not
-	Agreed int      // members that count: what capacity is divided by
-}
-
-// Place is this node's in a pool.
-func (v *View) Place(pool uint32) Place {
-	var p Place
-	for name, m := range v.members {
-		if fit := v.Fits(m, pool); name != v.me.Name && fit != Same && fit != Settings {
-			continue
-		}
-		if m.State == Alive {
-			p.Seen++
-		}
-		if m.Agreed {
-			p.Order = append(p.Order, name)
-		}
-	}
-	slices.Sort(p.Order)
-	p.Agreed = len(p.Order)
-	p.Index, _ = slices.BinarySearch(p.Order, v.me.Name)
-	return p
-}
-
-// Members are all that are known, by name.
-func (v *View) Members() (l []Member) {
+// Members returns copies of all known members, by name.
+func (v *View) Members() (members []Member) {
 	for _, m := range v.members {
-		l = append(l, *m)
+		members = append(members, *m)
 	}
-	slices.SortFunc(l, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
-	return l
+	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
+	return members
 }
 
-// Changes are the last changes, and how many members were left out for there are too many.
-func (v *View) Changes() (l []Change, ignored int) { return slices.Clone(v.history), v.ignored }
+// Changes returns the latest changes, the oldest first, and how many members were not remembered because of MaxMembers.
+func (v *View) Changes() (changes []Change, ignored int) { return slices.Clone(v.history), v.ignored }
 
-// Self tells the view that this node's pools are others.
-func (v *View) Self(c Card) {
-	v.me = c
-	v.members[c.Name].Card = c
+// SetSelf replaces this node's own metadata, after a reload changed its pools. The name must stay.
+func (v *View) SetSelf(metadata Metadata) {
+	v.self = metadata
+	v.members[metadata.Name].Metadata = metadata
 }
--- a/internal/fleet/mutation.go
+++ b/internal/fleet/mutation.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"cranegrade/internal/fleet/signal"
+	"cranegrade/internal/fleet/outlier"
 )
 
 // mutations is the seam by which tests and drills make a member misbehave on purpose, to show that the misbehaviour is
@@ -17,8 +17,8 @@
 	publishedRole func(now time.Duration, previous, next *Role) *Role
 	// ignoreExpiry has a role hold on after the grants that it stands on have run out.
 	ignoreExpiry bool
-	// digest replaces what a member tells the others of the servers that it has seen.
-	digest func(*Module) signal.Digest
-	// trustUnbounded has others' digests believed without the bounds that protect servers from a wrong accuser.
+	// digest replaces what a member tells the others of the servers that it has observed.
+	digest func(*Module) outlier.Digest
+	// trustUnbounded has others' digests believed without the bounds that protect servers from a wrong reporter.
 	trustUnbounded bool
 }
--- a/internal/fleet/race_test.go
+++ b/internal/fleet/race_test.go
@@ -2,4 +2,5 @@
 
 package fleet
 
+// raceEnabled says that the race detector is on: emulations of large fleets take too long with it.
 const raceEnabled = true
--- a/internal/fleet/rotation/rotation.go
+++ b/internal/fleet/rotation/rotation.go
@@ -1,35 +1,39 @@
-// Package rotation says whose turn something is that one member should do, or one after the other, and not all at once:
-// the first try at a server that others found failing, above all. It is pure and needs no word between members. Every
-// member puts all of them in an order that follows from the subject and its epoch alone, and the member at place i waits
-// i steps. A holder that is dead, stopped or cut off has so lost its turn after one step; one whose try is over is heard
-// of by what it saw, and who comes after it goes by that.
+// Package rotation decides whose turn something is that the members of a fleet should do one after the other and not all at once: above
+// all the first attempt at a server that others found failing.
 //
-// Members whose views differ may hold a turn together: as many as there are views that put another first. What is
-// given turns must therefore be harmless when two do it; turns make it rare.
+// The members need not talk for that. Each ranks all of them by rendezvous hashing: the order follows from the subject, the epoch and the
+// members' names alone, and a member of rank i waits i steps. So a member that is dead, suspended or cut off loses its turn after
+// one step. What an attempt found is known by then to those of later ranks, who act on it.
+//
+// Members whose views of the fleet differ may have the same rank. What is done in turns must therefore be harmless if two do it at once;
+// the rotation makes that rare.
+//
+// The package is pure and keeps no state.
 package rotation
 
 import "time"
 
-// Place is a member's place in the order for a subject in an epoch, 0 first; among are hashes of the names of all who take
-// part, with its own.
-func Place(subject, epoch uint64, among []uint64, me uint64) int {
-	own, place := score(subject, epoch, me), 0
-	for _, m := range among {
-		if m != me && score(subject, epoch, m) > own {
-			place++
+// maxWaitSteps bounds the wait: a subject that nobody has tried for so many steps may be tried by everybody.
+const maxWaitSteps = 8
+
+// Rank returns a member's rank for a subject in an epoch, from 0. members are hashes of the names of all members that take part, and self
+// is that of this one.
+func Rank(subject, epoch uint64, members []uint64, self uint64) int {
+	own, rank := score(subject, epoch, self), 0
+	for _, member := range members {
+		if member != self && score(subject, epoch, member) > own {
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
-// most steps are waited, however many there are: a subject that nobody tries in that time is everybody's.
-const most = 8
-
-// Wait is how long a member at a place waits for those before it.
-func Wait(place int, step time.Duration) time.Duration {
-	return time.Duration(min(place, most)) * step
+// Wait returns how long a member of a rank waits for those before it.
+func Wait(rank int, step time.Duration) time.Duration {
+	return time.Duration(min(rank, maxWaitSteps)) * step
 }
 
+// score mixes its arguments with the finalizer of MurmurHash3. All members must compute the same, so it must not change.
 func score(subject, epoch, member uint64) uint64 {
 	x := subject*0x9e3779b97f4a7c15 ^ epoch*0xc2b2ae3d27d4eb4f ^ member
 	x ^= x >> 33
--- a/internal/fleet/shares/codec.go
+++ b/internal/fleet/shares/codec.go
@@ -7,44 +7,62 @@
 	"time"
 )
 
-// ErrShares is the reason for a message that holds neither wants nor loans.
-var ErrShares = errors.New("not wants and loans")
+// ErrEncoding is the error for bytes that can't be decoded as demands and loans.
+var ErrEncoding = errors.New("invalid demands and loans")
 
-const whole = math.MaxUint16
+const (
+	encodingVersion = 1
+	headerBytes     = 3 // version, number of demands, number of loans
+	demandBytes     = 6 // quota, share in fractions of maxDemand
+	loanBytes       = 8 // quota, share in fractions of the whole, milliseconds
 
-// Encode writes wants and loans, rounded so that none grows.
-func Encode(wants []Want, loans []Loan) []byte {
-	if len(wants)+len(loans) == 0 {
+	// fullScale is the encoding of the largest share and of the longest time.
+	fullScale = math.MaxUint16
+)
+
+// Encode encodes the first MaxDemands demands and the first MaxLoans loans. It rounds down, so that nobody takes a loan for more than it
+// is. Nothing is encoded as nothing.
+func Encode(demands []Demand, loans []Loan) []byte {
+	if len(demands)+len(loans) == 0 {
 		return nil
 	}
-	e := binary.LittleEndian
-	wants, loans = wants[:min(len(wants), MaxWants)], loans[:min(len(loans), MaxLoans)]
-	b := []byte{1, byte(len(wants)), byte(len(loans))}
-	for _, w := range wants { // up to ten times the whole
-		b = e.AppendUint16(e.AppendUint32(b, uint32(w.Ration)), uint16(min(w.Share, 10)/10*whole))
+	order := binary.LittleEndian
+	demands, loans = demands[:min(len(demands), MaxDemands)], loans[:min(len(loans), MaxLoans)]
+	b := []byte{encodingVersion, byte(len(demands)), byte(len(loans))}
+	for _, d := range demands {
+		b = order.AppendUint32(b, uint32(d.Quota))
+		b = order.AppendUint16(b, uint16(min(d.Share, maxDemand)/maxDemand*fullScale))
 	}
 	for _, l := range loans {
-		b = e.AppendUint16(e.AppendUint32(b, uint32(l.Ration)), uint16(min(l.Part, 1)*whole))
-		b = e.AppendUint16(b, uint16(min(l.For/time.Millisecond, whole)))
+		b = order.AppendUint32(b, uint32(l.Quota))
+		b = order.AppendUint16(b, uint16(min(l.Share, 1)*fullScale))
+		b = order.AppendUint16(b, uint16(min(l.For/time.Millisecond, fullScale)))
 	}
 	return b
 }
 
-// Decode reads what Encode wrote; nothing is none.
-func Decode(b []byte) (wants []Want, loans []Loan, err error) {
+// Decode decodes what Encode returned. The error is ErrEncoding.
+func Decode(b []byte) (demands []Demand, loans []Loan, err error) {
 	if len(b) == 0 {
 		return nil, nil, nil
 	}
-	if len(b) < 3 || b[0] != 1 || b[1] > MaxWants || b[2] > MaxLoans || len(b) < 3+6*int(b[1])+8*int(b[2]) {
-		return nil, nil, ErrShares
+	if len(b) < headerBytes || b[0] != encodingVersion {
+		return nil, nil, ErrEncoding
+	}
+	demandCount, loanCount := int(b[1]), int(b[2])
+	b = b[headerBytes:]
+	if demandCount > MaxDemands || loanCount > MaxLoans || len(b) < demandBytes*demandCount+loanBytes*loanCount {
+		return nil, nil, ErrEncoding
 	}
-	e, n, m := binary.LittleEndian, b[1], b[2]
-	b = b[3:]
-	for ; n > 0; n, b = n-1, b[6:] {
-		wants = append(wants, Want{Ration(e.Uint32(b)), float64(e.Uint16(b[4:])) / whole * 10})
+	order := binary.LittleEndian
+	for range demandCount {
+		demands = append(demands, Demand{QuotaID(order.Uint32(b)), float64(order.Uint16(b[4:])) / fullScale * maxDemand})
+		b = b[demandBytes:]
 	}
-	for ; m > 0; m, b = m-1, b[8:] {
-		loans = append(loans, Loan{Ration(e.Uint32(b)), float64(e.Uint16(b[4:])) / whole, time.Duration(e.Uint16(b[6:])) * time.Millisecond})
+	for range loanCount {
+		duration := time.Duration(order.Uint16(b[6:])) * time.Millisecond
+		loans = append(loans, Loan{QuotaID(order.Uint32(b)), float64(order.Uint16(b[4:])) / fullScale, duration})
+		b = b[loanBytes:]
 	}
-	return wants, loans, nil
+	return demands, loans, nil
 }
--- a/internal/fleet/shares/codec_test.go
+++ b/internal/fleet/shares/codec_test.go
@@ -5,25 +5,37 @@
 	"time"
 )
 
+// TestEncodingStaysAsEarlierBuildsHaveIt pins bytes between nodes: members of two builds run side by side during an upgrade.
+func TestEncodingStaysAsEarlierBuildsHaveIt(t *testing.T) {
+	got := string(Encode([]Demand{{1, 0.5}}, []Loan{{2, 0.25, time.Second}}))
+	const want = "\x01\x01\x01" + "\x01\x00\x00\x00\xcc\x0c" + "\x02\x00\x00\x00\xff\x3f\xe8\x03"
+	if got != want {
+		t.Errorf("encoded as %x, want %x", got, want)
+	}
+}
+
+// FuzzDecode: what is decoded survives another encoding, and a loan is never used for longer than it is lent for.
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode([]Want{{1, 0.5}}, []Loan{{1, 0.25, time.Second}}))
+	f.Add(Encode([]Demand{{1, 0.5}}, []Loan{{1, 0.25, time.Second}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		w, l, err := Decode(b)
+		demands, loans, err := Decode(b)
 		if err != nil {
 			return
 		}
-		w2, l2, err := Decode(Encode(w, l))
-		if err != nil || len(w2) != len(w) || len(l2) != len(l) {
-			t.Fatalf("%x: %v %v, %v %v, %v", b, w, l, w2, l2, err)
+		demandsAgain, loansAgain, err := Decode(Encode(demands, loans))
+		if err != nil || len(demandsAgain) != len(demands) || len(loansAgain) != len(loans) {
+			t.Fatalf("%x is decoded as %v %v, and that as %v %v, %v", b, demands, loans, demandsAgain, loansAgain, err)
 		}
-		book := NewBook(time.Second)
-		book.Heard(10*time.Second, "x", w, l, 10*time.Second)
-		for _, x := range l {
-			if part, until := book.Part(10*time.Second, x.Ration, 0.5); part > 1 || until > 11*time.Second && book.Borrowed(10*time.Second, x.Ration) > 0 {
-				t.Errorf("%+v: %v until %v", x, part, until)
+		const evenShare = 0.5
+		table := NewLoanTable(time.Second)
+		table.Receive(10*time.Second, "x", demands, loans, 10*time.Second)
+		for _, loan := range loans {
+			share, until := table.Share(10*time.Second, loan.Quota, evenShare)
+			if share > 1 || until > 11*time.Second && table.Borrowed(10*time.Second, loan.Quota) > 0 {
+				t.Errorf("%+v gives a share of %v until %v", loan, share, until)
 			}
-			if part, _ := book.Part(12*time.Second, x.Ration, 0.5); part != 0.5 {
-				t.Errorf("%+v: a loan of a second gives %v after two", x, part)
+			if share, _ := table.Share(12*time.Second, loan.Quota, evenShare); share != evenShare {
+				t.Errorf("%+v: a loan of a second gives %v after two", loan, share)
 			}
 		}
 	})
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -1,12 +1,14 @@
-// Package shares divides rations unevenly where use is uneven: a member that has little use for its part lends of it to
-// members that want more. It is pure; time is an argument.
+// Package shares divides quotas unevenly where demand is uneven: a member that uses little of its share of a quota lends of it to members
+// that want more.
 //
-// What a member may take of a ration is its part of the divisor, less what it has lent, and what was lent to it. A loan
-// rides on a beat that echoes one of the borrower's, and ends for the borrower so long after *it* sent what is echoed;
-// the lender counts it as lent so long after it sent the loan, which is later. So a loan is never held by both, however
-// late messages come, and ends by itself when nobody is heard any more. A lender lends nothing beyond its own standing
-// (membership.Share.Until): whoever would take its part over does so after that. The sum of all therefore stays within
-// the whole whenever the parts of the divisor do.
+// What a member may use of a quota is its even share (one part in the fleet's divisor, see package membership), less what it has lent,
+// plus what it has borrowed. A loan is carried by a heartbeat that echoes one of the borrower's. For the borrower it ends a fixed time
+// after the borrower sent the echoed heartbeat; the lender counts it as lent for the same time from when it sent the loan, which is later.
+// So a loan is never used by both, however late messages come, and it ends by itself once nothing more is heard. A loan never outlasts the
+// lender's own share (membership.Share.Until): whoever takes over the lender's share does so later. Therefore the shares of all members
+// stay within the whole as long as their even shares do. docs/design/subsets.md has the alternatives.
+//
+// The package is pure: time is an argument, and a LoanTable is not safe for concurrent use.
 package shares
 
 import (
@@ -15,224 +17,249 @@
 	"time"
 )
 
-// Ration names one of those that are lent of.
-type Ration uint32
+// QuotaID identifies a quota that members lend shares of.
+type QuotaID uint32
 
-// Bounds on what a message holds.
+// Bounds of what one message carries.
 const (
-	MaxWants = 16
-	MaxLoans = 16
+	MaxDemands = 16
+	MaxLoans   = 16
 )
 
-// Want is what a member would take of a ration if it might: a share of the whole, over 1 if that is not enough.
-type Want struct {
-	Ration Ration
-	Share  float64
+// maxDemand is the most that a member asks for, as a multiple of the whole quota.
+const maxDemand = 10
+
+// Demand is what a member would use of a quota, as a share of the whole: over 1 if the whole is not enough.
+type Demand struct {
+	Quota QuotaID
+	Share float64
 }
 
-// Loan is a part of the whole of a ration that is lent for a time.
+// Loan is a share of a quota that is lent for a time.
 type Loan struct {
-	Ration Ration
-	Part   float64
-	For    time.Duration
+	Quota QuotaID
+	Share float64 // of the whole, 0 to 1
+	For   time.Duration
 }
 
 const (
-	keep   = 0.1  // of its own part that a member never lends: new use must begin somewhere
-	spare  = 1.25 // times its use that a member keeps
-	least  = 0.01 // of the whole that is worth lending
-	memory = 4    // times the lease that what a member wants is remembered for
-	drift  = 0.05 // that clocks may differ by over a loan
+	reservedFraction = 0.1  // of its even share that a member never lends, so that new demand there can begin at once
+	headroom         = 1.25 // a member keeps this multiple of its own demand
+	minLoan          = 0.01 // the least share that is worth lending
+	demandLifetime   = 4    // how long a demand is remembered, as a multiple of the longest loan
+	clockDrift       = 0.05 // by which two clocks may differ over a loan
 )
 
-// Book is one member's.
-type Book struct {
-	lease  time.Duration
-	wants  map[Ration]float64
-	others map[string]*other
-	lent   map[Ration]map[string]term
-	owed   map[Ration]map[string]term // lent to this member, by whom
+// maxBorrowedQuotas bounds the quotas that loans are accepted of.
+const maxBorrowedQuotas = 64 * MaxLoans
+
+// LoanTable holds one member's demands and loans, and the demands of the others.
+type LoanTable struct {
+	maxLoan  time.Duration
+	demands  map[QuotaID]float64
+	peers    map[string]*peerDemands
+	lent     map[QuotaID]map[string]loanTerm // by borrower
+	borrowed map[QuotaID]map[string]loanTerm // by lender
+}
+
+// peerDemands is what another member demanded in its latest message.
+type peerDemands struct {
+	at      time.Duration
+	demands []Demand
 }
 
-type other struct {
-	at    time.Duration
-	wants []Want
+// of returns the demand for a quota, the last if the message has several; 0 if it has none.
+func (p *peerDemands) of(quota QuotaID) (share float64) {
+	for _, d := range p.demands {
+		if d.Quota == quota {
+			share = d.Share
+		}
+	}
+	return share
 }
 
-type term struct {
-	part  float64
+type loanTerm struct {
+	share float64
 	until time.Duration
 }
 
-// NewBook returns an empty book.
-func NewBook(lease time.Duration) *Book {
-	return &Book{lease: lease, wants: map[Ration]float64{}, others: map[string]*other{}, lent: map[Ration]map[string]term{}, owed: map[Ration]map[string]term{}}
+// remaining returns what is lent at a time.
+func (t loanTerm) remaining(now time.Duration) float64 {
+	if now < t.until {
+		return t.share
+	}
+	return 0
 }
 
-// Want says what this member would take of a ration.
-func (b *Book) Want(r Ration, share float64) {
-	if !(share > 0) {
-		delete(b.wants, r)
+// NewLoanTable returns an empty table. maxLoan is the longest time of a loan; it must be the same at all members.
+func NewLoanTable(maxLoan time.Duration) *LoanTable {
+	return &LoanTable{
+		maxLoan: maxLoan, demands: map[QuotaID]float64{}, peers: map[string]*peerDemands{},
+		lent: map[QuotaID]map[string]loanTerm{}, borrowed: map[QuotaID]map[string]loanTerm{},
+	}
+}
+
+// SetDemand sets what this member would use of a quota, as a share of the whole.
+func (t *LoanTable) SetDemand(quota QuotaID, share float64) {
+	if !(share > 0) { // also if it is no number
+		delete(t.demands, quota)
 		return
 	}
-	b.wants[r] = min(share, 10)
+	t.demands[quota] = min(share, maxDemand)
 }
 
-// Wants are what this member tells the others: the largest, if there are too many.
-func (b *Book) Wants() (l []Want) {
-	for r, s := range b.wants {
-		l = append(l, Want{r, s})
+// Demands returns this member's demands, for its heartbeats: the largest MaxDemands of them.
+func (t *LoanTable) Demands() (demands []Demand) {
+	for quota, share := range t.demands {
+		demands = append(demands, Demand{quota, share})
 	}
-	slices.SortFunc(l, func(x, y Want) int {
-		return cmp.Or(cmp.Compare(y.Share, x.Share), cmp.Compare(x.Ration, y.Ration))
+	slices.SortFunc(demands, func(a, b Demand) int {
+		return cmp.Or(cmp.Compare(b.Share, a.Share), cmp.Compare(a.Quota, b.Quota))
 	})
-	return l[:min(len(l), MaxWants)]
+	return demands[:min(len(demands), MaxDemands)]
 }
 
-// Heard takes what a member wants, and what it lends; sent is when this member sent what the message echoes, zero: it
-// echoes nothing, and no loan counts.
-func (b *Book) Heard(now time.Duration, from string, wants []Want, loans []Loan, sent time.Duration) {
-	o := b.others[from]
-	if o == nil {
-		o = &other{}
-		b.others[from] = o
+// Receive records another member's demands, and what it lends to this one. echoedAt is when this member sent the heartbeat that the
+// message echoes; zero if it echoes none, and then its loans do not count.
+func (t *LoanTable) Receive(now time.Duration, from string, demands []Demand, loans []Loan, echoedAt time.Duration) {
+	p := t.peers[from]
+	if p == nil {
+		p = &peerDemands{}
+		t.peers[from] = p
 	}
-	o.at, o.wants = now, wants
-	if sent == 0 {
+	p.at, p.demands = now, demands
+	if echoedAt == 0 {
 		return
 	}
-	for _, l := range loans {
-		if !(l.Part > 0 && l.Part <= 1) || l.For <= 0 || l.For > b.lease {
-			continue
+	for _, loan := range loans {
+		if loan.Share > 0 && loan.Share <= 1 && loan.For > 0 && loan.For <= t.maxLoan {
+			t.borrow(from, loan, echoedAt)
 		}
-		m := b.owed[l.Ration]
-		if m == nil {
-			if len(b.owed) >= 64*MaxLoans {
-				continue
-			}
-			m = map[string]term{}
-			b.owed[l.Ration] = m
+	}
+}
+
+func (t *LoanTable) borrow(from string, loan Loan, echoedAt time.Duration) {
+	lenders := t.borrowed[loan.Quota]
+	if lenders == nil {
+		if len(t.borrowed) >= maxBorrowedQuotas {
+			return
 		}
-		m[from] = term{l.Part, sent + l.For}
+		lenders = map[string]loanTerm{}
+		t.borrowed[loan.Quota] = lenders
 	}
+	lenders[from] = loanTerm{loan.Share, echoedAt + loan.For}
 }
 
-// Forget drops what is remembered of those who are not among these.
-func (b *Book) Forget(now time.Duration, known func(string) bool) {
-	for name, o := range b.others {
-		if !known(name) || now-o.at > memory*b.lease {
-			delete(b.others, name)
+// Expire forgets loans that have ended, and the demands of members that are unknown or have been silent for long.
+func (t *LoanTable) Expire(now time.Duration, isKnown func(name string) bool) {
+	for name, p := range t.peers {
+		if !isKnown(name) || now-p.at > demandLifetime*t.maxLoan {
+			delete(t.peers, name)
 		}
 	}
-	for _, all := range []map[Ration]map[string]term{b.lent, b.owed} {
-		for r, m := range all {
-			for name, t := range m {
-				if now >= t.until {
-					delete(m, name)
+	for _, byQuota := range []map[QuotaID]map[string]loanTerm{t.lent, t.borrowed} {
+		for quota, terms := range byQuota {
+			for name, term := range terms {
+				if now >= term.until {
+					delete(terms, name)
 				}
 			}
-			if len(m) == 0 {
-				delete(all, r)
+			if len(terms) == 0 {
+				delete(byQuota, quota)
 			}
 		}
 	}
 }
 
-// out is what is lent of a ration now.
-func (b *Book) out(now time.Duration, r Ration) (sum float64) {
-	for _, t := range b.lent[r] {
-		if now < t.until {
-			sum += t.part
-		}
-	}
-	return sum
-}
+// noEnd is the end of a share that does not change by itself.
+const noEnd = time.Duration(1 << 62)
 
-// Part is what this member may take of a ration at that time, part being its own of the divisor, 0 without standing; and until
-// when that holds if nothing more is heard.
-func (b *Book) Part(now time.Duration, r Ration, part float64) (float64, time.Duration) {
-	sum, until := max(0, part-b.out(now, r)), time.Duration(1<<62)
-	if part > 0 {
-		for _, t := range b.owed[r] {
-			if now < t.until {
-				sum += t.part
-				until = min(until, t.until)
+// Share returns the share of a quota that this member may use, and until when that holds if no message comes. evenShare is this member's
+// part in the divisor; 0 if its share is not valid, and then it may use nothing of what it has borrowed either.
+func (t *LoanTable) Share(now time.Duration, quota QuotaID, evenShare float64) (share float64, until time.Duration) {
+	share, until = max(0, evenShare-t.Lent(now, quota)), noEnd
+	if evenShare > 0 {
+		for _, term := range t.borrowed[quota] {
+			if now < term.until {
+				share += term.share
+				until = min(until, term.until)
 			}
 		}
 	}
-	return min(1, sum), until
+	return min(1, share), until
 }
 
-// Lend decides what goes to a member in the next message to it, and counts that as lent. part is this member's own of the
-// divisor and until the end of its standing; counted are those whom the divisor counts.
-func (b *Book) Lend(now time.Duration, to string, part float64, until time.Duration, counted func(string) bool) (l []Loan) {
-	o := b.others[to]
-	lasts := min(b.lease, until-now)
-	if o == nil || part <= 0 || lasts <= b.lease/4 || now-o.at > b.lease || !counted(to) {
+// Lend decides what this member lends to another one in its next heartbeat, and counts that as lent. evenShare is this member's part in
+// the divisor and until the end of its share; isCounted reports whether the divisor counts a member.
+func (t *LoanTable) Lend(now time.Duration, to string, evenShare float64, until time.Duration, isCounted func(name string) bool) (loans []Loan) {
+	borrower := t.peers[to]
+	duration := min(t.maxLoan, until-now)
+	if borrower == nil || evenShare <= 0 || duration <= t.maxLoan/4 || now-borrower.at > t.maxLoan || !isCounted(to) {
 		return nil
 	}
-	for _, w := range o.wants {
-		if w.Share <= part || len(l) == MaxLoans {
+	for _, demand := range borrower.demands {
+		if demand.Share <= evenShare || len(loans) == MaxLoans {
 			continue
 		}
-		mine := b.free(part, b.wants[w.Ration])
-		// All who have something to spare give as much of it as is wanted, each in step with what it has.
-		lack, wanted, has := w.Share-part, 0.0, mine
-		for name, x := range b.others {
-			if now-x.at > b.lease || !counted(name) {
-				continue
-			}
-			want := 0.0
-			for _, y := range x.wants {
-				if y.Ration == w.Ration {
-					want = y.Share
-				}
-			}
-			wanted += max(0, want-part)
-			has += b.free(part, want)
-		}
-		if mine <= 0 || wanted <= 0 {
+		share := t.loanShare(now, demand, evenShare, isCounted)
+		share = min(share, evenShare-(t.Lent(now, demand.Quota)-t.lent[demand.Quota][to].remaining(now)))
+		if share < minLoan {
 			continue
 		}
-		give := mine * min(1, wanted/has) * lack / wanted
-		before := b.lent[w.Ration][to]
-		give = min(give, part-(b.out(now, w.Ration)-live(now, before)))
-		if give < least {
+		t.recordLoan(now, to, demand.Quota, loanTerm{share, now + duration + time.Duration(clockDrift*float64(duration))})
+		loans = append(loans, Loan{demand.Quota, share, duration})
+	}
+	return loans
+}
+
+// loanShare is what this member should lend to one that has a demand. All members that can spare something give as much of it as is
+// demanded, in proportion to what they can spare.
+func (t *LoanTable) loanShare(now time.Duration, demand Demand, evenShare float64, isCounted func(name string) bool) float64 {
+	ownSpare := spareShare(evenShare, t.demands[demand.Quota])
+	lacking, spare := 0.0, ownSpare // of all members
+	for name, p := range t.peers {
+		if now-p.at > t.maxLoan || !isCounted(name) {
 			continue
 		}
-		m := b.lent[w.Ration]
-		if m == nil {
-			m = map[string]term{}
-			b.lent[w.Ration] = m
-		}
-		// A smaller loan does not take back what the larger one before it gave: that one runs out first.
-		held := term{give, now + lasts + time.Duration(drift*float64(lasts))}
-		if now < before.until && before.part > give {
-			held.part = before.part
-		}
-		m[to] = held
-		l = append(l, Loan{w.Ration, give, lasts})
+		theirs := p.of(demand.Quota)
+		lacking += max(0, theirs-evenShare)
+		spare += spareShare(evenShare, theirs)
+	}
+	if ownSpare <= 0 || lacking <= 0 {
+		return 0
 	}
-	return l
+	return ownSpare * min(1, lacking/spare) * (demand.Share - evenShare) / lacking
 }
 
-func live(now time.Duration, t term) float64 {
-	if now < t.until {
-		return t.part
+// recordLoan counts a loan as lent. A smaller loan does not take back what a larger one before it gave: that one runs out first.
+func (t *LoanTable) recordLoan(now time.Duration, to string, quota QuotaID, term loanTerm) {
+	borrowers := t.lent[quota]
+	if borrowers == nil {
+		borrowers = map[string]loanTerm{}
+		t.lent[quota] = borrowers
 	}
-	return 0
+	term.share = max(term.share, borrowers[to].remaining(now))
+	borrowers[to] = term
 }
 
-// free is what a member of that part and use can lend.
-func (b *Book) free(part, want float64) float64 { return max(0, part-max(keep*part, spare*want)) }
+// spareShare is what a member with this even share and this demand can lend.
+func spareShare(evenShare, demand float64) float64 {
+	return max(0, evenShare-max(reservedFraction*evenShare, headroom*demand))
+}
+
+// Lent returns the share of a quota that this member has lent.
+func (t *LoanTable) Lent(now time.Duration, quota QuotaID) float64 {
+	return sumRemaining(now, t.lent[quota])
+}
 
-// Lent and Borrowed are what is lent of a ration now, to others and to this member, for operators.
-func (b *Book) Lent(now time.Duration, r Ration) float64 { return b.out(now, r) }
+// Borrowed returns the share of a quota that this member has borrowed.
+func (t *LoanTable) Borrowed(now time.Duration, quota QuotaID) float64 {
+	return sumRemaining(now, t.borrowed[quota])
+}
 
-// Borrowed is what was lent to this member.
-func (b *Book) Borrowed(now time.Duration, r Ration) (sum float64) {
-	for _, t := range b.owed[r] {
-		sum += live(now, t)
+func sumRemaining(now time.Duration, terms map[string]loanTerm) (sum float64) {
+	for _, term := range terms {
+		sum += term.remaining(now)
 	}
 	return sum
 }
--- /dev/null
+++ b/internal/fleet/subset/methods_test.go
@@ -0,0 +1,136 @@
+package subset
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"sort"
+
+	"cranegrade/balancer"
+)
+
+// method assigns servers to members, as Choose does.
+type method struct {
+	name   string
+	choose func(members []uint64, servers []Server) [][]int
+}
+
+// methods are those that docs/design/subsets.md compares; the last is the one in service.
+var methods = []method{
+	{"striping by number (as without a fleet)", stripe},
+	{"aperture on a ring", ringAperture},
+	{"rendezvous, each member picks", membersPick},
+	{"rendezvous, each server picks", serversPick},
+	{"consistent hashing, bounded loads", boundedConsistentHashing},
+	{"permuted rounds", permutedRounds},
+	{"rendezvous, bounded on both sides (in service)", chooseExplicit},
+}
+
+// subsetSize is the size that the decision module gives a subset without a fleet.
+func subsetSize(members, servers int) int {
+	return min(servers, max(MinServers, int(math.Ceil(3*float64(servers)/float64(members)))))
+}
+
+func stripe(members []uint64, servers []Server) (chosen [][]int) {
+	for i := range members {
+		chosen = append(chosen, balancer.Stripes(len(servers), subsetSize(len(members), len(servers)), len(members), i))
+	}
+	return chosen
+}
+
+func ringAperture(members []uint64, servers []Server) (chosen [][]int) {
+	size := subsetSize(len(members), len(servers))
+	for i := range members {
+		var own []int
+		at := i * len(servers) / len(members)
+		for j := range size {
+			own = append(own, (at+j)%len(servers))
+		}
+		chosen = append(chosen, own)
+	}
+	return chosen
+}
+
+func membersPick(members []uint64, servers []Server) (chosen [][]int) {
+	size := subsetSize(len(members), len(servers))
+	for _, member := range members {
+		own := indices(len(servers))
+		sort.Slice(own, func(a, b int) bool { return Score(member, servers[own[a]].ID) > Score(member, servers[own[b]].ID) })
+		chosen = append(chosen, own[:size])
+	}
+	return chosen
+}
+
+func serversPick(members []uint64, servers []Server) [][]int {
+	chosen := make([][]int, len(members))
+	for i, s := range servers {
+		order := indices(len(members))
+		sort.Slice(order, func(a, b int) bool { return Score(members[order[a]], s.ID) > Score(members[order[b]], s.ID) })
+		for _, member := range order[:Replicas(len(members), len(servers))] {
+			chosen[member] = append(chosen[member], i)
+		}
+	}
+	return chosen
+}
+
+// boundedConsistentHashing is that of Mirrokni, Thorup and Zadimoghaddam, with 40 points of each member on the ring.
+func boundedConsistentHashing(members []uint64, servers []Server) [][]int {
+	const points = 40
+	chosen := make([][]int, len(members))
+	replicas := Replicas(len(members), len(servers))
+	maxLoad := int(math.Ceil(1.25 * float64(replicas*len(servers)) / float64(len(members))))
+	type point struct {
+		at     uint64
+		member int
+	}
+	var ring []point
+	for j, member := range members {
+		for v := range points {
+			ring = append(ring, point{Score(member, uint64(v)+99), j})
+		}
+	}
+	sort.Slice(ring, func(a, b int) bool { return ring[a].at < ring[b].at })
+	for i, s := range servers {
+		start := sort.Search(len(ring), func(x int) bool { return ring[x].at >= s.ID })
+		for got, n := 0, 0; got < replicas && n < len(ring); n++ {
+			j := ring[(start+n)%len(ring)].member
+			if len(chosen[j]) < maxLoad && !slices.Contains(chosen[j], i) {
+				chosen[j] = append(chosen[j], i)
+				got++
+			}
+		}
+	}
+	return chosen
+}
+
+// permutedRounds is the deterministic subsetting of the SRE book: each round deals a permutation of the servers out to some members.
+func permutedRounds(members []uint64, servers []Server) [][]int {
+	chosen := make([][]int, len(members))
+	size := subsetSize(len(members), len(servers))
+	perRound := max(1, len(servers)/size)
+	for j := range members {
+		permutation := rand.New(rand.NewPCG(uint64(j/perRound), 7)).Perm(len(servers))
+		start := j % perRound * size
+		chosen[j] = append(chosen[j], permutation[start:min(len(permutation), start+size)]...)
+	}
+	return chosen
+}
+
+// chooseExplicit is Choose with all servers listed where it returns nil.
+func chooseExplicit(members []uint64, servers []Server) [][]int {
+	chosen := Choose(members, servers)
+	for j := range chosen {
+		if chosen[j] == nil {
+			chosen[j] = indices(len(servers))
+		}
+	}
+	return chosen
+}
+
+func indices(n int) []int {
+	list := make([]int, n)
+	for i := range list {
+		list[i] = i
+	}
+	return list
+}
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -1,12 +1,17 @@
-// Package subset says which servers each member of a fleet draws from: the same at all who know the same members and
-// servers, without a word between them; every server drawn from by as many members as any other; and of all pairs
-// hardly more moved than must be when a member or a server comes or goes. It is pure, keeps nothing and knows
-// neither health nor load: those are the module's.
+// Package subset assigns each member of a fleet the servers that it draws from, as deterministic subsetting does (Beyer et al., "Site
+// Reliability Engineering", chapter 20), with these properties:
 //
-// The way is rendezvous hashing with bounds on both sides. Every pair of a member and a server has a score that follows
-// from their two names alone. Pairs are taken in the order of their scores, as long as the server wants another member
-// and the member has room. What one member had is so taken over by whoever comes next in the score at each of its
-// servers, and little else moves. docs/design/subsets.md has the ways that were weighed, with figures.
+//   - All members that know the same members and servers compute the same assignment, without a message between them.
+//   - Every server is drawn from by as many members as any other.
+//   - When a member or a server comes or goes, hardly more pairs of both change than must.
+//
+// The method is rendezvous hashing with bounds on both sides. Every pair of a member and a server has a score that depends on their two
+// names alone. Pairs are assigned in the order of their scores while the server needs another member and the member has room. So
+// what a member had is taken over by the next in the score at each of its servers, and little else moves. docs/design/subsets.md
+// compares it with other methods.
+//
+// The package is pure. Only a Transition keeps state; it is not safe for concurrent use. Health and load of servers must not matter here:
+// they are the decision module's.
 package subset
 
 import (
@@ -15,157 +20,217 @@
 	"slices"
 )
 
-// Bounds of what is shared out.
 const (
-	LeastServers = 4   // that a member draws from, where there are as many
-	LeastCopies  = 3   // members that draw from a server
-	meanServers  = 5.0 // that a member draws from at the least, in the mean
-	slack        = 1.3 // times the mean that a member may have of a group, and one more: tighter, and every change runs on through all
+	// MinServers is how many servers a member draws from at least, where there are as many.
+	MinServers = 4
+	// MinReplicas is how many members draw from each server at least.
+	MinReplicas = 3
+	// minMeanServers is how many servers a member draws from at least, in the mean.
+	minMeanServers = 5.0
+	// loadFactor bounds the servers of one member, as a multiple of the mean and one more. With a tighter bound any change would run on
+	// through all members.
+	loadFactor = 1.3
 )
 
-// Server is one that may be drawn from.
+// Server is a server that may be drawn from.
 type Server struct {
-	Name  uint64 // a hash of its id
-	Right bool   // of the two groups that every choice is made from
+	ID          uint64 // hash of its name
+	SecondGroup bool   // in which of two groups it is: each member is assigned servers of both
 }
 
-// Copies is how many of so many members draw from each of so many servers; at most all.
-func Copies(members, servers int) int {
+// Replicas returns how many of so many members draw from each of so many servers.
+func Replicas(members, servers int) int {
 	if servers == 0 {
 		return 0
 	}
-	return min(members, max(LeastCopies, int(math.Ceil(meanServers*float64(members)/float64(servers)-0.5))))
+	return min(members, max(MinReplicas, int(math.Ceil(minMeanServers*float64(members)/float64(servers)-0.5))))
 }
 
-// Choose gives the indices of the servers of each member, ascending; members are hashes of their names. A nil list:
-// all servers, for there are too few to divide.
+// Choose returns for each member the indices of its servers, ascending. members are hashes of their names. A nil slice stands for all
+// servers, where there are too few of them to divide.
 func Choose(members []uint64, servers []Server) [][]int {
-	c := Copies(len(members), len(servers))
-	if c >= len(members) || len(servers) <= LeastServers {
+	replicas := Replicas(len(members), len(servers))
+	if replicas >= len(members) || len(servers) <= MinServers {
 		return make([][]int, len(members))
 	}
 	var groups [2][]int
 	for i, s := range servers {
-		g := 0
-		if s.Right {
-			g = 1
+		group := 0
+		if s.SecondGroup {
+			group = 1
 		}
-		groups[g] = append(groups[g], i)
+		groups[group] = append(groups[group], i)
 	}
 	chosen := make([][]int, len(members))
-	for _, g := range groups { // apart, so that each member has of both
-		choose(members, servers, g, c, chosen)
+	for _, group := range groups {
+		if len(group) > 0 {
+			newAssignment(members, servers, group, replicas, chosen).run()
+		}
 	}
-	for _, l := range chosen {
-		slices.Sort(l)
+	for _, indices := range chosen {
+		slices.Sort(indices)
 	}
 	return chosen
 }
 
-// pair is a member that a server may have.
+// Score is that of a member and a server, by hashes of their names: the finalizer of SplitMix64. All members must compute the same, so it
+// must not change.
+func Score(member, server uint64) uint64 {
+	x := member ^ (server*0x9e3779b97f4a7c15 + 0x7f4a7c15)
+	x ^= x >> 30
+	x *= 0xbf58476d1ce4e5b9
+	x ^= x >> 27
+	x *= 0x94d049bb133111eb
+	return x ^ x>>31
+}
+
+// pair is a member and a server that it may draw from.
 type pair struct {
 	score          uint64
-	member, server int32
+	member, server int32 // indices
+}
+
+// spareCandidates is how many members are considered for each server beyond those that it needs: as many may be full.
+const spareCandidates = 16
+
+// assignment assigns the servers of one group.
+type assignment struct {
+	members  []uint64
+	servers  []Server
+	group    []int // indices of servers
+	replicas int
+	chosen   [][]int // by member, as Choose returns it
+
+	maxLoad, minLoad int               // servers of this group that a member has
+	load             []int             // by member
+	missing          map[int]int       // members that a server still needs
+	assigned         map[[2]int32]bool // by member and server
 }
 
-// tops is how many members stand in line for each server, beyond those that it gets: so many may be full.
-const tops = 16
+func newAssignment(members []uint64, servers []Server, group []int, replicas int, chosen [][]int) *assignment {
+	mean := float64(replicas*len(group)) / float64(len(members))
+	a := &assignment{
+		members: members, servers: servers, group: group, replicas: replicas, chosen: chosen,
+		maxLoad: int(math.Ceil(loadFactor*mean)) + 1, minLoad: min(MinServers/2, int(mean), len(group)),
+		load: make([]int, len(members)), missing: make(map[int]int, len(group)),
+		assigned: make(map[[2]int32]bool, replicas*len(group)),
+	}
+	for _, server := range group {
+		a.missing[server] = replicas
+	}
+	return a
+}
 
-// choose shares the servers of one group out.
-func choose(members []uint64, servers []Server, group []int, copies int, chosen [][]int) {
-	if len(group) == 0 {
-		return
+func (a *assignment) run() {
+	for _, p := range a.rankedPairs() {
+		if a.missing[int(p.server)] > 0 && a.load[p.member] < a.maxLoad {
+			a.assign(int(p.member), int(p.server))
+		}
 	}
-	mean := float64(copies*len(group)) / float64(len(members))
-	most, fewest := int(math.Ceil(slack*mean))+1, min(LeastServers/2, int(mean), len(group))
-	line := min(len(members), copies+tops)
-	pairs := make([]pair, 0, line*len(group))
-	best := make([]pair, 0, line+1)
-	for _, i := range group {
+	a.fillServers()
+	a.fillMembers()
+}
+
+// rankedPairs returns each server's best candidates, the highest scores first.
+func (a *assignment) rankedPairs() []pair {
+	candidates := min(len(a.members), a.replicas+spareCandidates)
+	pairs := make([]pair, 0, candidates*len(a.group))
+	best := make([]pair, 0, candidates+1)
+	for _, server := range a.group {
 		best = best[:0]
-		for j, m := range members {
-			p := pair{Score(m, servers[i].Name), int32(j), int32(i)}
-			if len(best) == line && p.score <= best[line-1].score {
+		for member, id := range a.members {
+			p := pair{Score(id, a.servers[server].ID), int32(member), int32(server)}
+			if len(best) == candidates && p.score <= best[candidates-1].score {
 				continue
 			}
-			at, _ := slices.BinarySearchFunc(best, p, func(a, b pair) int { return cmp.Compare(b.score, a.score) })
+			at, _ := slices.BinarySearchFunc(best, p, func(x, y pair) int { return cmp.Compare(y.score, x.score) })
 			best = slices.Insert(best, at, p)
-			best = best[:min(line, len(best))]
+			best = best[:min(candidates, len(best))]
 		}
 		pairs = append(pairs, best...)
 	}
-	slices.SortFunc(pairs, func(a, b pair) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.server, b.server), cmp.Compare(a.member, b.member))
+	slices.SortFunc(pairs, func(x, y pair) int {
+		return cmp.Or(cmp.Compare(y.score, x.score), cmp.Compare(x.server, y.server), cmp.Compare(x.member, y.member))
 	})
-	load := make([]int, len(members))
-	wants := make(map[int32]int, len(group))
-	for _, i := range group {
-		wants[int32(i)] = copies
-	}
-	has := make(map[[2]int32]bool, copies*len(group))
-	take := func(p pair) {
-		load[p.member]++
-		wants[p.server]--
-		has[[2]int32{p.member, p.server}] = true
-		chosen[p.member] = append(chosen[p.member], int(p.server))
-	}
-	for _, p := range pairs {
-		if wants[p.server] > 0 && load[p.member] < most {
-			take(p)
+	return pairs
+}
+
+func (a *assignment) has(member, server int) bool {
+	return a.assigned[[2]int32{int32(member), int32(server)}]
+}
+
+func (a *assignment) assign(member, server int) {
+	a.load[member]++
+	a.missing[server]--
+	a.assigned[[2]int32{int32(member), int32(server)}] = true
+	a.chosen[member] = append(a.chosen[member], server)
+}
+
+func (a *assignment) unassign(member, server int) {
+	a.load[member]--
+	a.missing[server]++
+	delete(a.assigned, [2]int32{int32(member), int32(server)})
+	a.chosen[member] = slices.DeleteFunc(a.chosen[member], func(s int) bool { return s == server })
+}
+
+// fillServers gives each server that still needs members the least loaded ones, beyond maxLoad if no member has room.
+func (a *assignment) fillServers() {
+	for _, server := range a.group {
+		for a.missing[server] > 0 {
+			a.assign(a.leastLoaded(server), server)
 		}
 	}
-	// Who is still wanted: members with room, the least loaded first, whatever the score; beyond their room if nobody has any.
-	for _, i := range group {
-		for wants[int32(i)] > 0 {
-			next, least, score := -1, math.MaxInt, uint64(0)
-			for j, m := range members {
-				s := Score(m, servers[i].Name)
-				if !has[[2]int32{int32(j), int32(i)}] && (load[j] < least || load[j] == least && s > score) {
-					next, least, score = j, load[j], s
-				}
-			}
-			take(pair{0, int32(next), int32(i)})
+}
+
+// leastLoaded returns the least loaded member that a server does not have, of several the one with the highest score.
+func (a *assignment) leastLoaded(server int) int {
+	best, bestLoad, bestScore := -1, math.MaxInt, uint64(0)
+	for member, id := range a.members {
+		if a.has(member, server) {
+			continue
+		}
+		score := Score(id, a.servers[server].ID)
+		if a.load[member] < bestLoad || a.load[member] == bestLoad && score > bestScore {
+			best, bestLoad, bestScore = member, a.load[member], score
 		}
 	}
-	// Who has too few takes the place of one who has many, at the servers that it scores best at.
-	for j, m := range members {
-		if load[j] >= fewest {
+	return best
+}
+
+// fillMembers has each member with fewer than minLoad servers take the place of one with many, at the servers that it scores best at.
+func (a *assignment) fillMembers() {
+	for member, id := range a.members {
+		if a.load[member] >= a.minLoad {
 			continue
 		}
-		order := slices.Clone(group)
-		slices.SortFunc(order, func(a, b int) int { return cmp.Compare(Score(m, servers[b].Name), Score(m, servers[a].Name)) })
-		for _, i := range order {
-			if load[j] >= fewest {
+		byScore := slices.Clone(a.group)
+		slices.SortFunc(byScore, func(s, t int) int { return cmp.Compare(Score(id, a.servers[t].ID), Score(id, a.servers[s].ID)) })
+		for _, server := range byScore {
+			if a.load[member] >= a.minLoad {
 				break
 			}
-			if has[[2]int32{int32(j), int32(i)}] {
+			if a.has(member, server) {
 				continue
 			}
-			from, most, score := -1, fewest, uint64(0)
-			for k := range members {
-				s := Score(members[k], servers[i].Name)
-				if has[[2]int32{int32(k), int32(i)}] && (load[k] > most || load[k] == most && from >= 0 && s < score) {
-					from, most, score = k, load[k], s
-				}
+			if from := a.mostLoaded(server); from >= 0 {
+				a.unassign(from, server)
+				a.assign(member, server)
 			}
-			if from < 0 {
-				continue
-			}
-			load[from]--
-			delete(has, [2]int32{int32(from), int32(i)})
-			chosen[from] = slices.DeleteFunc(chosen[from], func(x int) bool { return x == i })
-			wants[int32(i)]++
-			take(pair{0, int32(j), int32(i)})
 		}
 	}
 }
 
-// Score is of a member and a server, by hashes of their names.
-func Score(member, server uint64) uint64 {
-	x := member ^ (server*0x9e3779b97f4a7c15 + 0x7f4a7c15)
-	x ^= x >> 30
-	x *= 0xbf58476d1ce4e5b9
-	x ^= x >> 27
-	x *= 0x94d049bb133111eb
-	return x ^ x>>31
+// mostLoaded returns the most loaded member of a server, of several the one with the lowest score; -1 if none has more than minLoad.
+func (a *assignment) mostLoaded(server int) int {
+	most, mostLoad, lowestScore := -1, a.minLoad, uint64(0)
+	for member, id := range a.members {
+		if !a.has(member, server) {
+			continue
+		}
+		score := Score(id, a.servers[server].ID)
+		if a.load[member] > mostLoad || a.load[member] == mostLoad && most >= 0 && score < lowestScore {
+			most, mostLoad, lowestScore = member, a.load[member], score
+		}
+	}
+	return most
 }
--- /dev/null
+++ b/internal/fleet/transport.go
@@ -0,0 +1,61 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+	"log"
+	"net"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// transport is memberlist's own, but it dials from the IP that it listens on, which matters on a machine with several.
+type transport struct {
+	*memberlist.NetTransport
+	localIP net.IP
+}
+
+// bindAttempts is how often an automatic port is chosen: one that is free for TCP may be taken for UDP.
+const bindAttempts = 10
+
+// newTransport listens on an IP and a port, 0: any. The error is errAddressInUse if another process has the address.
+func newTransport(host string, port int, logger *log.Logger) (*transport, error) {
+	ip := net.ParseIP(host)
+	if ip == nil {
+		return nil, fmt.Errorf("fleet: listen: %q is not an IP address", host)
+	}
+	attempts := 1
+	if port == 0 {
+		attempts = bindAttempts
+	}
+	var err error
+	for range attempts {
+		var t *memberlist.NetTransport
+		t, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger})
+		if err == nil {
+			return &transport{t, ip}, nil
+		}
+	}
+	// memberlist does not wrap all errors of the system.
+	if errors.Is(err, syscall.EADDRINUSE) || strings.Contains(err.Error(), "address already in use") {
+		return nil, fmt.Errorf("%w: %s:%d", errAddressInUse, host, port)
+	}
+	return nil, fmt.Errorf("fleet: listening on %s:%d: %w", host, port, err)
+}
+
+// DialTimeout dials from the transport's IP. It overrides the embedded method.
+func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout}
+	if !t.localIP.IsUnspecified() {
+		d.LocalAddr = &net.TCPAddr{IP: t.localIP}
+	}
+	return d.Dial("tcp", addr)
+}
+
+// DialAddressTimeout dials from the transport's IP. It overrides the embedded method.
+func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(a.Addr, timeout)
+}
--- a/internal/testfleet/forged_test.go
+++ b/internal/testfleet/forged_test.go
@@ -102,11 +102,11 @@
 }
 
 var strangers = []stranger{
-	{strings.Repeat("n", 10_000), membership.Card{Name: "x", Protocol: 1}.Encode()},
+	{strings.Repeat("n", 10_000), membership.Metadata{Name: "x", Protocol: 1}.Encode()},
 	{"noise", []byte("noise")},
-	{"other", membership.Card{Name: "n1", Protocol: 1}.Encode()},
-	{"bad name", membership.Card{Name: "bad name", Protocol: 1}.Encode()},
-	{"later", membership.Card{Name: "later", Protocol: 9, Run: 1, All: true}.Encode()},
+	{"other", membership.Metadata{Name: "n1", Protocol: 1}.Encode()},
+	{"bad name", membership.Metadata{Name: "bad name", Protocol: 1}.Encode()},
+	{"later", membership.Metadata{Name: "later", Protocol: 9, Incarnation: 1, AllPools: true}.Encode()},
 }
 
 // join joins the fleet until the test ends, unless the library refuses that.
--- a/internal/testfleet/subset_test.go
+++ b/internal/testfleet/subset_test.go
@@ -45,7 +45,7 @@
 			copies[s]++
 		}
 	}
-	want := min(len(members), subset.Copies(len(members), len(f.Servers)))
+	want := min(len(members), subset.Replicas(len(members), len(f.Servers)))
 	for _, s := range f.Servers {
 		if copies[s.ID()] != want {
 			return nil, s.ID(), false
