--- a/internal/fleet/pool.go
+++ b/internal/fleet/pool.go
@@ -45,7 +45,8 @@
 // Role returns the latest role and the divisor of the pool's quotas at that time: +Inf if the share has expired.
 func (p *Pool) Role(now time.Duration) (role *Role, divisor float64) {
 	role = p.role.Load()
-	if !role.IsValid(now) && !(mutations.ignoreExpiry && role.Until > 0) {
+	isUsable := role.IsValid(now) || mutations.ignoreExpiry && role.Until > 0
+	if !isUsable {
 		return role, math.Inf(1)
 	}
 	return role, float64(role.Divisor)
