--- a/internal/fleet/membership/codec_test.go
+++ b/internal/fleet/membership/codec_test.go
@@ -88,6 +88,15 @@
 	}
 }
 
+// TestRosterHashStaysAsEarlierBuildsHaveIt: members accept grants only of those with the same hash.
+func TestRosterHashStaysAsEarlierBuildsHaveIt(t *testing.T) {
+	r := NewRoster(0, "a", 1, Lease{Duration: time.Microsecond, Nodes: 3})
+	r.Merge(0, []Entry{{Name: "n1", Epoch: 1, Voter: true}, {Name: "n2", Epoch: 7, Removed: true}})
+	if got, want := r.Hash(), uint64(0xe44226d4ec369ec8); got != want {
+		t.Errorf("the hash is %x, want %x", got, want)
+	}
+}
+
 // FuzzDecodeMetadata: what is decoded is encoded as it was, and keeps its bounds.
 func FuzzDecodeMetadata(f *testing.F) {
 	f.Add(testMetadata("n1", 3).Encode())
--- a/internal/fleet/membership/roster_test.go
+++ b/internal/fleet/membership/roster_test.go
@@ -21,65 +21,74 @@
 	for name, c := range map[string]struct {
 		members, founders int
 		fault             func(*simulation)
-		during, after     []float64
+		during, after     []float64 // divisors, in the order of start
 	}{
-		"no fault": {5, 5, func(*simulation) {}, repeat(5, 5), repeat(5, 5)},
+		"no fault": {
+			members: 5, founders: 5, fault: func(*simulation) {},
+			during: repeat(5, 5), after: repeat(5, 5),
+		},
 		"partition of 1 and 4": {
-			5, 5, func(s *simulation) { s.partition([]int{0}, []int{1, 2, 3, 4}) },
-			[]float64{unable, 4, 4, 4, 4}, repeat(5, 5),
+			members: 5, founders: 5, fault: func(s *simulation) { s.partition([]int{0}, []int{1, 2, 3, 4}) },
+			during: []float64{unable, 4, 4, 4, 4}, after: repeat(5, 5),
 		},
 		"partition of 3 and 3": {
-			6, 6, func(s *simulation) { s.partition([]int{0, 1, 2}, []int{3, 4, 5}) },
-			repeat(6, unable), repeat(6, 6),
+			members: 6, founders: 6, fault: func(s *simulation) { s.partition([]int{0, 1, 2}, []int{3, 4, 5}) },
+			during: repeat(6, unable), after: repeat(6, 6),
 		},
 		"partition of three sides": {
-			5, 5, func(s *simulation) { s.partition([]int{0, 1}, []int{2, 3}, []int{4}) },
-			repeat(5, unable), repeat(5, 5),
+			members: 5, founders: 5, fault: func(s *simulation) { s.partition([]int{0, 1}, []int{2, 3}, []int{4}) },
+			during: repeat(5, unable), after: repeat(5, 5),
 		},
 		"one link cut": {
-			3, 3, func(s *simulation) { s.cut[[2]string{"n0", "n2"}], s.cut[[2]string{"n2", "n0"}] = true, true },
-			repeat(3, 3), repeat(3, 3),
+			members: 3, founders: 3, fault: func(s *simulation) { s.cut[[2]string{"n0", "n2"}], s.cut[[2]string{"n2", "n0"}] = true, true },
+			during: repeat(3, 3), after: repeat(3, 3),
 		},
 		"one member hears nobody": {
-			5, 5, func(s *simulation) { s.cutInbound("n0") },
-			[]float64{unable, 5, 5, 5, 5}, repeat(5, 5),
+			members: 5, founders: 5, fault: func(s *simulation) { s.cutInbound("n0") },
+			during: []float64{unable, 5, 5, 5, 5}, after: repeat(5, 5),
 		},
 		"nobody hears one member": {
-			5, 5, func(s *simulation) { s.cutOutbound("n0") },
-			[]float64{unable, 4, 4, 4, 4}, repeat(5, 5),
+			members: 5, founders: 5, fault: func(s *simulation) { s.cutOutbound("n0") },
+			during: []float64{unable, 4, 4, 4, 4}, after: repeat(5, 5),
 		},
 		"two die": {
-			5, 5, func(s *simulation) { s.processes[0].dead, s.processes[1].dead = true, true },
-			repeat(3, 3), repeat(3, 3),
+			members: 5, founders: 5, fault: func(s *simulation) { s.kill(0, 1) },
+			during: repeat(3, 3), after: repeat(3, 3),
+		},
+		"all but one die": {
+			members: 5, founders: 5, fault: func(s *simulation) { s.kill(1, 2, 3, 4) },
+			during: []float64{unable}, after: []float64{unable},
 		},
-		"all but one die": {5, 5, killAllButFirst, []float64{unable}, []float64{unable}},
 		"restart at once": {
-			5, 5, func(s *simulation) { s.processes[0].dead = true; s.meet(s.processes[1], s.start("n0", 1)) },
-			repeat(5, 5), repeat(5, 5),
+			members: 5, founders: 5, fault: func(s *simulation) { s.kill(0); s.meet(s.processes[1], s.start("n0", 1)) },
+			during: repeat(5, 5), after: repeat(5, 5),
 		},
 		"two leave": {
-			5, 5, func(s *simulation) { s.processes[0].leave(s.now); s.processes[1].leave(s.now) },
-			[]float64{unable, unable, 3, 3, 3}, []float64{unable, unable, 3, 3, 3},
+			members: 5, founders: 5, fault: func(s *simulation) { s.processes[0].leave(s.now); s.processes[1].leave(s.now) },
+			during: []float64{unable, unable, 3, 3, 3}, after: []float64{unable, unable, 3, 3, 3},
 		},
 		"one paused": {
-			5, 5, func(s *simulation) { s.processes[4].paused = true },
-			[]float64{4, 4, 4, 4, unable}, repeat(5, 5),
+			members: 5, founders: 5, fault: func(s *simulation) { s.processes[4].paused = true },
+			during: []float64{4, 4, 4, 4, unable}, after: repeat(5, 5),
 		},
 		"two join": {
-			3, 3, func(s *simulation) {
+			members: 3, founders: 3, fault: func(s *simulation) {
 				s.meet(s.processes[0], s.start("n8", 1))
 				s.meet(s.processes[1], s.start("n9", 1))
 			},
-			repeat(5, 5), repeat(5, 5),
+			during: repeat(5, 5), after: repeat(5, 5),
+		},
+		"two of five founders met": {
+			members: 2, founders: 5, fault: func(*simulation) {},
+			during: repeat(2, unable), after: repeat(2, unable),
 		},
-		"two of five founders met": {2, 5, func(*simulation) {}, repeat(2, unable), repeat(2, unable)},
 		"duplicate name": {
-			3, 3, func(s *simulation) {
+			members: 3, founders: 3, fault: func(s *simulation) {
 				p := s.start("n0", 1)
-				p.name = "duplicate"
+				p.name = "duplicate" // of its links in the simulation: its roster is n0's
 				s.meet(s.processes[1], p)
 			},
-			[]float64{3, 3, 3, unable}, []float64{3, 3, 3, unable},
+			during: []float64{3, 3, 3, unable}, after: []float64{3, 3, 3, unable},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -103,12 +112,6 @@
 	}
 }
 
-func killAllButFirst(s *simulation) {
-	for _, p := range s.processes[1:] {
-		p.dead = true
-	}
-}
-
 // TestLoansFollowDemand: with demand at one of eight members only, and then at another, that one has nearly all of the whole within two
 // leases, also after a lender's death, and the shares never add up to more.
 func TestLoansFollowDemand(t *testing.T) {
--- a/internal/fleet/membership/simulation_test.go
+++ b/internal/fleet/membership/simulation_test.go
@@ -259,6 +259,13 @@
 	}
 }
 
+// kill ends processes, given by their order of start.
+func (s *simulation) kill(processes ...int) {
+	for _, i := range processes {
+		s.processes[i].dead = true
+	}
+}
+
 // divisors are those of the live processes, in the order of their start; +Inf: it may use nothing.
 func (s *simulation) divisors() (divisors []float64) {
 	for _, p := range s.processes {
--- a/internal/fleet/rotation/rotation_test.go
+++ b/internal/fleet/rotation/rotation_test.go
@@ -34,3 +34,10 @@
 		t.Errorf("a member of rank 1000 waits %v", got)
 	}
 }
+
+// TestScoreStaysAsEarlierBuildsHaveIt: members of two builds compute the same ranks.
+func TestScoreStaysAsEarlierBuildsHaveIt(t *testing.T) {
+	if got, want := score(7, 3, 5), uint64(0xf9b245f97ed4d649); got != want {
+		t.Errorf("the score is %x, want %x", got, want)
+	}
+}
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -198,6 +198,13 @@
 	}
 }
 
+// TestScoreStaysAsEarlierBuildsHaveIt: members of two builds compute the same assignment.
+func TestScoreStaysAsEarlierBuildsHaveIt(t *testing.T) {
+	if got, want := Score(1, 2), uint64(0xdb66176cb4bb833e); got != want {
+		t.Errorf("the score is %x, want %x", got, want)
+	}
+}
+
 // BenchmarkChoose measures one assignment, by members and servers.
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range [][2]int{{10, 40}, {300, 300}, {1000, 10_000}} {
