--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -31,7 +31,7 @@
 	return demands
 }
 
-// reportDemand tells the fleet what tenants would use here, as shares of their quotas.
+// reportDemand reports to the fleet what tenants would use here, as shares of their quotas, if a measurement is due.
 func (m *Module) reportDemand(bootTime time.Duration) {
 	if len(m.demands) == 0 || bootTime < m.measuredAt+demandInterval {
 		return
--- a/internal/fleet/exclusions.go
+++ b/internal/fleet/exclusions.go
@@ -9,8 +9,8 @@
 	"cranegrade/internal/fleet/outlier"
 )
 
-// updateExclusions takes the digests of other members, and tells the decision module which servers they make this member avoid, if that
-// has changed.
+// updateExclusions processes the digests of other members, and passes on to the decision module which servers this member avoids because
+// of them, if that has changed.
 func (m *Module) updateExclusions(now, bootTime time.Duration) []balancer.Action {
 	for _, d := range m.pool.takeInbox() {
 		m.detector.Receive(bootTime, d.from, membership.NameID(d.from), d.incarnation, d.digest)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -133,7 +133,7 @@
 	return p
 }
 
-// SetPools tells the other members that this node's pools are these, after a reload.
+// SetPools announces this node's pools to the other members, after a reload.
 func (f *Fleet) SetPools(pools []membership.PoolDigest) {
 	f.mu.Lock()
 	same := slices.Equal(f.config.Pools, pools)
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// Leave has this node act no more and tells the others, who take over its share. It returns once they were told, at ctx's deadline, or,
-// if it has none, after leaveTimeout.
+// Leave has this node stop acting, and announces that to the other members, who take over its share. It returns once that is sent, and at
+// ctx's deadline at the latest, or after leaveTimeout if ctx has none.
 func (f *Fleet) Leave(ctx context.Context) {
 	f.mu.Lock()
 	now := BootTime()
--- a/internal/fleet/gossipsim/gossipsim.go
+++ b/internal/fleet/gossipsim/gossipsim.go
@@ -36,19 +36,25 @@
 	RumoursSent     int           // by all members
 }
 
+// tick is the step of the simulated time.
+const tick = 50 * time.Millisecond
+
 // Parameters of the gossip, as package fleet and memberlist's defaults set them.
 const (
-	tick            = 50 * time.Millisecond // of the simulated time
-	gossipInterval  = 200 * time.Millisecond
-	gossipFanOut    = 3
-	indirectProbes  = 3
-	suspicionMult   = 3 // times the probe interval and the logarithm of the members: the least time of a suspicion
-	maxSuspicion    = 2 // times the least
-	retransmitMult  = 4 // times the logarithm of the members: how often a rumour is sent
-	flapDecay       = 30 * time.Second
-	messagesDirect  = 2 // that must all arrive for a direct probe to succeed
-	messagesByOther = 4
-	messagesStream  = 3
+	gossipInterval   = 200 * time.Millisecond
+	gossipFanOut     = 3
+	indirectProbes   = 3
+	suspicionMult    = 3 // the least time of a suspicion, times the probe interval and the logarithm of the members
+	maxSuspicionMult = 2 // the most time of a suspicion, times the least
+	retransmitMult   = 4 // how often a rumour is sent, times the logarithm of the members
+	flapDecay        = 30 * time.Second
+)
+
+// Messages that must all arrive for a probe to succeed.
+const (
+	directProbeMessages   = 2
+	indirectProbeMessages = 4
+	streamProbeMessages   = 3
 )
 
 // pool is the one that all members serve.
@@ -215,12 +221,12 @@
 
 // answers draws whether a target answers any of the probes.
 func (s *simulation) answers(m, target *member) bool {
-	answered := !target.dead && !s.isLost(messagesDirect)
+	answered := !target.dead && !s.isLost(directProbeMessages)
 	for range indirectProbes {
 		helper := s.rng.IntN(s.Members)
-		answered = answered || helper != m.index && !s.members[helper].dead && !target.dead && !s.isLost(messagesByOther)
+		answered = answered || helper != m.index && !s.members[helper].dead && !target.dead && !s.isLost(indirectProbeMessages)
 	}
-	return answered || !target.dead && !s.isLost(messagesStream)
+	return answered || !target.dead && !s.isLost(streamProbeMessages)
 }
 
 // suspicionTimeout returns how long a suspicion lasts that so many others have confirmed.
@@ -230,7 +236,7 @@
 	if s.Members-2 < wanted {
 		return time.Duration(least)
 	}
-	most := maxSuspicion * least
+	most := maxSuspicionMult * least
 	return time.Duration(max(least, most-math.Log(float64(confirmed)+1)/math.Log(wanted+1)*(most-least)))
 }
 
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -134,7 +134,7 @@
 	gossip := f.gossip
 	message := append([]byte{rosterMessage}, membership.EncodeEntries(f.roster.Entries())...)
 	f.tasks.Go(func() {
-		if gossip.SendReliable(&to, message) == nil { // if not, the next heartbeat has it sent again
+		if gossip.SendReliable(&to, message) == nil { // if not, a later heartbeat has it sent again
 			f.bytesSent.Add(int64(len(message)))
 		}
 	})
--- a/internal/fleet/membership/metadata.go
+++ b/internal/fleet/membership/metadata.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// Bounds of what a member tells of itself. They hold for everything that is received, so that a faulty member costs little.
+// Bounds of a member's metadata. They are checked on everything that is received, so that a faulty member costs little.
 const (
 	MaxName          = 64   // bytes of a member's name
 	MaxZone          = 32   // bytes of a zone's name
@@ -31,10 +31,10 @@
 	Digest uint32 // of its settings
 }
 
-// Metadata is what a member tells of itself through the gossip. While its process runs only Pools and AllPools change, at a reload.
+// Metadata describes a member. The gossip carries it to all others. While the process runs only Pools and AllPools change, at a reload.
 type Metadata struct {
 	Name        string
-	Incarnation uint64 // drawn at random at each start: it tells two processes of one name apart
+	Incarnation uint64 // drawn at random at each start, to distinguish processes of one name
 	Protocol    uint8
 	Zone        string
 	AllPools    bool         // the member has more pools than MaxPools, and counts as one that serves every pool
@@ -54,7 +54,7 @@
 	return slices.CompactFunc(pools, func(a, b PoolDigest) bool { return a.ID == b.ID })
 }
 
-// serves reports whether the member has the pool, and the digest of its settings if it tells that.
+// serves reports whether the member has the pool, and the digest of its settings; 0 if the member has too many pools to name them.
 func (m Metadata) serves(pool uint32) (digest uint32, ok bool) {
 	i, found := slices.BinarySearchFunc(m.Pools, pool, func(p PoolDigest, id uint32) int { return cmp.Compare(p.ID, id) })
 	if found {
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -84,7 +84,7 @@
 }
 
 // advance sets the time; each exported method that is given one calls it first. If much time has passed without any call, this process
-// was suspended or starved. It was not listening meanwhile, so that the others' silence in that time tells nothing about them.
+// was suspended or starved. It was not listening meanwhile, so that the others' silence in that time must not make them fail.
 func (r *Roster) advance(now time.Duration) {
 	if gap := now - r.now; gap > 2*r.lease.HeartbeatInterval() {
 		for _, p := range r.members {
--- a/internal/fleet/membership/view_test.go
+++ b/internal/fleet/membership/view_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestViewsConvergeInAnyOrder: views that are told the same of up to 300 members, in any order and with repetitions, come to the same
+// TestViewsConvergeInAnyOrder: views that observe the same of up to 300 members, in any order and with repetitions, come to the same
 // positions; and these are what a plain count of the live members gives.
 func TestViewsConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -145,7 +145,7 @@
 	})
 }
 
-// TestIncompatibleMembersDoNotCount: members that differ are told apart, and only those count that serve the pool by our protocol.
+// TestIncompatibleMembersDoNotCount: members that differ are classified, and only those count that serve the pool and speak this protocol.
 func TestIncompatibleMembersDoNotCount(t *testing.T) {
 	v := NewView(0, testMetadata("a", 1), testDamping)
 	other, none, foreign, many := testMetadata("other", 1), testMetadata("none", 1), testMetadata("foreign", 1), testMetadata("many", 1)
--- a/internal/fleet/membership/voters.go
+++ b/internal/fleet/membership/voters.go
@@ -16,7 +16,7 @@
 	r.updateHash()
 }
 
-// hasSameRoster reports whether a member's latest heartbeat told the roster that this node has.
+// hasSameRoster reports whether a member's latest heartbeat has the hash of this node's roster.
 func (r *Roster) hasSameRoster(p *peer) bool { return p.Name == r.self || p.rosterHash == r.hash }
 
 // hasCommittedVoters reports whether this node is a voter and all voters are committed.
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -17,7 +17,7 @@
 	Handle(now time.Duration, event balancer.Event) []balancer.Action
 }
 
-// Module stands between an engine and its decision module. Before each event it tells that module what has changed in the fleet: this
+// Module stands between an engine and its decision module. Before each event it notifies that module of what has changed in the fleet: this
 // node's position, the divisor of quotas, the servers that it draws from, and what other members report of servers. So a
 // process that was suspended applies the end of its share before it decides anything else. From the events that pass it learns
 // the outcomes of requests, for the other members.
@@ -29,7 +29,7 @@
 	decider Decider
 	pool    *Pool
 	clock   func() time.Duration // BootTime
-	sized   bool                 // the list tells sizes, which decide the order of servers
+	sized   bool                 // the list has sizes of servers, which decide their order
 	demands map[string]*tenantDemand
 
 	// The list of servers, and how it is assigned to the members.
@@ -44,7 +44,7 @@
 	transition        *subset.Transition
 	detector          *outlier.Detector
 
-	// What the decision module was told last.
+	// What the decision module was notified of last.
 	divisor    float64
 	position   position
 	subset     []string
@@ -57,7 +57,7 @@
 	measuredAt time.Duration // when demand was last measured
 }
 
-// position is what the decision module is told of membership.Position.
+// position is the part of membership.Position that the decision module is notified of.
 type position struct{ agreed, index int }
 
 const (
@@ -81,7 +81,7 @@
 	}
 }
 
-// Handle tells the decision module what has changed in the fleet, and then the event. It returns the actions of both.
+// Handle passes on to the decision module what has changed in the fleet, and then the event. It returns the actions of both.
 func (m *Module) Handle(now time.Duration, event balancer.Event) (actions []balancer.Action) {
 	bootTime := m.clock()
 	m.observe(bootTime, event)
@@ -110,7 +110,7 @@
 			m.detector.RecordFailure(bootTime, e.Server)
 		case balancer.Success:
 			m.detector.RecordSuccess(bootTime, e.Server)
-		default: // it tells nothing of the server's health
+		default: // other endings say nothing about the server's health
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	m.listChanged = m.listChanged || list.Full || len(list.Servers) > 0
 }
 
-// update tells the decision module what has changed in the fleet, and the fleet what this node observed.
+// update passes on to the decision module what has changed in the fleet, and to the fleet what this node observed.
 func (m *Module) update(now, bootTime time.Duration, role *Role, divisor float64, quotas *QuotaShares) (actions []balancer.Action) {
 	if m.listChanged || !slices.Equal(m.order, role.Order) {
 		m.assignSubsets(role)
@@ -144,7 +144,7 @@
 	return actions
 }
 
-// updateRole tells the decision module its position, subset, divisor and quotas, if any has changed.
+// updateRole notifies the decision module of its position, subset, divisor and quotas, if any has changed.
 func (m *Module) updateRole(now time.Duration, subset []string, role *Role, divisor float64, quotas *QuotaShares) []balancer.Action {
 	current := position{role.Agreed, role.Index}
 	if divisor == m.divisor && current == m.position && quotas == m.quotas && slices.Equal(subset, m.subset) {
@@ -160,7 +160,7 @@
 	})
 }
 
-// sendDigest tells the other members what this one observed of servers, if that is due: soon after a request has failed.
+// sendDigest sends the other members what this one observed of servers, if that is due: soon after a request has failed.
 func (m *Module) sendDigest(bootTime time.Duration) {
 	isDue := bootTime >= m.sentAt+digestInterval || m.urgent && bootTime >= m.sentAt+checkInterval
 	if !isDue || len(m.order) < 2 {
--- a/internal/fleet/mutation.go
+++ b/internal/fleet/mutation.go
@@ -15,9 +15,9 @@
 	role func(*Role)
 	// publishedRole replaces the role that is about to be published; previous is nil before the first.
 	publishedRole func(now time.Duration, previous, next *Role) *Role
-	// ignoreExpiry has a role hold on after the grants that it stands on have run out.
+	// ignoreExpiry keeps a role in force after the grants that it rests on have expired.
 	ignoreExpiry bool
-	// digest replaces what a member tells the others of the servers that it has observed.
+	// digest replaces the digests that a member sends to the others.
 	digest func(*Module) outlier.Digest
 	// trustUnbounded has others' digests believed without the bounds that protect servers from a wrong reporter.
 	trustUnbounded bool
--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -9,7 +9,7 @@
 // How long observations and reports hold.
 const (
 	countingWindow  = 4 * time.Second  // after which the counts of a server are halved
-	reportLifetime  = 3 * time.Second  // an observation whose latest outcome is older tells nothing any more
+	reportLifetime  = 3 * time.Second  // an observation whose latest outcome is older does not count any more
 	distrustPeriod  = 20 * time.Second // for which a member is not believed about a server that it was wrong about
 	peerForgetAfter = 10 * reportLifetime
 )
@@ -101,7 +101,7 @@
 		s := d.servers[name]
 		if s == nil || s.startedAt != at {
 			s = &server{id: ServerID(name), name: name, startedAt: at}
-			// Of two servers with one ID only one is found by it; StartID tells them apart most of the time.
+			// Of two servers with one ID only one is found by it; StartID distinguishes them most of the time.
 			d.servers[name], d.byID[s.id] = s, s
 		}
 	}
@@ -144,7 +144,7 @@
 	s.lastOutcomeAt = now
 }
 
-// Digest returns what this member tells the others now; false: nothing. Reports of failures come first, then successes at servers that
+// Digest returns the digest that this member sends to the others now; false: there is nothing to report. Reports of failures come first, then successes at servers that
 // others report as failing.
 func (d *Detector) Digest(now time.Duration) (digest Digest, ok bool) {
 	type ranked struct {
--- a/internal/fleet/outlier/digest.go
+++ b/internal/fleet/outlier/digest.go
@@ -32,7 +32,7 @@
 // reportsFailure reports whether the observation says that the server is failing.
 func (o Observation) reportsFailure() bool { return o.ConsecutiveFailures > 0 && o.Failures > 0 }
 
-// Digest is what a member tells the others of the servers of a pool.
+// Digest is the message by which a member reports to the others what it observed of the servers of a pool.
 type Digest struct {
 	Pool         uint32
 	Seq          uint32        // grows with each digest of a process and pool
--- a/internal/fleet/outlier/ejections.go
+++ b/internal/fleet/outlier/ejections.go
@@ -82,7 +82,7 @@
 	return d.boundLoneEjections(d.currentEjections(now))
 }
 
-// observedByPeers returns the servers that recent digests tell of.
+// observedByPeers returns the servers that recent digests mention.
 func (d *Detector) observedByPeers(now time.Duration) map[*server]bool {
 	observed := map[*server]bool{}
 	for _, p := range d.peers {
--- a/internal/fleet/pool.go
+++ b/internal/fleet/pool.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// reportDemand tells the fleet what tenants would use here, as shares of their quotas.
+// reportDemand passes on to the fleet what tenants would use here, as shares of their quotas.
 func (p *Pool) reportDemand(demands map[string]float64) {
 	if p.updateDemand != nil {
 		p.updateDemand(p, demands)
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -61,7 +61,7 @@
 }
 
 // publishQuotas publishes the shares that a loan table gives. evenShare is this node's part in the pool's divisor; 0 if its share is not
-// valid. Shares that are nearly the same are not published, so that the module is not told of every loan that is renewed.
+// valid. Shares that are nearly the same are not published, so that not every renewed loan causes an event for the decision module.
 func (p *Pool) publishQuotas(now time.Duration, loans *shares.LoanTable, evenShare float64) {
 	quotaIDs := p.quotaIDs()
 	if len(quotaIDs) == 0 {
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -191,7 +191,9 @@
 
 // Lend decides what this member lends to another one in its next heartbeat, and counts that as lent. evenShare is this member's part in
 // the divisor and until the end of its share; isCounted reports whether the divisor counts a member.
-func (t *LoanTable) Lend(now time.Duration, to string, evenShare float64, until time.Duration, isCounted func(name string) bool) (loans []Loan) {
+func (t *LoanTable) Lend(
+	now time.Duration, to string, evenShare float64, until time.Duration, isCounted func(name string) bool,
+) (loans []Loan) {
 	borrower := t.peers[to]
 	duration := min(t.maxLoan, until-now)
 	if borrower == nil || evenShare <= 0 || duration <= t.maxLoan/4 || now-borrower.at > t.maxLoan || !isCounted(to) {
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -174,7 +174,8 @@
 }
 
 func (e *evaluation) String() string {
-	return fmt.Sprintf("replicas %d-%d sizes %d-%d; moved by a member %.1f/N, by a server %.1f/n, by a tenth %.2f; uncovered %.1f; both groups %v; alike %d; mixed views %.2f",
+	return fmt.Sprintf("replicas %d-%d sizes %d-%d; moved by a member %.1f/N, by a server %.1f/n, by a tenth %.2f; uncovered %.1f; "+
+		"both groups %v; alike %d; mixed views %.2f",
 		e.replicas.least, e.replicas.most, e.sizes.least, e.sizes.most, e.movedByMember*float64(e.numMembers),
 		e.movedByServer*float64(e.numServers), e.movedByTenth, e.uncovered, e.bothGroups, e.alike, e.overloadInMixedViews)
 }
