--- a/internal/fleet/mutation.go
+++ b/internal/fleet/mutation.go
@@ -8,7 +8,7 @@
 
 // mutations is the seam by which tests and drills make a member misbehave on purpose, to show that the misbehaviour is
 // found. All fields are zero in service: nothing that ships sets them. Test files of this package may, and so does the
-// source that the rig adds when it builds a faulty program (see internal/testfleet). They are set before the first member starts
+// source that package testfleet adds when it builds a faulty program. They are set before the first member starts
 // and not changed while one runs.
 var mutations struct {
 	// role alters a member's role in a pool once it has been derived from its view and its share.
