--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -55,7 +55,7 @@
 }
 
 func (r *hotRestart) importState(s hotrestart.State) {
-	r.n.adminState.merge(s.Orders)
+	r.n.adminState.merge(s.AdminState)
 	r.n.adminState.mu.Lock()
 	defer r.n.adminState.mu.Unlock()
 	r.n.adminState.seen.Import(s.Seen)
@@ -80,11 +80,11 @@
 	if p == nil || len(p.Servers) == 0 {
 		return
 	}
-	known := engine.News{Full: true, Cached: true, Version: p.List}
+	known := engine.News{Full: true, Cached: true, Version: p.ListVersion}
 	for _, s := range p.Servers {
 		var l engine.Listed
 		l.ID, l.Addr, l.Zone, l.Cell, l.State, l.Size, l.StartedAt, l.Weight, l.Priority =
-			s.ID, s.Addr, s.Zone, s.Cell, s.State, s.Size, s.Boot, s.Weight, s.Priority
+			s.ID, s.Addr, s.Zone, s.Cell, s.State, s.Size, s.StartedAt, s.Weight, s.Priority
 		known.Servers = append(known.Servers, l)
 	}
 	pp.Known = known
@@ -115,7 +115,7 @@
 // exportState is what a successor is told.
 func (r *hotRestart) exportState() (hotrestart.State, []*net.TCPListener) {
 	s := hotrestart.State{At: r.n.clock.Now()}
-	s.Orders, s.Seen = r.n.adminState.export()
+	s.AdminState, s.Seen = r.n.adminState.export()
 	r.n.mu.Lock()
 	pools := r.n.serving.Load().pools
 	r.n.mu.Unlock()
@@ -126,11 +126,11 @@
 		if !ok {
 			continue
 		}
-		hp := hotrestart.Pool{Name: name, List: x.Version, Knowledge: x.Knowledge}
+		hp := hotrestart.Pool{Name: name, ListVersion: x.Version, Knowledge: x.Knowledge}
 		for _, v := range x.Servers {
 			hp.Servers = append(hp.Servers, hotrestart.ListedServer{
 				ID: v.ID, Addr: v.Addr, Zone: v.Zone, Cell: v.Cell, State: v.State,
-				Size: v.Size, Boot: v.StartedAt, Weight: v.Weight, Priority: v.Priority,
+				Size: v.Size, StartedAt: v.StartedAt, Weight: v.Weight, Priority: v.Priority,
 			})
 		}
 		s.Pools = append(s.Pools, hp)
@@ -183,7 +183,7 @@
 
 // addPeer starts a link, both sides of which tell each other what they hold.
 func (r *hotRestart) addPeer(l *hotrestart.Link, e hotrestart.Handlers) {
-	e.Orders = func(s adminstate.State) {
+	e.AdminState = func(s adminstate.State) {
 		if r.n.adminState.merge(s) {
 			r.save()
 			go r.broadcast(l) // a third process, if there is one
@@ -232,7 +232,7 @@
 
 func (r *hotRestart) save() error {
 	s := hotrestart.State{At: r.n.clock.Now()}
-	s.Orders, s.Seen = r.n.adminState.export()
+	s.AdminState, s.Seen = r.n.adminState.export()
 	return hotrestart.Save(r.dir, s)
 }
 
