--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -63,7 +63,7 @@
 const maxStalls = 20
 
 // Start has this node join a fleet, and returns at once: members that can't be reached, and an address that is in use, are tried again
-// until Close. An error says that the configuration can't be used.
+// until Close. An error says that the configuration can't be used, or that its address can't be listened on.
 func Start(config Config) (*Fleet, error) {
 	if len(config.Key) != 0 {
 		if err := memberlist.ValidateKey(config.Key); err != nil {
@@ -190,6 +190,7 @@
 	f.sendHeartbeats(BootTime()) // once more: if a heartbeat is lost the others learn it only from a roster
 }
 
+// leaveTimeout bounds a Leave whose context has no deadline.
 const leaveTimeout = time.Second
 
 // Close ends the membership and waits for its goroutines. Without a Leave before the others find that this node has failed.
--- a/internal/fleet/outlier/ejections.go
+++ b/internal/fleet/outlier/ejections.go
@@ -16,9 +16,7 @@
 	// turnInterval is the time between the attempts of two members at an ejected server: longer than a report takes to the members that
 	// draw from the same servers.
 	turnInterval = 300 * time.Millisecond
-	// maxTurns is the most turns that a member waits for, as package rotation has it.
-	maxTurns    = 8
-	maxEjection = baseEjection<<maxDoublings + maxTurns*turnInterval
+	maxEjection  = baseEjection<<maxDoublings + rotation.MaxWaitSteps*turnInterval
 	// resetAfter is how long after its latest ejection a server's ejections begin anew.
 	resetAfter = 2 * maxEjection
 )
--- a/internal/fleet/rotation/rotation.go
+++ b/internal/fleet/rotation/rotation.go
@@ -13,8 +13,8 @@
 
 import "time"
 
-// maxWaitSteps bounds the wait: a subject that nobody has tried for so many steps may be tried by everybody.
-const maxWaitSteps = 8
+// MaxWaitSteps is the most steps that Wait returns: what nobody has done for so many steps may be done by everybody.
+const MaxWaitSteps = 8
 
 // Rank returns a member's rank for a subject in an epoch, from 0. members are hashes of the names of all members that take part, and self
 // is that of this one.
@@ -30,7 +30,7 @@
 
 // Wait returns how long a member of a rank waits for those before it.
 func Wait(rank int, step time.Duration) time.Duration {
-	return time.Duration(min(rank, maxWaitSteps)) * step
+	return time.Duration(min(rank, MaxWaitSteps)) * step
 }
 
 // score mixes its arguments with the finalizer of MurmurHash3. All members must compute the same, so it must not change.
--- a/internal/fleet/rotation/rotation_test.go
+++ b/internal/fleet/rotation/rotation_test.go
@@ -31,7 +31,7 @@
 
 func TestWaitIsBounded(t *testing.T) {
 	if got := Wait(1000, time.Second); got > 8*time.Second {
-		t.Errorf("a member of rank 1000 waits %v", got)
+		t.Errorf("a member of rank 1000 waits %v, want at most 8 steps of a second", got)
 	}
 }
 
