--- a/internal/conncheck/conncheck.go
+++ b/internal/conncheck/conncheck.go
@@ -1,4 +1,6 @@
-// Package conncheck looks at what has come on a TCP connection without reading it.
+// Package conncheck tells whether bytes have come on an idle TCP connection, or its end, without reading
+// them. Database drivers have such a check as well: a connection that its peer has closed must
+// not be used for another request.
 package conncheck
 
 import (
@@ -6,25 +8,26 @@
 	"syscall"
 )
 
-// At looks at what has come on a connection, without waiting and beside a reader: nil for bytes,
-// EAGAIN for nothing, else why nothing will.
-func At(c net.Conn) error {
-	raw, err := c.(*net.TCPConn).SyscallConn()
+// Peek looks at what has come on a TCP connection. It neither waits nor takes anything away, so it may run
+// beside a reader. It returns nil if bytes can be read, syscall.EAGAIN if none have come, net.ErrClosed if
+// the peer has closed the connection, or else why nothing will come. conn must be a *net.TCPConn.
+func Peek(conn net.Conn) error {
+	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return err
 	}
-	var got int
-	var failed error
+	var received int
+	var recvErr error
 	err = raw.Control(func(fd uintptr) {
 		var b [1]byte
-		got, _, failed = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		received, _, recvErr = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	switch {
 	case err != nil:
 		return err
-	case failed != nil:
-		return failed
-	case got == 0:
+	case recvErr != nil:
+		return recvErr
+	case received == 0:
 		return net.ErrClosed
 	}
 	return nil
--- a/internal/fake/callers.go
+++ b/internal/fake/callers.go
@@ -184,7 +184,7 @@
 		if idle == nil {
 			break
 		}
-		if errors.Is(conncheck.At(idle.Conn), syscall.EAGAIN) { // open, and nothing to read
+		if errors.Is(conncheck.Peek(idle.Conn), syscall.EAGAIN) { // open, and nothing to read
 			return idle, nil
 		}
 		idle.Close()
--- a/internal/front/http1/connections.go
+++ b/internal/front/http1/connections.go
@@ -135,7 +135,7 @@
 			continue // at least a part of a request was received
 		}
 		if c.requestBegan.Load() == 0 {
-			if now.Sub(c.quietSince) > newConnectionGrace && conncheck.At(c.Conn) != nil { // otherwise there are unread bytes of a request
+			if now.Sub(c.quietSince) > newConnectionGrace && conncheck.Peek(c.Conn) != nil { // otherwise there are unread bytes of a request
 				return c
 			}
 		} else if last := c.lastByteAt.Load(); last < oldest {
@@ -225,7 +225,7 @@
 			}
 			idle := c.requestBegan.Load() == 0 && (c.used || time.Since(c.quietSince) > drainNewAfter)
 			stalled := c.requestBegan.Load() != 0 && time.Since(time.Unix(0, c.lastByteAt.Load())) > drainStalledAfter
-			if (idle || stalled) && conncheck.At(c.Conn) != nil {
+			if (idle || stalled) && conncheck.Peek(c.Conn) != nil {
 				away = append(away, c)
 			}
 		}
@@ -355,7 +355,7 @@
 		return
 	}
 	if c.quietEntry != nil && c.quietSince.Equal(since) && c.requestBegan.Load() == 0 &&
-		(c.ahead == nil || c.ahead.open.Load() == 0) && conncheck.At(c.Conn) != nil {
+		(c.ahead == nil || c.ahead.open.Load() == 0) && conncheck.Peek(c.Conn) != nil {
 		c.close()
 	}
 }
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -186,7 +186,7 @@
 
 // alive says that an idle connection is still open and has no unread bytes: a server that has closed it would reset the
 // next request, and surplus bytes would be read as its response.
-func (c *conn) alive() bool { return conncheck.At(c.Conn) == syscall.EAGAIN }
+func (c *conn) alive() bool { return conncheck.Peek(c.Conn) == syscall.EAGAIN }
 
 // Drop closes the idle connections to an endpoint.
 func (p *connectionPool) Drop(ep *engine.Endpoint) {
