--- a/internal/hotrestart/file.go
+++ b/internal/hotrestart/file.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	fileName = "cranegrade.orders"
-	maxFile  = 4 << 20
+	// fileName is the file in the directory of state that keeps the administrative state.
+	fileName     = "cranegrade.orders"
+	maxFileBytes = 4 << 20
 )
 
-// Save writes a state into dir so that it is there whole or not at all, whatever ends the process meanwhile. It does
-// not wait for a disk: what it guards against is the end of a process, not of the machine.
+// Save writes a state into dir atomically: a process that is killed meanwhile leaves the old file or the
+// new one. It does not sync, since it guards against the end of a process and not of the machine.
 func Save(dir string, s State) error {
 	s.Version = Version
 	text, err := json.Marshal(s)
 	if err != nil {
-		return err
+		return fmt.Errorf("encoding the state: %w", err)
 	}
 	f, err := os.CreateTemp(dir, fileName+".*")
 	if err != nil {
@@ -32,12 +33,12 @@
 		err = os.Rename(f.Name(), filepath.Join(dir, fileName))
 	}
 	if err != nil {
-		_ = os.Remove(f.Name())
+		_ = os.Remove(f.Name()) // a left-over is never read
 	}
 	return err
 }
 
-// Load reads what Save wrote; the zero State and no error where there is none.
+// Load reads what Save has written. It returns the zero State and no error if there is no file.
 func Load(dir string) (State, error) {
 	path := filepath.Join(dir, fileName)
 	info, err := os.Lstat(path)
@@ -48,23 +49,32 @@
 		return State{}, err
 	}
 	if !info.Mode().IsRegular() || !isOwnFile(info) {
-		return State{}, fmt.Errorf("%s is no file of this user's", path)
+		return State{}, fmt.Errorf("%s is no regular file of this user", path)
 	}
-	f, err := os.Open(path)
+	text, err := readBounded(path, maxFileBytes)
 	if err != nil {
 		return State{}, err
 	}
-	defer func() { _ = f.Close() }()
-	text, err := io.ReadAll(io.LimitReader(f, maxFile+1))
-	if err == nil && len(text) > maxFile {
-		err = errors.New("too long")
-	}
-	s := State{}
-	if err == nil {
-		s, err = Parse(text)
-	}
+	s, err := Parse(text)
 	if err != nil {
 		return State{}, fmt.Errorf("%s: %w", path, err)
 	}
 	return s, nil
 }
+
+// readBounded reads a file that may have up to limit bytes.
+func readBounded(path string, limit int) ([]byte, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = f.Close() }() // it was only read
+	text, err := io.ReadAll(io.LimitReader(f, int64(limit)+1))
+	if err != nil {
+		return nil, err
+	}
+	if len(text) > limit {
+		return nil, fmt.Errorf("%s is longer than %d bytes", path, limit)
+	}
+	return text, nil
+}
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -19,16 +19,16 @@
 
 func sample() State {
 	s := State{Version: Version, At: 5, Seen: []uint64{1, 1 << 63}, Pools: []Pool{{
-		Name: "p", List: "41",
-		Servers: []ListedServer{{ID: "a", Addr: "127.0.0.1:1", State: balancer.Draining, Boot: 7}}, Knowledge: &balancer.Knowledge{Window: 3},
+		Name: "p", ListVersion: "41",
+		Servers: []ListedServer{{ID: "a", Addr: "127.0.0.1:1", State: balancer.Draining, StartedAt: 7}}, Knowledge: &balancer.Knowledge{Window: 3},
 	}}}
-	s.Orders.SetServer("a", true, 9)
+	s.AdminState.SetServer("a", true, 9)
 	return s
 }
 
 func TestSaveLoad(t *testing.T) {
 	dir := t.TempDir()
-	if s, err := Load(dir); err != nil || len(s.Orders.Servers) > 0 {
+	if s, err := Load(dir); err != nil || len(s.AdminState.Servers) > 0 {
 		t.Fatalf("of nothing: %+v, %v", s, err)
 	}
 	for range 2 {
@@ -37,7 +37,7 @@
 		}
 	}
 	s, err := Load(dir)
-	if err != nil || !s.Orders.IsDown("a") || s.Seen[1] != 1<<63 {
+	if err != nil || !s.AdminState.IsDown("a") || s.Seen[1] != 1<<63 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if l, _ := os.ReadDir(dir); len(l) != 1 {
@@ -46,15 +46,15 @@
 	whole, _ := os.ReadFile(filepath.Join(dir, fileName))
 	for name, text := range map[string]string{
 		"torn": string(whole[:len(whole)/2]), "empty": "", "of another version": `{"version":99}`,
-		"nonsense": "\x00\xff", "long": `{"version":1,"x":"` + strings.Repeat("x", maxFile) + `"}`,
+		"nonsense": "\x00\xff", "long": `{"version":1,"x":"` + strings.Repeat("x", maxFileBytes) + `"}`,
 	} {
 		os.WriteFile(filepath.Join(dir, fileName), []byte(text), 0o600)
-		if s, err := Load(dir); err == nil || len(s.Orders.Servers) > 0 {
-			t.Errorf("%s: %+v, %v", name, s.Orders, err)
+		if s, err := Load(dir); err == nil || len(s.AdminState.Servers) > 0 {
+			t.Errorf("%s: %+v, %v", name, s.AdminState, err)
 		}
 	}
 	os.WriteFile(filepath.Join(dir, fileName), []byte(`{"version":1,"later":{"x":[1]},"orders":{"servers":{"b":{"on":true,"at":1}}}}`), 0o600)
-	if s, err := Load(dir); err != nil || !s.Orders.IsDown("b") {
+	if s, err := Load(dir); err != nil || !s.AdminState.IsDown("b") {
 		t.Errorf("with a field of a later build: %+v, %v", s, err)
 	}
 	os.Remove(filepath.Join(dir, fileName))
@@ -90,7 +90,7 @@
 	for name, dir := range map[string]string{"short": t.TempDir(), "long": filepath.Join(t.TempDir(), strings.Repeat("x", 120))} {
 		t.Run(name, func(t *testing.T) {
 			os.MkdirAll(dir, 0o700)
-			if _, err := Connect(dir); err != ErrNoPredecessor {
+			if _, err := Connect(dir); !errors.Is(err, ErrNoPredecessor) {
 				t.Fatalf("of nobody: %v", err)
 			}
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,7 +101,7 @@
 			links := make(chan *Link, 1)
 			serving, orders1, orders2 := make(chan bool, 1), make(chan adminstate.State, 1), make(chan adminstate.State, 1)
 			s, err := Listen(dir, func() (State, []*net.TCPListener) { return sample(), []*net.TCPListener{l.(*net.TCPListener)} }, func(k *Link) {
-				k.Start(Handlers{Serving: func() { serving <- true }, Orders: func(s adminstate.State) { orders1 <- s }})
+				k.Start(Handlers{Serving: func() { serving <- true }, AdminState: func(s adminstate.State) { orders1 <- s }})
 				links <- k
 			})
 			if err != nil {
@@ -112,8 +112,8 @@
 				t.Fatal(err)
 			}
 			defer j.CloseUnclaimed()
-			j.Link.Start(Handlers{Orders: func(s adminstate.State) { orders2 <- s }})
-			if j.State.Pools[0].Knowledge.Window != 3 || !j.State.Orders.IsDown("a") {
+			j.Link.Start(Handlers{AdminState: func(s adminstate.State) { orders2 <- s }})
+			if j.State.Pools[0].Knowledge.Window != 3 || !j.State.AdminState.IsDown("a") {
 				t.Errorf("told %+v", j.State)
 			}
 			if j.Listener("127.0.0.1:1") != nil {
@@ -151,7 +151,7 @@
 				t.Errorf("one that is gone owes nothing: %v", err)
 			}
 			s.Close()
-			if _, err := Connect(dir); err != ErrNoPredecessor {
+			if _, err := Connect(dir); !errors.Is(err, ErrNoPredecessor) {
 				t.Errorf("of one that is dead: %v", err)
 			}
 		})
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -12,66 +12,69 @@
 )
 
 const (
-	// handshakeTimeout bounds each step of a start: a predecessor that is silent must not hold up its successor.
+	// handshakeTimeout bounds each side's handshake: a silent predecessor must not delay its successor.
 	handshakeTimeout = time.Second
-	// ackTimeout is how long the other process has to confirm that a change has taken effect.
+	// ackTimeout bounds the wait for the other process to acknowledge that a change is in effect.
 	ackTimeout = 600 * time.Millisecond
-	// maxLine bounds what the other process says at a time.
-	maxLine      = 4 << 20
-	maxListeners = 128
+	// maxMessageBytes bounds a message of a link.
+	maxMessageBytes = 4 << 20
 )
 
-// Link is the connection of two processes of one node. Both may tell and are told.
+// Link is the connection between two processes of one node. Both sides send changes and acknowledge those
+// that they receive. Its methods may be called from any goroutine.
 type Link struct {
 	conn     *net.UnixConn
-	handlers Handlers
+	handlers Handlers // set by Start
 
-	write sync.Mutex // held while a line is written
-	mu    sync.Mutex // guards below
-	next  uint64
-	acks  map[uint64]chan struct{}
-	done  chan struct{} // closed when the other side is gone
+	writeMu sync.Mutex // held while a message is written
+	mu      sync.Mutex // guards below
+	lastID  uint64
+	acks    map[uint64]chan struct{} // by the id of a message that waits for its acknowledgement
+	done    chan struct{}            // closed when the other side is gone
 }
 
-// Handlers hear what the other process says, on the link's goroutine. Any may be nil.
+// Handlers are called for what the other process sends, on the link's goroutine and in order; a message is
+// acknowledged when its handler has returned. Any may be nil.
 type Handlers struct {
-	Orders  func(adminstate.State) // its orders changed
-	Serving func()                 // the successor takes clients
-	Gone    func()                 // it has ended, or its link did
+	AdminState func(adminstate.State) // the other process has this administrative state
+	Serving    func()                 // the successor accepts clients
+	Gone       func()                 // the other process has ended, or the link has
 }
 
-// message is a line of a link.
+// message is a line of a link, in JSON.
 type message struct {
-	ID      uint64            `json:"n,omitempty"`
-	Ack     uint64            `json:"ack,omitempty"`
-	Orders  *adminstate.State `json:"orders,omitempty"`
-	Serving bool              `json:"serving,omitempty"`
+	ID         uint64            `json:"n,omitempty"`   // to be acknowledged; 0: not
+	Ack        uint64            `json:"ack,omitempty"` // id of a message of the receiver
+	AdminState *adminstate.State `json:"orders,omitempty"`
+	Serving    bool              `json:"serving,omitempty"`
 }
 
+// hello is the first line, from a successor.
 type hello struct {
 	Version int `json:"version"`
 	PID     int `json:"pid"`
 }
 
-func newLink(c *net.UnixConn) *Link {
-	return &Link{conn: c, acks: map[uint64]chan struct{}{}, done: make(chan struct{})}
+func newLink(conn *net.UnixConn) *Link {
+	return &Link{conn: conn, acks: map[uint64]chan struct{}{}, done: make(chan struct{})}
 }
 
-// Start hears the other side from now on.
-func (l *Link) Start(e Handlers) {
-	l.handlers = e
+// Start calls the handlers from now on. It must be called once, and before anything is sent.
+func (l *Link) Start(handlers Handlers) {
+	l.handlers = handlers
 	go l.run()
 }
 
 // Done is closed when the other side is gone.
 func (l *Link) Done() <-chan struct{} { return l.done }
 
-// Close ends the link.
-func (l *Link) Close() { _ = l.conn.Close() }
+// Close closes the link.
+func (l *Link) Close() { _ = l.conn.Close() } // it fails only if it was closed before
 
+// run reads messages until the link ends.
 func (l *Link) run() {
 	defer func() {
-		_ = l.conn.Close()
+		l.Close()
 		close(l.done)
 		if l.handlers.Gone != nil {
 			l.handlers.Gone()
@@ -79,78 +82,96 @@
 	}()
 	r := bufio.NewReader(l.conn)
 	for {
-		line, err := readLine(r, maxLine)
+		line, err := readLine(r, maxMessageBytes)
 		if err != nil {
 			return
 		}
-		var n message
-		if json.Unmarshal(line, &n) != nil {
-			return
-		}
-		if n.Ack != 0 {
-			l.mu.Lock()
-			if c := l.acks[n.Ack]; c != nil {
-				close(c)
-				delete(l.acks, n.Ack)
-			}
-			l.mu.Unlock()
-		}
-		if n.Orders != nil && l.handlers.Orders != nil {
-			l.handlers.Orders(*n.Orders)
-		}
-		if n.Serving && l.handlers.Serving != nil {
-			l.handlers.Serving()
+		var m message
+		if json.Unmarshal(line, &m) != nil {
+			return // the other side is of no use
 		}
-		if n.ID != 0 && l.send(message{Ack: n.ID}) != nil {
+		if l.handle(m) != nil {
 			return
 		}
 	}
 }
 
-func (l *Link) send(n message) error {
-	text, err := json.Marshal(n)
+// handle handles a message and then acknowledges it. The error is that of the acknowledgement.
+func (l *Link) handle(m message) error {
+	if m.Ack != 0 {
+		l.acknowledged(m.Ack)
+	}
+	if m.AdminState != nil && l.handlers.AdminState != nil {
+		l.handlers.AdminState(*m.AdminState)
+	}
+	if m.Serving && l.handlers.Serving != nil {
+		l.handlers.Serving()
+	}
+	if m.ID == 0 {
+		return nil
+	}
+	return l.send(message{Ack: m.ID})
+}
+
+// acknowledged ends the wait for an acknowledgement.
+func (l *Link) acknowledged(id uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if ack := l.acks[id]; ack != nil {
+		close(ack)
+		delete(l.acks, id)
+	}
+}
+
+func (l *Link) send(m message) error {
+	text, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	l.write.Lock()
-	defer l.write.Unlock()
-	_ = l.conn.SetWriteDeadline(time.Now().Add(ackTimeout))
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
+	_ = l.conn.SetWriteDeadline(time.Now().Add(ackTimeout)) // if it fails, so does Write
 	_, err = l.conn.Write(append(text, '\n'))
 	return err
 }
 
-// ErrUnconfirmed says that the other process did not confirm in time.
+// ErrUnconfirmed says that the other process did not acknowledge a change in time. The change may be in
+// effect there all the same.
 var ErrUnconfirmed = errors.New("the node's other process has not confirmed it")
 
-// sendAndWait sends a note and waits until it has taken effect there; nil if the other side is gone, and so owes nothing.
-func (l *Link) sendAndWait(n message) error {
+// sendAndWait sends a message and waits for its acknowledgement. It returns nil if the other side is gone:
+// then there is no process that lacks the change.
+func (l *Link) sendAndWait(m message) error {
 	ack := make(chan struct{})
 	l.mu.Lock()
-	l.next++
-	n.ID = l.next
-	l.acks[n.ID] = ack
+	l.lastID++
+	m.ID = l.lastID
+	l.acks[m.ID] = ack
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
-		delete(l.acks, n.ID)
+		delete(l.acks, m.ID)
 		l.mu.Unlock()
 	}()
-	if err := l.send(n); err != nil {
-		_ = l.conn.Close()
+	if err := l.send(m); err != nil {
+		l.Close() // run notices it, and closes done
 	}
-	wait := time.NewTimer(ackTimeout)
-	defer wait.Stop()
+	timeout := time.NewTimer(ackTimeout)
+	defer timeout.Stop()
 	select {
 	case <-ack:
 	case <-l.done:
-	case <-wait.C:
+	case <-timeout.C:
 		return ErrUnconfirmed
 	}
 	return nil
 }
 
-// SendAdminState has the other process hold the same orders.
-func (l *Link) SendAdminState(s adminstate.State) error { return l.sendAndWait(message{Orders: &s}) }
+// SendAdminState has the other process merge an administrative state and waits until it is in effect
+// there; ErrUnconfirmed if that takes too long.
+func (l *Link) SendAdminState(s adminstate.State) error {
+	return l.sendAndWait(message{AdminState: &s})
+}
 
-// SendServing tells the predecessor that this process takes clients.
+// SendServing tells the predecessor that this process accepts clients.
 func (l *Link) SendServing() error { return l.sendAndWait(message{Serving: true}) }
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -18,111 +18,124 @@
 // ErrNoPredecessor says that no process of the node runs here.
 var ErrNoPredecessor = errors.New("no predecessor")
 
-// Predecessor is what a successor has from its predecessor.
+// Predecessor is what a successor has from its predecessor. Its methods belong to one goroutine; those of a
+// nil Predecessor do nothing.
 type Predecessor struct {
-	Link    *Link
+	Link    *Link // not started; messages wait in the socket until Start
 	State   State
-	sockets map[string]*os.File
+	sockets map[string]*os.File // that nobody has claimed, by address
 }
 
-// Connect asks the process whose socket stands in dir. ErrAlone: there is none; any other error says why what is there is
-// of no use. Start begins the exchange; until then nothing is heard.
+// Connect connects to the process that waits in dir and receives its state and listeners. The error is
+// ErrNoPredecessor if there is none; any other says why what is there can't be used.
 func Connect(dir string) (*Predecessor, error) {
+	conn, err := dialPredecessor(dir)
+	if err != nil {
+		return nil, err
+	}
+	p, err := receivePredecessor(conn)
+	if err != nil {
+		_ = conn.Close()
+		return nil, fmt.Errorf("taking over from the predecessor: %w", err)
+	}
+	return p, nil
+}
+
+func dialPredecessor(dir string) (*net.UnixConn, error) {
 	info, err := os.Lstat(filepath.Join(dir, socketName))
 	if err != nil {
 		return nil, ErrNoPredecessor
 	}
 	if info.Mode().Type() != os.ModeSocket || !isOwnFile(info) {
-		return nil, fmt.Errorf("%s is no socket of this user's", filepath.Join(dir, socketName))
+		return nil, fmt.Errorf("%s is no socket of this user", filepath.Join(dir, socketName))
 	}
-	path, done, err := socketPath(dir)
+	path, release, err := socketPath(dir)
 	if err != nil {
 		return nil, err
 	}
-	nc, err := net.DialTimeout("unix", path, handshakeTimeout)
-	done()
+	conn, err := net.DialTimeout("unix", path, handshakeTimeout)
+	release()
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ENOENT) {
-		return nil, ErrNoPredecessor // left by one that is dead
+		return nil, ErrNoPredecessor // the socket of a process that has ended
 	}
 	if err != nil {
 		return nil, err
 	}
-	c := nc.(*net.UnixConn)
-	j, err := receiveState(c)
+	return conn.(*net.UnixConn), nil
+}
+
+// receivePredecessor sends hello and receives the state and the sockets. Beside an error conn is still
+// open, and no socket is.
+func receivePredecessor(conn *net.UnixConn) (*Predecessor, error) {
+	if !isSameUser(conn) {
+		return nil, errors.New("it belongs to another user")
+	}
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // if it fails, so does the write
+	text, err := json.Marshal(hello{Version, os.Getpid()})
 	if err != nil {
-		_ = c.Close()
 		return nil, err
 	}
-	return j, nil
-}
-
-// receiveState says hello and takes the state and the sockets. On an error c is still open, and no socket is.
-func receiveState(c *net.UnixConn) (*Predecessor, error) {
-	if !isSameUser(c) {
-		return nil, errors.New("the predecessor is another user's")
-	}
-	_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
-	text, _ := json.Marshal(hello{Version, os.Getpid()})
-	if _, err := c.Write(append(text, '\n')); err != nil {
+	if _, err := conn.Write(append(text, '\n')); err != nil {
 		return nil, err
 	}
-	text, files, err := receiveFrame(c)
+	text, files, err := receiveFrame(conn)
 	if err != nil {
 		closeFiles(files)
 		return nil, err
 	}
-	s, err := Parse(text)
-	if err != nil || len(s.Listeners) != len(files) {
+	state, err := Parse(text)
+	if err == nil && len(state.Listeners) != len(files) {
+		err = fmt.Errorf("%d sockets came for %d listeners", len(files), len(state.Listeners))
+	}
+	if err != nil {
 		closeFiles(files)
-		return nil, errors.Join(fmt.Errorf("its state: %d sockets of %d", len(files), len(s.Listeners)), err)
+		return nil, fmt.Errorf("its state: %w", err)
 	}
-	_ = c.SetDeadline(time.Time{})
-	j := &Predecessor{Link: newLink(c), State: s, sockets: map[string]*os.File{}}
-	for i, a := range s.Listeners {
-		if old := j.sockets[a]; old != nil {
-			_ = old.Close()
+	_ = conn.SetDeadline(time.Time{}) // if it fails, the link ends at once
+	return &Predecessor{Link: newLink(conn), State: state, sockets: socketsByAddress(state.Listeners, files)}, nil
+}
+
+// socketsByAddress joins addresses with their sockets. Of two with one address the last is kept.
+func socketsByAddress(addresses []string, files []*os.File) map[string]*os.File {
+	sockets := map[string]*os.File{}
+	for i, address := range addresses {
+		if earlier := sockets[address]; earlier != nil {
+			_ = earlier.Close()
 		}
-		j.sockets[a] = files[i]
+		sockets[address] = files[i]
 	}
-	return j, nil
+	return sockets
 }
 
-// receiveFrame reads a length of 4 bytes, beside which the sockets come, and as many bytes of text. The files are the
-// caller's to close, also on an error.
-func receiveFrame(c *net.UnixConn) (text []byte, files []*os.File, err error) {
+// receiveFrame reads what sendFrame writes. The files are the caller's to close, also beside an error.
+func receiveFrame(conn *net.UnixConn) (text []byte, files []*os.File, err error) {
 	var size [4]byte
-	oob := make([]byte, unix.CmsgSpace(maxListeners*4))
-	n, oobn, _, _, err := c.ReadMsgUnix(size[:], oob)
-	files = receiveSockets(oob[:max(0, oobn)])
+	rights := make([]byte, unix.CmsgSpace(maxListeners*4)) // 4 bytes for each file descriptor
+	n, rightsSize, _, _, err := conn.ReadMsgUnix(size[:], rights)
+	files = receiveSockets(rights[:max(0, rightsSize)])
 	if err != nil || n == 0 {
-		return nil, files, errors.Join(errors.New("it said nothing"), err)
+		return nil, files, errors.Join(errors.New("it sent nothing"), err)
 	}
-	if _, err := io.ReadFull(c, size[n:]); err != nil {
+	if _, err := io.ReadFull(conn, size[n:]); err != nil {
 		return nil, files, err
 	}
 	length := binary.BigEndian.Uint32(size[:])
-	if length > maxState {
-		return nil, files, fmt.Errorf("its state has %d bytes", length)
+	if length > maxStateBytes {
+		return nil, files, fmt.Errorf("its state has %d bytes, over the limit of %d", length, maxStateBytes)
 	}
 	text = make([]byte, length)
-	_, err = io.ReadFull(c, text)
+	_, err = io.ReadFull(conn, text)
 	return text, files, err
 }
 
-func closeFiles(files []*os.File) {
-	for _, f := range files {
-		_ = f.Close()
-	}
-}
-
-// receiveSockets takes the sockets out of what came beside a message.
-func receiveSockets(oob []byte) (files []*os.File) {
-	messages, err := unix.ParseSocketControlMessage(oob)
+// receiveSockets returns the sockets in a control message.
+func receiveSockets(control []byte) (files []*os.File) {
+	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
 		return nil
 	}
-	for _, m := range messages {
-		fds, err := unix.ParseUnixRights(&m)
+	for i := range messages {
+		fds, err := unix.ParseUnixRights(&messages[i])
 		if err != nil {
 			continue
 		}
@@ -134,35 +147,42 @@
 	return files
 }
 
-// Listener is the predecessor's own at that address, whose queue both accept from; nil: it has none, or it is no such.
-func (j *Predecessor) Listener(addr string) net.Listener {
-	if j == nil {
+func closeFiles(files []*os.File) {
+	for _, f := range files {
+		_ = f.Close()
+	}
+}
+
+// Listener returns a listener on the predecessor's socket of an address, so that both processes accept from
+// one queue, and gives the socket over to it. It returns nil if there is no such socket.
+func (p *Predecessor) Listener(addr string) net.Listener {
+	if p == nil {
 		return nil
 	}
-	f := j.sockets[addr]
+	f := p.sockets[addr]
 	if f == nil {
 		return nil
 	}
-	delete(j.sockets, addr)
-	defer func() { _ = f.Close() }()
+	delete(p.sockets, addr)
+	defer func() { _ = f.Close() }() // the listener has a duplicate
 	l, err := net.FileListener(f)
 	if err != nil {
 		return nil
 	}
-	if _, is := l.(*net.TCPListener); !is || l.Addr().String() != addr {
-		l.Close()
+	if _, isTCP := l.(*net.TCPListener); !isTCP || l.Addr().String() != addr {
+		_ = l.Close()
 		return nil
 	}
 	return l
 }
 
-// CloseUnclaimed closes the sockets that nobody took.
-func (j *Predecessor) CloseUnclaimed() {
-	if j == nil {
+// CloseUnclaimed closes the sockets that Listener has not returned.
+func (p *Predecessor) CloseUnclaimed() {
+	if p == nil {
 		return
 	}
-	for a, f := range j.sockets {
+	for addr, f := range p.sockets {
 		_ = f.Close()
-		delete(j.sockets, a)
+		delete(p.sockets, addr)
 	}
 }
--- a/internal/hotrestart/server.go
+++ b/internal/hotrestart/server.go
@@ -13,105 +13,140 @@
 	"golang.org/x/sys/unix"
 )
 
-// Server waits for successors.
+// maxHelloBytes bounds a successor's first line.
+const maxHelloBytes = 256
+
+// Server accepts successors.
 type Server struct {
-	listener *net.UnixListener
-	// State is what a successor is told, and the listeners that stand in it.
+	listener    *net.UnixListener
 	state       func() (State, []*net.TCPListener)
 	onSuccessor func(*Link)
 }
 
-// Listen waits in dir, in place of whoever did before. state is asked for each successor; joined is told of it before
-// anything is heard from it, and calls Start.
-func Listen(dir string, state func() (State, []*net.TCPListener), joined func(*Link)) (*Server, error) {
-	path, done, err := socketPath(dir)
+// Listen accepts successors in dir, in place of whichever process did before. state returns what a
+// successor gets and the listeners that are handed over with it. onSuccessor is called with the link to
+// each successor, which it must Start. Both are called on the server's goroutine.
+func Listen(dir string, state func() (State, []*net.TCPListener), onSuccessor func(*Link)) (*Server, error) {
+	path, release, err := socketPath(dir)
 	if err != nil {
 		return nil, err
 	}
-	defer done()
-	// Under another name first, so that whoever looks finds the old one or ours, and neither half made.
-	own := fmt.Sprintf("%s.%d", path, os.Getpid())
-	_ = os.Remove(own)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
+	defer release()
+	// The socket is made under another name and then renamed, so that a successor finds at any time either
+	// the socket before or this one, with its permissions set.
+	ownPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	_ = os.Remove(ownPath) // of a process that had this id before
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: ownPath, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then the name is a successor's
-	if err := errors.Join(os.Chmod(own, 0o600), os.Rename(own, path)); err != nil {
-		_ = l.Close()
-		_ = os.Remove(own)
+	listener.SetUnlinkOnClose(false) // by then the name may be a successor's
+	if err := errors.Join(os.Chmod(ownPath, 0o600), os.Rename(ownPath, path)); err != nil {
+		_ = listener.Close()
+		_ = os.Remove(ownPath)
 		return nil, err
 	}
-	s := &Server{l, state, joined}
+	s := &Server{listener: listener, state: state, onSuccessor: onSuccessor}
 	go s.serve()
 	return s, nil
 }
 
-// Close takes no more successors; links go on.
-func (s *Server) Close() { _ = s.listener.Close() }
+// Close accepts no more successors. Links stay open.
+func (s *Server) Close() { _ = s.listener.Close() } // it fails only if it was closed before
 
+// serve accepts successors until Close, one after the other: a handshake takes handshakeTimeout at most.
 func (s *Server) serve() {
 	for {
-		c, err := s.listener.AcceptUnix()
+		conn, err := s.listener.AcceptUnix()
 		if err != nil {
 			return
 		}
-		if l, err := s.handshake(c); err == nil {
-			s.onSuccessor(l)
-		} else {
-			_ = c.Close()
+		if err := s.handshake(conn); err != nil {
+			_ = conn.Close() // the successor starts alone, and says why
+			continue
 		}
+		s.onSuccessor(newLink(conn))
 	}
 }
 
-// handshake answers one that wants to succeed. One at a time: each takes helloWithin at most.
-func (s *Server) handshake(c *net.UnixConn) (*Link, error) {
-	if !isSameUser(c) {
-		return nil, errors.New("another user's")
+// handshake reads a successor's hello and sends it the state and the listeners.
+func (s *Server) handshake(conn *net.UnixConn) error {
+	if !isSameUser(conn) {
+		return errors.New("the successor belongs to another user")
 	}
-	_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
-	var h hello
-	line, err := readLine(bufio.NewReaderSize(c, 256), 256)
-	if err == nil {
-		err = json.Unmarshal(line, &h)
+	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // if it fails, so does the first read
+	if err := readHello(conn); err != nil {
+		return err
+	}
+	state, listeners := s.state()
+	state.Version = Version
+	files, err := listenerFiles(listeners)
+	defer closeFiles(files)
+	if err != nil {
+		return err
+	}
+	for _, l := range listeners {
+		state.Listeners = append(state.Listeners, l.Addr().String())
 	}
-	if err == nil && h.Version != Version {
-		err = ErrVersion
+	text, err := json.Marshal(state)
+	if err != nil {
+		return err
+	}
+	if err := sendFrame(conn, text, files); err != nil {
+		return err
 	}
+	_ = conn.SetDeadline(time.Time{}) // if it fails, the link ends at once
+	return nil
+}
+
+// readHello reads a successor's first line and checks its version.
+func readHello(conn *net.UnixConn) error {
+	line, err := readLine(bufio.NewReaderSize(conn, maxHelloBytes), maxHelloBytes)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	state, listeners := s.state()
-	state.Version = Version
-	var fds []int
+	var h hello
+	if err := json.Unmarshal(line, &h); err != nil {
+		return err
+	}
+	if h.Version != Version {
+		return ErrVersion
+	}
+	return nil
+}
+
+// listenerFiles returns duplicates of the listeners' sockets. They are the caller's to close, also beside an
+// error.
+func listenerFiles(listeners []*net.TCPListener) (files []*os.File, err error) {
 	for _, l := range listeners {
 		f, err := l.File()
 		if err != nil {
-			return nil, err
+			return files, err
 		}
-		defer func() { _ = f.Close() }()
-		state.Listeners = append(state.Listeners, l.Addr().String())
-		fds = append(fds, int(f.Fd()))
+		files = append(files, f)
 	}
-	text, err := json.Marshal(state)
-	if err != nil {
-		return nil, err
+	return files, nil
+}
+
+// sendFrame writes the length of text in 4 bytes, with the sockets beside them, and then text.
+func sendFrame(conn *net.UnixConn, text []byte, sockets []*os.File) error {
+	var fds []int
+	for _, f := range sockets {
+		fds = append(fds, int(f.Fd()))
 	}
 	for _, fd := range fds {
-		_ = unix.SetNonblock(fd, true) // File and Fd may have made it wait, and the flag is the socket's
+		// File and Fd may have made the socket blocking, and the flag is shared with the listener.
+		_ = unix.SetNonblock(fd, true)
 	}
 	var size [4]byte
 	binary.BigEndian.PutUint32(size[:], uint32(len(text)))
-	var oob []byte
+	var rights []byte
 	if len(fds) > 0 {
-		oob = unix.UnixRights(fds...)
-	}
-	if _, _, err := c.WriteMsgUnix(size[:], oob, nil); err != nil {
-		return nil, err
+		rights = unix.UnixRights(fds...)
 	}
-	if _, err := c.Write(text); err != nil {
-		return nil, err
+	if _, _, err := conn.WriteMsgUnix(size[:], rights, nil); err != nil {
+		return err
 	}
-	_ = c.SetDeadline(time.Time{})
-	return newLink(c), nil
+	_, err := conn.Write(text)
+	return err
 }
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -12,13 +12,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// socketName is the file in the directory of state where a node waits for its successor.
-const socketName = "cranegrade.sock"
+const (
+	// socketName is the file in the directory of state where a node waits for its successor.
+	socketName = "cranegrade.sock"
+	// maxSocketPath is how long a path is used as it is. The system's limit is 107 bytes, and Listen adds a
+	// process id.
+	maxSocketPath = 100
+	// maxListeners bounds the sockets that are handed over.
+	maxListeners = 128
+)
 
-// socketPath is short enough for a socket, whatever dir is.
-func socketPath(dir string) (path string, done func(), err error) {
+// socketPath returns a path of the socket in dir that is short enough for a socket's address. The path is
+// valid until release is called.
+func socketPath(dir string) (path string, release func(), err error) {
 	path = filepath.Join(dir, socketName)
-	if len(path) < 100 {
+	if len(path) < maxSocketPath {
 		return path, func() {}, nil
 	}
 	d, err := os.Open(dir)
@@ -28,29 +36,31 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), socketName), func() { _ = d.Close() }, nil
 }
 
-// isOwnFile says that a file is this user's own, and so not put there by another.
+// isOwnFile says that a file belongs to this user, and so was not put there by another.
 func isOwnFile(info os.FileInfo) bool {
-	st, is := info.Sys().(*syscall.Stat_t)
-	return is && int(st.Uid) == os.Getuid()
+	stat, ok := info.Sys().(*syscall.Stat_t)
+	return ok && int(stat.Uid) == os.Getuid()
 }
 
-// isSameUser says that this user's process is at the other end.
-func isSameUser(c *net.UnixConn) bool {
-	raw, err := c.SyscallConn()
+// isSameUser says that the process at the other end is one of this user.
+func isSameUser(conn *net.UnixConn) bool {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	uid := -1
-	_ = raw.Control(func(fd uintptr) {
-		if cred, err := unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED); err == nil {
-			uid = int(cred.Uid)
+	err = raw.Control(func(fd uintptr) {
+		if credentials, err := unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED); err == nil {
+			uid = int(credentials.Uid)
 		}
 	})
-	return uid == os.Getuid()
+	return err == nil && uid == os.Getuid()
 }
 
-// readLine reads up to a line's end.
-func readLine(r *bufio.Reader, most int) ([]byte, error) {
+var errLineTooLong = errors.New("the line is too long")
+
+// readLine reads a line without its end. It stops with an error soon after limit bytes.
+func readLine(r *bufio.Reader, limit int) ([]byte, error) {
 	var line []byte
 	for {
 		part, err := r.ReadSlice('\n')
@@ -60,8 +70,8 @@
 			return line[:len(line)-1], nil
 		case !errors.Is(err, bufio.ErrBufferFull):
 			return nil, err
-		case len(line) > most:
-			return nil, errors.New("the line is too long")
+		case len(line) > limit:
+			return nil, errLineTooLong
 		}
 	}
 }
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -1,8 +1,3 @@
-// Package hotrestart is how a process of a node takes over from the one before it, as in Envoy's hot restart, and how
-// both hold the same administrative state while they run. What is handed over is a value with a version (state.go); link.go
-// carries it over a Unix socket in a directory that both see, with the listening sockets beside it (SCM_RIGHTS).
-// It never delays a start: without a predecessor, or with one that says nothing valid in time, a process starts as if it
-// were alone.
 package hotrestart
 
 import (
@@ -15,74 +10,95 @@
 	"cranegrade/internal/adminstate"
 )
 
-// Version is that of the form. A reader takes its own and ignores fields that it does not know; of another it takes
-// nothing, for it could misread what it says.
+// Version is the version of State and of the messages between two processes. A reader ignores fields that
+// it does not know, and rejects other versions, since it could misread them.
 const Version = 1
 
-// State is what a successor is told.
+// maxStateBytes bounds an encoded state.
+const maxStateBytes = 16 << 20
+
+// State is what a successor gets from its predecessor.
 type State struct {
-	Version int              `json:"version"`
-	At      time.Duration    `json:"at"` // Unix time when this was so
-	Orders  adminstate.State `json:"orders"`
-	Seen    []uint64         `json:"seen,omitempty"` // hashes of ids, as adminstate.SeenServers exports them
-	Pools   []Pool           `json:"pools,omitempty"`
-	// Listeners are the addresses of the sockets that come beside it, in their order.
+	Version    int              `json:"version"`
+	At         time.Duration    `json:"at"` // Unix time at which it held
+	AdminState adminstate.State `json:"orders"`
+	Seen       []uint64         `json:"seen,omitempty"` // hashes of server ids, as adminstate.SeenServers exports them
+	Pools      []Pool           `json:"pools,omitempty"`
+	// Listeners are the addresses of the sockets that are sent beside the state, in their order.
 	Listeners []string `json:"listeners,omitempty"`
 }
 
-// Pool is what one pool holds.
+// Pool is the state of one pool.
 type Pool struct {
-	Name      string              `json:"name"`
-	List      string              `json:"list"` // the list's version; "": none was had from the source
-	Servers   []ListedServer      `json:"servers"`
-	Knowledge *balancer.Knowledge `json:"knowledge,omitempty"`
+	Name        string              `json:"name"`
+	ListVersion string              `json:"list"` // "": the source has not sent a list
+	Servers     []ListedServer      `json:"servers"`
+	Knowledge   *balancer.Knowledge `json:"knowledge,omitempty"`
 }
 
-// ListedServer is an entry of the list as the source told it, without orders.
+// ListedServer is an entry of the source's list, without administrative state.
 type ListedServer struct {
-	ID       string               `json:"id"`
-	Addr     string               `json:"addr"`
-	Zone     string               `json:"zone,omitempty"`
-	Cell     int                  `json:"cell,omitempty"`
-	State    balancer.ServerState `json:"state"`
-	Size     float64              `json:"size,omitempty"`
-	Boot     time.Duration        `json:"boot,omitempty"`
-	Weight   float64              `json:"weight,omitempty"`
-	Priority int                  `json:"priority,omitempty"`
+	ID        string               `json:"id"`
+	Addr      string               `json:"addr"`
+	Zone      string               `json:"zone,omitempty"`
+	Cell      int                  `json:"cell,omitempty"`
+	State     balancer.ServerState `json:"state"`
+	Size      float64              `json:"size,omitempty"`
+	StartedAt time.Duration        `json:"boot,omitempty"` // Unix time
+	Weight    float64              `json:"weight,omitempty"`
+	Priority  int                  `json:"priority,omitempty"`
 }
 
-// maxState bounds the text of a state.
-const maxState = 16 << 20
-
-// ErrVersion says that a state is of another form.
-var ErrVersion = errors.New("it is of another version")
+// ErrVersion is the error of a state, or a peer, of another version.
+var ErrVersion = errors.New("unsupported version")
 
-// Parse reads a state.
+// Parse parses and validates an encoded state.
 func Parse(text []byte) (State, error) {
-	var head struct {
+	// The version comes first: fields of another version may have other types.
+	var header struct {
 		Version int `json:"version"`
 	}
-	if err := json.Unmarshal(text, &head); err != nil {
+	if err := json.Unmarshal(text, &header); err != nil {
 		return State{}, err
 	}
-	if head.Version != Version {
-		return State{}, fmt.Errorf("%w: %d, not %d", ErrVersion, head.Version, Version)
+	if header.Version != Version {
+		return State{}, fmt.Errorf("%w: %d, want %d", ErrVersion, header.Version, Version)
 	}
 	var s State
 	if err := json.Unmarshal(text, &s); err != nil {
 		return State{}, err
 	}
-	if len(s.Orders.Servers) > 2*adminstate.MaxServersDown {
-		return State{}, adminstate.ErrTooManyDown
+	if err := s.validate(); err != nil {
+		return State{}, err
+	}
+	return s, nil
+}
+
+func (s *State) validate() error {
+	// The limit is of servers that are down. Revoked overrides are retained for a while beside them.
+	if len(s.AdminState.Servers) > 2*adminstate.MaxServersDown {
+		return adminstate.ErrTooManyDown
+	}
+	for i := range s.Pools {
+		if err := s.Pools[i].validate(); err != nil {
+			return fmt.Errorf("pool %.40q: %w", s.Pools[i].Name, err)
+		}
 	}
-	for _, p := range s.Pools {
-		seen := make(map[string]bool, len(p.Servers))
-		for _, v := range p.Servers {
-			if v.ID == "" || seen[v.ID] || v.State < balancer.Ready || v.State > balancer.Gone {
-				return State{}, fmt.Errorf("pool %.40q: server %.40q is nameless, there twice or in no state", p.Name, v.ID)
-			}
-			seen[v.ID] = true
+	return nil
+}
+
+func (p *Pool) validate() error {
+	ids := make(map[string]bool, len(p.Servers))
+	for i, server := range p.Servers {
+		switch {
+		case server.ID == "":
+			return fmt.Errorf("server %d has no id", i)
+		case ids[server.ID]:
+			return fmt.Errorf("the server id %.40q occurs twice", server.ID)
+		case server.State < balancer.Ready || server.State > balancer.Gone:
+			return fmt.Errorf("server %.40q has the unknown state %d", server.ID, server.State)
 		}
+		ids[server.ID] = true
 	}
-	return s, nil
+	return nil
 }
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -118,7 +118,7 @@
 
 // addPeer starts a link, over which both processes exchange their administrative state.
 func (r *hotRestart) addPeer(link *hotrestart.Link, handlers hotrestart.Handlers) {
-	handlers.Orders = func(s adminstate.State) {
+	handlers.AdminState = func(s adminstate.State) {
 		if !r.n.adminState.merge(s) {
 			return
 		}
--- a/internal/node/hot_restart_state.go
+++ b/internal/node/hot_restart_state.go
@@ -16,7 +16,7 @@
 
 // importState adopts the administrative state of an earlier process.
 func (r *hotRestart) importState(s hotrestart.State) {
-	r.n.adminState.merge(s.Orders)
+	r.n.adminState.merge(s.AdminState)
 	r.n.adminState.importSeen(s.Seen)
 }
 
@@ -39,11 +39,11 @@
 	if inherited == nil || len(inherited.Servers) == 0 {
 		return
 	}
-	known := engine.News{Full: true, Cached: true, Version: inherited.List}
+	known := engine.News{Full: true, Cached: true, Version: inherited.ListVersion}
 	for _, s := range inherited.Servers {
 		var l engine.Listed
 		l.ID, l.Addr, l.Zone, l.Cell, l.State, l.Size, l.StartedAt, l.Weight, l.Priority =
-			s.ID, s.Addr, s.Zone, s.Cell, s.State, s.Size, s.Boot, s.Weight, s.Priority
+			s.ID, s.Addr, s.Zone, s.Cell, s.State, s.Size, s.StartedAt, s.Weight, s.Priority
 		known.Servers = append(known.Servers, l)
 	}
 	planned.Known = known
@@ -63,11 +63,11 @@
 		if !ok {
 			continue
 		}
-		exportedPool := hotrestart.Pool{Name: name, List: exported.Version, Knowledge: exported.Knowledge}
+		exportedPool := hotrestart.Pool{Name: name, ListVersion: exported.Version, Knowledge: exported.Knowledge}
 		for _, l := range exported.Servers {
 			exportedPool.Servers = append(exportedPool.Servers, hotrestart.ListedServer{
 				ID: l.ID, Addr: l.Addr, Zone: l.Zone, Cell: l.Cell, State: l.State,
-				Size: l.Size, Boot: l.StartedAt, Weight: l.Weight, Priority: l.Priority,
+				Size: l.Size, StartedAt: l.StartedAt, Weight: l.Weight, Priority: l.Priority,
 			})
 		}
 		s.Pools = append(s.Pools, exportedPool)
@@ -84,7 +84,7 @@
 // adminStateNow returns a state that holds the administrative state alone.
 func (r *hotRestart) adminStateNow() hotrestart.State {
 	s := hotrestart.State{At: r.n.clock.Now()}
-	s.Orders, s.Seen = r.n.adminState.export()
+	s.AdminState, s.Seen = r.n.adminState.export()
 	return s
 }
 
