--- a/internal/envoyconf/build.go
+++ b/internal/envoyconf/build.go
@@ -91,13 +91,15 @@
 	}
 	switch asksEachAttempt, hasFallbacks := o.Mode == EveryTry, o.Mode == Fallbacks; {
 	case o.Settings.Retries && !asksEachAttempt:
-		return fmt.Errorf("the processor's file has retries = true, which is for mode %s: in mode %s it would wait for retries that the proxy never asks for", EveryTry, o.Mode)
+		return fmt.Errorf("the processor's file has retries = true, which is for mode %s: in mode %s it would wait for retries that the proxy never asks for",
+			EveryTry, o.Mode)
 	case asksEachAttempt && !o.Settings.Retries:
 		return fmt.Errorf("mode %s needs retries = true in the processor's file", o.Mode)
 	case asksEachAttempt && o.Settings.RetryHeader == "":
 		return fmt.Errorf("mode %s needs a retry_header in the processor's file", o.Mode)
 	case o.Settings.MaxFallbacks > 0 && !hasFallbacks:
-		return fmt.Errorf("a pool of the processor's file has fallbacks = %d, which is for mode %s: elsewhere a list of endpoints is not an address", o.Settings.MaxFallbacks, Fallbacks)
+		return fmt.Errorf("a pool of the processor's file has fallbacks = %d, which is for mode %s: elsewhere a list of endpoints is not an address",
+			o.Settings.MaxFallbacks, Fallbacks)
 	case hasFallbacks && o.Settings.MaxFallbacks == 0:
 		return fmt.Errorf("mode %s needs fallbacks = N in a pool of the processor's file: without it the list has one endpoint", o.Mode)
 	}
--- a/internal/envoyconf/check.go
+++ b/internal/envoyconf/check.go
@@ -70,9 +70,7 @@
 	reachedInternal   map[string]bool // those of them that a route of another listener leads to
 }
 
-func (c *checker) add(path, problem, remedy string) {
-	c.findings = append(c.findings, Finding{path, problem, remedy})
-}
+func (c *checker) add(f Finding) { c.findings = append(c.findings, f) }
 
 // unpack reads an Any into a message of its type. It returns false if the Any holds another type.
 func unpack(a *anypb.Any, to proto.Message) bool {
--- a/internal/envoyconf/clusters.go
+++ b/internal/envoyconf/clusters.go
@@ -21,8 +21,11 @@
 	path := c.clusterPaths[cluster.GetName()]
 	policy, index := overrideHostPolicy(cluster)
 	if policy == nil {
-		c.add(path, "the cluster's own load balancer selects the host, whatever the processor decides",
-			"use type ORIGINAL_DST with original_dst_lb_config.use_http_header, or the load-balancing policy override_host")
+		c.add(Finding{
+			Path:    path,
+			Problem: "the cluster's own load balancer selects the host, whatever the processor decides",
+			Remedy:  "use type ORIGINAL_DST with original_dst_lb_config.use_http_header, or the load-balancing policy override_host",
+		})
 		return
 	}
 	policyPath := fmt.Sprintf("%s.load_balancing_policy.policies[%d]", path, index)
@@ -34,7 +37,11 @@
 		}
 	}
 	if !usesDecision {
-		c.add(policyPath+".override_host_sources", "none of them is what the processor sets", "name the header "+stream.DestinationHeader)
+		c.add(Finding{
+			Path:    policyPath + ".override_host_sources",
+			Problem: "none of them is what the processor sets",
+			Remedy:  "name the header " + stream.DestinationHeader,
+		})
 	}
 }
 
@@ -42,27 +49,45 @@
 func (c *checker) checkOriginalDestination(cluster *clusterv3.Cluster, processor *extprocv3.ExternalProcessor) {
 	path := c.clusterPaths[cluster.GetName()]
 	if c.settings.MaxFallbacks > 0 {
-		c.add(path+".type", "the processor's file has fallbacks, so it names a list of endpoints, which is not an address: such requests are sent nowhere",
-			"remove fallbacks from the pools, or use the load-balancing policy override_host")
+		c.add(Finding{
+			Path:    path + ".type",
+			Problem: "the processor's file has fallbacks, so it names a list of endpoints, which is not an address: such requests are sent nowhere",
+			Remedy:  "remove fallbacks from the pools, or use the load-balancing policy override_host",
+		})
 	}
 	config := cluster.GetOriginalDstLbConfig()
 	switch key := config.GetMetadataKey(); {
 	case key != nil:
 		c.checkMetadataKey(path+".original_dst_lb_config.metadata_key", key.GetKey(), processor)
 	case !config.GetUseHttpHeader():
-		c.add(path+".original_dst_lb_config.use_http_header", "requests go to the address that the client connected to", "set it, and http_header_name: "+stream.DestinationHeader)
+		c.add(Finding{
+			Path:    path + ".original_dst_lb_config.use_http_header",
+			Problem: "requests go to the address that the client connected to",
+			Remedy:  "set it, and http_header_name: " + stream.DestinationHeader,
+		})
 	case !strings.EqualFold(config.GetHttpHeaderName(), stream.DestinationHeader):
-		c.add(path+".original_dst_lb_config.http_header_name", fmt.Sprintf("%q is not the header that the processor sets", config.GetHttpHeaderName()), "make it "+stream.DestinationHeader)
+		c.add(Finding{
+			Path:    path + ".original_dst_lb_config.http_header_name",
+			Problem: fmt.Sprintf("%q is not the header that the processor sets", config.GetHttpHeaderName()),
+			Remedy:  "make it " + stream.DestinationHeader,
+		})
 	}
 }
 
 // checkMetadataKey checks that metadata by which the host is selected is the processor's, and that the filter accepts it.
 func (c *checker) checkMetadataKey(path, namespace string, processor *extprocv3.ExternalProcessor) {
 	if namespace != stream.MetadataNamespace {
-		c.add(path, fmt.Sprintf("the processor sets no metadata of %q", namespace), "make it "+stream.MetadataNamespace)
+		c.add(Finding{
+			Path:    path,
+			Problem: fmt.Sprintf("the processor sets no metadata of %q", namespace),
+			Remedy:  "make it " + stream.MetadataNamespace,
+		})
 	} else if !receivesMetadata(processor, namespace) {
-		c.add(path, "the filter does not accept the processor's metadata, so the host is selected without it",
-			"name "+stream.MetadataNamespace+" in the filter's metadata_options.receiving_namespaces.untyped")
+		c.add(Finding{
+			Path:    path,
+			Problem: "the filter does not accept the processor's metadata, so the host is selected without it",
+			Remedy:  "name " + stream.MetadataNamespace + " in the filter's metadata_options.receiving_namespaces.untyped",
+		})
 	}
 }
 
--- a/internal/envoyconf/listeners.go
+++ b/internal/envoyconf/listeners.go
@@ -64,16 +64,22 @@
 	}
 	for _, m := range managers {
 		if name := m.listener.GetName(); c.askingInternal[name] && !c.reachedInternal[name] {
-			c.add(m.path, "no route leads to this internal listener, so the processor is never asked",
-				"have the cluster of the outer route name it as its envoy_internal_address")
+			c.add(Finding{
+				Path:    m.path,
+				Problem: "no route leads to this internal listener, so the processor is never asked",
+				Remedy:  "have the cluster of the outer route name it as its envoy_internal_address",
+			})
 		}
 	}
 	for _, cluster := range b.GetStaticResources().GetClusters() {
 		c.checkUpstreamFilters(cluster)
 	}
 	if c.askingManagers == 0 && !c.hasUpstreamFilter {
-		c.add("static_resources.listeners", "no HTTP connection manager has the filter envoy.filters.http.ext_proc, so the processor is never asked",
-			"put it before the router among http_filters")
+		c.add(Finding{
+			Path:    "static_resources.listeners",
+			Problem: "no HTTP connection manager has the filter envoy.filters.http.ext_proc, so the processor is never asked",
+			Remedy:  "put it before the router among http_filters",
+		})
 	}
 }
 
@@ -88,9 +94,11 @@
 		for i, filter := range options.GetHttpFilters() {
 			if filter.GetTypedConfig().MessageIs(&extprocv3.ExternalProcessor{}) {
 				c.hasUpstreamFilter = true
-				c.add(fmt.Sprintf("%s.typed_extension_protocol_options[%s].http_filters[%d]", c.clusterPaths[cluster.GetName()], name, i),
-					"the processor is an upstream filter: the router has selected the host before these run, so the decision has no effect but is accounted for",
-					"make it a filter of the HTTP connection manager; to be asked for each attempt, of one behind an internal listener")
+				c.add(Finding{
+					Path:    fmt.Sprintf("%s.typed_extension_protocol_options[%s].http_filters[%d]", c.clusterPaths[cluster.GetName()], name, i),
+					Problem: "the processor is an upstream filter: the router has selected the host before these run, so the decision has no effect but is accounted for",
+					Remedy:  "make it a filter of the HTTP connection manager; to be asked for each attempt, of one behind an internal listener",
+				})
 			}
 		}
 	}
@@ -117,14 +125,22 @@
 	c.askingManagers++
 	path := fmt.Sprintf("%s.http_filters[%d]", m.path, position)
 	if routerPosition >= 0 && position > routerPosition {
-		c.add(path, "the processor comes after the router, which ends the filter chain, so it is never asked", "put it before the router")
+		c.add(Finding{
+			Path:    path,
+			Problem: "the processor comes after the router, which ends the filter chain, so it is never asked",
+			Remedy:  "put it before the router",
+		})
 	}
 	c.checkProcessorFilter(path, processor)
 	if !m.isInternal() {
 		c.checkEdge(m)
 	}
 	if m.config.GetRouteConfig() == nil {
-		c.add(m.path+".route_config", "the routes are not in this file, so clusters and retries can't be checked", "check the routes that the proxy is sent as well")
+		c.add(Finding{
+			Path:    m.path + ".route_config",
+			Problem: "the routes are not in this file, so clusters and retries can't be checked",
+			Remedy:  "check the routes that the proxy is sent as well",
+		})
 		return
 	}
 	for i, virtualHost := range m.config.GetRouteConfig().GetVirtualHosts() {
@@ -135,14 +151,24 @@
 // checkEdge checks what a connection manager accepts from clients.
 func (c *checker) checkEdge(m connectionManager) {
 	if !m.config.GetUseRemoteAddress().GetValue() {
-		c.add(m.path+".use_remote_address", "it is not set, so the proxy trusts x-envoy-* headers of clients: their retry policies, time-outs and attempt counts",
-			"set use_remote_address: true where clients connect from outside")
+		c.add(Finding{
+			Path:    m.path + ".use_remote_address",
+			Problem: "it is not set, so the proxy trusts x-envoy-* headers of clients: their retry policies, time-outs and attempt counts",
+			Remedy:  "set use_remote_address: true where clients connect from outside",
+		})
 	}
 	if m.config.GetPreserveExternalRequestId() {
-		c.add(m.path+".preserve_external_request_id", "the x-request-id of a client is kept, so a client can use the id of another client's open request",
-			"leave it out, or set the processor's id_header to another header that the proxy sets")
+		c.add(Finding{
+			Path:    m.path + ".preserve_external_request_id",
+			Problem: "the x-request-id of a client is kept, so a client can use the id of another client's open request",
+			Remedy:  "leave it out, or set the processor's id_header to another header that the proxy sets",
+		})
 	}
 	if generate := m.config.GetGenerateRequestId(); generate != nil && !generate.GetValue() {
-		c.add(m.path+".generate_request_id", "the proxy gives requests no id, so the attempts of one can't be matched", "leave it out: it is true by default")
+		c.add(Finding{
+			Path:    m.path + ".generate_request_id",
+			Problem: "the proxy gives requests no id, so the attempts of one can't be matched",
+			Remedy:  "leave it out: it is true by default",
+		})
 	}
 }
--- a/internal/envoyconf/routes.go
+++ b/internal/envoyconf/routes.go
@@ -28,12 +28,18 @@
 		retriesFallbacks = retriesFallbacks || route.GetRoute().GetRetryPolicy().GetRetryOn() != "" && policy != nil
 	}
 	if retriesFallbacks && !virtualHost.GetIncludeAttemptCountInResponse() {
-		c.add(path+".include_attempt_count_in_response", "the processor does not learn that a fallback was tried, so it takes the ending of the last attempt for that of all",
-			"set include_attempt_count_in_response: true")
+		c.add(Finding{
+			Path:    path + ".include_attempt_count_in_response",
+			Problem: "the processor does not learn that a fallback was tried, so it takes the ending of the last attempt for that of all",
+			Remedy:  "set include_attempt_count_in_response: true",
+		})
 	}
 	if c.settings.Retries && !internal {
-		c.add(path, "the processor's file has retries = true, but this filter is asked once for all attempts: a request that may be retried waits for nothing",
-			"ask behind an internal listener (proxy-config -mode every-try), or turn retries off in the processor's file")
+		c.add(Finding{
+			Path:    path,
+			Problem: "the processor's file has retries = true, but this filter is asked once for all attempts: a request that may be retried waits for nothing",
+			Remedy:  "ask behind an internal listener (proxy-config -mode every-try), or turn retries off in the processor's file",
+		})
 	}
 }
 
@@ -41,8 +47,11 @@
 func (c *checker) checkRoute(path string, route *routev3.Route, processor *extprocv3.ExternalProcessor) {
 	for i, header := range route.GetMatch().GetHeaders() {
 		if strings.EqualFold(header.GetName(), stream.DestinationHeader) {
-			c.add(fmt.Sprintf("%s.match.headers[%d]", path, i), "the route is matched by the header that the processor sets, before the processor has been asked",
-				"have the processor clear the route cache (clear_route_cache = true), or match on something else")
+			c.add(Finding{
+				Path:    fmt.Sprintf("%s.match.headers[%d]", path, i),
+				Problem: "the route is matched by the header that the processor sets, before the processor has been asked",
+				Remedy:  "have the processor clear the route cache (clear_route_cache = true), or match on something else",
+			})
 		}
 	}
 	action := route.GetRoute()
@@ -55,11 +64,18 @@
 		c.addHedging(path + ".route.hedge_policy")
 	}
 	if len(action.GetRequestMirrorPolicies()) > 0 {
-		c.add(path+".route.request_mirror_policies", "a copy of each request is sent without a decision, also of those that are not idempotent",
-			"mirror only idempotent requests, on a route of their own")
+		c.add(Finding{
+			Path:    path + ".route.request_mirror_policies",
+			Problem: "a copy of each request is sent without a decision, also of those that are not idempotent",
+			Remedy:  "mirror only idempotent requests, on a route of their own",
+		})
 	}
 	if cluster == nil {
-		c.add(path+".route", "its cluster is not in this file, so it can't be checked that the decision has effect", "name one that is, or check what the proxy is sent")
+		c.add(Finding{
+			Path:    path + ".route",
+			Problem: "its cluster is not in this file, so it can't be checked that the decision has effect",
+			Remedy:  "name one that is, or check what the proxy is sent",
+		})
 		return
 	}
 	c.checkDestination(cluster, processor)
@@ -80,8 +96,11 @@
 			c.checkAskedRetries(fmt.Sprintf("%s.routes[%d]", path, j), path, virtualHost, route)
 		}
 		if leadsThere && !virtualHost.GetIncludeRequestAttemptCount() {
-			c.add(path+".include_request_attempt_count", "the processor does not learn which attempt it is asked for, and a client's own count reaches it",
-				"set include_request_attempt_count: true")
+			c.add(Finding{
+				Path:    path + ".include_request_attempt_count",
+				Problem: "the processor does not learn which attempt it is asked for, and a client's own count reaches it",
+				Remedy:  "set include_request_attempt_count: true",
+			})
 		}
 	}
 	if leadsThere {
@@ -99,17 +118,28 @@
 	switch {
 	case !c.settings.Retries:
 		if len(conditions) > 0 {
-			c.add(policyPath, "the processor's file has no retries = true, so it takes each attempt for the last one", "set it, or remove the policy")
+			c.add(Finding{
+				Path:    policyPath,
+				Problem: "the processor's file has no retries = true, so it takes each attempt for the last one",
+				Remedy:  "set it, or remove the policy",
+			})
 		}
 	case len(conditions) == 0:
-		c.add(policyPath, "the processor's file has retries = true, but the proxy never retries: a request that may be retried waits for nothing", "retry on "+retriableHeaders)
+		c.add(Finding{
+			Path:    policyPath,
+			Problem: "the processor's file has retries = true, but the proxy never retries: a request that may be retried waits for nothing",
+			Remedy:  "retry on " + retriableHeaders,
+		})
 	default:
 		c.checkRetryConditions(policyPath, conditions)
 		c.checkRetryHeader(policyPath, hostPath, policy, virtualHost, route)
 	}
 	if policy.GetPerTryTimeout() != nil || policy.GetPerTryIdleTimeout() != nil {
-		c.add(policyPath+".per_try_timeout", "an attempt that it ends has no response for the processor, so there is no retry: the client gets 504 with time left",
-			"remove it: the deadline of the processor's class holds")
+		c.add(Finding{
+			Path:    policyPath + ".per_try_timeout",
+			Problem: "an attempt that it ends has no response for the processor, so there is no retry: the client gets 504 with time left",
+			Remedy:  "remove it: the deadline of the processor's class holds",
+		})
 	}
 	if virtualHost.GetHedgePolicy() != nil {
 		c.addHedging(hostPath + ".hedge_policy")
@@ -123,8 +153,11 @@
 func (c *checker) checkRetryConditions(policyPath string, conditions []string) {
 	for _, condition := range conditions {
 		if condition != retriableHeaders {
-			c.add(policyPath+".retry_on", fmt.Sprintf("%q has the proxy retry on its own, also a request that the processor has given up", condition),
-				"retry on "+retriableHeaders+" alone: the processor says in the response whether a retry is allowed")
+			c.add(Finding{
+				Path:    policyPath + ".retry_on",
+				Problem: fmt.Sprintf("%q has the proxy retry on its own, also a request that the processor has given up", condition),
+				Remedy:  "retry on " + retriableHeaders + " alone: the processor says in the response whether a retry is allowed",
+			})
 		}
 	}
 }
@@ -137,13 +170,21 @@
 		named = named || isRetryHeader(header.GetName())
 	}
 	if !named {
-		c.add(policyPath+".retriable_headers", "none of them is the header by which the processor allows a retry", "name "+c.settings.RetryHeader)
+		c.add(Finding{
+			Path:    policyPath + ".retriable_headers",
+			Problem: "none of them is the header by which the processor allows a retry",
+			Remedy:  "name " + c.settings.RetryHeader,
+		})
 		return
 	}
 	removed := slices.ContainsFunc(virtualHost.GetResponseHeadersToRemove(), isRetryHeader) ||
 		slices.ContainsFunc(route.GetResponseHeadersToRemove(), isRetryHeader)
 	if !removed {
-		c.add(hostPath+".response_headers_to_remove", "clients get the header that is meant for this proxy, and may be proxies that act on it", "name "+c.settings.RetryHeader)
+		c.add(Finding{
+			Path:    hostPath + ".response_headers_to_remove",
+			Problem: "clients get the header that is meant for this proxy, and may be proxies that act on it",
+			Remedy:  "name " + c.settings.RetryHeader,
+		})
 	}
 }
 
@@ -155,20 +196,33 @@
 	}
 	overrideHost, _ := overrideHostPolicy(cluster)
 	if overrideHost == nil {
-		c.add(path, "the proxy retries without asking, also what must not run twice, and in addition to the attempts that the processor counts",
-			"remove it; or use the processor's list (proxy-config -mode fallbacks), or be asked for each attempt (-mode every-try)")
+		c.add(Finding{
+			Path:    path,
+			Problem: "the proxy retries without asking, also what must not run twice, and in addition to the attempts that the processor counts",
+			Remedy:  "remove it; or use the processor's list (proxy-config -mode fallbacks), or be asked for each attempt (-mode every-try)",
+		})
 		return
 	}
 	if !hasNoFallbackHost(overrideHost) {
-		c.add(path, "after the processor's list the fallback policy picks a host without a decision",
-			"make the fallback policy one that finds none: envoy.load_balancing_policies.subset with NO_FALLBACK")
+		c.add(Finding{
+			Path:    path,
+			Problem: "after the processor's list the fallback policy picks a host without a decision",
+			Remedy:  "make the fallback policy one that finds none: envoy.load_balancing_policies.subset with NO_FALLBACK",
+		})
 	}
 	if retries := policy.GetNumRetries().GetValue(); retries > uint32(c.settings.MaxFallbacks) {
-		c.add(path+".num_retries", fmt.Sprintf("%d retries, but the processor names %d fallbacks", retries, c.settings.MaxFallbacks),
-			"make it no more than the pool's fallbacks")
+		c.add(Finding{
+			Path:    path + ".num_retries",
+			Problem: fmt.Sprintf("%d retries, but the processor names %d fallbacks", retries, c.settings.MaxFallbacks),
+			Remedy:  "make it no more than the pool's fallbacks",
+		})
 	}
 }
 
 func (c *checker) addHedging(path string) {
-	c.add(path, "two attempts run at once, also of requests that are not idempotent", "remove it: the processor decides on hedged requests")
+	c.add(Finding{
+		Path:    path,
+		Problem: "two attempts run at once, also of requests that are not idempotent",
+		Remedy:  "remove it: the processor decides on hedged requests",
+	})
 }
--- a/internal/extproc/stream/body.go
+++ b/internal/extproc/stream/body.go
@@ -8,7 +8,9 @@
 
 func (s *Stream) handleRequestBody(b *extproc.HttpBody) {
 	if response := s.passBody(&s.request, b); response != nil {
-		s.emit(Reply{&extproc.ProcessingResponse{Response: &extproc.ProcessingResponse_RequestBody{RequestBody: response}}})
+		s.emit(Reply{&extproc.ProcessingResponse{
+			Response: &extproc.ProcessingResponse_RequestBody{RequestBody: response},
+		}})
 	}
 }
 
@@ -18,7 +20,9 @@
 		return
 	}
 	if response := s.passBody(&s.response, b); response != nil {
-		s.emit(Reply{&extproc.ProcessingResponse{Response: &extproc.ProcessingResponse_ResponseBody{ResponseBody: response}}})
+		s.emit(Reply{&extproc.ProcessingResponse{
+			Response: &extproc.ProcessingResponse_ResponseBody{ResponseBody: response},
+		}})
 	}
 }
 
@@ -35,10 +39,13 @@
 	}
 	common := &extproc.CommonResponse{}
 	if of.echoBody {
-		common.BodyMutation = &extproc.BodyMutation{Mutation: &extproc.BodyMutation_StreamedResponse{StreamedResponse: &extproc.StreamedBodyResponse{
-			Body: b.GetBody(), EndOfStream: b.GetEndOfStream(), EndOfStreamWithoutMessage: b.GetEndOfStreamWithoutMessage(),
-			GrpcMessageCompressed: b.GetGrpcMessageCompressed(),
-		}}}
+		echo := &extproc.StreamedBodyResponse{
+			Body:                      b.GetBody(),
+			EndOfStream:               b.GetEndOfStream(),
+			EndOfStreamWithoutMessage: b.GetEndOfStreamWithoutMessage(),
+			GrpcMessageCompressed:     b.GetGrpcMessageCompressed(),
+		}
+		common.BodyMutation = &extproc.BodyMutation{Mutation: &extproc.BodyMutation_StreamedResponse{StreamedResponse: echo}}
 	}
 	return &extproc.BodyResponse{Response: common}
 }
@@ -48,7 +55,9 @@
 	if s.observabilityMode {
 		return
 	}
-	s.emit(Reply{&extproc.ProcessingResponse{Response: &extproc.ProcessingResponse_RequestTrailers{RequestTrailers: &extproc.TrailersResponse{}}}})
+	s.emit(Reply{&extproc.ProcessingResponse{
+		Response: &extproc.ProcessingResponse_RequestTrailers{RequestTrailers: &extproc.TrailersResponse{}},
+	}})
 }
 
 func (s *Stream) handleResponseTrailers() {
@@ -56,5 +65,7 @@
 	if s.observabilityMode {
 		return
 	}
-	s.emit(Reply{&extproc.ProcessingResponse{Response: &extproc.ProcessingResponse_ResponseTrailers{ResponseTrailers: &extproc.TrailersResponse{}}}})
+	s.emit(Reply{&extproc.ProcessingResponse{
+		Response: &extproc.ProcessingResponse_ResponseTrailers{ResponseTrailers: &extproc.TrailersResponse{}},
+	}})
 }
--- a/internal/extproc/stream/decision.go
+++ b/internal/extproc/stream/decision.go
@@ -57,27 +57,40 @@
 // Response is the message that tells the proxy of the decision. It may be kept as Cached for equal decisions.
 func (d Decision) Response() *extproc.ProcessingResponse {
 	destination := strings.Join(append([]string{d.Endpoint}, d.Fallbacks...), ",")
-	common := &extproc.CommonResponse{ClearRouteCache: d.ClearRouteCache, HeaderMutation: &extproc.HeaderMutation{
+	mutation := &extproc.HeaderMutation{
 		SetHeaders: []*corev3.HeaderValueOption{setHeader(DestinationHeader, destination)},
-	}}
+	}
 	if d.TimeLeft > 0 {
-		common.HeaderMutation.SetHeaders = append(common.HeaderMutation.SetHeaders, setHeader("x-time-left", message.TimeLeft(d.TimeLeft)))
+		mutation.SetHeaders = append(mutation.SetHeaders, setHeader("x-time-left", message.TimeLeft(d.TimeLeft)))
 	}
+	common := &extproc.CommonResponse{ClearRouteCache: d.ClearRouteCache, HeaderMutation: mutation}
+	metadata := &structpb.Struct{Fields: map[string]*structpb.Value{
+		DestinationHeader: structpb.NewStringValue(destination),
+	}}
 	response := &extproc.ProcessingResponse{
 		Response: &extproc.ProcessingResponse_RequestHeaders{RequestHeaders: &extproc.HeadersResponse{Response: common}},
-		DynamicMetadata: &structpb.Struct{Fields: map[string]*structpb.Value{MetadataNamespace: structpb.NewStructValue(&structpb.Struct{
-			Fields: map[string]*structpb.Value{DestinationHeader: structpb.NewStringValue(destination)},
-		})}},
+		DynamicMetadata: &structpb.Struct{Fields: map[string]*structpb.Value{
+			MetadataNamespace: structpb.NewStructValue(metadata),
+		}},
 	}
 	if d.HeadersOnly {
-		response.ModeOverride = &modev3.ProcessingMode{
-			RequestBodyMode: modev3.ProcessingMode_NONE, RequestTrailerMode: modev3.ProcessingMode_SKIP,
-			ResponseHeaderMode: modev3.ProcessingMode_SEND, ResponseBodyMode: modev3.ProcessingMode_NONE, ResponseTrailerMode: modev3.ProcessingMode_SKIP,
-		}
+		response.ModeOverride = headersOnlyMode()
 	}
 	return response
 }
 
+// headersOnlyMode is the mode in which the proxy sends no bodies and trailers. Response headers are still needed, for
+// the outcome.
+func headersOnlyMode() *modev3.ProcessingMode {
+	return &modev3.ProcessingMode{
+		RequestBodyMode:     modev3.ProcessingMode_NONE,
+		RequestTrailerMode:  modev3.ProcessingMode_SKIP,
+		ResponseHeaderMode:  modev3.ProcessingMode_SEND,
+		ResponseBodyMode:    modev3.ProcessingMode_NONE,
+		ResponseTrailerMode: modev3.ProcessingMode_SKIP,
+	}
+}
+
 // ImmediateResponse is an answer to the client in place of a server's.
 type ImmediateResponse struct {
 	Status     int           // of HTTP
@@ -105,7 +118,9 @@
 	if s.grpc {
 		response.GrpcStatus = &extproc.GrpcStatus{Status: uint32(grpcCode(r.Status))}
 	}
-	s.emit(Reply{&extproc.ProcessingResponse{Response: &extproc.ProcessingResponse_ImmediateResponse{ImmediateResponse: response}}})
+	s.emit(Reply{&extproc.ProcessingResponse{
+		Response: &extproc.ProcessingResponse_ImmediateResponse{ImmediateResponse: response},
+	}})
 	s.outcomeReported = true
 	s.phase = closed
 	s.dropQueued()
--- a/internal/extproc/stream/ending.go
+++ b/internal/extproc/stream/ending.go
@@ -38,9 +38,11 @@
 	case strings.Contains(details, "{overflow}"):
 		// The proxy's circuit breaker opened: nothing was sent, and no server is to blame.
 		return balancer.NeverSent
-	case strings.Contains(details, "connection_failure") || strings.Contains(details, "connection_timeout") || details == "no_healthy_upstream":
+	case strings.Contains(details, "connection_failure"),
+		strings.Contains(details, "connection_timeout"),
+		details == "no_healthy_upstream":
 		return balancer.Unreachable
-	case strings.Contains(details, "response_timeout") || strings.Contains(details, "per_try_timeout"):
+	case strings.Contains(details, "response_timeout"), strings.Contains(details, "per_try_timeout"):
 		return balancer.TimedOut
 	case strings.Contains(details, "upstream_reset"):
 		return balancer.Broken
--- a/internal/extproc/stream/stream.go
+++ b/internal/extproc/stream/stream.go
@@ -39,7 +39,14 @@
 
 // String returns the name of the phase.
 func (p phase) String() string {
-	names := [...]string{"awaiting request", "awaiting decision", "awaiting response", "awaiting retry decision", "responded", "closed"}
+	names := [...]string{
+		awaitingRequest:       "awaiting request",
+		awaitingDecision:      "awaiting decision",
+		awaitingResponse:      "awaiting response",
+		awaitingRetryDecision: "awaiting retry decision",
+		responded:             "responded",
+		closed:                "closed",
+	}
 	if p < 0 || int(p) >= len(names) {
 		return fmt.Sprintf("phase(%d)", int(p))
 	}
@@ -55,7 +62,7 @@
 	echoBody bool
 }
 
-// Stream is the state of one stream. The zero value is not valid, use New. It is not safe for concurrent use: the
+// Stream is the state of one stream. The zero value has received nothing. It is not safe for concurrent use: the
 // goroutine that serves the stream owns it.
 type Stream struct {
 	phase             phase
--- a/internal/front/extproc/front.go
+++ b/internal/front/extproc/front.go
@@ -124,11 +124,15 @@
 		cfg: cfg, listener: l, health: health.NewServer(), calls: newCallTable(cfg.RememberedRequests),
 		limits: proxyLimits{rate: cfg.Rate, streams: cfg.ProxyStreams},
 	}
-	f.server = grpc.NewServer(grpc.MaxConcurrentStreams(cfg.Streams), grpc.MaxRecvMsgSize(maxMessageBytes), grpc.InTapHandle(f.recordArrival),
+	f.server = grpc.NewServer(
+		grpc.MaxConcurrentStreams(cfg.Streams),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.InTapHandle(f.recordArrival),
 		// A stream is short-lived: a worker that is used again has grown its stack already.
 		grpc.NumStreamWorkers(uint32(2*runtime.GOMAXPROCS(0)+64)),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 10 * time.Second}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}))
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
+	)
 	extproc.RegisterExternalProcessorServer(f.server, f)
 	healthpb.RegisterHealthServer(f.server, f.health)
 	f.health.SetServingStatus(extproc.ExternalProcessor_ServiceDesc.ServiceName, healthpb.HealthCheckResponse_SERVING)
--- a/internal/front/extproc/outcome.go
+++ b/internal/front/extproc/outcome.go
@@ -78,7 +78,9 @@
 		return nil // the next Recv fails, and release deals with the call
 	}
 	h.finish(answer)
-	actions, _ := h.machine.DecideRetry(stream.RetryDecision{Rejected: answer.Verdict == engine.Refused, RetryAfter: answer.RetryAfter})
+	actions, _ := h.machine.DecideRetry(stream.RetryDecision{
+		Rejected: answer.Verdict == engine.Refused, RetryAfter: answer.RetryAfter,
+	})
 	return actions
 }
 
@@ -88,6 +90,7 @@
 	total := f.misrouted.Add(1)
 	now := time.Now().Unix()
 	if last := f.misroutedLoggedAt.Load(); now > last && f.misroutedLoggedAt.CompareAndSwap(last, now) {
-		log.Printf("ext_proc: a proxy sent a request that was decided for %s to %s; %d requests were misrouted so far", destination, served, total)
+		log.Printf("ext_proc: a proxy sent a request that was decided for %s to %s; %d requests were misrouted so far",
+			destination, served, total)
 	}
 }
--- a/internal/front/extproc/pick.go
+++ b/internal/front/extproc/pick.go
@@ -91,7 +91,9 @@
 		// before. The earlier attempts may have run.
 		h.call = c
 		h.finish(engine.Answer{Verdict: engine.Failed})
-		return &stream.ImmediateResponse{Status: http.StatusBadGateway, Details: "an earlier try is not known here and may have run"}, nil
+		return &stream.ImmediateResponse{
+			Status: http.StatusBadGateway, Details: "an earlier try is not known here and may have run",
+		}, nil
 	}
 	if err := c.admit(); err != nil {
 		f.calls.finish(now, c.key, c, engine.Answer{}, 0)
--- a/internal/front/grpc/call.go
+++ b/internal/front/grpc/call.go
@@ -124,7 +124,8 @@
 	}
 	for name, values := range hr.Header {
 		switch name {
-		case "Te", "Grpc-Timeout", "Content-Length", "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Upgrade", "X-Time-Left":
+		case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Transfer-Encoding", "Upgrade":
+		case "Content-Length", "Grpc-Timeout", "X-Time-Left":
 		default:
 			request.Header[name] = values
 		}
--- a/internal/front/grpc/request_body.go
+++ b/internal/front/grpc/request_body.go
@@ -43,7 +43,10 @@
 	limitReads(controller, time.Time{})
 	switch {
 	case err != nil:
-		return nil, &http1.Refusal{Status: http.StatusNotImplemented, Text: "the request did not end in time: streams of requests are only for classes that are streams"}
+		return nil, &http1.Refusal{
+			Status: http.StatusNotImplemented,
+			Text:   "the request did not end in time: streams of requests are only for classes that are streams",
+		}
 	case len(body) > message.MaxBody:
 		return nil, &http1.Refusal{Status: http.StatusRequestEntityTooLarge, Text: "the request is too long"}
 	}
