--- a/internal/front/extproc/destination_test.go
+++ b/internal/front/extproc/destination_test.go
@@ -3,7 +3,9 @@
 import (
 	"fmt"
 	"reflect"
+	"slices"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -12,6 +14,7 @@
 	"cranegrade/balancer"
 	"cranegrade/internal/engine"
 	"cranegrade/internal/extproc/stream"
+	"cranegrade/internal/testkit"
 	"cranegrade/internal/zone"
 )
 
@@ -69,6 +72,74 @@
 	})
 }
 
+// endingRecorder is a decision module that records the endings of attempts.
+type endingRecorder struct {
+	engine.Module
+	mu      sync.Mutex // guards endings
+	endings []balancer.Ending
+}
+
+// Handle implements engine.Module.
+func (r *endingRecorder) Handle(now time.Duration, event balancer.Event) []balancer.Action {
+	if outcome, ok := event.(balancer.Outcome); ok {
+		r.mu.Lock()
+		r.endings = append(r.endings, outcome.Ending)
+		r.mu.Unlock()
+	}
+	return r.Module.Handle(now, event)
+}
+
+func (r *endingRecorder) recorded() []balancer.Ending {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.endings)
+}
+
+// newIdempotentModule makes a decision module whose only class is read.
+func newIdempotentModule(t *testing.T, spares int) engine.Module {
+	t.Helper()
+	module, err := balancer.New(balancer.Settings{
+		Classes:     []balancer.Class{{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
+		MaxAttempts: 3, Spares: spares, Tick: time.Millisecond,
+	}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return module
+}
+
+// The module learns the ending at the endpoint of the decision, by which endpoint served.
+func TestEndingAtEndpointOfDecision(t *testing.T) {
+	const elsewhere = "10.9.9.9:1"
+	for _, c := range []struct {
+		name, status string
+		served       func(endpoints []string) string
+		want         balancer.Ending
+	}{
+		{"success at the endpoint", "200", func(endpoints []string) string { return endpoints[0] }, balancer.Success},
+		{"failure at the endpoint", "500", func(endpoints []string) string { return endpoints[0] }, balancer.Failure},
+		{"success at a fallback", "200", func(endpoints []string) string { return endpoints[1] }, balancer.Unreachable},
+		{"success elsewhere", "200", func([]string) string { return elsewhere }, balancer.NeverSent},
+		{"failure elsewhere", "500", func([]string) string { return elsewhere }, balancer.NeverSent},
+		{"unknown", "500", func([]string) string { return "" }, balancer.Failure},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			recorder := &endingRecorder{Module: newIdempotentModule(t, 1)}
+			e := newEnvironmentWith(t, Config{}, poolOptions{module: recorder}, "127.0.0.1:1", "127.0.0.1:2")
+			s := e.openStream()
+			endpoints := strings.Split(s.pick("read", "id", 1), ",")
+			if len(endpoints) != 2 {
+				t.Fatalf("decided %q, want an endpoint and a fallback", endpoints)
+			}
+			s.respond(c.status, stream.ServedHeader, c.served(endpoints))
+			testkit.Eventually(t, "the ending is not reported", func() bool { return len(recorder.recorded()) > 0 })
+			if got := recorder.recorded(); !slices.Equal(got, []balancer.Ending{c.want}) {
+				t.Errorf("endings %v, want %d", got, c.want)
+			}
+		})
+	}
+}
+
 // A proxy that uses another endpoint than was decided is counted, and the endpoint of the decision is not blamed.
 func TestMisroutedRequest(t *testing.T) {
 	e := newEnvironment(t, Config{}, "127.0.0.1:1")
@@ -113,15 +184,8 @@
 // What a proxy carries is accounted by the endpoint that served, the zone of the caller that the proxy names, and the
 // lengths that it shows.
 func TestTransferIsAccountedByZone(t *testing.T) {
-	inner, err := balancer.New(balancer.Settings{
-		Classes:     []balancer.Class{{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
-		MaxAttempts: 3, Tick: time.Millisecond,
-	}, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
 	accounts := zone.NewBook(nil)
-	e := newEnvironmentWith(t, Config{}, poolOptions{module: zone.NewModule(inner, "p", zone.Config{Home: "a"}, accounts, 1)})
+	e := newEnvironmentWith(t, Config{}, poolOptions{module: zone.NewModule(newIdempotentModule(t, 0), "p", zone.Config{Home: "a"}, accounts, 1)})
 	news := engine.News{Full: true, Version: "2"}
 	for i, name := range []string{"a", "b"} {
 		addr := fmt.Sprint("127.0.0.1:", i+1)
--- a/internal/front/extproc/retry_test.go
+++ b/internal/front/extproc/retry_test.go
@@ -125,6 +125,30 @@
 	}
 }
 
+// A rejection after the last attempt would invite the client to send the request again. It must not if any attempt may
+// have run, also if the last one did not.
+func TestEarlierAttemptThatMayHaveRunForbidsRejection(t *testing.T) {
+	e := newEnvironment(t, Config{Retries: true, RetryHeader: testRetryHeader, Linger: limit}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
+	s := e.openStream()
+	s.pick("cell", "id", 1)
+	if got := s.respondForRetry(testRetryHeader, "500"); got != "retry" { // may have run, and may run again in its cell
+		t.Fatalf("first attempt: %s", got)
+	}
+	s = e.openStream()
+	if got := s.pick("cell", "id", 2); !isEndpoint(got) {
+		t.Fatalf("second attempt goes to %s", got)
+	}
+	for attempt, got := 2, "retry"; got == "retry"; attempt++ {
+		if attempt > 2 {
+			s = e.openStream()
+			s.pick("cell", "id", attempt)
+		}
+		if got = s.respondForRetry(testRetryHeader, "503", "x-unprocessed", "1"); got != "retry" && got != "502" {
+			t.Errorf("attempt %d: the client gets %s, want 502", attempt, got)
+		}
+	}
+}
+
 func TestRetryHeaderStaysWithinLimit(t *testing.T) {
 	e := newEnvironment(t, Config{Retries: true, RetryHeader: testRetryHeader, Linger: limit}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5")
 	attempts := 0
