--- a/cmd/cranegrade/zones.go
+++ b/cmd/cranegrade/zones.go
@@ -42,8 +42,8 @@
 		return 2
 	}
 	write := map[string]func(report.Report) error{
-		"table": func(r report.Report) error { return r.Table(stdout) },
-		"json":  func(r report.Report) error { return r.JSON(stdout) },
+		"table": func(r report.Report) error { return r.WriteTable(stdout) },
+		"json":  func(r report.Report) error { return r.WriteJSON(stdout) },
 		"html":  func(r report.Report) error { return page.Write(stdout, r) },
 	}[*format]
 	if write == nil {
@@ -73,7 +73,7 @@
 }
 
 // parseBy reads what rows are told apart by.
-func parseBy(s string) (by report.By, ok bool) {
+func parseBy(s string) (by report.GroupBy, ok bool) {
 	for _, word := range strings.Split(s, ",") {
 		switch word {
 		case "":
@@ -121,12 +121,12 @@
 	if err != nil {
 		return report.Report{}, err
 	}
-	book := zone.NewBook(plan.Zones.Limits)
+	book := zone.NewAccounting(plan.Zones.Limits)
 	book.Restore(state)
 	now := time.Now()
 	return report.Report{
 		Node: plan.Name, Home: plan.Zones.Config.Home, At: now, Budgets: report.Budgets(book.Remaining(time.Duration(now.UnixNano()))),
-		Rows: report.Rows(book.Rows(), "", report.By{Pool: true, Class: true, Customer: true}),
+		Rows: report.Rows(book.Rows(), "", report.GroupBy{Pool: true, Class: true, Customer: true}),
 	}, nil
 }
 
@@ -152,11 +152,11 @@
 	if err != nil {
 		return report.Report{}, fmt.Errorf("asking the node: %w", err)
 	}
-	return report.Read(text)
+	return report.Parse(text)
 }
 
 // summed are the rows of a day, added up over what is not told apart.
-func summed(rows []report.Row, day string, by report.By) []report.Row {
+func summed(rows []report.Row, day string, by report.GroupBy) []report.Row {
 	var l []zone.Row
 	for _, r := range rows {
 		at, err := time.Parse(time.DateOnly, r.Day)
--- a/cmd/cranegrade/zones_test.go
+++ b/cmd/cranegrade/zones_test.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		book := zone.NewBook(nil)
+		book := zone.NewAccounting(nil)
 		book.Add(time.Duration(time.Now().UnixNano()), zone.Key{Pair: zone.Pair{From: "a", To: "b"}, Pool: "p", Class: "c"}, zone.Traffic{Requests: 2, Out: 3, In: 4})
 		if err := s.Save(book.TakeChanges(), 0); err != nil {
 			t.Fatal(err)
@@ -47,7 +47,7 @@
 	if code := showZones(append(args, "-format", "json"), &stdout, &stderr); code != 0 {
 		t.Fatalf("exit %d: %s", code, stderr.String())
 	}
-	r, err := report.Read(stdout.Bytes())
+	r, err := report.Parse(stdout.Bytes())
 	if err != nil || len(r.Rows) != 1 || r.Rows[0].Requests != 4 || r.Rows[0].In != 8 || !strings.Contains(r.Node, ", ") {
 		t.Errorf("%+v, %v", r, err)
 	}
--- a/internal/drill/zones.go
+++ b/internal/drill/zones.go
@@ -232,5 +232,5 @@
 	if err := cmd.Run(); err != nil {
 		return zonereport.Report{}, fmt.Errorf("cranegrade zones: %w: %s", err, errs.String())
 	}
-	return zonereport.Read(out.Bytes())
+	return zonereport.Parse(out.Bytes())
 }
--- a/internal/front/extproc/destination_test.go
+++ b/internal/front/extproc/destination_test.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	accounts := zone.NewBook(nil)
+	accounts := zone.NewAccounting(nil)
 	e := newEnvironmentWith(t, Config{}, poolOptions{module: zone.NewModule(inner, "p", zone.Config{Home: "a"}, accounts, 1)})
 	news := engine.News{Full: true, Version: "2"}
 	for i, name := range []string{"a", "b"} {
--- a/internal/node/inspection_server.go
+++ b/internal/node/inspection_server.go
@@ -36,7 +36,7 @@
 	})
 	mux.HandleFunc("GET /zones", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		if err := n.Zones().JSON(w); err != nil {
+		if err := n.Zones().WriteJSON(w); err != nil {
 			log.Printf("inspection server: zones not written: error=%q", err)
 		}
 	})
--- a/internal/node/zone_accounts.go
+++ b/internal/node/zone_accounts.go
@@ -28,7 +28,7 @@
 // zoneAccounts holds a node's zone account and budgets, saves them, and knows the modules that write them.
 type zoneAccounts struct {
 	plan  *operator.Zones // nil: requests are not told apart by zone, and nothing below is used
-	book  *zone.Book
+	book  *zone.Accounting
 	store ZoneStore      // nil: nothing is saved
 	stop  chan struct{}  // closed by close
 	ended sync.WaitGroup // saveLoop
@@ -46,7 +46,7 @@
 	if plan == nil {
 		return z, nil
 	}
-	z.book = zone.NewBook(plan.Limits)
+	z.book = zone.NewAccounting(plan.Limits)
 	if plan.State == "" {
 		return z, nil
 	}
@@ -168,13 +168,13 @@
 // zoneConfig returns a plan's zone settings for a pool with these settings.
 func zoneConfig(p operator.Zones, s balancer.Settings) zone.Config {
 	c := p.Config
-	c.Cold, c.Warm, c.Tries = s.ColdFrom, s.WarmAfter, s.MaxAttempts
+	c.SlowStartShare, c.SlowStartWindow, c.MaxAttempts = s.ColdFrom, s.WarmAfter, s.MaxAttempts
 	if s.StartCalls > 0 {
-		c.Start = float64(s.StartCalls)
+		c.InitialLimit = float64(s.StartCalls)
 	}
-	c.Aims = make(map[string]time.Duration, len(s.Classes))
+	c.LatencyTargets = make(map[string]time.Duration, len(s.Classes))
 	for _, class := range s.Classes {
-		c.Aims[class.Name] = class.Aim
+		c.LatencyTargets[class.Name] = class.Aim
 	}
 	return c
 }
@@ -183,7 +183,7 @@
 func (n *Node) Zones() report.Report {
 	now := time.Now()
 	n.mu.Lock()
-	r := report.Report{Node: n.plan.Name, At: now, Pools: map[string][]report.Area{}}
+	r := report.Report{Node: n.plan.Name, At: now, Localities: map[string][]report.Locality{}}
 	n.mu.Unlock()
 	z := n.zones
 	if z.plan == nil {
@@ -192,10 +192,10 @@
 	r.Home = z.plan.Config.Home
 	z.mu.Lock()
 	for pool, m := range z.modules {
-		r.Pools[pool] = report.Areas(m.Views())
+		r.Localities[pool] = report.Localities(m.Localities())
 	}
 	z.mu.Unlock()
 	r.Budgets = report.Budgets(z.book.Remaining(time.Duration(now.UnixNano())))
-	r.Rows = report.Rows(z.book.Rows(), "", report.By{Pool: true, Class: true, Customer: true})
+	r.Rows = report.Rows(z.book.Rows(), "", report.GroupBy{Pool: true, Class: true, Customer: true})
 	return r
 }
--- a/internal/operator/zones.go
+++ b/internal/operator/zones.go
@@ -16,7 +16,7 @@
 )
 
 // unknowns are the words for what to do with a caller whose zone is not known.
-var unknowns = map[string]zone.Unknown{"last": zone.Last, "home": zone.AsHome, "never": zone.Never}
+var unknowns = map[string]zone.UnknownZonePolicy{"last": zone.UnknownZoneLast, "home": zone.UnknownZoneAsHome, "never": zone.UnknownZoneNever}
 
 // zones reads [zones], and which pools are served by zone: all that don't say otherwise.
 func (d *document) zones(t *table, pools []*table, p *Plan, nodes int) {
@@ -33,15 +33,15 @@
 		return
 	}
 	z := &Zones{State: zt.text("state", ""), Config: zone.Config{
-		Home: zt.text("home", ""), Second: zt.number("second", 0),
-		Unknown: choice(zt, "unknown", zone.Last, unknowns), Nodes: max(1, nodes), Costs: map[zone.Pair]zone.Cost{},
+		Home: zt.text("home", ""), LatencyWeight: zt.number("second", 0),
+		UnknownZones: choice(zt, "unknown", zone.UnknownZoneLast, unknowns), Nodes: max(1, nodes), Costs: map[zone.Pair]zone.Cost{},
 	}}
 	p.Zones = z
 	if z.Config.Home == "" {
 		zt.fault("home", "missing: the zone that this node stands in")
 	}
 	defaultCost := zt.tableOrEmpty("default")
-	z.Config.Default = zoneCost(defaultCost)
+	z.Config.DefaultCost = zoneCost(defaultCost)
 	defaultCost.rejectUnknownKeys()
 	pairs := zt.subtables("pairs")
 	if len(pairs) > maxPairs {
@@ -90,8 +90,8 @@
 func zoneLimit(pt *table, pair zone.Pair, classes map[string]bool, nodes int) (l zone.Limit, limited bool) {
 	l = zone.Limit{
 		Pair: pair, RequestsHour: pt.count("requests_hour", 0), RequestsDay: pt.count("requests_day", 0),
-		BytesHour: pt.bytes("bytes_hour", 0), BytesDay: pt.bytes("bytes_day", 0), Beyond: pt.textList("beyond"),
-		Lend: pt.number("lend", 0), Reply: pt.bytes("reply", 0),
+		BytesHour: pt.bytes("bytes_hour", 0), BytesDay: pt.bytes("bytes_day", 0), ExemptClasses: pt.textList("beyond"),
+		OutageShare: pt.number("lend", 0), ResponseBytes: pt.bytes("reply", 0),
 	}
 	limited = l.RequestsHour+l.RequestsDay+l.BytesHour+l.BytesDay > 0
 	checkZoneLimit(pt, l, limited, classes, nodes)
@@ -104,7 +104,7 @@
 
 // checkZoneLimit checks the limits of a pair as the file has them, for all nodes.
 func checkZoneLimit(pt *table, l zone.Limit, limited bool, classes map[string]bool, nodes int) {
-	for i, name := range l.Beyond {
+	for i, name := range l.ExemptClasses {
 		if !classes[name] {
 			pt.fault(fmt.Sprintf("beyond[%d]", i), "no pool has a class %q", name)
 		}
@@ -114,8 +114,8 @@
 			pt.fault(key, "is of no effect without a limit of the pair")
 		}
 	}
-	if l.Lend > maxLend {
-		pt.fault("lend", "%v is over %d: it is a share of the limits", l.Lend, maxLend)
+	if l.OutageShare > maxLend {
+		pt.fault("lend", "%v is over %d: it is a share of the limits", l.OutageShare, maxLend)
 	}
 	for key, n := range map[string]int64{
 		"requests_hour": l.RequestsHour, "requests_day": l.RequestsDay, "bytes_hour": l.BytesHour, "bytes_day": l.BytesDay,
--- a/internal/zone/budget.go
+++ b/internal/zone/budget.go
@@ -6,232 +6,264 @@
 	"time"
 )
 
-// Limit is the budget of a pair of zones; zeros are no limit.
+// Limit is the budget of a pair of zones. A limit of 0 is none.
 type Limit struct {
 	Pair                      Pair
 	RequestsHour, RequestsDay int64
 	BytesHour, BytesDay       int64
-	Beyond                    []string // classes that may go on when it is used up
-	Lend                      float64  // share of each limit that is lent while the zone that asks is out
-	Reply                     int64    // bytes that an answer is reserved at; 0: 64 KiB
+	ExemptClasses             []string // may cross when the budget is used up
+	OutageShare               float64  // share of each limit that is granted on top while the client's zone has failed
+	ResponseBytes             int64    // reserved for a response; 0: 64 KiB
 }
 
-// span is one of the two calendar spans that a limit holds for, in UTC.
-type span int
+// period is one of the calendar periods, in UTC, that limits hold for.
+type period int
 
 const (
-	hour span = iota
+	hour period = iota
 	day
+	periodCount
 )
 
-var spans = [2]time.Duration{time.Hour, 24 * time.Hour}
+var periodLengths = [periodCount]time.Duration{hour: time.Hour, day: 24 * time.Hour}
 
-// defaultReply is what an answer is reserved at: the longest body of the protocol.
-const defaultReply = 64 << 10
+// defaultResponseBytes is reserved for a response by default: the longest body that the protocol allows.
+const defaultResponseBytes = 64 << 10
 
-// Budget holds what a pair may still send in this hour and this day. A request counts once for a pair, however often it
-// is tried there; its bytes count each time. Both are reserved before it may cross, the body as often as it may be
-// tried and one answer at the longest that it may be, and settled when it has ended: what is spent never passes the
-// limit but by answers that are longer than that, and by the classes that may go on.
+// amount is a part of a budget.
+type amount struct{ requests, bytes int64 }
+
+func (a amount) plus(b amount) amount { return amount{a.requests + b.requests, a.bytes + b.bytes} }
+
+func (a amount) minus(b amount) amount { return amount{a.requests - b.requests, a.bytes - b.bytes} }
+
+// exceeds says that an amount is over a ceiling in a unit that the limit bounds.
+func (a amount) exceeds(limit, ceiling amount) bool {
+	return limit.requests > 0 && a.requests > ceiling.requests || limit.bytes > 0 && a.bytes > ceiling.bytes
+}
+
+// Budget keeps count of what a pair of zones may still send in this hour and this day. A request counts once for a pair, however
+// many attempts it makes there; its bytes count for each attempt. Both are reserved before the request may cross: its body for
+// each possible attempt, and one response of Limit.ResponseBytes. When the request has ended its reservation is settled. What is
+// spent exceeds the limit only by longer responses and by exempt classes.
 //
-// The spans are those of the clock that it is told. A clock that steps back does not open a span again: the latest
-// span that was seen goes on until the clock has passed it.
+// Times are Unix times. A clock that goes back does not open a period again: the latest period that was seen goes on until the
+// clock has passed it. A Budget is not safe for concurrent use; Accounting guards it.
 type Budget struct {
 	Limit
-	index                  [2]int64 // of the spans
-	requests, bytes        [2]int64 // spent in them
-	reservedRe, reservedBy [2]int64 // and reserved: requests and bytes
+	current  [periodCount]int64 // number of the present periods since 1970
+	spent    [periodCount]amount
+	reserved [periodCount]amount
 
-	// kept: what may be spent is written down before it is, so that a crash can't pass the limit. lease is what is
-	// written of the present spans, next of the ones after them; ahead is what an earlier life may have spent there.
-	kept             bool
-	leaseRe, leaseBy [2]int64
-	nextRe, nextBy   [2]int64
-	aheadRe, aheadBy [2]int64
-	takenRe, takenBy int64 // since Lease was last called
+	// With leaseRequired only what a lease grants may be spent. A lease is saved before it is used, and what it grants counts as
+	// spent after a crash, so that no number of crashes lets the limit be exceeded.
+	leaseRequired bool
+	leased        [periodCount]amount // of the present periods
+	nextLeased    [periodCount]amount // of the periods after them
+	nextSpent     [periodCount]amount // what an earlier process may have spent of the periods after them
+	wanted        amount              // reserved, or denied for want of a lease, since the latest PrepareLease
 }
 
-// leasePart of a limit is written down ahead at the least; and always what a few requests need.
+// A lease grants at least this much beyond what is spent.
 const (
-	leasePart  = 50
-	leaseLeast = 4
+	leaseDivisor     = 50 // a 50th of each limit,
+	leaseMinRequests = 4  // and enough for a few requests
 )
 
-// Keep has only what Leased has told be spent from here on.
-func (b *Budget) Keep() { b.kept = true }
-
-// Lease is what is to be written: what is spent and reserved, and as much again as may be spent until the next time,
-// twice what was taken since the last one. Once it is written Leased lets that be spent.
-func (b *Budget) Lease(now time.Duration) Spent {
-	b.turn(now)
-	x := b.Spent()
-	for i := range spans {
-		requests, bytes := b.most(span(i), true)
-		headRe := max(requests/leasePart, 2*b.takenRe, leaseLeast)
-		headBy := max(bytes/leasePart, 2*b.takenBy, leaseLeast*b.Reply)
-		x.Requests[i] = max(x.Requests[i], min(requests, x.Requests[i]+headRe))
-		x.Bytes[i] = max(x.Bytes[i], min(bytes, x.Bytes[i]+headBy))
-		x.NextRequests[i] = max(b.aheadRe[i], min(requests, b.aheadRe[i]+headRe))
-		x.NextBytes[i] = max(b.aheadBy[i], min(bytes, b.aheadBy[i]+headBy))
-	}
-	b.takenRe, b.takenBy = 0, 0
-	return x
-}
-
-// Leased says that what Lease told is written.
-func (b *Budget) Leased(x Spent) {
-	for i, index := range [2]int64{x.Hour, x.Day} {
-		switch index {
-		case b.index[i]:
-			b.leaseRe[i], b.leaseBy[i], b.nextRe[i], b.nextBy[i] = x.Requests[i], x.Bytes[i], x.NextRequests[i], x.NextBytes[i]
-		case b.index[i] - 1: // it was written as the span ended
-			b.leaseRe[i], b.leaseBy[i] = max(b.leaseRe[i], x.NextRequests[i]), max(b.leaseBy[i], x.NextBytes[i])
-		}
+// NewBudget returns a budget of which nothing is spent.
+func NewBudget(limit Limit) *Budget {
+	if limit.ResponseBytes == 0 {
+		limit.ResponseBytes = defaultResponseBytes
 	}
+	return &Budget{Limit: limit}
 }
 
-// NewBudget returns a budget of which nothing is spent.
-func NewBudget(l Limit) *Budget {
-	if l.Reply == 0 {
-		l.Reply = defaultReply
+// Usage is what was spent of a budget, in the form in which it is stored over restarts: the names of its fields are stored data.
+type Usage struct {
+	Pair      Pair
+	Hour, Day int64 // numbers of the periods since 1970
+	// What was spent in the hour and the day, and what a lease lets be spent in them.
+	Requests, Bytes [periodCount]int64
+	// What a lease lets be spent in the next hour and day.
+	NextRequests, NextBytes [periodCount]int64
+}
+
+func (u Usage) periods() [periodCount]int64 { return [periodCount]int64{hour: u.Hour, day: u.Day} }
+
+func (u Usage) amount(p int) amount { return amount{u.Requests[p], u.Bytes[p]} }
+
+func (u Usage) nextAmount(p int) amount { return amount{u.NextRequests[p], u.NextBytes[p]} }
+
+// Usage is what is spent. Reservations count as spent: when a process dies its open requests were sent, as far as anybody can
+// tell.
+func (b *Budget) Usage() Usage {
+	usage := Usage{Pair: b.Pair, Hour: b.current[hour], Day: b.current[day]}
+	for p := range periodLengths {
+		total := b.spent[p].plus(b.reserved[p])
+		usage.Requests[p], usage.Bytes[p] = total.requests, total.bytes
 	}
-	return &Budget{Limit: l}
+	return usage
 }
 
-// Spent is what was spent of a budget, as it is kept over a restart.
-type Spent struct {
-	Pair            Pair
-	Hour, Day       int64 // indices of the spans since 1970
-	Requests, Bytes [2]int64
-	// What may be spent of the spans after these before the next time that it is written.
-	NextRequests, NextBytes [2]int64
+// Restore adds what was spent before a restart. It is ignored for periods that are over.
+func (b *Budget) Restore(usage Usage) {
+	for p, number := range usage.periods() {
+		switch {
+		case number > b.current[p]:
+			b.current[p], b.spent[p], b.nextSpent[p] = number, usage.amount(p), usage.nextAmount(p)
+		case number == b.current[p]:
+			b.spent[p] = b.spent[p].plus(usage.amount(p))
+		}
+	}
 }
 
-// Spent tells what is spent, counting what is reserved as spent: what is out when a node dies was sent, as far as
-// anybody can tell.
-func (b *Budget) Spent() Spent {
-	x := Spent{Pair: b.Pair, Hour: b.index[hour], Day: b.index[day]}
-	for i := range spans {
-		x.Requests[i] = b.requests[i] + b.reservedRe[i]
-		x.Bytes[i] = b.bytes[i] + b.reservedBy[i]
+// RequireLease lets only what ConfirmLease has granted be spent from here on.
+func (b *Budget) RequireLease() { b.leaseRequired = true }
+
+// PrepareLease returns what has to be saved to go on: what is spent and reserved, and a head start for what may be spent until
+// the next call, which is twice what was wanted since the one before. Once it is saved, ConfirmLease grants it.
+func (b *Budget) PrepareLease(now time.Duration) Usage {
+	b.advancePeriods(now)
+	lease := b.Usage()
+	for p := range periodLengths {
+		limit := b.limit(period(p), true)
+		requests := max(limit.requests/leaseDivisor, 2*b.wanted.requests, leaseMinRequests)
+		bytes := max(limit.bytes/leaseDivisor, 2*b.wanted.bytes, leaseMinRequests*b.ResponseBytes)
+		lease.Requests[p] = max(lease.Requests[p], min(limit.requests, lease.Requests[p]+requests))
+		lease.Bytes[p] = max(lease.Bytes[p], min(limit.bytes, lease.Bytes[p]+bytes))
+		next := b.nextSpent[p]
+		lease.NextRequests[p] = max(next.requests, min(limit.requests, next.requests+requests))
+		lease.NextBytes[p] = max(next.bytes, min(limit.bytes, next.bytes+bytes))
 	}
-	return x
+	b.wanted = amount{}
+	return lease
 }
 
-// Restore takes what was spent before a start. What is spent already counts on top.
-func (b *Budget) Restore(x Spent) {
-	for i, index := range [2]int64{x.Hour, x.Day} {
-		switch {
-		case index > b.index[i]:
-			b.index[i], b.requests[i], b.bytes[i] = index, x.Requests[i], x.Bytes[i]
-			b.aheadRe[i], b.aheadBy[i] = x.NextRequests[i], x.NextBytes[i]
-		case index == b.index[i]:
-			b.requests[i] += x.Requests[i]
-			b.bytes[i] += x.Bytes[i]
+// ConfirmLease grants a lease that PrepareLease returned and that has been saved since.
+func (b *Budget) ConfirmLease(lease Usage) {
+	for p, number := range lease.periods() {
+		switch number {
+		case b.current[p]:
+			b.leased[p], b.nextLeased[p] = lease.amount(p), lease.nextAmount(p)
+		case b.current[p] - 1: // the period ended while the lease was being saved
+			granted := lease.nextAmount(p)
+			b.leased[p].requests = max(b.leased[p].requests, granted.requests)
+			b.leased[p].bytes = max(b.leased[p].bytes, granted.bytes)
 		}
 	}
 }
 
-// turn begins new spans if the clock has passed the old ones. What is reserved in an old span is spent in that.
-func (b *Budget) turn(now time.Duration) {
-	for i, length := range spans {
-		index := int64(now / length)
-		if index <= b.index[i] {
+// advancePeriods begins new periods once the clock has passed the present ones. Reservations of a period that is over count as
+// spent in that one.
+func (b *Budget) advancePeriods(now time.Duration) {
+	for p, length := range periodLengths {
+		number := int64(now / length)
+		if number <= b.current[p] {
 			continue
 		}
-		if index > b.index[i]+1 {
-			b.aheadRe[i], b.aheadBy[i], b.nextRe[i], b.nextBy[i] = 0, 0, 0, 0
+		if number > b.current[p]+1 { // what is known of the next period is not of this one
+			b.nextSpent[p], b.nextLeased[p] = amount{}, amount{}
 		}
-		b.index[i], b.requests[i], b.bytes[i], b.reservedRe[i], b.reservedBy[i] = index, b.aheadRe[i], b.aheadBy[i], 0, 0
-		b.leaseRe[i], b.leaseBy[i] = b.nextRe[i], b.nextBy[i]
-		b.aheadRe[i], b.aheadBy[i], b.nextRe[i], b.nextBy[i] = 0, 0, 0, 0
+		b.current[p] = number
+		b.spent[p], b.reserved[p], b.leased[p] = b.nextSpent[p], amount{}, b.nextLeased[p]
+		b.nextSpent[p], b.nextLeased[p] = amount{}, amount{}
 	}
 }
 
-// Reservation is a part of a budget that a request holds until it has ended.
+// Reservation is a part of a budget that a request holds until it has ended. The zero value holds nothing.
 type Reservation struct {
-	index [2]int64
-	bytes int64
-	held  bool
-}
-
-// Take reserves one request with so many bytes of bodies to send; false if the budget is used up. now is Unix time, out says
-// that the zone that asks is out.
-func (b *Budget) Take(now time.Duration, class string, size int64, out bool) (Reservation, bool) {
-	b.turn(now)
-	r := Reservation{index: b.index, bytes: size + b.Reply, held: true}
-	if !slices.Contains(b.Beyond, class) {
-		for i := range spans {
-			requests, bytes := b.most(span(i), out)
-			if requests > 0 && b.requests[i]+b.reservedRe[i]+1 > requests ||
-				bytes > 0 && b.bytes[i]+b.reservedBy[i]+r.bytes > bytes {
-				return Reservation{}, false
-			}
-			if b.kept && (requests > 0 && b.requests[i]+b.reservedRe[i]+1 > b.leaseRe[i] ||
-				bytes > 0 && b.bytes[i]+b.reservedBy[i]+r.bytes > b.leaseBy[i]) {
-				b.takenRe, b.takenBy = b.takenRe+1, b.takenBy+r.bytes // so much more is wanted the next time
-				return Reservation{}, false
-			}
-		}
+	periods [periodCount]int64 // that it counts in
+	amount  amount
+}
+
+// Reserve reserves a request that may send so many bytes of bodies. It fails if the budget is used up. outage says that the
+// client's zone has failed.
+func (b *Budget) Reserve(now time.Duration, class string, size int64, outage bool) (Reservation, bool) {
+	b.advancePeriods(now)
+	reservation := Reservation{periods: b.current, amount: amount{requests: 1, bytes: size + b.ResponseBytes}}
+	if !slices.Contains(b.ExemptClasses, class) && !b.permits(reservation.amount, outage) {
+		return Reservation{}, false
 	}
-	for i := range spans {
-		b.reservedRe[i]++
-		b.reservedBy[i] += r.bytes
+	for p := range periodLengths {
+		b.reserved[p] = b.reserved[p].plus(reservation.amount)
+	}
+	b.wanted = b.wanted.plus(reservation.amount)
+	return reservation, true
+}
+
+// permits says whether an amount is within the limits and the lease. One that only the lease denies raises the next lease.
+func (b *Budget) permits(needed amount, outage bool) bool {
+	for p := range periodLengths {
+		limit := b.limit(period(p), outage)
+		total := b.spent[p].plus(b.reserved[p]).plus(needed)
+		if total.exceeds(limit, limit) {
+			return false
+		}
+		if b.leaseRequired && total.exceeds(limit, b.leased[p]) {
+			b.wanted = b.wanted.plus(needed)
+			return false
+		}
 	}
-	b.takenRe, b.takenBy = b.takenRe+1, b.takenBy+r.bytes
-	return r, true
+	return true
 }
 
-// most is what a span allows, with what is lent; 0: no limit.
-func (b *Budget) most(s span, out bool) (requests, bytes int64) {
-	requests, bytes = b.RequestsHour, b.BytesHour
-	if s == day {
-		requests, bytes = b.RequestsDay, b.BytesDay
+// limit is what a period allows, with what is granted during an outage; 0: no limit.
+func (b *Budget) limit(p period, outage bool) amount {
+	limit := amount{b.RequestsHour, b.BytesHour}
+	if p == day {
+		limit = amount{b.RequestsDay, b.BytesDay}
 	}
-	if out {
-		requests += int64(b.Lend * float64(requests))
-		bytes += int64(b.Lend * float64(bytes))
+	if outage {
+		limit.requests += int64(b.OutageShare * float64(limit.requests))
+		limit.bytes += int64(b.OutageShare * float64(limit.bytes))
 	}
-	return requests, bytes
+	return limit
 }
 
-// Settle ends a reservation: so many requests crossed for it, with so many bytes. One that began in an earlier span
-// is spent in that.
-func (b *Budget) Settle(now time.Duration, r Reservation, requests, bytes int64) {
-	if !r.held {
+// Settle ends a reservation with what was really spent on it. In periods that are over the reservation itself has been spent.
+func (b *Budget) Settle(now time.Duration, reservation Reservation, requests, bytes int64) {
+	if reservation.amount.requests == 0 {
 		return
 	}
-	b.turn(now)
-	for i := range spans {
-		if r.index[i] == b.index[i] {
-			b.reservedRe[i]--
-			b.reservedBy[i] -= r.bytes
-			b.requests[i] += requests
-			b.bytes[i] += bytes
+	b.advancePeriods(now)
+	for p := range periodLengths {
+		if reservation.periods[p] == b.current[p] {
+			b.reserved[p] = b.reserved[p].minus(reservation.amount)
+			b.spent[p] = b.spent[p].plus(amount{requests, bytes})
 		}
 	}
 }
 
-// Left says what a budget still allows in the present hour and day, for reports; -1: no limit.
-func (b *Budget) Left(now time.Duration) (requests, bytes [2]int64) {
-	b.turn(now)
-	for i := range spans {
-		r, y := b.most(span(i), false)
-		requests[i], bytes[i] = -1, -1
-		if r > 0 {
-			requests[i] = max(0, r-b.requests[i]-b.reservedRe[i])
-		}
-		if y > 0 {
-			bytes[i] = max(0, y-b.bytes[i]-b.reservedBy[i])
-		}
+// Unlimited stands in Remaining where there is no limit.
+const Unlimited = -1
+
+// Remaining is what a budget still allows in the present hour and day.
+type Remaining struct{ RequestsHour, RequestsDay, BytesHour, BytesDay int64 }
+
+// Remaining is what the budget still allows, without what is granted during an outage.
+func (b *Budget) Remaining(now time.Duration) Remaining {
+	b.advancePeriods(now)
+	inHour, inDay := b.remaining(hour), b.remaining(day)
+	return Remaining{RequestsHour: inHour.requests, RequestsDay: inDay.requests, BytesHour: inHour.bytes, BytesDay: inDay.bytes}
+}
+
+func (b *Budget) remaining(p period) amount {
+	limit, used := b.limit(p, false), b.spent[p].plus(b.reserved[p])
+	remaining := amount{Unlimited, Unlimited}
+	if limit.requests > 0 {
+		remaining.requests = max(0, limit.requests-used.requests)
+	}
+	if limit.bytes > 0 {
+		remaining.bytes = max(0, limit.bytes-used.bytes)
 	}
-	return requests, bytes
+	return remaining
 }
 
-// String names the pair.
-func (p Pair) String() string { return fmt.Sprintf("%s > %s", name(p.From), name(p.To)) }
+// String names the zones of the pair, for reports.
+func (p Pair) String() string { return fmt.Sprintf("%s > %s", DisplayName(p.From), DisplayName(p.To)) }
 
-func name(zone string) string {
+// DisplayName is the name of a zone in reports.
+func DisplayName(zone string) string {
 	if zone == "" {
 		return "(unknown)"
 	}
--- a/internal/zone/budget_test.go
+++ b/internal/zone/budget_test.go
@@ -7,289 +7,171 @@
 	"pgregory.net/rapid"
 )
 
-const hourLong = time.Hour
-
-func TestBudget(t *testing.T) {
-	b := NewBudget(Limit{Pair: Pair{"a", "b"}, RequestsHour: 3, BytesDay: 10_000, Beyond: []string{"alert-send"}, Lend: 0.5, Reply: 1000})
-	now := 1000 * hourLong
-	take := func(class string, out, want bool) Reservation {
+func TestBudgetReservesAndSettles(t *testing.T) {
+	b := NewBudget(Limit{
+		Pair: Pair{"a", "b"}, RequestsHour: 3, BytesDay: 10_000, ExemptClasses: []string{"alert-send"}, OutageShare: 0.5, ResponseBytes: 1000,
+	})
+	now := 1000 * time.Hour
+	reserve := func(class string, outage, want bool) Reservation {
 		t.Helper()
-		r, ok := b.Take(now, class, 100, out)
+		r, ok := b.Reserve(now, class, 100, outage)
 		if ok != want {
-			t.Fatalf("%s, out %v: %v", class, out, ok)
+			t.Fatalf("%s, outage %v: reserved %v, want %v", class, outage, ok, want)
 		}
 		return r
 	}
-	var l []Reservation
+	var reservations []Reservation
 	for range 3 {
-		l = append(l, take("read", false, true))
-	}
-	take("read", false, false)
-	l = append(l, take("alert-send", false, true)) // may go on
-	b.Settle(now, l[0], 0, 0)                      // it did not cross after all
-	b.Settle(now, l[3], 1, 150)
-	if r, _ := b.Left(now); r[hour] != 0 {
-		t.Errorf("%d requests left", r[hour])
-	}
-	b.Settle(now, l[1], 1, 150)
-	take("read", false, false)
-	take("read", true, true) // lent: half of 3 is one more
-	take("read", true, false)
-	now += hourLong
-	take("read", false, true)
-	// What was reserved in the hour before is spent in that.
-	b.Settle(now, l[2], 1, 150)
-	if r, _ := b.Left(now); r[hour] != 2 {
-		t.Errorf("%d requests left in the new hour", r[hour])
+		reservations = append(reservations, reserve("read", false, true))
+	}
+	reserve("read", false, false)
+	reservations = append(reservations, reserve("alert-send", false, true)) // exempt
+	b.Settle(now, reservations[0], 0, 0)                                    // it did not cross after all
+	b.Settle(now, reservations[3], 1, 150)
+	if n := b.Remaining(now).RequestsHour; n != 0 {
+		t.Errorf("%d requests remain", n)
+	}
+	b.Settle(now, reservations[1], 1, 150)
+	reserve("read", false, false)
+	reserve("read", true, true) // during an outage half of 3 is granted on top, which is one more
+	reserve("read", true, false)
+	now += time.Hour
+	reserve("read", false, true)
+	b.Settle(now, reservations[2], 1, 150) // reserved in the hour before, and spent in that
+	if n := b.Remaining(now).RequestsHour; n != 2 {
+		t.Errorf("%d requests remain in the new hour", n)
 	}
 }
 
-// A clock that steps back opens no span again, and at a day's end both begin anew.
-func TestBudgetClock(t *testing.T) {
+// A clock that steps back opens no period again, and at the end of a day both periods begin anew.
+func TestBudgetPeriodsFollowTheClock(t *testing.T) {
 	b := NewBudget(Limit{RequestsHour: 1, RequestsDay: 2})
-	now := 24*1000*hourLong + 23*hourLong
-	take := func(want bool) {
+	now := 1000*dayLength + 23*time.Hour
+	spend := func(want bool) {
 		t.Helper()
-		r, ok := b.Take(now, "", 0, false)
+		r, ok := b.Reserve(now, "", 0, false)
 		if ok != want {
-			t.Fatalf("at %v: %v", now, ok)
+			t.Fatalf("at %v: reserved %v, want %v", now, ok, want)
 		}
 		b.Settle(now, r, 1, 0)
 	}
-	take(true)
-	take(false)
-	now -= 2 * hourLong // stepped back: the later hour goes on
-	take(false)
-	now += 3 * hourLong // the next day
-	take(true)
-	now += hourLong
-	take(true)
-	now += hourLong
-	take(false) // of the day
+	spend(true)
+	spend(false)
+	now -= 2 * time.Hour // stepped back: the later hour goes on
+	spend(false)
+	now += 3 * time.Hour // the next day
+	spend(true)
+	now += time.Hour
+	spend(true)
+	now += time.Hour
+	spend(false) // the day's limit
 }
 
-// What is kept over a restart counts what was reserved as spent.
-func TestBudgetRestart(t *testing.T) {
-	l := Limit{Pair: Pair{"a", "b"}, RequestsHour: 10, BytesHour: 1 << 20, Reply: 100}
-	b := NewBudget(l)
-	now := 500 * hourLong
+func TestRestoredBudgetCountsReservationsAsSpent(t *testing.T) {
+	limit := Limit{Pair: Pair{"a", "b"}, RequestsHour: 10, BytesHour: 1 << 20, ResponseBytes: 100}
+	b := NewBudget(limit)
+	now := 500 * time.Hour
 	for i := range 4 {
-		r, _ := b.Take(now, "", 10, false)
+		r, _ := b.Reserve(now, "", 10, false)
 		if i < 2 {
 			b.Settle(now, r, 1, 50)
 		}
 	}
-	c := NewBudget(l)
-	c.Restore(b.Spent())
-	r, y := c.Left(now)
-	if r[hour] != 6 || y[hour] != 1<<20-2*50-2*110 {
-		t.Errorf("left %d and %d", r[hour], y[hour])
+	restored := NewBudget(limit)
+	restored.Restore(b.Usage())
+	if remaining := restored.Remaining(now); remaining.RequestsHour != 6 || remaining.BytesHour != 1<<20-2*50-2*110 {
+		t.Errorf("remaining %+v", remaining)
 	}
-	c.Restore(Spent{Hour: 499, Requests: [2]int64{9, 9}}) // of an hour that is over
-	if r, _ := c.Left(now); r[hour] != 6 {
-		t.Errorf("left %d", r[hour])
+	restored.Restore(Usage{Hour: 499, Requests: [periodCount]int64{9, 9}}) // of an hour that is over
+	if n := restored.Remaining(now).RequestsHour; n != 6 {
+		t.Errorf("%d requests remain", n)
 	}
 }
 
-// TestBudgetProperty: what crosses never passes the limit, but by the classes that may go on and by answers longer
-// than was reserved, whatever the order of events, the clock and restarts.
+// budgetMachine drives a Budget with random events, and counts beside it what crosses.
+type budgetMachine struct {
+	limit    Limit
+	budget   *Budget
+	now      time.Duration
+	latest   time.Duration // that was seen of a clock that steps back
+	requests []reservedRequest
+	crossed  [periodCount]map[int64]amount // by period
+}
+
+type reservedRequest struct {
+	reservation Reservation
+	class       string
+	size        int64
+}
+
+// What crosses never exceeds the limit, but by exempt classes and by responses longer than reserved, whatever the order of events,
+// the clock and restarts.
 func TestBudgetProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limit{
+		limit := Limit{
 			RequestsHour: int64(rapid.IntRange(0, 5).Draw(t, "rh")), RequestsDay: int64(rapid.IntRange(0, 9).Draw(t, "rd")),
 			BytesHour: int64(rapid.IntRange(0, 900).Draw(t, "bh")), BytesDay: int64(rapid.IntRange(0, 2000).Draw(t, "bd")),
-			Beyond: []string{"alert"}, Reply: 100,
+			ExemptClasses: []string{"alert"}, ResponseBytes: 100,
 		}
-		b := NewBudget(l)
-		now := 100 * 24 * hourLong
-		type open struct {
-			r     Reservation
-			class string
-			size  int64
-		}
-		var out []open
-		type spent struct{ requests, bytes int64 }
-		hours, days := map[int64]*spent{}, map[int64]*spent{}
-		latest := now
-		book := func(bytes int64) {
-			for m, i := range map[*map[int64]*spent]int64{&hours: int64(latest / hourLong), &days: int64(latest / (24 * hourLong))} {
-				if (*m)[i] == nil {
-					(*m)[i] = &spent{}
-				}
-				(*m)[i].requests++
-				(*m)[i].bytes += bytes
-			}
+		m := &budgetMachine{
+			limit: limit, budget: NewBudget(limit), now: 100 * dayLength, latest: 100 * dayLength,
+			crossed: [periodCount]map[int64]amount{{}, {}},
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"take": func(t *rapid.T) {
-				class := rapid.SampledFrom([]string{"read", "read", "read", "alert"}).Draw(t, "class")
-				size := int64(rapid.IntRange(0, 200).Draw(t, "size"))
-				if r, ok := b.Take(now, class, size, false); ok {
-					out = append(out, open{r, class, size})
-				}
-			},
-			"settle": func(t *rapid.T) {
-				if len(out) == 0 {
-					t.Skip("nothing is out")
-				}
-				i := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-				o := out[i]
-				out = append(out[:i], out[i+1:]...)
-				if o.r.index != [2]int64{int64(latest / hourLong), int64(latest / (24 * hourLong))} {
-					b.Settle(now, o.r, 1, 0) // it is spent in the span that it began in
-					return
-				}
-				bytes := o.size + int64(rapid.IntRange(0, 100).Draw(t, "answer"))
-				b.Settle(now, o.r, 1, bytes)
-				if o.class != "alert" {
-					book(bytes)
-				}
-			},
-			"time": func(t *rapid.T) {
-				now += time.Duration(rapid.IntRange(-90, 180).Draw(t, "minutes")) * time.Minute
-				latest = max(latest, now)
-			},
-			"restart": func(t *rapid.T) {
-				x := b.Spent()
-				b = NewBudget(l)
-				b.Restore(x)
-				out = nil // they died with the process, and count as spent
-			},
-			"": func(t *rapid.T) {
-				for m, limit := range map[*map[int64]*spent][2]int64{&hours: {l.RequestsHour, l.BytesHour}, &days: {l.RequestsDay, l.BytesDay}} {
-					for i, s := range *m {
-						if limit[0] > 0 && s.requests > limit[0] || limit[1] > 0 && s.bytes > limit[1] {
-							t.Fatalf("span %d: %+v crossed, the limit is %v", i, *s, limit)
-						}
-					}
-				}
-			},
+			"take": m.reserve, "settle": m.settle, "time": m.passTime, "restart": m.restart, "": m.check,
 		})
 	})
 }
 
-func TestAccount(t *testing.T) {
-	a := NewAccount()
-	day := 24 * hourLong
-	k := Key{Pair: Pair{"a", "b"}, Pool: "p", Class: "read", Customer: "acme"}
-	a.Add(10*day, k, Traffic{1, 10, 100})
-	a.Add(10*day+time.Hour, k, Traffic{1, 10, 100})
-	a.Add(11*day, k, Traffic{1, 1, 1})
-	a.Add(10*day, k, Traffic{1, 1, 1}) // the clock stepped back: no day that was reported grows again
-	l := a.Rows()
-	if len(l) != 2 || l[0].Traffic != (Traffic{2, 20, 200}) || l[1].Traffic != (Traffic{2, 2, 2}) {
-		t.Errorf("rows %+v", l)
-	}
-	if n := len(a.Changed()); n != 2 || len(a.Changed()) != 0 {
-		t.Errorf("%d rows had changed", n)
-	}
-	b := NewAccount()
-	b.Restore(l)
-	b.Add(11*day, k, Traffic{1, 1, 1})
-	if l := b.Rows(); l[1].Traffic != (Traffic{3, 3, 3}) || len(b.Changed()) != 1 {
-		t.Errorf("after a restart %+v", l)
-	}
-	// Customers are told apart up to a bound, days kept up to one.
-	for i := range 10 * maxCustomers {
-		k.Customer = "c" + time.Duration(i).String()
-		a.Add(11*day, k, Traffic{1, 0, 0})
-	}
-	if n := len(a.Rows()); n > maxCustomers+3 {
-		t.Errorf("%d rows", n)
-	}
-	total := Sum(a.Rows(), func(k Key) Key { return Key{Day: k.Day} })
-	if len(total) != 2 || total[1].Requests != 2+10*maxCustomers {
-		t.Errorf("totals %+v", total)
+func (m *budgetMachine) reserve(t *rapid.T) {
+	class := rapid.SampledFrom([]string{"read", "read", "read", "alert"}).Draw(t, "class")
+	size := int64(rapid.IntRange(0, 200).Draw(t, "size"))
+	if r, ok := m.budget.Reserve(m.now, class, size, false); ok {
+		m.requests = append(m.requests, reservedRequest{r, class, size})
 	}
-	a.Add((11+keepDays)*day, k, Traffic{1, 0, 0})
-	if l := a.Rows(); len(l) != 1 {
-		t.Errorf("%d rows after %d days", len(l), keepDays)
+}
+
+func (m *budgetMachine) settle(t *rapid.T) {
+	if len(m.requests) == 0 {
+		t.Skip("nothing is reserved")
+	}
+	i := rapid.IntRange(0, len(m.requests)-1).Draw(t, "which")
+	request := m.requests[i]
+	m.requests = append(m.requests[:i], m.requests[i+1:]...)
+	current := [periodCount]int64{int64(m.latest / time.Hour), int64(m.latest / dayLength)}
+	if request.reservation.periods != current {
+		m.budget.Settle(m.now, request.reservation, 1, 0) // it is spent in the period that it began in
+		return
+	}
+	bytes := request.size + int64(rapid.IntRange(0, 100).Draw(t, "answer"))
+	m.budget.Settle(m.now, request.reservation, 1, bytes)
+	if request.class == "alert" {
+		return
+	}
+	for p, number := range current {
+		m.crossed[p][number] = m.crossed[p][number].plus(amount{1, bytes})
 	}
 }
 
-// What is spent over any number of lives never passes the limit, wherever a crash comes: between two writings, just
-// after one, before or after a span turns. A writing that failed lets nothing be spent.
-func TestLeaseProperty(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		l := Limit{
-			RequestsHour: int64(rapid.IntRange(0, 60).Draw(t, "rh")), RequestsDay: int64(rapid.IntRange(0, 200).Draw(t, "rd")),
-			BytesHour: int64(rapid.IntRange(0, 9000).Draw(t, "bh")), BytesDay: int64(rapid.IntRange(0, 20000).Draw(t, "bd")), Reply: 100,
-		}
-		now := 100 * 24 * hourLong
-		var disk *Spent
-		write := func(b *Budget, works bool) {
-			x := b.Lease(now)
-			if works {
-				disk = &x
-				b.Leased(x)
-			}
-		}
-		life := func() *Budget {
-			b := NewBudget(l)
-			if disk != nil {
-				b.Restore(*disk)
-			}
-			b.Keep()
-			write(b, true)
-			return b
-		}
-		b := life()
-		requests, bytes := [2]map[int64]int64{{}, {}}, [2]map[int64]int64{{}, {}}
-		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			switch rapid.SampledFrom([]string{"take", "take", "take", "take", "write", "write", "fails", "crash", "hour"}).Draw(t, "step") {
-			case "take":
-				size := int64(rapid.IntRange(0, 300).Draw(t, "size"))
-				if r, ok := b.Take(now, "", size, false); ok {
-					for i, length := range spans {
-						requests[i][int64(now/length)]++
-						bytes[i][int64(now/length)] += size + l.Reply
-					}
-					b.Settle(now, r, 1, size+l.Reply)
-				}
-			case "write":
-				write(b, true)
-			case "fails":
-				write(b, false)
-			case "crash":
-				b = life()
-			case "hour":
-				now += time.Duration(rapid.IntRange(1, 90).Draw(t, "minutes")) * time.Minute
-			}
-			for i := range spans {
-				r, y := b.most(span(i), false)
-				for at, n := range requests[i] {
-					if r > 0 && n > r || y > 0 && bytes[i][at] > y {
-						t.Fatalf("span %d of %v: %d requests, %d bytes of %+v", at, spans[i], n, bytes[i][at], l)
-					}
-				}
-			}
-		}
-	})
+func (m *budgetMachine) passTime(t *rapid.T) {
+	m.now += time.Duration(rapid.IntRange(-90, 180).Draw(t, "minutes")) * time.Minute
+	m.latest = max(m.latest, m.now)
 }
 
-// Without crashes a lease costs nothing that matters: all of a limit can be spent, with a writing now and then, and
-// over the turn of an hour there is no gap.
-func TestLeaseSpendsAll(t *testing.T) {
-	b := NewBudget(Limit{RequestsHour: 1000})
-	b.Keep()
-	now := 500*hourLong + 59*time.Minute + 50*time.Second
-	b.Leased(b.Lease(now))
-	for _, want := range []int64{1000, 1000} { // ten seconds before the turn, and the hour after it
-		got, gap := int64(0), 0
-		for second := 0; second < 10; second++ {
-			for range 200 {
-				if r, ok := b.Take(now, "", 0, false); ok {
-					b.Settle(now, r, 1, 0)
-					got++
-				} else if second == 0 && got == 0 {
-					gap++
-				}
+func (m *budgetMachine) restart(*rapid.T) {
+	usage := m.budget.Usage()
+	m.budget = NewBudget(m.limit)
+	m.budget.Restore(usage)
+	m.requests = nil // they died with the process, and count as spent
+}
+
+func (m *budgetMachine) check(t *rapid.T) {
+	limits := [periodCount]amount{{m.limit.RequestsHour, m.limit.BytesHour}, {m.limit.RequestsDay, m.limit.BytesDay}}
+	for p, limit := range limits {
+		for number, crossed := range m.crossed[p] {
+			if limit.requests > 0 && crossed.requests > limit.requests || limit.bytes > 0 && crossed.bytes > limit.bytes {
+				t.Fatalf("period %d of %v: %+v crossed, the limit is %+v", number, periodLengths[p], crossed, limit)
 			}
-			b.Leased(b.Lease(now))
-			now += time.Second
-		}
-		if got != want || gap > 0 {
-			t.Errorf("%d of 1,000 spent, %d refused before the first", got, gap)
 		}
 	}
 }
--- a/internal/zone/choose.go
+++ b/internal/zone/choose.go
@@ -6,130 +6,159 @@
 	"time"
 )
 
-// Choose says where a request of a zone goes: places in order, the first for its first attempt and the others should
-// that have no server for it. may says whether the budget lets it cross to a zone; it is asked once a zone at the
-// most. Empty: nowhere, for every place that has servers is beyond the budget or the price.
-func (s *Spreader) Choose(now time.Duration, from, class string, may func(to string) bool) []Place {
+// saturatedUnhealthyFactor is how much more a call to an unhealthy locality counts where no locality has room.
+const saturatedUnhealthyFactor = 16
+
+// Choose returns the localities that a request of a zone may go to: the first is for its first attempt, and the others are used
+// while no server of those before can be. mayCross says whether the budget lets the request cross to a zone. It is asked only
+// where the answer matters, and once for each locality at most. An empty result means nowhere: no locality has servers, or those
+// that have are beyond the budget or of infinite cost.
+func (s *Selector) Choose(now time.Duration, from, class string, mayCross func(to string) bool) []Locality {
 	s.Advance(now)
-	order := s.orderOf(from)
-	if len(order) == 0 {
-		return []Place{}
+	choice := localityChoice{selector: s, from: from, candidates: s.orderFrom(from), mayCross: mayCross}
+	if len(choice.candidates) == 0 {
+		return []Locality{}
 	}
-	first := -1
-	allowed := make([]int8, len(order)) // 1: it may, 2: it may not
-	ok := func(i int) bool {
-		if allowed[i] == 0 {
-			allowed[i] = 2
-			if order[i].Zone == from || may(order[i].Zone) {
-				allowed[i] = 1
-			}
-		}
-		return allowed[i] == 1
+	choice.answers = make([]budgetAnswer, len(choice.candidates))
+	first, found := choice.withRoom(class)
+	if !found {
+		first, found = choice.leastLoaded()
 	}
-	for i := 0; i < len(order) && first < 0; i++ {
-		if a := s.areas[order[i]]; a.room() && (i == 0 || a.better(s.areas[order[0]], class)) && ok(i) {
-			first = i
-		}
+	if !found {
+		return []Locality{}
 	}
-	if first < 0 {
-		// Nowhere is room: the place that is least over what it takes, and whether it is held or turned away
-		// there is the decision module's. At equal loads the first in order.
-		least := math.Inf(1)
-		for i, p := range order {
-			a := s.areas[p]
-			load := float64(a.out+1) / a.limit()
-			if a.sick {
-				load *= sickLoad
-			}
-			if load < least*(1-margin) && ok(i) {
-				first, least = i, load
-			}
+	chosen := []Locality{choice.candidates[first]}
+	if s.states[chosen[0]].reliable() {
+		return chosen
+	}
+	if alternative, found := choice.alternative(first); found {
+		chosen = append(chosen, choice.candidates[alternative])
+	}
+	return chosen
+}
+
+// reliable says that a request sent to the locality will hardly need an alternative: another server is there for a retry, and
+// nothing has failed lately.
+func (l *localityState) reliable() bool {
+	return len(l.servers) > 1 && !l.degraded && l.window.failed+l.window.rejected == 0
+}
+
+// budgetAnswer is what the budget said of a candidate, which is asked once since its consent is a reservation.
+type budgetAnswer int8
+
+const (
+	notAsked budgetAnswer = iota
+	permitted
+	denied
+)
+
+// localityChoice is the choice for one request.
+type localityChoice struct {
+	selector   *Selector
+	from       string
+	candidates []Locality // in order of preference
+	mayCross   func(to string) bool
+	answers    []budgetAnswer // of each candidate
+}
+
+func (c *localityChoice) state(candidate int) *localityState {
+	return c.selector.states[c.candidates[candidate]]
+}
+
+// permitted says whether the request may go to a candidate, for which the budget is asked if need be.
+func (c *localityChoice) permitted(candidate int) bool {
+	if c.answers[candidate] == notAsked {
+		c.answers[candidate] = denied
+		if zone := c.candidates[candidate].Zone; zone == c.from || c.mayCross(zone) {
+			c.answers[candidate] = permitted
 		}
 	}
-	if first < 0 {
-		return []Place{}
+	return c.answers[candidate] == permitted
+}
+
+// withRoom finds the first candidate that has room, and that answers faster than the preferred one if it is not that itself.
+func (c *localityChoice) withRoom(class string) (candidate int, found bool) {
+	for i := range c.candidates {
+		state := c.state(i)
+		if state.hasRoom() && (i == 0 || state.betterThan(c.state(0), class)) && c.permitted(i) {
+			return i, true
+		}
 	}
-	l := []Place{order[first]}
-	if a := s.areas[order[first]]; len(a.hosts) > 1 && !a.shaky && a.bad+a.turned == 0 {
-		return l
+	return 0, false
+}
+
+// leastLoaded finds the candidate whose limit is exceeded the least, and the preferred one among about equal ones. It is for
+// requests that no locality has room for; whether they wait there or are rejected is the decision module's choice.
+func (c *localityChoice) leastLoaded() (candidate int, found bool) {
+	least := math.Inf(1)
+	for i := range c.candidates {
+		state := c.state(i)
+		load := float64(state.inFlight+1) / state.limit()
+		if state.unhealthy {
+			load *= saturatedUnhealthyFactor
+		}
+		if load < least*(1-betterMargin) && c.permitted(i) {
+			candidate, found, least = i, true, load
+		}
 	}
-	for i, p := range order {
-		// One alternative, and only where it may be needed: it costs a reservation of the budget until the request
-		// has ended.
-		if i != first && !s.areas[p].sick && ok(i) {
-			return append(l, p)
+	return candidate, found
+}
+
+// alternative finds a healthy candidate beside the first. One is enough, and only for requests that may need it: it costs a
+// reservation of the budget until the request has ended.
+func (c *localityChoice) alternative(first int) (candidate int, found bool) {
+	for i := range c.candidates {
+		if i != first && !c.state(i).unhealthy && c.permitted(i) {
+			return i, true
 		}
 	}
-	return l
+	return 0, false
 }
 
-// orderOf is the order in which a zone's load takes the places. Where the control plane gives weights to the zones
-// of a priority, they are taken in an order drawn by these, as it means, and not by cost.
-func (s *Spreader) orderOf(from string) []Place {
-	l, known := s.orders[from]
-	if !known {
+// orderFrom is the order in which the requests of a zone prefer the localities. Where the control plane gives weights to the
+// localities of a priority, these are drawn by weight, as EDS defines it, and not ordered by cost.
+func (s *Selector) orderFrom(zone string) []Locality {
+	order, cached := s.orders[zone]
+	if !cached {
 		if len(s.orders) >= MaxZones {
 			clear(s.orders)
 		}
-		l = s.cfg.order(from, s.places)
-		s.orders[from] = l
+		order = s.config.order(zone, s.localities)
+		s.orders[zone] = order
 	}
-	if !s.weigh {
-		return l
+	if !s.weighted {
+		return order
 	}
-	l = slices.Clone(l)
-	for i := 0; i < len(l); {
-		j := i
-		for j < len(l) && l[j].Priority == l[i].Priority {
-			j++
+	order = slices.Clone(order)
+	for start := 0; start < len(order); {
+		end := start
+		for end < len(order) && order[end].Priority == order[start].Priority {
+			end++
 		}
-		s.drawByWeight(l[i:j])
-		i = j
+		s.drawByWeight(order[start:end])
+		start = end
 	}
-	return l
+	return order
 }
 
-// drawByWeight puts places into an order drawn by their weights, without replacement; those without weight come last
-// in their order.
-func (s *Spreader) drawByWeight(l []Place) {
-	slices.SortStableFunc(l, func(x, y Place) int {
-		wx, wy := s.areas[x].weight, s.areas[y].weight
-		switch {
-		case wx > 0 && wy <= 0:
-			return -1
-		case wx <= 0 && wy > 0:
-			return 1
-		}
-		return 0
-	})
-	for i := range l {
+// drawByWeight shuffles localities by weighted sampling without replacement. Those without a weight come last, in their order.
+func (s *Selector) drawByWeight(localities []Locality) {
+	weight := func(l Locality) float64 { return s.states[l].weight }
+	slices.SortStableFunc(localities, func(a, b Locality) int { return trueFirst(weight(a) > 0, weight(b) > 0) })
+	for i := range localities {
 		total := 0.0
-		for _, p := range l[i:] {
-			total += s.areas[p].weight
+		for _, l := range localities[i:] {
+			total += weight(l)
 		}
 		if total <= 0 {
 			return
 		}
-		x := s.rng.Float64() * total
-		for j := i; j < len(l); j++ {
-			if x -= s.areas[l[j]].weight; x < 0 {
-				l[i], l[j] = l[j], l[i]
+		draw := s.random.Float64() * total
+		for j := i; j < len(localities); j++ {
+			if draw -= weight(localities[j]); draw < 0 {
+				localities[i], localities[j] = localities[j], localities[i]
 				break
 			}
 		}
 	}
 }
-
-// Out says that a zone has lost most of what it takes: it has no servers, or is sick.
-func (s *Spreader) Out(zone string) bool {
-	any := false
-	for _, p := range s.places {
-		if p.Zone == zone {
-			any = true
-			if !s.areas[p].sick {
-				return false
-			}
-		}
-	}
-	return any || len(s.places) > 0
-}
--- /dev/null
+++ b/internal/zone/config.go
@@ -0,0 +1,110 @@
+package zone
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"cranegrade/balancer"
+)
+
+// Locality is what a Selector chooses among: the servers of one zone and one priority.
+type Locality = balancer.Place
+
+// Pair is a direction between zones: from the zone of the client to the zone of the server.
+type Pair struct{ From, To string }
+
+// Cost is the cost of a call between two zones.
+type Cost struct {
+	Latency time.Duration // added to a call, for the round trip
+	Price   float64       // of one request, in a unit of the operator's choice; +Inf: the pair is never used
+}
+
+// UnknownZonePolicy says how servers are used whose zone is not known. Their traffic is accounted under the zone "" in any case.
+type UnknownZonePolicy int
+
+// The policies for servers without a zone.
+const (
+	UnknownZoneLast   UnknownZonePolicy = iota // after all known zones
+	UnknownZoneAsHome                          // like servers of the home zone
+	UnknownZoneNever                           // not at all
+)
+
+// String is the policy as the operator's file calls it.
+func (p UnknownZonePolicy) String() string {
+	switch p {
+	case UnknownZoneLast:
+		return "last"
+	case UnknownZoneAsHome:
+		return "home"
+	case UnknownZoneNever:
+		return "never"
+	}
+	return "invalid"
+}
+
+// Config configures a Selector and the Module around it. Only Home is required.
+type Config struct {
+	Home            string // zone of this node
+	Costs           map[Pair]Cost
+	DefaultCost     Cost    // of pairs that are missing in Costs
+	LatencyWeight   float64 // cost of one second of latency, in the unit of Price
+	UnknownZones    UnknownZonePolicy
+	Nodes           int                      // instances that share the servers; 0: one
+	LatencyTargets  map[string]time.Duration // by class; missing: one second
+	MaxAttempts     int                      // of one request; 0: one
+	InitialLimit    float64                  // calls in flight at one server of the home zone at the start; 0: 5
+	SlowStartShare  float64                  // share of its capacity that a server has just after its start; 0: all of it
+	SlowStartWindow time.Duration            // time from its start until a server has its full capacity
+}
+
+// cost is the cost of one call in the unit of prices. Calls within a zone are free.
+func (c *Config) cost(from, to string) float64 {
+	if from == to || to == "" && c.UnknownZones == UnknownZoneAsHome && from == c.Home {
+		return 0
+	}
+	if to == "" {
+		switch c.UnknownZones {
+		case UnknownZoneNever:
+			return math.Inf(1)
+		case UnknownZoneLast:
+			return math.MaxFloat64
+		case UnknownZoneAsHome: // from other zones than home: what the pair costs
+		}
+	}
+	pairCost, configured := c.Costs[Pair{from, to}]
+	if !configured {
+		pairCost = c.DefaultCost
+	}
+	return pairCost.Price + c.LatencyWeight*pairCost.Latency.Seconds()
+}
+
+// MaxZones bounds the zones that are told apart. Servers of further zones count as servers without a zone.
+const MaxZones = 64
+
+// order returns the localities that the requests of a zone may use, in order of preference: by priority, then the zone itself,
+// then by cost. Localities of infinite cost are left out.
+func (c *Config) order(from string, localities []Locality) []Locality {
+	usable := slices.DeleteFunc(slices.Clone(localities), func(l Locality) bool { return math.IsInf(c.cost(from, l.Zone), 1) })
+	slices.SortFunc(usable, func(a, b Locality) int {
+		return cmp.Or(
+			cmp.Compare(a.Priority, b.Priority),
+			trueFirst(a.Zone == from, b.Zone == from),
+			cmp.Compare(c.cost(from, a.Zone), c.cost(from, b.Zone)),
+			cmp.Compare(a.Zone, b.Zone),
+		)
+	})
+	return usable
+}
+
+// trueFirst orders true before false.
+func trueFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return -1
+	}
+	return 1
+}
--- a/internal/zone/model/model.go
+++ b/internal/zone/model/model.go
@@ -1,456 +1,284 @@
-// Package model plays zones of servers in simulated time, to measure where policies send the load of a zone that
-// fails, slows down or heals. It is part of the rig: seeded, without clock or I/O, and knows nothing of the module;
-// servers are queues, and a node draws the less loaded of two servers of the zone that its policy names.
+// Package model is a discrete-event simulation of zones of servers. It measures where policies send the load of a zone that fails,
+// slows down or recovers, and at what cost for the other zones.
+//
+// It belongs to the test rig and is pure: it must never read a clock, start a goroutine or do I/O, and equal seeds give equal
+// results. It knows nothing of the decision module: servers are queues, and a node picks the less loaded of two random servers of
+// the zone that its policy names.
 package model
 
 import (
-	"container/heap"
-	"math"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"cranegrade/balancer"
-	"cranegrade/internal/zone"
+	"cranegrade/internal/eventqueue"
 )
 
-// Policy decides for one node which zone a request goes to.
+// Policy decides for the node of one zone which zone a request goes to. Zones are numbered from 0.
 type Policy interface {
 	Choose(now time.Duration) int
-	Began(now time.Duration, zone int)
-	Ended(now time.Duration, zone int, e balancer.Ending, took time.Duration)
-	// Health tells how many servers of each zone are listed, of how many there are.
-	Health(now time.Duration, healthy []int, all int)
+	AttemptStarted(now time.Duration, zone int)
+	AttemptEnded(now time.Duration, zone int, ending balancer.Ending, took time.Duration)
+	// UpdateHealth tells how many servers of each zone are listed as healthy, of serversPerZone.
+	UpdateHealth(now time.Duration, healthy []int, serversPerZone int)
 }
 
-// Trouble is what befalls the first zone.
-type Trouble int
+// Fault is what happens to the first zone.
+type Fault int
 
-// Troubles.
+// The faults.
 const (
-	Outage   Trouble = iota // all its servers refuse
-	BrownOut                // all take three times as long, and look healthy
-	Third                   // a third of them refuse
-	Return                  // all refuse, and come back a tenth at a time
+	Outage        Fault = iota // all servers refuse
+	Brownout                   // all servers take brownoutFactor times as long, and are listed as healthy
+	PartialOutage              // a third of the servers refuse
+	GradualReturn              // all servers refuse, and come back a tenth at a time
 )
 
-// String names a trouble.
-func (t Trouble) String() string { return [...]string{"outage", "brown-out", "a third", "return"}[t] }
+// String names a fault.
+func (f Fault) String() string {
+	switch f {
+	case Outage:
+		return "outage"
+	case Brownout:
+		return "brownout"
+	case PartialOutage:
+		return "partial outage"
+	case GradualReturn:
+		return "gradual return"
+	}
+	return "invalid"
+}
 
-// Config is a play.
+// Config configures a simulation.
 type Config struct {
-	Zones   int
-	Servers int           // a zone
-	Work    time.Duration // mean of a request, exponential
-	Load    float64       // share of a zone's capacity that comes to each
-	Cross   time.Duration // of a call to another zone, there and back
-	Queue   int           // requests that wait at a server; more are turned away
-	Aim     time.Duration
-	Limit   time.Duration // how long an answer is waited for
-	Length  time.Duration
-	From    time.Duration // the trouble begins
-	Until   time.Duration // and is over, or with Return begins to be
-	Notice  time.Duration // until the list says that a server is gone or back
-	Trouble Trouble
-	Seed    uint64
+	Zones            int
+	ServersPerZone   int
+	MeanServiceTime  time.Duration // of a request; exponentially distributed
+	Load             float64       // offered in each zone, as a share of its capacity
+	CrossZoneLatency time.Duration // of the round trip to another zone
+	QueueLimit       int           // requests at a server; further ones are rejected
+	LatencyTarget    time.Duration
+	Timeout          time.Duration // of a request
+	Duration         time.Duration // until the last arrival
+	FaultStart       time.Duration
+	FaultEnd         time.Duration // for GradualReturn the time when servers begin to come back
+	DetectionDelay   time.Duration // until the list shows that a server has failed or is back
+	Fault            Fault
+	Seed             uint64
 }
 
-// Default is a play of a minute.
-func Default(zones int, t Trouble, seed uint64) Config {
+// DefaultConfig is a simulation of 40 seconds, of which the fault lasts 15.
+func DefaultConfig(zones int, fault Fault, seed uint64) Config {
 	return Config{
-		Zones: zones, Servers: 10, Work: 20 * time.Millisecond, Load: 0.55, Cross: 5 * time.Millisecond, Queue: 30,
-		Aim: 200 * time.Millisecond, Limit: time.Second, Length: 40 * time.Second, From: 10 * time.Second, Until: 25 * time.Second,
-		Notice: time.Second, Trouble: t, Seed: seed,
+		Zones: zones, ServersPerZone: 10, MeanServiceTime: 20 * time.Millisecond, Load: 0.55, CrossZoneLatency: 5 * time.Millisecond,
+		QueueLimit: 30, LatencyTarget: 200 * time.Millisecond, Timeout: time.Second, Duration: 40 * time.Second,
+		FaultStart: 10 * time.Second, FaultEnd: 25 * time.Second, DetectionDelay: time.Second, Fault: fault, Seed: seed,
 	}
 }
 
-// Result is what came of a play, from the beginning of the trouble on.
-type Result struct {
-	InTime  float64       // share of requests answered within the aim
-	Served  float64       // and within the limit
-	Worst   time.Duration // 99th percentile of answers
-	Crossed float64       // share of attempts that crossed
-	Swings  int           // times that the first zone's share of its own load turned by a fifth and more
-	Pushed  float64       // share of the other zones' own requests answered within the aim
-}
+const (
+	localLatency   = 200 * time.Microsecond // of the round trip within a zone
+	maxRetries     = 2                      // of a request
+	brownoutFactor = 3
+	returnSteps    = 10 // of GradualReturn, one a second
+
+	simulationStream = 0x20de // keeps the draws apart from those of others that have the same seed
+)
 
 type server struct {
 	up, listed bool
-	free       time.Duration // when it has worked off what it has
-	slow       float64
-	waiting    int
+	busyUntil  time.Duration // when it has worked off its queue
+	slowdown   float64       // factor of the service time
+	queued     int
 }
 
-type event struct {
-	at   time.Duration
-	do   func(now time.Duration)
-	turn uint64
+// simulation is a run in progress.
+type simulation struct {
+	config   Config
+	random   *rand.Rand
+	events   eventqueue.Queue
+	now      time.Duration
+	zones    [][]*server
+	inFlight [][][]int // calls by node, zone and server
+	policies []Policy  // of the node of each zone
+	counts   counts
 }
 
-type queue []event
-
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].turn < q[j].turn
-}
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
-	l := *q
-	x := l[len(l)-1]
-	*q = l[:len(l)-1]
-	return x
-}
-
-type play struct {
-	okd     map[int][2]int
-	cfg     Config
-	rng     *rand.Rand
-	q       queue
-	turn    uint64
-	zones   [][]*server
-	calls   [][][]int // own calls, by node, zone and server
-	nodes   []Policy
-	all, ok int
-	served  int
-	ownAll  int
-	ownOK   int
-	tries   int
-	crossed int
-	took    []float64
-	home    []int // attempts of the first zone's load that stay, by second
-	load    []int // and all of them
-}
-
-// Play plays a configuration, each zone with one node of its own policy.
-func Play(cfg Config, policy func(home int) Policy) Result {
-	p := &play{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x20de))}
-	seconds := int(cfg.Length/time.Second) + 5
-	p.home, p.load = make([]int, seconds), make([]int, seconds)
-	for range cfg.Zones {
-		var z []*server
-		for range cfg.Servers {
-			z = append(z, &server{up: true, listed: true, slow: 1})
+// Run runs a simulation in which each zone has one node with a policy of its own.
+func Run(config Config, newPolicy func(home int) Policy) Result {
+	s := &simulation{config: config, random: rand.New(rand.NewPCG(config.Seed, simulationStream)), counts: newCounts(config.Duration)}
+	for range config.Zones {
+		var servers []*server
+		for range config.ServersPerZone {
+			servers = append(servers, &server{up: true, listed: true, slowdown: 1})
 		}
-		p.zones = append(p.zones, z)
+		s.zones = append(s.zones, servers)
 	}
-	for home := range cfg.Zones {
-		var calls [][]int
-		for range cfg.Zones {
-			calls = append(calls, make([]int, cfg.Servers))
+	for home := range config.Zones {
+		var inFlight [][]int
+		for range config.Zones {
+			inFlight = append(inFlight, make([]int, config.ServersPerZone))
 		}
-		p.calls = append(p.calls, calls)
-		p.nodes = append(p.nodes, policy(home))
+		s.inFlight = append(s.inFlight, inFlight)
+		s.policies = append(s.policies, newPolicy(home))
 	}
-	p.tell(0)
-	for home := range cfg.Zones {
-		p.arrive(0, home)
+	s.publishHealth()
+	for home := range config.Zones {
+		s.scheduleArrival(home)
 	}
-	p.trouble()
-	for p.q.Len() > 0 {
-		e := heap.Pop(&p.q).(event)
-		e.do(e.at)
+	s.scheduleFault()
+	for event, ok := s.events.Next(); ok; event, ok = s.events.Next() {
+		s.now = event.At
+		event.Run()
 	}
-	return p.result()
-}
-
-func (p *play) at(t time.Duration, do func(now time.Duration)) {
-	p.turn++
-	heap.Push(&p.q, event{t, do, p.turn})
+	return s.counts.result()
 }
 
-func (p *play) tell(now time.Duration) {
-	healthy := make([]int, len(p.zones))
-	for i, z := range p.zones {
-		for _, s := range z {
-			if s.listed {
-				healthy[i]++
+func (s *simulation) publishHealth() {
+	healthy := make([]int, len(s.zones))
+	for zone, servers := range s.zones {
+		for _, server := range servers {
+			if server.listed {
+				healthy[zone]++
 			}
 		}
 	}
-	for _, n := range p.nodes {
-		n.Health(now, healthy, p.cfg.Servers)
+	for _, policy := range s.policies {
+		policy.UpdateHealth(s.now, healthy, s.config.ServersPerZone)
 	}
 }
 
-func (p *play) trouble() {
-	set := func(at time.Duration, f func(i int, s *server)) {
-		p.at(at, func(time.Duration) {
-			for i, s := range p.zones[0] {
-				f(i, s)
-			}
-		})
-		p.at(at+p.cfg.Notice, func(now time.Duration) {
-			for _, s := range p.zones[0] {
-				s.listed = s.up
-			}
-			p.tell(now)
-		})
-	}
-	switch c := p.cfg; c.Trouble {
+// scheduleFault schedules the beginning of the fault and its end.
+func (s *simulation) scheduleFault() {
+	start, end := s.config.FaultStart, s.config.FaultEnd
+	switch s.config.Fault {
 	case Outage:
-		set(c.From, func(_ int, s *server) { s.up = false })
-		set(c.Until, func(_ int, s *server) { s.up, s.free = true, 0 })
-	case BrownOut:
-		set(c.From, func(_ int, s *server) { s.slow = 3 })
-		set(c.Until, func(_ int, s *server) { s.slow = 1 })
-	case Third:
-		set(c.From, func(i int, s *server) { s.up = i%3 != 0 })
-		set(c.Until, func(_ int, s *server) { s.up = true })
-	case Return:
-		set(c.From, func(_ int, s *server) { s.up = false })
-		for k := range 10 {
-			set(c.Until+time.Duration(k)*time.Second, func(i int, s *server) { s.up = i*10 < (k+1)*c.Servers })
+		s.changeServers(start, func(_ int, server *server) { server.up = false })
+		s.changeServers(end, func(_ int, server *server) { server.up, server.busyUntil = true, 0 })
+	case Brownout:
+		s.changeServers(start, func(_ int, server *server) { server.slowdown = brownoutFactor })
+		s.changeServers(end, func(_ int, server *server) { server.slowdown = 1 })
+	case PartialOutage:
+		s.changeServers(start, func(i int, server *server) { server.up = i%3 != 0 })
+		s.changeServers(end, func(_ int, server *server) { server.up = true })
+	case GradualReturn:
+		s.changeServers(start, func(_ int, server *server) { server.up = false })
+		for step := range returnSteps {
+			s.changeServers(end+time.Duration(step)*time.Second, func(i int, server *server) {
+				server.up = i*returnSteps < (step+1)*s.config.ServersPerZone
+			})
 		}
 	}
 }
 
-func (p *play) arrive(now time.Duration, home int) {
-	rate := p.cfg.Load * float64(p.cfg.Servers) / p.cfg.Work.Seconds()
-	next := now + time.Duration(p.rng.ExpFloat64()/rate*float64(time.Second))
-	if next > p.cfg.Length {
-		return
-	}
-	p.at(next, func(now time.Duration) {
-		p.request(now, now, home, 0)
-		p.arrive(now, home)
+// changeServers changes the servers of the first zone at a time. The list shows it after the detection delay.
+func (s *simulation) changeServers(at time.Duration, change func(i int, server *server)) {
+	s.events.Schedule(at, func() {
+		for i, server := range s.zones[0] {
+			change(i, server)
+		}
+	})
+	s.events.Schedule(at+s.config.DetectionDelay, func() {
+		for _, server := range s.zones[0] {
+			server.listed = server.up
+		}
+		s.publishHealth()
 	})
 }
 
-// request makes an attempt; one that is refused is tried again, twice at the most.
-func (p *play) request(began, now time.Duration, home, tries int) {
-	n := p.nodes[home]
-	to := n.Choose(now)
-	s, i := p.draw(home, to)
-	if s == nil {
-		p.answer(began, now, home, false)
-		return
-	}
-	p.count(now, home, to)
-	n.Began(now, to)
-	p.calls[home][to][i]++
-	end := func(now time.Duration, e balancer.Ending) {
-		p.calls[home][to][i]--
-		n.Ended(now, to, e, now-began)
-		switch {
-		case e == balancer.Success:
-			p.answer(began, now, home, true)
-		case e != balancer.TimedOut && tries < 2:
-			p.request(began, now, home, tries+1)
-		default:
-			p.answer(began, now, home, false)
-		}
-	}
-	way := 200 * time.Microsecond
-	if to != home {
-		way = p.cfg.Cross
-	}
-	switch {
-	case !s.up:
-		p.at(now+way, func(now time.Duration) { end(now, balancer.Unreachable) })
-		return
-	case s.waiting >= p.cfg.Queue:
-		p.at(now+way, func(now time.Duration) { end(now, balancer.Overloaded) })
+// scheduleArrival schedules the next request of a zone. Arrivals are a Poisson process.
+func (s *simulation) scheduleArrival(home int) {
+	rate := s.config.Load * float64(s.config.ServersPerZone) / s.config.MeanServiceTime.Seconds()
+	next := s.now + time.Duration(s.random.ExpFloat64()/rate*float64(time.Second))
+	if next > s.config.Duration {
 		return
 	}
-	work := time.Duration(p.rng.ExpFloat64() * s.slow * float64(p.cfg.Work))
-	s.free = max(s.free, now) + work
-	s.waiting++
-	p.at(s.free, func(time.Duration) { s.waiting-- })
-	if done := s.free + way; done-began > p.cfg.Limit {
-		p.at(began+p.cfg.Limit, func(now time.Duration) { end(now, balancer.TimedOut) })
-	} else {
-		p.at(done, func(now time.Duration) { end(now, balancer.Success) })
-	}
+	s.events.Schedule(next, func() {
+		s.attempt(request{home: home, arrivedAt: s.now})
+		s.scheduleArrival(home)
+	})
 }
 
-// draw takes the less loaded of two listed servers, by own calls.
-func (p *play) draw(home, to int) (*server, int) {
-	var l []int
-	for i, s := range p.zones[to] {
-		if s.listed {
-			l = append(l, i)
-		}
-	}
-	if len(l) == 0 {
-		return nil, 0
-	}
-	x, y := l[p.rng.IntN(len(l))], l[p.rng.IntN(len(l))]
-	if p.calls[home][to][y] < p.calls[home][to][x] {
-		x = y
-	}
-	return p.zones[to][x], x
+// request is a request on its way.
+type request struct {
+	home      int
+	arrivedAt time.Duration
+	retries   int
 }
 
-func (p *play) count(now time.Duration, home, to int) {
-	if now < p.cfg.From {
+// attempt sends a request to a server, which serves, rejects or refuses it.
+func (s *simulation) attempt(r request) {
+	policy := s.policies[r.home]
+	zone := policy.Choose(s.now)
+	server, index := s.pickServer(r.home, zone)
+	if server == nil {
+		s.answer(r, false)
 		return
 	}
-	p.tries++
-	if to != home {
-		p.crossed++
+	s.counts.attempt(s.config, s.now, r.home, zone)
+	policy.AttemptStarted(s.now, zone)
+	s.inFlight[r.home][zone][index]++
+	endAt := func(at time.Duration, ending balancer.Ending) {
+		s.events.Schedule(at, func() {
+			s.inFlight[r.home][zone][index]--
+			policy.AttemptEnded(s.now, zone, ending, s.now-r.arrivedAt)
+			s.attemptEnded(r, ending)
+		})
 	}
-	if second := int(now / time.Second); home == 0 && second < len(p.load) {
-		p.load[second]++
-		if to == home {
-			p.home[second]++
-		}
+	latency := localLatency
+	if zone != r.home {
+		latency = s.config.CrossZoneLatency
 	}
-}
-
-func (p *play) answer(began, now time.Duration, home int, served bool) {
-	if began < p.cfg.From {
+	switch {
+	case !server.up:
+		endAt(s.now+latency, balancer.Unreachable)
 		return
-	}
-	p.all++
-	if home != 0 {
-		p.ownAll++
-	}
-	if !served {
+	case server.queued >= s.config.QueueLimit:
+		endAt(s.now+latency, balancer.Overloaded)
 		return
 	}
-	p.served++
-	p.took = append(p.took, (now - began).Seconds())
-	if now-began <= p.cfg.Aim {
-		p.ok++
-		if home != 0 {
-			p.ownOK++
-		}
-	}
-}
-
-func (p *play) result() Result {
-	r := Result{InTime: share(p.ok, p.all), Served: share(p.served, p.all), Crossed: share(p.crossed, p.tries), Pushed: share(p.ownOK, p.ownAll)}
-	slices.Sort(p.took)
-	if n := len(p.took); n > 0 {
-		r.Worst = time.Duration(p.took[n*99/100] * float64(time.Second))
-	}
-	// A swing is a turn of the share that stays, by a fifth from its last extreme.
-	last, dir := math.NaN(), 0.0
-	for i, n := range p.load {
-		if n < 20 {
-			continue
-		}
-		x := share(p.home[i], n)
-		switch {
-		case math.IsNaN(last):
-			last = x
-		case math.Abs(x-last) >= 0.2:
-			if d := math.Copysign(1, x-last); d != dir {
-				dir = d
-				r.Swings++
-			}
-			last = x
-		case dir != 0 && (x-last)*dir > 0:
-			last = x
-		}
-	}
-	return r
-}
-
-func share(n, of int) float64 {
-	if of == 0 {
-		return 0
-	}
-	return float64(n) / float64(of)
-}
-
-// Measured is the policy of package zone.
-type Measured struct {
-	s     *zone.Spreader
-	home  string
-	index map[string]int
-	names []string
-}
-
-// NewMeasured returns it for a node of a zone.
-func NewMeasured(home, zones int, seed uint64) *Measured {
-	m := &Measured{index: map[string]int{}}
-	for i := range zones {
-		m.names = append(m.names, string(rune('a'+i)))
-		m.index[m.names[i]] = i
-	}
-	m.home = m.names[home]
-	costs := map[zone.Pair]zone.Cost{}
-	for i := range zones { // as on a ring: each zone has its own nearest one
-		costs[zone.Pair{From: m.home, To: m.names[i]}] = zone.Cost{Price: float64((i - home + zones) % zones)}
-	}
-	m.s = zone.NewSpreader(zone.Config{Home: m.home, Costs: costs, Nodes: 1, Aims: map[string]time.Duration{"": 200 * time.Millisecond}}, seed)
-	return m
-}
-
-// Choose, Began, Ended and Health are Policy's.
-func (m *Measured) Choose(now time.Duration) int {
-	if l := m.s.Choose(now, m.home, "", func(string) bool { return true }); len(l) > 0 {
-		return m.index[l[0].Zone]
+	service := time.Duration(s.random.ExpFloat64() * server.slowdown * float64(s.config.MeanServiceTime))
+	server.busyUntil = max(server.busyUntil, s.now) + service
+	server.queued++
+	s.events.Schedule(server.busyUntil, func() { server.queued-- })
+	if done := server.busyUntil + latency; done-r.arrivedAt > s.config.Timeout {
+		endAt(r.arrivedAt+s.config.Timeout, balancer.TimedOut)
+	} else {
+		endAt(done, balancer.Success)
 	}
-	return m.index[m.home]
 }
 
-// Began notes an attempt.
-func (m *Measured) Began(now time.Duration, z int) { m.s.Began(now, zone.Place{Zone: m.names[z]}) }
-
-// Ended notes its end.
-func (m *Measured) Ended(now time.Duration, z int, e balancer.Ending, took time.Duration) {
-	m.s.Ended(now, zone.Place{Zone: m.names[z]}, "", e, took)
-}
-
-// Health tells the list.
-func (m *Measured) Health(now time.Duration, healthy []int, all int) {
-	var l []zone.Server
-	for z, n := range healthy {
-		for i := range n {
-			l = append(l, zone.Server{ID: m.names[z] + string(rune('0'+i)), Place: zone.Place{Zone: m.names[z]}, Ready: true})
-		}
+// attemptEnded answers a request, or retries it.
+func (s *simulation) attemptEnded(r request, ending balancer.Ending) {
+	switch {
+	case ending == balancer.Success:
+		s.answer(r, true)
+	case ending != balancer.TimedOut && r.retries < maxRetries:
+		r.retries++
+		s.attempt(r)
+	default:
+		s.answer(r, false)
 	}
-	m.s.Servers(now, true, l)
-}
-
-// Counted is spill-over by the count of healthy hosts, as Envoy's specification words it: home is the level of
-// priority 0, the other zones together are that of priority 1.
-type Counted struct {
-	home   int
-	rng    *rand.Rand
-	shares []float64
 }
 
-// NewCounted returns it for a node of a zone.
-func NewCounted(home int, seed uint64) *Counted {
-	return &Counted{home: home, rng: rand.New(rand.NewPCG(seed, uint64(home)))}
+func (s *simulation) answer(r request, served bool) {
+	s.counts.answer(s.config, r, s.now-r.arrivedAt, served)
 }
 
-// Choose draws a zone by the shares.
-func (c *Counted) Choose(time.Duration) int {
-	x := c.rng.Float64()
-	for z, s := range c.shares {
-		if x -= s; x < 0 {
-			return z
+// pickServer picks the one with fewer calls of the node among two random listed servers of a zone; nil: none is listed.
+func (s *simulation) pickServer(home, zone int) (*server, int) {
+	var listed []int
+	for i, server := range s.zones[zone] {
+		if server.listed {
+			listed = append(listed, i)
 		}
 	}
-	return c.home
-}
-
-// Began and Ended tell it nothing.
-func (c *Counted) Began(time.Duration, int) {}
-
-// Ended tells it nothing.
-func (c *Counted) Ended(time.Duration, int, balancer.Ending, time.Duration) {}
-
-// Health reckons the shares.
-func (c *Counted) Health(_ time.Duration, healthy []int, all int) {
-	away := zone.Health{}
-	for z, n := range healthy {
-		if z != c.home {
-			away.Healthy += n
-			away.All += all
-		}
+	if len(listed) == 0 {
+		return nil, 0
 	}
-	loads := zone.PriorityLoads([]zone.Health{{Healthy: healthy[c.home], All: all}, away}, zone.Overprovisioning)
-	c.shares = make([]float64, len(healthy))
-	c.shares[c.home] = loads[0]
-	for z, n := range healthy {
-		if z != c.home && away.Healthy > 0 {
-			c.shares[z] = loads[1] * float64(n) / float64(away.Healthy)
-		}
+	picked, other := listed[s.random.IntN(len(listed))], listed[s.random.IntN(len(listed))]
+	if s.inFlight[home][zone][other] < s.inFlight[home][zone][picked] {
+		picked = other
 	}
+	return s.zones[zone][picked], picked
 }
--- /dev/null
+++ b/internal/zone/model/result.go
@@ -0,0 +1,124 @@
+package model
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+// Result is the outcome of a simulation from the beginning of the fault on.
+type Result struct {
+	InTarget         float64       // share of requests answered within the latency target
+	Served           float64       // share of requests answered within the timeout
+	P99              time.Duration // 99th percentile of the latency of answers
+	CrossZoneShare   float64       // share of attempts that crossed zones
+	Oscillations     int           // times that the first zone's share of its own load turned, by oscillationThreshold and more
+	NeighborInTarget float64       // InTarget of the other zones' own requests
+}
+
+const (
+	oscillationThreshold   = 0.2
+	minAttemptsPerSecond   = 20 // seconds with fewer attempts are left out of Oscillations
+	secondsAfterLastArrive = 5  // in which requests may still end
+)
+
+// counts counts what happens from the beginning of the fault on.
+type counts struct {
+	requests, inTarget, served         int
+	neighborRequests, neighborInTarget int
+	attempts, crossed                  int
+	latencies                          []float64 // of answers, in s
+	firstZoneAttempts, firstZoneAtHome []int     // attempts of the first zone's load, and those that stay there, by second
+}
+
+func newCounts(duration time.Duration) counts {
+	seconds := int(duration/time.Second) + secondsAfterLastArrive
+	return counts{firstZoneAttempts: make([]int, seconds), firstZoneAtHome: make([]int, seconds)}
+}
+
+func (c *counts) attempt(config Config, now time.Duration, home, zone int) {
+	if now < config.FaultStart {
+		return
+	}
+	c.attempts++
+	if zone != home {
+		c.crossed++
+	}
+	if second := int(now / time.Second); home == 0 && second < len(c.firstZoneAttempts) {
+		c.firstZoneAttempts[second]++
+		if zone == home {
+			c.firstZoneAtHome[second]++
+		}
+	}
+}
+
+func (c *counts) answer(config Config, r request, latency time.Duration, served bool) {
+	if r.arrivedAt < config.FaultStart {
+		return
+	}
+	neighbor := r.home != 0
+	c.requests++
+	if neighbor {
+		c.neighborRequests++
+	}
+	if !served {
+		return
+	}
+	c.served++
+	c.latencies = append(c.latencies, latency.Seconds())
+	if latency <= config.LatencyTarget {
+		c.inTarget++
+		if neighbor {
+			c.neighborInTarget++
+		}
+	}
+}
+
+func (c *counts) result() Result {
+	return Result{
+		InTarget: share(c.inTarget, c.requests), Served: share(c.served, c.requests), P99: c.p99(),
+		CrossZoneShare: share(c.crossed, c.attempts), Oscillations: c.oscillations(),
+		NeighborInTarget: share(c.neighborInTarget, c.neighborRequests),
+	}
+}
+
+func (c *counts) p99() time.Duration {
+	if len(c.latencies) == 0 {
+		return 0
+	}
+	slices.Sort(c.latencies)
+	return time.Duration(c.latencies[len(c.latencies)*99/100] * float64(time.Second))
+}
+
+// oscillations counts the turns of the share of the first zone's load that stays there: each change of direction by at least the
+// threshold from the last extreme.
+func (c *counts) oscillations() int {
+	turns := 0
+	extreme, direction := math.NaN(), 0.0
+	for second, attempts := range c.firstZoneAttempts {
+		if attempts < minAttemptsPerSecond {
+			continue
+		}
+		atHome := share(c.firstZoneAtHome[second], attempts)
+		switch {
+		case math.IsNaN(extreme):
+			extreme = atHome
+		case math.Abs(atHome-extreme) >= oscillationThreshold:
+			if d := math.Copysign(1, atHome-extreme); d != direction {
+				direction = d
+				turns++
+			}
+			extreme = atHome
+		case direction != 0 && (atHome-extreme)*direction > 0:
+			extreme = atHome
+		}
+	}
+	return turns
+}
+
+func share(part, whole int) float64 {
+	if whole == 0 {
+		return 0
+	}
+	return float64(part) / float64(whole)
+}
--- a/internal/zone/module.go
+++ b/internal/zone/module.go
@@ -7,94 +7,96 @@
 	"cranegrade/balancer"
 )
 
-// Decider is a decision module; engine.Module is the same.
-type Decider interface {
-	Handle(now time.Duration, e balancer.Event) []balancer.Action
+// DecisionModule decides over the requests of a pool; engine.Module is the same.
+type DecisionModule interface {
+	Handle(now time.Duration, event balancer.Event) []balancer.Action
 }
 
-// Module stands between an engine and its decision module: it names in each request the places that it may go to,
-// keeps the budgets, and accounts for what crosses. It belongs to the engine's goroutine; Views may be read from any.
+// Module wraps the decision module of a pool. It names in each request the localities that it may go to, keeps the budgets, and
+// accounts for the traffic between zones. It belongs to the goroutine of the pool's engine; only Localities may be called from
+// any goroutine.
 type Module struct {
-	next        Decider
-	pool        string
-	home        string
-	spreader    *Spreader
-	book        *Book
-	places      map[string]Place // of servers, also of those that have left with calls of ours out
-	listed      map[string]bool
-	open        map[string]*openRequest
-	maxAttempts int64
-	views       atomic.Pointer[[]View]
-	viewsAt     time.Duration
-}
-
-// openRequest is an open request.
+	next              DecisionModule
+	pool              string
+	home              string
+	selector          *Selector
+	accounting        *Accounting
+	localities        map[string]Locality // of servers, by ID; also of some that were removed while they had calls
+	listed            map[string]bool     // servers on the list, by ID
+	open              map[string]*openRequest
+	maxAttempts       int64
+	publishedStatus   atomic.Pointer[[]LocalityStatus]
+	statusPublishedAt time.Duration
+}
+
+// openRequest is a request that has no final answer yet, or attempts in flight.
 type openRequest struct {
 	class, customer, from string
-	size                  int64
+	size                  int64 // of its body, in bytes
 	attempts              []attempt
 	inFlight              int
 	answered              bool
-	reservations          map[string]reservation // reservations, by the zone that it may cross to
+	reservations          map[string]spentReservation // by the zone that the request may cross to
 }
 
-// reservation is a reservation and what was spent on it.
-type reservation struct {
-	budget Reservation
-	bytes  int64
-	used   bool
+// spentReservation is a reservation and what has been spent on it.
+type spentReservation struct {
+	reservation Reservation
+	bytes       int64
+	used        bool
 }
 
-// attempt is an attempt.
 type attempt struct {
-	server string
-	place  Place
-	sent   time.Duration
-	ended  bool
+	server   string
+	locality Locality
+	sentAt   time.Duration
+	ended    bool
 }
 
-// NewModule returns a module of a pool that asks in.
-func NewModule(in Decider, pool string, cfg Config, book *Book, seed uint64) *Module {
+// NewModule wraps the decision module of a pool. Modules of one process share the accounting. Equal seeds and events give equal
+// decisions.
+func NewModule(next DecisionModule, pool string, config Config, accounting *Accounting, seed uint64) *Module {
 	m := &Module{
-		next: in, pool: pool, home: cfg.Home, spreader: NewSpreader(cfg, seed), book: book,
-		maxAttempts: int64(max(1, cfg.Tries)), places: map[string]Place{}, listed: map[string]bool{}, open: map[string]*openRequest{},
+		next: next, pool: pool, home: config.Home, selector: NewSelector(config, seed), accounting: accounting,
+		maxAttempts: int64(max(1, config.MaxAttempts)),
+		localities:  map[string]Locality{}, listed: map[string]bool{}, open: map[string]*openRequest{},
 	}
-	m.views.Store(&[]View{})
+	m.publishedStatus.Store(&[]LocalityStatus{})
 	return m
 }
 
-// Views is what is held of each place, as of a moment ago.
-func (m *Module) Views() []View { return *m.views.Load() }
+// statusInterval is how old the result of Localities may be.
+const statusInterval = time.Second
 
-// Beliefs are those of the module within, for a trace round this one.
+// Localities is the state of the pool's localities as of a moment ago. It may be called from any goroutine.
+func (m *Module) Localities() []LocalityStatus { return *m.publishedStatus.Load() }
+
+// Beliefs returns the estimates of the wrapped decision module, for a trace around this one.
 func (m *Module) Beliefs(servers int) balancer.Beliefs {
-	if b, is := m.next.(interface {
+	if estimator, ok := m.next.(interface {
 		Beliefs(int) balancer.Beliefs
-	}); is {
-		return b.Beliefs(servers)
+	}); ok {
+		return estimator.Beliefs(servers)
 	}
 	return balancer.Beliefs{}
 }
 
-// viewInterval is how old Views may be.
-const viewInterval = time.Second
-
-// Handle takes an event and passes it on, a request with its places.
-func (m *Module) Handle(now time.Duration, e balancer.Event) []balancer.Action {
-	switch x := e.(type) {
+// Handle passes an event on to the decision module, a request with the localities that it may go to, and returns its actions.
+func (m *Module) Handle(now time.Duration, event balancer.Event) []balancer.Action {
+	switch e := event.(type) {
 	case balancer.ServerList:
-		m.updateServers(now, x)
+		m.updateServers(now, e)
 	case balancer.Request:
-		x.Places = m.choosePlaces(now, x)
-		e = x
+		e.Places = m.chooseLocalities(now, e)
+		event = e
 	case balancer.Outcome:
-		m.attemptEnded(now, x)
+		m.attemptEnded(now, e)
 	case balancer.ClientGone:
-		m.requestAnswered(now, x.ID)
+		m.requestAnswered(now, e.ID)
 	}
-	actions := m.next.Handle(now, e)
-	for _, a := range actions {
-		switch a := a.(type) {
+	actions := m.next.Handle(now, event)
+	for _, action := range actions {
+		switch a := action.(type) {
 		case balancer.Send:
 			m.attemptStarted(now, a)
 		case balancer.Reject:
@@ -103,117 +105,135 @@
 			m.requestAnswered(now, a.ID)
 		}
 	}
-	if now >= m.viewsAt+viewInterval {
-		m.viewsAt = now
-		l := m.spreader.Views()
-		m.views.Store(&l)
+	if now >= m.statusPublishedAt+statusInterval {
+		m.statusPublishedAt = now
+		status := m.selector.Localities()
+		m.publishedStatus.Store(&status)
 	}
 	return actions
 }
 
-func (m *Module) updateServers(now time.Duration, x balancer.ServerList) {
-	if x.Full {
+// removedServersKept is how many more entries than twice the listed servers m.localities may have.
+const removedServersKept = 64
+
+func (m *Module) updateServers(now time.Duration, list balancer.ServerList) {
+	if list.Full {
 		clear(m.listed)
 	}
-	l := make([]Server, 0, len(x.Servers))
-	for _, s := range x.Servers {
-		p := Place{Zone: s.Zone, Priority: s.Priority}
-		if s.State == balancer.Gone {
-			delete(m.listed, s.ID)
+	servers := make([]Server, 0, len(list.Servers))
+	for _, server := range list.Servers {
+		locality := Locality{Zone: server.Zone, Priority: server.Priority}
+		if server.State == balancer.Gone {
+			delete(m.listed, server.ID)
 		} else {
-			m.places[s.ID], m.listed[s.ID] = p, true
+			m.localities[server.ID], m.listed[server.ID] = locality, true
 		}
-		l = append(l, Server{ID: s.ID, Place: p, Size: s.Size, Boot: s.StartedAt, Ready: s.State == balancer.Ready, Weight: s.Weight})
+		servers = append(servers, Server{
+			ID: server.ID, Locality: locality, Size: server.Size, StartedAt: server.StartedAt,
+			Ready: server.State == balancer.Ready, LocalityWeight: server.Weight,
+		})
 	}
-	m.spreader.Servers(now, x.Full, l)
-	if len(m.places) > 2*len(m.listed)+64 { // those that left; what is out at them knows its own place
-		for id := range m.places {
-			if !m.listed[id] {
-				delete(m.places, id)
-			}
+	m.selector.UpdateServers(now, list.Full, servers)
+	m.forgetRemovedServers()
+}
+
+// forgetRemovedServers bounds what is kept of servers that were removed. Attempts in flight know their locality themselves.
+func (m *Module) forgetRemovedServers() {
+	if len(m.localities) <= 2*len(m.listed)+removedServersKept {
+		return
+	}
+	for id := range m.localities {
+		if !m.listed[id] {
+			delete(m.localities, id)
 		}
 	}
 }
 
-// choosePlaces decides where a request may go, and reserves what it may cross for.
-func (m *Module) choosePlaces(now time.Duration, x balancer.Request) []Place {
-	c := &openRequest{class: x.Class, customer: x.Tenant, from: x.From, size: x.Size}
-	if !m.spreader.Knows(c.from) {
-		c.from = m.home
+// chooseLocalities decides where a request may go, and reserves the budget that it needs to cross.
+func (m *Module) chooseLocalities(now time.Duration, request balancer.Request) []Locality {
+	r := &openRequest{class: request.Class, customer: request.Tenant, from: request.From, size: request.Size}
+	if !m.selector.KnowsZone(r.from) {
+		r.from = m.home
 	}
-	out := m.spreader.Out(c.from)
-	l := m.spreader.Choose(now, c.from, c.class, func(to string) bool {
-		r, ok := m.book.reserve(now, Pair{c.from, to}, c.class, m.maxAttempts*c.size, out)
+	outage := m.selector.ZoneFailed(r.from)
+	localities := m.selector.Choose(now, r.from, r.class, func(to string) bool {
+		reservation, ok := m.accounting.reserve(now, Pair{r.from, to}, r.class, m.maxAttempts*r.size, outage)
 		if ok {
-			if c.reservations == nil {
-				c.reservations = make(map[string]reservation, 2)
+			if r.reservations == nil {
+				r.reservations = make(map[string]spentReservation, 2)
 			}
-			c.reservations[to] = reservation{budget: r}
+			r.reservations[to] = spentReservation{reservation: reservation}
 		}
 		return ok
 	})
-	m.open[x.ID] = c
-	return l
+	m.open[request.ID] = r
+	return localities
 }
 
-func (m *Module) attemptStarted(now time.Duration, a balancer.Send) {
-	c := m.open[a.ID]
-	if c == nil {
+func (m *Module) attemptStarted(now time.Duration, send balancer.Send) {
+	request := m.open[send.ID]
+	if request == nil {
 		return
 	}
-	p := m.places[a.Server]
-	c.attempts = append(c.attempts, attempt{server: a.Server, place: p, sent: now})
-	c.inFlight++
-	m.spreader.Began(now, p)
+	locality := m.localities[send.Server]
+	request.attempts = append(request.attempts, attempt{server: send.Server, locality: locality, sentAt: now})
+	request.inFlight++
+	m.selector.AttemptStarted(now, locality)
 }
 
-func (m *Module) attemptEnded(now time.Duration, x balancer.Outcome) {
-	c := m.open[x.ID]
-	if c == nil || x.Attempt < 0 || x.Attempt >= len(c.attempts) || c.attempts[x.Attempt].ended {
+func (m *Module) attemptEnded(now time.Duration, outcome balancer.Outcome) {
+	request := m.open[outcome.ID]
+	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) || request.attempts[outcome.Attempt].ended {
 		return
 	}
-	a := &c.attempts[x.Attempt]
-	a.ended = true
-	c.inFlight--
-	place := a.place
-	if x.Server != a.server { // a proxy sent it elsewhere than told; where is unknown if that is not listed
-		place = m.places[x.Server]
-	}
-	m.spreader.Ended(now, a.place, c.class, x.Ending, now-a.sent)
-	if x.Wrote {
-		m.book.Add(now, Key{Pair: Pair{c.from, place.Zone}, Pool: m.pool, Class: c.class, Customer: c.customer},
-			Traffic{1, x.Out, x.In})
-		if h, is := c.reservations[place.Zone]; is {
-			h.used = true
-			h.bytes += x.Out + x.In
-			c.reservations[place.Zone] = h
-		}
+	attempt := &request.attempts[outcome.Attempt]
+	attempt.ended = true
+	request.inFlight--
+	m.selector.AttemptEnded(now, attempt.locality, request.class, outcome.Ending, now-attempt.sentAt)
+	if outcome.Wrote {
+		m.accountFor(now, request, attempt, outcome)
+	}
+	if outcome.Ended {
+		request.answered = true
+	}
+	m.closeIfDone(now, outcome.ID, request)
+}
+
+// accountFor accounts for an attempt whose request was written completely.
+func (m *Module) accountFor(now time.Duration, request *openRequest, attempt *attempt, outcome balancer.Outcome) {
+	zone := attempt.locality.Zone
+	if outcome.Server != attempt.server {
+		// A proxy that only asked for the decision sent it elsewhere. The zone is unknown if that server is not listed.
+		zone = m.localities[outcome.Server].Zone
 	}
-	if x.Ended {
-		c.answered = true
+	m.accounting.Add(now, Key{Pair: Pair{request.from, zone}, Pool: m.pool, Class: request.class, Customer: request.customer},
+		Traffic{Requests: 1, Out: outcome.Out, In: outcome.In})
+	if spent, reserved := request.reservations[zone]; reserved {
+		spent.used = true
+		spent.bytes += outcome.Out + outcome.In
+		request.reservations[zone] = spent
 	}
-	m.releaseIfDone(now, x.ID, c)
 }
 
-// requestAnswered notes that a request has its answer, or that nobody wants one.
+// requestAnswered records that a request has its final answer, or that its client has left.
 func (m *Module) requestAnswered(now time.Duration, id string) {
-	if c := m.open[id]; c != nil {
-		c.answered = true
-		m.releaseIfDone(now, id, c)
+	if request := m.open[id]; request != nil {
+		request.answered = true
+		m.closeIfDone(now, id, request)
 	}
 }
 
-// releaseIfDone settles what an ended request holds.
-func (m *Module) releaseIfDone(now time.Duration, id string, c *openRequest) {
-	if !c.answered || c.inFlight > 0 {
+// closeIfDone settles the reservations of a request that is answered and has no attempt in flight, and forgets it.
+func (m *Module) closeIfDone(now time.Duration, id string, request *openRequest) {
+	if !request.answered || request.inFlight > 0 {
 		return
 	}
-	for to, h := range c.reservations {
+	for to, spent := range request.reservations {
 		requests := int64(0)
-		if h.used {
+		if spent.used {
 			requests = 1
 		}
-		m.book.settle(now, Pair{c.from, to}, h.budget, requests, h.bytes)
+		m.accounting.settle(now, Pair{request.from, to}, spent.reservation, requests, spent.bytes)
 	}
 	delete(m.open, id)
 }
--- a/internal/zone/page/page.go
+++ b/internal/zone/page/page.go
@@ -1,4 +1,5 @@
-// Package page words a report of zones as a page. It stands apart since the platform's program has no use for it.
+// Package page writes a report of zones as an HTML page. It is a package of its own so that programs without that page do not link
+// html/template. Names in a report come from clients, and the template escapes them.
 package page
 
 import (
@@ -6,27 +7,28 @@
 	"html/template"
 	"io"
 
+	"cranegrade/internal/zone"
 	"cranegrade/internal/zone/report"
 )
 
 var page = template.Must(template.New("").Funcs(template.FuncMap{
-	"zone": report.Name, "left": report.Left,
-	"percent": func(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) },
+	"zone": zone.DisplayName, "remaining": report.FormatRemaining,
+	"percent": func(share float64) string { return fmt.Sprintf("%.1f%%", 100*share) },
 }).Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>Zones of {{.Node}}</title>
 <style>body{font:14px sans-serif;margin:2em}table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .8em;border-bottom:1px solid #ccc;text-align:right}tr.cross{background:#fff3d6}</style>
 <h1>Zones of {{.Node}}</h1>
-<p>Home zone {{zone .Home}}; {{percent .Across}} of requests crossed zones. As of {{.At.UTC.Format "2006-01-02 15:04:05"}} UTC.</p>
-{{if .Pools}}<h2>Places</h2><table><tr><th>pool<th>zone<th>priority<th>servers<th>limit<th>calls<th></tr>
-{{range $p, $l := .Pools}}{{range $l}}<tr><td>{{$p}}<td>{{zone .Zone}}<td>{{.Priority}}<td>{{.Servers}}<td>{{printf "%.1f" .Limit}}<td>{{.Calls}}<td>{{if .Sick}}sick{{end}}</tr>
+<p>Home zone {{zone .Home}}; {{percent .CrossZoneShare}} of requests crossed zones. As of {{.At.UTC.Format "2006-01-02 15:04:05"}} UTC.</p>
+{{if .Localities}}<h2>Places</h2><table><tr><th>pool<th>zone<th>priority<th>servers<th>limit<th>calls<th></tr>
+{{range $pool, $localities := .Localities}}{{range $localities}}<tr><td>{{$pool}}<td>{{zone .Zone}}<td>{{.Priority}}<td>{{.Servers}}<td>{{printf "%.1f" .Limit}}<td>{{.InFlight}}<td>{{if .Unhealthy}}sick{{end}}</tr>
 {{end}}{{end}}</table>{{end}}
 {{if .Budgets}}<h2>Left of the budgets</h2><table><tr><th>from<th>to<th>requests, hour<th>requests, day<th>bytes, hour<th>bytes, day</tr>
-{{range .Budgets}}<tr><td>{{zone .From}}<td>{{zone .To}}<td>{{left .RequestsHour}}<td>{{left .RequestsDay}}<td>{{left .BytesHour}}<td>{{left .BytesDay}}</tr>
+{{range .Budgets}}<tr><td>{{zone .From}}<td>{{zone .To}}<td>{{remaining .RequestsHour}}<td>{{remaining .RequestsDay}}<td>{{remaining .BytesHour}}<td>{{remaining .BytesDay}}</tr>
 {{end}}</table>{{end}}
 <h2>Account</h2><table><tr><th>day<th>pool<th>from<th>to<th>class<th>customer<th>requests<th>bytes out<th>bytes in</tr>
 {{range .Rows}}<tr{{if ne .From .To}} class="cross"{{end}}><td>{{.Day}}<td>{{.Pool}}<td>{{zone .From}}<td>{{zone .To}}<td>{{.Class}}<td>{{.Customer}}<td>{{.Requests}}<td>{{.Out}}<td>{{.In}}</tr>
 {{end}}</table></html>
 `))
 
-// Write writes a report as a page that needs nothing else.
+// Write writes a report as a page that refers to no other resources.
 func Write(w io.Writer, r report.Report) error { return page.Execute(w, r) }
--- a/internal/zone/priority.go
+++ b/internal/zone/priority.go
@@ -1,51 +1,50 @@
 package zone
 
-// The arithmetic of Envoy's priority levels and locality weights, as its specification words it: spill-over by the
-// count of healthy hosts. It is the reference that a Spreader is measured against, and what its table of differences
-// speaks of.
+// The functions of this file are the arithmetic of Envoy's priority levels and locality weights, as its documentation defines it:
+// load spills over by the share of healthy hosts. They decide nothing here; they are the reference that a Selector is compared
+// with (package model).
 
-// Overprovisioning is the specification's factor: a level is trusted to carry all until fewer than 1/1.4 = 72 % of
-// its hosts are healthy.
+// Overprovisioning is Envoy's default overprovisioning factor: a priority level is trusted with all of its load until fewer than
+// 1/1.4 = 72 % of its hosts are healthy.
 const Overprovisioning = 1.4
 
-// Health is how many of a level's or a locality's hosts there are and are healthy.
-type Health struct{ Healthy, All int }
+// HostCount counts the hosts of a priority level or a locality.
+type HostCount struct{ Healthy, All int }
 
-// score is the specification's health of a level: its healthy share times the factor, 1 at the most.
-func (h Health) score(factor float64) float64 {
-	if h.All == 0 {
+// health is the specification's health of a level: its share of healthy hosts times the overprovisioning factor, at most 1.
+func (c HostCount) health(factor float64) float64 {
+	if c.All == 0 {
 		return 0
 	}
-	return min(1, factor*float64(h.Healthy)/float64(h.All))
+	return min(1, factor*float64(c.Healthy)/float64(c.All))
 }
 
-// PriorityLoads are the shares of the load by priority level. They add up to 1, or are all 0 where no host is
-// healthy.
-func PriorityLoads(levels []Health, factor float64) []float64 {
+// PriorityLoads are the shares of the load by priority level. They add up to 1, or are all 0 if no host is healthy.
+func PriorityLoads(levels []HostCount, factor float64) []float64 {
 	loads := make([]float64, len(levels))
 	total := 0.0
-	for _, h := range levels {
-		total += h.score(factor)
+	for _, level := range levels {
+		total += level.health(factor)
 	}
 	if total == 0 {
 		return loads
 	}
 	total = min(1, total)
-	left := 1.0
-	for i, h := range levels {
-		loads[i] = min(left, h.score(factor)/total)
-		left -= loads[i]
+	remaining := 1.0
+	for i, level := range levels {
+		loads[i] = min(remaining, level.health(factor)/total)
+		remaining -= loads[i]
 	}
 	return loads
 }
 
-// LocalityLoads are the shares of a level's load by locality: its weight times its health, scaled to add up to 1;
-// all 0 where that is so of every locality.
-func LocalityLoads(weights []float64, health []Health, factor float64) []float64 {
+// LocalityLoads are the shares of a level's load by locality: its weight times its health, scaled to add up to 1. All are 0 if no
+// locality has both.
+func LocalityLoads(weights []float64, hosts []HostCount, factor float64) []float64 {
 	loads := make([]float64, len(weights))
 	total := 0.0
-	for i, w := range weights {
-		loads[i] = w * health[i].score(factor)
+	for i, weight := range weights {
+		loads[i] = weight * hosts[i].health(factor)
 		total += loads[i]
 	}
 	for i := range loads {
@@ -56,37 +55,37 @@
 	return loads
 }
 
-// ZoneAware are the shares of a zone's load by zone under zone aware routing: all at home if the home zone has at
-// least the share of the hosts that it has of the load, else what it can take by that, and the rest by the hosts
-// that the other zones have beyond their own load. Loads and hosts are of all zones.
-func ZoneAware(home int, loads []float64, healthy []int) []float64 {
-	out := make([]float64, len(loads))
-	load, hosts := 0.0, 0
-	for i := range loads {
-		load += loads[i]
-		hosts += healthy[i]
+// AwareLoads are the shares of a zone's load by zone under zone aware routing. All of it stays in the home zone if that has at
+// least the share of the healthy hosts that it has of the load. Otherwise it keeps what its hosts can take by that measure, and the
+// rest is spread by the hosts that the other zones have beyond their own load. Both slices are indexed by zone.
+func AwareLoads(home int, loads []float64, healthy []int) []float64 {
+	shares := make([]float64, len(loads))
+	totalLoad, totalHosts := 0.0, 0
+	for zone := range loads {
+		totalLoad += loads[zone]
+		totalHosts += healthy[zone]
 	}
-	if load <= 0 || hosts == 0 {
-		return out
+	if totalLoad <= 0 || totalHosts == 0 {
+		return shares
 	}
-	local, upstream := loads[home]/load, float64(healthy[home])/float64(hosts)
+	local, upstream := loads[home]/totalLoad, float64(healthy[home])/float64(totalHosts)
 	if upstream >= local {
-		out[home] = 1
-		return out
+		shares[home] = 1
+		return shares
 	}
-	out[home] = upstream / local
-	spare := make([]float64, len(loads))
+	shares[home] = upstream / local
+	residual := make([]float64, len(loads))
 	total := 0.0
-	for i := range loads {
-		if i != home {
-			spare[i] = max(0, float64(healthy[i])/float64(hosts)-loads[i]/load)
-			total += spare[i]
+	for zone := range loads {
+		if zone != home {
+			residual[zone] = max(0, float64(healthy[zone])/float64(totalHosts)-loads[zone]/totalLoad)
+			total += residual[zone]
 		}
 	}
-	for i := range spare {
-		if total > 0 && i != home {
-			out[i] = (1 - out[home]) * spare[i] / total
+	for zone := range residual {
+		if total > 0 && zone != home {
+			shares[zone] = (1 - shares[home]) * residual[zone] / total
 		}
 	}
-	return out
+	return shares
 }
--- a/internal/zone/report/report.go
+++ b/internal/zone/report/report.go
@@ -1,40 +1,44 @@
-// Package report words what a node holds of zones: as a table and as JSON; package page makes a page of it. It is pure.
+// Package report presents what a node knows of zones: the state of localities, what remains of budgets, and the account. It
+// writes a report as a table for a terminal and as JSON, and reads the JSON back; package page writes it as HTML. The package is
+// pure: it must never read a clock or do I/O but through the writer that it is given. The names in the JSON are part of the
+// interface to users and to tools.
 package report
 
 import (
 	"encoding/json"
 	"fmt"
 	"io"
+	"maps"
 	"slices"
+	"strconv"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"cranegrade/internal/zone"
 )
 
-// Report is what a node holds of zones.
+// Report is what a node knows of zones at a moment.
 type Report struct {
-	Node    string            `json:"node"`
-	Home    string            `json:"home"`
-	At      time.Time         `json:"at"`
-	Pools   map[string][]Area `json:"pools,omitempty"`
-	Budgets []Budget          `json:"budgets,omitempty"`
-	Rows    []Row             `json:"account"`
-}
-
-// Area is a place as a pool sees it now.
-type Area struct {
-	Zone     string  `json:"zone"`
-	Priority int     `json:"priority"`
-	Servers  int     `json:"servers"`
-	Units    float64 `json:"units"` // of servers, cold ones by their share
-	Limit    float64 `json:"limit"` // own calls that it gets at a time
-	Calls    int     `json:"calls"`
-	Sick     bool    `json:"sick,omitempty"`
-}
-
-// Budget is what a pair may still send; -1: no limit.
+	Node       string                `json:"node"`
+	Home       string                `json:"home"`
+	At         time.Time             `json:"at"`
+	Localities map[string][]Locality `json:"pools,omitempty"` // by pool
+	Budgets    []Budget              `json:"budgets,omitempty"`
+	Rows       []Row                 `json:"account"`
+}
+
+// Locality is the state of a locality as the pool of a node sees it.
+type Locality struct {
+	Zone      string  `json:"zone"`
+	Priority  int     `json:"priority"`
+	Servers   int     `json:"servers"`
+	Capacity  float64 `json:"units"` // sum of the servers' sizes, reduced during their slow start
+	Limit     float64 `json:"limit"` // on this node's calls in flight there
+	InFlight  int     `json:"calls"`
+	Unhealthy bool    `json:"sick,omitempty"`
+}
+
+// Budget is what a pair of zones may still send; zone.Unlimited where there is no limit.
 type Budget struct {
 	From         string `json:"from"`
 	To           string `json:"to"`
@@ -46,7 +50,7 @@
 
 // Row is a line of the account.
 type Row struct {
-	Day      string `json:"day"` // UTC
+	Day      string `json:"day"` // as time.DateOnly, UTC
 	Pool     string `json:"pool,omitempty"`
 	From     string `json:"from"`
 	To       string `json:"to"`
@@ -57,63 +61,80 @@
 	In       int64  `json:"bytes_in"`
 }
 
-// Areas words a pool's places.
-func Areas(l []zone.View) (out []Area) {
-	for _, v := range l {
-		out = append(out, Area{v.Place.Zone, v.Place.Priority, v.Servers, v.Units, v.Limit, v.Out, v.Sick})
+// Localities presents the localities of a pool.
+func Localities(statuses []zone.LocalityStatus) []Locality {
+	var localities []Locality
+	for _, status := range statuses {
+		localities = append(localities, Locality{
+			Zone: status.Locality.Zone, Priority: status.Locality.Priority, Servers: status.Servers, Capacity: status.Capacity,
+			Limit: status.Limit, InFlight: status.InFlight, Unhealthy: status.Unhealthy,
+		})
 	}
-	return out
+	return localities
 }
 
-// Budgets words what pairs may still send, in order.
-func Budgets(m map[zone.Pair][2][2]int64) (out []Budget) {
-	for p, x := range m {
-		out = append(out, Budget{p.From, p.To, x[0][0], x[0][1], x[1][0], x[1][1]})
-	}
-	sortBudgets(out)
-	return out
+// Budgets presents what pairs may still send, ordered by zones.
+func Budgets(remaining map[zone.Pair]zone.Remaining) []Budget {
+	var budgets []Budget
+	for pair, r := range remaining {
+		budgets = append(budgets, Budget{
+			From: pair.From, To: pair.To, RequestsHour: r.RequestsHour, RequestsDay: r.RequestsDay,
+			BytesHour: r.BytesHour, BytesDay: r.BytesDay,
+		})
+	}
+	sortBudgets(budgets)
+	return budgets
 }
 
-func sortBudgets(l []Budget) {
-	slices.SortFunc(l, func(x, y Budget) int { return strings.Compare(x.From+"\x00"+x.To, y.From+"\x00"+y.To) })
+func sortBudgets(budgets []Budget) {
+	slices.SortFunc(budgets, func(a, b Budget) int { return strings.Compare(a.From+"\x00"+a.To, b.From+"\x00"+b.To) })
 }
 
-// By says what rows are told apart by, beside day and pair of zones.
-type By struct{ Pool, Class, Customer bool }
+// GroupBy says which columns rows are told apart by, beside day and pair of zones.
+type GroupBy struct{ Pool, Class, Customer bool }
 
-// Rows words an account's rows of a day, or of all days if it is "", summed over what by leaves out.
-func Rows(rows []zone.Row, day string, by By) (out []Row) {
+func (g GroupBy) key(key zone.Key) zone.Key {
+	if !g.Pool {
+		key.Pool = ""
+	}
+	if !g.Class {
+		key.Class = ""
+	}
+	if !g.Customer {
+		key.Customer = ""
+	}
+	return key
+}
+
+// Rows presents the rows of an account of one day, as time.DateOnly, or of all days if it is "". Rows that groupBy does not tell
+// apart are added up.
+func Rows(rows []zone.Row, day string, groupBy GroupBy) []Row {
 	if day != "" {
-		rows = slices.DeleteFunc(slices.Clone(rows), func(r zone.Row) bool { return date(r.Day) != day })
+		rows = slices.DeleteFunc(slices.Clone(rows), func(r zone.Row) bool { return formatDay(r.Day) != day })
 	}
-	for _, r := range zone.Sum(rows, func(k zone.Key) zone.Key {
-		if !by.Pool {
-			k.Pool = ""
-		}
-		if !by.Class {
-			k.Class = ""
-		}
-		if !by.Customer {
-			k.Customer = ""
-		}
-		return k
-	}) {
-		out = append(out, Row{date(r.Day), r.Pool, r.Pair.From, r.Pair.To, r.Class, r.Customer, r.Requests, r.Out, r.In})
+	var presented []Row
+	for _, r := range zone.Aggregate(rows, groupBy.key) {
+		presented = append(presented, Row{
+			Day: formatDay(r.Day), Pool: r.Pool, From: r.Pair.From, To: r.Pair.To, Class: r.Class, Customer: r.Customer,
+			Requests: r.Requests, Out: r.Out, In: r.In,
+		})
 	}
-	return out
+	return presented
 }
 
-func date(day int64) string { return time.Unix(day*86400, 0).UTC().Format(time.DateOnly) }
+const secondsPerDay = 24 * 60 * 60
 
-// JSON writes a report as JSON.
-func (r Report) JSON(w io.Writer) error {
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	return e.Encode(r)
+func formatDay(day int64) string { return time.Unix(day*secondsPerDay, 0).UTC().Format(time.DateOnly) }
+
+// WriteJSON writes the report as JSON.
+func (r Report) WriteJSON(w io.Writer) error {
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(r)
 }
 
-// Read reads a report as JSON has it.
-func Read(text []byte) (Report, error) {
+// Parse reads a report from the JSON of WriteJSON.
+func Parse(text []byte) (Report, error) {
 	var r Report
 	if err := json.Unmarshal(text, &r); err != nil {
 		return Report{}, fmt.Errorf("reading a report of zones: %w", err)
@@ -121,115 +142,79 @@
 	return r, nil
 }
 
-// Merge is one report of several nodes: budgets and rows added up, the places of each node's pools by NODE/POOL, and
-// the earliest time, since which any of them may have gone on.
-func Merge(l []Report) Report {
-	if len(l) == 1 {
-		return l[0]
-	}
-	out := Report{Pools: map[string][]Area{}}
-	budgets := map[[2]string]Budget{}
-	plus := func(x, y int64) int64 {
-		if x < 0 || y < 0 {
-			return -1 // one without a limit: there is none in all
-		}
-		return x + y
+// Merge makes one report of those of several nodes: budgets and rows are added up, pools are called NODE/POOL, and the time is the
+// earliest one. The report of a single node stays as it is.
+func Merge(reports []Report) Report {
+	if len(reports) == 1 {
+		return reports[0]
 	}
+	merged := Report{Localities: map[string][]Locality{}}
+	budgets := map[zone.Pair]Budget{}
 	var nodes, homes []string
-	for _, r := range l {
+	for _, r := range reports {
 		nodes = append(nodes, r.Node)
 		if !slices.Contains(homes, r.Home) {
 			homes = append(homes, r.Home)
 		}
-		if out.At.IsZero() || r.At.Before(out.At) {
-			out.At = r.At
+		if merged.At.IsZero() || r.At.Before(merged.At) {
+			merged.At = r.At
 		}
-		for name, areas := range r.Pools {
-			out.Pools[r.Node+"/"+name] = areas
+		for pool, localities := range r.Localities {
+			merged.Localities[r.Node+"/"+pool] = localities
 		}
-		for _, b := range r.Budgets {
-			if was, is := budgets[[2]string{b.From, b.To}]; is {
-				b = Budget{
-					b.From, b.To, plus(was.RequestsHour, b.RequestsHour), plus(was.RequestsDay, b.RequestsDay),
-					plus(was.BytesHour, b.BytesHour), plus(was.BytesDay, b.BytesDay),
-				}
+		for _, budget := range r.Budgets {
+			pair := zone.Pair{From: budget.From, To: budget.To}
+			if sum, found := budgets[pair]; found {
+				budget = addBudgets(sum, budget)
 			}
-			budgets[[2]string{b.From, b.To}] = b
+			budgets[pair] = budget
 		}
-		out.Rows = append(out.Rows, r.Rows...)
+		merged.Rows = append(merged.Rows, r.Rows...)
+	}
+	merged.Node, merged.Home = strings.Join(nodes, ", "), strings.Join(homes, ", ")
+	merged.Budgets = slices.AppendSeq(merged.Budgets, maps.Values(budgets))
+	sortBudgets(merged.Budgets)
+	return merged
+}
+
+func addBudgets(a, b Budget) Budget {
+	return Budget{
+		From: a.From, To: a.To,
+		RequestsHour: addRemaining(a.RequestsHour, b.RequestsHour), RequestsDay: addRemaining(a.RequestsDay, b.RequestsDay),
+		BytesHour: addRemaining(a.BytesHour, b.BytesHour), BytesDay: addRemaining(a.BytesDay, b.BytesDay),
 	}
-	out.Node, out.Home = strings.Join(nodes, ", "), strings.Join(homes, ", ")
-	for _, b := range budgets {
-		out.Budgets = append(out.Budgets, b)
+}
+
+// addRemaining adds what remains at two nodes. Where one of them has no limit there is none in total.
+func addRemaining(a, b int64) int64 {
+	if a < 0 || b < 0 {
+		return zone.Unlimited
 	}
-	sortBudgets(out.Budgets)
-	return out
+	return a + b
 }
 
-// Across is the share of requests that crossed zones, of those whose zones are known; 0 of none.
-func (r Report) Across() float64 {
-	var all, across int64
-	for _, x := range r.Rows {
-		if x.From == "" || x.To == "" {
+// CrossZoneShare is the share of requests that crossed zones, among those whose zones are both known; 0 if there are none.
+func (r Report) CrossZoneShare() float64 {
+	var all, crossed int64
+	for _, row := range r.Rows {
+		if row.From == "" || row.To == "" {
 			continue
 		}
-		all += x.Requests
-		if x.From != x.To {
-			across += x.Requests
+		all += row.Requests
+		if row.From != row.To {
+			crossed += row.Requests
 		}
 	}
 	if all == 0 {
 		return 0
 	}
-	return float64(across) / float64(all)
-}
-
-// Table writes a report for a terminal.
-func (r Report) Table(w io.Writer) error {
-	fmt.Fprintf(w, "node %s, home zone %s; %.1f%% of requests crossed zones\n", r.Node, Name(r.Home), 100*r.Across())
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	pools := make([]string, 0, len(r.Pools))
-	for p := range r.Pools {
-		pools = append(pools, p)
-	}
-	slices.Sort(pools)
-	if len(pools) > 0 {
-		fmt.Fprint(t, "\npool\tzone\tpriority\tservers\tunits\tlimit\tcalls\t\t\n")
-	}
-	for _, p := range pools {
-		for _, a := range r.Pools[p] {
-			sick := ""
-			if a.Sick {
-				sick = "sick"
-			}
-			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.1f\t%.1f\t%d\t%s\t\n", p, Name(a.Zone), a.Priority, a.Servers, a.Units, a.Limit, a.Calls, sick)
-		}
-	}
-	if len(r.Budgets) > 0 {
-		fmt.Fprint(t, "\nleft from\tto\trequests, hour\trequests, day\tbytes, hour\tbytes, day\t\n")
-	}
-	for _, b := range r.Budgets {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t\n", Name(b.From), Name(b.To), Left(b.RequestsHour), Left(b.RequestsDay), Left(b.BytesHour), Left(b.BytesDay))
-	}
-	fmt.Fprint(t, "\nday\tpool\tfrom\tto\tclass\tcustomer\trequests\tbytes out\tbytes in\t\n")
-	for _, x := range r.Rows {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t\n", x.Day, x.Pool, Name(x.From), Name(x.To), x.Class, x.Customer, x.Requests, x.Out, x.In)
-	}
-	return t.Flush()
-}
-
-// Name is how a zone is called.
-func Name(zone string) string {
-	if zone == "" {
-		return "(unknown)"
-	}
-	return zone
+	return float64(crossed) / float64(all)
 }
 
-// Left words what is left of a limit.
-func Left(n int64) string {
+// FormatRemaining writes what remains of a limit, with a dash where there is none.
+func FormatRemaining(n int64) string {
 	if n < 0 {
 		return "-"
 	}
-	return fmt.Sprint(n)
+	return strconv.FormatInt(n, 10)
 }
--- a/internal/zone/report/report_test.go
+++ b/internal/zone/report/report_test.go
@@ -10,90 +10,124 @@
 	"cranegrade/internal/zone"
 )
 
-func sample() Report {
+// sampleRow is a row of pool p.
+func sampleRow(day int64, pair zone.Pair, class, customer string, traffic zone.Traffic) zone.Row {
+	return zone.Row{Key: zone.Key{Day: day, Pair: pair, Pool: "p", Class: class, Customer: customer}, Traffic: traffic}
+}
+
+func sampleReport() Report {
+	home, crossing, unknown := zone.Pair{From: "a", To: "a"}, zone.Pair{From: "a", To: "b"}, zone.Pair{From: "a"}
 	rows := []zone.Row{
-		{Key: zone.Key{Day: 20000, Pair: zone.Pair{From: "a", To: "a"}, Pool: "p", Class: "read", Customer: "<b>acme"}, Traffic: zone.Traffic{Requests: 30, Out: 1, In: 2}},
-		{Key: zone.Key{Day: 20000, Pair: zone.Pair{From: "a", To: "b"}, Pool: "p", Class: "read"}, Traffic: zone.Traffic{Requests: 10, Out: 3, In: 4}},
-		{Key: zone.Key{Day: 20000, Pair: zone.Pair{From: "a"}, Pool: "p", Class: "read"}, Traffic: zone.Traffic{Requests: 99}},
-		{Key: zone.Key{Day: 20001, Pair: zone.Pair{From: "a", To: "b"}, Pool: "p", Class: "alert-send"}, Traffic: zone.Traffic{Requests: 1}},
+		sampleRow(20000, home, "read", "<b>acme", zone.Traffic{Requests: 30, Out: 1, In: 2}),
+		sampleRow(20000, crossing, "read", "", zone.Traffic{Requests: 10, Out: 3, In: 4}),
+		sampleRow(20000, unknown, "read", "", zone.Traffic{Requests: 99}),
+		sampleRow(20001, crossing, "alert-send", "", zone.Traffic{Requests: 1}),
 	}
+	statuses := []zone.LocalityStatus{{Locality: zone.Locality{Zone: "a"}, Servers: 3, Capacity: 2.5, Limit: 12, InFlight: 4, Unhealthy: true}}
+	remaining := zone.Remaining{RequestsHour: 5, RequestsDay: zone.Unlimited, BytesHour: zone.Unlimited, BytesDay: 1000}
 	return Report{
-		Node: "n1", Home: "a", At: time.Unix(1728000000, 0).UTC(), Rows: Rows(rows, "", By{true, true, true}),
-		Pools:   map[string][]Area{"p": Areas([]zone.View{{Place: zone.Place{Zone: "a"}, Servers: 3, Units: 2.5, Limit: 12, Out: 4, Sick: true}})},
-		Budgets: Budgets(map[zone.Pair][2][2]int64{{From: "a", To: "b"}: {{5, -1}, {-1, 1000}}}),
+		Node: "n1", Home: "a", At: time.Unix(1728000000, 0).UTC(), Rows: Rows(rows, "", GroupBy{Pool: true, Class: true, Customer: true}),
+		Localities: map[string][]Locality{"p": Localities(statuses)},
+		Budgets:    Budgets(map[zone.Pair]zone.Remaining{crossing: remaining}),
 	}
 }
 
-func TestForms(t *testing.T) {
-	r := sample()
-	var table, text bytes.Buffer
-	for _, err := range []error{r.Table(&table), r.JSON(&text)} {
-		if err != nil {
-			t.Fatal(err)
-		}
+func TestTable(t *testing.T) {
+	var table bytes.Buffer
+	if err := sampleReport().WriteTable(&table); err != nil {
+		t.Fatal(err)
 	}
 	for _, want := range []string{"26.8% of requests crossed", "(unknown)", "sick", "alert-send", "2024-10-04"} {
 		if !strings.Contains(table.String(), want) {
 			t.Errorf("the table has no %q:\n%s", want, table.String())
 		}
 	}
-	back, err := Read(text.Bytes())
-	if err != nil || !reflect.DeepEqual(back, r) {
-		t.Errorf("read back %+v, %v", back, err)
+}
+
+func TestJSONIsReadBack(t *testing.T) {
+	var text bytes.Buffer
+	r := sampleReport()
+	if err := r.WriteJSON(&text); err != nil {
+		t.Fatal(err)
+	}
+	parsed, err := Parse(text.Bytes())
+	if err != nil || !reflect.DeepEqual(parsed, r) {
+		t.Errorf("read back %+v, %v", parsed, err)
 	}
 }
 
-func TestRows(t *testing.T) {
+// Users and tools read the JSON, so its names must not change.
+func TestNamesInJSONStay(t *testing.T) {
+	var text bytes.Buffer
+	if err := sampleReport().WriteJSON(&text); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{
+		`"node": "n1"`, `"home": "a"`, `"at": "2024-10-04T00:00:00Z"`, `"pools": {`, `"budgets": [`, `"account": [`,
+		`"zone": "a"`, `"priority": 0`, `"servers": 3`, `"units": 2.5`, `"limit": 12`, `"calls": 4`, `"sick": true`,
+		`"from": "a"`, `"to": "b"`, `"requests_hour": 5`, `"requests_day": -1`, `"bytes_hour": -1`, `"bytes_day": 1000`,
+		`"day": "2024-10-04"`, `"pool": "p"`, `"class": "read"`, `"customer": "`, `"requests": 30`, `"bytes_out": 1`, `"bytes_in": 2`,
+	} {
+		if !strings.Contains(text.String(), want) {
+			t.Errorf("the JSON has no %s:\n%s", want, text.String())
+		}
+	}
+}
+
+func TestRowsAreGrouped(t *testing.T) {
 	rows := []zone.Row{
-		{Key: zone.Key{Day: 1, Pool: "p", Class: "x"}, Traffic: zone.Traffic{Requests: 1, Out: 1, In: 1}},
-		{Key: zone.Key{Day: 1, Pool: "p", Class: "y"}, Traffic: zone.Traffic{Requests: 2, Out: 2, In: 2}},
-		{Key: zone.Key{Day: 2, Pool: "p", Class: "y"}, Traffic: zone.Traffic{Requests: 4, Out: 4, In: 4}},
+		sampleRow(1, zone.Pair{}, "x", "", zone.Traffic{Requests: 1, Out: 1, In: 1}),
+		sampleRow(1, zone.Pair{}, "y", "", zone.Traffic{Requests: 2, Out: 2, In: 2}),
+		sampleRow(2, zone.Pair{}, "y", "", zone.Traffic{Requests: 4, Out: 4, In: 4}),
 	}
-	if l := Rows(rows, "1970-01-02", By{}); len(l) != 1 || l[0].Requests != 3 || l[0].Class != "" {
-		t.Errorf("%+v", l)
+	if got := Rows(rows, "1970-01-02", GroupBy{}); len(got) != 1 || got[0].Requests != 3 || got[0].Class != "" {
+		t.Errorf("of one day, not told apart: %+v", got)
 	}
-	if l := Rows(rows, "", By{Class: true}); len(l) != 3 {
-		t.Errorf("%+v", l)
+	if got := Rows(rows, "", GroupBy{Class: true}); len(got) != 3 {
+		t.Errorf("of all days by class: %+v", got)
 	}
-	if l := Rows(rows, "1999-01-01", By{}); len(l) != 0 {
-		t.Errorf("%+v", l)
+	if got := Rows(rows, "1999-01-01", GroupBy{}); len(got) != 0 {
+		t.Errorf("of a day without traffic: %+v", got)
 	}
 }
 
-func FuzzRead(f *testing.F) {
-	var b bytes.Buffer
-	sample().JSON(&b)
-	f.Add(b.Bytes())
+func FuzzParse(f *testing.F) {
+	var sample bytes.Buffer
+	if err := sampleReport().WriteJSON(&sample); err != nil {
+		f.Fatal(err)
+	}
+	f.Add(sample.Bytes())
 	f.Add([]byte(`{"account":[{"requests":-1}],"pools":{"":[{}]}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if r, err := Read(text); err == nil {
-			var w bytes.Buffer
-			if r.Table(&w) != nil {
+		if r, err := Parse(text); err == nil {
+			var table bytes.Buffer
+			if r.WriteTable(&table) != nil {
 				t.Fatal("a report that was read can't be written")
 			}
 		}
 	})
 }
 
-// Several nodes' figures together are the sums of each one's; a pair that is without limit anywhere has none.
-func TestMerge(t *testing.T) {
+// The figures of several nodes together are the sums of each one's. A pair that has no limit at one node has none in total.
+func TestMergeAddsUpNodes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := Report{
-		Node: "a", Home: "x", At: now, Pools: map[string][]Area{"p": {{Zone: "x"}}},
+		Node: "a", Home: "x", At: now, Localities: map[string][]Locality{"p": {{Zone: "x"}}},
 		Budgets: []Budget{{"x", "y", 5, -1, 7, 8}}, Rows: []Row{{Day: "2026-12-01", From: "x", To: "y", Requests: 3, Out: 4, In: 5}},
 	}
 	b := Report{
-		Node: "b", Home: "x", At: now.Add(-time.Second), Pools: map[string][]Area{"p": {{Zone: "y"}}},
+		Node: "b", Home: "x", At: now.Add(-time.Second), Localities: map[string][]Locality{"p": {{Zone: "y"}}},
 		Budgets: []Budget{{"x", "y", 1, 2, -1, 4}, {"y", "x", 9, 9, 9, 9}}, Rows: []Row{{Day: "2026-12-01", From: "x", To: "y", Requests: 1, Out: 1, In: 1}},
 	}
-	m := Merge([]Report{a, b})
-	if m.Node != "a, b" || m.Home != "x" || !m.At.Equal(b.At) || len(m.Pools) != 2 || m.Pools["b/p"][0].Zone != "y" || len(m.Rows) != 2 {
-		t.Errorf("%+v", m)
+	merged := Merge([]Report{a, b})
+	if merged.Node != "a, b" || merged.Home != "x" || !merged.At.Equal(b.At) || len(merged.Localities) != 2 ||
+		merged.Localities["b/p"][0].Zone != "y" || len(merged.Rows) != 2 {
+		t.Errorf("%+v", merged)
 	}
-	if len(m.Budgets) != 2 || m.Budgets[0] != (Budget{"x", "y", 6, -1, -1, 12}) || m.Budgets[1] != (Budget{"y", "x", 9, 9, 9, 9}) {
-		t.Errorf("%+v", m.Budgets)
+	if len(merged.Budgets) != 2 || merged.Budgets[0] != (Budget{"x", "y", 6, -1, -1, 12}) || merged.Budgets[1] != (Budget{"y", "x", 9, 9, 9, 9}) {
+		t.Errorf("%+v", merged.Budgets)
 	}
-	if one := Merge([]Report{a}); one.Pools["p"] == nil {
+	if one := Merge([]Report{a}); one.Localities["p"] == nil {
 		t.Errorf("of one node: %+v", one)
 	}
 }
--- a/internal/zone/store/store.go
+++ b/internal/zone/store/store.go
@@ -1,5 +1,8 @@
-// Package store keeps a node's account and budgets of zones on disk, over crashes and restarts: one bbolt file, written
-// in one transaction at a time, so that it always holds what some moment held.
+// Package store keeps a node's account and budgets of zones on disk, over crashes and restarts.
+//
+// It owns one bbolt file. Each Save is one transaction, so the file always holds a state that was saved as a whole. Two buckets
+// hold JSON: "account" maps a zone.Key to its zone.Traffic, "budgets" a zone.Pair to its zone.Usage. The names of their fields are
+// therefore stored data, and must not change.
 package store
 
 import (
@@ -12,6 +15,7 @@
 	"time"
 
 	bolt "go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 
 	"cranegrade/internal/zone"
 )
@@ -20,87 +24,93 @@
 type Store struct{ db *bolt.DB }
 
 var (
-	accounts = []byte("account") // rows, by the JSON of their keys
-	budgets  = []byte("budgets") // what is spent, by the JSON of their pairs
+	accountBucket = []byte("account")
+	budgetsBucket = []byte("budgets")
 )
 
-// lockWait is how long a file that another process has open is waited for.
-const lockWait = time.Second
+// lockTimeout is how long Open waits for a file that another process has open.
+const lockTimeout = time.Second
 
-// Open opens the file, or makes it.
+// ErrLocked says that another process has the file open. Two processes must not share one budget: the caller gives up, or tries
+// again when the other has ended.
+var ErrLocked = errors.New("another process has the file open")
+
+// Errors of ReadRow and ReadUsage for entries that are no valid state.
+var (
+	ErrOutOfRange  = errors.New("a figure is out of range")
+	ErrNameTooLong = errors.New("a name is too long")
+)
+
+// Open opens the file at path, and creates it and its folder if they are missing. The error is ErrLocked if another process has
+// it open.
 func Open(path string) (*Store, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, fmt.Errorf("opening the state of zones: %w", err)
 	}
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockWait})
-	if errors.Is(err, bolt.ErrTimeout) {
-		return nil, fmt.Errorf("opening the state of zones: another process has %s open", path)
+	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
+	if errors.Is(err, bolterrors.ErrTimeout) {
+		err = ErrLocked
 	}
 	if err != nil {
 		return nil, fmt.Errorf("opening the state of zones %s: %w", path, err)
 	}
-	err = db.Update(func(tx *bolt.Tx) error {
-		for _, name := range [][]byte{accounts, budgets} {
-			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-				return err
-			}
-		}
-		return nil
-	})
-	if err != nil {
-		db.Close()
-		return nil, fmt.Errorf("opening the state of zones %s: %w", path, err)
+	if err := db.Update(createBuckets); err != nil {
+		return nil, errors.Join(fmt.Errorf("opening the state of zones %s: %w", path, err), db.Close())
 	}
 	return &Store{db}, nil
 }
 
-// Load reads all that is kept. What can't be read is left out and counted: half an account is better than no node.
-func (s *Store) Load() (state zone.State, unread int, err error) {
+func createBuckets(tx *bolt.Tx) error {
+	for _, name := range [][]byte{accountBucket, budgetsBucket} {
+		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Load reads everything. Entries that can't be read are left out and counted: a node with half an account is better than none.
+func (s *Store) Load() (state zone.State, unreadable int, err error) {
 	err = s.db.View(func(tx *bolt.Tx) error {
-		err := tx.Bucket(accounts).ForEach(func(k, v []byte) error {
-			if r, err := ReadRow(k, v); err == nil {
-				state.Rows = append(state.Rows, r)
+		rows := tx.Bucket(accountBucket).ForEach(func(key, value []byte) error {
+			if row, err := ReadRow(key, value); err == nil {
+				state.Rows = append(state.Rows, row)
 			} else {
-				unread++
+				unreadable++
 			}
 			return nil
 		})
-		return errors.Join(err, tx.Bucket(budgets).ForEach(func(_, v []byte) error {
-			if x, err := ReadSpent(v); err == nil {
-				state.Spent = append(state.Spent, x)
+		usages := tx.Bucket(budgetsBucket).ForEach(func(_, value []byte) error {
+			if usage, err := ReadUsage(value); err == nil {
+				state.Usages = append(state.Usages, usage)
 			} else {
-				unread++
+				unreadable++
 			}
 			return nil
-		}))
+		})
+		return errors.Join(rows, usages)
 	})
 	if err != nil {
-		return zone.State{}, unread, fmt.Errorf("reading the state of zones: %w", err)
+		return zone.State{}, unreadable, fmt.Errorf("reading the state of zones: %w", err)
 	}
-	return state, unread, nil
+	return state, unreadable, nil
 }
 
-// Save writes rows and what is spent over what was kept of them, and drops days that the account has dropped.
-func (s *Store) Save(state zone.State, oldest int64) error {
+// Save replaces the rows and usages that the state has, keeps the others, and deletes the rows of days before oldestDay. After an
+// error nothing of it is stored.
+func (s *Store) Save(state zone.State, oldestDay int64) error {
 	err := s.db.Update(func(tx *bolt.Tx) error {
-		b := tx.Bucket(accounts)
-		for _, r := range state.Rows {
-			if err := put(b, r.Key, r.Traffic); err != nil {
+		account, budgets := tx.Bucket(accountBucket), tx.Bucket(budgetsBucket)
+		for _, row := range state.Rows {
+			if err := put(account, row.Key, row.Traffic); err != nil {
 				return err
 			}
 		}
-		// Keys begin with the day, so old ones come first.
-		c := b.Cursor()
-		for k, v := c.First(); k != nil; k, v = c.Next() {
-			if r, err := ReadRow(k, v); err == nil && r.Day >= oldest {
-				break
-			}
-			if err := c.Delete(); err != nil {
-				return err
-			}
+		if err := deleteBefore(account, oldestDay); err != nil {
+			return err
 		}
-		for _, x := range state.Spent {
-			if err := put(tx.Bucket(budgets), x.Pair, x); err != nil {
+		for _, usage := range state.Usages {
+			if err := put(budgets, usage.Pair, usage); err != nil {
 				return err
 			}
 		}
@@ -112,55 +122,72 @@
 	return nil
 }
 
-func put(b *bolt.Bucket, key, value any) error {
-	k, err := json.Marshal(key)
+// deleteBefore deletes rows up to the first one of the day or a later one. Keys begin with the day, so old rows come first.
+// Unreadable rows among them are deleted as well.
+func deleteBefore(account *bolt.Bucket, oldestDay int64) error {
+	cursor := account.Cursor()
+	for key, value := cursor.First(); key != nil; key, value = cursor.Next() {
+		if row, err := ReadRow(key, value); err == nil && row.Day >= oldestDay {
+			break
+		}
+		if err := cursor.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func put(bucket *bolt.Bucket, key, value any) error {
+	keyText, err := json.Marshal(key)
 	if err != nil {
 		return err
 	}
-	v, err := json.Marshal(value)
+	valueText, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	return b.Put(k, v)
+	return bucket.Put(keyText, valueText)
 }
 
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// maxText bounds the names in a row.
-const maxText = 256
+// maxNameBytes bounds each name in a row.
+const maxNameBytes = 256
 
-// ReadRow reads a row as it is kept.
-func ReadRow(key, value []byte) (r zone.Row, err error) {
-	if err := json.Unmarshal(key, &r.Key); err != nil {
-		return zone.Row{}, fmt.Errorf("a row's key: %w", err)
+// ReadRow decodes a row of the account. The error is ErrOutOfRange or ErrNameTooLong, or one of encoding/json.
+func ReadRow(key, value []byte) (zone.Row, error) {
+	var row zone.Row
+	if err := json.Unmarshal(key, &row.Key); err != nil {
+		return zone.Row{}, fmt.Errorf("decoding a row's key: %w", err)
 	}
-	if err := json.Unmarshal(value, &r.Traffic); err != nil {
-		return zone.Row{}, fmt.Errorf("a row's figures: %w", err)
+	if err := json.Unmarshal(value, &row.Traffic); err != nil {
+		return zone.Row{}, fmt.Errorf("decoding a row's traffic: %w", err)
 	}
-	if r.Requests < 0 || r.Out < 0 || r.In < 0 || r.Day < 0 || r.Day > math.MaxInt32 {
-		return zone.Row{}, errors.New("a row's figures are out of range")
+	if row.Requests < 0 || row.Out < 0 || row.In < 0 || row.Day < 0 || row.Day > math.MaxInt32 {
+		return zone.Row{}, fmt.Errorf("decoding a row: %w", ErrOutOfRange)
 	}
-	for _, s := range []string{r.Pair.From, r.Pair.To, r.Pool, r.Class, r.Customer} {
-		if len(s) > maxText {
-			return zone.Row{}, errors.New("a row's name is too long")
+	for _, name := range []string{row.Pair.From, row.Pair.To, row.Pool, row.Class, row.Customer} {
+		if len(name) > maxNameBytes {
+			return zone.Row{}, fmt.Errorf("decoding a row: %w", ErrNameTooLong)
 		}
 	}
-	return r, nil
+	return row, nil
 }
 
-// ReadSpent reads what is spent of a budget as it is kept.
-func ReadSpent(value []byte) (x zone.Spent, err error) {
-	if err := json.Unmarshal(value, &x); err != nil {
-		return zone.Spent{}, fmt.Errorf("a budget: %w", err)
+// ReadUsage decodes the usage of a budget. The error is ErrOutOfRange, or one of encoding/json.
+func ReadUsage(value []byte) (zone.Usage, error) {
+	var usage zone.Usage
+	if err := json.Unmarshal(value, &usage); err != nil {
+		return zone.Usage{}, fmt.Errorf("decoding a budget: %w", err)
 	}
-	for i := range x.Requests {
-		if min(x.Requests[i], x.Bytes[i], x.NextRequests[i], x.NextBytes[i]) < 0 {
-			return zone.Spent{}, errors.New("a budget's figures are out of range")
+	for period := range usage.Requests {
+		if min(usage.Requests[period], usage.Bytes[period], usage.NextRequests[period], usage.NextBytes[period]) < 0 {
+			return zone.Usage{}, fmt.Errorf("decoding a budget: %w", ErrOutOfRange)
 		}
 	}
-	if x.Hour < 0 || x.Day < 0 {
-		return zone.Spent{}, errors.New("a budget's spans are out of range")
+	if usage.Hour < 0 || usage.Day < 0 {
+		return zone.Usage{}, fmt.Errorf("decoding a budget: %w", ErrOutOfRange)
 	}
-	return x, nil
+	return usage, nil
 }
--- a/internal/zone/store/store_test.go
+++ b/internal/zone/store/store_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -14,7 +15,7 @@
 	"cranegrade/internal/zone"
 )
 
-func open(t *testing.T, path string) *Store {
+func openStore(t *testing.T, path string) *Store {
 	t.Helper()
 	s, err := Open(path)
 	if err != nil {
@@ -24,61 +25,69 @@
 	return s
 }
 
-// What a book had saved is there after a crash: the file as it is at any moment is copied, and opened by another.
-func TestOverCrash(t *testing.T) {
-	dir := t.TempDir()
-	path := filepath.Join(dir, "deep", "zones.db")
-	s := open(t, path)
-	book := zone.NewBook([]zone.Limit{{Pair: zone.Pair{From: "a", To: "b"}, RequestsDay: 10}})
+// loadAfterCrash loads what another process finds in the file as it is now.
+func loadAfterCrash(t *testing.T, path string) zone.State {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	crashed := filepath.Join(t.TempDir(), "crashed.db")
+	if err := os.WriteFile(crashed, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	s := openStore(t, crashed)
+	state, unreadable, err := s.Load()
+	if err != nil || unreadable != 0 {
+		t.Fatalf("%d unreadable, %v", unreadable, err)
+	}
+	return state
+}
+
+func TestSavedStateSurvivesCrash(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "deep", "zones.db")
+	s := openStore(t, path)
+	pair := zone.Pair{From: "a", To: "b"}
+	accounting := zone.NewAccounting([]zone.Limit{{Pair: pair, RequestsDay: 10}})
 	now := 20000 * 24 * time.Hour
 	for i := range 5 {
-		book.Add(now, zone.Key{Pair: zone.Pair{From: "a", To: "b"}, Pool: "p", Class: "read", Customer: "acme"}, zone.Traffic{Requests: 1, Out: 10, In: 20})
-		if err := s.Save(book.TakeChanges(), 0); err != nil {
-			t.Fatal(err)
-		}
-		text, err := os.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		crashed := filepath.Join(dir, "crashed.db")
-		if err := os.WriteFile(crashed, text, 0o600); err != nil {
+		accounting.Add(now, zone.Key{Pair: pair, Pool: "p", Class: "read", Customer: "acme"}, zone.Traffic{Requests: 1, Out: 10, In: 20})
+		if err := s.Save(accounting.TakeChanges(), 0); err != nil {
 			t.Fatal(err)
 		}
-		c, err := Open(crashed)
-		if err != nil {
-			t.Fatal(err)
-		}
-		state, unread, err := c.Load()
-		c.Close()
-		if err != nil || unread != 0 || len(state.Rows) != 1 || state.Rows[0].Requests != int64(i+1) || len(state.Spent) != 1 {
-			t.Fatalf("after %d: %+v, %d unread, %v", i+1, state, unread, err)
+		state := loadAfterCrash(t, path)
+		if len(state.Rows) != 1 || state.Rows[0].Requests != int64(i+1) || len(state.Usages) != 1 {
+			t.Fatalf("after %d: %+v", i+1, state)
 		}
-		next := zone.NewBook(nil)
-		next.Restore(state)
-		if got := next.Rows(); !reflect.DeepEqual(got, book.Rows()) {
+		restored := zone.NewAccounting(nil)
+		restored.Restore(state)
+		if got := restored.Rows(); !reflect.DeepEqual(got, accounting.Rows()) {
 			t.Fatalf("restored %+v", got)
 		}
 	}
-	if _, err := Open(path); err == nil || !strings.Contains(err.Error(), "another process") {
+}
+
+func TestOpenFileIsLocked(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "zones.db")
+	openStore(t, path)
+	if _, err := Open(path); !errors.Is(err, ErrLocked) || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("a second opening: %v", err)
 	}
 }
 
-// Rows that can't be read are left out; old days are dropped; a file that is no store is a plain error.
-func TestBadContents(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "zones.db")
-	s := open(t, path)
+func TestUnreadableEntriesAreLeftOutAndOldDaysDropped(t *testing.T) {
+	s := openStore(t, filepath.Join(t.TempDir(), "zones.db"))
 	rows := []zone.Row{{Key: zone.Key{Day: 5, Pool: "old"}}, {Key: zone.Key{Day: 90, Pool: "new"}, Traffic: zone.Traffic{Requests: 3}}}
 	if err := s.Save(zone.State{Rows: rows}, 0); err != nil {
 		t.Fatal(err)
 	}
 	s.db.Update(func(tx *bolt.Tx) error {
-		tx.Bucket(accounts).Put([]byte(`{"Day":91}`), []byte(`{"Requests":-1}`))
-		return tx.Bucket(budgets).Put([]byte("x"), []byte("nonsense"))
+		tx.Bucket(accountBucket).Put([]byte(`{"Day":91}`), []byte(`{"Requests":-1}`))
+		return tx.Bucket(budgetsBucket).Put([]byte("x"), []byte("nonsense"))
 	})
-	state, unread, err := s.Load()
-	if err != nil || unread != 2 || len(state.Rows) != 2 || state.Spent != nil {
-		t.Fatalf("%+v, %d unread, %v", state, unread, err)
+	state, unreadable, err := s.Load()
+	if err != nil || unreadable != 2 || len(state.Rows) != 2 || state.Usages != nil {
+		t.Fatalf("%+v, %d unreadable, %v", state, unreadable, err)
 	}
 	if err := s.Save(zone.State{}, 50); err != nil {
 		t.Fatal(err)
@@ -86,26 +95,50 @@
 	if state, _, _ := s.Load(); len(state.Rows) != 1 || state.Rows[0].Pool != "new" {
 		t.Errorf("after old days were dropped: %+v", state.Rows)
 	}
-	bad := filepath.Join(t.TempDir(), "bad.db")
-	if err := os.WriteFile(bad, bytes.Repeat([]byte("no store "), 1000), 0o600); err != nil {
+}
+
+func TestFileThatIsNoStoreIsAnError(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "bad.db")
+	if err := os.WriteFile(path, bytes.Repeat([]byte("no store "), 1000), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s, err := Open(bad); err == nil {
+	if s, err := Open(path); err == nil {
 		s.Close()
 		t.Error("a file that is no store was opened")
 	}
 }
 
+// A file of the build before must be readable, so the names in it must not change.
+func TestNamesOfStoredDataStay(t *testing.T) {
+	row, err := ReadRow(
+		[]byte(`{"Day":20000,"Pair":{"From":"a","To":"b"},"Pool":"p","Class":"read","Customer":"acme"}`),
+		[]byte(`{"Requests":1,"Out":2,"In":3}`))
+	want := zone.Row{
+		Key:     zone.Key{Day: 20000, Pair: zone.Pair{From: "a", To: "b"}, Pool: "p", Class: "read", Customer: "acme"},
+		Traffic: zone.Traffic{Requests: 1, Out: 2, In: 3},
+	}
+	if err != nil || row != want {
+		t.Errorf("row %+v, %v", row, err)
+	}
+	usage, err := ReadUsage([]byte(`{"Pair":{"From":"a","To":"b"},"Hour":480001,"Day":20000,"Requests":[1,2],"Bytes":[3,4],"NextRequests":[5,6],"NextBytes":[7,8]}`))
+	wantUsage := zone.Usage{Pair: zone.Pair{From: "a", To: "b"}, Hour: 480001, Day: 20000}
+	wantUsage.Requests, wantUsage.Bytes = [2]int64{1, 2}, [2]int64{3, 4}
+	wantUsage.NextRequests, wantUsage.NextBytes = [2]int64{5, 6}, [2]int64{7, 8}
+	if err != nil || usage != wantUsage {
+		t.Errorf("usage %+v, %v", usage, err)
+	}
+}
+
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"Day":1,"Pair":{"From":"a","To":"b"}}`), []byte(`{"Requests":1,"Out":2,"In":3}`))
 	f.Add([]byte(`{"Day":-1}`), []byte(`{"Requests":1e300}`))
 	f.Add([]byte(`[]`), []byte(`{"Hour":1,"Requests":[1,2],"Bytes":[-1,0]}`))
 	f.Fuzz(func(t *testing.T, key, value []byte) {
-		if r, err := ReadRow(key, value); err == nil && (r.Requests < 0 || r.Out < 0 || r.In < 0 || len(r.Pool) > maxText) {
-			t.Fatalf("%+v", r)
+		if row, err := ReadRow(key, value); err == nil && (row.Requests < 0 || row.Out < 0 || row.In < 0 || len(row.Pool) > maxNameBytes) {
+			t.Fatalf("%+v", row)
 		}
-		if x, err := ReadSpent(value); err == nil && (x.Requests[0] < 0 || x.Bytes[1] < 0 || x.Day < 0) {
-			t.Fatalf("%+v", x)
+		if usage, err := ReadUsage(value); err == nil && (usage.Requests[0] < 0 || usage.Bytes[1] < 0 || usage.Day < 0) {
+			t.Fatalf("%+v", usage)
 		}
 	})
 }
