--- a/balancer/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -11,15 +11,19 @@
 	"cranegrade/internal/emulator"
 )
 
-// play plays a shape of 0.9 of the capacity. disturb gives every node wrong beliefs as the trigger begins;
+// play runs a scenario at 0.9 of the capacity. disturb gives every node wrong estimates as the trigger begins;
 // calm leaves the trigger out.
-func play(t testing.TB, shape string, seed uint64, servers int, disturb, calm bool) (emulator.Shape, *emulator.World) {
-	s := emulator.NewShape(shape, seed, servers, 0.9)
-	s.Plan.Length = s.End + recoversWithin*s.Service + 15*time.Second
+func play(t testing.TB, name string, seed uint64, servers int, disturb, calm bool) (emulator.Scenario, *emulator.World) {
+	t.Helper()
+	s, err := emulator.NewScenario(name, seed, servers, 0.9)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Config.Duration = s.TriggerEnd + recoversWithin*s.ServiceTime + 15*time.Second
 	r := rand.New(rand.NewPCG(seed, 0xd15))
 	var all []*balancer.Balancer
-	s.Plan.Decider = func(tier, index int, set balancer.Settings) emulator.Decider {
-		b, err := balancer.New(set, seed+uint64(tier*100+index))
+	s.Config.NewModule = func(tier, index int, settings balancer.Settings) emulator.DecisionModule {
+		b, err := balancer.New(settings, seed+uint64(tier*100+index))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -27,22 +31,22 @@
 		return b
 	}
 	if disturb {
-		s.Plan.At = append(s.Plan.At, emulator.Change{At: s.Before, Do: func(*emulator.World) {
+		s.Config.Changes = append(s.Config.Changes, emulator.Change{At: s.TriggerStart, Do: func(*emulator.World) {
 			for _, b := range all {
 				b.Disturb(r)
 			}
 		}})
 	}
 	if calm {
-		rate := s.Plan.Rate(0)
-		s.Plan.At, s.Plan.Most, s.Plan.Rate = nil, rate, func(time.Duration) float64 { return rate }
+		rate := s.Config.Rate(0)
+		s.Config.Changes, s.Config.MaxRate, s.Config.Rate = nil, rate, func(time.Duration) float64 { return rate }
 	}
-	w, err := emulator.Play(s.Plan)
+	w, err := emulator.Run(s.Config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range w.Broken {
-		t.Errorf("%s, seed %d: %s", shape, seed, b)
+	for _, violation := range w.Violations {
+		t.Errorf("%s, seed %d: %s", name, seed, violation)
 	}
 	return s, w
 }
@@ -53,9 +57,9 @@
 const recoversWithin = 200
 
 // TestRecovers holds that no overload outlives its trigger: recoversWithin service times after it, at 0.9 of
-// the capacity, goodput is at least 0.95 of what it is without any trigger, over all plays of a shape, and in
-// none under 0.8: fifteen seconds near the capacity differ by so much from seed to seed. Every node's beliefs
-// are wrong by up to a factor of ten as the trigger begins. RECOVERY_SEEDS asks for more plays.
+// the capacity, goodput is at least 0.95 of what it is without any trigger, over all runs of a scenario, and in
+// none under 0.8: fifteen seconds near the capacity differ by so much from seed to seed. Every node's estimates
+// are wrong by up to a factor of ten as the trigger begins. RECOVERY_SEEDS asks for more runs.
 func TestRecovers(t *testing.T) {
 	seeds := uint64(3)
 	if n, err := strconv.ParseUint(os.Getenv("RECOVERY_SEEDS"), 10, 16); err == nil && n > 0 {
@@ -67,8 +71,8 @@
 			for seed := range seeds {
 				s, w := play(t, shape, seed, 8, true, false)
 				_, calm := play(t, shape, seed, 8, false, true)
-				from := s.End + recoversWithin*s.Service
-				got, most := w.Goodput(from, s.Plan.Length), calm.Goodput(from, s.Plan.Length)
+				from := s.TriggerEnd + recoversWithin*s.ServiceTime
+				got, most := w.Goodput(from, s.Config.Duration), calm.Goodput(from, s.Config.Duration)
 				if got < 0.8*most {
 					t.Errorf("seed %d: goodput %.3f from %v on, %.3f without the trigger", seed, got, from, most)
 				}
@@ -83,13 +87,16 @@
 
 // The drawn states are no harmless ones: without the module's admission goodput does not come back.
 func TestReferenceDoesNotRecover(t *testing.T) {
-	s := emulator.NewShape("cliff", 1, 8, 0.9)
-	s.Plan.Decider = emulator.Policies()["none"]
-	w, err := emulator.Play(s.Plan)
+	s, err := emulator.NewScenario("cliff", 1, 8, 0.9)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Config.NewModule = emulator.NewUnlimitedReference
+	w, err := emulator.Run(s.Config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := w.Goodput(s.End+recoversWithin*s.Service, s.Plan.Length); got > 0.5 {
-		t.Errorf("goodput %.3f with no admission at all: the shape is no trap", got)
+	if got := w.Goodput(s.TriggerEnd+recoversWithin*s.ServiceTime, s.Config.Duration); got > 0.5 {
+		t.Errorf("goodput %.3f with no admission at all: the scenario is no trap", got)
 	}
 }
--- a/cmd/cranesim/main.go
+++ b/cmd/cranesim/main.go
@@ -1,8 +1,9 @@
-// Command cranesim plays overloads in simulated time, and tells what the module and two references make
-// of each: goodput before, during and after the trigger, the time until goodput is back, and the work
-// that was done for nobody.
+// Command cranesim runs overload scenarios in simulated time and compares the decision module with two reference policies: goodput
+// before, during and after the trigger, the time until goodput has recovered, and the share of work that nobody waited for.
 //
 //	go run ./cmd/cranesim [-seeds N] [-servers N] [-load SHARE] [-seconds] [SHAPE...]
+//
+// It ends with 0 if all scenarios were run, with 1 if one could not be run, and with 2 if the command line is wrong.
 package main
 
 import (
@@ -17,75 +18,148 @@
 	"cranegrade/internal/emulator"
 )
 
+// Exit codes.
+const (
+	exitOK     = 0
+	exitFailed = 1
+	exitUsage  = 2
+)
+
+// Goodput has recovered when it stays at least minRecoveredGoodput over each recoverySpan.
+const (
+	minRecoveredGoodput = 0.95
+	recoverySpan        = 2 * time.Second
+)
+
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
+// options are the command line.
+type options struct {
+	seeds   int
+	servers int
+	load    float64
+	seconds bool
+	names   []string // of scenarios
+}
+
 func run(args []string, stdout, stderr io.Writer) int {
+	o, err := parse(args, stderr)
+	if err != nil {
+		return exitUsage
+	}
+	table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "shape\tpolicy\tbefore\tduring\tafter\tback after\tnever back\twasted\tworst class")
+	for _, name := range o.names {
+		for _, policy := range emulator.Policies() {
+			c := &comparison{options: o, name: name, policy: policy, table: table, stderr: stderr}
+			if err := c.run(); err != nil {
+				fmt.Fprintln(stderr, "cranesim:", err)
+				return exitFailed
+			}
+			c.report()
+		}
+	}
+	_ = table.Flush() // there is nobody left to tell of a failure of standard output
+	return exitOK
+}
+
+// parse parses and checks the command line. Errors have been written to stderr.
+func parse(args []string, stderr io.Writer) (options, error) {
+	var o options
 	flags := flag.NewFlagSet("cranesim", flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	seeds := flags.Int("seeds", 5, "plays of each, by seeds from 1 on; the median is told")
-	servers := flags.Int("servers", 8, "of a tier")
-	load := flags.Float64("load", 0.8, "offered outside the trigger, as a share of the capacity")
-	seconds := flags.Bool("seconds", false, "print each second of the first play")
+	flags.IntVar(&o.seeds, "seeds", 5, "plays of each, by seeds from 1 on; the median is told")
+	flags.IntVar(&o.servers, "servers", 8, "of a tier")
+	flags.Float64Var(&o.load, "load", 0.8, "offered outside the trigger, as a share of the capacity")
+	flags.BoolVar(&o.seconds, "seconds", false, "print each second of the first play")
 	if err := flags.Parse(args); err != nil {
-		return 2
+		return options{}, err
 	}
-	shapes := flags.Args()
-	if len(shapes) == 0 {
-		shapes = emulator.Names
+	o.names = flags.Args()
+	if len(o.names) == 0 {
+		o.names = emulator.ScenarioNames()
 	}
-	t := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "shape\tpolicy\tbefore\tduring\tafter\tback after\tnever back\twasted\tworst class")
-	for _, name := range shapes {
-		if !slices.Contains(emulator.Names, name) {
-			fmt.Fprintf(stderr, "cranesim: no shape %q; there are %v\n", name, emulator.Names)
-			return 2
+	for _, name := range o.names {
+		if _, err := emulator.NewScenario(name, 1, o.servers, o.load); err != nil {
+			fmt.Fprintln(stderr, "cranesim:", err)
+			return options{}, err
 		}
-		for _, policy := range []string{"module", "static", "none"} {
-			var before, during, after, back, wasted, worst []float64
-			never := 0
-			for seed := range uint64(*seeds) {
-				s := emulator.NewShape(name, seed+1, *servers, *load)
-				s.Plan.Decider = emulator.Policies()[policy]
-				w, err := emulator.Play(s.Plan)
-				if err != nil {
-					fmt.Fprintln(stderr, "cranesim:", err)
-					return 1
-				}
-				for _, b := range w.Broken {
-					fmt.Fprintf(stderr, "cranesim: %s, %s, seed %d: %s\n", name, policy, seed+1, b)
-				}
-				before = append(before, w.Goodput(0, s.Before))
-				during = append(during, w.Goodput(s.Before, max(s.End, s.Before+time.Second)))
-				after = append(after, w.Goodput(s.End, s.Plan.Length))
-				if r := w.Recovered(s.End, 0.95, 2*time.Second); r >= 0 {
-					back = append(back, r.Seconds())
-				} else {
-					never++
-				}
-				wasted = append(wasted, w.Wasted())
-				least := 1.0
-				for _, c := range w.Classes {
-					least = min(least, float64(c.Good)/max(1, float64(c.Offered)))
-				}
-				worst = append(worst, least)
-				if *seconds && seed == 0 {
-					for i, x := range w.Seconds {
-						fmt.Fprintf(t, "%s\t%s\t%d s\t%+v\n", name, policy, i, x)
-					}
-				}
-			}
-			fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.0f s\t%d\t%.3f\t%.3f\n", name, policy, median(before), median(during),
-				median(after), median(back), never, median(wasted), median(worst))
+	}
+	return o, nil
+}
+
+// comparison is one policy in one scenario, over all seeds.
+type comparison struct {
+	options
+	name   string
+	policy emulator.Policy
+	table  io.Writer
+	stderr io.Writer
+
+	before, during, after []float64 // goodput, by seed
+	recoverySeconds       []float64 // of the seeds in which goodput recovered
+	neverRecovered        int
+	wasted                []float64 // share of the work
+	worstClass            []float64 // least goodput of a class
+}
+
+func (c *comparison) run() error {
+	for seed := range uint64(c.seeds) {
+		scenario, err := emulator.NewScenario(c.name, seed+1, c.servers, c.load)
+		if err != nil {
+			return err
 		}
+		scenario.Config.NewModule = c.policy.NewModule
+		world, err := emulator.Run(scenario.Config)
+		if err != nil {
+			return fmt.Errorf("running %s, %s, seed %d: %w", c.name, c.policy.Name, seed+1, err)
+		}
+		for _, violation := range world.Violations {
+			fmt.Fprintf(c.stderr, "cranesim: %s, %s, seed %d: %s\n", c.name, c.policy.Name, seed+1, violation)
+		}
+		c.add(scenario, world)
+		if c.seconds && seed == 0 {
+			c.reportSeconds(world)
+		}
+	}
+	return nil
+}
+
+func (c *comparison) add(scenario emulator.Scenario, world *emulator.World) {
+	start, end := scenario.TriggerStart, scenario.TriggerEnd
+	c.before = append(c.before, world.Goodput(0, start))
+	c.during = append(c.during, world.Goodput(start, max(end, start+time.Second)))
+	c.after = append(c.after, world.Goodput(end, scenario.Config.Duration))
+	if recovery, ok := world.RecoveryTime(end, minRecoveredGoodput, recoverySpan); ok {
+		c.recoverySeconds = append(c.recoverySeconds, recovery.Seconds())
+	} else {
+		c.neverRecovered++
+	}
+	c.wasted = append(c.wasted, world.WastedShare())
+	worst := 1.0
+	for _, class := range world.Classes {
+		worst = min(worst, float64(class.Good)/max(1, float64(class.Offered)))
+	}
+	c.worstClass = append(c.worstClass, worst)
+}
+
+func (c *comparison) report() {
+	fmt.Fprintf(c.table, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.0f s\t%d\t%.3f\t%.3f\n", c.name, c.policy.Name, median(c.before), median(c.during),
+		median(c.after), median(c.recoverySeconds), c.neverRecovered, median(c.wasted), median(c.worstClass))
+}
+
+func (c *comparison) reportSeconds(world *emulator.World) {
+	for second, counts := range world.Seconds {
+		fmt.Fprintf(c.table, "%s\t%s\t%d s\t{Offered:%d Good:%d Late:%d Refused:%d Failed:%d WorkDone:%v WorkWasted:%v}\n", c.name, c.policy.Name, second,
+			counts.Offered, counts.Good, counts.Late, counts.Rejected, counts.Failed, counts.WorkDone, counts.WorkWasted)
 	}
-	t.Flush()
-	return 0
 }
 
-func median(l []float64) float64 {
-	if len(l) == 0 {
+// median is the middle value, the higher one of two; 0 if there is none. It sorts the values.
+func median(values []float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	slices.Sort(l)
-	return l[len(l)/2]
+	slices.Sort(values)
+	return values[len(values)/2]
 }
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -2,247 +2,257 @@
 
 import (
 	"fmt"
-	"sort"
+	"slices"
 	"strconv"
 	"time"
 
 	"cranegrade/balancer"
 )
 
-type verdict int
-
-const (
-	verdictServed verdict = iota
-	verdictRefused
-	verdictFailed
-)
-
-// node hosts a decider, as an engine does.
+// node hosts a decision module, as an engine does.
 type node struct {
-	w       *World
-	tier    int
-	decider Decider
-	open    map[string]*call
-	nextID  int
-	dead    bool
-	queue   []balancer.Event
-	busy    bool
-	watch   watch
+	world      *World
+	tier       int
+	module     DecisionModule
+	open       map[string]*call
+	lastID     int
+	dead       bool // it was replaced
+	events     []balancer.Event
+	processing bool // events are being handled
+	watch      watch
 }
 
-// call is a request that a node has taken.
-type call struct {
-	n        *node
-	id       string
-	class    *Class
-	deadline time.Duration
-	told     func(verdict, time.Duration)
-	done     bool
-	out      int
-	attempts []*attempt
-}
+// moduleSeedStride keeps the seeds of the nodes' modules apart.
+const moduleSeedStride = 7919
 
-// attempt is one send of a call.
-type attempt struct {
-	c       *call
-	n       int
-	server  *Server
-	ended   bool
-	gone    bool // the node no longer waits
-	running bool // it has begun at the server
-}
-
-func (w *World) newNode(tier, index, copies int) (*node, error) {
-	set := w.plan.Tiers[tier].Settings
-	set.Balancers, set.Index, set.Tier = copies, index, tier
-	if w.plan.Tiers[tier].Admits {
-		set.Tier = 0
-	}
-	if len(set.Classes) == 0 {
-		known := map[string]bool{}
-		for _, c := range w.plan.Classes {
-			if !known[c.Name] {
-				set.Classes = append(set.Classes, c.Class)
-			}
-			known[c.Name] = true
-		}
+// newNode makes the node of a tier with an index among so many that share its servers.
+func (w *World) newNode(tier, index, nodes int) (*node, error) {
+	settings := w.nodeSettings(tier, index, nodes)
+	n := &node{world: w, tier: tier, open: map[string]*call{}}
+	if w.config.NewModule != nil {
+		n.module = w.config.NewModule(tier, index, settings)
 	}
-	n := &node{w: w, tier: tier, open: map[string]*call{}}
-	if w.plan.Decider != nil {
-		n.decider = w.plan.Decider(tier, index, set)
-	}
-	if n.decider == nil {
-		b, err := balancer.New(set, w.plan.Seed+uint64(tier*1000+index)*7919)
+	if n.module == nil {
+		b, err := balancer.New(settings, w.config.Seed+uint64(tier*1000+index)*moduleSeedStride)
 		if err != nil {
-			return nil, fmt.Errorf("tier %d: %w", tier, err)
+			return nil, fmt.Errorf("making the decision module of node %d of tier %d: %w", index, tier, err)
 		}
-		n.decider = b
+		n.module = b
 	}
-	n.handle(w.list(tier))
-	if tier == 0 && w.plan.Discovery != nil {
+	n.handle(w.serverList(tier))
+	if tier == 0 && w.config.Discovery != nil {
 		n.watch = watch{open: true}
 	}
 	return n, nil
 }
 
-// lastCall is how long after the deadline an engine answers for a module that has not.
-const lastCall = 20 * time.Millisecond
-
-// take has a node answer a request by a deadline.
-func (n *node) take(c *Class, deadline time.Duration, repeat bool, told func(verdict, time.Duration)) *call {
-	n.nextID++
-	k := &call{n: n, id: strconv.Itoa(n.nextID), class: c, deadline: deadline, told: told}
-	n.open[k.id] = k
-	if deadline <= n.w.now {
-		k.answer(verdictRefused, 0)
-		return k
-	}
-	// The engine's last call, a little after the module's own.
-	n.w.at(deadline+lastCall, func() {
-		if !k.done {
-			k.answer(verdictFailed, 0)
-			n.handle(balancer.ClientGone{ID: k.id})
-		}
-	})
-	n.handle(balancer.Request{ID: k.id, Class: c.Name, Deadline: deadline, ClientRetry: repeat, Tenant: c.Tenant})
-	return k
-}
-
-// gone says that the caller has left.
-func (k *call) leave() {
-	if !k.done {
-		k.done = true
-		k.n.handle(balancer.ClientGone{ID: k.id})
-		k.forget()
+// nodeSettings are the settings of a tier with what depends on the node, and with the classes if these are not set.
+func (w *World) nodeSettings(tier, index, nodes int) balancer.Settings {
+	settings := w.config.Tiers[tier].Settings
+	settings.Balancers, settings.Index, settings.Tier = nodes, index, tier
+	if w.config.Tiers[tier].AdmissionControl {
+		settings.Tier = 0
 	}
-}
-
-func (k *call) answer(v verdict, retry time.Duration) {
-	if k.done {
-		return
+	if len(settings.Classes) > 0 {
+		return settings
 	}
-	k.done = true
-	k.forget()
-	k.told(v, retry)
-}
-
-func (k *call) forget() {
-	if k.done && k.out == 0 {
-		delete(k.n.open, k.id)
+	added := map[string]bool{}
+	for _, class := range w.config.Classes {
+		if !added[class.Name] {
+			settings.Classes = append(settings.Classes, class.Class)
+		}
+		added[class.Name] = true
 	}
+	return settings
 }
 
-// handle gives the decider an event, and then those that its own actions caused at once.
-func (n *node) handle(e balancer.Event) {
+// handle gives the module an event. Events that its actions cause at once are handled after it, not within.
+func (n *node) handle(event balancer.Event) {
 	if n.dead {
 		return
 	}
-	n.queue = append(n.queue, e)
-	if n.busy {
+	n.events = append(n.events, event)
+	if n.processing {
 		return
 	}
-	n.busy = true
-	for len(n.queue) > 0 && !n.dead {
-		e := n.queue[0]
-		n.queue = n.queue[1:]
-		for _, a := range n.decider.Handle(n.w.now, e) {
-			n.carryOut(a)
+	n.processing = true
+	for len(n.events) > 0 && !n.dead {
+		event := n.events[0]
+		n.events = n.events[1:]
+		for _, action := range n.module.Handle(n.world.now, event) {
+			n.perform(action)
 		}
 	}
-	n.busy = false
+	n.processing = false
 }
 
-func (n *node) carryOut(a balancer.Action) {
-	switch a := a.(type) {
+func (n *node) perform(action balancer.Action) {
+	switch a := action.(type) {
 	case balancer.Send:
 		n.send(a)
 	case balancer.Cancel:
-		if k := n.open[a.ID]; k != nil && a.Attempt < len(k.attempts) {
-			k.attempts[a.Attempt].end(balancer.Canceled)
+		if c := n.open[a.ID]; c != nil && a.Attempt < len(c.attempts) {
+			c.attempts[a.Attempt].end(balancer.Canceled)
 		}
 	case balancer.Reject:
-		if k := n.open[a.ID]; k != nil {
-			k.answer(verdictRefused, a.RetryAfter)
+		if c := n.open[a.ID]; c != nil {
+			c.answer(rejected, a.RetryAfter)
 		}
 	case balancer.Fail:
-		if k := n.open[a.ID]; k != nil {
-			k.answer(verdictFailed, 0)
+		if c := n.open[a.ID]; c != nil {
+			c.answer(failed, 0)
 		}
 	case balancer.Wake:
-		n.w.at(a.At, func() { n.handle(balancer.Timer{Token: a.Token}) })
+		n.world.at(a.At, func() { n.handle(balancer.Timer{Token: a.Token}) })
 	case balancer.Subscribe:
 		n.subscribe()
 	}
 }
 
+// send sends an attempt to a server of the tier.
 func (n *node) send(s balancer.Send) {
-	k := n.open[s.ID]
-	if k == nil {
-		n.w.Broken = append(n.w.Broken, "a send for an unknown request")
+	c := n.open[s.ID]
+	if c == nil {
+		n.world.violation("a send for an unknown request")
 		return
 	}
-	a := &attempt{c: k, n: len(k.attempts)}
-	for _, x := range k.attempts {
-		if x.running && k.class.Effect == balancer.NonIdempotent {
-			n.w.Broken = append(n.w.Broken, fmt.Sprintf("an unsafe request sent again after it ran, at %v", n.w.now))
-		}
-	}
-	for _, x := range n.w.tiers[n.tier] {
-		if x.id == s.Server {
-			a.server = x
-		}
-	}
-	k.attempts = append(k.attempts, a)
-	k.out++
+	n.checkRunsOnce(c)
+	a := &attempt{call: c, number: len(c.attempts), server: n.server(s.Server)}
+	c.attempts = append(c.attempts, a)
+	c.inFlight++
 	n.checkDrain(a.server)
-	if k.done || a.server == nil {
+	if c.done || a.server == nil {
 		a.end(balancer.NeverSent)
 		return
 	}
-	deadline := k.deadline
+	deadline := c.deadline
 	if s.Timeout > 0 {
-		deadline = min(deadline, n.w.now+s.Timeout)
+		deadline = min(deadline, n.world.now+s.Timeout)
 	}
-	n.w.at(deadline, func() { a.end(balancer.TimedOut) })
-	n.w.after(n.w.plan.Wire, func() {
-		if !a.gone {
-			a.server.arrive(a, deadline)
+	n.world.at(deadline, func() { a.end(balancer.TimedOut) })
+	n.world.After(n.world.config.NetworkDelay, func() {
+		if !a.ended {
+			a.server.receive(a, deadline)
 		}
 	})
 }
 
-// end ends an attempt, once.
-func (a *attempt) end(e balancer.Ending) {
-	if a.ended {
+func (n *node) server(id string) *Server {
+	var found *Server
+	for _, server := range n.world.tiers[n.tier] {
+		if server.id == id {
+			found = server
+		}
+	}
+	return found
+}
+
+// checkRunsOnce records a violation if a non-idempotent call is sent again though it has run.
+func (n *node) checkRunsOnce(c *call) {
+	if c.class.Effect != balancer.NonIdempotent {
 		return
 	}
-	a.ended, a.gone = true, true
-	k := a.c
-	k.out--
-	if e == balancer.Success {
-		k.answer(verdictServed, 0)
+	for _, a := range c.attempts {
+		if a.ran {
+			n.world.violation("an unsafe request sent again after it ran, at %v", n.world.now)
+		}
 	}
-	k.n.handle(balancer.Outcome{ID: k.id, Attempt: a.n, Server: a.id(), Ending: e, Ended: k.done})
-	k.forget()
 }
 
-func (a *attempt) id() string {
-	if a.server == nil {
-		return ""
+// openCalls are the open calls in the order in which they came.
+func (n *node) openCalls() []*call {
+	var calls []*call
+	for _, c := range n.open {
+		calls = append(calls, c)
 	}
-	return a.server.id
+	slices.SortFunc(calls, func(a, b *call) int { return a.number - b.number })
+	return calls
 }
 
-// sorted are a node's open calls in the order in which they came.
-func (n *node) sorted() []*call {
-	var l []*call
-	for _, k := range n.open {
-		l = append(l, k)
+// callResult is the result of a call for its caller.
+type callResult int
+
+const (
+	served callResult = iota
+	rejected
+	failed
+)
+
+// call is a request that a node has accepted.
+type call struct {
+	node     *node
+	number   int
+	id       string // the number as text
+	class    *Class
+	deadline time.Duration
+	answered func(result callResult, retryAfter time.Duration)
+	done     bool // answered
+	inFlight int
+	attempts []*attempt
+}
+
+// fallbackDelay is how long after the deadline an engine answers in place of a module that has not.
+const fallbackDelay = 20 * time.Millisecond
+
+// accept makes a node answer a request by a deadline. retry says that the caller has sent it before.
+func (n *node) accept(class *Class, deadline time.Duration, retry bool, answered func(callResult, time.Duration)) {
+	n.lastID++
+	c := &call{node: n, number: n.lastID, id: strconv.Itoa(n.lastID), class: class, deadline: deadline, answered: answered}
+	n.open[c.id] = c
+	if deadline <= n.world.now {
+		c.answer(rejected, 0)
+		return
 	}
-	sort.Slice(l, func(i, j int) bool {
-		x, _ := strconv.Atoi(l[i].id)
-		y, _ := strconv.Atoi(l[j].id)
-		return x < y
+	n.world.at(deadline+fallbackDelay, func() {
+		if !c.done {
+			c.answer(failed, 0)
+			n.handle(balancer.ClientGone{ID: c.id})
+		}
 	})
-	return l
+	n.handle(balancer.Request{ID: c.id, Class: class.Name, Deadline: deadline, ClientRetry: retry, Tenant: class.Tenant})
+}
+
+// answer answers the caller, once.
+func (c *call) answer(result callResult, retryAfter time.Duration) {
+	if c.done {
+		return
+	}
+	c.done = true
+	c.closeIfDone()
+	c.answered(result, retryAfter)
+}
+
+// closeIfDone forgets a call that is answered and has no attempt in flight.
+func (c *call) closeIfDone() {
+	if c.done && c.inFlight == 0 {
+		delete(c.node.open, c.id)
+	}
+}
+
+// attempt is one sending of a call to a server.
+type attempt struct {
+	call   *call
+	number int
+	server *Server // nil: not listed any more
+	ended  bool    // for the node, which does not wait for it any more
+	ran    bool    // the server began to work on it
+}
+
+// end ends an attempt, once.
+func (a *attempt) end(ending balancer.Ending) {
+	if a.ended {
+		return
+	}
+	a.ended = true
+	c := a.call
+	c.inFlight--
+	if ending == balancer.Success {
+		c.answer(served, 0)
+	}
+	id := ""
+	if a.server != nil {
+		id = a.server.id
+	}
+	c.node.handle(balancer.Outcome{ID: c.id, Attempt: a.number, Server: id, Ending: ending, Ended: c.done})
+	c.closeIfDone()
 }
--- a/internal/emulator/reference.go
+++ b/internal/emulator/reference.go
@@ -8,49 +8,46 @@
 	"cranegrade/balancer"
 )
 
-// Reference is what many services run with: the server with fewer own calls of two drawn, one try, and
-// a fixed limit of calls out that refuses what is over it at once. It is a yardstick, not a product.
+// Reference is a simple decision module to compare with: it sends each request once, to the one with fewer calls of its own among
+// two random servers, and rejects what exceeds a fixed limit of calls in flight.
 type Reference struct {
-	Limit   int // calls out at a time for each server; 0: no limit
-	rng     *rand.Rand
-	servers []string
-	calls   map[string]int
-	out     int
-	open    map[string]bool
+	limit    int // calls in flight for each server; 0: no limit
+	random   *rand.Rand
+	servers  []string
+	calls    map[string]int // in flight, by server
+	inFlight int
+	open     map[string]bool // requests whose client waits
 }
 
-// NewReference returns one.
+// referenceStream is the second half of the seed of a Reference's generator, which keeps its draws apart from those of others.
+const referenceStream = 0x4ef
+
+const referenceRetryAfter = 100 * time.Millisecond
+
+// NewReference returns a Reference with a limit of calls in flight for each server; 0: no limit.
 func NewReference(limit int, seed uint64) *Reference {
-	return &Reference{Limit: limit, rng: rand.New(rand.NewPCG(seed, 0x4ef)), calls: map[string]int{}, open: map[string]bool{}}
+	return &Reference{
+		limit: limit, random: rand.New(rand.NewPCG(seed, referenceStream)), calls: map[string]int{}, open: map[string]bool{},
+	}
 }
 
-// Handle is the Decider's.
-func (r *Reference) Handle(_ time.Duration, e balancer.Event) []balancer.Action {
-	switch e := e.(type) {
+// Handle implements DecisionModule.
+func (r *Reference) Handle(_ time.Duration, event balancer.Event) []balancer.Action {
+	switch e := event.(type) {
 	case balancer.ServerList:
-		for _, s := range e.Servers {
-			if !slices.Contains(r.servers, s.ID) {
-				r.servers = append(r.servers, s.ID)
+		for _, server := range e.Servers {
+			if !slices.Contains(r.servers, server.ID) {
+				r.servers = append(r.servers, server.ID)
 			}
 		}
 	case balancer.Request:
-		if r.Limit > 0 && r.out >= r.Limit*len(r.servers) || len(r.servers) == 0 {
-			return []balancer.Action{balancer.Reject{ID: e.ID, RetryAfter: 100 * time.Millisecond}}
-		}
-		x, y := r.servers[r.rng.IntN(len(r.servers))], r.servers[r.rng.IntN(len(r.servers))]
-		if r.calls[y] < r.calls[x] {
-			x = y
-		}
-		r.calls[x]++
-		r.out++
-		r.open[e.ID] = true
-		return []balancer.Action{balancer.Send{ID: e.ID, Server: x}}
+		return []balancer.Action{r.decide(e)}
 	case balancer.Outcome:
 		r.calls[e.Server]--
-		r.out--
-		open := r.open[e.ID]
+		r.inFlight--
+		waiting := r.open[e.ID]
 		delete(r.open, e.ID)
-		if open && !e.Ended {
+		if waiting && !e.Ended {
 			return []balancer.Action{balancer.Fail{ID: e.ID}}
 		}
 	case balancer.ClientGone:
@@ -58,3 +55,17 @@
 	}
 	return nil
 }
+
+func (r *Reference) decide(request balancer.Request) balancer.Action {
+	if r.limit > 0 && r.inFlight >= r.limit*len(r.servers) || len(r.servers) == 0 {
+		return balancer.Reject{ID: request.ID, RetryAfter: referenceRetryAfter}
+	}
+	picked, other := r.servers[r.random.IntN(len(r.servers))], r.servers[r.random.IntN(len(r.servers))]
+	if r.calls[other] < r.calls[picked] {
+		picked = other
+	}
+	r.calls[picked]++
+	r.inFlight++
+	r.open[request.ID] = true
+	return balancer.Send{ID: request.ID, Server: picked}
+}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -4,90 +4,110 @@
 	"container/heap"
 	"fmt"
 	"math"
+	"slices"
 	"time"
 
 	"cranegrade/balancer"
 )
 
-// Server is a server of a tier. The requests that it runs share its cores evenly.
+// Server is a server of a tier. The requests that it runs share its cores evenly (processor sharing).
 type Server struct {
-	w    *World
-	tier int
-	id   string
-	cfg  Tier
-	next *node // for its calls to the next tier; nil: the last
+	Speed          float64       // times the nominal one; see SetSpeed
+	ErrorShare     float64       // share of requests that are answered with an error at once
+	RejectsAll     bool          // rejects each request at once
+	Received       int           // attempts that reached it
+	ErrorResponses int           // attempts that it answered with an error by ErrorShare
+	StartedAt      time.Duration // of its latest start; 0: long ago
 
-	Speed     float64       // times the nominal
-	Errors    float64       // share of requests answered with an error at once
-	Arrived   int           // attempts that reached it
-	Erred     int           // and of these, those answered with an error
-	Refuses   bool          // turns everything away at once
-	Boot      time.Duration // of its last start; 0: long ago
-	state     balancer.ServerState
-	changed   time.Duration // when its state last did
-	dead      bool          // its process is gone
-	silent    bool          // it takes requests and says nothing
-	sent      []arrival     // while cold
-	slower    float64       // what a delayed slowdown divides by; 1: none
-	slots     int           // in use
-	computing work          // sharing the cores
+	world  *World
+	tier   int
+	id     string
+	config Tier
+	next   *node // for its calls to the next tier; nil in the last one
+
+	state          balancer.ServerState
+	stateChangedAt time.Duration
+	dead           bool // its process has ended
+	silent         bool // accepts requests and never answers
+	warmUpWork     []sentWork
+
+	running   int     // requests that hold a place, also while they wait for the next tier
+	computing jobHeap // running requests that share the cores
 	waiting   []*job
-	virtual   float64 // work that each computing job has got since the beginning, in s
-	since     time.Duration
-	tick      uint64 // of the plan for the next finish
+	progress  float64       // work that each job that has always been computing would have got, in s
+	updatedAt time.Duration // of progress
+	schedule  uint64        // number of the latest scheduled finish; earlier ones are void
 
-	// Of the delayed slowdown.
-	mean      float64 // of requests held
-	busyShare float64
-	measured  time.Duration
-	slowAt    time.Duration
-	restSince time.Duration
+	delayed delayedSlowdown
 }
 
 // job is an attempt at a server.
 type job struct {
-	a        *attempt
+	attempt  *attempt
 	deadline time.Duration
 	phases   []float64 // work before each call to the next tier, and after the last, in s
 	phase    int
-	finish   float64 // in virtual work
-	done     float64 // work got
+	finishAt float64 // progress of the server at which the phase ends
+	done     float64 // work that it got, in s
 }
 
-func newServer(w *World, tier, n int, cfg Tier) *Server {
-	if cfg.Cores == 0 {
-		cfg.Cores = 1
+func newServer(w *World, tier, index int, config Tier) *Server {
+	if config.Cores == 0 {
+		config.Cores = 1
 	}
-	if cfg.Calls == 0 {
-		cfg.Calls = 1
+	if config.DownstreamCalls == 0 {
+		config.DownstreamCalls = 1
+	}
+	return &Server{
+		world: w, tier: tier, id: fmt.Sprintf("t%d-%04d", tier, index), config: config, Speed: 1, delayed: delayedSlowdown{factor: 1},
 	}
-	return &Server{w: w, tier: tier, id: fmt.Sprintf("t%d-%04d", tier, n), cfg: cfg, Speed: 1, slower: 1}
 }
 
+// entry is the server on the endpoint list.
 func (s *Server) entry() balancer.Server {
-	return balancer.Server{ID: s.id, Zone: "z", Cell: 0, State: s.state, Size: 1, StartedAt: s.Boot}
+	return balancer.Server{ID: s.id, Zone: "z", Cell: 0, State: s.state, Size: 1, StartedAt: s.StartedAt}
 }
 
-// Held is how many requests it runs or keeps waiting.
-func (s *Server) Held() int { return s.slots + len(s.waiting) }
+// load is how many requests are at the server, running or waiting.
+func (s *Server) load() float64 { return float64(s.running + len(s.waiting)) }
 
-// SetSpeed changes its speed from now on.
-func (s *Server) SetSpeed(v float64) {
-	s.settle()
-	s.Speed = v
-	s.replan()
+// SetSpeed changes the speed from now on.
+func (s *Server) SetSpeed(speed float64) {
+	s.update()
+	s.Speed = speed
+	s.scheduleFinish()
 }
 
-// arrive takes a request or turns it away.
-func (s *Server) arrive(a *attempt, deadline time.Duration) {
-	s.Arrived++
-	if s.Errors > 0 && s.w.rng.Float64() < s.Errors {
-		a.running = true
-		s.Erred++
+// SetSilent makes the server accept requests and never answer, or ends that.
+func (s *Server) SetSilent(silent bool) { s.silent = silent }
+
+// Reboot makes the server lose all requests and go through slow start. It stays listed, with its new start.
+func (s *Server) Reboot() {
+	s.kill()
+	s.dead, s.silent, s.StartedAt, s.warmUpWork = false, false, s.world.now, nil
+	s.world.publish(s)
+}
+
+// kill ends the server's process, and all requests there.
+func (s *Server) kill() {
+	s.update()
+	for _, j := range slices.Concat([]*job(s.computing), s.waiting) {
+		j.attempt.end(balancer.Broken)
+	}
+	s.computing, s.waiting, s.running, s.dead = nil, nil, 0, true
+	s.schedule++
+}
+
+// receive runs a request, queues it or rejects it.
+func (s *Server) receive(a *attempt, deadline time.Duration) {
+	s.Received++
+	if s.ErrorShare > 0 && s.world.random.Float64() < s.ErrorShare {
+		a.ran = true
+		s.ErrorResponses++
 		s.reply(a, balancer.Failure)
 		return
 	}
-	if s.Refuses || s.slots >= s.cfg.Slots && len(s.waiting) >= s.cfg.Queue {
+	if s.RejectsAll || s.running >= s.config.Concurrency && len(s.waiting) >= s.config.QueueLimit {
 		s.reply(a, balancer.Overloaded)
 		return
 	}
@@ -96,45 +116,48 @@
 		return
 	}
 	if s.silent {
-		a.running = true
+		a.ran = true
 		return
 	}
-	j := &job{a: a, deadline: deadline}
-	phases := 1
-	if s.next != nil {
-		phases += s.cfg.Calls
-	}
-	mean := a.c.class.Work[s.tier].Seconds()
-	if s.pushedOver(mean) {
+	mean := a.call.class.Work[s.tier].Seconds()
+	if s.failsByOverload(mean) {
 		s.reply(a, balancer.Broken)
 		return
 	}
-	total := mean * a.c.class.Dist.draw(s.w.rng)
-	for range phases {
-		j.phases = append(j.phases, total/float64(phases))
-	}
-	s.settle()
-	if s.slots < s.cfg.Slots {
+	j := &job{attempt: a, deadline: deadline, phases: s.drawPhases(a.call.class, mean)}
+	s.update()
+	if s.running < s.config.Concurrency {
 		s.start(j)
 	} else {
 		s.waiting = append(s.waiting, j)
 	}
-	s.replan()
+	s.scheduleFinish()
+}
+
+// drawPhases draws the work of a request, in even parts between its calls to the next tier.
+func (s *Server) drawPhases(class *Class, mean float64) []float64 {
+	count := 1
+	if s.next != nil {
+		count += s.config.DownstreamCalls
+	}
+	total := mean * class.Distribution.draw(s.world.random)
+	return slices.Repeat([]float64{total / float64(count)}, count)
 }
 
-func (s *Server) reply(a *attempt, e balancer.Ending) {
-	s.w.after(s.w.plan.Wire, func() { a.end(e) })
+func (s *Server) reply(a *attempt, ending balancer.Ending) {
+	s.world.After(s.world.config.NetworkDelay, func() { a.end(ending) })
 }
 
-// start gives a job a slot. settle comes before, replan after.
+// start lets a job run. The caller calls update before and scheduleFinish after it, as for compute.
 func (s *Server) start(j *job) {
-	s.slots++
-	j.a.running = true
+	s.running++
+	j.attempt.ran = true
 	s.compute(j)
 }
 
+// compute begins the present phase of a job.
 func (s *Server) compute(j *job) {
-	j.finish = s.virtual + j.phases[j.phase]
+	j.finishAt = s.progress + j.phases[j.phase]
 	heap.Push(&s.computing, j)
 }
 
@@ -144,132 +167,113 @@
 	if n == 0 {
 		return 0
 	}
-	r := s.Speed * s.warmth() * math.Min(1, s.cfg.Cores/n) / s.slower
-	switch d := s.cfg.Slowdown; {
-	case d.Kind == "proportional":
-		r /= 1 + d.Factor*math.Max(0, float64(s.Held())-d.At)
-	case d.Kind == "cliff" && float64(s.Held()) > d.At:
-		r /= d.Factor
+	rate := s.Speed * s.slowStartFactor() * math.Min(1, s.config.Cores/n) / s.delayed.factor
+	switch slowdown := s.config.Slowdown; {
+	case slowdown.Kind == ProportionalSlowdown:
+		rate /= 1 + slowdown.Factor*math.Max(0, s.load()-slowdown.Threshold)
+	case slowdown.Kind == CliffSlowdown && s.load() > slowdown.Threshold:
+		rate /= slowdown.Factor
 	}
-	return r
+	return rate
 }
 
-// settle brings what the jobs have got up to now.
-func (s *Server) settle() {
-	dt := (s.w.now - s.since).Seconds()
-	s.since = s.w.now
-	got := dt * s.rate()
-	s.virtual += got
+// update brings the progress of the jobs up to now, at the rate since the last update. It comes before each change that affects
+// the rate.
+func (s *Server) update() {
+	elapsed := (s.world.now - s.updatedAt).Seconds()
+	s.updatedAt = s.world.now
+	progress := elapsed * s.rate()
+	s.progress += progress
 	for _, j := range s.computing {
-		j.done += got
+		j.done += progress
 	}
-	s.judge()
+	s.updateDelayedSlowdown()
 }
 
-// judge is the delayed slowdown: too many held on the average, and it is slower until it has rested.
-func (s *Server) judge() {
-	d := s.cfg.Slowdown
-	if d.Kind != "delayed" {
-		return
-	}
-	dt := (s.w.now - s.measured).Seconds()
-	s.measured = s.w.now
-	f := 1 - math.Exp(-dt/d.Over.Seconds())
-	s.mean += f * (float64(s.Held()) - s.mean)
-	s.busyShare += f * (math.Min(1, float64(len(s.computing))/s.cfg.Cores) - s.busyShare)
-	if s.slower == 1 {
-		if s.mean > d.At {
-			s.slower, s.slowAt, s.restSince = d.Factor, s.w.now, -1
-		}
-		return
-	}
-	switch {
-	case s.busyShare >= d.Below:
-		s.restSince = -1
-	case s.restSince < 0:
-		s.restSince = s.w.now
-	}
-	if s.restSince >= 0 && s.w.now-s.restSince >= d.Rest || d.Most > 0 && s.w.now-s.slowAt >= d.Most {
-		s.slower, s.mean = 1, float64(s.Held())
-	}
-}
+// rateCheckInterval is how often jobs are rescheduled while the rate changes by itself.
+const rateCheckInterval = 100 * time.Millisecond
+
+// finishTolerance is how close to its end a job counts as finished, in s of work, against rounding.
+const finishTolerance = 1e-12
 
-// replan plans the next finish anew.
-func (s *Server) replan() {
-	s.tick++
+// scheduleFinish schedules the next end of a phase in place of the one that was scheduled before.
+func (s *Server) scheduleFinish() {
+	s.schedule++
 	if len(s.computing) == 0 {
 		return
 	}
-	tick := s.tick
-	left := math.Max(0, s.computing[0].finish-s.virtual)
-	due := time.Duration(left/s.rate()*float64(time.Second)) + 1
-	if s.cfg.Slowdown.Kind == "delayed" || s.warmth() < 1 {
-		due = min(due, 100*time.Millisecond) // the rate may change meanwhile
+	scheduled := s.schedule
+	remaining := math.Max(0, s.computing[0].finishAt-s.progress)
+	delay := time.Duration(remaining/s.rate()*float64(time.Second)) + 1
+	if s.config.Slowdown.Kind == DelayedSlowdown || s.slowStartFactor() < 1 {
+		delay = min(delay, rateCheckInterval)
 	}
-	s.w.after(due, func() {
-		if s.tick != tick {
+	s.world.After(delay, func() {
+		if s.schedule != scheduled {
 			return
 		}
-		s.settle()
-		for len(s.computing) > 0 && s.computing[0].finish <= s.virtual+1e-12 {
-			s.finished(heap.Pop(&s.computing).(*job))
+		s.update()
+		for len(s.computing) > 0 && s.computing[0].finishAt <= s.progress+finishTolerance {
+			s.phaseFinished(heap.Pop(&s.computing).(*job))
 		}
-		s.replan()
+		s.scheduleFinish()
 	})
 }
 
-// finished ends a phase of a job. The caller replans.
-func (s *Server) finished(j *job) {
+// phaseFinished ends a job, or makes its next call to the next tier. The caller calls scheduleFinish.
+func (s *Server) phaseFinished(j *job) {
 	if j.phase++; j.phase == len(j.phases) {
-		s.end(j, balancer.Success)
+		s.finish(j, balancer.Success)
 		return
 	}
-	if j.a.gone && s.cfg.Looks {
-		s.end(j, balancer.Failure)
+	if j.attempt.ended && s.config.DropsAbandoned {
+		s.finish(j, balancer.Failure)
 		return
 	}
-	s.next.take(j.a.c.class, j.deadline, false, func(v verdict, _ time.Duration) {
-		s.settle()
-		if v == verdictServed {
+	s.next.accept(j.attempt.call.class, j.deadline, false, func(result callResult, _ time.Duration) {
+		s.update()
+		if result == served {
 			s.compute(j)
 		} else {
-			s.end(j, balancer.Failure)
+			s.finish(j, balancer.Failure)
 		}
-		s.replan()
+		s.scheduleFinish()
 	})
 }
 
-// end frees a job's slot for the next that waits.
-func (s *Server) end(j *job, e balancer.Ending) {
-	s.slots--
-	sec := &s.w.Seconds[min(len(s.w.Seconds)-1, int(s.w.now/time.Second))]
-	sec.WorkDone += j.done
-	if j.a.gone || e != balancer.Success {
-		sec.WorkWasted += j.done
+// finish ends a job, and starts the next that waits.
+func (s *Server) finish(j *job, ending balancer.Ending) {
+	s.running--
+	seconds := s.world.Seconds
+	counts := &seconds[min(len(seconds)-1, int(s.world.now/time.Second))]
+	counts.WorkDone += j.done
+	if j.attempt.ended || ending != balancer.Success {
+		counts.WorkWasted += j.done
 	}
-	if !j.a.gone {
-		s.reply(j.a, e)
+	if !j.attempt.ended {
+		s.reply(j.attempt, ending)
 	}
-	for len(s.waiting) > 0 && s.slots < s.cfg.Slots {
+	for len(s.waiting) > 0 && s.running < s.config.Concurrency {
 		next := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		if next.a.gone && s.cfg.Looks {
+		if next.attempt.ended && s.config.DropsAbandoned {
 			continue
 		}
 		s.start(next)
 	}
 }
 
-// work is the computing jobs, the first to finish first.
-type work []*job
+// jobHeap is the computing jobs, the first to finish first.
+type jobHeap []*job
+
+func (h jobHeap) Len() int           { return len(h) }
+func (h jobHeap) Less(i, j int) bool { return h[i].finishAt < h[j].finishAt }
+func (h jobHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *jobHeap) Push(j any)        { *h = append(*h, j.(*job)) }
 
-func (q work) Len() int           { return len(q) }
-func (q work) Less(i, j int) bool { return q[i].finish < q[j].finish }
-func (q work) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *work) Push(x any)        { *q = append(*q, x.(*job)) }
-func (q *work) Pop() any {
-	old := *q
-	j := old[len(old)-1]
-	*q = old[:len(old)-1]
-	return j
+func (h *jobHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
--- a/internal/fleet/emulated_test.go
+++ b/internal/fleet/emulated_test.go
@@ -66,7 +66,7 @@
 
 // sendLies has node 0 send a lie now and every 250 ms.
 func (f *emulatedFleet) sendLies() {
-	if f.world.Ended() {
+	if f.world.ArrivalsEnded() {
 		return
 	}
 	f.lieSeq++
@@ -83,8 +83,8 @@
 }
 
 // decider returns a constructor of the nodes' modules.
-func (f *emulatedFleet) decider(seed uint64) func(int, int, balancer.Settings) emulator.Decider {
-	return func(tier, index int, settings balancer.Settings) emulator.Decider {
+func (f *emulatedFleet) decider(seed uint64) func(int, int, balancer.Settings) emulator.DecisionModule {
+	return func(tier, index int, settings balancer.Settings) emulator.DecisionModule {
 		policy, err := balancer.New(settings, seed+uint64(index)*7919)
 		if err != nil || tier > 0 {
 			panic(fmt.Sprint(err, tier))
@@ -121,29 +121,29 @@
 func (e emulation) run(t testing.TB) emulationResult {
 	f := newEmulatedFleet(e.nodes)
 	f.lie = e.lie
-	plan := e.plan()
+	config := e.config()
 	if e.sharesReports {
-		plan.Decider = f.decider(e.seed)
+		config.NewModule = f.decider(e.seed)
 	}
-	plan.Begin = func(w *emulator.World) {
+	config.Setup = func(w *emulator.World) {
 		f.world = w
 		if f.lie != nil {
 			f.sendLies()
 		}
 	}
-	w, err := emulator.Play(plan)
+	w, err := emulator.Run(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(w.Broken) > 0 {
-		t.Errorf("%d rules broken, the first: %s", len(w.Broken), w.Broken[0])
+	if len(w.Violations) > 0 {
+		t.Errorf("%d rules broken, the first: %s", len(w.Violations), w.Violations[0])
 	}
 	result := e.measure(w)
 	result.digestBytes = f.digestBytes
 	return result
 }
 
-func (e emulation) plan() emulator.Plan {
+func (e emulation) config() emulator.Config {
 	class := balancer.Class{
 		Name: "read", Effect: balancer.Idempotent, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.5, Worth: 1,
 	}
@@ -152,16 +152,16 @@
 		MaxRetryAfter: time.Second, ColdFrom: 0.3, WarmAfter: 4 * time.Second, FallMultiple: 4, FallFor: 1500 * time.Millisecond,
 	}
 	rate := 6 * float64(e.servers)
-	return emulator.Plan{
-		Seed: e.seed, Nodes: e.nodes, Wire: 300 * time.Microsecond, Length: emulationLength,
-		Rate: func(time.Duration) float64 { return rate }, Most: rate,
+	return emulator.Config{
+		Seed: e.seed, Nodes: e.nodes, NetworkDelay: 300 * time.Microsecond, Duration: emulationLength,
+		Rate: func(time.Duration) float64 { return rate }, MaxRate: rate,
 		Classes: []emulator.Class{{
-			Class: class, Share: 1, Work: []time.Duration{40 * time.Millisecond}, Dist: emulator.Dist{Kind: "lognormal", CV: 0.5},
+			Class: class, Share: 1, Work: []time.Duration{40 * time.Millisecond}, Distribution: emulator.Distribution{Kind: emulator.Lognormal, CV: 0.5},
 		}},
-		Tiers: []emulator.Tier{{Servers: e.servers, Slots: 4, Queue: 50, Settings: settings}},
-		At: []emulator.Change{{At: failuresBegin, Do: func(w *emulator.World) {
+		Tiers: []emulator.Tier{{Servers: e.servers, Concurrency: 4, QueueLimit: 50, Settings: settings}},
+		Changes: []emulator.Change{{At: failuresBegin, Do: func(w *emulator.World) {
 			for _, i := range e.failing {
-				w.Servers(0)[i].Errors = 1
+				w.Servers(0)[i].ErrorShare = 1
 			}
 		}}},
 	}
@@ -171,15 +171,15 @@
 	result := emulationResult{served: w.Goodput(failuresBegin, emulationLength), least: math.Inf(1)}
 	arrived := 0
 	for _, s := range w.Servers(0)[:e.servers] {
-		arrived += s.Arrived
+		arrived += s.Received
 	}
 	mean := float64(arrived) / float64(e.servers)
 	for i, s := range w.Servers(0)[:e.servers] {
 		if slices.Contains(e.failing, i) {
-			result.failed += float64(s.Erred)
+			result.failed += float64(s.ErrorResponses)
 			continue
 		}
-		load := float64(s.Arrived) / mean
+		load := float64(s.Received) / mean
 		result.least, result.most = min(result.least, load), max(result.most, load)
 	}
 	return result
