--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -171,7 +171,7 @@
 		}
 		return exitBroken
 	}
-	v := audit.Judge(r.records.History(), audit.Options{Slack: o.slack})
+	v := audit.Check(r.records.History(), audit.Options{Slack: o.slack})
 	if r.node != nil && r.node.Crashed() {
 		r.failf("the program ended by itself")
 	}
@@ -182,14 +182,14 @@
 	if o.stay && !o.json && r.node != nil {
 		r.stay(ctx, stdout)
 	}
-	if !v.Clean() || len(r.failures) > 0 {
+	if !v.Passed() || len(r.failures) > 0 {
 		return exitBroken
 	}
 	return exitKept
 }
 
 // report prints the counts, the scenario's figures and what is wrong.
-func report(w io.Writer, o options, name string, v audit.Verdict, r *environment) {
+func report(w io.Writer, o options, name string, v audit.Result, r *environment) {
 	if o.json {
 		text, _ := json.Marshal(v)
 		object := map[string]any{}
@@ -201,7 +201,7 @@
 		for _, f := range r.figures {
 			object[f.name] = f.value
 		}
-		if wrong := append(append([]string{}, v.Details...), r.failures...); len(wrong) > 0 {
+		if wrong := append(append([]string{}, v.Violations...), r.failures...); len(wrong) > 0 {
 			object["wrong"] = wrong
 		}
 		json.NewEncoder(w).Encode(object)
@@ -210,7 +210,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	if !r.unjudged {
 		fmt.Fprintln(t, "requests\tserved\trefused\tfailed\tlost\ttwice\tdrain_late\tcold_over\t")
-		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", v.Requests, v.Served, v.Refused, v.Failed, v.Lost, v.Twice, v.DrainLate, v.ColdOver)
+		fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", v.Requests, v.Served, v.Rejected, v.Failed, v.Lost, v.Duplicates, v.LateDrains, v.SlowStartOverloads)
 	}
 	t.Flush()
 	if len(r.figures) > 0 {
@@ -225,13 +225,13 @@
 		fmt.Fprintf(w, "\n%s", table)
 	}
 	fmt.Fprintln(w)
-	for _, d := range v.Details {
+	for _, d := range v.Violations {
 		fmt.Fprintln(w, "broken:", d)
 	}
 	for _, f := range r.failures {
 		fmt.Fprintln(w, "wrong:", f)
 	}
-	if v.Clean() && len(r.failures) == 0 && !r.unjudged {
+	if v.Passed() && len(r.failures) == 0 && !r.unjudged {
 		fmt.Fprintln(w, "all four rules kept")
 	}
 }
--- a/internal/testfleet/fleet_test.go
+++ b/internal/testfleet/fleet_test.go
@@ -155,11 +155,11 @@
 }
 
 // assertRulesKept judges the history of all members together by the four rules.
-func assertRulesKept(t *testing.T, f *Fleet) audit.Verdict {
+func assertRulesKept(t *testing.T, f *Fleet) audit.Result {
 	t.Helper()
-	v := audit.Judge(f.Recorder.History(), audit.Options{Slack: f.Slack})
-	if !v.Clean() {
-		t.Errorf("rules broken: %+v\n%s", v, strings.Join(v.Details, "\n"))
+	v := audit.Check(f.Recorder.History(), audit.Options{Slack: f.Slack})
+	if !v.Passed() {
+		t.Errorf("rules broken: %+v\n%s", v, strings.Join(v.Violations, "\n"))
 	}
 	return v
 }
