--- a/cmd/cranesim/main.go
+++ b/cmd/cranesim/main.go
@@ -150,8 +150,8 @@
 
 func (c *comparison) reportSeconds(world *emulator.World) {
 	for second, counts := range world.Seconds {
-		fmt.Fprintf(c.table, "%s\t%s\t%d s\t{Offered:%d Good:%d Late:%d Refused:%d Failed:%d WorkDone:%v WorkWasted:%v}\n", c.name, c.policy.Name, second,
-			counts.Offered, counts.Good, counts.Late, counts.Rejected, counts.Failed, counts.WorkDone, counts.WorkWasted)
+		fmt.Fprintf(c.table, "%s\t%s\t%d s\t{Offered:%d Good:%d Late:%d Refused:%d Failed:%d WorkDone:%v WorkWasted:%v}\n",
+			c.name, c.policy.Name, second, counts.Offered, counts.Good, counts.Late, counts.Rejected, counts.Failed, counts.WorkDone, counts.WorkWasted)
 	}
 }
 
--- a/internal/audit/effects.go
+++ b/internal/audit/effects.go
@@ -50,7 +50,8 @@
 	case class.Effect == fake.Unsafe:
 		c.violation(&c.Duplicates, "%s (%s) went to %s though it may have run at %s", later.ID, class.Name, later.Server, earlier.Server)
 	case !shareKeys(class.Scope, earlier, later):
-		c.violation(&c.Duplicates, "%s (%s) went to %s, which does not know the keys of %s", later.ID, class.Name, later.Server, earlier.Server)
+		c.violation(&c.Duplicates, "%s (%s) went to %s, which does not know the keys of %s",
+			later.ID, class.Name, later.Server, earlier.Server)
 	case later.LastByteAt > earlier.LastByteAt+class.Window+c.options.Slack:
 		c.violation(&c.Duplicates, "%s (%s) went to %s %v after it went to %s",
 			later.ID, class.Name, later.Server, later.LastByteAt-earlier.LastByteAt, earlier.Server)
--- a/internal/audit/servers.go
+++ b/internal/audit/servers.go
@@ -63,7 +63,8 @@
 	delay := arrival.FirstByteAt - since
 	c.MaxDrainDelay = max(c.MaxDrainDelay, delay)
 	if delay > limit {
-		c.violation(&c.LateDrains, "%s (%s) went to %s %v after that was listed as draining", arrival.ID, arrival.Class, arrival.Server, delay)
+		c.violation(&c.LateDrains, "%s (%s) went to %s %v after that was listed as draining",
+			arrival.ID, arrival.Class, arrival.Server, delay)
 	}
 }
 
@@ -91,7 +92,8 @@
 			}
 		}
 		if 3*informed >= 2*all {
-			c.violation(&c.SlowStartOverloads, "%s was overloaded in its slow start by %d requests within %v, %d of them after its start was listed",
+			c.violation(&c.SlowStartOverloads,
+				"%s was overloaded in its slow start by %d requests within %v, %d of them after its start was listed",
 				fall.Server, all, window, informed)
 		}
 	}
--- a/internal/emulator/slowdown.go
+++ b/internal/emulator/slowdown.go
@@ -79,7 +79,8 @@
 	if total <= config.OverloadFactor*s.slowStartFactor()*s.Speed*s.config.Cores*config.OverloadWindow.Seconds() {
 		return false
 	}
-	s.world.violation("at %v %s, in slow start since %v, was pushed over by %.2f s of work in %v", now, s.id, s.StartedAt, total, config.OverloadWindow)
+	s.world.violation("at %v %s, in slow start since %v, was pushed over by %.2f s of work in %v",
+		now, s.id, s.StartedAt, total, config.OverloadWindow)
 	s.kill()
 	return true
 }
--- a/internal/zone/model/policies.go
+++ b/internal/zone/model/policies.go
@@ -113,7 +113,7 @@
 			away.All += serversPerZone
 		}
 	}
-	loads := zone.PriorityLoads([]zone.HostCount{{Healthy: healthy[p.home], All: serversPerZone}, away}, zone.Overprovisioning)
+	loads := zone.PriorityLoads([]zone.HostCount{{Healthy: healthy[p.home], All: serversPerZone}, away}, zone.OverprovisioningFactor)
 	p.shares = make([]float64, len(healthy))
 	p.shares[p.home] = loads[0]
 	for number, count := range healthy {
--- a/internal/zone/priority.go
+++ b/internal/zone/priority.go
@@ -4,9 +4,9 @@
 // load spills over by the share of healthy hosts. They decide nothing here; they are the reference that a Selector is compared
 // with (package model).
 
-// Overprovisioning is Envoy's default overprovisioning factor: a priority level is trusted with all of its load until fewer than
+// OverprovisioningFactor is Envoy's default: a priority level is trusted with all of its load until fewer than
 // 1/1.4 = 72 % of its hosts are healthy.
-const Overprovisioning = 1.4
+const OverprovisioningFactor = 1.4
 
 // HostCount counts the hosts of a priority level or a locality.
 type HostCount struct{ Healthy, All int }
--- a/internal/zone/priority_test.go
+++ b/internal/zone/priority_test.go
@@ -21,7 +21,7 @@
 		{[]HostCount{{0, 100}, {0, 100}}, "[0.00 0.00]"},
 		{[]HostCount{{0, 0}, {1, 1}}, "[0.00 1.00]"},
 	} {
-		if got := fmt.Sprintf("%.2f", PriorityLoads(c.levels, Overprovisioning)); got != c.want {
+		if got := fmt.Sprintf("%.2f", PriorityLoads(c.levels, OverprovisioningFactor)); got != c.want {
 			t.Errorf("%v: got %s, want %s", c.levels, got, c.want)
 		}
 	}
