--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -35,16 +36,20 @@
 	return []fake.Exchange{exchange(class, status)}
 }
 
+// request is the records of one request, and of its arrivals.
+func request(class string, status int, arrivals ...fake.Arrival) fake.History {
+	return fake.History{Exchanges: one(class, status), Arrivals: arrivals}
+}
+
 func changed(x fake.Exchange, change func(*fake.Exchange)) []fake.Exchange {
 	change(&x)
 	return []fake.Exchange{x}
 }
 
-// checkCase is records that violate one rule once, or none. The counts are Requests, Served, Rejected, Failed, Lost, Duplicates,
-// LateDrains and SlowStartOverloads.
+// checkCase is records that violate one rule once, or none.
 type checkCase struct {
 	records fake.History
-	want    [8]int
+	want    Result // without Violations and MaxDrainDelay
 }
 
 func runCases(t *testing.T, cases map[string]checkCase) {
@@ -52,14 +57,15 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			c.records.Classes = classes
-			r := Check(c.records, Options{})
-			got := [8]int{r.Requests, r.Served, r.Rejected, r.Failed, r.Lost, r.Duplicates, r.LateDrains, r.SlowStartOverloads}
-			if got != c.want {
-				t.Errorf("%v, not %v; %s", got, c.want, strings.Join(r.Violations, "; "))
+			got := Check(c.records, Options{})
+			violations := got.Violations
+			got.Violations, got.MaxDrainDelay = nil, 0
+			if !reflect.DeepEqual(got, c.want) {
+				t.Errorf("got %+v, want %+v; %s", got, c.want, strings.Join(violations, "; "))
 			}
-			violations := got[4] + got[5] + got[6] + got[7]
-			if r.Passed() != (violations == 0) || len(r.Violations) != violations {
-				t.Errorf("passed %v, %q", r.Passed(), r.Violations)
+			wanted := c.want.Lost + c.want.Duplicates + c.want.LateDrains + c.want.SlowStartOverloads
+			if got.Passed() != (wanted == 0) || len(violations) != wanted {
+				t.Errorf("passed %v, %q", got.Passed(), violations)
 			}
 		})
 	}
@@ -67,48 +73,56 @@
 
 func TestAnswers(t *testing.T) {
 	runCases(t, map[string]checkCase{
-		"nothing":           {fake.History{}, [8]int{}},
-		"served":            {fake.History{Exchanges: one("order", 200), Arrivals: []fake.Arrival{arrival("a1", "order", 0)}}, [8]int{1, 1}},
-		"rejected":          {fake.History{Exchanges: one("order", 503)}, [8]int{1, 0, 1}},
-		"too many requests": {fake.History{Exchanges: one("order", 429)}, [8]int{1, 0, 1}},
-		"failed":            {fake.History{Exchanges: one("order", 502), Arrivals: []fake.Arrival{arrival("a1", "order", 0)}}, [8]int{1, 0, 0, 1}},
+		"nothing":           {fake.History{}, Result{}},
+		"served":            {request("order", 200, arrival("a1", "order", 0)), Result{Requests: 1, Served: 1}},
+		"rejected":          {request("order", 503), Result{Requests: 1, Rejected: 1}},
+		"too many requests": {request("order", 429), Result{Requests: 1, Rejected: 1}},
+		"failed":            {request("order", 502, arrival("a1", "order", 0)), Result{Requests: 1, Failed: 1}},
 		"no answer": {
 			fake.History{Exchanges: changed(exchange("read", 0), func(x *fake.Exchange) { x.Err = errors.New("reset") })},
-			[8]int{1, 0, 0, 1, 1},
+			Result{Requests: 1, Failed: 1, Lost: 1},
 		},
-		"not accepted":          {fake.History{Exchanges: changed(exchange("read", 0), func(x *fake.Exchange) { x.Connected = false })}, [8]int{1, 0, 0, 1}},
-		"late within the slack": {fake.History{Exchanges: changed(exchange("read", 200), func(x *fake.Exchange) { x.AnsweredAt = 1150 * ms })}, [8]int{1, 1}},
-		"late":                  {fake.History{Exchanges: changed(exchange("read", 503), func(x *fake.Exchange) { x.AnsweredAt = 1200 * ms })}, [8]int{1, 0, 1, 0, 1}},
-		"foreign":               {fake.History{Exchanges: changed(exchange("read", 200), func(x *fake.Exchange) { x.ForeignBody = true })}, [8]int{1, 1, 0, 0, 1}},
-		"surplus":               {fake.History{Exchanges: changed(exchange("read", 200), func(x *fake.Exchange) { x.SurplusBytes = true })}, [8]int{1, 1, 0, 0, 1}},
+		"not accepted":          {fake.History{Exchanges: changed(exchange("read", 0), func(x *fake.Exchange) { x.Connected = false })}, Result{Requests: 1, Failed: 1}},
+		"late within the slack": {fake.History{Exchanges: changed(exchange("read", 200), func(x *fake.Exchange) { x.AnsweredAt = 1150 * ms })}, Result{Requests: 1, Served: 1}},
+		"late":                  {fake.History{Exchanges: changed(exchange("read", 503), func(x *fake.Exchange) { x.AnsweredAt = 1200 * ms })}, Result{Requests: 1, Rejected: 1, Lost: 1}},
+		"foreign":               {fake.History{Exchanges: changed(exchange("read", 200), func(x *fake.Exchange) { x.ForeignBody = true })}, Result{Requests: 1, Served: 1, Lost: 1}},
+		"surplus":               {fake.History{Exchanges: changed(exchange("read", 200), func(x *fake.Exchange) { x.SurplusBytes = true })}, Result{Requests: 1, Served: 1, Lost: 1}},
 		"crossed, not accepted": {fake.History{
 			Exchanges: changed(exchange("read", 200), func(x *fake.Exchange) { x.Resent = true }),
 			Arrivals:  []fake.Arrival{arrival("a1", "read", 150*ms)},
-		}, [8]int{1, 1}},
+		}, Result{Requests: 1, Served: 1}},
+		"no answer, its process was dead": {fake.History{
+			Exchanges: changed(exchange("read", 0), func(x *fake.Exchange) { x.Process = "p" }),
+			Outages:   []fake.Outage{{Process: "p", From: 50 * ms, To: 150 * ms, Crashed: true}},
+		}, Result{Requests: 1, Failed: 1, Interrupted: 1}},
+		"no answer, another process was dead": {fake.History{
+			Exchanges: changed(exchange("read", 0), func(x *fake.Exchange) { x.Process = "p" }),
+			Outages:   []fake.Outage{{Process: "other", From: 50 * ms, To: 150 * ms, Crashed: true}},
+		}, Result{Requests: 1, Failed: 1, Lost: 1}},
 		"crossed, accepted": {fake.History{
 			Exchanges: changed(exchange("read", 200), func(x *fake.Exchange) { x.Resent = true }),
 			Arrivals:  []fake.Arrival{arrival("a1", "read", 50*ms), arrival("a1", "read", 150*ms)},
-		}, [8]int{1, 1, 0, 0, 1}},
+		}, Result{Requests: 1, Served: 1, Lost: 1}},
 	})
 }
 
 func TestEffects(t *testing.T) {
 	runCases(t, map[string]checkCase{
-		"unsafe twice":                  {fake.History{Exchanges: one("order", 200), Arrivals: []fake.Arrival{arrival("a1", "order", 0), arrival("b1", "order", 9)}}, [8]int{1, 1, 0, 0, 0, 1}},
-		"unsafe, first one unprocessed": {fake.History{Exchanges: one("order", 200), Arrivals: []fake.Arrival{unprocessed(arrival("a1", "order", 0)), arrival("b1", "order", 9)}}, [8]int{1, 1}},
-		"unsafe, last one unprocessed":  {fake.History{Exchanges: one("order", 200), Arrivals: []fake.Arrival{arrival("a1", "order", 0), unprocessed(arrival("b1", "order", 9))}}, [8]int{1, 1, 0, 0, 0, 1}},
-		"safe twice":                    {fake.History{Exchanges: one("read", 200), Arrivals: []fake.Arrival{arrival("a1", "read", 0), arrival("b1", "read", 9)}}, [8]int{1, 1}},
-		"keyed in its cell":             {fake.History{Exchanges: one("cell", 200), Arrivals: []fake.Arrival{arrival("a1", "cell", 0), arrival("a1", "cell", 9)}}, [8]int{1, 1}},
-		"keyed, other cell":             {fake.History{Exchanges: one("cell", 200), Arrivals: []fake.Arrival{arrival("a1", "cell", 0), arrival("a2", "cell", 9)}}, [8]int{1, 1, 0, 0, 0, 1}},
-		"keyed in its zone":             {fake.History{Exchanges: one("zone", 200), Arrivals: []fake.Arrival{arrival("a1", "zone", 0), arrival("a2", "zone", 9)}}, [8]int{1, 1}},
-		"keyed, other zone":             {fake.History{Exchanges: one("zone", 200), Arrivals: []fake.Arrival{arrival("a1", "zone", 0), arrival("b1", "zone", 9)}}, [8]int{1, 1, 0, 0, 0, 1}},
-		"keyed anywhere":                {fake.History{Exchanges: one("all", 200), Arrivals: []fake.Arrival{arrival("a1", "all", 0), arrival("b2", "all", 9)}}, [8]int{1, 1}},
-		"keyed, too late":               {fake.History{Exchanges: one("all", 200), Arrivals: []fake.Arrival{arrival("a1", "all", 0), arrival("b2", "all", 11*time.Second)}}, [8]int{1, 1, 0, 0, 0, 1}},
-		"harmful rejection":             {fake.History{Exchanges: one("order", 503), Arrivals: []fake.Arrival{arrival("a1", "order", 0)}}, [8]int{1, 0, 1, 0, 0, 1}},
-		"harmful of a cell":             {fake.History{Exchanges: one("cell", 429), Arrivals: []fake.Arrival{arrival("a1", "cell", 0)}}, [8]int{1, 0, 1, 0, 0, 1}},
-		"harmless of all":               {fake.History{Exchanges: one("all", 503), Arrivals: []fake.Arrival{arrival("a1", "all", 0)}}, [8]int{1, 0, 1}},
-		"harmless, unprocessed":         {fake.History{Exchanges: one("order", 503), Arrivals: []fake.Arrival{unprocessed(arrival("a1", "order", 0))}}, [8]int{1, 0, 1}},
-		"sent by no client":             {fake.History{Arrivals: []fake.Arrival{arrival("a1", "read", 0)}}, [8]int{0, 0, 0, 0, 0, 1}},
+		"unsafe twice":                  {request("order", 200, arrival("a1", "order", 0), arrival("b1", "order", 9)), Result{Requests: 1, Served: 1, Duplicates: 1}},
+		"unsafe, first one unprocessed": {request("order", 200, unprocessed(arrival("a1", "order", 0)), arrival("b1", "order", 9)), Result{Requests: 1, Served: 1}},
+		"unsafe, last one unprocessed":  {request("order", 200, arrival("a1", "order", 0), unprocessed(arrival("b1", "order", 9))), Result{Requests: 1, Served: 1, Duplicates: 1}},
+		"safe twice":                    {request("read", 200, arrival("a1", "read", 0), arrival("b1", "read", 9)), Result{Requests: 1, Served: 1}},
+		"keyed in its cell":             {request("cell", 200, arrival("a1", "cell", 0), arrival("a1", "cell", 9)), Result{Requests: 1, Served: 1}},
+		"keyed, other cell":             {request("cell", 200, arrival("a1", "cell", 0), arrival("a2", "cell", 9)), Result{Requests: 1, Served: 1, Duplicates: 1}},
+		"keyed in its zone":             {request("zone", 200, arrival("a1", "zone", 0), arrival("a2", "zone", 9)), Result{Requests: 1, Served: 1}},
+		"keyed, other zone":             {request("zone", 200, arrival("a1", "zone", 0), arrival("b1", "zone", 9)), Result{Requests: 1, Served: 1, Duplicates: 1}},
+		"keyed anywhere":                {request("all", 200, arrival("a1", "all", 0), arrival("b2", "all", 9)), Result{Requests: 1, Served: 1}},
+		"keyed, too late":               {request("all", 200, arrival("a1", "all", 0), arrival("b2", "all", 11*time.Second)), Result{Requests: 1, Served: 1, Duplicates: 1}},
+		"harmful rejection":             {request("order", 503, arrival("a1", "order", 0)), Result{Requests: 1, Rejected: 1, Duplicates: 1}},
+		"harmful of a cell":             {request("cell", 429, arrival("a1", "cell", 0)), Result{Requests: 1, Rejected: 1, Duplicates: 1}},
+		"harmless of all":               {request("all", 503, arrival("a1", "all", 0)), Result{Requests: 1, Rejected: 1}},
+		"harmless, unprocessed":         {request("order", 503, unprocessed(arrival("a1", "order", 0))), Result{Requests: 1, Rejected: 1}},
+		"sent by no client":             {fake.History{Arrivals: []fake.Arrival{arrival("a1", "read", 0)}}, Result{Duplicates: 1}},
 	})
 }
 
@@ -117,23 +131,33 @@
 		"drained": {fake.History{
 			Exchanges: one("read", 200), Arrivals: []fake.Arrival{arrival("a1", "read", 900*ms)},
 			Updates: []fake.ListUpdate{{Server: "a1", Withdrawn: true, At: 500 * ms}},
-		}, [8]int{1, 1, 0, 0, 0, 0, 1}},
+		}, Result{Requests: 1, Served: 1, LateDrains: 1}},
 		"drained just now": {fake.History{
 			Exchanges: one("read", 200), Arrivals: []fake.Arrival{arrival("a1", "read", 700*ms)},
 			Updates: []fake.ListUpdate{{Server: "a1", Withdrawn: true, At: 500 * ms}},
-		}, [8]int{1, 1}},
+		}, Result{Requests: 1, Served: 1}},
 		"drained, listed again": {fake.History{
 			Exchanges: one("read", 200), Arrivals: []fake.Arrival{arrival("a1", "read", 900*ms)},
 			Updates: []fake.ListUpdate{{Server: "a1", Withdrawn: true, At: 500 * ms}, {Server: "a1", Withdrawn: true, At: 800 * ms}},
-		}, [8]int{1, 1, 0, 0, 0, 0, 1}},
+		}, Result{Requests: 1, Served: 1, LateDrains: 1}},
 		"drained and back": {fake.History{
 			Exchanges: one("read", 200), Arrivals: []fake.Arrival{arrival("a1", "read", 900*ms)},
 			Updates: []fake.ListUpdate{{Server: "a1", Withdrawn: true, At: 500 * ms}, {Server: "a1", At: 800 * ms}},
-		}, [8]int{1, 1}},
+		}, Result{Requests: 1, Served: 1}},
+		"drained while its process was stopped": {fake.History{
+			Exchanges: changed(exchange("read", 200), func(x *fake.Exchange) { x.Process = "p" }),
+			Arrivals:  []fake.Arrival{arrival("a1", "read", 900*ms)},
+			Updates:   []fake.ListUpdate{{Server: "a1", Withdrawn: true, At: 500 * ms}}, Outages: []fake.Outage{{Process: "p", From: 600 * ms, To: 850 * ms}},
+		}, Result{Requests: 1, Served: 1}},
+		"drained after its process was stopped": {fake.History{
+			Exchanges: changed(exchange("read", 200), func(x *fake.Exchange) { x.Process = "p" }),
+			Arrivals:  []fake.Arrival{arrival("a1", "read", 900*ms)},
+			Updates:   []fake.ListUpdate{{Server: "a1", Withdrawn: true, At: 500 * ms}}, Outages: []fake.Outage{{Process: "p", From: 100 * ms, To: 450 * ms}},
+		}, Result{Requests: 1, Served: 1, LateDrains: 1}},
 		"drained in another list": {fake.History{
 			Exchanges: one("read", 200), Arrivals: []fake.Arrival{arrival("a1", "read", 900*ms)},
 			Updates: []fake.ListUpdate{{List: "other", Server: "a1", Withdrawn: true, At: 500 * ms}},
-		}, [8]int{1, 1}},
+		}, Result{Requests: 1, Served: 1}},
 	})
 }
 
@@ -143,11 +167,11 @@
 			Exchanges: one("read", 200), Arrivals: []fake.Arrival{arrival("a1", "read", 900*ms)},
 			Starts:  []fake.ServerStart{{Server: "a1", Incarnation: 0, SlowStart: fake.SlowStart{OverloadWindow: time.Second}}},
 			Updates: []fake.ListUpdate{{Server: "a1", At: 500 * ms}}, WarmupCrashes: []fake.WarmupCrash{{Server: "a1", At: 950 * ms}},
-		}, [8]int{1, 1, 0, 0, 0, 0, 0, 1}},
+		}, Result{Requests: 1, Served: 1, SlowStartOverloads: 1}},
 		"overloaded, listed too late": {fake.History{
 			Exchanges: one("read", 200), Arrivals: []fake.Arrival{arrival("a1", "read", 900*ms)},
 			Starts:  []fake.ServerStart{{Server: "a1", Incarnation: 0, SlowStart: fake.SlowStart{OverloadWindow: time.Second}}},
 			Updates: []fake.ListUpdate{{Server: "a1", At: 920 * ms}}, WarmupCrashes: []fake.WarmupCrash{{Server: "a1", At: 950 * ms}},
-		}, [8]int{1, 1}},
+		}, Result{Requests: 1, Served: 1}},
 	})
 }
--- a/internal/zone/module_test.go
+++ b/internal/zone/module_test.go
@@ -24,7 +24,10 @@
 	next, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{
 			{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "alert-send", Effect: balancer.IdempotentByKey, Scope: balancer.ScopeAll, Window: 10 * time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 3},
+			{
+				Name: "alert-send", Effect: balancer.IdempotentByKey, Scope: balancer.ScopeAll, Window: 10 * time.Second,
+				Aim: time.Second, Deadline: 2 * time.Second, Worth: 3,
+			},
 		},
 		MaxAttempts: 3, Tick: time.Millisecond, MaxRetryAfter: time.Second,
 	}, 1)
