--- a/internal/zone/store/store_test.go
+++ b/internal/zone/store/store_test.go
@@ -108,24 +108,67 @@
 	}
 }
 
-// A file of the build before must be readable, so the names in it must not change.
+// A file of an earlier build must be readable, and one of this build by an earlier one, so the names in it must not change.
 func TestNamesOfStoredDataStay(t *testing.T) {
-	row, err := ReadRow(
-		[]byte(`{"Day":20000,"Pair":{"From":"a","To":"b"},"Pool":"p","Class":"read","Customer":"acme"}`),
-		[]byte(`{"Requests":1,"Out":2,"In":3}`))
-	want := zone.Row{
-		Key:     zone.Key{Day: 20000, Pair: zone.Pair{From: "a", To: "b"}, Pool: "p", Class: "read", Customer: "acme"},
+	const (
+		rowKey     = `{"Day":20000,"Pair":{"From":"a","To":"b"},"Pool":"p","Class":"read","Customer":"acme"}`
+		rowValue   = `{"Requests":1,"Out":2,"In":3}`
+		usageKey   = `{"From":"a","To":"b"}`
+		usageValue = `{"Pair":{"From":"a","To":"b"},"Hour":480001,"Day":20000,"Requests":[1,2],"Bytes":[3,4],"NextRequests":[5,6],"NextBytes":[7,8]}`
+	)
+	pair := zone.Pair{From: "a", To: "b"}
+	row := zone.Row{
+		Key:     zone.Key{Day: 20000, Pair: pair, Pool: "p", Class: "read", Customer: "acme"},
 		Traffic: zone.Traffic{Requests: 1, Out: 2, In: 3},
 	}
-	if err != nil || row != want {
-		t.Errorf("row %+v, %v", row, err)
+	usage := zone.Usage{Pair: pair, Hour: 480001, Day: 20000}
+	usage.Requests, usage.Bytes = [2]int64{1, 2}, [2]int64{3, 4}
+	usage.NextRequests, usage.NextBytes = [2]int64{5, 6}, [2]int64{7, 8}
+
+	s := openStore(t, filepath.Join(t.TempDir(), "zones.db"))
+	if err := s.Save(zone.State{Rows: []zone.Row{row}, Usages: []zone.Usage{usage}}, 0); err != nil {
+		t.Fatal(err)
 	}
-	usage, err := ReadUsage([]byte(`{"Pair":{"From":"a","To":"b"},"Hour":480001,"Day":20000,"Requests":[1,2],"Bytes":[3,4],"NextRequests":[5,6],"NextBytes":[7,8]}`))
-	wantUsage := zone.Usage{Pair: zone.Pair{From: "a", To: "b"}, Hour: 480001, Day: 20000}
-	wantUsage.Requests, wantUsage.Bytes = [2]int64{1, 2}, [2]int64{3, 4}
-	wantUsage.NextRequests, wantUsage.NextBytes = [2]int64{5, 6}, [2]int64{7, 8}
-	if err != nil || usage != wantUsage {
-		t.Errorf("usage %+v, %v", usage, err)
+	s.db.View(func(tx *bolt.Tx) error {
+		if got := string(tx.Bucket([]byte("account")).Get([]byte(rowKey))); got != rowValue {
+			t.Errorf("the row is stored as %s", got)
+		}
+		if got := string(tx.Bucket([]byte("budgets")).Get([]byte(usageKey))); got != usageValue {
+			t.Errorf("the usage is stored as %s", got)
+		}
+		return nil
+	})
+	if got, err := ReadRow([]byte(rowKey), []byte(rowValue)); err != nil || got != row {
+		t.Errorf("row %+v, %v", got, err)
+	}
+	if got, err := ReadUsage([]byte(usageValue)); err != nil || got != usage {
+		t.Errorf("usage %+v, %v", got, err)
+	}
+}
+
+func TestEntriesOutOfRangeAreRefused(t *testing.T) {
+	long := strings.Repeat("x", maxNameBytes+1)
+	for _, c := range []struct {
+		name, key, value string
+		want             error
+	}{
+		{"negative requests", `{}`, `{"Requests":-1}`, ErrOutOfRange},
+		{"negative bytes sent", `{}`, `{"Out":-1}`, ErrOutOfRange},
+		{"negative bytes received", `{}`, `{"In":-1}`, ErrOutOfRange},
+		{"negative day", `{"Day":-1}`, `{}`, ErrOutOfRange},
+		{"day beyond all calendars", `{"Day":2147483648}`, `{}`, ErrOutOfRange},
+		{"long name", `{"Customer":"` + long + `"}`, `{}`, ErrNameTooLong},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if _, err := ReadRow([]byte(c.key), []byte(c.value)); !errors.Is(err, c.want) {
+				t.Errorf("%v, not %v", err, c.want)
+			}
+		})
+	}
+	for _, value := range []string{`{"Hour":-1}`, `{"Day":-1}`, `{"Requests":[0,-1]}`, `{"NextBytes":[-1,0]}`} {
+		if _, err := ReadUsage([]byte(value)); !errors.Is(err, ErrOutOfRange) {
+			t.Errorf("usage %s: %v", value, err)
+		}
 	}
 }
 
