--- a/internal/front/extproc/destination_test.go
+++ b/internal/front/extproc/destination_test.go
@@ -184,7 +184,7 @@
 // What a proxy carries is accounted by the endpoint that served, the zone of the caller that the proxy names, and the
 // lengths that it shows.
 func TestTransferIsAccountedByZone(t *testing.T) {
-	accounts := zone.NewBook(nil)
+	accounts := zone.NewAccounting(nil)
 	e := newEnvironmentWith(t, Config{}, poolOptions{module: zone.NewModule(newIdempotentModule(t, 0), "p", zone.Config{Home: "a"}, accounts, 1)})
 	news := engine.News{Full: true, Version: "2"}
 	for i, name := range []string{"a", "b"} {
