--- a/internal/xds/client/stream.go
+++ b/internal/xds/client/stream.go
@@ -16,7 +16,8 @@
 // maxQueuedRequests bounds the requests that wait to be written to a stream.
 const maxQueuedRequests = 1024
 
-// errStreamEnded is why a stream has ended when its context did.
+// errStreamEnded is why a stream has ended whose context is done. gRPC cancels that context when a stream
+// ends, whatever the reason, so this stands for most errors of an established stream.
 var errStreamEnded = errors.New("the control plane ended the stream")
 
 // stream is one stream to a control plane. Only run uses it, but for requests, from which its writer
