--- a/internal/node/xds_helpers_test.go
+++ b/internal/node/xds_helpers_test.go
@@ -5,7 +5,6 @@
 	"testing"
 	"time"
 
-	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	typev3 "github.com/envoyproxy/go-control-plane/envoy/type/v3"
@@ -71,13 +70,7 @@
 
 // cluster sets a cluster of the control plane.
 func (env *xdsEnv) cluster(name string) {
-	env.plane.Set(resource.ClusterURL, map[string]proto.Message{name: &clusterv3.Cluster{
-		Name:                 name,
-		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
-		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{
-			EdsConfig: &corev3.ConfigSource{ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}},
-		},
-	}})
+	env.plane.Set(resource.ClusterURL, map[string]proto.Message{name: fakexds.EDSCluster(name, "")})
 }
 
 // list sets the endpoints of a cluster, and the percentage of requests to drop.
--- a/internal/xds/client/client_test.go
+++ b/internal/xds/client/client_test.go
@@ -23,14 +23,14 @@
 		setAssignment(plane, "s", "10.0.0.1:1") // endpoints before clusters
 		updates, cancel := watch(t, c, "c")
 		testkit.Eventually(t, "nothing is requested", func() bool { return len(plane.Requests()) > 0 })
-		plane.Set(resource.ClusterURL, resources{"c": edsCluster("c", "s"), "other": edsCluster("other", "")})
+		plane.Set(resource.ClusterURL, resources{"c": fakexds.EDSCluster("c", "s"), "other": fakexds.EDSCluster("other", "")})
 		expectAddrs(t, "first", updates, "10.0.0.1:1")
 		plane.Set(resource.EndpointURL, resources{
 			"s": loadAssignment("s", "10.0.0.1:1", "10.0.0.2:1"), "unwanted": loadAssignment("unwanted", "10.9.9.9:1"),
 		})
 		expectAddrs(t, "one endpoint more", updates, "10.0.0.1:1 10.0.0.2:1")
 		setAssignment(plane, "s2", "10.0.0.3:1")
-		plane.Set(resource.ClusterURL, resources{"c": edsCluster("c", "s2")})
+		plane.Set(resource.ClusterURL, resources{"c": fakexds.EDSCluster("c", "s2")})
 		expectAddrs(t, "another service", updates, "10.0.0.3:1")
 		setAssignment(plane, "s2")
 		expectAddrs(t, "an empty assignment", updates, "")
@@ -38,7 +38,7 @@
 		expectAddrs(t, "no longer empty", updates, "10.0.0.4:1")
 		plane.Set(resource.ClusterURL, resources{"c": nil})
 		expectAddrs(t, "the cluster is removed", updates, "none")
-		plane.Set(resource.ClusterURL, resources{"c": edsCluster("c", "s2")})
+		plane.Set(resource.ClusterURL, resources{"c": fakexds.EDSCluster("c", "s2")})
 		expectAddrs(t, "and added", updates, "10.0.0.4:1")
 		cancel()
 		for _, r := range plane.Requests() {
@@ -83,7 +83,7 @@
 func TestInvalidResourceIsRejected(t *testing.T) {
 	forBothVariants(t, func(t *testing.T, delta bool) {
 		plane := newControlPlane(t)
-		plane.Set(resource.ClusterURL, resources{"a": edsCluster("a", ""), "b": edsCluster("b", "")})
+		plane.Set(resource.ClusterURL, resources{"a": fakexds.EDSCluster("a", ""), "b": fakexds.EDSCluster("b", "")})
 		plane.Set(resource.EndpointURL, resources{"a": loadAssignment("a", "10.0.0.1:1"), "b": loadAssignment("b", "10.0.0.2:1")})
 		c := newClient(t, Config{Delta: delta}, plane)
 		a, _ := watch(t, c, "a")
@@ -187,7 +187,7 @@
 func TestResourceDoesNotExist(t *testing.T) {
 	forBothVariants(t, func(t *testing.T, delta bool) {
 		plane := newControlPlane(t)
-		plane.Set(resource.ClusterURL, resources{"c": edsCluster("c", "s")})
+		plane.Set(resource.ClusterURL, resources{"c": fakexds.EDSCluster("c", "s")})
 		c := newClient(t, Config{Delta: delta, ResourceTimeout: 50 * time.Millisecond}, plane)
 		updates, _ := watch(t, c, "c")
 		testkit.Eventually(t, "it is not taken not to exist", func() bool {
--- a/internal/xds/client/helpers_test.go
+++ b/internal/xds/client/helpers_test.go
@@ -6,7 +6,6 @@
 	"testing"
 	"time"
 
-	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	"go.uber.org/goleak"
@@ -59,16 +58,6 @@
 // resources are what a control plane is told to serve, by name; nil removes one.
 type resources = map[string]proto.Message
 
-func edsCluster(name, service string) proto.Message {
-	return &clusterv3.Cluster{
-		Name: name, ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
-		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{
-			ServiceName: service,
-			EdsConfig:   &corev3.ConfigSource{ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}},
-		},
-	}
-}
-
 func loadAssignment(service string, addrs ...string) proto.Message {
 	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: service}
 	locality := &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: "z"}}
@@ -90,7 +79,7 @@
 
 // setCluster has a control plane serve a cluster and its assignment.
 func setCluster(plane *fakexds.ControlPlane, name string, addrs ...string) {
-	plane.Set(resource.ClusterURL, resources{name: edsCluster(name, "")})
+	plane.Set(resource.ClusterURL, resources{name: fakexds.EDSCluster(name, "")})
 	setAssignment(plane, name, addrs...)
 }
 
--- a/internal/xds/resource/cluster_test.go
+++ b/internal/xds/resource/cluster_test.go
@@ -9,10 +9,12 @@
 	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	"google.golang.org/protobuf/types/known/durationpb"
+
+	fakexds "cranegrade/internal/fake/xds"
 )
 
 func TestParseCluster(t *testing.T) {
-	self := edsCluster("c", "")
+	self := fakexds.EDSCluster("c", "")
 	self.EdsClusterConfig.EdsConfig.ConfigSourceSpecifier = &corev3.ConfigSource_Self{Self: &corev3.SelfConfigSource{}}
 	self.ConnectTimeout = durationpb.New(time.Second)
 	self.LbPolicy = clusterv3.Cluster_RING_HASH
@@ -20,7 +22,7 @@
 	if err != nil || c.EDSServiceName != "c" || c.ConnectTimeout != time.Second || !slices.Equal(c.IgnoredFields, []string{"lb_policy"}) {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if _, c, err := ParseCluster(marshal(t, edsCluster("c", "s"))); err != nil || c.EDSServiceName != "s" || c.IgnoredFields != nil {
+	if _, c, err := ParseCluster(marshal(t, fakexds.EDSCluster("c", "s"))); err != nil || c.EDSServiceName != "s" || c.IgnoredFields != nil {
 		t.Errorf("%+v, %v", c, err)
 	}
 	static := &clusterv3.Cluster{Name: "c", LoadAssignment: loadAssignment("", localityEndpoints("z", 0, lbEndpoint("127.0.0.1:1", statusHealthy)))}
@@ -31,12 +33,12 @@
 
 func TestParseClusterRejects(t *testing.T) {
 	changed := func(change func(*clusterv3.Cluster)) *clusterv3.Cluster {
-		c := edsCluster("c", "")
+		c := fakexds.EDSCluster("c", "")
 		change(c)
 		return c
 	}
 	for want, c := range map[string]*clusterv3.Cluster{
-		"without a name":   edsCluster("", ""),
+		"without a name":   fakexds.EDSCluster("", ""),
 		"no config source": changed(func(c *clusterv3.Cluster) { c.EdsClusterConfig = nil }),
 		"only ads and self": changed(func(c *clusterv3.Cluster) {
 			c.EdsClusterConfig.EdsConfig.ConfigSourceSpecifier = &corev3.ConfigSource_ApiConfigSource{}
@@ -64,7 +66,7 @@
 
 // FuzzParseCluster: what is accepted has a name and exactly one source of endpoints.
 func FuzzParseCluster(f *testing.F) {
-	f.Add(marshal(f, edsCluster("c", "s")))
+	f.Add(marshal(f, fakexds.EDSCluster("c", "s")))
 	f.Add(marshal(f, &clusterv3.Cluster{Name: "c", LoadAssignment: loadAssignment("", localityEndpoints("z", 0, lbEndpoint("127.0.0.1:1", statusHealthy)))}))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		name, c, err := ParseCluster(text)
--- a/internal/xds/resource/helpers_test.go
+++ b/internal/xds/resource/helpers_test.go
@@ -3,7 +3,6 @@
 import (
 	"testing"
 
-	clusterv3 "github.com/envoyproxy/go-control-plane/envoy/config/cluster/v3"
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 	"google.golang.org/protobuf/proto"
@@ -28,16 +27,6 @@
 	return b
 }
 
-func edsCluster(name, service string) *clusterv3.Cluster {
-	return &clusterv3.Cluster{
-		Name: name, ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
-		EdsClusterConfig: &clusterv3.Cluster_EdsClusterConfig{
-			ServiceName: service,
-			EdsConfig:   &corev3.ConfigSource{ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}},
-		},
-	}
-}
-
 func lbEndpoint(addr string, health corev3.HealthStatus) *endpointv3.LbEndpoint {
 	return &endpointv3.LbEndpoint{HealthStatus: health, HostIdentifier: &endpointv3.LbEndpoint_Endpoint{
 		Endpoint: &endpointv3.Endpoint{Address: Address(addr)},
