--- a/cmd/cranegrade/main.go
+++ b/cmd/cranegrade/main.go
@@ -57,7 +57,10 @@
 
 // newH2 makes a sender for servers that speak HTTP/2.
 func newH2(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender {
-	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.ConnectionsPerServer, Streams: m.StreamsPerConnection})
+	return h2.New(h2.Config{
+		ConnectTimeout: c.ConnectWithin, ServerIdleTimeout: c.Idle, Connections: connections,
+		MaxConnsPerServer: m.ConnectionsPerServer, MaxStreamsPerConn: m.StreamsPerConnection,
+	})
 }
 
 // newGRPC makes what answers callers of gRPC.
--- a/internal/node/h2_test.go
+++ b/internal/node/h2_test.go
@@ -24,7 +24,10 @@
 )
 
 func newH2Sender(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender {
-	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.ConnectionsPerServer, Streams: m.StreamsPerConnection})
+	return h2.New(h2.Config{
+		ConnectTimeout: c.ConnectWithin, ServerIdleTimeout: c.Idle, Connections: connections,
+		MaxConnsPerServer: m.ConnectionsPerServer, MaxStreamsPerConn: m.StreamsPerConnection,
+	})
 }
 
 // h2Server is a server that speaks HTTP/2.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -185,7 +185,7 @@
 }
 
 // idleCloser is a sender that can close up to n idle connections, to release their share of the budget.
-type idleCloser interface{ GiveBack(n int) int }
+type idleCloser interface{ CloseIdle(n int) int }
 
 // maxClosedAtOnce bounds the connections that one call of ReturnBorrowedConnections closes.
 const maxClosedAtOnce = 64
@@ -194,7 +194,7 @@
 func (p *Pool) ReturnBorrowedConnections() {
 	if n := p.shares.Connections.Excess(); n > 0 {
 		if s, can := p.sender.(idleCloser); can {
-			s.GiveBack(int(min(n, maxClosedAtOnce)))
+			s.CloseIdle(int(min(n, maxClosedAtOnce)))
 		}
 	}
 }
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// GiveBack closes up to n idle connections, to return their part of the limit, and returns how many.
-func (p *connectionPool) GiveBack(n int) (given int) {
+// CloseIdle closes up to n idle connections, to return their part of the limit, and returns how many.
+func (p *connectionPool) CloseIdle(n int) (given int) {
 	for ; given < n; given++ {
 		p.mu.Lock()
 		c := p.oldestOfAny()
