--- a/internal/grpc/grpc_test.go
+++ b/internal/grpc/grpc_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/base64"
 	"math"
-	"strconv"
 	"testing"
 	"time"
 
@@ -16,7 +15,7 @@
 	"cranegrade/internal/message"
 )
 
-func TestTimeout(t *testing.T) {
+func TestParseTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"1H": time.Hour, "90M": 90 * time.Minute, "5S": 5 * time.Second, "250m": 250 * time.Millisecond,
 		"10u": 10 * time.Microsecond, "0n": 0, "00000007n": 7, "99999999H": math.MaxInt64,
@@ -27,27 +26,28 @@
 	}
 	for _, text := range []string{"", "S", "5", "5s", "-5S", "+5S", "5 S", "123456789n", "1.5S", "5Sm", "0x1S"} {
 		if d, err := ParseTimeout(text); err == nil {
-			t.Errorf("%q is read as %v", text, d)
+			t.Errorf("%q is parsed as %v", text, d)
 		}
 	}
 }
 
-// What is worded is read again as no longer, and as less by no more than its last digit.
-func TestTimeoutProperty(t *testing.T) {
+// A formatted time-out is parsed as no longer than it was, and as shorter by at most its last digit.
+func TestTimeoutRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := time.Duration(rapid.Int64Range(1, math.MaxInt64).Draw(t, "d"))
 		got, err := ParseTimeout(FormatTimeout(d))
 		if err != nil || got > d || float64(d-got) > float64(d)/1e4+1 && d < time.Hour {
-			t.Fatalf("%v as %s is %v, %v", d, FormatTimeout(d), got, err)
+			t.Fatalf("%v formatted as %s is parsed as %v, %v", d, FormatTimeout(d), got, err)
 		}
 	})
 }
 
+// frame returns a message of n bytes with its prefix.
 func frame(flag byte, n int) []byte {
 	return append([]byte{flag, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, make([]byte, n)...)
 }
 
-// However a body is cut into pieces, its messages are the same.
+// However a body is split into chunks, its messages are the same.
 func TestScannerProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var body []byte
@@ -57,33 +57,34 @@
 		}
 		cut := rapid.IntRange(0, len(body)).Draw(t, "end")
 		var s Scanner
-		ends := 0 // of whole messages
-		at := 0
+		complete := 0 // messages
+		offset := 0
 		for _, n := range lengths {
-			if at += 5 + n; at <= cut {
-				ends++
+			if offset += prefixLength + n; offset <= cut {
+				complete++
 			}
 		}
 		for rest := body[:cut]; len(rest) > 0; {
-			n := rapid.IntRange(1, len(rest)).Draw(t, "piece")
+			n := rapid.IntRange(1, len(rest)).Draw(t, "chunk")
 			if err := s.Take(rest[:n]); err != nil {
 				t.Fatal(err)
 			}
 			rest = rest[n:]
 		}
-		at = 0
-		onEnd := cut == 0
+		offset = 0
+		onBoundary := cut == 0
 		for _, n := range lengths {
-			at += 5 + n
-			onEnd = onEnd || at == cut
+			offset += prefixLength + n
+			onBoundary = onBoundary || offset == cut
 		}
-		if s.Count != ends || (s.End() == nil) != onEnd {
-			t.Fatalf("%d messages of %v until %d, want %d; %v", s.Count, lengths, cut, ends, s.End())
+		if s.Count != complete || (s.End() == nil) != onBoundary {
+			t.Fatalf("%d messages of %v in %d bytes, want %d; %v", s.Count, lengths, cut, complete, s.End())
 		}
 	})
 }
 
-func f(pairs ...string) (l []message.Field) {
+// fields returns fields of these names and values; not nil.
+func fields(pairs ...string) (l []message.Field) {
 	l = []message.Field{}
 	for i := 0; i < len(pairs); i += 2 {
 		l = append(l, message.Field{Name: pairs[i], Value: pairs[i+1]})
@@ -91,43 +92,46 @@
 	return l
 }
 
-// TestJudge is what each end of an answer means.
-func TestJudge(t *testing.T) {
-	head := f("content-type", "application/grpc+proto")
+// What a response means to the decision module and to the caller.
+func TestClassify(t *testing.T) {
+	head := fields("content-type", "application/grpc+proto")
 	body := func(b ...byte) (s Scanner) { s.Take(b); return s }
 	one := body(frame(0, 3)...)
 	for name, c := range map[string]struct {
-		a      Answer
-		ending balancer.Ending
-		code   Code
-		told   bool
+		response  Answer
+		ending    balancer.Ending
+		code      Code
+		hasStatus bool
 	}{
-		"ok":                             {Answer{200, head, f("grpc-status", "0"), one, false}, balancer.Success, OK, true},
-		"no such thing":                  {Answer{200, head, f("grpc-status", "5"), Scanner{}, false}, balancer.Success, NotFound, true},
-		"a status in the headers":        {Answer{200, f("content-type", "application/grpc", "grpc-status", "3"), nil, Scanner{}, false}, balancer.Success, InvalidArgument, true},
-		"not able":                       {Answer{200, head, f("grpc-status", "14"), Scanner{}, false}, balancer.Failure, Unavailable, true},
-		"not able, and not begun":        {Answer{200, head, f("grpc-status", "14", "x-unprocessed", "1"), Scanner{}, false}, balancer.Overloaded, Unavailable, true},
-		"not begun, but messages came":   {Answer{200, head, f("grpc-status", "14", "x-unprocessed", "1"), one, false}, balancer.Failure, Unavailable, true},
-		"internal, said not to be begun": {Answer{200, head, f("grpc-status", "13", "x-unprocessed", "1"), Scanner{}, false}, balancer.Failure, Internal, true},
-		"a trailer without a status":     {Answer{200, head, f("x", "y"), one, false}, balancer.Failure, Unknown, false},
-		"no trailer, no status":          {Answer{200, head, nil, one, false}, balancer.Failure, Unknown, false},
-		"two statuses":                   {Answer{200, head, f("grpc-status", "0", "grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
-		"a status that is no number":     {Answer{200, head, f("grpc-status", "ok"), one, false}, balancer.Failure, Unknown, false},
-		"a status nobody knows":          {Answer{200, head, f("grpc-status", "77"), Scanner{}, false}, balancer.Failure, 77, true},
-		"ok with half a message":         {Answer{200, head, f("grpc-status", "0"), body(frame(0, 3)[:6]...), false}, balancer.Failure, Internal, false},
-		"ok with what is no message":     {Answer{200, head, f("grpc-status", "0"), Scanner{}, true}, balancer.Failure, Internal, false},
-		"another content":                {Answer{200, f("content-type", "text/html"), f("grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
-		"503":                            {Answer{503, f("content-type", "text/plain"), nil, Scanner{}, false}, balancer.Failure, Unknown, false},
-		"503, not begun":                 {Answer{503, f("x-unprocessed", "1"), nil, Scanner{}, false}, balancer.Overloaded, Unknown, false},
+		"OK":                       {Answer{200, head, fields("grpc-status", "0"), one, false}, balancer.Success, OK, true},
+		"NOT_FOUND":                {Answer{200, head, fields("grpc-status", "5"), Scanner{}, false}, balancer.Success, NotFound, true},
+		"Trailers-Only":            {Answer{200, fields("content-type", "application/grpc", "grpc-status", "3"), nil, Scanner{}, false}, balancer.Success, InvalidArgument, true},
+		"UNAVAILABLE":              {Answer{200, head, fields("grpc-status", "14"), Scanner{}, false}, balancer.Failure, Unavailable, true},
+		"UNAVAILABLE, unprocessed": {Answer{200, head, fields("grpc-status", "14", "x-unprocessed", "1"), Scanner{}, false}, balancer.Overloaded, Unavailable, true},
+		"UNAVAILABLE, unprocessed, with messages": {Answer{200, head, fields("grpc-status", "14", "x-unprocessed", "1"), one, false}, balancer.Failure, Unavailable, true},
+		"INTERNAL, unprocessed":                   {Answer{200, head, fields("grpc-status", "13", "x-unprocessed", "1"), Scanner{}, false}, balancer.Failure, Internal, true},
+		"trailers without a status":               {Answer{200, head, fields("x", "y"), one, false}, balancer.Failure, Unknown, false},
+		"no trailers, no status":                  {Answer{200, head, nil, one, false}, balancer.Failure, Unknown, false},
+		"two statuses":                            {Answer{200, head, fields("grpc-status", "0", "grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
+		"status is no number":                     {Answer{200, head, fields("grpc-status", "ok"), one, false}, balancer.Failure, Unknown, false},
+		"undefined status":                        {Answer{200, head, fields("grpc-status", "77"), Scanner{}, false}, balancer.Failure, 77, true},
+		"OK with an incomplete message":           {Answer{200, head, fields("grpc-status", "0"), body(frame(0, 3)[:6]...), false}, balancer.Failure, Internal, false},
+		"OK with a malformed body":                {Answer{200, head, fields("grpc-status", "0"), Scanner{}, true}, balancer.Failure, Internal, false},
+		"another content type":                    {Answer{200, fields("content-type", "text/html"), fields("grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
+		"503":                                     {Answer{503, fields("content-type", "text/plain"), nil, Scanner{}, false}, balancer.Failure, Unknown, false},
+		"503, unprocessed":                        {Answer{503, fields("x-unprocessed", "1"), nil, Scanner{}, false}, balancer.Overloaded, Unknown, false},
 	} {
-		if v := Judge(c.a); v.Ending != c.ending || v.Code != c.code || (v.Fields != nil) != c.told {
-			t.Errorf("%s: %+v", name, v)
-		}
+		t.Run(name, func(t *testing.T) {
+			v := Judge(c.response)
+			if v.Ending != c.ending || v.Code != c.code || (v.Fields != nil) != c.hasStatus {
+				t.Errorf("%+v", v)
+			}
+		})
 	}
 }
 
-// A refusal's details are what the library of any language reads.
-func TestRetryInfo(t *testing.T) {
+// The details of a status are in the standard form, which gRPC libraries read.
+func TestStatusHasRetryInfo(t *testing.T) {
 	fields := Status(Unavailable, "100% full\n", 1500*time.Millisecond)
 	if fields[0].Value != "14" || fields[1].Value != "100%25 full%0A" || len(fields) != 3 {
 		t.Fatalf("%+v", fields)
@@ -146,32 +150,34 @@
 	}
 }
 
-func FuzzParseTimeout(fz *testing.F) {
-	fz.Add("5S")
-	fz.Add("99999999H")
-	fz.Fuzz(func(t *testing.T, s string) {
+// A time-out that is accepted is neither negative nor too long a text.
+func FuzzParseTimeout(f *testing.F) {
+	f.Add("5S")
+	f.Add("99999999H")
+	f.Fuzz(func(t *testing.T, s string) {
 		if d, err := ParseTimeout(s); err == nil && (d < 0 || len(s) > maxDigits+1) {
 			t.Errorf("%q is %v", s, d)
 		}
 	})
 }
 
-func FuzzScanner(fz *testing.F) {
-	fz.Add(frame(0, 3), 2)
-	fz.Add([]byte{0, 255, 255, 255, 255, 1}, 1)
-	fz.Fuzz(func(t *testing.T, b []byte, cut int) {
-		cut = max(0, min(cut, len(b)))
-		whole, err := Messages(b)
+// A body in two chunks is judged as the same body in one.
+func FuzzScanner(f *testing.F) {
+	f.Add(frame(0, 3), 2)
+	f.Add([]byte{0, 255, 255, 255, 255, 1}, 1)
+	f.Fuzz(func(t *testing.T, body []byte, cut int) {
+		cut = max(0, min(cut, len(body)))
+		count, oneErr := Messages(body)
 		var s Scanner
-		bad := s.Take(b[:cut])
-		if bad == nil {
-			bad = s.Take(b[cut:])
+		twoErr := s.Take(body[:cut])
+		if twoErr == nil {
+			twoErr = s.Take(body[cut:])
 		}
-		if bad == nil {
-			bad = s.End()
+		if twoErr == nil {
+			twoErr = s.End()
 		}
-		if (bad == nil) != (err == nil) || err == nil && s.Count != whole || whole > len(b)/prefix {
-			t.Errorf("%d, %v whole and %s, %v in two", whole, err, strconv.Itoa(s.Count), bad)
+		if (twoErr == nil) != (oneErr == nil) || oneErr == nil && s.Count != count || count > len(body)/prefixLength {
+			t.Errorf("%d messages, %v in one chunk and %d, %v in two", count, oneErr, s.Count, twoErr)
 		}
 	})
 }
--- /dev/null
+++ b/internal/grpc/scanner.go
@@ -0,0 +1,62 @@
+package grpc
+
+import (
+	"encoding/binary"
+	"fmt"
+)
+
+// prefixLength is the length of what precedes each message: the compressed flag and the length of the message.
+const prefixLength = 5
+
+// Messages returns the number of length-prefixed messages that a body consists of. It fails if the last one is incomplete, or
+// if a compressed flag is neither 0 nor 1.
+func Messages(body []byte) (n int, err error) {
+	var s Scanner
+	if err := s.Take(body); err != nil {
+		return 0, err
+	}
+	return s.Count, s.End()
+}
+
+// Scanner counts the messages of a body that comes in chunks, and keeps none of them. The zero value is at the start of a
+// body. It is not safe for concurrent use.
+type Scanner struct {
+	Count  int // complete messages
+	prefix [prefixLength]byte
+	got    int    // bytes of prefix
+	left   uint32 // bytes of the message that are still to come
+}
+
+// Take scans the next chunk. It fails if the body is not made of messages; the scanner must not be used after that.
+func (s *Scanner) Take(chunk []byte) error {
+	for len(chunk) > 0 {
+		if s.got < prefixLength {
+			n := copy(s.prefix[s.got:], chunk)
+			s.got += n
+			chunk = chunk[n:]
+			if flag := s.prefix[0]; flag > 1 {
+				return fmt.Errorf("message %d has the compressed flag %d", s.Count, flag)
+			}
+			if s.got < prefixLength {
+				return nil
+			}
+			s.left = binary.BigEndian.Uint32(s.prefix[1:])
+		}
+		n := min(int64(s.left), int64(len(chunk)))
+		s.left -= uint32(n)
+		chunk = chunk[n:]
+		if s.left == 0 {
+			s.Count++
+			s.got = 0
+		}
+	}
+	return nil
+}
+
+// End returns an error if the last message is incomplete.
+func (s *Scanner) End() error {
+	if s.got != 0 {
+		return fmt.Errorf("message %d ends %d bytes too early", s.Count, int64(s.left)+prefixLength-int64(s.got))
+	}
+	return nil
+}
--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -14,6 +14,7 @@
 package client
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"slices"
@@ -28,13 +29,13 @@
 	Quiet      time.Duration // time without a frame after which a careful request waits for a PING; default 1 s
 }
 
-// Field is a header field.
+// Field is a field of a header or trailer section.
 type Field struct{ Name, Value string }
 
 // Ending says how a stream ended.
 type Ending int
 
-// Endings. NotWritten, Refused and Above prove that the request never ran.
+// Endings. NotWritten, Refused and AboveGoAway prove that the request never ran (RFC 9113, section 8.7).
 const (
 	Answered       Ending = iota // the response is complete
 	NotWritten                   // the request was not written completely
@@ -47,7 +48,7 @@
 
 // String names an ending.
 func (e Ending) String() string {
-	return [...]string{"answered", "not written", "refused", "above", "reset", "lost", "given up"}[e]
+	return [...]string{"completed", "not written", "refused", "above GOAWAY", "reset", "connection lost", "cancelled"}[e]
 }
 
 // Answer is the response on a stream.
@@ -100,17 +101,10 @@
 
 // New returns a connection and its first frames, which follow the client's connection preface (section 3.4).
 func New(now time.Duration, cfg Config) (*Conn, []Action) {
-	set := func(x *int, to int) {
-		if *x == 0 {
-			*x = to
-		}
-	}
-	set(&cfg.MaxStreams, defaultStreams)
-	set(&cfg.MaxBody, defaultBody)
-	set(&cfg.MaxHeader, defaultHeader)
-	if cfg.Quiet == 0 {
-		cfg.Quiet = defaultQuiet
-	}
+	cfg.MaxStreams = cmp.Or(cfg.MaxStreams, defaultStreams)
+	cfg.MaxBody = cmp.Or(cfg.MaxBody, defaultBody)
+	cfg.MaxHeader = cmp.Or(cfg.MaxHeader, defaultHeader)
+	cfg.Quiet = cmp.Or(cfg.Quiet, defaultQuiet)
 	c := &Conn{
 		cfg: cfg, now: now, lastFrameAt: now, nextID: 1, streams: map[uint32]*stream{},
 		sendWindow: defaultWindow, initialSendWindow: defaultWindow, maxFrameSize: defaultFrame,
@@ -223,7 +217,7 @@
 	return c.takeActions()
 }
 
-// fail is a connection error (section 5.4.1).
+// fail ends the connection with a connection error (RFC 9113, section 5.4.1). The text goes to the server in GOAWAY.
 func (c *Conn) fail(code uint32, format string, args ...any) {
 	c.closed = true
 	c.emit(Fail{code, fmt.Sprintf(format, args...)})
--- a/internal/h2/client/frames.go
+++ b/internal/h2/client/frames.go
@@ -1,6 +1,6 @@
 package client
 
-// Error codes (RFC 9113, section 7) that are used here.
+// Error codes (RFC 9113, section 7).
 const (
 	codeNoError         = 0x0
 	codeProtocol        = 0x1
@@ -50,7 +50,8 @@
 // Event is one of the types above.
 type Event any
 
-// Actions are carried out in order. After the first write that fails the caller calls Close with its stream.
+// Actions are performed in order. After a write that fails, the caller calls Close with the streams whose last bytes were in
+// the same batch of actions.
 type (
 	// WriteSettings writes the first SETTINGS.
 	WriteSettings struct{ InitialWindow, MaxHeader uint32 }
