--- a/internal/engine/arriving_test.go
+++ b/internal/engine/arriving_test.go
@@ -12,8 +12,8 @@
 
 func (s spendable) Spent() bool { return s.spent }
 
-// The times of a call that is arriving run from its last byte: until then neither the engine's last call nor its
-// attempt's time-out ends it; from then on both do.
+// The deadlines of a call that is still arriving count from its last byte. Until then neither the fallback answer nor the
+// time-out of its attempt ends it; after that both do.
 func TestArrivingCallTimesOutFromItsLastByte(t *testing.T) {
 	t.Parallel()
 	e, h := startWithServers(t, "a")
@@ -21,48 +21,48 @@
 	c.Arriving, c.Payload = true, spendable{true}
 	e.Submit(c)
 	a := testkit.Wait(t, h.started)
-	time.Sleep(150 * time.Millisecond) // three times what it would have had
+	time.Sleep(150 * time.Millisecond) // three times its deadline
 	select {
-	case x := <-r.ended:
-		t.Fatalf("ended while it was arriving: %+v", x)
+	case answer := <-r.ended:
+		t.Fatalf("answered while it was arriving: %+v", answer)
 	default:
 	}
 	if a.Timeout <= 0 || a.Timeout > 50*time.Millisecond {
-		t.Errorf("the server is told %v", a.Timeout)
+		t.Errorf("the attempt has a time-out of %v", a.Timeout)
 	}
 	e.Arrived(c)
-	e.Arrived(c) // twice is once
+	e.Arrived(c) // a second call has no effect
 	if err := h.cause(t, a); err != ErrTimedOut {
 		t.Errorf("its attempt ended with %v", err)
 	}
 	a.End(balancer.TimedOut, nil)
-	if x := testkit.Wait(t, r.ended); x.Verdict == Served {
-		t.Errorf("%+v", x)
+	if answer := testkit.Wait(t, r.ended); answer.Verdict == Served {
+		t.Errorf("answer %+v", answer)
 	}
-	testkit.Eventually(t, "it stays open", func() bool { return e.Open() == 0 })
+	testkit.Eventually(t, "the call stays open", func() bool { return e.Open() == 0 })
 	if len(h.started) > 0 {
-		t.Error("what was spent is sent again")
+		t.Error("a call whose body was spent is sent again")
 	}
 }
 
-// Answers that have begun go on when all else is abandoned.
+// AbandonAll fails calls that wait, but not those whose streamed reply has begun.
 func TestAbandonAllSparesBegunStreams(t *testing.T) {
 	t.Parallel()
 	e, h := startWithServers(t, "a")
-	begun, br := newCall(e, "1", "read", limit)
-	e.Submit(begun)
+	streamed, streamedReceiver := newCall(e, "1", "read", limit)
+	e.Submit(streamed)
 	a := testkit.Wait(t, h.started)
 	a.Began(&reply{})
-	testkit.Wait(t, br.began)
-	waits, wr := newCall(e, "2", "read", limit)
-	e.Submit(waits)
+	testkit.Wait(t, streamedReceiver.began)
+	waiting, waitingReceiver := newCall(e, "2", "read", limit)
+	e.Submit(waiting)
 	testkit.Wait(t, h.started)
 	e.AbandonAll()
-	if x := testkit.Wait(t, wr.ended); x.Verdict != Failed {
-		t.Errorf("%+v", x)
+	if answer := testkit.Wait(t, waitingReceiver.ended); answer.Verdict != Failed {
+		t.Errorf("waiting call: answer %+v", answer)
 	}
 	a.End(balancer.Success, nil)
-	if x := testkit.Wait(t, br.ended); x.Verdict != Served {
-		t.Errorf("what had begun: %+v", x)
+	if answer := testkit.Wait(t, streamedReceiver.ended); answer.Verdict != Served {
+		t.Errorf("streamed call: answer %+v", answer)
 	}
 }
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -8,29 +8,30 @@
 	"cranegrade/balancer"
 )
 
-// instantSender answers at once.
-type instantSender struct{ r reply }
+// instantSender is a sender whose attempts succeed at once.
+type instantSender struct{ reply reply }
 
-func (s *instantSender) Start(_ context.Context, a *Attempt) { go a.End(balancer.Success, &s.r) }
+func (s *instantSender) Start(_ context.Context, a *Attempt) { go a.End(balancer.Success, &s.reply) }
 func (s *instantSender) Drop(*Endpoint)                      {}
 func (s *instantSender) Sweep()                              {}
 
-type signal chan struct{}
+// endSignal is a receiver that signals the end of a call.
+type endSignal chan struct{}
 
-func (s signal) Began(Reply)  {}
-func (s signal) Ended(Answer) { s <- struct{}{} }
+func (s endSignal) Began(Reply)  {}
+func (s endSignal) Ended(Answer) { s <- struct{}{} }
 
-// BenchmarkEngine measures calls through one engine whose sender answers at once.
+// BenchmarkEngine measures calls through one engine, without the work of a sender.
 func BenchmarkEngine(b *testing.B) {
 	e := startEngine(b, Config{Sender: &instantSender{}})
 	e.Start(serverList("a", "b", "c", "d", "e", "f", "g", "h", "i", "j"))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
-		done := make(signal, 1)
+		ended := make(endSignal, 1)
 		for pb.Next() {
 			now := e.Now()
-			e.Submit(&Call{Class: "read", Deadline: now + time.Second, Last: now + 2*time.Second, To: done})
-			<-done
+			e.Submit(&Call{Class: "read", Deadline: now + time.Second, Last: now + 2*time.Second, To: ended})
+			<-ended
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
--- a/internal/engine/churn_test.go
+++ b/internal/engine/churn_test.go
@@ -9,7 +9,8 @@
 	"cranegrade/internal/testkit"
 )
 
-// alternatingSender is a sender that ends every attempt at once and keeps nothing.
+// alternatingSender is a sender that ends attempts at once, as successes at servers with an even id and as unreachable at the
+// others. It keeps no state.
 type alternatingSender struct{}
 
 func (alternatingSender) Start(_ context.Context, a *Attempt) {
@@ -18,7 +19,7 @@
 func (alternatingSender) Drop(*Endpoint) {}
 func (alternatingSender) Sweep()         {}
 
-// What an engine and its module hold for servers that are gone: nothing, however many there were.
+// An engine and its module keep no state for servers that are gone, however many there were.
 func TestServerChurnLeavesNoState(t *testing.T) {
 	e := startEngine(t, Config{Sender: alternatingSender{}})
 	var first []string
@@ -27,7 +28,7 @@
 	}
 	e.Start(serverList(first...))
 	var held []int
-	for i := range 7200 { // an hour of two a second
+	for i := range 7200 { // two servers a second, for an hour
 		gone, come := fmt.Sprintf("s%06d", i), fmt.Sprintf("s%06d", i+60)
 		n := serverList(gone, come)
 		n.Full, n.Servers[0].State, n.Servers[1].StartedAt = false, balancer.Gone, e.Now()
@@ -38,7 +39,7 @@
 			testkit.Wait(t, r.ended)
 		}
 		if i%1800 == 1799 {
-			testkit.Eventually(t, "attempts still out", func() bool { waitIdle(t, e); return e.Open() == 0 })
+			testkit.Eventually(t, "attempts are still in flight", func() bool { waitIdle(t, e); return e.Open() == 0 })
 			e.Do(func() {
 				held = append(held, testkit.Held(e.endpoints)+testkit.Held(e.idByAddr)+testkit.Held(e.calls)+
 					testkit.Held(e.callerIDs)+testkit.Held(e.cfg.Module))
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -18,15 +18,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// moduleFunc is a module of a test's own.
+// moduleFunc is a module whose Handle is a function.
 type moduleFunc func(e balancer.Event) []balancer.Action
 
 func (f moduleFunc) Handle(_ time.Duration, e balancer.Event) []balancer.Action { return f(e) }
 
-// manualSender is a sender whose attempts end when the test ends them.
+// manualSender is a sender whose attempts are ended by the test.
 type manualSender struct {
 	started chan *Attempt
-	ctx     sync.Map // *Attempt to its context
+	ctx     sync.Map // from *Attempt to its context
 	dropped chan string
 }
 
@@ -49,7 +49,7 @@
 	select {
 	case <-ctx.Done():
 	case <-time.After(limit):
-		t.Fatal("the attempt's context goes on")
+		t.Fatal("the attempt's context has not ended")
 	}
 	return context.Cause(ctx)
 }
@@ -59,7 +59,7 @@
 
 func (r *reply) Release() { r.released.Add(1) }
 
-// receiver keeps what it is told.
+// receiver records what it is notified of.
 type receiver struct {
 	began chan Reply
 	ended chan Answer
@@ -83,7 +83,7 @@
 	}
 }
 
-// startEngine runs an engine until the test ends. Without a module in cfg it gets the real one.
+// startEngine runs an engine until the end of the test; its module is a balancer.Balancer unless cfg has one.
 func startEngine(t testing.TB, cfg Config) *Engine {
 	t.Helper()
 	if cfg.Module == nil {
@@ -104,7 +104,7 @@
 	return e
 }
 
-// startWithServers runs an engine with the real module and these servers, whose attempts the test ends by hand.
+// startWithServers runs an engine with a balancer.Balancer and these servers; the test ends the attempts.
 func startWithServers(t *testing.T, ids ...string) (*Engine, *manualSender) {
 	t.Helper()
 	sender := newManualSender()
@@ -113,7 +113,7 @@
 	return e, sender
 }
 
-// serverList is a full list, version 1, of servers that are ready.
+// serverList is the complete list of these servers, all of them ready, with the version 1.
 func serverList(ids ...string) News {
 	n := News{Full: true, Version: "1"}
 	for _, id := range ids {
@@ -122,14 +122,14 @@
 	return n
 }
 
-// newCall returns a call that is due after left, and its receiver.
+// newCall returns a call whose deadline is after left, and its receiver.
 func newCall(e *Engine, id, class string, left time.Duration) (*Call, *receiver) {
 	r := newReceiver()
 	now := e.Now()
 	return &Call{ID: id, Class: class, Deadline: now + left, Last: now + left + left/10, To: r}, r
 }
 
-// waitIdle returns once the engine has handled all that was posted before.
+// waitIdle returns once the engine has handled everything that was posted before.
 func waitIdle(t testing.TB, e *Engine) {
 	t.Helper()
 	done := make(chan struct{})
@@ -152,15 +152,14 @@
 		t.Errorf("answer %+v", ans)
 	}
 	late := &reply{}
-	a.End(balancer.Success, late) // an attempt ends once
+	a.End(balancer.Success, late) // has no effect: an attempt ends once
 	waitIdle(t, e)
 	if e.Open() != 0 || len(r.ended) != 0 || got.released.Load() != 0 || late.released.Load() != 1 {
-		t.Errorf("%d open, %d more answers, released %d and %d", e.Open(), len(r.ended), got.released.Load(), late.released.Load())
+		t.Errorf("%d calls open, %d more answers, first reply released %d times, second %d times", e.Open(), len(r.ended), got.released.Load(), late.released.Load())
 	}
 }
 
-// The endings that prove that nothing ran lead to another attempt, even of an unsafe call; the others
-// to its failure.
+// Endings that prove that nothing ran lead to another attempt even of a call that is not idempotent. All others fail it.
 func TestUnsafeCallIsRetriedOnlyIfNothingRan(t *testing.T) {
 	for _, c := range []struct {
 		ending balancer.Ending
@@ -192,15 +191,14 @@
 	}
 }
 
-// At the moment of writing an attempt asks again: a finished call or an endpoint that has left the
-// list stops it.
+// Begin refuses an attempt whose call has finished, or whose endpoint has become unusable, since it was started.
 func TestBeginRefusesFinishedCallAndUnusableEndpoint(t *testing.T) {
 	e, h := startWithServers(t, "a")
 	c, _ := newCall(e, "c-1", "read", limit)
 	e.Submit(c)
 	a := testkit.Wait(t, h.started)
 	if _, ok := a.Begin(); !ok {
-		t.Error("may not begin at once")
+		t.Error("Begin refuses an attempt that has just started")
 	}
 	n := serverList("a")
 	n.Servers[0].State = balancer.Draining
@@ -208,19 +206,19 @@
 	testkit.Wait(t, h.dropped)
 	waitIdle(t, e)
 	if ending, ok := a.Begin(); ok || ending != balancer.Unreachable {
-		t.Errorf("begins at a server that drains: %v %v", ending, ok)
+		t.Errorf("Begin at a draining server: %v %v", ending, ok)
 	}
 	e.Apply(serverList("a"))
 	e.Gone(c)
 	waitIdle(t, e)
 	if ending, ok := a.Begin(); ok || ending != balancer.NeverSent {
-		t.Errorf("begins for a caller that has gone: %v %v", ending, ok)
+		t.Errorf("Begin for a caller that has gone: %v %v", ending, ok)
 	}
 	if cause := h.cause(t, a); cause != ErrWithdrawn {
-		t.Errorf("the attempt ends with %v", cause)
+		t.Errorf("the cause of its end is %v", cause)
 	}
 	if e.Open() != 1 {
-		t.Errorf("%d calls open while an attempt is out", e.Open())
+		t.Errorf("%d calls open while an attempt is in flight", e.Open())
 	}
 	a.End(balancer.Canceled, nil)
 	waitIdle(t, e)
@@ -229,7 +227,7 @@
 	}
 }
 
-// An id that is open is turned away; once it is not, it may come again. No id is never open.
+// A call with the id of an open one is rejected; later the id may be used again. Calls without an id are never duplicates.
 func TestOpenIDIsRejectedAsDuplicate(t *testing.T) {
 	e, h := startWithServers(t, "a")
 	for range 2 {
@@ -240,7 +238,7 @@
 		if a := testkit.Wait(t, r2.ended); a.Verdict != Duplicate {
 			t.Errorf("answer %+v", a)
 		}
-		e.Gone(again) // which the engine never took
+		e.Gone(again) // has no effect on the first call
 		testkit.Wait(t, h.started).End(balancer.Success, &reply{})
 		testkit.Wait(t, r.ended)
 		waitIdle(t, e)
@@ -252,7 +250,7 @@
 	}
 }
 
-// Whatever the module forgets, the caller has an answer, and the module hears of it.
+// A call that the module never answers gets the fallback answer, and the module is notified.
 func TestSilentModuleGetsFallbackAnswer(t *testing.T) {
 	gone := make(chan balancer.ClientGone, 1)
 	e := startEngine(t, Config{Sender: newManualSender(), Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
@@ -269,36 +267,36 @@
 	testkit.Wait(t, gone)
 }
 
-// Calls that wait for a server are counted: over the limit they are refused at once, and each that
-// stops waiting gives its place back.
+// Calls that wait for a server count against a limit. Over it they are rejected at once, and each that stops waiting returns
+// its part.
 func TestPendingLimitRejectsAndReleases(t *testing.T) {
-	h, held := newManualSender(), testkit.NewRoom(2)
-	e := startEngine(t, Config{Sender: h, Pending: held})
-	var rs []*receiver
-	var cs []*Call
+	h, pending := newManualSender(), testkit.NewRoom(2)
+	e := startEngine(t, Config{Sender: h, Pending: pending})
+	var receivers []*receiver
+	var calls []*Call
 	for i := range 3 {
-		c, r := newCall(e, fmt.Sprint(i), "order", limit) // and no server
+		c, r := newCall(e, fmt.Sprint(i), "order", limit) // waits, since there is no server
 		e.Submit(c)
-		rs, cs = append(rs, r), append(cs, c)
+		receivers, calls = append(receivers, r), append(calls, c)
 	}
-	if a := testkit.Wait(t, rs[2].ended); a.Verdict != Refused || a.RetryAfter <= 0 {
+	if a := testkit.Wait(t, receivers[2].ended); a.Verdict != Refused || a.RetryAfter <= 0 {
 		t.Errorf("over the limit: %+v", a)
 	}
-	e.Gone(cs[0])
+	e.Gone(calls[0])
 	waitIdle(t, e)
-	if n := held.Left(); n != 1 {
-		t.Errorf("room for %d after one has gone, not 1", n)
+	if n := pending.Left(); n != 1 {
+		t.Errorf("%d of the limit are left after one caller has gone, want 1", n)
 	}
 	e.Apply(serverList("a"))
 	testkit.Wait(t, h.started).End(balancer.Success, &reply{})
-	testkit.Wait(t, rs[1].ended)
+	testkit.Wait(t, receivers[1].ended)
 	waitIdle(t, e)
-	if n := held.Left(); n != 2 || e.Open() != 0 {
-		t.Errorf("room for %d after all, %d open", n, e.Open())
+	if n := pending.Left(); n != 2 || e.Open() != 0 {
+		t.Errorf("%d of the limit are left at the end, %d calls open", n, e.Open())
 	}
 }
 
-// Whoever carried the attempt has answered the caller: both are over, and no answer follows.
+// A carrier that has answered the caller itself ends call and attempt in one step, and no answer follows.
 func TestEndCallAndAttemptGivesNoAnswer(t *testing.T) {
 	e, h := startWithServers(t, "a")
 	for range 3 {
@@ -306,11 +304,11 @@
 		e.Submit(c)
 		a := testkit.Wait(t, h.started)
 		e.EndCallAndAttempt(c, a, balancer.Failure)
-		e.EndCallAndAttempt(c, a, balancer.Failure) // again changes nothing
+		e.EndCallAndAttempt(c, a, balancer.Failure) // a second call has no effect
 		a.End(balancer.Success, nil)
 		waitIdle(t, e)
 		if e.Open() != 0 || len(r.ended) != 0 {
-			t.Errorf("%d open, %d answers", e.Open(), len(r.ended))
+			t.Errorf("%d calls open, %d answers", e.Open(), len(r.ended))
 		}
 	}
 }
@@ -328,6 +326,6 @@
 	a.End(balancer.Success, late)
 	waitIdle(t, e)
 	if late.released.Load() != 1 || e.Open() != 0 {
-		t.Errorf("late reply released %d times, %d open", late.released.Load(), e.Open())
+		t.Errorf("late reply released %d times, %d calls open", late.released.Load(), e.Open())
 	}
 }
--- a/internal/engine/source_test.go
+++ b/internal/engine/source_test.go
@@ -12,13 +12,13 @@
 	"cranegrade/internal/testkit"
 )
 
-// scriptedSource is a source that a test feeds.
+// scriptedSource is a source whose updates and failures come from the test.
 type scriptedSource struct {
-	name   string
-	asked  chan string
-	news   chan News
-	fail   chan error
-	closed chan struct{}
+	name    string
+	watched chan string // versions from which it was watched
+	updates chan News
+	fail    chan error
+	closed  chan struct{} // has a token for each watch that has ended
 }
 
 func newScriptedSource(name string) *scriptedSource {
@@ -27,11 +27,11 @@
 
 func (s *scriptedSource) String() string { return s.name }
 func (s *scriptedSource) Follow(ctx context.Context, since string, news func(News)) error {
-	s.asked <- since
+	s.watched <- since
 	defer func() { s.closed <- struct{}{} }()
 	for {
 		select {
-		case n := <-s.news:
+		case n := <-s.updates:
 			news(n)
 		case err := <-s.fail:
 			return err
@@ -41,8 +41,8 @@
 	}
 }
 
-// One source is followed at a time, from the version that was applied last; another source from the
-// beginning, whose news alone count.
+// One source is watched at a time, from the version that was applied last. Another source is watched from the beginning, and
+// only its updates count from then on.
 func TestOneSourceIsWatchedFromItsVersion(t *testing.T) {
 	one, two := newScriptedSource("one"), newScriptedSource("two")
 	lists := make(chan balancer.ServerList, 10)
@@ -55,40 +55,40 @@
 	e := startEngine(t, Config{Sender: newManualSender(), Source: one, Pushed: true, Module: module})
 	e.Start(serverList("a"))
 	testkit.Wait(t, lists)
-	if v := testkit.Wait(t, one.asked); v != "1" {
-		t.Errorf("asked since %q", v)
+	if v := testkit.Wait(t, one.watched); v != "1" {
+		t.Errorf("watched from version %q", v)
 	}
 	n := serverList("a", "b")
 	n.Version = "2"
-	one.news <- n
+	one.updates <- n
 	testkit.Wait(t, lists)
 	one.fail <- errors.New("broke")
-	if v := testkit.Wait(t, one.asked); v != "2" {
-		t.Errorf("after a break asked since %q", v)
+	if v := testkit.Wait(t, one.watched); v != "2" {
+		t.Errorf("after a failure watched from version %q", v)
 	}
 	testkit.Wait(t, one.closed)
 	e.SetSource(two)
-	if v := testkit.Wait(t, two.asked); v != "" {
-		t.Errorf("the new source asked since %q", v)
+	if v := testkit.Wait(t, two.watched); v != "" {
+		t.Errorf("the new source is watched from version %q", v)
 	}
 	testkit.Wait(t, one.closed)
 	two.fail <- errors.New("down from the start")
-	if v := testkit.Wait(t, two.asked); v != "" {
-		t.Errorf("again since %q", v)
+	if v := testkit.Wait(t, two.watched); v != "" {
+		t.Errorf("after another failure watched from version %q", v)
 	}
 	waitIdle(t, e)
 	e.Do(func() {
 		if len(e.endpoints) != 2 {
-			t.Errorf("the list does not stay as it was: %d", len(e.endpoints))
+			t.Errorf("%d endpoints after the failure of a new source, want the 2 of the former list", len(e.endpoints))
 		}
 	})
-	two.news <- serverList("c")
+	two.updates <- serverList("c")
 	if l := testkit.Wait(t, lists); len(l.Servers) != 1 || l.Servers[0].ID != "c" {
 		t.Errorf("list %+v", l)
 	}
 }
 
-// observingSource is a source that hears of attempts.
+// observingSource is a source that counts what it observes.
 type observingSource struct {
 	*scriptedSource
 	began, ended, dropped atomic.Int64
@@ -98,7 +98,7 @@
 func (o *observingSource) Ended(string, balancer.Ending) { o.ended.Add(1) }
 func (o *observingSource) Dropped()                      { o.dropped.Add(1) }
 
-// A source may have a share of calls refused: harmlessly, with advice, and without a word to the module.
+// A source may have a share of the calls rejected: without an attempt, with retry advice, and without the module.
 func TestDropShareOfSourceRejects(t *testing.T) {
 	h, o := newManualSender(), &observingSource{scriptedSource: newScriptedSource("drops")}
 	e := startEngine(t, Config{Sender: h, Source: o})
@@ -106,7 +106,7 @@
 	n.Drop = 0.5
 	e.Apply(n)
 	const calls = 400
-	refused := 0
+	rejected := 0
 	for i := range calls {
 		c, r := newCall(e, fmt.Sprint(i), "order", limit)
 		e.Submit(c)
@@ -120,15 +120,15 @@
 			if ans.Verdict != Refused || ans.RetryAfter <= 0 {
 				t.Fatalf("answer %+v", ans)
 			}
-			refused++
+			rejected++
 		case <-time.After(limit):
-			t.Fatal("neither")
+			t.Fatal("the call was neither sent nor rejected")
 		}
 	}
 	waitIdle(t, e)
-	if refused < calls/4 || refused > calls*3/4 || o.dropped.Load() != int64(refused) ||
-		o.began.Load() != int64(calls-refused) || o.ended.Load() != o.began.Load() || e.Open() != 0 {
-		t.Errorf("%d refused of %d; the source heard of %d, of %d begun and %d ended; %d open", refused, calls,
+	if rejected < calls/4 || rejected > calls*3/4 || o.dropped.Load() != int64(rejected) ||
+		o.began.Load() != int64(calls-rejected) || o.ended.Load() != o.began.Load() || e.Open() != 0 {
+		t.Errorf("%d rejected of %d; the source observed %d dropped, %d begun and %d ended; %d calls open", rejected, calls,
 			o.dropped.Load(), o.began.Load(), o.ended.Load(), e.Open())
 	}
 	n.Drop = 0
@@ -141,7 +141,7 @@
 	}
 }
 
-// The engine must not use a server that a list no longer names, nor an address that it has left.
+// The engine does not use a server that is no longer listed as ready, or an address that it has left.
 func TestListDecidesUsableEndpoints(t *testing.T) {
 	e := New(Config{Clock: NewClock(), Sender: newManualSender(), Module: moduleFunc(func(balancer.Event) []balancer.Action { return nil })})
 	e.apply(serverList("a", "b", "c"))
@@ -150,22 +150,22 @@
 	drain.Full, drain.Servers[0].State, drain.Servers[1].Addr = false, balancer.Draining, "b:9"
 	e.apply(drain)
 	if a.Usable() || b.Usable() || !c.Usable() || !e.endpoints["b"].Usable() {
-		t.Error("after changes: a drains, b moved, c stays")
+		t.Error("after an update: a drains, b has another address, c is unchanged")
 	}
 	back := serverList("a")
 	back.Full = false
 	e.apply(back)
 	if !a.Usable() || e.endpoints["a"] != a {
-		t.Error("a serves again")
+		t.Error("a is ready again, and the endpoint is the same")
 	}
 	e.apply(serverList("a"))
 	if c.Usable() || len(e.endpoints) != 1 {
-		t.Error("a full list that names only a")
+		t.Error("after a complete list of a alone")
 	}
 	restarted := serverList("a")
 	restarted.Servers[0].StartedAt = time.Second
 	e.apply(restarted)
 	if a.Usable() || !e.endpoints["a"].Usable() {
-		t.Error("a started anew: its old connections are of no use")
+		t.Error("after a restart of a the endpoint must be a new one, since connections to the former process are of no use")
 	}
 }
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -8,8 +8,8 @@
 	"cranegrade/internal/testkit"
 )
 
-// Once a streamed reply has begun it belongs to its attempt: other attempts are withdrawn, there is no
-// deadline, and a break midway is the call's failure, never a second run.
+// Once a streamed reply has begun, the call belongs to its attempt: other attempts are withdrawn, there is no deadline, and a
+// break of the stream fails the call and never leads to another attempt.
 func TestBegunStreamOwnsItsCall(t *testing.T) {
 	for _, broken := range []bool{false, true} {
 		h := newManualSender()
@@ -22,7 +22,7 @@
 		clock := NewClock()
 		e := startEngine(t, Config{Sender: h, Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
 			switch ev := ev.(type) {
-			case balancer.Request: // and a second copy, as a module that hedges would send
+			case balancer.Request: // with a hedged request
 				return append(m.Handle(clock.Now(), ev), balancer.Send{ID: ev.ID, Server: "b"})
 			case balancer.Started:
 				started <- ev
@@ -48,13 +48,13 @@
 		if cause := h.cause(t, first); cause != ErrWithdrawn {
 			t.Errorf("the other attempt ends with %v", cause)
 		}
-		first.Began(loser) // crosses the cancel
+		first.Began(loser) // crosses the cancellation
 		first.End(balancer.Success, nil)
 		waitIdle(t, e)
 		if loser.released.Load() != 1 || len(r.ended) != 0 {
-			t.Errorf("the loser: released %d times, %d answers", loser.released.Load(), len(r.ended))
+			t.Errorf("the other reply was released %d times, %d answers", loser.released.Load(), len(r.ended))
 		}
-		// Past the deadline and the last call the stream still runs.
+		// The stream continues after the deadline and the time of the fallback answer.
 		for e.Now() < c.Last+time.Millisecond {
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/front/http1/body_test.go
+++ b/internal/front/http1/body_test.go
@@ -14,55 +14,60 @@
 	"cranegrade/internal/message"
 )
 
-// writer is a ResponseWriter whose deadlines can be set.
-type writer struct{ *httptest.ResponseRecorder }
+// deadlineWriter is a ResponseWriter whose deadlines can be set.
+type deadlineWriter struct{ *httptest.ResponseRecorder }
 
-func (writer) SetReadDeadline(time.Time) error { return nil }
-func (writer) EnableFullDuplex() error         { return nil }
+func (deadlineWriter) SetReadDeadline(time.Time) error { return nil }
+func (deadlineWriter) EnableFullDuplex() error         { return nil }
 
-// A body whose end comes early is not whole, also where the library tells so together with its last bytes; one that ends
-// as it should is.
+// A body that ends too early is rejected, even if net/http reports that together with its last bytes. A complete one is
+// accepted, and a long one is buffered only in part.
 func TestReadBody(t *testing.T) {
 	long := strings.Repeat("x", message.MaxBody)
 	for name, c := range map[string]struct {
-		text  string
-		want  string
-		whole bool
-		more  bool
+		text     string
+		want     string
+		accepted bool
+		isLonger bool
 	}{
-		"chunks":          {"Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "hi", true, false},
-		"no chunk":        {"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "", true, false},
-		"within a chunk":  {"Transfer-Encoding: chunked\r\n\r\n5\r\nhi", "", false, false},
-		"after a chunk":   {"Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", "", false, false},
-		"length":          {"Content-Length: 2\r\n\r\nhi", "hi", true, false},
-		"short of length": {"Content-Length: 3\r\n\r\nhi", "", false, false},
-		"longest kept":    {"Content-Length: 65536\r\n\r\n" + long, long, true, false},
-		"longer":          {"Content-Length: 65537\r\n\r\n" + long, long, true, true},
-		"longer chunk":    {"Transfer-Encoding: chunked\r\n\r\n10001\r\n" + long, long, true, true},
+		"chunked":                            {"Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "hi", true, false},
+		"chunked, empty":                     {"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "", true, false},
+		"cut off within a chunk":             {"Transfer-Encoding: chunked\r\n\r\n5\r\nhi", "", false, false},
+		"cut off after a chunk":              {"Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", "", false, false},
+		"declared length":                    {"Content-Length: 2\r\n\r\nhi", "hi", true, false},
+		"cut off before the declared length": {"Content-Length: 3\r\n\r\nhi", "", false, false},
+		"longest that is buffered":           {"Content-Length: 65536\r\n\r\n" + long, long, true, false},
+		"longer than that":                   {"Content-Length: 65537\r\n\r\n" + long, long, true, true},
+		"longer than that, chunked":          {"Transfer-Encoding: chunked\r\n\r\n10001\r\n" + long, long, true, true},
 	} {
-		hr, err := http.ReadRequest(bufio.NewReader(strings.NewReader("POST / HTTP/1.1\r\nHost: a\r\n" + c.text)))
-		if err != nil {
-			t.Fatal(err)
-		}
-		out := &message.Request{}
-		k := &call{Call: engine.Call{Payload: out}}
-		refusal := (&Front{Speech: platformProtocol{}}).readBody(writer{httptest.NewRecorder()}, hr, k)
-		if (refusal == nil) != c.whole || c.whole && string(out.Body) != c.want || (out.More != nil) != c.more || k.Arriving != c.more {
-			t.Errorf("%s: %+v, %d bytes, more: %v", name, refusal, len(out.Body), out.More != nil)
-		}
+		t.Run(name, func(t *testing.T) {
+			hr, err := http.ReadRequest(bufio.NewReader(strings.NewReader("POST / HTTP/1.1\r\nHost: a\r\n" + c.text)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			out := &message.Request{}
+			received := &call{Call: engine.Call{Payload: out}}
+			refusal := (&Front{Speech: platformProtocol{}}).readBody(deadlineWriter{httptest.NewRecorder()}, hr, received)
+			if (refusal == nil) != c.accepted || c.accepted && string(out.Body) != c.want {
+				t.Errorf("%+v, %d bytes", refusal, len(out.Body))
+			}
+			if (out.More != nil) != c.isLonger || received.Arriving != c.isLonger {
+				t.Errorf("the body continues: %v, the call is arriving: %v", out.More != nil, received.Arriving)
+			}
+		})
 	}
 }
 
-// Only the time that a caller is waited for counts, and what it has sent earns it more.
-func TestPaced(t *testing.T) {
-	rc := http.NewResponseController(writer{httptest.NewRecorder()})
+// Only the time spent waiting for the caller counts, and bytes that were received extend it.
+func TestPacedBody(t *testing.T) {
+	rc := http.NewResponseController(deadlineWriter{httptest.NewRecorder()})
 	p := &pacedBody{rc: rc, body: strings.NewReader("abc"), waited: bodySlack + time.Second}
 	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errSlow) {
-		t.Errorf("over its time: %v", err)
+		t.Errorf("after the time-out: %v", err)
 	}
 	p.received = 2 * minBodyRate
 	if n, err := p.Read(make([]byte, 3)); n != 3 || err != nil {
-		t.Errorf("with more sent: %d, %v", n, err)
+		t.Errorf("with more bytes received: %d, %v", n, err)
 	}
 	if _, err := p.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("at the end: %v", err)
--- a/internal/front/http1/connections_test.go
+++ b/internal/front/http1/connections_test.go
@@ -1,6 +1,7 @@
 package http1
 
 import (
+	"errors"
 	"net"
 	"net/http"
 	"sync/atomic"
@@ -15,14 +16,51 @@
 
 const limit = testkit.Limit
 
+// newTestShare returns the only share of a budget.
+func newTestShare(t *testing.T, total int64) *pool.Share {
+	t.Helper()
+	budget := pool.NewBudget(total)
+	share := budget.NewShare()
+	if err := budget.Configure(total, map[*pool.Share]pool.Quota{share: {}}); err != nil {
+		t.Fatal(err)
+	}
+	return share
+}
+
+// listen returns a listener that is closed at the end of the test.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+// connect opens a connection, and returns the caller's side and the accepted one.
+func connect(t *testing.T, l *connections) (caller net.Conn, accepted *connection) {
+	t.Helper()
+	caller, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { caller.Close() })
+	netConn, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return caller, netConn.(*connection)
+}
+
 // failingListener fails twice before each connection.
 type failingListener struct {
 	net.Listener
-	n atomic.Int64
+	calls atomic.Int64
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	switch l.n.Add(1) % 3 {
+	switch l.calls.Add(1) % 3 {
 	case 1:
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	case 2:
@@ -31,190 +69,130 @@
 	return l.Listener.Accept()
 }
 
-// A failed accept must not end the node, whatever the reason.
-func TestFailedAccept(t *testing.T) {
+// An error of accept must not end the node, whatever its cause.
+func TestAcceptRetriesAfterErrors(t *testing.T) {
 	t.Parallel()
-	b := pool.NewBudget(10)
-	share := b.NewShare()
-	if err := b.Configure(10, map[*pool.Share]pool.Quota{share: {}}); err != nil {
-		t.Fatal(err)
-	}
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := newConnections(&failingListener{Listener: inner}, share)
-	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
+	inner := listen(t)
+	l := newConnections(&failingListener{Listener: inner}, newTestShare(t, 10))
+	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})}
 	served := make(chan error, 1)
-	go func() { served <- srv.Serve(l) }()
+	go func() { served <- server.Serve(l) }()
 	for range 2 {
 		client := &http.Client{Timeout: limit, Transport: &http.Transport{DisableKeepAlives: true}}
-		if resp, err := client.Get("http://" + inner.Addr().String() + "/"); err != nil || resp.StatusCode != 200 {
-			t.Errorf("answer %v, %v", resp, err)
+		resp, err := client.Get("http://" + inner.Addr().String() + "/")
+		if err != nil || resp.StatusCode != http.StatusOK {
+			t.Errorf("response %v, %v", resp, err)
 		}
 	}
-	srv.Close()
-	if err := <-served; err != http.ErrServerClosed {
+	server.Close()
+	if err := <-served; !errors.Is(err, http.ErrServerClosed) {
 		t.Errorf("Serve: %v", err)
 	}
 }
 
-// Connections on which nothing comes make room first, then the one whose request rests longest; one whose request goes on
-// coming stays, however long it takes.
-func TestWhoMakesRoom(t *testing.T) {
+// At the limit, connections without a request are closed first, then the one whose request has stalled for longest. One whose
+// request still makes progress stays, however long it takes.
+func TestConnectionsClosedAtLimit(t *testing.T) {
 	t.Parallel()
-	const most = 4
-	b := pool.NewBudget(most)
-	share := b.NewShare()
-	if err := b.Configure(most, map[*pool.Share]pool.Quota{share: {}}); err != nil {
-		t.Fatal(err)
-	}
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer inner.Close()
-	l := newConnections(inner, share)
+	l := newConnections(listen(t), newTestShare(t, 4))
 	accept := func() *connection {
-		nc, err := net.Dial("tcp", inner.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { nc.Close() })
-		c, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return c.(*connection)
+		_, c := connect(t, l)
+		return c
 	}
 	ago := func(d time.Duration) int64 { return time.Now().Add(-d).UnixNano() }
-	slow, stuck, older, idle := accept(), accept(), accept(), accept()
+	slow, stalledLongest, stalled, idle := accept(), accept(), accept(), accept()
 	slow.requestBegan.Store(ago(time.Minute))
 	slow.lastByteAt.Store(ago(stallTime / 4))
-	stuck.requestBegan.Store(ago(2 * time.Second))
-	stuck.lastByteAt.Store(ago(2 * time.Second))
-	older.requestBegan.Store(ago(3 * time.Second))
-	older.lastByteAt.Store(ago(time.Second))
+	stalledLongest.requestBegan.Store(ago(2 * time.Second))
+	stalledLongest.lastByteAt.Store(ago(2 * time.Second))
+	stalled.requestBegan.Store(ago(3 * time.Second))
+	stalled.lastByteAt.Store(ago(time.Second))
 	idle.quietSince = time.Now().Add(-2 * newConnectionGrace)
-	for i, want := range []*connection{idle, stuck, older} {
-		busy := accept()
-		busy.beginRequest()
+	for i, want := range []*connection{idle, stalledLongest, stalled} {
+		active := accept()
+		active.beginRequest()
 		if !want.closed || slow.closed {
-			t.Errorf("for connection %d: not the one wanted was closed (the slow one: %v)", i, slow.closed)
+			t.Errorf("new connection %d: another connection than expected was closed (the slow one: %v)", i, slow.closed)
 		}
 	}
 	if l.mu.Lock(); l.closeLeastUseful() {
-		t.Error("one whose request goes on coming was closed")
+		t.Error("a connection was closed whose request makes progress")
 	}
 	l.mu.Unlock()
 }
 
-// A head that does not come to its end is waited for no longer than was set; one that comes whole, in pieces or at once, is
-// left alone. No server's own bound is in play here.
-func TestHeadWithin(t *testing.T) {
+// A header section that does not end is cut off after the time-out. One that is complete, in parts or at once, is not. The
+// time-outs of net/http are not in force here.
+func TestHeaderTimeout(t *testing.T) {
 	t.Parallel()
-	b := pool.NewBudget(10)
-	share := b.NewShare()
-	if err := b.Configure(10, map[*pool.Share]pool.Quota{share: {}}); err != nil {
-		t.Fatal(err)
-	}
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer inner.Close()
-	l := newConnections(inner, share)
+	l := newConnections(listen(t), newTestShare(t, 10))
 	l.scanHeads = true
 	l.headTimeout.Store(int64(50 * time.Millisecond))
-	caller := func(pieces ...string) (net.Conn, net.Conn) {
-		far, err := net.Dial("tcp", inner.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { far.Close() })
-		near, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, p := range pieces {
-			far.Write([]byte(p))
-			if n, err := near.Read(make([]byte, 4096)); err != nil || n != len(p) {
-				t.Fatal(n, err)
+	receive := func(parts ...string) *connection {
+		caller, accepted := connect(t, l)
+		for _, part := range parts {
+			caller.Write([]byte(part))
+			if n, err := accepted.Read(make([]byte, 4096)); err != nil || n != len(part) {
+				t.Fatalf("read %d bytes, %v", n, err)
 			}
 		}
-		return far, near
+		return accepted
 	}
-	_, whole := caller("GET / HTTP/1.1\r\n", "Host: x\r\n\r\n")
-	_, half := caller("GET / HTTP/1.1\r\n")
-	if n, err := half.Read(make([]byte, 4096)); err == nil { // returns with the limit, or the test never ends
-		t.Error(n, "bytes read")
+	complete := receive("GET / HTTP/1.1\r\n", "Host: x\r\n\r\n")
+	incomplete := receive("GET / HTTP/1.1\r\n")
+	if n, err := incomplete.Read(make([]byte, 4096)); err == nil { // without the time-out it would not return
+		t.Errorf("read %d bytes", n)
 	}
 	if open := l.open(); open != 1 {
-		t.Error(open, "connections are open, the whole one should be")
+		t.Errorf("%d connections are open, want the complete one", open)
 	}
-	whole.Close()
+	complete.Close()
 }
 
-// A front whose times are its own gives callers all of what was set, also where that is more than the library's bounds, to
-// connections that are new or have rested; what is set later holds for those that rest already.
-func TestOwnTimes(t *testing.T) {
+// A front with time-outs of its own is not limited by those of net/http, for new connections and for idle ones. A longer
+// time-out also applies to connections that are idle already.
+func TestOwnTimeoutsOverrideLibrary(t *testing.T) {
 	t.Parallel()
-	b := pool.NewBudget(10)
-	share := b.NewShare()
-	if err := b.Configure(10, map[*pool.Share]pool.Quota{share: {}}); err != nil {
-		t.Fatal(err)
-	}
-	inner, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer inner.Close()
-	f := New(inner, engine.NewClock(), nil, share)
+	f := New(listen(t), engine.NewClock(), nil, newTestShare(t, 10))
 	f.OwnTimes()
-	const idle, head = time.Minute, 10 * time.Second
-	f.Idle(idle)
-	f.HeadWithin(head)
-	if f.server.IdleTimeout <= idle || f.server.ReadHeaderTimeout <= head {
-		t.Error("the library gives", f.server.IdleTimeout, "and", f.server.ReadHeaderTimeout)
+	const idleTimeout, headerTimeout = time.Minute, 10 * time.Second
+	f.Idle(idleTimeout)
+	f.HeadWithin(headerTimeout)
+	if f.server.IdleTimeout <= idleTimeout || f.server.ReadHeaderTimeout <= headerTimeout {
+		t.Errorf("time-outs of net/http: idle %v, header %v", f.server.IdleTimeout, f.server.ReadHeaderTimeout)
 	}
 	l := f.conns
-	caller := func() (net.Conn, *connection) {
-		far, err := net.Dial("tcp", inner.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { far.Close() })
-		near, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		return far, near.(*connection)
-	}
-	far, near := caller()
+	caller, accepted := connect(t, l)
 	l.mu.Lock()
-	since := near.quietSince
+	since := accepted.quietSince
 	l.mu.Unlock()
-	near.expire(since) // as a timer does that was set when less was given
+	accepted.expire(since) // as by a timer that was set with a shorter time-out
 	if l.open() != 1 {
-		t.Fatal("one that has just come is closed")
+		t.Fatal("a new connection was closed")
 	}
-	far.Write([]byte("GET / HTTP/1.1\r\n"))
-	if n, err := near.Read(make([]byte, 100)); n == 0 || err != nil {
-		t.Fatal(n, err)
+	caller.Write([]byte("GET / HTTP/1.1\r\n"))
+	if n, err := accepted.Read(make([]byte, 100)); n == 0 || err != nil {
+		t.Fatalf("read %d bytes, %v", n, err)
 	}
-	if near.headTimer == nil {
-		t.Error("nothing bounds a head that may take longer than by the library")
+	if accepted.headTimer == nil {
+		t.Error("no timer runs for a header section with a time-out over that of net/http")
 	}
-	near.Close()
-	if near.idleTimer == nil || near.idleTimer.Stop() {
+	accepted.Close()
+	if accepted.idleTimer == nil || accepted.idleTimer.Stop() {
 		t.Error("a timer keeps the closed connection in memory")
 	}
-	// One that never says anything goes once its time is over, and not before.
-	const short = 50 * time.Millisecond
-	f.Idle(short)
+}
+
+// A connection that never sends anything is closed after the idle time-out, and not before.
+func TestSilentConnectionIsClosedAfterIdleTimeout(t *testing.T) {
+	t.Parallel()
+	f := New(listen(t), engine.NewClock(), nil, newTestShare(t, 10))
+	f.OwnTimes()
+	const idleTimeout = 50 * time.Millisecond
+	f.Idle(idleTimeout)
 	began := time.Now()
-	far, _ = caller()
-	if _, err := far.Read(make([]byte, 1)); err == nil || time.Since(began) < short {
-		t.Error("closed after", time.Since(began), err)
+	caller, _ := connect(t, f.conns)
+	if _, err := caller.Read(make([]byte, 1)); err == nil || time.Since(began) < idleTimeout {
+		t.Errorf("closed after %v: %v", time.Since(began), err)
 	}
 }
--- a/internal/message/stream_test.go
+++ b/internal/message/stream_test.go
@@ -9,14 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// What is pushed is taken, in order, and told as taken; then the end.
+// Chunks are taken in the order in which they were pushed, and each is reported as consumed.
 func TestStreamProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var told atomic.Int64
-		s := NewStream(nil, func(n int) { told.Add(int64(n)) })
-		pieces := rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 1, 20)).Draw(t, "pieces")
+		var consumed atomic.Int64
+		s := NewStream(nil, func(n int) { consumed.Add(int64(n)) })
+		chunks := rapid.SliceOf(rapid.SliceOfN(rapid.Byte(), 1, 20)).Draw(t, "chunks")
 		go func() {
-			for _, p := range pieces {
+			for _, p := range chunks {
 				s.Push(p)
 			}
 			s.Finish([]Field{{"a", "b"}})
@@ -29,40 +29,41 @@
 				t.Fatal(err)
 			}
 			if p == nil {
-				if i != len(pieces) || len(s.Trailer()) != 1 {
-					t.Fatalf("ended after %d of %d, with %v", i, len(pieces), s.Trailer())
+				if i != len(chunks) || len(s.Trailer()) != 1 {
+					t.Fatalf("ended after %d of %d chunks, with the trailer %v", i, len(chunks), s.Trailer())
 				}
 				break
 			}
-			if string(p) != string(pieces[i]) {
-				t.Fatalf("piece %d: %v", i, p)
+			if string(p) != string(chunks[i]) {
+				t.Fatalf("chunk %d: %v", i, p)
 			}
 			total += len(p)
 		}
-		if told.Load() != int64(total) {
-			t.Fatalf("%d told, %d taken", told.Load(), total)
+		if consumed.Load() != int64(total) {
+			t.Fatalf("%d bytes reported as consumed, %d taken", consumed.Load(), total)
 		}
 	})
 }
 
-func TestStreamGivenUp(t *testing.T) {
-	s := NewStream(nil, func(int) { t.Error("nobody took it") })
+// After Release nothing is kept, and nothing is reported as consumed.
+func TestReleasedStreamKeepsNothing(t *testing.T) {
+	s := NewStream(nil, func(int) { t.Error("bytes are reported as consumed that were not taken") })
 	s.Push([]byte("abc"))
 	if s.Held() != 3 {
-		t.Errorf("holds %d", s.Held())
+		t.Errorf("%d bytes are kept", s.Held())
 	}
 	s.Release()
 	s.Push([]byte("abc"))
 	if s.Held() != 0 {
-		t.Errorf("holds %d", s.Held())
+		t.Errorf("%d bytes are kept", s.Held())
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	why := errors.New("why")
-	cancel(why)
-	if _, err := s.Next(ctx); err != why {
+	cause := errors.New("cause")
+	cancel(cause)
+	if _, err := s.Next(ctx); !errors.Is(err, cause) {
 		t.Errorf("%v", err)
 	}
 	if s.Finish(nil); s.Trailer() != nil {
-		t.Errorf("broken off with %v", s.Trailer())
+		t.Errorf("a stream that was cut off has the trailer %v", s.Trailer())
 	}
 }
--- a/internal/message/timeleft_test.go
+++ b/internal/message/timeleft_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestTimeLeftUnits(t *testing.T) {
+func TestParseTimeLeft(t *testing.T) {
 	for s, want := range map[string]time.Duration{
 		"480m":  480 * time.Millisecond,
 		"1500u": 1500 * time.Microsecond, "2.5m": 2500 * time.Microsecond,
@@ -15,3 +15,11 @@
 		}
 	}
 }
+
+func TestFormatTimeLeft(t *testing.T) {
+	for d, want := range map[time.Duration]string{0: "1u", time.Microsecond: "1u", 1500 * time.Millisecond: "1500000u"} {
+		if got := TimeLeft(d); got != want {
+			t.Errorf("%v: %s", d, got)
+		}
+	}
+}
--- a/internal/pool/quota_table_test.go
+++ b/internal/pool/quota_table_test.go
@@ -1,20 +1,20 @@
 package pool
 
 import (
+	"errors"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-// TestQuotasHoldInAnyOrderOfSteps plays any order of take, give, resize, join and leave. Never over the total;
-// while no resize has taken a minimum out of what was borrowed, every holder can have its minimum at
-// once; and once all is given back nothing is left.
+// Whatever the order of steps: the total is never exceeded, every holder can take its minimum at once unless a Configure has
+// raised a minimum while the remainder was lent, and no state remains once everything is returned.
 func TestQuotasHoldInAnyOrderOfSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 60).Draw(t, "total")
-		l := NewQuotaTable(total)
+		table := NewQuotaTable(total)
 		staying := map[*Holder]Quota{}
-		taken := map[*Holder]int64{} // the model
+		taken := map[*Holder]int64{} // the reference
 		var all []*Holder
 		sum := func() (n int64) {
 			for _, v := range taken {
@@ -27,7 +27,7 @@
 			for _, q := range quotas {
 				minima += q.Min
 			}
-			err := l.Configure(total, quotas)
+			err := table.Configure(total, quotas)
 			if (err == nil) != (minima <= total) {
 				t.Fatalf("minima of %d in %d: %v", minima, total, err)
 			}
@@ -42,11 +42,11 @@
 		}
 		pick := func(t *rapid.T) *Holder {
 			if len(all) == 0 {
-				t.Skip("nobody yet")
+				t.Skip("no holder yet")
 			}
 			return all[rapid.IntRange(0, len(all)-1).Draw(t, "holder")]
 		}
-		copyOf := func() map[*Holder]Quota {
+		copyOfStaying := func() map[*Holder]Quota {
 			m := map[*Holder]Quota{}
 			for h, q := range staying {
 				m[h] = q
@@ -55,7 +55,7 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"join": func(t *rapid.T) {
-				h, m := &Holder{}, copyOf()
+				h, m := &Holder{}, copyOfStaying()
 				m[h] = quota(t)
 				if reconfigure(t, total, m) {
 					staying = m
@@ -63,15 +63,15 @@
 				}
 			},
 			"leave": func(t *rapid.T) {
-				h, m := pick(t), copyOf()
+				h, m := pick(t), copyOfStaying()
 				delete(m, h)
 				reconfigure(t, total, m)
 				staying = m
 			},
 			"quota": func(t *rapid.T) {
-				h, m := pick(t), copyOf()
+				h, m := pick(t), copyOfStaying()
 				if _, is := m[h]; !is {
-					t.Skip("has left")
+					t.Skip("was removed")
 				}
 				m[h] = quota(t)
 				if reconfigure(t, total, m) {
@@ -86,9 +86,9 @@
 			},
 			"take": func(t *rapid.T) {
 				h, n := pick(t), rapid.Int64Range(0, 15).Draw(t, "n")
-				before, reserved := sum(), l.reserved
+				before, reserved := sum(), table.reserved
 				q, stays := staying[h]
-				got := l.Take(h, n)
+				got := table.Take(h, n)
 				if got {
 					taken[h] += n
 					if sum() > total && n > 0 {
@@ -99,159 +99,161 @@
 					}
 				}
 				if stays && !got && taken[h]+n <= q.Min && reserved <= total {
-					t.Fatalf("refused %d more than %d under a minimum of %d; %d of %d taken", n, taken[h], q.Min, before, total)
+					t.Fatalf("%d more than %d denied, under the minimum of %d; %d of %d taken", n, taken[h], q.Min, before, total)
 				}
 			},
 			"move": func(t *rapid.T) {
 				from, to := pick(t), pick(t)
 				n := rapid.Int64Range(0, 15).Draw(t, "n")
-				if l.Transfer(from, to, n) {
+				if table.Transfer(from, to, n) {
 					if taken[from] < n {
-						t.Fatalf("moved %d of %d", n, taken[from])
+						t.Fatalf("transferred %d of %d", n, taken[from])
 					}
 					taken[from] -= n
 					taken[to] += n
 					if q, stays := staying[to]; stays && q.Max > 0 && n > 0 && from != to && taken[to] > q.Max {
-						t.Fatalf("%d moved to a maximum of %d", taken[to], q.Max)
+						t.Fatalf("%d after a transfer, over the maximum of %d", taken[to], q.Max)
 					}
 				}
 			},
 			"give": func(t *rapid.T) {
 				h := pick(t)
 				n := rapid.Int64Range(0, taken[h]).Draw(t, "n")
-				l.Give(h, n)
+				table.Give(h, n)
 				taken[h] -= n
 			},
 			"": func(t *rapid.T) {
-				if l.Used() != sum() {
-					t.Fatalf("used %d, taken %d", l.Used(), sum())
+				if table.Used() != sum() {
+					t.Fatalf("used %d, taken %d", table.Used(), sum())
 				}
 				var reserved int64
-				for h := range l.holders {
+				for h := range table.holders {
 					reserved += max(h.used, h.Min)
 					if _, stays := staying[h]; !stays && h.used == 0 {
-						t.Fatal("a holder that has left and has nothing is kept")
+						t.Fatal("a holder that was removed and has nothing is kept")
 					}
 				}
-				if reserved != l.reserved {
-					t.Fatalf("reserved %d, reckoned %d", l.reserved, reserved)
+				if reserved != table.reserved {
+					t.Fatalf("reserved %d, the table has %d", table.reserved, reserved)
 				}
-				// The guarantee itself: while nothing is over-reserved all minima can be had together.
-				if l.reserved <= total {
+				// While reserved is within the total, all holders can take their minima at once.
+				if table.reserved <= total {
 					var missing int64
 					for h, q := range staying {
 						missing += max(0, q.Min-h.used)
 					}
-					if l.used+missing > total {
-						t.Fatalf("%d used and %d missing of minima, of %d", l.used, missing, total)
+					if table.used+missing > total {
+						t.Fatalf("%d used and %d missing to the minima, of %d", table.used, missing, total)
 					}
 				}
 			},
 		})
 		for h, n := range taken {
-			l.Give(h, n)
+			table.Give(h, n)
 		}
-		if l.Used() != 0 {
-			t.Fatalf("%d used after all was given back", l.Used())
+		if table.Used() != 0 {
+			t.Fatalf("%d used after everything was returned", table.Used())
 		}
-		if reconfigure(t, total, nil); len(l.holders) != 0 || l.reserved != 0 {
-			t.Fatalf("%d holders and %d reserved are left", len(l.holders), l.reserved)
+		if reconfigure(t, total, nil); len(table.holders) != 0 || table.reserved != 0 {
+			t.Fatalf("%d holders and %d reserved are left", len(table.holders), table.reserved)
 		}
 	})
 }
 
-// What was borrowed comes back as it is given; until then a raised minimum waits and nobody borrows.
+// A raised minimum is met once enough of what was lent is returned; until then nobody can borrow.
 func TestQuotaTableBorrowing(t *testing.T) {
-	l, a, b := NewQuotaTable(0), &Holder{}, &Holder{}
-	if err := l.Configure(10, map[*Holder]Quota{a: {Min: 2}, b: {Min: 3}}); err != nil {
+	table, a, b := NewQuotaTable(0), &Holder{}, &Holder{}
+	if err := table.Configure(10, map[*Holder]Quota{a: {Min: 2}, b: {Min: 3}}); err != nil {
 		t.Fatal(err)
 	}
-	if !l.Take(a, 7) || l.Take(a, 1) {
-		t.Fatal("a may have its 2 and the 5 that are free, no more")
+	if !table.Take(a, 7) || table.Take(a, 1) {
+		t.Fatal("a can take its minimum of 2 and borrow 5, no more")
 	}
 	if a.Borrowed() != 5 {
 		t.Errorf("borrowed %d", a.Borrowed())
 	}
-	if !l.Take(b, 3) || l.Take(b, 1) {
-		t.Fatal("b may have its 3, no more")
+	if !table.Take(b, 3) || table.Take(b, 1) {
+		t.Fatal("b can take its minimum of 3, no more")
 	}
-	if err := l.Configure(10, map[*Holder]Quota{a: {Min: 2}, b: {Min: 6}}); err != nil {
+	if err := table.Configure(10, map[*Holder]Quota{a: {Min: 2}, b: {Min: 6}}); err != nil {
 		t.Fatal(err)
 	}
-	l.Give(a, 1)
-	if l.Take(a, 1) {
+	table.Give(a, 1)
+	if table.Take(a, 1) {
 		t.Error("a borrows while b waits for its minimum")
 	}
-	if !l.Take(b, 1) || l.Take(b, 1) {
-		t.Error("what a gave back is b's")
+	if !table.Take(b, 1) || table.Take(b, 1) {
+		t.Error("b can take exactly what a has returned")
 	}
-	l.Give(a, 6)
-	if !l.Take(b, 2) {
-		t.Error("b has not got its minimum")
+	table.Give(a, 6)
+	if !table.Take(b, 2) {
+		t.Error("b can't take its minimum")
 	}
-	if err := l.Configure(10, map[*Holder]Quota{a: {Min: 5}, b: {Min: 6}}); err != ErrOverTotal {
+	if err := table.Configure(10, map[*Holder]Quota{a: {Min: 5}, b: {Min: 6}}); !errors.Is(err, ErrOverTotal) {
 		t.Errorf("minima over the total: %v", err)
 	}
 }
 
+// Invalid quotas and amounts are rejected, and returning more than was taken panics.
 func TestQuotaTableMisuse(t *testing.T) {
-	l, a := NewQuotaTable(10), &Holder{}
-	if l.Take(a, 1) {
-		t.Error("a stranger took")
+	table, a := NewQuotaTable(10), &Holder{}
+	if table.Take(a, 1) {
+		t.Error("a holder that is not in the table can take")
 	}
 	for _, q := range []Quota{{Min: -1}, {Max: -1}, {Min: 3, Max: 2}} {
-		if err := l.Configure(10, map[*Holder]Quota{a: q}); err == nil {
-			t.Errorf("%+v accepted", q)
+		if err := table.Configure(10, map[*Holder]Quota{a: q}); err == nil {
+			t.Errorf("%+v is accepted", q)
 		}
 	}
-	if err := l.Configure(10, map[*Holder]Quota{a: {}}); err != nil {
+	if err := table.Configure(10, map[*Holder]Quota{a: {}}); err != nil {
 		t.Fatal(err)
 	}
-	if l.Take(a, -1) || l.Take(a, 1<<63-1) {
-		t.Error("took less than nothing, or all there is")
+	if table.Take(a, -1) || table.Take(a, 1<<63-1) {
+		t.Error("a negative amount, or one that overflows, can be taken")
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("gave back what was never taken")
+			t.Error("no panic after the return of more than was taken")
 		}
 	}()
-	l.Give(a, 1)
+	table.Give(a, 1)
 }
 
-// What is borrowed is asked back only while another wants for it.
+// A share has an excess only after another share was denied for lack of it.
 func TestExcess(t *testing.T) {
 	b := NewBudget(10)
-	x, y := b.NewShare(), b.NewShare()
-	if err := b.Configure(10, map[*Share]Quota{x: {Min: 2}, y: {Min: 2, Max: 4}}); err != nil {
+	lent, other := b.NewShare(), b.NewShare()
+	if err := b.Configure(10, map[*Share]Quota{lent: {Min: 2}, other: {Min: 2, Max: 4}}); err != nil {
 		t.Fatal(err)
 	}
-	x.Take(8)
-	if x.Excess() != 0 {
-		t.Error("asked back though nobody wants")
+	lent.Take(8)
+	if lent.Excess() != 0 {
+		t.Error("excess though nobody was denied")
 	}
-	y.Take(5) // over its own maximum
-	x.Take(9) // nobody else
-	if x.Excess() != 0 || y.Excess() != 0 {
-		t.Error("asked back for what nobody may have, or for oneself")
+	other.Take(5) // denied by its own maximum
+	lent.Take(9)  // denied, but nobody else was
+	if lent.Excess() != 0 || other.Excess() != 0 {
+		t.Error("excess though no other share was denied for lack of it")
 	}
-	if !y.Take(2) || y.Take(1) {
-		t.Error("y has its minimum, no more")
+	if !other.Take(2) || other.Take(1) {
+		t.Error("the other share can take its minimum, no more")
 	}
-	if x.Excess() != 6 {
-		t.Errorf("%d asked back, not 6", x.Excess())
+	if lent.Excess() != 6 {
+		t.Errorf("excess of %d, want 6", lent.Excess())
 	}
 	b.ClearDenied()
-	if x.Excess() != 0 {
-		t.Error("still asked back")
+	if lent.Excess() != 0 {
+		t.Error("excess after ClearDenied")
 	}
-	if used, borrowed := x.Used(); used != 8 || borrowed != 6 {
+	if used, borrowed := lent.Used(); used != 8 || borrowed != 6 {
 		t.Errorf("%d used, %d borrowed", used, borrowed)
 	}
 	if used, total := b.Used(); used != 10 || total != 10 {
-		t.Errorf("%d of %d", used, total)
+		t.Errorf("%d of %d used", used, total)
 	}
 }
 
+// BenchmarkShare measures Take and Give of one share among many.
 func BenchmarkShare(b *testing.B) {
 	budget := NewBudget(1000)
 	quotas := map[*Share]Quota{}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,8 +11,10 @@
 	"pgregory.net/rapid"
 )
 
+// to is a route's only destination.
 func to(pool string) []Split { return []Split{{Pool: pool, Weight: 1}} }
 
+// mustCompile compiles routes; those without a destination go to the pool "p" and their index.
 func mustCompile(t testing.TB, fallback string, routes ...Route) *Table {
 	t.Helper()
 	for i := range routes {
@@ -27,7 +29,7 @@
 	return table
 }
 
-// request is one as it came: host and path are brought to their normal form.
+// request returns a GET request for a host and path as the caller wrote them.
 func request(t testing.TB, host, path string) *Request {
 	t.Helper()
 	h, err := Host(host)
@@ -99,10 +101,10 @@
 		{"a.example.org", "/x/a", func(r *Request) { r.Class = "alert" }, 11},
 		{"", "/only/this", nil, 12},
 		{"c.example.org", "/only/this", nil, 13},
-		{"c.example.org", "/other", nil, 2}, // the host's own routes do not match: on to the less specific
+		{"c.example.org", "/other", nil, 2}, // no route of the most specific host matches
 		{"q.example.org", "/exact", nil, 14},
 		{"[::1]:99", "/", nil, 16},
-		// As paths are matched.
+		// Paths are normalised.
 		{"a.example.org", "//x///y//z", nil, 6},
 		{"a.example.org", "/x/./y/q/../z", nil, 6},
 		{"a.example.org", "/%78/%79/z", nil, 6},
@@ -114,7 +116,7 @@
 			c.change(r)
 		}
 		if got, ok := table.Match(r); !ok || got.Route != c.want {
-			t.Errorf("%d: %s%s goes to route %d, not %d", i, c.host, c.path, got.Route, c.want)
+			t.Errorf("%d: %s%s matches route %d, want %d", i, c.host, c.path, got.Route, c.want)
 		}
 	}
 }
@@ -125,9 +127,9 @@
 		t.Errorf("got %+v", got)
 	}
 	if _, ok := mustCompile(t, "", Route{Host: "a"}).Match(r); ok {
-		t.Error("a match without a route")
+		t.Error("a request matches without a route or fallback")
 	}
-	// A prefix route with nothing else leaves other paths alone.
+	// A table whose only route has a prefix matches no other path.
 	if _, ok := mustCompile(t, "", Route{Host: "b", Prefix: "/a/b"}).Match(r); ok {
 		t.Error("/ matches the prefix /a/b")
 	}
@@ -147,7 +149,7 @@
 		"é", "a%41", "a?", "a#", "a\x00", strings.Repeat("a", MaxHost+1),
 	} {
 		if got, err := Host(in); err == nil {
-			t.Errorf("%q passes as %q", in, got)
+			t.Errorf("%q is accepted as %q", in, got)
 		}
 	}
 }
@@ -168,7 +170,7 @@
 		"/a\x00", "/a\nb", "/a\\b", "/" + strings.Repeat("a", MaxPath),
 	} {
 		if got, err := Path(in); err == nil {
-			t.Errorf("%q passes as %q", in, got)
+			t.Errorf("%q is accepted as %q", in, got)
 		}
 	}
 }
@@ -179,24 +181,24 @@
 		route Route
 		key   string
 	}{
-		"port":           {Route{Host: "a:80", To: to("p")}, "host"},
-		"inner star":     {Route{Host: "a.*.b", To: to("p")}, "host"},
-		"star alone":     {Route{Host: "*.", To: to("p")}, "host"},
-		"below address":  {Route{Host: "*.[::1]", To: to("p")}, "host"},
-		"path":           {Route{Path: "a", To: to("p")}, "path"},
-		"not normal":     {Route{Path: "/a/../b", To: to("p")}, "path"},
-		"prefix":         {Route{Prefix: "//", To: to("p")}, "prefix"},
-		"regexp":         {Route{Regexp: "(", To: to("p")}, "regexp"},
-		"two kinds":      {Route{Path: "/a", Prefix: "/b", To: to("p")}, "path"},
-		"method":         {Route{Methods: []string{"get"}, To: to("p")}, "methods"},
-		"header":         {Route{Headers: []Header{{}}, To: to("p")}, "headers"},
-		"no pool":        {Route{}, "to"},
-		"no name":        {Route{To: to("")}, "to"},
-		"no weight":      {Route{To: []Split{{"p", 0}, {"q", 0}}}, "to"},
-		"negative":       {Route{To: []Split{{"p", -1}, {"q", 2}}}, "to"},
-		"twice":          {Route{To: []Split{{"p", 1}, {"p", 2}}}, "to"},
-		"too heavy":      {Route{To: []Split{{"p", MaxWeight + 1}}}, "to"},
-		"too many pools": {Route{To: many(MaxSplit + 1)}, "to"},
+		"port":                {Route{Host: "a:80", To: to("p")}, "host"},
+		"inner star":          {Route{Host: "a.*.b", To: to("p")}, "host"},
+		"star alone":          {Route{Host: "*.", To: to("p")}, "host"},
+		"below address":       {Route{Host: "*.[::1]", To: to("p")}, "host"},
+		"path":                {Route{Path: "a", To: to("p")}, "path"},
+		"not normal":          {Route{Path: "/a/../b", To: to("p")}, "path"},
+		"prefix":              {Route{Prefix: "//", To: to("p")}, "prefix"},
+		"regexp":              {Route{Regexp: "(", To: to("p")}, "regexp"},
+		"two kinds":           {Route{Path: "/a", Prefix: "/b", To: to("p")}, "path"},
+		"method":              {Route{Methods: []string{"get"}, To: to("p")}, "methods"},
+		"header":              {Route{Headers: []Header{{}}, To: to("p")}, "headers"},
+		"no destination":      {Route{}, "to"},
+		"pool without a name": {Route{To: to("")}, "to"},
+		"weights of 0":        {Route{To: []Split{{"p", 0}, {"q", 0}}}, "to"},
+		"negative weight":     {Route{To: []Split{{"p", -1}, {"q", 2}}}, "to"},
+		"pool twice":          {Route{To: []Split{{"p", 1}, {"p", 2}}}, "to"},
+		"weight too large":    {Route{To: []Split{{"p", MaxWeight + 1}}}, "to"},
+		"too many pools":      {Route{To: many(MaxSplit + 1)}, "to"},
 	} {
 		table, faults := Compile([]Route{good, c.route}, "")
 		if table != nil || len(faults) == 0 || faults[0].Route != 1 || faults[0].Key != c.key {
@@ -205,13 +207,14 @@
 	}
 	same := slices.Repeat([]Route{{Path: "/a", To: to("p")}}, MaxSamePath+1)
 	if _, faults := Compile(same, ""); len(faults) != 1 {
-		t.Errorf("too many of one path: %v", faults)
+		t.Errorf("too many routes of one path: %v", faults)
 	}
 	if _, faults := Compile(slices.Repeat([]Route{{Regexp: "a", To: to("p")}}, MaxRegexps+1), ""); len(faults) != 1 {
 		t.Errorf("too many regular expressions: %v", faults)
 	}
 }
 
+// many returns n destinations.
 func many(n int) (l []Split) {
 	for i := range n {
 		l = append(l, Split{fmt.Sprint(i), 1})
@@ -219,7 +222,7 @@
 	return l
 }
 
-// A split gives each pool its part, and the same pool to the same id at every node.
+// A split gives each pool its share, and sends the same id to the same pool at every node.
 func TestSplit(t *testing.T) {
 	split := []Split{{"a", 70}, {"b", 30}, {"never", 0}}
 	one := mustCompile(t, "", Route{Host: "a", To: split})
@@ -229,14 +232,14 @@
 	differ := 0
 	for i := range n {
 		r := &Request{Host: "a", Path: "/", ID: fmt.Sprintf("id-%d", i)}
-		x, _ := one.Match(r)
-		y, _ := two.Match(r)
-		if x.Pool != y.Pool {
-			t.Fatalf("%s goes to %s here and to %s there", r.ID, x.Pool, y.Pool)
+		target, _ := one.Match(r)
+		otherTarget, _ := two.Match(r)
+		if target.Pool != otherTarget.Pool {
+			t.Fatalf("%s goes to %s by one table and to %s by another", r.ID, target.Pool, otherTarget.Pool)
 		}
-		counts[x.Pool]++
+		counts[target.Pool]++
 		r.Host = "b"
-		if z, _ := two.Match(r); z.Pool != x.Pool {
+		if otherRoute, _ := two.Match(r); otherRoute.Pool != target.Pool {
 			differ++
 		}
 	}
@@ -244,12 +247,12 @@
 		t.Errorf("counts %v", counts)
 	}
 	if differ == 0 {
-		t.Error("two routes split alike")
+		t.Error("two routes split the same ids in the same way")
 	}
 }
 
-// naive is the precedence read off the package's page, by trying every route.
-func naive(routes []Route, r *Request) int {
+// matchNaively is the precedence of the package comment, applied by trying every route.
+func matchNaively(routes []Route, r *Request) int {
 	best := -1
 	var bestKey []int
 	for i, c := range routes {
@@ -298,7 +301,7 @@
 	return best
 }
 
-// TestMatchProperty holds the table against the naive reading, over any routes and requests.
+// The table matches as matchNaively does, for all routes and requests.
 func TestMatchProperty(t *testing.T) {
 	hosts := []string{"", "a", "b.a", "c.b.a", "*.a", "*.b.a", "z"}
 	paths := []string{"/", "/x", "/x/", "/x/y", "/x/y/", "/x/y/z", "/xy"}
@@ -343,16 +346,15 @@
 				}
 			}
 			got, ok := table.Match(r)
-			want := naive(routes, r)
+			want := matchNaively(routes, r)
 			if ok != (want >= 0) || ok && got.Route != want {
-				t.Fatalf("%+v goes to route %d (%v), not %d", r, got.Route, ok, want)
+				t.Fatalf("%+v matches route %d (%v), want %d", r, got.Route, ok, want)
 			}
 		}
 	})
 }
 
-// FuzzPath holds that what passes is in normal form: it stays as it is, and has no dot segment, empty
-// segment or escape of an unreserved character.
+// A path that is accepted is normalised: normalising it again changes nothing, and it has no dot segment or empty segment.
 func FuzzPath(f *testing.F) {
 	for _, s := range []string{"/", "/a/../b", "/%2e%2e/x", "/a%2fb", "//..//", "/%zz", "/\\", "/a/./%2E/"} {
 		f.Add(s)
@@ -364,17 +366,17 @@
 		}
 		again, err := Path(p)
 		if err != nil || again != p {
-			t.Fatalf("%q becomes %q, and that %q, %v", s, p, again, err)
+			t.Fatalf("%q is normalised to %q, and that to %q, %v", s, p, again, err)
 		}
 		for i, seg := range strings.Split(p[1:], "/") {
 			if seg == "." || seg == ".." || seg == "" && i < strings.Count(p, "/")-1 {
-				t.Fatalf("%q becomes %q", s, p)
+				t.Fatalf("%q is normalised to %q", s, p)
 			}
 		}
 	})
 }
 
-// FuzzHost holds the same for hosts.
+// A host that is accepted is normalised: normalising it again changes nothing.
 func FuzzHost(f *testing.F) {
 	for _, s := range []string{"a", "A.b.:80", "[::1]:8", "a..b", ":", ".", "[", "a:1:2"} {
 		f.Add(s)
@@ -385,12 +387,12 @@
 			return
 		}
 		if again, err := Host(h); err != nil || again != h || strings.ToLower(h) != h || strings.HasSuffix(h, ".") {
-			t.Fatalf("%q becomes %q, and that %q, %v", s, h, again, err)
+			t.Fatalf("%q is normalised to %q, and that to %q, %v", s, h, again, err)
 		}
 	})
 }
 
-// BenchmarkMatch shows that the cost does not grow with the number of routes.
+// BenchmarkMatch measures a match by the number of routes, on which its cost does not depend.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 100000} {
 		var routes []Route
--- a/internal/sender/http1/trust_test.go
+++ b/internal/sender/http1/trust_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"net/http"
+	"sync"
 	"testing"
 	"time"
 
@@ -15,83 +16,97 @@
 	"cranegrade/internal/testkit"
 )
 
-// Kept connections that break more often than fresh ones lose the trust of unsafe requests first, and get it back.
-func TestTrust(t *testing.T) {
+// Reused connections that break more often than new ones lose the trust of unsafe requests first, and regain it.
+func TestReuseTrust(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		kept, fresh       int // every so manieth breaks; 0: none
-		unsafe, otherwise bool
+		name                    string
+		reusedBreak, freshBreak int // every so manieth exchange breaks; 0: none
+		unsafe, otherwise       bool
 	}{
 		{"none break", 0, 0, true, true},
-		{"kept ones now and then", 50, 0, false, true},
-		{"kept ones often", 8, 0, false, false},
+		{"reused ones sometimes", 50, 0, false, true},
+		{"reused ones often", 8, 0, false, false},
 		{"all alike", 8, 8, true, true},
-		{"only fresh ones", 0, 8, true, true},
-		{"one in a thousand", 1000, 0, true, true}, // the last was not seen
+		{"only new ones", 0, 8, true, true},
+		{"one in a thousand", 1000, 0, true, true}, // the last one was not recorded
 	} {
-		var x reuseTrust
-		if x.mayReuse(0, true) || !x.mayReuse(0, false) {
-			t.Errorf("%s: at the start an unsafe request goes over a kept connection, or no other does", c.name)
-		}
-		for i := 1; i <= 900; i++ {
-			x.record(0, true, c.kept > 0 && i%c.kept == 0)
-			x.record(0, false, c.fresh > 0 && i%c.fresh == 0)
-		}
-		if u, o := x.mayReuse(0, true), x.mayReuse(0, false); u != c.unsafe || o != c.otherwise {
-			t.Errorf("%s: unsafe %v, others %v", c.name, u, o)
-		}
-		again := 0
-		for range 3 * lookAgain {
-			if x.mayReuse(0, false) {
-				again++
+		t.Run(c.name, func(t *testing.T) {
+			var trust reuseTrust
+			if trust.mayReuse(0, true) || !trust.mayReuse(0, false) {
+				t.Error("at the start an unsafe request uses a reused connection, or another request does not")
 			}
-		}
-		if again < 3 {
-			t.Errorf("%s: %d of %d look again", c.name, again, 3*lookAgain)
-		}
-		if x.mayReuse(10*trustTime, true) || !x.mayReuse(10*trustTime, false) {
-			t.Errorf("%s: ten minutes later it is not as at the start", c.name)
-		}
+			for i := 1; i <= 900; i++ {
+				trust.record(0, true, c.reusedBreak > 0 && i%c.reusedBreak == 0)
+				trust.record(0, false, c.freshBreak > 0 && i%c.freshBreak == 0)
+			}
+			if unsafe, otherwise := trust.mayReuse(0, true), trust.mayReuse(0, false); unsafe != c.unsafe || otherwise != c.otherwise {
+				t.Errorf("unsafe %v, others %v", unsafe, otherwise)
+			}
+			again := 0
+			for range 3 * lookAgain {
+				if trust.mayReuse(0, false) {
+					again++
+				}
+			}
+			if again < 3 {
+				t.Errorf("%d of %d requests measure again", again, 3*lookAgain)
+			}
+			if trust.mayReuse(10*trustTime, true) || !trust.mayReuse(10*trustTime, false) {
+				t.Error("ten minutes later the trust is not that of the start")
+			}
+		})
 	}
 }
 
-// Whatever is seen, and however time runs, the shares stay shares.
-func TestTrustProperty(t *testing.T) {
+// Whatever is recorded and however the clock runs, rates stay between 0 and 1.
+func TestReuseTrustProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		var x reuseTrust
+		var trust reuseTrust
 		for range rapid.IntRange(0, 300).Draw(r, "n") {
 			now := time.Duration(rapid.Int64Range(-1<<62, 1<<62).Draw(r, "now"))
 			if rapid.Bool().Draw(r, "ask") {
-				x.mayReuse(now, rapid.Bool().Draw(r, "unsafe"))
+				trust.mayReuse(now, rapid.Bool().Draw(r, "unsafe"))
 			} else {
-				x.record(now, rapid.Bool().Draw(r, "kept"), rapid.Bool().Draw(r, "broke"))
+				trust.record(now, rapid.Bool().Draw(r, "reused"), rapid.Bool().Draw(r, "broke"))
 			}
-			for _, b := range []breaks{x.kept, x.fresh} {
+			for _, b := range []breaks{trust.kept, trust.fresh} {
 				if !(b.rate() >= 0 && b.rate() <= 1) || b.n > trustMemory+1 {
-					r.Fatalf("%+v", x)
+					r.Fatalf("%+v", trust)
 				}
 			}
 		}
 	})
 }
 
-// Where connections break, a request that must not run twice knocks first: what breaks before its head is whole
-// never ran, and goes over another connection within the same attempt.
-func TestKnock(t *testing.T) {
+// counter counts events of several connections.
+type counter struct {
+	mu sync.Mutex
+	n  int
+}
+
+// next returns how many events there were, with this one.
+func (c *counter) next() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.n++
+	return c.n
+}
+
+// reset has a connection end with a TCP reset.
+func reset(c net.Conn) { c.(*net.TCPConn).SetLinger(0) }
+
+// Where connections break, a request that must not run twice is written in two parts. If the connection breaks before its
+// head is complete it never ran, and is sent over another connection within the same attempt.
+func TestProbeProvesThatRequestNeverRan(t *testing.T) {
 	t.Parallel()
-	ran, n := make(chan string, 100), 0
-	lock := make(chan bool, 1)
-	lock <- true
+	ran := make(chan string, 100)
+	var requests counter
 	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		if _, err := r.Peek(1); err != nil { // the first bytes of a request
 			return
 		}
-		<-lock
-		n++
-		drop := n%2 == 1
-		lock <- true
-		if drop {
-			c.(*net.TCPConn).SetLinger(0)
+		if requests.next()%2 == 1 {
+			reset(c)
 			return
 		}
 		for {
@@ -101,24 +116,24 @@
 			}
 			io.Copy(io.Discard, req.Body)
 			ran <- req.Method
-			io.WriteString(c, ok)
+			io.WriteString(c, okResponse)
 		}
 	})
 	s, ep := newTestSender(100), newEndpoint(addr)
-	s.minProbeWait = 200 * time.Millisecond // a slow machine gets more
+	s.minProbeWait = 200 * time.Millisecond // enough for a slow machine
 	for range 100 {
 		s.trust.record(time.Since(s.start), true, true)
 		s.trust.record(time.Since(s.start), false, true)
 	}
 	for i := range 10 {
-		res := send(t, s, ep, &message.Request{Method: "POST", URL: keyed().URL, Authority: "a", Body: []byte("x")})
+		res := send(t, s, ep, unsafeRequest())
 		if res.ending != balancer.Success && res.ending != balancer.Unreachable {
-			t.Fatalf("attempt %d: ending %d, though nothing can have run", i, res.ending)
+			t.Fatalf("attempt %d: ending %v, though nothing can have run", i, res.ending)
 		}
 		if res.ending == balancer.Success {
 			res.reply.Release()
-			if got := testkit.Wait(t, ran); got != "POST" {
-				t.Fatalf("ran %s", got)
+			if method := testkit.Wait(t, ran); method != "POST" {
+				t.Fatalf("ran %s", method)
 			}
 		}
 	}
@@ -127,13 +142,16 @@
 	}
 }
 
-// A server that drops every third kept connection as its next request comes: once that was seen, what must not
-// run twice does not end in such a reset, and connections do not pile up.
-func TestStaleConnections(t *testing.T) {
+// unsafeRequest is a request that must not run twice.
+func unsafeRequest() *message.Request {
+	return &message.Request{Method: "POST", URL: keyedRequest().URL, Authority: "a", Body: []byte("x")}
+}
+
+// A server resets every third reused connection when its next request comes. Once that was observed, requests that must not
+// run twice avoid it, and connections do not pile up.
+func TestUnsafeRequestsAvoidStaleConnections(t *testing.T) {
 	t.Parallel()
-	n := 0
-	stale := make(chan bool, 1)
-	stale <- true
+	var requests counter
 	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		for first := true; ; first = false {
 			req, err := http.ReadRequest(r)
@@ -141,30 +159,26 @@
 				return
 			}
 			io.Copy(io.Discard, req.Body)
-			<-stale
-			n++
-			drop := !first && n%3 == 0
-			stale <- true
-			if drop {
-				c.(*net.TCPConn).SetLinger(0)
+			if n := requests.next(); !first && n%3 == 0 {
+				reset(c)
 				return
 			}
-			io.WriteString(c, ok)
+			io.WriteString(c, okResponse)
 		}
 	})
 	s, ep := newTestSender(100), newEndpoint(addr)
-	order := &message.Request{Method: "POST", URL: keyed().URL, Authority: "a", Body: []byte("x")}
+	unsafe := unsafeRequest()
 	broken := 0
 	for i := range 200 {
-		m := keyed()
+		m := keyedRequest()
 		if i%2 == 1 {
-			m = order
+			m = unsafe
 		}
 		res := send(t, s, ep, m)
 		if res.reply != nil {
 			res.reply.Release()
 		}
-		if m == order && i >= 60 && res.ending != balancer.Success {
+		if m == unsafe && i >= 60 && res.ending != balancer.Success {
 			broken++
 		}
 	}
--- /dev/null
+++ b/internal/sender/http1/upload_test.go
@@ -0,0 +1,165 @@
+package http1
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"net/url"
+	"testing"
+
+	"cranegrade/balancer"
+	"cranegrade/internal/engine"
+	"cranegrade/internal/message"
+	"cranegrade/internal/testkit"
+)
+
+// uploadRequest returns a request whose body continues after first, and the stream to which the test pushes the rest.
+func uploadRequest(length int64, first string) (*message.Request, *message.Stream) {
+	m := &message.Request{Method: "POST", URL: &url.URL{Path: "/order/1"}, Authority: "app.svc", Header: map[string][]string{}, Body: []byte(first)}
+	m.More = message.NewStream(nil, func(int) {})
+	m.More.Length = length
+	return m, m.More
+}
+
+// A long body is forwarded as it comes, with a declared length or in chunks. Another attempt of it is not possible.
+func TestUpload(t *testing.T) {
+	t.Parallel()
+	addr, got := testkit.Stub(t, okResponse, false)
+	for _, length := range []int64{11, -1} {
+		s := newTestSender(10)
+		for range 2 { // the second one on a reused connection
+			m, rest := uploadRequest(length, "hello")
+			go func() {
+				rest.Push([]byte(" wor"))
+				rest.Push([]byte("ld"))
+				rest.Finish([]message.Field{})
+			}()
+			if res := send(t, s, newEndpoint(addr), m); res.ending != balancer.Success || !m.Spent() {
+				t.Errorf("length %d: ending %v, spent %v", length, res.ending, m.Spent())
+			}
+			if r := testkit.Wait(t, got); r.Text != "hello world" || r.ContentLength != length {
+				t.Errorf("the server got the body %q with the length %d", r.Text, r.ContentLength)
+			}
+			if res := send(t, s, newEndpoint(addr), m); res.ending != balancer.NeverSent {
+				t.Errorf("second attempt: ending %v", res.ending)
+			}
+		}
+	}
+}
+
+// However an upload ends before its last byte, the request has not run.
+func TestInterruptedUploadHasNotRun(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		serve           func(c net.Conn, r *bufio.Reader)
+		callerBreaksOff bool
+		want            balancer.Ending
+	}{
+		"caller breaks off": {func(c net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }, true, balancer.NeverSent},
+		"503, unprocessed": {func(c net.Conn, r *bufio.Reader) {
+			http.ReadRequest(r)
+			io.WriteString(c, "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
+			io.Copy(io.Discard, r)
+		}, false, balancer.Overloaded},
+		"500 before the end": {func(c net.Conn, r *bufio.Reader) {
+			http.ReadRequest(r)
+			io.WriteString(c, "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n")
+			io.Copy(io.Discard, r)
+		}, false, balancer.Failure},
+		"connection ends": {func(c net.Conn, r *bufio.Reader) { http.ReadRequest(r) }, false, balancer.Unreachable},
+		"connection is reset": {func(c net.Conn, r *bufio.Reader) {
+			http.ReadRequest(r)
+			c.(*net.TCPConn).SetLinger(0)
+		}, false, balancer.Unreachable},
+	} {
+		t.Run(name, func(t *testing.T) {
+			addr := testkit.Listen(t, c.serve)
+			s := newTestSender(10)
+			m, rest := uploadRequest(1<<20, "hello")
+			if c.callerBreaksOff {
+				rest.Finish(nil)
+			}
+			if res := send(t, s, newEndpoint(addr), m); res.ending != c.want {
+				t.Errorf("ending %v, want %v", res.ending, c.want)
+			}
+			if open, _ := s.counts(); open != 0 {
+				t.Errorf("%d connections open", open)
+			}
+		})
+	}
+}
+
+func TestWithdrawnUploadHasNotRun(t *testing.T) {
+	t.Parallel()
+	ctx, cancel := context.WithCancelCause(context.Background())
+	m, _ := uploadRequest(1<<20, "hello")
+	read := make(chan struct{})
+	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
+		http.ReadRequest(r)
+		close(read)
+		io.Copy(io.Discard, r)
+	})
+	go func() {
+		<-read
+		cancel(engine.ErrWithdrawn)
+	}()
+	res := newTestSender(10).attempt(ctx, engine.NewAttempt(newEndpoint(addr), m, limit, engine.Hooks{}))
+	if res.ending != balancer.NeverSent {
+		t.Errorf("ending %v, want NeverSent", res.ending)
+	}
+}
+
+// A server that has every byte of a request may run it, whatever happens to the caller or the attempt after that. If the attempt
+// were reported as not run, the request would be sent again.
+func TestCompleteUploadMayHaveRun(t *testing.T) {
+	t.Parallel()
+	for name, c := range map[string]struct {
+		after func(rest *message.Stream, cancel context.CancelCauseFunc)
+		want  balancer.Ending
+	}{
+		"the caller breaks off": {func(rest *message.Stream, _ context.CancelCauseFunc) { rest.Finish(nil) }, balancer.Broken},
+		"timed out":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrTimedOut) }, balancer.TimedOut},
+		"withdrawn":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrWithdrawn) }, balancer.Canceled},
+	} {
+		t.Run(name, func(t *testing.T) {
+			ran, proceed := make(chan struct{}), make(chan struct{})
+			addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
+				if req, err := http.ReadRequest(r); err == nil {
+					io.ReadAll(req.Body)
+					close(ran)
+					<-proceed
+				}
+			})
+			ctx, cancel := context.WithCancelCause(context.Background())
+			defer cancel(nil)
+			m, rest := uploadRequest(11, "hello")
+			go func() {
+				rest.Push([]byte(" world"))
+				testkit.Wait(t, ran)
+				c.after(rest, cancel)
+				close(proceed)
+			}()
+			got := newTestSender(10).attempt(ctx, engine.NewAttempt(newEndpoint(addr), m, limit, engine.Hooks{}))
+			if got.ending != c.want {
+				t.Errorf("ending %v, want %v", got.ending, c.want)
+			}
+		})
+	}
+}
+
+// Bytes beyond the declared length are not sent: the server would read them as another request.
+func TestUploadOverItsLength(t *testing.T) {
+	t.Parallel()
+	addr, got := testkit.Stub(t, okResponse, false)
+	m, rest := uploadRequest(11, "hello")
+	rest.Push([]byte(" worldGET /other HTTP/1.1\r\nHost: a\r\n\r\n"))
+	rest.Finish([]message.Field{})
+	if res := send(t, newTestSender(10), newEndpoint(addr), m); res.ending != balancer.NeverSent {
+		t.Errorf("ending %v", res.ending)
+	}
+	if len(got) > 0 {
+		t.Errorf("the server got %v", (<-got).URL)
+	}
+}
