--- a/internal/engine/arriving_test.go
+++ b/internal/engine/arriving_test.go
@@ -30,8 +30,8 @@
 	if a.Timeout <= 0 || a.Timeout > 50*time.Millisecond {
 		t.Errorf("the attempt has a time-out of %v", a.Timeout)
 	}
-	e.Arrived(c)
-	e.Arrived(c) // a second call has no effect
+	e.BodyArrived(c)
+	e.BodyArrived(c) // a second call has no effect
 	if err := h.cause(t, a); err != ErrTimedOut {
 		t.Errorf("its attempt ended with %v", err)
 	}
@@ -39,7 +39,7 @@
 	if answer := testkit.Wait(t, r.ended); answer.Verdict == Served {
 		t.Errorf("answer %+v", answer)
 	}
-	testkit.Eventually(t, "the call stays open", func() bool { return e.Open() == 0 })
+	testkit.Eventually(t, "the call stays open", func() bool { return e.OpenCalls() == 0 })
 	if len(h.started) > 0 {
 		t.Error("a call whose body was spent is sent again")
 	}
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -151,7 +151,7 @@
 			attempt.timer.Stop()
 		}
 		call.fallbackTimer.Stop() // a stream that has begun has no deadline
-		call.To.Began(reply)
+		call.Receiver.Began(reply)
 		s, is := reply.(Transferred)
 		e.handle(balancer.Started{ID: call.id, Attempt: attempt.index, Transfer: is && s.Transfer()})
 	})
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -11,11 +11,11 @@
 // Verdict is the kind of a final answer.
 type Verdict int
 
-// Verdicts. Refused promises that no attempt has run, so that a retry is safe; Failed promises nothing;
+// Verdicts. Rejected promises that no attempt has run, so that a retry is safe; Failed promises nothing;
 // Duplicate says that a call with this id is already open.
 const (
 	Served Verdict = iota
-	Refused
+	Rejected
 	Failed
 	Duplicate
 )
@@ -32,7 +32,7 @@
 // Answer is the final answer to a call.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // for the caller, with Refused; 0: no advice
+	RetryAfter time.Duration // for the caller, with Rejected; 0: no advice
 	Reply      Reply         // with Served; the receiver releases it; may be nil after Began
 }
 
@@ -41,7 +41,7 @@
 	// Began passes on a streamed reply that has begun: from now on the call belongs to that attempt. It is called
 	// at most once, before Ended. The receiver releases the reply.
 	Began(Reply)
-	// Ended passes on the final answer. It is called exactly once, unless Engine.Gone comes first.
+	// Ended passes on the final answer. It is called exactly once, unless Engine.CallerGone comes first.
 	Ended(Answer)
 }
 
@@ -54,20 +54,20 @@
 // Call is a request of a downstream caller. The front sets the exported fields before Submit and does not change
 // them afterwards; the unexported ones belong to the engine's goroutine, but for finished, which any may read.
 type Call struct {
-	ID       string        // given by the caller; no two open calls of an engine share one; "": none
-	Class    string        // one of the module's settings
-	Deadline time.Duration // clock time by which the module is to answer
-	Last     time.Duration // clock time at which the engine answers in its place
-	Repeat   bool          // the caller marked it as a repeat
-	Cost     time.Duration // estimate of the work, given by the caller; 0: none
-	Tenant   string        // on whose behalf, as far as the front knows; see MaxTenant
-	Among    []string      // addresses of the endpoints that may serve it; nil: any
-	From     string        // zone of the caller, if known; see MaxZone
-	Size     int64         // of the body, in bytes
-	Payload  any           // what the sender sends
-	To       Receiver
-	// Arriving says that the request body is not complete yet. Deadline and Last count from the call of Arrived; until
-	// then only the front may time the call out.
+	ID             string        // given by the caller; no two open calls of an engine share one; "": none
+	Class          string        // one of the module's settings
+	Deadline       time.Duration // clock time by which the module is to answer
+	FallbackAt     time.Duration // clock time at which the engine answers in its place
+	ClientRetry    bool          // the caller marked it as a retry of its own
+	Cost           time.Duration // estimate of the work, given by the caller; 0: none
+	Tenant         string        // on whose behalf, as far as the front knows; see MaxTenant
+	CandidateAddrs []string      // addresses of the endpoints that may serve it; nil: any
+	CallerZone     string        // zone of the caller, if known; see MaxZone
+	Size           int64         // of the body, in bytes
+	Payload        any           // what the sender sends
+	Receiver       Receiver
+	// Arriving says that the request body is not complete yet. Deadline and FallbackAt count from the call of BodyArrived;
+	// until then only the front may time the call out.
 	Arriving bool
 
 	id               string      // unique within the engine, unlike ID, which may be used again
@@ -77,27 +77,27 @@
 	streaming        *Attempt      // the attempt whose streamed reply has begun; nil: none
 	attemptsInFlight int           // attempts that have not ended yet
 	countedPending   bool          // counted in Config.Pending
-	arriving         bool          // Arriving, and Arrived has not been called
+	arriving         bool          // Arriving, and BodyArrived has not been called
 	timeLeft         time.Duration // from the last byte of the body to Deadline
-	fallbackDelay    time.Duration // from Deadline to Last
+	fallbackDelay    time.Duration // from Deadline to FallbackAt
 }
 
 // Submit passes a call to the engine, which owns it from then on.
 func (e *Engine) Submit(call *Call) { e.Do(func() { e.accept(call) }) }
 
-// Gone tells the engine that the caller of a submitted call has gone: it needs no answer any more. An Ended that is
+// CallerGone tells the engine that the caller of a submitted call has gone: it needs no answer any more. An Ended that is
 // already on its way may still come; the front then releases its reply.
-func (e *Engine) Gone(call *Call) { e.Do(func() { e.callerGone(call) }) }
+func (e *Engine) CallerGone(call *Call) { e.Do(func() { e.handleCallerGone(call) }) }
 
-// Arrived tells the engine that the body of a call that was Arriving is complete: its deadline counts from now.
-func (e *Engine) Arrived(call *Call) {
+// BodyArrived tells the engine that the body of a call that was Arriving is complete: its deadline counts from now.
+func (e *Engine) BodyArrived(call *Call) {
 	e.Do(func() {
 		if !call.arriving || call.finished.Load() {
 			return
 		}
 		call.arriving = false
 		call.Deadline = e.cfg.Clock.Now() + call.timeLeft
-		call.Last = call.Deadline + call.fallbackDelay
+		call.FallbackAt = call.Deadline + call.fallbackDelay
 		if call.streaming != nil {
 			return // a streamed reply that has begun has no deadline
 		}
@@ -110,9 +110,9 @@
 	})
 }
 
-// armFallbackAnswer has the engine fail the call at its Last time, in case the module never answers it.
+// armFallbackAnswer has the engine fail the call at FallbackAt, in case the module never answers it.
 func (e *Engine) armFallbackAnswer(call *Call) {
-	call.fallbackTimer = e.after(call.Last-e.cfg.Clock.Now(), func() {
+	call.fallbackTimer = e.after(call.FallbackAt-e.cfg.Clock.Now(), func() {
 		if !call.finished.Load() && call.streaming == nil {
 			e.logf("request %s: no answer from the module by its deadline", call.id)
 			e.abandon(call)
@@ -120,14 +120,14 @@
 	})
 }
 
-// EndCallAndAttempt is Gone and the attempt's End in one step, for a Carrier that has answered the caller itself.
+// EndCallAndAttempt is CallerGone and the attempt's End in one step, for a Carrier that has answered the caller itself.
 func (e *Engine) EndCallAndAttempt(call *Call, attempt *Attempt, ending balancer.Ending) {
 	if !attempt.ended.CompareAndSwap(false, true) {
-		e.Gone(call)
+		e.CallerGone(call)
 		return
 	}
 	e.Do(func() {
-		e.callerGone(call)
+		e.handleCallerGone(call)
 		e.handle(e.recordEnding(attempt, ending, nil))
 	})
 }
@@ -147,7 +147,7 @@
 	if call.ID != "" && e.callerIDs[call.ID] {
 		// Forwarding it would run the request that is already open a second time.
 		call.finished.Store(true)
-		call.To.Ended(Answer{Verdict: Duplicate})
+		call.Receiver.Ended(Answer{Verdict: Duplicate})
 		return
 	}
 	if e.dropShare > 0 && e.rng.Float64() < e.dropShare {
@@ -157,23 +157,23 @@
 		reject(call)
 		return
 	}
-	among, ok := e.endpointIDs(call.Among)
+	among, ok := e.endpointIDs(call.CandidateAddrs)
 	if !ok {
 		reject(call)
 		return
 	}
 	e.register(call)
 	e.handle(balancer.Request{
-		ID: call.id, Class: call.Class, Deadline: call.Deadline, ClientRetry: call.Repeat, Cost: call.Cost,
-		Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)], Candidates: among, From: call.From[:min(len(call.From), MaxZone)], Size: call.Size,
+		ID: call.id, Class: call.Class, Deadline: call.Deadline, ClientRetry: call.ClientRetry, Cost: call.Cost,
+		Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)], Candidates: among, From: call.CallerZone[:min(len(call.CallerZone), MaxZone)], Size: call.Size,
 	})
 	e.limitPending(call)
 }
 
-// reject refuses a call that the module has not heard of. Retrying it is safe: no attempt was made.
+// reject rejects a call that the module has not heard of. Retrying it is safe: no attempt was made.
 func reject(call *Call) {
 	call.finished.Store(true)
-	call.To.Ended(Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
+	call.Receiver.Ended(Answer{Verdict: Rejected, RetryAfter: rejectionRetryAfter})
 }
 
 // register makes a call one of the engine's open calls, under an id of its own.
@@ -191,8 +191,8 @@
 		return
 	}
 	now := e.cfg.Clock.Now()
-	call.timeLeft, call.fallbackDelay = call.Deadline-now, call.Last-call.Deadline
-	// A stopped timer marks the call as registered (see markFinished) until Arrived arms the real one.
+	call.timeLeft, call.fallbackDelay = call.Deadline-now, call.FallbackAt-call.Deadline
+	// A stopped timer marks the call as registered (see markFinished) until BodyArrived arms the real one.
 	call.fallbackTimer = time.AfterFunc(time.Hour, func() {})
 	call.fallbackTimer.Stop()
 }
@@ -208,7 +208,7 @@
 	}
 	e.rejectedOverLimit++
 	// Retrying is safe: no attempt was made. The module is told, so that it forgets the call.
-	e.finish(call.id, Answer{Verdict: Refused, RetryAfter: rejectionRetryAfter})
+	e.finish(call.id, Answer{Verdict: Rejected, RetryAfter: rejectionRetryAfter})
 	e.handle(balancer.ClientGone{ID: call.id})
 }
 
@@ -235,7 +235,7 @@
 	e.handle(balancer.ClientGone{ID: call.id})
 }
 
-func (e *Engine) callerGone(call *Call) {
+func (e *Engine) handleCallerGone(call *Call) {
 	if e.markFinished(call) {
 		e.handle(balancer.ClientGone{ID: call.id})
 		e.forgetIfDone(call)
@@ -248,7 +248,7 @@
 	if call == nil || !e.markFinished(call) {
 		return false
 	}
-	call.To.Ended(answer)
+	call.Receiver.Ended(answer)
 	e.forgetIfDone(call)
 	return true
 }
--- a/internal/engine/churn_test.go
+++ b/internal/engine/churn_test.go
@@ -39,7 +39,7 @@
 			testkit.Wait(t, r.ended)
 		}
 		if i%1800 == 1799 {
-			testkit.Eventually(t, "attempts are still in flight", func() bool { waitIdle(t, e); return e.Open() == 0 })
+			testkit.Eventually(t, "attempts are still in flight", func() bool { waitIdle(t, e); return e.OpenCalls() == 0 })
 			e.Do(func() {
 				held = append(held, testkit.Held(e.endpoints)+testkit.Held(e.idByAddr)+testkit.Held(e.calls)+
 					testkit.Held(e.callerIDs)+testkit.Held(e.cfg.Module))
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -5,7 +5,7 @@
 // sources (lists of servers) post to it. The engine starts attempts through a Sender, follows the list of a Source,
 // and holds these invariants whatever the module says:
 //
-//   - each call gets exactly one final answer, at the latest at Call.Last;
+//   - each call gets exactly one final answer, at the latest at Call.FallbackAt;
 //   - no two open calls have the same caller's id;
 //   - nothing is written for a finished call, or to an endpoint that is not usable (Attempt.Begin);
 //   - each attempt ends once.
@@ -125,7 +125,7 @@
 			f()
 		case <-sweep.C:
 			if e.rejectedOverLimit > 0 {
-				e.logf("%d calls refused: too many held", e.rejectedOverLimit)
+				e.logf("%d calls rejected: too many are pending", e.rejectedOverLimit)
 				e.rejectedOverLimit = 0
 			}
 			go e.cfg.Sender.Sweep()
@@ -151,8 +151,8 @@
 // Done is closed when Run has ended.
 func (e *Engine) Done() <-chan struct{} { return e.done }
 
-// Open is the number of calls that are unanswered or have attempts in flight.
-func (e *Engine) Open() int64 { return e.openCalls.Load() }
+// OpenCalls is the number of calls that are unanswered or have attempts in flight.
+func (e *Engine) OpenCalls() int64 { return e.openCalls.Load() }
 
 // Now is the time of the engine's clock.
 func (e *Engine) Now() time.Duration { return e.cfg.Clock.Now() }
@@ -166,11 +166,11 @@
 	})
 }
 
-// Tell passes the module an event that comes from no call, attempt or list: of classes, or of the fleet.
-func (e *Engine) Tell(ev balancer.Event) { e.Do(func() { e.handle(ev) }) }
+// Notify passes the module an event that comes from no call, attempt or list: of classes, or of the fleet.
+func (e *Engine) Notify(ev balancer.Event) { e.Do(func() { e.handle(ev) }) }
 
 // Start applies the list that was known before, if any, and opens a watch of the source if it pushes lists.
-func (e *Engine) Start(known News) {
+func (e *Engine) Start(known ListUpdate) {
 	e.Do(func() {
 		e.apply(known)
 		if e.cfg.Pushed {
@@ -214,7 +214,7 @@
 			c.attempts[a.Attempt].cancel(ErrWithdrawn)
 		}
 	case balancer.Reject:
-		e.finish(a.ID, Answer{Verdict: Refused, RetryAfter: a.RetryAfter})
+		e.finish(a.ID, Answer{Verdict: Rejected, RetryAfter: a.RetryAfter})
 	case balancer.Fail:
 		e.finish(a.ID, Answer{Verdict: Failed})
 	case balancer.Wake:
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -114,8 +114,8 @@
 }
 
 // serverList is the complete list of these servers, all of them ready, with the version 1.
-func serverList(ids ...string) News {
-	n := News{Full: true, Version: "1"}
+func serverList(ids ...string) ListUpdate {
+	n := ListUpdate{Full: true, Version: "1"}
 	for _, id := range ids {
 		n.Servers = append(n.Servers, Listed{balancer.Server{ID: id}, id + ":1"})
 	}
@@ -126,7 +126,7 @@
 func newCall(e *Engine, id, class string, left time.Duration) (*Call, *receiver) {
 	r := newReceiver()
 	now := e.Now()
-	return &Call{ID: id, Class: class, Deadline: now + left, Last: now + left + left/10, To: r}, r
+	return &Call{ID: id, Class: class, Deadline: now + left, FallbackAt: now + left + left/10, Receiver: r}, r
 }
 
 // waitIdle returns once the engine has handled everything that was posted before.
@@ -154,8 +154,8 @@
 	late := &reply{}
 	a.End(balancer.Success, late) // has no effect: an attempt ends once
 	waitIdle(t, e)
-	if e.Open() != 0 || len(r.ended) != 0 || got.released.Load() != 0 || late.released.Load() != 1 {
-		t.Errorf("%d calls open, %d more answers, first reply released %d times, second %d times", e.Open(), len(r.ended), got.released.Load(), late.released.Load())
+	if e.OpenCalls() != 0 || len(r.ended) != 0 || got.released.Load() != 0 || late.released.Load() != 1 {
+		t.Errorf("%d calls open, %d more answers, first reply released %d times, second %d times", e.OpenCalls(), len(r.ended), got.released.Load(), late.released.Load())
 	}
 }
 
@@ -209,7 +209,7 @@
 		t.Errorf("Begin at a draining server: %v %v", ending, ok)
 	}
 	e.Apply(serverList("a"))
-	e.Gone(c)
+	e.CallerGone(c)
 	waitIdle(t, e)
 	if ending, ok := a.Begin(); ok || ending != balancer.NeverSent {
 		t.Errorf("Begin for a caller that has gone: %v %v", ending, ok)
@@ -217,13 +217,13 @@
 	if cause := h.cause(t, a); cause != ErrWithdrawn {
 		t.Errorf("the cause of its end is %v", cause)
 	}
-	if e.Open() != 1 {
-		t.Errorf("%d calls open while an attempt is in flight", e.Open())
+	if e.OpenCalls() != 1 {
+		t.Errorf("%d calls open while an attempt is in flight", e.OpenCalls())
 	}
 	a.End(balancer.Canceled, nil)
 	waitIdle(t, e)
-	if e.Open() != 0 {
-		t.Errorf("%d calls open", e.Open())
+	if e.OpenCalls() != 0 {
+		t.Errorf("%d calls open", e.OpenCalls())
 	}
 }
 
@@ -238,7 +238,7 @@
 		if a := testkit.Wait(t, r2.ended); a.Verdict != Duplicate {
 			t.Errorf("answer %+v", a)
 		}
-		e.Gone(again) // has no effect on the first call
+		e.CallerGone(again) // has no effect on the first call
 		testkit.Wait(t, h.started).End(balancer.Success, &reply{})
 		testkit.Wait(t, r.ended)
 		waitIdle(t, e)
@@ -279,10 +279,10 @@
 		e.Submit(c)
 		receivers, calls = append(receivers, r), append(calls, c)
 	}
-	if a := testkit.Wait(t, receivers[2].ended); a.Verdict != Refused || a.RetryAfter <= 0 {
+	if a := testkit.Wait(t, receivers[2].ended); a.Verdict != Rejected || a.RetryAfter <= 0 {
 		t.Errorf("over the limit: %+v", a)
 	}
-	e.Gone(calls[0])
+	e.CallerGone(calls[0])
 	waitIdle(t, e)
 	if n := pending.Left(); n != 1 {
 		t.Errorf("%d of the limit are left after one caller has gone, want 1", n)
@@ -291,8 +291,8 @@
 	testkit.Wait(t, h.started).End(balancer.Success, &reply{})
 	testkit.Wait(t, receivers[1].ended)
 	waitIdle(t, e)
-	if n := pending.Left(); n != 2 || e.Open() != 0 {
-		t.Errorf("%d of the limit are left at the end, %d calls open", n, e.Open())
+	if n := pending.Left(); n != 2 || e.OpenCalls() != 0 {
+		t.Errorf("%d of the limit are left at the end, %d calls open", n, e.OpenCalls())
 	}
 }
 
@@ -307,8 +307,8 @@
 		e.EndCallAndAttempt(c, a, balancer.Failure) // a second call has no effect
 		a.End(balancer.Success, nil)
 		waitIdle(t, e)
-		if e.Open() != 0 || len(r.ended) != 0 {
-			t.Errorf("%d calls open, %d answers", e.Open(), len(r.ended))
+		if e.OpenCalls() != 0 || len(r.ended) != 0 {
+			t.Errorf("%d calls open, %d answers", e.OpenCalls(), len(r.ended))
 		}
 	}
 }
@@ -325,7 +325,7 @@
 	late := &reply{}
 	a.End(balancer.Success, late)
 	waitIdle(t, e)
-	if late.released.Load() != 1 || e.Open() != 0 {
-		t.Errorf("late reply released %d times, %d calls open", late.released.Load(), e.Open())
+	if late.released.Load() != 1 || e.OpenCalls() != 0 {
+		t.Errorf("late reply released %d times, %d calls open", late.released.Load(), e.OpenCalls())
 	}
 }
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -54,7 +54,7 @@
 // Endpoint, so that no connection to the former process is used again.
 type Endpoint struct {
 	ID, Addr    string
-	boot        time.Duration
+	startedAt   time.Duration
 	usable      atomic.Bool // listed as ready; cleared when it drains or is removed
 	adminStates AdminStates // nil: none
 	listed      Listed      // as the source reported it; owned by the engine's goroutine
--- a/internal/engine/servers.go
+++ b/internal/engine/servers.go
@@ -3,9 +3,9 @@
 import "cranegrade/balancer"
 
 // apply takes over an update of the list: first for the senders, then for the module.
-func (e *Engine) apply(n News) {
-	e.listVersion, e.dropShare = n.Version, n.Drop
-	e.mergeServers(n, false)
+func (e *Engine) apply(update ListUpdate) {
+	e.listVersion, e.dropShare = update.Version, update.DropShare
+	e.mergeServers(update, false)
 }
 
 // AdminStateChanged tells the module of a server's new administrative state, which binds senders at once. It does not block.
@@ -13,14 +13,14 @@
 	// On a goroutine of its own: Do blocks while the queue of events is full, and an operator's call must not.
 	go e.Do(func() {
 		if ep := e.endpoints[id]; ep != nil {
-			e.mergeServers(News{Servers: []Listed{ep.listed}}, true)
+			e.mergeServers(ListUpdate{Servers: []Listed{ep.listed}}, true)
 		}
 	})
 }
 
 // mergeServers takes over entries of the list, overlaid with their administrative states. ordered says that only such a
 // state has changed and nothing came from the source.
-func (e *Engine) mergeServers(update News, ordered bool) {
+func (e *Engine) mergeServers(update ListUpdate, ordered bool) {
 	listed := make(map[string]bool, len(update.Servers))
 	list := balancer.ServerList{
 		Full: update.Full, Cached: update.Cached, Operator: ordered,
@@ -66,11 +66,11 @@
 // connections are of no use.
 func (e *Engine) endpointOf(server Listed) *Endpoint {
 	endpoint := e.endpoints[server.ID]
-	if endpoint != nil && endpoint.Addr == server.Addr && endpoint.boot == server.StartedAt {
+	if endpoint != nil && endpoint.Addr == server.Addr && endpoint.startedAt == server.StartedAt {
 		return endpoint
 	}
 	e.removeEndpoint(server.ID)
-	endpoint = &Endpoint{ID: server.ID, Addr: server.Addr, boot: server.StartedAt, adminStates: e.cfg.AdminStates}
+	endpoint = &Endpoint{ID: server.ID, Addr: server.Addr, startedAt: server.StartedAt, adminStates: e.cfg.AdminStates}
 	e.endpoints[server.ID] = endpoint
 	e.idByAddr[server.Addr] = server.ID
 	if e.cfg.AdminStates != nil {
--- a/internal/engine/source.go
+++ b/internal/engine/source.go
@@ -14,13 +14,13 @@
 	Addr string // host:port; may be empty for a server that is Gone
 }
 
-// News is an update from a source: the complete list, or the entries that changed.
-type News struct {
-	Full    bool
-	Cached  bool   // from before a restart, possibly out of date
-	Version string // where Follow continues; "": from the beginning
-	Servers []Listed
-	Drop    float64 // share of calls to reject before any attempt, as the source demands; 0 to 1
+// ListUpdate is an update from a source: the complete list, or the entries that changed.
+type ListUpdate struct {
+	Full      bool
+	Cached    bool   // from before a restart, possibly out of date
+	Version   string // where Watch continues; "": from the beginning
+	Servers   []Listed
+	DropShare float64 // share of calls to reject before any attempt, as the source demands; 0 to 1
 }
 
 // Observer is a source that is told of the attempts at its servers. The engine's goroutine calls its methods, so they
@@ -33,20 +33,20 @@
 
 // ErrMalformedUpdate is the reason for a watch's end where the source answered with something that can't be decoded or
 // is not complete.
-var ErrMalformedUpdate = errors.New("malformed news")
+var ErrMalformedUpdate = errors.New("malformed update of the list")
 
 // Source provides the list of servers.
 type Source interface {
-	// Follow watches the list: it calls news with each update after version since, in order, until ctx ends or the
+	// Watch watches the list: it calls update with each update after version since, in order, until ctx ends or the
 	// source fails. After "" the first update is the complete list. An update that is not full and has no servers
-	// says that the list is still up to date. Follow returns the reason for its end, never nil.
-	Follow(ctx context.Context, since string, news func(News)) error
+	// says that the list is still up to date. Watch returns the reason for its end, never nil.
+	Watch(ctx context.Context, since string, update func(ListUpdate)) error
 	// String names the source for the log.
 	String() string
 }
 
 // Apply takes over an update that did not come from the configured source.
-func (e *Engine) Apply(n News) { e.Do(func() { e.apply(n) }) }
+func (e *Engine) Apply(update ListUpdate) { e.Do(func() { e.apply(update) }) }
 
 const (
 	// pushedListRetryDelay is the delay before a failed watch of a pushed list is opened again. Of other lists the
@@ -89,10 +89,10 @@
 	e.stopWatch = cancel
 	source, since := e.source, e.listVersion
 	go func() {
-		err := source.Follow(ctx, since, func(n News) {
+		err := source.Watch(ctx, since, func(update ListUpdate) {
 			e.Do(func() {
 				if ctx.Err() == nil { // otherwise a newer watch brings the same
-					e.apply(n)
+					e.apply(update)
 				}
 			})
 		})
--- a/internal/engine/source_test.go
+++ b/internal/engine/source_test.go
@@ -16,23 +16,23 @@
 type scriptedSource struct {
 	name    string
 	watched chan string // versions from which it was watched
-	updates chan News
+	updates chan ListUpdate
 	fail    chan error
 	closed  chan struct{} // has a token for each watch that has ended
 }
 
 func newScriptedSource(name string) *scriptedSource {
-	return &scriptedSource{name, make(chan string, 100), make(chan News), make(chan error), make(chan struct{}, 100)}
+	return &scriptedSource{name, make(chan string, 100), make(chan ListUpdate), make(chan error), make(chan struct{}, 100)}
 }
 
 func (s *scriptedSource) String() string { return s.name }
-func (s *scriptedSource) Follow(ctx context.Context, since string, news func(News)) error {
+func (s *scriptedSource) Watch(ctx context.Context, since string, update func(ListUpdate)) error {
 	s.watched <- since
 	defer func() { s.closed <- struct{}{} }()
 	for {
 		select {
-		case n := <-s.updates:
-			news(n)
+		case u := <-s.updates:
+			update(u)
 		case err := <-s.fail:
 			return err
 		case <-ctx.Done():
@@ -103,7 +103,7 @@
 	h, o := newManualSender(), &observingSource{scriptedSource: newScriptedSource("drops")}
 	e := startEngine(t, Config{Sender: h, Source: o})
 	n := serverList("a", "b", "c", "d")
-	n.Drop = 0.5
+	n.DropShare = 0.5
 	e.Apply(n)
 	const calls = 400
 	rejected := 0
@@ -117,7 +117,7 @@
 				t.Fatalf("answer %+v", ans)
 			}
 		case ans := <-r.ended:
-			if ans.Verdict != Refused || ans.RetryAfter <= 0 {
+			if ans.Verdict != Rejected || ans.RetryAfter <= 0 {
 				t.Fatalf("answer %+v", ans)
 			}
 			rejected++
@@ -127,11 +127,11 @@
 	}
 	waitIdle(t, e)
 	if rejected < calls/4 || rejected > calls*3/4 || o.dropped.Load() != int64(rejected) ||
-		o.began.Load() != int64(calls-rejected) || o.ended.Load() != o.began.Load() || e.Open() != 0 {
+		o.began.Load() != int64(calls-rejected) || o.ended.Load() != o.began.Load() || e.OpenCalls() != 0 {
 		t.Errorf("%d rejected of %d; the source observed %d dropped, %d begun and %d ended; %d calls open", rejected, calls,
-			o.dropped.Load(), o.began.Load(), o.ended.Load(), e.Open())
+			o.dropped.Load(), o.began.Load(), o.ended.Load(), e.OpenCalls())
 	}
-	n.Drop = 0
+	n.DropShare = 0
 	e.Apply(n)
 	for i := range 50 {
 		c, r := newCall(e, fmt.Sprint("more", i), "order", limit)
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -55,7 +55,7 @@
 			t.Errorf("the other reply was released %d times, %d answers", loser.released.Load(), len(r.ended))
 		}
 		// The stream continues after the deadline and the time of the fallback answer.
-		for e.Now() < c.Last+time.Millisecond {
+		for e.Now() < c.FallbackAt+time.Millisecond {
 			time.Sleep(time.Millisecond)
 		}
 		waitIdle(t, e)
@@ -74,8 +74,8 @@
 			t.Errorf("outcome %+v", o)
 		}
 		waitIdle(t, e)
-		if e.Open() != 0 || len(h.started) != 0 {
-			t.Errorf("%d calls open, %d more attempts", e.Open(), len(h.started))
+		if e.OpenCalls() != 0 || len(h.started) != 0 {
+			t.Errorf("%d calls open, %d more attempts", e.OpenCalls(), len(h.started))
 		}
 	}
 }
--- a/internal/extproc/stream/stream.go
+++ b/internal/extproc/stream/stream.go
@@ -375,7 +375,7 @@
 		SetHeaders: []*corev3.HeaderValueOption{set(DestinationHeader, list)},
 	}}
 	if d.TimeLeft > 0 {
-		common.HeaderMutation.SetHeaders = append(common.HeaderMutation.SetHeaders, set("x-time-left", message.TimeLeft(d.TimeLeft)))
+		common.HeaderMutation.SetHeaders = append(common.HeaderMutation.SetHeaders, set("x-time-left", message.FormatTimeLeft(d.TimeLeft)))
 	}
 	m := &extproc.ProcessingResponse{
 		Response: &extproc.ProcessingResponse_RequestHeaders{RequestHeaders: &extproc.HeadersResponse{Response: common}},
@@ -526,7 +526,7 @@
 	if s.phase == decided {
 		o := Outcome{Ending: endingOf(status, header, m), Status: status, Served: served(header, m), Answered: true}
 		if v := header["content-length"]; len(v) == 1 {
-			o.Length = message.Length(v[0])
+			o.Length = message.ParseContentLength(v[0])
 		}
 		if o.Ending != balancer.Success && s.retry != "" && !s.observed {
 			o.Judging, judged = true, true
--- a/internal/front/extproc/front.go
+++ b/internal/front/extproc/front.go
@@ -397,9 +397,9 @@
 		t.id = p.Name() + "\x00" + id
 	}
 	t.Call = engine.Call{
-		ID: id, Class: name, Deadline: now + left - own, Last: now + left - own/2, To: t, Payload: t,
-		Repeat: q.Get("x-repeat") == "1", Tenant: q.Get("x-account"),
-		Among: q.Subset, From: q.Get(callerZone), Size: message.Length(q.Get("content-length")),
+		ID: id, Class: name, Deadline: now + left - own, FallbackAt: now + left - own/2, Receiver: t, Payload: t,
+		ClientRetry: q.Get("x-repeat") == "1", Tenant: q.Get("x-account"),
+		CandidateAddrs: q.Subset, CallerZone: q.Get(callerZone), Size: message.ParseContentLength(q.Get("content-length")),
 	}
 	return t, nil
 }
@@ -448,7 +448,7 @@
 // finalOf words an engine's answer for the proxy.
 func finalOf(a engine.Answer) stream.Final {
 	switch a.Verdict {
-	case engine.Refused:
+	case engine.Rejected:
 		return stream.Final{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Text: "refused"}
 	case engine.Duplicate:
 		return stream.Final{Status: http.StatusConflict, Text: "a request with this id is open"}
@@ -499,8 +499,8 @@
 		case <-timer.C:
 			// The proxy is about to give up. Nothing was decided for this stream; what was carried before it
 			// may have run.
-			k.pool.Engine().Gone(&k.Call)
-			a := engine.Answer{Verdict: engine.Refused, RetryAfter: time.Second}
+			k.pool.Engine().CallerGone(&k.Call)
+			a := engine.Answer{Verdict: engine.Rejected, RetryAfter: time.Second}
 			if class, _ := k.pool.Class(k.Class); k.mayHaveRun() && mustNotRunAgain(class) {
 				a.Verdict = engine.Failed
 			}
@@ -566,12 +566,12 @@
 			l, _ := t.s.Judge(stream.Judgement{Again: true})
 			return l
 		}
-		k.pool.Engine().Gone(&k.Call)
+		k.pool.Engine().CallerGone(&k.Call)
 	case a = <-k.answers:
 	case <-timer.C:
 		// Held for a server that none has. The client hears that now.
-		k.pool.Engine().Gone(&k.Call)
-		a = engine.Answer{Verdict: engine.Refused, RetryAfter: time.Second}
+		k.pool.Engine().CallerGone(&k.Call)
+		a = engine.Answer{Verdict: engine.Rejected, RetryAfter: time.Second}
 	case <-t.st.Context().Done():
 		return nil // lost deals with what it leaves
 	}
@@ -579,7 +579,7 @@
 		a.Verdict = engine.Failed
 	}
 	t.over(a)
-	l, _ := t.s.Judge(stream.Judgement{Refused: a.Verdict == engine.Refused, RetryAfter: a.RetryAfter})
+	l, _ := t.s.Judge(stream.Judgement{Refused: a.Verdict == engine.Rejected, RetryAfter: a.RetryAfter})
 	return l
 }
 
@@ -598,11 +598,11 @@
 	k := t.ticket
 	now := t.f.cfg.Clock.Now()
 	class, _ := k.pool.Class(k.Class)
-	until := max(k.Last, now+t.f.cfg.Linger)
+	until := max(k.FallbackAt, now+t.f.cfg.Linger)
 	if class.Effect == balancer.IdempotentByKey {
 		until = max(until, now+class.Window)
 	}
-	if class.Effect == balancer.Idempotent || a.Verdict == engine.Refused {
+	if class.Effect == balancer.Idempotent || a.Verdict == engine.Rejected {
 		until = 0 // it may run again
 	}
 	t.f.book.close(now, k.id, k, a, until)
@@ -625,7 +625,7 @@
 		if !k.orphan() {
 			return // it has
 		}
-		k.pool.Engine().Gone(&k.Call)
+		k.pool.Engine().CallerGone(&k.Call)
 		k.end(nil, balancer.Canceled)
 		answer := engine.Answer{Verdict: engine.Failed}
 		select {
--- a/internal/front/extproc/front_test.go
+++ b/internal/front/extproc/front_test.go
@@ -83,8 +83,8 @@
 	var err error
 	w.pool, err = pool.New(pool.Config{
 		Name: "p", Module: module, Seed: 1, Clock: clock, Sender: noSender{t}, Shares: pool.Shares{
-			Calls: share(), Held: share(),
-			Connections: share(), Bodies: share(), LongAnswers: share(), Callers: share(),
+			Calls: share(), PendingCalls: share(),
+			Connections: share(), RequestBodies: share(), ResponseBuffers: share(), DownstreamConns: share(),
 		},
 		Settings: balancer.Settings{
 			Classes: []balancer.Class{
@@ -124,14 +124,14 @@
 		if err := <-served; err != http.ErrServerClosed {
 			t.Errorf("Serve: %v", err)
 		}
-		testkit.Eventually(t, "calls are left open", func() bool { return w.pool.Engine().Open() == 0 })
+		testkit.Eventually(t, "calls are left open", func() bool { return w.pool.Engine().OpenCalls() == 0 })
 		w.pool.Stop()
 	})
 	return w
 }
 
 func (w *world) list(ids ...string) {
-	n := engine.News{Full: true, Version: "1"}
+	n := engine.ListUpdate{Full: true, Version: "1"}
 	for i, id := range ids {
 		n.Servers = append(n.Servers, engine.Listed{Server: balancer.Server{ID: id, Cell: i / 2}, Addr: id})
 	}
@@ -225,7 +225,7 @@
 	if got := w.stream().ask("none", "x", 1); got != "404" {
 		t.Errorf("no class: %s", got)
 	}
-	testkit.Eventually(t, "a slot is not given back", func() bool { return w.pool.Engine().Open() == 0 })
+	testkit.Eventually(t, "a slot is not given back", func() bool { return w.pool.Engine().OpenCalls() == 0 })
 	if n := w.front.book.size(); n != 3 { // all but the safe one
 		t.Errorf("%d requests are remembered", n)
 	}
@@ -302,7 +302,7 @@
 			at := first.ask(c.class, "id", 1)
 			first.up()
 			if late {
-				testkit.Eventually(t, "the slot is not given back", func() bool { return w.pool.Engine().Open() == 0 })
+				testkit.Eventually(t, "the slot is not given back", func() bool { return w.pool.Engine().OpenCalls() == 0 })
 			}
 			again := w.stream()
 			got := again.ask(c.class, "id", 2)
@@ -414,7 +414,7 @@
 			t.Errorf("%+v: the word is %s", c, got)
 		}
 		if got != "again" {
-			testkit.Eventually(t, "a slot is kept though there is no other try", func() bool { return w.pool.Engine().Open() == 0 })
+			testkit.Eventually(t, "a slot is kept though there is no other try", func() bool { return w.pool.Engine().OpenCalls() == 0 })
 			continue
 		}
 		s = w.stream()
@@ -476,7 +476,7 @@
 		}
 	}
 	// Only one that drains is named.
-	w.pool.Engine().Apply(engine.News{Version: "2", Servers: []engine.Listed{{Server: balancer.Server{ID: "127.0.0.1:1", State: balancer.Draining}, Addr: "127.0.0.1:1"}}})
+	w.pool.Engine().Apply(engine.ListUpdate{Version: "2", Servers: []engine.Listed{{Server: balancer.Server{ID: "127.0.0.1:1", State: balancer.Draining}, Addr: "127.0.0.1:1"}}})
 	s := w.stream()
 	s.meta = &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{stream.SubsetNamespace: {Fields: map[string]*structpb.Value{stream.SubsetHeader: list("127.0.0.1:1")}}}}
 	if got := s.ask("read", "draining", 1); got != "503 retry-after" {
@@ -539,7 +539,7 @@
 	module = zone.NewModule(in, "p", zone.Config{Home: "a"}, book, 1)
 	defer func() { module = nil }()
 	w := newWorld(t, Config{})
-	n := engine.News{Full: true, Version: "2"}
+	n := engine.ListUpdate{Full: true, Version: "2"}
 	for i, z := range []string{"a", "b"} {
 		addr := fmt.Sprint("127.0.0.1:", i+1)
 		n.Servers = append(n.Servers, engine.Listed{Server: balancer.Server{ID: addr, Zone: z}, Addr: addr})
@@ -554,7 +554,7 @@
 		}
 		s.answer("200", stream.ServedHeader, c.served, "content-length", "30")
 	}
-	testkit.Eventually(t, "calls are left open", func() bool { return w.pool.Engine().Open() == 0 })
+	testkit.Eventually(t, "calls are left open", func() bool { return w.pool.Engine().OpenCalls() == 0 })
 	got := map[zone.Pair]zone.Traffic{}
 	for _, r := range book.Rows() {
 		got[r.Pair] = r.Traffic
@@ -595,7 +595,7 @@
 	w := newWorld(t, Config{Linger: time.Millisecond}, "127.0.0.1:1")
 	s := w.stream()
 	s.ask("order", "1", 1, "x-envoy-expected-rq-timeout-ms", "100")
-	testkit.Eventually(t, "the slot is kept beyond its time", func() bool { return w.pool.Engine().Open() == 0 })
+	testkit.Eventually(t, "the slot is kept beyond its time", func() bool { return w.pool.Engine().OpenCalls() == 0 })
 	s.answer("200") // too late
 	for _, bad := range []string{"-1", "x", "99999999999"} {
 		if got := w.stream().ask("order", "b"+bad, 1, "x-envoy-expected-rq-timeout-ms", bad); got != "400" {
@@ -749,7 +749,7 @@
 		})
 	}
 	all.Wait()
-	testkit.Eventually(t, "slots are not given back", func() bool { return w.pool.Engine().Open() == 0 })
+	testkit.Eventually(t, "slots are not given back", func() bool { return w.pool.Engine().OpenCalls() == 0 })
 	if used, _ := w.pool.Shares().Calls.Used(); used != 0 {
 		t.Errorf("room for %d calls is not given back", used)
 	}
--- a/internal/front/extproc/ticket.go
+++ b/internal/front/extproc/ticket.go
@@ -105,7 +105,7 @@
 	}
 	t.mu.Unlock()
 	if out == nil {
-		t.pool.Engine().Gone(&t.Call)
+		t.pool.Engine().CallerGone(&t.Call)
 		return
 	}
 	t.pool.Engine().EndCallAndAttempt(&t.Call, out, ending)
--- a/internal/front/grpc/front.go
+++ b/internal/front/grpc/front.go
@@ -38,8 +38,8 @@
 
 var _ http1.Dialect = Dialect{}
 
-// Speaks implements http1.Dialect.
-func (Dialect) Speaks(hr *http.Request) bool {
+// Matches implements http1.Dialect.
+func (Dialect) Matches(hr *http.Request) bool {
 	return hr.ProtoMajor == 2 && grpc.IsContentType(hr.Header.Get("Content-Type"))
 }
 
@@ -108,21 +108,21 @@
 	}
 	if refusal != nil {
 		retry := time.Duration(0)
-		if refusal.Retry {
+		if refusal.MayRetry {
 			retry = refusedAgain
 		}
-		code := grpc.OfHTTP(refusal.Status)
+		code := grpc.CodeFromHTTP(refusal.Status)
 		if errors.Is(hr.Context().Err(), context.Canceled) {
 			panic(http.ErrAbortHandler)
 		}
-		end(w, grpc.Status(code, refusal.Text, retry), false)
+		end(w, grpc.StatusFields(code, refusal.Text, retry), false)
 		return
 	}
 	if c.Deadline <= f.Clock().Now() {
-		end(w, grpc.Status(grpc.DeadlineExceeded, "the time was up on arrival", 0), false)
+		end(w, grpc.StatusFields(grpc.DeadlineExceeded, "the time was up on arrival", 0), false)
 		return
 	}
-	if !f.Take(hr) {
+	if !f.BeginRequest(hr) {
 		panic(http.ErrAbortHandler)
 	}
 	d.answer(f, w, hr, p, c)
@@ -144,12 +144,12 @@
 			if err == nil {
 				continue // it has ended; so has the call, or is about to
 			}
-			p.Engine().Gone(&c.Call)
+			p.Engine().CallerGone(&c.Call)
 			c.gone.Store(true)
 			c.stream.Release()
 			c.discard()
 			if errors.Is(err, context.DeadlineExceeded) && hr.Context().Err() == nil {
-				end(w, grpc.Status(grpc.DeadlineExceeded, "the time was up before the answer was whole", 0), true)
+				end(w, grpc.StatusFields(grpc.DeadlineExceeded, "the time was up before the answer was whole", 0), true)
 				return
 			}
 			panic(http.ErrAbortHandler)
@@ -166,7 +166,7 @@
 			write(w, c, a, f.Clock().Now())
 			return
 		case <-hr.Context().Done():
-			p.Engine().Gone(&c.Call)
+			p.Engine().CallerGone(&c.Call)
 			c.gone.Store(true)
 			c.discard()
 			panic(http.ErrAbortHandler) // the stream is reset
@@ -203,7 +203,7 @@
 	}
 	out := &message.Request{
 		Method: http.MethodPost, URL: hr.URL, Authority: hr.Host, Header: make(map[string][]string, len(h)),
-		GRPC: &message.GRPC{Safe: class.Effect == balancer.Idempotent, Streamed: class.Stream},
+		GRPC: &message.GRPC{Idempotent: class.Effect == balancer.Idempotent, Streamed: class.Stream},
 	}
 	for k, v := range h {
 		switch k { // what belongs to the way here, and what the sender says itself
@@ -213,8 +213,8 @@
 		}
 	}
 	c := &call{begun: make(chan *message.Stream, 1), answers: make(chan engine.Answer, 1)}
-	http1.Describe(&c.Call, h, name, now, left)
-	c.Payload, c.To = out, c
+	http1.SetCommonFields(&c.Call, h, name, now, left)
+	c.Payload, c.Receiver = out, c
 	if claimed {
 		c.whole = time.Now().Add(c.Deadline - now)
 	}
@@ -225,7 +225,7 @@
 // answer before it ends, is of a kind that is not served.
 func readBody(w http.ResponseWriter, hr *http.Request) ([]byte, *http1.Refusal) {
 	rc := http.NewResponseController(w)
-	rc.SetReadDeadline(time.Now().Add(http1.Arrival))
+	rc.SetReadDeadline(time.Now().Add(http1.RequestReadTimeout))
 	body, err := io.ReadAll(io.LimitReader(hr.Body, message.MaxBody+1))
 	rc.SetReadDeadline(time.Time{})
 	switch {
@@ -234,7 +234,7 @@
 	case len(body) > message.MaxBody:
 		return nil, &http1.Refusal{Status: http.StatusRequestEntityTooLarge, Text: "the request is too long"}
 	}
-	if _, err := grpc.Messages(body); err != nil {
+	if _, err := grpc.CountMessages(body); err != nil {
 		return nil, &http1.Refusal{Status: http.StatusBadRequest, Text: err.Error()}
 	}
 	return body, nil
@@ -255,7 +255,7 @@
 		}
 	})
 	rc := http.NewResponseController(w)
-	rc.SetReadDeadline(time.Now().Add(http1.Arrival))
+	rc.SetReadDeadline(time.Now().Add(http1.RequestReadTimeout))
 	first, ended := make(chan struct{}), make(chan error, 1)
 	go func() {
 		var scan grpc.Scanner
@@ -264,7 +264,7 @@
 		for {
 			n, err := hr.Body.Read(buf)
 			if n > 0 {
-				if bad := scan.Take(buf[:n]); bad != nil {
+				if bad := scan.Scan(buf[:n]); bad != nil {
 					err = bad
 				}
 				more.Push(append([]byte(nil), buf[:n]...))
@@ -277,7 +277,7 @@
 			if err == io.EOF {
 				err = scan.End()
 			}
-			if err == nil && scan.Count == 0 && more.Held() >= message.MaxBody {
+			if err == nil && scan.Count == 0 && more.Buffered() >= message.MaxBody {
 				err = errLong
 			}
 			if err != nil {
@@ -289,7 +289,7 @@
 				told = true
 				close(first)
 			}
-			for more.Held() >= message.MaxBody {
+			for more.Buffered() >= message.MaxBody {
 				select {
 				case <-room:
 				case <-hr.Context().Done():
@@ -309,7 +309,7 @@
 		select {
 		case err = <-ended:
 		case <-time.After(endWithin):
-			out.More = more
+			out.BodyRest = more
 		}
 	}
 	rc.SetReadDeadline(time.Time{})
@@ -354,10 +354,10 @@
 	switch {
 	case began && c.stream.Trailer() != nil:
 		end(w, c.stream.Trailer(), true)
-	case began && !c.whole.IsZero() && time.Until(c.whole) < http1.OwnDelay: // the server keeps the same time
-		end(w, grpc.Status(grpc.DeadlineExceeded, "the time was up before the answer was whole", 0), true)
+	case began && !c.whole.IsZero() && time.Until(c.whole) < http1.ProxyOverhead: // the server keeps the same time
+		end(w, grpc.StatusFields(grpc.DeadlineExceeded, "the time was up before the answer was whole", 0), true)
 	case began:
-		end(w, grpc.Status(grpc.Internal, "the answer broke off; it may have run", 0), true)
+		end(w, grpc.StatusFields(grpc.Internal, "the answer broke off; it may have run", 0), true)
 	case a.Verdict == engine.Served:
 		r := a.Reply.(*message.Reply)
 		defer r.Release()
@@ -366,17 +366,17 @@
 			w.Write(r.Body) // an error means that the caller has gone
 		}
 		end(w, r.Trailer, r.Header != nil)
-	case a.Verdict == engine.Refused:
-		end(w, grpc.Status(grpc.Unavailable, "refused: trying again does no harm", max(a.RetryAfter, time.Millisecond)), false)
+	case a.Verdict == engine.Rejected:
+		end(w, grpc.StatusFields(grpc.Unavailable, "refused: trying again does no harm", max(a.RetryAfter, time.Millisecond)), false)
 	case a.Verdict == engine.Duplicate:
-		end(w, grpc.Status(grpc.Aborted, "a call with this x-correlation-id is open already", 0), false)
+		end(w, grpc.StatusFields(grpc.Aborted, "a call with this x-correlation-id is open already", 0), false)
 	default:
 		status := c.Payload.(*message.Request).GRPC.Failed()
-		if status == nil && now >= c.Deadline-http1.OwnDelay {
-			status = grpc.Status(grpc.DeadlineExceeded, "no server answered in time; it may have run", 0)
+		if status == nil && now >= c.Deadline-http1.ProxyOverhead {
+			status = grpc.StatusFields(grpc.DeadlineExceeded, "no server answered in time; it may have run", 0)
 		} else if status == nil {
 			// Not UNAVAILABLE: callers send that again by themselves.
-			status = grpc.Status(grpc.Internal, "no server answered; it may have run", 0)
+			status = grpc.StatusFields(grpc.Internal, "no server answered; it may have run", 0)
 		}
 		end(w, status, false)
 	}
@@ -413,22 +413,22 @@
 // are told so: it would hold up a drain.
 func (d Dialect) health(w http.ResponseWriter, hr *http.Request) {
 	if hr.URL.Path != healthCheck || d.Serving == nil {
-		end(w, grpc.Status(grpc.Unimplemented, "of the health service only Check is served", 0), false)
+		end(w, grpc.StatusFields(grpc.Unimplemented, "of the health service only Check is served", 0), false)
 		return
 	}
 	body, refusal := readBody(w, hr)
 	if refusal != nil {
-		end(w, grpc.Status(grpc.OfHTTP(refusal.Status), refusal.Text, 0), false)
+		end(w, grpc.StatusFields(grpc.CodeFromHTTP(refusal.Status), refusal.Text, 0), false)
 		return
 	}
 	var ask healthpb.HealthCheckRequest
-	if n, _ := grpc.Messages(body); n != 1 || body[0] != 0 || proto.Unmarshal(body[5:], &ask) != nil {
-		end(w, grpc.Status(grpc.InvalidArgument, "not one HealthCheckRequest", 0), false)
+	if n, _ := grpc.CountMessages(body); n != 1 || body[0] != 0 || proto.Unmarshal(body[5:], &ask) != nil {
+		end(w, grpc.StatusFields(grpc.InvalidArgument, "not one HealthCheckRequest", 0), false)
 		return
 	}
 	serving, known := d.Serving(ask.Service)
 	if !known {
-		end(w, grpc.Status(grpc.NotFound, fmt.Sprintf("no pool %.40q", ask.Service), 0), false)
+		end(w, grpc.StatusFields(grpc.NotFound, fmt.Sprintf("no pool %.40q", ask.Service), 0), false)
 		return
 	}
 	says := healthpb.HealthCheckResponse_NOT_SERVING
@@ -437,7 +437,7 @@
 	}
 	text, err := proto.Marshal(&healthpb.HealthCheckResponse{Status: says})
 	if err != nil {
-		end(w, grpc.Status(grpc.Internal, err.Error(), 0), false)
+		end(w, grpc.StatusFields(grpc.Internal, err.Error(), 0), false)
 		return
 	}
 	w.Write(append([]byte{0, 0, 0, 0, byte(len(text))}, text...))
--- a/internal/front/http1/ahead.go
+++ b/internal/front/http1/ahead.go
@@ -14,7 +14,7 @@
 	"cranegrade/internal/pool"
 )
 
-// Callers may pipeline requests (RFC 9112, section 9.3.2). net/http reads them one after another; where the Speech allows
+// Callers may pipeline requests (RFC 9112, section 9.3.2). net/http reads them one after another; where the Protocol allows
 // it, safe ones without a body are parsed as they come and started at once. Their answers wait until net/http comes to the
 // request, and so are sent in order.
 
@@ -173,13 +173,13 @@
 		}
 		head := bytes.Clone(a.seen[:n+len(headEnd)])
 		hr, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(head), noMoreBytes{})))
-		if err != nil || !bodiless(hr) || hr.Method != http.MethodGet || !hr.ProtoAtLeast(1, 1) || hr.Close || !f.Speech.Ahead(hr) {
+		if err != nil || !bodiless(hr) || hr.Method != http.MethodGet || !hr.ProtoAtLeast(1, 1) || hr.Close || !f.Protocol.MayStartEarly(hr) {
 			a.stop()
 			a.mu.Unlock()
 			return
 		}
 		a.seen = a.seen[n+len(headEnd):]
-		e := &earlyRequest{method: hr.Method, uri: hr.RequestURI, id: f.Speech.ID(hr)}
+		e := &earlyRequest{method: hr.Method, uri: hr.RequestURI, id: f.Protocol.RequestID(hr)}
 		p, refusal := f.enter(hr, 0, func(p *pool.Pool, class string) (refusal *Refusal) {
 			e.call, refusal = f.check(hr, p, class)
 			return refusal
@@ -211,7 +211,7 @@
 
 // abandon cancels an early request.
 func (e *earlyRequest) abandon() {
-	e.pool.Engine().Gone(&e.call.Call)
+	e.pool.Engine().CallerGone(&e.call.Call)
 	e.call.gone.Store(true)
 	e.call.discard()
 	e.pool.Leave(0)
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -80,7 +80,7 @@
 func (f *Front) readBody(w http.ResponseWriter, hr *http.Request, c *call) *Refusal {
 	out := c.Payload.(*message.Request)
 	rc := http.NewResponseController(w)
-	in := &pacedBody{rc: rc, body: hr.Body, limit: out.Most}
+	in := &pacedBody{rc: rc, body: hr.Body, limit: out.MaxBodyBytes}
 	buf := make([]byte, bufferedSize(hr))
 	n, err := io.ReadFull(in, buf)
 	ended := hr.ContentLength == int64(n)
@@ -94,7 +94,7 @@
 			err = nil
 		}
 		c.upload = newUpload(hr, in)
-		out.More = c.upload.stream
+		out.BodyRest = c.upload.stream
 		c.Arriving = true
 	}
 	if err == nil {
@@ -106,7 +106,7 @@
 	case err != nil:
 		return &Refusal{Status: http.StatusBadRequest, Text: errBroken.Error()}
 	}
-	if !f.Speech.Body(hr) && (n > 0 || c.upload != nil) {
+	if !f.Protocol.MayHaveBody(hr) && (n > 0 || c.upload != nil) {
 		return &Refusal{Status: http.StatusBadRequest, Text: "GET has no body"}
 	}
 	out.Body = buf[:n:n]
@@ -145,7 +145,7 @@
 	buf := buffers.Get().(*[chunkSize]byte)
 	defer buffers.Put(buf)
 	for {
-		for !r.discard.Load() && r.stream.Held() >= maxUnsentBody {
+		for !r.discard.Load() && r.stream.Buffered() >= maxUnsentBody {
 			select {
 			case <-r.wake:
 			case <-r.stop:
@@ -223,7 +223,7 @@
 		if _, err := w.Write(p); err != nil {
 			return false
 		}
-		if st.Held() == 0 && rc.Flush() != nil {
+		if st.Buffered() == 0 && rc.Flush() != nil {
 			return false
 		}
 	}
--- a/internal/front/http1/body_test.go
+++ b/internal/front/http1/body_test.go
@@ -47,12 +47,12 @@
 			}
 			out := &message.Request{}
 			received := &call{Call: engine.Call{Payload: out}}
-			refusal := (&Front{Speech: platformProtocol{}}).readBody(deadlineWriter{httptest.NewRecorder()}, hr, received)
+			refusal := (&Front{Protocol: platformProtocol{}}).readBody(deadlineWriter{httptest.NewRecorder()}, hr, received)
 			if (refusal == nil) != c.accepted || c.accepted && string(out.Body) != c.want {
 				t.Errorf("%+v, %d bytes", refusal, len(out.Body))
 			}
-			if (out.More != nil) != c.isLonger || received.Arriving != c.isLonger {
-				t.Errorf("the body continues: %v, the call is arriving: %v", out.More != nil, received.Arriving)
+			if (out.BodyRest != nil) != c.isLonger || received.Arriving != c.isLonger {
+				t.Errorf("the body continues: %v, the call is arriving: %v", out.BodyRest != nil, received.Arriving)
 			}
 		})
 	}
--- a/internal/front/http1/connections_test.go
+++ b/internal/front/http1/connections_test.go
@@ -154,10 +154,10 @@
 func TestOwnTimeoutsOverrideLibrary(t *testing.T) {
 	t.Parallel()
 	f := New(listen(t), engine.NewClock(), nil, newTestShare(t, 10))
-	f.OwnTimes()
+	f.OverrideLibraryTimeouts()
 	const idleTimeout, headerTimeout = time.Minute, 10 * time.Second
-	f.Idle(idleTimeout)
-	f.HeadWithin(headerTimeout)
+	f.SetIdleTimeout(idleTimeout)
+	f.SetHeaderTimeout(headerTimeout)
 	if f.server.IdleTimeout <= idleTimeout || f.server.ReadHeaderTimeout <= headerTimeout {
 		t.Errorf("time-outs of net/http: idle %v, header %v", f.server.IdleTimeout, f.server.ReadHeaderTimeout)
 	}
@@ -187,9 +187,9 @@
 func TestSilentConnectionIsClosedAfterIdleTimeout(t *testing.T) {
 	t.Parallel()
 	f := New(listen(t), engine.NewClock(), nil, newTestShare(t, 10))
-	f.OwnTimes()
+	f.OverrideLibraryTimeouts()
 	const idleTimeout = 50 * time.Millisecond
-	f.Idle(idleTimeout)
+	f.SetIdleTimeout(idleTimeout)
 	began := time.Now()
 	caller, _ := connect(t, f.conns)
 	if _, err := caller.Read(make([]byte, 1)); err == nil || time.Since(began) < idleTimeout {
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// OwnDelay is the part of a caller's time that is kept for the node's own work and the way back, so that the answer
+	// ProxyOverhead is the part of a caller's time that is kept for the node's own work and the way back, so that the answer
 	// is there before the caller times out.
-	OwnDelay = 20 * time.Millisecond
-	// Arrival is how long a request may take from its first byte, or on a new connection from its start, to its last.
-	Arrival      = 2500 * time.Millisecond
-	idleTimeout  = 30 * time.Second
-	WriteTimeout = 5 * time.Second
-	maxHeader    = 16 << 10
+	ProxyOverhead = 20 * time.Millisecond
+	// RequestReadTimeout is how long a request may take from its first byte, or on a new connection from its start, to its last.
+	RequestReadTimeout = 2500 * time.Millisecond
+	idleTimeout        = 30 * time.Second
+	WriteTimeout       = 5 * time.Second
+	maxHeader          = 16 << 10
 	// maxBody is the limit on a request body, in bytes.
 	maxBody = 64 << 20
 )
@@ -37,8 +37,8 @@
 type Front struct {
 	// Dialect is set before Serve; nil: none.
 	Dialect Dialect
-	// Speech is set before Serve; nil: the platform's.
-	Speech Speech
+	// Protocol is set before Serve; nil: the platform's.
+	Protocol Protocol
 
 	clock              engine.Clock
 	routes             Routes
@@ -47,7 +47,7 @@
 	draining           atomic.Bool   // callers are to go elsewhere
 	unready            atomic.Bool   // /health/ready answers 503
 	listenerHandedOver atomic.Bool   // the listener belongs to another process now
-	giveUp             chan struct{} // closed by GiveUp
+	giveUp             chan struct{} // closed by AbandonBlockedPipelines
 }
 
 // New returns a front that accepts connections from l once Serve is called. A connection counts against the share of the
@@ -73,33 +73,33 @@
 // Addr is the address that the front listens on.
 func (f *Front) Addr() net.Addr { return f.conns.Addr() }
 
-// LookAhead has pipelined requests started as they come. It is called before Serve.
-func (f *Front) LookAhead() { f.conns.front = f }
+// StartPipelinedEarly has pipelined requests started as they come. It is called before Serve.
+func (f *Front) StartPipelinedEarly() { f.conns.front = f }
 
-// Heads sets the limit on a request's header section, in bytes. It is called before Serve.
-func (f *Front) Heads(n int) { f.server.MaxHeaderBytes = n }
+// SetMaxHeaderBytes sets the limit on a request's header section, in bytes. It is called before Serve.
+func (f *Front) SetMaxHeaderBytes(n int) { f.server.MaxHeaderBytes = n }
 
-// Time-outs of net/http once Idle and HeadWithin set those in force; these are upper limits on them.
+// Time-outs of net/http once SetIdleTimeout and SetHeaderTimeout set those in force; these are upper limits on them.
 const (
 	libraryIdle = 10 * time.Minute
 	libraryHead = 2 * time.Minute
 )
 
-// OwnTimes has Idle and HeadWithin alone set the time-outs of idle connections and of header sections, up to 10 and 2
-// minutes. Without it those of New are upper limits. It is called before Serve.
-func (f *Front) OwnTimes() {
+// OverrideLibraryTimeouts has SetIdleTimeout and SetHeaderTimeout alone set the time-outs of idle connections and of header
+// sections, up to 10 and 2 minutes. Without it those of New are upper limits. It is called before Serve.
+func (f *Front) OverrideLibraryTimeouts() {
 	f.server.IdleTimeout, f.server.ReadHeaderTimeout = libraryIdle, libraryHead
 	f.conns.ownTimes = true
 	f.conns.idleTimeout.CompareAndSwap(0, int64(idleTimeout))
-	f.HeadWithin(0)
+	f.SetHeaderTimeout(0)
 }
 
-// Idle sets the time-out of idle connections. It may be called while the front serves.
-func (f *Front) Idle(d time.Duration) { f.conns.idleTimeout.Store(int64(d)) }
+// SetIdleTimeout sets the time-out of idle connections. It may be called while the front serves.
+func (f *Front) SetIdleTimeout(d time.Duration) { f.conns.idleTimeout.Store(int64(d)) }
 
-// HeadWithin sets the time-out of a request's header section, from its first byte; 0: that of New, which is the upper limit
-// without OwnTimes. It may be called while the front serves.
-func (f *Front) HeadWithin(d time.Duration) {
+// SetHeaderTimeout sets the time-out of a request's header section, from its first byte; 0: that of New, which is the upper limit
+// without OverrideLibraryTimeouts. It may be called while the front serves.
+func (f *Front) SetHeaderTimeout(d time.Duration) {
 	if d == 0 && f.conns.ownTimes {
 		d = headTimeout
 	}
@@ -108,8 +108,8 @@
 
 // Serve serves until Shutdown, and then returns http.ErrServerClosed.
 func (f *Front) Serve() error {
-	if f.Speech == nil {
-		f.Speech = platformProtocol{}
+	if f.Protocol == nil {
+		f.Protocol = platformProtocol{}
 	}
 	err := f.server.Serve(f.conns)
 	if f.listenerHandedOver.Load() {
@@ -118,29 +118,30 @@
 	return err
 }
 
-// LeadAway begins or ends draining: answers close their connections (RFC 9112, section 9.6), and LeadIdle closes idle ones.
+// SetDraining begins or ends draining: answers close their connections (RFC 9112, section 9.6), and CloseIdleIfDraining closes
+// idle ones.
 // Requests that still come are served.
-func (f *Front) LeadAway(on bool) { f.draining.Store(on) }
+func (f *Front) SetDraining(on bool) { f.draining.Store(on) }
 
-// Unready has GET /health/ready answered with 503, or with 200 again.
-func (f *Front) Unready(on bool) { f.unready.Store(on) }
+// SetUnready has GET /health/ready answered with 503, or with 200 again.
+func (f *Front) SetUnready(on bool) { f.unready.Store(on) }
 
-// LeadIdle closes connections without a request, if the front is draining.
-func (f *Front) LeadIdle() {
+// CloseIdleIfDraining closes connections without a request, if the front is draining.
+func (f *Front) CloseIdleIfDraining() {
 	if f.draining.Load() {
 		f.conns.closeIdle()
 	}
 }
 
-// Hand stops accepting, for a hot restart, and continues to serve the connections that are open. Those that are not accepted
+// HandOverListener stops accepting, for a hot restart, and continues to serve the connections that are open. Those that are not accepted
 // yet are left to the process that shares the listening socket.
-func (f *Front) Hand() {
+func (f *Front) HandOverListener() {
 	f.listenerHandedOver.Store(true)
 	f.conns.Listener.Close()
 }
 
-// Open returns how many downstream connections are open.
-func (f *Front) Open() int { return f.conns.open() }
+// OpenConnections returns how many downstream connections are open.
+func (f *Front) OpenConnections() int { return f.conns.open() }
 
 // closeIfDraining announces the end of the connection after this answer. Over HTTP/2 net/http turns it into GOAWAY.
 func (f *Front) closeIfDraining(w http.ResponseWriter, from *connection) {
@@ -149,9 +150,9 @@
 	}
 }
 
-// GiveUp fails idempotent requests that hold up the answers of pipelined ones: the process is about to end, and those answers
+// AbandonBlockedPipelines fails idempotent requests that hold up the answers of pipelined ones: the process is about to end, and those answers
 // would be lost. It is called once.
-func (f *Front) GiveUp() { close(f.giveUp) }
+func (f *Front) AbandonBlockedPipelines() { close(f.giveUp) }
 
 // Shutdown stops accepting and waits until every accepted request is answered, or ctx ends.
 func (f *Front) Shutdown(ctx context.Context) error { return f.server.Shutdown(ctx) }
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -12,11 +12,11 @@
 	"cranegrade/internal/pool"
 )
 
-// platformProtocol is the Speech of the platform's protocol.
+// platformProtocol is the Protocol of the platform's protocol.
 type platformProtocol struct{}
 
-// Own implements Speech: GET /health/ready says whether the node accepts clients.
-func (platformProtocol) Own(f *Front, w http.ResponseWriter, hr *http.Request) bool {
+// ServeOwn implements Protocol: GET /health/ready says whether the node accepts clients.
+func (platformProtocol) ServeOwn(f *Front, w http.ResponseWriter, hr *http.Request) bool {
 	if hr.Method != http.MethodGet || hr.URL.Path != "/health/ready" || !bodiless(hr) {
 		return false
 	}
@@ -27,24 +27,24 @@
 	return true // otherwise 200: the front listens only when requests can be handled
 }
 
-// Ahead implements Speech: pipelined requests are not started ahead.
-func (platformProtocol) Ahead(*http.Request) bool { return false }
+// MayStartEarly implements Protocol: pipelined requests are not started ahead.
+func (platformProtocol) MayStartEarly(*http.Request) bool { return false }
 
-// ID implements Speech.
-func (platformProtocol) ID(*http.Request) string { return "" }
+// RequestID implements Protocol.
+func (platformProtocol) RequestID(*http.Request) string { return "" }
 
-// Body implements Speech.
-func (platformProtocol) Body(hr *http.Request) bool { return hr.Method != http.MethodGet }
+// MayHaveBody implements Protocol.
+func (platformProtocol) MayHaveBody(hr *http.Request) bool { return hr.Method != http.MethodGet }
 
-// Refuse implements Speech.
-func (platformProtocol) Refuse(h http.Header, _ *http.Request, r *Refusal) {
-	if r.Retry {
+// SetRefusalHeader implements Protocol.
+func (platformProtocol) SetRefusalHeader(h http.Header, _ *http.Request, r *Refusal) {
+	if r.MayRetry {
 		h.Set("Retry-After", "1")
 	}
 }
 
-// Head implements Speech.
-func (platformProtocol) Head(h http.Header, _ *engine.Call, a engine.Answer) int {
+// SetResponseHeader implements Protocol.
+func (platformProtocol) SetResponseHeader(h http.Header, _ *engine.Call, a engine.Answer) int {
 	if r, is := a.Reply.(*message.Reply); is && r.ContentType != "" {
 		h.Set("Content-Type", r.ContentType)
 	}
@@ -57,8 +57,8 @@
 // maxClaimFactor is the limit on a caller's X-Time-Left, in deadlines of the class.
 const maxClaimFactor = 10
 
-// Read implements Speech.
-func (platformProtocol) Read(hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call) (*message.Request, *Refusal) {
+// ParseRequest implements Protocol.
+func (platformProtocol) ParseRequest(hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call) (*message.Request, *Refusal) {
 	h := hr.Header
 	class, known := p.Class(name)
 	method := http.MethodPost
@@ -98,7 +98,7 @@
 			out.Header[name] = v
 		}
 	}
-	Describe(c, h, name, now, left)
+	SetCommonFields(c, h, name, now, left)
 	if us, err := strconv.ParseFloat(h.Get("X-Weight-Hint"), 64); err == nil && us > 0 {
 		// An estimate over the deadline is of no use, and would outweigh all others in the module's mean.
 		c.Cost = time.Duration(min(us*float64(time.Microsecond), float64(class.Deadline)))
@@ -106,19 +106,19 @@
 	return out, nil
 }
 
-// Describe fills in the fields of a call that every protocol reads from the same header fields: id, class, tenant and zone;
+// SetCommonFields fills in the fields of a call that every protocol reads from the same header fields: id, class, tenant and zone;
 // and its deadline, if the caller waits for left from now on.
-func Describe(c *engine.Call, h http.Header, class string, now, left time.Duration) {
-	own := min(OwnDelay, left/4)
-	c.ID, c.Class, c.Repeat = h.Get("X-Correlation-Id"), class, h.Get("X-Repeat") == "1"
-	c.Deadline, c.Last = now+left-own, now+left-own/2
-	c.Tenant, c.From = h.Get("X-Account"), h.Get(message.CallerZone)
+func SetCommonFields(c *engine.Call, h http.Header, class string, now, left time.Duration) {
+	own := min(ProxyOverhead, left/4)
+	c.ID, c.Class, c.ClientRetry = h.Get("X-Correlation-Id"), class, h.Get("X-Repeat") == "1"
+	c.Deadline, c.FallbackAt = now+left-own, now+left-own/2
+	c.Tenant, c.CallerZone = h.Get("X-Account"), h.Get(message.CallerZone)
 }
 
 // statusOf maps verdicts to status codes.
 var statusOf = map[engine.Verdict]int{
 	engine.Served:    http.StatusOK,
-	engine.Refused:   http.StatusServiceUnavailable,
+	engine.Rejected:  http.StatusServiceUnavailable,
 	engine.Failed:    http.StatusBadGateway,
 	engine.Duplicate: http.StatusConflict,
 }
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -13,10 +13,10 @@
 
 // ServeHTTP answers one request. There is no ServeMux, because that redirects paths which are not clean.
 func (f *Front) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
-	if f.Speech.Own(f, w, hr) {
+	if f.Protocol.ServeOwn(f, w, hr) {
 		return
 	}
-	if f.Dialect != nil && f.Dialect.Speaks(hr) {
+	if f.Dialect != nil && f.Dialect.Matches(hr) {
 		f.Dialect.Serve(f, w, hr)
 		return
 	}
@@ -27,7 +27,7 @@
 		return
 	}
 	if from.ahead != nil {
-		e := from.ahead.take(hr, f.Speech.ID(hr))
+		e := from.ahead.take(hr, f.Protocol.RequestID(hr))
 		from.busy.Store(true)
 		defer from.busy.Store(false)
 		f.beginAhead(from)
@@ -48,7 +48,7 @@
 			head := f.clock.Now()
 			err = f.readBody(w, hr, c)
 			read := f.clock.Now() - head // the deadline counts from the request's last byte
-			c.Deadline, c.Last = c.Deadline+read, c.Last+read
+			c.Deadline, c.FallbackAt = c.Deadline+read, c.FallbackAt+read
 		}
 	}
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 	p.Engine().Submit(&c.Call)
 	if c.upload != nil {
-		go c.upload.pump(func() { p.Engine().Arrived(&c.Call) })
+		go c.upload.pump(func() { p.Engine().BodyArrived(&c.Call) })
 	}
 	f.answer(w, hr, p, c, from)
 }
@@ -73,7 +73,7 @@
 func (f *Front) answerEarly(w http.ResponseWriter, hr *http.Request, e *earlyRequest, from *connection) {
 	defer e.pool.Leave(0)
 	if !from.beginRequest() {
-		e.pool.Engine().Gone(&e.call.Call)
+		e.pool.Engine().CallerGone(&e.call.Call)
 		e.call.gone.Store(true)
 		e.call.discard()
 		panic(http.ErrAbortHandler)
@@ -93,7 +93,7 @@
 		case <-over:
 			over = nil
 			if mayGiveUp(c, from) {
-				p.Engine().Gone(&c.Call)
+				p.Engine().CallerGone(&c.Call)
 				c.gone.Store(true)
 				c.discard()
 				f.write(w, c, engine.Answer{Verdict: engine.Failed}, from)
@@ -127,13 +127,13 @@
 
 // mayGiveUp says that a call without an answer is idempotent and holds up the answers of pipelined requests.
 func mayGiveUp(c *call, from *connection) bool {
-	return len(c.answers) == 0 && c.upload == nil && c.Payload.(*message.Request).Runs == message.RunsOften &&
+	return len(c.answers) == 0 && c.upload == nil && c.Payload.(*message.Request).Idempotency == message.Idempotent &&
 		from.ahead != nil && from.ahead.follows()
 }
 
 // abort ends a call that gets no complete answer, and its connection, by which the caller sees that.
 func (f *Front) abort(hr *http.Request, p *pool.Pool, c *call, from *connection) {
-	p.Engine().Gone(&c.Call)
+	p.Engine().CallerGone(&c.Call)
 	c.gone.Store(true)
 	c.discard()
 	if c.upload != nil {
@@ -146,10 +146,10 @@
 
 // refuse answers a rejected request.
 func (f *Front) refuse(w http.ResponseWriter, hr *http.Request, from *connection, err *Refusal) {
-	f.Speech.Refuse(w.Header(), hr, err)
+	f.Protocol.SetRefusalHeader(w.Header(), hr, err)
 	rc := http.NewResponseController(w)
 	f.closeIfDraining(w, from)
-	if err.Keep || hr.ProtoMajor > 1 {
+	if err.KeepConnection || hr.ProtoMajor > 1 {
 		http.Error(w, err.Text, err.Status)
 		return
 	}
@@ -190,20 +190,20 @@
 		case err != nil:
 			// Callers over the limit of calls retry at once: a new connection each time would cost more than the rejection.
 			return nil, &Refusal{
-				Status: http.StatusServiceUnavailable, Text: err.Error(), Retry: true,
-				Keep: err == pool.ErrCalls && size == 0,
+				Status: http.StatusServiceUnavailable, Text: err.Error(), MayRetry: true,
+				KeepConnection: err == pool.ErrCalls && size == 0,
 			}
 		}
-		if !from.assign(p.Shares().Callers) {
+		if !from.assign(p.Shares().DownstreamConns) {
 			p.Leave(size)
-			return nil, &Refusal{Status: http.StatusServiceUnavailable, Text: "too many callers", Retry: true}
+			return nil, &Refusal{Status: http.StatusServiceUnavailable, Text: "too many callers", MayRetry: true}
 		}
 		return p, nil
 	}
 }
 
-// Take marks the connection of a request as in use; false: it is being closed.
-func (f *Front) Take(hr *http.Request) bool {
+// BeginRequest marks the connection of a request as in use; false: it is being closed.
+func (f *Front) BeginRequest(hr *http.Request) bool {
 	return hr.Context().Value(connectionKey{}).(*connection).beginRequest()
 }
 
@@ -214,11 +214,11 @@
 // check examines a request's head and returns its call.
 func (f *Front) check(hr *http.Request, p *pool.Pool, class string) (*call, *Refusal) {
 	c := &call{answers: make(chan callEvent, 2)}
-	out, refusal := f.Speech.Read(hr, p, class, f.clock.Now(), &c.Call)
+	out, refusal := f.Protocol.ParseRequest(hr, p, class, f.clock.Now(), &c.Call)
 	if refusal != nil {
 		return nil, refusal
 	}
-	c.Payload, c.To = out, c
+	c.Payload, c.Receiver = out, c
 	return c, nil
 }
 
@@ -240,7 +240,7 @@
 			a.Reply = r
 		}
 	}
-	status := f.Speech.Head(h, &c.Call, a)
+	status := f.Protocol.SetResponseHeader(h, &c.Call, a)
 	var body []byte
 	if r, is := a.Reply.(*message.Reply); is {
 		defer r.Release()
--- a/internal/grpc/grpc.go
+++ b/internal/grpc/grpc.go
@@ -41,8 +41,8 @@
 	return is && (rest == "" || rest[0] == '+' || rest[0] == ';')
 }
 
-// OfHTTP returns the status code for a request that was rejected with an HTTP status before any attempt.
-func OfHTTP(status int) Code {
+// CodeFromHTTP returns the status code for a request that was rejected with an HTTP status before any attempt.
+func CodeFromHTTP(status int) Code {
 	switch status {
 	case http.StatusBadRequest:
 		return InvalidArgument
--- a/internal/grpc/grpc_test.go
+++ b/internal/grpc/grpc_test.go
@@ -66,7 +66,7 @@
 		}
 		for rest := body[:cut]; len(rest) > 0; {
 			n := rapid.IntRange(1, len(rest)).Draw(t, "chunk")
-			if err := s.Take(rest[:n]); err != nil {
+			if err := s.Scan(rest[:n]); err != nil {
 				t.Fatal(err)
 			}
 			rest = rest[n:]
@@ -95,34 +95,34 @@
 // What a response means to the decision module and to the caller.
 func TestClassify(t *testing.T) {
 	head := fields("content-type", "application/grpc+proto")
-	body := func(b ...byte) (s Scanner) { s.Take(b); return s }
+	body := func(b ...byte) (s Scanner) { s.Scan(b); return s }
 	one := body(frame(0, 3)...)
 	for name, c := range map[string]struct {
-		response  Answer
+		response  Response
 		ending    balancer.Ending
 		code      Code
 		hasStatus bool
 	}{
-		"OK":                       {Answer{200, head, fields("grpc-status", "0"), one, false}, balancer.Success, OK, true},
-		"NOT_FOUND":                {Answer{200, head, fields("grpc-status", "5"), Scanner{}, false}, balancer.Success, NotFound, true},
-		"Trailers-Only":            {Answer{200, fields("content-type", "application/grpc", "grpc-status", "3"), nil, Scanner{}, false}, balancer.Success, InvalidArgument, true},
-		"UNAVAILABLE":              {Answer{200, head, fields("grpc-status", "14"), Scanner{}, false}, balancer.Failure, Unavailable, true},
-		"UNAVAILABLE, unprocessed": {Answer{200, head, fields("grpc-status", "14", "x-unprocessed", "1"), Scanner{}, false}, balancer.Overloaded, Unavailable, true},
-		"UNAVAILABLE, unprocessed, with messages": {Answer{200, head, fields("grpc-status", "14", "x-unprocessed", "1"), one, false}, balancer.Failure, Unavailable, true},
-		"INTERNAL, unprocessed":                   {Answer{200, head, fields("grpc-status", "13", "x-unprocessed", "1"), Scanner{}, false}, balancer.Failure, Internal, true},
-		"trailers without a status":               {Answer{200, head, fields("x", "y"), one, false}, balancer.Failure, Unknown, false},
-		"no trailers, no status":                  {Answer{200, head, nil, one, false}, balancer.Failure, Unknown, false},
-		"two statuses":                            {Answer{200, head, fields("grpc-status", "0", "grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
-		"status is no number":                     {Answer{200, head, fields("grpc-status", "ok"), one, false}, balancer.Failure, Unknown, false},
-		"undefined status":                        {Answer{200, head, fields("grpc-status", "77"), Scanner{}, false}, balancer.Failure, 77, true},
-		"OK with an incomplete message":           {Answer{200, head, fields("grpc-status", "0"), body(frame(0, 3)[:6]...), false}, balancer.Failure, Internal, false},
-		"OK with a malformed body":                {Answer{200, head, fields("grpc-status", "0"), Scanner{}, true}, balancer.Failure, Internal, false},
-		"another content type":                    {Answer{200, fields("content-type", "text/html"), fields("grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
-		"503":                                     {Answer{503, fields("content-type", "text/plain"), nil, Scanner{}, false}, balancer.Failure, Unknown, false},
-		"503, unprocessed":                        {Answer{503, fields("x-unprocessed", "1"), nil, Scanner{}, false}, balancer.Overloaded, Unknown, false},
+		"OK":                       {Response{200, head, fields("grpc-status", "0"), one, false}, balancer.Success, OK, true},
+		"NOT_FOUND":                {Response{200, head, fields("grpc-status", "5"), Scanner{}, false}, balancer.Success, NotFound, true},
+		"Trailers-Only":            {Response{200, fields("content-type", "application/grpc", "grpc-status", "3"), nil, Scanner{}, false}, balancer.Success, InvalidArgument, true},
+		"UNAVAILABLE":              {Response{200, head, fields("grpc-status", "14"), Scanner{}, false}, balancer.Failure, Unavailable, true},
+		"UNAVAILABLE, unprocessed": {Response{200, head, fields("grpc-status", "14", "x-unprocessed", "1"), Scanner{}, false}, balancer.Overloaded, Unavailable, true},
+		"UNAVAILABLE, unprocessed, with messages": {Response{200, head, fields("grpc-status", "14", "x-unprocessed", "1"), one, false}, balancer.Failure, Unavailable, true},
+		"INTERNAL, unprocessed":                   {Response{200, head, fields("grpc-status", "13", "x-unprocessed", "1"), Scanner{}, false}, balancer.Failure, Internal, true},
+		"trailers without a status":               {Response{200, head, fields("x", "y"), one, false}, balancer.Failure, Unknown, false},
+		"no trailers, no status":                  {Response{200, head, nil, one, false}, balancer.Failure, Unknown, false},
+		"two statuses":                            {Response{200, head, fields("grpc-status", "0", "grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
+		"status is no number":                     {Response{200, head, fields("grpc-status", "ok"), one, false}, balancer.Failure, Unknown, false},
+		"undefined status":                        {Response{200, head, fields("grpc-status", "77"), Scanner{}, false}, balancer.Failure, 77, true},
+		"OK with an incomplete message":           {Response{200, head, fields("grpc-status", "0"), body(frame(0, 3)[:6]...), false}, balancer.Failure, Internal, false},
+		"OK with a malformed body":                {Response{200, head, fields("grpc-status", "0"), Scanner{}, true}, balancer.Failure, Internal, false},
+		"another content type":                    {Response{200, fields("content-type", "text/html"), fields("grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
+		"503":                                     {Response{503, fields("content-type", "text/plain"), nil, Scanner{}, false}, balancer.Failure, Unknown, false},
+		"503, unprocessed":                        {Response{503, fields("x-unprocessed", "1"), nil, Scanner{}, false}, balancer.Overloaded, Unknown, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := Judge(c.response)
+			v := Classify(c.response)
 			if v.Ending != c.ending || v.Code != c.code || (v.Fields != nil) != c.hasStatus {
 				t.Errorf("%+v", v)
 			}
@@ -132,7 +132,7 @@
 
 // The details of a status are in the standard form, which gRPC libraries read.
 func TestStatusHasRetryInfo(t *testing.T) {
-	fields := Status(Unavailable, "100% full\n", 1500*time.Millisecond)
+	fields := StatusFields(Unavailable, "100% full\n", 1500*time.Millisecond)
 	if fields[0].Value != "14" || fields[1].Value != "100%25 full%0A" || len(fields) != 3 {
 		t.Fatalf("%+v", fields)
 	}
@@ -145,7 +145,7 @@
 	if err := s.Details[0].UnmarshalTo(&info); err != nil || info.RetryDelay.AsDuration() != 1500*time.Millisecond {
 		t.Errorf("%v, %v", err, &info)
 	}
-	if l := Status(Internal, "", 0); len(l) != 2 {
+	if l := StatusFields(Internal, "", 0); len(l) != 2 {
 		t.Errorf("%+v", l)
 	}
 }
@@ -167,11 +167,11 @@
 	f.Add([]byte{0, 255, 255, 255, 255, 1}, 1)
 	f.Fuzz(func(t *testing.T, body []byte, cut int) {
 		cut = max(0, min(cut, len(body)))
-		count, oneErr := Messages(body)
+		count, oneErr := CountMessages(body)
 		var s Scanner
-		twoErr := s.Take(body[:cut])
+		twoErr := s.Scan(body[:cut])
 		if twoErr == nil {
-			twoErr = s.Take(body[cut:])
+			twoErr = s.Scan(body[cut:])
 		}
 		if twoErr == nil {
 			twoErr = s.End()
--- a/internal/grpc/response.go
+++ b/internal/grpc/response.go
@@ -8,12 +8,12 @@
 	"cranegrade/internal/message"
 )
 
-// Answer is a complete response of a server.
-type Answer struct {
+// Response is a complete response of a server.
+type Response struct {
 	Status          int // HTTP status
 	Header, Trailer []message.Field
 	Messages        Scanner // over the body
-	Garbled         bool    // the body is not made of messages
+	Malformed       bool    // the body is not made of messages
 }
 
 // Verdict is what a response means.
@@ -23,8 +23,8 @@
 	Fields []message.Field // the status fields and the trailing metadata; nil: the response has no valid status
 }
 
-// Begins says that a response with this HTTP status and header section is gRPC, so that its messages can be passed on.
-func Begins(status int, header []message.Field) bool {
+// IsGRPCResponse says that a response with this HTTP status and header section is gRPC, so that its messages can be passed on.
+func IsGRPCResponse(status int, header []message.Field) bool {
 	for _, field := range header {
 		if field.Name == "content-type" {
 			return status == http.StatusOK && IsContentType(field.Value)
@@ -33,18 +33,18 @@
 	return false
 }
 
-// Judge classifies a response, for the decision module and for the caller. A status that comes from the method itself, such
+// Classify classifies a response, for the decision module and for the caller. A status that comes from the method itself, such
 // as INVALID_ARGUMENT or NOT_FOUND, shows a working service: it is a Success, and is passed on. A status that says that the
 // server is not able to serve is a Failure, and may be retried as the class allows. With x-unprocessed: 1, as on HTTP/1.1, the
 // request never ran. A response without a valid status proves nothing.
-func Judge(response Answer) Verdict {
+func Classify(response Response) Verdict {
 	fields := response.Trailer
 	if fields == nil {
 		fields = response.Header // Trailers-Only: a single field section is the complete response
 	}
 	status := findStatus(fields)
 	code, err := strconv.ParseUint(status.text, 10, 8)
-	if !Begins(response.Status, response.Header) || status.count != 1 || err != nil {
+	if !IsGRPCResponse(response.Status, response.Header) || status.count != 1 || err != nil {
 		if response.Status == http.StatusServiceUnavailable && status.unprocessed {
 			return Verdict{Ending: balancer.Overloaded, Code: Unknown}
 		}
@@ -53,7 +53,7 @@
 	incomplete := response.Messages.End() != nil
 	v := Verdict{Ending: balancer.Success, Code: Code(code), Fields: fields}
 	switch {
-	case response.Garbled || v.Code == OK && incomplete:
+	case response.Malformed || v.Code == OK && incomplete:
 		return Verdict{Ending: balancer.Failure, Code: Internal}
 	case status.unprocessed && response.Messages.Count == 0 && !incomplete && (v.Code == Unavailable || v.Code == ResourceExhausted):
 		v.Ending = balancer.Overloaded
--- a/internal/grpc/scanner.go
+++ b/internal/grpc/scanner.go
@@ -8,11 +8,11 @@
 // prefixLength is the length of what precedes each message: the compressed flag and the length of the message.
 const prefixLength = 5
 
-// Messages returns the number of length-prefixed messages that a body consists of. It fails if the last one is incomplete, or
+// CountMessages returns the number of length-prefixed messages that a body consists of. It fails if the last one is incomplete, or
 // if a compressed flag is neither 0 nor 1.
-func Messages(body []byte) (n int, err error) {
+func CountMessages(body []byte) (n int, err error) {
 	var s Scanner
-	if err := s.Take(body); err != nil {
+	if err := s.Scan(body); err != nil {
 		return 0, err
 	}
 	return s.Count, s.End()
@@ -27,8 +27,8 @@
 	left   uint32 // bytes of the message that are still to come
 }
 
-// Take scans the next chunk. It fails if the body is not made of messages; the scanner must not be used after that.
-func (s *Scanner) Take(chunk []byte) error {
+// Scan scans the next chunk. It fails if the body is not made of messages; the scanner must not be used after that.
+func (s *Scanner) Scan(chunk []byte) error {
 	for len(chunk) > 0 {
 		if s.got < prefixLength {
 			n := copy(s.prefix[s.got:], chunk)
--- a/internal/grpc/status.go
+++ b/internal/grpc/status.go
@@ -16,9 +16,9 @@
 	"cranegrade/internal/message"
 )
 
-// Status returns the status fields of a response that the proxy makes itself. retryAfter over 0 adds google.rpc.RetryInfo to
+// StatusFields returns the status fields of a response that the proxy makes itself. retryAfter over 0 adds google.rpc.RetryInfo to
 // the details of the status.
-func Status(code Code, text string, retryAfter time.Duration) []message.Field {
+func StatusFields(code Code, text string, retryAfter time.Duration) []message.Field {
 	fields := []message.Field{
 		{Name: "grpc-status", Value: strconv.Itoa(int(code))},
 		{Name: "grpc-message", Value: EncodeMessage(text)},
--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -37,7 +37,7 @@
 
 // Endings. NotWritten, Refused and AboveGoAway prove that the request never ran (RFC 9113, section 8.7).
 const (
-	Answered       Ending = iota // the response is complete
+	Completed      Ending = iota // the response is complete
 	NotWritten                   // the request was not written completely
 	Refused                      // RST_STREAM with REFUSED_STREAM
 	AboveGoAway                  // above the last stream that a GOAWAY names
@@ -51,8 +51,8 @@
 	return [...]string{"completed", "not written", "refused", "above GOAWAY", "reset", "connection lost", "cancelled"}[e]
 }
 
-// Answer is the response on a stream.
-type Answer struct {
+// Response is the response on a stream.
+type Response struct {
 	Status   int
 	Header   []Field // without pseudo-header fields
 	Trailer  []Field
@@ -72,7 +72,7 @@
 	maxStreamID              = 1<<31 - 1
 	maxFramesWithoutProgress = 1000 // in a row: frames that advance no stream
 	maxEmptyFrames           = 100  // DATA frames of a stream without a byte
-	maxInterimAnswers        = 10   // interim responses of a stream
+	maxInterimResponses      = 10   // interim responses of a stream
 	connectionWindowStep     = connectionWindow / 4
 )
 
@@ -136,7 +136,7 @@
 	return c.request(now, &stream{fields: fields, body: body}, careful)
 }
 
-// RequestStreamed is Request for a response that is passed on as it comes: Began, BodyChunks and then Done, whose Answer
+// RequestStreamed is Request for a response that is passed on as it comes: Began, BodyChunks and then Done, whose Response
 // has no body. The server may send Config.MaxBody bytes beyond what Consumed has returned. The body of an open request is
 // continued by Append, after each Sent.
 func (c *Conn) RequestStreamed(now time.Duration, fields []Field, body []byte, careful, open bool) (uint32, []Action) {
--- a/internal/h2/client/frames.go
+++ b/internal/h2/client/frames.go
@@ -78,10 +78,10 @@
 		Ack  bool
 		Data [8]byte
 	}
-	// Began says that the first bytes of a streamed response body have come; Answer has its status and header.
+	// Began says that the first bytes of a streamed response body have come; Response has its status and header.
 	Began struct {
-		Stream uint32
-		Answer Answer
+		Stream   uint32
+		Response Response
 	}
 	// BodyChunk is a part of a streamed response body. Consumed opens the stream's window by its bytes again.
 	BodyChunk struct {
@@ -92,9 +92,9 @@
 	Sent struct{ Stream uint32 }
 	// Done ends a stream. It comes exactly once for each.
 	Done struct {
-		Stream uint32
-		Ending Ending
-		Answer Answer // with Answered
+		Stream   uint32
+		Ending   Ending
+		Response Response // with Completed
 	}
 	// Fail is a connection error (section 5.4.1): GOAWAY with the code is to be written, and Close to be called.
 	Fail struct {
--- a/internal/h2/client/receive.go
+++ b/internal/h2/client/receive.go
@@ -68,23 +68,23 @@
 		return
 	}
 	if status < 200 {
-		if s.interimAnswers++; e.End || s.interimAnswers > maxInterimAnswers {
+		if s.interimResponses++; e.End || s.interimResponses > maxInterimResponses {
 			c.resetStream(s, codeProtocol)
 		}
 		return
 	}
-	s.finalHeaders, s.answer.Status, s.answer.Header = true, status, fields
+	s.finalHeaders, s.response.Status, s.response.Header = true, status, fields
 	if !s.readContentLength(fields) {
 		c.resetStream(s, codeProtocol)
 		return
 	}
-	s.answer.NoLength = s.contentLength < 0
+	s.response.NoLength = s.contentLength < 0
 	if s.contentLength > c.cfg.MaxBody && !s.streamed && s.method != "HEAD" {
 		c.resetStream(s, codeCancel)
 		return
 	}
 	if e.End {
-		c.completeAnswer(s)
+		c.completeResponse(s)
 	}
 }
 
@@ -100,8 +100,8 @@
 		c.resetStream(s, codeProtocol)
 		return
 	}
-	s.answer.Trailer = e.Fields
-	c.completeAnswer(s)
+	s.response.Trailer = e.Fields
+	c.completeResponse(s)
 }
 
 // readContentLength notes the declared length; false if it is invalid or declared twice with different values.
@@ -155,15 +155,15 @@
 
 // completeAnswer ends a stream whose response is complete. A response may end before the request does; the rest of the
 // request body is then not sent, and RST_STREAM with NO_ERROR says so (RFC 9113, section 8.1).
-func (c *Conn) completeAnswer(s *stream) {
-	if s.contentLength >= 0 && s.contentLength != s.received && s.method != "HEAD" && s.answer.Status != 304 {
+func (c *Conn) completeResponse(s *stream) {
+	if s.contentLength >= 0 && s.contentLength != s.received && s.method != "HEAD" && s.response.Status != 304 {
 		c.resetStream(s, codeProtocol)
 		return
 	}
 	if !s.endWritten {
 		c.emit(WriteReset{s.id, codeNoError})
 	}
-	c.endStream(s, Answered)
+	c.endStream(s, Completed)
 }
 
 // data takes a part of a response body (RFC 9113, section 6.1).
@@ -201,17 +201,17 @@
 		return
 	}
 	if !s.streamed {
-		s.answer.Body = append(s.answer.Body, e.Bytes...)
+		s.response.Body = append(s.response.Body, e.Bytes...)
 	} else {
 		if c.returnWindow(s, e.Padded); len(e.Bytes) > 0 {
 			if s.received == len(e.Bytes) {
-				c.emit(Began{s.id, s.answer})
+				c.emit(Began{s.id, s.response})
 			}
 			c.emit(BodyChunk{s.id, e.Bytes})
 		}
 	}
 	if e.End {
-		c.completeAnswer(s)
+		c.completeResponse(s)
 	}
 }
 
--- a/internal/h2/client/stream.go
+++ b/internal/h2/client/stream.go
@@ -7,24 +7,24 @@
 
 // stream is one request and its response.
 type stream struct {
-	id              uint32
-	fields          []Field
-	body            []byte // not sent yet
-	headersWritten  bool   // HEADERS was written
-	endWritten      bool   // END_STREAM was written
-	sendWindow      int64  // bytes that may be sent; may be below zero (RFC 9113, section 6.9.2)
-	receiveWindow   int    // bytes that the server may still send
-	finalHeaders    bool   // the final response's HEADERS came
-	contentLength   int    // declared; -1: not declared
-	emptyFrames     int
-	interimAnswers  int
-	answer          Answer
-	method          string
-	moreToCome      bool // Append will bring more of the body
-	openedWithParts bool // it began with moreToCome: the server may process it before its end
-	streamed        bool // the response body is passed on as it comes, and has no limit
-	received        int  // bytes of the response body
-	unreturned      int  // bytes consumed that no WINDOW_UPDATE has returned yet
+	id               uint32
+	fields           []Field
+	body             []byte // not sent yet
+	headersWritten   bool   // HEADERS was written
+	endWritten       bool   // END_STREAM was written
+	sendWindow       int64  // bytes that may be sent; may be below zero (RFC 9113, section 6.9.2)
+	receiveWindow    int    // bytes that the server may still send
+	finalHeaders     bool   // the final response's HEADERS came
+	contentLength    int    // declared; -1: not declared
+	emptyFrames      int
+	interimResponses int
+	response         Response
+	method           string
+	moreToCome       bool // Append will bring more of the body
+	openedWithParts  bool // it began with moreToCome: the server may process it before its end
+	streamed         bool // the response body is passed on as it comes, and has no limit
+	received         int  // bytes of the response body
+	unreturned       int  // bytes consumed that no WINDOW_UPDATE has returned yet
 }
 
 // mayHaveRun says that a server may have begun to process it: it was written completely, or the server processes it while
@@ -53,8 +53,8 @@
 func (c *Conn) endStream(s *stream, e Ending) {
 	delete(c.streams, s.id)
 	d := Done{Stream: s.id, Ending: e}
-	if e == Answered {
-		d.Answer = s.answer
+	if e == Completed {
+		d.Response = s.response
 	}
 	c.emit(d)
 	if !s.headersWritten { // those behind it need not wait any more
--- a/internal/h2/client/stream_test.go
+++ b/internal/h2/client/stream_test.go
@@ -14,7 +14,7 @@
 		t.Errorf("Began came before the first byte of the body: %+v", l)
 	}
 	l := c.Handle(0, Data{Stream: id, Bytes: make([]byte, 900)})
-	if len(l) != 2 || l[0].(Began).Answer.Header[0].Value != "a" || len(l[1].(BodyChunk).Bytes) != 900 {
+	if len(l) != 2 || l[0].(Began).Response.Header[0].Value != "a" || len(l[1].(BodyChunk).Bytes) != 900 {
 		t.Fatalf("first DATA: %+v", l)
 	}
 	if l := c.Consumed(0, id, 200); len(l) != 0 {
@@ -38,7 +38,7 @@
 	c.Handle(0, Headers{Stream: id, Fields: []Field{{":status", "200"}}})
 	c.Handle(0, Data{Stream: id, Bytes: []byte("abc")})
 	l = c.Handle(0, Headers{Stream: id, Fields: []Field{{"grpc-status", "0"}}, End: true})
-	if d, is := l[len(l)-1].(Done); !is || d.Ending != Answered || len(d.Answer.Trailer) != 1 || d.Answer.Body != nil {
+	if d, is := l[len(l)-1].(Done); !is || d.Ending != Completed || len(d.Response.Trailer) != 1 || d.Response.Body != nil {
 		t.Errorf("with trailers: %+v", l)
 	}
 	id, _ = c.RequestStreamed(0, []Field{{":method", "POST"}}, []byte("x"), false, false)
@@ -87,7 +87,7 @@
 	}
 	c, id, _ = start() // a response may be complete before the request is
 	l = c.Handle(0, Headers{Stream: id, Fields: []Field{{":status", "200"}}, End: true})
-	if len(l) != 2 || l[0].(WriteReset) != (WriteReset{id, codeNoError}) || l[1].(Done).Ending != Answered {
+	if len(l) != 2 || l[0].(WriteReset) != (WriteReset{id, codeNoError}) || l[1].(Done).Ending != Completed {
 		t.Errorf("early response: %+v", l)
 	}
 }
--- a/internal/mesh/sidecar/caller_protocol.go
+++ b/internal/mesh/sidecar/caller_protocol.go
@@ -33,7 +33,7 @@
 )
 
 // callerProtocol is the mesh's protocol towards callers: how their requests are read and their responses written. It implements
-// front.Speech.
+// front.Protocol.
 type callerProtocol struct {
 	env           *environment
 	configuration *configuration
@@ -42,23 +42,23 @@
 	tokens        *tokenSource
 }
 
-// Own implements front.Speech: nothing that comes to Outbound is for the node itself.
-func (*callerProtocol) Own(*front.Front, http.ResponseWriter, *http.Request) bool { return false }
+// ServeOwn implements front.Protocol: nothing that comes to Outbound is for the node itself.
+func (*callerProtocol) ServeOwn(*front.Front, http.ResponseWriter, *http.Request) bool { return false }
 
-// Ahead implements front.Speech: what may run more than once is begun as it comes.
-func (p *callerProtocol) Ahead(hr *http.Request) bool {
+// MayStartEarly implements front.Protocol: what may run more than once is begun as it comes.
+func (p *callerProtocol) MayStartEarly(hr *http.Request) bool {
 	route := matchRoute(p.configuration.routing.Load(), hr)
 	return route != nil && route.Kind == routing.Idempotent
 }
 
-// ID implements front.Speech.
-func (*callerProtocol) ID(hr *http.Request) string { return hr.Header.Get(headerAttemptID) }
+// RequestID implements front.Protocol.
+func (*callerProtocol) RequestID(hr *http.Request) string { return hr.Header.Get(headerAttemptID) }
 
-// Body implements front.Speech.
-func (*callerProtocol) Body(*http.Request) bool { return true }
+// MayHaveBody implements front.Protocol.
+func (*callerProtocol) MayHaveBody(*http.Request) bool { return true }
 
-// Read implements front.Speech: it checks a request and makes the message that the pool takes.
-func (p *callerProtocol) Read(hr *http.Request, from *pool.Pool, class string, now time.Duration, c *engine.Call) (
+// ParseRequest implements front.Protocol: it checks a request and makes the message that the pool takes.
+func (p *callerProtocol) ParseRequest(hr *http.Request, from *pool.Pool, class string, now time.Duration, c *engine.Call) (
 	*message.Request, *front.Refusal,
 ) {
 	route := p.configuration.routing.Load().Route(class)
@@ -86,20 +86,20 @@
 	left := routed.timeLeft(budget)
 	out := &message.Request{
 		Method: hr.Method, URL: &url.URL{Opaque: hr.RequestURI}, Authority: hr.Host, Header: forwardedHeaders(h),
-		Runs: message.RunsOnce, Note: routed,
+		Idempotency: message.NotIdempotent, FrontData: routed,
 	}
 	if route.Kind.IsIdempotent() {
-		out.Runs = message.RunsOften
+		out.Idempotency = message.Idempotent
 	}
-	out.Most = limits.MaxBodyBytes
+	out.MaxBodyBytes = limits.MaxBodyBytes
 	if route.Kind == routing.Keyed {
 		routed.token = p.tokens.next()
 	} else {
 		routed.key = ""
 	}
-	own := min(front.OwnDelay, left/ownDelayDivisor)
+	own := min(front.ProxyOverhead, left/ownDelayDivisor)
 	c.ID, c.Class = routed.attemptID, class
-	c.Deadline, c.Last = now+left-own, now+left-own/2
+	c.Deadline, c.FallbackAt = now+left-own, now+left-own/2
 	return out, nil
 }
 
@@ -151,9 +151,9 @@
 	return left
 }
 
-// Head implements front.Speech: it writes the header of a response and returns its status.
-func (p *callerProtocol) Head(h http.Header, c *engine.Call, a engine.Answer) int {
-	routed := c.Payload.(*message.Request).Note.(*routedRequest)
+// SetResponseHeader implements front.Protocol: it writes the header of a response and returns its status.
+func (p *callerProtocol) SetResponseHeader(h http.Header, c *engine.Call, a engine.Answer) int {
+	routed := c.Payload.(*message.Request).FrontData.(*routedRequest)
 	if routed.ruleTrace != "" {
 		h.Set(headerRuleTrace, routed.ruleTrace)
 	}
@@ -171,7 +171,7 @@
 		p.log(routed.route, routed.policy).Int32("attempts", routed.attempts.Load()).Msg("request not served")
 	}
 	switch {
-	case a.Verdict == engine.Refused, a.Verdict == engine.Failed && routed.attempts.Load() == 0: // it was never sent, and never will be
+	case a.Verdict == engine.Rejected, a.Verdict == engine.Failed && routed.attempts.Load() == 0: // it was never sent, and never will be
 		wait := min(maxRetryAfter, max(minRetryAfter, a.RetryAfter, routed.route.LatencyTarget/retryAfterDivisor))
 		h.Set(headerRetryAfter, strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 		return http.StatusServiceUnavailable
@@ -184,12 +184,12 @@
 	return http.StatusBadGateway
 }
 
-// Refuse implements front.Speech.
-func (p *callerProtocol) Refuse(h http.Header, hr *http.Request, r *front.Refusal) {
+// SetRefusalHeader implements front.Protocol.
+func (p *callerProtocol) SetRefusalHeader(h http.Header, hr *http.Request, r *front.Refusal) {
 	if id := hr.Header.Get(headerAttemptID); id != "" && len(id) <= maxIDBytes {
 		h.Set(headerAttemptID, id)
 	}
-	if r.Retry {
+	if r.MayRetry {
 		h.Set(headerRetryAfter, rejectedRetryAfter)
 	}
 }
--- a/internal/mesh/sidecar/directory_source.go
+++ b/internal/mesh/sidecar/directory_source.go
@@ -24,15 +24,15 @@
 // String implements engine.Source.
 func (s *directorySource) String() string { return "the directory" }
 
-// Follow implements engine.Source: it reports the complete list, and again with each change, until ctx ends.
-func (s *directorySource) Follow(ctx context.Context, _ string, news func(engine.News)) error {
+// Watch implements engine.Source: it reports the complete list, and again with each change, until ctx ends.
+func (s *directorySource) Watch(ctx context.Context, _ string, update func(engine.ListUpdate)) error {
 	var last []engine.Listed
 	for first := true; ; first = false {
 		servers := s.servers()
 		if first || !slices.Equal(servers, last) {
 			last = servers
 			s.env.log.Info().Str("service", s.service).Int("servers", len(servers)).Msg("server list changed")
-			news(engine.News{Full: true, Version: strconv.FormatUint(s.version.Add(1), 10), Servers: slices.Clone(servers)})
+			update(engine.ListUpdate{Full: true, Version: strconv.FormatUint(s.version.Add(1), 10), Servers: slices.Clone(servers)})
 		}
 		select {
 		case <-s.changed:
--- a/internal/mesh/sidecar/inbound_request.go
+++ b/internal/mesh/sidecar/inbound_request.go
@@ -105,10 +105,10 @@
 	request := r.request
 	m := &message.Request{
 		Method: request.Method, URL: &url.URL{Opaque: request.Target}, Authority: request.Host,
-		Header: make(map[string][]string, len(request.HeaderFields)), Body: request.Body, More: r.body, Runs: message.RunsOften, Note: request,
+		Header: make(map[string][]string, len(request.HeaderFields)), Body: request.Body, BodyRest: r.body, Idempotency: message.Idempotent, FrontData: request,
 	}
 	if request.AtMostOnce {
-		m.Runs = message.RunsOnce
+		m.Idempotency = message.NotIdempotent
 	}
 	for _, f := range request.HeaderFields {
 		m.Header[f.Name] = append(m.Header[f.Name], f.Value)
--- a/internal/mesh/sidecar/outbound_listener.go
+++ b/internal/mesh/sidecar/outbound_listener.go
@@ -40,17 +40,17 @@
 
 // open opens the listener. Until the configuration is confirmed callers are told when to retry: a refused connection would cost
 // them an attempt and say nothing.
-func (o *outboundListener) open(resolver front.Routes, protocol front.Speech) error {
+func (o *outboundListener) open(resolver front.Routes, protocol front.Protocol) error {
 	listener, err := net.Listen("tcp4", o.env.settings.Load().ListenAddrs.Outbound)
 	if err != nil {
 		return errors.Annotate(err, "Outbound")
 	}
 	f := front.New(listener, o.env.clock, resolver, o.callerShare)
-	f.Speech = protocol
-	f.LookAhead()
-	f.Idle(callerIdleTimeout)
-	f.OwnTimes()
-	f.Heads(maxRequestHeadBytes)
+	f.Protocol = protocol
+	f.StartPipelinedEarly()
+	f.SetIdleTimeout(callerIdleTimeout)
+	f.OverrideLibraryTimeouts()
+	f.SetMaxHeaderBytes(maxRequestHeadBytes)
 	o.front.Store(f)
 	o.serving.Go(func() {
 		if err := f.Serve(); !errors.Is(err, http.ErrServerClosed) && !o.readiness.stopping.Load() {
@@ -67,22 +67,22 @@
 		return
 	}
 	if limits.IdleTimeoutS > 0 {
-		f.Idle(limits.IdleTimeoutS.Duration())
+		f.SetIdleTimeout(limits.IdleTimeoutS.Duration())
 	}
-	f.HeadWithin(limits.HeaderTimeoutS.Duration())
+	f.SetHeaderTimeout(limits.HeaderTimeoutS.Duration())
 }
 
 // drain has each response ask its caller to leave, or no longer.
 func (o *outboundListener) drain(on bool) {
 	if f := o.front.Load(); f != nil {
-		f.LeadAway(on)
+		f.SetDraining(on)
 	}
 }
 
 // closeIdle asks the callers of idle connections to leave, too.
 func (o *outboundListener) closeIdle() {
 	if f := o.front.Load(); f != nil {
-		f.LeadIdle()
+		f.CloseIdleIfDraining()
 	}
 }
 
@@ -93,13 +93,13 @@
 		return
 	}
 	// Not by Shutdown yet: it ends a connection with the response being written, and the responses to pipelined requests are lost.
-	f.Hand()
+	f.HandOverListener()
 	deadline, _ := ctx.Deadline()
-	for gaveUp := false; f.Open() > 0 && ctx.Err() == nil; <-tick {
-		f.LeadIdle() //nolint:contextcheck // its context bounds the wait only
+	for gaveUp := false; f.OpenConnections() > 0 && ctx.Err() == nil; <-tick {
+		f.CloseIdleIfDraining() //nolint:contextcheck // its context bounds the wait only
 		if !gaveUp && time.Until(deadline) < blockedRequestCutoff {
 			gaveUp = true
-			f.GiveUp()
+			f.AbandonBlockedPipelines()
 		}
 	}
 	_ = f.Shutdown(ctx) // what is still open ends with the process
--- a/internal/mesh/sidecar/route_resolver.go
+++ b/internal/mesh/sidecar/route_resolver.go
@@ -41,5 +41,5 @@
 
 // refuse rejects a request before its body is read. A 503 says when to retry.
 func refuse(hr *http.Request, status int, text string) *front.Refusal {
-	return &front.Refusal{Status: status, Text: text, Retry: status == http.StatusServiceUnavailable, Keep: hasNoBody(hr)}
+	return &front.Refusal{Status: status, Text: text, MayRetry: status == http.StatusServiceUnavailable, KeepConnection: hasNoBody(hr)}
 }
--- a/internal/mesh/sidecar/server_protocol.go
+++ b/internal/mesh/sidecar/server_protocol.go
@@ -11,27 +11,27 @@
 	sender "cranegrade/internal/sender/http1"
 )
 
-// serverProtocol is the mesh's protocol towards the local server. It implements sender.Speech.
+// serverProtocol is the mesh's protocol towards the local server. It implements sender.Protocol.
 type serverProtocol struct{}
 
-// Head implements sender.Speech.
-func (serverProtocol) Head(a *engine.Attempt, h http.Header) {
+// SetHeader implements sender.Protocol.
+func (serverProtocol) SetHeader(a *engine.Attempt, h http.Header) {
 	m := a.Payload.(*message.Request)
 	h["User-Agent"] = m.Header["User-Agent"]
 	h[headerTimeBudget] = []string{strconv.FormatInt(max(1, a.Timeout.Milliseconds()), 10)}
 	h[headerTargetInstance] = []string{a.Endpoint.ID}
 }
 
-// Matches implements sender.Speech. A response that rejects a request need not say which; a success that names none is no response
+// Matches implements sender.Protocol. A response that rejects a request need not say which; a success that names none is no response
 // to any.
 func (serverProtocol) Matches(m *message.Request, resp *http.Response) sender.Match {
 	switch got := resp.Header.Get(headerAttemptID); {
-	case got == m.Note.(*wire.RequestT).AttemptId:
-		return sender.OfRequest
+	case got == m.FrontData.(*wire.RequestT).AttemptId:
+		return sender.MatchRequest
 	case got == "" && resp.StatusCode/100 != 2:
-		return sender.Unnamed
+		return sender.MatchUnnamed
 	}
-	return sender.OfAnother
+	return sender.MatchOther
 }
 
 // notExecutedStatuses are the statuses with which a server may say that it has not run a request. With any other, Not-Executed
@@ -44,8 +44,8 @@
 	http.StatusServiceUnavailable: true,
 }
 
-// Ending implements sender.Speech.
-func (serverProtocol) Ending(resp *http.Response) (balancer.Ending, bool) {
+// Classify implements sender.Protocol.
+func (serverProtocol) Classify(resp *http.Response) (balancer.Ending, bool) {
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest:
 		return balancer.Unreachable, false
@@ -59,8 +59,8 @@
 	return balancer.Success, true
 }
 
-// Word implements sender.Speech: it gives the part of a response that is forwarded.
-func (serverProtocol) Word(resp *http.Response) (int, []message.Field, string) {
+// ResponseHead implements sender.Protocol: it gives the part of a response that is forwarded.
+func (serverProtocol) ResponseHead(resp *http.Response) (int, []message.Field, string) {
 	fields := make([]message.Field, 0, len(resp.Header))
 	for name, values := range resp.Header {
 		if unforwardedHeaders[name] {
@@ -73,4 +73,4 @@
 	return resp.StatusCode, fields, ""
 }
 
-var _ sender.Speech = serverProtocol{}
+var _ sender.Protocol = serverProtocol{}
--- a/internal/mesh/sidecar/service.go
+++ b/internal/mesh/sidecar/service.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		go s.pool.Engine().Tell(balancer.Classes{Classes: changed})
+		go s.pool.Engine().Notify(balancer.Classes{Classes: changed})
 	}
 }
 
@@ -52,7 +52,7 @@
 	s.mu.Unlock()
 	if s.position != position {
 		s.position = position
-		go s.pool.Engine().Tell(balancer.Fleet{
+		go s.pool.Engine().Notify(balancer.Fleet{
 			Balancers: position.sidecars, Index: position.index,
 			Divisor: max(1, float64(position.sidecars)/2), Whole: true, ServerCalls: position.serverCapacity,
 		})
--- a/internal/mesh/sidecar/service_pools.go
+++ b/internal/mesh/sidecar/service_pools.go
@@ -92,7 +92,7 @@
 	s.pool, err = pool.New(pool.Config{
 		Name: name, Settings: set, Seed: rand.Uint64(), Clock: p.env.clock,
 		Sender: p.upstreams, Source: s.source, Pushed: true,
-		Shares: pool.Shares{Calls: b.calls, Held: b.held, Connections: b.servers, Bodies: b.bodies, LongAnswers: b.longAnswers},
+		Shares: pool.Shares{Calls: b.calls, PendingCalls: b.held, Connections: b.servers, RequestBodies: b.bodies, ResponseBuffers: b.longAnswers},
 	})
 	if err != nil { // the items were checked, so this is a fault of the program
 		p.env.log.Error().Err(err).Str("service", name).Msg("pool can't be made")
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -99,8 +99,8 @@
 	s.claims = &keyClaims{env: env, controlPlane: s.controlPlane}
 	s.releases = newReleaseQueue(env, s.controlPlane)
 	s.assembleInbound(ring, sender.New(sender.Config{
-		Idle: serverIdleTimeout, Connect: serverConnectTimeout, Connections: budgets.servers,
-		LongAnswers: budgets.toServer, Speech: serverProtocol{}, Quiet: time.Hour,
+		ServerIdleTimeout: serverIdleTimeout, ConnectTimeout: serverConnectTimeout, Connections: budgets.servers,
+		ResponseBuffers: budgets.toServer, Protocol: serverProtocol{}, ReadTimeout: time.Hour,
 	}))
 	s.connectParts()
 	return s
--- a/internal/mesh/sidecar/upstream_attempt.go
+++ b/internal/mesh/sidecar/upstream_attempt.go
@@ -156,9 +156,9 @@
 // uploadBody sends the pieces of a streamed request.
 func (a *upstreamAttempt) uploadBody(ctx context.Context, m *message.Request) {
 	for {
-		piece, err := m.More.Next(ctx)
+		piece, err := m.BodyRest.Next(ctx)
 		if err != nil || piece == nil {
-			_ = a.conn.Send(&wire.BodyChunkT{Id: a.id, Last: true, Aborted: err != nil || m.More.Trailer() == nil})
+			_ = a.conn.Send(&wire.BodyChunkT{Id: a.id, Last: true, Aborted: err != nil || m.BodyRest.Trailer() == nil})
 			return
 		}
 		if !a.sendWindow.acquire(ctx, len(piece)) {
--- a/internal/mesh/sidecar/upstream_attempt_test.go
+++ b/internal/mesh/sidecar/upstream_attempt_test.go
@@ -92,7 +92,7 @@
 		return
 	}
 	assert.Equal(t, stream.Trailer() != nil, complete, steps)
-	for stream.Held() > 0 {
+	for stream.Buffered() > 0 {
 		_, err := stream.Next(context.Background())
 		assert.NilError(t, err)
 	}
@@ -110,7 +110,7 @@
 	<-attempt.done
 	assert.Equal(t, len(streams), 1)
 	assert.Equal(t, attempt.ending, balancer.Broken)
-	assert.Assert(t, streams[0].Held() == 0 && streams[0].Trailer() == nil)
+	assert.Assert(t, streams[0].Buffered() == 0 && streams[0].Trailer() == nil)
 	body, err := streams[0].Next(context.Background()) // returns, for it has ended
 	assert.Assert(t, body == nil && err == nil)
 }
--- a/internal/mesh/sidecar/upstream_sender.go
+++ b/internal/mesh/sidecar/upstream_sender.go
@@ -15,7 +15,7 @@
 func (u *upstreams) Start(ctx context.Context, a *engine.Attempt) {
 	go func() {
 		ending, reply := u.runAttempt(ctx, a)
-		a.Payload.(*message.Request).Note.(*routedRequest).lastEnding.Store(uint32(ending))
+		a.Payload.(*message.Request).FrontData.(*routedRequest).lastEnding.Store(uint32(ending))
 		if reply == nil { // a nil *Reply in the interface would not be nil
 			a.End(ending, nil)
 			return
@@ -27,7 +27,7 @@
 // runAttempt makes an attempt and waits for its end.
 func (u *upstreams) runAttempt(ctx context.Context, a *engine.Attempt) (balancer.Ending, *message.Reply) {
 	m := a.Payload.(*message.Request)
-	routed := m.Note.(*routedRequest)
+	routed := m.FrontData.(*routedRequest)
 	if m.Spent() {
 		return balancer.NeverSent, nil
 	}
@@ -46,7 +46,7 @@
 	if ending, ok := u.beginAttempt(a, routed, nth); !ok {
 		return ending, nil
 	}
-	if m.More != nil && !m.Claim() {
+	if m.BodyRest != nil && !m.Claim() {
 		return balancer.NeverSent, nil
 	}
 	sent := &upstreamAttempt{
@@ -61,7 +61,7 @@
 	if conn.Send(u.newRequest(a, m, routed, sent.id, uint32(nth))) != nil {
 		return balancer.Unreachable, nil // nothing of it was written
 	}
-	if m.More != nil {
+	if m.BodyRest != nil {
 		go sent.uploadBody(ctx, m)
 	}
 	return sent.wait(ctx, m, routed)
@@ -87,7 +87,7 @@
 	select {
 	case <-a.done:
 	case <-ctx.Done():
-		if m.Runs != message.RunsOnce || m.More != nil { // else it goes on, and its response is stored for a repeat
+		if m.Idempotency != message.NotIdempotent || m.BodyRest != nil { // else it goes on, and its response is stored for a repeat
 			_ = a.conn.Send(&wire.CancelT{Id: a.id})
 		}
 		a.finish(engine.EndingOf(ctx), nil)
@@ -108,10 +108,10 @@
 	r := &wire.RequestT{
 		Id: id, AttemptId: routed.attemptID, Method: m.Method, Target: m.URL.Opaque, Host: m.Authority, Body: m.Body,
 		ContentLength: int64(len(m.Body)), TimeoutUs: int64(a.Timeout / time.Microsecond), ServerId: a.Endpoint.ID,
-		IdempotencyKey: routed.key, Token: routed.token, Attempt: nth, AtMostOnce: m.Runs == message.RunsOnce,
+		IdempotencyKey: routed.key, Token: routed.token, Attempt: nth, AtMostOnce: m.Idempotency == message.NotIdempotent,
 	}
-	if m.More != nil {
-		r.MoreBody, r.ContentLength = true, m.More.Length
+	if m.BodyRest != nil {
+		r.MoreBody, r.ContentLength = true, m.BodyRest.Length
 	}
 	far, _ := u.directory.table.Load().Get(a.Endpoint.Addr)
 	add := func(name, value string) {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -22,27 +22,27 @@
 	Header    map[string][]string
 	Body      []byte
 	GRPC      *GRPC // nil: not a gRPC request
-	// Runs says whether it may run more than once, where method and headers do not tell.
-	Runs Runs
-	// Note is data of the front that made the request, for senders that know its type.
-	Note any
-	// More is the rest of the body after Body, as the caller sends it; nil: nothing. It can be read only once: a
-	// sender must Claim it first.
-	More *Stream
-	// Most is the limit on Body and More together, in bytes, if no length is declared; 0: no limit.
-	Most          int64
+	// Idempotency says whether it may run more than once, where method and header fields do not tell.
+	Idempotency Idempotency
+	// FrontData is data of the front that made the request, for senders that know its type.
+	FrontData any
+	// BodyRest is what follows after Body, as the caller sends it; nil: nothing. It can be read only once: a sender must
+	// Claim it first.
+	BodyRest *Stream
+	// MaxBodyBytes is the limit on Body and BodyRest together, in bytes, if no length is declared; 0: no limit.
+	MaxBodyBytes  int64
 	streamClaimed atomic.Bool
 	failureReply  atomic.Pointer[Reply]
 }
 
-// Runs says whether a request may run more than once: whether it is idempotent (RFC 9110, section 9.2.2).
-type Runs uint8
+// Idempotency says whether a request may run more than once: whether it is idempotent (RFC 9110, section 9.2.2).
+type Idempotency uint8
 
-// Values of Runs.
+// Values of Idempotency.
 const (
-	RunsByForm Runs = iota // as method and idempotency key tell
-	RunsOnce               // never more than once
-	RunsOften              // any number of times
+	IdempotencyByMethod Idempotency = iota // as its method and its idempotency key tell
+	NotIdempotent                          // never more than once
+	Idempotent                             // any number of times
 )
 
 // Fail keeps the response that came with a failure, for a caller that gets no better one.
@@ -51,10 +51,10 @@
 // Failed is the last response that Fail kept; nil: none.
 func (r *Request) Failed() *Reply { return r.failureReply.Load() }
 
-// Spent says that no further attempt can send the complete request, because More was claimed.
-func (r *Request) Spent() bool { return r.More != nil && r.streamClaimed.Load() }
+// Spent says that no further attempt can send the complete request, because BodyRest was claimed.
+func (r *Request) Spent() bool { return r.BodyRest != nil && r.streamClaimed.Load() }
 
-// Claim returns true to the first caller only, which may then read More.
+// Claim returns true to the first caller only, which may then read BodyRest.
 func (r *Request) Claim() bool { return r.streamClaimed.CompareAndSwap(false, true) }
 
 // Reply is a server's complete response.
@@ -64,16 +64,16 @@
 	Status          int     // HTTP status; 0: 200
 	Header, Trailer []Field // for gRPC, and where a front forwards all fields
 
-	bodyLimit Room
+	bodyLimit ByteLimit
 	released  atomic.Bool
 }
 
-// Room is the limit that the bytes of a long body count against.
-type Room interface{ Give(n int64) }
+// ByteLimit is the limit that the bytes of a long body count against.
+type ByteLimit interface{ Give(n int64) }
 
-// NewReply returns a reply. Release returns the bytes of its body to room, unless that is nil.
-func NewReply(contentType string, body []byte, room Room) *Reply {
-	return &Reply{ContentType: contentType, Body: body, bodyLimit: room}
+// NewReply returns a reply. Release returns the bytes of its body to limit, unless that is nil.
+func NewReply(contentType string, body []byte, limit ByteLimit) *Reply {
+	return &Reply{ContentType: contentType, Body: body, bodyLimit: limit}
 }
 
 // Size is the length of the body, in bytes.
--- a/internal/message/stream.go
+++ b/internal/message/stream.go
@@ -10,8 +10,8 @@
 
 // GRPC is what a gRPC request has in addition. All attempts of a call share it.
 type GRPC struct {
-	Safe     bool // idempotent: may run any number of times
-	Streamed bool // the response may be streamed
+	Idempotent bool // idempotent: may run any number of times
+	Streamed   bool // the response may be streamed
 
 	mu     sync.Mutex
 	failed []Field
@@ -40,9 +40,9 @@
 	// Length is the declared length of the whole body, in bytes; -1: none. It is 0 for gRPC, whose streams may be the
 	// work itself and not only the transfer of its result.
 	Length int64
-	// Dropped is called with the bytes that Release discards and those that come after it; nil: not called. It must be
+	// OnDiscarded is called with the bytes that Release discards and those that come after it; nil: not called. It must be
 	// set before the first Push.
-	Dropped func(n int)
+	OnDiscarded func(n int)
 
 	onConsumed func(n int) // called without a lock for each chunk that is taken
 	wake       chan struct{}
@@ -70,8 +70,8 @@
 		s.chunks = append(s.chunks, p)
 	}
 	s.mu.Unlock()
-	if released && s.Dropped != nil {
-		s.Dropped(len(p))
+	if released && s.OnDiscarded != nil {
+		s.OnDiscarded(len(p))
 	}
 	s.signal()
 }
@@ -139,8 +139,8 @@
 	return s.trailer
 }
 
-// Held is how many bytes were pushed and not taken yet.
-func (s *Stream) Held() (n int) {
+// Buffered is how many bytes were pushed and not taken yet.
+func (s *Stream) Buffered() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.chunks {
@@ -158,7 +158,7 @@
 	}
 	s.chunks, s.released = nil, true
 	s.mu.Unlock()
-	if n > 0 && s.Dropped != nil {
-		s.Dropped(n)
+	if n > 0 && s.OnDiscarded != nil {
+		s.OnDiscarded(n)
 	}
 }
--- a/internal/message/stream_test.go
+++ b/internal/message/stream_test.go
@@ -49,13 +49,13 @@
 func TestReleasedStreamKeepsNothing(t *testing.T) {
 	s := NewStream(nil, func(int) { t.Error("bytes are reported as consumed that were not taken") })
 	s.Push([]byte("abc"))
-	if s.Held() != 3 {
-		t.Errorf("%d bytes are kept", s.Held())
+	if s.Buffered() != 3 {
+		t.Errorf("%d bytes are kept", s.Buffered())
 	}
 	s.Release()
 	s.Push([]byte("abc"))
-	if s.Held() != 0 {
-		t.Errorf("%d bytes are kept", s.Held())
+	if s.Buffered() != 0 {
+		t.Errorf("%d bytes are kept", s.Buffered())
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	cause := errors.New("cause")
--- a/internal/message/timeleft.go
+++ b/internal/message/timeleft.go
@@ -23,11 +23,13 @@
 	return time.Duration(v), true
 }
 
-// TimeLeft formats a duration as the value of X-Time-Left, at least 1u.
-func TimeLeft(d time.Duration) string { return strconv.FormatInt(max(1, d.Microseconds()), 10) + "u" }
+// FormatTimeLeft formats a duration as the value of X-Time-Left, at least 1u.
+func FormatTimeLeft(d time.Duration) string {
+	return strconv.FormatInt(max(1, d.Microseconds()), 10) + "u"
+}
 
-// Length reads the value of Content-Length (RFC 9110, section 8.6); 0 if it is invalid.
-func Length(s string) int64 {
+// ParseContentLength reads the value of Content-Length (RFC 9110, section 8.6); 0 if it is invalid.
+func ParseContentLength(s string) int64 {
 	n, err := strconv.ParseInt(s, 10, 63)
 	if err != nil || n < 0 {
 		return 0
--- a/internal/message/timeleft_test.go
+++ b/internal/message/timeleft_test.go
@@ -18,7 +18,7 @@
 
 func TestFormatTimeLeft(t *testing.T) {
 	for d, want := range map[time.Duration]string{0: "1u", time.Microsecond: "1u", 1500 * time.Millisecond: "1500000u"} {
-		if got := TimeLeft(d); got != want {
+		if got := FormatTimeLeft(d); got != want {
 			t.Errorf("%v: %s", d, got)
 		}
 	}
--- a/internal/node/bench_h2_test.go
+++ b/internal/node/bench_h2_test.go
@@ -185,7 +185,7 @@
 		}
 		most := int64(0)
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end) && most < 10_000; time.Sleep(20 * time.Millisecond) {
-			most = max(most, n.serving.Load().pools["p"].Engine().Open())
+			most = max(most, n.serving.Load().pools["p"].Engine().OpenCalls())
 		}
 		b.ReportMetric(float64(most), "streams")
 		b.ReportMetric((held()-idle)/float64(max(most, 1)), "B/open-stream")
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -80,7 +80,7 @@
 	if p == nil || len(p.Servers) == 0 {
 		return
 	}
-	known := engine.News{Full: true, Cached: true, Version: p.List}
+	known := engine.ListUpdate{Full: true, Cached: true, Version: p.List}
 	for _, s := range p.Servers {
 		var l engine.Listed
 		l.ID, l.Addr, l.Zone, l.Cell, l.State, l.Size, l.StartedAt, l.Weight, l.Priority =
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -20,11 +20,11 @@
 // newShares are a pool's part of each budget. The only pool, which has no name, leaves callers to newCallers.
 func (b *budgets) newShares(name string) pool.Shares {
 	shares := pool.Shares{
-		Calls: b.calls.NewShare(), Held: b.held.NewShare(), Connections: b.connections.NewShare(),
-		Bodies: b.bodies.NewShare(), LongAnswers: b.longAnswers.NewShare(),
+		Calls: b.calls.NewShare(), PendingCalls: b.held.NewShare(), Connections: b.connections.NewShare(),
+		RequestBodies: b.bodies.NewShare(), ResponseBuffers: b.longAnswers.NewShare(),
 	}
 	if name != "" {
-		shares.Callers = b.callers.NewShare()
+		shares.DownstreamConns = b.callers.NewShare()
 	}
 	return shares
 }
@@ -45,7 +45,7 @@
 			func(l operator.Limits) pool.Quota { return l.Calls },
 		},
 		{
-			b.held, t.Held, func(s pool.Shares) *pool.Share { return s.Held },
+			b.held, t.Held, func(s pool.Shares) *pool.Share { return s.PendingCalls },
 			func(l operator.Limits) pool.Quota { return l.Held },
 		},
 		{
@@ -53,15 +53,15 @@
 			func(l operator.Limits) pool.Quota { return l.Connections },
 		},
 		{
-			b.bodies, t.Bodies, func(s pool.Shares) *pool.Share { return s.Bodies },
+			b.bodies, t.Bodies, func(s pool.Shares) *pool.Share { return s.RequestBodies },
 			func(l operator.Limits) pool.Quota { return l.Bodies },
 		},
 		{
-			b.longAnswers, t.LongAnswers, func(s pool.Shares) *pool.Share { return s.LongAnswers },
+			b.longAnswers, t.LongAnswers, func(s pool.Shares) *pool.Share { return s.ResponseBuffers },
 			func(l operator.Limits) pool.Quota { return l.LongAnswers },
 		},
 		{
-			b.callers, t.Callers, func(s pool.Shares) *pool.Share { return s.Callers },
+			b.callers, t.Callers, func(s pool.Shares) *pool.Share { return s.DownstreamConns },
 			func(l operator.Limits) pool.Quota { return l.Callers },
 		},
 	}
--- a/internal/node/long_test.go
+++ b/internal/node/long_test.go
@@ -242,7 +242,7 @@
 	fmt.Fprintf(c, "POST /order/1 HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: off\r\nX-Time-Left: 300m\r\nContent-Length: %d\r\n\r\n%s", 1<<20, strings.Repeat("x", 200<<10))
 	testkit.Eventually(t, "the upload never reached a server", func() bool { return seen.Load() == 2 })
 	c.Close()
-	testkit.Eventually(t, "something is left open", func() bool { return n.only().Open() == 0 })
+	testkit.Eventually(t, "something is left open", func() bool { return n.only().OpenCalls() == 0 })
 }
 
 // A caller that waits for 100 is told to go on only once its request is taken, and not at all if it is refused.
--- a/internal/node/new_pool.go
+++ b/internal/node/new_pool.go
@@ -31,8 +31,8 @@
 	}
 	p, err := pool.New(pool.Config{
 		Name: pp.Name, Settings: pp.Settings, Seed: seed(pp), Clock: n.clock,
-		Sender: to, Source: n.source(pp.List, x), Known: pp.Known, Pushed: pp.Pushed,
-		Shares: shares, Module: module, GRPC: pp.GRPC, Orders: n.adminState, Learned: learned,
+		Sender: to, Source: n.source(pp.List, x), InitialList: pp.Known, Pushed: pp.Pushed,
+		Shares: shares, Module: module, GRPC: pp.GRPC, AdminStates: n.adminState, Knowledge: learned,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("pool %q: %w", pp.Name, err)
@@ -70,8 +70,8 @@
 	switch {
 	case !pp.H2:
 		return sender.New(sender.Config{
-			Idle: pp.Conns.Idle, Connect: pp.Conns.ConnectWithin,
-			Connections: shares.Connections, LongAnswers: shares.LongAnswers,
+			ServerIdleTimeout: pp.Conns.Idle, ConnectTimeout: pp.Conns.ConnectWithin,
+			Connections: shares.Connections, ResponseBuffers: shares.ResponseBuffers,
 		}), nil
 	case n.options.H2 == nil:
 		return nil, ErrNoH2
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -200,7 +200,7 @@
 	old := n.serving.Load().pools["a"]
 	answers := make(chan fake.Exchange, 1)
 	go func() { answers <- w.ask("a", order) }()
-	testkit.Eventually(t, "the request is not taken", func() bool { return old.Engine().Open() == 1 })
+	testkit.Eventually(t, "the request is not taken", func() bool { return old.Engine().OpenCalls() == 1 })
 
 	reload(t, n, planOf(t, "", poolOf("b", servers(other)))) // without a
 	if x := w.ask("a", read); x.Status != 404 {
@@ -249,7 +249,7 @@
 	answers := make(chan fake.Exchange, 1)
 	go func() { answers <- w.ask("a", order) }()
 	a := n.serving.Load().pools["a"]
-	testkit.Eventually(t, "the request is not taken", func() bool { return a.Engine().Open() == 1 })
+	testkit.Eventually(t, "the request is not taken", func() bool { return a.Engine().OpenCalls() == 1 })
 	moved := strings.Replace(poolOf("a", source), `host = "a.test"`, `host = "elsewhere.test"`, 1)
 	reload(t, n, planOf(t, "", moved, poolOf("b", servers(other)), "\n[[routes]]\nhost = \"a.test\"\npool = \"b\"\n"))
 	if n.serving.Load().pools["a"] != a {
@@ -371,7 +371,7 @@
 	first.Host = "a.test"
 	go http.DefaultTransport.RoundTrip(first)
 	p := n.serving.Load().pools["a"]
-	testkit.Eventually(t, "the request is not taken", func() bool { return p.Engine().Open() == 1 })
+	testkit.Eventually(t, "the request is not taken", func() bool { return p.Engine().OpenCalls() == 1 })
 	c := dial(t, n.Addr().String())
 	answers := bufio.NewReader(c)
 	for i := range 3 { // on one connection
--- a/internal/node/xds_test.go
+++ b/internal/node/xds_test.go
@@ -172,7 +172,7 @@
 						t.Errorf("sent to %s: %+v", a.Server, a)
 					}
 				}
-				testkit.Eventually(t, "something is left open", func() bool { return p.Engine().Open() == 0 })
+				testkit.Eventually(t, "something is left open", func() bool { return p.Engine().OpenCalls() == 0 })
 			})
 		})
 	}
@@ -189,7 +189,7 @@
 		p := w.node.serving.Load().pools["a"]
 		answer := make(chan fake.Exchange, 1)
 		go func() { answer <- w.ask("a", order) }()
-		testkit.Eventually(t, "the request is not taken", func() bool { return p.Engine().Open() == 1 })
+		testkit.Eventually(t, "the request is not taken", func() bool { return p.Engine().OpenCalls() == 1 })
 		for range 3 {
 			w.plane.Set(resource.ClusterURL, map[string]proto.Message{"c": nil})
 			w.cluster("c")
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -102,7 +102,7 @@
 	Settings balancer.Settings
 	Conns    wire.Connections
 	Seed     uint64 // 0: the node draws one
-	Known    engine.News
+	Known    engine.ListUpdate
 	Pushed   bool
 	List     List
 	Limits   Limits
--- a/internal/operator/servers.go
+++ b/internal/operator/servers.go
@@ -51,7 +51,7 @@
 		p.List.Static = append(p.List.Static, s)
 	}
 	if p.List.XDS != "" && p.List.Static != nil {
-		p.Known = engine.News{Full: true, Cached: true, Servers: p.List.Static}
+		p.Known = engine.ListUpdate{Full: true, Cached: true, Servers: p.List.Static}
 		p.List.Static = nil
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -17,29 +17,29 @@
 
 // Shares are a pool's parts of the budgets of the process.
 type Shares struct {
-	Calls       *Share // calls that are accepted and not yet answered
-	Held        *Share // of those, the ones that wait for a server
-	Connections *Share // to servers, with idle ones and those being dialled
-	Bodies      *Share // bytes of request bodies
-	LongAnswers *Share // bytes of response bodies over message.MaxBody
-	Callers     *Share // downstream connections whose last request was for this pool
+	Calls           *Share // calls that are accepted and not yet answered
+	PendingCalls    *Share // of those, the ones that wait for a server
+	Connections     *Share // to servers, with idle ones and those being dialled
+	RequestBodies   *Share // bytes of request bodies
+	ResponseBuffers *Share // bytes of response bodies over message.MaxBody
+	DownstreamConns *Share // downstream connections whose last request was for this pool
 }
 
 // Config holds the parts and limits of a pool.
 type Config struct {
-	Name     string
-	Settings balancer.Settings
-	Seed     uint64
-	Clock    engine.Clock
-	Sender   engine.Sender
-	Source   engine.Source
-	Orders   engine.AdminStates  // set by operators; nil: none
-	Known    engine.News         // the list from before the start; may be empty
-	Pushed   bool                // the source pushes the list
-	Learned  *balancer.Knowledge // by the pool that this one takes over from; nil: none
-	Shares   Shares
-	Module   engine.Module // nil: a balancer.Balancer of Settings and Seed
-	GRPC     bool          // its servers accept gRPC requests only
+	Name        string
+	Settings    balancer.Settings
+	Seed        uint64
+	Clock       engine.Clock
+	Sender      engine.Sender
+	Source      engine.Source
+	AdminStates engine.AdminStates  // set by operators; nil: none
+	InitialList engine.ListUpdate   // the list from before the start; may be empty
+	Pushed      bool                // the source pushes the list
+	Knowledge   *balancer.Knowledge // by the pool that this one takes over from; nil: none
+	Shares      Shares
+	Module      engine.Module // nil: a balancer.Balancer of Settings and Seed
+	GRPC        bool          // its servers accept gRPC requests only
 }
 
 // Pool is one service of the process. Its methods may be called from any goroutine, but for Run.
@@ -49,7 +49,7 @@
 	engine      *engine.Engine
 	shares      Shares
 	sender      engine.Sender
-	initialList engine.News
+	initialList engine.ListUpdate
 	knowledge   *balancer.Knowledge
 	pushed      bool
 	grpc        bool
@@ -70,15 +70,15 @@
 	}
 	p := &Pool{
 		name: cfg.Name, classes: make(map[string]balancer.Class, len(cfg.Settings.Classes)), shares: cfg.Shares,
-		sender: cfg.Sender, initialList: cfg.Known, knowledge: cfg.Learned, pushed: cfg.Pushed, grpc: cfg.GRPC, stop: func() {},
+		sender: cfg.Sender, initialList: cfg.InitialList, knowledge: cfg.Knowledge, pushed: cfg.Pushed, grpc: cfg.GRPC, stop: func() {},
 	}
 	for _, c := range cfg.Settings.Classes {
 		p.classes[c.Name] = c
 	}
 	p.engine = engine.New(engine.Config{
 		Name: cfg.Name, Clock: cfg.Clock, Module: cfg.Module, Sender: cfg.Sender,
-		Source: cfg.Source, MaxAttempts: cfg.Settings.MaxAttempts, Pushed: cfg.Pushed, Pending: cfg.Shares.Held,
-		AdminStates: cfg.Orders,
+		Source: cfg.Source, MaxAttempts: cfg.Settings.MaxAttempts, Pushed: cfg.Pushed, Pending: cfg.Shares.PendingCalls,
+		AdminStates: cfg.AdminStates,
 	})
 	return p, nil
 }
@@ -140,7 +140,7 @@
 		p.activeCalls.Add(-1)
 		return ErrCalls
 	}
-	if body > 0 && !p.shares.Bodies.Take(body) {
+	if body > 0 && !p.shares.RequestBodies.Take(body) {
 		p.shares.Calls.Give(1)
 		p.activeCalls.Add(-1)
 		return ErrBodies
@@ -151,7 +151,7 @@
 // Leave returns what Enter reserved for a body of the same size.
 func (p *Pool) Leave(body int64) {
 	if body > 0 {
-		p.shares.Bodies.Give(body)
+		p.shares.RequestBodies.Give(body)
 	}
 	p.shares.Calls.Give(1)
 	p.activeCalls.Add(-1)
@@ -167,7 +167,7 @@
 	tick := time.NewTicker(retirePollInterval)
 	defer tick.Stop()
 	over := ctx.Done()
-	for p.activeCalls.Load() > 0 || p.engine.Open() > 0 {
+	for p.activeCalls.Load() > 0 || p.engine.OpenCalls() > 0 {
 		select {
 		case <-tick.C:
 		case <-over:
--- a/internal/sender/h2/loop.go
+++ b/internal/sender/h2/loop.go
@@ -76,13 +76,13 @@
 		return nil
 	}
 	m := r.message
-	if m.More != nil && !m.Claim() {
+	if m.BodyRest != nil && !m.Claim() {
 		r.reject(balancer.Failure) // another attempt has the rest of the body
 		return nil
 	}
 	var actions []client.Action
 	if m.GRPC != nil && m.GRPC.Streamed {
-		r.stream, actions = l.machine.RequestStreamed(now, r.fields, m.Body, mayHaveEffects(m), m.More != nil)
+		r.stream, actions = l.machine.RequestStreamed(now, r.fields, m.Body, mayHaveEffects(m), m.BodyRest != nil)
 	} else {
 		r.stream, actions = l.machine.Request(now, r.fields, m.Body, mayHaveEffects(m))
 	}
@@ -170,11 +170,11 @@
 // beginReply passes on a streamed reply, if it is a gRPC response.
 func (l *connLoop) beginReply(a client.Began) {
 	r := l.requests[a.Stream]
-	if r == nil || !grpc.Begins(a.Answer.Status, messageFields(a.Answer.Header)) {
+	if r == nil || !grpc.IsGRPCResponse(a.Response.Status, messageFields(a.Response.Header)) {
 		return
 	}
 	c := l.conn
-	r.reply = message.NewStream(messageFields(a.Answer.Header), func(n int) { c.post(consumedBytes{r, n}) })
+	r.reply = message.NewStream(messageFields(a.Response.Header), func(n int) { c.post(consumedBytes{r, n}) })
 	r.attempt.Began(r.reply)
 }
 
@@ -187,7 +187,7 @@
 		// It is no gRPC response. Its bytes are never consumed, so the stream's window stops the server.
 		r.malformed = true
 	default:
-		r.malformed = r.replyMessages.Take(a.Bytes) != nil || r.malformed
+		r.malformed = r.replyMessages.Scan(a.Bytes) != nil || r.malformed
 		r.reply.Push(a.Bytes)
 	}
 }
--- a/internal/sender/h2/outcome.go
+++ b/internal/sender/h2/outcome.go
@@ -25,21 +25,21 @@
 		return balancer.NeverSent, nil
 	}
 	received := int64(0)
-	if done.Ending == client.Answered && done.Answer.Status != http.StatusOK {
-		received = int64(len(done.Answer.Body)) // the engine counts the body of a reply itself
+	if done.Ending == client.Completed && done.Response.Status != http.StatusOK {
+		received = int64(len(done.Response.Body)) // the engine counts the body of a reply itself
 	}
 	r.attempt.RecordTransfer(int64(len(r.message.Body)), received, "")
-	if done.Ending != client.Answered {
+	if done.Ending != client.Completed {
 		return engine.EndingOf(ctx), nil
 	}
 	if r.message.GRPC != nil {
-		return grpcOutcome(r, done.Answer)
+		return grpcOutcome(r, done.Response)
 	}
-	return httpOutcome(done.Answer)
+	return httpOutcome(done.Response)
 }
 
 // httpOutcome classifies a complete response of the platform's protocol.
-func httpOutcome(response client.Answer) (balancer.Ending, *message.Reply) {
+func httpOutcome(response client.Response) (balancer.Ending, *message.Reply) {
 	contentType, unprocessed := "", false
 	for _, field := range response.Header {
 		switch field.Name {
@@ -59,15 +59,15 @@
 }
 
 // grpcOutcome classifies a complete gRPC response, and ends the reply if it was streamed.
-func grpcOutcome(r *streamRequest, response client.Answer) (balancer.Ending, *message.Reply) {
-	answer := grpc.Answer{
+func grpcOutcome(r *streamRequest, response client.Response) (balancer.Ending, *message.Reply) {
+	answer := grpc.Response{
 		Status: response.Status, Header: messageFields(response.Header), Trailer: messageFields(response.Trailer),
-		Messages: r.replyMessages, Garbled: r.malformed,
+		Messages: r.replyMessages, Malformed: r.malformed,
 	}
-	if r.reply == nil && answer.Messages.Take(response.Body) != nil {
-		answer.Garbled = true
+	if r.reply == nil && answer.Messages.Scan(response.Body) != nil {
+		answer.Malformed = true
 	}
-	verdict := grpc.Judge(answer)
+	verdict := grpc.Classify(answer)
 	if verdict.Ending == balancer.Failure {
 		r.message.GRPC.Fail(verdict.Fields)
 	}
--- a/internal/sender/h2/request.go
+++ b/internal/sender/h2/request.go
@@ -66,7 +66,7 @@
 			client.Field{Name: "te", Value: "trailers"},
 			client.Field{Name: "grpc-timeout", Value: grpc.FormatTimeout(a.Timeout)})
 	} else {
-		fields = append(fields, client.Field{Name: "x-time-left", Value: message.TimeLeft(a.Timeout)})
+		fields = append(fields, client.Field{Name: "x-time-left", Value: message.FormatTimeLeft(a.Timeout)})
 	}
 	for name, values := range m.Header {
 		for _, value := range values {
@@ -84,8 +84,8 @@
 	switch {
 	case m.GRPC != nil:
 		return 0, false
-	case m.More != nil:
-		return m.More.Length, m.More.Length >= 0
+	case m.BodyRest != nil:
+		return m.BodyRest.Length, m.BodyRest.Length >= 0
 	}
 	return int64(len(m.Body)), len(m.Body) > 0 || m.Method == http.MethodPost
 }
@@ -94,7 +94,7 @@
 // may be dead: its method is not safe (RFC 9110, section 9.2.1), or its gRPC method is not declared idempotent.
 func mayHaveEffects(m *message.Request) bool {
 	if m.GRPC != nil {
-		return !m.GRPC.Safe
+		return !m.GRPC.Idempotent
 	}
 	return m.Method != http.MethodGet && m.Method != http.MethodHead
 }
--- a/internal/sender/h2/sender.go
+++ b/internal/sender/h2/sender.go
@@ -96,7 +96,7 @@
 		c.release()
 		return balancer.Unreachable, nil // the connection ended before anything of the request was written
 	}
-	if m.More != nil {
+	if m.BodyRest != nil {
 		uploading, stop := context.WithCancel(ctx)
 		defer stop()
 		go c.upload(uploading, r)
@@ -140,12 +140,12 @@
 		case <-ctx.Done():
 			return
 		}
-		chunk, err := r.message.More.Next(ctx)
+		chunk, err := r.message.BodyRest.Next(ctx)
 		if err != nil {
 			return
 		}
 		last := chunk == nil
-		if last && r.message.More.Trailer() == nil {
+		if last && r.message.BodyRest.Trailer() == nil {
 			return // the caller broke off; the engine withdraws the attempt
 		}
 		if !c.post(requestChunk{r, chunk, last}) || last {
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -43,9 +43,9 @@
 	readLimit *io.LimitedReader // under r
 	idleSince time.Time         // idle since
 	reused    bool              // it carried a request before
-	// hadUnnamedAnswer: a response on it was Unnamed, so a duplicate of that could not be told from the next response.
-	hadUnnamedAnswer bool
-	dialTime         time.Duration // how long it took to connect: at least one round trip
+	// hadUnnamedResponse: a response on it was MatchUnnamed, so a duplicate of that could not be told from the next response.
+	hadUnnamedResponse bool
+	dialTime           time.Duration // how long it took to connect: at least one round trip
 }
 
 var errConnectionLimit = errors.New("no descriptor left for another connection")
@@ -101,7 +101,7 @@
 	defer p.mu.Unlock()
 	l := p.idle[ep]
 	for i, c := range slices.Backward(l) {
-		if time.Since(c.idleSince) >= p.settleTime && !(unsafe && c.hadUnnamedAnswer) {
+		if time.Since(c.idleSince) >= p.settleTime && !(unsafe && c.hadUnnamedResponse) {
 			p.idle[ep] = slices.Delete(l, i, i+1)
 			return c
 		}
--- a/internal/sender/http1/forward.go
+++ b/internal/sender/http1/forward.go
@@ -28,8 +28,8 @@
 func (s *Sender) forwardBody(
 	ctx context.Context, a *engine.Attempt, body io.Reader, resp *http.Response,
 ) (reply *message.Reply, size int64, err error) {
-	status, h, ct := s.speech.Word(resp)
-	f := newLimitedStream(s.answerLimit, h, resp.ContentLength)
+	status, h, ct := s.protocol.ResponseHead(resp)
+	f := newLimitedStream(s.responseLimit, h, resp.ContentLength)
 	f.Status = status
 	begin := &streamStart{a: a, f: f}
 	if resp.ContentLength < 0 {
@@ -49,7 +49,7 @@
 		if size += int64(n); n > 0 {
 			f.Push(append([]byte(nil), buf[:n]...))
 		}
-		if size > maxAnswer {
+		if size > maxResponseBody {
 			err = errTooLong
 		}
 		if err == io.EOF {
@@ -125,7 +125,7 @@
 func newLimitedStream(room engine.SharedLimit, header []message.Field, length int64) *limitedStream {
 	f := &limitedStream{limit: room, wake: make(chan struct{}, 1)}
 	f.Stream = message.NewStream(header, f.release)
-	f.Stream.Length, f.Stream.Dropped = length, f.release
+	f.Stream.Length, f.Stream.OnDiscarded = length, f.release
 	return f
 }
 
--- a/internal/sender/http1/helpers_test.go
+++ b/internal/sender/http1/helpers_test.go
@@ -19,7 +19,7 @@
 
 // newTestSender returns a sender whose time-outs are long enough for a slow machine, and which reuses connections at once.
 func newTestSender(maxConns int64) *Sender {
-	s := New(Config{Idle: time.Minute, Connect: limit, Connections: testkit.NewRoom(maxConns), LongAnswers: testkit.NewRoom(1 << 40)})
+	s := New(Config{ServerIdleTimeout: time.Minute, ConnectTimeout: limit, Connections: testkit.NewRoom(maxConns), ResponseBuffers: testkit.NewRoom(1 << 40)})
 	s.readTimeout, s.bufferTime, s.settleTime = limit, limit, 0
 	return s
 }
@@ -36,7 +36,7 @@
 
 // atMostOnceRequest is a request that must not run twice, and whose responses name it by its id.
 func atMostOnceRequest(id string) *message.Request {
-	return &message.Request{Method: "POST", URL: &url.URL{Path: "/" + id}, Authority: "app.svc", Header: map[string][]string{"Id": {id}}, Runs: message.RunsOnce}
+	return &message.Request{Method: "POST", URL: &url.URL{Path: "/" + id}, Authority: "app.svc", Header: map[string][]string{"Id": {id}}, Idempotency: message.NotIdempotent}
 }
 
 // sendKeyed makes one attempt of a keyed request.
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -20,43 +20,43 @@
 
 // Config holds the limits of a sender.
 type Config struct {
-	Idle        time.Duration      // time after which servers close idle connections; the sender closes them earlier
-	Connect     time.Duration      // time-out of connecting
-	Connections engine.SharedLimit // limit on connections, with idle ones and those being dialled
-	LongAnswers engine.SharedLimit // limit on buffered bytes of responses that are forwarded as they come
-	Speech      Speech             // nil: the platform's protocol
-	Quiet       time.Duration      // time-out of each read of a response; 0: readTimeout, for one that can be retried
+	ServerIdleTimeout time.Duration      // time after which servers close idle connections; the sender closes them earlier
+	ConnectTimeout    time.Duration      // time-out of connecting
+	Connections       engine.SharedLimit // limit on connections, with idle ones and those being dialled
+	ResponseBuffers   engine.SharedLimit // limit on buffered bytes of responses that are forwarded as they come
+	Protocol          Protocol           // nil: the platform's protocol
+	ReadTimeout       time.Duration      // time-out of each read of a response; 0: readTimeout, for one that can be retried
 }
 
 // Sender makes attempts over a connection pool of its own. It implements engine.Sender; the payload is a
 // *message.Request, the reply a *message.Reply. Its methods may be called from any goroutine.
 type Sender struct {
 	connectionPool
-	answerLimit       engine.SharedLimit
+	responseLimit     engine.SharedLimit
 	readTimeout       time.Duration
 	streamReadTimeout time.Duration
 	bufferTime        time.Duration
-	speech            Speech
+	protocol          Protocol
 }
 
 var _ engine.Sender = (*Sender)(nil)
 
 // New returns a sender with no connections.
 func New(cfg Config) *Sender {
-	if cfg.Speech == nil {
-		cfg.Speech = platformProtocol{}
+	if cfg.Protocol == nil {
+		cfg.Protocol = platformProtocol{}
 	}
 	return &Sender{
 		connectionPool: connectionPool{
 			// Well before the server closes it: a request that crosses the close is lost to a reset (RFC 9112, section 9.5).
-			idleTimeout: cfg.Idle * 3 / 4, connectTimeout: cfg.Connect, settleTime: settleTime, start: time.Now(),
+			idleTimeout: cfg.ServerIdleTimeout * 3 / 4, connectTimeout: cfg.ConnectTimeout, settleTime: settleTime, start: time.Now(),
 			minProbeWait: minProbeWait, idle: map[*engine.Endpoint][]*conn{}, limit: cfg.Connections,
 		},
-		answerLimit:       cfg.LongAnswers,
-		readTimeout:       cmp.Or(cfg.Quiet, readTimeout),
-		streamReadTimeout: max(cfg.Quiet, streamReadTimeout),
+		responseLimit:     cfg.ResponseBuffers,
+		readTimeout:       cmp.Or(cfg.ReadTimeout, readTimeout),
+		streamReadTimeout: max(cfg.ReadTimeout, streamReadTimeout),
 		bufferTime:        bufferTime,
-		speech:            cfg.Speech,
+		protocol:          cfg.Protocol,
 	}
 }
 
@@ -103,7 +103,7 @@
 		return result{ending: balancer.NeverSent}
 	}
 	// A body that can be sent only once needs the same care as a request that may run only once.
-	careful := nonIdempotent(m) || m.More != nil
+	careful := nonIdempotent(m) || m.BodyRest != nil
 	c, err := s.acquire(ctx, a.Endpoint, careful)
 	switch {
 	case err != nil && ctx.Err() == nil:
@@ -120,7 +120,7 @@
 		return result{ending: ending}
 	}
 	on := exchangeConn{conn: c, stop: closeAtEnd(ctx, c), unsent: text}
-	if careful && s.needsProbe(c) || m.More != nil && c.reused {
+	if careful && s.needsProbe(c) || m.BodyRest != nil && c.reused {
 		var ending balancer.Ending
 		var ok bool
 		if on, ending, ok = s.probe(ctx, a, on, text); !ok {
--- a/internal/sender/http1/match_test.go
+++ b/internal/sender/http1/match_test.go
@@ -25,17 +25,17 @@
 func (p namingProtocol) Matches(m *message.Request, resp *http.Response) Match {
 	switch id := resp.Header.Get("Id"); {
 	case p.byOrder || id == m.Header["Id"][0]:
-		return OfRequest
+		return MatchRequest
 	case id == "" && resp.StatusCode/100 != 2:
-		return Unnamed
+		return MatchUnnamed
 	}
-	return OfAnother
+	return MatchOther
 }
 
 func newNamingSender(byOrder bool) *Sender {
 	s := New(Config{
-		Idle: testkit.Limit, Connect: limit, Connections: testkit.NewRoom(10), LongAnswers: testkit.NewRoom(1 << 40),
-		Speech: namingProtocol{byOrder: byOrder},
+		ServerIdleTimeout: testkit.Limit, ConnectTimeout: limit, Connections: testkit.NewRoom(10), ResponseBuffers: testkit.NewRoom(1 << 40),
+		Protocol: namingProtocol{byOrder: byOrder},
 	})
 	s.readTimeout, s.settleTime = limit, 0
 	return s
@@ -106,7 +106,7 @@
 				}
 			}
 			m := atMostOnceRequest("b")
-			m.Runs = message.RunsOften // so that it uses an idle connection, if there is one
+			m.Idempotency = message.Idempotent // so that it uses an idle connection, if there is one
 			res := send(t, s, ep, m)
 			<-received
 			if res.reply == nil || string(res.reply.Body) != c.want {
--- a/internal/sender/http1/protocol.go
+++ b/internal/sender/http1/protocol.go
@@ -8,40 +8,40 @@
 	"cranegrade/internal/message"
 )
 
-// Speech is the application protocol on top of HTTP: the platform's, or the mesh's. Its methods are called from many
+// Protocol is the application protocol on top of HTTP: the platform's, or the mesh's. Its methods are called from many
 // goroutines.
-type Speech interface {
-	// Head adds the header fields that belong to this attempt and not to the request.
-	Head(a *engine.Attempt, h http.Header)
+type Protocol interface {
+	// SetHeader adds the header fields that belong to this attempt and not to the request.
+	SetHeader(a *engine.Attempt, h http.Header)
 	// Matches says which request a response belongs to, as far as it tells. A response to another request is discarded.
 	Matches(m *message.Request, resp *http.Response) Match
-	// Ending classifies a complete response, and says whether its body is needed.
-	Ending(resp *http.Response) (ending balancer.Ending, wanted bool)
-	// Word returns the head of a response as it is passed downstream.
-	Word(resp *http.Response) (status int, header []message.Field, contentType string)
+	// Classify classifies a complete response, and says whether its body is needed.
+	Classify(resp *http.Response) (ending balancer.Ending, wanted bool)
+	// ResponseHead returns the head of a response as it is passed downstream.
+	ResponseHead(resp *http.Response) (status int, header []message.Field, contentType string)
 }
 
 // Match says which request a response belongs to, by its own fields.
 type Match uint8
 
-// Values of Match. Unnamed is a response that names no request. It counts as that of the pending request, but its
+// Values of Match. MatchUnnamed is a response that names no request. It counts as that of the pending request, but its
 // connection carries no more requests that are not idempotent: a duplicate of it could not be told from the next response.
 const (
-	OfAnother Match = iota
-	Unnamed
-	OfRequest
+	MatchOther Match = iota
+	MatchUnnamed
+	MatchRequest
 )
 
-// platformProtocol is the Speech of the platform's protocol.
+// platformProtocol is the Protocol of the platform's protocol.
 type platformProtocol struct{}
 
-func (platformProtocol) Head(a *engine.Attempt, h http.Header) {
-	h["X-Time-Left"] = []string{message.TimeLeft(a.Timeout)}
+func (platformProtocol) SetHeader(a *engine.Attempt, h http.Header) {
+	h["X-Time-Left"] = []string{message.FormatTimeLeft(a.Timeout)}
 }
 
-func (platformProtocol) Matches(*message.Request, *http.Response) Match { return OfRequest }
+func (platformProtocol) Matches(*message.Request, *http.Response) Match { return MatchRequest }
 
-func (platformProtocol) Ending(resp *http.Response) (balancer.Ending, bool) {
+func (platformProtocol) Classify(resp *http.Response) (balancer.Ending, bool) {
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return balancer.Success, true
@@ -52,7 +52,7 @@
 	return balancer.Failure, false
 }
 
-func (platformProtocol) Word(resp *http.Response) (int, []message.Field, string) {
+func (platformProtocol) ResponseHead(resp *http.Response) (int, []message.Field, string) {
 	h := []message.Field{}
 	v := resp.Header.Get("Content-Type")
 	if v != "" {
--- a/internal/sender/http1/read.go
+++ b/internal/sender/http1/read.go
@@ -20,8 +20,8 @@
 	// longer one is forwarded as it comes.
 	maxBody = message.MaxBody
 	// maxAnswer is the limit on a body that is forwarded, in bytes.
-	maxAnswer      = 64 << 20
-	maxHeaderBytes = 32 << 10 // header section with those of interim responses before it
+	maxResponseBody = 64 << 20
+	maxHeaderBytes  = 32 << 10 // header section with those of interim responses before it
 	// readTimeout is the time-out of each read of a response that is buffered.
 	readTimeout = 500 * time.Millisecond
 	// streamReadTimeout is the same for one that is forwarded: no other attempt can take its place.
@@ -32,58 +32,58 @@
 )
 
 var (
-	errUnframed = errors.New("the answer's length is not told")
-	errStray    = errors.New("the answer is another request's")
-	errTooLong  = errors.New("the answer is too long")
+	errUnframed     = errors.New("the answer's length is not told")
+	errOtherRequest = errors.New("the answer is another request's")
+	errTooLong      = errors.New("the answer is too long")
 )
 
 // answer is a response. Its reply is nil if the body was forwarded or is not needed.
-type answer struct {
+type response struct {
 	resp     *http.Response
 	reply    *message.Reply
 	size     int64 // of its body, in bytes
-	sawStray bool  // a response to another request came before it
+	sawOther bool  // a response to another request came before it
 }
 
 // read reads a response, and forwards a long body as it comes. After an error there is no response, whatever its head
 // said about whether the request has run.
-func (s *Sender) read(ctx context.Context, a *engine.Attempt, c *conn, r *http.Request) (answer, error) {
+func (s *Sender) read(ctx context.Context, a *engine.Attempt, c *conn, r *http.Request) (response, error) {
 	stray := false
 	c.readLimit.N = maxHeaderBytes
 	for {
 		if _, err := c.reader.Peek(1); err != nil {
-			return answer{}, err
+			return response{}, err
 		}
 		if err := c.SetReadDeadline(time.Now().Add(s.readTimeout)); err != nil {
-			return answer{}, err
+			return response{}, err
 		}
 		close := announcesClose(c.reader)
 		resp, err := http.ReadResponse(c.reader, r)
 		if err != nil {
-			return answer{}, err
+			return response{}, err
 		}
 		if resp.StatusCode < 200 { // interim (RFC 9110, section 15.2): the final response may take its time
 			if err := c.SetReadDeadline(time.Time{}); err != nil {
-				return answer{}, err
+				return response{}, err
 			}
 			continue
 		}
-		match := s.speech.Matches(a.Payload.(*message.Request), resp)
-		c.hadUnnamedAnswer = c.hadUnnamedAnswer || match == Unnamed
-		if match == OfAnother {
+		match := s.protocol.Matches(a.Payload.(*message.Request), resp)
+		c.hadUnnamedResponse = c.hadUnnamedResponse || match == MatchUnnamed
+		if match == MatchOther {
 			// A late duplicate of the response to an earlier request; the one expected may follow.
-			c.readLimit.N = maxAnswer / 64
+			c.readLimit.N = maxResponseBody / 64
 			if _, err := io.Copy(io.Discard, timedReader{c, resp.Body, s.readTimeout}); err != nil || stray || resp.Close {
-				return answer{}, errors.Join(errStray, err)
+				return response{}, errors.Join(errOtherRequest, err)
 			}
 			stray, c.readLimit.N = true, maxHeaderBytes
 			if err := c.SetReadDeadline(time.Time{}); err != nil {
-				return answer{}, err
+				return response{}, err
 			}
 			continue
 		}
 		got, err := s.readBody(ctx, a, c, resp, close)
-		got.sawStray = stray
+		got.sawOther = stray
 		return got, err
 	}
 }
@@ -103,35 +103,35 @@
 }
 
 // readBody reads, forwards or discards the body, depending on its length and on whether it is needed.
-func (s *Sender) readBody(ctx context.Context, a *engine.Attempt, c *conn, resp *http.Response, close bool) (answer, error) {
+func (s *Sender) readBody(ctx context.Context, a *engine.Attempt, c *conn, resp *http.Response, close bool) (response, error) {
 	n := resp.ContentLength
 	if n < 0 && len(resp.TransferEncoding) == 0 && !close && resp.ProtoAtLeast(1, 1) {
 		// It ends with the connection, though the head does not announce that: it may as well have been cut off.
-		return answer{}, errUnframed
+		return response{}, errUnframed
 	}
-	if n > maxAnswer {
-		return answer{}, errTooLong
+	if n > maxResponseBody {
+		return response{}, errTooLong
 	}
 	var body io.Reader = timedReader{c, resp.Body, s.readTimeout}
 	if n >= 0 && int64(c.reader.Buffered()) >= n {
 		body = resp.Body // it was received with the head
 	}
-	_, wanted := s.speech.Ending(resp)
+	_, wanted := s.protocol.Classify(resp)
 	switch {
 	case !wanted:
-		c.readLimit.N = maxAnswer / 64
+		c.readLimit.N = maxResponseBody / 64
 		size, err := io.Copy(io.Discard, body)
-		return answer{resp: resp, size: size}, err
+		return response{resp: resp, size: size}, err
 	case n >= 0 && n <= maxBody:
 		c.readLimit.N = n
 		whole := make([]byte, n)
 		_, err := io.ReadFull(body, whole)
-		status, header, ct := s.speech.Word(resp)
-		return answer{resp: resp, reply: withHead(message.NewReply(ct, whole, nil), status, header), size: n}, err
+		status, header, ct := s.protocol.ResponseHead(resp)
+		return response{resp: resp, reply: withHead(message.NewReply(ct, whole, nil), status, header), size: n}, err
 	}
-	c.readLimit.N = 2 * maxAnswer // with the framing of a chunked body
+	c.readLimit.N = 2 * maxResponseBody // with the framing of a chunked body
 	reply, size, err := s.forwardBody(ctx, a, timedReader{c, resp.Body, s.streamReadTimeout}, resp)
-	return answer{resp: resp, reply: reply, size: size}, err
+	return response{resp: resp, reply: reply, size: size}, err
 }
 
 // announcesClose says that the head about to be read has the connection option "close" (RFC 9112, section 9.6). net/http
--- a/internal/sender/http1/stream_test.go
+++ b/internal/sender/http1/stream_test.go
@@ -47,14 +47,14 @@
 	})
 	for _, limit := range []int64{1 << 30, chunkSize + minChunkSize, 0} {
 		s := newTestSender(10)
-		s.answerLimit = testkit.NewRoom(limit)
+		s.responseLimit = testkit.NewRoom(limit)
 		stream, ended := streamResponse(context.Background(), t, s, addr, keyedRequest())
 		if stream.Length != size || stream.Header[0] != (message.Field{Name: "content-type", Value: "a/b"}) {
 			t.Errorf("length %d, header %v", stream.Length, stream.Header)
 		}
 		received := 0
 		for {
-			if buffered := stream.Held(); buffered > maxUnread {
+			if buffered := stream.Buffered(); buffered > maxUnread {
 				t.Fatalf("%d bytes are buffered", buffered)
 			}
 			chunk, err := stream.Next(context.Background())
@@ -69,7 +69,7 @@
 		if res := testkit.Wait(t, ended); received != size || stream.Trailer() == nil || res.ending != balancer.Success || testkit.Wait(t, written) != size {
 			t.Errorf("limit %d: %d bytes, ending %v", limit, received, res.ending)
 		}
-		if left := s.answerLimit.(*testkit.Room).Left(); left != limit {
+		if left := s.responseLimit.(*testkit.Room).Left(); left != limit {
 			t.Errorf("limit %d: %d are left at the end", limit, left)
 		}
 	}
@@ -103,7 +103,7 @@
 			}
 		})
 		s := newTestSender(10)
-		s.answerLimit = testkit.NewRoom(1 << 20)
+		s.responseLimit = testkit.NewRoom(1 << 20)
 		ctx, cancel := context.WithCancelCause(context.Background())
 		defer cancel(nil)
 		stream, ended := streamResponse(ctx, t, s, addr, keyedRequest())
@@ -131,7 +131,7 @@
 		if res := testkit.Wait(t, ended); res.ending != want || stream.Trailer() != nil {
 			t.Errorf("%s: ending %v, want %v; complete %v", interruption, res.ending, want, stream.Trailer() != nil)
 		}
-		if left := s.answerLimit.(*testkit.Room).Left(); left != 1<<20 {
+		if left := s.responseLimit.(*testkit.Room).Left(); left != 1<<20 {
 			t.Errorf("%s: %d of the limit are left", interruption, left)
 		}
 		if open, _ := s.counts(); open != 0 {
@@ -195,13 +195,13 @@
 				if received > 0 {
 					stream.Push(make([]byte, received))
 				}
-			} else if stream.Held() > 0 {
+			} else if stream.Buffered() > 0 {
 				stream.Next(context.Background())
 			}
 			var reserved int64
 			for _, stream := range streams {
-				if stream.reserved > stream.unread || stream.unread > maxUnread || stream.unread != stream.Held() {
-					t.Fatalf("reserved %d, unread %d, buffered %d", stream.reserved, stream.unread, stream.Held())
+				if stream.reserved > stream.unread || stream.unread > maxUnread || stream.unread != stream.Buffered() {
+					t.Fatalf("reserved %d, unread %d, buffered %d", stream.reserved, stream.unread, stream.Buffered())
 				}
 				reserved += int64(stream.reserved)
 			}
--- a/internal/sender/http1/trust.go
+++ b/internal/sender/http1/trust.go
@@ -93,8 +93,8 @@
 // nonIdempotent says that a request must not run twice: its method is not idempotent (RFC 9110, section 9.2.2) and it has
 // no Idempotency-Key by which servers recognise a retry.
 func nonIdempotent(m *message.Request) bool {
-	if m.Runs != message.RunsByForm {
-		return m.Runs == message.RunsOnce
+	if m.Idempotency != message.IdempotencyByMethod {
+		return m.Idempotency == message.NotIdempotent
 	}
 	switch m.Method {
 	case http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions, http.MethodTrace:
--- a/internal/sender/http1/upload_test.go
+++ b/internal/sender/http1/upload_test.go
@@ -18,9 +18,9 @@
 // uploadRequest returns a request whose body continues after first, and the stream to which the test pushes the rest.
 func uploadRequest(length int64, first string) (*message.Request, *message.Stream) {
 	m := &message.Request{Method: "POST", URL: &url.URL{Path: "/order/1"}, Authority: "app.svc", Header: map[string][]string{}, Body: []byte(first)}
-	m.More = message.NewStream(nil, func(int) {})
-	m.More.Length = length
-	return m, m.More
+	m.BodyRest = message.NewStream(nil, func(int) {})
+	m.BodyRest.Length = length
+	return m, m.BodyRest
 }
 
 // A long body is forwarded as it comes, with a declared length or in chunks. Another attempt of it is not possible.
--- a/internal/sender/http1/write.go
+++ b/internal/sender/http1/write.go
@@ -24,10 +24,10 @@
 		h[k] = v
 	}
 	h["User-Agent"] = nil // omitted, rather than net/http's default
-	s.speech.Head(a, h)
+	s.protocol.SetHeader(a, h)
 	r := &http.Request{Method: m.Method, URL: m.URL, Host: m.Authority, Header: h, ContentLength: int64(len(m.Body))}
-	if m.More != nil {
-		r.ContentLength = m.More.Length
+	if m.BodyRest != nil {
+		r.ContentLength = m.BodyRest.Length
 	}
 	if r.Host == "" { // HTTP/1.0 callers need not send a Host; HTTP/1.1 servers require it (RFC 9112, section 3.2)
 		r.Host = a.Endpoint.Addr
@@ -47,7 +47,7 @@
 		// net/http takes such a target for an authority, and puts an empty scheme in front of it.
 		text = bytes.Replace(text, []byte(" ://"), []byte(" //"), 1)
 	}
-	if m.More == nil {
+	if m.BodyRest == nil {
 		return text, err
 	}
 	// net/http reports that the body is too short, or ends it.
@@ -81,21 +81,21 @@
 	if got.reply == nil {
 		a.RecordTransfer(out, got.size, "")
 	}
-	res.ending, _ = s.speech.Ending(got.resp)
+	res.ending, _ = s.protocol.Classify(got.resp)
 	if res.ending == balancer.Success {
 		res.reply = got.reply
 	} else if got.reply != nil {
 		m := a.Payload.(*message.Request)
 		m.Fail(got.reply)
 	}
-	return res, whole && !got.sawStray && !got.resp.Close && c.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
+	return res, whole && !got.sawOther && !got.resp.Close && c.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
 }
 
 // write writes a request, of which text is the head or all. If whole is false without an error, the server has responded
 // before the end of the request, and the response can be read.
 func (s *Sender) write(ctx context.Context, a *engine.Attempt, c *conn, text []byte) (out int64, whole bool, err error) {
 	m := a.Payload.(*message.Request)
-	if m.More == nil {
+	if m.BodyRest == nil {
 		_, err := c.Write(text)
 		return int64(len(m.Body)), true, err
 	}
@@ -121,7 +121,7 @@
 	go func() {
 		_, err := c.reader.Peek(1)
 		if writing.Err() == nil {
-			stop(errEarlyAnswer)
+			stop(errEarlyResponse)
 			c.SetWriteDeadline(time.Now()) // wakes a write that waits
 		}
 		early <- err
@@ -130,7 +130,7 @@
 	if err == nil || whole {
 		// It is written. The goroutine now waits for the response proper.
 		stop(nil)
-	} else if context.Cause(writing) != errEarlyAnswer {
+	} else if context.Cause(writing) != errEarlyResponse {
 		c.SetReadDeadline(time.Now())
 		<-early
 		return out, false, err
@@ -150,7 +150,7 @@
 	if _, err = w.Write(head); err != nil {
 		return 0, false, err
 	}
-	length, to := m.More.Length, w
+	length, to := m.BodyRest.Length, w
 	if length < 0 {
 		to = httputil.NewChunkedWriter(w)
 	}
@@ -164,11 +164,11 @@
 		if out += int64(len(p)); out == length {
 			return out, true, nil
 		}
-		if p, err = m.More.Next(ctx); err != nil {
+		if p, err = m.BodyRest.Next(ctx); err != nil {
 			return out, false, err
 		}
 	}
-	if length >= 0 || m.More.Trailer() == nil {
+	if length >= 0 || m.BodyRest.Trailer() == nil {
 		return out, false, errBrokenOff
 	}
 	n, err := io.WriteString(w, chunksEnd)
@@ -182,8 +182,8 @@
 )
 
 var (
-	errEarlyAnswer = errors.New("the server answered before the request's end")
-	errBrokenOff   = errors.New("the request broke off")
+	errEarlyResponse = errors.New("the server answered before the request's end")
+	errBrokenOff     = errors.New("the request broke off")
 )
 
 // timedWriter is a connection with a time-out for each write.
--- a/internal/source/registry/registry.go
+++ b/internal/source/registry/registry.go
@@ -106,8 +106,8 @@
 func (d *Source) String() string { return "the registry at " + d.addr }
 
 // News is a message in the engine's form.
-func (l List) News() engine.News {
-	n := engine.News{
+func (l List) News() engine.ListUpdate {
+	n := engine.ListUpdate{
 		Full: l.All, Version: strconv.FormatInt(l.Rev, 10),
 		Servers: make([]engine.Listed, 0, len(l.Targets)),
 	}
@@ -119,9 +119,9 @@
 
 var errSilent = errors.New("silent for too long")
 
-// Follow follows the list from revision since on and calls news with each message in order, and with
+// Watch watches the list from revision since on and calls update with each message in order, and with
 // one of no servers at each heartbeat; if since is unknown, with the whole list first. It returns the reason for the watch's end, which is never nil.
-func (d *Source) Follow(ctx context.Context, since string, news func(engine.News)) error {
+func (d *Source) Watch(ctx context.Context, since string, update func(engine.ListUpdate)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	quiet := time.AfterFunc(d.silence, func() { cancel(errSilent) })
@@ -134,7 +134,7 @@
 		}
 		n := l.News()
 		since = n.Version
-		news(n)
+		update(n)
 		quiet.Reset(d.silence)
 	}
 	body, err := d.ask(ctx, "?follow=1&since="+since)
@@ -148,7 +148,7 @@
 		quiet.Reset(d.silence)
 		line := bytes.TrimSpace(lines.Bytes())
 		if len(line) == 0 {
-			news(engine.News{Version: since}) // a heartbeat: nothing has changed
+			update(engine.ListUpdate{Version: since}) // a heartbeat: nothing has changed
 			continue
 		}
 		l, err := ParseList(line)
@@ -157,7 +157,7 @@
 		}
 		n := l.News()
 		since = n.Version
-		news(n)
+		update(n)
 	}
 	if err := lines.Err(); err != nil {
 		return causeOr(ctx, err)
--- a/internal/source/registry/registry_test.go
+++ b/internal/source/registry/registry_test.go
@@ -24,8 +24,8 @@
 	d := New(addr)
 	d.silence = 200 * time.Millisecond
 	ended := make(chan error, 1)
-	got := make(chan engine.News, 1)
-	go func() { ended <- d.Follow(context.Background(), "0", func(n engine.News) { got <- n }) }()
+	got := make(chan engine.ListUpdate, 1)
+	go func() { ended <- d.Watch(context.Background(), "0", func(n engine.ListUpdate) { got <- n }) }()
 	lines <- testkit.ListMessage(1, true)
 	testkit.Wait(t, got)
 	if err := testkit.Wait(t, ended); err != errSilent {
@@ -44,7 +44,7 @@
 	d := New(l.Addr().String())
 	d.silence = 50 * time.Millisecond
 	for _, since := range []string{"", "7"} {
-		if err := d.Follow(context.Background(), since, nil); err == nil || !errors.Is(err, errSilent) {
+		if err := d.Watch(context.Background(), since, nil); err == nil || !errors.Is(err, errSilent) {
 			t.Errorf("since %q: ended with %v", since, err)
 		}
 	}
@@ -62,7 +62,7 @@
 	d := New(addr)
 	d.silence = time.Second
 	ended := make(chan error, 1)
-	go func() { ended <- d.Follow(context.Background(), "0", func(engine.News) {}) }()
+	go func() { ended <- d.Watch(context.Background(), "0", func(engine.ListUpdate) {}) }()
 	longest := time.Duration(0) // between two beats; this machine may stall
 	for start, last := time.Now(), time.Now(); time.Since(start) < 2*d.silence; {
 		select {
@@ -87,7 +87,7 @@
 	}))
 	t.Cleanup(s.Close)
 	d := New(strings.TrimPrefix(s.URL, "http://"))
-	if err := d.Follow(context.Background(), "0", nil); err == nil || !strings.Contains(err.Error(), "503") {
+	if err := d.Watch(context.Background(), "0", nil); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("got %v", err)
 	}
 }
@@ -136,7 +136,9 @@
 	d := New(addr)
 	for _, text := range []string{"{", testkit.ListMessage(9, true, testkit.Entry("a", "SERVING"), testkit.Entry("a", "DRAINING")), `[]`} {
 		ended := make(chan error, 1)
-		go func() { ended <- d.Follow(context.Background(), "7", func(n engine.News) { t.Errorf("told %+v", n) }) }()
+		go func() {
+			ended <- d.Watch(context.Background(), "7", func(n engine.ListUpdate) { t.Errorf("told %+v", n) })
+		}()
 		testkit.Wait(t, asked)
 		lines <- text
 		if err := testkit.Wait(t, ended); !errors.Is(err, engine.ErrMalformedUpdate) {
@@ -144,8 +146,8 @@
 		}
 	}
 	ended := make(chan error, 1)
-	told := make(chan engine.News, 4)
-	go func() { ended <- d.Follow(context.Background(), "7", func(n engine.News) { told <- n }) }()
+	told := make(chan engine.ListUpdate, 4)
+	go func() { ended <- d.Watch(context.Background(), "7", func(n engine.ListUpdate) { told <- n }) }()
 	testkit.Wait(t, asked)
 	for _, c := range []struct {
 		text, version string
@@ -178,7 +180,7 @@
 	d := New(strings.TrimPrefix(s.URL, "http://"))
 	d.silence = limit
 	for _, since := range []string{"", "7"} {
-		if err := d.Follow(context.Background(), since, func(n engine.News) { t.Errorf("told %+v", n) }); err == nil || errors.Is(err, errSilent) {
+		if err := d.Watch(context.Background(), since, func(n engine.ListUpdate) { t.Errorf("told %+v", n) }); err == nil || errors.Is(err, errSilent) {
 			t.Errorf("since %q: ended with %v", since, err)
 		}
 	}
--- a/internal/source/static/static.go
+++ b/internal/source/static/static.go
@@ -10,10 +10,10 @@
 // Source is a fixed list. It implements engine.Source.
 type Source []engine.Listed
 
-// Follow tells the list, unless it was told, and then nothing until ctx ends.
-func (s Source) Follow(ctx context.Context, since string, news func(engine.News)) error {
+// Watch passes on the list, unless since says that it is known, and then nothing until ctx ends.
+func (s Source) Watch(ctx context.Context, since string, update func(engine.ListUpdate)) error {
 	if since != version {
-		news(engine.News{Full: true, Version: version, Servers: s})
+		update(engine.ListUpdate{Full: true, Version: version, Servers: s})
 	}
 	<-ctx.Done()
 	return context.Cause(ctx)
--- a/internal/source/xds/xds.go
+++ b/internal/source/xds/xds.go
@@ -49,9 +49,9 @@
 
 func (s *Source) String() string { return "the xDS cluster " + s.cluster }
 
-// Follow tells the cluster's endpoints, the whole list first, whatever was told before: the client knows
+// Watch passes on the cluster's endpoints, the complete list first, whatever since says: the client knows
 // what has changed since only while it is followed.
-func (s *Source) Follow(ctx context.Context, _ string, news func(engine.News)) error {
+func (s *Source) Watch(ctx context.Context, _ string, update func(engine.ListUpdate)) error {
 	// What comes faster than it is taken replaces what was not taken yet: only the latest counts.
 	latest := make(chan resource.Update, 1)
 	s.client.Watch(ctx, s.cluster, func(u resource.Update) {
@@ -71,7 +71,7 @@
 				log.Printf("xds: cluster %s: %s", s.cluster, r)
 			}
 			if n != nil {
-				news(*n)
+				update(*n)
 			}
 		case <-ctx.Done():
 			return context.Cause(ctx)
--- a/internal/xds/resource/list.go
+++ b/internal/xds/resource/list.go
@@ -23,7 +23,7 @@
 
 // News is the news that leads from the assignment before to this one; nil if there is none. reports say
 // what an operator should hear of. A nil assignment is one that does not exist: no server at all.
-func (l *Lister) News(a *Assignment) (news *engine.News, reports []string) {
+func (l *Lister) News(a *Assignment) (news *engine.ListUpdate, reports []string) {
 	if a == nil {
 		a = &Assignment{}
 	}
@@ -32,7 +32,7 @@
 	if l.Levels {
 		degraded = levels(a, ready)
 	}
-	n := engine.News{Full: l.last == nil, Drop: a.dropShare()}
+	n := engine.ListUpdate{Full: l.last == nil, DropShare: a.dropShare()}
 	next := make(map[string]engine.Listed, len(a.Endpoints))
 	for i, ep := range a.Endpoints {
 		s := engine.Listed{Addr: ep.Addr, Server: balancer.Server{ID: ep.ID, Zone: ep.Zone, Cell: ep.Cell, Size: ep.Weight, StartedAt: ep.Boot}}
@@ -58,8 +58,8 @@
 	if len(l.last) > 0 && len(next) == 0 {
 		reports = append(reports, fmt.Sprintf("all %d servers are gone by the control plane's word", len(l.last)))
 	}
-	changed := n.Full || len(n.Servers) > 0 || n.Drop != l.drop
-	l.last, l.drop = next, n.Drop
+	changed := n.Full || len(n.Servers) > 0 || n.DropShare != l.drop
+	l.last, l.drop = next, n.DropShare
 	if !changed {
 		return nil, reports
 	}
--- a/internal/xds/resource/resource_test.go
+++ b/internal/xds/resource/resource_test.go
@@ -411,7 +411,7 @@
 		}
 		var l Lister
 		n, _ := l.News(a)
-		if n == nil || len(n.Servers) != len(a.Endpoints) || !(n.Drop >= 0 && n.Drop <= 1) {
+		if n == nil || len(n.Servers) != len(a.Endpoints) || !(n.DropShare >= 0 && n.DropShare <= 1) {
 			t.Fatalf("%+v becomes %+v", a, n)
 		}
 		for _, s := range n.Servers {
