--- a/internal/engine/arriving_test.go
+++ b/internal/engine/arriving_test.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -32,7 +33,7 @@
 	}
 	e.BodyArrived(c)
 	e.BodyArrived(c) // a second call has no effect
-	if err := h.cause(t, a); err != ErrTimedOut {
+	if err := h.cause(t, a); !errors.Is(err, ErrTimedOut) {
 		t.Errorf("its attempt ended with %v", err)
 	}
 	a.End(balancer.TimedOut, nil)
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"sync"
 	"sync/atomic"
@@ -214,7 +215,7 @@
 	if ending, ok := a.Begin(); ok || ending != balancer.NeverSent {
 		t.Errorf("Begin for a caller that has gone: %v %v", ending, ok)
 	}
-	if cause := h.cause(t, a); cause != ErrWithdrawn {
+	if cause := h.cause(t, a); !errors.Is(cause, ErrWithdrawn) {
 		t.Errorf("the cause of its end is %v", cause)
 	}
 	if e.OpenCalls() != 1 {
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -41,10 +41,10 @@
 
 // EndingOf says how an attempt ended whose request was written completely and whose response is not complete.
 func EndingOf(ctx context.Context) balancer.Ending {
-	switch context.Cause(ctx) {
-	case nil:
+	switch cause := context.Cause(ctx); {
+	case cause == nil:
 		return balancer.Broken
-	case ErrTimedOut:
+	case errors.Is(cause, ErrTimedOut):
 		return balancer.TimedOut
 	}
 	return balancer.Canceled
--- a/internal/engine/source.go
+++ b/internal/engine/source.go
@@ -92,7 +92,7 @@
 		err := source.Watch(ctx, since, func(update ListUpdate) {
 			e.Do(func() {
 				if ctx.Err() == nil { // otherwise a newer watch brings the same
-					e.apply(update)
+					e.apply(update) //nolint:contextcheck // attempts belong to their calls, and not to the watch
 				}
 			})
 		})
@@ -107,13 +107,13 @@
 	}
 	e.logf("watch: %v", err)
 	failed := balancer.ListFailed{Garbled: errors.Is(err, ErrMalformedUpdate)}
-	delay, next := watchRetryDelay, func() { e.handle(failed) }
+	delay, next := watchRetryDelay, func() { e.handle(failed) } //nolint:contextcheck // attempts belong to their calls
 	switch {
 	case e.listVersion == "":
 		delay, next = newSourceRetryDelay, e.subscribe
 	case e.cfg.Pushed:
 		delay, next = pushedListRetryDelay, e.subscribe
-		e.handle(failed)
+		e.handle(failed) //nolint:contextcheck // attempts belong to their calls
 	}
 	e.after(delay, func() {
 		if ctx.Err() == nil { // otherwise another watch was opened meanwhile
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -1,6 +1,7 @@
 package engine
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -45,7 +46,7 @@
 		if s := testkit.Wait(t, started); s.Attempt != 1 {
 			t.Errorf("started %+v", s)
 		}
-		if cause := h.cause(t, first); cause != ErrWithdrawn {
+		if cause := h.cause(t, first); !errors.Is(cause, ErrWithdrawn) {
 			t.Errorf("the other attempt ends with %v", cause)
 		}
 		first.Began(loser) // crosses the cancellation
--- a/internal/front/http1/ahead.go
+++ b/internal/front/http1/ahead.go
@@ -108,7 +108,7 @@
 	a.cond.Broadcast()
 	if n > 0 {
 		a.mu.Unlock()
-		c.recordBytes(n, time.Now())
+		c.recordBytes(time.Now())
 		c.front.beginAhead(c)
 		a.mu.Lock()
 	}
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -55,7 +55,7 @@
 	if p.received += int64(n); p.limit > 0 && p.received > p.limit {
 		return 0, errLong
 	}
-	if err != nil && err != io.EOF {
+	if err != nil && err != io.EOF { //nolint:errorlint // a reader returns io.EOF itself at the end; a wrapped one is a failure
 		// Joined, because io.ReadFull turns an early EOF into an error of its own.
 		err = errors.Join(err, errBroken)
 	}
@@ -84,7 +84,7 @@
 	buf := make([]byte, bufferedSize(hr))
 	n, err := io.ReadFull(in, buf)
 	ended := hr.ContentLength == int64(n)
-	if hr.ContentLength < 0 && (errors.Is(err, io.ErrUnexpectedEOF) || err == io.EOF) && !errors.Is(err, errBroken) {
+	if hr.ContentLength < 0 && (errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)) && !errors.Is(err, errBroken) {
 		ended, err = true, nil
 	}
 	if err == nil && !ended {
@@ -162,9 +162,9 @@
 		if n > 0 && !r.discard.Load() {
 			r.stream.Push(append([]byte(nil), buf[:n]...))
 		}
-		if err == io.EOF {
-			r.body.rc.SetReadDeadline(time.Time{})
-			r.stream.Finish([]message.Field{}) // complete
+		if err == io.EOF { //nolint:errorlint // joined with errBroken it is no end
+			_ = r.body.rc.SetReadDeadline(time.Time{}) // fails only if the connection has ended
+			r.stream.Finish([]message.Field{})         // complete
 			whole()
 			return
 		}
@@ -187,7 +187,7 @@
 	case <-r.ended:
 	case <-wait.C:
 		close(r.stop)
-		r.body.rc.SetReadDeadline(time.Unix(1, 0))
+		_ = r.body.rc.SetReadDeadline(time.Unix(1, 0)) // wakes pump; fails only if the connection has ended, which does so too
 		<-r.ended
 	}
 	return r.err == nil
--- a/internal/front/http1/body_test.go
+++ b/internal/front/http1/body_test.go
@@ -69,7 +69,7 @@
 	if n, err := p.Read(make([]byte, 3)); n != 3 || err != nil {
 		t.Errorf("with more bytes received: %d, %v", n, err)
 	}
-	if _, err := p.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("at the end: %v", err)
 	}
 }
--- a/internal/front/http1/connections.go
+++ b/internal/front/http1/connections.go
@@ -121,7 +121,7 @@
 	if best == nil {
 		return false
 	}
-	best.close()
+	_ = best.close()
 	return true
 }
 
@@ -231,7 +231,7 @@
 		}
 	}
 	for _, c := range away {
-		c.close()
+		_ = c.close()
 	}
 }
 
@@ -255,7 +255,7 @@
 	if c.ahead != nil {
 		n, err = c.ahead.read(c, p)
 	} else if n, err = c.Conn.Read(p); n > 0 {
-		c.recordBytes(n, time.Now())
+		c.recordBytes(time.Now())
 	}
 	if n > 0 && c.owner.scanHeads {
 		c.head.take(p[:n])
@@ -281,12 +281,12 @@
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	if c.quietEntry != nil && began != 0 && c.requestBegan.Load() == began {
-		c.close()
+		_ = c.close()
 	}
 }
 
-// recordBytes notes that n bytes of a request have come.
-func (c *connection) recordBytes(n int, at time.Time) {
+// recordBytes notes that bytes of a request have come.
+func (c *connection) recordBytes(at time.Time) {
 	c.lastByteAt.Store(at.UnixNano())
 	c.requestBegan.CompareAndSwap(0, at.UnixNano())
 }
@@ -304,7 +304,7 @@
 // its connection (RFC 9112, section 6.3).
 func (c *connection) resetOnClose(hr *http.Request) {
 	if t, is := c.Conn.(*net.TCPConn); is && hr.ProtoMajor == 1 {
-		t.SetLinger(0)
+		_ = t.SetLinger(0) // fails only if the connection has ended
 	}
 }
 
@@ -356,7 +356,7 @@
 	}
 	if c.quietEntry != nil && c.quietSince.Equal(since) && c.requestBegan.Load() == 0 &&
 		(c.ahead == nil || c.ahead.open.Load() == 0) && conncheck.At(c.Conn) != nil {
-		c.close()
+		_ = c.close()
 	}
 }
 
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -26,8 +26,9 @@
 	// RequestReadTimeout is how long a request may take from its first byte, or on a new connection from its start, to its last.
 	RequestReadTimeout = 2500 * time.Millisecond
 	idleTimeout        = 30 * time.Second
-	WriteTimeout       = 5 * time.Second
-	maxHeader          = 16 << 10
+	// WriteTimeout is the time-out of writing an answer that is not streamed.
+	WriteTimeout = 5 * time.Second
+	maxHeader    = 16 << 10
 	// maxBody is the limit on a request body, in bytes.
 	maxBody = 64 << 20
 )
@@ -137,7 +138,7 @@
 // yet are left to the process that shares the listening socket.
 func (f *Front) HandOverListener() {
 	f.listenerHandedOver.Store(true)
-	f.conns.Listener.Close()
+	f.conns.Close()
 }
 
 // OpenConnections returns how many downstream connections are open.
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -1,6 +1,7 @@
 package http1
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -27,12 +28,12 @@
 		return
 	}
 	if from.ahead != nil {
-		e := from.ahead.take(hr, f.Protocol.RequestID(hr))
+		e := from.ahead.take(hr, f.Protocol.RequestID(hr)) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 		from.busy.Store(true)
 		defer from.busy.Store(false)
-		f.beginAhead(from)
+		f.beginAhead(from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 		if e != nil {
-			f.answerEarly(w, hr, e, from)
+			f.answerEarly(w, hr, e, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 			return
 		}
 	}
@@ -62,9 +63,9 @@
 	if !from.beginRequest() {
 		panic(http.ErrAbortHandler)
 	}
-	p.Engine().Submit(&c.Call)
+	p.Engine().Submit(&c.Call) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 	if c.upload != nil {
-		go c.upload.pump(func() { p.Engine().BodyArrived(&c.Call) })
+		go c.upload.pump(func() { p.Engine().BodyArrived(&c.Call) }) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 	}
 	f.answer(w, hr, p, c, from)
 }
@@ -93,7 +94,7 @@
 		case <-over:
 			over = nil
 			if mayGiveUp(c, from) {
-				p.Engine().CallerGone(&c.Call)
+				p.Engine().CallerGone(&c.Call) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 				c.gone.Store(true)
 				c.discard()
 				f.write(w, c, engine.Answer{Verdict: engine.Failed}, from)
@@ -104,19 +105,19 @@
 			if x.stream == nil {
 				f.write(w, c, x.answer, from)
 			} else if !f.forwardStream(hr.Context(), w, x.stream, from) {
-				f.abort(hr, p, c, from)
+				f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 			}
 		case <-arrived:
 			if c.upload.err != nil {
-				f.abort(hr, p, c, from)
+				f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 			}
 			arrived = nil
 			continue
 		case <-hr.Context().Done():
-			f.abort(hr, p, c, from)
+			f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 		}
 		if c.upload != nil {
-			http.NewResponseController(w).Flush()
+			_ = http.NewResponseController(w).Flush() // after an error the caller has gone
 			if !c.upload.drain(lingerTime) {
 				panic(http.ErrAbortHandler) // the answer is written, but the next request can't be read
 			}
@@ -156,13 +157,14 @@
 	// The next request can't be told from the rest of this one, so the connection is closed. It is read for a while first:
 	// the caller may write all of the body before it reads the answer.
 	from.markUseless()
-	rc.EnableFullDuplex()
+	// Errors below mean that the caller has gone, or that the connection can do without.
+	_ = rc.EnableFullDuplex()
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Text, err.Status)
-	rc.Flush()
-	rc.SetReadDeadline(time.Now().Add(lingerTime))
+	_ = rc.Flush()
+	_ = rc.SetReadDeadline(time.Now().Add(lingerTime))
 	if hr.ContentLength != 0 && hr.Header.Get("Expect") == "" {
-		io.Copy(io.Discard, hr.Body)
+		_, _ = io.Copy(io.Discard, hr.Body)
 	}
 }
 
@@ -185,13 +187,13 @@
 			return nil, refusal
 		}
 		switch err := p.Enter(size); {
-		case err == pool.ErrRetired:
+		case errors.Is(err, pool.ErrRetired):
 			continue // the routes name its successor by now
 		case err != nil:
 			// Callers over the limit of calls retry at once: a new connection each time would cost more than the rejection.
 			return nil, &Refusal{
 				Status: http.StatusServiceUnavailable, Text: err.Error(), MayRetry: true,
-				KeepConnection: err == pool.ErrCalls && size == 0,
+				KeepConnection: errors.Is(err, pool.ErrCalls) && size == 0,
 			}
 		}
 		if !from.assign(p.Shares().DownstreamConns) {
@@ -232,7 +234,7 @@
 			w.Header().Set("Connection", "close") // the rest of the request is not read
 		}
 	}
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(WriteTimeout))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(WriteTimeout))
 	h := w.Header()
 	h["Content-Type"] = nil // net/http is not to guess one
 	if a.Verdict == engine.Failed {
@@ -248,7 +250,7 @@
 	}
 	h.Set("Content-Length", itoa(int64(len(body))))
 	w.WriteHeader(status)
-	w.Write(body) // after an error the caller has gone
+	_, _ = w.Write(body) // after an error the caller has gone
 }
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
--- a/internal/grpc/response.go
+++ b/internal/grpc/response.go
@@ -89,6 +89,7 @@
 	switch c {
 	case Unknown, DeadlineExceeded, ResourceExhausted, Internal, Unavailable, DataLoss:
 		return true
+	default:
+		return c > Unauthenticated
 	}
-	return c > Unauthenticated
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -171,7 +171,7 @@
 		select {
 		case <-tick.C:
 		case <-over:
-			p.engine.AbandonAll()
+			p.engine.AbandonAll() //nolint:contextcheck // what it leads to does not end with ctx
 			over = nil
 		}
 	}
--- a/internal/sender/h2/frames.go
+++ b/internal/sender/h2/frames.go
@@ -174,6 +174,7 @@
 			e.InitialWindow = &value
 		case http2.SettingMaxFrameSize:
 			e.MaxFrame = &value
+		default: // the others limit nothing that a client sends
 		}
 		return nil
 	})
--- a/internal/sender/h2/outcome.go
+++ b/internal/sender/h2/outcome.go
@@ -23,6 +23,7 @@
 		return balancer.Overloaded, nil
 	case client.AboveGoAway:
 		return balancer.NeverSent, nil
+	default: // the request was written
 	}
 	received := int64(0)
 	if done.Ending == client.Completed && done.Response.Status != http.StatusOK {
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -101,7 +101,7 @@
 	defer p.mu.Unlock()
 	l := p.idle[ep]
 	for i, c := range slices.Backward(l) {
-		if time.Since(c.idleSince) >= p.settleTime && !(unsafe && c.hadUnnamedResponse) {
+		if time.Since(c.idleSince) >= p.settleTime && (!unsafe || !c.hadUnnamedResponse) {
 			p.idle[ep] = slices.Delete(l, i, i+1)
 			return c
 		}
@@ -121,7 +121,7 @@
 	defer p.mu.Unlock()
 	c := p.oldestOfAny()
 	if c != nil {
-		c.Conn.Close()
+		c.Close()
 	}
 	return c != nil
 }
@@ -159,7 +159,7 @@
 }
 
 func (p *connectionPool) close(c *conn) {
-	c.Conn.Close()
+	c.Close()
 	p.releaseSlot()
 }
 
@@ -186,7 +186,7 @@
 
 // alive says that an idle connection is still open and has no unread bytes: a server that has closed it would reset the
 // next request, and surplus bytes would be read as its response.
-func (c *conn) alive() bool { return conncheck.At(c.Conn) == syscall.EAGAIN }
+func (c *conn) alive() bool { return errors.Is(conncheck.At(c.Conn), syscall.EAGAIN) }
 
 // Drop closes the idle connections to an endpoint.
 func (p *connectionPool) Drop(ep *engine.Endpoint) {
--- a/internal/sender/http1/forward.go
+++ b/internal/sender/http1/forward.go
@@ -52,7 +52,7 @@
 		if size > maxResponseBody {
 			err = errTooLong
 		}
-		if err == io.EOF {
+		if err == io.EOF { //nolint:errorlint // a reader returns io.EOF itself at the end; a wrapped one is a failure
 			if begin.end(true) {
 				return nil, size, nil
 			}
@@ -125,7 +125,7 @@
 func newLimitedStream(room engine.SharedLimit, header []message.Field, length int64) *limitedStream {
 	f := &limitedStream{limit: room, wake: make(chan struct{}, 1)}
 	f.Stream = message.NewStream(header, f.release)
-	f.Stream.Length, f.Stream.OnDiscarded = length, f.release
+	f.Length, f.OnDiscarded = length, f.release
 	return f
 }
 
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -87,7 +87,7 @@
 
 // closeAtEnd closes the connection when ctx ends, which is the only way to interrupt an exchange.
 func closeAtEnd(ctx context.Context, c *conn) (stop func() bool) {
-	return context.AfterFunc(ctx, func() { c.Conn.Close() })
+	return context.AfterFunc(ctx, func() { c.Close() })
 }
 
 // attempt sends the request of a once and waits for the response until ctx ends. It writes nothing unless a.Begin
--- a/internal/sender/http1/probe.go
+++ b/internal/sender/http1/probe.go
@@ -15,7 +15,7 @@
 // one. If it returns false the request has not run, and the connection is closed.
 func (s *Sender) probe(ctx context.Context, a *engine.Attempt, on exchangeConn, text []byte) (exchangeConn, balancer.Ending, bool) {
 	var err error
-	on.unsent, err = on.conn.probe(text, s.minProbeWait)
+	on.unsent, err = on.probe(text, s.minProbeWait)
 	if err != nil && ctx.Err() == nil {
 		// No server has a complete request yet, so using another connection makes no second attempt of it.
 		s.recordExchange(on.conn, true)
@@ -29,7 +29,7 @@
 			return on, balancer.Unreachable, false
 		}
 		on.stop = closeAtEnd(ctx, on.conn)
-		on.unsent, err = on.conn.probe(text, s.minProbeWait)
+		on.unsent, err = on.probe(text, s.minProbeWait)
 	}
 	if err == nil {
 		return on, 0, true
--- a/internal/sender/http1/read.go
+++ b/internal/sender/http1/read.go
@@ -57,8 +57,8 @@
 		if err := c.SetReadDeadline(time.Now().Add(s.readTimeout)); err != nil {
 			return response{}, err
 		}
-		close := announcesClose(c.reader)
-		resp, err := http.ReadResponse(c.reader, r)
+		closes := announcesClose(c.reader)
+		resp, err := http.ReadResponse(c.reader, r) //nolint:bodyclose // the sender owns the connection, and keeps or closes it
 		if err != nil {
 			return response{}, err
 		}
@@ -82,7 +82,7 @@
 			}
 			continue
 		}
-		got, err := s.readBody(ctx, a, c, resp, close)
+		got, err := s.readBody(ctx, a, c, resp, closes)
 		got.sawOther = stray
 		return got, err
 	}
@@ -103,9 +103,9 @@
 }
 
 // readBody reads, forwards or discards the body, depending on its length and on whether it is needed.
-func (s *Sender) readBody(ctx context.Context, a *engine.Attempt, c *conn, resp *http.Response, close bool) (response, error) {
+func (s *Sender) readBody(ctx context.Context, a *engine.Attempt, c *conn, resp *http.Response, closes bool) (response, error) {
 	n := resp.ContentLength
-	if n < 0 && len(resp.TransferEncoding) == 0 && !close && resp.ProtoAtLeast(1, 1) {
+	if n < 0 && len(resp.TransferEncoding) == 0 && !closes && resp.ProtoAtLeast(1, 1) {
 		// It ends with the connection, though the head does not announce that: it may as well have been cut off.
 		return response{}, errUnframed
 	}
--- a/internal/sender/http1/write.go
+++ b/internal/sender/http1/write.go
@@ -122,7 +122,7 @@
 		_, err := c.reader.Peek(1)
 		if writing.Err() == nil {
 			stop(errEarlyResponse)
-			c.SetWriteDeadline(time.Now()) // wakes a write that waits
+			_ = c.SetWriteDeadline(time.Now()) // wakes a write that waits; fails only if the connection is closed
 		}
 		early <- err
 	}()
@@ -130,9 +130,9 @@
 	if err == nil || whole {
 		// It is written. The goroutine now waits for the response proper.
 		stop(nil)
-	} else if context.Cause(writing) != errEarlyResponse {
-		c.SetReadDeadline(time.Now())
-		<-early
+	} else if !errors.Is(context.Cause(writing), errEarlyResponse) {
+		_ = c.SetReadDeadline(time.Now()) // wakes the goroutine; fails only if the connection is closed, which does so too
+		<-early                           //nolint:errcheck // the upload has failed already, with an error that says more
 		return out, false, err
 	}
 	if err := <-early; err != nil {
