--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -22,7 +22,7 @@
 	startedAt time.Duration
 	cancel    context.CancelCauseFunc
 	timer     *time.Timer // cancels after Timeout
-	observer  Observer    // that was told of the start; nil: none
+	observer  Observer    // that observed the start; nil: none
 	ended     atomic.Bool
 	transfer  atomic.Pointer[transfer]
 }
@@ -53,8 +53,8 @@
 	return 0, true
 }
 
-// RecordTransfer tells the engine, before End, that the request was written completely, with a body of out bytes. A
-// Carrier also tells the bytes of the response body and, if it knows it, the address that served. Others leave both
+// RecordTransfer reports to the engine, before End, that the request was written completely, with a body of out bytes. A
+// Carrier also reports the bytes of the response body and, if known, the address of the server that answered. Others leave both
 // empty: the size is then that of the reply that is passed to End.
 func (a *Attempt) RecordTransfer(out, in int64, served string) {
 	a.transfer.Store(&transfer{out, in, served})
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -85,11 +85,11 @@
 // Submit passes a call to the engine, which owns it from then on.
 func (e *Engine) Submit(call *Call) { e.Do(func() { e.accept(call) }) }
 
-// CallerGone tells the engine that the caller of a submitted call has gone: it needs no answer any more. An Ended that is
+// CallerGone notifies the engine that the caller of a submitted call has gone: it needs no answer any more. An Ended that is
 // already on its way may still come; the front then releases its reply.
 func (e *Engine) CallerGone(call *Call) { e.Do(func() { e.handleCallerGone(call) }) }
 
-// BodyArrived tells the engine that the body of a call that was Arriving is complete: its deadline counts from now.
+// BodyArrived notifies the engine that the body of a call that was Arriving is complete: its deadline counts from now.
 func (e *Engine) BodyArrived(call *Call) {
 	e.Do(func() {
 		if !call.arriving || call.finished.Load() {
@@ -207,7 +207,7 @@
 		return
 	}
 	e.rejectedOverLimit++
-	// Retrying is safe: no attempt was made. The module is told, so that it forgets the call.
+	// Retrying is safe: no attempt was made. The module is notified, so that it forgets the call.
 	e.finish(call.id, Answer{Verdict: Rejected, RetryAfter: rejectionRetryAfter})
 	e.handle(balancer.ClientGone{ID: call.id})
 }
@@ -229,7 +229,7 @@
 // rejectionRetryAfter is the advice with a rejection by the engine itself.
 const rejectionRetryAfter = time.Second
 
-// abandon fails a call without asking the module, which is then told to forget it.
+// abandon fails a call without the module, which is then notified to forget it.
 func (e *Engine) abandon(call *Call) {
 	e.finish(call.id, Answer{Verdict: Failed})
 	e.handle(balancer.ClientGone{ID: call.id})
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -69,7 +69,7 @@
 	Out(id string) bool
 	// Boot returns the start time to assume for a server whose listed start time is boot.
 	Boot(id string, boot time.Duration) time.Duration
-	// Entered is told of each server that is now listed, and Left of each that no longer is; alternately for an id.
+	// Entered is called for each server that is now listed, and Left for each that no longer is; alternately for an id.
 	Entered(id string)
 	Left(id string)
 }
@@ -192,7 +192,7 @@
 	log.Printf(format, args...)
 }
 
-// handle passes the module an event, and then the events that its actions have caused meanwhile.
+// handle passes the module an event, and then the events that its actions have caused.
 func (e *Engine) handle(ev balancer.Event) {
 	e.pendingEvents = append(e.pendingEvents, ev)
 	for len(e.pendingEvents) > 0 {
--- a/internal/engine/source.go
+++ b/internal/engine/source.go
@@ -23,7 +23,7 @@
 	DropShare float64 // share of calls to reject before any attempt, as the source demands; 0 to 1
 }
 
-// Observer is a source that is told of the attempts at its servers. The engine's goroutine calls its methods, so they
+// Observer is a source that is notified of the attempts at its servers. The engine's goroutine calls its methods, so they
 // must not block.
 type Observer interface {
 	Began(server string)
@@ -100,7 +100,7 @@
 	}()
 }
 
-// watchFailed has a failed watch opened again, or the module told of the failure, after a delay. ctx is the watch's.
+// watchFailed has a failed watch opened again, or the module notified of the failure, after a delay. ctx is the watch's.
 func (e *Engine) watchFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return // it was replaced or stopped
@@ -116,7 +116,7 @@
 		e.handle(failed) //nolint:contextcheck // attempts belong to their calls
 	}
 	e.after(delay, func() {
-		if ctx.Err() == nil { // otherwise another watch was opened meanwhile
+		if ctx.Err() == nil { // otherwise another watch has been opened since
 			next()
 		}
 	})
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -28,7 +28,7 @@
 	streamWriteTimeout = 15 * time.Second
 )
 
-var errSlow = errors.New("the body comes too slowly")
+var errTooSlow = errors.New("the body comes too slowly")
 
 var buffers = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
@@ -44,7 +44,7 @@
 func (p *pacedBody) Read(b []byte) (int, error) {
 	left := bodySlack + time.Duration(p.received)*time.Second/minBodyRate - p.waited
 	if left <= 0 {
-		return 0, errSlow
+		return 0, errTooSlow
 	}
 	began := time.Now()
 	if err := p.rc.SetReadDeadline(began.Add(left)); err != nil {
@@ -53,18 +53,18 @@
 	n, err := p.body.Read(b)
 	p.waited += time.Since(began)
 	if p.received += int64(n); p.limit > 0 && p.received > p.limit {
-		return 0, errLong
+		return 0, errTooLong
 	}
 	if err != nil && err != io.EOF { //nolint:errorlint // a reader returns io.EOF itself at the end; a wrapped one is a failure
 		// Joined, because io.ReadFull turns an early EOF into an error of its own.
-		err = errors.Join(err, errBroken)
+		err = errors.Join(err, errIncompleteBody)
 	}
 	return n, err
 }
 
 var (
-	errBroken = errors.New("the body did not come whole")
-	errLong   = errors.New("the body is too long")
+	errIncompleteBody = errors.New("the body did not come whole")
+	errTooLong        = errors.New("the body is too long")
 )
 
 // bufferedSize is how many bytes of a request's body are buffered.
@@ -84,7 +84,7 @@
 	buf := make([]byte, bufferedSize(hr))
 	n, err := io.ReadFull(in, buf)
 	ended := hr.ContentLength == int64(n)
-	if hr.ContentLength < 0 && (errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)) && !errors.Is(err, errBroken) {
+	if hr.ContentLength < 0 && (errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)) && !errors.Is(err, errIncompleteBody) {
 		ended, err = true, nil
 	}
 	if err == nil && !ended {
@@ -101,10 +101,10 @@
 		err = rc.SetReadDeadline(time.Time{})
 	}
 	switch {
-	case errors.Is(err, errLong):
-		return &Refusal{Status: http.StatusRequestEntityTooLarge, Text: errLong.Error()}
+	case errors.Is(err, errTooLong):
+		return &Refusal{Status: http.StatusRequestEntityTooLarge, Text: errTooLong.Error()}
 	case err != nil:
-		return &Refusal{Status: http.StatusBadRequest, Text: errBroken.Error()}
+		return &Refusal{Status: http.StatusBadRequest, Text: errIncompleteBody.Error()}
 	}
 	if !f.Protocol.MayHaveBody(hr) && (n > 0 || c.upload != nil) {
 		return &Refusal{Status: http.StatusBadRequest, Text: "GET has no body"}
@@ -126,51 +126,51 @@
 }
 
 func newUpload(hr *http.Request, in *pacedBody) *upload {
-	r := &upload{body: in, wake: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{})}
-	r.stream = message.NewStream(nil, func(int) { r.signal() })
-	r.stream.Length = hr.ContentLength
-	return r
+	u := &upload{body: in, wake: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{})}
+	u.stream = message.NewStream(nil, func(int) { u.signal() })
+	u.stream.Length = hr.ContentLength
+	return u
 }
 
-func (r *upload) signal() {
+func (u *upload) signal() {
 	select {
-	case r.wake <- struct{}{}:
+	case u.wake <- struct{}{}:
 	default:
 	}
 }
 
-// pump reads the rest, with at most maxUnsentBody waiting to be forwarded, and calls whole when it is complete.
-func (r *upload) pump(whole func()) {
-	defer close(r.ended)
+// pump reads the rest, with at most maxUnsentBody waiting to be forwarded, and calls complete when the body has ended.
+func (u *upload) pump(complete func()) {
+	defer close(u.ended)
 	buf := buffers.Get().(*[chunkSize]byte)
 	defer buffers.Put(buf)
 	for {
-		for !r.discard.Load() && r.stream.Buffered() >= maxUnsentBody {
+		for !u.discard.Load() && u.stream.Buffered() >= maxUnsentBody {
 			select {
-			case <-r.wake:
-			case <-r.stop:
+			case <-u.wake:
+			case <-u.stop:
 			}
 			select {
-			case <-r.stop:
-				r.err = errBroken
-				r.stream.Finish(nil)
+			case <-u.stop:
+				u.err = errIncompleteBody
+				u.stream.Finish(nil)
 				return
 			default:
 			}
 		}
-		n, err := r.body.Read(buf[:])
-		if n > 0 && !r.discard.Load() {
-			r.stream.Push(append([]byte(nil), buf[:n]...))
+		n, err := u.body.Read(buf[:])
+		if n > 0 && !u.discard.Load() {
+			u.stream.Push(append([]byte(nil), buf[:n]...))
 		}
 		if err == io.EOF { //nolint:errorlint // joined with errBroken it is no end
-			_ = r.body.rc.SetReadDeadline(time.Time{}) // fails only if the connection has ended
-			r.stream.Finish([]message.Field{})         // complete
-			whole()
+			_ = u.body.rc.SetReadDeadline(time.Time{}) // fails only if the connection has ended
+			u.stream.Finish([]message.Field{})         // complete
+			complete()
 			return
 		}
 		if err != nil {
-			r.err = err
-			r.stream.Finish(nil)
+			u.err = err
+			u.stream.Finish(nil)
 			return
 		}
 	}
@@ -178,19 +178,19 @@
 
 // drain discards the rest for up to that time, after the answer was written, and returns when pump has ended. It returns
 // true if the body came to its end, so that the connection can be kept.
-func (r *upload) drain(within time.Duration) bool {
-	r.discard.Store(true)
-	r.signal()
+func (u *upload) drain(within time.Duration) bool {
+	u.discard.Store(true)
+	u.signal()
 	wait := time.NewTimer(within)
 	defer wait.Stop()
 	select {
-	case <-r.ended:
+	case <-u.ended:
 	case <-wait.C:
-		close(r.stop)
-		_ = r.body.rc.SetReadDeadline(time.Unix(1, 0)) // wakes pump; fails only if the connection has ended, which does so too
-		<-r.ended
+		close(u.stop)
+		_ = u.body.rc.SetReadDeadline(time.Unix(1, 0)) // wakes pump; fails only if the connection has ended, which does so too
+		<-u.ended
 	}
-	return r.err == nil
+	return u.err == nil
 }
 
 // forwardStream writes a streamed answer as it comes. False says that it is incomplete, which the caller must see.
--- a/internal/front/http1/body_test.go
+++ b/internal/front/http1/body_test.go
@@ -62,7 +62,7 @@
 func TestPacedBody(t *testing.T) {
 	rc := http.NewResponseController(deadlineWriter{httptest.NewRecorder()})
 	p := &pacedBody{rc: rc, body: strings.NewReader("abc"), waited: bodySlack + time.Second}
-	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errSlow) {
+	if _, err := p.Read(make([]byte, 1)); !errors.Is(err, errTooSlow) {
 		t.Errorf("after the time-out: %v", err)
 	}
 	p.received = 2 * minBodyRate
--- a/internal/front/http1/call.go
+++ b/internal/front/http1/call.go
@@ -42,17 +42,17 @@
 	}
 }
 
-// discard releases answers that nobody will read. Both sides call it after they have done their part, so that the later
-// one finds them.
+// discard releases answers that nobody will read. Both sides call it after their own step
+// (the engine after adding an answer, the front after setting gone), so that the later one finds them.
 func (c *call) discard() {
 	for {
 		select {
-		case x := <-c.answers:
-			if x.stream != nil {
-				x.stream.Release()
+		case event := <-c.answers:
+			if event.stream != nil {
+				event.stream.Release()
 			}
-			if x.answer.Reply != nil {
-				x.answer.Reply.Release()
+			if event.answer.Reply != nil {
+				event.answer.Reply.Release()
 			}
 		default:
 			return
--- a/internal/front/http1/connections.go
+++ b/internal/front/http1/connections.go
@@ -46,8 +46,8 @@
 	requestBegan atomic.Int64 // Unix time in ns of the first byte of the request that is being received; 0: none is
 	lastByteAt   atomic.Int64 // and of its latest byte
 	head         headScanner  // of that request; owned by the goroutine that reads
-	front        *Front       // that looks ahead; nil: none does
-	ahead        *ahead       // pipelined requests; nil: they are not started
+	front        *Front       // that starts pipelined requests; nil: none does
+	pipeline     *pipeline    // pipelined requests; nil: they are not started early
 	busy         atomic.Bool  // a request is being served
 	headTimer    *time.Timer  // runs while a header section is incomplete; owned by the goroutine that reads
 	idleTimer    *time.Timer  // runs while it is quiet; nil: it was not yet
@@ -95,7 +95,7 @@
 	l.count.Add(1)
 	c := &connection{Conn: nc, owner: l, share: l.unassigned, front: l.front}
 	if c.front != nil {
-		c.ahead = newAhead()
+		c.pipeline = newPipeline()
 	}
 	c.addQuiet()
 	if l.ownTimes {
@@ -131,7 +131,7 @@
 	oldest := now.Add(-stallTime).UnixNano()
 	for e := quiet.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*connection)
-		if c.ahead != nil && c.ahead.open.Load() > 0 {
+		if c.pipeline != nil && c.pipeline.open.Load() > 0 {
 			continue // at least a part of a request was received
 		}
 		if c.requestBegan.Load() == 0 {
@@ -169,8 +169,8 @@
 	c.removeQuiet()
 	c.share.Give(1)
 	c.owner.signalFreed()
-	if c.ahead != nil {
-		go c.ahead.end()
+	if c.pipeline != nil {
+		go c.pipeline.end()
 	}
 	return c.Conn.Close()
 }
@@ -220,7 +220,7 @@
 	for _, quiet := range l.quiet {
 		for e := quiet.Front(); e != nil; e = e.Next() {
 			c := e.Value.(*connection)
-			if c.ahead != nil && c.ahead.open.Load() > 0 {
+			if c.pipeline != nil && c.pipeline.open.Load() > 0 {
 				continue
 			}
 			idle := c.requestBegan.Load() == 0 && (c.used || time.Since(c.quietSince) > drainNewAfter)
@@ -252,8 +252,8 @@
 }
 
 func (c *connection) Read(p []byte) (n int, err error) {
-	if c.ahead != nil {
-		n, err = c.ahead.read(c, p)
+	if c.pipeline != nil {
+		n, err = c.pipeline.read(c, p)
 	} else if n, err = c.Conn.Read(p); n > 0 {
 		c.recordBytes(time.Now())
 	}
@@ -264,7 +264,7 @@
 	return n, err
 }
 
-// watchHead applies the time-out of a header section that does not come at once.
+// watchHead applies the time-out of a header section that is not complete yet.
 func (c *connection) watchHead() {
 	switch d := time.Duration(c.owner.headTimeout.Load()); {
 	case c.head.done && c.headTimer != nil:
@@ -294,8 +294,8 @@
 // SetReadDeadline implements net.Conn.
 func (c *connection) SetReadDeadline(t time.Time) error {
 	err := c.Conn.SetReadDeadline(t)
-	if c.ahead != nil {
-		c.ahead.forgive(t)
+	if c.pipeline != nil {
+		c.pipeline.dropDeadlineError(t)
 	}
 	return err
 }
@@ -345,8 +345,8 @@
 	}
 }
 
-// expire closes a connection that has been quiet since then, unless a part of a request was received or the idle time-out
-// was raised meanwhile.
+// expire closes a connection that has been quiet since then, unless a part of a request was received or the idle time-out has
+// been raised since.
 func (c *connection) expire(since time.Time) {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -355,7 +355,7 @@
 		return
 	}
 	if c.quietEntry != nil && c.quietSince.Equal(since) && c.requestBegan.Load() == 0 &&
-		(c.ahead == nil || c.ahead.open.Load() == 0) && conncheck.At(c.Conn) != nil {
+		(c.pipeline == nil || c.pipeline.open.Load() == 0) && conncheck.At(c.Conn) != nil {
 		_ = c.close()
 	}
 }
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -4,7 +4,7 @@
 //
 // Files: front.go has the listener's life cycle, h2.go the limits of HTTP/2, protocol.go what the platform's and the mesh's
 // protocols add, platform.go the platform's, request.go the course of a request, call.go its side towards the engine,
-// body.go long bodies, connections.go downstream connections, ahead.go pipelined requests, head.go what net/http drops of a
+// body.go long bodies, connections.go downstream connections, pipeline.go pipelined requests, head.go what net/http drops of a
 // header section.
 package http1
 
@@ -146,7 +146,7 @@
 
 // closeIfDraining announces the end of the connection after this answer. Over HTTP/2 net/http turns it into GOAWAY.
 func (f *Front) closeIfDraining(w http.ResponseWriter, from *connection) {
-	if f.draining.Load() && (from == nil || from.ahead == nil || !from.ahead.follows()) { // otherwise the last of them closes it
+	if f.draining.Load() && (from == nil || from.pipeline == nil || !from.pipeline.follows()) { // otherwise the last of them closes it
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/front/http1/head.go
+++ b/internal/front/http1/head.go
@@ -3,15 +3,15 @@
 import "bytes"
 
 // headScanner reads a header section as its bytes come, for what net/http drops: a Content-Length beside a Transfer-Encoding
-// (RFC 9112, section 6.1). It misses a request whose first bytes came with the former one; done is then false.
+// (RFC 9112, section 6.1). It misses a request whose first bytes came together with the former one; done is then false.
 type headScanner struct {
-	name    [len("transfer-encoding") + 1]byte // of the field on the present line, in lower case
-	n       int                                // length of the name, of which only a part may be kept
-	value   bool                               // the colon was read
-	some    bool                               // a line that is not empty was read
-	done    bool                               // the end of the header section was read
-	lengths int                                // number of Content-Length fields
-	codings int                                // number of Transfer-Encoding fields
+	name       [len("transfer-encoding") + 1]byte // of the field on the present line, in lower case
+	nameLength int                                // length of the name, which may be longer than name
+	inValue    bool                               // the colon was read
+	sawLine    bool                               // a line that is not empty was read
+	done       bool                               // the end of the header section was read
+	lengths    int                                // number of Content-Length fields
+	codings    int                                // number of Transfer-Encoding fields
 }
 
 // take reads the next bytes.
@@ -21,8 +21,8 @@
 		if end == 0 {
 			end = len(p)
 		}
-		if h.n == 0 && !h.value && end > 2 && !mayBeginField[p[0]] && p[end-1] == '\n' {
-			h.some = true // a complete line of another field
+		if h.nameLength == 0 && !h.inValue && end > 2 && !mayBeginField[p[0]] && p[end-1] == '\n' {
+			h.sawLine = true // a complete line of another field
 		} else {
 			h.bytes(p[:end])
 		}
@@ -38,26 +38,26 @@
 	for _, c := range p {
 		switch {
 		case c == '\n':
-			h.done = h.some && h.n == 0 && !h.value
-			h.n, h.value = 0, false
-		case c == '\r' || h.value:
+			h.done = h.sawLine && h.nameLength == 0 && !h.inValue
+			h.nameLength, h.inValue = 0, false
+		case c == '\r' || h.inValue:
 		case c == ':':
-			h.value = true
-			switch string(h.name[:min(h.n, len(h.name))]) {
+			h.inValue = true
+			switch string(h.name[:min(h.nameLength, len(h.name))]) {
 			case "content-length":
 				h.lengths++
 			case "transfer-encoding":
 				h.codings++
 			}
 		default:
-			h.some = true
+			h.sawLine = true
 			if c >= 'A' && c <= 'Z' {
 				c += 'a' - 'A'
 			}
-			if h.n < len(h.name) {
-				h.name[h.n] = c
+			if h.nameLength < len(h.name) {
+				h.name[h.nameLength] = c
 			}
-			h.n++
+			h.nameLength++
 		}
 	}
 }
--- /dev/null
+++ b/internal/front/http1/pipeline.go
@@ -0,0 +1,230 @@
+package http1
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"cranegrade/internal/pool"
+)
+
+// Callers may pipeline requests (RFC 9112, section 9.3.2). net/http reads them one after another. Where the Protocol allows it,
+// safe ones without a body are parsed and started as soon as they have been received. Their answers wait until net/http reads
+// the request, and so are sent in order.
+
+const (
+	maxPipelined      = 8        // requests of a connection that are started behind the one being answered
+	maxPipelinedBytes = 32 << 10 // bytes that are buffered to be parsed
+)
+
+// pipeline holds what was received on a connection and was not read by net/http yet, or not answered yet.
+type pipeline struct {
+	mu       sync.Mutex // guards below
+	cond     *sync.Cond
+	buf      []byte // received, and not read by net/http yet
+	err      error  // of the last read; returned once
+	filling  bool   // a goroutine is reading
+	unparsed []byte // bytes of requests that are not started, whether net/http has read them or not
+	off      bool   // no more requests are started ahead
+	started  []*earlyRequest
+	open     atomic.Int64 // over 0: there are unanswered requests, or parts of one; read without the lock
+}
+
+// count updates open. The caller holds the lock.
+func (pl *pipeline) count() { pl.open.Store(int64(len(pl.buf) + len(pl.unparsed) + len(pl.started))) }
+
+// earlyRequest is a request that was started before net/http has read it.
+type earlyRequest struct {
+	method, uri, id string
+	pool            *pool.Pool
+	call            *call
+}
+
+func newPipeline() *pipeline {
+	pl := &pipeline{}
+	pl.cond = sync.NewCond(&pl.mu)
+	return pl
+}
+
+// read is called by net/http, which asks for a single byte while it serves a request, to notice the end of the connection.
+func (pl *pipeline) read(c *connection, p []byte) (int, error) {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	for {
+		if len(pl.buf) > 0 {
+			n := copy(p, pl.buf)
+			pl.buf = pl.buf[n:]
+			pl.count()
+			if len(p) == 1 && !pl.filling && len(pl.buf) < maxPipelinedBytes {
+				// net/http reads no more, but there may be more requests.
+				pl.filling = true
+				go func() {
+					pl.mu.Lock()
+					defer pl.mu.Unlock()
+					pl.fill(c)
+				}()
+			}
+			return n, nil
+		}
+		if pl.err != nil {
+			err := pl.err
+			pl.err = nil
+			return 0, err
+		}
+		if pl.filling {
+			pl.cond.Wait()
+			continue
+		}
+		pl.filling = true
+		pl.fill(c)
+	}
+}
+
+// fill reads once. The caller has set filling and holds the lock, which is released during the read.
+func (pl *pipeline) fill(c *connection) {
+	pl.mu.Unlock()
+	p := make([]byte, 4<<10)
+	n, err := c.Conn.Read(p)
+	pl.mu.Lock()
+	pl.filling = false
+	if n > 0 {
+		pl.buf = append(pl.buf, p[:n]...)
+		if !pl.off {
+			if pl.unparsed = append(pl.unparsed, p[:n]...); len(pl.unparsed) > maxPipelinedBytes {
+				pl.stop()
+			}
+		}
+	}
+	if err != nil {
+		pl.err = err
+	}
+	pl.count()
+	pl.cond.Broadcast()
+	if n > 0 {
+		pl.mu.Unlock()
+		c.recordBytes(time.Now())
+		c.front.startPipelined(c)
+		pl.mu.Lock()
+	}
+}
+
+// stop ends the parsing of requests behind the current one. The caller holds the lock.
+func (pl *pipeline) stop() { pl.off, pl.unparsed = true, nil }
+
+// dropDeadlineError drops the error of a read deadline that has been extended since.
+func (pl *pipeline) dropDeadlineError(deadline time.Time) {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	if (deadline.IsZero() || time.Until(deadline) > 0) && errors.Is(pl.err, os.ErrDeadlineExceeded) {
+		pl.err = nil
+	}
+}
+
+// take notes that net/http has read a request, and returns the one that was started early, if any.
+func (pl *pipeline) take(hr *http.Request, id string) *earlyRequest {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	defer pl.count()
+	if len(pl.started) > 0 {
+		e := pl.started[0]
+		pl.started = pl.started[1:]
+		if e.method == hr.Method && e.uri == hr.RequestURI && e.id == id {
+			return e
+		}
+		pl.stop() // net/http has parsed it differently: what was started is abandoned
+		for _, early := range append([]*earlyRequest{e}, pl.started...) {
+			go early.abandon()
+		}
+		pl.started = nil
+		return nil
+	}
+	if pl.off {
+		return nil
+	}
+	n := bytes.Index(pl.unparsed, headEnd)
+	if n < 0 || !bodiless(hr) {
+		pl.stop()
+		return nil
+	}
+	pl.unparsed = pl.unparsed[n+len(headEnd):]
+	return nil
+}
+
+var headEnd = []byte("\r\n\r\n")
+
+// startPipelined starts the requests that have been received completely behind the one that is being served.
+func (f *Front) startPipelined(c *connection) {
+	pl := c.pipeline
+	for {
+		pl.mu.Lock()
+		n := -1
+		if !pl.off && !f.draining.Load() && c.busy.Load() && len(pl.started) < maxPipelined {
+			n = bytes.Index(pl.unparsed, headEnd)
+		}
+		if n < 0 {
+			pl.mu.Unlock()
+			return
+		}
+		head := bytes.Clone(pl.unparsed[:n+len(headEnd)])
+		hr, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(head), noMoreBytes{})))
+		if err != nil || !bodiless(hr) || hr.Method != http.MethodGet || !hr.ProtoAtLeast(1, 1) || hr.Close || !f.Protocol.MayStartEarly(hr) {
+			pl.stop()
+			pl.mu.Unlock()
+			return
+		}
+		pl.unparsed = pl.unparsed[n+len(headEnd):]
+		e := &earlyRequest{method: hr.Method, uri: hr.RequestURI, id: f.Protocol.RequestID(hr)}
+		p, refusal := f.enter(hr, 0, func(p *pool.Pool, class string) (refusal *Refusal) {
+			e.call, refusal = f.check(hr, p, class)
+			return refusal
+		}, c)
+		if refusal != nil { // it is rejected when net/http reads it
+			pl.stop()
+			pl.mu.Unlock()
+			return
+		}
+		e.pool = p
+		pl.started = append(pl.started, e)
+		pl.count()
+		pl.mu.Unlock()
+		p.Engine().Submit(&e.call.Call)
+	}
+}
+
+// follows says that a request was started that waits to be answered in order.
+func (pl *pipeline) follows() bool {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	return len(pl.started) > 0
+}
+
+// noMoreBytes is a reader at its end.
+type noMoreBytes struct{}
+
+func (noMoreBytes) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+
+// abandon cancels an early request.
+func (e *earlyRequest) abandon() {
+	e.pool.Engine().CallerGone(&e.call.Call)
+	e.call.gone.Store(true)
+	e.call.discard()
+	e.pool.Leave(0)
+}
+
+// end abandons what was started on a connection that has ended.
+func (pl *pipeline) end() {
+	pl.mu.Lock()
+	defer pl.mu.Unlock()
+	pl.stop()
+	for _, e := range pl.started {
+		go e.abandon()
+	}
+	pl.started = nil
+	pl.count()
+}
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -27,11 +27,11 @@
 		f.refuse(w, hr, from, &Refusal{Status: http.StatusBadRequest, Text: "both a length and a transfer coding"})
 		return
 	}
-	if from.ahead != nil {
-		e := from.ahead.take(hr, f.Protocol.RequestID(hr)) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
+	if from.pipeline != nil {
+		e := from.pipeline.take(hr, f.Protocol.RequestID(hr)) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 		from.busy.Store(true)
 		defer from.busy.Store(false)
-		f.beginAhead(from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
+		f.startPipelined(from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 		if e != nil {
 			f.answerEarly(w, hr, e, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 			return
@@ -101,10 +101,10 @@
 				return
 			}
 			continue
-		case x := <-c.answers:
-			if x.stream == nil {
-				f.write(w, c, x.answer, from)
-			} else if !f.forwardStream(hr.Context(), w, x.stream, from) {
+		case event := <-c.answers:
+			if event.stream == nil {
+				f.write(w, c, event.answer, from)
+			} else if !f.forwardStream(hr.Context(), w, event.stream, from) {
 				f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 			}
 		case <-arrived:
@@ -129,7 +129,7 @@
 // mayGiveUp says that a call without an answer is idempotent and holds up the answers of pipelined requests.
 func mayGiveUp(c *call, from *connection) bool {
 	return len(c.answers) == 0 && c.upload == nil && c.Payload.(*message.Request).Idempotency == message.Idempotent &&
-		from.ahead != nil && from.ahead.follows()
+		from.pipeline != nil && from.pipeline.follows()
 }
 
 // abort ends a call that gets no complete answer, and its connection, by which the caller sees that.
@@ -154,10 +154,10 @@
 		http.Error(w, err.Text, err.Status)
 		return
 	}
-	// The next request can't be told from the rest of this one, so the connection is closed. It is read for a while first:
+	// The next request can't be distinguished from the rest of this one, so the connection is closed. It is read for a while first:
 	// the caller may write all of the body before it reads the answer.
 	from.markUseless()
-	// Errors below mean that the caller has gone, or that the connection can do without.
+	// Errors of these calls mean that the caller has gone.
 	_ = rc.EnableFullDuplex()
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Text, err.Status)
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// MaxBody is the limit on a body that is kept in memory as a whole, in bytes, for requests and replies.
+// MaxBody is the limit on a body that is buffered completely, in bytes, for requests and replies.
 const MaxBody = 64 << 10
 
 // CallerZone is the header by which a caller names its zone.
--- a/internal/message/stream.go
+++ b/internal/message/stream.go
@@ -31,8 +31,9 @@
 	return g.failed
 }
 
-// Stream is a body that is passed on in chunks as it comes: one side pushes, the other takes. Flow control is the pusher's:
-// it is told of each chunk that was taken and lets its peer send no more than that, which bounds the bytes held here.
+// Stream is a body that is passed on in chunks as it comes: one side pushes, the other takes. The pushing side
+// does the flow control: it is notified of each chunk that was taken and lets its peer send no more than that, which bounds
+// the bytes that are buffered.
 // One goroutine pushes and one takes.
 type Stream struct {
 	Status int // HTTP status; 0: 200
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -178,7 +178,7 @@
 	p.Stop()
 }
 
-// Stop ends the pool at once, without an answer to the calls that are open, and waits for its goroutine.
+// Stop ends the pool immediately, without an answer to the calls that are open, and waits for its goroutine.
 func (p *Pool) Stop() {
 	p.stop()
 	<-p.engine.Done()
--- a/internal/pool/quota_table.go
+++ b/internal/pool/quota_table.go
@@ -78,7 +78,7 @@
 	for h, q := range quotas {
 		switch {
 		case h == nil:
-			return errors.New("a quota for nobody")
+			return errors.New("a quota without a holder")
 		case q.Min < 0 || q.Max < 0:
 			return fmt.Errorf("a quota of %d to %d", q.Min, q.Max)
 		case q.Max > 0 && q.Min > q.Max:
@@ -122,7 +122,7 @@
 // stay wrong for the rest of the process.
 func (t *QuotaTable) Give(h *Holder, n int64) {
 	if n < 0 || n > h.used {
-		panic(fmt.Sprintf("pool: %d given back of %d taken", n, h.used))
+		panic(fmt.Sprintf("pool: %d returned of %d taken", n, h.used))
 	}
 	t.reserved += max(h.used-n, h.Min) - max(h.used, h.Min)
 	h.used -= n
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -40,23 +40,24 @@
 type conn struct {
 	net.Conn
 	reader    *bufio.Reader
-	readLimit *io.LimitedReader // under r
-	idleSince time.Time         // idle since
-	reused    bool              // it carried a request before
-	// hadUnnamedResponse: a response on it was MatchUnnamed, so a duplicate of that could not be told from the next response.
+	readLimit *io.LimitedReader // under reader
+	idleSince time.Time
+	reused    bool // it carried a request before
+	// hadUnnamedResponse: a response on it was MatchUnnamed, so a duplicate of it could not be distinguished from the next response.
 	hadUnnamedResponse bool
 	dialTime           time.Duration // how long it took to connect: at least one round trip
 }
 
-var errConnectionLimit = errors.New("no descriptor left for another connection")
+var errConnectionLimit = errors.New("the limit of connections is reached")
 
-// acquire takes the settled connection used last, or dials; for a request that is not idempotent only where reuse is safe enough.
-func (p *connectionPool) acquire(ctx context.Context, ep *engine.Endpoint, unsafe bool) (*conn, error) {
+// acquire takes the settled connection that was used last, or dials. A request that must run at most once gets a reused
+// connection only where these rarely break.
+func (p *connectionPool) acquire(ctx context.Context, ep *engine.Endpoint, atMostOnce bool) (*conn, error) {
 	p.mu.Lock()
-	trusted := p.trust.mayReuse(time.Since(p.start), unsafe)
+	trusted := p.trust.mayReuse(time.Since(p.start), atMostOnce)
 	p.mu.Unlock()
 	for {
-		c := p.takeIdle(ep, unsafe)
+		c := p.takeIdle(ep, atMostOnce)
 		if c == nil {
 			break
 		}
@@ -66,7 +67,7 @@
 		}
 		p.close(c)
 		if !trusted {
-			break // the one that is dialled takes its place
+			break // the connection that is dialled replaces it
 		}
 	}
 	return p.dial(ctx, ep)
@@ -88,7 +89,7 @@
 	return &conn{Conn: nc, reader: bufio.NewReader(limit), readLimit: limit, dialTime: time.Since(began)}, nil
 }
 
-// needsProbe says that a request that is not idempotent is to be written in two parts on this connection; see probe.
+// needsProbe says that a request that must run at most once is to be written in two parts on this connection; see probe.
 func (p *connectionPool) needsProbe(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,12 +97,12 @@
 }
 
 // takeIdle takes the most recently used settled connection that may carry the request; nil: there is none.
-func (p *connectionPool) takeIdle(ep *engine.Endpoint, unsafe bool) *conn {
+func (p *connectionPool) takeIdle(ep *engine.Endpoint, atMostOnce bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.idle[ep]
 	for i, c := range slices.Backward(l) {
-		if time.Since(c.idleSince) >= p.settleTime && (!unsafe || !c.hadUnnamedResponse) {
+		if time.Since(c.idleSince) >= p.settleTime && (!atMostOnce || !c.hadUnnamedResponse) {
 			p.idle[ep] = slices.Delete(l, i, i+1)
 			return c
 		}
@@ -126,7 +127,7 @@
 	return c != nil
 }
 
-// oldestOfAny takes the oldest idle connection to some server; nil if there is none. The caller holds mu.
+// oldestOfAny takes the oldest idle connection to some server; nil: there is none. The caller holds mu.
 func (p *connectionPool) oldestOfAny() *conn {
 	for ep, l := range p.idle {
 		if len(l) > 0 {
@@ -177,7 +178,7 @@
 	}
 }
 
-// recordExchange records whether the connection broke during an exchange, by which reuse of connections is judged.
+// recordExchange records whether the connection broke during an exchange, which decides on the reuse of connections.
 func (p *connectionPool) recordExchange(c *conn, broke bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/sender/http1/forward.go
+++ b/internal/sender/http1/forward.go
@@ -28,42 +28,42 @@
 func (s *Sender) forwardBody(
 	ctx context.Context, a *engine.Attempt, body io.Reader, resp *http.Response,
 ) (reply *message.Reply, size int64, err error) {
-	status, h, ct := s.protocol.ResponseHead(resp)
-	f := newLimitedStream(s.responseLimit, h, resp.ContentLength)
-	f.Status = status
-	begin := &streamStart{a: a, f: f}
+	status, header, contentType := s.protocol.ResponseHead(resp)
+	stream := newLimitedStream(s.responseLimit, header, resp.ContentLength)
+	stream.Status = status
+	start := &streamStart{attempt: a, stream: stream}
 	if resp.ContentLength < 0 {
-		timer := time.AfterFunc(s.bufferTime, func() { begin.now() })
+		timer := time.AfterFunc(s.bufferTime, func() { start.now() })
 		defer timer.Stop()
 	}
 	buf := chunkBuffers.Get().(*[chunkSize]byte)
 	defer chunkBuffers.Put(buf)
 	for {
-		room, err := f.reserve(ctx)
+		allowed, err := stream.reserve(ctx)
 		if err != nil {
-			begin.end(false)
+			start.end(false)
 			return nil, size, err
 		}
-		n, err := body.Read(buf[:room])
-		f.release(room - n)
+		n, err := body.Read(buf[:allowed])
+		stream.release(allowed - n)
 		if size += int64(n); n > 0 {
-			f.Push(append([]byte(nil), buf[:n]...))
+			stream.Push(append([]byte(nil), buf[:n]...))
 		}
 		if size > maxResponseBody {
 			err = errTooLong
 		}
 		if err == io.EOF { //nolint:errorlint // a reader returns io.EOF itself at the end; a wrapped one is a failure
-			if begin.end(true) {
+			if start.end(true) {
 				return nil, size, nil
 			}
-			return withHead(message.NewReply(ct, f.Drain(), nil), status, h), size, nil
+			return withHead(message.NewReply(contentType, stream.Drain(), nil), status, header), size, nil
 		}
 		if err != nil {
-			begin.end(false)
+			start.end(false)
 			return nil, size, err
 		}
 		if size > maxBody || resp.ContentLength > maxBody && n > 0 {
-			begin.now()
+			start.now()
 		}
 	}
 }
@@ -78,37 +78,37 @@
 
 // streamStart reports the start of a streamed response once, unless it has ended before.
 type streamStart struct {
-	a *engine.Attempt
-	f *limitedStream
+	attempt *engine.Attempt
+	stream  *limitedStream
 
 	mu           sync.Mutex // guards below
 	begun, ended bool
 }
 
 // now reports the start, unless the response has begun or ended before.
-func (b *streamStart) now() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.begun && !b.ended {
-		b.begun = true
-		b.a.Began(b.f.Stream)
+func (s *streamStart) now() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.begun && !s.ended {
+		s.begun = true
+		s.attempt.Began(s.stream.Stream)
 	}
 }
 
 // end ends the stream; it returns whether it had begun.
-func (b *streamStart) end(whole bool) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.ended = true
+func (s *streamStart) end(complete bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.ended = true
 	switch {
-	case b.begun && whole:
-		b.f.Finish([]message.Field{})
-	case b.begun:
-		b.f.Finish(nil)
-	case !whole:
-		b.f.Release()
+	case s.begun && complete:
+		s.stream.Finish([]message.Field{})
+	case s.begun:
+		s.stream.Finish(nil)
+	case !complete:
+		s.stream.Release()
 	}
-	return b.begun
+	return s.begun
 }
 
 // limitedStream is a stream whose unread bytes count against a limit that all responses share.
@@ -122,49 +122,49 @@
 	reserved int        // of those, the bytes that were taken from the limit
 }
 
-func newLimitedStream(room engine.SharedLimit, header []message.Field, length int64) *limitedStream {
-	f := &limitedStream{limit: room, wake: make(chan struct{}, 1)}
-	f.Stream = message.NewStream(header, f.release)
-	f.Length, f.OnDiscarded = length, f.release
-	return f
+func newLimitedStream(limit engine.SharedLimit, header []message.Field, length int64) *limitedStream {
+	s := &limitedStream{limit: limit, wake: make(chan struct{}, 1)}
+	s.Stream = message.NewStream(header, s.release)
+	s.Length, s.OnDiscarded = length, s.release
+	return s
 }
 
 // reserve waits until more may be read, and returns how many bytes.
-func (f *limitedStream) reserve(ctx context.Context) (int, error) {
+func (s *limitedStream) reserve(ctx context.Context) (int, error) {
 	for {
-		f.mu.Lock()
+		s.mu.Lock()
 		switch {
-		case f.unread+chunkSize <= maxUnread && f.limit.Take(chunkSize):
-			f.unread += chunkSize
-			f.reserved += chunkSize
-			f.mu.Unlock()
+		case s.unread+chunkSize <= maxUnread && s.limit.Take(chunkSize):
+			s.unread += chunkSize
+			s.reserved += chunkSize
+			s.mu.Unlock()
 			return chunkSize, nil
-		case f.unread == 0:
-			f.unread += minChunkSize
-			f.mu.Unlock()
+		case s.unread == 0:
+			s.unread += minChunkSize
+			s.mu.Unlock()
 			return minChunkSize, nil
 		}
-		f.mu.Unlock()
+		s.mu.Unlock()
 		select {
-		case <-f.wake:
+		case <-s.wake:
 		case <-ctx.Done():
 			return 0, context.Cause(ctx)
 		}
 	}
 }
 
-// release returns bytes that were taken or dropped downstream, or not read after all.
-func (f *limitedStream) release(n int) {
-	f.mu.Lock()
-	f.unread -= n
-	back := max(0, f.reserved-f.unread)
-	f.reserved -= back
-	f.mu.Unlock()
+// release returns bytes that were taken or discarded downstream, or not read after all.
+func (s *limitedStream) release(n int) {
+	s.mu.Lock()
+	s.unread -= n
+	back := max(0, s.reserved-s.unread)
+	s.reserved -= back
+	s.mu.Unlock()
 	if back > 0 {
-		f.limit.Give(int64(back))
+		s.limit.Give(int64(back))
 	}
 	select {
-	case f.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -103,8 +103,8 @@
 		return result{ending: balancer.NeverSent}
 	}
 	// A body that can be sent only once needs the same care as a request that may run only once.
-	careful := nonIdempotent(m) || m.BodyRest != nil
-	c, err := s.acquire(ctx, a.Endpoint, careful)
+	atMostOnce := mustRunAtMostOnce(m) || m.BodyRest != nil
+	c, err := s.acquire(ctx, a.Endpoint, atMostOnce)
 	switch {
 	case err != nil && ctx.Err() == nil:
 		return result{ending: balancer.Unreachable}
@@ -120,7 +120,7 @@
 		return result{ending: ending}
 	}
 	on := exchangeConn{conn: c, stop: closeAtEnd(ctx, c), unsent: text}
-	if careful && s.needsProbe(c) || m.BodyRest != nil && c.reused {
+	if atMostOnce && s.needsProbe(c) || m.BodyRest != nil && c.reused {
 		var ending balancer.Ending
 		var ok bool
 		if on, ending, ok = s.probe(ctx, a, on, text); !ok {
--- a/internal/sender/http1/match_test.go
+++ b/internal/sender/http1/match_test.go
@@ -43,7 +43,7 @@
 
 // A rejection that names no request comes twice, the second time in place of the response to the next request. It would say
 // of a request that runs that it did not run, so a request that must not run twice goes over another connection.
-func TestUnnamedResponseKeepsUnsafeRequestsOff(t *testing.T) {
+func TestUnnamedResponseEndsReuseForAtMostOnceRequests(t *testing.T) {
 	t.Parallel()
 	var runs atomic.Int64
 	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -64,7 +64,7 @@
 		}
 	})
 	s, ep := newNamingSender(false), newEndpoint(addr)
-	s.trust.kept.n = 10 * trustPrior // otherwise no reused connection is trusted with it
+	s.trust.reused.n = 10 * trustPrior // otherwise no reused connection is trusted with it
 	if res := send(t, s, ep, atMostOnceRequest("a")); res.ending != balancer.Overloaded {
 		t.Fatalf("first request: ending %v", res.ending)
 	}
--- a/internal/sender/http1/probe.go
+++ b/internal/sender/http1/probe.go
@@ -68,7 +68,7 @@
 	_, err = c.reader.Peek(1)
 	var timeout net.Error
 	if err == nil || !errors.As(err, &timeout) || !timeout.Timeout() {
-		return nil, errors.Join(errors.New("an answer, or the end, before the request"), err)
+		return nil, errors.Join(errors.New("a response, or the end of the connection, before the request was written"), err)
 	}
 	return text[n:], c.SetReadDeadline(time.Time{})
 }
--- a/internal/sender/http1/read.go
+++ b/internal/sender/http1/read.go
@@ -32,9 +32,9 @@
 )
 
 var (
-	errUnframed     = errors.New("the answer's length is not told")
-	errOtherRequest = errors.New("the answer is another request's")
-	errTooLong      = errors.New("the answer is too long")
+	errUnknownLength = errors.New("the response does not declare its length")
+	errOtherRequest  = errors.New("the response belongs to another request")
+	errTooLong       = errors.New("the response is too long")
 )
 
 // answer is a response. Its reply is nil if the body was forwarded or is not needed.
@@ -45,10 +45,10 @@
 	sawOther bool  // a response to another request came before it
 }
 
-// read reads a response, and forwards a long body as it comes. After an error there is no response, whatever its head
-// said about whether the request has run.
+// read reads a response, and forwards a long body as it comes. After an error there is no response, and what its head
+// says about whether the request has run does not count.
 func (s *Sender) read(ctx context.Context, a *engine.Attempt, c *conn, r *http.Request) (response, error) {
-	stray := false
+	sawOther := false
 	c.readLimit.N = maxHeaderBytes
 	for {
 		if _, err := c.reader.Peek(1); err != nil {
@@ -73,17 +73,17 @@
 		if match == MatchOther {
 			// A late duplicate of the response to an earlier request; the one expected may follow.
 			c.readLimit.N = maxResponseBody / 64
-			if _, err := io.Copy(io.Discard, timedReader{c, resp.Body, s.readTimeout}); err != nil || stray || resp.Close {
+			if _, err := io.Copy(io.Discard, timedReader{c, resp.Body, s.readTimeout}); err != nil || sawOther || resp.Close {
 				return response{}, errors.Join(errOtherRequest, err)
 			}
-			stray, c.readLimit.N = true, maxHeaderBytes
+			sawOther, c.readLimit.N = true, maxHeaderBytes
 			if err := c.SetReadDeadline(time.Time{}); err != nil {
 				return response{}, err
 			}
 			continue
 		}
 		got, err := s.readBody(ctx, a, c, resp, closes)
-		got.sawOther = stray
+		got.sawOther = sawOther
 		return got, err
 	}
 }
@@ -107,7 +107,7 @@
 	n := resp.ContentLength
 	if n < 0 && len(resp.TransferEncoding) == 0 && !closes && resp.ProtoAtLeast(1, 1) {
 		// It ends with the connection, though the head does not announce that: it may as well have been cut off.
-		return response{}, errUnframed
+		return response{}, errUnknownLength
 	}
 	if n > maxResponseBody {
 		return response{}, errTooLong
@@ -124,10 +124,10 @@
 		return response{resp: resp, size: size}, err
 	case n >= 0 && n <= maxBody:
 		c.readLimit.N = n
-		whole := make([]byte, n)
-		_, err := io.ReadFull(body, whole)
-		status, header, ct := s.protocol.ResponseHead(resp)
-		return response{resp: resp, reply: withHead(message.NewReply(ct, whole, nil), status, header), size: n}, err
+		content := make([]byte, n)
+		_, err := io.ReadFull(body, content)
+		status, header, contentType := s.protocol.ResponseHead(resp)
+		return response{resp: resp, reply: withHead(message.NewReply(contentType, content, nil), status, header), size: n}, err
 	}
 	c.readLimit.N = 2 * maxResponseBody // with the framing of a chunked body
 	reply, size, err := s.forwardBody(ctx, a, timedReader{c, resp.Body, s.streamReadTimeout}, resp)
--- a/internal/sender/http1/trust_test.go
+++ b/internal/sender/http1/trust_test.go
@@ -16,12 +16,12 @@
 	"cranegrade/internal/testkit"
 )
 
-// Reused connections that break more often than new ones lose the trust of unsafe requests first, and regain it.
+// Reused connections that break more often than new ones lose the trust of requests that must run at most once first, and regain it.
 func TestReuseTrust(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
 		reusedBreak, freshBreak int // every so manieth exchange breaks; 0: none
-		unsafe, otherwise       bool
+		atMostOnce, otherwise   bool
 	}{
 		{"none break", 0, 0, true, true},
 		{"reused ones sometimes", 50, 0, false, true},
@@ -33,14 +33,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			var trust reuseTrust
 			if trust.mayReuse(0, true) || !trust.mayReuse(0, false) {
-				t.Error("at the start an unsafe request uses a reused connection, or another request does not")
+				t.Error("at the start an at-most-once request uses a reused connection, or another request does not")
 			}
 			for i := 1; i <= 900; i++ {
 				trust.record(0, true, c.reusedBreak > 0 && i%c.reusedBreak == 0)
 				trust.record(0, false, c.freshBreak > 0 && i%c.freshBreak == 0)
 			}
-			if unsafe, otherwise := trust.mayReuse(0, true), trust.mayReuse(0, false); unsafe != c.unsafe || otherwise != c.otherwise {
-				t.Errorf("unsafe %v, others %v", unsafe, otherwise)
+			if atMostOnce, otherwise := trust.mayReuse(0, true), trust.mayReuse(0, false); atMostOnce != c.atMostOnce || otherwise != c.otherwise {
+				t.Errorf("atMostOnce %v, others %v", atMostOnce, otherwise)
 			}
 			again := 0
 			for range 3 * lookAgain {
@@ -65,11 +65,11 @@
 		for range rapid.IntRange(0, 300).Draw(r, "n") {
 			now := time.Duration(rapid.Int64Range(-1<<62, 1<<62).Draw(r, "now"))
 			if rapid.Bool().Draw(r, "ask") {
-				trust.mayReuse(now, rapid.Bool().Draw(r, "unsafe"))
+				trust.mayReuse(now, rapid.Bool().Draw(r, "atMostOnce"))
 			} else {
 				trust.record(now, rapid.Bool().Draw(r, "reused"), rapid.Bool().Draw(r, "broke"))
 			}
-			for _, b := range []breaks{trust.kept, trust.fresh} {
+			for _, b := range []breaks{trust.reused, trust.fresh} {
 				if !(b.rate() >= 0 && b.rate() <= 1) || b.n > trustMemory+1 {
 					r.Fatalf("%+v", trust)
 				}
@@ -126,7 +126,7 @@
 		s.trust.record(time.Since(s.start), false, true)
 	}
 	for i := range 10 {
-		res := send(t, s, ep, unsafeRequest())
+		res := send(t, s, ep, keylessRequest())
 		if res.ending != balancer.Success && res.ending != balancer.Unreachable {
 			t.Fatalf("attempt %d: ending %v, though nothing can have run", i, res.ending)
 		}
@@ -142,14 +142,14 @@
 	}
 }
 
-// unsafeRequest is a request that must not run twice.
-func unsafeRequest() *message.Request {
+// keylessRequest is a request that must run at most once, since it has no idempotency key.
+func keylessRequest() *message.Request {
 	return &message.Request{Method: "POST", URL: keyedRequest().URL, Authority: "a", Body: []byte("x")}
 }
 
 // A server resets every third reused connection when its next request comes. Once that was observed, requests that must not
 // run twice avoid it, and connections do not pile up.
-func TestUnsafeRequestsAvoidStaleConnections(t *testing.T) {
+func TestAtMostOnceRequestsAvoidStaleConnections(t *testing.T) {
 	t.Parallel()
 	var requests counter
 	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
@@ -167,23 +167,23 @@
 		}
 	})
 	s, ep := newTestSender(100), newEndpoint(addr)
-	unsafe := unsafeRequest()
+	atMostOnce := keylessRequest()
 	broken := 0
 	for i := range 200 {
 		m := keyedRequest()
 		if i%2 == 1 {
-			m = unsafe
+			m = atMostOnce
 		}
 		res := send(t, s, ep, m)
 		if res.reply != nil {
 			res.reply.Release()
 		}
-		if m == unsafe && i >= 60 && res.ending != balancer.Success {
+		if m == atMostOnce && i >= 60 && res.ending != balancer.Success {
 			broken++
 		}
 	}
 	if broken > 0 {
-		t.Errorf("%d of 70 unsafe requests broke", broken)
+		t.Errorf("%d of 70 at-most-once requests broke", broken)
 	}
 	if open, idle := s.counts(); open > 2 {
 		t.Errorf("%d connections are open, %d idle, for one request at a time", open, idle)
--- a/internal/sender/http1/write.go
+++ b/internal/sender/http1/write.go
@@ -53,7 +53,7 @@
 	// net/http reports that the body is too short, or ends it.
 	n := bytes.Index(text, headEnd)
 	if n < 0 {
-		return nil, errors.Join(errors.New("no head"), err)
+		return nil, errors.Join(errors.New("the request has no header section"), err)
 	}
 	return text[:n+len(headEnd)], nil
 }
@@ -62,10 +62,10 @@
 
 // exchange writes one request and reads its response. keep says whether the connection can be reused.
 func (s *Sender) exchange(ctx context.Context, a *engine.Attempt, c *conn, r *http.Request, text []byte) (res result, keep bool) {
-	out, whole, err := s.write(ctx, a, c, text)
+	out, complete, err := s.write(ctx, a, c, text)
 	if err != nil {
 		// It was not written completely, so it can't have run.
-		if ctx.Err() != nil || errors.Is(err, errBrokenOff) || errors.Is(err, errBodySpent) {
+		if ctx.Err() != nil || errors.Is(err, errIncompleteRequest) || errors.Is(err, errBodySpent) {
 			return result{ending: balancer.NeverSent}, false
 		}
 		return result{ending: balancer.Unreachable}, false
@@ -73,7 +73,7 @@
 	a.RecordTransfer(out, 0, "")
 	got, err := s.read(ctx, a, c, r)
 	if err != nil {
-		if !whole {
+		if !complete {
 			return result{ending: balancer.Unreachable}, false
 		}
 		return result{ending: engine.EndingOf(ctx)}, false
@@ -88,12 +88,12 @@
 		m := a.Payload.(*message.Request)
 		m.Fail(got.reply)
 	}
-	return res, whole && !got.sawOther && !got.resp.Close && c.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
+	return res, complete && !got.sawOther && !got.resp.Close && c.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
 }
 
-// write writes a request, of which text is the head or all. If whole is false without an error, the server has responded
+// write writes a request, of which text is the head or all. If complete is false without an error, the server has responded
 // before the end of the request, and the response can be read.
-func (s *Sender) write(ctx context.Context, a *engine.Attempt, c *conn, text []byte) (out int64, whole bool, err error) {
+func (s *Sender) write(ctx context.Context, a *engine.Attempt, c *conn, text []byte) (out int64, complete bool, err error) {
 	m := a.Payload.(*message.Request)
 	if m.BodyRest == nil {
 		_, err := c.Write(text)
@@ -105,15 +105,15 @@
 	return s.upload(ctx, c, text, m)
 }
 
-var errBodySpent = errors.New("its body has gone elsewhere")
+var errBodySpent = errors.New("another attempt has sent the body")
 
 // writeTimeout is the time-out of each write of a long request.
 const writeTimeout = 10 * time.Second
 
-// upload writes a request while its caller still sends the body, and stops when the server responds before the end. whole
+// upload writes a request while its caller still sends the body, and stops when the server responds before the end. complete
 // says that the server can have all of it, so that it may run, whatever becomes of the caller or the attempt after that.
 // The goroutine that waits for an early response has ended when upload returns.
-func (s *Sender) upload(ctx context.Context, c *conn, head []byte, m *message.Request) (out int64, whole bool, err error) {
+func (s *Sender) upload(ctx context.Context, c *conn, head []byte, m *message.Request) (out int64, complete bool, err error) {
 	writing, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	c.readLimit.N = maxHeaderBytes
@@ -126,8 +126,8 @@
 		}
 		early <- err
 	}()
-	out, whole, err = uploadBody(writing, timedWriter{c.Conn}, head, m)
-	if err == nil || whole {
+	out, complete, err = uploadBody(writing, timedWriter{c.Conn}, head, m)
+	if err == nil || complete {
 		// It is written. The goroutine now waits for the response proper.
 		stop(nil)
 	} else if !errors.Is(context.Cause(writing), errEarlyResponse) {
@@ -136,17 +136,17 @@
 		return out, false, err
 	}
 	if err := <-early; err != nil {
-		if whole {
+		if complete {
 			return out, true, nil // the reader meets the same error, and classifies it
 		}
 		return out, false, err
 	}
-	return out, whole, c.SetWriteDeadline(time.Time{})
+	return out, complete, c.SetWriteDeadline(time.Time{})
 }
 
-// uploadBody writes a head and the body that follows. whole says that all of it was written, or what a server may take for
+// uploadBody writes a head and the body that follows. complete says that all of it was written, or what a server may take for
 // all of it. A body of declared length ends with its last byte, without waiting for the caller's end of stream.
-func uploadBody(ctx context.Context, w io.Writer, head []byte, m *message.Request) (out int64, whole bool, err error) {
+func uploadBody(ctx context.Context, w io.Writer, head []byte, m *message.Request) (out int64, complete bool, err error) {
 	if _, err = w.Write(head); err != nil {
 		return 0, false, err
 	}
@@ -156,7 +156,7 @@
 	}
 	for p := m.Body; len(p) > 0; {
 		if length >= 0 && out+int64(len(p)) > length {
-			return out, false, errBrokenOff // a server would read the excess as the next request
+			return out, false, errIncompleteRequest // a server would read the excess as the next request
 		}
 		if _, err = to.Write(p); err != nil {
 			return out, false, err
@@ -169,7 +169,7 @@
 		}
 	}
 	if length >= 0 || m.BodyRest.Trailer() == nil {
-		return out, false, errBrokenOff
+		return out, false, errIncompleteRequest
 	}
 	n, err := io.WriteString(w, chunksEnd)
 	return out, n >= len(lastChunk), err
@@ -182,8 +182,8 @@
 )
 
 var (
-	errEarlyResponse = errors.New("the server answered before the request's end")
-	errBrokenOff     = errors.New("the request broke off")
+	errEarlyResponse     = errors.New("the server responded before the end of the request")
+	errIncompleteRequest = errors.New("the request body is incomplete")
 )
 
 // timedWriter is a connection with a time-out for each write.
