--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -90,24 +90,24 @@
 func (e *Engine) CallerGone(call *Call) { e.Do(func() { e.handleCallerGone(call) }) }
 
 // BodyArrived notifies the engine that the body of a call that was Arriving is complete: its deadline counts from now.
-func (e *Engine) BodyArrived(call *Call) {
-	e.Do(func() {
-		if !call.arriving || call.finished.Load() {
-			return
-		}
-		call.arriving = false
-		call.Deadline = e.cfg.Clock.Now() + call.timeLeft
-		call.FallbackAt = call.Deadline + call.fallbackDelay
-		if call.streaming != nil {
-			return // a streamed reply that has begun has no deadline
-		}
-		e.armFallbackAnswer(call)
-		for _, attempt := range call.attempts {
-			if !attempt.ended.Load() {
-				attempt.expire(call.timeLeft)
-			}
+func (e *Engine) BodyArrived(call *Call) { e.Do(func() { e.handleBodyArrived(call) }) }
+
+func (e *Engine) handleBodyArrived(call *Call) {
+	if !call.arriving || call.finished.Load() {
+		return
+	}
+	call.arriving = false
+	call.Deadline = e.cfg.Clock.Now() + call.timeLeft
+	call.FallbackAt = call.Deadline + call.fallbackDelay
+	if call.streaming != nil {
+		return // a streamed reply that has begun has no deadline
+	}
+	e.armFallbackAnswer(call)
+	for _, attempt := range call.attempts {
+		if !attempt.ended.Load() {
+			attempt.expire(call.timeLeft)
 		}
-	})
+	}
 }
 
 // armFallbackAnswer has the engine fail the call at FallbackAt, in case the module never answers it.
@@ -132,7 +132,7 @@
 	})
 }
 
-// AbandonAll fails every unanswered call, except those whose streamed reply has begun: these run on while they can.
+// AbandonAll fails every unanswered call, except those whose streamed reply has begun: these continue while they can.
 func (e *Engine) AbandonAll() {
 	e.Do(func() {
 		for _, call := range e.calls {
@@ -143,6 +143,7 @@
 	})
 }
 
+// accept takes a submitted call: it rejects it, or registers it and passes it to the module.
 func (e *Engine) accept(call *Call) {
 	if call.ID != "" && e.callerIDs[call.ID] {
 		// Forwarding it would run the request that is already open a second time.
@@ -157,15 +158,16 @@
 		reject(call)
 		return
 	}
-	among, ok := e.endpointIDs(call.CandidateAddrs)
+	candidates, ok := e.endpointIDs(call.CandidateAddrs)
 	if !ok {
 		reject(call)
 		return
 	}
 	e.register(call)
 	e.handle(balancer.Request{
-		ID: call.id, Class: call.Class, Deadline: call.Deadline, ClientRetry: call.ClientRetry, Cost: call.Cost,
-		Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)], Candidates: among, From: call.CallerZone[:min(len(call.CallerZone), MaxZone)], Size: call.Size,
+		ID: call.id, Class: call.Class, Deadline: call.Deadline, ClientRetry: call.ClientRetry, Cost: call.Cost, Size: call.Size,
+		Candidates: candidates, Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)],
+		From: call.CallerZone[:min(len(call.CallerZone), MaxZone)],
 	})
 	e.limitPending(call)
 }
--- a/internal/h2/client/receive.go
+++ b/internal/h2/client/receive.go
@@ -153,7 +153,7 @@
 	return status, l[1:], true
 }
 
-// completeAnswer ends a stream whose response is complete. A response may end before the request does; the rest of the
+// completeResponse ends a stream whose response is complete. A response may end before the request does; the rest of the
 // request body is then not sent, and RST_STREAM with NO_ERROR says so (RFC 9113, section 8.1).
 func (c *Conn) completeResponse(s *stream) {
 	if s.contentLength >= 0 && s.contentLength != s.received && s.method != "HEAD" && s.response.Status != 304 {
--- a/internal/sender/http1/probe.go
+++ b/internal/sender/http1/probe.go
@@ -57,7 +57,7 @@
 	if n < 0 {
 		return text, nil
 	}
-	n += 3
+	n += len(headEnd) - 1
 	if _, err := c.Write(text[:n]); err != nil {
 		return nil, err
 	}
--- a/internal/sender/http1/read.go
+++ b/internal/sender/http1/read.go
@@ -22,6 +22,8 @@
 	// maxAnswer is the limit on a body that is forwarded, in bytes.
 	maxResponseBody = 64 << 20
 	maxHeaderBytes  = 32 << 10 // header section with those of interim responses before it
+	// maxDiscardedBody is the limit on a body that is read only so that its connection can be reused.
+	maxDiscardedBody = maxResponseBody / 64
 	// readTimeout is the time-out of each read of a response that is buffered.
 	readTimeout = 500 * time.Millisecond
 	// streamReadTimeout is the same for one that is forwarded: no other attempt can take its place.
@@ -37,7 +39,7 @@
 	errTooLong       = errors.New("the response is too long")
 )
 
-// answer is a response. Its reply is nil if the body was forwarded or is not needed.
+// response is a response of a server. Its reply is nil if the body was forwarded or is not needed.
 type response struct {
 	resp     *http.Response
 	reply    *message.Reply
@@ -72,7 +74,7 @@
 		c.hadUnnamedResponse = c.hadUnnamedResponse || match == MatchUnnamed
 		if match == MatchOther {
 			// A late duplicate of the response to an earlier request; the one expected may follow.
-			c.readLimit.N = maxResponseBody / 64
+			c.readLimit.N = maxDiscardedBody
 			if _, err := io.Copy(io.Discard, timedReader{c, resp.Body, s.readTimeout}); err != nil || sawOther || resp.Close {
 				return response{}, errors.Join(errOtherRequest, err)
 			}
@@ -90,16 +92,16 @@
 
 // timedReader reads a body with a time-out for each read.
 type timedReader struct {
-	c       *conn
+	conn    *conn
 	body    io.Reader
 	timeout time.Duration
 }
 
-func (q timedReader) Read(p []byte) (int, error) {
-	if err := q.c.SetReadDeadline(time.Now().Add(q.timeout)); err != nil {
+func (r timedReader) Read(p []byte) (int, error) {
+	if err := r.conn.SetReadDeadline(time.Now().Add(r.timeout)); err != nil {
 		return 0, err
 	}
-	return q.body.Read(p)
+	return r.body.Read(p)
 }
 
 // readBody reads, forwards or discards the body, depending on its length and on whether it is needed.
@@ -119,7 +121,7 @@
 	_, wanted := s.protocol.Classify(resp)
 	switch {
 	case !wanted:
-		c.readLimit.N = maxResponseBody / 64
+		c.readLimit.N = maxDiscardedBody
 		size, err := io.Copy(io.Discard, body)
 		return response{resp: resp, size: size}, err
 	case n >= 0 && n <= maxBody:
--- a/internal/sender/http1/trust.go
+++ b/internal/sender/http1/trust.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// fade applies the decay up to now.
+// decay applies the decay up to now.
 func (t *reuseTrust) decay(now time.Duration) {
 	d := min(max(0, now-t.at), maxSpan)
 	t.at = max(t.at, now)
@@ -90,7 +90,7 @@
 	return t.fresh.rate() > atMostOnceRisk || t.reused.rate() > atMostOnceRisk
 }
 
-// nonIdempotent says that a request must not run twice: its method is not idempotent (RFC 9110, section 9.2.2) and it has
+// mustRunAtMostOnce says that a request must not run twice: its method is not idempotent (RFC 9110, section 9.2.2) and it has
 // no Idempotency-Key by which servers recognise a retry.
 func mustRunAtMostOnce(m *message.Request) bool {
 	if m.Idempotency != message.IdempotencyByMethod {
--- a/internal/sender/http1/write.go
+++ b/internal/sender/http1/write.go
@@ -189,9 +189,9 @@
 // timedWriter is a connection with a time-out for each write.
 type timedWriter struct{ net.Conn }
 
-func (d timedWriter) Write(p []byte) (int, error) {
-	if err := d.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+func (w timedWriter) Write(p []byte) (int, error) {
+	if err := w.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
-	return d.Conn.Write(p)
+	return w.Conn.Write(p)
 }
