--- a/internal/engine/source.go
+++ b/internal/engine/source.go
@@ -37,10 +37,10 @@
 
 // Source provides the list of servers.
 type Source interface {
-	// Watch watches the list: it calls update with each update after version since, in order, until ctx ends or the
+	// Watch watches the list: it calls onUpdate with each update after version since, in order, until ctx ends or the
 	// source fails. After "" the first update is the complete list. An update that is not full and has no servers
 	// says that the list is still up to date. Watch returns the reason for its end, never nil.
-	Watch(ctx context.Context, since string, update func(ListUpdate)) error
+	Watch(ctx context.Context, since string, onUpdate func(ListUpdate)) error
 	// String names the source for the log.
 	String() string
 }
--- a/internal/engine/source_test.go
+++ b/internal/engine/source_test.go
@@ -26,13 +26,13 @@
 }
 
 func (s *scriptedSource) String() string { return s.name }
-func (s *scriptedSource) Watch(ctx context.Context, since string, update func(ListUpdate)) error {
+func (s *scriptedSource) Watch(ctx context.Context, since string, onUpdate func(ListUpdate)) error {
 	s.watched <- since
 	defer func() { s.closed <- struct{}{} }()
 	for {
 		select {
 		case u := <-s.updates:
-			update(u)
+			onUpdate(u)
 		case err := <-s.fail:
 			return err
 		case <-ctx.Done():
--- a/internal/fake/proxy/processor_filter.go
+++ b/internal/fake/proxy/processor_filter.go
@@ -14,7 +14,7 @@
 	extproc "github.com/envoyproxy/go-control-plane/envoy/service/ext_proc/v3"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"cranegrade/internal/envoyconf"
+	"cranegrade/internal/extproc/stream"
 )
 
 const (
@@ -104,7 +104,7 @@
 func (f *processorFilter) applyDecision(r *request, message *extproc.ProcessingResponse) {
 	mutation := message.GetRequestHeaders().GetResponse().GetHeaderMutation()
 	for _, h := range mutation.GetSetHeaders() {
-		if h.GetHeader().GetKey() == envoyconf.Header {
+		if h.GetHeader().GetKey() == stream.DestinationHeader {
 			r.decided = strings.Split(string(h.GetHeader().GetRawValue()), ",")
 		}
 	}
--- a/internal/fake/proxy/proxy.go
+++ b/internal/fake/proxy/proxy.go
@@ -125,19 +125,19 @@
 
 // yaml is the configuration that `cranegrade proxy-config` prints for an operator, with the faults of this proxy.
 func (c Config) yaml() (string, error) {
-	p := envoyconf.Proxy{Mode: c.Mode, Processor: c.Processor, Retries: c.MaxRetries, Endpoints: c.Endpoints}
+	p := envoyconf.Options{Mode: c.Mode, Processor: c.Processor, Retries: c.MaxRetries, Endpoints: c.Endpoints}
 	if p.Mode == "" {
 		if p.Mode = envoyconf.ByHeader; c.MaxRetries > 0 {
 			p.Mode = envoyconf.EveryTry
 		}
 	}
-	p.Facts = envoyconf.Facts{DecideWithin: c.Timeout - decisionMargin, Retries: p.Mode == envoyconf.EveryTry, RetryHeader: RetryHeader}
+	p.Settings = envoyconf.ProcessorSettings{DecisionTimeout: c.Timeout - decisionMargin, Retries: p.Mode == envoyconf.EveryTry, RetryHeader: RetryHeader}
 	if p.Mode == envoyconf.Fallbacks {
-		p.Facts.Spares = c.MaxRetries
+		p.Settings.MaxFallbacks = c.MaxRetries
 	}
 	longest := minLongestDeadline
 	for _, class := range c.Classes {
-		p.Classes = append(p.Classes, envoyconf.Class{Name: class.Name, Deadline: class.Deadline, Safe: class.Effect == fake.Safe})
+		p.Classes = append(p.Classes, envoyconf.Class{Name: class.Name, Deadline: class.Deadline, Idempotent: class.Effect == fake.Safe})
 		longest = max(longest, class.Deadline)
 	}
 	if len(p.Classes) == 0 {
--- a/internal/source/static/static.go
+++ b/internal/source/static/static.go
@@ -1,4 +1,5 @@
-// Package static is a list of servers that is told once and stays.
+// Package static is the source of a pool's servers whose list stands in the operator's file: it never
+// changes.
 package static
 
 import (
@@ -7,19 +8,22 @@
 	"cranegrade/internal/engine"
 )
 
-// Source is a fixed list. It implements engine.Source.
+// Source is a fixed list of servers. It implements engine.Source.
 type Source []engine.Listed
 
-// Watch passes on the list, unless since says that it is known, and then nothing until ctx ends.
-func (s Source) Watch(ctx context.Context, since string, update func(engine.ListUpdate)) error {
+var _ engine.Source = Source(nil)
+
+// version is that of the only list there is.
+const version = "static"
+
+// Watch passes on the list, unless since says that the engine has it, and returns why ctx has ended.
+func (s Source) Watch(ctx context.Context, since string, onUpdate func(engine.ListUpdate)) error {
 	if since != version {
-		update(engine.ListUpdate{Full: true, Version: version, Servers: s})
+		onUpdate(engine.ListUpdate{Full: true, Version: version, Servers: s})
 	}
 	<-ctx.Done()
 	return context.Cause(ctx)
 }
 
-// version of the one list there is.
-const version = "static"
-
+// String names the source in log messages.
 func (s Source) String() string { return "the file" }
