--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -41,10 +41,10 @@
 
 // EndingOf says how an attempt ended whose request was written completely and whose response is not complete.
 func EndingOf(ctx context.Context) balancer.Ending {
-	switch context.Cause(ctx) {
-	case nil:
+	switch cause := context.Cause(ctx); {
+	case cause == nil:
 		return balancer.Broken
-	case ErrTimedOut:
+	case errors.Is(cause, ErrTimedOut):
 		return balancer.TimedOut
 	}
 	return balancer.Canceled
@@ -54,7 +54,7 @@
 // Endpoint, so that no connection to the former process is used again.
 type Endpoint struct {
 	ID, Addr    string
-	boot        time.Duration
+	startedAt   time.Duration
 	usable      atomic.Bool // listed as ready; cleared when it drains or is removed
 	adminStates AdminStates // nil: none
 	listed      Listed      // as the source reported it; owned by the engine's goroutine
--- a/internal/extproc/stream/decision.go
+++ b/internal/extproc/stream/decision.go
@@ -61,7 +61,7 @@
 		SetHeaders: []*corev3.HeaderValueOption{setHeader(DestinationHeader, destination)},
 	}
 	if d.TimeLeft > 0 {
-		mutation.SetHeaders = append(mutation.SetHeaders, setHeader("x-time-left", message.TimeLeft(d.TimeLeft)))
+		mutation.SetHeaders = append(mutation.SetHeaders, setHeader("x-time-left", message.FormatTimeLeft(d.TimeLeft)))
 	}
 	common := &extproc.CommonResponse{ClearRouteCache: d.ClearRouteCache, HeaderMutation: mutation}
 	metadata := &structpb.Struct{Fields: map[string]*structpb.Value{
--- a/internal/extproc/stream/response.go
+++ b/internal/extproc/stream/response.go
@@ -52,7 +52,7 @@
 		Ending: attemptEnding(status, header, m), Status: status, Served: servedEndpoint(header, m), Answered: true,
 	}
 	if length := onlyValue(header, "content-length"); length != "" {
-		outcome.ContentLength = message.Length(length)
+		outcome.ContentLength = message.ParseContentLength(length)
 	}
 	if outcome.Ending != balancer.Success && s.retryHeader != "" && !s.observabilityMode {
 		outcome.AwaitsRetryDecision = true
--- a/internal/front/extproc/call.go
+++ b/internal/front/extproc/call.go
@@ -124,7 +124,7 @@
 	}
 	c.mu.Unlock()
 	if attempt == nil {
-		c.pool.Engine().Gone(&c.Call)
+		c.pool.Engine().CallerGone(&c.Call)
 		return
 	}
 	c.pool.Engine().EndCallAndAttempt(&c.Call, attempt, ending)
--- a/internal/front/extproc/decide.go
+++ b/internal/front/extproc/decide.go
@@ -81,8 +81,8 @@
 
 // giveUp withdraws the call from the engine, and returns the answer that the client gets instead of the engine's.
 func (h *streamHandler) giveUp() engine.Answer {
-	h.call.pool.Engine().Gone(&h.call.Call)
-	return h.withoutFalsePromise(engine.Answer{Verdict: engine.Refused, RetryAfter: time.Second})
+	h.call.pool.Engine().CallerGone(&h.call.Call)
+	return h.withoutFalsePromise(engine.Answer{Verdict: engine.Rejected, RetryAfter: time.Second})
 }
 
 // withoutFalsePromise changes an answer into a failure where the request may have run and must not run again: a
--- a/internal/front/extproc/destination_test.go
+++ b/internal/front/extproc/destination_test.go
@@ -63,7 +63,7 @@
 		})
 	}
 	t.Run("draining", func(t *testing.T) {
-		e.pool.Engine().Apply(engine.News{Version: "2", Servers: []engine.Listed{{Server: balancer.Server{ID: "127.0.0.1:1", State: balancer.Draining}, Addr: "127.0.0.1:1"}}})
+		e.pool.Engine().Apply(engine.ListUpdate{Version: "2", Servers: []engine.Listed{{Server: balancer.Server{ID: "127.0.0.1:1", State: balancer.Draining}, Addr: "127.0.0.1:1"}}})
 		s := e.openStream()
 		s.setSubset(stringList("127.0.0.1:1"))
 		if got := s.pick("read", "draining", 1); got != "503 retry-after" {
@@ -186,7 +186,7 @@
 func TestTransferIsAccountedByZone(t *testing.T) {
 	accounts := zone.NewAccounting(nil)
 	e := newEnvironmentWith(t, Config{}, poolOptions{module: zone.NewModule(newIdempotentModule(t, 0), "p", zone.Config{Home: "a"}, accounts, 1)})
-	news := engine.News{Full: true, Version: "2"}
+	news := engine.ListUpdate{Full: true, Version: "2"}
 	for i, name := range []string{"a", "b"} {
 		addr := fmt.Sprint("127.0.0.1:", i+1)
 		news.Servers = append(news.Servers, engine.Listed{Server: balancer.Server{ID: addr, Zone: name}, Addr: addr})
--- a/internal/front/extproc/environment_test.go
+++ b/internal/front/extproc/environment_test.go
@@ -116,8 +116,8 @@
 	}
 	p, err := pool.New(pool.Config{
 		Name: "p", Module: options.module, Seed: 1, Clock: clock, Sender: noSender{t}, Shares: pool.Shares{
-			Calls: share(), Held: share(),
-			Connections: share(), Bodies: share(), LongAnswers: share(), Callers: share(),
+			Calls: share(), PendingCalls: share(),
+			Connections: share(), RequestBodies: share(), ResponseBuffers: share(), DownstreamConns: share(),
 		},
 		Settings: balancer.Settings{
 			Classes: []balancer.Class{
@@ -138,7 +138,7 @@
 
 // setServers replaces the servers of the pool. Two in a row share a cell.
 func (e *environment) setServers(addrs ...string) {
-	news := engine.News{Full: true, Version: "1"}
+	news := engine.ListUpdate{Full: true, Version: "1"}
 	for i, addr := range addrs {
 		news.Servers = append(news.Servers, engine.Listed{Server: balancer.Server{ID: addr, Cell: i / 2}, Addr: addr})
 	}
@@ -148,7 +148,7 @@
 // awaitNoOpenCalls waits until the slots of all calls have been returned.
 func (e *environment) awaitNoOpenCalls(failure string) {
 	e.t.Helper()
-	testkit.Eventually(e.t, failure, func() bool { return e.pool.Engine().Open() == 0 })
+	testkit.Eventually(e.t, failure, func() bool { return e.pool.Engine().OpenCalls() == 0 })
 }
 
 // proxyStream is a stream as the proxy sees it.
--- a/internal/front/extproc/outcome.go
+++ b/internal/front/extproc/outcome.go
@@ -68,7 +68,7 @@
 			actions, _ := h.machine.DecideRetry(stream.RetryDecision{Retry: true})
 			return actions
 		}
-		c.pool.Engine().Gone(&c.Call)
+		c.pool.Engine().CallerGone(&c.Call)
 		answer = engine.Answer{Verdict: engine.Failed}
 	case answer = <-c.answers:
 		answer = h.withoutFalsePromise(answer)
@@ -79,7 +79,7 @@
 	}
 	h.finish(answer)
 	actions, _ := h.machine.DecideRetry(stream.RetryDecision{
-		Rejected: answer.Verdict == engine.Refused, RetryAfter: answer.RetryAfter,
+		Rejected: answer.Verdict == engine.Rejected, RetryAfter: answer.RetryAfter,
 	})
 	return actions
 }
--- a/internal/front/extproc/pick.go
+++ b/internal/front/extproc/pick.go
@@ -144,9 +144,9 @@
 		c.key = p.Name() + "\x00" + id
 	}
 	c.Call = engine.Call{
-		ID: id, Class: className, Deadline: now + left - reserved, Last: now + left - reserved/2, To: c, Payload: c,
-		Repeat: r.Get("x-repeat") == "1", Tenant: r.Get("x-account"),
-		Among: r.Subset, From: r.Get(callerZoneHeader), Size: message.Length(r.Get("content-length")),
+		ID: id, Class: className, Deadline: now + left - reserved, FallbackAt: now + left - reserved/2, Receiver: c, Payload: c,
+		ClientRetry: r.Get("x-repeat") == "1", Tenant: r.Get("x-account"),
+		CandidateAddrs: r.Subset, CallerZone: r.Get(callerZoneHeader), Size: message.ParseContentLength(r.Get("content-length")),
 	}
 	return c, nil
 }
--- a/internal/front/extproc/stream_handler.go
+++ b/internal/front/extproc/stream_handler.go
@@ -84,11 +84,11 @@
 	c := h.call
 	now := h.front.cfg.Clock.Now()
 	class := c.class()
-	expiresAt := max(c.Last, now+h.front.cfg.Linger)
+	expiresAt := max(c.FallbackAt, now+h.front.cfg.Linger)
 	if class.Effect == balancer.IdempotentByKey {
 		expiresAt = max(expiresAt, now+class.Window)
 	}
-	if class.Effect == balancer.Idempotent || answer.Verdict == engine.Refused {
+	if class.Effect == balancer.Idempotent || answer.Verdict == engine.Rejected {
 		expiresAt = 0 // it may run again
 	}
 	h.front.calls.finish(now, c.key, c, answer, expiresAt)
@@ -111,7 +111,7 @@
 		if !c.isDetached() {
 			return // another stream has come for it
 		}
-		c.pool.Engine().Gone(&c.Call)
+		c.pool.Engine().CallerGone(&c.Call)
 		c.endAttempt(nil, balancer.Canceled)
 		answer := engine.Answer{Verdict: engine.Failed}
 		select {
@@ -125,7 +125,7 @@
 // immediateResponse is the engine's answer as the proxy is sent it.
 func immediateResponse(a engine.Answer) stream.ImmediateResponse {
 	switch a.Verdict {
-	case engine.Refused:
+	case engine.Rejected:
 		return stream.ImmediateResponse{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Details: "refused"}
 	case engine.Duplicate:
 		return stream.ImmediateResponse{Status: http.StatusConflict, Details: "a request with this id is open"}
--- a/internal/front/grpc/call.go
+++ b/internal/front/grpc/call.go
@@ -83,8 +83,8 @@
 		return nil, refusal
 	}
 	c := &call{streams: make(chan *message.Stream, 1), answers: make(chan engine.Answer, 1)}
-	http1.Describe(&c.Call, hr.Header, className, now, timeLeft)
-	c.Payload, c.To = newRequest(hr, class), c
+	http1.SetCommonFields(&c.Call, hr.Header, className, now, timeLeft)
+	c.Payload, c.Receiver = newRequest(hr, class), c
 	if hasTimeout {
 		c.clientDeadline = time.Now().Add(c.Deadline - now)
 	}
@@ -120,7 +120,7 @@
 func newRequest(hr *http.Request, class balancer.Class) *message.Request {
 	request := &message.Request{
 		Method: http.MethodPost, URL: hr.URL, Authority: hr.Host, Header: make(map[string][]string, len(hr.Header)),
-		GRPC: &message.GRPC{Safe: class.Effect == balancer.Idempotent, Streamed: class.Stream},
+		GRPC: &message.GRPC{Idempotent: class.Effect == balancer.Idempotent, Streamed: class.Stream},
 	}
 	for name, values := range hr.Header {
 		switch name {
--- a/internal/front/grpc/front.go
+++ b/internal/front/grpc/front.go
@@ -35,8 +35,8 @@
 
 var _ http1.Dialect = Dialect{}
 
-// Speaks implements http1.Dialect.
-func (Dialect) Speaks(hr *http.Request) bool {
+// Matches implements http1.Dialect.
+func (Dialect) Matches(hr *http.Request) bool {
 	return hr.ProtoMajor == 2 && grpc.IsContentType(hr.Header.Get("Content-Type"))
 }
 
@@ -62,10 +62,10 @@
 		return
 	}
 	if c.Deadline <= f.Clock().Now() {
-		writeEnd(w, grpc.Status(grpc.DeadlineExceeded, "the time was up on arrival", 0), false)
+		writeEnd(w, grpc.StatusFields(grpc.DeadlineExceeded, "the time was up on arrival", 0), false)
 		return
 	}
-	if !f.Take(hr) {
+	if !f.BeginRequest(hr) {
 		panic(http.ErrAbortHandler)
 	}
 	c.serve(f, w, hr, p)
@@ -77,10 +77,10 @@
 		panic(http.ErrAbortHandler) // the client has reset the stream
 	}
 	retry := time.Duration(0)
-	if refusal.Retry {
+	if refusal.MayRetry {
 		retry = retryAdvice
 	}
-	writeEnd(w, grpc.Status(grpc.OfHTTP(refusal.Status), refusal.Text, retry), false)
+	writeEnd(w, grpc.StatusFields(grpc.CodeFromHTTP(refusal.Status), refusal.Text, retry), false)
 }
 
 // serve submits a call to its engine and writes the answer.
@@ -99,11 +99,11 @@
 			if err == nil {
 				continue // it is complete, and the final answer has come or is about to
 			}
-			p.Engine().Gone(&c.Call) //nolint:contextcheck // it ends attempts on the engine's goroutine, also after the request's context
+			p.Engine().CallerGone(&c.Call) //nolint:contextcheck // it ends attempts on the engine's goroutine, also after the request's context
 			c.abandon()
 			c.stream.Release()
 			if errors.Is(err, context.DeadlineExceeded) && hr.Context().Err() == nil {
-				writeEnd(w, grpc.Status(grpc.DeadlineExceeded, textIncomplete, 0), true)
+				writeEnd(w, grpc.StatusFields(grpc.DeadlineExceeded, textIncomplete, 0), true)
 				return
 			}
 			panic(http.ErrAbortHandler)
@@ -114,7 +114,7 @@
 			writeAnswer(w, c, answer, f.Clock().Now())
 			return
 		case <-hr.Context().Done():
-			p.Engine().Gone(&c.Call) //nolint:contextcheck // it ends attempts on the engine's goroutine, also after the request's context
+			p.Engine().CallerGone(&c.Call) //nolint:contextcheck // it ends attempts on the engine's goroutine, also after the request's context
 			c.abandon()
 			panic(http.ErrAbortHandler) // resets the stream (RFC 9113, section 6.4)
 		}
--- a/internal/front/grpc/health.go
+++ b/internal/front/grpc/health.go
@@ -25,23 +25,23 @@
 // implemented, because its open streams would hold up draining.
 func (d Dialect) serveHealth(w http.ResponseWriter, hr *http.Request) {
 	if hr.URL.Path != healthCheck || d.Serving == nil {
-		writeEnd(w, grpc.Status(grpc.Unimplemented, "of the health service only Check is served", 0), false)
+		writeEnd(w, grpc.StatusFields(grpc.Unimplemented, "of the health service only Check is served", 0), false)
 		return
 	}
 	body, refusal := readUnaryRequest(w, hr)
 	if refusal != nil {
-		writeEnd(w, grpc.Status(grpc.OfHTTP(refusal.Status), refusal.Text, 0), false)
+		writeEnd(w, grpc.StatusFields(grpc.CodeFromHTTP(refusal.Status), refusal.Text, 0), false)
 		return
 	}
 	var request healthpb.HealthCheckRequest
-	count, _ := grpc.Messages(body) // readUnaryRequest has checked them
+	count, _ := grpc.CountMessages(body) // readUnaryRequest has checked them
 	if count != 1 || body[0] != 0 || proto.Unmarshal(body[messagePrefixBytes:], &request) != nil {
-		writeEnd(w, grpc.Status(grpc.InvalidArgument, "not one HealthCheckRequest", 0), false)
+		writeEnd(w, grpc.StatusFields(grpc.InvalidArgument, "not one HealthCheckRequest", 0), false)
 		return
 	}
 	serving, known := d.Serving(request.Service)
 	if !known {
-		writeEnd(w, grpc.Status(grpc.NotFound, fmt.Sprintf("no pool %.40q", request.Service), 0), false)
+		writeEnd(w, grpc.StatusFields(grpc.NotFound, fmt.Sprintf("no pool %.40q", request.Service), 0), false)
 		return
 	}
 	status := healthpb.HealthCheckResponse_NOT_SERVING
@@ -50,7 +50,7 @@
 	}
 	response, err := proto.Marshal(&healthpb.HealthCheckResponse{Status: status})
 	if err != nil {
-		writeEnd(w, grpc.Status(grpc.Internal, err.Error(), 0), false)
+		writeEnd(w, grpc.StatusFields(grpc.Internal, err.Error(), 0), false)
 		return
 	}
 	prefix := binary.BigEndian.AppendUint32([]byte{0}, uint32(len(response))) // 0: not compressed
--- a/internal/front/grpc/request_body.go
+++ b/internal/front/grpc/request_body.go
@@ -38,7 +38,7 @@
 // sending, or waits for an answer before it ends the request, needs a streaming class.
 func readUnaryRequest(w http.ResponseWriter, hr *http.Request) ([]byte, *http1.Refusal) {
 	controller := http.NewResponseController(w)
-	limitReads(controller, time.Now().Add(http1.Arrival))
+	limitReads(controller, time.Now().Add(http1.RequestReadTimeout))
 	body, err := io.ReadAll(io.LimitReader(hr.Body, message.MaxBody+1))
 	limitReads(controller, time.Time{})
 	switch {
@@ -50,7 +50,7 @@
 	case len(body) > message.MaxBody:
 		return nil, &http1.Refusal{Status: http.StatusRequestEntityTooLarge, Text: "the request is too long"}
 	}
-	if _, err := grpc.Messages(body); err != nil {
+	if _, err := grpc.CountMessages(body); err != nil {
 		return nil, badRequest(err.Error())
 	}
 	return body, nil
@@ -66,7 +66,7 @@
 // halfCloseTimeout, to the end of its first message. The rest is then read while the attempt runs.
 func (c *call) readStreamingRequest(w http.ResponseWriter, hr *http.Request) *http1.Refusal {
 	controller := http.NewResponseController(w)
-	limitReads(controller, time.Now().Add(http1.Arrival))
+	limitReads(controller, time.Now().Add(http1.RequestReadTimeout))
 	reader := newRequestReader(hr)
 	// It ends with the request body, which net/http closes when the handler returns.
 	go reader.run()
@@ -78,7 +78,7 @@
 		select {
 		case err = <-reader.ended:
 		case <-time.After(halfCloseTimeout):
-			request.More = reader.chunks
+			request.BodyRest = reader.chunks
 		}
 	}
 	limitReads(controller, time.Time{})
@@ -150,7 +150,7 @@
 func (r *requestReader) readChunk(scanner *grpc.Scanner, buffer []byte) (ended bool, err error) {
 	n, err := r.body.Read(buffer)
 	if n > 0 {
-		if malformed := scanner.Take(buffer[:n]); malformed != nil {
+		if malformed := scanner.Scan(buffer[:n]); malformed != nil {
 			err = malformed
 		}
 		r.chunks.Push(append([]byte(nil), buffer[:n]...))
@@ -161,7 +161,7 @@
 		return err == nil, err
 	case err != nil:
 		return false, err
-	case scanner.Count == 0 && r.chunks.Held() >= message.MaxBody:
+	case scanner.Count == 0 && r.chunks.Buffered() >= message.MaxBody:
 		return false, errFirstMessageTooLong
 	}
 	return false, nil
@@ -170,7 +170,7 @@
 // awaitSpace waits until the sender has consumed enough of what was read. It returns false if the request's context
 // ends first.
 func (r *requestReader) awaitSpace() bool {
-	for r.chunks.Held() >= message.MaxBody {
+	for r.chunks.Buffered() >= message.MaxBody {
 		select {
 		case <-r.space:
 		case <-r.ctx.Done():
--- a/internal/front/grpc/response.go
+++ b/internal/front/grpc/response.go
@@ -55,10 +55,10 @@
 			_, _ = w.Write(reply.Body) // it fails only if the client has gone
 		}
 		writeEnd(w, reply.Trailer, reply.Header != nil)
-	case answer.Verdict == engine.Refused:
-		writeEnd(w, grpc.Status(grpc.Unavailable, "refused: trying again does no harm", max(answer.RetryAfter, time.Millisecond)), false)
+	case answer.Verdict == engine.Rejected:
+		writeEnd(w, grpc.StatusFields(grpc.Unavailable, "refused: trying again does no harm", max(answer.RetryAfter, time.Millisecond)), false)
 	case answer.Verdict == engine.Duplicate:
-		writeEnd(w, grpc.Status(grpc.Aborted, "a call with this x-correlation-id is open already", 0), false)
+		writeEnd(w, grpc.StatusFields(grpc.Aborted, "a call with this x-correlation-id is open already", 0), false)
 	default:
 		writeEnd(w, failure(c, now), false)
 	}
@@ -69,11 +69,11 @@
 	switch {
 	case c.stream.Trailer() != nil:
 		return c.stream.Trailer()
-	case !c.clientDeadline.IsZero() && time.Until(c.clientDeadline) < http1.OwnDelay:
+	case !c.clientDeadline.IsZero() && time.Until(c.clientDeadline) < http1.ProxyOverhead:
 		// The server goes by the same deadline, so that is why it broke off.
-		return grpc.Status(grpc.DeadlineExceeded, textIncomplete, 0)
+		return grpc.StatusFields(grpc.DeadlineExceeded, textIncomplete, 0)
 	}
-	return grpc.Status(grpc.Internal, "the answer broke off; it may have run", 0)
+	return grpc.StatusFields(grpc.Internal, "the answer broke off; it may have run", 0)
 }
 
 // failure is the status of a call that no server answered: that of the last attempt if it had one, else one of ours.
@@ -81,11 +81,11 @@
 	if status := c.request().GRPC.Failed(); status != nil {
 		return status
 	}
-	if now >= c.Deadline-http1.OwnDelay {
-		return grpc.Status(grpc.DeadlineExceeded, "no server answered in time; it may have run", 0)
+	if now >= c.Deadline-http1.ProxyOverhead {
+		return grpc.StatusFields(grpc.DeadlineExceeded, "no server answered in time; it may have run", 0)
 	}
 	// Not UNAVAILABLE, because clients retry that by themselves.
-	return grpc.Status(grpc.Internal, "no server answered; it may have run", 0)
+	return grpc.StatusFields(grpc.Internal, "no server answered; it may have run", 0)
 }
 
 // copyHeader copies an answer's header, but for the fields that this hop sets itself.
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -1,6 +1,7 @@
 package http1
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -13,10 +14,10 @@
 
 // ServeHTTP answers one request. There is no ServeMux, because that redirects paths which are not clean.
 func (f *Front) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
-	if f.Speech.Own(f, w, hr) {
+	if f.Protocol.ServeOwn(f, w, hr) {
 		return
 	}
-	if f.Dialect != nil && f.Dialect.Speaks(hr) {
+	if f.Dialect != nil && f.Dialect.Matches(hr) {
 		f.Dialect.Serve(f, w, hr)
 		return
 	}
@@ -26,13 +27,13 @@
 		f.refuse(w, hr, from, &Refusal{Status: http.StatusBadRequest, Text: "both a length and a transfer coding"})
 		return
 	}
-	if from.ahead != nil {
-		e := from.ahead.take(hr, f.Speech.ID(hr))
+	if from.pipeline != nil {
+		e := from.pipeline.take(hr, f.Protocol.RequestID(hr)) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 		from.busy.Store(true)
 		defer from.busy.Store(false)
-		f.beginAhead(from)
+		f.startPipelined(from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 		if e != nil {
-			f.answerEarly(w, hr, e, from)
+			f.answerEarly(w, hr, e, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 			return
 		}
 	}
@@ -48,7 +49,7 @@
 			head := f.clock.Now()
 			err = f.readBody(w, hr, c)
 			read := f.clock.Now() - head // the deadline counts from the request's last byte
-			c.Deadline, c.Last = c.Deadline+read, c.Last+read
+			c.Deadline, c.FallbackAt = c.Deadline+read, c.FallbackAt+read
 		}
 	}
 	if err != nil {
@@ -62,9 +63,9 @@
 	if !from.beginRequest() {
 		panic(http.ErrAbortHandler)
 	}
-	p.Engine().Submit(&c.Call)
+	p.Engine().Submit(&c.Call) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 	if c.upload != nil {
-		go c.upload.pump(func() { p.Engine().Arrived(&c.Call) })
+		go c.upload.pump(func() { p.Engine().BodyArrived(&c.Call) }) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 	}
 	f.answer(w, hr, p, c, from)
 }
@@ -73,7 +74,7 @@
 func (f *Front) answerEarly(w http.ResponseWriter, hr *http.Request, e *earlyRequest, from *connection) {
 	defer e.pool.Leave(0)
 	if !from.beginRequest() {
-		e.pool.Engine().Gone(&e.call.Call)
+		e.pool.Engine().CallerGone(&e.call.Call)
 		e.call.gone.Store(true)
 		e.call.discard()
 		panic(http.ErrAbortHandler)
@@ -93,30 +94,30 @@
 		case <-over:
 			over = nil
 			if mayGiveUp(c, from) {
-				p.Engine().Gone(&c.Call)
+				p.Engine().CallerGone(&c.Call) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 				c.gone.Store(true)
 				c.discard()
 				f.write(w, c, engine.Answer{Verdict: engine.Failed}, from)
 				return
 			}
 			continue
-		case x := <-c.answers:
-			if x.stream == nil {
-				f.write(w, c, x.answer, from)
-			} else if !f.forwardStream(hr.Context(), w, x.stream, from) {
-				f.abort(hr, p, c, from)
+		case event := <-c.answers:
+			if event.stream == nil {
+				f.write(w, c, event.answer, from)
+			} else if !f.forwardStream(hr.Context(), w, event.stream, from) {
+				f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 			}
 		case <-arrived:
 			if c.upload.err != nil {
-				f.abort(hr, p, c, from)
+				f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 			}
 			arrived = nil
 			continue
 		case <-hr.Context().Done():
-			f.abort(hr, p, c, from)
+			f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 		}
 		if c.upload != nil {
-			http.NewResponseController(w).Flush()
+			_ = http.NewResponseController(w).Flush() // after an error the caller has gone
 			if !c.upload.drain(lingerTime) {
 				panic(http.ErrAbortHandler) // the answer is written, but the next request can't be read
 			}
@@ -127,13 +128,13 @@
 
 // mayGiveUp says that a call without an answer is idempotent and holds up the answers of pipelined requests.
 func mayGiveUp(c *call, from *connection) bool {
-	return len(c.answers) == 0 && c.upload == nil && c.Payload.(*message.Request).Runs == message.RunsOften &&
-		from.ahead != nil && from.ahead.follows()
+	return len(c.answers) == 0 && c.upload == nil && c.Payload.(*message.Request).Idempotency == message.Idempotent &&
+		from.pipeline != nil && from.pipeline.follows()
 }
 
 // abort ends a call that gets no complete answer, and its connection, by which the caller sees that.
 func (f *Front) abort(hr *http.Request, p *pool.Pool, c *call, from *connection) {
-	p.Engine().Gone(&c.Call)
+	p.Engine().CallerGone(&c.Call)
 	c.gone.Store(true)
 	c.discard()
 	if c.upload != nil {
@@ -146,23 +147,24 @@
 
 // refuse answers a rejected request.
 func (f *Front) refuse(w http.ResponseWriter, hr *http.Request, from *connection, err *Refusal) {
-	f.Speech.Refuse(w.Header(), hr, err)
+	f.Protocol.SetRefusalHeader(w.Header(), hr, err)
 	rc := http.NewResponseController(w)
 	f.closeIfDraining(w, from)
-	if err.Keep || hr.ProtoMajor > 1 {
+	if err.KeepConnection || hr.ProtoMajor > 1 {
 		http.Error(w, err.Text, err.Status)
 		return
 	}
-	// The next request can't be told from the rest of this one, so the connection is closed. It is read for a while first:
+	// The next request can't be distinguished from the rest of this one, so the connection is closed. It is read for a while first:
 	// the caller may write all of the body before it reads the answer.
 	from.markUseless()
-	rc.EnableFullDuplex()
+	// Errors of these calls mean that the caller has gone.
+	_ = rc.EnableFullDuplex()
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Text, err.Status)
-	rc.Flush()
-	rc.SetReadDeadline(time.Now().Add(lingerTime))
+	_ = rc.Flush()
+	_ = rc.SetReadDeadline(time.Now().Add(lingerTime))
 	if hr.ContentLength != 0 && hr.Header.Get("Expect") == "" {
-		io.Copy(io.Discard, hr.Body)
+		_, _ = io.Copy(io.Discard, hr.Body)
 	}
 }
 
@@ -185,25 +187,25 @@
 			return nil, refusal
 		}
 		switch err := p.Enter(size); {
-		case err == pool.ErrRetired:
+		case errors.Is(err, pool.ErrRetired):
 			continue // the routes name its successor by now
 		case err != nil:
 			// Callers over the limit of calls retry at once: a new connection each time would cost more than the rejection.
 			return nil, &Refusal{
-				Status: http.StatusServiceUnavailable, Text: err.Error(), Retry: true,
-				Keep: err == pool.ErrCalls && size == 0,
+				Status: http.StatusServiceUnavailable, Text: err.Error(), MayRetry: true,
+				KeepConnection: errors.Is(err, pool.ErrCalls) && size == 0,
 			}
 		}
-		if !from.assign(p.Shares().Callers) {
+		if !from.assign(p.Shares().DownstreamConns) {
 			p.Leave(size)
-			return nil, &Refusal{Status: http.StatusServiceUnavailable, Text: "too many callers", Retry: true}
+			return nil, &Refusal{Status: http.StatusServiceUnavailable, Text: "too many callers", MayRetry: true}
 		}
 		return p, nil
 	}
 }
 
-// Take marks the connection of a request as in use; false: it is being closed.
-func (f *Front) Take(hr *http.Request) bool {
+// BeginRequest marks the connection of a request as in use; false: it is being closed.
+func (f *Front) BeginRequest(hr *http.Request) bool {
 	return hr.Context().Value(connectionKey{}).(*connection).beginRequest()
 }
 
@@ -214,11 +216,11 @@
 // check examines a request's head and returns its call.
 func (f *Front) check(hr *http.Request, p *pool.Pool, class string) (*call, *Refusal) {
 	c := &call{answers: make(chan callEvent, 2)}
-	out, refusal := f.Speech.Read(hr, p, class, f.clock.Now(), &c.Call)
+	out, refusal := f.Protocol.ParseRequest(hr, p, class, f.clock.Now(), &c.Call)
 	if refusal != nil {
 		return nil, refusal
 	}
-	c.Payload, c.To = out, c
+	c.Payload, c.Receiver = out, c
 	return c, nil
 }
 
@@ -232,7 +234,7 @@
 			w.Header().Set("Connection", "close") // the rest of the request is not read
 		}
 	}
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(WriteTimeout))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(WriteTimeout))
 	h := w.Header()
 	h["Content-Type"] = nil // net/http is not to guess one
 	if a.Verdict == engine.Failed {
@@ -240,7 +242,7 @@
 			a.Reply = r
 		}
 	}
-	status := f.Speech.Head(h, &c.Call, a)
+	status := f.Protocol.SetResponseHeader(h, &c.Call, a)
 	var body []byte
 	if r, is := a.Reply.(*message.Reply); is {
 		defer r.Release()
@@ -248,7 +250,7 @@
 	}
 	h.Set("Content-Length", itoa(int64(len(body))))
 	w.WriteHeader(status)
-	w.Write(body) // after an error the caller has gone
+	_, _ = w.Write(body) // after an error the caller has gone
 }
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
--- a/internal/h2/client/frames.go
+++ b/internal/h2/client/frames.go
@@ -1,6 +1,6 @@
 package client
 
-// Error codes (RFC 9113, section 7) that are used here.
+// Error codes (RFC 9113, section 7).
 const (
 	codeNoError         = 0x0
 	codeProtocol        = 0x1
@@ -50,7 +50,8 @@
 // Event is one of the types above.
 type Event any
 
-// Actions are carried out in order. After the first write that fails the caller calls Close with its stream.
+// Actions are performed in order. After a write that fails, the caller calls Close with the streams whose last bytes were in
+// the same batch of actions.
 type (
 	// WriteSettings writes the first SETTINGS.
 	WriteSettings struct{ InitialWindow, MaxHeader uint32 }
@@ -77,10 +78,10 @@
 		Ack  bool
 		Data [8]byte
 	}
-	// Began says that the first bytes of a streamed response body have come; Answer has its status and header.
+	// Began says that the first bytes of a streamed response body have come; Response has its status and header.
 	Began struct {
-		Stream uint32
-		Answer Answer
+		Stream   uint32
+		Response Response
 	}
 	// BodyChunk is a part of a streamed response body. Consumed opens the stream's window by its bytes again.
 	BodyChunk struct {
@@ -91,9 +92,9 @@
 	Sent struct{ Stream uint32 }
 	// Done ends a stream. It comes exactly once for each.
 	Done struct {
-		Stream uint32
-		Ending Ending
-		Answer Answer // with Answered
+		Stream   uint32
+		Ending   Ending
+		Response Response // with Completed
 	}
 	// Fail is a connection error (section 5.4.1): GOAWAY with the code is to be written, and Close to be called.
 	Fail struct {
--- a/internal/node/bench_h2_test.go
+++ b/internal/node/bench_h2_test.go
@@ -167,7 +167,7 @@
 		}
 		streams := int64(0)
 		for end := time.Now().Add(3 * time.Second); time.Now().Before(end) && streams < busyConnections*streamsPerConnection; time.Sleep(20 * time.Millisecond) {
-			streams = max(streams, n.serving.Load().pools["p"].Engine().Open())
+			streams = max(streams, n.serving.Load().pools["p"].Engine().OpenCalls())
 		}
 		b.ReportMetric(float64(streams), "streams")
 		b.ReportMetric(float64(heapAndStacksInUse()-idle)/float64(max(streams, 1)), "B/open-stream")
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -245,7 +245,7 @@
 	io.WriteString(c, requestHead("POST /order/1", "off", "300m", fmt.Sprintf("Content-Length: %d", 1<<20))+strings.Repeat("x", 200<<10))
 	testkit.Eventually(t, "the upload never reached a server", func() bool { return seen.Load() == 2 })
 	c.Close()
-	testkit.Eventually(t, "something is left open", func() bool { return n.onlyEngine().Open() == 0 })
+	testkit.Eventually(t, "something is left open", func() bool { return n.onlyEngine().OpenCalls() == 0 })
 }
 
 // A caller that expects 100 Continue gets it once its request is accepted, and never if the request is rejected.
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -86,8 +86,8 @@
 func (n *Node) applyAdminState(servers []string) {
 	draining := n.adminState.isDraining()
 	for _, f := range n.drainableFronts() {
-		f.Unready(draining)
-		f.LeadAway(draining || n.handedOff.Load())
+		f.SetUnready(draining)
+		f.SetDraining(draining || n.handedOff.Load())
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -164,7 +164,7 @@
 
 // plan returns the configuration as a plan with one pool, which may use all of the node's limits.
 func (c Config) plan() operator.Plan {
-	known := c.Known.News()
+	known := c.Known.Update()
 	known.Cached = true
 	return operator.Plan{
 		Name: c.Name, Listen: []string{c.Listen}, Cores: c.Cores, MemoryMB: c.MemoryMB,
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	front "cranegrade/internal/front/http1"
 	"cranegrade/internal/pool"
 )
 
@@ -80,18 +81,21 @@
 // drainable is a front that can send its callers to another node or process. Fronts for proxies are not: a proxy decides
 // by itself when to turn elsewhere.
 type drainable interface {
-	// LeadAway closes callers' connections with their next answer, or no longer does.
-	LeadAway(on bool)
-	// LeadIdle closes the connections that are idle, if callers are being led away.
-	LeadIdle()
-	// Unready has the readiness endpoint say that the node takes no clients, or that it does again.
-	Unready(on bool)
-	// Open returns how many connections are open.
-	Open() int
-	// Hand stops accepting: a successor accepts from the same queue.
-	Hand()
+	// SetDraining closes callers' connections with their next answer, or no longer does.
+	SetDraining(on bool)
+	// CloseIdleIfDraining closes the connections that are idle, if callers are being led away.
+	CloseIdleIfDraining()
+	// SetUnready has the readiness endpoint say that the node takes no clients, or that it does again.
+	SetUnready(on bool)
+	// OpenConnections returns how many connections are open.
+	OpenConnections() int
+	// HandOverListener stops accepting: a successor accepts from the same queue.
+	HandOverListener()
 }
 
+// The assertion in drainableFronts would leave out, without an error, a front that has lost a method.
+var _ drainable = (*front.Front)(nil)
+
 // drainableFronts returns the fronts whose callers can be sent elsewhere.
 func (n *Node) drainableFronts() (fronts []drainable) {
 	for _, f := range n.fronts {
@@ -109,8 +113,8 @@
 	n.handedOff.Store(true) // from here on an operator's drain-off does not call callers back
 	fronts := n.drainableFronts()
 	for _, f := range fronts {
-		f.Hand()
-		f.LeadAway(true)
+		f.HandOverListener()
+		f.SetDraining(true)
 	}
 	tick := time.NewTicker(redirectInterval)
 	defer tick.Stop()
@@ -118,7 +122,7 @@
 		n.redirectIdleCallers()
 		open := 0
 		for _, f := range fronts {
-			open += f.Open()
+			open += f.OpenConnections()
 		}
 		if open == 0 {
 			return
@@ -130,7 +134,7 @@
 // redirectIdleCallers closes idle connections of callers that are being sent elsewhere.
 func (n *Node) redirectIdleCallers() {
 	for _, f := range n.drainableFronts() {
-		f.LeadIdle()
+		f.CloseIdleIfDraining()
 	}
 }
 
--- a/internal/node/h2_helpers_test.go
+++ b/internal/node/h2_helpers_test.go
@@ -22,7 +22,10 @@
 
 // newH2Sender makes the sender as the program does.
 func newH2Sender(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender {
-	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.ConnectionsPerServer, Streams: m.StreamsPerConnection})
+	return h2.New(h2.Config{
+		ConnectTimeout: c.ConnectWithin, ServerIdleTimeout: c.Idle, Connections: connections,
+		MaxConnsPerServer: m.ConnectionsPerServer, MaxStreamsPerConn: m.StreamsPerConnection,
+	})
 }
 
 // h2Server starts a server that speaks HTTP/2 until the test ends.
--- a/internal/node/hot_restart_state.go
+++ b/internal/node/hot_restart_state.go
@@ -39,7 +39,7 @@
 	if inherited == nil || len(inherited.Servers) == 0 {
 		return
 	}
-	known := engine.News{Full: true, Cached: true, Version: inherited.ListVersion}
+	known := engine.ListUpdate{Full: true, Cached: true, Version: inherited.ListVersion}
 	for _, s := range inherited.Servers {
 		var l engine.Listed
 		l.ID, l.Addr, l.Zone, l.Cell, l.State, l.Size, l.StartedAt, l.Weight, l.Priority =
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -83,7 +83,7 @@
 	first.Host = "a.test"
 	go http.DefaultTransport.RoundTrip(first)
 	p := n.serving.Load().pools["a"]
-	testkit.Eventually(t, "the request is not taken", func() bool { return p.Engine().Open() == 1 })
+	testkit.Eventually(t, "the request is not taken", func() bool { return p.Engine().OpenCalls() == 1 })
 	c := dial(t, n.Addr().String())
 	answers := bufio.NewReader(c)
 	for i := range 3 { // all on one connection
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -35,8 +35,8 @@
 	}
 	p, err := pool.New(pool.Config{
 		Name: planned.Name, Settings: planned.Settings, Seed: seed(planned), Clock: n.clock,
-		Sender: to, Source: newSource(planned.List, xds), Known: planned.Known, Pushed: planned.Pushed,
-		Shares: shares, Module: module, GRPC: planned.GRPC, Orders: n.adminState, Learned: learned,
+		Sender: to, Source: newSource(planned.List, xds), InitialList: planned.Known, Pushed: planned.Pushed,
+		Shares: shares, Module: module, GRPC: planned.GRPC, AdminStates: n.adminState, Knowledge: learned,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("pool %q: %w", planned.Name, err)
@@ -75,8 +75,8 @@
 	switch {
 	case !planned.H2:
 		return sender.New(sender.Config{
-			Idle: planned.Conns.Idle, Connect: planned.Conns.ConnectWithin,
-			Connections: shares.Connections, LongAnswers: shares.LongAnswers,
+			ServerIdleTimeout: planned.Conns.Idle, ConnectTimeout: planned.Conns.ConnectWithin,
+			Connections: shares.Connections, ResponseBuffers: shares.ResponseBuffers,
 		}), nil
 	case n.options.H2 == nil:
 		return nil, ErrNoH2
--- a/internal/node/xds_test.go
+++ b/internal/node/xds_test.go
@@ -73,7 +73,7 @@
 						t.Errorf("sent to %s: %+v", a.Server, a)
 					}
 				}
-				testkit.Eventually(t, "something is left open", func() bool { return p.Engine().Open() == 0 })
+				testkit.Eventually(t, "something is left open", func() bool { return p.Engine().OpenCalls() == 0 })
 			})
 		})
 	}
@@ -90,7 +90,7 @@
 		p := env.node.serving.Load().pools["a"]
 		answer := make(chan fake.Exchange, 1)
 		go func() { answer <- env.ask("a", order) }()
-		testkit.Eventually(t, "the request is not taken", func() bool { return p.Engine().Open() == 1 })
+		testkit.Eventually(t, "the request is not taken", func() bool { return p.Engine().OpenCalls() == 1 })
 		for range 3 {
 			env.plane.Set(resource.ClusterURL, map[string]proto.Message{"c": nil})
 			env.cluster("c")
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -105,7 +105,7 @@
 	Settings balancer.Settings // of the balancer
 	Conns    wire.Connections  // to servers; idle default 15 s, connect time-out default 250 ms
 	Seed     uint64            // of the balancer's random choices; 0: the node draws one
-	Known    engine.News       // servers that are used until the first list comes
+	Known    engine.ListUpdate // servers that are used until the first list comes
 	Pushed   bool              // the list is followed without the balancer asking for it
 	List     List              // where the servers are listed
 	Limits   Limits            // of what the process may use
--- a/internal/operator/servers.go
+++ b/internal/operator/servers.go
@@ -13,7 +13,7 @@
 	checkList(t, p.List, len(tables))
 	static := readServers(tables)
 	if p.List.XDS != "" && static != nil {
-		p.Known = engine.News{Full: true, Cached: true, Servers: static}
+		p.Known = engine.ListUpdate{Full: true, Cached: true, Servers: static}
 		return
 	}
 	p.List.Static = static
--- a/internal/sender/http1/probe.go
+++ b/internal/sender/http1/probe.go
@@ -15,7 +15,7 @@
 // one. If it returns false the request has not run, and the connection is closed.
 func (s *Sender) probe(ctx context.Context, a *engine.Attempt, on exchangeConn, text []byte) (exchangeConn, balancer.Ending, bool) {
 	var err error
-	on.unsent, err = on.conn.probe(text, s.minProbeWait)
+	on.unsent, err = on.probe(text, s.minProbeWait)
 	if err != nil && ctx.Err() == nil {
 		// No server has a complete request yet, so using another connection makes no second attempt of it.
 		s.recordExchange(on.conn, true)
@@ -29,7 +29,7 @@
 			return on, balancer.Unreachable, false
 		}
 		on.stop = closeAtEnd(ctx, on.conn)
-		on.unsent, err = on.conn.probe(text, s.minProbeWait)
+		on.unsent, err = on.probe(text, s.minProbeWait)
 	}
 	if err == nil {
 		return on, 0, true
@@ -57,7 +57,7 @@
 	if n < 0 {
 		return text, nil
 	}
-	n += 3
+	n += len(headEnd) - 1
 	if _, err := c.Write(text[:n]); err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 	_, err = c.reader.Peek(1)
 	var timeout net.Error
 	if err == nil || !errors.As(err, &timeout) || !timeout.Timeout() {
-		return nil, errors.Join(errors.New("an answer, or the end, before the request"), err)
+		return nil, errors.Join(errors.New("a response, or the end of the connection, before the request was written"), err)
 	}
 	return text[n:], c.SetReadDeadline(time.Time{})
 }
--- a/internal/sender/http1/write.go
+++ b/internal/sender/http1/write.go
@@ -24,10 +24,10 @@
 		h[k] = v
 	}
 	h["User-Agent"] = nil // omitted, rather than net/http's default
-	s.speech.Head(a, h)
+	s.protocol.SetHeader(a, h)
 	r := &http.Request{Method: m.Method, URL: m.URL, Host: m.Authority, Header: h, ContentLength: int64(len(m.Body))}
-	if m.More != nil {
-		r.ContentLength = m.More.Length
+	if m.BodyRest != nil {
+		r.ContentLength = m.BodyRest.Length
 	}
 	if r.Host == "" { // HTTP/1.0 callers need not send a Host; HTTP/1.1 servers require it (RFC 9112, section 3.2)
 		r.Host = a.Endpoint.Addr
@@ -47,13 +47,13 @@
 		// net/http takes such a target for an authority, and puts an empty scheme in front of it.
 		text = bytes.Replace(text, []byte(" ://"), []byte(" //"), 1)
 	}
-	if m.More == nil {
+	if m.BodyRest == nil {
 		return text, err
 	}
 	// net/http reports that the body is too short, or ends it.
 	n := bytes.Index(text, headEnd)
 	if n < 0 {
-		return nil, errors.Join(errors.New("no head"), err)
+		return nil, errors.Join(errors.New("the request has no header section"), err)
 	}
 	return text[:n+len(headEnd)], nil
 }
@@ -62,10 +62,10 @@
 
 // exchange writes one request and reads its response. keep says whether the connection can be reused.
 func (s *Sender) exchange(ctx context.Context, a *engine.Attempt, c *conn, r *http.Request, text []byte) (res result, keep bool) {
-	out, whole, err := s.write(ctx, a, c, text)
+	out, complete, err := s.write(ctx, a, c, text)
 	if err != nil {
 		// It was not written completely, so it can't have run.
-		if ctx.Err() != nil || errors.Is(err, errBrokenOff) || errors.Is(err, errBodySpent) {
+		if ctx.Err() != nil || errors.Is(err, errIncompleteRequest) || errors.Is(err, errBodySpent) {
 			return result{ending: balancer.NeverSent}, false
 		}
 		return result{ending: balancer.Unreachable}, false
@@ -73,7 +73,7 @@
 	a.RecordTransfer(out, 0, "")
 	got, err := s.read(ctx, a, c, r)
 	if err != nil {
-		if !whole {
+		if !complete {
 			return result{ending: balancer.Unreachable}, false
 		}
 		return result{ending: engine.EndingOf(ctx)}, false
@@ -81,21 +81,21 @@
 	if got.reply == nil {
 		a.RecordTransfer(out, got.size, "")
 	}
-	res.ending, _ = s.speech.Ending(got.resp)
+	res.ending, _ = s.protocol.Classify(got.resp)
 	if res.ending == balancer.Success {
 		res.reply = got.reply
 	} else if got.reply != nil {
 		m := a.Payload.(*message.Request)
 		m.Fail(got.reply)
 	}
-	return res, whole && !got.sawStray && !got.resp.Close && c.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
+	return res, complete && !got.sawOther && !got.resp.Close && c.reader.Buffered() == 0 && c.SetReadDeadline(time.Time{}) == nil
 }
 
-// write writes a request, of which text is the head or all. If whole is false without an error, the server has responded
+// write writes a request, of which text is the head or all. If complete is false without an error, the server has responded
 // before the end of the request, and the response can be read.
-func (s *Sender) write(ctx context.Context, a *engine.Attempt, c *conn, text []byte) (out int64, whole bool, err error) {
+func (s *Sender) write(ctx context.Context, a *engine.Attempt, c *conn, text []byte) (out int64, complete bool, err error) {
 	m := a.Payload.(*message.Request)
-	if m.More == nil {
+	if m.BodyRest == nil {
 		_, err := c.Write(text)
 		return int64(len(m.Body)), true, err
 	}
@@ -105,15 +105,15 @@
 	return s.upload(ctx, c, text, m)
 }
 
-var errBodySpent = errors.New("its body has gone elsewhere")
+var errBodySpent = errors.New("another attempt has sent the body")
 
 // writeTimeout is the time-out of each write of a long request.
 const writeTimeout = 10 * time.Second
 
-// upload writes a request while its caller still sends the body, and stops when the server responds before the end. whole
+// upload writes a request while its caller still sends the body, and stops when the server responds before the end. complete
 // says that the server can have all of it, so that it may run, whatever becomes of the caller or the attempt after that.
 // The goroutine that waits for an early response has ended when upload returns.
-func (s *Sender) upload(ctx context.Context, c *conn, head []byte, m *message.Request) (out int64, whole bool, err error) {
+func (s *Sender) upload(ctx context.Context, c *conn, head []byte, m *message.Request) (out int64, complete bool, err error) {
 	writing, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	c.readLimit.N = maxHeaderBytes
@@ -121,42 +121,42 @@
 	go func() {
 		_, err := c.reader.Peek(1)
 		if writing.Err() == nil {
-			stop(errEarlyAnswer)
-			c.SetWriteDeadline(time.Now()) // wakes a write that waits
+			stop(errEarlyResponse)
+			_ = c.SetWriteDeadline(time.Now()) // wakes a write that waits; fails only if the connection is closed
 		}
 		early <- err
 	}()
-	out, whole, err = uploadBody(writing, timedWriter{c.Conn}, head, m)
-	if err == nil || whole {
+	out, complete, err = uploadBody(writing, timedWriter{c.Conn}, head, m)
+	if err == nil || complete {
 		// It is written. The goroutine now waits for the response proper.
 		stop(nil)
-	} else if context.Cause(writing) != errEarlyAnswer {
-		c.SetReadDeadline(time.Now())
-		<-early
+	} else if !errors.Is(context.Cause(writing), errEarlyResponse) {
+		_ = c.SetReadDeadline(time.Now()) // wakes the goroutine; fails only if the connection is closed, which does so too
+		<-early                           //nolint:errcheck // the upload has failed already, with an error that says more
 		return out, false, err
 	}
 	if err := <-early; err != nil {
-		if whole {
+		if complete {
 			return out, true, nil // the reader meets the same error, and classifies it
 		}
 		return out, false, err
 	}
-	return out, whole, c.SetWriteDeadline(time.Time{})
+	return out, complete, c.SetWriteDeadline(time.Time{})
 }
 
-// uploadBody writes a head and the body that follows. whole says that all of it was written, or what a server may take for
+// uploadBody writes a head and the body that follows. complete says that all of it was written, or what a server may take for
 // all of it. A body of declared length ends with its last byte, without waiting for the caller's end of stream.
-func uploadBody(ctx context.Context, w io.Writer, head []byte, m *message.Request) (out int64, whole bool, err error) {
+func uploadBody(ctx context.Context, w io.Writer, head []byte, m *message.Request) (out int64, complete bool, err error) {
 	if _, err = w.Write(head); err != nil {
 		return 0, false, err
 	}
-	length, to := m.More.Length, w
+	length, to := m.BodyRest.Length, w
 	if length < 0 {
 		to = httputil.NewChunkedWriter(w)
 	}
 	for p := m.Body; len(p) > 0; {
 		if length >= 0 && out+int64(len(p)) > length {
-			return out, false, errBrokenOff // a server would read the excess as the next request
+			return out, false, errIncompleteRequest // a server would read the excess as the next request
 		}
 		if _, err = to.Write(p); err != nil {
 			return out, false, err
@@ -164,12 +164,12 @@
 		if out += int64(len(p)); out == length {
 			return out, true, nil
 		}
-		if p, err = m.More.Next(ctx); err != nil {
+		if p, err = m.BodyRest.Next(ctx); err != nil {
 			return out, false, err
 		}
 	}
-	if length >= 0 || m.More.Trailer() == nil {
-		return out, false, errBrokenOff
+	if length >= 0 || m.BodyRest.Trailer() == nil {
+		return out, false, errIncompleteRequest
 	}
 	n, err := io.WriteString(w, chunksEnd)
 	return out, n >= len(lastChunk), err
@@ -182,16 +182,16 @@
 )
 
 var (
-	errEarlyAnswer = errors.New("the server answered before the request's end")
-	errBrokenOff   = errors.New("the request broke off")
+	errEarlyResponse     = errors.New("the server responded before the end of the request")
+	errIncompleteRequest = errors.New("the request body is incomplete")
 )
 
 // timedWriter is a connection with a time-out for each write.
 type timedWriter struct{ net.Conn }
 
-func (d timedWriter) Write(p []byte) (int, error) {
-	if err := d.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+func (w timedWriter) Write(p []byte) (int, error) {
+	if err := w.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
-	return d.Conn.Write(p)
+	return w.Conn.Write(p)
 }
--- a/internal/source/registry/fuzz_test.go
+++ b/internal/source/registry/fuzz_test.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			return
 		}
-		for i, s := range l.News().Servers {
+		for i, s := range l.Update().Servers {
 			if s.ID == "" || l.Targets[i].State != stateDeleted && s.Addr == "" {
 				t.Fatalf("%+v", s)
 			}
--- a/internal/source/registry/list.go
+++ b/internal/source/registry/list.go
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// News returns the message as an update for an engine.
-func (l List) News() engine.News {
-	update := engine.News{
+// Update returns the message as an update for an engine.
+func (l List) Update() engine.ListUpdate {
+	update := engine.ListUpdate{
 		Full: l.Complete, Version: strconv.FormatInt(l.Revision, 10),
 		Servers: make([]engine.Listed, 0, len(l.Targets)),
 	}
--- a/internal/source/registry/source.go
+++ b/internal/source/registry/source.go
@@ -2,7 +2,7 @@
 // its HTTP/1.1 watch: a response that does not end, with one JSON message a line and an empty line as a
 // heartbeat.
 //
-// A Source starts no goroutine and keeps nothing between two watches but its settings: Follow runs on the
+// A Source starts no goroutine and keeps nothing between two watches but its settings: Watch runs on the
 // caller's goroutine, and the engine decides when a failed watch is opened again.
 package registry
 
@@ -56,10 +56,10 @@
 // errSilent is why a watch has ended that brought nothing for watchTimeout.
 var errSilent = errors.New("silent for too long")
 
-// Follow follows the list from revision since on and calls news with each message in order, and with an
+// Watch watches the list from revision since on and calls onUpdate with each message in order, and with an
 // update without servers at each heartbeat. If since is "", the complete list comes first. It returns why
 // the watch has ended, never nil; engine.ErrMalformedUpdate if a message is invalid.
-func (s *Source) Follow(ctx context.Context, since string, news func(engine.News)) error {
+func (s *Source) Watch(ctx context.Context, since string, onUpdate func(engine.ListUpdate)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	silence := time.AfterFunc(s.watchTimeout, func() { cancel(errSilent) })
@@ -70,9 +70,9 @@
 		if err != nil {
 			return fmt.Errorf("the complete list: %w", causeOr(ctx, err))
 		}
-		update := l.News()
+		update := l.Update()
 		since = update.Version
-		news(update)
+		onUpdate(update)
 		silence.Reset(s.watchTimeout)
 	}
 	body, err := s.get(ctx, "?follow=1&since="+since)
@@ -89,7 +89,7 @@
 			return err
 		}
 		since = update.Version
-		news(update)
+		onUpdate(update)
 	}
 	if err := lines.Err(); err != nil {
 		return causeOr(ctx, err)
@@ -98,16 +98,16 @@
 }
 
 // parseWatchLine parses a line of a watch. An empty one is a heartbeat: the list is still that of since.
-func parseWatchLine(line []byte, since string) (engine.News, error) {
+func parseWatchLine(line []byte, since string) (engine.ListUpdate, error) {
 	line = bytes.TrimSpace(line)
 	if len(line) == 0 {
-		return engine.News{Version: since}, nil
+		return engine.ListUpdate{Version: since}, nil
 	}
 	l, err := ParseList(line)
 	if err != nil {
-		return engine.News{}, fmt.Errorf("%w: %w", engine.ErrMalformedUpdate, err)
+		return engine.ListUpdate{}, fmt.Errorf("%w: %w", engine.ErrMalformedUpdate, err)
 	}
-	return l.News(), nil
+	return l.Update(), nil
 }
 
 // fetchList gets the complete list.
--- a/internal/source/registry/source_test.go
+++ b/internal/source/registry/source_test.go
@@ -22,8 +22,8 @@
 	source := New(addr)
 	source.watchTimeout = 200 * time.Millisecond
 	ended := make(chan error, 1)
-	got := make(chan engine.News, 1)
-	go func() { ended <- source.Follow(context.Background(), "0", func(n engine.News) { got <- n }) }()
+	got := make(chan engine.ListUpdate, 1)
+	go func() { ended <- source.Watch(context.Background(), "0", func(n engine.ListUpdate) { got <- n }) }()
 	lines <- testkit.ListMessage(1, true)
 	testkit.Wait(t, got)
 	if err := testkit.Wait(t, ended); !errors.Is(err, errSilent) {
@@ -42,7 +42,7 @@
 	source := New(l.Addr().String())
 	source.watchTimeout = 50 * time.Millisecond
 	for _, since := range []string{"", "7"} {
-		if err := source.Follow(context.Background(), since, nil); err == nil || !errors.Is(err, errSilent) {
+		if err := source.Watch(context.Background(), since, nil); err == nil || !errors.Is(err, errSilent) {
 			t.Errorf("since %q: ended with %v", since, err)
 		}
 	}
@@ -63,7 +63,7 @@
 	source := New(addr)
 	source.watchTimeout = time.Second
 	ended := make(chan error, 1)
-	go func() { ended <- source.Follow(context.Background(), "0", func(engine.News) {}) }()
+	go func() { ended <- source.Watch(context.Background(), "0", func(engine.ListUpdate) {}) }()
 	longest := time.Duration(0) // between two heartbeats; this machine may stall
 	for start, last := time.Now(), time.Now(); time.Since(start) < 2*source.watchTimeout; {
 		select {
@@ -88,7 +88,7 @@
 	}))
 	t.Cleanup(s.Close)
 	source := New(strings.TrimPrefix(s.URL, "http://"))
-	if err := source.Follow(context.Background(), "0", nil); err == nil || !strings.Contains(err.Error(), "503") {
+	if err := source.Watch(context.Background(), "0", nil); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("got %v", err)
 	}
 }
@@ -152,7 +152,7 @@
 	for _, text := range []string{"{", testkit.ListMessage(9, true, testkit.Entry("a", "SERVING"), testkit.Entry("a", "DRAINING")), `[]`} {
 		ended := make(chan error, 1)
 		go func() {
-			ended <- source.Follow(context.Background(), "7", func(n engine.News) { t.Errorf("an update %+v", n) })
+			ended <- source.Watch(context.Background(), "7", func(n engine.ListUpdate) { t.Errorf("an update %+v", n) })
 		}()
 		testkit.Wait(t, asked)
 		lines <- text
@@ -168,8 +168,8 @@
 	addr, lines, asked := testkit.RegistryStub(t)
 	source := New(addr)
 	ended := make(chan error, 1)
-	updates := make(chan engine.News, 4)
-	go func() { ended <- source.Follow(context.Background(), "7", func(n engine.News) { updates <- n }) }()
+	updates := make(chan engine.ListUpdate, 4)
+	go func() { ended <- source.Watch(context.Background(), "7", func(n engine.ListUpdate) { updates <- n }) }()
 	testkit.Wait(t, asked)
 	for _, c := range []struct {
 		text, version string
@@ -207,7 +207,7 @@
 	source := New(strings.TrimPrefix(s.URL, "http://"))
 	source.watchTimeout = testkit.Limit
 	for _, since := range []string{"", "7"} {
-		if err := source.Follow(context.Background(), since, func(n engine.News) { t.Errorf("an update %+v", n) }); err == nil || errors.Is(err, errSilent) {
+		if err := source.Watch(context.Background(), since, func(n engine.ListUpdate) { t.Errorf("an update %+v", n) }); err == nil || errors.Is(err, errSilent) {
 			t.Errorf("since %q: ended with %v", since, err)
 		}
 	}
--- a/internal/source/static/static.go
+++ b/internal/source/static/static.go
@@ -16,10 +16,10 @@
 // version is that of the only list there is.
 const version = "static"
 
-// Follow passes on the list, unless since says that the engine has it, and returns why ctx has ended.
-func (s Source) Follow(ctx context.Context, since string, news func(engine.News)) error {
+// Watch passes on the list, unless since says that the engine has it, and returns why ctx has ended.
+func (s Source) Watch(ctx context.Context, since string, onUpdate func(engine.ListUpdate)) error {
 	if since != version {
-		news(engine.News{Full: true, Version: version, Servers: s})
+		onUpdate(engine.ListUpdate{Full: true, Version: version, Servers: s})
 	}
 	<-ctx.Done()
 	return context.Cause(ctx)
--- a/internal/source/xds/xds.go
+++ b/internal/source/xds/xds.go
@@ -56,9 +56,9 @@
 // String names the source in log messages.
 func (s *Source) String() string { return "the xDS cluster " + s.cluster }
 
-// Follow passes on the cluster's endpoints until ctx ends, and returns why that ended. The first list is
-// complete, whichever version the engine has: what changed while nobody followed the cluster is unknown.
-func (s *Source) Follow(ctx context.Context, _ string, news func(engine.News)) error {
+// Watch passes on the cluster's endpoints until ctx ends, and returns why that ended. The first list is
+// complete, whichever version the engine has: what changed while nobody watched the cluster is unknown.
+func (s *Source) Watch(ctx context.Context, _ string, onUpdate func(engine.ListUpdate)) error {
 	// The watcher must not block, and only the latest assignment matters: one that has not been taken yet is
 	// replaced. The watcher is the only sender, so there is room after it has emptied the channel.
 	latest := make(chan resource.ClusterUpdate, 1)
@@ -79,7 +79,7 @@
 				log.Printf("xds: cluster %s: %s", s.cluster, text)
 			}
 			if update != nil {
-				news(*update)
+				onUpdate(*update)
 			}
 		case <-ctx.Done():
 			return context.Cause(ctx)
--- a/internal/xds/resource/assignment_test.go
+++ b/internal/xds/resource/assignment_test.go
@@ -159,7 +159,7 @@
 		}
 		var d Differ
 		update, _ := d.Update(a)
-		if update == nil || len(update.Servers) != len(a.Endpoints) || !(update.Drop >= 0 && update.Drop <= 1) {
+		if update == nil || len(update.Servers) != len(a.Endpoints) || !(update.DropShare >= 0 && update.DropShare <= 1) {
 			t.Fatalf("%+v becomes %+v", a, update)
 		}
 		for _, s := range update.Servers {
--- a/internal/xds/resource/differ.go
+++ b/internal/xds/resource/differ.go
@@ -24,7 +24,7 @@
 
 // Update returns the update that leads from the assignment before to this one, or nil if nothing has
 // changed, and notices for operators. A nil assignment is one that does not exist and has no servers.
-func (d *Differ) Update(a *Assignment) (update *engine.News, notices []string) {
+func (d *Differ) Update(a *Assignment) (update *engine.ListUpdate, notices []string) {
 	if a == nil {
 		a = &Assignment{}
 	}
@@ -33,7 +33,7 @@
 	if d.AllPriorities {
 		degradedOffset = readyAllPriorities(a, ready)
 	}
-	u := engine.News{Full: d.last == nil, Drop: a.dropShare()}
+	u := engine.ListUpdate{Full: d.last == nil, DropShare: a.dropShare()}
 	next := make(map[string]engine.Listed, len(a.Endpoints))
 	for i := range a.Endpoints {
 		s := d.server(&a.Endpoints[i], ready[i], degradedOffset)
@@ -51,8 +51,8 @@
 	if len(d.last) > 0 && len(next) == 0 {
 		notices = append(notices, fmt.Sprintf("all %d servers are gone: the control plane has removed them", len(d.last)))
 	}
-	changed := u.Full || len(u.Servers) > 0 || u.Drop != d.dropShare
-	d.last, d.dropShare = next, u.Drop
+	changed := u.Full || len(u.Servers) > 0 || u.DropShare != d.dropShare
+	d.last, d.dropShare = next, u.DropShare
 	if !changed {
 		return nil, notices
 	}
--- a/internal/xds/resource/differ_test.go
+++ b/internal/xds/resource/differ_test.go
@@ -110,7 +110,7 @@
 	return a
 }
 
-func applyUpdate(t *rapid.T, list map[string]engine.Listed, update *engine.News) {
+func applyUpdate(t *rapid.T, list map[string]engine.Listed, update *engine.ListUpdate) {
 	for _, s := range update.Servers {
 		if last, listed := list[s.ID]; listed && last == s {
 			t.Fatalf("%s is named and has not changed", s.ID)
