--- a/internal/extproc/stream/decision.go
+++ b/internal/extproc/stream/decision.go
@@ -19,7 +19,7 @@
 type Decision struct {
 	Endpoint  string   // ip:port
 	Fallbacks []string // endpoints that the proxy may try next without asking again, in order
-	// TimeLeft is how long the answer is waited for; the server is told in x-time-left. 0: it is not told.
+	// TimeLeft is how long the client waits for the answer; it is sent to the server in x-time-left. 0: it is not sent.
 	TimeLeft        time.Duration
 	ClearRouteCache bool // have the proxy choose its route again, now that the destination header is set
 	HeadersOnly     bool // ask for no bodies and trailers, if the proxy's mode can be overridden
@@ -35,7 +35,7 @@
 }
 
 // Decide gives the decision that PickEndpoint asked for. It is ignored if the stream has moved on; used says whether
-// the proxy is told, so that the attempt of an unused decision is known never to have run.
+// the proxy is sent it, so that the attempt of an unused decision is known never to have run.
 func (s *Stream) Decide(d Decision) (actions []Action, used bool) {
 	if s.phase != awaitingDecision {
 		return nil, false
--- a/internal/extproc/stream/response.go
+++ b/internal/extproc/stream/response.go
@@ -45,7 +45,7 @@
 	return status
 }
 
-// endAttempt reports the outcome of the attempt whose response headers came. If it failed, and the proxy is told
+// endAttempt reports the outcome of the attempt whose response headers came. If it failed, and the proxy is to learn
 // whether it may retry, the response waits for that decision.
 func (s *Stream) endAttempt(status int, header map[string][]string, m *extproc.ProcessingRequest) {
 	outcome := Outcome{
@@ -70,7 +70,7 @@
 }
 
 // DecideRetry gives the decision that an Outcome with AwaitsRetryDecision asked for. It is ignored if the stream has
-// moved on; used says whether the proxy is told.
+// moved on; used says whether the proxy is sent it.
 func (s *Stream) DecideRetry(d RetryDecision) (actions []Action, used bool) {
 	if s.phase != awaitingRetryDecision {
 		return nil, false
--- a/internal/front/extproc/decide.go
+++ b/internal/front/extproc/decide.go
@@ -46,7 +46,7 @@
 	return actions, true
 }
 
-// decision is what the proxy is told of an attempt.
+// decision is the decision that the proxy is sent for an attempt.
 func (h *streamHandler) decision(a *engine.Attempt) stream.Decision {
 	cfg := &h.front.cfg
 	d := stream.Decision{
