--- a/internal/front/grpc/call.go
+++ b/internal/front/grpc/call.go
@@ -68,8 +68,8 @@
 // request is the message for servers.
 func (c *call) request() *message.Request { return c.Payload.(*message.Request) }
 
-// newCall makes a call of a request's headers, or says why it is refused.
-func newCall(hr *http.Request, p *pool.Pool, className string, now time.Duration) (*call, *http1.Refusal) {
+// newCall makes a call of a request's headers, or says why it is rejected.
+func newCall(hr *http.Request, p *pool.Pool, className string, now time.Duration) (*call, *http1.Rejection) {
 	class, known := p.Class(className)
 	timeLeft, hasTimeout := class.Deadline, false
 	if timeouts := hr.Header.Values("Grpc-Timeout"); len(timeouts) > 0 {
@@ -79,8 +79,8 @@
 		}
 		timeLeft, hasTimeout = min(timeLeft, timeout), true
 	}
-	if refusal := checkHeaders(hr, p, class, known, className); refusal != nil {
-		return nil, refusal
+	if rejection := checkHeaders(hr, p, class, known, className); rejection != nil {
+		return nil, rejection
 	}
 	c := &call{streams: make(chan *message.Stream, 1), answers: make(chan engine.Answer, 1)}
 	http1.SetCommonFields(&c.Call, hr.Header, className, now, timeLeft)
@@ -92,12 +92,12 @@
 }
 
 // checkHeaders refuses calls that the pool does not serve, and malformed ones.
-func checkHeaders(hr *http.Request, p *pool.Pool, class balancer.Class, known bool, className string) *http1.Refusal {
+func checkHeaders(hr *http.Request, p *pool.Pool, class balancer.Class, known bool, className string) *http1.Rejection {
 	switch ids, keys := hr.Header["X-Correlation-Id"], hr.Header["Idempotency-Key"]; {
 	case !p.GRPC():
-		return &http1.Refusal{Status: http.StatusNotImplemented, Text: "the servers of this pool do not speak gRPC"}
+		return &http1.Rejection{Status: http.StatusNotImplemented, Text: "the servers of this pool do not speak gRPC"}
 	case !known:
-		return &http1.Refusal{Status: http.StatusNotFound, Text: fmt.Sprintf("no class %.40q", className)}
+		return &http1.Rejection{Status: http.StatusNotFound, Text: fmt.Sprintf("no class %.40q", className)}
 	case hr.Method != http.MethodPost:
 		return badRequest("a call of gRPC is a POST")
 	case len(hr.Header["Content-Length"]) > 1:
@@ -111,8 +111,8 @@
 	return nil
 }
 
-func badRequest(text string) *http1.Refusal {
-	return &http1.Refusal{Status: http.StatusBadRequest, Text: text}
+func badRequest(text string) *http1.Rejection {
+	return &http1.Rejection{Status: http.StatusBadRequest, Text: text}
 }
 
 // newRequest is the request for servers, still without its body. It leaves out what concerns the connection to the
--- a/internal/front/grpc/front.go
+++ b/internal/front/grpc/front.go
@@ -49,16 +49,16 @@
 	}
 	const reservedBytes = message.MaxBody // in the pool, since the length of the request is not known yet
 	var c *call
-	p, refusal := f.Enter(hr, reservedBytes, func(p *pool.Pool, class string) (refusal *http1.Refusal) {
-		c, refusal = newCall(hr, p, class, f.Clock().Now())
-		return refusal
+	p, rejection := f.Enter(hr, reservedBytes, func(p *pool.Pool, class string) (rejection *http1.Rejection) {
+		c, rejection = newCall(hr, p, class, f.Clock().Now())
+		return rejection
 	})
-	if refusal == nil {
+	if rejection == nil {
 		defer p.Leave(reservedBytes)
-		refusal = c.readRequest(w, hr)
+		rejection = c.readRequest(w, hr)
 	}
-	if refusal != nil {
-		reject(w, hr, refusal)
+	if rejection != nil {
+		reject(w, hr, rejection)
 		return
 	}
 	if c.Deadline <= f.Clock().Now() {
@@ -72,15 +72,15 @@
 }
 
 // reject ends a call that the decision module has not seen.
-func reject(w http.ResponseWriter, hr *http.Request, refusal *http1.Refusal) {
+func reject(w http.ResponseWriter, hr *http.Request, rejection *http1.Rejection) {
 	if errors.Is(hr.Context().Err(), context.Canceled) {
 		panic(http.ErrAbortHandler) // the client has reset the stream
 	}
 	retry := time.Duration(0)
-	if refusal.MayRetry {
+	if rejection.MayRetry {
 		retry = retryAdvice
 	}
-	writeEnd(w, grpc.StatusFields(grpc.CodeFromHTTP(refusal.Status), refusal.Text, retry), false)
+	writeEnd(w, grpc.StatusFields(grpc.CodeFromHTTP(rejection.Status), rejection.Text, retry), false)
 }
 
 // serve submits a call to its engine and writes the answer.
--- a/internal/front/grpc/health.go
+++ b/internal/front/grpc/health.go
@@ -28,9 +28,9 @@
 		writeEnd(w, grpc.StatusFields(grpc.Unimplemented, "of the health service only Check is served", 0), false)
 		return
 	}
-	body, refusal := readUnaryRequest(w, hr)
-	if refusal != nil {
-		writeEnd(w, grpc.StatusFields(grpc.CodeFromHTTP(refusal.Status), refusal.Text, 0), false)
+	body, rejection := readUnaryRequest(w, hr)
+	if rejection != nil {
+		writeEnd(w, grpc.StatusFields(grpc.CodeFromHTTP(rejection.Status), rejection.Text, 0), false)
 		return
 	}
 	var request healthpb.HealthCheckRequest
--- a/internal/front/grpc/request_body.go
+++ b/internal/front/grpc/request_body.go
@@ -24,31 +24,31 @@
 var errFirstMessageTooLong = errors.New("the first message is too long")
 
 // readRequest reads the request's messages as its class demands.
-func (c *call) readRequest(w http.ResponseWriter, hr *http.Request) *http1.Refusal {
+func (c *call) readRequest(w http.ResponseWriter, hr *http.Request) *http1.Rejection {
 	request := c.request()
 	if request.GRPC.Streamed {
 		return c.readStreamingRequest(w, hr)
 	}
-	body, refusal := readUnaryRequest(w, hr)
+	body, rejection := readUnaryRequest(w, hr)
 	request.Body, c.Size = body, int64(len(body))
-	return refusal
+	return rejection
 }
 
 // readUnaryRequest reads the messages to the end of the request. It does not wait for ever: a client that keeps
 // sending, or waits for an answer before it ends the request, needs a streaming class.
-func readUnaryRequest(w http.ResponseWriter, hr *http.Request) ([]byte, *http1.Refusal) {
+func readUnaryRequest(w http.ResponseWriter, hr *http.Request) ([]byte, *http1.Rejection) {
 	controller := http.NewResponseController(w)
 	limitReads(controller, time.Now().Add(http1.RequestReadTimeout))
 	body, err := io.ReadAll(io.LimitReader(hr.Body, message.MaxBody+1))
 	limitReads(controller, time.Time{})
 	switch {
 	case err != nil:
-		return nil, &http1.Refusal{
+		return nil, &http1.Rejection{
 			Status: http.StatusNotImplemented,
 			Text:   "the request did not end in time: streams of requests are only for classes that are streams",
 		}
 	case len(body) > message.MaxBody:
-		return nil, &http1.Refusal{Status: http.StatusRequestEntityTooLarge, Text: "the request is too long"}
+		return nil, &http1.Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the request is too long"}
 	}
 	if _, err := grpc.CountMessages(body); err != nil {
 		return nil, badRequest(err.Error())
@@ -64,7 +64,7 @@
 
 // readStreamingRequest reads a request whose class allows streaming: to its end or, if that does not come within
 // halfCloseTimeout, to the end of its first message. The rest is then read while the attempt runs.
-func (c *call) readStreamingRequest(w http.ResponseWriter, hr *http.Request) *http1.Refusal {
+func (c *call) readStreamingRequest(w http.ResponseWriter, hr *http.Request) *http1.Rejection {
 	controller := http.NewResponseController(w)
 	limitReads(controller, time.Now().Add(http1.RequestReadTimeout))
 	reader := newRequestReader(hr)
@@ -84,7 +84,7 @@
 	limitReads(controller, time.Time{})
 	switch {
 	case errors.Is(err, errFirstMessageTooLong):
-		return &http1.Refusal{Status: http.StatusRequestEntityTooLarge, Text: err.Error()}
+		return &http1.Rejection{Status: http.StatusRequestEntityTooLarge, Text: err.Error()}
 	case err != nil:
 		return badRequest(err.Error())
 	}
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -77,7 +77,7 @@
 
 // readBody reads the body, or the buffered part of a longer one, whose rest pump reads. It removes the read deadline
 // afterwards: if that expired during the call, net/http would take it for the end of the connection.
-func (f *Front) readBody(w http.ResponseWriter, hr *http.Request, c *call) *Refusal {
+func (f *Front) readBody(w http.ResponseWriter, hr *http.Request, c *call) *Rejection {
 	out := c.Payload.(*message.Request)
 	rc := http.NewResponseController(w)
 	in := &pacedBody{rc: rc, body: hr.Body, limit: out.MaxBodyBytes}
@@ -102,12 +102,12 @@
 	}
 	switch {
 	case errors.Is(err, errTooLong):
-		return &Refusal{Status: http.StatusRequestEntityTooLarge, Text: errTooLong.Error()}
+		return &Rejection{Status: http.StatusRequestEntityTooLarge, Text: errTooLong.Error()}
 	case err != nil:
-		return &Refusal{Status: http.StatusBadRequest, Text: errIncompleteBody.Error()}
+		return &Rejection{Status: http.StatusBadRequest, Text: errIncompleteBody.Error()}
 	}
 	if !f.Protocol.MayHaveBody(hr) && (n > 0 || c.upload != nil) {
-		return &Refusal{Status: http.StatusBadRequest, Text: "GET has no body"}
+		return &Rejection{Status: http.StatusBadRequest, Text: "GET has no body"}
 	}
 	out.Body = buf[:n:n]
 	c.Size = max(hr.ContentLength, int64(n))
--- a/internal/front/http1/body_test.go
+++ b/internal/front/http1/body_test.go
@@ -47,9 +47,9 @@
 			}
 			out := &message.Request{}
 			received := &call{Call: engine.Call{Payload: out}}
-			refusal := (&Front{Protocol: platformProtocol{}}).readBody(deadlineWriter{httptest.NewRecorder()}, hr, received)
-			if (refusal == nil) != c.accepted || c.accepted && string(out.Body) != c.want {
-				t.Errorf("%+v, %d bytes", refusal, len(out.Body))
+			rejection := (&Front{Protocol: platformProtocol{}}).readBody(deadlineWriter{httptest.NewRecorder()}, hr, received)
+			if (rejection == nil) != c.accepted || c.accepted && string(out.Body) != c.want {
+				t.Errorf("%+v, %d bytes", rejection, len(out.Body))
 			}
 			if (out.BodyRest != nil) != c.isLonger || received.Arriving != c.isLonger {
 				t.Errorf("the body continues: %v, the call is arriving: %v", out.BodyRest != nil, received.Arriving)
--- a/internal/front/http1/pipeline.go
+++ b/internal/front/http1/pipeline.go
@@ -180,11 +180,11 @@
 		}
 		pl.unparsed = pl.unparsed[n+len(headEnd):]
 		e := &earlyRequest{method: hr.Method, uri: hr.RequestURI, id: f.Protocol.RequestID(hr)}
-		p, refusal := f.enter(hr, 0, func(p *pool.Pool, class string) (refusal *Refusal) {
-			e.call, refusal = f.check(hr, p, class)
-			return refusal
+		p, rejection := f.enter(hr, 0, func(p *pool.Pool, class string) (rejection *Rejection) {
+			e.call, rejection = f.check(hr, p, class)
+			return rejection
 		}, c)
-		if refusal != nil { // it is rejected when net/http reads it
+		if rejection != nil { // it is rejected when net/http reads it
 			pl.stop()
 			pl.mu.Unlock()
 			return
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -36,8 +36,8 @@
 // MayHaveBody implements Protocol.
 func (platformProtocol) MayHaveBody(hr *http.Request) bool { return hr.Method != http.MethodGet }
 
-// SetRefusalHeader implements Protocol.
-func (platformProtocol) SetRefusalHeader(h http.Header, _ *http.Request, r *Refusal) {
+// SetRejectionHeader implements Protocol.
+func (platformProtocol) SetRejectionHeader(h http.Header, _ *http.Request, r *Rejection) {
 	if r.MayRetry {
 		h.Set("Retry-After", "1")
 	}
@@ -58,7 +58,7 @@
 const maxClaimFactor = 10
 
 // ParseRequest implements Protocol.
-func (platformProtocol) ParseRequest(hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call) (*message.Request, *Refusal) {
+func (platformProtocol) ParseRequest(hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call) (*message.Request, *Rejection) {
 	h := hr.Header
 	class, known := p.Class(name)
 	method := http.MethodPost
@@ -70,26 +70,26 @@
 	switch ids, keys := h["X-Correlation-Id"], h["Idempotency-Key"]; {
 	case len(h["Content-Length"]) > 1:
 		// Of HTTP/2's net/http takes the first; a server might take another (RFC 9110, section 8.6).
-		return nil, &Refusal{Status: http.StatusBadRequest, Text: "more than one content-length"}
+		return nil, &Rejection{Status: http.StatusBadRequest, Text: "more than one content-length"}
 	case !hr.ProtoAtLeast(1, 1) && !bodiless(hr):
-		return nil, &Refusal{Status: http.StatusHTTPVersionNotSupported, Text: "a body needs HTTP/1.1"}
+		return nil, &Rejection{Status: http.StatusHTTPVersionNotSupported, Text: "a body needs HTTP/1.1"}
 	case hr.ContentLength > maxBody:
-		return nil, &Refusal{Status: http.StatusRequestEntityTooLarge, Text: "the body is too long"}
+		return nil, &Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is too long"}
 	case p.GRPC():
-		return nil, &Refusal{Status: http.StatusNotImplemented, Text: "the servers of this pool speak gRPC only"}
+		return nil, &Rejection{Status: http.StatusNotImplemented, Text: "the servers of this pool speak gRPC only"}
 	case !known:
-		return nil, &Refusal{Status: http.StatusNotFound, Text: fmt.Sprintf("no class %.40q", name)}
+		return nil, &Rejection{Status: http.StatusNotFound, Text: fmt.Sprintf("no class %.40q", name)}
 	case hr.Method != method:
-		return nil, &Refusal{Status: http.StatusMethodNotAllowed, Text: "requests of this class are " + method}
+		return nil, &Rejection{Status: http.StatusMethodNotAllowed, Text: "requests of this class are " + method}
 	case method == http.MethodGet && hr.ContentLength > 0:
-		return nil, &Refusal{Status: http.StatusBadRequest, Text: "GET has no body"}
+		return nil, &Rejection{Status: http.StatusBadRequest, Text: "GET has no body"}
 	case len(ids) != 1 || ids[0] == "":
-		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one X-Correlation-Id"}
+		return nil, &Rejection{Status: http.StatusBadRequest, Text: "not one X-Correlation-Id"}
 	case class.Effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""):
 		// Without a key the servers would run every retry.
-		return nil, &Refusal{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
+		return nil, &Rejection{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
 	case !claimed || claim > maxClaimFactor*class.Deadline:
-		return nil, &Refusal{Status: http.StatusBadRequest, Text: "X-Time-Left is no time with the unit m or u, or too long"}
+		return nil, &Rejection{Status: http.StatusBadRequest, Text: "X-Time-Left is no time with the unit m or u, or too long"}
 	}
 
 	out := &message.Request{Method: hr.Method, URL: hr.URL, Authority: hr.Host, Header: make(map[string][]string, 3)}
--- a/internal/front/http1/protocol.go
+++ b/internal/front/http1/protocol.go
@@ -11,11 +11,11 @@
 
 // Routes selects the pool of a request and its class there.
 type Routes interface {
-	Route(hr *http.Request) (p *pool.Pool, class string, err *Refusal)
+	Route(hr *http.Request) (p *pool.Pool, class string, err *Rejection)
 }
 
-// Refusal says why a request is rejected before any attempt, without the decision module.
-type Refusal struct {
+// Rejection says why a request is rejected before any attempt, without the decision module.
+type Rejection struct {
 	Status         int
 	Text           string
 	MayRetry       bool // a later retry may succeed, and is safe
@@ -28,7 +28,7 @@
 	// ServeOwn answers a request that is for the node itself, and says whether it was one.
 	ServeOwn(f *Front, w http.ResponseWriter, hr *http.Request) bool
 	// ParseRequest checks a request's head, fills in the call and returns the request for servers.
-	ParseRequest(hr *http.Request, p *pool.Pool, class string, now time.Duration, c *engine.Call) (*message.Request, *Refusal)
+	ParseRequest(hr *http.Request, p *pool.Pool, class string, now time.Duration, c *engine.Call) (*message.Request, *Rejection)
 	// MayStartEarly says that a pipelined request may be started before those before it are answered; RequestID identifies
 	// it.
 	MayStartEarly(hr *http.Request) bool
@@ -37,8 +37,8 @@
 	MayHaveBody(hr *http.Request) bool
 	// SetResponseHeader sets the header fields of an answer, but for its length, and returns its status.
 	SetResponseHeader(h http.Header, c *engine.Call, a engine.Answer) int
-	// SetRefusalHeader sets the header fields of a rejection.
-	SetRefusalHeader(h http.Header, hr *http.Request, r *Refusal)
+	// SetRejectionHeader sets the header fields of a rejection.
+	SetRejectionHeader(h http.Header, hr *http.Request, r *Rejection)
 }
 
 // Dialect is another protocol on the same connections, such as gRPC, with answers of its own.
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -24,7 +24,7 @@
 	from := hr.Context().Value(connectionKey{}).(*connection)
 	if hr.TransferEncoding != nil && from.head.lengths > 0 {
 		// Others may see the end of the body elsewhere (RFC 9112, section 6.1), and net/http has dropped the length.
-		f.refuse(w, hr, from, &Refusal{Status: http.StatusBadRequest, Text: "both a length and a transfer coding"})
+		f.reject(w, hr, from, &Rejection{Status: http.StatusBadRequest, Text: "both a length and a transfer coding"})
 		return
 	}
 	if from.pipeline != nil {
@@ -39,9 +39,9 @@
 	}
 	var c *call
 	size := bufferedSize(hr)
-	p, err := f.Enter(hr, size, func(p *pool.Pool, class string) (refusal *Refusal) {
-		c, refusal = f.check(hr, p, class)
-		return refusal
+	p, err := f.Enter(hr, size, func(p *pool.Pool, class string) (rejection *Rejection) {
+		c, rejection = f.check(hr, p, class)
+		return rejection
 	})
 	if err == nil {
 		defer p.Leave(size)
@@ -53,7 +53,7 @@
 		}
 	}
 	if err != nil {
-		f.refuse(w, hr, from, err)
+		f.reject(w, hr, from, err)
 		return
 	}
 	if hr.TransferEncoding != nil && !from.head.done {
@@ -145,9 +145,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// refuse answers a rejected request.
-func (f *Front) refuse(w http.ResponseWriter, hr *http.Request, from *connection, err *Refusal) {
-	f.Protocol.SetRefusalHeader(w.Header(), hr, err)
+// reject answers a rejected request.
+func (f *Front) reject(w http.ResponseWriter, hr *http.Request, from *connection, err *Rejection) {
+	f.Protocol.SetRejectionHeader(w.Header(), hr, err)
 	rc := http.NewResponseController(w)
 	f.closeIfDraining(w, from)
 	if err.KeepConnection || hr.ProtoMajor > 1 {
@@ -169,36 +169,36 @@
 }
 
 // Enter selects the pool of a request, has check examine the request, and reserves capacity in the pool for a body of size
-// bytes. Unless there is a Refusal the caller must call Leave on the pool.
-func (f *Front) Enter(hr *http.Request, size int64, check func(p *pool.Pool, class string) *Refusal) (*pool.Pool, *Refusal) {
+// bytes. Unless there is a Rejection, the caller must call Leave on the pool.
+func (f *Front) Enter(hr *http.Request, size int64, check func(p *pool.Pool, class string) *Rejection) (*pool.Pool, *Rejection) {
 	return f.enter(hr, size, check, hr.Context().Value(connectionKey{}).(*connection))
 }
 
 // enter is Enter for a connection that is known.
 func (f *Front) enter(
-	hr *http.Request, size int64, check func(p *pool.Pool, class string) *Refusal, from *connection,
-) (*pool.Pool, *Refusal) {
+	hr *http.Request, size int64, check func(p *pool.Pool, class string) *Rejection, from *connection,
+) (*pool.Pool, *Rejection) {
 	for {
-		p, class, refusal := f.routes.Route(hr)
-		if refusal == nil {
-			refusal = check(p, class)
+		p, class, rejection := f.routes.Route(hr)
+		if rejection == nil {
+			rejection = check(p, class)
 		}
-		if refusal != nil {
-			return nil, refusal
+		if rejection != nil {
+			return nil, rejection
 		}
 		switch err := p.Enter(size); {
 		case errors.Is(err, pool.ErrRetired):
 			continue // the routes name its successor by now
 		case err != nil:
 			// Callers over the limit of calls retry at once: a new connection each time would cost more than the rejection.
-			return nil, &Refusal{
+			return nil, &Rejection{
 				Status: http.StatusServiceUnavailable, Text: err.Error(), MayRetry: true,
 				KeepConnection: errors.Is(err, pool.ErrCalls) && size == 0,
 			}
 		}
 		if !from.assign(p.Shares().DownstreamConns) {
 			p.Leave(size)
-			return nil, &Refusal{Status: http.StatusServiceUnavailable, Text: "too many callers", MayRetry: true}
+			return nil, &Rejection{Status: http.StatusServiceUnavailable, Text: "too many callers", MayRetry: true}
 		}
 		return p, nil
 	}
@@ -214,11 +214,11 @@
 func bodiless(hr *http.Request) bool { return hr.ContentLength == 0 && hr.TransferEncoding == nil }
 
 // check examines a request's head and returns its call.
-func (f *Front) check(hr *http.Request, p *pool.Pool, class string) (*call, *Refusal) {
+func (f *Front) check(hr *http.Request, p *pool.Pool, class string) (*call, *Rejection) {
 	c := &call{answers: make(chan callEvent, 2)}
-	out, refusal := f.Protocol.ParseRequest(hr, p, class, f.clock.Now(), &c.Call)
-	if refusal != nil {
-		return nil, refusal
+	out, rejection := f.Protocol.ParseRequest(hr, p, class, f.clock.Now(), &c.Call)
+	if rejection != nil {
+		return nil, rejection
 	}
 	c.Payload, c.Receiver = out, c
 	return c, nil
--- a/internal/mesh/sidecar/caller_protocol.go
+++ b/internal/mesh/sidecar/caller_protocol.go
@@ -59,11 +59,11 @@
 
 // ParseRequest implements front.Protocol: it checks a request and makes the message that the pool takes.
 func (p *callerProtocol) ParseRequest(hr *http.Request, from *pool.Pool, class string, now time.Duration, c *engine.Call) (
-	*message.Request, *front.Refusal,
+	*message.Request, *front.Rejection,
 ) {
 	route := p.configuration.routing.Load().Route(class)
 	if route == nil { // it was dropped this very moment
-		return nil, refuse(hr, http.StatusNotFound, "no route")
+		return nil, reject(hr, http.StatusNotFound, "no route")
 	}
 	h := hr.Header
 	routed := &routedRequest{
@@ -71,17 +71,17 @@
 		key: h.Get(headerOperationKey), policy: route.PolicyDecision(from.Name()),
 	}
 	if routed.policy != nil {
-		if refusal := p.applyPolicy(hr, from.Name(), routed); refusal != nil {
-			return nil, refusal
+		if rejection := p.applyPolicy(hr, from.Name(), routed); rejection != nil {
+			return nil, rejection
 		}
 	}
 	if route.Kind == routing.Keyed && !p.controlPlane.isReachable() {
-		return nil, refuse(hr, http.StatusServiceUnavailable, "no majority of registers to grant the key")
+		return nil, reject(hr, http.StatusServiceUnavailable, "no majority of registers to grant the key")
 	}
 	limits := &p.configuration.routing.Load().Limits
-	budget, refusal := checkForm(hr, routed, limits)
-	if refusal != nil {
-		return nil, refusal
+	budget, rejection := checkForm(hr, routed, limits)
+	if rejection != nil {
+		return nil, rejection
 	}
 	left := routed.timeLeft(budget)
 	out := &message.Request{
@@ -104,14 +104,14 @@
 }
 
 // applyPolicy checks a request by its effective policy, and notes the trace if it is asked for.
-func (p *callerProtocol) applyPolicy(hr *http.Request, service string, routed *routedRequest) *front.Refusal {
+func (p *callerProtocol) applyPolicy(hr *http.Request, service string, routed *routedRequest) *front.Rejection {
 	if !routed.route.HasDestination(service) { // the table was changed since the service was drawn: nothing is decided by two tables
-		return refuse(hr, http.StatusServiceUnavailable, "the route has just changed")
+		return reject(hr, http.StatusServiceUnavailable, "the route has just changed")
 	}
 	effective := routed.policy
 	if status, text := p.configuration.checkPolicy(effective, p.env.settings.Load().Service); status != 0 {
 		p.log(routed.route, effective).Int("status", status).Str("reason", text).Msg("request rejected by policy")
-		return refuse(hr, status, text)
+		return reject(hr, status, text)
 	}
 	if hr.Header.Get(headerRuleTrace) != "" {
 		routed.ruleTrace = effective.Fingerprint + " " + p.configuration.policies.current().Active
@@ -120,21 +120,21 @@
 }
 
 // checkForm checks the form of a request and returns its time in milliseconds; 0: it says none.
-func checkForm(hr *http.Request, routed *routedRequest, limits *config.LimitsSpec) (budget float64, _ *front.Refusal) {
+func checkForm(hr *http.Request, routed *routedRequest, limits *config.LimitsSpec) (budget float64, _ *front.Rejection) {
 	h := hr.Header
 	keyed := routed.route.Kind == routing.Keyed
 	budget, err := strconv.ParseFloat(h.Get(headerTimeBudget), 64)
 	switch {
 	case len(h[headerAttemptID]) != 1 || routed.attemptID == "" || len(routed.attemptID) > maxIDBytes:
-		return 0, &front.Refusal{Status: http.StatusBadRequest, Text: "not one " + headerAttemptID}
+		return 0, &front.Rejection{Status: http.StatusBadRequest, Text: "not one " + headerAttemptID}
 	case keyed && (len(h[headerOperationKey]) != 1 || routed.key == "" || len(routed.key) > maxKeyBytes):
-		return 0, &front.Refusal{Status: http.StatusBadRequest, Text: "not one " + headerOperationKey}
+		return 0, &front.Rejection{Status: http.StatusBadRequest, Text: "not one " + headerOperationKey}
 	case limits.MaxHeaderBytes > 0 && headSize(hr) > limits.MaxHeaderBytes:
-		return 0, refuse(hr, http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
+		return 0, reject(hr, http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
 	case limits.MaxBodyBytes > 0 && hr.ContentLength > limits.MaxBodyBytes:
-		return 0, &front.Refusal{Status: http.StatusRequestEntityTooLarge, Text: "the body is too long"}
+		return 0, &front.Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is too long"}
 	case h.Get(headerTimeBudget) != "" && (err != nil || !(budget > 0) || budget > maxTimeBudgetMS):
-		return 0, &front.Refusal{Status: http.StatusBadRequest, Text: headerTimeBudget + " is no time in milliseconds"}
+		return 0, &front.Rejection{Status: http.StatusBadRequest, Text: headerTimeBudget + " is no time in milliseconds"}
 	}
 	return budget, nil
 }
@@ -184,8 +184,8 @@
 	return http.StatusBadGateway
 }
 
-// SetRefusalHeader implements front.Protocol.
-func (p *callerProtocol) SetRefusalHeader(h http.Header, hr *http.Request, r *front.Refusal) {
+// SetRejectionHeader implements front.Protocol.
+func (p *callerProtocol) SetRejectionHeader(h http.Header, hr *http.Request, r *front.Rejection) {
 	if id := hr.Header.Get(headerAttemptID); id != "" && len(id) <= maxIDBytes {
 		h.Set(headerAttemptID, id)
 	}
--- a/internal/mesh/sidecar/route_resolver.go
+++ b/internal/mesh/sidecar/route_resolver.go
@@ -18,17 +18,17 @@
 }
 
 // Route implements front.Routes: the class of a request is the name of its route.
-func (r *routeResolver) Route(hr *http.Request) (*pool.Pool, string, *front.Refusal) {
+func (r *routeResolver) Route(hr *http.Request) (*pool.Pool, string, *front.Rejection) {
 	route := matchRoute(r.configuration.routing.Load(), hr)
 	if !r.readiness.configured.Load() {
-		return nil, "", refuse(hr, http.StatusServiceUnavailable, "no confirmed configuration yet")
+		return nil, "", reject(hr, http.StatusServiceUnavailable, "no confirmed configuration yet")
 	}
 	if route == nil {
-		return nil, "", refuse(hr, http.StatusNotFound, "no route")
+		return nil, "", reject(hr, http.StatusNotFound, "no route")
 	}
 	s := r.pools.get(route.PickService(rand.Float64()))
 	if s == nil {
-		return nil, "", refuse(hr, http.StatusServiceUnavailable, "the route's service is not known yet")
+		return nil, "", reject(hr, http.StatusServiceUnavailable, "the route's service is not known yet")
 	}
 	return s.pool, route.Name, nil
 }
@@ -39,7 +39,7 @@
 	return table.Match(hr.Host, path)
 }
 
-// refuse rejects a request before its body is read. A 503 says when to retry.
-func refuse(hr *http.Request, status int, text string) *front.Refusal {
-	return &front.Refusal{Status: status, Text: text, MayRetry: status == http.StatusServiceUnavailable, KeepConnection: hasNoBody(hr)}
+// reject rejects a request before its body is read. A 503 says when to retry.
+func reject(hr *http.Request, status int, text string) *front.Rejection {
+	return &front.Rejection{Status: status, Text: text, MayRetry: status == http.StatusServiceUnavailable, KeepConnection: hasNoBody(hr)}
 }
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -33,7 +33,7 @@
 type callerRoutes struct{ n *Node }
 
 // Route implements front.Routes.
-func (r callerRoutes) Route(hr *http.Request) (*pool.Pool, string, *front.Refusal) {
+func (r callerRoutes) Route(hr *http.Request) (*pool.Pool, string, *front.Rejection) {
 	s := r.n.serving.Load()
 	if s.routes == nil {
 		return s.onlyPool, firstSegment(hr.URL.Path), nil
@@ -42,14 +42,14 @@
 }
 
 // route is find for an HTTP request.
-func (s *servingSet) route(hr *http.Request) (*pool.Pool, string, *front.Refusal) {
+func (s *servingSet) route(hr *http.Request) (*pool.Pool, string, *front.Rejection) {
 	id := ""
 	if ids := hr.Header["X-Correlation-Id"]; len(ids) > 0 {
 		id = ids[0]
 	}
 	p, class, noRoute := s.find(hr.Method, hr.Host, hr.URL.EscapedPath(), hr.Header, id)
 	if noRoute != nil {
-		return nil, "", &front.Refusal{Status: noRoute.Status, Text: noRoute.Text}
+		return nil, "", &front.Rejection{Status: noRoute.Status, Text: noRoute.Text}
 	}
 	return p, class, nil
 }
