--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,10 +1,14 @@
-// Command drill starts the real program among fakes, plays faults, and judges the four rules from the fakes' own records.
+// Command drill runs the real program among fakes, injects faults, and checks from the records of the fakes that the four rules of the
+// protocol were kept.
 //
-//	go run ./cmd/drill tour               a first look
-//	go run ./cmd/drill -list              what there is
-//	go run ./cmd/drill [-json] [-seed N] [-for DURATION] [-plant BREACH] NAME
+//	go run ./cmd/drill tour                            a first look
+//	go run ./cmd/drill -list                           names all drills
+//	go run ./cmd/drill -h                              explains the flags, with examples
+//	go run ./cmd/drill -json -seed 7 -for 30s members  one JSON object, with the schedule of faults that seed 7 draws
+//	go run ./cmd/drill -plant twice tour               violates a rule on purpose, which the drill must find
 //
-// It exits 1 if a rule was broken, or if what the drill itself expects did not come about.
+// It exits with 0 if all rules were kept, with 1 if one was violated or the drill's own expectations failed, and with 2 for wrong
+// arguments.
 package main
 
 import (
--- a/internal/drill/environment.go
+++ b/internal/drill/environment.go
@@ -16,245 +16,202 @@
 	"cranegrade/internal/testfleet"
 )
 
-// environment is a program among stand-ins.
+const (
+	watchTimeout  = 10 * time.Second // until the program follows a list
+	answerGrace   = 2 * time.Second  // for which callers wait after a deadline
+	configMode    = 0o600            // permissions of files
+	oneCoreHeader = "listen = [\"127.0.0.1:0\"]\nlimits = { cores = 1 }\n"
+)
+
+// environment is the program of one drill among the fakes, with what the drill has found so far. Its methods are called from the drill's
+// goroutine, unless they say otherwise.
 type environment struct {
 	options
-	rng     *rand.Rand
-	records *fake.Recorder
-	keys    *fake.KeyStore
-	dir     string
-	err     io.Writer
-	node    *testfleet.Process // nil: there are several, in fleet
-	fleet   *testfleet.Fleet   // nil: there is one
-	groups  []*serverGroup
-	relay   *fake.Relay
-	callers *fake.Callers
-	proxies []*proxy.Proxy // proxies that ask the program
-	classes []fake.Class
-
-	towards  func(node string) (*fake.Gateway, error) // callers go through such a sidecar; nil: through none
-	sidecars []*fake.Gateway
-
-	bansMu        sync.Mutex      // guards what follows
-	bans          []ban           // servers taken out by hand
-	calls         int             // operators' calls
-	handoverTimes []time.Duration // how long a process that was succeeded took to end
-
-	schedule string // of faults, which can be played again
-
-	unjudged bool // it measures, and its traffic is not recorded
-	figures  []figure
-	tables   []string
-	failures []string
-}
-
-// figure is one of a scenario's own.
-type figure struct {
-	name  string
-	value any
-	about string
-}
-
-// serverGroup is the servers of a pool and the registry that lists them.
-type serverGroup struct {
-	name     string         // of the pool
-	host     string         // whose requests it serves
-	registry *fake.Registry // nil if something else tells the list
-	servers  []*fake.Server
-	list     func(s *fake.Server, state fake.ListState) // has the list tell a server: SERVING, DRAINING or DELETED
+	rng      *rand.Rand
+	recorder *fake.Recorder
+	keyStore *fake.KeyStore
+	dir      string // temporary
+	stderr   io.Writer
+	node     *testfleet.Process // nil: there are several processes, in fleet
+	fleet    *testfleet.Fleet   // nil: there is one process, node
+	groups   []*serverGroup
+	relay    *fake.Relay // between callers and the program; nil: none
+	callers  *fake.Callers
+	proxies  []*proxy.Proxy // that ask the program
+
+	newClientGateway func(node string) (*fake.Gateway, error) // starts the gateway that callers go through; nil: none
+	gateways         []*fake.Gateway
+
+	operations operationsLog
+
+	schedule string // of faults, in JSON; "": none
+
+	measuresOnly bool // the drill's traffic is not recorded, so there is nothing to judge
+	figures      []figure
+	tables       []string
+	failures     []string
 }
 
-// What all drills share with the rig.
-var (
-	readClass, sendClass, cellClass, orderClass = testfleet.ReadClass, testfleet.AlertClass, testfleet.CampaignClass, testfleet.OrderClass
-	allClasses, cold, usual                     = testfleet.Classes, testfleet.SlowStart, testfleet.DefaultServer
-	poolText, inCell                            = testfleet.PoolConfig, testfleet.InCell
-	times, quantile, streamTable, serverTable   = testfleet.Latencies, testfleet.Quantile, testfleet.StreamTable, testfleet.ServerTable
-)
-
 func newEnvironment(o options, stderr io.Writer) (*environment, error) {
-	r := &environment{
-		options: o, rng: rand.New(rand.NewPCG(o.seed, 0xd811)), err: stderr, keys: fake.NewKeyStore(),
-		records: fake.NewRecorder(allClasses...),
+	env := &environment{
+		options: o, rng: rand.New(rand.NewPCG(o.seed, 0xd811)), stderr: stderr, keyStore: fake.NewKeyStore(),
+		recorder: fake.NewRecorder(testfleet.Classes...),
 	}
 	dir, err := os.MkdirTemp("", "drill")
 	if err != nil {
 		return nil, err
 	}
-	r.dir = dir
-	if r.program == "" {
-		if r.program, err = testfleet.Build(dir); err != nil {
-			r.close()
+	env.dir = dir
+	if env.program == "" {
+		if env.program, err = testfleet.Build(dir); err != nil {
+			env.close()
 			return nil, err
 		}
 	}
-	return r, nil
+	return env, nil
 }
 
-func (r *environment) close() {
-	if r.callers != nil {
-		r.callers.Close()
+// close ends everything that the drill started and removes its directory.
+func (env *environment) close() {
+	if env.callers != nil {
+		env.callers.Close()
 	}
-	if r.fleet != nil {
-		r.fleet.Close()
+	if env.fleet != nil {
+		env.fleet.Close()
 	}
-	for _, p := range r.proxies {
+	for _, p := range env.proxies {
 		p.Close()
 	}
-	if r.node != nil {
-		r.node.Stop()
-	}
-	for _, s := range r.sidecars {
-		s.Close()
+	if env.node != nil {
+		env.node.Stop()
 	}
-	if r.relay != nil {
-		r.relay.Close()
+	for _, g := range env.gateways {
+		g.Close()
 	}
-	for _, g := range r.groups {
-		if g.registry != nil {
-			g.registry.Close()
-		}
-		for _, s := range g.servers {
-			s.Close()
-		}
-	}
-	os.RemoveAll(r.dir)
-}
-
-func (r *environment) addFigure(name string, value any, about string) {
-	if d, is := value.(time.Duration); is {
-		value = float64(d.Microseconds()) / 1000
+	if env.relay != nil {
+		env.relay.Close()
 	}
-	if f, is := value.(float64); is {
-		value = float64(int64(f*1000+0.5)) / 1000
+	for _, g := range env.groups {
+		g.close()
 	}
-	r.figures = append(r.figures, figure{name, value, about})
+	_ = os.RemoveAll(env.dir) // temporary
 }
 
-func (r *environment) failf(format string, args ...any) {
-	r.failures = append(r.failures, fmt.Sprintf(format, args...))
-}
-
-// group starts servers and a registry that lists them.
-func (r *environment) group(name, host string, servers ...fake.ServerConfig) (*serverGroup, error) {
-	g := &serverGroup{name: name, host: host}
-	r.groups = append(r.groups, g)
-	var err error
-	if g.registry, err = fake.NewRegistry(host, r.records); err != nil {
-		return nil, err
-	}
-	g.list = g.registry.Set
-	for i, cfg := range servers {
-		cfg.ID = fmt.Sprintf("%s-%d", name, i)
-		s, err := fake.NewServer(cfg, r.records, r.keys)
-		if err != nil {
-			return nil, err
-		}
-		g.servers = append(g.servers, s)
-		g.registry.Set(s, "SERVING")
-	}
-	return g, nil
-}
-
-func (g *serverGroup) registryText() string { return fmt.Sprintf("registry = %q", g.registry.Addr()) }
-
-// start starts the program with an operator's file, and the callers.
-func (r *environment) start(file string) error {
-	path := filepath.Join(r.dir, "node.toml")
-	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
+// startProgram starts the program with an operator's file, and the callers.
+func (env *environment) startProgram(config string) error {
+	path := filepath.Join(env.dir, "node.toml")
+	if err := os.WriteFile(path, []byte(config), configMode); err != nil {
 		return err
 	}
 	var err error
-	if r.node, err = testfleet.Start(r.program, path); err != nil {
+	if env.node, err = testfleet.Start(env.program, path); err != nil {
 		return err
 	}
-	addr := r.node.Addr
-	if r.towards != nil {
-		s, err := r.towards(addr)
+	addr := env.node.Addr
+	if env.newClientGateway != nil {
+		gateway, err := env.newClientGateway(addr)
 		if err != nil {
 			return err
 		}
-		r.sidecars = append(r.sidecars, s)
-		addr = s.Addr()
+		env.gateways = append(env.gateways, gateway)
+		addr = gateway.Addr()
 	}
-	if r.violation == "lost" { // else nothing of ours stands on the path
-		if r.relay, err = fake.NewRelay(addr); err != nil {
+	if env.violation == violationLost { // otherwise nothing stands between callers and the program
+		if env.relay, err = fake.NewRelay(addr); err != nil {
 			return err
 		}
-		addr = r.relay.Addr()
+		addr = env.relay.Addr()
 	}
-	r.callers = fake.NewCallers(r.records, addr, r.seed, 2*time.Second+r.slack)
+	env.callers = fake.NewCallers(env.recorder, addr, env.seed, answerGrace+env.slack)
 	return nil
 }
 
-// rewrite gives the program another file and tells it to read that.
-func (r *environment) rewrite(file string) error {
-	if err := os.WriteFile(r.node.Config, []byte(file), 0o600); err != nil {
+// rewriteConfig gives the program another file and has it reload that.
+func (env *environment) rewriteConfig(config string) error {
+	if err := os.WriteFile(env.node.Config, []byte(config), configMode); err != nil {
 		return err
 	}
-	return r.node.Cmd.Process.Signal(syscall.SIGHUP)
+	return env.node.Cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// settle waits until every watch that is wanted is open, so that traffic does not begin before lists
-// are told. It gives up, without an error, when that takes too long: a drill may want a dark registry.
-func (r *environment) settle(groups ...*serverGroup) error {
+// awaitWatches waits until the program follows the lists of these groups, so that traffic does not begin before it knows any server.
+func (env *environment) awaitWatches(groups ...*serverGroup) error {
 	for _, g := range groups {
-		if !testfleet.Await(10*time.Second, func() bool { return g.registry.Watchers() > 0 }) {
-			return fmt.Errorf("the list of %s is not followed", g.name)
+		if !testfleet.Await(watchTimeout, func() bool { return g.registry.Watchers() > 0 }) {
+			return fmt.Errorf("the program does not follow the list of %s", g.name)
 		}
 	}
 	return nil
 }
 
-// at runs f once a share of the drill's length has passed, unless ctx ends before.
-func (r *environment) at(ctx context.Context, all *sync.WaitGroup, share float64, f func()) {
-	all.Go(func() {
+// share is a share of the drill's length.
+func (env *environment) share(x float64) time.Duration { return time.Duration(x * float64(env.length)) }
+
+// atShare runs f, on a goroutine that running counts, once a share of the drill's length has passed, unless ctx ends before.
+func (env *environment) atShare(ctx context.Context, running *sync.WaitGroup, share float64, f func()) {
+	running.Go(func() {
 		select {
-		case <-time.After(time.Duration(share * float64(r.length))):
+		case <-time.After(env.share(share)):
 			f()
 		case <-ctx.Done():
 		}
 	})
 }
 
-// play runs the streams for the drill's length, with the breach that was asked for, and waits for all
-// to end.
-func (r *environment) play(ctx context.Context, faults *sync.WaitGroup, streams ...fake.Stream) error {
-	return r.drive(ctx, faults, r.callers.Run, streams)
+// runTraffic sends the requests of the streams for the drill's length, commits the violation that was asked for, and waits until all of
+// that and the faults have ended.
+func (env *environment) runTraffic(ctx context.Context, faults *sync.WaitGroup, streams ...fake.Stream) error {
+	return env.runTrafficBy(ctx, faults, env.callers.Run, streams)
 }
 
-// drive is play for whoever sends the streams.
-func (r *environment) drive(ctx context.Context, faults *sync.WaitGroup, send func(context.Context, ...fake.Stream),
-	streams []fake.Stream,
+// runProxyTraffic is runTraffic by proxies that ask the program.
+func (env *environment) runProxyTraffic(ctx context.Context, faults *sync.WaitGroup, proxies []*proxy.Proxy, streams ...fake.Stream) error {
+	send := func(ctx context.Context, streams ...fake.Stream) { proxy.Run(ctx, proxies, env.seed, streams...) }
+	return env.runTrafficBy(ctx, faults, send, streams)
+}
+
+// runTrafficBy is runTraffic by whoever sends the streams.
+func (env *environment) runTrafficBy(
+	ctx context.Context, faults *sync.WaitGroup, send func(context.Context, ...fake.Stream), streams []fake.Stream,
 ) error {
 	for i := range streams {
 		if streams[i].Duration == 0 {
-			streams[i].Duration = r.length
+			streams[i].Duration = env.length
 		}
 	}
-	var planted error
-	if r.violation != "" {
-		faults.Go(func() { planted = violations[r.violation](ctx, r) })
+	var violationErr error
+	if env.violation != "" {
+		faults.Go(func() { violationErr = violations[env.violation](ctx, env) })
 	}
 	send(ctx, streams...)
 	faults.Wait()
-	if planted != nil {
-		return fmt.Errorf("planting %s: %w", r.violation, planted)
+	if violationErr != nil {
+		return fmt.Errorf("committing the violation %s: %w", env.violation, violationErr)
 	}
 	return ctx.Err()
 }
 
-// stay keeps everything up until ctx ends.
-func (r *environment) stay(ctx context.Context, w io.Writer) {
+// stay keeps everything running until ctx ends.
+func (env *environment) stay(ctx context.Context, w io.Writer) {
 	if ctx.Err() != nil {
 		return
 	}
-	fmt.Fprintf(w, "\nstill up; Ctrl-C ends it. The program (pid %d) listens on %s, its file is %s.\n", r.node.Cmd.Process.Pid, r.node.Addr, r.node.Config)
-	for _, g := range r.groups {
+	fmt.Fprintf(w, "\nstill up; Ctrl-C ends it. The program (pid %d) listens on %s, its file is %s.\n",
+		env.node.Cmd.Process.Pid, env.node.Addr, env.node.Config)
+	for _, g := range env.groups {
 		for _, s := range g.servers {
 			fmt.Fprintf(w, "  server %s on %s\n", s.ID(), s.Addr())
 		}
 	}
-	fmt.Fprintf(w, "try: curl -i -H 'Host: %s' -H 'X-Correlation-Id: me-1' -H 'X-Time-Left: 1000m' http://%s/read/1\n", r.groups[0].host, r.node.Addr)
+	fmt.Fprintf(w, "try: curl -i -H 'Host: %s' -H 'X-Correlation-Id: me-1' -H 'X-Time-Left: 1000m' http://%s/read/1\n",
+		env.groups[0].host, env.node.Addr)
 	<-ctx.Done()
 }
+
+// pause waits for a duration, or until ctx ends.
+func pause(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -1,178 +1,175 @@
 package drill
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"net"
-	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"slices"
 	"strconv"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"cranegrade/internal/testfleet"
 )
 
 const (
-	loadCallers = 128 // with one request out each, all the time
+	loadCallers = 128 // with one request open each, all the time
 	loadServers = 4   // that answer at once
 	loadRounds  = 5   // of each program, in turn
 )
 
-// round is what a program did in one run.
-type round struct {
-	rate     float64       // requests a second
-	p50, p99 time.Duration // of the answers
-	cpu      time.Duration // of the program, a request
+// loadRound is how a program did in one round.
+type loadRound struct {
+	rate          float64       // requests a second
+	p50, p99      time.Duration // of the latencies
+	cpuPerRequest time.Duration // of the program
 }
 
-// load measures the node on one core, as the platform runs it: closed-loop callers, servers that answer
-// at once. With -vs another program is measured in turn with it, and the ratio of each pair is told;
-// machines are noisy, so only that ratio can be compared.
-func load(ctx context.Context, r *environment) error {
-	r.unjudged = true
-	var servers []string
-	for range loadServers {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			return err
-		}
-		defer l.Close()
-		go answerAll(l)
-		servers = append(servers, l.Addr().String())
+// load measures the node on one core, as the platform runs it: closed-loop callers, servers that answer at once. With -vs another program is
+// measured in turn with it, and the ratio of each pair is reported; machines are noisy, so only that ratio can be compared.
+func load(ctx context.Context, env *environment) error {
+	env.measuresOnly = true
+	servers, closeServers, err := startLoadServers()
+	if err != nil {
+		return err
 	}
-	programs := []string{r.program}
-	if r.vs != "" {
-		programs = append(programs, r.vs)
+	defer closeServers()
+	programs := []string{env.program}
+	if env.versus != "" {
+		programs = append(programs, env.versus)
 	}
-	each := r.length / time.Duration(loadRounds*len(programs))
-	rounds := make([][]round, len(programs))
+	roundLength := env.length / time.Duration(loadRounds*len(programs))
+	rounds := make([][]loadRound, len(programs))
 	for range loadRounds {
-		for i, path := range programs {
-			got, err := r.loadOnce(ctx, path, servers, each)
+		for i, program := range programs {
+			round, err := env.runLoadRound(ctx, program, servers, roundLength)
 			if err != nil {
 				return err
 			}
-			rounds[i] = append(rounds[i], got)
+			rounds[i] = append(rounds[i], round)
 		}
 	}
-	for i, name := range []string{"", "vs_"}[:len(programs)] {
-		r.addFigure(name+"requests_per_s", median(rounds[i], func(x round) float64 { return x.rate }), "median of 5 rounds")
-		r.addFigure(name+"p50_ms", median(rounds[i], func(x round) float64 { return x.p50.Seconds() * 1000 }), "")
-		r.addFigure(name+"p99_ms", median(rounds[i], func(x round) float64 { return x.p99.Seconds() * 1000 }), "")
-		r.addFigure(name+"cpu_us", median(rounds[i], func(x round) float64 { return float64(x.cpu.Nanoseconds()) / 1000 }), "of the program, a request")
+	env.reportLoad("", rounds[0])
+	if env.versus != "" {
+		env.reportLoad("vs_", rounds[1])
+		env.reportLoadRatios(rounds[0], rounds[1])
 	}
-	if r.vs != "" {
-		ratios := make([]round, loadRounds)
-		for i := range ratios {
-			ratios[i] = round{rate: rounds[0][i].rate / rounds[1][i].rate}
-		}
-		r.addFigure("rate_ratio", median(ratios, func(x round) float64 { return x.rate }), "against the other program, median of the pairs")
-		cpu := make([]round, loadRounds)
-		for i := range cpu {
-			cpu[i] = round{rate: float64(rounds[0][i].cpu) / float64(rounds[1][i].cpu)}
+	return nil
+}
+
+// reportLoad reports the medians of a program's rounds; the names of its figures begin with a prefix.
+func (env *environment) reportLoad(prefix string, rounds []loadRound) {
+	env.addFigure(prefix+"requests_per_s", median(rounds, func(r loadRound) float64 { return r.rate }), "median of 5 rounds")
+	env.addFigure(prefix+"p50_ms", median(rounds, func(r loadRound) float64 { return r.p50.Seconds() * 1000 }), "")
+	env.addFigure(prefix+"p99_ms", median(rounds, func(r loadRound) float64 { return r.p99.Seconds() * 1000 }), "")
+	env.addFigure(prefix+"cpu_us", median(rounds, func(r loadRound) float64 { return float64(r.cpuPerRequest.Nanoseconds()) / 1000 }),
+		"of the program, a request")
+}
+
+// loadRatio compares the two programs in one pair of rounds.
+type loadRatio struct{ rate, cpu float64 }
+
+func (env *environment) reportLoadRatios(own, other []loadRound) {
+	ratios := make([]loadRatio, len(own))
+	for i := range ratios {
+		ratios[i] = loadRatio{
+			rate: own[i].rate / other[i].rate, cpu: float64(own[i].cpuPerRequest) / float64(other[i].cpuPerRequest),
 		}
-		r.addFigure("cpu_ratio", median(cpu, func(x round) float64 { return x.rate }), "")
 	}
-	return nil
+	env.addFigure("rate_ratio", median(ratios, func(r loadRatio) float64 { return r.rate }),
+		"against the other program, median of the pairs")
+	env.addFigure("cpu_ratio", median(ratios, func(r loadRatio) float64 { return r.cpu }), "")
 }
 
-func median(l []round, of func(round) float64) float64 {
-	var v []float64
-	for _, x := range l {
-		v = append(v, of(x))
+// median is the median of a value of each item; the upper one of two.
+func median[T any](items []T, value func(T) float64) float64 {
+	var values []float64
+	for _, item := range items {
+		values = append(values, value(item))
 	}
-	slices.Sort(v)
-	return v[len(v)/2]
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
-// answerAll answers every request of every connection at once.
-func answerAll(l net.Listener) {
-	for {
-		c, err := l.Accept()
+// startLoadServers starts servers that answer every request at once, and returns their addresses.
+func startLoadServers() (addrs []string, closeAll func(), err error) {
+	var listeners []net.Listener
+	closeAll = func() {
+		for _, l := range listeners {
+			l.Close()
+		}
+	}
+	for range loadServers {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return
+			closeAll()
+			return nil, nil, err
 		}
-		go func() {
-			defer c.Close()
-			r := bufio.NewReader(c)
-			for {
-				for {
-					line, err := r.ReadSlice('\n')
-					if err != nil {
-						return
-					}
-					if len(line) <= 2 {
-						break
-					}
-				}
-				if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"); err != nil {
-					return
-				}
-			}
-		}()
+		listeners = append(listeners, l)
+		go answerAll(l)
+		addrs = append(addrs, l.Addr().String())
 	}
+	return addrs, closeAll, nil
 }
 
-// loadOnce runs a program by the platform's configuration and loads it for a while.
-func (r *environment) loadOnce(ctx context.Context, path string, servers []string, length time.Duration) (round, error) {
-	text, err := loadConfig(servers)
-	if err != nil {
-		return round{}, err
-	}
-	config := filepath.Join(r.dir, "load.json")
-	if err := os.WriteFile(config, text, 0o600); err != nil {
-		return round{}, err
-	}
-	cmd := exec.Command(path)
-	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
-	p, err := testfleet.StartCommand(cmd, config)
+// runLoadRound runs a program by the platform's configuration and loads it for a length, after a quarter of that to warm up.
+func (env *environment) runLoadRound(ctx context.Context, program string, servers []string, length time.Duration) (loadRound, error) {
+	p, err := env.startWithPlatformConfig(program, servers)
 	if err != nil {
-		return round{}, err
+		return loadRound{}, err
 	}
 	defer p.Stop()
-	r.node = p
+	env.node = p
 	ctx, cancel := context.WithTimeout(ctx, length+length/4)
 	defer cancel()
-	var all sync.WaitGroup
-	var failed atomic.Int64
-	warm := time.Now().Add(length / 4)
-	times := make([][]time.Duration, loadCallers)
+	warmAt := time.Now().Add(length / 4)
+	latencies, errs := make([][]time.Duration, loadCallers), make([]error, loadCallers)
+	var calling sync.WaitGroup
 	for i := range loadCallers {
-		all.Go(func() {
-			var err error
-			if times[i], err = callInLoop(ctx, p.Addr, strconv.Itoa(i), warm); err != nil {
-				failed.Add(1)
-			}
-		})
+		calling.Go(func() { latencies[i], errs[i] = callInLoop(ctx, p.Addr, strconv.Itoa(i), warmAt) })
+	}
+	time.Sleep(time.Until(warmAt))
+	cpuBefore := p.CPUTime()
+	calling.Wait()
+	cpu := p.CPUTime() - cpuBefore
+	all := slices.Concat(latencies...)
+	slices.Sort(all)
+	if err := errors.Join(errs...); err != nil || len(all) == 0 {
+		return loadRound{}, fmt.Errorf("callers of %s got something else than an answer: %w", program, err)
+	}
+	return loadRound{
+		rate: float64(len(all)) / length.Seconds(), p50: testfleet.Quantile(all, 0.5), p99: testfleet.Quantile(all, 0.99),
+		cpuPerRequest: cpu / time.Duration(len(all)),
+	}, nil
+}
+
+// startWithPlatformConfig starts a program the way the platform does.
+func (env *environment) startWithPlatformConfig(program string, servers []string) (*testfleet.Process, error) {
+	text, err := platformConfig(servers)
+	if err != nil {
+		return nil, err
 	}
-	time.Sleep(time.Until(warm))
-	before := p.CPUTime()
-	all.Wait()
-	used := p.CPUTime() - before
-	sorted := slices.Concat(times...)
-	slices.Sort(sorted)
-	if n := failed.Load(); n > 0 || len(sorted) == 0 {
-		return round{}, fmt.Errorf("%d of %d callers got something else than an answer", n, loadCallers)
+	config := filepath.Join(env.dir, "load.json")
+	if err := os.WriteFile(config, text, configMode); err != nil {
+		return nil, err
 	}
-	n := time.Duration(len(sorted))
-	return round{rate: float64(n) / length.Seconds(), p50: quantile(sorted, 0.5), p99: quantile(sorted, 0.99), cpu: used / n}, nil
+	cmd := exec.Command(program)
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
+	return testfleet.StartCommand(cmd, config)
 }
 
-// loadConfig is the platform's configuration of a node with these servers.
-func loadConfig(servers []string) ([]byte, error) {
-	type target map[string]any
-	var targets []target
-	for i, s := range servers {
-		targets = append(targets, target{"uid": fmt.Sprint("s", i), "endpoint": s, "az": "a", "state": "SERVING", "capacity_hint": 1})
+// platformConfig is the platform's configuration of a node with these servers.
+func platformConfig(servers []string) ([]byte, error) {
+	var targets []map[string]any
+	for i, addr := range servers {
+		targets = append(targets, map[string]any{
+			"uid": fmt.Sprint("s", i), "endpoint": addr, "az": "a", "state": "SERVING", "capacity_hint": 1,
+		})
 	}
 	lane := map[string]any{"name": "read", "effect": "read_like", "target-ms": 2000, "deadline-ms": 5000, "worth": 1}
 	return json.Marshal(map[string]any{
@@ -185,34 +182,3 @@
 		},
 	})
 }
-
-// errNotServed is what a caller got that was not answered with 200.
-var errNotServed = errors.New("the answer is not 200")
-
-// callInLoop sends one request after the other on one connection until ctx ends, and returns the times of those that
-// began after warm. name makes the requests' identifiers the caller's own.
-func callInLoop(ctx context.Context, addr, name string, warm time.Time) (times []time.Duration, err error) {
-	c, err := net.Dial("tcp", addr)
-	if err != nil {
-		return nil, err
-	}
-	defer c.Close()
-	answers := bufio.NewReader(c)
-	for n := 0; ctx.Err() == nil; n++ {
-		id := name + "-" + strconv.Itoa(n)
-		start := time.Now()
-		io.WriteString(c, "GET /read/"+id+" HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "+id+"\r\nX-Time-Left: 5000m\r\n\r\n")
-		resp, err := http.ReadResponse(answers, nil)
-		if err != nil {
-			return times, err
-		}
-		if resp.StatusCode != 200 {
-			return times, errNotServed
-		}
-		io.Copy(io.Discard, resp.Body)
-		if start.After(warm) {
-			times = append(times, time.Since(start))
-		}
-	}
-	return times, nil
-}
--- a/internal/drill/operators.go
+++ b/internal/drill/operators.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"strings"
 	"sync"
 	"time"
 
@@ -15,212 +14,250 @@
 	"cranegrade/internal/testfleet"
 )
 
-// ban is a time for which a server is taken out by hand, by the records' clock.
-type ban struct {
+const (
+	commandTimeout     = 10 * time.Second       // of an operators' command
+	commandLimit       = time.Second            // within which it must be answered
+	downGrace          = 250 * time.Millisecond // after the answer, in which a server that is set down may still be sent to
+	readyTimeout       = 6 * time.Second        // until an upgraded process is ready
+	readyCheckTimeout  = time.Second
+	loggedOperatorAddr = "operators call on " // in the program's log, followed by an address
+)
+
+// downtime is a time in which a server is set down by operators, by the recorder's clock.
+type downtime struct {
 	server   string
-	from, to time.Duration // from the yes to the call back; to 0: it lasts
+	from, to time.Duration // from the answer to the command until the command that sets it up again; to is 0 while it lasts
+}
+
+// operationsLog is what operators did in a drill. Its methods may be called from any goroutine.
+type operationsLog struct {
+	mu            sync.Mutex // guards the fields below
+	downtimes     []downtime
+	commands      int
+	handoverTimes []time.Duration // how long each process that was succeeded took to end
+}
+
+// anyDown reports whether a server is down now.
+func (l *operationsLog) anyDown() bool {
+	return l.hasDown(func(downtime) bool { return true })
+}
+
+// isDown reports whether this server is down now.
+func (l *operationsLog) isDown(server string) bool {
+	return l.hasDown(func(d downtime) bool { return d.server == server })
 }
 
-// isOut names a server that is out now: that one, or "" for any; "" if none is.
-func (r *environment) isOut(server string) string {
-	r.bansMu.Lock()
-	defer r.bansMu.Unlock()
-	for _, b := range r.bans {
-		if b.to == 0 && (server == "" || b.server == server) {
-			return b.server
+func (l *operationsLog) hasDown(selects func(downtime) bool) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, d := range l.downtimes {
+		if d.to == 0 && selects(d) {
+			return true
 		}
 	}
-	return ""
+	return false
 }
 
-// banned judges the bans: nothing may begin at a server from the grace after the yes until the call back.
-func (r *environment) banned(v fake.History) (late int) {
-	r.bansMu.Lock()
-	defer r.bansMu.Unlock()
-	for _, b := range r.bans {
-		for _, a := range v.Arrivals {
-			if a.Server == b.server && a.FirstByteAt > b.from+250*time.Millisecond+r.slack && (b.to == 0 || a.FirstByteAt < b.to) {
-				late++
-				r.failf("%s got %s %v after it was taken out", b.server, a.ID, a.FirstByteAt-b.from)
+// addCommand records a command that was answered at a time.
+func (l *operationsLog) addCommand(verb admin.Verb, server string, sentAt, answeredAt time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.commands++
+	switch verb {
+	case admin.SetDown:
+		l.downtimes = append(l.downtimes, downtime{server: server, from: answeredAt})
+	case admin.SetUp:
+		for i := range l.downtimes {
+			if d := &l.downtimes[i]; d.server == server && d.to == 0 {
+				d.to = sentAt // what is sent from the command on is no violation
 			}
 		}
+	default: // the other commands take no server down
 	}
-	return late
 }
 
-// call makes an operator's call at a program, and wants a yes within the second.
-func (r *environment) call(p *testfleet.Process, verb admin.Verb, id string) {
-	addr, err := operatorsOf(p)
+func (l *operationsLog) addHandover(took time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.handoverTimes = append(l.handoverTimes, took)
+}
+
+// sendCommand sends an operators' command to the program, and wants it accepted within the second.
+func (env *environment) sendCommand(ctx context.Context, p *testfleet.Process, verb admin.Verb, server string) {
+	addr, err := operatorAddr(p)
 	if err != nil {
-		r.failf("%v", err)
+		env.failf("%v", err)
 		return
 	}
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), commandTimeout)
 	defer cancel()
-	yes, text, err := admin.Send(ctx, addr, admin.Command{Verb: verb, ID: id})
-	took := time.Since(began)
-	if err != nil || !yes || took > time.Second+10*r.slack {
-		r.failf("%s %s: %v %q after %v, %v", verb, id, yes, text, took, err)
-	}
-	r.bansMu.Lock()
-	defer r.bansMu.Unlock()
-	r.calls++
-	switch now := r.records.Now(); verb {
-	case admin.SetDown:
-		r.bans = append(r.bans, ban{server: id, from: now})
-	case admin.SetUp:
-		for i := range r.bans {
-			if r.bans[i].server == id && r.bans[i].to == 0 {
-				r.bans[i].to = now - took // what is sent from the call on is no breach
-			}
-		}
+	accepted, text, err := admin.Send(ctx, addr, admin.Command{Verb: verb, ID: server})
+	took := time.Since(start)
+	if err != nil || !accepted || took > commandLimit+10*env.slack {
+		env.failf("%s %s: %v %q after %v, %v", verb, server, accepted, text, took, err)
 	}
+	now := env.recorder.Now()
+	env.operations.addCommand(verb, server, now-took, now)
 }
 
-// operators is the address where a program takes operators' calls.
-func operatorsOf(p *testfleet.Process) (addr string, err error) {
-	if testfleet.Await(10*time.Second, func() bool {
-		_, after, is := strings.Cut(p.Tail(), "operators call on ")
-		addr, _, _ = strings.Cut(after, "\n")
-		return is
-	}) {
-		return addr, nil
+// operatorAddr is the address at which a program takes operators' commands.
+func operatorAddr(p *testfleet.Process) (string, error) {
+	addr, err := p.AwaitLogged(loggedOperatorAddr)
+	if err != nil {
+		return "", errors.New("the program takes no operators' calls")
 	}
-	return "", errors.New("the program takes no operators' calls")
+	return addr, nil
 }
 
-// upgrade starts the program again beside itself, and ends the old one once the new one says yes.
-func (r *environment) upgrade(file string) error {
-	path := filepath.Join(r.dir, fmt.Sprintf("node-%d.toml", time.Now().UnixNano()))
-	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
+// upgrade starts a successor beside the program, and ends the old process once the successor is ready.
+func (env *environment) upgrade(ctx context.Context, config string) error {
+	path := filepath.Join(env.dir, fmt.Sprintf("node-%d.toml", time.Now().UnixNano()))
+	if err := os.WriteFile(path, []byte(config), configMode); err != nil {
 		return err
 	}
-	next, err := testfleet.Start(r.program, path)
+	successor, err := testfleet.Start(env.program, path)
 	if err != nil {
 		return err
 	}
-	old := r.node
-	addr, err := operatorsOf(next)
+	if err := awaitReady(ctx, successor); err != nil {
+		return err
+	}
+	old := env.node
+	env.node = successor
+	start := time.Now()
+	old.Stop()
+	if code := old.Cmd.ProcessState.ExitCode(); code != 0 {
+		env.failf("the process before ended with %d:\n%s", code, old.Tail())
+	}
+	env.operations.addHandover(time.Since(start))
+	return nil
+}
+
+// awaitReady waits until a program is ready to take over.
+func awaitReady(ctx context.Context, p *testfleet.Process) error {
+	addr, err := operatorAddr(p)
 	if err != nil {
 		return err
 	}
-	if !testfleet.Await(6*time.Second, func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	if !testfleet.Await(readyTimeout, func() bool {
+		checkCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readyCheckTimeout)
 		defer cancel()
-		yes, _, err := admin.Send(ctx, addr, admin.Command{Verb: admin.Check})
-		return yes && err == nil
+		ready, _, err := admin.Send(checkCtx, addr, admin.Command{Verb: admin.Check})
+		return ready && err == nil
 	}) {
-		return errors.New("the new process does not say yes")
-	}
-	r.node = next
-	began := time.Now()
-	old.Stop()
-	if code := old.Cmd.ProcessState.ExitCode(); code != 0 {
-		r.failf("the process before ended with %d:\n%s", code, old.Tail())
+		return errors.New("the new process does not become ready")
 	}
-	r.bansMu.Lock()
-	r.handoverTimes = append(r.handoverTimes, time.Since(began))
-	r.bansMu.Unlock()
 	return nil
 }
 
-// operators plays a day of operators: a server is taken out, restarted while it is out and called back cold, over an
-// upgrade; clients are sent away and come back; two upgrades more.
-func operators(ctx context.Context, r *environment) error {
-	g, err := r.group("app", "app.example.org", inCell(usual, 0), inCell(usual, 0), inCell(usual, 1), inCell(usual, 1))
+// operators plays a day of operators: a server is set down, restarted while it is down and set up again in slow start, over an upgrade;
+// clients are drained and come back; two more upgrades.
+func operators(ctx context.Context, env *environment) error {
+	g, err := env.startGroup("app", "app.example.org", serversInCells(0, 0, 1, 1)...)
 	if err != nil {
 		return err
 	}
-	state := filepath.Join(r.dir, "state")
+	state := filepath.Join(env.dir, "state")
 	if err := os.Mkdir(state, 0o700); err != nil {
 		return err
 	}
-	file := func(listen string) string {
-		return fmt.Sprintf("listen = [%q]\noperator = \"127.0.0.1:0\"\nstate = %q\ndefault = \"app\"\n%s", listen, state, poolText("app", g.registryText()))
+	config := func(listen string) string {
+		return fmt.Sprintf("listen = [%q]\noperator = \"127.0.0.1:0\"\nstate = %q\ndefault = \"app\"\n%s",
+			listen, state, testfleet.PoolConfig("app", g.registryLine()))
 	}
-	if err := r.start(file("127.0.0.1:0")); err != nil {
+	if err := env.startProgram(config("127.0.0.1:0")); err != nil {
 		return err
 	}
-	if err := r.settle(g); err != nil {
+	if err := env.awaitWatches(g); err != nil {
 		return err
 	}
 	var faults sync.WaitGroup
-	r.scheduleOperators(ctx, &faults, g, file(r.node.Addr))
-	if err := r.play(ctx, &faults,
-		fake.Stream{Host: g.host, Class: readClass, Rate: 150},
-		fake.Stream{Host: g.host, Class: sendClass, Rate: 60, BodyBytes: 200},
-		fake.Stream{Host: g.host, Class: cellClass, Rate: 30, BodyBytes: 60_000},
-		fake.Stream{Host: g.host, Class: orderClass, Rate: 30, BodyBytes: 500}); err != nil {
+	env.scheduleOperations(ctx, &faults, g, config(env.node.Addr))
+	if err := env.runTraffic(ctx, &faults,
+		fake.Stream{Host: g.host, Class: testfleet.ReadClass, Rate: 150},
+		fake.Stream{Host: g.host, Class: testfleet.AlertClass, Rate: 60, BodyBytes: 200},
+		fake.Stream{Host: g.host, Class: testfleet.CampaignClass, Rate: 30, BodyBytes: 60_000},
+		fake.Stream{Host: g.host, Class: testfleet.OrderClass, Rate: 30, BodyBytes: 500}); err != nil {
 		return err
 	}
-	r.judgeOperators(r.records.History())
+	env.judgeOperations(env.recorder.History())
 	return nil
 }
 
-// scheduleOperators plans the day's calls and upgrades; file is the one that each upgraded process starts with.
-func (r *environment) scheduleOperators(ctx context.Context, faults *sync.WaitGroup, g *serverGroup, file string) {
-	var upgrading sync.Mutex // r.node changes under it
+// scheduleOperations plans the day's commands and upgrades; config is the file that each upgraded process starts with.
+func (env *environment) scheduleOperations(ctx context.Context, faults *sync.WaitGroup, g *serverGroup, config string) {
+	var operating sync.Mutex // one operation at a time; guards env.node and env.failures
 	upgrade := func() {
-		upgrading.Lock()
-		defer upgrading.Unlock()
-		if err := r.upgrade(file); err != nil {
-			r.failf("upgrade: %v", err)
+		operating.Lock()
+		defer operating.Unlock()
+		if err := env.upgrade(ctx, config); err != nil {
+			env.failf("upgrade: %v", err)
 		}
 	}
-	call := func(verb admin.Verb, id string) {
-		upgrading.Lock()
-		defer upgrading.Unlock()
-		r.call(r.node, verb, id)
+	send := func(verb admin.Verb, server string) func() {
+		return func() {
+			operating.Lock()
+			defer operating.Unlock()
+			env.sendCommand(ctx, env.node, verb, server)
+		}
 	}
-	out := g.servers[0]
-	r.at(ctx, faults, 0.08, func() { call(admin.SetDown, out.ID()) })
-	if r.violation != "" {
+	s := g.servers[0]
+	env.atShare(ctx, faults, 0.08, send(admin.SetDown, s.ID()))
+	if env.violation != "" {
 		return // the violation alone
 	}
-	r.at(ctx, faults, 0.2, upgrade)
-	r.at(ctx, faults, 0.3, func() {
-		out.Crash()
-		time.Sleep(300 * time.Millisecond)
-		if err := out.Restart(); err == nil {
-			g.registry.Set(out, "SERVING") // it still may not be used
-		}
-	})
-	r.at(ctx, faults, 0.45, func() { call(admin.SetUp, out.ID()) })
-	r.at(ctx, faults, 0.5, func() { call(admin.DrainOn, "") })
-	r.at(ctx, faults, 0.55, upgrade)
-	r.at(ctx, faults, 0.65, func() { call(admin.DrainOff, "") })
-	r.at(ctx, faults, 0.75, upgrade)
+	env.atShare(ctx, faults, 0.2, upgrade)
+	env.atShare(ctx, faults, 0.3, func() { g.crashForAWhile(s) }) // it still must not be used
+	env.atShare(ctx, faults, 0.45, send(admin.SetUp, s.ID()))
+	env.atShare(ctx, faults, 0.5, send(admin.DrainOn, ""))
+	env.atShare(ctx, faults, 0.55, upgrade)
+	env.atShare(ctx, faults, 0.65, send(admin.DrainOff, ""))
+	env.atShare(ctx, faults, 0.75, upgrade)
 }
 
-// judgeOperators judges the bans and reports the day's figures.
-func (r *environment) judgeOperators(v fake.History) {
-	late := r.banned(v)
+// judgeOperations judges the downtimes and reports the day's figures.
+func (env *environment) judgeOperations(h fake.History) {
+	env.operations.mu.Lock()
+	defer env.operations.mu.Unlock()
+	late := env.judgeDowntimes(h)
 	back := 0
-	r.bansMu.Lock()
-	for _, a := range v.Arrivals {
-		for _, b := range r.bans {
-			if a.Server == b.server && b.to > 0 && a.FirstByteAt >= b.to {
+	for _, a := range h.Arrivals {
+		for _, d := range env.operations.downtimes {
+			if a.Server == d.server && d.to > 0 && a.FirstByteAt >= d.to {
 				back++
 			}
 		}
 	}
-	r.addFigure("calls", r.calls, "of operators, each answered yes within the second")
-	r.addFigure("after_ban", late, "requests that began at a server while it was taken out")
-	r.addFigure("after_call_back", back, "requests at the server that was called back")
-	for _, t := range r.handoverTimes {
-		r.addFigure("gave_way_ms", t, "from SIGTERM until the process before had ended")
+	env.addFigure("calls", env.operations.commands, "of operators, each accepted within the second")
+	env.addFigure("after_ban", late, "requests that began at a server while it was set down")
+	env.addFigure("after_call_back", back, "requests at the server that was set up again")
+	for _, t := range env.operations.handoverTimes {
+		env.addFigure("gave_way_ms", t, "from SIGTERM until the process before had ended")
 	}
-	r.bansMu.Unlock()
-	if r.violation == "" && back == 0 {
-		r.failf("the server that was called back got nothing")
+	if env.violation == "" && back == 0 {
+		env.failf("the server that was set up again got nothing")
 	}
-	crossed := 0
-	for _, x := range v.Exchanges {
+	resent := 0
+	for _, x := range h.Exchanges {
 		if x.Resent {
-			crossed++
+			resent++
+		}
+	}
+	env.addFigure("crossed", resent, "requests that were resent, because their kept connection had been closed meanwhile")
+	env.addTrafficTables()
+}
+
+// judgeDowntimes counts the requests that began at a server while it was set down. The caller holds the log's lock.
+func (env *environment) judgeDowntimes(h fake.History) (late int) {
+	for _, d := range env.operations.downtimes {
+		for _, a := range h.Arrivals {
+			isLate := a.FirstByteAt > d.from+downGrace+env.slack && (d.to == 0 || a.FirstByteAt < d.to)
+			if a.Server == d.server && isLate {
+				late++
+				env.failf("%s got %s %v after it was set down", d.server, a.ID, a.FirstByteAt-d.from)
+			}
 		}
 	}
-	r.addFigure("crossed", crossed, "requests that crossed the close of a kept connection, and were sent once more")
-	r.tables = append(r.tables, streamTable(v), serverTable(v))
+	return late
 }
--- a/internal/drill/pools.go
+++ b/internal/drill/pools.go
@@ -3,63 +3,71 @@
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"strings"
 	"sync"
 	"time"
 
 	"cranegrade/internal/fake"
+	"cranegrade/internal/testfleet"
 )
 
 const (
-	intakeHost = "intake.example.org"
-	statusHost = "status.example.org"
-	phases     = 4 // of the run, without and with the flood in turn
-	floodTimes = 20
+	intakeHost  = "intake.example.org"
+	statusHost  = "status.example.org"
+	phases      = 4  // of the run, without and with the flood in turn
+	floodFactor = 20 // of the flooded pool's capacity
+	floodOpen   = 300
 )
 
 // The servers of the pools: few and slow ones for the pool that is flooded, quick ones for the others.
 var (
-	floodedServer = fake.ServerConfig{Concurrency: 2, QueueLimit: 4, ServiceTime: 40 * time.Millisecond, QueueSlowdown: 0.05, SlowStart: cold, Zone: "a"}
-	quickServer   = fake.ServerConfig{Concurrency: 8, QueueLimit: 16, ServiceTime: 10 * time.Millisecond, SlowStart: cold, Zone: "a"}
+	floodedServer = fake.ServerConfig{
+		Concurrency: 2, QueueLimit: 4, ServiceTime: 40 * time.Millisecond, QueueSlowdown: 0.05, SlowStart: testfleet.SlowStart, Zone: "a",
+	}
+	quickServer = fake.ServerConfig{
+		Concurrency: 8, QueueLimit: 16, ServiceTime: 10 * time.Millisecond, SlowStart: testfleet.SlowStart, Zone: "a",
+	}
 )
 
-// pools runs five services in one process and lets four of them suffer in their ways: a flood of 20
-// times the capacity comes in every second phase, all servers of one hang, all of one refuse, and one
-// has no registry from the start. The calm one must not notice.
-func pools(ctx context.Context, r *environment) error {
-	groups, err := r.startPools()
+// pools runs five services in one process, four of them with a fault: a flood of 20 times the capacity comes in every second phase, all
+// servers of one pool hang, all of one reject, and one has no registry from the start. The calm one must not be affected.
+func pools(ctx context.Context, env *environment) error {
+	groups, err := env.startPools()
 	if err != nil {
 		return err
 	}
 	capacity := float64(floodedServer.Concurrency) / floodedServer.ServiceTime.Seconds() * float64(len(groups["intake"].servers))
-	phase := r.length / phases
-	start := r.records.Now()
+	phase := env.length / phases
+	start := env.recorder.Now()
 	var faults sync.WaitGroup
-	r.floodEverySecondPhase(ctx, &faults, phase, floodTimes*capacity)
+	env.floodEverySecondPhase(ctx, &faults, phase, floodFactor*capacity)
 	calm := func(c fake.Class) fake.Stream {
 		return fake.Stream{Name: "calm", Host: statusHost, Class: c, Rate: 60}
 	}
-	few := func(host string, c fake.Class) fake.Stream {
+	light := func(host string, c fake.Class) fake.Stream {
 		name, _, _ := strings.Cut(host, ".")
 		return fake.Stream{Name: name, Host: host, Class: c, Rate: 20, MaxOpen: 100}
 	}
-	if err := r.play(ctx, &faults, calm(readClass), calm(sendClass), calm(orderClass),
-		few(intakeHost, orderClass),
-		few("hung.example.org", readClass), few("hung.example.org", orderClass), few("refusing.example.org", sendClass),
-		few("dark.example.org", readClass), few("dark.example.org", orderClass)); err != nil {
+	if err := env.runTraffic(ctx, &faults,
+		calm(testfleet.ReadClass), calm(testfleet.AlertClass), calm(testfleet.OrderClass),
+		light(intakeHost, testfleet.OrderClass),
+		light("hung.example.org", testfleet.ReadClass), light("hung.example.org", testfleet.OrderClass),
+		light("refusing.example.org", testfleet.AlertClass),
+		light("dark.example.org", testfleet.ReadClass), light("dark.example.org", testfleet.OrderClass)); err != nil {
 		return err
 	}
-	v := r.records.History()
-	r.judgeCalmPool(v, start, phase)
-	r.reportFlood(v, (phase * (phases / 2)).Seconds(), capacity)
-	r.tables = append(r.tables, streamTable(v))
+	h := env.recorder.History()
+	env.judgeCalmPool(h, start, phase)
+	env.reportFlood(h, (phase * (phases / 2)).Seconds(), capacity)
+	env.addStreamTable()
 	return nil
 }
 
 // startPools starts the servers, each group with its fault, and the program; it returns the groups by name.
-func (r *environment) startPools() (map[string]*serverGroup, error) {
+func (env *environment) startPools() (map[string]*serverGroup, error) {
 	groups := map[string]*serverGroup{}
-	file := "listen = [\"127.0.0.1:0\"]\nlimits = { cores = 1, memory_mb = 192, descriptors = 1024 }\n"
+	config := "listen = [\"127.0.0.1:0\"]\nlimits = { cores = 1, memory_mb = 192, descriptors = 1024 }\n"
 	routes := ""
 	for _, s := range []struct {
 		name, host string
@@ -71,95 +79,104 @@
 		{"refusing", "refusing.example.org", quickServer},
 		{"dark", "dark.example.org", quickServer},
 	} {
-		g, err := r.group(s.name, s.host, s.server, s.server)
+		g, err := env.startGroup(s.name, s.host, s.server, s.server)
 		if err != nil {
 			return nil, err
 		}
 		groups[s.name] = g
-		file += poolText(s.name, g.registryText())
-		routes += fmt.Sprintf("\n[[routes]]\nhost = %q\npool = %q\n", s.host, s.name)
-	}
-	for _, s := range groups["hung"].servers {
-		s.SetMode(fake.Hanging)
-	}
-	for _, s := range groups["refusing"].servers {
-		s.SetMode(fake.Rejecting)
+		config += testfleet.PoolConfig(s.name, g.registryLine())
+		routes += route(s.host, s.name)
 	}
+	groups["hung"].setMode(fake.Hanging)
+	groups["refusing"].setMode(fake.Rejecting)
 	groups["dark"].registry.Down()
-	if err := r.start(file + routes); err != nil {
+	if err := env.startProgram(config + routes); err != nil {
 		return nil, err
 	}
-	return groups, r.settle(groups["status"], groups["intake"], groups["hung"], groups["refusing"])
+	return groups, env.awaitWatches(groups["status"], groups["intake"], groups["hung"], groups["refusing"])
 }
 
-// floodEverySecondPhase sends a rate of requests a second to the pool that is flooded, in every second phase.
-func (r *environment) floodEverySecondPhase(ctx context.Context, faults *sync.WaitGroup, phase time.Duration, rate float64) {
+// setMode sets the mode of all servers of a group.
+func (g *serverGroup) setMode(m fake.Mode) {
+	for _, s := range g.servers {
+		s.SetMode(m)
+	}
+}
+
+// floodEverySecondPhase sends requests to the flooded pool in every second phase, at a rate a second.
+func (env *environment) floodEverySecondPhase(ctx context.Context, faults *sync.WaitGroup, phase time.Duration, rate float64) {
+	flood := []fake.Stream{
+		{Name: "flood", Host: intakeHost, Class: testfleet.ReadClass, Rate: rate / 2, Duration: phase, MaxOpen: floodOpen},
+		{Name: "flood", Host: intakeHost, Class: testfleet.AlertClass, Rate: rate / 2, Duration: phase, MaxOpen: floodOpen, BodyBytes: 1000},
+	}
 	for i := 1; i < phases; i += 2 {
-		r.at(ctx, faults, float64(i)/phases, func() {
-			flood := []fake.Stream{
-				{Name: "flood", Host: intakeHost, Class: readClass, Rate: rate / 2, Duration: phase, MaxOpen: 300},
-				{Name: "flood", Host: intakeHost, Class: sendClass, Rate: rate / 2, Duration: phase, MaxOpen: 300, BodyBytes: 1000},
-			}
-			r.callers.Run(ctx, flood...)
-		})
+		env.atShare(ctx, faults, float64(i)/phases, func() { env.callers.Run(ctx, flood...) })
 	}
 }
 
 // judgeCalmPool compares what the calm pool served with and without the flood.
-func (r *environment) judgeCalmPool(v fake.History, start, phase time.Duration) {
-	// The first moments of a phase belong to neither.
-	in := func(flooded bool) func(fake.Exchange) bool {
-		return func(x fake.Exchange) bool {
-			at := x.SentAt - start
-			i := int(at / phase)
-			return x.Stream == "calm" && i < phases && (i%2 == 1) == flooded && at-time.Duration(i)*phase > phase/10
-		}
+func (env *environment) judgeCalmPool(h fake.History, start, phase time.Duration) {
+	selects := func(flooded bool) func(fake.Exchange) bool {
+		return func(x fake.Exchange) bool { return x.Stream == "calm" && isInPhase(x.SentAt-start, phase, flooded) }
 	}
-	share := func(flooded bool) (served float64) {
-		n := 0
-		for _, x := range v.Exchanges {
-			if in(flooded)(x) {
-				n++
-				if x.Status == 200 {
-					served++
-				}
-			}
+	without, with := selects(false), selects(true)
+	latencyWithout, latencyWith := testfleet.Latencies(h.Exchanges, without), testfleet.Latencies(h.Exchanges, with)
+	p99Without, p99With := testfleet.Quantile(latencyWithout, 0.99), testfleet.Quantile(latencyWith, 0.99)
+	servedWithout, servedWith := servedShare(h, without), servedShare(h, with)
+	env.addFigure("calm_served_without", servedWithout, "share of the calm pool's requests served without the flood")
+	env.addFigure("calm_served_with", servedWith, "and with it")
+	env.addFigure("calm_p99_without_ms", p99Without, "")
+	env.addFigure("calm_p99_with_ms", p99With, "")
+	env.addFigure("calm_p99_ratio", float64(p99With)/float64(max(1, p99Without)), "at most 1.3 is wanted, on an idle machine")
+	if len(latencyWithout) == 0 || len(latencyWith) == 0 {
+		env.failf("the calm pool served nothing: %d without the flood, %d with it", len(latencyWithout), len(latencyWith))
+	}
+	// On a slow machine both shares move by chance. The limit then is what a pool without isolation would show: the flood is 20 times what
+	// its own pool serves, so of requests that shared its fate a tenth would be served.
+	least := servedWithout - 0.02
+	if env.slack > 0 {
+		least = servedWithout / 2
+	}
+	if servedWith < least {
+		env.failf("the calm pool served %.3f of its requests under the flood, %.3f without", servedWith, servedWithout)
+	}
+}
+
+// isInPhase reports whether a time since the start belongs to a phase with the flood, or to one without it. The first moments of a phase
+// belong to neither.
+func isInPhase(at, phase time.Duration, flooded bool) bool {
+	i := int(at / phase)
+	return i < phases && (i%2 == 1) == flooded && at-time.Duration(i)*phase > phase/10
+}
+
+// servedShare is the share of the selected requests that were served.
+func servedShare(h fake.History, selects func(fake.Exchange) bool) float64 {
+	total, served := 0, 0
+	for _, x := range h.Exchanges {
+		if !selects(x) {
+			continue
+		}
+		total++
+		if x.Status == http.StatusOK {
+			served++
 		}
-		return served / max(1, float64(n))
-	}
-	without, with := times(v.Exchanges, in(false)), times(v.Exchanges, in(true))
-	ratio := float64(quantile(with, 0.99)) / float64(max(1, quantile(without, 0.99)))
-	r.addFigure("calm_served_without", share(false), "share of the calm pool's requests served without the flood")
-	r.addFigure("calm_served_with", share(true), "and with it")
-	r.addFigure("calm_p99_without_ms", quantile(without, 0.99), "")
-	r.addFigure("calm_p99_with_ms", quantile(with, 0.99), "")
-	r.addFigure("calm_p99_ratio", ratio, "at most 1.3 is wanted, on an idle machine")
-	if n := len(without); n == 0 || len(with) == 0 {
-		r.failf("the calm pool served nothing: %d without the flood, %d with it", n, len(with))
-	}
-	// On a slow machine both shares move by chance. What is judged there is what a pool without walls would show: the flood is 20
-	// times what its own pool serves, and of requests that shared its fate a tenth would be served.
-	least := share(false) - 0.02
-	if r.slack > 0 {
-		least = share(false) / 2
-	}
-	if share(true) < least {
-		r.failf("the calm pool served %.3f of its requests under the flood, %.3f without", share(true), share(false))
 	}
+	return float64(served) / max(1, float64(total))
 }
 
 // reportFlood reports how much of the flood came and was served, over the seconds that it lasted.
-func (r *environment) reportFlood(v fake.History, seconds, capacity float64) {
+func (env *environment) reportFlood(h fake.History, seconds, capacity float64) {
 	offered, served := 0, 0
-	for _, x := range v.Exchanges {
-		if x.Stream == "flood" {
-			offered++
-			if x.Status == 200 {
-				served++
-			}
+	for _, x := range h.Exchanges {
+		if x.Stream != "flood" {
+			continue
+		}
+		offered++
+		if x.Status == http.StatusOK {
+			served++
 		}
 	}
-	r.addFigure("flood_offered_per_s", float64(offered)/seconds, fmt.Sprintf("of a pool that serves %.0f", capacity))
-	r.addFigure("flood_served_per_s", float64(served)/seconds, "")
-	r.addFigure("flood_unsent", r.callers.Unsent("flood"), "not sent, for 300 of a stream were open")
+	env.addFigure("flood_offered_per_s", float64(offered)/seconds, fmt.Sprintf("of a pool that serves %.0f", capacity))
+	env.addFigure("flood_served_per_s", float64(served)/seconds, "")
+	env.addFigure("flood_unsent", env.callers.Unsent("flood"), fmt.Sprintf("not sent, because %d of a stream were open", floodOpen))
 }
--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -4,8 +4,9 @@
 	"context"
 	"errors"
 	"fmt"
+	"maps"
+	"net/http"
 	"slices"
-	"sort"
 	"sync"
 	"time"
 
@@ -13,134 +14,170 @@
 	"cranegrade/internal/testfleet"
 )
 
-// minViolationTime is how long a drill runs at the least when a breach is planted.
-const minViolationTime = 4 * time.Second
+const (
+	// minViolationTime is how long a drill runs at least when it commits a violation.
+	minViolationTime = 4 * time.Second
+	// overloadAttempts is how often violateCold restarts a server and overloads it at most. On a busy machine the server may have warmed up
+	// before its restart is listed, or before the requests arrive.
+	overloadAttempts = 5
+	// overloadedServerDivisor is by how much the restarted server is weaker than the others, so that a busy machine can send more than it
+	// takes in the short time for which it warms up.
+	overloadedServerDivisor = 20
+	// overloadConnections carry the requests that overload a server.
+	overloadConnections = 64
+	// listGrace is how long after an update of a list a server may still be sent to.
+	listGrace = time.Second
+	// lostResponses are enough to make a violation certain: a caller whose kept connection ends without a response resends the request once.
+	lostResponses = 3
+)
+
+// violationLost needs a relay between the callers and the program.
+const violationLost = "lost"
 
-// violations commit a breach of each rule on the path between the program and what stands outside. A drill
+// violations commit a violation of a rule on the path between the program and the outside, by the name that the command line gives. A drill
 // that does not find it is at fault.
 var violations = map[string]func(context.Context, *environment) error{
-	"lost": violateLost, "twice": violateTwice, "drain": violateDrain, "cold": violateCold, "ban": violateBan,
+	violationLost: violateLost, "twice": violateTwice, "drain": violateDrain, "cold": violateCold, "ban": violateBan,
 	"seen": mutationOnly, "stalled": mutationOnly, "gullible": mutationOnly,
 }
 
-func violationNames() (l []string) {
-	for name := range violations {
-		l = append(l, name)
+func violationNames() []string { return slices.Sorted(maps.Keys(violations)) }
+
+// violateLost loses responses on their way to the caller. A caller whose kept connection ends without a response takes that for a
+// connection that had been closed before, and resends the request once, as the protocol says; that the first one had reached a server
+// gives the violation away. If the second response is lost, too, the request fails in any case.
+func violateLost(ctx context.Context, env *environment) error {
+	pause(ctx, time.Second)
+	if len(env.proxies) > 0 {
+		env.proxies[0].DropResponses(lostResponses)
+	} else {
+		env.relay.DropResponses(lostResponses)
 	}
-	sort.Strings(l)
-	return l
+	return nil
+}
+
+// servedRequest is a request that a server ran and whose caller got the response.
+type servedRequest struct {
+	exchange fake.Exchange
+	arrival  fake.Arrival
+	class    fake.Class
 }
 
-// violateLost loses an answer on its way to the caller. A caller whose kept connection ends so takes it
-// for a crossed close and sends the request once more, as the protocol has it; that the first had
-// reached a server gives it away. Two in a row are lost in any case.
-func violateLost(ctx context.Context, r *environment) error {
-	select {
-	case <-time.After(time.Second):
-	case <-ctx.Done():
+// sendAgain sends the request once more, to a server of choice, as a node that violates a rule would.
+func (r servedRequest) sendAgain(s *fake.Server) error {
+	return fake.SendStrayRequest(s, r.exchange, r.arrival.Host, r.class)
+}
+
+// sendMany sends the request to a server over many connections at once. An error means that the server has crashed, which the caller looks
+// for.
+func (r servedRequest) sendMany(s *fake.Server, count int) {
+	var sending sync.WaitGroup
+	for range overloadConnections {
+		sending.Go(func() {
+			_ = fake.SendStrayRequests(s, r.exchange, r.arrival.Host, r.class, count/overloadConnections+1)
+		})
 	}
-	if len(r.proxies) > 0 {
-		r.proxies[0].DropResponses(3)
-	} else {
-		r.relay.DropResponses(3)
+	sending.Wait()
+}
+
+// precondition waits until what a violation needs has come about; on a slow machine for longer.
+func (env *environment) precondition(holds func() bool) bool {
+	return testfleet.Await(minViolationTime+env.slack, holds)
+}
+
+// awaitServed waits for a request of a class that was served.
+func (env *environment) awaitServed(class fake.Class) (r servedRequest, err error) {
+	if !env.precondition(func() bool {
+		var found bool
+		r, found = findServed(env.recorder.History(), class)
+		return found
+	}) {
+		err = errors.New("no request was served to do it with")
 	}
-	return nil
+	return r, err
 }
 
-// awaitServed waits for a request of a class that was served, and says at which server and host.
-func (r *environment) awaitServed(classes ...fake.Class) (x fake.Exchange, a fake.Arrival, c fake.Class, err error) {
-	if !testfleet.Await(minViolationTime+r.slack, func() bool {
-		v := r.records.History()
-		ends := map[string]fake.Exchange{}
-		for _, x := range v.Exchanges {
-			if x.Status == 200 {
-				ends[x.ID] = x
-			}
+// findServed finds the first request of a class that was served.
+func findServed(h fake.History, class fake.Class) (r servedRequest, found bool) {
+	served := map[string]fake.Exchange{}
+	for _, x := range h.Exchanges {
+		if x.Status == http.StatusOK {
+			served[x.ID] = x
 		}
-		for _, arrival := range v.Arrivals {
-			for _, class := range classes {
-				if end, is := ends[arrival.ID]; is && arrival.Class == class.Name && arrival.Ran {
-					x, a, c = end, arrival, class
-					return true
-				}
-			}
+	}
+	for _, a := range h.Arrivals {
+		if x, ok := served[a.ID]; ok && a.Class == class.Name && a.Ran {
+			return servedRequest{exchange: x, arrival: a, class: class}, true
 		}
-		return false
-	}) {
-		err = errors.New("no request was served to do it with")
 	}
-	return x, a, c, err
+	return servedRequest{}, false
 }
 
-// groupOf is the group whose host a request named.
-func (r *environment) groupOf(host string) *serverGroup {
-	for _, g := range r.groups {
+// groupServing is the group whose host a request named.
+func (env *environment) groupServing(host string) *serverGroup {
+	for _, g := range env.groups {
 		if g.host == host {
 			return g
 		}
 	}
-	for _, g := range r.groups {
+	for _, g := range env.groups {
 		if g.host == "" { // its list counts for every other host
 			return g
 		}
 	}
-	return r.groups[0]
+	return env.groups[0]
 }
 
 // violateTwice sends an unsafe request that has run to a server once more.
-func violateTwice(_ context.Context, r *environment) error {
-	x, a, c, err := r.awaitServed(orderClass)
+func violateTwice(_ context.Context, env *environment) error {
+	r, err := env.awaitServed(testfleet.OrderClass)
 	if err != nil {
 		return err
 	}
-	servers := r.groupOf(a.Host).servers
+	servers := env.groupServing(r.arrival.Host).servers
 	for _, s := range servers {
-		if s.ID() != a.Server {
-			return fake.SendStrayRequest(s, x, a.Host, c)
+		if s.ID() != r.arrival.Server {
+			return r.sendAgain(s)
 		}
 	}
-	return fake.SendStrayRequest(servers[0], x, a.Host, c)
+	return r.sendAgain(servers[0])
 }
 
-// awaitListed waits until the node has been told of a server's state.
-func (r *environment) awaitListed(server string, gone bool, boot int) error {
-	if !testfleet.Await(minViolationTime+r.slack, func() bool {
-		l := r.records.History().Updates
-		for i := len(l) - 1; i >= 0; i-- {
-			if l[i].Server == server {
-				return l[i].Withdrawn == gone && l[i].Incarnation == boot
+// awaitListed waits until the program was sent a server's state.
+func (env *environment) awaitListed(server string, withdrawn bool, incarnation int) error {
+	if !env.precondition(func() bool {
+		for _, u := range slices.Backward(env.recorder.History().Updates) {
+			if u.Server == server {
+				return u.Withdrawn == withdrawn && u.Incarnation == incarnation
 			}
 		}
 		return false
 	}) {
-		return errors.New("the list was not told")
+		return errors.New("the program was not sent the list")
 	}
 	return nil
 }
 
-// violateDrain has a server drain and sends to it long after the node was told.
-func violateDrain(ctx context.Context, r *environment) error {
-	x, a, c, err := r.awaitServed(readClass)
+// violateDrain has a server drain, and sends to it long after the program was told.
+func violateDrain(ctx context.Context, env *environment) error {
+	r, err := env.awaitServed(testfleet.ReadClass)
 	if err != nil {
 		return err
 	}
-	g := r.groupOf(a.Host)
+	g := env.groupServing(r.arrival.Host)
 	s := g.servers[len(g.servers)-1]
-	g.list(s, "DRAINING")
-	boot, _ := s.Incarnation()
-	if err := r.awaitListed(s.ID(), true, boot); err != nil {
+	g.setState(s, fake.ListDraining)
+	incarnation, _ := s.Incarnation()
+	if err := env.awaitListed(s.ID(), true, incarnation); err != nil {
 		return err
 	}
-	select {
-	case <-time.After(time.Second + r.slack):
-	case <-ctx.Done():
-	}
-	before := r.arrivalsAt(s, x.ID)
-	if err := fake.SendStrayRequest(s, x, a.Host, c); err != nil {
+	pause(ctx, listGrace+env.slack)
+	before := env.arrivalsAt(s, r.exchange.ID)
+	if err := r.sendAgain(s); err != nil {
 		return err
 	}
-	arrived := testfleet.Await(minViolationTime+r.slack, func() bool { return r.arrivalsAt(s, x.ID) > before })
-	g.list(s, "SERVING")
+	arrived := env.precondition(func() bool { return env.arrivalsAt(s, r.exchange.ID) > before })
+	g.setState(s, fake.ListServing)
 	if !arrived {
 		return fmt.Errorf("the request sent to %s did not arrive", s.ID())
 	}
@@ -148,95 +185,71 @@
 }
 
 // arrivalsAt counts the arrivals of a request at a server.
-func (r *environment) arrivalsAt(s *fake.Server, requestID string) (n int) {
-	for _, arrival := range r.records.History().Arrivals {
-		if arrival.Server == s.ID() && arrival.ID == requestID {
-			n++
+func (env *environment) arrivalsAt(s *fake.Server, requestID string) (count int) {
+	for _, a := range env.recorder.History().Arrivals {
+		if a.Server == s.ID() && a.ID == requestID {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-const (
-	// overloadAttempts is how often violateCold restarts a server and overloads it at the most. On a busy machine the server
-	// may have warmed up before its restart is listed, or before the requests arrive.
-	overloadAttempts = 5
-	// overloadedServerDivisor is by how much the restarted server is weaker than the others, so that a busy machine can
-	// send more than it takes in the short time for which it warms up.
-	overloadedServerDivisor = 20
-)
-
-// violateCold restarts a server and sends it far more than it can take while it warms up, until it has fallen over.
-func violateCold(_ context.Context, r *environment) error {
-	x, a, c, err := r.awaitServed(readClass)
+// violateCold restarts a server and sends it far more than it can take while it warms up, until it has crashed because of that.
+func violateCold(_ context.Context, env *environment) error {
+	r, err := env.awaitServed(testfleet.ReadClass)
 	if err != nil {
 		return err
 	}
-	g := r.groupOf(a.Host)
+	g := env.groupServing(r.arrival.Host)
 	s := g.servers[len(g.servers)-1]
 	s.Weaken(overloadedServerDivisor)
+	slowStart := testfleet.SlowStart
+	// More than even a warm server takes.
+	tooMany := slowStart.OverloadFactor * slowStart.OverloadWindow.Seconds() * float64(s.Config().Concurrency) / s.Config().ServiceTime.Seconds()
 	for range overloadAttempts {
-		if err := r.restartListed(g, s); err != nil {
+		if err := env.restartListed(g, s); err != nil {
 			return err
 		}
-		overloadServer(s, x, a.Host, c)
-		if testfleet.Await(cold.OverloadWindow, func() bool { return r.hasFallen(s) }) {
+		r.sendMany(s, int(tooMany))
+		if testfleet.Await(slowStart.OverloadWindow, func() bool { return env.hasCrashedInWarmup(s) }) {
 			return nil
 		}
 	}
 	return fmt.Errorf("server %s was not overloaded in %d attempts", s.ID(), overloadAttempts)
 }
 
-// restartListed crashes a server, starts it again, and waits until the node has been told of the restart.
-func (r *environment) restartListed(g *serverGroup, s *fake.Server) error {
+// restartListed crashes a server, starts it again, and waits until the program was sent the new incarnation.
+func (env *environment) restartListed(g *serverGroup, s *fake.Server) error {
 	s.Crash()
 	if err := s.Restart(); err != nil {
 		return err
 	}
-	g.list(s, "SERVING")
-	boot, _ := s.Incarnation()
-	return r.awaitListed(s.ID(), false, boot)
-}
-
-// overloadServer sends a server, over many connections at once, more requests than even a warm one takes.
-func overloadServer(s *fake.Server, x fake.Exchange, host string, c fake.Class) {
-	const connections = 64
-	cfg := s.Config()
-	limit := cold.OverloadFactor * cold.OverloadWindow.Seconds() * float64(cfg.Concurrency) / cfg.ServiceTime.Seconds()
-	var all sync.WaitGroup
-	for range connections {
-		all.Go(func() {
-			// An error means that the server has fallen over, which the caller looks for.
-			_ = fake.SendStrayRequests(s, x, host, c, int(limit)/connections+1)
-		})
-	}
-	all.Wait()
+	g.setState(s, fake.ListServing)
+	incarnation, _ := s.Incarnation()
+	return env.awaitListed(s.ID(), false, incarnation)
 }
 
-// hasFallen reports whether the present incarnation of a server was overloaded while it warmed up.
-func (r *environment) hasFallen(s *fake.Server) bool {
+// hasCrashedInWarmup reports whether the present incarnation of a server was overloaded while it warmed up.
+func (env *environment) hasCrashedInWarmup(s *fake.Server) bool {
 	incarnation, _ := s.Incarnation()
-	return slices.ContainsFunc(r.records.History().WarmupCrashes, func(crash fake.WarmupCrash) bool {
-		return crash.Server == s.ID() && crash.Incarnation == incarnation
+	return slices.ContainsFunc(env.recorder.History().WarmupCrashes, func(c fake.WarmupCrash) bool {
+		return c.Server == s.ID() && c.Incarnation == incarnation
 	})
 }
 
-// violateBan sends to a server that the drill has taken out, as a node that forgot the ban would.
-func violateBan(ctx context.Context, r *environment) error {
-	x, a, c, err := r.awaitServed(readClass)
+// violateBan sends to a server that operators have taken out, as a node that forgot that would.
+func violateBan(ctx context.Context, env *environment) error {
+	r, err := env.awaitServed(testfleet.ReadClass)
 	if err != nil {
 		return err
 	}
-	if !testfleet.Await(minViolationTime+r.slack, func() bool { return r.isOut("") != "" }) {
+	if !env.precondition(env.operations.anyDown) {
 		return errors.New("this drill takes no server out by hand")
 	}
-	select {
-	case <-time.After(time.Second + r.slack):
-	case <-ctx.Done():
-	}
-	for _, s := range r.groupOf(a.Host).servers {
-		if r.isOut(s.ID()) != "" {
-			return fake.SendStrayRequest(s, x, a.Host, c)
+	pause(ctx, listGrace+env.slack)
+	for _, s := range env.groupServing(r.arrival.Host).servers {
+		if env.operations.isDown(s.ID()) {
+			return r.sendAgain(s)
 		}
 	}
 	return errors.New("no server is out any more")
