--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -5,14 +5,17 @@
 	"context"
 	"encoding/json"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
+
+	"cranegrade/internal/testfleet"
 )
 
-// program is built once for all tests.
+// minServed is the number of requests that a drill must serve in its short form, or nothing happened in it.
+const minServed = 50
+
+// programPath is the program, built once for all tests.
 var programPath string
 
 func TestMain(m *testing.M) {
@@ -20,9 +23,8 @@
 	if err != nil {
 		panic(err)
 	}
-	programPath = filepath.Join(dir, "cranegrade")
-	if out, err := exec.Command("go", "build", "-o", programPath, "cranegrade/cmd/cranegrade").CombinedOutput(); err != nil {
-		panic(string(out))
+	if programPath, err = testfleet.Build(dir); err != nil {
+		panic(err)
 	}
 	code := m.Run()
 	os.RemoveAll(dir)
@@ -42,108 +44,144 @@
 	t.Cleanup(func() { <-parallelDrills })
 }
 
-// runDrill runs a short form, with patience for slow machines: rules are judged, not speed.
-func runDrill(t *testing.T, args ...string) (map[string]any, int) {
+// report is the JSON object that a drill prints.
+type report map[string]any
+
+// number is a figure of the report.
+func (r report) number(t *testing.T, key string) float64 {
+	t.Helper()
+	v, ok := r[key].(float64)
+	if !ok {
+		t.Fatalf("no figure %s in %v", key, r)
+	}
+	return v
+}
+
+// runDrill runs a drill, with slack for slow machines: rules are judged, not speed.
+func runDrill(t *testing.T, args ...string) (report, int) {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
-	code := Run(context.Background(), append([]string{"-json", "-slack", "3s", "-program", programPath}, args...), &stdout, &stderr)
-	object := map[string]any{}
-	if err := json.Unmarshal(stdout.Bytes(), &object); err != nil {
+	args = append([]string{"-json", "-slack", "3s", "-program", programPath}, args...)
+	code := Run(context.Background(), args, &stdout, &stderr)
+	r := report{}
+	if err := json.Unmarshal(stdout.Bytes(), &r); err != nil {
 		t.Fatalf("%v: %q, %s", err, stdout.String(), stderr.String())
 	}
-	return object, code
+	return r, code
+}
+
+// assertFound checks that a drill has found a violation, under its own name.
+func assertFound(t *testing.T, key string, args ...string) {
+	t.Helper()
+	got, code := runDrill(t, args...)
+	if code != exitBroken || got.number(t, key) == 0 {
+		t.Errorf("exit %d, %v", code, got)
+	}
 }
 
-// Each drill keeps the rules, and something happens in it.
+// Each drill keeps the rules in its short form, and something happens in it.
 func TestDrills(t *testing.T) {
-	for _, s := range drills {
-		t.Run(s.name, func(t *testing.T) {
-			if strings.HasPrefix(s.name, "extproc") || slices.Contains(fleetDrills, s.name) {
-				runParallel(t) // so many, and mostly waiting
+	measured := map[string]string{ // of drills that only measure: the figure that shows that something happened
+		"load": "requests_per_s", "xds-size": "changes", "fleet": "drills", "fleet-size": "fleets",
+	}
+	for _, d := range drills {
+		t.Run(d.name, func(t *testing.T) {
+			if strings.HasPrefix(d.name, "extproc") || slices.Contains(fleetDrills, d.name) {
+				runParallel(t) // there are many, and they mostly wait
 			}
-			got, code := runDrill(t, "-for", "2s", s.name)
-			if code != 0 {
+			got, code := runDrill(t, "-for", "2s", d.name)
+			if code != exitKept {
 				t.Errorf("exit %d, %v", code, got["wrong"])
 			}
 			for _, key := range []string{"requests", "served", "refused", "failed", "lost", "twice", "drain_late", "cold_over"} {
-				if _, is := got[key].(float64); !is {
-					t.Errorf("no figure %s in %v", key, got)
-				}
+				got.number(t, key)
 			}
-			if key := map[string]string{"load": "requests_per_s", "xds-size": "changes", "fleet": "drills", "fleet-size": "fleets"}[s.name]; key != "" {
-				if got[key].(float64) <= 0 {
+			if key := measured[d.name]; key != "" {
+				if got.number(t, key) <= 0 {
 					t.Errorf("%v", got)
 				}
 				return
 			}
-			if got["served"].(float64) < 50 {
-				t.Errorf("%v served", got["served"])
+			if served := got.number(t, "served"); served < minServed {
+				t.Errorf("%v served", served)
 			}
 		})
 	}
 }
 
-// Each breach that the rig commits is found, and under its own name.
-func TestPlants(t *testing.T) {
-	for plant, key := range map[string]string{"lost": "lost", "twice": "twice", "drain": "drain_late", "cold": "cold_over"} {
-		// A list of the registry, one of a control plane, requests that a proxy carries, and calls of gRPC.
+// ruleFigures are the violations of the four rules, with the figures that show them.
+var ruleFigures = map[string]string{"lost": "lost", "twice": "twice", "drain": "drain_late", "cold": "cold_over"}
+
+// Each violation of a rule is found, under its own name.
+func TestViolationsAreFound(t *testing.T) {
+	for violation, figure := range ruleFigures {
+		// The list comes from the registry, or from a control plane; requests are carried by a proxy, or by gRPC.
 		for _, name := range []string{"tour", "xds-chaos", "extproc-chaos", "grpc-chaos"} {
-			t.Run(name+" "+plant, func(t *testing.T) {
+			t.Run(name+" "+violation, func(t *testing.T) {
 				runParallel(t)
-				got, code := runDrill(t, "-plant", plant, name)
-				if code != 1 || got[key].(float64) == 0 {
-					t.Errorf("exit %d, %v", code, got)
-				}
+				assertFound(t, figure, "-plant", violation, name)
 			})
 		}
 	}
 }
 
-// A ban that is forgotten is found, and so are the four in the drill of operators.
-func TestPlantsOfOperators(t *testing.T) {
-	for plant, key := range map[string]string{"ban": "after_ban", "lost": "lost", "twice": "twice", "drain": "drain_late", "cold": "cold_over"} {
-		t.Run(plant, func(t *testing.T) {
+// Requests to a server that operators set down are found, and so are the four violations, in the drill of operators.
+func TestViolationsOfOperatorsAreFound(t *testing.T) {
+	figures := map[string]string{"ban": "after_ban"}
+	for violation, figure := range ruleFigures {
+		figures[violation] = figure
+	}
+	for violation, figure := range figures {
+		t.Run(violation, func(t *testing.T) {
 			runParallel(t)
-			got, code := runDrill(t, "-plant", plant, "operators")
-			if code != 1 || got[key].(float64) == 0 {
-				t.Errorf("exit %d, %v", code, got)
-			}
+			assertFound(t, figure, "-plant", violation, "operators")
 		})
 	}
 }
 
-// A fleet whose rations follow what is seen at once, and one whose stopped process goes by what it stood on, are found
-// to take more than the whole.
-func TestPlantsOfMembers(t *testing.T) {
-	for _, plant := range []string{"seen", "stalled"} {
-		t.Run(plant, func(t *testing.T) {
+// A fleet whose shares follow the reachable members at once, and one whose paused member uses shares that have expired, are found to take more
+// than the whole.
+func TestShareMutationsAreFound(t *testing.T) {
+	for _, mutation := range []string{"seen", "stalled"} {
+		t.Run(mutation, func(t *testing.T) {
 			runParallel(t)
-			got, code := runDrill(t, "-plant", plant, "members")
-			if over, _ := got["over"].(float64); code != 1 || over == 0 {
-				t.Errorf("exit %d, %v", code, got)
-			}
+			assertFound(t, "over", "-plant", mutation, "members")
 		})
 	}
 }
 
-// A fleet that believes one member's words without bounds is found to leave healthy servers unused.
-func TestPlantOfSignals(t *testing.T) {
+// A fleet that believes one member's reports without bounds is found to leave healthy servers unused.
+func TestGullibleMutationIsFound(t *testing.T) {
 	runParallel(t)
 	got, code := runDrill(t, "-plant", "gullible", "signals")
-	if share, _ := got["named_share"].(float64); code != 1 || share >= 0.6 {
+	if share := got.number(t, "named_share"); code != exitBroken || share >= minAccusedShare {
 		t.Errorf("exit %d, %v", code, got)
 	}
 }
 
-func TestUsage(t *testing.T) {
-	for _, args := range [][]string{{}, {"nothing"}, {"-plant", "weeds", "tour"}, {"-colour", "tour"}, {"tour", "pools"}} {
-		var stdout, stderr bytes.Buffer
-		if code := Run(context.Background(), args, &stdout, &stderr); code != 2 || stderr.Len() == 0 {
-			t.Errorf("%q: exit %d, %q", args, code, stderr.String())
-		}
+// Wrong arguments are refused with a message.
+func TestWrongArgumentsAreRefused(t *testing.T) {
+	for name, args := range map[string][]string{
+		"no drill":          {},
+		"unknown drill":     {"nothing"},
+		"unknown violation": {"-plant", "weeds", "tour"},
+		"unknown flag":      {"-colour", "tour"},
+		"two drills":        {"tour", "pools"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var stdout, stderr bytes.Buffer
+			if code := Run(context.Background(), args, &stdout, &stderr); code != exitUsage || stderr.Len() == 0 {
+				t.Errorf("%q: exit %d, %q", args, code, stderr.String())
+			}
+		})
 	}
+}
+
+// The list has a line for each drill.
+func TestListNamesAllDrills(t *testing.T) {
 	var stdout, stderr bytes.Buffer
-	if code := Run(context.Background(), []string{"-list"}, &stdout, &stderr); code != 0 || strings.Count(stdout.String(), "\n") != len(drills) {
-		t.Errorf("-list: exit %d, %q", code, stdout.String())
+	code := Run(context.Background(), []string{"-list"}, &stdout, &stderr)
+	if code != exitKept || strings.Count(stdout.String(), "\n") != len(drills) {
+		t.Errorf("exit %d, %q", code, stdout.String())
 	}
 }
