--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -1,9 +1,9 @@
 package drill
 
 import (
+	"cmp"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -139,8 +139,11 @@
 	cpu := p.CPUTime() - cpuBefore
 	all := slices.Concat(latencies...)
 	slices.Sort(all)
-	if err := errors.Join(errs...); err != nil || len(all) == 0 {
-		return loadRound{}, fmt.Errorf("callers of %s got something else than an answer: %w", program, err)
+	if err := cmp.Or(errs...); err != nil {
+		return loadRound{}, fmt.Errorf("a caller of %s got something else than an answer: %w", program, err)
+	}
+	if len(all) == 0 {
+		return loadRound{}, fmt.Errorf("%s answered no request", program)
 	}
 	return loadRound{
 		rate: float64(len(all)) / length.Seconds(), p50: testfleet.Quantile(all, 0.5), p99: testfleet.Quantile(all, 0.99),
