--- a/internal/drill/operators.go
+++ b/internal/drill/operators.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -15,12 +14,10 @@
 )
 
 const (
-	commandTimeout     = 10 * time.Second       // of an operators' command
-	commandLimit       = time.Second            // within which it must be answered
-	downGrace          = 250 * time.Millisecond // after the answer, in which a server that is set down may still be sent to
-	readyTimeout       = 6 * time.Second        // until an upgraded process is ready
-	readyCheckTimeout  = time.Second
-	loggedOperatorAddr = "operators call on " // in the program's log, followed by an address
+	commandTimeout = 10 * time.Second       // of an operators' command
+	commandLimit   = time.Second            // within which it must be answered
+	downGrace      = 250 * time.Millisecond // after the answer, in which a server that is set down may still be sent to
+	readyTimeout   = 6 * time.Second        // until an upgraded process is ready
 )
 
 // downtime is a time in which a server is set down by operators, by the recorder's clock.
@@ -84,7 +81,7 @@
 
 // sendCommand sends an operators' command to the program, and wants it accepted within the second.
 func (env *environment) sendCommand(ctx context.Context, p *testfleet.Process, verb admin.Verb, server string) {
-	addr, err := operatorAddr(p)
+	addr, err := p.OperatorAddr()
 	if err != nil {
 		env.failf("%v", err)
 		return
@@ -101,15 +98,6 @@
 	env.operations.addCommand(verb, server, now-took, now)
 }
 
-// operatorAddr is the address at which a program takes operators' commands.
-func operatorAddr(p *testfleet.Process) (string, error) {
-	addr, err := p.AwaitLogged(loggedOperatorAddr)
-	if err != nil {
-		return "", errors.New("the program takes no operators' calls")
-	}
-	return addr, nil
-}
-
 // upgrade starts a successor beside the program, and ends the old process once the successor is ready.
 func (env *environment) upgrade(ctx context.Context, config string) error {
 	path := filepath.Join(env.dir, fmt.Sprintf("node-%d.toml", time.Now().UnixNano()))
@@ -120,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	if err := awaitReady(ctx, successor); err != nil {
+	if err := successor.AwaitReady(context.WithoutCancel(ctx), readyTimeout); err != nil {
 		return err
 	}
 	old := env.node
@@ -134,23 +122,6 @@
 	return nil
 }
 
-// awaitReady waits until a program is ready to take over.
-func awaitReady(ctx context.Context, p *testfleet.Process) error {
-	addr, err := operatorAddr(p)
-	if err != nil {
-		return err
-	}
-	if !testfleet.Await(readyTimeout, func() bool {
-		checkCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readyCheckTimeout)
-		defer cancel()
-		ready, _, err := admin.Send(checkCtx, addr, admin.Command{Verb: admin.Check})
-		return ready && err == nil
-	}) {
-		return errors.New("the new process does not become ready")
-	}
-	return nil
-}
-
 // operators plays a day of operators: a server is set down, restarted while it is down and set up again in slow start, over an upgrade;
 // clients are drained and come back; two more upgrades.
 func operators(ctx context.Context, env *environment) error {
--- a/internal/testfleet/member.go
+++ b/internal/testfleet/member.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -14,7 +13,6 @@
 	"sync"
 	"time"
 
-	"cranegrade/internal/admin"
 	"cranegrade/internal/fake"
 	"cranegrade/internal/fleet"
 )
@@ -26,12 +24,6 @@
 	answerGrace      = 2 * time.Second  // for which callers wait after a deadline
 )
 
-// Lines that the program logs, by which its addresses are found.
-const (
-	loggedInspectionAddr = "telling what it holds on "
-	loggedOperatorAddr   = "operators call on "
-)
-
 // Member is one of a fleet's processes. Its exported fields may be set before Start.
 type Member struct {
 	Index   int
@@ -99,7 +91,7 @@
 	if err != nil {
 		return fmt.Errorf("starting %s: %w", m.Name, err)
 	}
-	inspectionAddr, err := p.AwaitLogged(loggedInspectionAddr)
+	inspectionAddr, err := p.InspectionAddr()
 	if err != nil {
 		p.Kill()
 		return err
@@ -121,17 +113,8 @@
 	if err := m.Start(); err != nil {
 		return err
 	}
-	addr, err := m.Process.AwaitLogged(loggedOperatorAddr)
-	if err != nil {
-		return err
-	}
-	if !Await(successorTimeout, func() bool {
-		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		defer cancel()
-		ready, _, err := admin.Send(callCtx, addr, admin.Command{Verb: admin.Check})
-		return ready && err == nil
-	}) {
-		return errors.New("the successor does not become ready")
+	if err := m.Process.AwaitReady(ctx, successorTimeout); err != nil {
+		return fmt.Errorf("upgrading %s: %w", m.Name, err)
 	}
 	old.Stop()
 	return nil
--- a/internal/testfleet/member_state_test.go
+++ b/internal/testfleet/member_state_test.go
@@ -55,7 +55,7 @@
 // sendOperatorCommand sends an operators' command to a member until it is accepted: its list may not have arrived yet.
 func sendOperatorCommand(t *testing.T, m *Member, verb admin.Verb, id string) {
 	t.Helper()
-	addr, err := m.Process.AwaitLogged(loggedOperatorAddr)
+	addr, err := m.Process.OperatorAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
