--- a/cmd/cranegrade/fleet.go
+++ b/cmd/cranegrade/fleet.go
@@ -8,7 +8,6 @@
 	"io"
 	"net/http"
 	"net/url"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -26,71 +25,78 @@
 
 var fleetCommand = program.Command{Name: "fleet", Usage: fleetUsage, Run: runFleet}
 
-// joinFleet has a node join the fleet that its file names.
+// joinFleet joins the fleet of an operator's file.
 func joinFleet(name string, c operator.Fleet, pools map[string]uint32) (node.Member, error) {
 	f, err := fleet.Start(fleet.Config{
 		Name: name, Zone: c.Zone, Listen: c.Listen, Advertise: c.Advertise, Join: c.Join, Key: c.Key, Lease: c.Lease,
 		Nodes: c.Nodes, SettleTime: c.Settle, ProbeInterval: c.Probe, Pools: fleet.PoolDigests(pools),
 	})
 	if err != nil {
-		return nil, err // no nil *Fleet in an interface
+		return nil, err // not f: a nil *fleet.Fleet in a node.Member is not nil
 	}
 	return f, nil
 }
 
+// runFleet runs the fleet commands.
 func runFleet(args []string, stdout, stderr io.Writer) int {
 	root := &cobra.Command{Use: "cranegrade fleet", Short: "who is in the fleet, as the running node sees it", SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs}
 	config := root.PersistentFlags().String("config", "", "the node's file, which names its admin address")
-	raw := root.PersistentFlags().Bool("json", false, "print all that the node holds as JSON")
+	asJSON := root.PersistentFlags().Bool("json", false, "print all that the node holds as JSON")
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.RunE = func(*cobra.Command, []string) error {
-		text, err := askFleet(http.MethodGet, *config, "/fleet")
-		if err != nil {
-			return err
-		}
-		if *raw {
-			_, err = stdout.Write(text)
-			return err
-		}
-		var s fleet.Status
-		if err := json.Unmarshal(text, &s); err != nil {
-			return fmt.Errorf("the node's answer: %w", err)
-		}
-		return s.Write(stdout)
-	}
+	root.RunE = func(*cobra.Command, []string) error { return showFleet(stdout, *config, *asJSON) }
 	root.AddCommand(&cobra.Command{
 		Use: "forget NAME", Short: "take a member off the roll that is dead and won't come back", Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error {
-			if _, err := askFleet(http.MethodPost, *config, "/fleet/forget?name="+url.QueryEscape(args[0])); err != nil {
-				return err
-			}
-			_, err := fmt.Fprintf(stdout, "%s is off the roll\n", args[0])
-			return err
-		},
+		RunE: func(_ *cobra.Command, args []string) error { return forgetMember(stdout, *config, args[0]) },
 	})
 	root.SetArgs(longFlags(args))
 	root.SetOut(stdout)
 	root.SetErr(stderr)
 	if err := root.Execute(); err != nil {
 		fmt.Fprintf(stderr, "cranegrade fleet: %v\n", err)
-		return 1
+		return program.ExitFailed
 	}
-	return 0
+	return program.ExitOK
 }
 
-// longFlags has -config and -json mean what they mean in the program's other commands.
+// showFleet prints the fleet as a running node sees it.
+func showFleet(stdout io.Writer, config string, asJSON bool) error {
+	text, err := inspectFleet(http.MethodGet, config, "/fleet")
+	if err != nil {
+		return err
+	}
+	if asJSON {
+		_, err = stdout.Write(text)
+		return err
+	}
+	var status fleet.Status
+	if err := json.Unmarshal(text, &status); err != nil {
+		return fmt.Errorf("the node's answer: %w", err)
+	}
+	return status.Write(stdout)
+}
+
+// forgetMember has a running node remove a dead member from the roster.
+func forgetMember(stdout io.Writer, config, name string) error {
+	if _, err := inspectFleet(http.MethodPost, config, "/fleet/forget?name="+url.QueryEscape(name)); err != nil {
+		return err
+	}
+	_, err := fmt.Fprintf(stdout, "%s is off the roll\n", name)
+	return err
+}
+
+// longFlags gives flags with one dash a second one, since cobra would read -config as several flags of one letter.
 func longFlags(args []string) []string {
-	l := make([]string, len(args))
-	for i, a := range args {
-		if l[i] = a; len(a) > 2 && a[0] == '-' && a[1] != '-' {
-			l[i] = "-" + a
+	long := make([]string, len(args))
+	for i, arg := range args {
+		if long[i] = arg; len(arg) > 2 && arg[0] == '-' && arg[1] != '-' {
+			long[i] = "-" + arg
 		}
 	}
-	return l
+	return long
 }
 
-// askFleet asks the running node whose file that is.
-func askFleet(method, config, path string) ([]byte, error) {
+// inspectFleet requests a page of the running node that has this file.
+func inspectFleet(method, config, path string) ([]byte, error) {
 	if config == "" {
 		return nil, errors.New("-config FILE is missing")
 	}
@@ -101,18 +107,12 @@
 	if plan.Admin == "" {
 		return nil, fmt.Errorf("%s names no admin address to ask the node at", config)
 	}
-	r, err := http.NewRequest(method, "http://"+plan.Admin+path, nil)
+	page, err := inspect(method, "http://"+plan.Admin+path)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := (&http.Client{Timeout: 10 * time.Second}).Do(r)
-	if err != nil {
-		return nil, fmt.Errorf("asking the node: %w", err)
-	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReport))
-	if err == nil && resp.StatusCode != http.StatusOK {
-		err = fmt.Errorf("the node says: %s", bytes.TrimSpace(text))
+	if page.statusCode != http.StatusOK {
+		return nil, fmt.Errorf("the node says: %s", bytes.TrimSpace(page.body))
 	}
-	return text, err
+	return page.body, nil
 }
--- a/cmd/cranegrade/main.go
+++ b/cmd/cranegrade/main.go
@@ -1,18 +1,22 @@
-// Command cranegrade is one node.
+// Command cranegrade is the load balancer with all protocols, and the operators' command for it.
 //
-//	cranegrade                  by the platform's configuration, which ROUTER_CONFIG names
-//	cranegrade -config FILE     by an operator's file
-//	cranegrade check FILE...    says what is wrong with operator's files
+//	cranegrade                  run a node by the platform's configuration, which ROUTER_CONFIG names
+//	cranegrade -config FILE     run a node by an operator's file
+//	cranegrade check FILE...    check operator's files
 //	cranegrade proxy-check ENVOY_FILE -config FILE
-//	                            says what in a proxy's configuration would leave decisions unheeded
+//	                            check a proxy's configuration against an operator's file
 //	cranegrade proxy-config -config FILE -mode MODE
-//	                            prints the proxy's side for a file
+//	                            print a proxy's configuration for an operator's file
 //	cranegrade zones -config FILE
-//	                            what crossed zones, and what their budgets still allow
+//	                            print the traffic between zones, and what its budgets still allow
+//	cranegrade fleet -config FILE
+//	                            print the members of a node's fleet
+//	cranegrade ops CALL --at ADDRESS
+//	                            send a command to running nodes
 //	cranegrade xds dump -config FILE
-//	                            what the running node holds of clusters and endpoints
+//	                            print the clusters and endpoints of a running node
 //
-// SIGHUP makes it read its file again; SIGTERM ends it once all that it has taken is answered.
+// A node reads its file again on SIGHUP. On SIGTERM it drains and ends.
 package main
 
 import (
@@ -43,7 +47,7 @@
 		proxyCheckCommand, proxyConfigCommand, zonesCommand, opsCommand, fleetCommand)
 }
 
-// openXDS dials the control planes of an operator's file.
+// openXDS opens a client of the control planes of an operator's file.
 func openXDS(x operator.XDS) (node.XDSClient, error) {
 	return xds.Open(client.Config{
 		Servers: x.Servers, Delta: x.Delta, ResourceTimeout: x.Timeout, MaxResponseBytes: int(x.MaxResponse),
@@ -61,10 +65,10 @@
 	return h2.New(h2.Config{Connect: c.ConnectWithin, Idle: c.Idle, Connections: connections, Each: m.ConnectionsPerServer, Streams: m.StreamsPerConnection})
 }
 
-// newGRPC makes what answers callers of gRPC.
+// newGRPC makes the dialect that answers gRPC callers.
 func newGRPC(n *node.Node) http1.Dialect { return grpc.Dialect{Serving: n.Serves} }
 
-// newExtProc makes the front for proxies that ask.
+// newExtProc makes the front for proxies that ask where to send a request.
 func newExtProc(l net.Listener, x operator.ExtProc, clock engine.Clock, n *node.Node) node.Front {
 	return extproc.New(l, extproc.Config{
 		Clock: clock, Routes: extProcRoutes{n}, DecisionTimeout: x.DecisionTimeout, Linger: x.Linger,
@@ -81,13 +85,13 @@
 // Route implements extproc.Routes.
 func (r extProcRoutes) Route(request *stream.Request, id string) (*pool.Pool, string, *stream.ImmediateResponse) {
 	header := make(map[string][]string, len(request.Header))
-	for name, v := range request.Header {
-		header[textproto.CanonicalMIMEHeaderKey(name)] = v
+	for name, values := range request.Header {
+		header[textproto.CanonicalMIMEHeaderKey(name)] = values
 	}
 	path, _, _ := strings.Cut(request.Path, "?")
-	p, class, no := r.n.Find(request.Method, request.Authority, path, header, id)
-	if no != nil {
-		return nil, "", &stream.ImmediateResponse{Status: no.Status, Details: no.Text}
+	p, class, noRoute := r.n.Find(request.Method, request.Authority, path, header, id)
+	if noRoute != nil {
+		return nil, "", &stream.ImmediateResponse{Status: noRoute.Status, Details: noRoute.Text}
 	}
 	return p, class, nil
 }
--- a/cmd/cranegrade/ops.go
+++ b/cmd/cranegrade/ops.go
@@ -14,19 +14,26 @@
 	"cranegrade/internal/program"
 )
 
-var opsCommand = program.Command{Name: "ops", Run: ops, Usage: `  cranegrade ops CALL --at ADDRESS | --config FILE
+var opsCommand = program.Command{Name: "ops", Run: runOps, Usage: `  cranegrade ops CALL --at ADDRESS | --config FILE
                               call running nodes at their operators' ports: check, set-down ID, set-up ID, drain-on,
                               drain-off
 `}
 
-// errNo says that the node answered no; it has been printed.
-var errNo = errors.New("the node says no")
+// defaultAnswerTimeout is how long a node may take to answer a command.
+const defaultAnswerTimeout = 2 * time.Second
 
-// ops calls running nodes at their operators' ports. It exits 0 if all say yes, 1 if one says no or does not answer.
-func ops(args []string, stdout, stderr io.Writer) int {
-	var at []string
-	var config string
-	var within time.Duration
+// errRefused says that a node has refused a command or has not answered, which has been printed.
+var errRefused = errors.New("the node says no")
+
+// opsOptions are the flags of the ops commands.
+type opsOptions struct {
+	addrs   []string // command ports
+	config  string   // a node's file, which names its command port; "": none
+	timeout time.Duration
+}
+
+// runOps sends a command to running nodes. It exits 0 if all have executed it.
+func runOps(args []string, stdout, stderr io.Writer) int {
 	root := &cobra.Command{
 		Use: "cranegrade ops", Short: "Call running nodes at their operators' ports",
 		Long:         "Each call goes to every node named with --at, or to the one whose file --config names. docs/operators-port.md says what they do.",
@@ -35,77 +42,83 @@
 	root.SetArgs(args)
 	root.SetOut(stdout)
 	root.SetErr(stderr)
+	var o opsOptions
 	flags := root.PersistentFlags()
-	flags.StringArrayVar(&at, "at", nil, "host:port of a node's operators' port; more than once for several nodes")
-	flags.StringVar(&config, "config", "", "the operator's file of the node, which names its port")
-	flags.DurationVar(&within, "within", 2*time.Second, "how long to wait for each answer")
-	call := func(verb admin.Verb, short string, arguments int) {
-		use := string(verb)
-		if arguments > 0 {
-			use += " ID"
-		}
-		root.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(arguments), RunE: func(cmd *cobra.Command, args []string) error {
-			to, err := nodesOf(at, config)
-			if err != nil {
-				return err
-			}
-			c := admin.Command{Verb: verb}
-			if arguments > 0 {
-				c.ID = args[0]
-			}
-			return sendToAll(cmd.Context(), stdout, to, c, within)
-		}})
-	}
-	call(admin.Check, "does the node take clients", 0)
-	call(admin.SetDown, "send nothing more to a server", 1)
-	call(admin.SetUp, "use the server again", 1)
-	call(admin.DrainOn, "send clients away", 0)
-	call(admin.DrainOff, "let clients come again", 0)
+	flags.StringArrayVar(&o.addrs, "at", nil, "host:port of a node's operators' port; more than once for several nodes")
+	flags.StringVar(&o.config, "config", "", "the operator's file of the node, which names its port")
+	flags.DurationVar(&o.timeout, "within", defaultAnswerTimeout, "how long to wait for each answer")
+	root.AddCommand(
+		newOpsCommand(admin.Check, "", "does the node take clients", stdout, &o),
+		newOpsCommand(admin.SetDown, "ID", "send nothing more to a server", stdout, &o),
+		newOpsCommand(admin.SetUp, "ID", "use the server again", stdout, &o),
+		newOpsCommand(admin.DrainOn, "", "send clients away", stdout, &o),
+		newOpsCommand(admin.DrainOff, "", "let clients come again", stdout, &o),
+	)
 	err := root.ExecuteContext(context.Background())
 	switch {
 	case err == nil:
-		return 0
-	case !errors.Is(err, errNo):
+		return program.ExitOK
+	case !errors.Is(err, errRefused):
 		fmt.Fprintf(stderr, "cranegrade ops: %v\n", err)
 	}
-	return 1
+	return program.ExitFailed
+}
+
+// newOpsCommand returns the command line of a verb. argument names its argument; "" if it takes none.
+func newOpsCommand(verb admin.Verb, argument, short string, stdout io.Writer, o *opsOptions) *cobra.Command {
+	use, arguments := string(verb), 0
+	if argument != "" {
+		use, arguments = use+" "+argument, 1
+	}
+	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(arguments), RunE: func(cmd *cobra.Command, args []string) error {
+		addrs, err := o.commandPorts()
+		if err != nil {
+			return err
+		}
+		c := admin.Command{Verb: verb}
+		if arguments > 0 {
+			c.ID = args[0]
+		}
+		return sendToAll(cmd.Context(), stdout, addrs, c, o.timeout)
+	}}
 }
 
-// nodesOf are the nodes to call: those of at, and the one whose file config names.
-func nodesOf(at []string, config string) ([]string, error) {
-	to := at
-	if config != "" {
-		plan, err := operator.Load(config)
+// commandPorts returns the addresses that the flags name, directly and by a file.
+func (o *opsOptions) commandPorts() ([]string, error) {
+	addrs := o.addrs
+	if o.config != "" {
+		plan, err := operator.Load(o.config)
 		if err != nil {
 			return nil, err
 		}
 		if plan.Operator == "" {
-			return nil, fmt.Errorf("%s names no operator address", config)
+			return nil, fmt.Errorf("%s names no operator address", o.config)
 		}
-		to = append(to, plan.Operator)
+		addrs = append(addrs, plan.Operator)
 	}
-	if len(to) == 0 {
+	if len(addrs) == 0 {
 		return nil, errors.New("no node is named: --at ADDRESS or --config FILE")
 	}
-	return to, nil
+	return addrs, nil
 }
 
-// sendToAll sends a command to one node after the other, and prints what each answers. errNo: not all said yes.
-func sendToAll(ctx context.Context, stdout io.Writer, to []string, c admin.Command, within time.Duration) error {
+// sendToAll sends a command to one node after the other and prints the answers. It returns errRefused unless all nodes have
+// executed it.
+func sendToAll(ctx context.Context, stdout io.Writer, addrs []string, c admin.Command, timeout time.Duration) error {
 	var failed error
-	for _, addr := range to {
-		limited, cancel := context.WithTimeout(ctx, within)
-		yes, text, err := admin.Send(limited, addr, c)
+	for _, addr := range addrs {
+		sendCtx, cancel := context.WithTimeout(ctx, timeout)
+		executed, text, err := admin.Send(sendCtx, addr, c)
 		cancel()
 		switch {
 		case err != nil:
 			fmt.Fprintf(stdout, "%s: no answer: %v\n", addr, err)
-			failed = errNo
-		case yes:
+			failed = errRefused
+		case executed:
 			fmt.Fprintf(stdout, "%s: yes: %s\n", addr, text)
 		default:
 			fmt.Fprintf(stdout, "%s: no: %s\n", addr, text)
-			failed = errNo
+			failed = errRefused
 		}
 	}
 	return failed
--- a/cmd/cranegrade/proxycheck.go
+++ b/cmd/cranegrade/proxycheck.go
@@ -19,61 +19,76 @@
 
 var proxyCheckCommand = program.Command{Name: "proxy-check", Usage: proxyCheckUsage, Run: proxyCheck}
 
+// proxyCheck prints the findings in a proxy's configuration, and fails if there are any.
 func proxyCheck(args []string, stdout, stderr io.Writer) int {
+	file, config, ok := parseProxyCheckFlags(args)
+	if !ok {
+		fmt.Fprint(stderr, "usage:\n"+proxyCheckUsage)
+		return program.ExitUsage
+	}
+	findings, err := checkProxy(file, config)
+	if err != nil {
+		fmt.Fprintf(stderr, "cranegrade: %v\n", err)
+		return program.ExitFailed
+	}
+	for _, f := range findings {
+		fmt.Fprintf(stdout, "%s: %s\n", file, f)
+	}
+	if len(findings) > 0 {
+		return program.ExitFailed
+	}
+	fmt.Fprintf(stdout, "%s: good for %s\n", file, config)
+	return program.ExitOK
+}
+
+// parseProxyCheckFlags reads the command line, on which the proxy's file may stand before or after the flag; false if it is
+// wrong.
+func parseProxyCheckFlags(args []string) (file, config string, ok bool) {
 	flags := flag.NewFlagSet("cranegrade proxy-check", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
-	config := flags.String("config", "", "")
-	// The file may stand before or after the flag.
+	flags.StringVar(&config, "config", "", "")
 	var files []string
 	for rest := args; ; {
 		if err := flags.Parse(rest); err != nil {
-			fmt.Fprint(stderr, "usage:\n"+proxyCheckUsage)
-			return 2
+			return "", "", false
 		}
 		if rest = flags.Args(); len(rest) == 0 {
 			break
 		}
-		files, rest = append(files, rest[0]), rest[1:]
+		files, rest = append(files, rest[0]), rest[1:] // package flag stops at the first argument that is no flag
 	}
-	if len(files) != 1 || *config == "" {
-		fmt.Fprint(stderr, "usage:\n"+proxyCheckUsage)
-		return 2
+	if len(files) != 1 || config == "" {
+		return "", "", false
 	}
-	found, err := checkProxy(files[0], *config)
-	if err != nil {
-		fmt.Fprintf(stderr, "cranegrade: %v\n", err)
-		return 1
-	}
-	for _, f := range found {
-		fmt.Fprintf(stdout, "%s: %s\n", files[0], f)
-	}
-	if len(found) > 0 {
-		return 1
-	}
-	fmt.Fprintf(stdout, "%s: good for %s\n", files[0], *config)
-	return 0
+	return files[0], config, true
 }
 
 func checkProxy(file, config string) ([]envoyconf.Finding, error) {
-	plan, err := operator.Load(config)
+	plan, err := loadExtProcPlan(config)
 	if err != nil {
 		return nil, err
 	}
-	if plan.ExtProc == nil {
-		return nil, errors.New(config + " has no [ext_proc]: no proxy asks it")
-	}
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	found, err := envoyconf.Check(text, processorSettings(plan))
+	findings, err := envoyconf.Check(text, processorSettings(plan))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return found, nil
+	return findings, nil
+}
+
+// loadExtProcPlan reads an operator's file, which must have a front for proxies.
+func loadExtProcPlan(config string) (operator.Plan, error) {
+	plan, err := operator.Load(config)
+	if err == nil && plan.ExtProc == nil {
+		err = errors.New(config + " has no [ext_proc]: no proxy asks it")
+	}
+	return plan, err
 }
 
-// processorSettings are the settings that a proxy's configuration has to fit.
+// processorSettings returns the settings that a proxy's configuration has to fit.
 func processorSettings(plan operator.Plan) envoyconf.ProcessorSettings {
 	s := envoyconf.ProcessorSettings{DecisionTimeout: plan.ExtProc.DecisionTimeout, Retries: plan.ExtProc.Retries, RetryHeader: plan.ExtProc.RetryHeader}
 	for _, p := range plan.Pools {
--- a/cmd/cranegrade/proxyconfig.go
+++ b/cmd/cranegrade/proxyconfig.go
@@ -20,6 +20,7 @@
 
 var proxyConfigCommand = program.Command{Name: "proxy-config", Usage: proxyConfigUsage, Run: proxyConfig}
 
+// proxyConfig prints a proxy's configuration for an operator's file.
 func proxyConfig(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("cranegrade proxy-config", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
@@ -27,25 +28,23 @@
 	listen, processor, retries := flags.String("listen", "", ""), flags.String("processor", "", ""), flags.Int("retries", 0, "")
 	if err := flags.Parse(args); err != nil || *config == "" || *mode == "" || flags.NArg() > 0 || *retries < 0 {
 		fmt.Fprint(stderr, "usage:\n"+proxyConfigUsage)
-		return 2
+		return program.ExitUsage
 	}
 	text, err := buildProxy(*config, envoyconf.Options{Mode: envoyconf.Mode(*mode), Listen: *listen, Processor: *processor, Retries: *retries})
 	if err != nil {
 		fmt.Fprintf(stderr, "cranegrade: %v\n", err)
-		return 1
+		return program.ExitFailed
 	}
-	stdout.Write(text)
-	return 0
+	fmt.Fprint(stdout, string(text))
+	return program.ExitOK
 }
 
+// buildProxy returns a proxy's configuration. It completes p with what the operator's file says.
 func buildProxy(config string, p envoyconf.Options) ([]byte, error) {
-	plan, err := operator.Load(config)
+	plan, err := loadExtProcPlan(config)
 	if err != nil {
 		return nil, err
 	}
-	if plan.ExtProc == nil {
-		return nil, errors.New(config + " has no [ext_proc]: no proxy asks it")
-	}
 	if p.Processor == "" {
 		p.Processor = plan.ExtProc.Listen
 	}
@@ -53,26 +52,40 @@
 		return nil, errors.New("the processor's port is any free one: name it with -processor")
 	}
 	p.Settings, p.MaxStreams = processorSettings(plan), plan.ExtProc.Streams
-	at, told := map[string]int{}, true
-	for _, pool := range plan.Pools {
+	p.Classes = proxyClasses(plan.Pools)
+	p.Endpoints = staticEndpoints(plan.Pools)
+	return envoyconf.Build(p)
+}
+
+// proxyClasses returns the classes of all pools. The proxy does not know pools, so pools with a class of one name share it:
+// with the longest deadline, and idempotent only if it is so in each of them.
+func proxyClasses(pools []operator.Pool) (classes []envoyconf.Class) {
+	indexes := map[string]int{}
+	for _, pool := range pools {
 		for _, c := range pool.Settings.Classes {
-			i, is := at[c.Name]
-			if !is {
-				i = len(p.Classes)
-				at[c.Name] = i
-				p.Classes = append(p.Classes, envoyconf.Class{Name: c.Name, Idempotent: true})
+			i, known := indexes[c.Name]
+			if !known {
+				i = len(classes)
+				indexes[c.Name] = i
+				classes = append(classes, envoyconf.Class{Name: c.Name, Idempotent: true})
 			}
-			// What a class of that name is in one pool, it may be in the proxy's eyes in all.
-			x := &p.Classes[i]
-			x.Deadline, x.Idempotent = max(x.Deadline, c.Deadline), x.Idempotent && c.Effect == balancer.Idempotent
+			class := &classes[i]
+			class.Deadline, class.Idempotent = max(class.Deadline, c.Deadline), class.Idempotent && c.Effect == balancer.Idempotent
+		}
+	}
+	return classes
+}
+
+// staticEndpoints returns the servers of all pools, or none if a pool's list can change: then a control plane has to give the
+// proxy its endpoints.
+func staticEndpoints(pools []operator.Pool) (addrs []string) {
+	for _, pool := range pools {
+		if len(pool.List.Static) == 0 {
+			return nil
 		}
 		for _, s := range pool.List.Static {
-			p.Endpoints = append(p.Endpoints, s.Addr)
+			addrs = append(addrs, s.Addr)
 		}
-		told = told && len(pool.List.Static) > 0
 	}
-	if !told {
-		p.Endpoints = nil // what changes by itself the proxy must be told by a control plane
-	}
-	return envoyconf.Build(p)
+	return addrs
 }
--- a/cmd/cranegrade/upgrade_test.go
+++ b/cmd/cranegrade/upgrade_test.go
@@ -264,7 +264,7 @@
 		{[]string{"--help"}, 0, "Each call goes to"},
 	} {
 		var out, complaint bytes.Buffer
-		if code := ops(c.args, &out, &complaint); code != c.code || !strings.HasPrefix(out.String(), c.out) || (out.Len() == 0 && complaint.Len() == 0) {
+		if code := runOps(c.args, &out, &complaint); code != c.code || !strings.HasPrefix(out.String(), c.out) || (out.Len() == 0 && complaint.Len() == 0) {
 			t.Errorf("%v: exit %d, %q, %q", c.args, code, &out, &complaint)
 		}
 	}
--- a/internal/program/check.go
+++ b/internal/program/check.go
@@ -10,7 +10,7 @@
 
 // check prints every mistake of some operator's files, or that a file has none. It returns the exit code.
 func check(paths []string, stdout, stderr io.Writer) int {
-	code := exitOK
+	code := ExitOK
 	for _, path := range paths {
 		plan, err := operator.Load(path)
 		switch faults := operator.Faults(nil); {
@@ -18,10 +18,10 @@
 			for _, f := range faults {
 				fmt.Fprintln(stdout, f.Error())
 			}
-			code = exitFailed
+			code = ExitFailed
 		case err != nil:
 			fmt.Fprintf(stderr, "cranegrade: %v\n", err)
-			code = exitFailed
+			code = ExitFailed
 		default:
 			fmt.Fprintf(stdout, "%s: good; %d pools\n", path, len(plan.Pools))
 		}
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -16,11 +16,11 @@
 	"cranegrade/internal/node"
 )
 
-// Exit codes.
+// Exit codes of the programs and their commands.
 const (
-	exitOK     = 0
-	exitFailed = 1 // the node could not start or failed, or a file has mistakes
-	exitUsage  = 2
+	ExitOK     = 0
+	ExitFailed = 1 // the node could not start or failed, or a file has mistakes
+	ExitUsage  = 2
 )
 
 // Command is a command of one program, beyond those that all programs have.
@@ -53,24 +53,24 @@
 	switch err := flags.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
 		fmt.Fprint(stdout, usageWith(commands))
-		return exitOK
+		return ExitOK
 	case err != nil:
 		fmt.Fprintf(stderr, "cranegrade: %v\n%s", err, usageWith(commands))
-		return exitUsage
+		return ExitUsage
 	case *showVersion:
 		fmt.Fprintln(stdout, "cranegrade", version())
-		return exitOK
+		return ExitOK
 	case flags.NArg() > 0 && *config != "":
 		fmt.Fprint(stderr, usageWith(commands))
-		return exitUsage
+		return ExitUsage
 	case flags.NArg() > 0:
 		return runCommand(ctx, flags.Args(), stdout, stderr, commands)
 	}
 	if err := runNode(ctx, reload, *config, o, &tracer{dir: *traceDir, detail: *traceDetail}); err != nil {
 		fmt.Fprintf(stderr, "cranegrade: %v\n", err)
-		return exitFailed
+		return ExitFailed
 	}
-	return exitOK
+	return ExitOK
 }
 
 // runCommand runs the command that the first arguments name.
@@ -87,5 +87,5 @@
 		}
 	}
 	fmt.Fprint(stderr, usageWith(commands))
-	return exitUsage
+	return ExitUsage
 }
--- a/internal/program/xds_dump.go
+++ b/internal/program/xds_dump.go
@@ -22,7 +22,7 @@
 	config := flags.String("config", "", "")
 	if err := flags.Parse(args); err != nil || *config == "" || flags.NArg() > 0 {
 		fmt.Fprint(stderr, usage)
-		return exitUsage
+		return ExitUsage
 	}
 	plan, err := operator.Load(*config)
 	if err == nil && plan.Admin == "" {
@@ -33,9 +33,9 @@
 	}
 	if err != nil {
 		fmt.Fprintf(stderr, "cranegrade: %v\n", err)
-		return exitFailed
+		return ExitFailed
 	}
-	return exitOK
+	return ExitOK
 }
 
 // copyPage copies a page of a running node.
