--- a/cmd/cranegrade/crowd_test.go
+++ b/cmd/cranegrade/crowd_test.go
@@ -2,15 +2,12 @@
 
 import (
 	"bufio"
-	"context"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"os"
 	"os/exec"
-	"path/filepath"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -21,71 +18,46 @@
 	"cranegrade/internal/testkit"
 )
 
-// platform starts the platform's program with limits and one server.
-func platform(t *testing.T, memoryMB, sockets int, server string) (u *upgraded, listen string) {
+// startPlatform starts the platform's program with limits and one server. Its registry sends heartbeats until the test ends,
+// because a list from which nothing is heard for long no longer counts.
+func startPlatform(t *testing.T, memoryMB, sockets int, server string) (p *nodeProcess, listen string) {
 	t.Helper()
-	bin := filepath.Join(t.TempDir(), "cranegrade")
-	if out, err := exec.Command("go", "build", "-o", bin, "../cranegrade-platform").CombinedOutput(); err != nil {
-		t.Fatalf("build: %v\n%s", err, out)
-	}
-	u, listen = &upgraded{port: freeAddr(t), ended: make(chan error, 1), log: &lockedBuffer{}}, freeAddr(t)
-	config := filepath.Join(t.TempDir(), "config.json")
 	registry, lines, _ := testkit.RegistryStub(t)
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
-	go func() { // heartbeats: a list that is not heard of for long counts for nothing
+	ended := make(chan struct{})
+	t.Cleanup(func() { close(ended) })
+	go func() {
 		for {
 			select {
 			case lines <- "":
 				time.Sleep(100 * time.Millisecond)
-			case <-over:
+			case <-ended:
 				return
 			}
 		}
 	}()
-	text := fmt.Sprintf(`{"name":"n0","listen":%q,"operator":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":%d,"sockets":%d},
-		"known":{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":%q,"az":"a","state":"SERVING"}]},
-		"settings":{"lanes":[{"name":"read","effect":"read_like","target-ms":2000,"deadline-ms":30000}],"limits":{"max-attempts":3},"registry-mode":"on_request"}}`,
-		listen, u.port, registry, memoryMB, sockets, server)
-	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	u.cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, bin))
-	u.cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config, "TMPDIR="+t.TempDir())
-	u.cmd.Stderr = u.log
-	if err := u.cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	go func() { u.ended <- u.cmd.Wait() }()
-	t.Cleanup(func() { u.cmd.Process.Kill() })
-	testkit.Eventually(t, "never says yes", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		defer cancel()
-		yes, _, err := admin.Send(ctx, u.port, admin.Command{Verb: admin.Check})
-		return err == nil && yes
-	})
-	return u, listen
-}
-
-func size(name string, usual int) int {
-	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
-		return n
+	config := platformConfig{
+		listen: freeAddr(t), operator: freeAddr(t), discovery: registry, memoryMB: memoryMB, sockets: sockets,
+		servers: map[string]string{"a": server}, class: "read", effect: "read_like", targetMS: 2000, deadlineMS: 30_000,
 	}
-	return usual
+	bin := buildProgram(t, "../cranegrade-platform")
+	cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", sockets, bin))
+	cmd.Env = append(os.Environ(), "ROUTER_CONFIG="+config.write(t), "TMPDIR="+t.TempDir())
+	return startNodeProcess(t, cmd, config.operator), config.listen
 }
 
-// Far more connections than there are descriptors, idle and half-written, and more that call operators' port and say
-// nothing: requests on new connections are served, operators are answered, and the node runs out of nothing. CROWD asks for
-// more of them.
-func TestCrowd(t *testing.T) {
+// With far more connections than descriptors, idle ones and ones with half a request, and with silent connections to the
+// command port, requests on new connections are served, commands are answered, and the node does not run out of
+// descriptors. CROWD asks for more connections.
+func TestCrowdOfConnections(t *testing.T) {
 	addr, _ := testkit.Stub(t, testkit.OK, false)
-	u, listen := platform(t, 64, 256, addr)
+	node, listen := startPlatform(t, 64, 256, addr)
+	const maxKept = 700
 	var crowd []net.Conn
 	var mu sync.Mutex
-	keep := func(c net.Conn) { // the latest: this process has descriptors for so many, and the node has closed the others
+	keep := func(c net.Conn) { // only the latest: this process has few descriptors, too, and the node has closed the others
 		mu.Lock()
 		defer mu.Unlock()
-		if crowd = append(crowd, c); len(crowd) > 700 {
+		if crowd = append(crowd, c); len(crowd) > maxKept {
 			crowd[0].Close()
 			crowd = crowd[1:]
 		}
@@ -105,25 +77,25 @@
 				return
 			default:
 			}
-			if c, err := net.Dial("tcp", u.port); err == nil { // says half a call, and stays
+			if c, err := net.Dial("tcp", node.commandPort); err == nil { // sends part of a command, and stays open
 				io.WriteString(c, "check"[:i%5])
 				keep(c)
 			}
 			began := time.Now()
-			if yes, text := u.ask(t, admin.Check, ""); !yes {
+			if ok, text := node.send(t, admin.Check, ""); !ok {
 				t.Errorf("check: %s", text)
 			}
 			slowest.Store(max(slowest.Load(), int64(time.Since(began))))
 			time.Sleep(5 * time.Millisecond)
 		}
 	})
-	each := size("CROWD", 800) / 8
-	for k := range 8 {
+	each := sizeFrom("CROWD", 800) / 8
+	for client := range 8 {
 		coming.Go(func() {
 			for i := range each {
 				c, err := net.Dial("tcp", listen)
 				if err != nil {
-					t.Errorf("not let in: %v", err)
+					t.Errorf("connection refused: %v", err)
 					return
 				}
 				if i%2 == 0 {
@@ -139,11 +111,11 @@
 					return
 				}
 				r.Close = true
-				r.Header.Set("X-Correlation-Id", fmt.Sprintf("%d-%d", k, i))
+				r.Header.Set("X-Correlation-Id", fmt.Sprintf("%d-%d", client, i))
 				r.Header.Set("X-Time-Left", "30000m")
 				resp, err := (&http.Client{Timeout: limit, Transport: &http.Transport{DisableKeepAlives: true}}).Do(r)
 				if err != nil || resp.StatusCode != 200 {
-					t.Errorf("%d-%d: %v, %v", k, i, resp, err)
+					t.Errorf("%d-%d: %v, %v", client, i, resp, err)
 					continue
 				}
 				resp.Body.Close()
@@ -153,16 +125,16 @@
 	coming.Wait()
 	close(stop)
 	asking.Wait()
-	if s := u.log.String(); strings.Contains(s, "too many open files") {
-		t.Errorf("it ran out of descriptors:\n%s", s)
+	if s := node.log.String(); strings.Contains(s, "too many open files") {
+		t.Errorf("the node ran out of descriptors:\n%s", s)
 	}
-	t.Logf("operators' slowest answer: %v", time.Duration(slowest.Load()))
+	t.Logf("slowest answer to a command: %v", time.Duration(slowest.Load()))
 }
 
-// More long answers at once than memory holds, to callers that are slow to begin reading: all come whole, and the process
-// stays within its memory. LONG_MB and LONG ask for longer and more of them.
+// With more long responses at once than fit into memory, to callers that begin to read late, all responses are complete and
+// the process stays within its memory. LONG_MB and LONG ask for longer and more responses.
 func TestLongAnswersInLittleMemory(t *testing.T) {
-	bytes, callers := size("LONG_MB", 8)<<20, size("LONG", 32)
+	bytes, callers := sizeFrom("LONG_MB", 8)<<20, sizeFrom("LONG", 32)
 	chunk := make([]byte, 64<<10)
 	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		for {
@@ -178,7 +150,7 @@
 		}
 	})
 	const memoryMB = 48
-	u, listen := platform(t, memoryMB, 1024, addr)
+	node, listen := startPlatform(t, memoryMB, 1024, addr)
 	var began, all sync.WaitGroup
 	began.Add(callers)
 	release := make(chan struct{})
@@ -207,7 +179,7 @@
 	began.Wait()
 	close(release)
 	all.Wait()
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", u.cmd.Process.Pid))
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", node.cmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,7 +187,7 @@
 	kb := 0
 	fmt.Sscan(after, &kb)
 	if kb == 0 || kb > memoryMB<<10 {
-		t.Errorf("its memory was %d kB at the most, of %d MB", kb, memoryMB)
+		t.Errorf("the process used up to %d kB of %d MB", kb, memoryMB)
 	}
-	t.Logf("%d answers of %d MB: %d kB at the most", callers, bytes>>20, kb)
+	t.Logf("%d responses of %d MB: up to %d kB", callers, bytes>>20, kb)
 }
--- a/cmd/cranegrade/main_test.go
+++ b/cmd/cranegrade/main_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -16,18 +17,13 @@
 	"time"
 )
 
-const limit = 60 * time.Second
-
-// command starts the program: as the deploy file says where .ci/run names it, else built here.
-func command(t *testing.T, config string) *exec.Cmd {
+// programCommand returns the command that runs the program by the platform's configuration: as the deploy file says if
+// .ci/run passes that on in NODE_RUN, and otherwise a program built here.
+func programCommand(t *testing.T, config string) *exec.Cmd {
 	t.Helper()
 	run := os.Getenv("NODE_RUN")
 	if run == "" {
-		bin := filepath.Join(t.TempDir(), "cranegrade")
-		if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
-			t.Fatalf("build: %v\n%s", err, out)
-		}
-		run = "exec " + bin
+		run = "exec " + buildProgram(t, ".")
 	}
 	cmd := exec.Command("/bin/sh", "-c", run)
 	cmd.Dir = "../.."
@@ -35,8 +31,8 @@
 	return cmd
 }
 
-// The whole program: it gets ready, serves a request, goes over to another discovery on SIGHUP unless
-// the file is spoilt, and ends with 0 on SIGTERM.
+// The program becomes ready, serves a request, follows another registry after SIGHUP unless its file is invalid, and ends with
+// 0 after SIGTERM.
 func TestProgram(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, r.Header.Get("X-Correlation-Id"))
@@ -53,10 +49,10 @@
 	defer discovery.Close()
 	config := filepath.Join(t.TempDir(), "config.json")
 	const before = "127.0.0.1:1"
-	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"`+before+`","seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
-		"known":{"rev":1,"all":true,"targets":[{"uid":"s","endpoint":%q,"az":"a","state":"SERVING"}]},
-		"settings":{"lanes":[{"name":"read","effect":"read_like","target-ms":1000,"deadline-ms":30000}],"limits":{"max-attempts":3},"registry-mode":"on_request"}}`,
-		strings.TrimPrefix(server.URL, "http://"))
+	text := platformConfig{
+		listen: "127.0.0.1:0", discovery: before, memoryMB: 192, sockets: 1024, class: "read", effect: "read_like", targetMS: 1000, deadlineMS: 30_000,
+		servers: map[string]string{"s": strings.TrimPrefix(server.URL, "http://")},
+	}.text()
 	write := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
@@ -64,7 +60,7 @@
 		}
 	}
 	write(text)
-	cmd := command(t, config)
+	cmd := programCommand(t, config)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -144,18 +140,19 @@
 	}
 }
 
-// A configuration that is missing or malformed: one plain line and exit 1.
-func TestProgramBadConfig(t *testing.T) {
+// A configuration that is missing or malformed is one line on standard error, and exit code 1.
+func TestProgramRejectsBadConfig(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(bad, []byte(`{"listen":7}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, config := range []string{"", filepath.Join(t.TempDir(), "none"), bad} {
-		cmd := command(t, config)
+		cmd := programCommand(t, config)
 		var stdout, stderr bytes.Buffer
 		cmd.Stdout, cmd.Stderr = &stdout, &stderr
 		err := cmd.Run()
-		if exit, is := err.(*exec.ExitError); !is || exit.ExitCode() != 1 {
+		var exit *exec.ExitError
+		if !errors.As(err, &exit) || exit.ExitCode() != 1 {
 			t.Errorf("config %q: %v", config, err)
 		}
 		if s := stderr.String(); strings.Count(s, "\n") != 1 || !strings.HasPrefix(s, "cranegrade: ") || stdout.Len() > 0 {
@@ -164,8 +161,8 @@
 	}
 }
 
-// Each mode's example is what proxy-config prints for its file, and proxy-check finds it good.
-func TestProxyConfig(t *testing.T) {
+// Each example of a proxy's configuration is what proxy-config prints for its mode, and proxy-check has no finding in it.
+func TestProxyConfigPrintsTheExamples(t *testing.T) {
 	for mode, file := range map[string]string{"header": "extproc.toml", "metadata": "extproc.toml", "fallbacks": "extproc-fallbacks.toml", "every-try": "extproc-every-try.toml"} {
 		config, example := "../../deploy/examples/"+file, "../../deploy/examples/envoy-"+mode+".yaml"
 		var out, complaint bytes.Buffer
--- a/cmd/cranegrade/zones_test.go
+++ b/cmd/cranegrade/zones_test.go
@@ -14,8 +14,8 @@
 	"cranegrade/internal/zone/store"
 )
 
-// Two nodes that are down are told together, from the files that they keep; one without a file is named.
-func TestZonesOfSeveralNodes(t *testing.T) {
+// The zones of two nodes that do not run are summed from the files that they keep. A node without a file is named.
+func TestZonesOfStoppedNodes(t *testing.T) {
 	example, err := os.ReadFile("../../deploy/examples/zones.toml")
 	if err != nil {
 		t.Fatal(err)
