--- a/cmd/cranegrade-platform/main.go
+++ b/cmd/cranegrade-platform/main.go
@@ -1,5 +1,5 @@
-// Command cranegrade-platform is cranegrade without what the platform does not use: gRPC and the xDS
-// messages, which would take memory there for nothing (docs/design/xds.md has the figures).
+// Command cranegrade-platform is the load balancer that the platform runs: cranegrade without gRPC, xDS and the other parts
+// that the platform does not use, which would only take memory there (docs/design/xds.md has the figures).
 package main
 
 import (
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter hosts Balancers on the simulator's wire: batches of events on standard
-// input, one reply for each on standard output.
+// Command simadapter runs decision modules (balancer.Balancer) for the simulator: it reads batches of events from standard
+// input and writes one reply for each batch to standard output, in the format of internal/wire. A simulated node is an
+// instance, and has a module of its own. The program never reads a clock: the simulator says what time it is.
 package main
 
 import (
@@ -21,48 +22,77 @@
 	}
 }
 
-// run serves batches until the input ends. A reply is written whole or not at all.
+// run replies to batches until the input ends. A reply is written as a whole, at the end of its batch, or not at all.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
-	var reply bytes.Buffer
-	enc := wire.NewEncoder(&reply)
-	hosted := map[int]*balancer.Balancer{}
-	var now time.Duration
+	decoder := wire.NewDecoder(in)
+	a := newAdapter(out)
 	for {
-		m, err := dec.Next()
+		m, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		switch m.Kind {
-		case wire.BatchStart:
-			now = m.Now
-		case wire.InstanceStart:
-			b, err := balancer.New(m.Settings, m.Seed)
-			if err != nil {
-				return fmt.Errorf("hello for instance %d: %w", m.Instance, err)
-			}
-			hosted[m.Instance] = b
-		case wire.InstanceStop:
-			delete(hosted, m.Instance)
-		case wire.Event:
-			b := hosted[m.Instance]
-			if b == nil {
-				return fmt.Errorf("event %T for instance %d before its hello", m.Event, m.Instance)
-			}
-			for _, a := range b.Handle(now, m.Event) {
-				enc.Action(m.Instance, a)
-			}
-		case wire.BatchEnd:
-			if err := enc.Flush(); err != nil {
-				return err
-			}
-			if _, err := reply.WriteTo(out); err != nil {
-				return err
-			}
-		case wire.Ignored: // kinds of a later simulator are skipped
+		if err := a.handle(m); err != nil {
+			return err
 		}
 	}
 }
+
+// adapter holds the modules of the instances that run, and the reply to the batch that is being read.
+type adapter struct {
+	out     io.Writer
+	modules map[int]*balancer.Balancer // by instance
+	now     time.Duration              // as the simulator said last
+	reply   bytes.Buffer
+	encoder *wire.Encoder // writes to reply
+}
+
+func newAdapter(out io.Writer) *adapter {
+	a := &adapter{out: out, modules: map[int]*balancer.Balancer{}}
+	a.encoder = wire.NewEncoder(&a.reply)
+	return a
+}
+
+// handle handles one message of a batch.
+func (a *adapter) handle(m wire.Message) error {
+	switch m.Kind {
+	case wire.BatchStart:
+		a.now = m.Now
+	case wire.InstanceStart:
+		module, err := balancer.New(m.Settings, m.Seed)
+		if err != nil {
+			return fmt.Errorf("hello for instance %d: %w", m.Instance, err)
+		}
+		a.modules[m.Instance] = module
+	case wire.InstanceStop:
+		delete(a.modules, m.Instance)
+	case wire.Event:
+		return a.handleEvent(m)
+	case wire.BatchEnd:
+		return a.writeReply()
+	case wire.Ignored: // the module has no use for it
+	}
+	return nil
+}
+
+// handleEvent gives an event to its module, and adds the module's actions to the reply.
+func (a *adapter) handleEvent(m wire.Message) error {
+	module := a.modules[m.Instance]
+	if module == nil {
+		return fmt.Errorf("event %T for instance %d before its hello", m.Event, m.Instance)
+	}
+	for _, action := range module.Handle(a.now, m.Event) {
+		a.encoder.Action(m.Instance, action)
+	}
+	return nil
+}
+
+func (a *adapter) writeReply() error {
+	if err := a.encoder.Flush(); err != nil {
+		return err
+	}
+	_, err := a.reply.WriteTo(a.out)
+	return err
+}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -9,6 +9,7 @@
 const hello = `hello	7	{"lanes":[{"name":"get","effect":"read_like","target-ms":500,"deadline-ms":900}],` +
 	`"limits":{"max-attempts":3},"tick-ms":2,"tiers":["a"]}`
 
+// Each batch gets one reply, with the actions on its events.
 func TestRunAnswersABatch(t *testing.T) {
 	in := "sync\t1\neob\nsync\t2\nabout\t0\n" + hello + "\nlist\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\n" +
 		"announce\t2\t0\t1\njob_in\tid\t900\t-\tget\t0\t-\t-\neob\n"
@@ -22,6 +23,7 @@
 	}
 }
 
+// Malformed input ends the program with an error, and nothing is written of the reply to its batch.
 func TestRunStopsAtBadInputWithoutHalfAReply(t *testing.T) {
 	for _, bad := range []string{
 		"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n",
@@ -38,8 +40,8 @@
 	}
 }
 
-// A killed instance forgets all: what comes after its fresh start for an old request is ignored,
-// and with an empty list a new request is held.
+// An instance that is stopped and started again knows nothing from before: the outcome of an old request is ignored, and with
+// an empty list a new request stays pending.
 func TestKillAndFreshStart(t *testing.T) {
 	list := "list\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\nannounce\t2\t0\t1\n"
 	in := "sync\t2\nabout\t0\n" + hello + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
--- a/internal/renamed/renamed_test.go
+++ b/internal/renamed/renamed_test.go
@@ -14,13 +14,14 @@
 
 const repository = "../.."
 
+// The line names both programs.
 func TestAnswerNamesThePresentProgram(t *testing.T) {
 	var out strings.Builder
 	assert.Equal(t, Answer(&out, "switchboard", "meshctl"), 2)
 	assert.Equal(t, out.String(), "switchboard: this program is called meshctl now; its command line is the same\n")
 }
 
-// Each former program says in one line what it is called now, whatever it is asked, and ends with 2.
+// Each former program writes one line that says what it is called now, whatever its arguments, and ends with 2.
 func TestFormerProgramsNameThePresentOnes(t *testing.T) {
 	bin := t.TempDir()
 	for former, present := range map[string]string{
