--- a/cmd/cranegrade/zones.go
+++ b/cmd/cranegrade/zones.go
@@ -33,10 +33,10 @@
 
 // zonesOptions are the flags of the zones command.
 type zonesOptions struct {
-	configs []string  // files of the nodes
-	day     string    // YYYY-MM-DD; "": all days
+	configs []string       // files of the nodes
+	day     string         // YYYY-MM-DD; "": all days
 	by      report.GroupBy // what rows are told apart by
-	format  string    // table, json or html
+	format  string         // table, json or html
 }
 
 // parseZonesFlags reads the command line; false if it is wrong.
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -56,7 +56,7 @@
 	}
 	module = b
 	if planned.Zoned {
-		zoned = zone.NewModule(b, planned.Name, zoneConfig(*n.zones.plan, planned.Settings), n.zones.book, seed(planned))
+		zoned = zone.NewModule(b, planned.Name, zoneConfig(*n.zones.plan, planned.Settings), n.zones.accounting, seed(planned))
 		module = zoned
 	}
 	if n.options.Trace != nil {
--- a/internal/node/zone_accounts.go
+++ b/internal/node/zone_accounts.go
@@ -27,11 +27,11 @@
 
 // zoneAccounts holds a node's zone account and budgets, saves them, and knows the modules that write them.
 type zoneAccounts struct {
-	plan  *operator.Zones // nil: requests are not told apart by zone, and nothing below is used
-	book  *zone.Accounting
-	store ZoneStore      // nil: nothing is saved
-	stop  chan struct{}  // closed by close
-	ended sync.WaitGroup // saveLoop
+	plan       *operator.Zones // nil: requests are not told apart by zone, and nothing below is used
+	accounting *zone.Accounting
+	store      ZoneStore      // nil: nothing is saved
+	stop       chan struct{}  // closed by close
+	ended      sync.WaitGroup // saveLoop
 
 	saving sync.Mutex // held from taking changes until they are saved, so that no later lease is overwritten by an earlier one
 
@@ -46,7 +46,7 @@
 	if plan == nil {
 		return z, nil
 	}
-	z.book = zone.NewAccounting(plan.Limits)
+	z.accounting = zone.NewAccounting(plan.Limits)
 	if plan.State == "" {
 		return z, nil
 	}
@@ -74,8 +74,8 @@
 	if unread > 0 {
 		log.Printf("zone account loaded without unreadable entries: file=%s entries=%d", z.plan.State, unread)
 	}
-	z.book.Restore(state)
-	z.book.RequireLeases()
+	z.accounting.Restore(state)
+	z.accounting.RequireLeases()
 	return z.saveLease(store)
 }
 
@@ -83,12 +83,12 @@
 func (z *zoneAccounts) saveLease(store ZoneStore) error {
 	z.saving.Lock()
 	defer z.saving.Unlock()
-	state := z.book.PrepareLease(time.Duration(time.Now().UnixNano()))
-	if err := store.Save(state, z.book.OldestDay()); err != nil {
-		z.book.RestoreChanges(state)
+	state := z.accounting.PrepareLease(time.Duration(time.Now().UnixNano()))
+	if err := store.Save(state, z.accounting.OldestDay()); err != nil {
+		z.accounting.RestoreChanges(state)
 		return err
 	}
-	z.book.ConfirmLease(state)
+	z.accounting.ConfirmLease(state)
 	return nil
 }
 
@@ -107,7 +107,7 @@
 			}
 			failed = err != nil
 		case <-z.stop:
-			if err := z.store.Save(z.book.TakeChanges(), z.book.OldestDay()); err != nil {
+			if err := z.store.Save(z.accounting.TakeChanges(), z.accounting.OldestDay()); err != nil {
 				log.Printf("zone account not saved at the stop: error=%q", err)
 			}
 			return
@@ -156,7 +156,7 @@
 
 // setLimits replaces the budgets.
 func (z *zoneAccounts) setLimits(limits []zone.Limit) {
-	z.book.SetLimits(limits)
+	z.accounting.SetLimits(limits)
 	if z.store == nil {
 		return
 	}
@@ -195,7 +195,7 @@
 		r.Localities[pool] = report.Localities(m.Localities())
 	}
 	z.mu.Unlock()
-	r.Budgets = report.Budgets(z.book.Remaining(time.Duration(now.UnixNano())))
-	r.Rows = report.Rows(z.book.Rows(), "", report.GroupBy{Pool: true, Class: true, Customer: true})
+	r.Budgets = report.Budgets(z.accounting.Remaining(time.Duration(now.UnixNano())))
+	r.Rows = report.Rows(z.accounting.Rows(), "", report.GroupBy{Pool: true, Class: true, Customer: true})
 	return r
 }
