--- a/internal/mesh/controlplane/api_server.go
+++ b/internal/mesh/controlplane/api_server.go
@@ -12,7 +12,7 @@
 
 const maxRequestBytes = 4 << 20
 
-// Paths of the operators' API. The former ones are answered until the next release.
+// Paths of the operators' API. The former paths are served until the next release.
 const (
 	pathModify            = "/v1/configuration/modify"
 	pathFetch             = "/v1/configuration/fetch"
@@ -22,7 +22,7 @@
 	formerPathPolicy      = "/v1/rules"
 )
 
-// Texts of answers where there is none in time.
+// Texts of errors that operators see.
 const (
 	textNotCommitted  = "not committed in time; it may still be"
 	textNotConfirmed  = "the leader could not be confirmed by a quorum in time"
@@ -46,7 +46,7 @@
 	return api.NewServer(mux)
 }
 
-// modify has a change of the configuration committed, proposed here or by the leader.
+// modify handles a configuration change, which is proposed here or forwarded to the leader. It returns once the change is committed.
 func (m *Member) modify(ctx context.Context, _ *http.Request, body api.RawBody) (api.Empty, error) {
 	call, err := config.ParseUpdate(body)
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// fetch reads the configuration, no older than anything that was acknowledged.
+// fetch reads the configuration, which holds every change that was acknowledged before.
 func (m *Member) fetch(ctx context.Context, _ *http.Request, _ api.Empty) (config.Document, error) {
 	done := make(chan replica.FetchResult, 1)
 	m.loop.post(func() {
@@ -115,8 +115,8 @@
 	}
 }
 
-// redirectToLeader returns the error that sends a caller to the leader; nil: this member leads. All members serve operators at the same
-// port.
+// redirectToLeader returns an error that redirects a caller to the leader, or nil if this member leads. All members serve operators at the
+// same port.
 func (m *Member) redirectToLeader(path string) error {
 	if m.replica.IsLeader() {
 		return nil
--- a/internal/mesh/controlplane/disk_contents.go
+++ b/internal/mesh/controlplane/disk_contents.go
@@ -13,7 +13,7 @@
 	"cranegrade/internal/mesh/storage"
 )
 
-// ErrEmptyDisk is the error of RecoverConfiguration where the data folder holds nothing.
+// ErrEmptyDisk is the error of RecoverConfiguration for an empty data folder.
 const ErrEmptyDisk = errors.ConstError("the data folder holds nothing")
 
 // DiskContents is what the data folder of a stopped member holds, with all of its log applied, committed or not.
@@ -52,8 +52,8 @@
 	return contents, nil
 }
 
-// RecoverConfiguration returns the call that brings back the configuration in a data folder, with all of its log applied, committed or not:
-// for a control plane of which more members were lost than it bears. The member must not run.
+// RecoverConfiguration returns the request that restores the configuration in a data folder, with all of its log applied, committed or not. It
+// is for a control plane that has lost more members than it tolerates. The member must not run.
 func RecoverConfiguration(dir string) (config.ModifyRequest, error) {
 	state, contents, err := readDataFolder(dir)
 	if err != nil {
@@ -96,7 +96,7 @@
 	_, _ = io.WriteString(w, c.String()) // as with fmt.Print, nobody reads it then
 }
 
-// String is the contents for people to read, a line for each.
+// String returns the contents for people to read, a line for each.
 func (c DiskContents) String() string {
 	if c.Empty {
 		return "empty\n"
--- a/internal/mesh/controlplane/environment.go
+++ b/internal/mesh/controlplane/environment.go
@@ -28,7 +28,7 @@
 	e.peers.link(address).send(raftwire.MessageToWire(message))
 }
 
-// Connect sees to it that a peer is connected, or being dialled.
+// Connect dials a peer unless it is connected or being dialled.
 func (e environment) Connect(address string) { e.peers.link(address).connect() }
 
 // CallReplica calls a peer. done runs on the loop's goroutine.
@@ -50,7 +50,7 @@
 	return replica.Reply{Status: int(reply.Status), Body: reply.Body}
 }
 
-// Save writes and syncs; it returns only once that is done, or the process is to end.
+// Save writes and syncs. It returns only once that has succeeded, or the process shuts down.
 func (e environment) Save(ready raft.Ready, last uint64) bool { return e.writer.save(ready, last) }
 
 // Compact replaces the log by a snapshot.
--- a/internal/mesh/controlplane/inbound.go
+++ b/internal/mesh/controlplane/inbound.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// serveRaw makes the handshake, and then serves the connection. One that makes none is dropped.
+// serveRaw completes the handshake and then serves the connection. If the handshake fails the connection is dropped.
 func (m *Member) serveRaw(raw net.Conn) {
 	connection, err := transport.Accept(raw, m.heartbeat)
 	if err != nil {
@@ -43,8 +43,8 @@
 	m.serveConnection(connection)
 }
 
-// heartbeat is made on the connections' goroutines, so that it says the truth when the loop's goroutine hangs, on its disk for
-// one: such a member is in contact with nobody.
+// heartbeat returns the content of heartbeats. It runs on the connections' goroutines, so that it is right also while the loop's goroutine
+// hangs, for instance on its disk: the member then has no quorum contact.
 func (m *Member) heartbeat() *wire.HeartbeatT {
 	return &wire.HeartbeatT{QuorumContact: replica.HasQuorumContact(time.Duration(m.quorumContact.Load()), m.clock.now())}
 }
@@ -88,12 +88,12 @@
 	m.peers.link(connection.Peer.Addr).dialNow()
 }
 
-// sendRecords sends a peer that was just connected what it may have missed.
+// sendRecords sends all records to a peer that has just been connected, since it may have missed some.
 func (m *Member) sendRecords(connection *transport.Conn) {
 	m.loop.post(func() { _ = connection.Send(directory.ToWire(m.replica.Records().All())) })
 }
 
-// stepMessage passes a consensus message on. One that can't be read is dropped, as a lost one.
+// stepMessage passes a Raft message to the replica. One that can't be decoded is dropped, which Raft treats as a lost message.
 func (m *Member) stepMessage(body *wire.RaftMessageT) {
 	message, err := raftwire.MessageFromWire(body)
 	if err != nil {
@@ -103,16 +103,16 @@
 	m.loop.post(func() { m.replica.Step(m.clock.now(), message) })
 }
 
-// mergeRecords merges endpoint records that a sidecar sent of itself, or another member passed on. Newer ones that are held here
-// are sent back.
+// mergeRecords merges records that a sidecar sent about itself, or that another member forwarded. If this member has newer ones of a sidecar,
+// they are sent back to it.
 func (m *Member) mergeRecords(records []directory.Record, from *transport.Conn, direct bool) {
 	for _, newer := range m.replica.MergeRecords(m.clock.now(), records, direct) {
 		_ = from.Send(directory.ToWire([]directory.Record{newer}))
 	}
 }
 
-// serveCall answers a call of a sidecar, a member or an observer. What has to be answered while the loop's goroutine hangs, and
-// what is slow to read, is not done there.
+// serveCall answers a call of a sidecar, a member or an observer. Calls that must be answered while the loop's goroutine hangs, and bodies that
+// are slow to parse, are handled on other goroutines.
 func (m *Member) serveCall(connection *transport.Conn, call *wire.CallT, fromSidecar bool) {
 	switch call.Kind {
 	case codec.CallLogRing:
@@ -128,8 +128,8 @@
 	}
 }
 
-// answerModify answers a modification that an operator asked another member for. Its body, which may be large, is read neither on the
-// loop's goroutine, which has heartbeats to answer, nor on the connection's, on which they come.
+// answerModify answers a configuration change that another member forwarded. Its body, which may be large, is parsed neither on the loop's
+// goroutine nor on the connection's, since both have to handle heartbeats in time.
 func (m *Member) answerModify(connection *transport.Conn, call *wire.CallT) {
 	reply := replyTo(connection, call.Id)
 	modification, err := config.ParseUpdate(call.Body)
@@ -140,7 +140,7 @@
 	m.loop.post(func() { m.replica.HandleModify(m.clock.now(), modification, reply) })
 }
 
-// replyTo sends the reply to a call, behind the message that has to be there first if there is one.
+// replyTo returns a function that sends the reply to a call, after the message that the caller needs first, if there is one.
 func replyTo(connection *transport.Conn, id uint64) func(replica.Reply) {
 	return func(reply replica.Reply) {
 		if reply.Push != nil {
--- a/internal/mesh/controlplane/initial_orders.go
+++ b/internal/mesh/controlplane/initial_orders.go
@@ -12,7 +12,7 @@
 	"cranegrade/internal/mesh/replica"
 )
 
-// initialOrders are contracts and orders of a file, which the leader places once there is a configuration.
+// initialOrders is a file of contracts and orders, which the leader places once there is a configuration.
 type initialOrders struct {
 	Contracts json.RawMessage `json:"Contracts"` // the body of a call of pathModify
 	Orders    []initialOrder  `json:"Orders"`
@@ -49,8 +49,8 @@
 	return orders, nil
 }
 
-// placeInitialOrders places contracts, and then the orders one at a time. Whoever leads later may do so again: an order that is placed
-// twice under one ID is one.
+// placeInitialOrders places the contracts, and then the orders one at a time. A later leader may do so again, since placing an order with the
+// same ID twice has no effect.
 func (c *maintenanceController) placeInitialOrders(now time.Duration) {
 	initial := c.initial
 	if initial == nil || c.replica.State().Items.Len() == 0 {
--- a/internal/mesh/controlplane/loop.go
+++ b/internal/mesh/controlplane/loop.go
@@ -4,7 +4,7 @@
 
 const (
 	taskQueueLength = 1024
-	maxTasksPerTurn = 256 // that run between two turns of the replica
+	maxTasksPerTurn = 256 // that run between two calls of Replica.ProcessReady
 )
 
 // eventLoop runs tasks one after the other on the goroutine of Member.Run, which owns the replica and the store. Other goroutines
@@ -18,7 +18,7 @@
 	return &eventLoop{tasks: make(chan func(), taskQueueLength), stopped: make(chan struct{})}
 }
 
-// post has a task run on the loop's goroutine. It waits while the queue is full; after stop it does nothing.
+// post queues a task for the loop's goroutine. It blocks while the queue is full; after stop it may drop the task.
 func (l *eventLoop) post(task func()) {
 	select {
 	case l.tasks <- task:
@@ -39,7 +39,7 @@
 	}
 }
 
-// stop has whoever posts from now on go away empty-handed. It is called once.
+// stop makes post return without queueing from now on. It is called once.
 func (l *eventLoop) stop() { close(l.stopped) }
 
 // clock is a member's view of time. The zero offset is right outside of tests.
@@ -48,8 +48,8 @@
 	offset  time.Duration // of the time of day, for fault drills with clocks that are wrong; set before Run
 }
 
-// now is the monotonic time since the process started. The replica and all time-outs go by it.
+// now returns the monotonic time since the process started. The replica and all time-outs use it.
 func (c *clock) now() time.Duration { return time.Since(c.started) }
 
-// wall is the time of day, as far as this machine knows it. Only maintenance in approved hours goes by it.
+// wall returns the time of day of this machine. Only approved maintenance windows depend on it.
 func (c *clock) wall() time.Time { return time.Now().Add(c.offset) }
--- a/internal/mesh/controlplane/maintenance.go
+++ b/internal/mesh/controlplane/maintenance.go
@@ -19,17 +19,17 @@
 
 const (
 	clockInterval     = 5 * time.Second // between two times of day that are committed
-	silenceTimeout    = 5 * time.Second // after which a sidecar that does not answer is waited for no longer
+	silenceTimeout    = 5 * time.Second // after which an order no longer waits for a sidecar that does not answer
 	downloadAllowance = 10 * time.Second
-	maintenanceMargin = 10 * time.Second // that stays before a window ends
+	maintenanceMargin = 10 * time.Second // to keep free before a window ends
 	warmUpTime        = 3 * time.Second
 )
 
 const textAnotherOrderBegins = "another order begins"
 
-// maintenanceController carries out maintenance orders while this member leads: it surveys the mesh, has the time of day committed,
-// and takes each open order one step further when the plan of internal/mesh/maintenance allows it. Nothing of it runs where there are
-// neither contracts nor orders. It belongs to the loop's goroutine.
+// maintenanceController carries out maintenance orders while this member leads: it surveys the mesh, commits the agreed time of day, and
+// advances each open order by one step when the plan of internal/mesh/maintenance allows it. It is idle while there are neither contracts
+// nor orders. It belongs to the loop's goroutine.
 type maintenanceController struct {
 	log      zerolog.Logger
 	settings *atomic.Pointer[settings.Settings]
@@ -39,18 +39,18 @@
 	self     string         // this member's address
 	initial  *initialOrders // nil: none
 
-	contracts      []maintenance.Contract // as of the change contractsIndex
+	contracts      []maintenance.Contract // as of the entry contractsIndex
 	contractsIndex uint64
 	timeAgreedAt   time.Duration // when this leader last proposed a time of day; 0: never
-	trustClocks    bool          // an operator says that the clocks are right, whatever was committed before
+	trustClocks    bool          // an operator has confirmed that the clocks are right, whatever was committed before
 	readySince     map[string]time.Duration
 	waitingFor     map[string]string // by order: what it waits for
-	// pending are the steps that were proposed under this leadership and are not decided: nothing is decided on a book of orders that
-	// is about to change.
+	// pending is how many steps were proposed in this leadership and are neither applied nor lost. No step is decided meanwhile, since it
+	// would be based on orders that are about to change.
 	pending, leadership int
 }
 
-// tick sees to orders and to the committed time of day.
+// tick starts a survey if orders or the committed time of day need one.
 func (c *maintenanceController) tick(now time.Duration) {
 	if !c.replica.IsLeader() {
 		c.stepDown()
@@ -72,14 +72,14 @@
 	}
 }
 
-// stepDown forgets what a leader knows.
+// stepDown discards the state of a leader.
 func (c *maintenanceController) stepDown() {
 	c.survey.forget()
 	c.readySince, c.timeAgreedAt, c.trustClocks = nil, 0, false
 	c.pending, c.leadership = 0, c.leadership+1
 }
 
-// currentContracts are the contracts in the configuration, read anew only where an item has changed since.
+// currentContracts returns the contracts in the configuration. They are decoded again only after an item has changed.
 func (c *maintenanceController) currentContracts() []maintenance.Contract {
 	state := c.replica.State()
 	if state.ItemsIndex != c.contractsIndex {
@@ -94,7 +94,7 @@
 			continue
 		}
 		var contract maintenance.Contract
-		if json.Unmarshal(item.Body, &contract) == nil { // what was committed was checked before
+		if json.Unmarshal(item.Body, &contract) == nil { // contracts are validated before they are committed
 			contracts = append(contracts, contract)
 		}
 	}
@@ -127,14 +127,14 @@
 	c.propose(replica.MaintenanceClock, agreed, func(error) {})
 }
 
-// agreedTime is what time of day it may be; false: none was committed in this term.
-func (c *maintenanceController) agreedTime() (maintenance.TimeBounds, bool) {
+// agreedTime returns the bounds of the time of day. ok is false if none was committed in this term.
+func (c *maintenanceController) agreedTime() (bounds maintenance.TimeBounds, ok bool) {
 	state := &c.replica.State().Maintenance
 	return state.Clock.Now(c.replica.LogTime(c.clock.now())), state.Clock.IsKnown() && state.ClockTerm == c.replica.Term()
 }
 
-// propose has a change of the maintenance state committed. done is called once, on the loop's goroutine, with the error of applying it,
-// or an api.Error where its fate is not known.
+// propose proposes a change of the maintenance state. done is called once, on the loop's goroutine: with the error of applying the change, or
+// with an api.Error if it is not known whether the change was committed.
 func (c *maintenanceController) propose(kind byte, change any, done func(error)) {
 	text, err := json.Marshal(change)
 	if err != nil {
@@ -154,14 +154,14 @@
 	}
 }
 
-// advanceOrders takes each open order one step further, if it can go.
+// advanceOrders proposes the next step of each open order that does not have to wait.
 func (c *maintenanceController) advanceOrders() {
 	if !c.replica.IsReadyLeader() || c.pending > 0 {
 		return
 	}
 	now, known := c.agreedTime()
 	c.waitingFor = map[string]string{}
-	draining := false // one machine at a time begins to drain: the next plan has to know of it
+	draining := false // only one machine at a time begins to drain, since the plan for the next has to take it into account
 	for _, order := range c.replica.State().Maintenance.Orders.Open() {
 		if !known {
 			c.waitingFor[order.ID] = maintenance.ErrNoAgreedTime.Error()
@@ -180,7 +180,7 @@
 	}
 }
 
-// proposeStep proposes the next step of an order. Until it is decided on, no other is.
+// proposeStep proposes the next step of an order. No other step is decided until this one is applied or lost.
 func (c *maintenanceController) proposeStep(order maintenance.Order, change maintenance.OrderChange) {
 	c.log.Info().Str("order_id", order.ID).Str("machine", order.CurrentMachine()).Str("step", string(change.Step)).Str("reason", change.Text).
 		Msg("maintenance step proposed")
--- a/internal/mesh/controlplane/maintenance_api.go
+++ b/internal/mesh/controlplane/maintenance_api.go
@@ -18,8 +18,8 @@
 	textLeaderChanged = "another leader took over; it may still be committed"
 )
 
-// MaintenanceRequest is an operator's request: a plan for a machine, a new order, a change of one, or only how orders are. What it
-// does not name is left out. The JSON names are those of the former release.
+// MaintenanceRequest is an operator's request: for the plan of a machine, to place an order, to change one, or only for the state of all
+// orders. Fields that do not apply are left empty. The JSON names are those of the former release.
 type MaintenanceRequest struct {
 	Machine       string                   `json:"Machine,omitempty" validate:"max=256"`
 	Order         *maintenance.Order       `json:"Order,omitempty"`
@@ -27,7 +27,7 @@
 	By            string                   `json:"By,omitempty" validate:"max=128"`
 	LengthSeconds float64                  `json:"LengthS,omitempty" validate:"gte=0,lte=86400"`
 	Machines      []string                 `json:"Machines,omitempty" validate:"max=256"`
-	TrustClocks   bool                     `json:"Trust,omitempty"` // with By: the members' clocks are right, whatever was committed before
+	TrustClocks   bool                     `json:"Trust,omitempty"` // By confirms that the members' clocks are right, whatever was committed before
 }
 
 // MaintenanceResponse is the leader's answer.
@@ -48,7 +48,7 @@
 		done(apiResult[MaintenanceResponse]{err: api.NewError(http.StatusServiceUnavailable, textNotLeader)})
 		return
 	}
-	if c.survey.status == nil && !c.survey.running { // the members' names may not be known yet
+	if c.survey.status == nil && !c.survey.running { // the names of members are only known from a survey
 		c.survey.start(func() {
 			c.agreeTime()
 			c.answer(request, done)
@@ -72,7 +72,7 @@
 	}
 }
 
-// response is how orders are, and what the request asks for besides.
+// response returns the state of all orders, and what else the request asks for.
 func (c *maintenanceController) response(request MaintenanceRequest) MaintenanceResponse {
 	state := &c.replica.State().Maintenance
 	response := MaintenanceResponse{ClocksDisagree: state.Clock.InDoubt, Orders: state.Orders.Orders, WaitingFor: c.waitingFor, Leader: c.self}
@@ -92,7 +92,7 @@
 	return response
 }
 
-// toAPIError makes a conflict of an error that has no status of its own.
+// toAPIError returns an error with an HTTP status: its own, or StatusConflict if it has none.
 func toAPIError(err error) error {
 	var withStatus *api.Error
 	if err == nil || errors.As(err, &withStatus) {
@@ -101,7 +101,7 @@
 	return api.NewError(http.StatusConflict, err.Error())
 }
 
-// acceptClocks has the time of day committed anew, by the clocks alone.
+// acceptClocks commits a new time of day based on the clocks alone, without regard to the one before.
 func (c *maintenanceController) acceptClocks(by string, respond func(error)) {
 	if by == "" {
 		respond(api.NewError(http.StatusBadRequest, textNoName))
@@ -115,7 +115,7 @@
 	})
 }
 
-// placeOrder has a new order committed, its machines in the sequence in which they may be drained.
+// placeOrder proposes a new order, with its machines in the sequence in which they may be drained.
 func (c *maintenanceController) placeOrder(order maintenance.Order, respond func(error)) {
 	order.Machines = c.meshView("").Sequence(c.addressesOf(order.Machines), c.self)
 	order.MachineNames = nil
@@ -131,7 +131,7 @@
 	c.propose(replica.MaintenanceOrder, order, respond)
 }
 
-// changeOrder has an operator's change of an order committed.
+// changeOrder proposes an operator's change of an order.
 func (c *maintenanceController) changeOrder(change maintenance.OrderChange, respond func(error)) {
 	if change.ApprovedBy != "" {
 		order, _ := c.replica.State().Maintenance.Orders.Find(change.OrderID)
@@ -143,7 +143,7 @@
 	c.propose(replica.MaintenanceUpdate, change, respond)
 }
 
-// confirmAndPlan answers from what this member holds once a quorum has confirmed that it still leads; a plan is made on a new survey.
+// confirmAndPlan answers from this member's state, once a quorum has confirmed that it still leads. A plan is based on a new survey.
 func (c *maintenanceController) confirmAndPlan(request MaintenanceRequest, respond func(error), done func(apiResult[MaintenanceResponse])) {
 	c.replica.ReadIndex(c.clock.now(), func(read replica.ReadIndexResult) {
 		switch {
@@ -160,7 +160,7 @@
 	})
 }
 
-// addressOf is the address of the machine with a name; that name, if no machine has it.
+// addressOf returns the address of the machine with a name, or the name itself if no machine has it.
 func (c *maintenanceController) addressOf(name string) string {
 	for _, record := range c.replica.Records().All() {
 		if record.Node == name {
@@ -175,7 +175,7 @@
 	return name
 }
 
-// addressesOf is addressOf of each name, in a new slice.
+// addressesOf returns the result of addressOf for each name, in a new slice.
 func (c *maintenanceController) addressesOf(names []string) []string {
 	addresses := slices.Clone(names)
 	for i, name := range names {
@@ -184,7 +184,7 @@
 	return addresses
 }
 
-// nameOf is the name of the machine at an address; that address, if it is not known.
+// nameOf returns the name of the machine at an address, or the address itself if the machine is not known.
 func (c *maintenanceController) nameOf(address string) string {
 	if record, ok := c.replica.Records().Get(address); ok {
 		return record.Node
--- a/internal/mesh/controlplane/member.go
+++ b/internal/mesh/controlplane/member.go
@@ -29,10 +29,10 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Times of a member that is to end.
+// Times of a graceful shutdown.
 const (
-	minLeaveTime = 400 * time.Millisecond // so that another leads, and what was accepted is answered
-	maxLeaveTime = 2 * time.Second        // however far the members that stay lag
+	minLeaveTime = 400 * time.Millisecond // for another member to become leader, and for accepted calls to be answered
+	maxLeaveTime = 2 * time.Second        // even if the members that stay lag behind
 )
 
 // Errors of New.
@@ -68,8 +68,8 @@
 	policies    policyActivator
 }
 
-// New opens the store and the listeners. initialOrders names a file of contracts and maintenance orders that are placed once there is
-// a configuration; "": none.
+// New opens the store and the listeners. initialOrders names a file of contracts and maintenance orders to place once there is a
+// configuration; "": none.
 func New(set settings.Settings, log zerolog.Logger, ring *logring.Ring, initialOrders string) (_ *Member, err error) {
 	if set.DataDir == "" {
 		return nil, ErrNoDataDir
@@ -100,7 +100,7 @@
 	return m, nil
 }
 
-// release gives back what a member holds that does not come to run.
+// release frees the resources of a member that New could not complete.
 func (m *Member) release() {
 	m.cancel()
 	if m.transportListener != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// wire connects the parts that don't hang on the store.
+// wire connects the parts that do not depend on the store.
 func (m *Member) wire(orders *initialOrders) {
 	m.peers.ctx, m.peers.log, m.peers.hello = m.ctx, m.log, m.hello
 	m.peers.onConnected, m.peers.onRefused = m.sendRecords, m.peerRefused
@@ -159,23 +159,23 @@
 	return nil
 }
 
-// newID draws the ID of a member that has none. Odd IDs are those of founders.
+// newID returns a random ID for a member that has none. Odd IDs are reserved for the members of a bootstrap.
 func newID() raft.ID {
 	var random [8]byte
 	crand.Read(random[:])
 	return raft.ID(binary.LittleEndian.Uint64(random[:]) &^ 1)
 }
 
-// Addr is the address at which other members and sidecars reach it.
+// Addr returns the address at which other members and sidecars reach this one.
 func (m *Member) Addr() string { return m.self.Addr }
 
-// SetClockOffset has its time of day be wrong by an offset, for fault drills. It is called before Run.
+// SetClockOffset makes the time of day wrong by an offset, for fault drills. It has to be called before Run.
 func (m *Member) SetClockOffset(offset time.Duration) { m.clock.offset = offset }
 
-// Reload takes settings that have changed. Addresses stay those of the start.
+// Reload applies changed settings. Changes of addresses only take effect at the next start. Any goroutine may call it.
 func (m *Member) Reload(set settings.Settings) { m.settings.Store(&set) }
 
-// Run serves until ctx ends, and then until what was accepted is answered and another member leads, within maxLeaveTime.
+// Run serves until ctx ends, and then until accepted calls are answered and another member leads, but no longer than maxLeaveTime.
 func (m *Member) Run(ctx context.Context) error {
 	defer m.background.Wait()
 	defer m.cancel()
@@ -186,19 +186,19 @@
 	ticker := time.NewTicker(replica.TickInterval)
 	defer ticker.Stop()
 	terminate := ctx.Done()
-	leaving := time.Duration(-1) // since when; -1: it is not
+	leaving := time.Duration(-1) // when the shutdown began; -1: it has not
 	for leaving < 0 || !m.canStop(m.clock.now()-leaving) {
 		select {
 		case task := <-m.loop.tasks:
 			m.loop.runBatch(task)
 		case <-ticker.C:
-			m.tick() //nolint:contextcheck // what is begun there ends with m.ctx, after Run's ctx: what was accepted is answered first
+			m.tick() //nolint:contextcheck // what it starts ends with m.ctx, after Run's ctx, so that accepted calls are answered first
 		case <-terminate:
 			leaving = m.clock.now()
 			m.replica.BeginShutdown(leaving)
 			terminate = nil
 		}
-		if !m.replica.ProcessReady() { // the disk takes nothing, and the process is to end: nothing more can be acknowledged
+		if !m.replica.ProcessReady() { // the disk rejects writes during the shutdown, so nothing more can be acknowledged
 			break
 		}
 		m.quorumContact.Store(int64(m.replica.QuorumContact()))
@@ -214,7 +214,7 @@
 	}
 }
 
-// canStop says whether a member that was told to end some time ago may stop.
+// canStop reports whether a member may stop after shutting down for some time.
 func (m *Member) canStop(leavingFor time.Duration) bool {
 	limit := min(maxLeaveTime, m.settings.Load().Bounds.GraceS.Duration()/2)
 	return leavingFor >= limit || leavingFor >= minLeaveTime && m.replica.CanShutDown()
@@ -228,7 +228,7 @@
 	m.writer.store.Close()
 }
 
-// tick lets time pass.
+// tick does what is due by time.
 func (m *Member) tick() {
 	m.replica.SetSeeds(m.settings.Load().SeedAddresses())
 	now := m.clock.now()
@@ -242,13 +242,13 @@
 	return &wire.HelloT{Name: m.settings.Load().NodeName, Addr: m.self.Addr, ControlPlane: true, MemberId: uint64(m.self.ID)}
 }
 
-// peerRefused is called when the host of a peer refused a connection: its process has ended.
+// peerRefused is called when the host of a peer has refused a connection, which means that its process has ended. Any goroutine may call it.
 func (m *Member) peerRefused(address string) {
 	m.loop.post(func() { m.peerGone(address) })
 }
 
-// peerGone passes on that the process at an address has ended, and has time pass again when an election is due: the regular ticks
-// are too far apart for that. It belongs to the loop's goroutine.
+// peerGone reports to the replica that the process at an address has ended. If that was the leader, it schedules a tick for when the election is
+// due, since the regular ticks are too far apart. It belongs to the loop's goroutine.
 func (m *Member) peerGone(address string) {
 	wait, wasLeader := m.replica.PeerExited(m.clock.now(), address)
 	if !wasLeader {
--- a/internal/mesh/controlplane/mesh_view.go
+++ b/internal/mesh/controlplane/mesh_view.go
@@ -16,7 +16,7 @@
 
 const maxWaitsNamed = 3 // of the sidecars that an order waits for
 
-// meshView is the mesh as a plan sees it. Of the machines that are out, that of the order except is left aside.
+// meshView returns the mesh as the input of a plan. The machine of the order except does not count as in maintenance.
 func (c *maintenanceController) meshView(except string) maintenance.View {
 	state := c.replica.State()
 	view := maintenance.View{Contracts: c.currentContracts(), Parameters: c.drainParameters(), Load: map[string]float64{}}
@@ -82,7 +82,7 @@
 	}
 }
 
-// observe is what the latest survey saw of the machine that an order is at.
+// observe returns what the latest survey found out about the current machine of an order.
 func (c *maintenanceController) observe(order maintenance.Order) maintenance.Observation {
 	address := order.CurrentMachine()
 	status := c.survey.status[address]
@@ -136,7 +136,7 @@
 	return senders
 }
 
-// isWarm says whether a machine has been ready without a break for warmUpTime.
+// isWarm reports whether a machine has been ready without a break for warmUpTime.
 func (c *maintenanceController) isWarm(address string, ready bool) bool {
 	if !ready {
 		delete(c.readySince, address)
@@ -153,7 +153,7 @@
 	return false
 }
 
-// describeWork words what runs at a sidecar's server, and how what ran there has ended.
+// describeWork describes for operators what runs at a sidecar's server, and how earlier requests there have ended.
 func describeWork(status *wire.StatusT) string {
 	var open, ended []string
 	for _, work := range status.Work {
--- a/internal/mesh/controlplane/peer_link.go
+++ b/internal/mesh/controlplane/peer_link.go
@@ -17,16 +17,16 @@
 const (
 	maxPendingFrames = 32
 	redialInterval   = 200 * time.Millisecond
-	// A peer whose connection has just ended is dialled anew after quickRedialDelay, then each time after twice as long, up to
-	// maxQuickRedials times in a row: only a refused dial tells an ended process from a broken connection.
+	// A peer whose connection has just ended is dialled again after quickRedialDelay, then each time after twice as long, up to
+	// maxQuickRedials times in a row. Only a refused dial distinguishes a process that has ended from a broken connection.
 	quickRedialDelay = 5 * time.Millisecond
 	maxQuickRedials  = 5
 )
 
-// errNotConnected is the error of a call to a peer that there is no connection to.
+// errNotConnected is the error of a call to a peer without a connection.
 const errNotConnected = jujuerrors.ConstError("no connection to the leader")
 
-// peerLink is the outgoing connection to another member. It is dialled when there is something to send, and then kept.
+// peerLink is the outgoing connection to another member. It is dialled when there is something to send, and then kept open.
 type peerLink struct {
 	peers   *peerSet
 	address string
@@ -36,10 +36,10 @@
 	dialing      bool
 	noDialBefore time.Time
 	quickRedials int      // in a row since a connection ended
-	pending      [][]byte // the latest frames that were to be sent during the dial
+	pending      [][]byte // the latest frames to send once the dial has succeeded
 }
 
-// connect returns the connection; nil: there is none, and one is being dialled unless the last dial has only just failed.
+// connect returns the connection. If there is none it returns nil, and starts a dial unless one is in progress or has only just failed.
 func (l *peerLink) connect() *transport.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// dialNow dials at once where there is no connection: the peer has just shown that it runs.
+// dialNow dials at once if there is no connection, although the last dial may just have failed: the peer has shown that it runs.
 func (l *peerLink) dialNow() {
 	l.mu.Lock()
 	l.noDialBefore = time.Time{}
@@ -61,7 +61,7 @@
 	l.connect()
 }
 
-// run dials, and then receives until the connection ends.
+// run dials, and then receives until the connection ends. It runs on a goroutine of its own, which ends with the connection.
 func (l *peerLink) run() {
 	connection, err := transport.Dial(l.peers.ctx, l.address, l.peers.hello(), nil)
 	l.dialed(connection, err)
@@ -87,7 +87,7 @@
 	}
 }
 
-// dialed takes the outcome of a dial, and sends the frames that waited for it.
+// dialed records the outcome of a dial, and sends the frames that waited for it.
 func (l *peerLink) dialed(connection *transport.Conn, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,8 +104,8 @@
 	l.connection = connection
 }
 
-// connectionEnded is called when an established connection has ended. A redial tells whether the peer's process has ended, too,
-// or only the connection. The number of redials in a row is bounded, for a peer may accept and close again and again.
+// connectionEnded is called when an established connection has ended. It schedules a redial to find out whether the peer's process has ended
+// too. The number of such redials in a row is bounded, since a peer may accept and close connections again and again.
 func (l *peerLink) connectionEnded(lasted time.Duration) {
 	l.mu.Lock()
 	if lasted > redialInterval {
@@ -122,13 +122,13 @@
 	time.AfterFunc(delay, func() { l.connect() })
 }
 
-// isConnectionRefused says that a dial failed because the peer's host refused it: no process listens there.
+// isConnectionRefused reports whether a dial failed because no process listens at the address.
 func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// send sends a message; it may be lost.
+// send sends a message, which may be lost.
 func (l *peerLink) send(message any) { l.sendFrame(codec.Encode(message)) }
 
-// sendFrame sends a frame, or keeps it while the peer is being dialled.
+// sendFrame sends a frame, or queues it while the peer is being dialled.
 func (l *peerLink) sendFrame(frame []byte) {
 	if connection := l.connect(); connection != nil {
 		_ = connection.SendFrame(frame)
--- a/internal/mesh/controlplane/peers.go
+++ b/internal/mesh/controlplane/peers.go
@@ -10,11 +10,11 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// peerSet is the links to other members, by address. Its methods may be called by any goroutine.
+// peerSet holds the links to other members, by address. Any goroutine may call its methods.
 type peerSet struct {
 	ctx   context.Context // of dials: ends with the member
 	log   zerolog.Logger
-	hello func() *wire.HelloT // with which this member introduces itself
+	hello func() *wire.HelloT // introduces this member
 	// onConnected and onRefused are called by a link's own goroutine: when it is connected, and when the peer's host refused the
 	// connection.
 	onConnected func(*transport.Conn)
@@ -25,7 +25,7 @@
 	links map[string]*peerLink
 }
 
-// link returns the link to the member at an address, which is made if there is none.
+// link returns the link to the member at an address, and creates it if there is none.
 func (s *peerSet) link(address string) *peerLink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/controlplane/policy_activation.go
+++ b/internal/mesh/controlplane/policy_activation.go
@@ -14,11 +14,11 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Notice tells an owner what another's change did to a policy of theirs.
+// Notice tells an owner what a change by another owner did to one of their policies.
 type Notice = replica.Notice
 
-// policyActivator has a committed set of policies become active once the sidecars hold it, while this member leads. It belongs to the
-// loop's goroutine.
+// policyActivator activates a committed policy set once the sidecars have received it, while this member leads. It belongs to the loop's
+// goroutine.
 type policyActivator struct {
 	log     zerolog.Logger
 	clock   *clock
@@ -29,7 +29,7 @@
 	pending pendingActivation
 }
 
-// pendingActivation is the set that waits to become active; the zero value: none does.
+// pendingActivation is the policy set that waits to become active. The zero value stands for none.
 type pendingActivation struct {
 	policySet  string // its fingerprint
 	term       uint64
@@ -53,7 +53,7 @@
 	}
 }
 
-// activate proposes that the pending set becomes active, if what the sidecars said in the latest survey allows it.
+// activate proposes to activate the pending set, if the sidecars' answers to the latest survey allow it.
 func (a *policyActivator) activate() {
 	rollout := a.replica.State().Policy.Rollout
 	if !a.replica.IsReadyLeader() || a.pending.policySet != rollout.Agreed || a.pending.proposed || !rollout.IsPending() {
@@ -73,7 +73,7 @@
 	}
 }
 
-// surveyed is which set each sidecar said that it holds.
+// surveyed returns which set each sidecar has received, according to the latest survey.
 func (a *policyActivator) surveyed() (sidecars []policy.SidecarReport) {
 	for _, record := range a.replica.Records().All() {
 		status := a.survey.status[record.Addr]
--- a/internal/mesh/controlplane/sidecars.go
+++ b/internal/mesh/controlplane/sidecars.go
@@ -2,7 +2,7 @@
 
 import "cranegrade/internal/mesh/transport"
 
-// sidecarSet is the connections of sidecars, and of whoever else only looks. It belongs to the loop's goroutine.
+// sidecarSet holds the connections of sidecars and of observers. It belongs to the loop's goroutine.
 type sidecarSet struct {
 	connections map[*transport.Conn]bool
 }
@@ -22,7 +22,7 @@
 	}
 }
 
-// addresses are those of the sidecars. A connection without an address is of somebody who only looks.
+// addresses returns the addresses of the connected sidecars. Observers have none.
 func (s *sidecarSet) addresses() (addresses []string) {
 	for connection := range s.connections {
 		if address := connection.Peer.Addr; address != "" {
--- a/internal/mesh/controlplane/status.go
+++ b/internal/mesh/controlplane/status.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// statusTimeout is how long the loop's goroutine may take until a member says that it hangs.
+	// statusTimeout is how long the loop's goroutine may take before a member reports that it hangs.
 	statusTimeout = 500 * time.Millisecond
 	textHangs     = "it hangs, on its disk as a rule"
 )
 
-// answerStatus says how this member is, also where the loop's goroutine hangs, on its disk for one.
+// answerStatus answers a call for this member's status, also while the loop's goroutine hangs, for instance on its disk. Its goroutines end
+// within statusTimeout, or with the loop; Run does not wait for them, since they would delay its end.
 func (m *Member) answerStatus(connection *transport.Conn, id uint64) {
 	done := make(chan *wire.StatusT, 1)
 	go m.loop.post(func() { done <- m.status() })
@@ -31,7 +32,7 @@
 	}()
 }
 
-// hangingStatus is what can be said without the loop's goroutine.
+// hangingStatus returns the part of the status that is known without the loop's goroutine.
 func (m *Member) hangingStatus() *wire.StatusT {
 	set := m.settings.Load()
 	fault := m.writer.fault()
@@ -41,7 +42,7 @@
 	return &wire.StatusT{Name: set.NodeName, Addr: m.self.Addr, Zone: set.Zone, ControlPlane: true, MemberId: uint64(m.self.ID), Fault: fault}
 }
 
-// status is how this member is. It belongs to the loop's goroutine.
+// status returns the status of this member. It belongs to the loop's goroutine.
 func (m *Member) status() *wire.StatusT {
 	set := m.settings.Load()
 	state := m.replica.State()
--- a/internal/mesh/controlplane/store.go
+++ b/internal/mesh/controlplane/store.go
@@ -14,20 +14,20 @@
 const (
 	diskRetryInterval = 100 * time.Millisecond
 	diskRetriesPerLog = 10 // of the attempts at a write in a row, one in so many is logged
-	maxDiscards       = 50 // of a damaged store in a row, before the member gives up
+	maxDiscards       = 50 // of a corrupted store in a row, before the member gives up
 )
 
 // openedStore is a store and what it held when it was opened.
 type openedStore struct {
 	store   *storage.Store
 	held    raft.StoredState
-	empty   bool // it has to be initialized by Begin
-	damaged bool // what it held was discarded
+	empty   bool // it has to be initialized
+	damaged bool // it was corrupted, and its contents were discarded
 }
 
-// openStore opens the store in a folder. A damaged one counts as a lost disk: it is discarded and begun anew, since the other
-// members hold what was committed. One that can't be opened for now, as on a full disk, is waited for however long that takes:
-// what it holds may be the only copy left.
+// openStore opens the store in a folder. A corrupted store is treated like a lost disk: it is discarded and created again, since the other
+// members hold everything committed. If the store is unavailable, for instance because the disk is full, openStore retries without a
+// limit, since the store may hold the only copy left.
 func openStore(folder storage.Folder, log zerolog.Logger) (opened openedStore, err error) {
 	for discards := 0; ; {
 		opened.store, opened.held, opened.empty, err = storage.OpenFolder(folder, storage.Options{})
@@ -50,7 +50,7 @@
 	}
 }
 
-// initialize writes the first state to an empty store. It waits for a disk that takes no writes.
+// initialize writes the first state to an empty store. It retries until the disk accepts it.
 func (o *openedStore) initialize(held raft.StoredState, log zerolog.Logger) {
 	o.held = held
 	for {
@@ -66,7 +66,7 @@
 	}
 }
 
-// stateWriter writes what the replica wants on disk. Its methods belong to the loop's goroutine, apart from fault.
+// stateWriter writes the replica's state to disk. Its methods belong to the loop's goroutine, except for fault.
 type stateWriter struct {
 	store       *storage.Store
 	log         zerolog.Logger
@@ -74,8 +74,8 @@
 	diskFault   atomic.Pointer[string]
 }
 
-// save retries until the disk has taken it or the process is to end: without its disk a member may acknowledge nothing.
-// False: it is not on disk.
+// save writes and syncs what ready needs on disk. It retries until that succeeds or the process shuts down, because without its disk a member
+// may not acknowledge anything. It returns false if the state is not on disk.
 func (w *stateWriter) save(ready raft.Ready, last uint64) bool {
 	for attempt := 0; ; attempt++ {
 		err := w.store.Save(ready, last)
@@ -100,7 +100,7 @@
 	}
 }
 
-// compact has a snapshot replace the log behind it. A failure is logged only: the longer log says the same.
+// compact replaces the log up to a snapshot by the snapshot. A failure is only logged, since the longer log holds the same state.
 func (w *stateWriter) compact(snapshot raft.Snapshot, kept uint64) {
 	err := w.store.Compact(snapshot, kept)
 	if err == nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-// fault says why the last write failed; "": it did not. Any goroutine may call it.
+// fault returns why the last write failed; "": it did not. Any goroutine may call it.
 func (w *stateWriter) fault() string {
 	if text := w.diskFault.Load(); text != nil {
 		return *text
--- a/internal/mesh/controlplane/survey.go
+++ b/internal/mesh/controlplane/survey.go
@@ -26,29 +26,29 @@
 	replica     *replica.Replica
 	self        string // this member's address
 	ownStatus   func() *wire.StatusT
-	done        func() // called after each survey, behind what it was asked for
+	done        func() // called after each survey, once its own continuation has run
 	background  *sync.WaitGroup
 	connections statusConnections
 
-	startedAt time.Duration // the latest survey
+	startedAt time.Duration // of the latest survey
 	running   bool
-	status    map[string]*wire.StatusT  // by address, of those that answered; nil: there was none
+	status    map[string]*wire.StatusT  // by address, of the processes that answered the latest survey; nil: there was none
 	samples   []maintenance.ClockSample // of members' clocks
-	lastHeard map[string]time.Duration  // when each answered last
+	lastHeard map[string]time.Duration  // when each process last answered
 }
 
-// due says that it is time for another survey.
+// due reports whether it is time for another survey.
 func (s *surveyor) due(now time.Duration) bool {
 	return !s.running && now-s.startedAt >= surveyInterval
 }
 
-// forget drops what was seen: this member does not lead.
+// forget discards the results of surveys, because this member does not lead.
 func (s *surveyor) forget() {
 	s.connections.close()
 	s.status, s.samples = nil, nil
 }
 
-// start begins a survey. then runs on the loop's goroutine once it is complete.
+// start begins a survey. It calls then on the loop's goroutine once the survey is complete.
 func (s *surveyor) start(then func()) {
 	s.running, s.startedAt = true, s.clock.now()
 	var addresses []string
@@ -81,7 +81,7 @@
 	samples []maintenance.ClockSample
 }
 
-// ask asks all processes side by side. It runs on a goroutine of its own.
+// ask asks all processes for their status, in parallel. It runs on a goroutine of its own.
 func (s *surveyor) ask(addresses []string, memberIDs map[string]uint64, own *wire.StatusT) *findings {
 	ctx, cancel := context.WithTimeout(s.ctx, surveyTimeout)
 	defer cancel()
@@ -104,7 +104,7 @@
 	return found
 }
 
-// add takes a status, and a member's clock with it: what it showed is taken as of half of the round trip.
+// add records a status and, if it is of a member, a sample of its clock, which is assumed to have been read in the middle of the round trip.
 func (f *findings) add(address string, status *wire.StatusT, memberID uint64, asked, answered time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// take makes a survey the latest.
+// take makes findings the results of the latest survey.
 func (s *surveyor) take(found *findings) {
 	s.running, s.status, s.samples = false, found.status, found.samples
 	if s.lastHeard == nil || len(s.lastHeard) > maxLastHeard {
@@ -127,13 +127,13 @@
 	}
 }
 
-// statusConnections are connections to sidecars and members that are kept between surveys. Any goroutine may use it.
+// statusConnections holds the connections to sidecars and members, which are kept between surveys. Any goroutine may use it.
 type statusConnections struct {
 	mu        sync.Mutex // guards below
 	byAddress map[string]*transport.Client
 }
 
-// status asks one process, over the connection that there is or a new one.
+// status asks one process for its status, over an existing connection or a new one.
 func (c *statusConnections) status(ctx context.Context, address string) (*wire.StatusT, error) {
 	connection, err := c.connect(ctx, address)
 	if err != nil {
--- a/internal/mesh/replica/bootstrap.go
+++ b/internal/mesh/replica/bootstrap.go
@@ -7,17 +7,17 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// Bootstrap decides what a replica on an empty disk begins as.
+// Bootstrap decides the first state of a replica with an empty disk.
 type Bootstrap struct {
 	Address    string
 	Seeds      []string
-	FirstStart bool    // of the whole deployment: the seeds are its founders
-	Damaged    bool    // there was a disk, and it can't be read
+	FirstStart bool    // of the whole deployment: the seeds are its first members, the founders
+	Damaged    bool    // there was a store, but it was corrupted
 	NewID      raft.ID // never used before, and even: founders' ids are odd
 }
 
-// InitialState returns what the replica writes to its empty disk first. A founder knows all the others' ids before it has met them.
-// Anyone else has a new id, and has to be taken in as a member.
+// InitialState returns the state to write to the empty disk. A founder knows the IDs of all others from their addresses. Any other replica has a
+// new ID, and has to join as a member.
 func (b Bootstrap) InitialState() raft.StoredState {
 	if !b.FirstStart || b.Damaged || !slices.Contains(b.Seeds, b.Address) {
 		return raft.StoredState{Self: b.NewID}
@@ -29,7 +29,7 @@
 	return raft.StoredState{Self: founderID(b.Address), Snapshot: raft.BootstrapSnapshot(members)}
 }
 
-// founderID returns the id of a founder, which all founders derive alike from its address.
+// founderID returns the ID of a founder, which every founder derives from its address in the same way.
 func founderID(address string) raft.ID {
 	h := fnv.New64a()
 	h.Write([]byte("founder " + address))
--- a/internal/mesh/replica/calls.go
+++ b/internal/mesh/replica/calls.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// HandleCall answers a call of a sidecar or of another replica, by its kind (package codec). reply is called once.
+// HandleCall handles a call of a sidecar or of another replica. kind is one of package codec. reply is called once.
 func (r *Replica) HandleCall(now time.Duration, kind byte, body []byte, fromSidecar bool, reply func(Reply)) {
 	r.advanceTime(now)
 	switch kind {
@@ -26,7 +26,7 @@
 		r.handleReadIndex(reply)
 	case codec.CallItems:
 		r.replyAfterRead(reply, func() Reply {
-			// The sidecar has to know the machines in maintenance before it counts as ready.
+			// The sidecar must know the machines in maintenance before it becomes ready.
 			return Reply{Status: http.StatusOK, Body: codec.EncodeTable(r.itemsMessage()), Push: r.state.Maintenance.MachinesMessage()}
 		})
 	case codec.CallActivePolicy:
@@ -40,7 +40,7 @@
 	}
 }
 
-// handleReadIndex answers another replica's ReadIndex, at the leader.
+// handleReadIndex handles another replica's ReadIndex, at the leader.
 func (r *Replica) handleReadIndex(reply func(Reply)) {
 	if !r.raft.IsLeader() {
 		reply(Unavailable(""))
@@ -55,7 +55,7 @@
 	})
 }
 
-// replyAfterRead answers with what read returns, after a linearizable read.
+// replyAfterRead replies with the result of read, after a linearizable read.
 func (r *Replica) replyAfterRead(reply func(Reply), read func() Reply) {
 	r.LinearizableRead(r.now, func(confirmed bool) {
 		if !confirmed {
@@ -66,8 +66,8 @@
 	})
 }
 
-// handleLeaseRequests has requests for leases on idempotency keys committed, at the leader. A sidecar's are forwarded there; another
-// replica's are not, lest two that each take the other for the leader pass them on for ever.
+// handleLeaseRequests commits requests for leases on idempotency keys, at the leader. Requests of a sidecar are forwarded to the leader. Those of
+// another replica are not, since two replicas that each take the other for the leader would forward them forever.
 func (r *Replica) handleLeaseRequests(body []byte, fromSidecar bool, reply func(Reply)) {
 	if !r.raft.IsLeader() {
 		leader := r.remoteLeaderAddress()
@@ -94,7 +94,7 @@
 	}
 }
 
-// decodeLeaseRequests reads the requests of a call or of an entry.
+// decodeLeaseRequests decodes the requests of a call or of an entry.
 func decodeLeaseRequests(body []byte) ([]idempotency.LeaseRequest, error) {
 	table, err := codec.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() })
 	if err != nil {
--- a/internal/mesh/replica/environment.go
+++ b/internal/mesh/replica/environment.go
@@ -9,25 +9,25 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// Environment is what a replica acts through. Its methods are called by the goroutine that calls the replica, and must not call the
-// replica before they return.
+// Environment provides the effects of a replica. Its methods are called on the goroutine that calls the replica, and must not call the replica
+// before they return.
 type Environment interface {
-	// Send sends a consensus message to the replica at an address. It may be lost, late, repeated or out of order.
+	// Send sends a Raft message to the replica at an address. It may be lost, delayed, duplicated or reordered.
 	Send(address string, message raft.Message)
-	// Connect makes a connection to the replica at an address, unless there is one or one is being made.
+	// Connect connects to the replica at an address, unless it is connected or being dialled.
 	Connect(address string)
-	// CallReplica calls the replica at an address. done is called once, later and by the replica's owner: with the answer, or with
-	// Unavailable where there is none within CallTimeout.
+	// CallReplica calls the replica at an address. done is called once, after CallReplica has returned and on the goroutine that owns the
+	// replica: with the reply, or with Unavailable if there is none within CallTimeout.
 	CallReplica(address string, kind byte, body []byte, done func(Reply))
-	// Save writes and syncs what ready must have on disk; last is the index of the last entry on disk before it. It returns false if
-	// that is not on disk. The replica then does nothing until its owner calls ProcessReady again, which saves anew.
+	// Save writes and syncs what ready needs on disk. last is the index of the last entry on disk before. It returns false if that
+	// failed; the replica then does nothing until its owner calls ProcessReady again, which calls Save again.
 	Save(ready raft.Ready, last uint64) bool
-	// Compact replaces the log up to the snapshot's index by the snapshot, on disk; entries from kept on stay. It may fail: the longer
-	// log says the same.
+	// Compact replaces the log on disk up to the snapshot's index by the snapshot. Entries from kept on stay. It may fail without harm,
+	// since the longer log holds the same state.
 	Compact(snapshot raft.Snapshot, kept uint64)
-	// BroadcastToSidecars sends a message to each sidecar that is connected here.
+	// BroadcastToSidecars sends a message to each connected sidecar.
 	BroadcastToSidecars(message any)
-	// BroadcastToReplicas sends a message to each replica that there is a connection to.
+	// BroadcastToReplicas sends a message to each connected replica.
 	BroadcastToReplicas(message any)
 }
 
@@ -35,15 +35,15 @@
 type Reply struct {
 	Status int // of HTTP
 	Body   []byte
-	Push   any // a message that goes to the caller before the answer; nil: none
+	Push   any // a message to send to the caller before the reply; nil: none
 }
 
-// Unavailable is the answer of a replica that can't decide: the caller has to ask again, here or elsewhere.
+// Unavailable returns the reply of a replica that can't answer. The caller should retry, here or at another replica.
 func Unavailable(text string) Reply {
 	return Reply{Status: http.StatusServiceUnavailable, Body: []byte(text)}
 }
 
-// ErrorReply returns the answer to an update that was rejected with an error of package config.
+// ErrorReply returns the reply to an update that was rejected with an error of package config.
 func ErrorReply(err error) Reply {
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/mesh/replica/leadergap.go
+++ b/internal/mesh/replica/leadergap.go
@@ -7,16 +7,16 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// leaderGap is for how long there was no leader since the last agreed time of day, by this replica's own steady clock: log time stands
-// still then. The zero leaderGap has seen no entry.
+// leaderGap measures how long there was no leader since the last agreed time of day, by this replica's own monotonic clock, because log time
+// does not advance meanwhile. The zero value has seen no entry.
 type leaderGap struct {
-	duration  time.Duration // maintenance.LeaderlessUnknown: the replica was not there all the time
+	duration  time.Duration // maintenance.LeaderlessUnknown: the replica did not run all the time
 	term      uint64        // of the latest entry
 	logTime   time.Duration // of the latest entry
 	appliedAt time.Duration // when the latest entry was applied; 0: none was
 }
 
-// observe notes an entry that is applied at a time; agreedTime says that it holds a new agreed time of day.
+// observe records an entry that is applied at a time. agreedTime says that it set a new agreed time of day.
 func (g *leaderGap) observe(entry raft.Entry, now time.Duration, agreedTime bool) {
 	switch {
 	case g.appliedAt == 0:
--- a/internal/mesh/replica/maintenance.go
+++ b/internal/mesh/replica/maintenance.go
@@ -8,19 +8,19 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Kinds of changes of the maintenance state, as they stand in the log.
+// Kinds of changes of the maintenance state. They are stored in the log.
 const (
 	MaintenanceOrder  byte = 1 // a new order: maintenance.Order
 	MaintenanceUpdate byte = 2 // a change of one: maintenance.OrderChange
 	MaintenanceClock  byte = 3 // the agreed time of day: maintenance.Clock
 )
 
-// Maintenance is the replicated state of maintenance: the orders and the time of day. Its JSON stands in snapshots.
+// Maintenance is the replicated state of maintenance: the orders and the time of day. Its JSON is part of snapshots.
 type Maintenance struct {
 	Orders    maintenance.OrderTable `json:"book"`
 	Clock     maintenance.Clock      `json:"clock"`
-	ClockTerm uint64                 `json:"term"`  // of the leader whose entry the clock is of
-	Index     uint64                 `json:"index"` // of the entry that changed an order last
+	ClockTerm uint64                 `json:"term"`  // of the entry that set the clock
+	Index     uint64                 `json:"index"` // of the latest entry that changed an order
 }
 
 // apply applies a committed change.
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// MachinesMessage returns the machines that orders have out, for sidecars and replicas.
+// MachinesMessage returns the machines in maintenance, as a message for sidecars and replicas.
 func (m *Maintenance) MachinesMessage() *wire.MachinesInMaintenanceT {
 	message := &wire.MachinesInMaintenanceT{Index: m.Index}
 	for _, order := range m.Orders.Open() {
--- a/internal/mesh/replica/peers.go
+++ b/internal/mesh/replica/peers.go
@@ -7,10 +7,10 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// maxRememberedAddresses is how many addresses of replicas that are no members are remembered, by id.
+// maxRememberedAddresses is how many addresses of non-members are remembered, by ID.
 const maxRememberedAddresses = 64
 
-// peerAddresses is where other replicas listen, as far as this one has heard.
+// peerAddresses holds the known addresses of other replicas.
 type peerAddresses struct {
 	self  string
 	seeds []string
@@ -22,8 +22,8 @@
 	return peerAddresses{self: self, seeds: seeds, known: map[string]bool{}, byID: map[raft.ID]string{}}
 }
 
-// setMembers forgets all but the members, and returns their addresses in their order. Those that were taken out connect again if
-// they have something to say.
+// setMembers replaces the known addresses by those of the members, and returns these in order. Removed members connect by themselves if they
+// have something to send.
 func (p *peerAddresses) setMembers(members []raft.Member) []string {
 	clear(p.known)
 	addresses := make([]string, 0, len(members))
@@ -34,7 +34,7 @@
 	return addresses
 }
 
-// remember notes where a replica listens.
+// remember records the address of a replica.
 func (p *peerAddresses) remember(id raft.ID, address string) {
 	p.known[address] = true
 	if len(p.byID) > maxRememberedAddresses {
@@ -43,7 +43,7 @@
 	p.byID[id] = address
 }
 
-// all returns all addresses but the replica's own, the seeds among them, in a fixed order.
+// all returns all known addresses and the seeds, without the replica's own, in a fixed order.
 func (p *peerAddresses) all() []string {
 	for _, seed := range p.seeds {
 		p.known[seed] = true
@@ -55,11 +55,11 @@
 // SetSeeds replaces the seeds, after a reload of the deploy file.
 func (r *Replica) SetSeeds(seeds []string) { r.peers.seeds = seeds }
 
-// RememberAddress notes where a replica that connected here listens: a non-member can be notified of that only there.
+// RememberAddress records the address of a replica that has connected here. A non-member can only be answered there.
 func (r *Replica) RememberAddress(id raft.ID, address string) { r.peers.remember(id, address) }
 
-// maintainConnections keeps connections to all replicas that are known, also while raft has nothing to send: sidecars' records go by
-// them. A replica that is no member asks all of them to be taken in, since it may know none of them but by address.
+// maintainConnections keeps connections to all known replicas, also while Raft has nothing to send, because they also carry the records of
+// sidecars. A non-member asks all of them to let it join, since it may know them only by address.
 func (r *Replica) maintainConnections() {
 	addresses := r.peers.all()
 	for _, address := range addresses {
@@ -73,7 +73,7 @@
 	}
 }
 
-// remoteLeaderAddress returns where another replica that leads listens; "": there is none, or it is this one.
+// remoteLeaderAddress returns the address of the leader if it is another replica; "": none is known, or this replica leads.
 func (r *Replica) remoteLeaderAddress() string {
 	if r.raft.IsLeader() {
 		return ""
@@ -84,7 +84,7 @@
 	return ""
 }
 
-// sendAll sends messages to where their receivers listen. Those for nobody that is known are dropped.
+// sendAll sends messages to the addresses of their receivers. Messages to unknown receivers are dropped.
 func (r *Replica) sendAll(messages []raft.Message) {
 	for _, message := range messages {
 		if address := r.addressFor(message); address != "" && address != r.self.Addr {
--- a/internal/mesh/replica/policy.go
+++ b/internal/mesh/replica/policy.go
@@ -7,23 +7,24 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// maxNotices is how many notices are kept, the latest.
+// maxNotices is how many notices are kept; older ones are dropped.
 const maxNotices = 256
 
-// Notice tells an owner what another's change did to a rule of theirs. Its JSON stands in snapshots and in the answers to operators.
+// Notice tells an owner what a change by another owner did to one of their policies. Its JSON is part of snapshots and of replies to operators.
 type Notice struct {
 	Index  uint64        `json:"index"` // of the change
 	By     string        `json:"by"`    // "": the mesh's operator
 	Effect policy.Effect `json:"effect"`
 }
 
-// PolicyState is the replicated state of namespaces' policies, beside the items themselves. Its JSON stands in snapshots.
+// PolicyState is the replicated state of policies, besides the items themselves. Its JSON is part of snapshots.
 type PolicyState struct {
 	Rollout policy.Rollout `json:"board"`
 	Notices []Notice       `json:"notices,omitempty"`
 }
 
-// recordChange notes a committed update: the items after it, those that it changed, and its effects on rules of other owners.
+// recordChange records a committed update: items is the table after it, updated the items that it changed, and effects what it changed of
+// policies of other owners.
 func (s *PolicyState) recordChange(
 	entry raft.Entry, update config.Update, items config.Table, updated []config.Item, effects []policy.Effect,
 ) {
@@ -41,7 +42,7 @@
 	}
 }
 
-// ActiveMessage returns which policy set is active, for sidecars.
+// ActiveMessage returns which policy set is active, as a message for sidecars.
 func (s *PolicyState) ActiveMessage() *wire.ActivePolicyT {
 	return &wire.ActivePolicyT{Fingerprint: s.Rollout.Active, Index: s.Rollout.ActiveIndex, CommittedFingerprint: s.Rollout.Agreed}
 }
--- a/internal/mesh/replica/reads.go
+++ b/internal/mesh/replica/reads.go
@@ -10,10 +10,10 @@
 	"cranegrade/internal/mesh/transport/codec"
 )
 
-// indexSize is the length of an entry's index in the answer to codec.CallReadIndex, in bytes.
+// indexSize is the length of an entry's index in the reply to codec.CallReadIndex, in bytes.
 const indexSize = 8
 
-// readQueue is the reads that the leader has not confirmed yet.
+// readQueue holds the reads of a leader that are not confirmed yet.
 type readQueue struct {
 	lastID uint64
 	done   map[uint64]func(ReadIndexResult) // by id
@@ -23,7 +23,7 @@
 	return readQueue{done: map[uint64]func(ReadIndexResult){}}
 }
 
-// complete answers a read; one that is unknown is ignored.
+// complete ends a read. An unknown read is ignored.
 func (q *readQueue) complete(read raft.ReadState) {
 	done := q.done[read.RequestID]
 	if done == nil {
@@ -33,7 +33,7 @@
 	done(ReadIndexResult{Confirmed: read.Index > 0, Index: read.Index})
 }
 
-// waiter is what is to be done once an entry is applied.
+// waiter is a function to call once an entry is applied.
 type waiter struct {
 	index  uint64
 	resume func()
@@ -108,7 +108,7 @@
 	})
 }
 
-// resumeWaiters resumes those whose entry is applied by now, in the order in which they came.
+// resumeWaiters calls the waiters whose entry is applied, in the order in which they were added.
 func (r *Replica) resumeWaiters() {
 	applied := r.raft.AppliedIndex()
 	var due, rest []waiter
--- a/internal/mesh/replica/ready.go
+++ b/internal/mesh/replica/ready.go
@@ -5,8 +5,8 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// ProcessReady carries out what raft has ready, until there is nothing more. It is to be called after each other call, or after
-// several. It returns false if what must be on disk is not: the owner then calls nothing but ProcessReady until it returns true.
+// ProcessReady processes what Raft has ready, until there is nothing more. It has to be called after every other call, or after several. It
+// returns false if the state could not be saved; the owner must then call nothing but ProcessReady until it returns true.
 func (r *Replica) ProcessReady() bool {
 	if r.unsavedReady != nil && !r.persistAndApply(*r.unsavedReady) {
 		return false
@@ -22,7 +22,7 @@
 		}
 		r.sendAll(ready.MessagesBeforeSave)
 		if !r.persistAndApply(ready) {
-			return false // and nothing was sent that rests on it
+			return false // and nothing was sent that depends on the save
 		}
 	}
 }
@@ -32,7 +32,7 @@
 		len(ready.ReadStates) == 0 && !ready.MustSync()
 }
 
-// persistAndApply does all of a Ready that comes after MessagesBeforeSave; it returns false if that is not on disk.
+// persistAndApply does everything in a Ready after MessagesBeforeSave. It returns false if the state could not be saved.
 func (r *Replica) persistAndApply(ready raft.Ready) bool {
 	if ready.MustSync() {
 		if !r.env.Save(ready, r.savedIndex) {
@@ -68,7 +68,7 @@
 	}
 }
 
-// installSnapshot replaces the state by that of a snapshot from the leader, and sends the sidecars what they go by.
+// installSnapshot replaces the state by that of a snapshot from the leader, and sends the new state to the sidecars.
 func (r *Replica) installSnapshot(snapshot raft.Snapshot) {
 	if err := r.state.Decode(snapshot.Data); err != nil {
 		r.log.Error().Err(err).Uint64("snapshot_index", snapshot.Index).Msg("received snapshot unreadable")
@@ -90,13 +90,13 @@
 	r.completeProposal(entry.Index, entry.Term, outcome)
 }
 
-// broadcastOutcome sends the sidecars what an entry has changed.
+// broadcastOutcome sends sidecars what an entry has changed.
 func (r *Replica) broadcastOutcome(outcome Outcome) {
 	if outcome.MaintenanceChanged && outcome.Err == nil {
 		r.env.BroadcastToSidecars(r.state.Maintenance.MachinesMessage())
 	}
 	if len(outcome.UpdatedItems) > 0 {
-		if r.raft.IsLeader() { // so that the other members' sidecars do not wait for the next heartbeat
+		if r.raft.IsLeader() { // so that sidecars of other members do not have to wait for the next heartbeat
 			r.raft.BroadcastCommit(r.now)
 		}
 		r.env.BroadcastToSidecars(config.ItemsToWire(outcome.UpdatedItems))
--- a/internal/mesh/replica/replica.go
+++ b/internal/mesh/replica/replica.go
@@ -1,12 +1,12 @@
-// Package replica is the role logic of one control-plane member. A Replica feeds the member's raft, applies committed entries to the
+// Package replica is the role logic of one control-plane member. A Replica drives the member's Raft, applies committed entries to the
 // replicated State, answers calls of operators, sidecars and other replicas, and decides what sidecars are sent.
 //
-// It owns the replicated state and what is under way: proposals, reads, forwarded calls. It is pure and belongs to one goroutine: the
-// time is an argument of each call, and everything outward goes through Environment. It must never start a goroutine, read a clock,
-// open a socket or draw a random number, and no result may depend on the order of a map, so that the same calls have the same effects
-// again. Its shell in production is package controlplane; in tests it is package sim.
+// It owns the replicated state and everything in flight: proposals, reads and forwarded calls. It is pure and belongs to one goroutine: the
+// time is an argument of each call, and all effects go through Environment. It must never start a goroutine, read a clock, open a socket
+// or draw a random number, and no result may depend on the iteration order of a map, so that the same calls always have the same
+// effects. Its shell in production is package controlplane; in tests it is package sim.
 //
-// Linearizable reads are those of Ongaro's dissertation on Raft, section 6.4; the calls and their bodies are the pages' own.
+// Linearizable reads follow Ongaro's dissertation on Raft, section 6.4. The calls and their bodies are defined by the operations pages.
 package replica
 
 import (
@@ -24,22 +24,22 @@
 const (
 	// TickInterval is the time between two calls of Tick.
 	TickInterval = 50 * time.Millisecond
-	// CallTimeout bounds a call to the leader; callers move on after a second.
+	// CallTimeout bounds a call to the leader. It is less than the second after which callers give up.
 	CallTimeout = 900 * time.Millisecond
 
 	heartbeatInterval    = 100 * time.Millisecond
 	electionTimeout      = 500 * time.Millisecond
 	deadMemberTimeout    = 2 * time.Second
 	stallTimeout         = 300 * time.Millisecond // without a Tick
-	recordTTL            = 30 * time.Second       // after which a sidecar's record is dropped
+	recordTTL            = 30 * time.Second       // after which a sidecar's record is removed unless it was sent again
 	recordExpiryInterval = 5 * time.Second
 )
 
 const (
-	// DefaultCompactionThreshold is how many entries stand behind the snapshot before there is a new one, unless Config says otherwise.
+	// DefaultCompactionThreshold is how many entries may follow the snapshot before the log is compacted, unless Config says otherwise.
 	DefaultCompactionThreshold = 4096
 
-	maxProposals     = 4096 // that wait for their entry; also calls that wait for an entry
+	maxProposals     = 4096 // in flight; also the bound of calls that wait for an entry to be applied
 	minReplicas      = 3
 	replicasPerFault = 2 // 2n+1 members tolerate n faults
 )
@@ -49,10 +49,10 @@
 	Address             string           // where other replicas and sidecars reach it
 	Stored              raft.StoredState // what its disk holds
 	Seeds               []string         // addresses of replicas to begin with
-	FaultsTolerated     int              // machines that may be lost; there are 2n+1 members, at least 3
+	FaultsTolerated     int              // n machines that may be lost; the cluster has 2n+1 members, at least 3
 	RandomSeed          uint64
 	CompactionThreshold int // 0: DefaultCompactionThreshold
-	TailEntries         int // entries kept in front of the snapshot for replicas that lag; not in use
+	TailEntries         int // entries to keep before the snapshot for replicas that lag; not used yet
 	Log                 zerolog.Logger
 }
 
@@ -69,7 +69,7 @@
 	leaderGap           leaderGap
 
 	savedIndex   uint64      // last entry on disk
-	unsavedReady *raft.Ready // could not be saved so far; nothing else happens before
+	unsavedReady *raft.Ready // could not be saved so far; nothing else may happen before it is
 
 	proposals      map[uint64]proposal // by index
 	lastProposed   uint64              // index of the entry that this replica proposed last
@@ -82,13 +82,13 @@
 	announcedLeader       raft.ID
 	announcedMembersIndex uint64        // index of the configuration that sidecars were sent
 	quorumContact         time.Duration // see QuorumContact
-	inMaintenance         bool          // a maintenance order has this replica out
+	inMaintenance         bool          // a maintenance order has taken this replica out
 
 	records          directory.Table
 	lastRecordExpiry time.Duration
 }
 
-// New returns a replica as its disk has it, at a time. The error is that of a stored state that can't be decoded.
+// New returns a replica in the state that its disk holds. The error says that the stored state can't be decoded.
 func New(c Config, env Environment, now time.Duration) (*Replica, error) {
 	r := &Replica{
 		env:                 env,
@@ -118,16 +118,16 @@
 	return r, nil
 }
 
-// advanceTime notes the time, which never goes back.
+// advanceTime sets the time, unless it would go back.
 func (r *Replica) advanceTime(now time.Duration) { r.now = max(r.now, now) }
 
-// Step handles a consensus message.
+// Step handles a Raft message.
 func (r *Replica) Step(now time.Duration, message raft.Message) {
 	r.advanceTime(now)
 	r.raft.Step(r.now, message)
 }
 
-// Tick does what is due by time. It is to be called every TickInterval, followed by ProcessReady.
+// Tick does what is due by time. It has to be called every TickInterval, followed by ProcessReady.
 func (r *Replica) Tick(now time.Duration) {
 	r.advanceTime(now)
 	r.raft.Tick(r.now)
@@ -139,17 +139,17 @@
 	r.expireRecords()
 }
 
-// BeginShutdown begins a planned departure, for the process is about to end: leadership is handed over, and the leader is asked to
-// say when the members that stay hold all that this one holds.
+// BeginShutdown begins a planned departure, because the process is about to end: leadership is transferred, and the leader is asked to report
+// when the members that stay hold everything that this one holds.
 func (r *Replica) BeginShutdown(now time.Duration) {
 	r.advanceTime(now)
 	r.raft.BeginLeave(r.now)
 }
 
-// CanShutDown reports whether the members that stay hold all that this one holds, so that its process may end.
+// CanShutDown reports whether the members that stay hold everything that this one holds, so that its process may end.
 func (r *Replica) CanShutDown() bool { return r.raft.MayLeave() }
 
-// observeMaintenance hands leadership over while an order has this replica out.
+// observeMaintenance transfers leadership while a maintenance order has taken this replica out.
 func (r *Replica) observeMaintenance() {
 	machines := r.state.Maintenance.MachinesMessage().List
 	r.inMaintenance = slices.ContainsFunc(machines, func(m *wire.MachineInMaintenanceT) bool { return m.Addr == r.self.Addr })
@@ -158,7 +158,7 @@
 	}
 }
 
-// updateQuorumContact notes whether there is contact with a quorum now, and sends that to the sidecars where it has come back.
+// updateQuorumContact records whether there is contact with a quorum now, and notifies sidecars if it has come back.
 func (r *Replica) updateQuorumContact() {
 	before := r.quorumContact
 	r.quorumContact = 0
@@ -170,16 +170,16 @@
 	}
 }
 
-// QuorumContact returns when the replica last had contact with a quorum, as of the last Tick; 0: it has none.
+// QuorumContact returns when the replica last had contact with a quorum, as of the last Tick; 0: it has none now.
 func (r *Replica) QuorumContact() time.Duration { return r.quorumContact }
 
-// HasQuorumContact reports whether a replica with that QuorumContact may claim contact with a quorum at a time. One whose owner has
-// stalled, for instance on its disk, may not.
+// HasQuorumContact reports whether a replica with a QuorumContact may claim contact with a quorum at a time. It may not if its owner has
+// stalled, for instance on its disk.
 func HasQuorumContact(quorumContact, now time.Duration) bool {
 	return quorumContact > 0 && now-quorumContact < stallTimeout
 }
 
-// announceLeader does what follows from a change of the leader, and reports whether there was one.
+// announceLeader handles a change of the leader, and reports whether there was one.
 func (r *Replica) announceLeader() (changed bool) {
 	leader := r.raft.Leader()
 	if leader == r.announcedLeader {
@@ -193,7 +193,7 @@
 	return true
 }
 
-// announceMembers does what follows from a change of the membership.
+// announceMembers handles a change of the membership.
 func (r *Replica) announceMembers() {
 	members, index := r.raft.Members()
 	if index == r.announcedMembersIndex {
@@ -205,8 +205,8 @@
 	r.env.BroadcastToSidecars(r.membersMessage())
 }
 
-// PeerExited handles that the process of the replica at an address has ended: its host refuses connections there. If it was the
-// leader, the result says how long after now Tick is due so that another one is elected.
+// PeerExited reports that the process of the replica at an address has ended, because its host refuses connections. If it was the leader,
+// isLeader is true, and the caller has to call Tick after wait, so that another leader is elected.
 func (r *Replica) PeerExited(now time.Duration, address string) (wait time.Duration, isLeader bool) {
 	r.advanceTime(now)
 	if address == "" || address != r.remoteLeaderAddress() {
--- a/internal/mesh/replica/sidecars.go
+++ b/internal/mesh/replica/sidecars.go
@@ -14,8 +14,8 @@
 	return []any{r.membersMessage(), r.heartbeatMessage(), directory.ToWire(r.records.All()), r.state.Maintenance.MachinesMessage()}
 }
 
-// heartbeatMessage says whether this replica has contact with a quorum. Sidecars get it with each heartbeat of a connection, when they
-// connect, and at once when the contact comes back.
+// heartbeatMessage returns whether this replica has contact with a quorum, as a message. Sidecars are sent it with each heartbeat of a connection,
+// when they connect, and as soon as the contact comes back.
 func (r *Replica) heartbeatMessage() *wire.HeartbeatT {
 	return &wire.HeartbeatT{QuorumContact: HasQuorumContact(r.quorumContact, r.now)}
 }
@@ -32,14 +32,15 @@
 	message.Complete, message.Index = true, r.raft.AppliedIndex()
 	rollout := r.state.Policy.Rollout
 	message.ActiveFingerprint, message.ActiveIndex = rollout.Active, rollout.ActiveIndex
-	if rollout.IsPending() { // otherwise the active ones are among the items
+	if rollout.IsPending() { // otherwise the active policies are those among the items
 		message.ActivePolicy = config.ItemsToWire(r.state.ActivePolicy.Items()).List
 	}
 	return message
 }
 
-// MergeRecords merges records that came from the sidecar they are of, or from another replica, and sends on those that are news. The
-// answer goes back to the sidecar: one that started with its clock set back learns that a later incarnation of it is known.
+// MergeRecords merges records that came from their own sidecar or from another replica, and broadcasts those that are new. For records from a
+// sidecar it returns those with a later incarnation than the one sent, which have to be sent back: a sidecar that started with its clock
+// set back then learns that a later incarnation of it is known.
 func (r *Replica) MergeRecords(now time.Duration, records []directory.Record, fromSidecar bool) (newer []directory.Record) {
 	r.advanceTime(now)
 	var news []directory.Record
@@ -62,7 +63,8 @@
 	return newer
 }
 
-// expireRecords drops the records of sidecars that were not heard of for long. Without contact to a quorum that says nothing of them.
+// expireRecords removes records that were not sent again for recordTTL. It does so only with quorum contact: without it, this replica may itself
+// be the one that is cut off.
 func (r *Replica) expireRecords() {
 	if r.now-r.lastRecordExpiry > recordExpiryInterval && r.raft.HasQuorumContact(r.now) {
 		r.lastRecordExpiry = r.now
--- a/internal/mesh/replica/snapshot.go
+++ b/internal/mesh/replica/snapshot.go
@@ -13,7 +13,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Encode returns the state as the data of a snapshot. What is empty is left out, as earlier versions do that do not know of it.
+// Encode encodes the state as the data of a snapshot. Empty parts are left out, so that earlier versions, which do not know them, encode the
+// same.
 func (s *State) Encode() []byte {
 	table := &wire.StateT{Items: config.TableToStorage(s.Items)}
 	if s.Maintenance.Index > 0 || s.Maintenance.Clock.IsKnown() {
@@ -36,7 +37,7 @@
 	return codec.EncodeTable(table)
 }
 
-// Decode replaces the state by one that Encode encoded; no data is the empty state.
+// Decode replaces the state by an encoded one. Without data it becomes the empty state.
 func (s *State) Decode(data []byte) error {
 	*s = State{KeyLeases: idempotency.New(), ItemsIndex: s.ItemsIndex + 1}
 	if len(data) == 0 {
--- a/internal/mesh/replica/state.go
+++ b/internal/mesh/replica/state.go
@@ -11,14 +11,14 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// State is what the members replicate: configuration items, leases on idempotency keys, maintenance and policy. It changes by committed
-// entries alone, and the same entries make the same state everywhere. Decode makes it ready for use.
+// State is the replicated state machine: configuration items, leases on idempotency keys, maintenance and policy. It only changes by committed
+// entries, and the same entries lead to the same state on every member. Decode makes it ready for use.
 type State struct {
 	Items        config.Table
 	KeyLeases    *idempotency.Store
 	Maintenance  Maintenance
 	Policy       PolicyState
-	ActivePolicy config.Table // namespaces and rules in force; those of a pending rollout are among Items
+	ActivePolicy config.Table // namespaces and policies in force; those of a pending rollout are only among Items
 	ItemsIndex   uint64       // index of the entry that changed Items last
 }
 
@@ -30,18 +30,18 @@
 	ChangeActivePolicy byte = 4 // wire.ActivePolicy
 )
 
-// EncodeChange returns a change as the data of an entry.
+// EncodeChange encodes a change as the data of an entry.
 func EncodeChange(kind byte, table codec.Packer) []byte {
 	return append([]byte{kind}, codec.EncodeTable(table)...)
 }
 
-// Outcome is what became of a change.
+// Outcome is the result of applying a change.
 type Outcome struct {
 	Err                error         // why an update of items or a maintenance change was rejected, or the entry can't be decoded
-	UpdatedItems       []config.Item // those that have a newer version now
+	UpdatedItems       []config.Item // with their new versions
 	LeaseResults       []idempotency.LeaseResult
 	MaintenanceChanged bool // the maintenance state may have changed
-	PolicyActivated    bool // another policy set is active now
+	PolicyActivated    bool // a policy set was activated
 }
 
 // Apply applies a committed entry. Data of an unknown kind changes nothing.
@@ -49,7 +49,7 @@
 	if len(entry.Data) == 0 {
 		return Outcome{}
 	}
-	// Cloned, because FlatBuffers' tables need their bytes aligned as they were made.
+	// Cloned because FlatBuffers tables need the alignment that they were encoded with.
 	body := bytes.Clone(entry.Data[1:])
 	switch entry.Data[0] {
 	case ChangeItems:
--- a/internal/mesh/replica/updates.go
+++ b/internal/mesh/replica/updates.go
@@ -9,16 +9,16 @@
 	"cranegrade/internal/mesh/transport/codec"
 )
 
-// pendingUpdates is which items the proposals of a leader name that are not applied yet.
+// pendingUpdates records which items are named by a leader's proposals that are not applied yet.
 type pendingUpdates struct {
 	term   uint64
-	latest map[config.Key]uint64 // index of the entry proposed last that names an item
+	latest map[config.Key]uint64 // index of the latest proposed entry that names an item
 }
 
 // latestFor returns the index of the latest entry of a term that names an item of an update; 0: all are applied.
 func (p *pendingUpdates) latestFor(term uint64, update config.Update) (index uint64) {
 	if p.term != term {
-		return 0 // what was proposed in another term is applied, or will never be
+		return 0 // a proposal of another term is either applied already or will never be
 	}
 	for _, item := range update.Items {
 		index = max(index, p.latest[item.Key])
@@ -26,7 +26,7 @@
 	return index
 }
 
-// add notes an entry that was proposed.
+// add records a proposed entry.
 func (p *pendingUpdates) add(term, index uint64, update config.Update) {
 	if p.term != term || p.latest == nil {
 		p.term, p.latest = term, map[config.Key]uint64{}
@@ -36,7 +36,7 @@
 	}
 }
 
-// remove forgets an entry.
+// remove removes an entry that was applied or lost.
 func (p *pendingUpdates) remove(term, index uint64, update config.Update) {
 	if p.term != term {
 		return
@@ -48,7 +48,7 @@
 	}
 }
 
-// Modify has an operator's update committed, here or at the leader.
+// Modify commits an operator's update, which it proposes here or forwards to the leader. done is called once.
 func (r *Replica) Modify(now time.Duration, body []byte, done func(Reply)) {
 	update, err := config.ParseUpdate(body)
 	if err != nil {
@@ -58,8 +58,8 @@
 	r.ModifyParsed(now, update, body, done)
 }
 
-// ModifyParsed is Modify of an update that was parsed from its body already, since parsing a large one takes longer than heartbeats may
-// wait.
+// ModifyParsed is Modify with an update that was already parsed from its body, since parsing a large one on the replica's goroutine would delay
+// heartbeats.
 func (r *Replica) ModifyParsed(now time.Duration, update config.Update, body []byte, done func(Reply)) {
 	r.advanceTime(now)
 	if r.raft.IsLeader() {
@@ -74,14 +74,14 @@
 	r.forwardToLeader(leader, codec.CallModify, body, done)
 }
 
-// HandleModify answers another replica's forwarded update, which was parsed already.
+// HandleModify handles an update that another replica forwarded and that was already parsed.
 func (r *Replica) HandleModify(now time.Duration, update config.Update, reply func(Reply)) {
 	r.advanceTime(now)
 	r.admitUpdate(update, reply)
 }
 
-// admitUpdate has an operator's update committed, at the leader. Whether it is admitted depends on all that may have been committed
-// before, so it waits while an entry that names one of its items is not applied.
+// admitUpdate commits an operator's update, at the leader. Whether the update is admitted depends on everything that may have been committed
+// before it, so it waits while an entry that names one of its items is not applied.
 func (r *Replica) admitUpdate(update config.Update, done func(Reply)) {
 	if !r.raft.IsLeader() {
 		done(Unavailable("not the leader"))
@@ -106,8 +106,8 @@
 	}
 }
 
-// blockingIndex returns the latest entry that has to be applied before an update can be judged: any that an earlier leader may have
-// committed, or the latest that names one of its items.
+// blockingIndex returns the index of the latest entry that has to be applied before an update can be admitted: the last one that an earlier
+// leader may have committed, or the latest that names one of the update's items.
 func (r *Replica) blockingIndex(update config.Update) (index uint64) {
 	if !r.raft.IsCaughtUpLeader() {
 		return r.raft.LastIndex()
@@ -115,9 +115,9 @@
 	return r.pendingUpdates.latestFor(r.raft.Term(), update)
 }
 
-// confirmDuplicate acknowledges an update that was accepted before, once an empty entry behind it is committed: a majority of the
-// present members then has the update on disk. A linearizable read would not do, for a majority may follow this leader while the other
-// disk that held the update has just been lost.
+// confirmDuplicate acknowledges an update that was accepted before, once an empty entry after it is committed: a majority of the present members
+// then has the update on disk. A linearizable read would not be enough, because a majority may follow this leader although another disk
+// that held the update has just been lost.
 func (r *Replica) confirmDuplicate(done func(Reply)) {
 	ok := r.Propose(r.now, nil, func(result ProposalResult) {
 		if !result.Known {
@@ -131,7 +131,7 @@
 	}
 }
 
-// proposeUpdate proposes an update that is admitted.
+// proposeUpdate proposes an admitted update.
 func (r *Replica) proposeUpdate(update config.Update, done func(Reply)) {
 	term, index := r.raft.Term(), uint64(0)
 	ok := r.Propose(r.now, EncodeChange(ChangeItems, config.UpdateToWire(update)), func(result ProposalResult) {
--- a/internal/mesh/replica/view.go
+++ b/internal/mesh/replica/view.go
@@ -13,7 +13,7 @@
 // State returns the replicated state as of the last entry applied. It is only to be read.
 func (r *Replica) State() *State { return &r.state }
 
-// Records returns the sidecars and their servers, as far as this replica has heard.
+// Records returns the known sidecars and their servers.
 func (r *Replica) Records() directory.Table { return r.records }
 
 // Members returns the members of the latest configuration, and the index of its entry.
@@ -28,13 +28,13 @@
 // IsNonMember reports whether this replica is no member, as far as it knows.
 func (r *Replica) IsNonMember() bool { return r.raft.IsNonMember() }
 
-// InMaintenance reports whether a maintenance order has this replica out, as of the last Tick.
+// InMaintenance reports whether a maintenance order has taken this replica out, as of the last Tick.
 func (r *Replica) InMaintenance() bool { return r.inMaintenance }
 
-// HearsFrom reports whether this replica, which must be the leader, has heard from a member lately.
+// HearsFrom reports whether this replica has heard from a member lately. It must be the leader.
 func (r *Replica) HearsFrom(id raft.ID) bool { return r.raft.IsRecentlyActive(id) }
 
-// LeaderAddress returns where the leader listens, as far as is known; "": there is none.
+// LeaderAddress returns the address of the leader; "": none is known.
 func (r *Replica) LeaderAddress() string {
 	if r.raft.IsLeader() {
 		return r.self.Addr
@@ -51,12 +51,11 @@
 // SavedIndex returns the index of the last entry on disk.
 func (r *Replica) SavedIndex() uint64 { return r.savedIndex }
 
-// LogTime returns the log time, at the leader.
+// LogTime returns the log time now. This replica must be the leader.
 func (r *Replica) LogTime(now time.Duration) time.Duration {
 	r.advanceTime(now)
 	return r.raft.LogTime(r.now)
 }
 
-// LeaderGap returns for how long there was no leader since the last agreed time of day; maintenance.LeaderlessUnknown: this replica
-// can't tell.
+// LeaderGap returns how long there was no leader since the last agreed time of day; maintenance.LeaderlessUnknown: this replica does not know.
 func (r *Replica) LeaderGap() time.Duration { return r.leaderGap.duration }
--- a/internal/mesh/storage/durable.go
+++ b/internal/mesh/storage/durable.go
@@ -6,13 +6,15 @@
 	ldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// durableNames is the files of a folder, with the names of new ones made durable before anything relies on them. goleveldb syncs
-// the folder with a manifest only. Until then a loss of power takes a new write-ahead log with all that was written to it and
-// synced; and it may keep a manifest's last record, not yet synced, and lose the name of the table that the record refers to.
+// durableNames gives goleveldb the files of a folder, and makes the names of new files durable before anything relies on them. goleveldb
+// itself only syncs the folder when it writes a manifest. Until then a loss of power can remove a new write-ahead log together with
+// everything that was written to it and synced. It can also keep the last record of a manifest, which was not synced, and lose the
+// name of the table that the record refers to.
 type durableNames struct {
 	ldbstorage.Storage
 	folder Folder
-	// transientError is the last error of the machine that says nothing about the files; goleveldb passes some on as text only.
+	// transientError is the last error that says nothing about the files, see transientErrors. It is kept because goleveldb returns some
+	// of them as text only.
 	transientError *atomic.Pointer[error]
 }
 
@@ -20,7 +22,7 @@
 	return durableNames{Storage: files, folder: folder, transientError: new(atomic.Pointer[error])}
 }
 
-// Create makes a file. A log's name is durable from then on, a table's once the table is synced.
+// Create creates a file. The name of a write-ahead log is durable when it returns, that of a table once the table is synced.
 func (d durableNames) Create(fd ldbstorage.FileDesc) (ldbstorage.Writer, error) {
 	w, err := d.Storage.Create(fd)
 	if err != nil {
@@ -35,12 +37,12 @@
 	return durableFile{Writer: w, names: d, fileType: fd.Type}, nil
 }
 
-// SetMeta makes a manifest the one that is used.
+// SetMeta makes a manifest the current one.
 func (d durableNames) SetMeta(fd ldbstorage.FileDesc) error {
 	return d.recordTransient(d.Storage.SetMeta(fd))
 }
 
-// recordTransient returns err, and remembers it if it says nothing about the files.
+// recordTransient returns err unchanged, and remembers it if it is transient.
 func (d durableNames) recordTransient(err error) error {
 	if isTransient(err) {
 		d.transientError.Store(&err)
@@ -48,7 +50,7 @@
 	return err
 }
 
-// durableFile is a file that is written.
+// durableFile is a file that is being written.
 type durableFile struct {
 	ldbstorage.Writer
 	names    durableNames
@@ -61,7 +63,7 @@
 	return n, f.names.recordTransient(err)
 }
 
-// Sync syncs the file, and a table's name.
+// Sync syncs the file and, if it is a table, its name.
 func (f durableFile) Sync() error {
 	if err := f.Writer.Sync(); err != nil {
 		return f.names.recordTransient(err)
--- a/internal/mesh/storage/folder.go
+++ b/internal/mesh/storage/folder.go
@@ -9,13 +9,13 @@
 	ldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// Folder is where the files of one store are: a directory, or a simulated disk.
+// Folder holds the files of one store: a directory, or a simulated disk.
 type Folder interface {
-	// Open gives the files, which are made if there are none. The caller closes them.
+	// Open returns the files, and creates the folder if there is none. The caller closes them.
 	Open(readOnly bool) (ldbstorage.Storage, error)
 	// Sync makes the names of all files in the folder durable.
 	Sync() error
-	// Discard removes all files. None of them comes back after a loss of power.
+	// Discard removes all files durably: a loss of power does not bring any of them back.
 	Discard() error
 }
 
@@ -25,7 +25,7 @@
 	discardedSuffix = ".discarded"
 )
 
-// Directory is the Folder below a data folder.
+// Directory returns the Folder in a data folder.
 func Directory(dir string) Folder { return dataFolder(dir) }
 
 // dataFolder is the path of a data folder.
@@ -33,8 +33,8 @@
 
 func (d dataFolder) path() string { return filepath.Join(string(d), storeDirectory) }
 
-// discarded is where a store goes before it is removed: a removal that a loss of power undoes in part must not leave a store
-// of some of the files.
+// discarded returns the path to which a store is renamed before it is removed, so that a loss of power during the removal can't leave a store
+// with only some of its files.
 func (d dataFolder) discarded() string { return d.path() + discardedSuffix }
 
 // Open implements Folder.
@@ -50,7 +50,7 @@
 	return ldbstorage.OpenFile(d.path(), readOnly)
 }
 
-// makeDurable makes a directory and those above it, each with a name that outlasts a loss of power.
+// makeDurable creates a directory and its parents, and syncs their names.
 func makeDurable(path string) error {
 	parent := filepath.Dir(path)
 	if _, err := os.Stat(parent); errors.Is(err, fs.ErrNotExist) {
@@ -61,7 +61,7 @@
 	if err := os.Mkdir(path, 0o755); err != nil && !errors.Is(err, fs.ErrExist) {
 		return err
 	}
-	return syncDirectory(parent) // also of one that was there: it may have been made just before a loss of power
+	return syncDirectory(parent) // also if the directory existed: it may have been created just before a crash
 }
 
 // Discard implements Folder.
--- a/internal/mesh/storage/logcheck.go
+++ b/internal/mesh/storage/logcheck.go
@@ -9,11 +9,11 @@
 	ldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// A write-ahead log of goleveldb (LevelDB, doc/log_format.md) is blocks of 32 KiB. A block holds chunks, each of a checksum, a
-// length, a type and its bytes; a record is one full chunk, or a first, middle ones and a last. Each record is synced before the
-// next one is written, so a loss of power can leave one record torn, and that the last: without its end, or without some of its
-// sectors. goleveldb either takes any damage for the end of the log, or takes a torn end for damage. Both are wrong here, so the
-// one is told from the other before goleveldb opens the log.
+// A write-ahead log of goleveldb (LevelDB, doc/log_format.md) consists of blocks of 32 KiB. A block holds chunks, each with a checksum, a
+// length, a type and data. A record is one full chunk, or a first, any number of middle and a last chunk. Each record is synced before
+// the next one is written, so a loss of power can only tear the last record: its end or some of its sectors are missing. Depending on
+// its options, goleveldb either treats any damage as the end of the log, or treats a torn last record as corruption. Both are wrong
+// here, so this file distinguishes a torn record from corruption before goleveldb opens the log.
 
 // Sizes of the log's format, in bytes.
 const (
@@ -31,18 +31,18 @@
 	chunkLast
 )
 
-// Sectors reach a disk complete, and in any order.
+// A disk writes complete sectors, in any order.
 const (
 	sectorBytes = 512
-	// minSectorBytes is how many bytes of a chunk's first sector have to be zero for the sector to be taken as lost; a chunk
-	// begins with its checksum.
+	// minSectorBytes is how many bytes of a chunk its first sector has to hold, all zero, for the sector to count as lost. A chunk begins
+	// with its checksum, of which a single byte may well be zero.
 	minSectorBytes = 2
 )
 
 // checksumMaskDelta is added to a rotated checksum (LevelDB, util/crc32c.h).
 const checksumMaskDelta = 0xa282ead8
 
-// checkLogs checks each write-ahead log of a store. nil: no more than the last record is torn.
+// checkLogs checks each write-ahead log of a store. It returns ErrCorrupted unless all are intact but for a torn last record.
 func checkLogs(files ldbstorage.Storage) error {
 	logs, err := files.List(ldbstorage.TypeJournal)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// findDamage reads a log. ok: it is intact, or its last record alone is torn. Otherwise it is damaged at that byte.
+// findDamage checks a log. ok says that it is intact, or that only its last record is torn. Otherwise it is corrupted at the returned byte.
 func findDamage(log []byte) (at int, ok bool) {
 	torn := -1 // where the first chunk begins that is not intact
 	for start := 0; start < len(log); start += blockBytes {
@@ -80,7 +80,7 @@
 				break
 			}
 			if torn >= 0 && beginsRecord(block[offset+typeOffset]) {
-				return torn, false // a record was written behind it, so it had been complete
+				return torn, false // a later record was written, so this one had been synced
 			}
 			offset = end
 		}
@@ -88,22 +88,22 @@
 	return torn, true
 }
 
-// chunkEnd is where the chunk at an offset ends, by its header.
+// chunkEnd returns where the chunk at an offset ends according to its header.
 func chunkEnd(block []byte, offset int) int {
 	return offset + chunkHeaderBytes + int(binary.LittleEndian.Uint16(block[offset+lengthOffset:]))
 }
 
 func beginsRecord(chunkType byte) bool { return chunkType == chunkFull || chunkType == chunkFirst }
 
-// isIntact says that the chunk of a block from start to end is as it was written.
+// isIntact reports whether the chunk of a block from start to end is as it was written.
 func isIntact(block []byte, start, end int) bool {
 	chunkType := block[start+typeOffset]
 	return chunkType >= chunkFull && chunkType <= chunkLast && end <= len(block) &&
 		maskedChecksum(block[start+typeOffset:end]) == binary.LittleEndian.Uint32(block[start:])
 }
 
-// isTorn says that the chunk from start to end, which is not intact, lacks bytes that never reached the disk: its end, which is
-// then the file's or zeros, or a sector. Anything else is a bit that was flipped.
+// isTorn reports whether a chunk from start to end that is not intact looks like a torn write: its end is missing, so that it ends with the
+// file or in zeros, or one of its sectors is missing. Anything else is corruption, such as a flipped bit.
 func isTorn(block []byte, start, end int) bool {
 	if isZero(block[start:]) || lacksSector(block, start, min(end, len(block))) {
 		return true
@@ -117,7 +117,7 @@
 	return true
 }
 
-// lacksSector says that what the chunk from start to end has in some sector is all zeros. Blocks begin with a sector.
+// lacksSector reports whether the part of the chunk from start to end in some sector is all zeros. Blocks are aligned to sectors.
 func lacksSector(block []byte, start, end int) bool {
 	first := min(start-start%sectorBytes+sectorBytes, len(block))
 	if first-start >= minSectorBytes && isZero(block[start:first]) {
@@ -131,8 +131,8 @@
 	return false
 }
 
-// hasRecordStart says that a complete record, or the first chunk of one, stands somewhere in the rest of a block: it was written
-// behind the chunk that is not intact.
+// hasRecordStart reports whether the rest of a block holds a complete record, or the first chunk of one, which was then written after the
+// chunk that is not intact.
 func hasRecordStart(rest []byte) bool {
 	for ; len(rest) >= chunkHeaderBytes; rest = rest[1:] {
 		end := chunkEnd(rest, 0)
@@ -152,7 +152,7 @@
 	return true
 }
 
-// maskedChecksum is a chunk's CRC-32C as the format stores it.
+// maskedChecksum returns a chunk's CRC-32C as the format stores it.
 func maskedChecksum(p []byte) uint32 {
 	sum := crc32.Checksum(p, crc32c)
 	return (sum>>15 | sum<<17) + checksumMaskDelta
--- a/internal/mesh/storage/memory.go
+++ b/internal/mesh/storage/memory.go
@@ -13,13 +13,13 @@
 // Open implements Folder.
 func (m memoryFolder) Open(bool) (ldbstorage.Storage, error) { return m.Storage, nil }
 
-// Sync implements Folder. The copy lasts no longer than the process.
+// Sync implements Folder. A copy in memory needs no sync.
 func (memoryFolder) Sync() error { return nil }
 
-// Discard implements Folder. The copy lasts no longer than the process.
+// Discard implements Folder. A copy in memory is never discarded.
 func (memoryFolder) Discard() error { return nil }
 
-// copyToMemory copies the files of a folder.
+// copyToMemory returns a copy of the files of a folder.
 func copyToMemory(folder Folder) (ldbstorage.Storage, error) {
 	files, err := folder.Open(true)
 	if err != nil {
--- a/internal/mesh/storage/records.go
+++ b/internal/mesh/storage/records.go
@@ -70,7 +70,7 @@
 	return verifyChecksum(record)
 }
 
-// getFixed returns the value of a key that has to be there with that length.
+// getFixed returns the value of a key that must exist and have a length.
 func (s *Store) getFixed(key string, length int) ([]byte, error) {
 	value, err := s.get(key)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return value, nil
 }
 
-// readState reads all records. empty: there are none.
+// readState reads all records. empty says that there are none.
 func (s *Store) readState() (state raft.StoredState, empty bool, err error) {
 	format, err := s.get(keyFormat)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return state, false, nil
 }
 
-// readSnapshot reads the snapshot. A member that was never taken in has none: the zero value.
+// readSnapshot reads the snapshot. It returns the zero value for a member that has never joined, which has none.
 func (s *Store) readSnapshot() (raft.Snapshot, error) {
 	value, err := s.get(keySnapshot)
 	if err != nil || value == nil {
@@ -126,7 +126,7 @@
 	return raftwire.SnapshotFromWire(stored), nil
 }
 
-// readEntries reads the log behind the snapshot of state, and what is left in front of it.
+// readEntries reads the log after the snapshot of state, and the catch-up entries before its end.
 func (s *Store) readEntries(state *raft.StoredState) error {
 	it := s.db.NewIterator(util.BytesPrefix([]byte(entryPrefix)), nil)
 	defer it.Release()
@@ -137,7 +137,7 @@
 		}
 		if entry.Index <= state.Snapshot.Index {
 			if n := len(state.CatchUpEntries); n > 0 && state.CatchUpEntries[n-1].Index+1 != entry.Index {
-				state.CatchUpEntries = nil // left behind by a compaction that could not list them
+				state.CatchUpEntries = nil // left over from a compaction that could not list all of them
 			}
 			state.CatchUpEntries = append(state.CatchUpEntries, entry)
 			continue
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// decodeEntry reads an entry of a record, which the iterator goes on to use.
+// decodeEntry decodes an entry. It copies the record, whose memory the iterator uses again.
 func decodeEntry(record []byte) (raft.Entry, error) {
 	value, err := verifyChecksum(record)
 	if err != nil {
--- a/internal/mesh/storage/store.go
+++ b/internal/mesh/storage/store.go
@@ -1,12 +1,12 @@
-// Package storage is the only one that opens the data folder of a control-plane member. It keeps what Raft has to have on
-// stable storage (the member's id, its hard state, the log and the snapshot that the log goes on from) in goleveldb. Every write
-// is synced before it returns, every value has a checksum, and the format has a version.
+// Package storage owns the data folder of a control-plane member; no other package opens it. It keeps the state that Raft needs on
+// stable storage (the member's ID, its hard state, the log and the snapshot that the log continues) in goleveldb. Every write is
+// synced before it returns, every value has a checksum, and the format has a version.
 //
-// It must never return anything else than what was written: after a loss of power a store holds every write that had
-// returned, and of the one that was under way all or nothing. What can't be shown to be so is ErrCorrupted. The owner of a
-// corrupted store discards it, begins with a new id and is taken in again by the other members.
+// It must never return anything but what was written: after a loss of power a store holds every write that had returned, and either
+// all or nothing of the one that was in progress. A store for which that can't be verified is ErrCorrupted. The owner of a corrupted
+// store discards it, starts with a new ID and joins the other members again.
 //
-// Sources: Raft paper, figure 2 (persistent state); etcd's raft, type Ready (what has to be stable before messages are sent);
+// Sources: Raft paper, figure 2 (persistent state); etcd's raft, type Ready (what has to be on disk before messages are sent);
 // LevelDB, doc/log_format.md (the write-ahead log, which logcheck.go reads).
 //
 // Keys: "format" the version; "self" the id; "hard" term and vote; "snap" the snapshot; "e" and eight bytes an entry.
@@ -47,13 +47,13 @@
 	walBytes     int // an upper bound of the bytes in the write-ahead log; counted with Options.Foreground only
 }
 
-// Options say how a store works. The zero value is that of a control-plane member.
+// Options change how a store works. The zero value is for control-plane members.
 type Options struct {
-	// Foreground has all work done within the calls of a Store, so that the same calls leave the same files: simulations need
-	// that. Tables are never merged, so it is for short lives only.
+	// Foreground does all work within the calls of a Store, so that the same calls leave the same files, as simulations need. Tables
+	// are never merged, so it only suits stores that are used for a short time.
 	Foreground bool
-	// WriteBufferBytes is how much stands in the write-ahead log before it goes into a table. Opening a store takes as much
-	// memory, and time in proportion. 0: DefaultWriteBufferBytes.
+	// WriteBufferBytes is how large the write-ahead log gets before it is written to a table. Opening a store takes as much memory, and
+	// time in proportion. 0: DefaultWriteBufferBytes.
 	WriteBufferBytes int
 }
 
@@ -65,7 +65,7 @@
 		CompactionTableSize:    tableBytes,
 		Compression:            opt.NoCompression,
 		Strict:                 opt.DefaultStrict,
-		// Once a write by a transaction has been refused, goleveldb holds its lock for ever, and Close with it.
+		// After a failed write by a transaction goleveldb never releases its lock, so that Close would block forever.
 		DisableLargeBatchTransaction: true,
 	}
 	if o.Foreground {
@@ -77,7 +77,7 @@
 	return options
 }
 
-// Open opens the store below a data folder, or makes one. empty: it has not been initialized yet. The error is ErrUnavailable,
+// Open opens the store in a data folder, or creates one. empty says that it has not been initialized yet. The error is ErrUnavailable,
 // ErrCorrupted or ErrFormatVersion.
 func Open(dir string) (store *Store, state raft.StoredState, empty bool, err error) {
 	return OpenFolder(dataFolder(dir), Options{})
@@ -96,13 +96,13 @@
 	return store, state, empty, nil
 }
 
-// OpenReadOnly reads the store below a data folder and writes nothing, for tools that inspect it. Its errors are those of Open.
+// OpenReadOnly reads the store in a data folder without writing to it, for tools that inspect it. Its errors are those of Open.
 func OpenReadOnly(dir string) (state raft.StoredState, empty bool, err error) {
 	return OpenFolderReadOnly(dataFolder(dir))
 }
 
-// OpenFolderReadOnly is OpenReadOnly of any Folder. It reads a copy in memory, for goleveldb can't read a store of two
-// write-ahead logs without writing to it.
+// OpenFolderReadOnly is OpenReadOnly of any Folder. It reads a copy in memory, since goleveldb can't open a store with two write-ahead logs
+// without writing to it.
 func OpenFolderReadOnly(folder Folder) (state raft.StoredState, empty bool, err error) {
 	files, err := copyToMemory(folder)
 	if err != nil {
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// Reopen closes the store and opens it again. Once a write was refused goleveldb refuses all, even when there is room again. The
-// error is ErrWriteFailed.
+// Reopen closes the store and opens it again. After a failed write goleveldb rejects all further writes, even when there is space again, until
+// it is reopened. The error is ErrWriteFailed.
 func (s *Store) Reopen() error {
 	s.Close()
 	files, err := s.folder.Open(false)
@@ -149,14 +149,14 @@
 	}
 	db, err := leveldb.Open(newDurableNames(files, s.folder), s.options.levelDBOptions())
 	if err != nil {
-		_ = files.Close() // the error that counts is that of the database
+		_ = files.Close() // the error to report is that of the database
 		return writeFailed(err, "reopen the database")
 	}
 	s.fileStorage, s.db, s.walBytes = files, db, 0
 	return nil
 }
 
-// Close closes the store, which may be closed already. There is nothing left to write that an error of it could lose.
+// Close closes the store. It may be called again. Every write has been synced, so an error of closing loses nothing.
 func (s *Store) Close() {
 	if s.db != nil {
 		_ = s.db.Close()
@@ -168,5 +168,5 @@
 	}
 }
 
-// Discard removes a store that can't be opened, so that Open makes a new one. dir is the data folder.
+// Discard removes a store that can't be opened, so that Open creates a new one. dir is the data folder.
 func Discard(dir string) error { return dataFolder(dir).Discard() }
--- a/internal/mesh/storage/write.go
+++ b/internal/mesh/storage/write.go
@@ -10,10 +10,10 @@
 	"cranegrade/internal/mesh/transport/codec"
 )
 
-// maxRecordOverhead is the most bytes that goleveldb keeps beside the key and the value of a record.
+// maxRecordOverhead is how many bytes goleveldb stores at most besides the key and the value of a record.
 const maxRecordOverhead = 24
 
-// Initialize makes an empty store that of a member. A snapshot with Index 0 is none. The error is ErrWriteFailed.
+// Initialize writes the first state of a member to an empty store. A snapshot with Index 0 is left out. The error is ErrWriteFailed.
 func (s *Store) Initialize(self raft.ID, snapshot raft.Snapshot) error {
 	batch := new(leveldb.Batch)
 	put(batch, keyFormat, encodeUint64(FormatVersion))
@@ -25,8 +25,8 @@
 	return s.write(batch)
 }
 
-// Save writes what a Ready has to have on stable storage, all of it or nothing. last is the index of the last entry that is
-// stored; those from there back to the new ones, of a leader that has been replaced, are removed. The error is ErrWriteFailed.
+// Save writes what a Ready needs on stable storage, atomically. last is the index of the last stored entry; stored entries after the new
+// ones, which are from a former leader, are removed. The error is ErrWriteFailed.
 func (s *Store) Save(ready raft.Ready, last uint64) error {
 	if s.db == nil {
 		return ErrWriteFailed
@@ -37,7 +37,7 @@
 	}
 	if ready.Snapshot != nil {
 		putSnapshot(batch, ready.Snapshot)
-		// An entry that was not seen would stand behind the snapshot.
+		// Without a complete list an old entry could remain after the snapshot, as if it continued it.
 		if err := s.deleteEntries(batch, util.BytesPrefix([]byte(entryPrefix))); err != nil {
 			return writeFailed(err, "list the entries that a snapshot replaces")
 		}
@@ -54,7 +54,7 @@
 	return s.write(batch)
 }
 
-// Compact has a snapshot stand for the log up to its index, and removes the entries before oldestKept. The error is
+// Compact replaces the log up to the index of a snapshot by the snapshot, and removes the entries before oldestKept. The error is
 // ErrWriteFailed.
 func (s *Store) Compact(snapshot raft.Snapshot, oldestKept uint64) error {
 	if s.db == nil {
@@ -62,7 +62,7 @@
 	}
 	batch := new(leveldb.Batch)
 	putSnapshot(batch, &snapshot)
-	// An entry that was not seen does no harm: readEntries drops what is left in front of a gap.
+	// An incomplete list does no harm, since readEntries ignores entries before a gap.
 	_ = s.deleteEntries(batch, &util.Range{Start: entryKey(0), Limit: entryKey(oldestKept)})
 	return s.write(batch)
 }
@@ -75,7 +75,7 @@
 	put(batch, keySnapshot, codec.EncodeTable(raftwire.SnapshotToWire(snapshot)))
 }
 
-// deleteEntries adds the removal of all stored entries of a range of keys to a batch.
+// deleteEntries adds the removal of all stored entries in a range of keys to a batch.
 func (s *Store) deleteEntries(batch *leveldb.Batch, keys *util.Range) error {
 	it := s.db.NewIterator(keys, nil)
 	defer it.Release()
@@ -85,7 +85,7 @@
 	return it.Error()
 }
 
-// write writes a batch, synced.
+// write writes and syncs a batch.
 func (s *Store) write(batch *leveldb.Batch) error {
 	if s.db == nil {
 		return errors.Annotate(ErrWriteFailed, "the store is closed")
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// makeRoom reopens the store before a batch for which its write-ahead log has no room. That puts what the log holds into a table;
-// goleveldb would do it in the background otherwise.
+// makeRoom reopens the store if its write-ahead log has no room for a batch. Opening writes the log to a table, which goleveldb would
+// otherwise do in the background.
 func (s *Store) makeRoom(batch *leveldb.Batch) error {
 	size := len(batch.Dump()) + maxRecordOverhead*batch.Len()
 	s.walBytes += size
--- a/internal/mesh/transport/calls.go
+++ b/internal/mesh/transport/calls.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Calls are the calls of a process over its connections that wait for their reply. The zero value is ready. It may be used from
+// Calls holds the calls of a process that wait for their reply, over all its connections. The zero value is ready to use. It may be used from
 // any goroutine.
 type Calls struct {
 	mu      sync.Mutex // guards lastID and pending
@@ -23,7 +23,7 @@
 }
 
 // Call makes a call and waits for its reply, until ctx or the connection ends. The error is ErrClosed, ErrQueueFull or the context's;
-// the call may have been taken all the same. Whoever receives on conn has to pass replies to Deliver.
+// the call may have been carried out all the same. The goroutine that receives on conn has to pass replies to Deliver.
 func (c *Calls) Call(ctx context.Context, conn *Conn, kind byte, body []byte) (*wire.CallReplyT, error) {
 	call := &pendingCall{conn: conn, reply: make(chan *wire.CallReplyT, 1)}
 	id := c.add(call)
@@ -58,8 +58,8 @@
 	delete(c.pending, id)
 }
 
-// Deliver passes a reply that came by a connection to the call that waits for it. One that nobody waits for, or that another
-// connection brings, is dropped.
+// Deliver passes a reply to the call that waits for it. A reply that no call waits for, or that comes by another connection than the call was
+// sent on, is dropped.
 func (c *Calls) Deliver(conn *Conn, reply *wire.CallReplyT) {
 	c.mu.Lock()
 	call := c.pending[reply.Id]
@@ -69,6 +69,6 @@
 	}
 	select {
 	case call.reply <- reply:
-	default: // a second reply
+	default: // a duplicate reply
 	}
 }
--- a/internal/mesh/transport/client.go
+++ b/internal/mesh/transport/client.go
@@ -12,9 +12,9 @@
 
 // Errors of calls by a Client.
 const (
-	// ErrNoReply: the process could not be reached, or gave no reply in time. The call may have been taken all the same.
+	// ErrNoReply: the process could not be reached, or did not reply in time. It may have carried out the call all the same.
 	ErrNoReply = errors.ConstError("no reply")
-	// ErrRejected: the reply is another than http.StatusOK.
+	// ErrRejected: the status of the reply is not http.StatusOK.
 	ErrRejected = errors.ConstError("the call was rejected")
 )
 
@@ -24,8 +24,8 @@
 	calls Calls
 }
 
-// DialClient connects to the process at an address. The context bounds the dial only. onMessage gets, on one goroutine, every message
-// that is no reply; nil: they are dropped. The error is ErrNoReply.
+// DialClient connects to the process at an address. The context bounds the dial only. onMessage is called with every message that is not a
+// reply, on the client's own goroutine, which ends with the connection; nil: such messages are dropped. The error is ErrNoReply.
 func DialClient(ctx context.Context, addr, name string, onMessage func(codec.Message)) (*Client, error) {
 	conn, err := Dial(ctx, addr, &wire.HelloT{Name: name}, nil)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return client, nil
 }
 
-// receive ends with the connection.
+// receive delivers replies and passes on messages until the connection ends.
 func (c *Client) receive(onMessage func(codec.Message)) {
 	for {
 		m, err := c.conn.Receive()
@@ -51,10 +51,10 @@
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection. It does not wait for a call of onMessage, from which it may be called.
 func (c *Client) Close() { c.conn.Close(nil) }
 
-// Done is closed with the connection.
+// Done returns a channel that is closed with the connection.
 func (c *Client) Done() <-chan struct{} { return c.conn.Done() }
 
 // Call makes a call of one of the kinds of package codec, and returns the body of its reply. The error is ErrNoReply or ErrRejected.
--- a/internal/mesh/transport/conn.go
+++ b/internal/mesh/transport/conn.go
@@ -16,31 +16,31 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Conn is one connection. Receive may be called from one goroutine, everything else from any. Its writer goroutine ends with the
-// connection: whoever has one closes it.
+// Conn is one connection. Receive may be called from one goroutine, all other methods from any. Its writer goroutine ends with the
+// connection, so its owner has to close it.
 type Conn struct {
-	// Peer is the hello of the process that dialled; on that side its own.
+	// Peer is the hello of the process that dialled. On the dialling side that is the process itself.
 	Peer *wire.HelloT
 
 	netConn net.Conn
 	reader  *bufio.Reader
 
 	encodeHeartbeat func() []byte
-	alwaysHeartbeat bool          // other messages don't stand for heartbeats
+	alwaysHeartbeat bool          // heartbeats are sent at every tick, since other messages can't replace their content
 	writeTimeout    time.Duration // shorter in tests
 	pending         atomic.Int64  // see AddPending
-	pendingSince    atomic.Int64  // Unix nanoseconds since when there is anything
+	pendingSince    atomic.Int64  // when pending last rose from 0, in Unix nanoseconds
 	lastReceived    atomic.Int64  // Unix nanoseconds of the latest bytes
 
-	writeMu     sync.Mutex // held over a write, and to end the writing
-	writeClosed bool       // nothing more is written; guarded by writeMu
+	writeMu     sync.Mutex // held during a write, and to set writeClosed
+	writeClosed bool       // nothing more may be written; guarded by writeMu
 
 	mu          sync.Mutex // guards queue, queuedBytes and err
 	queue       [][]byte
 	queuedBytes int
 	err         error // why it ended; nil: it has not
 
-	wake chan struct{} // there is something in queue
+	wake chan struct{} // signals that queue is not empty
 	done chan struct{} // closed with the connection
 }
 
@@ -48,7 +48,7 @@
 	c := &Conn{netConn: netConn, writeTimeout: writeTimeout, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	c.reader = bufio.NewReaderSize(receiveTracker{c}, readBufferSize)
 	c.encodeHeartbeat = func() []byte { return codec.Encode(&wire.HeartbeatT{}) }
-	if heartbeat != nil { // it says more than that the sender is alive
+	if heartbeat != nil { // heartbeats have content that other messages do not carry
 		c.encodeHeartbeat, c.alwaysHeartbeat = func() []byte { return codec.Encode(heartbeat()) }, true
 	}
 	c.lastReceived.Store(time.Now().UnixNano())
@@ -56,8 +56,8 @@
 	return c
 }
 
-// AddPending counts what this side waits for on the connection, or works on for the peer; a negative n takes it back. Both sides
-// send heartbeats often while there is any, for whoever waits has to find out soon that the peer is gone.
+// AddPending adds to the number of replies that this side waits for, or works on for the peer; n is negative once they are done. While there
+// are any, heartbeats are frequent and the peer's time-out is short, so that whoever waits soon finds out that the peer is gone.
 func (c *Conn) AddPending(n int64) {
 	if n > 0 && c.pending.Load() == 0 {
 		c.pendingSince.Store(time.Now().UnixNano())
@@ -65,14 +65,14 @@
 	c.pending.Add(n)
 }
 
-// Pending is the sum of AddPending.
+// Pending returns the number of pending replies, see AddPending.
 func (c *Conn) Pending() int64 { return c.pending.Load() }
 
-// Send queues a message, one of the types of codec.NewMessage. It does not wait: a connection whose peer does not read ends. The error
-// is ErrClosed or ErrQueueFull; nil does not say that the message arrives.
+// Send queues a message of one of the types of codec.NewMessage. It never blocks: a connection whose peer does not read is closed. The error
+// is ErrClosed or ErrQueueFull; nil does not mean that the message arrives.
 func (c *Conn) Send(message any) error { return c.SendFrame(codec.Encode(message)) }
 
-// SendFrame is Send of a message that codec.Encode has encoded. The frame must not be changed any more.
+// SendFrame is Send of a message that codec.Encode has encoded. The frame must not be changed afterwards.
 func (c *Conn) SendFrame(frame []byte) error {
 	c.mu.Lock()
 	if c.err != nil {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// Receive waits for the next message of a type that this build knows. On an error the connection is closed.
+// Receive waits for the next message, and skips those of types that this build does not know. On an error it closes the connection.
 func (c *Conn) Receive() (codec.Message, error) {
 	for {
 		m, err := c.receiveFrame()
@@ -103,7 +103,7 @@
 			c.Close(err)
 			return codec.Message{}, err
 		}
-		if m.Type != wire.PayloadNONE { // a later version's
+		if m.Type != wire.PayloadNONE { // otherwise a type of a later version
 			return m, nil
 		}
 	}
@@ -130,7 +130,8 @@
 	return m, nil
 }
 
-// receiveTracker reads a connection and records when anything came: a long frame over a slow link is not silence.
+// receiveTracker reads from a connection and records when bytes arrive, so that a peer that is sending a long frame over a slow link does not
+// count as silent.
 type receiveTracker struct{ conn *Conn }
 
 // Read implements io.Reader.
@@ -142,9 +143,9 @@
 	return n, err
 }
 
-// Shutdown ends the connection once everything that was sent is written, and the peer has read it and closed its own end. Somebody has to
-// go on receiving. A process that only ended would reset the connection if anything had come that it had not read, and what it
-// sent last would be lost. When the context ends, so does the connection.
+// Shutdown closes the connection once everything that was sent is written, and the peer has read it and closed its own end. The owner has to
+// go on receiving meanwhile. A process that simply exits resets the connection if there is unread data, and the peer may then lose what
+// was sent last. When ctx ends the connection is closed at once.
 func (c *Conn) Shutdown(ctx context.Context) {
 	const pollInterval = 5 * time.Millisecond
 	ticker := time.NewTicker(pollInterval)
@@ -155,7 +156,7 @@
 	}
 	c.writeClosed = true
 	if half, ok := c.netConn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // it fails on a connection that has ended, which done tells
+		_ = half.CloseWrite() // it only fails on a connection that has ended
 	}
 	c.writeMu.Unlock()
 	select {
@@ -165,7 +166,7 @@
 	}
 }
 
-// Close ends the connection at once. reason is what Err says from then on, unless it was closed before; nil: ErrClosed.
+// Close closes the connection at once. Err returns reason from then on, unless the connection was closed before; nil: ErrClosed.
 func (c *Conn) Close(reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,23 +181,23 @@
 	_ = c.netConn.Close()
 }
 
-// LastReceived is when the latest bytes came.
+// LastReceived returns when the last bytes were received.
 func (c *Conn) LastReceived() time.Time { return time.Unix(0, c.lastReceived.Load()) }
 
-// RemoteAddr is the peer's host and port.
+// RemoteAddr returns the peer's host and port.
 func (c *Conn) RemoteAddr() string { return c.netConn.RemoteAddr().String() }
 
-// Done is closed with the connection.
+// Done returns a channel that is closed with the connection.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Err is why the connection ended; nil: it has not.
+// Err returns why the connection ended; nil: it has not.
 func (c *Conn) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// Flushed says that nothing is queued. The last frames may still be on their way into the socket.
+// Flushed reports whether the queue is empty. The last frames may not have been passed to the socket yet.
 func (c *Conn) Flushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/transport/traffic.go
+++ b/internal/mesh/transport/traffic.go
@@ -13,8 +13,8 @@
 // sentTraffic counts what this process has sent on all its connections, receivedTraffic what it has received.
 var sentTraffic, receivedTraffic trafficCounters
 
-// messageTypes are the names of the message types, by their numbers on the wire. They are sent within a Status and read by tools of
-// other builds, so they stay as they were when the types had other names.
+// messageTypes is the names of the message types, by their numbers on the wire. They are sent in a Status and read by tools of other
+// versions, so they keep the names that the types had in the first release.
 var messageTypes = [...]string{
 	wire.PayloadNONE:                  "none",
 	wire.PayloadHello:                 "hello",
@@ -34,11 +34,11 @@
 	wire.PayloadActivePolicy:          "bound",
 }
 
-// SentTraffic is what this process has sent on all its connections since it started, by message type. Types of which it sent nothing
+// SentTraffic returns what this process has sent on all its connections since it started, by message type. Types of which nothing was sent
 // are left out.
 func SentTraffic() []*wire.TrafficCounterT { return sentTraffic.snapshot() }
 
-// ReceivedTraffic is what this process has received, in the same form.
+// ReceivedTraffic returns what this process has received, in the same form.
 func ReceivedTraffic() []*wire.TrafficCounterT { return receivedTraffic.snapshot() }
 
 // countSent counts a frame that is about to be sent.
--- a/internal/mesh/transport/writer.go
+++ b/internal/mesh/transport/writer.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// writeLoop writes what is queued, all of it at a time, and heartbeats while nothing else was sent. It ends with the connection, and
-// ends it when the peer is silent.
+// writeLoop writes what is queued, and heartbeats when they are due. It ends with the connection, which it closes when the peer is silent for
+// too long.
 func (c *Conn) writeLoop() {
 	ticker := time.NewTicker(HeartbeatInterval)
 	defer ticker.Stop()
-	idleTicks := 0 // in which nothing was written
+	idleTicks := 0 // ticks in a row in which nothing was written
 	for {
 		var heartbeat []byte
 		select {
@@ -41,8 +41,8 @@
 	}
 }
 
-// isPeerSilent says that the connection has to end at a time in Unix nanoseconds. idle: nothing is pending. What has just become
-// pending gives the peer its time anew, for it had sent heartbeats seldom until then.
+// isPeerSilent reports whether the peer has been silent for too long at a time, in Unix nanoseconds. idle says that nothing is pending. The
+// short time-out counts from when something became pending, since the peer sent few heartbeats until then.
 func (c *Conn) isPeerSilent(now int64, idle bool) bool {
 	received := c.lastReceived.Load()
 	if now-received > int64(IdleFactor*PeerTimeout) {
@@ -51,7 +51,7 @@
 	return !idle && now-max(received, c.pendingSince.Load()) > int64(PeerTimeout)
 }
 
-// isHeartbeatDue says whether a heartbeat is sent after so many ticks in which nothing was written.
+// isHeartbeatDue reports whether a heartbeat has to be sent after a number of ticks in which nothing was written.
 func (c *Conn) isHeartbeatDue(idleTicks int, idle bool) bool {
 	switch {
 	case c.alwaysHeartbeat:
@@ -83,12 +83,12 @@
 	return true, c.writeAll(frames)
 }
 
-// writeAll writes frames, together where they are short and in parts where they are long, each part within the time for a write.
+// writeAll writes frames in parts of up to maxWriteBytes, each with its own deadline.
 func (c *Conn) writeAll(frames net.Buffers) error {
 	for len(frames) > 0 {
 		part, rest := splitWrite(frames)
 		frames = rest
-		_ = c.netConn.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // it fails as the write then does
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(c.writeTimeout)) // if it fails, so does the write
 		var err error
 		if len(part) == 1 {
 			_, err = c.netConn.Write(part[0])
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// splitWrite splits off the part that is written at a time. It changes frames.
+// splitWrite splits off the part to write next. It changes frames.
 func splitWrite(frames net.Buffers) (part, rest net.Buffers) {
 	size := 0
 	for n, frame := range frames {
