--- a/internal/mesh/config/errors.go
+++ b/internal/mesh/config/errors.go
@@ -82,7 +82,7 @@
 	return fieldErrorOf(item, validation.Check(content))
 }
 
-// fieldErrorOf is the error of an item in which a fault was found. It is nil for a nil fault.
+// fieldErrorOf returns the error of an item in which a fault was found. It is nil for a nil fault.
 func fieldErrorOf(item string, fault *validation.Fault) *FieldError {
 	if fault == nil {
 		return nil
--- a/internal/mesh/maintenance/clock.go
+++ b/internal/mesh/maintenance/clock.go
@@ -7,35 +7,35 @@
 	"github.com/juju/errors"
 )
 
-// ErrNoAgreedTime is that no majority of the members' clocks agrees on a time, and that none was agreed on before.
+// ErrNoAgreedTime says that no majority of the members' clocks agrees on a time, and no time was agreed on before.
 const ErrNoAgreedTime = errors.ConstError("the registers' clocks agree on no time of day")
 
 const (
-	// MaxClockError is by how much a clock that is right may be off. The agreed time is right within it, and half a round
-	// trip, as long as fewer than half of the members' clocks are wrong.
+	// MaxClockError is by how much a correct clock may be off. The agreed time is correct within that and half a round trip, as long as
+	// fewer than half of the members' clocks are wrong.
 	MaxClockError = 250 * time.Millisecond
 
-	// MaxDrift is by how much a steady clock may run fast or slow, as a ratio.
+	// MaxDrift is by how much a monotonic clock may run fast or slow, as a ratio.
 	MaxDrift = 1e-4
 
-	// LeaderlessUnknown is a time without a leader of which nobody can tell how long it was.
+	// LeaderlessUnknown stands for a time without a leader whose length is not known.
 	LeaderlessUnknown time.Duration = -1
 )
 
-// TimeBounds are two times of day between which it is.
+// TimeBounds is an interval that contains the time of day.
 type TimeBounds struct {
 	Earliest time.Time `json:"Earliest"`
 	Latest   time.Time `json:"Latest"`
 }
 
-// advance is the bounds after some time has passed, by a steady clock.
+// advance returns the bounds after some time has passed by a monotonic clock.
 func (b TimeBounds) advance(passed time.Duration) TimeBounds {
 	passed = max(0, passed)
 	drift := time.Duration(float64(passed) * MaxDrift)
 	return TimeBounds{b.Earliest.Add(passed - drift), b.Latest.Add(passed + drift)}
 }
 
-// ClockSample is a member's time of day, as it was at ReadAt of the asker's steady clock, give or take half of RoundTrip.
+// ClockSample is a member's time of day at ReadAt of the asking member's monotonic clock, within half of RoundTrip.
 type ClockSample struct {
 	Member    uint64
 	Wall      time.Time
@@ -43,32 +43,32 @@
 	RoundTrip time.Duration
 }
 
-// Clock is the time of day at a log time: between Earliest and Latest, and surely so while fewer than half of the clocks are
-// wrong. It is replicated state. The zero Clock is that none was agreed on.
+// Clock is the agreed time of day at a log time: between Earliest and Latest, provided that fewer than half of the clocks are wrong. It is
+// replicated state. The zero value says that no time was agreed on.
 type Clock struct {
 	LogTime  time.Duration `json:"Stamp"`
 	Earliest time.Time     `json:"Earliest"`
 	Latest   time.Time     `json:"Latest"`
-	// InDoubt says that a majority of clocks contradicts what was agreed on before. The bounds then hold both, so that no
-	// window opens before it is open by either, and none is used that has ended by either.
+	// InDoubt says that a majority of clocks contradicts the time agreed on before. The bounds then include both, so that no window is
+	// used that either of the two times considers closed.
 	InDoubt bool `json:"Doubt"`
-	// Steady is, while in doubt, what was agreed on before, carried on by log time: later samples are held against that, and
-	// not against what the same clocks said themselves.
+	// Steady is, while in doubt, the time agreed on before, advanced by log time. Later samples are compared with that, rather than with
+	// what the same clocks have said before.
 	Steady TimeBounds `json:"Steady"`
 }
 
-// IsKnown says that a time was agreed on.
+// IsKnown reports whether a time has been agreed on.
 func (c Clock) IsKnown() bool { return !c.Earliest.IsZero() }
 
 func (c Clock) bounds() TimeBounds { return TimeBounds{c.Earliest, c.Latest} }
 
-// Now is the time of day at a later log time.
+// Now returns the time of day at a later log time.
 func (c Clock) Now(logTime time.Duration) TimeBounds { return c.bounds().advance(logTime - c.LogTime) }
 
-// Agree is the next agreed time, at a log time: of what is agreed on and of what the members say at a time of the asker's
-// steady clock. members is how many there are. leaderless is for how long nobody led since the last agreed time, while log time
-// stood still: by the steady clock of a member that lived through it, or LeaderlessUnknown; then how late it is is the clocks'
-// word alone. The error is ErrNoAgreedTime; the clock is unchanged then.
+// Agree returns the next agreed time at a log time. It combines the time agreed on so far with samples of the members' clocks, as of a time at of
+// the asking member's monotonic clock. members is the number of members. leaderless is how long there was no leader since the last agreed
+// time, during which log time did not advance: measured by a member that ran all the time, or LeaderlessUnknown, in which case the upper
+// bound follows from the samples alone. On ErrNoAgreedTime the clock is unchanged.
 func (c Clock) Agree(logTime time.Duration, samples []ClockSample, at time.Duration, members int, leaderless time.Duration) (Clock, error) {
 	measured, majority := intersectSamples(samples, at, members/2+1)
 	if !c.IsKnown() {
@@ -97,10 +97,10 @@
 	}, nil
 }
 
-// expected is the time of day at a log time, going by what was agreed on alone.
+// expected returns the time of day at a log time according to the agreed time alone.
 func (c Clock) expected(logTime, leaderless time.Duration) TimeBounds {
 	agreed := c.bounds()
-	if c.InDoubt && !c.Steady.Earliest.IsZero() { // an earlier version kept no steady time
+	if c.InDoubt && !c.Steady.Earliest.IsZero() { // earlier versions did not store Steady
 		agreed = c.Steady
 	}
 	expected := agreed.advance(logTime - c.LogTime)
@@ -108,7 +108,7 @@
 	return expected
 }
 
-// carryOn is the next agreed time where no majority of clocks says the same.
+// carryOn returns the next agreed time if no majority of clocks agrees.
 func (c Clock) carryOn(logTime time.Duration, expected TimeBounds, leaderless time.Duration) (Clock, error) {
 	if leaderless < 0 {
 		return c, ErrNoAgreedTime
@@ -140,8 +140,8 @@
 	end bool
 }
 
-// intersectSamples is the shortest interval that the most samples have in common, each with its error, as of a steady time
-// (Marzullo's algorithm); false if fewer than a quorum have it in common.
+// intersectSamples returns the smallest interval that is consistent with the largest number of samples, given their errors, at a monotonic time
+// (Marzullo's algorithm). It returns false if that number is less than the quorum.
 func intersectSamples(samples []ClockSample, at time.Duration, quorum int) (TimeBounds, bool) {
 	edges := sampleEdges(samples, at)
 	most, open := 0, 0
@@ -160,7 +160,7 @@
 	return common, most >= quorum
 }
 
-// sampleEdges are the edges of the first sample of each member, in order; where two are at the same time beginnings come first.
+// sampleEdges returns the edges of the first sample of each member, in order. Of edges at the same time, beginnings come first.
 func sampleEdges(samples []ClockSample, at time.Duration) (edges []sampleEdge) {
 	seen := map[uint64]bool{}
 	for _, s := range samples {
--- a/internal/mesh/maintenance/contract.go
+++ b/internal/mesh/maintenance/contract.go
@@ -2,27 +2,26 @@
 
 import "time"
 
-// Contract approves hours for the machines that its traffic runs over. It is a configuration item: its fields are named there
-// as here.
+// Contract approves maintenance windows for the machines that carry its traffic. It is a configuration item with the same field names.
 type Contract struct {
 	Name          string `json:"Name" validate:"required,max=512"`
 	ConfigVersion int64  `json:"ConfigVersion"`
 	Covers        Scope  `json:"Covers"`
-	TimeZone      string `json:"TimeZone" validate:"required,max=64"` // as the IANA's database names it
-	// Weekly are hours of every week, Dates single windows, both by the contract's own clock. Together they are what is
-	// approved, except on the days that are barred.
+	TimeZone      string `json:"TimeZone" validate:"required,max=64"` // a name of the IANA time zone database
+	// Weekly is windows of every week, and Dates single windows, both in the contract's time zone. Together they are approved, except on
+	// barred days.
 	Weekly []WeeklyWindow `json:"Weekly" validate:"max=64,dive"`
 	Dates  []DateWindow   `json:"Dates" validate:"max=256,dive"`
 	Barred []BarredDays   `json:"Barred" validate:"max=256,dive"`
 	// MostOut bounds how many machines are in maintenance at once.
 	MostOut OutLimits `json:"MostOut"`
-	// LeastReady is the share of a service's slots that must stay ready, from 0 to 1.
+	// LeastReady is the share of a service's slots that must remain ready, from 0 to 1.
 	LeastReady float64  `json:"LeastReady" validate:"gte=0,lte=1"`
 	Approvers  []string `json:"Approvers" validate:"min=1,max=64,dive,required,max=128"`
 }
 
-// Scope says whose traffic a contract is about: that of any of these services, into any of these zones, on any of these
-// routes, or to any service of these namespaces and of those nested in them. An empty scope is all traffic.
+// Scope is the traffic that a contract covers: to any of these services, into any of these zones, on any of these routes, or to any service of
+// these namespaces and of those nested in them. An empty scope covers all traffic.
 type Scope struct {
 	Services   []string `json:"Services" validate:"max=256"`
 	Zones      []string `json:"Zones" validate:"max=256"`
@@ -34,7 +33,7 @@
 	return len(s.Services)+len(s.Zones)+len(s.Routes)+len(s.Namespaces) == 0
 }
 
-// WeeklyWindow is a window on some days of the week, as 22:00 to 23:30. To may be 24:00; a window over midnight is written as
+// WeeklyWindow is a window on some days of the week, for example 22:00 to 23:30. To may be 24:00. A window over midnight has to be written as
 // two.
 type WeeklyWindow struct {
 	Days []string `json:"Days" validate:"min=1,max=7,dive,oneof=Mon Tue Wed Thu Fri Sat Sun"`
@@ -42,13 +41,13 @@
 	To   string   `json:"To" validate:"required"`
 }
 
-// DateWindow is a window from one minute to another, as 2026-12-31 22:00.
+// DateWindow is a window from one minute to another, for example 2026-12-31 22:00.
 type DateWindow struct {
 	From string `json:"From" validate:"required"`
 	To   string `json:"To" validate:"required"`
 }
 
-// BarredDays are whole days on which nothing is approved, the first and the last among them, as 2026-12-31.
+// BarredDays is a range of whole days, the first and the last included, on which nothing is approved, for example 2026-12-31.
 type BarredDays struct {
 	From string `json:"From" validate:"required"`
 	To   string `json:"To" validate:"required"`
--- a/internal/mesh/maintenance/doc.go
+++ b/internal/mesh/maintenance/doc.go
@@ -1,13 +1,13 @@
-// Package maintenance decides when a machine may be taken out for maintenance, and what is done then.
+// Package maintenance decides when a machine may be taken out for maintenance, and which steps that takes.
 //
-// It owns three things. Contracts approve hours (contract.go, validate.go, windows.go). A plan says whether a machine may be
-// taken out now, and why not (view.go, plan.go). An order is the replicated record of machines that are drained, worked on and
-// let in again, one after the other (order.go, ordertable.go, next.go). All of them go by a time of day on which a majority of
-// the control-plane members' clocks agrees (clock.go).
+// It owns three things. Contracts approve maintenance windows (contract.go, validate.go, windows.go). A plan says whether a machine may be
+// taken out now, and if not, why (view.go, plan.go). An order is the replicated record of machines that are drained, maintained and
+// returned to service one after the other (order.go, ordertable.go, next.go). All of them use a time of day on which a majority of the
+// control-plane members' clocks agree (clock.go).
 //
-// The package is pure: it never reads a clock, starts a goroutine, logs or does I/O, and the same calls give the same answers.
-// The leader decides with Order.Next and proposes what that returns; each replica applies what was committed with
-// OrderTable.Place and OrderTable.Apply, and must reach the same state as all others.
+// The package is pure: it never reads a clock, starts a goroutine, logs or does I/O, and the same calls give the same results. The leader
+// decides with Order.Next and proposes the result. Each replica applies committed changes with OrderTable.Place and OrderTable.Apply,
+// which must lead to the same state everywhere.
 //
 // Orders, changes and the agreed clock are stored as JSON in the raft log and in snapshots, contracts are configuration items:
 // the names in their tags, the steps' values and the text that Place writes are data, and never change.
--- a/internal/mesh/maintenance/next.go
+++ b/internal/mesh/maintenance/next.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Observation is what the leader has seen of the machine that an order is at.
+// Observation is what the leader knows about the current machine of an order.
 type Observation struct {
 	Reachable         bool // it answers
-	Cordoned          bool // it takes nothing new, by this order
-	ServerRequests    int  // that run at its server
-	CallerRequests    int  // of its own callers, that are open
-	CallersMoved      bool // its own callers are led to other machines
+	Cordoned          bool // it accepts nothing new because of this order
+	ServerRequests    int  // running at its server
+	CallerRequests    int  // open requests of its own callers
+	CallersMoved      bool // its own callers are sent to other machines
 	KeysHandedOver    bool // its idempotency keys are with the order's successor
-	Senders           int  // sidecars in contact that still send to it, or could not be asked
-	Ready             bool // it takes requests, and others know
+	Senders           int  // sidecars in contact that still send to it, or have not answered
+	Ready             bool // it accepts requests, and the other sidecars know
 	Warm              bool // its server has been ready for Parameters.WarmUp
 	ControlPlane      bool
 	FollowingSidecars int    // of a control-plane member: sidecars that follow it
 	IsLeader          bool   // of a control-plane member
-	SendersText       string // who still sends, for people
-	WorkText          string // what runs there by kind, and how what ran since it was cordoned has ended, for people
+	SendersText       string // which sidecars still send, for operators
+	WorkText          string // what runs there by kind, and how requests since it was cordoned have ended, for operators
 }
 
-// decision is what an order does next: a change, or it waits for something.
+// decision is what an order does next: it changes, or it waits for something.
 type decision struct {
 	change   OrderChange
 	ok       bool   // there is a change
-	waitsFor string // else
+	waitsFor string // if there is no change
 }
 
 func (o Order) emptyChange() OrderChange {
@@ -44,8 +44,8 @@
 	return decision{change: o.emptyChange(), waitsFor: fmt.Sprintf(format, args...)}
 }
 
-// Next decides the next change of an order; ok is false if the order waits, for what is said. The view must not count the
-// order's own machine among those in maintenance. Called by the leader, which proposes the change.
+// Next decides the next change of an order, which the leader then proposes. ok is false if the order waits; waitsFor then says for what. The view
+// must not count the order's own machine as in maintenance.
 func (o Order) Next(v View, seen Observation, now TimeBounds) (change OrderChange, ok bool, waitsFor string) {
 	d, turnsBack := o.turnBack(v, now)
 	if !turnsBack {
@@ -71,7 +71,7 @@
 	return o.waitFor("it is over")
 }
 
-// turnBack lets a cordoned machine in again if it may not go on being out.
+// turnBack returns a cordoned machine to service if it may no longer be out.
 func (o Order) turnBack(v View, now TimeBounds) (d decision, turnsBack bool) {
 	if !o.Step.IsCordoned() {
 		return decision{}, false
@@ -87,11 +87,11 @@
 	} else {
 		return decision{}, false
 	}
-	d.change.Abort = true // whoever wants it all the same places another order
+	d.change.Abort = true // the operator may place another order
 	return d, true
 }
 
-// withoutLoad is the view for a machine that is out already: load rises and falls, so it counts only before that.
+// withoutLoad returns the view for a machine that is already out: load varies, so it only counts before a machine is taken out.
 func (v View) withoutLoad() View {
 	v.Load = nil
 	return v
--- a/internal/mesh/maintenance/order.go
+++ b/internal/mesh/maintenance/order.go
@@ -7,21 +7,21 @@
 	"github.com/juju/errors"
 )
 
-// Step is how far an order has come with the machine that it is at. The values are stored.
+// Step is how far an order has come with its current machine. The values are stored.
 type Step string
 
-// Steps. The machine is out from StepDraining to StepReturning.
+// Steps. The machine is out of service from StepDraining to StepReturning.
 const (
 	StepWaiting       Step = "waiting"   // for the machine to be approved
-	StepDraining      Step = "draining"  // no sidecar sends to it any more; what runs there ends
+	StepDraining      Step = "draining"  // no sidecar sends to it any more, and requests there are finished
 	StepMovingCallers Step = "leading"   // its own callers are moved to other machines
-	StepInMaintenance Step = "out"       // nothing runs over it: the maintenance may be done
-	StepReturning     Step = "returning" // it is let in again
+	StepInMaintenance Step = "out"       // it carries no traffic, so the maintenance may be done
+	StepReturning     Step = "returning" // it is returned to service
 	StepDone          Step = "done"
-	StepAborted       Step = "aborted" // and all that was out is back
+	StepAborted       Step = "aborted" // and the machine is back
 )
 
-// nextSteps are those that may follow a step.
+// nextSteps is the steps that may follow a step.
 var nextSteps = map[Step][]Step{
 	StepWaiting:       {StepDraining, StepAborted, StepDone},
 	StepDraining:      {StepMovingCallers, StepReturning},
@@ -30,10 +30,10 @@
 	StepReturning:     {StepWaiting, StepDone, StepAborted},
 }
 
-// IsFinished says that the order has ended.
+// IsFinished reports whether the order has ended.
 func (s Step) IsFinished() bool { return s == StepDone || s == StepAborted }
 
-// IsCordoned says that the machine takes nothing new.
+// IsCordoned reports whether the machine accepts nothing new.
 func (s Step) IsCordoned() bool {
 	return s == StepDraining || s == StepMovingCallers || s == StepInMaintenance
 }
@@ -48,31 +48,31 @@
 	Text    string     `json:"text"`
 }
 
-// Order is machines that come out for maintenance, one after the other. It is replicated state: a change of it names the
-// revision that it follows, so that of two changes that were decided at once only one is made.
+// Order is a number of machines that are taken out for maintenance one after the other. It is replicated state. A change names the revision that
+// it is based on, so that only one of two concurrent changes is made.
 type Order struct {
 	ID               string        `json:"id"`
 	Machines         []string      `json:"machines"` // addresses, in their order
-	Position         int           `json:"at"`       // of the present machine in Machines
+	Position         int           `json:"at"`       // of the current machine in Machines
 	Step             Step          `json:"step"`
 	Revision         uint64        `json:"seq"`    // rises with each change
 	Duration         time.Duration `json:"length"` // of the maintenance itself, for each machine
 	PlacedBy         string        `json:"by"`
 	Reason           string        `json:"reason,omitempty"`
-	Override         bool          `json:"override,omitempty"` // of what the contracts say
-	MachineNames     []string      `json:"names,omitempty"`    // of Machines, as people know them
+	Override         bool          `json:"override,omitempty"` // the contracts are ignored
+	MachineNames     []string      `json:"names,omitempty"`    // of Machines, as operators know them
 	NeedsApproval    bool          `json:"asked,omitempty"`    // by an approver of the contracts other than PlacedBy
 	ApprovedBy       string        `json:"approved,omitempty"`
 	ReturnBy         time.Time     `json:"until,omitzero"`  // the machine must be back; zero: an override sets no time
 	Successor        string        `json:"heir,omitempty"`  // the sidecar that takes over the machine's idempotency keys; "": there is none
-	StepSince        TimeBounds    `json:"since"`           // the present step began
-	MaintenanceSince TimeBounds    `json:"outAt"`           // the latest StepInMaintenance began
+	StepSince        TimeBounds    `json:"since"`           // when the current step began
+	MaintenanceSince TimeBounds    `json:"outAt"`           // when the latest StepInMaintenance began
 	Aborting         bool          `json:"abort,omitempty"` // it ends once the machine is back
-	MaintenanceDone  bool          `json:"back,omitempty"`  // before its time
+	MaintenanceDone  bool          `json:"back,omitempty"`  // before Duration has passed
 	Events           []Event       `json:"record"`
 }
 
-// CurrentMachine is the address of the machine that the order is at.
+// CurrentMachine returns the address of the current machine.
 func (o Order) CurrentMachine() string {
 	if o.Position < len(o.Machines) {
 		return o.Machines[o.Position]
@@ -80,7 +80,7 @@
 	return ""
 }
 
-// CurrentMachineName is the machine that the order is at, as people know it.
+// CurrentMachineName returns the name of the current machine as operators know it.
 func (o Order) CurrentMachineName() string {
 	if o.Position < len(o.MachineNames) {
 		return o.MachineNames[o.Position]
@@ -88,7 +88,7 @@
 	return o.CurrentMachine()
 }
 
-// approver is who stands for the order; "" means that nobody has approved it yet.
+// approver returns who has approved the order; "": nobody has yet.
 func (o Order) approver() string {
 	if o.NeedsApproval {
 		return o.ApprovedBy
@@ -99,8 +99,8 @@
 // maxEvents bounds the events that an order keeps.
 const maxEvents = 512
 
-// addEvent drops an event from the middle if there are too many: the first and the latest say most. It never changes a slice
-// that another copy of the order holds.
+// addEvent adds an event. If there are too many it drops one from the middle, since the first and the latest are the most useful. It never changes
+// a slice that another copy of the order shares.
 func (o *Order) addEvent(now TimeBounds, text string) {
 	o.Events = append(slices.Clone(o.Events), Event{now, o.CurrentMachineName(), o.Step, text})
 	if len(o.Events) > maxEvents {
@@ -117,7 +117,7 @@
 	maxDuration    = 24 * time.Hour
 )
 
-// validate says why an order can't be placed. The error is ErrInvalidOrder.
+// validate checks an order that is to be placed. The error is ErrInvalidOrder.
 func (o Order) validate() error {
 	switch {
 	case o.ID == "" || len(o.ID) > maxIDBytes || len(o.Machines) == 0 || len(o.Machines) > maxMachines:
--- a/internal/mesh/maintenance/ordertable.go
+++ b/internal/mesh/maintenance/ordertable.go
@@ -9,10 +9,10 @@
 
 // Errors of orders and their changes. They are annotated with what was wrong; errors.Is finds them.
 const (
-	// ErrInvalidOrder is that an order, or a change of one, can't be.
+	// ErrInvalidOrder: an order or a change of an order is not valid.
 	ErrInvalidOrder = errors.ConstError("the order can't be")
 
-	// ErrStaleChange is that the order has gone on since a change was decided.
+	// ErrStaleChange: the order has changed since a change was decided.
 	ErrStaleChange = errors.ConstError("the order has gone on since")
 )
 
@@ -22,8 +22,7 @@
 	maxFinishedOrders = 256
 )
 
-// OrderTable is all orders, the latest last. It is replicated state, and never changed once made: Place and Apply return the
-// next one.
+// OrderTable is all orders, the latest last. It is replicated state, and immutable: Place and Apply return the next table.
 type OrderTable struct {
 	Orders []Order `json:"Orders"`
 }
@@ -32,7 +31,7 @@
 	return slices.IndexFunc(t.Orders, func(o Order) bool { return o.ID == id })
 }
 
-// Find is the order of that ID, if there is one.
+// Find returns the order with an ID, if there is one.
 func (t OrderTable) Find(id string) (Order, bool) {
 	if i := t.index(id); i >= 0 {
 		return t.Orders[i], true
@@ -40,7 +39,7 @@
 	return Order{}, false
 }
 
-// Open are the orders that have not ended.
+// Open returns the orders that are not finished.
 func (t OrderTable) Open() (open []Order) {
 	for _, o := range t.Orders {
 		if !o.Step.IsFinished() {
@@ -50,8 +49,8 @@
 	return open
 }
 
-// Place adds an order. The same order placed again, as a retry does, changes nothing. The error is ErrInvalidOrder; the table
-// is unchanged then. What Place writes into the order is replicated: it must be the same at every replica and version.
+// Place adds an order. Placing the same order again, as by a retry, changes nothing. On ErrInvalidOrder the table is unchanged. What Place writes
+// into the order is replicated, so it must be the same on every replica and in every version.
 func (t OrderTable) Place(o Order, now TimeBounds) (OrderTable, error) {
 	if err := o.validate(); err != nil {
 		return t, err
@@ -83,7 +82,7 @@
 	return text
 }
 
-// dropOldest keeps to maxFinishedOrders.
+// dropOldest removes the oldest finished orders beyond maxFinishedOrders.
 func (t *OrderTable) dropOldest() {
 	for finished := len(t.Orders) - len(t.Open()); finished > maxFinishedOrders; finished-- {
 		i := slices.IndexFunc(t.Orders, func(o Order) bool { return o.Step.IsFinished() })
@@ -91,18 +90,18 @@
 	}
 }
 
-// OrderChange is a step of an order as Order.Next decided it, or what an operator asks of it.
+// OrderChange is a step that Order.Next has decided, or a change that an operator requests.
 type OrderChange struct {
 	OrderID          string    `json:"id"`
-	ExpectedRevision uint64    `json:"after"` // that the change follows; 0: any
+	ExpectedRevision uint64    `json:"after"` // that the change is based on; 0: any
 	Step             Step      `json:"step,omitempty"`
 	NextMachine      bool      `json:"next,omitempty"`  // with StepWaiting: go on to the next machine
 	ReturnBy         time.Time `json:"until,omitzero"`  // with StepDraining
 	Successor        string    `json:"heir,omitempty"`  // with StepMovingCallers
-	Abort            bool      `json:"abort,omitempty"` // asked by an operator, or by a step that turns back
+	Abort            bool      `json:"abort,omitempty"` // by an operator, or because a machine has to return early
 	MaintenanceDone  bool      `json:"back,omitempty"`
-	// ApprovedBy is who approves an order that needs it. Whether the contracts name them is looked at where the call comes in,
-	// and again before a machine comes out.
+	// ApprovedBy is who approves an order that needs approval. Whether the contracts name them is checked when the request arrives, and
+	// again before a machine is taken out.
 	ApprovedBy string `json:"approve,omitempty"`
 	Text       string `json:"text"`
 }
@@ -111,7 +110,7 @@
 	return c.Step == "" && !c.Abort && !c.MaintenanceDone && c.ApprovedBy == ""
 }
 
-// Apply makes a change that was committed. The error is ErrInvalidOrder or ErrStaleChange; the table is unchanged then.
+// Apply applies a committed change. On ErrInvalidOrder or ErrStaleChange the table is unchanged.
 func (t OrderTable) Apply(c OrderChange, now TimeBounds) (OrderTable, error) {
 	i := t.index(c.OrderID)
 	if i < 0 {
@@ -125,7 +124,7 @@
 	return next, nil
 }
 
-// accepts says why a change can't be made.
+// accepts returns why a change can't be applied; nil: it can.
 func (o Order) accepts(c OrderChange) error {
 	switch {
 	case c.ExpectedRevision != 0 && c.ExpectedRevision != o.Revision:
@@ -144,7 +143,7 @@
 	return nil
 }
 
-// changed is the order after a change that it accepts.
+// changed returns the order after a change that it accepts.
 func (o Order) changed(c OrderChange, now TimeBounds) Order {
 	o.Revision++
 	o.Aborting, o.MaintenanceDone = o.Aborting || c.Abort, o.MaintenanceDone || c.MaintenanceDone
@@ -165,7 +164,7 @@
 	}
 	o.addEvent(now, c.Text)
 	if c.Step == StepWaiting && c.NextMachine {
-		o.Position++ // after the event, which is still about the machine that is back
+		o.Position++ // after the event, which is about the machine that has just returned
 	}
 	return o
 }
--- a/internal/mesh/maintenance/plan.go
+++ b/internal/mesh/maintenance/plan.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Reason is why a machine may not come out now.
+// Reason is why a machine may not be taken out now.
 type Reason struct {
-	Contract string    `json:"contract,omitempty"` // "": the reason is no contract's
+	Contract string    `json:"contract,omitempty"` // "": the reason does not come from a contract
 	Text     string    `json:"text"`
-	Until    time.Time `json:"until,omitzero"` // when that ends, if it can be told
+	Until    time.Time `json:"until,omitzero"` // when it ends, if that is known
 }
 
-// String is the reason as operators read it.
+// String returns the reason as operators read it.
 func (r Reason) String() string {
 	text := r.Text
 	if r.Contract != "" {
@@ -25,34 +25,34 @@
 	return text
 }
 
-// Verdict is a plan's answer about one machine. It is sent to operators as JSON.
+// Verdict is the result of a plan for one machine. It is sent to operators as JSON.
 type Verdict struct {
 	Approved       bool          `json:"approved"`
 	Reasons        []Reason      `json:"reasons,omitempty"` // why it is not approved
 	Contracts      []string      `json:"contracts"`         // that cover the machine
-	TransitionTime time.Duration `json:"takes"`             // out and back, at the most, the maintenance itself not counted
-	ReturnBy       time.Time     `json:"until,omitzero"`    // the machine must be back then
-	NextWindows    []Interval    `json:"next,omitempty"`    // when the hours of all contracts allow it, the present window among them
-	Approvers      []string      `json:"approvers"`         // who may approve it: named by every contract that covers it
+	TransitionTime time.Duration `json:"takes"`             // to go out and to come back, at most, without the maintenance itself
+	ReturnBy       time.Time     `json:"until,omitzero"`    // when the machine must be back
+	NextWindows    []Interval    `json:"next,omitempty"`    // windows that all contracts approve, the current one included
+	Approvers      []string      `json:"approvers"`         // who may approve it: those named by every contract that covers the machine
 }
 
 const (
-	lookAhead      = 60 * 24 * time.Hour // how far ahead windows are looked for
+	lookAhead      = 60 * 24 * time.Hour // how far ahead windows are searched
 	maxNextWindows = 3
 )
 
-// Plan says whether a machine may come out now, for a maintenance of that length, and why not. It is approved if every
-// contract that covers it approves it; what no contract covers is not approved.
+// Plan returns whether a machine may be taken out now for a maintenance of some length, and if not, why. It is approved if every contract that
+// covers the machine approves it. A machine that no contract covers is not approved.
 func (v View) Plan(addr string, length time.Duration, now TimeBounds) Verdict {
 	return v.evaluate(addr, now, func(transition time.Duration) time.Duration { return transition + length })
 }
 
-// Recheck says whether a machine that is out, or on its way, may go on being so for as long as it needs to come back.
+// Recheck returns whether a machine that is out or being drained may stay out for the time that it needs to come back.
 func (v View) Recheck(addr string, now TimeBounds) Verdict {
 	return v.evaluate(addr, now, func(time.Duration) time.Duration { return v.Parameters.WarmUp })
 }
 
-// evaluate looks at the time that a machine needs from now on, as needs tells it from its transition time.
+// evaluate plans for the time that a machine needs from now on, which needs returns for its transition time.
 func (v View) evaluate(addr string, now TimeBounds, needs func(transition time.Duration) time.Duration) (verdict Verdict) {
 	machine, known := v.machine(addr)
 	if !known {
@@ -82,20 +82,20 @@
 	return verdict
 }
 
-// absence is the time for which a machine would be out.
+// absence is how long a machine would be out from now on.
 type absence struct {
 	time, margin time.Duration
 	now          TimeBounds
 }
 
-// interval holds the absence whatever time it is between the bounds.
+// interval returns an interval that contains the absence, whatever the time is between the bounds.
 func (a absence) interval() Interval {
 	return Interval{a.now.Earliest, a.now.Latest.Add(a.time + a.margin)}
 }
 
 func (d *Verdict) refuse(r Reason) { d.Reasons = append(d.Reasons, r) }
 
-// addContract notes a contract that covers the machine. Who may approve has to be named by all of them.
+// addContract adds a contract that covers the machine. Only those whom all contracts name may approve.
 func (d *Verdict) addContract(c Contract) {
 	if len(d.Contracts) == 0 {
 		d.Approvers = slices.Clone(c.Approvers)
@@ -105,7 +105,7 @@
 	d.Contracts = append(d.Contracts, c.Name)
 }
 
-// checkHours sees that an absence lies within one window of a contract, and on no barred day.
+// checkHours checks that an absence is within one window of a contract and not on a barred day.
 func (d *Verdict) checkHours(c Contract, windows, barred []Interval, a absence) {
 	if i := slices.IndexFunc(barred, a.interval().overlaps); i >= 0 {
 		d.refuse(Reason{c.Name, fmt.Sprintf("the day is barred (%s)", c.barredReason(barred[i])), barred[i].To})
@@ -116,7 +116,7 @@
 	}
 }
 
-// barredReason is what an interval was barred for.
+// barredReason returns why an interval is barred.
 func (c Contract) barredReason(barred Interval) string {
 	for _, days := range c.Barred {
 		only := c
@@ -128,7 +128,7 @@
 	return "several"
 }
 
-// outsideHours explains why an absence lies within none of a contract's windows.
+// outsideHours explains why an absence is not within any of a contract's windows.
 func outsideHours(c Contract, windows []Interval, a absence) Reason {
 	needed := a.interval()
 	for _, window := range windows {
@@ -145,7 +145,7 @@
 	return Reason{Contract: c.Name, Text: fmt.Sprintf("outside its hours, and none come in the next %d days", int(lookAhead.Hours()/24))}
 }
 
-// checkCommonWindow sees that there is any contract, and that the windows of all contracts together hold the absence.
+// checkCommonWindow checks that there is any contract, and that the absence is within a window that all contracts approve.
 func (d *Verdict) checkCommonWindow(approved []Interval, a absence) {
 	if len(d.Contracts) == 0 {
 		d.refuse(Reason{Text: "no contract covers it, so nobody has approved any hour"})
@@ -159,10 +159,10 @@
 	}
 }
 
-// capacity is what of a service and a zone would be in use without a machine.
+// capacity is what would remain of a service and a zone without a machine.
 type capacity struct {
-	outOfService, outOfZone int // machines that are out, or not ready, besides it
-	slots, readySlots       int // of its service: with it, and without
+	outOfService, outOfZone int // other machines that are out or not ready
+	slots, readySlots       int // of its service: all, and those ready without the machine
 }
 
 func (v View) capacityWithout(machine Machine) (c capacity) {
@@ -188,7 +188,7 @@
 	return c
 }
 
-// checkCapacity sees to how many machines are out, and to the capacity that stays.
+// checkCapacity checks how many machines are out, and the capacity that remains.
 func (v View) checkCapacity(c Contract, machine Machine, verdict *Verdict) {
 	if machine.ControlPlane {
 		return
@@ -214,7 +214,7 @@
 	}
 }
 
-// checkQuorum sees that, without a control-plane member, as many others may be lost as must be bearable.
+// checkQuorum checks that without a control-plane member the configured number of further members may be lost.
 func (v View) checkQuorum(machine Machine, verdict *Verdict) {
 	if !machine.ControlPlane {
 		return
--- a/internal/mesh/maintenance/validate.go
+++ b/internal/mesh/maintenance/validate.go
@@ -9,8 +9,7 @@
 	"cranegrade/internal/mesh/validation"
 )
 
-// Validate finds the first mistake in a contract; nil means that there is none. Whether a contract is valid does not depend on
-// the day on which it is looked at.
+// Validate returns the first fault of a contract; nil: there is none. Whether a contract is valid does not depend on the current date.
 func (c Contract) Validate() *validation.Fault {
 	if fault := validation.Check(c); fault != nil {
 		return fault
@@ -62,7 +61,7 @@
 	return validateClockChanges(hours, zone)
 }
 
-// minutes reads both edges of a window, in minutes since midnight.
+// minutes parses both edges of a window, in minutes since midnight.
 func (w WeeklyWindow) minutes(field string) (from, to int, fault *validation.Fault) {
 	from, validFrom := parseTimeOfDay(w.From)
 	to, validTo := parseTimeOfDay(w.To)
@@ -80,7 +79,7 @@
 	return from, to, fault
 }
 
-// validateNoOverlap expects the hours sorted by day and beginning.
+// validateNoOverlap returns a fault if hours overlap. They must be sorted by day and beginning.
 func validateNoOverlap(hours []weekdayHours) *validation.Fault {
 	for i := 1; i < len(hours); i++ {
 		a, b := hours[i-1], hours[i]
@@ -91,13 +90,13 @@
 	return nil
 }
 
-// Clock changes of these years are looked at, whatever the present year: a call that was right stays right.
+// Clock changes of these years are considered, whatever the current year, so that a contract that was valid stays valid.
 var (
 	clockChangesFrom  = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	clockChangesUntil = time.Date(2037, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// validateClockChanges sees that no weekly window begins or ends in an hour that a change of the clocks removes or repeats.
+// validateClockChanges returns a fault if a weekly window begins or ends in an hour that a clock change removes or repeats.
 func validateClockChanges(hours []weekdayHours, zone *time.Location) *validation.Fault {
 	for _, change := range clockChanges(zone, clockChangesFrom, clockChangesUntil) {
 		day := change.In(zone)
@@ -136,7 +135,7 @@
 	return nil
 }
 
-// interval reads both edges of a window.
+// interval parses both edges of a window.
 func (w DateWindow) interval(field string, zone *time.Location) (i Interval, fault *validation.Fault) {
 	if i.From, fault = parseMinute(field+".From", w.From, zone); fault != nil {
 		return i, fault
@@ -150,7 +149,7 @@
 	return i, nil
 }
 
-// parseMinute reads a local minute, which must exist and come only once.
+// parseMinute parses a local minute, which must exist and be unique.
 func parseMinute(field, text string, zone *time.Location) (time.Time, *validation.Fault) {
 	t, err := time.ParseInLocation(minuteLayout, text, zone)
 	if err != nil {
@@ -184,11 +183,10 @@
 	return nil
 }
 
-// clockShifts are by how much the clocks of a zone may change.
+// clockShifts is by how much the clocks of a zone may change.
 var clockShifts = []time.Duration{-2 * time.Hour, -time.Hour, -30 * time.Minute, 30 * time.Minute, time.Hour, 2 * time.Hour}
 
-// localTimeFault says that a local minute does not exist or comes twice; "" means neither. Minute 24*60 is the first of the
-// next day.
+// localTimeFault returns a text if a local minute does not exist or comes twice, and otherwise "". Minute 24*60 is the first of the next day.
 func localTimeFault(zone *time.Location, year int, month time.Month, day, minute int) string {
 	t := time.Date(year, month, day, 0, minute, 0, 0, zone)
 	want := time.Date(year, month, day, 0, minute, 0, 0, time.UTC)
@@ -203,8 +201,8 @@
 	return ""
 }
 
-// clockChanges are times of the days on which the clocks of a zone change. Of each change there are two, half a day apart: it
-// was between them, and so on the day of either.
+// clockChanges returns times on the days on which the clocks of a zone change. It returns two times per change, half a day apart, with the change
+// between them, so that one of them is on the day of the change.
 func clockChanges(zone *time.Location, from, to time.Time) (changes []time.Time) {
 	const step = 12 * time.Hour
 	_, last := from.In(zone).Zone()
--- a/internal/mesh/maintenance/view.go
+++ b/internal/mesh/maintenance/view.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Machine is one that may be taken out: it runs a sidecar and a server, or a control-plane member.
+// Machine is a machine that may be taken out. It runs a sidecar and a server, or a control-plane member.
 type Machine struct {
 	Addr, Name, Zone, Service string
 	Namespaces                []string // that own its service, and those that they are nested in
-	Slots                     int      // requests that its server takes at once
-	Ready                     bool     // its server is sent to; of a control-plane member: it follows or leads
+	Slots                     int      // requests that its server runs at once
+	Ready                     bool     // its server receives requests; of a control-plane member: it follows or leads
 	ControlPlane              bool
 }
 
-// Route is what a plan has to know of a route.
+// Route is the part of a route that plans depend on.
 type Route struct {
 	Name     string
 	Services []string
@@ -23,22 +23,22 @@
 	Download bool
 }
 
-// Parameters are the figures that a drain goes by.
+// Parameters is the times and limits of a plan.
 type Parameters struct {
-	DrainTimeout      time.Duration // in which the other sidecars stop sending, once the machine's own is told
-	DownloadAllowance time.Duration // the longest that a download may take beyond its route's timeout
+	DrainTimeout      time.Duration // for the other sidecars to stop sending, once the machine's own knows of the order
+	DownloadAllowance time.Duration // how much longer than its route's time-out a download may take
 	WarmUp            time.Duration // that a server needs when it comes back
-	Margin            time.Duration // that stays before a window ends
+	Margin            time.Duration // to keep free before a window ends
 	FaultTolerance    int           // control-plane members that may be lost at once
 }
 
-// View is the mesh when a plan is asked for.
+// View is the state of the mesh that a plan is based on.
 type View struct {
 	Machines      []Machine
 	Routes        []Route
 	Contracts     []Contract
-	InMaintenance []string           // addresses of machines that other orders have out, or are about to take out
-	Load          map[string]float64 // slots at work by service, as measured; of a service that is missing nothing is known
+	InMaintenance []string           // addresses of machines that other orders have taken out or are about to take out
+	Load          map[string]float64 // measured busy slots by service; the load of a missing service is not known
 	Parameters    Parameters
 }
 
@@ -52,8 +52,8 @@
 
 func (v View) isInMaintenance(addr string) bool { return slices.Contains(v.InMaintenance, addr) }
 
-// isCovered says that a contract's traffic runs over a machine. Over a control-plane member runs all traffic, so every
-// contract covers it.
+// isCovered reports whether a contract covers a machine, because the machine carries its traffic. All traffic depends on control-plane members,
+// so every contract covers them.
 func (v View) isCovered(c Contract, m Machine) bool {
 	scope := c.Covers
 	switch {
@@ -69,7 +69,7 @@
 	})
 }
 
-// TransitionTime is how long a machine takes to go out and to come back at the most, the maintenance itself not counted.
+// TransitionTime returns how long a machine takes at most to go out and to come back, without the maintenance itself.
 func (v View) TransitionTime(m Machine) time.Duration {
 	if m.ControlPlane {
 		return v.Parameters.DrainTimeout
@@ -85,8 +85,8 @@
 	return v.Parameters.DrainTimeout + longest + v.Parameters.WarmUp
 }
 
-// successor is the sidecar that takes over the idempotency keys of another: the first of its service that is ready, of its own
-// zone if there is one; "" means that there is none.
+// successor returns the sidecar that takes over the idempotency keys of another: the first ready one of its service, preferably in its zone; "":
+// there is none.
 func (v View) successor(addr string) string {
 	leaving, known := v.machine(addr)
 	if !known {
@@ -104,8 +104,8 @@
 	return best
 }
 
-// Sequence puts machines in the order in which they may come out one after the other: services with the most ready slots
-// first, within a service by zone and address; control-plane members last, and the leader the very last of them.
+// Sequence returns machines in the order in which they may be taken out one after the other: services with the most ready slots first, and within
+// a service by zone and address; control-plane members last, and among those the leader last.
 func (v View) Sequence(addrs []string, leader string) []string {
 	readySlots := map[string]int{}
 	machines := map[string]Machine{}
--- a/internal/mesh/maintenance/windows.go
+++ b/internal/mesh/maintenance/windows.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Interval is from a time to a later one, which is no longer in it.
+// Interval is a half-open interval: To is not part of it.
 type Interval struct {
 	From time.Time `json:"From"`
 	To   time.Time `json:"To"`
 }
 
-// Contains says that all of other lies in the interval.
+// Contains reports whether other is completely within the interval.
 func (i Interval) Contains(other Interval) bool {
 	return !other.From.Before(i.From) && !other.To.After(i.To)
 }
@@ -22,8 +22,8 @@
 
 func (i Interval) isEmpty() bool { return !i.From.Before(i.To) }
 
-// Windows are the approved intervals that overlap a span, in order, and the barred ones. Intervals that touch are one. The
-// contract must have been validated; of one with an unknown time zone there are none.
+// Windows returns the approved intervals that overlap a span, in order, and the barred ones. Adjacent intervals are joined. The contract must have
+// been validated; with an unknown time zone there are no intervals.
 func (c Contract) Windows(span Interval) (approved, barred []Interval) {
 	zone, err := time.LoadLocation(c.TimeZone)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return withinSpan(subtractIntervals(approved, barred), span), barred
 }
 
-// weeklyIntervals begins a day before the span, for the local day may differ from that of the span's own zone.
+// weeklyIntervals begins a day before the span, because the local day may differ from that of the span's own zone.
 func (c Contract) weeklyIntervals(span Interval, zone *time.Location) (intervals []Interval) {
 	first := span.From.In(zone)
 	for n := -1; ; n++ {
@@ -71,7 +71,7 @@
 	return intervals
 }
 
-// minuteOfDay is a local time. It is not midnight plus so many minutes, since a day on which the clocks change is shorter or
+// minuteOfDay returns a local time. It is not midnight plus so many minutes, since a day on which the clocks change is shorter or
 // longer than others.
 func minuteOfDay(day time.Time, minute int, zone *time.Location) time.Time {
 	return time.Date(day.Year(), day.Month(), day.Day(), 0, minute, 0, 0, zone)
@@ -97,7 +97,7 @@
 	return merged
 }
 
-// subtractIntervals is what of some intervals lies in none of the others.
+// subtractIntervals returns the parts of intervals that are not in any of the others.
 func subtractIntervals(intervals, others []Interval) (rest []Interval) {
 	others = mergeIntervals(slices.Clone(others))
 	for _, i := range mergeIntervals(intervals) {
@@ -120,7 +120,7 @@
 	return rest
 }
 
-// intersectIntervals is what lies in both of two lists of intervals.
+// intersectIntervals returns the parts that are in both of two lists of intervals.
 func intersectIntervals(a, b []Interval) (common []Interval) {
 	for _, i := range a {
 		for _, other := range b {
--- a/internal/mesh/policy/change.go
+++ b/internal/mesh/policy/change.go
@@ -9,16 +9,16 @@
 
 // Errors of changes. They are annotated with the item and the owners; errors.Is finds them.
 const (
-	// ErrInvalidSet is that the items do not fit together after a change.
+	// ErrInvalidSet: the items would be inconsistent after the change.
 	ErrInvalidSet = errors.ConstError("the items do not fit together")
 
-	// ErrConflict is that two clauses contradict each other on a request; the error is a *Conflict.
+	// ErrConflict: two clauses contradict each other on a request. The error is a *Conflict.
 	ErrConflict = errors.ConstError("two rules refuse each other")
 
-	// ErrNotOwner is that the author of a change does not own an item of it.
+	// ErrNotOwner: the author of a change does not own one of its items.
 	ErrNotOwner = errors.ConstError("it is not theirs to change")
 
-	// ErrConsentRequired is that a change loosens the policy of a namespace whose owners have not consented.
+	// ErrConsentRequired: a change loosens the policy of a namespace whose owners have not consented.
 	ErrConsentRequired = errors.ConstError("it loosens another's rule without consent")
 )
 
@@ -32,8 +32,8 @@
 	Consents   []string // as namespace:name, the name one of its owners
 }
 
-// Evaluate says what a change does to others' merged policies, or why it is rejected: the error is one of this package's. A
-// change of the author's own policies has no effects.
+// Evaluate returns the effects of a change on merged policies of other owners, or why it is rejected, with one of the errors of this package.
+// What a change does to the author's own namespaces is not an effect.
 func Evaluate(before, after *Set, c Change) ([]Effect, error) {
 	if err := after.validate(); err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	return effects, nil
 }
 
-// namespacesOwnedBy are those that somebody is an owner of.
+// namespacesOwnedBy returns the namespaces of which an author is an owner.
 func (s *Set) namespacesOwnedBy(author string) (names []string) {
 	if author == "" {
 		return []string{MeshNamespace}
@@ -74,8 +74,7 @@
 	return names
 }
 
-// checkOwnership sees that the author may change each of the items: they must own it as it was, and as it is to be. own are
-// the author's namespaces.
+// checkOwnership checks that the author may change each item: they must own it both before and after the change. own is the author's namespaces.
 func (c Change) checkOwnership(before, after *Set, own []string) error {
 	if c.Author == "" {
 		return nil
@@ -122,7 +121,7 @@
 	return nil
 }
 
-// hasConsent says that one of the consents is by an owner of a namespace.
+// hasConsent reports whether an owner of a namespace is among those who consent.
 func (s *Set) hasConsent(consents []string, namespace string) bool {
 	return slices.ContainsFunc(consents, func(consent string) bool {
 		of, name, _ := strings.Cut(consent, ":")
@@ -130,7 +129,7 @@
 	})
 }
 
-// affectedRoutes says on which routes and services a change may make another policy hold.
+// affectedRoutes returns a function that reports whether a change may affect the policy of a route and service.
 func (c Change) affectedRoutes(before, after *Set) func(route Route, service string) bool {
 	if len(c.Namespaces) > 0 {
 		return func(Route, string) bool { return true }
@@ -149,12 +148,12 @@
 	}
 }
 
-// mayAffect says that a policy may have a say on requests of a route to a service.
+// mayAffect reports whether a policy may apply to requests of a route to a service.
 func (s *Set) mayAffect(p Policy, route Route, service string) bool {
 	switch {
 	case p.On.isEmpty():
 		return s.governs(p.Namespace, s.OwnerOfRoute(route)) || s.governs(p.Namespace, s.OwnerOfService(service))
-	case len(p.On.Callers) > 0: // it may meet any route that names them
+	case len(p.On.Callers) > 0: // it applies to every route that those services call
 		return true
 	}
 	return slices.Contains(p.On.Routes, route.Name) || slices.Contains(p.On.Services, service)
--- a/internal/mesh/policy/clause.go
+++ b/internal/mesh/policy/clause.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Field is one of a policy's. The values are stored, and told to operators.
+// Field is a field of a policy. The values are stored and shown to operators.
 type Field string
 
 // Fields.
@@ -24,25 +24,25 @@
 	FieldNeed       Field = "Callers.Need"
 )
 
-// AllFields are the fields in the order in which they are told.
+// AllFields is all fields in the order in which they are shown.
 var AllFields = []Field{
 	FieldTries, FieldKeyedAgain, FieldRetryOn, FieldTimeout, FieldNeeds, FieldRetryRatio, FieldPriority,
 	FieldAllow, FieldDeny, FieldNeed,
 }
 
-// mergeKind is how the clauses on a field are merged: which of two is the tighter one.
+// mergeKind is how the clauses on a field are merged, that is, which of two is the tighter one.
 type mergeKind uint8
 
 const (
 	minimum      mergeKind = iota // the smaller number
 	maximum                       // the larger number
-	intersection                  // of sets what is in each
-	union                         // of sets what is in any
+	intersection                  // the values that are in all sets
+	union                         // the values that are in any set
 )
 
 func (k mergeKind) isSet() bool { return k == intersection || k == union }
 
-// mergeKinds says how each field is merged. Why: docs/design/rules.md.
+// mergeKinds is how each field is merged. docs/design/rules.md says why.
 var mergeKinds = map[Field]mergeKind{
 	FieldTries:      minimum,
 	FieldKeyedAgain: minimum,
@@ -56,7 +56,7 @@
 	FieldNeed:       union,
 }
 
-// Role is as what a namespace has a say on a request. The values are stored, and told to operators.
+// Role is by which relation a policy of a namespace applies to a request. The values are stored and shown to operators.
 type Role string
 
 // Roles.
@@ -68,7 +68,7 @@
 	RoleCallerOwner  Role = "caller"  // owner of the service that calls
 )
 
-// Source is who set a clause: an item of a namespace, by its version.
+// Source is where a clause comes from: an item of a namespace in a version.
 type Source struct {
 	Namespace string `json:"namespace"`
 	Item      string `json:"item"`
@@ -76,7 +76,7 @@
 	Role      Role   `json:"role"`
 }
 
-// String is the source as operators read it.
+// String returns the source as operators read it.
 func (s Source) String() string {
 	return fmt.Sprintf("%s of %s, version %d (as %s)", s.Item, s.Namespace, s.Version, s.Role)
 }
@@ -86,7 +86,7 @@
 		cmp.Compare(s.Version, o.Version))
 }
 
-// Clause is what one source says on one field: a number or, in order, a set.
+// Clause is the value that one source sets for one field: a number, or a sorted set.
 type Clause struct {
 	Field  Field    `json:"field"`
 	Number float64  `json:"num,omitempty"`
@@ -94,7 +94,7 @@
 	Source Source   `json:"from"`
 }
 
-// Value is what the clause says, as operators read it.
+// Value returns the value of the clause as operators read it.
 func (c Clause) Value() string {
 	switch {
 	case mergeKinds[c.Field].isSet() && len(c.Values) == 0:
@@ -112,7 +112,7 @@
 		slices.Compare(c.Values, o.Values))
 }
 
-// sameOrigin says that two clauses are one source's on one field, whatever the version.
+// sameOrigin reports whether two clauses are on the same field and from the same source, whatever its version.
 func (c Clause) sameOrigin(o Clause) bool {
 	a, b := c.Source, o.Source
 	return c.Field == o.Field && a.Namespace == b.Namespace && a.Item == b.Item && a.Role == b.Role
--- a/internal/mesh/policy/clauses.go
+++ b/internal/mesh/policy/clauses.go
@@ -9,18 +9,18 @@
 	"slices"
 )
 
-// Clauses are a merged policy: all that is said on a request, each source once on a field, in order.
+// Clauses is a merged policy: all clauses that apply to a request, in order, with one clause per source and field.
 type Clauses []Clause
 
-// Merge merges two: the result is their union, where of one source the highest version counts. So neither order nor grouping
-// nor repetition matters, and since of each field the tightest clause holds, more clauses only ever tighten.
+// Merge merges two policies into their union, in which only the highest version of each source counts. So the order, grouping and repetition of
+// merges do not matter. Since the tightest clause of each field is effective, additional clauses only ever tighten a policy.
 func Merge(a, b Clauses) Clauses {
 	all := append(slices.Clone(a), b...)
 	slices.SortFunc(all, Clause.compare)
 	merged := all[:0]
 	for _, c := range all {
 		if n := len(merged); n > 0 && merged[n-1].sameOrigin(c) {
-			merged[n-1] = c // it comes later in order, so it is of a higher version
+			merged[n-1] = c // it sorts after the other, so its version is higher
 			continue
 		}
 		merged = append(merged, c)
@@ -28,14 +28,14 @@
 	return merged
 }
 
-// EffectiveClause is what holds on a field: the clause that does, and those that it overrides, the tightest first. Of a field
-// that is merged as sets each clause has its part; the first in order is named, with the merged values.
+// EffectiveClause is the effective clause on a field, with the clauses that it overrides, the tightest first. On a field whose values are merged
+// as sets all clauses contribute; the clause is then the first in order, with the merged values.
 type EffectiveClause struct {
 	Clause
 	Overridden []Clause `json:"over,omitempty"`
 }
 
-// Effective is what holds on a field; false means that no clause is on it.
+// Effective returns the effective clause on a field, if there is any clause on it.
 func (l Clauses) Effective(f Field) (e EffectiveClause, exists bool) {
 	var clauses []Clause
 	for _, c := range l {
@@ -67,7 +67,7 @@
 	return 0
 }
 
-// mergeValues is what the values of clauses come to together.
+// mergeValues returns the merged values of clauses.
 func (k mergeKind) mergeValues(clauses []Clause) []string {
 	values := clauses[0].Values
 	switch k {
@@ -86,7 +86,7 @@
 	return values
 }
 
-// DeniedBy says whose clause keeps a service from calling; false means that nobody's does.
+// DeniedBy returns the source of the first clause that denies a service to call, if there is one.
 func (l Clauses) DeniedBy(caller string) (Source, bool) {
 	for _, c := range l {
 		if c.denies(caller) {
@@ -103,10 +103,10 @@
 // fingerprintBytes is how much of a SHA-256 sum a fingerprint keeps.
 const fingerprintBytes = 8
 
-// Fingerprint names a merged policy: two sidecars with the same one decide alike. It is sent to callers and logged.
+// Fingerprint identifies a merged policy: two sidecars with the same fingerprint decide alike. It is sent to callers and logged.
 func (l Clauses) Fingerprint() string {
 	var encoded []byte
-	addText := func(s string) { // its length first, so that no two lists of texts are encoded alike
+	addText := func(s string) { // the length comes first, so that different lists of texts have different encodings
 		encoded = binary.AppendUvarint(encoded, uint64(len(s)))
 		encoded = append(encoded, s...)
 	}
--- a/internal/mesh/policy/conflict.go
+++ b/internal/mesh/policy/conflict.go
@@ -18,12 +18,11 @@
 		c.A.Source, c.A.Field, c.A.Value(), c.B.Source, c.B.Field, c.B.Value(), c.Example)
 }
 
-// Is has errors.Is find ErrConflict.
+// Is reports that a Conflict is ErrConflict.
 func (c *Conflict) Is(target error) bool { return target == ErrConflict }
 
-// firstConflict is the first of the affected routes and services on which clauses contradict each other; nil means that there
-// is none. A caller's own clauses count where the route's clauses name the caller; for a caller that nobody named the tightest
-// hold.
+// firstConflict returns the first conflict on any of the affected routes and services; nil: there is none. The clauses of a caller are included
+// only if the clauses of the route name the caller. For other callers it is enough that the tightest clauses are effective.
 func (s *Set) firstConflict(affected func(Route, string) bool) *Conflict {
 	for _, route := range s.Routes() {
 		for _, service := range route.Services {
@@ -58,7 +57,7 @@
 	return nil
 }
 
-// namedCallers are those that must be able to call, or are allowed to.
+// namedCallers returns the callers that are required or allowed to call.
 func (l Clauses) namedCallers() (callers []string) {
 	for _, c := range l {
 		if c.Field == FieldAllow || c.Field == FieldNeed {
@@ -68,7 +67,7 @@
 	return sortedUnique(callers)
 }
 
-// at completes a conflict with where it was found.
+// at adds where a conflict was found.
 func (c *Conflict) at(route Route, service, caller string) *Conflict {
 	c.Route, c.Service, c.Caller = route.Name, service, caller
 	if caller == "" && len(c.A.Values) > 0 {
@@ -78,14 +77,14 @@
 	return c
 }
 
-// firstConflict is two clauses of a merged policy that contradict each other; nil means that there are none.
+// firstConflict returns the first two clauses of a merged policy that contradict each other; nil: there are none.
 func (l Clauses) firstConflict() *Conflict {
 	needs, asked := l.Effective(FieldNeeds)
 	limit, limited := l.Effective(FieldTimeout)
 	if asked && limited && needs.Number > limit.Number {
 		return &Conflict{A: needs.Clause, B: limit.Clause, Text: "less time than it needs"}
 	}
-	var allowed []string // by all clauses so far
+	var allowed []string // by all clauses so far together
 	var lastAllow *Clause
 	for i, c := range l {
 		if c.Field == FieldNeed {
@@ -109,7 +108,7 @@
 	return nil
 }
 
-// deniedNeed is the first caller that a clause wants let in and another clause keeps out.
+// deniedNeed returns the conflict of the first caller that a clause requires and another clause denies; nil: there is none.
 func (l Clauses) deniedNeed(need Clause) *Conflict {
 	for _, caller := range need.Values {
 		source, denied := l.DeniedBy(caller)
--- a/internal/mesh/policy/decision.go
+++ b/internal/mesh/policy/decision.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Decision is what a merged policy comes to for the requests of a route and a caller. It is never changed once made.
+// Decision is what follows from a merged policy for the requests of a route and a caller. It is immutable.
 type Decision struct {
 	Fingerprint string
 	Clauses     Clauses
-	MaxAttempts int // servers that a request may be sent to, 1 at least
+	MaxAttempts int // servers that a request may be sent to, at least 1
 	Timeout     time.Duration
 	Priority    int
-	RetryRatio  float64  // retries for each request; math.Inf(1): no bound of the policy's own
+	RetryRatio  float64  // retries per request; math.Inf(1): the policy does not limit them
 	RetryOn     []string // endings after which there may be a retry
-	RetryOnAny  bool     // nothing is said of RetryOn
+	RetryOnAny  bool     // the policy does not restrict RetryOn
 	DeniedBy    *Source  // the caller may not call at all; nil: it may
 }
 
-// Decide is what follows from a merged policy for a route and a caller.
+// Decide returns the decision for a route and a caller.
 func (l Clauses) Decide(route Route, caller string) *Decision {
 	d := &Decision{Fingerprint: l.Fingerprint(), Clauses: l, RetryRatio: math.Inf(1), RetryOnAny: true}
 	if e, exists := l.Effective(FieldTries); exists {
@@ -46,7 +46,7 @@
 	return d
 }
 
-// MayRetry says whether there may be a retry after an attempt that ended so, as Policy.RetryOn names endings.
+// MayRetry reports whether an attempt with an ending, as Policy.RetryOn names it, may be retried.
 func (d *Decision) MayRetry(ending string) bool {
 	return d.RetryOnAny || slices.Contains(d.RetryOn, ending)
 }
--- a/internal/mesh/policy/effect.go
+++ b/internal/mesh/policy/effect.go
@@ -6,23 +6,22 @@
 	"strings"
 )
 
-// Effect is how a change makes another value hold on a field of a merged policy. It is replicated state, as a notice to the
-// owners.
+// Effect is how a change alters the effective value of a field of a merged policy. It is replicated state, as a notice to the owners.
 type Effect struct {
 	Route   string   `json:"route"`
 	Service string   `json:"service"`
 	Field   Field    `json:"field"`
-	Before  string   `json:"was"` // noValue: nobody said anything
+	Before  string   `json:"was"` // noValue: there was no clause
 	After   string   `json:"is"`
 	Loosens bool     `json:"loosens"`
-	Source  Source   `json:"from"` // of the clause that holds now, or did
+	Source  Source   `json:"from"` // of the effective clause, or of the former one if there is none now
 	Owners  []string `json:"owners"`
 }
 
-// noValue is told of a field on which there is no clause.
+// noValue is shown for a field without any clause.
 const noValue = "-"
 
-// String is the effect in one line, as operators read it.
+// String returns the effect in one line, as operators read it.
 func (e Effect) String() string {
 	verb := "tightens"
 	if e.Loosens {
@@ -32,7 +31,7 @@
 		e.Field, e.Before, e.After, e.Source)
 }
 
-// effectsOf are the effects on affected routes and services that are in both sets.
+// effectsOf returns the effects on the affected routes and services that are in both sets.
 func effectsOf(before, after *Set, affected func(Route, string) bool) (effects []Effect) {
 	for _, route := range after.Routes() {
 		old, existed := before.routes[route.Name]
@@ -57,7 +56,7 @@
 	return effects
 }
 
-// affectedOwners are the owners of a route, of the service that it goes to, and of the callers that are denied from now on.
+// affectedOwners returns the owners of a route, of its service, and of the callers that are newly denied.
 func (s *Set) affectedOwners(route Route, service string, f Field, before, after Clauses) []string {
 	owners := []string{s.OwnerOfRoute(route), s.OwnerOfService(service)}
 	if f == FieldAllow || f == FieldDeny {
@@ -76,7 +75,7 @@
 	return e.Values
 }
 
-// fieldEffect is how another value holds on a field; false means that the same does.
+// fieldEffect returns the effect on a field, if its effective value has changed.
 func fieldEffect(f Field, before, after Clauses) (e Effect, changed bool) {
 	was, existed := before.Effective(f)
 	is, exists := after.Effective(f)
@@ -91,7 +90,7 @@
 		return e, false
 	}
 	switch {
-	case f == FieldNeeds || f == FieldNeed: // what somebody asks for holds nobody back
+	case f == FieldNeeds || f == FieldNeed: // a requirement limits nobody, so a change of it loosens nothing
 	case !existed:
 	case !exists:
 		e.Loosens = true
@@ -101,7 +100,7 @@
 	return e, true
 }
 
-// isLooser says that a clause lets through what another did not.
+// isLooser reports whether a clause allows something that another does not.
 func (k mergeKind) isLooser(c, than Clause) bool {
 	switch k {
 	case minimum:
@@ -115,7 +114,7 @@
 	return hasOthers(than.Values, c.Values)
 }
 
-// hasOthers says that some values are not among others.
+// hasOthers reports whether any of some values is not among others.
 func hasOthers(values, among []string) bool {
 	return slices.ContainsFunc(values, func(v string) bool { return !slices.Contains(among, v) })
 }
--- a/internal/mesh/policy/explain.go
+++ b/internal/mesh/policy/explain.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Explanation is a merged policy field by field, as it is told to operators.
+// Explanation is a merged policy field by field, for operators.
 type Explanation struct {
 	Route        string            `json:"route"`
 	Host         string            `json:"host"`
@@ -21,7 +21,7 @@
 	Fields       []EffectiveClause `json:"fields"`
 }
 
-// Explain tells the merged policy for requests of a route that go to a service from another; caller "" is any.
+// Explain explains the merged policy for requests of a route to a service. caller is the calling service; "": any.
 func (s *Set) Explain(route Route, service, caller string) Explanation {
 	clauses, _ := s.ClausesFor(route, service, caller)
 	x := Explanation{
@@ -48,7 +48,7 @@
 	return x
 }
 
-// String is the explanation in lines, as operators read it.
+// String returns the explanation in lines, as operators read it.
 func (x Explanation) String() string {
 	w := &strings.Builder{}
 	fmt.Fprintf(w, "route %s (%s%s) of %s, to service %s of %s", x.Route, x.Host, x.Prefix, x.Owner, x.Service, x.ServiceOwner)
@@ -68,7 +68,7 @@
 	return w.String()
 }
 
-// WriteText writes the explanation as String tells it. Like fmt.Print it is for output to people: errors of the writer are not told.
+// WriteText writes the explanation in the form of String. As with fmt.Print, errors of the writer are ignored.
 func (x Explanation) WriteText(w io.Writer) {
 	_, _ = io.WriteString(w, x.String())
 }
--- a/internal/mesh/policy/namespace.go
+++ b/internal/mesh/policy/namespace.go
@@ -2,33 +2,31 @@
 
 import "cranegrade/internal/mesh/validation"
 
-// MeshNamespace is the namespace of the mesh's operator, which owns what nobody else does. The routes and services of the
-// protocol's own configuration calls are its items.
+// MeshNamespace is the namespace of the mesh's operator, which owns everything that no other namespace owns.
 const MeshNamespace = "mesh"
 
 // maxNesting is how many namespaces may be nested in one another.
 const maxNesting = 8
 
-// Namespace is what a team owns. Only the mesh's operator sets it. It is a configuration item: its fields are named there as
-// here.
+// Namespace is what a team owns. Only the mesh's operator may set it. It is a configuration item with the same field names.
 type Namespace struct {
 	Name          string   `json:"Name" validate:"required,max=128"`
 	ConfigVersion int64    `json:"ConfigVersion"`
 	Owners        []string `json:"Owners" validate:"min=1,max=64,dive,required,max=128"` // who may set its policies and routes
-	// Within is the namespace that has delegated this part of its own: its policies hold here too. "": none has.
+	// Within is the namespace that has delegated this part of its own; its policies apply here too. "": none.
 	Within   string       `json:"Within,omitempty" validate:"max=128"`
 	Services []string     `json:"Services,omitempty" validate:"max=1024,dive,required,max=512"`
 	Hosts    []string     `json:"Hosts,omitempty" validate:"max=1024,dive,required,max=512"`
 	Prefixes []HostPrefix `json:"Prefixes,omitempty" validate:"max=1024,dive"`
 }
 
-// HostPrefix is a part of a host. The longest one that a route's prefix begins with decides who owns the route.
+// HostPrefix is a path prefix of a host. The longest one that is a prefix of a route's prefix decides who owns the route.
 type HostPrefix struct {
 	Host       string `json:"Host" validate:"required,max=512"`
 	PathPrefix string `json:"PathPrefix" validate:"startswith=/,endswith=/,max=4096"`
 }
 
-// Validate finds the first mistake in a namespace by itself; nil means that there is none.
+// Validate returns the first fault of a namespace by itself; nil: there is none.
 func (n Namespace) Validate() *validation.Fault {
 	fault := validation.Check(n)
 	switch {
--- a/internal/mesh/policy/policy.go
+++ b/internal/mesh/policy/policy.go
@@ -7,31 +7,31 @@
 	"cranegrade/internal/mesh/validation"
 )
 
-// Policy is what a namespace says of requests; what it does not name it leaves to others. It is a configuration item, called a
-// ruling there: its fields are named there as here.
+// Policy is what a namespace requires of requests. Fields that are not set leave the decision to other policies. It is a configuration item,
+// called a ruling there, with the same field names.
 type Policy struct {
 	Name          string   `json:"Name" validate:"required,max=256"`
 	ConfigVersion int64    `json:"ConfigVersion"`
 	Namespace     string   `json:"Namespace" validate:"required,max=128"`
 	On            Selector `json:"On"`
-	// Tries is how many servers one request may be sent to; 0 says nothing.
+	// Tries is how many servers one request may be sent to; 0: not set.
 	Tries int `json:"Tries,omitempty" validate:"gte=0,lte=1000"`
-	// KeyedAgain is whether a request that may run only once may be sent to a second server, where the first rejected it.
+	// KeyedAgain is whether a request that may run only once may be sent to a second server after the first has rejected it.
 	KeyedAgain *bool `json:"KeyedAgain,omitempty"`
 	// RetryOn are the endings of an attempt after which there is a retry.
 	RetryOn *[]string `json:"RetryOn,omitempty" validate:"omitempty,max=5,dive,oneof=refused unreachable failed broken timed_out"`
-	// TimeoutS is the longest that a request may take, NeedsS the least that it must be given, in seconds; 0 says nothing.
+	// TimeoutS is how long a request may take at most, NeedsS the time that it must be given at least, in seconds; 0: not set.
 	TimeoutS float64 `json:"TimeoutS,omitempty" validate:"gte=0,lte=86400"`
 	NeedsS   float64 `json:"NeedsS,omitempty" validate:"gte=0,lte=86400"`
-	// RetryRatio is how many retries there may be for each request, at each sidecar.
+	// RetryRatio is how many retries each sidecar may make per request.
 	RetryRatio *float64 `json:"RetryRatio,omitempty" validate:"omitempty,gte=0,lte=1"`
-	// Priority is the highest that requests may have; 0 is the highest of all.
+	// Priority is the highest priority that requests may have; 0 is the highest of all.
 	Priority *int        `json:"Priority,omitempty" validate:"omitempty,gte=0,lte=1000"`
 	Callers  CallerRules `json:"Callers,omitzero"`
 }
 
-// Selector narrows a policy to some of what its namespace owns. An empty one selects all of it: its routes, its services as
-// they are called, and its services as they call.
+// Selector narrows a policy to a part of what its namespace owns. An empty selector selects everything: its routes, requests to its services, and
+// requests from its services.
 type Selector struct {
 	Routes   []string `json:"Routes,omitempty" validate:"max=1024,dive,required,max=512"`
 	Services []string `json:"Services,omitempty" validate:"max=1024,dive,required,max=512"`
@@ -44,7 +44,7 @@
 	return map[Role][]string{RoleRouteOwner: s.Routes, RoleServiceOwner: s.Services, RoleCallerOwner: s.Callers}
 }
 
-// CallerRules are which services may call, by the names that they give as Caller-Service.
+// CallerRules is which services may call, by the names in their Caller-Service header.
 type CallerRules struct {
 	Allow []string `json:"Allow,omitempty" validate:"max=1024,dive,required,max=512"` // nil: all
 	Deny  []string `json:"Deny,omitempty" validate:"max=1024,dive,required,max=512"`
@@ -53,12 +53,12 @@
 
 func (c CallerRules) isEmpty() bool { return len(c.Allow)+len(c.Deny)+len(c.Need) == 0 }
 
-// lets says that the rules by themselves let a service call.
+// lets reports whether these rules alone allow a service to call.
 func (c CallerRules) lets(service string) bool {
 	return !slices.Contains(c.Deny, service) && (c.Allow == nil || slices.Contains(c.Allow, service))
 }
 
-// Validate finds the first mistake in a policy by itself; nil means that there is none.
+// Validate returns the first fault of a policy by itself; nil: there is none.
 func (p Policy) Validate() *validation.Fault {
 	fault := validation.Check(p)
 	switch {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// clauses are what the policy says in a role.
+// clauses returns the clauses of the policy in a role.
 func (p Policy) clauses(role Role) (clauses Clauses) {
 	source := Source{p.Namespace, "ruling " + p.Name, p.ConfigVersion, role}
 	number := func(f Field, n float64) { clauses = append(clauses, Clause{Field: f, Number: n, Source: source}) }
@@ -107,7 +107,7 @@
 	if p.Priority != nil {
 		number(FieldPriority, float64(*p.Priority))
 	}
-	if role == RoleCallerOwner { // who may call is not for the caller to say
+	if role == RoleCallerOwner { // the owner of a caller can't decide who may call
 		return clauses
 	}
 	if p.Callers.Allow != nil {
--- a/internal/mesh/policy/report.go
+++ b/internal/mesh/policy/report.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Overlap is a route and service on which several namespaces have a say.
+// Overlap is a route and service to which policies of several namespaces apply.
 type Overlap struct {
 	Route       string   `json:"route"`
 	Service     string   `json:"service"`
@@ -15,13 +15,13 @@
 	Fingerprint string   `json:"print"`
 }
 
-// Report is where namespaces overlap, and which policies say nothing of any route that there is.
+// Report is where policies of namespaces overlap, and which policies apply to no existing route.
 type Report struct {
 	Overlaps []Overlap `json:"meetings"`
 	Unused   []string  `json:"idle"`
 }
 
-// Report looks at all routes.
+// Report returns the report on all routes.
 func (s *Set) Report() Report {
 	r := Report{Overlaps: []Overlap{}, Unused: []string{}}
 	used := map[string]bool{} // by item
@@ -51,7 +51,7 @@
 	return r
 }
 
-// String is the report in lines, as operators read it.
+// String returns the report in lines, as operators read it.
 func (r Report) String() string {
 	w := &strings.Builder{}
 	for _, o := range r.Overlaps {
--- a/internal/mesh/policy/rollout.go
+++ b/internal/mesh/policy/rollout.go
@@ -9,20 +9,20 @@
 
 // Times of the two steps.
 const (
-	// FenceTimeout is for how long a sidecar goes by the active set after a confirmed read, counted from when it asked, by its
-	// own steady clock. Then it rejects what policies govern, as not run, until it is confirmed again.
+	// FenceTimeout is how long a sidecar may use the active set after a confirmed read, counted from when it asked, by its own monotonic
+	// clock. After that it rejects requests that policies govern, which have then not run, until the set is confirmed again.
 	FenceTimeout = 3 * time.Second
 
-	// ConfirmInterval is how often a sidecar asks.
+	// ConfirmInterval is how often a sidecar asks for confirmation.
 	ConfirmInterval = time.Second
 
-	// activationTimeout is how long the leader waits for sidecars that do not say that they have received a set. By then they
-	// are fenced: the second more is far beyond what two steady clocks may differ by in that time.
+	// activationTimeout is how long the leader waits for sidecars that do not report that they have received a set. By then they are
+	// fenced: the additional second is far more than two monotonic clocks may differ by in that time.
 	activationTimeout = FenceTimeout + time.Second
 )
 
-// Rollout is which policy set is agreed on and which is active, by their fingerprints. It is replicated state. A changed set
-// is agreed on first, by the entry that changes an item; it becomes active by an entry of its own, once the sidecars have it.
+// Rollout records which policy set is agreed on and which is active, by their fingerprints. It is replicated state. A changed set is first agreed
+// on, by the entry that changes an item. It becomes active by an entry of its own, once the sidecars have received it.
 type Rollout struct {
 	Agreed      string `json:"held"`    // "": there is no set
 	Active      string `json:"bound"`   // the same
@@ -30,7 +30,7 @@
 	ActiveIndex uint64 `json:"boundAt"` // the log entry that activated it; 0: none was ever active
 }
 
-// Fingerprint names a policy set: its items, in order, by name, version and content; "" is the empty set.
+// Fingerprint identifies a policy set by the names, versions and contents of its items, in order; "" identifies the empty set.
 func Fingerprint(n int, item func(i int) (name string, version int64, body []byte)) string {
 	if n == 0 {
 		return ""
@@ -44,14 +44,14 @@
 	return hex.EncodeToString(sum.Sum(nil)[:fingerprintBytes])
 }
 
-// Agree is the rollout after an entry that changed the set.
+// Agree returns the rollout after an entry that changes the set.
 func (r Rollout) Agree(fingerprint string, index uint64) Rollout {
 	r.Agreed, r.AgreedIndex = fingerprint, index
 	return r
 }
 
-// Activate is the rollout after an entry that activates a set; false if another one has been agreed on since, or it is active
-// already: nothing changes then.
+// Activate returns the rollout after an entry that activates a set. It returns false, and nothing changes, if another set was agreed on meanwhile
+// or the set is already active.
 func (r Rollout) Activate(fingerprint string, index uint64) (Rollout, bool) {
 	if fingerprint != r.Agreed || r.Active == r.Agreed {
 		return r, false
@@ -60,19 +60,19 @@
 	return r, true
 }
 
-// IsPending says that a set is agreed on and not active yet.
+// IsPending reports whether a set is agreed on and not active yet.
 func (r Rollout) IsPending() bool { return r.Agreed != r.Active }
 
-// SidecarReport is what a sidecar said last.
+// SidecarReport is what a sidecar last reported.
 type SidecarReport struct {
 	Name     string
-	Received string // the set that it has
+	Received string // fingerprint of the set that it has received
 	Silent   bool   // it did not answer
 }
 
-// CanActivate says whether the agreed set may become active, or what it waits for: all sidecars must have received it, or be
-// fenced for certain. since is how long this leader has known that it is agreed on. The very first set waits for all sidecars
-// that are known: one that has never heard of any set is not fenced.
+// CanActivate reports whether the agreed set may become active, and otherwise what it waits for: all sidecars must have received it, or certainly
+// be fenced. since is how long this leader has known that the set is agreed on. The very first set waits for all known sidecars, since a
+// sidecar that has never heard of any set is not fenced.
 func (r Rollout) CanActivate(reports []SidecarReport, since time.Duration) (ok bool, waitsFor string) {
 	if !r.IsPending() {
 		return false, ""
--- a/internal/mesh/policy/route.go
+++ b/internal/mesh/policy/route.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Route is what has to be known of a route.
+// Route is the part of a route that policies depend on.
 type Route struct {
 	Name, Host, Prefix string
 	Version            int64
@@ -13,7 +13,7 @@
 	AtMostOnce         bool // a request runs at most once
 }
 
-// Example is a request that the route takes; caller "" is any.
+// Example describes a request that the route matches. caller "" stands for any.
 func (r Route) Example(caller string) string {
 	if caller == "" {
 		caller = "(any)"
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("%s%s, Caller-Service: %s", r.Host, r.Prefix, caller)
 }
 
-// clauses are what the route's own item says, which the mesh's operator set.
+// clauses returns the clauses of the route's own item, which the mesh's operator has set.
 func (r Route) clauses() Clauses {
 	source := Source{MeshNamespace, "route " + r.Name, r.Version, RoleItem}
 	return Clauses{
--- a/internal/mesh/policy/set.go
+++ b/internal/mesh/policy/set.go
@@ -10,7 +10,7 @@
 	"github.com/juju/errors"
 )
 
-// Set is all namespaces, policies and routes together. It is never changed once made.
+// Set is all namespaces, policies and routes together. It is immutable.
 type Set struct {
 	namespaces map[string]Namespace
 	policies   []Policy // sorted by name
@@ -20,10 +20,10 @@
 	hostOwners    map[string]string
 	prefixOwners  map[string][]ownedPrefix // by host, the longest prefix first
 	ancestors     map[string][]string      // a namespace and those that it is nested in
-	doublyOwned   []string                 // faults: what two namespaces own
+	doublyOwned   []string                 // faults: things that two namespaces own
 
 	defaults map[string][]*compiledPolicy          // by namespace: those with an empty selector
-	targeted map[Role]map[string][]*compiledPolicy // the others, by what they select
+	targeted map[Role]map[string][]*compiledPolicy // the others, by role and name of what they select
 }
 
 // compiledPolicy is a policy with its clauses in each role.
@@ -34,7 +34,7 @@
 
 type ownedPrefix struct{ prefix, owner string }
 
-// NewSet makes the set of some items. Whether they fit together is for validate to say.
+// NewSet returns the set of some items. It does not check that they are consistent, see validate.
 func NewSet(namespaces []Namespace, policies []Policy, routes []Route) *Set {
 	s := &Set{
 		namespaces:    map[string]Namespace{},
@@ -81,7 +81,7 @@
 	}
 }
 
-// addOwner notes who owns a service or host; the first owner of two stays.
+// addOwner records the owner of a service or host. Of two owners the first is kept.
 func (s *Set) addOwner(owners map[string]string, kind, name, owner string) {
 	if other, owned := owners[name]; owned && other != owner {
 		s.doublyOwned = append(s.doublyOwned, fmt.Sprintf("%s %s is owned by %s and by %s", kind, name, other, owner))
@@ -118,7 +118,7 @@
 	}
 }
 
-// ancestorsOf is a namespace and those that it is nested in; false if they go round in a loop, or too deep.
+// ancestorsOf returns a namespace and those that it is nested in. ok is false if they form a loop or are nested too deeply.
 func (s *Set) ancestorsOf(name string) (names []string, ok bool) {
 	for n := name; n != "" && n != MeshNamespace; n = s.namespaces[n].Within {
 		if slices.Contains(names, n) || len(names) == maxNesting {
@@ -129,16 +129,16 @@
 	return names, true
 }
 
-// Routes are all, by name.
+// Routes returns all routes, ordered by name.
 func (s *Set) Routes() []Route { return sortedByName(s.routes) }
 
-// Route is the route of that name, if there is one.
+// Route returns the route with a name, if there is one.
 func (s *Set) Route(name string) (Route, bool) {
 	r, exists := s.routes[name]
 	return r, exists
 }
 
-// Namespaces are all, by name.
+// Namespaces returns all namespaces, ordered by name.
 func (s *Set) Namespaces() []Namespace { return sortedByName(s.namespaces) }
 
 func sortedByName[T any](byName map[string]T) (values []T) {
@@ -157,7 +157,7 @@
 	return Policy{}, false
 }
 
-// OwnerOfService is the namespace that owns a service.
+// OwnerOfService returns the namespace that owns a service.
 func (s *Set) OwnerOfService(name string) string {
 	if owner, owned := s.serviceOwners[name]; owned {
 		return owner
@@ -165,12 +165,12 @@
 	return MeshNamespace
 }
 
-// OwnersOfService is that namespace and those that it is nested in.
+// OwnersOfService returns the namespace that owns a service and those that it is nested in.
 func (s *Set) OwnersOfService(name string) []string {
 	return append(slices.Clone(s.ancestors[s.OwnerOfService(name)]), MeshNamespace)
 }
 
-// OwnerOfRoute is the namespace that owns a route, by its host and prefix.
+// OwnerOfRoute returns the namespace that owns a route, by its host and prefix.
 func (s *Set) OwnerOfRoute(r Route) string {
 	host := strings.ToLower(r.Host)
 	for _, p := range s.prefixOwners[host] {
@@ -184,14 +184,14 @@
 	return MeshNamespace
 }
 
-// governs says that an owner is a namespace, or nested in it.
+// governs reports whether an owner is a given namespace or is nested in it.
 func (s *Set) governs(namespace, owner string) bool {
 	return namespace == owner || namespace == MeshNamespace || slices.Contains(s.ancestors[owner], namespace)
 }
 
-// ClausesFor is the merged policy for requests of a route that go to a service from another; caller "" is any. governed says
-// that a namespace has a say on them, beside the route's own item, or may have one tomorrow, since it owns a part of it: a
-// sidecar that can't confirm which policies are active has to know that before the first of them.
+// ClausesFor returns the merged policy for requests of a route to a service. caller is the calling service; "": any. governed says that policies
+// of namespaces apply to them besides the route's own item, or may do so later because a namespace owns a part of it. A sidecar that
+// can't confirm which policies are active has to know this even before the first policy.
 func (s *Set) ClausesFor(route Route, service, caller string) (clauses Clauses, governed bool) {
 	add := func(role Role, owner string, policies []*compiledPolicy) {
 		for _, p := range policies {
@@ -221,9 +221,9 @@
 	return Merge(clauses, route.clauses()), governed || len(clauses) > 0
 }
 
-// validate finds the first thing in which the items do not fit together: what two namespaces own, a loop of delegations, a
-// policy of no namespace, or one that selects what is not its namespace's. What a policy selects may come later; until then it
-// says nothing of it. The error is ErrInvalidSet.
+// validate returns the first inconsistency of the items: something that two namespaces own, a loop of delegations, a policy of an unknown
+// namespace, or a policy that selects something that its namespace does not own. A policy may select something that does not exist yet;
+// it has no effect until then. The error is ErrInvalidSet.
 func (s *Set) validate() error {
 	if len(s.doublyOwned) > 0 {
 		return invalidSet("the namespaces", "%s", s.doublyOwned[0])
@@ -252,7 +252,7 @@
 	return errors.Annotatef(ErrInvalidSet, "%s: %s", item, fmt.Sprintf(format, args...))
 }
 
-// validateSelector finds the first thing that a policy selects and that is not its namespace's.
+// validateSelector returns an error for the first thing that a policy selects although its namespace does not own it.
 func (s *Set) validateSelector(p Policy) error {
 	for _, service := range slices.Concat(p.On.Services, p.On.Callers) {
 		if owner := s.OwnerOfService(service); !s.governs(p.Namespace, owner) {
--- a/internal/mesh/sidecar/caller_protocol.go
+++ b/internal/mesh/sidecar/caller_protocol.go
@@ -20,20 +20,19 @@
 const (
 	maxIDBytes  = 256
 	maxKeyBytes = 1024
-	// maxTimeBudgetMS is beyond what any caller means, in milliseconds.
+	// maxTimeBudgetMS is the largest time budget that is accepted, in milliseconds.
 	maxTimeBudgetMS = 1e9
 	minRetryAfter   = 50 * time.Millisecond
 	maxRetryAfter   = 500 * time.Millisecond
-	// retryAfterDivisor is the part of a route's latency target that a rejected caller is told to wait at the least.
+	// retryAfterDivisor: a rejected caller is told to wait at least the route's latency target divided by this.
 	retryAfterDivisor = 8
-	// ownDelayDivisor bounds the part of a request's time that the sidecar takes for itself.
+	// ownDelayDivisor: the sidecar reserves at most the time of a request divided by this for its own work.
 	ownDelayDivisor = 4
-	// rejectedRetryAfter is the advice, in seconds, with a rejection that no module gives.
+	// rejectedRetryAfter is the Retry-After, in seconds, of rejections that the decision module does not make.
 	rejectedRetryAfter = "0.3"
 )
 
-// callerProtocol is the mesh's protocol towards callers: how their requests are read and their responses written. It implements
-// front.Speech.
+// callerProtocol is the mesh's protocol towards callers: it reads their requests and writes their responses. It implements front.Speech.
 type callerProtocol struct {
 	env           *environment
 	configuration *configuration
@@ -45,7 +44,7 @@
 // Own implements front.Speech: nothing that comes to Outbound is for the node itself.
 func (*callerProtocol) Own(*front.Front, http.ResponseWriter, *http.Request) bool { return false }
 
-// Ahead implements front.Speech: what may run more than once is begun as it comes.
+// Ahead implements front.Speech: pipelined requests of idempotent routes are begun before the responses to earlier ones.
 func (p *callerProtocol) Ahead(hr *http.Request) bool {
 	route := matchRoute(p.configuration.routing.Load(), hr)
 	return route != nil && route.Kind == routing.Idempotent
@@ -62,7 +61,7 @@
 	*message.Request, *front.Refusal,
 ) {
 	route := p.configuration.routing.Load().Route(class)
-	if route == nil { // it was dropped this very moment
+	if route == nil { // it was removed after Route had found it
 		return nil, refuse(hr, http.StatusNotFound, "no route")
 	}
 	h := hr.Header
@@ -103,9 +102,9 @@
 	return out, nil
 }
 
-// applyPolicy checks a request by its effective policy, and notes the trace if it is asked for.
+// applyPolicy checks a request against its effective policy, and records the rule trace if the caller asks for it.
 func (p *callerProtocol) applyPolicy(hr *http.Request, service string, routed *routedRequest) *front.Refusal {
-	if !routed.route.HasDestination(service) { // the table was changed since the service was drawn: nothing is decided by two tables
+	if !routed.route.HasDestination(service) { // the table changed since Route: a request must not be decided by two tables
 		return refuse(hr, http.StatusServiceUnavailable, "the route has just changed")
 	}
 	effective := routed.policy
@@ -119,7 +118,7 @@
 	return nil
 }
 
-// checkForm checks the form of a request and returns its time in milliseconds; 0: it says none.
+// checkForm validates the headers and sizes of a request, and returns its time budget in milliseconds; 0: it has none.
 func checkForm(hr *http.Request, routed *routedRequest, limits *config.LimitsSpec) (budget float64, _ *front.Refusal) {
 	h := hr.Header
 	keyed := routed.route.Kind == routing.Keyed
@@ -139,7 +138,7 @@
 	return budget, nil
 }
 
-// timeLeft is the time that a request has: the route's or the policy's, and no more than the caller's own, in milliseconds.
+// timeLeft returns the time for a request: that of the route or of the policy, but no more than the caller's budget, in milliseconds.
 func (r *routedRequest) timeLeft(budget float64) time.Duration {
 	left := r.route.Timeout
 	if r.policy != nil {
@@ -161,7 +160,7 @@
 		for _, f := range r.Header {
 			h.Add(f.Name, f.Value)
 		}
-		if h.Get(headerAttemptID) == "" { // the server did not say
+		if h.Get(headerAttemptID) == "" { // the server did not set it
 			h.Set(headerAttemptID, routed.attemptID)
 		}
 		return r.Status
@@ -171,7 +170,7 @@
 		p.log(routed.route, routed.policy).Int32("attempts", routed.attempts.Load()).Msg("request not served")
 	}
 	switch {
-	case a.Verdict == engine.Refused, a.Verdict == engine.Failed && routed.attempts.Load() == 0: // it was never sent, and never will be
+	case a.Verdict == engine.Refused, a.Verdict == engine.Failed && routed.attempts.Load() == 0: // never sent, so retrying is safe
 		wait := min(maxRetryAfter, max(minRetryAfter, a.RetryAfter, routed.route.LatencyTarget/retryAfterDivisor))
 		h.Set(headerRetryAfter, strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 		return http.StatusServiceUnavailable
@@ -194,7 +193,7 @@
 	}
 }
 
-// log begins a log line about a request that a policy governs.
+// log begins a log line about a request with an effective policy.
 func (p *callerProtocol) log(route *routing.Route, effective *policy.Decision) *zerolog.Event {
 	return p.env.log.Info().Str("route", route.Name).Str("policy_fingerprint", effective.Fingerprint)
 }
--- a/internal/mesh/sidecar/claim_breaker.go
+++ b/internal/mesh/sidecar/claim_breaker.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// claimStallTimeout is how long claims may wait without any response until the breaker opens.
+	// claimStallTimeout is how long lease requests may wait without any response before the breaker opens.
 	claimStallTimeout = 200 * time.Millisecond
-	// maxProbingClaims is how many claims may wait while it is open, to see when there are answers again.
+	// maxProbingClaims is how many lease requests may wait while the breaker is open, to find out when there are responses again.
 	maxProbingClaims = 2
 )
 
-// claimBreaker is a circuit breaker for the claims of keys. Each claim that waits holds a place at a server that other requests
-// want, so while none is answered most are given up at once: their requests have not run. The zero value is ready.
+// claimBreaker is a circuit breaker for key lease requests. Each one that waits occupies capacity that other requests need. So while none is
+// answered, most are failed at once, which is safe because their requests have not run. The zero value is ready to use.
 type claimBreaker struct {
 	mu              sync.Mutex // guards below
 	waiting         int
-	waitingSince    time.Duration // that some have waited without any response
-	open            bool          // none has been answered since that became too long
-	reportedWaiting bool          // what checkWaiting said last
+	waitingSince    time.Duration // since when some have waited without any response
+	open            bool          // no response has come since that became too long
+	reportedWaiting bool          // the last result of checkWaiting
 }
 
-// admit says whether one more claim may wait. Each that is admitted calls finish.
+// admit reports whether one more lease request may wait. If so, the caller has to call finish.
 func (b *claimBreaker) admit(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,7 +39,7 @@
 	return true
 }
 
-// finish ends a wait.
+// finish ends the wait of a lease request that was admitted.
 func (b *claimBreaker) finish(now time.Duration, answered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,12 +47,12 @@
 	switch {
 	case answered:
 		b.open, b.waitingSince = false, now
-	case now-b.waitingSince > claimStallTimeout: // one that was given up sooner says nothing: its own time was short
+	case now-b.waitingSince > claimStallTimeout: // one that timed out sooner only had little time itself
 		b.open = true
 	}
 }
 
-// checkWaiting says whether any claim waits, and whether that differs from what it said last.
+// checkWaiting reports whether any lease request waits, and whether that has changed since the last call.
 func (b *claimBreaker) checkWaiting() (waiting, changed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/mesh/sidecar/configuration.go
+++ b/internal/mesh/sidecar/configuration.go
@@ -8,9 +8,9 @@
 	"cranegrade/internal/mesh/routing"
 )
 
-// configuration is the configuration in force in this sidecar: items as the members of the control plane report them, the active
-// policies, and the routing table that is made of both. The routing table is a snapshot, replaced as a whole; what a request began
-// with holds to its end.
+// configuration is the configuration in force in this sidecar: the items that control-plane members sent, the active policies, and the routing
+// table that is built from both. The routing table is a snapshot that is replaced as a whole, so that a request uses the same one from
+// beginning to end.
 type configuration struct {
 	env      *environment
 	outbound *outboundListener
@@ -38,28 +38,28 @@
 		return
 	}
 	c.items = next
-	c.noteHeldPolicies(raised)
+	c.noteReceivedPolicies(raised)
 	c.rebuildRouting()
 }
 
-// callerChanged rebuilds the routing table after the settings named another service as the caller: policies depend on it.
+// callerChanged rebuilds the routing table after the service in the settings has changed, since policies depend on the calling service.
 func (c *configuration) callerChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rebuildRouting()
 }
 
-// rebuildRouting makes the routing table of the items and policies in force and takes it into use. The caller holds mu.
+// rebuildRouting builds the routing table from the items and the active policies, and puts it into use. The caller holds mu.
 func (c *configuration) rebuildRouting() {
 	table := routing.NewTableWithPolicies(c.items, c.policies.table, c.env.settings.Load().Service)
 	c.pools.applyRouting(table)
 	c.routing.Store(table)
 	c.outbound.applyLimits(&table.Limits)
-	c.pools.refreshServices() // a service that is new learns of the sidecars and slots that are known already
+	c.pools.refreshServices() // so that new services get the sidecars and slots that are already known
 }
 
-// heldItems is the table of items.
-func (c *configuration) heldItems() config.Table {
+// currentItems returns the table of items.
+func (c *configuration) currentItems() config.Table {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.items
--- a/internal/mesh/sidecar/controlplane_connection.go
+++ b/internal/mesh/sidecar/controlplane_connection.go
@@ -19,18 +19,18 @@
 const (
 	// callTimeout bounds a call to the followed member.
 	callTimeout = time.Second
-	// seedsPollInterval is how often the settings are looked at, whose seeds may have changed.
+	// seedsPollInterval is how often the settings are checked for changed seeds.
 	seedsPollInterval = time.Second
-	// closeFlushTries and closeFlushInterval bound the wait for what was sent before the connection is closed.
+	// closeFlushTries and closeFlushInterval bound how long close waits until queued messages are written.
 	closeFlushTries    = 20
 	closeFlushInterval = 10 * time.Millisecond
-	// selectorEventBacklog is how many events may wait for run's goroutine before whoever posts one waits, too.
+	// selectorEventBacklog is how many events may be queued for run's goroutine before post blocks.
 	selectorEventBacklog = 64
 )
 
-// controlPlaneConn is the connection to the control-plane member that this sidecar follows. Package memberselection decides which
-// one that is; this is its shell, whose goroutine run owns the selector and the connections. Other goroutines post events to it.
-// What a member sends goes to configuration, directory and maintenance.
+// controlPlaneConn is the connection to the control-plane member that this sidecar follows. Package memberselection decides which member that
+// is; this type is its shell. The goroutine of run owns the selector and the connections, and other goroutines post events to it.
+// Messages of members are passed to configuration, directory and maintenance.
 type controlPlaneConn struct {
 	env           *environment
 	configuration *configuration
@@ -42,7 +42,7 @@
 
 	conn   atomic.Pointer[transport.Conn] // to the followed member; it may have ended
 	events chan func(now time.Duration)
-	// reachable and graceEnds are the selector's latest response; the time is of the environment's clock
+	// reachable and graceEnds are the selector's latest answer; graceEnds is a time of the environment's clock.
 	reachable atomic.Bool
 	graceEnds atomic.Int64
 
@@ -56,7 +56,7 @@
 type memberConn struct {
 	id          memberselection.ConnID
 	cancel      context.CancelFunc // of the dial
-	conn        *transport.Conn    // nil: no message has come yet
+	conn        *transport.Conn    // nil: no message has been received yet
 	lastFrameAt atomic.Int64       // by the environment's clock
 }
 
@@ -68,7 +68,7 @@
 	}
 }
 
-// current is the live connection to the followed member; nil: there is none.
+// current returns the live connection to the followed member; nil: there is none.
 func (c *controlPlaneConn) current() *transport.Conn {
 	if conn := c.conn.Load(); conn != nil && conn.Err() == nil {
 		return conn
@@ -76,13 +76,13 @@
 	return nil
 }
 
-// isReachable says that the control plane can be called: the followed member has a leader, or was lost a moment ago and another
-// one is looked for.
+// isReachable reports whether the control plane can be called: the followed member has quorum contact, or was lost a moment ago and another
+// one is being looked for.
 func (c *controlPlaneConn) isReachable() bool {
 	return c.reachable.Load() || int64(c.env.clock.Now()) < c.graceEnds.Load()
 }
 
-// close ends the connection once what was sent has been written, or after a while.
+// close closes the connection once queued messages are written, or after a while.
 func (c *controlPlaneConn) close() {
 	if conn := c.conn.Load(); conn != nil {
 		for n := 0; n < closeFlushTries && !conn.Flushed(); n++ {
@@ -92,7 +92,7 @@
 	}
 }
 
-// post has an event applied on run's goroutine.
+// post queues an event for run's goroutine.
 func (c *controlPlaneConn) post(event func(now time.Duration)) {
 	select {
 	case c.events <- event:
@@ -132,8 +132,8 @@
 	}
 }
 
-// reportLastFrame tells the selector when the followed member was heard last: an event for each frame would cost more than it
-// is worth.
+// reportLastFrame reports to the selector when the last frame of the followed member came. This is done at each tick because an event for each
+// frame would be too expensive.
 func (c *controlPlaneConn) reportLastFrame(now time.Duration) {
 	if m := c.members[c.selector.Followed()]; m != nil {
 		c.selector.MessageReceived(now, m.id, time.Duration(m.lastFrameAt.Load()))
@@ -151,7 +151,7 @@
 	case memberselection.Follow:
 		conn := c.members[a.ID].conn
 		c.conn.Store(conn)
-		conn.AddPending(1) // its silence is to be found out soon
+		conn.AddPending(1) // keeps the peer time-out of the connection short
 		_ = conn.Send(directory.ToWire([]directory.Record{c.localServer.record()}))
 		c.env.log.Info().Str("member_addr", conn.RemoteAddr()).Msg("control-plane member followed")
 	case memberselection.Confirm:
@@ -168,7 +168,7 @@
 	}
 }
 
-// logIfFollowed logs why a connection ended if it was the followed member's. conn is nil where a dial failed.
+// logIfFollowed logs why a connection ended if it was that of the followed member. conn is nil if a dial failed.
 func (c *controlPlaneConn) logIfFollowed(conn *transport.Conn, reason error) {
 	if conn != nil && conn == c.conn.Load() {
 		c.env.log.Info().Str("member_addr", conn.RemoteAddr()).Str("reason", reason.Error()).Msg("control-plane member left")
@@ -192,7 +192,7 @@
 	})
 }
 
-// receive takes messages until the connection ends; ctx bounds the time until the first.
+// receive handles messages until the connection ends. ctx bounds the time until the first.
 func (c *controlPlaneConn) receive(ctx context.Context, m *memberConn, conn *transport.Conn) error {
 	stop := context.AfterFunc(ctx, func() { conn.Close(ctx.Err()) })
 	first, err := conn.Receive()
@@ -220,7 +220,7 @@
 	}
 }
 
-// handleMessage takes one message of a member. Tables merge by their versions, so it doesn't matter which member sends what.
+// handleMessage handles one message of a member. Items and records merge by their versions, so it does not matter which member sends them.
 func (c *controlPlaneConn) handleMessage(id memberselection.ConnID, conn *transport.Conn, message codec.Message) {
 	switch v := message.Value.(type) {
 	case *wire.HeartbeatT:
@@ -244,17 +244,17 @@
 	}
 }
 
-// confirm has the followed member confirm the configuration, and reports the result to the selector.
+// confirm reads the configuration from the followed member by a confirmed read, and reports the result to the selector.
 func (c *controlPlaneConn) confirm(conn *transport.Conn, id memberselection.ConnID) {
 	some, err := c.readTable(conn)
 	confirmed := some && err == nil
-	if confirmed { // else no operator has configured anything yet
+	if confirmed { // otherwise the read failed, or no operator has configured anything yet
 		c.onConfirmed()
 	}
 	c.post(func(now time.Duration) { c.selector.ConfirmationReceived(now, id, confirmed) })
 }
 
-// readTable reads all items back, and which policies are active, by a confirmed read; some is false where there are no items.
+// readTable reads all items and the active policies by a confirmed read. some is false if there are no items.
 func (c *controlPlaneConn) readTable(conn *transport.Conn) (some bool, err error) {
 	ctx, cancel := context.WithTimeout(c.env.ctx, callTimeout)
 	defer cancel()
--- a/internal/mesh/sidecar/directory_source.go
+++ b/internal/mesh/sidecar/directory_source.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// servers are the service's servers that can be sent to or are about to leave.
+// servers returns the servers of the service that are ready or draining.
 func (s *directorySource) servers() (servers []engine.Listed) {
 	for _, r := range s.directory.table.Load().All() {
 		if r.Service != s.service || r.ServerID == "" || r.State == directory.ServerNone || r.State == directory.ServerDown {
--- a/internal/mesh/sidecar/directory_view.go
+++ b/internal/mesh/sidecar/directory_view.go
@@ -11,8 +11,8 @@
 // sidecarSilenceTimeout is after how long without a record a sidecar counts as gone.
 const sidecarSilenceTimeout = 45 * time.Second
 
-// directoryView is this sidecar's copy of the directory: which sidecars there are and the state of the server beside each. The
-// table is a snapshot, replaced as a whole.
+// directoryView is this sidecar's copy of the directory: all sidecars, and the state of the server beside each. The table is a snapshot that is
+// replaced as a whole.
 type directoryView struct {
 	env         *environment
 	pools       *servicePools
@@ -48,7 +48,7 @@
 	d.pools.refreshServices()
 }
 
-// expire drops the sidecars that nothing was heard of for sidecarSilenceTimeout.
+// expire removes sidecars of which no record has come for sidecarSilenceTimeout.
 func (d *directoryView) expire() {
 	d.mu.Lock()
 	next, dropped := d.table.Load().Expire(d.env.clock.Now(), sidecarSilenceTimeout)
--- a/internal/mesh/sidecar/environment.go
+++ b/internal/mesh/sidecar/environment.go
@@ -18,8 +18,8 @@
 
 const incarnationBytes = 6
 
-// environment is what every part of a sidecar shares: who it is, its settings, clock and log, and the calls that wait for replies
-// of other processes. Nothing in it changes after Run has begun, but for the settings, which are replaced as a whole.
+// environment is shared by all parts of a sidecar: its identity, settings, clock and log, and the calls that wait for replies of other
+// processes. Except for the settings, which are replaced as a whole, nothing in it changes after Run has begun.
 type environment struct {
 	settings    atomic.Pointer[settings.Settings]
 	log         zerolog.Logger
@@ -39,7 +39,7 @@
 	return e
 }
 
-// addr is the address of the inbound listener, by which the other sidecars name this one.
+// addr returns the address of the inbound listener, by which the other sidecars name this one.
 func (e *environment) addr() string { return e.settings.Load().ListenAddrs.Inbound }
 
 // hello introduces this sidecar to another process.
@@ -48,17 +48,17 @@
 	return &wire.HelloT{Name: set.NodeName, Addr: e.addr(), Zone: set.Zone}
 }
 
-// leaseHolder names this incarnation of the sidecar as the holder of key leases: one that has restarted knows nothing of the
-// leases that it held before.
+// leaseHolder names this incarnation of the sidecar as the holder of key leases. It includes the incarnation because a sidecar that has
+// restarted knows nothing of the leases that it held before.
 func (e *environment) leaseHolder() string { return e.addr() + "/" + e.incarnation }
 
-// keyLeaseTime is how long a key is leased: its window runs from when its request was sent, so that some slack is added.
+// keyLeaseTime returns how long a key is leased. The key's window begins when its request is sent, before the lease, hence the slack.
 func (e *environment) keyLeaseTime() time.Duration {
 	return e.settings.Load().Bounds.KeyWindowS.Duration() + leaseSlack
 }
 
-// tokenSource makes the tokens that name one keyed call to the control plane in place of its Attempt-Id: a client that used an id
-// twice would have two calls pass for one, and a later attempt of the second would be granted what the first holds.
+// tokenSource makes the tokens that identify a keyed call to the control plane. The client's Attempt-Id would not do: if a client used an ID
+// twice, two calls would count as one, and an attempt of the second would be granted the lease that the first holds.
 type tokenSource struct {
 	incarnation string
 	last        atomic.Uint64
--- a/internal/mesh/sidecar/flow_window.go
+++ b/internal/mesh/sidecar/flow_window.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// sendWindowBytes is how much of a body may be under way to a receiver that reads slowly.
+	// sendWindowBytes is how much of a body may be in flight to a receiver that has not read it yet.
 	sendWindowBytes = 256 << 10
-	// windowUpdateBytes is how much a receiver takes before it lets the sender go on.
+	// windowUpdateBytes is how much a receiver reads before it sends a window update.
 	windowUpdateBytes = 32 << 10
 )
 
-// flowWindow is a stream's flow-control window on the sender's side (as in RFC 9113, section 5.2): how much of a body may be sent.
-// The zero value is an empty window. It is safe for concurrent use.
+// flowWindow is the sender's flow-control window of a stream (as in RFC 9113, section 5.2): how many bytes of a body may still be sent. The zero
+// value is an empty window. It may be used from any goroutine.
 type flowWindow struct {
 	mu        sync.Mutex // guards below
-	available int        // bytes; less than nothing after a piece that was larger
+	available int        // bytes; negative after a chunk that was larger than the window
 	wake      chan struct{}
 	closed    bool
 }
@@ -29,7 +29,7 @@
 	w.wakeWaiters()
 }
 
-// close ends the waits of acquire: nothing more is to be sent.
+// close makes all calls of acquire return false: nothing more has to be sent.
 func (w *flowWindow) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,8 +45,8 @@
 	}
 }
 
-// acquire waits until the window is open, and takes n bytes of it, which may leave less than nothing; false: the window was closed
-// or ctx ended, and nothing more is to be sent.
+// acquire waits until the window is not empty, and takes n bytes of it, which may make it negative. It returns false if the window was closed or
+// ctx ended, so that nothing more has to be sent.
 func (w *flowWindow) acquire(ctx context.Context, n int) bool {
 	for {
 		w.mu.Lock()
--- a/internal/mesh/sidecar/headers.go
+++ b/internal/mesh/sidecar/headers.go
@@ -23,15 +23,14 @@
 // headerOverheadBytes is what a header takes on the wire besides its name and value.
 const headerOverheadBytes = 4
 
-// unforwardedHeaders are the headers that concern one connection only (RFC 9110, section 7.6.1), and those that the mesh sets
-// itself.
+// unforwardedHeaders is the headers that only concern one connection (RFC 9110, section 7.6.1), and those that the mesh sets itself.
 var unforwardedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
 	"Upgrade": true, "Content-Length": true, "Expect": true,
 	headerCallerService: true, headerTargetInstance: true, headerTimeBudget: true,
 }
 
-// forwardedHeaders are the headers of a request that go along.
+// forwardedHeaders returns the headers of a request that are forwarded.
 func forwardedHeaders(h http.Header) map[string][]string {
 	out := make(map[string][]string, len(h)+1)
 	for name, values := range h {
@@ -47,7 +46,7 @@
 	return out
 }
 
-// headSize is about how many bytes a request's head has.
+// headSize returns the approximate size of a request's head in bytes.
 func headSize(hr *http.Request) int {
 	n := len(hr.Method) + len(hr.RequestURI) + len(hr.Host)
 	for name, values := range hr.Header {
--- a/internal/mesh/sidecar/hollow.go
+++ b/internal/mesh/sidecar/hollow.go
@@ -14,13 +14,12 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Hollow is the control side of a sidecar, for measurements of many in one process (as Kubernetes' hollow nodes): the same parts
-// as a Sidecar, with its control-plane connection, directory, configuration, pools of every routed service and the calls of its
-// server, but no listeners for traffic. What a Sidecar without traffic does, a Hollow does too, except to listen at Outbound,
-// Inbound and Readiness and to look at its server's health once at the start.
+// Hollow is the control side of a sidecar, of which package scale runs many in one process (like the hollow nodes of Kubernetes). It has the same
+// parts as a Sidecar: the control-plane connection, the directory, the configuration, the pools of all routed services and the API of
+// its server, but no listeners for traffic. It does what a Sidecar without traffic does, except that it does not listen at Outbound,
+// Inbound and Readiness, and does not probe its server at the start.
 //
-// It stands here and not with its only user, mesh/scale, for it is the assembly itself; the linker leaves it out of the programs
-// in service, which do not use it.
+// It is in this package because it needs the assembly of the parts. Programs that do not use it do not link it.
 type Hollow struct{ sidecar *Sidecar }
 
 // NewHollow listens for the server's calls at ControlPlane; Run serves.
@@ -34,7 +33,7 @@
 	return &Hollow{s}, nil
 }
 
-// Run follows a control plane until ctx ends. The parts that serve traffic end with the process only.
+// Run follows a control plane until ctx ends. The pools, which serve traffic in a Sidecar, only end with the process.
 func (h *Hollow) Run(ctx context.Context) {
 	s := h.sidecar
 	work, cancel := context.WithCancel(context.Background())
@@ -52,19 +51,19 @@
 	s.upstreams.close()
 }
 
-// Confirmed says that the configuration was read back from the control plane at least once.
+// Confirmed reports whether the configuration was confirmed by the control plane at least once.
 func (h *Hollow) Confirmed() bool { return h.sidecar.readiness.configured.Load() }
 
-// KnownSidecars is the number of sidecars in the directory.
+// KnownSidecars returns the number of sidecars in the directory.
 func (h *Hollow) KnownSidecars() int { return h.sidecar.directory.table.Load().Len() }
 
-// ServerState is the state of the server beside the sidecar at addr, as this one knows it.
+// ServerState returns the state of the server beside the sidecar at addr, as this one knows it.
 func (h *Hollow) ServerState(addr string) directory.ServerState {
 	r, _ := h.sidecar.directory.table.Load().Get(addr)
 	return r.State
 }
 
-// RouteVersion is the version of a route that is in force here; 0: there is none of that name.
+// RouteVersion returns the version of a route that is in force here; 0: there is none of that name.
 func (h *Hollow) RouteVersion(name string) int64 {
 	if r := h.sidecar.configuration.routing.Load().Route(name); r != nil {
 		return r.Version
@@ -72,7 +71,7 @@
 	return 0
 }
 
-// FollowedMember is the address of the control-plane member that is followed; "": none is.
+// FollowedMember returns the address of the control-plane member that is followed; "": none is.
 func (h *Hollow) FollowedMember() string {
 	if conn := h.sidecar.controlPlane.current(); conn != nil {
 		return conn.RemoteAddr()
@@ -80,7 +79,7 @@
 	return ""
 }
 
-// Claim claims a key as a keyed request does that is about to run at the server here, and stores an empty response for it.
+// Claim leases a key, as for a keyed request that is about to run at the server here, and stores an empty response for it.
 func (h *Hollow) Claim(ctx context.Context, key string) (granted bool, err error) {
 	s := h.sidecar
 	responses, window := s.inbound.responses, s.env.keyLeaseTime()
@@ -99,8 +98,8 @@
 	return true, nil
 }
 
-// ItemCount is the number of configuration items held.
+// ItemCount returns the number of configuration items held.
 func (h *Hollow) ItemCount() int {
-	items := h.sidecar.configuration.heldItems()
+	items := h.sidecar.configuration.currentItems()
 	return items.Len()
 }
--- a/internal/mesh/sidecar/inbound_conn.go
+++ b/internal/mesh/sidecar/inbound_conn.go
@@ -12,10 +12,10 @@
 	"cranegrade/internal/message"
 )
 
-// errStreamIDInUse ends a connection: answers on it could go to the wrong request.
+// errStreamIDInUse is why a connection is closed on which a stream ID is used twice: responses could be taken for those of the wrong request.
 const errStreamIDInUse = errors.ConstError("a request's id is in use")
 
-// inboundConn is a connection from another sidecar, with the requests of it that run here, by their stream's id.
+// inboundConn is a connection from another sidecar, with its open requests by stream ID.
 type inboundConn struct {
 	inbound *inboundServer
 	conn    *transport.Conn
@@ -24,7 +24,7 @@
 	requests map[uint64]*inboundRequest
 }
 
-// receive takes messages until the connection ends, and then withdraws the requests whose responses nobody will read.
+// receive handles messages until the connection ends, and then cancels the requests whose responses nobody will read.
 func (c *inboundConn) receive() {
 	for {
 		m, err := c.conn.Receive()
@@ -61,7 +61,7 @@
 	}
 }
 
-// sendResponse sends a response, or its beginning, in the form that the caller's sidecar reads.
+// sendResponse sends a response, or the head of a streamed one, in a form that the peer's version can read.
 func (c *inboundConn) sendResponse(a *wire.ResponseT) {
 	if c.conn.Peer.TransportVersion >= codec.PackedHeaderVersion {
 		a = codec.PackResponse(a)
@@ -75,7 +75,7 @@
 	return c.requests[id]
 }
 
-// add notes a request that runs; false: its id is that of another.
+// add records an open request. It returns false if its stream ID is in use.
 func (c *inboundConn) add(r *inboundRequest) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +92,7 @@
 	delete(c.requests, id)
 }
 
-// pushBody takes a piece of a streamed request's body.
+// pushBody handles a chunk of a streamed request body.
 func (r *inboundRequest) pushBody(piece *wire.BodyChunkT) {
 	if len(piece.Data) > 0 {
 		r.body.Push(piece.Data)
@@ -104,7 +104,8 @@
 	}
 }
 
-// connClosed is called when nobody can read the response any more. What may run only once goes on: its response is stored for a repeat.
+// connClosed is called when nobody can read the response any more. A request that may run only once is not cancelled: its response is stored
+// in case the client repeats the request.
 func (r *inboundRequest) connClosed() {
 	if !r.request.AtMostOnce {
 		r.cancel(engine.ErrWithdrawn)
--- a/internal/mesh/sidecar/inbound_request.go
+++ b/internal/mesh/sidecar/inbound_request.go
@@ -13,7 +13,7 @@
 	"cranegrade/internal/message"
 )
 
-// inboundRequest is a request of another sidecar at the local server, on a goroutine of its own.
+// inboundRequest is a request of another sidecar that runs at the local server. It has a goroutine of its own.
 type inboundRequest struct {
 	inbound    *inboundServer
 	conn       *inboundConn
@@ -22,17 +22,17 @@
 	sendWindow flowWindow
 	body       *message.Stream // of a streamed request; nil: the body came with it
 	ownsKey    atomic.Bool     // the key's lease is this request's
-	truncated  atomic.Bool     // its response was streamed, and is not complete
+	truncated  atomic.Bool     // its streamed response was not completed
 }
 
-// beginRequest has a request run. It returns at once.
+// beginRequest starts a request on its own goroutine.
 func (in *inboundServer) beginRequest(conn *inboundConn, request *wire.RequestT) {
 	r := &inboundRequest{inbound: in, conn: conn, request: request}
 	r.sendWindow.add(sendWindowBytes)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	r.cancel = cancel
 	fields, err := codec.UnpackHeader(request.PackedHeader)
-	if err != nil { // a fault of the other side's; nothing of it has run
+	if err != nil { // a fault of the peer; nothing has run
 		conn.sendResponse(&wire.ResponseT{Id: request.Id, Ending: codeNotAccepted})
 		return
 	}
@@ -54,7 +54,7 @@
 	go r.run(ctx)
 }
 
-// run serves the request, and sends its response unless that was streamed.
+// run serves the request, and sends its response unless it was streamed.
 func (r *inboundRequest) run(ctx context.Context) {
 	in, conn := r.inbound, r.conn
 	defer in.openRequests.Add(-1)
@@ -79,7 +79,7 @@
 	return kindIdempotent
 }
 
-// serve runs the request and gives its response; nil: it was streamed.
+// serve runs the request and returns its response; nil: it was streamed.
 func (r *inboundRequest) serve(ctx context.Context) *wire.ResponseT {
 	until := time.Now().Add(time.Duration(r.request.TimeoutUs) * time.Microsecond)
 	endpoint := r.inbound.localServer.endpointOf(r.request.ServerId)
@@ -100,7 +100,7 @@
 	return r.forward(ctx, endpoint, until)
 }
 
-// newMessage is the request as the sender takes it.
+// newMessage returns the request in the form that the sender uses.
 func (r *inboundRequest) newMessage() *message.Request {
 	request := r.request
 	m := &message.Request{
@@ -116,7 +116,7 @@
 	return m
 }
 
-// forward makes the one attempt at the server, and streams or gives its response.
+// forward sends the request to the server once. It returns the response, or streams it and returns nil.
 func (r *inboundRequest) forward(ctx context.Context, endpoint *engine.Endpoint, until time.Time) *wire.ResponseT {
 	m := r.newMessage()
 	ended, streamed := make(chan struct{}), make(chan struct{})
@@ -124,7 +124,7 @@
 	var reply *message.Reply
 	var stream *message.Stream
 	r.inbound.sender.Start(ctx, engine.NewAttempt(endpoint, m, time.Until(until), engine.Hooks{
-		// By the clock, too: a process that stood still may go on before its timers do.
+		// The clock counts as well as ctx: after a process was suspended, this may run before the timer of ctx.
 		Finished: func() bool { return ctx.Err() != nil || time.Until(until) <= 0 },
 		Began: func(x engine.Reply) {
 			stream = x.(*message.Stream)
@@ -154,7 +154,7 @@
 	return r.conclude(ending, reply)
 }
 
-// conclude makes the response of how the attempt ended, and notes what became of the key.
+// conclude returns the response for how the attempt ended, and records the outcome of the key's request.
 func (r *inboundRequest) conclude(ending balancer.Ending, reply *message.Reply) *wire.ResponseT {
 	response := newResponse(reply)
 	switch ending {
@@ -186,7 +186,7 @@
 	return response
 }
 
-// newResponse is a server's reply as a response; empty without one.
+// newResponse returns a server's reply as a response, which is empty for a nil reply.
 func newResponse(reply *message.Reply) *wire.ResponseT {
 	if reply == nil {
 		return &wire.ResponseT{}
@@ -202,13 +202,13 @@
 	}
 }
 
-// streamResponse sends a response on as it comes.
+// streamResponse forwards a response while it arrives.
 func (r *inboundRequest) streamResponse(ctx context.Context, stream *message.Stream) {
 	defer stream.Release()
 	head := &wire.ResponseT{Id: r.request.Id, Status: uint16(stream.Status), MoreBody: true, ContentLength: stream.Length}
 	head.HeaderFields = wireFields(stream.Header)
 	r.conn.sendResponse(head)
-	// The time for a response is over once it has begun: what comes is sent on for as long as the other side takes it.
+	// The deadline only applies until a response has begun. After that it is forwarded for as long as the peer reads it.
 	unbounded := context.WithoutCancel(ctx)
 	for {
 		piece, err := stream.Next(unbounded)
--- a/internal/mesh/sidecar/inbound_server.go
+++ b/internal/mesh/sidecar/inbound_server.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	serverIdleTimeout    = 8 * time.Second // after which servers are taken to close idle connections
+	serverIdleTimeout    = 8 * time.Second // after which servers are assumed to close idle connections
 	serverConnectTimeout = 1500 * time.Millisecond
 	acceptRetryInterval  = 20 * time.Millisecond
 )
 
-// inboundServer runs requests of other sidecars at the local server, and answers their calls and the operators'.
+// inboundServer runs requests of other sidecars at the local server, and answers calls of other sidecars and of operators.
 type inboundServer struct {
 	env         *environment
 	sender      *sender.Sender
@@ -36,13 +36,13 @@
 
 	metrics      requestMetrics
 	openRequests atomic.Int64
-	draining     atomic.Bool // nothing new is taken
+	draining     atomic.Bool // new requests are rejected
 
 	mu    sync.Mutex // guards conns
 	conns map[*inboundConn]bool
 }
 
-// acceptConns takes connections of other sidecars until the sidecar's end.
+// acceptConns accepts connections of other sidecars until the sidecar ends.
 func (in *inboundServer) acceptConns(listener net.Listener) {
 	for {
 		accepted, err := listener.Accept()
@@ -75,7 +75,7 @@
 	conn.receive()
 }
 
-// finishConns ends the connections of other sidecars, each once what was answered on it has been read, or with ctx.
+// finishConns shuts down the connections of other sidecars, each once the peer has read all responses, or when ctx ends.
 func (in *inboundServer) finishConns(ctx context.Context) {
 	in.mu.Lock()
 	var finishing sync.WaitGroup
--- a/internal/mesh/sidecar/inherited_responses.go
+++ b/internal/mesh/sidecar/inherited_responses.go
@@ -7,11 +7,11 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// maxInheritedRecords bounds what is inherited in number; maxStoredBytes does so in bytes.
+// maxInheritedRecords bounds the number of inherited records; maxStoredBytes bounds their bytes.
 const maxInheritedRecords = 100_000
 
-// inheritedResponses is what other sidecars stored and handed over before their maintenance: responses only, for the leases are
-// their own. The zero value is ready.
+// inheritedResponses holds the responses that other sidecars stored and handed over before their maintenance. It holds no leases, which remain
+// with those sidecars. The zero value is ready to use.
 type inheritedResponses struct {
 	mu      sync.Mutex // guards below
 	records map[inheritedKey]inheritedRecord
@@ -26,7 +26,7 @@
 	expiresAt time.Time
 }
 
-// add stores what another sidecar stored, as far as there is room and nothing of a key is known yet.
+// add stores records of another sidecar, as far as there is room. A record of a key that is already known is not replaced.
 func (i *inheritedResponses) add(from string, records []*wire.StoredResponseT) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// get is what another sidecar stored of a key; nil: nothing is known.
+// get returns the record that another sidecar stored for a key; nil: there is none.
 func (i *inheritedResponses) get(from, key string) *wire.StoredResponseT {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/mesh/sidecar/key_claims.go
+++ b/internal/mesh/sidecar/key_claims.go
@@ -11,21 +11,21 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// claimRetryInterval is the pause between two attempts of one claim.
+// claimRetryInterval is the pause between two attempts of a lease request.
 const claimRetryInterval = 30 * time.Millisecond
 
-// errClaimsUnanswered says that a claim was given up at once, for none is answered at the moment.
+// errClaimsUnanswered is the error of a lease request that failed at once because none is being answered, see claimBreaker.
 const errClaimsUnanswered = errors.ConstError("keys are not granted at the moment")
 
-// keyClaims has the control plane grant the leases of keys.
+// keyClaims requests key leases from the control plane.
 type keyClaims struct {
 	env          *environment
 	controlPlane *controlPlaneConn
 	breaker      claimBreaker
 }
 
-// claim asks for the lease of a key, and again, by then maybe at another member, while there is time. An error says nothing of
-// whether the lease is granted: that may still come about.
+// claim requests the lease of a key. It retries, perhaps at another member, until ctx ends. After an error the lease may still be granted
+// later.
 func (k *keyClaims) claim(ctx context.Context, claim *wire.KeyLeaseRequestT) (grant *wire.KeyLeaseResultT, err error) {
 	clock := k.env.clock
 	if !k.breaker.admit(clock.Now()) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// callClaim makes one call for one claim; nil: there is no usable reply.
+// callClaim makes one attempt of a lease request; nil: there was no usable reply.
 func (k *keyClaims) callClaim(ctx context.Context, conn *transport.Conn, body []byte) *wire.KeyLeaseResultT {
 	reply, err := k.env.callMember(ctx, conn, codec.CallLeaseKeys, body)
 	if err != nil {
@@ -66,8 +66,9 @@
 	return grants.List[0]
 }
 
-// reportWaiting reports to the selector whether claims wait: the followed member's silence is detected sooner then. It posts only
-// where that has changed. The value is read on the connection's goroutine, so that events which overtake each other do no harm.
+// reportWaiting reports to the selector whether lease requests wait, because the silence of the followed member has to be detected sooner then.
+// It posts only if that has changed. The value is read on the goroutine that handles the event, so that the order of events does not
+// matter.
 func (k *keyClaims) reportWaiting() {
 	if _, changed := k.breaker.checkWaiting(); !changed {
 		return
--- a/internal/mesh/sidecar/key_lease.go
+++ b/internal/mesh/sidecar/key_lease.go
@@ -9,10 +9,11 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// claimTimeout bounds a claim, and half of the request's time does so, too.
+// claimTimeout bounds a lease request, in addition to half of the time of its request.
 const claimTimeout = 400 * time.Millisecond
 
-// claimKey has the control plane agree that this request, and no other of its key, may run here. nil: it may; else the response.
+// claimKey leases the request's key, so that no other request with the key may run. It returns nil if this request may run, and otherwise its
+// response.
 func (r *inboundRequest) claimKey(ctx context.Context) *wire.ResponseT {
 	in, request := r.inbound, r.request
 	window := in.env.keyLeaseTime()
@@ -25,7 +26,7 @@
 	grant, err := in.claims.claim(ctx, r.newLeaseRequest(window))
 	switch {
 	case err != nil:
-		// The lease may be granted all the same, but the request never ran: so that is said, and the lease given back.
+		// The lease may still be granted. The request will not run, so the lease is released.
 		r.releaseKey()
 		return &wire.ResponseT{Ending: codeKeyNotGranted}
 	case grant.Granted:
@@ -39,7 +40,7 @@
 	return r.holderResponse(ctx, grant.Holder)
 }
 
-// holderResponse answers with what the holder of the key's lease knows of it.
+// holderResponse returns the response according to what the holder of the key's lease knows about it.
 func (r *inboundRequest) holderResponse(ctx context.Context, holder string) *wire.ResponseT {
 	in := r.inbound
 	addr, _, _ := strings.Cut(holder, "/")
@@ -52,7 +53,7 @@
 		return r.lostResponse()
 	case record.Running:
 		return r.inProgressResponse()
-	case record.Status == 0: // it never ran, and its key is on the way back
+	case record.Status == 0: // it never ran, and the key is being released
 		return &wire.ResponseT{Ending: codeKeyNotGranted}
 	}
 	return r.replayResponse(&wire.ResponseT{
@@ -61,7 +62,7 @@
 	})
 }
 
-// repeatResponse answers a request whose key was claimed here before.
+// repeatResponse returns the response to a request whose key was claimed here before.
 func (r *inboundRequest) repeatResponse(was keyRecord) *wire.ResponseT {
 	switch {
 	case was.state == keyClaiming || was.state == keyRunning:
@@ -72,7 +73,7 @@
 	return r.lostResponse()
 }
 
-// replayResponse is the first run's response, for another attempt.
+// replayResponse returns the response of the run that there was, for this attempt.
 func (r *inboundRequest) replayResponse(first *wire.ResponseT) *wire.ResponseT {
 	response := &wire.ResponseT{Status: first.Status, Body: first.Body, ContentLength: first.ContentLength}
 	for _, f := range first.HeaderFields {
@@ -92,7 +93,7 @@
 	return r.localResponse(http.StatusBadGateway, "the key's request has run, or may have, and its answer is lost")
 }
 
-// localResponse is a response in the server's place.
+// localResponse returns a response of the sidecar itself in place of the server's.
 func (r *inboundRequest) localResponse(status int, text string) *wire.ResponseT {
 	fields := []*wire.HeaderFieldT{
 		{Name: headerAttemptID, Value: r.request.AttemptId},
@@ -101,7 +102,7 @@
 	return &wire.ResponseT{Status: uint16(status), Body: []byte(text + "\n"), ContentLength: int64(len(text) + 1), HeaderFields: fields}
 }
 
-// releaseOwnedKey gives the key back if the lease is this request's, which never ran.
+// releaseOwnedKey releases the key if this request holds its lease. The request must not have run.
 func (r *inboundRequest) releaseOwnedKey() {
 	if r.ownsKey.Load() {
 		r.releaseKey()
@@ -116,7 +117,7 @@
 	in.releases.add(release)
 }
 
-// newLeaseRequest asks for the lease of the request's key, for a window from now.
+// newLeaseRequest returns a request for the lease of the key, for a window from now.
 func (r *inboundRequest) newLeaseRequest(window time.Duration) *wire.KeyLeaseRequestT {
 	return &wire.KeyLeaseRequestT{
 		Key: r.request.IdempotencyKey, Token: r.request.Token, Attempt: r.request.Attempt,
--- a/internal/mesh/sidecar/key_record.go
+++ b/internal/mesh/sidecar/key_record.go
@@ -7,15 +7,15 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// keyState is what became of a key's request at this sidecar.
+// keyState is the state of a key's request at this sidecar.
 type keyState uint8
 
 const (
 	keyClaiming       keyState = iota // it may not have run yet
 	keyRunning                        // its lease was granted
-	keyAnswered                       // it ran, and its response is stored unless it was evicted
+	keyAnswered                       // it ran; its response is stored unless it was too large or evicted
 	keyOutcomeUnknown                 // it may have run, and its response is lost
-	keyNotExecuted                    // it never ran, and never will by that token
+	keyNotExecuted                    // it never ran, and never will with that token
 )
 
 // String implements fmt.Stringer.
@@ -35,16 +35,16 @@
 	return fmt.Sprintf("keyState(%d)", uint8(s))
 }
 
-// keyRecord is a key that was claimed here.
+// keyRecord is what is known of a key that was claimed here.
 type keyRecord struct {
 	token     string
-	attempt   uint32 // of the call that token names, from 0
+	attempt   uint32 // of the call that token identifies, from 0
 	state     keyState
 	response  *wire.ResponseT // of keyAnswered; nil: it was evicted or too large
 	claimedAt time.Time
 }
 
-// wireRecord is what is known of a key, for another sidecar.
+// wireRecord returns a record in the form that other sidecars are sent.
 func wireRecord(r *keyRecord) *wire.StoredResponseT {
 	switch {
 	case r.state == keyNotExecuted:
--- a/internal/mesh/sidecar/local_api.go
+++ b/internal/mesh/sidecar/local_api.go
@@ -14,7 +14,7 @@
 	localCallTimeout  = time.Second
 )
 
-// stateDraining is how a server says that it is about to leave; with any other state it is ready.
+// stateDraining is the state of a server that is about to leave. Every other state counts as ready.
 const stateDraining = "draining"
 
 // Heartbeat is a server's call to the sidecar beside it.
@@ -32,10 +32,10 @@
 	SlotCount     int    `json:"SlotCount"` // requests that it runs at once
 }
 
-// OperationalStatus is how a server does.
+// OperationalStatus is the state of a server.
 type OperationalStatus struct {
 	State       string         `json:"State"`
-	CallSeq     int64          `json:"CallSeq"` // grows with each call; one that is not higher was overtaken
+	CallSeq     int64          `json:"CallSeq"` // rises with each call; a call with a lower one was overtaken
 	WarmupLeftS config.Seconds `json:"WarmupLeftS"`
 }
 
--- a/internal/mesh/sidecar/local_server.go
+++ b/internal/mesh/sidecar/local_server.go
@@ -13,11 +13,11 @@
 	sender "cranegrade/internal/sender/http1"
 )
 
-// maxGoneInstances is how many instances that are gone are remembered; beyond it all are forgotten.
+// maxGoneInstances is how many former instances are remembered; beyond it all are forgotten.
 const maxGoneInstances = 64
 
-// localServer is the server beside this sidecar, as its heartbeats and probes report it, and the record that is sent to the
-// other sidecars. The server's own state counts unless an operator or maintenance holds it out.
+// localServer is the server beside this sidecar, as its heartbeats and probes report it, and the record about it that other sidecars are sent.
+// The state that the server reports counts, unless an operator or maintenance has taken it out.
 type localServer struct {
 	env          *environment
 	sender       *sender.Sender
@@ -32,7 +32,7 @@
 	callSeq        int64
 	lastHeartbeat  time.Time
 	goneInstances  map[string]bool
-	leaving        bool                  // the sidecar ends
+	leaving        bool                  // the sidecar is shutting down
 	reportedState  directory.ServerState // by the server itself
 	heldByOperator bool
 	inMaintenance  bool
@@ -52,7 +52,7 @@
 	return l
 }
 
-// record is the record as the other sidecars have it.
+// record returns the record that other sidecars were sent last.
 func (s *localServer) record() directory.Record { return *s.published.Load() }
 
 // publish sends the changed record to the other sidecars. The caller holds mu.
@@ -72,7 +72,7 @@
 	}()
 }
 
-// supersede has this incarnation count as later than the one that the directory has: the clock may have been set back since.
+// supersede raises this sidecar's incarnation above the one that the directory has. That one may be higher because the clock was set back.
 func (s *localServer) supersede(incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// endpointOf is the server's endpoint, if it is that instance; else nil.
+// endpointOf returns the server's endpoint if the server is a given instance, and otherwise nil.
 func (s *localServer) endpointOf(instance string) *engine.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +92,7 @@
 	return s.endpoint
 }
 
-// leave has the other sidecars send nothing here any more, for this one ends.
+// leave announces that this sidecar is shutting down, so that the others send it nothing more.
 func (s *localServer) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +101,7 @@
 	s.publish()
 }
 
-// heartbeat applies a heartbeat of the server. One that has been overtaken changes nothing.
+// heartbeat applies a heartbeat of the server. A heartbeat that was overtaken by a later one changes nothing.
 func (s *localServer) heartbeat(id string, heartbeat Heartbeat) error {
 	if id == "" || len(id) > maxIDBytes || heartbeat.Address == "" {
 		return api.NewError(http.StatusBadRequest, "a beat without id or Address")
@@ -109,7 +109,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.goneInstances[id] {
-		return nil // late: it has left since
+		return nil // the instance has left meanwhile
 	}
 	if s.endpoint == nil || s.endpoint.ID != id || s.endpoint.Addr != heartbeat.Address {
 		s.replaceInstance(id, heartbeat)
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// replaceInstance has another instance, or the same at another address, be the local server. The caller holds mu.
+// replaceInstance makes another instance, or the same one at another address, the local server. The caller holds mu.
 func (s *localServer) replaceInstance(id string, heartbeat Heartbeat) {
 	if s.endpoint != nil {
 		s.endpoint.SetUsable(false)
@@ -146,7 +146,7 @@
 	s.current.Slots = uint32(max(0, heartbeat.SystemInfo.SlotCount))
 }
 
-// applyReportedState takes what the server says of itself, and publishes what follows. The caller holds mu.
+// applyReportedState applies the state that the server reports, and publishes the record if that changes it. The caller holds mu.
 func (s *localServer) applyReportedState(state directory.ServerState) {
 	s.reportedState = state
 	reason := ""
@@ -169,15 +169,15 @@
 	s.publish()
 }
 
-// reapplyReportedState has a change of heldByOperator or inMaintenance be taken into account. The caller holds mu.
+// reapplyReportedState applies a change of heldByOperator or inMaintenance. The caller holds mu.
 func (s *localServer) reapplyReportedState() {
 	if s.endpoint != nil && s.current.State != directory.ServerDown {
 		s.applyReportedState(s.reportedState)
 	}
 }
 
-// hold has the server taken out by an operator, as if it had said that it leaves, or no longer. It holds until the sidecar
-// restarts.
+// hold takes the server out on behalf of an operator, as if the server had reported that it drains, or lets it in again. It lasts until the
+// sidecar restarts.
 func (s *localServer) hold(out bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,7 +185,7 @@
 	s.reapplyReportedState()
 }
 
-// setMaintenance is hold by an order, for as long as the control plane says so.
+// setMaintenance is hold on behalf of a maintenance order, for as long as the control plane says so.
 func (s *localServer) setMaintenance(out bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,7 +199,7 @@
 	s.reapplyReportedState()
 }
 
-// markGone remembers an instance that is no more: what still comes of it is late. The caller holds mu.
+// markGone remembers an instance that has left, so that late heartbeats of it are ignored. The caller holds mu.
 func (s *localServer) markGone(id string) {
 	if len(s.goneInstances) > maxGoneInstances {
 		clear(s.goneInstances)
@@ -207,7 +207,7 @@
 	s.goneInstances[id] = true
 }
 
-// deregister applies that an instance has left.
+// deregister handles the call with which an instance leaves.
 func (s *localServer) deregister(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,7 +220,7 @@
 	}
 }
 
-// localServerStatus is how the local server is, for the status of the sidecar.
+// localServerStatus is the part of the sidecar's status about its local server.
 type localServerStatus struct {
 	record    directory.Record
 	outReason string
--- a/internal/mesh/sidecar/local_server_health.go
+++ b/internal/mesh/sidecar/local_server_health.go
@@ -15,15 +15,15 @@
 	// maxMissedHeartbeats is how many heartbeats a server may miss before it counts as gone, and heartbeatSlack the time besides.
 	maxMissedHeartbeats = 3
 	heartbeatSlack      = 500 * time.Millisecond
-	// minWatchInterval bounds the pause between two looks at the local server, which is half of the heartbeats' interval.
+	// minWatchInterval bounds the interval at which missed heartbeats are checked for, which is half of the heartbeats' interval.
 	minWatchInterval = 100 * time.Millisecond
-	// recordRefreshInterval is how often the record is sent again though nothing has changed.
+	// recordRefreshInterval is how often the record is sent again without a change.
 	recordRefreshInterval = 5 * time.Second
 	probeTimeout          = time.Second
 )
 
-// checkUnreachable looks whether nothing listens at the server's address, where an attempt could not begin: then the other
-// sidecars learn of it at once, and not when heartbeats are missed.
+// checkUnreachable checks, after an attempt could not connect, whether anything listens at the server's address. If not, the other sidecars learn
+// of it at once rather than after missed heartbeats. Its goroutine ends within serverConnectTimeout; one runs at a time.
 func (s *localServer) checkUnreachable(endpoint *engine.Endpoint) {
 	if !s.isProbing.CompareAndSwap(false, true) {
 		return
@@ -44,7 +44,7 @@
 	}()
 }
 
-// probe asks the server who it is by its health check, where no heartbeat has come yet since the sidecar's start.
+// probe learns the server's instance from its health check, if no heartbeat has come yet since the sidecar started.
 func (s *localServer) probe(path string) {
 	s.mu.Lock()
 	known := s.endpoint != nil
@@ -60,7 +60,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.endpoint != nil || s.goneInstances[id] {
-		return // its own heartbeat was faster
+		return // a heartbeat has come meanwhile
 	}
 	s.endpoint = engine.NewEndpoint(id, set.AppAddress)
 	s.callSeq, s.lastHeartbeat = -1, time.Now()
@@ -68,7 +68,7 @@
 	s.applyReportedState(directory.ServerReady)
 }
 
-// probeInstance is the id of the instance that answers a health check; "": none that is healthy.
+// probeInstance returns the ID of the instance that answers a health check; "": no healthy one does.
 func (s *localServer) probeInstance(url string) string {
 	ctx, cancel := context.WithTimeout(s.env.ctx, probeTimeout)
 	defer cancel()
@@ -89,7 +89,7 @@
 	return id
 }
 
-// watch detects missed heartbeats, sends the record again now and then, and has the directory expire, until the sidecar's end.
+// watch detects missed heartbeats, refreshes the record at the other sidecars, and expires records of the directory, until the sidecar ends.
 func (s *localServer) watch() {
 	ticker := time.NewTicker(max(minWatchInterval, s.env.settings.Load().HeartbeatS.Duration()/2))
 	defer ticker.Stop()
@@ -110,8 +110,8 @@
 	}
 }
 
-// checkHeartbeat has the server count as down if its heartbeats are missed, and publishes that, or the record if it is due to be sent
-// again.
+// checkHeartbeat marks the server as down if too many heartbeats were missed. It publishes the record if that is so or refreshDue is set, and
+// reports whether it did.
 func (s *localServer) checkHeartbeat(refreshDue bool) (published bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/sidecar/maintenance.go
+++ b/internal/mesh/sidecar/maintenance.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// successorSlack is for how much longer than a key's window a successor is remembered after it was reported last.
+	// successorSlack is how much longer than a key's window a successor is remembered after it was last reported.
 	successorSlack        = time.Hour
 	handoverTimeout       = 2 * time.Second
 	handoverRetryInterval = 150 * time.Millisecond
 )
 
-// maintenanceView is which machines are in maintenance as the control plane says, and what follows from it here: who keeps the
-// responses of sidecars that are out, and the hand-over of this one's own.
+// maintenanceView holds which machines are in maintenance according to the control plane, and does what follows from it here: it knows which
+// successors keep the responses of sidecars in maintenance, and hands over this sidecar's own.
 type maintenanceView struct {
 	env         *environment
 	readiness   *readiness
@@ -48,7 +48,7 @@
 	return m
 }
 
-// apply takes which machines orders have in maintenance. The latest entry of the log holds, by whatever way it comes.
+// apply applies which machines are in maintenance. Only the state of the latest log entry counts, whichever member sends it.
 func (m *maintenanceView) apply(orders *wire.MachinesInMaintenanceT) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,7 +74,8 @@
 	m.pools.refreshServices()
 }
 
-// startHandover starts the hand-over of this sidecar's responses once for each order and successor. The caller holds mu.
+// startHandover starts to hand over this sidecar's responses, once for each order and successor. The goroutine ends with the order or the
+// sidecar. The caller holds mu.
 func (m *maintenanceView) startHandover(machine *wire.MachineInMaintenanceT) {
 	target := machine.OrderId + " " + machine.Successor
 	if machine.Successor == "" || !machine.DrainCallers || target == m.handoverTarget {
@@ -84,7 +85,7 @@
 	go m.handOver(machine.OrderId, machine.Successor)
 }
 
-// expireSuccessors forgets the successors whose responses can't matter any more. The caller holds mu.
+// expireSuccessors forgets successors whose responses have expired. The caller holds mu.
 func (m *maintenanceView) expireSuccessors() {
 	for addr, s := range m.successors {
 		if time.Since(s.reportedAt) > m.env.settings.Load().Bounds.KeyWindowS.Duration()+successorSlack {
@@ -93,26 +94,26 @@
 	}
 }
 
-// successorOf is the sidecar that keeps what another one left; "": that one has left nothing.
+// successorOf returns the sidecar that keeps the responses of another; "": there is none.
 func (m *maintenanceView) successorOf(addr string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.successors[addr].addr
 }
 
-// isOut says that an order has a machine in maintenance.
+// isOut reports whether an order has a machine in maintenance.
 func (m *maintenanceView) isOut(addr string) bool {
 	return slices.ContainsFunc(m.orders.Load().List, func(o *wire.MachineInMaintenanceT) bool { return o.Addr == addr })
 }
 
-// stands says that this sidecar is still in maintenance by an order, with that successor.
+// stands reports whether this sidecar is still in maintenance by an order with a successor.
 func (m *maintenanceView) stands(order, successor string) bool {
 	return slices.ContainsFunc(m.orders.Load().List, func(o *wire.MachineInMaintenanceT) bool {
 		return o.Addr == m.env.addr() && o.OrderId == order && o.Successor == successor
 	})
 }
 
-// handOver hands over the stored responses, and retries for as long as the order stands.
+// handOver hands over the stored responses, and retries while the order lasts.
 func (m *maintenanceView) handOver(order, successor string) {
 	for m.env.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(m.env.ctx, handoverTimeout)
@@ -124,7 +125,7 @@
 		}
 		m.env.log.Info().Err(err).Str("successor_addr", successor).Str("order", order).Msg("hand-over of responses failed")
 		if !m.stands(order, successor) {
-			return // the next maintenance of this machine is another order
+			return // the next maintenance of this machine has another order
 		}
 		time.Sleep(handoverRetryInterval)
 	}
--- a/internal/mesh/sidecar/member_call.go
+++ b/internal/mesh/sidecar/member_call.go
@@ -10,7 +10,7 @@
 	"cranegrade/internal/mesh/transport"
 )
 
-// statusError is a call that was answered with another status than 200.
+// statusError is the error of a call whose reply has another status than 200.
 type statusError struct {
 	addr   string // of the member
 	status uint16 // as in HTTP
@@ -21,8 +21,8 @@
 	return fmt.Sprintf("control-plane member %s answered with status %d", e.addr, e.status)
 }
 
-// callMember makes a call to a control-plane member, and returns the body of its reply. The error is a statusError if the member
-// answered, else the connection's or that of ctx.
+// callMember makes a call to a control-plane member, and returns the body of its reply. The error is a statusError if the member replied, and
+// otherwise that of the connection or of ctx.
 func (e *environment) callMember(ctx context.Context, conn *transport.Conn, kind byte, body []byte) ([]byte, error) {
 	reply, err := e.calls.Call(ctx, conn, kind, body)
 	if err != nil {
--- a/internal/mesh/sidecar/module_classes.go
+++ b/internal/mesh/sidecar/module_classes.go
@@ -7,7 +7,7 @@
 	"cranegrade/internal/mesh/routing"
 )
 
-// priorityAndTimeout are a route's among those to a service: the effective policy's if there is one.
+// priorityAndTimeout returns the priority and time-out of a route to a service: those of the effective policy, if there is one.
 func priorityAndTimeout(r *routing.Route, service string) (priority int, timeout time.Duration) {
 	if effective := r.PolicyDecision(service); effective != nil {
 		return effective.Priority, effective.Timeout
@@ -15,8 +15,8 @@
 	return r.Priority, r.Timeout
 }
 
-// moduleClasses are what the routes to a service are to its module. Those above the lowest priority are not held back for the
-// module's sake: work that was let in may wait for them, and would be lost.
+// moduleClasses returns the routes to a service as classes of the decision module. Classes above the lowest priority are marked First, so that
+// the module does not hold them back: work that was already admitted may depend on them.
 func moduleClasses(service string, routes []*routing.Route) (classes []balancer.Class) {
 	lowest := 0
 	for _, r := range routes {
--- a/internal/mesh/sidecar/outbound_listener.go
+++ b/internal/mesh/sidecar/outbound_listener.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// connectionDrainTime is for how long callers are asked to leave before anything is closed.
+	// connectionDrainTime is how long callers are asked to close their connections before the sidecar closes any.
 	connectionDrainTime = 2300 * time.Millisecond
-	// idleDrainDelay is the part of it in which idle connections are left alone.
+	// idleDrainDelay is how long of that idle connections are left open.
 	idleDrainDelay = time.Second
-	// blockedRequestCutoff is how long before the end requests that block others' responses on their connection are given up.
+	// blockedRequestCutoff is how long before the end requests are given up that block the responses to later ones on their connection.
 	blockedRequestCutoff = 300 * time.Millisecond
-	// drainInterval is the pause between two looks at what is still open.
+	// drainInterval is how often open requests and connections are checked during the shutdown.
 	drainInterval = 100 * time.Millisecond
 
 	maxRequestHeadBytes = 256 << 10
-	callerIdleTimeout   = 15 * time.Second // unless the configuration says another
+	callerIdleTimeout   = 15 * time.Second // unless the configuration sets another
 )
 
-// outboundListener is where the applications beside the sidecar send their requests: the front, from its opening to its end.
+// outboundListener is the listener to which the applications beside the sidecar send their requests. It owns the front, which serves it.
 type outboundListener struct {
 	env         *environment
 	readiness   *readiness
@@ -38,8 +38,8 @@
 	serving     sync.WaitGroup              // of the goroutine that accepts connections
 }
 
-// open opens the listener. Until the configuration is confirmed callers are told when to retry: a refused connection would cost
-// them an attempt and say nothing.
+// open opens the listener. Until the configuration is confirmed, requests are rejected with a Retry-After, which is more useful to callers than
+// a refused connection.
 func (o *outboundListener) open(resolver front.Routes, protocol front.Speech) error {
 	listener, err := net.Listen("tcp4", o.env.settings.Load().ListenAddrs.Outbound)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// applyLimits takes the limits of the configuration into use.
+// applyLimits applies the limits of the configuration.
 func (o *outboundListener) applyLimits(limits *config.LimitsSpec) {
 	f := o.front.Load()
 	if f == nil {
@@ -72,27 +72,27 @@
 	f.HeadWithin(limits.HeaderTimeoutS.Duration())
 }
 
-// drain has each response ask its caller to leave, or no longer.
+// drain makes each response ask its caller to close the connection, or stops that.
 func (o *outboundListener) drain(on bool) {
 	if f := o.front.Load(); f != nil {
 		f.LeadAway(on)
 	}
 }
 
-// closeIdle asks the callers of idle connections to leave, too.
+// closeIdle closes idle connections while draining.
 func (o *outboundListener) closeIdle() {
 	if f := o.front.Load(); f != nil {
 		f.LeadIdle()
 	}
 }
 
-// finish waits until no request is open, or until ctx ends, and closes the listener. tick is the pause between two looks.
+// finish waits until no connection is open or ctx ends, and closes the listener. It checks at each tick.
 func (o *outboundListener) finish(ctx context.Context, tick <-chan time.Time) {
 	f := o.front.Load()
 	if f == nil {
 		return
 	}
-	// Not by Shutdown yet: it ends a connection with the response being written, and the responses to pipelined requests are lost.
+	// Shutdown has to come last: it closes a connection after the response being written, which loses the responses to pipelined requests.
 	f.Hand()
 	deadline, _ := ctx.Deadline()
 	for gaveUp := false; f.Open() > 0 && ctx.Err() == nil; <-tick {
@@ -102,6 +102,6 @@
 			f.GiveUp()
 		}
 	}
-	_ = f.Shutdown(ctx) // what is still open ends with the process
+	_ = f.Shutdown(ctx) // connections that are still open end with the process
 	o.serving.Wait()
 }
--- a/internal/mesh/sidecar/policies.go
+++ b/internal/mesh/sidecar/policies.go
@@ -11,8 +11,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// activePolicies are the namespaces and policies in force here, and how far this sidecar knows that they are (classmark.Leaf
-// decides). A set that it holds and that is not active yet is among the configuration's items only. The zero value is ready.
+// activePolicies is the namespaces and policies in force here, and what this sidecar knows about whether they still are (policy.SidecarState
+// decides). A received set that is not active yet is only among the configuration's items. The zero value is ready to use.
 type activePolicies struct {
 	table       config.Table // guarded by the configuration's lock
 	state       atomic.Pointer[policy.SidecarState]
@@ -34,16 +34,16 @@
 	}
 }
 
-// isFenced says that this sidecar does not know for certain which policies are active.
+// isFenced reports whether this sidecar does not know for certain which policies are active.
 func (c *configuration) isFenced() bool { return c.policies.current().IsFenced(c.env.clock.Now()) }
 
-// activeFor is for how long the active set has been so here.
+// activeFor returns for how long the active set has been active here.
 func (c *configuration) activeFor() time.Duration {
 	return c.env.clock.Now() - time.Duration(c.policies.activeSince.Load())
 }
 
-// noteHeldPolicies notes that items were merged. The caller holds mu.
-func (c *configuration) noteHeldPolicies(raised []config.Item) {
+// noteReceivedPolicies records that a policy set was received, if it is among items that were merged. The caller holds mu.
+func (c *configuration) noteReceivedPolicies(raised []config.Item) {
 	for _, item := range raised {
 		if item.Kind.InPolicySet() {
 			c.setPolicyState(c.policies.current().Receive(c.items.PolicyFingerprint()))
@@ -52,7 +52,7 @@
 	}
 }
 
-// activatePolicies has a set be in force from now on. The caller holds mu.
+// activatePolicies puts a policy set into force. The caller holds mu.
 func (c *configuration) activatePolicies(state policy.SidecarState, table config.Table) {
 	c.policies.table = table
 	c.policies.activeSince.Store(int64(c.env.clock.Now()))
@@ -76,8 +76,8 @@
 	}
 }
 
-// applyConfirmedTable takes all items, and which policies are active, as confirmed by a read that was begun at askedAt; false: the
-// policies are not those of the fingerprint, and the read has to be repeated.
+// applyConfirmedTable applies all items and the active policies of a confirmed read that was begun at askedAt. It returns false if the policies
+// do not match their fingerprint, so that the read has to be repeated.
 func (c *configuration) applyConfirmedTable(read *wire.ItemsT, askedAt time.Duration) bool {
 	c.mergeItems(config.ItemsFromWire(read))
 	c.mu.Lock()
@@ -99,7 +99,7 @@
 	return true
 }
 
-// confirmPolicies takes the response to a poll that was begun at askedAt; false: another set is active than here.
+// confirmPolicies applies the response to a poll that was begun at askedAt. It returns false if another set is active than here.
 func (c *configuration) confirmPolicies(active *wire.ActivePolicyT, askedAt time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +110,7 @@
 	return same
 }
 
-// checkPolicy says whether the effective policy lets a request be; status 0: it does, else the response and why.
+// checkPolicy returns status 0 if the effective policy allows a request, and otherwise the status and text of its response.
 func (c *configuration) checkPolicy(effective *policy.Decision, caller string) (status int, text string) {
 	switch {
 	case c.isFenced():
@@ -121,7 +121,7 @@
 	return 0, ""
 }
 
-// retryConditionNames are the endings after which a policy may allow a retry, by the policy's words for them.
+// retryConditionNames is the endings after which a policy may allow a retry, with their names in policies.
 var retryConditionNames = map[balancer.Ending]string{
 	balancer.Overloaded:  "refused",
 	balancer.Unreachable: "unreachable",
--- a/internal/mesh/sidecar/policy_poller.go
+++ b/internal/mesh/sidecar/policy_poller.go
@@ -13,8 +13,9 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// policyPoller asks the followed member again and again whether the active policies still are, from when any are known until the
-// sidecar's end. What it learns is the configuration's; it keeps nothing itself.
+// policyPoller polls the followed member for which policies are active, from when any are known until the sidecar ends. The configuration keeps
+// the results. Its goroutine ends with the environment's context; Run does not wait for it, since a connection's goroutine may start it at
+// any time.
 type policyPoller struct {
 	env           *environment
 	configuration *configuration
@@ -29,7 +30,7 @@
 
 func (p *policyPoller) start() { p.once.Do(func() { go p.run() }) }
 
-// pollSoon has the next poll begin without waiting for its time.
+// pollSoon starts the next poll without waiting for the interval.
 func (p *policyPoller) pollSoon() {
 	select {
 	case p.pollNow <- struct{}{}:
@@ -57,7 +58,7 @@
 	}
 }
 
-// poll asks once, and reads the complete table where another set is active than here.
+// poll polls once, and reads the complete table if another set is active than here.
 func (p *policyPoller) poll(conn *transport.Conn) error {
 	ctx, cancel := context.WithTimeout(p.env.ctx, callTimeout)
 	defer cancel()
--- a/internal/mesh/sidecar/readiness.go
+++ b/internal/mesh/sidecar/readiness.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 )
 
-// readiness is how far the sidecar is between its start and its end. The zero value is that of the start.
+// readiness is the state that decides whether the sidecar is ready. The zero value is that of its start.
 type readiness struct {
 	configured atomic.Bool // the configuration was confirmed by the control plane once
 	stopping   atomic.Bool // the process ends
-	draining   atomic.Bool // callers are sent elsewhere, for the machine is in maintenance
+	draining   atomic.Bool // callers have to use other machines, because this one is in maintenance
 }
 
-// isReady says whether callers should come.
+// isReady reports whether callers should send requests here.
 func (r *readiness) isReady() bool {
 	return r.configured.Load() && !r.stopping.Load() && !r.draining.Load()
 }
--- a/internal/mesh/sidecar/recall.go
+++ b/internal/mesh/sidecar/recall.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// maxHandoverRecords and maxHandoverBytes bound one message of a hand-over; the last record may go beyond the bytes.
+	// maxHandoverRecords and maxHandoverBytes bound one message of a hand-over; its last record may exceed the bytes.
 	maxHandoverRecords = 1000
 	maxHandoverBytes   = 1 << 20
 )
 
-// recaller asks other sidecars for the responses that they store, and hands over this one's.
+// recaller reads stored responses of other sidecars, and hands over this sidecar's own.
 type recaller struct {
 	env         *environment
 	upstreams   *upstreams
@@ -21,7 +21,8 @@
 	responses   *responseStore
 }
 
-// recall asks another sidecar for what it stores of a key, or its successor if that one is in maintenance, or was.
+// recall reads the record of a key from the sidecar that holds its lease, or first from its successor if that sidecar is or was in
+// maintenance.
 func (r *recaller) recall(ctx context.Context, holder, key string) (*wire.StoredResponseT, error) {
 	switch successor := r.maintenance.successorOf(holder); successor {
 	case "":
@@ -37,7 +38,7 @@
 	return r.call(ctx, holder, key, "")
 }
 
-// call asks one sidecar for a key; storedBy names the one that left it there, "": the one that is asked.
+// call reads the record of a key from one sidecar. storedBy names the sidecar that handed it over; "": it is the called sidecar's own.
 func (r *recaller) call(ctx context.Context, addr, key, storedBy string) (*wire.StoredResponseT, error) {
 	conn, err := r.upstreams.get(addr).connect(ctx)
 	if err != nil {
@@ -51,7 +52,7 @@
 	return codec.DecodeTable(reply.Body, func(p []byte) *wire.StoredResponseT { return wire.GetRootAsStoredResponse(p, 0).UnPack() })
 }
 
-// lookUp is what this sidecar stores of a key, for another; storedBy names the one that left it here, "": it is its own.
+// lookUp answers a call of another sidecar with the record of a key. storedBy names the sidecar that handed it over; "": it is this one's own.
 func (r *recaller) lookUp(key, storedBy string) *wire.StoredResponseT {
 	if storedBy != "" {
 		if record := r.responses.inherited.get(storedBy, key); record != nil {
@@ -65,7 +66,7 @@
 	return &wire.StoredResponseT{OutcomeUnknown: true}
 }
 
-// handOver gives all that is stored here to the successor; nil: it has that.
+// handOver sends all stored responses to the successor. It returns nil once the successor has all of them.
 func (r *recaller) handOver(ctx context.Context, successor string) error {
 	for rest := r.responses.export(r.env.keyLeaseTime()); len(rest) > 0; {
 		n, bytes := 0, 0
--- a/internal/mesh/sidecar/release_queue.go
+++ b/internal/mesh/sidecar/release_queue.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxPendingReleases is how many releases are kept to be sent; keys beyond that stay leased for their window.
+	// maxPendingReleases bounds the queue; keys beyond it stay leased for their window.
 	maxPendingReleases = 4096
 	// releaseRetryInterval is the pause between two attempts to send the same releases.
 	releaseRetryInterval = 50 * time.Millisecond
@@ -21,8 +21,8 @@
 // errNoMember says that no control-plane member has been followed yet.
 const errNoMember = errors.ConstError("no control-plane member is followed")
 
-// releaseQueue is the keys that are to be given back to the control plane, for their requests never ran. Its goroutine run sends
-// them in order, each until it is acknowledged.
+// releaseQueue holds the keys whose leases have to be released because their requests never ran. The goroutine of run sends the releases in
+// order, and repeats each until it is acknowledged.
 type releaseQueue struct {
 	env          *environment
 	controlPlane *controlPlaneConn
@@ -36,7 +36,7 @@
 	return &releaseQueue{env: env, controlPlane: controlPlane, wake: make(chan struct{}, 1)}
 }
 
-// add has a key given back, as soon as a member is followed.
+// add queues the release of a key. It is sent as soon as a member is followed.
 func (q *releaseQueue) add(release *wire.KeyLeaseRequestT) {
 	q.mu.Lock()
 	if len(q.pending) < maxPendingReleases {
@@ -49,7 +49,7 @@
 	}
 }
 
-// take takes all that is pending.
+// take removes and returns all pending releases.
 func (q *releaseQueue) take() []*wire.KeyLeaseRequestT {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -58,7 +58,7 @@
 	return taken
 }
 
-// run sends what is added until the sidecar's end.
+// run sends releases until the sidecar ends.
 func (q *releaseQueue) run() {
 	for {
 		select {
@@ -76,7 +76,7 @@
 	}
 }
 
-// sendUntilTaken sends releases until a member has acknowledged them, or the sidecar ends.
+// sendUntilTaken repeats releases until a member has acknowledged them or the sidecar ends.
 func (q *releaseQueue) sendUntilTaken(releases []*wire.KeyLeaseRequestT) {
 	for {
 		err := q.send(releases)
--- a/internal/mesh/sidecar/request_metrics.go
+++ b/internal/mesh/sidecar/request_metrics.go
@@ -6,7 +6,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// requestKind is how often a request that runs here may run: an index of requestKindNames.
+// requestKind classifies requests by how often they may run. It is an index of requestKindNames.
 type requestKind int
 
 const (
@@ -20,7 +20,7 @@
 // String implements fmt.Stringer.
 func (k requestKind) String() string { return requestKindNames[k] }
 
-// requestMetrics counts what runs at the local server and how it ends, by kind. The zero value is ready.
+// requestMetrics counts the requests at the local server by kind and outcome. The zero value is ready to use.
 type requestMetrics struct {
 	mu    sync.Mutex // guards below
 	kinds [len(requestKindNames)]wire.WorkCounterT
@@ -32,7 +32,7 @@
 	m.kinds[k].Open++
 }
 
-// end counts an end by the response that was given; nil: it was streamed, truncated or complete.
+// end counts a request that has ended with a response. A nil response was streamed, and may have been truncated.
 func (m *requestMetrics) end(k requestKind, response *wire.ResponseT, truncated bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// reset has the ends be counted from now on. What is open stays counted.
+// reset sets the counts of outcomes to zero. Open requests stay counted.
 func (m *requestMetrics) reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,7 +57,7 @@
 	}
 }
 
-// snapshot is the counts of all kinds.
+// snapshot returns the counts of all kinds.
 func (m *requestMetrics) snapshot() (counts []*wire.WorkCounterT) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/mesh/sidecar/resource_budgets.go
+++ b/internal/mesh/sidecar/resource_budgets.go
@@ -15,7 +15,7 @@
 	maxHeldCalls       = 1024
 )
 
-// resourceBudgets bound what the process holds: calls, bytes and file descriptors.
+// resourceBudgets bounds the resources of the process: calls, bytes and file descriptors.
 type resourceBudgets struct {
 	calls       *pool.Share // requests of callers
 	held        *pool.Share // of these, those that wait for a server
--- a/internal/mesh/sidecar/response_codes.go
+++ b/internal/mesh/sidecar/response_codes.go
@@ -6,10 +6,10 @@
 	"cranegrade/internal/message"
 )
 
-// Codes of how an attempt ended, as a response says it on the wire: the values never change.
+// Codes of how an attempt ended, as responses carry them on the wire. The values must never change.
 const (
-	codeAnswered      byte = iota // status and body are the server's, or what is answered in its place
-	codeServerFailed              // the same, and the server failed
+	codeAnswered      byte = iota // status and body are the server's, or those of the sidecar in its place
+	codeServerFailed              // the same, but the server failed
 	codeOverloaded                // the server rejected it: it has not run
 	codeNotAccepted               // the sidecar rejected it: it has not run
 	codeBroken                    // it may have run
--- a/internal/mesh/sidecar/response_store.go
+++ b/internal/mesh/sidecar/response_store.go
@@ -10,14 +10,13 @@
 const (
 	maxStoredBytes         = 8 << 20
 	maxStoredResponseBytes = 256 << 10 // of one answer
-	// leaseSlack is for how much longer than its window a key is leased, and recordSlack for how much longer than that it is
-	// remembered here.
+	// leaseSlack is how much longer than its window a key is leased, and recordSlack how much longer than that its record is kept here.
 	leaseSlack  = 2 * time.Second
 	recordSlack = 5 * time.Second
 )
 
-// responseStore is the keys whose requests ran beside this sidecar, with their responses for repeats. It is bounded in bytes: the
-// oldest responses are evicted first, and what is left says that their requests ran.
+// responseStore holds the keys whose requests ran beside this sidecar, with their responses for repeated requests. Its size in bytes is bounded:
+// the oldest responses are evicted first, and their records then only say that the requests ran.
 type responseStore struct {
 	inherited inheritedResponses
 
@@ -30,7 +29,7 @@
 
 func newResponseStore() *responseStore { return &responseStore{records: map[string]*keyRecord{}} }
 
-// begin notes that a key is about to be claimed; false: it was before, and was is what became of it.
+// begin records that a key is about to be claimed. It returns false if it was claimed before, with the record of that claim.
 func (s *responseStore) begin(key, token string, attempt uint32, window time.Duration) (was keyRecord, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +47,7 @@
 	return keyRecord{}, true
 }
 
-// expire forgets the keys that were claimed longer ago, up to the first that was not. The caller holds mu.
+// expire removes the records that are older than age, up to the first that is not. The caller holds mu.
 func (s *responseStore) expire(now time.Time, age time.Duration) {
 	for len(s.claimOrder) > 0 {
 		r := s.records[s.claimOrder[0]]
@@ -70,7 +69,7 @@
 	}
 }
 
-// setState notes what became of a key.
+// setState records the state of a key's request.
 func (s *responseStore) setState(key string, state keyState, response *wire.ResponseT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +78,8 @@
 	}
 }
 
-// finish is setState for the run of a token: one that outlasted its key's window says nothing of whose the key is by then.
+// finish is setState for the request with a token. It does nothing if another token has claimed the key meanwhile, which happens when a
+// request runs longer than the key's window.
 func (s *responseStore) finish(key, token string, state keyState, response *wire.ResponseT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// update notes what became of a key, and evicts responses while there are too many bytes of them. The caller holds mu.
+// update records the state of a key's request, and evicts responses while they exceed maxStoredBytes. The caller holds mu.
 func (s *responseStore) update(r *keyRecord, state keyState, response *wire.ResponseT) {
 	r.state = state
 	if state != keyAnswered || response == nil || len(response.Body) > maxStoredResponseBytes {
@@ -101,7 +101,7 @@
 	}
 }
 
-// markNotExecuted is for a claim that was not granted: whoever holds the key's lease knows what became of it.
+// markNotExecuted records that the request of a key never ran here, so that the key may be claimed again.
 func (s *responseStore) markNotExecuted(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// get is what became of a key here; false: nothing is known of it.
+// get returns the record of a key, if there is one.
 func (s *responseStore) get(key string) (keyRecord, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	return *r, true
 }
 
-// export is what a successor needs: each key that ran, with its response and for how much longer it matters.
+// export returns the records that a successor needs: of each key whose request ran, with its response and the time until it expires.
 func (s *responseStore) export(window time.Duration) (records []*wire.StoredResponseT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/sidecar/route_resolver.go
+++ b/internal/mesh/sidecar/route_resolver.go
@@ -33,7 +33,7 @@
 	return s.pool, route.Name, nil
 }
 
-// matchRoute is the route of a request; nil: there is none.
+// matchRoute returns the route of a request; nil: there is none.
 func matchRoute(table *routing.Table, hr *http.Request) *routing.Route {
 	path, _, _ := strings.Cut(hr.RequestURI, "?")
 	return table.Match(hr.Host, path)
--- a/internal/mesh/sidecar/routed_request.go
+++ b/internal/mesh/sidecar/routed_request.go
@@ -8,8 +8,7 @@
 	"cranegrade/internal/mesh/routing"
 )
 
-// routedRequest is what the sidecar knows of a caller's request beyond its form: its route, its limits and what became of its
-// attempts. It is the Note of the request's message.
+// routedRequest is a caller's request with its route, its policy and the state of its attempts. It is the Note of the request's message.
 type routedRequest struct {
 	route         *routing.Route
 	service       *service
@@ -17,13 +16,13 @@
 	key           string // "": it is not a keyed request
 	token         string // of a keyed request
 	policy        *policy.Decision
-	ruleTrace     string        // what is answered to headerRuleTrace; "": it was not asked for
+	ruleTrace     string        // value of headerRuleTrace in the response; "": the caller did not ask for it
 	attempts      atomic.Int32  // that were sent
 	keyNotGranted atomic.Bool   // the control plane could not grant its key: no more attempts
-	lastEnding    atomic.Uint32 // of the last attempt, a hollyspur.Ending
+	lastEnding    atomic.Uint32 // of the last attempt, a balancer.Ending
 }
 
-// maxAttempts is how many servers the request may be sent to.
+// maxAttempts returns how many servers the request may be sent to.
 func (r *routedRequest) maxAttempts() int {
 	if r.policy != nil {
 		return r.policy.MaxAttempts
@@ -31,12 +30,12 @@
 	return r.route.MaxAttempts
 }
 
-// mayRetry says whether the policy allows a retry after how the last attempt ended.
+// mayRetry reports whether the policy allows a retry after how the last attempt ended.
 func (r *routedRequest) mayRetry() bool {
 	return r.policy == nil || r.policy.MayRetry(retryConditionNames[balancer.Ending(r.lastEnding.Load())])
 }
 
-// allowsAttempt says whether the request may be sent another time, the nth from 0.
+// allowsAttempt reports whether attempt nth, counted from 0, may be made.
 func (r *routedRequest) allowsAttempt(nth int) bool {
 	return nth < r.maxAttempts() && !r.keyNotGranted.Load() && (nth == 0 || r.mayRetry())
 }
--- a/internal/mesh/sidecar/server_protocol.go
+++ b/internal/mesh/sidecar/server_protocol.go
@@ -22,8 +22,8 @@
 	h[headerTargetInstance] = []string{a.Endpoint.ID}
 }
 
-// Matches implements sender.Speech. A response that rejects a request need not say which; a success that names none is no response
-// to any.
+// Matches implements sender.Speech. An error response does not have to name its request. A successful response that names none is not taken as
+// the response to any.
 func (serverProtocol) Matches(m *message.Request, resp *http.Response) sender.Match {
 	switch got := resp.Header.Get(headerAttemptID); {
 	case got == m.Note.(*wire.RequestT).AttemptId:
@@ -34,8 +34,8 @@
 	return sender.OfAnother
 }
 
-// notExecutedStatuses are the statuses with which a server may say that it has not run a request. With any other, Not-Executed
-// contradicts the response, and is not believed.
+// notExecutedStatuses is the statuses with which a server may say by Not-Executed that it has not run a request. With any other status the
+// header contradicts the response and is ignored.
 var notExecutedStatuses = map[int]bool{
 	http.StatusBadRequest:         true,
 	http.StatusRequestTimeout:     true,
@@ -54,12 +54,12 @@
 	case resp.StatusCode >= 500:
 		return balancer.Failure, true
 	case resp.StatusCode/100 == 2 && resp.Header.Get(headerServerSeal) == "":
-		return balancer.Broken, false // no response of a server's
+		return balancer.Broken, false // without the seal it is not from a server of the mesh
 	}
 	return balancer.Success, true
 }
 
-// Word implements sender.Speech: it gives the part of a response that is forwarded.
+// Word implements sender.Speech: it returns the part of a response that is forwarded.
 func (serverProtocol) Word(resp *http.Response) (int, []message.Field, string) {
 	fields := make([]message.Field, 0, len(resp.Header))
 	for name, values := range resp.Header {
--- a/internal/mesh/sidecar/service.go
+++ b/internal/mesh/sidecar/service.go
@@ -17,7 +17,7 @@
 	maxPolicyBudgets  = 4096
 )
 
-// service is one pool with what the sidecar knows of it.
+// service is the pool of one service, with its retry budgets.
 type service struct {
 	name   string
 	pool   *pool.Pool
@@ -28,10 +28,11 @@
 
 	mu            sync.Mutex // guards below
 	retryBudget   *retrybudget.Budget
-	policyBudgets map[string]*retrybudget.Budget // by route, of those whose policy bounds retries besides
+	policyBudgets map[string]*retrybudget.Budget // by route, of those whose policy limits retries
 }
 
-// updateClasses updates the decision module with the classes of routes that are new or have changed.
+// updateClasses passes the classes of new or changed routes to the decision module. The engine runs until the process ends, so the
+// goroutine ends as soon as the engine has taken them.
 func (s *service) updateClasses(routes []*routing.Route) {
 	var changed []balancer.Class
 	for _, class := range moduleClasses(s.name, routes) {
@@ -45,7 +46,7 @@
 	}
 }
 
-// refresh takes that the directory has changed: the retry budget's limits, the sidecar's position, and the list of servers.
+// refresh applies a change of the directory: the limits of the retry budget, this sidecar's position, and the list of servers.
 func (s *service) refresh(limits retrybudget.Limits, position fleetPosition) {
 	s.mu.Lock()
 	s.retryBudget.SetLimits(limits)
@@ -63,8 +64,8 @@
 	}
 }
 
-// admitAttempt counts an attempt that is about to be sent, the nth of its request from 0; false: the retry budget of the service
-// allows no more, or that of the policy.
+// admitAttempt counts an attempt that is about to be sent, the nth of its request from 0. It returns false if the retry budget of the service or
+// of the policy does not allow it.
 func (s *service) admitAttempt(now time.Duration, nth int, r *routedRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +80,7 @@
 	return (policyBudget == nil || policyBudget.AllowRetry(now)) && s.retryBudget.AllowRetry(now)
 }
 
-// policyBudget is the retry budget of a request's policy; nil: the policy bounds no retries. The caller holds mu.
+// policyBudget returns the retry budget of a request's policy; nil: the policy bounds no retries. The caller holds mu.
 func (s *service) policyBudget(r *routedRequest) *retrybudget.Budget {
 	if r.policy == nil || math.IsInf(r.policy.RetryRatio, 1) {
 		return nil
--- a/internal/mesh/sidecar/service_pools.go
+++ b/internal/mesh/sidecar/service_pools.go
@@ -18,22 +18,22 @@
 	moduleTick          = 20 * time.Millisecond
 	maxModuleRetryAfter = 500 * time.Millisecond
 	maxModuleAttempts   = 8
-	warmupPeriod        = 3 * time.Second // of a server that starts, where its heartbeats report no longer one
+	warmupPeriod        = 3 * time.Second // of a server that starts, unless its heartbeats report a longer one
 	warmupStartWeight   = 0.5
 	moduleWholeWeight   = 0.5
 	moduleClassWeight   = 0.1
-	// retryBudgetShare is the part of the configured ratio and minimum that sidecars use up: what servers call anew when a
-	// request runs again counts too, and a sidecar that restarts has forgotten what it used.
+	// retryBudgetShare is the part of the configured ratio and minimum that sidecars use. The rest is for the calls that servers make again
+	// when a request is retried, and for sidecars that have restarted and forgotten what they used.
 	retryBudgetShare = 0.5
-	// minSidecars is the least number of sidecars that the minimum of retries is divided by.
+	// minSidecars is the smallest number of sidecars that the minimum of retries is divided by.
 	minSidecars = 8
-	// callsPerSlot is how many calls for each of its slots a server takes from all sidecars together before any is held back:
-	// sidecars are not asked for alike, and what waits a moment at the server is served sooner than what is sent away.
+	// callsPerSlot is how many calls per slot of a server all sidecars together send before they hold any back. It is more than one because
+	// sidecars do not all send the same load, and because a call that waits briefly at the server is served sooner than a rejected one.
 	callsPerSlot = 2
 )
 
-// servicePools are the services that routes send to, each with an engine and a decision module of its own. One that no route
-// names any more stays, idle: a request that began with an older routing table may still be in it.
+// servicePools holds the services that routes send to, each with its own engine and decision module. A service that no route names any more
+// stays, since requests that began with an older routing table may still use it.
 type servicePools struct {
 	env         *environment
 	directory   *directoryView
@@ -42,7 +42,7 @@
 	budgets     *resourceBudgets
 	byName      atomic.Pointer[map[string]*service] // a snapshot, replaced as a whole
 
-	mu sync.Mutex // guards changes of byName, and what the services have of the module's
+	mu sync.Mutex // guards changes of byName, and the fields of services that say so
 }
 
 func newServicePools(env *environment, b *resourceBudgets, d *directoryView, m *maintenanceView, u *upstreams) *servicePools {
@@ -51,10 +51,11 @@
 	return p
 }
 
-// get is the service of a name; nil: no route sends to it.
+// get returns the service of a name; nil: no route sends to it.
 func (p *servicePools) get(name string) *service { return (*p.byName.Load())[name] }
 
-// applyRouting has each service of a routing table have its pool and know its routes. The caller holds the configuration's lock.
+// applyRouting opens a pool for each new service of a routing table, and updates the classes of the others. The caller holds the
+// configuration's lock.
 func (p *servicePools) applyRouting(table *routing.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +103,7 @@
 	return s
 }
 
-// retryLimits is this sidecar's part of the retry budget.
+// retryLimits returns this sidecar's part of the retry budget.
 func (p *servicePools) retryLimits() retrybudget.Limits {
 	b := p.env.settings.Load().Bounds
 	sidecars := max(minSidecars, p.directory.table.Load().Len())
@@ -112,7 +113,7 @@
 	}
 }
 
-// refreshServices has the services take that the directory, or what is in maintenance, has changed.
+// refreshServices updates all services after a change of the directory or of the machines in maintenance.
 func (p *servicePools) refreshServices() {
 	limits := p.retryLimits()
 	p.mu.Lock()
@@ -122,7 +123,7 @@
 	}
 }
 
-// fleetPosition is this sidecar's place among those that send to a service.
+// fleetPosition is this sidecar's position among the sidecars that send to a service.
 type fleetPosition struct {
 	sidecars, index int
 	serverCapacity  float64 // calls that a server takes at once
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -3,9 +3,9 @@
 // the upstream connections to other sidecars, the part that runs requests at the local server, that server's heartbeats, and the
 // connection to the control plane from which the sidecar learns all else.
 //
-// It must decide nothing that the module, the routing table, the directory, the retry budgets, memberselection or the policies'
-// state decide: those are pure packages. What the control plane tells is kept in snapshots that are replaced as a whole; what a
-// request began with holds to its end. The order of a request's way is described in docs/ARCHITECTURE.md.
+// Decisions belong to the pure packages that it wires: the decision module, routing, directory, retrybudget, memberselection and policy. The
+// state that the control plane sends is kept in snapshots that are replaced as a whole, so that a request uses the same snapshot from
+// beginning to end. docs/ARCHITECTURE.md describes the path of a request.
 //
 // Each concern is a type that owns its state: configuration (items, active policies, routing table), directoryView,
 // maintenanceView, localServer, controlPlaneConn with keyClaims and releaseQueue, inboundServer with responseStore, upstreams,
@@ -32,7 +32,7 @@
 // shutdownSlack is the part of the grace period that is kept for the end itself.
 const shutdownSlack = 700 * time.Millisecond
 
-// Sidecar is one sidecar. New makes it, Run serves; both are called once.
+// Sidecar is one sidecar. New and Run are each called once.
 type Sidecar struct {
 	env       *environment
 	readiness readiness
@@ -60,8 +60,8 @@
 	background sync.WaitGroup
 }
 
-// New opens the listeners for other sidecars, the readiness check and the local server's calls; an error names the one that can't
-// be opened. The listener for callers is opened by Run.
+// New opens the listeners for other sidecars, the readiness check and the local server's calls. An error names the listener that can't be
+// opened. Run opens the listener for callers.
 func New(set settings.Settings, log zerolog.Logger, ring *logring.Ring) (_ *Sidecar, err error) {
 	s := assemble(set, log, ring)
 	listen := func(name, addr string) net.Listener {
@@ -83,7 +83,7 @@
 	return s, nil
 }
 
-// assemble makes all parts of a sidecar, which listen nowhere yet.
+// assemble makes all parts of a sidecar, without any listeners.
 func assemble(set settings.Settings, log zerolog.Logger, ring *logring.Ring) *Sidecar {
 	env := newEnvironment(set, log)
 	s := &Sidecar{env: env, tokens: &tokenSource{incarnation: env.incarnation}}
@@ -118,7 +118,7 @@
 	s.inbound.localServer = s.localServer
 }
 
-// connectParts gives the parts those that they notify of changes.
+// connectParts gives each part references to the parts that it notifies of changes.
 func (s *Sidecar) connectParts() {
 	s.directory.pools, s.directory.localServer = s.pools, s.localServer
 	s.maintenance.pools, s.maintenance.localServer, s.maintenance.recaller = s.pools, s.localServer, s.inbound.recaller
@@ -128,17 +128,18 @@
 	c.onConfirmed = s.configConfirmed
 }
 
-// Addr is the address of the inbound listener, by which the other sidecars name this one.
+// Addr returns the address of the inbound listener, by which the other sidecars name this one.
 func (s *Sidecar) Addr() string { return s.env.addr() }
 
-// Reload takes a settings file that has changed.
+// Reload applies a changed settings file. Any goroutine may call it.
 func (s *Sidecar) Reload(set settings.Settings) {
 	if was := s.env.settings.Swap(&set); was.Service != set.Service {
 		s.configuration.callerChanged()
 	}
 }
 
-// Run serves until ctx ends, then lets callers leave and finishes what was taken, within the grace period of the settings.
+// Run serves until ctx ends. It then lets callers move to other sidecars and finishes accepted requests, within the grace period of the
+// settings.
 func (s *Sidecar) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer s.background.Wait()
@@ -162,7 +163,7 @@
 
 // serveUntilClosed serves until the server is closed.
 func serveUntilClosed(server *http.Server, listener net.Listener) {
-	_ = server.Serve(listener) // always an error: that it was closed
+	_ = server.Serve(listener) // the error only says that the server was closed
 }
 
 // startControl starts the goroutines that follow the control plane and the local server.
@@ -183,7 +184,7 @@
 	}
 }
 
-// shutdown has callers leave, then ends what is open in the time that is left.
+// shutdown drains callers, then finishes open requests within the rest of the grace period, and closes everything.
 func (s *Sidecar) shutdown() {
 	began := time.Now()
 	grace := s.env.settings.Load().Bounds.GraceS.Duration()
@@ -200,7 +201,7 @@
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	// The local server serves the others until now: of sidecars that end in turn few are out at a time.
+	// The local server serves other sidecars until now, so that few servers are missing at a time during a rolling restart.
 	s.localServer.leave()
 	<-ticker.C
 	s.inbound.draining.Store(true)
--- a/internal/mesh/sidecar/status.go
+++ b/internal/mesh/sidecar/status.go
@@ -7,10 +7,10 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// status is how this sidecar is, for the operators' calls.
+// status returns the status of this sidecar, for calls of operators and of the control plane.
 func (s *Sidecar) status() *wire.StatusT {
 	set := s.env.settings.Load()
-	items := s.configuration.heldItems()
+	items := s.configuration.currentItems()
 	local := s.localServer.status()
 	policies := s.configuration.policies.current()
 	out := &wire.StatusT{
--- a/internal/mesh/sidecar/upstream.go
+++ b/internal/mesh/sidecar/upstream.go
@@ -16,22 +16,22 @@
 // upstreamDialBackoff is the pause between dials of an address that can't be reached.
 const upstreamDialBackoff = 250 * time.Millisecond
 
-// errUpstreamUnreachable says that no connection could be made, now or a moment ago.
+// errUpstreamUnreachable is the error of a connection that could not be made, now or within upstreamDialBackoff.
 const errUpstreamUnreachable = errors.ConstError("the sidecar can't be reached")
 
-// upstream is the connection to one other sidecar, dialed when it is needed, with the attempts that are open on it.
+// upstream is the connection to another sidecar, which is dialed when it is needed, with its open attempts.
 type upstream struct {
 	env  *environment
 	addr string
 
 	mu       sync.Mutex // guards below
 	conn     *transport.Conn
-	dialing  chan struct{} // closed when the dial that is under way has ended; nil: none is
+	dialing  chan struct{} // closed when the dial in progress has ended; nil: there is none
 	retryAt  time.Time
 	attempts map[uint64]*upstreamAttempt
 }
 
-// connect is the connection, dialed if there is none.
+// connect returns the connection, and dials it if there is none.
 func (u *upstream) connect(ctx context.Context) (*transport.Conn, error) {
 	for {
 		u.mu.Lock()
@@ -84,14 +84,14 @@
 	}
 }
 
-// isActive says that attempts are open.
+// isActive reports whether any attempts are open.
 func (u *upstream) isActive() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.attempts) > 0
 }
 
-// closeIfIdle closes the connection unless attempts are open on it or it is being dialed; false: it does not.
+// closeIfIdle closes the connection unless attempts are open or it is being dialed. It reports whether the upstream is idle.
 func (u *upstream) closeIfIdle() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// add notes an attempt that is about to be sent; false: its connection has ended, or its id is in use.
+// add records an attempt that is about to be sent. It returns false if the connection has ended or the stream ID is in use.
 func (u *upstream) add(a *upstreamAttempt) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// openOn are the attempts that are open on a connection.
+// openOn returns the attempts that are open on a connection.
 func (u *upstream) openOn(conn *transport.Conn) (open []*upstreamAttempt) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -152,7 +152,7 @@
 	return open
 }
 
-// receive takes what comes on a connection, until it ends: then all that is open on it may have run.
+// receive handles messages until the connection ends. The attempts that are then open on it may have run, so they end as broken.
 func (u *upstream) receive(conn *transport.Conn) {
 	for {
 		m, err := conn.Receive()
@@ -171,12 +171,12 @@
 	case *wire.ResponseT:
 		if a := u.find(conn, v.Id); a != nil {
 			a.handleResponse(v)
-		} else if v.MoreBody { // nobody is there to take the pieces
+		} else if v.MoreBody { // the attempt has ended, so nobody reads the body
 			_ = conn.Send(&wire.CancelT{Id: v.Id})
 		}
 	case *wire.BodyChunkT:
 		if a := u.find(conn, v.Id); a != nil {
-			a.handlePiece(v)
+			a.handleBodyChunk(v)
 		}
 	case *wire.WindowUpdateT:
 		if a := u.find(conn, v.Id); a != nil {
