--- a/internal/mesh/sidecar/upstream_attempt.go
+++ b/internal/mesh/sidecar/upstream_attempt.go
@@ -12,18 +12,18 @@
 	"cranegrade/internal/message"
 )
 
-// upstreamAttempt is an attempt as a stream on an upstream's connection. It ends once: by its response, the end of the connection, or
-// its own time.
+// upstreamAttempt is an attempt, which is a stream on the connection of an upstream. It ends once: by its response, by the end of the connection
+// or by its time-out.
 type upstreamAttempt struct {
 	attempt    *engine.Attempt
 	id         uint64 // of the stream
-	attemptID  string // of the request: a response that names another one is not its own
+	attemptID  string // of the request; a response with another one is not the attempt's
 	conn       *transport.Conn
 	sendWindow flowWindow    // for the request's body
 	done       chan struct{} // closed with the attempt's end
-	ruleTrace  string        // what a streamed response is given besides
+	ruleTrace  string        // value of headerRuleTrace in a streamed response; "": none
 
-	mu             sync.Mutex      // guards below: the connection's reader and the attempt's own time may both end it
+	mu             sync.Mutex      // guards below, since both the connection's reader and the time-out may end the attempt
 	responseStream *message.Stream // of a streamed response
 	finished       bool
 	keyNotGranted  bool // the control plane did not grant the key
@@ -51,7 +51,7 @@
 	close(a.done)
 }
 
-// handleResponse takes a response as it came. One whose head can't be read is none, and so is one that names another request.
+// handleResponse handles a response. If its header can't be decoded, or if it names another request, the attempt is broken.
 func (a *upstreamAttempt) handleResponse(response *wire.ResponseT) {
 	if len(response.PackedHeader) > 0 {
 		fields, err := codec.UnpackHeader(response.PackedHeader)
@@ -70,11 +70,11 @@
 	a.applyResponse(response)
 }
 
-// applyResponse ends the attempt with a response, or begins its stream.
+// applyResponse ends the attempt with a response, or begins to stream it.
 func (a *upstreamAttempt) applyResponse(response *wire.ResponseT) {
 	if response.Ending == codeKeyNotGranted {
 		a.mu.Lock()
-		if !a.finished { // else the attempt may be looking at it
+		if !a.finished { // otherwise the attempt may be reading keyNotGranted without the lock
 			a.keyNotGranted = true
 		}
 		a.mu.Unlock()
@@ -97,8 +97,8 @@
 	a.finish(ending, reply)
 }
 
-// beginStream has a response be streamed, unless the attempt has ended meanwhile: its end comes after its beginning. One that
-// begins twice is broken.
+// beginStream begins a streamed response, unless the attempt has ended meanwhile. It holds mu so that the engine is told of the beginning before
+// the end. A response that begins twice is broken.
 func (a *upstreamAttempt) beginStream(head *wire.ResponseT) {
 	stream := a.newStream(head)
 	a.mu.Lock()
@@ -117,7 +117,7 @@
 	a.attempt.Began(stream)
 }
 
-// newStream is the stream of a response, which opens the other side's window as it is read.
+// newStream returns the stream of a response. While the stream is read, it sends window updates to the peer.
 func (a *upstreamAttempt) newStream(head *wire.ResponseT) *message.Stream {
 	taken := 0
 	fields := messageFields(head.HeaderFields)
@@ -134,8 +134,8 @@
 	return stream
 }
 
-// handlePiece takes a piece of a streamed response.
-func (a *upstreamAttempt) handlePiece(piece *wire.BodyChunkT) {
+// handleBodyChunk handles a chunk of a streamed response.
+func (a *upstreamAttempt) handleBodyChunk(piece *wire.BodyChunkT) {
 	a.mu.Lock()
 	stream, finished := a.responseStream, a.finished
 	a.mu.Unlock()
@@ -153,7 +153,7 @@
 	}
 }
 
-// uploadBody sends the pieces of a streamed request.
+// uploadBody sends the chunks of a streamed request. It ends with the attempt.
 func (a *upstreamAttempt) uploadBody(ctx context.Context, m *message.Request) {
 	for {
 		piece, err := m.More.Next(ctx)
--- a/internal/mesh/sidecar/upstream_attempt_test.go
+++ b/internal/mesh/sidecar/upstream_attempt_test.go
@@ -77,9 +77,9 @@
 		case 'a':
 			attempt.applyResponse(&wire.ResponseT{Id: 1, Status: 200, MoreBody: true, ContentLength: -1})
 		case 'p':
-			attempt.handlePiece(&wire.BodyChunkT{Id: 1, Data: []byte("x")})
+			attempt.handleBodyChunk(&wire.BodyChunkT{Id: 1, Data: []byte("x")})
 		case 'l':
-			attempt.handlePiece(&wire.BodyChunkT{Id: 1, Last: true})
+			attempt.handleBodyChunk(&wire.BodyChunkT{Id: 1, Last: true})
 		case 't':
 			attempt.finish(balancer.TimedOut, nil)
 		}
@@ -106,7 +106,7 @@
 	attempt := newTestAttempt(newDiscardingConn(t), func(s *message.Stream) { streams = append(streams, s) })
 	attempt.applyResponse(&wire.ResponseT{Id: 1, Status: 200, MoreBody: true, ContentLength: -1})
 	attempt.applyResponse(&wire.ResponseT{Id: 1, Status: 200, MoreBody: true, ContentLength: -1})
-	attempt.handlePiece(&wire.BodyChunkT{Id: 1, Data: []byte("x")})
+	attempt.handleBodyChunk(&wire.BodyChunkT{Id: 1, Data: []byte("x")})
 	<-attempt.done
 	assert.Equal(t, len(streams), 1)
 	assert.Equal(t, attempt.ending, balancer.Broken)
--- a/internal/mesh/sidecar/upstream_sender.go
+++ b/internal/mesh/sidecar/upstream_sender.go
@@ -24,7 +24,7 @@
 	}()
 }
 
-// runAttempt makes an attempt and waits for its end.
+// runAttempt makes an attempt and waits until it ends.
 func (u *upstreams) runAttempt(ctx context.Context, a *engine.Attempt) (balancer.Ending, *message.Reply) {
 	m := a.Payload.(*message.Request)
 	routed := m.Note.(*routedRequest)
@@ -59,7 +59,7 @@
 	}
 	defer x.remove(sent)
 	if conn.Send(u.newRequest(a, m, routed, sent.id, uint32(nth))) != nil {
-		return balancer.Unreachable, nil // nothing of it was written
+		return balancer.Unreachable, nil // nothing was written
 	}
 	if m.More != nil {
 		go sent.uploadBody(ctx, m)
@@ -67,9 +67,9 @@
 	return sent.wait(ctx, m, routed)
 }
 
-// beginAttempt counts an attempt, unless its call has ended or the retry budget allows no more; ok is false then.
+// beginAttempt counts an attempt. ok is false if its call has ended or the retry budget does not allow it.
 func (u *upstreams) beginAttempt(a *engine.Attempt, routed *routedRequest, nth int) (ending balancer.Ending, ok bool) {
-	// Counted first: whoever answers in its place, as never run, finds the count, or this finds the call finished.
+	// The count is raised before Begin, so that either whoever answers the call sees the attempt, or Begin sees that the call has ended.
 	routed.attempts.Add(1)
 	if ending, ok := a.Begin(); !ok {
 		routed.attempts.Add(-1)
@@ -82,12 +82,12 @@
 	return 0, true
 }
 
-// wait waits for the attempt's end, by its response or its own time.
+// wait waits until the attempt ends by its response or ctx ends.
 func (a *upstreamAttempt) wait(ctx context.Context, m *message.Request, routed *routedRequest) (balancer.Ending, *message.Reply) {
 	select {
 	case <-a.done:
 	case <-ctx.Done():
-		if m.Runs != message.RunsOnce || m.More != nil { // else it goes on, and its response is stored for a repeat
+		if m.Runs != message.RunsOnce || m.More != nil { // otherwise it goes on, and its response is stored for a repeated request
 			_ = a.conn.Send(&wire.CancelT{Id: a.id})
 		}
 		a.finish(engine.EndingOf(ctx), nil)
@@ -103,7 +103,7 @@
 	return a.ending, a.reply
 }
 
-// newRequest is an attempt as it is sent.
+// newRequest returns the message of an attempt.
 func (u *upstreams) newRequest(a *engine.Attempt, m *message.Request, routed *routedRequest, id uint64, nth uint32) *wire.RequestT {
 	r := &wire.RequestT{
 		Id: id, AttemptId: routed.attemptID, Method: m.Method, Target: m.URL.Opaque, Host: m.Authority, Body: m.Body,
--- a/internal/mesh/sidecar/upstreams.go
+++ b/internal/mesh/sidecar/upstreams.go
@@ -7,8 +7,7 @@
 	"cranegrade/internal/engine"
 )
 
-// upstreams are the connections to other sidecars, by their address. They implement engine.Sender: an attempt is a stream on one
-// of them.
+// upstreams holds the connections to other sidecars, by address. It implements engine.Sender: an attempt is a stream on one of them.
 type upstreams struct {
 	env       *environment
 	directory *directoryView
@@ -22,7 +21,7 @@
 	return &upstreams{env: env, directory: directory, byAddr: map[string]*upstream{}}
 }
 
-// get is the upstream of an address, made if there is none.
+// get returns the upstream of an address, and creates it if there is none.
 func (u *upstreams) get(addr string) *upstream {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -34,10 +33,10 @@
 	return x
 }
 
-// Drop implements engine.Sender: the attempts that are under way go on.
+// Drop implements engine.Sender. Open attempts go on.
 func (u *upstreams) Drop(*engine.Endpoint) {}
 
-// Sweep implements engine.Sender: connections to sidecars that are in the directory no more are given up.
+// Sweep implements engine.Sender. It closes idle connections to sidecars that are no longer in the directory.
 func (u *upstreams) Sweep() {
 	table := u.directory.table.Load()
 	u.mu.Lock()
@@ -49,7 +48,7 @@
 	}
 }
 
-// activeAddrs are the addresses to which attempts are under way.
+// activeAddrs returns the addresses of upstreams with open attempts.
 func (u *upstreams) activeAddrs() (addrs []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
