--- a/internal/mesh/raft/raftwire/raftwire.go
+++ b/internal/mesh/raft/raftwire/raftwire.go
@@ -1,6 +1,6 @@
-// Package raftwire turns raft messages, entries and snapshots into FlatBuffers tables and back. The same tables travel between
-// control-plane members and are stored on their disks, so their layout is a stored format: it may be added to and never changed
-// (testdata holds recorded bytes). It is pure. The schema is transport/wire.fbs.
+// Package raftwire converts Raft messages, entries and snapshots to FlatBuffers tables and back. The tables are sent between control-plane members
+// and stored on their disks, so fields may be added but the layout must never change (testdata holds recorded bytes). The package is pure.
+// The schema is transport/wire.fbs.
 package raftwire
 
 import (
@@ -29,7 +29,7 @@
 	return members
 }
 
-// EntryToWire encodes an entry. The members of a configuration entry are its data there.
+// EntryToWire encodes an entry. The members of a configuration entry are encoded as its data.
 func EntryToWire(e raft.Entry) *wire.EntryT {
 	t := &wire.EntryT{Index: e.Index, Term: e.Term, Kind: byte(e.Kind), LogTimeNs: int64(e.LogTime), Data: e.Data}
 	if e.Kind == raft.EntryConfiguration {
--- a/internal/mesh/transport/codec/calls.go
+++ b/internal/mesh/transport/codec/calls.go
@@ -1,26 +1,26 @@
 package codec
 
-// Kinds of calls. A number that is in use is never given to another kind.
+// Kinds of calls. They are sent, so a number must never be used for another kind.
 const (
-	// CallModify passes an operator's call on to the leader, as it came.
+	// CallModify forwards an operator's configuration change to the leader, with its body as it came.
 	CallModify byte = iota + 1
-	// CallReadIndex asks the leader up to which entry a member has to have applied so that nothing acknowledged is missing.
+	// CallReadIndex asks the leader for the index that a member must have applied so that nothing acknowledged is missing.
 	CallReadIndex
-	// CallItems reads all configuration items, confirmed by a quorum: wire.Items.
+	// CallItems reads all configuration items by a linearizable read; the reply is wire.Items.
 	CallItems
 	// CallLeaseKeys makes wire.KeyLeaseRequests; the reply is wire.KeyLeaseResults.
 	CallLeaseKeys
-	// CallStoredResponse asks another sidecar for the response that it keeps for a key: wire.KeyHandover of one key, then
+	// CallStoredResponse asks another sidecar for the response that it stores for a key: wire.KeyHandover with one key; the reply is
 	// wire.StoredResponse.
 	CallStoredResponse
 	// CallStatus asks any process for its wire.Status.
 	CallStatus
-	// CallLogRing asks any process for the log lines that it still has in memory.
+	// CallLogRing asks any process for the contents of its log ring.
 	CallLogRing
-	// CallHandOverKeys has another sidecar keep what this one kept of keys: wire.KeyHandover.
+	// CallHandOverKeys hands over stored responses to another sidecar: wire.KeyHandover.
 	CallHandOverKeys
-	// CallDrain has a sidecar take its server out by hand (a body that is not empty) or let it in again.
+	// CallDrain takes the server of a sidecar out on behalf of an operator (body not empty), or lets it in again (empty).
 	CallDrain
-	// CallActivePolicy reads which policy set is active, confirmed by a quorum: wire.ActivePolicy.
+	// CallActivePolicy reads which policy set is active by a linearizable read; the reply is wire.ActivePolicy.
 	CallActivePolicy
 )
--- a/internal/mesh/transport/codec/frame.go
+++ b/internal/mesh/transport/codec/frame.go
@@ -1,9 +1,8 @@
 // Package codec encodes the messages between the mesh's own processes: frames of FlatBuffers tables, packed header fields, and the
 // kinds of calls. Package transport carries the frames.
 //
-// It is pure, and must never change the bytes of what is encoded: processes of other builds read them, and members' disks hold them.
-// testdata/frames are recorded ones. The schema is transport/wire.fbs; FlatBuffers' own encoding is described at flatbuffers.dev,
-// "Internals".
+// It is pure, and the encoding must never change, because processes of other versions and the disks of members hold it. testdata/frames holds
+// recorded frames. The schema is transport/wire.fbs; flatbuffers.dev, "Internals", describes the encoding of FlatBuffers.
 package codec
 
 import (
@@ -17,7 +16,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// LengthBytes is the length of a frame's prefix, which says how many bytes follow: a little-endian integer.
+// LengthBytes is the size of a frame's length prefix, a little-endian integer that says how many bytes follow.
 const LengthBytes = 4
 
 // Sizes of buffers, in bytes.
@@ -25,20 +24,20 @@
 	initialFrameBytes = 1 << 10
 	initialTableBytes = 256
 	maxPooledBytes    = 64 << 10 // larger buffers are not kept for the next frame
-	minTableBytes     = 8        // no table is shorter
+	minTableBytes     = 8        // of the shortest table
 )
 
-// ErrMalformedFrame says that bytes are no table of the schema. The connection that they came by has to be closed.
+// ErrMalformedFrame says that bytes are not a table of the schema. The connection that they came by has to be closed.
 const ErrMalformedFrame = errors.ConstError("malformed frame")
 
-// Message is a member of the union Payload of a frame. Value is a pointer to flatc's object of that type; nil with
-// wire.PayloadNONE, which stands for one that only later versions know.
+// Message is a member of the union Payload of a frame. Value is a pointer to the generated object of its type. For a type that only later
+// versions know, Type is wire.PayloadNONE and Value nil.
 type Message struct {
 	Type  wire.Payload
 	Value any
 }
 
-// NewMessage returns a message of one of flatc's objects. It panics on one that is no member of the union.
+// NewMessage returns the message with a generated object. It panics if the object is not a member of the union.
 func NewMessage(v any) Message {
 	switch v.(type) {
 	case *wire.HelloT:
@@ -77,7 +76,7 @@
 
 var builderPool = sync.Pool{New: func() any { return flatbuffers.NewBuilder(initialFrameBytes) }}
 
-// Encode returns the frame of a message, which is one of the types of NewMessage: the length prefix and the table Frame.
+// Encode returns the frame of a message: the length prefix and the table Frame. v has one of the types of NewMessage.
 func Encode(v any) []byte {
 	m := NewMessage(v)
 	b := builderPool.Get().(*flatbuffers.Builder)
@@ -94,7 +93,7 @@
 	return frame
 }
 
-// Decode reads a frame without its length prefix. The message may refer to the bytes. The error is ErrMalformedFrame.
+// Decode decodes a frame without its length prefix. The message may share memory with p. The error is ErrMalformedFrame.
 func Decode(p []byte) (Message, error) {
 	return DecodeTable(p, func(p []byte) Message {
 		frame := wire.GetRootAsFrame(p, 0).UnPack()
@@ -105,23 +104,23 @@
 	})
 }
 
-// Packer is any of flatc's objects.
+// Packer is any generated object.
 type Packer interface {
 	Pack(builder *flatbuffers.Builder) flatbuffers.UOffsetT
 }
 
-// EncodeTable returns a table by itself, for the body of a call or a record on disk.
+// EncodeTable encodes a table without a frame, for the body of a call or a record on disk.
 func EncodeTable(t Packer) []byte {
 	b := flatbuffers.NewBuilder(initialTableBytes)
 	b.Finish(t.Pack(b))
 	return b.FinishedBytes()
 }
 
-// DecodeTable reads a table by itself out of bytes that may be anything. read is the generated reader, as
-// wire.GetRootAsItems(p, 0).UnPack(); what it returns may refer to the bytes. The error is ErrMalformedFrame.
+// DecodeTable decodes a table without a frame from untrusted bytes. read is the generated reader, for example wire.GetRootAsItems(p, 0).UnPack();
+// its result may share memory with p. The error is ErrMalformedFrame.
 func DecodeTable[T any](p []byte, read func([]byte) T) (v T, err error) {
 	defer func() {
-		if recover() != nil { // generated readers panic at an offset that leads out of the bytes
+		if recover() != nil { // generated readers panic at an offset outside the bytes
 			err = ErrMalformedFrame
 		}
 	}()
--- a/internal/mesh/transport/codec/header.go
+++ b/internal/mesh/transport/codec/header.go
@@ -8,12 +8,12 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// PackedHeaderVersion is the transport's version from which on headers are packed. A FlatBuffers table for each field takes twice the
-// bytes of most fields, and more processor time than everything else in a frame.
+// PackedHeaderVersion is the first transport version that packs headers. A FlatBuffers table for each field would double the size of most fields,
+// and take more processor time than everything else in a frame.
 const PackedHeaderVersion = 2
 
-// knownHeaderFields are the names of fields that are sent as a number, from 1. They are never reordered, and added to with a new
-// version of the transport only.
+// knownHeaderFields is the names of fields that are sent as a number, counted from 1. The order must never change, and names may only be added with
+// a new transport version.
 var knownHeaderFields = [...]string{
 	"Attempt-Id", "Operation-Key", "Caller-Service", "Server-Seal", "Content-Type", "Date", "User-Agent", "Accept",
 	"Accept-Encoding", "Accept-Language", "Not-Executed", "Retry-After", "Instance-Id", "Cache-Control",
@@ -29,7 +29,7 @@
 	return numbers
 }()
 
-// ErrMalformedHeader says that bytes are no packed header.
+// ErrMalformedHeader says that bytes are not a packed header.
 const ErrMalformedHeader = errors.ConstError("malformed packed header")
 
 // AppendHeaderField appends a field to a packed header: the number of the name, or 0 and the name, then the value. Numbers and the
@@ -48,7 +48,7 @@
 	return append(packed, text...)
 }
 
-// UnpackHeader reads a packed header. The fields do not refer to the bytes. The error is ErrMalformedHeader.
+// UnpackHeader decodes a packed header. The fields do not share memory with it. The error is ErrMalformedHeader.
 func UnpackHeader(packed []byte) (fields []*wire.HeaderFieldT, err error) {
 	for len(packed) > 0 {
 		var f *wire.HeaderFieldT
@@ -60,7 +60,7 @@
 	return fields, nil
 }
 
-// readField reads the first field of a packed header.
+// readField decodes the first field of a packed header.
 func readField(packed []byte) (f *wire.HeaderFieldT, rest []byte, err error) {
 	number, rest, err := readNumber(packed)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return string(rest[:length]), rest[length:], nil
 }
 
-// PackResponse returns a response with its header packed. The response itself stays as it is, for it may be stored.
+// PackResponse returns a copy of a response with its header packed. The original is unchanged, since it may be stored.
 func PackResponse(response *wire.ResponseT) *wire.ResponseT {
 	if len(response.HeaderFields) == 0 {
 		return response
