--- a/internal/mesh/api/api.go
+++ b/internal/mesh/api/api.go
@@ -22,7 +22,7 @@
 	location string // where the caller is redirected to; "": nowhere
 }
 
-// Error is the line.
+// Error returns the text.
 func (e *Error) Error() string { return e.Text }
 
 // NewError returns an Error.
@@ -51,7 +51,7 @@
 // retryAfter is the Retry-After of every 503, in seconds.
 const retryAfter = "0.2"
 
-// TimeoutFor is the time that a request has whose body has so many bytes.
+// TimeoutFor returns the time-out of a request with a body of some bytes.
 func TimeoutFor(base time.Duration, bodyBytes int) time.Duration {
 	return base + timeoutPerMegabyte/1000*time.Duration(bodyBytes)/1000
 }
--- a/internal/mesh/apiclient/client.go
+++ b/internal/mesh/apiclient/client.go
@@ -61,7 +61,7 @@
 	Timeout time.Duration // of each call
 }
 
-// Configuration is the configuration as a majority confirmed it, as text and as a table.
+// Configuration returns the configuration as a majority confirmed it, as text and as a table.
 func (c Client) Configuration() (text []byte, table config.Table, err error) {
 	text, err = c.call(http.MethodGet, pathFetch, nil)
 	if err != nil {
--- a/internal/mesh/cli/cli.go
+++ b/internal/mesh/cli/cli.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// context is that of one call.
+// context returns the context of one call.
 func (env *environment) context() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), env.options.Timeout)
 }
--- a/internal/mesh/cli/former.go
+++ b/internal/mesh/cli/former.go
@@ -25,7 +25,7 @@
 	"intake":           "demo policy-downloads",
 }
 
-// formerCommands are hidden commands under the former names. "maintenance" is no such command: it was a demo, and is the name of
+// formerCommands returns hidden commands under the former names. "maintenance" is no such command: it was a demo, and is the name of
 // what was called "night" now; without one of its subcommands it still plays the demo.
 func formerCommands(env *environment) []namedCommand {
 	list := []namedCommand{
@@ -44,7 +44,7 @@
 	return list
 }
 
-// activeCommands are the names of the command that was given and of its subcommands.
+// activeCommands returns the names of the command that was given and of its subcommands.
 func activeCommands(parser *flags.Parser) (names []string) {
 	for command := parser.Active; command != nil; command = command.Active {
 		names = append(names, command.Name)
--- a/internal/mesh/cli/policy.go
+++ b/internal/mesh/cli/policy.go
@@ -68,7 +68,7 @@
 	return state, nil
 }
 
-// activePolicies are the namespaces and policies that are active where others are agreed on.
+// activePolicies returns the namespaces and policies that are active where others are agreed on.
 func activePolicies(response controlplane.PolicyResponse) (config.Table, error) {
 	text, err := json.Marshal(config.ModifyRequest{Upsert: response.Active})
 	if err != nil {
--- a/internal/mesh/demo/audit.go
+++ b/internal/mesh/demo/audit.go
@@ -49,7 +49,7 @@
 	return audit
 }
 
-// differingPolicies are the requests of one route and caller that one set decided by different merged policies.
+// differingPolicies returns the requests of one route and caller that one set decided by different merged policies.
 func differingPolicies(observed []observedPolicy) (differences []string) {
 	type decision struct{ route, caller, set string }
 	last := map[decision]observedPolicy{}
@@ -64,7 +64,7 @@
 	return differences
 }
 
-// firstSeenSets is when each set was in force at the latest: when the first response that names it had come.
+// firstSeenSets returns when each set was in force at the latest: when the first response that names it had come.
 func firstSeenSets(observed []observedPolicy) map[string]time.Time {
 	first := map[string]time.Time{}
 	for _, x := range observed {
@@ -75,7 +75,7 @@
 	return first
 }
 
-// successors are the sets that came after each set.
+// successors returns the sets that came after each set.
 func successors(firstSeen map[string]time.Time) map[string]string {
 	var order []string
 	for set := range firstSeen {
--- a/internal/mesh/demo/cluster.go
+++ b/internal/mesh/demo/cluster.go
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// sidecar is one of the sidecars, in turn.
+// sidecar returns one of the sidecars, in turn.
 func (c *cluster) sidecar(n int) *testcluster.Machine { return c.Sidecars[n%len(c.Sidecars)] }
 
 // checkRecords is what the servers' and callers' own records say of the rules.
--- a/internal/mesh/demo/policy.go
+++ b/internal/mesh/demo/policy.go
@@ -27,7 +27,7 @@
 	DownloadRoute string        // to the second service: what must come complete; "": there is none
 }
 
-// DispatchScenario is the day of a dispatch office.
+// DispatchScenario returns the day of a dispatch office.
 func DispatchScenario(length time.Duration) PolicyScenario {
 	return PolicyScenario{
 		Length: length, Services: [2]string{"dispatch", "devicebook"}, Owners: [2]string{"ana", "cy"},
@@ -35,7 +35,7 @@
 	}
 }
 
-// IntakeScenario is a winery's intake day, with downloads.
+// IntakeScenario returns a winery's intake day, with downloads.
 func IntakeScenario(length time.Duration) PolicyScenario {
 	return PolicyScenario{
 		Length: length, Services: [2]string{"crew-log", "cellar-ledger"}, Owners: [2]string{"kit", "lou"},
@@ -105,7 +105,7 @@
 	return routes
 }
 
-// namespaces is the call that gives each team its namespace.
+// namespaces returns the call that gives each team its namespace.
 func (s PolicyScenario) namespaces() []byte {
 	return encode(map[string]any{"Upsert": map[string]any{"NamespaceList": []policy.Namespace{
 		{
@@ -201,7 +201,7 @@
 	return verdicts, apiclient.Client{Addr: d.Members[1].Addr("ControlPlane"), Timeout: orderTimeout}.AwaitPolicyActive()
 }
 
-// change is a team's call that sets one of its policies, at the next version.
+// change returns a team's call that sets one of its policies, at the next version.
 func (d *policyDemo) change(team int, p policy.Policy, consents ...string) []byte {
 	d.version++
 	p.ConfigVersion, p.Namespace = int64(d.version), d.Services[team]
@@ -252,7 +252,7 @@
 	return "", d.modify(d.change(1, policy.Policy{Name: "shelter", TimeoutS: 0.9, Tries: 1}))
 }
 
-// leader is the member that leads; nil: none says so.
+// leader returns the member that leads; nil: none says so.
 func (c *cluster) leader() *testcluster.Machine {
 	response, err := apiclient.Client{Addr: c.Members[0].Addr("ControlPlane"), Timeout: orderTimeout}.Policy(controlplane.PolicyRequest{})
 	if err != nil {
--- a/internal/mesh/demo/traffic.go
+++ b/internal/mesh/demo/traffic.go
@@ -118,7 +118,7 @@
 	return faulty
 }
 
-// isFaulty says that calls were cut short, had no answer, or failed so that they may have run.
+// isFaulty reports whether calls were cut short, had no answer, or failed so that they may have run.
 func (o *callOutcomes) isFaulty() bool {
 	if o.incomplete > 0 {
 		return true
@@ -131,7 +131,7 @@
 	return false
 }
 
-// p99 is the 99th percentile; 0 of none. It sorts the list.
+// p99 returns the 99th percentile; 0 of none. It sorts the list.
 func p99(list []time.Duration) time.Duration {
 	if len(list) == 0 {
 		return 0
--- a/internal/mesh/history/agreement.go
+++ b/internal/mesh/history/agreement.go
@@ -123,7 +123,7 @@
 	return true
 }
 
-// majority is how many voters are more than half.
+// majority returns how many voters are more than half.
 func majority(voters []uint64) int { return len(voters)/2 + 1 }
 
 // without returns the elements of a that are not in b.
--- a/internal/mesh/idempotency/store.go
+++ b/internal/mesh/idempotency/store.go
@@ -51,7 +51,7 @@
 	GrantedAt time.Duration // log time
 }
 
-// duration is for how long the lease is held.
+// duration returns for how long the lease is held.
 func (l Lease) duration() time.Duration {
 	if l.Window <= 0 {
 		return defaultWindow
--- a/internal/mesh/memberselection/advance.go
+++ b/internal/mesh/memberselection/advance.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// NextTick is when Tick is due if no other event comes before.
+// NextTick returns when Tick is due if no other event comes before.
 func (s *Selector) NextTick() time.Duration {
 	next := noDeadline
 	if s.followed != nil {
@@ -52,10 +52,10 @@
 	return next
 }
 
-// confirmIsOpen says that the followed member's table still has to be confirmed and no Confirm is under way.
+// confirmIsOpen reports whether the followed member's table still has to be confirmed and no Confirm is under way.
 func (s *Selector) confirmIsOpen() bool { return s.followed != nil && !s.confirming && !s.confirmed }
 
-// silenceDeadline is when the followed member counts as gone if it sends nothing.
+// silenceDeadline returns when the followed member counts as gone if it sends nothing.
 func (s *Selector) silenceDeadline() time.Duration {
 	at := s.lastHeard + SilenceTimeout
 	if s.requestsWaiting {
@@ -71,7 +71,7 @@
 	return SilentMember
 }
 
-// isSeeking says that members are dialed: none is followed, or the followed one has not reported a leader yet, or has been
+// isSeeking reports whether members are dialed: none is followed, or the followed one has not reported a leader yet, or has been
 // without one for too long.
 func (s *Selector) isSeeking() bool {
 	return s.followed == nil || !s.followed.hasLeader && s.now >= s.leaderLostAt+LeaderlessTimeout
--- a/internal/mesh/memberselection/selector.go
+++ b/internal/mesh/memberselection/selector.go
@@ -60,7 +60,7 @@
 // until.
 func (s *Selector) Reachable() (ok bool, until time.Duration) { return s.reachable, s.graceEnds }
 
-// Followed is the connection that is followed; 0: none.
+// Followed returns the followed connection; 0: none.
 func (s *Selector) Followed() ConnID {
 	if s.followed == nil {
 		return 0
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -22,10 +22,10 @@
 // Seconds is a duration as the file gives it.
 type Seconds float64
 
-// Duration is the duration.
+// Duration returns the number of seconds as a time.Duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Settings are what a process is told.
+// Settings is the settings of one process.
 type Settings struct {
 	NodeName          string            `json:"NodeName" validate:"required,max=256"`
 	NodeRole          string            `json:"NodeRole"`
@@ -92,7 +92,7 @@
 	KeyWindowS       Seconds `json:"KeyWindowS" validate:"gt=0,lte=86400"`
 }
 
-// Defaults are the settings that hold where the file gives none.
+// Defaults returns the settings that apply where the file gives none.
 func Defaults() Settings {
 	return Settings{
 		HeartbeatS:     1.5,
@@ -143,7 +143,7 @@
 	return ""
 }
 
-// Path is the file's, from the environment.
+// Path returns the path of the settings file, from the environment.
 func Path() (string, error) {
 	if path := os.Getenv(PathVariable); path != "" {
 		return path, nil
@@ -160,10 +160,10 @@
 	return Parse(text)
 }
 
-// TransportPort is where control-plane members listen for other processes of the mesh, the same on all machines.
+// TransportPort returns where control-plane members listen for other processes of the mesh, the same on all machines.
 func (s Settings) TransportPort() int { return s.InternalPortRange[0] }
 
-// MemberAddress is the transport address, as host:port, of the member whose operators' API is at an address; "": of one on this machine.
+// MemberAddress returns the transport address, as host:port, of the member whose operators' API is at an address; "": of one on this machine.
 func (s Settings) MemberAddress(apiAddress string) string {
 	host := s.IPAddress
 	if apiAddress != "" {
@@ -172,7 +172,7 @@
 	return fmt.Sprintf("%s:%d", host, s.TransportPort())
 }
 
-// SeedAddresses are the transport addresses of the members that the file names.
+// SeedAddresses returns the transport addresses of the members that the file names.
 func (s Settings) SeedAddresses() (addresses []string) {
 	for _, apiAddress := range s.SeedNodes {
 		addresses = append(addresses, s.MemberAddress(apiAddress))
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// TransportListenAddress is where a process listens that others know by an address.
+// TransportListenAddress returns where a process listens that others reach at an address.
 func (s Settings) TransportListenAddress(known string) string {
 	if s.transportListenAddress != "" {
 		return s.transportListenAddress
--- a/internal/mesh/sim/disk/file.go
+++ b/internal/mesh/sim/disk/file.go
@@ -74,7 +74,7 @@
 	f.cached, f.synced, f.unsynced = kept, kept, nil
 }
 
-// firstUnsynced is the offset of the first byte that was not synced.
+// firstUnsynced returns the offset of the first byte that was not synced.
 func (f *file) firstUnsynced() int {
 	if slices.ContainsFunc(f.unsynced, func(w write) bool { return w.truncate }) {
 		return 0
--- a/internal/mesh/testcluster/api.go
+++ b/internal/mesh/testcluster/api.go
@@ -22,7 +22,7 @@
 // contractTime is how contracts write a moment.
 const contractTime = "2006-01-02 15:04"
 
-// RouteItem is a route for ModifyCall.
+// RouteItem returns a route for ModifyCall.
 func RouteItem(name, kind, prefix, service string, version int) map[string]any {
 	return map[string]any{
 		"Name": name, "RouteType": kind, "TargetLatencyS": 1, "Priority": 1, "ConfigVersion": version,
@@ -31,7 +31,7 @@
 	}
 }
 
-// ModifyCall is an operator's call that sets services, and routes on one host.
+// ModifyCall returns an operator's call that sets services, and routes on one host.
 func ModifyCall(version int, services []string, routes ...map[string]any) []byte {
 	var groups []map[string]any
 	for _, s := range services {
@@ -46,7 +46,7 @@
 	}})
 }
 
-// ContractCall is an operator's call that sets a contract, which approves maintenance in a span by UTC. more are further fields.
+// ContractCall returns an operator's call that sets a contract, which approves maintenance in a span by UTC. more are further fields.
 func ContractCall(name string, version int, from, to time.Time, more map[string]any) []byte {
 	contract := map[string]any{
 		"Name": name, "ConfigVersion": version, "TimeZone": "UTC", "Approvers": []string{"ana"},
--- a/internal/mesh/testcluster/cluster.go
+++ b/internal/mesh/testcluster/cluster.go
@@ -112,10 +112,10 @@
 
 func (m *Cluster) addr(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, m.ports[port]) }
 
-// machines are all, members first.
+// machines returns all machines, members first.
 func (m *Cluster) machines() []*Machine { return slices.Concat(m.Members, m.Sidecars) }
 
-// baseSettings are what every machine is told alike.
+// baseSettings returns the settings that all machines share.
 func (m *Cluster) baseSettings(name, ip, zone string) map[string]any {
 	transport := m.ports[portMemberTransport]
 	return map[string]any{
--- a/internal/mesh/testcluster/fakeapp.go
+++ b/internal/mesh/testcluster/fakeapp.go
@@ -107,7 +107,7 @@
 	return response.StatusCode/100 == 2
 }
 
-// sealOf is what a server seals its answer to an attempt with.
+// sealOf returns the seal of a server's response to an attempt.
 func sealOf(attempt string) string { return "seal." + attempt }
 
 // ServeHTTP runs one request, or answers a health check.
--- a/internal/mesh/testcluster/machine.go
+++ b/internal/mesh/testcluster/machine.go
@@ -104,16 +104,16 @@
 // SignalReload tells the program that its settings have changed.
 func (x *Machine) SignalReload() error { return x.Process.Cmd.Process.Signal(syscall.SIGHUP) }
 
-// DataDir is a member's data folder.
+// DataDir returns a member's data folder.
 func (x *Machine) DataDir() string { return x.setting("DataDir") }
 
 // WipeDisk removes what a member's disk holds; it must not run.
 func (x *Machine) WipeDisk() error { return os.RemoveAll(x.DataDir()) }
 
-// Addr is one of the machine's addresses, by its name in the settings.
+// Addr returns one of the machine's addresses, by its name in the settings.
 func (x *Machine) Addr(name string) string { return x.listenAddrs[name] }
 
-// PathTo is the path from one machine to another, for the relay.
+// PathTo returns the path from one machine to another, for the relay.
 func (x *Machine) PathTo(to *Machine) testfleet.Direction {
 	return testfleet.Direction{From: x.IP, To: to.IP}
 }
--- a/internal/mesh/testcluster/operator.go
+++ b/internal/mesh/testcluster/operator.go
@@ -19,7 +19,7 @@
 	client  http.Client
 }
 
-// Operator is the one of a number, which must be below 50.
+// Operator returns the operator with a number, which must be below 50.
 func (m *Cluster) Operator(n int) *Operator {
 	ip := m.ip(firstOperatorIP + n)
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}
@@ -27,7 +27,7 @@
 	return &Operator{IP: ip, cluster: m, client: http.Client{Timeout: operatorTimeout, Transport: transport}}
 }
 
-// PathTo is the path from an operator to a member.
+// PathTo returns the path from an operator to a member.
 func (o *Operator) PathTo(to *Machine) testfleet.Direction {
 	return testfleet.Direction{From: o.IP, To: to.IP}
 }
--- a/internal/mesh/testcluster/recorder.go
+++ b/internal/mesh/testcluster/recorder.go
@@ -33,14 +33,14 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// Runs are the instances that ran an attempt.
+// Runs returns the instances that have run an attempt.
 func (r *Recorder) Runs(attempt string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.instancesByAttempt[attempt]
 }
 
-// RunsBy is how many runs an instance made.
+// RunsBy returns how many requests an instance has run.
 func (r *Recorder) RunsBy(instance string) (runs int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +54,7 @@
 	return runs
 }
 
-// Violations are the rules that were broken, as far as the records tell: keys that ran twice, and what servers and callers noted.
+// Violations returns the rules that were broken, as far as the records tell: keys that ran twice, and what servers and callers noted.
 func (r *Recorder) Violations() (list []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mesh/topology/lag.go
+++ b/internal/mesh/topology/lag.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// staleItems are the confirmed items of which a process holds an older version, or none.
+// staleItems returns the confirmed items of which a process holds an older version, or none.
 func staleItems(confirmed, held []ItemVersion) (stale []ItemVersion) {
 	type key struct{ kind, name string }
 	versions := map[key]int64{}
--- a/internal/mesh/topology/status.go
+++ b/internal/mesh/topology/status.go
@@ -33,7 +33,7 @@
 	routing.Download:   "download",
 }
 
-// memberFromStatus is what a control-plane member says of itself.
+// memberFromStatus returns a control-plane member according to its own status.
 func memberFromStatus(status *wire.StatusT) Member {
 	m := Member{
 		Process:      processFromStatus(status),
@@ -50,7 +50,7 @@
 	return m
 }
 
-// sidecarFromStatus is what the directory and a sidecar itself say; without a status what the directory says alone.
+// sidecarFromStatus returns what the directory and a sidecar itself say; without a status what the directory says alone.
 func sidecarFromStatus(record directory.Record, status *wire.StatusT) Sidecar {
 	s := Sidecar{
 		Service:  record.Service,
@@ -96,7 +96,7 @@
 	return items
 }
 
-// routesFromItems are the routes that are in force, by host and prefix.
+// routesFromItems returns the routes that are in force, by host and prefix.
 func routesFromItems(items []config.Item) (list []Route) {
 	table, _ := config.Table{}.Merge(items)
 	for _, r := range routing.NewTable(table).Routes() {
--- a/internal/mesh/topology/svg.go
+++ b/internal/mesh/topology/svg.go
@@ -44,7 +44,7 @@
 // palette tells services apart, and members.
 var palette = []string{"#4878a8", "#c8743c", "#5a9a58", "#a05a8c", "#8c7a3c", "#3c9a9a", "#b84a4a", "#6a6ab0"}
 
-// colorOf is the colour of a name among names; grey: it is not among them.
+// colorOf returns the colour of a name among names; grey: it is not among them.
 func colorOf(names []string, name string) string {
 	if i := slices.Index(names, name); i >= 0 {
 		return palette[i%len(palette)]
@@ -61,7 +61,7 @@
 	return text
 }
 
-// fillColor is how a sidecar's server is.
+// fillColor returns the colour for the state of a sidecar's server.
 func (s Sidecar) fillColor() string {
 	switch {
 	case s.Unreachable != "":
@@ -141,7 +141,7 @@
 
 func (d *drawing) zoneLeft(zone int) int { return margin + zone*(d.zoneWidth+margin) }
 
-// memberTop is where the nth member of a zone stands.
+// memberTop returns the vertical position of the nth member of a zone.
 func (d *drawing) memberTop(n int) int {
 	return d.zonesTop + headerHeight - 14 + n*(memberHeight+cardGap)
 }
@@ -219,7 +219,7 @@
 	d.canvas.Text(x+10, y+43, truncate(s.cardState(), cardWidth-14), styleSmall)
 }
 
-// cardState is how a sidecar and its server are, in few words.
+// cardState returns the state of a sidecar and its server, in few words.
 func (s Sidecar) cardState() string {
 	state := s.State
 	switch {
--- a/internal/mesh/topology/topology.go
+++ b/internal/mesh/topology/topology.go
@@ -67,7 +67,7 @@
 	Fenced            bool   `json:"fenced,omitempty"`            // it could not confirm that for a while
 }
 
-// IsUnavailable says that requests are not sent to its server.
+// IsUnavailable reports whether requests are not sent to its server.
 func (s Sidecar) IsUnavailable() bool {
 	return s.State != stateReady || s.Leaving || s.Unreachable != ""
 }
@@ -106,7 +106,7 @@
 	Share   float64 `json:"share"`
 }
 
-// Zones are those of sidecars and members, in order; one that is not known is "".
+// Zones returns the zones of sidecars and members, in order. An unknown zone is "".
 func (t Topology) Zones() (names []string) {
 	for _, s := range t.Sidecars {
 		names = append(names, s.Zone)
@@ -118,7 +118,7 @@
 	return slices.Compact(names)
 }
 
-// Services are those that sidecars or routes name, in order.
+// Services returns the services that sidecars or routes name, in order.
 func (t Topology) Services() (names []string) {
 	for _, s := range t.Sidecars {
 		if s.Service != "" {
@@ -152,7 +152,7 @@
 	return list
 }
 
-// displayName is the process's name, or its address where that is all that is known.
+// displayName returns the process's name, or its address where that is all that is known.
 func (p Process) displayName() string {
 	if p.Name == "" {
 		return p.Addr
--- a/internal/mesh/topology/warnings.go
+++ b/internal/mesh/topology/warnings.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Warnings are what an operator should look at, a line each; none: all is well.
+// Warnings returns what an operator should look at, a line each. There are none if all is well.
 func (t Topology) Warnings() (list []string) {
 	if !t.QuorumContact {
 		list = append(list, t.AskedMember+" is out of contact with a majority of the members: what it told may be old")
@@ -31,7 +31,7 @@
 	return list
 }
 
-// warning is the worst of a member; "": all is well.
+// warning returns the most serious problem of a member; "": there is none.
 func (m Member) warning() string {
 	switch {
 	case m.Unreachable != "":
@@ -48,7 +48,7 @@
 	return ""
 }
 
-// warnings are those of a sidecar and its server. fingerprint is that of the active policy set.
+// warnings returns those of a sidecar and its server. fingerprint is that of the active policy set.
 func (s Sidecar) warnings(fingerprint string) (list []string) {
 	add := func(text string) { list = append(list, "sidecar "+s.displayName()+" "+text) }
 	switch {
--- a/internal/mesh/validation/validation.go
+++ b/internal/mesh/validation/validation.go
@@ -43,7 +43,7 @@
 	return &Fault{field, fmt.Sprintf("is %v; wanted: %s", first.Value(), wanted)}
 }
 
-// LineOf is the line of a JSON or YAML text, from 1, that names the field of a path: its parts are looked for one behind the other. A
+// LineOf returns the line of a JSON or YAML text, from 1, that names the field of a path: its parts are looked for one behind the other. A
 // part that is not there counts as where the one before it stands; 0: the first is not there.
 func LineOf(text []byte, path string) int {
 	offset, found := 0, false
