--- a/internal/mesh/raft/election_test.go
+++ b/internal/mesh/raft/election_test.go
@@ -190,8 +190,7 @@
 
 // A leader that others hear but that hears nobody steps down, and is not in contact with a quorum.
 func TestLeaderThatHearsNobodyStepsDown(t *testing.T) {
-	sim := newSimulation(t, 4, "a", "b", "c")
-	sim.run(2 * time.Second)
+	sim := newSettledSimulation(t, 4, "a", "b", "c")
 	leader := sim.leader()
 	for _, a := range sim.addrs() {
 		sim.cutLinks[[2]string{a, leader.self.Addr}] = true
@@ -206,8 +205,7 @@
 
 // A leader that is about to stop has another take over, well before anybody would miss it.
 func TestTransferLeadership(t *testing.T) {
-	sim := newSimulation(t, 7, "a", "b", "c")
-	sim.run(2 * time.Second)
+	sim := newSettledSimulation(t, 7, "a", "b", "c")
 	sim.write("one")
 	leader := sim.leader()
 	leader.raft.TransferLeadership(sim.now)
--- a/internal/mesh/raft/leave_test.go
+++ b/internal/mesh/raft/leave_test.go
@@ -48,8 +48,7 @@
 
 // What is acknowledged after a member got leave does not rest on it, though it still runs.
 func TestNothingRestsOnMemberWithLeave(t *testing.T) {
-	sim := newSimulation(t, 41, "a", "b", "c")
-	sim.run(2 * time.Second)
+	sim := newSettledSimulation(t, 41, "a", "b", "c")
 	sim.write("one")
 	leader := sim.leader()
 	leaves, stays := "b", "c"
@@ -71,8 +70,7 @@
 // Nobody waits for what can't be.
 func TestLeaveWithoutWaiting(t *testing.T) {
 	t.Run("a sole voter", func(t *testing.T) {
-		sim := newSimulation(t, 42, "a")
-		sim.run(2 * time.Second)
+		sim := newSettledSimulation(t, 42, "a")
 		assert.Assert(t, sim.leave("a", time.Millisecond))
 	})
 	t.Run("a leader of protocol version 0", leaveLegacyLeader)
@@ -91,8 +89,7 @@
 }
 
 func leaveTogether(t *testing.T) {
-	sim := newSimulation(t, 44, "a", "b", "c")
-	sim.run(2 * time.Second)
+	sim := newSettledSimulation(t, 44, "a", "b", "c")
 	sim.write("one")
 	for _, a := range sim.addrs() {
 		sim.members[a].raft.BeginLeave(sim.now)
@@ -108,12 +105,7 @@
 // later is the only vote that is missing. Either the leader leaves or a follower.
 func TestLeaveWithReadyLearner(t *testing.T) {
 	for seed := range uint64(40) {
-		sim := newSimulation(t, 400+seed, "a", "b", "c")
-		sim.step = 2 * time.Millisecond
-		sim.run(2 * time.Second)
-		sim.write("one")
-		sim.startEmpty("d", 20)
-		sim.run(time.Second)
+		sim := newSimulationWithLearner(t, 400+seed, 20)
 		lead := sim.leader().self.Addr
 		assert.Assert(t, !sim.leader().raft.log.configuration.isVoter(20), "there are as many members as there should be")
 		others := sim.othersThan(lead, "d")
@@ -137,8 +129,7 @@
 // A learner that has joined and hears nothing more keeps no member from going.
 func TestLeaveWithUnreachableLearner(t *testing.T) {
 	for seed := range uint64(20) {
-		sim := newSimulation(t, 500+seed, "a", "b", "c")
-		sim.run(2 * time.Second)
+		sim := newSettledSimulation(t, 500+seed, "a", "b", "c")
 		sim.write("one")
 		lead := sim.leader().self.Addr
 		sim.startEmpty("d", 20)
@@ -156,12 +147,7 @@
 // loses its disk; those that are left are a majority all the same.
 func TestLeaveGivesPlaceToLearner(t *testing.T) {
 	for seed := range uint64(40) {
-		sim := newSimulation(t, 700+seed, "a", "b", "c")
-		sim.step = 2 * time.Millisecond
-		sim.run(2 * time.Second)
-		sim.write("one")
-		sim.startEmpty("d", 10)
-		sim.run(time.Second)
+		sim := newSimulationWithLearner(t, 700+seed, 10)
 		sim.write("two")
 		lead := sim.leader().self.Addr
 		others := sim.othersThan(lead, "d")
@@ -186,8 +172,7 @@
 // A learner that lags, or that says nothing any more, holds up nobody who is to go.
 func TestLeaveDoesNotWaitForLaggingLearner(t *testing.T) {
 	for seed := range uint64(8) {
-		sim := newSimulation(t, 760+seed, "a", "b", "c")
-		sim.run(2 * time.Second)
+		sim := newSettledSimulation(t, 760+seed, "a", "b", "c")
 		sim.startEmpty("d", 10)
 		sim.run(time.Second)
 		if sim.isolated["d"] = seed%4 < 2; !sim.isolated["d"] {
--- a/internal/mesh/raft/membership_test.go
+++ b/internal/mesh/raft/membership_test.go
@@ -11,8 +11,7 @@
 
 // Lost members are replaced by new ones at other addresses, the leader as well.
 func TestLostMembersReplaced(t *testing.T) {
-	sim := newSimulation(t, 1, "a", "b", "c")
-	sim.run(2 * time.Second)
+	sim := newSettledSimulation(t, 1, "a", "b", "c")
 	sim.write("one")
 	delete(sim.members, "c")
 	sim.write("two")
@@ -31,8 +30,7 @@
 // The leader loses its disk again and again, each time once the one before is a member again.
 func TestDisksLostInTurn(t *testing.T) {
 	for seed := range uint64(20) {
-		sim := newSimulation(t, seed, "a", "b", "c")
-		sim.run(2 * time.Second)
+		sim := newSettledSimulation(t, seed, "a", "b", "c")
 		for n := range 4 {
 			sim.write(fmt.Sprint("write ", n))
 			sim.startEmpty(sim.leader().self.Addr, ID(100+n))
@@ -45,8 +43,7 @@
 
 // A member that was cut off while its place was given away learns so, and rejoins when there is room again.
 func TestRemovedMemberRejoins(t *testing.T) {
-	sim := newSimulation(t, 3, "a", "b", "c")
-	sim.run(2 * time.Second)
+	sim := newSettledSimulation(t, 3, "a", "b", "c")
 	sim.isolated["c"] = true
 	if sim.leader() == nil || sim.leader().self.Addr == "c" {
 		sim.run(2 * time.Second)
@@ -69,8 +66,7 @@
 // A lost member's place is never empty: a learner that has caught up replaces it, at the same address or at another.
 func TestReplacement(t *testing.T) {
 	for _, at := range []string{"c", "d"} {
-		sim := newSimulation(t, 11, "a", "b", "c")
-		sim.run(2 * time.Second)
+		sim := newSettledSimulation(t, 11, "a", "b", "c")
 		sim.write("one")
 		gone := "c"
 		if sim.leader().self.Addr == "c" {
--- a/internal/mesh/raft/replication_test.go
+++ b/internal/mesh/raft/replication_test.go
@@ -48,8 +48,7 @@
 
 // The log's time never goes back and never runs faster than real time, over all leaders.
 func TestLogTime(t *testing.T) {
-	sim := newSimulation(t, 5, "a", "b", "c")
-	sim.run(2 * time.Second)
+	sim := newSettledSimulation(t, 5, "a", "b", "c")
 	for n := range 5 {
 		sim.write(fmt.Sprint(n))
 		sim.isolated[sim.leader().self.Addr] = true
--- a/internal/mesh/raft/simulation_test.go
+++ b/internal/mesh/raft/simulation_test.go
@@ -65,6 +65,27 @@
 	return sim
 }
 
+// newSettledSimulation returns a simulation that has run until there is a leader.
+func newSettledSimulation(t *testing.T, seed uint64, addrs ...string) *simulation {
+	t.Helper()
+	sim := newSimulation(t, seed, addrs...)
+	sim.run(2 * time.Second)
+	return sim
+}
+
+// newSimulationWithLearner returns a simulation of the members a, b and c in small steps, with one entry written, and of d, a learner with an
+// ID that has caught up.
+func newSimulationWithLearner(t *testing.T, seed uint64, learner ID) *simulation {
+	t.Helper()
+	sim := newSimulation(t, seed, "a", "b", "c")
+	sim.step = 2 * time.Millisecond
+	sim.run(2 * time.Second)
+	sim.write("one")
+	sim.startEmpty("d", learner)
+	sim.run(time.Second)
+	return sim
+}
+
 // startEmpty starts a member with an empty disk, in the place of any that is at its address.
 func (sim *simulation) startEmpty(addr string, id ID) {
 	n := &testMember{self: Member{id, addr}, now: sim.now}
--- a/internal/mesh/raft/snapshot_test.go
+++ b/internal/mesh/raft/snapshot_test.go
@@ -10,8 +10,7 @@
 
 // A follower that lags behind the start of a compacted log is sent the snapshot.
 func TestFollowerCatchesUpBySnapshot(t *testing.T) {
-	sim := newSimulation(t, 6, "a", "b", "c")
-	sim.run(2 * time.Second)
+	sim := newSettledSimulation(t, 6, "a", "b", "c")
 	sim.isolated["c"] = true
 	sim.run(3 * time.Second)
 	for n := range 10 {
--- a/internal/mesh/sidecar/call_chain_test.go
+++ b/internal/mesh/sidecar/call_chain_test.go
@@ -38,6 +38,24 @@
 	return l.Addr().String()
 }
 
+// listenAndServe listens on a free address until the test ends, and serves each connection on a goroutine of its own.
+func listenAndServe(t testing.TB, serve func(net.Conn)) (addr string) {
+	t.Helper()
+	listener, err := net.Listen("tcp4", freeAddr(t))
+	assert.NilError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			accepted, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go serve(accepted)
+		}
+	}()
+	return listener.Addr().String()
+}
+
 // callChain is a caller's sidecar and sidecars beside servers, each behind a relay.
 type callChain struct {
 	t              testing.TB
--- a/internal/mesh/sidecar/fake_control_plane_test.go
+++ b/internal/mesh/sidecar/fake_control_plane_test.go
@@ -41,23 +41,11 @@
 		conns: map[*transport.Conn]bool{}, store: idempotency.New(),
 	}
 	r.items.Complete, r.items.Index = true, 1
-	l, err := net.Listen("tcp4", freeAddr(t))
-	assert.NilError(t, err)
-	t.Cleanup(func() { l.Close() })
-	r.addr = l.Addr().String()
-	go func() {
-		for {
-			nc, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				if c, err := transport.Accept(nc, func() *wire.HeartbeatT { return &wire.HeartbeatT{QuorumContact: true} }); err == nil {
-					r.serve(c)
-				}
-			}()
+	r.addr = listenAndServe(t, func(accepted net.Conn) {
+		if c, err := transport.Accept(accepted, func() *wire.HeartbeatT { return &wire.HeartbeatT{QuorumContact: true} }); err == nil {
+			r.serve(c)
 		}
-	}()
+	})
 	return r
 }
 
--- a/internal/mesh/sidecar/relay_test.go
+++ b/internal/mesh/sidecar/relay_test.go
@@ -11,8 +11,6 @@
 	"sync/atomic"
 	"testing"
 
-	"gotest.tools/v3/assert"
-
 	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
@@ -74,19 +72,7 @@
 func startRelay(t testing.TB, to string, f framing) *relay {
 	t.Helper()
 	r := &relay{to: to, framing: f, cuts: map[string]*cut{}}
-	l, err := net.Listen("tcp4", freeAddr(t))
-	assert.NilError(t, err)
-	t.Cleanup(func() { l.Close() })
-	r.addr = l.Addr().String()
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go r.pass(c)
-		}
-	}()
+	r.addr = listenAndServe(t, r.pass)
 	return r
 }
 
--- a/internal/mesh/testcluster/maintenance_helpers_test.go
+++ b/internal/mesh/testcluster/maintenance_helpers_test.go
@@ -5,7 +5,6 @@
 	"net/http"
 	"slices"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -133,22 +132,11 @@
 
 // startTraffic sends reads and keyed calls through all sidecars until it is stopped; each key is sent again through another one.
 func (m *Cluster) startTraffic() (stop func()) {
-	done := make(chan struct{})
-	var all sync.WaitGroup
-	for i, x := range m.Sidecars {
-		all.Go(func() {
-			for n := 0; ; n++ {
-				select {
-				case <-done:
-					return
-				default:
-				}
-				x.Send("GET", fmt.Sprint("/read/", n), "", nil)
-				key := fmt.Sprintf("k-%d-%d", i, n)
-				x.Send("POST", "/send/x", key, []byte("one"))
-				m.Sidecars[(i+1)%len(m.Sidecars)].Send("POST", "/send/x", key, []byte("one"))
-			}
-		})
-	}
-	return func() { close(done); all.Wait() }
+	return m.startSending(func(i, n int) {
+		sidecar, other := m.Sidecars[i], m.Sidecars[(i+1)%len(m.Sidecars)]
+		sidecar.Send("GET", fmt.Sprint("/read/", n), "", nil)
+		key := fmt.Sprintf("k-%d-%d", i, n)
+		sidecar.Send("POST", "/send/x", key, []byte("one"))
+		other.Send("POST", "/send/x", key, []byte("one"))
+	})
 }
--- a/internal/mesh/testcluster/serving_test.go
+++ b/internal/mesh/testcluster/serving_test.go
@@ -112,18 +112,24 @@
 	m.assertNoViolations(t)
 }
 
-// startReads sends reads through all sidecars, one after the other, until it is stopped.
+// startReads sends reads through all sidecars, one after the other at each, until it is stopped.
 func (m *Cluster) startReads() (stop func()) {
+	return m.startSending(func(i, n int) { m.Sidecars[i].Send("GET", fmt.Sprint("/read/", n), "", nil) })
+}
+
+// startSending calls send again and again, on a goroutine for each sidecar, until it is stopped. i is the index of the sidecar, and n counts its
+// calls from 0.
+func (m *Cluster) startSending(send func(i, n int)) (stop func()) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
-	for _, x := range m.Sidecars {
+	for i := range m.Sidecars {
 		all.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-done:
 					return
 				default:
-					x.Send("GET", fmt.Sprint("/read/", n), "", nil)
+					send(i, n)
 				}
 			}
 		})
