--- a/internal/mesh/controlplane/inbound.go
+++ b/internal/mesh/controlplane/inbound.go
@@ -15,22 +15,9 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-const acceptRetryInterval = 20 * time.Millisecond
-
 // acceptConnections accepts connections of members, sidecars and observers until the member stops.
 func (m *Member) acceptConnections() {
-	for {
-		raw, err := m.transportListener.Accept()
-		if err == nil {
-			go m.serveRaw(raw)
-			continue
-		}
-		select {
-		case <-m.loop.stopped:
-			return
-		case <-time.After(acceptRetryInterval):
-		}
-	}
+	transport.AcceptEach(m.transportListener, m.loop.stopped, m.serveRaw)
 }
 
 // serveRaw completes the handshake and then serves the connection. If the handshake fails the connection is dropped.
--- a/internal/mesh/sidecar/inbound_server.go
+++ b/internal/mesh/sidecar/inbound_server.go
@@ -18,7 +18,6 @@
 const (
 	serverIdleTimeout    = 8 * time.Second // after which servers are assumed to close idle connections
 	serverConnectTimeout = 1500 * time.Millisecond
-	acceptRetryInterval  = 20 * time.Millisecond
 )
 
 // inboundServer runs requests of other sidecars at the local server, and answers calls of other sidecars and of operators.
@@ -44,22 +43,11 @@
 
 // acceptConns accepts connections of other sidecars until the sidecar ends.
 func (in *inboundServer) acceptConns(listener net.Listener) {
-	for {
-		accepted, err := listener.Accept()
-		if err != nil {
-			select {
-			case <-in.env.ctx.Done():
-				return
-			case <-time.After(acceptRetryInterval):
-			}
-			continue
+	transport.AcceptEach(listener, in.env.ctx.Done(), func(accepted net.Conn) {
+		if conn, err := transport.Accept(accepted, nil); err == nil {
+			in.serveConn(&inboundConn{inbound: in, conn: conn, requests: map[uint64]*inboundRequest{}})
 		}
-		go func() {
-			if conn, err := transport.Accept(accepted, nil); err == nil {
-				in.serveConn(&inboundConn{inbound: in, conn: conn, requests: map[uint64]*inboundRequest{}})
-			}
-		}()
-	}
+	})
 }
 
 // serveConn serves a connection until it ends.
