--- a/internal/source/registry/source.go
+++ b/internal/source/registry/source.go
@@ -1,4 +1,4 @@
-// Package registry is the source of a pool's servers that follows the list of the platform's registry over
+// Package registry is the source of a pool's servers that watches the list of the platform's registry over
 // its HTTP/1.1 watch: a response that does not end, with one JSON message a line and an empty line as a
 // heartbeat.
 //
--- a/internal/source/xds/xds.go
+++ b/internal/source/xds/xds.go
@@ -1,6 +1,6 @@
-// Package xds is the source of a pool's servers that follows a cluster of an xDS control plane.
+// Package xds is the source of a pool's servers that watches a cluster of an xDS control plane.
 //
-// A Client, shared by all pools of a node, owns the connections to the control planes; a Source follows
+// A Client, shared by all pools of a node, owns the connections to the control planes; a Source watches
 // one cluster through it. docs/xds.md says how a cluster becomes a list of servers.
 package xds
 
@@ -27,7 +27,7 @@
 	return &Client{c}, nil
 }
 
-// Source returns a source that follows a cluster. With allPriorities it lists the endpoints of all
+// Source returns a source that watches a cluster. With allPriorities it lists the endpoints of all
 // priorities, each with its own; otherwise those of the priorities that are in use.
 func (c *Client) Source(cluster string, allPriorities bool) engine.Source {
 	return newSource(c.Client, cluster, allPriorities)
@@ -36,7 +36,7 @@
 // Dump writes what the client holds, for operators.
 func (c *Client) Dump(w io.Writer) { c.Client.Dump().Write(w) }
 
-// Source follows a cluster. It implements engine.Source and engine.Observer.
+// Source watches a cluster. It implements engine.Source and engine.Observer.
 type Source struct {
 	client        *client.Client
 	cluster       string
--- a/internal/xds/client/client.go
+++ b/internal/xds/client/client.go
@@ -59,7 +59,7 @@
 	noServer = -1
 )
 
-// Client follows clusters at control planes. See the package comment for its goroutines.
+// Client watches clusters of control planes. See the package comment for its goroutines.
 type Client struct {
 	cfg    Config
 	start  time.Time
