--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -65,13 +65,14 @@
 // AdminStates are the administrative states of servers, set by operators. They override the list: a server that is out
 // of service drains, whatever the list says. The methods are called from many goroutines and never block.
 type AdminStates interface {
-	// Out says that a server is out of service. Attempts observe it at once (Endpoint.Usable).
-	Out(id string) bool
-	// Boot returns the start time to assume for a server whose listed start time is boot.
-	Boot(id string, boot time.Duration) time.Duration
-	// Entered is called for each server that is now listed, and Left for each that no longer is; alternately for an id.
-	Entered(id string)
-	Left(id string)
+	// IsOutOfService says that a server is out of service. Attempts observe it at once (Endpoint.Usable).
+	IsOutOfService(id string) bool
+	// StartTime returns the start time to assume for a server whose listed one is given.
+	StartTime(id string, listed time.Duration) time.Duration
+	// ServerListed is called for each server that is now listed, and ServerRemoved for each that no longer is; alternately
+	// for an id.
+	ServerListed(id string)
+	ServerRemoved(id string)
 }
 
 // Engine owns a module. Its exported methods may be called from any goroutine.
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -69,7 +69,7 @@
 
 // Usable says that the endpoint is listed as ready and that no operator has taken it out of service.
 func (ep *Endpoint) Usable() bool {
-	return ep.usable.Load() && (ep.adminStates == nil || !ep.adminStates.Out(ep.ID))
+	return ep.usable.Load() && (ep.adminStates == nil || !ep.adminStates.IsOutOfService(ep.ID))
 }
 
 // SetUsable is for the engine and for tests of senders.
--- a/internal/engine/servers.go
+++ b/internal/engine/servers.go
@@ -56,8 +56,8 @@
 	if e.cfg.AdminStates == nil {
 		return
 	}
-	server.StartedAt = e.cfg.AdminStates.Boot(server.ID, server.StartedAt)
-	if server.State == balancer.Ready && e.cfg.AdminStates.Out(server.ID) {
+	server.StartedAt = e.cfg.AdminStates.StartTime(server.ID, server.StartedAt)
+	if server.State == balancer.Ready && e.cfg.AdminStates.IsOutOfService(server.ID) {
 		server.State = balancer.Draining
 	}
 }
@@ -74,7 +74,7 @@
 	e.endpoints[server.ID] = endpoint
 	e.idByAddr[server.Addr] = server.ID
 	if e.cfg.AdminStates != nil {
-		e.cfg.AdminStates.Entered(server.ID)
+		e.cfg.AdminStates.ServerListed(server.ID)
 	}
 	return endpoint
 }
@@ -86,7 +86,7 @@
 		e.cfg.Sender.Drop(endpoint)
 		delete(e.endpoints, id)
 		if e.cfg.AdminStates != nil {
-			e.cfg.AdminStates.Left(id)
+			e.cfg.AdminStates.ServerRemoved(id)
 		}
 		if e.idByAddr[endpoint.Addr] == id { // otherwise a newer server has the address
 			delete(e.idByAddr, endpoint.Addr)
--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -7,7 +7,7 @@
 // all other cases it may have. Nothing is ever sent a second time.
 //
 // A response body that is not streamed is limited by the stream's window, which is never opened again: the server can't
-// send more than Config.MaxBody.
+// send more than Config.MaxBodyBytes.
 //
 // Files: client.go has the connection, stream.go the streams, flow.go flow control, receive.go the server's frames, and
 // frames.go the types of events and actions.
@@ -23,10 +23,10 @@
 
 // Config holds the limits of a connection. A zero stands for the default.
 type Config struct {
-	MaxStreams int           // open at a time, even if the server allows more; default 100
-	MaxBody    int           // bytes of a response body; default 64 KiB
-	MaxHeader  int           // bytes of its header, as section 6.5.2 counts them; default 16 KiB
-	Quiet      time.Duration // time without a frame after which a careful request waits for a PING; default 1 s
+	MaxStreams     int           // open at a time, even if the server allows more; default 100
+	MaxBodyBytes   int           // bytes of a response body; default 64 KiB
+	MaxHeaderBytes int           // bytes of its header, as section 6.5.2 counts them; default 16 KiB
+	PingAfter      time.Duration // time without a frame after which a request that asks for it waits for a PING; default 1 s
 }
 
 // Field is a field of a header or trailer section.
@@ -62,9 +62,9 @@
 
 const (
 	defaultStreams           = 100
-	defaultBody              = 64 << 10
-	defaultHeader            = 16 << 10
-	defaultQuiet             = time.Second
+	defaultBodyBytes         = 64 << 10
+	defaultHeaderBytes       = 16 << 10
+	defaultPingAfter         = time.Second
 	defaultWindow            = 65535 // initial, of connection and streams (RFC 9113, section 6.9.2)
 	defaultFrame             = 16384
 	maxWindow                = math.MaxInt32
@@ -102,16 +102,16 @@
 // New returns a connection and its first frames, which follow the client's connection preface (section 3.4).
 func New(now time.Duration, cfg Config) (*Conn, []Action) {
 	cfg.MaxStreams = cmp.Or(cfg.MaxStreams, defaultStreams)
-	cfg.MaxBody = cmp.Or(cfg.MaxBody, defaultBody)
-	cfg.MaxHeader = cmp.Or(cfg.MaxHeader, defaultHeader)
-	cfg.Quiet = cmp.Or(cfg.Quiet, defaultQuiet)
+	cfg.MaxBodyBytes = cmp.Or(cfg.MaxBodyBytes, defaultBodyBytes)
+	cfg.MaxHeaderBytes = cmp.Or(cfg.MaxHeaderBytes, defaultHeaderBytes)
+	cfg.PingAfter = cmp.Or(cfg.PingAfter, defaultPingAfter)
 	c := &Conn{
 		cfg: cfg, now: now, lastFrameAt: now, nextID: 1, streams: map[uint32]*stream{},
 		sendWindow: defaultWindow, initialSendWindow: defaultWindow, maxFrameSize: defaultFrame,
 		peerMaxStreams: cfg.MaxStreams, awaitingPing: map[uint64][]uint32{},
 	}
 	return c, []Action{
-		WriteSettings{InitialWindow: uint32(cfg.MaxBody), MaxHeader: uint32(cfg.MaxHeader)},
+		WriteSettings{InitialWindow: uint32(cfg.MaxBodyBytes), MaxHeader: uint32(cfg.MaxHeaderBytes)},
 		WriteWindowUpdate{0, connectionWindow - defaultWindow},
 	}
 }
@@ -130,17 +130,17 @@
 // Closing says that no more streams can be opened: the connection is closed or going away, or its ids are used up.
 func (c *Conn) Closing() bool { return c.closed || c.goingAway || c.nextID > maxStreamID }
 
-// Request opens a stream, for which StreamsAvailable must be over 0. A careful request must not run twice: on a connection
-// without a frame for Config.Quiet it waits for the answer to a PING, so that nothing of it is written to a dead one.
-func (c *Conn) Request(now time.Duration, fields []Field, body []byte, careful bool) (uint32, []Action) {
-	return c.request(now, &stream{fields: fields, body: body}, careful)
+// Request opens a stream, for which StreamsAvailable must be over 0. With pingFirst, on a connection without a frame for
+// Config.PingAfter, it waits for the answer to a PING, so that nothing of a request with effects is written to a dead one.
+func (c *Conn) Request(now time.Duration, fields []Field, body []byte, pingFirst bool) (uint32, []Action) {
+	return c.request(now, &stream{fields: fields, body: body}, pingFirst)
 }
 
 // RequestStreamed is Request for a response that is passed on as it comes: Began, BodyChunks and then Done, whose Response
-// has no body. The server may send Config.MaxBody bytes beyond what Consumed has returned. The body of an open request is
+// has no body. The server may send Config.MaxBodyBytes bytes beyond what Consumed has returned. The body of an open request is
 // continued by Append, after each Sent.
-func (c *Conn) RequestStreamed(now time.Duration, fields []Field, body []byte, careful, open bool) (uint32, []Action) {
-	return c.request(now, &stream{fields: fields, body: body, streamed: true, moreToCome: open, openedWithParts: open}, careful)
+func (c *Conn) RequestStreamed(now time.Duration, fields []Field, body []byte, pingFirst, open bool) (uint32, []Action) {
+	return c.request(now, &stream{fields: fields, body: body, streamed: true, moreToCome: open, openedWithParts: open}, pingFirst)
 }
 
 // Append continues the body of an open request after Sent; the last part ends it.
@@ -167,9 +167,9 @@
 }
 
 // request registers a stream, and opens it or has it wait for a PING.
-func (c *Conn) request(now time.Duration, s *stream, careful bool) (uint32, []Action) {
+func (c *Conn) request(now time.Duration, s *stream, pingFirst bool) (uint32, []Action) {
 	c.now = max(c.now, now)
-	s.id, s.sendWindow, s.receiveWindow, s.contentLength = c.nextID, c.initialSendWindow, c.cfg.MaxBody, -1
+	s.id, s.sendWindow, s.receiveWindow, s.contentLength = c.nextID, c.initialSendWindow, c.cfg.MaxBodyBytes, -1
 	for _, f := range s.fields {
 		if f.Name == ":method" {
 			s.method = f.Value
@@ -177,7 +177,7 @@
 	}
 	c.nextID += 2
 	c.streams[s.id] = s
-	if careful && c.now-c.lastFrameAt > c.cfg.Quiet {
+	if pingFirst && c.now-c.lastFrameAt > c.cfg.PingAfter {
 		c.lastPing++
 		c.awaitingPing[c.lastPing] = append(c.awaitingPing[c.lastPing], s.id)
 		var data [8]byte
@@ -220,7 +220,7 @@
 // fail ends the connection with a connection error (RFC 9113, section 5.4.1). The text goes to the server in GOAWAY.
 func (c *Conn) fail(code uint32, format string, args ...any) {
 	c.closed = true
-	c.emit(Fail{code, fmt.Sprintf(format, args...)})
+	c.emit(ConnectionError{code, fmt.Sprintf(format, args...)})
 }
 
 // Handle takes a frame of the server. After a connection error it has no effect.
@@ -242,7 +242,7 @@
 		c.headers(e)
 	case Data:
 		c.data(e)
-	case ResetFrame:
+	case RSTStream:
 		c.reset(e)
 	case GoAway:
 		c.goAway(e)
@@ -254,7 +254,7 @@
 		if s := c.streams[e.Stream]; s != nil {
 			c.resetStream(s, e.Code)
 		}
-	case Other:
+	case OtherFrame:
 		if e.Push {
 			c.fail(codeProtocol, "PUSH_PROMISE, which was not allowed")
 		}
--- a/internal/h2/client/client_test.go
+++ b/internal/h2/client/client_test.go
@@ -19,11 +19,11 @@
 		{"completed with a body", nil, []Event{response(1, false, "content-length", "2"), Data{Stream: 1, Bytes: []byte("ok"), End: true}}, "1 completed"},
 		{"completed with trailers", nil, []Event{response(1, false), Data{Stream: 1, Bytes: []byte("ok")}, Headers{1, []Field{{"grpc-status", "0"}}, true}}, "1 completed"},
 		{"after an interim response", nil, []Event{Headers{1, []Field{{":status", "103"}}, false}, response(1, true)}, "1 completed"},
-		{"REFUSED_STREAM", nil, []Event{ResetFrame{1, codeRefusedStream}}, "1 refused"},
-		{"REFUSED_STREAM after HEADERS", nil, []Event{response(1, false), ResetFrame{1, codeRefusedStream}}, "1 reset"},
-		{"RST_STREAM between HEADERS and DATA", nil, []Event{response(1, false, "content-length", "5"), ResetFrame{1, 2}}, "1 reset"},
-		{"RST_STREAM", nil, []Event{ResetFrame{1, 2}}, "1 reset"},
-		{"RST_STREAM before the request was written", body, []Event{ResetFrame{1, 2}}, "1 not written"},
+		{"REFUSED_STREAM", nil, []Event{RSTStream{1, codeRefusedStream}}, "1 refused"},
+		{"REFUSED_STREAM after HEADERS", nil, []Event{response(1, false), RSTStream{1, codeRefusedStream}}, "1 reset"},
+		{"RST_STREAM between HEADERS and DATA", nil, []Event{response(1, false, "content-length", "5"), RSTStream{1, 2}}, "1 reset"},
+		{"RST_STREAM", nil, []Event{RSTStream{1, 2}}, "1 reset"},
+		{"RST_STREAM before the request was written", body, []Event{RSTStream{1, 2}}, "1 not written"},
 		{"above the last stream of GOAWAY", nil, []Event{GoAway{0, 0}}, "1 above GOAWAY"},
 		{"not above the last stream of GOAWAY", nil, []Event{GoAway{1, 0}, response(1, true)}, "1 completed"},
 		{"no :status", nil, []Event{Headers{1, []Field{{"a", "b"}}, true}}, "1 reset"},
@@ -37,7 +37,7 @@
 		{"body longer than its length", nil, []Event{response(1, false, "content-length", "1"), Data{Stream: 1, Bytes: []byte("ok"), End: true}}, "1 reset"},
 		{"two content-lengths", nil, []Event{response(1, false, "content-length", "1", "content-length", "2")}, "1 reset"},
 		{"malformed content-length", nil, []Event{response(1, false, "content-length", "+1")}, "1 reset"},
-		{"content-length over MaxBody", nil, []Event{response(1, false, "content-length", "70000")}, "1 reset"},
+		{"content-length over MaxBodyBytes", nil, []Event{response(1, false, "content-length", "70000")}, "1 reset"},
 		{"DATA before HEADERS", nil, []Event{Data{Stream: 1, Bytes: []byte("x")}}, "1 reset"},
 		{"trailers without END_STREAM", nil, []Event{response(1, false), Headers{1, []Field{{"a", "b"}}, false}}, "1 reset"},
 		{"trailers with :status", nil, []Event{response(1, false), Headers{1, []Field{{":status", "200"}}, true}}, "1 reset"},
@@ -71,8 +71,8 @@
 func TestConnectionErrors(t *testing.T) {
 	for name, e := range map[string]Event{
 		"HEADERS on an idle stream": response(3, true), "DATA on a stream of the server": Data{Stream: 2, Bytes: []byte("x")},
-		"RST_STREAM on an idle stream": ResetFrame{9, 0}, "WINDOW_UPDATE on an idle stream": WindowUpdate{9, 1},
-		"PUSH_PROMISE": Other{Push: true}, "SETTINGS_MAX_FRAME_SIZE too small": Settings{MaxFrame: uint32Ptr(100)}, "SETTINGS_INITIAL_WINDOW_SIZE too large": Settings{InitialWindow: uint32Ptr(1 << 31)},
+		"RST_STREAM on an idle stream": RSTStream{9, 0}, "WINDOW_UPDATE on an idle stream": WindowUpdate{9, 1},
+		"PUSH_PROMISE": OtherFrame{Push: true}, "SETTINGS_MAX_FRAME_SIZE too small": Settings{MaxFrame: uint32Ptr(100)}, "SETTINGS_INITIAL_WINDOW_SIZE too large": Settings{InitialWindow: uint32Ptr(1 << 31)},
 		"WINDOW_UPDATE of 0": WindowUpdate{0, 0}, "WINDOW_UPDATE over the largest window": WindowUpdate{0, maxWindow},
 	} {
 		conn := newTestConn(t, Config{}, Settings{})
@@ -120,7 +120,7 @@
 
 // A flood of frames ends the connection at a limited cost.
 func TestFloodsEndTheConnection(t *testing.T) {
-	for name, e := range map[string]Event{"PING": Ping{}, "SETTINGS": Settings{}, "WINDOW_UPDATE of one byte": WindowUpdate{0, 1}, "empty DATA on a closed stream": Data{Stream: 1}, "unknown frames": Other{}} {
+	for name, e := range map[string]Event{"PING": Ping{}, "SETTINGS": Settings{}, "WINDOW_UPDATE of one byte": WindowUpdate{0, 1}, "empty DATA on a closed stream": Data{Stream: 1}, "unknown frames": OtherFrame{}} {
 		conn := newTestConn(t, Config{}, Settings{})
 		conn.Request(0, getFields, nil, false)
 		conn.Cancel(0, 1)
@@ -146,7 +146,7 @@
 // On a quiet connection, a request that must not run twice waits for the answer to a PING. Those behind it wait as well, since
 // streams are opened in order.
 func TestCarefulRequestWaitsForPing(t *testing.T) {
-	conn := newTestConn(t, Config{Quiet: time.Second}, Settings{})
+	conn := newTestConn(t, Config{PingAfter: time.Second}, Settings{})
 	opened := func(l []Action) (n int) {
 		for _, a := range l {
 			if _, is := a.(WriteHeaders); is {
@@ -173,13 +173,13 @@
 		t.Errorf("on a connection that received a frame recently: %v", l)
 	}
 	// If the connection ends first, nothing was written.
-	conn = newTestConn(t, Config{Quiet: time.Second}, Settings{})
+	conn = newTestConn(t, Config{PingAfter: time.Second}, Settings{})
 	conn.Request(2*time.Second, getFields, nil, true)
 	conn.Request(2*time.Second, getFields, nil, false)
 	if got := endings(conn.Close()); got != "1 not written, 3 not written" {
 		t.Errorf("%q", got)
 	}
-	conn = newTestConn(t, Config{Quiet: time.Second}, Settings{})
+	conn = newTestConn(t, Config{PingAfter: time.Second}, Settings{})
 	conn.Request(2*time.Second, getFields, nil, true)
 	conn.Request(2*time.Second, getFields, nil, false)
 	if l := conn.Cancel(2*time.Second, 1); endings(l) != "1 not written" || opened(l) != 1 {
--- a/internal/h2/client/flow.go
+++ b/internal/h2/client/flow.go
@@ -18,7 +18,7 @@
 
 // returnWindow opens a stream's receive window again, in steps of a quarter, to save frames.
 func (c *Conn) returnWindow(s *stream, n int) {
-	if s.unreturned += n; s.unreturned >= c.cfg.MaxBody/4 {
+	if s.unreturned += n; s.unreturned >= c.cfg.MaxBodyBytes/4 {
 		s.receiveWindow += s.unreturned
 		c.emit(WriteWindowUpdate{s.id, uint32(s.unreturned)})
 		s.unreturned = 0
--- a/internal/h2/client/flow_test.go
+++ b/internal/h2/client/flow_test.go
@@ -58,7 +58,7 @@
 					if (a.Ending == ConnectionLost || a.Ending == Cancelled) && s.sent < s.body {
 						t.Fatalf("stream %d ends as %v with %d of %d bytes sent", a.Stream, a.Ending, s.sent, s.body)
 					}
-				case Fail:
+				case ConnectionError:
 					closed = true
 				}
 			}
@@ -120,7 +120,7 @@
 				check(conn.Handle(conn.now, Data{Stream: id, Bytes: make([]byte, rapid.IntRange(0, 300).Draw(t, "n")), End: rapid.Bool().Draw(t, "end")}))
 			},
 			"reset": func(t *rapid.T) {
-				check(conn.Handle(conn.now, ResetFrame{pick(t), uint32(rapid.IntRange(0, 8).Draw(t, "code"))}))
+				check(conn.Handle(conn.now, RSTStream{pick(t), uint32(rapid.IntRange(0, 8).Draw(t, "code"))}))
 			},
 			"cancel": func(t *rapid.T) { check(conn.Cancel(conn.now, pick(t))) },
 			"goaway": func(t *rapid.T) {
@@ -178,12 +178,12 @@
 				Settings{InitialWindow: &n, MaxStreams: &id},
 				Headers{id, fields[:n%4%3+1], n > 128},
 				Data{id, make([]byte, n), int(n), n > 128},
-				ResetFrame{id, n % 16},
+				RSTStream{id, n % 16},
 				GoAway{id, n},
 				WindowUpdate{id, n << 20},
 				Ping{Ack: n%2 == 0, Data: [8]byte{byte(id)}},
 				Malformed{id, n},
-				Other{Push: n == 7},
+				OtherFrame{Push: n == 7},
 			}[text[i]%9]))
 		}
 		done(conn.Close())
--- a/internal/h2/client/frames.go
+++ b/internal/h2/client/frames.go
@@ -14,8 +14,8 @@
 type (
 	// Settings is SETTINGS; a nil parameter was not in the frame.
 	Settings struct {
-		Ack                                           bool
-		MaxStreams, InitialWindow, MaxFrame, MaxTable *uint32
+		Ack                                 bool
+		MaxStreams, InitialWindow, MaxFrame *uint32
 	}
 	// Headers is a complete field section, pseudo-header fields included: HEADERS with its CONTINUATION frames.
 	Headers struct {
@@ -30,8 +30,8 @@
 		Padded int
 		End    bool
 	}
-	// ResetFrame is RST_STREAM.
-	ResetFrame struct{ Stream, Code uint32 }
+	// RSTStream is RST_STREAM.
+	RSTStream struct{ Stream, Code uint32 }
 	// GoAway is GOAWAY.
 	GoAway struct{ Last, Code uint32 }
 	// WindowUpdate is WINDOW_UPDATE; Stream 0 is the connection.
@@ -43,8 +43,8 @@
 	}
 	// Malformed is a stream error that the framer has found (section 5.4.2).
 	Malformed struct{ Stream, Code uint32 }
-	// Other is any other frame. PUSH_PROMISE is a connection error, since push is disabled; the rest is ignored.
-	Other struct{ Push bool }
+	// OtherFrame is any other frame. PUSH_PROMISE is a connection error, since push is disabled; the rest is ignored.
+	OtherFrame struct{ Push bool }
 )
 
 // Event is one of the types above.
@@ -69,8 +69,8 @@
 		Bytes  []byte
 		End    bool
 	}
-	// WriteReset is RST_STREAM.
-	WriteReset struct{ Stream, Code uint32 }
+	// WriteRSTStream is RST_STREAM.
+	WriteRSTStream struct{ Stream, Code uint32 }
 	// WriteWindowUpdate is WINDOW_UPDATE.
 	WriteWindowUpdate struct{ Stream, Add uint32 }
 	// WritePing is PING.
@@ -96,8 +96,8 @@
 		Ending   Ending
 		Response Response // with Completed
 	}
-	// Fail is a connection error (section 5.4.1): GOAWAY with the code is to be written, and Close to be called.
-	Fail struct {
+	// ConnectionError is a connection error (section 5.4.1): GOAWAY with the code is to be written, and Close to be called.
+	ConnectionError struct {
 		Code uint32
 		Text string
 	}
--- a/internal/h2/client/helpers_test.go
+++ b/internal/h2/client/helpers_test.go
@@ -38,7 +38,7 @@
 // failure returns the text of the connection error among actions; "": there is none.
 func failure(l []Action) string {
 	for _, a := range l {
-		if f, is := a.(Fail); is {
+		if f, is := a.(ConnectionError); is {
 			return f.Text
 		}
 	}
--- a/internal/h2/client/receive.go
+++ b/internal/h2/client/receive.go
@@ -79,7 +79,7 @@
 		return
 	}
 	s.response.NoLength = s.contentLength < 0
-	if s.contentLength > c.cfg.MaxBody && !s.streamed && s.method != "HEAD" {
+	if s.contentLength > c.cfg.MaxBodyBytes && !s.streamed && s.method != "HEAD" {
 		c.resetStream(s, codeCancel)
 		return
 	}
@@ -161,7 +161,7 @@
 		return
 	}
 	if !s.endWritten {
-		c.emit(WriteReset{s.id, codeNoError})
+		c.emit(WriteRSTStream{s.id, codeNoError})
 	}
 	c.endStream(s, Completed)
 }
@@ -216,7 +216,7 @@
 }
 
 // reset takes RST_STREAM. REFUSED_STREAM proves that the request was not processed (RFC 9113, section 8.7).
-func (c *Conn) reset(e ResetFrame) {
+func (c *Conn) reset(e RSTStream) {
 	s := c.streams[e.Stream]
 	if s == nil {
 		if c.idleStream(e.Stream) {
--- a/internal/h2/client/stream.go
+++ b/internal/h2/client/stream.go
@@ -39,7 +39,7 @@
 		return nil
 	}
 	if s.headersWritten {
-		c.emit(WriteReset{id, codeCancel})
+		c.emit(WriteRSTStream{id, codeCancel})
 	}
 	e := Cancelled
 	if !s.mayHaveRun() {
@@ -71,7 +71,7 @@
 
 // resetStream ends a stream for a malformed response: a stream error (RFC 9113, section 5.4.2).
 func (c *Conn) resetStream(s *stream, code uint32) {
-	c.emit(WriteReset{s.id, code})
+	c.emit(WriteRSTStream{s.id, code})
 	e := Reset
 	if !s.mayHaveRun() {
 		e = NotWritten // the server never gets the complete request
--- a/internal/h2/client/stream_test.go
+++ b/internal/h2/client/stream_test.go
@@ -5,9 +5,9 @@
 )
 
 // A streamed response is passed on as it comes, and its window is opened again as it is consumed: the server can have at most
-// MaxBody unconsumed bytes on the way, and a stream over that is reset.
+// MaxBodyBytes unconsumed bytes on the way, and a stream over that is reset.
 func TestStreamedResponse(t *testing.T) {
-	c, _ := New(0, Config{MaxBody: 1000})
+	c, _ := New(0, Config{MaxBodyBytes: 1000})
 	c.Handle(0, Settings{})
 	id, _ := c.RequestStreamed(0, []Field{{":method", "POST"}}, []byte("x"), false, false)
 	if l := c.Handle(0, Headers{Stream: id, Fields: []Field{{":status", "200"}, {"content-type", "a"}}}); len(l) != 0 {
@@ -18,16 +18,16 @@
 		t.Fatalf("first DATA: %+v", l)
 	}
 	if l := c.Consumed(0, id, 200); len(l) != 0 {
-		t.Errorf("WINDOW_UPDATE before a quarter of MaxBody was consumed: %+v", l)
+		t.Errorf("WINDOW_UPDATE before a quarter of MaxBodyBytes was consumed: %+v", l)
 	}
 	if l := c.Consumed(0, id, 100); len(l) != 1 || l[0].(WriteWindowUpdate) != (WriteWindowUpdate{id, 300}) {
-		t.Errorf("after a quarter of MaxBody was consumed: %+v", l)
+		t.Errorf("after a quarter of MaxBodyBytes was consumed: %+v", l)
 	}
 	if l := c.Handle(0, Data{Stream: id, Bytes: make([]byte, 400)}); len(l) != 1 || len(l[0].(BodyChunk).Bytes) != 400 {
 		t.Errorf("DATA within the window: %+v", l)
 	}
 	l = c.Handle(0, Data{Stream: id, Bytes: make([]byte, 1)})
-	if len(l) != 2 || l[0].(WriteReset) != (WriteReset{id, codeFlowControl}) || l[1].(Done).Ending != Reset {
+	if len(l) != 2 || l[0].(WriteRSTStream) != (WriteRSTStream{id, codeFlowControl}) || l[1].(Done).Ending != Reset {
 		t.Errorf("a byte over the window: %+v", l)
 	}
 	if l := c.Consumed(0, id, 900); len(l) != 0 {
@@ -87,7 +87,7 @@
 	}
 	c, id, _ = start() // a response may be complete before the request is
 	l = c.Handle(0, Headers{Stream: id, Fields: []Field{{":status", "200"}}, End: true})
-	if len(l) != 2 || l[0].(WriteReset) != (WriteReset{id, codeNoError}) || l[1].(Done).Ending != Completed {
+	if len(l) != 2 || l[0].(WriteRSTStream) != (WriteRSTStream{id, codeNoError}) || l[1].(Done).Ending != Completed {
 		t.Errorf("early response: %+v", l)
 	}
 }
--- a/internal/node/admin_state.go
+++ b/internal/node/admin_state.go
@@ -40,23 +40,23 @@
 	return s
 }
 
-// Out implements engine.AdminStates.
-func (s *adminState) Out(id string) bool { return s.state.Load().IsDown(id) }
+// IsOutOfService implements engine.AdminStates.
+func (s *adminState) IsOutOfService(id string) bool { return s.state.Load().IsDown(id) }
 
-// Boot implements engine.AdminStates.
-func (s *adminState) Boot(id string, boot time.Duration) time.Duration {
+// StartTime implements engine.AdminStates.
+func (s *adminState) StartTime(id string, boot time.Duration) time.Duration {
 	return s.state.Load().EffectiveBoot(id, boot)
 }
 
-// Entered implements engine.AdminStates.
-func (s *adminState) Entered(id string) {
+// ServerListed implements engine.AdminStates.
+func (s *adminState) ServerListed(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listed[id]++ // several pools may list it
 }
 
-// Left implements engine.AdminStates.
-func (s *adminState) Left(id string) {
+// ServerRemoved implements engine.AdminStates.
+func (s *adminState) ServerRemoved(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.listed[id]--; s.listed[id] <= 0 {
--- a/internal/node/admin_state_test.go
+++ b/internal/node/admin_state_test.go
@@ -105,7 +105,7 @@
 	n.onlyEngine().Do(func() { close(blocked); <-release })
 	testkit.Wait(t, blocked)
 	wantAnswer(t, n, "set-down a", "200")
-	if !n.adminState.Out("a") {
+	if !n.adminState.IsOutOfService("a") {
 		t.Error("set-down was confirmed before it took effect")
 	}
 	close(release)
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -131,15 +131,15 @@
 	cfg.Listen = old.Addr().String()
 	cfg.Known.Targets = nil
 	next := startProcess(t, cfg)
-	if !next.adminState.Out("a") {
+	if !next.adminState.IsOutOfService("a") {
 		t.Error("the successor does not know that the server is down")
 	}
 	wantAnswer(t, next.Node, "set-down b", "200")
-	if !old.adminState.Out("b") {
+	if !old.adminState.IsOutOfService("b") {
 		t.Error("the predecessor does not know what the successor confirmed")
 	}
 	wantAnswer(t, old.Node, "set-down c", "200")
-	if !next.adminState.Out("c") {
+	if !next.adminState.IsOutOfService("c") {
 		t.Error("the successor does not know what the predecessor confirmed")
 	}
 	wantAnswer(t, old.Node, "drain-on", "200")
@@ -148,7 +148,7 @@
 	}
 	wantAnswer(t, next.Node, "drain-off", "200")
 	wantAnswer(t, next.Node, "set-up a", "200")
-	if old.adminState.isDraining() || old.adminState.Out("a") {
+	if old.adminState.isDraining() || old.adminState.IsOutOfService("a") {
 		t.Error("the predecessor does not know what was revoked at the successor")
 	}
 	old.stop()
@@ -157,7 +157,7 @@
 	cfg.Listen = "127.0.0.1:0"
 	last := startProcess(t, cfg)
 	defer last.stop()
-	if last.adminState.Out("a") || !last.adminState.Out("b") || !last.adminState.Out("c") || last.adminState.isDraining() {
+	if last.adminState.IsOutOfService("a") || !last.adminState.IsOutOfService("b") || !last.adminState.IsOutOfService("c") || last.adminState.isDraining() {
 		t.Errorf("the state of the file: %+v", last.adminState.state.Load())
 	}
 	wantAnswer(t, last.Node, "set-up b", "200") // the file remembers that it was listed
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -33,13 +33,13 @@
 	if faults != nil {
 		return nil, faults
 	}
-	t.forEachHost(func(p *hostRules) {
-		sortBySpecificity(p.regexps)
-		sortBySpecificity(p.anyPath)
-		for _, rules := range p.byPath {
+	t.forEachHost(func(h *hostRules) {
+		sortBySpecificity(h.regexps)
+		sortBySpecificity(h.anyPath)
+		for _, rules := range h.byPath {
 			sortBySpecificity(rules)
 		}
-		for _, rules := range p.byPrefix {
+		for _, rules := range h.byPrefix {
 			sortBySpecificity(rules)
 		}
 	})
@@ -49,11 +49,11 @@
 // forEachHost calls f with the rules of every host.
 func (t *Table) forEachHost(f func(*hostRules)) {
 	f(t.anyHost)
-	for _, p := range t.hosts {
-		f(p)
+	for _, h := range t.hosts {
+		f(h)
 	}
-	for _, p := range t.suffixes {
-		f(p)
+	for _, h := range t.suffixes {
+		f(h)
 	}
 }
 
@@ -173,22 +173,22 @@
 }
 
 // add stores a rule. It returns the kind of its path condition and how many rules of that kind would be tried with it.
-func (p *hostRules) add(c *rule) (key string, same int) {
+func (h *hostRules) add(c *rule) (key string, same int) {
 	switch {
 	case c.Path != "":
-		p.byPath[c.Path] = append(p.byPath[c.Path], c)
-		return "path", len(p.byPath[c.Path])
+		h.byPath[c.Path] = append(h.byPath[c.Path], c)
+		return "path", len(h.byPath[c.Path])
 	case c.regexp != nil:
-		p.regexps = append(p.regexps, c)
-		return "regexp", len(p.regexps)
+		h.regexps = append(h.regexps, c)
+		return "regexp", len(h.regexps)
 	case c.Prefix != "":
 		at := strings.TrimSuffix(c.Prefix, "/")
-		p.byPrefix[at] = append(p.byPrefix[at], c)
-		p.maxPrefixDepth = max(p.maxPrefixDepth, strings.Count(at, "/"))
-		return "prefix", len(p.byPrefix[at])
+		h.byPrefix[at] = append(h.byPrefix[at], c)
+		h.maxPrefixDepth = max(h.maxPrefixDepth, strings.Count(at, "/"))
+		return "prefix", len(h.byPrefix[at])
 	}
-	p.anyPath = append(p.anyPath, c)
-	return "host", len(p.anyPath)
+	h.anyPath = append(h.anyPath, c)
+	return "host", len(h.anyPath)
 }
 
 // sortBySpecificity puts the most specific rule first, as the package comment defines it.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -138,32 +138,32 @@
 	return Target{Pool: matched.splitPool(r.ID), Class: matched.Class, Route: matched.index}, true
 }
 
-func (p *hostRules) match(r *Request) *rule {
-	if p == nil {
+func (h *hostRules) match(r *Request) *rule {
+	if h == nil {
 		return nil
 	}
-	if matched := firstMatch(p.byPath[r.Path], r); matched != nil {
+	if matched := firstMatch(h.byPath[r.Path], r); matched != nil {
 		return matched
 	}
-	for _, matched := range p.regexps {
+	for _, matched := range h.regexps {
 		if matched.matches(r) && matched.regexp.MatchString(r.Path) {
 			return matched
 		}
 	}
-	if len(p.byPrefix) > 0 {
-		if matched := p.matchPrefix(r); matched != nil {
+	if len(h.byPrefix) > 0 {
+		if matched := h.matchPrefix(r); matched != nil {
 			return matched
 		}
 	}
-	return firstMatch(p.anyPath, r)
+	return firstMatch(h.anyPath, r)
 }
 
 // matchPrefix tries the prefixes of the path, from the longest one that any rule could have.
-func (p *hostRules) matchPrefix(r *Request) *rule {
+func (h *hostRules) matchPrefix(r *Request) *rule {
 	end, depth := len(r.Path), 0
 	for i := 0; i < len(r.Path); i++ {
 		if r.Path[i] == '/' {
-			if depth == p.maxPrefixDepth {
+			if depth == h.maxPrefixDepth {
 				end = i
 				break
 			}
@@ -171,7 +171,7 @@
 		}
 	}
 	for at := r.Path[:end]; ; {
-		if c := firstMatch(p.byPrefix[at], r); c != nil {
+		if c := firstMatch(h.byPrefix[at], r); c != nil {
 			return c
 		}
 		i := strings.LastIndexByte(at, '/')
--- a/internal/sender/h2/frames.go
+++ b/internal/sender/h2/frames.go
@@ -50,7 +50,7 @@
 			http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: a.MaxHeader})
 	case client.WriteSettingsAck:
 		_ = w.framer.WriteSettingsAck()
-	case client.WriteReset:
+	case client.WriteRSTStream:
 		_ = w.framer.WriteRSTStream(a.Stream, http2.ErrCode(a.Code))
 	case client.WriteWindowUpdate:
 		_ = w.framer.WriteWindowUpdate(a.Stream, a.Add)
@@ -149,7 +149,7 @@
 		padding := int(f.Length) - len(f.Data())
 		return client.Data{Stream: f.StreamID, Bytes: bytes.Clone(f.Data()), Padded: padding, End: f.StreamEnded()}
 	case *http2.RSTStreamFrame:
-		return client.ResetFrame{Stream: f.StreamID, Code: uint32(f.ErrCode)}
+		return client.RSTStream{Stream: f.StreamID, Code: uint32(f.ErrCode)}
 	case *http2.GoAwayFrame:
 		return client.GoAway{Last: f.LastStreamID, Code: uint32(f.ErrCode)}
 	case *http2.WindowUpdateFrame:
@@ -157,9 +157,9 @@
 	case *http2.PingFrame:
 		return client.Ping{Ack: f.IsAck(), Data: f.Data}
 	case *http2.PushPromiseFrame:
-		return client.Other{Push: true}
+		return client.OtherFrame{Push: true}
 	}
-	return client.Other{}
+	return client.OtherFrame{}
 }
 
 // settingsEvent converts a SETTINGS frame.
--- a/internal/sender/h2/loop.go
+++ b/internal/sender/h2/loop.go
@@ -22,7 +22,7 @@
 
 // newConnLoop returns the loop of a connection that has just been established, and the first actions to perform.
 func newConnLoop(c *conn) (*connLoop, []client.Action) {
-	machine, opening := client.New(c.sender.now(), client.Config{MaxStreams: c.sender.cfg.MaxStreamsPerConn, MaxHeader: maxHeaderBytes})
+	machine, opening := client.New(c.sender.now(), client.Config{MaxStreams: c.sender.cfg.MaxStreamsPerConn, MaxHeaderBytes: maxHeaderBytes})
 	return &connLoop{conn: c, machine: machine, frames: newFrameWriter(c.netConn), requests: map[uint32]*streamRequest{}}, opening
 }
 
@@ -124,7 +124,7 @@
 			l.signalBodySent(a.Stream)
 		case client.Done:
 			done = append(done, a)
-		case client.Fail:
+		case client.ConnectionError:
 			l.frames.writeGoAway(http2.ErrCode(a.Code), a.Text)
 			failure = errors.New(a.Text)
 		default:
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -119,22 +119,22 @@
 		s.release(a.Endpoint, c) // closes it if the endpoint is no longer usable
 		return result{ending: ending}
 	}
-	on := exchangeConn{conn: c, stop: closeAtEnd(ctx, c), unsent: text}
+	active := exchangeConn{conn: c, stop: closeAtEnd(ctx, c), unsent: text}
 	if atMostOnce && s.needsProbe(c) || m.BodyRest != nil && c.reused {
 		var ending balancer.Ending
 		var ok bool
-		if on, ending, ok = s.probe(ctx, a, on, text); !ok {
+		if active, ending, ok = s.probe(ctx, a, active, text); !ok {
 			return result{ending: ending}
 		}
 	}
-	res, keep := s.exchange(ctx, a, on.conn, r, on.unsent)
+	res, keep := s.exchange(ctx, a, active.conn, r, active.unsent)
 	if ctx.Err() == nil { // otherwise it was not the connection that ended it
-		s.recordExchange(on.conn, res.ending == balancer.Broken || res.ending == balancer.Unreachable)
+		s.recordExchange(active.conn, res.ending == balancer.Broken || res.ending == balancer.Unreachable)
 	}
-	if on.stop() && keep {
-		s.release(a.Endpoint, on.conn)
+	if active.stop() && keep {
+		s.release(a.Endpoint, active.conn)
 	} else {
-		s.close(on.conn)
+		s.close(active.conn)
 	}
 	return res
 }
--- a/internal/sender/http1/probe.go
+++ b/internal/sender/http1/probe.go
@@ -13,34 +13,34 @@
 
 // probe writes the head of the request but for its last byte, on this connection or, if that proves to be broken, on a new
 // one. If it returns false the request has not run, and the connection is closed.
-func (s *Sender) probe(ctx context.Context, a *engine.Attempt, on exchangeConn, text []byte) (exchangeConn, balancer.Ending, bool) {
+func (s *Sender) probe(ctx context.Context, a *engine.Attempt, active exchangeConn, text []byte) (exchangeConn, balancer.Ending, bool) {
 	var err error
-	on.unsent, err = on.probe(text, s.minProbeWait)
+	active.unsent, err = active.probe(text, s.minProbeWait)
 	if err != nil && ctx.Err() == nil {
 		// No server has a complete request yet, so using another connection makes no second attempt of it.
-		s.recordExchange(on.conn, true)
-		on.stop()
-		s.close(on.conn)
-		if on.conn, err = s.dial(ctx, a.Endpoint); err != nil {
-			return on, balancer.Unreachable, false
+		s.recordExchange(active.conn, true)
+		active.stop()
+		s.close(active.conn)
+		if active.conn, err = s.dial(ctx, a.Endpoint); err != nil {
+			return active, balancer.Unreachable, false
 		}
 		if !a.Endpoint.Usable() {
-			s.close(on.conn)
-			return on, balancer.Unreachable, false
+			s.close(active.conn)
+			return active, balancer.Unreachable, false
 		}
-		on.stop = closeAtEnd(ctx, on.conn)
-		on.unsent, err = on.probe(text, s.minProbeWait)
+		active.stop = closeAtEnd(ctx, active.conn)
+		active.unsent, err = active.probe(text, s.minProbeWait)
 	}
 	if err == nil {
-		return on, 0, true
+		return active, 0, true
 	}
-	s.recordExchange(on.conn, ctx.Err() == nil)
-	on.stop()
-	s.close(on.conn)
+	s.recordExchange(active.conn, ctx.Err() == nil)
+	active.stop()
+	s.close(active.conn)
 	if ctx.Err() != nil {
-		return on, balancer.NeverSent, false
+		return active, balancer.NeverSent, false
 	}
-	return on, balancer.Unreachable, false
+	return active, balancer.Unreachable, false
 }
 
 // Limits of the wait between the two parts of a request.
