--- a/internal/mesh/sidecar/upstream_sender.go
+++ b/internal/mesh/sidecar/upstream_sender.go
@@ -87,7 +87,7 @@
 	select {
 	case <-a.done:
 	case <-ctx.Done():
-		if m.Runs != message.RunsOnce || m.BodyRest != nil { // otherwise it goes on, and its response is stored for a repeated request
+		if m.Idempotency != message.NotIdempotent || m.BodyRest != nil { // otherwise it goes on, and its response is stored for a repeated request
 			_ = a.conn.Send(&wire.CancelT{Id: a.id})
 		}
 		a.finish(engine.EndingOf(ctx), nil)
