--- a/internal/mesh/controlplane/leader_test.go
+++ b/internal/mesh/controlplane/leader_test.go
@@ -13,7 +13,7 @@
 
 const testAddress = "10.0.0.1:7000"
 
-// soloEnvironment is that of a replica without peers or sidecars, on a disk that takes everything.
+// soloEnvironment is the environment of a replica without peers or sidecars, whose disk accepts everything.
 type soloEnvironment struct{}
 
 func (soloEnvironment) Send(string, raft.Message)                             {}
@@ -24,13 +24,13 @@
 func (soloEnvironment) BroadcastToSidecars(any)                               {}
 func (soloEnvironment) BroadcastToReplicas(any)                               {}
 
-// soloLeader is a replica that leads by itself, and the clock that it goes by.
+// soloLeader is a replica that leads by itself, with its clock.
 type soloLeader struct {
 	*replica.Replica
 	clock *clock
 }
 
-// newSoloLeader returns a leader whose clock stands where the test puts it, apart from the time that the test itself takes.
+// newSoloLeader returns a leader whose clock the test sets. It also advances by the time that the test itself takes.
 func newSoloLeader(t *testing.T) soloLeader {
 	t.Helper()
 	self := raft.Member{ID: 7, Addr: testAddress}
@@ -49,7 +49,7 @@
 	return soloLeader{r, &clock{started: time.Now().Add(-now)}}
 }
 
-// modify has a change of the configuration committed.
+// modify commits a configuration change.
 func (l soloLeader) modify(t *testing.T, body string) {
 	t.Helper()
 	var got replica.Reply
--- a/internal/mesh/controlplane/maintenance_test.go
+++ b/internal/mesh/controlplane/maintenance_test.go
@@ -21,7 +21,7 @@
 
 const sidecarAddress = "10.0.0.9:7001"
 
-// newTestController returns a controller at a leader that knows one sidecar, with a survey of it that is under way.
+// newTestController returns a controller at a leader that knows one sidecar, with a survey in progress.
 func newTestController(t *testing.T) (*maintenanceController, soloLeader) {
 	t.Helper()
 	leader := newSoloLeader(t)
@@ -38,7 +38,7 @@
 	return controller, leader
 }
 
-// ask answers a request, and lets the replica take its turn.
+// ask makes a request, lets the replica process it, and returns the response.
 func ask(t *testing.T, controller *maintenanceController, leader soloLeader, request MaintenanceRequest) (MaintenanceResponse, error) {
 	t.Helper()
 	var response MaintenanceResponse
--- a/internal/mesh/controlplane/peer_link_test.go
+++ b/internal/mesh/controlplane/peer_link_test.go
@@ -41,8 +41,8 @@
 	return l.quickRedials
 }
 
-// A peer that accepts connections and closes them is dialled again a few times at once, then no more until the ordinary pause; one
-// whose connection had lasted is dialled again at once, whatever was before.
+// A peer that accepts connections and closes them is dialled again quickly a few times, and then only after the ordinary interval. A peer whose
+// connection has lasted is again dialled quickly.
 func TestRedialsAreBounded(t *testing.T) {
 	peer := listen(t)
 	dials := make(chan bool, 64)
@@ -76,7 +76,7 @@
 	awaitDial("the peer is not dialled again though its connection had lasted")
 }
 
-// A peer that shows that it runs is dialled without waiting for the pause after a failed dial.
+// A peer that has shown that it runs is dialled without waiting for the interval after a failed dial.
 func TestDialNowSkipsThePause(t *testing.T) {
 	peer := listen(t)
 	link := newTestLink(t, peer.Addr().String())
@@ -89,7 +89,7 @@
 	assert.NilError(t, connection.Close())
 }
 
-// Only a refused dial says that no process listens.
+// Only a refused dial shows that no process listens.
 func TestConnectionRefused(t *testing.T) {
 	peer := listen(t)
 	address := peer.Addr().String()
@@ -103,7 +103,7 @@
 	assert.Assert(t, err != nil && !isConnectionRefused(err))
 }
 
-// A peer whose host refuses the connection is reported as gone.
+// A peer whose host refuses the connection is reported as exited.
 func TestRefusedPeerIsReported(t *testing.T) {
 	peer := listen(t)
 	address := peer.Addr().String()
@@ -120,7 +120,7 @@
 	}
 }
 
-// While a peer is dialled only the latest frames are kept.
+// While a peer is being dialled only the latest frames are kept.
 func TestPendingFramesAreBounded(t *testing.T) {
 	link := newTestLink(t, "")
 	link.dialing = true
--- a/internal/mesh/controlplane/policy_activation_test.go
+++ b/internal/mesh/controlplane/policy_activation_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, activator.pending, pendingActivation{})
 }
 
-// What an earlier leadership knew counts for nothing: the time that sidecars are waited for runs anew.
+// The state of an earlier leadership does not count: the time to wait for sidecars starts again.
 func TestPendingActivationBelongsToATerm(t *testing.T) {
 	activator, leader := newTestActivator(t)
 	activator.pending.term--
--- a/internal/mesh/controlplane/store_test.go
+++ b/internal/mesh/controlplane/store_test.go
@@ -12,7 +12,7 @@
 	meshstorage "cranegrade/internal/mesh/storage"
 )
 
-// A member that starts on a full disk waits for room and keeps what it holds; one that starts on damaged files begins anew.
+// A member that starts on a full disk waits for space and keeps its state. A member that starts on corrupted files starts with an empty store.
 func TestOpenStore(t *testing.T) {
 	for name, damaged := range map[string]bool{"full disk": false, "full disk and damaged files": true} {
 		t.Run(name, func(t *testing.T) {
@@ -69,7 +69,7 @@
 	assert.Assert(t, writer.fault() != "")
 }
 
-// newDisk returns a disk that holds the store of member 7.
+// newDisk returns a disk with the store of member 7.
 func newDisk(t *testing.T) *disk.Disk {
 	t.Helper()
 	simulated := disk.New()
@@ -80,7 +80,7 @@
 	return simulated
 }
 
-// freeAfterWrites fills a disk, and frees it once more than so many files were to be created on it.
+// freeAfterWrites fills a disk, and frees it after a number of attempts to create files.
 func freeAfterWrites(simulated *disk.Disk, writes int) {
 	simulated.SetFull(true)
 	created := 0
@@ -94,7 +94,7 @@
 	})
 }
 
-// writeDamagedRecord puts a complete record of a wrong checksum and type in the store's journal.
+// writeDamagedRecord writes a complete record with a wrong checksum and type to the write-ahead log of the store.
 func writeDamagedRecord(t *testing.T, simulated *disk.Disk) {
 	t.Helper()
 	files, err := simulated.Open(false)
--- a/internal/mesh/sidecar/call_chain_test.go
+++ b/internal/mesh/sidecar/call_chain_test.go
@@ -24,12 +24,12 @@
 	"cranegrade/internal/testkit"
 )
 
-// A call chain is the real way of a call in one process: caller, sidecar, transport, sidecar, server, with relays on both hops and
-// a fake control plane. Tests cut it where they want.
+// A call chain is the complete path of a call in one process: caller, sidecar, transport, sidecar, server, with relays on both hops and a fake
+// control plane. Tests cut it at any point.
 
 const chainHost = "shop.example"
 
-// freeAddr is a loopback address that nothing listens on.
+// freeAddr returns a loopback address on which nothing listens.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", fmt.Sprintf("127.%d.%d.%d:0", 1+rand.IntN(250), rand.IntN(256), 1+rand.IntN(250)))
@@ -70,7 +70,7 @@
 
 var lastAttemptNumber atomic.Uint64
 
-// startCallChain starts a chain with so many servers.
+// startCallChain starts a chain with some number of servers.
 func startCallChain(t testing.TB, servers int) *callChain {
 	t.Helper()
 	x := &callChain{t: t, history: newCallHistory()}
@@ -123,7 +123,7 @@
 	}
 }
 
-// discardRing is a log that nobody reads: making one sets what is the process's own.
+// discardRing returns a log ring that nobody reads.
 var discardRing = sync.OnceValue(func() *logring.Ring {
 	_, ring := logring.New(io.Discard, "test")
 	return ring
@@ -148,7 +148,7 @@
 	return l
 }
 
-// runSidecar runs a sidecar until the test's end.
+// runSidecar runs a sidecar until the test ends.
 func runSidecar(t testing.TB, l *Sidecar) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -167,7 +167,7 @@
 	mustRedial bool // the latest answer said that none follows here
 }
 
-// outbound is where callers connect.
+// outbound returns the address that callers connect to.
 func (x *callChain) outbound() string { return x.near.env.settings.Load().ListenAddrs.Outbound }
 
 func (x *callChain) dial() *callerConn {
@@ -177,7 +177,7 @@
 	return &callerConn{x: x, c: c, r: bufio.NewReader(c)}
 }
 
-// newAttemptID is a new id of a call.
+// newAttemptID returns a new ID of a call.
 func newAttemptID() string { return fmt.Sprintf("a%07d", lastAttemptNumber.Add(1)) }
 
 // call makes one call on a connection of its own.
@@ -193,10 +193,10 @@
 
 const callBody = "twelve bytes"
 
-// uploadBytes is a body that comes in pieces.
+// uploadBytes is a body that is uploaded in chunks.
 const uploadBytes = 200_000
 
-// call makes one call and reads its one answer.
+// call makes one call and reads its response.
 func (c *callerConn) call(attempt string, kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
 	c.x.history.asked(attempt, kind, key)
 	t := c.exchange(attempt, kind, how, key, budget)
@@ -204,7 +204,7 @@
 	return t
 }
 
-// exchange writes one call and reads its answer, on another connection where the answer before said that it is the last one.
+// exchange writes one call and reads its response. It uses a new connection if the previous response has closed the current one.
 func (c *callerConn) exchange(attempt string, kind kindOfCall, how, key string, budget time.Duration) callerAnswer {
 	if c.mustRedial {
 		c.c.Close()
@@ -217,7 +217,7 @@
 	return c.readAnswer()
 }
 
-// requestText is a call as its caller writes it.
+// requestText returns a call as its caller writes it.
 func requestText(attempt string, kind kindOfCall, how, key string, budget time.Duration) string {
 	body := callBody
 	if how == "upload" {
@@ -231,7 +231,7 @@
 	return head + "\r\n" + body
 }
 
-// readAnswer reads one answer; the zero value where there is no complete one.
+// readAnswer reads one response. It returns the zero value if there is no complete one.
 func (c *callerConn) readAnswer() callerAnswer {
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -248,7 +248,7 @@
 	}
 }
 
-// assertNoViolations fails the test for each rule that was broken.
+// assertNoViolations fails the test for each violation.
 func (x *callChain) assertNoViolations() {
 	x.t.Helper()
 	for _, v := range x.history.violations() {
--- a/internal/mesh/sidecar/call_history_test.go
+++ b/internal/mesh/sidecar/call_history_test.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/mesh/history"
 )
 
-// kindOfCall is how often a call may run.
+// kindOfCall classifies calls by how often they may run.
 type kindOfCall string
 
 const (
@@ -18,8 +18,8 @@
 	repeatableCall kindOfCall = "often"
 )
 
-// callerAnswer is what a caller was told: the status, the request that the answer names, its seal and body; status 0: the connection
-// ended without an answer.
+// callerAnswer is the response that a caller got: the status, the request that the response names, its seal and body. Status 0: the connection
+// ended without a response.
 type callerAnswer struct {
 	Status          int
 	AttemptID, Seal string
@@ -36,7 +36,7 @@
 	runs    []string // servers that ran it, in order
 }
 
-// callHistory is what callers and servers saw. It judges from outside of the code under test.
+// callHistory records what callers and servers saw, and checks it independently of the code under test.
 type callHistory struct {
 	start time.Time
 	mu    sync.Mutex // guards below
@@ -49,7 +49,7 @@
 	return &callHistory{start: time.Now(), calls: map[string]*callSeen{}}
 }
 
-// keyWindow is in which a key runs once: longer than any test. A call that may run once counts as a key of its own.
+// keyWindow is how long a key may run only once. It is longer than any test. A call that may run once counts as a key of its own.
 const keyWindow = time.Hour
 
 func (h *callHistory) call(attempt string) *callSeen {
@@ -97,26 +97,26 @@
 	}
 }
 
-// runs is how often a call has run.
+// runs returns how often a call has run.
 func (h *callHistory) runs(attempt string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.call(attempt).runs)
 }
 
-// answers is how many answers a call has.
+// answers returns how many responses a call has got.
 func (h *callHistory) answers(attempt string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.call(attempt).answers)
 }
 
-// sealOf is what a server stamps the answer to a call with.
+// sealOf returns the seal of a server's response to a call.
 func sealOf(attempt string) string { return "seal." + attempt }
 
-// violations are the rules that were broken: each call has one answer, its own; what is not idempotent runs once at the
-// most, for a key over all of its calls; 503, 429, 421 and 408 are told only of what never ran; a repeat's success is the
-// first run's answer.
+// violations returns the violations of these rules: each call gets exactly one response, its own; a call that is not idempotent runs at most once,
+// for a key over all its calls; 503, 429, 421 and 408 are only returned for calls that never ran; a successful repeat returns the response
+// of the first run.
 func (h *callHistory) violations() (l []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,7 +143,7 @@
 	return l
 }
 
-// judge looks at one answer. The caller holds the lock.
+// judge checks one response. The caller holds the lock.
 func (h *callHistory) judge(attempt string, c *callSeen, t callerAnswer, runsOfKey []string, wrong func(string, ...any)) {
 	switch t.Status {
 	case 408, 421, 429, 503:
@@ -167,5 +167,5 @@
 	}
 }
 
-// bodyOf is what the answer to a call begins with.
+// bodyOf returns the beginning of the response to a call.
 func bodyOf(attempt string) string { return "ran " + attempt + "\n" }
--- a/internal/mesh/sidecar/claim_breaker_test.go
+++ b/internal/mesh/sidecar/claim_breaker_test.go
@@ -11,8 +11,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Claims that are not answered hold no places for long: once none has been for a while, all but a few are given up at once, and
-// the first answer lets them wait again.
+// Once no lease request has been answered for a while, all but a few fail at once, so that they do not occupy capacity. After the first response
+// they may wait again.
 func TestClaimBreaker(t *testing.T) {
 	const ms = time.Millisecond
 	var b claimBreaker
@@ -44,7 +44,7 @@
 	assert.Assert(t, !admit(941*ms))
 }
 
-// A member that says nothing while a claim waits is left long before its connection would end by itself.
+// A member that is silent while a lease request waits is left long before its connection would time out.
 func TestSilentMemberIsLeftWhileClaimWaits(t *testing.T) {
 	s, conn, _ := newFollowingSidecar(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/mesh/sidecar/connection_cut_test.go
+++ b/internal/mesh/sidecar/connection_cut_test.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/testkit"
 )
 
-// hop is where a call is cut.
+// hop is the hop on which a call is cut.
 type hop string
 
 const (
@@ -27,10 +27,10 @@
 // patience of the caller for calls whose connection says nothing any more.
 const silentBudget = 60 * time.Millisecond
 
-// maxTriesPerPoint is how often one point is tried at the most.
+// maxTriesPerPoint is how often one point is tried at most.
 const maxTriesPerPoint = 50
 
-// cutCall makes one call that is cut, and then another; of a key its repeat in between. struck says that the cut came about.
+// cutCall makes one call that is cut and then another, with a repeat of a keyed call in between. struck says that the cut took effect.
 func (x *callChain) cutCall(h hop, kind kindOfCall, c *cut) (first callerAnswer, struck bool) {
 	x.t.Helper()
 	attempt, key := newAttemptID(), ""
@@ -83,7 +83,7 @@
 	return first, struck
 }
 
-// sweep cuts calls behind each byte of the request, or of the answer, from a first byte on with a step.
+// sweep cuts calls after each byte of the request or of the response, from a first byte on with a step.
 func (x *callChain) sweep(h hop, kind kindOfCall, mode cutMode, answer bool, from, step int) (points int) {
 	for after := from; ; after += step {
 		c := newCut(mode, answer, after)
@@ -105,8 +105,8 @@
 	}
 }
 
-// A keyed and a non-idempotent call are cut behind each byte of request and answer, on each hop, in each way. Each runs once at
-// the most; its caller has one answer, its own, and 503 only where it has not run; the next call has its own.
+// A keyed and a non-idempotent call are cut after each byte of the request and of the response, on each hop, in each mode. Each runs at most once.
+// Its caller gets one response, its own, and 503 only if it has not run. The next call gets its own response.
 func TestCutAtEachByte(t *testing.T) {
 	for _, h := range []hop{betweenSidecars, toServer} {
 		for _, kind := range []kindOfCall{onceCall, keyedCall} {
@@ -141,8 +141,8 @@
 	}
 }
 
-// A streamed request whose upstream's connection ends before each of its frames, the one that only says that no more comes among
-// them: by then the server has all of it, and a key that was given back would run again.
+// The connection of a streamed request is cut before each of its frames, including the one that only ends the body. At that point the server has
+// the complete request, so a key that was released would run again.
 func TestCutBetweenPieces(t *testing.T) {
 	for _, kind := range []kindOfCall{onceCall, keyedCall} {
 		t.Run(string(kind), func(t *testing.T) {
--- a/internal/mesh/sidecar/controlplane_connection_test.go
+++ b/internal/mesh/sidecar/controlplane_connection_test.go
@@ -12,9 +12,9 @@
 	"cranegrade/internal/testfleet"
 )
 
-// A member is followed for as long as it has a leader: one that stands still is found silent soon, not after the long time of a
-// connection on which nobody waits. One that says it has no leader is left for one that has, and not before; meanwhile requests
-// that need it are refused, once the time in which another is likely to be found is over.
+// A member is followed as long as it has a leader. If it hangs, its silence is detected soon rather than after the long time-out of an idle
+// connection. If it reports that it has no leader, it is left only once another member with a leader is found. Meanwhile requests that
+// need the control plane are rejected after the grace period.
 func TestFollowedMemberIsKept(t *testing.T) {
 	a, b := newFakeMember(t), newFakeMember(t)
 	s := sidecarWith(t, a, b)
@@ -51,7 +51,7 @@
 	assert.Equal(t, s.controlPlane.conn.Load().RemoteAddr(), b.addr)
 }
 
-// drainUntilClosed reads a connection; the channel is closed with its end.
+// drainUntilClosed reads a connection until it ends, which closes the channel.
 func drainUntilClosed(conn *transport.Conn) chan struct{} {
 	ended := make(chan struct{})
 	go func() {
@@ -65,7 +65,7 @@
 	return ended
 }
 
-// A sidecar that starts before any member listens follows the first that comes.
+// A sidecar that starts before any member listens follows the first one that does.
 func TestMemberFollowedAfterRefusedDials(t *testing.T) {
 	nobody, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/mesh/sidecar/fake_control_plane_test.go
+++ b/internal/mesh/sidecar/fake_control_plane_test.go
@@ -16,7 +16,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// fakeControlPlane stands in for the members: items, records and key leases, always with a leader.
+// fakeControlPlane stands in for the control plane: it serves items, records and key leases, and always has a leader.
 type fakeControlPlane struct {
 	addr string
 
@@ -99,7 +99,7 @@
 	}()
 }
 
-// broadcast sends the records of all sidecars to each.
+// broadcast sends the records of all sidecars to each of them.
 func (r *fakeControlPlane) broadcast() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mesh/sidecar/fake_member_test.go
+++ b/internal/mesh/sidecar/fake_member_test.go
@@ -15,10 +15,10 @@
 	"cranegrade/internal/testfleet"
 )
 
-// patience is how long a test waits for what has to come about.
+// patience is how long a test waits for an expected state.
 const patience = 20 * time.Second
 
-// fakeMember is where a sidecar's dials of one control-plane member come out.
+// fakeMember stands in for a control-plane member, and accepts the connections that a sidecar dials to it.
 type fakeMember struct {
 	addr  string
 	conns chan *transport.Conn
@@ -44,20 +44,20 @@
 	return m
 }
 
-// greet sends what a member sends at first, and says whether there is a leader.
+// greet sends the first messages of a member, which say whether it has a leader.
 func greet(conn *transport.Conn, hasLeader bool) {
 	conn.Send(&wire.MembersT{})
 	conn.Send(&wire.HeartbeatT{QuorumContact: hasLeader})
 }
 
-// acceptDial takes the next dial and greets it.
+// acceptDial accepts the next connection and greets it.
 func (m *fakeMember) acceptDial(hasLeader bool) *transport.Conn {
 	conn := <-m.conns
 	greet(conn, hasLeader)
 	return conn
 }
 
-// sidecarWith is a sidecar whose seeds are these members, with the goroutine of its control-plane connection only.
+// sidecarWith returns a sidecar whose seeds are these members. Only the goroutine of its control-plane connection runs.
 func sidecarWith(t *testing.T, members ...*fakeMember) *Sidecar {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -74,7 +74,7 @@
 	return s
 }
 
-// newFollowingSidecar is a sidecar with a connection to the member that it follows, and that one's side of it.
+// newFollowingSidecar returns a sidecar that follows a member, and both ends of their connection.
 func newFollowingSidecar(t *testing.T) (s *Sidecar, near, far *transport.Conn) {
 	t.Helper()
 	m := newFakeMember(t)
--- a/internal/mesh/sidecar/fake_server_test.go
+++ b/internal/mesh/sidecar/fake_server_test.go
@@ -13,7 +13,7 @@
 	"cranegrade/internal/testkit"
 )
 
-// fakeServer is a server beside a sidecar. It runs what it has read completely, and answers as the call's path says.
+// fakeServer is a server beside a sidecar. It runs requests that it has read completely, and responds as the path of the call says.
 type fakeServer struct {
 	id, addr string
 	history  *callHistory
@@ -60,7 +60,7 @@
 	}
 }
 
-// answerAs is an answer as text, or what a faulty server sends in its place.
+// answerAs returns a response as text, or what a faulty server sends instead.
 func answerAs(how, id, before string) string {
 	complete := func(id, more string) string {
 		body := bodyOf(id) + more
--- a/internal/mesh/sidecar/faults_test.go
+++ b/internal/mesh/sidecar/faults_test.go
@@ -15,8 +15,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Servers answer twice, late, in another's name, in none, with more bytes than announced, in chunks, long, or reject calls, to many
-// callers at once on one upstream. Each caller has its own answer, and what is not idempotent runs once.
+// Servers respond twice, late, in the name of another request, in none, with more bytes than announced, in chunks, with a long body, or with a
+// rejection, to many concurrent callers on one upstream. Each caller gets its own response, and calls that are not idempotent run once.
 func TestFaultyServers(t *testing.T) {
 	x := startCallChain(t, 2)
 	hows := []string{"plain", "twice", "late", "more", "chunks", "long", "shed", "failed", "contrary", "unnamed", "wrong"}
@@ -62,7 +62,7 @@
 	x.assertNoViolations()
 }
 
-// Many calls are in flight on one upstream when it is cut: each is told that it may have run, and none runs again.
+// When an upstream is cut with many calls in flight, each caller learns that its call may have run, and none runs again.
 func TestManyAttemptsOnOneUpstream(t *testing.T) {
 	for _, mode := range []cutMode{cutReset, cutClose, cutLate} {
 		t.Run(string(mode), func(t *testing.T) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// A caller that breaks off behind each byte of its request, or is gone before the answer: what is not complete never runs.
+// A caller disconnects after each byte of its request, or before the response. An incomplete request never runs.
 func TestCallerDisconnects(t *testing.T) {
 	for _, mode := range []cutMode{cutReset, cutClose} {
 		for _, kind := range []kindOfCall{onceCall, keyedCall} {
@@ -143,8 +143,8 @@
 	}
 }
 
-// Two non-idempotent calls in one segment, and bytes behind them that are no request: two answers, in order, and no third that is
-// a call's.
+// Two non-idempotent calls arrive in one segment, followed by bytes that are not a request. There are two responses, in order, and no third
+// response to a call.
 func TestCallsInOneSegment(t *testing.T) {
 	x := startCallChain(t, 1)
 	a, b := newAttemptID(), newAttemptID()
@@ -164,7 +164,7 @@
 	x.assertNoViolations()
 }
 
-// A caller that waits for 100 before it sends its body has that, and one answer.
+// A caller that waits for 100 Continue before it sends its body gets it, and then one response.
 func TestExpectContinue(t *testing.T) {
 	x := startCallChain(t, 1)
 	id := newAttemptID()
@@ -185,8 +185,8 @@
 	x.assertNoViolations()
 }
 
-// A sidecar that uses a stream's id again while the first attempt is in flight is told nothing more: answers on that connection
-// can't be told apart.
+// If a sidecar uses a stream ID again while the first attempt is in flight, the connection is closed, since responses on it could not be told
+// apart.
 func TestStreamIDReuseByPeer(t *testing.T) {
 	x := startCallChain(t, 1)
 	hold := make(chan struct{})
@@ -212,8 +212,8 @@
 	assert.Equal(t, x.history.runs(ids[1]), 0)
 }
 
-// A key's grant comes after its sidecar has given up the claim and said that the request has not run: the reply is late, or the
-// claim is, behind its release. Whoever repeats the key has one run, or is told that it can't be granted.
+// A lease is granted after its sidecar has given up and responded that the request has not run, because the reply is delayed or the lease request
+// arrives after its release. A repeat of the key runs once, or is rejected because the key can't be granted.
 func TestLateGrant(t *testing.T) {
 	for _, taken := range []bool{false, true} {
 		t.Run(fmt.Sprintf("taken late=%v", taken), func(t *testing.T) {
@@ -247,8 +247,8 @@
 	}
 }
 
-// A caller uses one Attempt-Id for two calls of a key. They are two calls: what the first holds is not granted to a later attempt
-// of the second.
+// A caller uses one Attempt-Id for two calls of a key. They still count as two calls: the lease of the first is not granted to a later attempt of
+// the second.
 func TestAttemptIDUsedTwice(t *testing.T) {
 	x := startCallChain(t, 3)
 	only := func(server int) {
--- a/internal/mesh/sidecar/inherited_responses_test.go
+++ b/internal/mesh/sidecar/inherited_responses_test.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// What another sidecar handed over is known by that sidecar and the key, until it expires; what is known already stays.
+// Records that another sidecar handed over are found by that sidecar and the key until they expire. A known record is not replaced.
 func TestInheritedResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var i inheritedResponses
--- a/internal/mesh/sidecar/injected_faults_test.go
+++ b/internal/mesh/sidecar/injected_faults_test.go
@@ -11,8 +11,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Injected: a stream's id is used again while the first attempt is in flight. The second is not sent by it and told so, and the
-// first has its own answer; without that the first's is lost, or goes to the second.
+// Injected: a stream ID is used again while the first attempt is in flight. The second attempt is not sent and fails, and the first gets its own
+// response. Without the check the first response is lost, or goes to the second attempt.
 func TestStreamIDReuseInjected(t *testing.T) {
 	for range 5 {
 		x := startCallChain(t, 1)
@@ -36,8 +36,8 @@
 	}
 }
 
-// Injected: a sidecar gives answers in the order of their requests in place of by their ids. They count as broken, and no caller
-// has another's.
+// Injected: a sidecar assigns responses by the order of their requests instead of by stream ID. They count as broken, and no caller gets the
+// response to another call.
 func TestAnswersByOrderInjected(t *testing.T) {
 	x := startCallChain(t, 1)
 	const pairs = 10
@@ -88,7 +88,7 @@
 	x.assertNoViolations()
 }
 
-// injectEnding has a code be taken for another ending until the test's end.
+// injectEnding makes a code stand for another ending until the test ends.
 func injectEnding(t *testing.T, code byte, as balancer.Ending) {
 	t.Helper()
 	was := endingsByCode[code]
@@ -96,7 +96,7 @@
 	t.Cleanup(func() { endingsByCode[code] = was })
 }
 
-// countViolations counts the violations of a kind.
+// countViolations returns the number of violations of a kind.
 func (x *callChain) countViolations(kind string) (n int) {
 	for _, v := range x.history.violations() {
 		if len(v) >= len(kind) && v[:len(kind)] == kind {
@@ -106,7 +106,7 @@
 	return n
 }
 
-// Injected: a call whose bytes were sent is retried, or called not executed. Each is found where an answer is cut.
+// Injected: a call whose bytes were sent is retried, or reported as not executed. Each fault is found by cutting a response.
 func TestRetriesInjected(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -127,8 +127,8 @@
 	}
 }
 
-// Injected: the control plane grants a key to a second sidecar while the first holds its lease, as a late member would. Found as a
-// second run.
+// Injected: the control plane grants a key to a second sidecar while the first holds its lease, as a member that lags might. The fault is found as
+// a second run.
 func TestLateGrantInjected(t *testing.T) {
 	x := startCallChain(t, 2)
 	x.controlPlane.mu.Lock()
--- a/internal/mesh/sidecar/key_orders_test.go
+++ b/internal/mesh/sidecar/key_orders_test.go
@@ -11,9 +11,9 @@
 	"cranegrade/internal/testkit"
 )
 
-// A search of all orders over one key: attempts at two sidecars, their claims delivered late, twice or never, grants that come after
-// the sidecar has given up, ends of each kind, releases held back and sent twice, a sidecar that crashes. The sidecars' response
-// stores and the control plane's lease store are the real ones; what stands between them is the model's.
+// This file searches all orders of events over one key: attempts at two sidecars, lease requests that are delayed, duplicated or lost, grants that
+// arrive after the sidecar has given up, every kind of ending, releases that are delayed and duplicated, and a sidecar that crashes. The
+// response stores of the sidecars and the lease store of the control plane are the real ones; a model connects them.
 
 type keyAttempt struct {
 	sidecar int
@@ -34,7 +34,7 @@
 	trace        []string
 }
 
-// keyMessage is a claim on its way to the lease store, or a grant on its way back.
+// keyMessage is a lease request or its result, in flight.
 type keyMessage struct {
 	claim   idempotency.LeaseRequest
 	attempt int
@@ -91,7 +91,7 @@
 	return fmt.Sprint("sidecar", sidecar, "/", w.incarnations[sidecar])
 }
 
-// releaseKey does as inboundRequest.releaseKey.
+// releaseKey does the same as inboundRequest.releaseKey.
 func (w *keyWorld) releaseKey(i int) {
 	t := &w.attempts[i]
 	w.responses[t.sidecar].markNotExecuted("k")
@@ -100,7 +100,7 @@
 	t.state = attemptNotExecuted
 }
 
-// after is the world after one step.
+// after returns the state of the model after one step.
 func (w *keyWorld) after(name string, step func(v *keyWorld)) *keyWorld {
 	v := w.clone()
 	v.trace = append(v.trace, name)
@@ -108,7 +108,7 @@
 	return v
 }
 
-// next gives every state that one step leads to. released: the injected fault.
+// next returns every state that one step leads to. released enables the injected fault.
 func (w *keyWorld) next(released bool) (out []*keyWorld) {
 	for i := range w.attempts {
 		out = append(out, w.attemptSteps(i, released)...)
@@ -124,7 +124,7 @@
 	return out
 }
 
-// attemptSteps are the steps of one attempt by itself.
+// attemptSteps returns the steps of one attempt.
 func (w *keyWorld) attemptSteps(i int, released bool) []*keyWorld {
 	t := w.attempts[i]
 	switch t.state {
@@ -156,7 +156,7 @@
 	w.messages = append(w.messages, keyMessage{claim: claim, attempt: i})
 }
 
-// end has an attempt have run; released: its key is given back all the same.
+// end ends an attempt that has run. released enables the injected fault: its key is released all the same.
 func (w *keyWorld) end(i int, state keyState, released bool) {
 	t := &w.attempts[i]
 	w.executions++
@@ -167,7 +167,7 @@
 	t.state = attemptSettled
 }
 
-// messageSteps are what may become of a message: it is taken, lost, or taken and comes again.
+// messageSteps returns what may happen to a message: it is delivered, lost, or delivered and duplicated.
 func (w *keyWorld) messageSteps(n int) []*keyWorld {
 	m := w.messages[n]
 	out := []*keyWorld{w.after(fmt.Sprint("take ", m), func(v *keyWorld) { v.messages = slices.Delete(v.messages, n, n+1); v.take(m) })}
@@ -201,7 +201,7 @@
 	}
 }
 
-// crash restarts a sidecar, which forgets its keys; what ran there may have run.
+// crash restarts a sidecar, which forgets its keys. Attempts that were running there may have run.
 func (w *keyWorld) crash(sidecar int) {
 	w.faultsLeft--
 	w.incarnations[sidecar]++
@@ -242,7 +242,8 @@
 	return len(seen), nil
 }
 
-// A key's request runs at most once, in whatever order; and a sidecar that releases a key whose attempt ended unknown is found.
+// A key's request runs at most once in every order of events. A sidecar that releases a key although the outcome of its attempt is unknown is
+// found.
 func TestKeyInAllOrders(t *testing.T) {
 	states, broken := searchKeys(false)
 	if broken != nil {
--- a/internal/mesh/sidecar/local_server_test.go
+++ b/internal/mesh/sidecar/local_server_test.go
@@ -13,17 +13,17 @@
 	"cranegrade/internal/mesh/directory"
 )
 
-// maxAcknowledgementBytes is the size in bytes up to which a server takes an answer for an acknowledgement.
+// maxAcknowledgementBytes is the largest response that a server accepts as an acknowledgement, in bytes.
 const maxAcknowledgementBytes = 4 << 10
 
-// newTestLocalServer is the local server's part of a sidecar that knows of none yet.
+// newTestLocalServer returns the localServer of a sidecar that does not know any server yet.
 func newTestLocalServer(t *testing.T) *localServer {
 	t.Helper()
 	s, _, _ := newFollowingSidecar(t)
 	return s.localServer
 }
 
-// postCall sends a server's call, and checks that an acknowledgement is one.
+// postCall sends a call of a server, and checks the form of the acknowledgement.
 func (o *localServer) postCall(t *testing.T, path, body string) int {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -42,7 +42,7 @@
 	assert.Equal(t, o.postCall(t, id+"/heartbeat", body), http.StatusOK)
 }
 
-// What a heartbeat says stands in the sidecar's record; a malformed one is rejected.
+// A heartbeat updates the sidecar's record. A malformed one is rejected.
 func TestHeartbeat(t *testing.T) {
 	o := newTestLocalServer(t)
 	o.postHeartbeat(t, "i-1", "ready", 4)
@@ -56,9 +56,8 @@
 	assert.Equal(t, o.postCall(t, strings.Repeat("i", maxIDBytes+1)+"/heartbeat", `{"Address":"10.1.0.9:8080"}`), http.StatusBadRequest)
 }
 
-// Heartbeats of a server in any order: an overtaken one changes nothing, a server that leaves does not come back, and one that has
-// left is not heard any more. So it is where the sidecar restarts in between and has heard nothing: then the first that it hears
-// counts.
+// Heartbeats of a server arrive in any order. An overtaken one changes nothing, a draining server does not become ready again, and heartbeats after
+// a server has left are ignored. The same holds if the sidecar restarts in between; then the first heartbeat that it receives counts.
 func TestHeartbeatsInAnyOrder(t *testing.T) {
 	type call struct {
 		id, state string
--- a/internal/mesh/sidecar/maintenance_test.go
+++ b/internal/mesh/sidecar/maintenance_test.go
@@ -8,7 +8,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// The orders of the latest entry of the log hold, by whatever way they come; a successor is remembered after its order has ended.
+// The orders of the latest log entry count, whichever message brings them. A successor is remembered after its order has ended.
 func TestMaintenanceOrders(t *testing.T) {
 	s, _, _ := newFollowingSidecar(t)
 	m := s.maintenance
--- a/internal/mesh/sidecar/member_call_test.go
+++ b/internal/mesh/sidecar/member_call_test.go
@@ -13,7 +13,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// A call that a member answers with a status says which member and status; one without a reply ends with its context.
+// The error of a call that a member rejects names the member and the status. A call without a reply ends with its context.
 func TestMemberCallErrors(t *testing.T) {
 	s, conn, far := newFollowingSidecar(t)
 	go func() {
--- a/internal/mesh/sidecar/policies_test.go
+++ b/internal/mesh/sidecar/policies_test.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// A sidecar takes the active policies completely or not at all, and until it has them it refuses what somebody owns.
+// A sidecar applies the active policies completely or not at all. Until it has them it rejects requests that a namespace owns a part of.
 func TestPoliciesApplyCompletely(t *testing.T) {
 	s, _, _ := newFollowingSidecar(t)
 	c := s.configuration
--- a/internal/mesh/sidecar/relay_test.go
+++ b/internal/mesh/sidecar/relay_test.go
@@ -25,7 +25,7 @@
 	cutLate   cutMode = "late"   // nothing passes until the cut is repaired, and then all that was held back
 )
 
-// cut is where to cut: behind so many bytes of a call's request, or of its answer. It strikes once.
+// cut is where to cut: after a number of bytes of a call's request or response. It takes effect once.
 type cut struct {
 	mode     cutMode
 	answer   bool
@@ -45,20 +45,20 @@
 	}
 }
 
-// relayedMessage is a frame or an HTTP message that passes, with the call that it belongs to; "": none.
+// relayedMessage is a frame or an HTTP message that passes the relay, with the call that it belongs to; "": none.
 type relayedMessage struct {
 	raw     []byte
 	attempt string
 	answer  bool
 }
 
-// framing tells messages apart on one connection.
+// framing finds the messages on one connection.
 type framing interface {
 	// begin is for a new connection; each reads one direction's next message, in its own goroutine.
 	begin() (request, answer func(r *bufio.Reader) (relayedMessage, error))
 }
 
-// relay stands on a hop and cuts calls at a byte.
+// relay forwards the connections of a hop, and cuts calls at a byte.
 type relay struct {
 	to, addr string
 	framing  framing
@@ -76,14 +76,14 @@
 	return r
 }
 
-// plan has a call be cut.
+// plan plans a cut of a call.
 func (r *relay) plan(attempt string, c *cut) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cuts[attempt] = c
 }
 
-// take gives the cut that is planned for a message, if there is one, once.
+// take returns the cut that is planned for a message, if there is one, and removes it.
 func (r *relay) take(m relayedMessage) *cut {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,7 +116,7 @@
 	far.Close()
 }
 
-// copy passes one direction on, until it ends or is cut.
+// copy forwards one direction until it ends or is cut.
 func (r *relay) copy(from, to net.Conn, next func(*bufio.Reader) (relayedMessage, error)) {
 	in := bufio.NewReader(from)
 	for {
@@ -229,7 +229,7 @@
 	return request, answer
 }
 
-// httpFraming is the framing between a sidecar and its server: one request at a time, and its answer.
+// httpFraming is the framing between a sidecar and its server: one request at a time, and its response.
 type httpFraming struct{}
 
 func (httpFraming) begin() (request, answer func(*bufio.Reader) (relayedMessage, error)) {
--- a/internal/mesh/sidecar/release_queue_test.go
+++ b/internal/mesh/sidecar/release_queue_test.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// nextClaims is the next call of a sidecar for key leases, at the member's side.
+// nextClaims returns the next call of a sidecar for key leases, as the member receives it.
 func nextClaims(t *testing.T, far *transport.Conn) (call *wire.CallT, keys []string) {
 	t.Helper()
 	for {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Releases are sent in order, and again until a member has acknowledged them.
+// Releases are sent in order, and repeated until a member has acknowledged them.
 func TestReleasesAreSentUntilAcknowledged(t *testing.T) {
 	s, _, far := newFollowingSidecar(t)
 	s.releases.add(&wire.KeyLeaseRequestT{Key: "a", Release: true})
--- a/internal/mesh/sidecar/response_store_test.go
+++ b/internal/mesh/sidecar/response_store_test.go
@@ -41,7 +41,7 @@
 	assert.Assert(t, ok && len(k.records) == 1 && k.storedBytes == 0)
 }
 
-// A run that ends when its key is another's says nothing of that one.
+// A request that ends after its key was claimed by another does not change the record of that one.
 func TestResponseStoreOutlastedLease(t *testing.T) {
 	k := newResponseStore()
 	k.begin("a", "t1", 0, time.Minute)
--- a/internal/mesh/sidecar/upstream_attempt_test.go
+++ b/internal/mesh/sidecar/upstream_attempt_test.go
@@ -19,7 +19,7 @@
 	"cranegrade/internal/message"
 )
 
-// prefixedConn is a connection that some bytes have come on.
+// prefixedConn is a connection on which some bytes have already been received.
 type prefixedConn struct {
 	net.Conn
 	first *bytes.Reader
@@ -32,7 +32,7 @@
 	return p.Conn.Read(b)
 }
 
-// newDiscardingConn is a connection whose other side reads and says nothing.
+// newDiscardingConn returns a connection whose peer reads everything and sends nothing.
 func newDiscardingConn(t *testing.T) *transport.Conn {
 	t.Helper()
 	near, far := net.Pipe()
@@ -44,14 +44,14 @@
 	return conn
 }
 
-// newTestAttempt is an attempt that is open on a connection; began is called with its streams.
+// newTestAttempt returns an attempt that is open on a connection. began is called with its response streams.
 func newTestAttempt(conn *transport.Conn, began func(*message.Stream)) *upstreamAttempt {
 	hooks := engine.Hooks{Began: func(r engine.Reply) { began(r.(*message.Stream)) }}
 	return &upstreamAttempt{conn: conn, id: 1, done: make(chan struct{}), attempt: engine.NewAttempt(nil, nil, time.Second, hooks)}
 }
 
-// A streamed answer and the end of an attempt's own time, in all orders: what begins also ends, and as broken where it is not
-// complete; nothing begins after the end, and then the other side is told to stop.
+// A streamed response and the time-out of its attempt, in all orders. Every stream that begins also ends, as broken if it is not complete. No stream
+// begins after the time-out; the peer is told to stop instead.
 func TestAnswerAndTimeoutInAllOrders(t *testing.T) {
 	conn := newDiscardingConn(t)
 	var permute func(left, steps string)
@@ -67,7 +67,7 @@
 	permute("aplt", "")
 }
 
-// checkAnswerAndTimeout plays an answer's head (a), a piece (p), the last piece (l) and the timeout (t) in an order.
+// checkAnswerAndTimeout plays a response's head (a), a chunk (p), the last chunk (l) and the time-out (t) in an order.
 func checkAnswerAndTimeout(t *testing.T, conn *transport.Conn, steps string) {
 	t.Helper()
 	var stream *message.Stream
@@ -100,7 +100,7 @@
 	assert.Assert(t, piece == nil && err == nil, steps)
 }
 
-// An answer that begins twice is broken, and nothing is added to one that has ended: its caller sees the first's end.
+// A response that begins twice is broken, and nothing is added to a response that has ended: the caller sees the end of the first.
 func TestAnswerBeginsTwice(t *testing.T) {
 	var streams []*message.Stream
 	attempt := newTestAttempt(newDiscardingConn(t), func(s *message.Stream) { streams = append(streams, s) })
