--- a/internal/front/http1/call.go
+++ b/internal/front/http1/call.go
@@ -5,6 +5,7 @@
 
 	"cranegrade/internal/engine"
 	"cranegrade/internal/message"
+	"cranegrade/internal/pool"
 )
 
 // call is a request that an engine is handling. It implements engine.Receiver.
@@ -42,6 +43,13 @@
 	}
 }
 
+// abandon ends a call whose answer nobody will read.
+func (c *call) abandon(p *pool.Pool) {
+	p.Engine().CallerGone(&c.Call)
+	c.gone.Store(true)
+	c.discard()
+}
+
 // discard releases answers that nobody will read. Both sides call it after their own step
 // (the engine after adding an answer, the front after setting gone), so that the later one finds them.
 func (c *call) discard() {
--- a/internal/front/http1/pipeline.go
+++ b/internal/front/http1/pipeline.go
@@ -211,9 +211,7 @@
 
 // abandon cancels an early request.
 func (e *earlyRequest) abandon() {
-	e.pool.Engine().CallerGone(&e.call.Call)
-	e.call.gone.Store(true)
-	e.call.discard()
+	e.call.abandon(e.pool)
 	e.pool.Leave(0)
 }
 
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -74,55 +74,51 @@
 func (f *Front) answerEarly(w http.ResponseWriter, hr *http.Request, e *earlyRequest, from *connection) {
 	defer e.pool.Leave(0)
 	if !from.beginRequest() {
-		e.pool.Engine().CallerGone(&e.call.Call)
-		e.call.gone.Store(true)
-		e.call.discard()
+		e.call.abandon(e.pool)
 		panic(http.ErrAbortHandler)
 	}
 	f.answer(w, hr, e.pool, e.call, from)
 }
 
-// answer writes the one answer to a call that was submitted.
+// answer writes the one answer to a call that was submitted, or aborts the request if there is no complete one.
 func (f *Front) answer(w http.ResponseWriter, hr *http.Request, p *pool.Pool, c *call, from *connection) {
 	var arrived chan struct{}
 	if c.upload != nil {
 		arrived = c.upload.ended
 	}
-	over := f.giveUp
-	for {
+	giveUp := f.giveUp
+	for answered := false; !answered; {
+		failed := false
 		select {
-		case <-over:
-			over = nil
+		case <-giveUp:
+			giveUp = nil
 			if mayGiveUp(c, from) {
-				p.Engine().CallerGone(&c.Call) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
-				c.gone.Store(true)
-				c.discard()
+				c.abandon(p) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 				f.write(w, c, engine.Answer{Verdict: engine.Failed}, from)
 				return
 			}
-			continue
 		case event := <-c.answers:
 			if event.stream == nil {
 				f.write(w, c, event.answer, from)
-			} else if !f.forwardStream(hr.Context(), w, event.stream, from) {
-				f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
+			} else {
+				failed = !f.forwardStream(hr.Context(), w, event.stream, from)
 			}
+			answered = true
 		case <-arrived:
-			if c.upload.err != nil {
-				f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
-			}
 			arrived = nil
-			continue
+			failed = c.upload.err != nil
 		case <-hr.Context().Done():
+			failed = true
+		}
+		if failed { // abort panics
 			f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
 		}
-		if c.upload != nil {
-			_ = http.NewResponseController(w).Flush() // after an error the caller has gone
-			if !c.upload.drain(lingerTime) {
-				panic(http.ErrAbortHandler) // the answer is written, but the next request can't be read
-			}
+	}
+	if c.upload != nil {
+		_ = http.NewResponseController(w).Flush() // after an error the caller has gone
+		if !c.upload.drain(lingerTime) {
+			panic(http.ErrAbortHandler) // the answer is written, but the next request can't be read
 		}
-		return
 	}
 }
 
@@ -134,9 +130,7 @@
 
 // abort ends a call that gets no complete answer, and its connection, by which the caller sees that.
 func (f *Front) abort(hr *http.Request, p *pool.Pool, c *call, from *connection) {
-	p.Engine().CallerGone(&c.Call)
-	c.gone.Store(true)
-	c.discard()
+	c.abandon(p)
 	if c.upload != nil {
 		c.upload.drain(0)
 	}
