--- a/internal/emulator/discovery_test.go
+++ b/internal/emulator/discovery_test.go
@@ -199,7 +199,7 @@
 		return b
 	}
 	var held []int
-	measure := func() { held = append(held, testkit.Held(modules[0])) }
+	measure := func() { held = append(held, testkit.ReachableElements(modules[0])) }
 	for at := time.Second; at < time.Hour; at += time.Second {
 		config.Changes = append(config.Changes, Change{at, func(w *World) {
 			if at%(15*time.Minute) == 0 {
--- a/internal/engine/churn_test.go
+++ b/internal/engine/churn_test.go
@@ -41,8 +41,8 @@
 		if i%1800 == 1799 {
 			testkit.Eventually(t, "attempts are still in flight", func() bool { waitIdle(t, e); return e.OpenCalls() == 0 })
 			e.Do(func() {
-				held = append(held, testkit.Held(e.endpoints)+testkit.Held(e.idByAddr)+testkit.Held(e.calls)+
-					testkit.Held(e.callerIDs)+testkit.Held(e.cfg.Module))
+				held = append(held, testkit.ReachableElements(e.endpoints)+testkit.ReachableElements(e.idByAddr)+testkit.ReachableElements(e.calls)+
+					testkit.ReachableElements(e.callerIDs)+testkit.ReachableElements(e.cfg.Module))
 			})
 			waitIdle(t, e)
 		}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -271,7 +271,7 @@
 // Calls that wait for a server count against a limit. Over it they are rejected at once, and each that stops waiting returns
 // its part.
 func TestPendingLimitRejectsAndReleases(t *testing.T) {
-	h, pending := newManualSender(), testkit.NewRoom(2)
+	h, pending := newManualSender(), testkit.NewSharedLimit(2)
 	e := startEngine(t, Config{Sender: h, Pending: pending})
 	var receivers []*receiver
 	var calls []*Call
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -64,7 +64,7 @@
 	expectList(false, false)
 	lines <- testkit.ListMessage(9, false, testkit.Entry("b", "DRAINING"))
 	expectList(false, false, "b")
-	lines <- "end"
+	lines <- testkit.EndWatch
 	expectFailure(false)
 	expectQuery(9)
 	// A malformed line ends the watch and does not change the list.
@@ -168,7 +168,7 @@
 	cfg.Settings.AskDiscovery = false
 	startNode(t, cfg, nil)
 	testkit.Wait(t, asked)
-	lines <- "end"
+	lines <- testkit.EndWatch
 	testkit.Wait(t, asked)
 }
 
--- a/internal/sender/h2/sender_test.go
+++ b/internal/sender/h2/sender_test.go
@@ -26,7 +26,7 @@
 
 // newTestSender returns a sender whose connections are closed at the end of the test.
 func newTestSender(t testing.TB, maxConns int64) *Sender {
-	s := New(Config{ServerIdleTimeout: time.Minute, ConnectTimeout: limit, Connections: testkit.NewRoom(maxConns)})
+	s := New(Config{ServerIdleTimeout: time.Minute, ConnectTimeout: limit, Connections: testkit.NewSharedLimit(maxConns)})
 	t.Cleanup(func() {
 		var open []*conn
 		s.mu.Lock()
--- a/internal/sender/http1/helpers_test.go
+++ b/internal/sender/http1/helpers_test.go
@@ -19,7 +19,7 @@
 
 // newTestSender returns a sender whose time-outs are long enough for a slow machine, and which reuses connections at once.
 func newTestSender(maxConns int64) *Sender {
-	s := New(Config{ServerIdleTimeout: time.Minute, ConnectTimeout: limit, Connections: testkit.NewRoom(maxConns), ResponseBuffers: testkit.NewRoom(1 << 40)})
+	s := New(Config{ServerIdleTimeout: time.Minute, ConnectTimeout: limit, Connections: testkit.NewSharedLimit(maxConns), ResponseBuffers: testkit.NewSharedLimit(1 << 40)})
 	s.readTimeout, s.bufferTime, s.settleTime = limit, limit, 0
 	return s
 }
--- a/internal/sender/http1/match_test.go
+++ b/internal/sender/http1/match_test.go
@@ -34,7 +34,7 @@
 
 func newNamingSender(byOrder bool) *Sender {
 	s := New(Config{
-		ServerIdleTimeout: testkit.Limit, ConnectTimeout: limit, Connections: testkit.NewRoom(10), ResponseBuffers: testkit.NewRoom(1 << 40),
+		ServerIdleTimeout: testkit.Limit, ConnectTimeout: limit, Connections: testkit.NewSharedLimit(10), ResponseBuffers: testkit.NewSharedLimit(1 << 40),
 		Protocol: namingProtocol{byOrder: byOrder},
 	})
 	s.readTimeout, s.settleTime = limit, 0
--- a/internal/sender/http1/stream_test.go
+++ b/internal/sender/http1/stream_test.go
@@ -47,7 +47,7 @@
 	})
 	for _, limit := range []int64{1 << 30, chunkSize + minChunkSize, 0} {
 		s := newTestSender(10)
-		s.responseLimit = testkit.NewRoom(limit)
+		s.responseLimit = testkit.NewSharedLimit(limit)
 		stream, ended := streamResponse(context.Background(), t, s, addr, keyedRequest())
 		if stream.Length != size || stream.Header[0] != (message.Field{Name: "content-type", Value: "a/b"}) {
 			t.Errorf("length %d, header %v", stream.Length, stream.Header)
@@ -69,7 +69,7 @@
 		if res := testkit.Wait(t, ended); received != size || stream.Trailer() == nil || res.ending != balancer.Success || testkit.Wait(t, written) != size {
 			t.Errorf("limit %d: %d bytes, ending %v", limit, received, res.ending)
 		}
-		if left := s.responseLimit.(*testkit.Room).Left(); left != limit {
+		if left := s.responseLimit.(*testkit.SharedLimit).Left(); left != limit {
 			t.Errorf("limit %d: %d are left at the end", limit, left)
 		}
 	}
@@ -103,7 +103,7 @@
 			}
 		})
 		s := newTestSender(10)
-		s.responseLimit = testkit.NewRoom(1 << 20)
+		s.responseLimit = testkit.NewSharedLimit(1 << 20)
 		ctx, cancel := context.WithCancelCause(context.Background())
 		defer cancel(nil)
 		stream, ended := streamResponse(ctx, t, s, addr, keyedRequest())
@@ -131,7 +131,7 @@
 		if res := testkit.Wait(t, ended); res.ending != want || stream.Trailer() != nil {
 			t.Errorf("%s: ending %v, want %v; complete %v", interruption, res.ending, want, stream.Trailer() != nil)
 		}
-		if left := s.responseLimit.(*testkit.Room).Left(); left != 1<<20 {
+		if left := s.responseLimit.(*testkit.SharedLimit).Left(); left != 1<<20 {
 			t.Errorf("%s: %d of the limit are left", interruption, left)
 		}
 		if open, _ := s.counts(); open != 0 {
@@ -173,7 +173,7 @@
 // What limited streams reserve is returned exactly once, whatever the order of reads and releases.
 func TestLimitedStreamProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := testkit.NewRoom(5 * chunkSize)
+		limit := testkit.NewSharedLimit(5 * chunkSize)
 		var streams [3]*limitedStream
 		for i := range streams {
 			streams[i] = newLimitedStream(limit, nil, 1)
--- a/internal/testkit/interp/main.go
+++ b/internal/testkit/interp/main.go
@@ -1,9 +1,10 @@
-// Command interp exits 1 unless each program that it is given is linked dynamically: has an interpreter in its ELF
-// header, as what preloads a library into it needs.
+// Command interp checks that programs are linked dynamically: it exits 1 unless each program that is given to it has an
+// interpreter in its ELF header, which preloading a library needs.
 package main
 
 import (
 	"debug/elf"
+	"errors"
 	"fmt"
 	"os"
 )
@@ -17,16 +18,20 @@
 	}
 }
 
+// errStatic says that a program has no interpreter.
+var errStatic = errors.New("it is linked statically")
+
+// check returns an error unless the program at path has an interpreter.
 func check(path string) error {
 	f, err := elf.Open(path)
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	for _, p := range f.Progs {
 		if p.Type == elf.PT_INTERP {
 			return nil
 		}
 	}
-	return fmt.Errorf("it is linked statically")
+	return errStatic
 }
--- a/internal/testkit/norace.go
+++ b/internal/testkit/norace.go
@@ -2,5 +2,5 @@
 
 package testkit
 
-// Race says that the race detector is on.
+// Race reports whether the race detector is on.
 const Race = false
--- a/internal/testkit/race.go
+++ b/internal/testkit/race.go
@@ -2,6 +2,6 @@
 
 package testkit
 
-// Race says that the race detector is on. A search on one goroutine shows it nothing, and takes ten times as long: there it is cut
-// short.
+// Race reports whether the race detector is on. Tests that search on a single goroutine cut the search short then: it takes ten
+// times as long, and the race detector finds nothing on one goroutine.
 const Race = true
