--- a/internal/mesh/config/spec.go
+++ b/internal/mesh/config/spec.go
@@ -13,19 +13,25 @@
 
 // RouteSpec is the content of a route.
 type RouteSpec struct {
-	Name           string  `json:"Name" validate:"required,max=512"`
-	RouteType      string  `json:"RouteType" validate:"oneof=idempotent non_idempotent keyed download"`
+	Name string `json:"Name" validate:"required,max=512"`
+	// RouteType says how often a request may run: idempotent and download, whose responses are long, any number of times;
+	// non_idempotent at most once; keyed at most once for each idempotency key.
+	RouteType string `json:"RouteType" validate:"oneof=idempotent non_idempotent keyed download"`
+	// TargetLatencyS is the latency target (SLO), in seconds from the client's first attempt.
 	TargetLatencyS Seconds `json:"TargetLatencyS" validate:"gte=0"`
-	Priority       int     `json:"Priority" validate:"gte=0,lte=1000"`
+	Priority       int     `json:"Priority" validate:"gte=0,lte=1000"` // which requests go first under overload; 0 is the highest
 	ConfigVersion  int64   `json:"ConfigVersion"`
 	MatchCriteria  struct {
+		// PathPrefix is matched in whole segments: it begins and ends with a slash. The longest prefix wins.
 		PathPrefix string `json:"PathPrefix" validate:"startswith=/,endswith=/,max=4096"`
 	} `json:"MatchCriteria"`
 	ForwardAction struct {
-		Service      string            `json:"Service" validate:"required_without=TrafficSplit"`
+		Service      string            `json:"Service" validate:"required_without=TrafficSplit"` // unless there is a TrafficSplit
 		TrafficSplit []WeightedService `json:"TrafficSplit" validate:"max=256,dive"`
-		TimeoutS     Seconds           `json:"TimeoutS" validate:"gt=0,lte=86400"`
-		RetryCount   int               `json:"RetryCount" validate:"gt=0,lte=1000"`
+		// TimeoutS is the longest that a request may take, in seconds, with its retries.
+		TimeoutS Seconds `json:"TimeoutS" validate:"gt=0,lte=86400"`
+		// RetryCount is how many servers one attempt of a client may be sent to, the first one included.
+		RetryCount int `json:"RetryCount" validate:"gt=0,lte=1000"`
 	} `json:"ForwardAction"`
 }
 
@@ -81,19 +87,19 @@
 // ServiceSpec is the content of a service.
 type ServiceSpec struct {
 	Name           string `json:"Name" validate:"required,max=512"`
-	HealthPath     string `json:"HealthPath"`
-	MaxConnections int    `json:"MaxConnections" validate:"gte=0"`
-	Protocol       string `json:"Protocol"`
+	HealthPath     string `json:"HealthPath"`                      // of health checks; empty: none are made
+	MaxConnections int    `json:"MaxConnections" validate:"gte=0"` // that a server accepts from all callers together; 0: no limit
+	Protocol       string `json:"Protocol"`                        // "h1"
 	TLSEnabled     bool   `json:"TlsEnabled"`
-	DedupEnabled   bool   `json:"DedupEnabled"`
+	DedupEnabled   bool   `json:"DedupEnabled"` // its servers drop repeats of an idempotency key themselves
 	ConfigVersion  int64  `json:"ConfigVersion"`
 }
 
 // LimitsSpec is the content of the one item of limits. A zero leaves that limit to the settings.
 type LimitsSpec struct {
-	MaxHeaderBytes int     `json:"MaxHeaderBytes" validate:"gte=0"`
-	MaxBodyBytes   int64   `json:"MaxBodyBytes" validate:"gte=0"`
-	HeaderTimeoutS Seconds `json:"HeaderTimeoutS" validate:"gte=0"`
-	IdleTimeoutS   Seconds `json:"IdleTimeoutS" validate:"gte=0"`
+	MaxHeaderBytes int     `json:"MaxHeaderBytes" validate:"gte=0"` // of a request's header section
+	MaxBodyBytes   int64   `json:"MaxBodyBytes" validate:"gte=0"`   // of a request's body
+	HeaderTimeoutS Seconds `json:"HeaderTimeoutS" validate:"gte=0"` // for a header section to arrive
+	IdleTimeoutS   Seconds `json:"IdleTimeoutS" validate:"gte=0"`   // of a connection without a request
 	ConfigVersion  int64   `json:"ConfigVersion"`
 }
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -27,69 +27,92 @@
 
 // Settings is the settings of one process.
 type Settings struct {
-	NodeName          string            `json:"NodeName" validate:"required,max=256"`
-	NodeRole          string            `json:"NodeRole"`
-	MachineClass      string            `json:"MachineClass"`
-	ServedRoles       []string          `json:"ServedRoles"`
-	IPAddress         string            `json:"IpAddress" validate:"required,ip4_addr"`
-	Zone              string            `json:"Zone" validate:"max=256"`
-	Region            string            `json:"Region"`
-	Zones             map[string]string `json:"Zones"`
-	ListenAddrs       ListenAddresses   `json:"ListenAddrs"`
-	InternalPortRange []int             `json:"InternalPortRange" validate:"len=2,dive,gt=0,lt=65536"`
-	SeedNodes         []string          `json:"SeedNodes" validate:"max=64,dive,hostname_port"`
-	FirstStart        bool              `json:"FirstStart"`
-	QuorumMember      bool              `json:"QuorumMember"`
-	Limits            Limits            `json:"Limits"`
-	DataDir           string            `json:"DataDir"`
-	HeartbeatS        Seconds           `json:"HeartbeatS" validate:"gte=0,lte=3600"`
-	ActiveContracts   []string          `json:"ActiveContracts"`
-	FaultTolerance    FaultTolerance    `json:"FaultTolerance"`
-	Bounds            Bounds            `json:"Bounds"`
-	AppAddress        string            `json:"AppAddress" validate:"omitempty,hostname_port"`
-	Service           string            `json:"Service" validate:"max=256"`
+	NodeName     string   `json:"NodeName" validate:"required,max=256"` // of this process, in logs and status
+	NodeRole     string   `json:"NodeRole"`                             // the role of deploy/system.toml that it runs
+	MachineClass string   `json:"MachineClass"`                         // the class of machines that it runs on
+	ServedRoles  []string `json:"ServedRoles"`                          // what it serves: "sidecar", "control"
+	IPAddress    string   `json:"IpAddress" validate:"required,ip4_addr"`
+
+	Zone   string            `json:"Zone" validate:"max=256"`
+	Region string            `json:"Region"`
+	Zones  map[string]string `json:"Zones"` // the region of each zone
+
+	ListenAddrs ListenAddresses `json:"ListenAddrs"`
+	// InternalPortRange is the first and the last port for connections between processes of the mesh, the same on all machines.
+	InternalPortRange []int `json:"InternalPortRange" validate:"len=2,dive,gt=0,lt=65536"`
+	// SeedNodes are ControlPlane addresses, host:port, of some members. They are needed at a start only, and may be out of date.
+	SeedNodes []string `json:"SeedNodes" validate:"max=64,dive,hostname_port"`
+	// FirstStart is true only when the whole mesh starts for the first time, with empty disks: the members found a control plane.
+	FirstStart bool `json:"FirstStart"`
+	// QuorumMember is true for machines whose losses FaultTolerance counts.
+	QuorumMember bool `json:"QuorumMember"`
+
+	Limits  Limits `json:"Limits"`
+	DataDir string `json:"DataDir"` // the data folder of a control-plane member; a sidecar has none
+
+	// HeartbeatS is the time between two heartbeats of the local server. Default: 1.5.
+	HeartbeatS      Seconds        `json:"HeartbeatS" validate:"gte=0,lte=3600"`
+	ActiveContracts []string       `json:"ActiveContracts"` // the parts of the platform's rules that are in force
+	FaultTolerance  FaultTolerance `json:"FaultTolerance"`
+	Bounds          Bounds         `json:"Bounds"`
+
+	// AppAddress is the host:port of the local server; empty where there is none.
+	AppAddress string `json:"AppAddress" validate:"omitempty,hostname_port"`
+	// Service is the local server's service.
+	Service string `json:"Service" validate:"max=256"`
 
 	transportListenAddress string // of the command line; "": at the address that others know
 }
 
 // ListenAddresses are where each kind of caller is served, as host:port; "": the role does not serve it.
 type ListenAddresses struct {
-	Inbound      string `json:"Inbound" validate:"omitempty,hostname_port"`
-	Outbound     string `json:"Outbound" validate:"omitempty,hostname_port"`
-	Readiness    string `json:"Readiness" validate:"omitempty,hostname_port"`
-	ControlPlane string `json:"ControlPlane" validate:"omitempty,hostname_port"`
+	Inbound      string `json:"Inbound" validate:"omitempty,hostname_port"`      // of a sidecar, for other sidecars
+	Outbound     string `json:"Outbound" validate:"omitempty,hostname_port"`     // of a sidecar, for requests of callers
+	Readiness    string `json:"Readiness" validate:"omitempty,hostname_port"`    // of a sidecar, for readiness checks
+	ControlPlane string `json:"ControlPlane" validate:"omitempty,hostname_port"` // for calls of operators and of servers
 }
 
 // Limits are the process's own; 0: none.
 type Limits struct {
-	CPUShare  float64 `json:"CpuShare" validate:"gte=0"`
-	CoreCount float64 `json:"CoreCount" validate:"gte=0"`
-	MemoryMB  float64 `json:"MemoryMb" validate:"gte=0"`
-	MaxFds    int     `json:"MaxFds" validate:"gte=0"`
-	LinkMbps  float64 `json:"LinkMbps" validate:"gte=0"`
-	DiskMB    float64 `json:"DiskMb" validate:"gte=0"`
+	CPUShare  float64 `json:"CpuShare" validate:"gte=0"`  // of one processor
+	CoreCount float64 `json:"CoreCount" validate:"gte=0"` // processors of the machine
+	MemoryMB  float64 `json:"MemoryMb" validate:"gte=0"`  // megabytes
+	MaxFds    int     `json:"MaxFds" validate:"gte=0"`    // file descriptors
+	LinkMbps  float64 `json:"LinkMbps" validate:"gte=0"`  // megabits a second of the machine's link
+	DiskMB    float64 `json:"DiskMb" validate:"gte=0"`    // megabytes
 }
 
 // FaultTolerance is how much may be lost at once.
 type FaultTolerance struct {
-	Machines int `json:"Machines" validate:"gte=0,lte=100"`
-	Zones    int `json:"Zones" validate:"gte=0,lte=100"`
-	Regions  int `json:"Regions" validate:"gte=0,lte=100"`
+	Machines int `json:"Machines" validate:"gte=0,lte=100"` // with QuorumMember. Default: 1
+	Zones    int `json:"Zones" validate:"gte=0,lte=100"`    // Default: 0
+	Regions  int `json:"Regions" validate:"gte=0,lte=100"`  // Default: 0
 }
 
 // Bounds are the figures of the platform's rules. One that the file does not give is that of Defaults.
 type Bounds struct {
-	AddrReuseS       Seconds `json:"AddrReuseS" validate:"gte=0"`
-	ContactS         Seconds `json:"ContactS" validate:"gte=0"`
-	AckS             Seconds `json:"AckS" validate:"gt=0"`
-	DrainS           Seconds `json:"DrainS" validate:"gte=0"`
-	GraceS           Seconds `json:"GraceS" validate:"gt=0"`
-	LossSlackS       Seconds `json:"LossSlackS" validate:"gte=0"`
-	ConfigApplyS     Seconds `json:"ConfigApplyS" validate:"gt=0"`
+	// AddrReuseS is after how long the address of a server that is gone may belong to a server of another service. Default: 2.
+	AddrReuseS Seconds `json:"AddrReuseS" validate:"gte=0"`
+	// ContactS is after how long without faults a machine counts as in contact with the control plane again. Default: 3.
+	ContactS Seconds `json:"ContactS" validate:"gte=0"`
+	// AckS is how long an operator's call may take until it is acknowledged. Default: 5.
+	AckS Seconds `json:"AckS" validate:"gt=0"`
+	// DrainS is how long a server goes on serving after its draining was acknowledged. Default: 2.
+	DrainS Seconds `json:"DrainS" validate:"gte=0"`
+	// GraceS is the time between SIGTERM and the kill of a process. Default: 6.
+	GraceS Seconds `json:"GraceS" validate:"gt=0"`
+	// LossSlackS is how long after its last byte was sent a request may be lost with its connection. Default: 0.2.
+	LossSlackS Seconds `json:"LossSlackS" validate:"gte=0"`
+	// ConfigApplyS is within how long after its acknowledgement a configuration is in force on all sidecars. Default: 2.
+	ConfigApplyS Seconds `json:"ConfigApplyS" validate:"gt=0"`
+	// RetryBudgetRatio is how many retries are allowed for each request over RetryWindowS. Default: 0.2.
 	RetryBudgetRatio float64 `json:"RetryBudgetRatio" validate:"gte=0,lte=100"`
-	RetryWindowS     Seconds `json:"RetryWindowS" validate:"gt=0"`
-	RetrySlack       float64 `json:"RetrySlack" validate:"gte=0"`
-	KeyWindowS       Seconds `json:"KeyWindowS" validate:"gt=0,lte=86400"`
+	// RetryWindowS is the span over which retries are counted. Default: 10.
+	RetryWindowS Seconds `json:"RetryWindowS" validate:"gt=0"`
+	// RetrySlack is how many retries all sidecars together may make beyond the ratio. Default: 50.
+	RetrySlack float64 `json:"RetrySlack" validate:"gte=0"`
+	// KeyWindowS is for how long a request with an idempotency key runs at most once. Default: 60.
+	KeyWindowS Seconds `json:"KeyWindowS" validate:"gt=0,lte=86400"`
 }
 
 // Defaults returns the settings that apply where the file gives none.
--- a/internal/mesh/sidecar/caller_protocol.go
+++ b/internal/mesh/sidecar/caller_protocol.go
@@ -170,7 +170,8 @@
 		p.log(routed.route, routed.policy).Int32("attempts", routed.attempts.Load()).Msg("request not served")
 	}
 	switch {
-	case a.Verdict == engine.Rejected, a.Verdict == engine.Failed && routed.attempts.Load() == 0: // never sent, so retrying is safe
+	// Rejected: no attempt can have run, or the route is idempotent. Without an attempt nothing can have run either. A retry is safe.
+	case a.Verdict == engine.Rejected, a.Verdict == engine.Failed && routed.attempts.Load() == 0:
 		wait := min(maxRetryAfter, max(minRetryAfter, a.RetryAfter, routed.route.LatencyTarget/retryAfterDivisor))
 		h.Set(headerRetryAfter, strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 		return http.StatusServiceUnavailable
