--- a/internal/mesh/config/spec.go
+++ b/internal/mesh/config/spec.go
@@ -88,10 +88,10 @@
 type ServiceSpec struct {
 	Name           string `json:"Name" validate:"required,max=512"`
 	HealthPath     string `json:"HealthPath"`                      // of health checks; empty: none are made
-	MaxConnections int    `json:"MaxConnections" validate:"gte=0"` // that a server accepts from all callers together; 0: no limit
-	Protocol       string `json:"Protocol"`                        // "h1"
-	TLSEnabled     bool   `json:"TlsEnabled"`
-	DedupEnabled   bool   `json:"DedupEnabled"` // its servers drop repeats of an idempotency key themselves
+	MaxConnections int    `json:"MaxConnections" validate:"gte=0"` // that a server accepts from all callers together; not used
+	Protocol       string `json:"Protocol"`                        // "h1"; not used
+	TLSEnabled     bool   `json:"TlsEnabled"`                      // not used
+	DedupEnabled   bool   `json:"DedupEnabled"`                    // its servers drop repeats of an idempotency key themselves; not used
 	ConfigVersion  int64  `json:"ConfigVersion"`
 }
 
