--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -30,7 +30,7 @@
 // transfer is what an attempt has sent and received.
 type transfer struct {
 	bytesSent, bytesReceived int64
-	served                   string // address of the server that answered; "": the one asked
+	servedBy                 string // address of the server that answered; "": the one asked
 }
 
 // host is the owner of an attempt: an engine, or Hooks.
@@ -53,11 +53,11 @@
 	return 0, true
 }
 
-// RecordTransfer reports to the engine, before End, that the request was written completely, with a body of out bytes. A
-// Carrier also reports the bytes of the response body and, if known, the address of the server that answered. Others leave both
-// empty: the size is then that of the reply that is passed to End.
-func (a *Attempt) RecordTransfer(out, in int64, served string) {
-	a.transfer.Store(&transfer{out, in, served})
+// RecordTransfer reports to the engine, before End, that the request was written completely, with a body of bytesSent
+// bytes. A Carrier also reports the bytes of the response body and, if known, the address of the server that answered. Others
+// leave both empty: the size is then that of the reply that is passed to End.
+func (a *Attempt) RecordTransfer(bytesSent, bytesReceived int64, servedBy string) {
+	a.transfer.Store(&transfer{bytesSent, bytesReceived, servedBy})
 }
 
 // Began passes on a streamed reply that has begun. It may be called once, before End; the engine releases r if the
@@ -195,8 +195,8 @@
 	if sized, is := reply.(Sized); is {
 		outcome.In += sized.Size()
 	}
-	if done.served != "" {
-		outcome.Server = e.idByAddr[done.served] // "": not a listed one
+	if done.servedBy != "" {
+		outcome.Server = e.idByAddr[done.servedBy] // "": not a listed one
 	}
 }
 
--- a/internal/message/stream.go
+++ b/internal/message/stream.go
@@ -10,7 +10,7 @@
 
 // GRPC is what a gRPC request has in addition. All attempts of a call share it.
 type GRPC struct {
-	Idempotent bool // idempotent: may run any number of times
+	Idempotent bool // may run any number of times
 	Streamed   bool // the response may be streamed
 
 	mu     sync.Mutex
@@ -31,14 +31,13 @@
 	return g.failed
 }
 
-// Stream is a body that is passed on in chunks as it comes: one side pushes, the other takes. The pushing side
-// does the flow control: it is notified of each chunk that was taken and lets its peer send no more than that, which bounds
-// the bytes that are buffered.
-// One goroutine pushes and one takes.
+// Stream is a body that is passed on in chunks as it comes: one goroutine pushes and one takes. The pushing side does the
+// flow control: it is notified of each chunk that was taken and lets its peer send no more than that, which bounds the bytes
+// that are buffered.
 type Stream struct {
 	Status int // HTTP status; 0: 200
 	Header []Field
-	// Length is the declared length of the whole body, in bytes; -1: none. It is 0 for gRPC, whose streams may be the
+	// Length is the declared length of the complete body, in bytes; -1: none. It is 0 for gRPC, whose streams may be the
 	// work itself and not only the transfer of its result.
 	Length int64
 	// OnDiscarded is called with the bytes that Release discards and those that come after it; nil: not called. It must be
@@ -55,9 +54,10 @@
 	trailer  []Field
 }
 
-// NewStream returns a stream with its header section; consumed is called with the bytes of each chunk that is taken.
-func NewStream(header []Field, consumed func(n int)) *Stream {
-	return &Stream{Header: header, onConsumed: consumed, wake: make(chan struct{}, 1)}
+// NewStream returns a stream with its header section; onConsumed is called with the bytes of each chunk
+// that is taken.
+func NewStream(header []Field, onConsumed func(n int)) *Stream {
+	return &Stream{Header: header, onConsumed: onConsumed, wake: make(chan struct{}, 1)}
 }
 
 // Transfer says that the stream only transfers a result, and is no work that goes on (see Length).
--- a/internal/sender/http1/write.go
+++ b/internal/sender/http1/write.go
@@ -62,7 +62,7 @@
 
 // exchange writes one request and reads its response. keep says whether the connection can be reused.
 func (s *Sender) exchange(ctx context.Context, a *engine.Attempt, c *conn, r *http.Request, text []byte) (res result, keep bool) {
-	out, complete, err := s.write(ctx, a, c, text)
+	sent, complete, err := s.write(ctx, a, c, text)
 	if err != nil {
 		// It was not written completely, so it can't have run.
 		if ctx.Err() != nil || errors.Is(err, errIncompleteRequest) || errors.Is(err, errBodySpent) {
@@ -70,7 +70,7 @@
 		}
 		return result{ending: balancer.Unreachable}, false
 	}
-	a.RecordTransfer(out, 0, "")
+	a.RecordTransfer(sent, 0, "")
 	got, err := s.read(ctx, a, c, r)
 	if err != nil {
 		if !complete {
@@ -79,7 +79,7 @@
 		return result{ending: engine.EndingOf(ctx)}, false
 	}
 	if got.reply == nil {
-		a.RecordTransfer(out, got.size, "")
+		a.RecordTransfer(sent, got.size, "")
 	}
 	res.ending, _ = s.protocol.Classify(got.resp)
 	if res.ending == balancer.Success {
@@ -93,7 +93,7 @@
 
 // write writes a request, of which text is the head or all. If complete is false without an error, the server has responded
 // before the end of the request, and the response can be read.
-func (s *Sender) write(ctx context.Context, a *engine.Attempt, c *conn, text []byte) (out int64, complete bool, err error) {
+func (s *Sender) write(ctx context.Context, a *engine.Attempt, c *conn, text []byte) (sent int64, complete bool, err error) {
 	m := a.Payload.(*message.Request)
 	if m.BodyRest == nil {
 		_, err := c.Write(text)
@@ -113,7 +113,7 @@
 // upload writes a request while its caller still sends the body, and stops when the server responds before the end. complete
 // says that the server can have all of it, so that it may run, whatever becomes of the caller or the attempt after that.
 // The goroutine that waits for an early response has ended when upload returns.
-func (s *Sender) upload(ctx context.Context, c *conn, head []byte, m *message.Request) (out int64, complete bool, err error) {
+func (s *Sender) upload(ctx context.Context, c *conn, head []byte, m *message.Request) (sent int64, complete bool, err error) {
 	writing, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	c.readLimit.N = maxHeaderBytes
@@ -126,27 +126,27 @@
 		}
 		early <- err
 	}()
-	out, complete, err = uploadBody(writing, timedWriter{c.Conn}, head, m)
+	sent, complete, err = uploadBody(writing, timedWriter{c.Conn}, head, m)
 	if err == nil || complete {
 		// It is written. The goroutine now waits for the response proper.
 		stop(nil)
 	} else if !errors.Is(context.Cause(writing), errEarlyResponse) {
 		_ = c.SetReadDeadline(time.Now()) // wakes the goroutine; fails only if the connection is closed, which does so too
 		<-early                           //nolint:errcheck // the upload has failed already, with an error that says more
-		return out, false, err
+		return sent, false, err
 	}
 	if err := <-early; err != nil {
 		if complete {
-			return out, true, nil // the reader meets the same error, and classifies it
+			return sent, true, nil // the reader meets the same error, and classifies it
 		}
-		return out, false, err
+		return sent, false, err
 	}
-	return out, complete, c.SetWriteDeadline(time.Time{})
+	return sent, complete, c.SetWriteDeadline(time.Time{})
 }
 
 // uploadBody writes a head and the body that follows. complete says that all of it was written, or what a server may take for
 // all of it. A body of declared length ends with its last byte, without waiting for the caller's end of stream.
-func uploadBody(ctx context.Context, w io.Writer, head []byte, m *message.Request) (out int64, complete bool, err error) {
+func uploadBody(ctx context.Context, w io.Writer, head []byte, m *message.Request) (sent int64, complete bool, err error) {
 	if _, err = w.Write(head); err != nil {
 		return 0, false, err
 	}
@@ -155,24 +155,24 @@
 		to = httputil.NewChunkedWriter(w)
 	}
 	for p := m.Body; len(p) > 0; {
-		if length >= 0 && out+int64(len(p)) > length {
-			return out, false, errIncompleteRequest // a server would read the excess as the next request
+		if length >= 0 && sent+int64(len(p)) > length {
+			return sent, false, errIncompleteRequest // a server would read the excess as the next request
 		}
 		if _, err = to.Write(p); err != nil {
-			return out, false, err
+			return sent, false, err
 		}
-		if out += int64(len(p)); out == length {
-			return out, true, nil
+		if sent += int64(len(p)); sent == length {
+			return sent, true, nil
 		}
 		if p, err = m.BodyRest.Next(ctx); err != nil {
-			return out, false, err
+			return sent, false, err
 		}
 	}
 	if length >= 0 || m.BodyRest.Trailer() == nil {
-		return out, false, errIncompleteRequest
+		return sent, false, errIncompleteRequest
 	}
 	n, err := io.WriteString(w, chunksEnd)
-	return out, n >= len(lastChunk), err
+	return sent, n >= len(lastChunk), err
 }
 
 // The end of a chunked body (RFC 9112, section 7.1). Some servers take a request as complete at the last chunk's line.
