--- a/internal/mesh/raft/election_test.go
+++ b/internal/mesh/raft/election_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// The first to ask may be refused, for the other has not heard yet that the leader is gone. Where the other lacks entries it can't be
-// elected itself, and its own pre-vote has the first ask again at once.
+// The first pre-vote may be rejected because the other member does not know yet that the leader is gone. If the other lacks entries it can't be
+// elected itself, and its own pre-vote makes the first ask again at once.
 func TestLeaderExitReportedLate(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		sim := newSimulation(t, seed, "a", "b", "c")
@@ -109,7 +109,7 @@
 	}
 }
 
-// Wrong evidence disturbs nobody: a leader that is alive keeps its term, whoever takes it for gone, as long as a majority hears it.
+// A wrong report that the leader has exited does no harm: a leader that is alive keeps its term as long as a majority hears it.
 func TestLeaderExitReportedWrongly(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		sim := newSimulation(t, seed, "a", "b", "c")
@@ -151,8 +151,8 @@
 	assert.Assert(t, response.Kind == PreVoteResponse && !response.Reject)
 }
 
-// A member that stalls for less than the election timeout, on its disk or for want of a processor, costs no election: neither a
-// leader that sends nothing for so long nor a follower that hears nothing.
+// A member that stalls for less than the election timeout, on its disk or for lack of processor time, does not cause an election, whether it is the
+// leader or a follower.
 func TestShortStallKeepsTheLeader(t *testing.T) {
 	// A heartbeat may have been due just then, and takes a while.
 	const stall = testElectionTimeout - testHeartbeatInterval - 20*time.Millisecond
@@ -188,7 +188,7 @@
 	}
 }
 
-// A leader that others hear but that hears nobody steps down, and is not in contact with a quorum.
+// A leader whose messages arrive but that receives none steps down, and has no quorum contact.
 func TestLeaderThatHearsNobodyStepsDown(t *testing.T) {
 	sim := newSettledSimulation(t, 4, "a", "b", "c")
 	leader := sim.leader()
@@ -203,7 +203,7 @@
 	sim.requireComplete("a", "b", "c")
 }
 
-// A leader that is about to stop has another take over, well before anybody would miss it.
+// A leader that is about to stop transfers leadership well before its silence would be noticed.
 func TestTransferLeadership(t *testing.T) {
 	sim := newSettledSimulation(t, 7, "a", "b", "c")
 	sim.write("one")
@@ -216,8 +216,8 @@
 	sim.requireComplete("a", "b", "c")
 }
 
-// A member that voted in a term, and comes back with a log that is older than its vote, votes for nobody else in that term,
-// does not lead with what it has, and catches up.
+// A member that has voted in a term and comes back with a log that is older than its vote votes for no other member in that term, is not elected with
+// that log, and catches up.
 func TestLogOlderThanVote(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	third := model.nodes[2]
--- a/internal/mesh/raft/leave_test.go
+++ b/internal/mesh/raft/leave_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A member that is told to stop gets leave only once those that stay hold what it does; 50 ms later another disk is lost. Either the
-// leader or a follower leaves, and the third lagged.
+// A member that leaves is granted that only once the members that stay hold everything that it holds. 50 ms later another disk is lost. Either the
+// leader or a follower leaves, and the third member lagged before.
 func TestLeaveThenDiskLoss(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulation(t, 300+seed, "a", "b", "c")
@@ -46,7 +46,7 @@
 	}
 }
 
-// What is acknowledged after a member got leave does not rest on it, though it still runs.
+// Nothing that is acknowledged after a member was granted leave depends on it, although it still runs.
 func TestNothingRestsOnMemberWithLeave(t *testing.T) {
 	sim := newSettledSimulation(t, 41, "a", "b", "c")
 	sim.write("one")
@@ -67,7 +67,7 @@
 	assert.Assert(t, sim.members[stays].raft.log.committed >= index)
 }
 
-// Nobody waits for what can't be.
+// A member does not wait for leave that it can never be granted.
 func TestLeaveWithoutWaiting(t *testing.T) {
 	t.Run("a sole voter", func(t *testing.T) {
 		sim := newSettledSimulation(t, 42, "a")
@@ -101,8 +101,8 @@
 	}
 }
 
-// A member that is told to stop while a learner is ready gives its place to that one before it goes: another disk that is lost 50 ms
-// later is the only vote that is missing. Either the leader leaves or a follower.
+// A member that leaves while a learner is ready is replaced by the learner first, so that after the loss of another disk 50 ms later only one vote
+// is missing. Either the leader or a follower leaves.
 func TestLeaveWithReadyLearner(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulationWithLearner(t, 400+seed, 20)
@@ -126,7 +126,7 @@
 	}
 }
 
-// A learner that has joined and hears nothing more keeps no member from going.
+// A learner that has joined and is then cut off does not keep a member from leaving.
 func TestLeaveWithUnreachableLearner(t *testing.T) {
 	for seed := range uint64(20) {
 		sim := newSettledSimulation(t, 500+seed, "a", "b", "c")
@@ -143,8 +143,8 @@
 	}
 }
 
-// A member that goes for good, leader or follower, gives its place to a learner that is ready. 50 ms after it was told to stop another
-// loses its disk; those that are left are a majority all the same.
+// A member that leaves for good, leader or follower, is replaced by a learner that is ready. 50 ms after it began to leave another member loses its
+// disk; the remaining members are still a majority.
 func TestLeaveGivesPlaceToLearner(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulationWithLearner(t, 700+seed, 10)
@@ -169,7 +169,7 @@
 	}
 }
 
-// A learner that lags, or that says nothing any more, holds up nobody who is to go.
+// A learner that lags or is silent does not delay a member that leaves.
 func TestLeaveDoesNotWaitForLaggingLearner(t *testing.T) {
 	for seed := range uint64(8) {
 		sim := newSettledSimulation(t, 760+seed, "a", "b", "c")
--- a/internal/mesh/raft/membership_test.go
+++ b/internal/mesh/raft/membership_test.go
@@ -27,7 +27,7 @@
 	sim.requireComplete(append(rest, "e")...)
 }
 
-// The leader loses its disk again and again, each time once the one before is a member again.
+// The leader loses its disk again and again, each time once the previous one has become a member again.
 func TestDisksLostInTurn(t *testing.T) {
 	for seed := range uint64(20) {
 		sim := newSettledSimulation(t, seed, "a", "b", "c")
@@ -41,7 +41,7 @@
 	}
 }
 
-// A member that was cut off while its place was given away learns so, and rejoins when there is room again.
+// A member that was replaced while it was cut off learns so, and rejoins when the cluster has room again.
 func TestRemovedMemberRejoins(t *testing.T) {
 	sim := newSettledSimulation(t, 3, "a", "b", "c")
 	sim.isolated["c"] = true
@@ -63,7 +63,7 @@
 	sim.requireComplete("a", "b", "c")
 }
 
-// A lost member's place is never empty: a learner that has caught up replaces it, at the same address or at another.
+// A lost member is replaced in one step by a learner that has caught up, at the same address or at another, so that its place is never empty.
 func TestReplacement(t *testing.T) {
 	for _, at := range []string{"c", "d"} {
 		sim := newSettledSimulation(t, 11, "a", "b", "c")
@@ -142,8 +142,7 @@
 	}
 }
 
-// A member that a replacement put in is voted for by one that has not heard of it: else the two that are left, of three of which one
-// is down, would never have a leader.
+// A member votes for a new member that it does not know yet. Otherwise two of three members, with the third down, could never elect a leader.
 func TestVoteForUnknownMember(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	n := &testMember{self: Member{4, "r4"}}
@@ -201,8 +200,8 @@
 	}))
 }
 
-// Members of both protocol versions, either leading: a lost member is replaced the way that all know, and once all speak the present
-// version by a joint change.
+// In a cluster of both protocol versions, whichever leads, a lost member is replaced in the way that all support. Once all speak the present version
+// that is a joint change.
 func TestMixedProtocolVersions(t *testing.T) {
 	for mask := range 8 {
 		sim := newSimulation(t, uint64(mask), "a", "b", "c")
--- a/internal/mesh/raft/model_test.go
+++ b/internal/mesh/raft/model_test.go
@@ -70,8 +70,8 @@
 	n.log = slices.DeleteFunc(slices.Clone(n.log), func(e Entry) bool { return e.Index < n.raft.OldestRetainedIndex() })
 }
 
-// modelState is a state of some members, of the messages between them, and of what is known of both. Whatever a member does is
-// checked against the invariants of Raft (Raft paper, figure 3).
+// modelState is the state of some members and of the messages between them, with what the checks need to know. Every action of a member is checked
+// against the invariants of Raft (Raft paper, figure 3).
 type modelState struct {
 	nodes   []*testMember
 	network []Message
--- a/internal/mesh/raft/schedule_test.go
+++ b/internal/mesh/raft/schedule_test.go
@@ -153,8 +153,8 @@
 	return s.processReady(i, noCrash, s.faults)
 }
 
-// endGrantedLeaves has those go that were told to stop and may. What was acknowledged by then must be held by a majority of the voters
-// that stay. Each starts again, with its disk.
+// endGrantedLeaves stops the members that have been granted leave, and checks that a majority of the voters that stay holds everything acknowledged by
+// then. Each member later starts again with its disk.
 func (s *randomSchedule) endGrantedLeaves() error {
 	for i := range s.nodes {
 		n := s.nodes[i]
--- a/internal/mesh/scale/measure.go
+++ b/internal/mesh/scale/measure.go
@@ -85,7 +85,7 @@
 	rejected int
 }
 
-// measureSpan samples the fleet before and after cause, which lasts for a phase at the most. Events of the phase are the servers'
+// measureSpan samples the fleet before and after cause, which lasts at most as long as a phase. Events of the phase are the servers'
 // heartbeats; a phase that causes events of its own counts those instead.
 func (f *fleet) measureSpan(ctx context.Context, name string, cause func() error) (Phase, error) {
 	from, err := f.sample(ctx)
--- a/internal/mesh/transport/conn_test.go
+++ b/internal/mesh/transport/conn_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// A call takes its reply from its own connection only; one whose connection ends is told so.
+// A call only accepts a reply from its own connection, and fails when that ends.
 func TestReplyIsTakenFromItsConnectionOnly(t *testing.T) {
 	addr, accepted := listen(t)
 	var calls Calls
@@ -100,8 +100,8 @@
 	assert.Assert(t, errors.Is(<-failed, ErrClosed))
 }
 
-// What was sent before Shutdown is all read by the peer, however slowly it reads and whatever it still sends itself. Shutdown returns
-// once it has, or when its context ends.
+// The peer reads everything that was sent before Shutdown, however slowly it reads and whatever it still sends itself. Shutdown returns once it has,
+// or when its context ends.
 func TestShutdownDeliversWhatWasSent(t *testing.T) {
 	addr, accepted := listen(t)
 	reader := dial(t, addr, "reader")
