--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// A fleet whose shares follow the reachable members at once, and one whose paused member uses shares that have expired, are found to take more
-// than the whole.
+// A fleet whose shares follow the reachable members at once, and one whose paused member uses shares that have expired, are found: their
+// shares add up to more than 1.
 func TestShareMutationsAreFound(t *testing.T) {
 	for _, mutation := range []string{"seen", "stalled"} {
 		t.Run(mutation, func(t *testing.T) {
--- a/internal/drill/members.go
+++ b/internal/drill/members.go
@@ -93,8 +93,8 @@
 	return f, f.StartAll(c.MemberCount)
 }
 
-// faultSchedule injects the faults of a schedule into a fleet of five under load, and watches that the members never have more than the
-// whole together.
+// faultSchedule injects the faults of a schedule into a fleet of five under load, and watches that the shares of the members never add up
+// to more than 1.
 func faultSchedule(ctx context.Context, env *environment) error {
 	f, err := env.startFleet(testfleet.FleetConfig{MemberCount: memberCount, ServerCount: fleetServers})
 	if err != nil {
@@ -169,7 +169,7 @@
 	return schedule, 14 * time.Second, nil
 }
 
-// judgeShares reports what all members had together, which must never be more than the whole.
+// judgeShares reports the sum of all members' shares, which must never exceed 1.
 func (env *environment) judgeShares(w *testfleet.ShareWatch) {
 	env.addFigure("samples", w.Samples, "of the shares that all members report")
 	env.addFigure("most_held", w.MaxTotal, "of the whole, by all together at one moment")
--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -13,7 +13,7 @@
 
 const (
 	watchHeartbeat = 2 * time.Second // how often a watch sends an empty line while nothing changes
-	wholeList      = -1              // the revision that asks for the whole list
+	fullList       = -1              // the revision that asks for the complete list
 )
 
 // ListState is the state of a server in the registry's list.
@@ -26,7 +26,7 @@
 	ListDeleted  ListState = "DELETED"
 )
 
-// Registry is a fake of the platform's registry. It serves the whole list, and watches that send what changes.
+// Registry is a fake of the platform's registry. It serves the complete list, and watches that send what changes.
 type Registry struct {
 	name     string
 	recorder *Recorder
@@ -140,7 +140,7 @@
 }
 
 // updatesSince returns the entries that changed after a revision, in the order of the changes. For a revision that the registry does
-// not know it returns the whole list.
+// not know it returns the complete list.
 func (g *Registry) updatesSince(revision int64) (listUpdate, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -164,7 +164,7 @@
 	return listUpdate{append(text, '\n'), g.revision, updates, g.changed}, err
 }
 
-// ServeHTTP answers with the whole list, or with follow=1 keeps sending what changed since a revision.
+// ServeHTTP answers with the complete list, or with follow=1 keeps sending what changed since a revision.
 func (g *Registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/registry/instances" {
 		http.NotFound(w, r)
@@ -172,7 +172,7 @@
 	}
 	query := r.URL.Query()
 	if query.Get("follow") != "1" {
-		list, err := g.updatesSince(wholeList)
+		list, err := g.updatesSince(fullList)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
--- a/internal/testfleet/fleet_test.go
+++ b/internal/testfleet/fleet_test.go
@@ -134,11 +134,11 @@
 	}
 }
 
-// assertShareSum checks that the members' shares are not more than the whole.
+// assertShareSum checks that the members' shares do not add up to more than 1.
 func (f *Fleet) assertShareSum(t *testing.T, members []int) {
 	t.Helper()
 	if sum, _ := f.SumShares(t.Context(), members...); sum > 1+sumRounding {
-		t.Errorf("%v of the whole is taken", sum)
+		t.Errorf("the shares add up to %v", sum)
 	}
 }
 
