--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -2,7 +2,7 @@
 // (package balancer), passes it events and carries out its actions.
 //
 // The goroutine of Run owns the module and all state of the engine; fronts (downstream), senders (upstream) and
-// sources (lists of servers) post to it. The engine starts attempts through a Sender, follows the list of a Source,
+// sources (lists of servers) post to it. The engine starts attempts through a Sender, watches the list of a Source,
 // and holds these invariants whatever the module says:
 //
 //   - each call gets exactly one final answer, at the latest at Call.FallbackAt;
@@ -13,7 +13,7 @@
 // It must never decide what the module decides, and never read a payload or a reply: it knows no protocol.
 //
 // Files: engine.go has the goroutine and its queue, call.go the calls, attempt.go the attempts, sender.go and source.go
-// what it needs of the two sides, servers.go the list in use, snapshot.go what a successor takes over.
+// what it needs of the two sides, servers.go the list in use, snapshot.go what a successor takes over, hooks.go attempts without an engine.
 package engine
 
 import (
--- a/internal/front/http1/connections.go
+++ b/internal/front/http1/connections.go
@@ -53,8 +53,8 @@
 	idleTimer    *time.Timer  // runs while it is quiet; nil: it was not yet
 }
 
-func newConnections(l net.Listener, fresh *pool.Share) *connections {
-	return &connections{Listener: l, unassigned: fresh, quiet: map[*pool.Share]*list.List{}, freed: make(chan struct{}, 1)}
+func newConnections(l net.Listener, unassigned *pool.Share) *connections {
+	return &connections{Listener: l, unassigned: unassigned, quiet: map[*pool.Share]*list.List{}, freed: make(chan struct{}, 1)}
 }
 
 const (
@@ -216,7 +216,7 @@
 func (l *connections) closeIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var away []*connection
+	var closing []*connection
 	for _, quiet := range l.quiet {
 		for e := quiet.Front(); e != nil; e = e.Next() {
 			c := e.Value.(*connection)
@@ -226,11 +226,11 @@
 			idle := c.requestBegan.Load() == 0 && (c.used || time.Since(c.quietSince) > drainNewAfter)
 			stalled := c.requestBegan.Load() != 0 && time.Since(time.Unix(0, c.lastByteAt.Load())) > drainStalledAfter
 			if (idle || stalled) && conncheck.Peek(c.Conn) != nil {
-				away = append(away, c)
+				closing = append(closing, c)
 			}
 		}
 	}
-	for _, c := range away {
+	for _, c := range closing {
 		_ = c.close()
 	}
 }
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -52,9 +52,9 @@
 }
 
 // New returns a front that accepts connections from l once Serve is called. A connection counts against the share of the
-// pool of its last request. It counts against fresh before its first request, and as long as no pool has a share.
-func New(l net.Listener, clock engine.Clock, routes Routes, fresh *pool.Share) *Front {
-	f := &Front{clock: clock, routes: routes, conns: newConnections(l, fresh), giveUp: make(chan struct{})}
+// pool of its last request. It counts against unassigned before its first request, and as long as no pool has a share.
+func New(l net.Listener, clock engine.Clock, routes Routes, unassigned *pool.Share) *Front {
+	f := &Front{clock: clock, routes: routes, conns: newConnections(l, unassigned), giveUp: make(chan struct{})}
 	f.conns.scanHeads = true
 	f.server = &http.Server{
 		Handler: f, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
--- a/internal/front/http1/h2.go
+++ b/internal/front/http1/h2.go
@@ -27,9 +27,9 @@
 // NewH2 is New for callers that speak HTTP/2 without TLS, with prior knowledge (RFC 9113, section 3.3). Requests and answers
 // have the same meaning as over HTTP/1.1; framing, flow control, GOAWAY and the limits against floods are those of net/http.
 // A rejected request does not close the connection, since others share it.
-func NewH2(l net.Listener, clock engine.Clock, routes Routes, fresh *pool.Share, limits H2Limits) *Front {
+func NewH2(l net.Listener, clock engine.Clock, routes Routes, unassigned *pool.Share, limits H2Limits) *Front {
 	limits.Streams, limits.Window = cmp.Or(limits.Streams, h2Streams), cmp.Or(limits.Window, h2Window)
-	f := New(l, clock, routes, fresh)
+	f := New(l, clock, routes, unassigned)
 	f.conns.scanHeads = false
 	f.server.Protocols = new(http.Protocols)
 	f.server.Protocols.SetUnencryptedHTTP2(true)
--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -196,9 +196,9 @@
 
 // takeActions returns the actions since the last call.
 func (c *Conn) takeActions() []Action {
-	l := c.actions
+	actions := c.actions
 	c.actions = nil
-	return l
+	return actions
 }
 
 // Close ends all remaining streams, because the connection has ended. unwritten are streams of which a write action was
--- a/internal/h2/client/receive.go
+++ b/internal/h2/client/receive.go
@@ -121,8 +121,8 @@
 
 // splitStatus separates :status from the header fields; false if the response is malformed (RFC 9113, sections 8.1.1, 8.2
 // and 8.3.2).
-func splitStatus(l []Field) (status int, fields []Field, ok bool) {
-	for i, f := range l {
+func splitStatus(section []Field) (status int, fields []Field, ok bool) {
+	for i, f := range section {
 		if f.Name == "" {
 			return 0, nil, false
 		}
@@ -137,20 +137,29 @@
 			status = n
 			continue
 		}
-		for j := range len(f.Name) {
-			if b := f.Name[j]; b <= ' ' || b >= 0x7f || 'A' <= b && b <= 'Z' {
-				return 0, nil, false
-			}
-		}
-		switch f.Name {
-		case "connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade":
+		if !isValidName(f.Name) {
 			return 0, nil, false
 		}
 	}
 	if status == 0 {
 		return 0, nil, false
 	}
-	return status, l[1:], true
+	return status, section[1:], true
+}
+
+// isValidName says that a field may have this name: in lower case and printable (RFC 9113, section 8.2.1), and not specific to
+// a connection (section 8.2.2).
+func isValidName(name string) bool {
+	for i := range len(name) {
+		if b := name[i]; b <= ' ' || b >= 0x7f || 'A' <= b && b <= 'Z' {
+			return false
+		}
+	}
+	switch name {
+	case "connection", "keep-alive", "proxy-connection", "transfer-encoding", "upgrade":
+		return false
+	}
+	return true
 }
 
 // completeResponse ends a stream whose response is complete. A response may end before the request does; the rest of the
@@ -253,16 +262,16 @@
 		c.emit(WritePing{Ack: true, Data: e.Data})
 		return
 	}
-	n := uint64(0)
+	number := uint64(0)
 	for i, b := range e.Data {
-		n |= uint64(b) << (8 * i)
+		number |= uint64(b) << (8 * i)
 	}
-	l, asked := c.awaitingPing[n]
-	if !asked {
+	waiting, ours := c.awaitingPing[number]
+	if !ours {
 		return
 	}
-	delete(c.awaitingPing, n)
-	for _, id := range l {
+	delete(c.awaitingPing, number)
+	for _, id := range waiting {
 		if s := c.streams[id]; s != nil {
 			c.framesWithoutProgress = 0
 			c.beginStreams(s)
--- a/internal/h2/client/stream.go
+++ b/internal/h2/client/stream.go
@@ -59,9 +59,9 @@
 	c.emit(d)
 	if !s.headersWritten { // those behind it need not wait any more
 		for _, id := range c.sortedIDs() {
-			if x := c.streams[id]; !x.headersWritten {
+			if next := c.streams[id]; !next.headersWritten {
 				if !c.awaitsPing(id) {
-					c.beginStreams(x)
+					c.beginStreams(next)
 				}
 				break
 			}
@@ -84,24 +84,24 @@
 // behind it.
 func (c *Conn) beginStreams(s *stream) {
 	for _, id := range c.sortedIDs() {
-		if x := c.streams[id]; x.id < s.id && !x.headersWritten {
+		if other := c.streams[id]; other.id < s.id && !other.headersWritten {
 			return // it is opened together with that one
 		}
 	}
 	for _, id := range c.sortedIDs() {
-		x := c.streams[id]
-		if x.headersWritten || x.id < s.id {
+		next := c.streams[id]
+		if next.headersWritten || next.id < s.id {
 			continue
 		}
-		if x.id > s.id && c.awaitsPing(x.id) {
+		if next.id > s.id && c.awaitsPing(next.id) {
 			return
 		}
-		x.headersWritten = true
-		x.endWritten = len(x.body) == 0 && !x.moreToCome
-		c.emit(WriteHeaders{x.id, x.fields, x.endWritten})
-		x.fields = nil
-		if !x.endWritten {
-			c.sendOrder = append(c.sendOrder, x.id)
+		next.headersWritten = true
+		next.endWritten = len(next.body) == 0 && !next.moreToCome
+		c.emit(WriteHeaders{next.id, next.fields, next.endWritten})
+		next.fields = nil
+		if !next.endWritten {
+			c.sendOrder = append(c.sendOrder, next.id)
 			c.sendBodies()
 		}
 	}
@@ -109,18 +109,18 @@
 
 // sortedIDs returns the ids of the open streams in ascending order.
 func (c *Conn) sortedIDs() []uint32 {
-	l := make([]uint32, 0, len(c.streams))
+	ids := make([]uint32, 0, len(c.streams))
 	for id := range c.streams {
-		l = append(l, id)
+		ids = append(ids, id)
 	}
-	slices.Sort(l)
-	return l
+	slices.Sort(ids)
+	return ids
 }
 
 // awaitsPing says that a stream waits for the answer to a PING.
 func (c *Conn) awaitsPing(id uint32) bool {
-	for _, l := range c.awaitingPing {
-		if slices.Contains(l, id) {
+	for _, waiting := range c.awaitingPing {
+		if slices.Contains(waiting, id) {
 			return true
 		}
 	}
