--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -204,7 +204,7 @@
 func (m *commandsTest) testDrain(t *testing.T) {
 	t.Helper()
 	code, text := runCommand(t, "status", m.transport)
-	assert.Assert(t, code == 1 && strings.Contains(text, "is out (draining): taken out by hand"), text)
+	assert.Assert(t, code == 1 && strings.Contains(text, "is out (draining): taken out by an operator"), text)
 	for range 10 {
 		got := m.Sidecars[1].Send("GET", "/read/", "", nil)
 		assert.Assert(t, got.Status == 200 && strings.Contains(got.Body, "i-side-3-1"), "%v", got)
--- a/internal/mesh/config/document.go
+++ b/internal/mesh/config/document.go
@@ -172,7 +172,7 @@
 		return err
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return errors.New("more behind the end")
+		return errors.New("data after the end of the document")
 	}
 	return nil
 }
--- a/internal/mesh/config/operations.go
+++ b/internal/mesh/config/operations.go
@@ -38,7 +38,7 @@
 			return class, versionConflict(item)
 		case operations.Unknown:
 			undetermined = errors.WithType(
-				errors.Errorf("%s: what was taken as version %d is not remembered any more", item.label(), item.Version), ErrUndetermined)
+				errors.Errorf("%s: the content accepted as version %d is no longer stored", item.label(), item.Version), ErrUndetermined)
 		case operations.New, operations.Duplicate:
 		}
 	}
--- a/internal/mesh/config/request_test.go
+++ b/internal/mesh/config/request_test.go
@@ -23,7 +23,7 @@
 		{"prefix that is no folder", replaced(`"/p/"`, `"p"`), "PathPrefix"},
 		{"two contents of one version", upsertRequest(route+","+routeJSON("r", "t", 3, ""), ""), "twice"},
 		{"no items", `{}`, "no items"},
-		{"text behind the request", request + "x", "behind the end"},
+		{"text behind the request", request + "x", "after the end"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := ParseItems([]byte(test.request))
--- a/internal/mesh/controlplane/disk_contents.go
+++ b/internal/mesh/controlplane/disk_contents.go
@@ -14,7 +14,7 @@
 )
 
 // ErrEmptyDisk is the error of RecoverConfiguration for an empty data folder.
-const ErrEmptyDisk = errors.ConstError("the data folder holds nothing")
+const ErrEmptyDisk = errors.ConstError("the data folder is empty")
 
 // DiskContents is what the data folder of a stopped member holds, with all of its log applied, committed or not.
 type DiskContents struct {
--- a/internal/mesh/controlplane/maintenance_api.go
+++ b/internal/mesh/controlplane/maintenance_api.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	textNoName        = "it needs who says so"
+	textNoName        = "the name of the operator is missing"
 	textLeaderChanged = "another leader took over; it may still be committed"
 )
 
--- a/internal/mesh/controlplane/status.go
+++ b/internal/mesh/controlplane/status.go
@@ -13,7 +13,7 @@
 const (
 	// statusTimeout is how long the loop's goroutine may take before a member reports that it hangs.
 	statusTimeout = 500 * time.Millisecond
-	textHangs     = "it hangs, on its disk as a rule"
+	textHangs     = "it hangs, usually on its disk"
 )
 
 // answerStatus answers a call for this member's status, also while the loop's goroutine hangs, for instance on its disk. Its goroutines end
--- a/internal/mesh/daemon/options.go
+++ b/internal/mesh/daemon/options.go
@@ -9,7 +9,7 @@
 )
 
 // errHelp is the error of parseOptions where only help was asked for.
-const errHelp = errors.ConstError("help was asked for")
+const errHelp = errors.ConstError("help requested")
 
 // Options are the command line. Struct tags can't be broken, so that lines are long here.
 type Options struct {
--- a/internal/mesh/maintenance/clock.go
+++ b/internal/mesh/maintenance/clock.go
@@ -8,7 +8,7 @@
 )
 
 // ErrNoAgreedTime says that no majority of the members' clocks agrees on a time, and no time was agreed on before.
-const ErrNoAgreedTime = errors.ConstError("the registers' clocks agree on no time of day")
+const ErrNoAgreedTime = errors.ConstError("no majority of the members' clocks agrees on the time of day")
 
 const (
 	// MaxClockError is by how much a correct clock may be off. The agreed time is correct within that and half a round trip, as long as
--- a/internal/mesh/policy/change.go
+++ b/internal/mesh/policy/change.go
@@ -13,7 +13,7 @@
 	ErrInvalidSet = errors.ConstError("the items do not fit together")
 
 	// ErrConflict: two clauses contradict each other on a request. The error is a *Conflict.
-	ErrConflict = errors.ConstError("two rules refuse each other")
+	ErrConflict = errors.ConstError("two policies conflict")
 
 	// ErrNotOwner: the author of a change does not own one of its items.
 	ErrNotOwner = errors.ConstError("it is not theirs to change")
--- a/internal/mesh/policy/conflict.go
+++ b/internal/mesh/policy/conflict.go
@@ -100,7 +100,7 @@
 		} else {
 			allowed = intersection.mergeValues([]Clause{{Values: allowed}, c})
 			if len(allowed) == 0 {
-				return &Conflict{A: *lastAllow, B: c, Text: "together with what else is allowed they let nobody call"}
+				return &Conflict{A: *lastAllow, B: c, Text: "together with the other lists of allowed callers nobody may call"}
 			}
 		}
 		lastAllow = &l[i]
--- a/internal/mesh/policy/set.go
+++ b/internal/mesh/policy/set.go
@@ -234,7 +234,7 @@
 		}
 		if names, ok := s.ancestorsOf(n.Name); !ok {
 			names = append(names, s.namespaces[names[len(names)-1]].Within)
-			return invalidSet("namespace "+n.Name, "its delegations go round, or too deep: %s", strings.Join(names, " within "))
+			return invalidSet("namespace "+n.Name, "its delegations form a cycle or are too deep: %s", strings.Join(names, " within "))
 		}
 	}
 	for _, p := range s.policies {
--- a/internal/mesh/replica/updates.go
+++ b/internal/mesh/replica/updates.go
@@ -89,7 +89,7 @@
 	}
 	if index := r.blockingIndex(update); index > r.raft.AppliedIndex() {
 		if len(r.waiters) > maxProposals {
-			done(Unavailable("too much is under way"))
+			done(Unavailable("too many updates are in flight"))
 			return
 		}
 		r.waiters = append(r.waiters, waiter{index, func() { r.admitUpdate(update, done) }})
@@ -121,7 +121,7 @@
 func (r *Replica) confirmDuplicate(done func(Reply)) {
 	ok := r.Propose(r.now, nil, func(result ProposalResult) {
 		if !result.Known {
-			done(Unavailable("it was taken before; another leader took over before that was confirmed"))
+			done(Unavailable("it was accepted before; another leader took over before that was confirmed"))
 			return
 		}
 		done(Reply{Status: http.StatusOK})
@@ -138,7 +138,7 @@
 		r.pendingUpdates.remove(term, index, update)
 		switch {
 		case !result.Known:
-			done(Unavailable("another leader took over; it may still be taken"))
+			done(Unavailable("another leader took over; it may still be committed"))
 		case result.Outcome.Err != nil:
 			done(ErrorReply(result.Outcome.Err))
 		default:
--- a/internal/mesh/sidecar/caller_protocol.go
+++ b/internal/mesh/sidecar/caller_protocol.go
@@ -75,7 +75,7 @@
 		}
 	}
 	if route.Kind == routing.Keyed && !p.controlPlane.isReachable() {
-		return nil, reject(hr, http.StatusServiceUnavailable, "no majority of registers to grant the key")
+		return nil, reject(hr, http.StatusServiceUnavailable, "no quorum of control-plane members to grant the key")
 	}
 	limits := &p.configuration.routing.Load().Limits
 	budget, rejection := checkForm(hr, routed, limits)
--- a/internal/mesh/sidecar/key_lease.go
+++ b/internal/mesh/sidecar/key_lease.go
@@ -86,7 +86,7 @@
 }
 
 func (r *inboundRequest) inProgressResponse() *wire.ResponseT {
-	return r.localResponse(http.StatusConflict, "the key is at work")
+	return r.localResponse(http.StatusConflict, "a request with the key is in flight")
 }
 
 func (r *inboundRequest) lostResponse() *wire.ResponseT {
--- a/internal/mesh/sidecar/local_server.go
+++ b/internal/mesh/sidecar/local_server.go
@@ -152,9 +152,9 @@
 	reason := ""
 	switch {
 	case state != directory.ServerReady:
-		reason = "it said that it leaves"
+		reason = "it announced its shutdown"
 	case s.heldByOperator:
-		state, reason = directory.ServerDraining, "taken out by hand"
+		state, reason = directory.ServerDraining, "taken out by an operator"
 	case s.inMaintenance:
 		state, reason = directory.ServerDraining, "out for maintenance"
 	}
--- a/internal/mesh/sidecar/local_server_health.go
+++ b/internal/mesh/sidecar/local_server_health.go
@@ -118,7 +118,7 @@
 	silence := s.env.settings.Load().HeartbeatS.Duration()*maxMissedHeartbeats + heartbeatSlack
 	switch {
 	case s.endpoint != nil && s.current.State == directory.ServerReady && time.Since(s.lastHeartbeat) > silence:
-		s.current.State, s.outReason = directory.ServerDown, fmt.Sprintf("it has not beaten for %v", silence)
+		s.current.State, s.outReason = directory.ServerDown, fmt.Sprintf("no heartbeat for %v", silence)
 	case !refreshDue:
 		return false
 	}
--- a/internal/mesh/sidecar/policies.go
+++ b/internal/mesh/sidecar/policies.go
@@ -114,7 +114,7 @@
 func (c *configuration) checkPolicy(effective *policy.Decision, caller string) (status int, text string) {
 	switch {
 	case c.isFenced():
-		return http.StatusServiceUnavailable, "which rules bind could not be confirmed for a while"
+		return http.StatusServiceUnavailable, "the active policy set could not be confirmed lately"
 	case effective.DeniedBy != nil:
 		return http.StatusForbidden, "by " + effective.DeniedBy.String() + " " + caller + " may not call it"
 	}
--- a/internal/mesh/sim/operator.go
+++ b/internal/mesh/sim/operator.go
@@ -203,7 +203,7 @@
 			}
 		}
 		host.post(func() { handle(host, once) })
-		host.world.after(replica.CallTimeout, func() { once(replica.Unavailable("not agreed on in time; it may still be taken")) })
+		host.world.after(replica.CallTimeout, func() { once(replica.Unavailable("not committed in time; it may still be")) })
 	})
 }
 
--- a/internal/mesh/topology/svg_test.go
+++ b/internal/mesh/topology/svg_test.go
@@ -61,7 +61,7 @@
 		}
 		switch i {
 		case 2:
-			s.State, s.StateReason = stateDraining, "it said that it leaves"
+			s.State, s.StateReason = stateDraining, "it announced its shutdown"
 		case 5:
 			s.State, s.StateReason = stateDown, "it has sent no heartbeat for 5s"
 		case 7:
--- a/internal/mesh/topology/topology_test.go
+++ b/internal/mesh/topology/topology_test.go
@@ -22,7 +22,7 @@
 		{"all is well", func(*Topology) {}, nil},
 		{
 			"the asked member has no quorum", func(t *Topology) { t.QuorumContact = false },
-			[]string{"10.1.0.42:7380 is out of contact with a majority of the members: what it told may be old"},
+			[]string{"10.1.0.42:7380 is out of contact with a majority of the members: what it reported may be stale"},
 		},
 		{
 			"no configuration", func(t *Topology) { t.Items = nil },
@@ -35,7 +35,7 @@
 		{"a member has a fault", func(t *Topology) { t.Members[0].Fault = "disk full" }, []string{"member core-1 has a fault: disk full"}},
 		{
 			"a process is no member yet", func(t *Topology) { t.Members[0].IsMember = false },
-			[]string{"member core-1 is no voter, and asks to be taken in"},
+			[]string{"member core-1 is no voter and asks to join"},
 		},
 		{"nobody leads", func(t *Topology) { t.Members[1].IsLeader = false }, []string{"no member leads"}},
 		{
--- a/internal/mesh/topology/warnings.go
+++ b/internal/mesh/topology/warnings.go
@@ -5,7 +5,7 @@
 // Warnings returns what an operator should look at, a line each. There are none if all is well.
 func (t Topology) Warnings() (list []string) {
 	if !t.QuorumContact {
-		list = append(list, t.AskedMember+" is out of contact with a majority of the members: what it told may be old")
+		list = append(list, t.AskedMember+" is out of contact with a majority of the members: what it reported may be stale")
 	}
 	if len(t.Items) == 0 {
 		list = append(list, "the configuration could not be confirmed by a majority, or there is none yet")
@@ -39,7 +39,7 @@
 	case m.Fault != "":
 		return "has a fault: " + m.Fault
 	case !m.IsMember:
-		return "is no voter, and asks to be taken in"
+		return "is no voter and asks to join"
 	case !m.QuorumContact:
 		return "is out of contact with a majority"
 	case len(m.StaleItems) > 0:
--- a/internal/mesh/transport/transport.go
+++ b/internal/mesh/transport/transport.go
@@ -54,7 +54,7 @@
 	ErrClosed     = errors.ConstError("the connection is closed")
 	ErrQueueFull  = errors.ConstError("the peer does not read what is sent to it")
 	ErrPeerSilent = errors.ConstError("the peer is silent")
-	ErrNoHello    = errors.ConstError("the first message of the peer is no hello")
+	ErrNoHello    = errors.ConstError("the first message of the peer is not a hello")
 )
 
 // Dial opens a connection and sends hello, after setting its version. The context bounds the dial only. heartbeat makes the content of
