--- a/internal/node/bench_h2_test.go
+++ b/internal/node/bench_h2_test.go
@@ -119,7 +119,7 @@
 func BenchmarkH2Memory(b *testing.B) {
 	const idleConnections, busyConnections, streamsPerConnection = 1000, 40, 250
 	plan := planOf(b, "listen_h2 = [\"127.0.0.1:0\"]\ndefault = \"p\"\n", poolOf("p", "[[pools.servers]]\naddress = \"127.0.0.1:1\""))
-	plan.Totals.Calls, plan.Totals.Held, plan.Totals.Callers = 20_000, 20_000, 5000
+	plan.Totals.Calls, plan.Totals.PendingCalls, plan.Totals.DownstreamConns = 20_000, 20_000, 5000
 	plan.Totals.NewCallers.Max = 5000
 	// With a module that never acts, the memory of a stream is that of the front and the engine.
 	n, err := provision(plan, Options{H2: newH2Sender}, moduleFunc(func(balancer.Event) []balancer.Action { return nil }))
--- a/internal/node/bodies_test.go
+++ b/internal/node/bodies_test.go
@@ -186,7 +186,7 @@
 	all.Wait()
 	n.onlyEngine().Do(func() {})
 	testkit.Eventually(t, "the memory for responses is not returned to its budget", func() bool {
-		used, _ := n.budgets.longAnswers.Used()
+		used, _ := n.budgets.responseBuffers.Used()
 		return used == 0
 	})
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -18,18 +18,18 @@
 
 // Config is what the platform tells a node at its start.
 type Config struct {
-	Name      string            // of the node, for its log
-	Listen    string            // host:port for callers
-	Discovery string            // host:port of the registry
-	Seed      uint64            // of the balancer's random choices
-	Cores     float64           // CPU cores; 0: not known
-	MemoryMB  float64           // MiB at which the platform kills the process; 0: not known
-	Sockets   int               // file descriptors that the process may hold; default 1024
-	Known     registry.List     // the servers as this node last had them, possibly out of date
-	Settings  balancer.Settings // of the only pool
-	Conns     wire.Connections  // to servers; idle default 15 s, connect time-out default 250 ms
-	Operator  string            // host:port for operators' commands; default $ROUTER_OPERATOR; "": none
-	State     string            // directory for a hot restart, $TMPDIR; "": none, as always without Operator
+	Name        string            // of the node, for its log
+	Listen      string            // host:port for callers
+	Discovery   string            // host:port of the registry
+	Seed        uint64            // of the balancer's random choices
+	Cores       float64           // CPU cores; 0: not known
+	MemoryMB    float64           // MiB at which the platform kills the process; 0: not known
+	Sockets     int               // file descriptors that the process may hold; default 1024
+	Known       registry.List     // the servers as this node last had them, possibly out of date
+	Settings    balancer.Settings // of the only pool
+	Connections wire.Connections  // to servers; idle default 15 s, connect time-out default 250 ms
+	Operator    string            // host:port for operators' commands; default $ROUTER_OPERATOR; "": none
+	State       string            // directory for a hot restart, $TMPDIR; "": none, as always without Operator
 }
 
 // Defaults of the platform's configuration.
@@ -143,7 +143,7 @@
 	if len(document.Settings) == 0 {
 		return errors.New("settings: missing")
 	}
-	c.Settings, c.Conns, err = wire.ParseSettings(document.Settings)
+	c.Settings, c.Connections, err = wire.ParseSettings(document.Settings)
 	return err
 }
 
@@ -154,11 +154,11 @@
 	if c.Settings.AskDiscovery {
 		c.Settings.ToldAfter = registry.NotifiedAfter
 	}
-	if c.Conns.Idle <= 0 {
-		c.Conns.Idle = defaultConnIdle
+	if c.Connections.Idle <= 0 {
+		c.Connections.Idle = defaultConnIdle
 	}
-	if c.Conns.ConnectWithin <= 0 {
-		c.Conns.ConnectWithin = defaultConnectTimeout
+	if c.Connections.ConnectWithin <= 0 {
+		c.Connections.ConnectWithin = defaultConnectTimeout
 	}
 }
 
@@ -171,7 +171,7 @@
 		Operator: c.Operator, State: c.State,
 		Totals: operator.TotalsFor(c.Sockets, c.MemoryMB, operatorDescriptors(c.Operator)),
 		Pools: []operator.Pool{{
-			Settings: c.Settings, Conns: c.Conns, Seed: c.Seed, Known: known,
+			Settings: c.Settings, Connections: c.Connections, Seed: c.Seed, Known: known,
 			Pushed: !c.Settings.AskDiscovery, List: operator.List{Registry: c.Discovery},
 		}},
 	}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.Known.Revision != 41 ||
-		len(c.Known.Targets) != 1 || c.Conns.Idle != 30*time.Second || c.Conns.ConnectWithin != 200*time.Millisecond ||
+		len(c.Known.Targets) != 1 || c.Connections.Idle != 30*time.Second || c.Connections.ConnectWithin != 200*time.Millisecond ||
 		!c.Settings.AskDiscovery || c.Settings.Classes[0].Effect != balancer.Idempotent {
 		t.Errorf("%+v", c)
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -81,11 +81,11 @@
 // drainable is a front that can send its callers to another node or process. Fronts for proxies are not: a proxy decides
 // by itself when to turn elsewhere.
 type drainable interface {
-	// SetDraining closes callers' connections with their next answer, or no longer does.
+	// SetDraining begins or ends closing callers' connections with their next answer.
 	SetDraining(on bool)
-	// CloseIdleIfDraining closes the connections that are idle, if callers are being led away.
+	// CloseIdleIfDraining closes the connections that are idle, if the front is draining.
 	CloseIdleIfDraining()
-	// SetUnready has the readiness endpoint say that the node takes no clients, or that it does again.
+	// SetUnready begins or ends answering the readiness endpoint with 503.
 	SetUnready(on bool)
 	// OpenConnections returns how many connections are open.
 	OpenConnections() int
--- a/internal/node/fleet_member.go
+++ b/internal/node/fleet_member.go
@@ -54,7 +54,7 @@
 		settings := planned.Settings
 		settings.Balancers, settings.Index = 0, 0
 		h := fnv.New32a()
-		fmt.Fprintf(h, "%+v %+v", settings, planned.Conns)
+		fmt.Fprintf(h, "%+v %+v", settings, planned.Connections)
 		digests[planned.Name] = h.Sum32()
 	}
 	return digests
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -47,7 +47,7 @@
 			Balancers: 1, MaxAttempts: 6, MayCancel: true, AskDiscovery: true,
 			AskWithin: 160 * time.Millisecond, Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second,
 		},
-		Conns: wire.Connections{Idle: time.Minute, ConnectWithin: limit},
+		Connections: wire.Connections{Idle: time.Minute, ConnectWithin: limit},
 	}
 }
 
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -13,25 +13,25 @@
 // stacks, buffers of the kernel and the time that a collection takes.
 const softMemoryShare = 0.7
 
-// budgets divide the limits of the process among the pools.
-type budgets struct{ calls, held, connections, bodies, longAnswers, callers *pool.Budget }
+// budgets divide the limits of the process among the pools. Each counts what a pool.Shares has a share of.
+type budgets struct{ calls, pendingCalls, connections, requestBodies, responseBuffers, downstreamConns *pool.Budget }
 
 func newBudgets() budgets {
 	return budgets{
-		calls: pool.NewBudget(0), held: pool.NewBudget(0), connections: pool.NewBudget(0),
-		bodies: pool.NewBudget(0), longAnswers: pool.NewBudget(0), callers: pool.NewBudget(0),
+		calls: pool.NewBudget(0), pendingCalls: pool.NewBudget(0), connections: pool.NewBudget(0),
+		requestBodies: pool.NewBudget(0), responseBuffers: pool.NewBudget(0), downstreamConns: pool.NewBudget(0),
 	}
 }
 
 // newShares returns a pool's share of each budget. The only pool of the platform's configuration, which has no name, has
-// no share of callers: all of them are counted by newCallers.
+// no share of downstream connections: all of them are counted by newCallers.
 func (b *budgets) newShares(name string) pool.Shares {
 	shares := pool.Shares{
-		Calls: b.calls.NewShare(), PendingCalls: b.held.NewShare(), Connections: b.connections.NewShare(),
-		RequestBodies: b.bodies.NewShare(), ResponseBuffers: b.longAnswers.NewShare(),
+		Calls: b.calls.NewShare(), PendingCalls: b.pendingCalls.NewShare(), Connections: b.connections.NewShare(),
+		RequestBodies: b.requestBodies.NewShare(), ResponseBuffers: b.responseBuffers.NewShare(),
 	}
 	if name != "" {
-		shares.DownstreamConns = b.callers.NewShare()
+		shares.DownstreamConns = b.downstreamConns.NewShare()
 	}
 	return shares
 }
@@ -52,24 +52,24 @@
 			func(l operator.Limits) pool.Quota { return l.Calls },
 		},
 		{
-			b.held, t.Held, func(s pool.Shares) *pool.Share { return s.PendingCalls },
-			func(l operator.Limits) pool.Quota { return l.Held },
+			b.pendingCalls, t.PendingCalls, func(s pool.Shares) *pool.Share { return s.PendingCalls },
+			func(l operator.Limits) pool.Quota { return l.PendingCalls },
 		},
 		{
 			b.connections, t.Connections, func(s pool.Shares) *pool.Share { return s.Connections },
 			func(l operator.Limits) pool.Quota { return l.Connections },
 		},
 		{
-			b.bodies, t.Bodies, func(s pool.Shares) *pool.Share { return s.RequestBodies },
-			func(l operator.Limits) pool.Quota { return l.Bodies },
+			b.requestBodies, t.RequestBodies, func(s pool.Shares) *pool.Share { return s.RequestBodies },
+			func(l operator.Limits) pool.Quota { return l.RequestBodies },
 		},
 		{
-			b.longAnswers, t.LongAnswers, func(s pool.Shares) *pool.Share { return s.ResponseBuffers },
-			func(l operator.Limits) pool.Quota { return l.LongAnswers },
+			b.responseBuffers, t.ResponseBuffers, func(s pool.Shares) *pool.Share { return s.ResponseBuffers },
+			func(l operator.Limits) pool.Quota { return l.ResponseBuffers },
 		},
 		{
-			b.callers, t.Callers, func(s pool.Shares) *pool.Share { return s.DownstreamConns },
-			func(l operator.Limits) pool.Quota { return l.Callers },
+			b.downstreamConns, t.DownstreamConns, func(s pool.Shares) *pool.Share { return s.DownstreamConns },
+			func(l operator.Limits) pool.Quota { return l.DownstreamConns },
 		},
 	}
 }
@@ -80,7 +80,7 @@
 func (n *Node) divide(plan operator.Plan, pools map[string]*pool.Pool) (err error) {
 	for _, shared := range n.budgets.shared(plan.Totals) {
 		quotas := map[*pool.Share]pool.Quota{}
-		if shared.budget == n.budgets.callers {
+		if shared.budget == n.budgets.downstreamConns {
 			quotas[n.newCallers] = plan.Totals.NewCallers
 		}
 		for _, planned := range plan.Pools {
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -56,7 +56,7 @@
 				t.Errorf("%s has %d calls", name, used)
 			}
 		}
-		if used, total := n.budgets.callers.Used(); used > total {
+		if used, total := n.budgets.downstreamConns.Used(); used > total {
 			t.Errorf("%d of %d callers", used, total)
 		}
 		if used, total := n.budgets.connections.Used(); used > total {
@@ -65,7 +65,7 @@
 	}
 	cancel()
 	all.Wait()
-	for _, b := range []interface{ Used() (int64, int64) }{n.budgets.calls, n.budgets.held} {
+	for _, b := range []interface{ Used() (int64, int64) }{n.budgets.calls, n.budgets.pendingCalls} {
 		testkit.Eventually(t, "something is not returned to the budgets", func() bool { used, _ := b.Used(); return used == 0 })
 	}
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -75,13 +75,13 @@
 	switch {
 	case !planned.H2:
 		return sender.New(sender.Config{
-			ServerIdleTimeout: planned.Conns.Idle, ConnectTimeout: planned.Conns.ConnectWithin,
+			ServerIdleTimeout: planned.Connections.Idle, ConnectTimeout: planned.Connections.ConnectWithin,
 			Connections: shares.Connections, ResponseBuffers: shares.ResponseBuffers,
 		}), nil
 	case n.options.H2 == nil:
 		return nil, ErrNoH2
 	}
-	return n.options.H2(planned.Conns, planned.Mux, shares.Connections), nil
+	return n.options.H2(planned.Connections, planned.Mux, shares.Connections), nil
 }
 
 // newSource opens the source of a pool's server list. xds is not nil if the list names a cluster: the operator's file is
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -57,7 +57,7 @@
 		options: o, clock: clock, adminState: newAdminState(clock), retiring: map[*pool.Pool]struct{}{}, stopped: make(chan struct{}),
 		budgets: newBudgets(),
 	}
-	n.newCallers = n.budgets.callers.NewShare()
+	n.newCallers = n.budgets.downstreamConns.NewShare()
 	return n
 }
 
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -186,7 +186,7 @@
 		if resp, body := do(t, newRequest(t, n, "GET", "/read/1", "")); resp.StatusCode != 200 || len(body) != long {
 			t.Errorf("through the node: %d, %d bytes", resp.StatusCode, len(body))
 		}
-		for used := int64(1); used > 0; used, _ = n.budgets.longAnswers.Used() { // the handler may not have returned yet
+		for used := int64(1); used > 0; used, _ = n.budgets.responseBuffers.Used() { // the handler may not have returned yet
 			runtime.Gosched()
 		}
 	}
--- a/internal/operator/key_lines.go
+++ b/internal/operator/key_lines.go
@@ -7,7 +7,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLocator finds the line of each key of a TOML text. The library's decoding tells lines for its own errors alone.
+// keyLocator finds the line of each key of a TOML text. The library's decoding gives lines only for its own errors.
 type keyLocator struct {
 	lines       map[string]int // result, by the key's path
 	lineEnds    []int          // offsets of the line ends in the text
--- a/internal/operator/limits.go
+++ b/internal/operator/limits.go
@@ -62,9 +62,9 @@
 			limit.reserved = p.Totals.NewCallers.Min
 		}
 	}
-	if sum := p.Totals.Connections + p.Totals.Callers; sum > descriptors-reservedDescriptors-int64(pools) {
+	if sum := p.Totals.Connections + p.Totals.DownstreamConns; sum > descriptors-reservedDescriptors-int64(pools) {
 		lt.fault("connections", "%d connections and %d callers need more than the %d descriptors, of which %d are reserved",
-			p.Totals.Connections, p.Totals.Callers, descriptors, reservedDescriptors+pools)
+			p.Totals.Connections, p.Totals.DownstreamConns, descriptors, reservedDescriptors+pools)
 	}
 	lt.rejectUnknownKeys()
 	return shared
@@ -73,9 +73,9 @@
 // defaultTotals sets the totals that follow from the descriptors and the memory.
 func (p *Plan) defaultTotals(descriptors, pools int) {
 	p.Totals = TotalsFor(descriptors, p.MemoryMB, pools)
-	p.Totals.NewCallers.Min = p.Totals.Callers / newCallersShare
+	p.Totals.NewCallers.Min = p.Totals.DownstreamConns / newCallersShare
 	// A caller's connection carries one call at a time (HTTP/1.1), so there can't be more calls than callers.
-	p.Totals.Calls, p.Totals.Held = p.Totals.Callers, p.Totals.Callers
+	p.Totals.Calls, p.Totals.PendingCalls = p.Totals.DownstreamConns, p.Totals.DownstreamConns
 	if p.ExtProc == nil {
 		return
 	}
@@ -84,18 +84,18 @@
 	if p.MemoryMB > 0 {
 		questions = min(questions, int64(p.MemoryMB*(1<<20)/questionsMemoryShare/questionBytes))
 	}
-	p.Totals.Calls, p.Totals.Held = p.Totals.Calls+questions, p.Totals.Held+questions
+	p.Totals.Calls, p.Totals.PendingCalls = p.Totals.Calls+questions, p.Totals.PendingCalls+questions
 }
 
 // sharedLimits returns all limits that pools share.
 func (p *Plan) sharedLimits() []sharedLimit {
 	return []sharedLimit{
 		{"calls", false, &p.Totals.Calls, func(l *Limits) *pool.Quota { return &l.Calls }, 0},
-		{"held", false, &p.Totals.Held, func(l *Limits) *pool.Quota { return &l.Held }, 0},
+		{"held", false, &p.Totals.PendingCalls, func(l *Limits) *pool.Quota { return &l.PendingCalls }, 0},
 		{"connections", false, &p.Totals.Connections, func(l *Limits) *pool.Quota { return &l.Connections }, 0},
-		{"callers", false, &p.Totals.Callers, func(l *Limits) *pool.Quota { return &l.Callers }, p.Totals.NewCallers.Min},
-		{"bodies", true, &p.Totals.Bodies, func(l *Limits) *pool.Quota { return &l.Bodies }, 0},
-		{"long_answers", true, &p.Totals.LongAnswers, func(l *Limits) *pool.Quota { return &l.LongAnswers }, 0},
+		{"callers", false, &p.Totals.DownstreamConns, func(l *Limits) *pool.Quota { return &l.DownstreamConns }, p.Totals.NewCallers.Min},
+		{"bodies", true, &p.Totals.RequestBodies, func(l *Limits) *pool.Quota { return &l.RequestBodies }, 0},
+		{"long_answers", true, &p.Totals.ResponseBuffers, func(l *Limits) *pool.Quota { return &l.ResponseBuffers }, 0},
 	}
 }
 
--- a/internal/operator/listeners.go
+++ b/internal/operator/listeners.go
@@ -66,6 +66,6 @@
 // of the greatest length always fits.
 func (p *Plan) limitH2Window() {
 	if p.MemoryMB > 0 {
-		p.H2.Window = int(min(int64(p.H2.Window), max(message.MaxBody, p.Totals.Bodies/max(1, p.Totals.Callers))))
+		p.H2.Window = int(min(int64(p.H2.Window), max(message.MaxBody, p.Totals.RequestBodies/max(1, p.Totals.DownstreamConns))))
 	}
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -97,7 +97,7 @@
 		t.Errorf("servers %+v", s)
 	}
 	// The file does not set a's minimum: half of the calls are divided evenly between the two pools, a quarter each.
-	if a.Limits.Calls.Min != 25 || a.Limits.Calls.Max != 0 || b.Limits.Calls.Min != 60 || b.Limits.Calls.Max != 80 || b.Limits.Bodies.Max != 64<<10 {
+	if a.Limits.Calls.Min != 25 || a.Limits.Calls.Max != 0 || b.Limits.Calls.Min != 60 || b.Limits.Calls.Max != 80 || b.Limits.RequestBodies.Max != 64<<10 {
 		t.Errorf("limits %+v and %+v", a.Limits, b.Limits)
 	}
 	r := route.Request{Host: "x.b.example.org", Path: "/read/1", Header: map[string][]string{"X-Tenant": {"7"}, "X-Any": {"1"}}}
@@ -236,7 +236,7 @@
 		"":                          func(p Plan) bool { return p.H2.Window == 1<<20 },
 		"h2 = { window = 2000000 }": func(p Plan) bool { return p.H2.Window == 2_000_000 },
 		"limits = { memory_mb = 64, descriptors = 1000 }": func(p Plan) bool {
-			return p.H2.Window >= 64<<10 && (p.H2.Window == 64<<10 || int64(p.H2.Window)*p.Totals.Callers <= p.Totals.Bodies)
+			return p.H2.Window >= 64<<10 && (p.H2.Window == 64<<10 || int64(p.H2.Window)*p.Totals.DownstreamConns <= p.Totals.RequestBodies)
 		},
 	} {
 		p, err := Parse("test", []byte(file(more)))
@@ -244,7 +244,7 @@
 			t.Fatal(err)
 		}
 		if !check(p) {
-			t.Errorf("%s: a window of %d, %d callers, %d bytes of bodies", more, p.H2.Window, p.Totals.Callers, p.Totals.Bodies)
+			t.Errorf("%s: a window of %d, %d callers, %d bytes of bodies", more, p.H2.Window, p.Totals.DownstreamConns, p.Totals.RequestBodies)
 		}
 	}
 }
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -86,33 +86,33 @@
 
 // Totals are what the process may use in all, in calls, connections or bytes.
 type Totals struct {
-	Calls       int64      // accepted and not yet answered
-	Held        int64      // pending calls, which wait for a server
-	Connections int64      // to servers
-	Bodies      int64      // bytes of request bodies
-	LongAnswers int64      // bytes of responses over message.MaxBody
-	Callers     int64      // connections of callers
-	NewCallers  pool.Quota // part of Callers for connections before their first request
+	Calls           int64      // accepted and not yet answered
+	PendingCalls    int64      // of those, the ones that wait for a server
+	Connections     int64      // to servers
+	RequestBodies   int64      // bytes of request bodies
+	ResponseBuffers int64      // bytes of response bodies over message.MaxBody
+	DownstreamConns int64      // connections of callers
+	NewCallers      pool.Quota // part of DownstreamConns for connections before their first request
 }
 
 // Limits are a pool's quotas of the totals.
-type Limits struct{ Calls, Held, Connections, Bodies, LongAnswers, Callers pool.Quota }
+type Limits struct{ Calls, PendingCalls, Connections, RequestBodies, ResponseBuffers, DownstreamConns pool.Quota }
 
 // Pool says what a pool is made of. A reload that changes Limits or List alone keeps the running pool; after any other
 // change a new pool takes its place.
 type Pool struct {
-	Name     string            // unique in the file; "" for the only pool of the platform's configuration
-	Settings balancer.Settings // of the balancer
-	Conns    wire.Connections  // to servers; idle default 15 s, connect time-out default 250 ms
-	Seed     uint64            // of the balancer's random choices; 0: the node draws one
-	Known    engine.ListUpdate // servers that are used until the first list comes
-	Pushed   bool              // the list is followed without the balancer asking for it
-	List     List              // where the servers are listed
-	Limits   Limits            // of what the process may use
-	Zoned    bool              // requests are served by zone; default: whether there is [zones]
-	H2       bool              // servers speak HTTP/2 without TLS; default false
-	GRPC     bool              // servers speak gRPC, which implies H2; default false
-	Mux      Mux               // of connections over HTTP/2
+	Name        string            // unique in the file; "" for the only pool of the platform's configuration
+	Settings    balancer.Settings // of the balancer
+	Connections wire.Connections  // to servers; idle default 15 s, connect time-out default 250 ms
+	Seed        uint64            // of the balancer's random choices; 0: the node draws one
+	Known       engine.ListUpdate // servers that are used until the first list comes
+	Pushed      bool              // the list is followed without the balancer asking for it
+	List        List              // where the servers are listed
+	Limits      Limits            // of what the process may use
+	Zoned       bool              // requests are served by zone; default: whether there is [zones]
+	H2          bool              // servers speak HTTP/2 without TLS; default false
+	GRPC        bool              // servers speak gRPC, which implies H2; default false
+	Mux         Mux               // of connections over HTTP/2
 }
 
 // H2 bounds what a caller's connection over HTTP/2 may use.
@@ -151,14 +151,14 @@
 // (0), bodies and answers are unlimited, as are calls, which connections limit. descriptorsForOthers has one for each list
 // that is watched.
 func TotalsFor(descriptors int, memoryMB float64, descriptorsForOthers int) Totals {
-	t := Totals{Calls: Unlimited, Held: Unlimited, Bodies: Unlimited, LongAnswers: Unlimited}
+	t := Totals{Calls: Unlimited, PendingCalls: Unlimited, RequestBodies: Unlimited, ResponseBuffers: Unlimited}
 	left := descriptors - reservedDescriptors - descriptorsForOthers
 	// Each call to a server needs a caller, and callers keep idle connections as well, so they get the larger part.
 	t.Connections = int64(max(1, left*2/5))
-	t.Callers = max(1, int64(left)-t.Connections)
+	t.DownstreamConns = max(1, int64(left)-t.Connections)
 	if memoryMB > 0 {
-		t.Bodies = int64(memoryMB * bodiesShare * (1 << 20))
-		t.LongAnswers = int64(memoryMB * answersShare * (1 << 20))
+		t.RequestBodies = int64(memoryMB * bodiesShare * (1 << 20))
+		t.ResponseBuffers = int64(memoryMB * answersShare * (1 << 20))
 	}
 	return t
 }
--- a/internal/operator/pools.go
+++ b/internal/operator/pools.go
@@ -99,12 +99,12 @@
 // connections reads how a pool keeps its connections to servers.
 func (d *document) connections(t *table, p *Pool) {
 	ct := t.tableOrEmpty("connections")
-	p.Conns.Idle = ct.duration("idle", defaultIdle)
-	p.Conns.ConnectWithin = ct.duration("connect_within", defaultConnect)
-	if p.Conns.Idle == 0 {
+	p.Connections.Idle = ct.duration("idle", defaultIdle)
+	p.Connections.ConnectWithin = ct.duration("connect_within", defaultConnect)
+	if p.Connections.Idle == 0 {
 		ct.fault("idle", "must be over 0")
 	}
-	if p.Conns.ConnectWithin == 0 {
+	if p.Connections.ConnectWithin == 0 {
 		ct.fault("connect_within", "must be over 0")
 	}
 	ct.rejectUnknownKeys()
--- a/internal/testkit/goldenrecord/goldenrecord.go
+++ b/internal/testkit/goldenrecord/goldenrecord.go
@@ -16,7 +16,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// Record is what a package decides, in order, as hashes. Texts for people are hashed apart from the decisions, so that a change
+// Record is what a package decides, in order, as hashes. Texts for people are hashed separately from the decisions, so that a change
 // of wording shows as just that.
 type Record struct {
 	decisions, texts hash.Hash
--- a/internal/testkit/goldenrecord/goldenrecord_test.go
+++ b/internal/testkit/goldenrecord/goldenrecord_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A record tells apart other values, another order and other texts, and the same draws make the same record.
+// Records differ if values, their order or texts differ, and the same draws make the same record.
 func TestRecordTellsApart(t *testing.T) {
 	sum := func(record func(r *Record)) [2]string {
 		r := newRecord()
