--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -103,7 +103,8 @@
 	call.attempts = append(call.attempts, attempt)
 	call.attemptsInFlight++
 	e.releasePending(call)
-	if call.finished.Load() || timeout <= 0 || attempt.Endpoint == nil || e.cfg.MaxAttempts > 0 && attempt.index >= e.cfg.MaxAttempts {
+	overLimit := e.cfg.MaxAttempts > 0 && attempt.index >= e.cfg.MaxAttempts
+	if call.finished.Load() || timeout <= 0 || attempt.Endpoint == nil || overLimit {
 		attempt.ended.Store(true)
 		e.pendingEvents = append(e.pendingEvents, e.recordEnding(attempt, balancer.NeverSent, nil))
 		return
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -13,7 +13,8 @@
 // It must never decide what the module decides, and never read a payload or a reply: it knows no protocol.
 //
 // Files: engine.go has the goroutine and its queue, call.go the calls, attempt.go the attempts, sender.go and source.go
-// what it needs of the two sides, servers.go the list in use, snapshot.go what a successor takes over, hooks.go attempts without an engine.
+// what it needs of the two sides, servers.go the list in use, snapshot.go what a successor takes over, hooks.go attempts
+// without an engine.
 package engine
 
 import (
--- a/internal/engine/servers.go
+++ b/internal/engine/servers.go
@@ -8,7 +8,8 @@
 	e.mergeServers(update, false)
 }
 
-// AdminStateChanged notifies the module of a server's new administrative state, which already applies to senders. It does not block.
+// AdminStateChanged notifies the module of a server's new administrative state, which already applies to senders. It does not
+// block.
 func (e *Engine) AdminStateChanged(id string) {
 	// On a goroutine of its own: Do blocks while the queue of events is full, and an operator's call must not.
 	go e.Do(func() {
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -84,7 +84,8 @@
 	buf := make([]byte, bufferedSize(hr))
 	n, err := io.ReadFull(in, buf)
 	ended := hr.ContentLength == int64(n)
-	if hr.ContentLength < 0 && (errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)) && !errors.Is(err, errIncompleteBody) {
+	atEnd := (errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)) && !errors.Is(err, errIncompleteBody)
+	if hr.ContentLength < 0 && atEnd {
 		ended, err = true, nil
 	}
 	if err == nil && !ended {
--- a/internal/front/http1/connections.go
+++ b/internal/front/http1/connections.go
@@ -135,7 +135,8 @@
 			continue // at least a part of a request was received
 		}
 		if c.requestBegan.Load() == 0 {
-			if now.Sub(c.quietSince) > newConnectionGrace && conncheck.Peek(c.Conn) != nil { // otherwise there are unread bytes of a request
+			// Without an error of Peek there are unread bytes of a request.
+			if now.Sub(c.quietSince) > newConnectionGrace && conncheck.Peek(c.Conn) != nil {
 				return c
 			}
 		} else if last := c.lastByteAt.Load(); last < oldest {
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// HandOverListener stops accepting, for a hot restart, and continues to serve the connections that are open. Those that are not accepted
-// yet are left to the process that shares the listening socket.
+// HandOverListener stops accepting, for a hot restart, and continues to serve the connections that are open. Those that are
+// not accepted yet are left to the process that shares the listening socket.
 func (f *Front) HandOverListener() {
 	f.listenerHandedOver.Store(true)
 	f.conns.Close()
@@ -146,13 +146,14 @@
 
 // closeIfDraining announces the end of the connection after this answer. Over HTTP/2 net/http turns it into GOAWAY.
 func (f *Front) closeIfDraining(w http.ResponseWriter, from *connection) {
-	if f.draining.Load() && (from == nil || from.pipeline == nil || !from.pipeline.follows()) { // otherwise the last of them closes it
+	// Of pipelined requests the last one closes the connection.
+	if f.draining.Load() && (from == nil || from.pipeline == nil || !from.pipeline.follows()) {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// AbandonBlockedPipelines fails idempotent requests that hold up the answers of pipelined ones: the process is about to end, and those answers
-// would be lost. It is called once.
+// AbandonBlockedPipelines fails idempotent requests that hold up the answers of pipelined ones: the process is about to end,
+// and those answers would be lost. It is called once.
 func (f *Front) AbandonBlockedPipelines() { close(f.giveUp) }
 
 // Shutdown stops accepting and waits until every accepted request is answered, or ctx ends.
--- a/internal/front/http1/h2.go
+++ b/internal/front/http1/h2.go
@@ -20,6 +20,7 @@
 const (
 	h2Streams     = 250
 	h2Window      = 1 << 20
+	h2FrameSize   = 16 << 10
 	h2PingAfter   = 15 * time.Second // without a frame, then a PING checks the connection
 	h2PingTimeout = 5 * time.Second
 )
@@ -34,9 +35,13 @@
 	f.server.Protocols = new(http.Protocols)
 	f.server.Protocols.SetUnencryptedHTTP2(true)
 	f.server.HTTP2 = &http.HTTP2Config{
-		MaxConcurrentStreams: limits.Streams, MaxReadFrameSize: 16 << 10,
+		MaxConcurrentStreams:          limits.Streams,
+		MaxReadFrameSize:              h2FrameSize,
 		MaxReceiveBufferPerConnection: limits.Window,
-		MaxReceiveBufferPerStream:     message.MaxBody, SendPingTimeout: h2PingAfter, PingTimeout: h2PingTimeout, WriteByteTimeout: WriteTimeout,
+		MaxReceiveBufferPerStream:     message.MaxBody,
+		SendPingTimeout:               h2PingAfter,
+		PingTimeout:                   h2PingTimeout,
+		WriteByteTimeout:              WriteTimeout,
 	}
 	return f
 }
--- a/internal/front/http1/pipeline.go
+++ b/internal/front/http1/pipeline.go
@@ -173,7 +173,7 @@
 		}
 		head := bytes.Clone(pl.unparsed[:n+len(headEnd)])
 		hr, err := http.ReadRequest(bufio.NewReader(io.MultiReader(bytes.NewReader(head), noMoreBytes{})))
-		if err != nil || !bodiless(hr) || hr.Method != http.MethodGet || !hr.ProtoAtLeast(1, 1) || hr.Close || !f.Protocol.MayStartEarly(hr) {
+		if err != nil || !f.mayStartEarly(hr) {
 			pl.stop()
 			pl.mu.Unlock()
 			return
@@ -197,6 +197,11 @@
 	}
 }
 
+// mayStartEarly says that a pipelined request may be started before those before it are answered.
+func (f *Front) mayStartEarly(hr *http.Request) bool {
+	return bodiless(hr) && hr.Method == http.MethodGet && hr.ProtoAtLeast(1, 1) && !hr.Close && f.Protocol.MayStartEarly(hr)
+}
+
 // follows says that a request was started that waits to be answered in order.
 func (pl *pipeline) follows() bool {
 	pl.mu.Lock()
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -58,7 +58,9 @@
 const maxClaimFactor = 10
 
 // ParseRequest implements Protocol.
-func (platformProtocol) ParseRequest(hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call) (*message.Request, *Rejection) {
+func (platformProtocol) ParseRequest(
+	hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call,
+) (*message.Request, *Rejection) {
 	h := hr.Header
 	class, known := p.Class(name)
 	method := http.MethodPost
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -70,7 +70,8 @@
 	}
 	p := &Pool{
 		name: cfg.Name, classes: make(map[string]balancer.Class, len(cfg.Settings.Classes)), shares: cfg.Shares,
-		sender: cfg.Sender, initialList: cfg.InitialList, knowledge: cfg.Knowledge, pushed: cfg.Pushed, grpc: cfg.GRPC, stop: func() {},
+		sender: cfg.Sender, initialList: cfg.InitialList, knowledge: cfg.Knowledge, pushed: cfg.Pushed,
+		grpc: cfg.GRPC, stop: func() {},
 	}
 	for _, c := range cfg.Settings.Classes {
 		p.classes[c.Name] = c
--- a/internal/sender/h2/loop.go
+++ b/internal/sender/h2/loop.go
@@ -22,8 +22,10 @@
 
 // newConnLoop returns the loop of a connection that has just been established, and the first actions to perform.
 func newConnLoop(c *conn) (*connLoop, []client.Action) {
-	machine, opening := client.New(c.sender.now(), client.Config{MaxStreams: c.sender.cfg.MaxStreamsPerConn, MaxHeaderBytes: maxHeaderBytes})
-	return &connLoop{conn: c, machine: machine, frames: newFrameWriter(c.netConn), requests: map[uint32]*streamRequest{}}, opening
+	cfg := client.Config{MaxStreams: c.sender.cfg.MaxStreamsPerConn, MaxHeaderBytes: maxHeaderBytes}
+	machine, opening := client.New(c.sender.now(), cfg)
+	requests := map[uint32]*streamRequest{}
+	return &connLoop{conn: c, machine: machine, frames: newFrameWriter(c.netConn), requests: requests}, opening
 }
 
 // handle handles one event; an error ends the connection.
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -43,7 +43,8 @@
 	readLimit *io.LimitedReader // under reader
 	idleSince time.Time
 	reused    bool // it carried a request before
-	// hadUnnamedResponse: a response on it was MatchUnnamed, so a duplicate of it could not be distinguished from the next response.
+	// hadUnnamedResponse: a response on it was MatchUnnamed, so a duplicate of it could not be distinguished from the next
+	// response.
 	hadUnnamedResponse bool
 	dialTime           time.Duration // how long it took to connect: at least one round trip
 }
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -49,8 +49,8 @@
 	return &Sender{
 		connectionPool: connectionPool{
 			// Well before the server closes it: a request that crosses the close is lost to a reset (RFC 9112, section 9.5).
-			idleTimeout: cfg.ServerIdleTimeout * 3 / 4, connectTimeout: cfg.ConnectTimeout, settleTime: settleTime, start: time.Now(),
-			minProbeWait: minProbeWait, idle: map[*engine.Endpoint][]*conn{}, limit: cfg.Connections,
+			idleTimeout: cfg.ServerIdleTimeout * 3 / 4, connectTimeout: cfg.ConnectTimeout, settleTime: settleTime,
+			start: time.Now(), minProbeWait: minProbeWait, idle: map[*engine.Endpoint][]*conn{}, limit: cfg.Connections,
 		},
 		responseLimit:     cfg.ResponseBuffers,
 		readTimeout:       cmp.Or(cfg.ReadTimeout, readTimeout),
--- a/internal/sender/http1/probe.go
+++ b/internal/sender/http1/probe.go
@@ -13,7 +13,9 @@
 
 // probe writes the head of the request but for its last byte, on this connection or, if that proves to be broken, on a new
 // one. If it returns false the request has not run, and the connection is closed.
-func (s *Sender) probe(ctx context.Context, a *engine.Attempt, active exchangeConn, text []byte) (exchangeConn, balancer.Ending, bool) {
+func (s *Sender) probe(
+	ctx context.Context, a *engine.Attempt, active exchangeConn, text []byte,
+) (exchangeConn, balancer.Ending, bool) {
 	var err error
 	active.unsent, err = active.probe(text, s.minProbeWait)
 	if err != nil && ctx.Err() == nil {
