--- a/internal/drill/violation.go
+++ b/internal/drill/violation.go
@@ -68,7 +68,7 @@
 
 // hasLostResponse reports whether a caller got no response over an established connection, or had to resend its request.
 func (env *environment) hasLostResponse() bool {
-	return slices.ContainsFunc(env.records.History().Exchanges, func(e fake.Exchange) bool {
+	return slices.ContainsFunc(env.recorder.History().Exchanges, func(e fake.Exchange) bool {
 		return e.Connected && (e.Status == 0 || e.Resent)
 	})
 }
