--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// mayRetry says that the class's effect and the limits allow one more attempt now.
+// mayRetry reports whether the class's effect and the limits allow one more attempt now.
 func (b *Balancer) mayRetry(r *request) bool {
 	if r.answered || r.streaming || r.consumed || len(r.attempts) >= max(1, b.settings.MaxAttempts) {
 		return false
@@ -23,8 +23,8 @@
 	return true
 }
 
-// retryOrAnswer decides what follows when no attempt is left out: another within the budget and with
-// time for an answer, or the final answer. Without the budget, retries of every tier multiply.
+// retryOrAnswer decides what follows when no attempt is in flight: a retry, if the budget allows one and an
+// answer can still come in time, or the final answer. Without the budget, the retries of all tiers multiply.
 func (b *Balancer) retryOrAnswer(r *request) {
 	left := float64(r.deadline - b.now)
 	cost := 1.0
@@ -44,23 +44,23 @@
 	b.send(r, s)
 }
 
-// isFull says that the node has as many calls out as the tiers below answer in good time. Only the
-// first tier holds back: a call refused further down wastes what was done above it.
+// isFull reports whether as many calls are in flight as the tiers below answer in good time. Only the first
+// tier queues and sheds: a call that is rejected further down wastes the work done above it.
 func (b *Balancer) isFull() bool {
 	return len(b.ready) == 0 || b.settings.Tier == 0 &&
 		(b.admitted() >= max(b.limit(), minWindow) || b.now < b.pausedUntil())
 }
 
-// admitted is how many own calls are out at listed servers: those at one that drains are no load on the
-// others, nor is what one has beyond its part, or a choked one would keep an idle one idle. At one that hangs
-// they count, for in overload every server is slow to answer.
+// admitted is how many own calls count against the window. Calls at draining servers are no load on the
+// others, nor are those that a server has beyond its share: a congested server would keep idle ones idle.
+// Calls at a hung server do count, because in overload every server answers slowly.
 func (b *Balancer) admitted() float64 {
 	b.countUsable()
 	return float64(b.inFlight-b.excessCalls) + b.abandoned(0, 1)
 }
 
-// abandoned adds calls that were given up, though their servers may work on for nobody and have no room for
-// another meanwhile, and gives how many there are: each fades over the time that answers take now.
+// abandoned adds calls that were abandoned while their servers may go on with them, and returns how many such
+// calls there are: each fades over mean, the time that answers take now.
 func (b *Balancer) abandoned(more, mean float64) float64 {
 	if b.abandonedCalls > 0 {
 		b.abandonedCalls *= math.Exp(-float64(b.now-b.abandonedAt) / b.abandonedFade)
@@ -73,23 +73,23 @@
 	return b.abandonedCalls
 }
 
-// limit is the part of the window that is for servers which may take calls now: the room of those that
-// health keeps out, or that are cold and get few calls, is not the others' to carry.
+// limit is the share of the window that belongs to servers which may take calls now: the others must not
+// carry the share of servers that are ejected, or that get few calls in slow start.
 func (b *Balancer) limit() float64 {
 	b.countUsable()
 	return b.window * b.usableShare
 }
 
-// countUsable counts anew what limit and admitted need, once a tick.
+// countUsable updates usableShare and excessCalls, once a tick.
 func (b *Balancer) countUsable() {
 	if b.usableCountedAt < 0 || b.now >= b.usableCountedAt+max(b.settings.Tick, 1) {
 		b.usableShare, b.usableCountedAt, b.excessCalls = 0, b.now, 0
-		out := 0
+		ejected := 0
 		part := b.window / max(1, float64(len(b.subset)))
 		for _, s := range b.ready {
 			b.excessCalls += max(0, s.calls-max(crowdedCalls, 1+int(part)))
 			if b.isEjected(s) {
-				out++
+				ejected++
 			} else if w := b.warmth(s); w < 1 && b.wholeList {
 				b.usableShare += w
 			} else if w < 1 {
@@ -105,24 +105,24 @@
 				}
 			}
 		}
-		// Those beyond what health may rule out are drawn all the same.
-		b.usableShare += float64(max(0, out-b.maxExcluded()))
+		// Ejected servers beyond maxExcluded are drawn nevertheless.
+		b.usableShare += float64(max(0, ejected-b.maxExcluded()))
 		b.usableShare /= max(1, float64(len(b.ready)))
 	}
 }
 
-// addPacingDebt books time that a call holds a server. A thousand copies with a call or two each are a crowd
-// already, so a smaller window is kept on the average: a copy that has sent windowLeast calls at once
-// pauses until its window would have held them for their mean time.
+// addPacingDebt adds server time that a call is expected to use. A thousand copies with one or two calls each
+// are an overload already, so a window below minWindow is kept on average: a copy that has sent minWindow
+// calls pauses until its window would have admitted them for their mean duration.
 func (b *Balancer) addPacingDebt(c *class, d float64) {
 	b.pacingDebt = max(b.pacingDebt-b.window*float64(b.now-b.pacingDebtAt), -minWindow*c.mean) + d
 	b.pacingDebtAt = b.now
 	if b.window >= minWindow {
-		b.pacingDebt = 0 // the count rules; what was owed then must not stop a copy when its window shrinks
+		b.pacingDebt = 0 // the window is enforced by count; old debt must not stop the copy when it shrinks
 	}
 }
 
-// pausedUntil is when what is owed is paid off.
+// pausedUntil is when the pacing debt is paid off.
 func (b *Balancer) pausedUntil() time.Duration {
 	if b.window >= minWindow {
 		return 0
@@ -130,14 +130,14 @@
 	return b.pacingDebtAt + time.Duration(b.pacingDebt/b.window)
 }
 
-// fairServers is how many servers there are for each copy of this tier.
+// fairServers is the number of ready servers for each copy of this tier.
 func (b *Balancer) fairServers() float64 {
 	return float64(len(b.ready)) / float64(max(1, b.settings.Balancers))
 }
 
-// adjustWindow moves the window so that the mean latency stays at a set part of the aim: crowded servers
-// choke and stay slow, so the crowd must wait or be refused here. It grows slowly: the crowd let in
-// a moment ago shows only when its answers come.
+// adjustWindow adapts the window so that the mean latency stays at a set share of the aim: overloaded servers
+// stay slow, so the excess has to be queued or rejected here. It grows slowly, because the effect of requests
+// admitted now shows only in their answers.
 func (b *Balancer) adjustWindow(r *request, e Outcome) {
 	if b.settings.Tier > 0 || e.Ending == NeverSent || e.Ending == Failure {
 		return
@@ -145,61 +145,61 @@
 	over := float64(b.now-r.attempts[e.Attempt].sent) / float64(r.class.Aim)
 	switch {
 	case e.Ending == Canceled && over <= b.targetUse:
-		return // how long it would have taken is not known, only that it was no less
+		return // its latency is not known, only that it would have been higher
 	case e.Ending != Success && e.Ending != Canceled:
 		over = max(over, 1)
 	}
 	weight := 2 / (b.window + 16)
 	b.targetUse += weight * (min(over, 1) - b.targetUse)
-	// Servers that were idle a while ago show how much of the aim bare work fills; crowding is what comes on
-	// top, and a fixed share of the aim would starve slow work or choke the servers of quick work. The mean
-	// of logs, for a few calls at a server that hangs must not look like a crowd at all of them. Of the
-	// first rounds the shortest come first, so they don't tell the least.
+	// The lowest mean latency measured shows how much of the aim the work takes without queueing; a fixed
+	// share of the aim alone would starve slow work, or overload the servers of quick work. It is a mean of
+	// logs, so that a few calls at a hung server do not look like an overload of all. In the first rounds the
+	// quickest answers come first, so these do not set the lowest mean.
 	b.logUse += weight * (math.Log(max(min(over, 1), 1e-6)) - b.logUse)
 	if b.samples++; b.samples > 2*windowStart*b.fairServers() {
-		recall := max(baselineWeight, weight*b.newShare)
-		b.leastLogUse = min(b.logUse, b.leastLogUse+recall*(b.logUse-b.leastLogUse))
+		rise := max(baselineWeight, weight*b.newShare)
+		b.leastLogUse = min(b.logUse, b.leastLogUse+rise*(b.logUse-b.leastLogUse))
 		b.newShare -= newServersWeight * weight * b.newShare
 	} else {
 		b.leastLogUse = b.logUse
 	}
-	// The more is shed and the less alike the servers are, the surer it is that some choke: then leaner
-	// is better, while servers that are evenly slow are merely busy. What chance alone makes uneven does not
-	// count, or shedding would be its own reason. The floor keeps bare work that fills much of the aim
-	// from being taken for a crowd until nothing is sent.
-	lean := 1 - b.shedShare*min(1, shedding*max(0, b.unevenness()-b.chanceUnevenness()))
+	// The more is shed and the more the servers' latencies differ, the more likely some are overloaded: less
+	// latency is accepted then, while servers that are evenly slow are merely busy. The difference that
+	// chance explains does not count, or shedding would cause more shedding. The window keeps a floor, so
+	// that work which takes much of the aim by itself is not taken for an overload until nothing is sent.
+	tolerance := 1 - b.shedShare*min(1, shedding*max(0, b.unevenness()-b.chanceUnevenness()))
 	busy := busyRatio * (1 + calmRatio*math.Pow(1-b.shedShare, calmPower))
-	crowd := max(b.targetUse/targetFill, math.Exp(b.logUse-b.leastLogUse)/busy) / lean
-	least := min(b.window, b.serverCalls*b.fairServers())
-	vain := e.Ending == TimedOut || e.Ending == Canceled && over > 1
-	if vain {
+	overload := max(b.targetUse/targetFill, math.Exp(b.logUse-b.leastLogUse)/busy) / tolerance
+	floor := min(b.window, b.serverCalls*b.fairServers())
+	abandoned := e.Ending == TimedOut || e.Ending == Canceled && over > 1
+	if abandoned {
 		b.abandonedShare += pooledWeight * (1 - b.abandonedShare)
 	} else {
 		b.abandonedShare -= pooledWeight * b.abandonedShare
 	}
 	switch {
-	case vain && b.abandonedShare > maxAbandonedShare:
-		// Servers are busy with what nobody waits for any more. Only less than is always admitted lets them
-		// work that off, so the window goes with the calls that failed, down to next to none.
-		least = min(b.window, windowProbeShare*b.serverCalls*b.fairServers())
+	case abandoned && b.abandonedShare > maxAbandonedShare:
+		// The servers are busy with abandoned calls. They recover only if they get less than is always
+		// admitted otherwise, so each abandoned call shrinks the window, down to a few probes.
+		floor = min(b.window, windowProbeShare*b.serverCalls*b.fairServers())
 		b.window -= windowAbandonedDecrease * min(1, b.window)
-	case crowd > 1:
-		// In a round of answers the window falls towards what would have brought the aimed-for latency,
-		// for one that is ten times too large must not take ten times as long to mend.
-		b.window -= max(windowDown, min(windowMaxDecrease, (1-1/crowd)/2)) * min(1, b.window)
-	case crowd < windowGrowthCeiling && b.admitted()+1 >= 0.8*b.limit():
+	case overload > 1:
+		// Within a round of answers the window falls towards the size that would have met the target: a
+		// window that is ten times too large must not take ten times as long to correct.
+		b.window -= max(windowDown, min(windowMaxDecrease, (1-1/overload)/2)) * min(1, b.window)
+	case overload < windowGrowthCeiling && b.admitted()+1 >= 0.8*b.limit():
 		b.window += windowUp * min(1, b.window)
-		if b.window >= minWindow { // a copy with a call or two can't tell what all of them together do
-			b.window += windowRoom * max(0, 1-crowd)
+		if b.window >= minWindow { // one or two calls of a copy show too little of what all copies do
+			b.window += windowRoom * max(0, 1-overload)
 		}
 	}
-	if b.window = max(b.window, least); e.Ending == Success && over <= 1 {
-		// Out of such a hole it doubles each round.
+	if b.window = max(b.window, floor); e.Ending == Success && over <= 1 {
+		// After such a collapse the window doubles with each round of timely answers.
 		b.window = max(b.window, min(b.window+1, b.serverCalls*b.fairServers()))
 	}
 }
 
-// unevenness is the variance of the servers' mean log latencies.
+// unevenness is the variance of the servers' mean log latencies, relative to their classes.
 func (b *Balancer) unevenness() float64 {
 	var n, sum, squares float64
 	for _, s := range b.ready {
@@ -213,22 +213,22 @@
 	return squares/n - sum/n*sum/n
 }
 
-// chanceUnevenness is the part of unevenness that servers show though they are alike: what the variance of
-// single answers leaves in a mean of that memory.
+// chanceUnevenness is the unevenness that equal servers show: what the variance of single answers leaves in
+// an exponential mean of weight serverWeight.
 func (b *Balancer) chanceUnevenness() float64 {
 	return b.latencyVariance * serverWeight / (2 - serverWeight)
 }
 
-// value is what an answer in a class adds to the result for the time it takes, so that shedding
-// hits what is worth least; the class served worst counts extra, so none starves.
+// value is what an answer is worth for the server time it takes: the queue is sent in this order, so that
+// shedding hits what is worth least. The class, quota and tenant served worst count extra.
 func (b *Balancer) value(r *request) float64 {
 	c := r.class
 	var total float64
 	worst := c
-	for _, k := range b.classList {
-		total += k.Worth * k.arrived
-		if k.isWorseThan(worst.servedCounts) {
-			worst = k
+	for _, other := range b.classList {
+		total += other.Worth * other.arrived
+		if other.isWorseThan(worst.servedCounts) {
+			worst = other
 		}
 	}
 	v := b.settings.WholeWeight * c.Worth / max(total, 1e-9)
@@ -240,73 +240,75 @@
 	} else if r.quota != nil && b.isWorstServed(r.quota) {
 		v += b.settings.WorstTenantWeight / max(r.quota.arrived, 1e-9)
 	}
-	if r.clientRetry { // its aim runs from the client's first try and is mostly over
+	if r.clientRetry { // its aim runs from the client's first try, so most of it has passed
 		v *= c.LateShare
 	}
 	return v / c.mean * (1 + b.settings.TenantWeight*tenantBoost*b.tenantDeficit(r.tenant))
 }
 
-// isWorstServed says that of all quotas this one is served worst.
+// isWorstServed reports whether no other quota is served worse.
 func (b *Balancer) isWorstServed(q *quota) bool {
 	return !slices.ContainsFunc(b.quotaList, func(o *quota) bool { return o.isWorseThan(q.servedCounts) })
 }
 
-// countTenant counts a tenant's request. Of more than maxTenants the one that asked least of late is
-// forgotten, so that made-up names cost a bounded search and no memory.
+// countTenant counts a tenant's request. Beyond maxTenants the one with the fewest recent requests is
+// dropped, so that invented names cost a bounded search and bounded memory.
 func (b *Balancer) countTenant(name string) *tenant {
 	t := &b.tenants
 	if t.byName == nil {
 		*t = tenants{byName: map[string]*tenant{}, scale: 1}
 	}
 	if t.scale *= 1 + tenantFade; t.scale > 1e100 {
-		for _, x := range t.byName {
-			x.requested, x.served = x.requested/t.scale, x.served/t.scale
+		for _, other := range t.byName {
+			other.requested, other.served = other.requested/t.scale, other.served/t.scale
 		}
 		t.served, t.scale = t.served/t.scale, 1
 	}
-	x := t.byName[name]
-	if x == nil {
+	counted := t.byName[name]
+	if counted == nil {
 		if len(t.byName) >= maxTenants {
-			least := ""
-			for n, y := range t.byName {
-				z := t.byName[least]
-				if z == nil || y.requested < z.requested || y.requested == z.requested && n < least {
-					least = n
+			dropped := ""
+			for otherName, other := range t.byName {
+				least := t.byName[dropped]
+				if least == nil || other.requested < least.requested ||
+					other.requested == least.requested && otherName < dropped {
+					dropped = otherName
 				}
 			}
-			delete(t.byName, least)
+			delete(t.byName, dropped)
 		}
-		x = &tenant{}
-		t.byName[name] = x
+		counted = &tenant{}
+		t.byName[name] = counted
 	}
-	x.requested += t.scale
+	counted.requested += t.scale
 	if t.since--; t.since <= 0 {
 		t.since, t.active = maxTenants/4, 0
-		for _, y := range t.byName {
-			if y.requested > t.scale/2 {
+		for _, other := range t.byName {
+			if other.requested > t.scale/2 {
 				t.active++
 			}
 		}
-		// What is served fades with what is asked, and is summed anew against drift.
+		// The sum of served fades with scale; it is computed anew so that rounding does not accumulate.
 		t.served = 0
-		for _, y := range t.byName {
-			t.served += y.served
+		for _, other := range t.byName {
+			t.served += other.served
 		}
 	}
-	return x
+	return counted
 }
 
-// tenantDeficit is how far a tenant is from an equal part of what was served of late: 0 none, 1 all of it.
-// The part counts and not the share of its own requests, or the one that floods would be served worst.
-func (b *Balancer) tenantDeficit(x *tenant) float64 {
-	if x == nil || b.tenants.served <= 0 {
+// tenantDeficit is how far a tenant is below an equal share of what was recently served: 0 not at all, 1 it
+// was served nothing. It does not use the share of the tenant's own requests: by that, one that floods is
+// served worst.
+func (b *Balancer) tenantDeficit(t *tenant) float64 {
+	if t == nil || b.tenants.served <= 0 {
 		return 0
 	}
-	return max(0, 1-x.served/b.tenants.served*max(1, b.tenants.active))
+	return max(0, 1-t.served/b.tenants.served*max(1, b.tenants.active))
 }
 
-// answer gives the final answer: a refusal where the rules let it promise that a retry is
-// harmless, else a failure. With an attempt still out it waits for that.
+// answer gives the final answer of a request without a successful attempt: a rejection, which promises that a
+// retry is harmless, or where that can't be promised a failure.
 func (b *Balancer) answer(r *request) {
 	if r.answered || r.streaming {
 		return
@@ -322,8 +324,8 @@
 		b.shedShare += pooledWeight / 4 * (1 - b.shedShare)
 	}
 	if harmless {
-		// A client sent away for long comes back when its aim is mostly over, and its late answer
-		// takes the room of one in time; the window, not the clients' absence, holds the load off.
+		// A client that waits long retries when most of its aim has passed, and its late answer takes the
+		// place of a timely one. The window limits the load, so the advice is short.
 		b.emit(Reject{ID: r.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
 		b.emit(Fail{ID: r.id})
@@ -331,7 +333,7 @@
 	b.close(r)
 }
 
-// close ends a request and calls off what is still out for it.
+// close ends a request and cancels its attempts in flight.
 func (b *Balancer) close(r *request) {
 	if r.answered {
 		return
@@ -344,7 +346,7 @@
 	b.forget(r)
 }
 
-// forget drops a request once nothing of it is left.
+// forget deletes a request that is answered and has no attempt in flight.
 func (b *Balancer) forget(r *request) {
 	if r.answered && r.inFlight == 0 {
 		delete(b.requests, r.id)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,12 +1,10 @@
-// Package balancer decides where a load balancer sends each request, when it tries again and
-// when it gives up. It does no I/O: the host feeds events to a Balancer and carries out the
-// actions it returns. This file is the whole interface; every decision is in policy.go, server_list.go, selection.go, health.go and admission.go.
+// Package balancer decides to which server a load balancer sends each request, when it retries and when it gives up.
+// It does no I/O: the host passes events to a Balancer and carries out the actions that it returns, in order. This
+// file is the interface; the decisions are in policy.go, server_list.go, selection.go, health.go and admission.go.
 //
-// A Balancer belongs to one goroutine. Its only clock is the now given to Handle, which must
-// never go back, and its only randomness is the seed given to New, so the same events always
-// give the same actions. Balancers share nothing. Memory is held for each request until it is
-// answered and its attempts have ended, and for each server until it has left the list and its
-// attempts have ended.
+// A Balancer belongs to one goroutine. Its only clock is the argument now of Handle, and its only randomness is the
+// seed given to New, so the same events always give the same actions. Balancers share no state. A request uses memory
+// until it is answered and its attempts have ended, a server until it has left the list and its attempts have ended.
 package balancer
 
 import (
@@ -17,14 +15,14 @@
 // Effect says what happens when a request runs more than once.
 type Effect int
 
-// The zero Effect is the careful one.
+// Effects. The zero value is the safe one.
 const (
 	NonIdempotent   Effect = iota // must never run twice
-	IdempotentByKey               // the servers of one scope discard repeats for a while
+	IdempotentByKey               // the servers of one Scope deduplicate requests by their keys for Class.Window
 	Idempotent                    // may run any number of times
 )
 
-// Scope names the servers that discard the repeats of a keyed request.
+// Scope says which servers deduplicate a keyed request together.
 type Scope int
 
 // Scopes, from the narrowest.
@@ -38,21 +36,21 @@
 type Class struct {
 	Name      string
 	Effect    Effect
-	Scope     Scope         // for Keyed
-	Window    time.Duration // for Keyed: how long repeats are discarded, from the first send
-	Aim       time.Duration // answers within it earn full worth
-	Deadline  time.Duration // how long a client waits over all its tries
-	Typical   time.Duration // how long an answer takes, until it is known; 0: a quarter of the aim
-	First     bool          // what waits for it has been let in already: it is not held back for the sake of others
-	LateShare float64       // share of the worth that an answer after the aim earns
+	Scope     Scope         // for IdempotentByKey
+	Window    time.Duration // for IdempotentByKey: how long a key is deduplicated, from the first send
+	Aim       time.Duration // latency target: answers within it earn full worth
+	Deadline  time.Duration // how long a client waits, over all its tries
+	Typical   time.Duration // initial estimate of the latency; 0: a quarter of Aim
+	First     bool          // preadmitted: its caller was admitted already, so it is not queued in favour of others
+	LateShare float64       // share of the worth that an answer after Aim earns
 	Worth     float64
 	Stream    bool
 }
 
-// Tenant has a quota of requests.
+// Tenant is a tenant with a quota of requests.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second over all copies of the tier
+	Quota float64 // requests a second, over all copies of the tier
 }
 
 // Sizes says what Server.Size means.
@@ -66,42 +64,42 @@
 	SizesLive                 // the capacity over the load of a while ago
 )
 
-// Settings are fixed for the life of a Balancer.
+// Settings configure a Balancer. Fleet and Classes change some of them later.
 type Settings struct {
 	Classes     []Class
-	Balancers   int     // copies that place calls on this tier
+	Balancers   int     // number of copies that send to this tier
 	Index       int     // of this copy among them, from 0
-	Tier        int     // the tier sent to, 0 being the clients' first
-	WholeWeight float64 // how much the whole of the worth counts when shedding
-	ClassWeight float64 // how much the worst-served class counts when shedding
-	// TenantWeight is how much it counts when shedding that a tenant gets less than an equal part of what is
-	// served; 0: tenants are not told apart.
+	Tier        int     // tier that is sent to; 0 is the one that clients' requests reach first
+	WholeWeight float64 // weight of the total worth in load shedding
+	ClassWeight float64 // weight of the class served worst in load shedding
+	// TenantWeight is the weight in load shedding of a tenant that is served less than an equal share; 0: tenants
+	// are not distinguished.
 	TenantWeight float64
-	// Tenants are those who have a quota. What one asks beyond it is worth OverShare of the usual, and
-	// WorstTenantWeight is how much the one served worst within its quota counts when shedding.
+	// Tenants are those with a quota. The value of a request beyond the quota is multiplied by OverShare, and
+	// WorstTenantWeight is the weight in load shedding of the tenant served worst within its quota.
 	Tenants           []Tenant
 	OverShare         float64
 	WorstTenantWeight float64
 
 	MaxAttempts   int
-	SecondCopies  bool // two attempts of a request may be out at once
-	StartCalls    int  // a server takes so many at once, as far as is known at the start; 0: not known
-	Spares        int  // servers named beside the chosen one, where whoever carries an attempt may try them
-	MayCancel     bool
+	SecondCopies  bool // the host may run two attempts of a request at once; unused by the decisions
+	StartCalls    int  // calls that a server can take at once, as known at the start; 0: not known
+	Spares        int  // alternate servers named with each Send, if the host may try them
+	MayCancel     bool // the host can cancel attempts
 	Sizes         Sizes
-	AskDiscovery  bool          // the list follows only a Subscribe
-	AskWithin     time.Duration // an unsubscribed copy must ask at least this often
-	ToldAfter     time.Duration // what discovery has to tell counts as told by then, heard or not; 0: only what is heard
-	Tick          time.Duration // events come no more often than this
-	MaxRetryAfter time.Duration // longest advice that clients heed
+	AskDiscovery  bool          // the server list comes only after a Subscribe
+	AskWithin     time.Duration // longest time between two Subscribe calls of a copy without a subscription
+	ToldAfter     time.Duration // time after which a change counts as announced, received or not; 0: only when received
+	Tick          time.Duration // resolution of the clock
+	MaxRetryAfter time.Duration // longest RetryAfter that clients heed
 
-	ColdFrom     float64       // share of its capacity that a fresh server has at least
-	WarmAfter    time.Duration // time after which it has all of it
-	FallMultiple float64       // a fresh server sent more than this times its capacity
-	FallFor      time.Duration // for this long falls over
+	ColdFrom     float64       // slow start: share of its capacity that a new server has at first
+	WarmAfter    time.Duration // slow start: time after which it has all of it
+	FallMultiple float64       // a new server that gets more than this multiple of its capacity
+	FallFor      time.Duration // for this long fails
 }
 
-// Validate returns an error that names the setting at fault, or nil.
+// Validate returns an error that names the invalid setting, or nil.
 func (s Settings) Validate() error {
 	type check struct {
 		name string
@@ -148,7 +146,7 @@
 	return nil
 }
 
-// ServerState is what discovery says of a server.
+// ServerState is the state of a server according to discovery.
 type ServerState int
 
 // Server states.
@@ -158,7 +156,7 @@
 	Gone
 )
 
-// Place is where servers stand: a zone, and the priority that the list gives them there, 0 first.
+// Place is a zone and a priority in it; 0 is the highest.
 type Place struct {
 	Zone     string
 	Priority int
@@ -168,18 +166,18 @@
 type Server struct {
 	ID        string
 	Zone      string
-	Priority  int     // in its zone, where the list tells one; 0 comes first
-	Weight    float64 // of its zone among those of that priority, where the list tells one; the module does not read it
+	Priority  int     // in its zone; 0 is the highest
+	Weight    float64 // of its zone among those of that priority; not used here
 	Cell      int
 	State     ServerState
-	Size      float64       // as registered, against other servers'; see Settings.Sizes. 0: as 1
+	Size      float64       // relative capacity as registered, see Settings.Sizes; 0 counts as 1
 	StartedAt time.Duration // clock time of its last start; 0: long ago
 }
 
-// Ending says how an attempt ended.
+// Ending is the outcome of an attempt.
 type Ending int
 
-// Endings. Overloaded, Unreachable and NeverSent prove that the attempt never ran.
+// Endings. After Overloaded, Unreachable and NeverSent it is certain that the attempt never ran.
 const (
 	Success Ending = iota
 	Failure
@@ -191,67 +189,67 @@
 	NeverSent
 )
 
-// Load is a server's own report, late and noisy. Absent values are negative.
+// Load is a server's own load report. It may be late and inaccurate. Unknown values are negative.
 type Load struct {
-	Busy    float64       // requests it holds
-	Service time.Duration // recent service time without waiting
+	Busy    float64       // requests in the server
+	Service time.Duration // recent service time, without queueing
 }
 
 // Event is something that happened: one of the types below.
 type Event interface{ event() }
 
 type (
-	// ServerList brings news from discovery. Full: the complete list, absent servers are gone.
-	// Otherwise only changed entries; none says that discovery is heard and has nothing new.
+	// ServerList is an update from discovery: with Full the complete list, from which absent servers are gone, else
+	// the changed entries. An update without entries shows that discovery is alive.
 	ServerList struct {
 		Full     bool
-		Cached   bool // last held before a restart, possibly out of date
-		Operator bool // an operator's word, not discovery's, which has not been heard by it
+		Cached   bool // restored after a restart, possibly out of date
+		Operator bool // from an operator: it does not show that discovery is alive
 		Servers  []Server
 	}
-	// Fleet tells this copy's place anew, where the copies are not fixed by the settings. Divisor is what rations of all
-	// copies are divided by for this one, 1 or more; +Inf: no part of any is this copy's until it is told another.
+	// Fleet changes the number of copies and this copy's index. Divisor, 1 or more, divides the limits that all copies
+	// share, for this copy's share; +Inf: it has no share until the next Fleet.
 	Fleet struct {
 		Balancers, Index int
 		Divisor          float64
-		// Subset names the servers that first attempts are drawn from; nil: they are cut from the shared order by number.
+		// Subset has the ids of the servers that attempts are drawn from first; nil: Stripes selects them.
 		Subset []string
-		Whole  bool // first attempts are drawn from the whole list, whatever their number
-		// Takes is how many calls a server takes at once from all copies together, as far as is known; 0: not known.
+		Whole  bool // the subset is the whole list
+		// ServerCalls is how many calls a server can take at once from all copies together; 0: not known.
 		ServerCalls float64
-		// Quotas are this copy's parts of tenants' quotas, 0 to 1, in place of 1/Divisor where they name one.
+		// Quotas are this copy's shares of tenants' quotas, 0 to 1, by tenant; 1/Divisor where there is none.
 		Quotas map[string]float64
 	}
-	// Classes adds classes to those of the settings, or tells some of them anew, where they change while it runs.
+	// Classes adds classes to those of the settings, or changes existing ones.
 	Classes struct{ Classes []Class }
-	// PeerReports tells what other copies have seen of servers. One that is named is put aside until then as if it were
-	// ejected, and comes back by one safe trial, for nothing of it was seen by this copy.
+	// PeerReports excludes servers that other copies found unhealthy, as if this copy had ejected them. Such a server
+	// returns after a successful probe by one retryable request.
 	PeerReports struct{ Exclusions []Exclusion }
-	// Exclusion is a server that others have good reason not to use.
+	// Exclusion is a server that other copies have ejected.
 	Exclusion struct {
 		ID        string
-		StartedAt time.Duration // its start that this is said of
+		StartedAt time.Duration // of the process that was ejected: a restart ends the exclusion
 		Until     time.Duration // clock time
 	}
-	// ListFailed says that a Subscribe failed or that the subscription broke. Garbled: discovery is there and
-	// answered, but what it said can't be read, or broke off.
+	// ListFailed reports that a Subscribe failed or that the subscription ended. Garbled: discovery answered, but the
+	// answer was malformed or incomplete.
 	ListFailed struct{ Garbled bool }
-	// Request is a client's request; the Balancer owes it one final answer by Deadline.
+	// Request is a client's request. The Balancer gives it one final answer by Deadline.
 	Request struct {
 		ID          string
 		Class       string
 		Deadline    time.Duration // clock time
-		ClientRetry bool          // the client marked it as a repeat
-		Cost        time.Duration // hint of its work, as time on a standard core; 0: no hint
-		Tenant      string        // who asks, see Settings.TenantWeight and Settings.Tenants
+		ClientRetry bool          // the client marked it as a retry
+		Cost        time.Duration // hint of its work, as time on a standard core; 0: none
+		Tenant      string        // see Settings.TenantWeight and Settings.Tenants
 		Candidates  []string      // ids of the servers that it may go to; nil: any
-		// Places are those that it may go to, in order: the next only if the one before has no server for it. nil:
-		// any; empty: none.
+		// Places are those that it may go to, in order of preference: the next one only if those before have no
+		// eligible server. nil: any; empty: none.
 		Places []Place
-		From   string // zone of whoever asks, if told; the module does not read it
-		Size   int64  // bytes of its body; the module does not read it
+		From   string // zone of the caller, if known; not used here
+		Size   int64  // bytes of its body; not used here
 	}
-	// Outcome ends one attempt. Ended: the request has its final answer.
+	// Outcome is the end of one attempt. Ended: the request has its final answer.
 	Outcome struct {
 		ID       string
 		Attempt  int
@@ -259,22 +257,22 @@
 		Ending   Ending
 		Latency  time.Duration
 		Ended    bool
-		Consumed bool // part of the request has gone and can't be sent again
+		Consumed bool // part of the request body was sent and is not kept: no retry is possible
 		Load     *Load
-		// What went between: the bytes of bodies, and whether the request was written whole. The module reads none.
+		// Whether the request was written completely, and the bytes of the bodies; not used here.
 		Wrote   bool
 		Out, In int64
 	}
-	// Started says that a streamed answer has begun: the attempt is the client's from here on. Transfer: the server has
-	// done its work, and what takes time is only the way to the client.
+	// Started reports that a streamed answer has begun: it is forwarded to the client, so no other attempt can replace
+	// it. Transfer: the server has done its work, and only the transfer to the client takes time.
 	Started struct {
 		ID       string
 		Attempt  int
 		Transfer bool
 	}
-	// ClientGone says that the client left; nothing more is owed.
+	// ClientGone reports that the client has disconnected. No final answer is needed.
 	ClientGone struct{ ID string }
-	// Timer is a Wake come due.
+	// Timer reports that a Wake is due.
 	Timer struct{ Token string }
 )
 
@@ -289,12 +287,12 @@
 func (ClientGone) event()  {}
 func (Timer) event()       {}
 
-// Action is something the host must do, in the order given: one of the types below.
+// Action is something that the host must do: one of the types below.
 type Action interface{ action() }
 
 type (
 	// Send starts the next attempt of a request (numbered from 0); it times out after Timeout.
-	// Spares, for safe classes where Settings ask for them, may be tried in that order in place of Server.
+	// Spares, for idempotent classes if Settings.Spares is set, may be tried in that order in place of Server.
 	Send struct {
 		ID, Server string
 		Timeout    time.Duration
@@ -305,19 +303,19 @@
 		ID      string
 		Attempt int
 	}
-	// Reject is a final answer that promises that a retry does no harm.
+	// Reject is a final answer that promises that a retry is safe.
 	Reject struct {
 		ID         string
 		RetryAfter time.Duration // advice; 0: none
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer without that promise: the request may have run.
 	Fail struct{ ID string }
-	// Wake asks for a Timer with this token at the clock time At.
+	// Wake requests a Timer with this token at the clock time At.
 	Wake struct {
 		At    time.Duration
 		Token string
 	}
-	// Subscribe asks discovery for the list and its changes.
+	// Subscribe requests the server list and its changes from discovery.
 	Subscribe struct{}
 )
 
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Beliefs is what a Balancer holds true at a moment, for traces and reports. It decides nothing, and
-// shares no memory with the Balancer. Shares and ratios are plain numbers, times are in milliseconds.
+// Beliefs is a snapshot of a Balancer's estimates, for traces and reports. It shares no memory with the Balancer.
+// Shares and ratios are plain numbers, times are in milliseconds.
 type Beliefs struct {
-	InFlight   int             `json:"in_flight"` // own calls out
-	Held       int             `json:"held"`      // requests that wait for a server
-	Requests   int             `json:"requests"`  // unanswered, or with attempts out
-	Ready      int             `json:"ready"`     // servers listed ready
+	InFlight   int             `json:"in_flight"` // own calls in flight
+	Held       int             `json:"held"`      // queued requests
+	Requests   int             `json:"requests"`  // unanswered, or with attempts in flight
+	Ready      int             `json:"ready"`     // ready servers
 	Window     float64         `json:"window"`    // own calls admitted at once
 	Fill       float64         `json:"fill"`      // mean latency over aim
-	Bare       float64         `json:"bare"`      // least geometric mean of it seen, forgetting slowly
-	DebtMS     float64         `json:"debt_ms"`   // time that calls hold servers beyond what the window allows
+	Bare       float64         `json:"bare"`      // lowest geometric mean of latency over aim, which rises slowly
+	DebtMS     float64         `json:"debt_ms"`   // server time used beyond what the window allows
 	Shed       float64         `json:"shed"`      // share of requests answered without an attempt
-	Errors     float64         `json:"errors"`    // share of bad endings
-	Tokens     float64         `json:"tokens"`    // further attempts that the budget allows
+	Errors     float64         `json:"errors"`    // share of failed attempts
+	Tokens     float64         `json:"tokens"`    // balance of the retry budget
 	Unevenness float64         `json:"unevenness"`
 	Classes    []ClassBeliefs  `json:"classes"`
-	Servers    []ServerBeliefs `json:"servers,omitempty"` // those listed, or with calls out, by id
+	Servers    []ServerBeliefs `json:"servers,omitempty"` // ordered by id
 }
 
 // ClassBeliefs is what was learned of a class.
@@ -32,24 +32,24 @@
 	MeanMS float64 `json:"mean_ms"` // latency of successes
 	DevMS  float64 `json:"dev_ms"`
 	Arrive float64 `json:"arrive"` // decayed counts of requests
-	Serve  float64 `json:"serve"`  // and of those answered within the aim
+	Serve  float64 `json:"serve"`  // the same of those answered within the aim
 }
 
-// ServerBeliefs is what is believed of a server.
+// ServerBeliefs are the estimates of a server.
 type ServerBeliefs struct {
 	ID       string  `json:"id"`
 	State    string  `json:"state"` // ready, draining or gone
-	Calls    int     `json:"calls"` // own calls out
-	Slow     float64 `json:"slow"`  // mean log of latency over the class mean
+	Calls    int     `json:"calls"` // own calls in flight
+	Slow     float64 `json:"slow"`  // mean of log(latency/expected latency)
 	Level    int     `json:"level"` // doublings of the next ejection
 	Out      bool    `json:"out"`   // ejected, or silent
-	Room     int     `json:"room"`  // own calls at which it turned one away; -1: did not of late
+	Room     int     `json:"room"`  // limit on own calls after a refusal; -1: none
 	Warmth   float64 `json:"warmth"`
-	OldestMS float64 `json:"oldest_ms"` // age of the oldest own call out
+	OldestMS float64 `json:"oldest_ms"` // age of the oldest own call that waits for an answer
 }
 
-// Beliefs reports what the Balancer holds true at its last event. At most most servers are listed, the
-// ones with most calls out first in question; 0 lists none.
+// Beliefs returns the estimates as of the last event. It lists at most most servers, those with the most own calls;
+// 0 lists none.
 func (b *Balancer) Beliefs(most int) Beliefs {
 	v := Beliefs{
 		InFlight: b.inFlight, Held: len(b.queue), Requests: len(b.requests), Ready: len(b.ready),
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// isExcluded says that a server should not be drawn now for its health.
+// isExcluded reports whether a server's health speaks against drawing it for a request.
 func (b *Balancer) isExcluded(s *server, r *request) bool {
 	if b.isEjected(s) {
 		return true
 	}
-	// After an ejection one safe trial at a time decides: a bad server must not eat a request that
-	// cannot be repeated, nor many at once.
+	// After an ejection one retryable request at a time probes the server: a request that can't be retried
+	// must not fail there, nor many at once.
 	return s.ejectionLevel > 0 && s.successStreak == 0 && (r.class.Effect == NonIdempotent || s.calls > 0)
 }
 
-// isEjected says that a server is ejected, put aside on others' word, or silent.
+// isEjected reports whether a server is ejected, excluded by peers' reports, or silent.
 func (b *Balancer) isEjected(s *server) bool {
 	return b.now < max(s.ejectedUntil, s.reportedUntil) || b.isSilent(s)
 }
 
-// isSilent says that an old call to the server is unanswered while a younger one was answered
-// elsewhere: a machine gone quiet, hung or pausing shows nothing else until time-outs end.
+// isSilent reports whether an old call at the server is unanswered while a newer one was answered elsewhere:
+// a hung or paused machine shows no other sign before its calls time out.
 func (b *Balancer) isSilent(s *server) bool {
 	if len(s.openAttempts) == 0 {
 		return false
@@ -31,7 +31,7 @@
 	return b.now-a.sent > wait && b.lastSuccess > a.sent+wait/2 && s.lastSuccess < a.sent+wait/2
 }
 
-// learn takes an ending into account: for the class's latency, the server's health relative to its peers.
+// learn updates the class's latency and the server's health, relative to its peers, by how an attempt ended.
 func (b *Balancer) learn(a *attempt, e Outcome) {
 	s, c := a.server, a.request.class
 	latency := float64(a.latency(b.now))
@@ -48,7 +48,7 @@
 	case Failure, Broken, TimedOut:
 		bad = 1
 		if e.Ending == TimedOut {
-			b.addPacingDebt(c, latency) // a server may work on for nobody
+			b.addPacingDebt(c, latency) // the server may go on with the abandoned work
 			b.abandoned(1, c.mean)
 		}
 	case Canceled:
@@ -63,9 +63,9 @@
 	if bad > 0 {
 		s.failureStreak++
 		s.successStreak = 0
-		// Errors that strike everywhere come from the tier below; ejecting on them would leave
-		// nobody. A run counts only if the peers' error share makes it unlikely, and one that is
-		// answered is no run: a server out for it takes a quarter of four with it.
+		// Errors that occur at all servers come from the tier below, and ejecting for them would leave no
+		// server. So a run of errors counts only if it is unlikely at the overall error rate; and a single
+		// error that was answered is no run, because ejecting one of four servers costs a quarter of them.
 		isRun := s.failureStreak > 1 || e.Ending != Failure
 		if isRun && math.Pow(b.errorShare, float64(s.failureStreak)) < luckThreshold {
 			b.eject(s, c)
@@ -75,7 +75,7 @@
 	b.errorShare = max(b.errorShare, 0.01)
 }
 
-// learnSuccess notes an answer: retry tokens, latency of class and server, and that the server is well.
+// learnSuccess records a successful answer: retry tokens, latency of class and server, health of the server.
 func (b *Balancer) learnSuccess(a *attempt, latency float64) {
 	s, c := a.server, a.request.class
 	b.retryTokens = min(maxRetryTokens, b.retryTokens+retryTokenPerSuccess)
@@ -89,49 +89,49 @@
 	c.mean += pooledWeight * (latency - c.mean)
 	s.failureStreak, s.refusals = 0, 0
 	if a.sent > s.refusedAt && s.calls+1 >= s.refusalRoom {
-		s.refusalRoom++ // it took as many as it was thought to have room for
+		s.refusalRoom++ // it accepted a call at its assumed limit
 	}
 	if s.successStreak++; s.successStreak >= minSamples && s.ejectionLevel > 0 {
 		s.ejectionLevel, s.successStreak = s.ejectionLevel-1, 1
 	}
 }
 
-// learnRefusal notes a lack of room: for a while the server gets no more calls than it had then.
+// learnRefusal limits a server that refused a call, for a while, to the own calls that it had then.
 func (b *Balancer) learnRefusal(a *attempt, ending Ending, latency float64) {
 	s, c := a.server, a.request.class
 	if a.sent < s.refusedAt && ending == Overloaded {
-		return // sent before the last one was known: the same lack of room
+		return // sent before the last refusal was known: the same overload
 	}
 	s.refusalRoom = s.calls
 	if ending == Overloaded && latency > c.mean/2 {
-		// Slow to refuse, it wins no picks by that: one call at a time shows more.
+		// A slow refusal does not attract picks, so one call at a time may probe the server.
 		s.refusalRoom = max(1, s.refusalRoom)
 	}
 	s.fullUntil = b.now + time.Duration((0.5+b.rng.Float64())*ejectionLatencies*c.mean)<<s.refusals
 	s.refusedAt, s.refusals = b.now, min(s.refusals+1, maxEjectionLevel)
 }
 
-// learnSpeed compares a latency with the class's mean; a server slow over several answers is
-// ejected, so that others carry its load and it can recover.
-func (b *Balancer) learnSpeed(s *server, r *request, took float64) {
+// learnSpeed compares a latency with the class's mean. A server that is slow over several answers is ejected,
+// so that others take its load and it can recover.
+func (b *Balancer) learnSpeed(s *server, r *request, latency float64) {
 	c := r.class
 	expected := c.mean
 	if r.cost > 0 && c.cost > 0 {
-		expected *= math.Sqrt(r.cost / c.cost) // waits do not grow with the work
+		expected *= math.Sqrt(r.cost / c.cost) // the queueing part of the latency does not grow with the work
 	}
 	if size := b.size(s); size < b.meanSize {
-		expected *= b.meanSize / size // a small machine's own pace is no sign of trouble
+		expected *= b.meanSize / size // a small machine is slower without being unhealthy
 	}
-	off := math.Log(max(took, 1)/expected) - s.slowness
-	b.latencyVariance += pooledWeight / 4 * (off*off - b.latencyVariance)
-	s.slowness += serverWeight * off
+	deviation := math.Log(max(latency, 1)/expected) - s.slowness
+	b.latencyVariance += pooledWeight / 4 * (deviation*deviation - b.latencyVariance)
+	s.slowness += serverWeight * deviation
 	if s.samples++; s.samples >= minSamples && s.slowness > math.Log(slowRatio) {
 		s.samples, s.slowness, s.successStreak = 0, 0, 0
 		b.eject(s, c)
 	}
 }
 
-// eject keeps a server out for a time that doubles while its trials fail.
+// eject excludes a server for a time that doubles while its probes fail.
 func (b *Balancer) eject(s *server, c *class) {
 	if b.now < s.ejectedUntil {
 		return
--- a/balancer/learned_state.go
+++ b/balancer/learned_state.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Knowledge is what a Balancer has learned, for another that goes on in its place. It is data only, and holds no
-// requests: what is out stays with the Balancer that sent it. Times are clock times.
+// Knowledge is what a Balancer has learned, for a successor. It has no requests: those in flight stay with the Balancer
+// that sent them. Times are clock times. At a hot restart it is handed over as JSON.
 type Knowledge struct {
-	At      time.Duration     `json:"at"` // when this was so
+	At      time.Duration     `json:"at"` // when the snapshot was taken
 	Window  float64           `json:"window"`
 	Fill    float64           `json:"fill"`
 	Pace    float64           `json:"pace"`
@@ -21,7 +21,7 @@
 	Servers []ServerKnowledge `json:"servers"`
 }
 
-// ClassKnowledge is of a class, by name.
+// ClassKnowledge is what was learned of a class, which Name identifies.
 type ClassKnowledge struct {
 	Name       string        `json:"name"`
 	Mean       float64       `json:"mean"` // latency of successes, in ns
@@ -32,7 +32,7 @@
 	LongestTry time.Duration `json:"longest_try"`
 }
 
-// ServerKnowledge is of a server, by id and start: one that started anew is another.
+// ServerKnowledge is what was learned of a server. ID and Boot identify it: a server that was restarted is another one.
 type ServerKnowledge struct {
 	ID       string        `json:"id"`
 	Boot     time.Duration `json:"boot"`
@@ -50,7 +50,7 @@
 	Refusals int           `json:"refusals"`
 }
 
-// Knowledge is what b has learned until its last event.
+// Knowledge returns what b has learned, as of its last event.
 func (b *Balancer) Knowledge() *Knowledge {
 	k := &Knowledge{
 		At: b.now, Window: b.window, Fill: b.targetUse, Pace: b.logUse, Bare: b.leastLogUse, Answers: b.samples, Fresh: b.newShare,
@@ -70,38 +70,38 @@
 	return k
 }
 
-// Learn takes over what another Balancer for the same tier had learned, once the list of servers is known. It may be
-// called once, before the first request. What is not sound is left as it is.
+// Learn adopts what another Balancer for the same tier had learned. It may be called once, when the server list is known
+// and before the first request. Values out of range are skipped.
 func (b *Balancer) Learn(k *Knowledge) {
-	sound := func(v, least, most float64) bool { return v >= least && v <= most } // NaN is neither
-	take := func(to *float64, v, least, most float64) {
-		if sound(v, least, most) {
+	inRange := func(v, least, most float64) bool { return v >= least && v <= most } // false for NaN
+	adopt := func(to *float64, v, least, most float64) {
+		if inRange(v, least, most) {
 			*to = v
 		}
 	}
 	const huge = 1e15 // ns, ratios and counts alike
 	if len(b.ready) > 0 {
-		take(&b.window, k.Window, 1e-3, 1e6)
+		adopt(&b.window, k.Window, 1e-3, 1e6)
 	}
-	take(&b.targetUse, k.Fill, 0, 1)
-	take(&b.logUse, k.Pace, -50, 0)
-	take(&b.leastLogUse, k.Bare, -50, 0)
-	take(&b.samples, k.Answers, 0, huge)
-	take(&b.newShare, k.Fresh, 0, 1)
-	take(&b.latencyVariance, k.Spread, 0, 1e3)
-	take(&b.errorShare, k.Errors, 0.01, 1)
-	take(&b.retryTokens, k.Tokens, 0, maxRetryTokens)
-	take(&b.shedShare, k.Shed, 0, 1)
-	take(&b.abandonedShare, k.Vain, 0, 1)
+	adopt(&b.targetUse, k.Fill, 0, 1)
+	adopt(&b.logUse, k.Pace, -50, 0)
+	adopt(&b.leastLogUse, k.Bare, -50, 0)
+	adopt(&b.samples, k.Answers, 0, huge)
+	adopt(&b.newShare, k.Fresh, 0, 1)
+	adopt(&b.latencyVariance, k.Spread, 0, 1e3)
+	adopt(&b.errorShare, k.Errors, 0.01, 1)
+	adopt(&b.retryTokens, k.Tokens, 0, maxRetryTokens)
+	adopt(&b.shedShare, k.Shed, 0, 1)
+	adopt(&b.abandonedShare, k.Vain, 0, 1)
 	for _, l := range k.Classes {
 		c := b.classes[l.Name]
 		if c == nil {
 			continue
 		}
-		take(&c.mean, l.Mean, 1, huge)
-		take(&c.deviation, l.Dev, 0, huge)
-		take(&c.cost, l.Cost, 0, huge)
-		if sound(l.Arrive, 0, huge) && sound(l.Serve, 0, l.Arrive) {
+		adopt(&c.mean, l.Mean, 1, huge)
+		adopt(&c.deviation, l.Dev, 0, huge)
+		adopt(&c.cost, l.Cost, 0, huge)
+		if inRange(l.Arrive, 0, huge) && inRange(l.Serve, 0, l.Arrive) {
 			c.arrived, c.served = l.Arrive, l.Serve
 		}
 		c.longestTry = max(0, min(l.LongestTry, c.Deadline))
@@ -111,7 +111,7 @@
 		s := b.servers[l.ID]
 		if s == nil || s.StartedAt != l.Boot || l.Streak < 0 || l.Level < 0 || l.Level > maxEjectionLevel || l.Goods < 0 || l.Samples < 0 ||
 			l.Room < 0 || l.Refusals < 0 || l.Refusals > maxEjectionLevel || l.Until > soon || l.Full > soon ||
-			max(l.LastOK, l.Took, l.Turned) > soon || !sound(l.Slow, -50, 50) {
+			max(l.LastOK, l.Took, l.Turned) > soon || !inRange(l.Slow, -50, 50) {
 			continue
 		}
 		s.failureStreak, s.ejectionLevel, s.successStreak, s.ejectedUntil, s.slowness, s.samples = l.Streak, l.Level, l.Goods, l.Until, l.Slow, l.Samples
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -1,6 +1,6 @@
-// Every decision of the balancer: here what an event leads to, in server_list.go what discovery tells, in
-// selection.go which server, in health.go how servers are judged, in admission.go what is let in, tried again
-// and given up.
+// The decisions of the balancer. This file dispatches events and follows a request from its arrival to its
+// final answer; server_list.go applies discovery updates, selection.go picks a server, health.go
+// ejects outliers, and admission.go holds the admission window, the retry budget and load shedding.
 
 package balancer
 
@@ -10,49 +10,49 @@
 	"time"
 )
 
-// Constants are shares, ratios or counts; every length of time is a setting or was observed.
+// Constants are shares, ratios or counts: every duration is a setting or was measured.
 const (
-	leftShare               = 0.5  // share of the list in the left group
-	pooledWeight            = 0.06 // weight of a new sample in pooled averages (about 16 samples)
-	serverWeight            = 0.25 // weight of a new sample in a single server's averages
-	luckThreshold           = 0.08 // a run of errors likelier than this by the peers' error share is luck
-	overlongDeviations      = 3.0  // deviations above the mean at which a wait counts as overlong
-	slowRatio               = 2.5  // times its peers' latency that makes a server slow
-	slowThinningPower       = 2.0  // power of a server's slowness by which its draws are thinned
-	minSamples              = 3    // samples before a server can be called slow
-	maxExcludedShare        = 0.2  // share of the list that health may exclude; beyond that all are drawn
-	ejectionLatencies       = 12   // mean latencies that a first ejection, or a lack of room, lasts
-	maxEjectionLevel        = 5    // doublings of an ejection
-	windowFloor             = 5.0  // own calls a server that are always admitted
-	retryTokenPerSuccess    = 0.15 // further attempts earned by a success
-	unsentRetryCost         = 0.1  // what a further attempt costs when the last one never ran
-	maxRetryTokens          = 10   // most that can be saved up
-	targetFill              = 0.6  // mean latency over aim that admission lets be at the most
-	busyRatio               = 1.5  // and times the least (geometric) mean of that which was seen
-	calmRatio               = 0.4  // that much more is let be while nothing is shed: a node that turns nobody
-	calmPower               = 16   // away has no crowd to keep out; and how soon it is gone as it does
-	shedding                = 4.0  // part of aimFill given up when all is shed, for each unit of unevenness
-	windowUp                = 0.02 // window gained by an answer in good time
-	windowGrowthCeiling     = 0.9  // part of the latency let be above which nothing is gained
-	windowRoom              = 0.1  // and more, times how far latency is under what is let be
-	windowDown              = 0.1  // window lost by a late one
-	windowStart             = 5.0  // own calls admitted per server before anything is known
-	windowMaxDecrease       = 0.3  // the most that is lost by one
-	windowAbandonedDecrease = 3.0  // window lost by each call given up on, once most are
-	windowProbeShare        = 0.1  // part of windowFloor that is left then, to see when servers answer again
-	maxAbandonedShare       = 0.5  // share of calls given up on at which it gives way to next to nothing
-	minWindow               = 2.0  // own calls that may be out at once whatever the window
-	tenantBoost             = 10   // times its value has a request of a tenant without any service
-	tenantFade              = 0.005
-	maxTenants              = 256
-	quotaBurstSeconds       = 1.0 // seconds of a quota that may come at once
-	preadmittedFactor       = 2.0 // times the window that those may fill which are not held back for others
-	crowdedCalls            = 2   // own calls, above the mean, at which a server is passed over
-	fullSpreadCopies        = 40  // copies whose calls are spread over all of AskWithin; of fewer, over less
-	maxSubscribeBackoff     = 4   // times AskWithin between calls that fail
+	leftShare               = 0.5   // share of the ready servers in the left group
+	pooledWeight            = 0.06  // weight of a new sample in pooled averages (about 16 samples)
+	serverWeight            = 0.25  // weight of a new sample in a single server's averages
+	luckThreshold           = 0.08  // a run of errors likelier than this at the overall error rate is chance
+	overlongDeviations      = 3.0   // deviations above the mean latency beyond which a wait is overlong
+	slowRatio               = 2.5   // multiple of the expected latency from which on a server is slow
+	slowThinningPower       = 2.0   // exponent of a server's slowness by which its draws are thinned
+	minSamples              = 3     // samples before a server can be called slow
+	maxExcludedShare        = 0.2   // share of the ready servers that health may exclude
+	ejectionLatencies       = 12    // mean latencies that a first ejection or refusal limit lasts
+	maxEjectionLevel        = 5     // doublings of an ejection, at most
+	windowFloor             = 5.0   // own calls for each server that are always admitted
+	retryTokenPerSuccess    = 0.15  // retry tokens earned by a success
+	unsentRetryCost         = 0.1   // cost of a retry whose previous attempt never ran; else 1
+	maxRetryTokens          = 10    // capacity of the retry budget
+	targetFill              = 0.6   // highest mean latency that admission accepts, as a share of the aim
+	busyRatio               = 1.5   // and as a multiple of the lowest geometric mean measured
+	calmRatio               = 0.4   // increase of that multiple while nothing is shed: a node that
+	calmPower               = 16    // rejects nothing is not overloaded; exponent of its decrease
+	shedding                = 4.0   // decrease of the accepted latency by shedding, per unevenness
+	windowUp                = 0.02  // increase of the window by a timely answer
+	windowGrowthCeiling     = 0.9   // share of the accepted latency above which the window does not grow
+	windowRoom              = 0.1   // further increase, times the margin below the accepted latency
+	windowDown              = 0.1   // least decrease of the window by a late answer
+	windowStart             = 5.0   // own calls admitted for each server before anything is measured
+	windowMaxDecrease       = 0.3   // largest decrease by one late answer
+	windowAbandonedDecrease = 3.0   // decrease by each abandoned call, once most calls are abandoned
+	windowProbeShare        = 0.1   // share of windowFloor that remains then, to probe for recovery
+	maxAbandonedShare       = 0.5   // share of abandoned calls above which the window gives up its floor
+	minWindow               = 2.0   // own calls that may be in flight whatever the window
+	tenantBoost             = 10    // factor on the value of a request whose tenant has been served nothing
+	tenantFade              = 0.005 // decay of the tenants' counts with each request
+	maxTenants              = 256   // tenants that are counted; the least active is replaced
+	quotaBurstSeconds       = 1.0   // burst of a quota, in seconds of its rate
+	preadmittedFactor       = 2.0   // multiple of the window up to which preadmitted classes are not queued
+	crowdedCalls            = 2     // least number of own calls at which a server is skipped as crowded
+	fullSpreadCopies        = 40    // copies whose Subscribe calls are spread over all of AskWithin
+	maxSubscribeBackoff     = 4     // longest backoff between failed Subscribe calls, in units of AskWithin
 
-	baselineWeight   = pooledWeight / 128 // weight of an answer in forgetting the least mean of busyRatio
-	newServersWeight = 0.25               // and times its weight in the mean, for the new part of the list
+	baselineWeight   = pooledWeight / 128 // weight of an answer in raising the lowest mean of busyRatio
+	newServersWeight = 0.25               // the same for the new share of the list, times its own weight
 )
 
 // Handle takes one event at the clock time now and returns what to do, in order.
@@ -97,8 +97,8 @@
 		}
 		return
 	}
-	// A host may round a time down, so a timer can come a hair early: nothing relies on its being
-	// late enough, and a review that finds nothing due yet asks for another.
+	// A host may round times down, so a timer can fire slightly early. A review that finds nothing due
+	// schedules another one.
 	if r := b.requests[strings.TrimPrefix(e.Token, "r:")]; r != nil {
 		if b.now+b.settings.Tick >= r.wakeAt {
 			r.wakeAt = 0
@@ -107,7 +107,7 @@
 	}
 }
 
-// wakeAt asks for a review of a request, unless one is due by then already.
+// wakeAt schedules a review of a request, unless an earlier one is scheduled already.
 func (b *Balancer) wakeAt(r *request, at time.Duration) {
 	at = max(at, b.now+1)
 	if r.wakeAt > b.now && r.wakeAt <= at {
@@ -123,7 +123,7 @@
 	}
 	c := b.classes[e.Class]
 	if c == nil {
-		c = b.classList[len(b.classList)-1] // unknown: unsafe
+		c = b.classList[len(b.classList)-1] // the class for unknown names: NonIdempotent
 	}
 	r := &request{
 		id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, clientRetry: e.ClientRetry,
@@ -154,8 +154,8 @@
 	b.dispatch(r)
 }
 
-// chargeQuota says whether a request is within its tenant's quota. A client's further try asks for nothing
-// new, so it takes nothing of it.
+// chargeQuota records whether a request is within its tenant's quota, a token bucket. A client's retry was
+// charged when the client first sent it, so it takes no token.
 func (b *Balancer) chargeQuota(r *request) {
 	for _, q := range b.quotaList {
 		q.fade()
@@ -171,8 +171,9 @@
 	q.arrived++
 }
 
-// backdate finds when the client first asked. Tries are all given the same time unless the class's
-// deadline, which runs over all of them, ends sooner: a shorter one tells how much is over already.
+// backdate estimates when the client first sent a request. Clients give every try the same timeout, unless
+// the class's deadline, which covers all tries, ends sooner: a shorter timeout marks a client's retry and
+// shows how much of that deadline has passed.
 func (b *Balancer) backdate(r *request) {
 	left := r.deadline - b.now
 	r.class.longestTry = max(r.class.longestTry, left)
@@ -182,10 +183,10 @@
 	}
 }
 
-// dispatch sends a request, or holds it while no server may take it.
+// dispatch sends a request, or queues it while no server may take it.
 func (b *Balancer) dispatch(r *request) {
-	ahead := r.class.First && b.admitted() < preadmittedFactor*b.limit()
-	if r.inFlight == 0 && len(r.attempts) == 0 && b.isFull() && !ahead {
+	preadmitted := r.class.First && b.admitted() < preadmittedFactor*b.limit()
+	if r.inFlight == 0 && len(r.attempts) == 0 && b.isFull() && !preadmitted {
 		b.enqueue(r)
 		return
 	}
@@ -213,8 +214,8 @@
 	b.emit(Send{ID: r.id, Server: s.ID, Timeout: timeout, Spares: b.alternates(r)})
 }
 
-// alternates are further servers for a request that was just sent, each picked as the next attempt would be.
-// Only warm ones: what is tried there is not counted until it has ended.
+// alternates returns further servers for a request that was just sent, each picked like the next attempt's.
+// Only warm ones: an attempt there is not counted before it has ended, so slow start could not bound it.
 func (b *Balancer) alternates(r *request) (ids []string) {
 	if b.settings.Spares == 0 || r.class.Effect != Idempotent {
 		return nil
@@ -225,7 +226,7 @@
 		if s == nil {
 			break
 		}
-		r.attempts = append(r.attempts, &attempt{server: s, ended: true}) // lest it is picked twice
+		r.attempts = append(r.attempts, &attempt{server: s, ended: true}) // so that it is not picked twice
 		if b.warmth(s) == 1 {
 			ids = append(ids, s.ID)
 		}
@@ -234,12 +235,12 @@
 	return ids
 }
 
-// overlong is the wait for an answer that most of a class's answers stay well under.
+// overlong is the wait beyond which an attempt is slower than nearly all answers of its class.
 func (b *Balancer) overlong(c *class) time.Duration {
 	return time.Duration(c.mean + overlongDeviations*c.deviation)
 }
 
-// review does whatever has come due for a request.
+// review does what is due for a queued request: it sends it, or rejects it at the end of its queueing time.
 func (b *Balancer) review(r *request) {
 	switch {
 	case r.answered || r.streaming:
@@ -253,7 +254,7 @@
 	}
 }
 
-// enqueue keeps a request back; its timer makes sure that it is answered.
+// enqueue queues a request, with a timer so that it is answered even if no other event comes.
 func (b *Balancer) enqueue(r *request) {
 	if b.now >= b.queueDeadline(r) {
 		b.answer(r)
@@ -271,36 +272,36 @@
 		return
 	}
 	r.queued = false
-	b.queue = slices.DeleteFunc(b.queue, func(h *request) bool { return h == r })
+	b.queue = slices.DeleteFunc(b.queue, func(queued *request) bool { return queued == r })
 }
 
-// nextReview is when a held request is looked at again.
+// nextReview is when a queued request is reviewed next.
 func (b *Balancer) nextReview(r *request) time.Duration {
-	if p := b.pausedUntil(); b.now < p {
-		return min(p, b.queueDeadline(r))
+	if resume := b.pausedUntil(); b.now < resume {
+		return min(resume, b.queueDeadline(r))
 	}
 	return b.queueDeadline(r)
 }
 
-// queueDeadline is how long holding makes sense: until an answer may well miss the aim, for late answers
-// take the room of those in time. With no server at all a late answer is the best there can be, so
-// then almost until the deadline.
+// queueDeadline is until when a request is queued: while its answer is likely to meet the aim, because late
+// answers use capacity that timely ones need. Without any server a late answer is the best possible, so
+// the request then waits almost until its deadline.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	last := r.deadline - 2*b.settings.Tick
 	if len(b.ready) == 0 {
 		return last
 	}
 	aim := r.class.Aim
-	hold := max(aim/4, aim-time.Duration(r.class.mean+2*r.class.deviation))
-	return min(last, r.arrived+hold)
+	queueTime := max(aim/4, aim-time.Duration(r.class.mean+2*r.class.deviation))
+	return min(last, r.arrived+queueTime)
 }
 
-// drainQueue sends held requests while there is room, the most valuable first.
+// drainQueue sends queued requests while the window has room, the most valuable first.
 func (b *Balancer) drainQueue() {
-	for tries := len(b.queue); tries > 0 && len(b.queue) > 0 && !b.isFull(); tries-- {
+	for left := len(b.queue); left > 0 && len(b.queue) > 0 && !b.isFull(); left-- {
 		best := b.queue[0]
 		for _, r := range b.queue[1:] {
-			if b.value(r) >= b.value(best) { // equal: the youngest has most time left
+			if b.value(r) >= b.value(best) { // of equal ones the newest, which has the most time left
 				best = r
 			}
 		}
@@ -332,7 +333,7 @@
 	}
 }
 
-// endCall counts a call off, once: when it ends, or when its server has done all but hand the answer over.
+// endCall uncounts an attempt's call, once: when it ends, or when its server only transfers the answer.
 func (b *Balancer) endCall(a *attempt) {
 	if !a.callEnded {
 		a.callEnded = true
@@ -341,10 +342,10 @@
 	}
 }
 
-// endWait ends the wait for an attempt's answer, which has come or begun.
+// endWait ends the wait for an attempt's answer, which has arrived or begun to stream.
 func (b *Balancer) endWait(a *attempt, e Outcome) {
 	if i := slices.Index(a.server.openAttempts, a); i >= 0 {
-		// A hung server's waits tell nothing of how crowded the others are.
+		// The latency of a hung server says nothing about the load of the others.
 		if !b.isSilent(a.server) {
 			b.adjustWindow(a.request, e)
 		}
--- a/balancer/server_list.go
+++ b/balancer/server_list.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// handleServerList applies news of the servers. A new boot time resets what is known of a server. News of
-// changes costs in step with the changes: the ready servers are kept in their order.
+// handleServerList applies a discovery update. A server that was restarted loses what was learned of it. The
+// ready servers stay sorted, so that an incremental update costs in proportion to its entries.
 func (b *Balancer) handleServerList(e ServerList) {
 	if !e.Operator {
 		b.discoveryHeardAt = b.now
@@ -24,24 +24,24 @@
 		}
 		b.ready = b.ready[:0]
 	}
-	for _, n := range e.Servers {
-		s := b.servers[n.ID]
+	for _, entry := range e.Servers {
+		s := b.servers[entry.ID]
 		if s == nil {
 			s = &server{}
-			b.servers[n.ID] = s
+			b.servers[entry.ID] = s
 		} else {
 			if !e.Full {
 				b.removeReady(s)
 			}
-			if s.StartedAt != n.StartedAt {
+			if s.StartedAt != entry.StartedAt {
 				*s = server{calls: s.calls, openAttempts: s.openAttempts}
 			}
 		}
-		s.Server = n
-		s.listed = n.State != Gone
+		s.Server = entry
+		s.listed = entry.State != Gone
 		switch {
 		case !s.listed && s.calls == 0:
-			delete(b.servers, n.ID)
+			delete(b.servers, entry.ID)
 		case !e.Full:
 			b.insertReady(s)
 		}
@@ -52,7 +52,7 @@
 	b.moveGroupBorder()
 	after := float64(len(b.ready))
 	if before > 0 && after > 0 {
-		// The least latency was other servers': those left may be slower, and those that came are cold.
+		// The lowest mean latency was measured on another list: new servers are cold, others may be slower.
 		b.newShare = min(1, b.newShare+math.Abs(after-before)/max(after, before))
 	}
 	b.resize(before, after)
@@ -64,8 +64,8 @@
 	b.drainQueue()
 }
 
-// resize fits the window and the subset to what this copy's part of the servers was and is: what a server
-// takes has not changed with their number.
+// resize adapts the window and the subset when the number of servers for this copy goes from before to after.
+// The window changes in proportion, because the capacity of one server is the same.
 func (b *Balancer) resize(before, after float64) {
 	if before > 0 && after > 0 {
 		b.window *= after / before
@@ -76,7 +76,7 @@
 	b.usableCountedAt = -1
 	b.subset = b.subsetOfReady()
 	b.largestSize, b.meanSize = 1, 1
-	if b.settings.Sizes == SizesNominal || b.settings.Sizes == SizesRough { // else all are alike
+	if b.settings.Sizes == SizesNominal || b.settings.Sizes == SizesRough { // otherwise all sizes count as 1
 		b.largestSize, b.meanSize = 0, 0
 		for _, s := range b.subset {
 			b.largestSize = max(b.largestSize, b.size(s))
@@ -88,10 +88,10 @@
 	}
 }
 
-// before is the shared order: every copy sorts by id, which all see alike.
+// before is the order of the ready servers. It is the same in every copy: it rests on what discovery sends.
 func (b *Balancer) before(x, y *server) bool {
 	if b.size(x) != b.size(y) {
-		return b.size(x) > b.size(y) // a subset of each size, and ties go to the larger
+		return b.size(x) > b.size(y) // so that a subset has servers of each size, and ties go to the larger
 	}
 	return x.Cell < y.Cell || x.Cell == y.Cell && x.ID < y.ID
 }
@@ -110,13 +110,13 @@
 	}
 }
 
-// insertReady puts a server into its place among the ready ones, if it is ready; leaveReady takes it out.
+// insertReady inserts a server into the ready ones if it is ready; removeReady removes it.
 func (b *Balancer) insertReady(s *server) {
 	if !s.listed || s.State != Ready {
 		return
 	}
 	i := sort.Search(len(b.ready), func(i int) bool { return b.before(s, b.ready[i]) })
-	s.inRightGroup = i > 0 && b.ready[i-1].inRightGroup // as its neighbour, so that the groups stay two runs
+	s.inRightGroup = i > 0 && b.ready[i-1].inRightGroup // like its neighbour: each group is contiguous
 	b.ready = slices.Insert(b.ready, i, s)
 }
 
@@ -130,22 +130,22 @@
 // groupBorder is the index at which the right group begins.
 func (b *Balancer) groupBorder() int { return int(math.Ceil(leftShare * float64(len(b.ready)))) }
 
-// moveGroupBorder moves the border between the two groups to the cut.
+// moveGroupBorder reassigns servers to groups so that the border between them is at groupBorder again.
 func (b *Balancer) moveGroupBorder() {
-	cut := b.groupBorder()
-	for i := cut - 1; i >= 0 && b.ready[i].inRightGroup; i-- {
+	border := b.groupBorder()
+	for i := border - 1; i >= 0 && b.ready[i].inRightGroup; i-- {
 		b.ready[i].inRightGroup = false
 	}
-	for i := cut; i < len(b.ready) && !b.ready[i].inRightGroup; i++ {
+	for i := border; i < len(b.ready) && !b.ready[i].inRightGroup; i++ {
 		b.ready[i].inRightGroup = true
 	}
 }
 
-// scheduleSubscribe plans a Subscribe where the list must be asked for. Discovery takes calls one by one,
-// and one that it gave up on may still be its work: copies that start, or lose their subscription,
-// together keep it from ever answering in time. So the calls are spread over a time in step with the
-// number of copies, twice as long with each failure: what many copies call for within AskWithin may be more
-// than discovery can ever do. That one answer was garbled is no news to the others.
+// scheduleSubscribe schedules a Subscribe, where the list has to be requested. Discovery serves calls one by
+// one and may go on with calls that timed out, so copies that start or lose their subscription together could
+// keep it overloaded. Calls are therefore spread at random over a time in proportion to the number of copies,
+// which doubles with each failure: all copies within AskWithin may be more than discovery can serve. alone
+// says that only this copy failed (a garbled answer), so that there is nobody to spread the calls among.
 func (b *Balancer) scheduleSubscribe(alone bool) {
 	if !b.settings.AskDiscovery {
 		return
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -6,58 +6,58 @@
 	"time"
 )
 
-// What a Balancer remembers: types and how they begin; the files of the policy fill and read them.
+// This file has the state of a Balancer and its initial values. The files of the decisions change it.
 
-// Balancer decides for one node. See the package comment for its contract.
+// Balancer decides for one copy of the load balancer. See the package comment for its contract.
 type Balancer struct {
 	settings    Settings
 	rng         *rand.Rand
 	now         time.Duration
 	actions     []Action
 	servers     map[string]*server
-	ready       []*server       // ready servers in the shared order
-	largestSize float64         // size in the subset
-	meanSize    float64         // of the subset
-	subsetIDs   map[string]bool // ids that the subset is to be of; nil: it is cut by number
-	subset      []*server       // those of them that this copy's first attempts are drawn from, in that order
+	ready       []*server       // ready servers, in the order that all copies share
+	largestSize float64         // of a server in the subset
+	meanSize    float64         // of the servers in the subset
+	subsetIDs   map[string]bool // ids of the subset as Fleet names them; nil: Stripes selects it
+	subset      []*server       // ready servers that this copy's attempts are drawn from first, in the same order
 	requests    map[string]*request
 	queue       []*request
 	classes     map[string]*class
 	tenants     tenants
-	quotas      map[string]*quota // of the tenants that have one
-	quotaList   []*quota          // the same, to walk
-	classList   []*class          // every class in the order of the settings, then the unknown one
+	quotas      map[string]*quota // by tenant, of those that have one
+	quotaList   []*quota          // the same in a fixed order, for iteration
+	classList   []*class          // every class in the order of the settings, then the one for unknown names
 
-	latencyVariance   float64 // variance of single answers' log latencies round their server's mean
-	errorShare        float64 // share of bad endings among all attempts
+	latencyVariance   float64 // variance of single answers' log latencies around their server's mean
+	errorShare        float64 // share of failed attempts
 	lastSuccess       time.Duration
-	retryTokens       float64 // retry budget
-	divisor           float64 // what a ration of all copies is divided by for this one; +Inf: nothing is this copy's
-	window            float64 // own calls admitted at once (first tier)
-	serverCalls       float64 // calls a server that all copies together always admit
-	wholeList         bool    // first attempts are drawn from the whole list
-	usableShare       float64 // share of the ready servers that may take calls, and when that was counted; <0: stale
-	usableCountedAt   time.Duration
-	excessCalls       int           // own calls out at servers that are not ready, or beyond the part of one that is
-	targetUse         float64       // mean latency over aim
-	pacingDebt        float64       // time that calls hold servers, beyond what the window allows, in ns
-	logUse            float64       // mean log of latency over aim
-	samples           float64       // that these are of
-	leastLogUse       float64       // least pace seen, forgetting slowly
-	newShare          float64       // part of the list that it is not of yet
-	pacingDebtAt      time.Duration // when that was reckoned
-	inFlight          int
-	abandonedShare    float64 // share of calls that were given up on, late
-	abandonedCalls    float64 // calls given up whose servers may work on, as of ghostAt
-	abandonedFade     float64 // time over which they fade, in ns
+	retryTokens       float64       // balance of the retry budget
+	divisor           float64       // divisor of limits that all copies share, for this copy's share; +Inf: it has none
+	window            float64       // own calls admitted at once, in the first tier; may be below 1
+	serverCalls       float64       // calls for each server that all copies together always admit
+	wholeList         bool          // the subset is the whole list
+	usableShare       float64       // share of the ready servers' capacity that may take calls
+	usableCountedAt   time.Duration // when usableShare and excessCalls were computed; <0: they are stale
+	excessCalls       int           // own calls at servers that are not ready, or beyond a ready server's share
+	targetUse         float64       // mean of latency/aim, at most 1 each
+	pacingDebt        float64       // server time used beyond what the window allows, in ns
+	logUse            float64       // mean of log(latency/aim)
+	samples           float64       // number of answers in targetUse and logUse
+	leastLogUse       float64       // lowest logUse measured, which rises slowly
+	newShare          float64       // share of the list that came after leastLogUse was measured
+	pacingDebtAt      time.Duration // when pacingDebt was computed
+	inFlight          int           // own calls
+	abandonedShare    float64       // share of calls that timed out, or were canceled late
+	abandonedCalls    float64       // abandoned calls that servers may still work on, as of abandonedAt
+	abandonedFade     float64       // time constant of their decay, in ns
 	abandonedAt       time.Duration
 	shedShare         float64 // share of requests answered without an attempt
 	subscribeFailures int
-	discoveryHeardAt  time.Duration // when discovery last was
-	subscribeAt       time.Duration
+	discoveryHeardAt  time.Duration // when the last discovery update came
+	subscribeAt       time.Duration // when the next Subscribe is due; 0: none is scheduled
 }
 
-// servedCounts is how many requests came and how many were served in time, of late.
+// servedCounts are decaying counts of the requests that arrived and of those that were served within the aim.
 type servedCounts struct{ arrived, served float64 }
 
 func (s *servedCounts) fade() {
@@ -65,100 +65,100 @@
 	s.served *= 0.99
 }
 
-// isWorseThan says that a smaller share was served than of o; of next to none no share is told.
+// isWorseThan reports whether a smaller share was served than of o. With hardly any arrivals it is false.
 func (s servedCounts) isWorseThan(o servedCounts) bool {
 	return s.arrived > 1 && s.served*o.arrived < o.served*s.arrived
 }
 
-// class holds what was learned of a class.
+// class is a class and what was learned of it.
 type class struct {
 	Class
 	mean, deviation float64 // latency of successes, in ns
-	cost            float64 // mean hint of the work, in ns; 0: none yet
+	cost            float64 // mean of the requests' cost hints, in ns; 0: none yet
 	servedCounts
-	longestTry time.Duration
+	longestTry time.Duration // longest timeout of a client's try, as seen
 }
 
-// tenants are who asked of late and what each was served, the most recent counting most.
+// tenants are the tenants of recent requests, with decaying counts.
 type tenants struct {
 	byName map[string]*tenant
-	served float64 // of all
-	scale  float64 // what one counts now: instead of every old count shrinking, new ones grow
-	active float64 // tenants that asked of late, as of the last count
-	since  int     // requests since that
+	served float64 // sum over all tenants
+	scale  float64 // increment of a count: it grows with each request, in place of a decay of all counts
+	active float64 // number of recently active tenants, as of the last recount
+	since  int     // requests until the next recount
 }
 
-// tenant is one of them.
+// tenant has the decaying counts of one tenant, in units of tenants.scale.
 type tenant struct{ requested, served float64 }
 
-// quota is a tenant's part of what the copies take together, and how it was served within that.
+// quota is a tenant's quota as a token bucket, and how the requests within it were served.
 type quota struct {
-	total        float64 // requests a second of all copies together
-	rate         float64 // those that are this copy's
-	burst        float64 // the most that room may be
-	available    float64 // requests that are within it now, as of at
+	total        float64 // requests a second, over all copies
+	rate         float64 // this copy's share of total
+	burst        float64 // capacity of the bucket, in requests
+	available    float64 // tokens, as of at
 	at           time.Duration
 	servedCounts // of requests within it
 }
 
-// setShare makes a part of the whole this copy's. What has piled up stays within the new part's burst.
+// setShare sets this copy's share to 1/by of the total. Saved tokens are cut to the new burst.
 func (q *quota) setShare(by float64) {
 	q.rate = q.total / by
 	q.burst = max(1, quotaBurstSeconds*q.rate)
-	if math.IsInf(by, 1) { // nothing of it is this copy's
+	if math.IsInf(by, 1) { // this copy has no share
 		q.burst = 0
 	}
 	q.available = min(q.available, q.burst)
 }
 
-// refill adds to room what has come in since it was last reckoned.
+// refill adds the tokens that have accrued since the last refill.
 func (q *quota) refill(now time.Duration) {
 	q.available = min(q.burst, q.available+q.rate*(now-q.at).Seconds())
 	q.at = now
 }
 
-// server is a listed server, or one that left with calls of ours still out.
+// server is a listed server, or one that has left the list while own calls are in flight there.
 type server struct {
 	Server
 	listed       bool
-	inRightGroup bool       // of the two groups
+	inRightGroup bool       // it belongs to the right of the two groups; see pick
 	calls        int        // own calls in flight
-	openAttempts []*attempt // the same calls in order of sending
+	openAttempts []*attempt // own attempts that wait for an answer, the oldest first
 
-	failureStreak int // bad endings in a row
+	failureStreak int // failed attempts in a row
 	ejectionLevel int // doublings of the next ejection
-	successStreak int // good endings in a row
+	successStreak int // successful attempts in a row
 	ejectedUntil  time.Duration
-	reportedUntil time.Duration // until then it is not drawn, on others' word
-	slowness      float64       // mean log of latency over the class mean
+	reportedUntil time.Duration // excluded until then by peers' reports
+	slowness      float64       // mean of log(latency/expected latency)
 	samples       int
 	lastSuccess   time.Duration
-	acceptedAt    time.Duration // when the youngest call was sent that it is known to have taken
-	refusalRoom   int           // own calls that it had taken when it refused one more, and since
-	refusedAt     time.Duration // when that was
-	fullUntil     time.Duration // no more than room until then
-	refusals      int           // in a row
+	acceptedAt    time.Duration // when the newest call was sent that the server is known to have accepted
+	refusalRoom   int           // limit on own calls while fullUntil lasts: those it had when it refused one more
+	refusedAt     time.Duration // when it last refused a call
+	fullUntil     time.Duration // until when refusalRoom applies
+	refusals      int           // refusals in a row
 }
 
 // request is an accepted request, kept until it is answered and its attempts have ended.
 type request struct {
 	id          string
 	class       *class
-	tenant      *tenant         // nil: tenants are not told apart
+	tenant      *tenant         // nil: tenants are not distinguished
 	quota       *quota          // nil: the tenant has none
-	overQuota   bool            // asked beyond it
-	candidates  map[string]bool // servers that it may go to; nil: any
-	places      []Place         // and places, in order; nil: any
+	overQuota   bool            // it came when the quota was used up
+	candidates  map[string]bool // ids of the servers that it may go to; nil: any
+	places      []Place         // places that it may go to, in order of preference; nil: any
 	arrived     time.Duration
 	deadline    time.Duration
 	cost        float64 // hint of the work, in ns; 0: none
 	attempts    []*attempt
 	inFlight    int
-	clientRetry bool // by the client, where clients say so
+	clientRetry bool // the client has sent it before
 	queued      bool
 	answered    bool
 	streaming   bool
-	consumed    bool // it can't be sent again
+	consumed    bool // part of its body was sent and is not kept, so it can't be retried
 	wakeAt      time.Duration
 }
 
@@ -170,13 +170,13 @@
 	sent      time.Duration
 	zone      string
 	cell      int
-	began     time.Duration // its streamed answer did; 0: none has
-	callEnded bool          // it counts no more as a call of ours
+	began     time.Duration // when its streamed answer began; 0: it has not
+	callEnded bool          // it no longer counts as an own call
 	ended     bool
-	neverRan  bool // proven never to have run
+	neverRan  bool // the server certainly did not run it
 }
 
-// latency is how long the attempt's answer was waited for, until now or until it began.
+// latency is the time from sending the attempt until now, or until its answer began to stream.
 func (a *attempt) latency(now time.Duration) time.Duration {
 	if a.began > 0 {
 		now = a.began
@@ -222,17 +222,17 @@
 	b.classList = append(b.classList, k)
 }
 
-// handleClasses adds classes, or tells those that there are anew: what was learned of them stays.
-func (b *Balancer) handleClasses(l []Class) {
-	for _, c := range l {
+// handleClasses adds classes, or changes existing ones, which keep what was learned of them.
+func (b *Balancer) handleClasses(changed []Class) {
+	for _, c := range changed {
 		if k := b.classes[c.Name]; k != nil && c.Name != "" {
 			if k.Deadline != c.Deadline {
-				k.longestTry = 0 // what clients wait is found out anew
+				k.longestTry = 0 // the clients' timeouts may have changed, too
 			}
 			k.Class = c
 		} else if c.Name != "" {
 			b.addClass(c)
-			n := len(b.classList) // the unknown one stays the last
+			n := len(b.classList) // the class for unknown names stays the last
 			b.classList[n-2], b.classList[n-1] = b.classList[n-1], b.classList[n-2]
 		}
 	}
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -6,37 +6,39 @@
 )
 
 const (
-	minSubset    = 4   // servers that a copy draws from at the least
-	subsetFactor = 3.0 // and at the least this many times its fair share of the servers
+	minSubset    = 4   // least number of servers in a subset
+	subsetFactor = 3.0 // least size of a subset, as a multiple of the copy's fair share of the servers
 )
 
-// subsetOfReady keeps a copy to a few servers. Hundreds of copies over the whole list know nothing: their own counts are
-// zero, a sick server is met once a minute, and connections fill its table.
+// subsetOfReady returns the subset of the ready servers that this copy uses. Hundreds of copies that each use the
+// whole list learn too little: their own counts are mostly zero, each meets an unhealthy server once a minute, and
+// their connections exhaust the servers.
 func (b *Balancer) subsetOfReady() []*server {
 	n := len(b.ready)
 	if b.subsetIDs != nil {
-		var l []*server
+		var subset []*server
 		for _, s := range b.ready {
 			if b.subsetIDs[s.ID] {
-				l = append(l, s)
+				subset = append(subset, s)
 			}
 		}
-		if len(l) >= min(n, minSubset) {
-			return l
+		if len(subset) >= min(n, minSubset) {
+			return subset
 		}
 	}
 	size := max(minSubset, int(math.Ceil(subsetFactor*b.fairServers())))
 	if size >= n || b.settings.Balancers <= 1 || b.wholeList {
 		return b.ready
 	}
-	l := make([]*server, 0, size)
+	subset := make([]*server, 0, size)
 	for _, i := range Stripes(n, size, b.settings.Balancers, b.settings.Index) {
-		l = append(l, b.ready[i])
+		subset = append(subset, b.ready[i])
 	}
-	return l
+	return subset
 }
 
-// handleFleet goes over to another place among the copies. What was learned stays; rations follow the divisor.
+// handleFleet applies a change of the fleet: the number of copies, this copy's index, and its shares of the limits that
+// all copies have together. What was learned stays.
 func (b *Balancer) handleFleet(e Fleet) {
 	before := b.fairServers()
 	b.settings.Balancers, b.settings.Index, b.divisor = max(1, e.Balancers), e.Index, e.Divisor
@@ -51,45 +53,45 @@
 		}
 	}
 	for name, q := range b.quotas {
-		part := 1 / b.divisor
-		if p, is := e.Quotas[name]; is && p >= 0 && p <= 1 {
-			part = p
+		share := 1 / b.divisor
+		if s, known := e.Quotas[name]; known && s >= 0 && s <= 1 {
+			share = s
 		}
 		q.refill(b.now)
-		q.setShare(1 / part)
+		q.setShare(1 / share)
 	}
 	b.resize(before, b.fairServers())
 	b.drainQueue()
 }
 
-// handlePeerReports puts servers aside. How many are kept out in all is bounded as for those this copy ejects.
+// handlePeerReports excludes servers that peers report. maxExcluded bounds them together with this copy's ejections.
 func (b *Balancer) handlePeerReports(e PeerReports) {
-	for _, a := range e.Exclusions {
-		s := b.servers[a.ID]
-		if s == nil || s.StartedAt != a.StartedAt || a.Until > b.now+time.Minute {
+	for _, exclusion := range e.Exclusions {
+		s := b.servers[exclusion.ID]
+		if s == nil || s.StartedAt != exclusion.StartedAt || exclusion.Until > b.now+time.Minute {
 			continue
 		}
-		if s.reportedUntil = a.Until; a.Until > b.now && s.ejectionLevel == 0 {
+		if s.reportedUntil = exclusion.Until; exclusion.Until > b.now && s.ejectionLevel == 0 {
 			s.ejectionLevel, s.successStreak = 1, 0
 		}
 	}
 	b.usableCountedAt = -1
 }
 
-// Stripes names size of n servers in the shared order for one of so many copies, evenly from along that order, so
-// that all servers are drawn from by equally many copies. size is at most n.
+// Stripes returns the indexes of the subset of one of several copies: size of n servers, spread evenly over the
+// shared order, so that each server is in about equally many subsets. size is at most n.
 func Stripes(n, size, copies, index int) []int {
-	l := make([]int, 0, size)
+	indexes := make([]int, 0, size)
 	step := 1
 	for i := range size {
-		// Each block of the order has its own turn of the copies, lest fixed cliques share servers;
-		// a step that divides their number would leave some servers with more of them.
+		// Each block of the order permutes the copies differently, so that no fixed group of copies shares all
+		// its servers. A step with a common divisor would give some servers more copies than others.
 		turn := (float64(index*step%copies) + 0.5) / float64(copies)
 		for step++; gcd(step, copies) > 1; step++ {
 		}
-		l = append(l, int((float64(i)+turn)*float64(n)/float64(size)))
+		indexes = append(indexes, int((float64(i)+turn)*float64(n)/float64(size)))
 	}
-	return l
+	return indexes
 }
 
 func gcd(a, b int) int {
