--- a/internal/mesh/api/api.go
+++ b/internal/mesh/api/api.go
@@ -1,7 +1,8 @@
-// Package api is the HTTP calls of servers and operators. Each is a pair of types, request and response, behind one generic handler
-// that reads and bounds the request and encodes the response. It decides nothing; handlers do.
+// Package api is the HTTP/JSON framework for the calls of servers and operators. A call is a request type, a response type and a
+// function; a generic handler reads and bounds the request, and encodes the response or the error. The package must not decide
+// anything about a call.
 //
-// Statuses and fields follow the pages' forms: {"ErrorText": "..."} with each error, Retry-After with 503.
+// As the protocol's pages require, each error has the body {"ErrorText": "..."}, and each 503 has a Retry-After.
 package api
 
 import (
@@ -14,12 +15,12 @@
 	"github.com/juju/errors"
 )
 
-// Error is a response with a status of its own and a line that says why. Handlers may wrap it.
+// Error is an error response. Handlers return it, possibly wrapped, for every status other than 500.
 type Error struct {
 	Status int
 	Text   string
 
-	location string // where the caller is redirected to; "": nowhere
+	location string // Location header of a redirect; "": none
 }
 
 // Error returns the text.
@@ -28,15 +29,15 @@
 // NewError returns an Error.
 func NewError(status int, text string) error { return &Error{Status: status, Text: text} }
 
-// Redirect returns an Error that has the caller make the same call at another URL.
+// Redirect returns an Error that redirects the caller, with the same method and body, to another URL.
 func Redirect(location string) error {
 	return &Error{Status: http.StatusTemporaryRedirect, Text: "the leader is elsewhere", location: location}
 }
 
-// RawBody is a request whose body is decoded by its handler, or a response that is encoded already.
+// RawBody is the body of a request that the handler decodes itself, or a response that is encoded already.
 type RawBody []byte
 
-// Empty is a request without a body, or a response that says nothing.
+// Empty is a request whose body is ignored, or a response without content.
 type Empty struct{}
 
 // errorBody is the body of an Error's response.
@@ -44,7 +45,7 @@
 	ErrorText string `json:"ErrorText"`
 }
 
-// timeoutPerMegabyte is the time that a request has besides, by the size of its body: callers wait longer for a large one. 5,000
+// timeoutPerMegabyte extends the timeout of a request by the size of its body, because callers wait longer for large ones: 5,000
 // routes are about a megabyte, for which an operator allows 15 s.
 const timeoutPerMegabyte = 4 * time.Second
 
@@ -56,9 +57,9 @@
 	return base + timeoutPerMegabyte/1000*time.Duration(bodyBytes)/1000
 }
 
-// NewHandler makes a handler of a function from a request to its response. A body of more than maxBodyBytes is refused with 413, one that
-// can't be read or decoded with 400; an error that is no Error is answered with 500. The function's ctx ends after TimeoutFor the body,
-// which runs from when the body has come in full: a slow link may take longer than that for it.
+// NewHandler returns an HTTP handler for a call. A body of more than maxBodyBytes is rejected with 413, one that can't be read or decoded
+// with 400. An error of handle that is not an Error is answered with 500. The ctx of handle ends after TimeoutFor(timeout, body size),
+// counted from when the body was received completely, because a slow link may take longer than that for the body.
 func NewHandler[Request, Response any](maxBodyBytes int64, timeout time.Duration,
 	handle func(ctx context.Context, httpRequest *http.Request, request Request) (Response, error),
 ) http.HandlerFunc {
@@ -80,7 +81,7 @@
 	}
 }
 
-// readRequest reads and decodes a body.
+// readRequest reads and decodes a body into request, which points to a request type.
 func readRequest(w http.ResponseWriter, r *http.Request, maxBodyBytes int64, request any) (bodyBytes int, err error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
@@ -122,10 +123,10 @@
 	body := encodeResponse(response)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // an error means that the caller has gone
+	_, _ = w.Write(body) // an error means that the caller has disconnected
 }
 
-// encodeResponse encodes a response. Responses are structs of plain fields, which always can be.
+// encodeResponse encodes a response. Responses are structs of plain fields, whose encoding can't fail.
 func encodeResponse(response any) []byte {
 	switch response := response.(type) {
 	case RawBody:
@@ -139,14 +140,14 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// requestTimeout is how long a request may take to come in full and be answered: the largest one takes 17 s over a link of
-	// 2 Mbit/s, and as long again for what is to be done with it.
+	// requestTimeout bounds receiving and answering a request: receiving the largest one takes 17 s over a link of 2 Mbit/s, and
+	// handling it may take as long again.
 	requestTimeout = time.Minute
 	idleTimeout    = 30 * time.Second
 	maxHeaderBytes = 16 << 10
 )
 
-// NewServer returns a server of API calls with bounds of its own. Whoever calls it serves a listener with it, and closes it.
+// NewServer returns an HTTP server with the time and size limits of API calls. The caller serves a listener with it and closes it.
 func NewServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
--- a/internal/mesh/apiclient/await.go
+++ b/internal/mesh/apiclient/await.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// pollInterval is the time between two calls of those that wait.
+	// pollInterval is the time between two calls while waiting.
 	pollInterval = 200 * time.Millisecond
-	// policyActiveTimeout is far beyond what a policy set waits for sidecars that do not answer.
+	// policyActiveTimeout is well above the time for which a policy set waits for sidecars that do not answer.
 	policyActiveTimeout = 15 * time.Second
 )
 
-// Errors of waiting.
+// Errors of AwaitPolicyActive and FollowOrder.
 const (
 	ErrUnknownOrder  = errors.ConstError("unknown order")
-	ErrPolicyPending = errors.ConstError("the policy set is agreed on and not active yet")
+	ErrPolicyPending = errors.ConstError("the policy set is committed and not active yet")
 )
 
-// AwaitPolicyActive waits until the policy set that is agreed on is active.
+// AwaitPolicyActive waits until the committed policy set is active. The error is ErrPolicyPending after policyActiveTimeout.
 func (c Client) AwaitPolicyActive() error {
 	for deadline := time.Now().Add(policyActiveTimeout); ; time.Sleep(pollInterval) {
 		response, err := c.Policy(controlplane.PolicyRequest{})
@@ -40,14 +40,14 @@
 	}
 }
 
-// OrderProgress is what has happened to a maintenance order since it was looked at last.
+// OrderProgress is what has happened to a maintenance order since the last report.
 type OrderProgress struct {
 	Order      maintenance.Order
-	Events     []maintenance.Event // that are new
-	WaitingFor string              // "" where it waits for nothing else than before
+	Events     []maintenance.Event // new ones
+	WaitingFor string              // what it waits for, if that has changed; else ""
 }
 
-// WriteText prints the new events, and what the order waits for.
+// WriteText prints the new events and what the order waits for, as text for operators.
 func (p OrderProgress) WriteText(w io.Writer) {
 	for _, e := range p.Events {
 		fmt.Fprintf(w, "%s  %-24s %-10s %s\n", e.Time.Earliest.UTC().Format("15:04:05.0"), e.Machine, e.Step, e.Text)
@@ -57,7 +57,8 @@
 	}
 }
 
-// FollowOrder reports the progress of an order until it is finished, and gives its last step.
+// FollowOrder reports the progress of an order until it is finished, and returns its last step. The error is ErrUnknownOrder if there
+// is no such order.
 func (c Client) FollowOrder(id string, report func(OrderProgress)) (maintenance.Step, error) {
 	shown, lastWait := 0, ""
 	for ; ; time.Sleep(pollInterval) {
--- a/internal/mesh/apiclient/client.go
+++ b/internal/mesh/apiclient/client.go
@@ -1,8 +1,8 @@
 // Package apiclient calls the operators' HTTP API of a control-plane member.
 //
-// It owns the requests and the decoding of their responses. It must never decide anything about the mesh, and it sends nothing
-// again: whether a change that had no answer is sent once more is the operator's decision. The API's paths and forms are those of
-// the operators' pages, of docs/maintenance.md and of docs/rules.md.
+// It owns the requests and the decoding of their responses. It must never decide anything about the mesh, and never retry: whether a
+// change without an answer is sent again is the operator's decision. The API's paths and forms are those of the operators' pages,
+// docs/maintenance.md and docs/rules.md.
 package apiclient
 
 import (
@@ -21,13 +21,13 @@
 	"cranegrade/internal/mesh/controlplane"
 )
 
-// ErrUnavailable is a member that gives no answer, or answers that it has none: with 503.
+// ErrUnavailable is the error if a member does not answer, or answers 503.
 const ErrUnavailable = errors.ConstError("the control plane is not available")
 
-// maxResponseBytes bounds what is read of a response.
+// maxResponseBytes is the most that is read of a response.
 const maxResponseBytes = 64 << 20
 
-// Paths of the API, and those of the build before, which a member of that build answers.
+// Paths of the API. The former ones are those of the previous release, whose members know no others.
 const (
 	pathFetch             = "/v1/configuration/fetch"
 	pathModify            = "/v1/configuration/modify"
@@ -45,20 +45,20 @@
 	Text   string // the member's reason
 }
 
-// Error names the member, the status and the reason.
+// Error returns the member, the status and the reason.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("%s answers %s: %s", e.Addr, e.Status, e.Text)
 }
 
-// Is says that a response with 503 is ErrUnavailable.
+// Is makes a response with 503 match ErrUnavailable.
 func (e *StatusError) Is(target error) bool {
 	return target == ErrUnavailable && e.Code == http.StatusServiceUnavailable
 }
 
-// Client calls one member. The zero Timeout waits without a bound.
+// Client calls one member. It may be used by any goroutine.
 type Client struct {
 	Addr    string        // ControlPlane of the member: host and port
-	Timeout time.Duration // of each call
+	Timeout time.Duration // of each call; 0: none
 }
 
 // Configuration returns the configuration as a majority confirmed it, as text and as a table.
@@ -75,25 +75,26 @@
 	return text, table, nil
 }
 
-// Modify has a change acknowledged. A change without an answer may have been accepted; it may be sent again unchanged.
+// Modify sends a change, which is acknowledged if there is no error. After ErrUnavailable it may have been accepted or not, and can
+// safely be sent again unchanged.
 func (c Client) Modify(body []byte) error {
 	_, err := c.call(http.MethodPost, pathModify, body)
 	return err
 }
 
-// Maintenance is a call about machines in maintenance, which the leader answers.
+// Maintenance sends a call about maintenance, which the leader answers.
 func (c Client) Maintenance(request controlplane.MaintenanceRequest) (response controlplane.MaintenanceResponse, err error) {
 	err = c.callJSON(request, &response, pathMaintenance, pathFormerMaintenance)
 	return response, err
 }
 
-// Policy is a call about namespaces' policies, which the leader answers.
+// Policy sends a call about policies, which the leader answers.
 func (c Client) Policy(request controlplane.PolicyRequest) (response controlplane.PolicyResponse, err error) {
 	err = c.callJSON(request, &response, pathPolicy, pathFormerPolicy)
 	return response, err
 }
 
-// callJSON posts a request to the first of the paths that the member knows.
+// callJSON posts a request to the first of the paths that is not answered with 404.
 func (c Client) callJSON(request, response any, paths ...string) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -113,7 +114,7 @@
 	return errors.Annotatef(json.Unmarshal(text, response), "reading the response of %s", c.Addr)
 }
 
-// call sends one request and gives the body of a response with 200.
+// call sends one request and returns the body of the response if its status is 200. Other statuses are a *StatusError.
 func (c Client) call(method, path string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.Addr+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/mesh/daemon/daemon.go
+++ b/internal/mesh/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is what the mesh's programs share round their roles: command line, settings file and its changes, signals, log and exit
-// codes. It knows no role.
+// Package daemon is the common frame of the mesh's programs: command line, settings file and its changes, signals, log and exit codes.
+// It owns the process; the role that runs in it is given by the program, and the package must not depend on any role.
 //
 // Signals follow daemon(7): SIGTERM and SIGINT end the process, SIGHUP has it read its settings again.
 package daemon
@@ -23,37 +23,37 @@
 // Exit codes of the programs. docs/ONCALL.md says what to do with each.
 const (
 	ExitOK    = 0 // ended by a signal, or done
-	ExitFault = 1 // could not start, or ended by itself
-	ExitUsage = 2 // the command line or the settings
+	ExitFault = 1 // the role could not start, or failed
+	ExitUsage = 2 // invalid command line or settings
 )
 
 const (
-	settingsPollInterval = time.Second // for file systems and mounts that change the file without a signal
-	gcPercent            = 50          // of live memory, between collections: processes share their machines
-	memoryLimitShare     = 0.8         // of Limits.MemoryMb, for the heap
+	settingsPollInterval = time.Second // a settings file may change without a SIGHUP
+	gcPercent            = 50          // GOGC: less memory for more CPU, because processes share their machines
+	memoryLimitShare     = 0.8         // GOMEMLIMIT as a share of Limits.MemoryMb
 )
 
-// Role is what a program runs.
+// Role is the part of a program that differs between programs, such as a sidecar.
 type Role interface {
-	// Run serves until ctx ends and what was accepted is answered.
+	// Run serves until ctx ends and the requests accepted before are answered.
 	Run(ctx context.Context) error
-	// Reload takes settings that have changed; any goroutine may call it.
+	// Reload applies changed settings. It is called on another goroutine than Run.
 	Reload(settings.Settings)
-	// Addr is where the role listens for its own kind.
+	// Addr is the listen address that is reported at the start.
 	Addr() string
 }
 
-// NewRole makes the role of a program, ready to run.
+// NewRole returns the role of a program, ready to run.
 type NewRole func(settings.Settings, zerolog.Logger, *logring.Ring, Options) (Role, error)
 
-// Main runs a program, and returns its exit code.
+// Main runs a program and returns its exit code, once a signal has ended it or its role has failed.
 func Main(name string, newRole NewRole) int {
 	reload, terminate := notifySignals()
 	options, err := parseOptions(os.Args[1:])
 	switch {
 	case errors.Is(err, errHelp):
 		return ExitOK
-	case err != nil: // the parser has said what is wrong
+	case err != nil: // the parser has printed the error
 		return ExitUsage
 	}
 	file, err := openSettings(options)
@@ -81,7 +81,7 @@
 	return ExitOK
 }
 
-// run runs a role until a signal ends it, and has it take settings that change meanwhile.
+// run runs a role until a signal ends it, and reloads its settings when they change. It waits for the goroutine that it starts.
 func run(role Role, file *settingsFile, log zerolog.Logger, reload, terminate <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	watching := make(chan struct{})
@@ -109,7 +109,7 @@
 	return role.Run(ctx)
 }
 
-// notifySignals asks for the signals. It is the first thing that a program does: SIGHUP ends a process that has not.
+// notifySignals registers for the signals. A program does this first, because an unhandled SIGHUP ends the process.
 func notifySignals() (reload, terminate <-chan os.Signal) {
 	hangup, end := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
@@ -124,7 +124,7 @@
 	}
 }
 
-// newLogger returns a logger into a ring, which writes to standard error as well if it is verbose.
+// newLogger returns a logger that writes to a ring and, if verbose, also directly to standard error.
 func newLogger(nodeName string, verbose bool) (zerolog.Logger, *logring.Ring) {
 	log, ring := logring.New(os.Stderr, nodeName)
 	if verbose {
--- a/internal/mesh/daemon/options.go
+++ b/internal/mesh/daemon/options.go
@@ -8,10 +8,10 @@
 	"github.com/juju/errors"
 )
 
-// errHelp is the error of parseOptions where only help was asked for.
+// errHelp is the error of parseOptions if the command line requests help.
 const errHelp = errors.ConstError("help requested")
 
-// Options are the command line. Struct tags can't be broken, so that lines are long here.
+// Options are the command line of every program. Lines are long because struct tags can't be broken.
 type Options struct {
 	Settings        string        `short:"s" long:"settings" value-name:"FILE" description:"the settings file; else the one that $CRANEGRADE_NODE_FILE names"`
 	Check           bool          `long:"check" description:"check the settings file and end"`
@@ -23,14 +23,14 @@
 	Former formerOptions `group:"names of the former release" hidden:"yes"`
 }
 
-// formerOptions are options by the names of the former release, which are accepted for one release.
+// formerOptions are the options by their names in the previous release, which are accepted for one more release.
 type formerOptions struct {
 	Standing string        `long:"standing" hidden:"yes"`
 	Ahead    time.Duration `long:"ahead" hidden:"yes"`
 	Trunks   string        `long:"listen-trunks" hidden:"yes"`
 }
 
-// parseOptions parses a command line. The parser writes help, and what is wrong, itself.
+// parseOptions parses a command line. The parser prints help and errors itself.
 func parseOptions(args []string) (Options, error) {
 	var options Options
 	if _, err := flags.NewParser(&options, flags.Default).ParseArgs(args); err != nil {
--- a/internal/mesh/daemon/settings_file.go
+++ b/internal/mesh/daemon/settings_file.go
@@ -10,14 +10,14 @@
 	"cranegrade/internal/mesh/settings"
 )
 
-// settingsFile is the settings file, and what it said last. It belongs to one goroutine.
+// settingsFile is the settings file with the text and settings that were last read. It belongs to one goroutine.
 type settingsFile struct {
 	path    string
 	text    []byte
 	current settings.Settings
 }
 
-// openSettings reads the file that the options or the environment name.
+// openSettings reads the file that the options or the environment name, and applies the options that override it.
 func openSettings(options Options) (*settingsFile, error) {
 	file := &settingsFile{path: options.Settings}
 	if file.path == "" {
@@ -39,7 +39,7 @@
 	return file, nil
 }
 
-// reload has the role take the file if it has changed. One that can't be read, or is invalid, changes nothing.
+// reload passes the settings to the role if the file has changed. If it can't be read or is invalid, the role keeps its settings.
 func (f *settingsFile) reload(role Role, log zerolog.Logger) {
 	changed, text, err := readSettings(f.path)
 	if bytes.Equal(text, f.text) {
--- a/internal/mesh/directory/table.go
+++ b/internal/mesh/directory/table.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Table is the newest record of each sidecar, by the sidecar's address. The zero value is an empty table. A Table is never changed
-// once it was made, so that readers need no lock.
+// Table is the newest record of each sidecar, by the sidecar's address. The zero value is an empty table. A Table is immutable, so
+// that readers need no lock.
 type Table struct{ records map[string]Record }
 
-// Len returns how many sidecars there are.
+// Len returns the number of sidecars.
 func (t Table) Len() int { return len(t.records) }
 
 // Get returns the record of a sidecar.
@@ -20,16 +20,16 @@
 	return record, ok
 }
 
-// All returns the records ordered by service, then by address. All processes share this order: a sidecar's place in it is its index
-// among those that call a service.
+// All returns the records ordered by service, then by address. All processes use this order: it gives each sidecar its index among
+// those that call a service.
 func (t Table) All() []Record {
 	return slices.SortedFunc(maps.Values(t.records), func(a, b Record) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Addr, b.Addr))
 	})
 }
 
-// Merge takes those of the given records, which arrived at a time of the holder's clock, that are newer than the table's own, and
-// returns them as changed. The result does not depend on the order in which records are merged.
+// Merge returns a table with those records that are newer than the table's own, and these records as changed. now is the time of the
+// receiver's clock. The result does not depend on the order in which records are merged.
 func (t Table) Merge(now time.Duration, records []Record) (merged Table, changed []Record) {
 	current := t.records
 	for _, record := range records {
@@ -40,7 +40,7 @@
 		record.ReceivedAt = now
 		switch {
 		case known && was.ServerID == record.ServerID:
-			record.WarmAt = was.WarmAt // announced once: the remaining warm-up of a later record would start it anew
+			record.WarmAt = was.WarmAt // fixed by the first record: the remaining warm-up of later ones would move it
 		case record.Warmup > 0:
 			record.WarmAt = now + record.Warmup
 		}
@@ -57,7 +57,7 @@
 	return Table{current}, changed
 }
 
-// Expire removes the sidecars from which nothing has arrived for longer than a time-out.
+// Expire returns a table without the sidecars from which nothing has arrived for longer than timeout, and their records.
 func (t Table) Expire(now, timeout time.Duration) (left Table, expired []Record) {
 	for _, record := range t.records {
 		if now-record.ReceivedAt > timeout {
--- a/internal/mesh/directory/wire.go
+++ b/internal/mesh/directory/wire.go
@@ -6,7 +6,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// leavingBit is the bit of an encoded state that says that the sidecar itself shuts down.
+// leavingBit is the bit of an encoded state for Record.Leaving.
 const leavingBit = 0x80
 
 // ToWire encodes records for the transport.
--- a/internal/mesh/logring/logring.go
+++ b/internal/mesh/logring/logring.go
@@ -1,5 +1,5 @@
-// Package logring keeps the latest log lines of a process in a ring buffer in memory. They are written out when an error is logged,
-// and read over the network by meshctl; nothing else is written, so that a healthy process costs no I/O for its log.
+// Package logring keeps the latest log lines of a process in a ring buffer in memory. They are written to an output when an error is
+// logged, and meshctl reads them over the network. Nothing else is written, so that the log of a healthy process costs no I/O.
 package logring
 
 import (
@@ -11,9 +11,9 @@
 )
 
 const (
-	capacity         = 256     // lines
-	maxLineBytes     = 1 << 10 // of a line that are kept
-	minFlushInterval = 500 * time.Millisecond
+	capacity         = 256                    // lines
+	maxLineBytes     = 1 << 10                // longer lines are cut
+	minFlushInterval = 500 * time.Millisecond // bounds the output of a process that logs many errors
 )
 
 // Ring is a ring buffer of log lines. It implements zerolog.LevelWriter, and may be used by any goroutine.
@@ -23,8 +23,8 @@
 
 	mu        sync.Mutex // guards below
 	lines     [capacity][]byte
-	next      int // of lines, to be written
-	count     int // of lines, that are held
+	next      int // index in lines of the next line to be written
+	count     int // number of lines in the ring
 	lastFlush time.Time
 }
 
@@ -35,10 +35,10 @@
 	return zerolog.New(ring).With().Timestamp().Str("at", name).Logger(), ring
 }
 
-// Write keeps a line without a level.
+// Write adds a line without a level.
 func (r *Ring) Write(line []byte) (int, error) { return r.WriteLevel(zerolog.InfoLevel, line) }
 
-// WriteLevel keeps a line, and writes out what is held if it is an error. It never fails.
+// WriteLevel adds a line. If its level is error or above, it flushes the ring, at most once in minFlushInterval. It never fails.
 func (r *Ring) WriteLevel(level zerolog.Level, line []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +55,7 @@
 	return len(line), nil
 }
 
-// Contents returns the lines that are held, the oldest first. A nil ring holds none.
+// Contents returns the lines in the ring, the oldest first. It is empty for a nil Ring.
 func (r *Ring) Contents() []byte {
 	if r == nil {
 		return nil
@@ -65,7 +65,7 @@
 	return r.contentsLocked()
 }
 
-// Flush writes out what is held, and forgets it.
+// Flush writes the lines to the output and empties the ring.
 func (r *Ring) Flush() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +76,7 @@
 	r.lastFlush = r.now()
 	contents := r.contentsLocked()
 	r.count = 0
-	_, _ = r.out.Write(contents) // there is nowhere to say that the log can't be written
+	_, _ = r.out.Write(contents) // there is nowhere to report that the log can't be written
 }
 
 func (r *Ring) contentsLocked() (contents []byte) {
--- a/internal/mesh/memberselection/advance.go
+++ b/internal/mesh/memberselection/advance.go
@@ -9,7 +9,8 @@
 	s.advance()
 }
 
-// advance does what is due at the current time. The order matters: a member that is left here is replaced in the same step.
+// advance does everything that is due at the current time. The order matters: a member that is left here is replaced in the
+// same step.
 func (s *Selector) advance() {
 	if s.followed != nil && s.now >= s.silenceDeadline() {
 		s.leaveFollowed(s.silenceReason())
@@ -90,8 +91,8 @@
 	}
 }
 
-// follow makes a candidate the followed member. Until it reports a leader it counts as without one for too long already, so that
-// the other members stay candidates.
+// follow makes a candidate the followed member. Until it reports a leader, LeaderlessTimeout counts as already over, so that
+// the other members are still dialed.
 func (s *Selector) follow(c *candidate) {
 	s.followed, s.lastHeard, s.leaderLostAt = c, s.now, s.now-LeaderlessTimeout
 	s.confirming, s.confirmed, s.confirmAt = false, false, s.now
@@ -109,14 +110,14 @@
 	s.clearFollowed()
 }
 
-// clearFollowed forgets the followed member, whose connection is closed or about to be.
+// clearFollowed resets the state of the followed member. The caller has closed its connection, or it has ended.
 func (s *Selector) clearFollowed() {
 	s.followed = nil
 	s.confirming, s.confirmed = false, false
 	s.setReachable(false)
 }
 
-// setReachable records whether the followed member has a leader. The grace period begins where it had one until now.
+// setReachable records whether the followed member has a leader. If it has lost its leader just now, the grace period begins.
 func (s *Selector) setReachable(hasLeader bool) {
 	switch {
 	case hasLeader:
--- a/internal/mesh/memberselection/candidate.go
+++ b/internal/mesh/memberselection/candidate.go
@@ -10,16 +10,16 @@
 	addr        string
 	id          ConnID // of the dial or connection; 0: none
 	dialedAt    time.Duration
-	established bool // the first message has come
-	hasLeader   bool // by the member's own latest heartbeat
+	established bool // the member has sent its first message
+	hasLeader   bool // according to the member's latest heartbeat
 	backoff     time.Duration
-	retryAt     time.Duration
+	retryAt     time.Duration // no dial before
 }
 
 func (c *candidate) forgetConnection() { c.id, c.established, c.hasLeader = 0, false, false }
 
-// updateCandidates makes the candidates from members and seeds. The connections of those that stay are kept, and so is that of
-// the followed member in any case.
+// updateCandidates recomputes the candidates from members and seeds. Candidates that remain keep their connections, and the
+// followed member remains a candidate in any case.
 func (s *Selector) updateCandidates() {
 	old := s.candidates
 	s.candidates = nil
@@ -70,7 +70,8 @@
 	}
 }
 
-// closeSilentDials gives up the dials that have got no first message in time. They are due to be dialed again at once.
+// closeSilentDials gives up the dials that have not got a first message within DialTimeout. Their addresses are dialed again
+// at once.
 func (s *Selector) closeSilentDials() {
 	for _, c := range s.candidates {
 		if c.id != 0 && !c.established && s.now >= c.dialedAt+DialTimeout {
@@ -80,7 +81,7 @@
 	}
 }
 
-// closeOthers closes every connection but that of the followed member.
+// closeOthers closes every connection except that of the followed member.
 func (s *Selector) closeOthers() {
 	for _, c := range s.candidates {
 		if c != s.followed && c.id != 0 {
--- a/internal/mesh/memberselection/selector.go
+++ b/internal/mesh/memberselection/selector.go
@@ -28,15 +28,15 @@
 	actions    []Action
 
 	followed     *candidate    // nil: none
-	lastHeard    time.Duration // when the followed member sent anything
-	leaderLostAt time.Duration // when the followed member was last known to have a leader, while it has none
+	lastHeard    time.Duration // when the followed member last sent anything
+	leaderLostAt time.Duration // when the followed member lost its leader; only valid while it has none
 	reachable    bool          // the followed member has a leader
-	graceEnds    time.Duration
+	graceEnds    time.Duration // while not reachable: until when requests may still be started
 
 	requestsWaiting bool
 	waitingSince    time.Duration
 
-	confirming bool // a Confirm is not answered yet
+	confirming bool // a Confirm is pending
 	confirmed  bool // the followed member's table has been confirmed
 	confirmAt  time.Duration
 }
@@ -56,8 +56,8 @@
 	return taken
 }
 
-// Reachable says whether requests that need the control plane may be started: at any time while ok is true, else up to the time
-// until.
+// Reachable returns whether requests that need the control plane may be started: at any time while ok is true, otherwise only
+// before until.
 func (s *Selector) Reachable() (ok bool, until time.Duration) { return s.reachable, s.graceEnds }
 
 // Followed returns the followed connection; 0: none.
@@ -78,7 +78,7 @@
 	})
 }
 
-// SetMembers replaces the members as of a log index. An older list and an empty one change nothing.
+// SetMembers replaces the members by those of a log index. A list of an earlier index and an empty one are ignored.
 func (s *Selector) SetMembers(now time.Duration, index uint64, members []string) {
 	s.step(now, func() {
 		if index < s.memberView || len(members) == 0 {
@@ -103,7 +103,7 @@
 	})
 }
 
-// MessageReceived reports that a member sent anything at a time, which may lie before now.
+// MessageReceived reports that a member sent any message, at a time that may lie before now.
 func (s *Selector) MessageReceived(now time.Duration, id ConnID, at time.Duration) {
 	s.step(now, func() {
 		if s.followed != nil && s.followed.id == id {
@@ -112,7 +112,7 @@
 	})
 }
 
-// HeartbeatReceived reports whether a member says that it has a leader that a quorum follows.
+// HeartbeatReceived reports a member's heartbeat. hasLeader: the member has a leader that a quorum follows.
 func (s *Selector) HeartbeatReceived(now time.Duration, id ConnID, hasLeader bool) {
 	s.step(now, func() {
 		c := s.candidateByID(id)
@@ -131,7 +131,7 @@
 	})
 }
 
-// ConfirmationReceived reports the result of a Confirm. confirmed is false where the table is empty, or could not be confirmed.
+// ConfirmationReceived reports the result of a Confirm. confirmed is false if the table is empty or could not be confirmed.
 func (s *Selector) ConfirmationReceived(now time.Duration, id ConnID, confirmed bool) {
 	s.step(now, func() {
 		if s.followed == nil || s.followed.id != id || !s.confirming {
@@ -148,7 +148,7 @@
 	})
 }
 
-// SetRequestsWaiting reports whether requests wait for an answer of the followed member.
+// SetRequestsWaiting reports whether requests wait for an answer of the followed member, which shortens its silence timeout.
 func (s *Selector) SetRequestsWaiting(now time.Duration, waiting bool) {
 	s.step(now, func() {
 		if waiting && !s.requestsWaiting {
@@ -174,5 +174,5 @@
 	})
 }
 
-// Tick lets time pass.
+// Tick advances the time without an event. The caller calls it at NextTick.
 func (s *Selector) Tick(now time.Duration) { s.step(now, func() {}) }
--- a/internal/mesh/operations/history.go
+++ b/internal/mesh/operations/history.go
@@ -17,7 +17,7 @@
 	"github.com/juju/errors"
 )
 
-// ErrEncoding is the error of Decode for bytes that are no encoded History.
+// ErrEncoding is the error of Decode for bytes that are not an encoded History.
 const ErrEncoding = errors.ConstError("not an operation history")
 
 // Digest identifies the content of an operation: the first bytes of its SHA-256.
@@ -35,11 +35,11 @@
 	return Digest(hash.Sum(nil)[:len(Digest{})])
 }
 
-// Operation is one that was accepted.
+// Operation is an accepted change of an item.
 type Operation struct {
 	Version int64
 	Digest  Digest
-	// LogTime is when the operation was accepted or, if it was in force, when it was superseded.
+	// LogTime is when the operation was accepted or, if it became active, when it was superseded.
 	LogTime time.Duration
 }
 
@@ -62,14 +62,14 @@
 	return [...]string{"new", "duplicate", "conflict", "unknown"}[min(c, Unknown)]
 }
 
-// History is what is remembered of one item's operations. A nil History is that of an item that had none. It is immutable.
+// History is the accepted operations of one item that are still remembered. It is immutable. A nil History has none.
 type History struct {
 	accepted     []Operation // by rising version
-	incomplete   bool        // some were forgotten
-	maxForgotten int64       // the highest version of those
+	incomplete   bool        // some operations were dropped
+	maxForgotten int64       // the highest version among those
 }
 
-// IncompleteThrough returns a History that knows nothing of the versions up to the given one.
+// IncompleteThrough returns an empty History in which all versions up to the given one are Unknown.
 func IncompleteThrough(version int64) *History {
 	return &History{incomplete: true, maxForgotten: version}
 }
@@ -77,7 +77,7 @@
 // Len returns how many operations are remembered.
 func (h *History) Len() int { return len(h.Operations()) }
 
-// Operations returns those that are remembered, by rising version. The caller must not change them.
+// Operations returns the remembered operations by rising version. The caller must not change them.
 func (h *History) Operations() []Operation {
 	if h == nil {
 		return nil
@@ -85,7 +85,7 @@
 	return h.accepted
 }
 
-// Classify returns how an operation of a version with a digest relates to the history.
+// Classify compares an operation, given by its version and digest, with the history.
 func (h *History) Classify(version int64, digest Digest) Classification {
 	if h == nil {
 		return New
@@ -102,7 +102,7 @@
 	return New
 }
 
-// With returns the history with one more operation. One whose version is remembered already changes nothing.
+// With returns the history with one more operation. If its version is remembered already, that is the same history.
 func (h *History) With(operation Operation) *History {
 	i, found := h.find(operation.Version)
 	if found {
@@ -119,7 +119,7 @@
 	return &next
 }
 
-// Without returns the history that has forgotten the operation of a version.
+// Without returns the history without the operation of a version, which is Unknown from then on.
 func (h *History) Without(version int64) *History {
 	i, found := h.find(version)
 	if !found {
@@ -133,7 +133,7 @@
 	return &next
 }
 
-// find returns where the operation of a version is, or would be, among those that are remembered.
+// find returns the index of the operation of a version, or the index at which it would be inserted.
 func (h *History) find(version int64) (i int, found bool) {
 	return slices.BinarySearchFunc(h.Operations(), version, func(o Operation, version int64) int {
 		return cmp.Compare(o.Version, version)
@@ -141,7 +141,7 @@
 }
 
 // An encoded history is a header (the format, whether some operations were forgotten, and up to which version) and a record of
-// fixed size for each operation. Integers are big endian. It stands on members' disks.
+// fixed size for each operation. Integers are big endian. Members store it on disk.
 const (
 	encodingVersion byte = 1
 
@@ -149,8 +149,8 @@
 	recordSize = 8 + 8 + len(Digest{}) // bytes
 )
 
-// Encode returns the history as bytes for the disk. Even an empty history has a header, so that an item with an empty history
-// differs from one that was stored without any.
+// Encode returns the history in its stored form. An empty history has a header, too, so that an item with an empty history
+// differs from one that an earlier release stored without any.
 func (h *History) Encode() []byte {
 	if h == nil {
 		h = new(History)
@@ -170,7 +170,7 @@
 	return encoded
 }
 
-// Decode returns the history that Encode encoded. Its error is an ErrEncoding.
+// Decode decodes the stored form of a history. Its errors are ErrEncoding.
 func Decode(encoded []byte) (*History, error) {
 	if len(encoded) < headerSize || encoded[0] != encodingVersion || encoded[1] > 1 || (len(encoded)-headerSize)%recordSize != 0 {
 		return nil, errors.Annotatef(ErrEncoding, "%d bytes", len(encoded))
--- a/internal/mesh/retrybudget/budget.go
+++ b/internal/mesh/retrybudget/budget.go
@@ -2,22 +2,22 @@
 // the retry budget of Finagle and Linkerd: unlike a maximum of attempts for each request, it keeps the load bounded when every
 // request fails.
 //
-// Each sidecar keeps within the part of the ratio that its own requests allow, so that all of them together keep the rule without
-// asking each other.
+// Each sidecar keeps to the ratio for the requests that it sends itself, so that all sidecars together keep it without
+// coordination.
 //
-// The package is pure: the time is passed in. A Budget must never be used by two goroutines at once; its owner locks it.
+// The package is pure: callers pass the time. A Budget is not safe for concurrent use; its owner locks it.
 package retrybudget
 
 import "time"
 
-// bucketCount is into how many buckets a window is divided.
+// bucketCount is the number of buckets of a window.
 const bucketCount = 20
 
-// Limits are what holds for the retries to one service.
+// Limits bound the retries to one service.
 type Limits struct {
-	Window     time.Duration // in which requests and retries are compared
-	Ratio      float64       // retries for each request
-	MinRetries float64       // allowed in each window beside the ratio, so that a rarely called service is retried at all
+	Window     time.Duration // sliding window over which requests and retries are counted
+	Ratio      float64       // retries allowed for each request
+	MinRetries float64       // retries allowed in each window beyond the ratio, so that rarely called services can be retried
 }
 
 // Budget counts one service's requests and retries over the last window, in a ring of buckets.
@@ -25,13 +25,13 @@
 	limits   Limits
 	requests [bucketCount]float64
 	retries  [bucketCount]float64
-	current  int64 // number of the bucket that is counted in, since the epoch of the clock
+	current  int64 // number of the current bucket, counted from the clock's origin
 }
 
-// New returns a budget in which nothing is counted yet.
+// New returns an empty budget.
 func New(limits Limits) *Budget { return &Budget{limits: limits} }
 
-// SetLimits changes the limits. Another window begins to count anew.
+// SetLimits changes the limits. If the window changes, the counts start from zero.
 func (b *Budget) SetLimits(limits Limits) {
 	if limits.Window != b.limits.Window {
 		*b = Budget{}
@@ -60,7 +60,7 @@
 	oldest := (index + 1) % bucketCount
 	var requests, retries float64
 	for n := range bucketCount {
-		if n != oldest { // it is about to leave the window, and its requests with it
+		if n != oldest { // it is about to leave the window, and its requests will not count any more
 			requests += b.requests[n]
 		}
 		retries += b.retries[n]
--- a/internal/mesh/routing/host.go
+++ b/internal/mesh/routing/host.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// withoutPort returns the host of a request without its port, and an IPv6 address that has a port without its brackets. Text that is
-// no host:port stays as it is. It is net.SplitHostPort without the errors, which this package must not import net for.
+// withoutPort returns a request's host without the port, and for an IPv6 address with a port also without its brackets. Text that is
+// not host:port is returned unchanged. It reimplements net.SplitHostPort because a pure package must not import net.
 func withoutPort(hostport string) string {
 	colon := strings.LastIndexByte(hostport, ':')
 	if colon < 0 {
--- a/internal/mesh/routing/route.go
+++ b/internal/mesh/routing/route.go
@@ -8,15 +8,15 @@
 	"cranegrade/internal/mesh/policy"
 )
 
-// Kind says how often a route's requests may run.
+// Kind is the execution guarantee of a route's requests.
 type Kind uint8
 
 // Kinds of routes.
 const (
-	AtMostOnce Kind = iota // each attempt once at most
-	Keyed                  // once at most for all requests of one idempotency key
-	Idempotent             // any number of times
-	Download               // the same, with large responses
+	AtMostOnce Kind = iota // each attempt runs at most once
+	Keyed                  // all requests with one idempotency key run at most once together
+	Idempotent             // a request may run any number of times
+	Download               // like Idempotent, with large responses
 )
 
 var kindNames = [...]string{config.RouteTypeNonIdempotent, config.RouteTypeKeyed, config.RouteTypeIdempotent, config.RouteTypeDownload}
@@ -32,13 +32,13 @@
 // IsIdempotent reports whether a request may run more than once.
 func (k Kind) IsIdempotent() bool { return k >= Idempotent }
 
-// Route is one route of a table. It is never changed once the table was made.
+// Route is one route of a table. It is immutable.
 type Route struct {
 	Name, Host, Prefix string
 	Version            int64
 	Kind               Kind
 	Destinations       []config.WeightedService // their weights sum to more than 0
-	Timeout            time.Duration            // of a request with all its attempts
+	Timeout            time.Duration            // for a request with all its attempts
 	LatencyTarget      time.Duration            // at most Timeout
 	MaxAttempts        int
 	Priority           int // 0 is the highest
@@ -47,7 +47,7 @@
 	policies    map[string]*policy.Decision // by destination
 }
 
-// newRoute makes the route of an item, without policies. It is nil if the item's content can't be decoded.
+// newRoute returns the route of an item, without policies, or nil if the item's content can't be decoded.
 func newRoute(item config.Item) *Route {
 	spec := item.RouteSpec()
 	if spec == nil {
@@ -74,11 +74,11 @@
 	return route
 }
 
-// PolicyDecision returns the merged policies for requests of this route to a destination. It is nil if no policy applies to them;
-// the route's own values hold then.
+// PolicyDecision returns the merged policies for requests of this route to a destination. It is nil if no policy applies to them,
+// so that the route's own values apply.
 func (r *Route) PolicyDecision(service string) *policy.Decision { return r.policies[service] }
 
-// bindPolicies sets the policies that apply to the calls of one service.
+// bindPolicies sets the policies that apply to the calls of one service, the caller.
 func (r *Route) bindPolicies(set *policy.Set, caller string) {
 	governed, known := set.Route(r.Name)
 	if !known {
@@ -96,14 +96,14 @@
 	}
 }
 
-// HasDestination reports whether requests may go to a service. A weight of 0 takes a service out.
+// HasDestination reports whether requests may go to a service. With a weight of 0 they may not.
 func (r *Route) HasDestination(service string) bool {
 	return slices.ContainsFunc(r.Destinations, func(destination config.WeightedService) bool {
 		return destination.Service == service && destination.Weight > 0
 	})
 }
 
-// PickService returns where a request goes, for a number drawn uniformly from [0, 1).
+// PickService picks a destination by weight. draw is uniformly distributed in [0, 1).
 func (r *Route) PickService(draw float64) string {
 	left := draw * r.totalWeight
 	picked := ""
@@ -116,5 +116,5 @@
 		}
 		left -= destination.Weight
 	}
-	return picked // rounding has used up all weights
+	return picked // rounding errors can exhaust the weights before the last service
 }
--- a/internal/mesh/routing/table.go
+++ b/internal/mesh/routing/table.go
@@ -1,9 +1,9 @@
-// Package routing decides where a request goes: its host and the longest prefix of its path name a route, and the weights of the
-// route's destinations a service. It owns the routing table, which is made of configuration items and read by each sidecar
-// for every request.
+// Package routing decides where a request goes: the host and the longest matching prefix of the path select a route, and the weights
+// of the route's destinations select a service. It owns the routing table, which is built from configuration items and read by each
+// sidecar for every request.
 //
-// The package is pure. A Table is never changed once it was made, so that requests read it without a lock; it must never hold
-// anything that changes between two configurations, such as servers or their load.
+// The package is pure. A Table is immutable, so that requests read it without a lock; it must never hold anything that changes between
+// two configurations, such as servers or their load.
 package routing
 
 import (
@@ -14,21 +14,21 @@
 	"cranegrade/internal/mesh/config"
 )
 
-// Table is all routes, with what requests of any route need of the configuration.
+// Table is all routes, with the parts of the configuration that requests of any route need.
 type Table struct {
 	Services   map[string]config.ServiceSpec // by name
 	Limits     config.LimitsSpec
-	MaxTimeout time.Duration // of all routes
+	MaxTimeout time.Duration // longest Timeout of all routes
 
 	byName map[string]*Route
 	byHost map[string][]*Route // by host in lower case; longer prefixes first
 }
 
-// NewTable makes the routing table of a configuration, without policies.
+// NewTable returns the routing table of a configuration, without policies.
 func NewTable(items config.Table) *Table { return NewTableWithPolicies(items, config.Table{}, "") }
 
-// NewTableWithPolicies makes the routing table of a configuration with the policies of another, as they apply to the calls of one
-// service.
+// NewTableWithPolicies returns the routing table of a configuration, with the policies of another one as they apply to the calls of
+// one service, caller. The two differ while a new policy set is committed but not active.
 func NewTableWithPolicies(items, policies config.Table, caller string) *Table {
 	table := &Table{Services: map[string]config.ServiceSpec{}, byName: map[string]*Route{}, byHost: map[string][]*Route{}}
 	for _, item := range items.Items() {
@@ -66,10 +66,10 @@
 	}
 }
 
-// Match returns the route of a request by its host, with or without a port, and its path. It is nil if no route matches.
+// Match returns the route for a request's host, with or without a port, and path, or nil if no route matches.
 func (t *Table) Match(host, path string) *Route {
 	host = withoutPort(host)
-	routes := t.byHost[host] // most hosts come in lower case
+	routes := t.byHost[host] // most hosts are in lower case already
 	if routes == nil {
 		routes = t.byHost[strings.ToLower(host)]
 	}
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the file that the platform gives each process: YAML, checked by struct tags. Its keys and forms are those of
-// the platform's pages, and fields are named as there; unknown ones are skipped. It decides nothing.
+// Package settings reads the settings file that the platform gives each process. The file is YAML and is checked by struct tags. The
+// platform's pages define its keys and forms, and the fields here have the same names; unknown keys are ignored. The package owns the
+// defaults; it must never act on a setting.
 package settings
 
 import (
@@ -14,12 +15,13 @@
 	"cranegrade/internal/mesh/validation"
 )
 
-// PathVariable names the environment variable that holds the file's path.
+// PathVariable is the name of the environment variable with the path of the file.
 const PathVariable = "CRANEGRADE_NODE_FILE"
 
+// minInternalPorts is the least number of ports in InternalPortRange.
 const minInternalPorts = 2
 
-// Seconds is a duration as the file gives it.
+// Seconds is a duration in seconds, as the file has it.
 type Seconds float64
 
 // Duration returns the number of seconds as a time.Duration.
@@ -61,10 +63,10 @@
 	// Service is the local server's service.
 	Service string `json:"Service" validate:"max=256"`
 
-	transportListenAddress string // of the command line; "": at the address that others know
+	transportListenAddress string // from the command line; "": the address that other processes know
 }
 
-// ListenAddresses are where each kind of caller is served, as host:port; "": the role does not serve it.
+// ListenAddresses are the listen addresses, as host:port, for each kind of caller. Empty: the role does not serve that kind.
 type ListenAddresses struct {
 	Inbound      string `json:"Inbound" validate:"omitempty,hostname_port"`      // of a sidecar, for other sidecars
 	Outbound     string `json:"Outbound" validate:"omitempty,hostname_port"`     // of a sidecar, for requests of callers
@@ -72,7 +74,7 @@
 	ControlPlane string `json:"ControlPlane" validate:"omitempty,hostname_port"` // for calls of operators and of servers
 }
 
-// Limits are the process's own; 0: none.
+// Limits are the resource limits of the process; 0: no limit.
 type Limits struct {
 	CPUShare  float64 `json:"CpuShare" validate:"gte=0"`  // of one processor
 	CoreCount float64 `json:"CoreCount" validate:"gte=0"` // processors of the machine
@@ -82,14 +84,14 @@
 	DiskMB    float64 `json:"DiskMb" validate:"gte=0"`    // megabytes
 }
 
-// FaultTolerance is how much may be lost at once.
+// FaultTolerance is how many machines, zones and regions may be lost at once.
 type FaultTolerance struct {
 	Machines int `json:"Machines" validate:"gte=0,lte=100"` // with QuorumMember. Default: 1
 	Zones    int `json:"Zones" validate:"gte=0,lte=100"`    // Default: 0
 	Regions  int `json:"Regions" validate:"gte=0,lte=100"`  // Default: 0
 }
 
-// Bounds are the figures of the platform's rules. One that the file does not give is that of Defaults.
+// Bounds are the time limits and ratios that the platform requires. Those that the file does not have are set by Defaults.
 type Bounds struct {
 	// AddrReuseS is after how long the address of a server that is gone may belong to a server of another service. Default: 2.
 	AddrReuseS Seconds `json:"AddrReuseS" validate:"gte=0"`
@@ -136,7 +138,7 @@
 	}
 }
 
-// Parse reads a file's text. The error names the line and field at fault.
+// Parse parses and checks the text of a settings file. The error names the line and the invalid field.
 func Parse(text []byte) (Settings, error) {
 	s := Defaults()
 	if err := yaml.Unmarshal(text, &s); err != nil {
@@ -158,7 +160,7 @@
 	return nil
 }
 
-// linePrefix names the line of a field; "": the text does not name it.
+// linePrefix returns "line N: " for the line of a field, or "" if the text does not have the field.
 func linePrefix(text []byte, field string) string {
 	if line := validation.LineOf(text, field); line > 0 {
 		return fmt.Sprintf("line %d: ", line)
@@ -174,7 +176,7 @@
 	return "", errors.Errorf("settings: %s is not set", PathVariable)
 }
 
-// Load reads and parses a file.
+// Load reads, parses and checks a file.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -203,8 +205,8 @@
 	return addresses
 }
 
-// SetTransportListenAddress has the process listen at host:port for other processes of the mesh, which know it by the address of its
-// settings all the same.
+// SetTransportListenAddress sets the address, as host:port, on which the process listens for other processes of the mesh. They still
+// connect to the address of its settings.
 func (s *Settings) SetTransportListenAddress(address string) error {
 	if _, err := net.ResolveTCPAddr("tcp4", address); err != nil {
 		return errors.Annotate(err, "transport listen address")
--- a/internal/mesh/validation/validation.go
+++ b/internal/mesh/validation/validation.go
@@ -1,5 +1,5 @@
-// Package validation checks decoded input by its struct tags, and names fields as their authors wrote them: by their JSON names. It is
-// pure. What a tag can't say is checked by the types' own packages, with the same Fault.
+// Package validation checks decoded input by its struct tags, and reports fields by their JSON names, as the input's author wrote them.
+// It is pure. Rules that a tag can't express are checked by the packages of the types, which return the same Fault.
 package validation
 
 import (
@@ -24,10 +24,11 @@
 	return v
 }
 
-// Fault is the first field that is not as its tags want it. Field is the path of JSON names, as List[1].Name; "": the fault is in none.
+// Fault is the first field that breaks a rule. Field is its path of JSON names, for example List[1].Name, or empty if the fault is in
+// no single field. Text continues a sentence that begins with the field: "is 0; wanted: gt 0".
 type Fault struct{ Field, Text string }
 
-// Check checks a struct by its tags; nil: it is valid.
+// Check checks a struct by its validate tags. It returns nil if the struct is valid.
 func Check(v any) *Fault {
 	err := validate.Struct(v)
 	if err == nil {
