--- a/internal/mesh/cli/change.go
+++ b/internal/mesh/cli/change.go
@@ -10,13 +10,13 @@
 	"cranegrade/internal/mesh/policy"
 )
 
-// changeAuthor is who makes a change, as options.
+// changeAuthor has the options for the author of a change and the consents to it.
 type changeAuthor struct {
-	By       string   `long:"by" value-name:"NAME" description:"an owner of the namespaces that are changed; else it is the mesh's operator"`
-	Consents []string `long:"consent" value-name:"NAMESPACE:NAME" description:"of an owner of what the change loosens"`
+	By       string   `long:"by" value-name:"NAME" description:"an owner of the namespaces that are changed; default: the mesh's operator"`
+	Consents []string `long:"consent" value-name:"NAMESPACE:NAME" description:"consent of an owner of a policy that the change loosens"`
 }
 
-// addTo is a call as that author makes it.
+// addTo returns the JSON of a call with the author and consents added.
 func (a changeAuthor) addTo(text []byte) ([]byte, error) {
 	if a.By == "" && len(a.Consents) == 0 {
 		return text, nil
@@ -39,7 +39,7 @@
 	return json.Marshal(call)
 }
 
-// readUpdate reads a call as that author makes it.
+// readUpdate reads a call from a file and adds the author and consents.
 func (a changeAuthor) readUpdate(path string) (update config.Update, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return update, nil
 }
 
-// printEffects tells what a call would do to others' policies; an error: why it would be rejected.
+// printEffects prints the effects of a call on policies of other namespaces. The error says why the call would be rejected.
 func (env *environment) printEffects(table config.Table, update config.Update) error {
 	_, updated, effects, err := table.ApplyUpdate(update)
 	if err != nil {
@@ -75,13 +75,13 @@
 type policyCheck struct {
 	env *environment
 	changeAuthor
-	Against string `long:"against" required:"yes" value-name:"FILE" description:"what meshctl backup wrote"`
+	Against string `long:"against" required:"yes" value-name:"FILE" description:"a file from meshctl backup"`
 	Args    struct {
 		File string `positional-arg-name:"FILE" description:"a call of /v1/configuration/modify, as JSON"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute judges a change without a mesh; the exit code is 1 if it would be rejected.
+// Execute checks a change against a backup, without a mesh. The exit code is 1 if it would be rejected.
 func (c *policyCheck) Execute([]string) error {
 	items, err := readItems(c.Against)
 	if err != nil {
--- a/internal/mesh/cli/cli.go
+++ b/internal/mesh/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the operators' command line of a mesh, `meshctl`: it parses the arguments, calls the package that does what is
-// asked for, and words the outcome, as text or as JSON.
+// Package cli is the command line of the operators' tool meshctl: it parses the arguments, calls the package that does the work, and
+// prints the result as text or as JSON.
 //
 // It owns the names of commands and options, the texts and the exit codes, which scripts rely on (docs/mesh.md). It must never
 // decide anything about the mesh.
@@ -22,15 +22,15 @@
 // Exit codes.
 const (
 	ExitOK       = 0 // done, or all is well
-	ExitRejected = 1 // rejected, invalid, or something stands out (status) or would change (diff)
-	ExitUsage    = 2 // the command line
+	ExitRejected = 1 // rejected or invalid; also if status has warnings or diff finds a difference
+	ExitUsage    = 2 // invalid command line
 	ExitNoAnswer = 3 // no answer
 )
 
-// errNotWell is the outcome of a command that has said what there is to say, and it was not that all is well.
+// errNotWell makes the exit code ExitRejected after a command has printed its result.
 const errNotWell = errors.ConstError("")
 
-// environment is what all commands of one run share.
+// environment has the outputs and options that the commands of one run share.
 type environment struct {
 	out     io.Writer
 	errOut  io.Writer
@@ -39,12 +39,12 @@
 
 // globalOptions are the options of every command.
 type globalOptions struct {
-	JSON    bool          `long:"json" description:"print the outcome as JSON"`
-	Timeout time.Duration `long:"timeout" default:"3s" description:"how long an answer is waited for"`
+	JSON    bool          `long:"json" description:"print the result as JSON"`
+	Timeout time.Duration `long:"timeout" default:"3s" description:"of the wait for an answer"`
 	Within  time.Duration `long:"within" hidden:"yes"` // the former name of Timeout
 }
 
-// Run runs one command, whose arguments these are, without the program's name, and gives its exit code.
+// Run runs one command and returns its exit code. args are the arguments without the program's name.
 func Run(args []string, out, errOut io.Writer) int {
 	env := &environment{out: out, errOut: errOut}
 	parser := newParser(env)
@@ -69,14 +69,14 @@
 	return ExitRejected
 }
 
-// newParser knows all commands, by their names and by the former ones.
+// newParser returns a parser with all commands, under their present and former names.
 func newParser(env *environment) *flags.Parser {
 	parser := flags.NewParser(&env.options, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = "meshctl"
 	for _, c := range commands(env) {
 		command := mustAdd(parser, c.name, c.description, c.data)
 		_, former := formerNames[c.name]
-		command.SubcommandsOptional = former // for it was a command without any
+		command.SubcommandsOptional = former // the former command of this name had no subcommands
 	}
 	for _, c := range formerCommands(env) {
 		mustAdd(parser, c.name, c.description, c.data).Hidden = true
@@ -94,7 +94,7 @@
 	return parser
 }
 
-// mustAdd adds a command. It panics where the command's own tags are at fault.
+// mustAdd adds a command. It panics if the command's struct tags are invalid.
 func mustAdd(parser *flags.Parser, name, description string, data any) *flags.Command {
 	command, err := parser.AddCommand(name, description, description, data)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return command
 }
 
-// namedCommand is a command of the first level.
+// namedCommand is a top-level command.
 type namedCommand struct {
 	name, description string
 	data              any
@@ -111,24 +111,24 @@
 
 func commands(env *environment) []namedCommand {
 	return []namedCommand{
-		{"status", "tell how a running mesh is: what stands out, who leads, who lags, which servers are out and why", &statusCommand{env: env}},
-		{"topology", "draw the topology, of a running mesh or as it was saved", &topologyCommand{env: env}},
-		{"get", "print items of the configuration, confirmed by a majority", &getCommand{env: env}},
-		{"check", "check a settings file or a change of the configuration; names line and field", &checkCommand{env: env}},
-		{"diff", "tell what a change would do to the configuration that is in force", &diffCommand{env: env}},
-		{"apply", "check a change of the configuration and have it acknowledged", &applyCommand{env: env}},
+		{"status", "print the state of a running mesh: warnings, leader, processes that lag, servers that are out and why", &statusCommand{env: env}},
+		{"topology", "draw the topology of a running mesh, or a saved one", &topologyCommand{env: env}},
+		{"get", "print items of the configuration, as confirmed by a majority", &getCommand{env: env}},
+		{"check", "check a settings file or a change of the configuration; errors name line and field", &checkCommand{env: env}},
+		{"diff", "print what a change would do to the active configuration", &diffCommand{env: env}},
+		{"apply", "check a change of the configuration and send it", &applyCommand{env: env}},
 		{"backup", "write the configuration to a file", &backupCommand{env: env}},
-		{"restore", "bring the items of a backup back, where no newer versions stand", &applyCommand{env: env}},
-		{"drain", "take the server beside a sidecar out, or let it in again", &drainCommand{env: env}},
-		{"maintenance", "machines come out within the hours that contracts approve", newMaintenanceCommands(env)},
-		{"policy", "namespaces' policies: what holds on a request and by whom, where they meet, which set is active", newPolicyCommands(env)},
-		{"logs", "print the log that a process still has in memory", &logsCommand{env: env}},
+		{"restore", "restore the items of a backup that have no newer version", &applyCommand{env: env}},
+		{"drain", "take the server beside a sidecar out of service, or put it back", &drainCommand{env: env}},
+		{"maintenance", "take machines out of service within the hours that contracts approve", newMaintenanceCommands(env)},
+		{"policy", "policies of namespaces: which apply to a request, where several apply, which set is active", newPolicyCommands(env)},
+		{"logs", "print the latest log lines of a process", &logsCommand{env: env}},
 		{
-			"recover", "write the configuration that a stopped member's disk holds, after more was lost than the mesh tolerates",
+			"recover", "write the configuration on a stopped member's disk, after more was lost than the mesh tolerates",
 			&recoverCommand{env: env},
 		},
-		{"inspect", "tell what a member's disk holds, changing nothing", &inspectCommand{env: env}},
-		{"demo", "start a small mesh on loopback, play a scene on it, tell what became of every request", newDemoCommands(env)},
+		{"inspect", "print the contents of a stopped member's disk, changing nothing", &inspectCommand{env: env}},
+		{"demo", "start a small mesh on loopback, run a demo on it, print the outcomes of all requests", newDemoCommands(env)},
 	}
 }
 
@@ -137,12 +137,12 @@
 	return context.WithTimeout(context.Background(), env.options.Timeout)
 }
 
-// api calls a control-plane member.
+// api returns a client of a control-plane member.
 func (env *environment) api(addr string) apiclient.Client {
 	return apiclient.Client{Addr: addr, Timeout: env.options.Timeout}
 }
 
-// print prints an outcome: as JSON, or by the function that words it.
+// print prints a result: as JSON if the options say so, else by calling text.
 func (env *environment) print(outcome any, text func()) error {
 	if !env.options.JSON {
 		text()
--- a/internal/mesh/cli/config.go
+++ b/internal/mesh/cli/config.go
@@ -12,18 +12,18 @@
 	"cranegrade/internal/mesh/settings"
 )
 
-// limitsName is what the item of limits, which has no name, is called on the command line.
+// limitsName is the name on the command line of the limits item, which has no name of its own.
 const limitsName = "limits"
 
 type getCommand struct {
 	env  *environment
 	Args struct {
 		API   string   `positional-arg-name:"ADDR" description:"ControlPlane of a member"`
-		Names []string `positional-arg-name:"NAME" description:"of a route or a service, or \"limits\"; none: all"`
+		Names []string `positional-arg-name:"NAME" description:"of a route or a service, or \"limits\"; default: all"`
 	} `positional-args:"yes" required:"1"`
 }
 
-// Execute prints items.
+// Execute prints the items that are named, or all.
 func (c *getCommand) Execute([]string) error {
 	text, table, err := c.env.api(c.Args.API).Configuration()
 	if err != nil {
@@ -72,7 +72,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute checks a file by itself.
+// Execute checks a file without a mesh.
 func (c *checkCommand) Execute([]string) error {
 	text, err := os.ReadFile(c.Args.File)
 	if err != nil {
@@ -92,7 +92,7 @@
 	return c.env.printItems(items)
 }
 
-// printItems prints what a call sets and removes.
+// printItems prints the items that a call sets and deletes.
 func (env *environment) printItems(items []config.Item) error {
 	differences := config.Diff(config.Table{}, items)
 	return env.print(differences, func() {
@@ -114,7 +114,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute tells what a change would do; the exit code is 1 if it would do anything, or would be rejected.
+// Execute prints what a change would do. The exit code is 1 if it would change anything or be rejected.
 func (c *diffCommand) Execute([]string) error {
 	items, err := readItems(c.Args.File)
 	if err != nil {
@@ -160,21 +160,21 @@
 type applyCommand struct {
 	env *environment
 	changeAuthor
-	Check  bool `long:"check" description:"only check the call, as far as that can be told from it alone"`
-	DryRun bool `long:"dry-run" description:"only tell what it would do to the policies of other namespaces, and whether it would be rejected"`
-	Wait   bool `long:"wait" description:"until the namespaces' policies that it changes are active"`
+	Check  bool `long:"check" description:"only check the call by itself"`
+	DryRun bool `long:"dry-run" description:"only print its effects on policies of other namespaces, and whether it would be rejected"`
+	Wait   bool `long:"wait" description:"wait until the policies that it changes are active"`
 	Args   struct {
 		API  string `positional-arg-name:"ADDR" description:"ControlPlane of a member"`
 		File string `positional-arg-name:"FILE" description:"a call of /v1/configuration/modify, as JSON"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// acknowledgedResult is apply as JSON.
+// acknowledgedResult is the result of apply.
 type acknowledgedResult struct {
 	Acknowledged int `json:"acknowledged"` // items
 }
 
-// Execute checks a change and has it acknowledged.
+// Execute checks a change and, unless the options say otherwise, sends it.
 func (c *applyCommand) Execute([]string) error {
 	text, err := os.ReadFile(c.Args.File)
 	if err != nil {
@@ -218,7 +218,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute writes the configuration, confirmed by a majority, as a call that brings it back.
+// Execute writes the configuration, confirmed by a majority, as a call that restores it.
 func (c *backupCommand) Execute([]string) error {
 	text, table, err := c.env.api(c.Args.API).Configuration()
 	if err != nil {
--- a/internal/mesh/cli/demo.go
+++ b/internal/mesh/cli/demo.go
@@ -7,12 +7,12 @@
 	"cranegrade/internal/mesh/demo"
 )
 
-// demoCommands are those of `meshctl demo`.
+// demoCommands are the subcommands of meshctl demo.
 type demoCommands struct {
 	Failover        demoFailover        `command:"failover" description:"a control-plane member is killed, one server drains, one crashes"`
-	Maintenance     demoMaintenance     `command:"maintenance" description:"a machine comes out in approved hours"`
-	Policy          demoPolicy          `command:"policy" description:"two teams' policies are set against each other while calls run"`
-	PolicyDownloads demoPolicyDownloads `command:"policy-downloads" description:"the same of an intake day: weighings, lookups and exports"`
+	Maintenance     demoMaintenance     `command:"maintenance" description:"a machine is taken out in approved hours"`
+	Policy          demoPolicy          `command:"policy" description:"two teams change policies for the same routes under traffic"`
+	PolicyDownloads demoPolicyDownloads `command:"policy-downloads" description:"the same in a winery's intake: weighings, lookups and exports"`
 }
 
 func newDemoCommands(env *environment) *demoCommands {
@@ -24,10 +24,10 @@
 
 type demoFailover struct {
 	env  *environment
-	Stay bool `long:"stay" description:"keep the mesh up until interrupted, to play with"`
+	Stay bool `long:"stay" description:"keep the mesh up until interrupted"`
 }
 
-// Execute plays the failover of a control-plane member and of servers.
+// Execute runs the demo of a failover of a control-plane member and of servers.
 func (c *demoFailover) Execute([]string) error {
 	stay, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -42,7 +42,7 @@
 	Length time.Duration `long:"length" default:"4s" description:"of the maintenance itself"`
 }
 
-// Execute plays the maintenance of a machine.
+// Execute runs the demo of a machine's maintenance.
 func (c *demoMaintenance) Execute([]string) error { return demo.Maintenance(c.env.out, c.Length) }
 
 type demoPolicy struct {
@@ -50,7 +50,7 @@
 	Length time.Duration `long:"for" default:"12s" description:"how long the traffic runs"`
 }
 
-// Execute plays the change of policies by two teams.
+// Execute runs the demo of two teams that change their policies.
 func (c *demoPolicy) Execute([]string) error {
 	return demo.Policy(c.env.out, demo.DispatchScenario(c.Length))
 }
@@ -60,7 +60,7 @@
 	Length time.Duration `long:"for" default:"12s" description:"how long the traffic runs"`
 }
 
-// Execute plays the change of policies by two teams, with downloads.
+// Execute runs the same demo with downloads.
 func (c *demoPolicyDownloads) Execute([]string) error {
 	return demo.Policy(c.env.out, demo.IntakeScenario(c.Length))
 }
--- a/internal/mesh/cli/disk.go
+++ b/internal/mesh/cli/disk.go
@@ -17,7 +17,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute tells what a member's disk holds.
+// Execute prints the contents of a member's disk.
 func (c *inspectCommand) Execute([]string) error {
 	contents, err := controlplane.Inspect(c.Args.Dir)
 	if err != nil {
@@ -34,7 +34,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute writes the configuration that a member's disk holds, as a call that brings it back.
+// Execute writes the configuration on a member's disk as a call that restores it.
 func (c *recoverCommand) Execute([]string) error {
 	request, err := controlplane.RecoverConfiguration(c.Args.Dir)
 	if err != nil {
@@ -51,12 +51,12 @@
 	return c.env.writeItems(c.Args.File, text, len(items))
 }
 
-// itemsResult is backup and recover as JSON.
+// itemsResult is the result of backup and recover.
 type itemsResult struct {
 	Items int `json:"items"` // in the file
 }
 
-// writeItems writes a call into a file and says how many items it has.
+// writeItems writes a call to a file and prints the number of its items.
 func (env *environment) writeItems(path string, text []byte, count int) error {
 	if err := replaceFile(path, append(text, '\n')); err != nil {
 		return err
@@ -64,7 +64,7 @@
 	return env.print(itemsResult{Items: count}, func() { env.printf("%d items in %s\n", count, path) })
 }
 
-// replaceFile writes a file anew, synced. A write that fails leaves the file as it was.
+// replaceFile replaces a file atomically, by renaming a synced temporary file. If it fails, the file is unchanged.
 func replaceFile(path string, text []byte) error {
 	temporary := path + ".new"
 	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
--- a/internal/mesh/cli/former.go
+++ b/internal/mesh/cli/former.go
@@ -7,8 +7,8 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// formerNames are the commands of the release before by their names of then, and what they are called now. They answer for one
-// release, and say so; the release after this one takes this file out.
+// formerNames maps the names of commands in the previous release to the present names. The former names work for one release and
+// print a warning; the next release removes this file.
 var formerNames = map[string]string{
 	"draw":             "topology",
 	"night":            "maintenance",
@@ -25,8 +25,8 @@
 	"intake":           "demo policy-downloads",
 }
 
-// formerCommands returns hidden commands under the former names. "maintenance" is no such command: it was a demo, and is the name of
-// what was called "night" now; without one of its subcommands it still plays the demo.
+// formerCommands returns hidden commands under the former names. "maintenance" is not among them: it was the name of a demo, and is now
+// the name of the former command "night". Without a subcommand it still runs the demo.
 func formerCommands(env *environment) []namedCommand {
 	list := []namedCommand{
 		{name: "draw", data: &topologyCommand{env: env}},
@@ -44,7 +44,7 @@
 	return list
 }
 
-// activeCommands returns the names of the command that was given and of its subcommands.
+// activeCommands returns the names of the command and subcommands on the command line.
 func activeCommands(parser *flags.Parser) (names []string) {
 	for command := parser.Active; command != nil; command = command.Active {
 		names = append(names, command.Name)
@@ -52,7 +52,7 @@
 	return names
 }
 
-// warnFormerName says what a command is called now that was given by its former name.
+// warnFormerName prints the present name of a command that was given by its former name.
 func (env *environment) warnFormerName(names []string) {
 	given := strings.Join(names, " ")
 	now, former := formerNames[given]
--- a/internal/mesh/cli/maintenance.go
+++ b/internal/mesh/cli/maintenance.go
@@ -15,19 +15,19 @@
 	"cranegrade/internal/mesh/maintenance"
 )
 
-// maintenanceCommands are those of `meshctl maintenance`.
+// maintenanceCommands are the subcommands of meshctl maintenance.
 type maintenanceCommands struct {
 	env         *environment
-	Length      time.Duration          `long:"length" hidden:"yes" default:"4s"` // of the demo that "maintenance" was the name of
-	Plan        maintenancePlan        `command:"plan" description:"say whether a machine may come out now, and why not"`
-	Start       maintenanceStart       `command:"start" description:"order machines out, one after the other, as contracts approve"`
+	Length      time.Duration          `long:"length" hidden:"yes" default:"4s"` // option of the demo that formerly had this name
+	Plan        maintenancePlan        `command:"plan" description:"print whether a machine may be taken out now, and if not why"`
+	Start       maintenanceStart       `command:"start" description:"order that machines be taken out one after the other, as contracts approve"`
 	Approve     maintenanceApprove     `command:"approve" description:"approve an order that was placed with --ask by somebody else"`
 	Watch       maintenanceWatch       `command:"watch" description:"follow an order until it is finished"`
-	Abort       maintenanceAbort       `command:"abort" description:"let the machine in again, and end the order"`
-	Complete    maintenanceComplete    `command:"complete" description:"say that the maintenance of the machine that is out is done"`
+	Abort       maintenanceAbort       `command:"abort" description:"put the machine back into service, and end the order"`
+	Complete    maintenanceComplete    `command:"complete" description:"end the maintenance of the machine that is out"`
 	Back        maintenanceComplete    `command:"back" hidden:"yes" description:"former name of complete"`
-	TrustClocks maintenanceTrustClocks `command:"trust-clocks" description:"say that the members' clocks are right, whatever was agreed on"`
-	List        maintenanceList        `command:"list" description:"print orders and the record of each"`
+	TrustClocks maintenanceTrustClocks `command:"trust-clocks" description:"accept the members' present clocks, whatever was agreed on before"`
+	List        maintenanceList        `command:"list" description:"print all orders with their records"`
 }
 
 func newMaintenanceCommands(env *environment) *maintenanceCommands {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Execute plays the demo that this was the name of, as long as former names answer.
+// Execute runs the demo that formerly had this name, as long as former names work.
 func (c *maintenanceCommands) Execute(args []string) error {
 	if len(args) > 0 {
 		return &flags.Error{Type: flags.ErrUnknownCommand, Message: fmt.Sprintf("Unknown command `%s' of maintenance", args[0])}
@@ -53,7 +53,7 @@
 	return demo.Maintenance(c.env.out, c.Length)
 }
 
-// apiAddress is the argument of a command that calls a control-plane member.
+// apiAddress is the argument of commands that call a control-plane member and need nothing else.
 type apiAddress struct {
 	API string `positional-arg-name:"ADDR" description:"ControlPlane of a member"`
 }
@@ -73,7 +73,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute says whether a machine may come out; the exit code is 1 if it may not.
+// Execute prints whether a machine may be taken out. The exit code is 1 if it may not.
 func (c *maintenancePlan) Execute([]string) error {
 	request := controlplane.MaintenanceRequest{Machine: c.Args.Machine, LengthSeconds: c.Length.Seconds()}
 	response, err := c.env.api(c.Args.API).Maintenance(request)
@@ -117,13 +117,13 @@
 
 type maintenanceStart struct {
 	env      *environment
-	ID       string        `long:"id" description:"of the order; else one is made"`
+	ID       string        `long:"id" description:"of the order; default: a random one"`
 	Length   time.Duration `long:"length" default:"5m" description:"that the maintenance itself takes, for each machine"`
 	By       string        `long:"by" required:"yes" description:"who orders it; the contracts name who may"`
 	Reason   string        `long:"reason" description:"for the record; an override needs one"`
-	Ask      bool          `long:"ask" description:"whoever gives it: it waits until one whom the contracts name approves it"`
-	Override bool          `long:"override" description:"go on against what the contracts say; it stays in the record"`
-	Watch    bool          `long:"watch" description:"and follow it until it is finished"`
+	Ask      bool          `long:"ask" description:"place an order that waits until somebody whom the contracts name approves it"`
+	Override bool          `long:"override" description:"proceed against the contracts; the record keeps it"`
+	Watch    bool          `long:"watch" description:"follow the order until it is finished"`
 	Args     struct {
 		API      string   `positional-arg-name:"ADDR" description:"ControlPlane of a member"`
 		Machines []string `positional-arg-name:"MACHINE" required:"1" description:"names, or transport addresses"`
@@ -133,7 +133,7 @@
 // orderIDBytes is the length of the random part of an order's id.
 const orderIDBytes = 4
 
-// Execute places an order. Placed twice under one id it is one.
+// Execute places an order. It is idempotent: an order that is placed again under its id is the same order.
 func (c *maintenanceStart) Execute([]string) error {
 	if c.ID == "" {
 		var random [orderIDBytes]byte
@@ -162,8 +162,8 @@
 // Execute follows an order.
 func (c *maintenanceWatch) Execute([]string) error { return c.env.watchOrder(c.Args.API, c.Args.ID) }
 
-// watchOrder prints each step of an order as it is made, and what it waits for. It ends with the order; the exit code is 1 if the
-// order was aborted or rolled back.
+// watchOrder prints the steps of an order, and what it waits for, until the order ends. The exit code is 1 if the order was aborted
+// or rolled back.
 func (env *environment) watchOrder(addr, id string) error {
 	step, err := env.api(addr).FollowOrder(id, func(p apiclient.OrderProgress) { p.WriteText(env.out) })
 	if err != nil {
@@ -203,7 +203,7 @@
 	Args orderArgs `positional-args:"yes" required:"yes"`
 }
 
-// Execute says that the maintenance is done.
+// Execute completes the maintenance, so that the machine returns to service.
 func (c *maintenanceComplete) Execute([]string) error {
 	return c.env.changeOrder(c.Args.API,
 		maintenance.OrderChange{OrderID: c.Args.ID, MaintenanceDone: true, Text: "the maintenance is done, says " + c.By})
@@ -223,7 +223,7 @@
 	Args apiAddress `positional-args:"yes" required:"yes"`
 }
 
-// Execute has the time of day be agreed on anew, by the clocks alone.
+// Execute makes the members agree on the time of day again, by their present clocks alone.
 func (c *maintenanceTrustClocks) Execute([]string) error {
 	response, err := c.env.api(c.Args.API).Maintenance(controlplane.MaintenanceRequest{TrustClocks: true, By: c.By})
 	if err != nil {
--- a/internal/mesh/cli/policy.go
+++ b/internal/mesh/cli/policy.go
@@ -16,14 +16,14 @@
 	"cranegrade/internal/mesh/transport"
 )
 
-// policyCommands are those of `meshctl policy`.
+// policyCommands are the subcommands of meshctl policy.
 type policyCommands struct {
-	Explain policyExplain `command:"explain" description:"tell the merged policy that a request meets, field by field, and from whom"`
-	Owner   policyOwner   `command:"owner" description:"tell whose a route and its services are"`
-	Report  policyReport  `command:"report" description:"tell every route on which namespaces meet"`
-	Check   policyCheck   `command:"check" description:"judge a change against a saved configuration, without a mesh"`
-	Status  policyStatus  `command:"status" description:"tell which policy set is agreed on, which is active, and what it waits for"`
-	Notices policyNotices `command:"notices" description:"tell an owner what others' changes did to their policies"`
+	Explain policyExplain `command:"explain" description:"print the merged policy that applies to a request, and the source of each field"`
+	Owner   policyOwner   `command:"owner" description:"print the owners of a route and its services"`
+	Report  policyReport  `command:"report" description:"print the routes to which policies of several namespaces apply"`
+	Check   policyCheck   `command:"check" description:"check a change against a saved configuration, without a mesh"`
+	Status  policyStatus  `command:"status" description:"print which policy set is committed, which is active, and what activation waits for"`
+	Notices policyNotices `command:"notices" description:"print to an owner what others' changes did to their policies"`
 	Told    policyNotices `command:"told" hidden:"yes" description:"former name of notices"`
 }
 
@@ -39,17 +39,17 @@
 	}
 }
 
-// meshOperator is how who owns no namespace is called.
+// meshOperator is the displayed name of an author who owns no namespace.
 const meshOperator = "the mesh's operator"
 
-// policyState is the configuration and the policies of a mesh.
+// policyState is the configuration and a policy set of a mesh.
 type policyState struct {
 	set      *policy.Set
 	table    config.Table
 	response controlplane.PolicyResponse
 }
 
-// fetchPolicies reads the configuration with the policy set that is active, or with the one that is agreed on.
+// fetchPolicies reads the configuration, with either the active policy set or the committed one.
 func (env *environment) fetchPolicies(addr string, agreed bool) (state policyState, err error) {
 	api := env.api(addr)
 	if _, state.table, err = api.Configuration(); err != nil {
@@ -68,7 +68,7 @@
 	return state, nil
 }
 
-// activePolicies returns the namespaces and policies that are active where others are agreed on.
+// activePolicies returns the active namespaces and policies while other ones are committed and not active yet.
 func activePolicies(response controlplane.PolicyResponse) (config.Table, error) {
 	text, err := json.Marshal(config.ModifyRequest{Upsert: response.Active})
 	if err != nil {
@@ -84,11 +84,11 @@
 
 type policyExplain struct {
 	env     *environment
-	Caller  string `long:"caller" value-name:"SERVICE" description:"that calls; else whoever does"`
-	Agreed  bool   `long:"agreed" description:"as it is agreed on, though it may not be active yet"`
+	Caller  string `long:"caller" value-name:"SERVICE" description:"that calls; default: any"`
+	Agreed  bool   `long:"agreed" description:"use the committed policy set, though it may not be active yet"`
 	Held    bool   `long:"held" hidden:"yes"` // the former name of Agreed
-	With    string `long:"with" value-name:"FILE" description:"and what would hold with this change"`
-	Sidecar string `long:"sidecar" value-name:"ADDR" description:"and by which set this sidecar goes, by its Inbound"`
+	With    string `long:"with" value-name:"FILE" description:"also print the policy with this change"`
+	Sidecar string `long:"sidecar" value-name:"ADDR" description:"also print the active policy set of this sidecar, by its Inbound"`
 	Line    string `long:"line" hidden:"yes"` // the former name of Sidecar
 	Args    struct {
 		API  string `positional-arg-name:"ADDR" description:"ControlPlane of a member"`
@@ -97,19 +97,19 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// explainResult is explain as JSON.
+// explainResult is the result of explain.
 type explainResult struct {
 	Rollout      policy.Rollout       `json:"rollout"`
 	Policies     []policy.Explanation `json:"policies"`
 	WithChange   []policy.Explanation `json:"withChange,omitempty"`
 	Sidecar      string               `json:"sidecar,omitempty"`
-	Active       string               `json:"active,omitempty"` // the set by which the sidecar goes
+	Active       string               `json:"active,omitempty"` // active set of the sidecar
 	ActiveIndex  uint64               `json:"activeIndex,omitempty"`
 	ActiveSinceS float64              `json:"activeSinceS,omitempty"`
 	Fenced       bool                 `json:"fenced,omitempty"`
 }
 
-// Execute explains a request.
+// Execute prints which policy applies to a request, and where its values come from.
 func (c *policyExplain) Execute([]string) error {
 	state, err := c.env.fetchPolicies(c.Args.API, c.Agreed || c.Held)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return c.env.print(result, func() { c.printText(result, state.response.WaitingFor) })
 }
 
-// explain tells the merged policy for each service of the route that takes the request; nil: there is none.
+// explain returns the merged policy for each destination of the route that matches the request, or nil if no route does.
 func (c *policyExplain) explain(table config.Table, set *policy.Set) (list []policy.Explanation) {
 	match := routing.NewTable(table).Match(c.Args.Host, c.Args.Path)
 	if match == nil {
@@ -157,7 +157,7 @@
 	return c.explain(next, config.NewPolicySet(next, next)), nil
 }
 
-// addSidecar asks the sidecar by which set it goes.
+// addSidecar asks the sidecar for its active policy set.
 func (c *policyExplain) addSidecar(result *explainResult) error {
 	ctx, cancel := c.env.context()
 	defer cancel()
@@ -182,7 +182,7 @@
 		p.WriteText(c.env.out)
 	}
 	if rollout.IsPending() {
-		c.env.printf("set %q is agreed on and not active yet, but %q is: %s\n", rollout.Agreed, rollout.Active, waitingFor)
+		c.env.printf("set %q is committed and not active yet, but %q is: %s\n", rollout.Agreed, rollout.Active, waitingFor)
 	}
 	if result.Sidecar != "" {
 		note := ""
@@ -192,7 +192,7 @@
 		if result.Fenced {
 			note += "; FENCED: it could not confirm that"
 		}
-		c.env.printf("sidecar %s goes by set %q, of entry %d, since %g s%s\n",
+		c.env.printf("sidecar %s uses set %q, of entry %d, since %g s%s\n",
 			result.Sidecar, result.Active, result.ActiveIndex, math.Round(10*result.ActiveSinceS)/10, note)
 	}
 	if result.WithChange != nil {
@@ -211,14 +211,14 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// ownerResult is whose a route or a service is.
+// ownerResult is the owner of a route or a service.
 type ownerResult struct {
 	What      string   `json:"what"`
 	Namespace string   `json:"namespace"`
 	Owners    []string `json:"owners"`
 }
 
-// Execute tells whose a route is, and who may change it.
+// Execute prints the owner of a route, and who may change it.
 func (c *policyOwner) Execute([]string) error {
 	state, err := c.env.fetchPolicies(c.Args.API, true)
 	if err != nil {
@@ -254,7 +254,7 @@
 	Args apiAddress `positional-args:"yes" required:"yes"`
 }
 
-// Execute tells where namespaces meet.
+// Execute prints the routes to which policies of several namespaces apply.
 func (c *policyReport) Execute([]string) error {
 	state, err := c.env.fetchPolicies(c.Args.API, true)
 	if err != nil {
@@ -269,7 +269,7 @@
 	Args apiAddress `positional-args:"yes" required:"yes"`
 }
 
-// Execute tells which set is active; the exit code is 1 while another is agreed on.
+// Execute prints the active policy set. The exit code is 1 while another set is committed and not active yet.
 func (c *policyStatus) Execute([]string) error {
 	response, err := c.env.api(c.Args.API).Policy(controlplane.PolicyRequest{})
 	if err != nil {
@@ -279,7 +279,7 @@
 	if err := c.env.print(response, func() {
 		switch {
 		case rollout.IsPending():
-			c.env.printf("set %q is agreed on by entry %d and not active yet: %s\n", rollout.Agreed, rollout.AgreedIndex, response.WaitingFor)
+			c.env.printf("set %q is committed by entry %d and not active yet: %s\n", rollout.Agreed, rollout.AgreedIndex, response.WaitingFor)
 		case rollout.Active == "":
 			c.env.println("no namespace has set any policy")
 		default:
@@ -302,7 +302,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute tells the latest notices of a namespace.
+// Execute prints the latest notices of a namespace.
 func (c *policyNotices) Execute([]string) error {
 	response, err := c.env.api(c.Args.API).Policy(controlplane.PolicyRequest{Namespace: c.Args.Namespace})
 	if err != nil {
--- a/internal/mesh/cli/process.go
+++ b/internal/mesh/cli/process.go
@@ -13,7 +13,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute prints a process's log: lines of JSON already, with or without --json.
+// Execute prints a process's log, which is lines of JSON with and without --json.
 func (c *logsCommand) Execute([]string) error {
 	ctx, cancel := c.env.context()
 	defer cancel()
@@ -27,13 +27,13 @@
 
 type drainCommand struct {
 	env  *environment
-	Undo bool `long:"undo" description:"let it in again"`
+	Undo bool `long:"undo" description:"put it back into service"`
 	Args struct {
 		Sidecar string `positional-arg-name:"ADDR" description:"transport of the sidecar beside the server: its Inbound"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute takes a server out for as long as its sidecar runs, or lets it in again.
+// Execute takes a server out of service, until its sidecar ends, or puts it back.
 func (c *drainCommand) Execute([]string) error {
 	ctx, cancel := c.env.context()
 	defer cancel()
--- a/internal/mesh/cli/status.go
+++ b/internal/mesh/cli/status.go
@@ -8,7 +8,7 @@
 	"cranegrade/internal/mesh/topology"
 )
 
-// memberTransport names a running mesh by one member of it.
+// memberTransport is the argument that names a running mesh by one of its members.
 type memberTransport struct {
 	Member string `positional-arg-name:"ADDR" description:"a member's transport: its ip and the first port of InternalPortRange"`
 }
@@ -18,13 +18,13 @@
 	Args memberTransport `positional-args:"yes" required:"yes"`
 }
 
-// statusResult is status as JSON: the topology, and what stands out.
+// statusResult is the result of status: the topology and the warnings.
 type statusResult struct {
 	Warnings []string `json:"warnings"`
 	topology.Topology
 }
 
-// Execute tells how a mesh is; the exit code is 1 if something stands out.
+// Execute prints the state of a mesh. The exit code is 1 if there are warnings.
 func (c *statusCommand) Execute([]string) error {
 	t, err := c.env.collect(c.Args.Member)
 	if err != nil {
@@ -51,8 +51,8 @@
 	env  *environment
 	DOT  bool   `long:"dot" description:"for Graphviz, instead of a tree"`
 	SVG  bool   `long:"svg" description:"as a picture, instead of a tree"`
-	Save string `long:"save" value-name:"FILE" description:"and keep what was found, for --from"`
-	From string `long:"from" value-name:"FILE" description:"draw what was saved; ADDR is left out"`
+	Save string `long:"save" value-name:"FILE" description:"also save the topology, for --from"`
+	From string `long:"from" value-name:"FILE" description:"draw a saved topology, without ADDR"`
 	Args struct {
 		Member string `positional-arg-name:"ADDR" description:"transport of a control-plane member"`
 	} `positional-args:"yes"`
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// load takes the topology from a file or from the mesh.
+// load reads the topology from a file, or collects it from the mesh.
 func (c *topologyCommand) load() (topology.Topology, error) {
 	if (c.From == "") == (c.Args.Member == "") {
 		return topology.Topology{}, errors.New("either ADDR or --from is wanted")
@@ -103,7 +103,7 @@
 		return err
 	}
 	if err := t.Save(file); err != nil {
-		_ = file.Close() // the first error is the one to tell
+		_ = file.Close() // the first error is the one to report
 		return errors.Annotate(err, path)
 	}
 	return file.Close()
--- a/internal/mesh/daemon/options.go
+++ b/internal/mesh/daemon/options.go
@@ -13,12 +13,12 @@
 
 // Options are the command line of every program. Lines are long because struct tags can't be broken.
 type Options struct {
-	Settings        string        `short:"s" long:"settings" value-name:"FILE" description:"the settings file; else the one that $CRANEGRADE_NODE_FILE names"`
+	Settings        string        `short:"s" long:"settings" value-name:"FILE" description:"the settings file; default: the one that $CRANEGRADE_NODE_FILE names"`
 	Check           bool          `long:"check" description:"check the settings file and end"`
 	InitialOrders   string        `long:"initial-orders" value-name:"FILE" description:"of a control-plane member: contracts and orders for maintenance, as JSON, that the leader places once there is a configuration"`
 	ClockOffset     time.Duration `long:"clock-offset" value-name:"DURATION" hidden:"yes" description:"of a control-plane member, for fault drills: its time of day is ahead by so much"`
 	ListenTransport string        `long:"listen-transport" value-name:"HOST:PORT" description:"listen for other processes of the mesh here, while they know the machine by the address of its settings: behind a relay, or where addresses are translated"`
-	Verbose         bool          `short:"v" long:"verbose" description:"write every line of the log, not only the ring when something goes wrong"`
+	Verbose         bool          `short:"v" long:"verbose" description:"write every log line to standard error, not only the ring after an error"`
 
 	Former formerOptions `group:"names of the former release" hidden:"yes"`
 }
--- a/internal/mesh/demo/audit.go
+++ b/internal/mesh/demo/audit.go
@@ -8,7 +8,7 @@
 	"cranegrade/internal/mesh/policy"
 )
 
-// observedPolicy is by which policy a request was decided, as its response named it.
+// observedPolicy is the policy that applied to a request, as named by the response.
 type observedPolicy struct {
 	began, ended time.Time // of the request
 	sidecar      string
@@ -20,13 +20,13 @@
 
 // policyAudit is what the observations of a run show.
 type policyAudit struct {
-	differences []string      // that are against the rules
-	sets        int           // that were seen in force
-	widest      time.Duration // for which a sidecar went by a set after another had shown the next
+	differences []string      // violations
+	sets        int           // number of policy sets that were active at some time
+	widest      time.Duration // longest time that a sidecar used a set after another sidecar had used the next one
 }
 
-// auditPolicies checks by what requests were decided: under one policy set a route has one merged policy for one caller, on
-// every sidecar; and no sidecar goes by a set for longer than policy.FenceTimeout after another has shown the next one.
+// auditPolicies checks the policies that applied to requests: under one policy set, a route has the same merged policy for a caller
+// on every sidecar; and no sidecar uses a set for longer than policy.FenceTimeout after another sidecar has used the next one.
 func auditPolicies(observed []observedPolicy) policyAudit {
 	observed = slices.Clone(observed)
 	slices.SortStableFunc(observed, func(a, b observedPolicy) int { return a.began.Compare(b.began) })
@@ -49,7 +49,7 @@
 	return audit
 }
 
-// differingPolicies returns the requests of one route and caller that one set decided by different merged policies.
+// differingPolicies returns the requests of one route and caller to which one set applied different merged policies.
 func differingPolicies(observed []observedPolicy) (differences []string) {
 	type decision struct{ route, caller, set string }
 	last := map[decision]observedPolicy{}
@@ -64,7 +64,7 @@
 	return differences
 }
 
-// firstSeenSets returns when each set was in force at the latest: when the first response that names it had come.
+// firstSeenSets returns for each set the time by which it was certainly active: when the first response that names it arrived.
 func firstSeenSets(observed []observedPolicy) map[string]time.Time {
 	first := map[string]time.Time{}
 	for _, x := range observed {
--- a/internal/mesh/demo/cluster.go
+++ b/internal/mesh/demo/cluster.go
@@ -1,7 +1,8 @@
-// Package demo plays scenes on a small mesh of real processes on loopback, for people to watch: traffic of several kinds runs
-// while machines fail, are maintained, or change their policies, and every request is accounted for.
+// Package demo runs demonstrations on a small mesh of real processes on loopback: traffic of several kinds runs while machines fail,
+// are maintained, or policies change, and the outcome of every request is checked and printed.
 //
-// It owns the scenes and their audit; the mesh itself is package testcluster's. It must never be part of a program that serves.
+// It owns the demonstrations and their checks; package testcluster owns the mesh. It must never be part of a program that serves
+// traffic.
 package demo
 
 import (
@@ -17,7 +18,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// startTimeout is how long the mesh may take to come up, and a change to be acknowledged.
+// startTimeout bounds the start of the mesh, and the time until a change is acknowledged.
 const startTimeout = 20 * time.Second
 
 // memberCount is the number of control-plane members of a demo's mesh.
@@ -31,7 +32,8 @@
 	dir string
 }
 
-// startCluster builds the programs and starts control-plane members, and a sidecar for each service named, with the routes.
+// startCluster builds the programs, starts the control-plane members and a sidecar with a server for each service, and applies the
+// routes.
 func startCluster(out io.Writer, services []string, routes ...map[string]any) (*cluster, error) {
 	dir, err := os.MkdirTemp("", "mesh")
 	if err != nil {
@@ -64,7 +66,7 @@
 	return nil
 }
 
-// closeAndRemove ends all processes and removes what they have written.
+// closeAndRemove ends all processes and removes their files.
 func (c *cluster) closeAndRemove() {
 	if c.Cluster != nil {
 		c.Close()
@@ -74,7 +76,7 @@
 	}
 }
 
-// modify has a change acknowledged by whichever member does.
+// modify sends a change to the members in turn until one acknowledges it.
 func (c *cluster) modify(body []byte) error {
 	status, text := 0, ""
 	acknowledged := testfleet.Await(startTimeout, func() bool {
@@ -97,7 +99,7 @@
 // sidecar returns one of the sidecars, in turn.
 func (c *cluster) sidecar(n int) *testcluster.Machine { return c.Sidecars[n%len(c.Sidecars)] }
 
-// checkRecords is what the servers' and callers' own records say of the rules.
+// checkRecords returns the violations in the records of the servers and callers.
 func (c *cluster) checkRecords() error {
 	if violations := c.Recorder.Violations(); len(violations) > 0 {
 		return errors.Errorf("broken: %v", violations)
--- a/internal/mesh/demo/failover.go
+++ b/internal/mesh/demo/failover.go
@@ -10,9 +10,9 @@
 	"cranegrade/internal/mesh/topology"
 )
 
-// Failover plays four seconds of traffic while a control-plane member is killed, one server drains and another crashes, and
-// prints what became of every request. An error: the scene could not be played, or the mesh broke a rule. It returns once
-// stay has ended, which keeps the mesh up to play with; a context that is done already ends it at once.
+// Failover runs four seconds of traffic while a control-plane member is killed, one server drains and another crashes, and prints the
+// outcomes of the requests. It then keeps the mesh up until the context stay ends, so that operators can try commands on it. The error
+// says that the demo could not run, or that a guarantee of the mesh was violated.
 func Failover(stay context.Context, out io.Writer, timeout time.Duration) error {
 	c, err := startCluster(out, []string{"orders", "orders", "stock", "stock"},
 		testcluster.RouteItem("lookup", "idempotent", "/lookup/", "stock", 1), testcluster.RouteItem("order", "keyed", "/order/", "orders", 1))
@@ -20,7 +20,7 @@
 		return err
 	}
 	defer c.closeAndRemove()
-	//nolint:contextcheck // stay only says how long the mesh is kept up afterwards; the scene itself is bounded by timeout
+	//nolint:contextcheck // stay only says how long the mesh is kept up afterwards; the demo itself is bounded by timeout
 	if err := c.printTopology(timeout); err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// printTopology asks the mesh for its topology and prints it.
+// printTopology collects the topology of the mesh and prints it.
 func (c *cluster) printTopology(timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// startOrders begins keyed orders every so often, and sends each nth of them once more through another sidecar.
+// startOrders starts keyed requests at a fixed interval, and repeats every nth of them through another sidecar.
 func (c *cluster) startOrders(interval time.Duration, repeated int) {
 	c.startCalls("order", interval, func(n int) (testcluster.Response, bool) {
 		return c.sidecar(n).Send("POST", "/order/new", fmt.Sprint("k-", n), []byte("one")), true
--- a/internal/mesh/demo/maintenance.go
+++ b/internal/mesh/demo/maintenance.go
@@ -17,13 +17,13 @@
 const (
 	maintenanceOrder = "rack-7"
 	downloadBytes    = 200_000
-	// orderTimeout bounds a call of the demos at a control-plane member.
+	// orderTimeout bounds a call to a control-plane member.
 	orderTimeout = 3 * time.Second
 )
 
-// Maintenance plays the maintenance of a machine within the hours that a contract approves, on live traffic, after an attempt
-// outside them, and prints what became of every request. length is how long the maintenance itself takes. An error: the scene
-// could not be played, or a request was lost or ran twice.
+// Maintenance runs the maintenance of a machine under traffic: first an attempt outside the hours that a contract approves, which is
+// rejected, then one within them. It prints the outcomes of the requests. length is how long the machine is in maintenance. The error
+// says that the demo could not run, or that a request was lost or ran twice.
 func Maintenance(out io.Writer, length time.Duration) error {
 	c, err := startCluster(out, []string{"orders", "orders", "orders", "stock", "stock", "stock"},
 		testcluster.RouteItem("lookup", "idempotent", "/lookup/", "stock", 1),
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// showRefusal has a contract approve two hours tomorrow, and shows why a machine may not come out now.
+// showRefusal applies a contract that approves two hours tomorrow, and prints why a machine may not be taken out now.
 func (c *cluster) showRefusal(machine *testcluster.Machine, now time.Time) error {
 	if err := c.modify(testcluster.ContractCall("vintage", 1, now.Add(24*time.Hour), now.Add(26*time.Hour), nil)); err != nil {
 		return err
@@ -97,8 +97,8 @@
 	c.startOrders(10*time.Millisecond, 2)
 }
 
-// maintain orders the machine out and follows the order to its end. It gives how many requests the machine's server had run
-// before it was drained, and once the machine was in maintenance (-1: that was not seen).
+// maintain orders the machine out and follows the order to its end. It returns how many requests the machine's server had run before
+// it was drained, and when the machine was in maintenance (-1: that step was not seen).
 func (c *cluster) maintain(machine *testcluster.Machine, length time.Duration) (before, during int, err error) {
 	member := c.Members[0]
 	order := &maintenance.Order{ID: maintenanceOrder, Machines: []string{machine.Name}, Duration: length, PlacedBy: "ana", Reason: "a disk"}
--- a/internal/mesh/demo/policy.go
+++ b/internal/mesh/demo/policy.go
@@ -16,18 +16,18 @@
 	"cranegrade/internal/mesh/testcluster"
 )
 
-// PolicyScenario is two teams whose policies meet: the first owns a service and the host, the second a service that the
-// first's routes go to as well.
+// PolicyScenario is two teams whose policies apply to the same routes: the first owns a service and the host, the second a service
+// that is a destination of the first team's routes.
 type PolicyScenario struct {
 	Length        time.Duration // of the traffic
 	Services      [2]string     // of the first team and of the second
-	Owners        [2]string     // of their namespaces, which are called like the services
-	KeyedRoute    string        // to the first service: what must run once
+	Owners        [2]string     // of the namespaces, which have the names of the services
+	KeyedRoute    string        // to the first service; its requests must run once
 	ReadRoute     string        // to the second service
-	DownloadRoute string        // to the second service: what must come complete; "": there is none
+	DownloadRoute string        // to the second service; its responses must be complete; "": there is none
 }
 
-// DispatchScenario returns the day of a dispatch office.
+// DispatchScenario returns a scenario of a dispatch office.
 func DispatchScenario(length time.Duration) PolicyScenario {
 	return PolicyScenario{
 		Length: length, Services: [2]string{"dispatch", "devicebook"}, Owners: [2]string{"ana", "cy"},
@@ -35,7 +35,7 @@
 	}
 }
 
-// IntakeScenario returns a winery's intake day, with downloads.
+// IntakeScenario returns a scenario of a winery's intake, with downloads.
 func IntakeScenario(length time.Duration) PolicyScenario {
 	return PolicyScenario{
 		Length: length, Services: [2]string{"crew-log", "cellar-ledger"}, Owners: [2]string{"kit", "lou"},
@@ -44,12 +44,12 @@
 }
 
 const (
-	// keyedAttempts and keyedPause are how a client sends a keyed call again that has not run, or is in flight.
+	// keyedAttempts and keyedPause are a client's retries of a keyed request that has not run, or is still in flight.
 	keyedAttempts = 20
 	keyedPause    = 300 * time.Millisecond
-	// leastPolicySets must have been seen in force for the scene to have shown anything.
+	// leastPolicySets is the number of policy sets that must have been active for a run to be conclusive.
 	leastPolicySets = 3
-	// printedFaults is how many faults of one sort are printed at most.
+	// printedFaults is the most faults of one kind that are printed.
 	printedFaults = 5
 )
 
@@ -61,12 +61,12 @@
 
 	mu       sync.Mutex // guards below
 	observed []observedPolicy
-	dropped  []string // keys that never came through
+	dropped  []string // keys of requests without a successful attempt
 }
 
-// Policy has both teams change their policies against each other while traffic runs, and audits every request: by which
-// policy each was decided, on every sidecar, and what became of it. An error: the scene could not be played, a request was
-// lost or ran twice, or two sidecars went by different policies for longer than they may.
+// Policy lets both teams change policies that apply to the same routes while traffic runs, and checks the outcome of every request and
+// the policy that applied to it on each sidecar. The error says that the demo could not run, that a request was lost or ran twice, or
+// that two sidecars used different policies for longer than allowed.
 func Policy(out io.Writer, scenario PolicyScenario) error {
 	c, err := startCluster(out, scenario.machines(), scenario.routes()...)
 	if err != nil {
@@ -130,7 +130,8 @@
 	})
 }
 
-// sendKeyed sends the nth keyed call as clients do: what has not run, or is in flight, is sent again through any sidecar.
+// sendKeyed sends the nth keyed request as clients do: a request that has not run, or is still in flight, is retried through any
+// sidecar.
 func (d *policyDemo) sendKeyed(n int) (response testcluster.Response, complete bool) {
 	key := fmt.Sprint("k-", n)
 	for attempt := range keyedAttempts {
@@ -163,7 +164,7 @@
 	return response
 }
 
-// changePolicies is the teams' changes, one after the other. It gives what the rejected ones were answered.
+// changePolicies makes the teams' changes one after the other, and returns the answers to those that are rejected on purpose.
 func (d *policyDemo) changePolicies() (verdicts []string, err error) {
 	pause := d.Length / 10
 	time.Sleep(pause)
@@ -208,7 +209,7 @@
 	return encode(map[string]any{"Upsert": map[string]any{"RulingList": []policy.Policy{p}}, "By": d.Owners[team], "Consents": consents})
 }
 
-// changeTogether has both teams change a policy at the same moment, at whichever members acknowledge.
+// changeTogether makes both teams change a policy at the same time, at any members.
 func (d *policyDemo) changeTogether() (string, error) {
 	no := false
 	bodies := [2][]byte{
@@ -224,7 +225,7 @@
 	return "", errors.Trace(firstError(errs[:]))
 }
 
-// rejected sends a change that is to be answered with a status, and gives the answer.
+// rejected sends a change that must be answered with a status, and returns the answer.
 func (d *policyDemo) rejected(why string, member *testcluster.Machine, body []byte, want int) (string, error) {
 	status, text := member.Modify(body)
 	if status != want {
@@ -233,7 +234,7 @@
 	return fmt.Sprintf("%s: %d %s", why, status, strings.TrimSpace(text)), nil
 }
 
-// changeAndKillLeader has a policy set agreed on and kills the leader before it is active or just after.
+// changeAndKillLeader commits a policy set and kills the leader just before or after the set becomes active.
 func (d *policyDemo) changeAndKillLeader(down time.Duration) error {
 	leader := d.leader()
 	if err := d.modify(d.change(0, policy.Policy{Name: "patience", TimeoutS: 1.2, NeedsS: 0.5, Tries: 2})); err != nil || leader == nil {
@@ -244,7 +245,7 @@
 	return leader.Start()
 }
 
-// changeWhileFrozen has another policy set become active while a sidecar is frozen.
+// changeWhileFrozen commits another policy set and waits until it is active while a sidecar is frozen.
 func (d *policyDemo) changeWhileFrozen() (string, error) {
 	x := d.Sidecars[5]
 	x.Process.Pause()
@@ -252,7 +253,7 @@
 	return "", d.modify(d.change(1, policy.Policy{Name: "shelter", TimeoutS: 0.9, Tries: 1}))
 }
 
-// leader returns the member that leads; nil: none says so.
+// leader returns the member that reports to be the leader, or nil.
 func (c *cluster) leader() *testcluster.Machine {
 	response, err := apiclient.Client{Addr: c.Members[0].Addr("ControlPlane"), Timeout: orderTimeout}.Policy(controlplane.PolicyRequest{})
 	if err != nil {
@@ -266,7 +267,7 @@
 	return nil
 }
 
-// judge prints what became of the requests and of the policies, and says what was against the rules.
+// judge prints the outcomes of the requests and the policy sets, and returns an error for violations.
 func (d *policyDemo) judge(verdicts []string) error {
 	faulty := d.printOutcomes(d.out, "")
 	fmt.Fprintln(d.out, "503 and 403 have not run")
@@ -297,7 +298,7 @@
 	return nil
 }
 
-// encode is the JSON of a call, whose parts can all be encoded.
+// encode returns the JSON of a call, whose encoding can't fail.
 func encode(call map[string]any) []byte {
 	text, err := json.Marshal(call)
 	if err != nil {
--- a/internal/mesh/demo/traffic.go
+++ b/internal/mesh/demo/traffic.go
@@ -10,10 +10,10 @@
 	"cranegrade/internal/mesh/testcluster"
 )
 
-// phases of a demo's traffic: before what is shown, and from then on.
+// phases is the number of phases of the traffic, which are reported separately: before an event, and after it.
 const phases = 2
 
-// traffic is calls of several kinds, open loop: each kind begins one every so often whether or not those before are answered.
+// traffic makes calls of several kinds, open loop: each kind starts calls at a fixed interval, whether or not earlier ones have ended.
 type traffic struct {
 	stop       chan struct{}
 	generators sync.WaitGroup
@@ -21,25 +21,25 @@
 
 	mu    sync.Mutex // guards below
 	kinds map[string]*callOutcomes
-	order []string // of kinds
+	order []string // kinds in the order in which they were started
 	phase int
 }
 
-// callOutcomes is what became of the calls of one kind, in each phase.
+// callOutcomes has the outcomes of the calls of one kind, by phase.
 type callOutcomes struct {
 	byStatus   [phases]map[int]int
-	latencies  [phases][]time.Duration // of those that were answered 200
-	incomplete int                     // answers with 200 that were cut short
+	latencies  [phases][]time.Duration // of responses with status 200
+	incomplete int                     // truncated responses with status 200
 }
 
-// call is what makes the nth call of a kind. It gives the response, and whether that was complete.
+// call makes the nth call of a kind. It returns the response, and whether that was complete.
 type call func(n int) (response testcluster.Response, complete bool)
 
 func newTraffic() *traffic {
 	return &traffic{kinds: map[string]*callOutcomes{}, stop: make(chan struct{})}
 }
 
-// startCalls begins a call of a kind every so often, until stopCalls.
+// startCalls starts calls of a kind at a fixed interval until stopCalls.
 func (t *traffic) startCalls(kind string, interval time.Duration, call call) {
 	t.mu.Lock()
 	t.kinds[kind] = &callOutcomes{byStatus: [phases]map[int]int{{}, {}}}
@@ -80,7 +80,7 @@
 	}
 }
 
-// startSecondPhase has what begins from now on be of the second phase.
+// startSecondPhase begins the second phase, to which calls that start from now on belong.
 func (t *traffic) startSecondPhase() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,8 +94,8 @@
 	t.calls.Wait()
 }
 
-// printOutcomes prints what became of each kind of calls. secondPhase names the second phase, if there was one. It says
-// whether some calls were lost, failed or were cut short.
+// printOutcomes prints the outcomes of each kind of calls. secondPhase is the name of the second phase, if there was one. It reports
+// whether any calls were lost, failed or were truncated.
 func (t *traffic) printOutcomes(out io.Writer, secondPhase string) (faulty bool) {
 	fmt.Fprintf(out, "\n%-26s %-36s", "", "answers by status, p99")
 	if secondPhase != "" {
@@ -118,7 +118,7 @@
 	return faulty
 }
 
-// isFaulty reports whether calls were cut short, had no answer, or failed so that they may have run.
+// isFaulty reports whether any calls were truncated, had no response, or failed in a way that they may have run.
 func (o *callOutcomes) isFaulty() bool {
 	if o.incomplete > 0 {
 		return true
@@ -131,7 +131,7 @@
 	return false
 }
 
-// p99 returns the 99th percentile; 0 of none. It sorts the list.
+// p99 returns the 99th percentile, or 0 for an empty list. It sorts the list in place.
 func p99(list []time.Duration) time.Duration {
 	if len(list) == 0 {
 		return 0
--- a/internal/mesh/history/encoding.go
+++ b/internal/mesh/history/encoding.go
@@ -208,7 +208,7 @@
 // embedded matches the names of embedded structs in the path of a field. JSON does not have them.
 var embedded = regexp.MustCompile(`\b(Call|ItemVersion|Item)\.`)
 
-// firstMistake words the first of several validation errors.
+// firstMistake returns the text of the first of several validation errors.
 func firstMistake(err error) error {
 	wrong := validator.ValidationErrors(nil)
 	if !errors.As(err, &wrong) {
--- a/internal/mesh/history/linearizable.go
+++ b/internal/mesh/history/linearizable.go
@@ -37,7 +37,7 @@
 		case porcupine.Illegal:
 			broken = append(broken, Violation{
 				CheckLinearizable, last,
-				fmt.Sprintf("%v: no order of its %d calls explains what was told", item, len(operations)),
+				fmt.Sprintf("%v: no order of its %d calls explains their answers", item, len(operations)),
 			})
 		case porcupine.Ok:
 		case porcupine.Unknown:
--- a/internal/mesh/history/versions.go
+++ b/internal/mesh/history/versions.go
@@ -24,7 +24,7 @@
 }
 
 // UniqueContent checks that no version of an item was acknowledged, fetched, sent to a sidecar or active with two contents. The
-// acknowledgement of a version that a higher one may have overtaken by then says nothing of its content: it changed nothing.
+// acknowledgement of a version that a higher one may have overtaken by then is not evidence of its content, because it had no effect.
 func UniqueContent(h *History) (broken []Violation) {
 	first := map[itemNumber]content{}
 	see := func(at time.Duration, where string, versions ...ItemVersion) {
@@ -95,7 +95,7 @@
 			}
 			if isUndisturbed(h, first, again) || superseded(h, again) {
 				broken = append(broken, Violation{CheckRepeatedChange, again.Return, fmt.Sprintf(
-					"%s's order of %v was taken at %v and refused by %s when it was sent again at %v",
+					"%s's change of %v was accepted at %v, and refused by %s when it was sent again at %v",
 					again.Process, again.Items, first.Begin, again.Member, again.Begin)})
 				break
 			}
--- a/internal/mesh/memberselection/golden_test.go
+++ b/internal/mesh/memberselection/golden_test.go
@@ -19,7 +19,7 @@
 	goldenStaleShare = 8
 )
 
-// goldenRun draws events for one decider and hashes every action and every answer that it gives, in order. What is hashed are
+// goldenRun draws events for one selector and hashes every action and every answer that it gives, in order. What is hashed are
 // values only (times, numbers, addresses), so that a rename of identifiers or a reworded reason leaves the record as it is:
 // reasons count by the order in which they first appear.
 type goldenRun struct {
@@ -42,7 +42,7 @@
 	return g
 }
 
-// record takes the actions and hashes them with what the decider answers now.
+// record takes the actions and hashes them with what the selector answers now.
 func (g *goldenRun) record() {
 	for _, a := range g.selector.TakeActions() {
 		text := fmt.Sprint(a.Reason)
@@ -82,7 +82,7 @@
 	return g.open[g.rng.IntN(len(g.open))]
 }
 
-// drawTime lets time pass: to the decider's own time for half of the events, by up to 200 ms for the others.
+// drawTime lets time pass: to the selector's own time for half of the events, by up to 200 ms for the others.
 func (g *goldenRun) drawTime() {
 	at := g.now + time.Duration(g.rng.Int64N(int64(200*time.Millisecond)))
 	if next := g.selector.NextTick(); g.rng.IntN(2) == 0 && next < g.now+time.Minute {
--- a/internal/mesh/sim/disk.go
+++ b/internal/mesh/sim/disk.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// DiskKind says how the disk of a replica is simulated. Its values stand in plan files.
+// DiskKind is the way in which a replica's disk is simulated. Its values are used in plan files.
 type DiskKind string
 
 // Kinds of disks.
@@ -18,44 +18,44 @@
 	StorageDisk DiskKind = "vault" // the real storage over simulated files
 )
 
-// errDiskFull is the error of a write for which the disk has no space.
+// errDiskFull is the error of a write to a full disk.
 const errDiskFull = errors.ConstError("no space left on device")
 
-// diskState says what a disk holds.
+// diskState is what was found on a disk at the start.
 type diskState uint8
 
 const (
-	diskHolds   diskState = iota // a replica's records
-	diskEmpty                    // nothing yet
-	diskDamaged                  // nothing readable; it was emptied
+	diskHolds   diskState = iota // the records of a replica
+	diskEmpty                    // nothing: the disk is new, or was wiped
+	diskDamaged                  // unreadable data, which was discarded
 )
 
-// diskWrite is a write for which a replica waits.
+// diskWrite is a write that a replica waits for.
 type diskWrite struct {
 	ready     raft.Ready
-	lastIndex uint64 // index on disk before the write
+	lastIndex uint64 // last index on disk before the write
 	done      bool
 }
 
-// disk is the storage of a replica. A write that returned is synced to disk, unless the run has a mutation of that.
+// disk is the storage of a replica. A write that has returned is durable, unless a mutation of the run breaks that.
 type disk interface {
 	read() (held raft.StoredState, state diskState, err error)
 	begin(self raft.ID, snapshot raft.Snapshot) error
 	save(ready raft.Ready, last uint64) error
 	compact(snapshot raft.Snapshot, kept uint64) error
-	// crash ends the process, with a loss of power or without. inFlight is the write that was not done yet, or nil.
+	// crash ends the process, with or without a loss of power. inFlight is the write that was not completed, or nil.
 	crash(random *rand.Rand, under *diskWrite, power bool)
-	// sync syncs what was written, if a mutation has left that out.
+	// sync makes writes durable that a mutation has left unsynced.
 	sync()
 	setFull(full bool)
-	// term returns the term of an entry that is synced to disk. known is false if a snapshot covers the entry.
+	// term returns the term of a durable entry. known is false if a snapshot covers the entry.
 	term(index uint64) (term uint64, known, held bool)
 }
 
-// memoryDisk simulates a disk as records in memory. It belongs to one world.
+// memoryDisk simulates a disk by records in memory. It belongs to one World.
 type memoryDisk struct {
 	synced      raft.StoredState
-	written     raft.StoredState // with what is not synced; differs from synced by a mutation only
+	written     raft.StoredState // including unsynced writes; differs from synced only by a mutation
 	initialized bool
 	full        bool
 	// Mutations: writes are not synced when they return; term and vote never are.
@@ -99,7 +99,7 @@
 	}
 }
 
-// withReady returns what a disk holds once a Ready is written to it.
+// withReady returns the state of a disk after a Ready was written to it.
 func withReady(h raft.StoredState, ready raft.Ready) raft.StoredState {
 	if ready.HardState != nil {
 		h.HardState = *ready.HardState
--- a/internal/mesh/sim/faults.go
+++ b/internal/mesh/sim/faults.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// lossRetryInterval is the interval at which the loss of a disk is tried again that the deployment does not tolerate yet.
+// lossRetryInterval is the interval at which the loss of a disk is attempted again while the deployment would not tolerate it.
 const lossRetryInterval = 10 * time.Millisecond
 
 // applyFault begins a fault.
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// replicaFor returns the replica that has a name or a role, or nil.
+// replicaFor returns the replica with a name or in a role, or nil.
 func (w *World) replicaFor(target string) *replicaHost {
 	var leader, first, last, joiner *replicaHost
 	for _, h := range w.replicas {
@@ -168,7 +168,7 @@
 	}
 }
 
-// power takes the power of a machine away, for a time.
+// power cuts the power of a machine for a time.
 func (w *World) power(h *replicaHost, off time.Duration) {
 	if h.removed {
 		return
@@ -178,14 +178,14 @@
 	w.after(off, h.start)
 }
 
-// loseDisk takes a disk away, now or as soon as the deployment tolerates it.
+// loseDisk loses a disk, now or as soon as the deployment tolerates it.
 func (w *World) loseDisk(h *replicaHost, f Fault) {
 	if h.removed {
 		return
 	}
 	if !f.Force && !w.observer.canLose(h) {
 		w.after(lossRetryInterval, func() {
-			if w.observer.target == 0 { // else the period of faults is over
+			if w.observer.target == 0 { // otherwise the period of faults is over
 				w.loseDisk(h, f)
 			}
 		})
@@ -217,7 +217,7 @@
 	w.after(off, h.start)
 }
 
-// replace removes a machine for good and has another take its place after a time.
+// replace removes a machine for good and starts another one in its place after a time.
 func (w *World) replace(h *replicaHost, after time.Duration, kind history.FaultKind) {
 	if h.removed {
 		return
@@ -281,7 +281,7 @@
 	w.observer.fault(p, history.Cut)
 	w.after(f.Duration, func() {
 		if w.observer.target > 0 {
-			return // all cuts were healed already
+			return // all cuts have been healed
 		}
 		each(w.network.heal)
 		w.observer.fault(p, history.Heal)
--- a/internal/mesh/sim/generate.go
+++ b/internal/mesh/sim/generate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Shape of generated plans.
+// Bounds of generated plans.
 const (
 	faultsFrom       = 2 * time.Second
 	faultsUntil      = 18 * time.Second
--- a/internal/mesh/sim/items.go
+++ b/internal/mesh/sim/items.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/mesh/history"
 )
 
-// itemNames is how many services the operators configure: few, so that changes meet.
+// itemNames is the number of services that operators configure. It is small, so that changes conflict.
 const itemNames = 6
 
 // itemVersion returns an item as histories record it.
@@ -32,7 +32,7 @@
 	return l
 }
 
-// draft is one item of a request.
+// draft is one item of a request that is being drafted.
 type draft struct {
 	name    string
 	version int64
--- a/internal/mesh/sim/link.go
+++ b/internal/mesh/sim/link.go
@@ -17,7 +17,7 @@
 	maxRedials      = 5
 )
 
-// link is the connection of a replica to another, dialled when there is something to send, and kept.
+// link is the connection of a replica to another one. It is dialled when there is something to send, and kept.
 type link struct {
 	host         *replicaHost
 	address      string
@@ -83,7 +83,7 @@
 	e.send(directory.ToWire(h.replica.Records().All()))
 }
 
-// ended dials again soon, to find out whether the peer's process has ended or only the connection.
+// ended schedules a dial, to find out whether the peer's process has ended or only the connection.
 func (l *link) ended(lived time.Duration) {
 	if lived > dialInterval {
 		l.redials = 0
@@ -97,13 +97,13 @@
 	l.host.after(wait, func() { l.connect() })
 }
 
-// redial dials at once if there is no connection: the peer has just shown that it runs.
+// redial dials at once if there is no connection, because the peer has just shown that it is running.
 func (l *link) redial() {
 	l.noDialBefore = 0
 	l.connect()
 }
 
-// peerGone tells the replica that nobody listens at an address any more.
+// peerGone reports to the replica that no process listens at an address any more.
 func (h *replicaHost) peerGone(address string) {
 	if wait, isLeader := h.replica.PeerExited(h.now(), address); isLeader {
 		h.after(wait, func() { h.replica.Tick(h.now()) })
@@ -147,7 +147,7 @@
 	l.calls.call(l.host.process, e, replica.CallTimeout, kind, body, done)
 }
 
-// pendingCalls are the calls over one connection that were not answered yet.
+// pendingCalls are the unanswered calls over one connection.
 type pendingCalls struct {
 	next uint64
 	open []*pendingCall
@@ -158,7 +158,7 @@
 	done func(replica.Reply)
 }
 
-// call sends a call. done is called once, by the caller's process.
+// call sends a call. The caller's process runs done exactly once.
 func (a *pendingCalls) call(caller *process, e *side, within time.Duration, kind byte, body []byte, done func(replica.Reply)) {
 	a.next++
 	id := a.next
@@ -187,7 +187,7 @@
 	}
 }
 
-// fail answers all pending calls after the connection was lost.
+// fail completes all pending calls with an error after the connection was lost.
 func (a *pendingCalls) fail() {
 	open := a.open
 	a.open = nil
--- a/internal/mesh/sim/network.go
+++ b/internal/mesh/sim/network.go
@@ -15,7 +15,7 @@
 	dialTimeout       = 400 * time.Millisecond
 )
 
-// Delays of a message without a fault.
+// Delays of messages while there is no fault.
 const (
 	minDelay  = 100 * time.Microsecond
 	maxDelay  = 2 * time.Millisecond
@@ -76,7 +76,7 @@
 	return n.extra + w.between(minDelay, maxDelay)
 }
 
-// carry delivers something from one process to another, after the cut of that direction if there is one.
+// carry delivers an event from one process to another. If the direction is cut, that waits until the cut is healed.
 func (n *network) carry(from, to *process, delay time.Duration, deliver func()) {
 	if !n.open(from, to) {
 		n.held = append(n.held, heldMessage{direction{from, to}, deliver})
@@ -104,8 +104,8 @@
 	heartbeat   func() *wire.HeartbeatT // makes the heartbeats to send; nil for empty ones
 }
 
-// dial connects a process with the one that listens at an address. done gets nil if there is no answer in time or, with refused set,
-// if the machine answers that nobody listens there.
+// dial connects a process to the one that listens at an address. done gets nil if there is no answer in time or, with refused set,
+// if the machine is running but no process listens at the address.
 func (n *network) dial(from *process, address string, hello *wire.HelloT, done func(e *side, refused bool)) {
 	w, incarnation := n.world, from.incarnation
 	finished := false
@@ -222,20 +222,20 @@
 	e.tellPeer()
 }
 
-// vanish ends this side without telling the other.
+// vanish ends this side without notifying the other one.
 func (e *side) vanish() {
 	e.open = false
 	e.process.connections = slices.DeleteFunc(e.process.connections, func(o *side) bool { return o == e })
 }
 
-// tellPeer tells the other side that this one is closed.
+// tellPeer notifies the other side that this one is closed.
 func (e *side) tellPeer() {
 	peer := e.peer
 	n := &e.process.world.network
 	n.carry(e.process, peer.process, n.delay(), peer.lose)
 }
 
-// lose ends this side against the will of the process.
+// lose ends this side because the connection is lost, and notifies the process.
 func (e *side) lose() {
 	if !e.open {
 		return
@@ -269,7 +269,7 @@
 			}
 			e.send(beat)
 		} else {
-			e.lastHeard = w.now // a frozen process receives nothing, and must not count that as silence
+			e.lastHeard = w.now // a frozen process receives nothing, which must not count as silence of the peer
 		}
 		e.keepAlive(n)
 	})
--- a/internal/mesh/sim/observer.go
+++ b/internal/mesh/sim/observer.go
@@ -13,17 +13,17 @@
 	"cranegrade/internal/mesh/transport/codec"
 )
 
-// Limits by which runs are judged.
+// Limits that the checkers apply to runs.
 const (
 	isolatedReadBound = 2 * time.Second // after this a replica without contact to a majority serves no configuration
 	catchUpBound      = recoveryTimeout
 	acknowledgeBound  = 4 * time.Second // in a stable period
 )
 
-// checkConvergence is the name of the observer's own check, of the state once all faults are over.
+// checkConvergence is the name of the observer's own check: the state of all replicas after all faults have ended.
 const checkConvergence = "convergence"
 
-// observer watches the run from outside and records its history.
+// observer observes the run from outside the simulated processes and records its history.
 type observer struct {
 	world      *World
 	seen       map[*replicaHost]*observed
@@ -47,7 +47,7 @@
 // acknowledgementFlightTime is how long after a disk's loss its acknowledgements may still be in flight to a leader that runs.
 const acknowledgementFlightTime = 100 * time.Millisecond
 
-// observed is what was last seen of a replica.
+// observed is the last observed state of a replica.
 type observed struct {
 	incarnation, term uint64
 	pending           []voterSet // configurations in its log that it has not applied yet, in order
@@ -115,14 +115,14 @@
 	o.world.trace("leader", h.name, "", []byte{byte(s.term)})
 }
 
-// started notes what a replica starts with.
+// started records the state with which a replica starts.
 func (o *observer) started(h *replicaHost, held raft.StoredState) {
 	s := o.observedOf(h)
 	s.pending = nil
 	o.logged(h, raft.Ready{Snapshot: &held.Snapshot, Entries: held.Entries})
 }
 
-// logged notes what a replica writes to its log.
+// logged records what a replica writes to its log.
 func (o *observer) logged(h *replicaHost, ready raft.Ready) {
 	s := o.observedOf(h)
 	if x := ready.Snapshot; x != nil && x.Index > 0 {
@@ -276,7 +276,7 @@
 	o.world.history.Record(history.StablePeriod{From: from, To: to})
 }
 
-// atEnd checks the state at the end of a run: all replicas are members, and their states are equal.
+// atEnd checks the state at the end of a run: all replicas must be members, and their states must be equal.
 func (o *observer) atEnd() (broken []history.Violation) {
 	w := o.world
 	violate := func(format string, args ...any) {
--- a/internal/mesh/sim/operator.go
+++ b/internal/mesh/sim/operator.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// flood sends so many changes, as fast as they are accepted.
+// flood sends a number of changes as fast as they are accepted.
 func (o *operator) flood(count int) {
 	o.backlog += count
 	for o.inFlight < maxOpenChanges && o.backlog > 0 {
@@ -120,7 +120,7 @@
 	})
 }
 
-// member draws a member to call, another than the last if there is one.
+// member draws a member to call, other than the last one if possible.
 func (o *operator) member(last string) string {
 	var candidates []string
 	for _, a := range o.world.replicaAddresses() {
--- a/internal/mesh/sim/plan.go
+++ b/internal/mesh/sim/plan.go
@@ -11,7 +11,7 @@
 	"github.com/juju/errors"
 )
 
-// FaultKind says what happens in a fault. Its values stand in plan files.
+// FaultKind is the kind of a fault. Its values are used in plan files.
 type FaultKind string
 
 // Kinds of faults. Target and Peers name processes, or roles and groups that are resolved when the fault begins. Unless said otherwise
@@ -71,7 +71,7 @@
 // Plan is the faults of a run, in any order.
 type Plan []Fault
 
-// end returns when all faults are over.
+// end returns the time at which all faults have ended.
 func (p Plan) end() (end time.Duration) {
 	for _, f := range p {
 		end = max(end, f.At+f.Duration)
--- a/internal/mesh/sim/process.go
+++ b/internal/mesh/sim/process.go
@@ -43,7 +43,7 @@
 	return c.shown + passed + passed*time.Duration(c.drift)/1e6
 }
 
-// stop and run stop the clock and have it go on.
+// stop stops the clock, and run starts it again.
 func (c *clock) stop(world time.Duration) { c.shown, c.at, c.stopped = c.now(world), world, true }
 func (c *clock) run(world time.Duration)  { c.at, c.stopped = world, false }
 
@@ -81,7 +81,7 @@
 	return history.Call{Process: p.name, Begin: begun, Return: p.world.now, Outcome: outcome}
 }
 
-// post has the process handle an event, now or as soon as it can.
+// post makes the process handle an event, now or as soon as it is not frozen and not busy.
 func (p *process) post(f func()) {
 	if !p.up {
 		return
@@ -96,7 +96,7 @@
 	}
 }
 
-// resume handles all waiting events before the process settles.
+// resume handles all waiting events, and then calls settle.
 func (p *process) resume() {
 	for len(p.waiting) > 0 && p.up && !p.frozen && !p.busy {
 		batch := p.waiting
@@ -112,7 +112,7 @@
 	}
 }
 
-// after has the process handle an event after a time of its own clock, unless this incarnation has ended by then.
+// after schedules an event of the process by its own clock. If this incarnation has ended by then, the event is dropped.
 func (p *process) after(d time.Duration, f func()) {
 	incarnation := p.incarnation
 	p.world.after(d-d*time.Duration(p.clock.drift)/1e6, func() {
@@ -122,10 +122,10 @@
 	})
 }
 
-// freeze stops the process; its clock goes on.
+// freeze stops the process. Its clock goes on.
 func (p *process) freeze() { p.frozen = p.up }
 
-// suspend stops the machine, and the clock with it.
+// suspend stops the machine including its clock.
 func (p *process) suspend() {
 	if p.up {
 		p.frozen = true
--- a/internal/mesh/sim/replica_host.go
+++ b/internal/mesh/sim/replica_host.go
@@ -18,7 +18,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Times of the process around a replica.
+// Durations of operations of the process around a replica.
 const (
 	minWrite          = 300 * time.Microsecond
 	maxWrite          = 4 * time.Millisecond
@@ -37,7 +37,7 @@
 	disk     disk
 	replica  *replica.Replica
 	links    map[string]*link
-	linkList []*link // links in the order in which they were made
+	linkList []*link // links in the order in which they were created
 	sidecars []*side
 	write    *diskWrite // in flight; nil if there is none
 	stalled  bool       // the disk does not finish writes
@@ -152,7 +152,7 @@
 	h.world.observer.noteContacts()
 }
 
-// leave tells the replica to shut down. It does not start again.
+// leave tells the replica to shut down for good.
 func (h *replicaHost) leave(over func()) {
 	h.leaving = true
 	h.post(func() { h.replica.BeginShutdown(h.now()) })
@@ -212,7 +212,7 @@
 	})
 }
 
-// continueAfterWrite has the replica go on after its write is done, and then handles waiting events.
+// continueAfterWrite lets the replica continue after its write is done, and then handles waiting events.
 func (h *replicaHost) continueAfterWrite() {
 	if h.frozen || !h.busy {
 		return
@@ -235,7 +235,7 @@
 	h.process.thaw()
 }
 
-// Compact writes a snapshot. If that fails, the longer log stays.
+// Compact writes a snapshot. If that fails, the log is kept.
 func (h *replicaHost) Compact(s raft.Snapshot, kept uint64) {
 	if h.disk.compact(s, kept) == nil {
 		h.world.trace("compacted", h.name, "", nil)
@@ -271,7 +271,7 @@
 	}
 }
 
-// accept takes a connection that a sidecar or another replica has dialled.
+// accept handles a new connection from a sidecar or another replica.
 func (h *replicaHost) accept(e *side, hello *wire.HelloT) {
 	if !e.open {
 		return
--- a/internal/mesh/sim/sidecar.go
+++ b/internal/mesh/sim/sidecar.go
@@ -46,7 +46,7 @@
 	return &sidecar{process: w.newProcess(name, "10.0.1."+name[len("sidecar"):]+":7000")}
 }
 
-// begin starts the process, which knows nothing of its last incarnation.
+// begin starts the process, which has no state from its last incarnation.
 func (s *sidecar) begin() {
 	if s.up || s.removed {
 		return
@@ -54,7 +54,7 @@
 	s.beginIncarnation()
 	s.items = config.Table{}
 	s.controlPlane = controlPlaneConnection{
-		sidecar: s, members: map[memberselection.ConnID]*memberConnection{}, decider: memberselection.New(s.now(), s.world.replicaAddresses()),
+		sidecar: s, members: map[memberselection.ConnID]*memberConnection{}, selector: memberselection.New(s.now(), s.world.replicaAddresses()),
 	}
 	s.controlPlane.carryOutAll()
 	s.requestLoop()
@@ -66,13 +66,13 @@
 	if !s.up {
 		return false
 	}
-	reachable, _ := s.controlPlane.decider.Reachable()
+	reachable, _ := s.controlPlane.selector.Reachable()
 	return reachable
 }
 
-// mayBegin reports whether requests that need the control plane may begin.
+// mayBegin reports whether requests that need the control plane may be started.
 func (s *sidecar) mayBegin() bool {
-	reachable, until := s.controlPlane.decider.Reachable()
+	reachable, until := s.controlPlane.selector.Reachable()
 	return reachable || s.now() < until
 }
 
--- a/internal/mesh/sim/sidecar_connection.go
+++ b/internal/mesh/sim/sidecar_connection.go
@@ -12,16 +12,16 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// maxTickInterval is the longest time between two ticks of the decider, as in package sidecar.
+// maxTickInterval is the longest time between two ticks of the selector, as in package sidecar.
 const maxTickInterval = time.Second
 
 // controlPlaneConnection carries out what package memberselection decides for a sidecar.
 type controlPlaneConnection struct {
-	sidecar *sidecar
-	decider *memberselection.Selector
-	members map[memberselection.ConnID]*memberConnection
-	waiting int    // lease requests without an answer
-	alarms  uint64 // number of the latest alarm; earlier ones do nothing
+	sidecar  *sidecar
+	selector *memberselection.Selector
+	members  map[memberselection.ConnID]*memberConnection
+	waiting  int    // lease requests without an answer
+	alarms   uint64 // number of the latest alarm; earlier ones do nothing
 }
 
 // memberConnection is a connection to a replica, or a dial in progress.
@@ -34,31 +34,31 @@
 }
 
 // current returns the connection to the replica that the sidecar follows, or nil.
-func (h *controlPlaneConnection) current() *memberConnection { return h.members[h.decider.Followed()] }
+func (h *controlPlaneConnection) current() *memberConnection { return h.members[h.selector.Followed()] }
 
-// carryOutAll carries out the decider's actions, and sets the alarm for its next one.
+// carryOutAll carries out the selector's actions, and sets the alarm for its next tick.
 func (h *controlPlaneConnection) carryOutAll() {
-	for actions := h.decider.TakeActions(); len(actions) > 0; actions = h.decider.TakeActions() {
+	for actions := h.selector.TakeActions(); len(actions) > 0; actions = h.selector.TakeActions() {
 		for _, a := range actions {
 			h.carryOut(a)
 		}
 	}
 	h.alarms++
 	alarm := h.alarms
-	h.sidecar.after(min(maxTickInterval, max(0, h.decider.NextTick()-h.sidecar.now())), func() {
+	h.sidecar.after(min(maxTickInterval, max(0, h.selector.NextTick()-h.sidecar.now())), func() {
 		if h.alarms == alarm {
 			h.tick()
 		}
 	})
 }
 
-// tick tells the decider the time.
+// tick passes the time to the selector.
 func (h *controlPlaneConnection) tick() {
 	s := h.sidecar
 	if m := h.current(); m != nil {
-		h.decider.MessageReceived(s.now(), m.id, s.now()-(s.world.now-m.side.lastHeard))
+		h.selector.MessageReceived(s.now(), m.id, s.now()-(s.world.now-m.side.lastHeard))
 	}
-	h.decider.Tick(s.now())
+	h.selector.Tick(s.now())
 	h.carryOutAll()
 }
 
@@ -111,13 +111,13 @@
 	h.sidecar.after(0, m.calls.fail)
 }
 
-// closed tells the decider that a connection or a dial has ended.
+// closed reports to the selector that a connection or a dial has ended.
 func (h *controlPlaneConnection) closed(m *memberConnection) {
 	if h.members[m.id] != m {
 		return
 	}
 	h.end(m)
-	h.decider.ConnectionClosed(h.sidecar.now(), m.id)
+	h.selector.ConnectionClosed(h.sidecar.now(), m.id)
 	h.carryOutAll()
 }
 
@@ -129,11 +129,11 @@
 	s := h.sidecar
 	if !m.hasSpoken {
 		m.hasSpoken = true
-		h.decider.FirstMessageReceived(s.now(), m.id)
+		h.selector.FirstMessageReceived(s.now(), m.id)
 	}
 	switch v := x.Value.(type) {
 	case *wire.HeartbeatT:
-		h.decider.HeartbeatReceived(s.now(), m.id, v.QuorumContact)
+		h.selector.HeartbeatReceived(s.now(), m.id, v.QuorumContact)
 	case *wire.ItemsT:
 		s.takeItems(config.ItemsFromWire(v))
 	case *wire.MembersT:
@@ -141,7 +141,7 @@
 		for _, member := range v.List {
 			addresses = append(addresses, member.Addr)
 		}
-		h.decider.SetMembers(s.now(), v.Index, addresses)
+		h.selector.SetMembers(s.now(), v.Index, addresses)
 	case *wire.CallReplyT:
 		m.calls.reply(v)
 	}
@@ -154,7 +154,7 @@
 	begun := s.world.now
 	m.calls.call(s.process, m.side, sidecarCallTimeout, codec.CallItems, nil, func(r replica.Reply) {
 		some := h.takeTable(m, begun, r)
-		h.decider.ConfirmationReceived(s.now(), m.id, some)
+		h.selector.ConfirmationReceived(s.now(), m.id, some)
 		h.carryOutAll()
 	})
 }
@@ -177,9 +177,9 @@
 	return len(items) > 0
 }
 
-// countWaiting counts lease requests without an answer: while there are some, the decider gives up a silent member sooner.
+// countWaiting counts lease requests without an answer: while there are some, the selector gives up a silent member sooner.
 func (h *controlPlaneConnection) countWaiting(more int) {
 	h.waiting += more
-	h.decider.SetRequestsWaiting(h.sidecar.now(), h.waiting > 0)
+	h.selector.SetRequestsWaiting(h.sidecar.now(), h.waiting > 0)
 	h.carryOutAll()
 }
--- a/internal/mesh/sim/storage_disk.go
+++ b/internal/mesh/sim/storage_disk.go
@@ -13,13 +13,13 @@
 // accessesOfSave is how many accesses to the disk one write of the storage takes at most. A crash may come before each of them.
 const accessesOfSave = 4
 
-// storageDisk is the real storage over simulated files: what was not synced is kept, lost or torn, file by file. It belongs to one
-// world.
+// storageDisk is the real storage over simulated files. In a crash, unsynced data of each file is kept, lost or torn. It belongs to one
+// World.
 type storageDisk struct {
 	files   *filedisk.Disk
 	store   *storage.Store
 	records memoryDisk // what the storage has acknowledged as synced, for the observer
-	reopen  bool       // a write failed: the storage refuses others until it is opened anew
+	reopen  bool       // a write failed: the storage must be reopened before the next one
 }
 
 func newStorageDisk(lies bool) *storageDisk {
@@ -61,7 +61,7 @@
 	return d.records.begin(self, s)
 }
 
-// ready opens the storage anew after a failed write.
+// ready reopens the storage after a failed write.
 func (d *storageDisk) ready() error {
 	if d.reopen {
 		if err := d.store.Reopen(); err != nil {
@@ -113,7 +113,7 @@
 		}
 		left--
 	})
-	_ = d.store.Save(under.ready, under.lastIndex) // it fails where the crash came before its end
+	_ = d.store.Save(under.ready, under.lastIndex) // it fails if the crash comes before its end
 	d.files.OnAccess(nil)
 	if !ended {
 		end()
--- a/internal/mesh/sim/world.go
+++ b/internal/mesh/sim/world.go
@@ -19,7 +19,7 @@
 	"cranegrade/internal/mesh/history"
 )
 
-// Shape of a run.
+// Durations of the phases of a run.
 const (
 	clientsBeginAt  = 1500 * time.Millisecond // the replicas have usually elected a leader by then
 	recoveryTimeout = 8 * time.Second         // from the end of all faults until the control plane has to be stable
@@ -76,7 +76,7 @@
 	network   network
 	history   history.History
 
-	processes []*process // all that ever started, in that order
+	processes []*process // all that were ever started, in that order
 	replicas  []*replicaHost
 	operators []*operator
 	sidecars  []*sidecar
@@ -108,7 +108,7 @@
 	return last
 }
 
-// at schedules something for a time.
+// at schedules an event.
 func (w *World) at(t time.Duration, run func()) {
 	w.sequence++
 	heap.Push(&w.events, event{max(t, w.now), w.sequence, run})
--- a/internal/mesh/testcluster/api.go
+++ b/internal/mesh/testcluster/api.go
@@ -13,13 +13,13 @@
 	"cranegrade/internal/mesh/controlplane"
 )
 
-// apiTimeout is how long an answer of a member is waited for.
+// apiTimeout bounds a call to a member.
 const apiTimeout = 2 * time.Second
 
-// Host is that of all routes.
+// Host is the host of all routes.
 const Host = "shop.example"
 
-// contractTime is how contracts write a moment.
+// contractTime is the time format of contracts.
 const contractTime = "2006-01-02 15:04"
 
 // RouteItem returns a route for ModifyCall.
@@ -31,7 +31,7 @@
 	}
 }
 
-// ModifyCall returns an operator's call that sets services, and routes on one host.
+// ModifyCall returns the body of an operator's call that sets services, and routes on Host.
 func ModifyCall(version int, services []string, routes ...map[string]any) []byte {
 	var groups []map[string]any
 	for _, s := range services {
@@ -46,7 +46,8 @@
 	}})
 }
 
-// ContractCall returns an operator's call that sets a contract, which approves maintenance in a span by UTC. more are further fields.
+// ContractCall returns the body of an operator's call that sets a contract, which approves maintenance from one time to another. more has
+// further fields of the contract.
 func ContractCall(name string, version int, from, to time.Time, more map[string]any) []byte {
 	contract := map[string]any{
 		"Name": name, "ConfigVersion": version, "TimeZone": "UTC", "Approvers": []string{"ana"},
@@ -57,7 +58,7 @@
 	return encode(map[string]any{"Upsert": map[string]any{"ContractList": []any{contract}}})
 }
 
-// encode is the JSON of a call, whose parts can all be encoded.
+// encode returns the JSON of a call, whose encoding can't fail.
 func encode(call any) []byte {
 	text, err := json.Marshal(call)
 	if err != nil {
@@ -66,24 +67,24 @@
 	return text
 }
 
-// Modify sends an operator's call to a member. The status is 0 where there is no answer; the text says why.
+// Modify sends an operator's change to a member. The status is 0 if there was no answer, and the text says why.
 func (x *Machine) Modify(body []byte) (status int, text string) {
 	client := http.Client{Timeout: apiTimeout}
 	return readResponse(client.Post("http://"+x.Addr("ControlPlane")+"/v1/configuration/modify", "application/json", bytes.NewReader(body)))
 }
 
-// Fetch reads the configuration from a member. The status is 0 where there is no answer; the text says why.
+// Fetch reads the configuration from a member. The status is 0 if there was no answer, and the text says why.
 func (x *Machine) Fetch() (status int, text string) {
 	client := http.Client{Timeout: apiTimeout}
 	return readResponse(client.Get("http://" + x.Addr("ControlPlane") + "/v1/configuration/fetch"))
 }
 
-// api calls a member as operators do.
+// api returns a client of a member's operators' API.
 func (x *Machine) api() apiclient.Client {
 	return apiclient.Client{Addr: x.Addr("ControlPlane"), Timeout: apiTimeout}
 }
 
-// CallMaintenance is a call about maintenance at a member, as its leader answers it. The status is 0 where there is no answer.
+// CallMaintenance sends a call about maintenance to a member, which the leader answers. The status is 0 if there was no answer.
 func (x *Machine) CallMaintenance(request controlplane.MaintenanceRequest) (_ controlplane.MaintenanceResponse, status int, text string) {
 	response, err := x.api().Maintenance(request)
 	var rejected *apiclient.StatusError
@@ -96,7 +97,7 @@
 	return response, 0, err.Error()
 }
 
-// readResponse reads a response whole. The status is 0 where there is none; the text says why.
+// readResponse reads a response. The status is 0 if there is none, and the text says why.
 func readResponse(response *http.Response, err error) (status int, text string) {
 	if err != nil {
 		return 0, err.Error()
--- a/internal/mesh/testcluster/cluster.go
+++ b/internal/mesh/testcluster/cluster.go
@@ -1,8 +1,8 @@
-// Package testcluster is a small mesh of real processes on loopback, each machine at an address of its own, with fake application
-// servers beside the sidecars and callers whose records tell what became of every request.
+// Package testcluster runs a small mesh of real processes on loopback. Each machine has its own IP address; fake application servers
+// run beside the sidecars, and servers and callers record the outcome of every request.
 //
-// It owns the processes, their files and the faults that are brought about on them. Tests, benchmarks and the demos of meshctl
-// use it; it must never be part of a program that serves.
+// The package owns the processes, their files and the faults that are injected. It is used by tests, benchmarks and the demos of
+// meshctl, and must never be part of a program that serves traffic.
 package testcluster
 
 import (
@@ -21,48 +21,48 @@
 
 const (
 	heartbeatInterval = 300 * time.Millisecond
-	probeTimeout      = time.Second // of one call that looks whether a sidecar is ready
+	probeTimeout      = time.Second // of one readiness check
 	zoneCount         = 3
 	maxSeeds          = 3
-	firstMemberIP     = 10 // the last part of its address; those of further members follow
+	firstMemberIP     = 10 // last byte of the first member's address; further members count up
 	firstSidecarIP    = 100
 	firstOperatorIP   = 200
 )
 
-// Ports of a machine, as indices of Cluster.ports; a member's transport and a sidecar's are known by different ones.
+// Ports of a machine, as indexes of Cluster.ports. The transports of members and of sidecars have different ports.
 const (
 	portControlPlane     = iota
-	portMemberTransport  // connections to members, as others know them
-	portSidecarTransport // connections to sidecars, as others know them
+	portMemberTransport  // transport of members, the port that other processes connect to
+	portSidecarTransport // transport of sidecars, the port that other processes connect to
 	portOutbound
 	portReadiness
 	portApp
-	portBehindRelay // where a process listens for connections that come through the relay
-	portRelayedAPI  // where the relay takes operators' calls to a member
+	portBehindRelay // transport of a process behind the relay
+	portRelayedAPI  // the relay's port for operators' calls to a member
 	portCount
 )
 
-// transportPorts is the size of the range of ports that a machine is given for its transport.
+// transportPorts is the size of InternalPortRange.
 const transportPorts = 16
 
-// Cluster is all machines of a mesh. It is for one goroutine, but that machines may be called from any.
+// Cluster is all machines of a mesh. It belongs to one goroutine; calls to its machines may be made from any.
 type Cluster struct {
-	Dir      string // of the programs, and of what the machines write
+	Dir      string // of the programs and of the machines' files
 	Members  []*Machine
 	Sidecars []*Machine
 	Recorder *Recorder
 
 	ports     []int
-	subnet    string // the first three parts of all addresses
+	subnet    string // first three bytes of all addresses
 	seeds     []string
 	tolerance int
-	relay     *testfleet.Relay // on the ways between the machines; nil: there is none
-	attempts  atomic.Uint64    // that callers have made
+	relay     *testfleet.Relay // between the machines; nil: none
+	attempts  atomic.Uint64    // number of attempts that callers have made
 }
 
-// New starts a mesh of so many control-plane members, and a sidecar with a server for each service named. It tolerates the loss
-// of one member. dir holds the programs that BuildPrograms makes. What has been started is in the cluster also with an error,
-// for the caller to close.
+// New starts a mesh with a number of control-plane members, and a sidecar with a server for each of some services. It tolerates the
+// loss of one member. dir has the programs from BuildPrograms. The caller has to close the cluster even after an error, because some
+// processes may run.
 func New(dir string, members int, services ...string) (*Cluster, error) {
 	return newCluster(dir, members, 1, services...)
 }
@@ -95,14 +95,14 @@
 	return m, nil
 }
 
-// choosePorts takes ports that are free at this moment, on addresses that nobody else is likely to use.
+// choosePorts chooses ports that are free now, on addresses that other processes are unlikely to use.
 func (m *Cluster) choosePorts() error {
 	for range portCount {
 		l, err := net.Listen("tcp", m.ip(1)+":0")
 		if err != nil {
 			return err
 		}
-		defer l.Close() // only once all are chosen, so that none is chosen twice
+		defer l.Close() // after all are chosen, so that none is chosen twice
 		m.ports = append(m.ports, l.Addr().(*net.TCPAddr).Port)
 	}
 	return nil
@@ -129,7 +129,7 @@
 	}
 }
 
-// AddMember starts another control-plane member. firstStart: it may found a control plane with the others.
+// AddMember starts another control-plane member. firstStart: it may bootstrap a control plane with its seeds.
 func (m *Cluster) AddMember(firstStart bool) (*Machine, error) {
 	n := len(m.Members)
 	x := &Machine{Name: fmt.Sprintf("core-%d", n+1), IP: m.ip(firstMemberIP + n), cluster: m, program: memberProgram, programs: m.Dir}
@@ -145,7 +145,7 @@
 	return x, x.Start()
 }
 
-// AddSidecar starts another sidecar with a server of that service beside it.
+// AddSidecar starts another sidecar, with a server of a service beside it.
 func (m *Cluster) AddSidecar(service string) (*Machine, error) {
 	n := len(m.Sidecars)
 	x := &Machine{Name: fmt.Sprintf("side-%d", n+1), IP: m.ip(firstSidecarIP + n), cluster: m, program: sidecarProgram, programs: m.Dir}
@@ -181,7 +181,7 @@
 	}
 }
 
-// AwaitReady waits until all sidecars that run are ready.
+// AwaitReady waits until all running sidecars are ready.
 func (m *Cluster) AwaitReady(timeout time.Duration) bool {
 	return testfleet.Await(timeout, func() bool {
 		for _, x := range m.Sidecars {
--- a/internal/mesh/testcluster/fakeapp.go
+++ b/internal/mesh/testcluster/fakeapp.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	appSlots           = 8 // requests that a server says it runs at a time
-	appOverload        = 4 // times its slots from which on it rejects requests
+	appSlots           = 8 // concurrent requests that a server announces
+	appOverload        = 4 // multiple of its slots from which on it rejects requests
 	defaultServiceTime = 5 * time.Millisecond
 	heartbeatTimeout   = time.Second
 )
 
-// States that a server says it is in.
+// States in a server's heartbeats.
 const (
 	appReady    = "ready"
 	appDraining = "draining"
 )
 
-// FakeApp is an application server as PROTOCOL.md describes them: it sends heartbeats to the sidecar beside it, answers only for
+// FakeApp is an application server according to PROTOCOL.md: it sends heartbeats to the sidecar beside it, answers only requests for
 // its own instance, and records each run.
 type FakeApp struct {
 	Service, Instance, Addr string
 
-	controlAddr  string // of its sidecar
+	controlAddr  string // address of its sidecar for heartbeats
 	zone         string
 	recorder     *Recorder
 	server       *http.Server
@@ -37,8 +37,8 @@
 	heartbeatSeq atomic.Int64
 	inFlight     atomic.Int64
 	serviceTime  atomic.Int64 // ns
-	broken       atomic.Bool  // it drops the connections of what it runs
-	holdUntil    atomic.Int64 // so many must run at once before any is answered
+	broken       atomic.Bool  // it closes connections instead of answering
+	holdUntil    atomic.Int64 // number of requests that must run at once before any is answered
 }
 
 // newFakeApp starts a server.
@@ -59,22 +59,22 @@
 	return a, nil
 }
 
-// Crash ends the server at once.
+// Crash ends the server at once, without answering.
 func (a *FakeApp) Crash() {
 	close(a.stop)
 	a.server.Close()
 }
 
-// SetServiceTime sets how long a request takes.
+// SetServiceTime sets the run time of a request.
 func (a *FakeApp) SetServiceTime(d time.Duration) { a.serviceTime.Store(int64(d)) }
 
-// SetBroken has it drop the connections of what it runs, or stop doing so.
+// SetBroken sets whether the server runs requests but closes their connections instead of answering.
 func (a *FakeApp) SetBroken(broken bool) { a.broken.Store(broken) }
 
-// HoldUntilConcurrent has it answer nothing until so many requests run at once.
+// HoldUntilConcurrent delays all answers until n requests run at the same time.
 func (a *FakeApp) HoldUntilConcurrent(requests int) { a.holdUntil.Store(int64(requests)) }
 
-// Drain tells the sidecar that it leaves, and says whether that was acknowledged.
+// Drain announces the server's shutdown to the sidecar, and reports whether that was acknowledged.
 func (a *FakeApp) Drain() (acknowledged bool) {
 	a.state.Store(appDraining)
 	return a.sendHeartbeat()
@@ -91,7 +91,7 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat, and says whether it was acknowledged.
+// sendHeartbeat sends one heartbeat, and reports whether it was acknowledged.
 func (a *FakeApp) sendHeartbeat() (acknowledged bool) {
 	body := encode(map[string]any{
 		"Address":    a.Addr,
@@ -136,7 +136,7 @@
 	a.run(w, r)
 }
 
-// reject answers a request that has not run, and says so.
+// reject answers a request without running it, and says so in the answer.
 func reject(w http.ResponseWriter, status int) {
 	w.Header().Set("Not-Executed", "1")
 	w.WriteHeader(status)
@@ -163,8 +163,8 @@
 	if a.broken.Load() {
 		panic(http.ErrAbortHandler)
 	}
-	padding, _ := strconv.Atoi(r.URL.Query().Get("bytes")) // 0 where none is asked for
+	padding, _ := strconv.Atoi(r.URL.Query().Get("bytes")) // 0 if the request does not ask for any
 	w.Header().Set("Server-Seal", sealOf(attempt))
 	text := append([]byte(r.Method+" "+r.RequestURI+" "+a.Instance+" "), body...)
-	_, _ = w.Write(append(text, bytes.Repeat([]byte("x"), padding)...)) // a caller that has gone is no fault of the server's
+	_, _ = w.Write(append(text, bytes.Repeat([]byte("x"), padding)...)) // a caller that has disconnected is not an error
 }
--- a/internal/mesh/testcluster/machine.go
+++ b/internal/mesh/testcluster/machine.go
@@ -19,7 +19,7 @@
 	memberProgram  = "controlplane"
 )
 
-// ProgramNames are the programs that BuildPrograms makes.
+// ProgramNames are the programs that BuildPrograms builds.
 var ProgramNames = []string{sidecarProgram, memberProgram}
 
 // BuildPrograms builds the mesh's programs into a folder.
@@ -33,22 +33,23 @@
 	return nil
 }
 
-// Machine is one machine of the mesh: a sidecar with its server, or a control-plane member.
+// Machine is one machine of the mesh: a sidecar with its server, or a control-plane member. Its files are written by the Cluster's
+// goroutine.
 type Machine struct {
 	Name, IP string
-	Args     []string           // of its program, from its next start on
-	Process  *testfleet.Process // nil: it does not run
-	App      *FakeApp           // of a sidecar
+	Args     []string           // of its program at its next start
+	Process  *testfleet.Process // nil: it is not running
+	App      *FakeApp           // nil on members
 
 	cluster         *Cluster
 	program         string
-	programs        string // the folder of its program
+	programs        string // folder of its program
 	settings        map[string]any
-	listenAddrs     map[string]string // never changed once made
+	listenAddrs     map[string]string // immutable
 	appIncarnations int
 }
 
-// StartApp starts a server beside a sidecar, as a new instance.
+// StartApp starts a server beside a sidecar. It is a new instance each time.
 func (x *Machine) StartApp() (err error) {
 	x.appIncarnations++
 	instance := fmt.Sprintf("i-%s-%d", x.Name, x.appIncarnations)
@@ -57,17 +58,17 @@
 	return err
 }
 
-// setting is one of the settings that are text.
+// setting returns a setting whose value is a string.
 func (x *Machine) setting(name string) string { return x.settings[name].(string) }
 
-// SetSeeds sets the seeds that the machine is told, and writes its file; its program reads that when it will.
+// SetSeeds changes SeedNodes in the machine's settings file. A running program reloads the file on its own, or after SignalReload.
 func (x *Machine) SetSeeds(seeds ...string) error {
 	x.settings["SeedNodes"] = seeds
 	_, err := x.writeSettings()
 	return err
 }
 
-// writeSettings writes the settings as they are now.
+// writeSettings writes the present settings to the settings file.
 func (x *Machine) writeSettings() (file string, err error) {
 	text, err := yaml.Marshal(x.settings)
 	if err != nil {
@@ -77,10 +78,10 @@
 	return file, os.WriteFile(file, text, 0o600)
 }
 
-// UsePrograms names the folder that holds the machine's program from its next start on.
+// UsePrograms sets the folder of the machine's program for its next start.
 func (x *Machine) UsePrograms(dir string) { x.programs = dir }
 
-// Start starts the machine's program, with the settings as they are now, and waits until it listens.
+// Start starts the machine's program with the present settings, and waits until it listens.
 func (x *Machine) Start() error {
 	file, err := x.writeSettings()
 	if err != nil {
@@ -93,7 +94,7 @@
 	return err
 }
 
-// Kill ends the program at once, by SIGKILL.
+// Kill ends the program with SIGKILL.
 func (x *Machine) Kill() {
 	if x.Process != nil {
 		x.Process.Kill()
@@ -101,13 +102,13 @@
 	}
 }
 
-// SignalReload tells the program that its settings have changed.
+// SignalReload sends SIGHUP, so that the program reloads its settings.
 func (x *Machine) SignalReload() error { return x.Process.Cmd.Process.Signal(syscall.SIGHUP) }
 
 // DataDir returns a member's data folder.
 func (x *Machine) DataDir() string { return x.setting("DataDir") }
 
-// WipeDisk removes what a member's disk holds; it must not run.
+// WipeDisk removes a member's data folder. The member must not be running.
 func (x *Machine) WipeDisk() error { return os.RemoveAll(x.DataDir()) }
 
 // Addr returns one of the machine's addresses, by its name in the settings.
--- a/internal/mesh/testcluster/operator.go
+++ b/internal/mesh/testcluster/operator.go
@@ -9,10 +9,10 @@
 	"cranegrade/internal/testfleet"
 )
 
-// operatorTimeout is how long an operator waits for an answer: callers of the control plane move on after a second.
+// operatorTimeout bounds an operator's call. After a second, callers of the control plane try another member.
 const operatorTimeout = time.Second
 
-// Operator calls members through the relay, from an address of its own.
+// Operator calls members through the relay, from its own IP address, so that its paths can be partitioned.
 type Operator struct {
 	IP      string
 	cluster *Cluster
@@ -32,12 +32,12 @@
 	return testfleet.Direction{From: o.IP, To: to.IP}
 }
 
-// Modify sends a change of the configuration. The status is 0 where no answer came; the text says why.
+// Modify sends a change of the configuration. The status is 0 if there was no answer, and the text says why.
 func (o *Operator) Modify(at *Machine, body []byte) (status int, text string) {
 	return readResponse(o.client.Post(o.url(at, "modify"), "application/json", bytes.NewReader(body)))
 }
 
-// Fetch reads the configuration. The status is 0 where no answer came; the text says why.
+// Fetch reads the configuration. The status is 0 if there was no answer, and the text says why.
 func (o *Operator) Fetch(at *Machine) (status int, text string) {
 	return readResponse(o.client.Get(o.url(at, "fetch")))
 }
--- a/internal/mesh/testcluster/recorder.go
+++ b/internal/mesh/testcluster/recorder.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Recorder is what servers and callers saw.
+// Recorder records what servers and callers observe. It is safe for concurrent use.
 type Recorder struct {
 	mu                 sync.Mutex // guards below
 	instancesByAttempt map[string][]string
@@ -13,7 +13,7 @@
 	violations         []string
 }
 
-// NewRecorder returns an empty one.
+// NewRecorder returns an empty Recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{instancesByAttempt: map[string][]string{}, attemptsByKey: map[string][]string{}}
 }
@@ -40,7 +40,7 @@
 	return r.instancesByAttempt[attempt]
 }
 
-// RunsBy returns how many requests an instance has run.
+// RunsBy returns the number of requests that an instance has run.
 func (r *Recorder) RunsBy(instance string) (runs int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +54,7 @@
 	return runs
 }
 
-// Violations returns the rules that were broken, as far as the records tell: keys that ran twice, and what servers and callers noted.
+// Violations returns the violations of the protocol that were recorded: keys that ran twice, and those that servers and callers found.
 func (r *Recorder) Violations() (list []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/mesh/testcluster/relay.go
+++ b/internal/mesh/testcluster/relay.go
@@ -11,18 +11,18 @@
 	"cranegrade/internal/testfleet"
 )
 
-// frameLengthBytes is the size of a frame's length, which stands before it.
+// frameLengthBytes is the size of the length prefix of a frame.
 const frameLengthBytes = 4
 
-// NewRelayed is New with so many losses to be tolerated, and with a relay before the transport of all machines and before the
-// calls of Operators. The cluster closes the relay; its paths are named by the machines' and operators' addresses (PathTo).
+// NewRelayed is like New, but tolerates a given number of losses, and has a relay between all machines and between operators and
+// members. The cluster closes the relay. Paths through the relay are named by the addresses of machines and operators; see PathTo.
 func NewRelayed(dir string, members, tolerance int, services ...string) (*Cluster, *testfleet.Relay, error) {
 	relay := testfleet.NewRelay()
 	m, err := newClusterBehind(dir, members, tolerance, relay, services...)
 	return m, relay, err
 }
 
-// relayMember puts the relay, if there is one, before a member that is about to start.
+// relayMember configures a member, before its start, to be reached through the relay, if there is one.
 func (m *Cluster) relayMember(x *Machine) error {
 	if m.relay == nil {
 		return nil
@@ -33,7 +33,7 @@
 	return m.relay.Listen(x.IP, m.addr(x.IP, portRelayedAPI), x.Addr("ControlPlane"), identifyByAddress)
 }
 
-// relaySidecar puts the relay, if there is one, before a sidecar that is about to start.
+// relaySidecar configures a sidecar, before its start, to be reached through the relay, if there is one.
 func (m *Cluster) relaySidecar(x *Machine) error {
 	if m.relay == nil {
 		return nil
@@ -47,7 +47,7 @@
 	return m.relay.Listen(x.IP, m.addr(x.IP, known), behind, identifyByHello)
 }
 
-// identifyByAddress names who calls by the address that the call comes from.
+// identifyByAddress identifies a caller by the source address of its connection.
 func identifyByAddress(from net.Addr, _ *bufio.Reader) (string, error) {
 	host, _, err := net.SplitHostPort(from.String())
 	return host, err
@@ -55,8 +55,8 @@
 
 var errNoHello = errors.New("a connection begins with no hello")
 
-// identifyByHello names who opens a connection by the address in its first frame; the programs dial from whatever address the
-// kernel gives.
+// identifyByHello identifies a process by the address in the first frame of its connection, because the kernel chooses the source
+// address.
 func identifyByHello(_ net.Addr, first *bufio.Reader) (string, error) {
 	head, err := first.Peek(frameLengthBytes)
 	if err != nil {
@@ -79,7 +79,7 @@
 		return "", errNoHello
 	}
 	host, _, err := net.SplitHostPort(hello.Addr)
-	if err != nil { // an operator's tool, which has no address
+	if err != nil { // an operator's tool has no address
 		return "", nil
 	}
 	return host, nil
--- a/internal/mesh/testcluster/request.go
+++ b/internal/mesh/testcluster/request.go
@@ -8,22 +8,21 @@
 	"time"
 )
 
-// sendTimeout is how long a caller waits for a response, which its time budget (timeBudgetMS) ends before.
+// sendTimeout bounds a caller's wait for a response. It is longer than the time budget of the request (timeBudgetMS).
 const (
 	sendTimeout  = 5 * time.Second
 	timeBudgetMS = "3000"
 )
 
-// Response is what became of a request.
+// Response is the outcome of a request.
 type Response struct {
 	Attempt, Seal, Body string
 	Status              int // 0: no answer
 	RetryAfter          string
-	PolicyTrace         string // the merged policy that it was decided by, and the policy set; "": none
+	PolicyTrace         string // fingerprints of the merged policy and the policy set that applied; "": none
 }
 
-// Send sends one request through a sidecar, with an id of its own, and records what is against the rules in its response.
-// key may be empty.
+// Send sends a request with a new id through a sidecar, and records violations of the protocol in the response. key may be empty.
 func (x *Machine) Send(method, path, key string, body []byte) Response {
 	sent := Response{Attempt: fmt.Sprintf("a%d", x.cluster.attempts.Add(1))}
 	request, err := http.NewRequest(method, "http://"+x.Addr("Outbound")+path, bytes.NewReader(body))
@@ -54,7 +53,7 @@
 	return sent
 }
 
-// checkResponse records what is against the rules in a response. answered is the attempt that it names.
+// checkResponse records violations of the protocol in a response. answered is the attempt that it names.
 func (r *Recorder) checkResponse(sent Response, key, answered string) {
 	isSuccess := sent.Status/100 == 2
 	isRejected := sent.Status == http.StatusServiceUnavailable || sent.Status == http.StatusTooManyRequests
--- a/internal/mesh/topology/collect.go
+++ b/internal/mesh/topology/collect.go
@@ -15,16 +15,16 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// ClientName is by what an operator's tool calls itself on a connection.
+// ClientName is the name that an operator's tool sends when it opens a connection.
 const ClientName = "meshctl"
 
 const (
-	// maxParallelQueries is how many processes are asked at a time.
+	// maxParallelQueries is the number of processes that are asked at the same time.
 	maxParallelQueries = 32
-	// completeHeartbeats is after how many heartbeats a member has announced all that it knows: the first may have been
-	// made before the connection.
+	// completeHeartbeats is the number of heartbeats after which a member has announced everything. It is not 1, because
+	// the first heartbeat may have been created before the connection.
 	completeHeartbeats = 2
-	// directoryTime is the time that records are merged at. It only must not be zero.
+	// directoryTime is the time at which records are merged. Any value other than zero does.
 	directoryTime = time.Second
 )
 
@@ -34,8 +34,8 @@
 	ErrNotMember  = errors.ConstError("not a control-plane member")
 )
 
-// Collect asks a control-plane member for the mesh, by its transport address, and then each process that it names. Those that
-// give no answer before the context ends are Unreachable; an error: the member itself gave none.
+// Collect asks a control-plane member, by its transport address, for the processes of the mesh, and then each of them for its status.
+// Those that do not answer before ctx ends are Unreachable. The error says that the member itself did not answer.
 func Collect(ctx context.Context, addr string) (Topology, error) {
 	t := Topology{AskedMember: addr}
 	heard := &announcements{complete: make(chan struct{})}
@@ -62,7 +62,7 @@
 	return t, nil
 }
 
-// readConfiguration takes the configuration that a majority confirms. Where none does, the topology is without.
+// readConfiguration reads the configuration, confirmed by a majority. If that fails, the topology has no items and routes.
 func (t *Topology) readConfiguration(ctx context.Context, client *transport.Client) {
 	body, err := client.Call(ctx, codec.CallItems, nil)
 	if err != nil {
@@ -77,9 +77,9 @@
 	t.Items, t.Routes, t.PolicyFingerprint = itemVersions(table.Versions()), routesFromItems(list), items.ActiveFingerprint
 }
 
-// announcements are what a member says by itself to whoever connects.
+// announcements collects what a member sends to every new connection.
 type announcements struct {
-	complete chan struct{} // closed once all has been announced
+	complete chan struct{} // closed once everything has been announced
 
 	mu            sync.Mutex // guards below
 	members       *wire.MembersT
@@ -88,7 +88,7 @@
 	heartbeats    int
 }
 
-// handle takes one message of the member.
+// handle handles a message of the member.
 func (a *announcements) handle(message codec.Message) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// await waits until all has been announced.
+// await waits until everything has been announced.
 func (a *announcements) await(ctx context.Context, client *transport.Client) error {
 	select {
 	case <-a.complete:
@@ -124,16 +124,16 @@
 	return a.members, a.directory.All()
 }
 
-// queries asks processes for their status, some at a time.
+// queries asks processes for their status, at most maxParallelQueries at a time.
 type queries struct {
 	running sync.WaitGroup
 	slots   chan struct{}
 
-	mu   sync.Mutex // guards held, and what the functions given to status write
-	held map[string][]ItemVersion
+	mu   sync.Mutex               // guards held and serializes the callbacks of status
+	held map[string][]ItemVersion // items that each process has, by its address
 }
 
-// members asks each member. The list is complete once all queries have ended.
+// members asks each member. The list is filled once running has ended.
 func (q *queries) members(ctx context.Context, list []*wire.MemberT) []Member {
 	members := make([]Member, len(list))
 	for i, m := range list {
@@ -147,7 +147,7 @@
 	return members
 }
 
-// sidecars asks each sidecar. The list is complete once all queries have ended.
+// sidecars asks each sidecar. The list is filled once running has ended.
 func (q *queries) sidecars(ctx context.Context, records []directory.Record) []Sidecar {
 	sidecars := make([]Sidecar, len(records))
 	for i, record := range records {
@@ -159,7 +159,7 @@
 	return sidecars
 }
 
-// status asks one process and calls use with its status, or with why there is none. Calls of use do not overlap.
+// status asks one process, and calls use with its status or with the reason why there is none. Calls of use do not overlap.
 func (q *queries) status(ctx context.Context, addr string, use func(status *wire.StatusT, unreachable string)) {
 	q.running.Go(func() {
 		q.slots <- struct{}{}
--- a/internal/mesh/topology/lag.go
+++ b/internal/mesh/topology/lag.go
@@ -1,6 +1,6 @@
 package topology
 
-// fillLag fills in which process lags behind whom. held is what each process holds, by its address.
+// fillLag sets the lag of each process. held has the items of each process, by its address.
 func (t *Topology) fillLag(held map[string][]ItemVersion) {
 	var latest uint64
 	for _, m := range t.Members {
--- a/internal/mesh/topology/status.go
+++ b/internal/mesh/topology/status.go
@@ -10,7 +10,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// States of a server, as operators see them.
+// States of a server, as shown to operators.
 const (
 	stateNone     = "none"
 	stateReady    = "ready"
@@ -25,7 +25,7 @@
 	directory.ServerDown:     stateDown,
 }
 
-// routeKindNames are the kinds of routes as operators write them.
+// routeKindNames are the kinds of routes, as the configuration names them.
 var routeKindNames = map[routing.Kind]string{
 	routing.AtMostOnce: "non_idempotent",
 	routing.Keyed:      "keyed",
@@ -50,7 +50,7 @@
 	return m
 }
 
-// sidecarFromStatus returns what the directory and a sidecar itself say; without a status what the directory says alone.
+// sidecarFromStatus combines a sidecar's record in the directory with its own status. status may be nil.
 func sidecarFromStatus(record directory.Record, status *wire.StatusT) Sidecar {
 	s := Sidecar{
 		Service:  record.Service,
@@ -96,7 +96,7 @@
 	return items
 }
 
-// routesFromItems returns the routes that are in force, by host and prefix.
+// routesFromItems returns the routes of a configuration, ordered by host and prefix.
 func routesFromItems(items []config.Item) (list []Route) {
 	table, _ := config.Table{}.Merge(items)
 	for _, r := range routing.NewTable(table).Routes() {
--- a/internal/mesh/topology/svg.go
+++ b/internal/mesh/topology/svg.go
@@ -20,9 +20,9 @@
 	routeRowHeight   = 34
 	weightBarWidth   = 220
 	warningRowHeight = 18
-	maxWarnings      = 24 // lines of warnings; the rest is counted
-	oneColumnCards   = 6  // of a zone that is one card wide
-	twoColumnCards   = 24 // of a zone that is two cards wide; beyond that it is three
+	maxWarnings      = 24 // warnings that are listed; the rest is counted
+	oneColumnCards   = 6  // most cards of a zone with one column
+	twoColumnCards   = 24 // most cards of a zone with two columns; larger zones have three
 )
 
 // Styles of texts.
@@ -32,7 +32,7 @@
 	styleHeading = "font-family:sans-serif;font-size:13px;font-weight:bold;fill:#222"
 )
 
-// Fill colours, by how well something is.
+// Fill colours, by state.
 const (
 	fillWell        = "#cfeccf"
 	fillMember      = "#e4ecf6"
@@ -41,10 +41,10 @@
 	fillUnreachable = "#d0d0d0"
 )
 
-// palette tells services apart, and members.
+// palette has the colours by which services, and members, are distinguished.
 var palette = []string{"#4878a8", "#c8743c", "#5a9a58", "#a05a8c", "#8c7a3c", "#3c9a9a", "#b84a4a", "#6a6ab0"}
 
-// colorOf returns the colour of a name among names; grey: it is not among them.
+// colorOf returns the colour of a name among names, or grey if it is not one of them.
 func colorOf(names []string, name string) string {
 	if i := slices.Index(names, name); i >= 0 {
 		return palette[i%len(palette)]
@@ -52,7 +52,7 @@
 	return "#888"
 }
 
-// truncate shortens a text to about so many pixels of small type.
+// truncate shortens a text to about a width in pixels, in small type.
 func truncate(text string, width int) string {
 	runes := []rune(text)
 	if n := max(2, width*2/11); len(runes) > n {
@@ -74,7 +74,7 @@
 	return fillWell
 }
 
-// drawing is a topology on its way to an SVG.
+// drawing is the layout of a topology as SVG.
 type drawing struct {
 	Topology
 	canvas   *svg.SVG
@@ -83,8 +83,8 @@
 	members  []string // their addresses, in order
 	warnings []string
 
-	columns     int // cards beside each other in a zone
-	memberRows  int // of the zone with the most
+	columns     int // of cards in a zone
+	memberRows  int // most members of a zone
 	zoneWidth   int
 	zoneHeight  int
 	zonesTop    int
@@ -112,7 +112,7 @@
 	d.canvas.End()
 }
 
-// newDrawing measures the drawing.
+// newDrawing computes the layout.
 func newDrawing(t Topology, canvas *svg.SVG) *drawing {
 	d := &drawing{Topology: t, canvas: canvas, zones: t.Zones(), services: t.Services(), warnings: t.Warnings(), columns: 1, memberRows: 1}
 	for _, m := range t.Members {
@@ -203,7 +203,7 @@
 	}
 	state := m.summary()
 	if m.Unreachable == "" && m.Fault == "" {
-		state = m.progress() // the role stands in the first line
+		state = m.progress() // the first line has the role
 	}
 	d.canvas.Text(x+8, y+17, truncate(role+m.displayName(), width-44), styleHeading)
 	d.canvas.Text(x+8, y+33, truncate(m.Addr, width-16), styleSmall)
@@ -219,7 +219,7 @@
 	d.canvas.Text(x+10, y+43, truncate(s.cardState(), cardWidth-14), styleSmall)
 }
 
-// cardState returns the state of a sidecar and its server, in few words.
+// cardState returns a short text for the state of a sidecar and its server.
 func (s Sidecar) cardState() string {
 	state := s.State
 	switch {
@@ -250,7 +250,7 @@
 	}
 }
 
-// drawWeights draws a bar that is divided as a route divides its requests.
+// drawWeights draws a bar that is divided by the weights of a route's destinations.
 func (d *drawing) drawWeights(destinations []WeightedService, x, y int) {
 	sum := 0.0
 	for _, w := range destinations {
--- a/internal/mesh/topology/text.go
+++ b/internal/mesh/topology/text.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// WriteReport tells how the mesh is: the warnings first, then every process.
+// WriteReport writes the state of the mesh as text: the warnings first, then every process.
 func (t Topology) WriteReport(w io.Writer) {
 	warnings := t.Warnings()
 	if len(warnings) == 0 {
--- a/internal/mesh/topology/topology.go
+++ b/internal/mesh/topology/topology.go
@@ -1,9 +1,9 @@
-// Package topology is a mesh as a whole: who the control-plane members are and which leads, the sidecars by zone with the servers
-// beside them, the routes, which process holds which version of the configuration, what is unavailable and why. Collect asks a
-// running mesh; a Topology can be saved, and drawn as text, for Graphviz, or as SVG.
+// Package topology is a snapshot of a whole mesh: the control-plane members and their leader, the sidecars by zone with their servers,
+// the routes, which process has which version of the configuration, and what is unavailable and why. Collect takes it from a running
+// mesh; a Topology can be saved, and drawn as text, for Graphviz, or as SVG.
 //
-// It owns the words and pictures in which operators see a mesh. It must never change one: it only reads. All that follows from a
-// Topology (warnings, stale items, drawings) is computed from its fields alone.
+// The package owns the warnings and drawings that operators see. It must never change a mesh: it only reads. Warnings and drawings are
+// computed from the fields of a Topology alone.
 package topology
 
 import (
@@ -11,37 +11,37 @@
 	"strings"
 )
 
-// Topology is what was found out of a mesh.
+// Topology is the state of a mesh as Collect found it. Its JSON is the format of saved topologies.
 type Topology struct {
-	AskedMember        string        `json:"askedMember"`        // its transport address
-	QuorumContact      bool          `json:"quorumContact"`      // of that member: it hears of a leader that a majority follows
+	AskedMember        string        `json:"askedMember"`        // transport address of the member that was asked
+	QuorumContact      bool          `json:"quorumContact"`      // AskedMember knows a leader that a majority follows
 	ConfigurationIndex uint64        `json:"configurationIndex"` // of the members
 	Members            []Member      `json:"members"`
 	Sidecars           []Sidecar     `json:"sidecars"`
 	Routes             []Route       `json:"routes"`
-	Items              []ItemVersion `json:"items"`                       // as a majority confirmed them; empty: it could not
+	Items              []ItemVersion `json:"items"`                       // as a majority confirmed them; empty: it could not be asked
 	PolicyFingerprint  string        `json:"policyFingerprint,omitempty"` // of the active policy set; "": there is none
 }
 
-// Process is what each process says of itself.
+// Process is what every process reports about itself.
 type Process struct {
 	Name          string           `json:"name"`
 	Addr          string           `json:"addr"` // of its transport
 	Zone          string           `json:"zone"`
-	Unreachable   string           `json:"unreachable,omitempty"` // why it gave no answer; "": it did
+	Unreachable   string           `json:"unreachable,omitempty"` // why it could not be asked; "": it answered
 	UptimeS       float64          `json:"uptimeS"`
-	Traffic       []TrafficCounter `json:"traffic,omitempty"` // that it has sent since it started, by message type
+	Traffic       []TrafficCounter `json:"traffic,omitempty"` // sent since its start, by message type
 	QuorumContact bool             `json:"quorumContact"`     // with a majority of members
 	Fault         string           `json:"fault,omitempty"`
-	StaleItems    []ItemVersion    `json:"staleItems,omitempty"` // of which it holds an older version, or none
-	LagEntries    uint64           `json:"lagEntries"`           // of a member: entries that it has not applied and another has
+	StaleItems    []ItemVersion    `json:"staleItems,omitempty"` // items of which it has an older version, or none
+	LagEntries    uint64           `json:"lagEntries"`           // of a member: log entries that another member has applied and it has not
 }
 
 // Member is one control-plane member.
 type Member struct {
 	Process
 	ID           uint64   `json:"id"`
-	IsMember     bool     `json:"isMember"` // it is a voter, and not one that asks to be taken in
+	IsMember     bool     `json:"isMember"` // it is a voter; otherwise it asks to join
 	IsLeader     bool     `json:"isLeader"`
 	LeaderAddr   string   `json:"leaderAddr,omitempty"`
 	Term         uint64   `json:"term"`
@@ -50,21 +50,21 @@
 	Sidecars     []string `json:"sidecars"` // that follow it
 }
 
-// Sidecar is one sidecar and the server beside it.
+// Sidecar is a sidecar and the server beside it.
 type Sidecar struct {
 	Process
 	FollowedMember    string `json:"followedMember,omitempty"`
 	Ready             bool   `json:"ready"`
 	Leaving           bool   `json:"leaving,omitempty"`
-	InMaintenance     bool   `json:"inMaintenance,omitempty"` // its server is out, by hand or by an order
+	InMaintenance     bool   `json:"inMaintenance,omitempty"` // its server was taken out by an operator or a maintenance order
 	Service           string `json:"service"`
 	ServerID          string `json:"serverId,omitempty"`
 	State             string `json:"state"` // of the server
 	StateReason       string `json:"stateReason,omitempty"`
 	Slots             int    `json:"slots"`
 	OpenRequests      int    `json:"openRequests"`                // at its server
-	PolicyFingerprint string `json:"policyFingerprint,omitempty"` // of the set that it goes by
-	Fenced            bool   `json:"fenced,omitempty"`            // it could not confirm that for a while
+	PolicyFingerprint string `json:"policyFingerprint,omitempty"` // of its active policy set
+	Fenced            bool   `json:"fenced,omitempty"`            // it rejects requests because it could not confirm its policy set lately
 }
 
 // IsUnavailable reports whether requests are not sent to its server.
@@ -72,14 +72,14 @@
 	return s.State != stateReady || s.Leaving || s.Unreachable != ""
 }
 
-// TrafficCounter is what a process has sent of one type of messages.
+// TrafficCounter counts what a process has sent of one message type.
 type TrafficCounter struct {
 	MessageType string `json:"messageType"`
 	Frames      int64  `json:"frames"`
 	Bytes       int64  `json:"bytes"`
 }
 
-// ItemVersion is a configuration item's version as a process holds it.
+// ItemVersion is a version of a configuration item.
 type ItemVersion struct {
 	Kind    string `json:"kind"`
 	Name    string `json:"name"`
@@ -87,7 +87,7 @@
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Route is one route as it is in force.
+// Route is a route of the active configuration.
 type Route struct {
 	Name         string            `json:"name"`
 	Host         string            `json:"host"`
