--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// registry stands in for a discovery service that works through calls in turn. A call that has waited for
-// longer than its time-out fails, but is still worked on: nothing tells the service that nobody waits.
+// registry simulates a discovery service that serves calls one by one. A call that has waited longer than its
+// timeout fails, but the service still works on it, because it does not learn of the timeout.
 type registry struct {
 	each, timeout time.Duration
 	free          time.Duration // when all calls so far are worked off
 }
 
-// call is when a call that comes now ends, and whether it is answered.
+// call returns when a call that arrives now ends, and whether it is answered.
 func (r *registry) call(now time.Duration) (time.Duration, bool) {
 	r.free = max(r.free, now) + r.each
 	if r.free-now > r.timeout {
@@ -23,9 +23,9 @@
 	return r.free, true
 }
 
-// TestCallsToDiscoveryAreSpread: copies that lose their subscriptions in the same instant all have new ones
-// within a few times what discovery needs for one call of each. Called at once, or again and again, it
-// works on calls that have failed already and answers none in time.
+// TestCallsToDiscoveryAreSpread: copies that lose their subscriptions at the same time all have new ones within a few
+// times what discovery needs for one call of each. If all called at once, or retried without backoff, discovery
+// would work on calls that have failed already and answer none in time.
 func TestCallsToDiscoveryAreSpread(t *testing.T) {
 	for _, c := range []struct {
 		copies int
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestUntoldServers: what discovery could not tell counts as told after a while. From then on only servers
-// are drawn that have taken a call of this copy since, whatever else that leaves undone.
+// TestUntoldServers: after ToldAfter without discovery, only servers that have accepted a call of this copy since are
+// drawn, even if no server is left.
 func TestUntoldServers(t *testing.T) {
 	const told = 6 * time.Second
 	b := newBalancer(t, func(s *Settings) { s.AskDiscovery, s.ToldAfter = true, told })
@@ -115,7 +115,7 @@
 		attempts[s.ID]++
 		return b.Handle(now, Outcome{ID: s.ID, Attempt: attempts[s.ID] - 1, Server: s.Server, Ending: how, Ended: how == Success})
 	}
-	// Heartbeats say that the list is as it was.
+	// Empty updates show that the list is unchanged.
 	for now := time.Duration(0); now < 20*time.Second; now += 2 * time.Second {
 		b.Handle(now, ServerList{})
 		s := ask(now + 1900*msec)
@@ -153,7 +153,7 @@
 			taken[s.Server] = now
 		}
 	}
-	// Quiet for as long again, nothing proves anything, until discovery is heard.
+	// After the same silence again no server is known to be there, until discovery sends an update.
 	now := last + 30*time.Second
 	if s := ask(now); len(s) != 0 {
 		t.Fatalf("a request goes to %s of which nothing is known", s[0].Server)
@@ -163,8 +163,8 @@
 	}
 }
 
-// TestGarbledNews: a copy whose news came garbled is alone with that, and asks again soon; if it goes on,
-// ever later.
+// TestGarbledNews: after a garbled answer, which concerns this copy alone, it subscribes again soon, with a backoff if
+// that repeats.
 func TestGarbledNews(t *testing.T) {
 	wait := func(b *Balancer, now time.Duration, e ListFailed) time.Duration {
 		for _, a := range b.Handle(now, e) {
@@ -201,9 +201,9 @@
 	}
 }
 
-// TestOverlongCallIsPassedOver: a server at which one of few own calls is out for longer than nearly all are gets no
-// other while there are others, though it still answers some: calls of other copies wait there as well. Where every
-// server has many of ours, some are always long, and say nothing.
+// TestOverlongCallIsPassedOver: a server with few own calls, one of which is overlong, gets no other while there are other
+// servers, even if it answers some: calls of other copies probably wait there, too. If every server has many own
+// calls, some are always overlong and prove nothing.
 func TestOverlongCallIsPassedOver(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,7 +8,7 @@
 	"cranegrade/balancer"
 )
 
-// One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
+// Example passes events to a Balancer: a server list, a request, an attempt that never ran, and its retry's answer.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Disturb gives a Balancer beliefs that it could have come to by some course of events, each wrong by up
-// to a factor of ten.
+// Disturb gives a Balancer estimates that some course of events could have led to, each wrong by up to a factor
+// of ten.
 func (b *Balancer) Disturb(r *rand.Rand) {
 	wrong := func() float64 { return math.Pow(10, 2*r.Float64()-1) }
 	b.window = max(b.window*wrong(), b.serverCalls*b.fairServers())
--- a/balancer/first_test.go
+++ b/balancer/first_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Work that was let in may wait for what ranks higher, so a window filled by others does not hold that back; its own room
-// is bounded all the same. Classes that come later are as those of the settings.
+// Preadmitted classes are not queued when others fill the window, because admitted work may wait for them; their own calls
+// are bounded nevertheless. Classes that are added later behave like those of the settings.
 func TestFirst(t *testing.T) {
 	low := Class{Name: "low", Effect: Idempotent, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}
 	b, err := New(Settings{Classes: []Class{low}, Balancers: 1, MaxAttempts: 2, Tick: time.Millisecond}, 1)
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -21,7 +21,8 @@
 	goldenEvents = 1500
 )
 
-// goldenRun plays drawn events to one balancer and hashes what it does, values only: no name of the code goes in.
+// goldenRun passes random events to one balancer and hashes its actions. Only values are hashed, so that renames in
+// the code do not change the record.
 type goldenRun struct {
 	b       *Balancer
 	random  *rand.Rand
@@ -33,7 +34,7 @@
 	counts  [6]int // actions by kind, so that a run that does nothing shows
 }
 
-// goldenAttempt is a Send whose Outcome is still to come.
+// goldenAttempt is a Send without an Outcome yet.
 type goldenAttempt struct {
 	id, server string
 	number     int
@@ -57,7 +58,7 @@
 	return g
 }
 
-// handle passes an event on and takes note of each action.
+// handle passes an event to the balancer and records each action.
 func (g *goldenRun) handle(e Event) {
 	for _, a := range g.b.Handle(g.now, e) {
 		switch a := a.(type) {
@@ -94,7 +95,7 @@
 	}
 }
 
-// step lets a little time pass and has one thing happen.
+// step advances the time a little and passes one event.
 func (g *goldenRun) step() {
 	g.now += time.Duration(g.random.Int64N(int64(8 * time.Millisecond)))
 	g.timers()
@@ -121,7 +122,7 @@
 
 func (g *goldenRun) server() string { return fmt.Sprintf("s-%02d", g.random.IntN(24)) }
 
-// timers has the wakes that are due come.
+// timers passes the Timers that are due.
 func (g *goldenRun) timers() {
 	left := g.wakes[:0:0]
 	due := g.wakes
@@ -152,7 +153,7 @@
 	g.handle(r)
 }
 
-// outcome ends an attempt that is out, the oldest more often than others.
+// outcome ends an attempt in flight, preferably the oldest.
 func (g *goldenRun) outcome() {
 	if len(g.pending) == 0 {
 		return
@@ -167,7 +168,7 @@
 	g.handle(Outcome{ID: p.id, Attempt: p.number, Server: p.server, Ending: ending, Latency: g.now - p.sentAt, Ended: ending == Success || g.random.IntN(10) == 0, Consumed: g.random.IntN(12) == 0})
 }
 
-// list brings news of some servers, or the whole list.
+// list passes an update of some servers, or the complete list.
 func (g *goldenRun) list() {
 	e := ServerList{Full: g.random.IntN(4) == 0, Cached: g.random.IntN(10) == 0, Operator: g.random.IntN(10) == 0}
 	n := g.random.IntN(4)
@@ -189,7 +190,7 @@
 	g.handle(e)
 }
 
-// The decisions of a balancer are those of the record, bit for bit: what is told, in which order, whom each draw names.
+// The decisions of a balancer are exactly the recorded ones: the actions, their order and the server of each draw.
 func TestDecisionsAreThoseOfTheRecord(t *testing.T) {
 	got := map[string]string{}
 	var counts [6]int
--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// A Balancer that learned from another believes what that one did.
+// A Balancer that learned from another one has the same estimates.
 func TestLearn(t *testing.T) {
 	list := ServerList{Full: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c", StartedAt: 5}}}
 	set := Settings{Classes: []Class{{Name: "x", Effect: Idempotent, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}, Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond}
@@ -60,7 +60,7 @@
 	}
 }
 
-// Whatever it is told, a Balancer keeps its own bounds and goes on serving.
+// Whatever Knowledge has, a Balancer keeps its estimates in range and goes on serving.
 func TestLearnProperty(t *testing.T) {
 	set := Settings{Classes: []Class{{Name: "x", Effect: Idempotent, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}, Balancers: 2, MaxAttempts: 3, Tick: time.Millisecond}
 	rapid.Check(t, func(t *rapid.T) {
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -20,7 +20,7 @@
 	return b, now
 }
 
-// What has gone in part can't be sent again, though its class may run any number of times.
+// A request whose body was partly sent can't be retried, even if its class is idempotent.
 func TestSpentIsNotSentAgain(t *testing.T) {
 	for _, spent := range []bool{false, true} {
 		b, now := longBalancer(t)
@@ -33,8 +33,8 @@
 	}
 }
 
-// An answer that has begun and only takes long to pass on is no call that others wait behind, no sign that its server is
-// silent, and its length no latency; one that is worked on for as long as it lasts goes on counting as a call.
+// A streamed answer that is only transferred is not a call in flight, does not make its server silent, and its duration is
+// not a latency. A streamed answer that the server works on until its end counts as a call until then.
 func TestTransferIsNoCall(t *testing.T) {
 	for _, transfer := range []bool{true, false} {
 		b, now := longBalancer(t)
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A fifth of four rounds to none: without a least of one, a server that fails at once wins every pick.
+// A fifth of four servers rounds to none: without a minimum of one, a server that fails fast would win every pick.
 func TestShortListRulesOneOut(t *testing.T) {
 	for _, n := range []int{2, 3, 4} {
 		b := newBalancer(t, nil)
@@ -29,7 +29,7 @@
 	}
 }
 
-// turnAway sends n requests at once to the only server and has it turn them all away after took.
+// turnAway sends n requests at once to the only server, which refuses all of them after took.
 func turnAway(b *Balancer, n int, took time.Duration) (now time.Duration) {
 	now = b.now + time.Second
 	var l []Send
@@ -75,7 +75,7 @@
 	}
 }
 
-// out is how many calls a balancer lets out at once.
+// out returns how many calls a balancer admits at once.
 func out(b *Balancer, n int) (count int) {
 	for i := range n {
 		count += len(sends(b.Handle(b.now, Request{ID: fmt.Sprint("out", b.now, i), Class: "get", Deadline: b.now + time.Minute})))
@@ -120,7 +120,7 @@
 	}
 }
 
-// Calls at a server that drains are no load on those that are left.
+// Calls at a draining server do not count as load on the other servers.
 func TestDrainedCallsLeaveTheWindow(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Balancers = 1 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(2)})
@@ -136,7 +136,7 @@
 	}
 }
 
-// A server whose calls don't end does not keep another one idle: what it has beyond its part fills no window.
+// A server whose calls do not end does not keep another one idle: its calls beyond its share do not fill the window.
 func TestCrowdAtOneIsNoLoadOnOthers(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Balancers = 1 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
@@ -152,8 +152,8 @@
 	}
 }
 
-// The least latency is that of the servers it was seen at: when half of them leave, it is soon that of those
-// left; while the list stays, a crowd does not change it.
+// The lowest mean latency refers to the servers where it was measured: after half of them leave it soon adapts to the
+// others. While the list is unchanged, an overload does not change it.
 func TestLeastLatencyLeavesWithItsServers(t *testing.T) {
 	bare := func(left int) float64 {
 		b := newBalancer(t, nil)
@@ -180,7 +180,7 @@
 	}
 }
 
-// Calls given up on count for about as long as an answer takes.
+// Abandoned calls count for about as long as an answer takes.
 func TestGhostsFade(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
@@ -218,7 +218,7 @@
 	}
 }
 
-// Made-up names cost no memory, and those who keep asking are kept.
+// Invented tenant names cost bounded memory, and tenants that keep sending are not dropped.
 func TestTenantsAreBounded(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.TenantWeight = 1 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(2)})
@@ -237,8 +237,8 @@
 	}
 }
 
-// One error that a server answers with is often the tier below's, and of a short list a server is a quarter.
-// Time-outs are the server's own, and runs of errors too.
+// A single error answer often comes from the tier below, and one server can be a quarter of the capacity, so it does not
+// eject the server. A timeout or a run of errors does.
 func TestOneErrorEjectsNobody(t *testing.T) {
 	for _, c := range []struct {
 		end  Ending
--- a/balancer/policy_test.go
+++ b/balancer/policy_test.go
@@ -10,7 +10,7 @@
 
 const msec = time.Millisecond
 
-// testSettings has one class of each effect.
+// testSettings returns settings with one class of each effect.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -128,7 +128,7 @@
 	}
 }
 
-// A host rounds times; a timer that comes a fraction early must still lead to an answer in time.
+// Hosts round times: a timer that fires slightly early must still lead to an answer in time.
 func TestHeldRequestIsAnsweredThoughTimersComeEarly(t *testing.T) {
 	b := newBalancer(t, nil)
 	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
@@ -156,8 +156,8 @@
 	return b.Handle(now, Outcome{ID: id, Server: s.Server, Ending: e, Ended: e == Success})
 }
 
-// traffic sends n requests one after another; fate decides how attempts at a server end. It
-// returns how many first tries each server got in the second half.
+// traffic sends n requests one after another; fate decides how attempts at a server end. It returns how many
+// first attempts each server got in the second half.
 func traffic(b *Balancer, n int, class string, fate func(server string) Ending) map[string]int {
 	got := map[string]int{}
 	for i := range n {
@@ -180,7 +180,7 @@
 	return got
 }
 
-// A server that errs at once drains its count; without ejection it would win every draw.
+// A server that fails fast has few calls in flight; without ejection it would win every pick.
 func TestFastErrorsAreEjected(t *testing.T) {
 	for _, e := range []Ending{Failure, Unreachable, Broken} {
 		b := newBalancer(t, nil)
@@ -197,7 +197,7 @@
 	}
 }
 
-// When every server fails alike the trouble is below them: nobody may be starved of calls.
+// When all servers fail equally, the fault is in the tier below: no server may be excluded from calls.
 func TestFailuresEverywhereEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
@@ -207,7 +207,7 @@
 	}
 }
 
-// A machine gone quiet shows nothing but an old unanswered call while others answer.
+// A hung machine shows no other sign than an old unanswered call while others answer.
 func TestSilentServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
@@ -228,7 +228,7 @@
 	}
 }
 
-// After an ejection the first trial must not be a request that cannot be repeated.
+// The first probe after an ejection must not be a request that can't be retried.
 func TestTrialIsNeverUnsafe(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
@@ -242,8 +242,8 @@
 	}
 }
 
-// At full size the copies' subsets must cover all servers about evenly, span the pods, and hold
-// servers of both groups; a list no longer than a subset is drawn from whole.
+// At full size the subsets of all copies must cover the servers about evenly, span the cells and have servers of
+// both groups. A list that is not longer than a subset is used completely.
 func TestSubsetsCoverTheFleetEvenly(t *testing.T) {
 	const copies, fleet = 300, 90
 	list := servers(fleet)
@@ -284,8 +284,8 @@
 	}
 }
 
-// Where the list tells sizes, a server is drawn in proportion; where it does not, or tells a load of
-// a while ago, all alike.
+// Servers are drawn in proportion to their sizes if the list has capacities, and uniformly if it has none, or has
+// outdated loads.
 func TestDrawsFollowRegisteredSizes(t *testing.T) {
 	for kind, want := range map[Sizes]float64{SizesNominal: 3, SizesRough: 3, SizesUnknown: 1, SizesLive: 1} {
 		b := newBalancer(t, func(s *Settings) { s.Sizes = kind })
@@ -308,8 +308,8 @@
 	}
 }
 
-// A server half as quick as its peers is drawn less, though not ejected; one that got heavy requests,
-// as their hints say, is not taken for slow.
+// A server that is half as fast as its peers is drawn less often, but not ejected. One that got expensive requests,
+// according to their hints, does not count as slow.
 func TestDrawsFollowMeasuredSpeed(t *testing.T) {
 	for _, heavy := range []time.Duration{0, 16} {
 		b := newBalancer(t, nil)
@@ -339,7 +339,7 @@
 	}
 }
 
-// A small machine is slower by nature: that is no sign of trouble, and no reason to thin its draw twice.
+// A small machine is slower without being unhealthy, and its draws must not be thinned twice.
 func TestSmallMachinesAreNotTakenForSlow(t *testing.T) {
 	for kind, slow := range map[Sizes]bool{SizesNominal: false, SizesUnknown: true} {
 		b := newBalancer(t, func(s *Settings) { s.Sizes = kind })
@@ -360,8 +360,8 @@
 	}
 }
 
-// A deploy can leave a copy with cold servers only in its subset: while there are warm ones in the list
-// it must go there, or all copies that share the cold ones push them over.
+// A deployment can leave a copy with only cold servers in its subset. While there are warm ones in the list it must
+// use those, or all copies that share the cold ones overload them together.
 func TestWarmStrangersBeforeColdFriends(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Balancers, s.ColdFrom = 100, 0 })
 	list := servers(40)
@@ -388,8 +388,8 @@
 	}
 }
 
-// A server that holds more own calls than the subset's mean, and two at the least, is passed over while
-// others are not; one call never rules a server out, for the comparison is the pick's.
+// A server with more own calls than the subset's mean, and at least two, is skipped while there are others. A single
+// call never excludes a server, because pick compares the counts.
 func TestCrowdedServersArePassedOver(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
@@ -417,8 +417,8 @@
 	}
 }
 
-// Each tier's retries multiply the next one's load: they are earned by successes, and what can be saved
-// up is bounded.
+// The retries of each tier multiply the load of the next one: they are earned by successes, and the budget is
+// bounded.
 func TestRetriesKeepWithinTheirBudget(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
@@ -437,7 +437,7 @@
 	}
 }
 
-// A keyed request that may have run is not sent again once its servers may have forgotten it.
+// A keyed request that may have run is not retried after its servers may have forgotten the key.
 func TestKeyedRequestStaysWithinItsWindow(t *testing.T) {
 	for _, tc := range []struct {
 		at   time.Duration
@@ -469,7 +469,7 @@
 	}
 }
 
-// A server that comes back with a new start time is another one: what was held against it is forgotten.
+// A server that returns with a new start time is another one: its failures are forgotten.
 func TestRestartForgetsTheServersRecord(t *testing.T) {
 	b := newBalancer(t, nil)
 	list := servers(4)
@@ -483,7 +483,7 @@
 	}
 }
 
-// In overload the window must shrink, and never under its floor.
+// In overload the window must shrink, but never below its floor.
 func TestWindowFollowsLatency(t *testing.T) {
 	for _, tc := range []struct {
 		took time.Duration
@@ -510,8 +510,8 @@
 	}
 }
 
-// Crowding is judged against the latency of quiet times: an answer at half the aim is bare work where
-// it always was so, and a crowd where it took an eighth before.
+// Overload is judged against the lowest mean latency: an answer at half the aim is normal if it always took that
+// long, and a sign of overload if it took an eighth before.
 func TestWindowJudgesLatencyByQuietTimes(t *testing.T) {
 	window := func(before, after time.Duration) float64 {
 		b := newBalancer(t, nil)
@@ -534,9 +534,9 @@
 	}
 }
 
-// A thousand copies with one call each are a crowd: where there are many more copies than servers,
-// what a copy has out stays under one on the average, though two may go at once after a rest. A call
-// that timed out is held against it as well, for the server may still work on it.
+// A thousand copies with one call each are an overload: with many more copies than servers, a copy has less than one
+// call in flight on average, though two may be sent at once after a pause. A call that timed out counts as well,
+// because the server may still work on it.
 func TestManyCopiesKeepUnderOneCallEach(t *testing.T) {
 	for _, end := range []Ending{Success, TimedOut} {
 		b := newBalancer(t, func(s *Settings) { s.Balancers, s.MaxAttempts = 100, 1 })
@@ -571,8 +571,8 @@
 	}
 }
 
-// What was sent under a wide window is not owed when the fleet shrinks and the window with it: the
-// copies of incident i587823 refused nearly all for five seconds.
+// Calls sent under a large window leave no pacing debt when the fleet shrinks and the window with it: in incident
+// i587823 the copies rejected nearly all requests for five seconds.
 func TestNothingIsOwedFromAWideWindow(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 1 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
@@ -613,7 +613,7 @@
 	}
 }
 
-// A marked repeat is mostly past its aim already: while there is little room, first tries go first.
+// Most of the aim of a marked client retry has passed: while there is little room, first tries go first.
 func TestFirstTriesGoBeforeRepeats(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
@@ -630,7 +630,7 @@
 	}
 }
 
-// An unmarked repeat shows by a deadline shorter than other tries have.
+// An unmarked client retry is recognized by a shorter deadline than other tries have.
 func TestShortDeadlineTellsARepeat(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
@@ -638,14 +638,14 @@
 	if r := b.requests["first"]; r == nil || r.clientRetry || r.arrived != 0 {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
-	// The repeat's aim of 500 ms ended 100 ms before it came: without a server it is still held.
+	// The retry's aim of 500 ms ended 100 ms before it arrived: without a server it is still queued.
 	r := b.requests["again"]
 	if r == nil || !r.clientRetry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("the repeat was not seen: %+v", r)
 	}
 }
 
-// In overload every server is missed: the more is shed, the fewer may be ruled out for their health.
+// In overload every server is needed: the more is shed, the fewer may be excluded for their health.
 func TestSheddingLeavesMoreServersIn(t *testing.T) {
 	for _, c := range []struct {
 		shed float64
@@ -664,8 +664,8 @@
 	}
 }
 
-// Connection tables filled by other copies refuse at once: a server that refused gets no more own
-// calls than it had, however many others refuse too, and is tried again later.
+// Servers whose connections other copies use up refuse quickly: a server that refused gets no more own calls than it
+// had, however many others refuse, too, and is probed again later.
 func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
@@ -704,8 +704,8 @@
 	}
 }
 
-// Some servers far slower than others are choking, so the window gets leaner while much is shed;
-// servers that are alike are merely busy, and a lean window would leave them partly idle.
+// Servers that are far slower than others are overloaded, so the window gets smaller while much is shed. Equal
+// servers are merely busy, and a smaller window would leave them partly idle.
 func TestWindowIsLeanerWhenServersDiffer(t *testing.T) {
 	window := func(spread float64) float64 {
 		b := newBalancer(t, nil)
@@ -729,7 +729,7 @@
 	}
 }
 
-// A refused client is not sent away for long: it would come back when its aim is mostly over.
+// A rejected client gets a short RetryAfter: after a long one most of its aim would have passed.
 func TestRefusalsBringClientsBackSoon(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, ServerList{Full: true, Servers: servers(2)})
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -18,7 +18,7 @@
 	return b
 }
 
-// What a tenant asks beyond its quota is shed before the others' requests, whichever came first.
+// A tenant's requests beyond its quota are shed before the others' requests, whichever came first.
 func TestQuotaIsServedFirst(t *testing.T) {
 	b := quotas(t)
 	served, asked := map[string]int{}, map[string]int{}
@@ -50,7 +50,7 @@
 	}
 }
 
-// Of two that keep to their quotas, the one of whom less was served goes first, by its weight alone.
+// Of two tenants within their quotas the one served less goes first, because of WorstTenantWeight alone.
 func TestWorstTenantGoesFirst(t *testing.T) {
 	for _, weight := range []float64{0, 0.3} {
 		b := quotas(t)
@@ -64,8 +64,8 @@
 	}
 }
 
-// Where answers show no crowd the window gains far more than the step that it always gains; that of a copy
-// with a call or two gains the step alone.
+// While answers show no overload the window grows much faster than by windowUp alone; the window of a copy with one or
+// two calls grows only by that.
 func TestWindowGrowsByHeadroom(t *testing.T) {
 	gain := func(copies int, window float64, n int) float64 {
 		b := newBalancer(t, func(s *Settings) { s.Balancers = copies })
@@ -87,8 +87,8 @@
 	}
 }
 
-// Whatever the arrivals, no span holds more requests within a quota than its rate and its burst allow, and a
-// tenant that keeps to its rate is never over it.
+// Whatever the arrivals, no period has more requests within a quota than its rate and its burst allow, and a tenant
+// that keeps to its rate is never over it.
 func TestQuotaProperty(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		b := quotas(t)
@@ -123,7 +123,7 @@
 	})
 }
 
-// A hung server's few calls are no crowd, though they raise the plain mean of latency as far.
+// A hung server's few calls do not count as an overload, though they raise the arithmetic mean as much as one.
 func TestHungServerIsNoCrowd(t *testing.T) {
 	window := func(slow time.Duration, every int) float64 {
 		b := newBalancer(t, nil)
@@ -145,7 +145,7 @@
 	}
 }
 
-// What chance makes uneven is no reason to be lean, or shedding keeps itself up.
+// Unevenness by chance does not shrink the window, or shedding would sustain itself.
 func TestChanceIsNoReasonToBeLean(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
--- a/balancer/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -11,8 +11,8 @@
 	"cranegrade/internal/emulator"
 )
 
-// play runs a scenario at 0.9 of the capacity. disturb gives every node wrong estimates as the trigger begins;
-// calm leaves the trigger out.
+// play runs a scenario at 0.9 of the capacity. disturb gives every node wrong estimates when the trigger begins;
+// calm runs it without the trigger.
 func play(t testing.TB, name string, seed uint64, servers int, disturb, calm bool) (emulator.Scenario, *emulator.World) {
 	t.Helper()
 	s, err := emulator.NewScenario(name, seed, servers, 0.9)
@@ -51,9 +51,8 @@
 	return s, w
 }
 
-// recoversWithin is how many mean service times after its trigger an overload may last. What is offered then
-// is 0.9 of the capacity, so a queue of Q service times takes ten Q to be worked off; callers give up after
-// 25 to 30 of them.
+// recoversWithin is how many mean service times an overload may last after its trigger. The offered load is 0.9 of
+// the capacity, so a queue of Q service times takes ten Q to drain; callers give up after 25 to 30 of them.
 const recoversWithin = 200
 
 // TestRecovers holds that no overload outlives its trigger: recoversWithin service times after it, at 0.9 of
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// checker follows the events given to one Balancer and its actions, and notes every broken rule.
-// It shares no code with the module.
+// checker observes the events passed to one Balancer and its actions, and records every violation of a rule. It
+// shares no code with the module.
 type checker struct {
 	set    Settings
 	slack  time.Duration
@@ -165,7 +165,7 @@
 	r.tries = append(r.tries, &tracking{server: a.Server, at: now})
 }
 
-// TestCheckerCanFail gives the checker a trace that breaks each rule.
+// TestCheckerCanFail passes to the checker, for each rule, a trace that violates it.
 func TestCheckerCanFail(t *testing.T) {
 	list := ServerList{Full: true, Servers: []Server{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
@@ -207,7 +207,7 @@
 	}
 }
 
-// run drives a Balancer with random legal events and odd ones, and returns all its actions.
+// run passes random events, valid and unusual ones, to a Balancer, and returns all its actions.
 func run(t testing.TB, set Settings, seed uint64, steps int, c *checker) (log []string, b *Balancer) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	b, err := New(set, seed)
@@ -383,8 +383,8 @@
 	}
 }
 
-// Cold budget: 12 copies send to 6 servers of which one is fresh, at three quarters of capacity.
-// What all send it in any FallFor must stay under FallMultiple times what it can do then.
+// Slow start: 12 copies send to 6 servers, one of which is new, at three quarters of the capacity. The load that all
+// send to it in any FallFor must stay below FallMultiple times its capacity at that time.
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	set := testSettings()
 	set.Tier = 1
--- a/balancer/server_list_test.go
+++ b/balancer/server_list_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestListNewsProperty: whatever news come, the ready servers, their groups and the subset are those
-// that the whole list, sorted anew, would give, and nothing is kept of servers that have gone.
+// TestListNewsProperty: after any updates the ready servers, their groups and the subset are those of the complete
+// list, sorted again, and no state is kept of servers that have gone.
 func TestListNewsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{
@@ -102,7 +102,7 @@
 	})
 }
 
-// BenchmarkListNews is news of one server: its cost grows far less than the list.
+// BenchmarkListNews measures an update of one server, whose cost grows far less than the list.
 func BenchmarkListNews(bench *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
--- a/balancer/spares_test.go
+++ b/balancer/spares_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Spares are named only where they are asked for and only for safe classes: other warm, ready servers,
-// each once; and naming them changes nothing of what is known of attempts.
+// Spares are named only if the settings ask for them, and only for idempotent classes: other warm, ready servers, each
+// once. Naming them does not change the state of attempts.
 func TestSpares(t *testing.T) {
 	class := func(name string, e Effect) Class {
 		return Class{Name: name, Effect: e, Scope: ScopeAll, Window: time.Minute, Aim: time.Second, Deadline: time.Second, Worth: 1}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A copy that is told another place goes over to what it would have had from the start: subset, rations and calls.
-// What it has learned stays.
+// After a Fleet event a copy has the subset, shares and limits that it would have had with these values from the start. What
+// it has learned stays.
 func TestFleet(t *testing.T) {
 	list := func(n int) (l []Server) {
 		for i := range n {
@@ -47,7 +47,7 @@
 	if q.rate != 5 || q.available > q.burst {
 		t.Errorf("a quota of 100 over 20 is %v with room for %v of %v", q.rate, q.available, q.burst)
 	}
-	// No share at all: nothing comes in, and what had piled up may not be spent.
+	// Without a share no tokens accrue, and saved ones can't be used.
 	b.Handle(3*time.Second, Fleet{Balancers: 10, Index: 3, Divisor: math.Inf(1)})
 	b.Handle(13*time.Second, Fleet{Balancers: 10, Index: 3, Divisor: math.Inf(1)})
 	if q.refill(14 * time.Second); q.available != 0 {
@@ -56,7 +56,7 @@
 	if got := b.slowStartLimit(0.5); got != 1 {
 		t.Errorf("a cold server gets %v calls at a time of a copy with no share, 1 is the least", got)
 	}
-	// Nor does what is cut off for a while come in afterwards for that while.
+	// Tokens do not accrue afterwards for the time without a share.
 	b.Handle(20*time.Second, Fleet{Balancers: 10, Index: 3, Divisor: 10})
 	if q.refill(20 * time.Second); q.available > 1e-9 {
 		t.Errorf("room for %v at once after a time without a share", q.available)
