--- a/internal/mesh/api/api_test.go
+++ b/internal/mesh/api/api_test.go
@@ -13,7 +13,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// serve has a handler answer a body.
+// serve passes a request with a body to a handler.
 func serve(handler http.HandlerFunc, body io.Reader) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	handler(w, httptest.NewRequest(http.MethodPost, "/path", body))
@@ -63,7 +63,7 @@
 	assert.Equal(t, serve(echo, strings.NewReader("as it is")).Body.String(), "as it is")
 }
 
-// slowBody is a body that comes only after some time.
+// slowBody is a request body that arrives after some time.
 type slowBody struct {
 	io.Reader
 	delay time.Duration
@@ -74,7 +74,7 @@
 	return b.Reader.Read(p)
 }
 
-// The time that a request is given runs from when its body has come in full.
+// The timeout of a request begins when its body is complete.
 func TestSlowBodyTakesNoTimeFromTheHandler(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	handler := NewHandler(20, timeout, func(ctx context.Context, _ *http.Request, _ RawBody) (Empty, error) {
@@ -87,14 +87,14 @@
 	assert.Equal(t, w.Code, http.StatusOK)
 }
 
-// A small request has its time, and a large one more of it in proportion.
+// A small request has the base timeout, and a large one more in proportion to its size.
 func TestTimeoutFor(t *testing.T) {
 	assert.Equal(t, TimeoutFor(time.Second, 0), time.Second)
 	assert.Equal(t, TimeoutFor(time.Second, 1000), time.Second+4*time.Millisecond)
 	assert.Equal(t, TimeoutFor(time.Second, 4<<20), time.Second+16777216*time.Microsecond)
 }
 
-// A caller that is redirected follows with the same call: the answer says where, and is no other redirect.
+// A redirected caller repeats the same call: the status is 307, and Location has the address.
 func TestRedirect(t *testing.T) {
 	const target = "http://10.0.0.4:8080/path"
 	handler := NewHandler(20, time.Minute, func(context.Context, *http.Request, RawBody) (Empty, error) { return Empty{}, Redirect(target) })
--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -18,7 +18,7 @@
 
 const testTimeout = 20 * time.Second
 
-// runCommand runs a command and gives its exit code and what it printed.
+// runCommand runs a command and returns its exit code and output.
 func runCommand(t *testing.T, args ...string) (code int, text string) {
 	t.Helper()
 	var out bytes.Buffer
@@ -26,14 +26,14 @@
 	return code, out.String()
 }
 
-// commandTest is a command, its exit code and a part of what it prints.
+// commandTest is a command with its expected exit code and a part of its output.
 type commandTest struct {
 	code int
 	want string
 	args []string
 }
 
-// run runs the command, and once more with --json where it succeeds and has such a form.
+// run runs the command, and once more with --json if it succeeds and supports that.
 func (x commandTest) run(t *testing.T, hasJSON bool) {
 	t.Helper()
 	code, text := runCommand(t, x.args...)
@@ -45,7 +45,7 @@
 	assert.Assert(t, json.Valid([]byte(text)), "%v: %s", x.args, text)
 }
 
-// commandsTest is a running mesh that commands are tried on.
+// commandsTest is a running mesh on which commands are tested.
 type commandsTest struct {
 	*testcluster.Cluster
 	dir       string
@@ -65,7 +65,7 @@
 	return &commandsTest{Cluster: cluster, dir: dir, api: cluster.Members[0].Addr("ControlPlane"), transport: cluster.Members[0].Process.Addr}
 }
 
-// path is that of a file in the test's folder.
+// path returns the path of a file in the test's folder.
 func (m *commandsTest) path(name string) string { return filepath.Join(m.dir, name) }
 
 func (m *commandsTest) write(t *testing.T, name, text string) string {
@@ -81,7 +81,7 @@
 	return m.write(t, file, string(testcluster.ModifyCall(version, services, route)))
 }
 
-// Every command against a running mesh: what it prints, as text and as JSON, and its exit code.
+// Every command is run against a mesh: its output, as text and as JSON, and its exit code are as expected.
 func TestCommands(t *testing.T) {
 	m := startCommandsTest(t)
 	call := m.routeCall(t, "call.json", 3, []string{"stock", "orders"}, "read", "stock")
@@ -94,7 +94,7 @@
 	assert.Assert(t, len(m.Recorder.Violations()) == 0, "%v", m.Recorder.Violations())
 }
 
-// testStart has the first configuration applied, and awaits that all is well.
+// testStart applies the first configuration, and waits until status has no warnings.
 func (m *commandsTest) testStart(t *testing.T, call string) {
 	t.Helper()
 	var code int
@@ -154,7 +154,7 @@
 	}
 }
 
-// testPolicy has namespaces' policies judged before they are sent, agreed on, activated, explained, and told to whom they concern.
+// testPolicy checks policies of namespaces before they are sent, commits, activates and explains them, and prints the notices.
 func (m *commandsTest) testPolicy(t *testing.T) {
 	t.Helper()
 	namespaces := m.write(t, "namespaces.json", `{"Upsert":{"NamespaceList":[`+
@@ -200,7 +200,7 @@
 	}
 }
 
-// testDrain looks for the server that was taken out by hand: it is told so, is not sent to, and comes back.
+// testDrain takes a server out of service: status shows it, it gets no requests, and it is put back.
 func (m *commandsTest) testDrain(t *testing.T) {
 	t.Helper()
 	code, text := runCommand(t, "status", m.transport)
@@ -216,7 +216,7 @@
 	}))
 }
 
-// testFaults tells a member that is frozen, and a sidecar that is gone, apart from those that are well.
+// testFaults freezes a member and kills a sidecar: status warns about them and about no other process.
 func (m *commandsTest) testFaults(t *testing.T) {
 	t.Helper()
 	frozen := m.Members[2].Process
@@ -229,7 +229,7 @@
 	assert.Assert(t, code == 1 && strings.Contains(text, "! sidecar side-2 does not answer"), text)
 }
 
-// testDisk reads a member's disk, at rest.
+// testDisk reads the disk of a stopped member.
 func (m *commandsTest) testDisk(t *testing.T) {
 	t.Helper()
 	stopped := m.Members[1]
--- a/internal/mesh/cli/docs_test.go
+++ b/internal/mesh/cli/docs_test.go
@@ -15,19 +15,19 @@
 	"cranegrade/internal/testfleet"
 )
 
-// pollPause is the time between two attempts at what is to happen soon.
+// pollPause is the interval at which a condition is polled.
 const pollPause = 100 * time.Millisecond
 
-// documentedPages are the operators' pages whose commands are run.
+// documentedPages are the pages for operators whose commands are run.
 var documentedPages = []string{"mesh.md", "maintenance.md", "rules.md", "teams.md"}
 
 var (
-	// documentedCommand is a command on an indented line of a page; what it does stands two spaces behind it.
+	// documentedCommand matches a command on an indented line of a page. Two spaces separate it from its description.
 	documentedCommand = regexp.MustCompile(`^    meshctl ((?:\S+ )*?\S+)(?:   *\S.*)?$`)
 	optionalPart      = regexp.MustCompile(`\[([^\]]*)\]`)
 )
 
-// documentedCommands are the commands of a page, each with and without its optional parts.
+// documentedCommands returns the commands of a page, each with and without its optional parts.
 func documentedCommands(t *testing.T, page string) (commands []string) {
 	t.Helper()
 	text, err := os.ReadFile("../../../docs/" + page)
@@ -48,7 +48,7 @@
 	return commands
 }
 
-// Each command that the operators' pages show is one that meshctl knows, and gets an answer from a running mesh.
+// Each command on the pages for operators is known to meshctl, and gets an answer from a running mesh.
 func TestDocumentedCommands(t *testing.T) {
 	m := startCommandsTest(t)
 	change := m.routeCall(t, "change.json", 3, []string{"stock", "orders"}, "read", "stock")
@@ -75,7 +75,7 @@
 	}
 }
 
-// runDocumented runs a command with its placeholders filled in. Scenes of demos are only looked up: package demo plays them.
+// runDocumented runs a command with values for its placeholders. Demos are only looked up, because package demo's tests run them.
 func runDocumented(t *testing.T, args []string, values map[string]string) {
 	t.Helper()
 	for i, arg := range args {
@@ -93,7 +93,7 @@
 	assert.Assert(t, code == ExitOK || code == ExitRejected, "%v: %d %s", args, code, text)
 }
 
-// abortRepeatedly aborts the order that a command follows, which would wait for approved hours else, until it is stopped.
+// abortRepeatedly aborts the order that a command follows, until it is stopped. Otherwise the order would wait for approved hours.
 func abortRepeatedly(t *testing.T, values map[string]string) (stop func()) {
 	t.Helper()
 	done, ended := make(chan struct{}), make(chan struct{})
--- a/internal/mesh/cli/former_test.go
+++ b/internal/mesh/cli/former_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// A command of the release before does what it did and says what it is called now; it is not listed.
+// A command of the previous release works, prints its present name, and is not listed in the help.
 func TestFormerNames(t *testing.T) {
 	for _, x := range []struct {
 		name string
@@ -36,7 +36,7 @@
 	}
 }
 
-// Commands by today's names say nothing of former ones.
+// Commands under their present names print no warning.
 func TestTodaysNames(t *testing.T) {
 	for _, args := range [][]string{
 		{"logs", "127.0.0.1:1"},
@@ -49,7 +49,7 @@
 	}
 }
 
-// An unknown subcommand is a fault of the command line.
+// An unknown subcommand is a usage error.
 func TestUnknownSubcommand(t *testing.T) {
 	for _, args := range [][]string{{"maintenance", "nonsense"}, {"policy", "nonsense"}, {"demo", "nonsense"}, {"policy"}, {"night"}} {
 		code, text := runCommand(t, args...)
--- a/internal/mesh/daemon/daemon_test.go
+++ b/internal/mesh/daemon/daemon_test.go
@@ -20,7 +20,7 @@
 	validFile   = "NodeName: one\nIpAddress: 10.0.0.1\nInternalPortRange: [7380, 7395]\n"
 )
 
-// fakeRole runs until it is told to end, and passes on settings that it is given.
+// fakeRole runs until its context ends, and forwards the settings that it receives.
 type fakeRole struct {
 	reloaded chan settings.Settings
 	err      error // Run ends with it at once
--- a/internal/mesh/daemon/oncall_test.go
+++ b/internal/mesh/daemon/oncall_test.go
@@ -23,10 +23,10 @@
 	oncallPage = repository + "/docs/ONCALL.md"
 )
 
-// loggedLevels are the methods of zerolog.Logger that begin a line which the page has to explain.
+// loggedLevels are the methods of zerolog.Logger that begin a log line that the page has to explain.
 var loggedLevels = map[string]string{"Warn": "warn", "Error": "error", "Fatal": "fatal", "Panic": "panic"}
 
-// The page has a heading "### `message` (level)" for each log line of level warn and above, and for none besides.
+// The page has a heading "### `message` (level)" for each log line of level warn and above, and no others.
 func TestOncallPageExplainsEachLogLine(t *testing.T) {
 	var logged []string
 	for _, file := range sourceFiles(t, "internal/mesh", "cmd/sidecar", "cmd/controlplane") {
@@ -63,7 +63,7 @@
 	}
 }
 
-// warningTexts are the phrases of the functions of package topology that word a warning.
+// warningTexts returns the phrases in the functions of package topology that return warnings.
 func warningTexts(t *testing.T) (texts []string) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(repository, "internal/mesh/topology/warnings.go"), nil,
@@ -77,7 +77,7 @@
 	return texts
 }
 
-// phrases are the string literals of a function that say something, without the colon before a reason.
+// phrases returns the string literals of a function that are texts, without the colon before a reason.
 func phrases(t *testing.T, function *ast.FuncDecl) (phrases []string) {
 	t.Helper()
 	ast.Inspect(function, func(node ast.Node) bool {
@@ -103,7 +103,7 @@
 	return string(page)
 }
 
-// headings are the log lines that the page explains, as "message (level)".
+// headings returns the log lines that the page explains, as "message (level)".
 func headings(t *testing.T) (lines []string) {
 	t.Helper()
 	for _, match := range regexp.MustCompile("(?m)^### `([^`]+)` (\\([a-z]+\\))$").FindAllStringSubmatch(readPage(t), -1) {
@@ -135,7 +135,7 @@
 	return files
 }
 
-// logLines are the log lines of a file, as "message (level)". A message has to be a literal, so that it can be searched for.
+// logLines returns the log lines of a file, as "message (level)". A message has to be a literal, so that it can be searched for.
 func logLines(t *testing.T, file *ast.File) (lines []string) {
 	t.Helper()
 	ast.Inspect(file, func(node ast.Node) bool {
@@ -161,7 +161,8 @@
 	return lines
 }
 
-// chainLevel is the level that a chain of zerolog calls begins with, as in log.Error().Err(err); "": it is below warn, or no such chain.
+// chainLevel returns the level that a chain of zerolog calls begins with, as in log.Error().Err(err). It is empty for levels below warn
+// and for other expressions.
 func chainLevel(expression ast.Expr) string {
 	for {
 		call, ok := expression.(*ast.CallExpr)
@@ -179,7 +180,7 @@
 	}
 }
 
-// exitCodes are the values of constants whose names begin with exit, in packages that may have them.
+// exitCodes returns the values of constants whose names begin with exit, in packages that may have them.
 func exitCodes(t *testing.T, directories ...string) (codes []string) {
 	t.Helper()
 	exist := slices.DeleteFunc(directories, func(directory string) bool {
--- a/internal/mesh/directory/table_test.go
+++ b/internal/mesh/directory/table_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Records of one sidecar are merged in every order, one of them twice: the newest of the latest incarnation holds, and a server is
-// warm when its first record said, not later.
+// Records of one sidecar are merged in every order, one of them twice: the newest one of the latest incarnation wins, and the end of a
+// server's slow start is that of its first record.
 func TestMergeInEveryOrder(t *testing.T) {
 	const warmup = 3 * time.Second
 	draining := Record{Addr: "a", Incarnation: 1, Sequence: 2, ServerID: "s1", State: ServerDraining, Warmup: warmup}
--- a/internal/mesh/history/checkers_test.go
+++ b/internal/mesh/history/checkers_test.go
@@ -52,7 +52,7 @@
 	return Synced{At: at, Index: index, Tolerance: 1, Counted: []uint64{1, 2, 3}, Disks: disks}
 }
 
-// checkerCases has, for each checker, histories that keep its promise and histories that break it.
+// checkerCases has, for each checker, histories that satisfy its property and histories that violate it.
 var checkerCases = []struct {
 	checker string
 	name    string
@@ -263,8 +263,8 @@
 	},
 }
 
-// All checkers run over each history: the one whose promise is broken must find it, and none may find anything in a history that keeps
-// the promise.
+// All checkers run over each history: the checker of the violated property must find the violation, and none may find anything in a
+// valid history.
 func TestCheckers(t *testing.T) {
 	for _, c := range checkerCases {
 		t.Run(c.checker+": "+c.name, func(t *testing.T) {
@@ -286,7 +286,7 @@
 	}
 }
 
-// Every checker has a history above that keeps its promise and one that breaks it.
+// Every checker has a history above that satisfies its property and one that violates it.
 func TestEveryCheckerHasBothCases(t *testing.T) {
 	all := []string{
 		CheckLinearizable, CheckUniqueContent, CheckRepeatedChange, CheckMonotonicVersions, CheckStaleRead, CheckAtMostOnce,
@@ -308,7 +308,7 @@
 	}
 }
 
-// An item whose search is not over in time is told as undecided, never as kept.
+// An item whose search times out is reported as undecided, never as valid.
 func TestUndecidedIsTold(t *testing.T) {
 	var h History
 	for n := range int64(40) {
--- a/internal/mesh/history/reference_test.go
+++ b/internal/mesh/history/reference_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-// reach is how far the beginning and end of a call are from the moment at which it takes effect, at most.
+// reach is the longest time between the moment at which a call takes effect and its beginning or end.
 const reach = 100 * time.Millisecond
 
-// reference is a mesh that keeps every promise: each call takes effect as a whole, at one moment between its beginning and its end.
-// The moments rise with now.
+// reference is a model of a correct mesh: each call takes effect atomically, at one moment between its beginning and its end. The moments
+// rise with now.
 type reference struct {
 	t       *rapid.T
 	h       History
@@ -35,7 +35,7 @@
 	return Call{Process: process, Begin: r.now - before, Return: r.now + after, Outcome: outcome}
 }
 
-// change sends a new change or one that was sent before. Its answer may be lost whether or not it was accepted.
+// change sends a new change, or one that was sent before. Its answer may be lost, whether or not it was accepted.
 func (r *reference) change() {
 	var items []ItemVersion
 	if len(r.h.Changes) > 0 && rapid.Bool().Draw(r.t, "again") {
@@ -75,7 +75,7 @@
 	return true
 }
 
-// read returns the current items. Deleted ones are in it or missing.
+// read returns the current items. Deleted ones may be included as tombstones or missing.
 func (r *reference) read() (all []ItemVersion) {
 	for _, item := range sortedItems(r.current) {
 		if v := r.current[item]; !v.Deleted || rapid.Bool().Draw(r.t, "tell dropped") {
@@ -141,7 +141,7 @@
 	r.concurrent()
 }
 
-// concurrent lets several calls happen that overlap.
+// concurrent makes several calls that overlap.
 func (r *reference) concurrent() {
 	steps := []func(){r.change, r.change, r.fetch, r.fetch, r.initialTable, r.run, r.commitMembers, r.catchUp}
 	for range rapid.IntRange(1, 4).Draw(r.t, "at once") {
--- a/internal/mesh/idempotency/golden_test.go
+++ b/internal/mesh/idempotency/golden_test.go
@@ -18,7 +18,7 @@
 	goldenRequests = 4000
 )
 
-// goldenRun is what one seed's requests came to.
+// goldenRun is the result of the requests of one seed.
 type goldenRun struct {
 	Seed     uint64 `json:"seed"`
 	Granted  int    `json:"granted"`
@@ -28,8 +28,8 @@
 	Hash     string `json:"hash"` // over each result and, now and then, all leases
 }
 
-// TestGolden plays drawn requests by seed and compares the results and the leases with the record under testdata. The hashes
-// are over values alone, so that they outlast any renaming. After a change that is meant: go test -run TestGolden -update.
+// TestGolden applies random requests, by seed, and compares the results and the leases with the record under testdata. The hashes are
+// over values alone, so that renames do not change them. After an intended change: go test -run TestGolden -update.
 func TestGolden(t *testing.T) {
 	var runs []goldenRun
 	for seed := range uint64(goldenSeeds) {
@@ -38,7 +38,7 @@
 	goldenrecord.AssertFile(t, runs, " ")
 }
 
-// playGolden plays one seed. Now and then the store is restored from its leases, as after a restart.
+// playGolden applies the requests of one seed. Sometimes it restores the store from its leases, as after a restart.
 func playGolden(seed uint64) goldenRun {
 	random := rand.New(rand.NewPCG(seed, 0x901d))
 	sum := sha256.New()
@@ -74,7 +74,7 @@
 	return run
 }
 
-// drawRequest is a request for one of a few keys, by one of a few tokens.
+// drawRequest returns a random request for one of a few keys by one of a few tokens.
 func drawRequest(random *rand.Rand, keys, tokens int) LeaseRequest {
 	return LeaseRequest{
 		Key:     fmt.Sprint("key-", random.IntN(keys)),
--- a/internal/mesh/idempotency/store_test.go
+++ b/internal/mesh/idempotency/store_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAllOrdersOfRequests plays all orders of a few requests for one key, repeated ones among them: a lease goes to another holder
-// only where the first gave it back or its request went on to the next server.
+// TestAllOrdersOfRequests applies a few requests for one key, including duplicates, in all orders: a lease goes to another holder only
+// after the first holder released it, or as its request went on to the next server.
 func TestAllOrdersOfRequests(t *testing.T) {
 	requests := []LeaseRequest{
 		{Key: "k", Token: "a", Attempt: 0, Holder: "x", Window: time.Minute},
@@ -75,8 +75,8 @@
 	assert.Equal(t, restored.Len(), 1, "expired leases are removed")
 }
 
-// TestAttemptsOfOneToken shows that a later attempt takes the lease over from an earlier one and never the other way round, whoever
-// holds it, and that only the attempt that holds the lease can release it.
+// TestAttemptsOfOneToken: a later attempt takes the lease over from an earlier one and never the other way round, whoever holds it; only
+// the attempt that holds the lease can release it.
 func TestAttemptsOfOneToken(t *testing.T) {
 	lease := LeaseRequest{Key: "k", Token: "a", Attempt: 1, Holder: "x", Window: time.Minute}
 	for _, test := range []struct {
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestDefaultWindow shows that a request without a window, as earlier versions send it, holds its key for defaultWindow, whether or
-// not the store is swept meanwhile.
+// TestDefaultWindow: a request without a window, as earlier versions send it, has its lease for defaultWindow, whether or not the store
+// is swept meanwhile.
 func TestDefaultWindow(t *testing.T) {
 	store := New()
 	assert.Assert(t, store.Apply(time.Second, LeaseRequest{Key: "k", Token: "a", Holder: "x"}).Granted)
@@ -117,7 +117,7 @@
 	assert.Assert(t, store.Apply(defaultWindow+time.Second+1, other).Granted)
 }
 
-// TestFullStoreGrantsNothing shows that a full store names nobody as the holder, and is swept before it refuses.
+// TestFullStoreGrantsNothing: a full store names no holder in its refusal, and is swept before it refuses.
 func TestFullStoreGrantsNothing(t *testing.T) {
 	store := New()
 	for n := range MaxLeases {
--- a/internal/mesh/logring/logring_test.go
+++ b/internal/mesh/logring/logring_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newTestRing returns a ring whose clock stands at *now.
+// newTestRing returns a ring whose clock shows *now.
 func newTestRing() (ring *Ring, out *bytes.Buffer, now *time.Time) {
 	out, now = &bytes.Buffer{}, new(time.Time)
 	*now = time.Unix(1_000, 0)
--- a/internal/mesh/memberselection/golden_test.go
+++ b/internal/mesh/memberselection/golden_test.go
@@ -15,13 +15,13 @@
 const (
 	goldenSeeds  = 64
 	goldenEvents = 2000
-	// goldenStaleShare is one event in so many that names a connection which has been closed.
+	// goldenStaleShare: one in so many events names a connection that has been closed.
 	goldenStaleShare = 8
 )
 
-// goldenRun draws events for one selector and hashes every action and every answer that it gives, in order. What is hashed are
-// values only (times, numbers, addresses), so that a rename of identifiers or a reworded reason leaves the record as it is:
-// reasons count by the order in which they first appear.
+// goldenRun passes random events to one selector and hashes all its actions and answers in order. Only values are hashed (times, numbers,
+// addresses), so that renamed identifiers or reworded reasons do not change the record: a reason is represented by the order in which
+// it first appears.
 type goldenRun struct {
 	rng      *rand.Rand
 	selector *Selector
@@ -42,7 +42,7 @@
 	return g
 }
 
-// record takes the actions and hashes them with what the selector answers now.
+// record takes the actions and hashes them together with the selector's present answers.
 func (g *goldenRun) record() {
 	for _, a := range g.selector.TakeActions() {
 		text := fmt.Sprint(a.Reason)
@@ -74,7 +74,7 @@
 	}
 }
 
-// drawID draws a connection: mostly one that is open, now and then any that ever was.
+// drawID draws a connection: usually an open one, sometimes any that ever existed.
 func (g *goldenRun) drawID() ConnID {
 	if len(g.open) == 0 || g.rng.IntN(goldenStaleShare) == 0 {
 		return g.seen[g.rng.IntN(len(g.seen))]
@@ -82,7 +82,7 @@
 	return g.open[g.rng.IntN(len(g.open))]
 }
 
-// drawTime lets time pass: to the selector's own time for half of the events, by up to 200 ms for the others.
+// drawTime advances the time: to the selector's next tick for half of the events, by up to 200 ms for the others.
 func (g *goldenRun) drawTime() {
 	at := g.now + time.Duration(g.rng.Int64N(int64(200*time.Millisecond)))
 	if next := g.selector.NextTick(); g.rng.IntN(2) == 0 && next < g.now+time.Minute {
@@ -129,8 +129,8 @@
 	return l
 }
 
-// The same events give the same actions as when testdata/golden.json was written. Written anew with -update, which only a change
-// of behaviour justifies.
+// The same events give the same actions as when testdata/golden.json was recorded. Only an intended change of behaviour justifies a new
+// record, with -update.
 func TestGoldenActions(t *testing.T) {
 	record := map[string]string{}
 	for seed := range uint64(goldenSeeds) {
--- a/internal/mesh/memberselection/selector_test.go
+++ b/internal/mesh/memberselection/selector_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, len(s.open), 1)
 }
 
-// The silence after which a member is left, to the nanosecond: with requests that wait and without.
+// The silence after which a member is left is exact to the nanosecond, with and without waiting requests.
 func TestSilentMemberIsLeft(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -86,7 +86,7 @@
 	assert.Assert(t, s.connTo("a") != 0)
 }
 
-// A member that has lost its leader is kept until another one has a leader; requests are refused once the grace is over.
+// A member that has lost its leader is kept until another one has a leader; requests are rejected after the grace period.
 func TestLeaderlessMemberIsKeptUntilReplaced(t *testing.T) {
 	s := newFollowingShell(t)
 	s.advanceTo(100 * ms)
@@ -118,8 +118,8 @@
 	assert.Equal(t, s.connTo("a"), ConnID(0))
 }
 
-// When the followed connection ends, the others are dialed at once, and its address again after a backoff that grows and is
-// bounded.
+// When the followed connection ends, the other addresses are dialed at once, and its own address again after a bounded exponential
+// backoff.
 func TestFollowedConnectionCloses(t *testing.T) {
 	s := newFollowingShell(t)
 	s.advanceTo(50 * ms)
@@ -151,8 +151,8 @@
 	assert.Equal(t, s.followed, ConnID(0))
 }
 
-// The members told last are dialed, also where no seed is right any more, and a followed member that is none any more stays until
-// it is left.
+// The members of the latest list are dialed, even if no seed is valid any more. A followed member that is no longer a member is kept
+// until it is left for another reason.
 func TestMembersReplaceSeeds(t *testing.T) {
 	s := newFollowingShell(t)
 	s.selector.SetMembers(s.now, 5, []string{"d", "e"})
@@ -192,8 +192,8 @@
 	assert.Equal(t, len(s.open), 1)
 }
 
-// Random events keep the rules that shell.applyActions checks; while no member is followed every address is dialed again soon, and
-// the same events give the same actions.
+// Random events never violate the invariants that shell.applyActions checks; while no member is followed every address is dialed again
+// soon; and the same events give the same actions.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
 		assert.DeepEqual(t, playRandomEvents(t, seed), playRandomEvents(t, seed))
--- a/internal/mesh/memberselection/shell_test.go
+++ b/internal/mesh/memberselection/shell_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// shell carries out a selector's actions as a sidecar does, with connections that are only noted. It checks after each step that no
-// address is dialed twice at a time, that one member at the most is followed, and that the selector is not due at once again.
+// shell carries out a selector's actions like a sidecar, with connections that it only records. After each step it checks that no address
+// has two connections, that at most one member is followed, and that the next tick is in the future.
 type shell struct {
 	t          *testing.T
 	selector   *Selector
@@ -30,7 +30,7 @@
 	return s
 }
 
-// newFollowingShell follows a, which has a leader and is confirmed.
+// newFollowingShell returns a shell that follows the member a, which has a leader and whose table is confirmed.
 func newFollowingShell(t *testing.T) *shell {
 	s := newShell(t, "a", "b", "c")
 	s.firstMessage("a")
@@ -70,7 +70,7 @@
 	}
 }
 
-// advanceTo lets time pass up to a time, with the ticks that are due.
+// advanceTo advances the time, with all ticks that are due until then.
 func (s *shell) advanceTo(at time.Duration) {
 	for s.selector.NextTick() <= at {
 		s.now = s.selector.NextTick()
@@ -101,7 +101,7 @@
 	s.applyActions()
 }
 
-// message has the followed member send anything.
+// message passes any message of the followed member.
 func (s *shell) message() {
 	s.selector.MessageReceived(s.now, s.followed, s.now)
 	s.applyActions()
--- a/internal/mesh/operations/history_test.go
+++ b/internal/mesh/operations/history_test.go
@@ -14,8 +14,8 @@
 	return Operation{Version: version, Digest: DigestOf([]byte(content)), LogTime: time.Duration(version) * time.Second}
 }
 
-// TestClassify shows that a history classifies operations whatever the order in which they were accepted, and that those which may have
-// been forgotten are Unknown, not New.
+// TestClassify: a history classifies operations whatever the order in which they were accepted, and those that may have been forgotten
+// are Unknown, not New.
 func TestClassify(t *testing.T) {
 	var h *History
 	for _, version := range []int64{5, 2, 9} {
@@ -42,14 +42,14 @@
 	assert.Equal(t, classify(8, "x"), New)
 }
 
-// TestDigestOf shows that the same bytes in other parts have another digest.
+// TestDigestOf: the same bytes in other parts have another digest.
 func TestDigestOf(t *testing.T) {
 	assert.Assert(t, DigestOf([]byte("ab"), []byte("c")) != DigestOf([]byte("a"), []byte("bc")))
 	assert.Assert(t, DigestOf([]byte("abc")) != DigestOf([]byte("abc"), nil))
 	assert.Equal(t, DigestOf([]byte("abc")), DigestOf([]byte("abc")))
 }
 
-// TestEncode shows that a history is decoded as it was encoded, and that other bytes are refused.
+// TestEncode: decoding an encoded history gives the same history, and other bytes are refused.
 func TestEncode(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -81,7 +81,7 @@
 	assert.Assert(t, errors.Is(err, ErrEncoding))
 }
 
-// TestForgettingInAnyOrder shows that nothing up to the highest version that was forgotten is New, whichever was forgotten first.
+// TestForgettingInAnyOrder: no version up to the highest one that was forgotten is New, whichever was forgotten first.
 func TestForgettingInAnyOrder(t *testing.T) {
 	for _, order := range [][]int64{{2, 5}, {5, 2}} {
 		h := (*History)(nil).With(operation(2, "x")).With(operation(5, "x")).With(operation(9, "x"))
--- a/internal/mesh/operations/planted_test.go
+++ b/internal/mesh/operations/planted_test.go
@@ -6,7 +6,7 @@
 	"cranegrade/internal/testkit/mutation"
 )
 
-// TestPlantedErrors shows that each error in what is remembered of operations is found by a test of this package.
+// TestPlantedErrors is a mutation test: each planted error in histories must be found by a test of this package.
 func TestPlantedErrors(t *testing.T) {
 	mutation.Run(t, []mutation.Mutation{
 		{
--- a/internal/mesh/retrybudget/budget_test.go
+++ b/internal/mesh/retrybudget/budget_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// event is a request, or a retry that was allowed.
+// event is a request or an allowed retry.
 type event struct {
 	at    time.Duration
 	retry bool
 }
 
-// randomEvents has a budget count random requests and retries, and returns those that were sent.
+// randomEvents passes random requests and retries to a budget, and returns those that were sent.
 func randomEvents(random *rand.Rand, budget *Budget) (events []event) {
 	const end, meanPause, maxLull = 60 * time.Second, 40 * time.Millisecond, 4 * time.Second
 	for now := time.Duration(0); now < end; {
@@ -33,7 +33,7 @@
 	return events
 }
 
-// countIn counts the requests, or the retries, from one time to another, both included.
+// countIn counts the requests or the retries between two times, both included.
 func countIn(events []event, retry bool, from, to time.Duration) (count float64) {
 	for _, e := range events {
 		if e.retry == retry && e.at >= from && e.at <= to {
@@ -43,8 +43,8 @@
 	return count
 }
 
-// However requests and retries fall, a sidecar that uses half of the ratio keeps the whole ratio in every window, wherever it begins:
-// the requests are those of that window, of the one before it or of the one half a window before, whichever has most.
+// Whatever the times of requests and retries, a sidecar that is given half of the ratio keeps the whole ratio in every window, wherever
+// that begins. The requests are those of that window, of the one before it or of the one half a window before, whichever has most.
 func TestRatioHoldsInEveryWindow(t *testing.T) {
 	for seed := range uint64(15) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -72,9 +72,9 @@
 	}
 }
 
-// Retries of callers multiply retries of those they call: with every attempt failing, three services in a row and three attempts
-// each, one request makes 27 calls of the last service. The budget at each level bounds the calls by a power of the ratio,
-// beside the minimum of retries; a ratio of its own bounds a route further.
+// Retries at several levels multiply: if every attempt fails, with three services in a row and three attempts each, one request leads to
+// 27 calls of the last service. A budget at each level bounds the calls by a power of the ratio, apart from the minimum of retries. A
+// route's own ratio bounds them further.
 func TestRetriesOfRetriesAreBounded(t *testing.T) {
 	const depth, attempts, requests = 3, 3, 20_000
 	callsOfLast := func(ratio, minRetries float64) (calls int) {
@@ -108,7 +108,7 @@
 	for _, ratio := range []float64{0.1, 0.2, 0} {
 		limit := requests * math.Pow(1+ratio, depth)
 		calls := float64(callsOfLast(ratio, 3))
-		// The minimum counts anew in each window, and is multiplied from level to level.
+		// The minimum applies to each window, and is multiplied from level to level.
 		margin := 3 * 2 * depth * math.Pow(1+ratio, depth) * (requests/10_000 + 1)
 		assert.Assert(t, calls <= limit+margin && calls >= requests, "%g: %g calls, limit %g and margin %g", ratio, calls, limit, margin)
 	}
--- a/internal/mesh/routing/table_test.go
+++ b/internal/mesh/routing/table_test.go
@@ -66,7 +66,7 @@
 	assert.Equal(t, NewTable(table).Match("h.example", "/a/b/c").Name, "all")
 }
 
-// Each route type of the configuration has its kind, and back.
+// Each route type of the configuration is converted to its kind and back.
 func TestKindNames(t *testing.T) {
 	for kind := AtMostOnce; kind <= Download; kind++ {
 		assert.Equal(t, kindOf(kind.String()), kind)
--- a/internal/mesh/settings/settings_test.go
+++ b/internal/mesh/settings/settings_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// A process listens where it was told to, and is known by the address of its settings all the same.
+// A process listens at the address from its command line, while others know it by the address of its settings.
 func TestTransportListenAddress(t *testing.T) {
 	s := parseExample(t)
 	known := s.MemberAddress("")
--- a/internal/mesh/topology/svg_test.go
+++ b/internal/mesh/topology/svg_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// drawingDirEnv names a folder that the drawings of TestDrawingShowsEverything are written to, to look at.
+// drawingDirEnv is the environment variable with a folder for the drawings of TestDrawingShowsEverything, for inspection.
 const drawingDirEnv = "TOPOLOGY_DRAWINGS"
 
-// What a topology shows at 16 and at 80 machines: every machine, route and warning is in the picture, and nothing lies beyond it.
+// The drawing of 16 and of 80 machines has every machine, route and warning, and nothing outside its borders.
 func TestDrawingShowsEverything(t *testing.T) {
 	for _, sidecars := range []int{13, 77} {
 		sample := sampleTopology(sidecars)
@@ -39,7 +39,7 @@
 	}
 }
 
-// sampleTopology is a mesh of so many sidecars with some of them unavailable.
+// sampleTopology returns a mesh with a number of sidecars, some of them unavailable.
 func sampleTopology(sidecars int) Topology {
 	t := Topology{
 		AskedMember: "10.1.0.42:7380", QuorumContact: true, ConfigurationIndex: 5,
