--- a/internal/mesh/testcluster/catchup_test.go
+++ b/internal/mesh/testcluster/catchup_test.go
@@ -18,7 +18,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// What happens while a member is away, and how it catches up.
+// Amount of changes while a member is down, and the links on which it catches up.
 const (
 	changesWhileAway     = 1000
 	claimsWhileAway      = 3500    // entries of the log, each of several keys; with the changes more than the log keeps
@@ -30,7 +30,7 @@
 	maxHeartbeatGap      = 1500 * time.Millisecond // that heartbeats may wait behind a snapshot
 )
 
-// catchUpBound is the bound: twice the time that everything takes on the link, and some for elections and a busy machine.
+// catchUpBound is twice the transfer time of all data over the link, and a margin for elections and a busy machine.
 func catchUpBound(keys int) time.Duration {
 	bytes := keys*maxKeyBytes + changesWhileAway*maxChangeBytes
 	return 2*time.Duration(bytes)*time.Second/slowLinkRate + catchUpSlack
@@ -47,9 +47,9 @@
 	return n
 }
 
-// A member is away for a thousand changes and thousands of keys, comes back behind links of 2 Mbit/s, and the leader is lost while
-// it catches up. The one that is left leads on, in contact and without another election, until the member has all, which it has
-// within the bound; the member itself does not lead before.
+// A member is down for a thousand changes and thousands of keys, returns behind links of 2 Mbit/s, and the leader is lost while it catches
+// up. The remaining member leads, in contact and without another election, until the member has caught up, which it does within the
+// bound; the member itself does not lead before.
 func TestCatchUpOverSlowLinks(t *testing.T) {
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
 	seen, ana := newObserver(), m.Operator(0)
@@ -97,7 +97,7 @@
 	m.assertNoViolations(t)
 }
 
-// applyManyChanges has a thousand changes of fifty routes acknowledged, by eight operators at once.
+// applyManyChanges makes a thousand changes of fifty routes, by eight operators at once, and waits until all are acknowledged.
 func (o *observer) applyManyChanges(t *testing.T, m *Cluster, at *Machine) {
 	t.Helper()
 	const operators, routes = 8, 50
@@ -121,7 +121,7 @@
 	assert.Assert(t, !t.Failed())
 }
 
-// claimKeys has keys granted, as a sidecar claims them.
+// claimKeys requests leases of keys as a sidecar does, and waits until they are granted.
 func claimKeys(t *testing.T, at *Machine, keys int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
--- a/internal/mesh/testcluster/concurrent_operators_test.go
+++ b/internal/mesh/testcluster/concurrent_operators_test.go
@@ -16,7 +16,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// modifyAttempt is a change of one of two operators, and how it was answered.
+// modifyAttempt is a change of one of two operators, and its answers.
 type modifyAttempt struct {
 	route    string
 	version  int
@@ -24,10 +24,10 @@
 	statuses []int
 }
 
-// key names the route and its version, of which each operator wants another content.
+// key identifies the route and version, for which each operator has another content.
 func (a *modifyAttempt) key() string { return fmt.Sprint(a.route, " ", a.version) }
 
-// send sends the change to a member and notes the answer.
+// send sends the change to a member and records the answer.
 func (a *modifyAttempt) send(x *Machine) int {
 	status, _ := x.Modify(ModifyCall(a.version, nil, RouteItem(a.route, "idempotent", "/"+a.route+"/", a.service, a.version)))
 	a.statuses = append(a.statuses, status)
@@ -45,7 +45,7 @@
 	return status
 }
 
-// isFinal says that an answer ends a call of the operator at once.
+// isFinal reports whether an answer is final, so that the operator does not retry.
 func isFinal(status int) bool { return status == http.StatusOK || status >= 400 && status < 500 }
 
 const (
@@ -53,12 +53,12 @@
 	competingRounds  = 6
 )
 
-// competingServices is what each of two operators wants the routes to go to.
+// competingServices are the destinations that the two operators set.
 var competingServices = []string{"stock", "orders"}
 
-// Two operators, eight changes in flight each, every one sent again at other members until it has a final answer, while members
-// are killed, once all of them; then all changes are sent once more to every member. No version has two contents acknowledged,
-// one that was acknowledged is acknowledged again, and one that was rejected is not.
+// Two operators have eight changes in flight each and retry each one at other members until it has a final answer, while members are
+// killed, once all of them. Then all changes are sent once more to every member. No version has two acknowledged contents; changes that
+// were acknowledged are acknowledged again, and changes that were rejected are not.
 func TestConcurrentOperatorsRetry(t *testing.T) {
 	m := startCluster(t, "stock", "orders")
 	var all []*modifyAttempt
@@ -86,7 +86,7 @@
 	m.assertNoViolations(t)
 }
 
-// competingRound has both operators send their changes of the same routes and versions, while members are killed in some rounds.
+// competingRound makes both operators send their changes of the same routes and versions. In some rounds members are killed meanwhile.
 func (m *Cluster) competingRound(t *testing.T, round int) (attempts []*modifyAttempt) {
 	t.Helper()
 	for n := range competingChanges {
@@ -117,8 +117,8 @@
 	return attempts
 }
 
-// acknowledgedServices is what was acknowledged for each route and version. It checks that each change has a final answer, and that
-// no version was acknowledged for both operators.
+// acknowledgedServices returns the acknowledged destination for each route and version. It checks that each change has a final answer, and
+// that no version was acknowledged for both operators.
 func acknowledgedServices(t *testing.T, attempts []*modifyAttempt) map[string]string {
 	t.Helper()
 	services := map[string]string{}
@@ -132,8 +132,8 @@
 	return services
 }
 
-// testOutdatedChangeIsRejectedWhole sends a call of a new route and of a content of race-0's version 2 that was not the
-// acknowledged one, though newer versions are in force: nothing of it is.
+// testOutdatedChangeIsRejectedWhole sends a call with a new route and with a content of race-0's version 2 that is not the acknowledged
+// one, after newer versions became active: no part of the call takes effect.
 func (m *Cluster) testOutdatedChangeIsRejectedWhole(t *testing.T, acknowledged string) {
 	t.Helper()
 	loser := competingServices[0]
@@ -153,7 +153,7 @@
 	}
 }
 
-// serviceOf is where a route sends requests, as the member shows it; "": there is no such route.
+// serviceOf returns the destination of a route according to a member, or "" if there is no such route.
 func (x *Machine) serviceOf(t *testing.T, route string) string {
 	t.Helper()
 	var document config.Document
--- a/internal/mesh/testcluster/disk_loss_test.go
+++ b/internal/mesh/testcluster/disk_loss_test.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// diskLossTest is a mesh whose members are lost one after the other, each within what the mesh tolerates.
+// diskLossTest is a mesh whose members are lost one after the other, always within the tolerated number of losses.
 type diskLossTest struct {
 	cluster   *Cluster
 	relay     *testfleet.Relay
@@ -32,7 +32,7 @@
 	return r
 }
 
-// writeDurable has a change acknowledged and a key answered, which are to survive.
+// writeDurable makes a change and a keyed request, whose results must survive.
 func (r *diskLossTest) writeDurable(t *testing.T, at ...*Machine) {
 	t.Helper()
 	r.version++
@@ -41,8 +41,8 @@
 	r.observer.awaitAcknowledged(t, r.operator, newRouteChange(key, "kept", r.version, fmt.Sprintf("/kept-%d/", r.version)), at...)
 }
 
-// assertSurvives checks that the members named come back without help: each shows all that was acknowledged, changes go on, and
-// keys are answered as they were, without a second run.
+// assertSurvives checks that members recover without help: each has all acknowledged changes, new changes are possible, and repeated keys
+// get the first answers, without a second run.
 func (r *diskLossTest) assertSurvives(t *testing.T, at ...*Machine) {
 	t.Helper()
 	for _, x := range at {
@@ -56,8 +56,7 @@
 	r.cluster.assertNoViolations(t)
 }
 
-// awaitMembersComplete waits until the members named are the voters, with the disks that they have now, and each has all that the
-// leader has.
+// awaitMembersComplete waits until some members, with their present disks, are the voters, and each has everything that the leader has.
 func (r *diskLossTest) awaitMembersComplete(t *testing.T, of ...*Machine) {
 	t.Helper()
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
@@ -78,7 +77,7 @@
 	}), "the members are not complete")
 }
 
-// wipeAndRestart has a member lose its disk at once and start again.
+// wipeAndRestart kills a member, wipes its disk and starts it again.
 func (x *Machine) wipeAndRestart(t *testing.T) {
 	t.Helper()
 	x.Kill()
@@ -86,10 +85,10 @@
 	assert.NilError(t, x.Start())
 }
 
-// diskLossDelay is the time from the SIGTERM of one member to the loss of another's disk.
+// diskLossDelay is the time from the SIGTERM of one member to the loss of another member's disk.
 const diskLossDelay = 50 * time.Millisecond
 
-// terminate tells a member to end, and gives what waits for that.
+// terminate sends SIGTERM to a member, and returns a function that waits for its end.
 func (x *Machine) terminate(t *testing.T) (ended func()) {
 	t.Helper()
 	p := x.Process
@@ -100,7 +99,7 @@
 	}
 }
 
-// A member is told to shut down, and starts again with its disk; 50 ms after it was told so another loses its disk.
+// A member gets SIGTERM, and starts again with its disk; 50 ms after the signal another member loses its disk.
 func TestDiskLossDuringRestart(t *testing.T) {
 	r := newDiskLossTest(t)
 	restarts := r.cluster.awaitLeader(t)
@@ -114,8 +113,8 @@
 	r.assertSurvives(t, r.cluster.Members...)
 }
 
-// One member loses its disk, then another is replaced for good by one at a new address, then the third loses its disk, each once the
-// one before is a voter again: all that is left was written to the disks that are left by replication alone.
+// One member loses its disk, then another is replaced by one at a new address, then the third loses its disk, each after the previous one
+// is a voter again. All data on the remaining disks was then written there by replication alone.
 func TestDiskLossesAroundReplacement(t *testing.T) {
 	r := newDiskLossTest(t)
 	a, b, c := r.cluster.Members[0], r.cluster.Members[1], r.cluster.Members[2]
@@ -133,7 +132,7 @@
 	r.assertSurvives(t, a, c, added)
 }
 
-// The leader is killed while a replacement of another member catches up over a slow link, and comes back with its disk.
+// The leader is killed while the replacement of another member catches up over a slow link, and returns with its disk.
 func TestLeaderKilledDuringReplacement(t *testing.T) {
 	r := newDiskLossTest(t)
 	lead := r.cluster.awaitLeader(t)
@@ -162,7 +161,7 @@
 	r.assertSurvives(t, lead, stays, fresh)
 }
 
-// A member that is to leave for good, its successor being there, ends; 50 ms after it was told so another loses its disk.
+// A member leaves for good while its successor is running; 50 ms after its SIGTERM another member loses its disk.
 func TestDiskLossDuringDeparture(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		t.Run(fmt.Sprint("the leader leaves: ", leads), func(t *testing.T) {
--- a/internal/mesh/testcluster/failover_bench_test.go
+++ b/internal/mesh/testcluster/failover_bench_test.go
@@ -16,7 +16,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// failoverTrialsEnv names the variable that holds how many trials BenchmarkFailover makes of each fault.
+// failoverTrialsEnv is the environment variable with the number of trials of each fault in BenchmarkFailover.
 const failoverTrialsEnv = "FAILOVER_TRIALS"
 
 const (
@@ -67,7 +67,7 @@
 	return at, func() error { leader.Process.Resume(); return nil }
 }
 
-// restartAll kills all members together and starts them again after a while: the time counts from that start.
+// restartAll kills all members together and starts them again after a while. The measured time begins with that start.
 func restartAll(m *Cluster, _ *Machine) (time.Time, func() error) {
 	var all sync.WaitGroup
 	for _, x := range m.Members {
@@ -83,7 +83,7 @@
 	return at, func() error { return nil }
 }
 
-// failoverBench measures trials on one mesh.
+// failoverBench runs trials on one mesh and records the measured times.
 type failoverBench struct {
 	cluster   *Cluster
 	keys      atomic.Int64
@@ -99,13 +99,13 @@
 	return f
 }
 
-// outcome is a probe's: when it was begun and answered, as steady times.
+// outcome is a probe's beginning and end, on the monotonic clock.
 type outcome struct {
 	began, ended time.Time
 	succeeded    bool
 }
 
-// trial brings the fault about under probes and records how long each kind of them went without success.
+// trial injects the fault while probes run, and records how long each kind of probe had no success.
 func (f *failoverBench) trial(bring func(*Cluster, *Machine) (time.Time, func() error)) error {
 	leader := f.cluster.awaitSettled(recoverTimeout)
 	if leader == nil {
@@ -152,7 +152,7 @@
 	return grants, changes
 }
 
-// record keeps the spans of a trial.
+// record records the times of a trial.
 func (f *failoverBench) record(at time.Time, grants, changes []*probe) {
 	first, _ := earliestSuccess(grants, at)
 	f.add("grant", first.Sub(at))
@@ -187,7 +187,7 @@
 	Leader  uint64 `json:"leader_id"`
 }
 
-// firstLogged is the earliest line of any process's log with that message since a time.
+// firstLogged returns the earliest log line of any process with a message since a time.
 func (f *failoverBench) firstLogged(since time.Time, message string, is func(logLine) bool) (first time.Time, found bool) {
 	for _, x := range append(slices.Clone(f.cluster.Members), f.cluster.Sidecars...) {
 		if x.Process == nil {
@@ -207,7 +207,7 @@
 	return first, found
 }
 
-// report tells the median and the 99th in 100 of each span, in milliseconds.
+// report reports the median and the 99th percentile of each time, in milliseconds.
 func (f *failoverBench) report(b *testing.B) {
 	for name, spans := range f.durations {
 		slices.Sort(spans)
@@ -219,8 +219,8 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// diskProbe syncs a small file again and again beside the trials: a member can't grant what its disk does not take, so a stall
-// of the machine's disk is told apart from one of the mesh.
+// diskProbe syncs a small file repeatedly during the trials. A member can't grant a lease before its disk has synced it, so this shows
+// whether a stall is caused by the machine's disk or by the mesh.
 type diskProbe struct {
 	stop chan struct{}
 	all  sync.WaitGroup
@@ -267,7 +267,7 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// probe tries one thing again and again, open loop.
+// probe repeats one operation, open loop.
 type probe struct {
 	mu       sync.Mutex // guards outcomes
 	outcomes []outcome
@@ -296,7 +296,7 @@
 	return p
 }
 
-// firstSuccessAfter is when the first of the tries that were begun after a time had succeeded.
+// firstSuccessAfter returns the end of the first successful try that began after a time.
 func (p *probe) firstSuccessAfter(at time.Time) (first time.Time, is bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -308,7 +308,7 @@
 	return first, is
 }
 
-// counts are the tries begun since a time that have ended, and how many of them without success.
+// counts returns the number of tries that began since a time and have ended, and how many of them failed.
 func (p *probe) counts(at time.Time) (asked, refused int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/mesh/testcluster/helpers_test.go
+++ b/internal/mesh/testcluster/helpers_test.go
@@ -14,10 +14,10 @@
 	"cranegrade/internal/testfleet"
 )
 
-// testTimeout is how long a test waits for what is to happen soon.
+// testTimeout bounds the wait for an expected condition.
 const testTimeout = 20 * time.Second
 
-// programsDir holds the programs that all tests start.
+// programsDir is the folder of the programs that all tests start.
 var programsDir string
 
 func TestMain(m *testing.M) {
@@ -35,7 +35,7 @@
 	os.Exit(code)
 }
 
-// linkPrograms is a new folder with the programs of another one.
+// linkPrograms returns a new folder with links to the programs of another one.
 func linkPrograms(t *testing.T, from string) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -45,7 +45,7 @@
 	return dir
 }
 
-// closeAfter closes a cluster with the test, and shows its processes' logs if that has failed.
+// closeAfter closes a cluster at the end of the test, and prints its processes' logs if the test has failed.
 func closeAfter(t *testing.T, m *Cluster) {
 	t.Helper()
 	if m == nil {
@@ -64,13 +64,13 @@
 	})
 }
 
-// startCluster starts a mesh of real processes with two services and three routes.
+// startCluster starts a mesh of three members, with a sidecar and a server for each of some services, and applies three routes.
 func startCluster(t *testing.T, services ...string) *Cluster {
 	t.Helper()
 	return startPrograms(t, programsDir, services...)
 }
 
-// startPrograms is startCluster with the programs of a folder.
+// startPrograms is like startCluster, with the programs of a folder.
 func startPrograms(t *testing.T, from string, services ...string) *Cluster {
 	t.Helper()
 	m, err := New(linkPrograms(t, from), 3, services...)
@@ -80,8 +80,8 @@
 	return m
 }
 
-// applyInitialRoutes has the first configuration acknowledged, an idempotent route and a keyed one beside those named, and waits
-// until the sidecars are ready.
+// applyInitialRoutes applies the first configuration, which has an idempotent route and a keyed one in addition to the given ones, and
+// waits until the sidecars are ready.
 func (m *Cluster) applyInitialRoutes(t *testing.T, more ...map[string]any) {
 	t.Helper()
 	routes := []map[string]any{RouteItem("read", "idempotent", "/read/", "stock", 1), RouteItem("send", "keyed", "/send/", "orders", 1)}
@@ -89,13 +89,13 @@
 	assert.Assert(t, m.AwaitReady(testTimeout), "the sidecars are not ready")
 }
 
-// applyRoutes has routes acknowledged by whichever member does, and gives that one.
+// applyRoutes sends routes to the members in turn until one acknowledges them, and returns that member.
 func (m *Cluster) applyRoutes(t *testing.T, version int, routes ...map[string]any) *Machine {
 	t.Helper()
 	return m.awaitAcknowledged(t, m.Members, ModifyCall(version, []string{"stock", "orders"}, routes...))
 }
 
-// awaitAcknowledged has a call acknowledged by whichever of the members does, and gives that one.
+// awaitAcknowledged sends a call to members in turn until one acknowledges it, and returns that member.
 func (m *Cluster) awaitAcknowledged(t *testing.T, members []*Machine, call []byte) (by *Machine) {
 	t.Helper()
 	var status int
@@ -115,7 +115,7 @@
 	return by
 }
 
-// awaitConfigHas waits until a member shows the configuration, and checks that a text stands in it.
+// awaitConfigHas waits until a member returns the configuration, and checks that it contains a text.
 func (x *Machine) awaitConfigHas(t *testing.T, text string) {
 	t.Helper()
 	var shown string
@@ -127,7 +127,7 @@
 	assert.Assert(t, strings.Contains(shown, text), shown)
 }
 
-// awaitServed waits until a sidecar serves a request, and gives the response.
+// awaitServed waits until a sidecar serves a request, and returns the response.
 func (x *Machine) awaitServed(t *testing.T, method, path, key string) (response Response) {
 	t.Helper()
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
@@ -137,7 +137,7 @@
 	return response
 }
 
-// assertNoViolations checks that servers and callers saw nothing that is against the rules.
+// assertNoViolations checks that servers and callers recorded no violation of the protocol.
 func (m *Cluster) assertNoViolations(t *testing.T) {
 	t.Helper()
 	assert.Assert(t, len(m.Recorder.Violations()) == 0, "%v", m.Recorder.Violations())
--- a/internal/mesh/testcluster/hops_bench_test.go
+++ b/internal/mesh/testcluster/hops_bench_test.go
@@ -16,8 +16,8 @@
 	"cranegrade/internal/testfleet"
 )
 
-// startConfigured is a mesh of three members that has its configuration, with a sidecar and a server for each service named. It is
-// closed with the benchmark.
+// startConfigured starts a mesh of three members, with a sidecar and a server for each of some services, and configures it. It is closed
+// at the end of the benchmark.
 func startConfigured(b *testing.B, services ...string) *Cluster {
 	b.Helper()
 	dir := b.TempDir()
@@ -43,8 +43,8 @@
 	return m
 }
 
-// BenchmarkControlPlane is how soon a change is acknowledged where a hundred come a second, open loop, at a member that does not
-// lead for two of three; and what a sidecar and a member use of a processor while nothing is asked of them.
+// BenchmarkControlPlane measures the latency of changes at a hundred a second, open loop, two thirds of which are sent to followers, and
+// the processor use of an idle sidecar and an idle member.
 func BenchmarkControlPlane(b *testing.B) {
 	m := startConfigured(b, "stock", "orders")
 	b.Run("changes", func(b *testing.B) { benchmarkSteadyChanges(b, m) })
@@ -88,7 +88,7 @@
 // hopClient sends the requests of BenchmarkHops.
 type hopClient struct{ http.Client }
 
-// send sends a request without a body and gives the status; 0: no answer.
+// send sends a request without a body and returns the status; 0: no answer.
 func (c *hopClient) send(addr, method, path string, header map[string]string) (status int) {
 	request, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return response.StatusCode
 }
 
-// BenchmarkHops is what a request costs in processor time and memory: through one node of the program in service, and through the
-// mesh, whose two sidecars (the caller's and the server's) and member are counted apart. Compare those of one run.
+// BenchmarkHops measures the processor time and memory of a request: through one node of the load balancer, and through the mesh, whose
+// two sidecars (the caller's and the server's) and member are reported separately. Only figures of the same run are comparable.
 func BenchmarkHops(b *testing.B) {
 	m := startConfigured(b, "stock", "orders")
 	m.Sidecars[0].App.SetServiceTime(0)
@@ -146,7 +146,7 @@
 	}
 }
 
-// benchmarkHop sends requests by four clients and reports what each of some processes used for one.
+// benchmarkHop sends requests by four clients and reports what each of some processes used for a request.
 func benchmarkHop(b *testing.B, send func(n int) (status int), cost map[string]*testfleet.Process) {
 	before := map[string]time.Duration{}
 	for name, process := range cost {
@@ -196,7 +196,7 @@
 class = "read"
 `
 
-// startNode builds and starts the program in service with one server.
+// startNode builds and starts the load balancer with one server.
 func startNode(dir, server string) (*testfleet.Process, error) {
 	path := filepath.Join(dir, "cranegrade")
 	if out, err := exec.Command("go", "build", "-o", path, "cranegrade/cmd/cranegrade").CombinedOutput(); err != nil {
--- a/internal/mesh/testcluster/http_test.go
+++ b/internal/mesh/testcluster/http_test.go
@@ -16,7 +16,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// dialOutbound connects with a sidecar as a caller does. The connection is closed with the test, and bounded in time.
+// dialOutbound connects to a sidecar as a caller does. The connection has a deadline, and is closed at the end of the test.
 func (x *Machine) dialOutbound(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", x.Addr("Outbound"))
@@ -34,8 +34,7 @@
 	assert.NilError(t, err)
 }
 
-// Requests sent behind one another on a connection run at once, and are answered in their order: the server answers none
-// until all of them are there.
+// Pipelined requests on a connection run concurrently, and are answered in order: the server answers none until it has received all.
 func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	m := startCluster(t, "stock", "orders")
 	caller := m.Sidecars[1]
@@ -57,8 +56,8 @@
 	m.assertNoViolations(t)
 }
 
-// A sidecar that shuts down while the first of several requests on a connection still runs: the others' answers are there, and are
-// not lost with it.
+// A sidecar shuts down while the first of several pipelined requests still runs: the answers of the others, which are complete, are not
+// lost.
 func TestShutdownKeepsPipelinedResponses(t *testing.T) {
 	m := startCluster(t, "stock", "orders")
 	server, caller := m.Sidecars[0], m.Sidecars[1]
@@ -87,7 +86,7 @@
 	}
 }
 
-// sendPieces sends a request in pieces on a connection of its own, and gives the status of the answer; 0: there is none.
+// sendPieces sends a request in pieces on a new connection, and returns the status of the answer; 0: there is none.
 func (x *Machine) sendPieces(t *testing.T, requestLine string, pieces ...string) (status int) {
 	t.Helper()
 	conn := x.dialOutbound(t)
@@ -102,7 +101,7 @@
 	return response.StatusCode
 }
 
-// The Limits in force bound heads and bodies of either form; what is within them is served.
+// The active Limits apply to heads and to bodies with a length or in chunks; requests within the limits are served.
 func TestLimitsBoundRequests(t *testing.T) {
 	m := startCluster(t, "stock", "orders")
 	m.awaitAcknowledged(t, m.Members[:1], encode(map[string]any{"Upsert": map[string]any{"Limits": map[string]any{
--- a/internal/mesh/testcluster/link_faults_test.go
+++ b/internal/mesh/testcluster/link_faults_test.go
@@ -14,13 +14,13 @@
 	"cranegrade/internal/testfleet"
 )
 
-// faultDuration is how long a fault of a link lasts.
+// faultDuration is the duration of a link fault.
 const faultDuration = 300 * time.Millisecond
 
-// linkFaultCallers is how many callers there are, of which each second sends keyed calls and the others calls that may run once.
+// linkFaultCallers is the number of callers. Every second one sends keyed requests, the others non-idempotent ones.
 const linkFaultCallers = 6
 
-// linkFaultTest is calls through one sidecar, near, to servers beside the others, far.
+// linkFaultTest sends calls through one sidecar, near, to servers beside the others, far.
 type linkFaultTest struct {
 	*Cluster
 	near *Machine
@@ -31,9 +31,9 @@
 	served, lost int
 }
 
-// Calls that are keyed or may run once are in flight between real processes while the links between sidecars are reset, silenced
-// and cut in one direction, and a server's sidecar is frozen and goes on. Each runs once at the most, whoever repeats it, and none
-// that has run is answered that it has not.
+// Keyed and non-idempotent requests are in flight between real processes while the links between sidecars are reset, blocked and cut in
+// one direction, and while a server's sidecar is frozen and continued. Each request runs at most once, whoever retries it, and none that
+// has run is answered as not run.
 func TestFaultyLinksRunRequestsAtMostOnce(t *testing.T) {
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders", "orders")
 	m.applyRoutes(t, 2, RouteItem("send", "keyed", "/send/", "orders", 2), RouteItem("once", "non_idempotent", "/once/", "orders", 2))
@@ -65,7 +65,7 @@
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return f.near.Send("POST", "/once/x", "", nil).Status == 200 }))
 }
 
-// call makes one call of the nth caller. A keyed one is sent again through another sidecar, whatever came of it.
+// call makes one call of the nth caller. A keyed one is repeated through another sidecar, whatever its outcome.
 func (f *linkFaultTest) call(n, round int) {
 	var response Response
 	mayRunOnce := n%2 == 0
@@ -88,7 +88,7 @@
 	}
 }
 
-// injectFaults brings each fault about on the link to a sidecar, while requests run at its server, and heals it again.
+// injectFaults injects each fault on the link to a sidecar, while requests run at its server, and heals it again.
 func (f *linkFaultTest) injectFaults(t *testing.T, relay *testfleet.Relay, x *Machine) {
 	t.Helper()
 	path := f.near.PathTo(x)
@@ -109,7 +109,7 @@
 	}
 }
 
-// checkRunsOnce checks that no call that may run once has run twice, and that none that has run is answered 503.
+// checkRunsOnce checks that no non-idempotent request ran twice, and that none that ran was answered with 503.
 func (f *linkFaultTest) checkRunsOnce(t *testing.T) {
 	t.Helper()
 	var seen history.History
--- a/internal/mesh/testcluster/maintenance_helpers_test.go
+++ b/internal/mesh/testcluster/maintenance_helpers_test.go
@@ -15,7 +15,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// callMaintenance is a call about maintenance at whichever member answers it with the wanted status.
+// callMaintenance sends a call about maintenance to members in turn until one answers with the wanted status.
 func (m *Cluster) callMaintenance(t *testing.T, request controlplane.MaintenanceRequest, want int) controlplane.MaintenanceResponse {
 	t.Helper()
 	var response controlplane.MaintenanceResponse
@@ -35,44 +35,44 @@
 	return response
 }
 
-// maintenanceStatus is all orders, and what they wait for.
+// maintenanceStatus returns all orders, and what they wait for.
 func (m *Cluster) maintenanceStatus(t *testing.T) controlplane.MaintenanceResponse {
 	t.Helper()
 	return m.callMaintenance(t, controlplane.MaintenanceRequest{}, http.StatusOK)
 }
 
-// planMaintenance asks whether a machine may come out for so many seconds.
+// planMaintenance asks whether a machine may be taken out for a number of seconds.
 func (m *Cluster) planMaintenance(t *testing.T, machine string, seconds float64) controlplane.MaintenanceResponse {
 	t.Helper()
 	return m.callMaintenance(t, controlplane.MaintenanceRequest{Machine: machine, LengthSeconds: seconds}, http.StatusOK)
 }
 
-// assertNotApproved checks that a plan is not approved, and that a text stands among the reasons given.
+// assertNotApproved checks that a plan is not approved, and that its reasons contain a text.
 func assertNotApproved(t *testing.T, plan controlplane.MaintenanceResponse, reasons, text string) {
 	t.Helper()
 	assert.Assert(t, !plan.Verdict.Approved && strings.Contains(reasons, text), "%v", plan.Verdict)
 }
 
-// placeOrder places an order, which is to be answered with a status.
+// placeOrder places an order, which must be answered with a status.
 func (m *Cluster) placeOrder(t *testing.T, order maintenance.Order, want int) {
 	t.Helper()
 	m.callMaintenance(t, controlplane.MaintenanceRequest{Order: &order}, want)
 }
 
-// changeOrder changes an order, which is to be answered with a status.
+// changeOrder changes an order, which must be answered with a status.
 func (m *Cluster) changeOrder(t *testing.T, change maintenance.OrderChange, want int) {
 	t.Helper()
 	m.callMaintenance(t, controlplane.MaintenanceRequest{Change: &change}, want)
 }
 
-// abortOrder aborts an order and waits until it is.
+// abortOrder aborts an order and waits until it is aborted.
 func (m *Cluster) abortOrder(t *testing.T, id string) {
 	t.Helper()
 	m.changeOrder(t, maintenance.OrderChange{OrderID: id, Abort: true, Text: "aborted by ana"}, http.StatusOK)
 	m.awaitStep(t, id, maintenance.StepAborted)
 }
 
-// awaitStep waits until an order has come to one of some steps, and gives it.
+// awaitStep waits until an order is at one of some steps, and returns the order.
 func (m *Cluster) awaitStep(t *testing.T, id string, steps ...maintenance.Step) (order maintenance.Order) {
 	t.Helper()
 	var status controlplane.MaintenanceResponse
@@ -84,7 +84,7 @@
 	return order
 }
 
-// awaitWaitingFor waits until an order says that it waits for something.
+// awaitWaitingFor waits until an order reports that it waits for something.
 func (m *Cluster) awaitWaitingFor(t *testing.T, id, text string) {
 	t.Helper()
 	var waiting string
@@ -94,31 +94,31 @@
 	}), waiting)
 }
 
-// assertRecorded checks that a text stands in an order's record.
+// assertRecorded checks that an order's record contains a text.
 func assertRecorded(t *testing.T, order maintenance.Order, text string) {
 	t.Helper()
 	assert.Assert(t, strings.Contains(fmt.Sprint(order.Events), text), "%v", order.Events)
 }
 
-// applyContract has the contract acknowledged that approves a span.
+// applyContract applies the contract with an approved period.
 func (m *Cluster) applyContract(t *testing.T, version int, from, to time.Time) {
 	t.Helper()
 	m.awaitAcknowledged(t, m.Members, ContractCall("hours", version, from, to, nil))
 }
 
-// approvePresentHours has the contract approve the hours around a time.
+// approvePresentHours changes the contract to approve the hours around a time.
 func (m *Cluster) approvePresentHours(t *testing.T, version int, now time.Time) {
 	t.Helper()
 	m.applyContract(t, version, now.Add(-time.Hour), now.Add(3*time.Hour))
 }
 
-// endApprovedHours has the contract approve only hours that are over.
+// endApprovedHours changes the contract to approve only hours in the past.
 func (m *Cluster) endApprovedHours(t *testing.T, version int, now time.Time) {
 	t.Helper()
 	m.applyContract(t, version, now.Add(-time.Hour), now.Add(-time.Minute))
 }
 
-// maintenanceLeader is the member that leads; nil: none does.
+// maintenanceLeader returns the leader, or nil.
 func (m *Cluster) maintenanceLeader(t *testing.T) *Machine {
 	t.Helper()
 	leader := m.maintenanceStatus(t).Leader
--- a/internal/mesh/testcluster/maintenance_members_test.go
+++ b/internal/mesh/testcluster/maintenance_members_test.go
@@ -14,7 +14,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// Of three members none may come out: the loss of another could not be tolerated then.
+// Of three members none may be taken out, because the loss of another one could not be tolerated then.
 func testNoneOfThreeMembers(t *testing.T) {
 	t.Helper()
 	m := startCluster(t, "stock", "orders")
@@ -25,8 +25,8 @@
 	m.Close()
 }
 
-// startFiveMembers is a mesh of five members that tolerates one loss while another member is out. More than three are only taken in
-// where more losses are to be tolerated, so it starts with two.
+// startFiveMembers starts a mesh of five members that tolerates one loss while another member is out. More than three members only
+// become voters if more losses have to be tolerated, so it starts with a tolerance of two.
 func startFiveMembers(t *testing.T) *Cluster {
 	t.Helper()
 	m, err := newCluster(linkPrograms(t, programsDir), 5, 2, "stock", "orders")
@@ -48,8 +48,7 @@
 	return m
 }
 
-// Members come out one after the other by one order, the leader last, while the control plane stays settled and tolerates a loss
-// besides; of three members none may.
+// One order takes members out one after the other, the leader last, while the control plane stays stable and tolerates one more loss.
 func TestMaintenanceRollsThroughMembers(t *testing.T) {
 	testNoneOfThreeMembers(t)
 	m := startFiveMembers(t)
@@ -76,7 +75,7 @@
 	m.assertNoViolations(t)
 }
 
-// skewClock starts a member anew whose clock is ahead.
+// skewClock restarts a member with a clock that is ahead.
 func (x *Machine) skewClock(t *testing.T) {
 	t.Helper()
 	x.Kill()
@@ -84,7 +83,7 @@
 	assert.NilError(t, x.Start())
 }
 
-// awaitPlan waits until the plan for a machine says whether it is approved, and why, with a text in that.
+// awaitPlan waits until the plan for a machine is approved or not, as expected, for reasons that contain a text.
 func (m *Cluster) awaitPlan(t *testing.T, machine, want string) (plan controlplane.MaintenanceResponse) {
 	t.Helper()
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
@@ -94,8 +93,8 @@
 	return plan
 }
 
-// Clocks that are ahead by forty minutes: on one member of three it changes nothing, on two of them neither opens a window that is
-// to come nor leaves a machine out past its window's end, and it shows. It does until somebody says that the clocks are right.
+// Clocks are ahead by forty minutes. On one member of three that has no effect. On two of them it is reported, neither opens a window early
+// nor leaves a machine out past the end of its window, until an operator accepts the clocks.
 func TestMaintenanceWithSkewedClocks(t *testing.T) {
 	m := startCluster(t, "stock", "stock", "orders")
 	now := time.Now()
--- a/internal/mesh/testcluster/maintenance_test.go
+++ b/internal/mesh/testcluster/maintenance_test.go
@@ -15,7 +15,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// faultedMaintenance is one machine's maintenance under traffic, whose leader is lost at its steps.
+// faultedMaintenance is the maintenance of one machine under traffic, during which the leader is lost at several steps.
 type faultedMaintenance struct {
 	*Cluster
 	now     time.Time
@@ -26,8 +26,8 @@
 	ran     int      // requests that its server had run when it was in maintenance
 }
 
-// A machine comes out under traffic and back, while the member that leads the order is killed at one of its steps and frozen at
-// another: each step is made once, nothing runs there while it is in maintenance, nothing is lost and nothing runs twice.
+// A machine is taken out under traffic and put back, while the leader is killed at one step and frozen at another. Each step is made once,
+// no request runs there during the maintenance, none is lost and none runs twice.
 func TestMaintenanceUnderLeaderFaults(t *testing.T) {
 	m := startCluster(t, "stock", "stock", "orders", "orders")
 	f := &faultedMaintenance{Cluster: m, now: time.Now(), machine: m.Sidecars[2]}
@@ -54,8 +54,8 @@
 	m.assertNoViolations(t)
 }
 
-// testApproval: nobody may order the machine out without a contract, outside its hours, or who is not named in it. Who is not
-// named may ask; another whom the contract names then has to approve.
+// testApproval: an order is rejected without a contract, outside its hours, or by somebody whom it does not name. Such a person may ask,
+// and then somebody else whom the contract names has to approve.
 func (f *faultedMaintenance) testApproval(t *testing.T) {
 	t.Helper()
 	plan := f.planMaintenance(t, f.machine.Name, 60)
@@ -75,7 +75,7 @@
 	f.abortOrder(t, "asked")
 }
 
-// keepKey has the machine's server answer a key.
+// keepKey sends a keyed request that the machine's server answers.
 func (f *faultedMaintenance) keepKey(t *testing.T) {
 	t.Helper()
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
@@ -85,7 +85,7 @@
 	}))
 }
 
-// breakCalls has the machine's server break keyed calls off that run there, which are then sent again.
+// breakCalls makes the machine's server close the connections of keyed requests, which are then retried.
 func (f *faultedMaintenance) breakCalls() {
 	f.machine.App.SetBroken(true)
 	defer f.machine.App.SetBroken(false)
@@ -99,14 +99,14 @@
 	calls.Wait()
 }
 
-// drainAndKillLeader has the present hours approved while calls are in flight at the machine's server, and the leader killed as
-// the machine is drained.
+// drainAndKillLeader approves the present hours while calls are in flight at the machine's server, and kills the leader when the machine
+// is being drained.
 func (f *faultedMaintenance) drainAndKillLeader(t *testing.T) {
 	t.Helper()
 	f.machine.App.SetServiceTime(500 * time.Millisecond)
 	calls := f.startKeyedCalls()
 	before := f.Recorder.RunsBy(f.machine.App.Instance)
-	// One that has broken calls off and is slow beside another gets few for a while, rightly.
+	// A server that failed calls and is slower than another one correctly gets few requests for a while.
 	assert.Assert(t, testfleet.Await(3*testTimeout, func() bool {
 		return f.Recorder.RunsBy(f.machine.App.Instance) >= before+4
 	}), "its server gets no calls")
@@ -122,7 +122,7 @@
 	assert.NilError(t, killed.Start())
 }
 
-// keyedCalls are calls that are begun one after the other, open loop, until stop is closed.
+// keyedCalls are keyed requests that are started one after the other, open loop, until stop is closed.
 type keyedCalls struct {
 	stop chan struct{}
 	all  sync.WaitGroup
@@ -153,8 +153,8 @@
 	return calls
 }
 
-// testInMaintenance: nothing runs at the machine's server, and its sidecar is not ready, also when it starts again meanwhile, as it
-// does in a maintenance. What it had kept for a key its successor has.
+// testInMaintenance: no request runs at the machine's server, and its sidecar is not ready, even if it is restarted, as happens during
+// maintenance. Its successor has the response that it had stored for a key.
 func (f *faultedMaintenance) testInMaintenance(t *testing.T) {
 	t.Helper()
 	f.ran = f.Recorder.RunsBy(f.machine.App.Instance)
@@ -175,8 +175,8 @@
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 }
 
-// checkRecord checks that each step was made once, and that people find in the record the machine by its name, what was in flight,
-// and how that ended.
+// checkRecord checks that each step was made once, and that the record has the name of the machine, the requests that were in flight, and
+// their outcomes.
 func (f *faultedMaintenance) checkRecord(t *testing.T, order maintenance.Order) {
 	t.Helper()
 	var steps []string
@@ -190,14 +190,14 @@
 	assert.DeepEqual(t, slices.Compact(steps), []string{"waiting", "draining", "leading", "out", "returning", "done"})
 }
 
-// rolledBackMaintenance is orders of which each ends for another reason.
+// rolledBackMaintenance has orders that each end for another reason.
 type rolledBackMaintenance struct {
 	*Cluster
 	now time.Time
 }
 
-// Two operators order two machines that may not both be out: one waits for the other. A window that closes rolls a drain back, a
-// server lost elsewhere does, an operator aborts; each says why. An override goes on and stays in the record.
+// Two operators order two machines out that must not be out together: one order waits for the other. The end of a window, a server lost
+// elsewhere and an operator's abort each roll a drain back, with the reason in the record. An override proceeds and is recorded.
 func TestMaintenanceIsRolledBack(t *testing.T) {
 	r := &rolledBackMaintenance{startCluster(t, "stock", "stock", "stock", "orders"), time.Now()}
 	r.approvePresentHours(t, 1, r.now)
@@ -209,7 +209,7 @@
 	r.assertNoViolations(t)
 }
 
-// place places an order; override is why it goes against the contracts, "" that it does not.
+// place places an order. override is the reason to override the contracts; "": it does not.
 func (r *rolledBackMaintenance) place(t *testing.T, id string, x *Machine, override string) {
 	t.Helper()
 	r.placeOrder(t, maintenance.Order{
@@ -218,7 +218,7 @@
 	}, http.StatusOK)
 }
 
-// testOneAfterTheOther: the second machine of a service waits for the first, and is let in again as the hours end.
+// testOneAfterTheOther: the second machine of a service waits for the first one, and is put back when the hours end.
 func (r *rolledBackMaintenance) testOneAfterTheOther(t *testing.T) {
 	t.Helper()
 	r.place(t, "a", r.Sidecars[0], "")
@@ -232,8 +232,8 @@
 	r.approvePresentHours(t, 3, r.now)
 }
 
-// testFrozenPastItsHours: a download that was begun a moment before the drain comes complete; the sidecar is then frozen until its
-// hours are over, and returns.
+// testFrozenPastItsHours: a download that began just before the drain completes; the sidecar is then frozen until the hours are over, and
+// the machine returns to service.
 func (r *rolledBackMaintenance) testFrozenPastItsHours(t *testing.T) {
 	t.Helper()
 	const downloadBytes = 3_000_000
@@ -259,7 +259,7 @@
 	r.awaitStep(t, "gone", maintenance.StepAborted)
 }
 
-// testOrdersBeginTogether: of two orders whose hours begin at once one goes first, and none is rolled back.
+// testOrdersBeginTogether: of two orders whose hours begin at the same time one goes first, and none is rolled back.
 func (r *rolledBackMaintenance) testOrdersBeginTogether(t *testing.T) {
 	t.Helper()
 	r.place(t, "p", r.Sidecars[0], "")
@@ -272,7 +272,7 @@
 	r.abortOrder(t, "p")
 }
 
-// testServerLostElsewhere: of three servers one is out and one is lost, and the contract spares one.
+// testServerLostElsewhere: of three servers one is being taken out and one is lost, but the contract allows only one to be missing.
 func (r *rolledBackMaintenance) testServerLostElsewhere(t *testing.T) {
 	t.Helper()
 	r.place(t, "c", r.Sidecars[0], "")
@@ -281,7 +281,7 @@
 	assertRecorded(t, r.awaitStep(t, "c", maintenance.StepAborted), "turned back: contract hours: 1 machines of stock are out")
 }
 
-// testOverride: the only server of its service comes out by an override alone.
+// testOverride: the only server of a service can be taken out only by an override.
 func (r *rolledBackMaintenance) testOverride(t *testing.T) {
 	t.Helper()
 	r.place(t, "d", r.Sidecars[3], "")
--- a/internal/mesh/testcluster/member_faults_test.go
+++ b/internal/mesh/testcluster/member_faults_test.go
@@ -12,8 +12,8 @@
 	"cranegrade/internal/testfleet"
 )
 
-// The member that acknowledged is killed at once, then its disk is lost, too; then another is replaced by one elsewhere, and at
-// last all are killed. What was acknowledged stands, and keys stay leased.
+// The member that acknowledged a change is killed at once, then its disk is lost, too. Then another member is replaced by one at another
+// address, and finally all are killed. Acknowledged changes and granted leases survive.
 func TestMemberLossesKeepAcknowledgedState(t *testing.T) {
 	m := startCluster(t, "orders", "stock")
 	m.Sidecars[0].awaitServed(t, "POST", "/send/x", "kept")
@@ -40,7 +40,7 @@
 	m.assertNoViolations(t)
 }
 
-// replaceMember loses a member for good, and starts one with an empty disk at another address, which is to be a voter in its place.
+// replaceMember removes a member for good, starts one with an empty disk at another address, and waits until that is a voter instead.
 func (m *Cluster) replaceMember(t *testing.T, lost *Machine) (added *Machine) {
 	t.Helper()
 	lost.Kill()
@@ -62,7 +62,7 @@
 	return added
 }
 
-// memberIPs are the addresses of the machines that a member says to be the members; nil: it gives no answer.
+// memberIPs returns the addresses of the members according to one of them, or nil if it does not answer.
 func (x *Machine) memberIPs() map[string]bool {
 	status, err := x.Status()
 	if err != nil {
@@ -76,7 +76,8 @@
 	return ips
 }
 
-// A leader whose process has ended is detected by its closed port, not by its silence; one that is frozen is not taken for ended.
+// The end of a leader's process is detected by its closed port, without waiting for its silence. A frozen leader is not mistaken for one
+// that has ended.
 func TestKilledLeaderIsDetectedByItsPort(t *testing.T) {
 	for _, x := range []struct {
 		name    string
@@ -106,7 +107,7 @@
 	}
 }
 
-// No sidecar follows a member that is frozen, and one that wakes does not lead.
+// No sidecar follows a frozen member, and a member that continues after a freeze does not lead.
 func TestFrozenMemberIsReplaced(t *testing.T) {
 	m := startCluster(t, "orders", "stock")
 	for round := range 2 {
@@ -123,7 +124,7 @@
 	m.assertNoViolations(t)
 }
 
-// applyRouteWithout has a route acknowledged by the members other than one, and gives its path.
+// applyRouteWithout applies a route by the members other than one, and returns its path.
 func (m *Cluster) applyRouteWithout(t *testing.T, frozen *Machine, version int) (path string) {
 	t.Helper()
 	name := fmt.Sprint("frozen", version)
@@ -133,7 +134,7 @@
 	return path
 }
 
-// A store whose bytes are flipped is as a lost disk: the member says so, and is taken in again.
+// A corrupt store is treated like a lost disk: the member reports it, and joins again.
 func TestCorruptedStoreIsRebuilt(t *testing.T) {
 	m := startCluster(t, "orders", "stock")
 	x := m.Members[2]
@@ -147,7 +148,7 @@
 	m.assertNoViolations(t)
 }
 
-// corruptStore flips bits in two thirds of each file that holds data.
+// corruptStore flips bits in two thirds of each data file.
 func corruptStore(t *testing.T, dir string) {
 	t.Helper()
 	files, err := os.ReadDir(dir)
--- a/internal/mesh/testcluster/mixed_test.go
+++ b/internal/mesh/testcluster/mixed_test.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// previousBinEnv names a folder with the programs of the build before this one, under their names of then.
+	// previousBinEnv is the environment variable with a folder of the previous build's programs, under their names in that build.
 	previousBinEnv = "MESH_PREVIOUS_BIN"
-	// previousCommit is the commit that is built where the variable is not set.
+	// previousCommit is the commit that is built if the variable is not set.
 	previousCommit = "54ffd36"
 )
 
-// previousNames are the programs of ProgramNames by their names in the build before.
+// previousNames are the names of ProgramNames in the previous build.
 var previousNames = [...]string{"line", "register"}
 
-// TestMixedVersions replaces the processes of a mesh one by one under keyed and plain traffic, first from the build before to
-// this one and then back, so that both builds share one wire in every mixture. After each replacement the configuration that was
-// acknowledged stands everywhere, a change is acknowledged and comes into force at each sidecar, and keys are answered as before.
-// No request is lost and no key runs twice.
+// TestMixedVersions replaces the processes of a mesh one by one under keyed and plain traffic, first from the previous build to this one
+// and then back, so that both builds interoperate in every mixture. After each replacement all processes have the acknowledged
+// configuration, a change is acknowledged and becomes active at each sidecar, and repeated keys get the same answers as before. No request
+// is lost and no key runs twice.
 func TestMixedVersions(t *testing.T) {
 	previous := previousPrograms(t)
 	for _, test := range []struct {
@@ -64,8 +64,8 @@
 	}
 }
 
-// previousPrograms is a folder with the programs of the build before this one, under their names of today. It builds them from
-// the history where no folder is named, and skips the test where the history does not reach so far.
+// previousPrograms returns a folder with the previous build's programs under their present names. If the environment does not name a
+// folder it builds them from the repository's history, and skips the test if that does not have the commit.
 func previousPrograms(t *testing.T) string {
 	t.Helper()
 	built := os.Getenv(previousBinEnv)
@@ -125,7 +125,7 @@
 	kept    Response
 }
 
-// outcomes counts what became of requests, and keeps those that were lost.
+// outcomes counts the outcomes of requests, and records the requests that were lost.
 type outcomes struct {
 	mu       sync.Mutex // guards below
 	byStatus map[int]int
@@ -154,8 +154,8 @@
 	return n
 }
 
-// startTraffic sends plain and keyed requests through every sidecar that is not about to end. Each key is sent again through
-// another sidecar.
+// startTraffic sends plain and keyed requests through every sidecar that is not about to end. Each key is repeated through another
+// sidecar.
 func (r *rollingReplacement) startTraffic() (stop func()) {
 	done := make(chan struct{})
 	var all sync.WaitGroup
@@ -176,7 +176,7 @@
 	return func() { close(done); all.Wait() }
 }
 
-// sendThrough sends a plain request and a keyed one through a sidecar, and the key once more through the next that is there.
+// sendThrough sends a plain request and a keyed one through a sidecar, and the key once more through the next running one.
 func (r *rollingReplacement) sendThrough(i int) {
 	x, n := r.cluster.Sidecars[i], r.seq.Add(1)
 	r.plain.add(x.Name, x.Send("GET", fmt.Sprint("/read/", n), "", nil), http.StatusOK)
@@ -202,7 +202,7 @@
 	}
 }
 
-// replace ends a machine's program by SIGTERM, starts that of a folder in its place, and checks what is to hold then.
+// replace ends a machine's program by SIGTERM, starts the program from another folder in its place, and checks the mesh.
 func (r *rollingReplacement) replace(t *testing.T, x *Machine, programs string) {
 	t.Helper()
 	m := r.cluster
@@ -228,8 +228,8 @@
 	}
 }
 
-// keep has a change acknowledged and in force at each sidecar, and a key answered; both are to outlive the replacement of next.
-// The sidecar beside a server keeps the answers that the server gave, in memory: so the key runs elsewhere.
+// keep makes a change, waits until it is active at each sidecar, and sends a keyed request. Both must survive the replacement of next. The
+// sidecar beside a server stores its responses in memory, so the key must run at another one.
 func (r *rollingReplacement) keep(t *testing.T, next *Machine) {
 	t.Helper()
 	m := r.cluster
--- a/internal/mesh/testcluster/observer_test.go
+++ b/internal/mesh/testcluster/observer_test.go
@@ -16,7 +16,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// observer records what operators were told by a mesh of real processes, for the checkers.
+// observer records the answers that operators get from a mesh of real processes, for the checkers of package history.
 type observer struct {
 	began time.Time
 
@@ -34,7 +34,7 @@
 	o.history.Record(e)
 }
 
-// check has every checker judge what was seen.
+// check runs every checker on the recorded history.
 func (o *observer) check(t *testing.T) {
 	t.Helper()
 	o.mu.Lock()
@@ -58,7 +58,7 @@
 	items []history.ItemVersion
 }
 
-// newRouteChange is a change of one route; content, a path, is what another change of the same version may differ in.
+// newRouteChange returns a change of one route. content, a path, distinguishes changes of the same version.
 func newRouteChange(name, route string, version int, content string) routeChange {
 	return routeChange{
 		name, ModifyCall(version, nil, RouteItem(route, "idempotent", content, "stock", version)),
@@ -66,7 +66,7 @@
 	}
 }
 
-// recordInitialRoutes records the routes that startRelayedCluster has had acknowledged.
+// recordInitialRoutes records the routes that startRelayedCluster has applied.
 func (o *observer) recordInitialRoutes() {
 	for name, content := range map[string]string{"read": "/read/", "send": "/send/"} {
 		o.record(history.Change{
@@ -77,7 +77,7 @@
 	}
 }
 
-// outcomeOfStatus is what an answer's status says of a change.
+// outcomeOfStatus returns the outcome of a change by the status of its answer.
 func outcomeOfStatus(status int) history.Outcome {
 	switch status {
 	case http.StatusOK:
@@ -88,7 +88,7 @@
 	return history.Unknown
 }
 
-// watchLeaders records who leads, by the members' own word, until stop is called.
+// watchLeaders records the leaders, as the members report them, until stop is called.
 func (o *observer) watchLeaders(at ...*Machine) (stop func()) {
 	end, ended := make(chan struct{}), make(chan struct{})
 	type reign struct{ id, term uint64 }
@@ -114,7 +114,7 @@
 
 const watchInterval = 50 * time.Millisecond
 
-// send sends a change once, and records how that ended.
+// send sends a change once, and records the outcome.
 func (o *observer) send(by *Operator, at *Machine, x routeChange) (history.Outcome, string) {
 	begin := o.elapsed()
 	status, text := by.Modify(at, x.body)
@@ -123,7 +123,7 @@
 	return call.Outcome, fmt.Sprintf("%d %s", status, text)
 }
 
-// awaitAcknowledged sends a change to the members named, one after the other, until one acknowledges it. None may refuse it.
+// awaitAcknowledged sends a change to members in turn until one acknowledges it. None may refuse it.
 func (o *observer) awaitAcknowledged(t *testing.T, by *Operator, x routeChange, at ...*Machine) {
 	t.Helper()
 	n, last := 0, ""
@@ -135,7 +135,7 @@
 	}), "order %s has no acknowledgement: %s", x.name, last)
 }
 
-// fetch reads the configuration once, and records what it shows.
+// fetch reads the configuration once, and records the result.
 func (o *observer) fetch(by *Operator, at *Machine) (ok bool) {
 	begin := o.elapsed()
 	status, text := by.Fetch(at)
@@ -148,13 +148,13 @@
 	return status == http.StatusOK
 }
 
-// awaitFetched waits until a member shows the configuration.
+// awaitFetched waits until a member returns the configuration.
 func (o *observer) awaitFetched(t *testing.T, by *Operator, at *Machine) {
 	t.Helper()
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool { return o.fetch(by, at) }), "%s shows no configuration", at.Name)
 }
 
-// fillerPrefix begins the names of routes that only make the state larger; they are no part of the history.
+// fillerPrefix is the prefix of routes that only enlarge the state. They are not recorded.
 const fillerPrefix = "filler-"
 
 // routeVersions reads the routes of a configuration.
@@ -185,7 +185,7 @@
 	return l
 }
 
-// itemVersions are what a machine holds of the configuration, by its own word.
+// itemVersions returns the versions of the items that a machine reports to have.
 func (x *Machine) itemVersions(t *testing.T) map[string]int64 {
 	t.Helper()
 	var s *wire.StatusT
@@ -197,7 +197,7 @@
 	return l
 }
 
-// writers are operators that write and read at every member in turn until they are stopped.
+// writers are operators that write to and read from every member in turn until they are stopped.
 type writers struct {
 	stop    chan struct{}
 	all     sync.WaitGroup
@@ -207,8 +207,8 @@
 
 const writerPause = 25 * time.Millisecond // between an operator's calls
 
-// startWriters begins it: each operator, from the number first on, changes a route of its own, one version after the other, and
-// sends each elsewhere until it is acknowledged. One more reads.
+// startWriters starts operators with numbers from first on. Each changes its own route, one version after the other, and retries each
+// change at other members until it is acknowledged. One more operator reads.
 func (o *observer) startWriters(m *Cluster, first, operators int, at ...*Machine) *writers {
 	w := &writers{stop: make(chan struct{})}
 	for n := first; n < first+operators; n++ {
@@ -249,7 +249,7 @@
 	}
 }
 
-// stopAndAssert stops them and waits for what is in flight. None of their changes may have been refused.
+// stopAndAssert stops the operators and waits for their calls in flight. None of their changes may have been refused.
 func (w *writers) stopAndAssert(t *testing.T) {
 	t.Helper()
 	close(w.stop)
--- a/internal/mesh/testcluster/partition_test.go
+++ b/internal/mesh/testcluster/partition_test.go
@@ -12,7 +12,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// partitionDuration is how long a member stays partitioned; PARTITION_DURATION names a longer time.
+// partitionDuration is the duration of a partition. PARTITION_DURATION can set a longer one.
 func partitionDuration(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("PARTITION_DURATION")
@@ -24,7 +24,7 @@
 	return d
 }
 
-// partitionTest is a mesh under the calls of operators, one member of which is partitioned from the others again and again.
+// partitionTest is a mesh with calls of operators, in which one member is partitioned from the others repeatedly.
 type partitionTest struct {
 	cluster  *Cluster
 	relay    *testfleet.Relay
@@ -48,10 +48,10 @@
 	}},
 }
 
-// A member is partitioned from the others: the leader, a follower, and one that lost its disk and catches up. While it is, changes
-// go on at the others; it confirms and rejects none, and shows no configuration; a sidecar whose first seed it is gets the complete
-// one all the same.
-// A change that was acknowledged at the moment of the partition, with its answer lost, is acknowledged again elsewhere.
+// A member is partitioned from the others: the leader, a follower, and one that lost its disk and catches up. Meanwhile changes are possible
+// at the others; the partitioned member acknowledges and rejects none, and serves no configuration; a sidecar that has it as its first
+// seed gets the complete configuration nevertheless. A change that was acknowledged when the partition began, but whose answer was lost,
+// is acknowledged again elsewhere.
 func TestPartitionedMemberConfirmsNothing(t *testing.T) {
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
 	r := &partitionTest{cluster: m, relay: relay, observer: newObserver(), operator: m.Operator(0), version: 1}
@@ -106,13 +106,13 @@
 	}
 }
 
-// nextChange is another change of this run.
+// nextChange returns a new change.
 func (r *partitionTest) nextChange() routeChange {
 	r.version++
 	return newRouteChange(fmt.Sprint("ana-", r.version), "ana", r.version, fmt.Sprintf("/ana-%d/", r.version))
 }
 
-// loseAnswer sends a change to x whose answer stays on its way. A member that is no member yet may give none.
+// loseAnswer sends a change to x and blocks its answer. A process that is not a member yet may not answer at all.
 func (r *partitionTest) loseAnswer(t *testing.T, x *Machine) routeChange {
 	t.Helper()
 	back := r.operator.PathTo(x).Reverse()
@@ -135,7 +135,7 @@
 	return o
 }
 
-// restartSidecar starts a sidecar anew that is told of x first. Once it is ready it has all that had been acknowledged before.
+// restartSidecar restarts a sidecar with x as its first seed. When it is ready it must have all changes acknowledged before.
 func (r *partitionTest) restartSidecar(t *testing.T, x *Machine, others []*Machine) {
 	t.Helper()
 	line := r.cluster.Sidecars[0]
@@ -154,7 +154,7 @@
 		"the sidecar is ready with version %d; %d had been acknowledged before it started", held, o.items[0].Version)
 }
 
-// assertSilent checks that x answered nothing while it was partitioned: it confirmed and rejected no change, and showed no configuration.
+// assertSilent checks that x acknowledged and rejected no change and served no configuration while it was partitioned.
 func (r *partitionTest) assertSilent(t *testing.T, x *Machine, began, ended time.Duration) {
 	t.Helper()
 	inside := func(c history.Call, member string) bool {
@@ -170,7 +170,7 @@
 	}
 }
 
-// wipeBehindSlowLinks has x lose its disk and start again behind links so slow that it catches up for a while.
+// wipeBehindSlowLinks wipes the disk of x and restarts it behind slow links, so that it needs some time to catch up.
 func (r *partitionTest) wipeBehindSlowLinks(t *testing.T, x *Machine) {
 	t.Helper()
 	others := r.cluster.membersExcept(x)
--- a/internal/mesh/testcluster/policy_test.go
+++ b/internal/mesh/testcluster/policy_test.go
@@ -16,7 +16,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// policyCall is a call of one team: policies that it sets, and those that it removes, by name and version.
+// policyCall is a change by one team: the policies that it sets, and those that it removes, by name and version.
 func policyCall(by string, policies []policy.Policy, removed map[string]int64) []byte {
 	var table []map[string]any
 	for name, version := range removed {
@@ -25,12 +25,12 @@
 	return encode(map[string]any{"By": by, "Upsert": map[string]any{"RulingList": policies}, "Remove": map[string]any{"RulingTable": table}})
 }
 
-// removal names an item that is to be removed at a version.
+// removal is an item to be removed, with its version.
 func removal(name string, version int64) map[string]any {
 	return map[string]any{"Name": name, "ConfigVersion": version}
 }
 
-// policyStatus is how the policies are, by the leader's word; the zero value where nobody says.
+// policyStatus returns the state of the policies as the leader reports it, or the zero value without an answer.
 func (m *Cluster) policyStatus() (response controlplane.PolicyResponse) {
 	for _, x := range m.Members {
 		if x.Process == nil {
@@ -43,7 +43,7 @@
 	return response
 }
 
-// awaitPolicyActive waits until the policy set that is agreed on is active, and gives it.
+// awaitPolicyActive waits until the committed policy set is active, and returns it.
 func (m *Cluster) awaitPolicyActive(t *testing.T) (set string) {
 	t.Helper()
 	var response controlplane.PolicyResponse
@@ -54,7 +54,7 @@
 	return response.Rollout.Active
 }
 
-// startTwoTeams is a mesh whose stock is one team's and whose orders and host another's.
+// startTwoTeams starts a mesh in which one team owns the service stock, and another one the service orders and the host.
 func startTwoTeams(t *testing.T, services ...string) *Cluster {
 	t.Helper()
 	m := startCluster(t, services...)
@@ -66,16 +66,16 @@
 	return m
 }
 
-// setPolicy has a policy of a team acknowledged by one of the members.
+// setPolicy sets a policy of a team.
 func (m *Cluster) setPolicy(t *testing.T, members []*Machine, by string, p policy.Policy) {
 	t.Helper()
 	m.awaitAcknowledged(t, members, policyCall(by, []policy.Policy{p}, nil))
 }
 
-// isDecidedBy says that a response names a policy set.
+// isDecidedBy reports whether a response names a policy set.
 func (r Response) isDecidedBy(set string) bool { return strings.HasSuffix(r.PolicyTrace, set) }
 
-// awaitDecidedBy waits until a sidecar answers a request by a policy set.
+// awaitDecidedBy waits until a sidecar applies a policy set to a request.
 func (x *Machine) awaitDecidedBy(t *testing.T, path, set string) (response Response) {
 	t.Helper()
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
@@ -95,9 +95,9 @@
 	return response
 }
 
-// Two teams set policies on one route at the same moment at two members: every sidecar has the same merged policy, a caller that
-// it denies is told by whose, a request in flight goes on by the set that it began with, and a policy for a service that is not
-// there yet holds once it is.
+// Two teams set policies for one route at the same time at two members: every sidecar has the same merged policy; a denied caller gets the
+// name of the policy; a request in flight continues under the set that it began with; and a policy for a service that does not exist yet
+// applies once it does.
 func TestPoliciesOfTwoTeamsMerge(t *testing.T) {
 	m := startTwoTeams(t, "stock", "orders", "stock")
 	servers, callers := []*Machine{m.Sidecars[0], m.Sidecars[2]}, m.Sidecars[1]
@@ -109,7 +109,7 @@
 	m.assertNoViolations(t)
 }
 
-// testPoliciesSetTogether sets two policies while a request is in flight, and gives the set that is active then.
+// testPoliciesSetTogether sets two policies while a request is in flight, and returns the set that is active afterwards.
 func (m *Cluster) testPoliciesSetTogether(t *testing.T, servers []*Machine, caller *Machine) (set string) {
 	t.Helper()
 	const serviceTime = 1500 * time.Millisecond // longer than the policies allow
@@ -168,7 +168,7 @@
 	assert.Equal(t, len(traces), 2, "one merged policy for each service that calls: %v", traces)
 }
 
-// testCallersAreDenied denies a caller by the service beside its sidecar, and not by what it says of itself.
+// testCallersAreDenied denies a caller by the service of its sidecar, not by what the request claims.
 func (m *Cluster) testCallersAreDenied(t *testing.T, allowed, denied *Machine) {
 	t.Helper()
 	m.setPolicy(t, m.Members, "bo", policy.Policy{
@@ -197,7 +197,7 @@
 	allowed.awaitStatus(t, "/later/", http.StatusOK)
 }
 
-// testNamespacesAreRemoved removes the namespaces while their route carries traffic, which goes on by no policy.
+// testNamespacesAreRemoved removes the namespaces while their route has traffic, which continues without a policy.
 func (m *Cluster) testNamespacesAreRemoved(t *testing.T) {
 	t.Helper()
 	stop := m.startTraffic()
@@ -225,9 +225,9 @@
 	stop()
 }
 
-// Between the two steps of a rollout: a sidecar is frozen, so that the set waits; a member loses its disk, the leader is killed.
-// No set is active that only some have, the sidecar that was frozen goes by no former policy, and one that starts has the active
-// set before it is ready.
+// Between the two steps of a rollout a sidecar is frozen, so that the set waits; a member loses its disk, and the leader is killed. No set
+// becomes active that only some sidecars have; the frozen sidecar does not apply the former policy afterwards; and a sidecar that starts
+// has the active set before it is ready.
 func TestPolicyRolloutUnderFaults(t *testing.T) {
 	m := startTwoTeams(t, "stock", "orders", "stock")
 	frozen, other := m.Sidecars[0], m.Sidecars[1]
@@ -249,7 +249,7 @@
 	assert.NilError(t, leader.Start())
 	frozen.Process.Resume()
 	frozen.assertNoFormerPolicy(t, set)
-	// One that starts has the set before it is ready, and by the member that lost its disk.
+	// A starting sidecar has the set before it is ready, also from the member that lost its disk.
 	frozen.Kill()
 	assert.NilError(t, frozen.Start())
 	assert.Assert(t, m.AwaitReady(testTimeout))
@@ -259,7 +259,7 @@
 	m.assertNoViolations(t)
 }
 
-// leaderAndAnother are the member at an address and the last of the others.
+// leaderAndAnother returns the member at an address, and the last of the others.
 func (m *Cluster) leaderAndAnother(leaderAddr string) (leader, another *Machine) {
 	for _, x := range m.Members {
 		if x.Process.Addr == leaderAddr {
@@ -271,7 +271,7 @@
 	return leader, another
 }
 
-// awaitMembers waits until so many reachable processes are members, as one of them has it.
+// awaitMembers waits until one member reports a number of reachable members.
 func (m *Cluster) awaitMembers(t *testing.T, asked *Machine, count int) {
 	t.Helper()
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool {
@@ -288,7 +288,7 @@
 	}))
 }
 
-// assertNoFormerPolicy sends requests through a sidecar until one is decided by a set; those before are rejected or lost.
+// assertNoFormerPolicy sends requests through a sidecar until the set applies to one. Those before must be rejected or lost.
 func (x *Machine) assertNoFormerPolicy(t *testing.T, set string) {
 	t.Helper()
 	for range 200 {
--- a/internal/mesh/testcluster/relay_test.go
+++ b/internal/mesh/testcluster/relay_test.go
@@ -19,7 +19,7 @@
 	return m, relay
 }
 
-// awaitLeader waits until one of the members named, all if none is, leads and is in contact with a majority.
+// awaitLeader waits until one of some members, by default of all, leads and is in contact with a majority.
 func (m *Cluster) awaitLeader(t *testing.T, of ...*Machine) (lead *Machine) {
 	t.Helper()
 	if len(of) == 0 {
@@ -40,7 +40,7 @@
 	return lead
 }
 
-// addFillerRoutes has so many routes acknowledged that only make the state larger.
+// addFillerRoutes applies a number of routes that only enlarge the state.
 func (m *Cluster) addFillerRoutes(t *testing.T, by *Operator, at *Machine, routes int) {
 	t.Helper()
 	var items []map[string]any
@@ -56,7 +56,7 @@
 	}), last)
 }
 
-// membersExcept are the members other than one.
+// membersExcept returns the members other than one.
 func (m *Cluster) membersExcept(x *Machine) (others []*Machine) {
 	for _, other := range m.Members {
 		if other != x {
@@ -66,7 +66,7 @@
 	return others
 }
 
-// pathsTo are the paths from one machine to others.
+// pathsTo returns the paths from one machine to others.
 func pathsTo(x *Machine, others ...*Machine) (paths []testfleet.Direction) {
 	for _, other := range others {
 		paths = append(paths, x.PathTo(other))
@@ -74,7 +74,7 @@
 	return paths
 }
 
-// pathsBetween are the paths from one machine to others, and back.
+// pathsBetween returns the paths from one machine to others, and back.
 func pathsBetween(x *Machine, others ...*Machine) (paths []testfleet.Direction) {
 	for _, path := range pathsTo(x, others...) {
 		paths = append(paths, path, path.Reverse())
@@ -82,7 +82,7 @@
 	return paths
 }
 
-// Every connection goes through the relay, both ways, and so do operators' calls; a partition of two machines is one of theirs only.
+// Every connection and every operator's call goes through the relay, in both directions. A partition of two machines affects no others.
 func TestRelayCarriesAllConnections(t *testing.T) {
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
 	m.Sidecars[0].awaitServed(t, "POST", "/send/x", "k")
--- a/internal/mesh/testcluster/repeated_changes_test.go
+++ b/internal/mesh/testcluster/repeated_changes_test.go
@@ -11,13 +11,13 @@
 	"cranegrade/internal/testfleet"
 )
 
-// repeatRounds is how often eight changes are in flight at once.
+// repeatRounds is the number of rounds, each with eight changes in flight at once.
 const repeatRounds = 6
 
-// Two operators, four changes each in flight at once, which give every version two contents. One member's answers to them are lost,
-// and the leader is killed, partitioned or loses its connections. Each change is sent to other members until it is acknowledged or
-// rejected, and once more after that. Of each version one content is acknowledged; a change that was accepted is acknowledged again
-// or left open.
+// Two operators have four changes each in flight, which give every version two contents. One member's answers are lost, and the leader is
+// killed, partitioned or loses its connections. Each change is retried at other members until it is acknowledged or rejected, and then
+// repeated once more. One content of each version is acknowledged; the repetition of an accepted change is acknowledged, or its result
+// is unknown.
 func TestRepeatedChangesKeepOneContent(t *testing.T) {
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
 	seen, operators := newObserver(), []*Operator{m.Operator(0), m.Operator(1)}
@@ -47,13 +47,13 @@
 	m.assertNoViolations(t)
 }
 
-// operatorChange is a change and who gives it.
+// operatorChange is a change and its operator.
 type operatorChange struct {
 	routeChange
 	operator *Operator
 }
 
-// competingRouteChanges are those of a round: of four routes the same version by each operator, each with a content of its own.
+// competingRouteChanges returns the changes of a round: of four routes the same version by each operator, with different contents.
 func competingRouteChanges(round int, operators []*Operator) (l []operatorChange) {
 	for n := range 4 {
 		for i, by := range operators {
@@ -64,7 +64,7 @@
 	return l
 }
 
-// sendAll sends all changes at once, each until it is acknowledged or rejected, at the members in turn.
+// sendAll sends all changes at once, each to the members in turn until it is acknowledged or rejected.
 func (o *observer) sendAll(changes []operatorChange, at []*Machine, first int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for n, x := range changes {
@@ -79,7 +79,7 @@
 	return &all
 }
 
-// injectLeaderFault does to the leader what a round is for, and gives how to undo it.
+// injectLeaderFault injects the leader's fault of a round, and returns a function that heals it.
 func (m *Cluster) injectLeaderFault(t *testing.T, relay *testfleet.Relay, lead *Machine, round int) (restore func()) {
 	t.Helper()
 	switch round % 3 {
@@ -98,7 +98,7 @@
 	return func() {}
 }
 
-// assertOneContent checks that each route's version has been acknowledged for one operator, and rejected to none whose change it was.
+// assertOneContent checks that each route's version was acknowledged for one operator, whose change was never rejected.
 func (o *observer) assertOneContent(t *testing.T, changes []operatorChange) {
 	t.Helper()
 	o.mu.Lock()
--- a/internal/mesh/testcluster/serving_test.go
+++ b/internal/mesh/testcluster/serving_test.go
@@ -11,8 +11,8 @@
 	"cranegrade/internal/testfleet"
 )
 
-// Requests of all kinds are served through every sidecar; a key runs once, and whoever repeats it, through any sidecar, has the
-// first's answer; an invalid change is rejected whole, and a valid one is in force everywhere.
+// Requests of all kinds are served through every sidecar. A key runs once, and its repetitions through any sidecar get the first answer. An
+// invalid change is rejected completely, and a valid one becomes active everywhere.
 func TestServesAllRouteKinds(t *testing.T) {
 	m := startCluster(t, "stock", "stock", "orders", "orders")
 	for _, x := range m.Sidecars {
@@ -39,7 +39,7 @@
 	m.assertNoViolations(t)
 }
 
-// awaitServedBy waits until a request is answered by one of some instances, whose names may be cut short.
+// awaitServedBy waits until a request is answered by one of some instances, which are given by prefixes of their names.
 func (x *Machine) awaitServedBy(t *testing.T, path string, instances ...string) {
 	t.Helper()
 	var got Response
@@ -54,7 +54,7 @@
 	}), "%v", got)
 }
 
-// The same key at all sidecars at once, its server breaking some calls off: at most one run, and one answer for all.
+// The same key is sent to all sidecars at once, and its server breaks some connections: it runs at most once, and all get one answer.
 func TestConcurrentKeyRunsOnce(t *testing.T) {
 	m := startCluster(t, "orders", "orders", "orders", "stock")
 	m.Sidecars[1].App.SetBroken(true)
@@ -65,7 +65,7 @@
 	m.assertNoViolations(t)
 }
 
-// sendEverywhereTwice sends a key twice through each sidecar, all at once, and gives the different bodies of successes.
+// sendEverywhereTwice sends a key twice through each sidecar, all at once, and returns the distinct bodies of successful answers.
 func (m *Cluster) sendEverywhereTwice(key string) map[string]bool {
 	var all sync.WaitGroup
 	var mu sync.Mutex // guards bodies
@@ -85,8 +85,8 @@
 	return bodies
 }
 
-// A server drains, one crashes and starts again, a sidecar is killed and starts again, all under traffic: no request runs twice,
-// and none goes to a server that drains.
+// Under traffic a server drains, one crashes and is restarted, and a sidecar is killed and restarted: no request runs twice, and none goes
+// to a draining server.
 func TestInstancesDrainCrashAndRestart(t *testing.T) {
 	m := startCluster(t, "stock", "stock", "stock", "orders")
 	stop := m.startReads()
@@ -101,7 +101,7 @@
 	crashing.App.Crash()
 	got := caller.awaitServed(t, "GET", "/read/", "")
 	assert.Assert(t, strings.Contains(got.Body, "i-side-3-1"))
-	// A new instance at the same address is another server; the sidecar beside it learns so by its heartbeat.
+	// A new instance at the same address is another server; its sidecar learns of it by the heartbeat.
 	assert.NilError(t, crashing.StartApp())
 	caller.awaitServedBy(t, "/read/", "i-side-2-2")
 	killed.Kill()
--- a/internal/mesh/testcluster/settings_test.go
+++ b/internal/mesh/testcluster/settings_test.go
@@ -9,8 +9,8 @@
 	"cranegrade/internal/testfleet"
 )
 
-// Settings that change while a program runs are read, with SIGHUP and without: sidecars that start with seeds where nobody is
-// come up once the file names others, in the life that they have.
+// Settings that change while a program runs are reloaded, with and without SIGHUP: sidecars that start with unreachable seeds become
+// ready once the file has others, without a restart.
 func TestSettingsReload(t *testing.T) {
 	m := startCluster(t, "stock", "orders")
 	for n, hup := range []bool{true, false} {
@@ -32,8 +32,8 @@
 	m.assertNoViolations(t)
 }
 
-// After the first start the seeds may be others, fewer, or down. Members find each other by their disks where nobody answers at
-// their seeds, and none of them founds a second core; a sidecar finds them by the one seed that is there.
+// After the first start the seeds may change, be fewer, or be down. Members find each other by the addresses on their disks if no seed
+// answers, and none of them bootstraps a second control plane; a sidecar finds them by the one seed that is reachable.
 func TestSeedsAreReplaced(t *testing.T) {
 	m := startCluster(t, "stock", "orders")
 	nobody := func(n int) string { return fmt.Sprintf("%s.%d:9", m.subnet, 240+n) }
@@ -54,7 +54,7 @@
 		assert.NilError(t, x.Start())
 		x.awaitServed(t, "GET", "/one/", "")
 	}
-	// One whose disk is lost has the new seeds to go by, one of which is there.
+	// A member that lost its disk has only the new seeds, one of which is reachable.
 	lost := m.Members[0]
 	lost.Kill()
 	assert.NilError(t, lost.WipeDisk())
--- a/internal/mesh/testcluster/speed_bench_test.go
+++ b/internal/mesh/testcluster/speed_bench_test.go
@@ -20,7 +20,7 @@
 	"cranegrade/internal/testfleet"
 )
 
-// Variables that bound the benches of speed, in seconds.
+// Environment variables with the durations of the benchmarks, in seconds.
 const (
 	speedSecondsEnv   = "SPEED_SECONDS"   // of each load of BenchmarkSpeed
 	catchUpSecondsEnv = "CATCHUP_SECONDS" // that BenchmarkCatchUp waits at most
@@ -33,9 +33,8 @@
 	return time.Duration(otherwise) * time.Second
 }
 
-// BenchmarkSpeed is how many changes are acknowledged and how soon at 1, 100 and 1,000 a second (open loop, two of three at
-// a member that does not lead), how many claims on keys one leader carries at most, with what of its processor, and the
-// most memory that members and sidecars have held by then.
+// BenchmarkSpeed measures the number and latency of acknowledged changes at 1, 100 and 1,000 a second (open loop, two thirds sent to
+// followers), the highest rate of lease requests of one leader with its processor use, and the peak memory of members and sidecars.
 func BenchmarkSpeed(b *testing.B) {
 	m := startConfigured(b, "stock", "orders")
 	load := secondsOf(speedSecondsEnv, 5)
@@ -52,7 +51,7 @@
 	})
 }
 
-// changedRoutes are changed in turn, so that two changes of one are never under way together.
+// changedRoutes is the number of routes that are changed in turn, so that no route has two changes in flight.
 const changedRoutes = 500
 
 var changeVersion atomic.Int64
@@ -102,7 +101,7 @@
 	b.ReportMetric(milliseconds(took[len(took)*99/100]), "p99-ms")
 }
 
-// claimClients ask at once, each for one key after another.
+// claimClients is the number of concurrent clients, each of which requests the leases of one key after another.
 const claimClients = 256
 
 func benchmarkClaims(b *testing.B, m *Cluster, load time.Duration) {
@@ -138,7 +137,7 @@
 	b.ReportMetric((leader.Process.CPUTime()-cpu).Seconds()/spent.Seconds(), "leader-cores")
 }
 
-// claimsBody words so many claims on keys of a name, as a sidecar does.
+// claimsBody encodes a number of lease requests for keys with a common prefix, as a sidecar does.
 func claimsBody(name string, from, count int) []byte {
 	t := &wire.KeyLeaseRequestsT{}
 	for n := range count {
@@ -163,7 +162,7 @@
 	return nil
 }
 
-// awaitLeader waits until a member leads and says so.
+// awaitLeader waits until a member reports that it leads.
 func awaitLeader(b *testing.B, m *Cluster) (leader *Machine) {
 	if !testfleet.Await(recoverTimeout, func() bool { leader = leaderOf(m); return leader != nil }) {
 		b.Fatal("no leader")
@@ -171,7 +170,7 @@
 	return leader
 }
 
-// peakMB is the most memory that any of the machines' processes has held, in MB.
+// peakMB returns the highest peak memory of the machines' processes, in MB.
 func peakMB(machines []*Machine) (most float64) {
 	for _, x := range machines {
 		text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", x.Process.Cmd.Process.Pid))
@@ -185,7 +184,7 @@
 	return most
 }
 
-// What BenchmarkCatchUp has a member catch up with, over which link, beside which traffic.
+// State, link and background traffic of BenchmarkCatchUp.
 const (
 	catchUpItems   = 10_000
 	catchUpKeys    = 200_000
@@ -197,8 +196,8 @@
 	loadTimeout    = 90 * time.Second
 )
 
-// BenchmarkCatchUp is how long a member whose disk was lost takes to hold 10,000 items and 200,000 keys over a link of
-// 2 Mbit/s from each of the others, while 20 claims and 10 changes a second go on; and how many of these were not answered.
+// BenchmarkCatchUp measures how long a member that lost its disk takes to receive 10,000 items and 200,000 keys over a link of 2 Mbit/s
+// from each of the others, during 20 lease requests and 10 changes a second, and how many of these failed.
 func BenchmarkCatchUp(b *testing.B) {
 	dir := b.TempDir()
 	if err := BuildPrograms(dir); err != nil {
@@ -267,7 +266,7 @@
 	changes.report(b, "change")
 }
 
-// fillState has the items and the keys agreed on.
+// fillState commits the items and the keys.
 func fillState(m *Cluster) error {
 	for from := 0; from < catchUpItems; from += itemsPerCall {
 		var routes []map[string]any
@@ -299,7 +298,7 @@
 	return nil
 }
 
-// backgroundCalls is traffic beside a bench: how long each call took, and how many had no good answer.
+// backgroundCalls is background traffic of a benchmark: the latency of each call, and the number that failed.
 type backgroundCalls struct {
 	mu     sync.Mutex // guards below
 	took   []time.Duration
@@ -340,7 +339,7 @@
 	}
 }
 
-// startBackgroundCalls has claims and changes go on at the leader until stop.
+// startBackgroundCalls sends lease requests and changes to the leader until stop.
 func startBackgroundCalls(m *Cluster, leader *Machine, stop <-chan struct{}) (claims, changes *backgroundCalls) {
 	claims, changes = &backgroundCalls{}, &backgroundCalls{}
 	go claims.every(catchUpClaims, stop, func(n int) bool {
--- a/internal/mesh/testcluster/status_test.go
+++ b/internal/mesh/testcluster/status_test.go
@@ -9,13 +9,13 @@
 	"cranegrade/internal/testfleet"
 )
 
-// statusTimeout is how long a process may take to say how it is.
+// statusTimeout bounds a status query.
 const statusTimeout = time.Second
 
-// Status asks a machine's process how it is.
+// Status queries the status of a machine's process.
 func (x *Machine) Status() (*wire.StatusT, error) { return queryStatus(x.Process.Addr) }
 
-// statusPastRelay is how a machine's process says that it is, asked past the relay if there is one; nil: it says nothing.
+// statusPastRelay queries the status of a machine's process, bypassing the relay if there is one. It is nil without an answer.
 func (x *Machine) statusPastRelay() *wire.StatusT {
 	var addr string
 	switch {
@@ -33,7 +33,7 @@
 	return status
 }
 
-// queryStatus asks the process at a transport address how it is.
+// queryStatus queries the status of the process at a transport address.
 func queryStatus(addr string) (*wire.StatusT, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
@@ -45,7 +45,8 @@
 	return client.Status(ctx)
 }
 
-// awaitSettled waits until all members are voters and follow one leader, and all sidecars follow a member. nil: they do not.
+// awaitSettled waits until all members are voters and follow one leader, and all sidecars follow a member. It returns the leader, or nil
+// after a timeout.
 func (m *Cluster) awaitSettled(timeout time.Duration) (leader *Machine) {
 	testfleet.Await(timeout, func() bool {
 		leader = m.settledLeader()
@@ -54,7 +55,7 @@
 	return leader
 }
 
-// settledLeader is the leader of a mesh that is settled; nil: it is not.
+// settledLeader returns the leader of a settled mesh, or nil if it is not settled.
 func (m *Cluster) settledLeader() (leader *Machine) {
 	terms := map[uint64]bool{}
 	for _, x := range m.Members {
