--- a/internal/mesh/sim/observer.go
+++ b/internal/mesh/sim/observer.go
@@ -311,7 +311,7 @@
 		violate("%d replicas lead", leaders)
 	}
 	for _, s := range w.sidecars {
-		if !s.inTouch() {
+		if !s.hasQuorumContact() {
 			violate("%s is not in touch", s.name)
 		}
 	}
--- a/internal/mesh/sim/operator.go
+++ b/internal/mesh/sim/operator.go
@@ -77,7 +77,7 @@
 	body := w.draftModifyRequest()
 	items, err := config.ParseItems(body)
 	if err != nil {
-		panic("sim: an operator words a call that can't be read: " + err.Error())
+		panic("sim: an operator has drafted an invalid call: " + err.Error())
 	}
 	o.inFlight++
 	o.try(&changeRequest{id: fmt.Sprintf("%s-%d", o.name, w.id()), body: body, items: itemVersions(items)})
@@ -154,7 +154,7 @@
 			}
 			text, err := json.Marshal(config.ModifyRequest{Upsert: &fetched.Document})
 			if err != nil {
-				panic("sim: a configuration can't be worded: " + err.Error())
+				panic("sim: a configuration can't be encoded: " + err.Error())
 			}
 			done(replica.Reply{Status: http.StatusOK, Body: text})
 		})
@@ -163,7 +163,7 @@
 		if r.Status == http.StatusOK {
 			items, err := config.ParseItems(r.Body)
 			if err != nil {
-				panic("sim: a configuration that was handed out can't be read: " + err.Error())
+				panic("sim: a fetched configuration is invalid: " + err.Error())
 			}
 			f.Outcome, f.Items = history.Acknowledged, itemVersions(items)
 		}
--- a/internal/mesh/sim/sidecar.go
+++ b/internal/mesh/sim/sidecar.go
@@ -56,13 +56,13 @@
 	s.controlPlane = controlPlaneConnection{
 		sidecar: s, members: map[memberselection.ConnID]*memberConnection{}, selector: memberselection.New(s.now(), s.world.replicaAddresses()),
 	}
-	s.controlPlane.carryOutAll()
+	s.controlPlane.performActions()
 	s.requestLoop()
 	s.recordLoop()
 }
 
-// inTouch reports whether the member that the sidecar follows is in contact with a quorum.
-func (s *sidecar) inTouch() bool {
+// hasQuorumContact reports whether the member that the sidecar follows is in contact with a quorum.
+func (s *sidecar) hasQuorumContact() bool {
 	if !s.up {
 		return false
 	}
@@ -76,14 +76,14 @@
 	return reachable || s.now() < until
 }
 
-// takeItems merges items that a member has sent.
-func (s *sidecar) takeItems(items []config.Item) {
+// mergeItems merges items that a member has sent.
+func (s *sidecar) mergeItems(items []config.Item) {
 	var raised []config.Item
 	s.items, raised = s.items.Merge(items)
 	for _, i := range raised {
 		held, _ := s.items.Get(i.Key)
 		s.world.history.Record(history.ActiveVersion{
-			At: s.world.now, Process: s.name, Incarnation: s.incarnation, InContact: s.inTouch(), ItemVersion: itemVersion(held),
+			At: s.world.now, Process: s.name, Incarnation: s.incarnation, InContact: s.hasQuorumContact(), ItemVersion: itemVersion(held),
 		})
 	}
 }
@@ -129,9 +129,9 @@
 
 func (s *sidecar) holder() string { return fmt.Sprintf("%s/%d", s.address, s.incarnation) }
 
-// requestLease requests the lease of a request's key, again and again until the deadline.
+// requestLease requests the lease of a request's key, repeatedly until the deadline.
 func (s *sidecar) requestLease(request *keyedRequest) {
-	again := func() {
+	retry := func() {
 		if s.now() >= request.deadline {
 			s.leaseAnswered(request, history.Unknown, "")
 			return
@@ -140,7 +140,7 @@
 	}
 	connection := s.controlPlane.current()
 	if connection == nil {
-		again()
+		retry()
 		return
 	}
 	body := encodeLeaseRequests(&wire.KeyLeaseRequestT{
@@ -148,12 +148,12 @@
 	})
 	connection.calls.call(s.process, connection.side, max(0, request.deadline-s.now()), codec.CallLeaseKeys, body, func(reply replica.Reply) {
 		if reply.Status != http.StatusOK {
-			again()
+			retry()
 			return
 		}
 		results, err := codec.DecodeTable(reply.Body, unpackLeaseResults)
 		if err != nil || len(results.List) != 1 {
-			again()
+			retry()
 			return
 		}
 		if s.now() >= request.deadline {
@@ -193,18 +193,18 @@
 	s.world.history.Record(history.Claim{Call: s.callSince(request.begun, outcome), Key: request.key, Window: keyWindow, Holder: holder})
 }
 
-// release releases a lease, again and again until that is acknowledged.
+// release releases a lease, repeatedly until that is acknowledged.
 func (s *sidecar) release(lease *wire.KeyLeaseRequestT) {
-	again := func() { s.after(releaseRetryInterval, func() { s.release(lease) }) }
+	retry := func() { s.after(releaseRetryInterval, func() { s.release(lease) }) }
 	connection := s.controlPlane.current()
 	if connection == nil {
-		again()
+		retry()
 		return
 	}
 	body := encodeLeaseRequests(lease)
 	connection.calls.call(s.process, connection.side, sidecarCallTimeout, codec.CallLeaseKeys, body, func(r replica.Reply) {
 		if r.Status != http.StatusOK {
-			again()
+			retry()
 		}
 	})
 }
