--- a/internal/mesh/demo/policy.go
+++ b/internal/mesh/demo/policy.go
@@ -1,7 +1,6 @@
 package demo
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"strings"
@@ -107,7 +106,7 @@
 
 // namespaces returns the call that gives each team its namespace.
 func (s PolicyScenario) namespaces() []byte {
-	return encode(map[string]any{"Upsert": map[string]any{"NamespaceList": []policy.Namespace{
+	return testcluster.EncodeCall(map[string]any{"Upsert": map[string]any{"NamespaceList": []policy.Namespace{
 		{
 			Name: s.Services[0], ConfigVersion: 1, Owners: []string{s.Owners[0]}, Services: []string{s.Services[0]},
 			Hosts: []string{testcluster.Host},
@@ -206,7 +205,7 @@
 func (d *policyDemo) change(team int, p policy.Policy, consents ...string) []byte {
 	d.version++
 	p.ConfigVersion, p.Namespace = int64(d.version), d.Services[team]
-	return encode(map[string]any{"Upsert": map[string]any{"RulingList": []policy.Policy{p}}, "By": d.Owners[team], "Consents": consents})
+	return testcluster.EncodeCall(map[string]any{"Upsert": map[string]any{"RulingList": []policy.Policy{p}}, "By": d.Owners[team], "Consents": consents})
 }
 
 // changeTogether makes both teams change a policy at the same time, at any members.
@@ -298,15 +297,6 @@
 	return nil
 }
 
-// encode returns the JSON of a call, whose encoding can't fail.
-func encode(call map[string]any) []byte {
-	text, err := json.Marshal(call)
-	if err != nil {
-		panic(err)
-	}
-	return text
-}
-
 func firstError(errs []error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/internal/mesh/testcluster/api.go
+++ b/internal/mesh/testcluster/api.go
@@ -40,7 +40,7 @@
 			"ConfigVersion": version,
 		})
 	}
-	return encode(map[string]any{"Upsert": map[string]any{
+	return EncodeCall(map[string]any{"Upsert": map[string]any{
 		"UpstreamGroups": groups,
 		"ListenerList":   []any{map[string]any{"HostName": Host, "PolicyRules": routes}},
 	}})
@@ -55,11 +55,11 @@
 		"Dates":   []any{map[string]any{"From": from.UTC().Format(contractTime), "To": to.UTC().Format(contractTime)}},
 	}
 	maps.Copy(contract, more)
-	return encode(map[string]any{"Upsert": map[string]any{"ContractList": []any{contract}}})
+	return EncodeCall(map[string]any{"Upsert": map[string]any{"ContractList": []any{contract}}})
 }
 
-// encode returns the JSON of a call, whose encoding can't fail.
-func encode(call any) []byte {
+// EncodeCall returns the JSON of a call. Calls are maps and structs whose encoding can't fail; it panics if that is not so.
+func EncodeCall(call any) []byte {
 	text, err := json.Marshal(call)
 	if err != nil {
 		panic(err)
--- a/internal/mesh/testcluster/fakeapp.go
+++ b/internal/mesh/testcluster/fakeapp.go
@@ -93,7 +93,7 @@
 
 // sendHeartbeat sends one heartbeat, and reports whether it was acknowledged.
 func (a *FakeApp) sendHeartbeat() (acknowledged bool) {
-	body := encode(map[string]any{
+	body := EncodeCall(map[string]any{
 		"Address":    a.Addr,
 		"SystemInfo": map[string]any{"Service": a.Service, "ConfigVersion": "v1", "Zone": a.zone, "SlotCount": appSlots},
 		"OperStatus": map[string]any{"State": a.state.Load(), "CallSeq": a.heartbeatSeq.Add(1), "WarmupLeftS": 0},
--- a/internal/mesh/testcluster/http_test.go
+++ b/internal/mesh/testcluster/http_test.go
@@ -104,7 +104,7 @@
 // The active Limits apply to heads and to bodies with a length or in chunks; requests within the limits are served.
 func TestLimitsBoundRequests(t *testing.T) {
 	m := startCluster(t, "stock", "orders")
-	m.awaitAcknowledged(t, m.Members[:1], encode(map[string]any{"Upsert": map[string]any{"Limits": map[string]any{
+	m.awaitAcknowledged(t, m.Members[:1], EncodeCall(map[string]any{"Upsert": map[string]any{"Limits": map[string]any{
 		"MaxHeaderBytes": 2000, "MaxBodyBytes": 100000, "HeaderTimeoutS": 0.3, "IdleTimeoutS": 60, "ConfigVersion": 2,
 	}}}))
 	x := m.Sidecars[0]
--- a/internal/mesh/testcluster/policy_test.go
+++ b/internal/mesh/testcluster/policy_test.go
@@ -22,7 +22,7 @@
 	for name, version := range removed {
 		table = append(table, removal(name, version))
 	}
-	return encode(map[string]any{"By": by, "Upsert": map[string]any{"RulingList": policies}, "Remove": map[string]any{"RulingTable": table}})
+	return EncodeCall(map[string]any{"By": by, "Upsert": map[string]any{"RulingList": policies}, "Remove": map[string]any{"RulingTable": table}})
 }
 
 // removal is an item to be removed, with its version.
@@ -58,7 +58,7 @@
 func startTwoTeams(t *testing.T, services ...string) *Cluster {
 	t.Helper()
 	m := startCluster(t, services...)
-	m.awaitAcknowledged(t, m.Members, encode(map[string]any{"Upsert": map[string]any{"NamespaceList": []policy.Namespace{
+	m.awaitAcknowledged(t, m.Members, EncodeCall(map[string]any{"Upsert": map[string]any{"NamespaceList": []policy.Namespace{
 		{Name: "shop", ConfigVersion: 1, Owners: []string{"ana"}, Services: []string{"orders", "later"}, Hosts: []string{Host}},
 		{Name: "store", ConfigVersion: 1, Owners: []string{"bo"}, Services: []string{"stock"}},
 	}}}))
@@ -207,7 +207,7 @@
 		}
 		return list
 	}
-	call := func(tables map[string]any) []byte { return encode(map[string]any{"Remove": tables}) }
+	call := func(tables map[string]any) []byte { return EncodeCall(map[string]any{"Remove": tables}) }
 	status, text := m.Members[0].Modify(call(map[string]any{"NamespaceTable": removals("shop")}))
 	assert.Assert(t, status == 400 && strings.Contains(text, "ruling later: its namespace"), "%d %s", status, text)
 	m.awaitAcknowledged(t, m.Members, call(map[string]any{
