--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -84,18 +84,19 @@
 		"options":       "OPTIONS * HTTP/1.1\r\n" + head + "\r\n",
 		"nonsense":      "\x16\x03\x01\r\n\r\n",
 	} {
-		c := dial(t, n.Addr().String())
-		io.WriteString(c, text+hidden)
-		r := bufio.NewReader(c)
-		resp, err := http.ReadResponse(r, nil)
-		if err != nil || resp.StatusCode < 400 {
-			t.Errorf("%s: %v, %v", name, resp, err)
-			continue
-		}
-		io.Copy(io.Discard, resp.Body)
-		if rest, _ := io.ReadAll(r); len(rest) > 0 {
-			t.Errorf("%s: the rejection is followed by %q", name, rest)
-		}
+		t.Run(name, func(t *testing.T) {
+			c := dial(t, n.Addr().String())
+			io.WriteString(c, text+hidden)
+			r := bufio.NewReader(c)
+			resp, err := http.ReadResponse(r, nil)
+			if err != nil || resp.StatusCode < 400 {
+				t.Fatalf("%v, %v", resp, err)
+			}
+			io.Copy(io.Discard, resp.Body)
+			if rest, _ := io.ReadAll(r); len(rest) > 0 {
+				t.Errorf("the rejection is followed by %q", rest)
+			}
+		})
 	}
 	if len(got) > 0 {
 		t.Errorf("the server got %s", (<-got).RequestURI)
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -8,14 +8,16 @@
 	"cranegrade/balancer"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+// validConfig is a configuration as the platform writes it.
+const validConfig = `{"name":"n3","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peers":["127.0.0.1:1"],
  "known":{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","pod_group":3,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}]},
  "settings":{"lanes":[{"name":"read","effect":"read_like","target-ms":100,"deadline-ms":400}],
   "limits":{"conn-idle-ms":30000,"connect-timeout-ms":200,"cancelling":true},"registry-mode":"on_request"}}`
 
+// A valid configuration is read with the settings of its only pool.
 func TestConfig(t *testing.T) {
-	c, err := parseConfig([]byte(goodConfig))
+	c, err := parseConfig([]byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,8 +28,10 @@
 	}
 }
 
+// An invalid configuration is an error of one line that names the field, or what is wrong with the text. Each case replaces
+// the first text by the second.
 func TestConfigErrorNamesTheField(t *testing.T) {
-	for name, replace := range map[string][2]string{
+	for field, replace := range map[string][2]string{
 		"listen":             {`"127.0.0.1:3000"`, `"here"`},
 		"discovery":          {`"discovery"`, `"d"`},
 		"seed":               {`8c1f30d27a5be964`, `seed`},
@@ -49,9 +53,11 @@
 		"twice":              {`{"uid":"s-1"`, `{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","state":"SERVING"},{"uid":"s-1"`},
 		"limits.cores":       {`"cores":1.0`, `"cores":"one"`},
 	} {
-		_, err := parseConfig([]byte(strings.Replace(goodConfig, replace[0], replace[1], 1)))
-		if err == nil || !strings.Contains(err.Error(), name) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(field, func(t *testing.T) {
+			_, err := parseConfig([]byte(strings.Replace(validConfig, replace[0], replace[1], 1)))
+			if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v", err)
+			}
+		})
 	}
 }
--- a/internal/node/h2_test.go
+++ b/internal/node/h2_test.go
@@ -116,17 +116,18 @@
 		"unknown class":  {func(r *http.Request) { r.URL.Path = "/none/x" }, 404},
 		"another method": {func(r *http.Request) { r.Method = "PUT" }, 405},
 	} {
-		r := h2Request(context.Background(), addr, "POST", "order", "x", []byte("x"))
-		c.change(r)
-		resp, err := client.Do(r)
-		if err != nil {
-			t.Errorf("%s: %v", name, err)
-			continue
-		}
-		resp.Body.Close()
-		if resp.StatusCode != c.want {
-			t.Errorf("%s: %s, want %d", name, resp.Status, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			r := h2Request(context.Background(), addr, "POST", "order", "x", []byte("x"))
+			c.change(r)
+			resp, err := client.Do(r)
+			if err != nil {
+				t.Fatal(err)
+			}
+			resp.Body.Close()
+			if resp.StatusCode != c.want {
+				t.Errorf("%s, want %d", resp.Status, c.want)
+			}
+		})
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,7 +36,7 @@
 	handedOff         atomic.Bool  // a successor accepts new callers
 	drainTimeoutNanos atomic.Int64 // how long a draining node waits for requests in flight
 
-	mu        sync.Mutex // guards the fields below and serializes reloads; not held over I/O
+	mu        sync.Mutex // guards the fields below and serializes reloads
 	plan      operator.Plan
 	processes int64                   // processes that share the node's limits, this one included
 	xds       XDSClient               // nil: the plan names no control planes
--- a/internal/node/requests_test.go
+++ b/internal/node/requests_test.go
@@ -103,11 +103,13 @@
 		"GET with body": {"GET", "/read/1", "A", "", 5, 400},
 		"no key":        {"POST", "/send/1", "A", "", 0, 400},
 	} {
-		r := newRequest(t, n, c.method, c.path, strings.Repeat("x", c.size))
-		r.Header.Set(c.header, c.value)
-		if resp, _ := do(t, r); resp.StatusCode != c.status {
-			t.Errorf("%s: %d, want %d", name, resp.StatusCode, c.status)
-		}
+		t.Run(name, func(t *testing.T) {
+			r := newRequest(t, n, c.method, c.path, strings.Repeat("x", c.size))
+			r.Header.Set(c.header, c.value)
+			if resp, _ := do(t, r); resp.StatusCode != c.status {
+				t.Errorf("status %d, want %d", resp.StatusCode, c.status)
+			}
+		})
 	}
 	// A body that is too long is rejected by its Content-Length, before any of it is sent.
 	c := dial(t, n.Addr().String())
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -36,10 +36,12 @@
 		{[]string{"more"}, 2, "", "usage:"},
 		{[]string{"-config", bad}, 1, "", bad + ":2: colour: unknown key"},
 	} {
-		var stdout, stderr bytes.Buffer
-		code := Run(t.Context(), nil, c.args, &stdout, &stderr, node.Options{})
-		if code != c.code || !strings.Contains(stdout.String(), c.output) || !strings.Contains(stderr.String(), c.errors) {
-			t.Errorf("%q: exit %d, output %q, errors %q", c.args, code, stdout.String(), stderr.String())
-		}
+		t.Run(strings.Join(c.args, " "), func(t *testing.T) {
+			var stdout, stderr bytes.Buffer
+			code := Run(t.Context(), nil, c.args, &stdout, &stderr, node.Options{})
+			if code != c.code || !strings.Contains(stdout.String(), c.output) || !strings.Contains(stderr.String(), c.errors) {
+				t.Errorf("exit %d, output %q, errors %q", code, stdout.String(), stderr.String())
+			}
+		})
 	}
 }
