--- a/docs/commands_test.go
+++ b/docs/commands_test.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"fmt"
 	"io"
+	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -94,25 +95,61 @@
 	return cmd.ProcessState.ExitCode(), string(out)
 }
 
+// Ports of freeAddress: below those that the system gives to others' listeners and connections, so that nobody else takes one before
+// the program listens there, or after it has ended.
+const (
+	firstFreePort = 20_000
+	lastFreePort  = 32_000
+)
+
 // freeAddress returns a loopback address at which nothing listens.
 func freeAddress(t *testing.T) string {
+	t.Helper()
+	for range 1000 {
+		address := fmt.Sprintf("127.0.0.1:%d", firstFreePort+rand.IntN(lastFreePort-firstFreePort))
+		if l, err := net.Listen("tcp", address); err == nil {
+			l.Close()
+			return address
+		}
+	}
+	t.Fatal("no free port")
+	return ""
+}
+
+// closingAddress returns an address at which every connection is closed at once. It stays taken until the test ends: a program that
+// calls it must not reach the server of another test.
+func closingAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	t.Cleanup(func() { l.Close() })
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			conn.Close()
+		}
+	}()
 	return l.Addr().String()
 }
 
-// exampleFile is a copy of a file of deploy/examples whose addresses are free ones.
+// exampleFile is a copy of a file of deploy/examples. The addresses at which the program listens are free ones; at the others, such as
+// a registry's, connections are closed.
 type exampleFile struct {
 	path      string
 	addresses map[string]string // by the address of the example
 }
 
-// loopbackAddress matches an address in an example.
-var loopbackAddress = regexp.MustCompile(`127\.0\.0\.[0-9]+:[0-9]+`)
+var (
+	fileLine        = regexp.MustCompile(`(?m)^.*$`)
+	loopbackAddress = regexp.MustCompile(`127\.0\.0\.[0-9]+:[0-9]+`)
+	// listenKey matches a line that names where the program listens.
+	listenKey = regexp.MustCompile(`^\s*(listen|listen_h2|admin|operator)\s*=`)
+)
 
 func copyExample(t *testing.T, name string, addresses map[string]string) exampleFile {
 	t.Helper()
@@ -121,14 +158,20 @@
 		t.Fatal(err)
 	}
 	example := exampleFile{path: filepath.Join(t.TempDir(), name), addresses: map[string]string{}}
-	text = loopbackAddress.ReplaceAllFunc(text, func(address []byte) []byte {
-		if _, found := example.addresses[string(address)]; !found {
-			example.addresses[string(address)] = freeAddress(t)
-		}
-		if given := addresses[string(address)]; given != "" {
-			example.addresses[string(address)] = given
-		}
-		return []byte(example.addresses[string(address)])
+	text = fileLine.ReplaceAllFunc(text, func(line []byte) []byte {
+		return loopbackAddress.ReplaceAllFunc(line, func(address []byte) []byte {
+			shown := string(address)
+			switch _, found := example.addresses[shown]; {
+			case found:
+			case addresses[shown] != "":
+				example.addresses[shown] = addresses[shown]
+			case listenKey.Match(line):
+				example.addresses[shown] = freeAddress(t)
+			default:
+				example.addresses[shown] = closingAddress(t)
+			}
+			return []byte(example.addresses[shown])
+		})
 	})
 	stateFolder := regexp.MustCompile(`(?m)^state = "[^"]*?(/[^/"]+\.db)?"`)
 	text = stateFolder.ReplaceAll(text, []byte(`state = "`+filepath.Dir(example.path)+`$1"`))
