--- a/docs/commands_test.go
+++ b/docs/commands_test.go
@@ -18,6 +18,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"cranegrade/internal/testkit"
 )
 
 const (
@@ -120,21 +122,7 @@
 // calls it must not reach the server of another test.
 func closingAddress(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	go func() {
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				return
-			}
-			conn.Close()
-		}
-	}()
-	return l.Addr().String()
+	return testkit.Listen(t, func(net.Conn, *bufio.Reader) {})
 }
 
 // exampleFile is a copy of a file of deploy/examples. The addresses at which the program listens are free ones; at the others, such as
