--- a/internal/mesh/raft/election.go
+++ b/internal/mesh/raft/election.go
@@ -31,7 +31,8 @@
 	if kind == campaignTransfer {
 		request.Hint = leadershipTransferHint
 	}
-	request.Index, request.LogTerm = r.log.lastIndex(), r.log.lastTerm()
+	request.Index = r.log.lastIndex()
+	request.LogTerm = r.log.lastTerm()
 	r.votes = map[ID]bool{r.config.Self.ID: true}
 	for _, voter := range r.log.configuration.voters() {
 		if voter.ID != r.config.Self.ID {
@@ -42,7 +43,8 @@
 	r.countVotes()
 }
 
-// countVotes turns a pre-candidate into a candidate, or a candidate into the leader, once a quorum has voted for it.
+// countVotes turns a pre-candidate into a candidate, or a candidate into the leader, once a quorum has voted for it. Two quorums share a
+// member, which votes once in a term, so a term has at most one leader (Raft paper, section 5.2: Election Safety).
 func (r *Raft) countVotes() {
 	if !r.log.configuration.hasQuorum(func(id ID) bool { return r.votes[id] }) {
 		return
@@ -107,6 +109,9 @@
 	}
 }
 
+// handlePreVoteResponse counts a granted pre-vote. A granted one carries the term that was asked for, this member's next one; a
+// rejected one carries the term of its sender, which this member adopts if it is later, so that its next request is not rejected for
+// its term.
 func (r *Raft) handlePreVoteResponse(m Message) {
 	if r.role == preCandidate && m.Term == r.term+1 && !m.Reject {
 		r.votes[m.From] = true
@@ -117,7 +122,8 @@
 }
 
 // isDisruptive reports whether a RequestVote of a later term has to be ignored, because its sender can't hear the leader that this member
-// hears, or was removed from the configuration (dissertation, section 4.2.3).
+// hears, or was removed from the configuration (dissertation, section 4.2.3). An unknown sender with an up-to-date log may be a new voter
+// whose configuration entry has not come here yet, so it is heeded.
 func (r *Raft) isDisruptive(m Message) bool {
 	return r.hearsLeader() && m.Hint != leadershipTransferHint ||
 		!r.log.configuration.isVoter(m.From) && !r.isUpToDate(m)
@@ -134,6 +140,8 @@
 	r.sendAfterSave(Message{Kind: VoteResponse, To: m.From, Term: r.term, Reject: !granted})
 }
 
+// handleVoteResponse counts a granted vote. It is one of this term: Step has dropped those of earlier terms, and one of a later term has
+// made this member a follower.
 func (r *Raft) handleVoteResponse(m Message) {
 	if r.role == candidate && !m.Reject {
 		r.votes[m.From] = true
@@ -153,8 +161,8 @@
 	switch r.role {
 	case follower:
 		r.electionDeadline = r.now + r.config.ElectionTimeout + r.electionDelay()
-	case preCandidate: // pre-votes disrupt nobody, and a voter that was down may be back soon
-		wait := r.config.ElectionTimeout / 4
+	case preCandidate:
+		wait := r.config.preVoteRetryDelay()
 		r.electionDeadline = r.now + wait + r.randomBelow(wait)
 	case candidate, leader:
 		r.electionDeadline = r.now + r.config.ElectionTimeout + r.randomBelow(r.config.ElectionTimeout)
@@ -165,8 +173,8 @@
 // the random part is too small for two of them to campaign at the same time. With Raft's purely random timeouts (Raft paper, section
 // 5.2) votes are split more often.
 func (r *Raft) electionDelay() time.Duration {
-	jitter := r.randomBelow(r.config.ElectionTimeout / 10)
-	return time.Duration(r.voterRank(r.leaderID))*r.config.ElectionTimeout/5 + jitter
+	jitter := r.randomBelow(r.config.campaignJitter())
+	return r.config.campaignRankDelay(r.voterRank(r.leaderID)) + jitter
 }
 
 // ReportLeaderExited reports that the process of a member has ended, by better evidence than silence: its host is reachable and refuses
@@ -178,7 +186,7 @@
 	if r.role != follower || r.leaderID != id || id == r.config.Self.ID || r.IsNonMember() {
 		return 0, false
 	}
-	wait = r.config.ElectionTimeout/50 + time.Duration(r.voterRank(id))*r.config.ElectionTimeout/8
+	wait = r.config.leaderExitDelay(r.voterRank(id))
 	r.leaderID = 0
 	r.electionDeadline = r.now + wait
 	return wait, true
--- a/internal/mesh/raft/election_test.go
+++ b/internal/mesh/raft/election_test.go
@@ -58,7 +58,7 @@
 // also where the first to ask lacks entries. Without that knowledge none leads sooner than the timeout.
 func TestExitedLeaderIsReplacedSoon(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
-		for _, told := range []bool{true, false} {
+		for _, isReported := range []bool{true, false} {
 			sim := newSimulation(t, seed, "a", "b", "c")
 			sim.run(3 * time.Second)
 			old := sim.leaderAddr()
@@ -69,10 +69,10 @@
 			assert.Assert(t, ok)
 			sim.processReady(old)
 			sim.run(30 * time.Millisecond)
-			sim.endProcess(old, told)
+			sim.endProcess(old, isReported)
 			sim.run(300 * time.Millisecond)
-			if now := sim.leaderAddr(); (now != "") != told {
-				t.Fatalf("seed %d: told %v, and %q leads in the place of %q after 300 ms", seed, told, now, old)
+			if now := sim.leaderAddr(); (now != "") != isReported {
+				t.Fatalf("seed %d: exit reported %v, and %q leads in the place of %q after 300 ms", seed, isReported, now, old)
 			}
 			sim.run(3 * time.Second)
 			assert.Assert(t, sim.leaderAddr() != "")
@@ -80,8 +80,8 @@
 	}
 }
 
-// The first pre-vote may be rejected because the other member does not know yet that the leader is gone. If the other lacks entries it can't be
-// elected itself, and its own pre-vote makes the first ask again at once.
+// The first pre-vote may be rejected because the other member does not know yet that the leader is gone. If the other lacks entries it
+// can't be elected itself, and its own pre-vote makes the first ask again at once.
 func TestLeaderExitReportedLate(t *testing.T) {
 	for seed := uint64(1); seed <= 40; seed++ {
 		sim := newSimulation(t, seed, "a", "b", "c")
@@ -151,8 +151,8 @@
 	assert.Assert(t, response.Kind == PreVoteResponse && !response.Reject)
 }
 
-// A member that stalls for less than the election timeout, on its disk or for lack of processor time, does not cause an election, whether it is the
-// leader or a follower.
+// A member that stalls for less than the election timeout, on its disk or for lack of processor time, does not cause an election,
+// whether it is the leader or a follower.
 func TestShortStallKeepsTheLeader(t *testing.T) {
 	// A heartbeat may have been due just then, and takes a while.
 	const stall = testElectionTimeout - testHeartbeatInterval - 20*time.Millisecond
@@ -216,8 +216,8 @@
 	sim.requireComplete("a", "b", "c")
 }
 
-// A member that has voted in a term and comes back with a log that is older than its vote votes for no other member in that term, is not elected with
-// that log, and catches up.
+// A member that has voted in a term and comes back with a log that is older than its vote votes for no other member in that term, is
+// not elected with that log, and catches up.
 func TestLogOlderThanVote(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	third := model.nodes[2]
--- a/internal/mesh/raft/entry.go
+++ b/internal/mesh/raft/entry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EntryKind is what an entry holds. Its values are stored and sent.
+// EntryKind is what an entry holds. Its values are stored and sent, so they must not change.
 type EntryKind uint8
 
 // Kinds of entries.
@@ -30,9 +30,9 @@
 	Index, Term uint64
 	Kind        EntryKind
 	// LogTime is the log's own time when the leader appended the entry. It advances while there is a leader, and never faster than real
-	// time.
+	// time. The state machine takes time from it alone, so that all members apply an entry at the same time.
 	LogTime         time.Duration
-	Data            []byte
+	Data            []byte   // of an EntryCommand
 	Members         []Member // of an EntryConfiguration
 	Outgoing        []Member // of a joint EntryConfiguration: the voters before the change
 	ProtocolVersion uint32   // of an EntryConfiguration: the version that all Members speak
@@ -45,7 +45,8 @@
 
 // Snapshot replaces the log up to and including Index (Raft paper, section 7).
 type Snapshot struct {
-	Index, Term        uint64
+	Index              uint64        // of the last entry that it replaces
+	Term               uint64        // of the entry at Index
 	LogTime            time.Duration // of the entry at Index
 	ConfigurationIndex uint64        // of the configuration entry with Members, Outgoing and ProtocolVersion
 	Members            []Member
@@ -61,4 +62,7 @@
 
 // position identifies one entry. Two logs that both hold the entry at a position are equal up to it (Raft paper, section 5.3: Log Matching
 // Property).
-type position struct{ index, term uint64 }
+type position struct {
+	index uint64
+	term  uint64
+}
--- a/internal/mesh/raft/follower.go
+++ b/internal/mesh/raft/follower.go
@@ -8,10 +8,11 @@
 	}
 	isNew := r.leaderID != m.From
 	r.leaderID = m.From
-	r.followed.heardAt, r.followed.protocolVersion = r.now, m.ProtocolVersion
+	r.followed.heardAt = r.now
+	r.followed.protocolVersion = m.ProtocolVersion
 	r.resetElectionDeadline()
 	if isNew && r.leave.requested {
-		r.leave.requestedAt = 0
+		r.leave.requestedAt = 0 // the new leader does not know yet that this member leaves
 		r.advanceLeave()
 	}
 }
@@ -28,7 +29,9 @@
 // 5.3).
 func (r *Raft) handleAppendEntries(m Message) {
 	reply := Message{Kind: AppendResponse, To: m.From, Term: r.term, HeartbeatRound: m.HeartbeatRound}
-	if snapshot := r.log.snapshot; m.Index < snapshot.Index { // what the snapshot covers is committed, so it agrees
+	if snapshot := r.log.snapshot; m.Index < snapshot.Index {
+		// What the snapshot covers is committed, so it agrees with the log of every later leader (Raft paper, section 5.4: Leader
+		// Completeness). Only the entries after it have to be compared.
 		m.Entries = m.Entries[min(snapshot.Index-m.Index, uint64(len(m.Entries))):]
 		m.Index, m.LogTerm = snapshot.Index, snapshot.Term
 		if len(m.Entries) == 0 {
@@ -45,9 +48,11 @@
 	}
 	r.log.merge(m.Entries)
 	if !r.IsNonMember() {
-		r.join.toldNonMemberAt, r.join.contacts = 0, nil
+		r.join.toldNonMemberAt = 0
+		r.join.contacts = nil
 	}
 	reply.Index = m.Index + uint64(len(m.Entries))
+	// The leader may have committed entries after those that were compared here, so the commit index stops at these (section 5.3).
 	r.log.committed = max(r.log.committed, min(m.Commit, reply.Index))
 	r.recordCatchUp(m)
 	r.sendAfterSave(reply)
--- a/internal/mesh/raft/join.go
+++ b/internal/mesh/raft/join.go
@@ -10,9 +10,10 @@
 
 // joinState is the state of a member that has to join.
 type joinState struct {
-	toldNonMemberAt time.Duration // when a member that knows a later configuration said last that this one is no voter; 0: never
+	// toldNonMemberAt is when a member that knows a later configuration last said that this one is no voter, or 0 if none has.
+	toldNonMemberAt time.Duration
 	contacts        []Member      // the voters that it named, which are only used to ask them to join
-	requestedAt     time.Duration // when this member last asked to join; 0: never
+	requestedAt     time.Duration // when this member last asked to join, or 0 if it never has
 }
 
 // mustJoin reports whether this member has to ask to join: it is not a voter according to its own log, or to what others have lately said.
@@ -20,14 +21,16 @@
 
 // wasToldNonMember reports whether a member that knows a later configuration has lately said that this one is not a voter.
 func (r *Raft) wasToldNonMember() bool {
-	return r.join.toldNonMemberAt > 0 && r.now-r.join.toldNonMemberAt < 2*r.config.ElectionTimeout
+	return r.join.toldNonMemberAt > 0 && r.now-r.join.toldNonMemberAt < r.config.notMemberSpan()
 }
 
-// handleNotMember handles the notice of a member that knows a later configuration. The configuration that this member counts votes by is
-// that of its log; the notice only names the members to ask.
+// handleNotMember handles the notice of a member that knows a later configuration. The notice only names the members to ask: the
+// configuration that this member counts votes by stays that of its log, since only what is in the log is known to be agreed upon (Raft
+// paper, section 6).
 func (r *Raft) handleNotMember(m Message) {
 	if m.ConfigurationIndex > r.log.configuration.Index {
-		r.join.toldNonMemberAt, r.join.contacts = max(r.now, 1), m.Members
+		r.join.toldNonMemberAt = max(r.now, 1)
+		r.join.contacts = m.Members
 	}
 }
 
@@ -47,10 +50,10 @@
 	})
 }
 
-// requestJoin asks all known members to let this one join. The caller asks those of whom it only knows the address.
+// requestJoin asks all known members to let this one join. The owner of this Raft asks those of whom it only knows the address.
 func (r *Raft) requestJoin() {
-	hasJustAsked := r.join.requestedAt > 0 && r.now-r.join.requestedAt < r.config.ElectionTimeout/4
-	isFollowing := r.now-r.followed.heardAt < r.config.ElectionTimeout/2 && !r.IsNonMember()
+	hasJustAsked := r.join.requestedAt > 0 && r.now-r.join.requestedAt < r.config.joinRequestInterval()
+	isFollowing := r.now-r.followed.heardAt < r.config.leaderContactSpan() && !r.IsNonMember()
 	if hasJustAsked || isFollowing {
 		return
 	}
@@ -63,7 +66,8 @@
 	}
 }
 
-// handleJoinRequest makes the sender a learner, which the leader replicates to from now on. Other members answer with the voters.
+// handleJoinRequest makes the sender a learner, which the leader replicates to from now on. Other members answer with the voters. A learner
+// counts for nothing, so any sender may become one; the leader decides in admitLearner whether it becomes a voter.
 func (r *Raft) handleJoinRequest(m Message) {
 	if r.role != leader {
 		r.sendNotMember(m)
--- a/internal/mesh/raft/leave.go
+++ b/internal/mesh/raft/leave.go
@@ -15,7 +15,7 @@
 type leaveState struct {
 	requested   bool          // BeginLeave was called
 	granted     bool          // the leader has answered LeaveGranted
-	requestedAt time.Duration // when this member last sent LeaveRequest or transferred leadership; 0: never
+	requestedAt time.Duration // when this member last sent LeaveRequest or transferred leadership, or 0 if it never has
 }
 
 // BeginLeave begins a planned departure. The member goes on as before until MayLeave.
@@ -43,12 +43,12 @@
 	case r.role == leader && r.areAllVotersLeaving():
 		return true
 	}
-	return r.role == follower && r.leaderID != 0 && r.followed.protocolVersion < 1
+	return r.role == follower && r.leaderID != 0 && r.followed.protocolVersion < versionWithLeave
 }
 
 // advanceLeave sends LeaveRequest to the leader, or transfers leadership if this member leads.
 func (r *Raft) advanceLeave() {
-	if r.leave.requestedAt > 0 && r.now-r.leave.requestedAt < r.config.ElectionTimeout/8 {
+	if r.leave.requestedAt > 0 && r.now-r.leave.requestedAt < r.config.leaveRequestInterval() {
 		return
 	}
 	switch {
@@ -61,7 +61,7 @@
 			r.leave.requestedAt = max(r.now, 1)
 			r.TransferLeadership(r.now)
 		}
-	case r.role == follower && r.leaderID != 0 && r.followed.protocolVersion >= 1:
+	case r.role == follower && r.leaderID != 0 && r.followed.protocolVersion >= versionWithLeave:
 		r.leave.requestedAt = max(r.now, 1)
 		r.sendAfterSave(Message{Kind: LeaveRequest, To: r.leaderID, Term: r.term})
 	}
@@ -70,7 +70,8 @@
 // isTransferringLeadership reports whether a leader that leaves has lately sent TimeoutNow. Entries that it appended now would probably be
 // lost.
 func (r *Raft) isTransferringLeadership() bool {
-	return r.leave.requested && r.role == leader && r.leave.requestedAt > 0 && r.now-r.leave.requestedAt < r.config.ElectionTimeout/2
+	return r.leave.requested && r.role == leader &&
+		r.leave.requestedAt > 0 && r.now-r.leave.requestedAt < r.config.transferSpan()
 }
 
 // areAllVotersLeaving reports whether all voters leave, as far as the leader knows, so that there is nobody to wait for.
@@ -80,7 +81,7 @@
 			return !r.leave.requested
 		}
 		p := r.peers.get(member.ID)
-		return p != nil && !p.leaveGranted && !p.isLeavingSince(r.now-r.config.ElectionTimeout/2)
+		return p != nil && !p.leaveGranted && !p.isLeavingSince(r.now-r.config.leaveRequestSpan())
 	})
 }
 
@@ -91,7 +92,7 @@
 		return
 	}
 	p.recordContact(r.now, m)
-	if !p.isLeavingSince(r.now - r.config.ElectionTimeout/2) {
+	if !p.isLeavingSince(r.now - r.config.leaveRequestSpan()) {
 		r.broadcastHeartbeat() // a member that answers this round still has its disk
 		p.leaveRound = r.leading.heartbeatRound
 	}
@@ -102,6 +103,7 @@
 	r.grantLeaves()
 }
 
+// handleLeaveGranted records the leader's permission, which is not withdrawn: from now on nothing depends on this member's disk.
 func (r *Raft) handleLeaveGranted(m Message) {
 	r.leave.granted = r.leave.granted || r.leave.requested && m.From == r.leaderID
 }
@@ -166,11 +168,11 @@
 		return r.leave.requested
 	}
 	p := r.peers.get(id)
-	return p != nil && p.isLeavingSince(r.now-r.config.ElectionTimeout/2)
+	return p != nil && p.isLeavingSince(r.now-r.config.leaveRequestSpan())
 }
 
-// isReplacementReady reports whether a learner that has caught up is about to replace a member that leaves, or is just doing so. That member
-// may only stop once it is replaced: without its vote, the loss of one more disk could leave no majority for good.
+// isReplacementReady reports whether a learner that has caught up is about to replace a member that leaves, or is just doing so. That
+// member may only stop once it is replaced: without its vote, the loss of one more disk could leave no majority for good.
 func (r *Raft) isReplacementReady(leaving ID) bool {
 	configuration := r.log.configuration
 	if configuration.isJoint() {
@@ -181,7 +183,8 @@
 			return false
 		}
 		place, _ := r.replaceableMember(p)
-		return place != noMember && configuration.Members[place].ID == leaving && r.protocolVersionWith(p, place) >= 1
+		return place != noMember && configuration.Members[place].ID == leaving &&
+			r.protocolVersionWith(p, place) >= versionWithJointChange
 	})
 }
 
--- a/internal/mesh/raft/leave_test.go
+++ b/internal/mesh/raft/leave_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A member that leaves is granted that only once the members that stay hold everything that it holds. 50 ms later another disk is lost. Either the
-// leader or a follower leaves, and the third member lagged before.
+// A member that leaves is granted that only once the members that stay hold everything that it holds. 50 ms later another disk is lost.
+// Either the leader or a follower leaves, and the third member lagged before.
 func TestLeaveThenDiskLoss(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulation(t, 300+seed, "a", "b", "c")
@@ -101,8 +101,8 @@
 	}
 }
 
-// A member that leaves while a learner is ready is replaced by the learner first, so that after the loss of another disk 50 ms later only one vote
-// is missing. Either the leader or a follower leaves.
+// A member that leaves while a learner is ready is replaced by the learner first, so that after the loss of another disk 50 ms later
+// only one vote is missing. Either the leader or a follower leaves.
 func TestLeaveWithReadyLearner(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulationWithLearner(t, 400+seed, 20)
@@ -143,8 +143,8 @@
 	}
 }
 
-// A member that leaves for good, leader or follower, is replaced by a learner that is ready. 50 ms after it began to leave another member loses its
-// disk; the remaining members are still a majority.
+// A member that leaves for good, leader or follower, is replaced by a learner that is ready. 50 ms after it began to leave another
+// member loses its disk; the remaining members are still a majority.
 func TestLeaveGivesPlaceToLearner(t *testing.T) {
 	for seed := range uint64(40) {
 		sim := newSimulationWithLearner(t, 700+seed, 10)
--- a/internal/mesh/raft/log.go
+++ b/internal/mesh/raft/log.go
@@ -7,23 +7,26 @@
 
 // Bounds of the entries that are kept before a snapshot, so that a follower that was away for a short time needs no snapshot.
 const (
+	// DefaultCatchUpEntries is how many there are at most, unless Config says otherwise.
 	DefaultCatchUpEntries = 4096
-	maxCatchUpBytes       = 4 << 20
-	entryOverhead         = 64 // bytes that an entry takes besides its data, approximately
+	maxCatchUpBytes       = 4 << 20 // how many bytes they have at most
+	entryOverhead         = 64      // bytes that an entry takes besides its data, approximately
 )
 
-// raftLog is a member's log: its entries, the snapshot that replaces those before them, up to where they are on disk, committed and applied,
-// and the latest configuration in them.
+// raftLog is a member's log: its entries, the snapshot that replaces those before them, up to where they are on disk, committed and
+// applied, and the latest configuration in them. At all times start.index <= snapshot.Index <= applied <= committed <= lastIndex(), but for
+// a received snapshot, which counts as applied once takeUnsavedSnapshot has handed it out.
 type raftLog struct {
 	start    position // of the last entry before entries
 	entries  []Entry  // without a gap; the first ones may be before the end of the snapshot
 	snapshot Snapshot
 
-	savedIndex         uint64 // on disk up to here
-	committed, applied uint64
-	configuration      Configuration // the latest in the log, committed or not
+	savedIndex    uint64        // the entries up to here are on disk
+	committed     uint64        // the entries up to here are on the disks of a quorum, and never change again
+	applied       uint64        // the entries up to here were handed out as committed
+	configuration Configuration // the latest in the log, committed or not
 
-	firstUnsavedIndex uint64 // entries from here on have to be written; 0: none
+	firstUnsavedIndex uint64 // entries from here on have to be written; 0 if there are none
 	snapshotUnsaved   bool   // the snapshot was received and has to be written
 }
 
@@ -140,7 +143,7 @@
 	return entries
 }
 
-// takeUnsavedSnapshot returns the snapshot that was received since the last call and has to be written; nil: none was.
+// takeUnsavedSnapshot returns the snapshot that was received since the last call and has to be written, or nil if none was.
 func (l *raftLog) takeUnsavedSnapshot() *Snapshot {
 	if !l.snapshotUnsaved {
 		return nil
@@ -161,9 +164,9 @@
 	return entries
 }
 
-// rejectHint returns the highest index at which the log may agree with the leader's, given an index at which it does not: the entry is missing
-// or of another term. All entries of that other term are skipped, since they are from a former leader and trying them one by one would
-// take a heartbeat interval each (Raft paper, section 5.3). Committed entries always agree.
+// rejectHint returns the highest index at which the log may agree with the leader's, given an index at which it does not: the entry is
+// missing or of another term. All entries of that other term are skipped, since they are from a former leader and trying them one by
+// one would take a heartbeat interval each (Raft paper, section 5.3). Committed entries always agree.
 func (l *raftLog) rejectHint(index uint64) uint64 {
 	hint := min(index-1, l.lastIndex())
 	conflicting, known := l.termAt(index)
@@ -201,8 +204,8 @@
 	return l.configuration.Index <= l.committed && !l.configuration.isJoint()
 }
 
-// restore replaces the log up to the end of a received snapshot, which must be ahead of the commit index. Later entries are kept only if the
-// log holds the snapshot's last entry, since only then do they follow it.
+// restore replaces the log up to the end of a received snapshot, which must be ahead of the commit index. Later entries are kept only
+// if the log holds the snapshot's last entry, since only then do they follow it.
 func (l *raftLog) restore(snapshot Snapshot) {
 	if term, known := l.termAt(snapshot.Index); known && term == snapshot.Term {
 		l.entries = slices.Clone(l.entriesFrom(snapshot.Index + 1))
@@ -221,7 +224,8 @@
 }
 
 // compact replaces the log up to an applied index by a snapshot with data, the state machine at that index. Entries after keepFrom, which
-// must not be after the index, stay as catch-up entries.
+// must not be after the index, stay as catch-up entries. Only applied entries are replaced: they are committed, so no leader will ever
+// replace them by others (Raft paper, section 7).
 func (l *raftLog) compact(index uint64, data []byte, keepFrom uint64) {
 	entry, configuration := l.entriesFrom(index)[0], l.configurationAt(index)
 	l.snapshot = Snapshot{
@@ -242,6 +246,7 @@
 // entryBytes returns the size of an entry as the bounds of this package count it.
 func entryBytes(entry Entry) int { return len(entry.Data) + entryOverhead }
 
+// sizeOf returns the size of entries as the bounds of this package count it.
 func sizeOf(entries []Entry) (bytes int) {
 	for _, entry := range entries {
 		bytes += entryBytes(entry)
--- a/internal/mesh/raft/membership.go
+++ b/internal/mesh/raft/membership.go
@@ -2,10 +2,15 @@
 
 import "slices"
 
-// maintainMembership starts the next configuration change if one is due. There is one change at a time.
+// The membership is changed by the leader alone, by configuration entries in the log. Nobody orders a change: a member asks to join
+// (join.go), and the leader puts it in the place of one that is lost or leaves, or in a place that is free. One change is made at a
+// time, and with joint consensus (Raft paper, section 6; dissertation, section 4.3), so that no majority of the members before can
+// decide otherwise than a majority of those after.
+
+// maintainMembership starts the next configuration change if one is due. It also forgets learners that have gone.
 func (r *Raft) maintainMembership() {
 	r.peers = slices.DeleteFunc(r.peers, func(p *progress) bool {
-		return !r.log.configuration.isVoter(p.ID) && r.now-p.heardAt > 4*r.config.DeadMemberTimeout
+		return !r.log.configuration.isVoter(p.ID) && r.now-p.heardAt > r.config.forgetLearnerSpan()
 	})
 	if !r.mayChangeMembership() || r.raiseProtocolVersion() {
 		return
@@ -17,15 +22,15 @@
 	}
 }
 
-// mayChangeMembership reports whether a change may begin. An entry of the leader's own term has to be committed first: until then a majority
-// of another leader may have replaced the configuration that this leader uses (Ongaro's correction of single-server changes, raft-dev
-// mailing list, July 2015).
+// mayChangeMembership reports whether a change may begin. The change before it has to be complete, so that at most two memberships are
+// ever in use. An entry of the leader's own term has to be committed as well: until then a majority of another leader may have replaced
+// the configuration that this leader uses (Ongaro's correction of single-server changes, raft-dev mailing list, July 2015).
 func (r *Raft) mayChangeMembership() bool {
 	return r.hasCommittedOwnTerm() && r.log.isConfigurationCommitted()
 }
 
-// raiseProtocolVersion records in the log the protocol version that all members speak, once each has announced it, so that it is known also of
-// members that are silent later. It needs one entry per version over the lifetime of a cluster.
+// raiseProtocolVersion records in the log the protocol version that all members speak, once each has announced it, so that it is known
+// also of members that are silent later. It needs one entry per version over the lifetime of a cluster.
 func (r *Raft) raiseProtocolVersion() bool {
 	common := r.protocolVersion()
 	for _, member := range r.log.configuration.Members {
@@ -38,7 +43,8 @@
 		}
 		common = min(common, p.protocolVersion)
 	}
-	return common > r.log.configuration.ProtocolVersion && containsMember(r.log.configuration.Members, r.config.Self.ID) &&
+	return common > r.log.configuration.ProtocolVersion &&
+		containsMember(r.log.configuration.Members, r.config.Self.ID) &&
 		r.proposeConfiguration(Configuration{Members: r.log.configuration.Members, ProtocolVersion: common})
 }
 
@@ -60,7 +66,9 @@
 		})
 	}
 	version := r.protocolVersionWith(p, replaced)
-	if version < 1 { // one of them knows no joint change: the place is cleared first, by a change of a single member
+	if version < versionWithJointChange {
+		// One of them knows no joint change, so the place is cleared first by a change of a single member, which is safe by itself
+		// (dissertation, section 4.1).
 		return r.proposeConfiguration(Configuration{Members: slices.Delete(members, replaced, replaced+1), ProtocolVersion: version})
 	}
 	if !r.isCaughtUp(p) {
@@ -92,7 +100,8 @@
 	return slices.IndexFunc(members, func(member Member) bool { return r.isLeaving(member.ID) }), false
 }
 
-// isCaughtUp reports whether a learner has all that was committed at the last regular heartbeat.
+// isCaughtUp reports whether a learner has on disk all that was committed at the last regular heartbeat. What has been committed since then
+// it lacks for at most about a heartbeat interval.
 func (r *Raft) isCaughtUp(p *progress) bool {
 	return p.match > 0 && p.match >= r.leading.committedAtHeartbeat
 }
@@ -116,7 +125,8 @@
 	return r.log.configuration.ProtocolVersion
 }
 
-// proposeConfiguration appends a configuration if a quorum of it is active and can commit it, and reports whether it did.
+// proposeConfiguration appends a configuration if a quorum of it is active and can commit it, and reports whether it did. A
+// configuration that can't be committed would block the cluster, since it is used from the moment it is appended.
 func (r *Raft) proposeConfiguration(to Configuration) bool {
 	if !to.hasQuorum(r.IsRecentlyActive) {
 		return false
--- a/internal/mesh/raft/membership_test.go
+++ b/internal/mesh/raft/membership_test.go
@@ -63,7 +63,8 @@
 	sim.requireComplete("a", "b", "c")
 }
 
-// A lost member is replaced in one step by a learner that has caught up, at the same address or at another, so that its place is never empty.
+// A lost member is replaced in one step by a learner that has caught up, at the same address or at another, so that its place is never
+// empty.
 func TestReplacement(t *testing.T) {
 	for _, at := range []string{"c", "d"} {
 		sim := newSettledSimulation(t, 11, "a", "b", "c")
@@ -142,7 +143,8 @@
 	}
 }
 
-// A member votes for a new member that it does not know yet. Otherwise two of three members, with the third down, could never elect a leader.
+// A member votes for a new member that it does not know yet. Otherwise two of three members, with the third down, could never elect a
+// leader.
 func TestVoteForUnknownMember(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	n := &testMember{self: Member{4, "r4"}}
@@ -200,8 +202,8 @@
 	}))
 }
 
-// In a cluster of both protocol versions, whichever leads, a lost member is replaced in the way that all support. Once all speak the present version
-// that is a joint change.
+// In a cluster of both protocol versions, whichever leads, a lost member is replaced in the way that all support. Once all speak the
+// present version that is a joint change.
 func TestMixedProtocolVersions(t *testing.T) {
 	for mask := range 8 {
 		sim := newSimulation(t, uint64(mask), "a", "b", "c")
--- a/internal/mesh/raft/message.go
+++ b/internal/mesh/raft/message.go
@@ -4,28 +4,51 @@
 // whose messages carry none. It knows neither joint changes, departures nor snapshot chunks, so none of these is sent to it.
 const ProtocolVersion = 1
 
+// The first protocol versions with an extension of version 0.
+const (
+	versionWithLeave          = 1 // LeaveRequest and LeaveGranted
+	versionWithJointChange    = 1 // configuration entries with Outgoing
+	versionWithSnapshotChunks = 1 // SnapshotChunk and SnapshotChunkResponse
+)
+
 // lastVersion0Kind is the last kind of message that protocol version 0 knows.
 const lastVersion0Kind = TimeoutNow
 
-// MessageKind is what a message says. Its values are sent.
+// MessageKind is what a message says. Its values are sent, so they must not change.
 type MessageKind uint8
 
 // Kinds of messages.
 const (
-	AppendEntries         MessageKind = iota // Entries that follow the entry at Index of LogTerm; without Entries a heartbeat
-	AppendResponse                           // Index: the logs agree up to there; Reject: they do not, and Hint says where they may
-	PreVote                                  // asks: would you vote for me in Term? The log ends at Index, LogTerm
-	PreVoteResponse                          // Reject: no
-	RequestVote                              // asks for the vote in Term
-	VoteResponse                             // Reject: no
-	InstallSnapshot                          // Snapshot, all of it: for protocol version 0
-	JoinRequest                              // a non-member at Addr asks the leader to take it in
-	NotMember                                // answer to a non-member: Members are the voters as of ConfigurationIndex
-	TimeoutNow                               // the leader hands over: be elected at once (dissertation, section 3.10)
-	LeaveRequest                             // a member is going to stop (from version 1 on)
-	LeaveGranted                             // its answer: nothing rests on that member any more (from version 1 on)
-	SnapshotChunk                            // part of a Snapshot's data, from Offset on (from version 1 on)
-	SnapshotChunkResponse                    // Offset: so many bytes have come; Reject: continue from there (from version 1 on)
+	// AppendEntries carries the Entries that follow the entry at Index, which is of LogTerm. It is a heartbeat if it has no Entries.
+	AppendEntries MessageKind = iota
+	// AppendResponse says that the sender's log agrees with the leader's up to Index and is on disk. With Reject it says that the logs do
+	// not agree at the position of the request, and that they may agree at Hint.
+	AppendResponse
+	// PreVote asks whether the receiver would vote for the sender in Term. The sender's log ends at Index, with an entry of LogTerm.
+	PreVote
+	// PreVoteResponse answers PreVote: yes, unless Reject is set.
+	PreVoteResponse
+	// RequestVote asks for the vote in Term. The sender's log ends at Index, with an entry of LogTerm.
+	RequestVote
+	// VoteResponse answers RequestVote: the vote is given, and on disk, unless Reject is set.
+	VoteResponse
+	// InstallSnapshot carries a Snapshot in one message, for members of protocol version 0.
+	InstallSnapshot
+	// JoinRequest asks the leader to let the sender join, which is a non-member and listens at Addr.
+	JoinRequest
+	// NotMember tells the receiver that it is no voter. Members are the voters as of ConfigurationIndex.
+	NotMember
+	// TimeoutNow transfers leadership: the receiver starts an election at once (dissertation, section 3.10).
+	TimeoutNow
+	// LeaveRequest says that the sender is going to stop (from version 1 on; see leave.go).
+	LeaveRequest
+	// LeaveGranted answers LeaveRequest: nothing depends on the receiver any more (from version 1 on).
+	LeaveGranted
+	// SnapshotChunk carries the part of a Snapshot's data that starts at Offset (from version 1 on).
+	SnapshotChunk
+	// SnapshotChunkResponse says that the sender has the data up to Offset. With Reject the receiver has to continue from there (from
+	// version 1 on).
+	SnapshotChunkResponse
 )
 
 var messageKindNames = [...]string{
--- a/internal/mesh/raft/model_test.go
+++ b/internal/mesh/raft/model_test.go
@@ -70,8 +70,8 @@
 	n.log = slices.DeleteFunc(slices.Clone(n.log), func(e Entry) bool { return e.Index < n.raft.OldestRetainedIndex() })
 }
 
-// modelState is the state of some members and of the messages between them, with what the checks need to know. Every action of a member is checked
-// against the invariants of Raft (Raft paper, figure 3).
+// modelState is the state of some members and of the messages between them, with what the checks need to know. Every action of a member
+// is checked against the invariants of Raft (Raft paper, figure 3).
 type modelState struct {
 	nodes   []*testMember
 	network []Message
@@ -90,12 +90,12 @@
 	leaderTicksLeft int
 	compactionsLeft int
 
-	observe func(*testMember, Ready) // called with each Ready before it is carried out; nil: nobody looks
+	observe func(*testMember, Ready) // called with each Ready before it is processed; may be nil
 }
 
 // modelFaults makes the members of a model wrong in one way.
 type modelFaults struct {
-	noSync      bool // a member sends what rests on a write that is lost
+	noSync      bool // a member sends messages that depend on a write that is lost
 	keepWipedID bool // a member that lost its disk keeps its ID
 	localLease  bool // a leader answers reads by its own clock, without asking the others
 }
@@ -143,7 +143,7 @@
 	return slices.IndexFunc(model.nodes, func(member *testMember) bool { return member.self.ID == id })
 }
 
-// deliverAll delivers all that is under way, and what comes of it.
+// deliverAll delivers all messages in flight, and those that are sent in response.
 func deliverAll(t *testing.T, model *modelState) {
 	t.Helper()
 	for delivered := 0; len(model.network) > 0; delivered++ {
@@ -152,7 +152,7 @@
 	}
 }
 
-// deliverAllExcept delivers all that is under way but loses what some members send or are sent.
+// deliverAllExcept delivers all messages in flight but loses those that some members send or are sent.
 func deliverAllExcept(t *testing.T, model *modelState, except ...ID) {
 	t.Helper()
 	for len(model.network) > 0 {
@@ -164,7 +164,7 @@
 	}
 }
 
-// deliverNext delivers the first message that is under way; it is lost if its receiver is none.
+// deliverNext delivers the first message in flight. The message is lost if its receiver does not exist.
 func deliverNext(t *testing.T, model *modelState) {
 	t.Helper()
 	m := model.network[0]
--- a/internal/mesh/raft/mutations_test.go
+++ b/internal/mesh/raft/mutations_test.go
@@ -258,7 +258,7 @@
 	}}},
 	{name: "a place cleared before the learner has caught up", test: "TestReplacement", edits: []edit{{
 		"membership.go",
-		"if version < 1 {",
+		"if version < versionWithJointChange {",
 		"if true {",
 	}}},
 	{name: "a learner put in before it has caught up", test: "TestLearnerCatchesUpFirst", edits: []edit{{
--- a/internal/mesh/raft/progress.go
+++ b/internal/mesh/raft/progress.go
@@ -23,11 +23,11 @@
 	inflight []inflightAppend // messages with entries that the peer has not acknowledged
 	paused   bool             // no more is sent until the peer answers or a heartbeat is due
 
-	transfer            *snapshotTransfer // of a snapshot in chunks; nil: none
-	wholeSnapshotSentAt time.Duration     // of a snapshot in one message; 0: none
+	transfer            *snapshotTransfer // of a snapshot in chunks, or nil
+	wholeSnapshotSentAt time.Duration     // when a snapshot was sent in one message, or 0 if none was
 
 	// Of a member in a planned departure; see leave.go.
-	leavingAt    time.Duration // when its last LeaveRequest came; 0: none did
+	leavingAt    time.Duration // when its last LeaveRequest came, or 0 if none did
 	leaveRound   uint64        // round of heartbeats that began with its first LeaveRequest
 	leaveGranted bool          // it was sent LeaveGranted: what it acknowledges from then on does not count
 }
@@ -71,7 +71,7 @@
 	return slices.BinarySearchFunc(t, id, func(p *progress, id ID) int { return cmp.Compare(p.ID, id) })
 }
 
-// get returns the record of a peer; nil: there is none.
+// get returns the record of a peer, or nil if there is none.
 func (t progressTracker) get(id ID) *progress {
 	if at, found := t.find(id); found {
 		return t[at]
@@ -91,9 +91,9 @@
 	*t = slices.Insert(*t, at, p)
 }
 
-// trackVoters adds a progress record for each other voter of the latest configuration. The record of a removed voter is kept while it is heard,
-// so that it learns of its removal from the log. If it asks to join again it has to acknowledge its log again, since it may have been
-// removed because its disk was lost.
+// trackVoters adds a progress record for each other voter of the latest configuration. The record of a removed voter is kept while it
+// is heard, so that it learns of its removal from the log. If it asks to join again it has to acknowledge its log again, since it may
+// have been removed because its disk was lost.
 func (r *Raft) trackVoters() {
 	for _, p := range r.peers {
 		isVoter := r.log.configuration.isVoter(p.ID)
--- a/internal/mesh/raft/raft.go
+++ b/internal/mesh/raft/raft.go
@@ -10,7 +10,10 @@
 // The package owns the state of one member: its term and vote, its log, and the progress of its peers. It is a pure state machine, like
 // etcd's: messages and the time go in through Step, Tick and the other methods of Raft; what the caller has to write, send and apply
 // comes out of Ready. It must never do I/O, read a clock, start a goroutine, log or use global state: the same calls give the same
-// output.
+// output. A Raft belongs to one goroutine, in production that of controlplane.Member, which calls it through package replica. Nobody else
+// may call it, not even to read.
+//
+// The order of writing and sending is the caller's part in Raft's safety: Ready says what has to be on disk before what is sent.
 //
 // A member is identified by an ID that is stored on its disk, not by its address: a member that has lost its disk comes back with
 // another ID. It starts as a learner, which does not count towards any majority, until it has caught up. A joint configuration change
@@ -36,7 +39,9 @@
 // HardState must be on disk before any message that depends on it is sent (Raft paper, figure 2: persistent state).
 type HardState struct {
 	Term uint64
-	Vote ID // given in Term; 0: none
+	// Vote is the candidate that this member voted for in Term, or 0 if it has not voted. A member that forgot it could vote twice in a
+	// term, and so elect two leaders (section 5.2).
+	Vote ID
 }
 
 // Config is what New needs: the settings of a member, and the state that its disk holds.
@@ -49,15 +54,20 @@
 	// CatchUpEntries is the end of the log up to Snapshot.Index, without a gap. It is kept for followers that lag.
 	CatchUpEntries []Entry
 	// MaxCatchUpEntries is how many entries before a snapshot a compaction keeps. DefaultCatchUpEntries suits most uses.
-	MaxCatchUpEntries  int
-	SnapshotChunkBytes int // of data in one message; 0: 32 KiB
-	ClusterSize        int // number of voters that the cluster should have
-	HeartbeatInterval  time.Duration
+	MaxCatchUpEntries int
+	// SnapshotChunkBytes is how much of a snapshot's data one message holds. 0 stands for 32 KiB.
+	SnapshotChunkBytes int
+	// ClusterSize is the number of voters that the cluster should have. A learner is added while there are fewer.
+	ClusterSize int
+	// HeartbeatInterval is the time between two heartbeats of a leader. It has to be several times shorter than ElectionTimeout.
+	HeartbeatInterval time.Duration
 	// ElectionTimeout is how long a leader has to be silent, at least, before another is elected. Followers wait for up to twice that.
+	// The other waits of the algorithm are derived from it; see timeouts.go.
 	ElectionTimeout time.Duration
 	// DeadMemberTimeout is how long a voter has to be silent before a learner may replace it.
 	DeadMemberTimeout time.Duration
-	Seed              uint64 // of the random part of election timeouts
+	// Seed makes the random part of election timeouts reproducible. It has to differ between members.
+	Seed uint64
 	// legacyProtocol has this member speak protocol version 0. Tests of mixed versions set it.
 	legacyProtocol bool
 }
@@ -98,7 +108,7 @@
 	role     role
 	term     uint64
 	vote     ID
-	leaderID ID // as far as is known; 0: none
+	leaderID ID // as far as is known, or 0
 	log      raftLog
 
 	electionDeadline time.Duration // when to campaign unless the leader is heard before
@@ -107,7 +117,7 @@
 	followed leaderContact
 	join     joinState
 	leave    leaveState
-	incoming *incomingSnapshot // being received; nil: none
+	incoming *incomingSnapshot // being received, or nil
 
 	// Of a leader.
 	leading leaderState
@@ -120,7 +130,7 @@
 // leaderContact is what a follower knows of the leader that it follows.
 type leaderContact struct {
 	heardAt         time.Duration
-	caughtUpAt      time.Duration // when this member had last committed all that the leader had; 0: never since the start
+	caughtUpAt      time.Duration // when this member had last committed all that the leader had, or 0 if it never had since its start
 	protocolVersion uint32        // that the leader speaks
 }
 
@@ -146,9 +156,7 @@
 		vote:   config.HardState.Vote,
 		log:    newRaftLog(config.Snapshot, config.Entries, config.CatchUpEntries),
 	}
-	// A member that has just started asks for pre-votes early. If there is a leader the others reject them, which does no harm; if there
-	// is none the cluster should not wait.
-	r.electionDeadline = now + config.ElectionTimeout/8 + r.randomBelow(config.ElectionTimeout/4)
+	r.electionDeadline = now + config.startupDelay() + r.randomBelow(config.startupJitter())
 	return r
 }
 
@@ -159,7 +167,7 @@
 	return Snapshot{Index: 1, Term: 1, ConfigurationIndex: 1, Members: members}
 }
 
-// Leader returns the leader as far as this member knows; 0: none.
+// Leader returns the leader as far as this member knows, or 0 if it knows none.
 func (r *Raft) Leader() ID { return r.leaderID }
 
 // IsLeader reports whether this member leads its term. A leader that is partitioned from the others may not know yet that another
@@ -187,7 +195,7 @@
 	return r.log.configuration.Members, r.log.configuration.Index
 }
 
-// Addr returns the address of a member; "": it is not known.
+// Addr returns the address of a member, or "" if it is not known.
 func (r *Raft) Addr(id ID) string {
 	if p := r.peers.get(id); p != nil && r.role == leader {
 		return p.Addr
@@ -202,8 +210,9 @@
 	return ""
 }
 
-// HasQuorumContact reports whether this member leads and has heard a quorum lately, or follows a leader and has committed all that the
-// leader had. Clients must not read from a member that hears the leader but lags behind it.
+// HasQuorumContact reports whether this member leads and has heard a quorum in the last election timeout, or follows a leader and has
+// committed all that the leader had. Clients must not read from a member that hears the leader but lags behind it. It is a hint of
+// where clients are served, and no proof: another member may lead a later term meanwhile, so linearizable reads need ReadIndex.
 func (r *Raft) HasQuorumContact(now time.Duration) bool {
 	if r.role == leader {
 		return r.isQuorumActive(now, r.config.ElectionTimeout)
@@ -213,7 +222,8 @@
 		contact.caughtUpAt > 0 && now-contact.caughtUpAt < r.config.ElectionTimeout
 }
 
-// IsNonMember reports whether this member is not a voter in the latest configuration of its log, and so has to ask to join.
+// IsNonMember reports whether this member is not a voter in the latest configuration of its log, and so has to ask to join. A learner is a
+// non-member too.
 func (r *Raft) IsNonMember() bool { return !r.log.configuration.isVoter(r.config.Self.ID) }
 
 // protocolVersion returns the protocol version that this member speaks.
--- a/internal/mesh/raft/raftwire/compat_test.go
+++ b/internal/mesh/raft/raftwire/compat_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// A message of the core with all of its fields set has the bytes that earlier builds sent, and is read back whole.
+// A Raft message with all of its fields set has the bytes that earlier builds sent, and is decoded completely.
 func TestRaftMessageOfEarlierBuild(t *testing.T) {
 	members := []raft.Member{{ID: 11, Addr: "10.0.0.1:7380"}, {ID: 22, Addr: "10.0.0.2:7380"}}
 	outgoing := []raft.Member{{ID: 33, Addr: "10.0.0.3:7380"}}
--- a/internal/mesh/raft/read_index.go
+++ b/internal/mesh/raft/read_index.go
@@ -4,7 +4,10 @@
 
 // ReadState is the result of a ReadIndex. The read may be served once everything up to Index is applied. Index 0 says that it was not
 // confirmed, so that the caller has to ask again.
-type ReadState struct{ RequestID, Index uint64 }
+type ReadState struct {
+	RequestID uint64
+	Index     uint64
+}
 
 // pendingRead waits until a quorum has answered a round of heartbeats.
 type pendingRead struct {
@@ -16,9 +19,9 @@
 // readQueue holds a leader's pending reads in the order of their rounds.
 type readQueue []pendingRead
 
-// ReadIndex requests a linearizable read. Ready returns its result as a ReadState with this request ID. It returns false if this member does
-// not lead, or does not know yet what earlier leaders have committed; the caller then has to ask again later (dissertation, section
-// 6.4).
+// ReadIndex requests a linearizable read. Ready returns its result as a ReadState with this request ID. It returns false if this member
+// does not lead, or does not know yet what earlier leaders have committed; the caller then has to ask again later (dissertation,
+// section 6.4). The clock is not relied upon: there is no lease by which a leader could read without a round of heartbeats.
 func (r *Raft) ReadIndex(now time.Duration, requestID uint64) bool {
 	r.advanceTime(now)
 	if r.role != leader || !r.hasCommittedOwnTerm() {
@@ -59,4 +62,5 @@
 	r.reads = nil
 }
 
+// answerRead hands out the result of a read with the next Ready.
 func (r *Raft) answerRead(state ReadState) { r.outbox.readStates = append(r.outbox.readStates, state) }
--- a/internal/mesh/raft/ready.go
+++ b/internal/mesh/raft/ready.go
@@ -1,14 +1,24 @@
 package raft
 
-// Ready is what the caller has to do, in this order: send MessagesBeforeSave; write Snapshot, HardState and Entries (which replace all entries
-// from the index of the first one on) and sync them; call MarkSaved; send MessagesAfterSave; replace the state machine by Snapshot;
-// apply CommittedEntries; serve the reads of ReadStates.
+// Ready is what the caller has to do, in this order:
+//
+//  1. send MessagesBeforeSave;
+//  2. write Snapshot, HardState and Entries (which replace all entries from the index of the first one on) and sync them;
+//  3. call MarkSaved;
+//  4. send MessagesAfterSave;
+//  5. replace the state machine by Snapshot;
+//  6. apply CommittedEntries;
+//  7. serve the reads of ReadStates.
+//
+// Step 2 comes before step 4 because a vote or an acknowledgement that is sent and then lost with the disk's cache lets two leaders be
+// elected, or a committed entry vanish (Raft paper, section 5.6 and figure 2). If step 2 fails, the caller repeats it and does nothing
+// else with this Raft before it succeeds.
 type Ready struct {
 	MessagesBeforeSave, MessagesAfterSave []Message
 
-	HardState        *HardState // nil: unchanged
+	HardState        *HardState // nil if it is unchanged
 	Entries          []Entry
-	Snapshot         *Snapshot // received from the leader: it replaces the log and the state machine; nil: none
+	Snapshot         *Snapshot // received from the leader: it replaces the log and the state machine. Nil if none was received.
 	CommittedEntries []Entry
 	ReadStates       []ReadState
 }
@@ -39,7 +49,7 @@
 	r.outbox.afterSave = append(r.outbox.afterSave, message)
 }
 
-// Ready returns what has to be done since the last call.
+// Ready returns what has come up to be done since the last call. The caller owns the result.
 func (r *Raft) Ready() Ready {
 	out := r.outbox
 	r.outbox = outbox{}
@@ -52,18 +62,21 @@
 	ready.Snapshot = r.log.takeUnsavedSnapshot()
 	ready.Entries = r.log.takeUnsaved()
 	ready.CommittedEntries = r.log.takeCommitted()
-	if r.leave.granted { // this process may end at any moment, so nobody may rely on its messages
+	if r.leave.granted {
+		// This process may end at any moment, so nobody may rely on its messages.
 		ready.MessagesBeforeSave, ready.MessagesAfterSave = nil, nil
 	}
 	for _, messages := range [][]Message{ready.MessagesBeforeSave, ready.MessagesAfterSave} {
 		for i := range messages {
-			messages[i].ProtocolVersion, messages[i].Leaving = r.protocolVersion(), r.leave.requested
+			messages[i].ProtocolVersion = r.protocolVersion()
+			messages[i].Leaving = r.leave.requested
 		}
 	}
 	return ready
 }
 
-// MarkSaved records that everything in a Ready is on disk. From then on a leader counts its own entries.
+// MarkSaved records that everything in a Ready is on disk. From then on a leader counts its own entries towards the majority that commits
+// them (dissertation, section 10.2.1).
 func (r *Raft) MarkSaved(ready Ready) {
 	if len(ready.Entries) > 0 {
 		r.log.savedIndex = ready.Entries[len(ready.Entries)-1].Index
--- a/internal/mesh/raft/replication.go
+++ b/internal/mesh/raft/replication.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// LogTime returns the log's own time now, at the leader. It continues from the last entry of the previous leader, so it never runs faster
-// than real time.
+// LogTime returns the log's own time now, at the leader. It continues from the last entry of the previous leader, so it never goes back and
+// never runs faster than real time. The result means nothing on a member that does not lead.
 func (r *Raft) LogTime(now time.Duration) time.Duration {
 	r.advanceTime(now)
 	return max(r.log.lastLogTime(), r.leading.logTimeAtElection+r.now-r.leading.electedAt)
@@ -62,8 +62,8 @@
 	return id == r.config.Self.ID || r.peers.heardAfter(id, r.now-r.config.ElectionTimeout)
 }
 
-// TransferLeadership asks the member with the longest matching log to start an election, because this leader is about to stop (dissertation,
-// section 3.10). If the message is lost this member simply goes on leading.
+// TransferLeadership asks the member with the longest matching log to start an election, because this leader is about to stop
+// (dissertation, section 3.10). If the message is lost this member simply goes on leading.
 func (r *Raft) TransferLeadership(now time.Duration) {
 	r.advanceTime(now)
 	if r.role != leader {
@@ -74,11 +74,14 @@
 	}
 }
 
-// transferTarget returns the member with the longest matching log among those that are active and do not leave; nil: there is none.
+// transferTarget returns the member with the longest matching log among those that are active and do not leave, or nil if there is none.
 func (r *Raft) transferTarget() (target *progress) {
 	for _, member := range r.log.configuration.Members {
 		p := r.peers.get(member.ID)
-		if p == nil || !r.IsRecentlyActive(member.ID) || p.leaveGranted || p.isLeavingSince(r.now-r.config.ElectionTimeout) {
+		if p == nil || !r.IsRecentlyActive(member.ID) {
+			continue
+		}
+		if p.leaveGranted || p.isLeavingSince(r.now-r.config.ElectionTimeout) {
 			continue
 		}
 		if target == nil || p.match > target.match {
@@ -116,7 +119,13 @@
 
 // sendHeartbeat sends a heartbeat without a log position to a peer that needs a snapshot.
 func (r *Raft) sendHeartbeat(p *progress) {
-	r.sendBeforeSave(Message{Kind: AppendEntries, To: p.ID, Term: r.term, Commit: r.log.committed, HeartbeatRound: r.leading.heartbeatRound})
+	r.sendBeforeSave(Message{
+		Kind:           AppendEntries,
+		To:             p.ID,
+		Term:           r.term,
+		Commit:         r.log.committed,
+		HeartbeatRound: r.leading.heartbeatRound,
+	})
 }
 
 // replicateTo sends a peer what it lacks, within the bounds of what may be in flight.
@@ -149,7 +158,8 @@
 		p.next += uint64(n)
 		p.inflight = append(p.inflight, inflightAppend{lastIndex: p.next - 1, bytes: sizeOf(message.Entries)})
 	}
-	p.transfer, p.wholeSnapshotSentAt = nil, 0
+	p.transfer = nil
+	p.wholeSnapshotSentAt = 0
 	r.sendBeforeSave(message)
 }
 
@@ -194,6 +204,7 @@
 	}
 }
 
+// handleAcknowledgement records that a peer has the log on disk up to an index, commits what that decides, and sends the peer what follows.
 func (r *Raft) handleAcknowledgement(p *progress, index uint64) {
 	p.acknowledge(index)
 	p.next = max(p.next, p.match+1)
@@ -204,9 +215,9 @@
 	}
 }
 
-// advanceCommit commits what a quorum has on disk. Only entries of the leader's own term are committed by counting replicas, and all earlier
-// entries with them: an entry of an earlier term may be on a majority of disks and still be replaced by a leader that lacks it (Raft
-// paper, section 5.4.2).
+// advanceCommit commits what a quorum has on disk. Only entries of the leader's own term are committed by counting replicas, and all
+// earlier entries with them: an entry of an earlier term may be on a majority of disks and still be replaced by a leader that lacks it
+// (Raft paper, section 5.4.2).
 func (r *Raft) advanceCommit() {
 	for index := r.log.lastIndex(); index > r.log.committed; index-- {
 		if term, _ := r.log.termAt(index); term != r.term {
--- a/internal/mesh/raft/replication_test.go
+++ b/internal/mesh/raft/replication_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A former leader that comes back with many conflicting entries catches up within a few heartbeats rather than after one attempt per entry. Until
-// then it has no quorum contact, although it hears the leader.
+// A former leader that comes back with many conflicting entries catches up within a few heartbeats rather than after one attempt per
+// entry. Until then it has no quorum contact, although it hears the leader.
 func TestCatchUpAfterConflictingEntries(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	old := model.nodes[0]
--- a/internal/mesh/raft/rules_test.go
+++ b/internal/mesh/raft/rules_test.go
@@ -40,7 +40,7 @@
 	deliverBetween(t, model, model.nodes[leader].self.ID, learner.ID)
 }
 
-// deliverBetween delivers all that is under way between two members, and loses everything else.
+// deliverBetween delivers all messages in flight between two members, and loses all others.
 func deliverBetween(t *testing.T, model *modelState, a, b ID) {
 	t.Helper()
 	var others []ID
@@ -198,7 +198,7 @@
 	assert.Assert(t, slices.Contains(sentKinds(first.raft.Ready(), 2), LeaveGranted))
 }
 
-// A member that is to stop gets no leave while a change of the membership is under way.
+// A member that is to stop is not granted leave while a membership change is in progress.
 func TestLeaveWaitsForMembershipChange(t *testing.T) {
 	model := modelWithLearner(t, "r3")
 	first := model.nodes[0]
--- a/internal/mesh/raft/schedule_test.go
+++ b/internal/mesh/raft/schedule_test.go
@@ -26,8 +26,8 @@
 	nextID        ID
 	founders      []Member
 	diskLosses    int            // so far
-	cutLinks      map[[2]ID]bool // links, from one to another; to 0: to any
-	leaving       map[int]bool   // told to stop
+	cutLinks      map[[2]ID]bool // links, from one member to another; 0 in the second place stands for any member
+	leaving       map[int]bool   // members that have begun a planned departure
 	leavesGranted int            // so far
 	faults        modelFaults
 	log           bytes.Buffer // every Ready, in order; only where record was called
@@ -57,7 +57,7 @@
 	return s
 }
 
-// run plays so many events.
+// run plays a number of events.
 func (s *randomSchedule) run(events int) error {
 	for range events {
 		if err := s.event(); err != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// event is one step of a few milliseconds: some of what is under way arrives, and now and then something else happens.
+// event is one step of a few milliseconds: some of the messages in flight arrive, and now and then something else happens.
 func (s *randomSchedule) event() error {
 	s.now += time.Duration(s.rng.Int64N(int64(10 * time.Millisecond)))
 	due := s.network
@@ -153,8 +153,8 @@
 	return s.processReady(i, noCrash, s.faults)
 }
 
-// endGrantedLeaves stops the members that have been granted leave, and checks that a majority of the voters that stay holds everything acknowledged by
-// then. Each member later starts again with its disk.
+// endGrantedLeaves stops the members that have been granted leave, and checks that a majority of the voters that stay holds everything
+// acknowledged by then. Each member later starts again with its disk.
 func (s *randomSchedule) endGrantedLeaves() error {
 	for i := range s.nodes {
 		n := s.nodes[i]
--- a/internal/mesh/raft/search_test.go
+++ b/internal/mesh/raft/search_test.go
@@ -20,7 +20,7 @@
 	duplicates bool // of messages
 	wipes      bool // one member loses its disk
 	reads      bool // leaders, or those that take themselves for one, are asked for a confirmed read
-	mayElect   ID   // the only one that misses its leader; 0: any may
+	mayElect   ID   // the only one that misses its leader, or 0 if any may
 }
 
 // successors collects the states that one step of a state leads to, until a step breaks an invariant.
--- a/internal/mesh/raft/simulation_test.go
+++ b/internal/mesh/raft/simulation_test.go
@@ -32,10 +32,10 @@
 	onSend    func(to string, m Message) // called with each message that is sent; may be nil
 	drop      func(m Message) bool       // reports whether a message is lost; may be nil
 	afterStep func()                     // called after each step; may be nil
-	observe   func(*testMember, Ready)   // called with each Ready before it is carried out; may be nil
+	observe   func(*testMember, Ready)   // called with each Ready before it is processed; may be nil
 }
 
-// delayedMessage is a message that is under way between two addresses.
+// delayedMessage is a message in flight between two addresses.
 type delayedMessage struct {
 	at       time.Duration // of its arrival
 	from, to string
@@ -73,8 +73,8 @@
 	return sim
 }
 
-// newSimulationWithLearner returns a simulation of the members a, b and c in small steps, with one entry written, and of d, a learner with an
-// ID that has caught up.
+// newSimulationWithLearner returns a simulation of the members a, b and c in small steps, with one entry written, and of d, a learner
+// with an ID that has caught up.
 func newSimulationWithLearner(t *testing.T, seed uint64, learner ID) *simulation {
 	t.Helper()
 	sim := newSimulation(t, seed, "a", "b", "c")
@@ -234,7 +234,7 @@
 	return slices.DeleteFunc(sim.addrs(), func(addr string) bool { return slices.Contains(except, addr) })
 }
 
-// leader is the member that leads the latest term, of those that are not isolated; nil: there is none.
+// leader returns the member that leads the latest term, of those that are not isolated, or nil if there is none.
 func (sim *simulation) leader() *testMember {
 	var best *testMember
 	for _, a := range sim.addrs() {
@@ -277,7 +277,7 @@
 	sim.t.Fatalf("%q is not committed", text)
 }
 
-// tryWrite proposes a command and waits for what is committed in its place; true: it is the command.
+// tryWrite proposes a command, waits until an entry is committed at its index, and reports whether that is the command.
 func (sim *simulation) tryWrite(leader *testMember, text string) bool {
 	sim.t.Helper()
 	index, term, ok := leader.raft.Propose(sim.now, []byte(text))
@@ -323,18 +323,18 @@
 	delete(sim.isolated, addr)
 }
 
-// endProcess ends the process of a member. If it is told, the others learn that its address refuses connections.
-func (sim *simulation) endProcess(addr string, told bool) {
+// endProcess ends the process of a member. If isReported is set, the others learn that its address refuses connections.
+func (sim *simulation) endProcess(addr string, isReported bool) {
 	id := sim.members[addr].self.ID
 	sim.isolated[addr] = true
 	for _, a := range sim.addrs() {
-		if a != addr && told {
+		if a != addr && isReported {
 			sim.members[a].raft.ReportLeaderExited(sim.now, id)
 		}
 	}
 }
 
-// leave tells a member to stop, and waits until it may; false: it may not in that time.
+// leave begins a member's planned departure, and reports whether it may leave in time.
 func (sim *simulation) leave(addr string, within time.Duration) bool {
 	n := sim.members[addr]
 	n.raft.BeginLeave(sim.now)
--- a/internal/mesh/raft/snapshot_receive.go
+++ b/internal/mesh/raft/snapshot_receive.go
@@ -24,7 +24,8 @@
 	r.sendAfterSave(Message{Kind: AppendResponse, To: m.From, Term: r.term, Index: r.log.committed, HeartbeatRound: m.HeartbeatRound})
 }
 
-// handleSnapshotChunk adds a chunk if it is the next one. After the last chunk the snapshot is installed, if its checksum is right.
+// handleSnapshotChunk adds a chunk if it is the next one, and asks for the next one if a chunk is missing before it. After the last
+// chunk the snapshot is installed, if its checksum is right.
 func (r *Raft) handleSnapshotChunk(m Message) {
 	snapshot := m.Snapshot
 	if snapshot == nil || len(snapshot.Members) == 0 || m.TotalBytes > maxSnapshotBytes ||
@@ -72,6 +73,7 @@
 	r.sendAfterSave(Message{Kind: AppendResponse, To: m.From, Term: r.term, Index: r.log.committed})
 }
 
+// restoreSnapshot replaces the log by a snapshot. The next Ready hands it out, to be on disk before it is acknowledged.
 func (r *Raft) restoreSnapshot(snapshot Snapshot) {
 	r.log.restore(snapshot)
 	r.incoming = nil
--- a/internal/mesh/raft/snapshot_send.go
+++ b/internal/mesh/raft/snapshot_send.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Snapshots are sent in chunks, of which at most maxInflightChunks are in flight to a peer, so that a heartbeat never waits behind more than
-// 64 KiB (0.26 s on a link of 2 Mbit/s). A transfer continues with the snapshot that it began with, whatever is compacted meanwhile. For
-// that, the log after the snapshot is kept, up to as many bytes as the snapshot has; if more is written during the transfer, it starts
-// again with the latest snapshot. A receiver that restarts begins at the first chunk again. A receiver with a new leader continues
-// where it was if the new leader's snapshot is the same.
+// Snapshots are sent in chunks, of which at most maxInflightChunks are in flight to a peer, so that a heartbeat never waits behind more
+// than 64 KiB (0.26 s on a link of 2 Mbit/s). A transfer continues with the snapshot that it began with, whatever is compacted
+// meanwhile. For that, the log after the snapshot is kept, up to as many bytes as the snapshot has; if more is written during the
+// transfer, it starts again with the latest snapshot. A receiver that restarts begins at the first chunk again. A receiver with a new
+// leader continues where it was if the new leader's snapshot is the same.
 const (
 	defaultSnapshotChunkBytes = 32 << 10
 	maxInflightChunks         = 2
@@ -65,7 +65,7 @@
 func (r *Raft) sendSnapshot(p *progress) {
 	switch {
 	case !p.hasAnswered: // its response to a heartbeat will carry its protocol version
-	case p.protocolVersion < 1 || r.protocolVersion() < 1:
+	case min(p.protocolVersion, r.protocolVersion()) < versionWithSnapshotChunks:
 		r.sendWholeSnapshot(p)
 	default:
 		r.sendChunks(p)
@@ -89,6 +89,7 @@
 	})
 }
 
+// sendChunks sends the next chunks of a transfer, and begins one if there is none that may continue.
 func (r *Raft) sendChunks(p *progress) {
 	if !p.transfer.mayContinue(&r.log) {
 		p.transfer = r.beginTransfer()
@@ -98,7 +99,8 @@
 		transfer.rewind(transfer.ackedBytes, r.now)
 	}
 	chunkBytes, total := r.snapshotChunkBytes(), transfer.totalBytes()
-	for (transfer.sentBytes < total || !transfer.hasSentAny) && transfer.sentBytes-transfer.ackedBytes < maxInflightChunks*chunkBytes {
+	for (transfer.sentBytes < total || !transfer.hasSentAny) &&
+		transfer.sentBytes-transfer.ackedBytes < maxInflightChunks*chunkBytes {
 		chunk := transfer.snapshot
 		chunk.Data = chunk.Data[transfer.sentBytes:min(transfer.sentBytes+chunkBytes, total)]
 		r.sendBeforeSave(Message{
@@ -154,7 +156,7 @@
 	r.sendSnapshot(p)
 }
 
-// oldestTransfer returns the index and size of the oldest snapshot that is being sent; 0: none is.
+// oldestTransfer returns the index and size of the oldest snapshot that is being sent, or index 0 if none is.
 func (r *Raft) oldestTransfer() (index uint64, bytes int) {
 	for _, p := range r.peers {
 		if transfer := p.transfer; transfer != nil && (index == 0 || transfer.snapshot.Index < index) {
@@ -165,7 +167,8 @@
 }
 
 // Compact replaces the log up to an applied index by a snapshot with data, the state machine at that index. It returns the snapshot for the
-// caller to write; entries before OldestRetainedIndex may then be deleted from disk.
+// caller to write; entries before OldestRetainedIndex may be deleted from disk once it is on disk. An index that is not applied, or that
+// the latest snapshot covers, changes nothing: Compact then returns the latest snapshot. It keeps data, which the caller must not change.
 func (r *Raft) Compact(index uint64, data []byte) Snapshot {
 	if index <= r.log.snapshot.Index || index > r.log.applied {
 		return r.log.snapshot
@@ -174,8 +177,8 @@
 	return r.log.snapshot
 }
 
-// catchUpStart returns where the log has to start after a compaction at an index: up to MaxCatchUpEntries before it, or as early as the oldest
-// transfer needs.
+// catchUpStart returns where the log has to start after a compaction at an index: up to MaxCatchUpEntries before it, or as early as the
+// oldest transfer needs.
 func (r *Raft) catchUpStart(index uint64) uint64 {
 	transferIndex, transferBytes := r.oldestTransfer()
 	bytes, start := 0, index
--- a/internal/mesh/raft/snapshot_test.go
+++ b/internal/mesh/raft/snapshot_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// On a link that loses a fifth of the messages a snapshot still arrives, with no more chunks in flight than the bound, and heartbeats continue
-// meanwhile.
+// On a link that loses a fifth of the messages a snapshot still arrives, with no more chunks in flight than the bound, and heartbeats
+// continue meanwhile.
 func TestSnapshotOverLossyLink(t *testing.T) {
 	sim := newSimulation(t, 52, "a", "b", "c")
 	lags := sim.isolateFollower(50, 0, 100<<10)
@@ -74,8 +74,8 @@
 	sim.requireComplete("a", "b", "c")
 }
 
-// The leader is lost at each tenth of a transfer, and the next leader brings the member up to date. If its snapshot is the same the transfer
-// continues rather than starting again.
+// The leader is lost at each tenth of a transfer, and the next leader brings the member up to date. If its snapshot is the same the
+// transfer continues rather than starting again.
 func TestLeaderLostDuringTransfer(t *testing.T) {
 	for tenth := range 10 {
 		sim := newSimulation(t, uint64(60+tenth), "a", "b", "c")
@@ -100,8 +100,8 @@
 	}
 }
 
-// The sender compacts its log again and again during a slow transfer. The transfer continues with the snapshot that it began with, and the rest comes
-// from the log.
+// The sender compacts its log again and again during a slow transfer. The transfer continues with the snapshot that it began with, and
+// the rest comes from the log.
 func TestCompactionDuringTransfer(t *testing.T) {
 	sim := newSimulation(t, 53, "a", "b", "c")
 	lags := sim.isolateFollower(50, 0, 100<<10)
@@ -189,7 +189,8 @@
 	assert.Assert(t, reply.Kind == SnapshotChunkResponse && reply.Reject && reply.Offset == 0)
 }
 
-// A snapshot replaces a log with another entry at its index, including the entries after that, since they follow one that was never committed.
+// A snapshot replaces a log with another entry at its index, including the entries after that, since they follow one that was never
+// committed.
 func TestSnapshotReplacesConflictingLog(t *testing.T) {
 	model := modelWithLeader(t, 3)
 	first := model.nodes[0]
--- a/internal/mesh/raft/step.go
+++ b/internal/mesh/raft/step.go
@@ -2,7 +2,11 @@
 
 import "time"
 
-// Step handles a message from another member.
+// Step handles a message from another member. Messages may be lost, delayed, duplicated and reordered.
+//
+// A message of a later term makes this member a follower of that term, and one of an earlier term is rejected, so that the leader of an
+// earlier term can't change anything here (Raft paper, section 5.1). The cases before these two are the messages that must not change
+// the term: those of non-members, those meant for another member, and pre-votes.
 func (r *Raft) Step(now time.Duration, m Message) {
 	r.advanceTime(now)
 	switch {
@@ -99,9 +103,9 @@
 }
 
 // tickLeader sends heartbeats that are due. A leader that has not heard from a quorum for long steps down, so that clients look for another
-// (dissertation, section 6.2).
+// (dissertation, section 6.2). A new leader has as long to hear from one.
 func (r *Raft) tickLeader() {
-	span := 2 * r.config.ElectionTimeout
+	span := r.config.checkQuorumSpan()
 	if r.now-r.leading.electedAt > span && !r.isQuorumActive(r.now, span) {
 		r.changeRole(follower, r.term, 0)
 		return
@@ -113,7 +117,8 @@
 	r.maintainMembership()
 }
 
-// changeRole changes the role and, if it is a later one, the term.
+// changeRole changes the role and, if it is a later one, the term. A new term begins without a vote; term and vote are on disk before any
+// message of the term is sent. Pending reads of a leader that steps down are rejected, because its heartbeats prove nothing any more.
 func (r *Raft) changeRole(to role, term uint64, leaderID ID) {
 	if term > r.term {
 		r.term, r.vote = term, 0
