--- a/internal/mesh/controlplane/inbound.go
+++ b/internal/mesh/controlplane/inbound.go
@@ -38,8 +38,11 @@
 
 // serveConnection receives until the connection ends.
 func (m *Member) serveConnection(connection *transport.Conn) {
-	fromSidecar := !connection.Peer.ControlPlane
-	if fromSidecar {
+	from := replica.FromReplica
+	if !connection.Peer.ControlPlane {
+		from = replica.FromSidecar
+	}
+	if from == replica.FromSidecar {
 		m.loop.post(func() { m.greetSidecar(connection) })
 		defer m.loop.post(func() { m.sidecars.remove(connection) })
 	} else {
@@ -52,13 +55,13 @@
 		}
 		switch body := message.Value.(type) {
 		case *wire.RaftMessageT:
-			if !fromSidecar {
+			if from == replica.FromReplica {
 				m.stepMessage(body)
 			}
 		case *wire.RecordsT:
-			m.loop.post(func() { m.mergeRecords(directory.FromWire(body), connection, fromSidecar) })
+			m.loop.post(func() { m.mergeRecords(directory.FromWire(body), connection, from) })
 		case *wire.CallT:
-			m.serveCall(connection, body, fromSidecar)
+			m.serveCall(connection, body, from)
 		}
 	}
 }
@@ -92,15 +95,15 @@
 
 // mergeRecords merges records that a sidecar sent about itself, or that another member forwarded. If this member has newer ones of a sidecar,
 // they are sent back to it.
-func (m *Member) mergeRecords(records []directory.Record, from *transport.Conn, direct bool) {
-	for _, newer := range m.replica.MergeRecords(m.clock.now(), records, direct) {
-		_ = from.Send(directory.ToWire([]directory.Record{newer}))
+func (m *Member) mergeRecords(records []directory.Record, connection *transport.Conn, from replica.Origin) {
+	for _, newer := range m.replica.MergeRecords(m.clock.now(), records, from) {
+		_ = connection.Send(directory.ToWire([]directory.Record{newer}))
 	}
 }
 
 // serveCall answers a call of a sidecar, a member or an observer. Calls that must be answered while the loop's goroutine hangs, and bodies that
 // are slow to parse, are handled on other goroutines.
-func (m *Member) serveCall(connection *transport.Conn, call *wire.CallT, fromSidecar bool) {
+func (m *Member) serveCall(connection *transport.Conn, call *wire.CallT, from replica.Origin) {
 	switch call.Kind {
 	case codec.CallLogRing:
 		_ = connection.Send(&wire.CallReplyT{Id: call.Id, Status: http.StatusOK, Body: m.logRing.Contents()})
@@ -110,7 +113,7 @@
 		go m.answerModify(connection, call)
 	default:
 		m.loop.post(func() {
-			m.replica.HandleCall(m.clock.now(), call.Kind, call.Body, fromSidecar, replyTo(connection, call.Id))
+			m.replica.HandleCall(m.clock.now(), call.Kind, call.Body, from, replyTo(connection, call.Id))
 		})
 	}
 }
--- a/internal/mesh/controlplane/maintenance.go
+++ b/internal/mesh/controlplane/maintenance.go
@@ -14,7 +14,6 @@
 	"cranegrade/internal/mesh/maintenance"
 	"cranegrade/internal/mesh/replica"
 	"cranegrade/internal/mesh/settings"
-	"cranegrade/internal/mesh/transport/wire"
 )
 
 const (
@@ -135,14 +134,13 @@
 
 // propose proposes a change of the maintenance state. done is called once, on the loop's goroutine: with the error of applying the change, or
 // with an api.Error if it is not known whether the change was committed.
-func (c *maintenanceController) propose(kind byte, change any, done func(error)) {
+func (c *maintenanceController) propose(kind replica.MaintenanceKind, change any, done func(error)) {
 	text, err := json.Marshal(change)
 	if err != nil {
 		done(errors.Annotate(err, "encode a change of the maintenance state"))
 		return
 	}
-	entry := replica.EncodeChange(replica.ChangeMaintenance, &wire.MaintenanceChangeT{Kind: kind, Json: text})
-	proposed := c.replica.Propose(c.clock.now(), entry, func(result replica.ProposalResult) {
+	proposed := c.replica.Propose(c.clock.now(), replica.EncodeMaintenanceChange(kind, text), func(result replica.ProposalResult) {
 		if !result.Known {
 			done(api.NewError(http.StatusServiceUnavailable, textLeaderChanged))
 			return
--- a/internal/mesh/controlplane/maintenance_test.go
+++ b/internal/mesh/controlplane/maintenance_test.go
@@ -15,6 +15,7 @@
 	"cranegrade/internal/mesh/api"
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/maintenance"
+	"cranegrade/internal/mesh/replica"
 	"cranegrade/internal/mesh/settings"
 	"cranegrade/internal/mesh/transport/wire"
 )
@@ -25,7 +26,7 @@
 func newTestController(t *testing.T) (*maintenanceController, soloLeader) {
 	t.Helper()
 	leader := newSoloLeader(t)
-	leader.MergeRecords(leader.clock.now(), []directory.Record{{Addr: sidecarAddress, Node: "sidecar-1", Service: "stock"}}, true)
+	leader.MergeRecords(leader.clock.now(), []directory.Record{{Addr: sidecarAddress, Node: "sidecar-1", Service: "stock"}}, replica.FromSidecar)
 	var current atomic.Pointer[settings.Settings]
 	defaults := settings.Defaults()
 	current.Store(&defaults)
--- a/internal/mesh/controlplane/policy_activation_test.go
+++ b/internal/mesh/controlplane/policy_activation_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/directory"
+	"cranegrade/internal/mesh/replica"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
@@ -19,7 +20,7 @@
 	t.Helper()
 	leader := newSoloLeader(t)
 	leader.modify(t, policyUpdate)
-	leader.MergeRecords(leader.clock.now(), []directory.Record{{Addr: "10.0.0.9:7001", Node: "sidecar-1", Service: "stock"}}, true)
+	leader.MergeRecords(leader.clock.now(), []directory.Record{{Addr: "10.0.0.9:7001", Node: "sidecar-1", Service: "stock"}}, replica.FromSidecar)
 	survey := &surveyor{running: true, status: map[string]*wire.StatusT{}}
 	activator := &policyActivator{log: zerolog.Nop(), clock: leader.clock, replica: leader.Replica, survey: survey, self: testAddress}
 	activator.tick(leader.clock.now())
--- a/internal/mesh/replica/bootstrap_test.go
+++ b/internal/mesh/replica/bootstrap_test.go
@@ -8,7 +8,7 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// TestBootstrap shows that at the first start of a deployment the seeds found the control plane, each by itself and alike, in whatever
+// TestBootstrap shows that at the first start of a deployment the seeds bootstrap the control plane, each by itself and alike, in whatever
 // order their files name them. Nobody else does: neither a machine that is no seed, nor one whose disk was lost or can't be read.
 func TestBootstrap(t *testing.T) {
 	const newID raft.ID = 4
--- a/internal/mesh/replica/calls.go
+++ b/internal/mesh/replica/calls.go
@@ -11,8 +11,18 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// HandleCall handles a call of a sidecar or of another replica. kind is one of package codec. reply is called once.
-func (r *Replica) HandleCall(now time.Duration, kind byte, body []byte, fromSidecar bool, reply func(Reply)) {
+// Origin is the kind of process that sent a call or records.
+type Origin uint8
+
+// Kinds of processes that send calls or records.
+const (
+	FromSidecar Origin = iota + 1 // or from an observer
+	FromReplica
+)
+
+// HandleCall handles a call of a sidecar or of another replica. kind is one of the Call constants of package codec; an unknown one is
+// answered with 404. reply is called once, now or during a later call of the replica.
+func (r *Replica) HandleCall(now time.Duration, kind byte, body []byte, from Origin, reply func(Reply)) {
 	r.advanceTime(now)
 	switch kind {
 	case codec.CallModify:
@@ -34,7 +44,7 @@
 			return Reply{Status: http.StatusOK, Body: codec.EncodeTable(r.state.Policy.ActiveMessage())}
 		})
 	case codec.CallLeaseKeys:
-		r.handleLeaseRequests(body, fromSidecar, reply)
+		r.handleLeaseRequests(body, from, reply)
 	default:
 		reply(Reply{Status: http.StatusNotFound})
 	}
@@ -66,23 +76,25 @@
 	})
 }
 
-// handleLeaseRequests commits requests for leases on idempotency keys, at the leader. Requests of a sidecar are forwarded to the leader. Those of
-// another replica are not, since two replicas that each take the other for the leader would forward them forever.
-func (r *Replica) handleLeaseRequests(body []byte, fromSidecar bool, reply func(Reply)) {
+// handleLeaseRequests commits requests for leases on idempotency keys, at the leader. Requests of a sidecar are forwarded to the leader.
+// Those of another replica are not, since two replicas that each take the other for the leader would forward them forever.
+func (r *Replica) handleLeaseRequests(body []byte, from Origin, reply func(Reply)) {
 	if !r.raft.IsLeader() {
 		leader := r.remoteLeaderAddress()
-		if !fromSidecar || leader == "" {
+		if from != FromSidecar || leader == "" {
 			reply(Unavailable(""))
 			return
 		}
 		r.forwardToLeader(leader, codec.CallLeaseKeys, body, reply)
 		return
 	}
+	// Checked before the proposal, since an entry that can't be decoded would be committed and answered as unavailable.
 	if _, err := decodeLeaseRequests(body); err != nil {
 		reply(Reply{Status: http.StatusBadRequest})
 		return
 	}
-	ok := r.Propose(r.now, append([]byte{ChangeKeyLeases}, body...), func(result ProposalResult) {
+	change := append([]byte{byte(ChangeKeyLeases)}, body...)
+	ok := r.Propose(r.now, change, func(result ProposalResult) {
 		if !result.Known || result.Outcome.Err != nil {
 			reply(Unavailable(""))
 			return
@@ -101,23 +113,28 @@
 		return nil, err
 	}
 	var requests []idempotency.LeaseRequest
-	for _, x := range table.List {
+	for _, request := range table.List {
 		requests = append(requests, idempotency.LeaseRequest{
-			Key:     x.Key,
-			Token:   x.Token,
-			Attempt: x.Attempt,
-			Holder:  x.Holder,
-			Release: x.Release,
-			Window:  time.Duration(x.WindowUs) * time.Microsecond,
+			Key:     request.Key,
+			Token:   request.Token,
+			Attempt: request.Attempt,
+			Holder:  request.Holder,
+			Release: request.Release,
+			Window:  time.Duration(request.WindowUs) * time.Microsecond,
 		})
 	}
 	return requests, nil
 }
 
+// encodeLeaseResults encodes the reply to the requests of a call, in their order.
 func encodeLeaseResults(results []idempotency.LeaseResult) *wire.KeyLeaseResultsT {
 	table := &wire.KeyLeaseResultsT{}
-	for _, x := range results {
-		table.List = append(table.List, &wire.KeyLeaseResultT{Granted: x.Granted, Holder: x.Current.Holder, Token: x.Current.Token})
+	for _, result := range results {
+		table.List = append(table.List, &wire.KeyLeaseResultT{
+			Granted: result.Granted,
+			Holder:  result.Current.Holder,
+			Token:   result.Current.Token,
+		})
 	}
 	return table
 }
--- a/internal/mesh/replica/cluster_test.go
+++ b/internal/mesh/replica/cluster_test.go
@@ -48,7 +48,7 @@
 	frozen    time.Duration // until then
 	ticked    time.Duration
 	cut       map[string]bool // addresses that nothing is sent to
-	met       map[string]bool // addresses that connected in this life
+	met       map[string]bool // addresses that connected in this incarnation
 	lastID    raft.ID
 }
 
@@ -84,7 +84,7 @@
 
 func (a *actionRecord) hash() string { return hex.EncodeToString(a.sum.Sum(nil)) }
 
-// newCluster founds a cluster of three, with so many replicas beside them that ask to be taken in.
+// newCluster bootstraps a cluster of three, beside a number of replicas that ask to join.
 func newCluster(seed uint64, joiners int) *cluster {
 	c := &cluster{random: rand.New(rand.NewPCG(seed, 0xc1)), record: newActionRecord()}
 	seeds := []string{"r0", "r1", "r2"}
@@ -104,7 +104,7 @@
 	return c, c.awaitLeader(t, nil)
 }
 
-// awaitLeader lets time pass until a replica other than the one before leads, and may judge updates.
+// awaitLeader lets time pass until a replica other than the one before leads, and may admit updates.
 func (c *cluster) awaitLeader(t *testing.T, before *clusterNode) *clusterNode {
 	t.Helper()
 	for end := c.now + time.Minute; c.now < end; c.step(time.Millisecond) {
@@ -199,7 +199,7 @@
 	return n.replica != nil && !n.busy && n.cluster.now >= n.frozen
 }
 
-// start begins a life from the disk.
+// start starts an incarnation from the disk.
 func (n *clusterNode) start() {
 	c := n.cluster
 	r, err := New(Config{
@@ -220,14 +220,14 @@
 	c.record.add("start", n.address, n.disk.Self)
 }
 
-// stop ends the life; its disk stays.
+// stop ends the incarnation. Its disk stays.
 func (n *clusterNode) stop() {
 	n.replica = nil
 	n.life++
 	n.cluster.record.add("stop", n.address)
 }
 
-// call has the replica do something, and carry out what follows from it.
+// call has the replica do something, and process what follows from it.
 func (n *clusterNode) call(do func(r *Replica)) {
 	if !n.running() {
 		return
@@ -244,7 +244,7 @@
 	n.recordView()
 }
 
-// later does something, unless the life has ended by then.
+// later does something, unless the incarnation has ended by then.
 func (n *clusterNode) later(d time.Duration, do func()) {
 	life := n.life
 	n.cluster.after(d, func() {
@@ -322,7 +322,7 @@
 	}
 	c.after(c.between(time.Millisecond, 12*time.Millisecond), func() {
 		to.call(func(r *Replica) {
-			r.HandleCall(c.now, kind, body, false, func(reply Reply) {
+			r.HandleCall(c.now, kind, body, FromReplica, func(reply Reply) {
 				c.after(c.between(time.Millisecond, 12*time.Millisecond), func() { once(reply) })
 			})
 		})
--- a/internal/mesh/replica/environment.go
+++ b/internal/mesh/replica/environment.go
@@ -9,8 +9,8 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// Environment provides the effects of a replica. Its methods are called on the goroutine that calls the replica, and must not call the replica
-// before they return.
+// Environment provides the effects of a replica. Its methods are called on the goroutine that calls the replica, and must not call the
+// replica before they return.
 type Environment interface {
 	// Send sends a Raft message to the replica at an address. It may be lost, delayed, duplicated or reordered.
 	Send(address string, message raft.Message)
@@ -35,15 +35,18 @@
 type Reply struct {
 	Status int // of HTTP
 	Body   []byte
-	Push   any // a message to send to the caller before the reply; nil: none
+	Push   any // a message to send to the caller before the reply, or nil
 }
 
-// Unavailable returns the reply of a replica that can't answer. The caller should retry, here or at another replica.
+// Unavailable returns the reply of a replica that can't answer, with status 503. The caller should retry, here or at another replica.
+// It does not say that a change was not committed: that stays unknown to the caller.
 func Unavailable(text string) Reply {
 	return Reply{Status: http.StatusServiceUnavailable, Body: []byte(text)}
 }
 
-// ErrorReply returns the reply to an update that was rejected with an error of package config.
+// ErrorReply returns the reply to an update that was rejected with an error of package config: 409 for a conflict, 403 if the author
+// may not change the item, 400 if the update is invalid, and 503 for any other error. Only after a 503 is the same update worth a
+// retry.
 func ErrorReply(err error) Reply {
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/mesh/replica/environment_test.go
+++ b/internal/mesh/replica/environment_test.go
@@ -31,7 +31,7 @@
 	return r, awaitReadyLeader(t, r)
 }
 
-// awaitReadyLeader lets time pass from 0 until a replica leads and may judge updates, and returns the time.
+// awaitReadyLeader lets time pass from 0 until a replica leads and may admit updates, and returns the time.
 func awaitReadyLeader(t *testing.T, r *Replica) (now time.Duration) {
 	t.Helper()
 	for ; !r.IsReadyLeader(); now += TickInterval {
@@ -61,7 +61,7 @@
 	e.broadcasts = append(e.broadcasts, message)
 }
 
-// newReplicaA returns the replica a of the founders a, b and c.
+// newReplicaA returns the replica a of the bootstrap members a, b and c.
 func newReplicaA(t *testing.T, env Environment) *Replica {
 	t.Helper()
 	seeds := []string{"a", "b", "c"}
--- a/internal/mesh/replica/forward_test.go
+++ b/internal/mesh/replica/forward_test.go
@@ -19,7 +19,7 @@
 	receiveHeartbeat(r, 0, "b", 2)
 	var replies []Reply
 	requestLease := func(now time.Duration) {
-		r.HandleCall(now, codec.CallLeaseKeys, nil, true, func(reply Reply) { replies = append(replies, reply) })
+		r.HandleCall(now, codec.CallLeaseKeys, nil, FromSidecar, func(reply Reply) { replies = append(replies, reply) })
 		r.ProcessReady()
 	}
 	requestLease(time.Millisecond)
--- a/internal/mesh/replica/golden_test.go
+++ b/internal/mesh/replica/golden_test.go
@@ -161,14 +161,14 @@
 	if p.random.IntN(30) == 0 {
 		body = body[:3]
 	}
-	n.call(func(r *Replica) { r.HandleCall(p.now, codec.CallLeaseKeys, body, true, p.reply("lease")) })
+	n.call(func(r *Replica) { r.HandleCall(p.now, codec.CallLeaseKeys, body, FromSidecar, p.reply("lease")) })
 }
 
 // read reads what is committed.
 func (p *goldenPlay) read(n *clusterNode) {
 	kind := []byte{codec.CallItems, codec.CallActivePolicy, codec.CallReadIndex, codec.CallStatus, 0}[p.random.IntN(5)]
 	if kind != 0 {
-		n.call(func(r *Replica) { r.HandleCall(p.now, kind, nil, true, p.reply(fmt.Sprint("read ", kind))) })
+		n.call(func(r *Replica) { r.HandleCall(p.now, kind, nil, FromSidecar, p.reply(fmt.Sprint("read ", kind))) })
 		return
 	}
 	n.call(func(r *Replica) {
@@ -201,7 +201,11 @@
 		Service:     "service-0",
 	}}}
 	n.call(func(r *Replica) {
-		for _, record := range r.MergeRecords(p.now, directory.FromWire(t), p.random.IntN(2) == 0) {
+		from := FromReplica
+		if p.random.IntN(2) == 0 {
+			from = FromSidecar
+		}
+		for _, record := range r.MergeRecords(p.now, directory.FromWire(t), from) {
 			p.record.add("newer record", codec.Encode(directory.ToWire([]directory.Record{record})))
 		}
 	})
@@ -213,7 +217,7 @@
 	if n == nil {
 		return
 	}
-	var kind byte
+	var kind MaintenanceKind
 	var text string
 	id := fmt.Sprint("order-", max(1, p.orders-p.random.IntN(2)))
 	switch p.random.IntN(8) {
@@ -229,7 +233,7 @@
 		kind, text = MaintenanceClock, fmt.Sprintf(`{"Stamp":%d,"Earliest":%q,"Latest":%q,"Doubt":false}`, n.replica.LogTime(p.now),
 			at.Format(time.RFC3339Nano), at.Add(time.Second).Format(time.RFC3339Nano))
 	}
-	p.propose(n, "maintenance", EncodeChange(ChangeMaintenance, &wire.MaintenanceChangeT{Kind: kind, Json: []byte(text)}))
+	p.propose(n, "maintenance", EncodeMaintenanceChange(kind, []byte(text)))
 }
 
 // activate proposes that the agreed policy set becomes active, or another one.
@@ -249,7 +253,10 @@
 	n.call(func(r *Replica) {
 		taken := r.Propose(p.now, data, func(result ProposalResult) {
 			o := result.Outcome
-			p.record.add(kind+" agreed", result.Known, o.Err != nil, o.PolicyActivated, o.MaintenanceChanged, len(o.UpdatedItems), len(o.LeaseResults))
+			p.record.add(
+				kind+" agreed", result.Known, o.Err != nil, o.PolicyActivated, o.MaintenanceChanged,
+				len(o.UpdatedItems), len(o.LeaseResults),
+			)
 		})
 		p.record.add(kind+" proposed", taken)
 	})
--- a/internal/mesh/replica/leadergap.go
+++ b/internal/mesh/replica/leadergap.go
@@ -7,13 +7,14 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// leaderGap measures how long there was no leader since the last agreed time of day, by this replica's own monotonic clock, because log time
-// does not advance meanwhile. The zero value has seen no entry.
+// leaderGap measures how long there was no leader since the last agreed time of day, by this replica's own monotonic clock, because log
+// time does not advance meanwhile. The zero value has seen no entry.
 type leaderGap struct {
-	duration  time.Duration // maintenance.LeaderlessUnknown: this replica has not run for the whole time, so that it can't tell
+	// duration is maintenance.LeaderlessUnknown if this replica has not run for the whole time, so that it can't tell.
+	duration  time.Duration
 	term      uint64        // of the latest entry
 	logTime   time.Duration // of the latest entry
-	appliedAt time.Duration // when the latest entry was applied; 0: none was
+	appliedAt time.Duration // when the latest entry was applied, or 0 if none was
 }
 
 // observe records an entry that is applied at a time. agreedTime says that it set a new agreed time of day.
--- a/internal/mesh/replica/maintenance.go
+++ b/internal/mesh/replica/maintenance.go
@@ -8,13 +8,22 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Kinds of changes of the maintenance state. They are stored in the log.
+// MaintenanceKind is what a change of the maintenance state does. Its values are stored in the log, so they must not change.
+type MaintenanceKind byte
+
+// Kinds of changes of the maintenance state, with the type whose JSON they carry.
 const (
-	MaintenanceOrder  byte = 1 // a new order: maintenance.Order
-	MaintenanceUpdate byte = 2 // a change of one: maintenance.OrderChange
-	MaintenanceClock  byte = 3 // the agreed time of day: maintenance.Clock
+	MaintenanceOrder  MaintenanceKind = 1 // a new order: maintenance.Order
+	MaintenanceUpdate MaintenanceKind = 2 // a change of one: maintenance.OrderChange
+	MaintenanceClock  MaintenanceKind = 3 // the agreed time of day: maintenance.Clock
 )
 
+// EncodeMaintenanceChange encodes a change of the maintenance state as the data of an entry. text is the JSON of the type that belongs
+// to the kind.
+func EncodeMaintenanceChange(kind MaintenanceKind, text []byte) []byte {
+	return EncodeChange(ChangeMaintenance, &wire.MaintenanceChangeT{Kind: byte(kind), Json: text})
+}
+
 // Maintenance is the replicated state of maintenance: the orders and the time of day. Its JSON is part of snapshots.
 type Maintenance struct {
 	Orders    maintenance.OrderTable `json:"book"`
@@ -23,42 +32,61 @@
 	Index     uint64                 `json:"index"` // of the latest entry that changed an order
 }
 
-// apply applies a committed change.
-func (m *Maintenance) apply(entry raft.Entry, kind byte, text []byte) error {
-	now := m.Clock.Now(entry.LogTime)
+// apply applies a committed change. The error says why it was rejected; the state is then as before, on every member alike.
+func (m *Maintenance) apply(entry raft.Entry, kind MaintenanceKind, text []byte) (err error) {
 	switch kind {
 	case MaintenanceOrder:
-		var order maintenance.Order
-		if err := json.Unmarshal(text, &order); err != nil {
-			return err
-		}
-		orders, err := m.Orders.Place(order, now)
-		if err != nil {
-			return err
-		}
-		m.Orders = orders
+		err = m.placeOrder(entry, text)
 	case MaintenanceUpdate:
-		var change maintenance.OrderChange
-		if err := json.Unmarshal(text, &change); err != nil {
-			return err
-		}
-		orders, err := m.Orders.Apply(change, now)
-		if err != nil {
-			return err
-		}
-		m.Orders = orders
+		err = m.changeOrder(entry, text)
 	case MaintenanceClock:
-		var clock maintenance.Clock
-		if err := json.Unmarshal(text, &clock); err != nil {
-			return err
-		}
-		m.Clock, m.ClockTerm = clock, entry.Term
-		return nil
+		return m.setClock(entry, text) // no order changes, so Index stays
+	}
+	if err != nil {
+		return err
 	}
 	m.Index = entry.Index
 	return nil
 }
 
+// placeOrder adds an operator's order.
+func (m *Maintenance) placeOrder(entry raft.Entry, text []byte) error {
+	var order maintenance.Order
+	if err := json.Unmarshal(text, &order); err != nil {
+		return err
+	}
+	orders, err := m.Orders.Place(order, m.Clock.Now(entry.LogTime))
+	if err != nil {
+		return err
+	}
+	m.Orders = orders
+	return nil
+}
+
+// changeOrder changes an order: an operator's change, or the next step that the leader has decided.
+func (m *Maintenance) changeOrder(entry raft.Entry, text []byte) error {
+	var change maintenance.OrderChange
+	if err := json.Unmarshal(text, &change); err != nil {
+		return err
+	}
+	orders, err := m.Orders.Apply(change, m.Clock.Now(entry.LogTime))
+	if err != nil {
+		return err
+	}
+	m.Orders = orders
+	return nil
+}
+
+// setClock sets the agreed time of day.
+func (m *Maintenance) setClock(entry raft.Entry, text []byte) error {
+	var clock maintenance.Clock
+	if err := json.Unmarshal(text, &clock); err != nil {
+		return err
+	}
+	m.Clock, m.ClockTerm = clock, entry.Term
+	return nil
+}
+
 // MachinesMessage returns the machines in maintenance, as a message for sidecars and replicas.
 func (m *Maintenance) MachinesMessage() *wire.MachinesInMaintenanceT {
 	message := &wire.MachinesInMaintenanceT{Index: m.Index}
--- a/internal/mesh/replica/peers.go
+++ b/internal/mesh/replica/peers.go
@@ -14,7 +14,7 @@
 type peerAddresses struct {
 	self  string
 	seeds []string
-	known map[string]bool
+	known map[string]bool    // a set
 	byID  map[raft.ID]string // of those that have connected
 }
 
@@ -22,8 +22,8 @@
 	return peerAddresses{self: self, seeds: seeds, known: map[string]bool{}, byID: map[raft.ID]string{}}
 }
 
-// setMembers replaces the known addresses by those of the members, and returns these in order. Removed members connect by themselves if they
-// have something to send.
+// setMembers replaces the known addresses by those of the members, and returns these in order. Removed members connect by themselves if
+// they have something to send.
 func (p *peerAddresses) setMembers(members []raft.Member) []string {
 	clear(p.known)
 	addresses := make([]string, 0, len(members))
@@ -69,11 +69,16 @@
 		return
 	}
 	for _, address := range addresses {
-		r.env.Send(address, raft.Message{Kind: raft.JoinRequest, From: r.self.ID, Addr: r.self.Addr, ProtocolVersion: raft.ProtocolVersion})
+		r.env.Send(address, raft.Message{
+			Kind:            raft.JoinRequest,
+			From:            r.self.ID,
+			Addr:            r.self.Addr,
+			ProtocolVersion: raft.ProtocolVersion,
+		})
 	}
 }
 
-// remoteLeaderAddress returns the address of the leader if it is another replica; "": none is known, or this replica leads.
+// remoteLeaderAddress returns the address of the leader if it is another replica, or "" if none is known or this replica leads.
 func (r *Replica) remoteLeaderAddress() string {
 	if r.raft.IsLeader() {
 		return ""
@@ -93,6 +98,8 @@
 	}
 }
 
+// addressFor returns the address of a message's receiver, or "" if it is not known. The receiver of a NotMember may only be known by the
+// address in its request.
 func (r *Replica) addressFor(message raft.Message) string {
 	if message.Kind == raft.NotMember && message.Addr != "" {
 		return message.Addr
--- a/internal/mesh/replica/policy.go
+++ b/internal/mesh/replica/policy.go
@@ -1,6 +1,8 @@
 package replica
 
 import (
+	"slices"
+
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/policy"
 	"cranegrade/internal/mesh/raft"
@@ -10,10 +12,11 @@
 // maxNotices is how many notices are kept; older ones are dropped.
 const maxNotices = 256
 
-// Notice tells an owner what a change by another owner did to one of their policies. Its JSON is part of snapshots and of replies to operators.
+// Notice tells an owner what a change by another owner did to one of their policies. Its JSON is part of snapshots and of replies to
+// operators.
 type Notice struct {
 	Index  uint64        `json:"index"` // of the change
-	By     string        `json:"by"`    // "": the mesh's operator
+	By     string        `json:"by"`    // the other owner, or "" for the mesh's operator
 	Effect policy.Effect `json:"effect"`
 }
 
@@ -28,21 +31,22 @@
 func (s *PolicyState) recordChange(
 	entry raft.Entry, update config.Update, items config.Table, updated []config.Item, effects []policy.Effect,
 ) {
-	for _, item := range updated {
-		if item.Kind.InPolicySet() {
-			s.Rollout = s.Rollout.Agree(items.PolicyFingerprint(), entry.Index)
-			break
-		}
+	if slices.ContainsFunc(updated, func(item config.Item) bool { return item.Kind.InPolicySet() }) {
+		s.Rollout = s.Rollout.Agree(items.PolicyFingerprint(), entry.Index)
 	}
 	for _, effect := range effects {
 		s.Notices = append(s.Notices, Notice{Index: entry.Index, By: update.Author, Effect: effect})
 	}
 	if excess := len(s.Notices) - maxNotices; excess > 0 {
-		s.Notices = append([]Notice(nil), s.Notices[excess:]...)
+		s.Notices = slices.Clone(s.Notices[excess:])
 	}
 }
 
 // ActiveMessage returns which policy set is active, as a message for sidecars.
 func (s *PolicyState) ActiveMessage() *wire.ActivePolicyT {
-	return &wire.ActivePolicyT{Fingerprint: s.Rollout.Active, Index: s.Rollout.ActiveIndex, CommittedFingerprint: s.Rollout.Agreed}
+	return &wire.ActivePolicyT{
+		Fingerprint:          s.Rollout.Active,
+		Index:                s.Rollout.ActiveIndex,
+		CommittedFingerprint: s.Rollout.Agreed,
+	}
 }
--- a/internal/mesh/replica/proposals.go
+++ b/internal/mesh/replica/proposals.go
@@ -27,7 +27,8 @@
 	if !ok {
 		return false
 	}
-	if overtaken, found := r.proposals[index]; found { // of a term in which this replica led before
+	if overtaken, found := r.proposals[index]; found {
+		// It is of a term in which this replica led before, and its entry was truncated here.
 		overtaken.done(ProposalResult{})
 	}
 	r.proposals[index] = proposal{term, done}
@@ -35,7 +36,9 @@
 	return true
 }
 
-// completeProposal answers the proposal at the index of an entry that was applied.
+// completeProposal answers the proposal at the index of an entry that was applied. The entry is the one that was proposed only if its
+// term is the same: index and term together identify an entry (Raft paper, section 5.3: Log Matching Property). This is where a change
+// becomes acknowledged.
 func (r *Replica) completeProposal(index, term uint64, outcome Outcome) {
 	p, found := r.proposals[index]
 	if !found {
--- a/internal/mesh/replica/reads.go
+++ b/internal/mesh/replica/reads.go
@@ -13,6 +13,10 @@
 // indexSize is the length of an entry's index in the reply to codec.CallReadIndex, in bytes.
 const indexSize = 8
 
+// A linearizable read takes two steps (Ongaro's dissertation, section 6.4): find the commit index of a leader that a quorum has confirmed
+// since the read began, then wait until this replica has applied that entry. The first step shows that nothing acknowledged before the
+// read is missing, and works at any replica, which asks the leader for it.
+
 // readQueue holds the reads of a leader that are not confirmed yet.
 type readQueue struct {
 	lastID uint64
--- a/internal/mesh/replica/ready.go
+++ b/internal/mesh/replica/ready.go
@@ -5,8 +5,12 @@
 	"cranegrade/internal/mesh/raft"
 )
 
+// This file keeps the order of etcd's Ready (raft.Ready): send what depends on nothing unsaved, save and sync, send the rest, apply,
+// answer. A vote or an acknowledgement that was sent before its save could be lost with the disk's cache (Raft paper, section 5.6).
+
 // ProcessReady processes what Raft has ready, until there is nothing more. It has to be called after every other call, or after several. It
-// returns false if the state could not be saved; the owner must then call nothing but ProcessReady until it returns true.
+// returns false if the state could not be saved; the owner must then call nothing but ProcessReady until it returns true. Meanwhile
+// nothing is sent, applied or acknowledged.
 func (r *Replica) ProcessReady() bool {
 	if r.unsavedReady != nil && !r.persistAndApply(*r.unsavedReady) {
 		return false
@@ -22,11 +26,12 @@
 		}
 		r.sendAll(ready.MessagesBeforeSave)
 		if !r.persistAndApply(ready) {
-			return false // and nothing was sent that depends on the save
+			return false // nothing was sent that depends on the save
 		}
 	}
 }
 
+// isEmpty reports whether there is nothing to do.
 func isEmpty(ready raft.Ready) bool {
 	return len(ready.MessagesBeforeSave) == 0 && len(ready.MessagesAfterSave) == 0 && len(ready.CommittedEntries) == 0 &&
 		len(ready.ReadStates) == 0 && !ready.MustSync()
@@ -55,11 +60,12 @@
 	}
 	r.resumeWaiters()
 	if r.raft.EntriesSinceSnapshot() > r.compactionThreshold {
-		r.compact()
+		r.compact() // snapshot.go
 	}
 	return true
 }
 
+// recordSaved records up to which entry the log is on disk. A received snapshot without entries after it ends the log.
 func (r *Replica) recordSaved(ready raft.Ready) {
 	if n := len(ready.Entries); n > 0 {
 		r.savedIndex = ready.Entries[n-1].Index
@@ -68,17 +74,7 @@
 	}
 }
 
-// installSnapshot replaces the state by that of a snapshot from the leader, and sends the new state to the sidecars.
-func (r *Replica) installSnapshot(snapshot raft.Snapshot) {
-	if err := r.state.Decode(snapshot.Data); err != nil {
-		r.log.Error().Err(err).Uint64("snapshot_index", snapshot.Index).Msg("received snapshot unreadable")
-	}
-	r.leaderGap = leaderGap{}
-	r.env.BroadcastToSidecars(config.ItemsToWire(r.state.Items.Items()))
-	r.env.BroadcastToSidecars(r.state.Maintenance.MachinesMessage())
-	r.env.BroadcastToSidecars(r.state.Policy.ActiveMessage())
-}
-
+// applyEntry applies a committed entry to the state, sends sidecars what it has changed, and answers the proposal at its index.
 func (r *Replica) applyEntry(entry raft.Entry) {
 	clockBefore := r.state.Maintenance.Clock.LogTime
 	var outcome Outcome
@@ -105,9 +101,3 @@
 		r.env.BroadcastToSidecars(r.state.Policy.ActiveMessage())
 	}
 }
-
-// compact replaces the log up to the last applied entry by a snapshot of the state.
-func (r *Replica) compact() {
-	snapshot := r.raft.Compact(r.raft.AppliedIndex(), r.state.Encode())
-	r.env.Compact(snapshot, r.raft.OldestRetainedIndex())
-}
--- a/internal/mesh/replica/ready_test.go
+++ b/internal/mesh/replica/ready_test.go
@@ -22,7 +22,7 @@
 	return !e.full
 }
 
-// TestUnsavedReadyIsSavedAgain shows that what the disk did not take is saved again, and that nothing which rests on it is sent before.
+// TestUnsavedReadyIsSavedAgain shows that what the disk rejected is saved again, and that nothing which depends on it is sent before.
 func TestUnsavedReadyIsSavedAgain(t *testing.T) {
 	env := &fullDiskEnvironment{full: true}
 	r := newReplicaA(t, env)
--- a/internal/mesh/replica/replica.go
+++ b/internal/mesh/replica/replica.go
@@ -4,9 +4,12 @@
 // It owns the replicated state and everything in flight: proposals, reads and forwarded calls. It is pure and belongs to one goroutine: the
 // time is an argument of each call, and all effects go through Environment. It must never start a goroutine, read a clock, open a socket
 // or draw a random number, and no result may depend on the iteration order of a map, so that the same calls always have the same
-// effects. Its shell in production is package controlplane; in tests it is package sim.
+// effects. Its shell in production is package controlplane, where the goroutine of Member.Run calls it; in tests it is package sim. After
+// one or several calls the owner has to call ProcessReady, which saves, sends and applies what they have led to.
 //
-// Linearizable reads follow Ongaro's dissertation on Raft, section 6.4. The calls and their bodies are defined by the operations pages.
+// A change is acknowledged once its entry is applied (proposals.go), and applied once a quorum has it on disk (package raft). Nothing that
+// depends on a save is sent before it (ready.go). Linearizable reads follow Ongaro's dissertation on Raft, section 6.4 (reads.go). The
+// calls and their bodies are defined by the operations pages.
 package replica
 
 import (
@@ -30,30 +33,41 @@
 	heartbeatInterval    = 100 * time.Millisecond
 	electionTimeout      = 500 * time.Millisecond
 	deadMemberTimeout    = 2 * time.Second
-	stallTimeout         = 300 * time.Millisecond // without a Tick
+	stallTimeout         = 300 * time.Millisecond // without a Tick, after which the replica claims no quorum contact
 	recordTTL            = 30 * time.Second       // after which a sidecar's record is removed unless it was sent again
-	recordExpiryInterval = 5 * time.Second
+	recordExpiryInterval = 5 * time.Second        // between two removals of such records
 )
 
 const (
 	// DefaultCompactionThreshold is how many entries may follow the snapshot before the log is compacted, unless Config says otherwise.
 	DefaultCompactionThreshold = 4096
 
-	maxProposals     = 4096 // in flight; also the bound of calls that wait for an entry to be applied
-	minReplicas      = 3
-	replicasPerFault = 2 // 2n+1 members tolerate n faults
+	// maxProposals is how many proposals may be in flight. It also bounds the calls that wait for an entry to be applied.
+	maxProposals = 4096
+	// minReplicas is the size of the smallest cluster that tolerates a fault.
+	minReplicas = 3
+	// replicasPerFault is the number of members beside the first that each tolerated fault takes: 2n+1 members tolerate n faults.
+	replicasPerFault = 2
 )
 
 // Config is what a replica is made of.
 type Config struct {
-	Address             string           // where other replicas and sidecars reach it
-	Stored              raft.StoredState // what its disk holds
-	Seeds               []string         // addresses of replicas to begin with
-	FaultsTolerated     int              // n machines that may be lost; the cluster has 2n+1 members, at least 3
-	RandomSeed          uint64
-	CompactionThreshold int // 0: DefaultCompactionThreshold
-	TailEntries         int // entries to keep before the snapshot for replicas that lag; not used yet
-	Log                 zerolog.Logger
+	// Address is where other replicas and sidecars reach this one.
+	Address string
+	// Stored is what the disk holds.
+	Stored raft.StoredState
+	// Seeds are addresses of replicas to connect to, besides those of the members.
+	Seeds []string
+	// FaultsTolerated is the number n of machines that may be lost. The cluster has 2n+1 members, at least 3.
+	FaultsTolerated int
+	// RandomSeed is the seed of election timeouts. It has to differ between replicas.
+	RandomSeed uint64
+	// CompactionThreshold is how many entries may follow the snapshot before the log is compacted. 0 stands for
+	// DefaultCompactionThreshold.
+	CompactionThreshold int
+	// TailEntries is how many entries to keep before the snapshot for replicas that lag. It is not used yet.
+	TailEntries int
+	Log         zerolog.Logger
 }
 
 // Replica is the role logic of one control-plane member. It belongs to one goroutine.
@@ -68,8 +82,8 @@
 	compactionThreshold int
 	leaderGap           leaderGap
 
-	savedIndex   uint64      // last entry on disk
-	unsavedReady *raft.Ready // could not be saved so far; nothing else may happen before it is
+	savedIndex   uint64      // index of the last entry on disk
+	unsavedReady *raft.Ready // what could not be saved so far, or nil; nothing else may happen before it is saved
 
 	proposals      map[uint64]proposal // by index
 	lastProposed   uint64              // index of the entry that this replica proposed last
@@ -82,13 +96,14 @@
 	announcedLeader       raft.ID
 	announcedMembersIndex uint64        // index of the configuration that sidecars were sent
 	quorumContact         time.Duration // see QuorumContact
-	inMaintenance         bool          // a maintenance order has taken this replica out
+	inMaintenance         bool          // a maintenance order has taken this replica's machine out of service
 
 	records          directory.Table
 	lastRecordExpiry time.Duration
 }
 
-// New returns a replica in the state that its disk holds. The error says that the stored state can't be decoded.
+// New returns a replica in the state that its disk holds. The error says that the stored state can't be decoded, so that retrying is of no
+// use.
 func New(c Config, env Environment, now time.Duration) (*Replica, error) {
 	r := &Replica{
 		env:                 env,
@@ -139,8 +154,8 @@
 	r.expireRecords()
 }
 
-// BeginShutdown begins a planned departure, because the process is about to end: leadership is transferred, and the leader is asked to report
-// when the members that stay hold everything that this one holds.
+// BeginShutdown begins a planned departure, because the process is about to end: leadership is transferred, and the leader is asked to
+// report when the members that stay hold everything that this one holds.
 func (r *Replica) BeginShutdown(now time.Duration) {
 	r.advanceTime(now)
 	r.raft.BeginLeave(r.now)
@@ -152,7 +167,9 @@
 // observeMaintenance transfers leadership while a maintenance order has taken this replica out.
 func (r *Replica) observeMaintenance() {
 	machines := r.state.Maintenance.MachinesMessage().List
-	r.inMaintenance = slices.ContainsFunc(machines, func(m *wire.MachineInMaintenanceT) bool { return m.Addr == r.self.Addr })
+	r.inMaintenance = slices.ContainsFunc(machines, func(machine *wire.MachineInMaintenanceT) bool {
+		return machine.Addr == r.self.Addr
+	})
 	if r.inMaintenance && r.raft.IsLeader() {
 		r.raft.TransferLeadership(r.now)
 	}
@@ -170,11 +187,11 @@
 	}
 }
 
-// QuorumContact returns when the replica last had contact with a quorum, as of the last Tick; 0: it has none now.
+// QuorumContact returns when the replica last had contact with a quorum, as of the last Tick, or 0 if it has none now.
 func (r *Replica) QuorumContact() time.Duration { return r.quorumContact }
 
 // HasQuorumContact reports whether a replica with a QuorumContact may claim contact with a quorum at a time. It may not if its owner has
-// stalled, for instance on its disk.
+// stalled, for instance on its disk. Any goroutine may call it.
 func HasQuorumContact(quorumContact, now time.Duration) bool {
 	return quorumContact > 0 && now-quorumContact < stallTimeout
 }
--- a/internal/mesh/replica/replica_test.go
+++ b/internal/mesh/replica/replica_test.go
@@ -6,8 +6,6 @@
 	"time"
 
 	"gotest.tools/v3/assert"
-
-	"cranegrade/internal/mesh/transport/wire"
 )
 
 // TestHasQuorumContact shows that a replica whose owner has stalled claims no contact with a quorum.
@@ -17,13 +15,13 @@
 	assert.Assert(t, !HasQuorumContact(time.Second, time.Second+stallTimeout))
 }
 
-// TestMaintenanceEndsQuorumContact shows that a replica which a maintenance order has out hands leadership over and sends sidecars
-// elsewhere, until it is let in again.
+// TestMaintenanceEndsQuorumContact shows that a replica which a maintenance order has taken out of service transfers leadership and
+// claims no quorum contact, until it returns.
 func TestMaintenanceEndsQuorumContact(t *testing.T) {
 	c, leader := newSettledCluster(t)
-	commit := func(kind byte, text string) {
+	commit := func(kind MaintenanceKind, text string) {
 		t.Helper()
-		data := EncodeChange(ChangeMaintenance, &wire.MaintenanceChangeT{Kind: kind, Json: []byte(text)})
+		data := EncodeMaintenanceChange(kind, []byte(text))
 		c.leader().call(func(r *Replica) {
 			assert.Assert(t, r.Propose(c.now, data, func(result ProposalResult) {
 				assert.Assert(t, result.Known)
--- a/internal/mesh/replica/sidecars.go
+++ b/internal/mesh/replica/sidecars.go
@@ -14,8 +14,8 @@
 	return []any{r.membersMessage(), r.heartbeatMessage(), directory.ToWire(r.records.All()), r.state.Maintenance.MachinesMessage()}
 }
 
-// heartbeatMessage returns whether this replica has contact with a quorum, as a message. Sidecars are sent it with each heartbeat of a connection,
-// when they connect, and as soon as the contact comes back.
+// heartbeatMessage returns whether this replica has contact with a quorum, as a message. Sidecars are sent it with each heartbeat of a
+// connection, when they connect, and as soon as the contact comes back.
 func (r *Replica) heartbeatMessage() *wire.HeartbeatT {
 	return &wire.HeartbeatT{QuorumContact: HasQuorumContact(r.quorumContact, r.now)}
 }
@@ -38,33 +38,33 @@
 	return message
 }
 
-// MergeRecords merges records that came from their own sidecar or from another replica, and broadcasts those that are new. For records from a
-// sidecar it returns those with a later incarnation than the one sent, which have to be sent back: a sidecar that started with its clock
-// set back then learns that a later incarnation of it is known.
-func (r *Replica) MergeRecords(now time.Duration, records []directory.Record, fromSidecar bool) (newer []directory.Record) {
+// MergeRecords merges records that came from their own sidecar or from another replica, and broadcasts those that are new. For records from
+// a sidecar it returns those with a later incarnation than the one sent, which have to be sent back: a sidecar that started with its
+// clock set back then learns that a later incarnation of it is known.
+func (r *Replica) MergeRecords(now time.Duration, records []directory.Record, from Origin) (newer []directory.Record) {
 	r.advanceTime(now)
 	var news []directory.Record
 	r.records, news = r.records.Merge(r.now, records)
 	if len(news) > 0 {
 		message := directory.ToWire(news)
 		r.env.BroadcastToSidecars(message)
-		if fromSidecar {
+		if from == FromSidecar { // another replica has broadcast them itself
 			r.env.BroadcastToReplicas(message)
 		}
 	}
-	if !fromSidecar {
+	if from != FromSidecar {
 		return nil
 	}
 	for _, record := range records {
-		if held, found := r.records.Get(record.Addr); found && held.Incarnation > record.Incarnation {
-			newer = append(newer, held)
+		if known, found := r.records.Get(record.Addr); found && known.Incarnation > record.Incarnation {
+			newer = append(newer, known)
 		}
 	}
 	return newer
 }
 
-// expireRecords removes records that were not sent again for recordTTL. It does so only with quorum contact: without it, this replica may itself
-// be the one that is cut off.
+// expireRecords removes records that were not sent again for recordTTL. It does so only with quorum contact: without it, this replica
+// may itself be the one that is cut off.
 func (r *Replica) expireRecords() {
 	if r.now-r.lastRecordExpiry > recordExpiryInterval && r.raft.HasQuorumContact(r.now) {
 		r.lastRecordExpiry = r.now
--- a/internal/mesh/replica/snapshot.go
+++ b/internal/mesh/replica/snapshot.go
@@ -9,12 +9,31 @@
 	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/idempotency"
 	"cranegrade/internal/mesh/policy"
+	"cranegrade/internal/mesh/raft"
 	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Encode encodes the state as the data of a snapshot. Empty parts are left out, so that earlier versions, which do not know them, encode the
-// same.
+// compact replaces the log up to the last applied entry by a snapshot of the state (Raft paper, section 7). It is called once more entries
+// than compactionThreshold follow the last snapshot. Raft decides which entries before the snapshot are kept for followers that lag.
+func (r *Replica) compact() {
+	snapshot := r.raft.Compact(r.raft.AppliedIndex(), r.state.Encode())
+	r.env.Compact(snapshot, r.raft.OldestRetainedIndex())
+}
+
+// installSnapshot replaces the state by that of a snapshot from the leader, and sends the new state to the sidecars.
+func (r *Replica) installSnapshot(snapshot raft.Snapshot) {
+	if err := r.state.Decode(snapshot.Data); err != nil {
+		r.log.Error().Err(err).Uint64("snapshot_index", snapshot.Index).Msg("received snapshot unreadable")
+	}
+	r.leaderGap = leaderGap{}
+	r.env.BroadcastToSidecars(config.ItemsToWire(r.state.Items.Items()))
+	r.env.BroadcastToSidecars(r.state.Maintenance.MachinesMessage())
+	r.env.BroadcastToSidecars(r.state.Policy.ActiveMessage())
+}
+
+// Encode encodes the state as the data of a snapshot. Parts without content are left out, so that earlier versions, which do not know
+// them, encode the same.
 func (s *State) Encode() []byte {
 	table := &wire.StateT{Items: config.TableToStorage(s.Items)}
 	if s.Maintenance.Index > 0 || s.Maintenance.Clock.IsKnown() {
@@ -37,7 +56,7 @@
 	return codec.EncodeTable(table)
 }
 
-// Decode replaces the state by an encoded one. Without data it becomes the empty state.
+// Decode replaces the state by an encoded one. Without data it becomes the empty state. After an error the state is incomplete.
 func (s *State) Decode(data []byte) error {
 	*s = State{KeyLeases: idempotency.New(), ItemsIndex: s.ItemsIndex + 1}
 	if len(data) == 0 {
@@ -63,6 +82,7 @@
 	return nil
 }
 
+// decodeLeases decodes the key leases of a snapshot.
 func decodeLeases(list []*wire.KeyLeaseT) (leases []idempotency.Lease) {
 	for _, x := range list {
 		leases = append(leases, idempotency.Lease{
--- a/internal/mesh/replica/state.go
+++ b/internal/mesh/replica/state.go
@@ -11,8 +11,9 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// State is the replicated state machine: configuration items, leases on idempotency keys, maintenance and policy. It only changes by committed
-// entries, and the same entries lead to the same state on every member. Decode makes it ready for use.
+// State is the replicated state machine: configuration items, leases on idempotency keys, maintenance and policy. It only changes by
+// committed entries, and the same entries lead to the same state on every member: Apply takes the time from the entry, and nothing else
+// from outside (Raft paper, section 2: state machine safety needs deterministic commands). Decode makes it ready for use.
 type State struct {
 	Items        config.Table
 	KeyLeases    *idempotency.Store
@@ -22,17 +23,20 @@
 	ItemsIndex   uint64       // index of the entry that changed Items last
 }
 
-// Kinds of changes, the first byte of an entry's data.
+// ChangeKind is what an entry changes. It is the first byte of the entry's data, so its values are stored and must not change.
+type ChangeKind byte
+
+// Kinds of changes, with the table that follows the first byte.
 const (
-	ChangeItems        byte = 1 // wire.Items
-	ChangeKeyLeases    byte = 2 // wire.KeyLeaseRequests
-	ChangeMaintenance  byte = 3 // wire.MaintenanceChange
-	ChangeActivePolicy byte = 4 // wire.ActivePolicy
+	ChangeItems        ChangeKind = 1 // wire.Items
+	ChangeKeyLeases    ChangeKind = 2 // wire.KeyLeaseRequests
+	ChangeMaintenance  ChangeKind = 3 // wire.MaintenanceChange
+	ChangeActivePolicy ChangeKind = 4 // wire.ActivePolicy
 )
 
 // EncodeChange encodes a change as the data of an entry.
-func EncodeChange(kind byte, table codec.Packer) []byte {
-	return append([]byte{kind}, codec.EncodeTable(table)...)
+func EncodeChange(kind ChangeKind, table codec.Packer) []byte {
+	return append([]byte{byte(kind)}, codec.EncodeTable(table)...)
 }
 
 // Outcome is the result of applying a change.
@@ -44,14 +48,15 @@
 	PolicyActivated    bool // a policy set was activated
 }
 
-// Apply applies a committed entry. Data of an unknown kind changes nothing.
+// Apply applies a committed entry. An entry without data, and one of an unknown kind, change nothing. An entry that can't be decoded, or a
+// change that is rejected, changes nothing on any member alike, and Outcome.Err says why.
 func (s *State) Apply(entry raft.Entry) Outcome {
 	if len(entry.Data) == 0 {
 		return Outcome{}
 	}
 	// Cloned because FlatBuffers tables need the alignment that they were encoded with.
 	body := bytes.Clone(entry.Data[1:])
-	switch entry.Data[0] {
+	switch ChangeKind(entry.Data[0]) {
 	case ChangeItems:
 		return s.applyItems(entry, body)
 	case ChangeKeyLeases:
@@ -64,6 +69,7 @@
 	return Outcome{}
 }
 
+// applyItems applies an operator's update. ApplyUpdate checks it again, since entries may have been applied after the leader admitted it.
 func (s *State) applyItems(entry raft.Entry, body []byte) (outcome Outcome) {
 	table, err := codec.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 	if err != nil {
@@ -80,6 +86,7 @@
 	return outcome
 }
 
+// applyLeaseRequests grants or releases leases on idempotency keys, at the entry's log time.
 func (s *State) applyLeaseRequests(entry raft.Entry, body []byte) (outcome Outcome) {
 	requests, err := decodeLeaseRequests(body)
 	if err != nil {
@@ -91,14 +98,18 @@
 	return outcome
 }
 
+// applyMaintenance applies a change of the maintenance state.
 func (s *State) applyMaintenance(entry raft.Entry, body []byte) Outcome {
-	table, err := codec.DecodeTable(body, func(p []byte) *wire.MaintenanceChangeT { return wire.GetRootAsMaintenanceChange(p, 0).UnPack() })
+	table, err := codec.DecodeTable(body, func(p []byte) *wire.MaintenanceChangeT {
+		return wire.GetRootAsMaintenanceChange(p, 0).UnPack()
+	})
 	if err == nil {
-		err = s.Maintenance.apply(entry, table.Kind, table.Json)
+		err = s.Maintenance.apply(entry, MaintenanceKind(table.Kind), table.Json)
 	}
 	return Outcome{Err: err, MaintenanceChanged: true}
 }
 
+// activatePolicy makes the agreed policy set the active one, unless another set was agreed on since the change was proposed.
 func (s *State) activatePolicy(entry raft.Entry, body []byte) (outcome Outcome) {
 	table, err := codec.DecodeTable(body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
 	if err != nil {
--- a/internal/mesh/replica/updates.go
+++ b/internal/mesh/replica/updates.go
@@ -15,7 +15,7 @@
 	latest map[config.Key]uint64 // index of the latest proposed entry that names an item
 }
 
-// latestFor returns the index of the latest entry of a term that names an item of an update; 0: all are applied.
+// latestFor returns the index of the latest entry of a term that names an item of an update, or 0 if all are applied.
 func (p *pendingUpdates) latestFor(term uint64, update config.Update) (index uint64) {
 	if p.term != term {
 		return 0 // a proposal of another term is either applied already or will never be
@@ -58,8 +58,8 @@
 	r.ModifyParsed(now, update, body, done)
 }
 
-// ModifyParsed is Modify with an update that was already parsed from its body, since parsing a large one on the replica's goroutine would delay
-// heartbeats.
+// ModifyParsed is Modify with an update that was already parsed from its body, since parsing a large one on the replica's goroutine
+// would delay heartbeats.
 func (r *Replica) ModifyParsed(now time.Duration, update config.Update, body []byte, done func(Reply)) {
 	r.advanceTime(now)
 	if r.raft.IsLeader() {
@@ -80,8 +80,8 @@
 	r.admitUpdate(update, reply)
 }
 
-// admitUpdate commits an operator's update, at the leader. Whether the update is admitted depends on everything that may have been committed
-// before it, so it waits while an entry that names one of its items is not applied.
+// admitUpdate commits an operator's update, at the leader. Whether the update is admitted depends on everything that may have been
+// committed before it, so it waits while an entry that names one of its items is not applied.
 func (r *Replica) admitUpdate(update config.Update, done func(Reply)) {
 	if !r.raft.IsLeader() {
 		done(Unavailable("not the leader"))
@@ -115,9 +115,9 @@
 	return r.pendingUpdates.latestFor(r.raft.Term(), update)
 }
 
-// confirmDuplicate acknowledges an update that was accepted before, once an empty entry after it is committed: a majority of the present members
-// then has the update on disk. A linearizable read would not be enough, because a majority may follow this leader although another disk
-// that held the update has just been lost.
+// confirmDuplicate acknowledges an update that was accepted before, once an empty entry after it is committed: a majority of the
+// present members then has the update on disk. A linearizable read would not be enough, because a majority may follow this leader
+// although another disk that held the update has just been lost.
 func (r *Replica) confirmDuplicate(done func(Reply)) {
 	ok := r.Propose(r.now, nil, func(result ProposalResult) {
 		if !result.Known {
--- a/internal/mesh/replica/updates_test.go
+++ b/internal/mesh/replica/updates_test.go
@@ -25,7 +25,7 @@
 	return fmt.Appendf(nil, `{"Upsert":{"ListenerList":[{"HostName":"h","PolicyRules":[%s]}]}}`, strings.Join(rules, ","))
 }
 
-// TestCallsOfOneItemAreJudgedInOrder shows that updates which come at once and name one item are judged one after the other, each by
+// TestCallsOfOneItemAreJudgedInOrder shows that updates which come at once and name one item are admitted one after the other, each by
 // what those before it have done: what is refused has no effect, also where it conflicts with a version that was overtaken in between,
 // and what comes twice is acknowledged twice.
 func TestCallsOfOneItemAreJudgedInOrder(t *testing.T) {
@@ -93,7 +93,7 @@
 	assert.Equal(t, status, http.StatusOK)
 }
 
-// TestNewLeaderWaitsForEarlierTerms shows that a new leader judges no update before it has applied all that earlier leaders may have
+// TestNewLeaderWaitsForEarlierTerms shows that a new leader admits no update before it has applied all that earlier leaders may have
 // committed.
 func TestNewLeaderWaitsForEarlierTerms(t *testing.T) {
 	c, old := newSettledCluster(t)
--- a/internal/mesh/replica/view.go
+++ b/internal/mesh/replica/view.go
@@ -28,13 +28,13 @@
 // IsNonMember reports whether this replica is no member, as far as it knows.
 func (r *Replica) IsNonMember() bool { return r.raft.IsNonMember() }
 
-// InMaintenance reports whether a maintenance order has taken this replica out, as of the last Tick.
+// InMaintenance reports whether a maintenance order has taken this replica's machine out of service, as of the last Tick.
 func (r *Replica) InMaintenance() bool { return r.inMaintenance }
 
-// HearsFrom reports whether this replica has heard from a member lately. It must be the leader.
+// HearsFrom reports whether this replica has heard from a member in the last election timeout. It must be the leader.
 func (r *Replica) HearsFrom(id raft.ID) bool { return r.raft.IsRecentlyActive(id) }
 
-// LeaderAddress returns the address of the leader; "": none is known.
+// LeaderAddress returns the address of the leader, or "" if none is known.
 func (r *Replica) LeaderAddress() string {
 	if r.raft.IsLeader() {
 		return r.self.Addr
@@ -57,5 +57,6 @@
 	return r.raft.LogTime(r.now)
 }
 
-// LeaderGap returns how long there was no leader since the last agreed time of day; maintenance.LeaderlessUnknown: this replica does not know.
+// LeaderGap returns how long there was no leader since the last agreed time of day, or maintenance.LeaderlessUnknown if this replica
+// does not know.
 func (r *Replica) LeaderGap() time.Duration { return r.leaderGap.duration }
--- a/internal/mesh/sim/replica_host.go
+++ b/internal/mesh/sim/replica_host.go
@@ -290,21 +290,25 @@
 			e.send(m)
 		}
 	}
-	e.message = func(m codec.Message) { h.takeMessage(e, m, !hello.ControlPlane) }
+	from := replica.FromSidecar
+	if hello.ControlPlane {
+		from = replica.FromReplica
+	}
+	e.message = func(m codec.Message) { h.takeMessage(e, m, from) }
 }
 
-func (h *replicaHost) takeMessage(e *side, m codec.Message, sidecar bool) {
+func (h *replicaHost) takeMessage(e *side, m codec.Message, from replica.Origin) {
 	switch v := m.Value.(type) {
 	case *wire.RaftMessageT:
-		if message, err := raftwire.MessageFromWire(v); err == nil && !sidecar {
+		if message, err := raftwire.MessageFromWire(v); err == nil && from == replica.FromReplica {
 			h.replica.Step(h.now(), message)
 		}
 	case *wire.RecordsT:
-		for _, held := range h.replica.MergeRecords(h.now(), directory.FromWire(v), sidecar) {
+		for _, held := range h.replica.MergeRecords(h.now(), directory.FromWire(v), from) {
 			e.send(directory.ToWire([]directory.Record{held}))
 		}
 	case *wire.CallT:
-		h.answer(v, sidecar, func(r replica.Reply) {
+		h.answer(v, from, func(r replica.Reply) {
 			if r.Push != nil {
 				e.send(r.Push)
 			}
@@ -313,14 +317,14 @@
 	}
 }
 
-func (h *replicaHost) answer(a *wire.CallT, sidecar bool, reply func(replica.Reply)) {
+func (h *replicaHost) answer(a *wire.CallT, from replica.Origin, reply func(replica.Reply)) {
 	if h.world.options.Mutations.UnconfirmedTable && a.Kind == codec.CallItems {
 		t := config.ItemsToWire(h.replica.State().Items.Items())
 		t.Complete, t.Index = true, h.replica.AppliedIndex()
 		reply(replica.Reply{Status: http.StatusOK, Body: codec.EncodeTable(t)})
 		return
 	}
-	h.replica.HandleCall(h.now(), a.Kind, a.Body, sidecar, reply)
+	h.replica.HandleCall(h.now(), a.Kind, a.Body, from, reply)
 }
 
 // modify handles an operator's change.
