--- a/internal/mesh/cli/demo.go
+++ b/internal/mesh/cli/demo.go
@@ -17,7 +17,9 @@
 
 func newDemoCommands(env *environment) *demoCommands {
 	return &demoCommands{
-		Failover: demoFailover{env: env}, Maintenance: demoMaintenance{env: env}, Policy: demoPolicy{env: env},
+		Failover:        demoFailover{env: env},
+		Maintenance:     demoMaintenance{env: env},
+		Policy:          demoPolicy{env: env},
 		PolicyDownloads: demoPolicyDownloads{env: env},
 	}
 }
--- a/internal/mesh/cli/maintenance.go
+++ b/internal/mesh/cli/maintenance.go
@@ -141,8 +141,13 @@
 		c.ID = "order-" + hex.EncodeToString(random[:])
 	}
 	order := maintenance.Order{
-		ID: c.ID, Machines: c.Args.Machines, Duration: c.Length, PlacedBy: c.By, Reason: c.Reason,
-		Override: c.Override, NeedsApproval: c.Ask,
+		ID:            c.ID,
+		Machines:      c.Args.Machines,
+		Duration:      c.Length,
+		PlacedBy:      c.By,
+		Reason:        c.Reason,
+		Override:      c.Override,
+		NeedsApproval: c.Ask,
 	}
 	response, err := c.env.api(c.Args.API).Maintenance(controlplane.MaintenanceRequest{Order: &order})
 	if err != nil {
@@ -183,7 +188,11 @@
 
 // Execute aborts an order.
 func (c *maintenanceAbort) Execute([]string) error {
-	return c.env.changeOrder(c.Args.API, maintenance.OrderChange{OrderID: c.Args.ID, Abort: true, Text: "aborted by " + c.By})
+	return c.env.changeOrder(c.Args.API, maintenance.OrderChange{
+		OrderID: c.Args.ID,
+		Abort:   true,
+		Text:    "aborted by " + c.By,
+	})
 }
 
 type maintenanceApprove struct {
@@ -194,7 +203,11 @@
 
 // Execute approves an order.
 func (c *maintenanceApprove) Execute([]string) error {
-	return c.env.changeOrder(c.Args.API, maintenance.OrderChange{OrderID: c.Args.ID, ApprovedBy: c.By, Text: "approved by " + c.By})
+	return c.env.changeOrder(c.Args.API, maintenance.OrderChange{
+		OrderID:    c.Args.ID,
+		ApprovedBy: c.By,
+		Text:       "approved by " + c.By,
+	})
 }
 
 type maintenanceComplete struct {
--- a/internal/mesh/cli/policy.go
+++ b/internal/mesh/cli/policy.go
@@ -170,8 +170,10 @@
 	if err != nil {
 		return err
 	}
-	result.Sidecar, result.Fenced = status.Name, status.Fenced
-	result.Active, result.ActiveIndex = status.ActivePolicy, status.ActivePolicyIndex
+	result.Sidecar = status.Name
+	result.Fenced = status.Fenced
+	result.Active = status.ActivePolicy
+	result.ActiveIndex = status.ActivePolicyIndex
 	result.ActiveSinceS = time.Duration(status.ActivePolicyAgeUs * int64(time.Microsecond)).Seconds()
 	return nil
 }
--- a/internal/mesh/config/diff.go
+++ b/internal/mesh/config/diff.go
@@ -47,7 +47,12 @@
 
 func diffItem(table Table, item Item) ItemDiff {
 	current, known := table.items[item.Key]
-	diff := ItemDiff{Kind: item.Kind.String(), Name: item.Name, From: current.Version, To: item.Version}
+	diff := ItemDiff{
+		Kind: item.Kind.String(),
+		Name: item.Name,
+		From: current.Version,
+		To:   item.Version,
+	}
 	switch {
 	case known && current.Version == item.Version && current.hasSameContent(item):
 		diff.Action = ActionNone
--- a/internal/mesh/config/document.go
+++ b/internal/mesh/config/document.go
@@ -98,7 +98,8 @@
 			if err != nil {
 				return nil, err
 			}
-			item.Host, item.routeSpec = listener.HostName, spec
+			item.Host = listener.HostName
+			item.routeSpec = spec
 			items = append(items, item)
 		}
 	}
--- a/internal/mesh/config/operations.go
+++ b/internal/mesh/config/operations.go
@@ -95,7 +95,8 @@
 			continue
 		}
 		if !cloned { // an update that raises nothing leaves the next table with this table's map
-			next.items, cloned = next.cloneItems(0), true
+			next.items = next.cloneItems(0)
+			cloned = true
 		}
 		after := next.items[item.Key]
 		after.history = after.history.With(item.operation())
--- a/internal/mesh/config/wire.go
+++ b/internal/mesh/config/wire.go
@@ -12,8 +12,13 @@
 	encoded := &wire.ItemsT{}
 	for _, item := range items {
 		encoded.List = append(encoded.List, &wire.ItemT{
-			Kind: byte(item.Kind), Name: item.Name, Version: item.Version, Deleted: item.Deleted,
-			Host: item.Host, Body: item.Body, LogTimeNs: int64(item.LogTime),
+			Kind:      byte(item.Kind),
+			Name:      item.Name,
+			Version:   item.Version,
+			Deleted:   item.Deleted,
+			Host:      item.Host,
+			Body:      item.Body,
+			LogTimeNs: int64(item.LogTime),
 		})
 	}
 	return encoded
@@ -23,8 +28,12 @@
 func ItemsFromWire(encoded *wire.ItemsT) (items []Item) {
 	for _, item := range encoded.List {
 		items = append(items, Item{
-			Key: Key{Kind(item.Kind), item.Name}, Version: item.Version, Deleted: item.Deleted,
-			Host: item.Host, Body: item.Body, LogTime: time.Duration(item.LogTimeNs),
+			Key:     Key{Kind(item.Kind), item.Name},
+			Version: item.Version,
+			Deleted: item.Deleted,
+			Host:    item.Host,
+			Body:    item.Body,
+			LogTime: time.Duration(item.LogTimeNs),
 		})
 	}
 	return items
@@ -33,7 +42,8 @@
 // UpdateToWire encodes an update for the replicated log.
 func UpdateToWire(update Update) *wire.ItemsT {
 	encoded := ItemsToWire(update.Items)
-	encoded.Author, encoded.Consents = update.Author, update.Consents
+	encoded.Author = update.Author
+	encoded.Consents = update.Consents
 	return encoded
 }
 
@@ -70,7 +80,12 @@
 // Versions returns the version of each item and tombstone, for reports of how far a process is.
 func (t Table) Versions() (versions []*wire.ItemVersionT) {
 	for _, item := range t.Items() {
-		versions = append(versions, &wire.ItemVersionT{Kind: byte(item.Kind), Name: item.Name, Version: item.Version, Deleted: item.Deleted})
+		versions = append(versions, &wire.ItemVersionT{
+			Kind:    byte(item.Kind),
+			Name:    item.Name,
+			Version: item.Version,
+			Deleted: item.Deleted,
+		})
 	}
 	return versions
 }
--- a/internal/mesh/demo/maintenance.go
+++ b/internal/mesh/demo/maintenance.go
@@ -101,11 +101,18 @@
 // it was drained, and when the machine was in maintenance (-1: that step was not seen).
 func (c *cluster) maintain(machine *testcluster.Machine, length time.Duration) (before, during int, err error) {
 	member := c.Members[0]
-	order := &maintenance.Order{ID: maintenanceOrder, Machines: []string{machine.Name}, Duration: length, PlacedBy: "ana", Reason: "a disk"}
+	order := &maintenance.Order{
+		ID:       maintenanceOrder,
+		Machines: []string{machine.Name},
+		Duration: length,
+		PlacedBy: "ana",
+		Reason:   "a disk",
+	}
 	if _, status, text := member.CallMaintenance(controlplane.MaintenanceRequest{Order: order}); status != 200 {
 		return 0, 0, errors.Errorf("the order was not accepted: %d %s", status, text)
 	}
-	before, during = c.Recorder.RunsBy(machine.App.Instance), -1
+	before = c.Recorder.RunsBy(machine.App.Instance)
+	during = -1
 	api := apiclient.Client{Addr: member.Addr("ControlPlane"), Timeout: orderTimeout}
 	step, err := api.FollowOrder(maintenanceOrder, func(p apiclient.OrderProgress) {
 		if during < 0 && p.Order.Step == maintenance.StepInMaintenance {
--- a/internal/mesh/demo/policy.go
+++ b/internal/mesh/demo/policy.go
@@ -29,16 +29,23 @@
 // DispatchScenario returns a scenario of a dispatch office.
 func DispatchScenario(length time.Duration) PolicyScenario {
 	return PolicyScenario{
-		Length: length, Services: [2]string{"dispatch", "devicebook"}, Owners: [2]string{"ana", "cy"},
-		KeyedRoute: "send", ReadRoute: "tokens",
+		Length:     length,
+		Services:   [2]string{"dispatch", "devicebook"},
+		Owners:     [2]string{"ana", "cy"},
+		KeyedRoute: "send",
+		ReadRoute:  "tokens",
 	}
 }
 
 // IntakeScenario returns a scenario of a winery's intake, with downloads.
 func IntakeScenario(length time.Duration) PolicyScenario {
 	return PolicyScenario{
-		Length: length, Services: [2]string{"crew-log", "cellar-ledger"}, Owners: [2]string{"kit", "lou"},
-		KeyedRoute: "weighing", ReadRoute: "block", DownloadRoute: "export",
+		Length:        length,
+		Services:      [2]string{"crew-log", "cellar-ledger"},
+		Owners:        [2]string{"kit", "lou"},
+		KeyedRoute:    "weighing",
+		ReadRoute:     "block",
+		DownloadRoute: "export",
 	}
 }
 
@@ -108,10 +115,18 @@
 func (s PolicyScenario) namespaces() []byte {
 	return testcluster.EncodeCall(map[string]any{"Upsert": map[string]any{"NamespaceList": []policy.Namespace{
 		{
-			Name: s.Services[0], ConfigVersion: 1, Owners: []string{s.Owners[0]}, Services: []string{s.Services[0]},
-			Hosts: []string{testcluster.Host},
+			Name:          s.Services[0],
+			ConfigVersion: 1,
+			Owners:        []string{s.Owners[0]},
+			Services:      []string{s.Services[0]},
+			Hosts:         []string{testcluster.Host},
+		},
+		{
+			Name:          s.Services[1],
+			ConfigVersion: 1,
+			Owners:        []string{s.Owners[1]},
+			Services:      []string{s.Services[1]},
 		},
-		{Name: s.Services[1], ConfigVersion: 1, Owners: []string{s.Owners[1]}, Services: []string{s.Services[1]}},
 	}}})
 }
 
@@ -157,8 +172,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.observed = append(d.observed, observedPolicy{
-		began: began, ended: time.Now(), sidecar: x.Name,
-		route: strings.Split(path, "/")[1], policy: merged, set: set, caller: x.App.Service,
+		began:   began,
+		ended:   time.Now(),
+		sidecar: x.Name,
+		route:   strings.Split(path, "/")[1],
+		policy:  merged,
+		set:     set,
+		caller:  x.App.Service,
 	})
 	return response
 }
@@ -169,7 +189,12 @@
 	time.Sleep(pause)
 	for _, step := range []func() (verdict string, err error){
 		func() (string, error) {
-			return "", d.modify(d.change(0, policy.Policy{Name: "patience", TimeoutS: 2, NeedsS: 0.5, Tries: 2}))
+			return "", d.modify(d.change(0, policy.Policy{
+				Name:     "patience",
+				TimeoutS: 2,
+				NeedsS:   0.5,
+				Tries:    2,
+			}))
 		},
 		func() (string, error) {
 			return "", d.modify(d.change(1, policy.Policy{Name: "shelter", TimeoutS: 1.5, Tries: 1}))
@@ -184,7 +209,11 @@
 				d.change(1, policy.Policy{Name: "shelter", TimeoutS: 1, Tries: 2}), 403)
 		},
 		func() (string, error) {
-			return "", d.modify(d.change(1, policy.Policy{Name: "shelter", TimeoutS: 1, Tries: 2}, d.Services[0]+":"+d.Owners[0]))
+			return "", d.modify(d.change(1, policy.Policy{
+				Name:     "shelter",
+				TimeoutS: 1,
+				Tries:    2,
+			}, d.Services[0]+":"+d.Owners[0]))
 		},
 		func() (string, error) { return "", d.changeAndKillLeader(pause / 2) },
 		d.changeWhileFrozen,
@@ -204,7 +233,8 @@
 // change returns a team's call that sets one of its policies, at the next version.
 func (d *policyDemo) change(team int, p policy.Policy, consents ...string) []byte {
 	d.version++
-	p.ConfigVersion, p.Namespace = int64(d.version), d.Services[team]
+	p.ConfigVersion = int64(d.version)
+	p.Namespace = d.Services[team]
 	return testcluster.EncodeCall(map[string]any{"Upsert": map[string]any{"RulingList": []policy.Policy{p}}, "By": d.Owners[team], "Consents": consents})
 }
 
@@ -236,7 +266,12 @@
 // changeAndKillLeader commits a policy set and kills the leader just before or after the set becomes active.
 func (d *policyDemo) changeAndKillLeader(down time.Duration) error {
 	leader := d.leader()
-	if err := d.modify(d.change(0, policy.Policy{Name: "patience", TimeoutS: 1.2, NeedsS: 0.5, Tries: 2})); err != nil || leader == nil {
+	if err := d.modify(d.change(0, policy.Policy{
+		Name:     "patience",
+		TimeoutS: 1.2,
+		NeedsS:   0.5,
+		Tries:    2,
+	})); err != nil || leader == nil {
 		return err
 	}
 	leader.Kill()
--- a/internal/mesh/idempotency/store.go
+++ b/internal/mesh/idempotency/store.go
@@ -118,7 +118,8 @@
 	}
 	lease, held := s.leases[request.Key]
 	if held && lease.isExpired(now) {
-		lease, held = Lease{}, false
+		lease = Lease{}
+		held = false
 	}
 	switch {
 	case request.Release:
@@ -147,7 +148,8 @@
 	if now <= s.earliestExpiry {
 		return
 	}
-	s.lastSweep, s.earliestExpiry = now, math.MaxInt64
+	s.lastSweep = now
+	s.earliestExpiry = math.MaxInt64
 	for key, lease := range s.leases {
 		if lease.isExpired(now) {
 			delete(s.leases, key)
--- a/internal/mesh/maintenance/clock.go
+++ b/internal/mesh/maintenance/clock.go
@@ -65,10 +65,11 @@
 // Now returns the time of day at a later log time.
 func (c Clock) Now(logTime time.Duration) TimeBounds { return c.bounds().advance(logTime - c.LogTime) }
 
-// Agree returns the next agreed time at a log time. It combines the time agreed on so far with samples of the members' clocks, as of a time at of
-// the asking member's monotonic clock. members is the number of members. leaderless is how long there was no leader since the last agreed
-// time, during which log time did not advance: measured by a member that ran all the time, or LeaderlessUnknown, in which case the upper
-// bound follows from the samples alone. On ErrNoAgreedTime the clock is unchanged.
+// Agree returns the next agreed time at a log time. It combines the time agreed on so far with samples of the
+// members' clocks, as of a time at of the asking member's monotonic clock. members is the number of members.
+// leaderless is how long there was no leader since the last agreed time, during which log time did not advance:
+// measured by a member that ran all the time, or LeaderlessUnknown, in which case the upper bound follows from the
+// samples alone. On ErrNoAgreedTime the clock is unchanged.
 func (c Clock) Agree(logTime time.Duration, samples []ClockSample, at time.Duration, members int, leaderless time.Duration) (Clock, error) {
 	measured, majority := intersectSamples(samples, at, members/2+1)
 	if !c.IsKnown() {
@@ -115,7 +116,13 @@
 	}
 	if c.InDoubt {
 		bounds := c.Now(logTime)
-		return Clock{LogTime: logTime, Earliest: bounds.Earliest, Latest: bounds.Latest.Add(leaderless), InDoubt: true, Steady: expected}, nil
+		return Clock{
+			LogTime:  logTime,
+			Earliest: bounds.Earliest,
+			Latest:   bounds.Latest.Add(leaderless),
+			InDoubt:  true,
+			Steady:   expected,
+		}, nil
 	}
 	return Clock{LogTime: logTime, Earliest: expected.Earliest, Latest: expected.Latest}, nil
 }
@@ -140,8 +147,8 @@
 	end bool
 }
 
-// intersectSamples returns the smallest interval that is consistent with the largest number of samples, given their errors, at a monotonic time
-// (Marzullo's algorithm). It returns false if that number is less than the quorum.
+// intersectSamples returns the smallest interval that is consistent with the largest number of samples, given their
+// errors, at a monotonic time (Marzullo's algorithm). It returns false if that number is less than the quorum.
 func intersectSamples(samples []ClockSample, at time.Duration, quorum int) (TimeBounds, bool) {
 	edges := sampleEdges(samples, at)
 	most, open := 0, 0
--- a/internal/mesh/maintenance/contract.go
+++ b/internal/mesh/maintenance/contract.go
@@ -20,8 +20,8 @@
 	Approvers  []string `json:"Approvers" validate:"min=1,max=64,dive,required,max=128"`
 }
 
-// Scope is the traffic that a contract covers: to any of these services, into any of these zones, on any of these routes, or to any service of
-// these namespaces and of those nested in them. An empty scope covers all traffic.
+// Scope is the traffic that a contract covers: to any of these services, into any of these zones, on any of these
+// routes, or to any service of these namespaces and of those nested in them. An empty scope covers all traffic.
 type Scope struct {
 	Services   []string `json:"Services" validate:"max=256"`
 	Zones      []string `json:"Zones" validate:"max=256"`
@@ -33,8 +33,8 @@
 	return len(s.Services)+len(s.Zones)+len(s.Routes)+len(s.Namespaces) == 0
 }
 
-// WeeklyWindow is a window on some days of the week, for example 22:00 to 23:30. To may be 24:00. A window over midnight has to be written as
-// two.
+// WeeklyWindow is a window on some days of the week, for example 22:00 to 23:30. To may be 24:00. A window over
+// midnight has to be written as two.
 type WeeklyWindow struct {
 	Days []string `json:"Days" validate:"min=1,max=7,dive,oneof=Mon Tue Wed Thu Fri Sat Sun"`
 	From string   `json:"From" validate:"required"`
--- a/internal/mesh/maintenance/next.go
+++ b/internal/mesh/maintenance/next.go
@@ -36,7 +36,8 @@
 
 func (o Order) goTo(step Step, format string, args ...any) decision {
 	change := o.emptyChange()
-	change.Step, change.Text = step, fmt.Sprintf(format, args...)
+	change.Step = step
+	change.Text = fmt.Sprintf(format, args...)
 	return decision{change: change, ok: true}
 }
 
@@ -44,8 +45,8 @@
 	return decision{change: o.emptyChange(), waitsFor: fmt.Sprintf(format, args...)}
 }
 
-// Next decides the next change of an order, which the leader then proposes. ok is false if the order waits; waitsFor then says for what. The view
-// must not count the order's own machine as in maintenance.
+// Next decides the next change of an order, which the leader then proposes. ok is false if the order waits; waitsFor
+// then says for what. The view must not count the order's own machine as in maintenance.
 func (o Order) Next(v View, seen Observation, now TimeBounds) (change OrderChange, ok bool, waitsFor string) {
 	d, turnsBack := o.turnBack(v, now)
 	if !turnsBack {
--- a/internal/mesh/maintenance/order.go
+++ b/internal/mesh/maintenance/order.go
@@ -48,8 +48,8 @@
 	Text    string     `json:"text"`
 }
 
-// Order is a number of machines that are taken out for maintenance one after the other. It is replicated state. A change names the revision that
-// it is based on, so that only one of two concurrent changes is made.
+// Order is a number of machines that are taken out for maintenance one after the other. It is replicated state. A
+// change names the revision that it is based on, so that only one of two concurrent changes is made.
 type Order struct {
 	ID               string        `json:"id"`
 	Machines         []string      `json:"machines"` // addresses, in their order
@@ -99,8 +99,8 @@
 // maxEvents bounds the events that an order keeps.
 const maxEvents = 512
 
-// addEvent adds an event. If there are too many it drops one from the middle, since the first and the latest are the most useful. It never changes
-// a slice that another copy of the order shares.
+// addEvent adds an event. If there are too many it drops one from the middle, since the first and the latest are the
+// most useful. It never changes a slice that another copy of the order shares.
 func (o *Order) addEvent(now TimeBounds, text string) {
 	o.Events = append(slices.Clone(o.Events), Event{now, o.CurrentMachineName(), o.Step, text})
 	if len(o.Events) > maxEvents {
--- a/internal/mesh/maintenance/ordertable.go
+++ b/internal/mesh/maintenance/ordertable.go
@@ -49,8 +49,9 @@
 	return open
 }
 
-// Place adds an order. Placing the same order again, as by a retry, changes nothing. On ErrInvalidOrder the table is unchanged. What Place writes
-// into the order is replicated, so it must be the same on every replica and in every version.
+// Place adds an order. Placing the same order again, as by a retry, changes nothing. On ErrInvalidOrder the table is
+// unchanged. What Place writes into the order is replicated, so it must be the same on every replica and in every
+// version.
 func (t OrderTable) Place(o Order, now TimeBounds) (OrderTable, error) {
 	if err := o.validate(); err != nil {
 		return t, err
@@ -64,7 +65,12 @@
 	if len(t.Open()) >= maxOpenOrders {
 		return t, errors.Annotatef(ErrInvalidOrder, "%d orders are open", maxOpenOrders)
 	}
-	o.Position, o.Step, o.Revision, o.StepSince, o.Events, o.ApprovedBy = 0, StepWaiting, 1, now, nil, ""
+	o.Position = 0
+	o.Step = StepWaiting
+	o.Revision = 1
+	o.StepSince = now
+	o.Events = nil
+	o.ApprovedBy = ""
 	o.addEvent(now, placementText(o))
 	next := OrderTable{append(slices.Clone(t.Orders), o)}
 	next.dropOldest()
@@ -151,11 +157,14 @@
 		o.ApprovedBy = c.ApprovedBy
 	}
 	if c.Step != "" {
-		o.Step, o.StepSince = c.Step, now
+		o.Step = c.Step
+		o.StepSince = now
 	}
 	switch c.Step {
 	case StepDraining:
-		o.ReturnBy, o.MaintenanceDone, o.Successor = c.ReturnBy, false, ""
+		o.ReturnBy = c.ReturnBy
+		o.MaintenanceDone = false
+		o.Successor = ""
 	case StepMovingCallers:
 		o.Successor = c.Successor
 	case StepInMaintenance:
--- a/internal/mesh/maintenance/plan.go
+++ b/internal/mesh/maintenance/plan.go
@@ -41,8 +41,8 @@
 	maxNextWindows = 3
 )
 
-// Plan returns whether a machine may be taken out now for a maintenance of some length, and if not, why. It is approved if every contract that
-// covers the machine approves it. A machine that no contract covers is not approved.
+// Plan returns whether a machine may be taken out now for a maintenance of some length, and if not, why. It is
+// approved if every contract that covers the machine approves it. A machine that no contract covers is not approved.
 func (v View) Plan(addr string, length time.Duration, now TimeBounds) Verdict {
 	return v.evaluate(addr, now, func(transition time.Duration) time.Duration { return transition + length })
 }
--- a/internal/mesh/maintenance/validate.go
+++ b/internal/mesh/maintenance/validate.go
@@ -186,7 +186,8 @@
 // clockShifts is by how much the clocks of a zone may change.
 var clockShifts = []time.Duration{-2 * time.Hour, -time.Hour, -30 * time.Minute, 30 * time.Minute, time.Hour, 2 * time.Hour}
 
-// localTimeFault returns a text if a local minute does not exist or comes twice, and otherwise "". Minute 24*60 is the first of the next day.
+// localTimeFault returns a text if a local minute does not exist or comes twice, and otherwise "". Minute 24*60 is
+// the first of the next day.
 func localTimeFault(zone *time.Location, year int, month time.Month, day, minute int) string {
 	t := time.Date(year, month, day, 0, minute, 0, 0, zone)
 	want := time.Date(year, month, day, 0, minute, 0, 0, time.UTC)
@@ -201,8 +202,8 @@
 	return ""
 }
 
-// clockChanges returns times on the days on which the clocks of a zone change. It returns two times per change, half a day apart, with the change
-// between them, so that one of them is on the day of the change.
+// clockChanges returns times on the days on which the clocks of a zone change. It returns two times per change, half
+// a day apart, with the change between them, so that one of them is on the day of the change.
 func clockChanges(zone *time.Location, from, to time.Time) (changes []time.Time) {
 	const step = 12 * time.Hour
 	_, last := from.In(zone).Zone()
--- a/internal/mesh/maintenance/view.go
+++ b/internal/mesh/maintenance/view.go
@@ -52,8 +52,8 @@
 
 func (v View) isInMaintenance(addr string) bool { return slices.Contains(v.InMaintenance, addr) }
 
-// isCovered reports whether a contract covers a machine, because the machine carries its traffic. All traffic depends on control-plane members,
-// so every contract covers them.
+// isCovered reports whether a contract covers a machine, because the machine carries its traffic. All traffic depends
+// on control-plane members, so every contract covers them.
 func (v View) isCovered(c Contract, m Machine) bool {
 	scope := c.Covers
 	switch {
@@ -85,8 +85,8 @@
 	return v.Parameters.DrainTimeout + longest + v.Parameters.WarmUp
 }
 
-// successor returns the sidecar that takes over the idempotency keys of another: the first ready one of its service, preferably in its zone; "":
-// there is none.
+// successor returns the sidecar that takes over the idempotency keys of another: the first ready one of its service,
+// preferably in its zone; "": there is none.
 func (v View) successor(addr string) string {
 	leaving, known := v.machine(addr)
 	if !known {
@@ -98,14 +98,16 @@
 			continue
 		}
 		if best == "" || m.Zone == leaving.Zone && !sameZone {
-			best, sameZone = m.Addr, m.Zone == leaving.Zone
+			best = m.Addr
+			sameZone = m.Zone == leaving.Zone
 		}
 	}
 	return best
 }
 
-// Sequence returns machines in the order in which they may be taken out one after the other: services with the most ready slots first, and within
-// a service by zone and address; control-plane members last, and among those the leader last.
+// Sequence returns machines in the order in which they may be taken out one after the other: services with the most
+// ready slots first, and within a service by zone and address; control-plane members last, and among those the leader
+// last.
 func (v View) Sequence(addrs []string, leader string) []string {
 	readySlots := map[string]int{}
 	machines := map[string]Machine{}
--- a/internal/mesh/maintenance/windows.go
+++ b/internal/mesh/maintenance/windows.go
@@ -22,8 +22,8 @@
 
 func (i Interval) isEmpty() bool { return !i.From.Before(i.To) }
 
-// Windows returns the approved intervals that overlap a span, in order, and the barred ones. Adjacent intervals are joined. The contract must have
-// been validated; with an unknown time zone there are no intervals.
+// Windows returns the approved intervals that overlap a span, in order, and the barred ones. Adjacent intervals are
+// joined. The contract must have been validated; with an unknown time zone there are no intervals.
 func (c Contract) Windows(span Interval) (approved, barred []Interval) {
 	zone, err := time.LoadLocation(c.TimeZone)
 	if err != nil {
--- a/internal/mesh/policy/change.go
+++ b/internal/mesh/policy/change.go
@@ -32,8 +32,8 @@
 	Consents   []string // as namespace:name, the name one of its owners
 }
 
-// Evaluate returns the effects of a change on merged policies of other owners, or why it is rejected, with one of the errors of this package.
-// What a change does to the author's own namespaces is not an effect.
+// Evaluate returns the effects of a change on merged policies of other owners, or why it is rejected, with one of the
+// errors of this package. What a change does to the author's own namespaces is not an effect.
 func Evaluate(before, after *Set, c Change) ([]Effect, error) {
 	if err := after.validate(); err != nil {
 		return nil, err
@@ -74,7 +74,8 @@
 	return names
 }
 
-// checkOwnership checks that the author may change each item: they must own it both before and after the change. own is the author's namespaces.
+// checkOwnership checks that the author may change each item: they must own it both before and after the change. own
+// is the author's namespaces.
 func (c Change) checkOwnership(before, after *Set, own []string) error {
 	if c.Author == "" {
 		return nil
--- a/internal/mesh/policy/clauses.go
+++ b/internal/mesh/policy/clauses.go
@@ -12,8 +12,9 @@
 // Clauses is a merged policy: all clauses that apply to a request, in order, with one clause per source and field.
 type Clauses []Clause
 
-// Merge merges two policies into their union, in which only the highest version of each source counts. So the order, grouping and repetition of
-// merges do not matter. Since the tightest clause of each field is effective, additional clauses only ever tighten a policy.
+// Merge merges two policies into their union, in which only the highest version of each source counts. So the order,
+// grouping and repetition of merges do not matter. Since the tightest clause of each field is effective, additional
+// clauses only ever tighten a policy.
 func Merge(a, b Clauses) Clauses {
 	all := append(slices.Clone(a), b...)
 	slices.SortFunc(all, Clause.compare)
@@ -28,8 +29,9 @@
 	return merged
 }
 
-// EffectiveClause is the effective clause on a field, with the clauses that it overrides, the tightest first. On a field whose values are merged
-// as sets all clauses contribute; the clause is then the first in order, with the merged values.
+// EffectiveClause is the effective clause on a field, with the clauses that it overrides, the tightest first. On a
+// field whose values are merged as sets all clauses contribute; the clause is then the first in order, with the
+// merged values.
 type EffectiveClause struct {
 	Clause
 	Overridden []Clause `json:"over,omitempty"`
--- a/internal/mesh/policy/conflict.go
+++ b/internal/mesh/policy/conflict.go
@@ -21,8 +21,9 @@
 // Is reports that a Conflict is ErrConflict.
 func (c *Conflict) Is(target error) bool { return target == ErrConflict }
 
-// firstConflict returns the first conflict on any of the affected routes and services; nil: there is none. The clauses of a caller are included
-// only if the clauses of the route name the caller. For other callers it is enough that the tightest clauses are effective.
+// firstConflict returns the first conflict on any of the affected routes and services; nil: there is none. The
+// clauses of a caller are included only if the clauses of the route name the caller. For other callers it is enough
+// that the tightest clauses are effective.
 func (s *Set) firstConflict(affected func(Route, string) bool) *Conflict {
 	for _, route := range s.Routes() {
 		for _, service := range route.Services {
@@ -69,7 +70,9 @@
 
 // at adds where a conflict was found.
 func (c *Conflict) at(route Route, service, caller string) *Conflict {
-	c.Route, c.Service, c.Caller = route.Name, service, caller
+	c.Route = route.Name
+	c.Service = service
+	c.Caller = caller
 	if caller == "" && len(c.A.Values) > 0 {
 		caller = c.A.Values[0]
 	}
--- a/internal/mesh/policy/decision.go
+++ b/internal/mesh/policy/decision.go
@@ -21,7 +21,12 @@
 
 // Decide returns the decision for a route and a caller.
 func (l Clauses) Decide(route Route, caller string) *Decision {
-	d := &Decision{Fingerprint: l.Fingerprint(), Clauses: l, RetryRatio: math.Inf(1), RetryOnAny: true}
+	d := &Decision{
+		Fingerprint: l.Fingerprint(),
+		Clauses:     l,
+		RetryRatio:  math.Inf(1),
+		RetryOnAny:  true,
+	}
 	if e, exists := l.Effective(FieldTries); exists {
 		d.MaxAttempts = max(1, int(e.Number))
 	}
@@ -38,7 +43,8 @@
 		d.RetryRatio = e.Number
 	}
 	if e, exists := l.Effective(FieldRetryOn); exists {
-		d.RetryOn, d.RetryOnAny = e.Values, false
+		d.RetryOn = e.Values
+		d.RetryOnAny = false
 	}
 	if source, denied := l.DeniedBy(caller); denied {
 		d.DeniedBy = &source
--- a/internal/mesh/policy/effect.go
+++ b/internal/mesh/policy/effect.go
@@ -46,7 +46,8 @@
 			newClauses, _ := after.ClausesFor(route, service, "")
 			for _, f := range AllFields {
 				if e, changed := fieldEffect(f, oldClauses, newClauses); changed {
-					e.Route, e.Service = route.Name, service
+					e.Route = route.Name
+					e.Service = service
 					e.Owners = after.affectedOwners(route, service, f, oldClauses, newClauses)
 					effects = append(effects, e)
 				}
@@ -81,10 +82,12 @@
 	is, exists := after.Effective(f)
 	e = Effect{Field: f, Before: noValue, After: noValue}
 	if existed {
-		e.Before, e.Source = was.Value(), was.Source
+		e.Before = was.Value()
+		e.Source = was.Source
 	}
 	if exists {
-		e.After, e.Source = is.Value(), is.Source
+		e.After = is.Value()
+		e.Source = is.Source
 	}
 	if e.Before == e.After {
 		return e, false
--- a/internal/mesh/policy/policy.go
+++ b/internal/mesh/policy/policy.go
@@ -7,8 +7,8 @@
 	"cranegrade/internal/mesh/validation"
 )
 
-// Policy is what a namespace requires of requests. Fields that are not set leave the decision to other policies. It is a configuration item,
-// called a ruling there, with the same field names.
+// Policy is what a namespace requires of requests. Fields that are not set leave the decision to other policies. It
+// is a configuration item, called a ruling there, with the same field names.
 type Policy struct {
 	Name          string   `json:"Name" validate:"required,max=256"`
 	ConfigVersion int64    `json:"ConfigVersion"`
@@ -30,8 +30,8 @@
 	Callers  CallerRules `json:"Callers,omitzero"`
 }
 
-// Selector narrows a policy to a part of what its namespace owns. An empty selector selects everything: its routes, requests to its services, and
-// requests from its services.
+// Selector narrows a policy to a part of what its namespace owns. An empty selector selects everything: its routes,
+// requests to its services, and requests from its services.
 type Selector struct {
 	Routes   []string `json:"Routes,omitempty" validate:"max=1024,dive,required,max=512"`
 	Services []string `json:"Services,omitempty" validate:"max=1024,dive,required,max=512"`
--- a/internal/mesh/policy/rollout.go
+++ b/internal/mesh/policy/rollout.go
@@ -21,8 +21,9 @@
 	activationTimeout = FenceTimeout + time.Second
 )
 
-// Rollout records which policy set is agreed on and which is active, by their fingerprints. It is replicated state. A changed set is first agreed
-// on, by the entry that changes an item. It becomes active by an entry of its own, once the sidecars have received it.
+// Rollout records which policy set is agreed on and which is active, by their fingerprints. It is replicated state. A
+// changed set is first agreed on, by the entry that changes an item. It becomes active by an entry of its own, once
+// the sidecars have received it.
 type Rollout struct {
 	Agreed      string `json:"held"`    // "": there is no set
 	Active      string `json:"bound"`   // the same
@@ -46,17 +47,19 @@
 
 // Agree returns the rollout after an entry that changes the set.
 func (r Rollout) Agree(fingerprint string, index uint64) Rollout {
-	r.Agreed, r.AgreedIndex = fingerprint, index
+	r.Agreed = fingerprint
+	r.AgreedIndex = index
 	return r
 }
 
-// Activate returns the rollout after an entry that activates a set. It returns false, and nothing changes, if another set was agreed on meanwhile
-// or the set is already active.
+// Activate returns the rollout after an entry that activates a set. It returns false, and nothing changes, if another
+// set was agreed on meanwhile or the set is already active.
 func (r Rollout) Activate(fingerprint string, index uint64) (Rollout, bool) {
 	if fingerprint != r.Agreed || r.Active == r.Agreed {
 		return r, false
 	}
-	r.Active, r.ActiveIndex = fingerprint, index
+	r.Active = fingerprint
+	r.ActiveIndex = index
 	return r, true
 }
 
@@ -70,9 +73,9 @@
 	Silent   bool   // it did not answer
 }
 
-// CanActivate reports whether the agreed set may become active, and otherwise what it waits for: all sidecars must have received it, or certainly
-// be fenced. since is how long this leader has known that the set is agreed on. The very first set waits for all known sidecars, since a
-// sidecar that has never heard of any set is not fenced.
+// CanActivate reports whether the agreed set may become active, and otherwise what it waits for: all sidecars must
+// have received it, or certainly be fenced. since is how long this leader has known that the set is agreed on. The
+// very first set waits for all known sidecars, since a sidecar that has never heard of any set is not fenced.
 func (r Rollout) CanActivate(reports []SidecarReport, since time.Duration) (ok bool, waitsFor string) {
 	if !r.IsPending() {
 		return false, ""
--- a/internal/mesh/policy/set.go
+++ b/internal/mesh/policy/set.go
@@ -189,9 +189,10 @@
 	return namespace == owner || namespace == MeshNamespace || slices.Contains(s.ancestors[owner], namespace)
 }
 
-// ClausesFor returns the merged policy for requests of a route to a service. caller is the calling service; "": any. governed says that policies
-// of namespaces apply to them besides the route's own item, or may do so later because a namespace owns a part of it. A sidecar that
-// can't confirm which policies are active has to know this even before the first policy.
+// ClausesFor returns the merged policy for requests of a route to a service. caller is the calling service; "": any.
+// governed says that policies of namespaces apply to them besides the route's own item, or may do so later because a
+// namespace owns a part of it. A sidecar that can't confirm which policies are active has to know this even before
+// the first policy.
 func (s *Set) ClausesFor(route Route, service, caller string) (clauses Clauses, governed bool) {
 	add := func(role Role, owner string, policies []*compiledPolicy) {
 		for _, p := range policies {
--- a/internal/mesh/policy/sidecarstate.go
+++ b/internal/mesh/policy/sidecarstate.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// SidecarState is a sidecar's side of a rollout: the set that it has received, the active set, and until when it may use that. Methods return the
-// next state.
+// SidecarState is a sidecar's side of a rollout: the set that it has received, the active set, and until when it may
+// use that. Methods return the next state.
 type SidecarState struct {
 	Received    string // fingerprint of the set among its items
 	Active      string // fingerprint of the set that it uses
@@ -20,8 +20,9 @@
 	return s
 }
 
-// Activate returns the state after a notice that an entry has activated a set. adopt says that the sidecar uses the set that it has received from
-// now on; reload that it has not received the activated set and has to read all items again. An older notice changes nothing.
+// Activate returns the state after a notice that an entry has activated a set. adopt says that the sidecar uses the
+// set that it has received from now on; reload that it has not received the activated set and has to read all items
+// again. An older notice changes nothing.
 func (s SidecarState) Activate(fingerprint string, index uint64) (_ SidecarState, adopt, reload bool) {
 	switch {
 	case index <= s.ActiveIndex:
@@ -29,7 +30,8 @@
 	case fingerprint != s.Received:
 		return s, false, true
 	}
-	s.Active, s.ActiveIndex = fingerprint, index
+	s.Active = fingerprint
+	s.ActiveIndex = index
 	return s, true, false
 }
 
@@ -43,8 +45,8 @@
 	return s
 }
 
-// Confirm returns the state after a confirmed read, requested at a time, has returned which sets are active and agreed on. It returns false if the
-// sidecar has others and must read all items again.
+// Confirm returns the state after a confirmed read, requested at a time, has returned which sets are active and
+// agreed on. It returns false if the sidecar has others and must read all items again.
 func (s SidecarState) Confirm(active string, index uint64, agreed string, asked time.Duration) (SidecarState, bool) {
 	if active != s.Active || index != s.ActiveIndex || agreed != s.Received {
 		return s, false
--- a/internal/mesh/retrybudget/budget.go
+++ b/internal/mesh/retrybudget/budget.go
@@ -45,7 +45,8 @@
 	bucketLength := max(1, b.limits.Window/bucketCount)
 	bucket := int64(now / bucketLength)
 	for n := max(b.current+1, bucket-bucketCount+1); n <= bucket; n++ {
-		b.requests[n%bucketCount], b.retries[n%bucketCount] = 0, 0
+		b.requests[n%bucketCount] = 0
+		b.retries[n%bucketCount] = 0
 	}
 	b.current = max(b.current, bucket)
 	return int(b.current % bucketCount)
--- a/internal/mesh/scale/announcer.go
+++ b/internal/mesh/scale/announcer.go
@@ -38,8 +38,15 @@
 
 func newAnnouncer(set settings.Settings) *announcer {
 	record := directory.Record{
-		Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1, Addr: set.ListenAddrs.Inbound, Zone: set.Zone,
-		Service: set.Service, ServerID: "i-" + set.NodeName + "-1", State: directory.ServerReady, Slots: serverSlots,
+		Node:            set.NodeName,
+		Incarnation:     uint64(time.Now().UnixNano()),
+		Sequence:        1,
+		Addr:            set.ListenAddrs.Inbound,
+		Zone:            set.Zone,
+		Service:         set.Service,
+		ServerID:        "i-" + set.NodeName + "-1",
+		State:           directory.ServerReady,
+		Slots:           serverSlots,
 		ProtocolVersion: transport.ProtocolVersion,
 	}
 	return &announcer{settings: set, record: record, versions: map[string]int64{}}
--- a/internal/mesh/scale/experiment.go
+++ b/internal/mesh/scale/experiment.go
@@ -52,10 +52,21 @@
 // DefaultExperiment returns the values that hold where a file does not name a field.
 func DefaultExperiment() Experiment {
 	return Experiment{
-		Full: []int{30}, Seeds: []uint64{1}, RepeatTo: maxSidecars, Members: 3,
-		Phases:   []string{PhaseIdle, PhaseChanges, PhaseLeases, PhaseRestarts, PhaseHeartbeats},
-		Services: 3, Routes: 6, PhaseS: 5, SettleS: 2, HeartbeatS: 0.3,
-		ChangesPerS: 5, ClaimsPerS: 200, RestartsPerS: 2, HeartbeatFactor: 4, MemoryGiB: 15,
+		Full:            []int{30},
+		Seeds:           []uint64{1},
+		RepeatTo:        maxSidecars,
+		Members:         3,
+		Phases:          []string{PhaseIdle, PhaseChanges, PhaseLeases, PhaseRestarts, PhaseHeartbeats},
+		Services:        3,
+		Routes:          6,
+		PhaseS:          5,
+		SettleS:         2,
+		HeartbeatS:      0.3,
+		ChangesPerS:     5,
+		ClaimsPerS:      200,
+		RestartsPerS:    2,
+		HeartbeatFactor: 4,
+		MemoryGiB:       15,
 	}
 }
 
--- a/internal/mesh/scale/fake_server.go
+++ b/internal/mesh/scale/fake_server.go
@@ -41,7 +41,8 @@
 
 // start begins to send heartbeats, until close.
 func (s *fakeServer) start() {
-	s.instance, s.stop = 1, make(chan struct{})
+	s.instance = 1
+	s.stop = make(chan struct{})
 	s.running.Go(func() {
 		for {
 			s.sendHeartbeat()
@@ -100,8 +101,13 @@
 		state = "draining"
 	}
 	return fmt.Sprintf("i-%s-%d", s.node, s.instance), sidecar.Heartbeat{
-		Address:    s.address,
-		SystemInfo: sidecar.SystemInfo{Service: s.service, ConfigVersion: "v1", Zone: s.zone, SlotCount: serverSlots},
+		Address: s.address,
+		SystemInfo: sidecar.SystemInfo{
+			Service:       s.service,
+			ConfigVersion: "v1",
+			Zone:          s.zone,
+			SlotCount:     serverSlots,
+		},
 		OperStatus: sidecar.OperationalStatus{State: state, CallSeq: s.sequence},
 	}
 }
--- a/internal/mesh/scale/fit.go
+++ b/internal/mesh/scale/fit.go
@@ -34,8 +34,14 @@
 		return f, false
 	}
 	f = PowerFit{
-		Factor: math.Exp(line.Intercept), Exponent: line.Slope, ExponentError: line.SlopeError, Residual: line.Residual, Points: len(logs),
-		meanX: line.meanX, sumXX: line.sumXX, Spread: spread(points),
+		Factor:        math.Exp(line.Intercept),
+		Exponent:      line.Slope,
+		ExponentError: line.SlopeError,
+		Residual:      line.Residual,
+		Points:        len(logs),
+		meanX:         line.meanX,
+		sumXX:         line.sumXX,
+		Spread:        spread(points),
 	}
 	return f, true
 }
@@ -73,7 +79,14 @@
 	if sumXX == 0 || len(points) < 2 {
 		return f, false
 	}
-	f = LineFit{Slope: sumXY / sumXX, Points: len(points), meanX: meanX, sumXX: sumXX, SlopeError: math.NaN(), Residual: math.NaN()}
+	f = LineFit{
+		Slope:      sumXY / sumXX,
+		Points:     len(points),
+		meanX:      meanX,
+		sumXX:      sumXX,
+		SlopeError: math.NaN(),
+		Residual:   math.NaN(),
+	}
 	f.Intercept = meanY - f.Slope*meanX
 	if len(points) > 2 {
 		var residuals float64 // the sum of their squares
--- a/internal/mesh/scale/fleet.go
+++ b/internal/mesh/scale/fleet.go
@@ -74,14 +74,18 @@
 	startS        float64
 }
 
-// newFleet starts a fleet. programs is the folder of the programs that testcluster.BuildPrograms makes. On an error the fleet holds what has
-// been started; close ends that, too.
+// newFleet starts a fleet. programs is the folder of the programs that testcluster.BuildPrograms makes. On an error
+// the fleet holds what has been started; close ends that, too.
 func newFleet(ctx context.Context, x Experiment, p plan, programs, program string) (*fleet, error) {
 	if p.full == 0 || p.full > p.size {
 		p.full = p.size
 	}
 	f := &fleet{
-		experiment: x, plan: p, program: program, random: rand.New(rand.NewPCG(p.seed, 0)), client: &http.Client{Timeout: serverTimeout},
+		experiment: x,
+		plan:       p,
+		program:    program,
+		random:     rand.New(rand.NewPCG(p.seed, 0)),
+		client:     &http.Client{Timeout: serverTimeout},
 	}
 	if err := f.startControlPlane(programs); err != nil {
 		return f, err
--- a/internal/mesh/scale/fleet_start.go
+++ b/internal/mesh/scale/fleet_start.go
@@ -95,12 +95,15 @@
 	set := f.base
 	ip := sidecarIP(f.cluster.Members[0].IP, n)
 	_, controlPort, _ := net.SplitHostPort(f.cluster.Members[0].Addr("ControlPlane"))
-	set.NodeName, set.IPAddress, set.Zone = fmt.Sprintf("side-%d", n+1), ip, fmt.Sprintf("zone-%d", n%zones)
+	set.NodeName = fmt.Sprintf("side-%d", n+1)
+	set.IPAddress = ip
+	set.Zone = fmt.Sprintf("zone-%d", n%zones)
 	set.ListenAddrs = settings.ListenAddresses{
 		ControlPlane: net.JoinHostPort(ip, controlPort),
 		Inbound:      net.JoinHostPort(ip, inboundPort),
 	}
-	set.DataDir, set.FirstStart = "", false
+	set.DataDir = ""
+	set.FirstStart = false
 	set.HeartbeatS = settings.Seconds(f.experiment.HeartbeatS)
 	set.Service = serviceName(int((uint64(n) + f.plan.seed) % uint64(f.plan.services)))
 	return set
@@ -136,7 +139,11 @@
 
 // awaitSidecars waits until all sidecars have their configuration, and the full ones know all that were started.
 func (f *fleet) awaitSidecars() error {
-	q := request{Await: &awaitRequest{Known: f.started, Items: f.plan.routes + f.plan.services, TimeoutS: startTimeout.Seconds()}}
+	q := request{Await: &awaitRequest{
+		Known:    f.started,
+		Items:    f.plan.routes + f.plan.services,
+		TimeoutS: startTimeout.Seconds(),
+	}}
 	for _, w := range f.workers() {
 		r, err := w.call(q)
 		if err != nil {
--- a/internal/mesh/scale/load.go
+++ b/internal/mesh/scale/load.go
@@ -7,12 +7,17 @@
 func (f *fleet) phaseBetween(name string, from, to sample) Phase {
 	span := to.at.Sub(from.at).Seconds()
 	p := Phase{
-		Name: name, Seconds: span, Events: float64(to.heartbeats - from.heartbeats), Roles: map[string]Load{}, Delays: map[string]Quantiles{},
+		Name:        name,
+		Seconds:     span,
+		Events:      float64(to.heartbeats - from.heartbeats),
+		Roles:       map[string]Load{},
+		Delays:      map[string]Quantiles{},
 		RecordsSent: f.recordsSent(from, to) / span,
 	}
 	p.Busy = to.machine.busySince(from.machine)
 	if p.Busy > machineBound {
-		p.Bound, p.Kept = "machine", f.experiment.KeepBound
+		p.Bound = "machine"
+		p.Kept = f.experiment.KeepBound
 	}
 	n := float64(f.plan.full)
 	sidecars := loadBetween(from.sidecars.usage, to.sidecars.usage, from.sidecars.sent, to.sidecars.sent, span, n)
--- a/internal/mesh/scale/measure.go
+++ b/internal/mesh/scale/measure.go
@@ -21,7 +21,13 @@
 
 // newMeasurement returns a measurement of a fleet in which nothing was measured yet.
 func (p plan) newMeasurement() Measurement {
-	return Measurement{Size: p.size, Full: p.full, Services: p.services, Routes: p.routes, Seed: p.seed}
+	return Measurement{
+		Size:     p.size,
+		Full:     p.full,
+		Services: p.services,
+		Routes:   p.routes,
+		Seed:     p.seed,
+	}
 }
 
 // measure measures a fleet that has started. On an error the measurement holds what was measured before.
@@ -115,7 +121,8 @@
 	if err != nil {
 		return p, err
 	}
-	p.Events, p.Rejected = float64(events.count), events.rejected
+	p.Events = float64(events.count)
+	p.Rejected = events.rejected
 	return p, nil
 }
 
--- a/internal/mesh/scale/measure_changes.go
+++ b/internal/mesh/scale/measure_changes.go
@@ -53,7 +53,8 @@
 	if err != nil {
 		return err
 	}
-	times.acknowledgedAt[version], times.latest = time.Now(), version
+	times.acknowledgedAt[version] = time.Now()
+	times.latest = version
 	times.delays = append(times.delays, time.Since(sentAt))
 	return nil
 }
--- a/internal/mesh/scale/needs.go
+++ b/internal/mesh/scale/needs.go
@@ -25,7 +25,16 @@
 }
 
 func newNeed(role, what string, unit Unit, e estimate, budget float64, assumed string) Need {
-	return Need{Role: role, What: what, Unit: unit, Value: e.value, Factor: e.factor, Budget: budget, From: e.from, Assumed: assumed}
+	return Need{
+		Role:    role,
+		What:    what,
+		Unit:    unit,
+		Value:   e.value,
+		Factor:  e.factor,
+		Budget:  budget,
+		From:    e.from,
+		Assumed: assumed,
+	}
 }
 
 func (b *basis) sidecarNeeds() []Need {
--- a/internal/mesh/scale/page_tables.go
+++ b/internal/mesh/scale/page_tables.go
@@ -65,7 +65,8 @@
 		atTarget, off := none, none
 		if g.Fitted {
 			value, factor := g.Fit.At(targetNodes)
-			atTarget, off = format(value, m.Unit), factorOfError(factor)
+			atTarget = format(value, m.Unit)
+			off = factorOfError(factor)
 		}
 		fmt.Fprintf(b, "| %s | %s | %s | %.0f %% | %s | %s |\n", m.Name, bySize(g), exponent(g), 100*g.Fit.Spread, atTarget, off)
 	}
--- a/internal/mesh/scale/report.go
+++ b/internal/mesh/scale/report.go
@@ -57,9 +57,12 @@
 func drawGrowth(g Growth) (string, error) {
 	p := plot.New()
 	p.Title.Text = g.Metric.Name
-	p.X.Label.Text, p.Y.Label.Text = "sidecars", string(g.Metric.Unit)
-	p.X.Scale, p.Y.Scale = plot.LogScale{}, plot.LogScale{}
-	p.X.Tick.Marker, p.Y.Tick.Marker = plot.LogTicks{Prec: -1}, plot.LogTicks{Prec: -1}
+	p.X.Label.Text = "sidecars"
+	p.Y.Label.Text = string(g.Metric.Unit)
+	p.X.Scale = plot.LogScale{}
+	p.Y.Scale = plot.LogScale{}
+	p.X.Tick.Marker = plot.LogTicks{Prec: -1}
+	p.Y.Tick.Marker = plot.LogTicks{Prec: -1}
 	points, curve := growthPoints(g)
 	dots, err := plotter.NewScatter(points)
 	if err != nil {
--- a/internal/mesh/scale/results.go
+++ b/internal/mesh/scale/results.go
@@ -176,5 +176,10 @@
 	at := func(share float64) float64 {
 		return delays[min(len(delays)-1, int(share*float64(len(delays))))].Seconds() * 1000
 	}
-	return Quantiles{Count: len(delays), P50: at(0.5), P99: at(0.99), Max: at(1)}
+	return Quantiles{
+		Count: len(delays),
+		P50:   at(0.5),
+		P99:   at(0.99),
+		Max:   at(1),
+	}
 }
--- a/internal/mesh/scale/run.go
+++ b/internal/mesh/scale/run.go
@@ -27,7 +27,12 @@
 // stopped early, because ctx ended, a part failed or the memory limit was reached; Results.Stopped then says why. The error is that
 // of the preparations. No process that it started is left.
 func Run(ctx context.Context, x Experiment, program string, progress func(string)) (Results, error) {
-	r := &runner{experiment: x, program: program, progress: progress, began: time.Now()}
+	r := &runner{
+		experiment: x,
+		program:    program,
+		progress:   progress,
+		began:      time.Now(),
+	}
 	r.results = Results{Experiment: x, When: r.began.UTC().Truncate(time.Second), Machine: thisMachine()}
 	dir, err := os.MkdirTemp("", "meshscale")
 	if err != nil {
@@ -78,7 +83,14 @@
 
 // newPlan returns a plan with the experiment's services and routes.
 func (r *runner) newPlan(size, full int, seed uint64, phases []string) plan {
-	return plan{size: size, full: full, services: r.experiment.Services, routes: r.experiment.Routes, seed: seed, phases: phases}
+	return plan{
+		size:     size,
+		full:     full,
+		services: r.experiment.Services,
+		routes:   r.experiment.Routes,
+		seed:     seed,
+		phases:   phases,
+	}
 }
 
 // measureVaried measures other numbers of services, with a route for each, and of routes.
@@ -88,7 +100,8 @@
 	base.brief = true
 	for _, services := range x.VaryServices {
 		p := base
-		p.services, p.routes = services, max(base.routes, services)
+		p.services = services
+		p.routes = max(base.routes, services)
 		if err := r.measureAndKeep(ctx, p, true); err != nil {
 			return err
 		}
--- a/internal/mesh/scale/sample.go
+++ b/internal/mesh/scale/sample.go
@@ -50,7 +50,8 @@
 	} else {
 		s.sidecars, err = f.sampleHollow()
 	}
-	s.at, s.heartbeats = time.Now(), f.heartbeats.Load()
+	s.at = time.Now()
+	s.heartbeats = f.heartbeats.Load()
 	s.machine = readMachineTime()
 	return s, err
 }
@@ -66,7 +67,9 @@
 			continue
 		}
 		if status.Fault == "" {
-			m.sent, m.isLeader, m.keys = bytesByType(status.Traffic), status.IsLeader, status.KeyCount
+			m.sent = bytesByType(status.Traffic)
+			m.isLeader = status.IsLeader
+			m.keys = status.KeyCount
 			m.usage, err = processUsage(pid)
 			return m, err
 		}
@@ -81,7 +84,8 @@
 }
 
 func (f *fleet) sampleHollow() (s sidecarSample, err error) {
-	s.sent, s.received = map[string]int64{}, map[string]int64{}
+	s.sent = map[string]int64{}
+	s.received = map[string]int64{}
 	err = f.callFull(request{Account: &accountRequest{}}, func(r response) {
 		addTraffic(s.sent, r.Account.Sent)
 		addTraffic(s.received, r.Account.Received)
--- a/internal/mesh/scale/worker.go
+++ b/internal/mesh/scale/worker.go
@@ -196,7 +196,9 @@
 // account returns the traffic of all sidecars, and with collect the memory that they use after a garbage collection.
 func (w *worker) account(collect bool) *account {
 	a := &account{
-		Sent: bytesByType(transport.SentTraffic()), Received: bytesByType(transport.ReceivedTraffic()), Goroutines: runtime.NumGoroutine(),
+		Sent:       bytesByType(transport.SentTraffic()),
+		Received:   bytesByType(transport.ReceivedTraffic()),
+		Goroutines: runtime.NumGoroutine(),
 	}
 	if collect {
 		runtime.GC()
--- a/internal/mesh/scale/worker_leases.go
+++ b/internal/mesh/scale/worker_leases.go
@@ -32,7 +32,12 @@
 	}
 	started := time.Since(began)
 	pending.Wait()
-	return &leaseOutcome{Granted: len(delays), Failed: failed, Delays: quantiles(delays), StartedS: started.Seconds()}
+	return &leaseOutcome{
+		Granted:  len(delays),
+		Failed:   failed,
+		Delays:   quantiles(delays),
+		StartedS: started.Seconds(),
+	}
 }
 
 // atPace returns when the nth event from 0 is due, from the first one on.
--- a/internal/mesh/scale/worker_observer.go
+++ b/internal/mesh/scale/worker_observer.go
@@ -21,7 +21,12 @@
 }
 
 func startObserver(target observeRequest, sidecars []measuredSidecar) *observer {
-	o := &observer{target: target, stop: make(chan struct{}), stopped: make(chan struct{}), versions: map[int64]int64{}}
+	o := &observer{
+		target:   target,
+		stop:     make(chan struct{}),
+		stopped:  make(chan struct{}),
+		versions: map[int64]int64{},
+	}
 	go func() {
 		defer close(o.stopped)
 		o.run(sidecars)
--- a/internal/mesh/scale/worker_process.go
+++ b/internal/mesh/scale/worker_process.go
@@ -37,7 +37,8 @@
 	if err != nil {
 		return nil, err
 	}
-	w.in, w.lines = in, bufio.NewScanner(out)
+	w.in = in
+	w.lines = bufio.NewScanner(out)
 	w.lines.Buffer(nil, maxLineBytes)
 	// In a process group of its own, a worker is not reached by an interrupt from the terminal: the orchestrator ends it in order.
 	w.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
--- a/internal/mesh/sidecar/caller_protocol.go
+++ b/internal/mesh/sidecar/caller_protocol.go
@@ -66,8 +66,11 @@
 	}
 	h := hr.Header
 	routed := &routedRequest{
-		route: route, service: p.pools.get(from.Name()), attemptID: h.Get(headerAttemptID),
-		key: h.Get(headerOperationKey), policy: route.PolicyDecision(from.Name()),
+		route:     route,
+		service:   p.pools.get(from.Name()),
+		attemptID: h.Get(headerAttemptID),
+		key:       h.Get(headerOperationKey),
+		policy:    route.PolicyDecision(from.Name()),
 	}
 	if routed.policy != nil {
 		if rejection := p.applyPolicy(hr, from.Name(), routed); rejection != nil {
@@ -84,8 +87,12 @@
 	}
 	left := routed.timeLeft(budget)
 	out := &message.Request{
-		Method: hr.Method, URL: &url.URL{Opaque: hr.RequestURI}, Authority: hr.Host, Header: forwardedHeaders(h),
-		Idempotency: message.NotIdempotent, FrontData: routed,
+		Method:      hr.Method,
+		URL:         &url.URL{Opaque: hr.RequestURI},
+		Authority:   hr.Host,
+		Header:      forwardedHeaders(h),
+		Idempotency: message.NotIdempotent,
+		FrontData:   routed,
 	}
 	if route.Kind.IsIdempotent() {
 		out.Idempotency = message.Idempotent
@@ -97,8 +104,10 @@
 		routed.key = ""
 	}
 	own := min(front.ProxyOverhead, left/ownDelayDivisor)
-	c.ID, c.Class = routed.attemptID, class
-	c.Deadline, c.FallbackAt = now+left-own, now+left-own/2
+	c.ID = routed.attemptID
+	c.Class = class
+	c.Deadline = now + left - own
+	c.FallbackAt = now + left - own/2
 	return out, nil
 }
 
--- a/internal/mesh/sidecar/claim_breaker.go
+++ b/internal/mesh/sidecar/claim_breaker.go
@@ -12,8 +12,9 @@
 	maxProbingClaims = 2
 )
 
-// claimBreaker is a circuit breaker for key lease requests (claims). Each one that waits occupies capacity that other requests need. So while none is
-// answered, most are failed at once, which is safe because their requests have not run. The zero value is ready to use.
+// claimBreaker is a circuit breaker for key lease requests (claims). Each one that waits occupies capacity that other
+// requests need. So while none is answered, most are failed at once, which is safe because their requests have not
+// run. The zero value is ready to use.
 type claimBreaker struct {
 	mu              sync.Mutex // guards below
 	waiting         int
@@ -46,7 +47,8 @@
 	b.waiting--
 	switch {
 	case answered:
-		b.open, b.waitingSince = false, now
+		b.open = false
+		b.waitingSince = now
 	case now-b.waitingSince > claimStallTimeout: // a request with less time than that proves nothing about the member
 		b.open = true
 	}
--- a/internal/mesh/sidecar/configuration.go
+++ b/internal/mesh/sidecar/configuration.go
@@ -8,9 +8,9 @@
 	"cranegrade/internal/mesh/routing"
 )
 
-// configuration is the configuration in force in this sidecar: the items that control-plane members sent, the active policies, and the routing
-// table that is built from both. The routing table is a snapshot that is replaced as a whole, so that a request uses the same one from
-// beginning to end.
+// configuration is the configuration in force in this sidecar: the items that control-plane members sent, the active
+// policies, and the routing table that is built from both. The routing table is a snapshot that is replaced as a
+// whole, so that a request uses the same one from beginning to end.
 type configuration struct {
 	env      *environment
 	outbound *outboundListener
--- a/internal/mesh/sidecar/controlplane_connection.go
+++ b/internal/mesh/sidecar/controlplane_connection.go
@@ -28,9 +28,9 @@
 	selectorEventBacklog = 64
 )
 
-// controlPlaneConn is the connection to the control-plane member that this sidecar follows. Package memberselection decides which member that
-// is; this type is its shell. The goroutine of run owns the selector and the connections, and other goroutines post events to it.
-// Messages of members are passed to configuration, directory and maintenance.
+// controlPlaneConn is the connection to the control-plane member that this sidecar follows. Package memberselection
+// decides which member that is; this type is its shell. The goroutine of run owns the selector and the connections,
+// and other goroutines post events to it. Messages of members are passed to configuration, directory and maintenance.
 type controlPlaneConn struct {
 	env           *environment
 	configuration *configuration
@@ -62,7 +62,8 @@
 
 func newControlPlaneConn(env *environment) *controlPlaneConn {
 	return &controlPlaneConn{
-		env: env, seeds: func() []string { return env.settings.Load().SeedAddresses() },
+		env:     env,
+		seeds:   func() []string { return env.settings.Load().SeedAddresses() },
 		events:  make(chan func(time.Duration), selectorEventBacklog),
 		members: map[memberselection.ConnID]*memberConn{},
 	}
@@ -132,8 +133,8 @@
 	}
 }
 
-// reportLastFrame reports to the selector when the last frame of the followed member came. This is done at each tick because an event for each
-// frame would be too expensive.
+// reportLastFrame reports to the selector when the last frame of the followed member came. This is done at each tick
+// because an event for each frame would be too expensive.
 func (c *controlPlaneConn) reportLastFrame(now time.Duration) {
 	if m := c.members[c.selector.Followed()]; m != nil {
 		c.selector.MessageReceived(now, m.id, time.Duration(m.lastFrameAt.Load()))
--- a/internal/mesh/sidecar/directory_source.go
+++ b/internal/mesh/sidecar/directory_source.go
@@ -32,7 +32,11 @@
 		if first || !slices.Equal(servers, last) {
 			last = servers
 			s.env.log.Info().Str("service", s.service).Int("servers", len(servers)).Msg("server list changed")
-			onUpdate(engine.ListUpdate{Full: true, Version: strconv.FormatUint(s.version.Add(1), 10), Servers: slices.Clone(servers)})
+			onUpdate(engine.ListUpdate{
+				Full:    true,
+				Version: strconv.FormatUint(s.version.Add(1), 10),
+				Servers: slices.Clone(servers),
+			})
 		}
 		select {
 		case <-s.changed:
--- a/internal/mesh/sidecar/directory_view.go
+++ b/internal/mesh/sidecar/directory_view.go
@@ -11,8 +11,8 @@
 // sidecarSilenceTimeout is after how long without a record a sidecar counts as gone.
 const sidecarSilenceTimeout = 45 * time.Second
 
-// directoryView is this sidecar's copy of the directory: all sidecars, and the state of the server beside each. The table is a snapshot that is
-// replaced as a whole.
+// directoryView is this sidecar's copy of the directory: all sidecars, and the state of the server beside each. The
+// table is a snapshot that is replaced as a whole.
 type directoryView struct {
 	env         *environment
 	pools       *servicePools
--- a/internal/mesh/sidecar/environment.go
+++ b/internal/mesh/sidecar/environment.go
@@ -57,8 +57,9 @@
 	return e.settings.Load().Bounds.KeyWindowS.Duration() + leaseSlack
 }
 
-// tokenSource makes the tokens that identify a keyed call to the control plane. The client's Attempt-Id would not do: if a client used an ID
-// twice, two calls would count as one, and an attempt of the second would be granted the lease that the first holds.
+// tokenSource makes the tokens that identify a keyed call to the control plane. The client's Attempt-Id would not do:
+// if a client used an ID twice, two calls would count as one, and an attempt of the second would be granted the lease
+// that the first holds.
 type tokenSource struct {
 	incarnation string
 	last        atomic.Uint64
--- a/internal/mesh/sidecar/flow_window.go
+++ b/internal/mesh/sidecar/flow_window.go
@@ -12,8 +12,8 @@
 	windowUpdateBytes = 32 << 10
 )
 
-// flowWindow is the sender's flow-control window of a stream (as in RFC 9113, section 5.2): how many bytes of a body may still be sent. The zero
-// value is an empty window. It may be used from any goroutine.
+// flowWindow is the sender's flow-control window of a stream (as in RFC 9113, section 5.2): how many bytes of a body
+// may still be sent. The zero value is an empty window. It may be used from any goroutine.
 type flowWindow struct {
 	mu        sync.Mutex // guards below
 	available int        // bytes; negative after a chunk that was larger than the window
@@ -45,8 +45,8 @@
 	}
 }
 
-// acquire waits until the window is not empty, and takes n bytes of it, which may make it negative. It returns false if the window was closed or
-// ctx ended, so that nothing more has to be sent.
+// acquire waits until the window is not empty, and takes n bytes of it, which may make it negative. It returns false
+// if the window was closed or ctx ended, so that nothing more has to be sent.
 func (w *flowWindow) acquire(ctx context.Context, n int) bool {
 	for {
 		w.mu.Lock()
--- a/internal/mesh/sidecar/hollow.go
+++ b/internal/mesh/sidecar/hollow.go
@@ -14,10 +14,11 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Hollow is the control side of a sidecar, of which package scale runs many in one process (like the hollow nodes of Kubernetes). It has the same
-// parts as a Sidecar: the control-plane connection, the directory, the configuration, the pools of all routed services and the API of
-// its server, but no listeners for traffic. It does what a Sidecar without traffic does, except that it does not listen at Outbound,
-// Inbound and Readiness, and does not probe its server at the start.
+// Hollow is the control side of a sidecar, of which package scale runs many in one process (like the hollow nodes of
+// Kubernetes). It has the same parts as a Sidecar: the control-plane connection, the directory, the configuration,
+// the pools of all routed services and the API of its server, but no listeners for traffic. It does what a Sidecar
+// without traffic does, except that it does not listen at Outbound, Inbound and Readiness, and does not probe its
+// server at the start.
 //
 // It is in this package because it needs the assembly of the parts. Programs that do not use it do not link it.
 type Hollow struct{ sidecar *Sidecar }
@@ -88,7 +89,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	request := &wire.KeyLeaseRequestT{Key: key, Token: key, Holder: s.env.leaseHolder(), WindowUs: window.Microseconds()}
+	request := &wire.KeyLeaseRequestT{
+		Key:      key,
+		Token:    key,
+		Holder:   s.env.leaseHolder(),
+		WindowUs: window.Microseconds(),
+	}
 	grant, err := s.claims.claim(ctx, request)
 	if err != nil || !grant.Granted {
 		responses.markNotExecuted(key)
--- a/internal/mesh/sidecar/inbound_conn.go
+++ b/internal/mesh/sidecar/inbound_conn.go
@@ -12,7 +12,8 @@
 	"cranegrade/internal/message"
 )
 
-// errStreamIDInUse is why a connection is closed on which a stream ID is used twice: responses could be taken for those of the wrong request.
+// errStreamIDInUse is why a connection is closed on which a stream ID is used twice: responses could be taken for
+// those of the wrong request.
 const errStreamIDInUse = errors.ConstError("a request's id is in use")
 
 // inboundConn is a connection from another sidecar, with its open requests by stream ID.
@@ -104,8 +105,8 @@
 	}
 }
 
-// connClosed is called when nobody can read the response any more. A request that may run only once is not cancelled: its response is stored
-// in case the client repeats the request.
+// connClosed is called when nobody can read the response any more. A request that may run only once is not cancelled:
+// its response is stored in case the client repeats the request.
 func (r *inboundRequest) connClosed() {
 	if !r.request.AtMostOnce {
 		r.cancel(engine.ErrWithdrawn)
--- a/internal/mesh/sidecar/inbound_request.go
+++ b/internal/mesh/sidecar/inbound_request.go
@@ -104,8 +104,14 @@
 func (r *inboundRequest) newMessage() *message.Request {
 	request := r.request
 	m := &message.Request{
-		Method: request.Method, URL: &url.URL{Opaque: request.Target}, Authority: request.Host,
-		Header: make(map[string][]string, len(request.HeaderFields)), Body: request.Body, BodyRest: r.body, Idempotency: message.Idempotent, FrontData: request,
+		Method:      request.Method,
+		URL:         &url.URL{Opaque: request.Target},
+		Authority:   request.Host,
+		Header:      make(map[string][]string, len(request.HeaderFields)),
+		Body:        request.Body,
+		BodyRest:    r.body,
+		Idempotency: message.Idempotent,
+		FrontData:   request,
 	}
 	if request.AtMostOnce {
 		m.Idempotency = message.NotIdempotent
@@ -205,7 +211,12 @@
 // streamResponse forwards a response while it arrives.
 func (r *inboundRequest) streamResponse(ctx context.Context, stream *message.Stream) {
 	defer stream.Release()
-	head := &wire.ResponseT{Id: r.request.Id, Status: uint16(stream.Status), MoreBody: true, ContentLength: stream.Length}
+	head := &wire.ResponseT{
+		Id:            r.request.Id,
+		Status:        uint16(stream.Status),
+		MoreBody:      true,
+		ContentLength: stream.Length,
+	}
 	head.HeaderFields = wireFields(stream.Header)
 	r.conn.sendResponse(head)
 	// The deadline only applies until a response has begun. After that it is forwarded for as long as the peer reads it.
--- a/internal/mesh/sidecar/inherited_responses.go
+++ b/internal/mesh/sidecar/inherited_responses.go
@@ -10,8 +10,8 @@
 // maxInheritedRecords bounds the number of inherited records; maxStoredBytes bounds their bytes.
 const maxInheritedRecords = 100_000
 
-// inheritedResponses holds the responses that other sidecars stored and handed over before their maintenance. It holds no leases, which remain
-// with those sidecars. The zero value is ready to use.
+// inheritedResponses holds the responses that other sidecars stored and handed over before their maintenance. It
+// holds no leases, which remain with those sidecars. The zero value is ready to use.
 type inheritedResponses struct {
 	mu      sync.Mutex // guards below
 	records map[inheritedKey]inheritedRecord
--- a/internal/mesh/sidecar/key_claims.go
+++ b/internal/mesh/sidecar/key_claims.go
@@ -66,9 +66,9 @@
 	return grants.List[0]
 }
 
-// reportWaiting reports to the selector whether lease requests wait, because the silence of the followed member has to be detected sooner then.
-// It posts only if that has changed. The value is read on the goroutine that handles the event, so that the order of events does not
-// matter.
+// reportWaiting reports to the selector whether lease requests wait, because the silence of the followed member has
+// to be detected sooner then. It posts only if that has changed. The value is read on the goroutine that handles the
+// event, so that the order of events does not matter.
 func (k *keyClaims) reportWaiting() {
 	if _, changed := k.breaker.checkWaiting(); !changed {
 		return
--- a/internal/mesh/sidecar/key_lease.go
+++ b/internal/mesh/sidecar/key_lease.go
@@ -12,8 +12,8 @@
 // claimTimeout bounds a lease request, in addition to half of the time of its request.
 const claimTimeout = 400 * time.Millisecond
 
-// claimKey leases the request's key, so that no other request with the key may run. It returns nil if this request may run, and otherwise its
-// response.
+// claimKey leases the request's key, so that no other request with the key may run. It returns nil if this request
+// may run, and otherwise its response.
 func (r *inboundRequest) claimKey(ctx context.Context) *wire.ResponseT {
 	in, request := r.inbound, r.request
 	window := in.env.keyLeaseTime()
@@ -57,7 +57,9 @@
 		return &wire.ResponseT{Ending: codeKeyNotGranted}
 	}
 	return r.replayResponse(&wire.ResponseT{
-		Status: record.Status, HeaderFields: record.HeaderFields, Body: record.Body,
+		Status:        record.Status,
+		HeaderFields:  record.HeaderFields,
+		Body:          record.Body,
 		ContentLength: int64(len(record.Body)),
 	})
 }
@@ -99,7 +101,12 @@
 		{Name: headerAttemptID, Value: r.request.AttemptId},
 		{Name: "Content-Type", Value: "text/plain; charset=utf-8"},
 	}
-	return &wire.ResponseT{Status: uint16(status), Body: []byte(text + "\n"), ContentLength: int64(len(text) + 1), HeaderFields: fields}
+	return &wire.ResponseT{
+		Status:        uint16(status),
+		Body:          []byte(text + "\n"),
+		ContentLength: int64(len(text) + 1),
+		HeaderFields:  fields,
+	}
 }
 
 // releaseOwnedKey releases the key if this request holds its lease. The request must not have run.
@@ -120,7 +127,10 @@
 // newLeaseRequest returns a request for the lease of the key, for a window from now.
 func (r *inboundRequest) newLeaseRequest(window time.Duration) *wire.KeyLeaseRequestT {
 	return &wire.KeyLeaseRequestT{
-		Key: r.request.IdempotencyKey, Token: r.request.Token, Attempt: r.request.Attempt,
-		Holder: r.inbound.env.leaseHolder(), WindowUs: window.Microseconds(),
+		Key:      r.request.IdempotencyKey,
+		Token:    r.request.Token,
+		Attempt:  r.request.Attempt,
+		Holder:   r.inbound.env.leaseHolder(),
+		WindowUs: window.Microseconds(),
 	}
 }
--- a/internal/mesh/sidecar/key_record.go
+++ b/internal/mesh/sidecar/key_record.go
@@ -52,7 +52,12 @@
 	case r.state == keyOutcomeUnknown, r.state == keyAnswered && r.response == nil:
 		return &wire.StoredResponseT{Found: true, OutcomeUnknown: true}
 	case r.state == keyAnswered:
-		return &wire.StoredResponseT{Found: true, Status: r.response.Status, HeaderFields: r.response.HeaderFields, Body: r.response.Body}
+		return &wire.StoredResponseT{
+			Found:        true,
+			Status:       r.response.Status,
+			HeaderFields: r.response.HeaderFields,
+			Body:         r.response.Body,
+		}
 	}
 	return &wire.StoredResponseT{Found: true, Running: true}
 }
--- a/internal/mesh/sidecar/local_server.go
+++ b/internal/mesh/sidecar/local_server.go
@@ -16,8 +16,9 @@
 // maxGoneInstances is how many former instances are remembered; beyond it all are forgotten.
 const maxGoneInstances = 64
 
-// localServer is the server beside this sidecar, as its heartbeats and probes report it, and the record about it that other sidecars are sent.
-// The state that the server reports counts, unless an operator or maintenance has taken it out.
+// localServer is the server beside this sidecar, as its heartbeats and probes report it, and the record about it that
+// other sidecars are sent. The state that the server reports counts, unless an operator or maintenance has taken it
+// out.
 type localServer struct {
 	env          *environment
 	sender       *sender.Sender
@@ -44,10 +45,21 @@
 func newLocalServer(env *environment, s *sender.Sender, metrics *requestMetrics) *localServer {
 	set := env.settings.Load()
 	current := directory.Record{
-		Node: set.NodeName, Incarnation: uint64(time.Now().UnixNano()), Sequence: 1,
-		Addr: set.ListenAddrs.Inbound, Zone: set.Zone, Service: set.Service, ProtocolVersion: transport.ProtocolVersion,
+		Node:            set.NodeName,
+		Incarnation:     uint64(time.Now().UnixNano()),
+		Sequence:        1,
+		Addr:            set.ListenAddrs.Inbound,
+		Zone:            set.Zone,
+		Service:         set.Service,
+		ProtocolVersion: transport.ProtocolVersion,
+	}
+	l := &localServer{
+		env:           env,
+		sender:        s,
+		metrics:       metrics,
+		goneInstances: map[string]bool{},
+		current:       current,
 	}
-	l := &localServer{env: env, sender: s, metrics: metrics, goneInstances: map[string]bool{}, current: current}
 	l.published.Store(&current)
 	return l
 }
@@ -137,7 +149,8 @@
 	}
 	s.endpoint = engine.NewEndpoint(id, heartbeat.Address)
 	s.callSeq = heartbeat.OperStatus.CallSeq
-	s.current.ServerID, s.current.State = id, directory.ServerNone
+	s.current.ServerID = id
+	s.current.State = directory.ServerNone
 	s.current.Warmup = heartbeat.OperStatus.WarmupLeftS.Duration()
 	s.current.Service = heartbeat.SystemInfo.Service
 	if s.current.Service == "" {
@@ -154,14 +167,17 @@
 	case state != directory.ServerReady:
 		reason = "it announced its shutdown"
 	case s.heldByOperator:
-		state, reason = directory.ServerDraining, "taken out by an operator"
+		state = directory.ServerDraining
+		reason = "taken out by an operator"
 	case s.inMaintenance:
-		state, reason = directory.ServerDraining, "out for maintenance"
+		state = directory.ServerDraining
+		reason = "out for maintenance"
 	}
 	if s.endpoint == nil || s.current.State == state {
 		return
 	}
-	s.current.State, s.outReason = state, reason
+	s.current.State = state
+	s.outReason = reason
 	s.endpoint.SetUsable(state == directory.ServerReady)
 	if state != directory.ServerReady {
 		s.sender.Drop(s.endpoint)
@@ -215,7 +231,10 @@
 	if s.endpoint != nil && s.endpoint.ID == id {
 		s.endpoint.SetUsable(false)
 		s.sender.Drop(s.endpoint)
-		s.endpoint, s.current.ServerID, s.current.State, s.outReason = nil, "", directory.ServerNone, "it has left"
+		s.endpoint = nil
+		s.current.ServerID = ""
+		s.current.State = directory.ServerNone
+		s.outReason = "it has left"
 		s.publish()
 	}
 }
--- a/internal/mesh/sidecar/local_server_health.go
+++ b/internal/mesh/sidecar/local_server_health.go
@@ -22,8 +22,9 @@
 	probeTimeout          = time.Second
 )
 
-// checkUnreachable checks, after an attempt could not connect, whether anything listens at the server's address. If not, the other sidecars learn
-// of it at once rather than after missed heartbeats. Its goroutine ends within serverConnectTimeout; one runs at a time.
+// checkUnreachable checks, after an attempt could not connect, whether anything listens at the server's address. If
+// not, the other sidecars learn of it at once rather than after missed heartbeats. Its goroutine ends within
+// serverConnectTimeout; one runs at a time.
 func (s *localServer) checkUnreachable(endpoint *engine.Endpoint) {
 	if !s.isProbing.CompareAndSwap(false, true) {
 		return
@@ -38,7 +39,8 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.endpoint == endpoint && s.current.State == directory.ServerReady {
-			s.current.State, s.outReason = directory.ServerDown, "nothing takes connections at its address"
+			s.current.State = directory.ServerDown
+			s.outReason = "nothing takes connections at its address"
 			s.publish()
 		}
 	}()
@@ -63,8 +65,10 @@
 		return // a heartbeat has come meanwhile
 	}
 	s.endpoint = engine.NewEndpoint(id, set.AppAddress)
-	s.callSeq, s.lastHeartbeat = -1, time.Now()
-	s.current.ServerID, s.current.Service = id, set.Service
+	s.callSeq = -1
+	s.lastHeartbeat = time.Now()
+	s.current.ServerID = id
+	s.current.Service = set.Service
 	s.applyReportedState(directory.ServerReady)
 }
 
@@ -89,7 +93,8 @@
 	return id
 }
 
-// watch detects missed heartbeats, refreshes the record at the other sidecars, and expires records of the directory, until the sidecar ends.
+// watch detects missed heartbeats, refreshes the record at the other sidecars, and expires records of the directory,
+// until the sidecar ends.
 func (s *localServer) watch() {
 	ticker := time.NewTicker(max(minWatchInterval, s.env.settings.Load().HeartbeatS.Duration()/2))
 	defer ticker.Stop()
@@ -110,15 +115,16 @@
 	}
 }
 
-// checkHeartbeat marks the server as down if too many heartbeats were missed. It publishes the record if that is so or refreshDue is set, and
-// reports whether it did.
+// checkHeartbeat marks the server as down if too many heartbeats were missed. It publishes the record if that is so
+// or refreshDue is set, and reports whether it did.
 func (s *localServer) checkHeartbeat(refreshDue bool) (published bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	silence := s.env.settings.Load().HeartbeatS.Duration()*maxMissedHeartbeats + heartbeatSlack
 	switch {
 	case s.endpoint != nil && s.current.State == directory.ServerReady && time.Since(s.lastHeartbeat) > silence:
-		s.current.State, s.outReason = directory.ServerDown, fmt.Sprintf("no heartbeat for %v", silence)
+		s.current.State = directory.ServerDown
+		s.outReason = fmt.Sprintf("no heartbeat for %v", silence)
 	case !refreshDue:
 		return false
 	}
--- a/internal/mesh/sidecar/maintenance.go
+++ b/internal/mesh/sidecar/maintenance.go
@@ -17,8 +17,9 @@
 	handoverRetryInterval = 150 * time.Millisecond
 )
 
-// maintenanceView holds which machines are in maintenance according to the control plane, and does what follows from it here: it knows which
-// successors keep the responses of sidecars in maintenance, and hands over this sidecar's own.
+// maintenanceView holds which machines are in maintenance according to the control plane, and does what follows from
+// it here: it knows which successors keep the responses of sidecars in maintenance, and hands over this sidecar's
+// own.
 type maintenanceView struct {
 	env         *environment
 	readiness   *readiness
@@ -43,7 +44,12 @@
 }
 
 func newMaintenanceView(env *environment, r *readiness, outbound *outboundListener) *maintenanceView {
-	m := &maintenanceView{env: env, readiness: r, outbound: outbound, successors: map[string]successor{}}
+	m := &maintenanceView{
+		env:        env,
+		readiness:  r,
+		outbound:   outbound,
+		successors: map[string]successor{},
+	}
 	m.orders.Store(&wire.MachinesInMaintenanceT{})
 	return m
 }
@@ -62,7 +68,8 @@
 			m.successors[machine.Addr] = successor{machine.Successor, time.Now()}
 		}
 		if machine.Addr == m.env.addr() {
-			out, draining = true, machine.DrainCallers
+			out = true
+			draining = machine.DrainCallers
 			m.startHandover(machine)
 		}
 	}
--- a/internal/mesh/sidecar/member_call.go
+++ b/internal/mesh/sidecar/member_call.go
@@ -21,8 +21,8 @@
 	return fmt.Sprintf("control-plane member %s answered with status %d", e.addr, e.status)
 }
 
-// callMember makes a call to a control-plane member, and returns the body of its reply. The error is a statusError if the member replied, and
-// otherwise that of the connection or of ctx.
+// callMember makes a call to a control-plane member, and returns the body of its reply. The error is a statusError if
+// the member replied, and otherwise that of the connection or of ctx.
 func (e *environment) callMember(ctx context.Context, conn *transport.Conn, kind byte, body []byte) ([]byte, error) {
 	reply, err := e.calls.Call(ctx, conn, kind, body)
 	if err != nil {
--- a/internal/mesh/sidecar/module_classes.go
+++ b/internal/mesh/sidecar/module_classes.go
@@ -15,8 +15,8 @@
 	return r.Priority, r.Timeout
 }
 
-// moduleClasses returns the routes to a service as classes of the decision module. Classes above the lowest priority are marked First, so that
-// the module does not hold them back: work that was already admitted may depend on them.
+// moduleClasses returns the routes to a service as classes of the decision module. Classes above the lowest priority
+// are marked First, so that the module does not hold them back: work that was already admitted may depend on them.
 func moduleClasses(service string, routes []*routing.Route) (classes []balancer.Class) {
 	lowest := 0
 	for _, r := range routes {
@@ -35,7 +35,14 @@
 func moduleClass(service string, r *routing.Route) balancer.Class {
 	priority, timeout := priorityAndTimeout(r, service)
 	target := min(r.LatencyTarget, timeout)
-	class := balancer.Class{Name: r.Name, Aim: target, Deadline: timeout, LateShare: 1, Worth: 1 / float64(1+priority), Typical: target / 2}
+	class := balancer.Class{
+		Name:      r.Name,
+		Aim:       target,
+		Deadline:  timeout,
+		LateShare: 1,
+		Worth:     1 / float64(1+priority),
+		Typical:   target / 2,
+	}
 	if r.Kind.IsIdempotent() {
 		class.Effect = balancer.Idempotent
 	}
--- a/internal/mesh/sidecar/outbound_listener.go
+++ b/internal/mesh/sidecar/outbound_listener.go
@@ -38,8 +38,8 @@
 	serving     sync.WaitGroup              // of the goroutine that accepts connections
 }
 
-// open opens the listener. Until the configuration is confirmed, requests are rejected with a Retry-After, which is more useful to callers than
-// a refused connection.
+// open opens the listener. Until the configuration is confirmed, requests are rejected with a Retry-After, which is
+// more useful to callers than a refused connection.
 func (o *outboundListener) open(resolver front.Routes, protocol front.Protocol) error {
 	listener, err := net.Listen("tcp4", o.env.settings.Load().ListenAddrs.Outbound)
 	if err != nil {
--- a/internal/mesh/sidecar/policies.go
+++ b/internal/mesh/sidecar/policies.go
@@ -11,8 +11,9 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// activePolicies is the namespaces and policies in force here, and what this sidecar knows about whether they still are (policy.SidecarState
-// decides). A received set that is not active yet is only among the configuration's items. The zero value is ready to use.
+// activePolicies is the namespaces and policies in force here, and what this sidecar knows about whether they still
+// are (policy.SidecarState decides). A received set that is not active yet is only among the configuration's items.
+// The zero value is ready to use.
 type activePolicies struct {
 	table       config.Table // guarded by the configuration's lock
 	state       atomic.Pointer[policy.SidecarState]
@@ -76,8 +77,8 @@
 	}
 }
 
-// applyConfirmedTable applies all items and the active policies of a confirmed read that was begun at askedAt. It returns false if the policies
-// do not match their fingerprint, so that the read has to be repeated.
+// applyConfirmedTable applies all items and the active policies of a confirmed read that was begun at askedAt. It
+// returns false if the policies do not match their fingerprint, so that the read has to be repeated.
 func (c *configuration) applyConfirmedTable(read *wire.ItemsT, askedAt time.Duration) bool {
 	c.mergeItems(config.ItemsFromWire(read))
 	c.mu.Lock()
--- a/internal/mesh/sidecar/policy_poller.go
+++ b/internal/mesh/sidecar/policy_poller.go
@@ -13,9 +13,9 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// policyPoller polls the followed member for which policies are active, from when any are known until the sidecar ends. The configuration keeps
-// the results. Its goroutine ends with the environment's context; Run does not wait for it, since a connection's goroutine may start it at
-// any time.
+// policyPoller polls the followed member for which policies are active, from when any are known until the sidecar
+// ends. The configuration keeps the results. Its goroutine ends with the environment's context; Run does not wait for
+// it, since a connection's goroutine may start it at any time.
 type policyPoller struct {
 	env           *environment
 	configuration *configuration
@@ -25,7 +25,12 @@
 }
 
 func newPolicyPoller(env *environment, c *configuration, controlPlane *controlPlaneConn) *policyPoller {
-	return &policyPoller{env: env, configuration: c, controlPlane: controlPlane, pollNow: make(chan struct{}, 1)}
+	return &policyPoller{
+		env:           env,
+		configuration: c,
+		controlPlane:  controlPlane,
+		pollNow:       make(chan struct{}, 1),
+	}
 }
 
 func (p *policyPoller) start() { p.once.Do(func() { go p.run() }) }
--- a/internal/mesh/sidecar/recall.go
+++ b/internal/mesh/sidecar/recall.go
@@ -52,7 +52,8 @@
 	return codec.DecodeTable(reply.Body, func(p []byte) *wire.StoredResponseT { return wire.GetRootAsStoredResponse(p, 0).UnPack() })
 }
 
-// lookUp answers a call of another sidecar with the record of a key. storedBy names the sidecar that handed it over; "": it is this one's own.
+// lookUp answers a call of another sidecar with the record of a key. storedBy names the sidecar that handed it over;
+// "": it is this one's own.
 func (r *recaller) lookUp(key, storedBy string) *wire.StoredResponseT {
 	if storedBy != "" {
 		if record := r.responses.inherited.get(storedBy, key); record != nil {
--- a/internal/mesh/sidecar/request_metrics.go
+++ b/internal/mesh/sidecar/request_metrics.go
@@ -15,7 +15,11 @@
 	kindIdempotent
 )
 
-var requestKindNames = [...]string{kindKeyed: "keyed", kindNonIdempotent: "non_idempotent", kindIdempotent: "idempotent"}
+var requestKindNames = [...]string{
+	kindKeyed:         "keyed",
+	kindNonIdempotent: "non_idempotent",
+	kindIdempotent:    "idempotent",
+}
 
 // String implements fmt.Stringer.
 func (k requestKind) String() string { return requestKindNames[k] }
--- a/internal/mesh/sidecar/resource_budgets.go
+++ b/internal/mesh/sidecar/resource_budgets.go
@@ -43,7 +43,12 @@
 		memory = defaultMemoryBytes
 	}
 	return &resourceBudgets{
-		calls: share(maxCalls), held: share(maxHeldCalls), bodies: share(memory / 4), longAnswers: share(memory / 8),
-		callers: share(files * 3 / 4), servers: share(files / 4), toServer: share(memory / 8),
+		calls:       share(maxCalls),
+		held:        share(maxHeldCalls),
+		bodies:      share(memory / 4),
+		longAnswers: share(memory / 8),
+		callers:     share(files * 3 / 4),
+		servers:     share(files / 4),
+		toServer:    share(memory / 8),
 	}
 }
--- a/internal/mesh/sidecar/response_store.go
+++ b/internal/mesh/sidecar/response_store.go
@@ -15,8 +15,9 @@
 	recordSlack = 5 * time.Second
 )
 
-// responseStore holds the keys whose requests ran beside this sidecar, with their responses for repeated requests. Its size in bytes is bounded:
-// the oldest responses are evicted first, and their records then only say that the requests ran.
+// responseStore holds the keys whose requests ran beside this sidecar, with their responses for repeated requests.
+// Its size in bytes is bounded: the oldest responses are evicted first, and their records then only say that the
+// requests ran.
 type responseStore struct {
 	inherited inheritedResponses
 
@@ -39,7 +40,10 @@
 		if r.state != keyNotExecuted {
 			return *r, false
 		}
-		r.token, r.attempt, r.state, r.claimedAt = token, attempt, keyClaiming, now
+		r.token = token
+		r.attempt = attempt
+		r.state = keyClaiming
+		r.claimedAt = now
 		return keyRecord{}, true
 	}
 	s.records[key] = &keyRecord{token: token, attempt: attempt, claimedAt: now}
@@ -132,7 +136,8 @@
 			continue
 		}
 		record := wireRecord(r)
-		record.Key, record.TtlUs = key, left.Microseconds()
+		record.Key = key
+		record.TtlUs = left.Microseconds()
 		records = append(records, record)
 	}
 	return records
--- a/internal/mesh/sidecar/route_resolver.go
+++ b/internal/mesh/sidecar/route_resolver.go
@@ -41,5 +41,10 @@
 
 // reject rejects a request before its body is read. A 503 says when to retry.
 func reject(hr *http.Request, status int, text string) *front.Rejection {
-	return &front.Rejection{Status: status, Text: text, MayRetry: status == http.StatusServiceUnavailable, KeepConnection: hasNoBody(hr)}
+	return &front.Rejection{
+		Status:         status,
+		Text:           text,
+		MayRetry:       status == http.StatusServiceUnavailable,
+		KeepConnection: hasNoBody(hr),
+	}
 }
--- a/internal/mesh/sidecar/routed_request.go
+++ b/internal/mesh/sidecar/routed_request.go
@@ -8,7 +8,8 @@
 	"cranegrade/internal/mesh/routing"
 )
 
-// routedRequest is a caller's request with its route, its policy and the state of its attempts. It is the FrontData of the request's message.
+// routedRequest is a caller's request with its route, its policy and the state of its attempts. It is the FrontData
+// of the request's message.
 type routedRequest struct {
 	route         *routing.Route
 	service       *service
--- a/internal/mesh/sidecar/server_protocol.go
+++ b/internal/mesh/sidecar/server_protocol.go
@@ -22,8 +22,8 @@
 	h[headerTargetInstance] = []string{a.Endpoint.ID}
 }
 
-// Matches implements sender.Protocol. An error response does not have to name its request. A successful response that names none is not taken as
-// the response to any.
+// Matches implements sender.Protocol. An error response does not have to name its request. A successful response that
+// names none is not taken as the response to any.
 func (serverProtocol) Matches(m *message.Request, resp *http.Response) sender.Match {
 	switch got := resp.Header.Get(headerAttemptID); {
 	case got == m.FrontData.(*wire.RequestT).AttemptId:
--- a/internal/mesh/sidecar/service.go
+++ b/internal/mesh/sidecar/service.go
@@ -54,8 +54,11 @@
 	if s.position != position {
 		s.position = position
 		go s.pool.Engine().Notify(balancer.Fleet{
-			Balancers: position.sidecars, Index: position.index,
-			Divisor: max(1, float64(position.sidecars)/2), Whole: true, ServerCalls: position.serverCapacity,
+			Balancers:   position.sidecars,
+			Index:       position.index,
+			Divisor:     max(1, float64(position.sidecars)/2),
+			Whole:       true,
+			ServerCalls: position.serverCapacity,
 		})
 	}
 	select {
@@ -64,8 +67,8 @@
 	}
 }
 
-// admitAttempt counts an attempt that is about to be sent, the nth of its request from 0. It returns false if the retry budget of the service or
-// of the policy does not allow it.
+// admitAttempt counts an attempt that is about to be sent, the nth of its request from 0. It returns false if the
+// retry budget of the service or of the policy does not allow it.
 func (s *service) admitAttempt(now time.Duration, nth int, r *routedRequest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/sidecar/service_pools.go
+++ b/internal/mesh/sidecar/service_pools.go
@@ -46,7 +46,13 @@
 }
 
 func newServicePools(env *environment, b *resourceBudgets, d *directoryView, m *maintenanceView, u *upstreams) *servicePools {
-	p := &servicePools{env: env, budgets: b, directory: d, maintenance: m, upstreams: u}
+	p := &servicePools{
+		env:         env,
+		budgets:     b,
+		directory:   d,
+		maintenance: m,
+		upstreams:   u,
+	}
 	p.byName.Store(&map[string]*service{})
 	return p
 }
@@ -77,11 +83,23 @@
 
 func (p *servicePools) openService(name string, routes []*routing.Route) *service {
 	s := &service{name: name, classes: map[string]balancer.Class{}}
-	s.source = &directorySource{env: p.env, directory: p.directory, maintenance: p.maintenance, service: name, changed: make(chan struct{}, 1)}
+	s.source = &directorySource{
+		env:         p.env,
+		directory:   p.directory,
+		maintenance: p.maintenance,
+		service:     name,
+		changed:     make(chan struct{}, 1),
+	}
 	set := balancer.Settings{
-		Balancers: max(1, p.directory.table.Load().Len()), MaxAttempts: maxModuleAttempts, Tick: moduleTick,
-		MaxRetryAfter: maxModuleRetryAfter, MayCancel: true, WholeWeight: moduleWholeWeight, ClassWeight: moduleClassWeight,
-		ColdFrom: warmupStartWeight, WarmAfter: warmupPeriod,
+		Balancers:     max(1, p.directory.table.Load().Len()),
+		MaxAttempts:   maxModuleAttempts,
+		Tick:          moduleTick,
+		MaxRetryAfter: maxModuleRetryAfter,
+		MayCancel:     true,
+		WholeWeight:   moduleWholeWeight,
+		ClassWeight:   moduleClassWeight,
+		ColdFrom:      warmupStartWeight,
+		WarmAfter:     warmupPeriod,
 	}
 	for _, class := range moduleClasses(name, routes) {
 		s.classes[class.Name] = class
@@ -91,9 +109,20 @@
 	b := p.budgets
 	var err error
 	s.pool, err = pool.New(pool.Config{
-		Name: name, Settings: set, Seed: rand.Uint64(), Clock: p.env.clock,
-		Sender: p.upstreams, Source: s.source, Pushed: true,
-		Shares: pool.Shares{Calls: b.calls, PendingCalls: b.held, Connections: b.servers, RequestBodies: b.bodies, ResponseBuffers: b.longAnswers},
+		Name:     name,
+		Settings: set,
+		Seed:     rand.Uint64(),
+		Clock:    p.env.clock,
+		Sender:   p.upstreams,
+		Source:   s.source,
+		Pushed:   true,
+		Shares: pool.Shares{
+			Calls:           b.calls,
+			PendingCalls:    b.held,
+			Connections:     b.servers,
+			RequestBodies:   b.bodies,
+			ResponseBuffers: b.longAnswers,
+		},
 	})
 	if err != nil { // the items were checked, so this is a fault of the program
 		p.env.log.Error().Err(err).Str("service", name).Msg("pool can't be made")
@@ -108,7 +137,8 @@
 	b := p.env.settings.Load().Bounds
 	sidecars := max(minSidecars, p.directory.table.Load().Len())
 	return retrybudget.Limits{
-		Window: b.RetryWindowS.Duration(), Ratio: b.RetryBudgetRatio * retryBudgetShare,
+		Window:     b.RetryWindowS.Duration(),
+		Ratio:      b.RetryBudgetRatio * retryBudgetShare,
 		MinRetries: math.Floor(b.RetrySlack * retryBudgetShare / float64(sidecars)),
 	}
 }
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -1,16 +1,18 @@
-// Package sidecar is the sidecar: the process beside an application server through which the server's requests to other services go
-// out and those of others come in. It assembles the front for callers, a pool with engine and decision module for each service,
-// the upstream connections to other sidecars, the part that runs requests at the local server, that server's heartbeats, and the
-// connection to the control plane from which the sidecar learns all else.
+// Package sidecar is the sidecar: the process beside an application server through which the server's requests to
+// other services go out and those of others come in. It assembles the front for callers, a pool with engine and
+// decision module for each service, the upstream connections to other sidecars, the part that runs requests at the
+// local server, that server's heartbeats, and the connection to the control plane from which the sidecar learns all
+// else.
 //
-// Decisions belong to the pure packages that it wires: the decision module, routing, directory, retrybudget, memberselection and policy. The
-// state that the control plane sends is kept in snapshots that are replaced as a whole, so that a request uses the same snapshot from
-// beginning to end. docs/ARCHITECTURE.md describes the path of a request.
+// Decisions belong to the pure packages that it wires: the decision module, routing, directory, retrybudget,
+// memberselection and policy. The state that the control plane sends is kept in snapshots that are replaced as a
+// whole, so that a request uses the same snapshot from beginning to end. docs/ARCHITECTURE.md describes the path of a
+// request.
 //
 // Each concern is a type that owns its state: configuration (items, active policies, routing table), directoryView,
-// maintenanceView, localServer, controlPlaneConn with keyClaims and releaseQueue, inboundServer with responseStore, upstreams,
-// servicePools, outboundListener. Locks are taken in the order configuration or maintenanceView, localServer, servicePools,
-// service, and none is held during a call or a wait.
+// maintenanceView, localServer, controlPlaneConn with keyClaims and releaseQueue, inboundServer with responseStore,
+// upstreams, servicePools, outboundListener. Locks are taken in the order configuration or maintenanceView,
+// localServer, servicePools, service, and none is held during a call or a wait.
 package sidecar
 
 import (
@@ -99,8 +101,12 @@
 	s.claims = &keyClaims{env: env, controlPlane: s.controlPlane}
 	s.releases = newReleaseQueue(env, s.controlPlane)
 	s.assembleInbound(ring, sender.New(sender.Config{
-		ServerIdleTimeout: serverIdleTimeout, ConnectTimeout: serverConnectTimeout, Connections: budgets.servers,
-		ResponseBuffers: budgets.toServer, Protocol: serverProtocol{}, ReadTimeout: time.Hour,
+		ServerIdleTimeout: serverIdleTimeout,
+		ConnectTimeout:    serverConnectTimeout,
+		Connections:       budgets.servers,
+		ResponseBuffers:   budgets.toServer,
+		Protocol:          serverProtocol{},
+		ReadTimeout:       time.Hour,
 	}))
 	s.connectParts()
 	return s
@@ -110,21 +116,40 @@
 func (s *Sidecar) assembleInbound(ring *logring.Ring, toServer *sender.Sender) {
 	responses := newResponseStore()
 	s.inbound = &inboundServer{
-		env: s.env, sender: toServer, responses: responses, claims: s.claims, releases: s.releases,
-		maintenance: s.maintenance, status: s.status, ring: ring, conns: map[*inboundConn]bool{},
+		env:         s.env,
+		sender:      toServer,
+		responses:   responses,
+		claims:      s.claims,
+		releases:    s.releases,
+		maintenance: s.maintenance,
+		status:      s.status,
+		ring:        ring,
+		conns:       map[*inboundConn]bool{},
+	}
+	s.inbound.recaller = &recaller{
+		env:         s.env,
+		upstreams:   s.upstreams,
+		maintenance: s.maintenance,
+		responses:   responses,
 	}
-	s.inbound.recaller = &recaller{env: s.env, upstreams: s.upstreams, maintenance: s.maintenance, responses: responses}
 	s.localServer = newLocalServer(s.env, toServer, &s.inbound.metrics)
 	s.inbound.localServer = s.localServer
 }
 
 // connectParts gives each part references to the parts that it notifies of changes.
 func (s *Sidecar) connectParts() {
-	s.directory.pools, s.directory.localServer = s.pools, s.localServer
-	s.maintenance.pools, s.maintenance.localServer, s.maintenance.recaller = s.pools, s.localServer, s.inbound.recaller
-	s.localServer.directory, s.localServer.controlPlane = s.directory, s.controlPlane
+	s.directory.pools = s.pools
+	s.directory.localServer = s.localServer
+	s.maintenance.pools = s.pools
+	s.maintenance.localServer = s.localServer
+	s.maintenance.recaller = s.inbound.recaller
+	s.localServer.directory = s.directory
+	s.localServer.controlPlane = s.controlPlane
 	c := s.controlPlane
-	c.configuration, c.directory, c.maintenance, c.localServer = s.configuration, s.directory, s.maintenance, s.localServer
+	c.configuration = s.configuration
+	c.directory = s.directory
+	c.maintenance = s.maintenance
+	c.localServer = s.localServer
 	c.onConfirmed = s.configConfirmed
 }
 
@@ -148,7 +173,13 @@
 	readinessServer, localAPIServer := api.NewServer(s.readiness.handler()), api.NewServer(s.localServer.handler())
 	s.httpServers = []*http.Server{readinessServer, localAPIServer}
 	resolver := &routeResolver{configuration: s.configuration, pools: s.pools, readiness: &s.readiness}
-	protocol := &callerProtocol{env: s.env, configuration: s.configuration, pools: s.pools, controlPlane: s.controlPlane, tokens: s.tokens}
+	protocol := &callerProtocol{
+		env:           s.env,
+		configuration: s.configuration,
+		pools:         s.pools,
+		controlPlane:  s.controlPlane,
+		tokens:        s.tokens,
+	}
 	if err := s.outbound.open(resolver, protocol); err != nil {
 		return err
 	}
--- a/internal/mesh/sidecar/status.go
+++ b/internal/mesh/sidecar/status.go
@@ -14,15 +14,29 @@
 	local := s.localServer.status()
 	policies := s.configuration.policies.current()
 	out := &wire.StatusT{
-		Name: set.NodeName, Addr: s.Addr(), Zone: set.Zone, UptimeUs: time.Since(s.env.startedAt).Microseconds(),
-		ItemVersions: items.Versions(), QuorumContact: s.controlPlane.isReachable(),
-		Ready: s.readiness.isReady(), Stopping: s.readiness.stopping.Load(), InMaintenance: local.held,
-		Service: local.record.Service, ServerId: local.record.ServerID, ServerState: byte(local.record.State), ServerStateReason: local.outReason,
-		OpenRequests: s.inbound.openRequests.Load(), MaintenanceIndex: s.maintenance.orders.Load().Index,
-		UpstreamAddrs:   s.upstreams.activeAddrs(),
-		CommittedPolicy: policies.Received, ActivePolicy: policies.Active, ActivePolicyIndex: policies.ActiveIndex,
-		Fenced: s.configuration.isFenced(), ActivePolicyAgeUs: s.configuration.activeFor().Microseconds(),
-		Traffic: transport.SentTraffic(), Work: s.inbound.metrics.snapshot(),
+		Name:              set.NodeName,
+		Addr:              s.Addr(),
+		Zone:              set.Zone,
+		UptimeUs:          time.Since(s.env.startedAt).Microseconds(),
+		ItemVersions:      items.Versions(),
+		QuorumContact:     s.controlPlane.isReachable(),
+		Ready:             s.readiness.isReady(),
+		Stopping:          s.readiness.stopping.Load(),
+		InMaintenance:     local.held,
+		Service:           local.record.Service,
+		ServerId:          local.record.ServerID,
+		ServerState:       byte(local.record.State),
+		ServerStateReason: local.outReason,
+		OpenRequests:      s.inbound.openRequests.Load(),
+		MaintenanceIndex:  s.maintenance.orders.Load().Index,
+		UpstreamAddrs:     s.upstreams.activeAddrs(),
+		CommittedPolicy:   policies.Received,
+		ActivePolicy:      policies.Active,
+		ActivePolicyIndex: policies.ActiveIndex,
+		Fenced:            s.configuration.isFenced(),
+		ActivePolicyAgeUs: s.configuration.activeFor().Microseconds(),
+		Traffic:           transport.SentTraffic(),
+		Work:              s.inbound.metrics.snapshot(),
 	}
 	out.DownstreamRequests, _ = s.pools.budgets.calls.Used()
 	if order := s.maintenance.handedOverFor.Load(); order != nil {
--- a/internal/mesh/sidecar/upstream_attempt.go
+++ b/internal/mesh/sidecar/upstream_attempt.go
@@ -12,8 +12,8 @@
 	"cranegrade/internal/message"
 )
 
-// upstreamAttempt is an attempt, which is a stream on the connection of an upstream. It ends once: by its response, by the end of the connection
-// or by its time-out.
+// upstreamAttempt is an attempt, which is a stream on the connection of an upstream. It ends once: by its response,
+// by the end of the connection or by its time-out.
 type upstreamAttempt struct {
 	attempt    *engine.Attempt
 	id         uint64 // of the stream
@@ -46,7 +46,8 @@
 			a.responseStream.Finish(nil)
 		}
 	}
-	a.ending, a.reply = ending, reply
+	a.ending = ending
+	a.reply = reply
 	a.sendWindow.close()
 	close(a.done)
 }
@@ -92,13 +93,14 @@
 	var reply *message.Reply
 	if ending == balancer.Success || ending == balancer.Failure {
 		reply = message.NewReply("", response.Body, nil)
-		reply.Status, reply.Header = int(response.Status), messageFields(response.HeaderFields)
+		reply.Status = int(response.Status)
+		reply.Header = messageFields(response.HeaderFields)
 	}
 	a.finish(ending, reply)
 }
 
-// beginStream begins a streamed response, unless the attempt has ended meanwhile. It holds mu so that the engine is told of the beginning before
-// the end. A response that begins twice is broken.
+// beginStream begins a streamed response, unless the attempt has ended meanwhile. It holds mu so that the engine is
+// told of the beginning before the end. A response that begins twice is broken.
 func (a *upstreamAttempt) beginStream(head *wire.ResponseT) {
 	stream := a.newStream(head)
 	a.mu.Lock()
@@ -130,7 +132,8 @@
 			taken = 0
 		}
 	})
-	stream.Status, stream.Length = int(head.Status), head.ContentLength
+	stream.Status = int(head.Status)
+	stream.Length = head.ContentLength
 	return stream
 }
 
--- a/internal/mesh/sidecar/upstream_sender.go
+++ b/internal/mesh/sidecar/upstream_sender.go
@@ -50,7 +50,11 @@
 		return balancer.NeverSent, nil
 	}
 	sent := &upstreamAttempt{
-		attempt: a, id: u.lastStreamID.Add(1), attemptID: routed.attemptID, conn: conn, done: make(chan struct{}),
+		attempt:   a,
+		id:        u.lastStreamID.Add(1),
+		attemptID: routed.attemptID,
+		conn:      conn,
+		done:      make(chan struct{}),
 		ruleTrace: routed.ruleTrace,
 	}
 	sent.sendWindow.add(sendWindowBytes)
@@ -106,12 +110,23 @@
 // newRequest returns the message of an attempt.
 func (u *upstreams) newRequest(a *engine.Attempt, m *message.Request, routed *routedRequest, id uint64, nth uint32) *wire.RequestT {
 	r := &wire.RequestT{
-		Id: id, AttemptId: routed.attemptID, Method: m.Method, Target: m.URL.Opaque, Host: m.Authority, Body: m.Body,
-		ContentLength: int64(len(m.Body)), TimeoutUs: int64(a.Timeout / time.Microsecond), ServerId: a.Endpoint.ID,
-		IdempotencyKey: routed.key, Token: routed.token, Attempt: nth, AtMostOnce: m.Idempotency == message.NotIdempotent,
+		Id:             id,
+		AttemptId:      routed.attemptID,
+		Method:         m.Method,
+		Target:         m.URL.Opaque,
+		Host:           m.Authority,
+		Body:           m.Body,
+		ContentLength:  int64(len(m.Body)),
+		TimeoutUs:      int64(a.Timeout / time.Microsecond),
+		ServerId:       a.Endpoint.ID,
+		IdempotencyKey: routed.key,
+		Token:          routed.token,
+		Attempt:        nth,
+		AtMostOnce:     m.Idempotency == message.NotIdempotent,
 	}
 	if m.BodyRest != nil {
-		r.MoreBody, r.ContentLength = true, m.BodyRest.Length
+		r.MoreBody = true
+		r.ContentLength = m.BodyRest.Length
 	}
 	far, _ := u.directory.table.Load().Get(a.Endpoint.Addr)
 	add := func(name, value string) {
--- a/internal/mesh/topology/collect.go
+++ b/internal/mesh/topology/collect.go
@@ -74,7 +74,9 @@
 	}
 	list := config.ItemsFromWire(items)
 	table, _ := config.Table{}.Merge(list)
-	t.Items, t.Routes, t.PolicyFingerprint = itemVersions(table.Versions()), routesFromItems(list), items.ActiveFingerprint
+	t.Items = itemVersions(table.Versions())
+	t.Routes = routesFromItems(list)
+	t.PolicyFingerprint = items.ActiveFingerprint
 }
 
 // announcements collects what a member sends to every new connection.
@@ -141,7 +143,8 @@
 			if status != nil {
 				members[i] = memberFromStatus(status)
 			}
-			members[i].Addr, members[i].Unreachable = m.Addr, unreachable
+			members[i].Addr = m.Addr
+			members[i].Unreachable = unreachable
 		})
 	}
 	return members
--- a/internal/mesh/topology/lag.go
+++ b/internal/mesh/topology/lag.go
@@ -8,7 +8,8 @@
 	}
 	for i := range t.Members {
 		if m := &t.Members[i]; m.Unreachable == "" && m.Fault == "" {
-			m.LagEntries, m.StaleItems = latest-m.AppliedIndex, staleItems(t.Items, held[m.Addr])
+			m.LagEntries = latest - m.AppliedIndex
+			m.StaleItems = staleItems(t.Items, held[m.Addr])
 		}
 	}
 	for i := range t.Sidecars {
--- a/internal/mesh/topology/status.go
+++ b/internal/mesh/topology/status.go
@@ -70,7 +70,9 @@
 		s.PolicyFingerprint = status.ActivePolicy
 		s.Fenced = status.Fenced
 	}
-	s.Name, s.Addr, s.Zone = record.Node, record.Addr, record.Zone
+	s.Name = record.Node
+	s.Addr = record.Addr
+	s.Zone = record.Zone
 	return s
 }
 
--- a/internal/mesh/topology/svg.go
+++ b/internal/mesh/topology/svg.go
@@ -114,7 +114,15 @@
 
 // newDrawing computes the layout.
 func newDrawing(t Topology, canvas *svg.SVG) *drawing {
-	d := &drawing{Topology: t, canvas: canvas, zones: t.Zones(), services: t.Services(), warnings: t.Warnings(), columns: 1, memberRows: 1}
+	d := &drawing{
+		Topology:   t,
+		canvas:     canvas,
+		zones:      t.Zones(),
+		services:   t.Services(),
+		warnings:   t.Warnings(),
+		columns:    1,
+		memberRows: 1,
+	}
 	for _, m := range t.Members {
 		d.members = append(d.members, m.Addr)
 	}
--- a/internal/mesh/validation/validation.go
+++ b/internal/mesh/validation/validation.go
@@ -58,7 +58,8 @@
 			break
 		}
 		key := offset + match[0]
-		offset, found = key+bytes.Index(text[key:], []byte(name)), true
+		offset = key + bytes.Index(text[key:], []byte(name))
+		found = true
 	}
 	if !found {
 		return 0
