--- a/internal/node/admin_state.go
+++ b/internal/node/admin_state.go
@@ -33,8 +33,11 @@
 
 func newAdminState(clock engine.Clock) *adminState {
 	s := &adminState{
-		clock: clock, listed: map[string]int{}, seen: adminstate.NewSeenServers(adminstate.SeenCapacity),
-		onChange: func([]string) {}, replicate: func() error { return nil },
+		clock:     clock,
+		listed:    map[string]int{},
+		seen:      adminstate.NewSeenServers(adminstate.SeenCapacity),
+		onChange:  func([]string) {},
+		replicate: func() error { return nil },
 	}
 	s.state.Store(&adminstate.State{})
 	return s
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -9,6 +9,7 @@
 
 	"cranegrade/internal/admin"
 	"cranegrade/internal/adminstate"
+	"cranegrade/internal/pool"
 )
 
 // errNotServing answers a check while the node accepts no requests.
@@ -22,7 +23,8 @@
 	return n.commandServer.Addr()
 }
 
-// execute implements admin.Handler. serving reports whether the node accepts requests.
+// execute implements admin.Handler. An error answers the operator that nothing has changed; a change that could not be
+// replicated is no error, and the answer says so. serving reports whether the node accepts requests.
 func (s *adminState) execute(c admin.Command, serving func() bool) (string, error) {
 	if c.Verb == admin.Check {
 		return s.check(serving())
@@ -51,7 +53,8 @@
 	return "taking clients", nil
 }
 
-// change executes a command that changes the state. servers are those that it changes.
+// change executes a command that changes the state. servers are the ids of the servers that it changes, and answer is the
+// text for the operator.
 func (s *adminState) change(c admin.Command) (answer string, servers []string, err error) {
 	now := s.clock.Now()
 	switch c.Verb {
@@ -68,6 +71,7 @@
 	}
 }
 
+// setServer sets a server down or up again. A server that was never listed is an error: it is a slip of the operator's.
 func (s *adminState) setServer(id string, down bool, now time.Duration) error {
 	if !s.isKnown(id) {
 		return fmt.Errorf("no server %.80q was ever listed", id)
@@ -75,6 +79,7 @@
 	return s.update(func(state *adminstate.State) error { return state.SetServer(id, down, now) })
 }
 
+// setDrain begins or ends sending callers to other nodes.
 func (s *adminState) setDrain(on bool, now time.Duration) error {
 	return s.update(func(state *adminstate.State) error {
 		state.SetDrain(on, now)
@@ -89,14 +94,9 @@
 		f.SetUnready(draining)
 		f.SetDraining(draining || n.handedOff.Load())
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, id := range servers {
-		for _, p := range n.serving.Load().pools {
+	n.forEachPool(func(p *pool.Pool) {
+		for _, id := range servers {
 			p.Engine().AdminStateChanged(id)
 		}
-		for p := range n.retiring {
-			p.Engine().AdminStateChanged(id)
-		}
-	}
+	})
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -21,15 +21,15 @@
 	Name        string            // of the node, for its log
 	Listen      string            // host:port for callers
 	Discovery   string            // host:port of the registry
-	Seed        uint64            // of the balancer's random choices
-	Cores       float64           // CPU cores; 0: not known
-	MemoryMB    float64           // MiB at which the platform kills the process; 0: not known
+	Seed        uint64            // of the balancer's random choices; in the file a hexadecimal number of 64 bits
+	Cores       float64           // CPU cores; 0 if not known
+	MemoryMB    float64           // MiB at which the platform kills the process; 0 if not known
 	Sockets     int               // file descriptors that the process may hold; default 1024
 	Known       registry.List     // the servers as this node last had them, possibly out of date
 	Settings    balancer.Settings // of the only pool
 	Connections wire.Connections  // to servers; idle default 15 s, connect time-out default 250 ms
-	Operator    string            // host:port for operators' commands; default $ROUTER_OPERATOR; "": none
-	State       string            // directory for a hot restart, $TMPDIR; "": none, as always without Operator
+	Operator    string            // host:port for operators' commands; default $ROUTER_OPERATOR; if empty there are none
+	State       string            // directory for a hot restart, $TMPDIR; empty if there is none, as always without Operator
 }
 
 // Defaults of the platform's configuration.
@@ -88,8 +88,13 @@
 		return Config{}, err
 	}
 	c := Config{
-		Name: document.Name, Listen: document.Listen, Discovery: document.Discovery, Operator: document.Operator,
-		Cores: document.Limits.Cores, MemoryMB: document.Limits.MemoryMB, Sockets: document.Limits.Sockets,
+		Name:      document.Name,
+		Listen:    document.Listen,
+		Discovery: document.Discovery,
+		Operator:  document.Operator,
+		Cores:     document.Limits.Cores,
+		MemoryMB:  document.Limits.MemoryMB,
+		Sockets:   document.Limits.Sockets,
 	}
 	for _, parse := range []func(*configDocument) error{c.checkAddresses, c.parseSeed, c.checkLimits, c.parseKnown, c.parseSettings} {
 		if err := parse(&document); err != nil {
@@ -167,12 +172,20 @@
 	known := c.Known.Update()
 	known.Cached = true
 	return operator.Plan{
-		Name: c.Name, Listen: []string{c.Listen}, Cores: c.Cores, MemoryMB: c.MemoryMB,
-		Operator: c.Operator, State: c.State,
-		Totals: operator.TotalsFor(c.Sockets, c.MemoryMB, operatorDescriptors(c.Operator)),
+		Name:     c.Name,
+		Listen:   []string{c.Listen},
+		Cores:    c.Cores,
+		MemoryMB: c.MemoryMB,
+		Operator: c.Operator,
+		State:    c.State,
+		Totals:   operator.TotalsFor(c.Sockets, c.MemoryMB, operatorDescriptors(c.Operator)),
 		Pools: []operator.Pool{{
-			Settings: c.Settings, Connections: c.Connections, Seed: c.Seed, Known: known,
-			Pushed: !c.Settings.AskDiscovery, List: operator.List{Registry: c.Discovery},
+			Settings:    c.Settings,
+			Connections: c.Connections,
+			Seed:        c.Seed,
+			Known:       known,
+			Pushed:      !c.Settings.AskDiscovery,
+			List:        operator.List{Registry: c.Discovery},
 		}},
 	}
 }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -15,4 +15,11 @@
 // The package never decides which server gets a request, which is the balancer's task, and it parses no format other
 // than the platform's JSON configuration. The protocols towards callers and servers, gRPC and xDS among them, are
 // packages of their own; those that not every program links are passed in by Options.
+//
+// Goroutines: New, NewFromPlan and Run belong to the goroutine that owns the node; all other methods of Node may be called
+// from any. Fronts look up routes and pools without a lock, in a servingSet that a reload replaces as a whole. Node.mu
+// serializes reloads and guards what they change.
+//
+// The design is in docs/design: pools.md for pools, limits and reloads, handover.md for hot restarts, zones.md for the
+// account of zones, membership.md for fleets.
 package node
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -24,6 +24,9 @@
 	killGrace       = 700 * time.Millisecond
 	// answerMargin is how long before the kill all requests in flight are answered or abandoned.
 	answerMargin = 250 * time.Millisecond
+	// forcedCloseMargin is how long before the kill the fronts close what is still open: abandoned requests have the time
+	// from answerMargin until then for their answers to be written.
+	forcedCloseMargin = answerMargin / 2
 	// redirectInterval is how often a process with a successor closes idle connections of callers.
 	redirectInterval = 20 * time.Millisecond
 )
@@ -49,7 +52,8 @@
 	// The other members take over this node's part while it still serves what it has; stop waits for that.
 	n.retired.Go(n.leaveFleet)
 	defer log.Print("drain complete, stopped")
-	cutoff := time.Now().Add(n.drainTimeout() + killGrace - answerMargin)
+	kill := time.Now().Add(n.drainTimeout() + killGrace)
+	cutoff := kill.Add(-answerMargin)
 	abandon := time.AfterFunc(time.Until(cutoff), n.abandonAll)
 	defer abandon.Stop()
 	if n.hotRestart.hasSuccessor() {
@@ -61,7 +65,7 @@
 		case <-time.After(n.drainDelay):
 		}
 	}
-	n.shutdownFronts(cutoff.Add(answerMargin / 2))
+	n.shutdownFronts(kill.Add(-forcedCloseMargin))
 	return nil
 }
 
@@ -99,7 +103,7 @@
 // drainableFronts returns the fronts whose callers can be sent elsewhere.
 func (n *Node) drainableFronts() (fronts []drainable) {
 	for _, f := range n.fronts {
-		if d, is := f.(drainable); is {
+		if d, ok := f.(drainable); ok {
 			fronts = append(fronts, d)
 		}
 	}
@@ -120,17 +124,21 @@
 	defer tick.Stop()
 	for time.Now().Before(cutoff) {
 		n.redirectIdleCallers()
-		open := 0
-		for _, f := range fronts {
-			open += f.OpenConnections()
-		}
-		if open == 0 {
+		if openConnections(fronts) == 0 {
 			return
 		}
 		<-tick.C
 	}
 }
 
+// openConnections returns how many connections the fronts have open in all.
+func openConnections(fronts []drainable) (open int) {
+	for _, f := range fronts {
+		open += f.OpenConnections()
+	}
+	return open
+}
+
 // redirectIdleCallers closes idle connections of callers that are being sent elsewhere.
 func (n *Node) redirectIdleCallers() {
 	for _, f := range n.drainableFronts() {
@@ -140,12 +148,5 @@
 
 // abandonAll has every pool answer its open calls with a failure, also those that finish after their removal.
 func (n *Node) abandonAll() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, p := range n.serving.Load().pools {
-		p.Engine().AbandonAll()
-	}
-	for p := range n.retiring {
-		p.Engine().AbandonAll()
-	}
+	n.forEachPool(func(p *pool.Pool) { p.Engine().AbandonAll() })
 }
--- a/internal/node/fleet_member.go
+++ b/internal/node/fleet_member.go
@@ -34,7 +34,7 @@
 // leaveTimeout bounds how long a stopping node takes to tell the other members.
 const leaveTimeout = time.Second
 
-// joinFleet joins the fleet that a plan names; nil if it names none.
+// joinFleet joins the fleet that a plan names. It returns nil if the plan names none.
 func joinFleet(p operator.Plan, join func(string, operator.Fleet, map[string]uint32) (Member, error)) (Member, error) {
 	if p.Fleet == nil {
 		return nil, nil
@@ -52,7 +52,8 @@
 	digests := make(map[string]uint32, len(p.Pools))
 	for _, planned := range p.Pools {
 		settings := planned.Settings
-		settings.Balancers, settings.Index = 0, 0
+		settings.Balancers = 0
+		settings.Index = 0
 		h := fnv.New32a()
 		fmt.Fprintf(h, "%+v %+v", settings, planned.Connections)
 		digests[planned.Name] = h.Sum32()
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -20,7 +20,7 @@
 type hotRestart struct {
 	n           *Node
 	dir         string                  // where processes of the node find each other
-	predecessor *hotrestart.Predecessor // nil: none was found
+	predecessor *hotrestart.Predecessor // nil if none was found
 	server      *hotrestart.Server      // waits for successors; nil before start, or if it could not listen
 
 	mu         sync.Mutex                // guards the fields below; not held over I/O
@@ -91,6 +91,8 @@
 	}
 }
 
+// joinPredecessor shares the node's limits with the predecessor, which begins to drain once it is told that this process
+// serves.
 func (r *hotRestart) joinPredecessor(link *hotrestart.Link) {
 	r.n.resize()
 	r.addPeer(link, hotrestart.Handlers{Gone: func() {
@@ -134,6 +136,7 @@
 	go func() { _ = link.SendAdminState(s) }() // ends with the time-out of the confirmation; the next change carries it again
 }
 
+// removePeer is called when another process has ended: this one gets a larger part of the limits.
 func (r *hotRestart) removePeer(link *hotrestart.Link) {
 	r.mu.Lock()
 	delete(r.peers, link)
--- a/internal/node/hot_restart_state.go
+++ b/internal/node/hot_restart_state.go
@@ -6,6 +6,7 @@
 	"net"
 	"time"
 
+	"cranegrade/balancer"
 	"cranegrade/internal/engine"
 	"cranegrade/internal/hotrestart"
 	"cranegrade/internal/operator"
@@ -41,44 +42,80 @@
 	}
 	known := engine.ListUpdate{Full: true, Cached: true, Version: inherited.ListVersion}
 	for _, s := range inherited.Servers {
-		var l engine.Listed
-		l.ID, l.Addr, l.Zone, l.Cell, l.State, l.Size, l.StartedAt, l.Weight, l.Priority =
-			s.ID, s.Addr, s.Zone, s.Cell, s.State, s.Size, s.StartedAt, s.Weight, s.Priority
-		known.Servers = append(known.Servers, l)
+		known.Servers = append(known.Servers, importServer(s))
 	}
 	planned.Known = known
 }
 
-// exportState returns what a successor needs, and the listeners that it inherits. A pool whose engine does not answer in
-// time is left out: the successor's pool of that name starts from its list alone.
+// importServer returns a server that the predecessor knew as the engine knows it.
+func importServer(s hotrestart.ListedServer) engine.Listed {
+	return engine.Listed{
+		Addr: s.Addr,
+		Server: balancer.Server{
+			ID:        s.ID,
+			Zone:      s.Zone,
+			Cell:      s.Cell,
+			State:     s.State,
+			Size:      s.Size,
+			StartedAt: s.StartedAt,
+			Weight:    s.Weight,
+			Priority:  s.Priority,
+		},
+	}
+}
+
+// exportServer is the inverse of importServer.
+func exportServer(l engine.Listed) hotrestart.ListedServer {
+	return hotrestart.ListedServer{
+		ID:        l.ID,
+		Addr:      l.Addr,
+		Zone:      l.Zone,
+		Cell:      l.Cell,
+		State:     l.State,
+		Size:      l.Size,
+		StartedAt: l.StartedAt,
+		Weight:    l.Weight,
+		Priority:  l.Priority,
+	}
+}
+
+// exportState returns what a successor needs, and the listeners that it inherits.
 func (r *hotRestart) exportState() (hotrestart.State, []*net.TCPListener) {
 	s := r.adminStateNow()
+	s.Pools = r.exportPools()
+	return s, r.tcpListeners()
+}
+
+// exportPools returns what the pools know of their servers. A pool whose engine does not answer in time is left out: the
+// successor's pool of that name starts from its list alone.
+func (r *hotRestart) exportPools() (exported []hotrestart.Pool) {
 	r.n.mu.Lock()
 	pools := r.n.serving.Load().pools
 	r.n.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), exportTimeout)
 	defer cancel()
 	for name, p := range pools {
-		exported, ok := p.Engine().Export(ctx)
+		snapshot, ok := p.Engine().Export(ctx)
 		if !ok {
 			continue
 		}
-		exportedPool := hotrestart.Pool{Name: name, ListVersion: exported.Version, Knowledge: exported.Knowledge}
-		for _, l := range exported.Servers {
-			exportedPool.Servers = append(exportedPool.Servers, hotrestart.ListedServer{
-				ID: l.ID, Addr: l.Addr, Zone: l.Zone, Cell: l.Cell, State: l.State,
-				Size: l.Size, StartedAt: l.StartedAt, Weight: l.Weight, Priority: l.Priority,
-			})
+		e := hotrestart.Pool{Name: name, ListVersion: snapshot.Version, Knowledge: snapshot.Knowledge}
+		for _, l := range snapshot.Servers {
+			e.Servers = append(e.Servers, exportServer(l))
 		}
-		s.Pools = append(s.Pools, exportedPool)
+		exported = append(exported, e)
 	}
-	var listeners []*net.TCPListener
+	return exported
+}
+
+// tcpListeners returns the listeners of the node whose sockets another process can inherit.
+func (r *hotRestart) tcpListeners() (listeners []*net.TCPListener) {
 	for _, l := range r.n.listeners {
-		if tcp, is := l.(*net.TCPListener); is {
+		if tcp, ok := l.(*net.TCPListener); ok {
 			listeners = append(listeners, tcp)
 		}
 	}
-	return s, listeners
+	return listeners
 }
 
 // adminStateNow returns a state that holds the administrative state alone.
--- a/internal/node/inspection_server.go
+++ b/internal/node/inspection_server.go
@@ -41,9 +41,15 @@
 		}
 	})
 	n.registerFleetPages(mux)
-	return &inspectionServer{listener: l, server: &http.Server{
-		Handler: mux, ReadHeaderTimeout: inspectionHeaderTimeout, IdleTimeout: inspectionIdleTimeout, WriteTimeout: inspectionWriteTimeout,
-	}}, nil
+	return &inspectionServer{
+		listener: l,
+		server: &http.Server{
+			Handler:           mux,
+			ReadHeaderTimeout: inspectionHeaderTimeout,
+			IdleTimeout:       inspectionIdleTimeout,
+			WriteTimeout:      inspectionWriteTimeout,
+		},
+	}, nil
 }
 
 // serve returns after close.
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -9,17 +9,32 @@
 	"cranegrade/internal/pool"
 )
 
+// bytesPerMiB converts the limits of plans and configurations, which are in MiB.
+const bytesPerMiB = 1 << 20
+
 // softMemoryShare is the share of the memory limit from which the runtime collects garbage harder. The rest is for
 // stacks, buffers of the kernel and the time that a collection takes.
 const softMemoryShare = 0.7
 
 // budgets divide the limits of the process among the pools. Each counts what a pool.Shares has a share of.
-type budgets struct{ calls, pendingCalls, connections, requestBodies, responseBuffers, downstreamConns *pool.Budget }
+type budgets struct {
+	calls           *pool.Budget
+	pendingCalls    *pool.Budget
+	connections     *pool.Budget
+	requestBodies   *pool.Budget // bytes
+	responseBuffers *pool.Budget // bytes
+	downstreamConns *pool.Budget
+}
 
+// newBudgets returns budgets that allow nothing until divide configures them.
 func newBudgets() budgets {
 	return budgets{
-		calls: pool.NewBudget(0), pendingCalls: pool.NewBudget(0), connections: pool.NewBudget(0),
-		requestBodies: pool.NewBudget(0), responseBuffers: pool.NewBudget(0), downstreamConns: pool.NewBudget(0),
+		calls:           pool.NewBudget(0),
+		pendingCalls:    pool.NewBudget(0),
+		connections:     pool.NewBudget(0),
+		requestBodies:   pool.NewBudget(0),
+		responseBuffers: pool.NewBudget(0),
+		downstreamConns: pool.NewBudget(0),
 	}
 }
 
@@ -27,8 +42,11 @@
 // no share of downstream connections: all of them are counted by newCallers.
 func (b *budgets) newShares(name string) pool.Shares {
 	shares := pool.Shares{
-		Calls: b.calls.NewShare(), PendingCalls: b.pendingCalls.NewShare(), Connections: b.connections.NewShare(),
-		RequestBodies: b.requestBodies.NewShare(), ResponseBuffers: b.responseBuffers.NewShare(),
+		Calls:           b.calls.NewShare(),
+		PendingCalls:    b.pendingCalls.NewShare(),
+		Connections:     b.connections.NewShare(),
+		RequestBodies:   b.requestBodies.NewShare(),
+		ResponseBuffers: b.responseBuffers.NewShare(),
 	}
 	if name != "" {
 		shares.DownstreamConns = b.downstreamConns.NewShare()
@@ -40,7 +58,7 @@
 type sharedBudget struct {
 	budget *pool.Budget
 	total  int64
-	share  func(pool.Shares) *pool.Share // returns nil for a pool that has no share
+	share  func(pool.Shares) *pool.Share // the share of a pool; nil if it has none
 	quota  func(operator.Limits) pool.Quota
 }
 
@@ -76,31 +94,39 @@
 
 // divide configures the budgets by a plan's totals and quotas, each divided by the number of processes that share them.
 // Pools that are retiring keep what they use and may borrow, without a quota of their own. Every budget is configured,
-// also after an error of another. Callers hold n.mu, except for provision, which nobody runs beside.
+// also after an error of another. Callers hold n.mu, except for provision: nothing else uses
+// the budgets before it returns.
 func (n *Node) divide(plan operator.Plan, pools map[string]*pool.Pool) (err error) {
 	for _, shared := range n.budgets.shared(plan.Totals) {
-		quotas := map[*pool.Share]pool.Quota{}
-		if shared.budget == n.budgets.downstreamConns {
-			quotas[n.newCallers] = plan.Totals.NewCallers
-		}
-		for _, planned := range plan.Pools {
-			if share := shared.share(pools[planned.Name].Shares()); share != nil {
-				quotas[share] = shared.quota(planned.Limits)
-			}
-		}
-		for p := range n.retiring {
-			if share := shared.share(p.Shares()); share != nil {
-				quotas[share] = pool.Quota{}
-			}
-		}
+		quotas := n.quotas(shared, plan, pools)
 		for share, quota := range quotas {
 			quotas[share] = pool.Quota{Min: quota.Min / n.processes, Max: quota.Max / n.processes}
 		}
-		err = errors.Join(err, shared.budget.Configure(max(1, shared.total/n.processes), quotas))
+		total := max(1, shared.total/n.processes)
+		err = errors.Join(err, shared.budget.Configure(total, quotas))
 	}
 	return err
 }
 
+// quotas returns the quota of each share of a budget as the plan sets it for the node as a whole.
+func (n *Node) quotas(shared sharedBudget, plan operator.Plan, pools map[string]*pool.Pool) map[*pool.Share]pool.Quota {
+	quotas := map[*pool.Share]pool.Quota{}
+	if shared.budget == n.budgets.downstreamConns {
+		quotas[n.newCallers] = plan.Totals.NewCallers
+	}
+	for _, planned := range plan.Pools {
+		if share := shared.share(pools[planned.Name].Shares()); share != nil {
+			quotas[share] = shared.quota(planned.Limits)
+		}
+	}
+	for p := range n.retiring {
+		if share := shared.share(p.Shares()); share != nil {
+			quotas[share] = pool.Quota{}
+		}
+	}
+	return quotas
+}
+
 // resize gives this process its part of the node's limits: all of them, or an equal part while other processes of the node
 // run.
 func (n *Node) resize() {
@@ -121,7 +147,7 @@
 
 // MemoryLimit returns the soft memory limit in bytes for each of several processes that share a limit of memoryMB MiB.
 func MemoryLimit(memoryMB float64, processes int) int64 {
-	return int64(memoryMB * softMemoryShare / float64(processes) * (1 << 20))
+	return int64(memoryMB * softMemoryShare / float64(processes) * bytesPerMiB)
 }
 
 // reclaimIdleConnections has pools close the idle connections that they have borrowed and that others want.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -23,11 +23,11 @@
 	listeners     []net.Listener
 	fronts        []Front
 	adminState    *adminState
-	commandServer *admin.Server     // nil: the plan has no address for operators' commands
-	inspection    *inspectionServer // nil: the plan has no admin address
-	hotRestart    *hotRestart       // nil: the plan has no state directory, so no process can take over
+	commandServer *admin.Server     // nil if the plan has no address for operators' commands
+	inspection    *inspectionServer // nil if the plan has no admin address
+	hotRestart    *hotRestart       // nil if the plan has no state directory, so that no process can take over
 	zones         *zoneAccounts
-	fleet         Member        // nil: the node is not in a fleet
+	fleet         Member        // nil if the node is in no fleet
 	drainDelay    time.Duration // how long a draining node without a successor still accepts connections
 
 	serving           atomic.Pointer[servingSet]
@@ -39,7 +39,7 @@
 	mu        sync.Mutex // guards the fields below and serializes reloads
 	plan      operator.Plan
 	processes int64                   // processes that share the node's limits, this one included
-	xds       XDSClient               // nil: the plan names no control planes
+	xds       XDSClient               // nil if the plan names no control planes
 	retiring  map[*pool.Pool]struct{} // removed by a reload, with calls still open
 
 	retired sync.WaitGroup // goroutines that finish what a reload or the drain has removed
@@ -48,11 +48,24 @@
 
 // servingSet is what fronts use to find the pool of a request. A reload replaces it as a whole.
 type servingSet struct {
-	routes   *route.Table // nil: every request is for onlyPool, and its class is the first segment of the path
+	routes   *route.Table // nil if every request is for onlyPool, with the first segment of the path as its class
 	pools    map[string]*pool.Pool
 	onlyPool *pool.Pool // meaningful if routes is nil
 }
 
+// forEachPool calls do for every pool that has calls: those that serve, and those that finish after their removal. do must
+// not block, as n.mu is held.
+func (n *Node) forEachPool(do func(*pool.Pool)) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, p := range n.serving.Load().pools {
+		do(p)
+	}
+	for p := range n.retiring {
+		do(p)
+	}
+}
+
 // New returns a node for the platform's configuration. It listens but serves nothing before Run. A node that is not run
 // holds its listeners until the process ends.
 func New(cfg Config, o Options) (*Node, error) { return provision(cfg.plan(), o, nil) }
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -44,20 +44,24 @@
 )
 
 // XDSClient follows clusters at control planes. It is an interface so that a program can be built without gRPC and the
-// xDS messages.
+// xDS messages. Its methods may be called from any goroutine.
 type XDSClient interface {
 	// Source returns the endpoint list of a cluster. levels asks for the endpoints of all priorities.
 	Source(cluster string, levels bool) engine.Source
 	// Dump writes a text for people: what the client knows of clusters and endpoints.
 	Dump(w io.Writer)
+	// Close ends all streams. Sources that are still used get no further updates.
 	Close()
 }
 
-// Front serves callers on a listener.
+// Front serves callers on a listener, which it owns. Serve is called once; the other methods may be called from any
+// goroutine, also before Serve.
 type Front interface {
 	Addr() net.Addr
 	// Serve returns http.ErrServerClosed after Shutdown or Close, and any other error if accepting fails.
 	Serve() error
+	// Shutdown stops accepting and returns once the requests in flight are answered, or with the context's error.
 	Shutdown(context.Context) error
+	// Close closes all connections at once, and the listener if Serve was called. It may follow a Shutdown.
 	Close() error
 }
--- a/internal/node/pool.go
+++ b/internal/node/pool.go
@@ -34,9 +34,19 @@
 		learned = inherited.Knowledge
 	}
 	p, err := pool.New(pool.Config{
-		Name: planned.Name, Settings: planned.Settings, Seed: seed(planned), Clock: n.clock,
-		Sender: to, Source: newSource(planned.List, xds), InitialList: planned.Known, Pushed: planned.Pushed,
-		Shares: shares, Module: module, GRPC: planned.GRPC, AdminStates: n.adminState, Knowledge: learned,
+		Name:        planned.Name,
+		Settings:    planned.Settings,
+		Seed:        seed(planned),
+		Clock:       n.clock,
+		Sender:      to,
+		Source:      newSource(planned.List, xds),
+		InitialList: planned.Known,
+		Pushed:      planned.Pushed,
+		Shares:      shares,
+		Module:      module,
+		GRPC:        planned.GRPC,
+		AdminStates: n.adminState,
+		Knowledge:   learned,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("pool %q: %w", planned.Name, err)
@@ -75,8 +85,10 @@
 	switch {
 	case !planned.H2:
 		return sender.New(sender.Config{
-			ServerIdleTimeout: planned.Connections.Idle, ConnectTimeout: planned.Connections.ConnectWithin,
-			Connections: shares.Connections, ResponseBuffers: shares.ResponseBuffers,
+			ServerIdleTimeout: planned.Connections.Idle,
+			ConnectTimeout:    planned.Connections.ConnectWithin,
+			Connections:       shares.Connections,
+			ResponseBuffers:   shares.ResponseBuffers,
 		}), nil
 	case n.options.H2 == nil:
 		return nil, ErrNoH2
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -42,20 +42,30 @@
 	n.serving.Store(set)
 	n.setDrainTimeout(set.pools)
 	n.drainDelay = max(minDrainDelay, n.drainTimeout()-drainMargin)
+	n.connectAdminState()
+	return n, nil
+}
+
+// connectAdminState has changes of the administrative state reach the fronts, the pools and the other processes of the node
+// from now on. What an earlier process or a predecessor left of it is known by now and takes effect.
+func (n *Node) connectAdminState() {
 	n.adminState.onChange = n.applyAdminState
 	if n.hotRestart != nil {
 		n.adminState.replicate = n.hotRestart.replicate
 	}
-	n.applyAdminState(nil) // the state of a predecessor, or of an earlier process, is known by now
-	return n, nil
+	n.applyAdminState(nil)
 }
 
 // emptyNode returns a node without pools and listeners, whose budgets allow nothing.
 func emptyNode(o Options) *Node {
 	clock := engine.NewClock()
 	n := &Node{
-		options: o, clock: clock, adminState: newAdminState(clock), retiring: map[*pool.Pool]struct{}{}, stopped: make(chan struct{}),
-		budgets: newBudgets(),
+		options:    o,
+		clock:      clock,
+		adminState: newAdminState(clock),
+		retiring:   map[*pool.Pool]struct{}{},
+		stopped:    make(chan struct{}),
+		budgets:    newBudgets(),
 	}
 	n.newCallers = n.budgets.downstreamConns.NewShare()
 	return n
@@ -63,7 +73,8 @@
 
 // connectPredecessor looks for the process that this one takes over from. While both run, each has half of the limits.
 func (n *Node) connectPredecessor(dir string) {
-	n.hotRestart, n.processes = newHotRestart(n, dir), 1
+	n.hotRestart = newHotRestart(n, dir)
+	n.processes = 1
 	if n.hotRestart != nil && n.hotRestart.predecessor != nil {
 		n.processes = 2
 	}
@@ -81,7 +92,7 @@
 	return err
 }
 
-// openXDS opens the client of the control planes that a plan names; nil if it names none.
+// openXDS opens the client of the control planes that a plan names. It returns nil if the plan names none.
 func (n *Node) openXDS(p operator.Plan) (XDSClient, error) {
 	if p.XDS == nil {
 		return nil, nil
@@ -101,7 +112,8 @@
 		if err != nil {
 			return nil, err
 		}
-		s.pools[planned.Name], s.onlyPool = p, p
+		s.pools[planned.Name] = p
+		s.onlyPool = p
 	}
 	return s, nil
 }
--- a/internal/node/reload_plan.go
+++ b/internal/node/reload_plan.go
@@ -85,20 +85,20 @@
 	old := n.serving.Load()
 	r.next = &servingSet{routes: r.plan.Routes, pools: make(map[string]*pool.Pool, len(r.plan.Pools))}
 	for _, planned := range r.plan.Pools {
-		was, existed := before[planned.Name]
 		p := old.pools[planned.Name]
-		if existed && isSamePool(was, planned) {
-			if !reflect.DeepEqual(was.List, planned.List) || r.replaceXDS && planned.List.XDS != "" {
-				r.moved = append(r.moved, planned)
-			}
-		} else {
+		was, existed := before[planned.Name]
+		switch {
+		case !existed || !isSamePool(was, planned):
 			var err error
 			if p, err = n.newPool(planned, r.xds, nil); err != nil {
 				return err
 			}
 			r.added = append(r.added, p)
+		case r.needsNewSource(was, planned):
+			r.moved = append(r.moved, planned)
 		}
-		r.next.pools[planned.Name], r.next.onlyPool = p, p
+		r.next.pools[planned.Name] = p
+		r.next.onlyPool = p
 	}
 	for name, p := range old.pools {
 		if r.next.pools[name] != p {
@@ -108,6 +108,15 @@
 	return nil
 }
 
+// needsNewSource reports whether a pool that stays has to read its list from another source: the plan names another list,
+// or its control planes have another client.
+func (r *reloadPlan) needsNewSource(was, planned operator.Pool) bool {
+	if r.replaceXDS && planned.List.XDS != "" {
+		return true
+	}
+	return !reflect.DeepEqual(was.List, planned.List)
+}
+
 // admit divides the limits by the new plan, while removed pools still use what they have. On an error it divides them as
 // before.
 func (n *Node) admit(r *reloadPlan) error {
@@ -127,7 +136,8 @@
 // isSamePool reports whether a running pool can change from one plan to the other: they differ in limits and list alone.
 // The servers known at the start do not matter to a pool that runs.
 func isSamePool(a, b operator.Pool) bool {
-	a.Limits, b.Limits, a.List, b.List = operator.Limits{}, operator.Limits{}, operator.List{}, operator.List{}
+	a.Limits = b.Limits
+	a.List = b.List
 	a.Known = b.Known
 	return reflect.DeepEqual(a, b)
 }
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -16,8 +16,11 @@
 }
 
 // Find returns the pool and the class of a request, for fronts of any protocol. path is as the caller wrote it, without
-// the query; header is keyed by canonical name; id is the request's id, by which split routes choose.
-func (n *Node) Find(method, authority, path string, header map[string][]string, id string) (*pool.Pool, string, *NoRoute) {
+// the query; header is keyed by canonical name; id is the request's id, by which split routes choose. If
+// noRoute is not nil, there is no pool.
+func (n *Node) Find(
+	method, authority, path string, header map[string][]string, id string,
+) (p *pool.Pool, class string, noRoute *NoRoute) {
 	return n.serving.Load().find(method, authority, path, header, id)
 }
 
@@ -41,10 +44,13 @@
 	return s.route(hr)
 }
 
+// headerRequestID is the header with a request's id, by canonical name.
+const headerRequestID = "X-Correlation-Id"
+
 // route is find for an HTTP request.
 func (s *servingSet) route(hr *http.Request) (*pool.Pool, string, *front.Rejection) {
 	id := ""
-	if ids := hr.Header["X-Correlation-Id"]; len(ids) > 0 {
+	if ids := hr.Header[headerRequestID]; len(ids) > 0 {
 		id = ids[0]
 	}
 	p, class, noRoute := s.find(hr.Method, hr.Host, hr.URL.EscapedPath(), hr.Header, id)
@@ -55,7 +61,9 @@
 }
 
 // find implements Node.Find.
-func (s *servingSet) find(method, authority, path string, header map[string][]string, id string) (*pool.Pool, string, *NoRoute) {
+func (s *servingSet) find(
+	method, authority, path string, header map[string][]string, id string,
+) (p *pool.Pool, class string, noRoute *NoRoute) {
 	r := route.Request{Method: method, Header: header, ID: id}
 	var err error
 	if r.Host, err = route.Host(authority); err == nil {
@@ -72,7 +80,7 @@
 	if !found {
 		return nil, "", &NoRoute{http.StatusNotFound, "no route for this host and path"}
 	}
-	class := r.Class
+	class = r.Class
 	if target.Class != "" {
 		class = target.Class
 	}
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -21,6 +21,7 @@
 	return n.drain(served) //nolint:contextcheck // ctx has ended by now, and the drain has a deadline of its own
 }
 
+// runPools starts the engines of all pools.
 func (n *Node) runPools() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/zone_accounts.go
+++ b/internal/node/zone_accounts.go
@@ -16,20 +16,21 @@
 // saveInterval is how often the zone account is saved: what a crash may lose of it.
 const saveInterval = time.Second
 
-// ZoneStore keeps the zone account over restarts.
+// ZoneStore keeps the zone account over restarts. Calls of its methods do not overlap.
 type ZoneStore interface {
 	// Load returns what was saved. unread counts the entries that could not be decoded, which are left out.
 	Load() (state zone.State, unread int, err error)
 	// Save adds the changes of an account and drops the days before oldest, in days since 1970.
 	Save(state zone.State, oldest int64) error
+	// Close releases the file. Nothing is called afterwards.
 	Close() error
 }
 
 // zoneAccounts holds a node's zone account and budgets, saves them, and knows the modules that write them.
 type zoneAccounts struct {
-	plan       *operator.Zones // nil: requests are not told apart by zone, and nothing below is used
+	plan       *operator.Zones // nil if the plan has no zones; nothing below is used then
 	accounting *zone.Accounting
-	store      ZoneStore      // nil: nothing is saved
+	store      ZoneStore      // nil if nothing is saved
 	stop       chan struct{}  // closed by close
 	ended      sync.WaitGroup // saveLoop
 
@@ -115,6 +116,7 @@
 	}
 }
 
+// logRetriedSave logs a failure that the next save, saveInterval later, makes good for if it succeeds.
 func logRetriedSave(err error) {
 	log.Printf("zone account not saved, retrying: interval=%v error=%q", saveInterval, err)
 }
@@ -168,7 +170,9 @@
 // zoneConfig returns a plan's zone settings for a pool with these settings.
 func zoneConfig(p operator.Zones, s balancer.Settings) zone.Config {
 	c := p.Config
-	c.SlowStartShare, c.SlowStartWindow, c.MaxAttempts = s.ColdFrom, s.WarmAfter, s.MaxAttempts
+	c.SlowStartShare = s.ColdFrom
+	c.SlowStartWindow = s.WarmAfter
+	c.MaxAttempts = s.MaxAttempts
 	if s.StartCalls > 0 {
 		c.InitialLimit = float64(s.StartCalls)
 	}
