--- a/internal/operator/classes.go
+++ b/internal/operator/classes.go
@@ -15,10 +15,15 @@
 	names := map[string]bool{}
 	for _, ct := range tables {
 		c := balancer.Class{
-			Name: ct.text("name", ""), Effect: choice(ct, "effect", balancer.NonIdempotent, effects),
-			Scope: choice(ct, "scope", balancer.ScopeCell, scopes), Window: ct.duration("window", 0),
-			Aim: ct.duration("aim", 0), Deadline: ct.duration("deadline", 0), LateShare: ct.number("late_share", 0),
-			Worth: ct.number("worth", 1), Stream: ct.boolean("stream", false),
+			Name:      ct.text("name", ""),
+			Effect:    choice(ct, "effect", balancer.NonIdempotent, effects),
+			Scope:     choice(ct, "scope", balancer.ScopeCell, scopes),
+			Window:    ct.duration("window", 0),
+			Aim:       ct.duration("aim", 0),
+			Deadline:  ct.duration("deadline", 0),
+			LateShare: ct.number("late_share", 0),
+			Worth:     ct.number("worth", 1),
+			Stream:    ct.boolean("stream", false),
 		}
 		if c.Stream && !p.GRPC {
 			ct.fault("stream", "is only for pools whose protocol is grpc")
--- a/internal/operator/document.go
+++ b/internal/operator/document.go
@@ -22,20 +22,25 @@
 
 // fault adds a fault of the key with that path.
 func (d *document) fault(path, format string, args ...any) {
-	d.faults = append(d.faults, Fault{d.name, d.line(path), path, fmt.Sprintf(format, args...)})
+	d.faults = append(d.faults, Fault{
+		File: d.name,
+		Line: d.line(path),
+		Key:  path,
+		Text: fmt.Sprintf(format, args...),
+	})
 }
 
 // line returns the line of a key, or of the nearest table around it that has one.
 func (d *document) line(path string) int {
 	for {
-		if n, is := d.lines[path]; is || path == "" {
+		if n, ok := d.lines[path]; ok || path == "" {
 			return n
 		}
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 	}
 }
 
-// decode reads the text and returns the table at its root; false if the text is no TOML, which is then a fault.
+// decode reads the text and returns the table at its root. It reports false if the text is no TOML, which is then a fault.
 func (d *document) decode(text []byte) (*table, bool) {
 	if len(text) > maxFileBytes {
 		d.fault("", "the file is longer than %d bytes", maxFileBytes)
--- a/internal/operator/extproc.go
+++ b/internal/operator/extproc.go
@@ -22,13 +22,19 @@
 		return
 	}
 	p.ExtProc = &ExtProc{
-		Listen:          et.text("listen", ""),
-		DecisionTimeout: et.duration("decide_within", defaultDecisionTimeout), Linger: et.duration("linger", defaultLinger),
-		Retries: et.boolean("retries", false), Streams: et.count("streams", defaultExtProcStreams), Rate: et.number("rate", 0),
-		IDHeader: strings.ToLower(et.text("id_header", defaultIDHeader)), ClearRouteCache: et.boolean("clear_route_cache", false),
-		HeadersOnly: et.boolean("headers_only", true), TimeLeft: et.boolean("time_left", false),
-		RememberedRequests: et.count("remember", defaultRememberedRequests), ProxyStreams: et.count("proxy_streams", 0),
-		RetryHeader: strings.ToLower(et.text("retry_header", defaultRetryHeader)),
+		Listen:             et.text("listen", ""),
+		DecisionTimeout:    et.duration("decide_within", defaultDecisionTimeout),
+		Linger:             et.duration("linger", defaultLinger),
+		Retries:            et.boolean("retries", false),
+		Streams:            et.count("streams", defaultExtProcStreams),
+		Rate:               et.number("rate", 0),
+		IDHeader:           strings.ToLower(et.text("id_header", defaultIDHeader)),
+		ClearRouteCache:    et.boolean("clear_route_cache", false),
+		HeadersOnly:        et.boolean("headers_only", true),
+		TimeLeft:           et.boolean("time_left", false),
+		RememberedRequests: et.count("remember", defaultRememberedRequests),
+		ProxyStreams:       et.count("proxy_streams", 0),
+		RetryHeader:        strings.ToLower(et.text("retry_header", defaultRetryHeader)),
 	}
 	p.ExtProc.check(et)
 	et.rejectUnknownKeys()
@@ -36,7 +42,7 @@
 
 // check reports what is out of bounds, and names of headers that can't be.
 func (e *ExtProc) check(et *table) {
-	if err := checkAddress(e.Listen, true); err != nil {
+	if err := checkAddress(e.Listen, listenAddress); err != nil {
 		et.fault("listen", "%v", err)
 	}
 	if e.DecisionTimeout < minDecisionTimeout || e.DecisionTimeout > maxDecisionTimeout {
--- a/internal/operator/faults.go
+++ b/internal/operator/faults.go
@@ -10,8 +10,8 @@
 // Fault is one mistake in a file.
 type Fault struct {
 	File string
-	Line int    // from 1; 0: the file as a whole
-	Key  string // path as in the file, with indices from 0: pools[1].classes[0].effect; "" for the file as a whole
+	Line int    // from 1; 0 if the fault is of the file as a whole
+	Key  string // path as in the file, with indices from 0: pools[1].classes[0].effect; empty if it is of the file as a whole
 	Text string // what is wrong, and what is allowed
 }
 
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -10,6 +10,16 @@
 	"cranegrade/internal/fleet/membership"
 )
 
+// Bounds of [fleet].
+const (
+	minLease  = 500 * time.Millisecond
+	maxLease  = time.Minute
+	minSettle = 100 * time.Millisecond
+	maxSettle = time.Minute
+	minProbe  = 50 * time.Millisecond
+	maxProbe  = 10 * time.Second
+)
+
 // fleet reads [fleet]: how this node finds the others.
 func (d *document) fleet(t *table, p *Plan, nodes int) {
 	ft := t.subtable("fleet")
@@ -17,8 +27,13 @@
 		return
 	}
 	p.Fleet = &Fleet{
-		Listen: ft.text("listen", ""), Join: ft.textList("join"), Zone: ft.text("zone", ""), Nodes: nodes,
-		Lease: ft.duration("lease", defaultLease), Settle: ft.duration("settle", defaultSettle), Probe: ft.duration("probe", defaultProbe),
+		Listen: ft.text("listen", ""),
+		Join:   ft.textList("join"),
+		Zone:   ft.text("zone", ""),
+		Nodes:  nodes,
+		Lease:  ft.duration("lease", defaultLease),
+		Settle: ft.duration("settle", defaultSettle),
+		Probe:  ft.duration("probe", defaultProbe),
 	}
 	p.Fleet.Advertise = ft.text("advertise", p.Fleet.Listen)
 	p.Fleet.checkAddresses(ft)
@@ -31,11 +46,16 @@
 	ft.rejectUnknownKeys()
 }
 
+// checkAddresses checks the addresses of this node and of the members that it asks at the start.
 func (f *Fleet) checkAddresses(ft *table) {
-	if err := checkIPAddress(f.Listen, true); err != nil {
+	if err := checkIPAddress(f.Listen, listenAddress); err != nil {
 		ft.fault("listen", "%v", err)
 	}
-	if err := checkIPAddress(f.Advertise, !ft.has("advertise")); err != nil {
+	use := listenAddress // Advertise defaults to Listen, whose port may be 0
+	if ft.has("advertise") {
+		use = remoteAddress
+	}
+	if err := checkIPAddress(f.Advertise, use); err != nil {
 		ft.fault("advertise", "%v", err)
 	} else if host, _, _ := net.SplitHostPort(f.Advertise); net.ParseIP(host).IsUnspecified() {
 		ft.fault("advertise", "%s is no address that others can reach: say which one is", f.Advertise)
@@ -45,21 +65,22 @@
 		f.Join = nil
 	}
 	for i, addr := range f.Join {
-		if err := checkAddress(addr, false); err != nil {
+		if err := checkAddress(addr, remoteAddress); err != nil {
 			ft.fault(fmt.Sprintf("join[%d]", i), "%v", err)
 		}
 	}
 }
 
+// checkDurations checks the times against their bounds.
 func (f *Fleet) checkDurations(ft *table) {
 	for _, d := range []struct {
 		key         string
 		value       time.Duration
 		least, most time.Duration
 	}{
-		{"lease", f.Lease, 500 * time.Millisecond, time.Minute},
-		{"settle", f.Settle, 100 * time.Millisecond, time.Minute},
-		{"probe", f.Probe, 50 * time.Millisecond, 10 * time.Second},
+		{"lease", f.Lease, minLease, maxLease},
+		{"settle", f.Settle, minSettle, maxSettle},
+		{"probe", f.Probe, minProbe, maxProbe},
 	} {
 		if d.value < d.least || d.value > d.most {
 			ft.fault(d.key, "%v is not between %v and %v", d.value, d.least, d.most)
@@ -82,7 +103,7 @@
 	}
 }
 
-// fleetKey reads the key that all members share, for AES-128, -192 or -256; nil if it is absent.
+// fleetKey reads the key that all members share, for AES-128, AES-192 or AES-256. It returns nil if the key is absent.
 func fleetKey(ft *table) (key []byte) {
 	text := ft.text("key", "")
 	if !ft.has("key") {
--- a/internal/operator/key_lines.go
+++ b/internal/operator/key_lines.go
@@ -79,7 +79,7 @@
 	for key := e.Key(); key.Next(); {
 		path = joinPath(path, string(key.Node().Data))
 		line = l.lineOf(key.Node())
-		if _, is := l.lines[path]; !is {
+		if _, ok := l.lines[path]; !ok {
 			l.lines[path] = line
 		}
 	}
--- a/internal/operator/limits.go
+++ b/internal/operator/limits.go
@@ -19,11 +19,11 @@
 
 // sharedLimit is one of the limits that pools share.
 type sharedLimit struct {
-	key      string
-	bytes    bool // values may have a unit of bytes
-	total    *int64
-	quota    func(*Limits) *pool.Quota
-	reserved int64 // part of the total that pools can't have
+	key      string                    // in [limits] and in a pool's limits
+	bytes    bool                      // values may have a unit of bytes
+	total    *int64                    // where the plan holds the total
+	quota    func(*Limits) *pool.Quota // where a pool's limits hold its quota
+	reserved int64                     // part of the total that pools can't have
 }
 
 // limits reads [limits], what the process may use in all, and each pool's quotas. By default the pools' minima are equal
@@ -46,9 +46,11 @@
 // totals reads [limits].
 func (d *document) totals(t *table, pools int, p *Plan) []sharedLimit {
 	lt := t.tableOrEmpty("limits")
-	p.MemoryMB, p.Cores = lt.number("memory_mb", 0), lt.number("cores", 0)
+	p.MemoryMB = lt.number("memory_mb", 0)
+	p.Cores = lt.number("cores", 0)
 	descriptors := lt.count("descriptors", defaultDescriptors)
-	if least := int64(reservedDescriptors + descriptorsPerPool*pools + minCallerDescriptors); descriptors < least || descriptors > maxDescriptors {
+	least := int64(reservedDescriptors + descriptorsPerPool*pools + minCallerDescriptors)
+	if descriptors < least || descriptors > maxDescriptors {
 		lt.fault("descriptors", "%d is not between %d, the least for %d pools, and %d", descriptors, least, pools, maxDescriptors)
 		descriptors = max(least, defaultDescriptors)
 	}
@@ -75,27 +77,56 @@
 	p.Totals = TotalsFor(descriptors, p.MemoryMB, pools)
 	p.Totals.NewCallers.Min = p.Totals.DownstreamConns / newCallersShare
 	// A caller's connection carries one call at a time (HTTP/1.1), so there can't be more calls than callers.
-	p.Totals.Calls, p.Totals.PendingCalls = p.Totals.DownstreamConns, p.Totals.DownstreamConns
+	p.Totals.Calls = p.Totals.DownstreamConns
+	p.Totals.PendingCalls = p.Totals.DownstreamConns
 	if p.ExtProc == nil {
 		return
 	}
 	// A proxy's connection carries many questions, which cost memory but no descriptors.
 	questions := p.ExtProc.Streams
 	if p.MemoryMB > 0 {
-		questions = min(questions, int64(p.MemoryMB*(1<<20)/questionsMemoryShare/questionBytes))
+		questions = min(questions, int64(p.MemoryMB*bytesPerMiB/questionsMemoryShare/questionBytes))
 	}
-	p.Totals.Calls, p.Totals.PendingCalls = p.Totals.Calls+questions, p.Totals.PendingCalls+questions
+	p.Totals.Calls += questions
+	p.Totals.PendingCalls += questions
 }
 
 // sharedLimits returns all limits that pools share.
 func (p *Plan) sharedLimits() []sharedLimit {
 	return []sharedLimit{
-		{"calls", false, &p.Totals.Calls, func(l *Limits) *pool.Quota { return &l.Calls }, 0},
-		{"held", false, &p.Totals.PendingCalls, func(l *Limits) *pool.Quota { return &l.PendingCalls }, 0},
-		{"connections", false, &p.Totals.Connections, func(l *Limits) *pool.Quota { return &l.Connections }, 0},
-		{"callers", false, &p.Totals.DownstreamConns, func(l *Limits) *pool.Quota { return &l.DownstreamConns }, p.Totals.NewCallers.Min},
-		{"bodies", true, &p.Totals.RequestBodies, func(l *Limits) *pool.Quota { return &l.RequestBodies }, 0},
-		{"long_answers", true, &p.Totals.ResponseBuffers, func(l *Limits) *pool.Quota { return &l.ResponseBuffers }, 0},
+		{
+			key:   "calls",
+			total: &p.Totals.Calls,
+			quota: func(l *Limits) *pool.Quota { return &l.Calls },
+		},
+		{
+			key:   "held",
+			total: &p.Totals.PendingCalls,
+			quota: func(l *Limits) *pool.Quota { return &l.PendingCalls },
+		},
+		{
+			key:   "connections",
+			total: &p.Totals.Connections,
+			quota: func(l *Limits) *pool.Quota { return &l.Connections },
+		},
+		{
+			key:      "callers",
+			total:    &p.Totals.DownstreamConns,
+			quota:    func(l *Limits) *pool.Quota { return &l.DownstreamConns },
+			reserved: p.Totals.NewCallers.Min,
+		},
+		{
+			key:   "bodies",
+			bytes: true,
+			total: &p.Totals.RequestBodies,
+			quota: func(l *Limits) *pool.Quota { return &l.RequestBodies },
+		},
+		{
+			key:   "long_answers",
+			bytes: true,
+			total: &p.Totals.ResponseBuffers,
+			quota: func(l *Limits) *pool.Quota { return &l.ResponseBuffers },
+		},
 	}
 }
 
@@ -134,6 +165,7 @@
 	}
 }
 
+// read reads a value of the limit.
 func (s *sharedLimit) read(t *table, key string, def int64) int64 {
 	if s.bytes {
 		return t.bytes(key, def)
--- a/internal/operator/listeners.go
+++ b/internal/operator/listeners.go
@@ -18,7 +18,8 @@
 // listeners reads the addresses to listen on, with what callers over HTTP/2 and proxies may do there. It reports whether the
 // file sets the window of HTTP/2.
 func (d *document) listeners(t *table, p *Plan) (hasWindow bool) {
-	p.Listen, p.ListenH2 = t.textList("listen"), t.textList("listen_h2")
+	p.Listen = t.textList("listen")
+	p.ListenH2 = t.textList("listen_h2")
 	h2 := t.tableOrEmpty("h2")
 	p.H2 = H2{
 		Streams: h2.countBetween("streams", defaultH2Streams, 1, maxH2Streams),
@@ -54,7 +55,7 @@
 		if i >= len(p.Listen) {
 			key = fmt.Sprintf("listen_h2[%d]", i-len(p.Listen))
 		}
-		if err := checkAddress(addr, true); err != nil {
+		if err := checkAddress(addr, listenAddress); err != nil {
 			t.fault(key, "%v", err)
 		} else if slices.Contains(all[:i], addr) && !strings.HasSuffix(addr, ":0") {
 			t.fault(key, "%s stands there twice", addr)
@@ -65,7 +66,9 @@
 // limitH2Window lowers the default window so that all callers together can't send more than the memory for bodies. One body
 // of the greatest length always fits.
 func (p *Plan) limitH2Window() {
-	if p.MemoryMB > 0 {
-		p.H2.Window = int(min(int64(p.H2.Window), max(message.MaxBody, p.Totals.RequestBodies/max(1, p.Totals.DownstreamConns))))
+	if p.MemoryMB == 0 {
+		return // the memory is not known
 	}
+	bytesPerCaller := p.Totals.RequestBodies / max(1, p.Totals.DownstreamConns)
+	p.H2.Window = int(min(int64(p.H2.Window), max(message.MaxBody, bytesPerCaller)))
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -4,7 +4,8 @@
 // docs/pools.md, docs/xds.md, docs/extproc.md, docs/zones.md, docs/fleet.md; examples: deploy/examples.
 //
 // It never opens a listener or follows an address. Its only I/O is reading the file, and looking whether the directory of
-// the key state is there.
+// the key state is there. Load and Parse may be called from any goroutine. A Plan is not changed once it is returned, so any
+// number of goroutines may read it.
 //
 // Most files read one table of the document: listeners.go, pools.go, classes.go, servers.go, limits.go, routes.go, xds.go,
 // extproc.go, zones.go and fleet.go. document.go decodes the file, key_lines.go finds the line of each key, table.go reads
@@ -54,10 +55,10 @@
 func (d *document) plan(t *table) Plan {
 	p := Plan{Name: t.text("name", "cranegrade")}
 	hasWindow := d.listeners(t, &p)
-	nodes, index := d.position(t)
-	pools := d.pools(t, &p, nodes, index)
-	d.zones(t, pools, &p, nodes)
-	d.fleet(t, &p, nodes)
+	position := d.position(t)
+	pools := d.pools(t, &p, position)
+	d.zones(t, pools, &p, position.nodes)
+	d.fleet(t, &p, position.nodes)
 	d.limits(t, pools, &p)
 	if !hasWindow {
 		p.limitH2Window()
@@ -70,15 +71,22 @@
 	return p
 }
 
-// position reads how many nodes share the servers, and which of them this one is, counted from 0.
-func (d *document) position(t *table) (nodes, index int) {
-	n, i := t.count("nodes", 1), t.count("index", 0)
-	if n < 1 || n > maxNodes {
-		t.fault("nodes", "%d is not between 1 and %d", n, maxNodes)
-	} else if i >= n {
-		t.fault("index", "%d is no index of %d nodes, which count from 0", i, n)
+// nodePosition is the place of this node among those that share the servers.
+type nodePosition struct {
+	nodes int // how many there are; default 1
+	index int // of this one, counted from 0; default 0
+}
+
+// position reads the keys nodes and index.
+func (d *document) position(t *table) nodePosition {
+	nodes := t.count("nodes", 1)
+	index := t.count("index", 0)
+	if nodes < 1 || nodes > maxNodes {
+		t.fault("nodes", "%d is not between 1 and %d", nodes, maxNodes)
+	} else if index >= nodes {
+		t.fault("index", "%d is no index of %d nodes, which count from 0", index, nodes)
 	}
-	return int(n), int(i)
+	return nodePosition{nodes: int(nodes), index: int(index)}
 }
 
 // control reads the addresses for inspection and for operators' commands, and the directory for a hot restart.
@@ -96,7 +104,7 @@
 	}
 }
 
-// loopbackKey reads an address that only this machine may reach; "" if it is absent.
+// loopbackKey reads an address that only this machine may reach. It returns "" if the key is absent.
 func loopbackKey(t *table, key string) string {
 	addr := t.text(key, "")
 	if t.has(key) {
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -43,7 +43,7 @@
 	for i, rt := range tables {
 		r := readRoute(rt, pools)
 		match := fmt.Sprintf("%q", []any{r.Host, r.Path, r.Prefix, r.Regexp, r.Methods, r.Headers, r.Classes})
-		if first, is := seen[match]; is {
+		if first, ok := seen[match]; ok {
 			d.fault(rt.path, "would never be reached: routes[%d] matches the same and stands before it", first)
 		} else {
 			seen[match] = i
@@ -67,8 +67,13 @@
 // readRoute reads one of the [[routes]].
 func readRoute(t *table, pools map[string]*Pool) route.Route {
 	r := route.Route{
-		Host: t.text("host", ""), Path: t.text("path", ""), Prefix: t.text("prefix", ""),
-		Regexp: t.text("regexp", ""), Methods: t.textList("methods"), Classes: t.textList("classes"), Class: t.text("class", ""),
+		Host:    t.text("host", ""),
+		Path:    t.text("path", ""),
+		Prefix:  t.text("prefix", ""),
+		Regexp:  t.text("regexp", ""),
+		Methods: t.textList("methods"),
+		Classes: t.textList("classes"),
+		Class:   t.text("class", ""),
 	}
 	if r.Host == "*" {
 		r.Host = "" // any host
--- a/internal/operator/servers.go
+++ b/internal/operator/servers.go
@@ -8,7 +8,8 @@
 // servers reads where a pool's servers are listed: a registry, a cluster, or [[pools.servers]]. Servers beside a cluster are
 // those known last, which serve until the control plane has sent a list.
 func (d *document) servers(t *table, p *Pool) {
-	p.List.Registry, p.List.XDS = t.text("registry", ""), t.text("xds", "")
+	p.List.Registry = t.text("registry", "")
+	p.List.XDS = t.text("xds", "")
 	tables := t.subtables("servers")
 	checkList(t, p.List, len(tables))
 	static := readServers(tables)
@@ -32,7 +33,7 @@
 	case t.has("registry") && t.has("servers"):
 		t.fault("servers", "a pool has a registry or servers, not both")
 	case t.has("registry"):
-		if err := checkAddress(list.Registry, false); err != nil {
+		if err := checkAddress(list.Registry, remoteAddress); err != nil {
 			t.fault("registry", "%v", err)
 		}
 	case servers == 0:
@@ -44,11 +45,16 @@
 func readServers(tables []*table) (servers []engine.Listed) {
 	ids := map[string]bool{}
 	for _, st := range tables {
-		s := engine.Listed{Addr: st.text("address", ""), Server: balancer.Server{
-			ID:   st.text("id", ""),
-			Zone: st.text("zone", ""), Cell: int(st.count("cell", 0)), Size: st.number("size", 1),
-		}}
-		if err := checkAddress(s.Addr, false); err != nil {
+		s := engine.Listed{
+			Addr: st.text("address", ""),
+			Server: balancer.Server{
+				ID:   st.text("id", ""),
+				Zone: st.text("zone", ""),
+				Cell: int(st.count("cell", 0)),
+				Size: st.number("size", 1),
+			},
+		}
+		if err := checkAddress(s.Addr, remoteAddress); err != nil {
 			st.fault("address", "%v", err)
 		}
 		idKey := "id"
--- a/internal/operator/suggestion.go
+++ b/internal/operator/suggestion.go
@@ -9,8 +9,8 @@
 	maxSuggestionLength = 40
 )
 
-// suggestion returns the end of a fault of an unknown key, which names the known key that is nearest to it; "" if none is
-// near.
+// suggestion returns the end of a fault of an unknown key, which names the known key that is nearest to it.
+// It is empty if none is near.
 func (t *table) suggestion(key string) string {
 	best, least := "", maxSuggestionDistance
 	for known := range t.known {
--- a/internal/operator/table.go
+++ b/internal/operator/table.go
@@ -25,6 +25,7 @@
 	known    map[string]bool // the keys that were asked for
 }
 
+// newTable returns a table none of whose keys has been read.
 func newTable(d *document, path string, values map[string]any) *table {
 	return &table{document: d, path: path, values: values, known: map[string]bool{}}
 }
@@ -37,16 +38,17 @@
 	t.document.fault(t.pathOf(key), format, args...)
 }
 
+// get returns the value of a key as the library decoded it, and marks the key as known.
 func (t *table) get(key string) (any, bool) {
 	t.known[key] = true
-	v, is := t.values[key]
-	return v, is
+	v, ok := t.values[key]
+	return v, ok
 }
 
 // has reports whether the file has the key. It does not mark the key as known.
 func (t *table) has(key string) bool {
-	_, is := t.values[key]
-	return is
+	_, ok := t.values[key]
+	return ok
 }
 
 // sortedKeys returns the keys of the table in the order of their names, since TOML does not keep the file's order.
@@ -63,8 +65,8 @@
 	}
 }
 
-// read returns the value of a key, converted to T, or def if the key is absent. If convert fails, that is a fault which says
-// that what is wanted.
+// read returns the value of a key, converted to T, or def if the key is absent. If convert fails, that is a fault, and what
+// describes in it the values that are allowed.
 func read[T any](t *table, key, what string, def T, convert func(any) (T, bool)) T {
 	v, is := t.get(key)
 	if !is {
@@ -151,7 +153,11 @@
 var byteUnits = []struct {
 	suffix string
 	bytes  int64
-}{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}}
+}{
+	{"KiB", 1 << 10},
+	{"MiB", 1 << 20},
+	{"GiB", 1 << 30},
+}
 
 // bytes reads a number of bytes: a whole number, or a string with a unit.
 func (t *table) bytes(key string, def int64) int64 {
@@ -161,7 +167,7 @@
 			return v, v >= 0
 		case string:
 			for _, u := range byteUnits {
-				if s, is := strings.CutSuffix(v, u.suffix); is {
+				if s, ok := strings.CutSuffix(v, u.suffix); ok {
 					n, err := strconv.ParseInt(strings.TrimSpace(s), 10, 64)
 					return n * u.bytes, err == nil && n >= 0 && n <= math.MaxInt64/2/u.bytes
 				}
@@ -171,7 +177,7 @@
 	})
 }
 
-// textList reads an array of strings; nil if it is absent or empty.
+// textList reads an array of strings. It returns nil if the array is absent or empty.
 func (t *table) textList(key string) []string {
 	l := read(t, key, "an array of strings", nil, as[[]any])
 	out := make([]string, 0, len(l))
@@ -188,7 +194,7 @@
 	return out
 }
 
-// subtable reads a table; nil if it is absent.
+// subtable reads a table. It returns nil if the table is absent.
 func (t *table) subtable(key string) *table {
 	values := read(t, key, "a table", nil, as[map[string]any])
 	if values == nil {
@@ -197,7 +203,7 @@
 	return newTable(t.document, t.pathOf(key), values)
 }
 
-// tableOrEmpty reads a table; an empty one if it is absent.
+// tableOrEmpty reads a table. It returns an empty one if the table is absent.
 func (t *table) tableOrEmpty(key string) *table {
 	if s := t.subtable(key); s != nil {
 		return s
--- a/internal/operator/xds.go
+++ b/internal/operator/xds.go
@@ -25,12 +25,18 @@
 	}
 	locality := xt.tableOrEmpty("locality")
 	p.XDS = &XDS{
-		Servers: xt.textList("servers"), Delta: choice(xt, "variant", true, map[string]bool{"delta": true, "sotw": false}),
-		NodeID: xt.text("node_id", p.Name), NodeCluster: xt.text("node_cluster", "cranegrade"),
-		Region: locality.text("region", ""), Zone: locality.text("zone", ""), SubZone: locality.text("sub_zone", ""),
-		Timeout: xt.duration("resource_timeout", defaultResourceTimeout), KeepOnRemoval: xt.boolean("keep_on_removal", false),
-		EmptyGrace: xt.duration("empty_grace", defaultEmptyGrace), MaxResponse: xt.bytes("max_response", defaultMaxResponse),
-		LoadReports: xt.duration("load_reports", 0),
+		Servers:       xt.textList("servers"),
+		Delta:         choice(xt, "variant", true, map[string]bool{"delta": true, "sotw": false}),
+		NodeID:        xt.text("node_id", p.Name),
+		NodeCluster:   xt.text("node_cluster", "cranegrade"),
+		Region:        locality.text("region", ""),
+		Zone:          locality.text("zone", ""),
+		SubZone:       locality.text("sub_zone", ""),
+		Timeout:       xt.duration("resource_timeout", defaultResourceTimeout),
+		KeepOnRemoval: xt.boolean("keep_on_removal", false),
+		EmptyGrace:    xt.duration("empty_grace", defaultEmptyGrace),
+		MaxResponse:   xt.bytes("max_response", defaultMaxResponse),
+		LoadReports:   xt.duration("load_reports", 0),
 	}
 	p.XDS.check(xt)
 	locality.rejectUnknownKeys()
@@ -43,7 +49,7 @@
 		xt.fault("servers", "missing: the control planes, the preferred one first")
 	}
 	for i, addr := range x.Servers {
-		if err := checkAddress(addr, false); err != nil {
+		if err := checkAddress(addr, remoteAddress); err != nil {
 			xt.fault(fmt.Sprintf("servers[%d]", i), "%v", err)
 		}
 	}
--- a/internal/operator/zones.go
+++ b/internal/operator/zones.go
@@ -16,7 +16,11 @@
 )
 
 // unknowns are the words for what to do with a caller whose zone is not known.
-var unknowns = map[string]zone.UnknownZonePolicy{"last": zone.UnknownZoneLast, "home": zone.UnknownZoneAsHome, "never": zone.UnknownZoneNever}
+var unknowns = map[string]zone.UnknownZonePolicy{
+	"last":  zone.UnknownZoneLast,
+	"home":  zone.UnknownZoneAsHome,
+	"never": zone.UnknownZoneNever,
+}
 
 // zones reads [zones], and which pools are served by zone: all that don't say otherwise.
 func (d *document) zones(t *table, pools []*table, p *Plan, nodes int) {
@@ -32,10 +36,16 @@
 	if zt == nil {
 		return
 	}
-	z := &Zones{State: zt.text("state", ""), Config: zone.Config{
-		Home: zt.text("home", ""), LatencyWeight: zt.number("second", 0),
-		UnknownZones: choice(zt, "unknown", zone.UnknownZoneLast, unknowns), Nodes: max(1, nodes), Costs: map[zone.Pair]zone.Cost{},
-	}}
+	z := &Zones{
+		State: zt.text("state", ""),
+		Config: zone.Config{
+			Home:          zt.text("home", ""),
+			LatencyWeight: zt.number("second", 0),
+			UnknownZones:  choice(zt, "unknown", zone.UnknownZoneLast, unknowns),
+			Nodes:         max(1, nodes),
+			Costs:         map[zone.Pair]zone.Cost{},
+		},
+	}
 	p.Zones = z
 	if z.Config.Home == "" {
 		zt.fault("home", "missing: the zone that this node stands in")
@@ -89,15 +99,23 @@
 // zoneLimit reads a pair's limits and returns this node's part of them. limited reports whether the pair has any.
 func zoneLimit(pt *table, pair zone.Pair, classes map[string]bool, nodes int) (l zone.Limit, limited bool) {
 	l = zone.Limit{
-		Pair: pair, RequestsHour: pt.count("requests_hour", 0), RequestsDay: pt.count("requests_day", 0),
-		BytesHour: pt.bytes("bytes_hour", 0), BytesDay: pt.bytes("bytes_day", 0), ExemptClasses: pt.textList("beyond"),
-		OutageShare: pt.number("lend", 0), ResponseBytes: pt.bytes("reply", 0),
+		Pair:          pair,
+		RequestsHour:  pt.count("requests_hour", 0),
+		RequestsDay:   pt.count("requests_day", 0),
+		BytesHour:     pt.bytes("bytes_hour", 0),
+		BytesDay:      pt.bytes("bytes_day", 0),
+		ExemptClasses: pt.textList("beyond"),
+		OutageShare:   pt.number("lend", 0),
+		ResponseBytes: pt.bytes("reply", 0),
 	}
 	limited = l.RequestsHour+l.RequestsDay+l.BytesHour+l.BytesDay > 0
 	checkZoneLimit(pt, l, limited, classes, nodes)
 	if limited {
-		part := func(n int64) int64 { return n / int64(max(1, nodes)) }
-		l.RequestsHour, l.RequestsDay, l.BytesHour, l.BytesDay = part(l.RequestsHour), part(l.RequestsDay), part(l.BytesHour), part(l.BytesDay)
+		parts := int64(max(1, nodes))
+		l.RequestsHour /= parts
+		l.RequestsDay /= parts
+		l.BytesHour /= parts
+		l.BytesDay /= parts
 	}
 	return l, limited
 }
@@ -118,7 +136,10 @@
 		pt.fault("lend", "%v is over %d: it is a share of the limits", l.OutageShare, maxLend)
 	}
 	for key, n := range map[string]int64{
-		"requests_hour": l.RequestsHour, "requests_day": l.RequestsDay, "bytes_hour": l.BytesHour, "bytes_day": l.BytesDay,
+		"requests_hour": l.RequestsHour,
+		"requests_day":  l.RequestsDay,
+		"bytes_hour":    l.BytesHour,
+		"bytes_day":     l.BytesDay,
 	} {
 		if n > 0 && n < int64(nodes) {
 			pt.fault(key, "%d is less than one for each of %d nodes, which have a part of it each", n, nodes)
@@ -126,7 +147,7 @@
 	}
 }
 
-// zoneCost reads the cost of a request; never stands for an infinite price.
+// zoneCost reads the cost of a request. The key never stands for an infinite price.
 func zoneCost(t *table) zone.Cost {
 	c := zone.Cost{Latency: t.duration("latency", 0), Price: t.number("price", 0)}
 	if t.boolean("never", false) {
