--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -4,6 +4,9 @@
 //
 // The port shares nothing with requests, neither queue nor budget nor a lock that is held over I/O, so that a node under
 // overload still answers. The package never decides what a command does: that is up to the Handler.
+//
+// The node owns its Server, whose methods may be called from any goroutine; the Handler runs on a goroutine of each
+// connection. Send is for the operator's side and shares nothing with a Server.
 package admin
 
 import (
@@ -24,20 +27,30 @@
 	DrainOff Verb = "drain-off" // revoke a drain-on
 )
 
+// serverArgument is the argument of the verbs that concern one server.
 const serverArgument = "the id of a server"
 
-// arguments describes the argument of each verb; "" if it takes none.
-var arguments = map[Verb]string{Check: "", SetDown: serverArgument, SetUp: serverArgument, DrainOn: "", DrainOff: ""}
+// arguments describes the argument of each verb. It is empty for a verb that takes none.
+var arguments = map[Verb]string{
+	Check:    "",
+	SetDown:  serverArgument,
+	SetUp:    serverArgument,
+	DrainOn:  "",
+	DrainOff: "",
+}
 
 // Command is what an operator asks for.
 type Command struct {
 	Verb Verb
-	ID   string // of a server; "" unless the verb takes one
+	ID   string // of a server; empty unless the verb takes one
 }
 
 // String returns the command as a line, without its end.
 func (c Command) String() string { return strings.TrimSpace(string(c.Verb) + " " + c.ID) }
 
+// asciiDelete is the control character above the printable ones.
+const asciiDelete = 0x7f
+
 // MaxLine bounds the bytes of a command's line, with its end.
 const MaxLine = 512
 
@@ -54,7 +67,7 @@
 		return Command{}, ErrTooLong
 	}
 	for _, c := range []byte(line) {
-		if c < ' ' && c != '\t' || c == 0x7f {
+		if c < ' ' && c != '\t' || c == asciiDelete {
 			return Command{}, ErrUnprintable
 		}
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -48,7 +48,7 @@
 	closed bool
 }
 
-// Listen listens at addr, host:port. Serve accepts.
+// Listen listens at addr, host:port. Connections wait until Serve accepts them.
 func Listen(addr string, handle Handler) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -124,13 +124,7 @@
 
 // serve reads and answers the command of one connection.
 func (s *Server) serve(conn net.Conn, silent *list.Element) {
-	defer func() {
-		s.removeSilent(silent)
-		conn.Close()
-		s.mu.Lock()
-		s.open--
-		s.mu.Unlock()
-	}()
+	defer s.release(conn, silent)
 	_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
 	line, err := readLine(conn, func() { s.markActive(silent) })
 	if err != nil && !errors.Is(err, ErrTooLong) {
@@ -139,14 +133,29 @@
 	s.removeSilent(silent)
 	answer := s.answer(line, err)
 	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	_, _ = io.WriteString(conn, answer)
-	if tcp, is := conn.(*net.TCPConn); is {
-		// The rest of what the caller has sent is read, because closing the connection with data unread resets it, and the
-		// caller might lose the answer.
-		_ = tcp.CloseWrite()
-		_ = conn.SetReadDeadline(time.Now().Add(lingerTimeout))
-		_, _ = io.Copy(io.Discard, io.LimitReader(conn, MaxLine))
+	_, _ = io.WriteString(conn, answer) // a caller that has gone gets no answer
+	discardRest(conn)
+}
+
+// release closes a connection that has been served, and makes room for another.
+func (s *Server) release(conn net.Conn, silent *list.Element) {
+	s.removeSilent(silent)
+	conn.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.open--
+}
+
+// discardRest reads what the caller has sent beyond its line, because closing a connection with data unread resets it, and
+// the caller might lose the answer.
+func discardRest(conn net.Conn) {
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		return
 	}
+	_ = tcp.CloseWrite()
+	_ = conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.Copy(io.Discard, io.LimitReader(conn, MaxLine))
 }
 
 // answer executes a line, or refuses it if err says why it could not be read, and returns the line of the answer.
--- a/internal/adminstate/seen_servers.go
+++ b/internal/adminstate/seen_servers.go
@@ -32,6 +32,7 @@
 // Add remembers that a server has left the list.
 func (s *SeenServers) Add(id string) { s.add(Hash(id)) }
 
+// add remembers a server by the hash of its id, in place of the one that left first if the ring is full.
 func (s *SeenServers) add(hash uint64) {
 	if s.capacity == 0 || s.counts[hash] > 0 {
 		return // a server that comes and goes keeps its place: it is listed most of the time anyway
--- a/internal/adminstate/state.go
+++ b/internal/adminstate/state.go
@@ -14,7 +14,7 @@
 
 // Override is the latest command about one matter: a server, or the drain.
 type Override struct {
-	On    bool          `json:"on"`              // the server is down, or callers are drained; false: that was revoked
+	On    bool          `json:"on"`              // whether the server is down, or callers are drained; false once that was revoked
 	At    time.Duration `json:"at"`              // Unix time of the command
 	Since time.Duration `json:"since,omitempty"` // Unix time of the first command that set On, before it was revoked
 }
@@ -60,7 +60,7 @@
 // ErrTooManyDown says that MaxServersDown servers are down. One of them has to be set up first.
 var ErrTooManyDown = errors.New("too many servers are taken out")
 
-// SetServer sets a server down, or up again.
+// SetServer sets a server down, or up again. now is Unix time. The error is ErrTooManyDown, and nothing has changed then.
 func (s *State) SetServer(id string, down bool, now time.Duration) error {
 	before, known := s.Servers[id]
 	if !known && !down {
@@ -75,6 +75,7 @@
 	return nil
 }
 
+// set stores an override of a server.
 func (s *State) set(id string, o Override) {
 	if s.Servers == nil {
 		s.Servers = map[string]Override{}
@@ -82,7 +83,7 @@
 	s.Servers[id] = o
 }
 
-// SetDrain sends callers to other nodes, or no longer does.
+// SetDrain sends callers to other nodes, or no longer does. now is Unix time.
 func (s *State) SetDrain(on bool, now time.Duration) {
 	if on || s.Drain.At > 0 {
 		s.Drain = s.Drain.next(on, now)
@@ -116,7 +117,7 @@
 }
 
 // Clone returns a copy that shares nothing with s.
-func (s State) Clone() State { return State{maps.Clone(s.Servers), s.Drain} }
+func (s State) Clone() State { return State{Servers: maps.Clone(s.Servers), Drain: s.Drain} }
 
 // IsDown reports whether a server is down.
 func (s State) IsDown(id string) bool { return s.Servers[id].On }
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -12,5 +12,5 @@
 //
 // A Server and a started Link each have a goroutine, which ends with Close. Close does not wait for it,
 // since it may be called while the goroutine's callbacks wait for locks of the caller; Link.Done says when
-// that of a link has ended.
+// that of a link has ended. The design is in docs/design/handover.md.
 package hotrestart
--- a/internal/hotrestart/file.go
+++ b/internal/hotrestart/file.go
@@ -12,7 +12,8 @@
 
 const (
 	// fileName is the file in the directory of state that keeps the administrative state.
-	fileName     = "cranegrade.orders"
+	fileName = "cranegrade.orders"
+	// maxFileBytes bounds the file, so that one of another origin does not fill the memory.
 	maxFileBytes = 4 << 20
 )
 
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -26,11 +26,12 @@
 	conn     *net.UnixConn
 	handlers Handlers // set by Start
 
-	writeMu sync.Mutex // held while a message is written
-	mu      sync.Mutex // guards below
-	lastID  uint64
-	acks    map[uint64]chan struct{} // by the id of a message that waits for its acknowledgement
-	done    chan struct{}            // closed when the other side is gone
+	done    chan struct{} // closed when the other side is gone
+	writeMu sync.Mutex    // held while a message is written
+
+	mu     sync.Mutex // guards the fields below
+	lastID uint64
+	acks   map[uint64]chan struct{} // by the id of a message that waits for its acknowledgement
 }
 
 // Handlers are called for what the other process sends, on the link's goroutine and in order; a message is
@@ -43,7 +44,7 @@
 
 // message is a line of a link, in JSON.
 type message struct {
-	ID         uint64            `json:"n,omitempty"`   // to be acknowledged; 0: not
+	ID         uint64            `json:"n,omitempty"`   // of a message that is to be acknowledged; otherwise 0
 	Ack        uint64            `json:"ack,omitempty"` // id of a message of the receiver
 	AdminState *adminstate.State `json:"orders,omitempty"`
 	Serving    bool              `json:"serving,omitempty"`
@@ -55,6 +56,7 @@
 	PID     int `json:"pid"`
 }
 
+// newLink returns a link that reads nothing before Start.
 func newLink(conn *net.UnixConn) *Link {
 	return &Link{conn: conn, acks: map[uint64]chan struct{}{}, done: make(chan struct{})}
 }
@@ -123,6 +125,7 @@
 	}
 }
 
+// send writes a message, without waiting for its acknowledgement.
 func (l *Link) send(m message) error {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -153,7 +156,7 @@
 		delete(l.acks, m.ID)
 		l.mu.Unlock()
 	}()
-	if err := l.send(m); err != nil {
+	if l.send(m) != nil {
 		l.Close() // run notices it, and closes done
 	}
 	timeout := time.NewTimer(ackTimeout)
@@ -168,10 +171,10 @@
 }
 
 // SendAdminState has the other process merge an administrative state and waits until it is in effect
-// there; ErrUnconfirmed if that takes too long.
+// there. The error is ErrUnconfirmed if that takes too long.
 func (l *Link) SendAdminState(s adminstate.State) error {
 	return l.sendAndWait(message{AdminState: &s})
 }
 
-// SendServing tells the predecessor that this process accepts clients.
+// SendServing tells the predecessor that this process accepts clients. The error is that of SendAdminState.
 func (l *Link) SendServing() error { return l.sendAndWait(message{Serving: true}) }
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -41,6 +41,7 @@
 	return p, nil
 }
 
+// dialPredecessor connects to the socket in dir. The error is ErrNoPredecessor if no process listens there.
 func dialPredecessor(dir string) (*net.UnixConn, error) {
 	info, err := os.Lstat(filepath.Join(dir, socketName))
 	if err != nil {
@@ -71,7 +72,7 @@
 		return nil, errors.New("it belongs to another user")
 	}
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout)) // if it fails, so does the write
-	text, err := json.Marshal(hello{Version, os.Getpid()})
+	text, err := json.Marshal(hello{Version: Version, PID: os.Getpid()})
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +93,11 @@
 		return nil, fmt.Errorf("its state: %w", err)
 	}
 	_ = conn.SetDeadline(time.Time{}) // if it fails, the link ends at once
-	return &Predecessor{Link: newLink(conn), State: state, sockets: socketsByAddress(state.Listeners, files)}, nil
+	return &Predecessor{
+		Link:    newLink(conn),
+		State:   state,
+		sockets: socketsByAddress(state.Listeners, files),
+	}, nil
 }
 
 // socketsByAddress joins addresses with their sockets. Of two with one address the last is kept.
@@ -109,8 +114,8 @@
 
 // receiveFrame reads what sendFrame writes. The files are the caller's to close, also beside an error.
 func receiveFrame(conn *net.UnixConn) (text []byte, files []*os.File, err error) {
-	var size [4]byte
-	rights := make([]byte, unix.CmsgSpace(maxListeners*4)) // 4 bytes for each file descriptor
+	var size [lengthBytes]byte
+	rights := make([]byte, unix.CmsgSpace(maxListeners*descriptorBytes))
 	n, rightsSize, _, _, err := conn.ReadMsgUnix(size[:], rights)
 	files = receiveSockets(rights[:max(0, rightsSize)])
 	if err != nil || n == 0 {
@@ -147,6 +152,7 @@
 	return files
 }
 
+// closeFiles closes files of which only the descriptors were of use.
 func closeFiles(files []*os.File) {
 	for _, f := range files {
 		_ = f.Close()
--- a/internal/hotrestart/server.go
+++ b/internal/hotrestart/server.go
@@ -13,10 +13,13 @@
 	"golang.org/x/sys/unix"
 )
 
+// socketMode keeps other users from the socket.
+const socketMode = 0o600
+
 // maxHelloBytes bounds a successor's first line.
 const maxHelloBytes = 256
 
-// Server accepts successors.
+// Server waits for successors, on a goroutine of its own. Close may be called from any goroutine.
 type Server struct {
 	listener    *net.UnixListener
 	state       func() (State, []*net.TCPListener)
@@ -41,7 +44,7 @@
 		return nil, err
 	}
 	listener.SetUnlinkOnClose(false) // by then the name may be a successor's
-	if err := errors.Join(os.Chmod(ownPath, 0o600), os.Rename(ownPath, path)); err != nil {
+	if err := errors.Join(os.Chmod(ownPath, socketMode), os.Rename(ownPath, path)); err != nil {
 		_ = listener.Close()
 		_ = os.Remove(ownPath)
 		return nil, err
@@ -128,7 +131,10 @@
 	return files, nil
 }
 
-// sendFrame writes the length of text in 4 bytes, with the sockets beside them, and then text.
+// lengthBytes is how many bytes the length takes at the beginning of a frame, in network byte order.
+const lengthBytes = 4
+
+// sendFrame writes the length of text, with the sockets beside it, and then text.
 func sendFrame(conn *net.UnixConn, text []byte, sockets []*os.File) error {
 	var fds []int
 	for _, f := range sockets {
@@ -138,7 +144,7 @@
 		// File and Fd may have made the socket blocking, and the flag is shared with the listener.
 		_ = unix.SetNonblock(fd, true)
 	}
-	var size [4]byte
+	var size [lengthBytes]byte
 	binary.BigEndian.PutUint32(size[:], uint32(len(text)))
 	var rights []byte
 	if len(fds) > 0 {
--- a/internal/hotrestart/socket.go
+++ b/internal/hotrestart/socket.go
@@ -20,6 +20,8 @@
 	maxSocketPath = 100
 	// maxListeners bounds the sockets that are handed over.
 	maxListeners = 128
+	// descriptorBytes is the size of a file descriptor in a control message.
+	descriptorBytes = 4
 )
 
 // socketPath returns a path of the socket in dir that is short enough for a socket's address. The path is
@@ -36,13 +38,13 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), socketName), func() { _ = d.Close() }, nil
 }
 
-// isOwnFile says that a file belongs to this user, and so was not put there by another.
+// isOwnFile reports whether a file belongs to this user, and so was not put there by another.
 func isOwnFile(info os.FileInfo) bool {
 	stat, ok := info.Sys().(*syscall.Stat_t)
 	return ok && int(stat.Uid) == os.Getuid()
 }
 
-// isSameUser says that the process at the other end is one of this user.
+// isSameUser reports whether the process at the other end is one of this user.
 func isSameUser(conn *net.UnixConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -57,6 +59,7 @@
 	return err == nil && uid == os.Getuid()
 }
 
+// errLineTooLong is the error of readLine for a line over its limit.
 var errLineTooLong = errors.New("the line is too long")
 
 // readLine reads a line without its end. It stops with an error soon after limit bytes.
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -31,7 +31,7 @@
 // Pool is the state of one pool.
 type Pool struct {
 	Name        string              `json:"name"`
-	ListVersion string              `json:"list"` // "": the source has not sent a list
+	ListVersion string              `json:"list"` // empty if the source has not sent a list
 	Servers     []ListedServer      `json:"servers"`
 	Knowledge   *balancer.Knowledge `json:"knowledge,omitempty"`
 }
@@ -43,7 +43,7 @@
 	Zone      string               `json:"zone,omitempty"`
 	Cell      int                  `json:"cell,omitempty"`
 	State     balancer.ServerState `json:"state"`
-	Size      float64              `json:"size,omitempty"`
+	Size      float64              `json:"size,omitempty"` // relative to other servers
 	StartedAt time.Duration        `json:"boot,omitempty"` // Unix time
 	Weight    float64              `json:"weight,omitempty"`
 	Priority  int                  `json:"priority,omitempty"`
@@ -74,9 +74,13 @@
 	return s, nil
 }
 
+// maxOverrides bounds the overrides of servers in a state. MaxServersDown is the limit of servers that are down; revoked
+// overrides are retained for a while beside them.
+const maxOverrides = 2 * adminstate.MaxServersDown
+
+// validate returns an error for a state that the node could not be in.
 func (s *State) validate() error {
-	// The limit is of servers that are down. Revoked overrides are retained for a while beside them.
-	if len(s.AdminState.Servers) > 2*adminstate.MaxServersDown {
+	if len(s.AdminState.Servers) > maxOverrides {
 		return adminstate.ErrTooManyDown
 	}
 	for i := range s.Pools {
@@ -87,6 +91,7 @@
 	return nil
 }
 
+// validate returns an error if a server has no id, one id twice, or a state that does not exist.
 func (p *Pool) validate() error {
 	ids := make(map[string]bool, len(p.Servers))
 	for i, server := range p.Servers {
