--- a/cmd/controlplane/main.go
+++ b/cmd/controlplane/main.go
@@ -15,6 +15,7 @@
 
 func main() { os.Exit(daemon.Main("controlplane", newMember)) }
 
+// newMember makes the role of the process.
 func newMember(set settings.Settings, log zerolog.Logger, ring *logring.Ring, options daemon.Options) (daemon.Role, error) {
 	member, err := controlplane.New(set, log, ring, options.InitialOrders)
 	if err != nil {
--- a/cmd/cranegrade/fleet.go
+++ b/cmd/cranegrade/fleet.go
@@ -17,19 +17,31 @@
 	"cranegrade/internal/program"
 )
 
+// fleetUsage is the help of the command, as part of the program's.
 const fleetUsage = `  cranegrade fleet [-json] -config FILE
                               who is in the fleet, as the running node sees it, and what it may take of what all share
   cranegrade fleet forget NAME -config FILE
-                              take a member off the roll that is dead and won't come back (docs/fleet.md)
+                              take a member off the roll that is dead and won't come back (docs/fleet.md);
+                              for example: cranegrade fleet forget node-3 -config deploy/examples/fleet.toml
 `
 
+// fleetCommand shows and changes who is in the fleet of a running node.
 var fleetCommand = program.Command{Name: "fleet", Usage: fleetUsage, Run: runFleet}
 
 // joinFleet joins the fleet of an operator's file.
 func joinFleet(name string, c operator.Fleet, pools map[string]uint32) (node.Member, error) {
 	f, err := fleet.Start(fleet.Config{
-		Name: name, Zone: c.Zone, Listen: c.Listen, Advertise: c.Advertise, Join: c.Join, Key: c.Key, Lease: c.Lease,
-		Nodes: c.Nodes, SettleTime: c.Settle, ProbeInterval: c.Probe, Pools: fleet.PoolDigests(pools),
+		Name:          name,
+		Zone:          c.Zone,
+		Listen:        c.Listen,
+		Advertise:     c.Advertise,
+		Join:          c.Join,
+		Key:           c.Key,
+		Lease:         c.Lease,
+		Nodes:         c.Nodes,
+		SettleTime:    c.Settle,
+		ProbeInterval: c.Probe,
+		Pools:         fleet.PoolDigests(pools),
 	})
 	if err != nil {
 		return nil, err // not f: a nil *fleet.Fleet in a node.Member is not nil
@@ -39,14 +51,25 @@
 
 // runFleet runs the fleet commands.
 func runFleet(args []string, stdout, stderr io.Writer) int {
-	root := &cobra.Command{Use: "cranegrade fleet", Short: "who is in the fleet, as the running node sees it", SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs}
+	root := &cobra.Command{
+		Use:           "fleet",
+		Annotations:   map[string]string{cobra.CommandDisplayNameAnnotation: "cranegrade fleet"},
+		Short:         "who is in the fleet, as the running node sees it",
+		Example:       "  cranegrade fleet -config deploy/examples/fleet.toml",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		Args:          cobra.NoArgs,
+	}
 	config := root.PersistentFlags().String("config", "", "the node's file, which names its admin address")
 	asJSON := root.PersistentFlags().Bool("json", false, "print all that the node holds as JSON")
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.RunE = func(*cobra.Command, []string) error { return showFleet(stdout, *config, *asJSON) }
 	root.AddCommand(&cobra.Command{
-		Use: "forget NAME", Short: "take a member off the roll that is dead and won't come back", Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error { return forgetMember(stdout, *config, args[0]) },
+		Use:     "forget NAME",
+		Short:   "take a member off the roll that is dead and won't come back",
+		Example: "  cranegrade fleet forget node-3 -config deploy/examples/fleet.toml",
+		Args:    cobra.ExactArgs(1),
+		RunE:    func(_ *cobra.Command, args []string) error { return forgetMember(stdout, *config, args[0]) },
 	})
 	root.SetArgs(longFlags(args))
 	root.SetOut(stdout)
@@ -77,7 +100,8 @@
 
 // forgetMember has a running node remove a dead member from the roster.
 func forgetMember(stdout io.Writer, config, name string) error {
-	if _, err := inspectFleet(http.MethodPost, config, "/fleet/forget?name="+url.QueryEscape(name)); err != nil {
+	path := "/fleet/forget?name=" + url.QueryEscape(name)
+	if _, err := inspectFleet(http.MethodPost, config, path); err != nil {
 		return err
 	}
 	_, err := fmt.Fprintf(stdout, "%s is off the roll\n", name)
@@ -88,7 +112,8 @@
 func longFlags(args []string) []string {
 	long := make([]string, len(args))
 	for i, arg := range args {
-		if long[i] = arg; len(arg) > 2 && arg[0] == '-' && arg[1] != '-' {
+		long[i] = arg
+		if len(arg) > 2 && arg[0] == '-' && arg[1] != '-' {
 			long[i] = "-" + arg
 		}
 	}
--- a/cmd/cranegrade/inspection.go
+++ b/cmd/cranegrade/inspection.go
@@ -39,5 +39,9 @@
 	if err != nil {
 		return inspectionPage{}, fmt.Errorf("asking the node: %w", err)
 	}
-	return inspectionPage{resp.StatusCode, resp.Status, body}, nil
+	return inspectionPage{
+		statusCode: resp.StatusCode,
+		status:     resp.Status,
+		body:       body,
+	}, nil
 }
--- a/cmd/cranegrade/main.go
+++ b/cmd/cranegrade/main.go
@@ -43,19 +43,36 @@
 )
 
 func main() {
-	program.Main(node.Options{XDS: openXDS, ExtProc: newExtProc, ZoneStore: openZoneStore, H2: newH2, GRPC: newGRPC, Fleet: joinFleet},
-		proxyCheckCommand, proxyConfigCommand, zonesCommand, opsCommand, fleetCommand)
+	program.Main(node.Options{
+		XDS:       openXDS,
+		ExtProc:   newExtProc,
+		ZoneStore: openZoneStore,
+		H2:        newH2,
+		GRPC:      newGRPC,
+		Fleet:     joinFleet,
+	},
+		proxyCheckCommand,
+		proxyConfigCommand,
+		zonesCommand,
+		opsCommand,
+		fleetCommand,
+	)
 }
 
 // openXDS opens a client of the control planes of an operator's file.
 func openXDS(x operator.XDS) (node.XDSClient, error) {
 	return xds.Open(client.Config{
-		Servers: x.Servers, Delta: x.Delta, ResourceTimeout: x.Timeout, MaxResponseBytes: int(x.MaxResponse),
+		Servers:            x.Servers,
+		Delta:              x.Delta,
+		ResourceTimeout:    x.Timeout,
+		MaxResponseBytes:   int(x.MaxResponse),
 		Clusters:           resource.ClustersConfig{KeepOnRemoval: x.KeepOnRemoval, EmptyGrace: x.EmptyGrace},
 		LoadReportInterval: x.LoadReports,
 		Node: &corev3.Node{
-			Id: x.NodeID, Cluster: x.NodeCluster, UserAgentName: "cranegrade",
-			Locality: &corev3.Locality{Region: x.Region, Zone: x.Zone, SubZone: x.SubZone},
+			Id:            x.NodeID,
+			Cluster:       x.NodeCluster,
+			UserAgentName: "cranegrade",
+			Locality:      &corev3.Locality{Region: x.Region, Zone: x.Zone, SubZone: x.SubZone},
 		},
 	})
 }
@@ -63,8 +80,11 @@
 // newH2 makes a sender for servers that speak HTTP/2.
 func newH2(c wire.Connections, m operator.Mux, connections engine.SharedLimit) engine.Sender {
 	return h2.New(h2.Config{
-		ConnectTimeout: c.ConnectWithin, ServerIdleTimeout: c.Idle, Connections: connections,
-		MaxConnsPerServer: m.ConnectionsPerServer, MaxStreamsPerConn: m.StreamsPerConnection,
+		ConnectTimeout:    c.ConnectWithin,
+		ServerIdleTimeout: c.Idle,
+		Connections:       connections,
+		MaxConnsPerServer: m.ConnectionsPerServer,
+		MaxStreamsPerConn: m.StreamsPerConnection,
 	})
 }
 
@@ -74,10 +94,19 @@
 // newExtProc makes the front for proxies that ask where to send a request.
 func newExtProc(l net.Listener, x operator.ExtProc, clock engine.Clock, n *node.Node) node.Front {
 	return extproc.New(l, extproc.Config{
-		Clock: clock, Routes: extProcRoutes{n}, DecisionTimeout: x.DecisionTimeout, Linger: x.Linger,
-		Retries: x.Retries, RetryHeader: x.RetryHeader,
-		Streams: uint32(x.Streams), Rate: x.Rate, ProxyStreams: int(x.ProxyStreams),
-		IDHeader: x.IDHeader, ClearRouteCache: x.ClearRouteCache, HeadersOnly: x.HeadersOnly, TimeLeft: x.TimeLeft,
+		Clock:              clock,
+		Routes:             extProcRoutes{n},
+		DecisionTimeout:    x.DecisionTimeout,
+		Linger:             x.Linger,
+		Retries:            x.Retries,
+		RetryHeader:        x.RetryHeader,
+		Streams:            uint32(x.Streams),
+		Rate:               x.Rate,
+		ProxyStreams:       int(x.ProxyStreams),
+		IDHeader:           x.IDHeader,
+		ClearRouteCache:    x.ClearRouteCache,
+		HeadersOnly:        x.HeadersOnly,
+		TimeLeft:           x.TimeLeft,
 		RememberedRequests: int(x.RememberedRequests),
 	})
 }
--- a/cmd/cranegrade/ops.go
+++ b/cmd/cranegrade/ops.go
@@ -14,10 +14,16 @@
 	"cranegrade/internal/program"
 )
 
-var opsCommand = program.Command{Name: "ops", Run: runOps, Usage: `  cranegrade ops CALL --at ADDRESS | --config FILE
+// opsCommand sends commands to running nodes.
+var opsCommand = program.Command{
+	Name: "ops",
+	Run:  runOps,
+	Usage: `  cranegrade ops CALL --at ADDRESS | --config FILE
                               call running nodes at their operators' ports: check, set-down ID, set-up ID, drain-on,
-                              drain-off
-`}
+                              drain-off (docs/operators-port.md);
+                              for example: cranegrade ops set-down orders-2 --at 127.0.0.1:7000
+`,
+}
 
 // defaultAnswerTimeout is how long a node may take to answer a command.
 const defaultAnswerTimeout = 2 * time.Second
@@ -27,17 +33,23 @@
 
 // opsOptions are the flags of the ops commands.
 type opsOptions struct {
-	addrs   []string // command ports
-	config  string   // a node's file, which names its command port; "": none
-	timeout time.Duration
+	addrs   []string      // command ports
+	config  string        // a node's file, which names its command port; empty if none is given
+	timeout time.Duration // of each answer; default defaultAnswerTimeout
 }
 
 // runOps sends a command to running nodes. It exits 0 if all have executed it.
 func runOps(args []string, stdout, stderr io.Writer) int {
 	root := &cobra.Command{
-		Use: "cranegrade ops", Short: "Call running nodes at their operators' ports",
-		Long:         "Each call goes to every node named with --at, or to the one whose file --config names. docs/operators-port.md says what they do.",
-		SilenceUsage: true, SilenceErrors: true,
+		Use:         "ops",
+		Annotations: map[string]string{cobra.CommandDisplayNameAnnotation: "cranegrade ops"},
+		Short:       "Call running nodes at their operators' ports",
+		Long: "Each call goes to every node named with --at, or to the one whose file --config names. " +
+			"docs/operators-port.md says what they do.",
+		Example: "  cranegrade ops check --at 127.0.0.1:7000 --at 127.0.0.1:7001\n" +
+			"  cranegrade ops set-down orders-2 --config deploy/examples/operators.toml",
+		SilenceUsage:  true,
+		SilenceErrors: true,
 	}
 	root.SetArgs(args)
 	root.SetOut(stdout)
@@ -64,23 +76,30 @@
 	return program.ExitFailed
 }
 
-// newOpsCommand returns the command line of a verb. argument names its argument; "" if it takes none.
+// newOpsCommand returns the command line of a verb. argument names its argument and is empty if it takes none.
 func newOpsCommand(verb admin.Verb, argument, short string, stdout io.Writer, o *opsOptions) *cobra.Command {
-	use, arguments := string(verb), 0
+	use := string(verb)
+	arguments := 0
 	if argument != "" {
-		use, arguments = use+" "+argument, 1
+		use += " " + argument
+		arguments = 1
+	}
+	return &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  cobra.ExactArgs(arguments),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			addrs, err := o.commandPorts()
+			if err != nil {
+				return err
+			}
+			c := admin.Command{Verb: verb}
+			if arguments > 0 {
+				c.ID = args[0]
+			}
+			return sendToAll(cmd.Context(), stdout, addrs, c, o.timeout)
+		},
 	}
-	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(arguments), RunE: func(cmd *cobra.Command, args []string) error {
-		addrs, err := o.commandPorts()
-		if err != nil {
-			return err
-		}
-		c := admin.Command{Verb: verb}
-		if arguments > 0 {
-			c.ID = args[0]
-		}
-		return sendToAll(cmd.Context(), stdout, addrs, c, o.timeout)
-	}}
 }
 
 // commandPorts returns the addresses that the flags name, directly and by a file.
--- a/cmd/cranegrade/proxycheck.go
+++ b/cmd/cranegrade/proxycheck.go
@@ -12,11 +12,14 @@
 	"cranegrade/internal/program"
 )
 
+// proxyCheckUsage is the help of the command, as part of the program's.
 const proxyCheckUsage = `  cranegrade proxy-check ENVOY_FILE -config FILE
                               what in a proxy's configuration would leave decisions unheeded or break
-                              a rule; exits 1 if anything would
+                              a rule; exits 1 if anything would; for example:
+                              cranegrade proxy-check deploy/examples/envoy-header.yaml -config deploy/examples/extproc.toml
 `
 
+// proxyCheckCommand checks a proxy's configuration against an operator's file.
 var proxyCheckCommand = program.Command{Name: "proxy-check", Usage: proxyCheckUsage, Run: proxyCheck}
 
 // proxyCheck prints the findings in a proxy's configuration, and fails if there are any.
@@ -41,8 +44,8 @@
 	return program.ExitOK
 }
 
-// parseProxyCheckFlags reads the command line, on which the proxy's file may stand before or after the flag; false if it is
-// wrong.
+// parseProxyCheckFlags reads the command line, on which the proxy's file may stand before or after the flag. It reports false
+// if the command line is wrong.
 func parseProxyCheckFlags(args []string) (file, config string, ok bool) {
 	flags := flag.NewFlagSet("cranegrade proxy-check", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
@@ -52,10 +55,13 @@
 		if err := flags.Parse(rest); err != nil {
 			return "", "", false
 		}
-		if rest = flags.Args(); len(rest) == 0 {
+		rest = flags.Args()
+		if len(rest) == 0 {
 			break
 		}
-		files, rest = append(files, rest[0]), rest[1:] // package flag stops at the first argument that is no flag
+		// Package flag stops at the first argument that is no flag.
+		files = append(files, rest[0])
+		rest = rest[1:]
 	}
 	if len(files) != 1 || config == "" {
 		return "", "", false
@@ -63,6 +69,7 @@
 	return files[0], config, true
 }
 
+// checkProxy returns the findings in a proxy's configuration, for the operator's file config.
 func checkProxy(file, config string) ([]envoyconf.Finding, error) {
 	plan, err := loadExtProcPlan(config)
 	if err != nil {
@@ -90,7 +97,11 @@
 
 // processorSettings returns the settings that a proxy's configuration has to fit.
 func processorSettings(plan operator.Plan) envoyconf.ProcessorSettings {
-	s := envoyconf.ProcessorSettings{DecisionTimeout: plan.ExtProc.DecisionTimeout, Retries: plan.ExtProc.Retries, RetryHeader: plan.ExtProc.RetryHeader}
+	s := envoyconf.ProcessorSettings{
+		DecisionTimeout: plan.ExtProc.DecisionTimeout,
+		Retries:         plan.ExtProc.Retries,
+		RetryHeader:     plan.ExtProc.RetryHeader,
+	}
 	for _, p := range plan.Pools {
 		s.MaxFallbacks = max(s.MaxFallbacks, p.Settings.Spares)
 	}
--- a/cmd/cranegrade/proxyconfig.go
+++ b/cmd/cranegrade/proxyconfig.go
@@ -13,24 +13,37 @@
 	"cranegrade/internal/program"
 )
 
+// proxyConfigUsage is the help of the command, as part of the program's.
 const proxyConfigUsage = `  cranegrade proxy-config -config FILE -mode MODE [-listen HOST:PORT] [-processor HOST:PORT] [-retries N]
                               the proxy's side for a file: MODE is header, metadata, fallbacks or every-try
-                              (docs/extproc.md)
+                              (docs/extproc.md); default: -listen 127.0.0.1:10000, -processor as the file's [ext_proc]
+                              listens, -retries 2; for example:
+                              cranegrade proxy-config -config deploy/examples/extproc.toml -mode header
 `
 
+// proxyConfigCommand prints a proxy's configuration for an operator's file.
 var proxyConfigCommand = program.Command{Name: "proxy-config", Usage: proxyConfigUsage, Run: proxyConfig}
 
 // proxyConfig prints a proxy's configuration for an operator's file.
 func proxyConfig(args []string, stdout, stderr io.Writer) int {
 	flags := flag.NewFlagSet("cranegrade proxy-config", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
-	config, mode := flags.String("config", "", ""), flags.String("mode", "", "")
-	listen, processor, retries := flags.String("listen", "", ""), flags.String("processor", "", ""), flags.Int("retries", 0, "")
-	if err := flags.Parse(args); err != nil || *config == "" || *mode == "" || flags.NArg() > 0 || *retries < 0 {
+	config := flags.String("config", "", "")
+	mode := flags.String("mode", "", "")
+	listen := flags.String("listen", "", "")
+	processor := flags.String("processor", "", "")
+	retries := flags.Int("retries", 0, "")
+	err := flags.Parse(args)
+	if err != nil || *config == "" || *mode == "" || flags.NArg() > 0 || *retries < 0 {
 		fmt.Fprint(stderr, "usage:\n"+proxyConfigUsage)
 		return program.ExitUsage
 	}
-	text, err := buildProxy(*config, envoyconf.Options{Mode: envoyconf.Mode(*mode), Listen: *listen, Processor: *processor, Retries: *retries})
+	text, err := buildProxy(*config, envoyconf.Options{
+		Mode:      envoyconf.Mode(*mode),
+		Listen:    *listen,
+		Processor: *processor,
+		Retries:   *retries,
+	})
 	if err != nil {
 		fmt.Fprintf(stderr, "cranegrade: %v\n", err)
 		return program.ExitFailed
@@ -51,7 +64,8 @@
 	if strings.HasSuffix(p.Processor, ":0") {
 		return nil, errors.New("the processor's port is any free one: name it with -processor")
 	}
-	p.Settings, p.MaxStreams = processorSettings(plan), plan.ExtProc.Streams
+	p.Settings = processorSettings(plan)
+	p.MaxStreams = plan.ExtProc.Streams
 	p.Classes = proxyClasses(plan.Pools)
 	p.Endpoints = staticEndpoints(plan.Pools)
 	return envoyconf.Build(p)
@@ -70,7 +84,8 @@
 				classes = append(classes, envoyconf.Class{Name: c.Name, Idempotent: true})
 			}
 			class := &classes[i]
-			class.Deadline, class.Idempotent = max(class.Deadline, c.Deadline), class.Idempotent && c.Effect == balancer.Idempotent
+			class.Deadline = max(class.Deadline, c.Deadline)
+			class.Idempotent = class.Idempotent && c.Effect == balancer.Idempotent
 		}
 	}
 	return classes
--- a/cmd/cranegrade/zones.go
+++ b/cmd/cranegrade/zones.go
@@ -18,11 +18,15 @@
 	"cranegrade/internal/zone/store"
 )
 
+// zonesUsage is the help of the command, as part of the program's.
 const zonesUsage = `  cranegrade zones -config FILE [-config FILE...] [-day YYYY-MM-DD] [-by pool,class,customer] [-format table|json|html]
                               what crossed zones, what the budgets still allow, and what each place takes:
-                              of the running node, or else from the file that it keeps; of several nodes together (docs/zones.md)
+                              of the running node, or else from the file that it keeps; of several nodes together (docs/zones.md);
+                              default: all days, -by pool,class, -format table;
+                              for example: cranegrade zones -config deploy/examples/zones.toml -by pool,customer
 `
 
+// zonesCommand prints the traffic between zones.
 var zonesCommand = program.Command{Name: "zones", Usage: zonesUsage, Run: showZones}
 
 // secondsPerDay is the length of a day of an account, which is one of Unix time.
@@ -34,16 +38,19 @@
 // zonesOptions are the flags of the zones command.
 type zonesOptions struct {
 	configs []string       // files of the nodes
-	day     string         // YYYY-MM-DD; "": all days
+	day     string         // YYYY-MM-DD; empty for all days
 	by      report.GroupBy // what rows are told apart by
 	format  string         // table, json or html
 }
 
-// parseZonesFlags reads the command line; false if it is wrong.
+// parseZonesFlags reads the command line. It reports false if that is wrong.
 func parseZonesFlags(args []string) (o zonesOptions, ok bool) {
 	flags := flag.NewFlagSet("cranegrade zones", flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
-	flags.Func("config", "", func(s string) error { o.configs = append(o.configs, s); return nil })
+	flags.Func("config", "", func(path string) error {
+		o.configs = append(o.configs, path)
+		return nil
+	})
 	flags.StringVar(&o.day, "day", "", "")
 	by := flags.String("by", "pool,class", "")
 	flags.StringVar(&o.format, "format", "table", "")
@@ -57,7 +64,7 @@
 	return o, ok
 }
 
-// parseBy reads what rows are told apart by; false if a word is unknown.
+// parseBy reads what rows are told apart by. It reports false if a word is unknown.
 func parseBy(s string) (by report.GroupBy, ok bool) {
 	for _, word := range strings.Split(s, ",") {
 		switch word {
@@ -134,7 +141,8 @@
 	case plan.Zones.State == "" && inspectErr != nil:
 		return report.Report{}, fmt.Errorf("the node can't be asked, and keeps no file: %w", inspectErr)
 	case plan.Zones.State == "":
-		return report.Report{}, fmt.Errorf("%s names neither an admin address to ask the node at nor a state file of [zones]", config)
+		return report.Report{}, fmt.Errorf(
+			"%s names neither an admin address to ask the node at nor a state file of [zones]", config)
 	}
 	return storedZones(plan, inspectErr)
 }
@@ -167,8 +175,11 @@
 	accounting.Restore(state)
 	now := time.Now()
 	return report.Report{
-		Node: plan.Name, Home: plan.Zones.Config.Home, At: now, Budgets: report.Budgets(accounting.Remaining(time.Duration(now.UnixNano()))),
-		Rows: report.Rows(accounting.Rows(), "", report.GroupBy{Pool: true, Class: true, Customer: true}),
+		Node:    plan.Name,
+		Home:    plan.Zones.Config.Home,
+		At:      now,
+		Budgets: report.Budgets(accounting.Remaining(time.Duration(now.UnixNano()))),
+		Rows:    report.Rows(accounting.Rows(), "", report.GroupBy{Pool: true, Class: true, Customer: true}),
 	}, nil
 }
 
@@ -181,7 +192,13 @@
 			continue
 		}
 		traffic = append(traffic, zone.Row{
-			Key:     zone.Key{Day: at.Unix() / secondsPerDay, Pair: zone.Pair{From: r.From, To: r.To}, Pool: r.Pool, Class: r.Class, Customer: r.Customer},
+			Key: zone.Key{
+				Day:      at.Unix() / secondsPerDay,
+				Pair:     zone.Pair{From: r.From, To: r.To},
+				Pool:     r.Pool,
+				Class:    r.Class,
+				Customer: r.Customer,
+			},
 			Traffic: zone.Traffic{Requests: r.Requests, Out: r.Out, In: r.In},
 		})
 	}
--- a/cmd/cranesim/main.go
+++ b/cmd/cranesim/main.go
@@ -12,6 +12,7 @@
 	"io"
 	"os"
 	"slices"
+	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -33,15 +34,34 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
+// Defaults of the flags.
+const (
+	defaultSeeds   = 5
+	defaultServers = 8
+	defaultLoad    = 0.8
+)
+
+// usageHead is what the help says before the flags; the names of the shapes are added.
+const usageHead = `Usage: cranesim [FLAGS] [SHAPE...]
+
+Runs overload scenarios in simulated time and compares the decision module with two reference policies.
+Without a SHAPE it runs all: %s.
+
+Example: cranesim -seeds 1 -servers 4 cold-burst
+
+Flags:
+`
+
 // options are the command line.
 type options struct {
-	seeds   int
-	servers int
-	load    float64
-	seconds bool
+	seeds   int      // plays of each scenario
+	servers int      // of a tier
+	load    float64  // offered outside the trigger, as a share of the capacity
+	seconds bool     // print each second of the first play
 	names   []string // of scenarios
 }
 
+// run runs the scenarios of a command line and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
 	o, err := parse(args, stderr)
 	if err != nil {
@@ -51,7 +71,13 @@
 	fmt.Fprintln(table, "shape\tpolicy\tbefore\tduring\tafter\tback after\tnever back\twasted\tworst class")
 	for _, name := range o.names {
 		for _, policy := range emulator.Policies() {
-			c := &comparison{options: o, name: name, policy: policy, table: table, stderr: stderr}
+			c := &comparison{
+				options: o,
+				name:    name,
+				policy:  policy,
+				table:   table,
+				stderr:  stderr,
+			}
 			if err := c.run(); err != nil {
 				fmt.Fprintln(stderr, "cranesim:", err)
 				return exitFailed
@@ -68,9 +94,13 @@
 	var o options
 	flags := flag.NewFlagSet("cranesim", flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	flags.IntVar(&o.seeds, "seeds", 5, "plays of each, by seeds from 1 on; the median is told")
-	flags.IntVar(&o.servers, "servers", 8, "of a tier")
-	flags.Float64Var(&o.load, "load", 0.8, "offered outside the trigger, as a share of the capacity")
+	flags.Usage = func() {
+		fmt.Fprintf(stderr, usageHead, strings.Join(emulator.ScenarioNames(), ", "))
+		flags.PrintDefaults()
+	}
+	flags.IntVar(&o.seeds, "seeds", defaultSeeds, "plays of each scenario, by seeds from 1 on; the median is printed")
+	flags.IntVar(&o.servers, "servers", defaultServers, "servers of a tier")
+	flags.Float64Var(&o.load, "load", defaultLoad, "load offered outside the trigger, as a share of the capacity")
 	flags.BoolVar(&o.seconds, "seconds", false, "print each second of the first play")
 	if err := flags.Parse(args); err != nil {
 		return options{}, err
@@ -96,13 +126,16 @@
 	table  io.Writer
 	stderr io.Writer
 
-	before, during, after []float64 // goodput, by seed
-	recoverySeconds       []float64 // of the seeds in which goodput recovered
-	neverRecovered        int
-	wasted                []float64 // share of the work
-	worstClass            []float64 // least goodput of a class
+	// Goodput by seed: before, during and after the trigger.
+	before, during, after []float64
+
+	recoverySeconds []float64 // of the seeds in which goodput recovered
+	neverRecovered  int
+	wasted          []float64 // share of the work
+	worstClass      []float64 // least goodput of a class
 }
 
+// run plays the scenario with every seed.
 func (c *comparison) run() error {
 	for seed := range uint64(c.seeds) {
 		scenario, err := emulator.NewScenario(c.name, seed+1, c.servers, c.load)
@@ -125,6 +158,7 @@
 	return nil
 }
 
+// add adds the measures of one play.
 func (c *comparison) add(scenario emulator.Scenario, world *emulator.World) {
 	start, end := scenario.TriggerStart, scenario.TriggerEnd
 	c.before = append(c.before, world.Goodput(0, start))
@@ -143,19 +177,38 @@
 	c.worstClass = append(c.worstClass, worst)
 }
 
+// report prints the medians over all seeds as a row of the table.
 func (c *comparison) report() {
-	fmt.Fprintf(c.table, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.0f s\t%d\t%.3f\t%.3f\n", c.name, c.policy.Name, median(c.before), median(c.during),
-		median(c.after), median(c.recoverySeconds), c.neverRecovered, median(c.wasted), median(c.worstClass))
+	fmt.Fprintf(c.table, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.0f s\t%d\t%.3f\t%.3f\n",
+		c.name,
+		c.policy.Name,
+		median(c.before),
+		median(c.during),
+		median(c.after),
+		median(c.recoverySeconds),
+		c.neverRecovered,
+		median(c.wasted),
+		median(c.worstClass))
 }
 
+// reportSeconds prints what each second of a play counted.
 func (c *comparison) reportSeconds(world *emulator.World) {
 	for second, counts := range world.Seconds {
 		fmt.Fprintf(c.table, "%s\t%s\t%d s\t{Offered:%d Good:%d Late:%d Refused:%d Failed:%d WorkDone:%v WorkWasted:%v}\n",
-			c.name, c.policy.Name, second, counts.Offered, counts.Good, counts.Late, counts.Rejected, counts.Failed, counts.WorkDone, counts.WorkWasted)
+			c.name,
+			c.policy.Name,
+			second,
+			counts.Offered,
+			counts.Good,
+			counts.Late,
+			counts.Rejected,
+			counts.Failed,
+			counts.WorkDone,
+			counts.WorkWasted)
 	}
 }
 
-// median is the middle value, the higher one of two; 0 if there is none. It sorts the values.
+// median returns the middle value, or the higher one of two. It returns 0 if there is none. It sorts the values.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/cmd/meshscale/main.go
+++ b/cmd/meshscale/main.go
@@ -32,8 +32,9 @@
 // Unwrap returns the error itself.
 func (e usageError) Unwrap() error { return e.error }
 
+// runCommand is the command run.
 type runCommand struct {
-	Out  string `short:"o" long:"out" value-name:"FILE" description:"where the results go; else docs/capacity/NAME.json, by the experiment's name"`
+	Out  string `short:"o" long:"out" value-name:"FILE" description:"where the results go (default: docs/capacity/NAME.json, by the experiment's name)"`
 	Args struct {
 		File string `positional-arg-name:"EXPERIMENT.toml" required:"yes"`
 	} `positional-args:"yes" required:"yes"`
@@ -70,6 +71,7 @@
 	return nil
 }
 
+// workerCommand is the command worker, which run starts as a process of its own.
 type workerCommand struct {
 	Args struct {
 		Kind string `positional-arg-name:"KIND" required:"yes"`
@@ -81,6 +83,7 @@
 	return scale.ServeWorker(c.Args.Kind, os.Stdin, os.Stdout)
 }
 
+// reportCommand is the command report.
 type reportCommand struct {
 	Out string `short:"o" long:"out" value-name:"FILE" default:"docs/capacity/report.html" description:"where the report goes"`
 }
@@ -94,6 +97,7 @@
 	return scale.WriteReport(c.Out, all)
 }
 
+// pageCommand is the command page.
 type pageCommand struct {
 	Page string `short:"p" long:"page" value-name:"FILE" default:"docs/CAPACITY.md" description:"the page whose tables are written"`
 }
@@ -115,20 +119,45 @@
 	os.Exit(exitCode(err))
 }
 
+// programHelp is what the help says of the program as a whole.
+const programHelp = "Measures how the cost of a mesh's control plane grows with the mesh, and keeps the results " +
+	"under docs/capacity. Run it at the root of the project. Example: meshscale run docs/capacity/growth.toml"
+
 // newParser returns the parser of the command line, with all commands.
 func newParser() (*flags.Parser, error) {
 	parser := flags.NewParser(nil, flags.HelpFlag|flags.PassDoubleDash)
+	parser.LongDescription = programHelp
 	for _, c := range []struct {
-		name, description string
-		command           any
-		hidden            bool
+		name, description, help string
+		command                 any
+		hidden                  bool
 	}{
-		{"run", "measure what an experiment file names", &runCommand{}, false},
-		{"report", "draw the results under docs/capacity", &reportCommand{}, false},
-		{"page", "write the tables of docs/CAPACITY.md", &pageCommand{}, false},
-		{"worker", "run sidecars for a run", &workerCommand{}, true},
+		{
+			name:        "run",
+			description: "measure what an experiment file names",
+			help:        "Runs the experiment and writes its results. Example: meshscale run docs/capacity/growth.toml",
+			command:     &runCommand{},
+		},
+		{
+			name:        "report",
+			description: "draw the results under docs/capacity",
+			help:        "Draws the committed results as an HTML page. Example: meshscale report -o /tmp/report.html",
+			command:     &reportCommand{},
+		},
+		{
+			name:        "page",
+			description: "write the tables of docs/CAPACITY.md",
+			help:        "Writes the page's tables from the committed results. Example: meshscale page",
+			command:     &pageCommand{},
+		},
+		{
+			name:        "worker",
+			description: "run sidecars for a run",
+			command:     &workerCommand{},
+			hidden:      true,
+		},
 	} {
-		added, err := parser.AddCommand(c.name, c.description, "", c.command)
+		added, err := parser.AddCommand(c.name, c.description, c.help, c.command)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/sidecar/main.go
+++ b/cmd/sidecar/main.go
@@ -13,7 +13,10 @@
 )
 
 func main() {
-	os.Exit(daemon.Main("sidecar", func(s settings.Settings, log zerolog.Logger, ring *logring.Ring, _ daemon.Options) (daemon.Role, error) {
-		return sidecar.New(s, log, ring)
-	}))
+	os.Exit(daemon.Main("sidecar", newSidecar))
+}
+
+// newSidecar makes the role of the process. A sidecar has no options beside its settings.
+func newSidecar(set settings.Settings, log zerolog.Logger, ring *logring.Ring, _ daemon.Options) (daemon.Role, error) {
+	return sidecar.New(set, log, ring)
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -9,16 +9,35 @@
 	"fmt"
 	"io"
 	"os"
+	"slices"
 	"time"
 
 	"cranegrade/balancer"
 	"cranegrade/internal/wire"
 )
 
+// usage is the help of the program.
+const usage = `usage: simadapter < EVENTS > REPLIES
+
+Runs decision modules for the simulator: it reads batches of events from standard input and writes one reply
+for each batch to standard output, until the input ends. It has no flags but -h.
+
+Example, an empty batch: printf 'sync\t1\neob\n' | simadapter
+
+It exits with 1 at input that it cannot read; the reason is on standard error.
+`
+
+// exitFailed is the exit code for input that cannot be read.
+const exitFailed = 1
+
 func main() {
+	if len(os.Args) == 2 && slices.Contains([]string{"-h", "--help"}, os.Args[1]) {
+		fmt.Print(usage)
+		return
+	}
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintf(os.Stderr, "simadapter: %v\n", err)
-		os.Exit(1)
+		os.Exit(exitFailed)
 	}
 }
 
@@ -49,6 +68,7 @@
 	encoder *wire.Encoder // writes to reply
 }
 
+// newAdapter returns an adapter without instances that writes its replies to out.
 func newAdapter(out io.Writer) *adapter {
 	a := &adapter{out: out, modules: map[int]*balancer.Balancer{}}
 	a.encoder = wire.NewEncoder(&a.reply)
@@ -89,6 +109,7 @@
 	return nil
 }
 
+// writeReply writes the reply to a batch, which is complete, and empties it.
 func (a *adapter) writeReply() error {
 	if err := a.encoder.Flush(); err != nil {
 		return err
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,6 +1,7 @@
 // Package program is the command line that the load balancer's programs share: flags, signals, exit codes and the log. The
 // programs differ in the parts that they link (node.Options) and in the commands that need them. It owns what is set once
-// for a process: the log's output and the runtime's limits. It never takes part in serving; internal/node does that.
+// for a process: the log's output and the runtime's limits. It never takes part in serving; internal/node does that. Main and
+// Run are called once for a process, since what they set is the process's.
 package program
 
 import (
@@ -20,7 +21,7 @@
 const (
 	ExitOK     = 0
 	ExitFailed = 1 // the node could not start or failed, or a file has mistakes
-	ExitUsage  = 2
+	ExitUsage  = 2 // the command line is wrong
 )
 
 // Command is a command of one program, beyond those that all programs have.
--- a/internal/program/rate_limited_log.go
+++ b/internal/program/rate_limited_log.go
@@ -26,7 +26,7 @@
 	return w.writeAt(time.Now().Unix(), line)
 }
 
-// writeAt is Write at a time.
+// writeAt is Write in a second of Unix time.
 func (w *rateLimitedWriter) writeAt(second int64, line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -34,7 +34,9 @@
 		if w.dropped > 0 {
 			fmt.Fprintf(w.to, "%d lines left out\n", w.dropped)
 		}
-		w.second, w.lines, w.dropped = second, 0, 0
+		w.second = second
+		w.lines = 0
+		w.dropped = 0
 	}
 	if w.lines++; w.lines > maxLinesPerSecond {
 		w.dropped++
--- a/internal/program/run.go
+++ b/internal/program/run.go
@@ -16,8 +16,8 @@
 // configuration is a node's configuration, from the platform or from an operator's file.
 type configuration struct {
 	name     string  // of the node
-	cores    float64 // 0: not known
-	memoryMB float64 // MiB; 0: not known
+	cores    float64 // 0 if not known
+	memoryMB float64 // MiB; 0 if not known
 	open     func(node.Options) (*node.Node, error)
 	reload   func(*node.Node) error // reads the file again
 }
@@ -52,8 +52,10 @@
 		return configuration{}, err
 	}
 	return configuration{
-		name: cfg.Name, cores: cfg.Cores, memoryMB: cfg.MemoryMB,
-		open: func(o node.Options) (*node.Node, error) { return node.New(cfg, o) },
+		name:     cfg.Name,
+		cores:    cfg.Cores,
+		memoryMB: cfg.MemoryMB,
+		open:     func(o node.Options) (*node.Node, error) { return node.New(cfg, o) },
 		reload: func(n *node.Node) error {
 			cfg, err := node.LoadConfig(path)
 			if err != nil {
@@ -71,8 +73,10 @@
 		return configuration{}, err
 	}
 	return configuration{
-		name: plan.Name, cores: plan.Cores, memoryMB: plan.MemoryMB,
-		open: func(o node.Options) (*node.Node, error) { return node.NewFromPlan(plan, o) },
+		name:     plan.Name,
+		cores:    plan.Cores,
+		memoryMB: plan.MemoryMB,
+		open:     func(o node.Options) (*node.Node, error) { return node.NewFromPlan(plan, o) },
 		reload: func(n *node.Node) error {
 			plan, err := operator.Load(path)
 			if err != nil {
@@ -83,13 +87,17 @@
 	}, nil
 }
 
+// processAlone is the number of processes that share the node's memory at the start. If a predecessor runs, the node divides
+// the memory once it serves.
+const processAlone = 1
+
 // prepareProcess sets what holds for the whole process: the log, the soft limit of memory and the number of threads.
 func prepareProcess(c configuration) {
 	log.SetOutput(&rateLimitedWriter{to: os.Stderr})
 	log.SetFlags(log.Ltime | log.Lmicroseconds)
 	log.SetPrefix(c.name + " ")
 	if c.memoryMB > 0 {
-		debug.SetMemoryLimit(node.MemoryLimit(c.memoryMB, 1))
+		debug.SetMemoryLimit(node.MemoryLimit(c.memoryMB, processAlone))
 	}
 	if c.cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(c.cores)))
@@ -102,21 +110,25 @@
 	logAddresses(n)
 	done := make(chan struct{})
 	defer close(done)
-	go func() {
-		for {
-			select {
-			case <-reload:
-			case <-done:
-				return
-			}
-			if err := reloadFile(); err != nil {
-				log.Printf("reload rejected, the configuration stays as it was: %v", err)
-			}
-		}
-	}()
+	go reloadOnSignal(reload, done, reloadFile)
 	return n.Run(ctx)
 }
 
+// reloadOnSignal reloads the configuration at every signal until done is closed.
+func reloadOnSignal(reload <-chan os.Signal, done <-chan struct{}, reloadFile func() error) {
+	for {
+		select {
+		case <-reload:
+		case <-done:
+			return
+		}
+		if err := reloadFile(); err != nil {
+			log.Printf("reload rejected, the configuration stays as it was: %v", err)
+		}
+	}
+}
+
+// logAddresses logs the addresses that the node listens on, which others read to learn of free ports.
 func logAddresses(n *node.Node) {
 	for _, addr := range n.Addrs() {
 		log.Printf("listening on %s", addr)
--- a/internal/program/trace.go
+++ b/internal/program/trace.go
@@ -12,12 +12,12 @@
 
 // tracer opens the traces that the command line asks for, one for each pool, and closes them at the end.
 type tracer struct {
-	dir    string // "": no traces
+	dir    string // empty if no traces are written
 	detail bool   // also a line for each request, attempt and answer
 
 	mu    sync.Mutex // guards the fields below: reloads add to them
 	sinks []*trace.Sink
-	files []io.Closer
+	files []io.Closer // the file of each sink
 }
 
 // options returns the options with the tracing added, if there is any.
@@ -32,7 +32,8 @@
 		}
 		s := trace.NewSink(f, trace.MaxFileBytes)
 		t.mu.Lock()
-		t.sinks, t.files = append(t.sinks, s), append(t.files, f)
+		t.sinks = append(t.sinks, s)
+		t.files = append(t.files, f)
 		t.mu.Unlock()
 		return trace.New(m, classes, s, trace.Options{Detail: t.detail}), nil
 	}
--- a/internal/program/xds_dump.go
+++ b/internal/program/xds_dump.go
@@ -24,20 +24,25 @@
 		fmt.Fprint(stderr, usage)
 		return ExitUsage
 	}
-	plan, err := operator.Load(*config)
-	if err == nil && plan.Admin == "" {
-		err = fmt.Errorf("%s names no admin address to ask the node at", *config)
-	}
-	if err == nil {
-		err = copyPage(ctx, "http://"+plan.Admin+"/xds/dump", stdout)
-	}
-	if err != nil {
+	if err := copyXDSPage(ctx, *config, stdout); err != nil {
 		fmt.Fprintf(stderr, "cranegrade: %v\n", err)
 		return ExitFailed
 	}
 	return ExitOK
 }
 
+// copyXDSPage copies the page of the running node that has this file.
+func copyXDSPage(ctx context.Context, config string, to io.Writer) error {
+	plan, err := operator.Load(config)
+	if err != nil {
+		return err
+	}
+	if plan.Admin == "" {
+		return fmt.Errorf("%s names no admin address to ask the node at", config)
+	}
+	return copyPage(ctx, "http://"+plan.Admin+"/xds/dump", to)
+}
+
 // copyPage copies a page of a running node.
 func copyPage(ctx context.Context, url string, to io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, inspectionTimeout)
