--- a/internal/mesh/operations/history.go
+++ b/internal/mesh/operations/history.go
@@ -1,10 +1,12 @@
 // Package operations makes the operators' changes idempotent. An operation is one change of one configuration item: the version that
 // its operator gave it, and a digest of its content. A History remembers the operations that were accepted for one item and were
 // superseded since, so that a duplicate is recognised whenever it comes, and another content under a version that was accepted is
-// distinguished from it. How much is remembered is bounded by the owner (package config); a History knows below which version it is incomplete.
+// distinguished from it. How much is remembered is bounded by the owner (package config); a History knows up to which version it is
+// incomplete.
 //
-// The package is pure: it must never read a clock, and the same operations make the same History on every control-plane member. It
-// does for items what client sessions do for commands in Ongaro's dissertation on Raft, section 6.3.
+// The package is pure: it must never read a clock, and the same operations make the same History on every control-plane member. Its values
+// are immutable, so any goroutine may use them. It does for items what client sessions do for commands in Ongaro's dissertation on Raft,
+// section 6.3.
 package operations
 
 import (
@@ -13,13 +15,8 @@
 	"encoding/binary"
 	"slices"
 	"time"
-
-	"github.com/juju/errors"
 )
 
-// ErrEncoding is the error of Decode for bytes that are not an encoded History.
-const ErrEncoding = errors.ConstError("not an operation history")
-
 // Digest identifies the content of an operation: the first bytes of its SHA-256.
 type Digest [16]byte
 
@@ -46,6 +43,8 @@
 // Classification says how an operation relates to a History.
 type Classification uint8
 
+// Classifications. The owner carries out a New operation, acknowledges a Duplicate without carrying it out again, and does neither with the
+// others.
 const (
 	// New is an operation that was never accepted, and neither was another under its version.
 	New Classification = iota
@@ -139,59 +138,3 @@
 		return cmp.Compare(o.Version, version)
 	})
 }
-
-// An encoded history is a header (the format, whether some operations were forgotten, and up to which version) and a record of
-// fixed size for each operation. Integers are big endian. Members store it on disk.
-const (
-	encodingVersion byte = 1
-
-	headerSize = 1 + 1 + 8             // bytes
-	recordSize = 8 + 8 + len(Digest{}) // bytes
-)
-
-// Encode returns the history in its stored form. An empty history has a header, too, so that an item with an empty history
-// differs from one that an earlier release stored without any.
-func (h *History) Encode() []byte {
-	if h == nil {
-		h = new(History)
-	}
-	encoded := make([]byte, 0, headerSize+len(h.accepted)*recordSize)
-	incomplete := byte(0)
-	if h.incomplete {
-		incomplete = 1
-	}
-	encoded = append(encoded, encodingVersion, incomplete)
-	encoded = binary.BigEndian.AppendUint64(encoded, uint64(h.maxForgotten))
-	for _, operation := range h.accepted {
-		encoded = binary.BigEndian.AppendUint64(encoded, uint64(operation.Version))
-		encoded = binary.BigEndian.AppendUint64(encoded, uint64(operation.LogTime))
-		encoded = append(encoded, operation.Digest[:]...)
-	}
-	return encoded
-}
-
-// Decode decodes the stored form of a history. Its errors are ErrEncoding.
-func Decode(encoded []byte) (*History, error) {
-	if len(encoded) < headerSize || encoded[0] != encodingVersion || encoded[1] > 1 || (len(encoded)-headerSize)%recordSize != 0 {
-		return nil, errors.Annotatef(ErrEncoding, "%d bytes", len(encoded))
-	}
-	h := &History{incomplete: encoded[1] == 1, maxForgotten: int64(binary.BigEndian.Uint64(encoded[2:]))}
-	for records := encoded[headerSize:]; len(records) > 0; records = records[recordSize:] {
-		operation := decodeRecord(records)
-		if n := len(h.accepted); n > 0 && h.accepted[n-1].Version >= operation.Version {
-			return nil, errors.Annotatef(ErrEncoding, "version %d is out of order", operation.Version)
-		}
-		h.accepted = append(h.accepted, operation)
-	}
-	return h, nil
-}
-
-// decodeRecord decodes the first of several records.
-func decodeRecord(records []byte) Operation {
-	operation := Operation{
-		Version: int64(binary.BigEndian.Uint64(records)),
-		LogTime: time.Duration(binary.BigEndian.Uint64(records[8:])),
-	}
-	copy(operation.Digest[:], records[16:])
-	return operation
-}
--- a/internal/mesh/operations/planted_test.go
+++ b/internal/mesh/operations/planted_test.go
@@ -50,9 +50,9 @@
 			Replacement: "",
 		},
 		{
-			Name: "what was forgotten not read back", File: "history.go", KilledBy: "TestEncode",
-			Original:    "incomplete: encoded[1] == 1,",
-			Replacement: "incomplete: false,",
+			Name: "what was forgotten not read back", File: "encoding.go", KilledBy: "TestEncode",
+			Original:    "incomplete:   encoded[incompleteOffset] == 1,",
+			Replacement: "incomplete:   false,",
 		},
 	})
 }
--- a/internal/mesh/storage/errors.go
+++ b/internal/mesh/storage/errors.go
@@ -10,23 +10,35 @@
 
 // Errors of this package. Each wraps the error of goleveldb or of the operating system.
 const (
-	// ErrCorrupted: the store holds something else than was written to it. It may be discarded.
+	// ErrCorrupted says that the store holds something else than was written to it. Its owner may discard it, and must then join the
+	// other members under a new ID.
 	ErrCorrupted = errors.ConstError("the store is corrupted")
-	// ErrFormatVersion: the store has another format version. It may be discarded.
+	// ErrFormatVersion says that the store has another format version. It may be discarded like a corrupted one.
 	ErrFormatVersion = errors.ConstError("the store has another format version")
-	// ErrWriteFailed: a write may or may not be on disk. The store rejects all writes until it is reopened.
+	// ErrWriteFailed says that a write may or may not be on disk. Nothing that depends on it may be sent. The owner calls Reopen, and
+	// then the same write again.
 	ErrWriteFailed = errors.ConstError("the store can't be written")
-	// ErrUnavailable: the store can't be opened for a transient reason. It may be intact, and must not be discarded.
+	// ErrUnavailable says that the store can't be opened for a transient reason. It may be intact, and must not be discarded. The owner
+	// tries again later.
 	ErrUnavailable = errors.ConstError("the store can't be opened now")
 )
 
 // transientErrors are errors of the operating system that say nothing about the contents of the files. They end once there is disk space,
 // memory or a free descriptor, or once the process that held the store has ended.
 var transientErrors = []error{
-	syscall.ENOSPC, syscall.EDQUOT, syscall.EROFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.EAGAIN, syscall.EACCES,
-	ldbstorage.ErrLocked, ldbstorage.ErrClosed,
+	syscall.ENOSPC,
+	syscall.EDQUOT,
+	syscall.EROFS,
+	syscall.ENOMEM,
+	syscall.EMFILE,
+	syscall.ENFILE,
+	syscall.EAGAIN,
+	syscall.EACCES,
+	ldbstorage.ErrLocked,
+	ldbstorage.ErrClosed,
 }
 
+// isTransient reports whether an error is one of transientErrors.
 func isTransient(err error) bool {
 	return slices.ContainsFunc(transientErrors, func(transient error) bool { return errors.Is(err, transient) })
 }
--- a/internal/mesh/storage/folder.go
+++ b/internal/mesh/storage/folder.go
@@ -21,7 +21,7 @@
 
 // Names of directories below a data folder.
 const (
-	storeDirectory  = "vault"
+	storeDirectory  = "vault" // the name of the first release, which has to stay
 	discardedSuffix = ".discarded"
 )
 
@@ -33,8 +33,8 @@
 
 func (d dataFolder) path() string { return filepath.Join(string(d), storeDirectory) }
 
-// discarded returns the path to which a store is renamed before it is removed, so that a loss of power during the removal can't leave a store
-// with only some of its files.
+// discarded returns the path to which a store is renamed before it is removed, so that a loss of power during the removal can't leave a
+// store with only some of its files.
 func (d dataFolder) discarded() string { return d.path() + discardedSuffix }
 
 // Open implements Folder.
@@ -81,6 +81,7 @@
 // Sync implements Folder.
 func (d dataFolder) Sync() error { return syncDirectory(d.path()) }
 
+// syncDirectory makes the names in a directory durable. Syncing a file does not make its name durable (POSIX fsync).
 func syncDirectory(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/mesh/storage/logcheck.go
+++ b/internal/mesh/storage/logcheck.go
@@ -93,6 +93,7 @@
 	return offset + chunkHeaderBytes + int(binary.LittleEndian.Uint16(block[offset+lengthOffset:]))
 }
 
+// beginsRecord reports whether a chunk of a type is the first of a record.
 func beginsRecord(chunkType byte) bool { return chunkType == chunkFull || chunkType == chunkFirst }
 
 // isIntact reports whether the chunk of a block from start to end is as it was written.
@@ -136,13 +137,14 @@
 func hasRecordStart(rest []byte) bool {
 	for ; len(rest) >= chunkHeaderBytes; rest = rest[1:] {
 		end := chunkEnd(rest, 0)
-		if beginsRecord(rest[typeOffset]) && end <= len(rest) && maskedChecksum(rest[typeOffset:end]) == binary.LittleEndian.Uint32(rest) {
+		if beginsRecord(rest[typeOffset]) && isIntact(rest, 0, end) {
 			return true
 		}
 	}
 	return false
 }
 
+// isZero reports whether all bytes are zero.
 func isZero(p []byte) bool {
 	for _, b := range p {
 		if b != 0 {
--- a/internal/mesh/storage/memory.go
+++ b/internal/mesh/storage/memory.go
@@ -43,6 +43,7 @@
 	return copied, copied.SetMeta(manifest)
 }
 
+// copyFile copies one file.
 func copyFile(to, from ldbstorage.Storage, fd ldbstorage.FileDesc) error {
 	content, err := readAll(from, fd)
 	if err != nil {
@@ -58,6 +59,7 @@
 	return w.Close()
 }
 
+// readAll returns the contents of a file.
 func readAll(files ldbstorage.Storage, fd ldbstorage.FileDesc) ([]byte, error) {
 	r, err := files.Open(fd)
 	if err != nil {
--- a/internal/mesh/storage/records.go
+++ b/internal/mesh/storage/records.go
@@ -1,6 +1,7 @@
 package storage
 
 import (
+	"bytes"
 	"encoding/binary"
 	"hash/crc32"
 
@@ -38,7 +39,7 @@
 	return append(record, value...)
 }
 
-// verifyChecksum returns the value of a record.
+// verifyChecksum returns the value of a record. The error is ErrCorrupted.
 func verifyChecksum(record []byte) ([]byte, error) {
 	if len(record) < checksumBytes || crc32.Checksum(record[checksumBytes:], crc32c) != binary.LittleEndian.Uint32(record) {
 		return nil, errors.Annotate(ErrCorrupted, "checksum of a record")
@@ -46,8 +47,10 @@
 	return record[checksumBytes:], nil
 }
 
+// encodeUint64 encodes an integer as eight big-endian bytes.
 func encodeUint64(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
+// entryKey returns the key of an entry. The order of keys is that of indexes.
 func entryKey(index uint64) []byte { return append([]byte(entryPrefix), encodeUint64(index)...) }
 
 func encodeHardState(hardState raft.HardState) []byte {
@@ -55,10 +58,13 @@
 }
 
 func decodeHardState(p []byte) raft.HardState {
-	return raft.HardState{Term: binary.BigEndian.Uint64(p), Vote: raft.ID(binary.BigEndian.Uint64(p[uint64Bytes:]))}
+	return raft.HardState{
+		Term: binary.BigEndian.Uint64(p),
+		Vote: raft.ID(binary.BigEndian.Uint64(p[uint64Bytes:])),
+	}
 }
 
-// get returns the value of a key; nil: there is none.
+// get returns the value of a key, or nil if there is none. The error is ErrCorrupted.
 func (s *Store) get(key string) ([]byte, error) {
 	record, err := s.db.Get([]byte(key), nil)
 	if errors.Is(err, leveldb.ErrNotFound) {
@@ -106,7 +112,11 @@
 	if err != nil {
 		return raft.StoredState{}, false, err
 	}
-	state = raft.StoredState{Self: raft.ID(binary.BigEndian.Uint64(self)), HardState: decodeHardState(hardState), Snapshot: snapshot}
+	state = raft.StoredState{
+		Self:      raft.ID(binary.BigEndian.Uint64(self)),
+		HardState: decodeHardState(hardState),
+		Snapshot:  snapshot,
+	}
 	if err := s.readEntries(&state); err != nil {
 		return raft.StoredState{}, false, err
 	}
@@ -151,7 +161,7 @@
 		return errors.WithType(errors.Annotate(err, "iterate over the log"), ErrCorrupted)
 	}
 	if n := len(state.CatchUpEntries); n > 0 && state.CatchUpEntries[n-1].Index != state.Snapshot.Index {
-		state.CatchUpEntries = nil
+		state.CatchUpEntries = nil // they do not reach up to the snapshot
 	}
 	return nil
 }
@@ -162,7 +172,9 @@
 	if err != nil {
 		return raft.Entry{}, err
 	}
-	stored, err := codec.DecodeTable(append([]byte(nil), value...), func(p []byte) *wire.EntryT { return wire.GetRootAsEntry(p, 0).UnPack() })
+	stored, err := codec.DecodeTable(bytes.Clone(value), func(p []byte) *wire.EntryT {
+		return wire.GetRootAsEntry(p, 0).UnPack()
+	})
 	if err != nil {
 		return raft.Entry{}, errors.WithType(errors.Annotate(err, "decode an entry"), ErrCorrupted)
 	}
--- a/internal/mesh/storage/store.go
+++ b/internal/mesh/storage/store.go
@@ -6,10 +6,14 @@
 // all or nothing of the one that was in progress. A store for which that can't be verified is ErrCorrupted. The owner of a corrupted
 // store discards it, starts with a new ID and joins the other members again.
 //
+// A Store belongs to one goroutine, in production that of controlplane.Member, through controlplane/store.go, which also decides when a
+// failed write is tried again.
+//
 // Sources: Raft paper, figure 2 (persistent state); etcd's raft, type Ready (what has to be on disk before messages are sent);
 // LevelDB, doc/log_format.md (the write-ahead log, which logcheck.go reads).
 //
-// Keys: "format" the version; "self" the id; "hard" term and vote; "snap" the snapshot; "e" and eight bytes an entry.
+// Keys: "format" is the version of the format; "self" the member's ID; "hard" the hard state, term and vote; "snap" the snapshot; "e"
+// and an index, as eight big-endian bytes, an entry of the log.
 package storage
 
 import (
@@ -30,7 +34,8 @@
 // DefaultWriteBufferBytes is the write buffer of a control-plane member.
 const DefaultWriteBufferBytes = 1 << 20
 
-// Sizes of goleveldb's caches and files.
+// Sizes of goleveldb's caches and files. They are small because the store holds a snapshot and a short log, and is only read when it is
+// opened.
 const (
 	blockCacheBytes = 256 << 10
 	openFilesCached = 32
@@ -42,7 +47,7 @@
 	folder       Folder
 	options      Options
 	fileStorage  ldbstorage.Storage
-	db           *leveldb.DB // nil: closed
+	db           *leveldb.DB // nil if the store is closed
 	writeOptions opt.WriteOptions
 	walBytes     int // an upper bound of the bytes in the write-ahead log; counted with Options.Foreground only
 }
@@ -53,10 +58,11 @@
 	// are never merged, so it only suits stores that are used for a short time.
 	Foreground bool
 	// WriteBufferBytes is how large the write-ahead log gets before it is written to a table. Opening a store takes as much memory, and
-	// time in proportion. 0: DefaultWriteBufferBytes.
+	// time in proportion. 0 stands for DefaultWriteBufferBytes.
 	WriteBufferBytes int
 }
 
+// levelDBOptions returns the options of goleveldb.
 func (o Options) levelDBOptions() *opt.Options {
 	options := &opt.Options{
 		WriteBuffer:            cmp.Or(o.WriteBufferBytes, DefaultWriteBufferBytes),
@@ -77,8 +83,8 @@
 	return options
 }
 
-// Open opens the store in a data folder, or creates one. empty says that it has not been initialized yet. The error is ErrUnavailable,
-// ErrCorrupted or ErrFormatVersion.
+// Open opens the store in a data folder, or creates one. empty says that it has not been initialized yet, so that Initialize has to be
+// called before Save. The error is ErrUnavailable, ErrCorrupted or ErrFormatVersion. The caller has to close the store.
 func Open(dir string) (store *Store, state raft.StoredState, empty bool, err error) {
 	return OpenFolder(dataFolder(dir), Options{})
 }
@@ -139,8 +145,8 @@
 	return nil
 }
 
-// Reopen closes the store and opens it again. After a failed write goleveldb rejects all further writes, even when there is space again, until
-// it is reopened. The error is ErrWriteFailed.
+// Reopen closes the store and opens it again. After a failed write goleveldb rejects all further writes, even when there is space again,
+// until it is reopened. The error is ErrWriteFailed; the store is closed then, and Reopen may be called again.
 func (s *Store) Reopen() error {
 	s.Close()
 	files, err := s.folder.Open(false)
--- a/internal/mesh/storage/write.go
+++ b/internal/mesh/storage/write.go
@@ -25,9 +25,9 @@
 	return s.write(batch)
 }
 
-// Save writes what a Ready needs on stable storage, atomically. last is the index of the last stored entry; stored entries after the new
-// ones, which are from a former leader, are removed. The error is ErrWriteFailed.
-func (s *Store) Save(ready raft.Ready, last uint64) error {
+// Save writes what a Ready needs on stable storage, atomically, and syncs it before it returns. lastStored is the index of the last stored
+// entry; stored entries after the new ones, which are from a former leader, are removed. The error is ErrWriteFailed.
+func (s *Store) Save(ready raft.Ready, lastStored uint64) error {
 	if s.db == nil {
 		return ErrWriteFailed
 	}
@@ -41,21 +41,21 @@
 		if err := s.deleteEntries(batch, util.BytesPrefix([]byte(entryPrefix))); err != nil {
 			return writeFailed(err, "list the entries that a snapshot replaces")
 		}
-		last = 0
+		lastStored = 0
 	}
 	for _, entry := range ready.Entries {
 		put(batch, string(entryKey(entry.Index)), codec.EncodeTable(raftwire.EntryToWire(entry)))
 	}
 	if n := len(ready.Entries); n > 0 {
-		for index := ready.Entries[n-1].Index + 1; index <= last; index++ {
+		for index := ready.Entries[n-1].Index + 1; index <= lastStored; index++ {
 			batch.Delete(entryKey(index))
 		}
 	}
 	return s.write(batch)
 }
 
-// Compact replaces the log up to the index of a snapshot by the snapshot, and removes the entries before oldestKept. The error is
-// ErrWriteFailed.
+// Compact replaces the log up to the index of a snapshot by the snapshot, atomically, and removes the entries before oldestKept. Those from
+// oldestKept to the snapshot's index stay as catch-up entries. The error is ErrWriteFailed.
 func (s *Store) Compact(snapshot raft.Snapshot, oldestKept uint64) error {
 	if s.db == nil {
 		return ErrWriteFailed
@@ -67,10 +67,12 @@
 	return s.write(batch)
 }
 
+// put adds a record to a batch.
 func put(batch *leveldb.Batch, key string, value []byte) {
 	batch.Put([]byte(key), addChecksum(value))
 }
 
+// putSnapshot adds the record of a snapshot to a batch.
 func putSnapshot(batch *leveldb.Batch, snapshot *raft.Snapshot) {
 	put(batch, keySnapshot, codec.EncodeTable(raftwire.SnapshotToWire(snapshot)))
 }
--- a/internal/mesh/transport/calls.go
+++ b/internal/mesh/transport/calls.go
@@ -9,21 +9,23 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Calls holds the calls of a process that wait for their reply, over all its connections. The zero value is ready to use. It may be used from
-// any goroutine.
+// Calls holds the calls of a process that wait for their reply, over all its connections. The zero value is ready to use. It may be
+// used from any goroutine.
 type Calls struct {
 	mu      sync.Mutex // guards lastID and pending
 	lastID  uint64
 	pending map[uint64]*pendingCall
 }
 
+// pendingCall is a call that waits for its reply.
 type pendingCall struct {
 	conn  *Conn
-	reply chan *wire.CallReplyT
+	reply chan *wire.CallReplyT // holds one reply, so that Deliver never waits
 }
 
-// Call makes a call and waits for its reply, until ctx or the connection ends. The error is ErrClosed, ErrQueueFull or the context's;
-// the call may have been carried out all the same. The goroutine that receives on conn has to pass replies to Deliver.
+// Call makes a call of one of the kinds of package codec, and waits for its reply until ctx or the connection ends. The error is
+// ErrClosed, ErrQueueFull or the context's; the call may have been carried out all the same. The goroutine that receives on conn has to
+// pass replies to Deliver.
 func (c *Calls) Call(ctx context.Context, conn *Conn, kind byte, body []byte) (*wire.CallReplyT, error) {
 	call := &pendingCall{conn: conn, reply: make(chan *wire.CallReplyT, 1)}
 	id := c.add(call)
@@ -58,8 +60,8 @@
 	delete(c.pending, id)
 }
 
-// Deliver passes a reply to the call that waits for it. A reply that no call waits for, or that comes by another connection than the call was
-// sent on, is dropped.
+// Deliver passes a reply to the call that waits for it. A reply that no call waits for, or that comes by another connection than the
+// call was sent on, is dropped.
 func (c *Calls) Deliver(conn *Conn, reply *wire.CallReplyT) {
 	c.mu.Lock()
 	call := c.pending[reply.Id]
--- a/internal/mesh/transport/client.go
+++ b/internal/mesh/transport/client.go
@@ -12,9 +12,9 @@
 
 // Errors of calls by a Client.
 const (
-	// ErrNoReply: the process could not be reached, or did not reply in time. It may have carried out the call all the same.
+	// ErrNoReply says that the process could not be reached, or did not reply in time. It may have carried out the call all the same.
 	ErrNoReply = errors.ConstError("no reply")
-	// ErrRejected: the status of the reply is not http.StatusOK.
+	// ErrRejected says that the status of the reply is not http.StatusOK. Its text holds the status and the reason.
 	ErrRejected = errors.ConstError("the call was rejected")
 )
 
@@ -25,7 +25,7 @@
 }
 
 // DialClient connects to the process at an address. The context bounds the dial only. onMessage is called with every message that is not a
-// reply, on the client's own goroutine, which ends with the connection; nil: such messages are dropped. The error is ErrNoReply.
+// reply, on the client's own goroutine, which ends with the connection; if it is nil such messages are dropped. The error is ErrNoReply.
 func DialClient(ctx context.Context, addr, name string, onMessage func(codec.Message)) (*Client, error) {
 	conn, err := Dial(ctx, addr, &wire.HelloT{Name: name}, nil)
 	if err != nil {
--- a/internal/mesh/transport/codec/calls.go
+++ b/internal/mesh/transport/codec/calls.go
@@ -1,10 +1,12 @@
 package codec
 
-// Kinds of calls. They are sent, so a number must never be used for another kind.
+// Kinds of calls. They are sent, so a number must never be used for another kind. The body of a call and that of its reply are the tables
+// named here, encoded by EncodeTable.
 const (
 	// CallModify forwards an operator's configuration change to the leader, with its body as it came.
 	CallModify byte = iota + 1
-	// CallReadIndex asks the leader for the index that a member must have applied so that nothing acknowledged is missing.
+	// CallReadIndex asks the leader for the index that a member must have applied so that nothing acknowledged is missing; the reply is
+	// that index as eight big-endian bytes.
 	CallReadIndex
 	// CallItems reads all configuration items by a linearizable read; the reply is wire.Items.
 	CallItems
@@ -19,7 +21,7 @@
 	CallLogRing
 	// CallHandOverKeys hands over stored responses to another sidecar: wire.KeyHandover.
 	CallHandOverKeys
-	// CallDrain takes the server of a sidecar out on behalf of an operator (body not empty), or lets it in again (empty).
+	// CallDrain drains the server of a sidecar on behalf of an operator, or ends that if the body is empty.
 	CallDrain
 	// CallActivePolicy reads which policy set is active by a linearizable read; the reply is wire.ActivePolicy.
 	CallActivePolicy
--- a/internal/mesh/transport/codec/frame.go
+++ b/internal/mesh/transport/codec/frame.go
@@ -1,8 +1,9 @@
 // Package codec encodes the messages between the mesh's own processes: frames of FlatBuffers tables, packed header fields, and the
 // kinds of calls. Package transport carries the frames.
 //
-// It is pure, and the encoding must never change, because processes of other versions and the disks of members hold it. testdata/frames holds
-// recorded frames. The schema is transport/wire.fbs; flatbuffers.dev, "Internals", describes the encoding of FlatBuffers.
+// It is pure, and its functions may be called from any goroutine. The encoding must never change, because processes of other versions
+// and the disks of members hold it; testdata/frames holds recorded frames. The schema is transport/wire.fbs; flatbuffers.dev,
+// "Internals", describes the encoding of FlatBuffers.
 package codec
 
 import (
@@ -74,6 +75,7 @@
 	panic(fmt.Sprintf("codec: %T is no message", v))
 }
 
+// builderPool holds builders whose buffers are used again for the next frame.
 var builderPool = sync.Pool{New: func() any { return flatbuffers.NewBuilder(initialFrameBytes) }}
 
 // Encode returns the frame of a message: the length prefix and the table Frame. v has one of the types of NewMessage.
@@ -116,8 +118,8 @@
 	return b.FinishedBytes()
 }
 
-// DecodeTable decodes a table without a frame from untrusted bytes. read is the generated reader, for example wire.GetRootAsItems(p, 0).UnPack();
-// its result may share memory with p. The error is ErrMalformedFrame.
+// DecodeTable decodes a table without a frame from untrusted bytes. read is the generated reader, for example
+// wire.GetRootAsItems(p, 0).UnPack(); its result may share memory with p. The error is ErrMalformedFrame.
 func DecodeTable[T any](p []byte, read func([]byte) T) (v T, err error) {
 	defer func() {
 		if recover() != nil { // generated readers panic at an offset outside the bytes
--- a/internal/mesh/transport/codec/header.go
+++ b/internal/mesh/transport/codec/header.go
@@ -8,12 +8,12 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// PackedHeaderVersion is the first transport version that packs headers. A FlatBuffers table for each field would double the size of most fields,
-// and take more processor time than everything else in a frame.
+// PackedHeaderVersion is the first transport version that packs headers. A FlatBuffers table for each field would double the size of most
+// fields, and take more processor time than everything else in a frame.
 const PackedHeaderVersion = 2
 
-// knownHeaderFields is the names of fields that are sent as a number, counted from 1. The order must never change, and names may only be added with
-// a new transport version.
+// knownHeaderFields is the names of fields that are sent as a number, counted from 1. The order must never change, and names may only be
+// added with a new transport version.
 var knownHeaderFields = [...]string{
 	"Attempt-Id", "Operation-Key", "Caller-Service", "Server-Seal", "Content-Type", "Date", "User-Agent", "Accept",
 	"Accept-Encoding", "Accept-Language", "Not-Executed", "Retry-After", "Instance-Id", "Cache-Control",
@@ -21,6 +21,7 @@
 	"Cookie", "Set-Cookie", "If-None-Match", "Range", "X-Request-Id", "Traceparent", "Tracestate",
 }
 
+// headerFieldNumbers is the numbers of knownHeaderFields, by name.
 var headerFieldNumbers = func() map[string]uint64 {
 	numbers := map[string]uint64{}
 	for i, name := range knownHeaderFields {
@@ -43,6 +44,7 @@
 	return appendText(packed, value)
 }
 
+// appendText appends a text behind its length.
 func appendText(packed []byte, text string) []byte {
 	packed = binary.AppendUvarint(packed, uint64(len(text)))
 	return append(packed, text...)
@@ -83,6 +85,7 @@
 	return f, rest, nil
 }
 
+// readNumber decodes the number at the beginning of a packed header.
 func readNumber(packed []byte) (number uint64, rest []byte, err error) {
 	number, size := binary.Uvarint(packed)
 	if size <= 0 {
@@ -91,6 +94,7 @@
 	return number, packed[size:], nil
 }
 
+// readText decodes the text at the beginning of a packed header.
 func readText(packed []byte) (text string, rest []byte, err error) {
 	length, rest, err := readNumber(packed)
 	if err != nil || length > uint64(len(rest)) {
--- a/internal/mesh/transport/conn.go
+++ b/internal/mesh/transport/conn.go
@@ -38,26 +38,33 @@
 	mu          sync.Mutex // guards queue, queuedBytes and err
 	queue       [][]byte
 	queuedBytes int
-	err         error // why it ended; nil: it has not
+	err         error // why the connection ended, or nil if it has not
 
 	wake chan struct{} // signals that queue is not empty
 	done chan struct{} // closed with the connection
 }
 
+// newConn returns a connection over netConn and starts its writer. heartbeat is as in Dial.
 func newConn(netConn net.Conn, heartbeat func() *wire.HeartbeatT) *Conn {
-	c := &Conn{netConn: netConn, writeTimeout: writeTimeout, wake: make(chan struct{}, 1), done: make(chan struct{})}
+	c := &Conn{
+		netConn:      netConn,
+		writeTimeout: writeTimeout,
+		wake:         make(chan struct{}, 1),
+		done:         make(chan struct{}),
+	}
 	c.reader = bufio.NewReaderSize(receiveTracker{c}, readBufferSize)
 	c.encodeHeartbeat = func() []byte { return codec.Encode(&wire.HeartbeatT{}) }
-	if heartbeat != nil { // heartbeats have content that other messages do not carry
-		c.encodeHeartbeat, c.alwaysHeartbeat = func() []byte { return codec.Encode(heartbeat()) }, true
+	if heartbeat != nil {
+		c.encodeHeartbeat = func() []byte { return codec.Encode(heartbeat()) }
+		c.alwaysHeartbeat = true
 	}
 	c.lastReceived.Store(time.Now().UnixNano())
 	go c.writeLoop()
 	return c
 }
 
-// AddPending adds to the number of replies that this side waits for, or works on for the peer; n is negative once they are done. While there
-// are any, heartbeats are frequent and the peer's time-out is short, so that whoever waits soon finds out that the peer is gone.
+// AddPending adds to the number of replies that this side waits for, or works on for the peer; n is negative once they are done. While
+// there are any, heartbeats are frequent and the peer's time-out is short, so that whoever waits soon finds out that the peer is gone.
 func (c *Conn) AddPending(n int64) {
 	if n > 0 && c.pending.Load() == 0 {
 		c.pendingSince.Store(time.Now().UnixNano())
@@ -65,11 +72,11 @@
 	c.pending.Add(n)
 }
 
-// Pending returns the number of pending replies, see AddPending.
+// Pending returns the number of pending replies; see AddPending.
 func (c *Conn) Pending() int64 { return c.pending.Load() }
 
-// Send queues a message of one of the types of codec.NewMessage. It never blocks: a connection whose peer does not read is closed. The error
-// is ErrClosed or ErrQueueFull; nil does not mean that the message arrives.
+// Send queues a message of one of the types of codec.NewMessage. It never blocks: a connection whose peer does not read is closed. The
+// error is ErrClosed or ErrQueueFull; nil does not mean that the message arrives.
 func (c *Conn) Send(message any) error { return c.SendFrame(codec.Encode(message)) }
 
 // SendFrame is Send of a message that codec.Encode has encoded. The frame must not be changed afterwards.
@@ -103,12 +110,13 @@
 			c.Close(err)
 			return codec.Message{}, err
 		}
-		if m.Type != wire.PayloadNONE { // otherwise a type of a later version
+		if m.Type != wire.PayloadNONE { // which stands for a type of a later version
 			return m, nil
 		}
 	}
 }
 
+// receiveFrame waits for the next frame and decodes it.
 func (c *Conn) receiveFrame() (codec.Message, error) {
 	var lengthPrefix [codec.LengthBytes]byte
 	if _, err := io.ReadFull(c.reader, lengthPrefix[:]); err != nil {
@@ -130,8 +138,8 @@
 	return m, nil
 }
 
-// receiveTracker reads from a connection and records when bytes arrive, so that a peer that is sending a long frame over a slow link does not
-// count as silent.
+// receiveTracker reads from a connection and records when bytes arrive, so that a peer that is sending a long frame over a slow link
+// does not count as silent.
 type receiveTracker struct{ conn *Conn }
 
 // Read implements io.Reader.
@@ -143,9 +151,9 @@
 	return n, err
 }
 
-// Shutdown closes the connection once everything that was sent is written, and the peer has read it and closed its own end. The owner has to
-// go on receiving meanwhile. A process that simply exits resets the connection if there is unread data, and the peer may then lose what
-// was sent last. When ctx ends the connection is closed at once.
+// Shutdown closes the connection once everything that was sent is written, and the peer has read it and closed its own end. The owner
+// has to go on receiving meanwhile. A process that simply exits resets the connection if there is unread data, and the peer may then
+// lose what was sent last. When ctx ends the connection is closed at once.
 func (c *Conn) Shutdown(ctx context.Context) {
 	const pollInterval = 5 * time.Millisecond
 	ticker := time.NewTicker(pollInterval)
@@ -166,7 +174,8 @@
 	}
 }
 
-// Close closes the connection at once. Err returns reason from then on, unless the connection was closed before; nil: ErrClosed.
+// Close closes the connection at once. Err returns reason from then on, or ErrClosed if reason is nil, unless the connection was closed
+// before.
 func (c *Conn) Close(reason error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,7 +199,7 @@
 // Done returns a channel that is closed with the connection.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
-// Err returns why the connection ended; nil: it has not.
+// Err returns why the connection ended, or nil if it has not.
 func (c *Conn) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/mesh/transport/conn_test.go
+++ b/internal/mesh/transport/conn_test.go
@@ -100,8 +100,8 @@
 	assert.Assert(t, errors.Is(<-failed, ErrClosed))
 }
 
-// The peer reads everything that was sent before Shutdown, however slowly it reads and whatever it still sends itself. Shutdown returns once it has,
-// or when its context ends.
+// The peer reads everything that was sent before Shutdown, however slowly it reads and whatever it still sends itself. Shutdown returns
+// once it has, or when its context ends.
 func TestShutdownDeliversWhatWasSent(t *testing.T) {
 	addr, accepted := listen(t)
 	reader := dial(t, addr, "reader")
--- a/internal/mesh/transport/traffic.go
+++ b/internal/mesh/transport/traffic.go
@@ -8,7 +8,10 @@
 )
 
 // trafficCounters count frames and their bytes, by message type. They may be used from any goroutine.
-type trafficCounters [len(messageTypes)]struct{ frames, bytes atomic.Int64 }
+type trafficCounters [len(messageTypes)]struct {
+	frames atomic.Int64
+	bytes  atomic.Int64 // with length prefixes
+}
 
 // sentTraffic counts what this process has sent on all its connections, receivedTraffic what it has received.
 var sentTraffic, receivedTraffic trafficCounters
@@ -46,6 +49,7 @@
 	sentTraffic.add(wire.GetRootAsFrame(frame, codec.LengthBytes).PayloadType(), len(frame))
 }
 
+// add counts one frame. Types that this build does not know are left out.
 func (c *trafficCounters) add(messageType wire.Payload, bytes int) {
 	if int(messageType) < len(c) {
 		c[messageType].frames.Add(1)
@@ -53,9 +57,14 @@
 	}
 }
 
+// snapshot returns the counters that are not 0, in the order of the types' numbers.
 func (c *trafficCounters) snapshot() (counters []*wire.TrafficCounterT) {
 	for number, name := range messageTypes {
-		counter := &wire.TrafficCounterT{MessageType: name, Frames: c[number].frames.Load(), Bytes: c[number].bytes.Load()}
+		counter := &wire.TrafficCounterT{
+			MessageType: name,
+			Frames:      c[number].frames.Load(),
+			Bytes:       c[number].bytes.Load(),
+		}
 		if counter.Frames > 0 {
 			counters = append(counters, counter)
 		}
--- a/internal/mesh/transport/transport.go
+++ b/internal/mesh/transport/transport.go
@@ -3,7 +3,10 @@
 // accepts, and the calls that wait for their reply.
 //
 // It must never act on the contents of messages, except for Hello and the replies to its own calls, and never reorder the frames of a
-// connection.
+// connection. It promises no delivery: a message that was sent may be lost with its connection, and a call without a reply may have been
+// carried out.
+//
+// A connection has one goroutine of its own, which writes; its owner receives on another. Everything else may be called from any goroutine.
 //
 // Sources: HTTP/2 (RFC 9113) for frames, flow-control windows and PING as heartbeats; gRPC keepalive for the end of a silent
 // connection; RFC 5482 for TCP_USER_TIMEOUT.
@@ -51,14 +54,18 @@
 
 // Errors of this package. They are also among the reasons for which a connection ended.
 const (
-	ErrClosed     = errors.ConstError("the connection is closed")
-	ErrQueueFull  = errors.ConstError("the peer does not read what is sent to it")
+	// ErrClosed says that the connection has ended. Its user has to dial again.
+	ErrClosed = errors.ConstError("the connection is closed")
+	// ErrQueueFull says that the connection was closed because the peer does not read what is sent to it.
+	ErrQueueFull = errors.ConstError("the peer does not read what is sent to it")
+	// ErrPeerSilent says that nothing came from the peer for so long that it or the link must have failed.
 	ErrPeerSilent = errors.ConstError("the peer is silent")
-	ErrNoHello    = errors.ConstError("the first message of the peer is not a hello")
+	// ErrNoHello says that whoever has dialled is none of the mesh's processes.
+	ErrNoHello = errors.ConstError("the first message of the peer is not a hello")
 )
 
 // Dial opens a connection and sends hello, after setting its version. The context bounds the dial only. heartbeat makes the content of
-// heartbeats, on a goroutine of the connection; nil: they are empty.
+// heartbeats, on a goroutine of the connection; if it is nil they have none. The caller has to receive on the connection, and to close it.
 func Dial(ctx context.Context, addr string, hello *wire.HelloT, heartbeat func() *wire.HeartbeatT) (*Conn, error) {
 	dialer := net.Dialer{Timeout: DialTimeout, Control: setSocketOptions, KeepAlive: -1}
 	netConn, err := dialer.DialContext(ctx, "tcp4", addr)
@@ -95,8 +102,8 @@
 	return conn, nil
 }
 
-// setSocketOptions makes a connection end soon after its peer has lost power, also while bytes are unacknowledged, and makes progress over a
-// slow link visible early.
+// setSocketOptions makes a connection end soon after its peer has lost power, also while bytes are unacknowledged, and makes progress
+// over a slow link visible early.
 func setSocketOptions(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(PeerTimeout/time.Millisecond))
--- a/internal/mesh/transport/writer.go
+++ b/internal/mesh/transport/writer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// writeLoop writes what is queued, and heartbeats when they are due. It ends with the connection, which it closes when the peer is silent for
-// too long.
+// writeLoop writes what is queued, and heartbeats when they are due. It ends with the connection, which it closes when the peer is
+// silent for too long.
 func (c *Conn) writeLoop() {
 	ticker := time.NewTicker(HeartbeatInterval)
 	defer ticker.Stop()
@@ -51,6 +51,9 @@
 	return !idle && now-max(received, c.pendingSince.Load()) > int64(PeerTimeout)
 }
 
+// busyTicks is how many ticks without a write a heartbeat waits for while something is pending: the first may come just after a write.
+const busyTicks = 2
+
 // isHeartbeatDue reports whether a heartbeat has to be sent after a number of ticks in which nothing was written.
 func (c *Conn) isHeartbeatDue(idleTicks int, idle bool) bool {
 	switch {
@@ -59,7 +62,7 @@
 	case idle:
 		return idleTicks >= IdleFactor
 	}
-	return idleTicks >= 2 // the first tick may have come just after a write
+	return idleTicks >= busyTicks
 }
 
 // writeQueued writes a heartbeat, if there is one, and all that is queued.
