--- a/internal/mesh/apiclient/await.go
+++ b/internal/mesh/apiclient/await.go
@@ -20,7 +20,9 @@
 
 // Errors of AwaitPolicyActive and FollowOrder.
 const (
-	ErrUnknownOrder  = errors.ConstError("unknown order")
+	// ErrUnknownOrder says that no order has the ID, so that it was never placed, or was forgotten since.
+	ErrUnknownOrder = errors.ConstError("unknown order")
+	// ErrPolicyPending says that a policy set has not become active in time. It still may: the call can be repeated.
 	ErrPolicyPending = errors.ConstError("the policy set is committed and not active yet")
 )
 
@@ -44,7 +46,7 @@
 type OrderProgress struct {
 	Order      maintenance.Order
 	Events     []maintenance.Event // new ones
-	WaitingFor string              // what it waits for, if that has changed; else ""
+	WaitingFor string              // what it waits for, or "" if that has not changed
 }
 
 // WriteText prints the new events and what the order waits for, as text for operators.
--- a/internal/mesh/apiclient/client.go
+++ b/internal/mesh/apiclient/client.go
@@ -1,8 +1,8 @@
 // Package apiclient calls the operators' HTTP API of a control-plane member.
 //
 // It owns the requests and the decoding of their responses. It must never decide anything about the mesh, and never retry: whether a
-// change without an answer is sent again is the operator's decision. The API's paths and forms are those of the operators' pages,
-// docs/maintenance.md and docs/rules.md.
+// change without an answer is sent again is the operator's decision. Any goroutine may call it; each call blocks until its response. The
+// API's paths and forms are those of the operators' pages, docs/maintenance.md and docs/rules.md.
 package apiclient
 
 import (
@@ -21,22 +21,13 @@
 	"cranegrade/internal/mesh/controlplane"
 )
 
-// ErrUnavailable is the error if a member does not answer, or answers 503.
+// ErrUnavailable is the error if a member does not answer, or answers 503. A read can be tried again, at this member or another; after a
+// change see Client.Modify.
 const ErrUnavailable = errors.ConstError("the control plane is not available")
 
 // maxResponseBytes is the most that is read of a response.
 const maxResponseBytes = 64 << 20
 
-// Paths of the API. The former ones are those of the previous release, whose members know no others.
-const (
-	pathFetch             = "/v1/configuration/fetch"
-	pathModify            = "/v1/configuration/modify"
-	pathMaintenance       = "/v1/maintenance"
-	pathFormerMaintenance = "/v1/night"
-	pathPolicy            = "/v1/policy"
-	pathFormerPolicy      = "/v1/rules"
-)
-
 // StatusError is a response with another status than 200.
 type StatusError struct {
 	Addr   string // of the member
@@ -58,12 +49,12 @@
 // Client calls one member. It may be used by any goroutine.
 type Client struct {
 	Addr    string        // ControlPlane of the member: host and port
-	Timeout time.Duration // of each call; 0: none
+	Timeout time.Duration // of each call, or 0 for none
 }
 
 // Configuration returns the configuration as a majority confirmed it, as text and as a table.
 func (c Client) Configuration() (text []byte, table config.Table, err error) {
-	text, err = c.call(http.MethodGet, pathFetch, nil)
+	text, err = c.call(http.MethodGet, controlplane.PathFetch, nil)
 	if err != nil {
 		return nil, config.Table{}, err
 	}
@@ -78,23 +69,23 @@
 // Modify sends a change, which is acknowledged if there is no error. After ErrUnavailable it may have been accepted or not, and can
 // safely be sent again unchanged.
 func (c Client) Modify(body []byte) error {
-	_, err := c.call(http.MethodPost, pathModify, body)
+	_, err := c.call(http.MethodPost, controlplane.PathModify, body)
 	return err
 }
 
 // Maintenance sends a call about maintenance, which the leader answers.
 func (c Client) Maintenance(request controlplane.MaintenanceRequest) (response controlplane.MaintenanceResponse, err error) {
-	err = c.callJSON(request, &response, pathMaintenance, pathFormerMaintenance)
+	err = c.callJSON(request, &response, controlplane.PathMaintenance, controlplane.FormerPathMaintenance)
 	return response, err
 }
 
 // Policy sends a call about policies, which the leader answers.
 func (c Client) Policy(request controlplane.PolicyRequest) (response controlplane.PolicyResponse, err error) {
-	err = c.callJSON(request, &response, pathPolicy, pathFormerPolicy)
+	err = c.callJSON(request, &response, controlplane.PathPolicy, controlplane.FormerPathPolicy)
 	return response, err
 }
 
-// callJSON posts a request to the first of the paths that is not answered with 404.
+// callJSON posts a request to the first of the paths that is not answered with 404. response points to what the response is decoded into.
 func (c Client) callJSON(request, response any, paths ...string) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -114,7 +105,8 @@
 	return errors.Annotatef(json.Unmarshal(text, response), "reading the response of %s", c.Addr)
 }
 
-// call sends one request and returns the body of the response if its status is 200. Other statuses are a *StatusError.
+// call sends one request and returns the body of the response if its status is 200. Other statuses are a *StatusError. A member that
+// can't be reached, or whose response is incomplete, is ErrUnavailable.
 func (c Client) call(method, path string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.Addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -131,7 +123,12 @@
 		return nil, errors.WithType(err, ErrUnavailable)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, &StatusError{Addr: c.Addr, Code: response.StatusCode, Status: response.Status, Text: strings.TrimSpace(string(text))}
+		return nil, &StatusError{
+			Addr:   c.Addr,
+			Code:   response.StatusCode,
+			Status: response.Status,
+			Text:   strings.TrimSpace(string(text)),
+		}
 	}
 	return text, nil
 }
--- a/internal/mesh/controlplane/api_server.go
+++ b/internal/mesh/controlplane/api_server.go
@@ -10,16 +10,17 @@
 	"cranegrade/internal/mesh/replica"
 )
 
+// maxRequestBytes is the size of the largest request body.
 const maxRequestBytes = 4 << 20
 
-// Paths of the operators' API. The former paths are served until the next release.
+// Paths of the operators' API. The former paths are served until the next release; members of the previous one know no others.
 const (
-	pathModify            = "/v1/configuration/modify"
-	pathFetch             = "/v1/configuration/fetch"
+	PathModify            = "/v1/configuration/modify"
+	PathFetch             = "/v1/configuration/fetch"
 	PathMaintenance       = "/v1/maintenance"
 	PathPolicy            = "/v1/policy"
-	formerPathMaintenance = "/v1/night"
-	formerPathPolicy      = "/v1/rules"
+	FormerPathMaintenance = "/v1/night"
+	FormerPathPolicy      = "/v1/rules"
 )
 
 // Texts of errors that operators see.
@@ -33,14 +34,14 @@
 // newAPIServer returns the server of the operators' API.
 func newAPIServer(m *Member) *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathModify, api.NewHandler(maxRequestBytes, replica.CallTimeout, m.modify))
-	mux.HandleFunc("GET "+pathFetch, api.NewHandler(0, replica.CallTimeout, m.fetch))
+	mux.HandleFunc("POST "+PathModify, api.NewHandler(maxRequestBytes, replica.CallTimeout, m.modify))
+	mux.HandleFunc("GET "+PathFetch, api.NewHandler(0, replica.CallTimeout, m.fetch))
 	maintenance := api.NewHandler(maxRequestBytes, replica.CallTimeout, atLeader(m, m.maintenance.answer))
 	policies := api.NewHandler(maxRequestBytes, replica.CallTimeout, atLeader(m, m.policies.answer))
-	for _, path := range []string{PathMaintenance, formerPathMaintenance} {
+	for _, path := range []string{PathMaintenance, FormerPathMaintenance} {
 		mux.HandleFunc("POST "+path, maintenance)
 	}
-	for _, path := range []string{PathPolicy, formerPathPolicy} {
+	for _, path := range []string{PathPolicy, FormerPathPolicy} {
 		mux.HandleFunc("POST "+path, policies)
 	}
 	return api.NewServer(mux)
--- a/internal/mesh/controlplane/api_server_test.go
+++ b/internal/mesh/controlplane/api_server_test.go
@@ -66,9 +66,9 @@
 		return w
 	}
 	const services = `{"Upsert":{"UpstreamGroups":[{"Name":"stock","ConfigVersion":1}]}}`
-	assert.Equal(t, call(http.MethodPost, pathModify, services).Code, http.StatusOK)
-	assert.Equal(t, call(http.MethodPost, pathModify, `{"Upsert":1}`).Code, http.StatusBadRequest)
-	fetched := call(http.MethodGet, pathFetch, "")
+	assert.Equal(t, call(http.MethodPost, PathModify, services).Code, http.StatusOK)
+	assert.Equal(t, call(http.MethodPost, PathModify, `{"Upsert":1}`).Code, http.StatusBadRequest)
+	fetched := call(http.MethodGet, PathFetch, "")
 	assert.Equal(t, fetched.Code, http.StatusOK)
 	assert.Assert(t, strings.Contains(fetched.Body.String(), `"stock"`), fetched.Body.String())
 }
--- a/internal/mesh/controlplane/disk_contents.go
+++ b/internal/mesh/controlplane/disk_contents.go
@@ -16,7 +16,8 @@
 // ErrEmptyDisk is the error of RecoverConfiguration for an empty data folder.
 const ErrEmptyDisk = errors.ConstError("the data folder is empty")
 
-// DiskContents is what the data folder of a stopped member holds, with all of its log applied, committed or not.
+// DiskContents is what the data folder of a stopped member holds, with all of its log applied, committed or not. Which of its entries are
+// committed only the members together know. The JSON is read by operators' tools.
 type DiskContents struct {
 	Format       int           `json:"format"`
 	Empty        bool          `json:"empty"`
@@ -52,8 +53,8 @@
 	return contents, nil
 }
 
-// RecoverConfiguration returns the request that restores the configuration in a data folder, with all of its log applied, committed or not. It
-// is for a control plane that has lost more members than it tolerates. The member must not run.
+// RecoverConfiguration returns the request that restores the configuration in a data folder, with all of its log applied, committed or
+// not. It is for a control plane that has lost more members than it tolerates. The member must not run.
 func RecoverConfiguration(dir string) (config.ModifyRequest, error) {
 	state, contents, err := readDataFolder(dir)
 	if err != nil {
@@ -66,17 +67,18 @@
 	return config.ModifyRequest{Upsert: &layout}, nil
 }
 
+// readDataFolder reads a data folder and applies all of its log.
 func readDataFolder(dir string) (state replica.State, contents DiskContents, err error) {
-	held, empty, err := storage.OpenReadOnly(dir)
+	stored, empty, err := storage.OpenReadOnly(dir)
 	contents.Format, contents.Empty = storage.FormatVersion, empty
 	if err != nil || empty {
 		return state, contents, err
 	}
-	if err := state.Decode(held.Snapshot.Data); err != nil {
-		return state, contents, errors.Annotatef(err, "snapshot of entry %d in %s", held.Snapshot.Index, dir)
+	if err := state.Decode(stored.Snapshot.Data); err != nil {
+		return state, contents, errors.Annotatef(err, "snapshot of entry %d in %s", stored.Snapshot.Index, dir)
 	}
-	contents.Members = held.Snapshot.Members
-	for _, entry := range held.Entries {
+	contents.Members = stored.Snapshot.Members
+	for _, entry := range stored.Entries {
 		switch entry.Kind {
 		case raft.EntryConfiguration:
 			contents.Members = entry.Members
@@ -85,9 +87,9 @@
 		case raft.EntryNoOp:
 		}
 	}
-	contents.Self, contents.Term, contents.Vote = held.Self, held.HardState.Term, held.HardState.Vote
-	contents.Snapshot, contents.SnapshotTerm = held.Snapshot.Index, held.Snapshot.Term
-	contents.Last = held.Snapshot.Index + uint64(len(held.Entries))
+	contents.Self, contents.Term, contents.Vote = stored.Self, stored.HardState.Term, stored.HardState.Vote
+	contents.Snapshot, contents.SnapshotTerm = stored.Snapshot.Index, stored.Snapshot.Term
+	contents.Last = stored.Snapshot.Index + uint64(len(stored.Entries))
 	return state, contents, nil
 }
 
--- a/internal/mesh/controlplane/disk_contents_test.go
+++ b/internal/mesh/controlplane/disk_contents_test.go
@@ -34,7 +34,7 @@
 	assert.NilError(t, err)
 	members := []raft.Member{{ID: 7, Addr: testAddress}}
 	opened.initialize(raft.StoredState{Self: 7, Snapshot: raft.BootstrapSnapshot(members)}, zerolog.Nop())
-	last := opened.held.Snapshot.Index
+	last := opened.state.Snapshot.Index
 	added := append(members, raft.Member{ID: 8, Addr: "10.0.0.2:7000"})
 	ready := raft.Ready{HardState: &raft.HardState{Term: 3, Vote: 7}, Entries: []raft.Entry{
 		{Index: last + 1, Term: 3, Kind: raft.EntryNoOp},
--- a/internal/mesh/controlplane/environment.go
+++ b/internal/mesh/controlplane/environment.go
@@ -42,6 +42,7 @@
 	})
 }
 
+// callPeer calls a peer and waits for its reply.
 func callPeer(ctx context.Context, link *peerLink, kind byte, body []byte) replica.Reply {
 	reply, err := link.call(ctx, kind, body)
 	if err != nil {
--- a/internal/mesh/controlplane/inbound.go
+++ b/internal/mesh/controlplane/inbound.go
@@ -66,6 +66,7 @@
 	}
 }
 
+// greetSidecar adds a sidecar's connection and sends it what it has to know first.
 func (m *Member) greetSidecar(connection *transport.Conn) {
 	m.sidecars.add(connection)
 	for _, message := range m.replica.InitialMessages() {
@@ -73,6 +74,7 @@
 	}
 }
 
+// greetPeer remembers the address of a member that has connected, and connects to it.
 func (m *Member) greetPeer(connection *transport.Conn) {
 	m.replica.RememberAddress(raft.ID(connection.Peer.MemberId), connection.Peer.Addr)
 	m.peers.link(connection.Peer.Addr).dialNow()
@@ -93,16 +95,16 @@
 	m.loop.post(func() { m.replica.Step(m.clock.now(), message) })
 }
 
-// mergeRecords merges records that a sidecar sent about itself, or that another member forwarded. If this member has newer ones of a sidecar,
-// they are sent back to it.
+// mergeRecords merges records that a sidecar sent about itself, or that another member forwarded. If this member has newer ones of a
+// sidecar, they are sent back to it.
 func (m *Member) mergeRecords(records []directory.Record, connection *transport.Conn, from replica.Origin) {
 	for _, newer := range m.replica.MergeRecords(m.clock.now(), records, from) {
 		_ = connection.Send(directory.ToWire([]directory.Record{newer}))
 	}
 }
 
-// serveCall answers a call of a sidecar, a member or an observer. Calls that must be answered while the loop's goroutine hangs, and bodies that
-// are slow to parse, are handled on other goroutines.
+// serveCall answers a call of a sidecar, a member or an observer. Calls that must be answered while the loop's goroutine hangs, and
+// bodies that are slow to parse, are handled on other goroutines.
 func (m *Member) serveCall(connection *transport.Conn, call *wire.CallT, from replica.Origin) {
 	switch call.Kind {
 	case codec.CallLogRing:
--- a/internal/mesh/controlplane/initial_orders.go
+++ b/internal/mesh/controlplane/initial_orders.go
@@ -14,23 +14,25 @@
 
 // initialOrders is a file of contracts and orders, which the leader places once there is a configuration.
 type initialOrders struct {
-	Contracts json.RawMessage `json:"Contracts"` // the body of a call of pathModify
+	Contracts json.RawMessage `json:"Contracts"` // the body of a call of PathModify
 	Orders    []initialOrder  `json:"Orders"`
 
-	configuredAt time.Duration // when this leader first saw a configuration; 0: it has not
-	placed       int           // of Orders
+	configuredAt time.Duration // when this leader first saw a configuration, or 0 if it has not
+	placed       int           // how many of Orders were placed
 }
 
+// initialOrder is an order and when to place it.
 type initialOrder struct {
 	maintenance.Order
 	DelaySeconds float64 `json:"AfterS"` // from configuredAt
 }
 
+// delay returns the time from configuredAt after which the order is placed.
 func (o initialOrder) delay() time.Duration {
 	return time.Duration(o.DelaySeconds * float64(time.Second))
 }
 
-// readInitialOrders reads and checks a file; nil: none is named.
+// readInitialOrders reads and checks a file. It returns nil if none is named.
 func readInitialOrders(file string) (*initialOrders, error) {
 	if file == "" {
 		return nil, nil
@@ -49,8 +51,8 @@
 	return orders, nil
 }
 
-// placeInitialOrders places the contracts, and then the orders one at a time. A later leader may do so again, since placing an order with the
-// same ID twice has no effect.
+// placeInitialOrders places the contracts, and then the orders one at a time. A later leader may do so again, since placing an order
+// with the same ID twice has no effect.
 func (c *maintenanceController) placeInitialOrders(now time.Duration) {
 	initial := c.initial
 	if initial == nil || c.replica.State().Items.Len() == 0 {
@@ -59,7 +61,8 @@
 	if initial.configuredAt == 0 {
 		initial.configuredAt = now
 		items, _ := config.ParseItems(initial.Contracts) // readInitialOrders has checked it
-		c.replica.Propose(c.clock.now(), replica.EncodeChange(replica.ChangeItems, config.ItemsToWire(items)), func(replica.ProposalResult) {})
+		change := replica.EncodeChange(replica.ChangeItems, config.ItemsToWire(items))
+		c.replica.Propose(c.clock.now(), change, func(replica.ProposalResult) {})
 		return
 	}
 	if initial.placed >= len(initial.Orders) || c.survey.running {
--- a/internal/mesh/controlplane/maintenance.go
+++ b/internal/mesh/controlplane/maintenance.go
@@ -17,13 +17,14 @@
 )
 
 const (
-	clockInterval     = 5 * time.Second // between two times of day that are committed
-	silenceTimeout    = 5 * time.Second // after which an order no longer waits for a sidecar that does not answer
-	downloadAllowance = 10 * time.Second
+	clockInterval     = 5 * time.Second  // between two times of day that are committed
+	silenceTimeout    = 5 * time.Second  // after which an order no longer waits for a sidecar that does not answer
+	downloadAllowance = 10 * time.Second // that a plan adds to a drain for responses of download routes
 	maintenanceMargin = 10 * time.Second // to keep free before a window ends
-	warmUpTime        = 3 * time.Second
+	warmUpTime        = 3 * time.Second  // for which a machine has to be ready before it counts as warm
 )
 
+// textAnotherOrderBegins is what an order waits for while another one begins.
 const textAnotherOrderBegins = "another order begins"
 
 // maintenanceController carries out maintenance orders while this member leads: it surveys the mesh, commits the agreed time of day, and
@@ -36,17 +37,19 @@
 	replica  *replica.Replica
 	survey   *surveyor
 	self     string         // this member's address
-	initial  *initialOrders // nil: none
+	initial  *initialOrders // or nil
 
 	contracts      []maintenance.Contract // as of the entry contractsIndex
 	contractsIndex uint64
-	timeAgreedAt   time.Duration // when this leader last proposed a time of day; 0: never
-	trustClocks    bool          // an operator has confirmed that the clocks are right, whatever was committed before
-	readySince     map[string]time.Duration
-	waitingFor     map[string]string // by order: what it waits for
+	timeAgreedAt   time.Duration            // when this leader last proposed a time of day, or 0 if it never has
+	trustClocks    bool                     // an operator has confirmed that the clocks are right, whatever was committed before
+	readySince     map[string]time.Duration // by address: since when the machine has been ready
+	waitingFor     map[string]string        // by order: what it waits for
 	// pending is how many steps were proposed in this leadership and are neither applied nor lost. No step is decided meanwhile, since it
 	// would be based on orders that are about to change.
-	pending, leadership int
+	pending int
+	// leadership counts how often this member has stepped down, so that steps of an earlier leadership are not counted as pending.
+	leadership int
 }
 
 // tick starts a survey if orders or the committed time of day need one.
@@ -74,8 +77,11 @@
 // stepDown discards the state of a leader.
 func (c *maintenanceController) stepDown() {
 	c.survey.forget()
-	c.readySince, c.timeAgreedAt, c.trustClocks = nil, 0, false
-	c.pending, c.leadership = 0, c.leadership+1
+	c.readySince = nil
+	c.timeAgreedAt = 0
+	c.trustClocks = false
+	c.pending = 0
+	c.leadership++
 }
 
 // currentContracts returns the contracts in the configuration. They are decoded again only after an item has changed.
@@ -87,6 +93,7 @@
 	return c.contracts
 }
 
+// readContracts decodes the contracts among items.
 func readContracts(items config.Table) (contracts []maintenance.Contract) {
 	for _, item := range items.Items() {
 		if item.Kind != config.KindContract || item.Deleted {
@@ -132,8 +139,8 @@
 	return state.Clock.Now(c.replica.LogTime(c.clock.now())), state.Clock.IsKnown() && state.ClockTerm == c.replica.Term()
 }
 
-// propose proposes a change of the maintenance state. done is called once, on the loop's goroutine: with the error of applying the change, or
-// with an api.Error if it is not known whether the change was committed.
+// propose proposes a change of the maintenance state. done is called once, on the loop's goroutine: with the error of applying the
+// change, or with an api.Error if it is not known whether the change was committed.
 func (c *maintenanceController) propose(kind replica.MaintenanceKind, change any, done func(error)) {
 	text, err := json.Marshal(change)
 	if err != nil {
--- a/internal/mesh/controlplane/maintenance_api.go
+++ b/internal/mesh/controlplane/maintenance_api.go
@@ -27,7 +27,8 @@
 	By            string                   `json:"By,omitempty" validate:"max=128"`
 	LengthSeconds float64                  `json:"LengthS,omitempty" validate:"gte=0,lte=86400"`
 	Machines      []string                 `json:"Machines,omitempty" validate:"max=256"`
-	TrustClocks   bool                     `json:"Trust,omitempty"` // By confirms that the members' clocks are right, whatever was committed before
+	// TrustClocks says that By confirms that the members' clocks are right, whatever was committed before.
+	TrustClocks bool `json:"Trust,omitempty"`
 }
 
 // MaintenanceResponse is the leader's answer.
@@ -75,7 +76,12 @@
 // response returns the state of all orders, and what else the request asks for.
 func (c *maintenanceController) response(request MaintenanceRequest) MaintenanceResponse {
 	state := &c.replica.State().Maintenance
-	response := MaintenanceResponse{ClocksDisagree: state.Clock.InDoubt, Orders: state.Orders.Orders, WaitingFor: c.waitingFor, Leader: c.self}
+	response := MaintenanceResponse{
+		ClocksDisagree: state.Clock.InDoubt,
+		Orders:         state.Orders.Orders,
+		WaitingFor:     c.waitingFor,
+		Leader:         c.self,
+	}
 	response.Now, response.TimeAgreed = c.agreedTime()
 	if request.Machine != "" {
 		length := time.Duration(request.LengthSeconds * float64(time.Second))
@@ -206,6 +212,7 @@
 	return nil
 }
 
+// notApproverError returns the error for an approver whom the contracts do not name.
 func notApproverError(by, machine string, verdict maintenance.Verdict) error {
 	return api.NewError(http.StatusForbidden, "for "+machine+" the contracts "+strings.Join(verdict.Contracts, ", ")+" name "+
 		strings.Join(verdict.Approvers, ", ")+" as approvers, not "+by)
--- a/internal/mesh/controlplane/maintenance_test.go
+++ b/internal/mesh/controlplane/maintenance_test.go
@@ -26,7 +26,8 @@
 func newTestController(t *testing.T) (*maintenanceController, soloLeader) {
 	t.Helper()
 	leader := newSoloLeader(t)
-	leader.MergeRecords(leader.clock.now(), []directory.Record{{Addr: sidecarAddress, Node: "sidecar-1", Service: "stock"}}, replica.FromSidecar)
+	record := directory.Record{Addr: sidecarAddress, Node: "sidecar-1", Service: "stock"}
+	leader.MergeRecords(leader.clock.now(), []directory.Record{record}, replica.FromSidecar)
 	var current atomic.Pointer[settings.Settings]
 	defaults := settings.Defaults()
 	current.Store(&defaults)
--- a/internal/mesh/controlplane/member.go
+++ b/internal/mesh/controlplane/member.go
@@ -2,8 +2,10 @@
 // internal/mesh/replica, which takes all decisions of consensus and state, and owns their lifecycle: the store, links to the other
 // members, connections of sidecars, the operators' API, and the leader's controllers of maintenance and policy rollout.
 //
-// One goroutine, that of Member.Run, owns the replica, the store and the controllers; everything else posts to its eventLoop.
-// Nothing here may touch the replica from another goroutine, acknowledge what is not on disk, or hold a lock over I/O.
+// One goroutine, that of Member.Run, owns the replica, the store and the controllers; everything else posts to its eventLoop (loop.go).
+// Nothing here may touch the replica from another goroutine, acknowledge what is not on disk, or hold a lock over I/O. While the disk
+// rejects writes, that goroutine retries and does nothing else (store.go), so nothing is acknowledged; connections go on and report that
+// there is no quorum contact.
 //
 // The design follows the split of etcd's raft from its server: docs/design/control.md.
 package controlplane
@@ -35,10 +37,8 @@
 	maxLeaveTime = 2 * time.Second        // even if the members that stay lag behind
 )
 
-// Errors of New.
-const (
-	ErrNoDataDir = errors.ConstError("settings: DataDir is empty; a control-plane member needs a disk")
-)
+// ErrNoDataDir is the error of New for settings without DataDir. They have to be corrected.
+const ErrNoDataDir = errors.ConstError("settings: DataDir is empty; a control-plane member needs a disk")
 
 // Member is one control-plane member. New makes it, Run runs it, once.
 type Member struct {
@@ -61,7 +61,7 @@
 	sidecars          sidecarSet
 	writer            stateWriter
 	replica           *replica.Replica
-	quorumContact     atomic.Int64 // when the replica was in contact with a quorum, as of the last turn; 0: it is not
+	quorumContact     atomic.Int64 // Replica.QuorumContact as of the last turn, for the goroutines of connections
 
 	survey      surveyor
 	maintenance maintenanceController
@@ -69,7 +69,8 @@
 }
 
 // New opens the store and the listeners. initialOrders names a file of contracts and maintenance orders to place once there is a
-// configuration; "": none.
+// configuration, or is "". While the store is unavailable, for instance because the disk is full, New does not return. On an error nothing
+// stays open.
 func New(set settings.Settings, log zerolog.Logger, ring *logring.Ring, initialOrders string) (_ *Member, err error) {
 	if set.DataDir == "" {
 		return nil, ErrNoDataDir
@@ -113,13 +114,30 @@
 
 // wire connects the parts that do not depend on the store.
 func (m *Member) wire(orders *initialOrders) {
-	m.peers.ctx, m.peers.log, m.peers.hello = m.ctx, m.log, m.hello
-	m.peers.onConnected, m.peers.onRefused = m.sendRecords, m.peerRefused
+	m.peers.ctx = m.ctx
+	m.peers.log = m.log
+	m.peers.hello = m.hello
+	m.peers.onConnected = m.sendRecords
+	m.peers.onRefused = m.peerRefused
 	m.writer.log = m.log
-	self := m.self.Addr
-	m.survey = surveyor{ctx: m.ctx, loop: m.loop, clock: &m.clock, self: self, ownStatus: m.status, done: m.policies.activate, background: &m.background}
-	m.maintenance = maintenanceController{log: m.log, settings: &m.settings, clock: &m.clock, survey: &m.survey, self: self, initial: orders}
-	m.policies = policyActivator{log: m.log, clock: &m.clock, survey: &m.survey, self: self}
+	m.survey = surveyor{
+		ctx:        m.ctx,
+		loop:       m.loop,
+		clock:      &m.clock,
+		self:       m.self.Addr,
+		ownStatus:  m.status,
+		done:       m.policies.activate,
+		background: &m.background,
+	}
+	m.maintenance = maintenanceController{
+		log:      m.log,
+		settings: &m.settings,
+		clock:    &m.clock,
+		survey:   &m.survey,
+		self:     m.self.Addr,
+		initial:  orders,
+	}
+	m.policies = policyActivator{log: m.log, clock: &m.clock, survey: &m.survey, self: m.self.Addr}
 }
 
 // openReplica opens the store and makes the replica of what it holds.
@@ -138,23 +156,32 @@
 		}
 		opened.initialize(first.InitialState(), m.log)
 	}
-	held := opened.held
+	stored := opened.state
 	m.writer.store = opened.store
-	m.self.ID = held.Self
+	m.self.ID = stored.Self
 	config := replica.Config{
 		Address:         m.self.Addr,
-		Stored:          held,
+		Stored:          stored,
 		Seeds:           set.SeedAddresses(),
 		FaultsTolerated: set.FaultTolerance.Machines,
-		RandomSeed:      uint64(held.Self) ^ uint64(time.Now().UnixNano()),
+		RandomSeed:      uint64(stored.Self) ^ uint64(time.Now().UnixNano()),
 		Log:             m.log,
 	}
-	env := environment{ctx: m.ctx, loop: m.loop, peers: &m.peers, writer: &m.writer, sidecars: &m.sidecars, background: &m.background}
+	env := environment{
+		ctx:        m.ctx,
+		loop:       m.loop,
+		peers:      &m.peers,
+		writer:     &m.writer,
+		sidecars:   &m.sidecars,
+		background: &m.background,
+	}
 	if m.replica, err = replica.New(config, env, m.clock.now()); err != nil {
 		return err
 	}
-	m.survey.replica, m.maintenance.replica, m.policies.replica = m.replica, m.replica, m.replica
-	m.log.Info().Uint64("member_id", uint64(held.Self)).Uint64("last_index", m.replica.SavedIndex()).Bool("empty", opened.empty).
+	m.survey.replica = m.replica
+	m.maintenance.replica = m.replica
+	m.policies.replica = m.replica
+	m.log.Info().Uint64("member_id", uint64(stored.Self)).Uint64("last_index", m.replica.SavedIndex()).Bool("empty", opened.empty).
 		Msg("store opened")
 	return nil
 }
@@ -175,7 +202,8 @@
 // Reload applies changed settings. Changes of addresses only take effect at the next start. Any goroutine may call it.
 func (m *Member) Reload(set settings.Settings) { m.settings.Store(&set) }
 
-// Run serves until ctx ends, and then until accepted calls are answered and another member leads, but no longer than maxLeaveTime.
+// Run serves until ctx ends, and then until accepted calls are answered and another member leads, but no longer than maxLeaveTime. It
+// always returns nil, and must be called once.
 func (m *Member) Run(ctx context.Context) error {
 	defer m.background.Wait()
 	defer m.cancel()
@@ -186,8 +214,9 @@
 	ticker := time.NewTicker(replica.TickInterval)
 	defer ticker.Stop()
 	terminate := ctx.Done()
-	leaving := time.Duration(-1) // when the shutdown began; -1: it has not
-	for leaving < 0 || !m.canStop(m.clock.now()-leaving) {
+	const notLeaving = time.Duration(-1)
+	leaving := notLeaving // when the shutdown began
+	for leaving == notLeaving || !m.canStop(m.clock.now()-leaving) {
 		select {
 		case task := <-m.loop.tasks:
 			m.loop.runBatch(task)
@@ -214,12 +243,15 @@
 	}
 }
 
-// canStop reports whether a member may stop after shutting down for some time.
+// canStop reports whether a member may stop after shutting down for some time: once the members that stay hold everything that this one
+// holds (raft/leave.go), and accepted calls had time to be answered; or after maxLeaveTime, or half of the deploy file's grace period
+// if that is shorter.
 func (m *Member) canStop(leavingFor time.Duration) bool {
 	limit := min(maxLeaveTime, m.settings.Load().Bounds.GraceS.Duration()/2)
 	return leavingFor >= limit || leavingFor >= minLeaveTime && m.replica.CanShutDown()
 }
 
+// stop ends the loop, closes the listeners and the connections of sidecars, and then the store.
 func (m *Member) stop() {
 	m.loop.stop()
 	_ = m.transportListener.Close()
@@ -242,13 +274,14 @@
 	return &wire.HelloT{Name: m.settings.Load().NodeName, Addr: m.self.Addr, ControlPlane: true, MemberId: uint64(m.self.ID)}
 }
 
-// peerRefused is called when the host of a peer has refused a connection, which means that its process has ended. Any goroutine may call it.
+// peerRefused is called when the host of a peer has refused a connection, which means that its process has ended. Any goroutine may
+// call it.
 func (m *Member) peerRefused(address string) {
 	m.loop.post(func() { m.peerGone(address) })
 }
 
-// peerGone reports to the replica that the process at an address has ended. If that was the leader, it schedules a tick for when the election is
-// due, since the regular ticks are too far apart. It belongs to the loop's goroutine.
+// peerGone reports to the replica that the process at an address has ended. If that was the leader, it schedules a tick for when the
+// election is due, since the regular ticks are too far apart. It belongs to the loop's goroutine.
 func (m *Member) peerGone(address string) {
 	wait, wasLeader := m.replica.PeerExited(m.clock.now(), address)
 	if !wasLeader {
--- a/internal/mesh/controlplane/peer_link.go
+++ b/internal/mesh/controlplane/peer_link.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxPendingFrames = 32
-	redialInterval   = 200 * time.Millisecond
+	maxPendingFrames = 32                     // that wait for a dial; the oldest is dropped for another
+	redialInterval   = 200 * time.Millisecond // between two dials of a peer that can't be reached
 	// A peer whose connection has just ended is dialled again after quickRedialDelay, then each time after twice as long, up to
 	// maxQuickRedials times in a row. Only a refused dial distinguishes a process that has ended from a broken connection.
 	quickRedialDelay = 5 * time.Millisecond
@@ -104,8 +104,8 @@
 	l.connection = connection
 }
 
-// connectionEnded is called when an established connection has ended. It schedules a redial to find out whether the peer's process has ended
-// too. The number of such redials in a row is bounded, since a peer may accept and close connections again and again.
+// connectionEnded is called when an established connection has ended. It schedules a redial to find out whether the peer's process has
+// ended too. The number of such redials in a row is bounded, since a peer may accept and close connections again and again.
 func (l *peerLink) connectionEnded(lasted time.Duration) {
 	l.mu.Lock()
 	if lasted > redialInterval {
--- a/internal/mesh/controlplane/peer_link_test.go
+++ b/internal/mesh/controlplane/peer_link_test.go
@@ -41,8 +41,8 @@
 	return l.quickRedials
 }
 
-// A peer that accepts connections and closes them is dialled again quickly a few times, and then only after the ordinary interval. A peer whose
-// connection has lasted is again dialled quickly.
+// A peer that accepts connections and closes them is dialled again quickly a few times, and then only after the ordinary interval. A
+// peer whose connection has lasted is again dialled quickly.
 func TestRedialsAreBounded(t *testing.T) {
 	peer := listen(t)
 	dials := make(chan bool, 64)
--- a/internal/mesh/controlplane/policy_activation_test.go
+++ b/internal/mesh/controlplane/policy_activation_test.go
@@ -20,7 +20,8 @@
 	t.Helper()
 	leader := newSoloLeader(t)
 	leader.modify(t, policyUpdate)
-	leader.MergeRecords(leader.clock.now(), []directory.Record{{Addr: "10.0.0.9:7001", Node: "sidecar-1", Service: "stock"}}, replica.FromSidecar)
+	record := directory.Record{Addr: "10.0.0.9:7001", Node: "sidecar-1", Service: "stock"}
+	leader.MergeRecords(leader.clock.now(), []directory.Record{record}, replica.FromSidecar)
 	survey := &surveyor{running: true, status: map[string]*wire.StatusT{}}
 	activator := &policyActivator{log: zerolog.Nop(), clock: leader.clock, replica: leader.Replica, survey: survey, self: testAddress}
 	activator.tick(leader.clock.now())
--- a/internal/mesh/controlplane/sidecars.go
+++ b/internal/mesh/controlplane/sidecars.go
@@ -7,6 +7,7 @@
 	connections map[*transport.Conn]bool
 }
 
+// add adds a connection.
 func (s *sidecarSet) add(connection *transport.Conn) {
 	if s.connections == nil {
 		s.connections = map[*transport.Conn]bool{}
@@ -14,8 +15,10 @@
 	s.connections[connection] = true
 }
 
+// remove removes a connection that has ended.
 func (s *sidecarSet) remove(connection *transport.Conn) { delete(s.connections, connection) }
 
+// broadcast sends a frame on all connections. A connection that can't take it ends, and its sidecar connects again.
 func (s *sidecarSet) broadcast(frame []byte) {
 	for connection := range s.connections {
 		_ = connection.SendFrame(frame)
@@ -32,6 +35,7 @@
 	return addresses
 }
 
+// close closes all connections.
 func (s *sidecarSet) close() {
 	for connection := range s.connections {
 		connection.Close(nil)
--- a/internal/mesh/controlplane/status.go
+++ b/internal/mesh/controlplane/status.go
@@ -39,7 +39,14 @@
 	if fault == "" {
 		fault = textHangs
 	}
-	return &wire.StatusT{Name: set.NodeName, Addr: m.self.Addr, Zone: set.Zone, ControlPlane: true, MemberId: uint64(m.self.ID), Fault: fault}
+	return &wire.StatusT{
+		Name:         set.NodeName,
+		Addr:         m.self.Addr,
+		Zone:         set.Zone,
+		ControlPlane: true,
+		MemberId:     uint64(m.self.ID),
+		Fault:        fault,
+	}
 }
 
 // status returns the status of this member. It belongs to the loop's goroutine.
--- a/internal/mesh/controlplane/store.go
+++ b/internal/mesh/controlplane/store.go
@@ -11,16 +11,23 @@
 	"cranegrade/internal/mesh/storage"
 )
 
+// This file decides what a member does when its disk fails. A full disk, or any other transient error, is waited for, without a limit:
+// until the write succeeds nothing that depends on it is sent or acknowledged (Raft paper, section 5.6). A corrupted store is
+// discarded, and the member starts again under a new ID and learns everything from the others.
+
 const (
+	// diskRetryInterval is the time between two attempts at opening or writing the store.
 	diskRetryInterval = 100 * time.Millisecond
-	diskRetriesPerLog = 10 // of the attempts at a write in a row, one in so many is logged
-	maxDiscards       = 50 // of a corrupted store in a row, before the member gives up
+	// diskRetriesPerLog is how many failed attempts at a write there are in a row for each that is logged.
+	diskRetriesPerLog = 10
+	// maxDiscards is how often a corrupted store is discarded in a row before the member gives up.
+	maxDiscards = 50
 )
 
 // openedStore is a store and what it held when it was opened.
 type openedStore struct {
 	store   *storage.Store
-	held    raft.StoredState
+	state   raft.StoredState
 	empty   bool // it has to be initialized
 	damaged bool // it was corrupted, and its contents were discarded
 }
@@ -30,7 +37,7 @@
 // limit, since the store may hold the only copy left.
 func openStore(folder storage.Folder, log zerolog.Logger) (opened openedStore, err error) {
 	for discards := 0; ; {
-		opened.store, opened.held, opened.empty, err = storage.OpenFolder(folder, storage.Options{})
+		opened.store, opened.state, opened.empty, err = storage.OpenFolder(folder, storage.Options{})
 		switch {
 		case err == nil:
 			return opened, nil
@@ -51,10 +58,10 @@
 }
 
 // initialize writes the first state to an empty store. It retries until the disk accepts it.
-func (o *openedStore) initialize(held raft.StoredState, log zerolog.Logger) {
-	o.held = held
+func (o *openedStore) initialize(first raft.StoredState, log zerolog.Logger) {
+	o.state = first
 	for {
-		err := o.store.Initialize(held.Self, held.Snapshot)
+		err := o.store.Initialize(first.Self, first.Snapshot)
 		if err == nil {
 			return
 		}
@@ -70,12 +77,12 @@
 type stateWriter struct {
 	store       *storage.Store
 	log         zerolog.Logger
-	terminating <-chan struct{} // closed when the process is to end
-	diskFault   atomic.Pointer[string]
+	terminating <-chan struct{}        // closed when the process is to end
+	diskFault   atomic.Pointer[string] // why the last write failed, or nil if it did not
 }
 
-// save writes and syncs what ready needs on disk. It retries until that succeeds or the process shuts down, because without its disk a member
-// may not acknowledge anything. It returns false if the state is not on disk.
+// save writes and syncs what ready needs on disk. last is the index of the last entry on disk before. It retries until that succeeds or
+// the process shuts down, because without its disk a member may not acknowledge anything. It returns false if the state is not on disk.
 func (w *stateWriter) save(ready raft.Ready, last uint64) bool {
 	for attempt := 0; ; attempt++ {
 		err := w.store.Save(ready, last)
@@ -112,7 +119,7 @@
 	}
 }
 
-// fault returns why the last write failed; "": it did not. Any goroutine may call it.
+// fault returns why the last write failed, or "" if it did not. Any goroutine may call it.
 func (w *stateWriter) fault() string {
 	if text := w.diskFault.Load(); text != nil {
 		return *text
--- a/internal/mesh/controlplane/store_test.go
+++ b/internal/mesh/controlplane/store_test.go
@@ -12,7 +12,8 @@
 	meshstorage "cranegrade/internal/mesh/storage"
 )
 
-// A member that starts on a full disk waits for space and keeps its state. A member that starts on corrupted files starts with an empty store.
+// A member that starts on a full disk waits for space and keeps its state. A member that starts on corrupted files starts with an empty
+// store.
 func TestOpenStore(t *testing.T) {
 	for name, damaged := range map[string]bool{"full disk": false, "full disk and damaged files": true} {
 		t.Run(name, func(t *testing.T) {
@@ -26,7 +27,7 @@
 			opened.store.Close()
 			assert.Equal(t, opened.damaged, damaged)
 			assert.Equal(t, opened.empty, damaged)
-			assert.Equal(t, opened.held.Self == 7, !damaged)
+			assert.Equal(t, opened.state.Self == 7, !damaged)
 		})
 	}
 }
--- a/internal/mesh/controlplane/survey.go
+++ b/internal/mesh/controlplane/survey.go
@@ -7,18 +7,17 @@
 
 	"cranegrade/internal/mesh/maintenance"
 	"cranegrade/internal/mesh/replica"
-	"cranegrade/internal/mesh/transport"
 	"cranegrade/internal/mesh/transport/wire"
 )
 
 const (
 	surveyInterval = 250 * time.Millisecond // while an order is open, or a policy set is not active yet
-	surveyTimeout  = 700 * time.Millisecond
-	maxLastHeard   = 4096    // addresses in surveyor.lastHeard
-	observerName   = "night" // on the wire: processes of the former release know it
+	surveyTimeout  = 700 * time.Millisecond // after which a process counts as not answering
+	maxLastHeard   = 4096                   // addresses in surveyor.lastHeard
 )
 
-// surveyor asks all members and sidecars for their status, for the leader's controllers. It belongs to the loop's goroutine.
+// surveyor asks all members and sidecars for their status, for the leader's controllers. It belongs to the loop's goroutine; a survey
+// itself runs on another, so that a process that does not answer does not hold up the loop.
 type surveyor struct {
 	ctx         context.Context
 	loop        *eventLoop
@@ -32,9 +31,9 @@
 
 	startedAt time.Duration // of the latest survey
 	running   bool
-	status    map[string]*wire.StatusT  // by address, of the processes that answered the latest survey; nil: there was none
+	status    map[string]*wire.StatusT  // by address, of the processes that answered the latest survey; nil if there was none
 	samples   []maintenance.ClockSample // of members' clocks
-	lastHeard map[string]time.Duration  // when each process last answered
+	lastHeard map[string]time.Duration  // by address: when the process last answered
 }
 
 // due reports whether it is time for another survey.
@@ -104,15 +103,20 @@
 	return found
 }
 
-// add records a status and, if it is of a member, a sample of its clock, which is assumed to have been read in the middle of the round trip.
+// add records a status and, if it is of a member, a sample of its clock, which is assumed to have been read in the middle of the round
+// trip.
 func (f *findings) add(address string, status *wire.StatusT, memberID uint64, asked, answered time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.status[address] = status
 	if status.ControlPlane && status.WallTimeNs != 0 {
 		trip := answered - asked
-		sample := maintenance.ClockSample{Member: memberID, Wall: time.Unix(0, status.WallTimeNs), ReadAt: asked + trip/2, RoundTrip: trip}
-		f.samples = append(f.samples, sample)
+		f.samples = append(f.samples, maintenance.ClockSample{
+			Member:    memberID,
+			Wall:      time.Unix(0, status.WallTimeNs),
+			ReadAt:    asked + trip/2,
+			RoundTrip: trip,
+		})
 	}
 }
 
@@ -126,59 +130,3 @@
 		s.lastHeard[address] = s.clock.now()
 	}
 }
-
-// statusConnections holds the connections to sidecars and members, which are kept between surveys. Any goroutine may use it.
-type statusConnections struct {
-	mu        sync.Mutex // guards below
-	byAddress map[string]*transport.Client
-}
-
-// status asks one process for its status, over an existing connection or a new one.
-func (c *statusConnections) status(ctx context.Context, address string) (*wire.StatusT, error) {
-	connection, err := c.connect(ctx, address)
-	if err != nil {
-		return nil, err
-	}
-	status, err := connection.Status(ctx)
-	if err != nil {
-		c.drop(address)
-		connection.Close()
-	}
-	return status, err
-}
-
-func (c *statusConnections) connect(ctx context.Context, address string) (*transport.Client, error) {
-	c.mu.Lock()
-	connection := c.byAddress[address]
-	c.mu.Unlock()
-	if connection != nil {
-		return connection, nil
-	}
-	connection, err := transport.DialClient(ctx, address, observerName, nil)
-	if err != nil {
-		return nil, err
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.byAddress == nil {
-		c.byAddress = map[string]*transport.Client{}
-	}
-	c.byAddress[address] = connection
-	return connection, nil
-}
-
-func (c *statusConnections) drop(address string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.byAddress, address)
-}
-
-// close ends all connections.
-func (c *statusConnections) close() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, connection := range c.byAddress {
-		connection.Close()
-	}
-	c.byAddress = nil
-}
