--- a/internal/mesh/api/api.go
+++ b/internal/mesh/api/api.go
@@ -1,6 +1,6 @@
 // Package api is the HTTP/JSON framework for the calls of servers and operators. A call is a request type, a response type and a
 // function; a generic handler reads and bounds the request, and encodes the response or the error. The package must not decide
-// anything about a call.
+// anything about a call. Handlers run on the goroutines of net/http, several at a time.
 //
 // As the protocol's pages require, each error has the body {"ErrorText": "..."}, and each 503 has a Retry-After.
 package api
@@ -20,7 +20,7 @@
 	Status int
 	Text   string
 
-	location string // Location header of a redirect; "": none
+	location string // Location header of a redirect, or ""
 }
 
 // Error returns the text.
@@ -46,7 +46,7 @@
 }
 
 // timeoutPerMegabyte extends the timeout of a request by the size of its body, because callers wait longer for large ones: 5,000
-// routes are about a megabyte, for which an operator allows 15 s.
+// routes are about a megabyte, of 1,000,000 bytes, for which an operator allows 15 s.
 const timeoutPerMegabyte = 4 * time.Second
 
 // retryAfter is the Retry-After of every 503, in seconds.
@@ -104,6 +104,7 @@
 	return len(body), nil
 }
 
+// writeError answers with an error: with the status of an Error, or with 500.
 func writeError(w http.ResponseWriter, err error) {
 	var withStatus *Error
 	if !errors.As(err, &withStatus) {
@@ -119,6 +120,7 @@
 	writeResponse(w, withStatus.Status, errorBody{withStatus.Text})
 }
 
+// writeResponse encodes a response and writes it with a status.
 func writeResponse(w http.ResponseWriter, status int, response any) {
 	body := encodeResponse(response)
 	w.Header().Set("Content-Type", "application/json")
@@ -138,12 +140,13 @@
 	return body
 }
 
+// Limits of a server's connections.
 const (
-	headerTimeout = 5 * time.Second
+	headerTimeout = 5 * time.Second // for the header of a request
 	// requestTimeout bounds receiving and answering a request: receiving the largest one takes 17 s over a link of 2 Mbit/s, and
 	// handling it may take as long again.
 	requestTimeout = time.Minute
-	idleTimeout    = 30 * time.Second
+	idleTimeout    = 30 * time.Second // between two requests of a connection
 	maxHeaderBytes = 16 << 10
 )
 
--- a/internal/mesh/daemon/daemon.go
+++ b/internal/mesh/daemon/daemon.go
@@ -1,5 +1,5 @@
 // Package daemon is the common frame of the mesh's programs: command line, settings file and its changes, signals, log and exit codes.
-// It owns the process; the role that runs in it is given by the program, and the package must not depend on any role.
+// It owns the process; the role that runs in it is given by the program, and the package must not depend on any role. Main is called once.
 //
 // Signals follow daemon(7): SIGTERM and SIGINT end the process, SIGHUP has it read its settings again.
 package daemon
@@ -117,6 +117,7 @@
 	return hangup, end
 }
 
+// limitMemory sets the limits of Go's garbage collector. 0 megabytes stand for no limit.
 func limitMemory(megabytes float64) {
 	debug.SetGCPercent(gcPercent)
 	if megabytes > 0 {
--- a/internal/mesh/daemon/settings_file.go
+++ b/internal/mesh/daemon/settings_file.go
@@ -53,6 +53,7 @@
 	role.Reload(changed)
 }
 
+// readSettings reads and checks a file. It returns the text also if the settings in it are invalid.
 func readSettings(path string) (settings.Settings, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/mesh/logring/logring.go
+++ b/internal/mesh/logring/logring.go
@@ -72,6 +72,7 @@
 	r.flushLocked()
 }
 
+// flushLocked is Flush for a caller that holds mu.
 func (r *Ring) flushLocked() {
 	r.lastFlush = r.now()
 	contents := r.contentsLocked()
@@ -79,6 +80,7 @@
 	_, _ = r.out.Write(contents) // there is nowhere to report that the log can't be written
 }
 
+// contentsLocked is Contents for a caller that holds mu.
 func (r *Ring) contentsLocked() (contents []byte) {
 	for i := range r.count {
 		contents = append(contents, r.lines[(r.next-r.count+i+capacity)%capacity]...)
--- a/internal/mesh/memberselection/action.go
+++ b/internal/mesh/memberselection/action.go
@@ -14,7 +14,7 @@
 	Dial ActionKind = iota
 	// Follow makes the connection the one that the sidecar's record and its key claims are sent on.
 	Follow
-	// Confirm reads the complete configuration table by a confirmed read. The caller reports ConfirmationReceived.
+	// Confirm reads all configuration items by a linearizable read. The caller reports ConfirmationReceived.
 	Confirm
 	// Close closes the connection, or gives up the dial, for Reason. The caller reports nothing.
 	Close
--- a/internal/mesh/memberselection/advance.go
+++ b/internal/mesh/memberselection/advance.go
@@ -53,7 +53,7 @@
 	return next
 }
 
-// confirmIsOpen reports whether the followed member's table still has to be confirmed and no Confirm is under way.
+// confirmIsOpen reports whether the followed member's table still has to be confirmed and no Confirm is pending.
 func (s *Selector) confirmIsOpen() bool { return s.followed != nil && !s.confirming && !s.confirmed }
 
 // silenceDeadline returns when the followed member counts as gone if it sends nothing.
@@ -65,6 +65,7 @@
 	return at
 }
 
+// silenceReason returns why a followed member that is silent for too long is left.
 func (s *Selector) silenceReason() CloseReason {
 	if s.now < s.lastHeard+SilenceTimeout {
 		return SilentWhileRequestsWait
@@ -94,8 +95,12 @@
 // follow makes a candidate the followed member. Until it reports a leader, LeaderlessTimeout counts as already over, so that
 // the other members are still dialed.
 func (s *Selector) follow(c *candidate) {
-	s.followed, s.lastHeard, s.leaderLostAt = c, s.now, s.now-LeaderlessTimeout
-	s.confirming, s.confirmed, s.confirmAt = false, false, s.now
+	s.followed = c
+	s.lastHeard = s.now
+	s.leaderLostAt = s.now - LeaderlessTimeout
+	s.confirming = false
+	s.confirmed = false
+	s.confirmAt = s.now
 	s.emit(Action{Kind: Follow, ID: c.id})
 	if c.hasLeader {
 		s.setReachable(true)
@@ -113,7 +118,8 @@
 // clearFollowed resets the state of the followed member. The caller has closed its connection, or it has ended.
 func (s *Selector) clearFollowed() {
 	s.followed = nil
-	s.confirming, s.confirmed = false, false
+	s.confirming = false
+	s.confirmed = false
 	s.setReachable(false)
 }
 
@@ -123,6 +129,8 @@
 	case hasLeader:
 		s.reachable = true
 	case s.reachable:
-		s.reachable, s.leaderLostAt, s.graceEnds = false, s.now, s.now+ReachableGrace
+		s.reachable = false
+		s.leaderLostAt = s.now
+		s.graceEnds = s.now + ReachableGrace
 	}
 }
--- a/internal/mesh/memberselection/candidate.go
+++ b/internal/mesh/memberselection/candidate.go
@@ -8,7 +8,7 @@
 // candidate is an address that may be dialed, and its connection if there is one.
 type candidate struct {
 	addr        string
-	id          ConnID // of the dial or connection; 0: none
+	id          ConnID // of the dial or connection, or 0 if there is neither
 	dialedAt    time.Duration
 	established bool // the member has sent its first message
 	hasLeader   bool // according to the member's latest heartbeat
@@ -16,7 +16,12 @@
 	retryAt     time.Duration // no dial before
 }
 
-func (c *candidate) forgetConnection() { c.id, c.established, c.hasLeader = 0, false, false }
+// forgetConnection makes the candidate one without a connection.
+func (c *candidate) forgetConnection() {
+	c.id = 0
+	c.established = false
+	c.hasLeader = false
+}
 
 // updateCandidates recomputes the candidates from members and seeds. Candidates that remain keep their connections, and the
 // followed member remains a candidate in any case.
@@ -44,6 +49,7 @@
 	}
 }
 
+// candidateByAddr returns the candidate with an address, or nil if there is none.
 func candidateByAddr(candidates []*candidate, addr string) *candidate {
 	if i := slices.IndexFunc(candidates, func(c *candidate) bool { return c.addr == addr }); i >= 0 {
 		return candidates[i]
@@ -51,6 +57,7 @@
 	return nil
 }
 
+// candidateByID returns the candidate with a dial or connection, or nil if there is none.
 func (s *Selector) candidateByID(id ConnID) *candidate {
 	if i := slices.IndexFunc(s.candidates, func(c *candidate) bool { return id != 0 && c.id == id }); i >= 0 {
 		return s.candidates[i]
@@ -90,6 +97,7 @@
 	}
 }
 
+// closeCandidate closes a candidate's connection or gives up its dial, if it has either.
 func (s *Selector) closeCandidate(c *candidate, reason CloseReason) {
 	if c.id != 0 {
 		s.emit(Action{Kind: Close, ID: c.id, Reason: reason})
@@ -97,4 +105,5 @@
 	c.forgetConnection()
 }
 
+// emit adds an action for the caller.
 func (s *Selector) emit(a Action) { s.actions = append(s.actions, a) }
--- a/internal/mesh/memberselection/selector.go
+++ b/internal/mesh/memberselection/selector.go
@@ -4,8 +4,8 @@
 //
 // It is a pure state machine in the manner of etcd's raft: events and the time go in, actions come out, and the same events give
 // the same actions. It must never do I/O, read a clock, start a goroutine, log, draw random numbers or depend on map order. The
-// caller carries the actions out in order and owns the connections, which are identified by a ConnID. Times are durations since
-// an origin of the caller's choice.
+// caller, in a sidecar the goroutine of controlPlaneConn.run, carries the actions out in order and owns the connections, which are
+// identified by a ConnID. Times are durations since an origin of the caller's choice.
 //
 // All known members are dialed side by side, and the first one that sends a message is followed. A followed member that has lost
 // its leader is kept until another one is found that has a leader: during an election every member is without one, and moving
@@ -27,7 +27,7 @@
 	lastID     ConnID
 	actions    []Action
 
-	followed     *candidate    // nil: none
+	followed     *candidate    // the candidate whose connection is followed, or nil
 	lastHeard    time.Duration // when the followed member last sent anything
 	leaderLostAt time.Duration // when the followed member lost its leader; only valid while it has none
 	reachable    bool          // the followed member has a leader
@@ -60,7 +60,7 @@
 // before until.
 func (s *Selector) Reachable() (ok bool, until time.Duration) { return s.reachable, s.graceEnds }
 
-// Followed returns the followed connection; 0: none.
+// Followed returns the followed connection, or 0 if no member is followed.
 func (s *Selector) Followed() ConnID {
 	if s.followed == nil {
 		return 0
@@ -112,7 +112,7 @@
 	})
 }
 
-// HeartbeatReceived reports a member's heartbeat. hasLeader: the member has a leader that a quorum follows.
+// HeartbeatReceived reports a member's heartbeat. hasLeader says that the member has a leader that a quorum follows.
 func (s *Selector) HeartbeatReceived(now time.Duration, id ConnID, hasLeader bool) {
 	s.step(now, func() {
 		c := s.candidateByID(id)
@@ -143,7 +143,7 @@
 			return
 		}
 		s.confirmed = true
-		s.followed.hasLeader = true // a confirmed read is answered by a quorum
+		s.followed.hasLeader = true // a quorum has confirmed the leader that the read was served by
 		s.setReachable(true)
 	})
 }
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads the settings file that the platform gives each process. The file is YAML and is checked by struct tags. The
 // platform's pages define its keys and forms, and the fields here have the same names; unknown keys are ignored. The package owns the
-// defaults; it must never act on a setting.
+// defaults; it must never act on a setting. A Settings is not changed after it was read, so any goroutine may use it.
 package settings
 
 import (
@@ -44,7 +44,7 @@
 	InternalPortRange []int `json:"InternalPortRange" validate:"len=2,dive,gt=0,lt=65536"`
 	// SeedNodes are ControlPlane addresses, host:port, of some members. They are needed at a start only, and may be out of date.
 	SeedNodes []string `json:"SeedNodes" validate:"max=64,dive,hostname_port"`
-	// FirstStart is true only when the whole mesh starts for the first time, with empty disks: the members found a control plane.
+	// FirstStart is true only when the whole mesh starts for the first time, with empty disks: the members then bootstrap a control plane.
 	FirstStart bool `json:"FirstStart"`
 	// QuorumMember is true for machines whose losses FaultTolerance counts.
 	QuorumMember bool `json:"QuorumMember"`
@@ -63,10 +63,10 @@
 	// Service is the local server's service.
 	Service string `json:"Service" validate:"max=256"`
 
-	transportListenAddress string // from the command line; "": the address that other processes know
+	transportListenAddress string // from the command line, or "" for the address that other processes know
 }
 
-// ListenAddresses are the listen addresses, as host:port, for each kind of caller. Empty: the role does not serve that kind.
+// ListenAddresses are the listen addresses, as host:port, for each kind of caller. One is empty if the role does not serve that kind.
 type ListenAddresses struct {
 	Inbound      string `json:"Inbound" validate:"omitempty,hostname_port"`      // of a sidecar, for other sidecars
 	Outbound     string `json:"Outbound" validate:"omitempty,hostname_port"`     // of a sidecar, for requests of callers
@@ -74,7 +74,7 @@
 	ControlPlane string `json:"ControlPlane" validate:"omitempty,hostname_port"` // for calls of operators and of servers
 }
 
-// Limits are the resource limits of the process; 0: no limit.
+// Limits are the resource limits of the process. 0 stands for no limit.
 type Limits struct {
 	CPUShare  float64 `json:"CpuShare" validate:"gte=0"`  // of one processor
 	CoreCount float64 `json:"CoreCount" validate:"gte=0"` // processors of the machine
@@ -150,6 +150,7 @@
 	return s, nil
 }
 
+// check returns the first fault of the settings, or nil if they are valid.
 func (s Settings) check() *validation.Fault {
 	if fault := validation.Check(s); fault != nil {
 		return fault
@@ -168,7 +169,7 @@
 	return ""
 }
 
-// Path returns the path of the settings file, from the environment.
+// Path returns the path of the settings file, from the environment. The error says that the variable is not set.
 func Path() (string, error) {
 	if path := os.Getenv(PathVariable); path != "" {
 		return path, nil
@@ -188,7 +189,8 @@
 // TransportPort returns where control-plane members listen for other processes of the mesh, the same on all machines.
 func (s Settings) TransportPort() int { return s.InternalPortRange[0] }
 
-// MemberAddress returns the transport address, as host:port, of the member whose operators' API is at an address; "": of one on this machine.
+// MemberAddress returns the transport address, as host:port, of the member whose operators' API is at an address, or of one on this machine
+// if the address is "".
 func (s Settings) MemberAddress(apiAddress string) string {
 	host := s.IPAddress
 	if apiAddress != "" {
