--- a/internal/mesh/sidecar/configuration.go
+++ b/internal/mesh/sidecar/configuration.go
@@ -42,14 +42,16 @@
 	c.rebuildRouting()
 }
 
-// callerChanged rebuilds the routing table after the service in the settings has changed, since policies depend on the calling service.
+// callerChanged rebuilds the routing table after the service in the settings has changed, since policies depend on
+// the calling service.
 func (c *configuration) callerChanged() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rebuildRouting()
 }
 
-// rebuildRouting builds the routing table from the items and the active policies, and puts it into use. The caller holds mu.
+// rebuildRouting builds the routing table from the items and the active policies, and puts it into use. The caller
+// holds mu.
 func (c *configuration) rebuildRouting() {
 	table := routing.NewTableWithPolicies(c.items, c.policies.table, c.env.settings.Load().Service)
 	c.pools.applyRouting(table)
--- a/internal/mesh/sidecar/controlplane_connection.go
+++ b/internal/mesh/sidecar/controlplane_connection.go
@@ -6,22 +6,17 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/juju/errors"
-
-	"cranegrade/internal/mesh/config"
 	"cranegrade/internal/mesh/directory"
 	"cranegrade/internal/mesh/memberselection"
 	"cranegrade/internal/mesh/transport"
-	"cranegrade/internal/mesh/transport/codec"
-	"cranegrade/internal/mesh/transport/wire"
 )
 
 const (
-	// callTimeout bounds a call to the followed member.
+	// callTimeout bounds a call to the followed member, other than a lease request (see claimTimeout).
 	callTimeout = time.Second
 	// seedsPollInterval is how often the settings are checked for changed seeds.
 	seedsPollInterval = time.Second
-	// closeFlushTries and closeFlushInterval bound how long close waits until queued messages are written.
+	// closeFlushTries and closeFlushInterval bound how long close waits until queued messages are written: 200 ms.
 	closeFlushTries    = 20
 	closeFlushInterval = 10 * time.Millisecond
 	// selectorEventBacklog is how many events may be queued for run's goroutine before post blocks.
@@ -56,7 +51,7 @@
 type memberConn struct {
 	id          memberselection.ConnID
 	cancel      context.CancelFunc // of the dial
-	conn        *transport.Conn    // nil: no message has been received yet
+	conn        *transport.Conn    // nil until a message has been received
 	lastFrameAt atomic.Int64       // by the environment's clock
 }
 
@@ -69,7 +64,7 @@
 	}
 }
 
-// current returns the live connection to the followed member; nil: there is none.
+// current returns the live connection to the followed member, or nil if there is none. Any goroutine may call it.
 func (c *controlPlaneConn) current() *transport.Conn {
 	if conn := c.conn.Load(); conn != nil && conn.Err() == nil {
 		return conn
@@ -77,8 +72,8 @@
 	return nil
 }
 
-// isReachable reports whether the control plane can be called: the followed member has quorum contact, or was lost a moment ago and another
-// one is being looked for.
+// isReachable reports whether the control plane can be called: the followed member has quorum contact, or was lost a
+// moment ago and another one is being looked for.
 func (c *controlPlaneConn) isReachable() bool {
 	return c.reachable.Load() || int64(c.env.clock.Now()) < c.graceEnds.Load()
 }
@@ -118,13 +113,13 @@
 			c.selector.SetSeeds(now, c.seeds())
 			c.selector.Tick(now)
 		case <-c.env.ctx.Done():
-			for _, m := range c.members {
-				m.cancel()
+			for _, member := range c.members {
+				member.cancel()
 			}
 			return
 		}
-		for _, a := range c.selector.TakeActions() {
-			c.apply(a)
+		for _, action := range c.selector.TakeActions() {
+			c.apply(action)
 		}
 		reachable, until := c.selector.Reachable()
 		c.graceEnds.Store(int64(until))
@@ -136,39 +131,43 @@
 // reportLastFrame reports to the selector when the last frame of the followed member came. This is done at each tick
 // because an event for each frame would be too expensive.
 func (c *controlPlaneConn) reportLastFrame(now time.Duration) {
-	if m := c.members[c.selector.Followed()]; m != nil {
-		c.selector.MessageReceived(now, m.id, time.Duration(m.lastFrameAt.Load()))
+	if member := c.members[c.selector.Followed()]; member != nil {
+		c.selector.MessageReceived(now, member.id, time.Duration(member.lastFrameAt.Load()))
 	}
 }
 
 // apply carries out an action of the selector.
-func (c *controlPlaneConn) apply(a memberselection.Action) {
-	switch a.Kind {
+func (c *controlPlaneConn) apply(action memberselection.Action) {
+	switch action.Kind {
 	case memberselection.Dial:
 		ctx, cancel := context.WithTimeout(c.env.ctx, memberselection.DialTimeout)
-		m := &memberConn{id: a.ID, cancel: cancel}
-		c.members[a.ID] = m
-		go c.connect(ctx, m, a.Addr)
+		member := &memberConn{id: action.ID, cancel: cancel}
+		c.members[action.ID] = member
+		go c.connect(ctx, member, action.Addr)
 	case memberselection.Follow:
-		conn := c.members[a.ID].conn
-		c.conn.Store(conn)
-		conn.AddPending(1) // keeps the peer time-out of the connection short
-		_ = conn.Send(directory.ToWire([]directory.Record{c.localServer.record()}))
-		c.env.log.Info().Str("member_addr", conn.RemoteAddr()).Msg("control-plane member followed")
+		c.follow(c.members[action.ID].conn)
 	case memberselection.Confirm:
-		conn := c.members[a.ID].conn
-		c.confirming.Go(func() { c.confirm(conn, a.ID) })
+		conn := c.members[action.ID].conn
+		c.confirming.Go(func() { c.confirm(conn, action.ID) })
 	case memberselection.Close:
-		m := c.members[a.ID]
-		delete(c.members, a.ID)
-		m.cancel()
-		if m.conn != nil {
-			m.conn.Close(a.Reason)
-			c.logIfFollowed(m.conn, a.Reason)
+		member := c.members[action.ID]
+		delete(c.members, action.ID)
+		member.cancel()
+		if member.conn != nil {
+			member.conn.Close(action.Reason)
+			c.logIfFollowed(member.conn, action.Reason)
 		}
 	}
 }
 
+// follow makes a connection that of the followed member, and sends this sidecar's record over it.
+func (c *controlPlaneConn) follow(conn *transport.Conn) {
+	c.conn.Store(conn)
+	conn.AddPending(1) // keeps the peer time-out of the connection short
+	_ = conn.Send(directory.ToWire([]directory.Record{c.localServer.record()}))
+	c.env.log.Info().Str("member_addr", conn.RemoteAddr()).Msg("control-plane member followed")
+}
+
 // logIfFollowed logs why a connection ended if it was that of the followed member. conn is nil if a dial failed.
 func (c *controlPlaneConn) logIfFollowed(conn *transport.Conn, reason error) {
 	if conn != nil && conn == c.conn.Load() {
@@ -177,24 +176,24 @@
 }
 
 // connect dials a member and receives from it until the connection ends. It runs on a goroutine of its own.
-func (c *controlPlaneConn) connect(ctx context.Context, m *memberConn, addr string) {
-	defer m.cancel()
+func (c *controlPlaneConn) connect(ctx context.Context, member *memberConn, addr string) {
+	defer member.cancel()
 	conn, err := transport.Dial(ctx, addr, c.env.hello(), nil)
 	if err == nil {
-		err = c.receive(ctx, m, conn)
+		err = c.receive(ctx, member, conn)
 		conn.Close(err)
 	}
 	c.post(func(now time.Duration) {
-		if c.members[m.id] == m {
-			delete(c.members, m.id)
+		if c.members[member.id] == member {
+			delete(c.members, member.id)
 			c.logIfFollowed(conn, err)
 		}
-		c.selector.ConnectionClosed(now, m.id)
+		c.selector.ConnectionClosed(now, member.id)
 	})
 }
 
 // receive handles messages until the connection ends. ctx bounds the time until the first.
-func (c *controlPlaneConn) receive(ctx context.Context, m *memberConn, conn *transport.Conn) error {
+func (c *controlPlaneConn) receive(ctx context.Context, member *memberConn, conn *transport.Conn) error {
 	stop := context.AfterFunc(ctx, func() { conn.Close(ctx.Err()) })
 	first, err := conn.Receive()
 	if !stop() {
@@ -203,81 +202,20 @@
 	if err != nil {
 		return err
 	}
-	m.lastFrameAt.Store(int64(c.env.clock.Now()))
+	member.lastFrameAt.Store(int64(c.env.clock.Now()))
 	c.post(func(now time.Duration) {
-		if c.members[m.id] != m { // it was closed meanwhile
+		if c.members[member.id] != member { // it was closed meanwhile
 			conn.Close(nil)
 			return
 		}
-		m.conn = conn
-		c.selector.FirstMessageReceived(now, m.id)
+		member.conn = conn
+		c.selector.FirstMessageReceived(now, member.id)
 	})
 	for message := first; ; {
-		c.handleMessage(m.id, conn, message) //nolint:contextcheck // what it starts lasts as long as the sidecar
+		c.handleMessage(member.id, conn, message) //nolint:contextcheck // what it starts lasts as long as the sidecar
 		if message, err = conn.Receive(); err != nil {
 			return err
 		}
-		m.lastFrameAt.Store(int64(c.env.clock.Now()))
-	}
-}
-
-// handleMessage handles one message of a member. Items and records merge by their versions, so it does not matter which member sends them.
-func (c *controlPlaneConn) handleMessage(id memberselection.ConnID, conn *transport.Conn, message codec.Message) {
-	switch v := message.Value.(type) {
-	case *wire.HeartbeatT:
-		c.post(func(now time.Duration) { c.selector.HeartbeatReceived(now, id, v.QuorumContact) })
-	case *wire.ItemsT:
-		c.configuration.mergeItems(config.ItemsFromWire(v))
-	case *wire.RecordsT:
-		c.directory.mergeRecords(directory.FromWire(v))
-	case *wire.MachinesInMaintenanceT:
-		c.maintenance.apply(v)
-	case *wire.ActivePolicyT:
-		c.configuration.applyActivePolicies(v)
-	case *wire.MembersT:
-		var addrs []string
-		for _, member := range v.List {
-			addrs = append(addrs, member.Addr)
-		}
-		c.post(func(now time.Duration) { c.selector.SetMembers(now, v.Index, addrs) })
-	case *wire.CallReplyT:
-		c.env.calls.Deliver(conn, v)
-	}
-}
-
-// confirm reads the configuration from the followed member by a confirmed read, and reports the result to the selector.
-func (c *controlPlaneConn) confirm(conn *transport.Conn, id memberselection.ConnID) {
-	some, err := c.readTable(conn)
-	confirmed := some && err == nil
-	if confirmed { // otherwise the read failed, or no operator has configured anything yet
-		c.onConfirmed()
-	}
-	c.post(func(now time.Duration) { c.selector.ConfirmationReceived(now, id, confirmed) })
-}
-
-// readTable reads all items and the active policies by a confirmed read. some is false if there are no items.
-func (c *controlPlaneConn) readTable(conn *transport.Conn) (some bool, err error) {
-	ctx, cancel := context.WithTimeout(c.env.ctx, callTimeout)
-	defer cancel()
-	askedAt := c.env.clock.Now()
-	body, err := c.env.callMember(ctx, conn, codec.CallItems, nil)
-	if err != nil {
-		return false, errors.Annotate(err, "confirmed read of the items")
-	}
-	items, err := codec.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
-	if err != nil {
-		return false, errors.Annotatef(err, "items of %s", conn.RemoteAddr())
-	}
-	if !c.configuration.applyConfirmedTable(items, askedAt) {
-		return false, errors.New("the active policies did not come complete")
-	}
-	c.env.log.Info().Str("member_addr", conn.RemoteAddr()).Uint64("index", items.Index).Msg("items confirmed")
-	return len(items.List) > 0, nil
-}
-
-// sendRecord sends this sidecar's record to the followed member.
-func (c *controlPlaneConn) sendRecord(r directory.Record) {
-	if conn := c.conn.Load(); conn != nil {
-		_ = conn.Send(directory.ToWire([]directory.Record{r}))
+		member.lastFrameAt.Store(int64(c.env.clock.Now()))
 	}
 }
--- a/internal/mesh/sidecar/directory_view.go
+++ b/internal/mesh/sidecar/directory_view.go
@@ -32,17 +32,17 @@
 func (d *directoryView) mergeRecords(records []directory.Record) {
 	addr := d.env.addr()
 	d.mu.Lock()
-	next, news := d.table.Load().Merge(d.env.clock.Now(), records)
-	if len(news) > 0 {
+	next, changed := d.table.Load().Merge(d.env.clock.Now(), records)
+	if len(changed) > 0 {
 		d.table.Store(&next)
 	}
 	d.mu.Unlock()
-	if len(news) == 0 {
+	if len(changed) == 0 {
 		return
 	}
-	for _, r := range news {
-		if r.Addr == addr {
-			d.localServer.supersede(r.Incarnation)
+	for _, record := range changed {
+		if record.Addr == addr {
+			d.localServer.supersede(record.Incarnation)
 		}
 	}
 	d.pools.refreshServices()
--- a/internal/mesh/sidecar/ending_codes.go
+++ b/internal/mesh/sidecar/ending_codes.go
@@ -14,10 +14,11 @@
 	codeNotAccepted               // the sidecar rejected it: it has not run
 	codeBroken                    // it may have run
 	codeTimedOut                  // it may have run
-	codeKeyNotGranted             // the control plane could not grant its key: it has not run, and no other server would do better
+	codeKeyNotGranted             // its key was not granted: it has not run, and no other server would do better
 )
 
-// endingsByCode are the decision module's endings for the codes; codeKeyNotGranted has none. An unknown code counts as broken.
+// endingsByCode are the decision module's endings for the codes; codeKeyNotGranted has none. An unknown code counts
+// as broken.
 var endingsByCode = map[byte]balancer.Ending{
 	codeAnswered:     balancer.Success,
 	codeServerFailed: balancer.Failure,
@@ -27,6 +28,7 @@
 	codeTimedOut:     balancer.TimedOut,
 }
 
+// messageFields returns header fields as the front and the sender use them.
 func messageFields(fields []*wire.HeaderFieldT) []message.Field {
 	out := make([]message.Field, 0, len(fields))
 	for _, f := range fields {
@@ -35,6 +37,7 @@
 	return out
 }
 
+// wireFields returns header fields as responses carry them.
 func wireFields(fields []message.Field) (out []*wire.HeaderFieldT) {
 	for _, f := range fields {
 		out = append(out, &wire.HeaderFieldT{Name: f.Name, Value: f.Value})
--- a/internal/mesh/sidecar/environment.go
+++ b/internal/mesh/sidecar/environment.go
@@ -4,7 +4,6 @@
 	"context"
 	crand "crypto/rand"
 	"encoding/hex"
-	"strconv"
 	"sync/atomic"
 	"time"
 
@@ -16,10 +15,13 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
+// incarnationBytes is the length of the random identity of a process. With 48 bits, two
+// incarnations at one address are not expected ever to draw the same.
 const incarnationBytes = 6
 
-// environment is shared by all parts of a sidecar: its identity, settings, clock and log, and the calls that wait for replies of other
-// processes. Except for the settings, which are replaced as a whole, nothing in it changes after Run has begun.
+// environment is shared by all parts of a sidecar: its identity, settings, clock and log, and the calls that wait for
+// replies of other processes. Except for the settings, which are replaced as a whole, nothing in it changes after Run
+// has begun.
 type environment struct {
 	settings    atomic.Pointer[settings.Settings]
 	log         zerolog.Logger
@@ -31,7 +33,11 @@
 }
 
 func newEnvironment(set settings.Settings, log zerolog.Logger) *environment {
-	e := &environment{log: log, clock: engine.NewClock(), startedAt: time.Now()}
+	e := &environment{
+		log:       log,
+		clock:     engine.NewClock(),
+		startedAt: time.Now(),
+	}
 	e.settings.Store(&set)
 	var random [incarnationBytes]byte
 	crand.Read(random[:])
@@ -47,22 +53,3 @@
 	set := e.settings.Load()
 	return &wire.HelloT{Name: set.NodeName, Addr: e.addr(), Zone: set.Zone}
 }
-
-// leaseHolder names this incarnation of the sidecar as the holder of key leases. It includes the incarnation because a sidecar that has
-// restarted knows nothing of the leases that it held before.
-func (e *environment) leaseHolder() string { return e.addr() + "/" + e.incarnation }
-
-// keyLeaseTime returns how long a key is leased. The key's window begins when its request is sent, before the lease, hence the slack.
-func (e *environment) keyLeaseTime() time.Duration {
-	return e.settings.Load().Bounds.KeyWindowS.Duration() + leaseSlack
-}
-
-// tokenSource makes the tokens that identify a keyed call to the control plane. The client's Attempt-Id would not do:
-// if a client used an ID twice, two calls would count as one, and an attempt of the second would be granted the lease
-// that the first holds.
-type tokenSource struct {
-	incarnation string
-	last        atomic.Uint64
-}
-
-func (t *tokenSource) next() string { return t.incarnation + strconv.FormatUint(t.last.Add(1), 36) }
--- a/internal/mesh/sidecar/flow_window.go
+++ b/internal/mesh/sidecar/flow_window.go
@@ -29,7 +29,7 @@
 	w.wakeWaiters()
 }
 
-// close makes all calls of acquire return false: nothing more has to be sent.
+// close makes all calls of acquire return false, because nothing more has to be sent.
 func (w *flowWindow) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -37,7 +37,7 @@
 	w.wakeWaiters()
 }
 
-// wakeWaiters is called with mu held.
+// wakeWaiters wakes all goroutines that wait in acquire. The caller holds mu.
 func (w *flowWindow) wakeWaiters() {
 	if w.wake != nil {
 		close(w.wake)
--- a/internal/mesh/sidecar/headers.go
+++ b/internal/mesh/sidecar/headers.go
@@ -23,38 +23,51 @@
 // headerOverheadBytes is what a header takes on the wire besides its name and value.
 const headerOverheadBytes = 4
 
-// unforwardedHeaders is the headers that only concern one connection (RFC 9110, section 7.6.1), and those that the mesh sets itself.
+// unforwardedHeaders is the headers that only concern one connection (RFC 9110, section 7.6.1), and those that the
+// mesh sets itself.
 var unforwardedHeaders = map[string]bool{
-	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
-	"Upgrade": true, "Content-Length": true, "Expect": true,
-	headerCallerService: true, headerTargetInstance: true, headerTimeBudget: true,
+	"Connection":         true,
+	"Content-Length":     true,
+	"Expect":             true,
+	"Keep-Alive":         true,
+	"Proxy-Connection":   true,
+	"Te":                 true,
+	"Trailer":            true,
+	"Transfer-Encoding":  true,
+	"Upgrade":            true,
+	headerCallerService:  true,
+	headerTargetInstance: true,
+	headerTimeBudget:     true,
 }
 
 // forwardedHeaders returns the headers of a request that are forwarded.
-func forwardedHeaders(h http.Header) map[string][]string {
-	out := make(map[string][]string, len(h)+1)
-	for name, values := range h {
+func forwardedHeaders(header http.Header) map[string][]string {
+	forwarded := make(map[string][]string, len(header)+1)
+	for name, values := range header {
 		if !unforwardedHeaders[name] {
-			out[name] = values
+			forwarded[name] = values
 		}
 	}
-	for _, list := range h["Connection"] {
+	for _, list := range header["Connection"] {
 		for _, name := range strings.Split(list, ",") {
-			delete(out, http.CanonicalHeaderKey(strings.TrimSpace(name)))
+			delete(forwarded, http.CanonicalHeaderKey(strings.TrimSpace(name)))
 		}
 	}
-	return out
+	return forwarded
 }
 
 // headSize returns the approximate size of a request's head in bytes.
-func headSize(hr *http.Request) int {
-	n := len(hr.Method) + len(hr.RequestURI) + len(hr.Host)
-	for name, values := range hr.Header {
-		for _, v := range values {
-			n += len(name) + len(v) + headerOverheadBytes
+func headSize(request *http.Request) int {
+	size := len(request.Method) + len(request.RequestURI) + len(request.Host)
+	for name, values := range request.Header {
+		for _, value := range values {
+			size += len(name) + len(value) + headerOverheadBytes
 		}
 	}
-	return n
+	return size
 }
 
-func hasNoBody(hr *http.Request) bool { return hr.ContentLength == 0 && hr.TransferEncoding == nil }
+// hasNoBody reports whether a request certainly has no body, so that the next one on its connection can be read.
+func hasNoBody(request *http.Request) bool {
+	return request.ContentLength == 0 && request.TransferEncoding == nil
+}
--- a/internal/mesh/sidecar/hollow.go
+++ b/internal/mesh/sidecar/hollow.go
@@ -64,7 +64,7 @@
 	return r.State
 }
 
-// RouteVersion returns the version of a route that is in force here; 0: there is none of that name.
+// RouteVersion returns the version of a route that is in force here, or 0 if there is none of that name.
 func (h *Hollow) RouteVersion(name string) int64 {
 	if r := h.sidecar.configuration.routing.Load().Route(name); r != nil {
 		return r.Version
@@ -72,7 +72,7 @@
 	return 0
 }
 
-// FollowedMember returns the address of the control-plane member that is followed; "": none is.
+// FollowedMember returns the address of the control-plane member that is followed, or "" if none is.
 func (h *Hollow) FollowedMember() string {
 	if conn := h.sidecar.controlPlane.current(); conn != nil {
 		return conn.RemoteAddr()
@@ -80,11 +80,12 @@
 	return ""
 }
 
-// Claim leases a key, as for a keyed request that is about to run at the server here, and stores an empty response for it.
+// Claim leases a key, as for a keyed request that is about to run at the server here, and stores an empty response
+// for it.
 func (h *Hollow) Claim(ctx context.Context, key string) (granted bool, err error) {
 	s := h.sidecar
 	responses, window := s.inbound.responses, s.env.keyLeaseTime()
-	if _, fresh := responses.begin(key, key, 0, window); !fresh {
+	if _, isFirst := responses.begin(key, key, 0, window); !isFirst {
 		return false, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
@@ -95,8 +96,8 @@
 		Holder:   s.env.leaseHolder(),
 		WindowUs: window.Microseconds(),
 	}
-	grant, err := s.claims.claim(ctx, request)
-	if err != nil || !grant.Granted {
+	result, err := s.claims.claim(ctx, request)
+	if err != nil || !result.Granted {
 		responses.markNotExecuted(key)
 		return false, err
 	}
--- a/internal/mesh/sidecar/inbound_conn.go
+++ b/internal/mesh/sidecar/inbound_conn.go
@@ -28,11 +28,11 @@
 // receive handles messages until the connection ends, and then cancels the requests whose responses nobody will read.
 func (c *inboundConn) receive() {
 	for {
-		m, err := c.conn.Receive()
+		message, err := c.conn.Receive()
 		if err != nil {
 			break
 		}
-		c.handleMessage(m)
+		c.handleMessage(message)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,35 +41,38 @@
 	}
 }
 
-func (c *inboundConn) handleMessage(m codec.Message) {
-	switch v := m.Value.(type) {
+// handleMessage handles one message of the peer. A message about a request that has ended is ignored, since the peer
+// may have sent it before it had the response.
+func (c *inboundConn) handleMessage(received codec.Message) {
+	switch message := received.Value.(type) {
 	case *wire.RequestT:
-		c.inbound.beginRequest(c, v)
+		c.inbound.beginRequest(c, message)
 	case *wire.BodyChunkT:
-		if r := c.find(v.Id); r != nil && r.body != nil {
-			r.pushBody(v)
+		if r := c.find(message.Id); r != nil && r.body != nil {
+			r.pushBody(message)
 		}
 	case *wire.WindowUpdateT:
-		if r := c.find(v.Id); r != nil {
-			r.sendWindow.add(int(v.Increment))
+		if r := c.find(message.Id); r != nil {
+			r.sendWindow.add(int(message.Increment))
 		}
 	case *wire.CancelT:
-		if r := c.find(v.Id); r != nil {
+		if r := c.find(message.Id); r != nil {
 			r.cancel(engine.ErrWithdrawn)
 		}
 	case *wire.CallT:
-		_ = c.conn.Send(c.inbound.handleCall(v))
+		_ = c.conn.Send(c.inbound.handleCall(message))
 	}
 }
 
 // sendResponse sends a response, or the head of a streamed one, in a form that the peer's version can read.
-func (c *inboundConn) sendResponse(a *wire.ResponseT) {
+func (c *inboundConn) sendResponse(response *wire.ResponseT) {
 	if c.conn.Peer.TransportVersion >= codec.PackedHeaderVersion {
-		a = codec.PackResponse(a)
+		response = codec.PackResponse(response)
 	}
-	_ = c.conn.Send(a)
+	_ = c.conn.Send(response) // an error ends the connection, which receive notices
 }
 
+// find returns the open request of a stream, or nil if there is none.
 func (c *inboundConn) find(id uint64) *inboundRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,6 +90,7 @@
 	return true
 }
 
+// remove forgets a request that has ended.
 func (c *inboundConn) remove(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -94,13 +98,14 @@
 }
 
 // pushBody handles a chunk of a streamed request body.
-func (r *inboundRequest) pushBody(piece *wire.BodyChunkT) {
-	if len(piece.Data) > 0 {
-		r.body.Push(piece.Data)
+func (r *inboundRequest) pushBody(chunk *wire.BodyChunkT) {
+	if len(chunk.Data) > 0 {
+		r.body.Push(chunk.Data)
 	}
-	if piece.Aborted {
-		r.body.Finish(nil)
-	} else if piece.Last {
+	switch {
+	case chunk.Aborted:
+		r.body.Finish(nil) // without a trailer the body counts as truncated
+	case chunk.Last:
 		r.body.Finish([]message.Field{})
 	}
 }
--- a/internal/mesh/sidecar/inbound_request.go
+++ b/internal/mesh/sidecar/inbound_request.go
@@ -13,21 +13,26 @@
 	"cranegrade/internal/message"
 )
 
-// inboundRequest is a request of another sidecar that runs at the local server. It has a goroutine of its own.
+// inboundRequest is a request of another sidecar that runs at the local server. It has a goroutine of its own, that of
+// run. The connection's goroutine pushes its body, opens its send window and cancels it.
 type inboundRequest struct {
 	inbound    *inboundServer
 	conn       *inboundConn
 	request    *wire.RequestT
 	cancel     context.CancelCauseFunc
 	sendWindow flowWindow
-	body       *message.Stream // of a streamed request; nil: the body came with it
+	body       *message.Stream // of a streamed request; nil if the body came with the request
 	ownsKey    atomic.Bool     // the key's lease is this request's
 	truncated  atomic.Bool     // its streamed response was not completed
 }
 
-// beginRequest starts a request on its own goroutine.
-func (in *inboundServer) beginRequest(conn *inboundConn, request *wire.RequestT) {
-	r := &inboundRequest{inbound: in, conn: conn, request: request}
+// beginRequest starts a request on its own goroutine. If the stream ID is in use, it closes the connection.
+func (s *inboundServer) beginRequest(conn *inboundConn, request *wire.RequestT) {
+	r := &inboundRequest{
+		inbound: s,
+		conn:    conn,
+		request: request,
+	}
 	r.sendWindow.add(sendWindowBytes)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	r.cancel = cancel
@@ -38,30 +43,36 @@
 	}
 	request.HeaderFields = append(request.HeaderFields, fields...)
 	if request.MoreBody {
-		r.body = message.NewStream(nil, func(n int) {
-			_ = conn.conn.Send(&wire.WindowUpdateT{Id: request.Id, Increment: uint32(n)})
-		})
-		r.body.Length = request.ContentLength
+		r.body = r.newBody()
 	}
 	if !conn.add(r) {
 		cancel(nil)
 		conn.conn.Close(errStreamIDInUse)
 		return
 	}
-	in.openRequests.Add(1)
+	s.openRequests.Add(1)
 	conn.conn.AddPending(1)
-	in.metrics.begin(r.kind())
+	s.metrics.begin(r.kind())
 	go r.run(ctx)
 }
 
+// newBody returns the stream of the request's body. While the stream is read, it sends window updates to the peer.
+func (r *inboundRequest) newBody() *message.Stream {
+	body := message.NewStream(nil, func(n int) {
+		_ = r.conn.conn.Send(&wire.WindowUpdateT{Id: r.request.Id, Increment: uint32(n)})
+	})
+	body.Length = r.request.ContentLength
+	return body
+}
+
 // run serves the request, and sends its response unless it was streamed.
 func (r *inboundRequest) run(ctx context.Context) {
-	in, conn := r.inbound, r.conn
-	defer in.openRequests.Add(-1)
+	server, conn := r.inbound, r.conn
+	defer server.openRequests.Add(-1)
 	defer conn.conn.AddPending(-1)
 	defer r.cancel(nil)
 	response := r.serve(ctx)
-	in.metrics.end(r.kind(), response, r.truncated.Load())
+	server.metrics.end(r.kind(), response, r.truncated.Load())
 	conn.remove(r.request.Id)
 	if response != nil {
 		response.Id = r.request.Id
@@ -69,6 +80,7 @@
 	}
 }
 
+// kind returns how often the request may run.
 func (r *inboundRequest) kind() requestKind {
 	switch {
 	case r.request.IdempotencyKey != "":
@@ -79,9 +91,18 @@
 	return kindIdempotent
 }
 
-// serve runs the request and returns its response; nil: it was streamed.
+// timeout returns the time that the sidecar beside the caller left for the request when it sent it.
+func (r *inboundRequest) timeout() time.Duration {
+	return time.Duration(r.request.TimeoutUs) * time.Microsecond
+}
+
+// serve runs the request and returns its response. It returns nil if the response was streamed.
+//
+// The order of its steps is what makes a rejection safe. Whether the server is here and takes requests is checked
+// first. Then the key's lease is requested, before the first byte goes to the server. The sender asks once more at the
+// moment of writing (engine.Attempt.Begin): whether the server still takes requests, and whether there is time left.
 func (r *inboundRequest) serve(ctx context.Context) *wire.ResponseT {
-	until := time.Now().Add(time.Duration(r.request.TimeoutUs) * time.Microsecond)
+	deadline := time.Now().Add(r.timeout())
 	endpoint := r.inbound.localServer.endpointOf(r.request.ServerId)
 	if endpoint == nil || !endpoint.Usable() || r.inbound.draining.Load() {
 		return &wire.ResponseT{Ending: codeNotAccepted}
@@ -92,12 +113,12 @@
 		}
 		r.ownsKey.Store(true)
 	}
-	if time.Until(until) <= 0 {
+	if time.Until(deadline) <= 0 { // the lease took the whole time
 		return r.conclude(balancer.NeverSent, nil)
 	}
-	ctx, stop := context.WithDeadlineCause(ctx, until, engine.ErrTimedOut)
+	ctx, stop := context.WithDeadlineCause(ctx, deadline, engine.ErrTimedOut)
 	defer stop()
-	return r.forward(ctx, endpoint, until)
+	return r.forward(ctx, endpoint, deadline)
 }
 
 // newMessage returns the request in the form that the sender uses.
@@ -116,51 +137,66 @@
 	if request.AtMostOnce {
 		m.Idempotency = message.NotIdempotent
 	}
-	for _, f := range request.HeaderFields {
-		m.Header[f.Name] = append(m.Header[f.Name], f.Value)
+	for _, field := range request.HeaderFields {
+		m.Header[field.Name] = append(m.Header[field.Name], field.Value)
 	}
 	return m
 }
 
+// serverAttempt is the one attempt of an inbound request at the local server, as the sender's hooks report it. The
+// sender calls Began, if at all, before End. Fields other than the channels may be read once ended is closed.
+type serverAttempt struct {
+	ended    chan struct{} // closed by End
+	streamed chan struct{} // closed when a streamed response has been forwarded, or has failed
+	stream   *message.Stream
+	ending   balancer.Ending
+	reply    *message.Reply
+}
+
 // forward sends the request to the server once. It returns the response, or streams it and returns nil.
-func (r *inboundRequest) forward(ctx context.Context, endpoint *engine.Endpoint, until time.Time) *wire.ResponseT {
-	m := r.newMessage()
-	ended, streamed := make(chan struct{}), make(chan struct{})
-	var ending balancer.Ending
-	var reply *message.Reply
-	var stream *message.Stream
-	r.inbound.sender.Start(ctx, engine.NewAttempt(endpoint, m, time.Until(until), engine.Hooks{
+func (r *inboundRequest) forward(ctx context.Context, endpoint *engine.Endpoint, deadline time.Time) *wire.ResponseT {
+	sent := r.newMessage()
+	attempt := &serverAttempt{ended: make(chan struct{}), streamed: make(chan struct{})}
+	hooks := r.attemptHooks(ctx, attempt, deadline)
+	r.inbound.sender.Start(ctx, engine.NewAttempt(endpoint, sent, time.Until(deadline), hooks))
+	<-attempt.ended
+	if attempt.stream != nil {
+		<-attempt.streamed
+		r.recordOutcome(keyOutcomeUnknown, nil) // a streamed response is not stored
+		return nil
+	}
+	reply := attempt.reply
+	if attempt.ending == balancer.Unreachable {
+		r.inbound.localServer.checkUnreachable(endpoint) //nolint:contextcheck // it outlasts the request
+	}
+	if attempt.ending == balancer.Failure {
+		reply = sent.Failed()
+	}
+	return r.conclude(attempt.ending, reply)
+}
+
+// attemptHooks returns the hooks by which the sender reports an attempt.
+func (r *inboundRequest) attemptHooks(ctx context.Context, attempt *serverAttempt, deadline time.Time) engine.Hooks {
+	return engine.Hooks{
 		// The clock counts as well as ctx: after a process was suspended, this may run before the timer of ctx.
-		Finished: func() bool { return ctx.Err() != nil || time.Until(until) <= 0 },
-		Began: func(x engine.Reply) {
-			stream = x.(*message.Stream)
+		Finished: func() bool { return ctx.Err() != nil || time.Until(deadline) <= 0 },
+		Began: func(reply engine.Reply) {
+			attempt.stream = reply.(*message.Stream)
 			go func() {
-				defer close(streamed)
-				r.streamResponse(ctx, stream)
+				defer close(attempt.streamed)
+				r.streamResponse(ctx, attempt.stream)
 			}()
 		},
-		End: func(e balancer.Ending, x engine.Reply) {
-			ending = e
-			reply, _ = x.(*message.Reply)
-			close(ended)
+		End: func(ending balancer.Ending, reply engine.Reply) {
+			attempt.ending = ending
+			attempt.reply, _ = reply.(*message.Reply)
+			close(attempt.ended)
 		},
-	}))
-	<-ended
-	if stream != nil {
-		<-streamed
-		r.recordOutcome(keyOutcomeUnknown, nil)
-		return nil
-	}
-	if ending == balancer.Unreachable {
-		r.inbound.localServer.checkUnreachable(endpoint) //nolint:contextcheck // it outlasts the request
-	}
-	if ending == balancer.Failure {
-		reply = m.Failed()
 	}
-	return r.conclude(ending, reply)
 }
 
-// conclude returns the response for how the attempt ended, and records the outcome of the key's request.
+// conclude returns the response for how the attempt ended, and records the outcome of the key's request. The key is
+// released only after endings that say that the server has certainly not run the request.
 func (r *inboundRequest) conclude(ending balancer.Ending, reply *message.Reply) *wire.ResponseT {
 	response := newResponse(reply)
 	switch ending {
@@ -197,46 +233,57 @@
 	if reply == nil {
 		return &wire.ResponseT{}
 	}
-	response := &wire.ResponseT{Status: uint16(reply.Status), Body: reply.Body, ContentLength: int64(len(reply.Body))}
-	response.HeaderFields = wireFields(reply.Header)
-	return response
+	return &wire.ResponseT{
+		Status:        uint16(reply.Status),
+		HeaderFields:  wireFields(reply.Header),
+		Body:          reply.Body,
+		ContentLength: int64(len(reply.Body)),
+	}
 }
 
+// recordOutcome records how the key's request ended, if this request holds the key's lease.
 func (r *inboundRequest) recordOutcome(state keyState, response *wire.ResponseT) {
 	if r.ownsKey.Load() {
 		r.inbound.responses.finish(r.request.IdempotencyKey, r.request.Token, state, response)
 	}
 }
 
-// streamResponse forwards a response while it arrives.
+// streamResponse forwards a response while it arrives. It ends when the response is complete, or when the peer can't
+// read it any more.
 func (r *inboundRequest) streamResponse(ctx context.Context, stream *message.Stream) {
 	defer stream.Release()
-	head := &wire.ResponseT{
+	r.conn.sendResponse(&wire.ResponseT{
 		Id:            r.request.Id,
 		Status:        uint16(stream.Status),
+		HeaderFields:  wireFields(stream.Header),
 		MoreBody:      true,
 		ContentLength: stream.Length,
-	}
-	head.HeaderFields = wireFields(stream.Header)
-	r.conn.sendResponse(head)
+	})
 	// The deadline only applies until a response has begun. After that it is forwarded for as long as the peer reads it.
 	unbounded := context.WithoutCancel(ctx)
 	for {
-		piece, err := stream.Next(unbounded)
-		if err != nil || piece == nil {
-			last := &wire.BodyChunkT{Id: r.request.Id, Last: true}
-			if err != nil || stream.Trailer() == nil {
-				last.Aborted = true
-				r.truncated.Store(true)
-			}
-			_ = r.conn.conn.Send(last)
+		chunk, err := stream.Next(unbounded)
+		if err != nil || chunk == nil {
+			r.finishStream(err != nil || stream.Trailer() == nil)
 			return
 		}
-		if !r.sendWindow.acquire(unbounded, len(piece)) { // the connection's end closes the window
+		if !r.sendWindow.acquire(unbounded, len(chunk)) { // the connection's end closes the window
 			r.truncated.Store(true)
 			r.cancel(engine.ErrWithdrawn)
 			return
 		}
-		_ = r.conn.conn.Send(&wire.BodyChunkT{Id: r.request.Id, Data: piece})
+		_ = r.conn.conn.Send(&wire.BodyChunkT{Id: r.request.Id, Data: chunk})
+	}
+}
+
+// finishStream sends the end of a streamed response, and records whether it was truncated.
+func (r *inboundRequest) finishStream(truncated bool) {
+	if truncated {
+		r.truncated.Store(true)
 	}
+	_ = r.conn.conn.Send(&wire.BodyChunkT{
+		Id:      r.request.Id,
+		Last:    true,
+		Aborted: truncated,
+	})
 }
--- a/internal/mesh/sidecar/inbound_server.go
+++ b/internal/mesh/sidecar/inbound_server.go
@@ -16,11 +16,14 @@
 )
 
 const (
-	serverIdleTimeout    = 8 * time.Second // after which servers are assumed to close idle connections
+	// serverIdleTimeout is after how long servers are assumed to close idle connections. The sidecar closes them before.
+	serverIdleTimeout = 8 * time.Second
+	// serverConnectTimeout bounds a dial of the local server. Nothing has run if it passes, so it may be short.
 	serverConnectTimeout = 1500 * time.Millisecond
 )
 
-// inboundServer runs requests of other sidecars at the local server, and answers calls of other sidecars and of operators.
+// inboundServer runs requests of other sidecars at the local server, and answers calls of other sidecars and of
+// operators. Each connection has a goroutine that receives, and each request one that runs it.
 type inboundServer struct {
 	env         *environment
 	sender      *sender.Sender
@@ -42,62 +45,63 @@
 }
 
 // acceptConns accepts connections of other sidecars until the sidecar ends.
-func (in *inboundServer) acceptConns(listener net.Listener) {
-	transport.AcceptEach(listener, in.env.ctx.Done(), func(accepted net.Conn) {
+func (s *inboundServer) acceptConns(listener net.Listener) {
+	transport.AcceptEach(listener, s.env.ctx.Done(), func(accepted net.Conn) {
 		if conn, err := transport.Accept(accepted, nil); err == nil {
-			in.serveConn(&inboundConn{inbound: in, conn: conn, requests: map[uint64]*inboundRequest{}})
+			s.serveConn(&inboundConn{inbound: s, conn: conn, requests: map[uint64]*inboundRequest{}})
 		}
 	})
 }
 
 // serveConn serves a connection until it ends.
-func (in *inboundServer) serveConn(conn *inboundConn) {
-	in.mu.Lock()
-	in.conns[conn] = true
-	in.mu.Unlock()
+func (s *inboundServer) serveConn(conn *inboundConn) {
+	s.mu.Lock()
+	s.conns[conn] = true
+	s.mu.Unlock()
 	defer func() {
-		in.mu.Lock()
-		defer in.mu.Unlock()
-		delete(in.conns, conn)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.conns, conn)
 	}()
 	conn.receive()
 }
 
-// finishConns shuts down the connections of other sidecars, each once the peer has read all responses, or when ctx ends.
-func (in *inboundServer) finishConns(ctx context.Context) {
-	in.mu.Lock()
+// finishConns shuts down the connections of other sidecars, each once the peer has read all responses, or when ctx
+// ends.
+func (s *inboundServer) finishConns(ctx context.Context) {
+	s.mu.Lock()
 	var finishing sync.WaitGroup
-	for conn := range in.conns {
+	for conn := range s.conns {
 		finishing.Go(func() { conn.conn.Shutdown(ctx) })
 	}
-	in.mu.Unlock()
+	s.mu.Unlock()
 	finishing.Wait()
 }
 
 // handleCall answers a call of another sidecar, or of an operator.
-func (in *inboundServer) handleCall(call *wire.CallT) *wire.CallReplyT {
+func (s *inboundServer) handleCall(call *wire.CallT) *wire.CallReplyT {
 	reply := &wire.CallReplyT{Id: call.Id, Status: http.StatusOK}
 	switch call.Kind {
 	case codec.CallStoredResponse:
-		asked, err := parseKeyHandover(call.Body)
-		if err != nil || len(asked.List) != 1 {
+		lookup, err := parseKeyHandover(call.Body)
+		if err != nil || len(lookup.List) != 1 {
 			reply.Status = http.StatusBadRequest
 			break
 		}
-		reply.Body = codec.EncodeTable(in.recaller.lookUp(asked.List[0].Key, asked.SourceAddr))
+		reply.Body = codec.EncodeTable(s.recaller.lookUp(lookup.List[0].Key, lookup.SourceAddr))
 	case codec.CallHandOverKeys:
-		handed, err := parseKeyHandover(call.Body)
+		handover, err := parseKeyHandover(call.Body)
 		if err != nil {
 			reply.Status = http.StatusBadRequest
 			break
 		}
-		in.responses.inherited.add(handed.SourceAddr, handed.List)
+		s.responses.inherited.add(handover.SourceAddr, handover.List)
 	case codec.CallStatus:
-		reply.Body = codec.EncodeTable(in.status())
+		reply.Body = codec.EncodeTable(s.status())
 	case codec.CallLogRing:
-		reply.Body = in.ring.Contents()
-	case codec.CallDrain:
-		in.localServer.hold(len(call.Body) > 0)
+		reply.Body = s.ring.Contents()
+	case codec.CallDrain: // any body takes the server out, an empty one lets it in again
+		s.localServer.hold(len(call.Body) > 0)
 	default:
 		reply.Status = http.StatusNotFound
 	}
--- a/internal/mesh/sidecar/key_claim_breaker.go
+++ b/internal/mesh/sidecar/key_claim_breaker.go
@@ -8,7 +8,8 @@
 const (
 	// claimStallTimeout is how long lease requests may wait without any response before the breaker opens.
 	claimStallTimeout = 200 * time.Millisecond
-	// maxProbingClaims is how many lease requests may wait while the breaker is open, to find out when there are responses again.
+	// maxProbingClaims is how many lease requests may wait while the breaker is open, to find out when there are
+	// responses again.
 	maxProbingClaims = 2
 )
 
@@ -16,8 +17,8 @@
 // requests need. So while none is answered, most are failed at once, which is safe because their requests have not
 // run. The zero value is ready to use.
 type claimBreaker struct {
-	mu              sync.Mutex // guards below
-	waiting         int
+	mu              sync.Mutex    // guards below
+	waiting         int           // lease requests that were admitted and have not finished
 	waitingSince    time.Duration // since when some have waited without any response
 	open            bool          // lease requests have waited for claimStallTimeout, and no response has come since
 	reportedWaiting bool          // the last result of checkWaiting
--- a/internal/mesh/sidecar/key_claims.go
+++ b/internal/mesh/sidecar/key_claims.go
@@ -14,19 +14,20 @@
 // claimRetryInterval is the pause between two attempts of a lease request.
 const claimRetryInterval = 30 * time.Millisecond
 
-// errClaimsUnanswered is the error of a lease request that failed at once because none is being answered, see claimBreaker.
+// errClaimsUnanswered is the error of a lease request that failed at once because none is being answered, see
+// claimBreaker.
 const errClaimsUnanswered = errors.ConstError("keys are not granted at the moment")
 
-// keyClaims requests key leases from the control plane.
+// keyClaims requests key leases from the control plane. Any goroutine may call claim.
 type keyClaims struct {
 	env          *environment
 	controlPlane *controlPlaneConn
 	breaker      claimBreaker
 }
 
-// claim requests the lease of a key. It retries, perhaps at another member, until ctx ends. After an error the lease may still be granted
-// later.
-func (k *keyClaims) claim(ctx context.Context, claim *wire.KeyLeaseRequestT) (grant *wire.KeyLeaseResultT, err error) {
+// claim requests the lease of a key. It retries, perhaps at another member, until ctx ends. After an error the lease
+// may still be granted later.
+func (k *keyClaims) claim(ctx context.Context, request *wire.KeyLeaseRequestT) (result *wire.KeyLeaseResultT, err error) {
 	clock := k.env.clock
 	if !k.breaker.admit(clock.Now()) {
 		return nil, errClaimsUnanswered
@@ -36,11 +37,11 @@
 		k.breaker.finish(clock.Now(), err == nil)
 		k.reportWaiting()
 	}()
-	body := codec.EncodeTable(&wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{claim}})
+	body := codec.EncodeTable(&wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{request}})
 	for {
 		if conn := k.controlPlane.current(); conn != nil {
-			if grant := k.callClaim(ctx, conn, body); grant != nil {
-				return grant, nil
+			if result := k.callClaim(ctx, conn, body); result != nil {
+				return result, nil
 			}
 		}
 		select {
@@ -51,19 +52,19 @@
 	}
 }
 
-// callClaim makes one attempt of a lease request; nil: there was no usable reply.
+// callClaim makes one attempt of a lease request. It returns nil if there was no usable reply.
 func (k *keyClaims) callClaim(ctx context.Context, conn *transport.Conn, body []byte) *wire.KeyLeaseResultT {
 	reply, err := k.env.callMember(ctx, conn, codec.CallLeaseKeys, body)
 	if err != nil {
 		return nil
 	}
-	grants, err := codec.DecodeTable(reply, func(p []byte) *wire.KeyLeaseResultsT {
+	results, err := codec.DecodeTable(reply, func(p []byte) *wire.KeyLeaseResultsT {
 		return wire.GetRootAsKeyLeaseResults(p, 0).UnPack()
 	})
-	if err != nil || len(grants.List) != 1 {
+	if err != nil || len(results.List) != 1 {
 		return nil
 	}
-	return grants.List[0]
+	return results.List[0]
 }
 
 // reportWaiting reports to the selector whether lease requests wait, because the silence of the followed member has
--- a/internal/mesh/sidecar/key_record.go
+++ b/internal/mesh/sidecar/key_record.go
@@ -40,11 +40,12 @@
 	token     string
 	attempt   uint32 // of the call that token identifies, from 0
 	state     keyState
-	response  *wire.ResponseT // of keyAnswered; nil: it was evicted or too large
-	claimedAt time.Time
+	response  *wire.ResponseT // of keyAnswered, or nil if it was evicted or too large
+	claimedAt time.Time       // when the lease was requested, which is before it was granted
 }
 
-// wireRecord returns a record in the form that other sidecars are sent.
+// wireRecord returns a record in the form that other sidecars are sent. There a status of 0 says that the request never
+// ran.
 func wireRecord(r *keyRecord) *wire.StoredResponseT {
 	switch {
 	case r.state == keyNotExecuted:
--- a/internal/mesh/sidecar/key_releases.go
+++ b/internal/mesh/sidecar/key_releases.go
@@ -21,8 +21,8 @@
 // errNoMember says that no control-plane member has been followed yet.
 const errNoMember = errors.ConstError("no control-plane member is followed")
 
-// releaseQueue holds the keys whose leases have to be released because their requests never ran. The goroutine of run sends the releases in
-// order, and repeats each until it is acknowledged.
+// releaseQueue holds the keys whose leases have to be released because their requests never ran. The goroutine of run
+// sends the releases in order, and repeats each until it is acknowledged.
 type releaseQueue struct {
 	env          *environment
 	controlPlane *controlPlaneConn
@@ -87,6 +87,8 @@
 	}
 }
 
+// send sends releases once to the followed member. The error is errNoMember if none is followed yet, a statusError, or
+// that of the connection.
 func (q *releaseQueue) send(releases []*wire.KeyLeaseRequestT) error {
 	conn := q.controlPlane.conn.Load()
 	if conn == nil {
--- a/internal/mesh/sidecar/local_server.go
+++ b/internal/mesh/sidecar/local_server.go
@@ -13,8 +13,13 @@
 	sender "cranegrade/internal/sender/http1"
 )
 
-// maxGoneInstances is how many former instances are remembered; beyond it all are forgotten.
-const maxGoneInstances = 64
+const (
+	// maxGoneInstances is how many former instances are remembered. Beyond it all are forgotten, so that memory is
+	// bounded however often a server restarts.
+	maxGoneInstances = 64
+	// callSeqUnknown is lower than the sequence number of any heartbeat, so that the first one counts.
+	callSeqUnknown = -1
+)
 
 // localServer is the server beside this sidecar, as its heartbeats and probes report it, and the record about it that
 // other sidecars are sent. The state that the server reports counts, unless an operator or maintenance has taken it
@@ -29,15 +34,15 @@
 
 	mu             sync.Mutex // guards below
 	current        directory.Record
-	endpoint       *engine.Endpoint // nil: no server is known
-	callSeq        int64
+	endpoint       *engine.Endpoint // nil if no server is known
+	callSeq        int64            // of the latest heartbeat that was applied
 	lastHeartbeat  time.Time
-	goneInstances  map[string]bool
+	goneInstances  map[string]bool       // by instance ID
 	leaving        bool                  // the sidecar is shutting down
 	reportedState  directory.ServerState // by the server itself
 	heldByOperator bool
 	inMaintenance  bool
-	outReason      string // why the server is out; "": it is not
+	outReason      string // why the server is out, for operators; empty if it is not
 
 	published atomic.Pointer[directory.Record] // current as it was sent last; read without mu
 }
@@ -70,21 +75,23 @@
 // publish sends the changed record to the other sidecars. The caller holds mu.
 func (s *localServer) publish() {
 	s.current.Sequence++
-	r := s.current
-	if r.ServerID != "" && r.State == directory.ServerDraining && s.leaving {
-		r.Leaving = true
+	record := s.current
+	if record.ServerID != "" && record.State == directory.ServerDraining && s.leaving {
+		record.Leaving = true
 	}
-	if was := s.published.Swap(&r); was.ServerID != r.ServerID || was.State != r.State || was.Leaving != r.Leaving {
-		s.env.log.Info().Str("server_id", r.ServerID).Uint8("state", uint8(r.State)).Bool("leaving", r.Leaving).Dur("warmup_ms", r.Warmup).
-			Msg("local server changed")
+	previous := s.published.Swap(&record)
+	if previous.ServerID != record.ServerID || previous.State != record.State || previous.Leaving != record.Leaving {
+		s.env.log.Info().Str("server_id", record.ServerID).Uint8("state", uint8(record.State)).
+			Bool("leaving", record.Leaving).Dur("warmup_ms", record.Warmup).Msg("local server changed")
 	}
-	go func() {
-		s.directory.mergeRecords([]directory.Record{r})
-		s.controlPlane.sendRecord(r)
+	go func() { // mergeRecords may call supersede, which takes mu
+		s.directory.mergeRecords([]directory.Record{record})
+		s.controlPlane.sendRecord(record)
 	}()
 }
 
-// supersede raises this sidecar's incarnation above the one that the directory has. That one may be higher because the clock was set back.
+// supersede raises this sidecar's incarnation above the one that the directory has. That one may be higher because
+// the clock was set back.
 func (s *localServer) supersede(incarnation uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +120,8 @@
 	s.publish()
 }
 
-// heartbeat applies a heartbeat of the server. A heartbeat that was overtaken by a later one changes nothing.
+// heartbeat applies a heartbeat of the server. A heartbeat that was overtaken by a later one, or that comes after the
+// instance has left, changes nothing. The error is an api.Error for a heartbeat that names no server.
 func (s *localServer) heartbeat(id string, heartbeat Heartbeat) error {
 	if id == "" || len(id) > maxIDBytes || heartbeat.Address == "" {
 		return api.NewError(http.StatusBadRequest, "a beat without id or Address")
@@ -141,8 +149,7 @@
 // replaceInstance makes another instance, or the same one at another address, the local server. The caller holds mu.
 func (s *localServer) replaceInstance(id string, heartbeat Heartbeat) {
 	if s.endpoint != nil {
-		s.endpoint.SetUsable(false)
-		s.sender.Drop(s.endpoint)
+		s.stopSending()
 		if s.endpoint.ID != id {
 			s.markGone(s.endpoint.ID)
 		}
@@ -159,7 +166,8 @@
 	s.current.Slots = uint32(max(0, heartbeat.SystemInfo.SlotCount))
 }
 
-// applyReportedState applies the state that the server reports, and publishes the record if that changes it. The caller holds mu.
+// applyReportedState applies the state that the server reports, and publishes the record if that changes it. The
+// caller holds mu.
 func (s *localServer) applyReportedState(state directory.ServerState) {
 	s.reportedState = state
 	reason := ""
@@ -178,13 +186,21 @@
 	}
 	s.current.State = state
 	s.outReason = reason
-	s.endpoint.SetUsable(state == directory.ServerReady)
-	if state != directory.ServerReady {
-		s.sender.Drop(s.endpoint)
+	if state == directory.ServerReady {
+		s.endpoint.SetUsable(true)
+	} else {
+		s.stopSending()
 	}
 	s.publish()
 }
 
+// stopSending makes the endpoint unusable: from now on no attempt begins, because each asks at the moment of writing
+// (engine.Attempt.Begin). It closes idle connections; open requests go on. The caller holds mu, and there is an endpoint.
+func (s *localServer) stopSending() {
+	s.endpoint.SetUsable(false)
+	s.sender.Drop(s.endpoint)
+}
+
 // reapplyReportedState applies a change of heldByOperator or inMaintenance. The caller holds mu.
 func (s *localServer) reapplyReportedState() {
 	if s.endpoint != nil && s.current.State != directory.ServerDown {
@@ -192,8 +208,8 @@
 	}
 }
 
-// hold takes the server out on behalf of an operator, as if the server had reported that it drains, or lets it in again. It lasts until the
-// sidecar restarts.
+// hold takes the server out on behalf of an operator, as if the server had reported that it drains, or lets it in
+// again. It lasts until the sidecar restarts.
 func (s *localServer) hold(out bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,8 +245,7 @@
 	defer s.mu.Unlock()
 	s.markGone(id)
 	if s.endpoint != nil && s.endpoint.ID == id {
-		s.endpoint.SetUsable(false)
-		s.sender.Drop(s.endpoint)
+		s.stopSending()
 		s.endpoint = nil
 		s.current.ServerID = ""
 		s.current.State = directory.ServerNone
@@ -246,6 +261,7 @@
 	held      bool // by an operator or for maintenance
 }
 
+// status returns the state of the server for the sidecar's status. Any goroutine may call it.
 func (s *localServer) status() localServerStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/sidecar/local_server_api.go
+++ b/internal/mesh/sidecar/local_server_api.go
@@ -10,6 +10,7 @@
 )
 
 const (
+	// maxLocalCallBytes bounds the body of a call, and localCallTimeout the time that reading and answering it may take.
 	maxLocalCallBytes = 16 << 10
 	localCallTimeout  = time.Second
 )
@@ -17,7 +18,8 @@
 // stateDraining is the state of a server that is about to leave. Every other state counts as ready.
 const stateDraining = "draining"
 
-// Heartbeat is a server's call to the sidecar beside it.
+// Heartbeat is the body of the call that a server makes to the sidecar beside it, once at each interval of the settings
+// (HeartbeatS).
 type Heartbeat struct {
 	Address    string            `json:"Address"` // host:port, where it takes requests
 	SystemInfo SystemInfo        `json:"SystemInfo"`
@@ -34,9 +36,9 @@
 
 // OperationalStatus is the state of a server.
 type OperationalStatus struct {
-	State       string         `json:"State"`
-	CallSeq     int64          `json:"CallSeq"` // rises with each call; a call with a lower one was overtaken
-	WarmupLeftS config.Seconds `json:"WarmupLeftS"`
+	State       string         `json:"State"`       // stateDraining if the server is about to leave
+	CallSeq     int64          `json:"CallSeq"`     // rises with each call; a call with a lower one was overtaken
+	WarmupLeftS config.Seconds `json:"WarmupLeftS"` // until the server takes its full share
 }
 
 // handler serves the calls of the local server.
--- a/internal/mesh/sidecar/local_server_health.go
+++ b/internal/mesh/sidecar/local_server_health.go
@@ -12,14 +12,17 @@
 )
 
 const (
-	// maxMissedHeartbeats is how many heartbeats a server may miss before it counts as gone, and heartbeatSlack the time besides.
+	// maxMissedHeartbeats is how many heartbeats a server may miss before it counts as gone, and heartbeatSlack the time
+	// besides, for heartbeats that are late.
 	maxMissedHeartbeats = 3
 	heartbeatSlack      = 500 * time.Millisecond
-	// minWatchInterval bounds the interval at which missed heartbeats are checked for, which is half of the heartbeats' interval.
+	// minWatchInterval bounds the interval at which missed heartbeats are checked for, which is half of the heartbeats'
+	// interval.
 	minWatchInterval = 100 * time.Millisecond
 	// recordRefreshInterval is how often the record is sent again without a change.
 	recordRefreshInterval = 5 * time.Second
-	probeTimeout          = time.Second
+	// probeTimeout bounds the one health check at the start.
+	probeTimeout = time.Second
 )
 
 // checkUnreachable checks, after an attempt could not connect, whether anything listens at the server's address. If
@@ -39,13 +42,18 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.endpoint == endpoint && s.current.State == directory.ServerReady {
-			s.current.State = directory.ServerDown
-			s.outReason = "nothing takes connections at its address"
+			s.markDown("nothing takes connections at its address")
 			s.publish()
 		}
 	}()
 }
 
+// markDown records that the server can't be reached, and why. The caller holds mu.
+func (s *localServer) markDown(reason string) {
+	s.current.State = directory.ServerDown
+	s.outReason = reason
+}
+
 // probe learns the server's instance from its health check, if no heartbeat has come yet since the sidecar started.
 func (s *localServer) probe(path string) {
 	s.mu.Lock()
@@ -65,14 +73,14 @@
 		return // a heartbeat has come meanwhile
 	}
 	s.endpoint = engine.NewEndpoint(id, set.AppAddress)
-	s.callSeq = -1
+	s.callSeq = callSeqUnknown
 	s.lastHeartbeat = time.Now()
 	s.current.ServerID = id
 	s.current.Service = set.Service
 	s.applyReportedState(directory.ServerReady)
 }
 
-// probeInstance returns the ID of the instance that answers a health check; "": no healthy one does.
+// probeInstance returns the ID of the instance that answers a health check, or "" if no healthy one does.
 func (s *localServer) probeInstance(url string) string {
 	ctx, cancel := context.WithTimeout(s.env.ctx, probeTimeout)
 	defer cancel()
@@ -121,11 +129,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	silence := s.env.settings.Load().HeartbeatS.Duration()*maxMissedHeartbeats + heartbeatSlack
-	switch {
-	case s.endpoint != nil && s.current.State == directory.ServerReady && time.Since(s.lastHeartbeat) > silence:
-		s.current.State = directory.ServerDown
-		s.outReason = fmt.Sprintf("no heartbeat for %v", silence)
-	case !refreshDue:
+	missed := s.endpoint != nil && s.current.State == directory.ServerReady && time.Since(s.lastHeartbeat) > silence
+	if missed {
+		s.markDown(fmt.Sprintf("no heartbeat for %v", silence))
+	}
+	if !missed && !refreshDue {
 		return false
 	}
 	s.publish()
--- a/internal/mesh/sidecar/local_server_protocol.go
+++ b/internal/mesh/sidecar/local_server_protocol.go
@@ -34,8 +34,8 @@
 	return sender.MatchOther
 }
 
-// notExecutedStatuses is the statuses with which a server may say by Not-Executed that it has not run a request. With any other status the
-// header contradicts the response and is ignored.
+// notExecutedStatuses is the statuses with which a server may say by Not-Executed that it has not run a request. With
+// any other status the header contradicts the response and is ignored.
 var notExecutedStatuses = map[int]bool{
 	http.StatusBadRequest:         true,
 	http.StatusRequestTimeout:     true,
--- a/internal/mesh/sidecar/maintenance.go
+++ b/internal/mesh/sidecar/maintenance.go
@@ -12,7 +12,9 @@
 
 const (
 	// successorSlack is how much longer than a key's window a successor is remembered after it was last reported.
-	successorSlack        = time.Hour
+	successorSlack = time.Hour
+	// handoverTimeout bounds one attempt to hand over all responses, and handoverRetryInterval is the pause after one
+	// that failed.
 	handoverTimeout       = 2 * time.Second
 	handoverRetryInterval = 150 * time.Millisecond
 )
@@ -29,12 +31,18 @@
 	pools       *servicePools
 
 	orders atomic.Pointer[wire.MachinesInMaintenanceT] // machines in maintenance; replaced as a whole
-	// handedOverFor is the order for which the responses stored here were handed over; nil: none
+	// handedOverFor is the order for which the responses stored here were handed over, or nil if they were not.
 	handedOverFor atomic.Pointer[string]
 
 	mu             sync.Mutex // guards changes of orders, and below
 	successors     map[string]successor
-	handoverTarget string // order and successor for which the hand-over was started last
+	handoverTarget handover // for which the hand-over was started last
+}
+
+// handover names the order and the successor for which a sidecar hands over its responses.
+type handover struct {
+	order     string // its ID
+	successor string // address of the sidecar that takes the responses
 }
 
 // successor is who keeps the responses of a sidecar, and when that was reported.
@@ -43,10 +51,10 @@
 	reportedAt time.Time
 }
 
-func newMaintenanceView(env *environment, r *readiness, outbound *outboundListener) *maintenanceView {
+func newMaintenanceView(env *environment, readiness *readiness, outbound *outboundListener) *maintenanceView {
 	m := &maintenanceView{
 		env:        env,
-		readiness:  r,
+		readiness:  readiness,
 		outbound:   outbound,
 		successors: map[string]successor{},
 	}
@@ -54,7 +62,8 @@
 	return m
 }
 
-// apply applies which machines are in maintenance. Only the state of the latest log entry counts, whichever member sends it.
+// apply applies which machines are in maintenance. Only the state of the latest log entry counts, whichever member
+// sends it.
 func (m *maintenanceView) apply(orders *wire.MachinesInMaintenanceT) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,15 +90,15 @@
 	m.pools.refreshServices()
 }
 
-// startHandover starts to hand over this sidecar's responses, once for each order and successor. The goroutine ends with the order or the
-// sidecar. The caller holds mu.
+// startHandover starts to hand over this sidecar's responses, once for each order and successor. The goroutine ends
+// with the order or the sidecar. The caller holds mu.
 func (m *maintenanceView) startHandover(machine *wire.MachineInMaintenanceT) {
-	target := machine.OrderId + " " + machine.Successor
+	target := handover{order: machine.OrderId, successor: machine.Successor}
 	if machine.Successor == "" || !machine.DrainCallers || target == m.handoverTarget {
 		return
 	}
 	m.handoverTarget = target
-	go m.handOver(machine.OrderId, machine.Successor)
+	go m.handOver(target)
 }
 
 // expireSuccessors forgets successors whose responses have expired. The caller holds mu.
@@ -101,7 +110,7 @@
 	}
 }
 
-// successorOf returns the sidecar that keeps the responses of another; "": there is none.
+// successorOf returns the sidecar that keeps the responses of another, or "" if there is none.
 func (m *maintenanceView) successorOf(addr string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -113,25 +122,26 @@
 	return slices.ContainsFunc(m.orders.Load().List, func(o *wire.MachineInMaintenanceT) bool { return o.Addr == addr })
 }
 
-// stands reports whether this sidecar is still in maintenance by an order with a successor.
-func (m *maintenanceView) stands(order, successor string) bool {
+// isOrdered reports whether this sidecar is still in maintenance by the order and with the successor of a hand-over.
+func (m *maintenanceView) isOrdered(target handover) bool {
 	return slices.ContainsFunc(m.orders.Load().List, func(o *wire.MachineInMaintenanceT) bool {
-		return o.Addr == m.env.addr() && o.OrderId == order && o.Successor == successor
+		return o.Addr == m.env.addr() && target == handover{order: o.OrderId, successor: o.Successor}
 	})
 }
 
-// handOver hands over the stored responses, and retries while the order lasts.
-func (m *maintenanceView) handOver(order, successor string) {
+// handOver hands over the stored responses, and retries while the order lasts. It runs on a goroutine of its own.
+func (m *maintenanceView) handOver(target handover) {
 	for m.env.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(m.env.ctx, handoverTimeout)
-		err := m.recaller.handOver(ctx, successor)
+		err := m.recaller.handOver(ctx, target.successor)
 		cancel()
 		if err == nil {
-			m.handedOverFor.Store(&order)
+			m.handedOverFor.Store(&target.order)
 			return
 		}
-		m.env.log.Info().Err(err).Str("successor_addr", successor).Str("order", order).Msg("hand-over of responses failed")
-		if !m.stands(order, successor) {
+		m.env.log.Info().Err(err).Str("successor_addr", target.successor).Str("order", target.order).
+			Msg("hand-over of responses failed")
+		if !m.isOrdered(target) {
 			return // the next maintenance of this machine has another order
 		}
 		time.Sleep(handoverRetryInterval)
--- a/internal/mesh/sidecar/outbound_listener.go
+++ b/internal/mesh/sidecar/outbound_listener.go
@@ -20,21 +20,25 @@
 	connectionDrainTime = 2300 * time.Millisecond
 	// idleDrainDelay is how long of that idle connections are left open.
 	idleDrainDelay = time.Second
-	// blockedRequestCutoff is how long before the end requests are given up that block the responses to later ones on their connection.
+	// blockedRequestCutoff is how long before the end requests are given up that block the responses to later ones on
+	// their connection.
 	blockedRequestCutoff = 300 * time.Millisecond
 	// drainInterval is how often open requests and connections are checked during the shutdown.
 	drainInterval = 100 * time.Millisecond
 
+	// maxRequestHeadBytes bounds the head of a request while it is read. The configuration may set a lower limit.
 	maxRequestHeadBytes = 256 << 10
-	callerIdleTimeout   = 15 * time.Second // unless the configuration sets another
+	// callerIdleTimeout is after how long idle connections of callers are closed, unless the configuration sets another.
+	callerIdleTimeout = 15 * time.Second
 )
 
-// outboundListener is the listener to which the applications beside the sidecar send their requests. It owns the front, which serves it.
+// outboundListener is the listener to which the applications beside the sidecar send their requests. It owns the
+// front, which serves it.
 type outboundListener struct {
 	env         *environment
 	readiness   *readiness
 	callerShare *pool.Share
-	front       atomic.Pointer[front.Front] // nil: it is not open yet
+	front       atomic.Pointer[front.Front] // nil until open has been called
 	serving     sync.WaitGroup              // of the goroutine that accepts connections
 }
 
@@ -92,7 +96,8 @@
 	if f == nil {
 		return
 	}
-	// Shutdown has to come last: it closes a connection after the response being written, which loses the responses to pipelined requests.
+	// Shutdown has to come last: it closes a connection after the response being written, which loses the responses to
+	// pipelined requests.
 	f.HandOverListener()
 	deadline, _ := ctx.Deadline()
 	for gaveUp := false; f.OpenConnections() > 0 && ctx.Err() == nil; <-tick {
--- a/internal/mesh/sidecar/outbound_protocol.go
+++ b/internal/mesh/sidecar/outbound_protocol.go
@@ -1,6 +1,7 @@
 package sidecar
 
 import (
+	"math"
 	"net/http"
 	"net/url"
 	"strconv"
@@ -18,21 +19,28 @@
 )
 
 const (
+	// maxIDBytes and maxKeyBytes are the largest Attempt-Id and Operation-Key that are accepted, in bytes.
 	maxIDBytes  = 256
 	maxKeyBytes = 1024
 	// maxTimeBudgetMS is the largest time budget that is accepted, in milliseconds.
 	maxTimeBudgetMS = 1e9
-	minRetryAfter   = 50 * time.Millisecond
-	maxRetryAfter   = 500 * time.Millisecond
-	// retryAfterDivisor: a rejected caller is told to wait at least the route's latency target divided by this.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of rejections that the decision module makes.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 500 * time.Millisecond
+	// retryAfterDivisor says how soon a rejected caller may retry: it is told to wait at least the route's latency
+	// target divided by this.
 	retryAfterDivisor = 8
-	// ownDelayDivisor: the sidecar reserves at most the time of a request divided by this for its own work.
+	// ownDelayDivisor bounds the time that the sidecar reserves for its own work: at most the time of a request divided
+	// by this.
 	ownDelayDivisor = 4
 	// rejectedRetryAfter is the Retry-After, in seconds, of rejections that the decision module does not make.
 	rejectedRetryAfter = "0.3"
+	// noTimeBudget is the time budget of a request whose caller names none.
+	noTimeBudget = time.Duration(math.MaxInt64)
 )
 
-// callerProtocol is the mesh's protocol towards callers: it reads their requests and writes their responses. It implements front.Protocol.
+// callerProtocol is the mesh's protocol towards callers: it reads their requests and writes their responses. It
+// implements front.Protocol.
 type callerProtocol struct {
 	env           *environment
 	configuration *configuration
@@ -44,162 +52,187 @@
 // ServeOwn implements front.Protocol: nothing that comes to Outbound is for the node itself.
 func (*callerProtocol) ServeOwn(*front.Front, http.ResponseWriter, *http.Request) bool { return false }
 
-// MayStartEarly implements front.Protocol: pipelined requests of idempotent routes are begun before the responses to earlier ones.
-func (p *callerProtocol) MayStartEarly(hr *http.Request) bool {
-	route := matchRoute(p.configuration.routing.Load(), hr)
+// MayStartEarly implements front.Protocol: pipelined requests of idempotent routes are begun before the responses to
+// earlier ones.
+func (p *callerProtocol) MayStartEarly(request *http.Request) bool {
+	route := matchRoute(p.configuration.routing.Load(), request)
 	return route != nil && route.Kind == routing.Idempotent
 }
 
 // RequestID implements front.Protocol.
-func (*callerProtocol) RequestID(hr *http.Request) string { return hr.Header.Get(headerAttemptID) }
+func (*callerProtocol) RequestID(request *http.Request) string {
+	return request.Header.Get(headerAttemptID)
+}
 
 // MayHaveBody implements front.Protocol.
 func (*callerProtocol) MayHaveBody(*http.Request) bool { return true }
 
-// ParseRequest implements front.Protocol: it checks a request and makes the message that the pool takes.
-func (p *callerProtocol) ParseRequest(hr *http.Request, from *pool.Pool, class string, now time.Duration, c *engine.Call) (
-	*message.Request, *front.Rejection,
-) {
+// ParseRequest implements front.Protocol: it checks a request and makes the message that the pool takes. Nothing is
+// sent before it has returned, so every rejection is safe to retry.
+func (p *callerProtocol) ParseRequest(
+	request *http.Request, from *pool.Pool, class string, now time.Duration, call *engine.Call,
+) (*message.Request, *front.Rejection) {
 	route := p.configuration.routing.Load().Route(class)
 	if route == nil { // it was removed after Route had found it
-		return nil, reject(hr, http.StatusNotFound, "no route")
+		return nil, reject(request, http.StatusNotFound, "no route")
 	}
-	h := hr.Header
 	routed := &routedRequest{
 		route:     route,
 		service:   p.pools.get(from.Name()),
-		attemptID: h.Get(headerAttemptID),
-		key:       h.Get(headerOperationKey),
+		attemptID: request.Header.Get(headerAttemptID),
+		key:       request.Header.Get(headerOperationKey),
 		policy:    route.PolicyDecision(from.Name()),
 	}
 	if routed.policy != nil {
-		if rejection := p.applyPolicy(hr, from.Name(), routed); rejection != nil {
+		if rejection := p.applyPolicy(request, from.Name(), routed); rejection != nil {
 			return nil, rejection
 		}
 	}
 	if route.Kind == routing.Keyed && !p.controlPlane.isReachable() {
-		return nil, reject(hr, http.StatusServiceUnavailable, "no quorum of control-plane members to grant the key")
+		return nil, reject(request, http.StatusServiceUnavailable, "no quorum of control-plane members to grant the key")
 	}
 	limits := &p.configuration.routing.Load().Limits
-	budget, rejection := checkForm(hr, routed, limits)
+	budget, rejection := checkForm(request, routed, limits)
 	if rejection != nil {
 		return nil, rejection
 	}
-	left := routed.timeLeft(budget)
-	out := &message.Request{
-		Method:      hr.Method,
-		URL:         &url.URL{Opaque: hr.RequestURI},
-		Authority:   hr.Host,
-		Header:      forwardedHeaders(h),
-		Idempotency: message.NotIdempotent,
-		FrontData:   routed,
-	}
-	if route.Kind.IsIdempotent() {
-		out.Idempotency = message.Idempotent
-	}
-	out.MaxBodyBytes = limits.MaxBodyBytes
 	if route.Kind == routing.Keyed {
 		routed.token = p.tokens.next()
 	} else {
 		routed.key = ""
 	}
-	own := min(front.ProxyOverhead, left/ownDelayDivisor)
-	c.ID = routed.attemptID
-	c.Class = class
-	c.Deadline = now + left - own
-	c.FallbackAt = now + left - own/2
-	return out, nil
+	setDeadlines(call, now, routed.timeout(budget))
+	call.ID = routed.attemptID
+	call.Class = class
+	return newOutboundMessage(request, routed, limits), nil
+}
+
+// newOutboundMessage returns a caller's request as the message that is sent to servers.
+func newOutboundMessage(request *http.Request, routed *routedRequest, limits *config.LimitsSpec) *message.Request {
+	m := &message.Request{
+		Method:       request.Method,
+		URL:          &url.URL{Opaque: request.RequestURI},
+		Authority:    request.Host,
+		Header:       forwardedHeaders(request.Header),
+		Idempotency:  message.NotIdempotent,
+		MaxBodyBytes: limits.MaxBodyBytes,
+		FrontData:    routed,
+	}
+	if routed.route.Kind.IsIdempotent() {
+		m.Idempotency = message.Idempotent
+	}
+	return m
+}
+
+// setDeadlines sets the times of a call that may take until timeout from now. The caller's time includes the work of
+// the sidecar itself, so part of it is reserved: all of that before Deadline, half of it before FallbackAt.
+func setDeadlines(call *engine.Call, now, timeout time.Duration) {
+	ownDelay := min(front.ProxyOverhead, timeout/ownDelayDivisor)
+	call.Deadline = now + timeout - ownDelay
+	call.FallbackAt = now + timeout - ownDelay/2
 }
 
 // applyPolicy checks a request against its effective policy, and records the rule trace if the caller asks for it.
-func (p *callerProtocol) applyPolicy(hr *http.Request, service string, routed *routedRequest) *front.Rejection {
+func (p *callerProtocol) applyPolicy(request *http.Request, service string, routed *routedRequest) *front.Rejection {
 	if !routed.route.HasDestination(service) { // the table changed since Route: a request must not be decided by two tables
-		return reject(hr, http.StatusServiceUnavailable, "the route has just changed")
+		return reject(request, http.StatusServiceUnavailable, "the route has just changed")
 	}
 	effective := routed.policy
-	if status, text := p.configuration.checkPolicy(effective, p.env.settings.Load().Service); status != 0 {
-		p.log(routed.route, effective).Int("status", status).Str("reason", text).Msg("request rejected by policy")
-		return reject(hr, status, text)
+	if denial := p.configuration.checkPolicy(effective, p.env.settings.Load().Service); denial != nil {
+		p.log(routed.route, effective).Int("status", denial.status).Str("reason", denial.reason).Msg("request rejected by policy")
+		return reject(request, denial.status, denial.reason)
 	}
-	if hr.Header.Get(headerRuleTrace) != "" {
+	if request.Header.Get(headerRuleTrace) != "" {
 		routed.ruleTrace = effective.Fingerprint + " " + p.configuration.policies.current().Active
 	}
 	return nil
 }
 
-// checkForm validates the headers and sizes of a request, and returns its time budget in milliseconds; 0: it has none.
-func checkForm(hr *http.Request, routed *routedRequest, limits *config.LimitsSpec) (budget float64, _ *front.Rejection) {
-	h := hr.Header
+// checkForm validates the headers and sizes of a request. It returns the request's time budget,
+// which is noTimeBudget if it names none.
+func checkForm(request *http.Request, routed *routedRequest, limits *config.LimitsSpec) (time.Duration, *front.Rejection) {
+	header := request.Header
 	keyed := routed.route.Kind == routing.Keyed
-	budget, err := strconv.ParseFloat(h.Get(headerTimeBudget), 64)
+	budgetText := header.Get(headerTimeBudget)
+	budgetMS, err := strconv.ParseFloat(budgetText, 64)
 	switch {
-	case len(h[headerAttemptID]) != 1 || routed.attemptID == "" || len(routed.attemptID) > maxIDBytes:
+	case len(header[headerAttemptID]) != 1 || routed.attemptID == "" || len(routed.attemptID) > maxIDBytes:
 		return 0, &front.Rejection{Status: http.StatusBadRequest, Text: "not one " + headerAttemptID}
-	case keyed && (len(h[headerOperationKey]) != 1 || routed.key == "" || len(routed.key) > maxKeyBytes):
+	case keyed && (len(header[headerOperationKey]) != 1 || routed.key == "" || len(routed.key) > maxKeyBytes):
 		return 0, &front.Rejection{Status: http.StatusBadRequest, Text: "not one " + headerOperationKey}
-	case limits.MaxHeaderBytes > 0 && headSize(hr) > limits.MaxHeaderBytes:
-		return 0, reject(hr, http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
-	case limits.MaxBodyBytes > 0 && hr.ContentLength > limits.MaxBodyBytes:
+	case limits.MaxHeaderBytes > 0 && headSize(request) > limits.MaxHeaderBytes:
+		return 0, reject(request, http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
+	case limits.MaxBodyBytes > 0 && request.ContentLength > limits.MaxBodyBytes:
 		return 0, &front.Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is too long"}
-	case h.Get(headerTimeBudget) != "" && (err != nil || !(budget > 0) || budget > maxTimeBudgetMS):
+	case budgetText == "":
+		return noTimeBudget, nil
+	case err != nil || !(budgetMS > 0) || budgetMS > maxTimeBudgetMS: // NaN is not greater than 0
 		return 0, &front.Rejection{Status: http.StatusBadRequest, Text: headerTimeBudget + " is no time in milliseconds"}
 	}
-	return budget, nil
-}
-
-// timeLeft returns the time for a request: that of the route or of the policy, but no more than the caller's budget, in milliseconds.
-func (r *routedRequest) timeLeft(budget float64) time.Duration {
-	left := r.route.Timeout
-	if r.policy != nil {
-		left = r.policy.Timeout
-	}
-	if budget > 0 {
-		left = min(left, time.Duration(budget*float64(time.Millisecond)))
-	}
-	return left
+	return time.Duration(budgetMS * float64(time.Millisecond)), nil
 }
 
 // SetResponseHeader implements front.Protocol: it writes the header of a response and returns its status.
-func (p *callerProtocol) SetResponseHeader(h http.Header, c *engine.Call, a engine.Answer) int {
-	routed := c.Payload.(*message.Request).FrontData.(*routedRequest)
+func (p *callerProtocol) SetResponseHeader(header http.Header, call *engine.Call, answer engine.Answer) int {
+	routed := call.Payload.(*message.Request).FrontData.(*routedRequest)
 	if routed.ruleTrace != "" {
-		h.Set(headerRuleTrace, routed.ruleTrace)
+		header.Set(headerRuleTrace, routed.ruleTrace)
 	}
-	if r, is := a.Reply.(*message.Reply); is {
-		for _, f := range r.Header {
-			h.Add(f.Name, f.Value)
-		}
-		if h.Get(headerAttemptID) == "" { // the server did not set it
-			h.Set(headerAttemptID, routed.attemptID)
-		}
-		return r.Status
+	if reply, fromServer := answer.Reply.(*message.Reply); fromServer {
+		setReplyHeader(header, reply, routed)
+		return reply.Status
 	}
-	h.Set(headerAttemptID, routed.attemptID)
+	header.Set(headerAttemptID, routed.attemptID)
 	if routed.policy != nil {
 		p.log(routed.route, routed.policy).Int32("attempts", routed.attempts.Load()).Msg("request not served")
 	}
+	return p.setFailureHeader(header, call, answer, routed)
+}
+
+// setReplyHeader sets the header of a response that a server gave.
+func setReplyHeader(header http.Header, reply *message.Reply, routed *routedRequest) {
+	for _, field := range reply.Header {
+		header.Add(field.Name, field.Value)
+	}
+	if header.Get(headerAttemptID) == "" { // the server did not set it
+		header.Set(headerAttemptID, routed.attemptID)
+	}
+}
+
+// setFailureHeader sets what a response says that no server gave, and returns its status. Only where a retry is safe
+// does it say when to retry: if the call was rejected, since then no attempt can have run or the route is idempotent,
+// and if no attempt was made at all.
+func (p *callerProtocol) setFailureHeader(
+	header http.Header, call *engine.Call, answer engine.Answer, routed *routedRequest,
+) int {
+	noAttempt := answer.Verdict == engine.Failed && routed.attempts.Load() == 0
 	switch {
-	// Rejected: no attempt can have run, or the route is idempotent. Without an attempt nothing can have run either. A retry is safe.
-	case a.Verdict == engine.Rejected, a.Verdict == engine.Failed && routed.attempts.Load() == 0:
-		wait := min(maxRetryAfter, max(minRetryAfter, a.RetryAfter, routed.route.LatencyTarget/retryAfterDivisor))
-		h.Set(headerRetryAfter, strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
+	case answer.Verdict == engine.Rejected || noAttempt:
+		wait := max(minRetryAfter, answer.RetryAfter, routed.route.LatencyTarget/retryAfterDivisor)
+		header.Set(headerRetryAfter, formatRetryAfter(min(maxRetryAfter, wait)))
 		return http.StatusServiceUnavailable
-	case a.Verdict == engine.Duplicate:
+	case answer.Verdict == engine.Duplicate:
 		return http.StatusConflict
-	}
-	if p.env.clock.Now() >= c.Deadline {
+	case p.env.clock.Now() >= call.Deadline:
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
 }
 
+// formatRetryAfter returns a Retry-After in seconds with three decimal places, where RFC 9110, section 10.2.3, only has
+// whole seconds: callers of the mesh read fractions.
+func formatRetryAfter(wait time.Duration) string {
+	const decimals, bits = 3, 64
+	return strconv.FormatFloat(wait.Seconds(), 'f', decimals, bits)
+}
+
 // SetRejectionHeader implements front.Protocol.
-func (p *callerProtocol) SetRejectionHeader(h http.Header, hr *http.Request, r *front.Rejection) {
-	if id := hr.Header.Get(headerAttemptID); id != "" && len(id) <= maxIDBytes {
-		h.Set(headerAttemptID, id)
+func (p *callerProtocol) SetRejectionHeader(header http.Header, request *http.Request, rejection *front.Rejection) {
+	if id := request.Header.Get(headerAttemptID); id != "" && len(id) <= maxIDBytes {
+		header.Set(headerAttemptID, id)
 	}
-	if r.MayRetry {
-		h.Set(headerRetryAfter, rejectedRetryAfter)
+	if rejection.MayRetry {
+		header.Set(headerRetryAfter, rejectedRetryAfter)
 	}
 }
 
--- a/internal/mesh/sidecar/outbound_routes.go
+++ b/internal/mesh/sidecar/outbound_routes.go
@@ -18,33 +18,33 @@
 }
 
 // Route implements front.Routes: the class of a request is the name of its route.
-func (r *routeResolver) Route(hr *http.Request) (*pool.Pool, string, *front.Rejection) {
-	route := matchRoute(r.configuration.routing.Load(), hr)
+func (r *routeResolver) Route(request *http.Request) (*pool.Pool, string, *front.Rejection) {
+	route := matchRoute(r.configuration.routing.Load(), request)
 	if !r.readiness.configured.Load() {
-		return nil, "", reject(hr, http.StatusServiceUnavailable, "no confirmed configuration yet")
+		return nil, "", reject(request, http.StatusServiceUnavailable, "no confirmed configuration yet")
 	}
 	if route == nil {
-		return nil, "", reject(hr, http.StatusNotFound, "no route")
+		return nil, "", reject(request, http.StatusNotFound, "no route")
 	}
-	s := r.pools.get(route.PickService(rand.Float64()))
-	if s == nil {
-		return nil, "", reject(hr, http.StatusServiceUnavailable, "the route's service is not known yet")
+	service := r.pools.get(route.PickService(rand.Float64()))
+	if service == nil {
+		return nil, "", reject(request, http.StatusServiceUnavailable, "the route's service is not known yet")
 	}
-	return s.pool, route.Name, nil
+	return service.pool, route.Name, nil
 }
 
-// matchRoute returns the route of a request; nil: there is none.
-func matchRoute(table *routing.Table, hr *http.Request) *routing.Route {
-	path, _, _ := strings.Cut(hr.RequestURI, "?")
-	return table.Match(hr.Host, path)
+// matchRoute returns the route of a request, or nil if there is none.
+func matchRoute(table *routing.Table, request *http.Request) *routing.Route {
+	path, _, _ := strings.Cut(request.RequestURI, "?")
+	return table.Match(request.Host, path)
 }
 
 // reject rejects a request before its body is read. A 503 says when to retry.
-func reject(hr *http.Request, status int, text string) *front.Rejection {
+func reject(request *http.Request, status int, text string) *front.Rejection {
 	return &front.Rejection{
 		Status:         status,
 		Text:           text,
 		MayRetry:       status == http.StatusServiceUnavailable,
-		KeepConnection: hasNoBody(hr),
+		KeepConnection: hasNoBody(request),
 	}
 }
--- a/internal/mesh/sidecar/policies.go
+++ b/internal/mesh/sidecar/policies.go
@@ -17,9 +17,10 @@
 type activePolicies struct {
 	table       config.Table // guarded by the configuration's lock
 	state       atomic.Pointer[policy.SidecarState]
-	activeSince atomic.Int64 // of the environment's clock
+	activeSince atomic.Int64 // nanoseconds of the environment's clock
 }
 
+// current returns the state as it was set last. Any goroutine may call it.
 func (p *activePolicies) current() policy.SidecarState {
 	if state := p.state.Load(); state != nil {
 		return *state
@@ -27,7 +28,8 @@
 	return policy.SidecarState{}
 }
 
-// setPolicyState is called with mu held.
+// setPolicyState replaces the state. From when policies are known, it has the active set confirmed regularly. The
+// caller holds mu.
 func (c *configuration) setPolicyState(state policy.SidecarState) {
 	c.policies.state.Store(&state)
 	if state.HasPolicies {
@@ -43,7 +45,8 @@
 	return c.env.clock.Now() - time.Duration(c.policies.activeSince.Load())
 }
 
-// noteReceivedPolicies records that a policy set was received, if it is among items that were merged. The caller holds mu.
+// noteReceivedPolicies records that a policy set was received, if it is among items that were merged. The caller
+// holds mu.
 func (c *configuration) noteReceivedPolicies(raised []config.Item) {
 	for _, item := range raised {
 		if item.Kind.InPolicySet() {
@@ -83,9 +86,9 @@
 	c.mergeItems(config.ItemsFromWire(read))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	was := c.policies.current()
-	state := was.Restore(read.ActiveFingerprint, read.ActiveIndex, askedAt)
-	if state.ActiveIndex == was.ActiveIndex && state.Active == was.Active {
+	previous := c.policies.current()
+	state := previous.Restore(read.ActiveFingerprint, read.ActiveIndex, askedAt)
+	if state.ActiveIndex == previous.ActiveIndex && state.Active == previous.Active {
 		c.setPolicyState(state)
 		return true
 	}
@@ -100,7 +103,8 @@
 	return true
 }
 
-// confirmPolicies applies the response to a poll that was begun at askedAt. It returns false if another set is active than here.
+// confirmPolicies applies the response to a poll that was begun at askedAt. It returns false if another set is active
+// than here.
 func (c *configuration) confirmPolicies(active *wire.ActivePolicyT, askedAt time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,15 +115,21 @@
 	return same
 }
 
-// checkPolicy returns status 0 if the effective policy allows a request, and otherwise the status and text of its response.
-func (c *configuration) checkPolicy(effective *policy.Decision, caller string) (status int, text string) {
+// policyDenial is why the effective policy does not allow a request, and the status of the response that says so.
+type policyDenial struct {
+	status int
+	reason string
+}
+
+// checkPolicy returns nil if the effective policy allows a request of a calling service.
+func (c *configuration) checkPolicy(effective *policy.Decision, caller string) *policyDenial {
 	switch {
 	case c.isFenced():
-		return http.StatusServiceUnavailable, "the active policy set could not be confirmed lately"
+		return &policyDenial{http.StatusServiceUnavailable, "the active policy set could not be confirmed lately"}
 	case effective.DeniedBy != nil:
-		return http.StatusForbidden, "by " + effective.DeniedBy.String() + " " + caller + " may not call it"
+		return &policyDenial{http.StatusForbidden, "by " + effective.DeniedBy.String() + " " + caller + " may not call it"}
 	}
-	return 0, ""
+	return nil
 }
 
 // retryConditionNames is the endings after which a policy may allow a retry, with their names in policies.
--- a/internal/mesh/sidecar/policies_poller.go
+++ b/internal/mesh/sidecar/policies_poller.go
@@ -33,6 +33,7 @@
 	}
 }
 
+// start starts the goroutine of run. Only the first call has an effect.
 func (p *policyPoller) start() { p.once.Do(func() { go p.run() }) }
 
 // pollSoon starts the next poll without waiting for the interval.
@@ -43,6 +44,7 @@
 	}
 }
 
+// run polls at policy.ConfirmInterval, and whenever pollSoon was called.
 func (p *policyPoller) run() {
 	ticker := time.NewTicker(policy.ConfirmInterval)
 	defer ticker.Stop()
@@ -72,7 +74,9 @@
 	if err != nil {
 		return errors.Annotate(err, "read of the active policies")
 	}
-	active, err := codec.DecodeTable(body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
+	active, err := codec.DecodeTable(body, func(encoded []byte) *wire.ActivePolicyT {
+		return wire.GetRootAsActivePolicy(encoded, 0).UnPack()
+	})
 	if err != nil {
 		return errors.Annotatef(err, "reply of %s on the active policies", conn.RemoteAddr())
 	}
--- a/internal/mesh/sidecar/request_metrics.go
+++ b/internal/mesh/sidecar/request_metrics.go
@@ -30,22 +30,31 @@
 	kinds [len(requestKindNames)]wire.WorkCounterT
 }
 
+// begin counts a request that has begun.
 func (m *requestMetrics) begin(k requestKind) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.kinds[k].Open++
 }
 
-// end counts a request that has ended with a response. A nil response was streamed, and may have been truncated.
+// end counts a request that has ended with a response. The response is nil if it was streamed; truncated then says that
+// it was not completed.
 func (m *requestMetrics) end(k requestKind, response *wire.ResponseT, truncated bool) {
+	ending := codeAnswered
+	switch {
+	case response != nil:
+		ending = response.Ending
+	case truncated:
+		ending = codeBroken
+	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	work := &m.kinds[k]
 	work.Open--
-	switch {
-	case response == nil && truncated || response != nil && (response.Ending == codeBroken || response.Ending == codeTimedOut):
+	switch ending {
+	case codeBroken, codeTimedOut:
 		work.Broken++
-	case response != nil && (response.Ending == codeOverloaded || response.Ending == codeNotAccepted || response.Ending == codeKeyNotGranted):
+	case codeOverloaded, codeNotAccepted, codeKeyNotGranted:
 		work.Rejected++
 	default:
 		work.Answered++
--- a/internal/mesh/sidecar/response_inherited.go
+++ b/internal/mesh/sidecar/response_inherited.go
@@ -15,7 +15,7 @@
 type inheritedResponses struct {
 	mu      sync.Mutex // guards below
 	records map[inheritedKey]inheritedRecord
-	bytes   int
+	bytes   int // of the records' bodies
 }
 
 // inheritedKey names a key of another sidecar, by its address.
@@ -26,40 +26,41 @@
 	expiresAt time.Time
 }
 
-// add stores records of another sidecar, as far as there is room. A record of a key that is already known is not replaced.
-func (i *inheritedResponses) add(from string, records []*wire.StoredResponseT) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
+// add stores records of another sidecar, as far as there is room. A record of a key that is already known is not
+// replaced.
+func (s *inheritedResponses) add(source string, records []*wire.StoredResponseT) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	i.expire(now)
-	if i.records == nil {
-		i.records = map[inheritedKey]inheritedRecord{}
+	s.expire(now)
+	if s.records == nil {
+		s.records = map[inheritedKey]inheritedRecord{}
 	}
 	for _, r := range records {
-		key := inheritedKey{from, r.Key}
-		if _, known := i.records[key]; known || i.bytes+len(r.Body) > maxStoredBytes || len(i.records) >= maxInheritedRecords {
+		key := inheritedKey{source, r.Key}
+		if _, known := s.records[key]; known || s.bytes+len(r.Body) > maxStoredBytes || len(s.records) >= maxInheritedRecords {
 			continue
 		}
-		i.records[key] = inheritedRecord{r, now.Add(time.Duration(r.TtlUs) * time.Microsecond)}
-		i.bytes += len(r.Body)
+		s.records[key] = inheritedRecord{r, now.Add(time.Duration(r.TtlUs) * time.Microsecond)}
+		s.bytes += len(r.Body)
 	}
 }
 
-// expire is called with mu held.
-func (i *inheritedResponses) expire(now time.Time) {
-	for key, r := range i.records {
+// expire removes the records whose time has passed. The caller holds mu.
+func (s *inheritedResponses) expire(now time.Time) {
+	for key, r := range s.records {
 		if now.After(r.expiresAt) {
-			i.bytes -= len(r.record.Body)
-			delete(i.records, key)
+			s.bytes -= len(r.record.Body)
+			delete(s.records, key)
 		}
 	}
 }
 
-// get returns the record that another sidecar stored for a key; nil: there is none.
-func (i *inheritedResponses) get(from, key string) *wire.StoredResponseT {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if r, known := i.records[inheritedKey{from, key}]; known && time.Now().Before(r.expiresAt) {
+// get returns the record that another sidecar stored for a key, or nil if there is none.
+func (s *inheritedResponses) get(source, key string) *wire.StoredResponseT {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if r, known := s.records[inheritedKey{source, key}]; known && time.Now().Before(r.expiresAt) {
 		return r.record
 	}
 	return nil
--- a/internal/mesh/sidecar/response_recall.go
+++ b/internal/mesh/sidecar/response_recall.go
@@ -21,8 +21,8 @@
 	responses   *responseStore
 }
 
-// recall reads the record of a key from the sidecar that holds its lease, or first from its successor if that sidecar is or was in
-// maintenance.
+// recall reads the record of a key from the sidecar that holds its lease, or first from its successor if that sidecar
+// is or was in maintenance.
 func (r *recaller) recall(ctx context.Context, holder, key string) (*wire.StoredResponseT, error) {
 	switch successor := r.maintenance.successorOf(holder); successor {
 	case "":
@@ -38,7 +38,8 @@
 	return r.call(ctx, holder, key, "")
 }
 
-// call reads the record of a key from one sidecar. storedBy names the sidecar that handed it over; "": it is the called sidecar's own.
+// call reads the record of a key from one sidecar. storedBy names the sidecar that handed the record over; it is
+// empty if the record is the called sidecar's own.
 func (r *recaller) call(ctx context.Context, addr, key, storedBy string) (*wire.StoredResponseT, error) {
 	conn, err := r.upstreams.get(addr).connect(ctx)
 	if err != nil {
@@ -49,11 +50,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return codec.DecodeTable(reply.Body, func(p []byte) *wire.StoredResponseT { return wire.GetRootAsStoredResponse(p, 0).UnPack() })
+	return codec.DecodeTable(reply.Body, func(encoded []byte) *wire.StoredResponseT {
+		return wire.GetRootAsStoredResponse(encoded, 0).UnPack()
+	})
 }
 
-// lookUp answers a call of another sidecar with the record of a key. storedBy names the sidecar that handed it over;
-// "": it is this one's own.
+// lookUp answers a call of another sidecar with the record of a key. storedBy names the sidecar that handed the record
+// over; it is empty if the record is this one's own.
 func (r *recaller) lookUp(key, storedBy string) *wire.StoredResponseT {
 	if storedBy != "" {
 		if record := r.responses.inherited.get(storedBy, key); record != nil {
@@ -69,25 +72,33 @@
 
 // handOver sends all stored responses to the successor. It returns nil once the successor has all of them.
 func (r *recaller) handOver(ctx context.Context, successor string) error {
-	for rest := r.responses.export(r.env.keyLeaseTime()); len(rest) > 0; {
-		n, bytes := 0, 0
-		for n < len(rest) && n < maxHandoverRecords && bytes < maxHandoverBytes {
-			bytes += len(rest[n].Body)
-			n++
-		}
+	rest := r.responses.export(r.env.keyLeaseTime())
+	for len(rest) > 0 {
+		count := handoverBatch(rest)
 		conn, err := r.upstreams.get(successor).connect(ctx)
 		if err != nil {
 			return err
 		}
-		body := codec.EncodeTable(&wire.KeyHandoverT{SourceAddr: r.env.addr(), List: rest[:n]})
+		body := codec.EncodeTable(&wire.KeyHandoverT{SourceAddr: r.env.addr(), List: rest[:count]})
 		if _, err := r.env.calls.Call(ctx, conn, codec.CallHandOverKeys, body); err != nil {
 			return err
 		}
-		rest = rest[n:]
+		rest = rest[count:]
 	}
 	return nil
 }
 
+// handoverBatch returns how many of the first records go into one message.
+func handoverBatch(records []*wire.StoredResponseT) (count int) {
+	bytes := 0
+	for count < len(records) && count < maxHandoverRecords && bytes < maxHandoverBytes {
+		bytes += len(records[count].Body)
+		count++
+	}
+	return count
+}
+
+// parseKeyHandover decodes the body of a call that looks up or hands over stored responses.
 func parseKeyHandover(body []byte) (*wire.KeyHandoverT, error) {
 	return codec.DecodeTable(body, func(p []byte) *wire.KeyHandoverT { return wire.GetRootAsKeyHandover(p, 0).UnPack() })
 }
--- a/internal/mesh/sidecar/response_store.go
+++ b/internal/mesh/sidecar/response_store.go
@@ -8,10 +8,12 @@
 )
 
 const (
-	maxStoredBytes         = 8 << 20
-	maxStoredResponseBytes = 256 << 10 // of one answer
-	// leaseSlack is how much longer than its window a key is leased, and recordSlack how much longer than that its record is kept here.
-	leaseSlack  = 2 * time.Second
+	// maxStoredBytes bounds the bytes of all stored responses' bodies, and of all inherited ones.
+	maxStoredBytes = 8 << 20
+	// maxStoredResponseBytes is the largest body that is stored. One response must not evict most others.
+	maxStoredResponseBytes = 256 << 10
+	// recordSlack is how much longer than its lease the record of a key is kept. Log time, in which
+	// the lease is counted, may lag behind the clock here.
 	recordSlack = 5 * time.Second
 )
 
@@ -28,10 +30,13 @@
 	oldestStored int // index in claimOrder of the oldest response that is still there
 }
 
-func newResponseStore() *responseStore { return &responseStore{records: map[string]*keyRecord{}} }
+func newResponseStore() *responseStore {
+	return &responseStore{records: map[string]*keyRecord{}}
+}
 
-// begin records that a key is about to be claimed. It returns false if it was claimed before, with the record of that claim.
-func (s *responseStore) begin(key, token string, attempt uint32, window time.Duration) (was keyRecord, ok bool) {
+// begin records that a key is about to be claimed, by the attempt of a call that token identifies. isFirst is false if
+// it was claimed before; earlier is the record of that claim.
+func (s *responseStore) begin(key, token string, attempt uint32, window time.Duration) (earlier keyRecord, isFirst bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -65,7 +70,7 @@
 	}
 }
 
-// dropResponse is called with mu held.
+// dropResponse forgets the response of a record, which stays. The caller holds mu.
 func (s *responseStore) dropResponse(r *keyRecord) {
 	if r != nil && r.response != nil {
 		s.storedBytes -= len(r.response.Body)
@@ -82,8 +87,8 @@
 	}
 }
 
-// finish is setState for the request with a token. It does nothing if another token has claimed the key meanwhile, which happens when a
-// request runs longer than the key's window.
+// finish is setState for the request with a token. It does nothing if another token has claimed the key meanwhile,
+// which happens when a request runs longer than the key's window.
 func (s *responseStore) finish(key, token string, state keyState, response *wire.ResponseT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +97,8 @@
 	}
 }
 
-// update records the state of a key's request, and evicts responses while they exceed maxStoredBytes. The caller holds mu.
+// update records the state of a key's request, and evicts responses while they exceed maxStoredBytes. The caller
+// holds mu.
 func (s *responseStore) update(r *keyRecord, state keyState, response *wire.ResponseT) {
 	r.state = state
 	if state != keyAnswered || response == nil || len(response.Body) > maxStoredResponseBytes {
@@ -125,7 +131,8 @@
 	return *r, true
 }
 
-// export returns the records that a successor needs: of each key whose request ran, with its response and the time until it expires.
+// export returns the records that a successor needs: of each key whose request ran, with its response and the time
+// until it expires.
 func (s *responseStore) export(window time.Duration) (records []*wire.StoredResponseT) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/sidecar/service_pools.go
+++ b/internal/mesh/sidecar/service_pools.go
@@ -15,25 +15,34 @@
 )
 
 const (
-	moduleTick          = 20 * time.Millisecond
+	// moduleTick is the interval at which the decision module is told the time.
+	moduleTick = 20 * time.Millisecond
+	// maxModuleRetryAfter is the longest wait that the decision module asks of a rejected caller.
 	maxModuleRetryAfter = 500 * time.Millisecond
-	maxModuleAttempts   = 8
-	warmupPeriod        = 3 * time.Second // of a server that starts, unless its heartbeats report a longer one
-	warmupStartWeight   = 0.5
-	moduleWholeWeight   = 0.5
-	moduleClassWeight   = 0.1
-	// retryBudgetShare is the part of the configured ratio and minimum that sidecars use. The rest is for the calls that servers make again
-	// when a request is retried, and for sidecars that have restarted and forgotten what they used.
+	// maxModuleAttempts bounds the attempts that the decision module makes of one request. Routes and policies allow
+	// fewer (routedRequest.allowsAttempt).
+	maxModuleAttempts = 8
+	// warmupPeriod is the slow start of a server, unless its heartbeats report a longer one, and warmupStartWeight the
+	// share that it begins with.
+	warmupPeriod      = 3 * time.Second
+	warmupStartWeight = 0.5
+	// moduleWholeWeight and moduleClassWeight are the weights in load shedding of the total worth and of the class that
+	// is served worst.
+	moduleWholeWeight = 0.5
+	moduleClassWeight = 0.1
+	// retryBudgetShare is the part of the configured ratio and minimum that sidecars use. The rest is for the calls that
+	// servers make again when a request is retried, and for sidecars that have restarted and forgotten what they used.
 	retryBudgetShare = 0.5
 	// minSidecars is the smallest number of sidecars that the minimum of retries is divided by.
 	minSidecars = 8
-	// callsPerSlot is how many calls per slot of a server all sidecars together send before they hold any back. It is more than one because
-	// sidecars do not all send the same load, and because a call that waits briefly at the server is served sooner than a rejected one.
+	// callsPerSlot is how many calls per slot of a server all sidecars together send before they hold any back. It is
+	// more than one because sidecars do not all send the same load, and because a call that waits briefly at the server
+	// is served sooner than a rejected one.
 	callsPerSlot = 2
 )
 
-// servicePools holds the services that routes send to, each with its own engine and decision module. A service that no route names any more
-// stays, since requests that began with an older routing table may still use it.
+// servicePools holds the services that routes send to, each with its own engine and decision module. A service that
+// no route names any more stays, since requests that began with an older routing table may still use it.
 type servicePools struct {
 	env         *environment
 	directory   *directoryView
@@ -45,23 +54,25 @@
 	mu sync.Mutex // guards changes of byName, and the fields of services that say so
 }
 
-func newServicePools(env *environment, b *resourceBudgets, d *directoryView, m *maintenanceView, u *upstreams) *servicePools {
+func newServicePools(
+	env *environment, budgets *resourceBudgets, directory *directoryView, maintenance *maintenanceView, upstreams *upstreams,
+) *servicePools {
 	p := &servicePools{
 		env:         env,
-		budgets:     b,
-		directory:   d,
-		maintenance: m,
-		upstreams:   u,
+		directory:   directory,
+		maintenance: maintenance,
+		upstreams:   upstreams,
+		budgets:     budgets,
 	}
 	p.byName.Store(&map[string]*service{})
 	return p
 }
 
-// get returns the service of a name; nil: no route sends to it.
+// get returns the service of a name, or nil if no route sends to it.
 func (p *servicePools) get(name string) *service { return (*p.byName.Load())[name] }
 
-// applyRouting opens a pool for each new service of a routing table, and updates the classes of the others. The caller holds the
-// configuration's lock.
+// applyRouting opens a pool for each new service of a routing table, and updates the classes of the others. The
+// caller holds the configuration's lock.
 func (p *servicePools) applyRouting(table *routing.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,8 +92,13 @@
 	p.byName.Store(&next)
 }
 
+// openService opens the pool of a service and starts its engine. The caller holds mu.
 func (p *servicePools) openService(name string, routes []*routing.Route) *service {
-	s := &service{name: name, classes: map[string]balancer.Class{}}
+	s := &service{
+		name:        name,
+		classes:     map[string]balancer.Class{},
+		retryBudget: retrybudget.New(p.retryLimits()),
+	}
 	s.source = &directorySource{
 		env:         p.env,
 		directory:   p.directory,
@@ -90,39 +106,21 @@
 		service:     name,
 		changed:     make(chan struct{}, 1),
 	}
-	set := balancer.Settings{
-		Balancers:     max(1, p.directory.table.Load().Len()),
-		MaxAttempts:   maxModuleAttempts,
-		Tick:          moduleTick,
-		MaxRetryAfter: maxModuleRetryAfter,
-		MayCancel:     true,
-		WholeWeight:   moduleWholeWeight,
-		ClassWeight:   moduleClassWeight,
-		ColdFrom:      warmupStartWeight,
-		WarmAfter:     warmupPeriod,
-	}
+	settings := p.moduleSettings()
 	for _, class := range moduleClasses(name, routes) {
 		s.classes[class.Name] = class
-		set.Classes = append(set.Classes, class)
+		settings.Classes = append(settings.Classes, class)
 	}
-	s.retryBudget = retrybudget.New(p.retryLimits())
-	b := p.budgets
 	var err error
 	s.pool, err = pool.New(pool.Config{
 		Name:     name,
-		Settings: set,
+		Settings: settings,
 		Seed:     rand.Uint64(),
 		Clock:    p.env.clock,
 		Sender:   p.upstreams,
 		Source:   s.source,
 		Pushed:   true,
-		Shares: pool.Shares{
-			Calls:           b.calls,
-			PendingCalls:    b.held,
-			Connections:     b.servers,
-			RequestBodies:   b.bodies,
-			ResponseBuffers: b.longAnswers,
-		},
+		Shares:   p.budgets.poolShares(),
 	})
 	if err != nil { // the items were checked, so this is a fault of the program
 		p.env.log.Error().Err(err).Str("service", name).Msg("pool can't be made")
@@ -132,14 +130,29 @@
 	return s
 }
 
+// moduleSettings returns the settings of a new decision module, without any classes.
+func (p *servicePools) moduleSettings() balancer.Settings {
+	return balancer.Settings{
+		Balancers:     max(1, p.directory.table.Load().Len()),
+		MaxAttempts:   maxModuleAttempts,
+		Tick:          moduleTick,
+		MaxRetryAfter: maxModuleRetryAfter,
+		MayCancel:     true,
+		WholeWeight:   moduleWholeWeight,
+		ClassWeight:   moduleClassWeight,
+		ColdFrom:      warmupStartWeight,
+		WarmAfter:     warmupPeriod,
+	}
+}
+
 // retryLimits returns this sidecar's part of the retry budget.
 func (p *servicePools) retryLimits() retrybudget.Limits {
-	b := p.env.settings.Load().Bounds
+	bounds := p.env.settings.Load().Bounds
 	sidecars := max(minSidecars, p.directory.table.Load().Len())
 	return retrybudget.Limits{
-		Window:     b.RetryWindowS.Duration(),
-		Ratio:      b.RetryBudgetRatio * retryBudgetShare,
-		MinRetries: math.Floor(b.RetrySlack * retryBudgetShare / float64(sidecars)),
+		Window:     bounds.RetryWindowS.Duration(),
+		Ratio:      bounds.RetryBudgetRatio * retryBudgetShare,
+		MinRetries: math.Floor(bounds.RetrySlack * retryBudgetShare / float64(sidecars)),
 	}
 }
 
@@ -155,23 +168,26 @@
 
 // fleetPosition is this sidecar's position among the sidecars that send to a service.
 type fleetPosition struct {
-	sidecars, index int
-	serverCapacity  float64 // calls that a server takes at once
+	sidecars       int     // known ones, at least 1
+	index          int     // of this sidecar among them, by address
+	serverCapacity float64 // calls that a server takes at once, from all sidecars together; 0 if no server is known
 }
 
-func (p *servicePools) positionFor(service string) fleetPosition {
-	position := fleetPosition{}
-	addr, slots, servers := p.env.addr(), 0, 0
-	all := p.directory.table.Load().All()
-	for i, r := range all {
-		if r.Addr == addr {
+// positionFor returns this sidecar's position for a service, from the directory.
+func (p *servicePools) positionFor(service string) (position fleetPosition) {
+	addr := p.env.addr()
+	slots, servers := 0, 0
+	records := p.directory.table.Load().All()
+	for i, record := range records {
+		if record.Addr == addr {
 			position.index = i
 		}
-		if r.Service == service && r.ServerID != "" {
-			slots, servers = slots+int(r.Slots), servers+1
+		if record.Service == service && record.ServerID != "" {
+			slots += int(record.Slots)
+			servers++
 		}
 	}
-	position.sidecars = max(1, len(all))
+	position.sidecars = max(1, len(records))
 	if servers > 0 {
 		position.serverCapacity = callsPerSlot * float64(slots) / float64(servers)
 	}
--- a/internal/mesh/sidecar/sidecar.go
+++ b/internal/mesh/sidecar/sidecar.go
@@ -1,18 +1,3 @@
-// Package sidecar is the sidecar: the process beside an application server through which the server's requests to
-// other services go out and those of others come in. It assembles the front for callers, a pool with engine and
-// decision module for each service, the upstream connections to other sidecars, the part that runs requests at the
-// local server, that server's heartbeats, and the connection to the control plane from which the sidecar learns all
-// else.
-//
-// Decisions belong to the pure packages that it wires: the decision module, routing, directory, retrybudget,
-// memberselection and policy. The state that the control plane sends is kept in snapshots that are replaced as a
-// whole, so that a request uses the same snapshot from beginning to end. docs/ARCHITECTURE.md describes the path of a
-// request.
-//
-// Each concern is a type that owns its state: configuration (items, active policies, routing table), directoryView,
-// maintenanceView, localServer, controlPlaneConn with keyClaims and releaseQueue, inboundServer with responseStore,
-// upstreams, servicePools, outboundListener. Locks are taken in the order configuration or maintenanceView,
-// localServer, servicePools, service, and none is held during a call or a wait.
 package sidecar
 
 import (
@@ -57,30 +42,29 @@
 	localAPIListener  net.Listener
 	httpServers       []*http.Server
 
-	// background is the goroutines whose end Run waits for. Not in it are those of connections, which end with their connection,
-	// and that of the inbound listener, which stays open until the process ends.
+	// background is the goroutines whose end Run waits for. Not in it are those of connections, which end with their
+	// connection, and that of the inbound listener, which stays open until the process ends.
 	background sync.WaitGroup
 }
 
-// New opens the listeners for other sidecars, the readiness check and the local server's calls. An error names the listener that can't be
-// opened. Run opens the listener for callers.
-func New(set settings.Settings, log zerolog.Logger, ring *logring.Ring) (_ *Sidecar, err error) {
+// New opens the listeners for other sidecars, the readiness check and the local server's calls. An error names the
+// setting of the listener that can't be opened. Run opens the listener for callers.
+func New(set settings.Settings, log zerolog.Logger, ring *logring.Ring) (*Sidecar, error) {
 	s := assemble(set, log, ring)
-	listen := func(name, addr string) net.Listener {
+	for _, l := range []struct {
+		setting string
+		addr    string
+		opened  *net.Listener
+	}{
+		{"Readiness", set.ListenAddrs.Readiness, &s.readinessListener},
+		{"ControlPlane", set.ListenAddrs.ControlPlane, &s.localAPIListener},
+		{"Inbound", set.TransportListenAddress(set.ListenAddrs.Inbound), &s.inboundListener},
+	} {
+		listener, err := net.Listen("tcp4", l.addr)
 		if err != nil {
-			return nil
+			return nil, errors.Annotate(err, l.setting)
 		}
-		var listener net.Listener
-		if listener, err = net.Listen("tcp4", addr); err != nil {
-			err = errors.Annotate(err, name)
-		}
-		return listener
-	}
-	s.readinessListener = listen("Readiness", set.ListenAddrs.Readiness)
-	s.localAPIListener = listen("ControlPlane", set.ListenAddrs.ControlPlane)
-	s.inboundListener = listen("Inbound", set.TransportListenAddress(set.ListenAddrs.Inbound))
-	if err != nil {
-		return nil, err
+		*l.opened = listener
 	}
 	return s, nil
 }
@@ -88,7 +72,10 @@
 // assemble makes all parts of a sidecar, without any listeners.
 func assemble(set settings.Settings, log zerolog.Logger, ring *logring.Ring) *Sidecar {
 	env := newEnvironment(set, log)
-	s := &Sidecar{env: env, tokens: &tokenSource{incarnation: env.incarnation}}
+	s := &Sidecar{
+		env:    env,
+		tokens: &tokenSource{incarnation: env.incarnation},
+	}
 	budgets := newResourceBudgets(set)
 	s.outbound = &outboundListener{env: env, readiness: &s.readiness, callerShare: budgets.callers}
 	s.directory = newDirectoryView(env)
@@ -145,12 +132,11 @@
 	s.maintenance.recaller = s.inbound.recaller
 	s.localServer.directory = s.directory
 	s.localServer.controlPlane = s.controlPlane
-	c := s.controlPlane
-	c.configuration = s.configuration
-	c.directory = s.directory
-	c.maintenance = s.maintenance
-	c.localServer = s.localServer
-	c.onConfirmed = s.configConfirmed
+	s.controlPlane.configuration = s.configuration
+	s.controlPlane.directory = s.directory
+	s.controlPlane.maintenance = s.maintenance
+	s.controlPlane.localServer = s.localServer
+	s.controlPlane.onConfirmed = s.configConfirmed
 }
 
 // Addr returns the address of the inbound listener, by which the other sidecars name this one.
@@ -158,21 +144,27 @@
 
 // Reload applies a changed settings file. Any goroutine may call it.
 func (s *Sidecar) Reload(set settings.Settings) {
-	if was := s.env.settings.Swap(&set); was.Service != set.Service {
+	previous := s.env.settings.Swap(&set)
+	if previous.Service != set.Service {
 		s.configuration.callerChanged()
 	}
 }
 
-// Run serves until ctx ends. It then lets callers move to other sidecars and finishes accepted requests, within the grace period of the
-// settings.
+// Run serves until ctx ends. It then lets callers move to other sidecars and finishes accepted requests, within the
+// grace period of the settings.
 func (s *Sidecar) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer s.background.Wait()
 	defer cancel()
 	s.env.ctx = work
-	readinessServer, localAPIServer := api.NewServer(s.readiness.handler()), api.NewServer(s.localServer.handler())
+	readinessServer := api.NewServer(s.readiness.handler())
+	localAPIServer := api.NewServer(s.localServer.handler())
 	s.httpServers = []*http.Server{readinessServer, localAPIServer}
-	resolver := &routeResolver{configuration: s.configuration, pools: s.pools, readiness: &s.readiness}
+	resolver := &routeResolver{
+		configuration: s.configuration,
+		pools:         s.pools,
+		readiness:     &s.readiness,
+	}
 	protocol := &callerProtocol{
 		env:           s.env,
 		configuration: s.configuration,
@@ -204,42 +196,35 @@
 	s.background.Go(s.localServer.watch)
 }
 
-// configConfirmed is called each time that the configuration was found to be no older than what was acknowledged. It runs on a
-// goroutine that controlPlaneConn.run waits for, so that background is not empty meanwhile.
+// configConfirmed is called each time that the configuration was found to be no older than what was acknowledged. It
+// runs on a goroutine that controlPlaneConn.run waits for, so that background is not empty meanwhile.
 func (s *Sidecar) configConfirmed() {
 	if !s.readiness.configured.CompareAndSwap(false, true) {
 		return
 	}
-	if group := s.configuration.routing.Load().Services[s.env.settings.Load().Service]; group.HealthPath != "" {
+	service := s.env.settings.Load().Service
+	if group := s.configuration.routing.Load().Services[service]; group.HealthPath != "" {
 		s.background.Go(func() { s.localServer.probe(group.HealthPath) })
 	}
 }
 
-// shutdown drains callers, then finishes open requests within the rest of the grace period, and closes everything.
+// shutdown lets callers move to other sidecars, then finishes open requests within the rest of the grace period, and
+// closes everything.
 func (s *Sidecar) shutdown() {
 	began := time.Now()
 	grace := s.env.settings.Load().Bounds.GraceS.Duration()
-	s.readiness.stopping.Store(true)
-	s.outbound.drain(true)
-	deadline := began.Add(max(grace-shutdownSlack, grace/2))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(max(grace-shutdownSlack, grace/2)))
+	defer cancel()
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
-	for time.Since(began) < min(connectionDrainTime, grace/2) {
-		<-ticker.C
-		if time.Since(began) > idleDrainDelay {
-			s.outbound.closeIdle()
-		}
-	}
-	ctx, cancel := context.WithDeadline(context.Background(), deadline)
-	defer cancel()
-	// The local server serves other sidecars until now, so that few servers are missing at a time during a rolling restart.
+	s.readiness.stopping.Store(true)
+	s.drainCallers(began, min(connectionDrainTime, grace/2), ticker.C)
+	// The local server serves other sidecars until now, so that few servers are missing at a time during a rolling
+	// restart.
 	s.localServer.leave()
-	<-ticker.C
+	<-ticker.C // the others learn that this sidecar leaves before it rejects what they send
 	s.inbound.draining.Store(true)
-	s.outbound.finish(ctx, ticker.C)
-	for s.inbound.openRequests.Load() > 0 && ctx.Err() == nil {
-		<-ticker.C
-	}
+	s.finishRequests(ctx, ticker.C)
 	s.inbound.finishConns(ctx)
 	s.controlPlane.close()
 	s.upstreams.close()
@@ -247,3 +232,22 @@
 		server.Close()
 	}
 }
+
+// drainCallers asks callers to close their connections, for a time from began on, and closes idle ones after a while.
+func (s *Sidecar) drainCallers(began time.Time, drainTime time.Duration, tick <-chan time.Time) {
+	s.outbound.drain(true)
+	for time.Since(began) < drainTime {
+		<-tick
+		if time.Since(began) > idleDrainDelay {
+			s.outbound.closeIdle()
+		}
+	}
+}
+
+// finishRequests waits until callers and other sidecars have their responses, or until ctx ends.
+func (s *Sidecar) finishRequests(ctx context.Context, tick <-chan time.Time) {
+	s.outbound.finish(ctx, tick)
+	for s.inbound.openRequests.Load() > 0 && ctx.Err() == nil {
+		<-tick
+	}
+}
--- a/internal/mesh/sidecar/upstream.go
+++ b/internal/mesh/sidecar/upstream.go
@@ -24,34 +24,23 @@
 	env  *environment
 	addr string
 
-	mu       sync.Mutex // guards below
-	conn     *transport.Conn
-	dialing  chan struct{} // closed when the dial in progress has ended; nil: there is none
-	retryAt  time.Time
-	attempts map[uint64]*upstreamAttempt
+	mu       sync.Mutex                  // guards below
+	conn     *transport.Conn             // may have ended; nil before the first dial has succeeded
+	dialing  chan struct{}               // closed when the dial in progress has ended; nil if there is none
+	retryAt  time.Time                   // no dial is begun before
+	attempts map[uint64]*upstreamAttempt // open ones, by stream ID
 }
 
-// connect returns the connection, and dials it if there is none.
+// connect returns the connection, and dials it if there is none. Any number of goroutines may wait for one dial. The
+// error is errUpstreamUnreachable or that of ctx; nothing was sent in either case.
 func (u *upstream) connect(ctx context.Context) (*transport.Conn, error) {
 	for {
-		u.mu.Lock()
-		if u.conn != nil && u.conn.Err() == nil {
-			conn := u.conn
-			u.mu.Unlock()
-			return conn, nil
+		conn, dialed, err := u.connOrDial()
+		if conn != nil || err != nil {
+			return conn, err
 		}
-		if u.dialing == nil {
-			if time.Now().Before(u.retryAt) {
-				u.mu.Unlock()
-				return nil, errUpstreamUnreachable
-			}
-			u.dialing = make(chan struct{})
-			go u.dial()
-		}
-		wait := u.dialing
-		u.mu.Unlock()
 		select {
-		case <-wait:
+		case <-dialed:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -61,6 +50,25 @@
 	}
 }
 
+// connOrDial returns the live connection, or a channel that is closed when the dial in progress has ended. It begins a
+// dial if there is none, but returns errUpstreamUnreachable shortly after one has failed.
+func (u *upstream) connOrDial() (conn *transport.Conn, dialed <-chan struct{}, err error) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.conn != nil && u.conn.Err() == nil {
+		return u.conn, nil, nil
+	}
+	if u.dialing == nil {
+		if time.Now().Before(u.retryAt) {
+			return nil, nil, errUpstreamUnreachable
+		}
+		u.dialing = make(chan struct{})
+		go u.dial()
+	}
+	return nil, u.dialing, nil
+}
+
+// isConnected reports whether there is a live connection.
 func (u *upstream) isConnected() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -91,7 +99,8 @@
 	return len(u.attempts) > 0
 }
 
-// closeIfIdle closes the connection unless attempts are open or it is being dialed. It reports whether the upstream is idle.
+// closeIfIdle closes the connection unless attempts are open or it is being dialed. It reports whether the upstream
+// is idle.
 func (u *upstream) closeIfIdle() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -104,6 +113,7 @@
 	return true
 }
 
+// close closes the connection, if there is one.
 func (u *upstream) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -112,7 +122,8 @@
 	}
 }
 
-// add records an attempt that is about to be sent. It returns false if the connection has ended or the stream ID is in use.
+// add records an attempt that is about to be sent. It returns false if the connection has ended or the stream ID is
+// in use.
 func (u *upstream) add(a *upstreamAttempt) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -124,6 +135,7 @@
 	return true
 }
 
+// remove forgets an attempt that has ended.
 func (u *upstream) remove(a *upstreamAttempt) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -131,6 +143,7 @@
 	a.conn.AddPending(-1)
 }
 
+// find returns the attempt that is open on a connection with a stream ID, or nil if there is none.
 func (u *upstream) find(conn *transport.Conn, id uint64) *upstreamAttempt {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -152,37 +165,39 @@
 	return open
 }
 
-// receive handles messages until the connection ends. The attempts that are then open on it may have run, so they end as broken.
+// receive handles messages until the connection ends. The attempts that are then open on it may have run, so they end
+// as broken.
 func (u *upstream) receive(conn *transport.Conn) {
 	for {
-		m, err := conn.Receive()
+		message, err := conn.Receive()
 		if err != nil {
 			break
 		}
-		u.handleMessage(conn, m)
+		u.handleMessage(conn, message)
 	}
 	for _, a := range u.openOn(conn) {
 		a.finish(balancer.Broken, nil)
 	}
 }
 
-func (u *upstream) handleMessage(conn *transport.Conn, m codec.Message) {
-	switch v := m.Value.(type) {
+// handleMessage handles one message of the peer. What belongs to an attempt that has ended is dropped.
+func (u *upstream) handleMessage(conn *transport.Conn, received codec.Message) {
+	switch message := received.Value.(type) {
 	case *wire.ResponseT:
-		if a := u.find(conn, v.Id); a != nil {
-			a.handleResponse(v)
-		} else if v.MoreBody { // the attempt has ended, so nobody reads the body
-			_ = conn.Send(&wire.CancelT{Id: v.Id})
+		if a := u.find(conn, message.Id); a != nil {
+			a.handleResponse(message)
+		} else if message.MoreBody { // the attempt has ended, so nobody reads the body
+			_ = conn.Send(&wire.CancelT{Id: message.Id})
 		}
 	case *wire.BodyChunkT:
-		if a := u.find(conn, v.Id); a != nil {
-			a.handleBodyChunk(v)
+		if a := u.find(conn, message.Id); a != nil {
+			a.handleBodyChunk(message)
 		}
 	case *wire.WindowUpdateT:
-		if a := u.find(conn, v.Id); a != nil {
-			a.sendWindow.add(int(v.Increment))
+		if a := u.find(conn, message.Id); a != nil {
+			a.sendWindow.add(int(message.Increment))
 		}
 	case *wire.CallReplyT:
-		u.env.calls.Deliver(conn, v)
+		u.env.calls.Deliver(conn, message)
 	}
 }
--- a/internal/mesh/sidecar/upstream_attempt.go
+++ b/internal/mesh/sidecar/upstream_attempt.go
@@ -21,7 +21,7 @@
 	conn       *transport.Conn
 	sendWindow flowWindow    // for the request's body
 	done       chan struct{} // closed with the attempt's end
-	ruleTrace  string        // value of headerRuleTrace in a streamed response; "": none
+	ruleTrace  string        // value of headerRuleTrace in a streamed response; empty if it has none
 
 	mu             sync.Mutex      // guards below, since both the connection's reader and the time-out may end the attempt
 	responseStream *message.Stream // of a streamed response
@@ -31,7 +31,8 @@
 	reply          *message.Reply
 }
 
-// finish ends the attempt, once.
+// finish ends the attempt. Only the first call counts. A streamed response ends with a trailer, if an empty one, or
+// without it if it was truncated.
 func (a *upstreamAttempt) finish(ending balancer.Ending, reply *message.Reply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -52,7 +53,8 @@
 	close(a.done)
 }
 
-// handleResponse handles a response. If its header can't be decoded, or if it names another request, the attempt is broken.
+// handleResponse handles a response. If its header can't be decoded, or if it names another request, the attempt is
+// broken.
 func (a *upstreamAttempt) handleResponse(response *wire.ResponseT) {
 	if len(response.PackedHeader) > 0 {
 		fields, err := codec.UnpackHeader(response.PackedHeader)
@@ -138,35 +140,64 @@
 }
 
 // handleBodyChunk handles a chunk of a streamed response.
-func (a *upstreamAttempt) handleBodyChunk(piece *wire.BodyChunkT) {
+func (a *upstreamAttempt) handleBodyChunk(chunk *wire.BodyChunkT) {
 	a.mu.Lock()
 	stream, finished := a.responseStream, a.finished
 	a.mu.Unlock()
 	if stream == nil || finished {
 		return
 	}
-	if len(piece.Data) > 0 {
-		stream.Push(piece.Data)
+	if len(chunk.Data) > 0 {
+		stream.Push(chunk.Data)
 	}
 	switch {
-	case piece.Aborted:
+	case chunk.Aborted:
 		a.finish(balancer.Broken, nil)
-	case piece.Last:
+	case chunk.Last:
 		a.finish(balancer.Success, nil)
 	}
 }
 
+// wait waits until the attempt ends by its response or ctx ends. A keyed or non-idempotent request goes on at the peer
+// after ctx has ended, so that its response is stored for a repeat; any other, and one with a streamed body, is
+// cancelled there.
+func (a *upstreamAttempt) wait(
+	ctx context.Context, request *message.Request, routed *routedRequest,
+) (balancer.Ending, *message.Reply) {
+	select {
+	case <-a.done:
+	case <-ctx.Done():
+		if request.Idempotency != message.NotIdempotent || request.BodyRest != nil {
+			_ = a.conn.Send(&wire.CancelT{Id: a.id})
+		}
+		a.finish(engine.EndingOf(ctx), nil)
+	}
+	if a.keyNotGranted {
+		routed.keyNotGranted.Store(true)
+		return balancer.NeverSent, nil
+	}
+	if a.ending == balancer.Failure && a.reply != nil {
+		request.Fail(a.reply)
+		return a.ending, nil
+	}
+	return a.ending, a.reply
+}
+
 // uploadBody sends the chunks of a streamed request. It ends with the attempt.
-func (a *upstreamAttempt) uploadBody(ctx context.Context, m *message.Request) {
+func (a *upstreamAttempt) uploadBody(ctx context.Context, request *message.Request) {
 	for {
-		piece, err := m.BodyRest.Next(ctx)
-		if err != nil || piece == nil {
-			_ = a.conn.Send(&wire.BodyChunkT{Id: a.id, Last: true, Aborted: err != nil || m.BodyRest.Trailer() == nil})
+		chunk, err := request.BodyRest.Next(ctx)
+		if err != nil || chunk == nil {
+			_ = a.conn.Send(&wire.BodyChunkT{
+				Id:      a.id,
+				Last:    true,
+				Aborted: err != nil || request.BodyRest.Trailer() == nil,
+			})
 			return
 		}
-		if !a.sendWindow.acquire(ctx, len(piece)) {
+		if !a.sendWindow.acquire(ctx, len(chunk)) {
 			return
 		}
-		_ = a.conn.Send(&wire.BodyChunkT{Id: a.id, Data: piece})
+		_ = a.conn.Send(&wire.BodyChunkT{Id: a.id, Data: chunk})
 	}
 }
--- a/internal/mesh/sidecar/upstream_sender.go
+++ b/internal/mesh/sidecar/upstream_sender.go
@@ -2,145 +2,138 @@
 
 import (
 	"context"
-	"time"
 
 	"cranegrade/balancer"
 	"cranegrade/internal/engine"
+	"cranegrade/internal/mesh/transport"
 	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
 	"cranegrade/internal/message"
 )
 
-// Start implements engine.Sender.
-func (u *upstreams) Start(ctx context.Context, a *engine.Attempt) {
+// Start implements engine.Sender. The attempt runs on a goroutine of its own, which ends with it.
+func (u *upstreams) Start(ctx context.Context, attempt *engine.Attempt) {
 	go func() {
-		ending, reply := u.runAttempt(ctx, a)
-		a.Payload.(*message.Request).FrontData.(*routedRequest).lastEnding.Store(uint32(ending))
+		ending, reply := u.runAttempt(ctx, attempt)
+		attempt.Payload.(*message.Request).FrontData.(*routedRequest).lastEnding.Store(uint32(ending))
 		if reply == nil { // a nil *Reply in the interface would not be nil
-			a.End(ending, nil)
+			attempt.End(ending, nil)
 			return
 		}
-		a.End(ending, reply)
+		attempt.End(ending, reply)
 	}()
 }
 
-// runAttempt makes an attempt and waits until it ends.
-func (u *upstreams) runAttempt(ctx context.Context, a *engine.Attempt) (balancer.Ending, *message.Reply) {
-	m := a.Payload.(*message.Request)
-	routed := m.FrontData.(*routedRequest)
-	if m.Spent() {
+// runAttempt makes an attempt and waits until it ends. Each ending that it returns by itself says that nothing was
+// sent; once the request has been handed to the connection, only the peer's response may say that it has not run.
+func (u *upstreams) runAttempt(ctx context.Context, attempt *engine.Attempt) (balancer.Ending, *message.Reply) {
+	request := attempt.Payload.(*message.Request)
+	routed := request.FrontData.(*routedRequest)
+	attemptNumber := int(routed.attempts.Load())
+	if request.Spent() || !routed.allowsAttempt(attemptNumber) {
 		return balancer.NeverSent, nil
 	}
-	nth := int(routed.attempts.Load())
-	if !routed.allowsAttempt(nth) {
-		return balancer.NeverSent, nil
-	}
-	x := u.get(a.Endpoint.Addr)
-	conn, err := x.connect(ctx)
+	connection := u.get(attempt.Endpoint.Addr)
+	conn, err := connection.connect(ctx)
 	switch {
 	case err != nil && ctx.Err() == nil:
 		return balancer.Unreachable, nil
 	case err != nil:
 		return balancer.NeverSent, nil
 	}
-	if ending, ok := u.beginAttempt(a, routed, nth); !ok {
+	// Asked only now, because the call may have ended or the server begun to drain during the dial.
+	if ending, ok := u.beginAttempt(attempt, routed, attemptNumber); !ok {
 		return ending, nil
 	}
-	if m.BodyRest != nil && !m.Claim() {
+	if request.BodyRest != nil && !request.Claim() {
 		return balancer.NeverSent, nil
 	}
-	sent := &upstreamAttempt{
-		attempt:   a,
+	sent := u.newUpstreamAttempt(attempt, routed, conn)
+	if !connection.add(sent) {
+		return balancer.Unreachable, nil
+	}
+	defer connection.remove(sent)
+	if conn.Send(u.newRequest(attempt, request, sent.id, attemptNumber)) != nil {
+		return balancer.Unreachable, nil // nothing was written
+	}
+	if request.BodyRest != nil {
+		go sent.uploadBody(ctx, request)
+	}
+	return sent.wait(ctx, request, routed)
+}
+
+// newUpstreamAttempt returns an attempt with a stream ID of its own, whose request has not been sent yet.
+func (u *upstreams) newUpstreamAttempt(
+	attempt *engine.Attempt, routed *routedRequest, conn *transport.Conn,
+) *upstreamAttempt {
+	created := &upstreamAttempt{
+		attempt:   attempt,
 		id:        u.lastStreamID.Add(1),
 		attemptID: routed.attemptID,
 		conn:      conn,
 		done:      make(chan struct{}),
 		ruleTrace: routed.ruleTrace,
 	}
-	sent.sendWindow.add(sendWindowBytes)
-	if !x.add(sent) {
-		return balancer.Unreachable, nil
-	}
-	defer x.remove(sent)
-	if conn.Send(u.newRequest(a, m, routed, sent.id, uint32(nth))) != nil {
-		return balancer.Unreachable, nil // nothing was written
-	}
-	if m.BodyRest != nil {
-		go sent.uploadBody(ctx, m)
-	}
-	return sent.wait(ctx, m, routed)
+	created.sendWindow.add(sendWindowBytes)
+	return created
 }
 
-// beginAttempt counts an attempt. ok is false if its call has ended or the retry budget does not allow it.
-func (u *upstreams) beginAttempt(a *engine.Attempt, routed *routedRequest, nth int) (ending balancer.Ending, ok bool) {
-	// The count is raised before Begin, so that either whoever answers the call sees the attempt, or Begin sees that the call has ended.
+// beginAttempt counts an attempt, the attemptNumber-th of its request from 0. ok is false if its call has ended, its
+// server takes nothing new, or the retry budget does not allow it.
+func (u *upstreams) beginAttempt(
+	attempt *engine.Attempt, routed *routedRequest, attemptNumber int,
+) (ending balancer.Ending, ok bool) {
+	// The count is raised before Begin, so that either whoever answers the call sees the attempt, or Begin sees that the
+	// call has ended.
 	routed.attempts.Add(1)
-	if ending, ok := a.Begin(); !ok {
+	if ending, ok := attempt.Begin(); !ok {
 		routed.attempts.Add(-1)
 		return ending, false
 	}
-	if !routed.service.admitAttempt(u.env.clock.Now(), nth, routed) {
+	if !routed.service.admitAttempt(u.env.clock.Now(), attemptNumber, routed) {
 		routed.attempts.Add(-1)
 		return balancer.NeverSent, false
 	}
 	return 0, true
 }
 
-// wait waits until the attempt ends by its response or ctx ends.
-func (a *upstreamAttempt) wait(ctx context.Context, m *message.Request, routed *routedRequest) (balancer.Ending, *message.Reply) {
-	select {
-	case <-a.done:
-	case <-ctx.Done():
-		if m.Idempotency != message.NotIdempotent || m.BodyRest != nil { // otherwise it goes on, and its response is stored for a repeated request
-			_ = a.conn.Send(&wire.CancelT{Id: a.id})
-		}
-		a.finish(engine.EndingOf(ctx), nil)
-	}
-	if a.keyNotGranted {
-		routed.keyNotGranted.Store(true)
-		return balancer.NeverSent, nil
-	}
-	if a.ending == balancer.Failure && a.reply != nil {
-		m.Fail(a.reply)
-		return a.ending, nil
-	}
-	return a.ending, a.reply
-}
-
-// newRequest returns the message of an attempt.
-func (u *upstreams) newRequest(a *engine.Attempt, m *message.Request, routed *routedRequest, id uint64, nth uint32) *wire.RequestT {
-	r := &wire.RequestT{
-		Id:             id,
+// newRequest returns the message of an attempt. Its header has the form that the peer's protocol version can read.
+func (u *upstreams) newRequest(
+	attempt *engine.Attempt, request *message.Request, streamID uint64, attemptNumber int,
+) *wire.RequestT {
+	routed := request.FrontData.(*routedRequest)
+	out := &wire.RequestT{
+		Id:             streamID,
 		AttemptId:      routed.attemptID,
-		Method:         m.Method,
-		Target:         m.URL.Opaque,
-		Host:           m.Authority,
-		Body:           m.Body,
-		ContentLength:  int64(len(m.Body)),
-		TimeoutUs:      int64(a.Timeout / time.Microsecond),
-		ServerId:       a.Endpoint.ID,
+		Method:         request.Method,
+		Target:         request.URL.Opaque,
+		Host:           request.Authority,
+		Body:           request.Body,
+		ContentLength:  int64(len(request.Body)),
+		TimeoutUs:      attempt.Timeout.Microseconds(),
+		ServerId:       attempt.Endpoint.ID,
 		IdempotencyKey: routed.key,
 		Token:          routed.token,
-		Attempt:        nth,
-		AtMostOnce:     m.Idempotency == message.NotIdempotent,
+		Attempt:        uint32(attemptNumber),
+		AtMostOnce:     request.Idempotency == message.NotIdempotent,
 	}
-	if m.BodyRest != nil {
-		r.MoreBody = true
-		r.ContentLength = m.BodyRest.Length
+	if request.BodyRest != nil {
+		out.MoreBody = true
+		out.ContentLength = request.BodyRest.Length
 	}
-	far, _ := u.directory.table.Load().Get(a.Endpoint.Addr)
-	add := func(name, value string) {
-		if far.ProtocolVersion >= codec.PackedHeaderVersion {
-			r.PackedHeader = codec.AppendHeaderField(r.PackedHeader, name, value)
+	peer, _ := u.directory.table.Load().Get(attempt.Endpoint.Addr)
+	addHeader := func(name, value string) {
+		if peer.ProtocolVersion >= codec.PackedHeaderVersion {
+			out.PackedHeader = codec.AppendHeaderField(out.PackedHeader, name, value)
 		} else {
-			r.HeaderFields = append(r.HeaderFields, &wire.HeaderFieldT{Name: name, Value: value})
+			out.HeaderFields = append(out.HeaderFields, &wire.HeaderFieldT{Name: name, Value: value})
 		}
 	}
-	for name, values := range m.Header {
-		for _, v := range values {
-			add(name, v)
+	for name, values := range request.Header {
+		for _, value := range values {
+			addHeader(name, value)
 		}
 	}
-	add(headerCallerService, u.env.settings.Load().Service)
-	return r
+	addHeader(headerCallerService, u.env.settings.Load().Service)
+	return out
 }
--- a/internal/mesh/sidecar/upstreams.go
+++ b/internal/mesh/sidecar/upstreams.go
@@ -7,7 +7,8 @@
 	"cranegrade/internal/engine"
 )
 
-// upstreams holds the connections to other sidecars, by address. It implements engine.Sender: an attempt is a stream on one of them.
+// upstreams holds the connections to other sidecars, by address. It implements engine.Sender: an attempt is a stream on
+// one of them. Its methods may be called by any goroutine.
 type upstreams struct {
 	env       *environment
 	directory *directoryView
@@ -25,12 +26,16 @@
 func (u *upstreams) get(addr string) *upstream {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	x := u.byAddr[addr]
-	if x == nil {
-		x = &upstream{env: u.env, addr: addr, attempts: map[uint64]*upstreamAttempt{}}
-		u.byAddr[addr] = x
+	connection := u.byAddr[addr]
+	if connection == nil {
+		connection = &upstream{
+			env:      u.env,
+			addr:     addr,
+			attempts: map[uint64]*upstreamAttempt{},
+		}
+		u.byAddr[addr] = connection
 	}
-	return x
+	return connection
 }
 
 // Drop implements engine.Sender. Open attempts go on.
@@ -41,8 +46,8 @@
 	table := u.directory.table.Load()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for addr, x := range u.byAddr {
-		if _, known := table.Get(addr); !known && x.closeIfIdle() {
+	for addr, connection := range u.byAddr {
+		if _, known := table.Get(addr); !known && connection.closeIfIdle() {
 			delete(u.byAddr, addr)
 		}
 	}
@@ -52,18 +57,19 @@
 func (u *upstreams) activeAddrs() (addrs []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for addr, x := range u.byAddr {
-		if x.isActive() {
+	for addr, connection := range u.byAddr {
+		if connection.isActive() {
 			addrs = append(addrs, addr)
 		}
 	}
 	return addrs
 }
 
+// close closes all connections. Attempts that are open on them end as broken.
 func (u *upstreams) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, x := range u.byAddr {
-		x.close()
+	for _, connection := range u.byAddr {
+		connection.close()
 	}
 }
