--- a/internal/mesh/cli/cli_test.go
+++ b/internal/mesh/cli/cli_test.go
@@ -173,7 +173,7 @@
 			0, "tightens route read to stock, of shop: TimeoutS 3 -> 1.5, by ruling calm of store",
 			[]string{"apply", "--dry-run", "--by", "bo", m.api, calm},
 		},
-		{1, "ruling calm is of store, and ana owns shop", []string{"apply", "--dry-run", "--by", "ana", m.api, calm}},
+		{1, "policy calm is of store, and ana owns shop", []string{"apply", "--dry-run", "--by", "ana", m.api, calm}},
 		{1, "403", []string{"apply", "--by", "ana", m.api, calm}},
 		{0, "1 items acknowledged", []string{"apply", "--wait", "--by", "bo", m.api, calm}},
 		{0, "is active, by entry", []string{"policy", "status", m.api}},
--- a/internal/mesh/config/policyset_test.go
+++ b/internal/mesh/config/policyset_test.go
@@ -70,7 +70,7 @@
 		{"unknown namespace", policyRequest("bo", "calm", "nobody", 1, `,"Tries":1`), ErrInvalid, "not known"},
 		{
 			"policy of another's namespace", policyRequest("ana", "calm", "store", 1, `,"Tries":1`), ErrForbidden,
-			"ruling calm is of store, and ana owns shop",
+			"policy calm is of store, and ana owns shop",
 		},
 		{"item of the mesh", `{"By":"bo","Upsert":{"UpstreamGroups":[` + serviceJSON("s", 2) + `]}}`, ErrForbidden, "service s is of mesh"},
 		{"policy", policyRequest("bo", "calm", "store", 1, `,"Tries":1,"TimeoutS":1.5`), nil, ""},
--- a/internal/mesh/maintenance/next.go
+++ b/internal/mesh/maintenance/next.go
@@ -129,7 +129,7 @@
 	case !seen.Cordoned:
 		return o.waitFor("it has not said that it takes nothing new")
 	case seen.Senders > 0:
-		return o.waitFor("%d lines have not confirmed that they send nothing: %s", seen.Senders, seen.SendersText)
+		return o.waitFor("%d sidecars have not confirmed that they send nothing: %s", seen.Senders, seen.SendersText)
 	case seen.ServerRequests > 0:
 		return o.waitFor("%d requests run there: %s", seen.ServerRequests, seen.WorkText)
 	case seen.ControlPlane && seen.IsLeader:
@@ -151,7 +151,7 @@
 	case seen.CallerRequests > 0:
 		return o.waitFor("%d requests of its own callers are open", seen.CallerRequests)
 	case seen.FollowingSidecars > 0:
-		return o.waitFor("%d lines have it as their home", seen.FollowingSidecars)
+		return o.waitFor("%d sidecars follow it", seen.FollowingSidecars)
 	}
 	return o.goTo(StepInMaintenance, "nothing runs over it: the maintenance may be done")
 }
--- a/internal/mesh/maintenance/next_test.go
+++ b/internal/mesh/maintenance/next_test.go
@@ -32,7 +32,7 @@
 		{StepDraining, but(func(seen *Observation) { seen.Cordoned = false }), night, nil, "it has not said that it takes nothing new"},
 		{
 			StepDraining, but(func(seen *Observation) { seen.Senders, seen.SendersText = 2, "a, b" }), night, nil,
-			"2 lines have not confirmed that they send nothing: a, b",
+			"2 sidecars have not confirmed that they send nothing: a, b",
 		},
 		{StepDraining, but(func(seen *Observation) { seen.ServerRequests = 3 }), night, nil, "3 requests run there"},
 		{StepDraining, Observation{}, night, nil, "it does not answer"},
@@ -49,7 +49,7 @@
 		{StepMovingCallers, but(func(seen *Observation) { seen.CallerRequests = 1 }), night, nil, "1 requests of its own callers are open"},
 		{
 			StepMovingCallers, but(func(seen *Observation) { seen.ControlPlane, seen.FollowingSidecars = true, 4 }), night, nil,
-			"4 lines have it as their home",
+			"4 sidecars follow it",
 		},
 		{StepMovingCallers, but(func(seen *Observation) { seen.CallersMoved = false }), night, nil, "its own callers are not led away yet"},
 		{StepMovingCallers, cordoned, night, func(o *Order, v *View) { o.Successor = "l2" }, "what it kept of keys is not handed over yet"},
--- a/internal/mesh/maintenance/plan.go
+++ b/internal/mesh/maintenance/plan.go
@@ -232,9 +232,9 @@
 	quorum, tolerance := members/2+1, v.Parameters.FaultTolerance
 	switch {
 	case ready < quorum:
-		verdict.refuse(Reason{Text: fmt.Sprintf("%d of %d registers would stay, and a majority is %d", ready, members, quorum)})
+		verdict.refuse(Reason{Text: fmt.Sprintf("%d of %d control-plane members would stay, and a majority is %d", ready, members, quorum)})
 	case ready-tolerance < quorum:
-		verdict.refuse(Reason{Text: fmt.Sprintf("%d of %d registers would stay, a majority is %d, "+
-			"and so the loss of %d could not be borne: add registers first", ready, members, quorum, tolerance)})
+		verdict.refuse(Reason{Text: fmt.Sprintf("%d of %d control-plane members would stay, a majority is %d, "+
+			"and so the loss of %d could not be borne: add control-plane members first", ready, members, quorum, tolerance)})
 	}
 }
--- a/internal/mesh/maintenance/plan_test.go
+++ b/internal/mesh/maintenance/plan_test.go
@@ -65,7 +65,7 @@
 		{"contract of another route", "l0", night, 0, func(v *View) { v.Contracts = append(v.Contracts, parisContract("export")) }, ""},
 		{
 			"no member to spare", "r0", night, 0, func(v *View) { v.InMaintenance = []string{"r1"} },
-			"3 of 5 registers would stay, a majority is 3",
+			"3 of 5 control-plane members would stay, a majority is 3",
 		},
 		{"out already", "l0", night, 0, func(v *View) { v.InMaintenance = []string{"l0"} }, "another order has it already"},
 		{"unknown machine", "l9", night, 0, nil, "l9 is no machine that is known"},
--- a/internal/mesh/policy/change.go
+++ b/internal/mesh/policy/change.go
@@ -89,7 +89,7 @@
 	for _, s := range []*Set{before, after} {
 		for _, name := range c.Policies {
 			if p, exists := s.policyByName(name); exists && !slices.Contains(own, p.Namespace) {
-				return c.notOwner("ruling "+name, p.Namespace, own)
+				return c.notOwner("policy "+name, p.Namespace, own)
 			}
 		}
 		for _, name := range c.Routes {
--- a/internal/mesh/policy/change_test.go
+++ b/internal/mesh/policy/change_test.go
@@ -62,7 +62,7 @@
 			"on another's route", "ana", dispatch(Policy{On: Selector{Routes: []string{"tokens"}}, Tries: 1}), nil, ErrInvalidSet,
 			"which is of devicebook",
 		},
-		{"of another's namespace", "ana", devicebook(Policy{Tries: 1}), nil, ErrNotOwner, "ruling x is of devicebook, and ana owns dispatch"},
+		{"of another's namespace", "ana", devicebook(Policy{Tries: 1}), nil, ErrNotOwner, "policy x is of devicebook, and ana owns dispatch"},
 		{"by one who owns nothing", "eve", dispatch(Policy{Tries: 1}), nil, ErrNotOwner, "eve owns nothing"},
 		{"by the owner of a nested namespace", "di", devicebook(Policy{Tries: 1}), nil, ErrNotOwner, "di owns quota"},
 		{
--- a/internal/mesh/policy/policy.go
+++ b/internal/mesh/policy/policy.go
@@ -65,7 +65,7 @@
 	case fault != nil:
 		return fault
 	case len(p.clauses(RoleRouteOwner)) == 0:
-		return &validation.Fault{Field: "Tries", Text: "is not there, nor any other field: the ruling says nothing"}
+		return &validation.Fault{Field: "Tries", Text: "is not there, nor any other field: the policy says nothing"}
 	case !p.Callers.isEmpty() && len(p.On.Callers) > 0 && len(p.On.Routes)+len(p.On.Services) == 0:
 		return &validation.Fault{Field: "Callers", Text: "says who may call, and On names only callers"}
 	case p.NeedsS > 0 && p.TimeoutS > 0 && p.NeedsS > p.TimeoutS:
@@ -73,7 +73,7 @@
 	}
 	for _, service := range p.Callers.Need {
 		if !p.Callers.lets(service) {
-			return &validation.Fault{Field: "Callers.Need", Text: "names " + service + ", whom the ruling itself does not let call"}
+			return &validation.Fault{Field: "Callers.Need", Text: "names " + service + ", whom the policy itself does not let call"}
 		}
 	}
 	return nil
--- a/internal/mesh/policy/report.go
+++ b/internal/mesh/policy/report.go
@@ -59,7 +59,7 @@
 			strings.Join(o.Policies, ", "), o.Fingerprint)
 	}
 	for _, name := range r.Unused {
-		fmt.Fprintf(w, "ruling %s says nothing of any route that stands\n", name)
+		fmt.Fprintf(w, "policy %s applies to no existing route\n", name)
 	}
 	if len(r.Overlaps)+len(r.Unused) == 0 {
 		fmt.Fprintln(w, "no two namespaces meet on a route")
--- a/internal/mesh/policy/rollout.go
+++ b/internal/mesh/policy/rollout.go
@@ -89,5 +89,5 @@
 	if len(behind) == 0 || r.ActiveIndex > 0 && since >= activationTimeout {
 		return true, ""
 	}
-	return false, fmt.Sprintf("%d lines have not said that they hold it, the first %s", len(behind), behind[0])
+	return false, fmt.Sprintf("%d sidecars have not reported that they have received it, the first %s", len(behind), behind[0])
 }
--- a/internal/mesh/policy/set.go
+++ b/internal/mesh/policy/set.go
@@ -240,7 +240,7 @@
 	}
 	for _, p := range s.policies {
 		if _, exists := s.namespaces[p.Namespace]; !exists && p.Namespace != MeshNamespace {
-			return invalidSet("ruling "+p.Name, "its namespace %q is not known", p.Namespace)
+			return invalidSet("policy "+p.Name, "its namespace %q is not known", p.Namespace)
 		}
 		if err := s.validateSelector(p); err != nil {
 			return err
@@ -257,7 +257,7 @@
 func (s *Set) validateSelector(p Policy) error {
 	for _, service := range slices.Concat(p.On.Services, p.On.Callers) {
 		if owner := s.OwnerOfService(service); !s.governs(p.Namespace, owner) {
-			return invalidSet("ruling "+p.Name, "On names the service %s, which is of %s and not of %s", service, owner, p.Namespace)
+			return invalidSet("policy "+p.Name, "On names the service %s, which is of %s and not of %s", service, owner, p.Namespace)
 		}
 	}
 	for _, name := range p.On.Routes {
@@ -266,7 +266,7 @@
 			continue
 		}
 		if owner := s.OwnerOfRoute(route); !s.governs(p.Namespace, owner) {
-			return invalidSet("ruling "+p.Name, "On names the route %s, which is of %s and not of %s", name, owner, p.Namespace)
+			return invalidSet("policy "+p.Name, "On names the route %s, which is of %s and not of %s", name, owner, p.Namespace)
 		}
 	}
 	return nil
--- a/internal/mesh/policy/validate_test.go
+++ b/internal/mesh/policy/validate_test.go
@@ -19,7 +19,7 @@
 		"Within is the namespace":     Namespace{Name: "a", Owners: []string{"x"}, Within: "a"},
 		"Services the mesh's own":     Namespace{Name: MeshNamespace, Owners: []string{"x"}, Services: []string{"s"}},
 		"Prefixes[0].PathPrefix is p": Namespace{Name: "a", Owners: []string{"x"}, Prefixes: []HostPrefix{{"h", "p"}}},
-		"the ruling says nothing":     Policy{Name: "a", Namespace: "n"},
+		"the policy says nothing":     Policy{Name: "a", Namespace: "n"},
 		"RetryOn[0] is sometimes":     Policy{Name: "a", Namespace: "n", RetryOn: endings("sometimes")},
 		"Callers says who may call": Policy{
 			Name: "a", Namespace: "n", On: Selector{Callers: []string{"c"}}, Tries: 1, Callers: CallerRules{Deny: []string{"d"}},
--- a/internal/mesh/testcluster/maintenance_members_test.go
+++ b/internal/mesh/testcluster/maintenance_members_test.go
@@ -21,7 +21,7 @@
 	m.approvePresentHours(t, 1, time.Now())
 	plan := m.planMaintenance(t, m.planMaintenance(t, m.Members[0].Name, 0).Leader, 0)
 	assertNotApproved(t, plan, fmt.Sprint(plan.Verdict.Reasons),
-		"2 of 3 registers would stay, a majority is 2, and so the loss of 1 could not be borne")
+		"2 of 3 control-plane members would stay, a majority is 2, and so the loss of 1 could not be borne")
 	m.Close()
 }
 
@@ -36,7 +36,7 @@
 	m.approvePresentHours(t, 1, time.Now())
 	assert.Assert(t, testfleet.Await(testTimeout, func() bool { // the two that no seed names are taken in
 		plan := m.planMaintenance(t, m.Members[1].Process.Addr, 0)
-		return strings.Contains(fmt.Sprint(plan.Verdict.Reasons), "4 of 5 registers would stay")
+		return strings.Contains(fmt.Sprint(plan.Verdict.Reasons), "4 of 5 control-plane members would stay")
 	}))
 	for _, x := range m.Members {
 		x.settings["FaultTolerance"] = map[string]any{"Machines": 1}
