--- a/internal/fleet/assignment.go
+++ b/internal/fleet/assignment.go
@@ -11,7 +11,7 @@
 
 // assignment is how the servers of a pool are assigned to its members, as one member sees it.
 type assignment struct {
-	own     []string            // servers that this member draws from, sorted; nil: all, for there is no other member
+	own     []string            // servers that this member draws from, sorted; nil means all, for there is no other member
 	drawnBy map[string][]uint64 // by server: NameIDs of the members that draw from it
 	peers   []string            // other members that draw from any server of own
 }
@@ -24,7 +24,8 @@
 	if m.pendingAssignment != nil {
 		return // the caller calls again once the pending assignment is adopted
 	}
-	m.listChanged, m.order = false, role.Order
+	m.listChanged = false
+	m.order = role.Order
 	clear(m.startedAt)
 	servers := make([]balancer.Server, 0, len(m.listed))
 	for _, s := range m.listed {
@@ -33,7 +34,9 @@
 			m.startedAt[s.ID] = s.StartedAt
 		}
 	}
-	order, self, sized := role.Order, role.Index, m.sized
+	order := role.Order
+	self := role.Index
+	sized := m.sized
 	switch {
 	case len(order) < 2 || self >= len(order):
 		m.adoptAssignment(assignment{})
@@ -58,11 +61,16 @@
 // adoptAssignment makes an assignment the present one. Servers move into and out of this member's subset step by step (subset.Transition),
 // so that the servers' loads change gradually.
 func (m *Module) adoptAssignment(a assignment) {
-	m.pendingAssignment, m.drawnBy, m.peers = nil, a.drawnBy, a.peers
+	m.pendingAssignment = nil
+	m.drawnBy = a.drawnBy
+	m.peers = a.peers
 	if a.own == nil { // no subset: this member may use every server at once
 		m.transition = subset.NewTransition(moveInterval)
 	}
-	m.transition.SetTarget(a.own, func(server string) bool { _, listed := m.startedAt[server]; return listed })
+	m.transition.SetTarget(a.own, func(server string) bool {
+		_, listed := m.startedAt[server]
+		return listed
+	})
 	subsetSize := len(a.own)
 	if subsetSize == 0 {
 		subsetSize = len(m.startedAt)
@@ -70,7 +78,8 @@
 	m.detector.SetServers(m.startedAt, subsetSize)
 }
 
-// assign assigns servers to members, as the member with index self sees it. It reorders servers. sized says whether the servers' sizes are known.
+// assign assigns servers to members, as the member with index self sees it. It reorders servers. sized reports whether the servers' sizes
+// are known.
 func assign(members []string, self int, servers []balancer.Server, sized bool) assignment {
 	sortLikeModule(servers, sized)
 	candidates := make([]subset.Server, len(servers))
--- a/internal/fleet/collect_status.go
+++ b/internal/fleet/collect_status.go
@@ -17,9 +17,17 @@
 	defer f.mu.Unlock()
 	now := BootTime()
 	s := Status{
-		Name: f.config.Name, Run: formatIncarnation(f.incarnation), At: time.Now(), Open: f.gossip != nil,
-		LeaseMS: milliseconds(f.config.Lease), Nodes: f.config.Nodes, Roll: fmt.Sprintf("%016x", f.roster.Hash()),
-		Health: health, Sent: f.bytesSent.Load(), Got: f.bytesReceived.Load(), Bad: f.unreadableMessages,
+		Name:    f.config.Name,
+		Run:     formatIncarnation(f.incarnation),
+		At:      time.Now(),
+		Open:    f.gossip != nil,
+		LeaseMS: milliseconds(f.config.Lease),
+		Nodes:   f.config.Nodes,
+		Roll:    fmt.Sprintf("%016x", f.roster.Hash()),
+		Health:  health,
+		Sent:    f.bytesSent.Load(),
+		Got:     f.bytesReceived.Load(),
+		Bad:     f.unreadableMessages,
 	}
 	members := f.view.Members()
 	s.Members = f.memberStatuses(now, members)
@@ -30,11 +38,20 @@
 	changes, ignored := f.view.Changes()
 	s.Ignored = ignored
 	for _, c := range changes {
-		s.Changes = append(s.Changes, ChangeStatus{milliseconds(now - c.At), c.Name, string(c.Kind), c.Reason})
+		s.Changes = append(s.Changes, ChangeStatus{
+			AgoMS: milliseconds(now - c.At),
+			Name:  c.Name,
+			What:  string(c.Kind),
+			Why:   c.Reason,
+		})
 	}
 	for _, stall := range f.stalls {
 		reason := fmt.Sprintf("for %v", stall.For.Round(time.Millisecond))
-		s.Stalls = append(s.Stalls, ChangeStatus{milliseconds(now - stall.At), "", "did not run", reason})
+		s.Stalls = append(s.Stalls, ChangeStatus{
+			AgoMS: milliseconds(now - stall.At),
+			What:  "did not run",
+			Why:   reason,
+		})
 	}
 	return s
 }
@@ -50,7 +67,7 @@
 	return gossip.GetHealthScore()
 }
 
-// memberStatuses merges what the view and the roster know, by name. f.mu is held.
+// memberStatuses merges what the view and the roster know, by name. The caller holds f.mu.
 func (f *Fleet) memberStatuses(now time.Duration, members []membership.Member) (statuses []MemberStatus) {
 	byName := map[string]*MemberStatus{}
 	status := func(name string) *MemberStatus {
@@ -63,8 +80,13 @@
 	}
 	for _, m := range members {
 		s := status(m.Name)
-		s.Run, s.Addr, s.Zone, s.State = formatIncarnation(m.Incarnation), m.Addr, m.Zone, m.State.String()
-		s.SinceMS, s.Counts, s.Flaps = milliseconds(now-m.Since), m.Agreed, m.Flaps
+		s.Run = formatIncarnation(m.Incarnation)
+		s.Addr = m.Addr
+		s.Zone = m.Zone
+		s.State = m.State.String()
+		s.SinceMS = milliseconds(now - m.Since)
+		s.Counts = m.Agreed
+		s.Flaps = m.Flaps
 		if m.DuplicateIncarnation != 0 {
 			s.Twin = formatIncarnation(m.DuplicateIncarnation)
 		}
@@ -74,7 +96,11 @@
 	}
 	for _, m := range f.roster.Members(now) {
 		s := status(m.Name)
-		s.Seated, s.Gone, s.Out, s.Same, s.HeardMS = m.Voter, m.Removed, m.Failed, m.SameRoster, milliseconds(m.SinceHeard)
+		s.Seated = m.Voter
+		s.Gone = m.Removed
+		s.Out = m.Failed
+		s.Same = m.SameRoster
+		s.HeardMS = milliseconds(m.SinceHeard)
 	}
 	for _, s := range byName {
 		statuses = append(statuses, *s)
@@ -86,17 +112,27 @@
 // maxShownTime bounds the time that a share holds as operators are shown it: a node alone grants itself its share for ever.
 const maxShownTime = 1000 * time.Hour
 
-// poolStatus returns the role that a pool's module applies now. f.mu is held.
+// poolStatus returns the role that a pool's module applies now. The caller holds f.mu.
 func (f *Fleet) poolStatus(now time.Duration, p *Pool, members []membership.Member) PoolStatus {
 	role, divisor := p.Role(now)
 	module := p.moduleState.Load()
 	s := PoolStatus{
-		Pool: p.name, Index: role.Index, Seen: role.Seen, Agreed: role.Agreed, Divisor: role.Divisor, Standing: !math.IsInf(divisor, 1),
-		Granted: role.Granted, Wanted: role.Wanted, Of100: 100 / divisor, Why: role.Reason, Order: role.Order,
-		Subset: module.Subset, Moving: module.SubsetMoving,
+		Pool:     p.name,
+		Index:    role.Index,
+		Seen:     role.Seen,
+		Agreed:   role.Agreed,
+		Divisor:  role.Divisor,
+		Standing: !math.IsInf(divisor, 1),
+		Granted:  role.Granted,
+		Wanted:   role.Wanted,
+		Of100:    100 / divisor,
+		Why:      role.Reason,
+		Order:    role.Order,
+		Subset:   module.Subset,
+		Moving:   module.SubsetMoving,
 	}
 	for _, e := range module.Ejections {
-		s.Aside = append(s.Aside, AsideStatus{e.Server, milliseconds(max(0, e.Until-now)), e.Reporters})
+		s.Aside = append(s.Aside, AsideStatus{Server: e.Server, ForMS: milliseconds(max(0, e.Until-now)), By: e.Reporters})
 	}
 	s.Quotas = f.quotaStatuses(now, p, divisor)
 	if s.Standing {
@@ -115,11 +151,11 @@
 	return s
 }
 
-// quotaStatuses returns this node's shares of the quotas of a pool, by tenant. f.mu is held.
+// quotaStatuses returns this node's shares of the quotas of a pool, by tenant. The caller holds f.mu.
 func (f *Fleet) quotaStatuses(now time.Duration, p *Pool, divisor float64) (statuses []QuotaStatus) {
 	shares := p.quotaShares(now)
 	for tenant, id := range p.quotaIDs() {
-		s := QuotaStatus{tenant, 1 / divisor, f.loans.Lent(now, id), f.loans.Borrowed(now, id)}
+		s := QuotaStatus{Tenant: tenant, Part: 1 / divisor, Lent: f.loans.Lent(now, id), Borrowed: f.loans.Borrowed(now, id)}
 		if share, ok := shares.ByTenant[tenant]; ok && !math.IsInf(divisor, 1) {
 			s.Part = share
 		}
@@ -129,6 +165,8 @@
 	return statuses
 }
 
+// formatIncarnation returns an incarnation as operators are shown it, in hexadecimal digits.
 func formatIncarnation(incarnation uint64) string { return fmt.Sprintf("%x", incarnation) }
 
+// milliseconds converts a duration to the unit of a status.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -9,14 +9,14 @@
 	"cranegrade/internal/fleet/membership"
 )
 
-// Config configures a member at its start.
+// Config configures a member at its start. Package operator has the defaults and bounds of the file's keys.
 type Config struct {
-	Name          string
-	Zone          string
+	Name          string        // of this member; all members have different names
+	Zone          string        // of this member; may be empty
 	Listen        string        // IP:port, for TCP and UDP; the member dials from that IP, too
 	Advertise     string        // host:port that the others reach it at; default: Listen
 	Join          []string      // host:port of members to join
-	Key           []byte        // encrypts what members send, 16, 24 or 32 bytes; nil: no encryption
+	Key           []byte        // encrypts what members send, 16, 24 or 32 bytes; if nil, nothing is encrypted
 	Lease         time.Duration // see membership.Lease; the same at all members
 	Nodes         int           // the least number of members that found the fleet; the same at all members
 	SettleTime    time.Duration // see membership.Damping
@@ -27,10 +27,12 @@
 // flapDecay is how long a member has to stay until one of its flaps is forgiven.
 const flapDecay = 30 * time.Second
 
+// lease returns the settings of grants.
 func (c Config) lease() membership.Lease {
 	return membership.Lease{Duration: c.Lease, Nodes: c.Nodes}
 }
 
+// damping returns the settings by which the view follows the gossip.
 func (c Config) damping() membership.Damping {
 	return membership.Damping{SettleTime: c.SettleTime, FlapDecay: flapDecay}
 }
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -39,6 +39,7 @@
 // NotifyUpdate records a member whose metadata has changed.
 func (d delegate) NotifyUpdate(node *memberlist.Node) { d.recordAlive(node) }
 
+// recordAlive records that a member is alive, in the view and on the roster.
 func (d delegate) recordAlive(node *memberlist.Node) {
 	metadata, err := membership.DecodeMetadata(node.Meta)
 	if err != nil {
@@ -106,6 +107,7 @@
 	}
 }
 
+// decodeHeartbeat processes a message of type heartbeatMessage, without its first byte.
 func (f *Fleet) decodeHeartbeat(body []byte) {
 	heartbeat, rest, err := membership.DecodeHeartbeat(body)
 	if err != nil {
@@ -130,6 +132,7 @@
 	}
 }
 
+// unreadableLogInterval keeps a faulty member from filling the log.
 const unreadableLogInterval = 1000
 
 // GetBroadcasts returns queued digests for the gossip to send on.
--- a/internal/fleet/digests.go
+++ b/internal/fleet/digests.go
@@ -79,7 +79,9 @@
 		return peerDigest{}, err
 	}
 	return peerDigest{
-		from: string(message[nameAt:nameEnd]), incarnation: binary.LittleEndian.Uint64(message[nameEnd:]), digest: digest,
+		from:        string(message[nameAt:nameEnd]),
+		incarnation: binary.LittleEndian.Uint64(message[nameEnd:]),
+		digest:      digest,
 	}, nil
 }
 
@@ -99,15 +101,15 @@
 	if !open {
 		return
 	}
-	f.digestQueue.QueueBroadcast(digestBroadcast{digestKey(f.config.Name, digest.Pool), message})
+	f.digestQueue.QueueBroadcast(digestBroadcast{key: digestKey(f.config.Name, digest.Pool), message: message})
 	for i := range nodes {
 		f.bytesSent.Add(int64(len(message)))
 		_ = gossip.SendBestEffort(&nodes[i], message) // the gossip brings it, too
 	}
 }
 
-// receiveDigest delivers a digest to its pool. If it is newer than those before, the gossip sends it on unchanged, in the name of the member
-// that it is of.
+// receiveDigest delivers a digest to its pool. If it is newer than those before, the gossip sends it on unchanged, in the name of the
+// member that it is of.
 func (f *Fleet) receiveDigest(message []byte) {
 	d, err := decodeDigest(message)
 	if err != nil {
@@ -115,7 +117,7 @@
 		return
 	}
 	key := digestKey(d.from, d.digest.Pool)
-	version := digestVersion{d.incarnation, d.digest.Seq}
+	version := digestVersion{incarnation: d.incarnation, seq: d.digest.Seq}
 	f.mu.Lock()
 	_, known := f.nodes[d.from]
 	pool := f.pools[d.digest.Pool]
@@ -128,5 +130,5 @@
 		return
 	}
 	pool.deliver(d)
-	f.digestQueue.QueueBroadcast(digestBroadcast{key, slices.Clone(message)})
+	f.digestQueue.QueueBroadcast(digestBroadcast{key: key, message: slices.Clone(message)})
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -31,7 +31,7 @@
 
 	// mu guards what follows. It must not be held during a call of the gossip, which calls the delegate under its own lock.
 	mu                 sync.Mutex
-	gossip             *memberlist.Memberlist // nil: its address is in use, or it has not been opened yet
+	gossip             *memberlist.Memberlist // nil while its address is in use, or before it is opened
 	view               *membership.View
 	roster             *membership.Roster
 	share              membership.Share // as last published
@@ -105,7 +105,11 @@
 // metadata is this member's own. The caller holds f.mu, but for Start.
 func (f *Fleet) metadata() membership.Metadata {
 	return membership.Metadata{
-		Name: f.config.Name, Incarnation: f.incarnation, Protocol: membership.Protocol, Zone: f.config.Zone, Pools: f.config.Pools,
+		Name:        f.config.Name,
+		Incarnation: f.incarnation,
+		Protocol:    membership.Protocol,
+		Zone:        f.config.Zone,
+		Pools:       f.config.Pools,
 	}
 }
 
@@ -125,7 +129,8 @@
 	p := f.pools[id]
 	if p == nil {
 		p = newPool(name)
-		p.broadcast, p.updateDemand = f.broadcastDigest, f.updateDemand
+		p.broadcast = f.broadcastDigest
+		p.updateDemand = f.updateDemand
 		f.pools[id] = p
 		now := BootTime()
 		p.role.Store(f.role(now, id, f.roster.Share(now)))
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -15,6 +15,27 @@
 // gossipLabel keeps members of other clusters of memberlist apart. All members of a fleet must have the same.
 const gossipLabel = "cranegrade"
 
+// Settings of the gossip that differ from memberlist's defaults for a local network.
+const (
+	// probeTimeoutDivisor of the probe interval is how long a member may take to answer a probe.
+	probeTimeoutDivisor = 2
+	// suspicionMult is the least time of a suspicion, times the probe interval and the logarithm of the members.
+	suspicionMult = 3
+	// maxSuspicionMult is the most time of a suspicion, times the least.
+	maxSuspicionMult = 2
+	// streamTimeout bounds connecting to a member, and reading and writing there.
+	streamTimeout = 2 * time.Second
+	// maxGossipInterval is the time between two rounds of rumours. Rounds are not rarer than probes.
+	maxGossipInterval = 200 * time.Millisecond
+	// pushPullInterval is the time between two exchanges of the whole state with one other member.
+	pushPullInterval = 10 * time.Second
+	// gossipToTheDeadTime is how long failed members are still gossiped to, so that one that only seemed to have failed hears of it
+	// and refutes it.
+	gossipToTheDeadTime = time.Minute
+	// nameReclaimTime lets the name of a failed member come back at another address at once. Zero would mean never.
+	nameReclaimTime = time.Millisecond
+)
+
 // openGossip opens the gossip. The error is errAddressInUse if that may succeed later.
 func (f *Fleet) openGossip() error {
 	listenHost, listenPort, err := splitAddress(f.config.Listen)
@@ -35,7 +56,11 @@
 		advertisePort = listenPort
 	}
 	c := f.memberlistConfig(logger)
-	c.Transport, c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = t, listenHost, listenPort, advertiseHost, advertisePort
+	c.Transport = t
+	c.BindAddr = listenHost
+	c.BindPort = listenPort
+	c.AdvertiseAddr = advertiseHost
+	c.AdvertisePort = advertisePort
 	gossip, err := memberlist.Create(c)
 	if err != nil {
 		_ = t.Shutdown() // the error of Create is the one to report
@@ -43,7 +68,9 @@
 	}
 	f.mu.Lock()
 	closed := f.closed
-	f.gossip, f.connectBackoff, f.connectAt = gossip, 0, BootTime()
+	f.gossip = gossip
+	f.connectBackoff = 0
+	f.connectAt = BootTime()
 	f.mu.Unlock()
 	if closed {
 		return gossip.Shutdown()
@@ -55,17 +82,23 @@
 // memberlistConfig returns the gossip's configuration without its addresses.
 func (f *Fleet) memberlistConfig(logger *log.Logger) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.SecretKey, c.Label, c.Logger = f.config.Name, f.config.Key, gossipLabel, logger
-	c.ProbeInterval, c.ProbeTimeout = f.config.ProbeInterval, f.config.ProbeInterval/2
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = 3, 2 // times the probe interval and the logarithm of the members
-	c.TCPTimeout = 2 * time.Second
-	c.GossipInterval = min(200*time.Millisecond, f.config.ProbeInterval)
-	c.PushPullInterval = 10 * time.Second
-	// Failed members are still gossiped to for this long, so that one that only seemed to have failed hears of it and refutes it.
-	c.GossipToTheDeadTime = time.Minute
-	// The name of a failed member may come back at another address at once.
-	c.DeadNodeReclaimTime = time.Millisecond
+	c.Name = f.config.Name
+	c.SecretKey = f.config.Key
+	c.Label = gossipLabel
+	c.Logger = logger
+	c.ProbeInterval = f.config.ProbeInterval
+	c.ProbeTimeout = f.config.ProbeInterval / probeTimeoutDivisor
+	c.SuspicionMult = suspicionMult
+	c.SuspicionMaxTimeoutMult = maxSuspicionMult
+	c.TCPTimeout = streamTimeout
+	c.GossipInterval = min(maxGossipInterval, f.config.ProbeInterval)
+	c.PushPullInterval = pushPullInterval
+	c.GossipToTheDeadTime = gossipToTheDeadTime
+	c.DeadNodeReclaimTime = nameReclaimTime
 	d := delegate{f}
-	c.Delegate, c.Events, c.Conflict, c.Alive = d, d, d, d
+	c.Delegate = d
+	c.Events = d
+	c.Conflict = d
+	c.Alive = d
 	return c
 }
--- a/internal/fleet/gossip_log.go
+++ b/internal/fleet/gossip_log.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// gossipLog passes the gossip's warnings and errors on to the program's log, a few in each period.
+// gossipLog passes the gossip's warnings and errors on to the program's log, a few in each period. memberlist calls it from any
+// goroutine.
 type gossipLog struct {
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below
 	periodStart time.Time
 	lines       int // passed on in the period
 	dropped     int
@@ -32,9 +33,12 @@
 		if g.dropped > 0 {
 			log.Printf("fleet: %d more lines of the gossip were dropped", g.dropped)
 		}
-		g.periodStart, g.lines, g.dropped = time.Now(), 0, 0
+		g.periodStart = time.Now()
+		g.lines = 0
+		g.dropped = 0
 	}
-	if g.lines++; g.lines > maxLinesPerPeriod {
+	g.lines++
+	if g.lines > maxLinesPerPeriod {
 		g.dropped++
 		return len(line), nil
 	}
--- a/internal/fleet/gossipsim/gossipsim.go
+++ b/internal/fleet/gossipsim/gossipsim.go
@@ -30,7 +30,7 @@
 
 // Result is what a simulation measured.
 type Result struct {
-	ConvergedAfter  time.Duration // from the deaths until the views of all live members are right; 0: they never were
+	ConvergedAfter  time.Duration // from the deaths until the views of all live members are right; 0 if they never were
 	FalseFailures   int           // times that a member's own suspicion gave up a live member
 	PositionChanges int           // times that a live member stopped counting in a view
 	RumoursSent     int           // by all members
@@ -85,6 +85,7 @@
 	confirmedTimes int
 }
 
+// queuedRumour is a rumour that a member still has to send.
 type queuedRumour struct {
 	rumour
 	sendsLeft int
@@ -104,6 +105,7 @@
 	seen        map[rumour]bool // suspicions that it has counted
 }
 
+// simulation is a fleet at a moment of the simulated time.
 type simulation struct {
 	Config
 	rng     *rand.Rand
@@ -131,29 +133,39 @@
 	return s.result
 }
 
+// newSimulation returns a fleet in which all members know each other, and some have just died.
 func newSimulation(c Config) *simulation {
 	s := &simulation{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 0x5717)), now: c.SettleTime}
 	damping := membership.Damping{SettleTime: c.SettleTime, FlapDecay: flapDecay}
 	for i := range c.Members {
 		m := &member{
-			index: i, view: membership.NewView(0, metadata(i), damping), dead: i < c.Deaths, beliefs: make([]belief, c.Members),
-			seen: map[rumour]bool{},
+			index:   i,
+			view:    membership.NewView(0, metadata(i), damping),
+			dead:    i < c.Deaths,
+			beliefs: make([]belief, c.Members),
+			seen:    map[rumour]bool{},
 		}
 		for j := range c.Members {
 			m.view.MemberAlive(0, metadata(j), "")
 		}
-		m.probeOrder, m.probeAt = s.rng.Perm(c.Members), time.Duration(s.rng.Int64N(int64(c.ProbeInterval)))
+		m.probeOrder = s.rng.Perm(c.Members)
+		m.probeAt = time.Duration(s.rng.Int64N(int64(c.ProbeInterval)))
 		m.view.Advance(c.SettleTime)
 		s.members = append(s.members, m)
 	}
 	return s
 }
 
+// memberName returns the name of a member, which has the same order as its index.
 func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
 
+// metadata returns the metadata of a member.
 func metadata(i int) membership.Metadata {
 	return membership.Metadata{
-		Name: memberName(i), Incarnation: 1, Protocol: membership.Protocol, Pools: []membership.PoolDigest{pool},
+		Name:        memberName(i),
+		Incarnation: 1,
+		Protocol:    membership.Protocol,
+		Pools:       []membership.PoolDigest{pool},
 	}
 }
 
@@ -165,7 +177,7 @@
 	}
 	for j := range m.beliefs {
 		if b := &m.beliefs[j]; b.state == suspect && s.now >= b.suspicionEnds {
-			s.receive(m, rumour{dead, j, m.index, b.incarnation})
+			s.receive(m, rumour{state: dead, of: j, from: m.index, incarnation: b.incarnation})
 		}
 	}
 	if s.now%gossipInterval == 0 {
@@ -185,6 +197,7 @@
 	return true
 }
 
+// countPositionChanges counts how often a live member stopped counting in the view of another.
 func (s *simulation) countPositionChanges() {
 	for _, m := range s.members[s.Deaths:] {
 		changes, _ := m.view.Changes()
@@ -205,7 +218,8 @@
 func (s *simulation) probe(m *member) {
 	for range s.Members {
 		if m.nextProbe >= len(m.probeOrder) {
-			m.probeOrder, m.nextProbe = s.rng.Perm(s.Members), 0
+			m.probeOrder = s.rng.Perm(s.Members)
+			m.nextProbe = 0
 		}
 		target := m.probeOrder[m.nextProbe]
 		m.nextProbe++
@@ -213,7 +227,7 @@
 			continue
 		}
 		if !s.answers(m, s.members[target]) {
-			s.receive(m, rumour{suspect, target, m.index, m.beliefs[target].incarnation})
+			s.receive(m, rumour{state: suspect, of: target, from: m.index, incarnation: m.beliefs[target].incarnation})
 		}
 		return
 	}
@@ -282,13 +296,16 @@
 func (s *simulation) refute(m *member, r rumour) {
 	if r.state != alive && r.incarnation >= m.incarnation {
 		m.incarnation = r.incarnation + 1
-		s.enqueue(m, rumour{alive, m.index, m.index, m.incarnation})
+		s.enqueue(m, rumour{state: alive, of: m.index, from: m.index, incarnation: m.incarnation})
 	}
 }
 
 // enqueue queues a rumour for as many sends as memberlist does.
 func (s *simulation) enqueue(m *member, r rumour) {
-	m.queue = append(m.queue, queuedRumour{r, retransmitMult * int(math.Ceil(math.Log10(float64(s.Members+1))))})
+	m.queue = append(m.queue, queuedRumour{
+		rumour:    r,
+		sendsLeft: retransmitMult * int(math.Ceil(math.Log10(float64(s.Members+1)))),
+	})
 }
 
 // gossip sends what a member has queued to a few others.
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -46,6 +46,7 @@
 	return math.MaxInt64
 }
 
+// publishDue is publish for callers that do not hold f.mu.
 func (f *Fleet) publishDue(now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,23 +76,27 @@
 	}
 }
 
-// recordStall notes how long this process has not run, if it was for longer than two rounds. f.mu is held.
+// recordStall notes how long this process has not run, if it was for longer than two rounds. The caller holds f.mu.
 func (f *Fleet) recordStall(now time.Duration) {
 	gap := now - f.lastRoundAt
 	f.lastRoundAt = now
 	if gap <= 2*f.config.lease().HeartbeatInterval() {
 		return
 	}
-	if f.stalls = append(f.stalls, Stall{now, gap}); len(f.stalls) > maxStalls {
+	f.stalls = append(f.stalls, Stall{At: now, For: gap})
+	if len(f.stalls) > maxStalls {
 		f.stalls = f.stalls[1:]
 	}
 	log.Printf("fleet: this process did not run for %v; grants that are older than %v do not count until others are heard again",
 		gap.Round(time.Millisecond), f.config.Lease)
 }
 
-// heartbeatRound returns the heartbeats of a new round. f.mu is held.
+// heartbeatRound returns the heartbeats of a new round. The caller holds f.mu.
 func (f *Fleet) heartbeatRound(now time.Duration) (round []outgoing) {
-	f.loans.Expire(now, func(name string) bool { _, known := f.nodes[name]; return known })
+	f.loans.Expire(now, func(name string) bool {
+		_, known := f.nodes[name]
+		return known
+	})
 	demands := f.loans.Demands()
 	evenShare := 1 / f.share.DivisorAt(now)
 	for _, name := range f.roster.StartRound(now) {
@@ -101,7 +106,7 @@
 		}
 		message := append([]byte{heartbeatMessage}, f.roster.Heartbeat(name).Encode()...)
 		lent := f.loans.Lend(now, name, evenShare, f.share.Until, f.share.Counts)
-		round = append(round, outgoing{node, append(message, shares.Encode(demands, lent)...)})
+		round = append(round, outgoing{to: node, message: append(message, shares.Encode(demands, lent)...)})
 	}
 	return round
 }
@@ -129,7 +134,7 @@
 // rosterInterval is the least time between two rosters to one member.
 const rosterInterval = time.Second
 
-// sendRoster sends this node's roster to a member, from a goroutine: the gossip must not be called under f.mu, which is held.
+// sendRoster sends this node's roster to a member, from a goroutine: the gossip must not be called under f.mu, which the caller holds.
 func (f *Fleet) sendRoster(to memberlist.Node) {
 	gossip := f.gossip
 	message := append([]byte{rosterMessage}, membership.EncodeEntries(f.roster.Entries())...)
--- a/internal/fleet/membership/decoder.go
+++ b/internal/fleet/membership/decoder.go
@@ -20,6 +20,7 @@
 	return b
 }
 
+// Numbers of 1, 2, 4 and 8 bytes.
 func (d *decoder) uint8() uint8   { return d.next(1)[0] }
 func (d *decoder) uint16() uint16 { return binary.LittleEndian.Uint16(d.next(2)) }
 func (d *decoder) uint32() uint32 { return binary.LittleEndian.Uint32(d.next(4)) }
--- a/internal/fleet/membership/entry.go
+++ b/internal/fleet/membership/entry.go
@@ -15,12 +15,14 @@
 	Removed bool   // it left, or an operator removed it
 }
 
+// merge returns the join of two entries of one name.
 func (e Entry) merge(other Entry) Entry {
 	switch {
 	case other.Epoch > e.Epoch:
 		return other
 	case other.Epoch == e.Epoch:
-		e.Voter, e.Removed = e.Voter || other.Voter, e.Removed || other.Removed
+		e.Voter = e.Voter || other.Voter
+		e.Removed = e.Removed || other.Removed
 	}
 	return e
 }
@@ -85,4 +87,5 @@
 	return entries, nil
 }
 
+// isValid reports whether an entry may be on a roster.
 func (e Entry) isValid() bool { return IsValidName(e.Name) && e.Epoch != 0 && e.Epoch <= MaxEpoch }
--- a/internal/fleet/membership/exchange.go
+++ b/internal/fleet/membership/exchange.go
@@ -10,7 +10,8 @@
 	r.advance(now)
 	r.seq++
 	r.sentAt[r.seq%rememberedRounds] = r.now
-	r.roundVotersCommitted, r.roundFailed = r.hasCommittedVoters(), nil
+	r.roundVotersCommitted = r.hasCommittedVoters()
+	r.roundFailed = nil
 	for _, p := range r.sortedMembers() {
 		if p.Name == r.self || p.Removed {
 			continue
@@ -27,11 +28,19 @@
 // member that is heard during the round is so reported for a round longer, which is safe: it is granted nothing for rejoinDelay.
 func (r *Roster) Heartbeat(to string) Heartbeat {
 	h := Heartbeat{
-		From: r.self, Incarnation: r.incarnation, To: NameID(to), Seq: r.seq, Epoch: r.members[r.self].Epoch, Leaving: r.leaving,
-		VotersCommitted: r.roundVotersCommitted, RosterHash: r.hash, Failed: r.roundFailed,
+		From:            r.self,
+		Incarnation:     r.incarnation,
+		To:              NameID(to),
+		Seq:             r.seq,
+		Epoch:           r.members[r.self].Epoch,
+		Leaving:         r.leaving,
+		VotersCommitted: r.roundVotersCommitted,
+		RosterHash:      r.hash,
+		Failed:          r.roundFailed,
 	}
 	if p := r.members[to]; p != nil && r.grantsTo(p) {
-		h.Echo, h.EchoIncarnation = p.seq, p.incarnation
+		h.Echo = p.seq
+		h.EchoIncarnation = p.incarnation
 	}
 	return h
 }
@@ -42,7 +51,7 @@
 }
 
 // Receive processes a heartbeat. exchangeRosters says that the sender's roster is another than this node's, so that this node should send
-// it its own. echoedAt is when this node sent the heartbeat that is echoed; zero if this one is no grant.
+// it its own. echoedAt is when this node sent the heartbeat that is echoed. It is zero if this one is no grant.
 func (r *Roster) Receive(now time.Duration, h Heartbeat) (exchangeRosters bool, echoedAt time.Duration) {
 	r.advance(now)
 	if h.To != NameID(r.self) {
@@ -81,29 +90,40 @@
 			r.duplicates[p.Name] = h.Incarnation
 			return false
 		}
-		p.incarnation, p.seq, p.hasGrant, p.hasReport, p.failureReports = h.Incarnation, 0, false, false, nil
+		p.incarnation = h.Incarnation
+		p.seq = 0
+		p.hasGrant = false
+		p.hasReport = false
+		p.failureReports = nil
 	}
 	if h.Seq <= p.seq {
 		return false
 	}
-	p.seq, p.heardAt, p.rosterHash, p.votersCommitted = h.Seq, r.now, h.RosterHash, h.VotersCommitted
+	p.seq = h.Seq
+	p.heardAt = r.now
+	p.rosterHash = h.RosterHash
+	p.votersCommitted = h.VotersCommitted
 	if p.failed {
-		p.failed, p.noGrantBefore = false, r.now+r.lease.rejoinDelay()
+		p.failed = false
+		p.noGrantBefore = r.now + r.lease.rejoinDelay()
 	}
 	return true
 }
 
 // receiveGrant records the grant and the failure reports of a heartbeat that echoes one of this node's, and returns when that one was
-// sent; zero if the heartbeat echoes none of this process, or one of too long ago.
+// sent. It returns zero if the heartbeat echoes none of this process, or one of too long ago.
 func (r *Roster) receiveGrant(p *peer, h Heartbeat) (echoedAt time.Duration) {
 	if h.EchoIncarnation != r.incarnation || h.Echo == 0 || h.Echo > r.seq || r.seq-h.Echo >= rememberedRounds {
 		return 0
 	}
 	echoedAt = r.sentAt[h.Echo%rememberedRounds]
 	if !p.hasGrant || echoedAt > p.grantedAt {
-		p.grantedAt, p.hasGrant = echoedAt, true
+		p.grantedAt = echoedAt
+		p.hasGrant = true
 	}
-	p.reportedAt, p.hasReport, p.failureReports = echoedAt, true, nil
+	p.reportedAt = echoedAt
+	p.hasReport = true
+	p.failureReports = nil
 	if len(h.Failed) > 0 {
 		p.failureReports = make(map[uint64]bool, len(h.Failed))
 	}
--- a/internal/fleet/membership/heartbeat.go
+++ b/internal/fleet/membership/heartbeat.go
@@ -18,7 +18,7 @@
 	Leaving         bool   // the sender acts no more
 	VotersCommitted bool   // all voters on the sender's roster are in its committed voters, see Roster
 	RosterHash      uint64 // Roster.Hash of the sender
-	Echo            uint64 // Seq of the receiver's latest heartbeat that was received; 0: no grant
+	Echo            uint64 // Seq of the receiver's latest heartbeat that was received; 0 for no grant
 	EchoIncarnation uint64 // of the receiver's process that sent it
 	Failed          []uint64
 }
@@ -84,9 +84,16 @@
 	}
 	flags := d.uint8()
 	h = Heartbeat{
-		VotersCommitted: flags&flagVotersCommitted != 0, Leaving: flags&flagLeaving != 0,
-		From: d.string(MaxName), Incarnation: d.uint64(), To: d.uint64(), Seq: d.uint64(),
-		RosterHash: d.uint64(), Echo: d.uint64(), EchoIncarnation: d.uint64(), Epoch: d.uint32(),
+		VotersCommitted: flags&flagVotersCommitted != 0,
+		Leaving:         flags&flagLeaving != 0,
+		From:            d.string(MaxName),
+		Incarnation:     d.uint64(),
+		To:              d.uint64(),
+		Seq:             d.uint64(),
+		RosterHash:      d.uint64(),
+		Echo:            d.uint64(),
+		EchoIncarnation: d.uint64(),
+		Epoch:           d.uint32(),
 	}
 	count := int(d.uint16())
 	if d.failed || count > MaxFailed || len(d.rest) < 8*count || !IsValidName(h.From) || h.Seq == 0 || h.Epoch == 0 {
--- a/internal/fleet/membership/history.go
+++ b/internal/fleet/membership/history.go
@@ -33,8 +33,10 @@
 // history holds the latest changes, the oldest first.
 type history []Change
 
+// add adds a change, and drops the oldest one if there are too many.
 func (h *history) add(c Change) {
-	if *h = append(*h, c); len(*h) > maxRecordedChanges {
+	*h = append(*h, c)
+	if len(*h) > maxRecordedChanges {
 		*h = slices.Delete(*h, 0, 1)
 	}
 }
--- a/internal/fleet/membership/majority.go
+++ b/internal/fleet/membership/majority.go
@@ -60,8 +60,8 @@
 	return [][]*peer{voters, committed}, false
 }
 
-// majorityUntil returns until when every electorate has a majority of members that agree, where agreesUntil says that of one member;
-// zero if one has none now.
+// majorityUntil returns until when every electorate has a majority of members that agree, where agreesUntil says that of one member.
+// It returns zero if one has none now.
 func (r *Roster) majorityUntil(electorates [][]*peer, agreesUntil func(*peer) time.Duration) time.Duration {
 	end := forever
 	missing := r.missingFounders(len(electorates[0])) // the first electorate is the largest: whoever is in it has been met
@@ -77,7 +77,7 @@
 	return end
 }
 
-// grantedUntil returns until when a member's grant to this node holds; zero if it has given none. A node grants itself for ever.
+// grantedUntil returns until when a member's grant to this node holds, or zero if it has given none. A node grants itself for ever.
 func (r *Roster) grantedUntil(p *peer) time.Duration {
 	switch {
 	case p.Name == r.self:
@@ -88,7 +88,8 @@
 	return 0
 }
 
-// excludedUntil returns until when a member does not count, because this node and majorities report it as failed; zero: it counts.
+// excludedUntil returns until when a member does not count, because this node and majorities report it as failed. It
+// returns 0 if the member counts.
 //
 // This is safe: each of these stopped granting it anything before they reported it, and more than a lease after it had sent what they
 // last heard. So it can't have a majority's grants any more.
--- a/internal/fleet/membership/metadata.go
+++ b/internal/fleet/membership/metadata.go
@@ -54,7 +54,8 @@
 	return slices.CompactFunc(pools, func(a, b PoolDigest) bool { return a.ID == b.ID })
 }
 
-// serves reports whether the member has the pool, and the digest of its settings; 0 if the member has too many pools to name them.
+// serves reports whether the member has the pool, and the digest of its settings. The digest is 0 if the member has too many pools to
+// name them.
 func (m Metadata) serves(pool uint32) (digest uint32, ok bool) {
 	i, found := slices.BinarySearchFunc(m.Pools, pool, func(p PoolDigest, id uint32) int { return cmp.Compare(p.ID, id) })
 	if found {
@@ -124,13 +125,16 @@
 	return pools
 }
 
+// asciiDelete is the first ASCII character after the visible ones.
+const asciiDelete = 0x7f
+
 // IsValidName reports whether a name may be a member's: 1 to MaxName visible ASCII characters, so that it can be logged as it is.
 func IsValidName(name string) bool {
 	if name == "" || len(name) > MaxName {
 		return false
 	}
 	for _, c := range []byte(name) {
-		if c <= ' ' || c >= 0x7f {
+		if c <= ' ' || c >= asciiDelete {
 			return false
 		}
 	}
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -34,7 +34,7 @@
 	namesByID       map[uint64]string // by NameID
 	committedVoters map[string]bool   // see commitVoters
 	leaving         bool
-	admittedAt      time.Duration     // when the others admitted this node; zero: it founded the fleet with them, or came back
+	admittedAt      time.Duration     // when the others admitted this node; 0 if it founded the fleet with them, or came back
 	duplicates      map[string]uint64 // incarnations of processes that have the name of another one
 
 	hash         uint64 // see Hash
@@ -52,7 +52,7 @@
 type peer struct {
 	Entry
 	id            uint64 // NameID
-	incarnation   uint64 // of the process that heartbeats are accepted from; 0: none yet
+	incarnation   uint64 // of the process that heartbeats are accepted from; 0 before the first
 	seq           uint64 // of its latest heartbeat
 	heardAt       time.Duration
 	failed        bool          // not heard from for the failure time-out
@@ -76,8 +76,15 @@
 func NewRoster(now time.Duration, name string, incarnation uint64, lease Lease) *Roster {
 	lease.Nodes = max(1, lease.Nodes)
 	r := &Roster{
-		lease: lease, self: name, incarnation: incarnation, startedAt: now, now: now, members: map[string]*peer{},
-		namesByID: map[uint64]string{}, committedVoters: map[string]bool{}, duplicates: map[string]uint64{},
+		lease:           lease,
+		self:            name,
+		incarnation:     incarnation,
+		startedAt:       now,
+		now:             now,
+		members:         map[string]*peer{},
+		namesByID:       map[uint64]string{},
+		committedVoters: map[string]bool{},
+		duplicates:      map[string]uint64{},
 	}
 	r.Merge(now, []Entry{{Name: name, Epoch: 1}})
 	return r
@@ -173,6 +180,7 @@
 	r.recentHashes[r.latestHash] = r.hash
 }
 
+// sortedMembers returns all members on the roster, by name.
 func (r *Roster) sortedMembers() []*peer {
 	peers := make([]*peer, 0, len(r.members))
 	for _, p := range r.members {
--- a/internal/fleet/membership/share.go
+++ b/internal/fleet/membership/share.go
@@ -8,7 +8,7 @@
 
 // Share is this node's share of the fleet's quotas: one part in Divisor, until Until.
 type Share struct {
-	Divisor int           // by which quotas are divided; of a share that is not valid: what it would be
+	Divisor int           // by which quotas are divided; what it would be if the share is not valid
 	Members []string      // that the divisor counts, sorted
 	Until   time.Duration // the share is valid before, unless it is renewed
 	Granted int           // members that grant this node something now, with itself
@@ -107,7 +107,8 @@
 	case share.Until == 0:
 		share.Reason = reasonNoMajority
 	case r.admittedAt > 0 && r.now-r.admittedAt < r.lease.admissionDelay():
-		share.Until, share.Reason = 0, reasonJustAdmitted
+		share.Until = 0
+		share.Reason = reasonJustAdmitted
 	}
 }
 
@@ -119,12 +120,15 @@
 	case share.Until == 0:
 		share.Reason = reasonNoMajority
 	case objector != "":
-		share.Until, share.Reason = 0, "it is new, and "+objector+" has not let it in"
+		share.Until = 0
+		share.Reason = "it is new, and " + objector + " has not let it in"
 	default:
 		r.admitSelf(founding)
 		share.Voter = true
 		if !founding { // this node may act once the others are known to have heard that it is a voter
-			share.Until, share.Reason, r.admittedAt = 0, reasonJustAdmitted, r.now
+			share.Until = 0
+			share.Reason = reasonJustAdmitted
+			r.admittedAt = r.now
 		}
 	}
 }
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -39,7 +39,7 @@
 	Since                time.Duration // when State began
 	Agreed               bool          // it counts: it has been in its state for long enough
 	Flaps                int           // how often it has failed and come back lately, up to maxFlaps
-	DuplicateIncarnation uint64        // of another process with the same name; 0: none was met
+	DuplicateIncarnation uint64        // of another process with the same name; 0 if none was met
 	flapForgivenAt       time.Duration // when the next flap is forgiven if it stays
 }
 
@@ -82,9 +82,15 @@
 	case m.State != Alive:
 		v.memberBack(now, m, metadata)
 	case m.Incarnation != metadata.Incarnation:
-		v.history.add(Change{now, metadata.Name, ChangeRestarted, "a new process of that name is seen before the old one was missed"})
+		v.history.add(Change{
+			At:     now,
+			Name:   metadata.Name,
+			Kind:   ChangeRestarted,
+			Reason: "a new process of that name is seen before the old one was missed",
+		})
 	}
-	m.Metadata, m.Addr = metadata, addr
+	m.Metadata = metadata
+	m.Addr = addr
 }
 
 // memberBack records that a member is alive which was not before.
@@ -97,8 +103,9 @@
 		m.Flaps = min(m.Flaps+1, maxFlaps)
 		m.flapForgivenAt = now + v.damping.FlapDecay
 	}
-	m.State, m.Since = Alive, now
-	v.history.add(Change{now, metadata.Name, ChangeUp, reason})
+	m.State = Alive
+	m.Since = now
+	v.history.add(Change{At: now, Name: metadata.Name, Kind: ChangeUp, Reason: reason})
 }
 
 // MemberFailed records that the gossip reports a member as dead. It counts until it has been missed for SettleTime.
@@ -107,8 +114,9 @@
 	if m == nil || name == v.self.Name || m.State != Alive {
 		return
 	}
-	m.State, m.Since = Failed, now
-	v.history.add(Change{now, name, ChangeFailed, "nobody reaches it"})
+	m.State = Failed
+	m.Since = now
+	v.history.add(Change{At: now, Name: name, Kind: ChangeFailed, Reason: "nobody reaches it"})
 }
 
 // MemberLeft records that a member has announced that it leaves. It stops counting at once: the announcement is its own, and it takes
@@ -118,8 +126,10 @@
 	if m == nil || name == v.self.Name || m.State == Left {
 		return
 	}
-	m.State, m.Since, m.Agreed = Left, now, false
-	v.history.add(Change{now, name, ChangeLeft, "it said so"})
+	m.State = Left
+	m.Since = now
+	m.Agreed = false
+	v.history.add(Change{At: now, Name: name, Kind: ChangeLeft, Reason: "it said so"})
 }
 
 // DuplicateName records that another process with the name of a member was met.
@@ -130,10 +140,10 @@
 	}
 	m.DuplicateIncarnation = incarnation
 	reason := fmt.Sprintf("two processes have this name, runs %x and %x: a copied directory or file?", m.Incarnation, incarnation)
-	v.history.add(Change{now, name, ChangeDuplicate, reason})
+	v.history.add(Change{At: now, Name: name, Kind: ChangeDuplicate, Reason: reason})
 }
 
-// agreementDue returns when Agreed of a member changes if its state stays; false: it does not change.
+// agreementDue returns when Agreed of a member changes if its state stays. It reports false if that does not change.
 func (v *View) agreementDue(m *Member) (at time.Duration, ok bool) {
 	switch {
 	case m.Name == v.self.Name:
@@ -167,10 +177,10 @@
 	if !m.Agreed {
 		kind, reason = ChangeNotCounted, fmt.Sprintf("not seen for %v", now-m.Since)
 	}
-	v.history.add(Change{now, m.Name, kind, reason})
+	v.history.add(Change{At: now, Name: m.Name, Kind: kind, Reason: reason})
 }
 
-// Next returns when Advance has something to do if nothing is recorded before; false: never.
+// Next returns when Advance has something to do if nothing is recorded before. It reports false if it never has.
 func (v *View) Next() (next time.Duration, ok bool) {
 	for _, m := range v.members {
 		if at, due := v.agreementDue(m); due && (!ok || at < next) {
@@ -186,7 +196,7 @@
 // IsSettled reports whether the first SettleTime is over. Until then no other member counts, and positions are guesses.
 func (v *View) IsSettled() bool { return v.settled }
 
-// evictOldest forgets the member that has been gone for longest; it reports false if none is gone.
+// evictOldest forgets the member that has been gone for longest. It reports false if none is gone.
 func (v *View) evictOldest() bool {
 	var oldest *Member
 	for _, m := range v.members {
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -37,7 +37,7 @@
 	startedAt         map[string]time.Duration // of those that are ready, as of the latest assignment
 	listChanged       bool                     // since the latest assignment
 	order             []string                 // members of the latest assignment
-	pendingAssignment chan assignment          // one that is being computed; nil: none
+	pendingAssignment chan assignment          // one that is being computed; nil if there is none
 	maxInlinePairs    int                      // see the constant
 	drawnBy           map[string][]uint64      // see assignment
 	peers             []string                 // see assignment
@@ -60,8 +60,9 @@
 // position is the part of membership.Position that the decision module is notified of.
 type position struct{ agreed, index int }
 
+// How often a module does what is due.
 const (
-	checkInterval  = 20 * time.Millisecond
+	checkInterval  = 20 * time.Millisecond  // between two looks at the fleet if no event asks for one before
 	digestInterval = 250 * time.Millisecond // between digests while no request fails
 	moveInterval   = 200 * time.Millisecond // between the steps from one subset to another
 )
@@ -73,11 +74,18 @@
 	detector := outlier.NewDetector(pool.id, membership.NameID(name))
 	detector.TrustUnbounded = mutations.trustUnbounded
 	return &Module{
-		decider: decider, pool: pool, clock: clock, demands: demands, detector: detector,
-		sized:  settings.Sizes == balancer.SizesNominal || settings.Sizes == balancer.SizesRough,
-		listed: map[string]balancer.Server{}, startedAt: map[string]time.Duration{},
-		maxInlinePairs: maxInlinePairs, transition: subset.NewTransition(moveInterval),
-		quotas: &QuotaShares{}, checkedAt: math.MinInt64,
+		decider:        decider,
+		pool:           pool,
+		clock:          clock,
+		demands:        demands,
+		detector:       detector,
+		sized:          settings.Sizes == balancer.SizesNominal || settings.Sizes == balancer.SizesRough,
+		listed:         map[string]balancer.Server{},
+		startedAt:      map[string]time.Duration{},
+		maxInlinePairs: maxInlinePairs,
+		transition:     subset.NewTransition(moveInterval),
+		quotas:         &QuotaShares{},
+		checkedAt:      math.MinInt64,
 	}
 }
 
@@ -146,17 +154,24 @@
 
 // updateRole notifies the decision module of its position, subset, divisor and quotas, if any has changed.
 func (m *Module) updateRole(now time.Duration, subset []string, role *Role, divisor float64, quotas *QuotaShares) []balancer.Action {
-	current := position{role.Agreed, role.Index}
+	current := position{agreed: role.Agreed, index: role.Index}
 	if divisor == m.divisor && current == m.position && quotas == m.quotas && slices.Equal(subset, m.subset) {
 		return nil
 	}
-	m.divisor, m.position, m.subset, m.quotas = divisor, current, subset, quotas
+	m.divisor = divisor
+	m.position = current
+	m.subset = subset
+	m.quotas = quotas
 	byTenant := quotas.ByTenant
 	if math.IsInf(divisor, 1) {
 		byTenant = nil // the share has expired, and with it what was borrowed
 	}
 	return m.decider.Handle(now, balancer.Fleet{
-		Balancers: role.Agreed, Index: role.Index, Divisor: divisor, Subset: subset, Quotas: byTenant,
+		Balancers: role.Agreed,
+		Index:     role.Index,
+		Divisor:   divisor,
+		Subset:    subset,
+		Quotas:    byTenant,
 	})
 }
 
@@ -166,7 +181,8 @@
 	if !isDue || len(m.order) < 2 {
 		return
 	}
-	m.sentAt, m.urgent = bootTime, false
+	m.sentAt = bootTime
+	m.urgent = false
 	digest, ok := m.detector.Digest(bootTime)
 	if mutations.digest != nil {
 		digest, ok = mutations.digest(m), true
@@ -182,7 +198,7 @@
 	Learn(*balancer.Knowledge)
 }
 
-// Knowledge returns what the decision module has learned; nil if it does not tell.
+// Knowledge returns what the decision module has learned. It returns nil if that module does not tell.
 func (m *Module) Knowledge() *balancer.Knowledge {
 	if l, ok := m.decider.(learner); ok {
 		return l.Knowledge()
--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"math"
 	"slices"
 	"time"
 )
@@ -26,7 +27,7 @@
 	// Observed by this member.
 	failures, successes, consecutiveFailures int
 	countedSince                             time.Duration
-	lastOutcomeAt, lastSuccessAt             time.Duration // zero: none yet
+	lastOutcomeAt, lastSuccessAt             time.Duration // zero before the first
 
 	// Decided from the reports of others, see ejections.go.
 	epoch          uint64        // counts ejections in a row
@@ -38,7 +39,10 @@
 
 // clearEjections forgets what others reported.
 func (s *server) clearEjections() {
-	s.ejectedUntil, s.epoch, s.reporters, s.loneEjections = 0, 0, nil, 0
+	s.ejectedUntil = 0
+	s.epoch = 0
+	s.reporters = nil
+	s.loneEjections = 0
 }
 
 // peer is another member's latest digest.
@@ -75,14 +79,19 @@
 	seq        uint32
 	distrusted map[distrustKey]time.Duration // until when
 
-	// TrustUnbounded removes the bounds on what others' digests may do. False in service: package fleet's mutations set it.
+	// TrustUnbounded removes the bounds on what others' digests may do. It is false in service; only package fleet's
+	// mutations set it.
 	TrustUnbounded bool
 }
 
 // NewDetector returns a detector for a pool that knows no servers. self is a hash of this member's name.
 func NewDetector(pool uint32, self uint64) *Detector {
 	return &Detector{
-		pool: pool, self: self, servers: map[string]*server{}, byID: map[uint32]*server{}, peers: map[string]*peer{},
+		pool:       pool,
+		self:       self,
+		servers:    map[string]*server{},
+		byID:       map[uint32]*server{},
+		peers:      map[string]*peer{},
 		distrusted: map[distrustKey]time.Duration{},
 	}
 }
@@ -115,12 +124,13 @@
 	}
 	s.startOutcome(now)
 	s.successes++
-	s.consecutiveFailures, s.lastSuccessAt = 0, now
+	s.consecutiveFailures = 0
+	s.lastSuccessAt = now
 	s.ejectedUntil = min(s.ejectedUntil, now)
 	// Whoever reports the server as failing is wrong, or has a fault on its own way to it.
 	for _, p := range d.peers {
 		if o, ok := p.observationOf(s); ok && o.reportsFailure() && now-p.receivedAt < reportLifetime {
-			d.distrusted[distrustKey{p.id, uint64(s.id)}] = now + distrustPeriod
+			d.distrusted[distrustKey{peer: p.id, server: uint64(s.id)}] = now + distrustPeriod
 		}
 	}
 }
@@ -139,13 +149,15 @@
 // startOutcome notes the time of an outcome, and halves the counts once their window has passed.
 func (s *server) startOutcome(now time.Duration) {
 	if now-s.countedSince > countingWindow {
-		s.countedSince, s.failures, s.successes = now, s.failures/2, s.successes/2
+		s.countedSince = now
+		s.failures = s.failures / 2
+		s.successes = s.successes / 2
 	}
 	s.lastOutcomeAt = now
 }
 
-// Digest returns the digest that this member sends to the others now; false: there is nothing to report. Reports of failures come first, then successes at servers that
-// others report as failing.
+// Digest returns the digest that this member sends to the others now. It reports false if there is nothing to report. Reports of failures
+// come first, then successes at servers that others report as failing.
 func (d *Detector) Digest(now time.Duration) (digest Digest, ok bool) {
 	type ranked struct {
 		Observation
@@ -157,7 +169,7 @@
 			continue
 		}
 		if priority := s.priority(); priority > 0 {
-			candidates = append(candidates, ranked{s.observation(now), priority})
+			candidates = append(candidates, ranked{Observation: s.observation(now), priority: priority})
 		}
 	}
 	if len(candidates) == 0 {
@@ -167,7 +179,7 @@
 		return cmp.Or(cmp.Compare(b.priority, a.priority), cmp.Compare(a.Server, b.Server))
 	})
 	d.seq++
-	digest = Digest{Pool: d.pool, Seq: d.seq, SubsetSize: uint16(min(d.subsetSize, 65535))}
+	digest = Digest{Pool: d.pool, Seq: d.seq, SubsetSize: uint16(min(d.subsetSize, math.MaxUint16))}
 	for _, c := range candidates[:min(len(candidates), MaxObservations)] {
 		digest.Observations = append(digest.Observations, c.Observation)
 	}
@@ -177,8 +189,12 @@
 // observation is this member's own of a server.
 func (s *server) observation(now time.Duration) Observation {
 	return Observation{
-		Server: s.id, Start: StartID(s.startedAt), Failures: saturate(s.failures), Successes: saturate(s.successes),
-		ConsecutiveFailures: saturate(s.consecutiveFailures), Age: saturate(int((now - s.lastOutcomeAt) / ageUnit)),
+		Server:              s.id,
+		Start:               StartID(s.startedAt),
+		Failures:            saturate(s.failures),
+		Successes:           saturate(s.successes),
+		ConsecutiveFailures: saturate(s.consecutiveFailures),
+		Age:                 saturate(int((now - s.lastOutcomeAt) / ageUnit)),
 	}
 }
 
@@ -188,7 +204,7 @@
 	priorityDefended = 500
 )
 
-// priority is how useful this member's observation of a server is to others; 0: not at all.
+// priority is how useful this member's observation of a server is to others. 0 means not at all.
 func (s *server) priority() int {
 	switch {
 	case s.consecutiveFailures > 0 && s.failures > 0:
@@ -214,8 +230,12 @@
 		return // late, or received before
 	}
 	*p = peer{
-		id: id, seq: digest.Seq, incarnation: incarnation, receivedAt: now, observations: digest.Observations,
-		subsetSize: int(digest.SubsetSize),
+		id:           id,
+		seq:          digest.Seq,
+		incarnation:  incarnation,
+		receivedAt:   now,
+		observations: digest.Observations,
+		subsetSize:   int(digest.SubsetSize),
 	}
 }
 
--- a/internal/fleet/outlier/digest.go
+++ b/internal/fleet/outlier/digest.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"errors"
 	"hash/fnv"
+	"math"
 	"time"
 )
 
@@ -85,11 +86,18 @@
 	}
 	b = b[headerBytes:]
 	for range count {
-		d.Observations = append(d.Observations, Observation{order.Uint32(b), b[4], b[5], b[6], b[7], b[8]})
+		d.Observations = append(d.Observations, Observation{
+			Server:              order.Uint32(b),
+			Start:               b[4],
+			Failures:            b[5],
+			Successes:           b[6],
+			ConsecutiveFailures: b[7],
+			Age:                 b[8],
+		})
 		b = b[observationBytes:]
 	}
 	return d, nil
 }
 
 // saturate converts a count to what an Observation holds.
-func saturate(n int) uint8 { return uint8(min(n, 255)) }
+func saturate(n int) uint8 { return uint8(min(n, math.MaxUint8)) }
--- a/internal/fleet/outlier/doc.go
+++ b/internal/fleet/outlier/doc.go
@@ -1,6 +1,6 @@
-// Package outlier is outlier detection (as in Envoy) by several members of a fleet: they share what they observe of servers, so that a failing
-// server costs each of them fewer requests than it would alone. Each member sends the others a small Digest of what it has observed
-// itself, and a Detector decides which servers a member avoids because of the others' digests.
+// Package outlier is outlier detection (as in Envoy) by several members of a fleet: they share what they observe of servers, so that a
+// failing server costs each of them fewer requests than it would alone. Each member sends the others a small Digest of what it has
+// observed itself, and a Detector decides which servers a member avoids because of the others' digests.
 //
 // A report of others is a reason to be careful, not a fact. It ejects a server for a bounded time, until it is this member's turn to try
 // it (package rotation), and is void as soon as this member's own requests there succeed. What a wrong member can do is
--- a/internal/fleet/outlier/ejections.go
+++ b/internal/fleet/outlier/ejections.go
@@ -105,7 +105,7 @@
 			continue
 		}
 		at := p.receivedAt - time.Duration(o.Age)*ageUnit
-		_, distrusted := d.distrusted[distrustKey{p.id, uint64(s.id)}]
+		_, distrusted := d.distrusted[distrustKey{peer: p.id, server: uint64(s.id)}]
 		switch {
 		case now-at > reportLifetime:
 		case o.reportsFailure() && trusted[p] && (d.TrustUnbounded || !distrusted):
@@ -129,7 +129,8 @@
 	case (ownSuccess || othersSuccess) && !d.TrustUnbounded:
 		s.ejectedUntil = min(s.ejectedUntil, now)
 	case d.TrustUnbounded && len(e.reporters) > 0:
-		s.ejectedUntil, s.reporters = now+maxEjection, e.reporters
+		s.ejectedUntil = now + maxEjection
+		s.reporters = e.reporters
 	case now < s.ejectedUntil:
 		// A failure during an ejection is not that of an attempt whose turn it was.
 	case len(e.reporters) == 0 || e.latest <= s.lastEvidenceAt:
@@ -146,11 +147,13 @@
 // eject ejects a server until it is this member's turn to try it: for longer each time that an attempt there has failed.
 func (d *Detector) eject(now time.Duration, s *server, e evidence, drawnBy []uint64) {
 	s.epoch++
-	if s.loneEjections++; len(e.reporters) > 1 || s.lastOutcomeAt > s.ejectedUntil {
+	s.loneEjections++
+	if len(e.reporters) > 1 || s.lastOutcomeAt > s.ejectedUntil {
 		s.loneEjections = 1
 	}
 	rank := rotation.Rank(uint64(s.id), s.epoch, drawnBy, d.self)
-	s.lastEvidenceAt, s.reporters = e.latest, e.reporters
+	s.lastEvidenceAt = e.latest
+	s.reporters = e.reporters
 	s.ejectedUntil = now + baseEjection<<min(s.epoch-1, maxDoublings) + rotation.Wait(rank, turnInterval)
 }
 
@@ -159,7 +162,12 @@
 func (d *Detector) currentEjections(now time.Duration) (ejections []Ejection) {
 	for _, s := range d.servers {
 		if now < s.ejectedUntil {
-			ejections = append(ejections, Ejection{s.name, s.startedAt, s.ejectedUntil, s.reporters})
+			ejections = append(ejections, Ejection{
+				Server:    s.name,
+				StartedAt: s.startedAt,
+				Until:     s.ejectedUntil,
+				Reporters: s.reporters,
+			})
 		} else if s.epoch > 0 && now-s.ejectedUntil > resetAfter {
 			s.clearEjections()
 		}
--- a/internal/fleet/pool.go
+++ b/internal/fleet/pool.go
@@ -19,9 +19,9 @@
 	name         string
 	id           uint32 // membership.PoolID of name
 	role         atomic.Pointer[Role]
-	quotas       atomic.Pointer[QuotaShares] // nil: not published yet
+	quotas       atomic.Pointer[QuotaShares] // nil before the first publication
 	moduleState  atomic.Pointer[ModuleState]
-	broadcast    func(digest outlier.Digest, to []string) // nil: digests go nowhere
+	broadcast    func(digest outlier.Digest, to []string) // nil if digests go nowhere
 	updateDemand func(p *Pool, demands map[string]float64)
 
 	mu           sync.Mutex // guards what follows
@@ -32,10 +32,11 @@
 // ModuleState is what the module of a pool makes of the fleet, for operators.
 type ModuleState struct {
 	Ejections    []outlier.Ejection
-	Subset       []string // servers that first attempts are drawn from; nil: all, or a part by number
+	Subset       []string // servers that first attempts are drawn from; nil for all, or a part by number
 	SubsetMoving bool     // it is in transition to another subset
 }
 
+// newPool returns a pool without a role. Its role must be stored before a module uses it.
 func newPool(name string) *Pool {
 	p := &Pool{name: name, id: membership.PoolID(name)}
 	p.moduleState.Store(&ModuleState{})
@@ -66,7 +67,8 @@
 func (p *Pool) deliver(d peerDigest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.inbox = append(p.inbox, d); len(p.inbox) > maxInbox {
+	p.inbox = append(p.inbox, d)
+	if len(p.inbox) > maxInbox {
 		p.inbox = slices.Delete(p.inbox, 0, 1)
 	}
 }
@@ -75,7 +77,8 @@
 func (p *Pool) takeInbox() (digests []peerDigest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	digests, p.inbox = p.inbox, nil
+	digests = p.inbox
+	p.inbox = nil
 	return digests
 }
 
--- a/internal/fleet/print_status.go
+++ b/internal/fleet/print_status.go
@@ -12,7 +12,8 @@
 
 // Write writes the status as text, for operators. docs/fleet.md explains it.
 func (s Status) Write(to io.Writer) error {
-	fmt.Fprintf(to, "%s, run %s: %d names, lease %v, fleet of %d at least", s.Name, s.Run, len(s.Members), duration(s.LeaseMS), s.Nodes)
+	fmt.Fprintf(to, "%s, run %s: %d names, lease %v, fleet of %d at least",
+		s.Name, s.Run, len(s.Members), duration(s.LeaseMS), s.Nodes)
 	if !s.Open {
 		fmt.Fprint(to, "; its address is held by another process")
 	}
@@ -35,15 +36,24 @@
 	return t.Flush()
 }
 
+// writeRow writes the row of a member.
 func (m MemberStatus) writeRow(to io.Writer) {
 	roster := "other"
 	if m.Same {
 		roster = "same"
 	}
-	fmt.Fprintf(to, "%s\t%s\t%s\t%v\t%v\t%v\t%s\t%s\n", m.Name, m.Zone, m.State, duration(m.SinceMS), m.Counts, duration(m.HeardMS), roster,
+	fmt.Fprintf(to, "%s\t%s\t%s\t%v\t%v\t%v\t%s\t%s\n",
+		m.Name,
+		m.Zone,
+		m.State,
+		duration(m.SinceMS),
+		m.Counts,
+		duration(m.HeardMS),
+		roster,
 		strings.Join(m.notes(), "; "))
 }
 
+// notes returns what an operator should know of a member beside its columns.
 func (m MemberStatus) notes() (notes []string) {
 	for _, n := range []struct {
 		applies bool
@@ -62,11 +72,22 @@
 	return notes
 }
 
+// writeRow writes the row of a pool.
 func (p PoolStatus) writeRow(to io.Writer) {
-	fmt.Fprintf(to, "%s\t%d\t%d\t%d\t%d\t%.4g\t%d of %d\t%v\t%s\n", cmp.Or(p.Pool, "(only)"), p.Index, p.Seen, p.Agreed, p.Divisor, p.Of100,
-		p.Granted, p.Wanted, duration(p.UntilMS), strings.Join(p.notes(), "; "))
+	fmt.Fprintf(to, "%s\t%d\t%d\t%d\t%d\t%.4g\t%d of %d\t%v\t%s\n",
+		cmp.Or(p.Pool, "(only)"),
+		p.Index,
+		p.Seen,
+		p.Agreed,
+		p.Divisor,
+		p.Of100,
+		p.Granted,
+		p.Wanted,
+		duration(p.UntilMS),
+		strings.Join(p.notes(), "; "))
 }
 
+// notes returns what an operator should know of a pool beside its columns.
 func (p PoolStatus) notes() (notes []string) {
 	if p.Why != "" {
 		notes = append(notes, p.Why)
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -11,9 +11,9 @@
 // QuotaShares are this node's shares of the quotas of a pool's tenants. They are not changed once they are published: the same pointer
 // means the same shares.
 type QuotaShares struct {
-	ByTenant map[string]float64 // 0 to 1; nil: every share is what the divisor says
+	ByTenant map[string]float64 // 0 to 1; if nil, every share is what the divisor says
 	Until    time.Duration      // when the first borrowed share ends if no message comes
-	Then     *QuotaShares       // the shares from Until on; nil: these go on
+	Then     *QuotaShares       // the shares from Until on; if nil, these go on
 }
 
 // noQuotaShares is in force until shares are published.
@@ -60,7 +60,7 @@
 	return p.tenantQuotas
 }
 
-// publishQuotas publishes the shares that a loan table gives. evenShare is this node's part in the pool's divisor; 0 if its share is not
+// publishQuotas publishes the shares that a loan table gives. evenShare is this node's part in the pool's divisor, or 0 if its share is not
 // valid. Shares that are nearly the same are not published, so that not every renewed loan causes an event for the decision module.
 func (p *Pool) publishQuotas(now time.Duration, loans *shares.LoanTable, evenShare float64) {
 	quotaIDs := p.quotaIDs()
@@ -68,12 +68,14 @@
 		return
 	}
 	next := &QuotaShares{
-		ByTenant: map[string]float64{}, Until: noEnd,
-		Then: &QuotaShares{ByTenant: map[string]float64{}, Until: noEnd},
+		ByTenant: map[string]float64{},
+		Until:    noEnd,
+		Then:     &QuotaShares{ByTenant: map[string]float64{}, Until: noEnd},
 	}
 	for tenant, id := range quotaIDs {
 		share, until := loans.Share(now, id, evenShare)
-		next.ByTenant[tenant], next.Until = share, min(next.Until, until)
+		next.ByTenant[tenant] = share
+		next.Until = min(next.Until, until)
 		next.Then.ByTenant[tenant] = max(0, evenShare-loans.Lent(now, id))
 	}
 	current := p.quotaShares(now)
--- a/internal/fleet/reconnect.go
+++ b/internal/fleet/reconnect.go
@@ -20,8 +20,8 @@
 	joinAttempts   = 3                      // addresses that are tried at a time
 )
 
-// reconnect opens the gossip if that has failed, and looks for members that have failed: two halves of a fleet that have given each other up
-// meet again only if somebody asks.
+// reconnect opens the gossip if that has failed, and looks for members that have failed: two halves of a fleet that have given each other
+// up meet again only if somebody asks.
 func (f *Fleet) reconnect(now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -30,11 +30,13 @@
 	}
 	addresses := f.lostAddresses()
 	if f.gossip != nil && len(addresses) == 0 {
-		f.connectBackoff, f.connectAt = 0, now+minJoinBackoff
+		f.connectBackoff = 0
+		f.connectAt = now + minJoinBackoff
 		return
 	}
 	if f.gossip == nil { // whoever has the address is about to give it up: a predecessor, or a process that has just died
-		f.connectBackoff, f.connectAt = 0, now+reopenInterval
+		f.connectBackoff = 0
+		f.connectAt = now + reopenInterval
 	} else {
 		f.connectBackoff = min(maxJoinBackoff, max(minJoinBackoff, 2*f.connectBackoff))
 		f.connectAt = now + f.connectBackoff/2 + rand.N(f.connectBackoff)
@@ -45,7 +47,7 @@
 }
 
 // lostAddresses returns the addresses of failed members, and those that the configuration names if members are missing or none was met.
-// f.mu is held.
+// The caller holds f.mu.
 func (f *Fleet) lostAddresses() (addresses []string) {
 	for _, m := range f.view.Members() {
 		if node, known := f.nodes[m.Name]; known && m.State == membership.Failed {
--- a/internal/fleet/roles.go
+++ b/internal/fleet/roles.go
@@ -14,7 +14,8 @@
 	At      time.Duration
 }
 
-// publish applies what is due to the view and the roster, and publishes the roles that follow from them to the pools. f.mu is held.
+// publish applies what is due to the view and the roster, and publishes the roles that follow from them to the pools. The caller holds
+// f.mu.
 func (f *Fleet) publish(now time.Duration) {
 	if f.closed {
 		return // Close has published the last roles
@@ -35,13 +36,14 @@
 	}
 }
 
-// role derives this node's role in a pool from the view and a share. f.mu is held.
+// role derives this node's role in a pool from the view and a share. The caller holds f.mu.
 func (f *Fleet) role(now time.Duration, pool uint32, share membership.Share) *Role {
 	role := &Role{Position: f.view.Position(pool), Share: share, At: now}
 	if !f.view.IsSettled() || role.Agreed < 1 {
 		// No other member has been seen for long enough. The position is a guess, which spreads members that have just started.
 		nodes := max(f.config.Nodes, 1)
-		role.Agreed, role.Index = nodes, int(membership.NameID(f.config.Name)%uint64(nodes))
+		role.Agreed = nodes
+		role.Index = int(membership.NameID(f.config.Name) % uint64(nodes))
 	}
 	role.Divisor = max(1, share.Divisor-f.countedWithoutPool(pool, share))
 	if mutations.role != nil {
--- a/internal/fleet/shares/codec.go
+++ b/internal/fleet/shares/codec.go
@@ -56,12 +56,19 @@
 	}
 	order := binary.LittleEndian
 	for range demandCount {
-		demands = append(demands, Demand{QuotaID(order.Uint32(b)), float64(order.Uint16(b[4:])) / fullScale * maxDemand})
+		demands = append(demands, Demand{
+			Quota: QuotaID(order.Uint32(b)),
+			Share: float64(order.Uint16(b[4:])) / fullScale * maxDemand,
+		})
 		b = b[demandBytes:]
 	}
 	for range loanCount {
 		duration := time.Duration(order.Uint16(b[6:])) * time.Millisecond
-		loans = append(loans, Loan{QuotaID(order.Uint32(b)), float64(order.Uint16(b[4:])) / fullScale, duration})
+		loans = append(loans, Loan{
+			Quota: QuotaID(order.Uint32(b)),
+			Share: float64(order.Uint16(b[4:])) / fullScale,
+			For:   duration,
+		})
 		b = b[loanBytes:]
 	}
 	return demands, loans, nil
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -48,6 +48,7 @@
 	minLoan          = 0.01 // the least share that is worth lending
 	demandLifetime   = 4    // how long a demand is remembered, as a multiple of the longest loan
 	clockDrift       = 0.05 // by which two clocks may differ over a loan
+	shortLoanDivisor = 4    // a loan of less than this part of the longest time is not worth its messages
 )
 
 // maxBorrowedQuotas bounds the quotas that loans are accepted of.
@@ -68,7 +69,7 @@
 	demands []Demand
 }
 
-// of returns the demand for a quota, the last if the message has several; 0 if it has none.
+// of returns the demand for a quota, the last if the message has several. It returns 0 if it has none.
 func (p *peerDemands) of(quota QuotaID) (share float64) {
 	for _, d := range p.demands {
 		if d.Quota == quota {
@@ -78,6 +79,7 @@
 	return share
 }
 
+// loanTerm is the share that is lent or borrowed, and when that ends.
 type loanTerm struct {
 	share float64
 	until time.Duration
@@ -94,8 +96,11 @@
 // NewLoanTable returns an empty table. maxLoan is the longest time of a loan; it must be the same at all members.
 func NewLoanTable(maxLoan time.Duration) *LoanTable {
 	return &LoanTable{
-		maxLoan: maxLoan, demands: map[QuotaID]float64{}, peers: map[string]*peerDemands{},
-		lent: map[QuotaID]map[string]loanTerm{}, borrowed: map[QuotaID]map[string]loanTerm{},
+		maxLoan:  maxLoan,
+		demands:  map[QuotaID]float64{},
+		peers:    map[string]*peerDemands{},
+		lent:     map[QuotaID]map[string]loanTerm{},
+		borrowed: map[QuotaID]map[string]loanTerm{},
 	}
 }
 
@@ -111,7 +116,7 @@
 // Demands returns this member's demands, for its heartbeats: the largest MaxDemands of them.
 func (t *LoanTable) Demands() (demands []Demand) {
 	for quota, share := range t.demands {
-		demands = append(demands, Demand{quota, share})
+		demands = append(demands, Demand{Quota: quota, Share: share})
 	}
 	slices.SortFunc(demands, func(a, b Demand) int {
 		return cmp.Or(cmp.Compare(b.Share, a.Share), cmp.Compare(a.Quota, b.Quota))
@@ -120,14 +125,15 @@
 }
 
 // Receive records another member's demands, and what it lends to this one. echoedAt is when this member sent the heartbeat that the
-// message echoes; zero if it echoes none, and then its loans do not count.
+// message echoes. It is zero if the message echoes none, and then its loans do not count.
 func (t *LoanTable) Receive(now time.Duration, from string, demands []Demand, loans []Loan, echoedAt time.Duration) {
 	p := t.peers[from]
 	if p == nil {
 		p = &peerDemands{}
 		t.peers[from] = p
 	}
-	p.at, p.demands = now, demands
+	p.at = now
+	p.demands = demands
 	if echoedAt == 0 {
 		return
 	}
@@ -138,6 +144,7 @@
 	}
 }
 
+// borrow records a loan of a member, whose term begins at echoedAt.
 func (t *LoanTable) borrow(from string, loan Loan, echoedAt time.Duration) {
 	lenders := t.borrowed[loan.Quota]
 	if lenders == nil {
@@ -147,7 +154,7 @@
 		lenders = map[string]loanTerm{}
 		t.borrowed[loan.Quota] = lenders
 	}
-	lenders[from] = loanTerm{loan.Share, echoedAt + loan.For}
+	lenders[from] = loanTerm{share: loan.Share, until: echoedAt + loan.For}
 }
 
 // Expire forgets loans that have ended, and the demands of members that are unknown or have been silent for long.
@@ -175,9 +182,10 @@
 const noEnd = time.Duration(1 << 62)
 
 // Share returns the share of a quota that this member may use, and until when that holds if no message comes. evenShare is this member's
-// part in the divisor; 0 if its share is not valid, and then it may use nothing of what it has borrowed either.
+// part in the divisor. It is 0 if its share is not valid, and then it may use nothing of what it has borrowed either.
 func (t *LoanTable) Share(now time.Duration, quota QuotaID, evenShare float64) (share float64, until time.Duration) {
-	share, until = max(0, evenShare-t.Lent(now, quota)), noEnd
+	share = max(0, evenShare-t.Lent(now, quota))
+	until = noEnd
 	if evenShare > 0 {
 		for _, term := range t.borrowed[quota] {
 			if now < term.until {
@@ -196,7 +204,7 @@
 ) (loans []Loan) {
 	borrower := t.peers[to]
 	duration := min(t.maxLoan, until-now)
-	if borrower == nil || evenShare <= 0 || duration <= t.maxLoan/4 || now-borrower.at > t.maxLoan || !isCounted(to) {
+	if borrower == nil || evenShare <= 0 || duration <= t.maxLoan/shortLoanDivisor || now-borrower.at > t.maxLoan || !isCounted(to) {
 		return nil
 	}
 	for _, demand := range borrower.demands {
@@ -208,8 +216,11 @@
 		if share < minLoan {
 			continue
 		}
-		t.recordLoan(now, to, demand.Quota, loanTerm{share, now + duration + time.Duration(clockDrift*float64(duration))})
-		loans = append(loans, Loan{demand.Quota, share, duration})
+		t.recordLoan(now, to, demand.Quota, loanTerm{
+			share: share,
+			until: now + duration + time.Duration(clockDrift*float64(duration)),
+		})
+		loans = append(loans, Loan{Quota: demand.Quota, Share: share, For: duration})
 	}
 	return loans
 }
@@ -259,6 +270,7 @@
 	return sumRemaining(now, t.borrowed[quota])
 }
 
+// sumRemaining adds up the shares of the terms that have not ended.
 func sumRemaining(now time.Duration, terms map[string]loanTerm) (sum float64) {
 	for _, term := range terms {
 		sum += term.remaining(now)
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -80,7 +80,7 @@
 // ChangeStatus is something that happened to a member or to this process.
 type ChangeStatus struct {
 	AgoMS float64 `json:"ago_ms"`
-	Name  string  `json:"name,omitempty"` // of the member; "": this node
+	Name  string  `json:"name,omitempty"` // of the member; empty for this node
 	What  string  `json:"what"`
 	Why   string  `json:"why,omitempty"`
 }
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -107,12 +107,19 @@
 	assigned         map[[2]int32]bool // by member and server
 }
 
+// newAssignment returns an assignment of a group in which no server has a member yet.
 func newAssignment(members []uint64, servers []Server, group []int, replicas int, chosen [][]int) *assignment {
 	mean := float64(replicas*len(group)) / float64(len(members))
 	a := &assignment{
-		members: members, servers: servers, group: group, replicas: replicas, chosen: chosen,
-		maxLoad: int(math.Ceil(loadFactor*mean)) + 1, minLoad: min(MinServers/2, int(mean), len(group)),
-		load: make([]int, len(members)), missing: make(map[int]int, len(group)),
+		members:  members,
+		servers:  servers,
+		group:    group,
+		replicas: replicas,
+		chosen:   chosen,
+		maxLoad:  int(math.Ceil(loadFactor*mean)) + 1,
+		minLoad:  min(MinServers/2, int(mean), len(group)),
+		load:     make([]int, len(members)),
+		missing:  make(map[int]int, len(group)),
 		assigned: make(map[[2]int32]bool, replicas*len(group)),
 	}
 	for _, server := range group {
@@ -121,6 +128,7 @@
 	return a
 }
 
+// run assigns every server of the group to as many members as it needs.
 func (a *assignment) run() {
 	for _, p := range a.rankedPairs() {
 		if a.missing[int(p.server)] > 0 && a.load[p.member] < a.maxLoad {
@@ -139,7 +147,7 @@
 	for _, server := range a.group {
 		best = best[:0]
 		for member, id := range a.members {
-			p := pair{Score(id, a.servers[server].ID), int32(member), int32(server)}
+			p := pair{score: Score(id, a.servers[server].ID), member: int32(member), server: int32(server)}
 			if len(best) == candidates && p.score <= best[candidates-1].score {
 				continue
 			}
@@ -155,10 +163,12 @@
 	return pairs
 }
 
+// has reports whether a server is assigned to a member.
 func (a *assignment) has(member, server int) bool {
 	return a.assigned[[2]int32{int32(member), int32(server)}]
 }
 
+// assign assigns a server to a member that does not have it.
 func (a *assignment) assign(member, server int) {
 	a.load[member]++
 	a.missing[server]--
@@ -166,6 +176,7 @@
 	a.chosen[member] = append(a.chosen[member], server)
 }
 
+// unassign takes a server from a member that has it.
 func (a *assignment) unassign(member, server int) {
 	a.load[member]--
 	a.missing[server]++
@@ -184,14 +195,18 @@
 
 // leastLoaded returns the least loaded member that a server does not have, of several the one with the highest score.
 func (a *assignment) leastLoaded(server int) int {
-	best, bestLoad, bestScore := -1, math.MaxInt, uint64(0)
+	best := -1
+	bestLoad := math.MaxInt
+	bestScore := uint64(0)
 	for member, id := range a.members {
 		if a.has(member, server) {
 			continue
 		}
 		score := Score(id, a.servers[server].ID)
 		if a.load[member] < bestLoad || a.load[member] == bestLoad && score > bestScore {
-			best, bestLoad, bestScore = member, a.load[member], score
+			best = member
+			bestLoad = a.load[member]
+			bestScore = score
 		}
 	}
 	return best
@@ -220,16 +235,21 @@
 	}
 }
 
-// mostLoaded returns the most loaded member of a server, of several the one with the lowest score; -1 if none has more than minLoad.
+// mostLoaded returns the most loaded member of a server, of several the one with the lowest score. It returns -1 if none has more
+// than minLoad.
 func (a *assignment) mostLoaded(server int) int {
-	most, mostLoad, lowestScore := -1, a.minLoad, uint64(0)
+	most := -1
+	mostLoad := a.minLoad
+	lowestScore := uint64(0)
 	for member, id := range a.members {
 		if !a.has(member, server) {
 			continue
 		}
 		score := Score(id, a.servers[server].ID)
 		if a.load[member] > mostLoad || a.load[member] == mostLoad && most >= 0 && score < lowestScore {
-			most, mostLoad, lowestScore = member, a.load[member], score
+			most = member
+			mostLoad = a.load[member]
+			lowestScore = score
 		}
 	}
 	return most
--- a/internal/fleet/subset/transition.go
+++ b/internal/fleet/subset/transition.go
@@ -26,7 +26,8 @@
 func (t *Transition) SetTarget(target []string, isListed func(server string) bool) {
 	t.target = target
 	if !t.started {
-		t.current, t.started = slices.Clone(target), len(target) > 0
+		t.current = slices.Clone(target)
+		t.started = len(target) > 0
 		return
 	}
 	before := len(t.current)
--- a/internal/fleet/transport.go
+++ b/internal/fleet/transport.go
@@ -21,7 +21,8 @@
 // bindAttempts is how often an automatic port is chosen: one that is free for TCP may be taken for UDP.
 const bindAttempts = 10
 
-// newTransport listens on an IP and a port, 0: any. The error is errAddressInUse if another process has the address.
+// newTransport listens on an IP and a port, of which 0 stands for any free one. The error is errAddressInUse if another process has the
+// address.
 func newTransport(host string, port int, logger *log.Logger) (*transport, error) {
 	ip := net.ParseIP(host)
 	if ip == nil {
@@ -34,9 +35,13 @@
 	var err error
 	for range attempts {
 		var t *memberlist.NetTransport
-		t, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: logger})
+		t, err = memberlist.NewNetTransport(&memberlist.NetTransportConfig{
+			BindAddrs: []string{host},
+			BindPort:  port,
+			Logger:    logger,
+		})
 		if err == nil {
-			return &transport{t, ip}, nil
+			return &transport{NetTransport: t, localIP: ip}, nil
 		}
 	}
 	// memberlist does not wrap all errors of the system.
