--- a/internal/zone/account.go
+++ b/internal/zone/account.go
@@ -12,7 +12,7 @@
 	Pair     Pair
 	Pool     string
 	Class    string
-	Customer string // "": not known
+	Customer string // empty if not known
 }
 
 // Traffic counts the attempts whose request was written completely. The names of its fields are stored data.
@@ -21,6 +21,7 @@
 	Out, In  int64 // bytes of the bodies of requests that were sent, and of responses that were read
 }
 
+// add adds other traffic.
 func (t *Traffic) add(other Traffic) {
 	t.Requests += other.Requests
 	t.Out += other.Out
@@ -60,8 +61,8 @@
 // DayOf is the day of a Unix time.
 func DayOf(now time.Duration) int64 { return int64(now / (24 * time.Hour)) }
 
-// Add adds traffic under a key, whose day it sets to that of now, a Unix time. If the clock has gone back past the end of a day it
-// is the latest day that was seen, so that no day that was reported grows again.
+// Add adds traffic under a key, whose day it sets to that of now, a Unix time. If the clock has gone back past the end of a
+// day it is the latest day that was seen, so that no day that was reported grows again.
 func (a *Account) Add(now time.Duration, key Key, traffic Traffic) {
 	key.Day = max(DayOf(now), a.latestDay)
 	if key.Day > a.latestDay {
@@ -71,6 +72,7 @@
 	a.add(key, traffic)
 }
 
+// add adds traffic under a key whose day is set, and marks the row as changed.
 func (a *Account) add(key Key, traffic Traffic) {
 	key.Customer = a.boundedCustomer(key.Day, key.Customer)
 	total := a.rows[key]
@@ -139,7 +141,7 @@
 func (a *Account) TakeChanges() []Row {
 	rows := make([]Row, 0, len(a.changed))
 	for key := range a.changed {
-		rows = append(rows, Row{key, *a.rows[key]})
+		rows = append(rows, Row{Key: key, Traffic: *a.rows[key]})
 	}
 	clear(a.changed)
 	return rows
@@ -154,10 +156,11 @@
 	}
 }
 
+// sortedRows returns totals as rows in the order of reports.
 func sortedRows(totals map[Key]*Traffic) []Row {
 	rows := make([]Row, 0, len(totals))
 	for key, total := range totals {
-		rows = append(rows, Row{key, *total})
+		rows = append(rows, Row{Key: key, Traffic: *total})
 	}
 	SortRows(rows)
 	return rows
@@ -167,9 +170,12 @@
 func SortRows(rows []Row) {
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(
-			cmp.Compare(a.Day, b.Day), cmp.Compare(a.Pool, b.Pool),
-			cmp.Compare(a.Pair.From, b.Pair.From), cmp.Compare(a.Pair.To, b.Pair.To),
-			cmp.Compare(a.Class, b.Class), cmp.Compare(a.Customer, b.Customer),
+			cmp.Compare(a.Day, b.Day),
+			cmp.Compare(a.Pool, b.Pool),
+			cmp.Compare(a.Pair.From, b.Pair.From),
+			cmp.Compare(a.Pair.To, b.Pair.To),
+			cmp.Compare(a.Class, b.Class),
+			cmp.Compare(a.Customer, b.Customer),
 		)
 	})
 }
--- a/internal/zone/accounting.go
+++ b/internal/zone/accounting.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Accounting is the budgets and the account of a process, shared by the modules of its pools. Its methods may be called from any
-// goroutine. The lock guards all fields and is never held over I/O.
+// Accounting is the budgets and the account of a process, shared by the modules of its pools. Its methods may be called
+// from any goroutine. The lock guards all fields and is never held over I/O.
 //
-// To keep it over restarts its owner saves a lease again and again (PrepareLease, ConfirmLease), and at the end what has changed
-// since (TakeChanges).
+// To keep it over restarts its owner saves a lease again and again (PrepareLease, ConfirmLease), and at the end what has
+// changed since (TakeChanges).
 type Accounting struct {
 	mu             sync.Mutex
 	budgets        map[Pair]*Budget
@@ -36,6 +36,7 @@
 	return Reservation{}, true
 }
 
+// settle ends a reservation with what was really spent on it.
 func (a *Accounting) settle(now time.Duration, pair Pair, reservation Reservation, requests, bytes int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/zone/budget.go
+++ b/internal/zone/budget.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Limit is the budget of a pair of zones. A limit of 0 is none.
+// Limit is the budget of a pair of zones. A limit of 0 is none. Bytes are those of the bodies of requests and responses.
 type Limit struct {
 	Pair                      Pair
 	RequestsHour, RequestsDay int64
 	BytesHour, BytesDay       int64
 	ExemptClasses             []string // may cross when the budget is used up
 	OutageShare               float64  // share of each limit that is granted on top while the client's zone has failed
-	ResponseBytes             int64    // reserved for a response; 0: 64 KiB
+	ResponseBytes             int64    // reserved for a response; default 64 KiB
 }
 
 // period is one of the calendar periods, in UTC, that limits hold for.
@@ -25,6 +25,7 @@
 	periodCount
 )
 
+// periodLengths are the lengths of the periods.
 var periodLengths = [periodCount]time.Duration{hour: time.Hour, day: 24 * time.Hour}
 
 // defaultResponseBytes is reserved for a response by default: the longest body that the protocol allows.
@@ -33,19 +34,25 @@
 // amount is a part of a budget.
 type amount struct{ requests, bytes int64 }
 
-func (a amount) plus(b amount) amount { return amount{a.requests + b.requests, a.bytes + b.bytes} }
+// plus returns the sum of two amounts.
+func (a amount) plus(b amount) amount {
+	return amount{requests: a.requests + b.requests, bytes: a.bytes + b.bytes}
+}
 
-func (a amount) minus(b amount) amount { return amount{a.requests - b.requests, a.bytes - b.bytes} }
+// minus returns the difference of two amounts.
+func (a amount) minus(b amount) amount {
+	return amount{requests: a.requests - b.requests, bytes: a.bytes - b.bytes}
+}
 
-// exceeds says that an amount is over a ceiling in a unit that the limit bounds.
+// exceeds reports whether an amount is over a ceiling in a unit that the limit bounds.
 func (a amount) exceeds(limit, ceiling amount) bool {
 	return limit.requests > 0 && a.requests > ceiling.requests || limit.bytes > 0 && a.bytes > ceiling.bytes
 }
 
-// Budget keeps count of what a pair of zones may still send in this hour and this day. A request counts once for a pair, however
-// many attempts it makes there; its bytes count for each attempt. Both are reserved before the request may cross: its body for
-// each possible attempt, and one response of Limit.ResponseBytes. When the request has ended its reservation is settled. What is
-// spent exceeds the limit only by longer responses and by exempt classes.
+// Budget keeps count of what a pair of zones may still send in this hour and this day. A request counts once for a pair,
+// however many attempts it makes there; its bytes count for each attempt. Both are reserved before the request may cross:
+// its body for each possible attempt, and one response of Limit.ResponseBytes. When the request has ended its reservation
+// is settled. What is spent exceeds the limit only by longer responses and by exempt classes.
 //
 // Times are Unix times. A clock that goes back does not open a period again: the latest period that was seen goes on until the
 // clock has passed it. A Budget is not safe for concurrent use; Accounting guards it.
@@ -55,8 +62,8 @@
 	spent    [periodCount]amount
 	reserved [periodCount]amount
 
-	// With leaseRequired only what a lease grants may be spent. A lease is saved before it is used, and what it grants counts as
-	// spent after a crash, so that no number of crashes lets the limit be exceeded.
+	// With leaseRequired only what a lease grants may be spent. A lease is saved before it is used, and what it grants
+	// counts as spent after a crash, so that no number of crashes lets the limit be exceeded.
 	leaseRequired bool
 	leased        [periodCount]amount // of the present periods
 	nextLeased    [periodCount]amount // of the periods after them
@@ -78,7 +85,8 @@
 	return &Budget{Limit: limit}
 }
 
-// Usage is what was spent of a budget, in the form in which it is stored over restarts: the names of its fields are stored data.
+// Usage is what was spent of a budget, in the form in which it is stored over restarts: the names of its fields are stored
+// data.
 type Usage struct {
 	Pair      Pair
 	Hour, Day int64 // numbers of the periods since 1970
@@ -88,11 +96,16 @@
 	NextRequests, NextBytes [periodCount]int64
 }
 
+// periods returns the numbers of the periods that the usage is of.
 func (u Usage) periods() [periodCount]int64 { return [periodCount]int64{hour: u.Hour, day: u.Day} }
 
-func (u Usage) amount(p int) amount { return amount{u.Requests[p], u.Bytes[p]} }
+// amount returns what was spent, or is leased, in the period with index p.
+func (u Usage) amount(p int) amount { return amount{requests: u.Requests[p], bytes: u.Bytes[p]} }
 
-func (u Usage) nextAmount(p int) amount { return amount{u.NextRequests[p], u.NextBytes[p]} }
+// nextAmount returns what is leased in the period after that.
+func (u Usage) nextAmount(p int) amount {
+	return amount{requests: u.NextRequests[p], bytes: u.NextBytes[p]}
+}
 
 // Usage is what is spent. Reservations count as spent: when a process dies its open requests were sent, as far as anybody can
 // tell.
@@ -110,7 +123,9 @@
 	for p, number := range usage.periods() {
 		switch {
 		case number > b.current[p]:
-			b.current[p], b.spent[p], b.nextSpent[p] = number, usage.amount(p), usage.nextAmount(p)
+			b.current[p] = number
+			b.spent[p] = usage.amount(p)
+			b.nextSpent[p] = usage.nextAmount(p)
 		case number == b.current[p]:
 			b.spent[p] = b.spent[p].plus(usage.amount(p))
 		}
@@ -144,7 +159,8 @@
 	for p, number := range lease.periods() {
 		switch number {
 		case b.current[p]:
-			b.leased[p], b.nextLeased[p] = lease.amount(p), lease.nextAmount(p)
+			b.leased[p] = lease.amount(p)
+			b.nextLeased[p] = lease.nextAmount(p)
 		case b.current[p] - 1: // the period ended while the lease was being saved
 			granted := lease.nextAmount(p)
 			b.leased[p].requests = max(b.leased[p].requests, granted.requests)
@@ -162,11 +178,15 @@
 			continue
 		}
 		if number > b.current[p]+1 { // what is known of the next period is not of this one
-			b.nextSpent[p], b.nextLeased[p] = amount{}, amount{}
+			b.nextSpent[p] = amount{}
+			b.nextLeased[p] = amount{}
 		}
 		b.current[p] = number
-		b.spent[p], b.reserved[p], b.leased[p] = b.nextSpent[p], amount{}, b.nextLeased[p]
-		b.nextSpent[p], b.nextLeased[p] = amount{}, amount{}
+		b.spent[p] = b.nextSpent[p]
+		b.reserved[p] = amount{}
+		b.leased[p] = b.nextLeased[p]
+		b.nextSpent[p] = amount{}
+		b.nextLeased[p] = amount{}
 	}
 }
 
@@ -191,7 +211,7 @@
 	return reservation, true
 }
 
-// permits says whether an amount is within the limits and the lease. One that only the lease denies raises the next lease.
+// permits reports whether an amount is within the limits and the lease. One that only the lease denies raises the next lease.
 func (b *Budget) permits(needed amount, outage bool) bool {
 	for p := range periodLengths {
 		limit := b.limit(period(p), outage)
@@ -207,11 +227,11 @@
 	return true
 }
 
-// limit is what a period allows, with what is granted during an outage; 0: no limit.
+// limit is what a period allows, with what is granted during an outage. 0 means no limit.
 func (b *Budget) limit(p period, outage bool) amount {
-	limit := amount{b.RequestsHour, b.BytesHour}
+	limit := amount{requests: b.RequestsHour, bytes: b.BytesHour}
 	if p == day {
-		limit = amount{b.RequestsDay, b.BytesDay}
+		limit = amount{requests: b.RequestsDay, bytes: b.BytesDay}
 	}
 	if outage {
 		limit.requests += int64(b.OutageShare * float64(limit.requests))
@@ -229,7 +249,7 @@
 	for p := range periodLengths {
 		if reservation.periods[p] == b.current[p] {
 			b.reserved[p] = b.reserved[p].minus(reservation.amount)
-			b.spent[p] = b.spent[p].plus(amount{requests, bytes})
+			b.spent[p] = b.spent[p].plus(amount{requests: requests, bytes: bytes})
 		}
 	}
 }
@@ -238,18 +258,27 @@
 const Unlimited = -1
 
 // Remaining is what a budget still allows in the present hour and day.
-type Remaining struct{ RequestsHour, RequestsDay, BytesHour, BytesDay int64 }
+type Remaining struct {
+	RequestsHour, RequestsDay int64
+	BytesHour, BytesDay       int64
+}
 
 // Remaining is what the budget still allows, without what is granted during an outage.
 func (b *Budget) Remaining(now time.Duration) Remaining {
 	b.advancePeriods(now)
 	inHour, inDay := b.remaining(hour), b.remaining(day)
-	return Remaining{RequestsHour: inHour.requests, RequestsDay: inDay.requests, BytesHour: inHour.bytes, BytesDay: inDay.bytes}
+	return Remaining{
+		RequestsHour: inHour.requests,
+		RequestsDay:  inDay.requests,
+		BytesHour:    inHour.bytes,
+		BytesDay:     inDay.bytes,
+	}
 }
 
+// remaining returns what is left of a period, Unlimited where there is no limit.
 func (b *Budget) remaining(p period) amount {
 	limit, used := b.limit(p, false), b.spent[p].plus(b.reserved[p])
-	remaining := amount{Unlimited, Unlimited}
+	remaining := amount{requests: Unlimited, bytes: Unlimited}
 	if limit.requests > 0 {
 		remaining.requests = max(0, limit.requests-used.requests)
 	}
--- a/internal/zone/choose.go
+++ b/internal/zone/choose.go
@@ -9,10 +9,10 @@
 // saturatedUnhealthyFactor is how much more a call to an unhealthy locality counts where no locality has room.
 const saturatedUnhealthyFactor = 16
 
-// Choose returns the localities that a request of a zone may go to: the first is for its first attempt, each of the others is used
-// only as long as no server of the localities before it is usable. mayCross says whether the budget lets the request cross to a zone. It is asked only
-// where the answer matters, and once for each locality at most. An empty result means nowhere: no locality has servers, or those
-// that have are beyond the budget or of infinite cost.
+// Choose returns the localities that a request of a zone may go to: the first is for its first attempt, each of the others
+// is used only as long as no server of the localities before it is usable. mayCross says whether the budget lets the
+// request cross to a zone. It is asked only where the answer matters, and once for each locality at most. An empty result
+// means nowhere: no locality has servers, or those that have are beyond the budget or of infinite cost.
 func (s *Selector) Choose(now time.Duration, from, class string, mayCross func(to string) bool) []Locality {
 	s.Advance(now)
 	choice := localityChoice{selector: s, from: from, candidates: s.orderFrom(from), mayCross: mayCross}
@@ -37,8 +37,8 @@
 	return chosen
 }
 
-// reliable says that a request sent to the locality will hardly need an alternative: another server is there for a retry, and
-// nothing has failed lately.
+// reliable reports whether a request sent to the locality will hardly need an alternative: another server is there for a
+// retry, and nothing has failed lately.
 func (l *localityState) reliable() bool {
 	return len(l.servers) > 1 && !l.degraded && l.window.failed+l.window.rejected == 0
 }
@@ -61,11 +61,12 @@
 	answers    []budgetAnswer // of each candidate
 }
 
+// state returns what the selector has learned of a candidate.
 func (c *localityChoice) state(candidate int) *localityState {
 	return c.selector.states[c.candidates[candidate]]
 }
 
-// permitted says whether the request may go to a candidate, for which the budget is asked if need be.
+// permitted reports whether the request may go to a candidate, for which the budget is asked if need be.
 func (c *localityChoice) permitted(candidate int) bool {
 	if c.answers[candidate] == notAsked {
 		c.answers[candidate] = denied
@@ -76,7 +77,8 @@
 	return c.answers[candidate] == permitted
 }
 
-// withRoom finds the first candidate that has room. One other than the preferred candidate also has to answer faster than that does.
+// withRoom finds the first candidate that has room. One other than the preferred candidate also has to answer faster than
+// that does.
 func (c *localityChoice) withRoom(class string) (candidate int, found bool) {
 	for i := range c.candidates {
 		state := c.state(i)
@@ -87,9 +89,9 @@
 	return 0, false
 }
 
-// leastLoaded finds the candidate whose limit is exceeded the least. A candidate has to be better by betterMargin than those before it in the
-// order of preference. It is for
-// requests that no locality has room for; whether they wait there or are rejected is the decision module's choice.
+// leastLoaded finds the candidate whose limit is exceeded the least. A candidate has to be better by betterMargin than
+// those before it in the order of preference. It is for requests that no locality has room for; whether they wait there or
+// are rejected is the decision module's choice.
 func (c *localityChoice) leastLoaded() (candidate int, found bool) {
 	least := math.Inf(1)
 	for i := range c.candidates {
@@ -99,7 +101,9 @@
 			load *= saturatedUnhealthyFactor
 		}
 		if load < least*(1-betterMargin) && c.permitted(i) {
-			candidate, found, least = i, true, load
+			candidate = i
+			found = true
+			least = load
 		}
 	}
 	return candidate, found
--- a/internal/zone/config.go
+++ b/internal/zone/config.go
@@ -18,10 +18,11 @@
 // Cost is the cost of a call between two zones.
 type Cost struct {
 	Latency time.Duration // added to a call, for the round trip
-	Price   float64       // of one request, in a unit of the operator's choice; +Inf: the pair is never used
+	Price   float64       // of one request, in a unit of the operator's choice; +Inf if the pair is never used
 }
 
-// UnknownZonePolicy says how servers are used whose zone is not known. Their traffic is accounted under the zone "" in any case.
+// UnknownZonePolicy says how servers are used whose zone is not known. Their traffic is accounted under the zone "" in any
+// case.
 type UnknownZonePolicy int
 
 // The policies for servers without a zone.
@@ -51,11 +52,11 @@
 	DefaultCost     Cost    // of pairs that are missing in Costs
 	LatencyWeight   float64 // cost of one second of latency, in the unit of Price
 	UnknownZones    UnknownZonePolicy
-	Nodes           int                      // instances that share the servers; 0: one
-	LatencyTargets  map[string]time.Duration // by class; missing: one second
-	MaxAttempts     int                      // of one request; 0: one
-	InitialLimit    float64                  // calls in flight at one server of the home zone at the start; 0: 5
-	SlowStartShare  float64                  // share of its capacity that a server has just after its start; 0: all of it
+	Nodes           int                      // instances that share the servers; 0 counts as 1
+	LatencyTargets  map[string]time.Duration // by class; default one second
+	MaxAttempts     int                      // of one request; 0 counts as 1
+	InitialLimit    float64                  // calls in flight at one server of the home zone at the start; default 5
+	SlowStartShare  float64                  // share of its capacity that a server has just after its start, 0 to 1; 0 means all of it
 	SlowStartWindow time.Duration            // time from its start until a server has its full capacity
 }
 
@@ -73,7 +74,7 @@
 		case UnknownZoneAsHome: // from other zones than home: what the pair costs
 		}
 	}
-	pairCost, configured := c.Costs[Pair{from, to}]
+	pairCost, configured := c.Costs[Pair{From: from, To: to}]
 	if !configured {
 		pairCost = c.DefaultCost
 	}
--- a/internal/zone/locality.go
+++ b/internal/zone/locality.go
@@ -38,8 +38,8 @@
 	increase float64 // factor of one rise
 }
 
-// Other zones get a lower share of the target and a slower rise: their own load must have time to show, and it goes on where ours
-// has to give way.
+// Other zones get a lower share of the target and a slower rise: their own load must have time to show, and it goes on
+// where ours has to give way.
 var (
 	homeTuning = limitTuning{crowded: 0.4, easy: 0.3, increase: 1.05}
 	awayTuning = limitTuning{crowded: 0.3, easy: 0.2, increase: 1.025}
@@ -50,7 +50,7 @@
 	locality Locality
 	home     bool
 	servers  map[string]struct{} // IDs of the ready servers
-	weight   float64             // the control plane's locality weight; 0: none
+	weight   float64             // the control plane's locality weight; 0 if it sent none
 	capacity float64             // sum of the servers' sizes, reduced during their slow start
 
 	callsPerUnit float64 // this node's calls in flight that one unit of capacity takes
@@ -71,14 +71,16 @@
 	steps                       int
 }
 
+// outcomes returns how many attempts ended in the window.
 func (w *observationWindow) outcomes() int { return w.succeeded + w.failed + w.rejected }
 
-// conclusive says that there are enough outcomes, or that there will not be many more soon.
+// conclusive reports whether there are enough outcomes, or whether there will hardly be more soon.
 func (w *observationWindow) conclusive() bool {
 	outcomes := w.outcomes()
 	return outcomes >= enoughOutcomes || outcomes > 0 && w.steps >= maxWindowSteps
 }
 
+// share returns a count as a share of the outcomes, of which there must be some.
 func (w *observationWindow) share(count int) float64 { return float64(count) / float64(w.outcomes()) }
 
 // meanLogLatencyRatio is below zero where answers are faster than the latency target.
@@ -89,6 +91,7 @@
 	return w.logLatencyRatio / float64(w.succeeded)
 }
 
+// compareLocalities orders localities by priority, then by zone.
 func compareLocalities(a, b Locality) int {
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Zone, b.Zone))
 }
@@ -101,8 +104,9 @@
 	return max(1, l.callsPerUnit*l.capacity)
 }
 
-// hasRoom says that the locality may get one more call. An unhealthy locality gets only a few calls a step, as a health check:
-// calls that fail at once leave it without calls in flight, so the limit alone would send it the first attempt of every request.
+// hasRoom reports whether the locality may get one more call. An unhealthy locality gets only a few calls a step, as a
+// health check: calls that fail at once leave it without calls in flight, so the limit alone would send it the first
+// attempt of every request.
 func (l *localityState) hasRoom() bool {
 	if float64(l.inFlight) >= l.limit() {
 		return false
@@ -110,9 +114,9 @@
 	return !l.unhealthy || float64(l.window.started) < max(1, l.limit()/2)
 }
 
-// betterThan says that calls of a class are answered faster here than at another locality, by a margin, or that the latencies are
-// not known yet. Without this condition zones crowd each other out: the excess of one zone displaces the load of the next one
-// into a third, until most calls are away from home and no faster for it.
+// betterThan reports whether calls of a class are answered faster here than at another locality, by a margin, or whether the
+// latencies are not known yet. Without this condition zones crowd each other out: the excess of one zone displaces the load
+// of the next one into a third, until most calls are away from home and no faster for it.
 func (l *localityState) betterThan(other *localityState, class string) bool {
 	here, there := l.meanLogLatency[class], other.meanLogLatency[class]
 	return other.unhealthy || here == nil || there == nil || *here < *there-betterMargin
--- a/internal/zone/model/model.go
+++ b/internal/zone/model/model.go
@@ -1,9 +1,9 @@
-// Package model is a discrete-event simulation of zones of servers. It measures where policies send the load of a zone that fails,
-// slows down or recovers, and at what cost for the other zones.
+// Package model is a discrete-event simulation of zones of servers. It measures where policies send the load of a zone that
+// fails, slows down or recovers, and at what cost for the other zones.
 //
-// It belongs to the test rig and is pure: it must never read a clock, start a goroutine or do I/O, and equal seeds give equal
-// results. It knows nothing of the decision module: servers are queues, and a node picks the less loaded of two random servers of
-// the zone that its policy names.
+// It belongs to the test rig and is pure: it must never read a clock, start a goroutine or do I/O, and equal seeds give
+// equal results. It knows nothing of the decision module: servers are queues, and a node picks the less loaded of two
+// random servers of the zone that its policy names.
 package model
 
 import (
@@ -70,9 +70,20 @@
 // DefaultConfig is a simulation of 40 seconds, of which the fault lasts 15.
 func DefaultConfig(zones int, fault Fault, seed uint64) Config {
 	return Config{
-		Zones: zones, ServersPerZone: 10, MeanServiceTime: 20 * time.Millisecond, Load: 0.55, CrossZoneLatency: 5 * time.Millisecond,
-		QueueLimit: 30, LatencyTarget: 200 * time.Millisecond, Timeout: time.Second, Duration: 40 * time.Second,
-		FaultStart: 10 * time.Second, FaultEnd: 25 * time.Second, DetectionDelay: time.Second, Fault: fault, Seed: seed,
+		Zones:            zones,
+		ServersPerZone:   10,
+		MeanServiceTime:  20 * time.Millisecond,
+		Load:             0.55,
+		CrossZoneLatency: 5 * time.Millisecond,
+		QueueLimit:       30,
+		LatencyTarget:    200 * time.Millisecond,
+		Timeout:          time.Second,
+		Duration:         40 * time.Second,
+		FaultStart:       10 * time.Second,
+		FaultEnd:         25 * time.Second,
+		DetectionDelay:   time.Second,
+		Fault:            fault,
+		Seed:             seed,
 	}
 }
 
@@ -80,11 +91,13 @@
 	localLatency   = 200 * time.Microsecond // of the round trip within a zone
 	maxRetries     = 2                      // of a request
 	brownoutFactor = 3
+	outageDivisor  = 3  // PartialOutage has one of so many servers refuse
 	returnSteps    = 10 // of GradualReturn, one a second
 
 	simulationStream = 0x20de // keeps the draws apart from those of others that have the same seed
 )
 
+// server is a server with a queue.
 type server struct {
 	up, listed bool
 	busyUntil  time.Duration // when it has worked off its queue
@@ -106,7 +119,11 @@
 
 // Run runs a simulation in which each zone has one node with a policy of its own.
 func Run(config Config, newPolicy func(home int) Policy) Result {
-	s := &simulation{config: config, random: rand.New(rand.NewPCG(config.Seed, simulationStream)), counts: newCounts(config.Duration)}
+	s := &simulation{
+		config: config,
+		random: rand.New(rand.NewPCG(config.Seed, simulationStream)),
+		counts: newCounts(config.Duration),
+	}
 	for range config.Zones {
 		var servers []*server
 		for range config.ServersPerZone {
@@ -134,6 +151,7 @@
 	return s.counts.result()
 }
 
+// publishHealth tells the policies how many servers of each zone are listed as healthy.
 func (s *simulation) publishHealth() {
 	healthy := make([]int, len(s.zones))
 	for zone, servers := range s.zones {
@@ -154,12 +172,15 @@
 	switch s.config.Fault {
 	case Outage:
 		s.changeServers(start, func(_ int, server *server) { server.up = false })
-		s.changeServers(end, func(_ int, server *server) { server.up, server.busyUntil = true, 0 })
+		s.changeServers(end, func(_ int, server *server) {
+			server.up = true
+			server.busyUntil = 0
+		})
 	case Brownout:
 		s.changeServers(start, func(_ int, server *server) { server.slowdown = brownoutFactor })
 		s.changeServers(end, func(_ int, server *server) { server.slowdown = 1 })
 	case PartialOutage:
-		s.changeServers(start, func(i int, server *server) { server.up = i%3 != 0 })
+		s.changeServers(start, func(i int, server *server) { server.up = i%outageDivisor != 0 })
 		s.changeServers(end, func(_ int, server *server) { server.up = true })
 	case GradualReturn:
 		s.changeServers(start, func(_ int, server *server) { server.up = false })
@@ -261,11 +282,13 @@
 	}
 }
 
+// answer records the end of a request.
 func (s *simulation) answer(r request, served bool) {
 	s.counts.answer(s.config, r, s.now-r.arrivedAt, served)
 }
 
-// pickServer picks the one with fewer calls of the node among two random listed servers of a zone; nil: none is listed.
+// pickServer picks the one with fewer calls of the node among two random listed servers of a zone. It
+// returns nil if none is listed.
 func (s *simulation) pickServer(home, zone int) (*server, int) {
 	var listed []int
 	for i, server := range s.zones[zone] {
@@ -276,7 +299,8 @@
 	if len(listed) == 0 {
 		return nil, 0
 	}
-	picked, other := listed[s.random.IntN(len(listed))], listed[s.random.IntN(len(listed))]
+	picked := listed[s.random.IntN(len(listed))]
+	other := listed[s.random.IntN(len(listed))]
 	if s.inFlight[home][zone][other] < s.inFlight[home][zone][picked] {
 		picked = other
 	}
--- a/internal/zone/model/policies.go
+++ b/internal/zone/model/policies.go
@@ -35,11 +35,15 @@
 		costs[zone.Pair{From: p.home, To: p.names[number]}] = zone.Cost{Price: float64((number - home + zones) % zones)}
 	}
 	p.selector = zone.NewSelector(zone.Config{
-		Home: p.home, Costs: costs, Nodes: 1, LatencyTargets: map[string]time.Duration{"": adaptiveLatencyTarget},
+		Home:           p.home,
+		Costs:          costs,
+		Nodes:          1,
+		LatencyTargets: map[string]time.Duration{"": adaptiveLatencyTarget},
 	}, seed)
 	return p
 }
 
+// locality returns the locality of a zone.
 func (p *AdaptivePolicy) locality(number int) zone.Locality {
 	return zone.Locality{Zone: p.names[number]}
 }
@@ -74,8 +78,8 @@
 	p.selector.UpdateServers(now, true, servers)
 }
 
-// HealthyHostsPolicy spills load over by the count of healthy hosts, as Envoy's priority levels do: the home zone is the level of
-// priority 0, and the other zones together are that of priority 1.
+// HealthyHostsPolicy spills load over by the count of healthy hosts, as Envoy's priority levels do: the home zone is the
+// level of priority 0, and the other zones together are that of priority 1.
 type HealthyHostsPolicy struct {
 	home   int
 	random *rand.Rand
@@ -113,7 +117,8 @@
 			away.All += serversPerZone
 		}
 	}
-	loads := zone.PriorityLoads([]zone.HostCount{{Healthy: healthy[p.home], All: serversPerZone}, away}, zone.OverprovisioningFactor)
+	home := zone.HostCount{Healthy: healthy[p.home], All: serversPerZone}
+	loads := zone.PriorityLoads([]zone.HostCount{home, away}, zone.OverprovisioningFactor)
 	p.shares = make([]float64, len(healthy))
 	p.shares[p.home] = loads[0]
 	for number, count := range healthy {
--- a/internal/zone/model/result.go
+++ b/internal/zone/model/result.go
@@ -31,11 +31,13 @@
 	firstZoneAttempts, firstZoneAtHome []int     // attempts of the first zone's load, and those that stay there, by second
 }
 
+// newCounts returns counts of nothing.
 func newCounts(duration time.Duration) counts {
 	seconds := int(duration/time.Second) + secondsAfterLastArrive
 	return counts{firstZoneAttempts: make([]int, seconds), firstZoneAtHome: make([]int, seconds)}
 }
 
+// attempt counts an attempt of a request whose client is in the zone home.
 func (c *counts) attempt(config Config, now time.Duration, home, zone int) {
 	if now < config.FaultStart {
 		return
@@ -52,6 +54,7 @@
 	}
 }
 
+// answer counts the end of a request.
 func (c *counts) answer(config Config, r request, latency time.Duration, served bool) {
 	if r.arrivedAt < config.FaultStart {
 		return
@@ -74,14 +77,19 @@
 	}
 }
 
+// result returns the shares that the counts come to.
 func (c *counts) result() Result {
 	return Result{
-		InTarget: share(c.inTarget, c.requests), Served: share(c.served, c.requests), P99: c.p99(),
-		CrossZoneShare: share(c.crossed, c.attempts), Oscillations: c.oscillations(),
+		InTarget:         share(c.inTarget, c.requests),
+		Served:           share(c.served, c.requests),
+		P99:              c.p99(),
+		CrossZoneShare:   share(c.crossed, c.attempts),
+		Oscillations:     c.oscillations(),
 		NeighborInTarget: share(c.neighborInTarget, c.neighborRequests),
 	}
 }
 
+// p99 returns the 99th percentile of the latencies. It returns 0 if there are none.
 func (c *counts) p99() time.Duration {
 	if len(c.latencies) == 0 {
 		return 0
@@ -90,8 +98,8 @@
 	return time.Duration(c.latencies[len(c.latencies)*99/100] * float64(time.Second))
 }
 
-// oscillations counts the turns of the share of the first zone's load that stays there: each change of direction by at least the
-// threshold from the last extreme.
+// oscillations counts the turns of the share of the first zone's load that stays there: each change of direction by at
+// least the threshold from the last extreme.
 func (c *counts) oscillations() int {
 	turns := 0
 	extreme, direction := math.NaN(), 0.0
@@ -116,6 +124,7 @@
 	return turns
 }
 
+// share returns a part of a whole, or 0 if the whole is nothing.
 func share(part, whole int) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/zone/module.go
+++ b/internal/zone/module.go
@@ -31,12 +31,14 @@
 
 // openRequest is a request that has no final answer yet, or attempts in flight.
 type openRequest struct {
-	class, customer, from string
-	size                  int64 // of its body, in bytes
-	attempts              []attempt
-	inFlight              int
-	answered              bool
-	reservations          map[string]spentReservation // by the zone that the request may cross to
+	class        string
+	customer     string
+	from         string // zone of the client
+	size         int64  // of its body, in bytes
+	attempts     []attempt
+	inFlight     int
+	answered     bool
+	reservations map[string]spentReservation // by the zone that the request may cross to
 }
 
 // spentReservation is a reservation and what has been spent on it.
@@ -46,6 +48,7 @@
 	used        bool
 }
 
+// attempt is one attempt of an open request.
 type attempt struct {
 	server   string
 	locality Locality
@@ -57,9 +60,15 @@
 // decisions.
 func NewModule(next DecisionModule, pool string, config Config, accounting *Accounting, seed uint64) *Module {
 	m := &Module{
-		next: next, pool: pool, home: config.Home, selector: NewSelector(config, seed), accounting: accounting,
+		next:        next,
+		pool:        pool,
+		home:        config.Home,
+		selector:    NewSelector(config, seed),
+		accounting:  accounting,
 		maxAttempts: int64(max(1, config.MaxAttempts)),
-		localities:  map[string]Locality{}, listed: map[string]bool{}, open: map[string]*openRequest{},
+		localities:  map[string]Locality{},
+		listed:      map[string]bool{},
+		open:        map[string]*openRequest{},
 	}
 	m.publishedStatus.Store(&[]LocalityStatus{})
 	return m
@@ -116,6 +125,7 @@
 // removedServersKept is how many more entries than twice the listed servers m.localities may have.
 const removedServersKept = 64
 
+// updateServers applies an update of the endpoint list.
 func (m *Module) updateServers(now time.Duration, list balancer.ServerList) {
 	if list.Full {
 		clear(m.listed)
@@ -126,11 +136,16 @@
 		if server.State == balancer.Gone {
 			delete(m.listed, server.ID)
 		} else {
-			m.localities[server.ID], m.listed[server.ID] = locality, true
+			m.localities[server.ID] = locality
+			m.listed[server.ID] = true
 		}
 		servers = append(servers, Server{
-			ID: server.ID, Locality: locality, Size: server.Size, StartedAt: server.StartedAt,
-			Ready: server.State == balancer.Ready, LocalityWeight: server.Weight,
+			ID:             server.ID,
+			Locality:       locality,
+			Size:           server.Size,
+			StartedAt:      server.StartedAt,
+			Ready:          server.State == balancer.Ready,
+			LocalityWeight: server.Weight,
 		})
 	}
 	m.selector.UpdateServers(now, list.Full, servers)
@@ -157,7 +172,7 @@
 	}
 	outage := m.selector.ZoneFailed(r.from)
 	localities := m.selector.Choose(now, r.from, r.class, func(to string) bool {
-		reservation, ok := m.accounting.reserve(now, Pair{r.from, to}, r.class, m.maxAttempts*r.size, outage)
+		reservation, ok := m.accounting.reserve(now, Pair{From: r.from, To: to}, r.class, m.maxAttempts*r.size, outage)
 		if ok {
 			if r.reservations == nil {
 				r.reservations = make(map[string]spentReservation, 2)
@@ -170,6 +185,7 @@
 	return localities
 }
 
+// attemptStarted records an attempt of an open request.
 func (m *Module) attemptStarted(now time.Duration, send balancer.Send) {
 	request := m.open[send.ID]
 	if request == nil {
@@ -181,12 +197,16 @@
 	m.selector.AttemptStarted(now, locality)
 }
 
+// attemptEnded records the outcome of an attempt. Outcomes of unknown attempts, and second ones, are ignored.
 func (m *Module) attemptEnded(now time.Duration, outcome balancer.Outcome) {
 	request := m.open[outcome.ID]
-	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) || request.attempts[outcome.Attempt].ended {
+	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) {
 		return
 	}
 	attempt := &request.attempts[outcome.Attempt]
+	if attempt.ended {
+		return
+	}
 	attempt.ended = true
 	request.inFlight--
 	m.selector.AttemptEnded(now, attempt.locality, request.class, outcome.Ending, now-attempt.sentAt)
@@ -206,8 +226,13 @@
 		// A proxy that only asked for the decision sent it elsewhere. The zone is unknown if that server is not listed.
 		zone = m.localities[outcome.Server].Zone
 	}
-	m.accounting.Add(now, Key{Pair: Pair{request.from, zone}, Pool: m.pool, Class: request.class, Customer: request.customer},
-		Traffic{Requests: 1, Out: outcome.Out, In: outcome.In})
+	key := Key{
+		Pair:     Pair{From: request.from, To: zone},
+		Pool:     m.pool,
+		Class:    request.class,
+		Customer: request.customer,
+	}
+	m.accounting.Add(now, key, Traffic{Requests: 1, Out: outcome.Out, In: outcome.In})
 	if spent, reserved := request.reservations[zone]; reserved {
 		spent.used = true
 		spent.bytes += outcome.Out + outcome.In
@@ -233,7 +258,7 @@
 		if spent.used {
 			requests = 1
 		}
-		m.accounting.settle(now, Pair{request.from, to}, spent.reservation, requests, spent.bytes)
+		m.accounting.settle(now, Pair{From: request.from, To: to}, spent.reservation, requests, spent.bytes)
 	}
 	delete(m.open, id)
 }
--- a/internal/zone/page/page.go
+++ b/internal/zone/page/page.go
@@ -1,5 +1,5 @@
-// Package page writes a report of zones as an HTML page. It is a package of its own so that programs without that page do not link
-// html/template. Names in a report come from clients, and the template escapes them.
+// Package page writes a report of zones as an HTML page. It is a package of its own so that programs without that page do
+// not link html/template. Names in a report come from clients, and the template escapes them.
 package page
 
 import (
@@ -11,9 +11,11 @@
 	"cranegrade/internal/zone/report"
 )
 
+// page is the template of the HTML page.
 var page = template.Must(template.New("").Funcs(template.FuncMap{
-	"zone": zone.DisplayName, "remaining": report.FormatRemaining,
-	"percent": func(share float64) string { return fmt.Sprintf("%.1f%%", 100*share) },
+	"zone":      zone.DisplayName,
+	"remaining": report.FormatRemaining,
+	"percent":   func(share float64) string { return fmt.Sprintf("%.1f%%", 100*share) },
 }).Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>Zones of {{.Node}}</title>
 <style>body{font:14px sans-serif;margin:2em}table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .8em;border-bottom:1px solid #ccc;text-align:right}tr.cross{background:#fff3d6}</style>
--- a/internal/zone/priority.go
+++ b/internal/zone/priority.go
@@ -1,8 +1,8 @@
 package zone
 
-// The functions of this file are the arithmetic of Envoy's priority levels and locality weights, as its documentation defines it:
-// load spills over by the share of healthy hosts. They decide nothing here; they are the reference that a Selector is compared
-// with (package model).
+// The functions of this file are the arithmetic of Envoy's priority levels and locality weights, as its documentation
+// defines it: load spills over by the share of healthy hosts. They decide nothing here; they are the reference that a
+// Selector is compared with (package model).
 
 // OverprovisioningFactor is Envoy's default: a priority level is trusted with all of its load until fewer than
 // 1/1.4 = 72 % of its hosts are healthy.
@@ -38,8 +38,8 @@
 	return loads
 }
 
-// LocalityLoads are the shares of a level's load by locality: its weight times its health, scaled to add up to 1. All are 0 if no
-// locality has both.
+// LocalityLoads are the shares of a level's load by locality: its weight times its health, scaled to add up to 1. All are 0
+// if no locality has both.
 func LocalityLoads(weights []float64, hosts []HostCount, factor float64) []float64 {
 	loads := make([]float64, len(weights))
 	total := 0.0
@@ -55,9 +55,10 @@
 	return loads
 }
 
-// AwareLoads are the shares of a zone's load by zone under zone aware routing. All of it stays in the home zone if that has at
-// least the share of the healthy hosts that it has of the load. Otherwise it keeps what its hosts can take by that measure, and the
-// rest is spread by the hosts that the other zones have beyond their own load. Both slices are indexed by zone.
+// AwareLoads are the shares of a zone's load by zone under zone aware routing. All of it stays in the home zone if that has
+// at least the share of the healthy hosts that it has of the load. Otherwise it keeps what its hosts can take by that
+// measure, and the rest is spread by the hosts that the other zones have beyond their own load. Both slices are indexed by
+// zone.
 func AwareLoads(home int, loads []float64, healthy []int) []float64 {
 	shares := make([]float64, len(loads))
 	totalLoad, totalHosts := 0.0, 0
--- a/internal/zone/report/report.go
+++ b/internal/zone/report/report.go
@@ -1,7 +1,7 @@
 // Package report presents what a node knows of zones: the state of localities, what remains of budgets, and the account. It
-// writes a report as a table for a terminal and as JSON, and reads the JSON back; package page writes it as HTML. The package is
-// pure: it must never read a clock or do I/O but through the writer that it is given. The names in the JSON are part of the
-// interface to users and to tools.
+// writes a report as a table for a terminal and as JSON, and reads the JSON back; package page writes it as HTML. The
+// package is pure: it must never read a clock or do I/O but through the writer that it is given. The names in the JSON are
+// part of the interface to users and to tools.
 package report
 
 import (
@@ -38,7 +38,7 @@
 	Unhealthy bool    `json:"sick,omitempty"`
 }
 
-// Budget is what a pair of zones may still send; zone.Unlimited where there is no limit.
+// Budget is what a pair of zones may still send. A field is zone.Unlimited where there is no limit.
 type Budget struct {
 	From         string `json:"from"`
 	To           string `json:"to"`
@@ -66,8 +66,13 @@
 	var localities []Locality
 	for _, status := range statuses {
 		localities = append(localities, Locality{
-			Zone: status.Locality.Zone, Priority: status.Locality.Priority, Servers: status.Servers, Capacity: status.Capacity,
-			Limit: status.Limit, InFlight: status.InFlight, Unhealthy: status.Unhealthy,
+			Zone:      status.Locality.Zone,
+			Priority:  status.Locality.Priority,
+			Servers:   status.Servers,
+			Capacity:  status.Capacity,
+			Limit:     status.Limit,
+			InFlight:  status.InFlight,
+			Unhealthy: status.Unhealthy,
 		})
 	}
 	return localities
@@ -78,14 +83,19 @@
 	var budgets []Budget
 	for pair, r := range remaining {
 		budgets = append(budgets, Budget{
-			From: pair.From, To: pair.To, RequestsHour: r.RequestsHour, RequestsDay: r.RequestsDay,
-			BytesHour: r.BytesHour, BytesDay: r.BytesDay,
+			From:         pair.From,
+			To:           pair.To,
+			RequestsHour: r.RequestsHour,
+			RequestsDay:  r.RequestsDay,
+			BytesHour:    r.BytesHour,
+			BytesDay:     r.BytesDay,
 		})
 	}
 	sortBudgets(budgets)
 	return budgets
 }
 
+// sortBudgets orders budgets by the zones of their pairs.
 func sortBudgets(budgets []Budget) {
 	slices.SortFunc(budgets, func(a, b Budget) int { return strings.Compare(a.From+"\x00"+a.To, b.From+"\x00"+b.To) })
 }
@@ -93,6 +103,7 @@
 // GroupBy says which columns rows are told apart by, beside day and pair of zones.
 type GroupBy struct{ Pool, Class, Customer bool }
 
+// key returns a key without the columns that rows are not told apart by.
 func (g GroupBy) key(key zone.Key) zone.Key {
 	if !g.Pool {
 		key.Pool = ""
@@ -106,8 +117,8 @@
 	return key
 }
 
-// Rows presents the rows of an account of one day, as time.DateOnly, or of all days if it is "". Rows that groupBy does not tell
-// apart are added up.
+// Rows presents the rows of an account of one day, as time.DateOnly, or of all days if it is "". Rows that groupBy does not
+// tell apart are added up.
 func Rows(rows []zone.Row, day string, groupBy GroupBy) []Row {
 	if day != "" {
 		rows = slices.DeleteFunc(slices.Clone(rows), func(r zone.Row) bool { return formatDay(r.Day) != day })
@@ -115,15 +126,24 @@
 	var presented []Row
 	for _, r := range zone.Aggregate(rows, groupBy.key) {
 		presented = append(presented, Row{
-			Day: formatDay(r.Day), Pool: r.Pool, From: r.Pair.From, To: r.Pair.To, Class: r.Class, Customer: r.Customer,
-			Requests: r.Requests, Out: r.Out, In: r.In,
+			Day:      formatDay(r.Day),
+			Pool:     r.Pool,
+			From:     r.Pair.From,
+			To:       r.Pair.To,
+			Class:    r.Class,
+			Customer: r.Customer,
+			Requests: r.Requests,
+			Out:      r.Out,
+			In:       r.In,
 		})
 	}
 	return presented
 }
 
+// secondsPerDay is the length of a day of an account, which is one of Unix time.
 const secondsPerDay = 24 * 60 * 60
 
+// formatDay returns a day, counted from 1970, as time.DateOnly.
 func formatDay(day int64) string { return time.Unix(day*secondsPerDay, 0).UTC().Format(time.DateOnly) }
 
 // WriteJSON writes the report as JSON.
@@ -142,8 +162,8 @@
 	return r, nil
 }
 
-// Merge makes one report of those of several nodes: budgets and rows are added up, pools are called NODE/POOL, and the time is the
-// earliest one. The report of a single node stays as it is.
+// Merge makes one report of those of several nodes: budgets and rows are added up, pools are called NODE/POOL, and the time
+// is the earliest one. The report of a single node stays as it is.
 func Merge(reports []Report) Report {
 	if len(reports) == 1 {
 		return reports[0]
@@ -171,17 +191,22 @@
 		}
 		merged.Rows = append(merged.Rows, r.Rows...)
 	}
-	merged.Node, merged.Home = strings.Join(nodes, ", "), strings.Join(homes, ", ")
+	merged.Node = strings.Join(nodes, ", ")
+	merged.Home = strings.Join(homes, ", ")
 	merged.Budgets = slices.AppendSeq(merged.Budgets, maps.Values(budgets))
 	sortBudgets(merged.Budgets)
 	return merged
 }
 
+// addBudgets adds up what two nodes may still send for one pair.
 func addBudgets(a, b Budget) Budget {
 	return Budget{
-		From: a.From, To: a.To,
-		RequestsHour: addRemaining(a.RequestsHour, b.RequestsHour), RequestsDay: addRemaining(a.RequestsDay, b.RequestsDay),
-		BytesHour: addRemaining(a.BytesHour, b.BytesHour), BytesDay: addRemaining(a.BytesDay, b.BytesDay),
+		From:         a.From,
+		To:           a.To,
+		RequestsHour: addRemaining(a.RequestsHour, b.RequestsHour),
+		RequestsDay:  addRemaining(a.RequestsDay, b.RequestsDay),
+		BytesHour:    addRemaining(a.BytesHour, b.BytesHour),
+		BytesDay:     addRemaining(a.BytesDay, b.BytesDay),
 	}
 }
 
@@ -193,7 +218,8 @@
 	return a + b
 }
 
-// CrossZoneShare is the share of requests that crossed zones, among those whose zones are both known; 0 if there are none.
+// CrossZoneShare is the share of requests that crossed zones, among those whose zones are both known. It is 0 if there
+// are none.
 func (r Report) CrossZoneShare() float64 {
 	var all, crossed int64
 	for _, row := range r.Rows {
--- a/internal/zone/report/table.go
+++ b/internal/zone/report/table.go
@@ -20,6 +20,7 @@
 	return table.Flush()
 }
 
+// writeLocalities writes a row for each locality of each pool.
 func (r Report) writeLocalities(w io.Writer) {
 	if len(r.Localities) == 0 {
 		return
@@ -37,17 +38,24 @@
 	}
 }
 
+// writeBudgets writes a row for each budget.
 func (r Report) writeBudgets(w io.Writer) {
 	if len(r.Budgets) == 0 {
 		return
 	}
 	fmt.Fprint(w, "\nleft from\tto\trequests, hour\trequests, day\tbytes, hour\tbytes, day\t\n")
 	for _, b := range r.Budgets {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t\n", zone.DisplayName(b.From), zone.DisplayName(b.To),
-			FormatRemaining(b.RequestsHour), FormatRemaining(b.RequestsDay), FormatRemaining(b.BytesHour), FormatRemaining(b.BytesDay))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t\n",
+			zone.DisplayName(b.From),
+			zone.DisplayName(b.To),
+			FormatRemaining(b.RequestsHour),
+			FormatRemaining(b.RequestsDay),
+			FormatRemaining(b.BytesHour),
+			FormatRemaining(b.BytesDay))
 	}
 }
 
+// writeRows writes a row for each line of the account.
 func (r Report) writeRows(w io.Writer) {
 	fmt.Fprint(w, "\nday\tpool\tfrom\tto\tclass\tcustomer\trequests\tbytes out\tbytes in\t\n")
 	for _, row := range r.Rows {
--- a/internal/zone/selector.go
+++ b/internal/zone/selector.go
@@ -15,8 +15,8 @@
 // defaultLatencyTarget is for classes without a latency target.
 const defaultLatencyTarget = time.Second
 
-// selectorStream is the second half of the seed of a Selector's generator, which keeps its draws apart from those of others that
-// have the same seed.
+// selectorStream is the second half of the seed of a Selector's generator, which keeps its draws apart from those of others
+// that have the same seed.
 const selectorStream = 0x20e5
 
 // Selector decides which localities requests go to. Its owner tells it of the servers, and of the start and the end of each
@@ -48,8 +48,11 @@
 		config.InitialLimit = defaultInitialLimit
 	}
 	return &Selector{
-		config: config, random: rand.New(rand.NewPCG(seed, selectorStream)), states: map[Locality]*localityState{},
-		orders: map[string][]Locality{}, servers: map[string]knownServer{},
+		config:  config,
+		random:  rand.New(rand.NewPCG(seed, selectorStream)),
+		states:  map[Locality]*localityState{},
+		orders:  map[string][]Locality{},
+		servers: map[string]knownServer{},
 	}
 }
 
@@ -57,10 +60,10 @@
 type Server struct {
 	ID             string
 	Locality       Locality
-	Size           float64       // relative to other servers; 0: counts as 1
-	StartedAt      time.Duration // of its latest start; 0: long ago
+	Size           float64       // relative to other servers; 0 counts as 1
+	StartedAt      time.Duration // of its latest start; 0 if that is long ago
 	Ready          bool
-	LocalityWeight float64 // of its zone among those of its priority, by the control plane; 0: none
+	LocalityWeight float64 // of its zone among those of its priority, by the control plane; 0 if it sent none
 }
 
 // UpdateServers applies an update of the endpoint list: all servers if it is full, else those that changed.
@@ -84,6 +87,7 @@
 	s.updateLocalities()
 }
 
+// removeServer removes a server, and notes that the capacity of its locality has changed.
 func (s *Selector) removeServer(id string, changed map[*localityState]bool) {
 	server, known := s.servers[id]
 	if !known {
@@ -95,6 +99,7 @@
 	changed[state] = true
 }
 
+// addServer adds a ready server, and notes that the capacity of its locality has changed.
 func (s *Selector) addServer(server Server, changed map[*localityState]bool) {
 	state := s.stateOf(server.Locality)
 	state.servers[server.ID] = struct{}{}
@@ -110,8 +115,8 @@
 	changed[state] = true
 }
 
-// updateLocalities lists the localities that have servers. What was learned of one without servers is kept for its return, as long
-// as there are few.
+// updateLocalities lists the localities that have servers. What was learned of one without servers is kept for its return,
+// as long as there are few.
 func (s *Selector) updateLocalities() {
 	s.localities = s.localities[:0]
 	for locality, state := range s.states {
@@ -134,8 +139,10 @@
 		return s.stateOf(Locality{Priority: locality.Priority})
 	}
 	state := &localityState{
-		locality: locality, servers: map[string]struct{}{}, meanLogLatency: map[string]*float64{},
-		home: locality.Zone == s.config.Home || locality.Zone == "" && s.config.UnknownZones == UnknownZoneAsHome,
+		locality:       locality,
+		servers:        map[string]struct{}{},
+		meanLogLatency: map[string]*float64{},
+		home:           locality.Zone == s.config.Home || locality.Zone == "" && s.config.UnknownZones == UnknownZoneAsHome,
 	}
 	state.callsPerUnit = s.config.InitialLimit / float64(s.config.Nodes)
 	if !state.home {
@@ -163,9 +170,11 @@
 	return s.config.SlowStartShare + (1-s.config.SlowStartShare)*max(0, float64(age)/float64(s.config.SlowStartWindow))
 }
 
-// Advance lets time pass. However much has passed, limits are adjusted by one step at most, since nothing was observed in between.
+// Advance lets time pass. However much has passed, limits are adjusted by one step at most, since nothing was observed in
+// between.
 func (s *Selector) Advance(now time.Duration) {
-	if s.now = max(s.now, now); s.now < s.nextStep {
+	s.now = max(s.now, now)
+	if s.now < s.nextStep {
 		return
 	}
 	s.nextStep = s.now + StepInterval
@@ -177,7 +186,8 @@
 	}
 }
 
-// AttemptStarted records that an attempt was sent to a locality. One that has lost its last server in the meantime learns nothing.
+// AttemptStarted records that an attempt was sent to a locality. One that has lost its last server in the meantime learns
+// nothing.
 func (s *Selector) AttemptStarted(now time.Duration, locality Locality) {
 	s.Advance(now)
 	state := s.states[locality]
@@ -209,6 +219,7 @@
 	}
 }
 
+// latencyTarget returns the latency target of a class.
 func (s *Selector) latencyTarget(class string) time.Duration {
 	if target := s.config.LatencyTargets[class]; target > 0 {
 		return target
@@ -233,14 +244,19 @@
 	for _, locality := range s.localities {
 		state := s.states[locality]
 		statuses = append(statuses, LocalityStatus{
-			Locality: locality, Home: state.home, Servers: len(state.servers), Capacity: state.capacity, Limit: state.limit(),
-			InFlight: state.inFlight, Unhealthy: state.unhealthy,
+			Locality:  locality,
+			Home:      state.home,
+			Servers:   len(state.servers),
+			Capacity:  state.capacity,
+			Limit:     state.limit(),
+			InFlight:  state.inFlight,
+			Unhealthy: state.unhealthy,
 		})
 	}
 	return statuses
 }
 
-// KnowsZone says that a zone is the home zone, is configured, or has servers. Other zones that clients name are made up.
+// KnowsZone reports whether a zone is the home zone, is configured, or has servers. Other zones that clients name are made up.
 func (s *Selector) KnowsZone(zone string) bool {
 	if zone == "" || zone == s.config.Home {
 		return zone != ""
@@ -248,7 +264,8 @@
 	if s.configured == nil {
 		s.configured = map[string]bool{}
 		for pair := range s.config.Costs {
-			s.configured[pair.From], s.configured[pair.To] = true, true
+			s.configured[pair.From] = true
+			s.configured[pair.To] = true
 		}
 	}
 	if s.configured[zone] {
@@ -257,8 +274,8 @@
 	return slices.ContainsFunc(s.localities, func(l Locality) bool { return l.Zone == zone })
 }
 
-// ZoneFailed says that a zone has lost most of its capacity: it has no servers while other zones do, or is unhealthy at each of
-// its priorities.
+// ZoneFailed reports whether a zone has lost most of its capacity: it has no servers while other zones do, or is unhealthy
+// at each of its priorities.
 func (s *Selector) ZoneFailed(zone string) bool {
 	hasServers := false
 	for _, locality := range s.localities {
--- a/internal/zone/store/store.go
+++ b/internal/zone/store/store.go
@@ -1,8 +1,8 @@
 // Package store keeps a node's account and budgets of zones on disk, over crashes and restarts.
 //
-// It owns one bbolt file. Each Save is one transaction, so the file always holds a state that was saved as a whole. Two buckets
-// hold JSON: "account" maps a zone.Key to its zone.Traffic, "budgets" a zone.Pair to its zone.Usage. The names of their fields are
-// therefore stored data, and must not change.
+// It owns one bbolt file. Each Save is one transaction, so the file always holds a state that was saved as a whole. Two
+// buckets hold JSON: "account" maps a zone.Key to its zone.Traffic, "budgets" a zone.Pair to its zone.Usage. The names of
+// their fields are therefore stored data, and must not change.
 package store
 
 import (
@@ -28,6 +28,12 @@
 	budgetsBucket = []byte("budgets")
 )
 
+// Modes of what Open creates. The account names customers, so only the node's user may read the file.
+const (
+	fileMode   = 0o600
+	folderMode = 0o755
+)
+
 // lockTimeout is how long Open waits for a file that another process has open.
 const lockTimeout = time.Second
 
@@ -44,10 +50,10 @@
 // Open opens the file at path, and creates it and its folder if they are missing. The error is ErrLocked if another process has
 // it open.
 func Open(path string) (*Store, error) {
-	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(path), folderMode); err != nil {
 		return nil, fmt.Errorf("opening the state of zones: %w", err)
 	}
-	db, err := bolt.Open(path, 0o600, &bolt.Options{Timeout: lockTimeout})
+	db, err := bolt.Open(path, fileMode, &bolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		err = ErrLocked
 	}
@@ -60,6 +66,7 @@
 	return &Store{db}, nil
 }
 
+// createBuckets creates the buckets that a new file lacks.
 func createBuckets(tx *bolt.Tx) error {
 	for _, name := range [][]byte{accountBucket, budgetsBucket} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -96,11 +103,12 @@
 	return state, unreadable, nil
 }
 
-// Save replaces the rows and usages that the state has, keeps the others, and deletes the rows of days before oldestDay. After an
-// error nothing of it is stored.
+// Save replaces the rows and usages that the state has, keeps the others, and deletes the rows of days before oldestDay.
+// After an error nothing of it is stored.
 func (s *Store) Save(state zone.State, oldestDay int64) error {
 	err := s.db.Update(func(tx *bolt.Tx) error {
-		account, budgets := tx.Bucket(accountBucket), tx.Bucket(budgetsBucket)
+		account := tx.Bucket(accountBucket)
+		budgets := tx.Bucket(budgetsBucket)
 		for _, row := range state.Rows {
 			if err := put(account, row.Key, row.Traffic); err != nil {
 				return err
@@ -137,6 +145,7 @@
 	return nil
 }
 
+// put stores a value under a key, both as JSON.
 func put(bucket *bolt.Bucket, key, value any) error {
 	keyText, err := json.Marshal(key)
 	if err != nil {
