--- a/internal/audit/answers.go
+++ b/internal/audit/answers.go
@@ -7,8 +7,8 @@
 	"cranegrade/internal/fake"
 )
 
-// checkAnswer counts the end of a request, and checks rule 1 for it. A process that the test has killed or stopped does not owe an
-// answer to what it had accepted.
+// checkAnswer counts the end of a request, and checks rule 1 for it. A process that the test has killed or stopped does not
+// owe an answer to what it had accepted.
 func (c *checker) checkAnswer(exchange fake.Exchange) {
 	c.Requests++
 	switch exchange.Status {
@@ -24,7 +24,8 @@
 	}
 	id, class := exchange.ID, exchange.Class
 	latest := exchange.Deadline + c.options.Slack
-	unanswered, late := exchange.Status == 0, exchange.AnsweredAt > latest
+	unanswered := exchange.Status == 0
+	late := exchange.AnsweredAt > latest
 	switch {
 	case (unanswered || late) && c.outageDuring(exchange.Process, exchange.SentAt, latest):
 		c.Interrupted++
@@ -41,7 +42,7 @@
 	}
 }
 
-// arrivedBefore says that a request first reached a server before a time.
+// arrivedBefore reports whether a request first reached a server before a time.
 func (c *checker) arrivedBefore(id string, at time.Duration) bool {
 	arrivals := c.arrivals[id]
 	return len(arrivals) > 0 && arrivals[0].FirstByteAt < at
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit checks the four rules of the protocol's page in the records of a test run: what clients, servers and the registry
-// saw (package fake).
+// Package audit checks the four rules of the protocol's page in the records of a test run: what clients, servers and the
+// registry saw (package fake).
 //
 //  1. Each request that was accepted is answered, completely and by its deadline (answers.go).
 //  2. No request with an effect may run twice, beyond what its class allows (effects.go).
@@ -21,10 +21,11 @@
 
 // Options are the tolerances of the rules.
 type Options struct {
-	Slack      time.Duration // for delays of the machine, added to all limits; 0: 70 ms
-	DrainDelay time.Duration // until requests to a draining server have to stop; 0: 250 ms
+	Slack      time.Duration // for delays of the machine, added to all limits; default 70 ms
+	DrainDelay time.Duration // until requests to a draining server have to stop; default 250 ms
 }
 
+// Defaults of Options.
 const (
 	defaultSlack      = 70 * time.Millisecond
 	defaultDrainDelay = 250 * time.Millisecond
@@ -50,9 +51,10 @@
 	Violations []string `json:"-"`
 }
 
-// Passed says that no rule was violated.
+// Passed reports whether no rule was violated.
 func (r Result) Passed() bool { return r.Lost+r.Duplicates+r.LateDrains+r.SlowStartOverloads == 0 }
 
+// maxViolations bounds the violations that are described; all of them are counted.
 const maxViolations = 20
 
 // violation counts a violation, and describes it if it is among the first.
@@ -72,7 +74,7 @@
 	outages  map[string][]fake.Outage  // by the process
 }
 
-// Check checks the records of a run that has ended.
+// Check checks the records of a run that has ended. It changes nothing in them.
 func Check(records fake.History, options Options) Result {
 	if options.Slack == 0 {
 		options.Slack = defaultSlack
@@ -80,13 +82,7 @@
 	if options.DrainDelay == 0 {
 		options.DrainDelay = defaultDrainDelay
 	}
-	c := &checker{options: options, records: records, arrivals: map[string][]fake.Arrival{}, outages: map[string][]fake.Outage{}}
-	for _, arrival := range records.Arrivals {
-		c.arrivals[arrival.ID] = append(c.arrivals[arrival.ID], arrival)
-	}
-	for _, outage := range records.Outages {
-		c.outages[outage.Process] = append(c.outages[outage.Process], outage)
-	}
+	c := newChecker(records, options)
 	for _, exchange := range records.Exchanges {
 		c.checkAnswer(exchange)
 	}
@@ -97,7 +93,24 @@
 	return c.Result
 }
 
-// outageDuring says that a process was dead or stopped at some time of a span.
+// newChecker returns a checker with the records sorted by request and by process.
+func newChecker(records fake.History, options Options) *checker {
+	c := &checker{
+		options:  options,
+		records:  records,
+		arrivals: map[string][]fake.Arrival{},
+		outages:  map[string][]fake.Outage{},
+	}
+	for _, arrival := range records.Arrivals {
+		c.arrivals[arrival.ID] = append(c.arrivals[arrival.ID], arrival)
+	}
+	for _, outage := range records.Outages {
+		c.outages[outage.Process] = append(c.outages[outage.Process], outage)
+	}
+	return c
+}
+
+// outageDuring reports whether a process was dead or stopped at some time of a span.
 func (c *checker) outageDuring(process string, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.outages[process], func(outage fake.Outage) bool {
 		return outage.From <= to && (outage.To == 0 || outage.To >= from)
--- a/internal/audit/effects.go
+++ b/internal/audit/effects.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// mayHaveRun says that the program has no proof that an arrival did not run.
+// mayHaveRun reports whether the program has no proof that an arrival did not run.
 func mayHaveRun(arrival fake.Arrival) bool { return !arrival.Unprocessed }
 
 // checkArrivals checks rule 2 on the arrivals of one request: each against the first before it that makes it a violation.
@@ -44,7 +44,7 @@
 	}
 }
 
-// checkRepeat checks whether a request may be sent again after it may have run, and says whether that is a violation.
+// checkRepeat checks whether a request may be sent again after it may have run, and reports whether that is a violation.
 func (c *checker) checkRepeat(class fake.Class, earlier, later fake.Arrival) bool {
 	switch {
 	case class.Effect == fake.Unsafe:
@@ -61,7 +61,7 @@
 	return true
 }
 
-// shareKeys says that the servers of two arrivals know each other's idempotency keys.
+// shareKeys reports whether the servers of two arrivals know each other's idempotency keys.
 func shareKeys(scope fake.Scope, a, b fake.Arrival) bool {
 	switch scope {
 	case fake.ScopeAll:
--- a/internal/audit/servers.go
+++ b/internal/audit/servers.go
@@ -15,6 +15,11 @@
 	incarnation int
 }
 
+// received reports whether an arrival was at this run of the server.
+func (r serverRun) received(arrival fake.Arrival) bool {
+	return arrival.Server == r.server && arrival.Incarnation == r.incarnation
+}
+
 // checkDrains checks rule 3 for each arrival.
 func (c *checker) checkDrains() {
 	exchanges := map[string]fake.Exchange{}
@@ -25,13 +30,13 @@
 	}
 	updates := map[listedServer][]fake.ListUpdate{} // in the order of time
 	for _, update := range c.records.Updates {
-		key := listedServer{update.List, update.Server}
+		key := listedServer{list: update.List, server: update.Server}
 		updates[key] = append(updates[key], update)
 	}
 	for _, arrival := range c.records.Arrivals {
-		ofServer, found := updates[listedServer{arrival.Host, arrival.Server}]
+		ofServer, found := updates[listedServer{list: arrival.Host, server: arrival.Server}]
 		if !found {
-			ofServer = updates[listedServer{"", arrival.Server}]
+			ofServer = updates[listedServer{list: "", server: arrival.Server}]
 		}
 		if since, draining := drainingSince(ofServer, arrival.FirstByteAt); draining {
 			c.checkDrain(arrival, since, exchanges[arrival.ID].Process)
@@ -39,7 +44,7 @@
 	}
 }
 
-// drainingSince says whether a server was listed as draining or removed at a time, and since when without a break.
+// drainingSince reports whether a server was listed as draining or removed at a time, and since when without a break.
 func drainingSince(updates []fake.ListUpdate, at time.Duration) (since time.Duration, draining bool) {
 	for _, update := range updates {
 		if update.At > at {
@@ -53,11 +58,13 @@
 	return since, draining
 }
 
-// checkDrain checks rule 3 for an arrival at a draining server. A process that was stopped could not read the update, and has the
-// usual time once it goes on.
+// checkDrain checks rule 3 for an arrival at a draining server. A process that was stopped could not read the update, and
+// has the usual time once it goes on.
 func (c *checker) checkDrain(arrival fake.Arrival, since time.Duration, process string) {
 	limit := c.options.DrainDelay + c.options.Slack
-	if c.outageDuring(process, since, arrival.FirstByteAt) && c.outageDuring(process, arrival.FirstByteAt-limit, arrival.FirstByteAt) {
+	stoppedSince := c.outageDuring(process, since, arrival.FirstByteAt)
+	stoppedLately := c.outageDuring(process, arrival.FirstByteAt-limit, arrival.FirstByteAt)
+	if stoppedSince && stoppedLately {
 		return
 	}
 	delay := arrival.FirstByteAt - since
@@ -73,10 +80,10 @@
 func (c *checker) checkSlowStarts() {
 	starts := map[serverRun]fake.ServerStart{}
 	for _, start := range c.records.Starts {
-		starts[serverRun{start.Server, start.Incarnation}] = start
+		starts[serverRun{server: start.Server, incarnation: start.Incarnation}] = start
 	}
 	for _, fall := range c.records.WarmupCrashes {
-		run := serverRun{fall.Server, fall.Incarnation}
+		run := serverRun{server: fall.Server, incarnation: fall.Incarnation}
 		listedAt, listed := c.startListedAt(run)
 		if !listed {
 			continue
@@ -84,11 +91,12 @@
 		window := starts[run].SlowStart.OverloadWindow
 		all, informed := 0, 0
 		for _, arrival := range c.records.Arrivals {
-			if arrival.Server == run.server && arrival.Incarnation == run.incarnation && arrival.LastByteAt <= fall.At && arrival.LastByteAt >= fall.At-window {
-				all++
-				if arrival.FirstByteAt >= listedAt {
-					informed++
-				}
+			if !run.received(arrival) || arrival.LastByteAt > fall.At || arrival.LastByteAt < fall.At-window {
+				continue
+			}
+			all++
+			if arrival.FirstByteAt >= listedAt {
+				informed++
 			}
 		}
 		if 3*informed >= 2*all {
--- a/internal/emulator/call.go
+++ b/internal/emulator/call.go
@@ -35,7 +35,14 @@
 // accept makes a node answer a request by a deadline. retry says that the caller has sent it before.
 func (n *node) accept(class *Class, deadline time.Duration, retry bool, answered func(callResult, time.Duration)) {
 	n.lastID++
-	c := &call{node: n, number: n.lastID, id: strconv.Itoa(n.lastID), class: class, deadline: deadline, answered: answered}
+	c := &call{
+		node:     n,
+		number:   n.lastID,
+		id:       strconv.Itoa(n.lastID),
+		class:    class,
+		deadline: deadline,
+		answered: answered,
+	}
 	n.open[c.id] = c
 	if deadline <= n.world.now {
 		c.answer(rejected, 0)
@@ -47,7 +54,13 @@
 			n.handle(balancer.ClientGone{ID: c.id})
 		}
 	})
-	n.handle(balancer.Request{ID: c.id, Class: class.Name, Deadline: deadline, ClientRetry: retry, Tenant: class.Tenant})
+	n.handle(balancer.Request{
+		ID:          c.id,
+		Class:       class.Name,
+		Deadline:    deadline,
+		ClientRetry: retry,
+		Tenant:      class.Tenant,
+	})
 }
 
 // answer answers the caller, once.
@@ -71,7 +84,7 @@
 type attempt struct {
 	call   *call
 	number int
-	server *Server // nil: not listed any more
+	server *Server // nil if it is not listed any more
 	ended  bool    // for the node, which does not wait for it any more
 	ran    bool    // the server began to work on it
 }
@@ -91,6 +104,12 @@
 	if a.server != nil {
 		id = a.server.id
 	}
-	c.node.handle(balancer.Outcome{ID: c.id, Attempt: a.number, Server: id, Ending: ending, Ended: c.done})
+	c.node.handle(balancer.Outcome{
+		ID:      c.id,
+		Attempt: a.number,
+		Server:  id,
+		Ending:  ending,
+		Ended:   c.done,
+	})
 	c.closeIfDone()
 }
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -28,6 +28,7 @@
 	})
 }
 
+// arrive has a request of a client arrive now.
 func (w *World) arrive() {
 	r := &clientRequest{world: w, class: w.drawClass(), arrivedAt: w.now, counts: &w.Seconds[int(w.now/time.Second)]}
 	r.counts.Offered++
@@ -36,6 +37,7 @@
 	r.send()
 }
 
+// drawClass draws the class of a request by the weights of the classes.
 func (w *World) drawClass() *Class {
 	draw := w.random.Float64()
 	for i := range w.config.Classes {
@@ -46,6 +48,7 @@
 	return &w.config.Classes[len(w.config.Classes)-1]
 }
 
+// deadline returns when nobody waits for the request any more.
 func (r *clientRequest) deadline() time.Duration { return r.arrivedAt + r.class.Deadline }
 
 // send sends the request to a random node.
--- a/internal/emulator/config.go
+++ b/internal/emulator/config.go
@@ -17,7 +17,7 @@
 type Config struct {
 	Seed    uint64
 	Tiers   []Tier // from that of the clients' requests to the last one
-	Nodes   int    // of the first tier; 0: 1
+	Nodes   int    // of the first tier; default 1
 	Classes []Class
 
 	Rate          func(at time.Duration) float64 // requests a second that clients send
@@ -28,9 +28,9 @@
 
 	// NewModule makes the decision module of a node. Where it is nil, or returns nil, the module is a balancer.Balancer.
 	NewModule func(tier, index int, settings balancer.Settings) DecisionModule
-	Setup     func(*World) // called before anything else, for modules that need the world; nil: nothing is
+	Setup     func(*World) // called before anything else, for modules that need the world; may be nil
 	Changes   []Change
-	Discovery *Discovery // tells the first tier's nodes of its servers; nil: they learn each change at once
+	Discovery *Discovery // tells the first tier's nodes of its servers; if nil, they learn each change at once
 }
 
 // Change is something that is done to the world at a time.
@@ -39,16 +39,16 @@
 	Do func(*World)
 }
 
-// Tier is a service: its servers, and the nodes that call them. The first tier has Config.Nodes nodes. Those of another tier are
-// hosted by the servers of the tier before, one by each.
+// Tier is a service: its servers, and the nodes that call them. The first tier has Config.Nodes nodes. Those of another
+// tier are hosted by the servers of the tier before, one by each.
 type Tier struct {
 	Servers          int
-	Cores            float64 // of a server; 0: 1
+	Cores            float64 // of a server; default 1
 	Concurrency      int     // requests that a server runs at a time
 	QueueLimit       int     // requests that wait at a server; further ones are rejected
 	Slowdown         Slowdown
 	DropsAbandoned   bool // a server drops queued requests whose caller has given up
-	DownstreamCalls  int  // to the next tier by each request, one after another; 0: 1
+	DownstreamCalls  int  // to the next tier by each request, one after another; default 1
 	AdmissionControl bool // its nodes reject load by themselves, as those of the first tier do
 	SlowStart        SlowStart
 	Settings         balancer.Settings
@@ -88,6 +88,7 @@
 	CV   float64 // coefficient of variation of Lognormal and Pareto; over 1 is a heavy tail
 }
 
+// draw draws a value whose mean is 1.
 func (d Distribution) draw(random *rand.Rand) float64 {
 	switch d.Kind {
 	case Exponential:
@@ -125,19 +126,19 @@
 	AveragingTime time.Duration // time constant of the mean
 	RestShare     float64       // share of busy time below which a server rests
 	RestTime      time.Duration // rest that ends the slowdown
-	MaxDuration   time.Duration // after which it ends by itself; 0: never
+	MaxDuration   time.Duration // after which it ends by itself; 0 for never
 }
 
 // SlowStart is how a server warms up after its start, and what overloads it meanwhile. balancer.Settings tell nodes the same.
 type SlowStart struct {
 	InitialShare   float64       // of its speed that it has at its start
-	Window         time.Duration // until it has all of its speed; 0: it starts with that
+	Window         time.Duration // until it has all of its speed; if 0, it starts with that
 	OverloadFactor float64       // it fails when more than this times what it can do
-	OverloadWindow time.Duration // is sent to it within this time; 0: it does not fail
+	OverloadWindow time.Duration // is sent to it within this time; if 0, it does not fail
 }
 
-// Discovery tells the first tier's nodes of its servers. It takes calls one after another, and works on calls as well whose node
-// has given up: nothing tells it so.
+// Discovery tells the first tier's nodes of its servers. It takes calls one after another, and works on calls as well whose
+// node has given up: nothing tells it so.
 type Discovery struct {
 	CallTime          time.Duration // work of one call
 	CallTimeout       time.Duration // after which a node gives a call up
--- a/internal/emulator/counts.go
+++ b/internal/emulator/counts.go
@@ -9,17 +9,20 @@
 type Counts struct {
 	Seconds     []SecondCounts          // by the second of the simulation
 	Classes     map[string]*ClassCounts // by Class.Key
-	MaxLateness time.Duration           // of an answer after its deadline; 0: none was late
-	// Violations are what must never happen: a request that is never answered, a non-idempotent request that runs twice, a drain
-	// that is not kept, a server that is overloaded during its slow start.
+	MaxLateness time.Duration           // of an answer after its deadline; 0 if none was late
+	// Violations are what must never happen: a request that is never answered, a non-idempotent request that runs twice, a
+	// drain that is not kept, a server that is overloaded during its slow start.
 	Violations []string
 
 	duration time.Duration
 }
 
+// newCounts returns counts of nothing.
 func newCounts(config Config) Counts {
 	counts := Counts{
-		Classes: map[string]*ClassCounts{}, Seconds: make([]SecondCounts, int(config.Duration/time.Second)+1), duration: config.Duration,
+		Classes:  map[string]*ClassCounts{},
+		Seconds:  make([]SecondCounts, int(config.Duration/time.Second)+1),
+		duration: config.Duration,
 	}
 	for _, class := range config.Classes {
 		counts.Classes[class.Key()] = &ClassCounts{}
@@ -61,8 +64,8 @@
 	return wasted / math.Max(1e-9, done)
 }
 
-// RecoveryTime is how long after a time goodput has recovered for good: in each span of that length from there on it is at least
-// minGoodput. ok is false if that never happens.
+// RecoveryTime is how long after a time goodput has recovered for good: in each span of that length from there on it is at
+// least minGoodput. ok is false if that never happens.
 func (c *Counts) RecoveryTime(after time.Duration, minGoodput float64, span time.Duration) (recovery time.Duration, ok bool) {
 	recovered := after
 	end := c.duration.Truncate(time.Second)
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -63,7 +63,8 @@
 
 // SetState changes the state in which a server of the first tier is listed. One that is gone ends, and leaves the list.
 func (w *World) SetState(s *Server, state balancer.ServerState) {
-	s.state, s.stateChangedAt = state, w.now
+	s.state = state
+	s.stateChangedAt = w.now
 	if state == balancer.Draining && w.config.Discovery != nil {
 		w.After(w.config.Discovery.DrainToRejection, func() { s.RejectsAll = true })
 	}
@@ -83,7 +84,8 @@
 func (w *World) StartServer() *Server {
 	w.started++
 	s := newServer(w, 0, w.config.Tiers[0].Servers+w.started, w.config.Tiers[0])
-	s.StartedAt, s.stateChangedAt = w.now, w.now
+	s.StartedAt = w.now
+	s.stateChangedAt = w.now
 	w.tiers[0] = append(w.tiers[0], s)
 	w.publish(s)
 	return s
@@ -182,7 +184,8 @@
 	}
 	w.at(state.busyUntil, func() {
 		if n.watch.number == number && !n.dead {
-			n.watch.open, n.watch.silent = true, false
+			n.watch.open = true
+			n.watch.silent = false
 			n.deliver(w.serverList(0))
 		}
 	})
--- a/internal/emulator/node.go
+++ b/internal/emulator/node.go
@@ -47,7 +47,9 @@
 // nodeSettings are the settings of a tier with what depends on the node, and with the classes if these are not set.
 func (w *World) nodeSettings(tier, index, nodes int) balancer.Settings {
 	settings := w.config.Tiers[tier].Settings
-	settings.Balancers, settings.Index, settings.Tier = nodes, index, tier
+	settings.Balancers = nodes
+	settings.Index = index
+	settings.Tier = tier
 	if w.config.Tiers[tier].AdmissionControl {
 		settings.Tier = 0
 	}
@@ -84,6 +86,7 @@
 	n.processing = false
 }
 
+// perform executes an action of the decision module.
 func (n *node) perform(action balancer.Action) {
 	switch a := action.(type) {
 	case balancer.Send:
@@ -135,6 +138,7 @@
 	})
 }
 
+// server returns the server with an id, or nil if none is listed.
 func (n *node) server(id string) *Server {
 	var found *Server
 	for _, server := range n.world.tiers[n.tier] {
--- a/internal/emulator/reference.go
+++ b/internal/emulator/reference.go
@@ -8,10 +8,10 @@
 	"cranegrade/balancer"
 )
 
-// Reference is a simple decision module to compare with: it sends each request once, to the one with fewer calls of its own among
-// two random servers, and rejects what exceeds a fixed limit of calls in flight.
+// Reference is a simple decision module to compare with: it sends each request once, to the one with fewer calls of its own
+// among two random servers, and rejects what exceeds a fixed limit of calls in flight.
 type Reference struct {
-	limit    int // calls in flight for each server; 0: no limit
+	limit    int // calls in flight for each server; 0 for no limit
 	random   *rand.Rand
 	servers  []string
 	calls    map[string]int // in flight, by server
@@ -22,12 +22,16 @@
 // referenceStream is the second half of the seed of a Reference's generator, which keeps its draws apart from those of others.
 const referenceStream = 0x4ef
 
+// referenceRetryAfter is after how long a rejected client may come again.
 const referenceRetryAfter = 100 * time.Millisecond
 
-// NewReference returns a Reference with a limit of calls in flight for each server; 0: no limit.
+// NewReference returns a Reference with a limit of calls in flight for each server, where 0 means no limit.
 func NewReference(limit int, seed uint64) *Reference {
 	return &Reference{
-		limit: limit, random: rand.New(rand.NewPCG(seed, referenceStream)), calls: map[string]int{}, open: map[string]bool{},
+		limit:  limit,
+		random: rand.New(rand.NewPCG(seed, referenceStream)),
+		calls:  map[string]int{},
+		open:   map[string]bool{},
 	}
 }
 
@@ -56,11 +60,13 @@
 	return nil
 }
 
+// decide sends a request to a server that has room, or rejects it.
 func (r *Reference) decide(request balancer.Request) balancer.Action {
 	if r.limit > 0 && r.inFlight >= r.limit*len(r.servers) || len(r.servers) == 0 {
 		return balancer.Reject{ID: request.ID, RetryAfter: referenceRetryAfter}
 	}
-	picked, other := r.servers[r.random.IntN(len(r.servers))], r.servers[r.random.IntN(len(r.servers))]
+	picked := r.servers[r.random.IntN(len(r.servers))]
+	other := r.servers[r.random.IntN(len(r.servers))]
 	if r.calls[other] < r.calls[picked] {
 		picked = other
 	}
--- a/internal/emulator/scenarios.go
+++ b/internal/emulator/scenarios.go
@@ -22,7 +22,7 @@
 // scenarioServiceTime is the mean work of a request in all tiers together.
 const scenarioServiceTime = 100 * time.Millisecond
 
-// scenarioBuilder builds a scenario. The rates are requests a second.
+// scenarioBuilder builds a scenario. Rates and capacity are requests a second.
 type scenarioBuilder struct {
 	*Scenario
 	load     float64 // outside the trigger, as a share of the capacity
@@ -39,8 +39,12 @@
 	build        func(*scenarioBuilder)
 }
 
+// usualDistribution is that of the work of a request where a scenario says nothing else.
 var usualDistribution = Distribution{Kind: Lognormal, CV: 1.5}
 
+// heavyTail has a few requests that take far longer than the mean.
+var heavyTail = Distribution{Kind: Pareto, CV: 2.5}
+
 // scenarioDefinitions are in the order in which they are reported.
 var scenarioDefinitions = []scenarioDefinition{
 	{"choke", "the lower tier is slowed for 3 s to 1/1.3 of what is offered", 2, usualDistribution, buildChoke},
@@ -64,7 +68,7 @@
 	},
 	{"faster", "the servers become twice as fast for good, and 1.8 times as much is offered", 2, usualDistribution, buildFaster},
 	{"slower", "the servers become half as fast for good, and half as much is offered after 3 s", 2, usualDistribution, buildSlower},
-	{"heavy-tail", "1.5 times the capacity for 3 s, of work with a heavy tail", 2, Distribution{Kind: Pareto, CV: 2.5}, buildSpike},
+	{"heavy-tail", "1.5 times the capacity for 3 s, of work with a heavy tail", 2, heavyTail, buildSpike},
 }
 
 // ScenarioNames are the names of the scenarios in the order in which they are reported.
@@ -76,8 +80,8 @@
 	return names
 }
 
-// NewScenario builds a scenario with so many servers in each tier. load is what is offered outside the trigger, as a share of the
-// capacity. The error says that there is no scenario of the name.
+// NewScenario builds a scenario with so many servers in each tier. load is what is offered outside the trigger, as a share
+// of the capacity. The error says that there is no scenario of the name.
 func NewScenario(name string, seed uint64, servers int, load float64) (Scenario, error) {
 	i := slices.IndexFunc(scenarioDefinitions, func(d scenarioDefinition) bool { return d.name == name })
 	if i < 0 {
@@ -88,13 +92,21 @@
 	capacity := float64(servers) / (scenarioServiceTime.Seconds() / float64(definition.tiers))
 	rate := load * capacity
 	scenario := Scenario{
-		Name: name, Description: definition.description, TriggerStart: 10 * time.Second, TriggerEnd: 13 * time.Second,
-		ServiceTime: scenarioServiceTime,
+		Name:         name,
+		Description:  definition.description,
+		TriggerStart: 10 * time.Second,
+		TriggerEnd:   13 * time.Second,
+		ServiceTime:  scenarioServiceTime,
 		Config: Config{
-			Seed: seed, Nodes: 2, Classes: ScenarioClasses(scenarioServiceTime, definition.tiers, definition.distribution),
-			Duration: 60 * time.Second, NetworkDelay: 300 * time.Microsecond, ClientRetries: 1,
-			Tiers: scenarioTiers(definition.tiers, servers),
-			Rate:  func(time.Duration) float64 { return rate }, MaxRate: rate,
+			Seed:          seed,
+			Nodes:         2,
+			Classes:       ScenarioClasses(scenarioServiceTime, definition.tiers, definition.distribution),
+			Duration:      60 * time.Second,
+			NetworkDelay:  300 * time.Microsecond,
+			ClientRetries: 1,
+			Tiers:         scenarioTiers(definition.tiers, servers),
+			Rate:          func(time.Duration) float64 { return rate },
+			MaxRate:       rate,
 		},
 	}
 	definition.build(&scenarioBuilder{Scenario: &scenario, load: load, capacity: capacity, rate: rate})
@@ -106,13 +118,19 @@
 	perTier := slices.Repeat([]time.Duration{work / time.Duration(tiers)}, tiers)
 	target := 10 * work
 	class := func(c balancer.Class, share float64) Class {
-		c.Aim, c.LateShare = target, 0.5
+		c.Aim = target
+		c.LateShare = 0.5
 		return Class{Class: c, Share: share, Work: perTier, Distribution: distribution}
 	}
 	return []Class{
 		class(balancer.Class{Name: "read", Effect: balancer.Idempotent, Deadline: 5 * target / 2, Worth: 1}, 0.6),
 		class(balancer.Class{
-			Name: "send", Effect: balancer.IdempotentByKey, Scope: balancer.ScopeAll, Window: 10 * time.Second, Deadline: 3 * target, Worth: 3,
+			Name:     "send",
+			Effect:   balancer.IdempotentByKey,
+			Scope:    balancer.ScopeAll,
+			Window:   10 * time.Second,
+			Deadline: 3 * target,
+			Worth:    3,
 		}, 0.25),
 		class(balancer.Class{Name: "order", Effect: balancer.NonIdempotent, Deadline: 3 * target, Worth: 2}, 0.15),
 	}
@@ -121,12 +139,18 @@
 // scenarioTiers are the lower tier, and the upper one before it if there are two.
 func scenarioTiers(tiers, servers int) []Tier {
 	upper := Tier{
-		Servers: servers, Concurrency: 20, QueueLimit: 300, Settings: scenarioSettings(),
-		Slowdown: Slowdown{Kind: ProportionalSlowdown, Threshold: 24, Factor: 0.02},
+		Servers:     servers,
+		Concurrency: 20,
+		QueueLimit:  300,
+		Settings:    scenarioSettings(),
+		Slowdown:    Slowdown{Kind: ProportionalSlowdown, Threshold: 24, Factor: 0.02},
 	}
 	lower := Tier{
-		Servers: servers, Concurrency: 6, QueueLimit: 300, Settings: scenarioSettings(),
-		Slowdown: Slowdown{Kind: ProportionalSlowdown, Threshold: 6, Factor: 0.04},
+		Servers:     servers,
+		Concurrency: 6,
+		QueueLimit:  300,
+		Settings:    scenarioSettings(),
+		Slowdown:    Slowdown{Kind: ProportionalSlowdown, Threshold: 6, Factor: 0.04},
 	}
 	if tiers == 1 {
 		return []Tier{lower}
@@ -134,19 +158,31 @@
 	return []Tier{upper, lower}
 }
 
+// scenarioSettings returns the settings of the decision module in every scenario.
 func scenarioSettings() balancer.Settings {
 	return balancer.Settings{
-		WholeWeight: 0.55, ClassWeight: 0.3, MaxAttempts: 4, MayCancel: true,
-		Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second, ColdFrom: 1, WarmAfter: time.Second,
-		FallMultiple: 4, FallFor: 1500 * time.Millisecond,
+		WholeWeight:   0.55,
+		ClassWeight:   0.3,
+		MaxAttempts:   4,
+		MayCancel:     true,
+		Tick:          5 * time.Millisecond,
+		MaxRetryAfter: 2 * time.Second,
+		ColdFrom:      1,
+		WarmAfter:     time.Second,
+		FallMultiple:  4,
+		FallFor:       1500 * time.Millisecond,
 	}
 }
 
+// lowerTier returns the index of the last tier.
 func (b *scenarioBuilder) lowerTier() int { return len(b.Config.Tiers) - 1 }
 
 // offerDuringTrigger offers a multiple of the capacity from the start of the trigger to its end.
 func (b *scenarioBuilder) offerDuringTrigger(multiple float64) {
-	start, end, usual, high := b.TriggerStart, b.TriggerEnd, b.rate, multiple*b.capacity
+	start := b.TriggerStart
+	end := b.TriggerEnd
+	usual := b.rate
+	high := multiple * b.capacity
 	b.Config.Rate = func(at time.Duration) float64 {
 		if at >= start && at < end {
 			return high
@@ -168,10 +204,12 @@
 	b.Config.MaxRate = math.Max(1, multiple) * usual
 }
 
+// change has do called at a time.
 func (b *scenarioBuilder) change(at time.Duration, do func(*World)) {
-	b.Config.Changes = append(b.Config.Changes, Change{at, do})
+	b.Config.Changes = append(b.Config.Changes, Change{At: at, Do: do})
 }
 
+// changeSpeed sets the speed of all servers of a tier at a time.
 func (b *scenarioBuilder) changeSpeed(at time.Duration, tier int, speed float64) {
 	b.change(at, func(w *World) {
 		for _, server := range w.Servers(tier) {
@@ -180,6 +218,8 @@
 	})
 }
 
+// The functions below build the scenarios; scenarioDefinitions describes what each does.
+
 func buildChoke(b *scenarioBuilder) {
 	b.changeSpeed(b.TriggerStart, b.lowerTier(), b.load/1.3)
 	b.changeSpeed(b.TriggerEnd, b.lowerTier(), 1)
@@ -198,13 +238,17 @@
 }
 
 func buildColdBurst(b *scenarioBuilder) {
-	b.TriggerStart, b.TriggerEnd = 0, 500*time.Millisecond
+	b.TriggerStart = 0
+	b.TriggerEnd = 500 * time.Millisecond
 	b.offerDuringTrigger(10)
 }
 
 func buildCreep(b *scenarioBuilder) {
 	b.TriggerEnd = 30 * time.Second
-	start, end, usual, peak := b.TriggerStart, b.TriggerEnd, b.rate, 2*b.capacity
+	start := b.TriggerStart
+	end := b.TriggerEnd
+	usual := b.rate
+	peak := 2 * b.capacity
 	b.Config.Rate = func(at time.Duration) float64 {
 		if at < start || at >= end {
 			return usual
@@ -228,8 +272,13 @@
 
 func buildTrap(b *scenarioBuilder) {
 	b.Config.Tiers[b.lowerTier()].Slowdown = Slowdown{
-		Kind: DelayedSlowdown, Threshold: 7, Factor: 2.5,
-		AveragingTime: 2 * time.Second, RestShare: 0.4, RestTime: 2 * time.Second, MaxDuration: 30 * time.Second,
+		Kind:          DelayedSlowdown,
+		Threshold:     7,
+		Factor:        2.5,
+		AveragingTime: 2 * time.Second,
+		RestShare:     0.4,
+		RestTime:      2 * time.Second,
+		MaxDuration:   30 * time.Second,
 	}
 	b.offerDuringTrigger(1.5)
 }
@@ -243,7 +292,8 @@
 	const factor, slow = 8, 1
 	classes := b.Config.Classes
 	for i := range classes {
-		classes[i].Aim, classes[i].Deadline = 4*classes[i].Aim, 4*classes[i].Deadline
+		classes[i].Aim = 4 * classes[i].Aim
+		classes[i].Deadline = 4 * classes[i].Deadline
 	}
 	classes[slow].Work = []time.Duration{factor * scenarioServiceTime}
 	meanWork := (1 - classes[slow].Share) + factor*classes[slow].Share
@@ -298,4 +348,5 @@
 	return NewReference(0, referenceSeed(tier, index))
 }
 
+// referenceSeed returns the seed of the reference policy at a node.
 func referenceSeed(tier, index int) uint64 { return uint64(tier*100 + index) }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -17,7 +17,7 @@
 	RejectsAll     bool          // rejects each request at once
 	Received       int           // attempts that reached it
 	ErrorResponses int           // attempts that it answered with an error by ErrorShare
-	StartedAt      time.Duration // of its latest start; 0: long ago
+	StartedAt      time.Duration // of its latest start; 0 if that is long ago
 
 	world  *World
 	tier   int
@@ -51,6 +51,7 @@
 	done     float64 // work that it got, in s
 }
 
+// newServer returns a server that runs and has nothing to do.
 func newServer(w *World, tier, index int, config Tier) *Server {
 	if config.Cores == 0 {
 		config.Cores = 1
@@ -59,13 +60,25 @@
 		config.DownstreamCalls = 1
 	}
 	return &Server{
-		world: w, tier: tier, id: fmt.Sprintf("t%d-%04d", tier, index), config: config, Speed: 1, delayed: delayedSlowdown{factor: 1},
+		world:   w,
+		tier:    tier,
+		id:      fmt.Sprintf("t%d-%04d", tier, index),
+		config:  config,
+		Speed:   1,
+		delayed: delayedSlowdown{factor: 1},
 	}
 }
 
 // entry is the server on the endpoint list.
 func (s *Server) entry() balancer.Server {
-	return balancer.Server{ID: s.id, Zone: "z", Cell: 0, State: s.state, Size: 1, StartedAt: s.StartedAt}
+	return balancer.Server{
+		ID:        s.id,
+		Zone:      "z",
+		Cell:      0,
+		State:     s.state,
+		Size:      1,
+		StartedAt: s.StartedAt,
+	}
 }
 
 // load is how many requests are at the server, running or waiting.
@@ -84,7 +97,10 @@
 // Reboot makes the server lose all requests and go through slow start. It stays listed, with its new start.
 func (s *Server) Reboot() {
 	s.kill()
-	s.dead, s.silent, s.StartedAt, s.warmUpWork = false, false, s.world.now, nil
+	s.dead = false
+	s.silent = false
+	s.StartedAt = s.world.now
+	s.warmUpWork = nil
 	s.world.publish(s)
 }
 
@@ -94,7 +110,10 @@
 	for _, j := range slices.Concat([]*job(s.computing), s.waiting) {
 		j.attempt.end(balancer.Broken)
 	}
-	s.computing, s.waiting, s.running, s.dead = nil, nil, 0, true
+	s.computing = nil
+	s.waiting = nil
+	s.running = 0
+	s.dead = true
 	s.schedule++
 }
 
@@ -144,6 +163,7 @@
 	return slices.Repeat([]float64{total / float64(count)}, count)
 }
 
+// reply ends an attempt, of which its node hears after the network delay.
 func (s *Server) reply(a *attempt, ending balancer.Ending) {
 	s.world.After(s.world.config.NetworkDelay, func() { a.end(ending) })
 }
--- a/internal/emulator/slowdown.go
+++ b/internal/emulator/slowdown.go
@@ -7,12 +7,12 @@
 
 // delayedSlowdown is the state of a DelayedSlowdown.
 type delayedSlowdown struct {
-	factor       float64 // how many times slower the server is; 1: it is not
+	factor       float64 // how many times slower the server is; 1 if it is not slowed down
 	meanLoad     float64
 	busyShare    float64 // moving mean
 	updatedAt    time.Duration
 	slowSince    time.Duration
-	restingSince time.Duration // negative: not resting
+	restingSince time.Duration // negative if it is not resting
 }
 
 // updateDelayedSlowdown slows the server down when its mean load is too high, until it has rested.
@@ -29,7 +29,9 @@
 	d.busyShare += weight * (math.Min(1, float64(len(s.computing))/s.config.Cores) - d.busyShare)
 	if d.factor == 1 {
 		if d.meanLoad > config.Threshold {
-			d.factor, d.slowSince, d.restingSince = config.Factor, now, -1
+			d.factor = config.Factor
+			d.slowSince = now
+			d.restingSince = -1
 		}
 		return
 	}
@@ -41,7 +43,8 @@
 	}
 	rested := d.restingSince >= 0 && now-d.restingSince >= config.RestTime
 	if rested || config.MaxDuration > 0 && now-d.slowSince >= config.MaxDuration {
-		d.factor, d.meanLoad = 1, s.load()
+		d.factor = 1
+		d.meanLoad = s.load()
 	}
 }
 
@@ -60,15 +63,15 @@
 	return config.InitialShare + (1-config.InitialShare)*float64(age)/float64(config.Window)
 }
 
-// failsByOverload adds up the mean work (s) that is sent to a server during its slow start, and kills the server when that is too
-// much for it.
+// failsByOverload adds up the mean work (s) that is sent to a server during its slow start, and kills the server when that
+// is too much for it.
 func (s *Server) failsByOverload(mean float64) bool {
 	config, now := s.config.SlowStart, s.world.now
 	if s.slowStartFactor() >= 1 || config.OverloadWindow <= 0 {
 		s.warmUpWork = nil
 		return false
 	}
-	s.warmUpWork = append(s.warmUpWork, sentWork{now, mean})
+	s.warmUpWork = append(s.warmUpWork, sentWork{at: now, mean: mean})
 	for s.warmUpWork[0].at < now-config.OverloadWindow {
 		s.warmUpWork = s.warmUpWork[1:]
 	}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -1,14 +1,15 @@
-// Package emulator is a discrete-event simulation of a chain of services under overload: open-loop clients, nodes that each host a
-// decision module, and servers that slow down under load, have bounded queues, and go on working for clients that have given up.
+// Package emulator is a discrete-event simulation of a chain of services under overload: open-loop clients, nodes that each
+// host a decision module, and servers that slow down under load, have bounded queues, and go on working for clients that
+// have given up.
 //
 // It is pure: it must never read a clock, start a goroutine or do I/O, and one seed gives one course of events. An overload of
 // minutes takes milliseconds and a fleet of eighty nodes seconds, so that tests can play many of them.
 //
-// A World is built from a Config and run once. It shows the mechanisms that overload depends on: running requests share the cores
-// of their server, a request's deadline goes on while it waits in the queue, a client that gives up does not stop the work unless
-// the server checks, and a server of one tier is the client of the next. Servers of the first tier may drain, be removed and go
-// through slow start, and nodes learn so from a discovery service of limited capacity. There are no connections; drills
-// (internal/drill) test those with real processes.
+// A World is built from a Config and run once. It shows the mechanisms that overload depends on: running requests share the
+// cores of their server, a request's deadline goes on while it waits in the queue, a client that gives up does not stop the
+// work unless the server checks, and a server of one tier is the client of the next. Servers of the first tier may drain,
+// be removed and go through slow start, and nodes learn so from a discovery service of limited capacity. There are no
+// connections; drills (internal/drill) test those with real processes.
 package emulator
 
 import (
@@ -117,11 +118,14 @@
 // After runs something when a time has passed.
 func (w *World) After(delay time.Duration, run func()) { w.at(w.now+delay, run) }
 
-// ArrivalsEnded says that the last request of a client has arrived. What repeats itself has to stop then, or Run does not end.
+// ArrivalsEnded reports whether the last request of a client has arrived. What repeats itself has to stop then, or Run does
+// not end.
 func (w *World) ArrivalsEnded() bool { return w.now > w.config.Duration }
 
+// at schedules run for a time, or for now if that is past.
 func (w *World) at(at time.Duration, run func()) { w.events.Schedule(max(at, w.now), run) }
 
+// violation records that a rule was broken.
 func (w *World) violation(format string, args ...any) {
 	w.Violations = append(w.Violations, fmt.Sprintf(format, args...))
 }
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package eventqueue is the event queue of a discrete-event simulation. It is pure: it must never read a clock, start a goroutine
-// or draw random numbers. The simulation owns the clock: it takes one event after another, sets its time to that of the event,
-// and runs it.
+// Package eventqueue is the event queue of a discrete-event simulation. It is pure: it must never read a clock, start a
+// goroutine or draw random numbers. The simulation owns the clock: it takes one event after another, sets its time to that
+// of the event, and runs it.
 package eventqueue
 
 import (
@@ -29,7 +29,7 @@
 	heap.Push(&q.events, Event{At: at, Run: run, sequence: q.sequence})
 }
 
-// Next removes and returns the earliest event; ok is false if there is none.
+// Next removes and returns the earliest event. It reports false if there is none.
 func (q *Queue) Next() (event Event, ok bool) {
 	if len(q.events) == 0 {
 		return Event{}, false
@@ -37,6 +37,7 @@
 	return heap.Pop(&q.events).(Event), true
 }
 
+// eventHeap orders events by time, and those of one time as they were scheduled. It implements heap.Interface.
 type eventHeap []Event
 
 func (h eventHeap) Len() int { return len(h) }
--- a/internal/testkit/goldenrecord/goldenrecord.go
+++ b/internal/testkit/goldenrecord/goldenrecord.go
@@ -1,5 +1,5 @@
-// Package goldenrecord compares what a pure package decides on drawn inputs, and the JSON that it stores, with what was recorded
-// before. For tests only.
+// Package goldenrecord compares what a pure package decides on drawn inputs, and the JSON that it stores, with what was
+// recorded before. For tests only.
 package goldenrecord
 
 import (
@@ -16,13 +16,14 @@
 	"gotest.tools/v3/golden"
 )
 
-// Record is what a package decides, in order, as hashes. Texts for people are hashed separately from the decisions, so that a change
-// of wording shows as just that.
+// Record is what a package decides, in order, as hashes. Texts for people are hashed separately from the decisions, so that
+// a change of wording shows as just that.
 type Record struct {
 	decisions, texts hash.Hash
 	counts           map[string]int
 }
 
+// newRecord returns an empty record.
 func newRecord() *Record {
 	return &Record{decisions: sha256.New(), texts: sha256.New(), counts: map[string]int{}}
 }
@@ -60,13 +61,17 @@
 		for seed := range seeds {
 			play(rand.New(rand.NewPCG(seed, drawStream)), r)
 		}
-		sections[name] = section{hex.EncodeToString(r.decisions.Sum(nil)), hex.EncodeToString(r.texts.Sum(nil)), r.counts}
+		sections[name] = section{
+			Decisions: hex.EncodeToString(r.decisions.Sum(nil)),
+			Texts:     hex.EncodeToString(r.texts.Sum(nil)),
+			Counts:    r.counts,
+		}
 	}
 	AssertFile(t, sections, "  ")
 }
 
-// AssertFile compares a record, as JSON that is indented by indent, with testdata/golden.json of the package under test. With -update
-// it writes that file.
+// AssertFile compares a record, as JSON that is indented by indent, with testdata/golden.json of the package under test.
+// With -update it writes that file.
 func AssertFile(t *testing.T, record any, indent string) {
 	t.Helper()
 	text, err := json.MarshalIndent(record, "", indent)
--- a/internal/testkit/interp/main.go
+++ b/internal/testkit/interp/main.go
@@ -1,5 +1,8 @@
 // Command interp checks that programs are linked dynamically: it exits 1 unless each program that is given to it has an
-// interpreter in its ELF header, which preloading a library needs.
+// interpreter in its ELF header, which preloading a library needs. A build that is linked statically would ignore the library
+// without a word, and a check that relies on it would pass for nothing.
+//
+//	go run ./internal/testkit/interp PROGRAM...
 package main
 
 import (
--- a/internal/testkit/mutation/mutation.go
+++ b/internal/testkit/mutation/mutation.go
@@ -1,5 +1,6 @@
-// Package mutation shows that a package's tests find errors, as in mutation testing: it puts an error into the source by go test's
-// overlay, and runs the test that has to fail. It must never change the files themselves.
+// Package mutation shows that a package's tests find errors, as in mutation testing: it puts an error into the source by go
+// test's overlay, and runs the test that has to fail. It must never change the files themselves. It is for tests whose
+// strictness matters: a test that passes with the error in place would not have found it.
 package mutation
 
 import (
@@ -36,8 +37,8 @@
 	KilledBy    string // the test that has to fail
 }
 
-// Run shows in a subtest for each mutation that the test named by KilledBy fails. It is skipped under -short and -race, because it builds
-// the package for each mutation. It is to be called from the folder of the package, as go test does.
+// Run shows in a subtest for each mutation that the test named by KilledBy fails. It is skipped under -short and -race,
+// because it builds the package for each mutation. It is to be called from the folder of the package, as go test does.
 func Run(t *testing.T, mutations []Mutation) {
 	t.Helper()
 	if testing.Short() || testkit.Race {
@@ -57,8 +58,9 @@
 	}
 }
 
-// RunTest runs a test of the package under test on its source with edits, and returns its output and whether it failed. Edits of one
-// file are made in their order. environment is added to that of this process, as KEY=value. A source that does not build ends t.
+// RunTest runs a test of the package under test on its source with edits, and returns its output and whether it failed.
+// Edits of one file are made in their order. environment is added to that of this process, as KEY=value. A source that does
+// not build ends t.
 func RunTest(t *testing.T, edits []Edit, test string, environment ...string) (output string, failed bool) {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/testkit/reachable.go
+++ b/internal/testkit/reachable.go
@@ -15,6 +15,7 @@
 	of      reflect.Type
 }
 
+// reachable counts what is reachable from v and was not visited before.
 func reachable(v reflect.Value, visited map[visit]bool) int {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -53,7 +54,7 @@
 	if v.IsNil() {
 		return true
 	}
-	this := visit{v.Pointer(), v.Type()}
+	this := visit{address: v.Pointer(), of: v.Type()}
 	before := visited[this]
 	visited[this] = true
 	return before
--- a/internal/testkit/stub.go
+++ b/internal/testkit/stub.go
@@ -56,7 +56,7 @@
 				return
 			}
 			body, _ := io.ReadAll(req.Body) // a body that is cut short is shown to the test as far as it came
-			requests <- Received{req, string(body)}
+			requests <- Received{Request: req, Text: string(body)}
 			if _, err := io.WriteString(c, response); err != nil || closeAfter {
 				return
 			}
