--- a/cmd/cranesim/main.go
+++ b/cmd/cranesim/main.go
@@ -68,10 +68,10 @@
 	var o options
 	flags := flag.NewFlagSet("cranesim", flag.ContinueOnError)
 	flags.SetOutput(stderr)
-	flags.IntVar(&o.seeds, "seeds", 5, "plays of each, by seeds from 1 on; the median is told")
-	flags.IntVar(&o.servers, "servers", 8, "of a tier")
-	flags.Float64Var(&o.load, "load", 0.8, "offered outside the trigger, as a share of the capacity")
-	flags.BoolVar(&o.seconds, "seconds", false, "print each second of the first play")
+	flags.IntVar(&o.seeds, "seeds", 5, "runs of each scenario, by seeds from 1 on; the median is printed")
+	flags.IntVar(&o.servers, "servers", 8, "servers of a tier")
+	flags.Float64Var(&o.load, "load", 0.8, "load outside the trigger, as a share of the capacity")
+	flags.BoolVar(&o.seconds, "seconds", false, "print each second of the first run")
 	if err := flags.Parse(args); err != nil {
 		return options{}, err
 	}
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -140,8 +140,15 @@
 		return exitKept
 	}
 	d := findDrill(flags.Args())
-	if d == nil || o.violation != "" && violations[o.violation] == nil {
-		fmt.Fprintln(stderr, usageLine)
+	switch {
+	case d == nil && flags.NArg() == 1:
+		fmt.Fprintf(stderr, "drill: there is no drill %q\n%s\n", flags.Arg(0), usageLine)
+		return exitUsage
+	case d == nil:
+		fmt.Fprintf(stderr, "drill: %d drills are named, not one\n%s\n", flags.NArg(), usageLine)
+		return exitUsage
+	case o.violation != "" && violations[o.violation] == nil:
+		fmt.Fprintf(stderr, "drill: there is no violation %q; -h lists them\n%s\n", o.violation, usageLine)
 		return exitUsage
 	}
 	if o.length == 0 {
--- a/internal/mesh/settings/settings.go
+++ b/internal/mesh/settings/settings.go
@@ -173,7 +173,7 @@
 	if path := os.Getenv(PathVariable); path != "" {
 		return path, nil
 	}
-	return "", errors.Errorf("settings: %s is not set", PathVariable)
+	return "", errors.Errorf("settings: %s is not set, and there is no --settings FILE", PathVariable)
 }
 
 // Load reads, parses and checks a file.
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -61,7 +61,7 @@
 		fmt.Fprintln(stdout, "cranegrade", version())
 		return ExitOK
 	case flags.NArg() > 0 && *config != "":
-		fmt.Fprint(stderr, usageWith(commands))
+		fmt.Fprintf(stderr, "cranegrade: -config FILE goes after the command: cranegrade %s -config FILE\n%s", flags.Arg(0), usageWith(commands))
 		return ExitUsage
 	case flags.NArg() > 0:
 		return runCommand(ctx, flags.Args(), stdout, stderr, commands)
@@ -86,6 +86,6 @@
 			return c.Run(args[1:], stdout, stderr)
 		}
 	}
-	fmt.Fprint(stderr, usageWith(commands))
+	fmt.Fprintf(stderr, "cranegrade: there is no command %q, or it takes other arguments\n%s", args[0], usageWith(commands))
 	return ExitUsage
 }
