--- a/internal/mesh/testcluster/machine.go
+++ b/internal/mesh/testcluster/machine.go
@@ -27,7 +27,7 @@
 	for _, name := range ProgramNames {
 		build := exec.Command("go", "build", "-o", filepath.Join(dir, name), "cranegrade/cmd/"+name)
 		if out, err := build.CombinedOutput(); err != nil {
-			return fmt.Errorf("building %s: %w\n%s", name, err, out)
+			return fmt.Errorf("building %s, which needs Go and a working directory in this repository: %w\n%s", name, err, out)
 		}
 	}
 	return nil
