--- a/cmd/cranesim/main.go
+++ b/cmd/cranesim/main.go
@@ -98,10 +98,10 @@
 		fmt.Fprintf(stderr, usageHead, strings.Join(emulator.ScenarioNames(), ", "))
 		flags.PrintDefaults()
 	}
-	flags.IntVar(&o.seeds, "seeds", defaultSeeds, "plays of each scenario, by seeds from 1 on; the median is printed")
+	flags.IntVar(&o.seeds, "seeds", defaultSeeds, "runs of each scenario, by seeds from 1 on; the median is printed")
 	flags.IntVar(&o.servers, "servers", defaultServers, "servers of a tier")
 	flags.Float64Var(&o.load, "load", defaultLoad, "load offered outside the trigger, as a share of the capacity")
-	flags.BoolVar(&o.seconds, "seconds", false, "print each second of the first play")
+	flags.BoolVar(&o.seconds, "seconds", false, "print each second of the first run")
 	if err := flags.Parse(args); err != nil {
 		return options{}, err
 	}
