--- a/internal/node/h2_helpers_test.go
+++ b/internal/node/h2_helpers_test.go
@@ -3,10 +3,12 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"testing"
 	"time"
@@ -125,14 +127,18 @@
 	})
 }
 
-// watchEnds reports on the channel how each stream ended, or the connection, which also closes the channel. No other
-// goroutine may read from the connection.
+// watchEnds reports on the channel how each stream ended, or the connection, which also closes the channel. A connection that is
+// still open at its deadline is reported as such. No other goroutine may read from the connection.
 func (c *rawH2Client) watchEnds() <-chan string {
 	ends := make(chan string, 1000)
 	go func() {
 		defer close(ends)
 		for {
 			f, err := c.framer.ReadFrame()
+			if errors.Is(err, os.ErrDeadlineExceeded) {
+				ends <- "still open"
+				return
+			}
 			if err != nil {
 				ends <- "closed"
 				return
