--- a/internal/fake/registry.go
+++ b/internal/fake/registry.go
@@ -30,7 +30,7 @@
 type Registry struct {
 	name     string
 	recorder *Recorder
-	addr     string
+	port     *ReservedPort
 
 	mu       sync.Mutex // guards the fields below
 	revision int64
@@ -69,21 +69,26 @@
 // NewRegistry starts a registry on a free loopback port, with an empty list. Its name is the host whose requests its servers serve; ""
 // if there is no other registry.
 func NewRegistry(name string, recorder *Recorder) (*Registry, error) {
-	g := &Registry{name: name, recorder: recorder, entries: map[string]*registryEntry{}, changed: make(chan struct{})}
-	return g, g.listen("127.0.0.1:0")
+	port, err := ReservePort()
+	if err != nil {
+		return nil, fmt.Errorf("starting the fake registry: %w", err)
+	}
+	g := &Registry{name: name, recorder: recorder, port: port, entries: map[string]*registryEntry{}, changed: make(chan struct{})}
+	return g, g.Up()
 }
 
 // Addr is the address of the registry. It stays the same over Down and Up.
-func (g *Registry) Addr() string { return g.addr }
+func (g *Registry) Addr() string { return g.port.Addr() }
 
-func (g *Registry) listen(addr string) error {
-	listener, err := net.Listen("tcp", addr)
+// Up starts the registry again after Down, with the list that it had.
+func (g *Registry) Up() error {
+	listener, err := net.Listen("tcp", g.Addr())
 	if err != nil {
 		return fmt.Errorf("starting the fake registry: %w", err)
 	}
 	server := &http.Server{Handler: g}
 	g.mu.Lock()
-	g.addr, g.server = listener.Addr().String(), server
+	g.server = server
 	g.mu.Unlock()
 	go func() { _ = server.Serve(listener) }() // until Down closes the server
 	return nil
@@ -100,11 +105,11 @@
 	}
 }
 
-// Up starts the registry again after Down, with the list that it had.
-func (g *Registry) Up() error { return g.listen(g.addr) }
-
 // Close ends the registry.
-func (g *Registry) Close() { g.Down() }
+func (g *Registry) Close() {
+	g.Down()
+	g.port.Close()
+}
 
 // Set lists a server in a state, with its present incarnation.
 func (g *Registry) Set(s *Server, state ListState) { g.SetAt(s, state, s.advertisedAddr()) }
--- a/internal/fake/xds/control_plane.go
+++ b/internal/fake/xds/control_plane.go
@@ -16,6 +16,8 @@
 	"google.golang.org/grpc"
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
+
+	"cranegrade/internal/fake"
 )
 
 // ClusterURL is the type of resources whose state-of-the-world responses are always complete.
@@ -31,7 +33,7 @@
 	discovery.UnimplementedAggregatedDiscoveryServiceServer
 	loadstats.UnimplementedLoadReportingServiceServer
 
-	addr string
+	port *fake.ReservedPort
 
 	mu                sync.Mutex // guards the fields below and all streams
 	server            *grpc.Server
@@ -62,15 +64,20 @@
 
 // New starts a control plane on a free loopback port, with no resources.
 func New() (*ControlPlane, error) {
-	p := &ControlPlane{resources: map[string]map[string]servedResource{}, streams: map[*stream]struct{}{}}
-	return p, p.listen("127.0.0.1:0")
+	port, err := fake.ReservePort()
+	if err != nil {
+		return nil, fmt.Errorf("starting the fake control plane: %w", err)
+	}
+	p := &ControlPlane{port: port, resources: map[string]map[string]servedResource{}, streams: map[*stream]struct{}{}}
+	return p, p.Up()
 }
 
 // Addr is the address of the control plane. It stays the same over Down and Up.
-func (p *ControlPlane) Addr() string { return p.addr }
+func (p *ControlPlane) Addr() string { return p.port.Addr() }
 
-func (p *ControlPlane) listen(addr string) error {
-	listener, err := net.Listen("tcp", addr)
+// Up starts the control plane again after Down, with the resources that it had.
+func (p *ControlPlane) Up() error {
+	listener, err := net.Listen("tcp", p.Addr())
 	if err != nil {
 		return fmt.Errorf("starting the fake control plane: %w", err)
 	}
@@ -78,7 +85,7 @@
 	discovery.RegisterAggregatedDiscoveryServiceServer(server, p)
 	loadstats.RegisterLoadReportingServiceServer(server, p)
 	p.mu.Lock()
-	p.addr, p.server = listener.Addr().String(), server
+	p.server = server
 	p.mu.Unlock()
 	go func() { _ = server.Serve(listener) }() // until Down stops the server
 	return nil
@@ -95,11 +102,11 @@
 	}
 }
 
-// Up starts the control plane again after Down, with the resources that it had.
-func (p *ControlPlane) Up() error { return p.listen(p.addr) }
-
 // Close ends the control plane.
-func (p *ControlPlane) Close() { p.Down() }
+func (p *ControlPlane) Close() {
+	p.Down()
+	p.port.Close()
+}
 
 // BreakStreams ends every stream and returns how many there were.
 func (p *ControlPlane) BreakStreams() int {
--- a/internal/testfleet/fleet.go
+++ b/internal/testfleet/fleet.go
@@ -17,8 +17,10 @@
 
 const (
 	defaultLease     = 1200 * time.Millisecond // short, so that short drills see leases expire
-	watchesTimeout   = 10 * time.Second        // until all members follow the list
-	shareSumRounding = 1e-6                    // by which a sum of shares may exceed 1
+	defaultSettle    = 500 * time.Millisecond
+	defaultProbe     = 200 * time.Millisecond
+	watchesTimeout   = 40 * time.Second // until all members follow the list
+	shareSumRounding = 1e-6             // by which a sum of shares may exceed 1
 )
 
 // FleetConfig describes a fleet of real processes.
@@ -30,6 +32,7 @@
 	ServerCount     int
 	Seed            uint64
 	Lease           time.Duration // of a member's shares; 0: 1.2 s
+	Slowness        int           // factor of the times within which members notice each other's failures; 0: 1
 	Slack           time.Duration // see audit.Options
 	GossipKey       string        // in base64; "": none
 	Standalone      bool          // no [fleet]: the files say how many nodes there are, and which one each is
@@ -57,8 +60,9 @@
 	if c.ConfiguredNodes == 0 {
 		c.ConfiguredNodes = c.MemberCount
 	}
+	c.Slowness = max(1, c.Slowness)
 	if c.Lease == 0 {
-		c.Lease = defaultLease
+		c.Lease = defaultLease * time.Duration(c.Slowness)
 	}
 	f := &Fleet{FleetConfig: c, Recorder: fake.NewRecorder(Classes...), startedAt: time.Now()}
 	defer func() {
@@ -106,7 +110,11 @@
 
 func (f *Fleet) addMembers() error {
 	for i := range f.MemberCount + f.SpareMembers {
-		m := &Member{Index: i, Name: fmt.Sprintf("n%d", i), fleet: f, callerAddr: "127.0.0.1:0"}
+		port, err := fake.ReservePort()
+		if err != nil {
+			return err
+		}
+		m := &Member{Index: i, Name: fmt.Sprintf("n%d", i), fleet: f, callerPort: port}
 		if err := os.MkdirAll(m.StateDir(), stateDirMode); err != nil {
 			return err
 		}
@@ -126,6 +134,7 @@
 			if m.Callers != nil {
 				m.Callers.Close()
 			}
+			m.callerPort.Close()
 		})
 	}
 	closing.Wait()
@@ -193,18 +202,6 @@
 	return names
 }
 
-// SumShares returns the sum of the shares that these members report, and how many have one. They are asked one after the other, so
-// while shares change the sum may exceed 1 although it never did at one moment.
-func (f *Fleet) SumShares(ctx context.Context, members ...int) (sum float64, count int) {
-	for _, i := range members {
-		if role, err := f.Members[i].Role(ctx); err == nil && role.Standing {
-			sum += 1 / float64(role.Divisor)
-			count++
-		}
-	}
-	return sum, count
-}
-
 // LoadSpread returns how the requests that arrived between two times of the recorder are spread over the servers: the fewest and the
 // most that a server received, as multiples of the mean.
 func (f *Fleet) LoadSpread(from, to time.Duration) (least, most float64) {
--- a/internal/testfleet/member.go
+++ b/internal/testfleet/member.go
@@ -20,7 +20,7 @@
 const (
 	joinAddresses    = 3 // members whose addresses are in the others' files
 	callTimeout      = time.Second
-	successorTimeout = 10 * time.Second // until a successor in an upgrade is ready
+	successorTimeout = 40 * time.Second // until a successor in an upgrade is ready
 	answerGrace      = 2 * time.Second  // for which callers wait after a deadline
 )
 
@@ -35,7 +35,7 @@
 	Registry *fake.Registry // another registry than the fleet's; nil: the same
 
 	fleet          *Fleet
-	callerAddr     string // where callers connect; a restart does not change it
+	callerPort     *fake.ReservedPort // where callers connect; a restart does not change it
 	inspectionAddr string
 }
 
@@ -47,7 +47,7 @@
 	f := m.fleet
 	var b strings.Builder
 	fmt.Fprintf(&b, "name = %q\nlisten = [%q]\nadmin = \"127.0.0.1:0\"\ndefault = \"app\"\nlimits = { cores = 1 }\nnodes = %d\n%s\n",
-		m.Name, m.callerAddr, f.ConfiguredNodes, strings.ReplaceAll(f.ExtraSettings, "{state}", m.StateDir()))
+		m.Name, m.callerPort.Addr(), f.ConfiguredNodes, strings.ReplaceAll(f.ExtraSettings, "{state}", m.StateDir()))
 	if f.Standalone {
 		fmt.Fprintf(&b, "index = %d\n", m.Index%f.ConfiguredNodes)
 	} else {
@@ -72,8 +72,9 @@
 	if f.GossipKey != "" {
 		text += fmt.Sprintf("key = %q\n", f.GossipKey)
 	}
-	return text + fmt.Sprintf("listen = %q\nadvertise = %q\njoin = [%s]\nlease = %q\nsettle = \"500ms\"\nprobe = \"200ms\"\n",
-		f.Fabric.ListenAddr(m.Index), f.Fabric.PublicAddr(m.Index), strings.Join(join, ", "), f.Lease)
+	return text + fmt.Sprintf("listen = %q\nadvertise = %q\njoin = [%s]\nlease = %q\nsettle = %q\nprobe = %q\n",
+		f.Fabric.ListenAddr(m.Index), f.Fabric.PublicAddr(m.Index), strings.Join(join, ", "), f.Lease,
+		defaultSettle*time.Duration(f.Slowness), defaultProbe*time.Duration(f.Slowness))
 }
 
 // Start starts a member, or starts it again, and returns once it listens.
@@ -97,7 +98,7 @@
 		return err
 	}
 	f.mu.Lock()
-	m.Process, m.callerAddr, m.inspectionAddr = p, p.Addr, inspectionAddr
+	m.Process, m.inspectionAddr = p, inspectionAddr
 	if m.Callers == nil {
 		m.Callers = fake.NewCallers(f.Recorder, p.Addr, f.Seed<<8|uint64(m.Index+1), answerGrace+f.Slack)
 		m.Callers.SetProcess(m.Name)
--- a/internal/testfleet/quota_test.go
+++ b/internal/testfleet/quota_test.go
@@ -4,10 +4,14 @@
 	"context"
 	"sync"
 	"testing"
+	"time"
 
 	"cranegrade/internal/fake"
 )
 
+// quotaWatchInterval is between two sums of the members' quotas.
+const quotaWatchInterval = 25 * time.Millisecond
+
 // quotaShare is a member's share of the only tenant's quota; 0 if it reports none.
 func (f *Fleet) quotaShare(ctx context.Context, member int) float64 {
 	role, err := f.Members[member].Role(ctx)
@@ -69,6 +73,7 @@
 				sum += f.quotaShare(ctx, i)
 			}
 			largest = max(largest, sum)
+			time.Sleep(quotaWatchInterval) // what is measured needs the processor, too
 		}
 	})
 	stop := func() {
--- a/internal/testfleet/shares.go
+++ b/internal/testfleet/shares.go
@@ -64,8 +64,8 @@
 }
 
 // addSample adds what each member certainly had between two reports: the smaller of both shares, from the earlier answer until the later
-// question. It counts if there is a moment that lies between both reports of all members.
-func (f *Fleet) addSample(watch *ShareWatch, previous, current []shareReport) {
+// question. It counts if there is a moment that lies between both reports of all members, and tells whether it does.
+func (f *Fleet) addSample(watch *ShareWatch, previous, current []shareReport) (counts bool) {
 	sum, members := 0.0, 0
 	var description strings.Builder
 	var from, to time.Time
@@ -82,16 +82,17 @@
 	}
 	watch.Samples++
 	if members == 0 || !from.Before(to) {
-		return
+		return false
 	}
 	watch.MaxTotal = max(watch.MaxTotal, sum)
 	if sum <= 1+shareSumRounding {
-		return
+		return true
 	}
 	watch.Violations++
 	if watch.Violations == 1 {
 		watch.FirstViolation = fmt.Sprintf("together%s at %v", description.String(), time.Since(f.startedAt).Round(time.Millisecond))
 	}
+	return true
 }
 
 func later(a, b time.Time) time.Time {
