--- a/internal/mesh/history/agreement.go
+++ b/internal/mesh/history/agreement.go
@@ -18,7 +18,8 @@
 		}
 		if before.ID != l.ID {
 			broken = append(broken, Violation{CheckSingleLeader, l.At, fmt.Sprintf(
-				"%s (%d) leads in term %d, which %s (%d) has led since %v", l.Process, l.ID, l.Term, before.Process, before.ID, before.At)})
+				"%s (%d) leads in term %d, which %s (%d) has led since %v",
+				l.Process, l.ID, l.Term, before.Process, before.ID, before.At)})
 		}
 	}
 	return broken
@@ -26,7 +27,12 @@
 
 // Durability checks that an acknowledged index is on Tolerance+1 synced disks of the members that count, or on all of them if there
 // are fewer, and that every later leader has it in its log (Raft, section 5.4, leader completeness).
-func Durability(h *History) (broken []Violation) {
+func Durability(h *History) []Violation {
+	return append(onEnoughDisks(h), heldByLeaders(h)...)
+}
+
+// onEnoughDisks checks that each acknowledged index was on enough synced disks.
+func onEnoughDisks(h *History) (broken []Violation) {
 	for _, s := range h.Synced {
 		holding := 0
 		for _, id := range s.Counted {
@@ -39,6 +45,11 @@
 				"index %d was acknowledged on %d synced disks of %v that count, where %d are needed", s.Index, holding, s.Counted, needed)})
 		}
 	}
+	return broken
+}
+
+// heldByLeaders checks that each leader has in its log what was acknowledged before its election.
+func heldByLeaders(h *History) (broken []Violation) {
 	for _, l := range h.Leaders {
 		if l.LastIndex == 0 {
 			continue
@@ -46,7 +57,8 @@
 		for _, s := range h.Synced {
 			if s.At < l.At && s.Index > l.LastIndex {
 				broken = append(broken, Violation{CheckDurability, l.At, fmt.Sprintf(
-					"%s (%d) leads in term %d with a log to %d, but %d was acknowledged at %v", l.Process, l.ID, l.Term, l.LastIndex, s.Index, s.At)})
+					"%s (%d) leads in term %d with a log to %d, but %d was acknowledged at %v",
+					l.Process, l.ID, l.Term, l.LastIndex, s.Index, s.At)})
 				break
 			}
 		}
@@ -80,7 +92,8 @@
 func byIndex(reports []Members) []Members {
 	sorted := make([]Members, 0, len(reports))
 	for _, m := range reports {
-		m.Voters, m.Outgoing = slices.Sorted(slices.Values(m.Voters)), slices.Sorted(slices.Values(m.Outgoing))
+		m.Voters = slices.Sorted(slices.Values(m.Voters))
+		m.Outgoing = slices.Sorted(slices.Values(m.Outgoing))
 		sorted = append(sorted, m)
 	}
 	slices.SortStableFunc(sorted, func(a, b Members) int { return cmp.Compare(a.Index, b.Index) })
--- a/internal/mesh/history/checkers_test.go
+++ b/internal/mesh/history/checkers_test.go
@@ -133,7 +133,7 @@
 		change(5*second, 6*second, Refused, route("a", 1, "x")),
 	}, "route/a@1"},
 
-	{CheckMonotonicVersions, "back only out of touch or in a new life", []Event{
+	{CheckMonotonicVersions, "back only out of contact or in a new incarnation", []Event{
 		activeVersion(1*second, 2, true), activeVersion(2*second, 1, false),
 		ActiveVersion{At: 3 * second, Process: "sidecar", Incarnation: 2, InContact: true, ItemVersion: route("a", 1, "x")},
 	}, ""},
@@ -160,7 +160,7 @@
 	{CheckStaleRead, "an old fetch", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")), fetch(3*second, 4*second),
 	}, "1 had been acknowledged"},
-	{CheckStaleRead, "an old first table", []Event{
+	{CheckStaleRead, "an old initial table", []Event{
 		change(1*second, 2*second, Acknowledged, route("a", 1, "x")),
 		InitialTable{Call: call("sidecar", 3*second, 4*second, Acknowledged), Member: "two", Incarnation: 1},
 	}, "1 had been acknowledged"},
--- a/internal/mesh/history/encoding.go
+++ b/internal/mesh/history/encoding.go
@@ -18,9 +18,11 @@
 const (
 	MaxLineBytes = 4 << 20
 	MaxEvents    = 1 << 20
+
+	initialLineBytes = 64 << 10 // of the buffer for a line
 )
 
-// ErrMalformed is the type of the errors of Read that are about the text. Each names line and field.
+// ErrMalformed is the type of the errors of Read that are about the text. Each names line and field, which have to be corrected.
 const ErrMalformed = errors.ConstError("malformed history")
 
 // line is one event as text. Event names the type of Data.
@@ -29,7 +31,8 @@
 	Data  json.RawMessage `json:"data"`
 }
 
-// eventReaders decode the data of each type of event.
+// eventReaders decode the data of each type of event. The names are those of the first release, and stay because histories are kept in
+// files.
 var eventReaders = map[string]func(data []byte) (Event, error){
 	"change":      readEvent[Change],
 	"fetch":       readEvent[Fetch],
@@ -125,6 +128,7 @@
 	return appendEvents(all, h.StablePeriods)
 }
 
+// appendEvents appends the events of one type.
 func appendEvents[E Event](all []Event, events []E) []Event {
 	for _, e := range events {
 		all = append(all, e)
@@ -136,7 +140,7 @@
 // or at MaxEvents.
 func Read(r io.Reader) (*History, error) {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, 64<<10), MaxLineBytes)
+	lines.Buffer(make([]byte, 0, initialLineBytes), MaxLineBytes)
 	h, number, events := &History{}, 0, 0
 	for lines.Scan() {
 		number++
@@ -158,6 +162,7 @@
 	return h, errors.Trace(lines.Err())
 }
 
+// readLine decodes one event.
 func readLine(text []byte) (Event, error) {
 	var l line
 	if err := readStrictly(text, &l); err != nil {
@@ -173,6 +178,7 @@
 	return read(l.Data)
 }
 
+// readEvent decodes the data of an event and checks its fields.
 func readEvent[E Event](data []byte) (Event, error) {
 	var e E
 	if err := readStrictly(data, &e); err != nil {
--- a/internal/mesh/history/history.go
+++ b/internal/mesh/history/history.go
@@ -2,8 +2,14 @@
 // of the mesh on it, in the manner of Jepsen. A history comes from a simulated run (package sim) or from real processes (package
 // testcluster); the checkers must not depend on which.
 //
+// The package owns the types of events, their form as text, and the checkers. A checker must never take anything from the code under test
+// but what is recorded, and must report a violation only if no correct mesh could have shown that history.
+//
 // All times are durations since the start of the run by the observer's clock, simulated or real. Processes are named by the observer
-// and keep their names over restarts. A History must not be used by two goroutines at once.
+// and keep their names over restarts. A History must not be used by two goroutines at once; checkers only read it.
+//
+// Sources: Jepsen (histories, checkers, operations with an unknown outcome); Herlihy and Wing, "Linearizability", whose search is that of
+// package porcupine; the Raft paper, figure 3, for the checkers of agreement.
 package history
 
 import (
@@ -22,7 +28,7 @@
 )
 
 // Call is an operation with a duration. Return is the latest time known of the call, also if its outcome is Unknown; such a call may
-// take effect at any later time.
+// take effect at any later time, or never.
 type Call struct {
 	Process string        `json:"process" validate:"required"` // the caller
 	Begin   time.Duration `json:"begin_ns" validate:"gte=0"`
@@ -50,7 +56,7 @@
 // String returns kind/name@version and the digest, or that the item was deleted.
 func (v ItemVersion) String() string {
 	if v.Deleted {
-		return fmt.Sprintf("%v@%d dropped", v.Item, v.Version)
+		return fmt.Sprintf("%v@%d deleted", v.Item, v.Version)
 	}
 	return fmt.Sprintf("%v@%d %s", v.Item, v.Version, v.Digest)
 }
@@ -71,7 +77,7 @@
 	Items  []ItemVersion `json:"items" validate:"dive"`
 }
 
-// InitialTable is the configuration that a member sends to a sidecar that starts or selects another member. Process is the sidecar,
+// InitialTable is the configuration that a member sends to a sidecar that starts or follows another member. Process is the sidecar,
 // Begin the time at which it asked.
 type InitialTable struct {
 	Call
@@ -122,7 +128,7 @@
 	Process   string        `json:"process" validate:"required"`
 	ID        uint64        `json:"id"` // of the member, from its disk
 	Term      uint64        `json:"term"`
-	LastIndex uint64        `json:"last_index,omitempty"` // of its log when it was elected; 0 if not known
+	LastIndex uint64        `json:"last_index,omitempty"` // of its log when it was elected, or 0 if it is not known
 }
 
 // Members says who the members are from an index of the log on. While there are Outgoing voters, majorities of both are needed.
@@ -212,6 +218,7 @@
 
 // Event is one of the events of this package.
 type Event interface {
+	// record adds the event to a history, and returns the latest time in it.
 	record(h *History) (latest time.Duration)
 }
 
--- a/internal/mesh/history/linearizable.go
+++ b/internal/mesh/history/linearizable.go
@@ -103,8 +103,10 @@
 			returned = math.MaxInt64
 		}
 		operations = append(operations, porcupine.Operation{
-			Input: registerInput{true, c.content}, Call: int64(c.Begin),
-			Output: registerOutput{unknown: c.Outcome == Unknown}, Return: returned,
+			Input:  registerInput{write: true, content: c.content},
+			Call:   int64(c.Begin),
+			Output: registerOutput{unknown: c.Outcome == Unknown},
+			Return: returned,
 		})
 	}
 	for _, f := range h.Fetches {
@@ -114,8 +116,10 @@
 		content, found := find(f.Items, item)
 		last = max(last, f.Return)
 		operations = append(operations, porcupine.Operation{
-			Input: registerInput{}, Call: int64(f.Begin),
-			Output: registerOutput{found: found, content: content}, Return: int64(f.Return),
+			Input:  registerInput{},
+			Call:   int64(f.Begin),
+			Output: registerOutput{found: found, content: content},
+			Return: int64(f.Return),
 		})
 	}
 	return operations, last
--- a/internal/mesh/history/progress.go
+++ b/internal/mesh/history/progress.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// CatchUpInTime checks that a member that began to catch up has caught up within the bound; 0 checks nothing. It is judged by the
-// time that it had, also if a fault of the member or the end of the run came first.
+// CatchUpInTime checks that a member that began to catch up has caught up within the bound. A bound of 0 checks nothing. What counts is
+// the time that the member had, also if a fault of it or the end of the run came first.
 func CatchUpInTime(h *History, bound time.Duration) (broken []Violation) {
 	if bound == 0 {
 		return nil
@@ -38,13 +38,14 @@
 	return broken
 }
 
-// progressStep is an event that begins, ends or interrupts the catching up of a process.
+// progressStep is an event that ends or interrupts the catching up of a process or, with neither flag set, begins it.
 type progressStep struct {
 	at           time.Duration
 	process      string
 	fault, ended bool
 }
 
+// progressSteps returns the steps of all processes in the order of their times.
 func progressSteps(h *History) []progressStep {
 	var steps []progressStep
 	for _, f := range h.Faults {
@@ -69,22 +70,24 @@
 }
 
 // Liveness checks that each uncontested change that begins in a stable period, and has the time of the bound left in it, is
-// acknowledged at one of its attempts within the bound; 0 checks nothing.
+// acknowledged at one of its attempts within the bound. A bound of 0 checks nothing.
 func Liveness(h *History, bound time.Duration) (broken []Violation) {
 	if bound == 0 {
 		return nil
 	}
-	for _, o := range attemptsByChange(h) {
-		begin := o[0].Begin
+	for _, attempts := range attemptsByChange(h) {
+		begin := attempts[0].Begin
 		stable := slices.ContainsFunc(h.StablePeriods, func(s StablePeriod) bool { return s.From <= begin && begin+bound <= s.To })
-		if !stable || !slices.ContainsFunc(o, func(c Change) bool { return isUncontested(h, c) }) {
+		if !stable || !slices.ContainsFunc(attempts, func(c Change) bool { return isUncontested(h, c) }) {
 			continue
 		}
-		acknowledged := slices.ContainsFunc(o, func(c Change) bool { return c.Outcome == Acknowledged && c.Return <= begin+bound })
+		acknowledged := slices.ContainsFunc(attempts, func(c Change) bool {
+			return c.Outcome == Acknowledged && c.Return <= begin+bound
+		})
 		if !acknowledged {
 			broken = append(broken, Violation{CheckLiveness, begin + bound, fmt.Sprintf(
-				"%s's order of %v, sent %d times from %v on, has no acknowledgement after %v of settled time",
-				o[0].Process, o[0].Items, len(o), begin, bound)})
+				"%s's change of %v, sent %d times from %v on, has no acknowledgement after %v of a stable period",
+				attempts[0].Process, attempts[0].Items, len(attempts), begin, bound)})
 		}
 	}
 	return broken
--- a/internal/mesh/history/versions.go
+++ b/internal/mesh/history/versions.go
@@ -9,7 +9,7 @@
 // content is the content of an ItemVersion: equal contents are equal values.
 type content struct {
 	digest  string
-	dropped bool
+	deleted bool
 }
 
 // itemNumber identifies a version of an item, whatever its content.
@@ -46,7 +46,7 @@
 	for _, c := range h.Changes {
 		for _, v := range c.Items {
 			if c.Outcome == Acknowledged && !overtaken(h, v, c.Return) {
-				see(c.Return, c.Process+"'s order", v)
+				see(c.Return, c.Process+"'s change", v)
 			}
 		}
 	}
@@ -159,16 +159,16 @@
 // MonotonicVersions checks that active versions only rise in one incarnation of a process while it is in contact.
 func MonotonicVersions(h *History) (broken []Violation) {
 	type holder struct {
-		process string
-		life    uint64
-		item    Item
+		process     string
+		incarnation uint64
+		item        Item
 	}
 	highest := map[holder]int64{}
 	for _, f := range inOrder(h.ActiveVersions, func(f ActiveVersion) time.Duration { return f.At }) {
 		at := holder{f.Process, f.Incarnation, f.Item}
 		if f.InContact && f.Version < highest[at] {
 			broken = append(broken, Violation{CheckMonotonicVersions, f.At, fmt.Sprintf(
-				"%s (life %d) went from version %d of %v back to %d", f.Process, f.Incarnation, highest[at], f.Item, f.Version)})
+				"%s (incarnation %d) went from version %d of %v back to %d", f.Process, f.Incarnation, highest[at], f.Item, f.Version)})
 		}
 		highest[at] = max(highest[at], f.Version)
 	}
@@ -176,41 +176,44 @@
 }
 
 // StaleReads checks that no fetch and no initial table is older than what was acknowledged before it was asked for, and that no member
-// serves one more than isolated after its last contact with a majority; 0 does not check that.
+// serves one more than isolated after its last contact with a majority. If isolated is 0 the latter is not checked.
 func StaleReads(h *History, isolated time.Duration) (broken []Violation) {
-	standing, contacts := standingVersions(h), inOrder(h.Contacts, func(c Contact) time.Duration { return c.At })
+	acknowledged := acknowledgedVersions(h)
+	contacts := inOrder(h.Contacts, func(c Contact) time.Duration { return c.At })
 	read := func(what string, c Call, member string, versions []ItemVersion) {
 		if c.Outcome != Acknowledged {
 			return
 		}
-		broken = append(broken, standing.older(h, what, c, member, versions)...)
+		broken = append(broken, acknowledged.older(h, what, c, member, versions)...)
 		if lost, cut := withoutMajority(contacts, member, c.Return); cut && isolated > 0 && c.Return-lost > isolated {
 			broken = append(broken, Violation{CheckStaleRead, c.Return, fmt.Sprintf(
-				"%s handed out %s %v after its last contact with a majority", member, what, c.Return-lost)})
+				"%s served %s %v after its last contact with a majority", member, what, c.Return-lost)})
 		}
 	}
 	for _, f := range h.Fetches {
 		read("a fetch", f.Call, f.Member, f.Items)
 	}
 	for _, t := range h.InitialTables {
-		read("a first table", t.Call, t.Member, t.Items)
+		read("an initial table", t.Call, t.Member, t.Items)
 	}
 	return broken
 }
 
-// standing is the acknowledged versions of each item.
-type standing struct {
+// acknowledgements is the acknowledged versions of each item.
+type acknowledgements struct {
 	items   []Item // in a fixed order
 	changes map[Item][]acknowledgement
 }
 
+// acknowledgement is the acknowledgement of a version.
 type acknowledgement struct {
 	at time.Duration
 	ItemVersion
 }
 
-func standingVersions(h *History) standing {
-	s := standing{changes: map[Item][]acknowledgement{}}
+// acknowledgedVersions returns the acknowledged versions of each item.
+func acknowledgedVersions(h *History) acknowledgements {
+	s := acknowledgements{changes: map[Item][]acknowledgement{}}
 	for _, c := range h.Changes {
 		if c.Outcome != Acknowledged {
 			continue
@@ -224,7 +227,7 @@
 }
 
 // older finds items of a read that are older than what was acknowledged before its call. A deleted item may be missing.
-func (s standing) older(h *History, what string, c Call, member string, versions []ItemVersion) (broken []Violation) {
+func (s acknowledgements) older(h *History, what string, c Call, member string, versions []ItemVersion) (broken []Violation) {
 	shown := map[Item]int64{}
 	for _, v := range versions {
 		shown[v.Item] = v.Version
@@ -239,7 +242,7 @@
 		version, found := shown[item]
 		if version < newest.Version && (found || !mayBeDeleted(h, newest, c.Return)) {
 			broken = append(broken, Violation{CheckStaleRead, c.Return, fmt.Sprintf(
-				"%s of %s by %s at %v tells %v at version %d, but %d had been acknowledged",
+				"%s of %s by %s at %v shows %v at version %d, but %d had been acknowledged",
 				what, c.Process, member, c.Begin, item, version, newest.Version)})
 		}
 	}
