--- a/internal/mesh/sim/disk.go
+++ b/internal/mesh/sim/disk.go
@@ -39,27 +39,32 @@
 
 // disk is the storage of a replica. A write that has returned is durable, unless a mutation of the run breaks that.
 type disk interface {
-	read() (held raft.StoredState, state diskState, err error)
+	// read returns what the disk holds.
+	read() (stored raft.StoredState, state diskState, err error)
+	// begin writes the first state of a member to a disk that holds none.
 	begin(self raft.ID, snapshot raft.Snapshot) error
+	// save and compact are those of replica.Environment, but fail if the disk is full.
 	save(ready raft.Ready, last uint64) error
 	compact(snapshot raft.Snapshot, kept uint64) error
 	// crash ends the process, with or without a loss of power. inFlight is the write that was not completed, or nil.
-	crash(random *rand.Rand, under *diskWrite, power bool)
+	crash(random *rand.Rand, inFlight *diskWrite, power bool)
 	// sync makes writes durable that a mutation has left unsynced.
 	sync()
+	// setFull makes writes fail, or ends that.
 	setFull(full bool)
-	// term returns the term of a durable entry. known is false if a snapshot covers the entry.
-	term(index uint64) (term uint64, known, held bool)
+	// term returns the term of a durable entry. known is false if a snapshot covers the entry, and isStored is false if the disk does
+	// not hold it.
+	term(index uint64) (term uint64, known, isStored bool)
 }
 
 // memoryDisk simulates a disk by records in memory. It belongs to one World.
 type memoryDisk struct {
-	synced      raft.StoredState
-	written     raft.StoredState // including unsynced writes; differs from synced only by a mutation
-	initialized bool
-	full        bool
-	// Mutations: writes are not synced when they return; term and vote never are.
-	deferred, hardUnsynced bool
+	synced       raft.StoredState
+	written      raft.StoredState // including unsynced writes; differs from synced only by a mutation
+	initialized  bool
+	full         bool
+	deferred     bool // a mutation: writes are not synced when they return
+	hardUnsynced bool // a mutation: term and vote are never synced
 }
 
 func (d *memoryDisk) read() (raft.StoredState, diskState, error) {
@@ -76,7 +81,8 @@
 		return errDiskFull
 	}
 	d.written = raft.StoredState{Self: self, Snapshot: s}
-	d.synced, d.initialized = d.written, true
+	d.synced = d.written
+	d.initialized = true
 	return nil
 }
 
@@ -124,8 +130,8 @@
 	h := d.written
 	if s.Index > h.Snapshot.Index {
 		covered := s.Index - h.Snapshot.Index
-		tail := append(slices.Clone(h.CatchUpEntries), h.Entries[:covered]...)
-		h.CatchUpEntries = slices.DeleteFunc(tail, func(e raft.Entry) bool { return e.Index < kept })
+		catchUp := append(slices.Clone(h.CatchUpEntries), h.Entries[:covered]...)
+		h.CatchUpEntries = slices.DeleteFunc(catchUp, func(e raft.Entry) bool { return e.Index < kept })
 		h.Entries = slices.Clone(h.Entries[covered:])
 		h.Snapshot = s
 	}
@@ -134,9 +140,9 @@
 	return nil
 }
 
-func (d *memoryDisk) crash(random *rand.Rand, under *diskWrite, power bool) {
-	if under != nil && random.IntN(2) == 0 { // the write was complete, or did not begin
-		d.written = withReady(d.written, under.ready)
+func (d *memoryDisk) crash(random *rand.Rand, inFlight *diskWrite, power bool) {
+	if inFlight != nil && random.IntN(2) == 0 { // the write was complete, or did not begin
+		d.written = withReady(d.written, inFlight.ready)
 		if !d.deferred {
 			d.sync()
 		}
@@ -152,7 +158,7 @@
 
 func (d *memoryDisk) setFull(full bool) { d.full = full }
 
-func (d *memoryDisk) term(index uint64) (term uint64, known, held bool) {
+func (d *memoryDisk) term(index uint64) (term uint64, known, isStored bool) {
 	if !d.initialized {
 		return 0, false, false
 	}
--- a/internal/mesh/sim/disk/disk.go
+++ b/internal/mesh/sim/disk/disk.go
@@ -37,7 +37,7 @@
 // Access is one access to the disk.
 type Access struct {
 	Kind  AccessKind
-	File  string // "": the folder
+	File  string // or "" for the folder
 	Bytes int    // that are written or read
 }
 
@@ -51,7 +51,7 @@
 	readErrors  bool
 	ignoreSyncs bool // syncs are acknowledged and not done
 
-	onAccess func(Access) // set while the disk is not in use; nil: none
+	onAccess func(Access) // set while the disk is not in use; may be nil
 }
 
 // New returns an empty disk.
@@ -121,7 +121,7 @@
 }
 
 // LosePower ends the process, and what was not synced is kept, lost or torn by chance. modes are the ways in which the first write to a
-// file that is not kept as it was may be torn; none: Truncated, ZeroFilled and SectorsLost.
+// file that is not kept as it was may be torn; without any they are Truncated, ZeroFilled and SectorsLost.
 func (d *Disk) LosePower(rng *rand.Rand, modes ...TearMode) {
 	if len(modes) == 0 {
 		modes = []TearMode{Truncated, ZeroFilled, SectorsLost}
@@ -145,7 +145,7 @@
 	d.locked = false
 }
 
-// FlipBit flips one bit of one file that is not empty, synced or not. ok: there was such a file.
+// FlipBit flips one bit of one file that is not empty, synced or not. ok is false if there is no such file.
 func (d *Disk) FlipBit(rng *rand.Rand) (name string, at int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/mesh/sim/disk/folder.go
+++ b/internal/mesh/sim/disk/folder.go
@@ -14,7 +14,7 @@
 	unsynced []nameChange     // what was done since then
 }
 
-// nameChange is one change of names: file gets the name to and loses the name from. One of the names may be "": none.
+// nameChange is one change of names: file gets the name to and loses the name from. One of the two is "" if there is no such name.
 type nameChange struct {
 	file     *file
 	from, to string
@@ -72,7 +72,7 @@
 	f.unsynced = nil
 }
 
-// losePower keeps or loses each unsynced change of names by itself, and modes the files that are left.
+// losePower keeps or loses each unsynced change of names by itself, and tears the files that are left in one of the modes.
 func (f *folder) losePower(rng *rand.Rand, modes []TearMode) {
 	for _, n := range f.unsynced {
 		if rng.IntN(2) == 0 {
--- a/internal/mesh/sim/faults.go
+++ b/internal/mesh/sim/faults.go
@@ -22,14 +22,15 @@
 		}
 	case FaultSpare:
 		h := w.newReplica(nil, false)
-		h.seeds, h.spare = w.replicaAddresses(), true
+		h.seeds = w.replicaAddresses()
+		h.spare = true
 		h.start()
 	case FaultSlowNetwork:
 		extra := time.Duration(f.Count) * time.Millisecond
 		w.network.extra += extra
 		w.after(f.Duration, func() { w.network.extra -= extra })
 	case FaultDisorder:
-		w.network.disorder = float64(f.Count) / 100
+		w.network.disorder = float64(f.Count) / 100 // Count is in percent
 		w.after(f.Duration, func() { w.network.disorder = 0 })
 	case FaultChangeBurst:
 		for _, o := range w.operators {
@@ -74,6 +75,7 @@
 	w.observer.recovering()
 }
 
+// sidecarNamed returns the sidecar with a name, or nil.
 func (w *World) sidecarNamed(name string) *sidecar {
 	for _, s := range w.sidecars {
 		if s.name == name {
@@ -125,8 +127,10 @@
 	return nil
 }
 
+// votes reports whether a replica is a voter of the latest committed configuration.
 func (o *observer) votes(h *replicaHost) bool {
-	return slices.ContainsFunc(slices.Concat(o.voters.members, o.voters.outgoing), func(m raft.Member) bool { return o.holder(m.ID) == h })
+	voters := slices.Concat(o.voters.members, o.voters.outgoing)
+	return slices.ContainsFunc(voters, func(m raft.Member) bool { return o.holder(m.ID) == h })
 }
 
 // replicaFault begins a fault of one replica.
@@ -257,7 +261,7 @@
 
 // reset resets all connections of a process.
 func (w *World) reset(p *process) {
-	for _, e := range append([]*side(nil), p.connections...) {
+	for _, e := range slices.Clone(p.connections) {
 		peer := e.peer
 		e.lose()
 		peer.lose()
@@ -288,12 +292,16 @@
 	})
 }
 
+// peers returns the processes other than p that Fault.Peers names.
 func (w *World) peers(p *process, which string) (l []*process) {
 	for _, o := range w.processes {
 		isReplica := strings.HasPrefix(o.name, "replica")
 		switch {
 		case o == p:
-		case which == "" || which == PeersAll, which == PeersReplicas && isReplica, which == PeersClients && !isReplica, which == o.name:
+		case which == "" || which == PeersAll,
+			which == PeersReplicas && isReplica,
+			which == PeersClients && !isReplica,
+			which == o.name:
 			l = append(l, o)
 		}
 	}
--- a/internal/mesh/sim/generate.go
+++ b/internal/mesh/sim/generate.go
@@ -15,12 +15,16 @@
 	minFaultDuration = 20 * time.Millisecond
 )
 
+// planStream is the PCG stream of plans.
+const planStream = 0xfa17
+
 // weighted is a kind of fault and its relative frequency.
 type weighted struct {
 	kind   FaultKind
 	weight int
 }
 
+// replicaFaults is the kinds of faults of replicas.
 var replicaFaults = []weighted{
 	{FaultCut, 6},
 	{FaultCutInbound, 3},
@@ -41,13 +45,15 @@
 	{FaultChangeBurst, 2},
 }
 
+// targets is what a fault of a replica may name. The leader is there twice, so that it is hit more often.
 var targets = []string{RoleLeader, RoleLeader, RoleFollower, RoleLast, RoleJoiner, "replica1", "replica2", "replica3"}
 
+// sidecarFaults is the kinds of faults of sidecars.
 var sidecarFaults = []FaultKind{FaultCut, FaultCutInbound, FaultCutOutbound, FaultReset, FaultKill, FaultFreeze}
 
 // Generate returns the random plan of a seed.
 func Generate(seed uint64) Plan {
-	random := rand.New(rand.NewPCG(seed, 0xfa17))
+	random := rand.New(rand.NewPCG(seed, planStream))
 	var p Plan
 	for range 2 + random.IntN(maxFaults-1) {
 		p = append(p, generateFault(random))
@@ -55,6 +61,7 @@
 	return p
 }
 
+// generateFault draws one fault.
 func generateFault(random *rand.Rand) Fault {
 	between := func(shortest, longest time.Duration) time.Duration {
 		d := shortest + time.Duration(random.Int64N(int64(longest-shortest)))
--- a/internal/mesh/sim/items.go
+++ b/internal/mesh/sim/items.go
@@ -12,9 +12,21 @@
 // itemNames is the number of services that operators configure. It is small, so that changes conflict.
 const itemNames = 6
 
+// Shape of the changes that operators draft.
+const (
+	twoItemShare       = 0.3  // of the changes have two items
+	deletionShare      = 0.1  // of the items are deleted
+	reusedVersionShare = 0.12 // of the items carry a version that was used before
+	maxContent         = 1000
+)
+
 // itemVersion returns an item as histories record it.
 func itemVersion(i config.Item) history.ItemVersion {
-	v := history.ItemVersion{Item: history.Item{Kind: i.Kind.String(), Name: i.Name}, Version: i.Version, Deleted: i.Deleted}
+	v := history.ItemVersion{
+		Item:    history.Item{Kind: i.Kind.String(), Name: i.Name},
+		Version: i.Version,
+		Deleted: i.Deleted,
+	}
 	if !i.Deleted {
 		h := fnv.New32a()
 		h.Write([]byte(i.Host))
@@ -24,6 +36,7 @@
 	return v
 }
 
+// itemVersions returns items as histories record them.
 func itemVersions(items []config.Item) []history.ItemVersion {
 	l := make([]history.ItemVersion, 0, len(items))
 	for _, i := range items {
@@ -45,22 +58,28 @@
 func (w *World) draftModifyRequest() []byte {
 	first := w.random.IntN(itemNames)
 	drafts := []draft{w.draftItem(first)}
-	if w.chance(0.3) {
+	if w.chance(twoItemShare) {
 		drafts = append(drafts, w.draftItem((first+1+w.random.IntN(itemNames-1))%itemNames))
 	}
 	return encodeModifyRequest(drafts)
 }
 
+// draftItem drafts one item, by its number.
 func (w *World) draftItem(n int) draft {
-	d := draft{name: fmt.Sprintf("service%d", n), content: 1 + w.random.IntN(1000), deleted: w.chance(0.1)}
+	d := draft{
+		name:    fmt.Sprintf("service%d", n),
+		content: 1 + w.random.IntN(maxContent),
+		deleted: w.chance(deletionShare),
+	}
 	d.version = w.versions[d.name]
-	if d.version == 0 || !w.chance(0.12) {
+	if d.version == 0 || !w.chance(reusedVersionShare) {
 		d.version++
 		w.versions[d.name] = d.version
 	}
 	return d
 }
 
+// encodeModifyRequest returns the JSON of a request.
 func encodeModifyRequest(drafts []draft) []byte {
 	var upserts, drops []string
 	for _, d := range drafts {
--- a/internal/mesh/sim/link.go
+++ b/internal/mesh/sim/link.go
@@ -14,7 +14,7 @@
 	dialInterval    = 200 * time.Millisecond // between two dials
 	maxQueuedFrames = 32                     // messages that wait while the link is dialled; older ones are dropped
 	redialDelay     = 5 * time.Millisecond   // before the first dial after a connection ended; doubled for each further one
-	maxRedials      = 5
+	maxRedials      = 5                      // in a row since a connection ended
 )
 
 // link is the connection of a replica to another one. It is dialled when there is something to send, and kept.
@@ -40,6 +40,7 @@
 	return l
 }
 
+// connect returns the connection. If there is none it returns nil, and starts a dial unless one is in progress or has only just failed.
 func (l *link) connect() *side {
 	if l.side != nil && l.side.open {
 		return l.side
@@ -47,17 +48,23 @@
 	h := l.host
 	if !l.dialing && h.now() >= l.noDialBefore {
 		l.dialing = true
-		hello := &wire.HelloT{Name: h.name, Addr: h.address, ControlPlane: true, MemberId: uint64(h.replica.Self().ID)}
+		hello := &wire.HelloT{
+			Name:         h.name,
+			Addr:         h.address,
+			ControlPlane: true,
+			MemberId:     uint64(h.replica.Self().ID),
+		}
 		h.world.network.dial(h.process, l.address, hello, l.dialed)
 	}
 	return nil
 }
 
+// dialed handles the end of a dial: e is the connection, or nil if there is none. refused says that no process listens at the address.
 func (l *link) dialed(e *side, refused bool) {
 	h := l.host
 	l.dialing = false
 	l.noDialBefore = h.now() + dialInterval
-	held := l.queue
+	queued := l.queue
 	l.queue = nil
 	if e == nil {
 		if refused {
@@ -77,7 +84,7 @@
 		l.calls.fail()
 		l.ended(h.now() - began)
 	}
-	for _, frame := range held {
+	for _, frame := range queued {
 		e.sendFrame(frame)
 	}
 	e.send(directory.ToWire(h.replica.Records().All()))
@@ -128,6 +135,7 @@
 	l.enqueue(frame)
 }
 
+// enqueue queues a frame until the dial in progress has ended.
 func (l *link) enqueue(frame []byte) {
 	if !l.dialing {
 		return
@@ -138,6 +146,7 @@
 	l.queue = append(l.queue, frame)
 }
 
+// call calls the replica at the other end.
 func (l *link) call(kind byte, body []byte, done func(replica.Reply)) {
 	e := l.connect()
 	if e == nil {
@@ -153,6 +162,7 @@
 	open []*pendingCall
 }
 
+// pendingCall is a call without a reply.
 type pendingCall struct {
 	id   uint64
 	done func(replica.Reply)
@@ -171,6 +181,7 @@
 	})
 }
 
+// take removes a call and returns it, or nil if it has ended.
 func (a *pendingCalls) take(id uint64) *pendingCall {
 	for i, x := range a.open {
 		if x.id == id {
@@ -181,6 +192,7 @@
 	return nil
 }
 
+// reply ends the call that a reply is for.
 func (a *pendingCalls) reply(t *wire.CallReplyT) {
 	if x := a.take(t.Id); x != nil {
 		x.done(replica.Reply{Status: int(t.Status), Body: t.Body})
--- a/internal/mesh/sim/network.go
+++ b/internal/mesh/sim/network.go
@@ -11,17 +11,23 @@
 // Times of connections, equal to those of package transport.
 const (
 	heartbeatInterval = 300 * time.Millisecond
-	silenceTimeout    = 1200 * time.Millisecond
+	silenceTimeout    = 1200 * time.Millisecond // after which a side counts its peer as gone
 	dialTimeout       = 400 * time.Millisecond
 )
 
+// Disorder of consensus messages.
+const (
+	lossShare        = 1 / 3.0                // of the affected messages are lost
+	duplicateShare   = 0.3                    // of those that are not lost are repeated
+	maxDisorderDelay = 300 * time.Millisecond // of those that are not lost
+)
+
 // Delays of messages while there is no fault.
 const (
 	minDelay  = 100 * time.Microsecond
 	maxDelay  = 2 * time.Millisecond
 	lateDelay = 30 * time.Millisecond // of the share of late messages
 	lateShare = 0.01
-	dupeShare = 0.3 // of the messages that disorder affects and does not lose
 )
 
 // network is the links between all processes. As with TCP, a connection keeps the order of messages, loses them only when it is lost
@@ -35,13 +41,16 @@
 	held     []heldMessage
 }
 
+// direction is one direction of the link between two processes.
 type direction struct{ from, to *process }
 
+// heldMessage is a message that waits until a cut is healed.
 type heldMessage struct {
 	direction
 	deliver func()
 }
 
+// cut cuts a direction. Several faults may do so at once.
 func (n *network) cut(from, to *process) {
 	if n.cuts == nil {
 		n.cuts = map[direction]int{}
@@ -49,6 +58,7 @@
 	n.cuts[direction{from, to}]++
 }
 
+// heal ends one cut of a direction. After the last one, what waits is delivered.
 func (n *network) heal(from, to *process) {
 	d := direction{from, to}
 	if n.cuts[d]--; n.cuts[d] > 0 {
@@ -66,8 +76,10 @@
 	n.held = rest
 }
 
+// open reports whether messages pass in a direction.
 func (n *network) open(from, to *process) bool { return n.cuts[direction{from, to}] == 0 }
 
+// delay draws the delay of one message.
 func (n *network) delay() time.Duration {
 	w := n.world
 	if w.chance(lateShare) {
@@ -141,7 +153,7 @@
 		n.carry(host.process, from, n.delay(), func() {
 			if finished || from.incarnation != incarnation || !from.up {
 				near.open = false
-				near.tellPeer()
+				near.notifyPeer()
 				return
 			}
 			from.connections = append(from.connections, near)
@@ -154,6 +166,7 @@
 // send sends a message to the other side, in order.
 func (e *side) send(message any) { e.sendFrame(codec.Encode(message)) }
 
+// sendFrame sends a frame to the other side, in order.
 func (e *side) sendFrame(frame []byte) {
 	if !e.open || !e.process.up {
 		return
@@ -176,16 +189,17 @@
 		e.sendFrame(frame)
 		return
 	}
-	if w.chance(1 / 3.0) {
+	if w.chance(lossShare) {
 		w.trace("lost", e.process.name, e.peer.process.name, frame)
 		return
 	}
-	e.transmit(n, frame, n.delay()+w.between(0, 300*time.Millisecond))
-	if w.chance(dupeShare) {
-		e.transmit(n, frame, n.delay()+w.between(0, 300*time.Millisecond))
+	e.transmit(n, frame, n.delay()+w.between(0, maxDisorderDelay))
+	if w.chance(duplicateShare) {
+		e.transmit(n, frame, n.delay()+w.between(0, maxDisorderDelay))
 	}
 }
 
+// transmit has a frame arrive at the other side after a delay.
 func (e *side) transmit(n *network, frame []byte, delay time.Duration) {
 	peer := e.peer
 	n.carry(e.process, peer.process, delay, func() { peer.arrive(frame) })
@@ -195,14 +209,14 @@
 func (e *side) arrive(frame []byte) {
 	if !e.open {
 		if e.process.up { // a running machine resets a connection that it does not know
-			e.tellPeer()
+			e.notifyPeer()
 		}
 		return
 	}
 	w := e.process.world
 	e.lastHeard = w.now
 	w.trace("frame", e.peer.process.name, e.process.name, frame)
-	m, err := codec.Decode(frame[4:])
+	m, err := codec.Decode(frame[codec.LengthBytes:])
 	if err != nil {
 		panic("sim: a frame that was encoded can't be decoded: " + err.Error())
 	}
@@ -213,13 +227,13 @@
 	})
 }
 
-// close closes the connection on behalf of the process. The other side is told if the link is open.
+// close closes the connection on behalf of the process. The other side is notified if the link is open.
 func (e *side) close() {
 	if !e.open {
 		return
 	}
 	e.vanish()
-	e.tellPeer()
+	e.notifyPeer()
 }
 
 // vanish ends this side without notifying the other one.
@@ -228,8 +242,8 @@
 	e.process.connections = slices.DeleteFunc(e.process.connections, func(o *side) bool { return o == e })
 }
 
-// tellPeer notifies the other side that this one is closed.
-func (e *side) tellPeer() {
+// notifyPeer notifies the other side that this one is closed.
+func (e *side) notifyPeer() {
 	peer := e.peer
 	n := &e.process.world.network
 	n.carry(e.process, peer.process, n.delay(), peer.lose)
@@ -263,11 +277,11 @@
 				e.lose()
 				return
 			}
-			beat := &wire.HeartbeatT{}
+			heartbeat := &wire.HeartbeatT{}
 			if e.heartbeat != nil {
-				beat = e.heartbeat()
+				heartbeat = e.heartbeat()
 			}
-			e.send(beat)
+			e.send(heartbeat)
 		} else {
 			e.lastHeard = w.now // a frozen process receives nothing, which must not count as silence of the peer
 		}
--- a/internal/mesh/sim/observer.go
+++ b/internal/mesh/sim/observer.go
@@ -25,16 +25,15 @@
 
 // observer observes the run from outside the simulated processes and records its history.
 type observer struct {
-	world      *World
-	seen       map[*replicaHost]*observed
-	voters     voterSet // the latest committed one
-	maxTerm    uint64
-	contact    map[*replicaHost]bool
-	target     uint64 // applied index that all replicas have to reach; 0 in the period of faults
-	catching   map[*replicaHost]bool
-	committed  uint64 // highest index that a replica has applied
-	violations []history.Violation
-	lost       []lostDisk
+	world     *World
+	seen      map[*replicaHost]*observed
+	voters    voterSet              // the latest committed one
+	maxTerm   uint64                // the latest term that a replica was seen to lead
+	contact   map[*replicaHost]bool // with a quorum, as it was last recorded
+	target    uint64                // applied index that all replicas have to reach; 0 in the period of faults
+	catching  map[*replicaHost]bool // the replicas that have not reached target yet
+	committed uint64                // highest index that a replica has applied
+	lost      []lostDisk
 }
 
 // lostDisk is a disk that was lost without notice. Acknowledgements from before may still be in flight to the leader, which can't know.
@@ -49,8 +48,9 @@
 
 // observed is the last observed state of a replica.
 type observed struct {
-	incarnation, term uint64
-	pending           []voterSet // configurations in its log that it has not applied yet, in order
+	incarnation uint64
+	term        uint64     // that it was last seen to lead
+	pending     []voterSet // configurations in its log that it has not applied yet, in order
 }
 
 // voterSet is the voters from an index on. While there are outgoing members, majorities of both are needed.
@@ -65,6 +65,7 @@
 	return majority(v.members, counts) && (len(v.outgoing) == 0 || majority(v.outgoing, counts))
 }
 
+// majority reports whether more than half of the members count.
 func majority(members []raft.Member, counts func(raft.ID) bool) bool {
 	n := 0
 	for _, m := range members {
@@ -75,6 +76,7 @@
 	return n > len(members)/2
 }
 
+// ids returns the IDs of members.
 func ids(members []raft.Member) (l []uint64) {
 	for _, m := range members {
 		l = append(l, uint64(m.ID))
@@ -82,9 +84,12 @@
 	return l
 }
 
+// observedOf returns the last observed state of a replica, which is a new one after a start.
 func (o *observer) observedOf(h *replicaHost) *observed {
 	if o.seen == nil {
-		o.seen, o.contact, o.catching = map[*replicaHost]*observed{}, map[*replicaHost]bool{}, map[*replicaHost]bool{}
+		o.seen = map[*replicaHost]*observed{}
+		o.contact = map[*replicaHost]bool{}
+		o.catching = map[*replicaHost]bool{}
 	}
 	s := o.seen[h]
 	if s == nil {
@@ -105,7 +110,11 @@
 	}
 	s.term = h.replica.Term()
 	leader := history.Leader{
-		At: o.world.now, Process: h.name, ID: uint64(h.replica.Self().ID), Term: s.term, LastIndex: h.replica.SavedIndex(),
+		At:        o.world.now,
+		Process:   h.name,
+		ID:        uint64(h.replica.Self().ID),
+		Term:      s.term,
+		LastIndex: h.replica.SavedIndex(),
 	}
 	if s.term < o.maxTerm {
 		leader.LastIndex = 0 // its votes came late: a later leader may have committed more by then
@@ -116,10 +125,10 @@
 }
 
 // started records the state with which a replica starts.
-func (o *observer) started(h *replicaHost, held raft.StoredState) {
+func (o *observer) started(h *replicaHost, stored raft.StoredState) {
 	s := o.observedOf(h)
 	s.pending = nil
-	o.logged(h, raft.Ready{Snapshot: &held.Snapshot, Entries: held.Entries})
+	o.logged(h, raft.Ready{Snapshot: &stored.Snapshot, Entries: stored.Entries})
 }
 
 // logged records what a replica writes to its log.
@@ -146,7 +155,11 @@
 		v := s.pending[0]
 		s.pending = s.pending[1:]
 		o.world.history.Record(history.Members{
-			At: o.world.now, Process: h.name, Index: v.index, Voters: ids(v.members), Outgoing: ids(v.outgoing),
+			At:       o.world.now,
+			Process:  h.name,
+			Index:    v.index,
+			Voters:   ids(v.members),
+			Outgoing: ids(v.outgoing),
 		})
 		if v.index > o.voters.index {
 			o.voters = v
@@ -186,8 +199,8 @@
 		if disk == nil {
 			continue
 		}
-		other, otherKnown, is := disk.term(index)
-		if is && (!known || !otherKnown || term == other) {
+		otherTerm, otherKnown, isStored := disk.term(index)
+		if isStored && (!known || !otherKnown || term == otherTerm) {
 			event.Disks = append(event.Disks, uint64(m.ID))
 		}
 	}
@@ -197,21 +210,22 @@
 // diskOf returns the disk of a member as far as a leader may know, or nil if it is lost. A leader that is frozen or waits for its disk
 // handles the acknowledgements that reached it when it goes on.
 func (o *observer) diskOf(leader *replicaHost, id raft.ID) disk {
-	if held := o.holder(id); held != nil {
-		return held.disk
+	if host := o.holder(id); host != nil {
+		return host.disk
 	}
 	for _, l := range o.lost {
-		heardUntil := l.at + acknowledgementFlightTime + 2*o.world.network.extra
+		lastArrival := l.at + acknowledgementFlightTime + 2*o.world.network.extra
 		if leader.stalledUntil >= l.at {
-			heardUntil = max(heardUntil, leader.stalledUntil+acknowledgementFlightTime)
+			lastArrival = max(lastArrival, leader.stalledUntil+acknowledgementFlightTime)
 		}
-		if l.id == id && o.world.now < heardUntil {
+		if l.id == id && o.world.now < lastArrival {
 			return l.disk
 		}
 	}
 	return nil
 }
 
+// losing records that a disk is about to be lost without notice.
 func (o *observer) losing(h *replicaHost) {
 	o.lost = append(o.lost, lostDisk{h.lastID, o.world.now, h.disk})
 }
@@ -219,8 +233,8 @@
 // canLose reports whether the deployment promises to tolerate the loss of a replica's disk now: a quorum of the voters keep theirs.
 func (o *observer) canLose(h *replicaHost) bool {
 	return o.voters.quorum(func(id raft.ID) bool {
-		held := o.holder(id)
-		return held != nil && held != h && !held.leaving
+		host := o.holder(id)
+		return host != nil && host != h && !host.leaving
 	})
 }
 
@@ -238,6 +252,7 @@
 	}
 }
 
+// reachesQuorum reports whether a replica can exchange messages with a quorum.
 func (o *observer) reachesQuorum(h *replicaHost) bool {
 	return o.voters.quorum(func(id raft.ID) bool {
 		other := o.holder(id)
@@ -245,11 +260,13 @@
 	})
 }
 
+// reach reports whether two replicas can exchange messages.
 func (o *observer) reach(a, b *replicaHost) bool {
 	n := &o.world.network
 	return a.up && b.up && !a.frozen && !b.frozen && (a == b || n.open(a.process, b.process) && n.open(b.process, a.process))
 }
 
+// fault records a fault of a process, and what it changes of contacts.
 func (o *observer) fault(p *process, kind history.FaultKind) {
 	o.world.history.Record(history.Fault{At: o.world.now, Process: p.name, Kind: kind})
 	o.noteContacts()
@@ -272,6 +289,7 @@
 	}
 }
 
+// recordStablePeriod records a period without faults.
 func (o *observer) recordStablePeriod(from, to time.Duration) {
 	o.world.history.Record(history.StablePeriod{From: from, To: to})
 }
@@ -292,7 +310,7 @@
 			violate("%s does not run", h.name)
 			continue
 		case h.replica.QuorumContact() == 0:
-			violate("%s is not in touch", h.name)
+			violate("%s has no quorum contact", h.name)
 		}
 		if h.replica.IsLeader() {
 			leaders++
@@ -312,7 +330,7 @@
 	}
 	for _, s := range w.sidecars {
 		if !s.hasQuorumContact() {
-			violate("%s is not in touch", s.name)
+			violate("%s follows no member with quorum contact", s.name)
 		}
 	}
 	return broken
@@ -323,6 +341,7 @@
 	return bytes.Equal(encodedItems(a), encodedItems(b))
 }
 
+// encodedItems returns the configuration of a replica, encoded.
 func encodedItems(r *replica.Replica) []byte {
 	return codec.EncodeTable(config.ItemsToWire(r.State().Items.Items()))
 }
--- a/internal/mesh/sim/operator.go
+++ b/internal/mesh/sim/operator.go
@@ -15,13 +15,13 @@
 const (
 	maxOpenChanges      = 8
 	operatorCallTimeout = time.Second
-	maxAttempts         = 40
-	minPause            = 50 * time.Millisecond // between two attempts
-	maxPause            = 250 * time.Millisecond
+	maxAttempts         = 40                     // of one change
+	minPause            = 50 * time.Millisecond  // between two attempts
+	maxPause            = 250 * time.Millisecond // between two attempts
 	meanChangeInterval  = 300 * time.Millisecond // on average
 	meanFetchInterval   = 400 * time.Millisecond
 	repeatShare         = 0.15 // of the acknowledged changes are sent again
-	maxRepeats          = 2
+	maxRepeats          = 2    // of one change
 )
 
 // operator changes the configuration, with maxOpenChanges changes in flight at most, and reads it. A change whose answer is lost is
@@ -43,14 +43,17 @@
 	last     string // member of the last attempt
 }
 
+// newOperator returns an operator that has not begun.
 func newOperator(w *World, name string) *operator { return &operator{process: w.newProcess(name, "")} }
 
+// begin starts the operator.
 func (o *operator) begin() {
 	o.beginIncarnation()
 	o.changeLoop()
 	o.fetchLoop()
 }
 
+// changeLoop begins a change from time to time.
 func (o *operator) changeLoop() {
 	o.after(o.world.between(meanChangeInterval/10, 2*meanChangeInterval), func() {
 		if o.stopped {
@@ -72,6 +75,7 @@
 	}
 }
 
+// newChange drafts a change and sends it.
 func (o *operator) newChange() {
 	w := o.world
 	body := w.draftModifyRequest()
@@ -80,9 +84,14 @@
 		panic("sim: an operator has drafted an invalid call: " + err.Error())
 	}
 	o.inFlight++
-	o.try(&changeRequest{id: fmt.Sprintf("%s-%d", o.name, w.id()), body: body, items: itemVersions(items)})
+	o.try(&changeRequest{
+		id:    fmt.Sprintf("%s-%d", o.name, w.id()),
+		body:  body,
+		items: itemVersions(items),
+	})
 }
 
+// finished handles the last outcome of a change. Some acknowledged changes are sent again, as by a client that has lost the answer.
 func (o *operator) finished(change *changeRequest, outcome history.Outcome) {
 	w := o.world
 	if outcome == history.Acknowledged && change.repeats < maxRepeats && w.chance(repeatShare) {
@@ -109,9 +118,12 @@
 			outcome = history.Refused
 		}
 		o.world.history.Record(history.Change{
-			Call: o.callSince(begun, outcome), ChangeID: change.id, Member: o.world.memberName(member), Items: change.items,
+			Call:     o.callSince(begun, outcome),
+			ChangeID: change.id,
+			Member:   o.world.memberName(member),
+			Items:    change.items,
 		})
-		o.world.trace("order", change.id, member, []byte(outcome))
+		o.world.trace("change", change.id, member, []byte(outcome))
 		if outcome == history.Unknown && change.attempts < maxAttempts {
 			o.after(o.world.between(minPause, maxPause), func() { o.try(change) })
 			return
--- a/internal/mesh/sim/plan.go
+++ b/internal/mesh/sim/plan.go
@@ -17,29 +17,46 @@
 // Kinds of faults. Target and Peers name processes, or roles and groups that are resolved when the fault begins. Unless said otherwise
 // a fault ends after Duration.
 const (
-	FaultCut          FaultKind = "cut"     // no message passes between Target and Peers
-	FaultCutInbound   FaultKind = "cut-in"  // no message reaches Target from Peers
-	FaultCutOutbound  FaultKind = "cut-out" // no message from Target reaches Peers
-	FaultReset        FaultKind = "reset"   // all connections of Target are reset
-	FaultKill         FaultKind = "kill"    // the process ends, and starts again after Duration
-	FaultPowerLoss    FaultKind = "power"   // the machine loses power, and starts again after Duration
-	FaultPowerLossAll FaultKind = "power-all"
-	FaultWipe         FaultKind = "wipe"    // the disk is lost, and the process starts again after Duration
-	FaultReplace      FaultKind = "replace" // the machine is lost for good; after Duration another one takes its place, at another address
-	FaultLeave        FaultKind = "leave"   // the process is told to shut down; after Duration another machine takes its place
-	FaultSpare        FaultKind = "spare"   // one more machine starts; it takes the place of the next that leaves
-	FaultFreeze       FaultKind = "freeze"  // the process stops; its clock goes on
-	FaultSuspend      FaultKind = "suspend" // the machine stops, and its clock
-	FaultDiskStall    FaultKind = "stall"   // the disk does not finish any write
-	FaultDiskFull     FaultKind = "full"    // the disk has no space
-	FaultSlowNetwork  FaultKind = "slow"    // every message takes Count more milliseconds
-	FaultDisorder     FaultKind = "disorder"
-	FaultChangeBurst  FaultKind = "orders" // Target, an operator, sends Count changes as fast as they are accepted
+	FaultCut          FaultKind = "cut"       // no message passes between Target and Peers
+	FaultCutInbound   FaultKind = "cut-in"    // no message reaches Target from Peers
+	FaultCutOutbound  FaultKind = "cut-out"   // no message from Target reaches Peers
+	FaultReset        FaultKind = "reset"     // all connections of Target are reset
+	FaultKill         FaultKind = "kill"      // the process ends, and starts again after Duration
+	FaultPowerLoss    FaultKind = "power"     // the machine loses power, and starts again after Duration
+	FaultPowerLossAll FaultKind = "power-all" // the same, for all machines of replicas
+	FaultWipe         FaultKind = "wipe"      // the disk is lost, and the process starts again after Duration
+	FaultReplace      FaultKind = "replace"   // the machine is lost for good; after Duration another one takes its place, at another address
+	FaultLeave        FaultKind = "leave"     // the process shuts down by itself; after Duration another machine takes its place
+	FaultSpare        FaultKind = "spare"     // one more machine starts; it takes the place of the next that leaves
+	FaultFreeze       FaultKind = "freeze"    // the process stops; its clock goes on
+	FaultSuspend      FaultKind = "suspend"   // the machine stops, and its clock
+	FaultDiskStall    FaultKind = "stall"     // the disk does not finish any write
+	FaultDiskFull     FaultKind = "full"      // the disk has no space
+	FaultSlowNetwork  FaultKind = "slow"      // every message takes Count more milliseconds
+	FaultDisorder     FaultKind = "disorder"  // Count percent of the consensus messages are lost, repeated or late
+	FaultChangeBurst  FaultKind = "orders"    // Target, an operator, sends Count changes as fast as they are accepted
 )
 
+// kinds is all kinds of faults that a plan may name.
 var kinds = []FaultKind{
-	FaultCut, FaultCutInbound, FaultCutOutbound, FaultReset, FaultKill, FaultPowerLoss, FaultPowerLossAll, FaultWipe, FaultReplace, FaultLeave,
-	FaultSpare, FaultFreeze, FaultSuspend, FaultDiskStall, FaultDiskFull, FaultSlowNetwork, FaultDisorder, FaultChangeBurst,
+	FaultCut,
+	FaultCutInbound,
+	FaultCutOutbound,
+	FaultReset,
+	FaultKill,
+	FaultPowerLoss,
+	FaultPowerLossAll,
+	FaultWipe,
+	FaultReplace,
+	FaultLeave,
+	FaultSpare,
+	FaultFreeze,
+	FaultSuspend,
+	FaultDiskStall,
+	FaultDiskFull,
+	FaultSlowNetwork,
+	FaultDisorder,
+	FaultChangeBurst,
 }
 
 // Roles that a Target may name.
@@ -133,6 +150,7 @@
 	return o, seeded, err
 }
 
+// parseField reads one option of a run.
 func (o *Options) parseField(field string) (err error) {
 	name, value, _ := strings.Cut(field, "=")
 	switch name {
@@ -182,6 +200,7 @@
 	return p, nil
 }
 
+// parseFault reads the fields of one fault.
 func parseFault(fields []string) (f Fault, err error) {
 	for _, field := range fields {
 		name, value, is := strings.Cut(field, "=")
--- a/internal/mesh/sim/process.go
+++ b/internal/mesh/sim/process.go
@@ -1,6 +1,7 @@
 package sim
 
 import (
+	"slices"
 	"time"
 
 	"cranegrade/internal/mesh/history"
@@ -20,9 +21,9 @@
 	removed     bool // removed for good
 	poweredOff  bool // its machine has no power
 	frozen      bool
-	busy        bool
-	waiting     []func()
-	settle      func() // called after each batch of events
+	busy        bool     // it waits for its disk
+	waiting     []func() // events to handle once it is neither frozen nor busy
+	settle      func()   // called after each batch of events
 	clock       clock
 	connections []*side // open connections
 }
@@ -35,6 +36,7 @@
 	stopped bool
 }
 
+// now returns what the clock shows at a time of the world.
 func (c *clock) now(world time.Duration) time.Duration {
 	if c.stopped {
 		return c.shown
@@ -43,10 +45,20 @@
 	return c.shown + passed + passed*time.Duration(c.drift)/1e6
 }
 
-// stop stops the clock, and run starts it again.
-func (c *clock) stop(world time.Duration) { c.shown, c.at, c.stopped = c.now(world), world, true }
-func (c *clock) run(world time.Duration)  { c.at, c.stopped = world, false }
+// stop stops the clock.
+func (c *clock) stop(world time.Duration) {
+	c.shown = c.now(world)
+	c.at = world
+	c.stopped = true
+}
+
+// run starts the clock again.
+func (c *clock) run(world time.Duration) {
+	c.at = world
+	c.stopped = false
+}
 
+// newProcess returns a process that was not started.
 func (w *World) newProcess(name, address string) *process {
 	p := &process{world: w, name: name, address: address, settle: func() {}}
 	p.clock.drift = w.random.Int64N(2*maxDrift+1) - maxDrift
@@ -60,14 +72,27 @@
 // beginIncarnation starts the process.
 func (p *process) beginIncarnation() {
 	p.incarnation++
-	p.up, p.poweredOff, p.frozen, p.busy, p.waiting = true, false, false, false, nil
-	p.clock.at, p.clock.shown, p.clock.stopped = p.world.now, p.world.between(0, time.Second), false
+	p.up = true
+	p.poweredOff = false
+	p.discardEvents()
+	p.clock.at = p.world.now
+	p.clock.shown = p.world.between(0, time.Second)
+	p.clock.stopped = false
+}
+
+// discardEvents discards the events that wait, and what they wait for.
+func (p *process) discardEvents() {
+	p.frozen = false
+	p.busy = false
+	p.waiting = nil
 }
 
-// endIncarnation ends the process. If clean, the machine goes on and closes its connections; otherwise the peers are told nothing.
+// endIncarnation ends the process. If clean, the machine goes on and closes its connections; otherwise the peers are not notified.
 func (p *process) endIncarnation(clean bool) {
-	p.up, p.poweredOff, p.frozen, p.busy, p.waiting = false, !clean, false, false, nil
-	for _, e := range append([]*side(nil), p.connections...) {
+	p.up = false
+	p.poweredOff = !clean
+	p.discardEvents()
+	for _, e := range slices.Clone(p.connections) {
 		if clean {
 			e.close()
 		} else {
@@ -133,6 +158,7 @@
 	}
 }
 
+// thaw ends a freeze or suspension, and handles the events that wait.
 func (p *process) thaw() {
 	if !p.frozen {
 		return
--- a/internal/mesh/sim/replica_host.go
+++ b/internal/mesh/sim/replica_host.go
@@ -20,46 +20,52 @@
 
 // Durations of operations of the process around a replica.
 const (
-	minWrite          = 300 * time.Microsecond
-	maxWrite          = 4 * time.Millisecond
-	fullRetry         = 100 * time.Millisecond
+	minWrite          = 300 * time.Microsecond // that a write and its sync take
+	maxWrite          = 4 * time.Millisecond   // that a write and its sync take
+	fullRetry         = 100 * time.Millisecond // between two attempts at a write that fails
 	mutationSyncDelay = 200 * time.Millisecond // until a write is synced that a mutation has left unsynced
-	minShutdownTime   = 400 * time.Millisecond // for which a replica that is told to shut down goes on at least, as in package controlplane
-	maxShutdownTime   = 2 * time.Second        // and at most
-	faultsTolerated   = 1                      // machines that may be lost at once, as the deployment is told
+	minShutdownTime   = 400 * time.Millisecond // that a shutdown takes at least, as in package controlplane
+	maxShutdownTime   = 2 * time.Second        // that a shutdown takes at most
+	faultsTolerated   = 1                      // machines that may be lost at once, as the settings of the deployment say
 )
 
 // replicaHost simulates the process around a replica: the machine, its disk and its connections. It is the replica's environment.
 type replicaHost struct {
 	*process
 	seeds    []string
-	founder  bool
+	founder  bool // it is one of the members of the bootstrap
 	disk     disk
-	replica  *replica.Replica
-	links    map[string]*link
-	linkList []*link // links in the order in which they were created
+	replica  *replica.Replica // nil while the process does not run
+	links    map[string]*link // by address
+	linkList []*link          // links in the order in which they were created
 	sidecars []*side
-	write    *diskWrite // in flight; nil if there is none
+	write    *diskWrite // in flight, or nil
 	stalled  bool       // the disk does not finish writes
-	// stoodUntil is when the process last went on after it was frozen or waited for its disk for long.
+	// stalledUntil is when the process last went on after it was frozen or waited for its disk for long.
 	stalledUntil time.Duration
-	lastID       raft.ID
-	leaving      bool
-	spare        bool // takes the place of the next machine that leaves
+	lastID       raft.ID // the member that its disk is of, or 0
+	leaving      bool    // it shuts down for good
+	spare        bool    // takes the place of the next machine that leaves
 }
 
+// replicaAddress returns the address of a replica by its number, from 0.
 func replicaAddress(n int) string { return fmt.Sprintf("10.0.0.%d:7000", n+1) }
 
+// newReplica adds a machine with an empty disk, whose process was not started.
 func (w *World) newReplica(seeds []string, founder bool) *replicaHost {
 	n := len(w.replicas)
 	h := &replicaHost{
-		process: w.newProcess(fmt.Sprintf("replica%d", n+1), replicaAddress(n)), seeds: seeds, founder: founder, disk: w.newDisk(),
+		process: w.newProcess(fmt.Sprintf("replica%d", n+1), replicaAddress(n)),
+		seeds:   seeds,
+		founder: founder,
+		disk:    w.newDisk(),
 	}
 	h.settle = h.settleReplica
 	w.replicas = append(w.replicas, h)
 	return h
 }
 
+// newDisk returns an empty disk of the kind of the run.
 func (w *World) newDisk() disk {
 	mutations := w.options.Mutations
 	if w.options.Disk == StorageDisk {
@@ -84,7 +90,7 @@
 	if h.up || h.removed || h.leaving {
 		return
 	}
-	held, state, err := h.disk.read()
+	stored, state, err := h.disk.read()
 	if err != nil {
 		w.trace("unreadable", h.name, err.Error(), nil)
 		w.after(fullRetry, h.start)
@@ -92,23 +98,27 @@
 	}
 	if state != diskHolds {
 		w.trace("empty", h.name, "", []byte{byte(state)})
-		held = replica.Bootstrap{
-			Address: h.address, Seeds: h.seeds, FirstStart: h.founder, Damaged: state == diskDamaged, NewID: raft.ID(w.random.Uint64() &^ 1),
-		}.InitialState()
-		if w.options.Mutations.IdentityAfterWipe && h.lastID != 0 {
-			held = raft.StoredState{Self: h.lastID, Snapshot: held.Snapshot}
-		}
-		if h.disk.begin(held.Self, held.Snapshot) != nil {
+		stored = h.initialState(state)
+		if h.disk.begin(stored.Self, stored.Snapshot) != nil {
 			w.after(fullRetry, h.start)
 			return
 		}
 	}
-	h.lastID = held.Self
+	h.lastID = stored.Self
 	h.beginIncarnation()
-	h.links, h.linkList, h.sidecars, h.write = map[string]*link{}, nil, nil, nil
+	h.links = map[string]*link{}
+	h.linkList = nil
+	h.sidecars = nil
+	h.write = nil
 	h.replica, err = replica.New(replica.Config{
-		Address: h.address, Stored: held, Seeds: h.seeds, FaultsTolerated: faultsTolerated, RandomSeed: w.random.Uint64(),
-		CompactionThreshold: w.options.CompactAt, TailEntries: w.options.CompactAt / 2, Log: zerolog.Nop(),
+		Address:             h.address,
+		Stored:              stored,
+		Seeds:               h.seeds,
+		FaultsTolerated:     faultsTolerated,
+		RandomSeed:          w.random.Uint64(),
+		CompactionThreshold: w.options.CompactAt,
+		TailEntries:         w.options.CompactAt / 2,
+		Log:                 zerolog.Nop(),
 	}, h, h.now())
 	if err != nil {
 		panic("sim: " + err.Error())
@@ -117,11 +127,28 @@
 		h.replica.State().KeyLeases = idempotency.New()
 	}
 	w.trace("start", h.name, "", nil)
-	w.observer.started(h, held)
+	w.observer.started(h, stored)
 	w.observer.noteContacts()
 	h.tick()
 }
 
+// initialState returns the state to write to a disk that holds none.
+func (h *replicaHost) initialState(state diskState) raft.StoredState {
+	w := h.world
+	initial := replica.Bootstrap{
+		Address:    h.address,
+		Seeds:      h.seeds,
+		FirstStart: h.founder,
+		Damaged:    state == diskDamaged,
+		NewID:      raft.ID(w.random.Uint64() &^ 1),
+	}.InitialState()
+	if w.options.Mutations.IdentityAfterWipe && h.lastID != 0 {
+		return raft.StoredState{Self: h.lastID, Snapshot: initial.Snapshot}
+	}
+	return initial
+}
+
+// tick calls the replica's Tick, now and then after each TickInterval.
 func (h *replicaHost) tick() {
 	h.after(replica.TickInterval, func() {
 		h.replica.Tick(h.now())
@@ -129,50 +156,50 @@
 	})
 }
 
-// settleReplica has the replica carry out its actions, and waits if it has to wait for its disk.
+// settleReplica has the replica process what is ready, and waits if it has to wait for its disk.
 func (h *replicaHost) settleReplica() {
 	h.world.observer.beforeTurn(h)
 	h.busy = !h.replica.ProcessReady()
 	h.world.observer.afterTurn(h)
 }
 
-// stop ends the process. With a loss of power, what the disk has not synced may be lost and the peers are told nothing.
+// stop ends the process. With a loss of power, what the disk has not synced may be lost and the peers are not notified.
 func (h *replicaHost) stop(power bool) {
 	if !h.up {
 		return
 	}
-	under := h.write
-	if under != nil && under.done {
-		under = nil
+	inFlight := h.write
+	if inFlight != nil && inFlight.done {
+		inFlight = nil
 	}
-	h.disk.crash(h.world.random, under, power)
+	h.disk.crash(h.world.random, inFlight, power)
 	h.endIncarnation(!power)
 	h.replica, h.write = nil, nil
 	h.world.trace("stop", h.name, "", nil)
 	h.world.observer.noteContacts()
 }
 
-// leave tells the replica to shut down for good.
-func (h *replicaHost) leave(over func()) {
+// leave has the replica shut down for good. It calls ended once the process has ended.
+func (h *replicaHost) leave(ended func()) {
 	h.leaving = true
 	h.post(func() { h.replica.BeginShutdown(h.now()) })
-	h.awaitLeave(h.world.now, over)
+	h.awaitLeave(h.world.now, ended)
 }
 
-// awaitLeave ends a process, which was told to shut down at an instant, as soon as it may, as package controlplane does. One that does
-// not run ends at once, a frozen one by maxShutdownTime at the latest.
-func (h *replicaHost) awaitLeave(told time.Duration, over func()) {
+// awaitLeave ends a process, whose shutdown began at an instant, as soon as it may, as package controlplane does. One that does not run
+// ends at once, a frozen one by maxShutdownTime at the latest.
+func (h *replicaHost) awaitLeave(begun time.Duration, ended func()) {
 	h.world.after(replica.TickInterval, func() {
-		passed := h.world.now - told
+		passed := h.world.now - begun
 		if h.up && passed < maxShutdownTime && (passed < minShutdownTime || !h.replica.CanShutDown()) {
-			h.awaitLeave(told, over)
+			h.awaitLeave(begun, ended)
 			return
 		}
 		if h.replica == nil || !h.replica.CanShutDown() { // it ends all the same, and counts as lost
 			h.world.observer.losing(h)
 		}
 		h.stop(false)
-		over()
+		ended()
 	})
 }
 
@@ -276,10 +303,9 @@
 	if !e.open {
 		return
 	}
-	touched := func() *wire.HeartbeatT {
+	e.heartbeat = func() *wire.HeartbeatT {
 		return &wire.HeartbeatT{QuorumContact: replica.HasQuorumContact(h.replica.QuorumContact(), h.now())}
 	}
-	e.heartbeat = touched
 	if hello.ControlPlane {
 		h.replica.RememberAddress(raft.ID(hello.MemberId), hello.Addr)
 		h.link(hello.Addr).redial()
@@ -294,18 +320,19 @@
 	if hello.ControlPlane {
 		from = replica.FromReplica
 	}
-	e.message = func(m codec.Message) { h.takeMessage(e, m, from) }
+	e.message = func(m codec.Message) { h.handleMessage(e, m, from) }
 }
 
-func (h *replicaHost) takeMessage(e *side, m codec.Message, from replica.Origin) {
+// handleMessage handles a message that came by a connection.
+func (h *replicaHost) handleMessage(e *side, m codec.Message, from replica.Origin) {
 	switch v := m.Value.(type) {
 	case *wire.RaftMessageT:
 		if message, err := raftwire.MessageFromWire(v); err == nil && from == replica.FromReplica {
 			h.replica.Step(h.now(), message)
 		}
 	case *wire.RecordsT:
-		for _, held := range h.replica.MergeRecords(h.now(), directory.FromWire(v), from) {
-			e.send(directory.ToWire([]directory.Record{held}))
+		for _, newer := range h.replica.MergeRecords(h.now(), directory.FromWire(v), from) {
+			e.send(directory.ToWire([]directory.Record{newer}))
 		}
 	case *wire.CallT:
 		h.answer(v, from, func(r replica.Reply) {
@@ -317,14 +344,15 @@
 	}
 }
 
-func (h *replicaHost) answer(a *wire.CallT, from replica.Origin, reply func(replica.Reply)) {
-	if h.world.options.Mutations.UnconfirmedTable && a.Kind == codec.CallItems {
+// answer answers a call.
+func (h *replicaHost) answer(call *wire.CallT, from replica.Origin, reply func(replica.Reply)) {
+	if h.world.options.Mutations.UnconfirmedTable && call.Kind == codec.CallItems {
 		t := config.ItemsToWire(h.replica.State().Items.Items())
 		t.Complete, t.Index = true, h.replica.AppliedIndex()
 		reply(replica.Reply{Status: http.StatusOK, Body: codec.EncodeTable(t)})
 		return
 	}
-	h.replica.HandleCall(h.now(), a.Kind, a.Body, from, reply)
+	h.replica.HandleCall(h.now(), call.Kind, call.Body, from, reply)
 }
 
 // modify handles an operator's change.
--- a/internal/mesh/sim/shrink.go
+++ b/internal/mesh/sim/shrink.go
@@ -8,6 +8,9 @@
 // shrinkRuns bounds the runs that Shrink makes.
 const shrinkRuns = 300
 
+// minShrunkDuration is how short Shrink makes a fault, about.
+const minShrunkDuration = 10 * time.Millisecond
+
 // Shrink makes the plan of a failing run smaller as long as the run still fails: it removes faults, then shortens them. The seed
 // stays.
 func Shrink(o Options, fails func(Result) bool) Options {
@@ -33,7 +36,7 @@
 		}
 	}
 	for i := range o.Plan {
-		for o.Plan[i].Duration > 10*time.Millisecond {
+		for o.Plan[i].Duration > minShrunkDuration {
 			p := slices.Clone(o.Plan)
 			p[i].Duration = (p[i].Duration / 2).Round(time.Millisecond)
 			if !try(p) {
--- a/internal/mesh/sim/sidecar.go
+++ b/internal/mesh/sim/sidecar.go
@@ -16,13 +16,13 @@
 
 // Times of a sidecar, equal to those of package sidecar.
 const (
-	releaseRetryInterval = 150 * time.Millisecond
+	releaseRetryInterval = 150 * time.Millisecond // between two attempts to release a lease
 	sidecarCallTimeout   = time.Second
-	leaseRetryInterval   = 30 * time.Millisecond
-	leaseTimeout         = time.Second
-	keyWindow            = 8 * time.Second
-	windowSlack          = 2 * time.Second
-	recordInterval       = time.Second
+	leaseRetryInterval   = 30 * time.Millisecond // between two requests for one lease
+	leaseTimeout         = time.Second           // after which a request is given up that has no lease
+	keyWindow            = 8 * time.Second       // in which a key runs once
+	windowSlack          = 2 * time.Second       // by which a lease lasts longer than the key's window
+	recordInterval       = time.Second           // between two announcements of the record
 )
 
 // Shape of the load of keyed requests.
@@ -42,6 +42,7 @@
 	record       uint64 // sequence of its latest record
 }
 
+// newSidecar returns a sidecar that has not begun.
 func newSidecar(w *World, name string) *sidecar {
 	return &sidecar{process: w.newProcess(name, "10.0.1."+name[len("sidecar"):]+":7000")}
 }
@@ -54,7 +55,9 @@
 	s.beginIncarnation()
 	s.items = config.Table{}
 	s.controlPlane = controlPlaneConnection{
-		sidecar: s, members: map[memberselection.ConnID]*memberConnection{}, selector: memberselection.New(s.now(), s.world.replicaAddresses()),
+		sidecar:  s,
+		members:  map[memberselection.ConnID]*memberConnection{},
+		selector: memberselection.New(s.now(), s.world.replicaAddresses()),
 	}
 	s.controlPlane.performActions()
 	s.requestLoop()
@@ -78,16 +81,21 @@
 
 // mergeItems merges items that a member has sent.
 func (s *sidecar) mergeItems(items []config.Item) {
-	var raised []config.Item
-	s.items, raised = s.items.Merge(items)
-	for _, i := range raised {
-		held, _ := s.items.Get(i.Key)
+	var updated []config.Item
+	s.items, updated = s.items.Merge(items)
+	for _, item := range updated {
+		active, _ := s.items.Get(item.Key)
 		s.world.history.Record(history.ActiveVersion{
-			At: s.world.now, Process: s.name, Incarnation: s.incarnation, InContact: s.hasQuorumContact(), ItemVersion: itemVersion(held),
+			At:          s.world.now,
+			Process:     s.name,
+			Incarnation: s.incarnation,
+			InContact:   s.hasQuorumContact(),
+			ItemVersion: itemVersion(active),
 		})
 	}
 }
 
+// recordLoop announces the record regularly.
 func (s *sidecar) recordLoop() {
 	s.after(recordInterval, func() {
 		s.announceRecord()
@@ -100,33 +108,43 @@
 	s.record++
 	if m := s.controlPlane.current(); m != nil {
 		m.side.send(directory.ToWire([]directory.Record{{
-			Node: s.name, Incarnation: s.incarnation, Sequence: s.record, Addr: s.address,
-			Service: "service0", ServerID: s.name, State: directory.ServerReady,
+			Node:        s.name,
+			Incarnation: s.incarnation,
+			Sequence:    s.record,
+			Addr:        s.address,
+			Service:     "service0",
+			ServerID:    s.name,
+			State:       directory.ServerReady,
 		}}))
 	}
 }
 
 // keyedRequest is a request that the server runs once the sidecar has the lease of its key.
 type keyedRequest struct {
-	key, token string
-	begun      time.Duration // time of the world
-	deadline   time.Duration // by the sidecar's clock
+	key      string
+	token    string
+	begun    time.Duration // time of the world
+	deadline time.Duration // by the sidecar's clock
 }
 
+// requestLoop begins a keyed request from time to time.
 func (s *sidecar) requestLoop() {
 	s.after(s.world.between(meanRequestInterval/10, 2*meanRequestInterval), func() {
 		if !s.stopped && s.mayBegin() {
 			w := s.world
 			s.controlPlane.countWaiting(1)
 			s.requestLease(&keyedRequest{
-				key: fmt.Sprintf("key%d", w.random.IntN(keyNames)), token: fmt.Sprintf("%s-%d", s.name, w.id()),
-				begun: w.now, deadline: s.now() + leaseTimeout,
+				key:      fmt.Sprintf("key%d", w.random.IntN(keyNames)),
+				token:    fmt.Sprintf("%s-%d", s.name, w.id()),
+				begun:    w.now,
+				deadline: s.now() + leaseTimeout,
 			})
 		}
 		s.requestLoop()
 	})
 }
 
+// holder returns how leases name this incarnation.
 func (s *sidecar) holder() string { return fmt.Sprintf("%s/%d", s.address, s.incarnation) }
 
 // requestLease requests the lease of a request's key, repeatedly until the deadline.
@@ -144,9 +162,13 @@
 		return
 	}
 	body := encodeLeaseRequests(&wire.KeyLeaseRequestT{
-		Key: request.key, Token: request.token, Holder: s.holder(), WindowUs: (keyWindow + windowSlack).Microseconds(),
+		Key:      request.key,
+		Token:    request.token,
+		Holder:   s.holder(),
+		WindowUs: (keyWindow + windowSlack).Microseconds(),
 	})
-	connection.calls.call(s.process, connection.side, max(0, request.deadline-s.now()), codec.CallLeaseKeys, body, func(reply replica.Reply) {
+	timeout := max(0, request.deadline-s.now())
+	connection.calls.call(s.process, connection.side, timeout, codec.CallLeaseKeys, body, func(reply replica.Reply) {
 		if reply.Status != http.StatusOK {
 			retry()
 			return
@@ -188,9 +210,15 @@
 	w.trace("run", s.name, request.key, []byte(request.token))
 }
 
+// leaseAnswered records the outcome of a request for a lease.
 func (s *sidecar) leaseAnswered(request *keyedRequest, outcome history.Outcome, holder string) {
 	s.controlPlane.countWaiting(-1)
-	s.world.history.Record(history.Claim{Call: s.callSince(request.begun, outcome), Key: request.key, Window: keyWindow, Holder: holder})
+	s.world.history.Record(history.Claim{
+		Call:   s.callSince(request.begun, outcome),
+		Key:    request.key,
+		Window: keyWindow,
+		Holder: holder,
+	})
 }
 
 // release releases a lease, repeatedly until that is acknowledged.
--- a/internal/mesh/sim/sidecar_connection.go
+++ b/internal/mesh/sim/sidecar_connection.go
@@ -62,6 +62,7 @@
 	c.performActions()
 }
 
+// perform carries out one action of the selector.
 func (c *controlPlaneConnection) perform(a memberselection.Action) {
 	switch a.Kind {
 	case memberselection.Dial:
@@ -75,6 +76,7 @@
 	}
 }
 
+// dial dials a replica, and reports to the selector if that fails.
 func (c *controlPlaneConnection) dial(m *memberConnection) {
 	s := c.sidecar
 	c.members[m.id] = m
@@ -148,7 +150,7 @@
 	c.performActions()
 }
 
-// confirm requests the complete table, as of a confirmed read, from a replica.
+// confirm requests all items by a linearizable read from a replica.
 func (c *controlPlaneConnection) confirm(m *memberConnection) {
 	s := c.sidecar
 	begun := s.world.now
@@ -170,8 +172,10 @@
 	}
 	s, items := c.sidecar, config.ItemsFromWire(table)
 	s.world.history.Record(history.InitialTable{
-		Call:   s.callSince(begun, history.Acknowledged),
-		Member: s.world.memberName(m.address), Incarnation: s.incarnation, Items: itemVersions(items),
+		Call:        s.callSince(begun, history.Acknowledged),
+		Member:      s.world.memberName(m.address),
+		Incarnation: s.incarnation,
+		Items:       itemVersions(items),
 	})
 	s.mergeItems(items)
 	return len(items) > 0
--- a/internal/mesh/sim/storage_disk.go
+++ b/internal/mesh/sim/storage_disk.go
@@ -22,32 +22,34 @@
 	reopen  bool       // a write failed: the storage must be reopened before the next one
 }
 
-func newStorageDisk(lies bool) *storageDisk {
+// newStorageDisk returns an empty disk, which may be one that acknowledges syncs without doing them.
+func newStorageDisk(ignoresSyncs bool) *storageDisk {
 	d := &storageDisk{files: filedisk.New()}
-	d.files.SetIgnoreSyncs(lies)
+	d.files.SetIgnoreSyncs(ignoresSyncs)
 	return d
 }
 
-func (d *storageDisk) read() (held raft.StoredState, state diskState, err error) {
+// read opens the storage. One that is corrupted is discarded, as package controlplane does.
+func (d *storageDisk) read() (stored raft.StoredState, state diskState, err error) {
 	d.close()
 	state = diskHolds
 	var empty bool
-	d.store, held, empty, err = storage.OpenFolder(d.files, storage.Options{Foreground: true})
-	if err != nil && !errors.Is(err, storage.ErrUnavailable) { // as package controlplane does
+	d.store, stored, empty, err = storage.OpenFolder(d.files, storage.Options{Foreground: true})
+	if err != nil && !errors.Is(err, storage.ErrUnavailable) {
 		state = diskDamaged
 		if err = d.files.Discard(); err == nil {
-			d.store, held, empty, err = storage.OpenFolder(d.files, storage.Options{Foreground: true})
+			d.store, stored, empty, err = storage.OpenFolder(d.files, storage.Options{Foreground: true})
 		}
 	}
 	if err != nil {
-		return held, state, errors.Trace(err)
+		return stored, state, errors.Trace(err)
 	}
 	if empty && state != diskDamaged {
 		state = diskEmpty
 	}
-	d.records = memoryDisk{initialized: !empty, synced: held, written: held}
+	d.records = memoryDisk{initialized: !empty, synced: stored, written: stored}
 	d.reopen = false
-	return held, state, nil
+	return stored, state, nil
 }
 
 func (d *storageDisk) begin(self raft.ID, s raft.Snapshot) error {
@@ -95,12 +97,12 @@
 }
 
 // crash ends the process at a random access of the write in flight.
-func (d *storageDisk) crash(random *rand.Rand, under *diskWrite, power bool) {
+func (d *storageDisk) crash(random *rand.Rand, inFlight *diskWrite, power bool) {
 	end := d.files.KillProcess
 	if power {
 		end = func() { d.files.LosePower(random) }
 	}
-	if under == nil || d.reopen {
+	if inFlight == nil || d.reopen {
 		end()
 		d.close()
 		return
@@ -113,7 +115,7 @@
 		}
 		left--
 	})
-	_ = d.store.Save(under.ready, under.lastIndex) // it fails if the crash comes before its end
+	_ = d.store.Save(inFlight.ready, inFlight.lastIndex) // it fails if the crash comes before its end
 	d.files.OnAccess(nil)
 	if !ended {
 		end()
@@ -121,6 +123,7 @@
 	d.close()
 }
 
+// close closes the storage, if it is open.
 func (d *storageDisk) close() {
 	if d.store != nil {
 		d.store.Close()
@@ -132,6 +135,6 @@
 
 func (d *storageDisk) sync() {}
 
-func (d *storageDisk) term(index uint64) (term uint64, known, held bool) {
+func (d *storageDisk) term(index uint64) (term uint64, known, isStored bool) {
 	return d.records.term(index)
 }
--- a/internal/mesh/sim/world.go
+++ b/internal/mesh/sim/world.go
@@ -3,10 +3,16 @@
 // a simulated clock, network, disks and processes. It owns the faults of a run, and the observer that records its history.
 //
 // A run depends on its Options alone: the same seed and plan of faults give the same run, byte for byte. The package must therefore
-// never read a real clock, start a goroutine, or range over a map where the order matters. Several worlds may run side by side.
+// never read a real clock, start a goroutine, or range over a map where the order matters; and a change of the order in which random
+// numbers are drawn changes all runs. A World belongs to one goroutine; several worlds may run side by side.
+//
+// Files: world.go runs the events, process.go is what all simulated processes have in common, network.go and link.go carry messages,
+// disk.go and storage_disk.go are the disks, replica_host.go, operator.go and sidecar.go the processes, plan.go, generate.go, shrink.go and
+// faults.go the faults, observer.go what is recorded.
 package sim
 
 import (
+	"cmp"
 	"container/heap"
 	"fmt"
 	"hash"
@@ -23,18 +29,31 @@
 const (
 	clientsBeginAt  = 1500 * time.Millisecond // the replicas have usually elected a leader by then
 	recoveryTimeout = 8 * time.Second         // from the end of all faults until the control plane has to be stable
-	stablePeriod    = 8 * time.Second
+	stablePeriod    = 8 * time.Second         // without faults, at the end of a run
+	maxBootDelay    = 20 * time.Millisecond   // of the start of a replica
+	maxClientDelay  = 100 * time.Millisecond  // of the start of an operator or sidecar, after clientsBeginAt
+	searchBound     = time.Minute             // of real time; far more than the search for linearizations needs
+)
+
+// Numbers of processes of a run whose Options do not say otherwise.
+const (
+	defaultReplicas  = 3
+	defaultOperators = 2
+	defaultSidecars  = 3
 )
 
+// randomStream is the PCG stream of a run. Generate draws plans from another one, so that both may use the same seed.
+const randomStream = 0x51a
+
 // Options determine a run.
 type Options struct {
 	Seed      uint64
-	Replicas  int // 0 means 3
-	Operators int // 0 means 2
-	Sidecars  int // 0 means 3
+	Replicas  int // 0 stands for 3
+	Operators int // 0 stands for 2
+	Sidecars  int // 0 stands for 3
 	Plan      Plan
 	Horizon   time.Duration // end of all faults; at least the plan's end
-	CompactAt int           // entries after a replica's snapshot at which it takes another; 0 means the default of package replica
+	CompactAt int           // entries after a replica's snapshot at which it takes another; 0 stands for the default of package replica
 	Disk      DiskKind
 	Mutations Mutations
 	Trace     io.Writer // gets every event as a line of text; may be nil
@@ -86,12 +105,14 @@
 	nextID   uint64           // of requests and changes
 }
 
+// event is something that happens at one time.
 type event struct {
 	at       time.Duration
 	sequence uint64 // order of scheduling, for events of one time
 	run      func()
 }
 
+// eventQueue is a heap of events. It implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -108,12 +129,13 @@
 	return last
 }
 
-// at schedules an event.
+// at schedules an event for a time, or for now if that has passed.
 func (w *World) at(t time.Duration, run func()) {
 	w.sequence++
 	heap.Push(&w.events, event{max(t, w.now), w.sequence, run})
 }
 
+// after schedules an event.
 func (w *World) after(d time.Duration, run func()) { w.at(w.now+d, run) }
 
 // between draws a duration from a half-open interval.
@@ -124,8 +146,10 @@
 	return shortest + time.Duration(w.random.Int64N(int64(longest-shortest)))
 }
 
+// chance draws whether something of a probability happens.
 func (w *World) chance(p float64) bool { return w.random.Float64() < p }
 
+// id returns a number that was not used before, for a request or a change.
 func (w *World) id() uint64 {
 	w.nextID++
 	return w.nextID
@@ -165,21 +189,23 @@
 	return w.result()
 }
 
+// newWorld returns a world without processes.
 func newWorld(o Options) *World {
-	if o.Replicas == 0 {
-		o.Replicas = 3
-	}
-	if o.Operators == 0 {
-		o.Operators = 2
-	}
-	if o.Sidecars == 0 {
-		o.Sidecars = 3
+	o.Replicas = cmp.Or(o.Replicas, defaultReplicas)
+	o.Operators = cmp.Or(o.Operators, defaultOperators)
+	o.Sidecars = cmp.Or(o.Sidecars, defaultSidecars)
+	w := &World{
+		options:  o,
+		random:   rand.New(rand.NewPCG(o.Seed, randomStream)),
+		digest:   fnv.New64a(),
+		versions: map[string]int64{},
 	}
-	w := &World{options: o, random: rand.New(rand.NewPCG(o.Seed, 0x51a)), digest: fnv.New64a(), versions: map[string]int64{}}
-	w.network.world, w.observer.world = w, w
+	w.network.world = w
+	w.observer.world = w
 	return w
 }
 
+// runUntil handles all events up to a time.
 func (w *World) runUntil(end time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= end {
 		e := heap.Pop(&w.events).(event)
@@ -198,20 +224,21 @@
 	}
 	for range w.options.Replicas {
 		h := w.newReplica(seeds, true)
-		w.after(w.between(0, 20*time.Millisecond), h.start)
+		w.after(w.between(0, maxBootDelay), h.start)
 	}
 	for n := range w.options.Operators {
 		o := newOperator(w, fmt.Sprintf("operator%d", n+1))
 		w.operators = append(w.operators, o)
-		w.at(clientsBeginAt+w.between(0, 100*time.Millisecond), o.begin)
+		w.at(clientsBeginAt+w.between(0, maxClientDelay), o.begin)
 	}
 	for n := range w.options.Sidecars {
 		s := newSidecar(w, fmt.Sprintf("sidecar%d", n+1))
 		w.sidecars = append(w.sidecars, s)
-		w.at(clientsBeginAt+w.between(0, 100*time.Millisecond), s.begin)
+		w.at(clientsBeginAt+w.between(0, maxClientDelay), s.begin)
 	}
 }
 
+// stopClients has operators and sidecars begin nothing more.
 func (w *World) stopClients() {
 	for _, o := range w.operators {
 		o.stopped = true
@@ -234,11 +261,19 @@
 // result checks the history. The search for linearizations gets far more real time than it needs, so that the result does not depend
 // on the machine.
 func (w *World) result() Result {
-	bounds := history.Bounds{IsolatedRead: isolatedReadBound, CatchUp: catchUpBound, Acknowledgement: acknowledgeBound, Search: time.Minute}
-	report := history.Check(&w.history, bounds)
-	violations := slices.Concat(report.Violations, w.observer.violations, w.observer.atEnd())
+	report := history.Check(&w.history, history.Bounds{
+		IsolatedRead:    isolatedReadBound,
+		CatchUp:         catchUpBound,
+		Acknowledgement: acknowledgeBound,
+		Search:          searchBound,
+	})
 	return Result{
-		History: &w.history, Violations: violations, Undecided: report.Undecided, TraceHash: w.digest.Sum64(),
-		Events: w.processed, Simulated: w.now, Plan: w.options.Plan,
+		History:    &w.history,
+		Violations: slices.Concat(report.Violations, w.observer.atEnd()),
+		Undecided:  report.Undecided,
+		TraceHash:  w.digest.Sum64(),
+		Events:     w.processed,
+		Simulated:  w.now,
+		Plan:       w.options.Plan,
 	}
 }
