--- a/internal/mesh/scale/comparison.go
+++ b/internal/mesh/scale/comparison.go
@@ -35,7 +35,7 @@
 		}
 	}
 	add("processor, idle", Cores, processorIdle(RoleSidecar))
-	add("bytes said, idle, but answers to the measurement", BytesPerSecond, inPhase(PhaseIdle, func(p Phase) float64 {
+	add("bytes sent, idle, without replies to the measurement", BytesPerSecond, inPhase(PhaseIdle, func(p Phase) float64 {
 		return sentWithoutReplies(p.Roles[RoleSidecar])
 	}))
 	add("bytes read, idle", BytesPerSecond, inPhase(PhaseIdle, func(p Phase) float64 { return p.Roles[RoleSidecar].Read }))
@@ -43,7 +43,7 @@
 	add("bytes read of a change", Bytes, readPerEvent(PhaseChanges))
 	add("processor of a restart", CoreSeconds, processorPerEvent(PhaseRestarts, RoleSidecar, costAtEach))
 	add("bytes read of a restart", Bytes, readPerEvent(PhaseRestarts))
-	add("bytes said of a claim of its own", Bytes, func(m Measurement) (float64, bool) {
+	add("bytes sent for a key lease of its own", Bytes, func(m Measurement) (float64, bool) {
 		value, ok := sentPerEvent(PhaseLeases, RoleSidecar, trafficCall)(m)
 		return value * float64(c.Count), ok
 	})
@@ -56,16 +56,16 @@
 func (c Comparison) addMemberFigures(add func(name string, unit Unit, of figure)) {
 	processorTime := func(l Load) float64 { return l.Processor }
 	add("control plane: processor, idle", Cores, inPhase(PhaseIdle, c.ofMembers(processorTime)))
-	add("control plane: bytes said, idle, but answers", BytesPerSecond, inPhase(PhaseIdle, c.ofMembers(sentWithoutReplies)))
-	for _, event := range []struct{ name, phase string }{{"a claim", PhaseLeases}, {"a change", PhaseChanges}} {
+	add("control plane: bytes sent, idle, without replies", BytesPerSecond, inPhase(PhaseIdle, c.ofMembers(sentWithoutReplies)))
+	for _, event := range []struct{ name, phase string }{{"a key lease", PhaseLeases}, {"a change", PhaseChanges}} {
 		add("control plane: processor of "+event.name, CoreSeconds, perEvent(event.phase, c.ofMembers(processorTime)))
-		add("control plane: bytes said of "+event.name, Bytes, perEvent(event.phase, c.ofMembers(func(l Load) float64 {
+		add("control plane: bytes sent for "+event.name, Bytes, perEvent(event.phase, c.ofMembers(func(l Load) float64 {
 			return l.Sent[trafficRaft] + l.Sent[trafficItems] + l.Sent[trafficReply] + l.Sent[trafficCall]
 		})))
 	}
 }
 
-// sentWithoutReplies leaves out replies, which in an idle mesh are answers to the measurement.
+// sentWithoutReplies leaves out replies, which in an idle mesh are those to the measurement.
 func sentWithoutReplies(l Load) float64 { return sum(l.Sent) - l.Sent[trafficReply] }
 
 // ofMembers sums a figure over all members of the control plane.
--- a/internal/mesh/scale/metrics_test.go
+++ b/internal/mesh/scale/metrics_test.go
@@ -115,6 +115,6 @@
 		got[figure.name] = figure
 	}
 	assertNear(t, got["control plane: processor, idle"].real, 0.2+2*0.1, 1e-9)
-	assertNear(t, got["control plane: processor of a claim"].hollow, (0.5+2*0.3)*5/1000, 1e-9)
-	assertNear(t, got["control plane: bytes said of a claim"].separate, (600+400+2*50)*5.0/1000, 1e-9)
+	assertNear(t, got["control plane: processor of a key lease"].hollow, (0.5+2*0.3)*5/1000, 1e-9)
+	assertNear(t, got["control plane: bytes sent for a key lease"].separate, (600+400+2*50)*5.0/1000, 1e-9)
 }
--- a/internal/mesh/scale/need.go
+++ b/internal/mesh/scale/need.go
@@ -27,7 +27,7 @@
 	NoBudget   Verdict = ""
 	Fits       Verdict = "fits"
 	Exceeds    Verdict = "🟥 **does not fit**"
-	Open       Verdict = "open: the fit's error holds the budget"
+	Open       Verdict = "open: the budget is within the fit's error"
 	Unmeasured Verdict = "not measured"
 )
 
--- a/internal/mesh/scale/needs.go
+++ b/internal/mesh/scale/needs.go
@@ -9,8 +9,8 @@
 const (
 	needsOfSidecar = "sidecar"
 	needsOfLeader  = "leader"
-	needsOfMember  = "home of many" // a control-plane member with its share of the sidecars
-	needsOfMesh    = "whole"
+	needsOfMember  = "member" // of the control plane, with its share of the sidecars
+	needsOfMesh    = "mesh"
 )
 
 // times returns the estimate of a figure that is a multiple of this one.
@@ -51,8 +51,8 @@
 	changes := b.median(sidecarChangeBytes).times(targetChangesPS, fmt.Sprintf(" × %.2f changes a second", targetChangesPS))
 	restarts := b.median(sidecarRestartBytes).times(targetRestartsPS, fmt.Sprintf(" × %.3f a second", targetRestartsPS))
 	return []Need{
-		newNeed(role, "bytes heard with no event: records of all others", BytesPerSecond, received, budgetBytes, ""),
-		newNeed(role, "bytes said with no event", BytesPerSecond, sent, budgetBytes, ""),
+		newNeed(role, "bytes received with no event: records of all others", BytesPerSecond, received, budgetBytes, ""),
+		newNeed(role, "bytes sent with no event", BytesPerSecond, sent, budgetBytes, ""),
 		newNeed(role, "bytes of changes, every one to every node", BytesPerSecond, changes, budgetBytes, ""),
 		newNeed(role, "bytes of restarts of servers", BytesPerSecond, restarts, budgetBytes, ""),
 	}
@@ -83,7 +83,7 @@
 		newNeed(role, "processor with no event: merging all records", Cores, idle, budgetProcessor, ""),
 		newNeed(role, ofServices, Cores, services, budgetProcessor, ""),
 		newNeed(role, "processor with no event, sidecars and services together", Cores, together, budgetProcessor, "that the two multiply"),
-		newNeed(role, "processor of changes: a plan of all routes for each", Cores, changes, budgetProcessor, "routes"),
+		newNeed(role, "processor of changes: a routing table of all routes for each", Cores, changes, budgetProcessor, "routes"),
 		newNeed(role, "processor of its server's heartbeats", Cores, heartbeats, budgetProcessor, "period"),
 	}
 }
@@ -91,12 +91,12 @@
 // sidecarLeases is what a sidecar's own key leases cost it.
 func (b *basis) sidecarLeases() []Need {
 	const role, assumed, rate = needsOfSidecar, "share of keyed calls", leasesPerSecond / targetNodes
-	explanation := fmt.Sprintf(" × %.1f claims a second", rate)
+	explanation := fmt.Sprintf(" × %.1f key leases a second", rate)
 	processorTime := b.median(sidecarPerLease).times(rate, explanation)
 	traffic := b.median(sidecarLeaseBytes).times(rate, explanation)
 	return []Need{
-		newNeed(role, "processor of its own claims", Cores, processorTime, budgetProcessor, assumed),
-		newNeed(role, "bytes of its own claims", BytesPerSecond, traffic, budgetBytes, assumed),
+		newNeed(role, "processor of its own key leases", Cores, processorTime, budgetProcessor, assumed),
+		newNeed(role, "bytes of its own key leases", BytesPerSecond, traffic, budgetBytes, assumed),
 	}
 }
 
@@ -120,13 +120,13 @@
 	leases := b.median(leaderPerLease).times(leasesPerSecond, rate)
 	traffic := b.median(leaderLeaseBytes).times(leasesPerSecond, rate)
 	keys := estimate{
-		leasesPerSecond * assumedKeyWindow, math.NaN(), fmt.Sprintf("%.0f claims a second × %.0f s", leasesPerSecond, assumedKeyWindow),
+		leasesPerSecond * assumedKeyWindow, math.NaN(), fmt.Sprintf("%.0f key leases a second × %.0f s", leasesPerSecond, assumedKeyWindow),
 	}
 	changes := b.extrapolate(leaderPerChange).times(targetChangesPS, fmt.Sprintf(" × %.2f a second", targetChangesPS))
 	return []Need{
-		newNeed(role, "processor of claims, all at one leader", Cores, leases, assumedMemberCores, "share of keyed calls; cores of a machine"),
-		newNeed(role, "bytes said of claims", BytesPerSecond, traffic, assumedMemberLink, "share of keyed calls; link of a machine"),
-		newNeed(role, "keys held, of which the code bounds the number", Count, keys, codeMaxLeases, "all"),
+		newNeed(role, "processor of key leases, all at one leader", Cores, leases, assumedMemberCores, "share of keyed calls; cores of a machine"),
+		newNeed(role, "bytes sent for key leases", BytesPerSecond, traffic, assumedMemberLink, "share of keyed calls; link of a machine"),
+		newNeed(role, "keys leased, of which the code bounds the number", Count, keys, codeMaxLeases, "all"),
 		newNeed(role, "processor of changes", Cores, changes, assumedMemberCores, "cores of a machine"),
 	}
 }
@@ -138,12 +138,12 @@
 	received, record := b.extrapolate(sidecarReceivedIdle).withoutError(), b.processorPerRecord()
 	for _, members := range []float64{codeServingMembers, targetMachines} {
 		sidecars := targetNodes / members
-		with := fmt.Sprintf("with %.0f homes of %.0f sidecars", members, sidecars)
+		with := fmt.Sprintf("with %.0f members of %.0f sidecars each", members, sidecars)
 		records := targetNodes / codeRecordRefresh * sidecars
 		traffic := received.times(sidecars, fmt.Sprintf(" × %.0f", sidecars))
-		processorTime := record.times(records, fmt.Sprintf(" × %.3g frames a second", records))
+		processorTime := record.times(records, fmt.Sprintf(" × %.3g records a second", records))
 		needs = append(needs,
-			newNeed(role, "bytes said with no event, "+with, BytesPerSecond, traffic, assumedMemberLink, "link of a machine"),
+			newNeed(role, "bytes sent with no event, "+with, BytesPerSecond, traffic, assumedMemberLink, "link of a machine"),
 			newNeed(role, "processor with no event, "+with, Cores, processorTime, assumedMemberCores, "cores of a machine"))
 	}
 	fit, ok := FitLine(Grow(metricNamed(followerResident), b.all).Points)
@@ -152,7 +152,7 @@
 	}
 	memory := estimate{
 		fit.At(targetNodes), math.NaN(),
-		fmt.Sprintf("%s a sidecar of the mesh, with a third of them at home", format(fit.Slope, Bytes)),
+		fmt.Sprintf("%s a sidecar of the mesh, with a third of them connected here", format(fit.Slope, Bytes)),
 	}
 	return append(needs, newNeed(role, "memory, with no keys", Bytes, memory, assumedMemberMemory, "memory of a machine"))
 }
@@ -173,12 +173,12 @@
 	if !ok {
 		return b.unmeasured(followerProcessorIdle)
 	}
-	return estimate{max(0, fit.Slope), math.NaN(), fmt.Sprintf("%s, %s a frame", followerProcessorIdle, format(fit.Slope, CoreSeconds))}
+	return estimate{max(0, fit.Slope), math.NaN(), fmt.Sprintf("%s, %s a record", followerProcessorIdle, format(fit.Slope, CoreSeconds))}
 }
 
 func (b *basis) delayNeeds() []Need {
 	const role = needsOfMesh
-	const keyedCall, keyedCallAssumed = "a keyed call's wait for its claim, 99 in 100, on loopback", "that the whole budget is the claim's"
+	const keyedCall, keyedCallAssumed = "a keyed call's wait for its key lease, 99 in 100, on loopback", "that the whole budget is the lease's"
 	inForce := b.extrapolate(delayInForce)
 	inForce.value /= 1000 // the metric is in milliseconds
 	granted, out, start := b.median(delayGranted), b.median(crashUntilKnown), b.extrapolate(startOfAll)
@@ -186,7 +186,7 @@
 	return []Need{
 		newNeed(role, "change in force everywhere, longest", Seconds, inForce, budgetInForce, ""),
 		newNeed(role, keyedCall, Milliseconds, granted, budgetAdded, keyedCallAssumed),
-		newNeed(role, "a crashed server out everywhere", Seconds, out, 0, ""),
+		newNeed(role, "a crashed server known everywhere", Seconds, out, 0, ""),
 		newNeed(role, "start of all at once", Seconds, start, 0, ""),
 	}
 }
--- a/internal/mesh/scale/page_test.go
+++ b/internal/mesh/scale/page_test.go
@@ -39,7 +39,7 @@
 	assert.Assert(t, len(missing) > 0, "what is not measured is named")
 	var received Need
 	for _, n := range needs {
-		if strings.HasPrefix(n.What, "bytes heard") {
+		if strings.HasPrefix(n.What, "bytes received") {
 			received = n
 		}
 	}
@@ -47,7 +47,7 @@
 	assert.Equal(t, received.Verdict(), Exceeds)
 	tables := Tables([]Results{r})
 	for _, line := range strings.Split(tables, "\n") {
-		if strings.Contains(line, "bytes heard with no event") {
+		if strings.Contains(line, "bytes received with no event") {
 			assert.Assert(t, strings.Contains(line, "does not fit"), line)
 		}
 	}
--- a/internal/mesh/scale/results.go
+++ b/internal/mesh/scale/results.go
@@ -146,7 +146,7 @@
 	case p.LeaderChanged:
 		return "the leader changed"
 	case float64(p.Rejected) > maxRejectedShare*p.Events:
-		return fmt.Sprintf("%d of %.0f events were refused or came too late", p.Rejected, p.Events)
+		return fmt.Sprintf("%d of %.0f events were rejected or came too late", p.Rejected, p.Events)
 	}
 	return ""
 }
--- a/internal/mesh/scale/text.go
+++ b/internal/mesh/scale/text.go
@@ -46,17 +46,25 @@
 	for _, m := range r.Measurements {
 		for _, p := range m.Phases {
 			if why := p.excluded(); why != "" {
-				texts = append(texts, fmt.Sprintf("%s, %s: %s; left out of the fits", m.name(), p.Name, why))
+				texts = append(texts, fmt.Sprintf("%s, %s: %s; left out of the fits", m.name(), phaseLabel(p.Name), why))
 			}
 		}
 		if share := m.unreadShare(); share > maxUnreadShare {
-			texts = append(texts, fmt.Sprintf("%s: in the time of all phases a sidecar read %.0f %% of the records that it was told",
+			texts = append(texts, fmt.Sprintf("%s: in the time of all phases a sidecar read %.0f %% of the records that it was sent",
 				m.name(), 100*(1-share)))
 		}
 	}
 	return texts
 }
 
+// phaseLabel returns a phase's name as readers see it. Experiment files and results hold a former word for key leases.
+func phaseLabel(name string) string {
+	if name == PhaseLeases {
+		return "key leases"
+	}
+	return name
+}
+
 // name tells a measurement from the others of its run.
 func (m Measurement) name() string {
 	text := fmt.Sprintf("%d sidecars", m.Size)
