--- a/internal/mesh/config/doc.go
+++ b/internal/mesh/config/doc.go
@@ -8,5 +8,9 @@
 // with another, together with the whole request that carries it (package operations).
 //
 // The package is pure. It must never read a clock, draw a random number or do I/O: every control-plane member applies the same
-// log of updates, and all have to arrive at the same table.
+// log of updates, and all have to arrive at the same table. Items and tables are never changed once they were made, so any
+// goroutine may read them without a lock.
+//
+// Sources: docs/design/control.md for the pages' JSON and the rules of versions; M. Shapiro and others, "Conflict-free
+// replicated data types" (2011), for the merge.
 package config
--- a/internal/mesh/config/spec.go
+++ b/internal/mesh/config/spec.go
@@ -87,7 +87,7 @@
 // ServiceSpec is the content of a service.
 type ServiceSpec struct {
 	Name           string `json:"Name" validate:"required,max=512"`
-	HealthPath     string `json:"HealthPath"`                      // of health checks; empty: none are made
+	HealthPath     string `json:"HealthPath"`                      // of health checks; without it none are made
 	MaxConnections int    `json:"MaxConnections" validate:"gte=0"` // that a server accepts from all callers together; not used
 	Protocol       string `json:"Protocol"`                        // "h1"; not used
 	TLSEnabled     bool   `json:"TlsEnabled"`                      // not used
--- a/internal/mesh/config/table.go
+++ b/internal/mesh/config/table.go
@@ -39,7 +39,7 @@
 // Update is an operator's request after it was parsed.
 type Update struct {
 	Items    []Item
-	Author   string   // owner on whose behalf it is made; empty: the operator of the mesh
+	Author   string   // owner on whose behalf it is made; empty for the operator of the mesh
 	Consents []string // of other owners, as namespace:name
 }
 
@@ -63,8 +63,8 @@
 	next := Table{tombstones: t.tombstones, operationCount: t.operationCount, policyCount: t.policyCount}
 	current := t.items
 	for _, item := range items {
-		was, known := current[item.Key]
-		if known && item.Version <= was.Version {
+		previous, known := current[item.Key]
+		if known && item.Version <= previous.Version {
 			continue
 		}
 		if next.items == nil {
@@ -72,7 +72,7 @@
 			current = next.items
 		}
 		item.routeSpec = item.RouteSpec()
-		next.replace(was, known, item)
+		next.replace(previous, known, item)
 		raised = append(raised, item)
 	}
 	if len(raised) == 0 {
@@ -84,23 +84,24 @@
 	return next, raised
 }
 
-// replace sets an item and keeps the counts. The table must not be shared yet.
-func (t *Table) replace(was Item, known bool, item Item) {
-	if was.Deleted {
+// replace puts an item in the place of the previous one, which is zero unless known, and keeps the counts. The table
+// must not be shared yet.
+func (t *Table) replace(previous Item, known bool, item Item) {
+	if previous.Deleted {
 		t.tombstones--
 	}
 	if item.Deleted {
 		t.tombstones++
 	}
 	if item.Kind.InPolicySet() {
-		if known && !was.Deleted {
+		if known && !previous.Deleted {
 			t.policyCount--
 		}
 		if !item.Deleted {
 			t.policyCount++
 		}
 	}
-	t.operationCount += item.history.Len() - was.history.Len()
+	t.operationCount += item.history.Len() - previous.history.Len()
 	t.items[item.Key] = item
 }
 
--- a/internal/mesh/directory/record.go
+++ b/internal/mesh/directory/record.go
@@ -6,7 +6,11 @@
 // whoever forwards them, so that records need not be replicated through the log.
 //
 // The package is pure. It must never decide whether a server gets requests, and never change a record on a sidecar's behalf; it
-// only removes sidecars that have been silent for too long.
+// only removes sidecars that have been silent for too long. A Table is never changed once it was made, so any goroutine may
+// read it without a lock; whoever owns the latest one orders the changes.
+//
+// Source for incarnations: A. Das, I. Gupta and A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
+// Membership Protocol" (2002).
 package directory
 
 import "time"
--- a/internal/mesh/directory/table.go
+++ b/internal/mesh/directory/table.go
@@ -33,14 +33,14 @@
 func (t Table) Merge(now time.Duration, records []Record) (merged Table, changed []Record) {
 	current := t.records
 	for _, record := range records {
-		was, known := current[record.Addr]
-		if record.Addr == "" || known && !record.isNewerThan(was) {
+		previous, known := current[record.Addr]
+		if record.Addr == "" || known && !record.isNewerThan(previous) {
 			continue
 		}
 		record.ReceivedAt = now
 		switch {
-		case known && was.ServerID == record.ServerID:
-			record.WarmAt = was.WarmAt // fixed by the first record: the remaining warm-up of later ones would move it
+		case known && previous.ServerID == record.ServerID:
+			record.WarmAt = previous.WarmAt // fixed by the first record: the remaining warm-up of later ones would move it
 		case record.Warmup > 0:
 			record.WarmAt = now + record.Warmup
 		}
--- a/internal/mesh/maintenance/next.go
+++ b/internal/mesh/maintenance/next.go
@@ -30,10 +30,12 @@
 	waitsFor string // if there is no change
 }
 
+// emptyChange returns a change that is based on the order's revision and changes nothing yet.
 func (o Order) emptyChange() OrderChange {
 	return OrderChange{OrderID: o.ID, ExpectedRevision: o.Revision}
 }
 
+// goTo decides that the order takes a step. The text becomes that of the order's event.
 func (o Order) goTo(step Step, format string, args ...any) decision {
 	change := o.emptyChange()
 	change.Step = step
@@ -41,6 +43,7 @@
 	return decision{change: change, ok: true}
 }
 
+// waitFor decides that the order waits.
 func (o Order) waitFor(format string, args ...any) decision {
 	return decision{change: o.emptyChange(), waitsFor: fmt.Sprintf(format, args...)}
 }
--- a/internal/mesh/maintenance/order.go
+++ b/internal/mesh/maintenance/order.go
@@ -63,8 +63,8 @@
 	MachineNames     []string      `json:"names,omitempty"`    // of Machines, as operators know them
 	NeedsApproval    bool          `json:"asked,omitempty"`    // by an approver of the contracts other than PlacedBy
 	ApprovedBy       string        `json:"approved,omitempty"`
-	ReturnBy         time.Time     `json:"until,omitzero"`  // the machine must be back; zero: an override sets no time
-	Successor        string        `json:"heir,omitempty"`  // the sidecar that takes over the machine's idempotency keys; "": there is none
+	ReturnBy         time.Time     `json:"until,omitzero"`  // the machine must be back; zero if an override sets no time
+	Successor        string        `json:"heir,omitempty"`  // the sidecar that takes over the machine's idempotency keys; empty if there is none
 	StepSince        TimeBounds    `json:"since"`           // when the current step began
 	MaintenanceSince TimeBounds    `json:"outAt"`           // when the latest StepInMaintenance began
 	Aborting         bool          `json:"abort,omitempty"` // it ends once the machine is back
@@ -88,7 +88,7 @@
 	return o.CurrentMachine()
 }
 
-// approver returns who has approved the order; "": nobody has yet.
+// approver returns who has approved the order, or "" if nobody has yet.
 func (o Order) approver() string {
 	if o.NeedsApproval {
 		return o.ApprovedBy
@@ -96,15 +96,19 @@
 	return o.PlacedBy
 }
 
-// maxEvents bounds the events that an order keeps.
-const maxEvents = 512
+const (
+	// maxEvents bounds the events that an order keeps.
+	maxEvents = 512
+	// firstEvents is how many of the first are kept in any case; the rest are the latest.
+	firstEvents = maxEvents / 4
+)
 
 // addEvent adds an event. If there are too many it drops one from the middle, since the first and the latest are the
 // most useful. It never changes a slice that another copy of the order shares.
 func (o *Order) addEvent(now TimeBounds, text string) {
 	o.Events = append(slices.Clone(o.Events), Event{now, o.CurrentMachineName(), o.Step, text})
 	if len(o.Events) > maxEvents {
-		o.Events = slices.Delete(o.Events, maxEvents/4, maxEvents/4+1)
+		o.Events = slices.Delete(o.Events, firstEvents, firstEvents+1)
 	}
 }
 
--- a/internal/mesh/maintenance/ordertable.go
+++ b/internal/mesh/maintenance/ordertable.go
@@ -9,17 +9,17 @@
 
 // Errors of orders and their changes. They are annotated with what was wrong; errors.Is finds them.
 const (
-	// ErrInvalidOrder: an order or a change of an order is not valid.
+	// ErrInvalidOrder says that an order or a change of an order is not valid.
 	ErrInvalidOrder = errors.ConstError("the order can't be")
 
-	// ErrStaleChange: the order has changed since a change was decided.
+	// ErrStaleChange says that the order has changed since a change was decided.
 	ErrStaleChange = errors.ConstError("the order has gone on since")
 )
 
 // Bounds of an OrderTable.
 const (
-	maxOpenOrders     = 16
-	maxFinishedOrders = 256
+	maxOpenOrders     = 16  // beyond it no order is placed
+	maxFinishedOrders = 256 // beyond it the oldest are dropped
 )
 
 // OrderTable is all orders, the latest last. It is replicated state, and immutable: Place and Apply return the next table.
@@ -77,6 +77,7 @@
 	return next, nil
 }
 
+// placementText is the text of the first event of an order. Every replica writes it, so it must never change.
 func placementText(o Order) string {
 	text := "placed by " + o.PlacedBy
 	if o.Override {
@@ -99,7 +100,7 @@
 // OrderChange is a step that Order.Next has decided, or a change that an operator requests.
 type OrderChange struct {
 	OrderID          string    `json:"id"`
-	ExpectedRevision uint64    `json:"after"` // that the change is based on; 0: any
+	ExpectedRevision uint64    `json:"after"` // that the change is based on; 0 for any
 	Step             Step      `json:"step,omitempty"`
 	NextMachine      bool      `json:"next,omitempty"`  // with StepWaiting: go on to the next machine
 	ReturnBy         time.Time `json:"until,omitzero"`  // with StepDraining
@@ -130,7 +131,7 @@
 	return next, nil
 }
 
-// accepts returns why a change can't be applied; nil: it can.
+// accepts returns why a change can't be applied, or nil if it can. The error is ErrInvalidOrder or ErrStaleChange.
 func (o Order) accepts(c OrderChange) error {
 	switch {
 	case c.ExpectedRevision != 0 && c.ExpectedRevision != o.Revision:
@@ -152,7 +153,8 @@
 // changed returns the order after a change that it accepts.
 func (o Order) changed(c OrderChange, now TimeBounds) Order {
 	o.Revision++
-	o.Aborting, o.MaintenanceDone = o.Aborting || c.Abort, o.MaintenanceDone || c.MaintenanceDone
+	o.Aborting = o.Aborting || c.Abort
+	o.MaintenanceDone = o.MaintenanceDone || c.MaintenanceDone
 	if c.ApprovedBy != "" {
 		o.ApprovedBy = c.ApprovedBy
 	}
--- a/internal/mesh/maintenance/plan.go
+++ b/internal/mesh/maintenance/plan.go
@@ -8,7 +8,7 @@
 
 // Reason is why a machine may not be taken out now.
 type Reason struct {
-	Contract string    `json:"contract,omitempty"` // "": the reason does not come from a contract
+	Contract string    `json:"contract,omitempty"` // empty if the reason does not come from a contract
 	Text     string    `json:"text"`
 	Until    time.Time `json:"until,omitzero"` // when it ends, if that is known
 }
--- a/internal/mesh/maintenance/validate.go
+++ b/internal/mesh/maintenance/validate.go
@@ -9,7 +9,7 @@
 	"cranegrade/internal/mesh/validation"
 )
 
-// Validate returns the first fault of a contract; nil: there is none. Whether a contract is valid does not depend on the current date.
+// Validate returns the first fault of a contract, or nil if there is none. Whether a contract is valid does not depend on the current date.
 func (c Contract) Validate() *validation.Fault {
 	if fault := validation.Check(c); fault != nil {
 		return fault
@@ -30,6 +30,7 @@
 	return c.validateBarred(zone)
 }
 
+// faultf returns a fault of a field.
 func faultf(field, format string, args ...any) *validation.Fault {
 	return &validation.Fault{Field: field, Text: fmt.Sprintf(format, args...)}
 }
--- a/internal/mesh/maintenance/view.go
+++ b/internal/mesh/maintenance/view.go
@@ -8,11 +8,14 @@
 
 // Machine is a machine that may be taken out. It runs a sidecar and a server, or a control-plane member.
 type Machine struct {
-	Addr, Name, Zone, Service string
-	Namespaces                []string // that own its service, and those that they are nested in
-	Slots                     int      // requests that its server runs at once
-	Ready                     bool     // its server receives requests; of a control-plane member: it follows or leads
-	ControlPlane              bool
+	Addr         string // of its sidecar, or of the control-plane member
+	Name         string // as operators know it
+	Zone         string
+	Service      string   // of its server; empty for a control-plane member
+	Namespaces   []string // that own its service, and those that they are nested in
+	Slots        int      // requests that its server runs at once
+	Ready        bool     // its server receives requests; of a control-plane member, that it follows or leads
+	ControlPlane bool     // it runs a control-plane member
 }
 
 // Route is the part of a route that plans depend on.
@@ -86,7 +89,7 @@
 }
 
 // successor returns the sidecar that takes over the idempotency keys of another: the first ready one of its service,
-// preferably in its zone; "": there is none.
+// preferably in its zone. It returns "" if there is none.
 func (v View) successor(addr string) string {
 	leaving, known := v.machine(addr)
 	if !known {
--- a/internal/mesh/policy/change.go
+++ b/internal/mesh/policy/change.go
@@ -9,16 +9,16 @@
 
 // Errors of changes. They are annotated with the item and the owners; errors.Is finds them.
 const (
-	// ErrInvalidSet: the items would be inconsistent after the change.
+	// ErrInvalidSet says that the items would be inconsistent after the change.
 	ErrInvalidSet = errors.ConstError("the items do not fit together")
 
-	// ErrConflict: two clauses contradict each other on a request. The error is a *Conflict.
+	// ErrConflict says that two clauses contradict each other on a request. The error is a *Conflict.
 	ErrConflict = errors.ConstError("two policies conflict")
 
-	// ErrNotOwner: the author of a change does not own one of its items.
+	// ErrNotOwner says that the author of a change does not own one of its items.
 	ErrNotOwner = errors.ConstError("it is not theirs to change")
 
-	// ErrConsentRequired: a change loosens the policy of a namespace whose owners have not consented.
+	// ErrConsentRequired says that a change loosens the policy of a namespace whose owners have not consented.
 	ErrConsentRequired = errors.ConstError("it loosens another's rule without consent")
 )
 
@@ -28,7 +28,7 @@
 	Policies   []string
 	Routes     []string
 	Others     []string // services, limits and the like, which the mesh's operator owns
-	Author     string   // "": the mesh's operator, who may change anything
+	Author     string   // empty for the mesh's operator, who may change anything
 	Consents   []string // as namespace:name, the name one of its owners
 }
 
@@ -101,6 +101,7 @@
 	return nil
 }
 
+// notOwner returns the error of an item that is another owner's. own is the author's namespaces.
 func (c Change) notOwner(item, owner string, own []string) error {
 	owned := strings.Join(own, ", ")
 	if owned == "" {
@@ -109,7 +110,7 @@
 	return errors.Annotatef(ErrNotOwner, "%s is of %s, and %s owns %s", item, owner, c.Author, owned)
 }
 
-// checkConsent sees that the owners whose policy an effect loosens have consented.
+// checkConsent checks that the owners whose policy an effect loosens have consented.
 func (c Change) checkConsent(after *Set, e Effect) error {
 	if c.Author == "" || !e.Loosens {
 		return nil
--- a/internal/mesh/policy/conflict.go
+++ b/internal/mesh/policy/conflict.go
@@ -7,9 +7,13 @@
 
 // Conflict is two clauses that contradict each other on a request. It is an error, and ErrConflict by errors.Is.
 type Conflict struct {
-	A, B                   Clause
-	Route, Service, Caller string // Caller "": any
-	Example, Text          string
+	A       Clause
+	B       Clause
+	Route   string
+	Service string // that the route sends to
+	Caller  string // empty if the clauses contradict each other whoever calls
+	Example string // a request that both clauses apply to
+	Text    string // how they contradict each other
 }
 
 // Error names both owners, both items, the route and a request.
@@ -21,7 +25,7 @@
 // Is reports that a Conflict is ErrConflict.
 func (c *Conflict) Is(target error) bool { return target == ErrConflict }
 
-// firstConflict returns the first conflict on any of the affected routes and services; nil: there is none. The
+// firstConflict returns the first conflict on any of the affected routes and services, or nil if there is none. The
 // clauses of a caller are included only if the clauses of the route name the caller. For other callers it is enough
 // that the tightest clauses are effective.
 func (s *Set) firstConflict(affected func(Route, string) bool) *Conflict {
@@ -38,6 +42,7 @@
 	return nil
 }
 
+// conflictAt returns the first conflict on requests of a route to a service, or nil if there is none.
 func (s *Set) conflictAt(route Route, service string) *Conflict {
 	clauses, governed := s.ClausesFor(route, service, "")
 	if !governed {
@@ -80,11 +85,11 @@
 	return c
 }
 
-// firstConflict returns the first two clauses of a merged policy that contradict each other; nil: there are none.
+// firstConflict returns the first two clauses of a merged policy that contradict each other, or nil if none do.
 func (l Clauses) firstConflict() *Conflict {
-	needs, asked := l.Effective(FieldNeeds)
+	needs, needed := l.Effective(FieldNeeds)
 	limit, limited := l.Effective(FieldTimeout)
-	if asked && limited && needs.Number > limit.Number {
+	if needed && limited && needs.Number > limit.Number {
 		return &Conflict{A: needs.Clause, B: limit.Clause, Text: "less time than it needs"}
 	}
 	var allowed []string // by all clauses so far together
@@ -111,7 +116,8 @@
 	return nil
 }
 
-// deniedNeed returns the conflict of the first caller that a clause requires and another clause denies; nil: there is none.
+// deniedNeed returns the conflict of the first caller that a clause requires and another clause denies, or nil if
+// there is none.
 func (l Clauses) deniedNeed(need Clause) *Conflict {
 	for _, caller := range need.Values {
 		source, denied := l.DeniedBy(caller)
--- a/internal/mesh/policy/decision.go
+++ b/internal/mesh/policy/decision.go
@@ -13,10 +13,10 @@
 	MaxAttempts int // servers that a request may be sent to, at least 1
 	Timeout     time.Duration
 	Priority    int
-	RetryRatio  float64  // retries per request; math.Inf(1): the policy does not limit them
+	RetryRatio  float64  // retries per request; math.Inf(1) if the policy does not limit them
 	RetryOn     []string // endings after which there may be a retry
 	RetryOnAny  bool     // the policy does not restrict RetryOn
-	DeniedBy    *Source  // the caller may not call at all; nil: it may
+	DeniedBy    *Source  // of the clause by which the caller may not call at all; nil if it may
 }
 
 // Decide returns the decision for a route and a caller.
--- a/internal/mesh/policy/effect.go
+++ b/internal/mesh/policy/effect.go
@@ -11,7 +11,7 @@
 	Route   string   `json:"route"`
 	Service string   `json:"service"`
 	Field   Field    `json:"field"`
-	Before  string   `json:"was"` // noValue: there was no clause
+	Before  string   `json:"was"` // noValue if there was no clause
 	After   string   `json:"is"`
 	Loosens bool     `json:"loosens"`
 	Source  Source   `json:"from"` // of the effective clause, or of the former one if there is none now
--- a/internal/mesh/policy/explain.go
+++ b/internal/mesh/policy/explain.go
@@ -14,14 +14,15 @@
 	Owner        string            `json:"owner"` // of the route
 	Service      string            `json:"service"`
 	ServiceOwner string            `json:"serviceOwner"`
-	Caller       string            `json:"caller,omitempty"` // "": any
+	Caller       string            `json:"caller,omitempty"` // empty for any
 	CallerOwner  string            `json:"callerOwner,omitempty"`
 	Fingerprint  string            `json:"print"`
 	DeniedBy     *Source           `json:"denied,omitempty"`
 	Fields       []EffectiveClause `json:"fields"`
 }
 
-// Explain explains the merged policy for requests of a route to a service. caller is the calling service; "": any.
+// Explain explains the merged policy for requests of a route to a service. caller is the calling service, or
+// empty for any.
 func (s *Set) Explain(route Route, service, caller string) Explanation {
 	clauses, _ := s.ClausesFor(route, service, caller)
 	x := Explanation{
--- a/internal/mesh/policy/namespace.go
+++ b/internal/mesh/policy/namespace.go
@@ -13,7 +13,8 @@
 	Name          string   `json:"Name" validate:"required,max=128"`
 	ConfigVersion int64    `json:"ConfigVersion"`
 	Owners        []string `json:"Owners" validate:"min=1,max=64,dive,required,max=128"` // who may set its policies and routes
-	// Within is the namespace that has delegated this part of its own; its policies apply here too. "": none.
+	// Within is the namespace that has delegated this part of its own; its policies apply here
+	// too. It is empty if there is none.
 	Within   string       `json:"Within,omitempty" validate:"max=128"`
 	Services []string     `json:"Services,omitempty" validate:"max=1024,dive,required,max=512"`
 	Hosts    []string     `json:"Hosts,omitempty" validate:"max=1024,dive,required,max=512"`
@@ -26,7 +27,7 @@
 	PathPrefix string `json:"PathPrefix" validate:"startswith=/,endswith=/,max=4096"`
 }
 
-// Validate returns the first fault of a namespace by itself; nil: there is none.
+// Validate returns the first fault of a namespace by itself, or nil if there is none.
 func (n Namespace) Validate() *validation.Fault {
 	fault := validation.Check(n)
 	switch {
--- a/internal/mesh/policy/policy.go
+++ b/internal/mesh/policy/policy.go
@@ -14,13 +14,14 @@
 	ConfigVersion int64    `json:"ConfigVersion"`
 	Namespace     string   `json:"Namespace" validate:"required,max=128"`
 	On            Selector `json:"On"`
-	// Tries is how many servers one request may be sent to; 0: not set.
+	// Tries is how many servers one request may be sent to. With 0 the policy does not limit it.
 	Tries int `json:"Tries,omitempty" validate:"gte=0,lte=1000"`
 	// KeyedAgain is whether a request that may run only once may be sent to a second server after the first has rejected it.
 	KeyedAgain *bool `json:"KeyedAgain,omitempty"`
 	// RetryOn are the endings of an attempt after which there is a retry.
 	RetryOn *[]string `json:"RetryOn,omitempty" validate:"omitempty,max=5,dive,oneof=refused unreachable failed broken timed_out"`
-	// TimeoutS is how long a request may take at most, NeedsS the time that it must be given at least, in seconds; 0: not set.
+	// TimeoutS is how long a request may take at most, NeedsS the time that it must be given at least, in
+	// seconds. With 0 the policy says nothing of it.
 	TimeoutS float64 `json:"TimeoutS,omitempty" validate:"gte=0,lte=86400"`
 	NeedsS   float64 `json:"NeedsS,omitempty" validate:"gte=0,lte=86400"`
 	// RetryRatio is how many retries each sidecar may make per request.
@@ -46,7 +47,7 @@
 
 // CallerRules is which services may call, by the names in their Caller-Service header.
 type CallerRules struct {
-	Allow []string `json:"Allow,omitempty" validate:"max=1024,dive,required,max=512"` // nil: all
+	Allow []string `json:"Allow,omitempty" validate:"max=1024,dive,required,max=512"` // nil if all may
 	Deny  []string `json:"Deny,omitempty" validate:"max=1024,dive,required,max=512"`
 	Need  []string `json:"Need,omitempty" validate:"max=1024,dive,required,max=512"` // must be able to call
 }
@@ -58,7 +59,7 @@
 	return !slices.Contains(c.Deny, service) && (c.Allow == nil || slices.Contains(c.Allow, service))
 }
 
-// Validate returns the first fault of a policy by itself; nil: there is none.
+// Validate returns the first fault of a policy by itself, or nil if there is none.
 func (p Policy) Validate() *validation.Fault {
 	fault := validation.Check(p)
 	switch {
--- a/internal/mesh/policy/report.go
+++ b/internal/mesh/policy/report.go
@@ -67,7 +67,7 @@
 	return w.String()
 }
 
-// WriteText writes the report as String tells it. Like fmt.Print it is for output to people: errors of the writer are not told.
+// WriteText writes the report in the form of String. As with fmt.Print, errors of the writer are ignored.
 func (r Report) WriteText(w io.Writer) {
 	_, _ = io.WriteString(w, r.String())
 }
--- a/internal/mesh/policy/rollout.go
+++ b/internal/mesh/policy/rollout.go
@@ -25,10 +25,10 @@
 // changed set is first agreed on, by the entry that changes an item. It becomes active by an entry of its own, once
 // the sidecars have received it.
 type Rollout struct {
-	Agreed      string `json:"held"`    // "": there is no set
+	Agreed      string `json:"held"`    // empty if there is no set
 	Active      string `json:"bound"`   // the same
 	AgreedIndex uint64 `json:"heldAt"`  // the log entry by which it was agreed on
-	ActiveIndex uint64 `json:"boundAt"` // the log entry that activated it; 0: none was ever active
+	ActiveIndex uint64 `json:"boundAt"` // the log entry that activated it; 0 if none was ever active
 }
 
 // Fingerprint identifies a policy set by the names, versions and contents of its items, in order; "" identifies the empty set.
--- a/internal/mesh/policy/route.go
+++ b/internal/mesh/policy/route.go
@@ -4,16 +4,18 @@
 
 // Route is the part of a route that policies depend on.
 type Route struct {
-	Name, Host, Prefix string
-	Version            int64
-	Services           []string // that it sends to
-	TimeoutS           float64
-	MaxAttempts        int // servers that one request may be sent to
-	Priority           int
-	AtMostOnce         bool // a request runs at most once
+	Name        string
+	Host        string
+	Prefix      string   // of requests' paths
+	Version     int64    // of the route's item
+	Services    []string // that it sends to
+	TimeoutS    float64  // seconds that one request may take
+	MaxAttempts int      // servers that one request may be sent to
+	Priority    int      // 0 is the highest
+	AtMostOnce  bool     // a request runs at most once
 }
 
-// Example describes a request that the route matches. caller "" stands for any.
+// Example describes a request that the route matches. An empty caller stands for any.
 func (r Route) Example(caller string) string {
 	if caller == "" {
 		caller = "(any)"
--- a/internal/mesh/policy/set.go
+++ b/internal/mesh/policy/set.go
@@ -189,7 +189,7 @@
 	return namespace == owner || namespace == MeshNamespace || slices.Contains(s.ancestors[owner], namespace)
 }
 
-// ClausesFor returns the merged policy for requests of a route to a service. caller is the calling service; "": any.
+// ClausesFor returns the merged policy for requests of a route to a service. caller is the calling service, or empty for any.
 // governed says that policies of namespaces apply to them besides the route's own item, or may do so later because a
 // namespace owns a part of it. A sidecar that can't confirm which policies are active has to know this even before
 // the first policy.
--- a/internal/mesh/policy/sidecarstate.go
+++ b/internal/mesh/policy/sidecarstate.go
@@ -16,7 +16,8 @@
 
 // Receive returns the state after the sidecar has received a set.
 func (s SidecarState) Receive(fingerprint string) SidecarState {
-	s.Received, s.HasPolicies = fingerprint, s.HasPolicies || fingerprint != ""
+	s.Received = fingerprint
+	s.HasPolicies = s.HasPolicies || fingerprint != ""
 	return s
 }
 
@@ -40,7 +41,9 @@
 	if index < s.ActiveIndex {
 		return s
 	}
-	s.Active, s.ActiveIndex, s.HasPolicies = fingerprint, index, s.HasPolicies || fingerprint != ""
+	s.Active = fingerprint
+	s.ActiveIndex = index
+	s.HasPolicies = s.HasPolicies || fingerprint != ""
 	s.ConfirmedAt = max(s.ConfirmedAt, asked)
 	return s
 }
--- a/internal/mesh/retrybudget/budget.go
+++ b/internal/mesh/retrybudget/budget.go
@@ -10,7 +10,8 @@
 
 import "time"
 
-// bucketCount is the number of buckets of a window.
+// bucketCount is the number of buckets of a window. Requests and retries leave the window by whole buckets, so more of them
+// make the ratio smoother.
 const bucketCount = 20
 
 // Limits bound the retries to one service.
--- a/internal/mesh/routing/route.go
+++ b/internal/mesh/routing/route.go
@@ -19,7 +19,13 @@
 	Download               // like Idempotent, with large responses
 )
 
-var kindNames = [...]string{config.RouteTypeNonIdempotent, config.RouteTypeKeyed, config.RouteTypeIdempotent, config.RouteTypeDownload}
+// kindNames are the kinds as the configuration names them (config.RouteSpec.RouteType).
+var kindNames = [...]string{
+	AtMostOnce: config.RouteTypeNonIdempotent,
+	Keyed:      config.RouteTypeKeyed,
+	Idempotent: config.RouteTypeIdempotent,
+	Download:   config.RouteTypeDownload,
+}
 
 // String returns the kind as the configuration names it.
 func (k Kind) String() string { return kindNames[min(k, Download)] }
@@ -34,14 +40,16 @@
 
 // Route is one route of a table. It is immutable.
 type Route struct {
-	Name, Host, Prefix string
-	Version            int64
-	Kind               Kind
-	Destinations       []config.WeightedService // their weights sum to more than 0
-	Timeout            time.Duration            // for a request with all its attempts
-	LatencyTarget      time.Duration            // at most Timeout
-	MaxAttempts        int
-	Priority           int // 0 is the highest
+	Name          string
+	Host          string // of requests, in any case of letters
+	Prefix        string // of requests' paths; begins and ends with a slash
+	Version       int64  // of the configuration item
+	Kind          Kind
+	Destinations  []config.WeightedService // their weights sum to more than 0
+	Timeout       time.Duration            // for a request with all its attempts
+	LatencyTarget time.Duration            // at most Timeout
+	MaxAttempts   int                      // servers that a request may be sent to, the first one included
+	Priority      int                      // 0 is the highest
 
 	totalWeight float64
 	policies    map[string]*policy.Decision // by destination
--- a/internal/mesh/routing/table.go
+++ b/internal/mesh/routing/table.go
@@ -30,7 +30,11 @@
 // NewTableWithPolicies returns the routing table of a configuration, with the policies of another one as they apply to the calls of
 // one service, caller. The two differ while a new policy set is committed but not active.
 func NewTableWithPolicies(items, policies config.Table, caller string) *Table {
-	table := &Table{Services: map[string]config.ServiceSpec{}, byName: map[string]*Route{}, byHost: map[string][]*Route{}}
+	table := &Table{
+		Services: map[string]config.ServiceSpec{},
+		byName:   map[string]*Route{},
+		byHost:   map[string][]*Route{},
+	}
 	for _, item := range items.Items() {
 		table.add(item)
 	}
@@ -46,6 +50,7 @@
 	return table
 }
 
+// add adds what an item configures. Kinds that do not concern requests are left out.
 func (t *Table) add(item config.Item) {
 	if item.Deleted {
 		return
--- a/internal/mesh/validation/validation.go
+++ b/internal/mesh/validation/validation.go
@@ -1,5 +1,5 @@
 // Package validation checks decoded input by its struct tags, and reports fields by their JSON names, as the input's author wrote them.
-// It is pure. Rules that a tag can't express are checked by the packages of the types, which return the same Fault.
+// It is pure, and any goroutine may call it. Rules that a tag can't express are checked by the packages of the types, which return the same Fault.
 package validation
 
 import (
@@ -13,8 +13,10 @@
 	"github.com/juju/errors"
 )
 
+// validate reads the tags of each type once, and is safe for concurrent use.
 var validate = newValidate()
 
+// newValidate returns a validator that names fields by their JSON names.
 func newValidate() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -26,26 +28,29 @@
 
 // Fault is the first field that breaks a rule. Field is its path of JSON names, for example List[1].Name, or empty if the fault is in
 // no single field. Text continues a sentence that begins with the field: "is 0; wanted: gt 0".
-type Fault struct{ Field, Text string }
+type Fault struct {
+	Field string
+	Text  string
+}
 
 // Check checks a struct by its validate tags. It returns nil if the struct is valid.
-func Check(v any) *Fault {
-	err := validate.Struct(v)
+func Check(decoded any) *Fault {
+	err := validate.Struct(decoded)
 	if err == nil {
 		return nil
 	}
 	var invalid validator.ValidationErrors
 	if !errors.As(err, &invalid) {
-		return &Fault{"", err.Error()}
+		return &Fault{Text: err.Error()}
 	}
 	first := invalid[0]
 	_, field, _ := strings.Cut(first.Namespace(), ".")
 	wanted := strings.TrimSpace(first.Tag() + " " + first.Param())
-	return &Fault{field, fmt.Sprintf("is %v; wanted: %s", first.Value(), wanted)}
+	return &Fault{Field: field, Text: fmt.Sprintf("is %v; wanted: %s", first.Value(), wanted)}
 }
 
 // LineOf returns the line of a JSON or YAML text, from 1, that names the field of a path: its parts are looked for one behind the other. A
-// part that is not there counts as where the one before it stands; 0: the first is not there.
+// part that is not there counts as where the one before it is. If not even the first is there, it returns 0.
 func LineOf(text []byte, path string) int {
 	offset, found := 0, false
 	for part := range strings.SplitSeq(path, ".") {
