--- a/internal/mesh/sim/sim_test.go
+++ b/internal/mesh/sim/sim_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"os"
 	"reflect"
-	"runtime"
 	"strconv"
 	"sync"
 	"testing"
@@ -14,6 +13,7 @@
 	"gotest.tools/v3/assert"
 
 	"cranegrade/internal/mesh/history"
+	"cranegrade/internal/testkit"
 )
 
 // Without a fault no promise is broken, and changes and requests do succeed.
@@ -71,24 +71,6 @@
 	return o
 }
 
-// forSeeds calls a function for each seed, on all processors at once.
-func forSeeds(from, count uint64, do func(seed uint64)) {
-	var all sync.WaitGroup
-	next := make(chan uint64)
-	for range runtime.GOMAXPROCS(0) {
-		all.Go(func() {
-			for seed := range next {
-				do(seed)
-			}
-		})
-	}
-	for seed := from; seed < from+count; seed++ {
-		next <- seed
-	}
-	close(next)
-	all.Wait()
-}
-
 // No random schedule breaks a promise. MESH_SIM_SEEDS and MESH_SIM_FROM choose how many, and which.
 func TestSwarm(t *testing.T) {
 	from, count := seedsOf(t, 36)
@@ -96,7 +78,7 @@
 	var mu sync.Mutex
 	failed := 0
 	var met coverage
-	forSeeds(from, count, func(seed uint64) {
+	testkit.ForSeeds(from, count, func(seed uint64) {
 		r := Run(swarmOptions(seed))
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/mesh/storage/faultschedule_test.go
+++ b/internal/mesh/storage/faultschedule_test.go
@@ -11,6 +11,7 @@
 
 	"cranegrade/internal/mesh/raft"
 	"cranegrade/internal/mesh/sim/disk"
+	"cranegrade/internal/testkit"
 )
 
 // expectedState is what a store should hold.
@@ -279,18 +280,22 @@
 // runSchedules plays schedules and counts those in which a promise was broken. first is the error of the first of them. change
 // may be nil.
 func runSchedules(schedules uint64, change func(*faultSchedule), options Options, maxEntryBytes int) (broken int, first error) {
-	for seed := range schedules {
+	failures := make([]error, schedules)
+	testkit.ForSeeds(0, schedules, func(seed uint64) {
 		s := newFaultSchedule(seed, options, maxEntryBytes)
 		if change != nil {
 			change(s)
 		}
-		err := s.run()
+		failures[seed] = s.run()
 		s.closeAfterFault()
-		if err != nil {
-			broken++
-			if first == nil {
-				first = errors.Annotatef(err, "seed %d", seed)
-			}
+	})
+	for seed, err := range failures {
+		if err == nil {
+			continue
+		}
+		broken++
+		if first == nil {
+			first = errors.Annotatef(err, "seed %d", seed)
 		}
 	}
 	return broken, first
--- a/internal/mesh/storage/power_loss_test.go
+++ b/internal/mesh/storage/power_loss_test.go
@@ -3,14 +3,17 @@
 import (
 	"fmt"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/juju/errors"
 	"gotest.tools/v3/assert"
+	is "gotest.tools/v3/assert/cmp"
 
 	"cranegrade/internal/mesh/raft"
 	"cranegrade/internal/mesh/sim/disk"
+	"cranegrade/internal/testkit"
 )
 
 // After each loss of power, between any two accesses to the disk, everything that Save and Compact acknowledged is read
@@ -82,23 +85,28 @@
 
 // The same seed makes the same accesses in the same order and leaves the same bytes, at every one of them.
 func TestSimulatedStoreIsDeterministic(t *testing.T) {
-	run := func(seed uint64) (trace []uint64) {
-		s := newFaultSchedule(seed, simulationOptions, 3_000)
-		s.disk.OnAccess(func(a disk.Access) {
-			s.onAccess()
-			if a.Kind != disk.AccessRead {
-				trace = append(trace, s.disk.Fingerprint())
-			}
-		})
-		assert.NilError(t, s.run())
-		s.closeAfterFault()
-		return append(trace, s.disk.Fingerprint())
-	}
-	for seed := range uint64(8) {
-		first := run(seed)
-		assert.Assert(t, len(first) > 50)
-		assert.DeepEqual(t, first, run(seed))
-	}
+	testkit.ForSeeds(0, 8, func(seed uint64) {
+		first, err := traceOfSchedule(seed)
+		again, errAgain := traceOfSchedule(seed)
+		assert.Check(t, err)
+		assert.Check(t, errAgain)
+		assert.Check(t, len(first) > 50, "seed %d: %d accesses", seed, len(first))
+		assert.Check(t, is.DeepEqual(first, again), "seed %d", seed)
+	})
+}
+
+// traceOfSchedule returns the fingerprints of the disk at each access of a schedule that may change it, and at the end.
+func traceOfSchedule(seed uint64) (trace []uint64, err error) {
+	s := newFaultSchedule(seed, simulationOptions, 3_000)
+	s.disk.OnAccess(func(a disk.Access) {
+		s.onAccess()
+		if a.Kind != disk.AccessRead {
+			trace = append(trace, s.disk.Fingerprint())
+		}
+	})
+	err = s.run()
+	s.closeAfterFault()
+	return append(trace, s.disk.Fingerprint()), err
 }
 
 // A write that was under way at a loss of power, and of which some sectors never reached the disk, leaves what was acknowledged.
@@ -115,43 +123,58 @@
 // was acknowledged: with the write or without it.
 func TestPowerLossWithFlippedBits(t *testing.T) {
 	const schedules = 200
-	var reported int
-	for seed := range uint64(schedules) {
+	var reported atomic.Int64
+	testkit.ForSeeds(0, schedules, func(seed uint64) {
 		s := newFaultSchedule(seed, simulationOptions, 3_000)
 		s.tearModes = []disk.TearMode{disk.BitsFlipped}
 		err := s.run()
 		s.closeAfterFault()
 		if errors.Is(err, ErrCorrupted) {
-			reported++
-			continue
+			reported.Add(1)
+			return
 		}
-		assert.NilError(t, err, "seed %d", seed)
-	}
-	t.Logf("reported in %d of %d", reported, schedules)
-	assert.Assert(t, reported > 0)
+		assert.Check(t, err, "seed %d", seed)
+	})
+	t.Logf("reported in %d of %d", reported.Load(), schedules)
+	assert.Assert(t, reported.Load() > 0)
 }
 
 // A bit that is flipped anywhere in the files is reported as corruption, or changes nothing.
 func TestFlippedBits(t *testing.T) {
 	const schedules = 400
-	var reported int
-	for seed := range uint64(schedules) {
-		s := newFaultSchedule(seed, simulationOptions, 3_000)
-		assert.NilError(t, s.run())
-		s.store.Close()
-		name, at, _ := s.disk.FlipBit(s.rng)
-		store, state, empty, err := OpenFolder(s.disk, simulationOptions)
-		if err != nil {
-			assert.Assert(t, errors.Is(err, ErrCorrupted) || errors.Is(err, ErrFormatVersion), "%v", err)
-			reported++
-			continue
+	var reported atomic.Int64
+	testkit.ForSeeds(0, schedules, func(seed uint64) {
+		found, err := openWithFlippedBit(seed)
+		assert.Check(t, err, "seed %d", seed)
+		if found {
+			reported.Add(1)
 		}
-		store.Close()
-		got, want := expectedFrom(state).describe(), s.expected.describe()
-		assert.Assert(t, !empty && got == want, "seed %d: %s flipped at byte %d: the store holds\n%s\nin place of\n%s", seed, name, at, got, want)
+	})
+	t.Logf("reported in %d of %d", reported.Load(), schedules)
+	assert.Assert(t, reported.Load() > schedules/2)
+}
+
+// openWithFlippedBit plays a schedule, flips a bit and opens the store. reported says that the store is found to be corrupted. The error
+// is that the store holds anything but what was acknowledged, or that it can't be opened for another reason.
+func openWithFlippedBit(seed uint64) (reported bool, err error) {
+	s := newFaultSchedule(seed, simulationOptions, 3_000)
+	if err := s.run(); err != nil {
+		return false, err
+	}
+	s.store.Close()
+	name, at, _ := s.disk.FlipBit(s.rng)
+	store, state, empty, err := OpenFolder(s.disk, simulationOptions)
+	if errors.Is(err, ErrCorrupted) || errors.Is(err, ErrFormatVersion) {
+		return true, nil
+	}
+	if err != nil {
+		return false, err
+	}
+	store.Close()
+	if got, want := expectedFrom(state).describe(), s.expected.describe(); empty || got != want {
+		return false, errors.Errorf("%s flipped at byte %d: empty %v, the store holds\n%s\nin place of\n%s", name, at, empty, got, want)
 	}
-	t.Logf("reported in %d of %d", reported, schedules)
-	assert.Assert(t, reported > schedules/2)
+	return false, nil
 }
 
 // requireEnds fails the test if f does not end.
