--- a/internal/mesh/sim/plans_test.go
+++ b/internal/mesh/sim/plans_test.go
@@ -71,6 +71,7 @@
 
 // A failing plan is reduced to the faults that it needs.
 func TestShrink(t *testing.T) {
+	t.Parallel()
 	o := swarmOptions(1)
 	o.Mutations.KeysForgotten = true
 	fails := func(r Result) bool { return r.Failed() }
--- a/internal/mesh/sim/sim_test.go
+++ b/internal/mesh/sim/sim_test.go
@@ -28,7 +28,8 @@
 
 // The same seed and plan give the same run, byte for byte.
 func TestRunsAreDeterministic(t *testing.T) {
-	for seed := range uint64(4) {
+	t.Parallel()
+	testkit.ForSeeds(0, 4, func(seed uint64) {
 		var first, second bytes.Buffer
 		o := Options{Seed: seed, Plan: Generate(seed), CompactAt: 30, Trace: &first}
 		if seed == 3 {
@@ -37,10 +38,10 @@
 		a := Run(o)
 		o.Trace = &second
 		b := Run(o)
-		assert.Equal(t, a.TraceHash, b.TraceHash)
-		assert.Assert(t, bytes.Equal(first.Bytes(), second.Bytes()))
-		assert.Assert(t, reflect.DeepEqual(a.History, b.History))
-	}
+		assert.Check(t, a.TraceHash == b.TraceHash, "seed %d", seed)
+		assert.Check(t, bytes.Equal(first.Bytes(), second.Bytes()), "seed %d", seed)
+		assert.Check(t, reflect.DeepEqual(a.History, b.History), "seed %d", seed)
+	})
 }
 
 // seedsOf returns how many seeds a test runs with, and the first of them.
@@ -73,6 +74,7 @@
 
 // No random schedule breaks a promise. MESH_SIM_SEEDS and MESH_SIM_FROM choose how many, and which.
 func TestSwarm(t *testing.T) {
+	t.Parallel()
 	from, count := seedsOf(t, 36)
 	began := time.Now()
 	var mu sync.Mutex
