--- a/internal/mesh/controlplane/store.go
+++ b/internal/mesh/controlplane/store.go
@@ -20,7 +20,7 @@
 	diskRetryInterval = 100 * time.Millisecond
 	// diskRetriesPerLog is how many failed attempts at a write there are in a row for each that is logged.
 	diskRetriesPerLog = 10
-	// maxDiscards is how often a corrupted store is discarded in a row before the member gives up.
+	// maxDiscards is how often a corrupted store is discarded in a row. After one more the member gives up.
 	maxDiscards = 50
 )
 
--- a/internal/mesh/sim/disk/file.go
+++ b/internal/mesh/sim/disk/file.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// TearMode is the way in which a loss of power modes a write that was not synced.
+// TearMode is the way in which a loss of power tears a write that was not synced.
 type TearMode uint8
 
 // Modes of tearing a write.
@@ -20,6 +20,9 @@
 // sectorBytes is what a disk writes as a unit.
 const sectorBytes = 512
 
+// maxFlippedBits is how many bits of a torn write are flipped at most.
+const maxFlippedBits = 3
+
 // file is the bytes of one file. Slices that were handed out are never written to: bytes are appended behind them, or replaced.
 type file struct {
 	cached   []byte  // as processes see it
@@ -33,31 +36,33 @@
 	data     []byte
 }
 
+// write appends to the file.
 func (f *file) write(p []byte) {
 	data := bytes.Clone(p)
 	f.cached = append(f.cached, data...)
 	f.unsynced = append(f.unsynced, write{data: data})
 }
 
+// truncate removes all bytes.
 func (f *file) truncate() {
 	f.cached = nil
 	f.unsynced = append(f.unsynced, write{truncate: true})
 }
 
+// sync makes the bytes durable.
 func (f *file) sync() {
 	f.synced = f.cached[:len(f.cached):len(f.cached)]
 	f.unsynced = nil
 }
 
-// losePower keeps some of the unsynced writes and modes the one after them.
+// losePower keeps some of the unsynced writes and tears the one after them.
 func (f *file) losePower(rng *rand.Rand, modes []TearMode) {
 	if len(f.unsynced) == 0 {
 		return
 	}
 	mode := modes[rng.IntN(len(modes))]
 	if mode == SectorsLost {
-		kept := loseSectors(f.cached, f.firstUnsynced(), rng)
-		f.cached, f.synced, f.unsynced = kept, kept, nil
+		f.keep(loseSectors(f.cached, f.firstUnsynced(), rng))
 		return
 	}
 	kept := bytes.Clone(f.synced)
@@ -71,7 +76,14 @@
 	if complete < len(f.unsynced) {
 		kept = append(kept, tear(f.unsynced[complete].data, rng, mode)...)
 	}
-	f.cached, f.synced, f.unsynced = kept, kept, nil
+	f.keep(kept)
+}
+
+// keep makes a content the one that processes see and that is durable.
+func (f *file) keep(content []byte) {
+	f.cached = content
+	f.synced = content
+	f.unsynced = nil
 }
 
 // firstUnsynced returns the offset of the first byte that was not synced.
@@ -106,7 +118,7 @@
 		return append(bytes.Clone(data[:at]), make([]byte, len(data)-at)...)
 	case BitsFlipped:
 		flipped := bytes.Clone(data)
-		for range 1 + rng.IntN(3) {
+		for range 1 + rng.IntN(maxFlippedBits) {
 			flipped[rng.IntN(len(flipped))] ^= 1 << rng.IntN(8)
 		}
 		return flipped
--- a/internal/mesh/sim/disk/handle.go
+++ b/internal/mesh/sim/disk/handle.go
@@ -18,6 +18,7 @@
 	locked   bool // it has the disk's lock; guarded by disk.mu
 }
 
+// errReadOnly is the error of writes to files that were opened for reading only.
 const errReadOnly = errors.ConstError("the files were opened for reading only")
 
 // withFolder runs f under the disk's lock while the handle is open.
@@ -30,7 +31,7 @@
 	return f(&h.disk.folder)
 }
 
-// modify is withFolder for what writes. needsRoom: it fails on a full disk.
+// modify is withFolder for what writes. needsRoom says that it fails on a full disk.
 func (h *handle) modify(a Access, needsRoom bool, f func(*folder) error) error {
 	if h.readOnly {
 		return errReadOnly
@@ -71,6 +72,7 @@
 	}
 }
 
+// releaseLock releases the disk's lock if the handle has it. The caller holds disk.mu.
 func (h *handle) releaseLock() {
 	if h.locked {
 		h.disk.locked, h.locked = false, false
@@ -172,6 +174,7 @@
 	return r.Reader.ReadAt(p, at)
 }
 
+// checkRead reports an access, and returns an error if reads fail.
 func (r *reader) checkRead(n int) error {
 	r.handle.disk.access(Access{Kind: AccessRead, File: r.name, Bytes: n})
 	return r.handle.withFolder(func(*folder) error {
--- a/internal/mesh/sim/disk/pointer.go
+++ b/internal/mesh/sim/disk/pointer.go
@@ -28,7 +28,7 @@
 		return storage.ErrInvalidFile
 	}
 	pointer := []byte(fd.String() + "\n")
-	var current []byte // the content of the pointer in use; nil: there is none
+	var current []byte // the content of the pointer in use, or nil if there is none
 	err := h.withFolder(func(files *folder) error {
 		if f, ok := files.cached[currentPointerName]; ok {
 			current = f.cached
@@ -152,9 +152,9 @@
 	if !ok {
 		return storage.FileDesc{}, os.ErrNotExist
 	}
-	target, whole := strings.CutSuffix(string(file.cached), "\n")
+	target, isComplete := strings.CutSuffix(string(file.cached), "\n")
 	fd, known := parseName(target)
-	if !whole || !known {
+	if !isComplete || !known {
 		return storage.FileDesc{}, &storage.ErrCorrupted{Err: fmt.Errorf("%s is damaged", name)}
 	}
 	if _, ok := f.cached[target]; !ok {
@@ -175,6 +175,9 @@
 	return storage.FileDesc{Type: types[extension], Num: n}, err == nil && types[extension] != 0
 }
 
+// sortDescriptors sorts files by type and number.
 func sortDescriptors(found []storage.FileDesc) {
-	slices.SortFunc(found, func(a, b storage.FileDesc) int { return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Num, b.Num)) })
+	slices.SortFunc(found, func(a, b storage.FileDesc) int {
+		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Num, b.Num))
+	})
 }
