--- a/internal/mesh/history/checkers_test.go
+++ b/internal/mesh/history/checkers_test.go
@@ -309,7 +309,7 @@
 }
 
 // An item whose search times out is reported as undecided, never as valid.
-func TestUndecidedIsTold(t *testing.T) {
+func TestUndecidedItemIsReported(t *testing.T) {
 	var h History
 	for n := range int64(40) {
 		h.Record(change(0, second, Unknown, route("a", 1+n%20, string(rune('a'+n)))))
--- a/internal/mesh/operations/planted_test.go
+++ b/internal/mesh/operations/mutations_test.go
@@ -6,8 +6,8 @@
 	"cranegrade/internal/testkit/mutation"
 )
 
-// TestPlantedErrors is a mutation test: each planted error in histories must be found by a test of this package.
-func TestPlantedErrors(t *testing.T) {
+// TestMutations shows that each error that a mutation puts into histories is found by a test of this package.
+func TestMutations(t *testing.T) {
 	mutation.Run(t, []mutation.Mutation{
 		{
 			Name: "a version accepted again with another content", File: "history.go", KilledBy: "TestClassify",
--- a/internal/mesh/replica/cluster_test.go
+++ b/internal/mesh/replica/cluster_test.go
@@ -41,7 +41,7 @@
 	address   string
 	seeds     []string
 	disk      raft.StoredState
-	replica   *Replica // nil: its process does not run
+	replica   *Replica // nil while its process does not run
 	life      int
 	busy      bool // the disk does not take what must be on it
 	fullUntil time.Duration
@@ -160,7 +160,7 @@
 	}
 }
 
-// leader is the replica that leads the latest term; nil: none does.
+// leader returns the replica that leads the latest term, or nil if none does.
 func (c *cluster) leader() (leader *clusterNode) {
 	for _, n := range c.nodes {
 		if n.replica != nil && n.replica.IsLeader() && (leader == nil || n.replica.Term() > leader.replica.Term()) {
--- a/internal/mesh/replica/planted_test.go
+++ b/internal/mesh/replica/mutations_test.go
@@ -6,31 +6,32 @@
 	"cranegrade/internal/testkit/mutation"
 )
 
-// TestPlantedErrors shows that each error in what a replica acknowledges, reads and keeps is found by a test of this package.
-func TestPlantedErrors(t *testing.T) {
+// TestMutations shows that each error that a mutation puts into what a replica acknowledges, reads and keeps is found by a test of this
+// package.
+func TestMutations(t *testing.T) {
 	mutation.Run(t, []mutation.Mutation{
 		{
-			Name: "a repeated call acknowledged without agreement", File: "updates.go", KilledBy: "TestCallsOfOneItemAreJudgedInOrder",
+			Name: "a duplicate update acknowledged without agreement", File: "updates.go", KilledBy: "TestUpdatesOfOneItemAreAdmittedInOrder",
 			Original:    "		r.confirmDuplicate(done)\n",
 			Replacement: "		done(Reply{Status: http.StatusOK})\n",
 		},
 		{
-			Name: "a call judged before an earlier one of its items is applied", File: "updates.go", KilledBy: "TestCallsOfOneItemAreJudgedInOrder",
+			Name: "an update admitted before an earlier one of its items is applied", File: "updates.go", KilledBy: "TestUpdatesOfOneItemAreAdmittedInOrder",
 			Original:    "	return r.pendingUpdates.latestFor(r.raft.Term(), update)\n",
 			Replacement: "	return 0\n",
 		},
 		{
-			Name: "a call judged before earlier leaders' entries are applied", File: "updates.go", KilledBy: "TestNewLeaderWaitsForEarlierTerms",
+			Name: "an update admitted before earlier leaders' entries are applied", File: "updates.go", KilledBy: "TestNewLeaderWaitsForEarlierTerms",
 			Original:    "	if !r.raft.IsCaughtUpLeader() {\n",
 			Replacement: "	if false {\n",
 		},
 		{
-			Name: "a call held back by proposals of another term", File: "updates.go", KilledBy: "TestProposalsOfAnotherTermDoNotBlock",
+			Name: "an update that waits for proposals of another term", File: "updates.go", KilledBy: "TestProposalsOfAnotherTermDoNotBlock",
 			Original:    "	if p.term != term {\n		return 0",
 			Replacement: "	if false {\n		return 0",
 		},
 		{
-			Name: "an applied call that holds others back", File: "updates.go", KilledBy: "TestCallsOfOneItemAreJudgedInOrder",
+			Name: "an applied update that others wait for", File: "updates.go", KilledBy: "TestUpdatesOfOneItemAreAdmittedInOrder",
 			Original:    "		if p.latest[item.Key] == index {\n			delete(p.latest, item.Key)\n		}\n",
 			Replacement: "		_ = p.latest[item.Key]\n",
 		},
@@ -50,12 +51,12 @@
 			Replacement: "		if w.index <= applied || true {\n",
 		},
 		{
-			Name: "a Ready forgotten that the disk did not take", File: "ready.go", KilledBy: "TestUnsavedReadyIsSavedAgain",
+			Name: "a Ready forgotten that the disk rejected", File: "ready.go", KilledBy: "TestUnsavedReadyIsSavedAgain",
 			Original:    "			r.unsavedReady = &ready\n",
 			Replacement: "",
 		},
 		{
-			Name: "answers sent that the disk did not take", File: "ready.go", KilledBy: "TestUnsavedReadyIsSavedAgain",
+			Name: "messages sent that depend on a write that the disk rejected", File: "ready.go", KilledBy: "TestUnsavedReadyIsSavedAgain",
 			Original:    "	if ready.MustSync() {\n		if !r.env.Save",
 			Replacement: "	r.sendAll(ready.MessagesAfterSave)\n	if ready.MustSync() {\n		if !r.env.Save",
 		},
@@ -70,12 +71,12 @@
 			Replacement: "return quorumContact > 0",
 		},
 		{
-			Name: "a replica with quorum contact that an order has out", File: "replica.go", KilledBy: "TestMaintenanceEndsQuorumContact",
+			Name: "a replica in maintenance with quorum contact", File: "replica.go", KilledBy: "TestMaintenanceEndsQuorumContact",
 			Original:    "!r.raft.IsNonMember() && !r.inMaintenance",
 			Replacement: "!r.raft.IsNonMember()",
 		},
 		{
-			Name: "a leader that stays although an order has it out", File: "replica.go", KilledBy: "TestMaintenanceEndsQuorumContact",
+			Name: "a leader in maintenance that does not transfer leadership", File: "replica.go", KilledBy: "TestMaintenanceEndsQuorumContact",
 			Original:    "		r.raft.TransferLeadership(r.now)\n",
 			Replacement: "",
 		},
@@ -90,7 +91,7 @@
 			Replacement: "",
 		},
 		{
-			Name: "another life of a replica whose disk is damaged founds", File: "bootstrap.go", KilledBy: "TestBootstrap",
+			Name: "a replica whose disk is damaged bootstraps under its former ID", File: "bootstrap.go", KilledBy: "TestBootstrap",
 			Original:    "!b.FirstStart || b.Damaged ||",
 			Replacement: "!b.FirstStart ||",
 		},
--- a/internal/mesh/replica/updates_test.go
+++ b/internal/mesh/replica/updates_test.go
@@ -25,10 +25,10 @@
 	return fmt.Appendf(nil, `{"Upsert":{"ListenerList":[{"HostName":"h","PolicyRules":[%s]}]}}`, strings.Join(rules, ","))
 }
 
-// TestCallsOfOneItemAreJudgedInOrder shows that updates which come at once and name one item are admitted one after the other, each by
+// TestUpdatesOfOneItemAreAdmittedInOrder shows that updates which come at once and name one item are admitted one after the other, each by
 // what those before it have done: what is refused has no effect, also where it conflicts with a version that was overtaken in between,
 // and what comes twice is acknowledged twice.
-func TestCallsOfOneItemAreJudgedInOrder(t *testing.T) {
+func TestUpdatesOfOneItemAreAdmittedInOrder(t *testing.T) {
 	r, now := newSoloLeader(t)
 	send := func(body []byte) *Reply {
 		got := new(Reply)
--- a/internal/mesh/storage/faultschedule_test.go
+++ b/internal/mesh/storage/faultschedule_test.go
@@ -76,7 +76,7 @@
 	folder        Folder // the disk, or around it
 	options       Options
 	maxEntryBytes int
-	store         *Store // nil: not open
+	store         *Store // nil while it is not open
 	expected      expectedState
 	initialized   bool
 	beforeSave    func(store *Store, ready raft.Ready) // mutations change the store before a Save
@@ -86,7 +86,7 @@
 	killProcess        bool // the fault is the end of the process, and not a loss of power
 	diskFills          bool // the disk is full at times
 	diskFull           bool
-	tearModes          []disk.TearMode // of each loss of power; none: the disk's own
+	tearModes          []disk.TearMode // of each loss of power; those of the disk if there are none
 }
 
 func newFaultSchedule(seed uint64, options Options, maxEntryBytes int) *faultSchedule {
@@ -191,7 +191,7 @@
 	}
 }
 
-// writeUntilFault saves and compacts until the fault. The store may hold the batch that was under way then or not: it is opened to
+// writeUntilFault saves and compacts until the fault. The store may hold the batch that was in flight then or not: it is opened to
 // find out.
 func (s *faultSchedule) writeUntilFault(n int) error {
 	for range n {
--- a/internal/mesh/storage/power_loss_test.go
+++ b/internal/mesh/storage/power_loss_test.go
@@ -14,7 +14,7 @@
 )
 
 // After each loss of power, between any two accesses to the disk, everything that Save and Compact acknowledged is read
-// back, and of the write that was under way either all or nothing.
+// back, and of the write in flight either all or nothing.
 func TestPowerLoss(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -101,7 +101,7 @@
 	}
 }
 
-// A write that was under way at a loss of power, and of which some sectors never reached the disk, leaves what was acknowledged.
+// A write in flight at a loss of power, and of which some sectors never reached the disk, leaves what was acknowledged.
 func TestPowerLossWithLostSectors(t *testing.T) {
 	const schedules = 100
 	for _, maxBytes := range []int{300, 6_000, 60_000} {
@@ -111,7 +111,7 @@
 	}
 }
 
-// A write that was under way at a loss of power, and of which some bits were flipped, is reported as corruption, or the store is as it
+// A write in flight at a loss of power, and of which some bits were flipped, is reported as corruption, or the store is as it
 // was acknowledged: with the write or without it.
 func TestPowerLossWithFlippedBits(t *testing.T) {
 	const schedules = 200
