--- a/internal/mesh/controlplane/api_server.go
+++ b/internal/mesh/controlplane/api_server.go
@@ -23,12 +23,10 @@
 	FormerPathPolicy      = "/v1/rules"
 )
 
-// Texts of errors that operators see.
+// Texts of errors that operators see, beside those of package replica.
 const (
-	textNotCommitted  = "not committed in time; it may still be"
-	textNotConfirmed  = "the leader could not be confirmed by a quorum in time"
-	textNotLeader     = "not the leader any more"
-	textNoLeaderKnown = "no leader is known"
+	textNotCommitted = "not committed in time; it may still be"
+	textNotConfirmed = "the leader could not be confirmed by a quorum in time"
 )
 
 // newAPIServer returns the server of the operators' API.
@@ -124,7 +122,7 @@
 	}
 	leader := m.replica.LeaderAddress()
 	if leader == "" {
-		return api.NewError(http.StatusServiceUnavailable, textNoLeaderKnown)
+		return api.NewError(http.StatusServiceUnavailable, replica.TextNoLeaderKnown)
 	}
 	host, _, _ := net.SplitHostPort(leader)
 	_, port, _ := net.SplitHostPort(m.settings.Load().ListenAddrs.ControlPlane)
--- a/internal/mesh/controlplane/maintenance.go
+++ b/internal/mesh/controlplane/maintenance.go
@@ -149,13 +149,13 @@
 	}
 	proposed := c.replica.Propose(c.clock.now(), replica.EncodeMaintenanceChange(kind, text), func(result replica.ProposalResult) {
 		if !result.Known {
-			done(api.NewError(http.StatusServiceUnavailable, textLeaderChanged))
+			done(api.NewError(http.StatusServiceUnavailable, replica.TextLeaderChanged))
 			return
 		}
 		done(result.Outcome.Err)
 	})
 	if !proposed {
-		done(api.NewError(http.StatusServiceUnavailable, textNotLeader))
+		done(api.NewError(http.StatusServiceUnavailable, replica.TextLeadershipLost))
 	}
 }
 
--- a/internal/mesh/controlplane/maintenance_api.go
+++ b/internal/mesh/controlplane/maintenance_api.go
@@ -13,10 +13,8 @@
 	"cranegrade/internal/mesh/replica"
 )
 
-const (
-	textNoName        = "the name of the operator is missing"
-	textLeaderChanged = "another leader took over; it may still be committed"
-)
+// textNoName is the error of a request without By.
+const textNoName = "the name of the operator is missing"
 
 // MaintenanceRequest is an operator's request: for the plan of a machine, to place an order, to change one, or only for the state of all
 // orders. Fields that do not apply are left empty. The JSON names are those of the former release.
@@ -46,7 +44,7 @@
 // answer answers a request at the leader. done is called once, on the loop's goroutine.
 func (c *maintenanceController) answer(request MaintenanceRequest, done func(apiResult[MaintenanceResponse])) {
 	if !c.replica.IsLeader() {
-		done(apiResult[MaintenanceResponse]{err: api.NewError(http.StatusServiceUnavailable, textNotLeader)})
+		done(apiResult[MaintenanceResponse]{err: api.NewError(http.StatusServiceUnavailable, replica.TextLeadershipLost)})
 		return
 	}
 	if c.survey.status == nil && !c.survey.running { // the names of members are only known from a survey
--- a/internal/mesh/raft/entry.go
+++ b/internal/mesh/raft/entry.go
@@ -27,8 +27,9 @@
 
 // Entry is one entry of the log.
 type Entry struct {
-	Index, Term uint64
-	Kind        EntryKind
+	Index uint64 // its place in the log, from 1
+	Term  uint64 // of the leader that appended it
+	Kind  EntryKind
 	// LogTime is the log's own time when the leader appended the entry. It advances while there is a leader, and never faster than real
 	// time. The state machine takes time from it alone, so that all members apply an entry at the same time.
 	LogTime         time.Duration
--- a/internal/mesh/raft/message.go
+++ b/internal/mesh/raft/message.go
@@ -80,21 +80,21 @@
 type Message struct {
 	Kind               MessageKind
 	From, To           ID
-	Term               uint64
-	Index, LogTerm     uint64
-	Commit             uint64 // the leader's commit index
-	Entries            []Entry
-	Reject             bool
-	Hint               uint64 // of a rejected AppendResponse; or leadershipTransferHint
-	HeartbeatRound     uint64 // of an AppendEntries, and of the AppendResponse to it
-	Snapshot           *Snapshot
-	Addr               string // of a JoinRequest, and where the NotMember that answers it goes
-	Members            []Member
-	ConfigurationIndex uint64
-	ProtocolVersion    uint32 // that the sender speaks; Ready sets it
-	Offset, TotalBytes uint64 // of a SnapshotChunk, in the snapshot's data
-	Checksum           uint32 // of a SnapshotChunk: CRC-32C of all of the snapshot's data
-	Leaving            bool   // the sender is in a planned departure; Ready sets it
+	Term               uint64    // the sender's; of a PreVote the next one, which a granted PreVoteResponse repeats
+	Index, LogTerm     uint64    // a position in the sender's log; see the kinds
+	Commit             uint64    // the leader's commit index
+	Entries            []Entry   // of an AppendEntries, without a gap
+	Reject             bool      // of a response
+	Hint               uint64    // of a rejected AppendResponse; or leadershipTransferHint
+	HeartbeatRound     uint64    // of an AppendEntries, and of the AppendResponse to it
+	Snapshot           *Snapshot // of an InstallSnapshot or, with a part of its data, of a SnapshotChunk
+	Addr               string    // of a JoinRequest, and where the NotMember that answers it goes
+	Members            []Member  // of a NotMember
+	ConfigurationIndex uint64    // of a NotMember: the entry that defines Members
+	ProtocolVersion    uint32    // that the sender speaks; Ready sets it
+	Offset, TotalBytes uint64    // of a SnapshotChunk, in the snapshot's data
+	Checksum           uint32    // of a SnapshotChunk: CRC-32C of all of the snapshot's data
+	Leaving            bool      // the sender is in a planned departure; Ready sets it
 }
 
 // leadershipTransferHint is the Hint of a RequestVote that the leader asked for by TimeoutNow. Members vote for it although they hear the
--- a/internal/mesh/raft/raft.go
+++ b/internal/mesh/raft/raft.go
@@ -15,6 +15,11 @@
 //
 // The order of writing and sending is the caller's part in Raft's safety: Ready says what has to be on disk before what is sent.
 //
+// Files: step.go handles messages and the passing of time; election.go, replication.go, follower.go and read_index.go are the algorithm;
+// membership.go, join.go and leave.go change the membership; snapshot_send.go and snapshot_receive.go carry snapshots; log.go,
+// configuration.go and progress.go hold the state; ready.go is what the caller gets, stored_state.go what its disk holds; timeouts.go
+// names the waits.
+//
 // A member is identified by an ID that is stored on its disk, not by its address: a member that has lost its disk comes back with
 // another ID. It starts as a learner, which does not count towards any majority, until it has caught up. A joint configuration change
 // then replaces the lost ID by the new one, so that the votes and acknowledgements of the lost disk are never needed again.
@@ -36,14 +41,6 @@
 	Addr string
 }
 
-// HardState must be on disk before any message that depends on it is sent (Raft paper, figure 2: persistent state).
-type HardState struct {
-	Term uint64
-	// Vote is the candidate that this member voted for in Term, or 0 if it has not voted. A member that forgot it could vote twice in a
-	// term, and so elect two leaders (section 5.2).
-	Vote ID
-}
-
 // Config is what New needs: the settings of a member, and the state that its disk holds.
 type Config struct {
 	Self      Member
@@ -55,7 +52,7 @@
 	CatchUpEntries []Entry
 	// MaxCatchUpEntries is how many entries before a snapshot a compaction keeps. DefaultCatchUpEntries suits most uses.
 	MaxCatchUpEntries int
-	// SnapshotChunkBytes is how much of a snapshot's data one message holds. 0 stands for 32 KiB.
+	// SnapshotChunkBytes is how many bytes of a snapshot's data one message holds. 0 stands for 32 KiB.
 	SnapshotChunkBytes int
 	// ClusterSize is the number of voters that the cluster should have. A learner is added while there are fewer.
 	ClusterSize int
--- a/internal/mesh/replica/environment.go
+++ b/internal/mesh/replica/environment.go
@@ -9,6 +9,13 @@
 	"cranegrade/internal/mesh/raft"
 )
 
+// Texts of replies with status 503, which operators see.
+const (
+	TextNoLeaderKnown  = "no leader is known"
+	TextLeadershipLost = "not the leader any more"
+	TextLeaderChanged  = "another leader took over; it may still be committed"
+)
+
 // Environment provides the effects of a replica. Its methods are called on the goroutine that calls the replica, and must not call the
 // replica before they return.
 type Environment interface {
@@ -25,9 +32,9 @@
 	// Compact replaces the log on disk up to the snapshot's index by the snapshot. Entries from kept on stay. It may fail without harm,
 	// since the longer log holds the same state.
 	Compact(snapshot raft.Snapshot, kept uint64)
-	// BroadcastToSidecars sends a message to each connected sidecar.
+	// BroadcastToSidecars sends a message, of one of the types of codec.NewMessage, to each connected sidecar.
 	BroadcastToSidecars(message any)
-	// BroadcastToReplicas sends a message to each connected replica.
+	// BroadcastToReplicas sends a message, of one of the types of codec.NewMessage, to each connected replica.
 	BroadcastToReplicas(message any)
 }
 
--- a/internal/mesh/replica/forward.go
+++ b/internal/mesh/replica/forward.go
@@ -26,6 +26,6 @@
 	calls := r.forwardedCalls
 	r.forwardedCalls = nil
 	for _, call := range calls {
-		call.done(Unavailable("another leader took over; it may still be committed"))
+		call.done(Unavailable(TextLeaderChanged))
 	}
 }
--- a/internal/mesh/replica/replica.go
+++ b/internal/mesh/replica/replica.go
@@ -7,9 +7,11 @@
 // effects. Its shell in production is package controlplane, where the goroutine of Member.Run calls it; in tests it is package sim. After
 // one or several calls the owner has to call ProcessReady, which saves, sends and applies what they have led to.
 //
-// A change is acknowledged once its entry is applied (proposals.go), and applied once a quorum has it on disk (package raft). Nothing that
-// depends on a save is sent before it (ready.go). Linearizable reads follow Ongaro's dissertation on Raft, section 6.4 (reads.go). The
-// calls and their bodies are defined by the operations pages.
+// A change is acknowledged once its entry is applied (proposals.go), and applied once a quorum has it on disk (package raft). Nothing
+// that depends on a save is sent before it (ready.go). Calls come in through calls.go, updates.go and reads.go, and are forwarded to
+// the leader by forward.go; state.go and maintenance.go apply entries; snapshot.go cuts snapshots; peers.go and sidecars.go are the
+// other processes; view.go is what the owner may read. Linearizable reads follow Ongaro's dissertation on Raft, section 6.4 (reads.go).
+// The calls and their bodies are defined by the operations pages.
 package replica
 
 import (
--- a/internal/mesh/replica/updates.go
+++ b/internal/mesh/replica/updates.go
@@ -68,7 +68,7 @@
 	}
 	leader := r.remoteLeaderAddress()
 	if leader == "" {
-		done(Unavailable("no leader is known"))
+		done(Unavailable(TextNoLeaderKnown))
 		return
 	}
 	r.forwardToLeader(leader, codec.CallModify, body, done)
@@ -127,7 +127,7 @@
 		done(Reply{Status: http.StatusOK})
 	})
 	if !ok {
-		done(Unavailable("not the leader any more"))
+		done(Unavailable(TextLeadershipLost))
 	}
 }
 
@@ -138,7 +138,7 @@
 		r.pendingUpdates.remove(term, index, update)
 		switch {
 		case !result.Known:
-			done(Unavailable("another leader took over; it may still be committed"))
+			done(Unavailable(TextLeaderChanged))
 		case result.Outcome.Err != nil:
 			done(ErrorReply(result.Outcome.Err))
 		default:
@@ -146,7 +146,7 @@
 		}
 	})
 	if !ok {
-		done(Unavailable("not the leader any more"))
+		done(Unavailable(TextLeadershipLost))
 		return
 	}
 	index = r.lastProposed
