--- a/internal/mesh/storage/power_loss_test.go
+++ b/internal/mesh/storage/power_loss_test.go
@@ -17,7 +17,7 @@
 )
 
 // After each loss of power, between any two accesses to the disk, everything that Save and Compact acknowledged is read
-// back, and of the write that was under way either all or nothing.
+// back, and of the write in flight either all or nothing.
 func TestPowerLoss(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -109,7 +109,7 @@
 	return append(trace, s.disk.Fingerprint()), err
 }
 
-// A write that was under way at a loss of power, and of which some sectors never reached the disk, leaves what was acknowledged.
+// A write in flight at a loss of power, and of which some sectors never reached the disk, leaves what was acknowledged.
 func TestPowerLossWithLostSectors(t *testing.T) {
 	const schedules = 100
 	for _, maxBytes := range []int{300, 6_000, 60_000} {
@@ -119,7 +119,7 @@
 	}
 }
 
-// A write that was under way at a loss of power, and of which some bits were flipped, is reported as corruption, or the store is as it
+// A write in flight at a loss of power, and of which some bits were flipped, is reported as corruption, or the store is as it
 // was acknowledged: with the write or without it.
 func TestPowerLossWithFlippedBits(t *testing.T) {
 	const schedules = 200
