--- a/internal/mesh/cli/cli.go
+++ b/internal/mesh/cli/cli.go
@@ -2,7 +2,7 @@
 // prints the result as text or as JSON.
 //
 // It owns the names of commands and options, the texts and the exit codes, which scripts rely on (docs/mesh.md). It must never
-// decide anything about the mesh.
+// decide anything about the mesh. Any goroutine may call Run; calls share no state.
 package cli
 
 import (
@@ -105,13 +105,18 @@
 
 // namedCommand is a top-level command.
 type namedCommand struct {
-	name, description string
-	data              any
+	name        string
+	description string
+	data        any // a pointer to a struct with go-flags tags
 }
 
+// commands returns the commands in the order of the help.
 func commands(env *environment) []namedCommand {
 	return []namedCommand{
-		{"status", "print the state of a running mesh: warnings, leader, processes that lag, servers that are out and why", &statusCommand{env: env}},
+		{
+			"status", "print the state of a running mesh: warnings, leader, processes that lag, servers that are out and why",
+			&statusCommand{env: env},
+		},
 		{"topology", "draw the topology of a running mesh, or a saved one", &topologyCommand{env: env}},
 		{"get", "print items of the configuration, as confirmed by a majority", &getCommand{env: env}},
 		{"check", "check a settings file or a change of the configuration; errors name line and field", &checkCommand{env: env}},
@@ -153,6 +158,8 @@
 	return encoder.Encode(outcome)
 }
 
+// printf prints a part of a result.
 func (env *environment) printf(format string, args ...any) { fmt.Fprintf(env.out, format, args...) }
 
+// println prints a line of a result.
 func (env *environment) println(args ...any) { fmt.Fprintln(env.out, args...) }
--- a/internal/mesh/cli/config.go
+++ b/internal/mesh/cli/config.go
@@ -40,6 +40,7 @@
 	return nil
 }
 
+// printNamed prints the items of a name. The error says that there is none.
 func (c *getCommand) printNamed(table config.Table, name string) error {
 	found := false
 	for _, item := range table.Items() {
@@ -56,6 +57,7 @@
 	return nil
 }
 
+// printIndented prints JSON, indented.
 func (env *environment) printIndented(text []byte) error {
 	var indented bytes.Buffer
 	if err := json.Indent(&indented, text, "", "  "); err != nil {
@@ -148,6 +150,7 @@
 	}
 }
 
+// readItems reads the items of a call, or of a backup, from a file.
 func readItems(path string) ([]config.Item, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/mesh/cli/maintenance.go
+++ b/internal/mesh/cli/maintenance.go
@@ -89,8 +89,10 @@
 	return nil
 }
 
+// minuteLayout is how times of windows are printed.
+const minuteLayout = "2006-01-02 15:04"
+
 func (c *maintenancePlan) printText(response controlplane.MaintenanceResponse) {
-	const minute = "2006-01-02 15:04"
 	now, verdict := response.Now, response.Verdict
 	c.env.printf("it is %s (%v apart)", now.Earliest.UTC().Format("2006-01-02 15:04:05 MST"),
 		now.Latest.Sub(now.Earliest).Round(time.Millisecond))
@@ -100,7 +102,7 @@
 	c.env.println()
 	if verdict.Approved {
 		c.env.printf("approved by %s until %s; out and back takes up to %v besides\n",
-			strings.Join(verdict.Contracts, ", "), verdict.ReturnBy.UTC().Format(minute+" MST"), verdict.TransitionTime)
+			strings.Join(verdict.Contracts, ", "), verdict.ReturnBy.UTC().Format(minuteLayout+" MST"), verdict.TransitionTime)
 	} else {
 		c.env.println("not now")
 	}
@@ -108,7 +110,7 @@
 		c.env.println("  " + reason.String())
 	}
 	for _, window := range verdict.NextWindows {
-		c.env.printf("hours: %s to %s\n", window.From.UTC().Format(minute), window.To.UTC().Format(minute+" MST"))
+		c.env.printf("hours: %s to %s\n", window.From.UTC().Format(minuteLayout), window.To.UTC().Format(minuteLayout+" MST"))
 	}
 	if len(verdict.Approvers) > 0 {
 		c.env.printf("who may: %s\n", strings.Join(verdict.Approvers, ", "))
@@ -222,6 +224,7 @@
 		maintenance.OrderChange{OrderID: c.Args.ID, MaintenanceDone: true, Text: "the maintenance is done, says " + c.By})
 }
 
+// changeOrder sends a change of an order and prints it.
 func (env *environment) changeOrder(addr string, change maintenance.OrderChange) error {
 	response, err := env.api(addr).Maintenance(controlplane.MaintenanceRequest{Change: &change})
 	if err != nil {
--- a/internal/mesh/cli/process.go
+++ b/internal/mesh/cli/process.go
@@ -37,7 +37,7 @@
 func (c *drainCommand) Execute([]string) error {
 	ctx, cancel := c.env.context()
 	defer cancel()
-	var body []byte
+	var body []byte // an empty one puts the server back
 	if !c.Undo {
 		body = []byte{1}
 	}
--- a/internal/mesh/cli/status.go
+++ b/internal/mesh/cli/status.go
@@ -41,6 +41,7 @@
 	return nil
 }
 
+// collect takes the topology of a running mesh from one of its members.
 func (env *environment) collect(addr string) (topology.Topology, error) {
 	ctx, cancel := env.context()
 	defer cancel()
@@ -97,6 +98,7 @@
 	return t, errors.Annotate(err, c.From)
 }
 
+// saveTopology writes a topology to a file, for --from.
 func saveTopology(path string, t topology.Topology) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/internal/mesh/demo/audit.go
+++ b/internal/mesh/demo/audit.go
@@ -34,16 +34,16 @@
 	firstSeen := firstSeenSets(observed)
 	audit.sets = len(firstSeen)
 	next := successors(firstSeen)
-	for _, x := range observed {
-		successor, replaced := next[x.set]
+	for _, observation := range observed {
+		successor, replaced := next[observation.set]
 		if !replaced {
 			continue
 		}
-		late := x.began.Sub(firstSeen[successor])
+		late := observation.began.Sub(firstSeen[successor])
 		audit.widest = max(audit.widest, late)
 		if late > policy.FenceTimeout {
 			audit.differences = append(audit.differences,
-				fmt.Sprintf("%s goes by set %s %v after set %s was in force elsewhere", x.sidecar, x.set, late, successor))
+				fmt.Sprintf("%s goes by set %s %v after set %s was in force elsewhere", observation.sidecar, observation.set, late, successor))
 		}
 	}
 	return audit
@@ -53,13 +53,13 @@
 func differingPolicies(observed []observedPolicy) (differences []string) {
 	type decision struct{ route, caller, set string }
 	last := map[decision]observedPolicy{}
-	for _, x := range observed {
-		key := decision{x.route, x.caller, x.set}
-		if before, found := last[key]; found && before.policy != x.policy {
+	for _, observation := range observed {
+		key := decision{observation.route, observation.caller, observation.set}
+		if before, found := last[key]; found && before.policy != observation.policy {
 			differences = append(differences, fmt.Sprintf("%s from %s: %s has policy %s and %s has %s, both by set %s",
-				x.route, x.caller, before.sidecar, before.policy, x.sidecar, x.policy, x.set))
+				observation.route, observation.caller, before.sidecar, before.policy, observation.sidecar, observation.policy, observation.set))
 		}
-		last[key] = x
+		last[key] = observation
 	}
 	return differences
 }
@@ -67,9 +67,9 @@
 // firstSeenSets returns for each set the time by which it was certainly active: when the first response that names it arrived.
 func firstSeenSets(observed []observedPolicy) map[string]time.Time {
 	first := map[string]time.Time{}
-	for _, x := range observed {
-		if at, seen := first[x.set]; !seen || x.ended.Before(at) {
-			first[x.set] = x.ended
+	for _, observation := range observed {
+		if at, seen := first[observation.set]; !seen || observation.ended.Before(at) {
+			first[observation.set] = observation.ended
 		}
 	}
 	return first
--- a/internal/mesh/demo/cluster.go
+++ b/internal/mesh/demo/cluster.go
@@ -2,12 +2,15 @@
 // are maintained, or policies change, and the outcome of every request is checked and printed.
 //
 // It owns the demonstrations and their checks; package testcluster owns the mesh. It must never be part of a program that serves
-// traffic.
+// traffic. Each demonstration is one call, on one goroutine; only the traffic has goroutines of its own.
+//
+// Sources: docs/mesh.md, docs/maintenance.md and docs/teams.md say what the demonstrations show.
 package demo
 
 import (
 	"fmt"
 	"io"
+	"net/http"
 	"os"
 	"slices"
 	"time"
@@ -48,6 +51,7 @@
 	return c, nil
 }
 
+// start starts the processes and applies the first configuration, of the services and routes.
 func (c *cluster) start(services []string, routes []map[string]any) (err error) {
 	if err := testcluster.BuildPrograms(c.dir); err != nil {
 		return err
@@ -84,7 +88,7 @@
 			if member.Process == nil {
 				continue
 			}
-			if status, text = member.Modify(body); status == 200 {
+			if status, text = member.Modify(body); status == http.StatusOK {
 				return true
 			}
 		}
--- a/internal/mesh/demo/failover.go
+++ b/internal/mesh/demo/failover.go
@@ -10,12 +10,24 @@
 	"cranegrade/internal/mesh/topology"
 )
 
+// Steps of the failover demo: the pause before each, and the intervals of its calls.
+const (
+	pauseBeforeKill    = time.Second
+	pauseBeforeDrain   = 700 * time.Millisecond
+	pauseBeforeCrash   = time.Second
+	pauseAfterCrash    = 1300 * time.Millisecond
+	failoverInterval   = 4 * time.Millisecond  // of lookups, and of orders
+	failoverRepeated   = 5                     // every nth order is repeated
+	repetitionInterval = 20 * time.Millisecond // of repeated orders
+)
+
 // Failover runs four seconds of traffic while a control-plane member is killed, one server drains and another crashes, and prints the
 // outcomes of the requests. It then keeps the mesh up until the context stay ends, so that operators can try commands on it. The error
 // says that the demo could not run, or that a guarantee of the mesh was violated.
 func Failover(stay context.Context, out io.Writer, timeout time.Duration) error {
 	c, err := startCluster(out, []string{"orders", "orders", "stock", "stock"},
-		testcluster.RouteItem("lookup", "idempotent", "/lookup/", "stock", 1), testcluster.RouteItem("order", "keyed", "/order/", "orders", 1))
+		testcluster.RouteItem("lookup", "idempotent", "/lookup/", "stock", 1),
+		testcluster.RouteItem("order", "keyed", "/order/", "orders", 1))
 	if err != nil {
 		return err
 	}
@@ -25,17 +37,17 @@
 		return err
 	}
 	fmt.Fprintln(out, "\nfour seconds of traffic; a control-plane member is killed, one server drains, one crashes")
-	c.startCalls("lookup", 4*time.Millisecond, func(n int) (testcluster.Response, bool) {
+	c.startCalls("lookup", failoverInterval, func(n int) (testcluster.Response, bool) {
 		return c.sidecar(n).Send("GET", fmt.Sprint("/lookup/", n), "", nil), true
 	})
-	c.startOrders(4*time.Millisecond, 5)
-	time.Sleep(time.Second)
+	c.startOrders(failoverInterval, failoverRepeated)
+	time.Sleep(pauseBeforeKill)
 	c.Members[0].Kill()
-	time.Sleep(700 * time.Millisecond)
+	time.Sleep(pauseBeforeDrain)
 	c.Sidecars[2].App.Drain()
-	time.Sleep(time.Second)
+	time.Sleep(pauseBeforeCrash)
 	c.Sidecars[1].App.Crash()
-	time.Sleep(1300 * time.Millisecond)
+	time.Sleep(pauseAfterCrash)
 	c.stopCalls()
 	c.printOutcomes(out, "")
 	fmt.Fprintln(out, "503 has not run, 409 is in flight, 502 and 504 may have run")
@@ -68,7 +80,7 @@
 	c.startCalls("order", interval, func(n int) (testcluster.Response, bool) {
 		return c.sidecar(n).Send("POST", "/order/new", fmt.Sprint("k-", n), []byte("one")), true
 	})
-	c.startCalls("order, again elsewhere", 20*time.Millisecond, func(n int) (testcluster.Response, bool) {
+	c.startCalls("order, again elsewhere", repetitionInterval, func(n int) (testcluster.Response, bool) {
 		return c.sidecar(n+1).Send("POST", "/order/new", fmt.Sprint("k-", repeated*n), []byte("one")), true
 	})
 }
--- a/internal/mesh/demo/maintenance.go
+++ b/internal/mesh/demo/maintenance.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"net/http"
 	"time"
 
 	"github.com/juju/errors"
@@ -15,8 +16,13 @@
 )
 
 const (
-	maintenanceOrder = "rack-7"
-	downloadBytes    = 200_000
+	maintenanceOrder = "rack-7" // ID of the order
+	downloadBytes    = 200_000  // of each download; a shorter one was truncated
+	// Intervals of the calls of each kind, and of which orders every nth is repeated.
+	lookupInterval           = 5 * time.Millisecond
+	exportInterval           = 40 * time.Millisecond
+	orderInterval            = 10 * time.Millisecond
+	maintenanceRepeatedOrder = 2
 	// orderTimeout bounds a call to a control-plane member.
 	orderTimeout = 3 * time.Second
 )
@@ -86,19 +92,20 @@
 	return nil
 }
 
+// startMaintenanceTraffic starts calls of all kinds.
 func (c *cluster) startMaintenanceTraffic() {
-	c.startCalls("lookup", 5*time.Millisecond, func(n int) (testcluster.Response, bool) {
+	c.startCalls("lookup", lookupInterval, func(n int) (testcluster.Response, bool) {
 		return c.sidecar(n).Send("GET", fmt.Sprint("/lookup/", n), "", nil), true
 	})
-	c.startCalls("export", 40*time.Millisecond, func(n int) (testcluster.Response, bool) {
+	c.startCalls("export", exportInterval, func(n int) (testcluster.Response, bool) {
 		response := c.sidecar(n).Send("GET", fmt.Sprintf("/export/%d?bytes=%d", n, downloadBytes), "", nil)
 		return response, len(response.Body) > downloadBytes
 	})
-	c.startOrders(10*time.Millisecond, 2)
+	c.startOrders(orderInterval, maintenanceRepeatedOrder)
 }
 
-// maintain orders the machine out and follows the order to its end. It returns how many requests the machine's server had run before
-// it was drained, and when the machine was in maintenance (-1: that step was not seen).
+// maintain orders the machine out and follows the order to its end. It returns how many requests the machine's server
+// had run before it was drained, and when the machine was in maintenance, or -1 if that step was not seen.
 func (c *cluster) maintain(machine *testcluster.Machine, length time.Duration) (before, during int, err error) {
 	member := c.Members[0]
 	order := &maintenance.Order{
@@ -108,7 +115,7 @@
 		PlacedBy: "ana",
 		Reason:   "a disk",
 	}
-	if _, status, text := member.CallMaintenance(controlplane.MaintenanceRequest{Order: order}); status != 200 {
+	if _, status, text := member.CallMaintenance(controlplane.MaintenanceRequest{Order: order}); status != http.StatusOK {
 		return 0, 0, errors.Errorf("the order was not accepted: %d %s", status, text)
 	}
 	before = c.Recorder.RunsBy(machine.App.Instance)
--- a/internal/mesh/demo/policy.go
+++ b/internal/mesh/demo/policy.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"net/http"
 	"strings"
 	"sync"
 	"time"
@@ -23,7 +24,7 @@
 	Owners        [2]string     // of the namespaces, which have the names of the services
 	KeyedRoute    string        // to the first service; its requests must run once
 	ReadRoute     string        // to the second service
-	DownloadRoute string        // to the second service; its responses must be complete; "": there is none
+	DownloadRoute string        // to the second service; its responses must be complete; empty if there is none
 }
 
 // DispatchScenario returns a scenario of a dispatch office.
@@ -53,6 +54,11 @@
 	// keyedAttempts and keyedPause are a client's retries of a keyed request that has not run, or is still in flight.
 	keyedAttempts = 20
 	keyedPause    = 300 * time.Millisecond
+	// routeAttempts is how many servers the routes allow a request to be sent to, before any policy limits them.
+	routeAttempts = 3
+	// Intervals of the calls of each kind.
+	policyCallInterval     = 8 * time.Millisecond
+	policyDownloadInterval = 40 * time.Millisecond
 	// leastPolicySets is the number of policy sets that must have been active for a run to be conclusive.
 	leastPolicySets = 3
 	// printedFaults is the most faults of one kind that are printed.
@@ -94,14 +100,16 @@
 	return d.judge(verdicts)
 }
 
+// machines returns the services of the machines: three of each team.
 func (s PolicyScenario) machines() []string {
 	return []string{s.Services[0], s.Services[0], s.Services[0], s.Services[1], s.Services[1], s.Services[1]}
 }
 
+// routes returns the items of the routes.
 func (s PolicyScenario) routes() []map[string]any {
 	route := func(name, kind, service string) map[string]any {
 		item := testcluster.RouteItem(name, kind, "/"+name+"/", service, 1)
-		item["ForwardAction"].(map[string]any)["RetryCount"] = 3
+		item["ForwardAction"].(map[string]any)["RetryCount"] = routeAttempts
 		return item
 	}
 	routes := []map[string]any{route(s.KeyedRoute, "keyed", s.Services[0]), route(s.ReadRoute, "idempotent", s.Services[1])}
@@ -130,15 +138,16 @@
 	}}})
 }
 
+// startTraffic starts calls of all kinds.
 func (d *policyDemo) startTraffic() {
-	d.startCalls(d.KeyedRoute, 8*time.Millisecond, d.sendKeyed)
-	d.startCalls(d.ReadRoute, 8*time.Millisecond, func(n int) (testcluster.Response, bool) {
+	d.startCalls(d.KeyedRoute, policyCallInterval, d.sendKeyed)
+	d.startCalls(d.ReadRoute, policyCallInterval, func(n int) (testcluster.Response, bool) {
 		return d.sendTraced(d.sidecar(n), "GET", fmt.Sprintf("/%s/%d", d.ReadRoute, n), ""), true
 	})
 	if d.DownloadRoute == "" {
 		return
 	}
-	d.startCalls(d.DownloadRoute, 40*time.Millisecond, func(n int) (testcluster.Response, bool) {
+	d.startCalls(d.DownloadRoute, policyDownloadInterval, func(n int) (testcluster.Response, bool) {
 		response := d.sendTraced(d.sidecar(n), "GET", fmt.Sprintf("/%s/%d?bytes=%d", d.DownloadRoute, n, downloadBytes), "")
 		return response, len(response.Body) > downloadBytes
 	})
@@ -150,7 +159,7 @@
 	key := fmt.Sprint("k-", n)
 	for attempt := range keyedAttempts {
 		response = d.sendTraced(d.sidecar(n+attempt), "POST", "/"+d.KeyedRoute+"/new", key)
-		if response.Status == 200 {
+		if response.Status == http.StatusOK {
 			return response, true
 		}
 		time.Sleep(keyedPause)
@@ -162,9 +171,9 @@
 }
 
 // sendTraced sends a request and records the policy that its response names.
-func (d *policyDemo) sendTraced(x *testcluster.Machine, method, path, key string) testcluster.Response {
+func (d *policyDemo) sendTraced(machine *testcluster.Machine, method, path, key string) testcluster.Response {
 	began := time.Now()
-	response := x.Send(method, path, key, []byte("one"))
+	response := machine.Send(method, path, key, []byte("one"))
 	if response.Status == 0 || response.PolicyTrace == "" {
 		return response
 	}
@@ -174,11 +183,11 @@
 	d.observed = append(d.observed, observedPolicy{
 		began:   began,
 		ended:   time.Now(),
-		sidecar: x.Name,
+		sidecar: machine.Name,
 		route:   strings.Split(path, "/")[1],
 		policy:  merged,
 		set:     set,
-		caller:  x.App.Service,
+		caller:  machine.App.Service,
 	})
 	return response
 }
@@ -202,11 +211,11 @@
 		d.changeTogether,
 		func() (string, error) {
 			return d.rejected("less time than the other's requests need", d.Members[1],
-				d.change(1, policy.Policy{Name: "shelter", TimeoutS: 0.2, Tries: 1}), 409)
+				d.change(1, policy.Policy{Name: "shelter", TimeoutS: 0.2, Tries: 1}), http.StatusConflict)
 		},
 		func() (string, error) {
 			return d.rejected("more attempts than the other's policy let through, without consent", d.Members[2],
-				d.change(1, policy.Policy{Name: "shelter", TimeoutS: 1, Tries: 2}), 403)
+				d.change(1, policy.Policy{Name: "shelter", TimeoutS: 1, Tries: 2}), http.StatusForbidden)
 		},
 		func() (string, error) {
 			return "", d.modify(d.change(1, policy.Policy{
@@ -235,14 +244,18 @@
 	d.version++
 	p.ConfigVersion = int64(d.version)
 	p.Namespace = d.Services[team]
-	return testcluster.EncodeCall(map[string]any{"Upsert": map[string]any{"RulingList": []policy.Policy{p}}, "By": d.Owners[team], "Consents": consents})
+	return testcluster.EncodeCall(map[string]any{
+		"Upsert":   map[string]any{"RulingList": []policy.Policy{p}},
+		"By":       d.Owners[team],
+		"Consents": consents,
+	})
 }
 
 // changeTogether makes both teams change a policy at the same time, at any members.
 func (d *policyDemo) changeTogether() (string, error) {
-	no := false
+	keyedAgain := false
 	bodies := [2][]byte{
-		d.change(0, policy.Policy{Name: "keys", KeyedAgain: &no, On: policy.Selector{Routes: []string{d.KeyedRoute}}}),
+		d.change(0, policy.Policy{Name: "keys", KeyedAgain: &keyedAgain, On: policy.Selector{Routes: []string{d.KeyedRoute}}}),
 		d.change(1, policy.Policy{Name: "shelter", TimeoutS: 1, Tries: 1}),
 	}
 	var errs [2]error
@@ -281,9 +294,9 @@
 
 // changeWhileFrozen commits another policy set and waits until it is active while a sidecar is frozen.
 func (d *policyDemo) changeWhileFrozen() (string, error) {
-	x := d.Sidecars[5]
-	x.Process.Pause()
-	defer x.Process.Resume()
+	frozen := d.Sidecars[len(d.Sidecars)-1]
+	frozen.Process.Pause()
+	defer frozen.Process.Resume()
 	return "", d.modify(d.change(1, policy.Policy{Name: "shelter", TimeoutS: 0.9, Tries: 1}))
 }
 
@@ -332,6 +345,7 @@
 	return nil
 }
 
+// firstError returns the first error that is not nil, or nil.
 func firstError(errs []error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/internal/mesh/demo/traffic.go
+++ b/internal/mesh/demo/traffic.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"net/http"
 	"slices"
 	"sync"
 	"time"
@@ -71,7 +72,7 @@
 	defer t.mu.Unlock()
 	outcomes := t.kinds[kind]
 	outcomes.byStatus[phase][response.Status]++
-	if response.Status != 200 {
+	if response.Status != http.StatusOK {
 		return
 	}
 	outcomes.latencies[phase] = append(outcomes.latencies[phase], latency)
@@ -118,14 +119,27 @@
 	return faulty
 }
 
+// noResponse is the status of a call without a response.
+const noResponse = 0
+
+// faultyStatuses are the statuses of calls that failed in a way that they may have run, or that had no response.
+var faultyStatuses = []int{
+	noResponse,
+	http.StatusInternalServerError,
+	http.StatusBadGateway,
+	http.StatusGatewayTimeout,
+}
+
 // isFaulty reports whether any calls were truncated, had no response, or failed in a way that they may have run.
 func (o *callOutcomes) isFaulty() bool {
 	if o.incomplete > 0 {
 		return true
 	}
 	for _, byStatus := range o.byStatus {
-		if byStatus[0] > 0 || byStatus[500] > 0 || byStatus[502] > 0 || byStatus[504] > 0 {
-			return true
+		for _, status := range faultyStatuses {
+			if byStatus[status] > 0 {
+				return true
+			}
 		}
 	}
 	return false
--- a/internal/mesh/idempotency/store.go
+++ b/internal/mesh/idempotency/store.go
@@ -40,8 +40,8 @@
 	Holder string
 	// Release gives the lease back: this attempt never ran.
 	Release bool
-	// Window is how long the lease is held, in log time; a window of 0 stands for defaultWindow. It is the requester's own choice, and must be at least as
-	// long as any holder keeps the response.
+	// Window is how long the lease is held, in log time; a window of 0 stands for defaultWindow. It is the requester's own
+	// choice, and must be at least as long as any holder keeps the response.
 	Window time.Duration
 }
 
--- a/internal/mesh/maintenance/order.go
+++ b/internal/mesh/maintenance/order.go
@@ -64,7 +64,7 @@
 	NeedsApproval    bool          `json:"asked,omitempty"`    // by an approver of the contracts other than PlacedBy
 	ApprovedBy       string        `json:"approved,omitempty"`
 	ReturnBy         time.Time     `json:"until,omitzero"`  // the machine must be back; zero if an override sets no time
-	Successor        string        `json:"heir,omitempty"`  // the sidecar that takes over the machine's idempotency keys; empty if there is none
+	Successor        string        `json:"heir,omitempty"`  // the sidecar that takes over the machine's idempotency keys, if any
 	StepSince        TimeBounds    `json:"since"`           // when the current step began
 	MaintenanceSince TimeBounds    `json:"outAt"`           // when the latest StepInMaintenance began
 	Aborting         bool          `json:"abort,omitempty"` // it ends once the machine is back
--- a/internal/mesh/scale/announcer.go
+++ b/internal/mesh/scale/announcer.go
@@ -18,9 +18,9 @@
 
 // Times of an announcer, which are those of a sidecar.
 const (
-	recordInterval = 5 * time.Second
-	redialInterval = 100 * time.Millisecond
-	readTimeout    = time.Second
+	recordInterval = 5 * time.Second        // between two sendings of the record
+	redialInterval = 100 * time.Millisecond // between two attempts to connect, or to read the items
+	readTimeout    = time.Second            // of one read of all items
 )
 
 // announcer is to the control plane what a sidecar is: a connection with heartbeats, a record that is sent again and again, and one read
@@ -78,11 +78,11 @@
 		if err != nil {
 			return
 		}
-		switch v := message.Value.(type) {
+		switch value := message.Value.(type) {
 		case *wire.ItemsT:
-			a.noteVersions(config.ItemsFromWire(v))
+			a.noteVersions(config.ItemsFromWire(value))
 		case *wire.CallReplyT:
-			a.calls.Deliver(conn, v)
+			a.calls.Deliver(conn, value)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 	}
 }
 
-// callItems returns the items of the member at the other end; nil: it gave none.
+// callItems returns the items of the member at the other end, or nil if it gave none.
 func (a *announcer) callItems(ctx context.Context, conn *transport.Conn) *wire.ItemsT {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -127,13 +127,16 @@
 	if err != nil || reply.Status != http.StatusOK {
 		return nil
 	}
-	items, err := codec.DecodeTable(reply.Body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	items, err := codec.DecodeTable(reply.Body, func(encoded []byte) *wire.ItemsT {
+		return wire.GetRootAsItems(encoded, 0).UnPack()
+	})
 	if err != nil {
 		return nil
 	}
 	return items
 }
 
+// noteVersions keeps the highest version of each route among the items.
 func (a *announcer) noteVersions(items []config.Item) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -147,7 +150,7 @@
 // Confirmed reports whether all items were read.
 func (a *announcer) Confirmed() bool { return a.confirmed.Load() }
 
-// RouteVersion returns the latest version of a route that was received; 0: none.
+// RouteVersion returns the latest version of a route that was received, or 0 if none was.
 func (a *announcer) RouteVersion(name string) int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/mesh/scale/comparison.go
+++ b/internal/mesh/scale/comparison.go
@@ -78,7 +78,8 @@
 // comparisonTable returns the comparison as a Markdown table.
 func comparisonTable(c Comparison) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "| %d sidecars | real | hollow, a process each | hollow, one process | a process each / real | one process / real |\n", c.Count)
+	fmt.Fprintf(&b, "| %d sidecars | real | hollow, a process each | hollow, one process "+
+		"| a process each / real | one process / real |\n", c.Count)
 	b.WriteString("| --- | ---: | ---: | ---: | ---: | ---: |\n")
 	for _, f := range c.figures() {
 		ratio := func(value float64) string {
--- a/internal/mesh/scale/experiment.go
+++ b/internal/mesh/scale/experiment.go
@@ -8,12 +8,13 @@
 	Name string `toml:"name" json:"name"`
 	// Sizes are numbers of sidecars, each measured by itself.
 	Sizes []int `toml:"sizes" json:"sizes"`
-	// Full is how many of the sidecars are hollow sidecars with their complete control side; the others are announcers. One number for
-	// each size, or one for all; 0: all are full.
+	// Full is how many of the sidecars are hollow sidecars with their complete control side; the others are announcers.
+	// One number for each size, or one for all. With 0 all are full.
 	Full []int `toml:"full" json:"full"`
 	// Seeds decide which servers restart and which services they belong to; each size is measured once for each seed.
 	Seeds []uint64 `toml:"seeds" json:"seeds"`
-	// RepeatTo is the largest size that is measured with each seed; larger ones are measured with the first seed only. 0: all sizes are.
+	// RepeatTo is the largest size that is measured with each seed; larger ones are measured with the first seed only. With 0
+	// all sizes are measured with each.
 	RepeatTo int `toml:"repeat_to" json:"repeat_to"`
 	// Phases are those in which the sizes are measured; idle comes first. Varied services and routes are measured in idle and
 	// changes, the comparison in all but heartbeats.
@@ -23,11 +24,12 @@
 	// Services and Routes are how many of each the configuration holds.
 	Services int `toml:"services" json:"services"`
 	Routes   int `toml:"routes" json:"routes"`
-	// VarySize is the size at which VaryServices and VaryRoutes are measured, one at a time; 0: they are not measured.
+	// VarySize is the size at which VaryServices and VaryRoutes are measured, one at a time. With 0 they are
+	// not measured.
 	VarySize     int   `toml:"vary_size" json:"vary_size"`
 	VaryServices []int `toml:"vary_services" json:"vary_services"`
 	VaryRoutes   []int `toml:"vary_routes" json:"vary_routes"`
-	// Compare is how many real sidecars are measured against as many hollow ones; 0: none.
+	// Compare is how many real sidecars are measured against as many hollow ones; with 0 none are.
 	Compare int `toml:"compare" json:"compare"`
 	// PhaseS is how long each phase is measured, in seconds; SettleS how long the mesh rests after its start.
 	PhaseS  float64 `toml:"phase_s" json:"phase_s"`
@@ -73,4 +75,5 @@
 // fullAt returns the number of full sidecars at the size with an index.
 func (x Experiment) fullAt(i int) int { return x.Full[min(i, len(x.Full)-1)] }
 
+// seconds returns a number of seconds as a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/mesh/scale/experiment_file.go
+++ b/internal/mesh/scale/experiment_file.go
@@ -20,8 +20,8 @@
 // FieldError is an error in an experiment file.
 type FieldError struct {
 	File  string
-	Line  int    // from 1; 0: the file as a whole
-	Field string // empty: none in particular
+	Line  int    // from 1; 0 for the file as a whole
+	Field string // empty if it is none in particular
 	Text  string
 }
 
--- a/internal/mesh/scale/experiment_validate.go
+++ b/internal/mesh/scale/experiment_validate.go
@@ -27,11 +27,15 @@
 )
 
 // problem is a value of the right type that is not allowed.
-type problem struct{ field, text string }
+type problem struct {
+	field string
+	text  string // continues a sentence that begins with the field
+}
 
 // problemList collects the problems of an experiment.
 type problemList []problem
 
+// add adds a problem of a field.
 func (l *problemList) add(field, format string, args ...any) {
 	*l = append(*l, problem{field, fmt.Sprintf(format, args...)})
 }
--- a/internal/mesh/scale/fake_server.go
+++ b/internal/mesh/scale/fake_server.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	serverSlots   = 8 // requests that a server takes at once, as its heartbeats say
-	serverTimeout = time.Second
+	serverSlots   = 8           // requests that a server takes at once, as its heartbeats say
+	serverTimeout = time.Second // of one heartbeat
 )
 
 // fakeServer stands in for the application server beside a full sidecar: it sends heartbeats, drains, is replaced and crashes.
@@ -82,7 +82,8 @@
 		return false
 	}
 	s.heartbeats.Add(1)
-	response, err := s.client.Post("http://"+s.controlAddress+"/v1/endpoints/"+instance+"/heartbeat", "application/json", bytes.NewReader(body))
+	url := "http://" + s.controlAddress + "/v1/endpoints/" + instance + "/heartbeat"
+	response, err := s.client.Post(url, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
--- a/internal/mesh/scale/fleet.go
+++ b/internal/mesh/scale/fleet.go
@@ -44,10 +44,13 @@
 
 // plan is what a fleet consists of and what is measured of it.
 type plan struct {
-	size, full, services, routes int
-	seed                         uint64
-	phases                       []string
-	kind                         sidecarKind
+	size     int // sidecars of all kinds
+	full     int // of these, those that are no announcers
+	services int
+	routes   int
+	seed     uint64
+	phases   []string // in their order
+	kind     sidecarKind
 	// brief says that only phases and memory are measured, and that no sidecar is observed for changes to come into force, since the
 	// observation costs each worker some processor time.
 	brief bool
@@ -61,8 +64,8 @@
 	program       string // this one, for workers
 	cluster       *testcluster.Cluster
 	memberClients []*transport.Client // in the order of the control plane's members
-	fullWorkers   []*workerProcess    // none: the full sidecars are real
-	announcers    *workerProcess      // nil: there are none
+	fullWorkers   []*workerProcess    // none if the full sidecars are real
+	announcers    *workerProcess      // nil if there are none
 	servers       []*fakeServer
 	crashed       []*fakeServer
 	client        *http.Client // of the servers
--- a/internal/mesh/scale/fleet_configuration.go
+++ b/internal/mesh/scale/fleet_configuration.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	changeTimeout       = 5 * time.Second
-	changeRetryInterval = 50 * time.Millisecond
+	changeTimeout       = 5 * time.Second       // until a change is acknowledged
+	changeRetryInterval = 50 * time.Millisecond // between two attempts to send the same change
 )
 
 func serviceName(i int) string { return fmt.Sprintf("service-%04d", i) }
--- a/internal/mesh/scale/fleet_start.go
+++ b/internal/mesh/scale/fleet_start.go
@@ -13,8 +13,9 @@
 
 const (
 	startTimeout       = 60 * time.Second // for all sidecars to know each other
-	zones              = 3
-	addressesPerSubnet = 250 // sidecars with addresses in one /24 of loopback
+	zones              = 3                // that the sidecars are in, in turn
+	addressesPerSubnet = 250              // sidecars with addresses in one /24 of loopback
+	subnets            = 256              // of a /16; their numbers wrap round
 )
 
 // Ports of a sidecar that nothing listens at: other sidecars know it, and its server, by them.
@@ -35,6 +36,7 @@
 	return err
 }
 
+// startReal starts real sidecars with servers, and waits until they are ready.
 func (f *fleet) startReal() error {
 	for range f.plan.size {
 		if _, err := f.cluster.AddSidecar(serviceName(f.random.IntN(f.plan.services))); err != nil {
@@ -116,7 +118,7 @@
 	if _, err := fmt.Sscanf(strings.Join(strings.Split(memberIP, ".")[:3], "."), "127.%d.%d", &a, &b); err != nil {
 		panic("scale: a member of the cluster is not on loopback: " + memberIP)
 	}
-	return fmt.Sprintf("127.%d.%d.%d", a, (b+1+n/addressesPerSubnet)%256, 1+n%addressesPerSubnet)
+	return fmt.Sprintf("127.%d.%d.%d", a, (b+1+n/addressesPerSubnet)%subnets, 1+n%addressesPerSubnet)
 }
 
 // startServer starts the server beside a sidecar.
--- a/internal/mesh/scale/machine.go
+++ b/internal/mesh/scale/machine.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	memoryCheckInterval = 250 * time.Millisecond
-	loadSpan            = time.Second // over which the load by other processes is measured before a run
+	memoryCheckInterval = 250 * time.Millisecond // how often the processes' memory is compared with the limit
+	loadSpan            = time.Second            // over which the load by other processes is measured before a run
 )
 
 // thisMachine describes the machine. It takes loadSpan.
@@ -25,7 +25,7 @@
 	return m
 }
 
-// machineMemory returns the machine's memory in bytes; 0: it can't be read.
+// machineMemory returns the machine's memory in bytes, or 0 if it can't be read.
 func machineMemory() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -70,7 +70,7 @@
 	return t
 }
 
-// busySince returns the share of the cores that were busy between two times; 0 where no time has passed.
+// busySince returns the share of the cores that were busy between two times, or 0 where no time has passed.
 func (t machineTime) busySince(before machineTime) float64 {
 	total := t.total - before.total
 	if total <= 0 {
--- a/internal/mesh/scale/measure.go
+++ b/internal/mesh/scale/measure.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	crashTimeout  = 90 * time.Second
+	crashTimeout  = 90 * time.Second      // until all full sidecars know of a crash
 	crashInterval = 50 * time.Millisecond // between two looks
 )
 
@@ -163,6 +163,7 @@
 	return p, err
 }
 
+// setHeartbeatInterval sets the interval of all servers' heartbeats, in seconds.
 func (f *fleet) setHeartbeatInterval(intervalS float64) {
 	for _, s := range f.servers {
 		s.interval.Store(int64(seconds(intervalS)))
@@ -229,7 +230,8 @@
 	return 0, fmt.Errorf("a crash was not known everywhere after %v", crashTimeout)
 }
 
-// lastReachedAt returns when the sidecars of the last worker knew the state that is observed, in Unix nanoseconds; 0: some do not.
+// lastReachedAt returns when the sidecars of the last worker knew the state that is observed, in Unix nanoseconds, or 0
+// if some do not.
 func (f *fleet) lastReachedAt() (last int64, err error) {
 	all := true
 	err = f.callFull(request{Observe: &observeRequest{Look: true}}, func(r response) {
--- a/internal/mesh/scale/need.go
+++ b/internal/mesh/scale/need.go
@@ -9,14 +9,15 @@
 
 // Need is one figure of a role at the size to design for.
 type Need struct {
-	Role, What string
-	Unit       Unit
-	Value      float64
-	Factor     float64 // by which it may be off, by the fit's error; NaN: not known
-	Budget     float64 // 0: none is set
-	From       string  // the figures that the value follows from
-	Assumed    string  // what is assumed in it; empty: nothing
-	Missing    bool    // a figure that it follows from was not measured, and counts as 0
+	Role    string
+	What    string
+	Unit    Unit
+	Value   float64
+	Factor  float64 // by which it may be off, by the fit's error; NaN if that is not known
+	Budget  float64 // 0 if none is set
+	From    string  // the figures that the value follows from
+	Assumed string  // what is assumed in it; empty if nothing is
+	Missing bool    // a figure that it follows from was not measured, and counts as 0
 }
 
 // Verdict is whether a need is within its budget, as the page shows it.
@@ -55,7 +56,7 @@
 // estimate is a figure that needs follow from.
 type estimate struct {
 	value  float64
-	factor float64 // by which it may be off; NaN: not known
+	factor float64 // by which it may be off; NaN if that is not known
 	from   string  // the metric, and how the value follows from it
 }
 
--- a/internal/mesh/scale/needs.go
+++ b/internal/mesh/scale/needs.go
@@ -123,8 +123,9 @@
 		leasesPerSecond * assumedKeyWindow, math.NaN(), fmt.Sprintf("%.0f key leases a second × %.0f s", leasesPerSecond, assumedKeyWindow),
 	}
 	changes := b.extrapolate(leaderPerChange).times(targetChangesPS, fmt.Sprintf(" × %.2f a second", targetChangesPS))
+	const ofLeases = "processor of key leases, all at one leader"
 	return []Need{
-		newNeed(role, "processor of key leases, all at one leader", Cores, leases, assumedMemberCores, "share of keyed calls; cores of a machine"),
+		newNeed(role, ofLeases, Cores, leases, assumedMemberCores, "share of keyed calls; cores of a machine"),
 		newNeed(role, "bytes sent for key leases", BytesPerSecond, traffic, assumedMemberLink, "share of keyed calls; link of a machine"),
 		newNeed(role, "keys leased, of which the code bounds the number", Count, keys, codeMaxLeases, "all"),
 		newNeed(role, "processor of changes", Cores, changes, assumedMemberCores, "cores of a machine"),
--- a/internal/mesh/scale/page_tables.go
+++ b/internal/mesh/scale/page_tables.go
@@ -11,7 +11,8 @@
 func writeNeeds(b *strings.Builder, all []Results) {
 	needs, missing := Needs(all)
 	b.WriteString("\n### Each role at the size to design for\n\n")
-	b.WriteString("| role | what | need | may be off by | budget | need / budget | | from | assumed |\n| --- | --- | ---: | ---: | ---: | ---: | --- | --- | --- |\n")
+	b.WriteString("| role | what | need | may be off by | budget | need / budget | | from | assumed |\n" +
+		"| --- | --- | ---: | ---: | ---: | ---: | --- | --- | --- |\n")
 	sort.SliceStable(needs, func(i, j int) bool {
 		first, second := needs[i], needs[j]
 		return first.Role == second.Role && first.Budget > 0 &&
@@ -39,7 +40,9 @@
 
 // writeRuns writes the table of the runs that the figures are of.
 func writeRuns(b *strings.Builder, all []Results) {
-	b.WriteString("\n### Runs\n\n| experiment | when | cores | busy before | sizes | hollow of each | seeds | took | note |\n| --- | --- | ---: | ---: | --- | ---: | --- | ---: | --- |\n")
+	b.WriteString("\n### Runs\n\n" +
+		"| experiment | when | cores | busy before | sizes | hollow of each | seeds | took | note |\n" +
+		"| --- | --- | ---: | ---: | --- | ---: | --- | ---: | --- |\n")
 	for _, r := range all {
 		x := r.Experiment
 		note := x.Note
@@ -56,7 +59,9 @@
 
 // writeGrowth writes the table of each metric by size with its exponent.
 func writeGrowth(b *strings.Builder, all []Results) {
-	b.WriteString("\n### How each figure grows with sidecars\n\n| figure | by number of sidecars | exponent | spread of seeds | at 13,000 | may be off by |\n| --- | --- | --- | ---: | ---: | ---: |\n")
+	b.WriteString("\n### How each figure grows with sidecars\n\n" +
+		"| figure | by number of sidecars | exponent | spread of seeds | at 13,000 | may be off by |\n" +
+		"| --- | --- | --- | ---: | ---: | ---: |\n")
 	for _, m := range Metrics() {
 		g := Grow(m, all)
 		if len(g.Points) == 0 {
@@ -93,7 +98,9 @@
 
 // writeVaried writes the table of what grows with services and routes.
 func writeVaried(b *strings.Builder, all []Results) {
-	b.WriteString("\n### How figures grow with services and routes\n\n| figure | by | values | each | standard error |\n| --- | --- | --- | ---: | ---: |\n")
+	b.WriteString("\n### How figures grow with services and routes\n\n" +
+		"| figure | by | values | each | standard error |\n" +
+		"| --- | --- | --- | ---: | ---: |\n")
 	for _, v := range VariedFits(all) {
 		if !v.Fitted {
 			continue
--- a/internal/mesh/scale/report.go
+++ b/internal/mesh/scale/report.go
@@ -32,11 +32,13 @@
 func WriteReport(path string, all []Results) error {
 	var b strings.Builder
 	b.WriteString("<!doctype html>\n<html lang=\"en\"><meta charset=\"utf-8\"><title>How the control side grows</title>\n")
-	b.WriteString("<style>body{font-family:sans-serif;margin:2em} figure{display:inline-block;margin:1em} figcaption{font-size:small}</style>\n")
+	b.WriteString("<style>body{font-family:sans-serif;margin:2em} figure{display:inline-block;margin:1em} " +
+		"figcaption{font-size:small}</style>\n")
 	b.WriteString("<h1>How the control side grows with the number of sidecars</h1>\n")
 	for _, r := range all {
-		fmt.Fprintf(&b, "<p>%s, %s, %d cores, %.0f %% busy before. %s %s</p>\n", html.EscapeString(r.Experiment.Name), r.When.Format("2006-01-02 15:04"),
-			r.Machine.Cores, 100*r.Machine.Load, html.EscapeString(r.Experiment.Note), html.EscapeString(r.Stopped))
+		fmt.Fprintf(&b, "<p>%s, %s, %d cores, %.0f %% busy before. %s %s</p>\n",
+			html.EscapeString(r.Experiment.Name), r.When.Format("2006-01-02 15:04"), r.Machine.Cores, 100*r.Machine.Load,
+			html.EscapeString(r.Experiment.Note), html.EscapeString(r.Stopped))
 	}
 	for _, m := range Metrics() {
 		g := Grow(m, all)
--- a/internal/mesh/scale/results.go
+++ b/internal/mesh/scale/results.go
@@ -38,7 +38,7 @@
 	Machine      Machine       `json:"machine"`
 	Measurements []Measurement `json:"measurements"`
 	Comparison   *Comparison   `json:"comparison,omitempty"`
-	// Stopped is why the run ended before everything was measured; empty: it did not.
+	// Stopped is why the run ended before everything was measured; empty if it did not.
 	Stopped string  `json:"stopped,omitempty"`
 	TookS   float64 `json:"took_s"`
 }
@@ -109,7 +109,7 @@
 	Keys      float64            `json:"keys,omitempty"` // leased at the end
 }
 
-// phase returns the phase with a name; nil: it was not measured.
+// phase returns the phase with a name, or nil if it was not measured.
 func (m Measurement) phase(name string) *Phase {
 	i := slices.IndexFunc(m.Phases, func(p Phase) bool { return p.Name == name })
 	if i < 0 {
@@ -118,8 +118,8 @@
 	return &m.Phases[i]
 }
 
-// unreadShare returns the share of the records sent to a full sidecar that it did not read during all phases; 0: it kept up. It is taken
-// over all phases because records come in bursts, which the end of a single phase may cut in two.
+// unreadShare returns the share of the records sent to a full sidecar that it did not read during all phases, or 0 if it kept up. It
+// is taken over all phases because records come in bursts, which the end of a single phase may cut in two.
 func (m Measurement) unreadShare() float64 {
 	var sent, received float64
 	for _, p := range m.Phases {
@@ -138,7 +138,7 @@
 // counts reports whether the phase may be used in fits.
 func (p Phase) counts() bool { return p.excluded() == "" }
 
-// excluded returns why a phase is not used in fits; empty: it is.
+// excluded returns why a phase is not used in fits, or "" if it is.
 func (p Phase) excluded() string {
 	switch {
 	case p.Bound != "" && !p.Kept:
--- a/internal/mesh/scale/run.go
+++ b/internal/mesh/scale/run.go
@@ -52,6 +52,7 @@
 	return r.results, nil
 }
 
+// measureAll measures the sizes, then what is varied, then real sidecars beside hollow ones.
 func (r *runner) measureAll(ctx context.Context) error {
 	if err := r.measureSizes(ctx); err != nil {
 		return err
--- a/internal/mesh/scale/sample.go
+++ b/internal/mesh/scale/sample.go
@@ -37,6 +37,7 @@
 	heartbeats int64
 }
 
+// sample reads the usage and traffic of all processes of the fleet.
 func (f *fleet) sample(ctx context.Context) (s sample, err error) {
 	for i, member := range f.cluster.Members {
 		m, err := f.sampleMember(ctx, i, member.Process.Cmd.Process.Pid)
@@ -77,12 +78,14 @@
 	return m, fmt.Errorf("member %d of the control plane gave no status in %d attempts", i+1, statusAttempts)
 }
 
+// readStatus asks a member for its status.
 func readStatus(ctx context.Context, client *transport.Client) (*wire.StatusT, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return client.Status(ctx)
 }
 
+// sampleHollow asks the workers of full sidecars for their traffic.
 func (f *fleet) sampleHollow() (s sidecarSample, err error) {
 	s.sent = map[string]int64{}
 	s.received = map[string]int64{}
@@ -103,12 +106,14 @@
 	return s, nil
 }
 
+// addTraffic adds counts of bytes by type of message.
 func addTraffic(to, from map[string]int64) {
 	for messageType, bytes := range from {
 		to[messageType] += bytes
 	}
 }
 
+// sampleReal asks each real sidecar for what it has sent.
 func (f *fleet) sampleReal(ctx context.Context) (s sidecarSample, err error) {
 	s.sent = map[string]int64{}
 	for _, machine := range f.cluster.Sidecars {
--- a/internal/mesh/scale/worker.go
+++ b/internal/mesh/scale/worker.go
@@ -46,8 +46,8 @@
 	ctx      context.Context // of the sidecars
 	sidecars []measuredSidecar
 	running  sync.WaitGroup
-	observer *observer // nil: nothing is observed
-	dir      string    // of settings files; empty: there are none yet
+	observer *observer // nil if nothing is observed
+	dir      string    // of settings files; empty if there are none yet
 }
 
 // ServeWorker answers requests until in ends, and then ends all its sidecars.
@@ -82,6 +82,7 @@
 	}
 }
 
+// handle carries out one request.
 func (w *worker) handle(q request) (r response) {
 	switch {
 	case q.Start != nil:
@@ -100,6 +101,7 @@
 	return r
 }
 
+// start starts sidecars. They run until the worker ends.
 func (w *worker) start(all []settings.Settings) error {
 	for _, set := range all {
 		s, err := w.newSidecar(set)
@@ -112,6 +114,7 @@
 	return nil
 }
 
+// newSidecar returns a sidecar of the worker's kind.
 func (w *worker) newSidecar(set settings.Settings) (measuredSidecar, error) {
 	if w.kind == workerAnnounce {
 		return newAnnouncer(set), nil
@@ -159,6 +162,7 @@
 	return all
 }
 
+// await waits until the sidecars have reached a state, or the request's time is over.
 func (w *worker) await(q awaitRequest) *awaitResponse {
 	deadline := time.Now().Add(seconds(q.TimeoutS))
 	for {
@@ -209,6 +213,7 @@
 	return a
 }
 
+// bytesByType returns the bytes of counters by type of message.
 func bytesByType(counters []*wire.TrafficCounterT) map[string]int64 {
 	bytes := map[string]int64{}
 	for _, counter := range counters {
--- a/internal/mesh/scale/worker_observer.go
+++ b/internal/mesh/scale/worker_observer.go
@@ -15,11 +15,12 @@
 	stop    chan struct{}
 	stopped chan struct{}
 
-	serverReachedAt atomic.Int64    // when the last sidecar knew the server's state, in Unix nanoseconds; 0: not yet
+	serverReachedAt atomic.Int64    // when the last sidecar knew the server's state, in Unix nanoseconds; 0 if it does not yet
 	latestVersion   atomic.Int64    // that all sidecars have
 	versions        map[int64]int64 // see observeResponse.Versions; only read once stopped is closed
 }
 
+// startObserver starts an observation of sidecars, which must not change meanwhile.
 func startObserver(target observeRequest, sidecars []measuredSidecar) *observer {
 	o := &observer{
 		target:   target,
@@ -48,6 +49,7 @@
 	return seen
 }
 
+// run looks at the sidecars at each observeInterval, until stop is closed.
 func (o *observer) run(sidecars []measuredSidecar) {
 	latest := oldestVersion(sidecars, o.target.Route)
 	ticker := time.NewTicker(observeInterval)
--- a/internal/mesh/scale/worker_protocol.go
+++ b/internal/mesh/scale/worker_protocol.go
@@ -66,7 +66,7 @@
 type observeResponse struct {
 	Versions map[int64]int64 `json:"versions"` // by version of the route: when the last sidecar had it or a later one
 	Latest   int64           `json:"latest"`   // version that all sidecars have
-	Reached  int64           `json:"reached"`  // when the last sidecar knew the server's state; 0: not yet
+	Reached  int64           `json:"reached"`  // when the last sidecar knew the server's state, or 0 if it does not yet
 }
 
 // leaseRequest has the sidecars lease keys at an even pace. Each key is new.
@@ -93,6 +93,6 @@
 type account struct {
 	Sent       map[string]int64 `json:"said"`  // bytes sent to the control plane since the start, by type of message
 	Received   map[string]int64 `json:"heard"` // bytes received, the same
-	Heap       int64            `json:"heap"`  // bytes in use after a collection, with the stacks of goroutines; 0: not asked for
+	Heap       int64            `json:"heap"`  // bytes in use after a collection, with the stacks of goroutines; 0 if not asked for
 	Goroutines int              `json:"goroutines"`
 }
--- a/internal/mesh/topology/collect.go
+++ b/internal/mesh/topology/collect.go
@@ -38,16 +38,16 @@
 // Those that do not answer before ctx ends are Unreachable. The error says that the member itself did not answer.
 func Collect(ctx context.Context, addr string) (Topology, error) {
 	t := Topology{AskedMember: addr}
-	heard := &announcements{complete: make(chan struct{})}
-	client, err := transport.DialClient(ctx, addr, ClientName, heard.handle)
+	announced := &announcements{complete: make(chan struct{})}
+	client, err := transport.DialClient(ctx, addr, ClientName, announced.handle)
 	if err != nil {
 		return t, err
 	}
 	defer client.Close()
-	if err := heard.await(ctx, client); err != nil {
+	if err := announced.await(ctx, client); err != nil {
 		return t, errors.Annotate(err, addr)
 	}
-	members, records := heard.read(&t)
+	members, records := announced.read(&t)
 	if members == nil {
 		return t, errors.WithType(errors.Annotate(ErrNotMember, addr), transport.ErrRejected)
 	}
@@ -68,7 +68,9 @@
 	if err != nil {
 		return
 	}
-	items, err := codec.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
+	items, err := codec.DecodeTable(body, func(encoded []byte) *wire.ItemsT {
+		return wire.GetRootAsItems(encoded, 0).UnPack()
+	})
 	if err != nil {
 		return
 	}
@@ -118,7 +120,8 @@
 	return errors.WithType(ErrIncomplete, transport.ErrNoReply)
 }
 
-// read gives the members (nil: the process is none) and the records of sidecars.
+// read returns the members, or nil if the process is no control-plane member, and the records of sidecars. It sets what the
+// process says of its quorum contact.
 func (a *announcements) read(t *Topology) (*wire.MembersT, []directory.Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/mesh/topology/status.go
+++ b/internal/mesh/topology/status.go
@@ -18,6 +18,7 @@
 	stateDown     = "down"
 )
 
+// stateNames are the states of servers. A state that a later build has added has none.
 var stateNames = map[directory.ServerState]string{
 	directory.ServerNone:     stateNone,
 	directory.ServerReady:    stateReady,
@@ -25,14 +26,6 @@
 	directory.ServerDown:     stateDown,
 }
 
-// routeKindNames are the kinds of routes, as the configuration names them.
-var routeKindNames = map[routing.Kind]string{
-	routing.AtMostOnce: "non_idempotent",
-	routing.Keyed:      "keyed",
-	routing.Idempotent: "idempotent",
-	routing.Download:   "download",
-}
-
 // memberFromStatus returns a control-plane member according to its own status.
 func memberFromStatus(status *wire.StatusT) Member {
 	m := Member{
@@ -106,7 +99,7 @@
 			Name:        r.Name,
 			Host:        r.Host,
 			Prefix:      r.Prefix,
-			Kind:        routeKindNames[r.Kind],
+			Kind:        r.Kind.String(),
 			Version:     r.Version,
 			TimeoutS:    r.Timeout.Seconds(),
 			MaxAttempts: r.MaxAttempts,
--- a/internal/mesh/topology/svg.go
+++ b/internal/mesh/topology/svg.go
@@ -20,6 +20,12 @@
 	routeRowHeight   = 34
 	weightBarWidth   = 220
 	warningRowHeight = 18
+	warningsGap      = 28 // from what is drawn above to the first line of the warnings
+	titleBaseline    = 12 // of the first line, below the margin
+	zoneTitleOffset  = 20 // of a heading's baseline, below the top of its frame
+	routesOffset     = 30 // of the first route, below the top of the zones
+	weightBarHeight  = 18
+	weightBarGap     = 10 // between a route's text and its bar
 	maxWarnings      = 24 // warnings that are listed; the rest is counted
 	oneColumnCards   = 6  // most cards of a zone with one column
 	twoColumnCards   = 24 // most cards of a zone with two columns; larger zones have three
@@ -52,10 +58,13 @@
 	return "#888"
 }
 
+// smallTypeDoubleWidth is the mean width of two characters in small type, in pixels.
+const smallTypeDoubleWidth = 11
+
 // truncate shortens a text to about a width in pixels, in small type.
 func truncate(text string, width int) string {
 	runes := []rune(text)
-	if n := max(2, width*2/11); len(runes) > n {
+	if n := max(2, width*2/smallTypeDoubleWidth); len(runes) > n {
 		return string(runes[:n-1]) + "…"
 	}
 	return text
@@ -99,16 +108,16 @@
 	d := newDrawing(t, svg.New(w))
 	listBottom := max(d.zonesTop+d.zoneHeight, d.routesBelow)
 	shown := min(len(d.warnings), maxWarnings)
-	height := listBottom + 56 + (shown+2)*warningRowHeight + margin
+	height := listBottom + 2*warningsGap + (shown+2)*warningRowHeight + margin
 	d.canvas.Start(d.width, height)
 	d.canvas.Rect(0, 0, d.width, height, "fill:white")
 	title := fmt.Sprintf("%d members, %d sidecars, %d routes; configuration %d, as %s has it",
 		len(t.Members), len(t.Sidecars), len(t.Routes), t.ConfigurationIndex, t.AskedMember)
-	d.canvas.Text(margin, margin+12, title, styleHeading)
-	d.canvas.Text(d.routesLeft, margin+12, "strip: service; dot: followed member; bold: leader", styleSmall)
+	d.canvas.Text(margin, margin+titleBaseline, title, styleHeading)
+	d.canvas.Text(d.routesLeft, margin+titleBaseline, "strip: service; dot: followed member; bold: leader", styleSmall)
 	d.drawZones()
 	d.drawRoutes()
-	d.drawWarnings(listBottom+28, shown)
+	d.drawWarnings(listBottom+warningsGap, shown)
 	d.canvas.End()
 }
 
@@ -142,7 +151,7 @@
 	d.zoneHeight = headerHeight + d.memberRows*(memberHeight+cardGap) + rows*(cardHeight+cardGap) + cardGap
 	d.zonesTop = margin + headerHeight - 16
 	d.routesLeft = margin + len(d.zones)*(d.zoneWidth+margin)
-	d.routesBelow = d.zonesTop + 30 + len(t.Routes)*routeRowHeight
+	d.routesBelow = d.zonesTop + routesOffset + len(t.Routes)*routeRowHeight
 	d.width = d.routesLeft + 2*weightBarWidth + 2*margin
 	return d
 }
@@ -162,7 +171,7 @@
 		if zone == "" {
 			zone = "zone not known"
 		}
-		d.canvas.Text(left+cardGap, d.zonesTop+20, "zone "+zone, styleHeading)
+		d.canvas.Text(left+cardGap, d.zonesTop+zoneTitleOffset, "zone "+zone, styleHeading)
 	}
 	d.drawMemberConnections()
 	for i, zone := range d.zones {
@@ -247,13 +256,13 @@
 }
 
 func (d *drawing) drawRoutes() {
-	d.canvas.Text(d.routesLeft, d.zonesTop+20, "routes", styleHeading)
-	y := d.zonesTop + 30
+	d.canvas.Text(d.routesLeft, d.zonesTop+zoneTitleOffset, "routes", styleHeading)
+	y := d.zonesTop + routesOffset
 	for _, r := range d.Routes {
 		d.canvas.Text(d.routesLeft, y+12, truncate(r.Host+r.Prefix, weightBarWidth), styleText)
 		details := fmt.Sprintf("%s, %s, version %d, %g s, %d attempts", r.Name, r.Kind, r.Version, r.TimeoutS, r.MaxAttempts)
-		d.canvas.Text(d.routesLeft, y+26, truncate(details, weightBarWidth+10), styleSmall)
-		d.drawWeights(r.Destinations, d.routesLeft+weightBarWidth+10, y+2)
+		d.canvas.Text(d.routesLeft, y+26, truncate(details, weightBarWidth+weightBarGap), styleSmall)
+		d.drawWeights(r.Destinations, d.routesLeft+weightBarWidth+weightBarGap, y+2)
 		y += routeRowHeight
 	}
 }
@@ -267,7 +276,7 @@
 		if to <= from {
 			continue
 		}
-		d.canvas.Rect(x+from, y, to-from, 18, "fill:"+colorOf(d.services, w.Service))
+		d.canvas.Rect(x+from, y, to-from, weightBarHeight, "fill:"+colorOf(d.services, w.Service))
 		d.canvas.Text(x+4+from, y+13, truncate(fmt.Sprintf("%s %.0f %%", w.Service, w.Share*100), to-from-6), styleSmall+";fill:white")
 	}
 }
--- a/internal/mesh/topology/topology.go
+++ b/internal/mesh/topology/topology.go
@@ -3,7 +3,9 @@
 // mesh; a Topology can be saved, and drawn as text, for Graphviz, or as SVG.
 //
 // The package owns the warnings and drawings that operators see. It must never change a mesh: it only reads. Warnings and drawings are
-// computed from the fields of a Topology alone.
+// computed from the fields of a Topology alone. Collect may be called by any goroutine; a Topology belongs to its caller.
+//
+// Sources: docs/mesh.md for what operators are shown; the DOT language of Graphviz, and SVG 1.1.
 package topology
 
 import (
@@ -19,8 +21,8 @@
 	Members            []Member      `json:"members"`
 	Sidecars           []Sidecar     `json:"sidecars"`
 	Routes             []Route       `json:"routes"`
-	Items              []ItemVersion `json:"items"`                       // as a majority confirmed them; empty: it could not be asked
-	PolicyFingerprint  string        `json:"policyFingerprint,omitempty"` // of the active policy set; "": there is none
+	Items              []ItemVersion `json:"items"`                       // as a majority confirmed them; empty if it could not be asked
+	PolicyFingerprint  string        `json:"policyFingerprint,omitempty"` // of the active policy set; empty if there is none
 }
 
 // Process is what every process reports about itself.
@@ -28,7 +30,7 @@
 	Name          string           `json:"name"`
 	Addr          string           `json:"addr"` // of its transport
 	Zone          string           `json:"zone"`
-	Unreachable   string           `json:"unreachable,omitempty"` // why it could not be asked; "": it answered
+	Unreachable   string           `json:"unreachable,omitempty"` // why it could not be asked; empty if it answered
 	UptimeS       float64          `json:"uptimeS"`
 	Traffic       []TrafficCounter `json:"traffic,omitempty"` // sent since its start, by message type
 	QuorumContact bool             `json:"quorumContact"`     // with a majority of members
--- a/internal/mesh/topology/warnings.go
+++ b/internal/mesh/topology/warnings.go
@@ -31,7 +31,7 @@
 	return list
 }
 
-// warning returns the most serious problem of a member; "": there is none.
+// warning returns the most serious problem of a member, or "" if there is none.
 func (m Member) warning() string {
 	switch {
 	case m.Unreachable != "":
--- a/internal/mesh/validation/validation.go
+++ b/internal/mesh/validation/validation.go
@@ -1,5 +1,8 @@
-// Package validation checks decoded input by its struct tags, and reports fields by their JSON names, as the input's author wrote them.
-// It is pure, and any goroutine may call it. Rules that a tag can't express are checked by the packages of the types, which return the same Fault.
+// Package validation checks decoded input by its struct tags, and reports fields by their JSON names, as the input's author
+// wrote them.
+//
+// It is pure, and any goroutine may call it. Rules that a tag can't express are checked by the packages of the types, which
+// return the same Fault.
 package validation
 
 import (
