--- /dev/null
+++ b/balancer/selection_test.go
@@ -0,0 +1,235 @@
+package balancer
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+func TestPickFollowsTheDesign(t *testing.T) {
+	mk := func(calls ...int) []*server {
+		var l []*server
+		for i, c := range calls {
+			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, calls: c})
+		}
+		return l
+	}
+	b := newBalancer(t, nil)
+	const n = 20000
+	shareLeft := func(left, right []*server) float64 {
+		got := 0
+		for range n {
+			s := b.pick(left, right)
+			for _, l := range left {
+				if s == l {
+					got++
+				}
+			}
+		}
+		return float64(got) / n
+	}
+	for _, c := range []struct {
+		name        string
+		left, right []*server
+		want        float64
+	}{
+		{"fewer left", mk(1), mk(2), 1},
+		{"fewer right", mk(2), mk(1), 0},
+		{"zero beats one", mk(1), mk(0), 0},
+		{"zero left beats one", mk(0), mk(1), 1},
+		{"nonzero tie goes left", mk(3), mk(3), 1},
+		{"zero tie by shares", mk(0, 0, 0), mk(0), 0.75},
+		{"left empty", nil, mk(1), 0},
+		{"right empty", mk(5), nil, 1},
+	} {
+		if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
+			t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
+		}
+	}
+	if b.pick(nil, nil) != nil {
+		t.Error("picked from nothing")
+	}
+	left, count := mk(0, 0, 0, 0), map[*server]int{}
+	for range n {
+		count[b.pick(left, nil)]++
+	}
+	for _, s := range left {
+		if got := float64(count[s]) / n; math.Abs(got-0.25) > 0.02 {
+			t.Errorf("uniform draw gave a server %.3f", got)
+		}
+	}
+}
+
+// Servers are drawn in proportion to their sizes if the list has capacities, and uniformly if it has none, or has
+// outdated loads.
+func TestDrawsFollowRegisteredSizes(t *testing.T) {
+	for kind, want := range map[Sizes]float64{SizesNominal: 3, SizesRough: 3, SizesUnknown: 1, SizesLive: 1} {
+		b := newBalancer(t, func(s *Settings) { s.Sizes = kind })
+		list := servers(8)
+		for i := range list {
+			list[i].Size = []float64{1, 3}[i%2]
+		}
+		b.Handle(0, ServerList{Full: true, Servers: list})
+		got, large, small := traffic(b, 8000, "get", func(string) Ending { return Success }), 0, 0
+		for i, s := range list {
+			if i%2 == 1 {
+				large += got[s.ID]
+			} else {
+				small += got[s.ID]
+			}
+		}
+		if ratio := float64(large) / float64(small); ratio < 0.75*want || ratio > 1.25*want {
+			t.Errorf("sizes %d: large to small %.2f, want %.0f", kind, ratio, want)
+		}
+	}
+}
+
+// A server that is half as fast as its peers is drawn less often, but not ejected. One that got expensive requests,
+// according to their hints, does not count as slow.
+func TestDrawsFollowMeasuredSpeed(t *testing.T) {
+	for _, heavy := range []time.Duration{0, 16} {
+		b := newBalancer(t, nil)
+		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		got, n, now := 0, 0, time.Duration(0)
+		for i := range 4000 {
+			id, cost := fmt.Sprint(i), 10*msec
+			if heavy > 0 && i%40 < 4 {
+				cost *= heavy
+			}
+			now += time.Second
+			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, Cost: cost})) {
+				took := 100 * msec
+				if s.Server == "s03" && (heavy == 0 || cost > 10*msec) {
+					took *= 2
+				}
+				if n++; s.Server == "s03" {
+					got++
+				}
+				settle(b, now+took, id, s, Success)
+			}
+		}
+		share := float64(got) / float64(n)
+		if heavy == 0 && (share > 0.14 || share < 0.03) || heavy > 0 && share < 0.2 {
+			t.Errorf("heavy %d: the server got %.3f of the draws", heavy, share)
+		}
+	}
+}
+
+// A small machine is slower without being unhealthy, and its draws must not be thinned twice.
+func TestSmallMachinesAreNotTakenForSlow(t *testing.T) {
+	for kind, slow := range map[Sizes]bool{SizesNominal: false, SizesUnknown: true} {
+		b := newBalancer(t, func(s *Settings) { s.Sizes = kind })
+		list := servers(4)
+		for i := range list {
+			list[i].Size = []float64{1, 3}[i/2]
+		}
+		b.Handle(0, ServerList{Full: true, Servers: list})
+		for i := range 400 {
+			now, id := time.Duration(i)*time.Second, fmt.Sprint(i)
+			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
+				settle(b, now+time.Duration(120/b.servers[s.Server].Size)*msec, id, s, Success)
+			}
+		}
+		if got := max(b.servers["s00"].slowness, b.servers["s01"].slowness); got > 0.3 != slow {
+			t.Errorf("sizes %d: slowness %.2f", kind, got)
+		}
+	}
+}
+
+// A deployment can leave a copy with only cold servers in its subset. While there are warm ones in the list it must
+// use those, or all copies that share the cold ones overload them together.
+func TestWarmStrangersBeforeColdFriends(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.Balancers, s.ColdFrom = 100, 0 })
+	list := servers(40)
+	b.Handle(time.Minute, ServerList{Full: true, Servers: list})
+	cold := map[string]bool{}
+	for _, s := range b.subset {
+		cold[s.ID] = true
+	}
+	for i := range list {
+		if cold[list[i].ID] {
+			list[i].StartedAt = time.Minute
+		}
+	}
+	b.Handle(time.Minute, ServerList{Full: true, Servers: list})
+	for i := range 20 {
+		for _, s := range sends(b.Handle(time.Minute+time.Duration(i)*msec, Request{
+			ID: fmt.Sprint(i), Class: "get",
+			Deadline: 2 * time.Minute,
+		})) {
+			if cold[s.Server] {
+				t.Fatalf("request %d went to a server that started %d ms ago", i, i)
+			}
+		}
+	}
+}
+
+// A server with more own calls than the subset's mean, and at least two, is skipped while there are others. A single
+// call never excludes a server, because pick compares the counts.
+func TestCrowdedServersArePassedOver(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
+	for _, tc := range []struct{ calls, ok [6]int }{
+		{[6]int{2, 1, 0, 0, 1, 0}, [6]int{0, 1, 1, 1, 1, 1}},
+		{[6]int{3, 2, 2, 1, 2, 3}, [6]int{0, 1, 1, 1, 1, 0}},
+		{[6]int{1, 1, 1, 1, 1, 1}, [6]int{1, 1, 1, 1, 1, 1}},
+	} {
+		b.inFlight = 0
+		for i, s := range b.ready {
+			s.calls = tc.calls[i]
+			b.inFlight += s.calls
+		}
+		var ok [6]int
+		for _, s := range b.eligible(&request{class: b.classes["get"]}) {
+			for i := range b.ready {
+				if b.ready[i] == s {
+					ok[i] = 1
+				}
+			}
+		}
+		if ok != tc.ok {
+			t.Errorf("own calls %v: may be drawn %v, want %v", tc.calls, ok, tc.ok)
+		}
+	}
+}
+
+// Servers whose connections other copies use up refuse quickly: a server that refused gets no more own calls than it
+// had, however many others refuse, too, and is probed again later.
+func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
+	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	now, id := msec, 0
+	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
+	refused := func(n int) (count int) {
+		for range n {
+			now += 5 * msec
+			id++
+			todo := sends(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
+			for try := 0; len(todo) > 0; try++ {
+				end := Success
+				if full[todo[0].Server] {
+					end = Unreachable
+					count++
+				}
+				now += 2 * msec
+				todo = sends(b.Handle(now, Outcome{
+					ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
+					Ending: end, Ended: end == Success,
+				}))
+			}
+		}
+		return count
+	}
+	first := refused(20)
+	if first < 5 {
+		t.Fatalf("only %d refusals, want the full servers found", first)
+	}
+	if got := refused(20); got > first/2 {
+		t.Errorf("%d refusals after %d: full servers are still drawn", got, first)
+	}
+	now += time.Minute
+	if refused(20) == 0 {
+		t.Error("full servers were never tried again")
+	}
+}
--- a/balancer/server_list_test.go
+++ b/balancer/server_list_test.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"pgregory.net/rapid"
 	"slices"
 	"testing"
 	"time"
-
-	"pgregory.net/rapid"
 )
 
 // TestListNewsProperty: after any updates the ready servers, their groups and the subset are those of the complete
@@ -128,3 +127,31 @@
 		})
 	}
 }
+
+func TestCopiesShareTheOrder(t *testing.T) {
+	a, b := newBalancer(t, nil), newBalancer(t, nil)
+	l := servers(7)
+	a.Handle(0, ServerList{Full: true, Servers: l})
+	for i := len(l) - 1; i >= 0; i-- {
+		b.Handle(0, ServerList{Servers: l[i : i+1]})
+	}
+	for i := range l {
+		if a.ready[i].ID != b.ready[i].ID {
+			t.Fatalf("order differs at %d: %s, %s", i, a.ready[i].ID, b.ready[i].ID)
+		}
+	}
+}
+
+// A server that returns with a new start time is another one: its failures are forgotten.
+func TestRestartForgetsTheServersRecord(t *testing.T) {
+	b := newBalancer(t, nil)
+	list := servers(4)
+	b.Handle(0, ServerList{Full: true, Servers: list})
+	s := b.servers["s01"]
+	s.ejectedUntil, s.ejectionLevel, s.slowness = time.Hour, 3, 1
+	list[1].StartedAt = time.Second
+	b.Handle(2*time.Second, ServerList{Servers: list[1:2]})
+	if s := b.servers["s01"]; s.ejectedUntil != 0 || s.ejectionLevel != 0 || s.slowness != 0 {
+		t.Errorf("after its restart: %+v", s)
+	}
+}
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -65,3 +65,45 @@
 		t.Errorf("room for %v a second later", q.available)
 	}
 }
+
+// At full size the subsets of all copies must cover the servers about evenly, span the cells and have servers of
+// both groups. A list that is not longer than a subset is used completely.
+func TestSubsetsCoverTheFleetEvenly(t *testing.T) {
+	const copies, fleet = 300, 90
+	list := servers(fleet)
+	for i := range list {
+		list[i].Cell = i / 6
+	}
+	drawn := map[string]int{}
+	for me := range copies {
+		b := newBalancer(t, func(s *Settings) { s.Balancers, s.Index = copies, me })
+		b.Handle(0, ServerList{Full: true, Servers: list})
+		right, cells := 0, map[int]int{}
+		for _, s := range b.subset {
+			drawn[s.ID]++
+			cells[s.Cell]++
+			if s.inRightGroup {
+				right++
+			}
+		}
+		if len(b.subset) != minSubset || right != len(b.subset)/2 {
+			t.Fatalf("copy %d draws from %d servers, %d of them right", me, len(b.subset), right)
+		}
+		for cell, n := range cells {
+			if n > 2 {
+				t.Errorf("copy %d has %d servers of pod %d", me, n, cell)
+			}
+		}
+	}
+	for _, s := range list {
+		mean := float64(copies*minSubset) / fleet
+		if n := float64(drawn[s.ID]); n < 0.8*mean || n > 1.2*mean {
+			t.Errorf("server %s is drawn from by %.0f copies, mean %.0f", s.ID, n, mean)
+		}
+	}
+	b := newBalancer(t, func(s *Settings) { s.Balancers, s.Index = copies, 7 })
+	b.Handle(0, ServerList{Full: true, Servers: list[:minSubset]})
+	if len(b.subset) != minSubset {
+		t.Errorf("a list of a subset's length is cut to %d", len(b.subset))
+	}
+}
