--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -142,36 +142,16 @@
 	if b.settings.Tier > 0 || e.Ending == NeverSent || e.Ending == Failure {
 		return
 	}
-	over := float64(b.now-r.attempts[e.Attempt].sent) / float64(r.class.Aim)
+	use := float64(b.now-r.attempts[e.Attempt].sent) / float64(r.class.Aim)
 	switch {
-	case e.Ending == Canceled && over <= b.targetUse:
+	case e.Ending == Canceled && use <= b.targetUse:
 		return // its latency is not known, only that it would have been higher
 	case e.Ending != Success && e.Ending != Canceled:
-		over = max(over, 1)
+		use = max(use, 1)
 	}
-	weight := 2 / (b.window + 16)
-	b.targetUse += weight * (min(over, 1) - b.targetUse)
-	// The lowest mean latency measured shows how much of the aim the work takes without queueing; a fixed
-	// share of the aim alone would starve slow work, or overload the servers of quick work. It is a mean of
-	// logs, so that a few calls at a hung server do not look like an overload of all. In the first rounds the
-	// quickest answers come first, so these do not set the lowest mean.
-	b.logUse += weight * (math.Log(max(min(over, 1), 1e-6)) - b.logUse)
-	if b.samples++; b.samples > 2*windowStart*b.fairServers() {
-		rise := max(baselineWeight, weight*b.newShare)
-		b.leastLogUse = min(b.logUse, b.leastLogUse+rise*(b.logUse-b.leastLogUse))
-		b.newShare -= newServersWeight * weight * b.newShare
-	} else {
-		b.leastLogUse = b.logUse
-	}
-	// The more is shed and the more the servers' latencies differ, the more likely some are overloaded: less
-	// latency is accepted then, while servers that are evenly slow are merely busy. The difference that
-	// chance explains does not count, or shedding would cause more shedding. The window keeps a floor, so
-	// that work which takes much of the aim by itself is not taken for an overload until nothing is sent.
-	tolerance := 1 - b.shedShare*min(1, shedding*max(0, b.unevenness()-b.chanceUnevenness()))
-	busy := busyRatio * (1 + calmRatio*math.Pow(1-b.shedShare, calmPower))
-	overload := max(b.targetUse/targetFill, math.Exp(b.logUse-b.leastLogUse)/busy) / tolerance
-	floor := min(b.window, b.serverCalls*b.fairServers())
-	abandoned := e.Ending == TimedOut || e.Ending == Canceled && over > 1
+	b.learnUse(min(use, 1))
+	floor, overload := min(b.window, b.serverCalls*b.fairServers()), b.overload()
+	abandoned := e.Ending == TimedOut || e.Ending == Canceled && use > 1
 	if abandoned {
 		b.abandonedShare += pooledWeight * (1 - b.abandonedShare)
 	} else {
@@ -187,18 +167,44 @@
 		// Within a round of answers the window falls towards the size that would have met the target: a
 		// window that is ten times too large must not take ten times as long to correct.
 		b.window -= max(windowDown, min(windowMaxDecrease, (1-1/overload)/2)) * min(1, b.window)
-	case overload < windowGrowthCeiling && b.admitted()+1 >= 0.8*b.limit():
+	case overload < windowGrowthCeiling && b.admitted()+1 >= windowUsedShare*b.limit():
 		b.window += windowUp * min(1, b.window)
 		if b.window >= minWindow { // one or two calls of a copy show too little of what all copies do
 			b.window += windowRoom * max(0, 1-overload)
 		}
 	}
-	if b.window = max(b.window, floor); e.Ending == Success && over <= 1 {
+	if b.window = max(b.window, floor); e.Ending == Success && use <= 1 {
 		// After such a collapse the window doubles with each round of timely answers.
 		b.window = max(b.window, min(b.window+1, b.serverCalls*b.fairServers()))
 	}
 }
 
+// learnUse adds the share of the aim that an answer took, at most 1, to the means. The lowest mean shows how
+// much the work takes without queueing; a fixed share of the aim alone would starve slow work, or overload
+// the servers of quick work. It is a mean of logs, so that a few calls at a hung server do not look like an
+// overload of all. In the first rounds the quickest answers come first, so these do not set the lowest mean.
+func (b *Balancer) learnUse(use float64) {
+	weight := 2 / (b.window + 16)
+	b.targetUse += weight * (use - b.targetUse)
+	b.logUse += weight * (math.Log(max(use, 1e-6)) - b.logUse)
+	if b.samples++; b.samples > 2*windowStart*b.fairServers() {
+		rise := max(baselineWeight, weight*b.newShare)
+		b.leastLogUse = min(b.logUse, b.leastLogUse+rise*(b.logUse-b.leastLogUse))
+		b.newShare -= newServersWeight * weight * b.newShare
+	} else {
+		b.leastLogUse = b.logUse
+	}
+}
+
+// overload is the mean latency over what is accepted, which is less the more is shed and the more the
+// servers' latencies differ: then some are probably overloaded, while servers that are evenly slow are
+// merely busy. The difference that chance explains does not count, or shedding would cause more shedding.
+func (b *Balancer) overload() float64 {
+	tolerance := 1 - b.shedShare*min(1, shedding*max(0, b.unevenness()-b.chanceUnevenness()))
+	busy := busyRatio * (1 + calmRatio*math.Pow(1-b.shedShare, calmPower))
+	return max(b.targetUse/targetFill, math.Exp(b.logUse-b.leastLogUse)/busy) / tolerance
+}
+
 // unevenness is the variance of the servers' mean log latencies, relative to their classes.
 func (b *Balancer) unevenness() float64 {
 	var n, sum, squares float64
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -18,7 +18,11 @@
 		var open []Send
 		for i := range 3000 {
 			now += 4 * msec
-			open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
+			open = append(open, sends(b.Handle(now, Request{
+				ID:       fmt.Sprint(i),
+				Class:    "get",
+				Deadline: now + time.Second,
+			}))...)
 			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+tc.took <= now {
 				s := open[0]
 				open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -40,7 +40,7 @@
 	Window    time.Duration // for IdempotentByKey: how long a key is deduplicated, from the first send
 	Aim       time.Duration // latency target: answers within it earn full worth
 	Deadline  time.Duration // how long a client waits, over all its tries
-	Typical   time.Duration // initial estimate of the latency; 0: a quarter of Aim
+	Typical   time.Duration // initial estimate of the latency; 0 means a quarter of Aim
 	First     bool          // preadmitted: its caller was admitted already, so it is not queued in favour of others
 	LateShare float64       // share of the worth that an answer after Aim earns
 	Worth     float64
@@ -72,7 +72,7 @@
 	Tier        int     // tier that is sent to; 0 is the one that clients' requests reach first
 	WholeWeight float64 // weight of the total worth in load shedding
 	ClassWeight float64 // weight of the class served worst in load shedding
-	// TenantWeight is the weight in load shedding of a tenant that is served less than an equal share; 0: tenants
+	// TenantWeight is the weight in load shedding of a tenant that is served less than an equal share; 0 means tenants
 	// are not distinguished.
 	TenantWeight float64
 	// Tenants are those with a quota. The value of a request beyond the quota is multiplied by OverShare, and
@@ -83,13 +83,13 @@
 
 	MaxAttempts   int
 	SecondCopies  bool // the host may run two attempts of a request at once; unused by the decisions
-	StartCalls    int  // calls that a server can take at once, as known at the start; 0: not known
+	StartCalls    int  // calls that a server can take at once, as known at the start; 0 means not known
 	Spares        int  // alternate servers named with each Send, if the host may try them
 	MayCancel     bool // the host can cancel attempts
 	Sizes         Sizes
 	AskDiscovery  bool          // the server list comes only after a Subscribe
 	AskWithin     time.Duration // longest time between two Subscribe calls of a copy without a subscription
-	ToldAfter     time.Duration // time after which a change counts as announced, received or not; 0: only when received
+	ToldAfter     time.Duration // time after which a change counts as announced, received or not; 0 means only when received
 	Tick          time.Duration // resolution of the clock
 	MaxRetryAfter time.Duration // longest RetryAfter that clients heed
 
@@ -171,7 +171,7 @@
 	Cell      int
 	State     ServerState
 	Size      float64       // relative capacity as registered, see Settings.Sizes; 0 counts as 1
-	StartedAt time.Duration // clock time of its last start; 0: long ago
+	StartedAt time.Duration // clock time of its last start; 0 means long ago
 }
 
 // Ending is the outcome of an attempt.
@@ -208,14 +208,14 @@
 		Servers  []Server
 	}
 	// Fleet changes the number of copies and this copy's index. Divisor, 1 or more, divides the limits that all copies
-	// share, for this copy's share; +Inf: it has no share until the next Fleet.
+	// share, for this copy's share; +Inf means it has no share until the next Fleet.
 	Fleet struct {
 		Balancers, Index int
 		Divisor          float64
-		// Subset has the ids of the servers that attempts are drawn from first; nil: Stripes selects them.
+		// Subset has the ids of the servers that attempts are drawn from first; nil means Stripes selects them.
 		Subset []string
 		Whole  bool // the subset is the whole list
-		// ServerCalls is how many calls a server can take at once from all copies together; 0: not known.
+		// ServerCalls is how many calls a server can take at once from all copies together; 0 means not known.
 		ServerCalls float64
 		// Quotas are this copy's shares of tenants' quotas, 0 to 1, by tenant; 1/Divisor where there is none.
 		Quotas map[string]float64
@@ -240,11 +240,11 @@
 		Class       string
 		Deadline    time.Duration // clock time
 		ClientRetry bool          // the client marked it as a retry
-		Cost        time.Duration // hint of its work, as time on a standard core; 0: none
+		Cost        time.Duration // hint of its work, as time on a standard core; 0 means none
 		Tenant      string        // see Settings.TenantWeight and Settings.Tenants
-		Candidates  []string      // ids of the servers that it may go to; nil: any
+		Candidates  []string      // ids of the servers that it may go to; nil means any
 		// Places are those that it may go to, in order of preference: the next one only if those before have no
-		// eligible server. nil: any; empty: none.
+		// eligible server. nil means any; empty: none.
 		Places []Place
 		From   string // zone of the caller, if known; not used here
 		Size   int64  // bytes of its body; not used here
@@ -306,7 +306,7 @@
 	// Reject is a final answer that promises that a retry is safe.
 	Reject struct {
 		ID         string
-		RetryAfter time.Duration // advice; 0: none
+		RetryAfter time.Duration // advice; 0 means none
 	}
 	// Fail is a final answer without that promise: the request may have run.
 	Fail struct{ ID string }
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -35,8 +35,12 @@
 
 func newChecker(set Settings) *checker {
 	return &checker{
-		set: set, slack: 20 * msec, state: map[string]ServerState{}, cells: map[string]int{},
-		zones: map[string]string{}, reqs: map[string]*tracked{},
+		set:   set,
+		slack: 20 * msec,
+		state: map[string]ServerState{},
+		cells: map[string]int{},
+		zones: map[string]string{},
+		reqs:  map[string]*tracked{},
 	}
 }
 
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -113,7 +113,13 @@
 	attempts := map[string]int{}
 	end := func(now time.Duration, s Send, how Ending) []Action {
 		attempts[s.ID]++
-		return b.Handle(now, Outcome{ID: s.ID, Attempt: attempts[s.ID] - 1, Server: s.Server, Ending: how, Ended: how == Success})
+		return b.Handle(now, Outcome{
+			ID:      s.ID,
+			Attempt: attempts[s.ID] - 1,
+			Server:  s.Server,
+			Ending:  how,
+			Ended:   how == Success,
+		})
 	}
 	// Empty updates show that the list is unchanged.
 	for now := time.Duration(0); now < 20*time.Second; now += 2 * time.Second {
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -43,7 +43,7 @@
 	Slow     float64 `json:"slow"`  // mean of log(latency/expected latency)
 	Level    int     `json:"level"` // doublings of the next ejection
 	Out      bool    `json:"out"`   // ejected, or silent
-	Room     int     `json:"room"`  // limit on own calls after a refusal; -1: none
+	Room     int     `json:"room"`  // limit on own calls after a refusal; -1 means none
 	Warmth   float64 `json:"warmth"`
 	OldestMS float64 `json:"oldest_ms"` // age of the oldest own call that waits for an answer
 }
@@ -52,9 +52,18 @@
 // 0 lists none.
 func (b *Balancer) Beliefs(most int) Beliefs {
 	v := Beliefs{
-		InFlight: b.inFlight, Held: len(b.queue), Requests: len(b.requests), Ready: len(b.ready),
-		Window: b.window, Fill: b.targetUse, Bare: math.Exp(b.leastLogUse), DebtMS: b.pacingDebt / 1e6, Shed: b.shedShare,
-		Errors: b.errorShare, Tokens: b.retryTokens, Unevenness: b.unevenness(),
+		InFlight:   b.inFlight,
+		Held:       len(b.queue),
+		Requests:   len(b.requests),
+		Ready:      len(b.ready),
+		Window:     b.window,
+		Fill:       b.targetUse,
+		Bare:       math.Exp(b.leastLogUse),
+		DebtMS:     b.pacingDebt / 1e6,
+		Shed:       b.shedShare,
+		Errors:     b.errorShare,
+		Tokens:     b.retryTokens,
+		Unevenness: b.unevenness(),
 	}
 	for _, c := range b.classList {
 		v.Classes = append(v.Classes, ClassBeliefs{c.Name, c.mean / 1e6, c.deviation / 1e6, c.arrived, c.served})
@@ -64,8 +73,14 @@
 	}
 	for _, s := range b.servers {
 		w := ServerBeliefs{
-			ID: s.ID, State: stateNames[s.State], Calls: s.calls, Slow: s.slowness, Level: s.ejectionLevel,
-			Out: b.isEjected(s), Room: -1, Warmth: b.warmth(s),
+			ID:     s.ID,
+			State:  stateNames[s.State],
+			Calls:  s.calls,
+			Slow:   s.slowness,
+			Level:  s.ejectionLevel,
+			Out:    b.isEjected(s),
+			Room:   -1,
+			Warmth: b.warmth(s),
 		}
 		if b.now < s.fullUntil {
 			w.Room = s.refusalRoom
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -12,11 +12,20 @@
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{
-			Name: "read", Effect: balancer.Idempotent, Scope: balancer.ScopeAll,
-			Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1,
+			Name:     "read",
+			Effect:   balancer.Idempotent,
+			Scope:    balancer.ScopeAll,
+			Aim:      200 * time.Millisecond,
+			Deadline: time.Second,
+			Worth:    1,
 		}},
-		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
-		ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
+		Balancers:    1,
+		MaxAttempts:  3,
+		Tick:         time.Millisecond,
+		ColdFrom:     0.2,
+		WarmAfter:    10 * time.Second,
+		FallMultiple: 3,
+		FallFor:      2 * time.Second,
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -31,16 +40,23 @@
 
 	now += 3 * time.Millisecond
 	acts = b.Handle(now, balancer.Outcome{
-		ID: "r1", Attempt: 0, Server: first.Server,
-		Ending: balancer.Unreachable, Latency: 3 * time.Millisecond,
+		ID:      "r1",
+		Attempt: 0,
+		Server:  first.Server,
+		Ending:  balancer.Unreachable,
+		Latency: 3 * time.Millisecond,
 	})
 	second := acts[0].(balancer.Send)
 	fmt.Println("sent again to another server:", second.Server != first.Server)
 
 	now += 20 * time.Millisecond
 	acts = b.Handle(now, balancer.Outcome{
-		ID: "r1", Attempt: 1, Server: second.Server,
-		Ending: balancer.Success, Latency: 20 * time.Millisecond, Ended: true,
+		ID:      "r1",
+		Attempt: 1,
+		Server:  second.Server,
+		Ending:  balancer.Success,
+		Latency: 20 * time.Millisecond,
+		Ended:   true,
 	})
 	fmt.Println("left to do:", len(acts))
 	// Output:
@@ -52,10 +68,15 @@
 func BenchmarkHandle(bench *testing.B) {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{
-			Name: "read", Effect: balancer.Idempotent, Aim: time.Second,
-			Deadline: time.Second, Worth: 1,
+			Name:     "read",
+			Effect:   balancer.Idempotent,
+			Aim:      time.Second,
+			Deadline: time.Second,
+			Worth:    1,
 		}},
-		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
+		Balancers:   1,
+		MaxAttempts: 3,
+		Tick:        time.Millisecond,
 	}, 1)
 	if err != nil {
 		bench.Fatal(err)
@@ -68,7 +89,11 @@
 	bench.ReportAllocs()
 	for i := 0; bench.Loop(); i++ {
 		now, id := time.Duration(i)*time.Millisecond, fmt.Sprint(i)
-		s := b.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + time.Second})[0].(balancer.Send)
+		s := b.Handle(now, balancer.Request{
+			ID:       id,
+			Class:    "read",
+			Deadline: now + time.Second,
+		})[0].(balancer.Send)
 		b.Handle(now, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})
 	}
 }
--- a/balancer/first_test.go
+++ b/balancer/first_test.go
@@ -9,7 +9,13 @@
 // Preadmitted classes are not queued when others fill the window, because admitted work may wait for them; their own calls
 // are bounded nevertheless. Classes that are added later behave like those of the settings.
 func TestFirst(t *testing.T) {
-	low := Class{Name: "low", Effect: Idempotent, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}
+	low := Class{
+		Name:     "low",
+		Effect:   Idempotent,
+		Aim:      time.Second,
+		Deadline: 2 * time.Second,
+		Worth:    1,
+	}
 	b, err := New(Settings{Classes: []Class{low}, Balancers: 1, MaxAttempts: 2, Tick: time.Millisecond}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -20,7 +26,11 @@
 	b.Handle(0, ServerList{Full: true, Servers: []Server{{ID: "a"}, {ID: "b"}}})
 	sent := func(class string, n int) (sends int) {
 		for i := range n {
-			for _, a := range b.Handle(time.Millisecond, Request{ID: fmt.Sprint(class, i), Class: class, Deadline: time.Second}) {
+			for _, a := range b.Handle(time.Millisecond, Request{
+				ID:       fmt.Sprint(class, i),
+				Class:    class,
+				Deadline: time.Second,
+			}) {
 				if _, is := a.(Send); is {
 					sends++
 				}
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -23,7 +23,11 @@
 				fleet[int(x/7)%4].State = ServerState(x % 3)
 				b.Handle(now, ServerList{Full: x%2 == 0, Servers: fleet[:int(x)%5]})
 			case 1, 2:
-				b.Handle(now, Request{ID: id, Class: set.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
+				b.Handle(now, Request{
+					ID:       id,
+					Class:    set.Classes[x%3].Name,
+					Deadline: now + time.Duration(x)*msec,
+				})
 			case 3:
 				b.Handle(now, Outcome{ID: id, Attempt: int(x%4) - 1, Ending: Ending(x % 9), Ended: x%2 == 0})
 			case 4:
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -112,7 +112,13 @@
 		p := g.pending[g.random.IntN(len(g.pending))]
 		g.handle(Started{ID: p.id, Attempt: p.number, Transfer: g.random.IntN(2) == 0})
 	case x < 96:
-		g.handle(Fleet{Balancers: 1 + g.random.IntN(20), Index: 0, Divisor: 1 + float64(g.random.IntN(20)), Whole: g.random.IntN(2) == 0, ServerCalls: float64(g.random.IntN(12))})
+		g.handle(Fleet{
+			Balancers:   1 + g.random.IntN(20),
+			Index:       0,
+			Divisor:     1 + float64(g.random.IntN(20)),
+			Whole:       g.random.IntN(2) == 0,
+			ServerCalls: float64(g.random.IntN(12)),
+		})
 	case x < 97:
 		g.handle(PeerReports{[]Exclusion{{ID: g.server(), Until: g.now + time.Duration(g.random.IntN(500))*time.Millisecond}}})
 	case x < 98:
@@ -141,8 +147,12 @@
 	g.next++
 	classes := g.b.classList
 	r := Request{
-		ID: fmt.Sprint("r", g.next), Class: classes[g.random.IntN(len(classes))].Name, Deadline: g.now + time.Duration(100+g.random.IntN(1500))*time.Millisecond,
-		ClientRetry: g.random.IntN(5) == 0, Cost: time.Duration(g.random.IntN(20)) * time.Millisecond, Tenant: []string{"", "acme", "bolt", "else"}[g.random.IntN(4)],
+		ID:          fmt.Sprint("r", g.next),
+		Class:       classes[g.random.IntN(len(classes))].Name,
+		Deadline:    g.now + time.Duration(100+g.random.IntN(1500))*time.Millisecond,
+		ClientRetry: g.random.IntN(5) == 0,
+		Cost:        time.Duration(g.random.IntN(20)) * time.Millisecond,
+		Tenant:      []string{"", "acme", "bolt", "else"}[g.random.IntN(4)],
 	}
 	if g.random.IntN(20) == 0 {
 		r.Candidates = []string{g.server(), g.server(), g.server()}
@@ -165,18 +175,35 @@
 	if x := g.random.IntN(100); x < 25 {
 		ending = Ending(g.random.IntN(int(NeverSent) + 1))
 	}
-	g.handle(Outcome{ID: p.id, Attempt: p.number, Server: p.server, Ending: ending, Latency: g.now - p.sentAt, Ended: ending == Success || g.random.IntN(10) == 0, Consumed: g.random.IntN(12) == 0})
+	g.handle(Outcome{
+		ID:       p.id,
+		Attempt:  p.number,
+		Server:   p.server,
+		Ending:   ending,
+		Latency:  g.now - p.sentAt,
+		Ended:    ending == Success || g.random.IntN(10) == 0,
+		Consumed: g.random.IntN(12) == 0,
+	})
 }
 
 // list passes an update of some servers, or the complete list.
 func (g *goldenRun) list() {
-	e := ServerList{Full: g.random.IntN(4) == 0, Cached: g.random.IntN(10) == 0, Operator: g.random.IntN(10) == 0}
+	e := ServerList{
+		Full:     g.random.IntN(4) == 0,
+		Cached:   g.random.IntN(10) == 0,
+		Operator: g.random.IntN(10) == 0,
+	}
 	n := g.random.IntN(4)
 	if e.Full {
 		n = 4 + g.random.IntN(20)
 	}
 	for k := range n {
-		s := Server{ID: g.server(), Zone: []string{"za", "zb"}[g.random.IntN(2)], Cell: g.random.IntN(3), Size: float64(g.random.IntN(3))}
+		s := Server{
+			ID:   g.server(),
+			Zone: []string{"za", "zb"}[g.random.IntN(2)],
+			Cell: g.random.IntN(3),
+			Size: float64(g.random.IntN(3)),
+		}
 		if e.Full {
 			s.ID = fmt.Sprintf("s-%02d", k)
 		} else {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -71,8 +71,7 @@
 			b.eject(s, c)
 		}
 	}
-	b.errorShare += pooledWeight * (bad - b.errorShare)
-	b.errorShare = max(b.errorShare, 0.01)
+	b.errorShare = max(minErrorShare, b.errorShare+pooledWeight*(bad-b.errorShare))
 }
 
 // learnSuccess records a successful answer: retry tokens, latency of class and server, health of the server.
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -12,17 +12,45 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Idempotent, Scope: ScopeAll, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 1},
 			{
-				Name: "post", Effect: IdempotentByKey, Scope: ScopeCell, Window: 900 * msec, Aim: 500 * msec,
-				Deadline: 1500 * msec, Worth: 2,
+				Name:     "get",
+				Effect:   Idempotent,
+				Scope:    ScopeAll,
+				Aim:      500 * msec,
+				Deadline: 1500 * msec,
+				Worth:    1,
+			},
+			{
+				Name:     "post",
+				Effect:   IdempotentByKey,
+				Scope:    ScopeCell,
+				Window:   900 * msec,
+				Aim:      500 * msec,
+				Deadline: 1500 * msec,
+				Worth:    2,
+			},
+			{
+				Name:     "pay",
+				Effect:   NonIdempotent,
+				Aim:      500 * msec,
+				Deadline: 1500 * msec,
+				Worth:    3,
 			},
-			{Name: "pay", Effect: NonIdempotent, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 3},
 		},
-		Balancers: 2, Tier: 0, WholeWeight: 0.6, ClassWeight: 0.3,
-		MaxAttempts: 5, SecondCopies: true, MayCancel: true, Tick: 2 * msec,
-		AskWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
-		ColdFrom: 0.2, WarmAfter: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
+		Balancers:     2,
+		Tier:          0,
+		WholeWeight:   0.6,
+		ClassWeight:   0.3,
+		MaxAttempts:   5,
+		SecondCopies:  true,
+		MayCancel:     true,
+		Tick:          2 * msec,
+		AskWithin:     10 * time.Second,
+		MaxRetryAfter: 2 * time.Second,
+		ColdFrom:      0.2,
+		WarmAfter:     10 * time.Second,
+		FallMultiple:  3,
+		FallFor:       2 * time.Second,
 	}
 }
 
@@ -76,7 +104,13 @@
 			for k := 0; k < 5; k++ {
 				e := fate(s.Server)
 				now += 10 * msec
-				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Server: s.Server, Ending: e, Ended: e == Success}))
+				again := sends(b.Handle(now, Outcome{
+					ID:      id,
+					Attempt: k,
+					Server:  s.Server,
+					Ending:  e,
+					Ended:   e == Success,
+				}))
 				if len(again) == 0 {
 					break
 				}
--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -15,7 +15,18 @@
 // A Balancer that learned from another one has the same estimates.
 func TestLearn(t *testing.T) {
 	list := ServerList{Full: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c", StartedAt: 5}}}
-	set := Settings{Classes: []Class{{Name: "x", Effect: Idempotent, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}, Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond}
+	set := Settings{
+		Classes: []Class{{
+			Name:     "x",
+			Effect:   Idempotent,
+			Aim:      time.Second,
+			Deadline: 3 * time.Second,
+			Worth:    1,
+		}},
+		Balancers:   1,
+		MaxAttempts: 3,
+		Tick:        time.Millisecond,
+	}
 	old, _ := New(set, 1)
 	now := time.Hour
 	old.Handle(now, list)
@@ -29,7 +40,13 @@
 					took, ending = 90*time.Millisecond, Failure
 				}
 				now += took
-				old.Handle(now, Outcome{ID: id, Server: s.Server, Ending: ending, Latency: took, Ended: ending == Success})
+				old.Handle(now, Outcome{
+					ID:      id,
+					Server:  s.Server,
+					Ending:  ending,
+					Latency: took,
+					Ended:   ending == Success,
+				})
 			}
 		}
 	}
@@ -62,7 +79,18 @@
 
 // Whatever Knowledge has, a Balancer keeps its estimates in range and goes on serving.
 func TestLearnProperty(t *testing.T) {
-	set := Settings{Classes: []Class{{Name: "x", Effect: Idempotent, Aim: time.Second, Deadline: 3 * time.Second, Worth: 1}}, Balancers: 2, MaxAttempts: 3, Tick: time.Millisecond}
+	set := Settings{
+		Classes: []Class{{
+			Name:     "x",
+			Effect:   Idempotent,
+			Aim:      time.Second,
+			Deadline: 3 * time.Second,
+			Worth:    1,
+		}},
+		Balancers:   2,
+		MaxAttempts: 3,
+		Tick:        time.Millisecond,
+	}
 	rapid.Check(t, func(t *rapid.T) {
 		number := rapid.SampledFrom([]float64{0, 1, -1, 0.5, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, 17})
 		span := rapid.SampledFrom([]time.Duration{0, 1, -1, math.MaxInt64, math.MinInt64, time.Hour})
@@ -86,10 +114,22 @@
 			if !slices.ContainsFunc(actions, func(a Action) bool { _, is := a.(Send); return is }) {
 				continue
 			}
-			b.Handle(now+10*time.Millisecond, Outcome{ID: id, Ending: Success, Latency: 10 * time.Millisecond, Ended: true})
+			b.Handle(now+10*time.Millisecond, Outcome{
+				ID:      id,
+				Ending:  Success,
+				Latency: 10 * time.Millisecond,
+				Ended:   true,
+			})
 		}
 		v := b.Beliefs(0)
-		for name, x := range map[string]float64{"window": v.Window, "fill": v.Fill, "bare": v.Bare, "errors": v.Errors, "tokens": v.Tokens, "mean": v.Classes[0].MeanMS} {
+		for name, x := range map[string]float64{
+			"window": v.Window,
+			"fill":   v.Fill,
+			"bare":   v.Bare,
+			"errors": v.Errors,
+			"tokens": v.Tokens,
+			"mean":   v.Classes[0].MeanMS,
+		} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
 				t.Fatalf("%s is %v after %+v", name, x, k)
 			}
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -9,8 +9,17 @@
 func longBalancer(t *testing.T) (*Balancer, time.Duration) {
 	t.Helper()
 	b, err := New(Settings{
-		Classes:   []Class{{Name: "x", Effect: Idempotent, Aim: time.Second, Deadline: 10 * time.Second, Worth: 1}},
-		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond, MayCancel: true,
+		Classes: []Class{{
+			Name:     "x",
+			Effect:   Idempotent,
+			Aim:      time.Second,
+			Deadline: 10 * time.Second,
+			Worth:    1,
+		}},
+		Balancers:   1,
+		MaxAttempts: 3,
+		Tick:        time.Millisecond,
+		MayCancel:   true,
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +52,11 @@
 		served := 0
 		for i := range many {
 			now += 20 * time.Millisecond
-			if s := sends(b.Handle(now, Request{ID: id(i), Class: "x", Deadline: now + 5*time.Second})); len(s) > 0 {
+			if s := sends(b.Handle(now, Request{
+				ID:       id(i),
+				Class:    "x",
+				Deadline: now + 5*time.Second,
+			})); len(s) > 0 {
 				b.Handle(now+10*time.Millisecond, Started{ID: id(i), Transfer: transfer})
 				served++
 			}
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -34,7 +34,11 @@
 	now = b.now + time.Second
 	var l []Send
 	for i := range n {
-		l = append(l, sends(b.Handle(now, Request{ID: fmt.Sprint("away", now, i), Class: "pay", Deadline: now + time.Minute}))...)
+		l = append(l, sends(b.Handle(now, Request{
+			ID:       fmt.Sprint("away", now, i),
+			Class:    "pay",
+			Deadline: now + time.Minute,
+		}))...)
 	}
 	now += took
 	for _, s := range l {
@@ -78,7 +82,11 @@
 // out returns how many calls a balancer admits at once.
 func out(b *Balancer, n int) (count int) {
 	for i := range n {
-		count += len(sends(b.Handle(b.now, Request{ID: fmt.Sprint("out", b.now, i), Class: "get", Deadline: b.now + time.Minute})))
+		count += len(sends(b.Handle(b.now, Request{
+			ID:       fmt.Sprint("out", b.now, i),
+			Class:    "get",
+			Deadline: b.now + time.Minute,
+		})))
 	}
 	return count
 }
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -30,7 +30,11 @@
 					open = append(open, call{s, now})
 				}
 			}
-			for _, s := range sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second})) {
+			for _, s := range sends(b.Handle(now, Request{
+				ID:       fmt.Sprint(i),
+				Class:    "get",
+				Deadline: now + time.Second,
+			})) {
 				open = append(open, call{s, now})
 			}
 			out += time.Duration(len(open)) * gap
@@ -51,7 +55,11 @@
 	for i := range 400 {
 		now := time.Duration(i) * 5 * msec
 		b.window = 3
-		for _, s := range sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second})) {
+		for _, s := range sends(b.Handle(now, Request{
+			ID:       fmt.Sprint(i),
+			Class:    "get",
+			Deadline: now + time.Second,
+		})) {
 			settle(b, now+msec, s.ID, s, Failure) // quicker than the mean that a send owes
 		}
 	}
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -16,6 +16,7 @@
 	pooledWeight            = 0.06  // weight of a new sample in pooled averages (about 16 samples)
 	serverWeight            = 0.25  // weight of a new sample in a single server's averages
 	luckThreshold           = 0.08  // a run of errors likelier than this at the overall error rate is chance
+	minErrorShare           = 0.01  // least error rate that is assumed
 	overlongDeviations      = 3.0   // deviations above the mean latency beyond which a wait is overlong
 	slowRatio               = 2.5   // multiple of the expected latency from which on a server is slow
 	slowThinningPower       = 2.0   // exponent of a server's slowness by which its draws are thinned
@@ -34,6 +35,7 @@
 	shedding                = 4.0   // decrease of the accepted latency by shedding, per unevenness
 	windowUp                = 0.02  // increase of the window by a timely answer
 	windowGrowthCeiling     = 0.9   // share of the accepted latency above which the window does not grow
+	windowUsedShare         = 0.8   // share of the window that must be in use for it to grow
 	windowRoom              = 0.1   // further increase, times the margin below the accepted latency
 	windowDown              = 0.1   // least decrease of the window by a late answer
 	windowStart             = 5.0   // own calls admitted for each server before anything is measured
@@ -47,6 +49,7 @@
 	maxTenants              = 256   // tenants that are counted; the least active is replaced
 	quotaBurstSeconds       = 1.0   // burst of a quota, in seconds of its rate
 	preadmittedFactor       = 2.0   // multiple of the window up to which preadmitted classes are not queued
+	shortTryShare           = 0.95  // share of the longest client timeout seen below which one marks a retry
 	crowdedCalls            = 2     // least number of own calls at which a server is skipped as crowded
 	fullSpreadCopies        = 40    // copies whose Subscribe calls are spread over all of AskWithin
 	maxSubscribeBackoff     = 4     // longest backoff between failed Subscribe calls, in units of AskWithin
@@ -177,7 +180,7 @@
 func (b *Balancer) backdate(r *request) {
 	left := r.deadline - b.now
 	r.class.longestTry = max(r.class.longestTry, left)
-	if b.settings.Tier == 0 && float64(left) < 0.95*float64(r.class.longestTry) {
+	if b.settings.Tier == 0 && float64(left) < shortTryShare*float64(r.class.longestTry) {
 		r.arrived = min(b.now, r.deadline-r.class.Deadline)
 		r.clientRetry = true
 	}
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -99,7 +99,13 @@
 		for i, g := range gaps {
 			now += time.Duration(g) * msec
 			id := fmt.Sprint(i)
-			b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute, Tenant: "flood", ClientRetry: g%7 == 0})
+			b.Handle(now, Request{
+				ID:          id,
+				Class:       "get",
+				Deadline:    now + time.Minute,
+				Tenant:      "flood",
+				ClientRetry: g%7 == 0,
+			})
 			if x := b.requests[id]; x.overQuota == false && !x.clientRetry {
 				within = append(within, now)
 			}
@@ -115,7 +121,12 @@
 		b = quotas(t)
 		for i := range 50 {
 			id := fmt.Sprint(i)
-			b.Handle(time.Duration(i)*100*msec, Request{ID: id, Class: "get", Deadline: time.Minute, Tenant: "flood"})
+			b.Handle(time.Duration(i)*100*msec, Request{
+				ID:       id,
+				Class:    "get",
+				Deadline: time.Minute,
+				Tenant:   "flood",
+			})
 			if b.requests[id].overQuota {
 				r.Fatalf("request %d of a steady tenant is over its quota", i)
 			}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -34,7 +34,7 @@
 	return group[b.rng.IntN(len(group))]
 }
 
-// choose picks a server for a request's next attempt; nil: no server may take it.
+// choose picks a server for a request's next attempt. It returns nil if no server may take it.
 func (b *Balancer) choose(r *request) *server {
 	var left, right []*server
 	for _, s := range b.eligible(r) {
@@ -183,10 +183,7 @@
 		if a.neverRan {
 			continue
 		}
-		if r.class.Scope == ScopeZone && a.zone != s.Zone {
-			return false
-		}
-		if r.class.Scope == ScopeCell && (a.cell != s.Cell || a.zone != s.Zone) {
+		if r.class.Scope <= ScopeZone && a.zone != s.Zone || r.class.Scope == ScopeCell && a.cell != s.Cell {
 			return false
 		}
 	}
@@ -207,7 +204,7 @@
 	return b.rng.Float64()*b.largestSize < b.size(s)*math.Exp(-slowThinningPower*max(0, s.slowness))
 }
 
-// warmth is the share of its capacity that a server has in slow start; 1: it is warm.
+// warmth is the share of its capacity that a server has in slow start, and 1 once it is warm.
 func (b *Balancer) warmth(s *server) float64 {
 	age := b.now - s.StartedAt
 	if s.StartedAt <= 0 || age >= b.settings.WarmAfter {
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -98,7 +98,12 @@
 				cost *= heavy
 			}
 			now += time.Second
-			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, Cost: cost})) {
+			for _, s := range sends(b.Handle(now, Request{
+				ID:       id,
+				Class:    "get",
+				Deadline: now + time.Second,
+				Cost:     cost,
+			})) {
 				took := 100 * msec
 				if s.Server == "s03" && (heavy == 0 || cost > 10*msec) {
 					took *= 2
@@ -127,7 +132,11 @@
 		b.Handle(0, ServerList{Full: true, Servers: list})
 		for i := range 400 {
 			now, id := time.Duration(i)*time.Second, fmt.Sprint(i)
-			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second})) {
+			for _, s := range sends(b.Handle(now, Request{
+				ID:       id,
+				Class:    "get",
+				Deadline: now + time.Second,
+			})) {
 				settle(b, now+time.Duration(120/b.servers[s.Server].Size)*msec, id, s, Success)
 			}
 		}
@@ -155,7 +164,8 @@
 	b.Handle(time.Minute, ServerList{Full: true, Servers: list})
 	for i := range 20 {
 		for _, s := range sends(b.Handle(time.Minute+time.Duration(i)*msec, Request{
-			ID: fmt.Sprint(i), Class: "get",
+			ID:       fmt.Sprint(i),
+			Class:    "get",
 			Deadline: 2 * time.Minute,
 		})) {
 			if cold[s.Server] {
@@ -200,12 +210,23 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
 	now, id := msec, 0
-	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
+	full := map[string]bool{
+		"s00": true,
+		"s02": true,
+		"s03": true,
+		"s05": true,
+		"s06": true,
+		"s08": true,
+	}
 	refused := func(n int) (count int) {
 		for range n {
 			now += 5 * msec
 			id++
-			todo := sends(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
+			todo := sends(b.Handle(now, Request{
+				ID:       fmt.Sprint(id),
+				Class:    "get",
+				Deadline: now + time.Second,
+			}))
 			for try := 0; len(todo) > 0; try++ {
 				end := Success
 				if full[todo[0].Server] {
@@ -214,8 +235,11 @@
 				}
 				now += 2 * msec
 				todo = sends(b.Handle(now, Outcome{
-					ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
-					Ending: end, Ended: end == Success,
+					ID:      fmt.Sprint(id),
+					Attempt: try,
+					Server:  todo[0].Server,
+					Ending:  end,
+					Ended:   end == Success,
 				}))
 			}
 		}
--- a/balancer/server_list_test.go
+++ b/balancer/server_list_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"pgregory.net/rapid"
 	"slices"
 	"testing"
 	"time"
+
+	"pgregory.net/rapid"
 )
 
 // TestListNewsProperty: after any updates the ready servers, their groups and the subset are those of the complete
@@ -14,9 +15,17 @@
 func TestListNewsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{
-			Classes:   []Class{{Name: "read", Effect: Idempotent, Aim: time.Second, Deadline: time.Second, Worth: 1}},
-			Balancers: rapid.IntRange(1, 5).Draw(t, "balancers"), MaxAttempts: 3, Tick: time.Millisecond,
-			Sizes: Sizes(rapid.IntRange(0, 2).Draw(t, "sizes")),
+			Classes: []Class{{
+				Name:     "read",
+				Effect:   Idempotent,
+				Aim:      time.Second,
+				Deadline: time.Second,
+				Worth:    1,
+			}},
+			Balancers:   rapid.IntRange(1, 5).Draw(t, "balancers"),
+			MaxAttempts: 3,
+			Tick:        time.Millisecond,
+			Sizes:       Sizes(rapid.IntRange(0, 2).Draw(t, "sizes")),
 		}
 		set.Index = rapid.IntRange(0, set.Balancers-1).Draw(t, "index")
 		b, err := New(set, 1)
@@ -25,8 +34,10 @@
 		}
 		entry := rapid.Custom(func(t *rapid.T) Server {
 			return Server{
-				ID: fmt.Sprint("s", rapid.IntRange(0, 15).Draw(t, "id")), Cell: rapid.IntRange(0, 2).Draw(t, "cell"),
-				State: ServerState(rapid.IntRange(0, 2).Draw(t, "state")), Size: float64(rapid.IntRange(0, 2).Draw(t, "size")),
+				ID:        fmt.Sprint("s", rapid.IntRange(0, 15).Draw(t, "id")),
+				Cell:      rapid.IntRange(0, 2).Draw(t, "cell"),
+				State:     ServerState(rapid.IntRange(0, 2).Draw(t, "state")),
+				Size:      float64(rapid.IntRange(0, 2).Draw(t, "size")),
 				StartedAt: time.Duration(rapid.IntRange(0, 1).Draw(t, "boot")),
 			}
 		})
@@ -52,7 +63,11 @@
 			"request": func(t *rapid.T) {
 				now += time.Millisecond
 				requests++
-				for _, a := range b.Handle(now, Request{ID: fmt.Sprint(requests), Class: "read", Deadline: now + time.Hour}) {
+				for _, a := range b.Handle(now, Request{
+					ID:       fmt.Sprint(requests),
+					Class:    "read",
+					Deadline: now + time.Hour,
+				}) {
 					if s, is := a.(Send); is {
 						open = append(open, s)
 					}
@@ -106,8 +121,16 @@
 	for _, n := range []int{100, 10_000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
 			b, err := New(Settings{
-				Classes:   []Class{{Name: "read", Effect: Idempotent, Aim: time.Second, Deadline: time.Second, Worth: 1}},
-				Balancers: 100, MaxAttempts: 3, Tick: time.Millisecond,
+				Classes: []Class{{
+					Name:     "read",
+					Effect:   Idempotent,
+					Aim:      time.Second,
+					Deadline: time.Second,
+					Worth:    1,
+				}},
+				Balancers:   100,
+				MaxAttempts: 3,
+				Tick:        time.Millisecond,
 			}, 1)
 			if err != nil {
 				bench.Fatal(err)
--- a/balancer/spares_test.go
+++ b/balancer/spares_test.go
@@ -11,12 +11,27 @@
 // once. Naming them does not change the state of attempts.
 func TestSpares(t *testing.T) {
 	class := func(name string, e Effect) Class {
-		return Class{Name: name, Effect: e, Scope: ScopeAll, Window: time.Minute, Aim: time.Second, Deadline: time.Second, Worth: 1}
+		return Class{
+			Name:     name,
+			Effect:   e,
+			Scope:    ScopeAll,
+			Window:   time.Minute,
+			Aim:      time.Second,
+			Deadline: time.Second,
+			Worth:    1,
+		}
 	}
 	for _, want := range []int{0, 2, 9} {
 		b, err := New(Settings{
-			Classes: []Class{class("read", Idempotent), class("order", NonIdempotent), class("send", IdempotentByKey)}, Balancers: 1, Spares: want,
-			MaxAttempts: 3, Tick: time.Millisecond, ColdFrom: 0.3, WarmAfter: time.Hour, FallMultiple: 3, FallFor: time.Second,
+			Classes:      []Class{class("read", Idempotent), class("order", NonIdempotent), class("send", IdempotentByKey)},
+			Balancers:    1,
+			Spares:       want,
+			MaxAttempts:  3,
+			Tick:         time.Millisecond,
+			ColdFrom:     0.3,
+			WarmAfter:    time.Hour,
+			FallMultiple: 3,
+			FallFor:      time.Second,
 		}, 1)
 		if err != nil {
 			t.Fatal(err)
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -18,7 +18,7 @@
 	ready       []*server       // ready servers, in the order that all copies share
 	largestSize float64         // of a server in the subset
 	meanSize    float64         // of the servers in the subset
-	subsetIDs   map[string]bool // ids of the subset as Fleet names them; nil: Stripes selects it
+	subsetIDs   map[string]bool // ids of the subset as Fleet names them; nil means Stripes selects it
 	subset      []*server       // ready servers that this copy's attempts are drawn from first, in the same order
 	requests    map[string]*request
 	queue       []*request
@@ -32,12 +32,12 @@
 	errorShare        float64 // share of failed attempts
 	lastSuccess       time.Duration
 	retryTokens       float64       // balance of the retry budget
-	divisor           float64       // divisor of limits that all copies share, for this copy's share; +Inf: it has none
+	divisor           float64       // divisor of limits that all copies share, for this copy's share; +Inf means it has none
 	window            float64       // own calls admitted at once, in the first tier; may be below 1
 	serverCalls       float64       // calls for each server that all copies together always admit
 	wholeList         bool          // the subset is the whole list
 	usableShare       float64       // share of the ready servers' capacity that may take calls
-	usableCountedAt   time.Duration // when usableShare and excessCalls were computed; <0: they are stale
+	usableCountedAt   time.Duration // when usableShare and excessCalls were computed; <0 means they are stale
 	excessCalls       int           // own calls at servers that are not ready, or beyond a ready server's share
 	targetUse         float64       // mean of latency/aim, at most 1 each
 	pacingDebt        float64       // server time used beyond what the window allows, in ns
@@ -54,15 +54,18 @@
 	shedShare         float64 // share of requests answered without an attempt
 	subscribeFailures int
 	discoveryHeardAt  time.Duration // when the last discovery update came
-	subscribeAt       time.Duration // when the next Subscribe is due; 0: none is scheduled
+	subscribeAt       time.Duration // when the next Subscribe is due; 0 means none is scheduled
 }
 
 // servedCounts are decaying counts of the requests that arrived and of those that were served within the aim.
 type servedCounts struct{ arrived, served float64 }
 
+// servedCountsFade is the factor on the counts with each request of any class: they cover about 100 requests.
+const servedCountsFade = 0.99
+
 func (s *servedCounts) fade() {
-	s.arrived *= 0.99
-	s.served *= 0.99
+	s.arrived *= servedCountsFade
+	s.served *= servedCountsFade
 }
 
 // isWorseThan reports whether a smaller share was served than of o. With hardly any arrivals it is false.
@@ -74,7 +77,7 @@
 type class struct {
 	Class
 	mean, deviation float64 // latency of successes, in ns
-	cost            float64 // mean of the requests' cost hints, in ns; 0: none yet
+	cost            float64 // mean of the requests' cost hints, in ns; 0 means none yet
 	servedCounts
 	longestTry time.Duration // longest timeout of a client's try, as seen
 }
@@ -144,14 +147,14 @@
 type request struct {
 	id          string
 	class       *class
-	tenant      *tenant         // nil: tenants are not distinguished
-	quota       *quota          // nil: the tenant has none
+	tenant      *tenant         // nil means tenants are not distinguished
+	quota       *quota          // nil means the tenant has none
 	overQuota   bool            // it came when the quota was used up
-	candidates  map[string]bool // ids of the servers that it may go to; nil: any
-	places      []Place         // places that it may go to, in order of preference; nil: any
+	candidates  map[string]bool // ids of the servers that it may go to; nil means any
+	places      []Place         // places that it may go to, in order of preference; nil means any
 	arrived     time.Duration
 	deadline    time.Duration
-	cost        float64 // hint of the work, in ns; 0: none
+	cost        float64 // hint of the work, in ns; 0 means none
 	attempts    []*attempt
 	inFlight    int
 	clientRetry bool // the client has sent it before
@@ -170,7 +173,7 @@
 	sent      time.Duration
 	zone      string
 	cell      int
-	began     time.Duration // when its streamed answer began; 0: it has not
+	began     time.Duration // when its streamed answer began; 0 means it has not
 	callEnded bool          // it no longer counts as an own call
 	ended     bool
 	neverRan  bool // the server certainly did not run it
@@ -184,17 +187,28 @@
 	return now - a.sent
 }
 
+// startErrorShare is the error rate that is assumed until attempts have ended.
+const startErrorShare = 0.02
+
 // New returns a Balancer that knows no servers yet. The error names the setting at fault.
 func New(set Settings, seed uint64) (*Balancer, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		settings: set, rng: rand.New(rand.NewPCG(seed, 0x51a7e)),
-		servers: map[string]*server{}, requests: map[string]*request{},
-		classes: map[string]*class{}, quotas: map[string]*quota{}, errorShare: 0.02, retryTokens: maxRetryTokens / 2,
-		divisor: float64(max(1, set.Balancers)), serverCalls: windowFloor,
-		targetUse: targetFill / 2, leastLogUse: math.Log(targetFill / 2), logUse: math.Log(targetFill / 2),
+		settings:    set,
+		rng:         rand.New(rand.NewPCG(seed, 0x51a7e)),
+		servers:     map[string]*server{},
+		requests:    map[string]*request{},
+		classes:     map[string]*class{},
+		quotas:      map[string]*quota{},
+		errorShare:  startErrorShare,
+		retryTokens: maxRetryTokens / 2,
+		divisor:     float64(max(1, set.Balancers)),
+		serverCalls: windowFloor,
+		targetUse:   targetFill / 2,
+		leastLogUse: math.Log(targetFill / 2),
+		logUse:      math.Log(targetFill / 2),
 	}
 	longest := set.Classes[0]
 	for _, c := range set.Classes {
