--- a/balancer/server_list_test.go
+++ b/balancer/server_list_test.go
@@ -15,9 +15,17 @@
 func TestListNewsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{
-			Classes:   []Class{{Name: "read", Effect: Idempotent, Aim: time.Second, Deadline: time.Second, Worth: 1}},
-			Balancers: rapid.IntRange(1, 5).Draw(t, "balancers"), MaxAttempts: 3, Tick: time.Millisecond,
-			Sizes: Sizes(rapid.IntRange(0, 2).Draw(t, "sizes")),
+			Classes: []Class{{
+				Name:     "read",
+				Effect:   Idempotent,
+				Aim:      time.Second,
+				Deadline: time.Second,
+				Worth:    1,
+			}},
+			Balancers:   rapid.IntRange(1, 5).Draw(t, "balancers"),
+			MaxAttempts: 3,
+			Tick:        time.Millisecond,
+			Sizes:       Sizes(rapid.IntRange(0, 2).Draw(t, "sizes")),
 		}
 		set.Index = rapid.IntRange(0, set.Balancers-1).Draw(t, "index")
 		b, err := New(set, 1)
@@ -26,8 +34,10 @@
 		}
 		entry := rapid.Custom(func(t *rapid.T) Server {
 			return Server{
-				ID: fmt.Sprint("s", rapid.IntRange(0, 15).Draw(t, "id")), Cell: rapid.IntRange(0, 2).Draw(t, "cell"),
-				State: ServerState(rapid.IntRange(0, 2).Draw(t, "state")), Size: float64(rapid.IntRange(0, 2).Draw(t, "size")),
+				ID:        fmt.Sprint("s", rapid.IntRange(0, 15).Draw(t, "id")),
+				Cell:      rapid.IntRange(0, 2).Draw(t, "cell"),
+				State:     ServerState(rapid.IntRange(0, 2).Draw(t, "state")),
+				Size:      float64(rapid.IntRange(0, 2).Draw(t, "size")),
 				StartedAt: time.Duration(rapid.IntRange(0, 1).Draw(t, "boot")),
 			}
 		})
@@ -53,7 +63,11 @@
 			"request": func(t *rapid.T) {
 				now += time.Millisecond
 				requests++
-				for _, a := range b.Handle(now, Request{ID: fmt.Sprint(requests), Class: "read", Deadline: now + time.Hour}) {
+				for _, a := range b.Handle(now, Request{
+					ID:       fmt.Sprint(requests),
+					Class:    "read",
+					Deadline: now + time.Hour,
+				}) {
 					if s, is := a.(Send); is {
 						open = append(open, s)
 					}
@@ -107,8 +121,16 @@
 	for _, n := range []int{100, 10_000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
 			b, err := New(Settings{
-				Classes:   []Class{{Name: "read", Effect: Idempotent, Aim: time.Second, Deadline: time.Second, Worth: 1}},
-				Balancers: 100, MaxAttempts: 3, Tick: time.Millisecond,
+				Classes: []Class{{
+					Name:     "read",
+					Effect:   Idempotent,
+					Aim:      time.Second,
+					Deadline: time.Second,
+					Worth:    1,
+				}},
+				Balancers:   100,
+				MaxAttempts: 3,
+				Tick:        time.Millisecond,
 			}, 1)
 			if err != nil {
 				bench.Fatal(err)
@@ -128,3 +150,31 @@
 		})
 	}
 }
+
+func TestCopiesShareTheOrder(t *testing.T) {
+	a, b := newBalancer(t, nil), newBalancer(t, nil)
+	l := servers(7)
+	a.Handle(0, ServerList{Full: true, Servers: l})
+	for i := len(l) - 1; i >= 0; i-- {
+		b.Handle(0, ServerList{Servers: l[i : i+1]})
+	}
+	for i := range l {
+		if a.ready[i].ID != b.ready[i].ID {
+			t.Fatalf("order differs at %d: %s, %s", i, a.ready[i].ID, b.ready[i].ID)
+		}
+	}
+}
+
+// A server that returns with a new start time is another one: its failures are forgotten.
+func TestRestartForgetsTheServersRecord(t *testing.T) {
+	b := newBalancer(t, nil)
+	list := servers(4)
+	b.Handle(0, ServerList{Full: true, Servers: list})
+	s := b.servers["s01"]
+	s.ejectedUntil, s.ejectionLevel, s.slowness = time.Hour, 3, 1
+	list[1].StartedAt = time.Second
+	b.Handle(2*time.Second, ServerList{Servers: list[1:2]})
+	if s := b.servers["s01"]; s.ejectedUntil != 0 || s.ejectionLevel != 0 || s.slowness != 0 {
+		t.Errorf("after its restart: %+v", s)
+	}
+}
