--- a/internal/mesh/testcluster/concurrent_operators_test.go
+++ b/internal/mesh/testcluster/concurrent_operators_test.go
@@ -60,6 +60,7 @@
 // killed, once all of them. Then all changes are sent once more to every member. No version has two acknowledged contents; changes that
 // were acknowledged are acknowledged again, and changes that were rejected are not.
 func TestConcurrentOperatorsRetry(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "stock", "orders")
 	var all []*modifyAttempt
 	for round := range competingRounds {
--- a/internal/mesh/testcluster/disk_loss_test.go
+++ b/internal/mesh/testcluster/disk_loss_test.go
@@ -101,6 +101,7 @@
 
 // A member gets SIGTERM, and starts again with its disk; 50 ms after the signal another member loses its disk.
 func TestDiskLossDuringRestart(t *testing.T) {
+	runParallel(t)
 	r := newDiskLossTest(t)
 	restarts := r.cluster.awaitLeader(t)
 	stays := r.cluster.membersExcept(restarts)
@@ -116,6 +117,7 @@
 // One member loses its disk, then another is replaced by one at a new address, then the third loses its disk, each after the previous one
 // is a voter again. All data on the remaining disks was then written there by replication alone.
 func TestDiskLossesAroundReplacement(t *testing.T) {
+	runParallel(t)
 	r := newDiskLossTest(t)
 	a, b, c := r.cluster.Members[0], r.cluster.Members[1], r.cluster.Members[2]
 	r.writeDurable(t, a)
@@ -134,6 +136,7 @@
 
 // The leader is killed while the replacement of another member catches up over a slow link, and returns with its disk.
 func TestLeaderKilledDuringReplacement(t *testing.T) {
+	runParallel(t)
 	r := newDiskLossTest(t)
 	lead := r.cluster.awaitLeader(t)
 	stays, gone := r.cluster.membersExcept(lead)[0], r.cluster.membersExcept(lead)[1]
@@ -163,8 +166,10 @@
 
 // A member leaves for good while its successor is running; 50 ms after its SIGTERM another member loses its disk.
 func TestDiskLossDuringDeparture(t *testing.T) {
+	t.Parallel()
 	for _, leads := range []bool{true, false} {
 		t.Run(fmt.Sprint("the leader leaves: ", leads), func(t *testing.T) {
+			runParallel(t)
 			r := newDiskLossTest(t)
 			leaves := r.cluster.awaitLeader(t)
 			stays := r.cluster.membersExcept(leaves)
--- a/internal/mesh/testcluster/helpers_test.go
+++ b/internal/mesh/testcluster/helpers_test.go
@@ -35,6 +35,21 @@
 	os.Exit(code)
 }
 
+// maxParallelClusters is how many clusters run at once. Each has about six processes, which wait in real time most of the time, but must
+// get their turn within a heartbeat.
+const maxParallelClusters = 4
+
+// clusterSlots has a token for each running test with a cluster.
+var clusterSlots = make(chan struct{}, maxParallelClusters)
+
+// runParallel runs a test of one cluster beside those of other clusters, which share nothing with it. It is called before any other work.
+func runParallel(t *testing.T) {
+	t.Helper()
+	t.Parallel()
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots }) // after the cluster is closed
+}
+
 // linkPrograms returns a new folder with links to the programs of another one.
 func linkPrograms(t *testing.T, from string) (dir string) {
 	t.Helper()
--- a/internal/mesh/testcluster/http_test.go
+++ b/internal/mesh/testcluster/http_test.go
@@ -36,6 +36,7 @@
 
 // Pipelined requests on a connection run concurrently, and are answered in order: the server answers none until it has received all.
 func TestPipelinedRequestsRunConcurrently(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "stock", "orders")
 	caller := m.Sidecars[1]
 	caller.awaitServed(t, "GET", "/read/", "")
@@ -59,6 +60,7 @@
 // A sidecar shuts down while the first of several pipelined requests still runs: the answers of the others, which are complete, are not
 // lost.
 func TestShutdownKeepsPipelinedResponses(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "stock", "orders")
 	server, caller := m.Sidecars[0], m.Sidecars[1]
 	caller.awaitServed(t, "GET", "/read/", "")
@@ -103,6 +105,7 @@
 
 // The active Limits apply to heads and to bodies with a length or in chunks; requests within the limits are served.
 func TestLimitsBoundRequests(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "stock", "orders")
 	m.awaitAcknowledged(t, m.Members[:1], EncodeCall(map[string]any{"Upsert": map[string]any{"Limits": map[string]any{
 		"MaxHeaderBytes": 2000, "MaxBodyBytes": 100000, "HeaderTimeoutS": 0.3, "IdleTimeoutS": 60, "ConfigVersion": 2,
--- a/internal/mesh/testcluster/link_faults_test.go
+++ b/internal/mesh/testcluster/link_faults_test.go
@@ -35,6 +35,7 @@
 // one direction, and while a server's sidecar is frozen and continued. Each request runs at most once, whoever retries it, and none that
 // has run is answered as not run.
 func TestFaultyLinksRunRequestsAtMostOnce(t *testing.T) {
+	runParallel(t)
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders", "orders")
 	m.applyRoutes(t, 2, RouteItem("send", "keyed", "/send/", "orders", 2), RouteItem("once", "non_idempotent", "/once/", "orders", 2))
 	f := &linkFaultTest{Cluster: m, near: m.Sidecars[0], far: m.Sidecars[1:]}
--- a/internal/mesh/testcluster/maintenance_members_test.go
+++ b/internal/mesh/testcluster/maintenance_members_test.go
@@ -50,6 +50,7 @@
 
 // One order takes members out one after the other, the leader last, while the control plane stays stable and tolerates one more loss.
 func TestMaintenanceRollsThroughMembers(t *testing.T) {
+	runParallel(t)
 	testNoneOfThreeMembers(t)
 	m := startFiveMembers(t)
 	leader := m.maintenanceStatus(t).Leader
@@ -96,6 +97,7 @@
 // Clocks are ahead by forty minutes. On one member of three that has no effect. On two of them it is reported, neither opens a window early
 // nor leaves a machine out past the end of its window, until an operator accepts the clocks.
 func TestMaintenanceWithSkewedClocks(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "stock", "stock", "orders")
 	now := time.Now()
 	machine := m.Sidecars[0].Name
--- a/internal/mesh/testcluster/maintenance_test.go
+++ b/internal/mesh/testcluster/maintenance_test.go
@@ -29,6 +29,7 @@
 // A machine is taken out under traffic and put back, while the leader is killed at one step and frozen at another. Each step is made once,
 // no request runs there during the maintenance, none is lost and none runs twice.
 func TestMaintenanceUnderLeaderFaults(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "stock", "stock", "orders", "orders")
 	f := &faultedMaintenance{Cluster: m, now: time.Now(), machine: m.Sidecars[2]}
 	f.order = maintenance.Order{ID: "o1", Machines: []string{f.machine.Name}, Duration: time.Hour, PlacedBy: "ana"}
@@ -199,6 +200,7 @@
 // Two operators order two machines out that must not be out together: one order waits for the other. The end of a window, a server lost
 // elsewhere and an operator's abort each roll a drain back, with the reason in the record. An override proceeds and is recorded.
 func TestMaintenanceIsRolledBack(t *testing.T) {
+	runParallel(t)
 	r := &rolledBackMaintenance{startCluster(t, "stock", "stock", "stock", "orders"), time.Now()}
 	r.approvePresentHours(t, 1, r.now)
 	r.testOneAfterTheOther(t)
--- a/internal/mesh/testcluster/member_faults_test.go
+++ b/internal/mesh/testcluster/member_faults_test.go
@@ -15,6 +15,7 @@
 // The member that acknowledged a change is killed at once, then its disk is lost, too. Then another member is replaced by one at another
 // address, and finally all are killed. Acknowledged changes and granted leases survive.
 func TestMemberLossesKeepAcknowledgedState(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "orders", "stock")
 	m.Sidecars[0].awaitServed(t, "POST", "/send/x", "kept")
 	by := m.applyRoutes(t, 2, RouteItem("one", "idempotent", "/one/", "stock", 2))
@@ -79,6 +80,7 @@
 // The end of a leader's process is detected by its closed port, without waiting for its silence. A frozen leader is not mistaken for one
 // that has ended.
 func TestKilledLeaderIsDetectedByItsPort(t *testing.T) {
+	t.Parallel()
 	for _, x := range []struct {
 		name    string
 		version int
@@ -90,6 +92,7 @@
 		{"killed", 11, func(leader *Machine) { leader.Kill() }, func(*Machine) {}, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
+			runParallel(t)
 			m := startCluster(t, "orders", "stock")
 			leader := m.awaitLeader(t)
 			addr := leader.Process.Addr
@@ -109,6 +112,7 @@
 
 // No sidecar follows a frozen member, and a member that continues after a freeze does not lead.
 func TestFrozenMemberIsReplaced(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "orders", "stock")
 	for round := range 2 {
 		frozen := m.Members[round]
@@ -136,6 +140,7 @@
 
 // A corrupt store is treated like a lost disk: the member reports it, and joins again.
 func TestCorruptedStoreIsRebuilt(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "orders", "stock")
 	x := m.Members[2]
 	x.Kill()
--- a/internal/mesh/testcluster/partition_test.go
+++ b/internal/mesh/testcluster/partition_test.go
@@ -53,6 +53,7 @@
 // seed gets the complete configuration nevertheless. A change that was acknowledged when the partition began, but whose answer was lost,
 // is acknowledged again elsewhere.
 func TestPartitionedMemberConfirmsNothing(t *testing.T) {
+	runParallel(t)
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
 	r := &partitionTest{cluster: m, relay: relay, observer: newObserver(), operator: m.Operator(0), version: 1}
 	r.observer.recordInitialRoutes()
--- a/internal/mesh/testcluster/policy_test.go
+++ b/internal/mesh/testcluster/policy_test.go
@@ -99,6 +99,7 @@
 // name of the policy; a request in flight continues under the set that it began with; and a policy for a service that does not exist yet
 // applies once it does.
 func TestPoliciesOfTwoTeamsMerge(t *testing.T) {
+	runParallel(t)
 	m := startTwoTeams(t, "stock", "orders", "stock")
 	servers, callers := []*Machine{m.Sidecars[0], m.Sidecars[2]}, m.Sidecars[1]
 	set := m.testPoliciesSetTogether(t, servers, callers)
@@ -229,6 +230,7 @@
 // becomes active that only some sidecars have; the frozen sidecar does not apply the former policy afterwards; and a sidecar that starts
 // has the active set before it is ready.
 func TestPolicyRolloutUnderFaults(t *testing.T) {
+	runParallel(t)
 	m := startTwoTeams(t, "stock", "orders", "stock")
 	frozen, other := m.Sidecars[0], m.Sidecars[1]
 	m.setPolicy(t, m.Members, "bo", policy.Policy{Name: "shelter", ConfigVersion: 1, Namespace: "store", Tries: 2})
--- a/internal/mesh/testcluster/relay_test.go
+++ b/internal/mesh/testcluster/relay_test.go
@@ -84,6 +84,7 @@
 
 // Every connection and every operator's call goes through the relay, in both directions. A partition of two machines affects no others.
 func TestRelayCarriesAllConnections(t *testing.T) {
+	runParallel(t)
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
 	m.Sidecars[0].awaitServed(t, "POST", "/send/x", "k")
 	m.Sidecars[1].awaitServed(t, "GET", "/read/x", "")
--- a/internal/mesh/testcluster/repeated_changes_test.go
+++ b/internal/mesh/testcluster/repeated_changes_test.go
@@ -19,6 +19,7 @@
 // repeated once more. One content of each version is acknowledged; the repetition of an accepted change is acknowledged, or its result
 // is unknown.
 func TestRepeatedChangesKeepOneContent(t *testing.T) {
+	runParallel(t)
 	m, relay := startRelayedCluster(t, 3, 1, "stock", "orders")
 	seen, operators := newObserver(), []*Operator{m.Operator(0), m.Operator(1)}
 	seen.recordInitialRoutes()
--- a/internal/mesh/testcluster/serving_test.go
+++ b/internal/mesh/testcluster/serving_test.go
@@ -14,6 +14,7 @@
 // Requests of all kinds are served through every sidecar. A key runs once, and its repetitions through any sidecar get the first answer. An
 // invalid change is rejected completely, and a valid one becomes active everywhere.
 func TestServesAllRouteKinds(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "stock", "stock", "orders", "orders")
 	for _, x := range m.Sidecars {
 		got := x.awaitServed(t, "GET", "/read/a%20b?c=d&bytes=300000", "")
@@ -56,6 +57,7 @@
 
 // The same key is sent to all sidecars at once, and its server breaks some connections: it runs at most once, and all get one answer.
 func TestConcurrentKeyRunsOnce(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "orders", "orders", "orders", "stock")
 	m.Sidecars[1].App.SetBroken(true)
 	for n := range 30 {
@@ -88,6 +90,7 @@
 // Under traffic a server drains, one crashes and is restarted, and a sidecar is killed and restarted: no request runs twice, and none goes
 // to a draining server.
 func TestInstancesDrainCrashAndRestart(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "stock", "stock", "stock", "orders")
 	stop := m.startReads()
 	draining, crashing, killed, caller := m.Sidecars[0], m.Sidecars[1], m.Sidecars[2], m.Sidecars[3]
--- a/internal/mesh/testcluster/settings_test.go
+++ b/internal/mesh/testcluster/settings_test.go
@@ -12,6 +12,7 @@
 // Settings that change while a program runs are reloaded, with and without SIGHUP: sidecars that start with unreachable seeds become
 // ready once the file has others, without a restart.
 func TestSettingsReload(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "stock", "orders")
 	for n, hup := range []bool{true, false} {
 		x := m.Sidecars[n]
@@ -35,6 +36,7 @@
 // After the first start the seeds may change, be fewer, or be down. Members find each other by the addresses on their disks if no seed
 // answers, and none of them bootstraps a second control plane; a sidecar finds them by the one seed that is reachable.
 func TestSeedsAreReplaced(t *testing.T) {
+	runParallel(t)
 	m := startCluster(t, "stock", "orders")
 	nobody := func(n int) string { return fmt.Sprintf("%s.%d:9", m.subnet, 240+n) }
 	for _, x := range m.Members {
