--- a/internal/mesh/raft/configuration.go
+++ b/internal/mesh/raft/configuration.go
@@ -54,6 +54,7 @@
 	return counted > len(members)/2
 }
 
+// containsMember reports whether a member with an ID is among the members.
 func containsMember(members []Member, id ID) bool {
 	return slices.ContainsFunc(members, func(member Member) bool { return member.ID == id })
 }
--- a/internal/mesh/raft/election.go
+++ b/internal/mesh/raft/election.go
@@ -207,6 +207,7 @@
 	return rank
 }
 
+// sortedVoters returns the voters in the order of their IDs, which is the same on all members.
 func (r *Raft) sortedVoters() []Member {
 	return slices.SortedFunc(slices.Values(r.log.configuration.voters()), func(a, b Member) int {
 		return cmp.Compare(a.ID, b.ID)
--- a/internal/mesh/raft/leave.go
+++ b/internal/mesh/raft/leave.go
@@ -188,6 +188,7 @@
 	})
 }
 
+// sendLeaveGranted tells a member that nothing depends on it any more.
 func (r *Raft) sendLeaveGranted(p *progress) {
 	r.sendAfterSave(Message{Kind: LeaveGranted, To: p.ID, Term: r.term})
 }
--- a/internal/mesh/raft/log.go
+++ b/internal/mesh/raft/log.go
@@ -55,8 +55,10 @@
 	l.entries = append(slices.Clone(catchUp[1:]), l.entries...)
 }
 
+// lastIndex returns the index of the last entry, or of the snapshot if there is none after it.
 func (l *raftLog) lastIndex() uint64 { return l.start.index + uint64(len(l.entries)) }
 
+// entriesSinceSnapshot returns the number of entries after the snapshot.
 func (l *raftLog) entriesSinceSnapshot() int { return int(l.lastIndex() - l.snapshot.Index) }
 
 // entriesFrom returns the entries from an index on, which must be after start.
@@ -73,11 +75,13 @@
 	return l.entriesFrom(index)[0].Term, true
 }
 
+// lastTerm returns the term of the last entry.
 func (l *raftLog) lastTerm() uint64 {
 	term, _ := l.termAt(l.lastIndex())
 	return term
 }
 
+// lastLogTime returns the log time of the last entry.
 func (l *raftLog) lastLogTime() time.Duration {
 	if n := len(l.entries); l.lastIndex() > l.snapshot.Index {
 		return l.entries[n-1].LogTime
@@ -127,6 +131,7 @@
 	}
 }
 
+// markUnsaved records that the entries from an index on have to be written.
 func (l *raftLog) markUnsaved(from uint64) {
 	if l.firstUnsavedIndex == 0 || from < l.firstUnsavedIndex {
 		l.firstUnsavedIndex = from
--- a/internal/mesh/raft/membership.go
+++ b/internal/mesh/raft/membership.go
@@ -135,6 +135,7 @@
 	return true
 }
 
+// appendConfiguration appends a configuration, which is used from now on, and sends it.
 func (r *Raft) appendConfiguration(to Configuration) {
 	r.appendAsLeader(Entry{
 		Kind:            EntryConfiguration,
--- a/internal/mesh/raft/progress.go
+++ b/internal/mesh/raft/progress.go
@@ -67,6 +67,7 @@
 // progressTracker holds a leader's progress records in ascending order of ID, so that the same events always handle them in the same order.
 type progressTracker []*progress
 
+// find returns the position of a peer's record, or the one at which it would be inserted.
 func (t progressTracker) find(id ID) (at int, found bool) {
 	return slices.BinarySearchFunc(t, id, func(p *progress, id ID) int { return cmp.Compare(p.ID, id) })
 }
--- a/internal/mesh/raft/simulation_test.go
+++ b/internal/mesh/raft/simulation_test.go
@@ -245,7 +245,7 @@
 	return best
 }
 
-// leaderAddr is the address of a member that leads and is not isolated; "": there is none.
+// leaderAddr returns the address of a member that leads and is not isolated, or "" if there is none.
 func (sim *simulation) leaderAddr() (addr string) {
 	for _, a := range sim.addrs() {
 		if n := sim.members[a]; n.raft.IsLeader() && !sim.isolated[a] {
--- a/internal/mesh/raft/snapshot_send.go
+++ b/internal/mesh/raft/snapshot_send.go
@@ -32,6 +32,7 @@
 	progressedAt time.Duration // when it last began, was acknowledged further, or was rewound
 }
 
+// totalBytes returns the size of the snapshot's data.
 func (t *snapshotTransfer) totalBytes() uint64 { return uint64(len(t.snapshot.Data)) }
 
 // rewind makes the transfer send everything from an offset on again.
@@ -118,6 +119,7 @@
 	}
 }
 
+// snapshotChunkBytes returns how many bytes of a snapshot's data one message holds.
 func (r *Raft) snapshotChunkBytes() uint64 {
 	if r.config.SnapshotChunkBytes > 0 {
 		return uint64(r.config.SnapshotChunkBytes)
--- a/internal/mesh/raft/timeouts.go
+++ b/internal/mesh/raft/timeouts.go
@@ -5,21 +5,24 @@
 // The waits of this package are fractions and multiples of Config.ElectionTimeout, so that one setting scales all of them. No safety rule
 // depends on any of them (Raft paper, section 5.6). They decide how soon a cluster acts, and how often it acts in vain.
 
-// startupDelay is the least time from the start of a member to its first pre-vote. startupJitter is the random time that is added to it.
-// Together they are less than an election timeout: if there is a leader the others reject the pre-vote, which does no harm, and if there
-// is none the cluster should not wait.
-func (c *Config) startupDelay() time.Duration  { return c.ElectionTimeout / 8 }
+// startupDelay is the least time from the start of a member to its first pre-vote. With startupJitter it is less than an election
+// timeout: if there is a leader the others reject the pre-vote, which does no harm, and if there is none the cluster should not wait.
+func (c *Config) startupDelay() time.Duration { return c.ElectionTimeout / 8 }
+
+// startupJitter bounds the random time that is added to startupDelay.
 func (c *Config) startupJitter() time.Duration { return c.ElectionTimeout / 4 }
 
 // preVoteRetryDelay is how long a pre-candidate waits, at least, before it asks again; up to as much is added at random. It is short
 // because pre-votes disrupt nobody and a voter that was down may be back soon.
 func (c *Config) preVoteRetryDelay() time.Duration { return c.ElectionTimeout / 4 }
 
-// campaignRankDelay is how much longer than the election timeout a follower of a rank waits before it campaigns, and campaignJitter bounds
-// what is added at random. The jitter is half of the step between two ranks, so that two ranks do not campaign at the same time.
+// campaignRankDelay is how much longer than the election timeout a follower of a rank waits before it campaigns.
 func (c *Config) campaignRankDelay(rank int) time.Duration {
 	return time.Duration(rank) * c.ElectionTimeout / 5
 }
+
+// campaignJitter bounds the random time that is added to campaignRankDelay. It is half of the step between two ranks, so that two ranks do
+// not campaign at the same time.
 func (c *Config) campaignJitter() time.Duration { return c.ElectionTimeout / 10 }
 
 // leaderExitDelay is how long a follower of a rank waits before it campaigns once the process of the leader is known to have ended. The
--- a/internal/mesh/replica/peers.go
+++ b/internal/mesh/replica/peers.go
@@ -18,6 +18,7 @@
 	byID  map[raft.ID]string // of those that have connected
 }
 
+// newPeerAddresses returns the addresses of a replica that knows the seeds alone.
 func newPeerAddresses(self string, seeds []string) peerAddresses {
 	return peerAddresses{self: self, seeds: seeds, known: map[string]bool{}, byID: map[raft.ID]string{}}
 }
--- a/internal/mesh/replica/reads.go
+++ b/internal/mesh/replica/reads.go
@@ -23,6 +23,7 @@
 	done   map[uint64]func(ReadIndexResult) // by id
 }
 
+// newReadQueue returns a queue without reads.
 func newReadQueue() readQueue {
 	return readQueue{done: map[uint64]func(ReadIndexResult){}}
 }
@@ -77,6 +78,7 @@
 	})
 }
 
+// readIndexAsLeader is ReadIndex at the leader.
 func (r *Replica) readIndexAsLeader(done func(ReadIndexResult)) {
 	r.reads.lastID++
 	if !r.raft.ReadIndex(r.now, r.reads.lastID) {
--- a/internal/mesh/storage/durable.go
+++ b/internal/mesh/storage/durable.go
@@ -18,6 +18,7 @@
 	transientError *atomic.Pointer[error]
 }
 
+// newDurableNames returns the files of a folder with durable names.
 func newDurableNames(files ldbstorage.Storage, folder Folder) durableNames {
 	return durableNames{Storage: files, folder: folder, transientError: new(atomic.Pointer[error])}
 }
--- a/internal/mesh/storage/folder.go
+++ b/internal/mesh/storage/folder.go
@@ -31,6 +31,7 @@
 // dataFolder is the path of a data folder.
 type dataFolder string
 
+// path returns the path of the store's directory.
 func (d dataFolder) path() string { return filepath.Join(string(d), storeDirectory) }
 
 // discarded returns the path to which a store is renamed before it is removed, so that a loss of power during the removal can't leave a
--- a/internal/mesh/storage/records.go
+++ b/internal/mesh/storage/records.go
@@ -53,10 +53,12 @@
 // entryKey returns the key of an entry. The order of keys is that of indexes.
 func entryKey(index uint64) []byte { return append([]byte(entryPrefix), encodeUint64(index)...) }
 
+// encodeHardState encodes term and vote.
 func encodeHardState(hardState raft.HardState) []byte {
 	return append(encodeUint64(hardState.Term), encodeUint64(uint64(hardState.Vote))...)
 }
 
+// decodeHardState is the inverse of encodeHardState. p has hardStateBytes.
 func decodeHardState(p []byte) raft.HardState {
 	return raft.HardState{
 		Term: binary.BigEndian.Uint64(p),
--- a/internal/mesh/transport/calls.go
+++ b/internal/mesh/transport/calls.go
@@ -43,6 +43,7 @@
 	}
 }
 
+// add adds a call under a new id.
 func (c *Calls) add(call *pendingCall) (id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,6 +55,7 @@
 	return c.lastID
 }
 
+// remove forgets a call that has ended.
 func (c *Calls) remove(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
