--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -22,7 +22,7 @@
 	startedAt time.Duration
 	cancel    context.CancelCauseFunc
 	timer     *time.Timer // cancels after Timeout
-	observer  Observer    // that observed the start; nil: none
+	observer  Observer    // that observed the start; nil means none
 	ended     atomic.Bool
 	transfer  atomic.Pointer[transfer]
 }
@@ -30,7 +30,7 @@
 // transfer is what an attempt has sent and received.
 type transfer struct {
 	bytesSent, bytesReceived int64
-	servedBy                 string // address of the server that answered; "": the one asked
+	servedBy                 string // address of the server that answered; "" means the one asked
 }
 
 // host is the owner of an attempt: an engine, or Hooks.
@@ -40,7 +40,7 @@
 	end(a *Attempt, ending balancer.Ending, r Reply)
 }
 
-// Begin says whether the attempt may be written now: its call is not finished, and its endpoint is still usable. If
+// Begin reports whether the attempt may be written now: its call is not finished, and its endpoint is still usable. If
 // not, it returns the ending to report. A sender must ask after it has a connection, immediately before it writes.
 func (a *Attempt) Begin() (balancer.Ending, bool) {
 	if ending, ok := a.host.begin(a); !ok {
@@ -97,8 +97,15 @@
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	attempt := &Attempt{
-		Endpoint: e.endpoints[send.Server], Payload: call.Payload, Timeout: timeout, host: e, call: call,
-		index: len(call.attempts), serverID: send.Server, startedAt: now, cancel: cancel,
+		Endpoint:  e.endpoints[send.Server],
+		Payload:   call.Payload,
+		Timeout:   timeout,
+		host:      e,
+		call:      call,
+		index:     len(call.attempts),
+		serverID:  send.Server,
+		startedAt: now,
+		cancel:    cancel,
 	}
 	call.attempts = append(call.attempts, attempt)
 	call.attemptsInFlight++
@@ -197,7 +204,7 @@
 		outcome.In += sized.Size()
 	}
 	if done.servedBy != "" {
-		outcome.Server = e.idByAddr[done.servedBy] // "": not a listed one
+		outcome.Server = e.idByAddr[done.servedBy] // "" if it is not a listed one
 	}
 }
 
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -30,7 +30,12 @@
 		ended := make(endSignal, 1)
 		for pb.Next() {
 			now := e.Now()
-			e.Submit(&Call{Class: "read", Deadline: now + time.Second, FallbackAt: now + 2*time.Second, Receiver: ended})
+			e.Submit(&Call{
+				Class:      "read",
+				Deadline:   now + time.Second,
+				FallbackAt: now + 2*time.Second,
+				Receiver:   ended,
+			})
 			<-ended
 		}
 	})
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -32,7 +32,7 @@
 // Answer is the final answer to a call.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // for the caller, with Rejected; 0: no advice
+	RetryAfter time.Duration // for the caller, with Rejected; 0 means no advice
 	Reply      Reply         // with Served; the receiver releases it; may be nil after Began
 }
 
@@ -54,14 +54,14 @@
 // Call is a request of a downstream caller. The front sets the exported fields before Submit and does not change
 // them afterwards; the unexported ones belong to the engine's goroutine, but for finished, which any may read.
 type Call struct {
-	ID             string        // given by the caller; no two open calls of an engine share one; "": none
+	ID             string        // given by the caller; no two open calls of an engine share one; "" means none
 	Class          string        // one of the module's settings
 	Deadline       time.Duration // clock time by which the module is to answer
 	FallbackAt     time.Duration // clock time at which the engine answers in its place
 	ClientRetry    bool          // the caller marked it as a retry of its own
-	Cost           time.Duration // estimate of the work, given by the caller; 0: none
+	Cost           time.Duration // estimate of the work, given by the caller; 0 means none
 	Tenant         string        // on whose behalf, as far as the front knows; see MaxTenant
-	CandidateAddrs []string      // addresses of the endpoints that may serve it; nil: any
+	CandidateAddrs []string      // addresses of the endpoints that may serve it; nil means any
 	CallerZone     string        // zone of the caller, if known; see MaxZone
 	Size           int64         // of the body, in bytes
 	Payload        any           // what the sender sends
@@ -74,7 +74,7 @@
 	finished         atomic.Bool // answered, or the caller has gone; set by the engine's goroutine alone
 	fallbackTimer    *time.Timer // answers at FallbackAt; nil before the call is registered
 	attempts         []*Attempt
-	streaming        *Attempt      // the attempt whose streamed reply has begun; nil: none
+	streaming        *Attempt      // the attempt whose streamed reply has begun; nil means none
 	attemptsInFlight int           // attempts that have not ended yet
 	countedPending   bool          // counted in Config.Pending
 	arriving         bool          // Arriving, and BodyArrived has not been called
@@ -165,9 +165,15 @@
 	}
 	e.register(call)
 	e.handle(balancer.Request{
-		ID: call.id, Class: call.Class, Deadline: call.Deadline, ClientRetry: call.ClientRetry, Cost: call.Cost, Size: call.Size,
-		Candidates: candidates, Tenant: call.Tenant[:min(len(call.Tenant), MaxTenant)],
-		From: call.CallerZone[:min(len(call.CallerZone), MaxZone)],
+		ID:          call.id,
+		Class:       call.Class,
+		Deadline:    call.Deadline,
+		ClientRetry: call.ClientRetry,
+		Cost:        call.Cost,
+		Size:        call.Size,
+		Candidates:  candidates,
+		Tenant:      call.Tenant[:min(len(call.Tenant), MaxTenant)],
+		From:        call.CallerZone[:min(len(call.CallerZone), MaxZone)],
 	})
 	e.limitPending(call)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -56,17 +56,17 @@
 	Clock       Clock
 	Module      Module
 	Sender      Sender
-	Source      Source      // nil: the list comes through Apply only
-	MaxAttempts int         // per call; 0: only the module limits them
+	Source      Source      // nil means the list comes through Apply only
+	MaxAttempts int         // per call; 0 means only the module limits them
 	Pushed      bool        // the source pushes the list: it is watched without a Subscribe of the module
-	Pending     SharedLimit // calls that wait for an endpoint; nil: no limit
-	AdminStates AdminStates // set by operators; nil: none
+	Pending     SharedLimit // calls that wait for an endpoint; nil means no limit
+	AdminStates AdminStates // set by operators; nil means none
 }
 
 // AdminStates are the administrative states of servers, set by operators. They override the list: a server that is out
 // of service drains, whatever the list says. The methods are called from many goroutines and never block.
 type AdminStates interface {
-	// IsOutOfService says that a server is out of service. Attempts observe it at once (Endpoint.Usable).
+	// IsOutOfService reports whether a server is out of service. Attempts observe it at once (Endpoint.Usable).
 	IsOutOfService(id string) bool
 	// StartTime returns the start time to assume for a server whose listed one is given.
 	StartTime(id string, listed time.Duration) time.Duration
@@ -91,7 +91,7 @@
 	idByAddr          map[string]string // ids of endpoints
 	source            Source
 	observer          Observer // the source, if it is an Observer; otherwise nil
-	listVersion       string   // of the list in use; "": it is not this source's
+	listVersion       string   // of the list in use; "" if the list is not of this source
 	dropShare         float64  // share of calls to reject, 0 to 1
 	rng               *rand.Rand
 	nextID            uint64
@@ -102,9 +102,16 @@
 // New returns an engine that is idle until Run.
 func New(cfg Config) *Engine {
 	e := &Engine{
-		cfg: cfg, events: make(chan func(), eventQueueSize), done: make(chan struct{}),
-		calls: map[string]*Call{}, callerIDs: map[string]bool{}, endpoints: map[string]*Endpoint{}, idByAddr: map[string]string{},
-		source: cfg.Source, stopWatch: func() {}, rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		cfg:       cfg,
+		events:    make(chan func(), eventQueueSize),
+		done:      make(chan struct{}),
+		calls:     map[string]*Call{},
+		callerIDs: map[string]bool{},
+		endpoints: map[string]*Endpoint{},
+		idByAddr:  map[string]string{},
+		source:    cfg.Source,
+		stopWatch: func() {},
+		rng:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 	e.observe(cfg.Source)
 	return e
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -73,14 +73,30 @@
 func (r *receiver) Ended(a Answer) { r.ended <- a }
 
 var classes = []balancer.Class{
-	{Name: "order", Effect: balancer.NonIdempotent, Aim: time.Second, Deadline: limit, Worth: 1},
-	{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: limit, Worth: 1},
+	{
+		Name:     "order",
+		Effect:   balancer.NonIdempotent,
+		Aim:      time.Second,
+		Deadline: limit,
+		Worth:    1,
+	},
+	{
+		Name:     "read",
+		Effect:   balancer.Idempotent,
+		Aim:      time.Second,
+		Deadline: limit,
+		Worth:    1,
+	},
 }
 
 func settings() balancer.Settings {
 	return balancer.Settings{
-		Classes: classes, Balancers: 1, MaxAttempts: 4, MayCancel: true,
-		SecondCopies: true, Tick: time.Millisecond,
+		Classes:      classes,
+		Balancers:    1,
+		MaxAttempts:  4,
+		MayCancel:    true,
+		SecondCopies: true,
+		Tick:         time.Millisecond,
 	}
 }
 
@@ -127,7 +143,13 @@
 func newCall(e *Engine, id, class string, left time.Duration) (*Call, *receiver) {
 	r := newReceiver()
 	now := e.Now()
-	return &Call{ID: id, Class: class, Deadline: now + left, FallbackAt: now + left + left/10, Receiver: r}, r
+	return &Call{
+		ID:         id,
+		Class:      class,
+		Deadline:   now + left,
+		FallbackAt: now + left + left/10,
+		Receiver:   r,
+	}, r
 }
 
 // waitIdle returns once the engine has handled everything that was posted before.
@@ -156,7 +178,13 @@
 	a.End(balancer.Success, late) // has no effect: an attempt ends once
 	waitIdle(t, e)
 	if e.OpenCalls() != 0 || len(r.ended) != 0 || got.released.Load() != 0 || late.released.Load() != 1 {
-		t.Errorf("%d calls open, %d more answers, first reply released %d times, second %d times", e.OpenCalls(), len(r.ended), got.released.Load(), late.released.Load())
+		t.Errorf(
+			"%d calls open, %d more answers, first reply released %d times, second %d times",
+			e.OpenCalls(),
+			len(r.ended),
+			got.released.Load(),
+			late.released.Load(),
+		)
 	}
 }
 
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -29,7 +29,7 @@
 
 // Spendable is a payload that may hold a part, such as a streamed body, which can be sent only once.
 type Spendable interface {
-	// Spent says that this part has been sent, so that no further attempt can be made.
+	// Spent reports whether this part has been sent, so that no further attempt can be made.
 	Spent() bool
 }
 
@@ -56,7 +56,7 @@
 	ID, Addr    string
 	startedAt   time.Duration
 	usable      atomic.Bool // listed as ready; cleared when it drains or is removed
-	adminStates AdminStates // nil: none
+	adminStates AdminStates // nil means none
 	listed      Listed      // as the source reported it; owned by the engine's goroutine
 }
 
@@ -67,7 +67,7 @@
 	return ep
 }
 
-// Usable says that the endpoint is listed as ready and that no operator has taken it out of service.
+// Usable reports whether the endpoint is listed as ready and no operator has taken it out of service.
 func (ep *Endpoint) Usable() bool {
 	return ep.usable.Load() && (ep.adminStates == nil || !ep.adminStates.IsOutOfService(ep.ID))
 }
--- a/internal/engine/servers.go
+++ b/internal/engine/servers.go
@@ -24,8 +24,10 @@
 func (e *Engine) mergeServers(update ListUpdate, ordered bool) {
 	listed := make(map[string]bool, len(update.Servers))
 	list := balancer.ServerList{
-		Full: update.Full, Cached: update.Cached, Operator: ordered,
-		Servers: make([]balancer.Server, 0, len(update.Servers)),
+		Full:     update.Full,
+		Cached:   update.Cached,
+		Operator: ordered,
+		Servers:  make([]balancer.Server, 0, len(update.Servers)),
 	}
 	for _, server := range update.Servers {
 		reported := server
@@ -71,7 +73,12 @@
 		return endpoint
 	}
 	e.removeEndpoint(server.ID)
-	endpoint = &Endpoint{ID: server.ID, Addr: server.Addr, startedAt: server.StartedAt, adminStates: e.cfg.AdminStates}
+	endpoint = &Endpoint{
+		ID:          server.ID,
+		Addr:        server.Addr,
+		startedAt:   server.StartedAt,
+		adminStates: e.cfg.AdminStates,
+	}
 	e.endpoints[server.ID] = endpoint
 	e.idByAddr[server.Addr] = server.ID
 	if e.cfg.AdminStates != nil {
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -39,5 +39,5 @@
 type Snapshot struct {
 	Version   string // of the list
 	Servers   []Listed
-	Knowledge *balancer.Knowledge // nil: no estimates
+	Knowledge *balancer.Knowledge // nil means no estimates
 }
--- a/internal/engine/source.go
+++ b/internal/engine/source.go
@@ -18,7 +18,7 @@
 type ListUpdate struct {
 	Full      bool
 	Cached    bool   // from before a restart, possibly out of date
-	Version   string // where Watch continues; "": from the beginning
+	Version   string // where Watch continues; "" means from the beginning
 	Servers   []Listed
 	DropShare float64 // share of calls to reject before any attempt, as the source demands; 0 to 1
 }
--- a/internal/engine/source_test.go
+++ b/internal/engine/source_test.go
@@ -22,7 +22,13 @@
 }
 
 func newScriptedSource(name string) *scriptedSource {
-	return &scriptedSource{name, make(chan string, 100), make(chan ListUpdate), make(chan error), make(chan struct{}, 100)}
+	return &scriptedSource{
+		name:    name,
+		watched: make(chan string, 100),
+		updates: make(chan ListUpdate),
+		fail:    make(chan error),
+		closed:  make(chan struct{}, 100),
+	}
 }
 
 func (s *scriptedSource) String() string { return s.name }
@@ -143,7 +149,11 @@
 
 // The engine does not use a server that is no longer listed as ready, or an address that it has left.
 func TestListDecidesUsableEndpoints(t *testing.T) {
-	e := New(Config{Clock: NewClock(), Sender: newManualSender(), Module: moduleFunc(func(balancer.Event) []balancer.Action { return nil })})
+	e := New(Config{
+		Clock:  NewClock(),
+		Sender: newManualSender(),
+		Module: moduleFunc(func(balancer.Event) []balancer.Action { return nil }),
+	})
 	e.apply(serverList("a", "b", "c"))
 	a, b, c := e.endpoints["a"], e.endpoints["b"], e.endpoints["c"]
 	drain := serverList("a", "b")
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -18,18 +18,18 @@
 type Request struct {
 	Method    string
 	URL       *url.URL // path and query, exactly as the caller wrote them
-	Authority string   // Host or :authority; "": the server's address
+	Authority string   // Host or :authority; "" means the server's address
 	Header    map[string][]string
 	Body      []byte
-	GRPC      *GRPC // nil: not a gRPC request
+	GRPC      *GRPC // nil means not a gRPC request
 	// Idempotency says whether it may run more than once, where method and header fields do not tell.
 	Idempotency Idempotency
 	// FrontData is data of the front that made the request, for senders that know its type.
 	FrontData any
-	// BodyRest is what follows after Body, as the caller sends it; nil: nothing. It can be read only once: a sender must
+	// BodyRest is what follows after Body, as the caller sends it; nil means nothing. It can be read only once: a sender must
 	// Claim it first.
 	BodyRest *Stream
-	// MaxBodyBytes is the limit on Body and BodyRest together, in bytes, if no length is declared; 0: no limit.
+	// MaxBodyBytes is the limit on Body and BodyRest together, in bytes, if no length is declared; 0 means no limit.
 	MaxBodyBytes  int64
 	streamClaimed atomic.Bool
 	failureReply  atomic.Pointer[Reply]
@@ -48,10 +48,10 @@
 // Fail keeps the response that came with a failure, for a caller that gets no better one.
 func (r *Request) Fail(with *Reply) { r.failureReply.Store(with) }
 
-// Failed is the last response that Fail kept; nil: none.
+// Failed is the last response that Fail kept, or nil if there is none.
 func (r *Request) Failed() *Reply { return r.failureReply.Load() }
 
-// Spent says that no further attempt can send the complete request, because BodyRest was claimed.
+// Spent reports whether no further attempt can send the complete request, because BodyRest was claimed.
 func (r *Request) Spent() bool { return r.BodyRest != nil && r.streamClaimed.Load() }
 
 // Claim returns true to the first caller only, which may then read BodyRest.
@@ -61,7 +61,7 @@
 type Reply struct {
 	ContentType     string
 	Body            []byte
-	Status          int     // HTTP status; 0: 200
+	Status          int     // HTTP status; 0 means 200
 	Header, Trailer []Field // for gRPC, and where a front forwards all fields
 
 	bodyLimit ByteLimit
--- a/internal/message/stream.go
+++ b/internal/message/stream.go
@@ -24,7 +24,7 @@
 	g.failed = status
 }
 
-// Failed is the last status that Fail kept; nil: none.
+// Failed is the last status that Fail kept, or nil if there is none.
 func (g *GRPC) Failed() []Field {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -35,12 +35,12 @@
 // flow control: it is notified of each chunk that was taken and lets its peer send no more than that, which bounds the bytes
 // that are buffered.
 type Stream struct {
-	Status int // HTTP status; 0: 200
+	Status int // HTTP status; 0 means 200
 	Header []Field
-	// Length is the declared length of the complete body, in bytes; -1: none. It is 0 for gRPC, whose streams may be the
+	// Length is the declared length of the complete body, in bytes; -1 means none. It is 0 for gRPC, whose streams may be the
 	// work itself and not only the transfer of its result.
 	Length int64
-	// OnDiscarded is called with the bytes that Release discards and those that come after it; nil: not called. It must be
+	// OnDiscarded is called with the bytes that Release discards and those that come after it; nil means not called. It must be
 	// set before the first Push.
 	OnDiscarded func(n int)
 
@@ -60,7 +60,7 @@
 	return &Stream{Header: header, onConsumed: onConsumed, wake: make(chan struct{}, 1)}
 }
 
-// Transfer says that the stream only transfers a result, and is no work that goes on (see Length).
+// Transfer reports whether the stream only transfers a result, and is no work that goes on (see Length).
 func (s *Stream) Transfer() bool { return s.Length != 0 }
 
 // Push appends a chunk, which then belongs to the stream. It does not block.
@@ -133,7 +133,7 @@
 	return all
 }
 
-// Trailer is the trailer section that Finish was given; nil: the stream was cut off or has not ended.
+// Trailer is the trailer section that Finish was given. It is nil if the stream was cut off or has not ended.
 func (s *Stream) Trailer() []Field {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -33,12 +33,12 @@
 	Clock       engine.Clock
 	Sender      engine.Sender
 	Source      engine.Source
-	AdminStates engine.AdminStates  // set by operators; nil: none
+	AdminStates engine.AdminStates  // set by operators; nil means none
 	InitialList engine.ListUpdate   // the list from before the start; may be empty
 	Pushed      bool                // the source pushes the list
-	Knowledge   *balancer.Knowledge // by the pool that this one takes over from; nil: none
+	Knowledge   *balancer.Knowledge // by the pool that this one takes over from; nil means none
 	Shares      Shares
-	Module      engine.Module // nil: a balancer.Balancer of Settings and Seed
+	Module      engine.Module // nil means a balancer.Balancer of Settings and Seed
 	GRPC        bool          // its servers accept gRPC requests only
 }
 
@@ -69,16 +69,28 @@
 		cfg.Module = b
 	}
 	p := &Pool{
-		name: cfg.Name, classes: make(map[string]balancer.Class, len(cfg.Settings.Classes)), shares: cfg.Shares,
-		sender: cfg.Sender, initialList: cfg.InitialList, knowledge: cfg.Knowledge, pushed: cfg.Pushed,
-		grpc: cfg.GRPC, stop: func() {},
+		name:        cfg.Name,
+		classes:     make(map[string]balancer.Class, len(cfg.Settings.Classes)),
+		shares:      cfg.Shares,
+		sender:      cfg.Sender,
+		initialList: cfg.InitialList,
+		knowledge:   cfg.Knowledge,
+		pushed:      cfg.Pushed,
+		grpc:        cfg.GRPC,
+		stop:        func() {},
 	}
 	for _, c := range cfg.Settings.Classes {
 		p.classes[c.Name] = c
 	}
 	p.engine = engine.New(engine.Config{
-		Name: cfg.Name, Clock: cfg.Clock, Module: cfg.Module, Sender: cfg.Sender,
-		Source: cfg.Source, MaxAttempts: cfg.Settings.MaxAttempts, Pushed: cfg.Pushed, Pending: cfg.Shares.PendingCalls,
+		Name:        cfg.Name,
+		Clock:       cfg.Clock,
+		Module:      cfg.Module,
+		Sender:      cfg.Sender,
+		Source:      cfg.Source,
+		MaxAttempts: cfg.Settings.MaxAttempts,
+		Pushed:      cfg.Pushed,
+		Pending:     cfg.Shares.PendingCalls,
 		AdminStates: cfg.AdminStates,
 	})
 	return p, nil
@@ -112,7 +124,7 @@
 	return longest
 }
 
-// GRPC says that its servers accept gRPC requests only.
+// GRPC reports whether its servers accept gRPC requests only.
 func (p *Pool) GRPC() bool { return p.grpc }
 
 // Engine is the pool's engine, which ends with the pool.
--- a/internal/pool/quota_table.go
+++ b/internal/pool/quota_table.go
@@ -9,7 +9,7 @@
 // Quota is what one holder may take.
 type Quota struct {
 	Min int64 // guaranteed, whatever the others take
-	Max int64 // never exceeded; 0: the total of the table
+	Max int64 // never exceeded; 0 means the total of the table
 }
 
 // Holder is one party of a QuotaTable, the one whose Configure named it first.
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -11,10 +11,15 @@
 // reportFunc notes a fault of the route at hand, by its key in the operator's file.
 type reportFunc func(key, format string, args ...any)
 
-// Compile makes a table. Requests that match no route go to the pool named by fallback; "": they match nothing. It
+// Compile makes a table. Requests that match no route go to the pool named by fallback; "" means they match nothing. It
 // returns all faults, in the order of the routes; if there is one, there is no table.
 func Compile(routes []Route, fallback string) (*Table, []Fault) {
-	t := &Table{hosts: map[string]*hostRules{}, suffixes: map[string]*hostRules{}, anyHost: newHostRules(), fallback: fallback}
+	t := &Table{
+		hosts:    map[string]*hostRules{},
+		suffixes: map[string]*hostRules{},
+		anyHost:  newHostRules(),
+		fallback: fallback,
+	}
 	var faults []Fault
 	for i, r := range routes {
 		fault := func(key, format string, args ...any) {
--- a/internal/route/normalise.go
+++ b/internal/route/normalise.go
@@ -57,7 +57,7 @@
 	return lowerCase(s), nil
 }
 
-// isPort says that s is empty, or a colon followed by at most five digits.
+// isPort reports whether s is empty, or a colon followed by at most five digits.
 func isPort(s string) bool {
 	if s == "" {
 		return true
@@ -131,7 +131,7 @@
 	return removeDotSegments(b.String())
 }
 
-// isNormalised says that a path is already normal: the common case, which needs no allocation.
+// isNormalised reports whether a path is already normal: the common case, which needs no allocation.
 func isNormalised(s string) bool {
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
--- a/internal/route/normalise_test.go
+++ b/internal/route/normalise_test.go
@@ -8,8 +8,16 @@
 // A host is normalised to lower case without its port, or rejected.
 func TestHost(t *testing.T) {
 	for in, want := range map[string]string{
-		"": "", "A.b": "a.b", "a.b.": "a.b", "a:1": "a", "a.:80": "a", "a:": "a",
-		"[::1]": "[::1]", "[::FF]:80": "[::ff]", "1.2.3.4": "1.2.3.4", "a_b-c": "a_b-c",
+		"":          "",
+		"A.b":       "a.b",
+		"a.b.":      "a.b",
+		"a:1":       "a",
+		"a.:80":     "a",
+		"a:":        "a",
+		"[::1]":     "[::1]",
+		"[::FF]:80": "[::ff]",
+		"1.2.3.4":   "1.2.3.4",
+		"a_b-c":     "a_b-c",
 	} {
 		if got, err := Host(in); err != nil || got != want {
 			t.Errorf("%q: %q, %v", in, got, err)
@@ -28,10 +36,32 @@
 // A path is normalised as the comment of Path says, or rejected.
 func TestPath(t *testing.T) {
 	for in, want := range map[string]string{
-		"/": "/", "/a": "/a", "/a/": "/a/", "//": "/", "/a//b": "/a/b", "/a/.": "/a/",
-		"/./a": "/a", "/a/../b": "/b", "/a/..": "/", "/a/b/..": "/a/", "/..a": "/..a", "/a/...": "/a/...", "/.a": "/.a",
-		"/%61": "/a", "/%2F": "/%2F", "/%2f": "/%2F", "/a%2fb": "/a%2Fb", "/%7e": "/~", "/%2e": "/", "/a/%2e%2e/b": "/b",
-		"/a%20b": "/a%20b", "/%C3%a9": "/%C3%A9", "/%5c": "/%5C", "/a/.//../b": "/b", "/%252f": "/%252f", "/a;b=c": "/a;b=c",
+		"/":           "/",
+		"/a":          "/a",
+		"/a/":         "/a/",
+		"//":          "/",
+		"/a//b":       "/a/b",
+		"/a/.":        "/a/",
+		"/./a":        "/a",
+		"/a/../b":     "/b",
+		"/a/..":       "/",
+		"/a/b/..":     "/a/",
+		"/..a":        "/..a",
+		"/a/...":      "/a/...",
+		"/.a":         "/.a",
+		"/%61":        "/a",
+		"/%2F":        "/%2F",
+		"/%2f":        "/%2F",
+		"/a%2fb":      "/a%2Fb",
+		"/%7e":        "/~",
+		"/%2e":        "/",
+		"/a/%2e%2e/b": "/b",
+		"/a%20b":      "/a%20b",
+		"/%C3%a9":     "/%C3%A9",
+		"/%5c":        "/%5C",
+		"/a/.//../b":  "/b",
+		"/%252f":      "/%252f",
+		"/a;b=c":      "/a;b=c",
 	} {
 		if got, err := Path(in); err != nil || got != want {
 			t.Errorf("%q: %q, %v, not %q", in, got, err, want)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -47,7 +47,7 @@
 	Path   string
 	Method string
 	Header map[string][]string // by canonical name; as in net/http
-	Class  string              // as the caller names it; "": none
+	Class  string              // as the caller names it; "" means none
 	ID     string              // decides a weighted split, at every node alike
 }
 
@@ -66,7 +66,7 @@
 
 // Route sends the requests that match all of its conditions to one of its pools.
 type Route struct {
-	Host    string // "": any; "*.example.org": every name below it
+	Host    string // "" means any, and "*.example.org" every name below it
 	Path    string // exact
 	Prefix  string // by whole segments: "/a" matches /a, /a/ and /a/b, not /ab
 	Regexp  string // of the complete path, in RE2 syntax
@@ -74,7 +74,7 @@
 	Headers []Header // all of them
 	Classes []string // any of them
 	To      []Split
-	Class   string // that matching requests get; "": they keep theirs
+	Class   string // that matching requests get; "" means they keep theirs
 }
 
 // Fault is a reason why a route can't be compiled.
@@ -115,8 +115,8 @@
 // Target is the result of a match.
 type Target struct {
 	Pool  string
-	Class string // "": that of the request
-	Route int    // index of the route in Compile; -1: the fallback
+	Class string // "" means that of the request
+	Route int    // index of the route in Compile; -1 means the fallback
 }
 
 // Match finds the route of a request. It returns false if none matches and there is no fallback.
@@ -182,7 +182,7 @@
 	}
 }
 
-// firstMatch returns the first of the rules that matches; nil: none.
+// firstMatch returns the first of the rules that matches, or nil if there is none.
 func firstMatch(rules []*rule, r *Request) *rule {
 	for _, candidate := range rules {
 		if candidate.matches(r) {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// matches says that a request meets the conditions on method, class and headers.
+// matches reports whether a request meets the conditions on method, class and headers.
 func (c *rule) matches(r *Request) bool {
 	if len(c.Methods) > 0 && !slices.Contains(c.Methods, r.Method) ||
 		len(c.Classes) > 0 && !slices.Contains(c.Classes, r.Class) {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -46,17 +46,21 @@
 // The most specific route wins, in the order that the package comment defines.
 func TestPrecedence(t *testing.T) {
 	table := mustCompile(t, "none", []Route{
-		0:  {},
-		1:  {Host: "a.example.org"},
-		2:  {Host: "*.example.org"},
-		3:  {Host: "*.b.example.org"},
-		4:  {Host: "a.example.org", Prefix: "/x"},
-		5:  {Host: "a.example.org", Prefix: "/x/y/"},
-		6:  {Host: "a.example.org", Path: "/x/y/z"},
-		7:  {Host: "a.example.org", Regexp: "/x/y/[0-9]+"},
-		8:  {Host: "a.example.org", Prefix: "/x", Methods: []string{"POST"}},
-		9:  {Host: "a.example.org", Prefix: "/x", Headers: []Header{{Name: "X-A", Value: "1"}}},
-		10: {Host: "a.example.org", Prefix: "/x", Headers: []Header{{Name: "X-A", Value: "1"}, {Name: "X-B", Present: true}}},
+		0: {},
+		1: {Host: "a.example.org"},
+		2: {Host: "*.example.org"},
+		3: {Host: "*.b.example.org"},
+		4: {Host: "a.example.org", Prefix: "/x"},
+		5: {Host: "a.example.org", Prefix: "/x/y/"},
+		6: {Host: "a.example.org", Path: "/x/y/z"},
+		7: {Host: "a.example.org", Regexp: "/x/y/[0-9]+"},
+		8: {Host: "a.example.org", Prefix: "/x", Methods: []string{"POST"}},
+		9: {Host: "a.example.org", Prefix: "/x", Headers: []Header{{Name: "X-A", Value: "1"}}},
+		10: {
+			Host:    "a.example.org",
+			Prefix:  "/x",
+			Headers: []Header{{Name: "X-A", Value: "1"}, {Name: "X-B", Present: true}},
+		},
 		11: {Host: "a.example.org", Prefix: "/x", Classes: []string{"alert"}},
 		12: {Prefix: "/only"},
 		13: {Host: "c.example.org", Prefix: "/only"},
@@ -251,9 +255,11 @@
 		}
 		for range 20 {
 			r := &Request{
-				Host: one([]string{"", "a", "b.a", "c.b.a", "d.c.b.a", "z", "y.z"}).Draw(t, "host"),
-				Path: one(append(paths, "/q", "/x/y/z/w")).Draw(t, "path"), Method: one([]string{"GET", "POST"}).Draw(t, "method"),
-				Class: one([]string{"", "k", "m"}).Draw(t, "class"), Header: map[string][]string{},
+				Host:   one([]string{"", "a", "b.a", "c.b.a", "d.c.b.a", "z", "y.z"}).Draw(t, "host"),
+				Path:   one(append(paths, "/q", "/x/y/z/w")).Draw(t, "path"),
+				Method: one([]string{"GET", "POST"}).Draw(t, "method"),
+				Class:  one([]string{"", "k", "m"}).Draw(t, "class"),
+				Header: map[string][]string{},
 			}
 			for _, h := range []string{"A", "B"} {
 				if rapid.Bool().Draw(t, h) {
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -174,8 +174,13 @@
 		return balancer.Timer{Token: f.text(0)}, true
 	case nameOutcome:
 		return balancer.Outcome{
-			ID: f.text(0), Server: f.text(1), Latency: f.milliseconds(2),
-			Ended: f.text(3) == "1", Attempt: f.integer(4), Ending: f.ending(5), Load: f.load(6),
+			ID:      f.text(0),
+			Server:  f.text(1),
+			Latency: f.milliseconds(2),
+			Ended:   f.text(3) == "1",
+			Attempt: f.integer(4),
+			Ending:  f.ending(5),
+			Load:    f.load(6),
 		}, true
 	case nameClientGone:
 		return balancer.ClientGone{ID: f.text(0)}, true
@@ -197,7 +202,11 @@
 		if f.err != nil {
 			return nil
 		}
-		return balancer.ServerList{Full: mode != listChanges, Cached: mode == listCached, Servers: d.lists[list]}
+		return balancer.ServerList{
+			Full:    mode != listChanges,
+			Cached:  mode == listCached,
+			Servers: d.lists[list],
+		}
 	case listFailed:
 		return balancer.ListFailed{}
 	}
@@ -207,7 +216,12 @@
 
 // decodeRequest decodes "job_in ID DEADLINE KEY CLASS FLAGS TENANT COST".
 func decodeRequest(f *fields) balancer.Event {
-	request := balancer.Request{ID: f.text(0), Deadline: f.milliseconds(1), Class: f.text(3), Tenant: f.optionalText(5)}
+	request := balancer.Request{
+		ID:       f.text(0),
+		Deadline: f.milliseconds(1),
+		Class:    f.text(3),
+		Tenant:   f.optionalText(5),
+	}
 	flags := f.optionalInteger(4)
 	request.ClientRetry = flags&flagClientRetry != 0
 	if flags&flagCostHint != 0 {
@@ -248,7 +262,10 @@
 // decodeServer decodes "item ID ZONE MODEL CELL STATE SIZE STARTED".
 func decodeServer(f *fields) (balancer.Server, error) {
 	server := balancer.Server{
-		ID: f.text(0), Zone: f.text(1), Cell: f.integer(3), Size: f.optionalNumber(5),
+		ID:        f.text(0),
+		Zone:      f.text(1),
+		Cell:      f.integer(3),
+		Size:      f.optionalNumber(5),
 		StartedAt: f.optionalMilliseconds(6),
 	}
 	switch f.integer(4) {
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -106,10 +106,14 @@
 
 // endings are the simulator's names for how an attempt ends.
 var endings = map[string]balancer.Ending{
-	"success": balancer.Success, "failure": balancer.Failure,
-	"overloaded": balancer.Overloaded, "timed_out": balancer.TimedOut,
-	"unreachable": balancer.Unreachable, "broken": balancer.Broken,
-	"withdrawn": balancer.Canceled, "void": balancer.NeverSent,
+	"success":     balancer.Success,
+	"failure":     balancer.Failure,
+	"overloaded":  balancer.Overloaded,
+	"timed_out":   balancer.TimedOut,
+	"unreachable": balancer.Unreachable,
+	"broken":      balancer.Broken,
+	"withdrawn":   balancer.Canceled,
+	"void":        balancer.NeverSent,
 }
 
 func (f *fields) ending(i int) balancer.Ending {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -72,19 +72,24 @@
 const registryOnRequest = "on_request"
 
 var scopes = map[string]balancer.Scope{
-	"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
+	"all":  balancer.ScopeAll,
+	"zone": balancer.ScopeZone,
+	"cell": balancer.ScopeCell,
 }
 
 var sizes = map[string]balancer.Sizes{
-	"nominal": balancer.SizesNominal, "rough": balancer.SizesRough, "live": balancer.SizesLive,
+	"nominal": balancer.SizesNominal,
+	"rough":   balancer.SizesRough,
+	"live":    balancer.SizesLive,
 }
 
 var effects = map[string]balancer.Effect{
-	"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentByKey,
+	"read_like":       balancer.Idempotent,
+	"idempotency_key": balancer.IdempotentByKey,
 }
 
 // Connections holds the settings of connections to servers. The simulator applies them itself; a node has
-// to. Members of a fleet compare them with the names of these fields, which therefore stay. 0: not given.
+// to. Members of a fleet compare them with the names of these fields, which therefore stay. 0 means not given.
 type Connections struct {
 	Idle          time.Duration // a server closes a connection that was idle for so long
 	ConnectWithin time.Duration // a server that is not connected to within it counts as unreachable
@@ -98,7 +103,8 @@
 		return balancer.Settings{}, Connections{}, fmt.Errorf("settings: %w", err)
 	}
 	connections := Connections{
-		Idle: fromMilliseconds(o.Limits.ConnIdle), ConnectWithin: fromMilliseconds(o.Limits.ConnectWithin),
+		Idle:          fromMilliseconds(o.Limits.ConnIdle),
+		ConnectWithin: fromMilliseconds(o.Limits.ConnectWithin),
 	}
 	return o.settings(), connections, nil
 }
@@ -106,14 +112,24 @@
 // settings are those of the decision module.
 func (o *settingsObject) settings() balancer.Settings {
 	s := balancer.Settings{
-		Balancers: o.Balancers, Index: o.Me, Tier: o.Tier,
-		WholeWeight: o.Blend.Whole, ClassWeight: o.Blend.WorstClass,
-		WorstTenantWeight: o.Blend.WorstTenant, OverShare: o.OverShare,
-		MaxAttempts: o.Limits.MaxAttempts, SecondCopies: o.Limits.SecondCopies,
-		MayCancel: o.Limits.Cancelling, Sizes: sizes[o.Sizes],
-		AskDiscovery: o.Registry == registryOnRequest, AskWithin: fromMilliseconds(o.Rules.AskWithin),
-		Tick: fromMilliseconds(o.Tick), ColdFrom: o.Rules.ColdFrom, WarmAfter: fromMilliseconds(o.Rules.WarmAfter),
-		FallMultiple: o.Rules.FallMultiple, FallFor: fromMilliseconds(o.Rules.FallFor),
+		Balancers:         o.Balancers,
+		Index:             o.Me,
+		Tier:              o.Tier,
+		WholeWeight:       o.Blend.Whole,
+		ClassWeight:       o.Blend.WorstClass,
+		WorstTenantWeight: o.Blend.WorstTenant,
+		OverShare:         o.OverShare,
+		MaxAttempts:       o.Limits.MaxAttempts,
+		SecondCopies:      o.Limits.SecondCopies,
+		MayCancel:         o.Limits.Cancelling,
+		Sizes:             sizes[o.Sizes],
+		AskDiscovery:      o.Registry == registryOnRequest,
+		AskWithin:         fromMilliseconds(o.Rules.AskWithin),
+		Tick:              fromMilliseconds(o.Tick),
+		ColdFrom:          o.Rules.ColdFrom,
+		WarmAfter:         fromMilliseconds(o.Rules.WarmAfter),
+		FallMultiple:      o.Rules.FallMultiple,
+		FallFor:           fromMilliseconds(o.Rules.FallFor),
 	}
 	if o.Limits.RetryAfter {
 		s.MaxRetryAfter = fromMilliseconds(o.Limits.MaxRetryAfter)
@@ -129,8 +145,14 @@
 
 func (l *laneObject) class() balancer.Class {
 	return balancer.Class{
-		Name: l.Name, Effect: effects[l.Effect],
-		Scope: scopes[l.Scope], Window: fromMilliseconds(l.Window), Aim: fromMilliseconds(l.Target),
-		Deadline: fromMilliseconds(l.Deadline), LateShare: l.LateShare, Worth: l.Worth, Stream: l.Stream,
+		Name:      l.Name,
+		Effect:    effects[l.Effect],
+		Scope:     scopes[l.Scope],
+		Window:    fromMilliseconds(l.Window),
+		Aim:       fromMilliseconds(l.Target),
+		Deadline:  fromMilliseconds(l.Deadline),
+		LateShare: l.LateShare,
+		Worth:     l.Worth,
+		Stream:    l.Stream,
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -40,16 +40,29 @@
 	want := []Message{
 		{Kind: BatchStart, Instance: -1, Now: 8412250 * time.Microsecond},
 		{Kind: Event, Instance: 3, Event: balancer.ServerList{
-			Full: true, Cached: true,
-			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, StartedAt: 6100500 * time.Microsecond}},
+			Full:   true,
+			Cached: true,
+			Servers: []balancer.Server{{
+				ID:        "s:1",
+				Zone:      "z",
+				Cell:      4,
+				Size:      1.5,
+				StartedAt: 6100500 * time.Microsecond,
+			}},
 		}},
 		{Kind: Event, Instance: 3, Event: balancer.Request{
-			ID: "id", Class: "get", ClientRetry: true, Cost: 12 * time.Millisecond,
-			Deadline: 8652250 * time.Microsecond,
+			ID:          "id",
+			Class:       "get",
+			ClientRetry: true,
+			Cost:        12 * time.Millisecond,
+			Deadline:    8652250 * time.Microsecond,
 		}},
 		{Kind: Event, Instance: 3, Event: balancer.Outcome{
-			ID: "id", Server: "s:1", Ended: true,
-			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1},
+			ID:      "id",
+			Server:  "s:1",
+			Ended:   true,
+			Latency: 18500 * time.Microsecond,
+			Load:    &balancer.Load{Busy: 3, Service: -1},
 		}},
 		{Kind: BatchEnd, Instance: 3},
 	}
@@ -60,18 +73,66 @@
 
 func TestMalformedInputIsReportedWithItsLine(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"end without a batch", "eob\n", "line 1: \"eob\" outside a batch"},
-		{"batch in a batch", "sync\t1\nsync\t2\n", "line 2: sync inside a batch"},
-		{"malformed time", "sync\tx\n", "line 1: sync: value 1 is no time"},
-		{"no instance", "sync\t1\nhuh\t1\n", "line 2: \"huh\" before any about"},
-		{"unknown message", "sync\t1\nabout\t1\nhuh\t1\n", "line 3: unknown message \"huh\""},
-		{"missing value", "sync\t1\nabout\t1\njob_in\ta\n", "line 3: job_in: value 2"},
-		{"short list item", "sync\t1\nlist\t0\t2\nitem\ta\tb\n", "value 4 is missing"},
-		{"unknown list", "sync\t1\nlist\t77\t2\n", "out of range"},
-		{"number that is too large", "sync\t1\nabout\t1\nannounce\t2\t99999999999999999999\t1\n", "line 3: announce: value 2 is no whole number"},
-		{"no end of the batch", "sync\t1\n", "input ends inside a batch"},
-		{"malformed settings", "sync\t1\nabout\t1\nhello\t5\t{bad\n", "settings"},
-		{"no end of the line", "sync\t1\nabout\t1\nannounce\t9\t0\t0", "input ends inside a batch"},
+		{
+			name: "end without a batch",
+			text: "eob\n",
+			want: "line 1: \"eob\" outside a batch",
+		},
+		{
+			name: "batch in a batch",
+			text: "sync\t1\nsync\t2\n",
+			want: "line 2: sync inside a batch",
+		},
+		{
+			name: "malformed time",
+			text: "sync\tx\n",
+			want: "line 1: sync: value 1 is no time",
+		},
+		{
+			name: "no instance",
+			text: "sync\t1\nhuh\t1\n",
+			want: "line 2: \"huh\" before any about",
+		},
+		{
+			name: "unknown message",
+			text: "sync\t1\nabout\t1\nhuh\t1\n",
+			want: "line 3: unknown message \"huh\"",
+		},
+		{
+			name: "missing value",
+			text: "sync\t1\nabout\t1\njob_in\ta\n",
+			want: "line 3: job_in: value 2",
+		},
+		{
+			name: "short list item",
+			text: "sync\t1\nlist\t0\t2\nitem\ta\tb\n",
+			want: "value 4 is missing",
+		},
+		{
+			name: "unknown list",
+			text: "sync\t1\nlist\t77\t2\n",
+			want: "out of range",
+		},
+		{
+			name: "number that is too large",
+			text: "sync\t1\nabout\t1\nannounce\t2\t99999999999999999999\t1\n",
+			want: "line 3: announce: value 2 is no whole number",
+		},
+		{
+			name: "no end of the batch",
+			text: "sync\t1\n",
+			want: "input ends inside a batch",
+		},
+		{
+			name: "malformed settings",
+			text: "sync\t1\nabout\t1\nhello\t5\t{bad\n",
+			want: "settings",
+		},
+		{
+			name: "no end of the line",
+			text: "sync\t1\nabout\t1\nannounce\t9\t0\t0",
+			want: "input ends inside a batch",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := decodeAll(t, c.text); err == nil || !strings.Contains(err.Error(), c.want) {
