--- a/internal/extproc/stream/action.go
+++ b/internal/extproc/stream/action.go
@@ -19,11 +19,11 @@
 	// Outcome says how the attempt ended, as far as the proxy shows it. There is at most one on a stream.
 	Outcome struct {
 		Ending              balancer.Ending
-		Status              int    // of the response; 0: none came
-		Served              string // address of the endpoint that served; "": the proxy does not say
+		Status              int    // of the response; 0 means none came
+		Served              string // address of the endpoint that served; "" means the proxy does not say
 		Answered            bool   // the client gets the response, or an answer of the proxy
 		AwaitsRetryDecision bool   // the response is held back until DecideRetry is called
-		ContentLength       int64  // of the response, in bytes; 0: unknown
+		ContentLength       int64  // of the response, in bytes; 0 means unknown
 	}
 
 	// Abandoned says that the stream ended or moved on while a decision was pending: it is not needed any more.
--- a/internal/extproc/stream/body_test.go
+++ b/internal/extproc/stream/body_test.go
@@ -28,7 +28,10 @@
 func TestFullDuplexBodiesAreSentBack(t *testing.T) {
 	s := New()
 	m := requestHeaders(false)
-	m.ProtocolConfig = &extproc.ProtocolConfiguration{RequestBodyMode: modev3.ProcessingMode_FULL_DUPLEX_STREAMED, ResponseBodyMode: modev3.ProcessingMode_STREAMED}
+	m.ProtocolConfig = &extproc.ProtocolConfiguration{
+		RequestBodyMode:  modev3.ProcessingMode_FULL_DUPLEX_STREAMED,
+		ResponseBodyMode: modev3.ProcessingMode_STREAMED,
+	}
 	s.Receive(m)
 	if d := decide(t, s); d.ModeOverride != nil {
 		t.Error("a mode that can't be overridden is")
--- a/internal/extproc/stream/decision.go
+++ b/internal/extproc/stream/decision.go
@@ -19,7 +19,7 @@
 type Decision struct {
 	Endpoint  string   // ip:port
 	Fallbacks []string // endpoints that the proxy may try next without asking again, in order
-	// TimeLeft is how long the client waits for the answer; it is sent to the server in x-time-left. 0: it is not sent.
+	// TimeLeft is how long the client waits for the answer; it is sent to the server in x-time-left. 0 means it is not sent.
 	TimeLeft        time.Duration
 	ClearRouteCache bool // have the proxy choose its route again, now that the destination header is set
 	HeadersOnly     bool // ask for no bodies and trailers, if the proxy's mode can be overridden
@@ -28,9 +28,9 @@
 	// attempt, such a response is changed to 502.
 	AtMostOnce, MayHaveRun bool
 	// RetryHeader is set in the response of a failed attempt if the proxy may retry, and removed from any other response.
-	// Such a response is held back (Outcome.AwaitsRetryDecision) until DecideRetry. "": responses are passed on at once.
+	// Such a response is held back (Outcome.AwaitsRetryDecision) until DecideRetry. "" means responses are passed on at once.
 	RetryHeader string
-	// Cached is what Response returned for an equal decision; it is only read. nil: the message is built anew.
+	// Cached is what Response returned for an equal decision; it is only read. nil means the message is built anew.
 	Cached *extproc.ProcessingResponse
 }
 
@@ -94,7 +94,7 @@
 // ImmediateResponse is an answer to the client in place of a server's.
 type ImmediateResponse struct {
 	Status     int           // of HTTP
-	RetryAfter time.Duration // 0: none
+	RetryAfter time.Duration // 0 means none
 	Details    string        // for the proxy's logs
 }
 
@@ -109,7 +109,8 @@
 
 func (s *Stream) respond(r ImmediateResponse) {
 	response := &extproc.ImmediateResponse{
-		Status: &typev3.HttpStatus{Code: typev3.StatusCode(r.Status)}, Details: "cranegrade: " + r.Details,
+		Status:  &typev3.HttpStatus{Code: typev3.StatusCode(r.Status)},
+		Details: "cranegrade: " + r.Details,
 		Headers: &extproc.HeaderMutation{},
 	}
 	if r.RetryAfter > 0 {
--- a/internal/extproc/stream/decision_test.go
+++ b/internal/extproc/stream/decision_test.go
@@ -38,7 +38,9 @@
 		t.Error("decided twice")
 	}
 	expectActions(t, "an immediate response after the decision", s.Respond(ImmediateResponse{Status: 502}), "")
-	expectActions(t, "response headers", s.Receive(responseHeaders("200", ServedHeader, "127.0.0.1:8")), "outcome(0 200 127.0.0.1:8 true) ResponseHeaders")
+	expectActions(t, "response headers",
+		s.Receive(responseHeaders("200", ServedHeader, "127.0.0.1:8")),
+		"outcome(0 200 127.0.0.1:8 true) ResponseHeaders")
 	expectActions(t, "the end", s.End(), "close")
 	expectActions(t, "a message after the end", s.Receive(responseHeaders("200")), "")
 }
@@ -47,7 +49,11 @@
 	t.Run("gRPC", func(t *testing.T) {
 		s := New()
 		s.Receive(requestHeaders(true, "content-type", "application/grpc+proto"))
-		actions := s.Respond(ImmediateResponse{Status: 503, RetryAfter: 1500 * time.Millisecond, Details: "refused"})
+		actions := s.Respond(ImmediateResponse{
+			Status:     503,
+			RetryAfter: 1500 * time.Millisecond,
+			Details:    "refused",
+		})
 		expectActions(t, "rejection", actions, "ImmediateResponse(503) close")
 		r := actions[0].(Reply).Message.GetImmediateResponse()
 		if r.GetGrpcStatus().GetStatus() != 14 || string(r.Headers.SetHeaders[0].Header.RawValue) != "1.5" || r.Headers.SetHeaders[0].Header.Key != "retry-after" {
--- a/internal/extproc/stream/ending.go
+++ b/internal/extproc/stream/ending.go
@@ -9,7 +9,7 @@
 	"cranegrade/balancer"
 )
 
-// CertainlyNotRun says that an ending proves that no server ran the request in this attempt.
+// CertainlyNotRun reports whether an ending proves that no server ran the request in this attempt.
 func CertainlyNotRun(ending balancer.Ending) bool {
 	return ending == balancer.Overloaded || ending == balancer.Unreachable || ending == balancer.NeverSent
 }
--- a/internal/extproc/stream/messages_test.go
+++ b/internal/extproc/stream/messages_test.go
@@ -21,12 +21,16 @@
 
 // requestHeaders is the message of a valid request with more fields.
 func requestHeaders(endOfStream bool, more ...string) *extproc.ProcessingRequest {
-	return rawRequestHeaders(endOfStream, headerMap(append([]string{":method", "POST", ":path", "/order/1", ":authority", "a.test"}, more...)...))
+	return rawRequestHeaders(
+		endOfStream,
+		headerMap(append([]string{":method", "POST", ":path", "/order/1", ":authority", "a.test"}, more...)...),
+	)
 }
 
 func rawRequestHeaders(endOfStream bool, headers *corev3.HeaderMap) *extproc.ProcessingRequest {
 	return &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_RequestHeaders{RequestHeaders: &extproc.HttpHeaders{
-		EndOfStream: endOfStream, Headers: headers,
+		EndOfStream: endOfStream,
+		Headers:     headers,
 	}}}
 }
 
@@ -37,11 +41,17 @@
 }
 
 func requestBody(text string, endOfStream bool) *extproc.ProcessingRequest {
-	return &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_RequestBody{RequestBody: &extproc.HttpBody{Body: []byte(text), EndOfStream: endOfStream}}}
+	return &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_RequestBody{RequestBody: &extproc.HttpBody{
+		Body:        []byte(text),
+		EndOfStream: endOfStream,
+	}}}
 }
 
 func responseBody(text string, endOfStream bool) *extproc.ProcessingRequest {
-	return &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_ResponseBody{ResponseBody: &extproc.HttpBody{Body: []byte(text), EndOfStream: endOfStream}}}
+	return &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_ResponseBody{ResponseBody: &extproc.HttpBody{
+		Body:        []byte(text),
+		EndOfStream: endOfStream,
+	}}}
 }
 
 func requestTrailers() *extproc.ProcessingRequest {
@@ -105,7 +115,13 @@
 // decide gives a decision with everything that one can have, and returns the message to the proxy.
 func decide(t *testing.T, s *Stream) *extproc.ProcessingResponse {
 	t.Helper()
-	actions, used := s.Decide(Decision{Endpoint: "127.0.0.1:9", Fallbacks: []string{"127.0.0.1:8"}, TimeLeft: time.Second, HeadersOnly: true, ClearRouteCache: true})
+	actions, used := s.Decide(Decision{
+		Endpoint:        "127.0.0.1:9",
+		Fallbacks:       []string{"127.0.0.1:8"},
+		TimeLeft:        time.Second,
+		HeadersOnly:     true,
+		ClearRouteCache: true,
+	})
 	if !used {
 		t.Fatal("the decision is not used")
 	}
--- a/internal/extproc/stream/request.go
+++ b/internal/extproc/stream/request.go
@@ -25,7 +25,7 @@
 	Method, Path, Authority string
 	Header                  map[string][]string // by lower-case name, without pseudo-headers
 	EndOfStream             bool                // the request has no body
-	// Subset are the endpoints that may be picked, as ip:port. nil: any; empty: none.
+	// Subset are the endpoints that may be picked, as ip:port. nil means any, and empty none.
 	Subset []string
 }
 
@@ -68,8 +68,12 @@
 		return nil, err
 	}
 	r := &Request{
-		Method: onlyValue(pseudo, ":method"), Path: onlyValue(pseudo, ":path"), Authority: onlyValue(pseudo, ":authority"),
-		Header: header, EndOfStream: h.GetEndOfStream(), Subset: subsetHint(m),
+		Method:      onlyValue(pseudo, ":method"),
+		Path:        onlyValue(pseudo, ":path"),
+		Authority:   onlyValue(pseudo, ":authority"),
+		Header:      header,
+		EndOfStream: h.GetEndOfStream(),
+		Subset:      subsetHint(m),
 	}
 	if r.Method == "" || r.Path == "" || len(pseudo[":authority"]) > 1 {
 		return nil, fmt.Errorf("%w: not one :method, :path and :authority", ErrBadHeaders)
--- a/internal/extproc/stream/response.go
+++ b/internal/extproc/stream/response.go
@@ -49,7 +49,10 @@
 // whether it may retry, the response waits for that decision.
 func (s *Stream) endAttempt(status int, header map[string][]string, m *extproc.ProcessingRequest) {
 	outcome := Outcome{
-		Ending: attemptEnding(status, header, m), Status: status, Served: servedEndpoint(header, m), Answered: true,
+		Ending:   attemptEnding(status, header, m),
+		Status:   status,
+		Served:   servedEndpoint(header, m),
+		Answered: true,
 	}
 	if length := onlyValue(header, "content-length"); length != "" {
 		outcome.ContentLength = message.ParseContentLength(length)
@@ -66,7 +69,7 @@
 type RetryDecision struct {
 	Retry      bool          // the proxy may retry the request
 	Rejected   bool          // if it may not: the request was rejected, and the client may send it again later
-	RetryAfter time.Duration // with Rejected; 0: none
+	RetryAfter time.Duration // with Rejected; 0 means none
 }
 
 // DecideRetry gives the decision that an Outcome with AwaitsRetryDecision asked for. It is ignored if the stream has
--- a/internal/extproc/stream/response_test.go
+++ b/internal/extproc/stream/response_test.go
@@ -27,24 +27,96 @@
 		response *extproc.ProcessingRequest
 		want     balancer.Ending
 	}{
-		{"200", responseHeaders("200"), balancer.Success},
-		{"404", responseHeaders("404"), balancer.Success},
-		{"500", responseHeaders("500"), balancer.Failure},
-		{"503", responseHeaders("503"), balancer.Failure},
-		{"503 unprocessed", responseHeaders("503", "x-unprocessed", "1"), balancer.Overloaded},
-		{"504 unprocessed", responseHeaders("504", "X-Unprocessed", "1"), balancer.Overloaded},
-		{"500 unprocessed", responseHeaders("500", "x-unprocessed", "1"), balancer.Failure},
-		{"503 processed", responseHeaders("503", "x-unprocessed", "0"), balancer.Failure},
-		{"status that is no number", responseHeaders("x"), balancer.Broken},
-		{"status of two digits", responseHeaders("99"), balancer.Broken},
-		{"connection failure", withDetails("503", "upstream_reset_before_response_started{remote_connection_failure}"), balancer.Unreachable},
-		{"connection time-out", withDetails("503", "upstream_reset_before_response_started{connection_timeout}"), balancer.Unreachable},
-		{"connection termination", withDetails("503", "upstream_reset_before_response_started{connection_termination}"), balancer.Broken},
-		{"circuit breaker", withDetails("503", "upstream_reset_before_response_started{overflow}"), balancer.NeverSent},
-		{"no healthy upstream", withDetails("503", "no_healthy_upstream"), balancer.Unreachable},
-		{"per-try time-out", withDetails("504", "upstream_per_try_timeout"), balancer.TimedOut},
-		{"response time-out", withDetails("504", "response_timeout"), balancer.TimedOut},
-		{"via upstream", withDetails("200", "via_upstream"), balancer.Success},
+		{
+			name:     "200",
+			response: responseHeaders("200"),
+			want:     balancer.Success,
+		},
+		{
+			name:     "404",
+			response: responseHeaders("404"),
+			want:     balancer.Success,
+		},
+		{
+			name:     "500",
+			response: responseHeaders("500"),
+			want:     balancer.Failure,
+		},
+		{
+			name:     "503",
+			response: responseHeaders("503"),
+			want:     balancer.Failure,
+		},
+		{
+			name:     "503 unprocessed",
+			response: responseHeaders("503", "x-unprocessed", "1"),
+			want:     balancer.Overloaded,
+		},
+		{
+			name:     "504 unprocessed",
+			response: responseHeaders("504", "X-Unprocessed", "1"),
+			want:     balancer.Overloaded,
+		},
+		{
+			name:     "500 unprocessed",
+			response: responseHeaders("500", "x-unprocessed", "1"),
+			want:     balancer.Failure,
+		},
+		{
+			name:     "503 processed",
+			response: responseHeaders("503", "x-unprocessed", "0"),
+			want:     balancer.Failure,
+		},
+		{
+			name:     "status that is no number",
+			response: responseHeaders("x"),
+			want:     balancer.Broken,
+		},
+		{
+			name:     "status of two digits",
+			response: responseHeaders("99"),
+			want:     balancer.Broken,
+		},
+		{
+			name:     "connection failure",
+			response: withDetails("503", "upstream_reset_before_response_started{remote_connection_failure}"),
+			want:     balancer.Unreachable,
+		},
+		{
+			name:     "connection time-out",
+			response: withDetails("503", "upstream_reset_before_response_started{connection_timeout}"),
+			want:     balancer.Unreachable,
+		},
+		{
+			name:     "connection termination",
+			response: withDetails("503", "upstream_reset_before_response_started{connection_termination}"),
+			want:     balancer.Broken,
+		},
+		{
+			name:     "circuit breaker",
+			response: withDetails("503", "upstream_reset_before_response_started{overflow}"),
+			want:     balancer.NeverSent,
+		},
+		{
+			name:     "no healthy upstream",
+			response: withDetails("503", "no_healthy_upstream"),
+			want:     balancer.Unreachable,
+		},
+		{
+			name:     "per-try time-out",
+			response: withDetails("504", "upstream_per_try_timeout"),
+			want:     balancer.TimedOut,
+		},
+		{
+			name:     "response time-out",
+			response: withDetails("504", "response_timeout"),
+			want:     balancer.TimedOut,
+		},
+		{
+			name:     "via upstream",
+			response: withDetails("200", "via_upstream"),
+			want:     balancer.Success,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newDecidedStream(t)
@@ -57,7 +129,12 @@
 
 // If the proxy made several attempts by itself, that the last one did not run says nothing of the others.
 func TestEndingAfterProxysOwnRetries(t *testing.T) {
-	for attemptCount, want := range map[string]balancer.Ending{"": balancer.Overloaded, "1": balancer.Overloaded, "2": balancer.Broken, "x": balancer.Broken} {
+	for attemptCount, want := range map[string]balancer.Ending{
+		"":  balancer.Overloaded,
+		"1": balancer.Overloaded,
+		"2": balancer.Broken,
+		"x": balancer.Broken,
+	} {
 		t.Run("attempt count "+attemptCount, func(t *testing.T) {
 			s := newDecidedStream(t)
 			headers := []string{"x-unprocessed", "1"}
@@ -82,7 +159,10 @@
 		{"503 that may have run", Decision{AtMostOnce: true}, responseHeaders("503"), true},
 		{"429 that may have run", Decision{AtMostOnce: true}, responseHeaders("429"), true},
 		{"unprocessed", Decision{AtMostOnce: true}, responseHeaders("503", "x-unprocessed", "1"), false},
-		{"unprocessed, earlier attempt may have run", Decision{AtMostOnce: true, MayHaveRun: true}, responseHeaders("503", "x-unprocessed", "1"), true},
+		{"unprocessed, earlier attempt may have run", Decision{
+			AtMostOnce: true,
+			MayHaveRun: true,
+		}, responseHeaders("503", "x-unprocessed", "1"), true},
 		{"idempotent", Decision{}, responseHeaders("503"), false},
 		{"idempotent, earlier attempt may have run", Decision{MayHaveRun: true}, responseHeaders("503"), false},
 		{"500", Decision{AtMostOnce: true}, responseHeaders("500"), false},
@@ -113,13 +193,75 @@
 		wantSet     string // the first header that is set, as "name: value"
 		wantRemoved bool   // of the retry header
 	}{
-		{"success", Decision{}, responseHeaders("200", retryHeader, "1"), RetryDecision{Retry: true}, false, "", true},
-		{"retry", Decision{AtMostOnce: true}, responseHeaders("503", "x-unprocessed", "1"), RetryDecision{Retry: true}, true, retryHeader + ": 1", false},
-		{"rejected", Decision{AtMostOnce: true}, responseHeaders("503", "x-unprocessed", "1"), RetryDecision{Rejected: true, RetryAfter: time.Second}, true, ":status: 503", true},
-		{"rejected, may have run", Decision{AtMostOnce: true}, responseHeaders("503", retryHeader, "1"), RetryDecision{Rejected: true}, true, ":status: 502", true},
-		{"failed, idempotent", Decision{}, responseHeaders("500"), RetryDecision{}, true, "", true},
-		{"failed, not idempotent", Decision{AtMostOnce: true}, responseHeaders("500"), RetryDecision{}, true, "", true},
-		{"earlier attempt may have run", Decision{AtMostOnce: true, MayHaveRun: true}, responseHeaders("503", "x-unprocessed", "1"), RetryDecision{}, true, ":status: 502", true},
+		{
+			name:        "success",
+			decision:    Decision{},
+			response:    responseHeaders("200", retryHeader, "1"),
+			retry:       RetryDecision{Retry: true},
+			wantWait:    false,
+			wantSet:     "",
+			wantRemoved: true,
+		},
+		{
+			name:        "retry",
+			decision:    Decision{AtMostOnce: true},
+			response:    responseHeaders("503", "x-unprocessed", "1"),
+			retry:       RetryDecision{Retry: true},
+			wantWait:    true,
+			wantSet:     retryHeader + ": 1",
+			wantRemoved: false,
+		},
+		{
+			name:     "rejected",
+			decision: Decision{AtMostOnce: true},
+			response: responseHeaders("503", "x-unprocessed", "1"),
+			retry: RetryDecision{
+				Rejected:   true,
+				RetryAfter: time.Second,
+			},
+			wantWait:    true,
+			wantSet:     ":status: 503",
+			wantRemoved: true,
+		},
+		{
+			name:        "rejected, may have run",
+			decision:    Decision{AtMostOnce: true},
+			response:    responseHeaders("503", retryHeader, "1"),
+			retry:       RetryDecision{Rejected: true},
+			wantWait:    true,
+			wantSet:     ":status: 502",
+			wantRemoved: true,
+		},
+		{
+			name:        "failed, idempotent",
+			decision:    Decision{},
+			response:    responseHeaders("500"),
+			retry:       RetryDecision{},
+			wantWait:    true,
+			wantSet:     "",
+			wantRemoved: true,
+		},
+		{
+			name:        "failed, not idempotent",
+			decision:    Decision{AtMostOnce: true},
+			response:    responseHeaders("500"),
+			retry:       RetryDecision{},
+			wantWait:    true,
+			wantSet:     "",
+			wantRemoved: true,
+		},
+		{
+			name: "earlier attempt may have run",
+			decision: Decision{
+				AtMostOnce: true,
+				MayHaveRun: true,
+			},
+			response:    responseHeaders("503", "x-unprocessed", "1"),
+			retry:       RetryDecision{},
+			wantWait:    true,
+			wantSet:     ":status: 502",
+			wantRemoved: true,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newPendingStream()
--- a/internal/extproc/stream/stream.go
+++ b/internal/extproc/stream/stream.go
@@ -85,13 +85,13 @@
 // New returns a stream that has received nothing.
 func New() *Stream { return &Stream{} }
 
-// Full says that no more messages should be read from the proxy until the pending decision has been given.
+// Full reports whether no more messages should be read from the proxy until the pending decision has been given.
 func (s *Stream) Full() bool {
 	pending := s.phase == awaitingDecision || s.phase == awaitingRetryDecision
 	return pending && (s.queuedBytes >= maxQueuedBytes || len(s.queued) >= maxQueuedMessages)
 }
 
-// Over says that the stream is closed: it takes no more messages and decisions.
+// Over reports whether the stream is closed: it takes no more messages and decisions.
 func (s *Stream) Over() bool { return s.phase == closed }
 
 func (s *Stream) emit(a Action) { s.actions = append(s.actions, a) }
--- a/internal/extproc/stream/stream_test.go
+++ b/internal/extproc/stream/stream_test.go
@@ -105,7 +105,8 @@
 func (m *streamModel) decide(t *rapid.T) {
 	before := m.queued
 	actions, used := m.stream.Decide(Decision{
-		Endpoint: "x:1", HeadersOnly: rapid.Bool().Draw(t, "headersOnly"),
+		Endpoint:    "x:1",
+		HeadersOnly: rapid.Bool().Draw(t, "headersOnly"),
 		RetryHeader: rapid.SampledFrom([]string{"", "x-again"}).Draw(t, "retryHeader"),
 	})
 	if used && (m.decided || m.picks != 1 || m.abandoned > 0) {
--- a/internal/front/extproc/bench_test.go
+++ b/internal/front/extproc/bench_test.go
@@ -103,7 +103,16 @@
 // BenchmarkDecision compares the front with a processor that only answers CONTINUE, in alternating rounds:
 // go test -bench Decision -cpu 1.
 func BenchmarkDecision(b *testing.B) {
-	e := newEnvironment(b, Config{}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5", "127.0.0.1:6", "127.0.0.1:7", "127.0.0.1:8")
+	e := newEnvironment(b,
+		Config{},
+		"127.0.0.1:1",
+		"127.0.0.1:2",
+		"127.0.0.1:3",
+		"127.0.0.1:4",
+		"127.0.0.1:5",
+		"127.0.0.1:6",
+		"127.0.0.1:7",
+		"127.0.0.1:8")
 	baseline := newContinueProcessor(b)
 	const rounds, length, clients = 6, 400 * time.Millisecond, 32
 	round := 0
--- a/internal/front/extproc/call.go
+++ b/internal/front/extproc/call.go
@@ -14,15 +14,15 @@
 // after the other. It implements engine.Receiver and engine.Carrier.
 type call struct {
 	engine.Call
-	key     string // in the call table; "": the request has no id
+	key     string // in the call table; "" means the request has no id
 	pool    *pool.Pool
 	offers  chan offer         // capacity 1: an attempt that waits for a stream
 	answers chan engine.Answer // capacity 1: the final answer, so that the engine never blocks
 
 	mu           sync.Mutex      // guards all below
-	attempt      *engine.Attempt // that a proxy carries; nil: none
+	attempt      *engine.Attempt // that a proxy carries; nil means none
 	stopWatch    func() bool     // ends the watch for the end of attempt's context
-	streamID     uint64          // of the attached stream; 0: none
+	streamID     uint64          // of the attached stream; 0 means none
 	attemptCount int             // the proxy's count, as the attached stream sent it
 	admitted     bool            // counted in the pool: the call has not finished
 	maybeRan     bool            // an attempt that has ended may have run the request
@@ -176,7 +176,7 @@
 	return true
 }
 
-// isDetached says that no stream is attached.
+// isDetached reports whether no stream is attached.
 func (c *call) isDetached() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,14 +203,14 @@
 	}
 }
 
-// isOpen says that the call is counted in its pool, so it has not finished.
+// isOpen reports whether the call is counted in its pool, so it has not finished.
 func (c *call) isOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.admitted
 }
 
-// mayHaveRun says that an attempt which has ended may have run the request.
+// mayHaveRun reports whether an attempt which has ended may have run the request.
 func (c *call) mayHaveRun() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,7 +223,7 @@
 	return class
 }
 
-// requiresAtMostOnce says that a request of a class must not be retried at another endpoint once it may have run: its
+// requiresAtMostOnce reports whether a request of a class must not be retried at another endpoint once it may have run: its
 // method is not idempotent (RFC 9110, section 9.2.2), or its key is not known at every server.
 func requiresAtMostOnce(c balancer.Class) bool {
 	return c.Effect == balancer.NonIdempotent || c.Effect == balancer.IdempotentByKey && c.Scope != balancer.ScopeAll
--- a/internal/front/extproc/call_table.go
+++ b/internal/front/extproc/call_table.go
@@ -22,7 +22,7 @@
 // callRecord is one request by its id.
 type callRecord struct {
 	key       string
-	call      *call         // nil: it has finished
+	call      *call         // nil means it has finished
 	answer    engine.Answer // once it has finished
 	expiresAt time.Duration // when the answer is forgotten
 }
--- a/internal/front/extproc/deadline_test.go
+++ b/internal/front/extproc/deadline_test.go
@@ -26,8 +26,13 @@
 
 func TestGRPCTimeout(t *testing.T) {
 	for value, want := range map[string]time.Duration{
-		"1H": time.Hour, "2M": 2 * time.Minute, "3S": 3 * time.Second, "4m": 4 * time.Millisecond,
-		"5u": 5 * time.Microsecond, "6n": 6, "99999999H": math.MaxInt64,
+		"1H":        time.Hour,
+		"2M":        2 * time.Minute,
+		"3S":        3 * time.Second,
+		"4m":        4 * time.Millisecond,
+		"5u":        5 * time.Microsecond,
+		"6n":        6,
+		"99999999H": math.MaxInt64,
 	} {
 		if got, ok := grpcTimeout(value); !ok || got != want {
 			t.Errorf("%s: %v, %v", value, got, ok)
--- a/internal/front/extproc/decide.go
+++ b/internal/front/extproc/decide.go
@@ -50,8 +50,11 @@
 func (h *streamHandler) decision(a *engine.Attempt) stream.Decision {
 	cfg := &h.front.cfg
 	d := stream.Decision{
-		Endpoint: a.Endpoint.Addr, ClearRouteCache: cfg.ClearRouteCache, HeadersOnly: cfg.HeadersOnly,
-		AtMostOnce: requiresAtMostOnce(h.call.class()), MayHaveRun: h.call.mayHaveRun(),
+		Endpoint:        a.Endpoint.Addr,
+		ClearRouteCache: cfg.ClearRouteCache,
+		HeadersOnly:     cfg.HeadersOnly,
+		AtMostOnce:      requiresAtMostOnce(h.call.class()),
+		MayHaveRun:      h.call.mayHaveRun(),
 	}
 	if cfg.Retries {
 		d.RetryHeader = cfg.RetryHeader
--- a/internal/front/extproc/destination_test.go
+++ b/internal/front/extproc/destination_test.go
@@ -63,7 +63,10 @@
 		})
 	}
 	t.Run("draining", func(t *testing.T) {
-		e.pool.Engine().Apply(engine.ListUpdate{Version: "2", Servers: []engine.Listed{{Server: balancer.Server{ID: "127.0.0.1:1", State: balancer.Draining}, Addr: "127.0.0.1:1"}}})
+		e.pool.Engine().Apply(engine.ListUpdate{
+			Version: "2",
+			Servers: []engine.Listed{{Server: balancer.Server{ID: "127.0.0.1:1", State: balancer.Draining}, Addr: "127.0.0.1:1"}},
+		})
 		s := e.openStream()
 		s.setSubset(stringList("127.0.0.1:1"))
 		if got := s.pick("read", "draining", 1); got != "503 retry-after" {
@@ -99,8 +102,16 @@
 func newIdempotentModule(t *testing.T, spares int) engine.Module {
 	t.Helper()
 	module, err := balancer.New(balancer.Settings{
-		Classes:     []balancer.Class{{Name: "read", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}},
-		MaxAttempts: 3, Spares: spares, Tick: time.Millisecond,
+		Classes: []balancer.Class{{
+			Name:     "read",
+			Effect:   balancer.Idempotent,
+			Aim:      time.Second,
+			Deadline: 5 * time.Second,
+			Worth:    1,
+		}},
+		MaxAttempts: 3,
+		Spares:      spares,
+		Tick:        time.Millisecond,
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -116,12 +127,42 @@
 		served       func(endpoints []string) string
 		want         balancer.Ending
 	}{
-		{"success at the endpoint", "200", func(endpoints []string) string { return endpoints[0] }, balancer.Success},
-		{"failure at the endpoint", "500", func(endpoints []string) string { return endpoints[0] }, balancer.Failure},
-		{"success at a fallback", "200", func(endpoints []string) string { return endpoints[1] }, balancer.Unreachable},
-		{"success elsewhere", "200", func([]string) string { return elsewhere }, balancer.NeverSent},
-		{"failure elsewhere", "500", func([]string) string { return elsewhere }, balancer.NeverSent},
-		{"unknown", "500", func([]string) string { return "" }, balancer.Failure},
+		{
+			name:   "success at the endpoint",
+			status: "200",
+			served: func(endpoints []string) string { return endpoints[0] },
+			want:   balancer.Success,
+		},
+		{
+			name:   "failure at the endpoint",
+			status: "500",
+			served: func(endpoints []string) string { return endpoints[0] },
+			want:   balancer.Failure,
+		},
+		{
+			name:   "success at a fallback",
+			status: "200",
+			served: func(endpoints []string) string { return endpoints[1] },
+			want:   balancer.Unreachable,
+		},
+		{
+			name:   "success elsewhere",
+			status: "200",
+			served: func([]string) string { return elsewhere },
+			want:   balancer.NeverSent,
+		},
+		{
+			name:   "failure elsewhere",
+			status: "500",
+			served: func([]string) string { return elsewhere },
+			want:   balancer.NeverSent,
+		},
+		{
+			name:   "unknown",
+			status: "500",
+			served: func([]string) string { return "" },
+			want:   balancer.Failure,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			recorder := &endingRecorder{Module: newIdempotentModule(t, 1)}
@@ -185,7 +226,9 @@
 // lengths that it shows.
 func TestTransferIsAccountedByZone(t *testing.T) {
 	accounts := zone.NewAccounting(nil)
-	e := newEnvironmentWith(t, Config{}, poolOptions{module: zone.NewModule(newIdempotentModule(t, 0), "p", zone.Config{Home: "a"}, accounts, 1)})
+	e := newEnvironmentWith(t,
+		Config{},
+		poolOptions{module: zone.NewModule(newIdempotentModule(t, 0), "p", zone.Config{Home: "a"}, accounts, 1)})
 	news := engine.ListUpdate{Full: true, Version: "2"}
 	for i, name := range []string{"a", "b"} {
 		addr := fmt.Sprint("127.0.0.1:", i+1)
@@ -193,7 +236,23 @@
 	}
 	e.pool.Engine().Apply(news)
 	for i, c := range []struct{ callerZone, want, served string }{
-		{"", "127.0.0.1:1", "127.0.0.1:1"}, {"b", "127.0.0.1:2", ""}, {"", "127.0.0.1:1", "127.0.0.1:2"}, {"", "127.0.0.1:1", "10.9.9.9:1"},
+		{
+			callerZone: "",
+			want:       "127.0.0.1:1",
+			served:     "127.0.0.1:1",
+		}, {
+			callerZone: "b",
+			want:       "127.0.0.1:2",
+			served:     "",
+		}, {
+			callerZone: "",
+			want:       "127.0.0.1:1",
+			served:     "127.0.0.1:2",
+		}, {
+			callerZone: "",
+			want:       "127.0.0.1:1",
+			served:     "10.9.9.9:1",
+		},
 	} {
 		s := e.openStream()
 		if got := s.pick("read", fmt.Sprint(i), 1, "x-caller-zone", c.callerZone, "content-length", "100"); got != c.want {
@@ -207,7 +266,12 @@
 		got[row.Pair] = row.Traffic
 	}
 	one := zone.Traffic{Requests: 1, Out: 100, In: 30}
-	if want := map[zone.Pair]zone.Traffic{{From: "a", To: "a"}: one, {From: "b", To: "b"}: one, {From: "a", To: "b"}: one, {From: "a"}: one}; !reflect.DeepEqual(got, want) {
+	if want := map[zone.Pair]zone.Traffic{
+		{From: "a", To: "a"}: one,
+		{From: "b", To: "b"}: one,
+		{From: "a", To: "b"}: one,
+		{From: "a"}:          one,
+	}; !reflect.DeepEqual(got, want) {
 		t.Errorf("accounted %v", got)
 	}
 }
--- a/internal/front/extproc/environment_test.go
+++ b/internal/front/extproc/environment_test.go
@@ -41,7 +41,7 @@
 
 // poolOptions are the settings of the pool in which environments differ.
 type poolOptions struct {
-	module engine.Module // nil: the real one
+	module engine.Module // nil means the real one
 	tier   int           // 1: no admission control
 	spares int           // fallbacks of a decision
 }
@@ -112,20 +112,44 @@
 		return s
 	}
 	class := func(name string, effect balancer.Effect, scope balancer.Scope) balancer.Class {
-		return balancer.Class{Name: name, Effect: effect, Scope: scope, Window: 10 * time.Second, Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 1}
+		return balancer.Class{
+			Name:     name,
+			Effect:   effect,
+			Scope:    scope,
+			Window:   10 * time.Second,
+			Aim:      2 * time.Second,
+			Deadline: 5 * time.Second,
+			Worth:    1,
+		}
 	}
 	p, err := pool.New(pool.Config{
-		Name: "p", Module: options.module, Seed: 1, Clock: clock, Sender: noSender{t}, Shares: pool.Shares{
-			Calls: share(), PendingCalls: share(),
-			Connections: share(), RequestBodies: share(), ResponseBuffers: share(), DownstreamConns: share(),
+		Name:   "p",
+		Module: options.module,
+		Seed:   1,
+		Clock:  clock,
+		Sender: noSender{t},
+		Shares: pool.Shares{
+			Calls:           share(),
+			PendingCalls:    share(),
+			Connections:     share(),
+			RequestBodies:   share(),
+			ResponseBuffers: share(),
+			DownstreamConns: share(),
 		},
 		Settings: balancer.Settings{
 			Classes: []balancer.Class{
 				class("read", balancer.Idempotent, 0), class("order", balancer.NonIdempotent, 0),
 				class("cell", balancer.IdempotentByKey, balancer.ScopeCell), class("all", balancer.IdempotentByKey, balancer.ScopeAll),
 			},
-			Balancers: 1, Tier: options.tier, Spares: options.spares, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond, MaxRetryAfter: time.Second,
-		}, Pushed: false,
+			Balancers:     1,
+			Tier:          options.tier,
+			Spares:        options.spares,
+			MaxAttempts:   3,
+			MayCancel:     true,
+			Tick:          time.Millisecond,
+			MaxRetryAfter: time.Second,
+		},
+		Pushed: false,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -197,7 +221,8 @@
 
 func requestHeaders(endOfStream bool, pairs ...string) *extproc.ProcessingRequest {
 	return &extproc.ProcessingRequest{Request: &extproc.ProcessingRequest_RequestHeaders{RequestHeaders: &extproc.HttpHeaders{
-		Headers: headerMap(pairs...), EndOfStream: endOfStream,
+		Headers:     headerMap(pairs...),
+		EndOfStream: endOfStream,
 	}}}
 }
 
@@ -271,5 +296,5 @@
 	return status
 }
 
-// isEndpoint says that an answer of pick is a decision.
+// isEndpoint reports whether an answer of pick is a decision.
 func isEndpoint(answer string) bool { return strings.HasPrefix(answer, "127.") }
--- a/internal/front/extproc/front.go
+++ b/internal/front/extproc/front.go
@@ -61,8 +61,8 @@
 	// proxies retry as they like, and learn when they ask whether they may.
 	RetryHeader string
 	Streams     uint32  // limit of open streams on one connection; default 10,000
-	Rate        float64 // limit of requests per second of one proxy; 0: no limit
-	// ProxyStreams is the limit of open streams of one proxy over all its connections; 0: no limit.
+	Rate        float64 // limit of requests per second of one proxy; 0 means no limit
+	// ProxyStreams is the limit of open streams of one proxy over all its connections; 0 means no limit.
 	ProxyStreams    int
 	IDHeader        string // name of the header that identifies a request; default x-request-id
 	ClearRouteCache bool   // have the proxy choose its route again after the decision (clear_route_cache)
@@ -121,8 +121,11 @@
 func New(l net.Listener, cfg Config) *Front {
 	cfg = cfg.withDefaults()
 	f := &Front{
-		cfg: cfg, listener: l, health: health.NewServer(), calls: newCallTable(cfg.RememberedRequests),
-		limits: proxyLimits{rate: cfg.Rate, streams: cfg.ProxyStreams},
+		cfg:      cfg,
+		listener: l,
+		health:   health.NewServer(),
+		calls:    newCallTable(cfg.RememberedRequests),
+		limits:   proxyLimits{rate: cfg.Rate, streams: cfg.ProxyStreams},
 	}
 	f.server = grpc.NewServer(
 		grpc.MaxConcurrentStreams(cfg.Streams),
--- a/internal/front/extproc/front_test.go
+++ b/internal/front/extproc/front_test.go
@@ -103,7 +103,10 @@
 	if _, err := s.stream.Recv(); status.Code(err) != codes.InvalidArgument {
 		t.Errorf("ended with %v", err)
 	}
-	if r, err := e.health.Check(context.Background(), &healthpb.HealthCheckRequest{Service: "envoy.service.ext_proc.v3.ExternalProcessor"}); err != nil || r.Status != healthpb.HealthCheckResponse_SERVING {
+	if r, err := e.health.Check(
+		context.Background(),
+		&healthpb.HealthCheckRequest{Service: "envoy.service.ext_proc.v3.ExternalProcessor"},
+	); err != nil || r.Status != healthpb.HealthCheckResponse_SERVING {
 		t.Errorf("health: %v, %v", r, err)
 	}
 }
--- a/internal/front/extproc/outcome.go
+++ b/internal/front/extproc/outcome.go
@@ -79,7 +79,8 @@
 	}
 	h.finish(answer)
 	actions, _ := h.machine.DecideRetry(stream.RetryDecision{
-		Rejected: answer.Verdict == engine.Rejected, RetryAfter: answer.RetryAfter,
+		Rejected:   answer.Verdict == engine.Rejected,
+		RetryAfter: answer.RetryAfter,
 	})
 	return actions
 }
--- a/internal/front/extproc/pick.go
+++ b/internal/front/extproc/pick.go
@@ -92,7 +92,8 @@
 		h.call = c
 		h.finish(engine.Answer{Verdict: engine.Failed})
 		return &stream.ImmediateResponse{
-			Status: http.StatusBadGateway, Details: "an earlier try is not known here and may have run",
+			Status:  http.StatusBadGateway,
+			Details: "an earlier try is not known here and may have run",
 		}, nil
 	}
 	if err := c.admit(); err != nil {
@@ -144,9 +145,17 @@
 		c.key = p.Name() + "\x00" + id
 	}
 	c.Call = engine.Call{
-		ID: id, Class: className, Deadline: now + left - reserved, FallbackAt: now + left - reserved/2, Receiver: c, Payload: c,
-		ClientRetry: r.Get("x-repeat") == "1", Tenant: r.Get("x-account"),
-		CandidateAddrs: r.Subset, CallerZone: r.Get(callerZoneHeader), Size: message.ParseContentLength(r.Get("content-length")),
+		ID:             id,
+		Class:          className,
+		Deadline:       now + left - reserved,
+		FallbackAt:     now + left - reserved/2,
+		Receiver:       c,
+		Payload:        c,
+		ClientRetry:    r.Get("x-repeat") == "1",
+		Tenant:         r.Get("x-account"),
+		CandidateAddrs: r.Subset,
+		CallerZone:     r.Get(callerZoneHeader),
+		Size:           message.ParseContentLength(r.Get("content-length")),
 	}
 	return c, nil
 }
--- a/internal/front/extproc/proxy_limits.go
+++ b/internal/front/extproc/proxy_limits.go
@@ -46,8 +46,8 @@
 
 // proxyLimits limits the streams and the request rate of each proxy, over all its connections. Its owner locks it.
 type proxyLimits struct {
-	rate    float64 // requests per second; 0: no limit
-	streams int     // open at once; 0: no limit
+	rate    float64 // requests per second; 0 means no limit
+	streams int     // open at once; 0 means no limit
 	proxies map[proxyIdentity]*proxyUsage
 	sweptAt time.Duration
 }
@@ -102,7 +102,7 @@
 // closeStream counts the end of a stream.
 func (l *proxyLimits) closeStream(u *proxyUsage) { u.openStreams-- }
 
-// takeToken says whether a proxy may send one more request now. The burst is what the rate gives in one second.
+// takeToken reports whether a proxy may send one more request now. The burst is what the rate gives in one second.
 func (l *proxyLimits) takeToken(now time.Duration, u *proxyUsage) bool {
 	if l.rate == 0 {
 		return true
--- a/internal/front/extproc/retry_test.go
+++ b/internal/front/extproc/retry_test.go
@@ -15,7 +15,10 @@
 	}{{"order", "502"}, {"cell", "cell"}, {"all", "any"}, {"read", "any"}} {
 		for _, afterLinger := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, after linger %v", c.class, afterLinger), func(t *testing.T) {
-				e := newEnvironment(t, Config{Retries: true, Linger: 200 * time.Millisecond}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
+				e := newEnvironment(t, Config{
+					Retries: true,
+					Linger:  200 * time.Millisecond,
+				}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 				first := e.openStream()
 				endpoint := first.pick(c.class, "id", 1)
 				first.cancel()
@@ -47,7 +50,10 @@
 
 // The retries of a proxy belong to one call, and stay within the limit of attempts over any number of streams.
 func TestRetriesStayWithinLimit(t *testing.T) {
-	e := newEnvironment(t, Config{Retries: true, Linger: 300 * time.Millisecond}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5")
+	e := newEnvironment(t, Config{
+		Retries: true,
+		Linger:  300 * time.Millisecond,
+	}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5")
 	seen := map[string]bool{}
 	for attempt := 1; attempt <= 5; attempt++ {
 		s := e.openStream()
@@ -67,7 +73,10 @@
 }
 
 func TestNoRetryOfWhatMayHaveRun(t *testing.T) {
-	e := newEnvironment(t, Config{Retries: true, Linger: 300 * time.Millisecond}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5")
+	e := newEnvironment(t, Config{
+		Retries: true,
+		Linger:  300 * time.Millisecond,
+	}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5")
 	s := e.openStream()
 	s.pick("order", "other", 1)
 	s.respond("500")
@@ -105,7 +114,11 @@
 		{"order", "200", "0", "200"},
 	} {
 		t.Run(fmt.Sprintf("%s %s unprocessed %s", c.class, c.status, c.unprocessed), func(t *testing.T) {
-			e := newEnvironment(t, Config{Retries: true, RetryHeader: testRetryHeader, Linger: limit}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
+			e := newEnvironment(t, Config{
+				Retries:     true,
+				RetryHeader: testRetryHeader,
+				Linger:      limit,
+			}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 			s := e.openStream()
 			first := s.pick(c.class, "id", 1)
 			got := s.respondForRetry(testRetryHeader, c.status, "x-unprocessed", c.unprocessed, testRetryHeader, "1")
@@ -128,7 +141,11 @@
 // A rejection after the last attempt would invite the client to send the request again. It must not if any attempt may
 // have run, also if the last one did not.
 func TestEarlierAttemptThatMayHaveRunForbidsRejection(t *testing.T) {
-	e := newEnvironment(t, Config{Retries: true, RetryHeader: testRetryHeader, Linger: limit}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
+	e := newEnvironment(t, Config{
+		Retries:     true,
+		RetryHeader: testRetryHeader,
+		Linger:      limit,
+	}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 	s := e.openStream()
 	s.pick("cell", "id", 1)
 	if got := s.respondForRetry(testRetryHeader, "500"); got != "retry" { // may have run, and may run again in its cell
@@ -150,7 +167,11 @@
 }
 
 func TestRetryHeaderStaysWithinLimit(t *testing.T) {
-	e := newEnvironment(t, Config{Retries: true, RetryHeader: testRetryHeader, Linger: limit}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5")
+	e := newEnvironment(t, Config{
+		Retries:     true,
+		RetryHeader: testRetryHeader,
+		Linger:      limit,
+	}, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5")
 	attempts := 0
 	for got := "retry"; got == "retry"; attempts++ {
 		s := e.openStream()
--- a/internal/front/extproc/stream_handler.go
+++ b/internal/front/extproc/stream_handler.go
@@ -126,7 +126,11 @@
 func immediateResponse(a engine.Answer) stream.ImmediateResponse {
 	switch a.Verdict {
 	case engine.Rejected:
-		return stream.ImmediateResponse{Status: http.StatusServiceUnavailable, RetryAfter: a.RetryAfter, Details: "refused"}
+		return stream.ImmediateResponse{
+			Status:     http.StatusServiceUnavailable,
+			RetryAfter: a.RetryAfter,
+			Details:    "refused",
+		}
 	case engine.Duplicate:
 		return stream.ImmediateResponse{Status: http.StatusConflict, Details: "a request with this id is open"}
 	case engine.Served:
@@ -138,5 +142,9 @@
 
 // unavailable rejects a request before any attempt was made, so that the client can safely retry it.
 func unavailable(details string) *stream.ImmediateResponse {
-	return &stream.ImmediateResponse{Status: http.StatusServiceUnavailable, RetryAfter: time.Second, Details: details}
+	return &stream.ImmediateResponse{
+		Status:     http.StatusServiceUnavailable,
+		RetryAfter: time.Second,
+		Details:    details,
+	}
 }
--- a/internal/front/grpc/call.go
+++ b/internal/front/grpc/call.go
@@ -119,8 +119,11 @@
 // client alone (RFC 9110, section 7.6.1), and what the sender sets itself for each attempt.
 func newRequest(hr *http.Request, class balancer.Class) *message.Request {
 	request := &message.Request{
-		Method: http.MethodPost, URL: hr.URL, Authority: hr.Host, Header: make(map[string][]string, len(hr.Header)),
-		GRPC: &message.GRPC{Idempotent: class.Effect == balancer.Idempotent, Streamed: class.Stream},
+		Method:    http.MethodPost,
+		URL:       hr.URL,
+		Authority: hr.Host,
+		Header:    make(map[string][]string, len(hr.Header)),
+		GRPC:      &message.GRPC{Idempotent: class.Effect == balancer.Idempotent, Streamed: class.Stream},
 	}
 	for name, values := range hr.Header {
 		switch name {
--- a/internal/front/grpc/front.go
+++ b/internal/front/grpc/front.go
@@ -28,7 +28,7 @@
 // Dialect serves gRPC on the listeners for HTTP/2. It implements http1.Dialect; its methods may be called from any
 // goroutine.
 type Dialect struct {
-	// Serving says whether the service of a name, "" for all, takes calls, and whether there is one. nil: the health
+	// Serving says whether the service of a name, "" for all, takes calls, and whether there is one. nil means the health
 	// service is not implemented.
 	Serving func(service string) (serving, known bool)
 }
@@ -99,7 +99,7 @@
 			if err == nil {
 				continue // it is complete, and the final answer has come or is about to
 			}
-			p.Engine().CallerGone(&c.Call) //nolint:contextcheck // it ends attempts on the engine's goroutine, also after the request's context
+			p.Engine().CallerGone(&c.Call) //nolint:contextcheck // attempts may outlive the request
 			c.abandon()
 			c.stream.Release()
 			if errors.Is(err, context.DeadlineExceeded) && hr.Context().Err() == nil {
@@ -114,7 +114,7 @@
 			writeAnswer(w, c, answer, f.Clock().Now())
 			return
 		case <-hr.Context().Done():
-			p.Engine().CallerGone(&c.Call) //nolint:contextcheck // it ends attempts on the engine's goroutine, also after the request's context
+			p.Engine().CallerGone(&c.Call) //nolint:contextcheck // attempts may outlive the request
 			c.abandon()
 			panic(http.ErrAbortHandler) // resets the stream (RFC 9113, section 6.4)
 		}
--- a/internal/front/grpc/health.go
+++ b/internal/front/grpc/health.go
@@ -53,7 +53,7 @@
 		writeEnd(w, grpc.StatusFields(grpc.Internal, err.Error(), 0), false)
 		return
 	}
-	prefix := binary.BigEndian.AppendUint32([]byte{0}, uint32(len(response))) // 0: not compressed
+	prefix := binary.BigEndian.AppendUint32([]byte{0}, uint32(len(response))) // 0 means not compressed
 	_, _ = w.Write(append(prefix, response...))                               // it fails only if the client has gone
 	writeEnd(w, []message.Field{{Name: "grpc-status", Value: "0"}}, true)
 }
--- a/internal/front/grpc/request_body.go
+++ b/internal/front/grpc/request_body.go
@@ -106,8 +106,11 @@
 
 func newRequestReader(hr *http.Request) *requestReader {
 	r := &requestReader{
-		ctx: hr.Context(), body: hr.Body, space: make(chan struct{}, 1),
-		firstMessage: make(chan struct{}), ended: make(chan error, 1),
+		ctx:          hr.Context(),
+		body:         hr.Body,
+		space:        make(chan struct{}, 1),
+		firstMessage: make(chan struct{}),
+		ended:        make(chan error, 1),
 	}
 	r.chunks = message.NewStream(nil, func(int) {
 		select {
--- a/internal/front/grpc/response.go
+++ b/internal/front/grpc/response.go
@@ -56,7 +56,11 @@
 		}
 		writeEnd(w, reply.Trailer, reply.Header != nil)
 	case answer.Verdict == engine.Rejected:
-		writeEnd(w, grpc.StatusFields(grpc.Unavailable, "refused: trying again does no harm", max(answer.RetryAfter, time.Millisecond)), false)
+		writeEnd(
+			w,
+			grpc.StatusFields(grpc.Unavailable, "refused: trying again does no harm", max(answer.RetryAfter, time.Millisecond)),
+			false,
+		)
 	case answer.Verdict == engine.Duplicate:
 		writeEnd(w, grpc.StatusFields(grpc.Aborted, "a call with this x-correlation-id is open already", 0), false)
 	default:
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -38,7 +38,7 @@
 	body     io.Reader
 	waited   time.Duration
 	received int64
-	limit    int64 // in bytes; 0: none
+	limit    int64 // in bytes; 0 means none
 }
 
 func (p *pacedBody) Read(b []byte) (int, error) {
@@ -127,7 +127,12 @@
 }
 
 func newUpload(hr *http.Request, in *pacedBody) *upload {
-	u := &upload{body: in, wake: make(chan struct{}, 1), stop: make(chan struct{}), ended: make(chan struct{})}
+	u := &upload{
+		body:  in,
+		wake:  make(chan struct{}, 1),
+		stop:  make(chan struct{}),
+		ended: make(chan struct{}),
+	}
 	u.stream = message.NewStream(nil, func(int) { u.signal() })
 	u.stream.Length = hr.ContentLength
 	return u
@@ -194,7 +199,7 @@
 	return u.err == nil
 }
 
-// forwardStream writes a streamed answer as it comes. False says that it is incomplete, which the caller must see.
+// forwardStream writes a streamed answer as it comes. It returns false if the answer is incomplete, which the caller must see.
 func (f *Front) forwardStream(ctx context.Context, w http.ResponseWriter, st *message.Stream, from *connection) bool {
 	defer st.Release()
 	rc := http.NewResponseController(w)
--- a/internal/front/http1/body_test.go
+++ b/internal/front/http1/body_test.go
@@ -30,15 +30,60 @@
 		accepted bool
 		isLonger bool
 	}{
-		"chunked":                            {"Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "hi", true, false},
-		"chunked, empty":                     {"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "", true, false},
-		"cut off within a chunk":             {"Transfer-Encoding: chunked\r\n\r\n5\r\nhi", "", false, false},
-		"cut off after a chunk":              {"Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", "", false, false},
-		"declared length":                    {"Content-Length: 2\r\n\r\nhi", "hi", true, false},
-		"cut off before the declared length": {"Content-Length: 3\r\n\r\nhi", "", false, false},
-		"longest that is buffered":           {"Content-Length: 65536\r\n\r\n" + long, long, true, false},
-		"longer than that":                   {"Content-Length: 65537\r\n\r\n" + long, long, true, true},
-		"longer than that, chunked":          {"Transfer-Encoding: chunked\r\n\r\n10001\r\n" + long, long, true, true},
+		"chunked": {
+			text:     "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+			want:     "hi",
+			accepted: true,
+			isLonger: false,
+		},
+		"chunked, empty": {
+			text:     "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+			want:     "",
+			accepted: true,
+			isLonger: false,
+		},
+		"cut off within a chunk": {
+			text:     "Transfer-Encoding: chunked\r\n\r\n5\r\nhi",
+			want:     "",
+			accepted: false,
+			isLonger: false,
+		},
+		"cut off after a chunk": {
+			text:     "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n",
+			want:     "",
+			accepted: false,
+			isLonger: false,
+		},
+		"declared length": {
+			text:     "Content-Length: 2\r\n\r\nhi",
+			want:     "hi",
+			accepted: true,
+			isLonger: false,
+		},
+		"cut off before the declared length": {
+			text:     "Content-Length: 3\r\n\r\nhi",
+			want:     "",
+			accepted: false,
+			isLonger: false,
+		},
+		"longest that is buffered": {
+			text:     "Content-Length: 65536\r\n\r\n" + long,
+			want:     long,
+			accepted: true,
+			isLonger: false,
+		},
+		"longer than that": {
+			text:     "Content-Length: 65537\r\n\r\n" + long,
+			want:     long,
+			accepted: true,
+			isLonger: true,
+		},
+		"longer than that, chunked": {
+			text:     "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + long,
+			want:     long,
+			accepted: true,
+			isLonger: true,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			hr, err := http.ReadRequest(bufio.NewReader(strings.NewReader("POST / HTTP/1.1\r\nHost: a\r\n" + c.text)))
--- a/internal/front/http1/call.go
+++ b/internal/front/http1/call.go
@@ -13,12 +13,12 @@
 	engine.Call
 	answers chan callEvent // has space for a streamed answer and the final one, so that the engine never blocks
 	gone    atomic.Bool    // nobody reads answers any more
-	upload  *upload        // the rest of a long body; nil: none
+	upload  *upload        // the rest of a long body; nil means none
 }
 
 // callEvent is what the engine reports: a streamed answer that begins, or the final one.
 type callEvent struct {
-	stream *message.Stream // nil: the final one
+	stream *message.Stream // nil means the final one
 	answer engine.Answer
 }
 
--- a/internal/front/http1/connections.go
+++ b/internal/front/http1/connections.go
@@ -27,9 +27,9 @@
 	freed       chan struct{}              // has a token when a connection may have become one that can be closed
 	count       atomic.Int64               // open connections
 	scanHeads   bool                       // header sections are scanned as they come: HTTP/1.1
-	front       *Front                     // starts pipelined requests; nil: none does
-	idleTimeout atomic.Int64               // in ns; 0: net/http's
-	// headTimeout is the time-out of a header section, in ns; 0: net/http's.
+	front       *Front                     // starts pipelined requests; nil means none does
+	idleTimeout atomic.Int64               // in ns; 0 means net/http's
+	// headTimeout is the time-out of a header section, in ns; 0 means net/http's.
 	headTimeout atomic.Int64
 	ownTimes    bool // idleTimeout and headTimeout alone apply; not changed after the first Accept
 }
@@ -43,18 +43,23 @@
 	quietSince   time.Time     // time of its last change to quiet
 	closed       bool
 	used         bool         // it has carried a request
-	requestBegan atomic.Int64 // Unix time in ns of the first byte of the request that is being received; 0: none is
+	requestBegan atomic.Int64 // Unix time in ns of the first byte of the request that is being received; 0 if none is
 	lastByteAt   atomic.Int64 // and of its latest byte
 	head         headScanner  // of that request; owned by the goroutine that reads
-	front        *Front       // that starts pipelined requests; nil: none does
-	pipeline     *pipeline    // pipelined requests; nil: they are not started early
+	front        *Front       // that starts pipelined requests; nil means none does
+	pipeline     *pipeline    // pipelined requests; nil means they are not started early
 	busy         atomic.Bool  // a request is being served
 	headTimer    *time.Timer  // runs while a header section is incomplete; owned by the goroutine that reads
-	idleTimer    *time.Timer  // runs while it is quiet; nil: it was not yet
+	idleTimer    *time.Timer  // runs while it is quiet; nil if it has never been quiet
 }
 
 func newConnections(l net.Listener, unassigned *pool.Share) *connections {
-	return &connections{Listener: l, unassigned: unassigned, quiet: map[*pool.Share]*list.List{}, freed: make(chan struct{}, 1)}
+	return &connections{
+		Listener:   l,
+		unassigned: unassigned,
+		quiet:      map[*pool.Share]*list.List{},
+		freed:      make(chan struct{}, 1),
+	}
 }
 
 const (
@@ -125,7 +130,7 @@
 	return true
 }
 
-// leastUseful returns the quiet connection to be closed first; nil: none may be closed.
+// leastUseful returns the quiet connection to be closed first, or nil if there is none.
 func leastUseful(quiet *list.List) (least *connection) {
 	now := time.Now()
 	oldest := now.Add(-stallTime).UnixNano()
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -36,9 +36,9 @@
 // Front serves downstream callers on one listener. Its methods may be called from any goroutine, but for those that say
 // "before Serve".
 type Front struct {
-	// Dialect is set before Serve; nil: none.
+	// Dialect is set before Serve; nil means none.
 	Dialect Dialect
-	// Protocol is set before Serve; nil: the platform's.
+	// Protocol is set before Serve; nil means the platform's.
 	Protocol Protocol
 
 	clock              engine.Clock
@@ -54,11 +54,19 @@
 // New returns a front that accepts connections from l once Serve is called. A connection counts against the share of the
 // pool of its last request. It counts against unassigned before its first request, and as long as no pool has a share.
 func New(l net.Listener, clock engine.Clock, routes Routes, unassigned *pool.Share) *Front {
-	f := &Front{clock: clock, routes: routes, conns: newConnections(l, unassigned), giveUp: make(chan struct{})}
+	f := &Front{
+		clock:  clock,
+		routes: routes,
+		conns:  newConnections(l, unassigned),
+		giveUp: make(chan struct{}),
+	}
 	f.conns.scanHeads = true
 	f.server = &http.Server{
-		Handler: f, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeader, DisableGeneralOptionsHandler: true,
+		Handler:                      f,
+		ReadHeaderTimeout:            headTimeout,
+		IdleTimeout:                  idleTimeout,
+		MaxHeaderBytes:               maxHeader,
+		DisableGeneralOptionsHandler: true,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connectionKey{}, c)
 		},
@@ -98,7 +106,7 @@
 // SetIdleTimeout sets the time-out of idle connections. It may be called while the front serves.
 func (f *Front) SetIdleTimeout(d time.Duration) { f.conns.idleTimeout.Store(int64(d)) }
 
-// SetHeaderTimeout sets the time-out of a request's header section, from its first byte; 0: that of New, which is the upper limit
+// SetHeaderTimeout sets the time-out of a request's header section, from its first byte; 0 means that of New, which is the upper limit
 // without OverrideLibraryTimeouts. It may be called while the front serves.
 func (f *Front) SetHeaderTimeout(d time.Duration) {
 	if d == 0 && f.conns.ownTimes {
--- a/internal/front/http1/head.go
+++ b/internal/front/http1/head.go
@@ -31,7 +31,14 @@
 }
 
 // mayBeginField says with which bytes a line of the two fields, or an empty line, begins.
-var mayBeginField = [256]bool{'c': true, 'C': true, 't': true, 'T': true, '\r': true, '\n': true}
+var mayBeginField = [256]bool{
+	'c':  true,
+	'C':  true,
+	't':  true,
+	'T':  true,
+	'\r': true,
+	'\n': true,
+}
 
 // bytes reads bytes of one line.
 func (h *headScanner) bytes(p []byte) {
--- a/internal/front/http1/pipeline.go
+++ b/internal/front/http1/pipeline.go
@@ -200,12 +200,12 @@
 	}
 }
 
-// mayStartEarly says that a pipelined request may be started before those before it are answered.
+// mayStartEarly reports whether a pipelined request may be started before those before it are answered.
 func (f *Front) mayStartEarly(hr *http.Request) bool {
 	return bodiless(hr) && hr.Method == http.MethodGet && hr.ProtoAtLeast(1, 1) && !hr.Close && f.Protocol.MayStartEarly(hr)
 }
 
-// hasStarted says whether a request was started early that waits to be answered in order.
+// hasStarted reports whether a request was started early that waits to be answered in order.
 func (pl *pipeline) hasStarted() bool {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -94,7 +94,12 @@
 		return nil, &Rejection{Status: http.StatusBadRequest, Text: "X-Time-Left is no time with the unit m or u, or too long"}
 	}
 
-	out := &message.Request{Method: hr.Method, URL: hr.URL, Authority: hr.Host, Header: make(map[string][]string, 3)}
+	out := &message.Request{
+		Method:    hr.Method,
+		URL:       hr.URL,
+		Authority: hr.Host,
+		Header:    make(map[string][]string, 3),
+	}
 	for _, name := range []string{"X-Correlation-Id", "Idempotency-Key", "Content-Type"} {
 		if v := h[name]; len(v) > 0 {
 			out.Header[name] = v
--- a/internal/front/http1/protocol.go
+++ b/internal/front/http1/protocol.go
@@ -29,11 +29,11 @@
 	ServeOwn(f *Front, w http.ResponseWriter, hr *http.Request) bool
 	// ParseRequest checks a request's head, fills in the call and returns the request for servers.
 	ParseRequest(hr *http.Request, p *pool.Pool, class string, now time.Duration, c *engine.Call) (*message.Request, *Rejection)
-	// MayStartEarly says that a pipelined request may be started before those before it are answered; RequestID identifies
+	// MayStartEarly reports whether a pipelined request may be started before those before it are answered; RequestID identifies
 	// it.
 	MayStartEarly(hr *http.Request) bool
 	RequestID(hr *http.Request) string
-	// MayHaveBody says that a request may have a body.
+	// MayHaveBody reports whether a request may have a body.
 	MayHaveBody(hr *http.Request) bool
 	// SetResponseHeader sets the header fields of an answer, but for its length, and returns its status.
 	SetResponseHeader(h http.Header, c *engine.Call, a engine.Answer) int
@@ -43,7 +43,7 @@
 
 // Dialect is another protocol on the same connections, such as gRPC, with answers of its own.
 type Dialect interface {
-	// Matches says that a request is of this protocol.
+	// Matches reports whether a request is of this protocol.
 	Matches(hr *http.Request) bool
 	// Serve answers it.
 	Serve(f *Front, w http.ResponseWriter, hr *http.Request)
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -28,12 +28,12 @@
 		return
 	}
 	if from.pipeline != nil {
-		e := from.pipeline.take(hr, f.Protocol.RequestID(hr)) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
+		e := from.pipeline.take(hr, f.Protocol.RequestID(hr)) //nolint:contextcheck // attempts outlive the handler
 		from.busy.Store(true)
 		defer from.busy.Store(false)
-		f.startPipelined(from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
+		f.startPipelined(from) //nolint:contextcheck // attempts outlive the handler
 		if e != nil {
-			f.answerEarly(w, hr, e, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
+			f.answerEarly(w, hr, e, from) //nolint:contextcheck // attempts outlive the handler
 			return
 		}
 	}
@@ -63,9 +63,9 @@
 	if !from.beginRequest() {
 		panic(http.ErrAbortHandler)
 	}
-	p.Engine().Submit(&c.Call) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
+	p.Engine().Submit(&c.Call) //nolint:contextcheck // attempts outlive the handler
 	if c.upload != nil {
-		go c.upload.pump(func() { p.Engine().BodyArrived(&c.Call) }) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
+		go c.upload.pump(func() { p.Engine().BodyArrived(&c.Call) }) //nolint:contextcheck // attempts outlive the handler
 	}
 	f.answer(w, hr, p, c, from)
 }
@@ -93,7 +93,7 @@
 		case <-giveUp:
 			giveUp = nil
 			if mayGiveUp(c, from) {
-				c.abandon(p) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
+				c.abandon(p) //nolint:contextcheck // attempts outlive the handler
 				f.write(w, c, engine.Answer{Verdict: engine.Failed}, from)
 				return
 			}
@@ -111,7 +111,7 @@
 			failed = true
 		}
 		if failed { // abort panics
-			f.abort(hr, p, c, from) //nolint:contextcheck // attempts belong to the call, and outlive the handler of its request
+			f.abort(hr, p, c, from) //nolint:contextcheck // attempts outlive the handler
 		}
 	}
 	if c.upload != nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-// mayGiveUp says that a call without an answer is idempotent and holds up the answers of pipelined requests.
+// mayGiveUp reports whether a call without an answer is idempotent and holds up the answers of pipelined requests.
 func mayGiveUp(c *call, from *connection) bool {
 	return len(c.answers) == 0 && c.upload == nil && c.Payload.(*message.Request).Idempotency == message.Idempotent &&
 		from.pipeline != nil && from.pipeline.hasStarted()
@@ -186,24 +186,30 @@
 		case err != nil:
 			// Callers over the limit of calls retry at once: a new connection each time would cost more than the rejection.
 			return nil, &Rejection{
-				Status: http.StatusServiceUnavailable, Text: err.Error(), MayRetry: true,
+				Status:         http.StatusServiceUnavailable,
+				Text:           err.Error(),
+				MayRetry:       true,
 				KeepConnection: errors.Is(err, pool.ErrCalls) && size == 0,
 			}
 		}
 		if !from.assign(p.Shares().DownstreamConns) {
 			p.Leave(size)
-			return nil, &Rejection{Status: http.StatusServiceUnavailable, Text: "too many callers", MayRetry: true}
+			return nil, &Rejection{
+				Status:   http.StatusServiceUnavailable,
+				Text:     "too many callers",
+				MayRetry: true,
+			}
 		}
 		return p, nil
 	}
 }
 
-// BeginRequest marks the connection of a request as in use; false: it is being closed.
+// BeginRequest marks the connection of a request as in use. It returns false if the connection is being closed.
 func (f *Front) BeginRequest(hr *http.Request) bool {
 	return hr.Context().Value(connectionKey{}).(*connection).beginRequest()
 }
 
-// bodiless says that a request has no body. net/http has already removed a length beside a Transfer-Encoding, and any
+// bodiless reports whether a request has no body. net/http has already removed a length beside a Transfer-Encoding, and any
 // Transfer-Encoding of HTTP/1.0.
 func bodiless(hr *http.Request) bool { return hr.ContentLength == 0 && hr.TransferEncoding == nil }
 
--- a/internal/grpc/grpc.go
+++ b/internal/grpc/grpc.go
@@ -35,7 +35,7 @@
 	Unauthenticated
 )
 
-// IsContentType says that a request or response with this content type is gRPC.
+// IsContentType reports whether a request or response with this content type is gRPC.
 func IsContentType(s string) bool {
 	rest, is := strings.CutPrefix(strings.ToLower(s), "application/grpc")
 	return is && (rest == "" || rest[0] == '+' || rest[0] == ';')
--- a/internal/grpc/grpc_test.go
+++ b/internal/grpc/grpc_test.go
@@ -17,8 +17,14 @@
 
 func TestParseTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"1H": time.Hour, "90M": 90 * time.Minute, "5S": 5 * time.Second, "250m": 250 * time.Millisecond,
-		"10u": 10 * time.Microsecond, "0n": 0, "00000007n": 7, "99999999H": math.MaxInt64,
+		"1H":        time.Hour,
+		"90M":       90 * time.Minute,
+		"5S":        5 * time.Second,
+		"250m":      250 * time.Millisecond,
+		"10u":       10 * time.Microsecond,
+		"0n":        0,
+		"00000007n": 7,
+		"99999999H": math.MaxInt64,
 	} {
 		if d, err := ParseTimeout(text); err != nil || d != want {
 			t.Errorf("%s: %v, %v", text, d, err)
@@ -103,23 +109,108 @@
 		code      Code
 		hasStatus bool
 	}{
-		"OK":                       {Response{200, head, fields("grpc-status", "0"), one, false}, balancer.Success, OK, true},
-		"NOT_FOUND":                {Response{200, head, fields("grpc-status", "5"), Scanner{}, false}, balancer.Success, NotFound, true},
-		"Trailers-Only":            {Response{200, fields("content-type", "application/grpc", "grpc-status", "3"), nil, Scanner{}, false}, balancer.Success, InvalidArgument, true},
-		"UNAVAILABLE":              {Response{200, head, fields("grpc-status", "14"), Scanner{}, false}, balancer.Failure, Unavailable, true},
-		"UNAVAILABLE, unprocessed": {Response{200, head, fields("grpc-status", "14", "x-unprocessed", "1"), Scanner{}, false}, balancer.Overloaded, Unavailable, true},
-		"UNAVAILABLE, unprocessed, with messages": {Response{200, head, fields("grpc-status", "14", "x-unprocessed", "1"), one, false}, balancer.Failure, Unavailable, true},
-		"INTERNAL, unprocessed":                   {Response{200, head, fields("grpc-status", "13", "x-unprocessed", "1"), Scanner{}, false}, balancer.Failure, Internal, true},
-		"trailers without a status":               {Response{200, head, fields("x", "y"), one, false}, balancer.Failure, Unknown, false},
-		"no trailers, no status":                  {Response{200, head, nil, one, false}, balancer.Failure, Unknown, false},
-		"two statuses":                            {Response{200, head, fields("grpc-status", "0", "grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
-		"status is no number":                     {Response{200, head, fields("grpc-status", "ok"), one, false}, balancer.Failure, Unknown, false},
-		"undefined status":                        {Response{200, head, fields("grpc-status", "77"), Scanner{}, false}, balancer.Failure, 77, true},
-		"OK with an incomplete message":           {Response{200, head, fields("grpc-status", "0"), body(frame(0, 3)[:6]...), false}, balancer.Failure, Internal, false},
-		"OK with a malformed body":                {Response{200, head, fields("grpc-status", "0"), Scanner{}, true}, balancer.Failure, Internal, false},
-		"another content type":                    {Response{200, fields("content-type", "text/html"), fields("grpc-status", "0"), one, false}, balancer.Failure, Unknown, false},
-		"503":                                     {Response{503, fields("content-type", "text/plain"), nil, Scanner{}, false}, balancer.Failure, Unknown, false},
-		"503, unprocessed":                        {Response{503, fields("x-unprocessed", "1"), nil, Scanner{}, false}, balancer.Overloaded, Unknown, false},
+		"OK": {
+			response:  Response{200, head, fields("grpc-status", "0"), one, false},
+			ending:    balancer.Success,
+			code:      OK,
+			hasStatus: true,
+		},
+		"NOT_FOUND": {
+			response:  Response{200, head, fields("grpc-status", "5"), Scanner{}, false},
+			ending:    balancer.Success,
+			code:      NotFound,
+			hasStatus: true,
+		},
+		"Trailers-Only": {
+			response:  Response{200, fields("content-type", "application/grpc", "grpc-status", "3"), nil, Scanner{}, false},
+			ending:    balancer.Success,
+			code:      InvalidArgument,
+			hasStatus: true,
+		},
+		"UNAVAILABLE": {
+			response:  Response{200, head, fields("grpc-status", "14"), Scanner{}, false},
+			ending:    balancer.Failure,
+			code:      Unavailable,
+			hasStatus: true,
+		},
+		"UNAVAILABLE, unprocessed": {
+			response:  Response{200, head, fields("grpc-status", "14", "x-unprocessed", "1"), Scanner{}, false},
+			ending:    balancer.Overloaded,
+			code:      Unavailable,
+			hasStatus: true,
+		},
+		"UNAVAILABLE, unprocessed, with messages": {
+			response:  Response{200, head, fields("grpc-status", "14", "x-unprocessed", "1"), one, false},
+			ending:    balancer.Failure,
+			code:      Unavailable,
+			hasStatus: true,
+		},
+		"INTERNAL, unprocessed": {
+			response:  Response{200, head, fields("grpc-status", "13", "x-unprocessed", "1"), Scanner{}, false},
+			ending:    balancer.Failure,
+			code:      Internal,
+			hasStatus: true,
+		},
+		"trailers without a status": {
+			response:  Response{200, head, fields("x", "y"), one, false},
+			ending:    balancer.Failure,
+			code:      Unknown,
+			hasStatus: false,
+		},
+		"no trailers, no status": {
+			response:  Response{200, head, nil, one, false},
+			ending:    balancer.Failure,
+			code:      Unknown,
+			hasStatus: false,
+		},
+		"two statuses": {
+			response:  Response{200, head, fields("grpc-status", "0", "grpc-status", "0"), one, false},
+			ending:    balancer.Failure,
+			code:      Unknown,
+			hasStatus: false,
+		},
+		"status is no number": {
+			response:  Response{200, head, fields("grpc-status", "ok"), one, false},
+			ending:    balancer.Failure,
+			code:      Unknown,
+			hasStatus: false,
+		},
+		"undefined status": {
+			response:  Response{200, head, fields("grpc-status", "77"), Scanner{}, false},
+			ending:    balancer.Failure,
+			code:      77,
+			hasStatus: true,
+		},
+		"OK with an incomplete message": {
+			response:  Response{200, head, fields("grpc-status", "0"), body(frame(0, 3)[:6]...), false},
+			ending:    balancer.Failure,
+			code:      Internal,
+			hasStatus: false,
+		},
+		"OK with a malformed body": {
+			response:  Response{200, head, fields("grpc-status", "0"), Scanner{}, true},
+			ending:    balancer.Failure,
+			code:      Internal,
+			hasStatus: false,
+		},
+		"another content type": {
+			response:  Response{200, fields("content-type", "text/html"), fields("grpc-status", "0"), one, false},
+			ending:    balancer.Failure,
+			code:      Unknown,
+			hasStatus: false,
+		},
+		"503": {
+			response:  Response{503, fields("content-type", "text/plain"), nil, Scanner{}, false},
+			ending:    balancer.Failure,
+			code:      Unknown,
+			hasStatus: false,
+		},
+		"503, unprocessed": {
+			response:  Response{503, fields("x-unprocessed", "1"), nil, Scanner{}, false},
+			ending:    balancer.Overloaded,
+			code:      Unknown,
+			hasStatus: false,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := Classify(c.response)
--- a/internal/grpc/response.go
+++ b/internal/grpc/response.go
@@ -20,10 +20,10 @@
 type Verdict struct {
 	Ending balancer.Ending
 	Code   Code
-	Fields []message.Field // the status fields and the trailing metadata; nil: the response has no valid status
+	Fields []message.Field // the status fields and the trailing metadata; nil means the response has no valid status
 }
 
-// IsGRPCResponse says that a response with this HTTP status and header section is gRPC, so that its messages can be passed on.
+// IsGRPCResponse reports whether a response with this HTTP status and header section is gRPC, so that its messages can be passed on.
 func IsGRPCResponse(status int, header []message.Field) bool {
 	for _, field := range header {
 		if field.Name == "content-type" {
@@ -83,7 +83,7 @@
 	return s
 }
 
-// isServerFailure says that a status shows that the server was not able to serve, rather than the result of the method. Codes
+// isServerFailure reports whether a status shows that the server was not able to serve, rather than the result of the method. Codes
 // that gRPC does not define count as such.
 func (c Code) isServerFailure() bool {
 	switch c {
--- a/internal/grpc/status.go
+++ b/internal/grpc/status.go
@@ -39,7 +39,11 @@
 	if err != nil {
 		return "", fmt.Errorf("encoding RetryInfo: %w", err)
 	}
-	encoded, err := proto.Marshal(&status.Status{Code: int32(code), Message: text, Details: []*anypb.Any{info}})
+	encoded, err := proto.Marshal(&status.Status{
+		Code:    int32(code),
+		Message: text,
+		Details: []*anypb.Any{info},
+	})
 	if err != nil {
 		return "", fmt.Errorf("encoding google.rpc.Status: %w", err)
 	}
--- a/internal/grpc/timeout.go
+++ b/internal/grpc/timeout.go
@@ -9,7 +9,12 @@
 
 // timeoutUnits are the units of grpc-timeout.
 var timeoutUnits = map[byte]time.Duration{
-	'H': time.Hour, 'M': time.Minute, 'S': time.Second, 'm': time.Millisecond, 'u': time.Microsecond, 'n': time.Nanosecond,
+	'H': time.Hour,
+	'M': time.Minute,
+	'S': time.Second,
+	'm': time.Millisecond,
+	'u': time.Microsecond,
+	'n': time.Nanosecond,
 }
 
 // The number in grpc-timeout has at most maxDigits digits.
--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -106,9 +106,16 @@
 	cfg.MaxHeaderBytes = cmp.Or(cfg.MaxHeaderBytes, defaultHeaderBytes)
 	cfg.PingAfter = cmp.Or(cfg.PingAfter, defaultPingAfter)
 	c := &Conn{
-		cfg: cfg, now: now, lastFrameAt: now, nextID: 1, streams: map[uint32]*stream{},
-		sendWindow: defaultWindow, initialSendWindow: defaultWindow, maxFrameSize: defaultFrame,
-		peerMaxStreams: cfg.MaxStreams, awaitingPing: map[uint64][]uint32{},
+		cfg:               cfg,
+		now:               now,
+		lastFrameAt:       now,
+		nextID:            1,
+		streams:           map[uint32]*stream{},
+		sendWindow:        defaultWindow,
+		initialSendWindow: defaultWindow,
+		maxFrameSize:      defaultFrame,
+		peerMaxStreams:    cfg.MaxStreams,
+		awaitingPing:      map[uint64][]uint32{},
 	}
 	return c, []Action{
 		WriteSettings{InitialWindow: uint32(cfg.MaxBodyBytes), MaxHeader: uint32(cfg.MaxHeaderBytes)},
@@ -127,7 +134,7 @@
 // Open returns how many streams are open.
 func (c *Conn) Open() int { return len(c.streams) }
 
-// Closing says that no more streams can be opened: the connection is closed or going away, or its ids are used up.
+// Closing reports whether no more streams can be opened: the connection is closed or going away, or its ids are used up.
 func (c *Conn) Closing() bool { return c.closed || c.goingAway || c.nextID > maxStreamID }
 
 // Request opens a stream, for which StreamsAvailable must be over 0. With pingFirst, on a connection without a frame for
@@ -140,7 +147,13 @@
 // has no body. The server may send Config.MaxBodyBytes bytes beyond what Consumed has returned. The body of an open request is
 // continued by Append, after each Sent.
 func (c *Conn) RequestStreamed(now time.Duration, fields []Field, body []byte, pingFirst, open bool) (uint32, []Action) {
-	return c.request(now, &stream{fields: fields, body: body, streamed: true, moreToCome: open, openedWithParts: open}, pingFirst)
+	return c.request(now, &stream{
+		fields:          fields,
+		body:            body,
+		streamed:        true,
+		moreToCome:      open,
+		openedWithParts: open,
+	}, pingFirst)
 }
 
 // Append continues the body of an open request after Sent; the last part ends it.
--- a/internal/h2/client/client_test.go
+++ b/internal/h2/client/client_test.go
@@ -15,37 +15,207 @@
 		events []Event
 		want   string
 	}{
-		{"completed", nil, []Event{response(1, true)}, "1 completed"},
-		{"completed with a body", nil, []Event{response(1, false, "content-length", "2"), Data{Stream: 1, Bytes: []byte("ok"), End: true}}, "1 completed"},
-		{"completed with trailers", nil, []Event{response(1, false), Data{Stream: 1, Bytes: []byte("ok")}, Headers{1, []Field{{"grpc-status", "0"}}, true}}, "1 completed"},
-		{"after an interim response", nil, []Event{Headers{1, []Field{{":status", "103"}}, false}, response(1, true)}, "1 completed"},
-		{"REFUSED_STREAM", nil, []Event{RSTStream{1, codeRefusedStream}}, "1 refused"},
-		{"REFUSED_STREAM after HEADERS", nil, []Event{response(1, false), RSTStream{1, codeRefusedStream}}, "1 reset"},
-		{"RST_STREAM between HEADERS and DATA", nil, []Event{response(1, false, "content-length", "5"), RSTStream{1, 2}}, "1 reset"},
-		{"RST_STREAM", nil, []Event{RSTStream{1, 2}}, "1 reset"},
-		{"RST_STREAM before the request was written", body, []Event{RSTStream{1, 2}}, "1 not written"},
-		{"above the last stream of GOAWAY", nil, []Event{GoAway{0, 0}}, "1 above GOAWAY"},
-		{"not above the last stream of GOAWAY", nil, []Event{GoAway{1, 0}, response(1, true)}, "1 completed"},
-		{"no :status", nil, []Event{Headers{1, []Field{{"a", "b"}}, true}}, "1 reset"},
-		{"two :status fields", nil, []Event{Headers{1, []Field{{":status", "200"}, {":status", "200"}}, true}}, "1 reset"},
-		{":status after another field", nil, []Event{Headers{1, []Field{{"a", "b"}, {":status", "200"}}, true}}, "1 reset"},
-		{"field name in upper case", nil, []Event{response(1, true, "Content-Type", "x")}, "1 reset"},
-		{"connection-specific field", nil, []Event{response(1, true, "transfer-encoding", "chunked")}, "1 reset"},
-		{"101", nil, []Event{Headers{1, []Field{{":status", "101"}}, false}}, "1 reset"},
-		{"interim response with END_STREAM", nil, []Event{Headers{1, []Field{{":status", "100"}}, true}}, "1 reset"},
-		{"body shorter than its length", nil, []Event{response(1, false, "content-length", "3"), Data{Stream: 1, Bytes: []byte("ok"), End: true}}, "1 reset"},
-		{"body longer than its length", nil, []Event{response(1, false, "content-length", "1"), Data{Stream: 1, Bytes: []byte("ok"), End: true}}, "1 reset"},
-		{"two content-lengths", nil, []Event{response(1, false, "content-length", "1", "content-length", "2")}, "1 reset"},
-		{"malformed content-length", nil, []Event{response(1, false, "content-length", "+1")}, "1 reset"},
-		{"content-length over MaxBodyBytes", nil, []Event{response(1, false, "content-length", "70000")}, "1 reset"},
-		{"DATA before HEADERS", nil, []Event{Data{Stream: 1, Bytes: []byte("x")}}, "1 reset"},
-		{"trailers without END_STREAM", nil, []Event{response(1, false), Headers{1, []Field{{"a", "b"}}, false}}, "1 reset"},
-		{"trailers with :status", nil, []Event{response(1, false), Headers{1, []Field{{":status", "200"}}, true}}, "1 reset"},
-		{"DATA over the stream's window", nil, []Event{response(1, false), Data{Stream: 1, Bytes: make([]byte, 65537)}}, "1 reset"},
-		{"WINDOW_UPDATE over the largest window", nil, []Event{WindowUpdate{1, maxWindow}}, "1 reset"},
-		{"WINDOW_UPDATE of 0", nil, []Event{WindowUpdate{1, 0}}, "1 reset"},
-		{"malformed according to the framer", nil, []Event{Malformed{1, codeProtocol}}, "1 reset"},
-		{"response before the request is complete", body, []Event{response(1, true)}, "1 completed"},
+		{
+			name:   "completed",
+			body:   nil,
+			events: []Event{response(1, true)},
+			want:   "1 completed",
+		},
+		{
+			name: "completed with a body",
+			body: nil,
+			events: []Event{response(1, false, "content-length", "2"), Data{
+				Stream: 1,
+				Bytes:  []byte("ok"),
+				End:    true,
+			}},
+			want: "1 completed",
+		},
+		{
+			name: "completed with trailers",
+			body: nil,
+			events: []Event{response(1, false), Data{
+				Stream: 1,
+				Bytes:  []byte("ok"),
+			}, Headers{1, []Field{{"grpc-status", "0"}}, true}},
+			want: "1 completed",
+		},
+		{
+			name:   "after an interim response",
+			body:   nil,
+			events: []Event{Headers{1, []Field{{":status", "103"}}, false}, response(1, true)},
+			want:   "1 completed",
+		},
+		{
+			name:   "REFUSED_STREAM",
+			body:   nil,
+			events: []Event{RSTStream{1, codeRefusedStream}},
+			want:   "1 refused",
+		},
+		{
+			name:   "REFUSED_STREAM after HEADERS",
+			body:   nil,
+			events: []Event{response(1, false), RSTStream{1, codeRefusedStream}},
+			want:   "1 reset",
+		},
+		{
+			name:   "RST_STREAM between HEADERS and DATA",
+			body:   nil,
+			events: []Event{response(1, false, "content-length", "5"), RSTStream{1, 2}},
+			want:   "1 reset",
+		},
+		{
+			name:   "RST_STREAM",
+			body:   nil,
+			events: []Event{RSTStream{1, 2}},
+			want:   "1 reset",
+		},
+		{
+			name:   "RST_STREAM before the request was written",
+			body:   body,
+			events: []Event{RSTStream{1, 2}},
+			want:   "1 not written",
+		},
+		{
+			name:   "above the last stream of GOAWAY",
+			body:   nil,
+			events: []Event{GoAway{0, 0}},
+			want:   "1 above GOAWAY",
+		},
+		{
+			name:   "not above the last stream of GOAWAY",
+			body:   nil,
+			events: []Event{GoAway{1, 0}, response(1, true)},
+			want:   "1 completed",
+		},
+		{
+			name:   "no :status",
+			body:   nil,
+			events: []Event{Headers{1, []Field{{"a", "b"}}, true}},
+			want:   "1 reset",
+		},
+		{
+			name:   "two :status fields",
+			body:   nil,
+			events: []Event{Headers{1, []Field{{":status", "200"}, {":status", "200"}}, true}},
+			want:   "1 reset",
+		},
+		{
+			name:   ":status after another field",
+			body:   nil,
+			events: []Event{Headers{1, []Field{{"a", "b"}, {":status", "200"}}, true}},
+			want:   "1 reset",
+		},
+		{
+			name:   "field name in upper case",
+			body:   nil,
+			events: []Event{response(1, true, "Content-Type", "x")},
+			want:   "1 reset",
+		},
+		{
+			name:   "connection-specific field",
+			body:   nil,
+			events: []Event{response(1, true, "transfer-encoding", "chunked")},
+			want:   "1 reset",
+		},
+		{
+			name:   "101",
+			body:   nil,
+			events: []Event{Headers{1, []Field{{":status", "101"}}, false}},
+			want:   "1 reset",
+		},
+		{
+			name:   "interim response with END_STREAM",
+			body:   nil,
+			events: []Event{Headers{1, []Field{{":status", "100"}}, true}},
+			want:   "1 reset",
+		},
+		{
+			name: "body shorter than its length",
+			body: nil,
+			events: []Event{response(1, false, "content-length", "3"), Data{
+				Stream: 1,
+				Bytes:  []byte("ok"),
+				End:    true,
+			}},
+			want: "1 reset",
+		},
+		{
+			name: "body longer than its length",
+			body: nil,
+			events: []Event{response(1, false, "content-length", "1"), Data{
+				Stream: 1,
+				Bytes:  []byte("ok"),
+				End:    true,
+			}},
+			want: "1 reset",
+		},
+		{
+			name:   "two content-lengths",
+			body:   nil,
+			events: []Event{response(1, false, "content-length", "1", "content-length", "2")},
+			want:   "1 reset",
+		},
+		{
+			name:   "malformed content-length",
+			body:   nil,
+			events: []Event{response(1, false, "content-length", "+1")},
+			want:   "1 reset",
+		},
+		{
+			name:   "content-length over MaxBodyBytes",
+			body:   nil,
+			events: []Event{response(1, false, "content-length", "70000")},
+			want:   "1 reset",
+		},
+		{
+			name:   "DATA before HEADERS",
+			body:   nil,
+			events: []Event{Data{Stream: 1, Bytes: []byte("x")}},
+			want:   "1 reset",
+		},
+		{
+			name:   "trailers without END_STREAM",
+			body:   nil,
+			events: []Event{response(1, false), Headers{1, []Field{{"a", "b"}}, false}},
+			want:   "1 reset",
+		},
+		{
+			name:   "trailers with :status",
+			body:   nil,
+			events: []Event{response(1, false), Headers{1, []Field{{":status", "200"}}, true}},
+			want:   "1 reset",
+		},
+		{
+			name:   "DATA over the stream's window",
+			body:   nil,
+			events: []Event{response(1, false), Data{Stream: 1, Bytes: make([]byte, 65537)}},
+			want:   "1 reset",
+		},
+		{
+			name:   "WINDOW_UPDATE over the largest window",
+			body:   nil,
+			events: []Event{WindowUpdate{1, maxWindow}},
+			want:   "1 reset",
+		},
+		{
+			name:   "WINDOW_UPDATE of 0",
+			body:   nil,
+			events: []Event{WindowUpdate{1, 0}},
+			want:   "1 reset",
+		},
+		{
+			name:   "malformed according to the framer",
+			body:   nil,
+			events: []Event{Malformed{1, codeProtocol}},
+			want:   "1 reset",
+		},
+		{
+			name:   "response before the request is complete",
+			body:   body,
+			events: []Event{response(1, true)},
+			want:   "1 completed",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			conn := newTestConn(t, Config{}, Settings{InitialWindow: uint32Ptr(20_000)})
@@ -70,10 +240,15 @@
 // A connection error ends the connection, and every request that was written may have run.
 func TestConnectionErrors(t *testing.T) {
 	for name, e := range map[string]Event{
-		"HEADERS on an idle stream": response(3, true), "DATA on a stream of the server": Data{Stream: 2, Bytes: []byte("x")},
-		"RST_STREAM on an idle stream": RSTStream{9, 0}, "WINDOW_UPDATE on an idle stream": WindowUpdate{9, 1},
-		"PUSH_PROMISE": OtherFrame{Push: true}, "SETTINGS_MAX_FRAME_SIZE too small": Settings{MaxFrame: uint32Ptr(100)}, "SETTINGS_INITIAL_WINDOW_SIZE too large": Settings{InitialWindow: uint32Ptr(1 << 31)},
-		"WINDOW_UPDATE of 0": WindowUpdate{0, 0}, "WINDOW_UPDATE over the largest window": WindowUpdate{0, maxWindow},
+		"HEADERS on an idle stream":              response(3, true),
+		"DATA on a stream of the server":         Data{Stream: 2, Bytes: []byte("x")},
+		"RST_STREAM on an idle stream":           RSTStream{9, 0},
+		"WINDOW_UPDATE on an idle stream":        WindowUpdate{9, 1},
+		"PUSH_PROMISE":                           OtherFrame{Push: true},
+		"SETTINGS_MAX_FRAME_SIZE too small":      Settings{MaxFrame: uint32Ptr(100)},
+		"SETTINGS_INITIAL_WINDOW_SIZE too large": Settings{InitialWindow: uint32Ptr(1 << 31)},
+		"WINDOW_UPDATE of 0":                     WindowUpdate{0, 0},
+		"WINDOW_UPDATE over the largest window":  WindowUpdate{0, maxWindow},
 	} {
 		conn := newTestConn(t, Config{}, Settings{})
 		conn.Request(0, getFields, nil, false)
@@ -120,7 +295,13 @@
 
 // A flood of frames ends the connection at a limited cost.
 func TestFloodsEndTheConnection(t *testing.T) {
-	for name, e := range map[string]Event{"PING": Ping{}, "SETTINGS": Settings{}, "WINDOW_UPDATE of one byte": WindowUpdate{0, 1}, "empty DATA on a closed stream": Data{Stream: 1}, "unknown frames": OtherFrame{}} {
+	for name, e := range map[string]Event{
+		"PING":                          Ping{},
+		"SETTINGS":                      Settings{},
+		"WINDOW_UPDATE of one byte":     WindowUpdate{0, 1},
+		"empty DATA on a closed stream": Data{Stream: 1},
+		"unknown frames":                OtherFrame{},
+	} {
 		conn := newTestConn(t, Config{}, Settings{})
 		conn.Request(0, getFields, nil, false)
 		conn.Cancel(0, 1)
--- a/internal/h2/client/flow_test.go
+++ b/internal/h2/client/flow_test.go
@@ -12,7 +12,9 @@
 // stream ends once, and no state of it remains.
 func TestFlowControlProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		conn := newTestConn(t, Config{MaxStreams: 5}, Settings{InitialWindow: uint32Ptr(uint32(rapid.IntRange(0, 100).Draw(t, "initial")))})
+		conn := newTestConn(t,
+			Config{MaxStreams: 5},
+			Settings{InitialWindow: uint32Ptr(uint32(rapid.IntRange(0, 100).Draw(t, "initial")))})
 		type state struct {
 			body, sent    int
 			window        int64
@@ -91,7 +93,10 @@
 					}
 					initial = to
 				}
-				check(conn.Handle(conn.now, Settings{InitialWindow: uint32Ptr(uint32(to)), MaxStreams: uint32Ptr(uint32(rapid.IntRange(0, 6).Draw(t, "streams")))}))
+				check(conn.Handle(conn.now, Settings{
+					InitialWindow: uint32Ptr(uint32(to)),
+					MaxStreams:    uint32Ptr(uint32(rapid.IntRange(0, 6).Draw(t, "streams"))),
+				}))
 			},
 			"window": func(t *rapid.T) {
 				id, n := pick(t), rapid.IntRange(1, 100).Draw(t, "add")
@@ -117,7 +122,11 @@
 				if !streams[id].opened {
 					t.Skip("not opened")
 				}
-				check(conn.Handle(conn.now, Data{Stream: id, Bytes: make([]byte, rapid.IntRange(0, 300).Draw(t, "n")), End: rapid.Bool().Draw(t, "end")}))
+				check(conn.Handle(conn.now, Data{
+					Stream: id,
+					Bytes:  make([]byte, rapid.IntRange(0, 300).Draw(t, "n")),
+					End:    rapid.Bool().Draw(t, "end"),
+				}))
 			},
 			"reset": func(t *rapid.T) {
 				check(conn.Handle(conn.now, RSTStream{pick(t), uint32(rapid.IntRange(0, 8).Draw(t, "code"))}))
@@ -173,7 +182,16 @@
 			}
 			done(conn.Consumed(conn.now, id, int(n)))
 			done(conn.Append(conn.now, id, make([]byte, n), n%4 == 0))
-			fields := []Field{{":status", fmt.Sprint(n * 4)}, {"content-length", fmt.Sprint(n % 7)}, {string(text[i : i+1]), "x"}}
+			fields := []Field{{
+				Name:  ":status",
+				Value: fmt.Sprint(n * 4),
+			}, {
+				Name:  "content-length",
+				Value: fmt.Sprint(n % 7),
+			}, {
+				Name:  string(text[i : i+1]),
+				Value: "x",
+			}}
 			done(conn.Handle(conn.now, []Event{
 				Settings{InitialWindow: &n, MaxStreams: &id},
 				Headers{id, fields[:n%4%3+1], n > 128},
--- a/internal/h2/client/helpers_test.go
+++ b/internal/h2/client/helpers_test.go
@@ -35,7 +35,7 @@
 	return strings.Join(out, ", ")
 }
 
-// failure returns the text of the connection error among actions; "": there is none.
+// failure returns the text of the connection error among actions, or "" if there is none.
 func failure(l []Action) string {
 	for _, a := range l {
 		if f, is := a.(ConnectionError); is {
--- a/internal/h2/client/receive.go
+++ b/internal/h2/client/receive.go
@@ -40,7 +40,7 @@
 	c.sendBodies()
 }
 
-// idleStream says that a stream is in the state idle, or not one that a client opens: frames on it are a connection error
+// idleStream reports whether a stream is in the state idle, or not one that a client opens: frames on it are a connection error
 // (RFC 9113, section 5.1).
 func (c *Conn) idleStream(id uint32) bool { return id%2 == 0 || id >= c.nextID }
 
@@ -104,7 +104,7 @@
 	c.completeResponse(s)
 }
 
-// readContentLength notes the declared length; false if it is invalid or declared twice with different values.
+// readContentLength notes the declared length. It returns false if that is invalid, or declared twice with different values.
 func (s *stream) readContentLength(fields []Field) bool {
 	for _, f := range fields {
 		if f.Name != "content-length" {
@@ -119,7 +119,7 @@
 	return true
 }
 
-// splitStatus separates :status from the header fields; false if the response is malformed (RFC 9113, sections 8.1.1, 8.2
+// splitStatus separates :status from the header fields. It returns false if the response is malformed (RFC 9113, sections 8.1.1, 8.2
 // and 8.3.2).
 func splitStatus(section []Field) (status int, fields []Field, ok bool) {
 	for i, f := range section {
@@ -147,7 +147,7 @@
 	return status, section[1:], true
 }
 
-// isValidName says that a field may have this name: in lower case and printable (RFC 9113, section 8.2.1), and not specific to
+// isValidName reports whether a field may have this name: in lower case and printable (RFC 9113, section 8.2.1), and not specific to
 // a connection (section 8.2.2).
 func isValidName(name string) bool {
 	for i := range len(name) {
--- a/internal/h2/client/stream.go
+++ b/internal/h2/client/stream.go
@@ -15,7 +15,7 @@
 	sendWindow       int64  // bytes that may be sent; may be below zero (RFC 9113, section 6.9.2)
 	receiveWindow    int    // bytes that the server may still send
 	finalHeaders     bool   // the final response's HEADERS came
-	contentLength    int    // declared; -1: not declared
+	contentLength    int    // declared; -1 means not declared
 	emptyFrames      int
 	interimResponses int
 	response         Response
@@ -27,7 +27,7 @@
 	unreturned       int  // bytes consumed that no WINDOW_UPDATE has returned yet
 }
 
-// mayHaveRun says that a server may have begun to process it: it was written completely, or the server processes it while
+// mayHaveRun reports whether a server may have begun to process it: it was written completely, or the server processes it while
 // it is being written.
 func (s *stream) mayHaveRun() bool { return s.endWritten || s.openedWithParts && s.headersWritten }
 
@@ -117,7 +117,7 @@
 	return ids
 }
 
-// awaitsPing says that a stream waits for the answer to a PING.
+// awaitsPing reports whether a stream waits for the answer to a PING.
 func (c *Conn) awaitsPing(id uint32) bool {
 	for _, waiting := range c.awaitingPing {
 		if slices.Contains(waiting, id) {
--- a/internal/h2/client/stream_test.go
+++ b/internal/h2/client/stream_test.go
@@ -10,7 +10,13 @@
 	c, _ := New(0, Config{MaxBodyBytes: 1000})
 	c.Handle(0, Settings{})
 	id, _ := c.RequestStreamed(0, []Field{{":method", "POST"}}, []byte("x"), false, false)
-	if l := c.Handle(0, Headers{Stream: id, Fields: []Field{{":status", "200"}, {"content-type", "a"}}}); len(l) != 0 {
+	if l := c.Handle(0, Headers{Stream: id, Fields: []Field{{
+		Name:  ":status",
+		Value: "200",
+	}, {
+		Name:  "content-type",
+		Value: "a",
+	}}}); len(l) != 0 {
 		t.Errorf("Began came before the first byte of the body: %+v", l)
 	}
 	l := c.Handle(0, Data{Stream: id, Bytes: make([]byte, 900)})
@@ -66,7 +72,10 @@
 	if l = c.Append(0, id, []byte("defg"), false); len(l) != 1 || string(l[0].(WriteData).Bytes) != "de" {
 		t.Errorf("second part, within the window: %+v", l)
 	}
-	if l = c.Handle(0, WindowUpdate{id, 10}); len(l) != 2 || string(l[0].(WriteData).Bytes) != "fg" || l[0].(WriteData).End || l[1].(Sent).Stream != id {
+	if l = c.Handle(
+		0,
+		WindowUpdate{id, 10},
+	); len(l) != 2 || string(l[0].(WriteData).Bytes) != "fg" || l[0].(WriteData).End || l[1].(Sent).Stream != id {
 		t.Errorf("second part, after WINDOW_UPDATE: %+v", l)
 	}
 	if l = c.Append(0, id, nil, true); len(l) != 1 || !l[0].(WriteData).End {
--- a/internal/sender/h2/conn.go
+++ b/internal/sender/h2/conn.go
@@ -31,8 +31,12 @@
 
 func newConn(s *Sender, ep *engine.Endpoint) *conn {
 	c := &conn{
-		sender: s, endpoint: ep, events: make(chan event, eventQueueSize),
-		established: make(chan struct{}), closing: make(chan struct{}), done: make(chan struct{}),
+		sender:      s,
+		endpoint:    ep,
+		events:      make(chan event, eventQueueSize),
+		established: make(chan struct{}),
+		closing:     make(chan struct{}),
+		done:        make(chan struct{}),
 	}
 	c.maxStreams.Store(int64(s.cfg.MaxStreamsPerConn))
 	return c
@@ -71,7 +75,7 @@
 	c.reserved.Add(-1)
 }
 
-// post passes an event to the connection's goroutine; false: it takes no more.
+// post passes an event to the connection's goroutine. It returns false if that takes no more events.
 func (c *conn) post(e event) bool {
 	select {
 	case c.events <- e:
--- a/internal/sender/h2/ending_test.go
+++ b/internal/sender/h2/ending_test.go
@@ -25,56 +25,126 @@
 		serve   func(r *rawConn, stream uint32)
 		want    balancer.Ending
 	}{
-		{"REFUSED_STREAM", getRequest(), func(r *rawConn, id uint32) {
-			r.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream)
-			r.readAll()
-		}, balancer.Overloaded},
-		{"RST_STREAM", getRequest(), func(r *rawConn, id uint32) {
-			r.framer.WriteRSTStream(id, http2.ErrCodeInternal)
-			r.readAll()
-		}, balancer.Broken},
-		{"RST_STREAM between HEADERS and DATA", getRequest(), func(r *rawConn, id uint32) {
-			r.respond(id, false, ":status", "200", "content-length", "5")
-			r.framer.WriteRSTStream(id, http2.ErrCodeInternal)
-			r.readAll()
-		}, balancer.Broken},
-		{"connection ends", getRequest(), func(*rawConn, uint32) {}, balancer.Broken},
-		{"connection ends before the request body is complete", postRequest(100_000), func(*rawConn, uint32) {}, balancer.Unreachable},
-		{"above the last stream of GOAWAY", getRequest(), func(r *rawConn, _ uint32) {
-			r.framer.WriteGoAway(0, http2.ErrCodeNo, nil)
-			r.readAll()
-		}, balancer.NeverSent},
-		{"body shorter than its length", getRequest(), func(r *rawConn, id uint32) {
-			r.respond(id, false, ":status", "200", "content-length", "5")
-			r.framer.WriteData(id, true, []byte("x"))
-			r.readAll()
-		}, balancer.Broken},
-		{"two :status fields", getRequest(), func(r *rawConn, id uint32) {
-			r.respond(id, true, ":status", "200", ":status", "200")
-			r.readAll()
-		}, balancer.Broken},
-		{"field name in upper case", getRequest(), func(r *rawConn, id uint32) {
-			r.respond(id, true, ":status", "200", "X-Big", "1")
-			r.readAll()
-		}, balancer.Broken},
-		{"field sections over the limit", getRequest(), func(r *rawConn, id uint32) {
-			for range 20 {
-				r.respond(id, true, ":status", "200", "a", strings.Repeat("x", 15_000), "b", strings.Repeat("y", 15_000))
-			}
-			r.readAll()
-		}, balancer.Broken},
-		{"frame over SETTINGS_MAX_FRAME_SIZE", getRequest(), func(r *rawConn, id uint32) {
-			r.framer.AllowIllegalWrites = true
-			r.respond(id, false, ":status", "200")
-			r.framer.WriteData(id, true, make([]byte, 100_000))
-			r.readAll()
-		}, balancer.Broken},
-		{"HTTP/1.1", getRequest(), func(r *rawConn, _ uint32) {
-			io.WriteString(r.netConn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-			r.readAll()
-		}, balancer.Broken},
-		{"endless CONTINUATION", getRequest(), writeEndlessContinuation, balancer.Broken},
-		{"no response", getRequest(), func(r *rawConn, _ uint32) { r.readAll() }, balancer.TimedOut},
+		{
+			name:    "REFUSED_STREAM",
+			request: getRequest(),
+			serve: func(r *rawConn, id uint32) {
+				r.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream)
+				r.readAll()
+			},
+			want: balancer.Overloaded,
+		},
+		{
+			name:    "RST_STREAM",
+			request: getRequest(),
+			serve: func(r *rawConn, id uint32) {
+				r.framer.WriteRSTStream(id, http2.ErrCodeInternal)
+				r.readAll()
+			},
+			want: balancer.Broken,
+		},
+		{
+			name:    "RST_STREAM between HEADERS and DATA",
+			request: getRequest(),
+			serve: func(r *rawConn, id uint32) {
+				r.respond(id, false, ":status", "200", "content-length", "5")
+				r.framer.WriteRSTStream(id, http2.ErrCodeInternal)
+				r.readAll()
+			},
+			want: balancer.Broken,
+		},
+		{
+			name:    "connection ends",
+			request: getRequest(),
+			serve:   func(*rawConn, uint32) {},
+			want:    balancer.Broken,
+		},
+		{
+			name:    "connection ends before the request body is complete",
+			request: postRequest(100_000),
+			serve:   func(*rawConn, uint32) {},
+			want:    balancer.Unreachable,
+		},
+		{
+			name:    "above the last stream of GOAWAY",
+			request: getRequest(),
+			serve: func(r *rawConn, _ uint32) {
+				r.framer.WriteGoAway(0, http2.ErrCodeNo, nil)
+				r.readAll()
+			},
+			want: balancer.NeverSent,
+		},
+		{
+			name:    "body shorter than its length",
+			request: getRequest(),
+			serve: func(r *rawConn, id uint32) {
+				r.respond(id, false, ":status", "200", "content-length", "5")
+				r.framer.WriteData(id, true, []byte("x"))
+				r.readAll()
+			},
+			want: balancer.Broken,
+		},
+		{
+			name:    "two :status fields",
+			request: getRequest(),
+			serve: func(r *rawConn, id uint32) {
+				r.respond(id, true, ":status", "200", ":status", "200")
+				r.readAll()
+			},
+			want: balancer.Broken,
+		},
+		{
+			name:    "field name in upper case",
+			request: getRequest(),
+			serve: func(r *rawConn, id uint32) {
+				r.respond(id, true, ":status", "200", "X-Big", "1")
+				r.readAll()
+			},
+			want: balancer.Broken,
+		},
+		{
+			name:    "field sections over the limit",
+			request: getRequest(),
+			serve: func(r *rawConn, id uint32) {
+				for range 20 {
+					r.respond(id, true, ":status", "200", "a", strings.Repeat("x", 15_000), "b", strings.Repeat("y", 15_000))
+				}
+				r.readAll()
+			},
+			want: balancer.Broken,
+		},
+		{
+			name:    "frame over SETTINGS_MAX_FRAME_SIZE",
+			request: getRequest(),
+			serve: func(r *rawConn, id uint32) {
+				r.framer.AllowIllegalWrites = true
+				r.respond(id, false, ":status", "200")
+				r.framer.WriteData(id, true, make([]byte, 100_000))
+				r.readAll()
+			},
+			want: balancer.Broken,
+		},
+		{
+			name:    "HTTP/1.1",
+			request: getRequest(),
+			serve: func(r *rawConn, _ uint32) {
+				io.WriteString(r.netConn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+				r.readAll()
+			},
+			want: balancer.Broken,
+		},
+		{
+			name:    "endless CONTINUATION",
+			request: getRequest(),
+			serve:   writeEndlessContinuation,
+			want:    balancer.Broken,
+		},
+		{
+			name:    "no response",
+			request: getRequest(),
+			serve:   func(r *rawConn, _ uint32) { r.readAll() },
+			want:    balancer.TimedOut,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -160,7 +230,12 @@
 	}
 	attempts.Wait()
 	if succeeded.Load() != 25 || neverSent.Load() != 25 || secondConn.Load() != 0 {
-		t.Errorf("%d succeeded, %d never ran, %d were sent again by the sender itself", succeeded.Load(), neverSent.Load(), secondConn.Load())
+		t.Errorf(
+			"%d succeeded, %d never ran, %d were sent again by the sender itself",
+			succeeded.Load(),
+			neverSent.Load(),
+			secondConn.Load(),
+		)
 	}
 	if ending, _ := attempt(s, ep, getRequest(), limit); ending != balancer.Success || secondConn.Load() != 1 {
 		t.Errorf("the next attempt: ending %v, %d requests on the second connection", ending, secondConn.Load())
--- a/internal/sender/h2/frames.go
+++ b/internal/sender/h2/frames.go
@@ -66,7 +66,11 @@
 		// A key belongs to one request, so it is of no use in the compression's table, from which it could be guessed
 		// (RFC 7541, section 7.1).
 		sensitive := field.Name == "idempotency-key"
-		_ = w.encoder.WriteField(hpack.HeaderField{Name: field.Name, Value: field.Value, Sensitive: sensitive})
+		_ = w.encoder.WriteField(hpack.HeaderField{
+			Name:      field.Name,
+			Value:     field.Value,
+			Sensitive: sensitive,
+		})
 	}
 	block := w.block.Bytes()
 	for first := true; first || len(block) > 0; first = false {
@@ -75,7 +79,10 @@
 		block = block[n:]
 		if first {
 			_ = w.framer.WriteHeaders(http2.HeadersFrameParam{
-				StreamID: a.Stream, BlockFragment: fragment, EndStream: a.End, EndHeaders: len(block) == 0,
+				StreamID:      a.Stream,
+				BlockFragment: fragment,
+				EndStream:     a.End,
+				EndHeaders:    len(block) == 0,
 			})
 		} else {
 			_ = w.framer.WriteContinuation(a.Stream, len(block) == 0, fragment)
@@ -140,14 +147,23 @@
 		if f.Truncated {
 			return client.Malformed{Stream: f.StreamID, Code: uint32(http2.ErrCodeEnhanceYourCalm)}
 		}
-		e := client.Headers{Stream: f.StreamID, End: f.StreamEnded(), Fields: make([]client.Field, 0, len(f.Fields))}
+		e := client.Headers{
+			Stream: f.StreamID,
+			End:    f.StreamEnded(),
+			Fields: make([]client.Field, 0, len(f.Fields)),
+		}
 		for _, field := range f.Fields {
 			e.Fields = append(e.Fields, client.Field{Name: field.Name, Value: field.Value})
 		}
 		return e
 	case *http2.DataFrame:
 		padding := int(f.Length) - len(f.Data())
-		return client.Data{Stream: f.StreamID, Bytes: bytes.Clone(f.Data()), Padded: padding, End: f.StreamEnded()}
+		return client.Data{
+			Stream: f.StreamID,
+			Bytes:  bytes.Clone(f.Data()),
+			Padded: padding,
+			End:    f.StreamEnded(),
+		}
 	case *http2.RSTStreamFrame:
 		return client.RSTStream{Stream: f.StreamID, Code: uint32(f.ErrCode)}
 	case *http2.GoAwayFrame:
--- a/internal/sender/h2/loop.go
+++ b/internal/sender/h2/loop.go
@@ -25,7 +25,12 @@
 	cfg := client.Config{MaxStreams: c.sender.cfg.MaxStreamsPerConn, MaxHeaderBytes: maxHeaderBytes}
 	machine, opening := client.New(c.sender.now(), cfg)
 	requests := map[uint32]*streamRequest{}
-	return &connLoop{conn: c, machine: machine, frames: newFrameWriter(c.netConn), requests: requests}, opening
+	return &connLoop{
+		conn:     c,
+		machine:  machine,
+		frames:   newFrameWriter(c.netConn),
+		requests: requests,
+	}, opening
 }
 
 // handle handles one event; an error ends the connection.
@@ -92,10 +97,10 @@
 	return actions
 }
 
-// isOpen says that the stream of a request has not ended.
+// isOpen reports whether the stream of a request has not ended.
 func (l *connLoop) isOpen(r *streamRequest) bool { return l.requests[r.stream] == r }
 
-// idleFor says that the connection has had no stream, open or reserved, for that long.
+// idleFor reports whether the connection has had no stream, open or reserved, for that long.
 func (l *connLoop) idleFor(now, atLeast time.Duration) bool {
 	return len(l.requests) == 0 && l.conn.reserved.Load() == 0 && now-time.Duration(l.conn.lastRelease.Load()) >= atLeast
 }
--- a/internal/sender/h2/outcome.go
+++ b/internal/sender/h2/outcome.go
@@ -62,8 +62,11 @@
 // grpcOutcome classifies a complete gRPC response, and ends the reply if it was streamed.
 func grpcOutcome(r *streamRequest, response client.Response) (balancer.Ending, *message.Reply) {
 	answer := grpc.Response{
-		Status: response.Status, Header: messageFields(response.Header), Trailer: messageFields(response.Trailer),
-		Messages: r.replyMessages, Malformed: r.malformed,
+		Status:    response.Status,
+		Header:    messageFields(response.Header),
+		Trailer:   messageFields(response.Trailer),
+		Messages:  r.replyMessages,
+		Malformed: r.malformed,
 	}
 	if r.reply == nil && answer.Messages.Scan(response.Body) != nil {
 		answer.Malformed = true
@@ -87,7 +90,7 @@
 	return verdict.Ending, reply
 }
 
-// messageFields converts fields to the type that fronts know; nil stays nil.
+// messageFields converts fields to the type that fronts know. It returns nil for nil.
 func messageFields(fields []client.Field) []message.Field {
 	if fields == nil {
 		return nil
--- a/internal/sender/h2/rawserver_test.go
+++ b/internal/sender/h2/rawserver_test.go
@@ -61,7 +61,7 @@
 	return engine.NewEndpoint("raw", listener.Addr().String())
 }
 
-// newRawConn reads the client's connection preface and writes SETTINGS; nil: the preface is wrong.
+// newRawConn reads the client's connection preface and writes SETTINGS. It returns nil if the preface is wrong.
 func newRawConn(netConn net.Conn, settings []http2.Setting) *rawConn {
 	reader := bufio.NewReader(netConn)
 	preface := make([]byte, len(http2.ClientPreface))
@@ -108,7 +108,10 @@
 		encoder.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
 	}
 	r.framer.WriteHeaders(http2.HeadersFrameParam{
-		StreamID: stream, BlockFragment: []byte(block.String()), EndHeaders: true, EndStream: end,
+		StreamID:      stream,
+		BlockFragment: []byte(block.String()),
+		EndHeaders:    true,
+		EndStream:     end,
 	})
 }
 
--- a/internal/sender/h2/request.go
+++ b/internal/sender/h2/request.go
@@ -21,18 +21,21 @@
 	done     chan struct{} // closed once the request has ended
 	bodySent chan struct{} // has a token once all there was of the body is written; holds one
 
-	stream        uint32           // 0: not opened
+	stream        uint32           // 0 means not opened
 	result        client.Done      // set before done is closed
 	rejected      *balancer.Ending // why it was not sent, if the sender itself decided that
-	reply         *message.Stream  // the streamed reply; nil: none has begun
+	reply         *message.Stream  // the streamed reply; nil means none has begun
 	replyMessages grpc.Scanner     // over the body of reply
 	malformed     bool             // the body is not made of gRPC messages
 }
 
 func newStreamRequest(a *engine.Attempt, m *message.Request) *streamRequest {
 	return &streamRequest{
-		attempt: a, message: m, fields: requestFields(a, m),
-		done: make(chan struct{}), bodySent: make(chan struct{}, 1),
+		attempt:  a,
+		message:  m,
+		fields:   requestFields(a, m),
+		done:     make(chan struct{}),
+		bodySent: make(chan struct{}, 1),
 	}
 }
 
@@ -90,7 +93,7 @@
 	return int64(len(m.Body)), len(m.Body) > 0 || m.Method == http.MethodPost
 }
 
-// mayHaveEffects says that a request may change something at the server, so that it must not be written to a connection that
+// mayHaveEffects reports whether a request may change something at the server, so that it must not be written to a connection that
 // may be dead: its method is not safe (RFC 9110, section 9.2.1), or its gRPC method is not declared idempotent.
 func mayHaveEffects(m *message.Request) bool {
 	if m.GRPC != nil {
--- a/internal/sender/h2/sender.go
+++ b/internal/sender/h2/sender.go
@@ -57,8 +57,10 @@
 	cfg.MaxConnsPerServer = cmp.Or(cfg.MaxConnsPerServer, defaultConnsPerServer)
 	cfg.MaxStreamsPerConn = cmp.Or(cfg.MaxStreamsPerConn, defaultStreams)
 	return &Sender{
-		cfg: cfg, start: time.Now(),
-		conns: map[*engine.Endpoint][]*conn{}, dropped: map[*engine.Endpoint]bool{},
+		cfg:     cfg,
+		start:   time.Now(),
+		conns:   map[*engine.Endpoint][]*conn{},
+		dropped: map[*engine.Endpoint]bool{},
 	}
 }
 
--- a/internal/sender/h2/sender_test.go
+++ b/internal/sender/h2/sender_test.go
@@ -26,7 +26,11 @@
 
 // newTestSender returns a sender whose connections are closed at the end of the test.
 func newTestSender(t testing.TB, maxConns int64) *Sender {
-	s := New(Config{ServerIdleTimeout: time.Minute, ConnectTimeout: limit, Connections: testkit.NewSharedLimit(maxConns)})
+	s := New(Config{
+		ServerIdleTimeout: time.Minute,
+		ConnectTimeout:    limit,
+		Connections:       testkit.NewSharedLimit(maxConns),
+	})
 	t.Cleanup(func() {
 		var open []*conn
 		s.mu.Lock()
@@ -46,15 +50,19 @@
 
 func getRequest() *message.Request {
 	return &message.Request{
-		Method: "GET", URL: &url.URL{Path: "/read/1"}, Authority: "app.svc",
-		Header: map[string][]string{"X-Correlation-Id": {"1"}},
+		Method:    "GET",
+		URL:       &url.URL{Path: "/read/1"},
+		Authority: "app.svc",
+		Header:    map[string][]string{"X-Correlation-Id": {"1"}},
 	}
 }
 
 func postRequest(bodySize int) *message.Request {
 	return &message.Request{
-		Method: "POST", URL: &url.URL{Path: "/send/1"}, Header: map[string][]string{"Idempotency-Key": {"k"}},
-		Body: []byte(strings.Repeat("x", bodySize)),
+		Method: "POST",
+		URL:    &url.URL{Path: "/send/1"},
+		Header: map[string][]string{"Idempotency-Key": {"k"}},
+		Body:   []byte(strings.Repeat("x", bodySize)),
 	}
 }
 
@@ -143,8 +151,12 @@
 		}
 	})
 	for id, want := range map[string]balancer.Ending{
-		"unprocessed": balancer.Overloaded, "503": balancer.Failure, "500": balancer.Failure,
-		"long": balancer.TimedOut, "slow": balancer.TimedOut, "": balancer.Success,
+		"unprocessed": balancer.Overloaded,
+		"503":         balancer.Failure,
+		"500":         balancer.Failure,
+		"long":        balancer.TimedOut,
+		"slow":        balancer.TimedOut,
+		"":            balancer.Success,
 	} {
 		t.Run(id, func(t *testing.T) {
 			m := getRequest()
--- a/internal/sender/http1/conns.go
+++ b/internal/sender/http1/conns.go
@@ -90,14 +90,14 @@
 	return &conn{Conn: nc, reader: bufio.NewReader(limit), readLimit: limit, dialTime: time.Since(began)}, nil
 }
 
-// needsProbe says that a request that must run at most once is to be written in two parts on this connection; see probe.
+// needsProbe reports whether a request that must run at most once is to be written in two parts on this connection; see probe.
 func (p *connectionPool) needsProbe(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.trust.needsProbe(time.Since(p.start), c.reused)
 }
 
-// takeIdle takes the most recently used settled connection that may carry the request; nil: there is none.
+// takeIdle takes the most recently used settled connection that may carry the request, or nil if there is none.
 func (p *connectionPool) takeIdle(ep *engine.Endpoint, atMostOnce bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,7 +128,7 @@
 	return c != nil
 }
 
-// oldestOfAny takes the oldest idle connection to some server; nil: there is none. The caller holds mu.
+// oldestOfAny takes the oldest idle connection to some server, or nil if there is none. The caller holds mu.
 func (p *connectionPool) oldestOfAny() *conn {
 	for ep, l := range p.idle {
 		if len(l) > 0 {
@@ -186,7 +186,7 @@
 	p.trust.record(time.Since(p.start), c.reused, broke)
 }
 
-// alive says that an idle connection is still open and has no unread bytes: a server that has closed it would reset the
+// alive reports whether an idle connection is still open and has no unread bytes: a server that has closed it would reset the
 // next request, and surplus bytes would be read as its response.
 func (c *conn) alive() bool { return errors.Is(conncheck.Peek(c.Conn), syscall.EAGAIN) }
 
--- a/internal/sender/http1/helpers_test.go
+++ b/internal/sender/http1/helpers_test.go
@@ -19,7 +19,12 @@
 
 // newTestSender returns a sender whose time-outs are long enough for a slow machine, and which reuses connections at once.
 func newTestSender(maxConns int64) *Sender {
-	s := New(Config{ServerIdleTimeout: time.Minute, ConnectTimeout: limit, Connections: testkit.NewSharedLimit(maxConns), ResponseBuffers: testkit.NewSharedLimit(1 << 40)})
+	s := New(Config{
+		ServerIdleTimeout: time.Minute,
+		ConnectTimeout:    limit,
+		Connections:       testkit.NewSharedLimit(maxConns),
+		ResponseBuffers:   testkit.NewSharedLimit(1 << 40),
+	})
 	s.readTimeout, s.bufferTime, s.settleTime = limit, limit, 0
 	return s
 }
@@ -29,14 +34,23 @@
 // keyedRequest is a request with an idempotency key.
 func keyedRequest() *message.Request {
 	return &message.Request{
-		Method: "POST", URL: &url.URL{Path: "/send/1"}, Authority: "app.svc",
-		Header: map[string][]string{"Idempotency-Key": {"k-1"}}, Body: []byte("body"),
+		Method:    "POST",
+		URL:       &url.URL{Path: "/send/1"},
+		Authority: "app.svc",
+		Header:    map[string][]string{"Idempotency-Key": {"k-1"}},
+		Body:      []byte("body"),
 	}
 }
 
 // atMostOnceRequest is a request that must not run twice, and whose responses name it by its id.
 func atMostOnceRequest(id string) *message.Request {
-	return &message.Request{Method: "POST", URL: &url.URL{Path: "/" + id}, Authority: "app.svc", Header: map[string][]string{"Id": {id}}, Idempotency: message.NotIdempotent}
+	return &message.Request{
+		Method:      "POST",
+		URL:         &url.URL{Path: "/" + id},
+		Authority:   "app.svc",
+		Header:      map[string][]string{"Id": {id}},
+		Idempotency: message.NotIdempotent,
+	}
 }
 
 // sendKeyed makes one attempt of a keyed request.
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -24,8 +24,8 @@
 	ConnectTimeout    time.Duration      // time-out of connecting
 	Connections       engine.SharedLimit // limit on connections, with idle ones and those being dialled
 	ResponseBuffers   engine.SharedLimit // limit on buffered bytes of responses that are forwarded as they come
-	Protocol          Protocol           // nil: the platform's protocol
-	ReadTimeout       time.Duration      // time-out of each read of a response; 0: readTimeout, for one that can be retried
+	Protocol          Protocol           // nil means the platform's protocol
+	ReadTimeout       time.Duration      // time-out of each read of a response; 0 means readTimeout, for one that can be retried
 }
 
 // Sender makes attempts over a connection pool of its own. It implements engine.Sender; the payload is a
@@ -49,8 +49,13 @@
 	return &Sender{
 		connectionPool: connectionPool{
 			// Well before the server closes it: a request that crosses the close is lost to a reset (RFC 9112, section 9.5).
-			idleTimeout: cfg.ServerIdleTimeout * 3 / 4, connectTimeout: cfg.ConnectTimeout, settleTime: settleTime,
-			start: time.Now(), minProbeWait: minProbeWait, idle: map[*engine.Endpoint][]*conn{}, limit: cfg.Connections,
+			idleTimeout:    cfg.ServerIdleTimeout * 3 / 4,
+			connectTimeout: cfg.ConnectTimeout,
+			settleTime:     settleTime,
+			start:          time.Now(),
+			minProbeWait:   minProbeWait,
+			idle:           map[*engine.Endpoint][]*conn{},
+			limit:          cfg.Connections,
 		},
 		responseLimit:     cfg.ResponseBuffers,
 		readTimeout:       cmp.Or(cfg.ReadTimeout, readTimeout),
@@ -81,7 +86,7 @@
 // exchangeConn is a connection during an exchange.
 type exchangeConn struct {
 	*conn
-	stop   func() bool // ends closeAtEnd; false: ctx has ended and the connection is being closed
+	stop   func() bool // ends closeAtEnd; it returns false if ctx has ended and the connection is being closed
 	unsent []byte      // what is still to be written of the request's text
 }
 
--- a/internal/sender/http1/http1_test.go
+++ b/internal/sender/http1/http1_test.go
@@ -26,39 +26,171 @@
 		ending balancer.Ending
 		kept   bool
 	}{
-		"success":                    {okResponse, balancer.Success, true},
-		"interim first":              {"HTTP/1.1 100 Continue\r\n\r\n" + okResponse, balancer.Success, true},
-		"chunked":                    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", balancer.Success, true},
-		"empty":                      {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", balancer.Success, true},
-		"connection closes":          {"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", balancer.Success, false},
-		"leftover bytes":             {okResponse + "HTTP/1.1 200 OK", balancer.Success, false},
-		"error":                      {"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		"not found":                  {"HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		"204":                        {"HTTP/1.1 204 No Content\r\n\r\n", balancer.Failure, true},
-		"503, unprocessed":           {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
-		"504, unprocessed":           {"HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
-		"503 without a field":        {"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		"503, unprocessed: 0":        {"HTTP/1.1 503 E\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		"500, unprocessed":           {"HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		"no response":                {"", balancer.Broken, false},
-		"not HTTP":                   {"hello\r\n\r\n", balancer.Broken, false},
-		"half a header":              {"HTTP/1.1 200 OK\r\nContent-Le", balancer.Broken, false},
-		"half a body":                {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", balancer.Broken, false},
-		"half the chunks":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", balancer.Broken, false},
-		"unframed body":              {"HTTP/1.1 200 OK\r\n\r\nperhaps all", balancer.Broken, false},
-		"body over 64 KiB":           {"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + strings.Repeat("x", 300000), balancer.Success, true},
-		"body over 1 MiB":            {"HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n" + strings.Repeat("x", 1048577), balancer.Success, true},
-		"half a long body":           {"HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n" + strings.Repeat("x", 1048576), balancer.Broken, false},
-		"long in chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000;x=y\r\n"+strings.Repeat("x", 0x4000)+"\r\n", 20) + "0\r\nT: v\r\n\r\n", balancer.Success, true},
-		"ended by close":             {"HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\nall", balancer.Success, false},
-		"long, by close":             {"HTTP/1.1 200 OK\r\nConnection: x, close\r\n\r\n" + strings.Repeat("x", 300000), balancer.Success, false},
-		"body of 64 KiB":             {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), balancer.Success, true},
-		"half an error":              {"HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nhalf", balancer.Broken, false},
-		"half of an unprocessed 503": {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nhalf", balancer.Broken, false},
-		"two lengths":                {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi", balancer.Broken, false},
-		"many interim":               {strings.Repeat("HTTP/1.1 102 P\r\nA: b\r\n\r\n", 10) + okResponse, balancer.Success, true},
-		"unframed and 1.0":           {"HTTP/1.0 200 OK\r\n\r\nall", balancer.Success, false},
-		"1.0 with a length":          {"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi", balancer.Success, false},
+		"success": {
+			answer: okResponse,
+			ending: balancer.Success,
+			kept:   true,
+		},
+		"interim first": {
+			answer: "HTTP/1.1 100 Continue\r\n\r\n" + okResponse,
+			ending: balancer.Success,
+			kept:   true,
+		},
+		"chunked": {
+			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
+			ending: balancer.Success,
+			kept:   true,
+		},
+		"empty": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+			ending: balancer.Success,
+			kept:   true,
+		},
+		"connection closes": {
+			answer: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi",
+			ending: balancer.Success,
+			kept:   false,
+		},
+		"leftover bytes": {
+			answer: okResponse + "HTTP/1.1 200 OK",
+			ending: balancer.Success,
+			kept:   false,
+		},
+		"error": {
+			answer: "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n",
+			ending: balancer.Failure,
+			kept:   true,
+		},
+		"not found": {
+			answer: "HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n",
+			ending: balancer.Failure,
+			kept:   true,
+		},
+		"204": {
+			answer: "HTTP/1.1 204 No Content\r\n\r\n",
+			ending: balancer.Failure,
+			kept:   true,
+		},
+		"503, unprocessed": {
+			answer: "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
+			ending: balancer.Overloaded,
+			kept:   true,
+		},
+		"504, unprocessed": {
+			answer: "HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
+			ending: balancer.Overloaded,
+			kept:   true,
+		},
+		"503 without a field": {
+			answer: "HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n",
+			ending: balancer.Failure,
+			kept:   true,
+		},
+		"503, unprocessed: 0": {
+			answer: "HTTP/1.1 503 E\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n",
+			ending: balancer.Failure,
+			kept:   true,
+		},
+		"500, unprocessed": {
+			answer: "HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
+			ending: balancer.Failure,
+			kept:   true,
+		},
+		"no response": {
+			answer: "",
+			ending: balancer.Broken,
+			kept:   false,
+		},
+		"not HTTP": {
+			answer: "hello\r\n\r\n",
+			ending: balancer.Broken,
+			kept:   false,
+		},
+		"half a header": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Le",
+			ending: balancer.Broken,
+			kept:   false,
+		},
+		"half a body": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+			ending: balancer.Broken,
+			kept:   false,
+		},
+		"half the chunks": {
+			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n",
+			ending: balancer.Broken,
+			kept:   false,
+		},
+		"unframed body": {
+			answer: "HTTP/1.1 200 OK\r\n\r\nperhaps all",
+			ending: balancer.Broken,
+			kept:   false,
+		},
+		"body over 64 KiB": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n" + strings.Repeat("x", 300000),
+			ending: balancer.Success,
+			kept:   true,
+		},
+		"body over 1 MiB": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n" + strings.Repeat("x", 1048577),
+			ending: balancer.Success,
+			kept:   true,
+		},
+		"half a long body": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n" + strings.Repeat("x", 1048576),
+			ending: balancer.Broken,
+			kept:   false,
+		},
+		"long in chunks": {
+			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000;x=y\r\n"+strings.Repeat("x", 0x4000)+"\r\n", 20) + "0\r\nT: v\r\n\r\n",
+			ending: balancer.Success,
+			kept:   true,
+		},
+		"ended by close": {
+			answer: "HTTP/1.1 200 OK\r\nConnection: Close\r\n\r\nall",
+			ending: balancer.Success,
+			kept:   false,
+		},
+		"long, by close": {
+			answer: "HTTP/1.1 200 OK\r\nConnection: x, close\r\n\r\n" + strings.Repeat("x", 300000),
+			ending: balancer.Success,
+			kept:   false,
+		},
+		"body of 64 KiB": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536),
+			ending: balancer.Success,
+			kept:   true,
+		},
+		"half an error": {
+			answer: "HTTP/1.1 500 E\r\nContent-Length: 9\r\n\r\nhalf",
+			ending: balancer.Broken,
+			kept:   false,
+		},
+		"half of an unprocessed 503": {
+			answer: "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nhalf",
+			ending: balancer.Broken,
+			kept:   false,
+		},
+		"two lengths": {
+			answer: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi",
+			ending: balancer.Broken,
+			kept:   false,
+		},
+		"many interim": {
+			answer: strings.Repeat("HTTP/1.1 102 P\r\nA: b\r\n\r\n", 10) + okResponse,
+			ending: balancer.Success,
+			kept:   true,
+		},
+		"unframed and 1.0": {
+			answer: "HTTP/1.0 200 OK\r\n\r\nall",
+			ending: balancer.Success,
+			kept:   false,
+		},
+		"1.0 with a length": {
+			answer: "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nhi",
+			ending: balancer.Success,
+			kept:   false,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			release := make(chan struct{})
@@ -93,16 +225,46 @@
 func TestMalformedResponseEndsAttempt(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct{ response, repeated string }{
-		"no HTTP":                    {"\x00\x01\x02", ""},
-		"endless, no HTTP":           {"", "\x00\x01\x02"},
-		"half a head":                {"HTTP/1.1 200 OK\r\nContent-Le", ""},
-		"endless head":               {"HTTP/1.1 200 OK\r\n", "A: b\r\n"},
-		"endless interim":            {"", "HTTP/1.1 102 P\r\nA: b\r\n\r\n"},
-		"half a body":                {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", ""},
-		"declared length of 3 GB":    {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "x"},
-		"endless chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "4000\r\n" + strings.Repeat("x", 0x4000) + "\r\n"},
-		"endless, no length":         {"HTTP/1.1 200 OK\r\n\r\n", "x"},
-		"half of an unprocessed 503": {"HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nhalf", ""},
+		"no HTTP": {
+			response: "\x00\x01\x02",
+			repeated: "",
+		},
+		"endless, no HTTP": {
+			response: "",
+			repeated: "\x00\x01\x02",
+		},
+		"half a head": {
+			response: "HTTP/1.1 200 OK\r\nContent-Le",
+			repeated: "",
+		},
+		"endless head": {
+			response: "HTTP/1.1 200 OK\r\n",
+			repeated: "A: b\r\n",
+		},
+		"endless interim": {
+			response: "",
+			repeated: "HTTP/1.1 102 P\r\nA: b\r\n\r\n",
+		},
+		"half a body": {
+			response: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+			repeated: "",
+		},
+		"declared length of 3 GB": {
+			response: "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+			repeated: "x",
+		},
+		"endless chunks": {
+			response: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+			repeated: "4000\r\n" + strings.Repeat("x", 0x4000) + "\r\n",
+		},
+		"endless, no length": {
+			response: "HTTP/1.1 200 OK\r\n\r\n",
+			repeated: "x",
+		},
+		"half of an unprocessed 503": {
+			response: "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 9\r\n\r\nhalf",
+			repeated: "",
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr := testkit.Listen(t, func(conn net.Conn, r *bufio.Reader) {
@@ -191,14 +353,20 @@
 	})
 	s, ep := newTestSender(10), newEndpoint(addr)
 	ctx := context.Background()
-	if res := s.attempt(ctx, engine.NewAttempt(ep, keyedRequest(), limit, engine.Hooks{Finished: func() bool { return true }})); res.ending != balancer.NeverSent {
+	if res := s.attempt(
+		ctx,
+		engine.NewAttempt(ep, keyedRequest(), limit, engine.Hooks{Finished: func() bool { return true }}),
+	); res.ending != balancer.NeverSent {
 		t.Errorf("finished call: ending %v, want NeverSent", res.ending)
 	}
 	if _, idle := s.counts(); idle != 1 {
 		t.Error("the new connection is not kept for the next attempt")
 	}
 	drain := func() bool { ep.SetUsable(false); return false }
-	if res := s.attempt(ctx, engine.NewAttempt(ep, keyedRequest(), limit, engine.Hooks{Finished: drain})); res.ending != balancer.Unreachable {
+	if res := s.attempt(
+		ctx,
+		engine.NewAttempt(ep, keyedRequest(), limit, engine.Hooks{Finished: drain}),
+	); res.ending != balancer.Unreachable {
 		t.Errorf("unusable endpoint: ending %v, want Unreachable", res.ending)
 	}
 	testkit.Wait(t, eof)
@@ -227,7 +395,8 @@
 	})
 	s, ep := newTestSender(10), newEndpoint(addr)
 	for cause, want := range map[error]balancer.Ending{
-		engine.ErrTimedOut: balancer.TimedOut, engine.ErrWithdrawn: balancer.Canceled,
+		engine.ErrTimedOut:  balancer.TimedOut,
+		engine.ErrWithdrawn: balancer.Canceled,
 	} {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		go func() {
@@ -249,7 +418,13 @@
 	t.Parallel()
 	addr, got := testkit.Stub(t, okResponse, false)
 	for _, target := range []string{"/a%20b/?c", "//x/y?z=://", "/", "/%2F%2f//"} {
-		m := &message.Request{Method: "POST", URL: &url.URL{Opaque: target}, Authority: "app.svc", Header: map[string][]string{}, Body: []byte("a ://b")}
+		m := &message.Request{
+			Method:    "POST",
+			URL:       &url.URL{Opaque: target},
+			Authority: "app.svc",
+			Header:    map[string][]string{},
+			Body:      []byte("a ://b"),
+		}
 		if res := send(t, newTestSender(10), newEndpoint(addr), m); res.ending != balancer.Success {
 			t.Errorf("%s: ending %v", target, res.ending)
 		}
--- a/internal/sender/http1/match_test.go
+++ b/internal/sender/http1/match_test.go
@@ -34,8 +34,11 @@
 
 func newNamingSender(byOrder bool) *Sender {
 	s := New(Config{
-		ServerIdleTimeout: testkit.Limit, ConnectTimeout: limit, Connections: testkit.NewSharedLimit(10), ResponseBuffers: testkit.NewSharedLimit(1 << 40),
-		Protocol: namingProtocol{byOrder: byOrder},
+		ServerIdleTimeout: testkit.Limit,
+		ConnectTimeout:    limit,
+		Connections:       testkit.NewSharedLimit(10),
+		ResponseBuffers:   testkit.NewSharedLimit(1 << 40),
+		Protocol:          namingProtocol{byOrder: byOrder},
 	})
 	s.readTimeout, s.settleTime = limit, 0
 	return s
--- a/internal/sender/http1/read.go
+++ b/internal/sender/http1/read.go
@@ -75,7 +75,8 @@
 		if match == MatchOther {
 			// A late duplicate of the response to an earlier request; the one expected may follow.
 			c.readLimit.N = maxDiscardedBody
-			if _, err := io.Copy(io.Discard, timedReader{c, resp.Body, s.readTimeout}); err != nil || sawOther || resp.Close {
+			body := timedReader{conn: c, body: resp.Body, timeout: s.readTimeout}
+			if _, err := io.Copy(io.Discard, body); err != nil || sawOther || resp.Close {
 				return response{}, errors.Join(errOtherRequest, err)
 			}
 			sawOther, c.readLimit.N = true, maxHeaderBytes
@@ -129,14 +130,18 @@
 		content := make([]byte, n)
 		_, err := io.ReadFull(body, content)
 		status, header, contentType := s.protocol.ResponseHead(resp)
-		return response{resp: resp, reply: withHead(message.NewReply(contentType, content, nil), status, header), size: n}, err
+		return response{
+			resp:  resp,
+			reply: withHead(message.NewReply(contentType, content, nil), status, header),
+			size:  n,
+		}, err
 	}
 	c.readLimit.N = 2 * maxResponseBody // with the framing of a chunked body
 	reply, size, err := s.forwardBody(ctx, a, timedReader{c, resp.Body, s.streamReadTimeout}, resp)
 	return response{resp: resp, reply: reply, size: size}, err
 }
 
-// announcesClose says that the head about to be read has the connection option "close" (RFC 9112, section 9.6). net/http
+// announcesClose reports whether the head about to be read has the connection option "close" (RFC 9112, section 9.6). net/http
 // hides that field, and reports a close for a response without a length as well. A head that is larger than the reader's
 // buffer counts as not announcing it.
 func announcesClose(r *bufio.Reader) bool {
--- a/internal/sender/http1/stream_test.go
+++ b/internal/sender/http1/stream_test.go
@@ -66,7 +66,8 @@
 			}
 			received += len(chunk)
 		}
-		if res := testkit.Wait(t, ended); received != size || stream.Trailer() == nil || res.ending != balancer.Success || testkit.Wait(t, written) != size {
+		if res := testkit.Wait(t,
+			ended); received != size || stream.Trailer() == nil || res.ending != balancer.Success || testkit.Wait(t, written) != size {
 			t.Errorf("limit %d: %d bytes, ending %v", limit, received, res.ending)
 		}
 		if left := s.responseLimit.(*testkit.SharedLimit).Left(); left != limit {
--- a/internal/sender/http1/trust.go
+++ b/internal/sender/http1/trust.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// mayReuse says that a request may go over a reused connection.
+// mayReuse reports whether a request may go over a reused connection.
 func (t *reuseTrust) mayReuse(now time.Duration, atMostOnce bool) bool {
 	t.decay(now)
 	excess := t.reused.rate() + trustDoubt/(t.reused.n+trustPrior) - t.fresh.rate()
@@ -80,7 +80,7 @@
 	return true
 }
 
-// needsProbe says that connections of that kind break often enough for a request that is not idempotent to be written in
+// needsProbe reports whether connections of that kind break often enough for a request that is not idempotent to be written in
 // two parts, so that a break between them proves that it never ran.
 func (t *reuseTrust) needsProbe(now time.Duration, reused bool) bool {
 	t.decay(now)
@@ -90,7 +90,7 @@
 	return t.fresh.rate() > atMostOnceRisk || t.reused.rate() > atMostOnceRisk
 }
 
-// mustRunAtMostOnce says that a request must not run twice: its method is not idempotent (RFC 9110, section 9.2.2) and it has
+// mustRunAtMostOnce reports whether a request must not run twice: its method is not idempotent (RFC 9110, section 9.2.2) and it has
 // no Idempotency-Key by which servers recognise a retry.
 func mustRunAtMostOnce(m *message.Request) bool {
 	if m.Idempotency != message.IdempotencyByMethod {
--- a/internal/sender/http1/trust_test.go
+++ b/internal/sender/http1/trust_test.go
@@ -20,7 +20,7 @@
 func TestReuseTrust(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
-		reusedBreak, freshBreak int // every so manieth exchange breaks; 0: none
+		reusedBreak, freshBreak int // every so manieth exchange breaks; 0 means none
 		atMostOnce, otherwise   bool
 	}{
 		{"none break", 0, 0, true, true},
--- a/internal/sender/http1/upload_test.go
+++ b/internal/sender/http1/upload_test.go
@@ -18,7 +18,13 @@
 
 // uploadRequest returns a request whose body continues after first, and the stream to which the test pushes the rest.
 func uploadRequest(length int64, first string) (*message.Request, *message.Stream) {
-	m := &message.Request{Method: "POST", URL: &url.URL{Path: "/order/1"}, Authority: "app.svc", Header: map[string][]string{}, Body: []byte(first)}
+	m := &message.Request{
+		Method:    "POST",
+		URL:       &url.URL{Path: "/order/1"},
+		Authority: "app.svc",
+		Header:    map[string][]string{},
+		Body:      []byte(first),
+	}
 	m.BodyRest = message.NewStream(nil, func(int) {})
 	m.BodyRest.Length = length
 	return m, m.BodyRest
@@ -120,9 +126,18 @@
 		after func(rest *message.Stream, cancel context.CancelCauseFunc)
 		want  balancer.Ending
 	}{
-		"the caller breaks off": {func(rest *message.Stream, _ context.CancelCauseFunc) { rest.Finish(nil) }, balancer.Broken},
-		"timed out":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrTimedOut) }, balancer.TimedOut},
-		"withdrawn":             {func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrWithdrawn) }, balancer.Canceled},
+		"the caller breaks off": {
+			after: func(rest *message.Stream, _ context.CancelCauseFunc) { rest.Finish(nil) },
+			want:  balancer.Broken,
+		},
+		"timed out": {
+			after: func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrTimedOut) },
+			want:  balancer.TimedOut,
+		},
+		"withdrawn": {
+			after: func(_ *message.Stream, cancel context.CancelCauseFunc) { cancel(engine.ErrWithdrawn) },
+			want:  balancer.Canceled,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ran, proceed := make(chan struct{}), make(chan struct{})
--- a/internal/sender/http1/write.go
+++ b/internal/sender/http1/write.go
@@ -25,7 +25,13 @@
 	}
 	h["User-Agent"] = nil // omitted, rather than net/http's default
 	s.protocol.SetHeader(a, h)
-	r := &http.Request{Method: m.Method, URL: m.URL, Host: m.Authority, Header: h, ContentLength: int64(len(m.Body))}
+	r := &http.Request{
+		Method:        m.Method,
+		URL:           m.URL,
+		Host:          m.Authority,
+		Header:        h,
+		ContentLength: int64(len(m.Body)),
+	}
 	if m.BodyRest != nil {
 		r.ContentLength = m.BodyRest.Length
 	}
