--- a/internal/envoyconf/build.go
+++ b/internal/envoyconf/build.go
@@ -63,8 +63,8 @@
 	Settings       ProcessorSettings
 	Classes        []Class
 	Retries        int           // limit of retries of a request, in the modes that have any; default 2
-	Endpoints      []string      // host:port of each endpoint, for modes metadata and fallbacks; nil: by EDS over ADS
-	MaxStreams     int64         // limit of open streams to the processor; 0: the proxy's own default
+	Endpoints      []string      // host:port of each endpoint, for modes metadata and fallbacks; nil means by EDS over ADS
+	MaxStreams     int64         // limit of open streams to the processor; 0 means the proxy's own default
 	ConnectTimeout time.Duration // default 250 ms
 }
 
@@ -115,10 +115,16 @@
 	o = o.withDefaults()
 	slices.SortFunc(o.Classes, func(a, b Class) int { return strings.Compare(a.Name, b.Name) })
 	data := templateData{
-		Options: o, AsksEachAttempt: o.Mode == EveryTry, HasFallbacks: o.Mode == Fallbacks,
+		Options:           o,
+		AsksEachAttempt:   o.Mode == EveryTry,
+		HasFallbacks:      o.Mode == Fallbacks,
 		UsesOverrideHost:  o.Mode == ByMetadata || o.Mode == Fallbacks,
-		DestinationHeader: stream.DestinationHeader, ServedHeader: stream.ServedHeader, SubsetHeader: stream.SubsetHeader,
-		MetadataNamespace: stream.MetadataNamespace, InternalListener: internalListenerName, TimeLeftHeader: timeLeftHeader,
+		DestinationHeader: stream.DestinationHeader,
+		ServedHeader:      stream.ServedHeader,
+		SubsetHeader:      stream.SubsetHeader,
+		MetadataNamespace: stream.MetadataNamespace,
+		InternalListener:  internalListenerName,
+		TimeLeftHeader:    timeLeftHeader,
 	}
 	for _, class := range o.Classes {
 		data.longestDeadline = max(data.longestDeadline, class.Deadline)
@@ -180,5 +186,7 @@
 var bootstrapText string
 
 var bootstrapTemplate = template.Must(template.New("bootstrap").Funcs(template.FuncMap{
-	"seconds": seconds, "address": address, "routeTimeout": routeTimeout,
+	"seconds":      seconds,
+	"address":      address,
+	"routeTimeout": routeTimeout,
 }).Parse(bootstrapText))
--- a/internal/envoyconf/build_test.go
+++ b/internal/envoyconf/build_test.go
@@ -8,16 +8,23 @@
 
 // settingsOf are the settings of a processor for each mode.
 var settingsOf = map[Mode]ProcessorSettings{
-	ByHeader: defaultSettings, ByMetadata: defaultSettings, Fallbacks: {DecisionTimeout: defaultSettings.DecisionTimeout, MaxFallbacks: 2},
-	EveryTry: {DecisionTimeout: defaultSettings.DecisionTimeout, Retries: true, RetryHeader: "x-again"},
+	ByHeader:   defaultSettings,
+	ByMetadata: defaultSettings,
+	Fallbacks:  {DecisionTimeout: defaultSettings.DecisionTimeout, MaxFallbacks: 2},
+	EveryTry:   {DecisionTimeout: defaultSettings.DecisionTimeout, Retries: true, RetryHeader: "x-again"},
 }
 
 // buildText is the configuration of a mode for a processor with the settings of settingsOf.
 func buildText(t testing.TB, m Mode) string {
 	t.Helper()
 	text, err := Build(Options{
-		Mode: m, Processor: "127.0.0.1:9002", Settings: settingsOf[m], Retries: 2, MaxStreams: 100,
-		Endpoints: []string{"127.0.0.1:1", "127.0.0.1:2"}, Classes: []Class{{"read", 2 * time.Second, true}, {"order", 6 * time.Second, false}},
+		Mode:       m,
+		Processor:  "127.0.0.1:9002",
+		Settings:   settingsOf[m],
+		Retries:    2,
+		MaxStreams: 100,
+		Endpoints:  []string{"127.0.0.1:1", "127.0.0.1:2"},
+		Classes:    []Class{{"read", 2 * time.Second, true}, {"order", 6 * time.Second, false}},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -35,14 +42,27 @@
 
 func TestBuildRejectsOptionsThatDoNotFit(t *testing.T) {
 	for name, options := range map[string]Options{
-		"unknown mode":              {Mode: "x", Processor: "a:1"},
-		"retries in another mode":   {Mode: ByHeader, Processor: "a:1", Settings: settingsOf[EveryTry]},
-		"no retries":                {Mode: EveryTry, Processor: "a:1", Settings: defaultSettings},
-		"no retry header":           {Mode: EveryTry, Processor: "a:1", Settings: ProcessorSettings{Retries: true}},
-		"fallbacks in another mode": {Mode: ByHeader, Processor: "a:1", Settings: ProcessorSettings{DecisionTimeout: defaultSettings.DecisionTimeout, MaxFallbacks: 2}},
-		"no fallbacks":              {Mode: Fallbacks, Processor: "a:1", Settings: defaultSettings},
-		"no processor":              {Mode: ByHeader, Settings: defaultSettings},
-		"malformed address":         {Mode: ByHeader, Listen: "x", Processor: "a:1", Settings: defaultSettings},
+		"unknown mode":            {Mode: "x", Processor: "a:1"},
+		"retries in another mode": {Mode: ByHeader, Processor: "a:1", Settings: settingsOf[EveryTry]},
+		"no retries":              {Mode: EveryTry, Processor: "a:1", Settings: defaultSettings},
+		"no retry header": {
+			Mode:      EveryTry,
+			Processor: "a:1",
+			Settings:  ProcessorSettings{Retries: true},
+		},
+		"fallbacks in another mode": {
+			Mode:      ByHeader,
+			Processor: "a:1",
+			Settings:  ProcessorSettings{DecisionTimeout: defaultSettings.DecisionTimeout, MaxFallbacks: 2},
+		},
+		"no fallbacks": {Mode: Fallbacks, Processor: "a:1", Settings: defaultSettings},
+		"no processor": {Mode: ByHeader, Settings: defaultSettings},
+		"malformed address": {
+			Mode:      ByHeader,
+			Listen:    "x",
+			Processor: "a:1",
+			Settings:  defaultSettings,
+		},
 	} {
 		if text, err := Build(options); err == nil {
 			t.Errorf("%s: %s", name, text)
@@ -62,25 +82,139 @@
 		name, old, new string
 		path           string
 	}{
-		{EveryTry, "retries on its own conditions", "retry_on: retriable-headers", `retry_on: "retriable-headers,connect-failure"`, outer + host + ".routes[0].route.retry_policy.retry_on"},
-		{EveryTry, "another header", `retriable_headers: [{ name: "x-again"`, `retriable_headers: [{ name: "x-other"`, outer + host + ".routes[0].route.retry_policy.retriable_headers"},
-		{EveryTry, "retry header reaches clients", `response_headers_to_remove: ["x-again"]`, `response_headers_to_remove: ["x-other"]`, outer + host + ".response_headers_to_remove"},
-		{EveryTry, "per-try time-out", "num_retries: 2", "num_retries: 2\n                              per_try_timeout: 1s", outer + host + ".routes[0].route.retry_policy.per_try_timeout"},
-		{EveryTry, "never retries", "retry_on: retriable-headers", `retry_on: ""`, outer + host + ".routes[0].route.retry_policy"},
-		{EveryTry, "attempt count not sent", "include_request_attempt_count: true", "include_request_attempt_count: false", outer + host + ".include_request_attempt_count"},
-		{EveryTry, "trusts clients' headers", "use_remote_address: true", "use_remote_address: false", outer + ".use_remote_address"},
-		{EveryTry, "keeps clients' ids", "use_remote_address: true", "preserve_external_request_id: true\n                use_remote_address: true", outer + ".preserve_external_request_id"},
-		{EveryTry, "hedges requests", "cluster: every-try\n", "cluster: every-try\n                            hedge_policy: { hedge_on_per_try_timeout: true }\n", outer + host + ".routes[0].route.hedge_policy"},
-		{EveryTry, "retries behind the internal listener", "route: { cluster: chosen, timeout: 6.05s }", "route: { cluster: chosen, timeout: 6.05s, retry_policy: { retry_on: reset } }", inner + host + ".routes[0].route.retry_policy"},
-		{EveryTry, "no route to the internal listener", "server_listener_name: every-try", "server_listener_name: other", inner},
-		{EveryTry, "fails open behind the internal listener", "failure_mode_allow: false", "failure_mode_allow: true", inner + ".http_filters[0].failure_mode_allow"},
-		{Fallbacks, "host beyond the list", "fallback_policy: NO_FALLBACK", "fallback_policy: ANY_ENDPOINT", outer + host + ".routes[0].route.retry_policy"},
-		{Fallbacks, "more retries than fallbacks", "num_retries: 2", "num_retries: 3", outer + host + ".routes[0].route.retry_policy.num_retries"},
-		{Fallbacks, "attempt count not in the response", "include_attempt_count_in_response: true", "include_attempt_count_in_response: false", outer + host + ".include_attempt_count_in_response"},
-		{Fallbacks, "metadata not received", `receiving_namespaces: { untyped: ["envoy.lb"] }`, `receiving_namespaces: { untyped: ["other"] }`, "static_resources.clusters[0].load_balancing_policy.policies[0].override_host_sources[0].metadata"},
-		{ByMetadata, "another namespace", "metadata: { key: envoy.lb, path", "metadata: { key: other, path", "static_resources.clusters[0].load_balancing_policy.policies[0].override_host_sources[0].metadata"},
-		{ByMetadata, "retries beyond a list of one", "route: { cluster: chosen, timeout: 6.05s }", "route: { cluster: chosen, timeout: 6.05s, retry_policy: { retry_on: reset, num_retries: 1 } }", outer + host + ".routes[0].route.retry_policy.num_retries"},
-		{ByHeader, "retries without asking", "route: { cluster: chosen, timeout: 6.05s }", "route: { cluster: chosen, timeout: 6.05s, retry_policy: { retry_on: reset } }", outer + host + ".routes[0].route.retry_policy"},
+		{
+			mode: EveryTry,
+			name: "retries on its own conditions",
+			old:  "retry_on: retriable-headers",
+			new:  `retry_on: "retriable-headers,connect-failure"`,
+			path: outer + host + ".routes[0].route.retry_policy.retry_on",
+		},
+		{
+			mode: EveryTry,
+			name: "another header",
+			old:  `retriable_headers: [{ name: "x-again"`,
+			new:  `retriable_headers: [{ name: "x-other"`,
+			path: outer + host + ".routes[0].route.retry_policy.retriable_headers",
+		},
+		{
+			mode: EveryTry,
+			name: "retry header reaches clients",
+			old:  `response_headers_to_remove: ["x-again"]`,
+			new:  `response_headers_to_remove: ["x-other"]`,
+			path: outer + host + ".response_headers_to_remove",
+		},
+		{
+			mode: EveryTry,
+			name: "per-try time-out",
+			old:  "num_retries: 2",
+			new:  "num_retries: 2\n                              per_try_timeout: 1s",
+			path: outer + host + ".routes[0].route.retry_policy.per_try_timeout",
+		},
+		{
+			mode: EveryTry,
+			name: "never retries",
+			old:  "retry_on: retriable-headers",
+			new:  `retry_on: ""`,
+			path: outer + host + ".routes[0].route.retry_policy",
+		},
+		{
+			mode: EveryTry,
+			name: "attempt count not sent",
+			old:  "include_request_attempt_count: true",
+			new:  "include_request_attempt_count: false",
+			path: outer + host + ".include_request_attempt_count",
+		},
+		{
+			mode: EveryTry,
+			name: "trusts clients' headers",
+			old:  "use_remote_address: true",
+			new:  "use_remote_address: false",
+			path: outer + ".use_remote_address",
+		},
+		{
+			mode: EveryTry,
+			name: "keeps clients' ids",
+			old:  "use_remote_address: true",
+			new:  "preserve_external_request_id: true\n                use_remote_address: true",
+			path: outer + ".preserve_external_request_id",
+		},
+		{
+			mode: EveryTry,
+			name: "hedges requests",
+			old:  "cluster: every-try\n",
+			new:  "cluster: every-try\n                            hedge_policy: { hedge_on_per_try_timeout: true }\n",
+			path: outer + host + ".routes[0].route.hedge_policy",
+		},
+		{
+			mode: EveryTry,
+			name: "retries behind the internal listener",
+			old:  "route: { cluster: chosen, timeout: 6.05s }",
+			new:  "route: { cluster: chosen, timeout: 6.05s, retry_policy: { retry_on: reset } }",
+			path: inner + host + ".routes[0].route.retry_policy",
+		},
+		{
+			mode: EveryTry,
+			name: "no route to the internal listener",
+			old:  "server_listener_name: every-try",
+			new:  "server_listener_name: other",
+			path: inner,
+		},
+		{
+			mode: EveryTry,
+			name: "fails open behind the internal listener",
+			old:  "failure_mode_allow: false",
+			new:  "failure_mode_allow: true",
+			path: inner + ".http_filters[0].failure_mode_allow",
+		},
+		{
+			mode: Fallbacks,
+			name: "host beyond the list",
+			old:  "fallback_policy: NO_FALLBACK",
+			new:  "fallback_policy: ANY_ENDPOINT",
+			path: outer + host + ".routes[0].route.retry_policy",
+		},
+		{
+			mode: Fallbacks,
+			name: "more retries than fallbacks",
+			old:  "num_retries: 2",
+			new:  "num_retries: 3",
+			path: outer + host + ".routes[0].route.retry_policy.num_retries",
+		},
+		{
+			mode: Fallbacks,
+			name: "attempt count not in the response",
+			old:  "include_attempt_count_in_response: true",
+			new:  "include_attempt_count_in_response: false",
+			path: outer + host + ".include_attempt_count_in_response",
+		},
+		{
+			mode: Fallbacks,
+			name: "metadata not received",
+			old:  `receiving_namespaces: { untyped: ["envoy.lb"] }`,
+			new:  `receiving_namespaces: { untyped: ["other"] }`,
+			path: "static_resources.clusters[0].load_balancing_policy.policies[0].override_host_sources[0].metadata",
+		},
+		{
+			mode: ByMetadata,
+			name: "another namespace",
+			old:  "metadata: { key: envoy.lb, path",
+			new:  "metadata: { key: other, path",
+			path: "static_resources.clusters[0].load_balancing_policy.policies[0].override_host_sources[0].metadata",
+		},
+		{
+			mode: ByMetadata,
+			name: "retries beyond a list of one",
+			old:  "route: { cluster: chosen, timeout: 6.05s }",
+			new:  "route: { cluster: chosen, timeout: 6.05s, retry_policy: { retry_on: reset, num_retries: 1 } }",
+			path: outer + host + ".routes[0].route.retry_policy.num_retries",
+		},
+		{
+			mode: ByHeader,
+			name: "retries without asking",
+			old:  "route: { cluster: chosen, timeout: 6.05s }",
+			new:  "route: { cluster: chosen, timeout: 6.05s, retry_policy: { retry_on: reset } }",
+			path: outer + host + ".routes[0].route.retry_policy",
+		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/envoyconf/check.go
+++ b/internal/envoyconf/check.go
@@ -22,7 +22,7 @@
 	DecisionTimeout time.Duration // decide_within: the longest time to a decision
 	Retries         bool          // retries: it expects to be asked for each attempt
 	MaxFallbacks    int           // fallbacks: the most endpoints that it names after the one it picked, over all pools
-	// RetryHeader is the header that it sets in the response of a failed attempt if the proxy may retry; "": none.
+	// RetryHeader is the header that it sets in the response of a failed attempt if the proxy may retry; "" means none.
 	RetryHeader string
 }
 
@@ -46,8 +46,11 @@
 		return nil, err
 	}
 	c := &checker{
-		settings: settings, clusters: map[string]*clusterv3.Cluster{}, clusterPaths: map[string]string{},
-		askingInternal: map[string]bool{}, reachedInternal: map[string]bool{},
+		settings:        settings,
+		clusters:        map[string]*clusterv3.Cluster{},
+		clusterPaths:    map[string]string{},
+		askingInternal:  map[string]bool{},
+		reachedInternal: map[string]bool{},
 	}
 	for i, cluster := range bootstrap.GetStaticResources().GetClusters() {
 		c.clusters[cluster.GetName()] = cluster
--- a/internal/envoyconf/clusters.go
+++ b/internal/envoyconf/clusters.go
@@ -114,7 +114,7 @@
 	return nil, 0
 }
 
-// hasNoFallbackHost says that there is no host but those that the processor named: the fallback policy is an empty
+// hasNoFallbackHost reports whether there is no host but those that the processor named: the fallback policy is an empty
 // subset.
 func hasNoFallbackHost(policy *overridev3.OverrideHost) bool {
 	for _, fallback := range policy.GetFallbackPolicy().GetPolicies() {
--- a/internal/envoyconf/filter.go
+++ b/internal/envoyconf/filter.go
@@ -33,9 +33,13 @@
 	}
 	if timeout <= c.settings.DecisionTimeout {
 		c.add(Finding{
-			Path:    path + ".message_timeout",
-			Problem: fmt.Sprintf("%v is no longer than the processor's decide_within of %v, so decisions can come too late", timeout, c.settings.DecisionTimeout),
-			Remedy:  "make it longer, or decide_within shorter",
+			Path: path + ".message_timeout",
+			Problem: fmt.Sprintf(
+				"%v is no longer than the processor's decide_within of %v, so decisions can come too late",
+				timeout,
+				c.settings.DecisionTimeout,
+			),
+			Remedy: "make it longer, or decide_within shorter",
 		})
 	}
 	if filter.GetDisableImmediateResponse() {
@@ -81,7 +85,7 @@
 	}
 }
 
-// receivesMetadata says that the filter lets a processor set dynamic metadata of a namespace.
+// receivesMetadata reports whether the filter lets a processor set dynamic metadata of a namespace.
 func receivesMetadata(filter *extprocv3.ExternalProcessor, namespace string) bool {
 	return slices.Contains(filter.GetMetadataOptions().GetReceivingNamespaces().GetUntyped(), namespace)
 }
--- a/internal/envoyconf/listeners.go
+++ b/internal/envoyconf/listeners.go
@@ -19,10 +19,10 @@
 	config   *hcmv3.HttpConnectionManager
 }
 
-// isInternal says that only other listeners of the same proxy connect to it.
+// isInternal reports whether only other listeners of the same proxy connect to it.
 func (m connectionManager) isInternal() bool { return m.listener.GetInternalListener() != nil }
 
-// asksProcessor says that an external processor is among its filters.
+// asksProcessor reports whether an external processor is among its filters.
 func (m connectionManager) asksProcessor() bool {
 	for _, filter := range m.config.GetHttpFilters() {
 		if filter.GetTypedConfig().MessageIs(&extprocv3.ExternalProcessor{}) {
@@ -95,7 +95,12 @@
 			if filter.GetTypedConfig().MessageIs(&extprocv3.ExternalProcessor{}) {
 				c.hasUpstreamFilter = true
 				c.add(Finding{
-					Path:    fmt.Sprintf("%s.typed_extension_protocol_options[%s].http_filters[%d]", c.clusterPaths[cluster.GetName()], name, i),
+					Path: fmt.Sprintf(
+						"%s.typed_extension_protocol_options[%s].http_filters[%d]",
+						c.clusterPaths[cluster.GetName()],
+						name,
+						i,
+					),
 					Problem: "the processor is an upstream filter: the router has selected the host before these run, so the decision has no effect but is accounted for",
 					Remedy:  "make it a filter of the HTTP connection manager; to be asked for each attempt, of one behind an internal listener",
 				})
--- a/internal/source/registry/list.go
+++ b/internal/source/registry/list.go
@@ -33,7 +33,9 @@
 const stateDeleted = "DELETED"
 
 var serverStates = map[string]balancer.ServerState{
-	"SERVING": balancer.Ready, "DRAINING": balancer.Draining, stateDeleted: balancer.Gone,
+	"SERVING":    balancer.Ready,
+	"DRAINING":   balancer.Draining,
+	stateDeleted: balancer.Gone,
 }
 
 // ParseList parses and validates one message. A message with any invalid entry is invalid altogether:
@@ -76,7 +78,8 @@
 // Update returns the message as an update for an engine.
 func (l List) Update() engine.ListUpdate {
 	update := engine.ListUpdate{
-		Full: l.Complete, Version: strconv.FormatInt(l.Revision, 10),
+		Full:    l.Complete,
+		Version: strconv.FormatInt(l.Revision, 10),
 		Servers: make([]engine.Listed, 0, len(l.Targets)),
 	}
 	for _, t := range l.Targets {
@@ -89,7 +92,11 @@
 // time needs no conversion but of its unit.
 func (t Target) server() balancer.Server {
 	return balancer.Server{
-		ID: t.UID, Zone: t.Zone, Cell: t.Cell, State: serverStates[t.State],
-		Size: t.Size, StartedAt: time.Duration(t.BootMS * float64(time.Millisecond)),
+		ID:        t.UID,
+		Zone:      t.Zone,
+		Cell:      t.Cell,
+		State:     serverStates[t.State],
+		Size:      t.Size,
+		StartedAt: time.Duration(t.BootMS * float64(time.Millisecond)),
 	}
 }
--- a/internal/source/registry/source.go
+++ b/internal/source/registry/source.go
@@ -45,8 +45,9 @@
 // New returns a source of the registry at addr, host:port.
 func New(addr string) *Source {
 	return &Source{
-		addr: addr, watchTimeout: watchTimeout,
-		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
+		addr:         addr,
+		watchTimeout: watchTimeout,
+		client:       &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 }
 
--- a/internal/source/registry/source_test.go
+++ b/internal/source/registry/source_test.go
@@ -207,7 +207,11 @@
 	source := New(strings.TrimPrefix(s.URL, "http://"))
 	source.watchTimeout = testkit.Limit
 	for _, since := range []string{"", "7"} {
-		if err := source.Watch(context.Background(), since, func(n engine.ListUpdate) { t.Errorf("an update %+v", n) }); err == nil || errors.Is(err, errSilent) {
+		if err := source.Watch(
+			context.Background(),
+			since,
+			func(n engine.ListUpdate) { t.Errorf("an update %+v", n) },
+		); err == nil || errors.Is(err, errSilent) {
 			t.Errorf("since %q: ended with %v", since, err)
 		}
 	}
--- a/internal/source/xds/xds_test.go
+++ b/internal/source/xds/xds_test.go
@@ -30,7 +30,8 @@
 		}})
 	}
 	plane.Set(resource.EndpointURL, map[string]proto.Message{cluster: &endpointv3.ClusterLoadAssignment{
-		ClusterName: cluster, Endpoints: []*endpointv3.LocalityLbEndpoints{locality},
+		ClusterName: cluster,
+		Endpoints:   []*endpointv3.LocalityLbEndpoints{locality},
 	}})
 }
 
--- a/internal/trace/events.go
+++ b/internal/trace/events.go
@@ -17,16 +17,27 @@
 		m.recordAnswer(now, e.ID, answerGone)
 	case balancer.Fleet:
 		m.writeDetail(Detail{
-			AtMS: milliseconds(now), What: whatFleet,
-			How: fmt.Sprintf("%d of %d, 1/%v of rations, %d servers", e.Index, e.Balancers, e.Divisor, len(e.Subset)),
+			AtMS: milliseconds(now),
+			What: whatFleet,
+			How:  fmt.Sprintf("%d of %d, 1/%v of rations, %d servers", e.Index, e.Balancers, e.Divisor, len(e.Subset)),
 		})
 	case balancer.PeerReports:
 		for _, exclusion := range e.Exclusions {
-			m.writeDetail(Detail{AtMS: milliseconds(now), What: whatEjected, Server: exclusion.ID, LeftMS: milliseconds(exclusion.Until - now)})
+			m.writeDetail(Detail{
+				AtMS:   milliseconds(now),
+				What:   whatEjected,
+				Server: exclusion.ID,
+				LeftMS: milliseconds(exclusion.Until - now),
+			})
 		}
 	case balancer.ServerList:
 		for _, s := range e.Servers {
-			m.writeDetail(Detail{AtMS: milliseconds(now), What: whatListed, Server: s.ID, How: stateNames[s.State]})
+			m.writeDetail(Detail{
+				AtMS:   milliseconds(now),
+				What:   whatListed,
+				Server: s.ID,
+				How:    stateNames[s.State],
+			})
 		}
 	}
 }
@@ -36,13 +47,26 @@
 	if m.open[e.ID] == nil {
 		m.open[e.ID] = &openRequest{class: e.Class, arrived: now}
 	}
-	m.writeDetail(Detail{AtMS: milliseconds(now), What: whatRequest, ID: e.ID, Class: e.Class, LeftMS: milliseconds(e.Deadline - now)})
+	m.writeDetail(Detail{
+		AtMS:   milliseconds(now),
+		What:   whatRequest,
+		ID:     e.ID,
+		Class:  e.Class,
+		LeftMS: milliseconds(e.Deadline - now),
+	})
 }
 
 func (m *Module) recordOutcome(now time.Duration, e balancer.Outcome) {
 	ending := endingNames[e.Ending]
 	m.counts.Endings[ending]++
-	detail := Detail{AtMS: milliseconds(now), What: whatEnd, ID: e.ID, Server: e.Server, Attempt: e.Attempt, How: ending}
+	detail := Detail{
+		AtMS:    milliseconds(now),
+		What:    whatEnd,
+		ID:      e.ID,
+		Server:  e.Server,
+		Attempt: e.Attempt,
+		How:     ending,
+	}
 	request := m.open[e.ID]
 	if request == nil {
 		m.writeDetail(detail)
@@ -103,8 +127,13 @@
 	request.sent = append(request.sent, now)
 	request.inFlight++
 	m.writeDetail(Detail{
-		AtMS: milliseconds(now), What: whatSend, ID: a.ID, Class: request.class, Server: a.Server,
-		Attempt: len(request.sent) - 1, TookMS: waited,
+		AtMS:    milliseconds(now),
+		What:    whatSend,
+		ID:      a.ID,
+		Class:   request.class,
+		Server:  a.Server,
+		Attempt: len(request.sent) - 1,
+		TookMS:  waited,
 	})
 }
 
@@ -125,7 +154,14 @@
 	took := milliseconds(now - request.arrived)
 	m.counts.Answers[how]++
 	m.counts.MaxAnswerMS = max(m.counts.MaxAnswerMS, took)
-	m.writeDetail(Detail{AtMS: milliseconds(now), What: whatAnswer, ID: id, Class: request.class, How: how, TookMS: took})
+	m.writeDetail(Detail{
+		AtMS:   milliseconds(now),
+		What:   whatAnswer,
+		ID:     id,
+		Class:  request.class,
+		How:    how,
+		TookMS: took,
+	})
 }
 
 // forgetIfDone drops a request that is answered and has no attempt in flight.
--- a/internal/trace/records.go
+++ b/internal/trace/records.go
@@ -63,12 +63,21 @@
 )
 
 var endingNames = map[balancer.Ending]string{
-	balancer.Success: "success", balancer.Failure: "failure",
-	balancer.Overloaded: "overloaded", balancer.TimedOut: "timed_out", balancer.Unreachable: "unreachable",
-	balancer.Broken: "broken", balancer.Canceled: "withdrawn", balancer.NeverSent: "void",
+	balancer.Success:     "success",
+	balancer.Failure:     "failure",
+	balancer.Overloaded:  "overloaded",
+	balancer.TimedOut:    "timed_out",
+	balancer.Unreachable: "unreachable",
+	balancer.Broken:      "broken",
+	balancer.Canceled:    "withdrawn",
+	balancer.NeverSent:   "void",
 }
 
-var stateNames = map[balancer.ServerState]string{balancer.Ready: "ready", balancer.Draining: "draining", balancer.Gone: "gone"}
+var stateNames = map[balancer.ServerState]string{
+	balancer.Ready:    "ready",
+	balancer.Draining: "draining",
+	balancer.Gone:     "gone",
+}
 
 // milliseconds rounds to microseconds, as many digits as are of use in a trace.
 func milliseconds(d time.Duration) float64 {
--- a/internal/trace/sink.go
+++ b/internal/trace/sink.go
@@ -24,12 +24,16 @@
 	remaining int64 // bytes that may still be written, if bounded
 }
 
-// NewSink returns a sink that writes to w, at most limit bytes in all; 0: no limit. The caller closes the
+// NewSink returns a sink that writes to w, at most limit bytes in all; 0 means no limit. The caller closes the
 // sink, and then w.
 func NewSink(w io.Writer, limit int64) *Sink {
 	s := &Sink{
-		lines: make(chan []byte, maxQueuedLines), quit: make(chan struct{}), done: make(chan struct{}),
-		w: w, bounded: limit > 0, remaining: limit,
+		lines:     make(chan []byte, maxQueuedLines),
+		quit:      make(chan struct{}),
+		done:      make(chan struct{}),
+		w:         w,
+		bounded:   limit > 0,
+		remaining: limit,
 	}
 	go s.run()
 	return s
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -25,9 +25,9 @@
 
 // Options say what is written.
 type Options struct {
-	Interval   time.Duration // between two summaries; 0: a second
+	Interval   time.Duration // between two summaries; 0 means a second
 	Detail     bool          // write every request, attempt and answer as well
-	MaxServers int           // listed in a summary; 0: 32
+	MaxServers int           // listed in a summary; 0 means 32
 }
 
 const (
@@ -42,7 +42,7 @@
 	sink           *Sink
 	options        Options
 	latencyTargets map[string]time.Duration // by class
-	lastSummary    time.Duration            // 0: none yet
+	lastSummary    time.Duration            // 0 means none yet
 	counts         Counts                   // since the last summary
 	successTime    time.Duration            // sum of the latencies of successes, since the last summary
 	open           map[string]*openRequest  // by id
@@ -65,7 +65,13 @@
 	if options.MaxServers == 0 {
 		options.MaxServers = defaultMaxServers
 	}
-	m := &Module{next: next, sink: sink, options: options, latencyTargets: map[string]time.Duration{}, open: map[string]*openRequest{}}
+	m := &Module{
+		next:           next,
+		sink:           sink,
+		options:        options,
+		latencyTargets: map[string]time.Duration{},
+		open:           map[string]*openRequest{},
+	}
 	for _, c := range classes {
 		m.latencyTargets[c.Name] = c.Aim
 	}
@@ -95,7 +101,12 @@
 }
 
 func (m *Module) writeSummary(now time.Duration) {
-	s := Summary{AtMS: milliseconds(now), SpanMS: milliseconds(now - m.lastSummary), Counts: m.counts, Dropped: m.sink.Dropped()}
+	s := Summary{
+		AtMS:    milliseconds(now),
+		SpanMS:  milliseconds(now - m.lastSummary),
+		Counts:  m.counts,
+		Dropped: m.sink.Dropped(),
+	}
 	if successes := m.counts.Endings[endingNames[balancer.Success]]; successes > 0 {
 		s.Counts.MeanLatencyMS = milliseconds(m.successTime) / float64(successes)
 	}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -70,7 +70,13 @@
 		m.Handle(start, balancer.Request{ID: id, Class: "get", Deadline: start + time.Second})
 	}
 	outcome := func(after time.Duration, id string, attempt int, ending balancer.Ending, ended bool) {
-		m.Handle(start+after, balancer.Outcome{ID: id, Attempt: attempt, Server: "s", Ending: ending, Ended: ended})
+		m.Handle(start+after, balancer.Outcome{
+			ID:      id,
+			Attempt: attempt,
+			Server:  "s",
+			Ending:  ending,
+			Ended:   ended,
+		})
 	}
 	for _, id := range []string{"ok", "late", "away", "two", "gone"} {
 		request(id)
@@ -104,7 +110,12 @@
 func play(t *testing.T, traced bool) (all []balancer.Action) {
 	t.Helper()
 	settings := balancer.Settings{
-		Classes:     []balancer.Class{{Name: "get", Effect: balancer.Idempotent, Aim: time.Second, Deadline: 3 * time.Second}},
+		Classes: []balancer.Class{{
+			Name:     "get",
+			Effect:   balancer.Idempotent,
+			Aim:      time.Second,
+			Deadline: 3 * time.Second,
+		}},
 		MaxAttempts: 3,
 	}
 	b, err := balancer.New(settings, 3)
@@ -121,10 +132,19 @@
 	for i := range 300 {
 		now := time.Duration(i) * 20 * time.Millisecond
 		id := string(rune('a'+i%26)) + strings.Repeat("x", i/26)
-		for _, a := range module.Handle(now, balancer.Request{ID: id, Class: "get", Deadline: now + time.Second}) {
+		for _, a := range module.Handle(now, balancer.Request{
+			ID:       id,
+			Class:    "get",
+			Deadline: now + time.Second,
+		}) {
 			all = append(all, a)
 			if send, ok := a.(balancer.Send); ok {
-				outcome := balancer.Outcome{ID: id, Server: send.Server, Ending: balancer.Success, Ended: true}
+				outcome := balancer.Outcome{
+					ID:     id,
+					Server: send.Server,
+					Ending: balancer.Success,
+					Ended:  true,
+				}
 				all = append(all, module.Handle(now+10*time.Millisecond, outcome)...)
 			}
 		}
--- a/internal/xds/ads/failover.go
+++ b/internal/xds/ads/failover.go
@@ -109,8 +109,10 @@
 // NewFailover returns a failover that has not opened a stream yet.
 func NewFailover(cfg FailoverConfig, seed uint64) *Failover {
 	return &Failover{
-		cfg: cfg.withDefaults(), random: rand.New(rand.NewPCG(seed, randomStream)),
-		servers: make([]serverState, cfg.Servers), active: noServer,
+		cfg:     cfg.withDefaults(),
+		random:  rand.New(rand.NewPCG(seed, randomStream)),
+		servers: make([]serverState, cfg.Servers),
+		active:  noServer,
 	}
 }
 
@@ -176,7 +178,7 @@
 	return steps
 }
 
-// suffices says that no server of lower priority is needed beside this one: it responds, or may still
+// suffices reports whether no server of lower priority is needed beside this one: it responds, or may still
 // respond in time, or did respond before its stream broke and so is tried again by itself first.
 func (f *Failover) suffices(now time.Duration, s *serverState) bool {
 	switch s.phase {
--- a/internal/xds/ads/helpers_test.go
+++ b/internal/xds/ads/helpers_test.go
@@ -42,7 +42,8 @@
 
 func newMachine(delta bool) *Machine {
 	return New(Config{
-		Delta: delta, Node: &corev3.Node{Id: "me"},
+		Delta: delta,
+		Node:  &corev3.Node{Id: "me"},
 		Types: []Type{
 			{URL: clusterURL, AllResourcesRequiredInSotW: true, Decode: decodeText},
 			{URL: endpointURL, Decode: decodeText},
@@ -70,7 +71,11 @@
 		case text[0] == '-':
 			r.RemovedResources = append(r.RemovedResources, text[1:])
 		case hasValue:
-			r.Resources = append(r.Resources, &discovery.Resource{Name: name, Version: "v" + nonce, Resource: body(url, text)})
+			r.Resources = append(r.Resources, &discovery.Resource{
+				Name:     name,
+				Version:  "v" + nonce,
+				Resource: body(url, text),
+			})
 		default:
 			r.Resources = append(r.Resources, &discovery.Resource{Name: name, Version: "v" + nonce})
 		}
--- a/internal/xds/ads/machine.go
+++ b/internal/xds/ads/machine.go
@@ -13,7 +13,7 @@
 	Delta           bool // speak the incremental variant instead of SotW
 	Node            *corev3.Node
 	Types           []Type        // in the order in which a new stream subscribes to them
-	ResourceTimeout time.Duration // after which a requested resource is taken not to exist; 0: 15 s
+	ResourceTimeout time.Duration // after which a requested resource is taken not to exist; 0 means 15 s
 }
 
 // defaultResourceTimeout is the specification's ("Knowing When a Requested Resource Does Not Exist").
@@ -210,7 +210,7 @@
 	acceptedVersion     string        // of the last accepted response of this control plane
 	nonce               string        // of the last response on this stream
 	requested           bool          // a request of this type was sent on this stream
-	removeUnconfirmedAt time.Duration // when resources of the control plane before are removed; 0: never
+	removeUnconfirmedAt time.Duration // when resources of the control plane before are removed; 0 means never
 }
 
 // diff compares the subscription with the new names and returns these as a set, with the names that are
@@ -233,7 +233,7 @@
 	return next, added, removed
 }
 
-// includes says whether a resource of this name is subscribed to.
+// includes reports whether a resource of this name is subscribed to.
 func (s *subscription) includes(name string) bool { return s.wildcard || s.names[name] }
 
 // remove removes a resource. One that is subscribed to by name stays known as nonexistent.
@@ -244,8 +244,12 @@
 		return
 	}
 	*r = Resource{
-		Name: r.Name, Status: DoesNotExist, ChangedAt: now,
-		RejectionReason: r.RejectionReason, RejectedAt: r.RejectedAt, confirmed: r.confirmed,
+		Name:            r.Name,
+		Status:          DoesNotExist,
+		ChangedAt:       now,
+		RejectionReason: r.RejectionReason,
+		RejectedAt:      r.RejectedAt,
+		confirmed:       r.confirmed,
 	}
 }
 
--- a/internal/xds/ads/machine_property_test.go
+++ b/internal/xds/ads/machine_property_test.go
@@ -49,7 +49,9 @@
 
 func newMachineModel(delta bool) *machineModel {
 	return &machineModel{
-		machine: newMachine(delta), delta: delta, now: 1,
+		machine:    newMachine(delta),
+		delta:      delta,
+		now:        1,
 		subscribed: map[string]map[string]bool{clusterURL: {}, endpointURL: {}},
 		requested:  map[string]bool{},
 		expected:   valuesByType{clusterURL: {}, endpointURL: {}},
--- a/internal/xds/ads/request.go
+++ b/internal/xds/ads/request.go
@@ -27,7 +27,9 @@
 		return
 	}
 	m.emit(SendRequest{Delta: &discovery.DeltaDiscoveryRequest{
-		TypeUrl: sub.URL, ResourceNamesSubscribe: added, ResourceNamesUnsubscribe: removed,
+		TypeUrl:                  sub.URL,
+		ResourceNamesSubscribe:   added,
+		ResourceNamesUnsubscribe: removed,
 	}})
 }
 
@@ -41,7 +43,10 @@
 		}
 	}
 	return &discovery.DeltaDiscoveryRequest{
-		Node: m.cfg.Node, TypeUrl: sub.URL, ResourceNamesSubscribe: sub.resourceNames(), InitialResourceVersions: versions,
+		Node:                    m.cfg.Node,
+		TypeUrl:                 sub.URL,
+		ResourceNamesSubscribe:  sub.resourceNames(),
+		InitialResourceVersions: versions,
 	}
 }
 
@@ -49,8 +54,11 @@
 // nonce of the last response. It acknowledges that response, or rejects it with errorDetail (NACK).
 func (m *Machine) sotwRequest(sub *subscription, errorDetail *statuspb.Status) *discovery.DiscoveryRequest {
 	r := &discovery.DiscoveryRequest{
-		TypeUrl: sub.URL, VersionInfo: sub.acceptedVersion, ResponseNonce: sub.nonce,
-		ResourceNames: sub.resourceNames(), ErrorDetail: errorDetail,
+		TypeUrl:       sub.URL,
+		VersionInfo:   sub.acceptedVersion,
+		ResponseNonce: sub.nonce,
+		ResourceNames: sub.resourceNames(),
+		ErrorDetail:   errorDetail,
 	}
 	if sub.nonce == "" {
 		// The node is needed on the first request of a stream, and any request before the first response
--- a/internal/xds/ads/resource.go
+++ b/internal/xds/ads/resource.go
@@ -58,8 +58,8 @@
 	RejectedAt      time.Duration // of RejectionReason
 
 	digest            [sha256.Size]byte // of the serialized value, to recognize an unchanged resource
-	expiresAt         time.Duration     // end of its time to live; 0: it has none
-	existenceDeadline time.Duration     // while Requested: when it is taken not to exist; 0: no stream is open
+	expiresAt         time.Duration     // end of its time to live; 0 means it has none
+	existenceDeadline time.Duration     // while Requested: when it is taken not to exist; 0 means no stream is open
 	confirmed         bool              // named by the current control plane since the machine moved to it
 }
 
--- a/internal/xds/ads/response.go
+++ b/internal/xds/ads/response.go
@@ -61,7 +61,10 @@
 	received := make([]receivedResource, 0, len(response.GetResources()))
 	for _, r := range response.GetResources() {
 		received = append(received, receivedResource{
-			name: r.GetName(), version: r.GetVersion(), body: r.GetResource(), ttl: ttlOf(r),
+			name:    r.GetName(),
+			version: r.GetVersion(),
+			body:    r.GetResource(),
+			ttl:     ttlOf(r),
 		})
 	}
 	result := m.applyResources(now, sub, received)
@@ -118,9 +121,9 @@
 
 // receivedResource is what a response says of one resource.
 type receivedResource struct {
-	name    string // "": not given beside the body
+	name    string // "" means not given beside the body
 	version string
-	body    *anypb.Any // nil: only the time to live is renewed
+	body    *anypb.Any // nil means only the time to live is renewed
 	ttl     timeToLive
 }
 
--- a/internal/xds/client/client.go
+++ b/internal/xds/client/client.go
@@ -34,11 +34,11 @@
 	Servers            []string // control planes, host:port, in order of priority; at least one
 	Delta              bool     // speak the incremental variant instead of SotW
 	Node               *corev3.Node
-	ResourceTimeout    time.Duration // after which a requested resource is taken not to exist; 0: 15 s
+	ResourceTimeout    time.Duration // after which a requested resource is taken not to exist; 0 means 15 s
 	Clusters           resource.ClustersConfig
 	Failover           ads.FailoverConfig // its number of servers is set from Servers
-	MaxResponseBytes   int                // a longer response breaks the stream; 0: 16 MiB
-	LoadReportInterval time.Duration      // shortest time between two load reports; 0: load is not reported
+	MaxResponseBytes   int                // a longer response breaks the stream; 0 means 16 MiB
+	LoadReportInterval time.Duration      // shortest time between two load reports; 0 means load is not reported
 }
 
 const (
@@ -111,11 +111,26 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{
-		cfg: cfg, start: time.Now(), conns: conns, events: make(chan func(), maxQueuedEvents), timer: time.NewTimer(idleWakeup),
-		ctx: ctx, cancel: cancel, done: make(chan struct{}),
-		machine:       ads.New(ads.Config{Delta: cfg.Delta, Node: cfg.Node, Types: resource.Types(), ResourceTimeout: cfg.ResourceTimeout}),
-		machineServer: noServer, failover: ads.NewFailover(cfg.Failover, rand.Uint64()), clusters: resource.NewClusters(cfg.Clusters),
-		watchers: map[string][]*watcher{}, streams: map[int]*stream{}, lastErrors: make([]string, len(cfg.Servers)),
+		cfg:    cfg,
+		start:  time.Now(),
+		conns:  conns,
+		events: make(chan func(), maxQueuedEvents),
+		timer:  time.NewTimer(idleWakeup),
+		ctx:    ctx,
+		cancel: cancel,
+		done:   make(chan struct{}),
+		machine: ads.New(ads.Config{
+			Delta:           cfg.Delta,
+			Node:            cfg.Node,
+			Types:           resource.Types(),
+			ResourceTimeout: cfg.ResourceTimeout,
+		}),
+		machineServer: noServer,
+		failover:      ads.NewFailover(cfg.Failover, rand.Uint64()),
+		clusters:      resource.NewClusters(cfg.Clusters),
+		watchers:      map[string][]*watcher{},
+		streams:       map[int]*stream{},
+		lastErrors:    make([]string, len(cfg.Servers)),
 	}
 	if cfg.LoadReportInterval > 0 {
 		c.loads = newLoadReporter(c)
--- a/internal/xds/client/client_test.go
+++ b/internal/xds/client/client_test.go
@@ -26,7 +26,8 @@
 		plane.Set(resource.ClusterURL, resources{"c": fakexds.EDSCluster("c", "s"), "other": fakexds.EDSCluster("other", "")})
 		expectAddrs(t, "first", updates, "10.0.0.1:1")
 		plane.Set(resource.EndpointURL, resources{
-			"s": loadAssignment("s", "10.0.0.1:1", "10.0.0.2:1"), "unwanted": loadAssignment("unwanted", "10.9.9.9:1"),
+			"s":        loadAssignment("s", "10.0.0.1:1", "10.0.0.2:1"),
+			"unwanted": loadAssignment("unwanted", "10.9.9.9:1"),
 		})
 		expectAddrs(t, "one endpoint more", updates, "10.0.0.1:1 10.0.0.2:1")
 		setAssignment(plane, "s2", "10.0.0.3:1")
@@ -127,12 +128,22 @@
 		huge := &anypb.Any{TypeUrl: resource.EndpointURL, Value: make([]byte, 50<<20)}
 		for _, bad := range []*anypb.Any{{TypeUrl: resource.EndpointURL, Value: []byte{0xff, 0xff}}, {TypeUrl: "nothing"}, {}, huge} {
 			for _, url := range []string{resource.EndpointURL, resource.ClusterURL, "type.googleapis.com/unknown", ""} {
-				plane.Send(&discovery.DiscoveryResponse{TypeUrl: url, VersionInfo: "x", Resources: []*anypb.Any{bad}}, false)
-				plane.Send(&discovery.DeltaDiscoveryResponse{TypeUrl: url, Resources: []*discovery.Resource{{Name: "c", Resource: bad}, {}}}, false)
+				plane.Send(&discovery.DiscoveryResponse{
+					TypeUrl:     url,
+					VersionInfo: "x",
+					Resources:   []*anypb.Any{bad},
+				}, false)
+				plane.Send(&discovery.DeltaDiscoveryResponse{
+					TypeUrl:   url,
+					Resources: []*discovery.Resource{{Name: "c", Resource: bad}, {}},
+				}, false)
 			}
 		}
 		plane.Send(&discovery.DiscoveryResponse{TypeUrl: resource.EndpointURL, VersionInfo: "x"}, true)
-		plane.Send(&discovery.DeltaDiscoveryResponse{TypeUrl: resource.EndpointURL, RemovedResources: []string{"c"}}, true) // without a nonce
+		plane.Send(&discovery.DeltaDiscoveryResponse{
+			TypeUrl:          resource.EndpointURL,
+			RemovedResources: []string{"c"},
+		}, true) // without a nonce
 		testkit.Eventually(t, "the stream over the limit does not break", func() bool { return plane.StreamsOpened() > 1 })
 		setAssignment(plane, "c", "10.0.0.2:1")
 		for got := addrsOf(testkit.Wait(t, updates)); got != "10.0.0.2:1"; got = addrsOf(testkit.Wait(t, updates)) {
@@ -191,7 +202,10 @@
 		c := newClient(t, Config{Delta: delta, ResourceTimeout: 50 * time.Millisecond}, plane)
 		updates, _ := watch(t, c, "c")
 		testkit.Eventually(t, "it is not taken not to exist", func() bool {
-			return slices.ContainsFunc(c.Dump().Clusters, func(d ClusterDump) bool { return strings.Contains(d.State, "s does not exist") })
+			return slices.ContainsFunc(
+				c.Dump().Clusters,
+				func(d ClusterDump) bool { return strings.Contains(d.State, "s does not exist") },
+			)
 		})
 		if len(updates) > 0 {
 			t.Errorf("an update with %q", addrsOf(<-updates))
--- a/internal/xds/client/cluster_load.go
+++ b/internal/xds/client/cluster_load.go
@@ -44,7 +44,10 @@
 
 func newClusterLoad(cluster string) *ClusterLoad {
 	return &ClusterLoad{
-		cluster: cluster, endpoints: map[string]*endpointLoad{}, locations: map[string]endpointLocation{}, since: time.Now(),
+		cluster:   cluster,
+		endpoints: map[string]*endpointLoad{},
+		locations: map[string]endpointLocation{},
+		since:     time.Now(),
 	}
 }
 
@@ -128,8 +131,10 @@
 		return nil
 	}
 	stats := &endpointv3.ClusterStats{
-		ClusterName: l.cluster, TotalDroppedRequests: l.dropped,
-		LoadReportInterval: durationpb.New(now.Sub(l.since)), UpstreamLocalityStats: localities,
+		ClusterName:           l.cluster,
+		TotalDroppedRequests:  l.dropped,
+		LoadReportInterval:    durationpb.New(now.Sub(l.since)),
+		UpstreamLocalityStats: localities,
 	}
 	l.dropped, l.since = 0, now
 	return stats
@@ -146,7 +151,11 @@
 		if s == nil {
 			s = &endpointv3.UpstreamLocalityStats{
 				Priority: uint32(e.priority),
-				Locality: &corev3.Locality{Region: e.locality.Region, Zone: e.locality.Zone, SubZone: e.locality.SubZone},
+				Locality: &corev3.Locality{
+					Region:  e.locality.Region,
+					Zone:    e.locality.Zone,
+					SubZone: e.locality.SubZone,
+				},
 			}
 			byLocality[key] = s
 			stats = append(stats, s)
@@ -157,8 +166,11 @@
 		s.TotalRequestsInProgress += e.inProgress
 		if byEndpoint {
 			s.UpstreamEndpointStats = append(s.UpstreamEndpointStats, &endpointv3.UpstreamEndpointStats{
-				Address: resource.Address(e.addr), TotalIssuedRequests: e.issued, TotalSuccessfulRequests: e.succeeded,
-				TotalErrorRequests: e.failed, TotalRequestsInProgress: e.inProgress,
+				Address:                 resource.Address(e.addr),
+				TotalIssuedRequests:     e.issued,
+				TotalSuccessfulRequests: e.succeeded,
+				TotalErrorRequests:      e.failed,
+				TotalRequestsInProgress: e.inProgress,
 			})
 		}
 		e.issued, e.succeeded, e.failed = 0, 0, 0
--- a/internal/xds/client/dump.go
+++ b/internal/xds/client/dump.go
@@ -68,7 +68,10 @@
 	}
 	for i, addr := range c.cfg.Servers {
 		d.Servers = append(d.Servers, ServerDump{
-			Addr: addr, InUse: i == c.failover.Active(), StreamOpen: c.streams[i] != nil, LastError: c.lastErrors[i],
+			Addr:       addr,
+			InUse:      i == c.failover.Active(),
+			StreamOpen: c.streams[i] != nil,
+			LastError:  c.lastErrors[i],
 		})
 	}
 	now := c.now()
@@ -87,8 +90,12 @@
 
 func dumpResource(now time.Duration, typeURL string, r *ads.Resource) ResourceDump {
 	d := ResourceDump{
-		Type: typeURL[strings.LastIndexByte(typeURL, '.')+1:], Name: r.Name, Version: r.Version,
-		Status: r.Status.String(), Age: now - r.ChangedAt, RejectionReason: r.RejectionReason,
+		Type:            typeURL[strings.LastIndexByte(typeURL, '.')+1:],
+		Name:            r.Name,
+		Version:         r.Version,
+		Status:          r.Status.String(),
+		Age:             now - r.ChangedAt,
+		RejectionReason: r.RejectionReason,
 	}
 	if r.RejectionReason != "" {
 		d.RejectionAge = now - r.RejectedAt
--- a/internal/xds/client/load_reporter.go
+++ b/internal/xds/client/load_reporter.go
@@ -131,7 +131,7 @@
 	c.work.Go(func() {
 		failed <- receiveLoadResponses(ctx, stream, responses)
 	})
-	var wanted *loadstats.LoadStatsResponse // nil: the control plane has not asked for reports
+	var wanted *loadstats.LoadStatsResponse // nil means the control plane has not asked for reports
 	ticker := time.NewTicker(c.cfg.LoadReportInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/xds/client/load_reporter_test.go
+++ b/internal/xds/client/load_reporter_test.go
@@ -41,7 +41,11 @@
 
 func TestLoadReports(t *testing.T) {
 	plane := newControlPlane(t)
-	plane.SetLoadReportRequest(&loadstats.LoadStatsResponse{SendAllClusters: true, LoadReportingInterval: durationpb.New(time.Millisecond), ReportEndpointGranularity: true})
+	plane.SetLoadReportRequest(&loadstats.LoadStatsResponse{
+		SendAllClusters:           true,
+		LoadReportingInterval:     durationpb.New(time.Millisecond),
+		ReportEndpointGranularity: true,
+	})
 	setCluster(plane, "c", "10.0.0.1:1", "10.0.0.2:1")
 	c := newClient(t, Config{LoadReportInterval: 10 * time.Millisecond}, plane)
 	updates, _ := watch(t, c, "c")
--- a/internal/xds/client/stream.go
+++ b/internal/xds/client/stream.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// isOpen says whether this stream is still the one to its server, and has not been closed or replaced.
+// isOpen reports whether this stream is still the one to its server, and has not been closed or replaced.
 func (c *Client) isOpen(s *stream) bool { return c.streams[s.server] == s }
 
 // streamOpened subscribes on a stream that has been established. While another control plane is in use,
@@ -73,9 +73,17 @@
 func (c *Client) probeRequest() ads.SendRequest {
 	clusters, _ := c.clusters.Subscriptions()
 	if c.cfg.Delta {
-		return ads.SendRequest{Delta: &discovery.DeltaDiscoveryRequest{Node: c.cfg.Node, TypeUrl: resource.ClusterURL, ResourceNamesSubscribe: clusters}}
-	}
-	return ads.SendRequest{SotW: &discovery.DiscoveryRequest{Node: c.cfg.Node, TypeUrl: resource.ClusterURL, ResourceNames: clusters}}
+		return ads.SendRequest{Delta: &discovery.DeltaDiscoveryRequest{
+			Node:                   c.cfg.Node,
+			TypeUrl:                resource.ClusterURL,
+			ResourceNamesSubscribe: clusters,
+		}}
+	}
+	return ads.SendRequest{SotW: &discovery.DiscoveryRequest{
+		Node:          c.cfg.Node,
+		TypeUrl:       resource.ClusterURL,
+		ResourceNames: clusters,
+	}}
 }
 
 // attachMachine moves the machine to a stream.
--- a/internal/xds/resource/assignment.go
+++ b/internal/xds/resource/assignment.go
@@ -107,8 +107,10 @@
 	}
 	p.addresses, p.ids = make(map[string]bool, size), make(map[string]bool, size)
 	p.assignment = &Assignment{
-		Name: name, OverprovisioningFactor: defaultOverprovisioningFactor,
-		Endpoints: make([]Endpoint, 0, size), parsed: make(map[string]*parsedEndpoint, size),
+		Name:                   name,
+		OverprovisioningFactor: defaultOverprovisioningFactor,
+		Endpoints:              make([]Endpoint, 0, size),
+		parsed:                 make(map[string]*parsedEndpoint, size),
 	}
 	return p
 }
@@ -170,7 +172,11 @@
 	if err != nil {
 		return fmt.Errorf("a locality can't be read: %w", err)
 	}
-	locality := Locality{message.GetLocality().GetRegion(), message.GetLocality().GetZone(), message.GetLocality().GetSubZone()}
+	locality := Locality{
+		Region:  message.GetLocality().GetRegion(),
+		Zone:    message.GetLocality().GetZone(),
+		SubZone: message.GetLocality().GetSubZone(),
+	}
 	priority := int(message.GetPriority())
 	if err := p.checkLocality(message, locality, priority); err != nil {
 		return err
--- a/internal/xds/resource/assignment_test.go
+++ b/internal/xds/resource/assignment_test.go
@@ -16,16 +16,22 @@
 )
 
 func TestParseAssignment(t *testing.T) {
-	first := withMetadata(lbEndpoint("127.0.0.1:80", statusDegraded), map[string]any{"uid": "s-1", "cell": 3, "boot_ms": 1500})
+	first := withMetadata(lbEndpoint("127.0.0.1:80", statusDegraded), map[string]any{
+		"uid":     "s-1",
+		"cell":    3,
+		"boot_ms": 1500,
+	})
 	first.LoadBalancingWeight = wrapperspb.UInt32(7)
 	first.GetEndpoint().Hostname = "h"
 	message := loadAssignment("c", localityEndpoints("z", 0, first, lbEndpoint("[::1]:81", statusUnknown)),
 		&endpointv3.LocalityLbEndpoints{
-			Locality: &corev3.Locality{Region: "r", Zone: "z", SubZone: "q"}, LoadBalancingWeight: wrapperspb.UInt32(3),
-			LbEndpoints: []*endpointv3.LbEndpoint{withMetadata(lbEndpoint("10.0.0.1:1", statusHealthy), map[string]any{"boot_ms": "1700000000000"})},
+			Locality:            &corev3.Locality{Region: "r", Zone: "z", SubZone: "q"},
+			LoadBalancingWeight: wrapperspb.UInt32(3),
+			LbEndpoints:         []*endpointv3.LbEndpoint{withMetadata(lbEndpoint("10.0.0.1:1", statusHealthy), map[string]any{"boot_ms": "1700000000000"})},
 		})
 	message.Policy = &endpointv3.ClusterLoadAssignment_Policy{
-		OverprovisioningFactor: wrapperspb.UInt32(200), EndpointStaleAfter: durationpb.New(time.Second),
+		OverprovisioningFactor: wrapperspb.UInt32(200),
+		EndpointStaleAfter:     durationpb.New(time.Second),
 		DropOverloads: []*endpointv3.ClusterLoadAssignment_Policy_DropOverload{
 			{Category: "a", DropPercentage: &typev3.FractionalPercent{Numerator: 50}},
 			{Category: "b", DropPercentage: &typev3.FractionalPercent{Numerator: 500_000, Denominator: typev3.FractionalPercent_MILLION}},
@@ -36,7 +42,13 @@
 		t.Fatal(err)
 	}
 	if want := (Endpoint{
-		ID: "s-1", Addr: "127.0.0.1:80", Zone: "z", Locality: Locality{Zone: "z"}, Weight: 7, Health: Degraded, Cell: 3,
+		ID:        "s-1",
+		Addr:      "127.0.0.1:80",
+		Zone:      "z",
+		Locality:  Locality{Zone: "z"},
+		Weight:    7,
+		Health:    Degraded,
+		Cell:      3,
 		StartedAt: 1500 * time.Millisecond,
 	}); a.Endpoints[0] != want {
 		t.Errorf("%+v", a.Endpoints[0])
@@ -145,7 +157,11 @@
 // makes a list in which every server is usable.
 func FuzzParseAssignment(f *testing.F) {
 	f.Add(marshal(f, loadAssignment("c", localityEndpoints("z", 0,
-		withMetadata(lbEndpoint("127.0.0.1:80", statusDegraded), map[string]any{"uid": "s-1", "cell": 3, "boot_ms": 1500})))))
+		withMetadata(lbEndpoint("127.0.0.1:80", statusDegraded), map[string]any{
+			"uid":     "s-1",
+			"cell":    3,
+			"boot_ms": 1500,
+		})))))
 	f.Add(marshal(f, loadAssignment("c",
 		localityEndpoints("a", 0, lbEndpoint("[::1]:1", statusTimeout), lbEndpoint("[::1]:2", statusDraining)),
 		localityEndpoints("b", 1, lbEndpoint("[::1]:3", statusUnhealthy)))))
--- a/internal/xds/resource/cluster_test.go
+++ b/internal/xds/resource/cluster_test.go
@@ -25,7 +25,10 @@
 	if _, c, err := ParseCluster(marshal(t, fakexds.EDSCluster("c", "s"))); err != nil || c.EDSServiceName != "s" || c.IgnoredFields != nil {
 		t.Errorf("%+v, %v", c, err)
 	}
-	static := &clusterv3.Cluster{Name: "c", LoadAssignment: loadAssignment("", localityEndpoints("z", 0, lbEndpoint("127.0.0.1:1", statusHealthy)))}
+	static := &clusterv3.Cluster{
+		Name:           "c",
+		LoadAssignment: loadAssignment("", localityEndpoints("z", 0, lbEndpoint("127.0.0.1:1", statusHealthy))),
+	}
 	if _, c, err := ParseCluster(marshal(t, static)); err != nil || c.StaticAssignment == nil || len(c.StaticAssignment.Endpoints) != 1 {
 		t.Errorf("%+v, %v", c, err)
 	}
@@ -67,7 +70,10 @@
 // FuzzParseCluster: what is accepted has a name and exactly one source of endpoints.
 func FuzzParseCluster(f *testing.F) {
 	f.Add(marshal(f, fakexds.EDSCluster("c", "s")))
-	f.Add(marshal(f, &clusterv3.Cluster{Name: "c", LoadAssignment: loadAssignment("", localityEndpoints("z", 0, lbEndpoint("127.0.0.1:1", statusHealthy)))}))
+	f.Add(marshal(f, &clusterv3.Cluster{
+		Name:           "c",
+		LoadAssignment: loadAssignment("", localityEndpoints("z", 0, lbEndpoint("127.0.0.1:1", statusHealthy))),
+	}))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		name, c, err := ParseCluster(text)
 		if err == nil && (name == "" || c.Name != name || (c.EDSServiceName == "") != (c.StaticAssignment != nil)) {
--- a/internal/xds/resource/clusters.go
+++ b/internal/xds/resource/clusters.go
@@ -15,7 +15,7 @@
 	// assignment does not exist. By default they are gone.
 	KeepOnRemoval bool
 	// EmptyGrace is how long all clusters are kept when one response removes every one of them, as does a
-	// control plane that restarted without its data. 0: they are not kept.
+	// control plane that restarted without its data. 0 means they are not kept.
 	EmptyGrace time.Duration
 }
 
@@ -27,7 +27,7 @@
 	clusters    map[string]*Cluster
 	assignments map[string]*Assignment // by EDS service name
 	nonexistent map[string]bool        // EDS service names that have no assignment
-	emptiedAt   time.Duration          // when a response removed every cluster, while the grace runs; 0: it does not run
+	emptiedAt   time.Duration          // when a response removed every cluster, while the grace runs; 0 means it does not run
 }
 
 // watchedCluster is what the watchers of a cluster were last notified of.
@@ -39,15 +39,18 @@
 // ClusterUpdate is the present assignment of a watched cluster.
 type ClusterUpdate struct {
 	Cluster    string
-	Assignment *Assignment // nil: there are no servers
+	Assignment *Assignment // nil means there are no servers
 	State      string      // in words: why it is so
 }
 
 // NewClusters returns a set that watches nothing.
 func NewClusters(cfg ClustersConfig) *Clusters {
 	return &Clusters{
-		cfg: cfg, watched: map[string]*watchedCluster{}, clusters: map[string]*Cluster{},
-		assignments: map[string]*Assignment{}, nonexistent: map[string]bool{},
+		cfg:         cfg,
+		watched:     map[string]*watchedCluster{},
+		clusters:    map[string]*Cluster{},
+		assignments: map[string]*Assignment{},
+		nonexistent: map[string]bool{},
 	}
 }
 
--- a/internal/xds/resource/differ.go
+++ b/internal/xds/resource/differ.go
@@ -65,7 +65,11 @@
 // server returns an endpoint as the engine lists it.
 func (d *Differ) server(e *Endpoint, ready bool, degradedOffset int) engine.Listed {
 	s := engine.Listed{Addr: e.Addr, Server: balancer.Server{
-		ID: e.ID, Zone: e.Zone, Cell: e.Cell, Size: e.Weight, StartedAt: e.StartedAt,
+		ID:        e.ID,
+		Zone:      e.Zone,
+		Cell:      e.Cell,
+		Size:      e.Weight,
+		StartedAt: e.StartedAt,
 	}}
 	if !ready {
 		s.State = balancer.Draining
--- a/internal/xds/resource/differ_test.go
+++ b/internal/xds/resource/differ_test.go
@@ -86,7 +86,10 @@
 			}
 			checkList(t, list, a)
 			allGone := before > 0 && len(list) == 0
-			if noticed := slices.ContainsFunc(notices, func(n string) bool { return strings.Contains(n, "are gone") }); allGone != noticed {
+			if noticed := slices.ContainsFunc(
+				notices,
+				func(n string) bool { return strings.Contains(n, "are gone") },
+			); allGone != noticed {
 				t.Fatalf("all gone: %v, notices %q", allGone, notices)
 			}
 		}
@@ -99,8 +102,10 @@
 	for id := range 6 {
 		if rapid.Bool().Draw(t, "listed") {
 			a.Endpoints = append(a.Endpoints, Endpoint{
-				ID: fmt.Sprint(id), Addr: fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, "addr")),
-				Health: Health(rapid.IntRange(0, 3).Draw(t, "health")), StartedAt: time.Duration(rapid.IntRange(0, 1).Draw(t, "start")),
+				ID:        fmt.Sprint(id),
+				Addr:      fmt.Sprint("a", rapid.IntRange(0, 1).Draw(t, "addr")),
+				Health:    Health(rapid.IntRange(0, 3).Draw(t, "health")),
+				StartedAt: time.Duration(rapid.IntRange(0, 1).Draw(t, "start")),
 			})
 		}
 	}
@@ -142,7 +147,13 @@
 // With AllPriorities every healthy or degraded endpoint is listed as ready, degraded ones behind the
 // healthy ones of all priorities, and draining ones as such; the weights of localities are passed on.
 func TestDifferAllPriorities(t *testing.T) {
-	first := localityEndpoints("a", 0, lbEndpoint("127.0.0.1:1", statusHealthy), lbEndpoint("127.0.0.1:2", statusDegraded), lbEndpoint("127.0.0.1:3", statusDraining))
+	first := localityEndpoints(
+		"a",
+		0,
+		lbEndpoint("127.0.0.1:1", statusHealthy),
+		lbEndpoint("127.0.0.1:2", statusDegraded),
+		lbEndpoint("127.0.0.1:3", statusDraining),
+	)
 	first.LoadBalancingWeight = wrapperspb.UInt32(7)
 	second := localityEndpoints("b", 1, lbEndpoint("127.0.0.1:4", statusHealthy), lbEndpoint("127.0.0.1:5", statusUnhealthy))
 	_, a, err := ParseAssignment(marshal(t, loadAssignment("c", first, second)), nil)
--- a/internal/xds/resource/endpoint.go
+++ b/internal/xds/resource/endpoint.go
@@ -73,10 +73,10 @@
 	Locality       Locality
 	Priority       int // 0 is the highest
 	Weight         float64
-	LocalityWeight float64 // weight of its locality among those of its priority; 0: not given
+	LocalityWeight float64 // weight of its locality among those of its priority; 0 means not given
 	Health         Health
 	Cell           int
-	StartedAt      time.Duration // Unix time of its last start; 0: long ago, or not given
+	StartedAt      time.Duration // Unix time of its last start; 0 means long ago, or not given
 }
 
 // parsedEndpoint is an endpoint with the bytes that it was parsed from. The fields of Endpoint that come
@@ -220,6 +220,7 @@
 		return nil
 	}
 	return &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
-		Address: ap.Addr().String(), PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(ap.Port())},
+		Address:       ap.Addr().String(),
+		PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(ap.Port())},
 	}}}
 }
--- a/internal/xds/resource/helpers_test.go
+++ b/internal/xds/resource/helpers_test.go
@@ -44,7 +44,11 @@
 }
 
 func localityEndpoints(zone string, priority uint32, endpoints ...*endpointv3.LbEndpoint) *endpointv3.LocalityLbEndpoints {
-	return &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: zone}, Priority: priority, LbEndpoints: endpoints}
+	return &endpointv3.LocalityLbEndpoints{
+		Locality:    &corev3.Locality{Zone: zone},
+		Priority:    priority,
+		LbEndpoints: endpoints,
+	}
 }
 
 func loadAssignment(name string, localities ...*endpointv3.LocalityLbEndpoints) *endpointv3.ClusterLoadAssignment {
--- a/internal/xds/resource/types.go
+++ b/internal/xds/resource/types.go
@@ -17,7 +17,8 @@
 func Types() []ads.Type {
 	return []ads.Type{
 		{
-			URL: ClusterURL, AllResourcesRequiredInSotW: true,
+			URL:                        ClusterURL,
+			AllResourcesRequiredInSotW: true,
 			Decode: func(a *anypb.Any, _ any) (string, any, error) {
 				name, cluster, err := ParseCluster(a.GetValue())
 				if err != nil {
