--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -177,20 +177,47 @@
 		want  string
 		steps []any
 	}{
-		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
-		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
-		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
-		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
-		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}}},
-		{"outside its window", []any{
-			list, req("post"),
-			Send{ID: "r", Server: "a"},
-			950 * msec, timedOut,
-			Send{ID: "r", Server: "a"},
-		}},
-		{"outside its scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
-		{"rule 3", []any{list, req("get"), Send{ID: "r", Server: "c"}}},
-		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
+		{
+			want:  "rule 1: r has no answer",
+			steps: []any{list, req("get"), 2 * time.Second, Timer{}},
+		},
+		{
+			want:  "rule 1: final answer",
+			steps: []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}},
+		},
+		{
+			want:  "rule 1: sent r, which is over",
+			steps: []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}},
+		},
+		{
+			want:  "rule 2: unsafe",
+			steps: []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}},
+		},
+		{
+			want:  "rule 2: r refused",
+			steps: []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}},
+		},
+		{
+			want: "outside its window",
+			steps: []any{
+				list, req("post"),
+				Send{ID: "r", Server: "a"},
+				950 * msec, timedOut,
+				Send{ID: "r", Server: "a"},
+			},
+		},
+		{
+			want:  "outside its scope",
+			steps: []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}},
+		},
+		{
+			want:  "rule 3",
+			steps: []any{list, req("get"), Send{ID: "r", Server: "c"}},
+		},
+		{
+			want:  "never made",
+			steps: []any{list, req("get"), Cancel{ID: "r", Attempt: 0}},
+		},
 	} {
 		c := newChecker(testSettings())
 		var now time.Duration
--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -101,7 +101,37 @@
 		k := &Knowledge{
 			d(), n(), n(), n(), n(), n(), n(), n(), n(), n(), n(), n(),
 			[]ClassKnowledge{{"x", n(), n(), n(), n(), n(), d()}, {"y", n(), n(), n(), n(), n(), d()}},
-			[]ServerKnowledge{{"a", 0, c(), c(), c(), d(), n(), c(), d(), d(), c(), d(), d(), c()}, {"z", 0, c(), c(), c(), d(), n(), c(), d(), d(), c(), d(), d(), c()}},
+			[]ServerKnowledge{{
+				ID:       "a",
+				Boot:     0,
+				Streak:   c(),
+				Level:    c(),
+				Goods:    c(),
+				Until:    d(),
+				Slow:     n(),
+				Samples:  c(),
+				LastOK:   d(),
+				Took:     d(),
+				Room:     c(),
+				Turned:   d(),
+				Full:     d(),
+				Refusals: c(),
+			}, {
+				ID:       "z",
+				Boot:     0,
+				Streak:   c(),
+				Level:    c(),
+				Goods:    c(),
+				Until:    d(),
+				Slow:     n(),
+				Samples:  c(),
+				LastOK:   d(),
+				Took:     d(),
+				Room:     c(),
+				Turned:   d(),
+				Full:     d(),
+				Refusals: c(),
+			}},
 		}
 		b, _ := New(set, 1)
 		now := time.Hour
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -99,23 +99,55 @@
 		least  int
 		most   int
 	}{
-		"all":         {func(*Balancer) {}, 20, 20},
-		"shrunk list": {func(b *Balancer) { b.Handle(1, ServerList{Full: true, Servers: servers(1)}) }, 5, 5},
-		"one out":     {func(b *Balancer) { b.servers["s02"].ejectedUntil = time.Hour }, 15, 15},
-		"all out": {func(b *Balancer) {
-			for _, s := range b.servers {
-				s.ejectedUntil = time.Hour
-			}
-		}, 15, 15},
-		"one cold": {func(b *Balancer) {
-			l := servers(4)
-			l[0].StartedAt = 4 * time.Second
-			b.Handle(9*time.Second, ServerList{Full: true, Servers: l}) // half warm: 0.6
-		}, 17, 18},
+		"all": {
+			change: func(*Balancer) {},
+			least:  20,
+			most:   20,
+		},
+		"shrunk list": {
+			change: func(b *Balancer) { b.Handle(1, ServerList{Full: true, Servers: servers(1)}) },
+			least:  5,
+			most:   5,
+		},
+		"one out": {
+			change: func(b *Balancer) { b.servers["s02"].ejectedUntil = time.Hour },
+			least:  15,
+			most:   15,
+		},
+		"all out": {
+			change: func(b *Balancer) {
+				for _, s := range b.servers {
+					s.ejectedUntil = time.Hour
+				}
+			},
+			least: 15,
+			most:  15,
+		},
+		"one cold": {
+			change: func(b *Balancer) {
+				l := servers(4)
+				l[0].StartedAt = 4 * time.Second
+				b.Handle(9*time.Second, ServerList{Full: true, Servers: l}) // half warm: 0.6
+			},
+			least: 17,
+			most:  18,
+		},
 		// It turned one away with two calls out, so the others get no more for it: three parts and two calls.
-		"one full":         {func(b *Balancer) { b.servers["s02"].refusalRoom, b.servers["s02"].fullUntil = 2, time.Hour }, 17, 17},
-		"one with no room": {func(b *Balancer) { b.servers["s02"].refusalRoom, b.servers["s02"].fullUntil = 0, time.Hour }, 15, 15},
-		"in vain":          {func(b *Balancer) { b.abandonedShare, b.window = 0.9, 2 }, 2, 2},
+		"one full": {
+			change: func(b *Balancer) { b.servers["s02"].refusalRoom, b.servers["s02"].fullUntil = 2, time.Hour },
+			least:  17,
+			most:   17,
+		},
+		"one with no room": {
+			change: func(b *Balancer) { b.servers["s02"].refusalRoom, b.servers["s02"].fullUntil = 0, time.Hour },
+			least:  15,
+			most:   15,
+		},
+		"in vain": {
+			change: func(b *Balancer) { b.abandonedShare, b.window = 0.9, 2 },
+			least:  2,
+			most:   2,
+		},
 	}
 	for name, c := range cases {
 		b := newBalancer(t, one)
