--- a/cmd/cranegrade/helpers_test.go
+++ b/cmd/cranegrade/helpers_test.go
@@ -21,14 +21,39 @@
 // limit bounds every wait of these tests, which build and run whole programs.
 const limit = 60 * time.Second
 
-// buildProgram builds a package's program and returns its path.
+// programs are the programs that these tests run, each built once.
+var programs struct {
+	dir string
+
+	mu    sync.Mutex        // guards paths, and is held while a program is built
+	paths map[string]string // by package
+}
+
+func TestMain(m *testing.M) {
+	dir, err := os.MkdirTemp("", "cranegrade-test")
+	if err != nil {
+		panic(err)
+	}
+	programs.dir, programs.paths = dir, map[string]string{}
+	code := m.Run()
+	os.RemoveAll(dir)
+	os.Exit(code)
+}
+
+// buildProgram builds a package's program, unless that was done before, and returns its path.
 func buildProgram(t *testing.T, pkg string) string {
 	t.Helper()
-	bin := filepath.Join(t.TempDir(), "cranegrade")
-	if out, err := exec.Command("go", "build", "-o", bin, pkg).CombinedOutput(); err != nil {
+	programs.mu.Lock()
+	defer programs.mu.Unlock()
+	if path := programs.paths[pkg]; path != "" {
+		return path
+	}
+	path := filepath.Join(programs.dir, fmt.Sprintf("program-%d", len(programs.paths)))
+	if out, err := exec.Command("go", "build", "-o", path, pkg).CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	return bin
+	programs.paths[pkg] = path
+	return path
 }
 
 // platformConfig is a platform's configuration with one pool that has one class.
--- a/internal/xds/client/client_test.go
+++ b/internal/xds/client/client_test.go
@@ -53,11 +53,7 @@
 // the control plane is sent the versions that the client has.
 func TestBrokenStreamIsReopened(t *testing.T) {
 	forBothVariants(t, func(t *testing.T, delta bool) {
-		plane := newControlPlane(t)
-		setCluster(plane, "c", "10.0.0.1:1")
-		c := newClient(t, Config{Delta: delta}, plane)
-		updates, _ := watch(t, c, "c")
-		expectAddrs(t, "first", updates, "10.0.0.1:1")
+		plane, _, updates := watchFirstAssignment(t, Config{Delta: delta})
 		for i := range 5 {
 			plane.Down()
 			setAssignment(plane, "c", fmt.Sprintf("10.0.1.%d:1", i))
@@ -119,11 +115,7 @@
 // requested, unknown nonces, a response over the size limit.
 func TestMalformedResponses(t *testing.T) {
 	forBothVariants(t, func(t *testing.T, delta bool) {
-		plane := newControlPlane(t)
-		setCluster(plane, "c", "10.0.0.1:1")
-		c := newClient(t, Config{Delta: delta, MaxResponseBytes: 1 << 20}, plane)
-		updates, _ := watch(t, c, "c")
-		expectAddrs(t, "first", updates, "10.0.0.1:1")
+		plane, _, updates := watchFirstAssignment(t, Config{Delta: delta, MaxResponseBytes: 1 << 20})
 		huge := &anypb.Any{TypeUrl: resource.EndpointURL, Value: make([]byte, 50<<20)}
 		for _, bad := range []*anypb.Any{{TypeUrl: resource.EndpointURL, Value: []byte{0xff, 0xff}}, {TypeUrl: "nothing"}, {}, huge} {
 			for _, url := range []string{resource.EndpointURL, resource.ClusterURL, "type.googleapis.com/unknown", ""} {
@@ -204,11 +196,7 @@
 // A control plane that restarts without its data removes nothing during the grace.
 func TestEmptyGrace(t *testing.T) {
 	forBothVariants(t, func(t *testing.T, delta bool) {
-		plane := newControlPlane(t)
-		setCluster(plane, "c", "10.0.0.1:1")
-		c := newClient(t, Config{Delta: delta, Clusters: resource.ClustersConfig{EmptyGrace: testkit.Limit}}, plane)
-		updates, _ := watch(t, c, "c")
-		expectAddrs(t, "first", updates, "10.0.0.1:1")
+		plane, c, updates := watchFirstAssignment(t, Config{Delta: delta, Clusters: resource.ClustersConfig{EmptyGrace: testkit.Limit}})
 		plane.Set(resource.ClusterURL, resources{"c": nil})
 		testkit.Eventually(t, "the grace does not begin", func() bool {
 			return strings.Contains(c.Dump().Clusters[0].State, "grace")
@@ -222,11 +210,7 @@
 // streams of a control plane flap.
 func TestUpdateStormAndFlapping(t *testing.T) {
 	forBothVariants(t, func(t *testing.T, delta bool) {
-		plane := newControlPlane(t)
-		setCluster(plane, "c", "10.0.0.1:1")
-		c := newClient(t, Config{Delta: delta}, plane)
-		updates, _ := watch(t, c, "c")
-		expectAddrs(t, "first", updates, "10.0.0.1:1")
+		plane, _, updates := watchFirstAssignment(t, Config{Delta: delta})
 		for range 1000 {
 			setAssignment(plane, "c", "10.0.0.1:1")
 		}
--- a/internal/xds/client/helpers_test.go
+++ b/internal/xds/client/helpers_test.go
@@ -55,6 +55,18 @@
 	return updates, cancel
 }
 
+// watchFirstAssignment starts a control plane that serves the cluster c with one endpoint, 10.0.0.1:1, and a client of it, and returns them
+// with the updates of a watcher that has received that.
+func watchFirstAssignment(t testing.TB, cfg Config) (*fakexds.ControlPlane, *Client, <-chan resource.ClusterUpdate) {
+	t.Helper()
+	plane := newControlPlane(t)
+	setCluster(plane, "c", "10.0.0.1:1")
+	c := newClient(t, cfg, plane)
+	updates, _ := watch(t, c, "c")
+	expectAddrs(t, "first", updates, "10.0.0.1:1")
+	return plane, c, updates
+}
+
 // resources are what a control plane is told to serve, by name; nil removes one.
 type resources = map[string]proto.Message
 
