--- a/docs/commands_test.go
+++ b/docs/commands_test.go
@@ -15,6 +15,7 @@
 	"regexp"
 	"slices"
 	"strings"
+	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -104,6 +105,9 @@
 	lastFreePort  = 32_000
 )
 
+// usedAddresses has the addresses that freeAddress returned: each is for one test alone, for tests run beside each other.
+var usedAddresses sync.Map
+
 // freeAddress returns a loopback address at which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
@@ -111,6 +115,9 @@
 		address := fmt.Sprintf("127.0.0.1:%d", firstFreePort+rand.IntN(lastFreePort-firstFreePort))
 		if l, err := net.Listen("tcp", address); err == nil {
 			l.Close()
+			if _, used := usedAddresses.LoadOrStore(address, true); used {
+				continue
+			}
 			return address
 		}
 	}
@@ -225,6 +232,7 @@
 	p := buildPrograms(t)
 	for _, command := range shownCommands(t) {
 		t.Run(command, func(t *testing.T) {
+			t.Parallel()
 			for beginning := range commandsRunElsewhere {
 				if strings.HasPrefix(command, beginning) {
 					return
--- a/internal/mesh/demo/demo_test.go
+++ b/internal/mesh/demo/demo_test.go
@@ -31,6 +31,7 @@
 		},
 	} {
 		t.Run(x.name, func(t *testing.T) {
+			t.Parallel()
 			var out bytes.Buffer
 			assert.NilError(t, x.play(&out), out.String())
 			assert.Assert(t, strings.Contains(out.String(), x.last), out.String())
--- a/internal/mesh/sidecar/claim_breaker_test.go
+++ b/internal/mesh/sidecar/claim_breaker_test.go
@@ -46,6 +46,7 @@
 
 // A member that is silent while a lease request waits is left long before its connection would time out.
 func TestSilentMemberIsLeftWhileClaimWaits(t *testing.T) {
+	t.Parallel()
 	s, conn, _ := newFollowingSidecar(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	waited := make(chan error, 1)
--- a/internal/mesh/sidecar/controlplane_connection_test.go
+++ b/internal/mesh/sidecar/controlplane_connection_test.go
@@ -16,6 +16,7 @@
 // connection. If it reports that it has no leader, it is left only once another member with a leader is found. Meanwhile requests that
 // need the control plane are rejected after the grace period.
 func TestFollowedMemberIsKept(t *testing.T) {
+	t.Parallel()
 	a, b := newFakeMember(t), newFakeMember(t)
 	s := sidecarWith(t, a, b)
 	first := a.acceptDial(true)
--- a/internal/mesh/sidecar/faults_test.go
+++ b/internal/mesh/sidecar/faults_test.go
@@ -18,6 +18,7 @@
 // Servers respond twice, late, in the name of another request, in none, with more bytes than announced, in chunks, with a long body, or with a
 // rejection, to many concurrent callers on one upstream. Each caller gets its own response, and calls that are not idempotent run once.
 func TestFaultyServers(t *testing.T) {
+	t.Parallel()
 	x := startCallChain(t, 2)
 	hows := []string{"plain", "twice", "late", "more", "chunks", "long", "shed", "failed", "contrary", "unnamed", "wrong"}
 	var all sync.WaitGroup
@@ -146,6 +147,7 @@
 // Two non-idempotent calls arrive in one segment, followed by bytes that are not a request. There are two responses, in order, and no third
 // response to a call.
 func TestCallsInOneSegment(t *testing.T) {
+	t.Parallel()
 	x := startCallChain(t, 1)
 	a, b := newAttemptID(), newAttemptID()
 	c := x.dial()
@@ -166,6 +168,7 @@
 
 // A caller that waits for 100 Continue before it sends its body gets it, and then one response.
 func TestExpectContinue(t *testing.T) {
+	t.Parallel()
 	x := startCallChain(t, 1)
 	id := newAttemptID()
 	x.history.asked(id, onceCall, "")
@@ -188,6 +191,7 @@
 // If a sidecar uses a stream ID again while the first attempt is in flight, the connection is closed, since responses on it could not be told
 // apart.
 func TestStreamIDReuseByPeer(t *testing.T) {
+	t.Parallel()
 	x := startCallChain(t, 1)
 	hold := make(chan struct{})
 	x.fakeServers[0].hold.Store(&hold)
@@ -250,6 +254,7 @@
 // A caller uses one Attempt-Id for two calls of a key. They still count as two calls: the lease of the first is not granted to a later attempt of
 // the second.
 func TestAttemptIDUsedTwice(t *testing.T) {
+	t.Parallel()
 	x := startCallChain(t, 3)
 	only := func(server int) {
 		for n, far := range x.far {
--- a/internal/mesh/sidecar/injected_faults_test.go
+++ b/internal/mesh/sidecar/injected_faults_test.go
@@ -14,6 +14,7 @@
 // Injected: a stream ID is used again while the first attempt is in flight. The second attempt is not sent and fails, and the first gets its own
 // response. Without the check the first response is lost, or goes to the second attempt.
 func TestStreamIDReuseInjected(t *testing.T) {
+	t.Parallel()
 	for range 5 {
 		x := startCallChain(t, 1)
 		hold := make(chan struct{})
@@ -39,6 +40,7 @@
 // Injected: a sidecar assigns responses by the order of their requests instead of by stream ID. They count as broken, and no caller gets the
 // response to another call.
 func TestAnswersByOrderInjected(t *testing.T) {
+	t.Parallel()
 	x := startCallChain(t, 1)
 	const pairs = 10
 	for range pairs {
@@ -108,6 +110,7 @@
 
 // Injected: a call whose bytes were sent is retried, or reported as not executed. Each fault is found by cutting a response.
 func TestRetriesInjected(t *testing.T) {
+	t.Parallel()
 	for _, c := range []struct {
 		name    string
 		as      balancer.Ending
@@ -130,6 +133,7 @@
 // Injected: the control plane grants a key to a second sidecar while the first holds its lease, as a member that lags might. The fault is found as
 // a second run.
 func TestLateGrantInjected(t *testing.T) {
+	t.Parallel()
 	x := startCallChain(t, 2)
 	x.controlPlane.mu.Lock()
 	x.controlPlane.overrideGrant = func(_ idempotency.LeaseRequest, _ idempotency.LeaseResult) idempotency.LeaseResult {
--- a/internal/mesh/sidecar/key_orders_test.go
+++ b/internal/mesh/sidecar/key_orders_test.go
@@ -245,6 +245,7 @@
 // A key's request runs at most once in every order of events. A sidecar that releases a key although the outcome of its attempt is unknown is
 // found.
 func TestKeyInAllOrders(t *testing.T) {
+	t.Parallel()
 	states, broken := searchKeys(false)
 	if broken != nil {
 		t.Fatalf("it ran twice: %v", broken)
--- a/internal/mesh/sidecar/local_server_test.go
+++ b/internal/mesh/sidecar/local_server_test.go
@@ -59,6 +59,7 @@
 // Heartbeats of a server arrive in any order. An overtaken one changes nothing, a draining server does not become ready again, and heartbeats after
 // a server has left are ignored. The same holds if the sidecar restarts in between; then the first heartbeat that it receives counts.
 func TestHeartbeatsInAnyOrder(t *testing.T) {
+	t.Parallel()
 	type call struct {
 		id, state string
 		sequence  int
