--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -88,13 +88,7 @@
 		return
 	}
 	now := e.cfg.Clock.Now()
-	timeout := call.Deadline - now
-	switch {
-	case call.arriving:
-		timeout = call.timeLeft // counts from the last byte of the request body
-	case send.Timeout != 0: // 0: until the call's deadline
-		timeout = min(timeout, send.Timeout)
-	}
+	timeout := attemptTimeout(call, send, now)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	attempt := &Attempt{
 		Endpoint:  e.endpoints[send.Server],
@@ -135,6 +129,18 @@
 	e.cfg.Sender.Start(ctx, attempt)
 }
 
+// attemptTimeout is how long an attempt may take: what the module says, but no longer than until the call's deadline.
+func attemptTimeout(call *Call, send balancer.Send, now time.Duration) time.Duration {
+	untilDeadline := call.Deadline - now
+	switch {
+	case call.arriving:
+		return call.timeLeft // counts from the last byte of the request body
+	case send.Timeout == 0:
+		return untilDeadline
+	}
+	return min(untilDeadline, send.Timeout)
+}
+
 // expire cancels the attempt after that time.
 func (a *Attempt) expire(after time.Duration) {
 	a.timer = time.AfterFunc(after, func() { a.cancel(ErrTimedOut) })
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -11,8 +11,8 @@
 // Verdict is the kind of a final answer.
 type Verdict int
 
-// Verdicts. Rejected promises that a retry does no harm: no attempt can have run, or the request may run twice; Failed promises nothing;
-// Duplicate says that a call with this id is already open.
+// Verdicts. Rejected promises that a retry does no harm: no attempt can have run, or the request may run twice. Failed
+// promises nothing. Duplicate says that a call with this id is already open.
 const (
 	Served Verdict = iota
 	Rejected
@@ -82,6 +82,18 @@
 	fallbackDelay    time.Duration // from Deadline to FallbackAt
 }
 
+// overheadShare is the largest share of a caller's time that SetTimeLeft reserves: a quarter.
+const overheadShare = 4
+
+// SetTimeLeft sets Deadline and FallbackAt of a call whose caller waits for timeLeft from now on. Of that, overhead is kept for
+// the way back, but no more than a quarter, so that the answer is there before the caller times out: the module is to answer
+// before that part begins, and the engine in its place after half of it.
+func (call *Call) SetTimeLeft(now, timeLeft, overhead time.Duration) {
+	reserved := min(overhead, timeLeft/overheadShare)
+	call.Deadline = now + timeLeft - reserved
+	call.FallbackAt = now + timeLeft - reserved/2
+}
+
 // Submit passes a call to the engine, which owns it from then on.
 func (e *Engine) Submit(call *Call) { e.Do(func() { e.accept(call) }) }
 
--- a/internal/engine/servers.go
+++ b/internal/engine/servers.go
@@ -19,14 +19,14 @@
 	})
 }
 
-// mergeServers takes over entries of the list, overlaid with their administrative states. ordered says that only such a
-// state has changed and nothing came from the source.
-func (e *Engine) mergeServers(update ListUpdate, ordered bool) {
+// mergeServers takes over entries of the list, overlaid with their administrative states. With fromOperator only such a
+// state has changed, and nothing came from the source.
+func (e *Engine) mergeServers(update ListUpdate, fromOperator bool) {
 	listed := make(map[string]bool, len(update.Servers))
 	list := balancer.ServerList{
 		Full:     update.Full,
 		Cached:   update.Cached,
-		Operator: ordered,
+		Operator: fromOperator,
 		Servers:  make([]balancer.Server, 0, len(update.Servers)),
 	}
 	for _, server := range update.Servers {
--- a/internal/front/extproc/pick.go
+++ b/internal/front/extproc/pick.go
@@ -138,8 +138,6 @@
 	if !ok {
 		return nil, &stream.ImmediateResponse{Status: http.StatusBadRequest, Details: "the time left is no time"}
 	}
-	now := f.cfg.Clock.Now()
-	reserved := min(proxyDelay, left/4)
 	c := &call{pool: p, offers: make(chan offer, 1), answers: make(chan engine.Answer, 1)}
 	if id != "" {
 		c.key = p.Name() + "\x00" + id
@@ -147,8 +145,6 @@
 	c.Call = engine.Call{
 		ID:             id,
 		Class:          className,
-		Deadline:       now + left - reserved,
-		FallbackAt:     now + left - reserved/2,
 		Receiver:       c,
 		Payload:        c,
 		ClientRetry:    r.Get("x-repeat") == "1",
@@ -157,5 +153,6 @@
 		CallerZone:     r.Get(callerZoneHeader),
 		Size:           message.ParseContentLength(r.Get("content-length")),
 	}
+	c.SetTimeLeft(f.cfg.Clock.Now(), left, proxyDelay)
 	return c, nil
 }
--- a/internal/front/grpc/health.go
+++ b/internal/front/grpc/health.go
@@ -17,10 +17,6 @@
 	healthCheck  = healthPrefix + "Check"
 )
 
-// messagePrefixBytes is the length of the prefix of a message: a flag for compression, and the length of the message
-// in four bytes.
-const messagePrefixBytes = 5
-
 // serveHealth answers grpc.health.v1.Health/Check, for the whole node ("") or for a pool by its name. Watch is not
 // implemented, because its open streams would hold up draining.
 func (d Dialect) serveHealth(w http.ResponseWriter, hr *http.Request) {
@@ -35,7 +31,7 @@
 	}
 	var request healthpb.HealthCheckRequest
 	count, _ := grpc.CountMessages(body) // readUnaryRequest has checked them
-	if count != 1 || body[0] != 0 || proto.Unmarshal(body[messagePrefixBytes:], &request) != nil {
+	if count != 1 || body[0] != 0 || proto.Unmarshal(body[grpc.MessagePrefixBytes:], &request) != nil {
 		writeEnd(w, grpc.StatusFields(grpc.InvalidArgument, "not one HealthCheckRequest", 0), false)
 		return
 	}
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -168,7 +168,7 @@
 		if n > 0 && !u.discard.Load() {
 			u.stream.Push(append([]byte(nil), buf[:n]...))
 		}
-		if err == io.EOF { //nolint:errorlint // joined with errBroken it is no end
+		if err == io.EOF { //nolint:errorlint // joined with errIncompleteBody it is no end
 			_ = u.body.rc.SetReadDeadline(time.Time{}) // fails only if the connection has ended
 			u.stream.Finish([]message.Field{})         // complete
 			complete()
--- a/internal/front/http1/connections.go
+++ b/internal/front/http1/connections.go
@@ -5,7 +5,6 @@
 	"errors"
 	"log"
 	"net"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -34,25 +33,6 @@
 	ownTimes    bool // idleTimeout and headTimeout alone apply; not changed after the first Accept
 }
 
-// connection is a downstream connection.
-type connection struct {
-	net.Conn
-	owner        *connections
-	share        *pool.Share   // that it counts against
-	quietEntry   *list.Element // in owner.quiet of share, or nil
-	quietSince   time.Time     // time of its last change to quiet
-	closed       bool
-	used         bool         // it has carried a request
-	requestBegan atomic.Int64 // Unix time in ns of the first byte of the request that is being received; 0 if none is
-	lastByteAt   atomic.Int64 // and of its latest byte
-	head         headScanner  // of that request; owned by the goroutine that reads
-	front        *Front       // that starts pipelined requests; nil means none does
-	pipeline     *pipeline    // pipelined requests; nil means they are not started early
-	busy         atomic.Bool  // a request is being served
-	headTimer    *time.Timer  // runs while a header section is incomplete; owned by the goroutine that reads
-	idleTimer    *time.Timer  // runs while it is quiet; nil if it has never been quiet
-}
-
 func newConnections(l net.Listener, unassigned *pool.Share) *connections {
 	return &connections{
 		Listener:   l,
@@ -151,66 +131,6 @@
 	return least
 }
 
-// addQuiet adds the connection to the quiet ones. The caller holds the lock.
-func (c *connection) addQuiet() {
-	c.quietSince = time.Now()
-	quiet := c.owner.quiet[c.share]
-	if quiet == nil {
-		quiet = list.New()
-		c.owner.quiet[c.share] = quiet
-	}
-	c.quietEntry = quiet.PushBack(c)
-}
-
-// close closes the connection, once. The caller holds the lock.
-func (c *connection) close() error {
-	if c.closed {
-		return net.ErrClosed
-	}
-	c.closed = true
-	if c.idleTimer != nil {
-		c.idleTimer.Stop() // otherwise it would keep the closed connection in memory
-	}
-	c.owner.count.Add(-1)
-	c.removeQuiet()
-	c.share.Give(1)
-	c.owner.signalFreed()
-	if c.pipeline != nil {
-		go c.pipeline.end()
-	}
-	return c.Conn.Close()
-}
-
-// removeQuiet removes the connection from the quiet ones. The caller holds the lock.
-func (c *connection) removeQuiet() {
-	if c.quietEntry != nil {
-		quiet := c.owner.quiet[c.share]
-		if quiet.Remove(c.quietEntry); quiet.Len() == 0 {
-			delete(c.owner.quiet, c.share) // nothing remains of a pool that was removed
-		}
-		c.quietEntry = nil
-	}
-}
-
-// assign moves the connection to the share of a pool. It returns false if that has no capacity, or if the connection was
-// closed before. With a nil share it changes nothing.
-func (c *connection) assign(to *pool.Share) bool {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if to == nil || to == c.share || c.closed {
-		return !c.closed
-	}
-	if !c.share.Transfer(to, 1) {
-		return false
-	}
-	quiet := c.quietEntry != nil
-	c.removeQuiet()
-	if c.share = to; quiet {
-		c.addQuiet()
-	}
-	return true
-}
-
 // drainNewAfter is how old a connection without a request must be before it is closed while draining: its first request may
 // already be on its way.
 const drainNewAfter = time.Second
@@ -250,130 +170,3 @@
 	default:
 	}
 }
-
-func (c *connection) Close() error {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	return c.close()
-}
-
-func (c *connection) Read(p []byte) (n int, err error) {
-	if c.pipeline != nil {
-		n, err = c.pipeline.read(c, p)
-	} else if n, err = c.Conn.Read(p); n > 0 {
-		c.recordBytes(time.Now())
-	}
-	if n > 0 && c.owner.scanHeads {
-		c.head.take(p[:n])
-		c.watchHead()
-	}
-	return n, err
-}
-
-// watchHead applies the time-out of a header section that is not complete yet.
-func (c *connection) watchHead() {
-	switch d := time.Duration(c.owner.headTimeout.Load()); {
-	case c.head.done && c.headTimer != nil:
-		c.headTimer.Stop()
-		c.headTimer = nil
-	case !c.head.done && c.headTimer == nil && d > 0 && (d < headTimeout || c.owner.ownTimes):
-		began := c.requestBegan.Load()
-		c.headTimer = time.AfterFunc(d, func() { c.closeSlow(began) })
-	}
-}
-
-// closeSlow closes a connection whose request began then and has still not been accepted.
-func (c *connection) closeSlow(began int64) {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if c.quietEntry != nil && began != 0 && c.requestBegan.Load() == began {
-		_ = c.close()
-	}
-}
-
-// recordBytes notes that bytes of a request have come.
-func (c *connection) recordBytes(at time.Time) {
-	c.lastByteAt.Store(at.UnixNano())
-	c.requestBegan.CompareAndSwap(0, at.UnixNano())
-}
-
-// SetReadDeadline implements net.Conn.
-func (c *connection) SetReadDeadline(t time.Time) error {
-	err := c.Conn.SetReadDeadline(t)
-	if c.pipeline != nil {
-		c.pipeline.dropDeadlineError(t)
-	}
-	return err
-}
-
-// resetOnClose has the connection end with a TCP reset, which a caller can't take for the end of an answer that ends with
-// its connection (RFC 9112, section 6.3).
-func (c *connection) resetOnClose(hr *http.Request) {
-	if t, is := c.Conn.(*net.TCPConn); is && hr.ProtoMajor == 1 {
-		_ = t.SetLinger(0) // fails only if the connection has ended
-	}
-}
-
-// beginRequest notes that a request is accepted: the connection is not closed until it is answered. It returns false if it
-// was closed before; the request must then not be forwarded.
-func (c *connection) beginRequest() bool {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	c.removeQuiet()
-	return !c.closed
-}
-
-// endRequest notes that the request was answered.
-func (c *connection) endRequest() {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	c.requestBegan.Store(0)
-	if c.owner.scanHeads {
-		c.head = headScanner{}
-	}
-	c.used = true
-	if !c.closed {
-		c.removeQuiet()
-		c.addQuiet()
-		c.owner.signalFreed()
-		c.armIdleTimer()
-	}
-}
-
-// armIdleTimer has the connection closed after the idle time-out. The caller holds the lock.
-func (c *connection) armIdleTimer() {
-	if d := time.Duration(c.owner.idleTimeout.Load()); d > 0 {
-		if c.idleTimer != nil {
-			c.idleTimer.Stop()
-		}
-		since := c.quietSince
-		c.idleTimer = time.AfterFunc(d-time.Since(since), func() { c.expire(since) })
-	}
-}
-
-// expire closes a connection that has been quiet since then, unless a part of a request was received or the idle time-out has
-// been raised since.
-func (c *connection) expire(since time.Time) {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	if c.quietEntry != nil && c.quietSince.Equal(since) && time.Since(since) < time.Duration(c.owner.idleTimeout.Load()) {
-		c.armIdleTimer()
-		return
-	}
-	if c.quietEntry != nil && c.quietSince.Equal(since) && c.requestBegan.Load() == 0 &&
-		(c.pipeline == nil || c.pipeline.pending.Load() == 0) && conncheck.Peek(c.Conn) != nil {
-		_ = c.close()
-	}
-}
-
-// markUseless notes that a request was rejected, so that the connection is the first to be closed at the limit.
-func (c *connection) markUseless() {
-	c.owner.mu.Lock()
-	defer c.owner.mu.Unlock()
-	c.requestBegan.Store(1)
-	c.lastByteAt.Store(1)
-	if c.quietEntry != nil {
-		c.owner.quiet[c.share].MoveToFront(c.quietEntry)
-		c.owner.signalFreed()
-	}
-}
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -4,7 +4,7 @@
 //
 // Files: front.go has the listener's life cycle, h2.go the limits of HTTP/2, protocol.go what the platform's and the mesh's
 // protocols add, platform.go the platform's, request.go the course of a request, call.go its side towards the engine,
-// body.go long bodies, connections.go downstream connections, pipeline.go pipelined requests, head.go what net/http drops of a
+// body.go long bodies, connections.go the listener and its limit, connection.go one downstream connection, pipeline.go pipelined requests, head.go what net/http drops of a
 // header section.
 package http1
 
@@ -172,5 +172,10 @@
 
 type connectionKey struct{}
 
+// connectionOf is the downstream connection of a request, which New puts into the context of its connections.
+func connectionOf(hr *http.Request) *connection {
+	return hr.Context().Value(connectionKey{}).(*connection)
+}
+
 // Clock is the node's clock.
 func (f *Front) Clock() engine.Clock { return f.clock }
--- a/internal/front/http1/pipeline.go
+++ b/internal/front/http1/pipeline.go
@@ -21,6 +21,7 @@
 const (
 	maxPipelined      = 8        // requests of a connection that are started behind the one being answered
 	maxPipelinedBytes = 32 << 10 // bytes that are buffered to be parsed
+	pipelineReadBytes = 4 << 10  // the most that is read at once
 )
 
 // pipeline holds what was received on a connection and was not read by net/http yet, or not answered yet.
@@ -92,7 +93,7 @@
 // fill reads once. The caller has set filling and holds the lock, which is released during the read.
 func (pl *pipeline) fill(c *connection) {
 	pl.mu.Unlock()
-	p := make([]byte, 4<<10)
+	p := make([]byte, pipelineReadBytes)
 	n, err := c.Conn.Read(p)
 	pl.mu.Lock()
 	pl.filling = false
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -116,10 +116,12 @@
 // SetCommonFields fills in the fields of a call that every protocol reads from the same header fields: id, class, tenant and zone;
 // and its deadline, if the caller waits for left from now on.
 func SetCommonFields(c *engine.Call, h http.Header, class string, now, left time.Duration) {
-	own := min(ProxyOverhead, left/4)
-	c.ID, c.Class, c.ClientRetry = h.Get("X-Correlation-Id"), class, h.Get("X-Repeat") == "1"
-	c.Deadline, c.FallbackAt = now+left-own, now+left-own/2
-	c.Tenant, c.CallerZone = h.Get("X-Account"), h.Get(message.CallerZone)
+	c.ID = h.Get("X-Correlation-Id")
+	c.Class = class
+	c.ClientRetry = h.Get("X-Repeat") == "1"
+	c.Tenant = h.Get("X-Account")
+	c.CallerZone = h.Get(message.CallerZone)
+	c.SetTimeLeft(now, left, ProxyOverhead)
 }
 
 // statusOf maps verdicts to status codes.
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -21,7 +21,7 @@
 		f.Dialect.Serve(f, w, hr)
 		return
 	}
-	from := hr.Context().Value(connectionKey{}).(*connection)
+	from := connectionOf(hr)
 	if hr.TransferEncoding != nil && from.head.lengths > 0 {
 		// Others may see the end of the body elsewhere (RFC 9112, section 6.1), and net/http has dropped the length.
 		f.reject(w, hr, from, &Rejection{Status: http.StatusBadRequest, Text: "both a length and a transfer coding"})
@@ -165,7 +165,7 @@
 // Enter selects the pool of a request, has check examine the request, and reserves capacity in the pool for a body of size
 // bytes. Unless there is a Rejection, the caller must call Leave on the pool.
 func (f *Front) Enter(hr *http.Request, size int64, check func(p *pool.Pool, class string) *Rejection) (*pool.Pool, *Rejection) {
-	return f.enter(hr, size, check, hr.Context().Value(connectionKey{}).(*connection))
+	return f.enter(hr, size, check, connectionOf(hr))
 }
 
 // enter is Enter for a connection that is known.
@@ -206,7 +206,7 @@
 
 // BeginRequest marks the connection of a request as in use. It returns false if the connection is being closed.
 func (f *Front) BeginRequest(hr *http.Request) bool {
-	return hr.Context().Value(connectionKey{}).(*connection).beginRequest()
+	return connectionOf(hr).beginRequest()
 }
 
 // bodiless reports whether a request has no body. net/http has already removed a length beside a Transfer-Encoding, and any
--- a/internal/grpc/scanner.go
+++ b/internal/grpc/scanner.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// prefixLength is the length of what precedes each message: the compressed flag and the length of the message.
-const prefixLength = 5
+// MessagePrefixBytes is the length of what precedes each message: the compressed flag and the length of the message.
+const MessagePrefixBytes = 5
 
 // CountMessages returns the number of length-prefixed messages that a body consists of. It fails if the last one is incomplete, or
 // if a compressed flag is neither 0 nor 1.
@@ -22,7 +22,7 @@
 // body. It is not safe for concurrent use.
 type Scanner struct {
 	Count  int // complete messages
-	prefix [prefixLength]byte
+	prefix [MessagePrefixBytes]byte
 	got    int    // bytes of prefix
 	left   uint32 // bytes of the message that are still to come
 }
@@ -30,14 +30,14 @@
 // Scan scans the next chunk. It fails if the body is not made of messages; the scanner must not be used after that.
 func (s *Scanner) Scan(chunk []byte) error {
 	for len(chunk) > 0 {
-		if s.got < prefixLength {
+		if s.got < MessagePrefixBytes {
 			n := copy(s.prefix[s.got:], chunk)
 			s.got += n
 			chunk = chunk[n:]
 			if flag := s.prefix[0]; flag > 1 {
 				return fmt.Errorf("message %d has the compressed flag %d", s.Count, flag)
 			}
-			if s.got < prefixLength {
+			if s.got < MessagePrefixBytes {
 				return nil
 			}
 			s.left = binary.BigEndian.Uint32(s.prefix[1:])
@@ -56,7 +56,7 @@
 // End returns an error if the last message is incomplete.
 func (s *Scanner) End() error {
 	if s.got != 0 {
-		return fmt.Errorf("message %d ends %d bytes too early", s.Count, int64(s.left)+prefixLength-int64(s.got))
+		return fmt.Errorf("message %d ends %d bytes too early", s.Count, int64(s.left)+MessagePrefixBytes-int64(s.got))
 	}
 	return nil
 }
