--- a/internal/envoyconf/routes.go
+++ b/internal/envoyconf/routes.go
@@ -163,7 +163,9 @@
 }
 
 // checkRetryHeader checks that the processor's retry header has effect and does not reach clients.
-func (c *checker) checkRetryHeader(policyPath, hostPath string, policy *routev3.RetryPolicy, virtualHost *routev3.VirtualHost, route *routev3.Route) {
+func (c *checker) checkRetryHeader(
+	policyPath, hostPath string, policy *routev3.RetryPolicy, virtualHost *routev3.VirtualHost, route *routev3.Route,
+) {
 	isRetryHeader := func(name string) bool { return strings.EqualFold(name, c.settings.RetryHeader) }
 	named := false
 	for _, header := range policy.GetRetriableHeaders() {
--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -15,6 +15,7 @@
 
 import (
 	"cmp"
+	"encoding/binary"
 	"fmt"
 	"math"
 	"slices"
@@ -65,15 +66,16 @@
 	defaultBodyBytes         = 64 << 10
 	defaultHeaderBytes       = 16 << 10
 	defaultPingAfter         = time.Second
-	defaultWindow            = 65535 // initial, of connection and streams (RFC 9113, section 6.9.2)
-	defaultFrame             = 16384
-	maxWindow                = math.MaxInt32
-	connectionWindow         = 1 << 20 // to which the connection is opened at the start
-	maxStreamID              = 1<<31 - 1
-	maxFramesWithoutProgress = 1000 // in a row: frames that advance no stream
-	maxEmptyFrames           = 100  // DATA frames of a stream without a byte
-	maxInterimResponses      = 10   // interim responses of a stream
-	connectionWindowStep     = connectionWindow / 4
+	defaultWindow            = 65535                // initial, of connection and streams (RFC 9113, section 6.9.2)
+	defaultFrame             = 16384                // initial SETTINGS_MAX_FRAME_SIZE, which is also the least (section 6.5.2)
+	largestMaxFrame          = 1<<24 - 1            // largest SETTINGS_MAX_FRAME_SIZE (section 6.5.2)
+	maxWindow                = math.MaxInt32        // largest window (section 6.9.1)
+	connectionWindow         = 1 << 20              // to which the connection is opened at the start
+	maxStreamID              = 1<<31 - 1            // (section 5.1.1)
+	maxFramesWithoutProgress = 1000                 // in a row: frames that advance no stream
+	maxEmptyFrames           = 100                  // DATA frames of a stream without a byte
+	maxInterimResponses      = 10                   // interim responses of a stream
+	connectionWindowStep     = connectionWindow / 4 // bytes received after which the window is opened again
 )
 
 // Conn is the state of a connection. It is not safe for concurrent use: one goroutine owns it, or a lock guards it.
@@ -194,9 +196,7 @@
 		c.lastPing++
 		c.awaitingPing[c.lastPing] = append(c.awaitingPing[c.lastPing], s.id)
 		var data [8]byte
-		for i := range data {
-			data[i] = byte(c.lastPing >> (8 * i))
-		}
+		binary.LittleEndian.PutUint64(data[:], c.lastPing)
 		c.emit(WritePing{Data: data})
 		return s.id, c.takeActions()
 	}
--- a/internal/h2/client/frames.go
+++ b/internal/h2/client/frames.go
@@ -10,6 +10,13 @@
 	codeEnhanceYourCalm = 0xb
 )
 
+// Status codes that decide how a response is framed (RFC 9110, section 15).
+const (
+	statusSwitchingProtocols = 101 // not in HTTP/2 (RFC 9113, section 8.6)
+	statusOK                 = 200 // the first one that is final
+	statusNotModified        = 304 // without a body, whatever length it declares
+)
+
 // Events are the frames of the server, as a framer reads them (RFC 9113, section 6).
 type (
 	// Settings is SETTINGS; a nil parameter was not in the frame.
--- a/internal/h2/client/receive.go
+++ b/internal/h2/client/receive.go
@@ -1,6 +1,7 @@
 package client
 
 import (
+	"encoding/binary"
 	"math"
 	"strconv"
 )
@@ -16,7 +17,7 @@
 		c.peerMaxStreams = int(min(*e.MaxStreams, math.MaxInt32))
 	}
 	if e.MaxFrame != nil {
-		if *e.MaxFrame < defaultFrame || *e.MaxFrame > 1<<24-1 {
+		if *e.MaxFrame < defaultFrame || *e.MaxFrame > largestMaxFrame {
 			c.fail(codeProtocol, "SETTINGS_MAX_FRAME_SIZE of %d", *e.MaxFrame)
 			return
 		}
@@ -63,11 +64,11 @@
 		return
 	}
 	status, fields, ok := splitStatus(e.Fields)
-	if !ok || status == 101 {
+	if !ok || status == statusSwitchingProtocols {
 		c.resetStream(s, codeProtocol)
 		return
 	}
-	if status < 200 {
+	if status < statusOK {
 		if s.interimResponses++; e.End || s.interimResponses > maxInterimResponses {
 			c.resetStream(s, codeProtocol)
 		}
@@ -165,7 +166,7 @@
 // completeResponse ends a stream whose response is complete. A response may end before the request does; the rest of the
 // request body is then not sent, and RST_STREAM with NO_ERROR says so (RFC 9113, section 8.1).
 func (c *Conn) completeResponse(s *stream) {
-	if s.contentLength >= 0 && s.contentLength != s.received && s.method != "HEAD" && s.response.Status != 304 {
+	if s.contentLength >= 0 && s.contentLength != s.received && s.method != "HEAD" && s.response.Status != statusNotModified {
 		c.resetStream(s, codeProtocol)
 		return
 	}
@@ -262,10 +263,7 @@
 		c.emit(WritePing{Ack: true, Data: e.Data})
 		return
 	}
-	number := uint64(0)
-	for i, b := range e.Data {
-		number |= uint64(b) << (8 * i)
-	}
+	number := binary.LittleEndian.Uint64(e.Data[:])
 	waiting, ours := c.awaitingPing[number]
 	if !ours {
 		return
--- a/internal/route/normalise.go
+++ b/internal/route/normalise.go
@@ -9,6 +9,9 @@
 const (
 	MaxHost = 253      // host name (RFC 1035, section 2.3.4)
 	MaxPath = 16 << 10 // path
+
+	maxAddressBytes = 64 // IPv6 address with its zone, without the closing bracket
+	maxPortBytes    = 6  // a colon and the five digits of the largest port
 )
 
 // Reasons why a host or path can't be normalised.
@@ -29,7 +32,7 @@
 	}
 	if s[0] == '[' {
 		end := strings.IndexByte(s, ']')
-		if end < 0 || !isPort(s[end+1:]) || end > 64 {
+		if end < 0 || !isPort(s[end+1:]) || end > maxAddressBytes {
 			return "", ErrHost
 		}
 		for _, c := range []byte(s[1:end]) {
@@ -62,7 +65,7 @@
 	if s == "" {
 		return true
 	}
-	if s[0] != ':' || len(s) > 6 {
+	if s[0] != ':' || len(s) > maxPortBytes {
 		return false
 	}
 	for _, c := range []byte(s[1:]) {
@@ -102,12 +105,22 @@
 	if isNormalised(s) {
 		return s, nil
 	}
+	decoded, err := decodeEscapes(s)
+	if err != nil {
+		return "", err
+	}
+	return removeDotSegments(decoded)
+}
+
+// decodeEscapes decodes the escapes of unreserved characters, and writes all others in upper case. It returns ErrEscape for
+// what no path may contain: malformed escapes, control characters and backslashes.
+func decodeEscapes(s string) (string, error) {
 	var b strings.Builder
 	b.Grow(len(s))
 	for i := 0; i < len(s); i++ {
 		c := s[i]
 		switch {
-		case c < 0x20 || c == 0x7f || c == '\\':
+		case isControl(c) || c == '\\':
 			return "", ErrEscape
 		case c != '%':
 			b.WriteByte(c)
@@ -117,9 +130,9 @@
 		}
 		v := hexValue(s[i+1])<<4 | hexValue(s[i+2])
 		switch {
-		case v < 0x20 || v == 0x7f:
+		case isControl(v):
 			return "", ErrEscape
-		case isAlnum(v) || v == '-' || v == '.' || v == '_' || v == '~':
+		case isUnreserved(v):
 			b.WriteByte(v)
 		default:
 			b.WriteByte('%')
@@ -128,14 +141,14 @@
 		}
 		i += 2
 	}
-	return removeDotSegments(b.String())
+	return b.String(), nil
 }
 
 // isNormalised reports whether a path is already normal: the common case, which needs no allocation.
 func isNormalised(s string) bool {
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
-		case c == '%' || c == '\\' || c < 0x20 || c == 0x7f:
+		case c == '%' || c == '\\' || isControl(c):
 			return false
 		case c == '/' && i+1 < len(s) && (s[i+1] == '/' || s[i+1] == '.'):
 			return false
@@ -175,6 +188,14 @@
 	return string(out), nil
 }
 
+// isControl reports whether c is a control character of ASCII.
+func isControl(c byte) bool { return c < 0x20 || c == 0x7f }
+
+// isUnreserved reports whether c never needs an escape (RFC 3986, section 2.3).
+func isUnreserved(c byte) bool {
+	return isAlnum(c) || c == '-' || c == '.' || c == '_' || c == '~'
+}
+
 func isAlnum(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
 }
--- a/internal/xds/client/client.go
+++ b/internal/xds/client/client.go
@@ -228,7 +228,12 @@
 // resetTimer sets the timer to the earliest deadline.
 func (c *Client) resetTimer() {
 	wait := idleWakeup
-	for _, nextDeadline := range []func() (time.Duration, bool){c.failover.NextDeadline, c.machine.NextDeadline, c.clusters.NextDeadline} {
+	nextDeadlines := [...]func() (time.Duration, bool){
+		c.failover.NextDeadline,
+		c.machine.NextDeadline,
+		c.clusters.NextDeadline,
+	}
+	for _, nextDeadline := range nextDeadlines {
 		if at, ok := nextDeadline(); ok {
 			wait = min(wait, max(0, at-c.now()))
 		}
