--- a/internal/envoyconf/filter.go
+++ b/internal/envoyconf/filter.go
@@ -34,11 +34,8 @@
 	if timeout <= c.settings.DecisionTimeout {
 		c.add(Finding{
 			Path: path + ".message_timeout",
-			Problem: fmt.Sprintf(
-				"%v is no longer than the processor's decide_within of %v, so decisions can come too late",
-				timeout,
-				c.settings.DecisionTimeout,
-			),
+			Problem: fmt.Sprintf("%v is no longer than the processor's decide_within of %v, so decisions can come too late",
+				timeout, c.settings.DecisionTimeout),
 			Remedy: "make it longer, or decide_within shorter",
 		})
 	}
--- a/internal/envoyconf/listeners.go
+++ b/internal/envoyconf/listeners.go
@@ -95,12 +95,8 @@
 			if filter.GetTypedConfig().MessageIs(&extprocv3.ExternalProcessor{}) {
 				c.hasUpstreamFilter = true
 				c.add(Finding{
-					Path: fmt.Sprintf(
-						"%s.typed_extension_protocol_options[%s].http_filters[%d]",
-						c.clusterPaths[cluster.GetName()],
-						name,
-						i,
-					),
+					Path: fmt.Sprintf("%s.typed_extension_protocol_options[%s].http_filters[%d]",
+						c.clusterPaths[cluster.GetName()], name, i),
 					Problem: "the processor is an upstream filter: the router has selected the host before these run, so the decision has no effect but is accounted for",
 					Remedy:  "make it a filter of the HTTP connection manager; to be asked for each attempt, of one behind an internal listener",
 				})
--- a/internal/extproc/stream/body.go
+++ b/internal/extproc/stream/body.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// passBody notes a chunk of a body and returns the answer that passes it on unchanged; nil if there is none to send.
+// passBody notes a chunk of a body and returns the answer that passes it on unchanged. It returns nil if there is none to
+// send.
 func (s *Stream) passBody(of *httpMessage, b *extproc.HttpBody) *extproc.BodyResponse {
 	// A repeated, empty end of the stream is accepted.
 	if of.ended && (len(b.GetBody()) > 0 || !b.GetEndOfStream()) {
--- a/internal/front/extproc/front.go
+++ b/internal/front/extproc/front.go
@@ -41,6 +41,19 @@
 	defaultRememberedRequests = 100_000
 )
 
+// HTTP/2 PINGs on the connections of proxies.
+const (
+	keepaliveInterval    = 30 * time.Second // without a frame, then a PING checks the connection
+	keepaliveTimeout     = 10 * time.Second // for its answer, then the connection is closed
+	minKeepaliveInterval = 5 * time.Second  // a proxy that sends PINGs more often is sent GOAWAY (ENHANCE_YOUR_CALM)
+)
+
+// Workers that serve streams: a stream is short-lived, and a worker that is used again has grown its stack already.
+const (
+	streamWorkersPerCore = 2
+	extraStreamWorkers   = 64
+)
+
 // maxMessageBytes bounds a message of a proxy. Envoy sends bodies in chunks, or in buffers of its own, lower limit.
 const maxMessageBytes = 4 << 20
 
@@ -57,8 +70,8 @@
 	// Retries says that proxies ask on a new stream for each retry, and show the response headers of each attempt.
 	// Otherwise the response headers that a proxy shows go to the client.
 	Retries bool
-	// RetryHeader, used with Retries, is set in the response of a failed attempt if the module allows a retry. "":
-	// proxies retry as they like, and learn when they ask whether they may.
+	// RetryHeader, used with Retries, is set in the response of a failed attempt if the module allows a retry. ""
+	// means that proxies retry as they like, and learn when they ask whether they may.
 	RetryHeader string
 	Streams     uint32  // limit of open streams on one connection; default 10,000
 	Rate        float64 // limit of requests per second of one proxy; 0 means no limit
@@ -131,10 +144,12 @@
 		grpc.MaxConcurrentStreams(cfg.Streams),
 		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.InTapHandle(f.recordArrival),
-		// A stream is short-lived: a worker that is used again has grown its stack already.
-		grpc.NumStreamWorkers(uint32(2*runtime.GOMAXPROCS(0)+64)),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 30 * time.Second, Timeout: 10 * time.Second}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
+		grpc.NumStreamWorkers(uint32(streamWorkersPerCore*runtime.GOMAXPROCS(0)+extraStreamWorkers)),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
+			MinTime:             minKeepaliveInterval,
+			PermitWithoutStream: true,
+		}),
 	)
 	extproc.RegisterExternalProcessorServer(f.server, f)
 	healthpb.RegisterHealthServer(f.server, f.health)
--- a/internal/front/extproc/pick.go
+++ b/internal/front/extproc/pick.go
@@ -18,7 +18,7 @@
 // attemptCountHeader is the proxy's count of the attempts of a request (include_request_attempt_count).
 const attemptCountHeader = "x-envoy-attempt-count"
 
-// minTimeLeftDivisor is the share of the decision time-out that must be left for a request to be started: a quarter.
+// minTimeLeftDivisor says which share of the decision time-out must be left for a request to be started: a quarter.
 const minTimeLeftDivisor = 4
 
 // proxyDelay is the part of a request's time that is kept for the way through the proxy and this node; no more than a
--- a/internal/front/grpc/call.go
+++ b/internal/front/grpc/call.go
@@ -17,7 +17,7 @@
 // call is a call that an engine is handling.
 type call struct {
 	engine.Call
-	clientDeadline time.Time            // by which the client wants the complete answer; zero: it has not said
+	clientDeadline time.Time            // by which the client wants the complete answer; zero means it has not said
 	streams        chan *message.Stream // capacity 1: a streamed answer that begins, so that the engine never blocks
 	answers        chan engine.Answer   // capacity 1: the final answer, likewise
 	stream         *message.Stream      // once it was received from streams
--- a/internal/front/grpc/request_body.go
+++ b/internal/front/grpc/request_body.go
@@ -56,7 +56,7 @@
 	return body, nil
 }
 
-// limitReads sets the read deadline of a request; zero: none. HTTP/2 streams always support it, and on a closed
+// limitReads sets the read deadline of a request; a zero time means none. HTTP/2 streams always support it, and on a closed
 // connection the read itself fails.
 func limitReads(controller *http.ResponseController, deadline time.Time) {
 	_ = controller.SetReadDeadline(deadline)
--- a/internal/front/grpc/response.go
+++ b/internal/front/grpc/response.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// limitWrites sets the write deadline of an answer; zero: none. HTTP/2 streams always support it, and on a closed
+// limitWrites sets the write deadline of an answer; a zero time means none. HTTP/2 streams always support it, and on a closed
 // connection the write itself fails.
 func limitWrites(controller *http.ResponseController, deadline time.Time) {
 	_ = controller.SetWriteDeadline(deadline)
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -82,21 +82,9 @@
 	rc := http.NewResponseController(w)
 	in := &pacedBody{rc: rc, body: hr.Body, limit: out.MaxBodyBytes}
 	buf := make([]byte, bufferedSize(hr))
-	n, err := io.ReadFull(in, buf)
-	ended := hr.ContentLength == int64(n)
-	atEnd := (errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)) && !errors.Is(err, errIncompleteBody)
-	if hr.ContentLength < 0 && atEnd {
-		ended, err = true, nil
-	}
+	n, ended, err := in.readBuffered(buf, hr.ContentLength)
 	if err == nil && !ended {
-		// The caller may still write the body when the answer begins.
-		err = rc.EnableFullDuplex()
-		if hr.ProtoMajor > 1 {
-			err = nil
-		}
-		c.upload = newUpload(hr, in)
-		out.BodyRest = c.upload.stream
-		c.Arriving = true
+		err = c.startUpload(rc, hr, in)
 	}
 	if err == nil {
 		err = rc.SetReadDeadline(time.Time{})
@@ -115,7 +103,31 @@
 	return nil
 }
 
-// upload is the rest of a long body. The goroutine of pump owns the request's body until ended is closed.
+// readBuffered fills buf with the beginning of a body of the declared length, which is negative if there is none. ended
+// reports whether that was all of the body.
+func (p *pacedBody) readBuffered(buf []byte, length int64) (n int, ended bool, err error) {
+	n, err = io.ReadFull(p, buf)
+	atEnd := (errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF)) && !errors.Is(err, errIncompleteBody)
+	if length < 0 && atEnd {
+		return n, true, nil
+	}
+	return n, length == int64(n), err
+}
+
+// startUpload has the rest of a long body passed on as it comes. pump reads it once the call is submitted.
+func (c *call) startUpload(rc *http.ResponseController, hr *http.Request, in *pacedBody) error {
+	c.upload = newUpload(hr, in)
+	c.Payload.(*message.Request).BodyRest = c.upload.stream
+	c.Arriving = true
+	if hr.ProtoMajor > 1 {
+		_ = rc.EnableFullDuplex() // HTTP/2 streams are full duplex, whatever it returns
+		return nil
+	}
+	return rc.EnableFullDuplex() // the caller may still write the body when the answer begins
+}
+
+// upload is the rest of a long body. The goroutine of pump owns the request's body until ended is closed; the handler of the
+// request starts it and waits for its end.
 type upload struct {
 	body    *pacedBody
 	stream  *message.Stream
--- a/internal/source/registry/list.go
+++ b/internal/source/registry/list.go
@@ -27,7 +27,7 @@
 	Cell     int     `json:"pod_group"`
 	State    string  `json:"state"` // SERVING, DRAINING or DELETED
 	Size     float64 `json:"capacity_hint"`
-	BootMS   float64 `json:"boot_ms"` // Unix time of its last start, in milliseconds; 0: long ago
+	BootMS   float64 `json:"boot_ms"` // Unix time of its last start, in milliseconds; 0 means long ago
 }
 
 const stateDeleted = "DELETED"
--- a/internal/xds/ads/response.go
+++ b/internal/xds/ads/response.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// subscriptionOf finds the subscription that a response belongs to; nil if the response is ignored.
+// subscriptionOf finds the subscription that a response belongs to. It returns nil if the response is ignored.
 func (m *Machine) subscriptionOf(typeURL, nonce string) *subscription {
 	sub := m.byURL[typeURL]
 	switch {
@@ -262,8 +262,12 @@
 		stored.ChangedAt, stored.Value, stored.digest = now, r.value, r.digest
 		update.Updated = append(update.Updated, stored)
 	}
-	stored.Version, stored.Status, stored.existenceDeadline, stored.confirmed = r.version, Received, 0, true
-	stored.RejectionReason, stored.RejectedAt = "", 0
+	stored.Version = r.version
+	stored.Status = Received
+	stored.existenceDeadline = 0
+	stored.confirmed = true
+	stored.RejectionReason = ""
+	stored.RejectedAt = 0
 	stored.setTTL(now, r.ttl)
 }
 
--- a/internal/xds/resource/clusters.go
+++ b/internal/xds/resource/clusters.go
@@ -170,7 +170,7 @@
 	return c.updates(), notices
 }
 
-// NextDeadline returns when Advance has something to do; false if never.
+// NextDeadline returns when Advance has something to do. ok is false if it never has.
 func (c *Clusters) NextDeadline() (at time.Duration, ok bool) {
 	return c.emptiedAt + c.cfg.EmptyGrace, c.emptiedAt > 0
 }
