--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -74,8 +74,8 @@
 	return s, nil
 }
 
-// maxOverrides bounds the overrides of servers in a state. MaxServersDown is the limit of servers that are down; revoked
-// overrides are retained for a while beside them.
+// maxOverrides bounds the overrides of servers in a state. MaxServersDown is the limit of servers that
+// are down; revoked overrides are retained for a while beside them.
 const maxOverrides = 2 * adminstate.MaxServersDown
 
 // validate returns an error for a state that the node could not be in.
--- a/internal/node/admin_state.go
+++ b/internal/node/admin_state.go
@@ -31,6 +31,7 @@
 	replicate func() error
 }
 
+// newAdminState returns a state in which no server is down, whose changes reach nobody until onChange and replicate are set.
 func newAdminState(clock engine.Clock) *adminState {
 	s := &adminState{
 		clock:     clock,
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -15,7 +15,7 @@
 // errNotServing answers a check while the node accepts no requests.
 var errNotServing = errors.New("not taking clients")
 
-// OperatorAddr returns the address for operators' commands; nil if the node has none.
+// OperatorAddr returns the address for operators' commands. It returns nil if the node has none.
 func (n *Node) OperatorAddr() net.Addr {
 	if n.commandServer == nil {
 		return nil
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -105,6 +105,7 @@
 	return c, c.Settings.Validate()
 }
 
+// checkAddresses checks the addresses that every configuration has.
 func (c *Config) checkAddresses(*configDocument) error {
 	if err := checkHostPort("listen", c.Listen); err != nil {
 		return err
@@ -120,6 +121,7 @@
 	return nil
 }
 
+// parseSeed reads the seed, a hexadecimal number of 64 bits.
 func (c *Config) parseSeed(document *configDocument) (err error) {
 	if c.Seed, err = strconv.ParseUint(document.Seed, 16, 64); err != nil {
 		return fmt.Errorf("seed: %q is no hexadecimal number of 64 bits", document.Seed)
@@ -127,6 +129,7 @@
 	return nil
 }
 
+// checkLimits rejects limits below zero. A limit of zero stands for one that is not known.
 func (c *Config) checkLimits(*configDocument) error {
 	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 {
 		return errors.New("limits: negative")
@@ -134,6 +137,7 @@
 	return nil
 }
 
+// parseKnown reads the servers that the node had last, if the file has any. They are a complete list.
 func (c *Config) parseKnown(document *configDocument) (err error) {
 	if len(document.Known) > 0 {
 		if c.Known, err = registry.ParseList(document.Known); err != nil {
@@ -144,6 +148,7 @@
 	return nil
 }
 
+// parseSettings reads the settings of the balancer and of connections.
 func (c *Config) parseSettings(document *configDocument) (err error) {
 	if len(document.Settings) == 0 {
 		return errors.New("settings: missing")
@@ -152,6 +157,7 @@
 	return err
 }
 
+// setDefaults fills in what the file left out.
 func (c *Config) setDefaults() {
 	if c.Sockets == 0 {
 		c.Sockets = defaultSockets
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -40,6 +40,7 @@
 	n.drainTimeoutNanos.Store(int64(longest))
 }
 
+// drainTimeout returns how long a draining node waits for requests in flight.
 func (n *Node) drainTimeout() time.Duration { return time.Duration(n.drainTimeoutNanos.Load()) }
 
 // drain completes the requests in flight. With a successor new connections go there at once; without one they are still
--- a/internal/node/hot_restart_state.go
+++ b/internal/node/hot_restart_state.go
@@ -21,7 +21,8 @@
 	r.n.adminState.importSeen(s.Seen)
 }
 
-// predecessorPool returns what the predecessor knew of a pool; nil if it had no such pool, or there is no predecessor.
+// predecessorPool returns what the predecessor knew of a pool. It returns nil if it had no such pool, or if there is no
+// predecessor.
 func (r *hotRestart) predecessorPool(name string) *hotrestart.Pool {
 	if r == nil || r.predecessor == nil {
 		return nil
@@ -131,6 +132,7 @@
 	return errors.Join(r.save(), r.broadcast(nil))
 }
 
+// save keeps the administrative state for the processes that come after this one.
 func (r *hotRestart) save() error {
 	return hotrestart.Save(r.dir, r.adminStateNow())
 }
@@ -150,6 +152,7 @@
 	return err
 }
 
+// linksExcept returns the links to all other processes except one, which may be nil.
 func (r *hotRestart) linksExcept(except *hotrestart.Link) (links []*hotrestart.Link) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/inspection_server.go
+++ b/internal/node/inspection_server.go
@@ -24,6 +24,7 @@
 	server   *http.Server
 }
 
+// newInspectionServer listens at addr, host:port. Pages are served once serve is called.
 func newInspectionServer(n *Node, addr string) (*inspectionServer, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -59,12 +60,13 @@
 	}
 }
 
+// close closes the listener and all connections.
 func (s *inspectionServer) close() {
 	s.server.Close()
 	s.listener.Close() // the server does not know the listener if serve was never called
 }
 
-// InspectionAddr returns the address of the node's inspection pages; nil if it has none.
+// InspectionAddr returns the address of the node's inspection pages. It returns nil if it has none.
 func (n *Node) InspectionAddr() net.Addr {
 	if n.inspection == nil {
 		return nil
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -70,7 +70,7 @@
 		r.Path, err = route.Path(path)
 	}
 	if err != nil {
-		return nil, "", &NoRoute{http.StatusBadRequest, err.Error()}
+		return nil, "", &NoRoute{Status: http.StatusBadRequest, Text: err.Error()}
 	}
 	r.Class = firstSegment(r.Path)
 	if s.routes == nil {
@@ -78,7 +78,7 @@
 	}
 	target, found := s.routes.Match(&r)
 	if !found {
-		return nil, "", &NoRoute{http.StatusNotFound, "no route for this host and path"}
+		return nil, "", &NoRoute{Status: http.StatusNotFound, Text: "no route for this host and path"}
 	}
 	class = r.Class
 	if target.Class != "" {
--- a/internal/operator/servers.go
+++ b/internal/operator/servers.go
@@ -59,7 +59,8 @@
 		}
 		idKey := "id"
 		if s.ID == "" {
-			s.ID, idKey = s.Addr, "address"
+			s.ID = s.Addr
+			idKey = "address"
 		}
 		if ids[s.ID] {
 			st.fault(idKey, "two servers of this pool have the id %q", s.ID)
