--- a/cmd/meshscale/main.go
+++ b/cmd/meshscale/main.go
@@ -34,7 +34,7 @@
 
 // runCommand is the command run.
 type runCommand struct {
-	Out  string `short:"o" long:"out" value-name:"FILE" description:"where the results go (default: docs/capacity/NAME.json, by the experiment's name)"`
+	Out  string `short:"o" long:"out" value-name:"FILE" description:"where the results go (default: docs/capacity/NAME.json)"`
 	Args struct {
 		File string `positional-arg-name:"EXPERIMENT.toml" required:"yes"`
 	} `positional-args:"yes" required:"yes"`
--- a/internal/operator/plan.go
+++ b/internal/operator/plan.go
@@ -60,7 +60,7 @@
 	Region        string        // of this node, as are Zone and SubZone; default ""
 	Zone          string        // default ""
 	SubZone       string        // default ""
-	Timeout       time.Duration // until a resource that does not come counts as missing (resource_timeout); default 15 s, as the specification says
+	Timeout       time.Duration // until a resource that does not come counts as missing (resource_timeout); default 15 s, as specified
 	KeepOnRemoval bool          // a cluster that is removed keeps its servers; default false
 	EmptyGrace    time.Duration // how long clusters stay if one response removes all of them; default 30 s
 	MaxResponse   int64         // bytes of a response; default 16 MiB
