--- a/cmd/cranegrade/fleet.go
+++ b/cmd/cranegrade/fleet.go
@@ -125,14 +125,11 @@
 	if config == "" {
 		return nil, errors.New("-config FILE is missing")
 	}
-	plan, err := operator.Load(config)
+	url, err := program.InspectionURL(config, path)
 	if err != nil {
 		return nil, err
 	}
-	if plan.Admin == "" {
-		return nil, fmt.Errorf("%s names no admin address to ask the node at", config)
-	}
-	page, err := inspect(method, "http://"+plan.Admin+path)
+	page, err := inspect(method, url)
 	if err != nil {
 		return nil, err
 	}
