--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -99,7 +99,8 @@
 		conn.Close()
 		return nil
 	}
-	if s.open++; s.open > s.maxConnections {
+	s.open++
+	if s.open > s.maxConnections {
 		if longest := s.silent.Front(); longest != nil {
 			longest.Value.(net.Conn).Close() // its goroutine ends by that, and decrements open
 			s.silent.Remove(longest)
--- a/internal/adminstate/seen_servers.go
+++ b/internal/adminstate/seen_servers.go
@@ -41,7 +41,8 @@
 		s.ring = append(s.ring, hash)
 	} else {
 		oldest := s.ring[s.next]
-		if s.counts[oldest]--; s.counts[oldest] == 0 {
+		s.counts[oldest]--
+		if s.counts[oldest] == 0 {
 			delete(s.counts, oldest)
 		}
 		s.ring[s.next] = hash
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -41,7 +41,8 @@
 func (w *World) drawClass() *Class {
 	draw := w.random.Float64()
 	for i := range w.config.Classes {
-		if draw -= w.config.Classes[i].Share; draw < 0 {
+		draw -= w.config.Classes[i].Share
+		if draw < 0 {
 			return &w.config.Classes[i]
 		}
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -242,7 +242,8 @@
 
 // phaseFinished ends a job, or makes its next call to the next tier. The caller calls scheduleFinish.
 func (s *Server) phaseFinished(j *job) {
-	if j.phase++; j.phase == len(j.phases) {
+	j.phase++
+	if j.phase == len(j.phases) {
 		s.finish(j, balancer.Success)
 		return
 	}
--- a/internal/node/admin_state.go
+++ b/internal/node/admin_state.go
@@ -63,7 +63,8 @@
 func (s *adminState) ServerRemoved(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.listed[id]--; s.listed[id] <= 0 {
+	s.listed[id]--
+	if s.listed[id] <= 0 {
 		delete(s.listed, id)
 		s.seen.Add(id)
 	}
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -145,7 +145,8 @@
 		case string:
 			h.Value = v
 		case bool:
-			if h.Present = v; !v {
+			h.Present = v
+			if !v {
 				t.fault(name, "a value is wanted, or true for any")
 			}
 		default:
--- a/internal/program/rate_limited_log.go
+++ b/internal/program/rate_limited_log.go
@@ -38,7 +38,8 @@
 		w.lines = 0
 		w.dropped = 0
 	}
-	if w.lines++; w.lines > maxLinesPerSecond {
+	w.lines++
+	if w.lines > maxLinesPerSecond {
 		w.dropped++
 		return len(line), nil
 	}
--- a/internal/zone/choose.go
+++ b/internal/zone/choose.go
@@ -160,7 +160,8 @@
 		}
 		draw := s.random.Float64() * total
 		for j := i; j < len(localities); j++ {
-			if draw -= weight(localities[j]); draw < 0 {
+			draw -= weight(localities[j])
+			if draw < 0 {
 				localities[i], localities[j] = localities[j], localities[i]
 				break
 			}
--- a/internal/zone/model/policies.go
+++ b/internal/zone/model/policies.go
@@ -95,7 +95,8 @@
 func (p *HealthyHostsPolicy) Choose(time.Duration) int {
 	draw := p.random.Float64()
 	for number, share := range p.shares {
-		if draw -= share; draw < 0 {
+		draw -= share
+		if draw < 0 {
 			return number
 		}
 	}
