--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -66,28 +66,40 @@
 func (b *budgets) shared(t operator.Totals) []sharedBudget {
 	return []sharedBudget{
 		{
-			b.calls, t.Calls, func(s pool.Shares) *pool.Share { return s.Calls },
-			func(l operator.Limits) pool.Quota { return l.Calls },
+			budget: b.calls,
+			total:  t.Calls,
+			share:  func(s pool.Shares) *pool.Share { return s.Calls },
+			quota:  func(l operator.Limits) pool.Quota { return l.Calls },
 		},
 		{
-			b.pendingCalls, t.PendingCalls, func(s pool.Shares) *pool.Share { return s.PendingCalls },
-			func(l operator.Limits) pool.Quota { return l.PendingCalls },
+			budget: b.pendingCalls,
+			total:  t.PendingCalls,
+			share:  func(s pool.Shares) *pool.Share { return s.PendingCalls },
+			quota:  func(l operator.Limits) pool.Quota { return l.PendingCalls },
 		},
 		{
-			b.connections, t.Connections, func(s pool.Shares) *pool.Share { return s.Connections },
-			func(l operator.Limits) pool.Quota { return l.Connections },
+			budget: b.connections,
+			total:  t.Connections,
+			share:  func(s pool.Shares) *pool.Share { return s.Connections },
+			quota:  func(l operator.Limits) pool.Quota { return l.Connections },
 		},
 		{
-			b.requestBodies, t.RequestBodies, func(s pool.Shares) *pool.Share { return s.RequestBodies },
-			func(l operator.Limits) pool.Quota { return l.RequestBodies },
+			budget: b.requestBodies,
+			total:  t.RequestBodies,
+			share:  func(s pool.Shares) *pool.Share { return s.RequestBodies },
+			quota:  func(l operator.Limits) pool.Quota { return l.RequestBodies },
 		},
 		{
-			b.responseBuffers, t.ResponseBuffers, func(s pool.Shares) *pool.Share { return s.ResponseBuffers },
-			func(l operator.Limits) pool.Quota { return l.ResponseBuffers },
+			budget: b.responseBuffers,
+			total:  t.ResponseBuffers,
+			share:  func(s pool.Shares) *pool.Share { return s.ResponseBuffers },
+			quota:  func(l operator.Limits) pool.Quota { return l.ResponseBuffers },
 		},
 		{
-			b.downstreamConns, t.DownstreamConns, func(s pool.Shares) *pool.Share { return s.DownstreamConns },
-			func(l operator.Limits) pool.Quota { return l.DownstreamConns },
+			budget: b.downstreamConns,
+			total:  t.DownstreamConns,
+			share:  func(s pool.Shares) *pool.Share { return s.DownstreamConns },
+			quota:  func(l operator.Limits) pool.Quota { return l.DownstreamConns },
 		},
 	}
 }
