--- a/internal/mesh/policy/rollout.go
+++ b/internal/mesh/policy/rollout.go
@@ -9,7 +9,7 @@
 
 // Times of the two steps.
 const (
-	// FenceTimeout is how long a sidecar may use the active set after a confirmed read, counted from when it asked, by its own monotonic
+	// FenceTimeout is how long a sidecar may use the active set after a linearizable read, counted from when it asked, by its own monotonic
 	// clock. After that it rejects requests that policies govern, which have then not run, until the set is confirmed again.
 	FenceTimeout = 3 * time.Second
 
--- a/internal/mesh/policy/sidecarstate.go
+++ b/internal/mesh/policy/sidecarstate.go
@@ -36,7 +36,7 @@
 	return s, true, false
 }
 
-// Restore returns the state after a confirmed read, requested at a time, has returned the active set.
+// Restore returns the state after a linearizable read, requested at a time, has returned the active set.
 func (s SidecarState) Restore(fingerprint string, index uint64, asked time.Duration) SidecarState {
 	if index < s.ActiveIndex {
 		return s
@@ -48,7 +48,7 @@
 	return s
 }
 
-// Confirm returns the state after a confirmed read, requested at a time, has returned which sets are active and
+// Confirm returns the state after a linearizable read, requested at a time, has returned which sets are active and
 // agreed on. It returns false if the sidecar has others and must read all items again.
 func (s SidecarState) Confirm(active string, index uint64, agreed string, asked time.Duration) (SidecarState, bool) {
 	if active != s.Active || index != s.ActiveIndex || agreed != s.Received {
--- a/internal/mesh/sidecar/controlplane_messages.go
+++ b/internal/mesh/sidecar/controlplane_messages.go
@@ -44,7 +44,8 @@
 	return addrs
 }
 
-// confirm reads the configuration from the followed member by a confirmed read, and reports the result to the selector.
+// confirm reads the configuration from the followed member by a linearizable read, and reports the result to the
+// selector. It runs on a goroutine of its own.
 func (c *controlPlaneConn) confirm(conn *transport.Conn, id memberselection.ConnID) {
 	hasItems, err := c.readTable(conn)
 	confirmed := hasItems && err == nil
@@ -54,8 +55,8 @@
 	c.post(func(now time.Duration) { c.selector.ConfirmationReceived(now, id, confirmed) })
 }
 
-// readTable reads all items and the active policies by a confirmed read. hasItems is false if no
-// operator has configured anything yet.
+// readTable reads all items and the active policies by a linearizable read. hasItems is false if no operator has
+// configured anything yet.
 func (c *controlPlaneConn) readTable(conn *transport.Conn) (hasItems bool, err error) {
 	ctx, cancel := context.WithTimeout(c.env.ctx, callTimeout)
 	defer cancel()
--- a/internal/mesh/sidecar/doc.go
+++ b/internal/mesh/sidecar/doc.go
@@ -7,9 +7,9 @@
 // # What it owns
 //
 // It owns the state of the local server, which it publishes as a record, and the responses stored for repeated keys.
-// Everything else is a copy of what the control plane agreed on: items, active policies, the directory, the machines
-// in maintenance. The copies are snapshots that are replaced as a whole, so that a request uses the same one from
-// beginning to end. Nothing is kept on disk.
+// Everything else is a copy of what control-plane members sent: items, active policies and the machines in maintenance,
+// on which they agreed, and the directory, on which nobody has to agree. The copies are snapshots that are replaced as
+// a whole, so that a request uses the same one from beginning to end. Nothing is kept on disk.
 //
 // # What it must never do
 //
--- a/internal/mesh/sidecar/environment.go
+++ b/internal/mesh/sidecar/environment.go
@@ -15,8 +15,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// incarnationBytes is the length of the random identity of a process. With 48 bits, two
-// incarnations at one address are not expected ever to draw the same.
+// incarnationBytes is the length of the random identity of a process. With 48 bits, two incarnations at one
+// address are not expected ever to draw the same.
 const incarnationBytes = 6
 
 // environment is shared by all parts of a sidecar: its identity, settings, clock and log, and the calls that wait for
--- a/internal/mesh/sidecar/outbound_protocol.go
+++ b/internal/mesh/sidecar/outbound_protocol.go
@@ -148,8 +148,8 @@
 	return nil
 }
 
-// checkForm validates the headers and sizes of a request. It returns the request's time budget,
-// which is noTimeBudget if it names none.
+// checkForm validates the headers and sizes of a request. It returns the request's time budget, which is
+// noTimeBudget if it names none.
 func checkForm(request *http.Request, routed *routedRequest, limits *config.LimitsSpec) (time.Duration, *front.Rejection) {
 	header := request.Header
 	keyed := routed.route.Kind == routing.Keyed
--- a/internal/mesh/sidecar/policies.go
+++ b/internal/mesh/sidecar/policies.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// applyConfirmedTable applies all items and the active policies of a confirmed read that was begun at askedAt. It
+// applyConfirmedTable applies all items and the active policies of a linearizable read that was begun at askedAt. It
 // returns false if the policies do not match their fingerprint, so that the read has to be repeated.
 func (c *configuration) applyConfirmedTable(read *wire.ItemsT, askedAt time.Duration) bool {
 	c.mergeItems(config.ItemsFromWire(read))
--- a/internal/mesh/testcluster/policy_test.go
+++ b/internal/mesh/testcluster/policy_test.go
@@ -209,7 +209,7 @@
 	}
 	call := func(tables map[string]any) []byte { return EncodeCall(map[string]any{"Remove": tables}) }
 	status, text := m.Members[0].Modify(call(map[string]any{"NamespaceTable": removals("shop")}))
-	assert.Assert(t, status == 400 && strings.Contains(text, "ruling later: its namespace"), "%d %s", status, text)
+	assert.Assert(t, status == 400 && strings.Contains(text, "policy later: its namespace"), "%d %s", status, text)
 	m.awaitAcknowledged(t, m.Members, call(map[string]any{
 		"NamespaceTable": removals("shop", "store"),
 		"RulingTable":    removals("patience", "shelter", "private", "later"),
