--- a/internal/drill/drill_test.go
+++ b/internal/drill/drill_test.go
@@ -39,9 +39,9 @@
 
 var parallelDrills = make(chan struct{}, maxParallelDrills)
 
-// drillsAlone are the drills that run before all others, one after the other: each keeps all cores busy, compares what was served at two
-// times, or opens more connections than the program may have, which closes new ones that callers on a busy machine are slow to use.
-var drillsAlone = []string{"load", "xds-size", "pools", "overload-start"}
+// drillsAlone are the drills that run before all others, one after the other: each keeps all cores busy, judges how much was served, or
+// opens more connections than the program may have, which closes new ones that callers on a busy machine are slow to use.
+var drillsAlone = []string{"load", "xds-size", "pools", "xds-chaos", "overload-start"}
 
 // runParallel has a test run beside others, once fewer than maxParallelDrills do.
 func runParallel(t *testing.T) {
