--- a/internal/mesh/sidecar/client_gone_test.go
+++ b/internal/mesh/sidecar/client_gone_test.go
@@ -141,14 +141,14 @@
 		return engine.OpenCalls() > 0 && !caller.hasAnswer()
 	})
 	x.awaitOpenCalls(0)
-	x.fakeServers[0].id = "i-next"
 	arrived := make(chan string, maxScriptedArrivals)
-	x.attachServer(0, func(a *arrival) bool {
+	next := x.scriptedServer(func(a *arrival) bool {
 		a.readBody()
 		arrived <- a.attemptID()
 		a.succeed()
 		return true
 	})
+	x.heartbeatOf(0, "i-next", next, "ready", 1)
 	await(t, func() bool { return x.call(repeatableCall, "plain", "", time.Second).Status == 200 })
 	for len(arrived) > 0 {
 		if id := <-arrived; abandoned[id] {
--- a/internal/mesh/sidecar/scripted_server_test.go
+++ b/internal/mesh/sidecar/scripted_server_test.go
@@ -27,7 +27,6 @@
 	conn    net.Conn
 	reader  *bufio.Reader
 	request *http.Request
-	at      time.Time
 }
 
 // attemptID returns the id that the request carries.
@@ -57,10 +56,16 @@
 // attachServer puts a server in the place of the nth one, which calls serve for each request on a connection until that returns false. It never
 // answers the calls of occupyUpstream.
 func (x *callChain) attachServer(n int, serve func(*arrival) (more bool)) {
+	x.t.Helper()
+	x.heartbeat(n, x.scriptedServer(serve), "ready", 2)
+}
+
+// scriptedServer starts a server for attachServer, and returns its address.
+func (x *callChain) scriptedServer(serve func(*arrival) (more bool)) (addr string) {
 	x.t.Helper()
 	testEnds := make(chan struct{})
 	x.t.Cleanup(func() { close(testEnds) })
-	addr := testkit.Listen(x.t, func(c net.Conn, r *bufio.Reader) {
+	return testkit.Listen(x.t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			request, err := http.ReadRequest(r)
 			if err != nil {
@@ -70,12 +75,11 @@
 				<-testEnds
 				return
 			}
-			if !serve(&arrival{conn: c, reader: r, request: request, at: time.Now()}) {
+			if !serve(&arrival{conn: c, reader: r, request: request}) {
 				return
 			}
 		}
 	})
-	x.heartbeat(n, addr, "ready", 2)
 }
 
 // occupyingPath ends the path of a call that lasts until the test ends.
@@ -96,7 +100,13 @@
 // heartbeat sends a heartbeat of the nth server.
 func (x *callChain) heartbeat(n int, addr, state string, sequence int64) {
 	x.t.Helper()
-	assert.NilError(x.t, x.far[n].localServer.heartbeat(x.fakeServers[n].id, Heartbeat{
+	x.heartbeatOf(n, x.fakeServers[n].id, addr, state, sequence)
+}
+
+// heartbeatOf sends a heartbeat of another instance in the place of the nth server.
+func (x *callChain) heartbeatOf(n int, id, addr, state string, sequence int64) {
+	x.t.Helper()
+	assert.NilError(x.t, x.far[n].localServer.heartbeat(id, Heartbeat{
 		Address: addr, SystemInfo: SystemInfo{Service: "stock", SlotCount: 256},
 		OperStatus: OperationalStatus{State: state, CallSeq: sequence},
 	}))
