--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,4 +1,4 @@
-// Package testkit has what the tests of several packages share: waiting with a limit, stubs of servers and registries, and
+// Package testkit has what the tests of several packages share: waiting with a limit, seeds on all processors, stubs of servers and registries, and
 // measures of data structures. For tests only. It never decides whether a test passes, except by the limit of its waits.
 package testkit
 
