--- a/internal/zone/model/model_test.go
+++ b/internal/zone/model/model_test.go
@@ -1,6 +1,7 @@
 package model
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -15,27 +16,36 @@
 	}
 	for _, n := range zones {
 		for _, fault := range []Fault{Outage, Brownout, PartialOutage, GradualReturn} {
-			config := DefaultConfig(n, fault, uint64(n))
-			adaptive := Run(config, func(home int) Policy { return NewAdaptivePolicy(home, n, 1) })
-			counted := Run(config, func(home int) Policy { return NewHealthyHostsPolicy(home, 1) })
-			logResult(t, n, fault, "adaptive", adaptive)
-			logResult(t, n, fault, "by count", counted)
-			if adaptive.InTarget < counted.InTarget-0.01 {
-				t.Errorf("%d zones, %v: %.4f in target, by count %.4f", n, fault, adaptive.InTarget, counted.InTarget)
-			}
-			if fault == Brownout && adaptive.InTarget < counted.InTarget+0.01 {
-				t.Errorf("%d zones, %v: %.4f in target is no better than %.4f by count", n, fault, adaptive.InTarget, counted.InTarget)
-			}
-			if adaptive.NeighborInTarget < 0.97 {
-				t.Errorf("%d zones, %v: only %.4f of the other zones' own requests are in target", n, fault, adaptive.NeighborInTarget)
-			}
-			if adaptive.Oscillations > 6 {
-				t.Errorf("%d zones, %v: the share at home turned %d times", n, fault, adaptive.Oscillations)
-			}
+			t.Run(fmt.Sprintf("%d zones, %v", n, fault), func(t *testing.T) {
+				t.Parallel()
+				comparePolicies(t, n, fault)
+			})
 		}
 	}
 }
 
+// comparePolicies runs both policies with one fault.
+func comparePolicies(t *testing.T, zones int, fault Fault) {
+	t.Helper()
+	config := DefaultConfig(zones, fault, uint64(zones))
+	adaptive := Run(config, func(home int) Policy { return NewAdaptivePolicy(home, zones, 1) })
+	counted := Run(config, func(home int) Policy { return NewHealthyHostsPolicy(home, 1) })
+	logResult(t, zones, fault, "adaptive", adaptive)
+	logResult(t, zones, fault, "by count", counted)
+	if adaptive.InTarget < counted.InTarget-0.01 {
+		t.Errorf("%.4f in target, by count %.4f", adaptive.InTarget, counted.InTarget)
+	}
+	if fault == Brownout && adaptive.InTarget < counted.InTarget+0.01 {
+		t.Errorf("%.4f in target is no better than %.4f by count", adaptive.InTarget, counted.InTarget)
+	}
+	if adaptive.NeighborInTarget < 0.97 {
+		t.Errorf("only %.4f of the other zones' own requests are in target", adaptive.NeighborInTarget)
+	}
+	if adaptive.Oscillations > 6 {
+		t.Errorf("the share at home turned %d times", adaptive.Oscillations)
+	}
+}
+
 func logResult(t *testing.T, zones int, fault Fault, policy string, r Result) {
 	t.Helper()
 	t.Logf("%2d zones, %-14v %s: in target %.4f served %.4f p99 %4v crossed %.3f oscillations %d others in target %.4f", zones, fault, policy,
