--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -38,8 +38,32 @@
 // and a caller has to repeat a request only if it crossed the close of its idle connection.
 func TestHotRestartsUnderLoad(t *testing.T) {
 	t.Parallel()
+	cfg := withPort(testConfig(unusedAddr, listed("s", onceOnlyServer(t))))
+	cfg.State = t.TempDir()
+	p := startProcess(t, cfg)
+	cfg.Listen = p.Addr().String()
+	cfg.Known.Targets = nil // the successor gets its servers from the predecessor
+	clients := startRestartClients(t, cfg.Listen)
+	const upgrades = 8
+	for range upgrades {
+		before := clients.served.Load()
+		testkit.Eventually(t, "nothing is served", func() bool { return clients.served.Load() > before+50 })
+		next := startProcess(t, cfg)
+		p.stop()
+		p = next
+	}
+	clients.stop()
+	p.stop()
+	if n := clients.crossed.Load(); n > 2*upgrades {
+		t.Errorf("%d requests crossed a close, more than two for each upgrade", n)
+	}
+}
+
+// onceOnlyServer starts a server that answers each request, and fails the test if one runs twice.
+func onceOnlyServer(t *testing.T) (addr string) {
+	t.Helper()
 	var ran sync.Map
-	addr := testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
+	return testkit.Listen(t, func(c net.Conn, r *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -53,71 +77,92 @@
 			io.WriteString(c, ok)
 		}
 	})
-	cfg := withPort(testConfig(unusedAddr, listed("s", addr)))
-	cfg.State = t.TempDir()
-	p := startProcess(t, cfg)
-	cfg.Listen = p.Addr().String()
-	cfg.Known.Targets = nil // the successor gets its servers from the predecessor
-	stop := make(chan struct{})
-	var served, crossed atomic.Int64
-	var clients sync.WaitGroup
+}
+
+// restartClients send requests to a node whose processes replace each other: every second client on a connection that it keeps, the
+// others on a new one for each request.
+type restartClients struct {
+	listen          string
+	served, crossed atomic.Int64
+	stopping        chan struct{}
+	running         sync.WaitGroup
+}
+
+// startRestartClients starts eight clients, which run until stop is called.
+func startRestartClients(t *testing.T, listen string) *restartClients {
+	t.Helper()
+	c := &restartClients{listen: listen, stopping: make(chan struct{})}
 	for client := range 8 {
-		clients.Go(func() {
-			var c net.Conn
-			var r *bufio.Reader
-			for i := 0; ; i++ {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				for {
-					reused := c != nil
-					var err error
-					if !reused {
-						if c, err = net.Dial("tcp", cfg.Listen); err != nil {
-							t.Errorf("connection refused: %v", err)
-							return
-						}
-						r = bufio.NewReader(c)
-					}
-					io.WriteString(c, requestHead("POST /order/1", fmt.Sprintf("%d-%d", client, i), "5000m", "Content-Length: 2")+"hi")
-					resp, err := http.ReadResponse(r, nil)
-					if err != nil && reused {
-						c.Close()
-						c = nil
-						crossed.Add(1)
-						continue // repeat it on a new connection, as callers do
-					}
-					if err != nil || resp.StatusCode != 200 {
-						t.Errorf("%d-%d: %v, %v", client, i, resp, err)
-						return
-					}
-					io.Copy(io.Discard, resp.Body)
-					served.Add(1)
-					if resp.Close || client%2 == 0 {
-						c.Close()
-						c = nil
-					}
-					break
-				}
-			}
-		})
+		c.running.Go(func() { c.run(t, client) })
 	}
-	const upgrades = 8
-	for range upgrades {
-		before := served.Load()
-		testkit.Eventually(t, "nothing is served", func() bool { return served.Load() > before+50 })
-		next := startProcess(t, cfg)
-		p.stop()
-		p = next
+	return c
+}
+
+func (c *restartClients) stop() {
+	close(c.stopping)
+	c.running.Wait()
+}
+
+// run is one client. It ends if the test has failed.
+func (c *restartClients) run(t *testing.T, client int) {
+	var conn *restartConn // nil: the next request opens one
+	for i := 0; ; i++ {
+		select {
+		case <-c.stopping:
+			return
+		default:
+		}
+		request := requestHead("POST /order/1", fmt.Sprintf("%d-%d", client, i), "5000m", "Content-Length: 2") + "hi"
+		resp, used, err := c.sendOrRepeat(conn, request)
+		if err != nil || resp.StatusCode != http.StatusOK {
+			t.Errorf("%d-%d: %v, %v", client, i, resp, err)
+			return
+		}
+		c.served.Add(1)
+		if conn = used; resp.Close || client%2 == 0 {
+			conn.Close()
+			conn = nil
+		}
 	}
-	close(stop)
-	clients.Wait()
-	p.stop()
-	if n := crossed.Load(); n > 2*upgrades {
-		t.Errorf("%d requests crossed a close, more than two for each upgrade", n)
+}
+
+// restartConn is a connection of a client, with what was read of it and not yet used.
+type restartConn struct {
+	net.Conn
+	reader *bufio.Reader
+}
+
+// send sends a request and reads the response with its body.
+func (c *restartConn) send(request string) (*http.Response, error) {
+	if _, err := io.WriteString(c, request); err != nil {
+		return nil, err
+	}
+	resp, err := http.ReadResponse(c.reader, nil)
+	if err != nil {
+		return nil, err
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	return resp, err
+}
+
+// sendOrRepeat sends a request on a connection, or on a new one if that is nil or was closed meanwhile, as callers do. It returns the
+// response and the connection that it came on.
+func (c *restartClients) sendOrRepeat(conn *restartConn, request string) (*http.Response, *restartConn, error) {
+	if conn != nil {
+		resp, err := conn.send(request)
+		if err == nil {
+			return resp, conn, nil
+		}
+		conn.Close()
+		c.crossed.Add(1)
+	}
+	opened, err := net.Dial("tcp", c.listen)
+	if err != nil {
+		return nil, nil, err
 	}
+	conn = &restartConn{opened, bufio.NewReader(opened)}
+	resp, err := conn.send(request)
+	return resp, conn, err
 }
 
 // A command to either of two processes takes effect in both before it is confirmed, and outlives the process that executed
