--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -5,6 +5,12 @@
 // A Balancer belongs to one goroutine. Its only clock is the argument now of Handle, and its only randomness is the
 // seed given to New, so the same events always give the same actions. Balancers share no state. A request uses memory
 // until it is answered and its attempts have ended, a server until it has left the list and its attempts have ended.
+//
+// It must never send a request again that may have run and must not run twice (see Effect): only Overloaded, Unreachable
+// and NeverSent prove that an attempt did not run.
+//
+// Sources: the draw of a server is the power of two choices (Mitzenmacher) over two groups with ties to the left one
+// (Vöcking, "How asymmetry helps load balancing"); the retry budget is that of Finagle.
 package balancer
 
 import (
@@ -244,7 +250,7 @@
 		Tenant      string        // see Settings.TenantWeight and Settings.Tenants
 		Candidates  []string      // ids of the servers that it may go to; nil means any
 		// Places are those that it may go to, in order of preference: the next one only if those before have no
-		// eligible server. nil means any; empty: none.
+		// eligible server. nil means any, and empty none.
 		Places []Place
 		From   string // zone of the caller, if known; not used here
 		Size   int64  // bytes of its body; not used here
--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -98,27 +98,20 @@
 		n := func() float64 { return number.Draw(t, "n") }
 		d := func() time.Duration { return span.Draw(t, "d") }
 		c := func() int { return count.Draw(t, "c") }
-		k := &Knowledge{
-			d(), n(), n(), n(), n(), n(), n(), n(), n(), n(), n(), n(),
-			[]ClassKnowledge{{"x", n(), n(), n(), n(), n(), d()}, {"y", n(), n(), n(), n(), n(), d()}},
-			[]ServerKnowledge{{
-				ID:       "a",
-				Boot:     0,
-				Streak:   c(),
-				Level:    c(),
-				Goods:    c(),
-				Until:    d(),
-				Slow:     n(),
-				Samples:  c(),
-				LastOK:   d(),
-				Took:     d(),
-				Room:     c(),
-				Turned:   d(),
-				Full:     d(),
-				Refusals: c(),
-			}, {
-				ID:       "z",
-				Boot:     0,
+		class := func(name string) ClassKnowledge {
+			return ClassKnowledge{
+				Name:       name,
+				Mean:       n(),
+				Dev:        n(),
+				Cost:       n(),
+				Arrive:     n(),
+				Serve:      n(),
+				LongestTry: d(),
+			}
+		}
+		server := func(id string) ServerKnowledge {
+			return ServerKnowledge{
+				ID:       id,
 				Streak:   c(),
 				Level:    c(),
 				Goods:    c(),
@@ -131,7 +124,23 @@
 				Turned:   d(),
 				Full:     d(),
 				Refusals: c(),
-			}},
+			}
+		}
+		k := &Knowledge{
+			At:      d(),
+			Window:  n(),
+			Fill:    n(),
+			Pace:    n(),
+			Bare:    n(),
+			Answers: n(),
+			Fresh:   n(),
+			Spread:  n(),
+			Errors:  n(),
+			Tokens:  n(),
+			Shed:    n(),
+			Vain:    n(),
+			Classes: []ClassKnowledge{class("x"), class("y")},
+			Servers: []ServerKnowledge{server("a"), server("z")},
 		}
 		b, _ := New(set, 1)
 		now := time.Hour
--- a/internal/extproc/stream/decision_test.go
+++ b/internal/extproc/stream/decision_test.go
@@ -28,10 +28,12 @@
 		string(set[1].Header.RawValue) != "1000000u" || set[0].AppendAction != corev3.HeaderValueOption_OVERWRITE_IF_EXISTS_OR_ADD {
 		t.Errorf("mutation %v", common)
 	}
-	if v := m.GetDynamicMetadata().GetFields()[MetadataNamespace].GetStructValue().GetFields()[DestinationHeader].GetStringValue(); v != "127.0.0.1:9,127.0.0.1:8" {
+	metadata := m.GetDynamicMetadata().GetFields()[MetadataNamespace].GetStructValue().GetFields()
+	if v := metadata[DestinationHeader].GetStringValue(); v != "127.0.0.1:9,127.0.0.1:8" {
 		t.Errorf("metadata %v", m.GetDynamicMetadata())
 	}
-	if m.GetModeOverride().GetResponseHeaderMode() != modev3.ProcessingMode_SEND || m.GetModeOverride().GetRequestBodyMode() != modev3.ProcessingMode_NONE {
+	mode := m.GetModeOverride()
+	if mode.GetResponseHeaderMode() != modev3.ProcessingMode_SEND || mode.GetRequestBodyMode() != modev3.ProcessingMode_NONE {
 		t.Errorf("mode %v", m.GetModeOverride())
 	}
 	if _, used := s.Decide(Decision{}); used {
@@ -56,7 +58,8 @@
 		})
 		expectActions(t, "rejection", actions, "ImmediateResponse(503) close")
 		r := actions[0].(Reply).Message.GetImmediateResponse()
-		if r.GetGrpcStatus().GetStatus() != 14 || string(r.Headers.SetHeaders[0].Header.RawValue) != "1.5" || r.Headers.SetHeaders[0].Header.Key != "retry-after" {
+		header := r.Headers.SetHeaders[0].Header
+		if r.GetGrpcStatus().GetStatus() != 14 || string(header.RawValue) != "1.5" || header.Key != "retry-after" {
 			t.Errorf("response %v", r)
 		}
 	})
--- a/internal/front/extproc/bench_test.go
+++ b/internal/front/extproc/bench_test.go
@@ -75,7 +75,9 @@
 }
 
 // measureDecisions has several clients ask for as long as it is told, and returns the rate and the sorted latencies.
-func measureDecisions(b *testing.B, c extproc.ExternalProcessorClient, round string, length time.Duration, clients int) (rate float64, latencies []time.Duration) {
+func measureDecisions(
+	b *testing.B, c extproc.ExternalProcessorClient, round string, length time.Duration, clients int,
+) (rate float64, latencies []time.Duration) {
 	var running sync.WaitGroup
 	var mu sync.Mutex // guards latencies
 	end := time.Now().Add(length)
--- a/internal/front/extproc/environment_test.go
+++ b/internal/front/extproc/environment_test.go
@@ -207,7 +207,9 @@
 
 // setSubset sets the subset hint of the request that follows.
 func (s *proxyStream) setSubset(hint *structpb.Value) {
-	s.metadata = &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{stream.SubsetNamespace: {Fields: map[string]*structpb.Value{stream.SubsetHeader: hint}}}}
+	s.metadata = &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{
+		stream.SubsetNamespace: {Fields: map[string]*structpb.Value{stream.SubsetHeader: hint}},
+	}}
 }
 
 // headerMap makes a header map of names and values in turn.
--- a/internal/h2/client/client.go
+++ b/internal/h2/client/client.go
@@ -184,7 +184,10 @@
 // request registers a stream, and opens it or has it wait for a PING.
 func (c *Conn) request(now time.Duration, s *stream, pingFirst bool) (uint32, []Action) {
 	c.now = max(c.now, now)
-	s.id, s.sendWindow, s.receiveWindow, s.contentLength = c.nextID, c.initialSendWindow, c.cfg.MaxBodyBytes, -1
+	s.id = c.nextID
+	s.sendWindow = c.initialSendWindow
+	s.receiveWindow = c.cfg.MaxBodyBytes
+	s.contentLength = notDeclared
 	for _, f := range s.fields {
 		if f.Name == ":method" {
 			s.method = f.Value
--- a/internal/h2/client/client_test.go
+++ b/internal/h2/client/client_test.go
@@ -17,13 +17,11 @@
 	}{
 		{
 			name:   "completed",
-			body:   nil,
 			events: []Event{response(1, true)},
 			want:   "1 completed",
 		},
 		{
 			name: "completed with a body",
-			body: nil,
 			events: []Event{response(1, false, "content-length", "2"), Data{
 				Stream: 1,
 				Bytes:  []byte("ok"),
@@ -33,7 +31,6 @@
 		},
 		{
 			name: "completed with trailers",
-			body: nil,
 			events: []Event{response(1, false), Data{
 				Stream: 1,
 				Bytes:  []byte("ok"),
@@ -42,31 +39,26 @@
 		},
 		{
 			name:   "after an interim response",
-			body:   nil,
 			events: []Event{Headers{1, []Field{{":status", "103"}}, false}, response(1, true)},
 			want:   "1 completed",
 		},
 		{
 			name:   "REFUSED_STREAM",
-			body:   nil,
 			events: []Event{RSTStream{1, codeRefusedStream}},
 			want:   "1 refused",
 		},
 		{
 			name:   "REFUSED_STREAM after HEADERS",
-			body:   nil,
 			events: []Event{response(1, false), RSTStream{1, codeRefusedStream}},
 			want:   "1 reset",
 		},
 		{
 			name:   "RST_STREAM between HEADERS and DATA",
-			body:   nil,
 			events: []Event{response(1, false, "content-length", "5"), RSTStream{1, 2}},
 			want:   "1 reset",
 		},
 		{
 			name:   "RST_STREAM",
-			body:   nil,
 			events: []Event{RSTStream{1, 2}},
 			want:   "1 reset",
 		},
@@ -78,61 +70,51 @@
 		},
 		{
 			name:   "above the last stream of GOAWAY",
-			body:   nil,
 			events: []Event{GoAway{0, 0}},
 			want:   "1 above GOAWAY",
 		},
 		{
 			name:   "not above the last stream of GOAWAY",
-			body:   nil,
 			events: []Event{GoAway{1, 0}, response(1, true)},
 			want:   "1 completed",
 		},
 		{
 			name:   "no :status",
-			body:   nil,
 			events: []Event{Headers{1, []Field{{"a", "b"}}, true}},
 			want:   "1 reset",
 		},
 		{
 			name:   "two :status fields",
-			body:   nil,
 			events: []Event{Headers{1, []Field{{":status", "200"}, {":status", "200"}}, true}},
 			want:   "1 reset",
 		},
 		{
 			name:   ":status after another field",
-			body:   nil,
 			events: []Event{Headers{1, []Field{{"a", "b"}, {":status", "200"}}, true}},
 			want:   "1 reset",
 		},
 		{
 			name:   "field name in upper case",
-			body:   nil,
 			events: []Event{response(1, true, "Content-Type", "x")},
 			want:   "1 reset",
 		},
 		{
 			name:   "connection-specific field",
-			body:   nil,
 			events: []Event{response(1, true, "transfer-encoding", "chunked")},
 			want:   "1 reset",
 		},
 		{
 			name:   "101",
-			body:   nil,
 			events: []Event{Headers{1, []Field{{":status", "101"}}, false}},
 			want:   "1 reset",
 		},
 		{
 			name:   "interim response with END_STREAM",
-			body:   nil,
 			events: []Event{Headers{1, []Field{{":status", "100"}}, true}},
 			want:   "1 reset",
 		},
 		{
 			name: "body shorter than its length",
-			body: nil,
 			events: []Event{response(1, false, "content-length", "3"), Data{
 				Stream: 1,
 				Bytes:  []byte("ok"),
@@ -142,7 +124,6 @@
 		},
 		{
 			name: "body longer than its length",
-			body: nil,
 			events: []Event{response(1, false, "content-length", "1"), Data{
 				Stream: 1,
 				Bytes:  []byte("ok"),
@@ -152,61 +133,51 @@
 		},
 		{
 			name:   "two content-lengths",
-			body:   nil,
 			events: []Event{response(1, false, "content-length", "1", "content-length", "2")},
 			want:   "1 reset",
 		},
 		{
 			name:   "malformed content-length",
-			body:   nil,
 			events: []Event{response(1, false, "content-length", "+1")},
 			want:   "1 reset",
 		},
 		{
 			name:   "content-length over MaxBodyBytes",
-			body:   nil,
 			events: []Event{response(1, false, "content-length", "70000")},
 			want:   "1 reset",
 		},
 		{
 			name:   "DATA before HEADERS",
-			body:   nil,
 			events: []Event{Data{Stream: 1, Bytes: []byte("x")}},
 			want:   "1 reset",
 		},
 		{
 			name:   "trailers without END_STREAM",
-			body:   nil,
 			events: []Event{response(1, false), Headers{1, []Field{{"a", "b"}}, false}},
 			want:   "1 reset",
 		},
 		{
 			name:   "trailers with :status",
-			body:   nil,
 			events: []Event{response(1, false), Headers{1, []Field{{":status", "200"}}, true}},
 			want:   "1 reset",
 		},
 		{
 			name:   "DATA over the stream's window",
-			body:   nil,
 			events: []Event{response(1, false), Data{Stream: 1, Bytes: make([]byte, 65537)}},
 			want:   "1 reset",
 		},
 		{
 			name:   "WINDOW_UPDATE over the largest window",
-			body:   nil,
 			events: []Event{WindowUpdate{1, maxWindow}},
 			want:   "1 reset",
 		},
 		{
 			name:   "WINDOW_UPDATE of 0",
-			body:   nil,
 			events: []Event{WindowUpdate{1, 0}},
 			want:   "1 reset",
 		},
 		{
 			name:   "malformed according to the framer",
-			body:   nil,
 			events: []Event{Malformed{1, codeProtocol}},
 			want:   "1 reset",
 		},
--- a/internal/h2/client/stream.go
+++ b/internal/h2/client/stream.go
@@ -5,6 +5,9 @@
 	"time"
 )
 
+// notDeclared is the content length of a response without one.
+const notDeclared = -1
+
 // stream is one request and its response.
 type stream struct {
 	id               uint32
@@ -15,7 +18,7 @@
 	sendWindow       int64  // bytes that may be sent; may be below zero (RFC 9113, section 6.9.2)
 	receiveWindow    int    // bytes that the server may still send
 	finalHeaders     bool   // the final response's HEADERS came
-	contentLength    int    // declared; -1 means not declared
+	contentLength    int    // declared, or notDeclared
 	emptyFrames      int
 	interimResponses int
 	response         Response
--- a/internal/sender/http1/http1_test.go
+++ b/internal/sender/http1/http1_test.go
@@ -142,7 +142,8 @@
 			kept:   false,
 		},
 		"long in chunks": {
-			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + strings.Repeat("4000;x=y\r\n"+strings.Repeat("x", 0x4000)+"\r\n", 20) + "0\r\nT: v\r\n\r\n",
+			answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
+				strings.Repeat("4000;x=y\r\n"+strings.Repeat("x", 0x4000)+"\r\n", 20) + "0\r\nT: v\r\n\r\n",
 			ending: balancer.Success,
 			kept:   true,
 		},
--- a/internal/sender/http1/read.go
+++ b/internal/sender/http1/read.go
@@ -19,7 +19,7 @@
 	// maxBody is the limit on a body that is buffered, so that another attempt can follow if it turns out incomplete. A
 	// longer one is forwarded as it comes.
 	maxBody = message.MaxBody
-	// maxAnswer is the limit on a body that is forwarded, in bytes.
+	// maxResponseBody is the limit on a body that is forwarded, in bytes.
 	maxResponseBody = 64 << 20
 	maxHeaderBytes  = 32 << 10 // header section with those of interim responses before it
 	// maxDiscardedBody is the limit on a body that is read only so that its connection can be reused.
--- a/internal/xds/resource/assignment.go
+++ b/internal/xds/resource/assignment.go
@@ -193,7 +193,10 @@
 			return fmt.Errorf("locality %q: %w", zone, err)
 		}
 		endpoint := parsed.Endpoint // a copy, since assignments share what was parsed
-		endpoint.Locality, endpoint.Zone, endpoint.Priority, endpoint.LocalityWeight = locality, zone, priority, weight
+		endpoint.Locality = locality
+		endpoint.Zone = zone
+		endpoint.Priority = priority
+		endpoint.LocalityWeight = weight
 		if err := p.add(&endpoint); err != nil {
 			return err
 		}
--- a/internal/xds/resource/assignment_test.go
+++ b/internal/xds/resource/assignment_test.go
@@ -27,7 +27,9 @@
 		&endpointv3.LocalityLbEndpoints{
 			Locality:            &corev3.Locality{Region: "r", Zone: "z", SubZone: "q"},
 			LoadBalancingWeight: wrapperspb.UInt32(3),
-			LbEndpoints:         []*endpointv3.LbEndpoint{withMetadata(lbEndpoint("10.0.0.1:1", statusHealthy), map[string]any{"boot_ms": "1700000000000"})},
+			LbEndpoints: []*endpointv3.LbEndpoint{
+				withMetadata(lbEndpoint("10.0.0.1:1", statusHealthy), map[string]any{"boot_ms": "1700000000000"}),
+			},
 		})
 	message.Policy = &endpointv3.ClusterLoadAssignment_Policy{
 		OverprovisioningFactor: wrapperspb.UInt32(200),
@@ -62,7 +64,8 @@
 	if a.OverprovisioningFactor != 2 || a.dropShare() != 0.75 {
 		t.Errorf("overprovisioning factor %v, drops %v", a.OverprovisioningFactor, a.dropShare())
 	}
-	if want := []string{"endpoint.hostname", "endpoints.load_balancing_weight", "policy.endpoint_stale_after"}; !slices.Equal(a.IgnoredFields, want) {
+	want := []string{"endpoint.hostname", "endpoints.load_balancing_weight", "policy.endpoint_stale_after"}
+	if !slices.Equal(a.IgnoredFields, want) {
 		t.Errorf("ignored %v", a.IgnoredFields)
 	}
 }
@@ -134,7 +137,8 @@
 		localityEndpoints("a", 0, healthy("127.0.0.1:1"), healthy("127.0.0.1:2")), localityEndpoints("b", 1, healthy("127.0.0.1:3")))
 	// The first endpoint has the same bytes in another locality; one has changed, one is gone, one is new.
 	after := loadAssignment("c",
-		localityEndpoints("b", 0, healthy("127.0.0.1:1"), lbEndpoint("127.0.0.1:2", statusDraining)), localityEndpoints("d", 1, healthy("127.0.0.1:4")))
+		localityEndpoints("b", 0, healthy("127.0.0.1:1"), lbEndpoint("127.0.0.1:2", statusDraining)),
+		localityEndpoints("d", 1, healthy("127.0.0.1:4")))
 	_, previous, err := ParseAssignment(marshal(t, before), nil)
 	if err != nil {
 		t.Fatal(err)
