--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -2,10 +2,10 @@
 // HTTP/2 (RFC 9113). It checks requests, submits them to the engine of the pool that the routes name, and writes the one
 // answer. It must never decide anything but whether a request is valid and whether there is capacity to accept it.
 //
-// Files: front.go has the listener's life cycle, h2.go the limits of HTTP/2, protocol.go what the platform's and the mesh's
-// protocols add, platform.go the platform's, request.go the course of a request, call.go its side towards the engine,
-// body.go long bodies, connections.go the listener and its limit, connection.go one downstream connection, pipeline.go pipelined requests, head.go what net/http drops of a
-// header section.
+// Files: front.go has the listener's life cycle, h2.go the limits of HTTP/2, protocol.go what the platform's and the
+// mesh's protocols add, platform.go the platform's, request.go the course of a request, call.go its side towards the
+// engine, body.go long bodies, connections.go the listener and its limit, connection.go one downstream connection,
+// pipeline.go pipelined requests, head.go what net/http drops of a header section.
 package http1
 
 import (
@@ -106,8 +106,8 @@
 // SetIdleTimeout sets the time-out of idle connections. It may be called while the front serves.
 func (f *Front) SetIdleTimeout(d time.Duration) { f.conns.idleTimeout.Store(int64(d)) }
 
-// SetHeaderTimeout sets the time-out of a request's header section, from its first byte; 0 means that of New, which is the upper limit
-// without OverrideLibraryTimeouts. It may be called while the front serves.
+// SetHeaderTimeout sets the time-out of a request's header section, from its first byte; 0 means that of New, which is
+// the upper limit without OverrideLibraryTimeouts. It may be called while the front serves.
 func (f *Front) SetHeaderTimeout(d time.Duration) {
 	if d == 0 && f.conns.ownTimes {
 		d = headTimeout
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -113,8 +113,8 @@
 	return out, nil
 }
 
-// SetCommonFields fills in the fields of a call that every protocol reads from the same header fields: id, class, tenant and zone;
-// and its deadline, if the caller waits for left from now on.
+// SetCommonFields fills in the fields of a call that every protocol reads from the same header fields: id, class,
+// tenant and zone; and its deadline, if the caller waits for left from now on.
 func SetCommonFields(c *engine.Call, h http.Header, class string, now, left time.Duration) {
 	c.ID = h.Get("X-Correlation-Id")
 	c.Class = class
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -148,8 +148,8 @@
 		http.Error(w, err.Text, err.Status)
 		return
 	}
-	// The next request can't be distinguished from the rest of this one, so the connection is closed. It is read for a while first:
-	// the caller may write all of the body before it reads the answer.
+	// The next request can't be distinguished from the rest of this one, so the connection is closed. It is read for a
+	// while first: the caller may write all of the body before it reads the answer.
 	from.markUseless()
 	// Errors of these calls mean that the caller has gone.
 	_ = rc.EnableFullDuplex()
--- a/internal/grpc/response.go
+++ b/internal/grpc/response.go
@@ -23,7 +23,8 @@
 	Fields []message.Field // the status fields and the trailing metadata; nil means the response has no valid status
 }
 
-// IsGRPCResponse reports whether a response with this HTTP status and header section is gRPC, so that its messages can be passed on.
+// IsGRPCResponse reports whether a response with this HTTP status and header section is gRPC, so that its messages can
+// be passed on.
 func IsGRPCResponse(status int, header []message.Field) bool {
 	for _, field := range header {
 		if field.Name == "content-type" {
@@ -83,8 +84,8 @@
 	return s
 }
 
-// isServerFailure reports whether a status shows that the server was not able to serve, rather than the result of the method. Codes
-// that gRPC does not define count as such.
+// isServerFailure reports whether a status shows that the server was not able to serve, rather than the result of the
+// method. Codes that gRPC does not define count as such.
 func (c Code) isServerFailure() bool {
 	switch c {
 	case Unknown, DeadlineExceeded, ResourceExhausted, Internal, Unavailable, DataLoss:
--- a/internal/grpc/scanner.go
+++ b/internal/grpc/scanner.go
@@ -8,8 +8,8 @@
 // MessagePrefixBytes is the length of what precedes each message: the compressed flag and the length of the message.
 const MessagePrefixBytes = 5
 
-// CountMessages returns the number of length-prefixed messages that a body consists of. It fails if the last one is incomplete, or
-// if a compressed flag is neither 0 nor 1.
+// CountMessages returns the number of length-prefixed messages that a body consists of. It fails if the last one is
+// incomplete, or if a compressed flag is neither 0 nor 1.
 func CountMessages(body []byte) (n int, err error) {
 	var s Scanner
 	if err := s.Scan(body); err != nil {
--- a/internal/grpc/status.go
+++ b/internal/grpc/status.go
@@ -16,8 +16,8 @@
 	"cranegrade/internal/message"
 )
 
-// StatusFields returns the status fields of a response that the proxy makes itself. retryAfter over 0 adds google.rpc.RetryInfo to
-// the details of the status.
+// StatusFields returns the status fields of a response that the proxy makes itself. retryAfter over 0 adds
+// google.rpc.RetryInfo to the details of the status.
 func StatusFields(code Code, text string, retryAfter time.Duration) []message.Field {
 	fields := []message.Field{
 		{Name: "grpc-status", Value: strconv.Itoa(int(code))},
--- a/internal/h2/client/flow_test.go
+++ b/internal/h2/client/flow_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever SETTINGS and WINDOW_UPDATE come: no more is sent than they allow, every byte of a body is sent once and in order, each
-// stream ends once, and no state of it remains.
+// Whatever SETTINGS and WINDOW_UPDATE come: no more is sent than they allow, every byte of a body is sent once and in
+// order, each stream ends once, and no state of it remains.
 func TestFlowControlProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		conn := newTestConn(t,
--- a/internal/h2/client/receive.go
+++ b/internal/h2/client/receive.go
@@ -120,8 +120,8 @@
 	return true
 }
 
-// splitStatus separates :status from the header fields. It returns false if the response is malformed (RFC 9113, sections 8.1.1, 8.2
-// and 8.3.2).
+// splitStatus separates :status from the header fields. It returns false if the response is malformed (RFC 9113,
+// sections 8.1.1, 8.2 and 8.3.2).
 func splitStatus(section []Field) (status int, fields []Field, ok bool) {
 	for i, f := range section {
 		if f.Name == "" {
@@ -148,8 +148,8 @@
 	return status, section[1:], true
 }
 
-// isValidName reports whether a field may have this name: in lower case and printable (RFC 9113, section 8.2.1), and not specific to
-// a connection (section 8.2.2).
+// isValidName reports whether a field may have this name: in lower case and printable (RFC 9113, section 8.2.1), and
+// not specific to a connection (section 8.2.2).
 func isValidName(name string) bool {
 	for i := range len(name) {
 		if b := name[i]; b <= ' ' || b >= 0x7f || 'A' <= b && b <= 'Z' {
--- a/internal/sender/h2/request.go
+++ b/internal/sender/h2/request.go
@@ -93,8 +93,9 @@
 	return int64(len(m.Body)), len(m.Body) > 0 || m.Method == http.MethodPost
 }
 
-// mayHaveEffects reports whether a request may change something at the server, so that it must not be written to a connection that
-// may be dead: its method is not safe (RFC 9110, section 9.2.1), or its gRPC method is not declared idempotent.
+// mayHaveEffects reports whether a request may change something at the server, so that it must not be written to a
+// connection that may be dead: its method is not safe (RFC 9110, section 9.2.1), or its gRPC method is not declared
+// idempotent.
 func mayHaveEffects(m *message.Request) bool {
 	if m.GRPC != nil {
 		return !m.GRPC.Idempotent
--- a/internal/sender/http1/protocol.go
+++ b/internal/sender/http1/protocol.go
@@ -25,7 +25,8 @@
 type Match uint8
 
 // Values of Match. MatchUnnamed is a response that names no request. It counts as that of the pending request, but its
-// connection carries no more requests that are not idempotent: a duplicate of it could not be distinguished from the next response.
+// connection carries no more requests that are not idempotent: a duplicate of it could not be distinguished from the
+// next response.
 const (
 	MatchOther Match = iota
 	MatchUnnamed
--- a/internal/sender/http1/trust.go
+++ b/internal/sender/http1/trust.go
@@ -90,8 +90,8 @@
 	return t.fresh.rate() > atMostOnceRisk || t.reused.rate() > atMostOnceRisk
 }
 
-// mustRunAtMostOnce reports whether a request must not run twice: its method is not idempotent (RFC 9110, section 9.2.2) and it has
-// no Idempotency-Key by which servers recognise a retry.
+// mustRunAtMostOnce reports whether a request must not run twice: its method is not idempotent (RFC 9110, section
+// 9.2.2) and it has no Idempotency-Key by which servers recognise a retry.
 func mustRunAtMostOnce(m *message.Request) bool {
 	if m.Idempotency != message.IdempotencyByMethod {
 		return m.Idempotency == message.NotIdempotent
--- a/internal/sender/http1/trust_test.go
+++ b/internal/sender/http1/trust_test.go
@@ -16,7 +16,8 @@
 	"cranegrade/internal/testkit"
 )
 
-// Reused connections that break more often than new ones lose the trust of requests that must run at most once first, and regain it.
+// Reused connections that break more often than new ones lose the trust of requests that must run at most once first,
+// and regain it.
 func TestReuseTrust(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
