--- a/internal/fleet/emulated_test.go
+++ b/internal/fleet/emulated_test.go
@@ -215,6 +215,7 @@
 func TestReportsReduceFailedAttempts(t *testing.T) {
 	for _, size := range [][2]int{{5, 20}, {50, 60}, {100, 100}} {
 		t.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(t *testing.T) {
+			t.Parallel()
 			const seeds = 3
 			e := emulation{nodes: size[0], servers: size[1]}
 			without := meanResult(t, e, seeds)
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -185,6 +185,7 @@
 	for _, size := range [][2]int{{3, 20}, {10, 40}, {50, 60}, {50, 300}, {300, 300}, {1000, 300}} {
 		members, servers := size[0], size[1]
 		t.Run(fmt.Sprintf("%dx%d", members, servers), func(t *testing.T) {
+			t.Parallel()
 			for i, m := range methods {
 				e := evaluate(m.choose, members, servers)
 				t.Logf("%-48s %v", m.name, e)
