--- a/internal/front/http1/connection.go
+++ b/internal/front/http1/connection.go
@@ -140,7 +140,7 @@
 func (c *connection) SetReadDeadline(t time.Time) error {
 	err := c.Conn.SetReadDeadline(t)
 	if c.pipeline != nil {
-		c.pipeline.dropDeadlineError(t)
+		c.pipeline.setDeadline(t)
 	}
 	return err
 }
--- a/internal/front/http1/pipeline.go
+++ b/internal/front/http1/pipeline.go
@@ -28,11 +28,12 @@
 type pipeline struct {
 	mu       sync.Mutex // guards below
 	cond     *sync.Cond
-	buf      []byte // received, and not read by net/http yet
-	err      error  // of the last read; returned once
-	filling  bool   // a goroutine is reading
-	unparsed []byte // bytes of requests that are not started, whether net/http has read them or not
-	stopped  bool   // no more requests are started early
+	buf      []byte    // received, and not read by net/http yet
+	err      error     // of the last read; returned once
+	deadline time.Time // of reads; zero: none
+	filling  bool      // a goroutine is reading
+	unparsed []byte    // bytes of requests that are not started, whether net/http has read them or not
+	stopped  bool      // no more requests are started early
 	started  []*earlyRequest
 	// pending is over 0 while there are unanswered requests, or bytes of one: the sum of both. It is read without the lock.
 	pending atomic.Int64
@@ -105,7 +106,7 @@
 			}
 		}
 	}
-	if err != nil {
+	if err != nil && !pl.isOutdated(err) {
 		pl.err = err
 	}
 	pl.updatePending()
@@ -121,15 +122,22 @@
 // stopEarlyStarts ends the parsing of requests behind the current one. The caller holds the lock.
 func (pl *pipeline) stopEarlyStarts() { pl.stopped, pl.unparsed = true, nil }
 
-// dropDeadlineError drops the error of a read deadline that has been extended since.
-func (pl *pipeline) dropDeadlineError(deadline time.Time) {
+// setDeadline notes the read deadline that applies from now on, and drops the error of an earlier one.
+func (pl *pipeline) setDeadline(deadline time.Time) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	if (deadline.IsZero() || time.Until(deadline) > 0) && errors.Is(pl.err, os.ErrDeadlineExceeded) {
+	pl.deadline = deadline
+	if pl.isOutdated(pl.err) {
 		pl.err = nil
 	}
 }
 
+// isOutdated reports whether an error is that of a read deadline which has been removed or extended since. A read may return that
+// error after the change. The caller holds the lock.
+func (pl *pipeline) isOutdated(err error) bool {
+	return errors.Is(err, os.ErrDeadlineExceeded) && (pl.deadline.IsZero() || time.Until(pl.deadline) > 0)
+}
+
 // take notes that net/http has read a request, and returns the one that was started early, if any.
 func (pl *pipeline) take(hr *http.Request, id string) *earlyRequest {
 	pl.mu.Lock()
