--- a/internal/mesh/controlplane/initial_orders.go
+++ b/internal/mesh/controlplane/initial_orders.go
@@ -12,19 +12,23 @@
 	"cranegrade/internal/mesh/replica"
 )
 
-// initialOrders is a file of contracts and orders, which the leader places once there is a configuration.
+// initialOrders is the content of a file of contracts and orders, which the leader places once there is a configuration.
 type initialOrders struct {
 	Contracts json.RawMessage `json:"Contracts"` // the body of a call of PathModify
 	Orders    []initialOrder  `json:"Orders"`
+}
 
-	configuredAt time.Duration // when this leader first saw a configuration, or 0 if it has not
-	placed       int           // how many of Orders were placed
+// initialOrdersProgress is how far this member has placed initialOrders. It is kept when the member steps down, so one that leads again
+// goes on where it stopped.
+type initialOrdersProgress struct {
+	configuredAt time.Duration // when this member, as the leader, first saw a configuration, or 0 if it has not
+	placed       int           // how many of initialOrders.Orders were proposed
 }
 
 // initialOrder is an order and when to place it.
 type initialOrder struct {
 	maintenance.Order
-	DelaySeconds float64 `json:"AfterS"` // from configuredAt
+	DelaySeconds float64 `json:"AfterS"` // from initialOrdersProgress.configuredAt
 }
 
 // delay returns the time from configuredAt after which the order is placed.
@@ -54,29 +58,27 @@
 // placeInitialOrders places the contracts, and then the orders one at a time. A later leader may do so again, since placing an order
 // with the same ID twice has no effect.
 func (c *maintenanceController) placeInitialOrders(now time.Duration) {
-	initial := c.initial
+	initial, progress := c.initial, &c.initialProgress
 	if initial == nil || c.replica.State().Items.Len() == 0 {
 		return
 	}
-	if initial.configuredAt == 0 {
-		initial.configuredAt = now
-		items, _ := config.ParseItems(initial.Contracts) // readInitialOrders has checked it
-		change := replica.EncodeChange(replica.ChangeItems, config.ItemsToWire(items))
-		c.replica.Propose(c.clock.now(), change, func(replica.ProposalResult) {})
+	if progress.configuredAt == 0 {
+		progress.configuredAt = now
+		c.placeInitialContracts()
 		return
 	}
-	if initial.placed >= len(initial.Orders) || c.survey.running {
+	if progress.placed >= len(initial.Orders) || c.survey.running {
 		return
 	}
-	next := initial.Orders[initial.placed]
-	if now-initial.configuredAt < next.delay() {
+	next := initial.Orders[progress.placed]
+	if now-progress.configuredAt < next.delay() {
 		return
 	}
 	if c.survey.status == nil { // the machines' names are not known yet
 		c.survey.start(func() {})
 		return
 	}
-	initial.placed++
+	progress.placed++
 	order := next.Order
 	order.Machines = c.addressesOf(order.Machines)
 	c.propose(replica.MaintenanceOrder, order, func(err error) {
@@ -87,3 +89,12 @@
 		c.log.Info().Str("order_id", order.ID).Msg("initial order placed")
 	})
 }
+
+// placeInitialContracts proposes the contracts, once. If the replica takes no proposal, as with too many in flight, or if the proposal is
+// lost with the leadership, this member neither logs that nor proposes them again: the orders are then placed without them, and the
+// contracts are missing until another member that was started with the file leads, or an operator applies them.
+func (c *maintenanceController) placeInitialContracts() {
+	items, _ := config.ParseItems(c.initial.Contracts) // readInitialOrders has checked it
+	change := replica.EncodeChange(replica.ChangeItems, config.ItemsToWire(items))
+	c.replica.Propose(c.clock.now(), change, func(replica.ProposalResult) {})
+}
--- a/internal/mesh/controlplane/maintenance.go
+++ b/internal/mesh/controlplane/maintenance.go
@@ -39,6 +39,8 @@
 	self     string         // this member's address
 	initial  *initialOrders // or nil
 
+	initialProgress initialOrdersProgress
+
 	contracts      []maintenance.Contract // as of the entry contractsIndex
 	contractsIndex uint64
 	timeAgreedAt   time.Duration            // when this leader last proposed a time of day, or 0 if it never has
--- a/internal/mesh/controlplane/maintenance_test.go
+++ b/internal/mesh/controlplane/maintenance_test.go
@@ -143,7 +143,7 @@
 	}
 	controller.survey.running = false
 	assert.Equal(t, len(place()), 0) // there is no configuration
-	assert.Equal(t, initial.configuredAt, time.Duration(0))
+	assert.Equal(t, controller.initialProgress.configuredAt, time.Duration(0))
 	leader.modify(t, `{"Upsert":{"UpstreamGroups":[{"Name":"stock","ConfigVersion":1}]}}`)
 	assert.Equal(t, len(place()), 0) // contracts go first
 	assert.DeepEqual(t, place(), []string{"now"})
