--- a/internal/mesh/controlplane/sidecars.go
+++ b/internal/mesh/controlplane/sidecars.go
@@ -2,7 +2,9 @@
 
 import "cranegrade/internal/mesh/transport"
 
-// sidecarSet holds the connections of sidecars and of observers. It belongs to the loop's goroutine.
+// sidecarSet holds the connections of sidecars and of observers, which are all that are not of other members. An observer is a client that
+// only asks and announces no address: meshctl, or the survey of the leader (statusConnections). It is sent what sidecars are sent, and
+// may ignore it. The set belongs to the loop's goroutine.
 type sidecarSet struct {
 	connections map[*transport.Conn]bool
 }
