--- a/internal/mesh/controlplane/observation.go
+++ b/internal/mesh/controlplane/observation.go
@@ -94,7 +94,7 @@
 			open = append(open, fmt.Sprintf("%d %s", work.Open, work.Kind))
 		}
 		ended = appendCount(ended, work.Answered, work.Kind, "answered")
-		ended = appendCount(ended, work.Rejected, work.Kind, "turned away")
+		ended = appendCount(ended, work.Rejected, work.Kind, "rejected")
 		ended = appendCount(ended, work.Broken, work.Kind, "broken off")
 	}
 	if len(open) == 0 {
