--- a/internal/mesh/sidecar/inbound_conn.go
+++ b/internal/mesh/sidecar/inbound_conn.go
@@ -9,7 +9,6 @@
 	"cranegrade/internal/mesh/transport"
 	"cranegrade/internal/mesh/transport/codec"
 	"cranegrade/internal/mesh/transport/wire"
-	"cranegrade/internal/message"
 )
 
 // errStreamIDInUse is why a connection is closed on which a stream ID is used twice: responses could be taken for
@@ -104,9 +103,9 @@
 	}
 	switch {
 	case chunk.Aborted:
-		r.body.Finish(nil) // without a trailer the body counts as truncated
+		r.body.FinishTruncated()
 	case chunk.Last:
-		r.body.Finish([]message.Field{})
+		r.body.FinishComplete()
 	}
 }
 
@@ -117,7 +116,7 @@
 		r.cancel(engine.ErrWithdrawn)
 	}
 	if r.body != nil {
-		r.body.Finish(nil)
+		r.body.FinishTruncated()
 	}
 	r.sendWindow.close()
 }
--- a/internal/mesh/sidecar/inbound_request.go
+++ b/internal/mesh/sidecar/inbound_request.go
@@ -264,7 +264,7 @@
 	for {
 		chunk, err := stream.Next(unbounded)
 		if err != nil || chunk == nil {
-			r.finishStream(err != nil || stream.Trailer() == nil)
+			r.finishStream(err != nil || !stream.IsComplete())
 			return
 		}
 		if !r.sendWindow.acquire(unbounded, len(chunk)) { // the connection's end closes the window
--- a/internal/mesh/sidecar/upstream_attempt.go
+++ b/internal/mesh/sidecar/upstream_attempt.go
@@ -31,8 +31,8 @@
 	reply          *message.Reply
 }
 
-// finish ends the attempt. Only the first call counts. A streamed response ends with a trailer, if an empty one, or
-// without it if it was truncated.
+// finish ends the attempt. Only the first call counts. A streamed response is complete if the ending is a success, and
+// otherwise truncated.
 func (a *upstreamAttempt) finish(ending balancer.Ending, reply *message.Reply) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -42,9 +42,9 @@
 	a.finished = true
 	if a.responseStream != nil {
 		if ending == balancer.Success {
-			a.responseStream.Finish([]message.Field{})
+			a.responseStream.FinishComplete()
 		} else {
-			a.responseStream.Finish(nil)
+			a.responseStream.FinishTruncated()
 		}
 	}
 	a.ending = ending
@@ -123,15 +123,16 @@
 
 // newStream returns the stream of a response. While the stream is read, it sends window updates to the peer.
 func (a *upstreamAttempt) newStream(head *wire.ResponseT) *message.Stream {
-	taken := 0
+	unreportedBytes := 0 // which were read since the last window update
 	fields := messageFields(head.HeaderFields)
 	if a.ruleTrace != "" {
 		fields = append(fields, message.Field{Name: headerRuleTrace, Value: a.ruleTrace})
 	}
 	stream := message.NewStream(fields, func(n int) {
-		if taken += n; taken >= windowUpdateBytes {
-			_ = a.conn.Send(&wire.WindowUpdateT{Id: a.id, Increment: uint32(taken)})
-			taken = 0
+		unreportedBytes += n
+		if unreportedBytes >= windowUpdateBytes {
+			_ = a.conn.Send(&wire.WindowUpdateT{Id: a.id, Increment: uint32(unreportedBytes)})
+			unreportedBytes = 0
 		}
 	})
 	stream.Status = int(head.Status)
@@ -172,6 +173,7 @@
 		}
 		a.finish(engine.EndingOf(ctx), nil)
 	}
+	// The attempt has finished, after which nothing writes keyNotGranted, ending or reply, so they are read without mu.
 	if a.keyNotGranted {
 		routed.keyNotGranted.Store(true)
 		return balancer.NeverSent, nil
@@ -191,7 +193,7 @@
 			_ = a.conn.Send(&wire.BodyChunkT{
 				Id:      a.id,
 				Last:    true,
-				Aborted: err != nil || request.BodyRest.Trailer() == nil,
+				Aborted: err != nil || !request.BodyRest.IsComplete(),
 			})
 			return
 		}
--- a/internal/message/stream.go
+++ b/internal/message/stream.go
@@ -95,6 +95,15 @@
 	}
 }
 
+// FinishComplete ends the stream as complete, with an empty trailer. It has no effect after the stream's end.
+func (s *Stream) FinishComplete() { s.Finish([]Field{}) }
+
+// FinishTruncated ends the stream as cut off. It has no effect after the stream's end.
+func (s *Stream) FinishTruncated() { s.Finish(nil) }
+
+// IsComplete reports whether the stream has ended and was not cut off.
+func (s *Stream) IsComplete() bool { return s.Trailer() != nil }
+
 // Next waits for the next chunk. It returns nil at the end of the stream, and the cause of ctx if that ends first.
 func (s *Stream) Next(ctx context.Context) ([]byte, error) {
 	for {
