--- a/internal/mesh/sidecar/outbound_listener.go
+++ b/internal/mesh/sidecar/outbound_listener.go
@@ -18,7 +18,7 @@
 const (
 	// connectionDrainTime is how long callers are asked to close their connections before the sidecar closes any.
 	connectionDrainTime = 2300 * time.Millisecond
-	// idleDrainDelay is how long of that idle connections are left open.
+	// idleDrainDelay is how long idle connections are left open at the beginning of connectionDrainTime.
 	idleDrainDelay = time.Second
 	// blockedRequestCutoff is how long before the end requests are given up that block the responses to later ones on
 	// their connection.
@@ -100,12 +100,14 @@
 	// pipelined requests.
 	f.HandOverListener()
 	deadline, _ := ctx.Deadline()
-	for gaveUp := false; f.OpenConnections() > 0 && ctx.Err() == nil; <-tick {
+	gaveUp := false
+	for f.OpenConnections() > 0 && ctx.Err() == nil {
 		f.CloseIdleIfDraining() //nolint:contextcheck // its context bounds the wait only
 		if !gaveUp && time.Until(deadline) < blockedRequestCutoff {
 			gaveUp = true
 			f.AbandonBlockedPipelines()
 		}
+		<-tick
 	}
 	_ = f.Shutdown(ctx) // connections that are still open end with the process
 	o.serving.Wait()
