--- a/internal/mesh/sidecar/response_store.go
+++ b/internal/mesh/sidecar/response_store.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// maxStoredBytes bounds the bytes of all stored responses' bodies, and of all inherited ones.
+	// maxStoredBytes bounds the bytes of the bodies of all responses stored here and, separately, of those that other
+	// sidecars handed over before their maintenance (inheritedResponses).
 	maxStoredBytes = 8 << 20
 	// maxStoredResponseBytes is the largest body that is stored. One response must not evict most others.
 	maxStoredResponseBytes = 256 << 10
@@ -25,9 +26,9 @@
 
 	mu           sync.Mutex // guards below
 	records      map[string]*keyRecord
-	claimOrder   []string
+	claimOrder   []string // the keys of records, by their first claims
 	storedBytes  int
-	oldestStored int // index in claimOrder of the oldest response that is still there
+	oldestStored int // index in claimOrder of the first key whose response has not been evicted
 }
 
 func newResponseStore() *responseStore {
@@ -35,7 +36,8 @@
 }
 
 // begin records that a key is about to be claimed, by the attempt of a call that token identifies. isFirst is false if
-// it was claimed before; earlier is the record of that claim.
+// it was claimed before; earlier is the record of that claim. A key whose request never ran is claimed anew, and keeps its
+// place in claimOrder.
 func (s *responseStore) begin(key, token string, attempt uint32, window time.Duration) (earlier keyRecord, isFirst bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,6 +59,10 @@
 }
 
 // expire removes the records that are older than age, up to the first that is not. The caller holds mu.
+//
+// claimOrder is by first claims, so a key that was claimed anew may stand before older ones. No record is removed too
+// early for that, but those behind it are kept until it expires as well: a request with one of their keys is not run
+// again meanwhile, although the key's window is over. Each new claim prolongs that.
 func (s *responseStore) expire(now time.Time, age time.Duration) {
 	for len(s.claimOrder) > 0 {
 		r := s.records[s.claimOrder[0]]
@@ -98,7 +104,8 @@
 }
 
 // update records the state of a key's request, and evicts responses while they exceed maxStoredBytes. The caller
-// holds mu.
+// holds mu. A response that comes after oldestStored has passed its key, since the request took long or the key was
+// claimed anew, is only removed once it expires: such responses may exceed maxStoredBytes.
 func (s *responseStore) update(r *keyRecord, state keyState, response *wire.ResponseT) {
 	r.state = state
 	if state != keyAnswered || response == nil || len(response.Body) > maxStoredResponseBytes {
@@ -113,11 +120,7 @@
 
 // markNotExecuted records that the request of a key never ran here, so that the key may be claimed again.
 func (s *responseStore) markNotExecuted(key string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if r := s.records[key]; r != nil {
-		r.state = keyNotExecuted
-	}
+	s.setState(key, keyNotExecuted, nil)
 }
 
 // get returns the record of a key, if there is one.
