--- a/internal/engine/arriving_test.go
+++ b/internal/engine/arriving_test.go
@@ -53,7 +53,7 @@
 	streamed, streamedReceiver := newCall(e, "1", "read", limit)
 	e.Submit(streamed)
 	a := testkit.Wait(t, h.started)
-	a.Began(&reply{})
+	a.ResponseStarted(&reply{})
 	testkit.Wait(t, streamedReceiver.began)
 	waiting, waitingReceiver := newCall(e, "2", "read", limit)
 	e.Submit(waiting)
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -24,26 +24,26 @@
 	timer     *time.Timer // cancels after Timeout
 	observer  Observer    // that observed the start; nil means none
 	ended     atomic.Bool
-	transfer  atomic.Pointer[transfer]
+	transfer  atomic.Pointer[transferRecord]
 }
 
-// transfer is what an attempt has sent and received.
-type transfer struct {
+// transferRecord is what an attempt has sent and received, see RecordTransfer.
+type transferRecord struct {
 	bytesSent, bytesReceived int64
 	servedBy                 string // address of the server that answered; "" means the one asked
 }
 
 // host is the owner of an attempt: an engine, or Hooks.
 type host interface {
-	begin(a *Attempt) (balancer.Ending, bool)
-	began(a *Attempt, r Reply)
+	mayWrite(a *Attempt) (balancer.Ending, bool)
+	responseStarted(a *Attempt, r Reply)
 	end(a *Attempt, ending balancer.Ending, r Reply)
 }
 
-// Begin reports whether the attempt may be written now: its call is not finished, and its endpoint is still usable. If
+// MayWrite reports whether the attempt may be written now: its call is not finished, and its endpoint is still usable. If
 // not, it returns the ending to report. A sender must ask after it has a connection, immediately before it writes.
-func (a *Attempt) Begin() (balancer.Ending, bool) {
-	if ending, ok := a.host.begin(a); !ok {
+func (a *Attempt) MayWrite() (balancer.Ending, bool) {
+	if ending, ok := a.host.mayWrite(a); !ok {
 		return ending, false
 	}
 	if !a.Endpoint.Usable() {
@@ -57,12 +57,12 @@
 // bytes. A Carrier also reports the bytes of the response body and, if known, the address of the server that answered. Others
 // leave both empty: the size is then that of the reply that is passed to End.
 func (a *Attempt) RecordTransfer(bytesSent, bytesReceived int64, servedBy string) {
-	a.transfer.Store(&transfer{bytesSent, bytesReceived, servedBy})
+	a.transfer.Store(&transferRecord{bytesSent, bytesReceived, servedBy})
 }
 
-// Began passes on a streamed reply that has begun. It may be called once, before End; the engine releases r if the
+// ResponseStarted passes on a streamed reply that has begun. It may be called once, before End; the engine releases r if the
 // call belongs to another attempt.
-func (a *Attempt) Began(r Reply) { a.host.began(a, r) }
+func (a *Attempt) ResponseStarted(r Reply) { a.host.responseStarted(a, r) }
 
 // End says how the attempt ended; r is the reply of a Success and otherwise nil. Later calls have no effect but the
 // release of r.
@@ -80,20 +80,33 @@
 	}
 }
 
-// send starts an attempt. For each balancer.Send the module is given exactly one balancer.Outcome.
+// send makes an attempt of a balancer.Send and starts it, or ends it at once if it may not start. Either way the module is
+// given exactly one balancer.Outcome.
 func (e *Engine) send(send balancer.Send) {
 	call := e.calls[send.ID]
 	if call == nil {
 		e.logf("send for the unknown request %s", send.ID)
 		return
 	}
-	now := e.cfg.Clock.Now()
-	timeout := attemptTimeout(call, send, now)
 	ctx, cancel := context.WithCancelCause(context.Background())
-	attempt := &Attempt{
+	attempt := e.newAttempt(call, send, cancel)
+	e.addAttempt(call, attempt)
+	if !e.mayStart(attempt) {
+		attempt.ended.Store(true)
+		e.pendingEvents = append(e.pendingEvents, e.recordEnding(attempt, balancer.NeverSent, nil))
+		return
+	}
+	attempt.Spares = e.listedEndpoints(send.Spares)
+	e.start(ctx, attempt)
+}
+
+// newAttempt returns the next attempt of a call, which cancel withdraws. Its Endpoint is nil if the server is not listed.
+func (e *Engine) newAttempt(call *Call, send balancer.Send, cancel context.CancelCauseFunc) *Attempt {
+	now := e.cfg.Clock.Now()
+	return &Attempt{
 		Endpoint:  e.endpoints[send.Server],
 		Payload:   call.Payload,
-		Timeout:   timeout,
+		Timeout:   attemptTimeout(call, send, now),
 		host:      e,
 		call:      call,
 		index:     len(call.attempts),
@@ -101,28 +114,42 @@
 		startedAt: now,
 		cancel:    cancel,
 	}
+}
+
+// addAttempt counts an attempt as one of its call's, which is not pending any more.
+func (e *Engine) addAttempt(call *Call, attempt *Attempt) {
 	call.attempts = append(call.attempts, attempt)
 	call.attemptsInFlight++
 	e.releasePending(call)
+}
+
+// mayStart reports whether an attempt may be passed to a sender: its call is open and has time and attempts left, and its
+// server is listed.
+func (e *Engine) mayStart(attempt *Attempt) bool {
 	overLimit := e.cfg.MaxAttempts > 0 && attempt.index >= e.cfg.MaxAttempts
-	if call.finished.Load() || timeout <= 0 || attempt.Endpoint == nil || overLimit {
-		attempt.ended.Store(true)
-		e.pendingEvents = append(e.pendingEvents, e.recordEnding(attempt, balancer.NeverSent, nil))
-		return
+	return !attempt.call.finished.Load() && attempt.Timeout > 0 && attempt.Endpoint != nil && !overLimit
+}
+
+// listedEndpoints returns the endpoints of those servers that are listed, in the same order.
+func (e *Engine) listedEndpoints(ids []string) (endpoints []*Endpoint) {
+	for _, id := range ids {
+		if endpoint := e.endpoints[id]; endpoint != nil {
+			endpoints = append(endpoints, endpoint)
+		}
 	}
+	return endpoints
+}
+
+// start passes an attempt to the call's own Carrier, or else to the configured sender. ctx ends when the attempt is withdrawn.
+func (e *Engine) start(ctx context.Context, attempt *Attempt) {
 	// A timer and not the context's deadline: it must stop once a streamed reply has begun.
-	if !call.arriving {
-		attempt.expire(timeout)
+	if !attempt.call.arriving {
+		attempt.expire(attempt.Timeout)
 	}
 	if attempt.observer = e.observer; attempt.observer != nil {
-		attempt.observer.Began(attempt.serverID)
-	}
-	for _, id := range send.Spares {
-		if ep := e.endpoints[id]; ep != nil {
-			attempt.Spares = append(attempt.Spares, ep)
-		}
+		attempt.observer.AttemptStarted(attempt.serverID)
 	}
-	if carrier, is := call.Payload.(Carrier); is {
+	if carrier, is := attempt.Payload.(Carrier); is {
 		carrier.Carry(ctx, attempt)
 		return
 	}
@@ -146,13 +173,13 @@
 	a.timer = time.AfterFunc(after, func() { a.cancel(ErrTimedOut) })
 }
 
-// begin implements host: the last check before a request is written.
-func (e *Engine) begin(a *Attempt) (balancer.Ending, bool) {
+// mayWrite implements host: the last check before a request is written.
+func (e *Engine) mayWrite(a *Attempt) (balancer.Ending, bool) {
 	return balancer.NeverSent, !a.call.finished.Load()
 }
 
-// began implements host: it gives the call the first streamed reply, and withdraws any other attempt that has one.
-func (e *Engine) began(attempt *Attempt, reply Reply) {
+// responseStarted implements host: it gives the call the first streamed reply, and withdraws any other attempt that has one.
+func (e *Engine) responseStarted(attempt *Attempt, reply Reply) {
 	e.Do(func() {
 		call := attempt.call
 		if call.finished.Load() || call.streaming != nil || call.attempts[attempt.index] != attempt {
@@ -165,8 +192,8 @@
 			attempt.timer.Stop()
 		}
 		call.fallbackTimer.Stop() // a stream that has begun has no deadline
-		call.Receiver.Began(reply)
-		s, is := reply.(Transferred)
+		call.Receiver.ResponseStarted(reply)
+		s, is := reply.(TransferReporter)
 		e.handle(balancer.Started{ID: call.id, Attempt: attempt.index, Transfer: is && s.Transfer()})
 	})
 }
@@ -185,7 +212,7 @@
 	attempt.cancel(nil)
 	call.attemptsInFlight--
 	if attempt.observer != nil {
-		attempt.observer.Ended(attempt.serverID, ending)
+		attempt.observer.AttemptEnded(attempt.serverID, ending)
 	}
 	outcome := balancer.Outcome{ID: call.id, Attempt: attempt.index, Server: attempt.serverID, Ending: ending}
 	if p, is := call.Payload.(Spendable); is {
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -18,8 +18,8 @@
 // endSignal is a receiver that signals the end of a call.
 type endSignal chan struct{}
 
-func (s endSignal) Began(Reply)  {}
-func (s endSignal) Ended(Answer) { s <- struct{}{} }
+func (s endSignal) ResponseStarted(Reply) {}
+func (s endSignal) Ended(Answer)          { s <- struct{}{} }
 
 // BenchmarkEngine measures calls through one engine, without the work of a sender.
 func BenchmarkEngine(b *testing.B) {
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -26,21 +26,21 @@
 // Sized is a reply that knows the size of its body, in bytes.
 type Sized interface{ Size() int64 }
 
-// Transferred is a streamed reply that says whether its server has finished the work and only transfers the result.
-type Transferred interface{ Transfer() bool }
+// TransferReporter is a streamed reply that says whether its server has finished the work and only transfers the result.
+type TransferReporter interface{ Transfer() bool }
 
 // Answer is the final answer to a call.
 type Answer struct {
 	Verdict    Verdict
 	RetryAfter time.Duration // for the caller, with Rejected; 0 means no advice
-	Reply      Reply         // with Served; the receiver releases it; may be nil after Began
+	Reply      Reply         // with Served; the receiver releases it; may be nil after ResponseStarted
 }
 
 // Receiver is the downstream side of a call. The engine's goroutine calls it, so its methods must not block.
 type Receiver interface {
-	// Began passes on a streamed reply that has begun: from now on the call belongs to that attempt. It is called
+	// ResponseStarted passes on a streamed reply that has begun: from now on the call belongs to that attempt. It is called
 	// at most once, before Ended. The receiver releases the reply.
-	Began(Reply)
+	ResponseStarted(Reply)
 	// Ended passes on the final answer. It is called exactly once, unless Engine.CallerGone comes first.
 	Ended(Answer)
 }
@@ -165,7 +165,7 @@
 	}
 	if e.dropShare > 0 && e.rng.Float64() < e.dropShare {
 		if e.observer != nil {
-			e.observer.Dropped()
+			e.observer.RequestDropped()
 		}
 		reject(call)
 		return
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -7,7 +7,7 @@
 //
 //   - each call gets exactly one final answer, at the latest at Call.FallbackAt;
 //   - no two open calls have the same caller's id;
-//   - nothing is written for a finished call, or to an endpoint that is not usable (Attempt.Begin);
+//   - nothing is written for a finished call, or to an endpoint that is not usable (Attempt.MayWrite);
 //   - each attempt ends once.
 //
 // It must never decide what the module decides, and never read a payload or a reply: it knows no protocol.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -69,8 +69,8 @@
 func newReceiver() *receiver {
 	return &receiver{make(chan Reply, 10), make(chan Answer, 10)}
 }
-func (r *receiver) Began(b Reply)  { r.began <- b }
-func (r *receiver) Ended(a Answer) { r.ended <- a }
+func (r *receiver) ResponseStarted(b Reply) { r.began <- b }
+func (r *receiver) Ended(a Answer)          { r.ended <- a }
 
 var classes = []balancer.Class{
 	{
@@ -220,28 +220,28 @@
 	}
 }
 
-// Begin refuses an attempt whose call has finished, or whose endpoint has become unusable, since it was started.
+// MayWrite refuses an attempt whose call has finished, or whose endpoint has become unusable, since it was started.
 func TestBeginRefusesFinishedCallAndUnusableEndpoint(t *testing.T) {
 	e, h := startWithServers(t, "a")
 	c, _ := newCall(e, "c-1", "read", limit)
 	e.Submit(c)
 	a := testkit.Wait(t, h.started)
-	if _, ok := a.Begin(); !ok {
-		t.Error("Begin refuses an attempt that has just started")
+	if _, ok := a.MayWrite(); !ok {
+		t.Error("MayWrite refuses an attempt that has just started")
 	}
 	n := serverList("a")
 	n.Servers[0].State = balancer.Draining
 	e.Apply(n)
 	testkit.Wait(t, h.dropped)
 	waitIdle(t, e)
-	if ending, ok := a.Begin(); ok || ending != balancer.Unreachable {
-		t.Errorf("Begin at a draining server: %v %v", ending, ok)
+	if ending, ok := a.MayWrite(); ok || ending != balancer.Unreachable {
+		t.Errorf("MayWrite at a draining server: %v %v", ending, ok)
 	}
 	e.Apply(serverList("a"))
 	e.CallerGone(c)
 	waitIdle(t, e)
-	if ending, ok := a.Begin(); ok || ending != balancer.NeverSent {
-		t.Errorf("Begin for a caller that has gone: %v %v", ending, ok)
+	if ending, ok := a.MayWrite(); ok || ending != balancer.NeverSent {
+		t.Errorf("MayWrite for a caller that has gone: %v %v", ending, ok)
 	}
 	if cause := h.cause(t, a); !errors.Is(cause, ErrWithdrawn) {
 		t.Errorf("the cause of its end is %v", cause)
--- a/internal/engine/hooks.go
+++ b/internal/engine/hooks.go
@@ -8,9 +8,9 @@
 
 // Hooks take the place of the engine where a sender is used without one. Any of them may be nil.
 type Hooks struct {
-	Finished func() bool // the call is finished
-	Began    func(Reply)
-	End      func(balancer.Ending, Reply)
+	Finished        func() bool // the call is finished
+	ResponseStarted func(Reply) // see Attempt.ResponseStarted
+	End             func(balancer.Ending, Reply)
 }
 
 // NewAttempt returns an attempt that belongs to no engine.
@@ -18,13 +18,13 @@
 	return &Attempt{Endpoint: ep, Payload: payload, Timeout: timeout, host: h}
 }
 
-func (h Hooks) begin(*Attempt) (balancer.Ending, bool) {
+func (h Hooks) mayWrite(*Attempt) (balancer.Ending, bool) {
 	return balancer.NeverSent, h.Finished == nil || !h.Finished()
 }
 
-func (h Hooks) began(_ *Attempt, r Reply) {
-	if h.Began != nil {
-		h.Began(r)
+func (h Hooks) responseStarted(_ *Attempt, r Reply) {
+	if h.ResponseStarted != nil {
+		h.ResponseStarted(r)
 	}
 }
 
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -11,8 +11,8 @@
 
 // Sender makes attempts at endpoints in one protocol. Its methods are called from many goroutines.
 type Sender interface {
-	// Start begins an attempt and returns at once. The sender calls a.Begin immediately before it writes, writes
-	// nothing once ctx has ended, and calls a.End exactly once, whatever happens. It calls a.Began before that if a
+	// Start begins an attempt and returns at once. The sender calls a.MayWrite immediately before it writes, writes
+	// nothing once ctx has ended, and calls a.End exactly once, whatever happens. It calls a.ResponseStarted before that if a
 	// streamed reply begins. ctx ends with the cause ErrTimedOut or ErrWithdrawn.
 	Start(ctx context.Context, a *Attempt)
 	// Drop closes the idle connections to an endpoint, which takes no new attempts.
--- a/internal/engine/source.go
+++ b/internal/engine/source.go
@@ -26,9 +26,9 @@
 // Observer is a source that is notified of the attempts at its servers. The engine's goroutine calls its methods, so they
 // must not block.
 type Observer interface {
-	Began(server string)
-	Ended(server string, ending balancer.Ending)
-	Dropped()
+	AttemptStarted(server string)
+	AttemptEnded(server string, ending balancer.Ending)
+	RequestDropped()
 }
 
 // ErrMalformedUpdate is the reason for a watch's end where the source answered with something that can't be decoded or
@@ -55,7 +55,8 @@
 	// newSourceRetryDelay is the delay between attempts to reach a new source for the first time. Its list must
 	// be known 4 s after the reload, which leaves no time for the module's backoff.
 	newSourceRetryDelay = 500 * time.Millisecond
-	// watchRetryDelay comes after every failure, before the module's own backoff, which is zero if AskWithin is unset.
+	// watchRetryDelay comes after every failure, before the module's own backoff. That is zero for a module whose setting
+	// balancer.Settings.AskWithin is unset, and the source must not be asked in a tight loop.
 	watchRetryDelay = 50 * time.Millisecond
 )
 
--- a/internal/engine/source_test.go
+++ b/internal/engine/source_test.go
@@ -100,9 +100,9 @@
 	began, ended, dropped atomic.Int64
 }
 
-func (o *observingSource) Began(string)                  { o.began.Add(1) }
-func (o *observingSource) Ended(string, balancer.Ending) { o.ended.Add(1) }
-func (o *observingSource) Dropped()                      { o.dropped.Add(1) }
+func (o *observingSource) AttemptStarted(string)                { o.began.Add(1) }
+func (o *observingSource) AttemptEnded(string, balancer.Ending) { o.ended.Add(1) }
+func (o *observingSource) RequestDropped()                      { o.dropped.Add(1) }
 
 // A source may have a share of the calls rejected: without an attempt, with retry advice, and without the module.
 func TestDropShareOfSourceRejects(t *testing.T) {
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -39,7 +39,7 @@
 		e.Submit(c)
 		first, second := testkit.Wait(t, h.started), testkit.Wait(t, h.started)
 		head, loser := &reply{}, &reply{}
-		second.Began(head)
+		second.ResponseStarted(head)
 		if b := testkit.Wait(t, r.began); b != head {
 			t.Errorf("began with %v", b)
 		}
@@ -49,7 +49,7 @@
 		if cause := h.cause(t, first); !errors.Is(cause, ErrWithdrawn) {
 			t.Errorf("the other attempt ends with %v", cause)
 		}
-		first.Began(loser) // crosses the cancellation
+		first.ResponseStarted(loser) // crosses the cancellation
 		first.End(balancer.Success, nil)
 		waitIdle(t, e)
 		if loser.released.Load() != 1 || len(r.ended) != 0 {
--- a/internal/front/extproc/call.go
+++ b/internal/front/extproc/call.go
@@ -34,8 +34,8 @@
 	attempt *engine.Attempt
 }
 
-// Began implements engine.Receiver. No replies pass through this front, so what is streamed has no reader.
-func (c *call) Began(r engine.Reply) { r.Release() }
+// ResponseStarted implements engine.Receiver. No replies pass through this front, so what is streamed has no reader.
+func (c *call) ResponseStarted(r engine.Reply) { r.Release() }
 
 // Ended implements engine.Receiver.
 func (c *call) Ended(a engine.Answer) { c.answers <- a }
--- a/internal/front/extproc/decide.go
+++ b/internal/front/extproc/decide.go
@@ -32,7 +32,7 @@
 
 // decide tells the proxy the endpoint of an attempt. It returns false if the attempt can't be made any more.
 func (h *streamHandler) decide(o offer) (actions []stream.Action, ok bool) {
-	if ending, ok := o.attempt.Begin(); !ok {
+	if ending, ok := o.attempt.MayWrite(); !ok {
 		o.attempt.End(ending, nil)
 		return nil, false
 	}
--- a/internal/front/grpc/call.go
+++ b/internal/front/grpc/call.go
@@ -26,8 +26,8 @@
 
 var _ engine.Receiver = (*call)(nil)
 
-// Began implements engine.Receiver.
-func (c *call) Began(r engine.Reply) {
+// ResponseStarted implements engine.Receiver.
+func (c *call) ResponseStarted(r engine.Reply) {
 	c.streams <- r.(*message.Stream)
 	if c.abandoned.Load() {
 		r.Release()
--- a/internal/front/http1/call.go
+++ b/internal/front/http1/call.go
@@ -22,8 +22,8 @@
 	answer engine.Answer
 }
 
-// Began implements engine.Receiver.
-func (c *call) Began(r engine.Reply) {
+// ResponseStarted implements engine.Receiver.
+func (c *call) ResponseStarted(r engine.Reply) {
 	st, is := r.(*message.Stream)
 	if !is {
 		r.Release()
--- a/internal/mesh/sidecar/inbound_request.go
+++ b/internal/mesh/sidecar/inbound_request.go
@@ -100,7 +100,7 @@
 //
 // The order of its steps is what makes a rejection safe. Whether the server is here and takes requests is checked
 // first. Then the key's lease is requested, before the first byte goes to the server. The sender asks once more at the
-// moment of writing (engine.Attempt.Begin): whether the server still takes requests, and whether there is time left.
+// moment of writing (engine.Attempt.MayWrite): whether the server still takes requests, and whether there is time left.
 func (r *inboundRequest) serve(ctx context.Context) *wire.ResponseT {
 	deadline := time.Now().Add(r.timeout())
 	endpoint := r.inbound.localServer.endpointOf(r.request.ServerId)
@@ -180,7 +180,7 @@
 	return engine.Hooks{
 		// The clock counts as well as ctx: after a process was suspended, this may run before the timer of ctx.
 		Finished: func() bool { return ctx.Err() != nil || time.Until(deadline) <= 0 },
-		Began: func(reply engine.Reply) {
+		ResponseStarted: func(reply engine.Reply) {
 			attempt.stream = reply.(*message.Stream)
 			go func() {
 				defer close(attempt.streamed)
--- a/internal/mesh/sidecar/local_server.go
+++ b/internal/mesh/sidecar/local_server.go
@@ -195,7 +195,7 @@
 }
 
 // stopSending makes the endpoint unusable: from now on no attempt begins, because each asks at the moment of writing
-// (engine.Attempt.Begin). It closes idle connections; open requests go on. The caller holds mu, and there is an endpoint.
+// (engine.Attempt.MayWrite). It closes idle connections; open requests go on. The caller holds mu, and there is an endpoint.
 func (s *localServer) stopSending() {
 	s.endpoint.SetUsable(false)
 	s.sender.Drop(s.endpoint)
--- a/internal/mesh/sidecar/upstream_attempt.go
+++ b/internal/mesh/sidecar/upstream_attempt.go
@@ -118,7 +118,7 @@
 	}
 	defer a.mu.Unlock()
 	a.responseStream = stream
-	a.attempt.Began(stream)
+	a.attempt.ResponseStarted(stream)
 }
 
 // newStream returns the stream of a response. While the stream is read, it sends window updates to the peer.
--- a/internal/mesh/sidecar/upstream_attempt_test.go
+++ b/internal/mesh/sidecar/upstream_attempt_test.go
@@ -46,7 +46,7 @@
 
 // newTestAttempt returns an attempt that is open on a connection. began is called with its response streams.
 func newTestAttempt(conn *transport.Conn, began func(*message.Stream)) *upstreamAttempt {
-	hooks := engine.Hooks{Began: func(r engine.Reply) { began(r.(*message.Stream)) }}
+	hooks := engine.Hooks{ResponseStarted: func(r engine.Reply) { began(r.(*message.Stream)) }}
 	return &upstreamAttempt{conn: conn, id: 1, done: make(chan struct{}), attempt: engine.NewAttempt(nil, nil, time.Second, hooks)}
 }
 
--- a/internal/mesh/sidecar/upstream_sender.go
+++ b/internal/mesh/sidecar/upstream_sender.go
@@ -86,7 +86,7 @@
 	// The count is raised before Begin, so that either whoever answers the call sees the attempt, or Begin sees that the
 	// call has ended.
 	routed.attempts.Add(1)
-	if ending, ok := attempt.Begin(); !ok {
+	if ending, ok := attempt.MayWrite(); !ok {
 		routed.attempts.Add(-1)
 		return ending, false
 	}
--- a/internal/sender/h2/loop.go
+++ b/internal/sender/h2/loop.go
@@ -78,7 +78,7 @@
 		r.finish(client.Done{Ending: client.NotWritten})
 		return nil
 	}
-	if ending, ok := r.attempt.Begin(); !ok {
+	if ending, ok := r.attempt.MayWrite(); !ok {
 		r.reject(ending)
 		return nil
 	}
@@ -182,7 +182,7 @@
 	}
 	c := l.conn
 	r.reply = message.NewStream(messageFields(a.Response.Header), func(n int) { c.post(consumedBytes{r, n}) })
-	r.attempt.Began(r.reply)
+	r.attempt.ResponseStarted(r.reply)
 }
 
 // deliverChunk passes on a part of a streamed reply.
--- a/internal/sender/http1/forward.go
+++ b/internal/sender/http1/forward.go
@@ -91,7 +91,7 @@
 	defer s.mu.Unlock()
 	if !s.begun && !s.ended {
 		s.begun = true
-		s.attempt.Began(s.stream.Stream)
+		s.attempt.ResponseStarted(s.stream.Stream)
 	}
 }
 
--- a/internal/sender/http1/helpers_test.go
+++ b/internal/sender/http1/helpers_test.go
@@ -64,7 +64,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeoutCause(context.Background(), limit, engine.ErrTimedOut)
 	defer cancel()
-	return s.attempt(ctx, engine.NewAttempt(ep, m, limit, engine.Hooks{Began: func(r engine.Reply) { r.Release() }}))
+	return s.attempt(ctx, engine.NewAttempt(ep, m, limit, engine.Hooks{ResponseStarted: func(r engine.Reply) { r.Release() }}))
 }
 
 // counts returns how many connections are open, and how many of those are idle.
--- a/internal/sender/http1/http1.go
+++ b/internal/sender/http1/http1.go
@@ -95,7 +95,7 @@
 	return context.AfterFunc(ctx, func() { c.Close() })
 }
 
-// attempt sends the request of a once and waits for the response until ctx ends. It writes nothing unless a.Begin
+// attempt sends the request of a once and waits for the response until ctx ends. It writes nothing unless a.MayWrite
 // agrees immediately before.
 func (s *Sender) attempt(ctx context.Context, a *engine.Attempt) result {
 	m := a.Payload.(*message.Request)
@@ -120,7 +120,7 @@
 		s.release(a.Endpoint, c)
 		return result{ending: balancer.NeverSent}
 	}
-	if ending, ok := a.Begin(); !ok {
+	if ending, ok := a.MayWrite(); !ok {
 		s.release(a.Endpoint, c) // closes it if the endpoint is no longer usable
 		return result{ending: ending}
 	}
--- a/internal/sender/http1/stream_test.go
+++ b/internal/sender/http1/stream_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	began := make(chan *message.Stream, 1)
 	ended = make(chan result, 1)
-	hooks := engine.Hooks{Began: func(r engine.Reply) { began <- r.(*message.Stream) }}
+	hooks := engine.Hooks{ResponseStarted: func(r engine.Reply) { began <- r.(*message.Stream) }}
 	go func() { ended <- s.attempt(ctx, engine.NewAttempt(newEndpoint(addr), m, limit, hooks)) }()
 	return testkit.Wait(t, began), ended
 }
--- a/internal/source/xds/xds.go
+++ b/internal/source/xds/xds.go
@@ -87,11 +87,11 @@
 	}
 }
 
-// Began counts the start of an attempt for the load reports.
-func (s *Source) Began(id string) { s.load.AttemptStarted(id) }
+// AttemptStarted counts the start of an attempt for the load reports.
+func (s *Source) AttemptStarted(id string) { s.load.AttemptStarted(id) }
 
-// Ended counts the end of an attempt for the load reports.
-func (s *Source) Ended(id string, ending balancer.Ending) { s.load.AttemptEnded(id, ending) }
+// AttemptEnded counts the end of an attempt for the load reports.
+func (s *Source) AttemptEnded(id string, ending balancer.Ending) { s.load.AttemptEnded(id, ending) }
 
-// Dropped counts a request that was rejected by the control plane's drop_overloads.
-func (s *Source) Dropped() { s.load.RequestDropped() }
+// RequestDropped counts a request that was rejected by the control plane's drop_overloads.
+func (s *Source) RequestDropped() { s.load.RequestDropped() }
