--- a/internal/fleet/collect_status.go
+++ b/internal/fleet/collect_status.go
@@ -85,7 +85,7 @@
 		s.Zone = m.Zone
 		s.State = m.State.String()
 		s.SinceMS = milliseconds(now - m.Since)
-		s.Counts = m.Agreed
+		s.Counts = m.Established
 		s.Flaps = m.Flaps
 		if m.DuplicateIncarnation != 0 {
 			s.Twin = formatIncarnation(m.DuplicateIncarnation)
@@ -120,7 +120,7 @@
 		Pool:     p.name,
 		Index:    role.Index,
 		Seen:     role.Seen,
-		Agreed:   role.Agreed,
+		Agreed:   role.Established,
 		Divisor:  role.Divisor,
 		Standing: !math.IsInf(divisor, 1),
 		Granted:  role.Granted,
--- a/internal/fleet/emulated_test.go
+++ b/internal/fleet/emulated_test.go
@@ -35,7 +35,7 @@
 	for i := range nodes {
 		p := newPool("app")
 		p.role.Store(&Role{
-			Position: membership.Position{Order: f.names, Index: i, Seen: nodes, Agreed: nodes},
+			Position: membership.Position{Order: f.names, Index: i, Seen: nodes, Established: nodes},
 			Share:    membership.Share{Divisor: nodes, Until: math.MaxInt64}, Divisor: nodes,
 		})
 		p.broadcast = func(digest outlier.Digest, _ []string) { f.broadcast(i, digest) }
--- a/internal/fleet/gossipsim/gossipsim.go
+++ b/internal/fleet/gossipsim/gossipsim.go
@@ -190,7 +190,7 @@
 func (s *simulation) converged() bool {
 	live := s.members[s.Deaths:]
 	for _, m := range live {
-		if m.view.Position(pool.ID).Agreed != len(live) {
+		if m.view.Position(pool.ID).Established != len(live) {
 			return false
 		}
 	}
--- a/internal/fleet/membership/history.go
+++ b/internal/fleet/membership/history.go
@@ -15,7 +15,7 @@
 	ChangeFailed     ChangeKind = "failed"         // the gossip reports it as dead
 	ChangeLeft       ChangeKind = "left"           // it announced that it leaves
 	ChangeDuplicate  ChangeKind = "twins"          // two processes have its name
-	ChangeCounted    ChangeKind = "counts"         // it counts from now on, see Member.Agreed
+	ChangeCounted    ChangeKind = "counts"         // it is established from now on, see Member.Established
 	ChangeNotCounted ChangeKind = "does not count" // it does not count any more
 )
 
--- a/internal/fleet/membership/position.go
+++ b/internal/fleet/membership/position.go
@@ -44,10 +44,10 @@
 
 // Position is where this node stands among the members of a pool.
 type Position struct {
-	Order  []string // names of the members that count, sorted: the same at all nodes that have seen the same
-	Index  int      // of this node in Order
-	Seen   int      // members of the pool that are alive now, whether they count yet or not
-	Agreed int      // members that count: what capacity is divided by
+	Order       []string // names of the members that count, sorted: the same at all nodes that have seen the same
+	Index       int      // of this node in Order
+	Seen        int      // members of the pool that are alive now, whether they count yet or not
+	Established int      // established members: what capacity is divided by
 }
 
 // Position returns this node's position in a pool.
@@ -60,12 +60,12 @@
 		if m.State == Alive {
 			p.Seen++
 		}
-		if m.Agreed {
+		if m.Established {
 			p.Order = append(p.Order, name)
 		}
 	}
 	slices.Sort(p.Order)
-	p.Agreed = len(p.Order)
+	p.Established = len(p.Order)
 	p.Index, _ = slices.BinarySearch(p.Order, v.self.Name)
 	return p
 }
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -9,13 +9,13 @@
 
 // Damping sets how slowly a View follows what the gossip reports, in the manner of route flap damping (RFC 2439).
 type Damping struct {
-	// SettleTime is how long a member must be seen, or missed, without a break until it counts, or counts no more.
+	// SettleTime is how long a member must be seen without a break until it is established, or missed until it is no longer.
 	SettleTime time.Duration
 	// FlapDecay is how long a member must stay until one of its flaps is forgiven.
 	FlapDecay time.Duration
 }
 
-// maxFlaps bounds how often flaps double the time that a member must stay until it counts: to 32 times SettleTime.
+// maxFlaps bounds how often flaps double the time that a member must stay until it is established: to 32 times SettleTime.
 const maxFlaps = 5
 
 // Liveness is the state of a member as the gossip reports it.
@@ -28,6 +28,10 @@
 	Left            // it announced that it leaves
 )
 
+// notSeenYet is the state of a new member until memberBack makes it Alive, within the same call. It is Left because a member that
+// left and one that was never seen are treated alike: neither is established, and that it comes is not counted as a flap.
+const notSeenYet = Left
+
 // String returns the name of the state, as operators read it.
 func (l Liveness) String() string { return [...]string{"alive", "failed", "left"}[l] }
 
@@ -37,7 +41,7 @@
 	Addr                 string // host:port of its gossip
 	State                Liveness
 	Since                time.Duration // when State began
-	Agreed               bool          // it counts: it has been in its state for long enough
+	Established          bool          // capacity is divided among the established members, see Damping.SettleTime
 	Flaps                int           // how often it has failed and come back lately, up to maxFlaps
 	DuplicateIncarnation uint64        // of another process with the same name; 0 if none was met
 	flapForgivenAt       time.Duration // when the next flap is forgiven if it stays
@@ -57,7 +61,7 @@
 // NewView returns the view of a node that has just started and sees only itself.
 func NewView(now time.Duration, self Metadata, damping Damping) *View {
 	v := &View{damping: damping, self: self, members: map[string]*Member{}, startedAt: now}
-	v.members[self.Name] = &Member{Metadata: self, State: Alive, Since: now, Agreed: true}
+	v.members[self.Name] = &Member{Metadata: self, State: Alive, Since: now, Established: true}
 	return v
 }
 
@@ -75,7 +79,7 @@
 			v.ignored++
 			return
 		}
-		m = &Member{State: Left, Since: now, flapForgivenAt: now}
+		m = &Member{State: notSeenYet, Since: now, flapForgivenAt: now}
 		v.members[metadata.Name] = m
 	}
 	switch {
@@ -99,7 +103,7 @@
 	if m.Incarnation != 0 && m.Incarnation != metadata.Incarnation {
 		reason = "a new process of that name is seen"
 	}
-	if m.State == Failed && !m.Agreed {
+	if m.State == Failed && !m.Established {
 		m.Flaps = min(m.Flaps+1, maxFlaps)
 		m.flapForgivenAt = now + v.damping.FlapDecay
 	}
@@ -108,7 +112,7 @@
 	v.history.add(Change{At: now, Name: metadata.Name, Kind: ChangeUp, Reason: reason})
 }
 
-// MemberFailed records that the gossip reports a member as dead. It counts until it has been missed for SettleTime.
+// MemberFailed records that the gossip reports a member as dead. It stays established until it has been missed for SettleTime.
 func (v *View) MemberFailed(now time.Duration, name string) {
 	m := v.members[name]
 	if m == nil || name == v.self.Name || m.State != Alive {
@@ -119,8 +123,8 @@
 	v.history.add(Change{At: now, Name: name, Kind: ChangeFailed, Reason: "nobody reaches it"})
 }
 
-// MemberLeft records that a member has announced that it leaves. It stops counting at once: the announcement is its own, and it takes
-// no further work.
+// MemberLeft records that a member has announced that it leaves. It is not established any more from then on, without
+// a delay: the announcement is its own, and it takes no further work.
 func (v *View) MemberLeft(now time.Duration, name string) {
 	m := v.members[name]
 	if m == nil || name == v.self.Name || m.State == Left {
@@ -128,7 +132,7 @@
 	}
 	m.State = Left
 	m.Since = now
-	m.Agreed = false
+	m.Established = false
 	v.history.add(Change{At: now, Name: name, Kind: ChangeLeft, Reason: "it said so"})
 }
 
@@ -143,14 +147,14 @@
 	v.history.add(Change{At: now, Name: name, Kind: ChangeDuplicate, Reason: reason})
 }
 
-// agreementDue returns when Agreed of a member changes if its state stays. It reports false if that does not change.
-func (v *View) agreementDue(m *Member) (at time.Duration, ok bool) {
+// establishedChangeDue returns when Established of a member changes if its state stays. It reports false if that does not change.
+func (v *View) establishedChangeDue(m *Member) (at time.Duration, ok bool) {
 	switch {
 	case m.Name == v.self.Name:
 		return 0, false
-	case m.State == Alive && !m.Agreed:
+	case m.State == Alive && !m.Established:
 		return m.Since + v.damping.SettleTime<<m.Flaps, true
-	case m.State == Failed && m.Agreed:
+	case m.State == Failed && m.Established:
 		return m.Since + v.damping.SettleTime, true
 	}
 	return 0, false
@@ -160,21 +164,21 @@
 func (v *View) Advance(now time.Duration) {
 	v.settled = v.settled || now >= v.startedAt+v.damping.SettleTime
 	for _, m := range v.members {
-		if at, ok := v.agreementDue(m); ok && now >= at {
-			v.changeAgreement(now, m)
+		if at, ok := v.establishedChangeDue(m); ok && now >= at {
+			v.toggleEstablished(now, m)
 		}
-		if m.Flaps > 0 && m.State == Alive && m.Agreed && now >= m.flapForgivenAt {
+		if m.Flaps > 0 && m.State == Alive && m.Established && now >= m.flapForgivenAt {
 			m.Flaps--
 			m.flapForgivenAt = now + v.damping.FlapDecay
 		}
 	}
 }
 
-// changeAgreement has a member count that did not, or the other way round.
-func (v *View) changeAgreement(now time.Duration, m *Member) {
-	m.Agreed = !m.Agreed
+// toggleEstablished has a member become established that was not, or the other way round.
+func (v *View) toggleEstablished(now time.Duration, m *Member) {
+	m.Established = !m.Established
 	kind, reason := ChangeCounted, fmt.Sprintf("seen for %v", now-m.Since)
-	if !m.Agreed {
+	if !m.Established {
 		kind, reason = ChangeNotCounted, fmt.Sprintf("not seen for %v", now-m.Since)
 	}
 	v.history.add(Change{At: now, Name: m.Name, Kind: kind, Reason: reason})
@@ -183,7 +187,7 @@
 // Next returns when Advance has something to do if nothing is recorded before. It reports false if it never has.
 func (v *View) Next() (next time.Duration, ok bool) {
 	for _, m := range v.members {
-		if at, due := v.agreementDue(m); due && (!ok || at < next) {
+		if at, due := v.establishedChangeDue(m); due && (!ok || at < next) {
 			next, ok = at, true
 		}
 	}
@@ -193,14 +197,14 @@
 	return next, ok
 }
 
-// IsSettled reports whether the first SettleTime is over. Until then no other member counts, and positions are guesses.
+// IsSettled reports whether the first SettleTime is over. Until then no other member is established, and positions are guesses.
 func (v *View) IsSettled() bool { return v.settled }
 
 // evictOldest forgets the member that has been gone for longest. It reports false if none is gone.
 func (v *View) evictOldest() bool {
 	var oldest *Member
 	for _, m := range v.members {
-		if m.State == Alive || m.Agreed {
+		if m.State == Alive || m.Established {
 			continue
 		}
 		if oldest == nil || m.Since < oldest.Since || m.Since == oldest.Since && m.Name < oldest.Name {
--- a/internal/fleet/membership/view_test.go
+++ b/internal/fleet/membership/view_test.go
@@ -70,8 +70,8 @@
 		}
 		for _, v := range views {
 			p := v.Position(testPool)
-			if !slices.Equal(p.Order, want) || p.Agreed != len(want) || p.Seen != len(want) || p.Order[p.Index] != v.self.Name {
-				t.Fatalf("%s is %d of %d (%d seen) in %v, want %v", v.self.Name, p.Index, p.Agreed, p.Seen, p.Order, want)
+			if !slices.Equal(p.Order, want) || p.Established != len(want) || p.Seen != len(want) || p.Order[p.Index] != v.self.Name {
+				t.Fatalf("%s is %d of %d (%d seen) in %v, want %v", v.self.Name, p.Index, p.Established, p.Seen, p.Order, want)
 			}
 		}
 	})
@@ -80,30 +80,30 @@
 // TestMemberCountsOnceSettled follows one member as it joins, fails, flaps and leaves.
 func TestMemberCountsOnceSettled(t *testing.T) {
 	v := NewView(0, testMetadata("a", 1), testDamping)
-	wantAgreed := func(now time.Duration, want int) {
+	wantEstablished := func(now time.Duration, want int) {
 		t.Helper()
 		v.Advance(now)
-		if got := v.Position(testPool).Agreed; got != want {
+		if got := v.Position(testPool).Established; got != want {
 			t.Fatalf("at %v %d members count, want %d: %v", now, got, want, v.history)
 		}
 	}
 	v.MemberAlive(0, testMetadata("b", 1), "x")
-	wantAgreed(999*ms, 1)
-	wantAgreed(time.Second, 2)
+	wantEstablished(999*ms, 1)
+	wantEstablished(time.Second, 2)
 	v.MemberFailed(2*time.Second, "b")
-	wantAgreed(2900*ms, 2)
+	wantEstablished(2900*ms, 2)
 	v.MemberAlive(2950*ms, testMetadata("b", 2), "y") // back within the time, as another process: it never stopped counting
-	wantAgreed(20*time.Second, 2)
+	wantEstablished(20*time.Second, 2)
 	v.MemberFailed(20*time.Second, "b")
 	if next, ok := v.Next(); !ok || next != 21*time.Second {
 		t.Errorf("the next change is due at %v, %v; want 21s", next, ok)
 	}
-	wantAgreed(21*time.Second, 1)
+	wantEstablished(21*time.Second, 1)
 	v.MemberAlive(22*time.Second, testMetadata("b", 2), "y") // given up and back: it must stay twice as long
-	wantAgreed(23900*ms, 1)
-	wantAgreed(24*time.Second, 2)
+	wantEstablished(23900*ms, 1)
+	wantEstablished(24*time.Second, 2)
 	v.MemberLeft(25*time.Second, "b")
-	wantAgreed(25*time.Second, 1)
+	wantEstablished(25*time.Second, 1)
 	if _, ok := v.Next(); ok {
 		t.Error("a change is due though everything has settled")
 	}
@@ -134,8 +134,8 @@
 				}
 			}
 			v.Advance(now)
-			if p := v.Position(testPool); p.Agreed != agreed {
-				agreed = p.Agreed
+			if p := v.Position(testPool); p.Established != agreed {
+				agreed = p.Established
 				changes++
 			}
 		}
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -154,7 +154,7 @@
 
 // updateRole notifies the decision module of its position, subset, divisor and quotas, if any has changed.
 func (m *Module) updateRole(now time.Duration, subset []string, role *Role, divisor float64, quotas *QuotaShares) []balancer.Action {
-	current := position{agreed: role.Agreed, index: role.Index}
+	current := position{agreed: role.Established, index: role.Index}
 	if divisor == m.divisor && current == m.position && quotas == m.quotas && slices.Equal(subset, m.subset) {
 		return nil
 	}
@@ -167,7 +167,7 @@
 		byTenant = nil // the share has expired, and with it what was borrowed
 	}
 	return m.decider.Handle(now, balancer.Fleet{
-		Balancers: role.Agreed,
+		Balancers: role.Established,
 		Index:     role.Index,
 		Divisor:   divisor,
 		Subset:    subset,
--- a/internal/fleet/roles.go
+++ b/internal/fleet/roles.go
@@ -39,10 +39,10 @@
 // role derives this node's role in a pool from the view and a share. The caller holds f.mu.
 func (f *Fleet) role(now time.Duration, pool uint32, share membership.Share) *Role {
 	role := &Role{Position: f.view.Position(pool), Share: share, At: now}
-	if !f.view.IsSettled() || role.Agreed < 1 {
+	if !f.view.IsSettled() || role.Established < 1 {
 		// No other member has been seen for long enough. The position is a guess, which spreads members that have just started.
 		nodes := max(f.config.Nodes, 1)
-		role.Agreed = nodes
+		role.Established = nodes
 		role.Index = int(membership.NameID(f.config.Name) % uint64(nodes))
 	}
 	role.Divisor = max(1, share.Divisor-f.countedWithoutPool(pool, share))
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -31,7 +31,7 @@
 	Zone    string  `json:"zone"`
 	State   string  `json:"state"` // alive, failed, left; unknown: the gossip has not seen it
 	SinceMS float64 `json:"since_ms"`
-	Counts  bool    `json:"counts"` // see membership.Member.Agreed
+	Counts  bool    `json:"counts"` // see membership.Member.Established
 	Flaps   int     `json:"flaps"`
 	Twin    string  `json:"twin,omitempty"` // incarnation of another process of this name
 	Seated  bool    `json:"seated"`         // a voter
