--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -22,8 +22,8 @@
 	return NewModule(decider, f.Pool(pool), f.config.Name, settings, BootTime)
 }
 
-// Serve announces the pools that this node has from now on, each with a digest of its settings.
-func (f *Fleet) Serve(pools map[string]uint32) { f.SetPools(PoolDigests(pools)) }
+// AnnouncePools announces the pools that this node has from now on, each with a digest of its settings.
+func (f *Fleet) AnnouncePools(pools map[string]uint32) { f.SetPools(PoolDigests(pools)) }
 
 // WriteStatus writes the Status as JSON.
 func (f *Fleet) WriteStatus(w io.Writer) error {
--- a/internal/fleet/membership/majority.go
+++ b/internal/fleet/membership/majority.go
@@ -62,9 +62,13 @@
 
 // majorityUntil returns until when every electorate has a majority of members that agree, where agreesUntil says that of one member.
 // It returns zero if one has none now.
+//
+// Founding members that were not met may be voters elsewhere, so each electorate is taken as larger by as many. Of the members that
+// were met only those of the first electorate and the removed ones are subtracted from their number. If there are others, for example a
+// committed voter that has come back and is no voter yet, missing is too large. That is safe: it only raises the quorum.
 func (r *Roster) majorityUntil(electorates [][]*peer, agreesUntil func(*peer) time.Duration) time.Duration {
 	end := forever
-	missing := r.missingFounders(len(electorates[0])) // the first electorate is the largest: whoever is in it has been met
+	missing := r.missingFounders(len(electorates[0]))
 	for _, electorate := range electorates {
 		var ends []time.Duration
 		for _, p := range electorate {
@@ -91,8 +95,14 @@
 // excludedUntil returns until when a member does not count, because this node and majorities report it as failed. It
 // returns 0 if the member counts.
 //
-// This is safe: each of these stopped granting it anything before they reported it, and more than a lease after it had sent what they
-// last heard. So it can't have a majority's grants any more.
+// This is safe, because the target can't have a majority's grants while it is excluded:
+//   - A member reports the target as failed after it has heard nothing from it for failureTimeout, which is longer than a lease.
+//   - The target acts on a grant for one lease, counted from when it sent the heartbeat that the grant echoes. It sent that before the
+//     member heard it. So the member's last grant has run out by the time of the report.
+//   - The member gives no new grant until rejoinDelay after it hears the target again. This node relies on the report for one lease from
+//     when it sent the heartbeat that came back with it, and rejoinDelay is longer, also by the round that a report may be old.
+//   - So no member that reports the target is one whose grant the target can use. Any two majorities of an electorate have a member in
+//     common, so the target has no majority.
 func (r *Roster) excludedUntil(electorates [][]*peer, target *peer) time.Duration {
 	if target.Name == r.self || !target.failed {
 		return 0
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -124,7 +124,7 @@
 	tick := time.NewTicker(redirectInterval)
 	defer tick.Stop()
 	for time.Now().Before(cutoff) {
-		n.redirectIdleCallers()
+		n.closeIdleCallers()
 		if openConnections(fronts) == 0 {
 			return
 		}
@@ -140,8 +140,9 @@
 	return open
 }
 
-// redirectIdleCallers closes idle connections of callers that are being sent elsewhere.
-func (n *Node) redirectIdleCallers() {
+// closeIdleCallers closes idle connections of callers at fronts that drain. The callers connect again, to whichever node their
+// own load balancing or the platform chooses; the node names none.
+func (n *Node) closeIdleCallers() {
 	for _, f := range n.drainableFronts() {
 		f.CloseIdleIfDraining()
 	}
--- a/internal/node/fleet_member.go
+++ b/internal/node/fleet_member.go
@@ -18,9 +18,9 @@
 type Member interface {
 	// Module wraps the module of a pool in one that tells it what changes among the fleet's nodes.
 	Module(pool string, s balancer.Settings, in engine.Module) engine.Module
-	// Serve tells the other members which pools this node has, each with a digest of its settings. It returns once they
+	// AnnouncePools tells the other members which pools this node has, each with a digest of its settings. It returns once they
 	// know, or after a second.
-	Serve(pools map[string]uint32)
+	AnnouncePools(pools map[string]uint32)
 	// WriteStatus writes the state of the fleet as JSON.
 	WriteStatus(w io.Writer) error
 	// Forget removes a member from the roster that is dead and will not come back.
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -67,7 +67,7 @@
 	}
 	n.plan = r.plan
 	if n.fleet != nil {
-		go n.fleet.Serve(settingsDigests(r.plan)) // not waited for: it returns within a second, and reloads hold n.mu
+		go n.fleet.AnnouncePools(settingsDigests(r.plan)) // not waited for: it returns within a second, and reloads hold n.mu
 	}
 	n.serving.Store(r.next)
 	n.setDrainTimeout(r.next.pools)
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// reclaimInterval is how often pools give back idle connections that others want, and idle callers are redirected.
+// reclaimInterval is how often pools give back idle connections that others want, and draining fronts close idle connections,
+// so that their callers connect elsewhere (see closeIdleCallers).
 const reclaimInterval = 100 * time.Millisecond
 
 // Run serves until ctx ends and then drains. It returns once every accepted request is answered, or abandoned at the
@@ -58,7 +59,7 @@
 			return fmt.Errorf("serving callers: %w", err)
 		case <-reclaim.C:
 			n.reclaimIdleConnections()
-			n.redirectIdleCallers()
+			n.closeIdleCallers()
 		case <-ctx.Done():
 			return nil
 		}
