--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -82,14 +82,14 @@
 	fallbackDelay    time.Duration // from Deadline to FallbackAt
 }
 
-// overheadShare is the largest share of a caller's time that SetTimeLeft reserves: a quarter.
-const overheadShare = 4
+// maxOverheadDivisor bounds what SetTimeLeft reserves: at most the caller's time divided by this, a quarter.
+const maxOverheadDivisor = 4
 
 // SetTimeLeft sets Deadline and FallbackAt of a call whose caller waits for timeLeft from now on. Of that, overhead is kept for
 // the way back, but no more than a quarter, so that the answer is there before the caller times out: the module is to answer
 // before that part begins, and the engine in its place after half of it.
 func (call *Call) SetTimeLeft(now, timeLeft, overhead time.Duration) {
-	reserved := min(overhead, timeLeft/overheadShare)
+	reserved := min(overhead, timeLeft/maxOverheadDivisor)
 	call.Deadline = now + timeLeft - reserved
 	call.FallbackAt = now + timeLeft - reserved/2
 }
--- a/internal/mesh/sidecar/outbound_protocol.go
+++ b/internal/mesh/sidecar/outbound_protocol.go
@@ -30,9 +30,6 @@
 	// retryAfterDivisor says how soon a rejected caller may retry: it is told to wait at least the route's latency
 	// target divided by this.
 	retryAfterDivisor = 8
-	// ownDelayDivisor bounds the time that the sidecar reserves for its own work: at most the time of a request divided
-	// by this.
-	ownDelayDivisor = 4
 	// rejectedRetryAfter is the Retry-After, in seconds, of rejections that the decision module does not make.
 	rejectedRetryAfter = "0.3"
 	// noTimeBudget is the time budget of a request whose caller names none.
@@ -101,7 +98,7 @@
 	} else {
 		routed.key = ""
 	}
-	setDeadlines(call, now, routed.timeout(budget))
+	call.SetTimeLeft(now, routed.timeout(budget), front.ProxyOverhead)
 	call.ID = routed.attemptID
 	call.Class = class
 	return newOutboundMessage(request, routed, limits), nil
@@ -124,14 +121,6 @@
 	return m
 }
 
-// setDeadlines sets the times of a call that may take until timeout from now. The caller's time includes the work of
-// the sidecar itself, so part of it is reserved: all of that before Deadline, half of it before FallbackAt.
-func setDeadlines(call *engine.Call, now, timeout time.Duration) {
-	ownDelay := min(front.ProxyOverhead, timeout/ownDelayDivisor)
-	call.Deadline = now + timeout - ownDelay
-	call.FallbackAt = now + timeout - ownDelay/2
-}
-
 // applyPolicy checks a request against its effective policy, and records the rule trace if the caller asks for it.
 func (p *callerProtocol) applyPolicy(request *http.Request, service string, routed *routedRequest) *front.Rejection {
 	if !routed.route.HasDestination(service) { // the table changed since Route: a request must not be decided by two tables
