--- a/internal/front/http1/head.go
+++ b/internal/front/http1/head.go
@@ -3,7 +3,13 @@
 import "bytes"
 
 // headScanner reads a header section as its bytes come, for what net/http drops: a Content-Length beside a Transfer-Encoding
-// (RFC 9112, section 6.1). It misses a request whose first bytes came together with the former one; done is then false.
+// (RFC 9112, section 6.1).
+//
+// The scanner is reset when a request has been answered (connection.endRequest), so it misses the bytes of a pipelined request that
+// came before that. If these are the whole header section, done stays false, and ServeHTTP closes the connection after a request with
+// a Transfer-Encoding: net/http reads the body by that coding, and no bytes that follow it are taken for another request, wherever
+// someone else sees the end of the body. If they are only its beginning, the scan goes on within the section and finds its end: a
+// Content-Length in that beginning goes unnoticed, and the connection stays open.
 type headScanner struct {
 	name       [len("transfer-encoding") + 1]byte // of the field on the present line, in lower case
 	nameLength int                                // length of the name, which may be longer than name
--- a/internal/front/http1/platform.go
+++ b/internal/front/http1/platform.go
@@ -57,43 +57,97 @@
 // maxClaimFactor is the limit on a caller's X-Time-Left, in deadlines of the class.
 const maxClaimFactor = 10
 
-// ParseRequest implements Protocol.
+// ParseRequest implements Protocol. The checks come in the order in which callers are told of what is wrong.
 func (platformProtocol) ParseRequest(
 	hr *http.Request, p *pool.Pool, name string, now time.Duration, c *engine.Call,
 ) (*message.Request, *Rejection) {
-	h := hr.Header
+	if rejection := checkFraming(hr); rejection != nil {
+		return nil, rejection
+	}
+	class, rejection := requestedClass(hr, p, name)
+	if rejection != nil {
+		return nil, rejection
+	}
+	if rejection := checkIDs(hr.Header, class.Effect); rejection != nil {
+		return nil, rejection
+	}
+	left, rejection := timeLeft(hr.Header, class.Deadline)
+	if rejection != nil {
+		return nil, rejection
+	}
+	SetCommonFields(c, hr.Header, name, now, left)
+	c.Cost = hintedCost(hr.Header, class.Deadline)
+	return platformMessage(hr), nil
+}
+
+// checkFraming checks the length of a request's body, whatever the request asks for.
+func checkFraming(hr *http.Request) *Rejection {
+	switch {
+	case len(hr.Header["Content-Length"]) > 1:
+		// Of HTTP/2's net/http takes the first; a server might take another (RFC 9110, section 8.6).
+		return &Rejection{Status: http.StatusBadRequest, Text: "more than one content-length"}
+	case !hr.ProtoAtLeast(1, 1) && !bodiless(hr):
+		return &Rejection{Status: http.StatusHTTPVersionNotSupported, Text: "a body needs HTTP/1.1"}
+	case hr.ContentLength > maxBody:
+		return &Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is too long"}
+	}
+	return nil
+}
+
+// requestedClass returns the class of that name, if the pool has it and the request has the method of its effect.
+func requestedClass(hr *http.Request, p *pool.Pool, name string) (balancer.Class, *Rejection) {
 	class, known := p.Class(name)
 	method := http.MethodPost
 	if class.Effect == balancer.Idempotent {
 		method = http.MethodGet
 	}
-	claim, claimed := message.ParseTimeLeft(h.Get("X-Time-Left"))
-	left := min(claim, class.Deadline)
-	switch ids, keys := h["X-Correlation-Id"], h["Idempotency-Key"]; {
-	case len(h["Content-Length"]) > 1:
-		// Of HTTP/2's net/http takes the first; a server might take another (RFC 9110, section 8.6).
-		return nil, &Rejection{Status: http.StatusBadRequest, Text: "more than one content-length"}
-	case !hr.ProtoAtLeast(1, 1) && !bodiless(hr):
-		return nil, &Rejection{Status: http.StatusHTTPVersionNotSupported, Text: "a body needs HTTP/1.1"}
-	case hr.ContentLength > maxBody:
-		return nil, &Rejection{Status: http.StatusRequestEntityTooLarge, Text: "the body is too long"}
+	switch {
 	case p.GRPC():
-		return nil, &Rejection{Status: http.StatusNotImplemented, Text: "the servers of this pool speak gRPC only"}
+		return class, &Rejection{Status: http.StatusNotImplemented, Text: "the servers of this pool speak gRPC only"}
 	case !known:
-		return nil, &Rejection{Status: http.StatusNotFound, Text: fmt.Sprintf("no class %.40q", name)}
+		return class, &Rejection{Status: http.StatusNotFound, Text: fmt.Sprintf("no class %.40q", name)}
 	case hr.Method != method:
-		return nil, &Rejection{Status: http.StatusMethodNotAllowed, Text: "requests of this class are " + method}
+		return class, &Rejection{Status: http.StatusMethodNotAllowed, Text: "requests of this class are " + method}
 	case method == http.MethodGet && hr.ContentLength > 0:
-		return nil, &Rejection{Status: http.StatusBadRequest, Text: "GET has no body"}
+		return class, &Rejection{Status: http.StatusBadRequest, Text: "GET has no body"}
+	}
+	return class, nil
+}
+
+// checkIDs checks that a request has one id, and one key if its class needs that.
+func checkIDs(h http.Header, effect balancer.Effect) *Rejection {
+	ids, keys := h["X-Correlation-Id"], h["Idempotency-Key"]
+	switch {
 	case len(ids) != 1 || ids[0] == "":
-		return nil, &Rejection{Status: http.StatusBadRequest, Text: "not one X-Correlation-Id"}
-	case class.Effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""):
+		return &Rejection{Status: http.StatusBadRequest, Text: "not one X-Correlation-Id"}
+	case effect == balancer.IdempotentByKey && (len(keys) != 1 || keys[0] == ""):
 		// Without a key the servers would run every retry.
-		return nil, &Rejection{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
-	case !claimed || claim > maxClaimFactor*class.Deadline:
-		return nil, &Rejection{Status: http.StatusBadRequest, Text: "X-Time-Left is no time with the unit m or u, or too long"}
+		return &Rejection{Status: http.StatusBadRequest, Text: "not one Idempotency-Key"}
 	}
+	return nil
+}
 
+// timeLeft returns how long the caller waits, but no longer than the deadline of the class.
+func timeLeft(h http.Header, deadline time.Duration) (time.Duration, *Rejection) {
+	claim, ok := message.ParseTimeLeft(h.Get("X-Time-Left"))
+	if !ok || claim > maxClaimFactor*deadline {
+		return 0, &Rejection{Status: http.StatusBadRequest, Text: "X-Time-Left is no time with the unit m or u, or too long"}
+	}
+	return min(claim, deadline), nil
+}
+
+// hintedCost returns the caller's estimate of the work, or 0 if it gives none. An estimate over the deadline of the class is of
+// no use, and would outweigh all others in the module's mean.
+func hintedCost(h http.Header, deadline time.Duration) time.Duration {
+	us, err := strconv.ParseFloat(h.Get("X-Weight-Hint"), 64)
+	if err != nil || !(us > 0) { // written so that NaN counts as none
+		return 0
+	}
+	return time.Duration(min(us*float64(time.Microsecond), float64(deadline)))
+}
+
+// platformMessage returns a caller's request as the message that is sent to servers.
+func platformMessage(hr *http.Request) *message.Request {
 	out := &message.Request{
 		Method:    hr.Method,
 		URL:       hr.URL,
@@ -101,16 +155,11 @@
 		Header:    make(map[string][]string, 3),
 	}
 	for _, name := range []string{"X-Correlation-Id", "Idempotency-Key", "Content-Type"} {
-		if v := h[name]; len(v) > 0 {
+		if v := hr.Header[name]; len(v) > 0 {
 			out.Header[name] = v
 		}
 	}
-	SetCommonFields(c, h, name, now, left)
-	if us, err := strconv.ParseFloat(h.Get("X-Weight-Hint"), 64); err == nil && us > 0 {
-		// An estimate over the deadline is of no use, and would outweigh all others in the module's mean.
-		c.Cost = time.Duration(min(us*float64(time.Microsecond), float64(class.Deadline)))
-	}
-	return out, nil
+	return out
 }
 
 // SetCommonFields fills in the fields of a call that every protocol reads from the same header fields: id, class,
