--- a/internal/testfleet/lifecycle_test.go
+++ b/internal/testfleet/lifecycle_test.go
@@ -40,34 +40,25 @@
 	return s
 }
 
-// TestRestartsAndReplacements lets a fleet of one member grow to five, and restarts or replaces those under load.
+// TestRestartsAndReplacements lets a fleet of one member grow to five, then restarts, and then replaces those under load. All of it happens
+// to one fleet, so that replacements meet the roster that the restarts have left.
 func TestRestartsAndReplacements(t *testing.T) {
 	t.Parallel()
-	t.Run("restarts", testRestarts)
-	t.Run("replacements", testReplacements)
-}
-
-// growToFive starts a fleet of one member and traffic to it, and four members more. It returns the numbers of all five, and a function that
-// ends the traffic and judges the rules.
-func growToFive(t *testing.T, seed uint64) (f *Fleet, five []int, finish func()) {
-	t.Helper()
-	f = startFleet(t, FleetConfig{MemberCount: 1, SpareMembers: 9, ConfiguredNodes: 1, ServerCount: 4, Seed: seed})
+	f := startFleet(t, FleetConfig{MemberCount: 1, SpareMembers: 9, ConfiguredNodes: 1, ServerCount: 4, Seed: 3})
 	stop := f.startStreams(t, []int{0}, Traffic(40, untilStopped)...)
 	f.awaitAgreement(t, true, 0)
-	five = memberIndices(5)
+	five := memberIndices(5)
 	f.startMembers(t, five[1:]...)
 	f.awaitAgreement(t, true, five...)
-	return f, five, func() {
-		t.Helper()
-		stop()
-		assertRulesKept(t, f)
-	}
+	f.testRestarts(t, five)
+	f.testReplacements(t, five[1:])
+	stop()
+	assertRulesKept(t, f)
 }
 
 // testRestarts: a rolling restart, a restart that nobody notices, and a duplicate of a running member.
-func testRestarts(t *testing.T) {
-	t.Parallel()
-	f, five, finish := growToFive(t, 3)
+func (f *Fleet) testRestarts(t *testing.T, five []int) {
+	t.Helper()
 	for _, i := range five[1:] {
 		f.Members[i].Terminate()
 		f.startMembers(t, i)
@@ -75,15 +66,11 @@
 	}
 	f.assertQuickRestartIsUnnoticed(t, five)
 	f.assertDuplicateHasNoShare(t, five)
-	finish()
 }
 
 // testReplacements: four members back under their names at new addresses, and the death of all but one.
-func testReplacements(t *testing.T) {
-	t.Parallel()
-	f, five, finish := growToFive(t, 13)
-	others := five[1:]
-
+func (f *Fleet) testReplacements(t *testing.T, others []int) {
+	t.Helper()
 	// Four members die and come back one after the other at new addresses.
 	for _, i := range others {
 		f.Members[i].Kill()
@@ -101,7 +88,6 @@
 		f.forget(t, 0, f.Members[i].Name)
 	}
 	f.awaitShares(t, 0)
-	finish()
 }
 
 // assertQuickRestartIsUnnoticed kills and starts the last of the members so quickly that it never stops counting at the others.
