--- a/internal/fleet/gossipsim/gossipsim.go
+++ b/internal/fleet/gossipsim/gossipsim.go
@@ -202,7 +202,7 @@
 	for _, m := range s.members[s.Deaths:] {
 		changes, _ := m.view.Changes()
 		for _, change := range changes {
-			if change.Kind == membership.ChangeNotCounted {
+			if change.Kind == membership.ChangeNotEstablished {
 				s.result.PositionChanges++
 			}
 		}
--- a/internal/fleet/membership/doc.go
+++ b/internal/fleet/membership/doc.go
@@ -2,7 +2,7 @@
 //
 // It holds two descriptions of the fleet, with different guarantees:
 //
-//   - A View follows what the gossip reports, and settles it: a member counts once it has been seen for long enough. Positions,
+//   - A View follows what the gossip reports, and settles it: a member is established once it has been seen for long enough. Positions,
 //     subsets of servers and capacity are derived from it. It may be wrong for some seconds, which costs service but breaks no limit.
 //   - A Roster decides which members have to be assumed able to act, and whether this node may act itself. Quotas are divided by
 //     it. The shares of all members must never add up to more than the whole, whatever the network does.
--- a/internal/fleet/membership/history.go
+++ b/internal/fleet/membership/history.go
@@ -10,13 +10,13 @@
 
 // The kinds of changes.
 const (
-	ChangeUp         ChangeKind = "up"             // it is seen, for the first time or again
-	ChangeRestarted  ChangeKind = "restarted"      // another process of its name took its place before it was missed
-	ChangeFailed     ChangeKind = "failed"         // the gossip reports it as dead
-	ChangeLeft       ChangeKind = "left"           // it announced that it leaves
-	ChangeDuplicate  ChangeKind = "twins"          // two processes have its name
-	ChangeCounted    ChangeKind = "counts"         // it is established from now on, see Member.Established
-	ChangeNotCounted ChangeKind = "does not count" // it does not count any more
+	ChangeUp             ChangeKind = "up"             // it is seen, for the first time or again
+	ChangeRestarted      ChangeKind = "restarted"      // another process of its name took its place before it was missed
+	ChangeFailed         ChangeKind = "failed"         // the gossip reports it as dead
+	ChangeLeft           ChangeKind = "left"           // it announced that it leaves
+	ChangeDuplicate      ChangeKind = "twins"          // two processes have its name
+	ChangeEstablished    ChangeKind = "counts"         // it is established from now on, see Member.Established
+	ChangeNotEstablished ChangeKind = "does not count" // it is not established any more
 )
 
 // maxRecordedChanges bounds how many changes are kept for operators.
--- a/internal/fleet/membership/position.go
+++ b/internal/fleet/membership/position.go
@@ -33,8 +33,8 @@
 	return Compatible
 }
 
-// countsIn reports whether a member counts in a pool once it has settled.
-func (v *View) countsIn(m *Member, pool uint32) bool {
+// takesPartIn reports whether a member shares in a pool's work, as soon as it is established.
+func (v *View) takesPartIn(m *Member, pool uint32) bool {
 	if m.Name == v.self.Name {
 		return true
 	}
@@ -44,9 +44,9 @@
 
 // Position is where this node stands among the members of a pool.
 type Position struct {
-	Order       []string // names of the members that count, sorted: the same at all nodes that have seen the same
+	Order       []string // names of the established members, sorted: the same at all nodes that have seen the same
 	Index       int      // of this node in Order
-	Seen        int      // members of the pool that are alive now, whether they count yet or not
+	Seen        int      // members of the pool that are alive now, whether established or not
 	Established int      // established members: what capacity is divided by
 }
 
@@ -54,7 +54,7 @@
 func (v *View) Position(pool uint32) Position {
 	var p Position
 	for name, m := range v.members {
-		if !v.countsIn(m, pool) {
+		if !v.takesPartIn(m, pool) {
 			continue
 		}
 		if m.State == Alive {
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -177,9 +177,9 @@
 // toggleEstablished has a member become established that was not, or the other way round.
 func (v *View) toggleEstablished(now time.Duration, m *Member) {
 	m.Established = !m.Established
-	kind, reason := ChangeCounted, fmt.Sprintf("seen for %v", now-m.Since)
+	kind, reason := ChangeEstablished, fmt.Sprintf("seen for %v", now-m.Since)
 	if !m.Established {
-		kind, reason = ChangeNotCounted, fmt.Sprintf("not seen for %v", now-m.Since)
+		kind, reason = ChangeNotEstablished, fmt.Sprintf("not seen for %v", now-m.Since)
 	}
 	v.history.add(Change{At: now, Name: m.Name, Kind: kind, Reason: reason})
 }
