--- a/internal/mesh/directory/table.go
+++ b/internal/mesh/directory/table.go
@@ -23,9 +23,14 @@
 // All returns the records ordered by service, then by address. All processes use this order: it gives each sidecar its index among
 // those that call a service.
 func (t Table) All() []Record {
-	return slices.SortedFunc(maps.Values(t.records), func(a, b Record) int {
-		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Addr, b.Addr))
+	records := slices.AppendSeq(make([]Record, 0, len(t.records)), maps.Values(t.records))
+	slices.SortFunc(records, func(a, b Record) int {
+		if a.Service != b.Service {
+			return cmp.Compare(a.Service, b.Service)
+		}
+		return cmp.Compare(a.Addr, b.Addr)
 	})
+	return records
 }
 
 // Merge returns a table with those records that are newer than the table's own, and these records as changed. now is the time of the
