--- a/internal/mesh/memberselection/action.go
+++ b/internal/mesh/memberselection/action.go
@@ -5,18 +5,18 @@
 // ConnID identifies a dial and the connection that results from it. The zero value identifies none.
 type ConnID uint64
 
-// ActionKind says what the caller has to do.
+// ActionKind is the type of an action.
 type ActionKind uint8
 
 // Kinds of actions.
 const (
 	// Dial opens a connection to Addr. The caller reports FirstMessageReceived or ConnectionClosed.
 	Dial ActionKind = iota
-	// Follow makes the connection the one that the sidecar's record and its key claims are sent on.
+	// Follow makes this the connection on which the sidecar sends its record and its requests for key leases.
 	Follow
-	// Confirm reads all configuration items by a linearizable read. The caller reports ConfirmationReceived.
+	// Confirm reads all configuration items with a linearizable read. The caller reports ConfirmationReceived.
 	Confirm
-	// Close closes the connection, or gives up the dial, for Reason. The caller reports nothing.
+	// Close closes the connection or aborts the dial, because of Reason. The caller reports nothing.
 	Close
 )
 
@@ -35,30 +35,31 @@
 	return fmt.Sprintf("ActionKind(%d)", uint8(k))
 }
 
-// Action is one thing for the caller to do.
+// Action is an operation that the caller carries out for the selector.
 type Action struct {
 	Kind   ActionKind
 	ID     ConnID
-	Addr   string      // host:port, of a Dial only
-	Reason CloseReason // of a Close only
+	Addr   string      // host:port; set for Dial only
+	Reason CloseReason // set for Close only
 }
 
-// CloseReason is why a connection is closed. It is an error, so that it can stand as the cause of the connection's end.
+// CloseReason is why a connection is closed. It implements error so that it can be used as the cause with which the connection
+// is closed.
 type CloseReason uint8
 
-// Reasons to close a connection. The zero value says that there is none.
+// Reasons to close a connection. The zero value means no reason.
 const (
 	// SilentMember closes the followed connection after SilenceTimeout without a message.
 	SilentMember CloseReason = iota + 1
 	// SilentWhileRequestsWait closes the followed connection after WaitingSilenceTimeout without a message.
 	SilentWhileRequestsWait
-	// NoFirstMessage closes a dial after DialTimeout.
+	// NoFirstMessage aborts a dial whose member has sent no message within DialTimeout.
 	NoFirstMessage
-	// NotAMember closes a connection to an address that is neither a member nor a seed any more.
+	// NotAMember closes a connection to an address that is no longer a member or a seed.
 	NotAMember
-	// OtherMemberFollowed closes the other connections once a member with a leader is followed.
+	// OtherMemberFollowed closes the remaining connections once the followed member has a leader.
 	OtherMemberFollowed
-	// OtherMemberHasLeader closes the followed connection in favour of a member that has a leader.
+	// OtherMemberHasLeader closes the followed connection because another member has a leader and this one has none.
 	OtherMemberHasLeader
 )
 
@@ -68,17 +69,17 @@
 	case 0:
 		return ""
 	case SilentMember:
-		return "it is silent"
+		return "the member sent no message within the silence timeout"
 	case SilentWhileRequestsWait:
-		return "it is silent while requests wait for it"
+		return "the member sent no message while requests were waiting for its answer"
 	case NoFirstMessage:
-		return "it sent no first message in time"
+		return "the member sent no first message within the dial timeout"
 	case NotAMember:
-		return "it is no member"
+		return "the address is no longer a member or a seed"
 	case OtherMemberFollowed:
-		return "another member is followed"
+		return "the sidecar follows another member that has a leader"
 	case OtherMemberHasLeader:
-		return "another member has a leader"
+		return "the member has no leader and another member has one"
 	}
 	return fmt.Sprintf("CloseReason(%d)", uint8(r))
 }
--- a/internal/mesh/memberselection/advance.go
+++ b/internal/mesh/memberselection/advance.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// step applies an event at a time, and then everything that has become due.
+// step advances the time to now, applies an event, and then performs everything that has become due.
 func (s *Selector) step(now time.Duration, event func()) {
 	s.now = max(s.now, now)
 	event()
 	s.advance()
 }
 
-// advance does everything that is due at the current time. The order matters: a member that is left here is replaced in the
-// same step.
+// advance performs everything that is due at the current time. The order matters: a followed member that is abandoned here is
+// replaced in the same step.
 func (s *Selector) advance() {
 	if s.followed != nil && s.now >= s.silenceDeadline() {
-		s.leaveFollowed(s.silenceReason())
+		s.abandonFollowed(s.silenceReason())
 	}
-	s.closeSilentDials()
+	s.closeTimedOutDials()
 	if s.followed == nil {
 		s.followEstablished()
 	}
-	if s.isSeeking() {
-		s.dialDue()
+	if s.isSearching() {
+		s.dialDueCandidates()
 	} else {
 		s.closeOthers()
 	}
-	if s.confirmIsOpen() && s.now >= s.confirmAt {
+	if s.needsConfirm() && s.now >= s.confirmAt {
 		s.confirming = true
 		s.emit(Action{Kind: Confirm, ID: s.followed.id})
 	}
 }
 
-// NextTick returns when Tick is due if no other event comes before.
+// NextTick returns the time at which Tick is due unless another event comes first.
 func (s *Selector) NextTick() time.Duration {
 	next := noDeadline
 	if s.followed != nil {
 		next = s.silenceDeadline()
-		if s.confirmIsOpen() {
+		if s.needsConfirm() {
 			next = min(next, s.confirmAt)
 		}
-		if !s.followed.hasLeader && !s.isSeeking() {
+		if !s.followed.hasLeader && !s.isSearching() {
 			next = min(next, s.leaderLostAt+LeaderlessTimeout)
 		}
 	}
@@ -46,40 +46,40 @@
 		switch {
 		case c.id != 0 && !c.established:
 			next = min(next, c.dialedAt+DialTimeout)
-		case c.id == 0 && s.isSeeking():
+		case c.id == 0 && s.isSearching():
 			next = min(next, c.retryAt)
 		}
 	}
 	return next
 }
 
-// confirmIsOpen reports whether the followed member's table still has to be confirmed and no Confirm is pending.
-func (s *Selector) confirmIsOpen() bool { return s.followed != nil && !s.confirming && !s.confirmed }
+// needsConfirm reports whether the followed member's table is not confirmed yet and no Confirm is pending.
+func (s *Selector) needsConfirm() bool { return s.followed != nil && !s.confirming && !s.confirmed }
 
-// silenceDeadline returns when the followed member counts as gone if it sends nothing.
+// silenceDeadline returns the time at which the followed member is abandoned if it sends nothing until then.
 func (s *Selector) silenceDeadline() time.Duration {
-	at := s.lastHeard + SilenceTimeout
+	at := s.lastMessageAt + SilenceTimeout
 	if s.requestsWaiting {
-		at = min(at, max(s.lastHeard+WaitingSilenceTimeout, s.waitingSince+WaitingThreshold))
+		at = min(at, max(s.lastMessageAt+WaitingSilenceTimeout, s.waitingSince+WaitingThreshold))
 	}
 	return at
 }
 
-// silenceReason returns why a followed member that is silent for too long is left.
+// silenceReason returns the reason to abandon a followed member whose silence deadline has passed.
 func (s *Selector) silenceReason() CloseReason {
-	if s.now < s.lastHeard+SilenceTimeout {
+	if s.now < s.lastMessageAt+SilenceTimeout {
 		return SilentWhileRequestsWait
 	}
 	return SilentMember
 }
 
-// isSeeking reports whether members are dialed: none is followed, or the followed one has not reported a leader yet, or has been
-// without one for too long.
-func (s *Selector) isSeeking() bool {
+// isSearching reports whether members are dialed: none is followed, or the followed one has not reported a leader yet, or it has
+// been without one for LeaderlessTimeout.
+func (s *Selector) isSearching() bool {
 	return s.followed == nil || !s.followed.hasLeader && s.now >= s.leaderLostAt+LeaderlessTimeout
 }
 
-// followEstablished follows a member that has already sent a message, preferably one with a leader.
+// followEstablished follows a member that has already sent its first message, if any, and prefers one that has a leader.
 func (s *Selector) followEstablished() {
 	var best *candidate
 	for _, c := range s.candidates {
@@ -92,11 +92,11 @@
 	}
 }
 
-// follow makes a candidate the followed member. Until it reports a leader, LeaderlessTimeout counts as already over, so that
+// follow makes a candidate the followed member. Until the candidate reports a leader, LeaderlessTimeout counts as expired, so that
 // the other members are still dialed.
 func (s *Selector) follow(c *candidate) {
 	s.followed = c
-	s.lastHeard = s.now
+	s.lastMessageAt = s.now
 	s.leaderLostAt = s.now - LeaderlessTimeout
 	s.confirming = false
 	s.confirmed = false
@@ -107,15 +107,15 @@
 	}
 }
 
-// leaveFollowed closes the followed connection. Its address is dialed again only after the others.
-func (s *Selector) leaveFollowed(reason CloseReason) {
+// abandonFollowed closes the followed connection. Its address is dialed again after AbandonedMemberBackoff, later than the others.
+func (s *Selector) abandonFollowed(reason CloseReason) {
 	c := s.followed
 	s.closeCandidate(c, reason)
-	c.retryAt = s.now + LeftMemberBackoff
+	c.retryAt = s.now + AbandonedMemberBackoff
 	s.clearFollowed()
 }
 
-// clearFollowed resets the state of the followed member. The caller has closed its connection, or it has ended.
+// clearFollowed resets the state of the followed member after its connection was closed by either side.
 func (s *Selector) clearFollowed() {
 	s.followed = nil
 	s.confirming = false
@@ -123,7 +123,7 @@
 	s.setReachable(false)
 }
 
-// setReachable records whether the followed member has a leader. If it has lost its leader just now, the grace period begins.
+// setReachable records whether the followed member has a leader. When this changes from true to false, the grace period begins.
 func (s *Selector) setReachable(hasLeader bool) {
 	switch {
 	case hasLeader:
@@ -131,6 +131,6 @@
 	case s.reachable:
 		s.reachable = false
 		s.leaderLostAt = s.now
-		s.graceEnds = s.now + ReachableGrace
+		s.graceDeadline = s.now + ReachableGrace
 	}
 }
--- a/internal/mesh/memberselection/candidate.go
+++ b/internal/mesh/memberselection/candidate.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// candidate is an address that may be dialed, and its connection if there is one.
+// candidate is an address that may be dialed, together with its dial or connection, if any.
 type candidate struct {
 	addr        string
-	id          ConnID // of the dial or connection, or 0 if there is neither
+	id          ConnID // of the dial or connection; 0 if there is neither
 	dialedAt    time.Duration
-	established bool // the member has sent its first message
-	hasLeader   bool // according to the member's latest heartbeat
+	established bool // whether the member has sent its first message
+	hasLeader   bool // according to the member's latest heartbeat or a confirmation
 	backoff     time.Duration
-	retryAt     time.Duration // no dial before
+	retryAt     time.Duration // earliest time of the next dial
 }
 
-// forgetConnection makes the candidate one without a connection.
+// forgetConnection resets the connection state of the candidate.
 func (c *candidate) forgetConnection() {
 	c.id = 0
 	c.established = false
 	c.hasLeader = false
 }
 
-// updateCandidates recomputes the candidates from members and seeds. Candidates that remain keep their connections, and the
-// followed member remains a candidate in any case.
+// updateCandidates recomputes the candidates from members and seeds. Remaining candidates keep their connections. The followed
+// member stays a candidate even if it is neither a member nor a seed any more.
 func (s *Selector) updateCandidates() {
 	old := s.candidates
 	s.candidates = nil
@@ -49,7 +49,7 @@
 	}
 }
 
-// candidateByAddr returns the candidate with an address, or nil if there is none.
+// candidateByAddr returns the candidate with the given address, or nil if there is none.
 func candidateByAddr(candidates []*candidate, addr string) *candidate {
 	if i := slices.IndexFunc(candidates, func(c *candidate) bool { return c.addr == addr }); i >= 0 {
 		return candidates[i]
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// candidateByID returns the candidate with a dial or connection, or nil if there is none.
+// candidateByID returns the candidate whose dial or connection has the given ID, or nil if there is none.
 func (s *Selector) candidateByID(id ConnID) *candidate {
 	if i := slices.IndexFunc(s.candidates, func(c *candidate) bool { return id != 0 && c.id == id }); i >= 0 {
 		return s.candidates[i]
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// dialDue dials every candidate without a connection whose backoff is over.
-func (s *Selector) dialDue() {
+// dialDueCandidates dials every candidate that has no connection and whose backoff is over.
+func (s *Selector) dialDueCandidates() {
 	for _, c := range s.candidates {
 		if c.id != 0 || s.now < c.retryAt {
 			continue
@@ -77,9 +77,9 @@
 	}
 }
 
-// closeSilentDials gives up the dials that have not got a first message within DialTimeout. Their addresses are dialed again
-// at once.
-func (s *Selector) closeSilentDials() {
+// closeTimedOutDials aborts the dials that received no first message within DialTimeout. Their addresses are dialed again without
+// backoff.
+func (s *Selector) closeTimedOutDials() {
 	for _, c := range s.candidates {
 		if c.id != 0 && !c.established && s.now >= c.dialedAt+DialTimeout {
 			s.closeCandidate(c, NoFirstMessage)
@@ -97,7 +97,7 @@
 	}
 }
 
-// closeCandidate closes a candidate's connection or gives up its dial, if it has either.
+// closeCandidate closes a candidate's connection or aborts its dial, if it has either.
 func (s *Selector) closeCandidate(c *candidate, reason CloseReason) {
 	if c.id != 0 {
 		s.emit(Action{Kind: Close, ID: c.id, Reason: reason})
@@ -105,5 +105,5 @@
 	c.forgetConnection()
 }
 
-// emit adds an action for the caller.
+// emit queues an action for the caller.
 func (s *Selector) emit(a Action) { s.actions = append(s.actions, a) }
--- a/internal/mesh/memberselection/golden_test.go
+++ b/internal/mesh/memberselection/golden_test.go
@@ -15,13 +15,13 @@
 const (
 	goldenSeeds  = 64
 	goldenEvents = 2000
-	// goldenStaleShare: one in so many events names a connection that has been closed.
-	goldenStaleShare = 8
+	// goldenAnyConnInterval: one in this many events refers to any connection that ever existed, which is usually closed.
+	goldenAnyConnInterval = 8
 )
 
-// goldenRun passes random events to one selector and hashes all its actions and answers in order. Only values are hashed (times, numbers,
-// addresses), so that renamed identifiers or reworded reasons do not change the record: a reason is represented by the order in which
-// it first appears.
+// goldenRun passes random events to one selector and hashes all its actions and return values in order. Only times, numbers and
+// addresses are hashed, so that renamed identifiers or reworded close reasons do not change the record: a reason is represented by the
+// order in which it first appears.
 type goldenRun struct {
 	rng      *rand.Rand
 	selector *Selector
@@ -42,12 +42,12 @@
 	return g
 }
 
-// record takes the actions and hashes them together with the selector's present answers.
+// record takes the actions and hashes them together with the selector's current state.
 func (g *goldenRun) record() {
 	for _, a := range g.selector.TakeActions() {
 		text := fmt.Sprint(a.Reason)
-		reason, known := g.reasons[text]
-		if !known {
+		reason, seen := g.reasons[text]
+		if !seen {
 			reason = len(g.reasons)
 			g.reasons[text] = reason
 		}
@@ -57,15 +57,16 @@
 			g.open = append(g.open, a.ID)
 			g.seen = append(g.seen, a.ID)
 		case Close:
-			g.forget(a.ID)
-		default: // the others open and close nothing
+			g.markClosed(a.ID)
+		default: // Follow and Confirm neither open nor close a connection
 		}
 	}
 	reachable, until := g.selector.Reachable()
 	fmt.Fprintln(g.hash, "state", int64(g.now), uint64(g.selector.Followed()), reachable, int64(until), int64(g.selector.NextTick()))
 }
 
-func (g *goldenRun) forget(id ConnID) {
+// markClosed removes a connection from the open ones.
+func (g *goldenRun) markClosed(id ConnID) {
 	for i, o := range g.open {
 		if o == id {
 			g.open = append(g.open[:i:i], g.open[i+1:]...)
@@ -74,9 +75,9 @@
 	}
 }
 
-// drawID draws a connection: usually an open one, sometimes any that ever existed.
+// drawID returns a random connection: usually an open one, sometimes any that ever existed.
 func (g *goldenRun) drawID() ConnID {
-	if len(g.open) == 0 || g.rng.IntN(goldenStaleShare) == 0 {
+	if len(g.open) == 0 || g.rng.IntN(goldenAnyConnInterval) == 0 {
 		return g.seen[g.rng.IntN(len(g.seen))]
 	}
 	return g.open[g.rng.IntN(len(g.open))]
@@ -105,7 +106,7 @@
 		g.selector.MessageReceived(g.now, g.drawID(), g.now-time.Duration(g.rng.Int64N(int64(100*time.Millisecond))))
 	case 7:
 		id := g.drawID()
-		g.forget(id)
+		g.markClosed(id)
 		g.selector.ConnectionClosed(g.now, id)
 	case 8:
 		g.selector.SetRequestsWaiting(g.now, g.rng.IntN(2) == 0)
@@ -121,7 +122,7 @@
 	g.record()
 }
 
-// drawAddresses draws some of the addresses, possibly none and possibly one twice.
+// drawAddresses returns a random list of addresses, which may be empty or contain duplicates.
 func (g *goldenRun) drawAddresses() (l []string) {
 	for range g.rng.IntN(len(goldenAddresses) + 1) {
 		l = append(l, goldenAddresses[g.rng.IntN(len(goldenAddresses))])
@@ -129,8 +130,8 @@
 	return l
 }
 
-// The same events give the same actions as when testdata/golden.json was recorded. Only an intended change of behaviour justifies a new
-// record, with -update.
+// TestGoldenActions replays the events recorded in testdata/golden.json and expects the same actions. Update the record with -update
+// only for an intended change of behaviour.
 func TestGoldenActions(t *testing.T) {
 	record := map[string]string{}
 	for seed := range uint64(goldenSeeds) {
--- a/internal/mesh/memberselection/selector.go
+++ b/internal/mesh/memberselection/selector.go
@@ -1,15 +1,17 @@
-// Package memberselection decides which control-plane member a sidecar follows: which addresses to dial and when, whose
-// connection to keep, when to leave a member for another, when to have the configuration confirmed, and whether requests that
-// need the control plane may be started. (It has nothing to do with a raft follower.)
+// Package memberselection decides which control-plane member a sidecar follows, that is, which member it sends its record and its
+// requests to and receives the configuration from. (This is unrelated to raft followers.) It decides which addresses to dial and
+// when, which connection to keep, when to switch to another member, when to have the configuration confirmed, and whether requests
+// that need the control plane may be started.
 //
-// It is a pure state machine in the manner of etcd's raft: events and the time go in, actions come out, and the same events give
-// the same actions. It must never do I/O, read a clock, start a goroutine, log, draw random numbers or depend on map order. The
-// caller, in a sidecar the goroutine of controlPlaneConn.run, carries the actions out in order and owns the connections, which are
-// identified by a ConnID. Times are durations since an origin of the caller's choice.
+// The package is a deterministic state machine like etcd's raft: the caller passes events with their times and carries out the
+// returned actions, and the same events give the same actions. The package must never do I/O, read a clock, start a goroutine, log,
+// draw random numbers or depend on map order. The caller (in a sidecar, the goroutine of controlPlaneConn.run) carries out the
+// actions in order and owns the connections, which are identified by a ConnID. Times are durations since an origin that the caller
+// chooses.
 //
-// All known members are dialed side by side, and the first one that sends a message is followed. A followed member that has lost
-// its leader is kept until another one is found that has a leader: during an election every member is without one, and moving
-// between them gains nothing. The rules are described in docs/design/control.md.
+// All known members are dialed in parallel, and the first one that sends a message is followed. A followed member that has lost its
+// leader is kept until another member is found that has one: during an election no member has a leader, so switching between them
+// gains nothing. The rules are described in docs/design/control.md.
 package memberselection
 
 import (
@@ -17,31 +19,31 @@
 	"time"
 )
 
-// Selector is the state of one sidecar. It belongs to one goroutine. The zero value is not ready for use; see New.
+// Selector selects the member that one sidecar follows. It must be used by one goroutine only. Use New to create one.
 type Selector struct {
-	now        time.Duration // of the latest event; never goes back
-	seeds      []string
-	members    []string
-	memberView uint64 // log index that members are of
-	candidates []*candidate
-	lastID     ConnID
-	actions    []Action
-
-	followed     *candidate    // the candidate whose connection is followed, or nil
-	lastHeard    time.Duration // when the followed member last sent anything
-	leaderLostAt time.Duration // when the followed member lost its leader; only valid while it has none
-	reachable    bool          // the followed member has a leader
-	graceEnds    time.Duration // while not reachable: until when requests may still be started
+	now          time.Duration // of the latest event; never decreases
+	seeds        []string
+	members      []string
+	membersIndex uint64 // log index of the members list
+	candidates   []*candidate
+	lastID       ConnID
+	actions      []Action
+
+	followed      *candidate    // the candidate whose connection is followed, or nil
+	lastMessageAt time.Duration // when the followed member sent its latest message
+	leaderLostAt  time.Duration // when the followed member lost its leader; valid only while it has none
+	reachable     bool          // whether the followed member has a leader
+	graceDeadline time.Duration // until when requests may still be started while reachable is false
 
 	requestsWaiting bool
 	waitingSince    time.Duration
 
-	confirming bool // a Confirm is pending
-	confirmed  bool // the followed member's table has been confirmed
-	confirmAt  time.Duration
+	confirming bool          // whether a Confirm is pending
+	confirmed  bool          // whether the followed member's table has been confirmed
+	confirmAt  time.Duration // earliest time of the next Confirm
 }
 
-// New returns a selector that begins with dials of the seeds (host:port).
+// New returns a selector that starts by dialing the seeds, which are addresses of the form host:port.
 func New(now time.Duration, seeds []string) *Selector {
 	s := &Selector{now: now, seeds: slices.Clone(seeds)}
 	s.updateCandidates()
@@ -49,18 +51,18 @@
 	return s
 }
 
-// TakeActions returns the actions since the last call. They are to be carried out in order.
+// TakeActions returns the actions queued since the last call. The caller must carry them out in order.
 func (s *Selector) TakeActions() []Action {
 	taken := s.actions
 	s.actions = nil
 	return taken
 }
 
-// Reachable returns whether requests that need the control plane may be started: at any time while ok is true, otherwise only
-// before until.
-func (s *Selector) Reachable() (ok bool, until time.Duration) { return s.reachable, s.graceEnds }
+// Reachable returns whether requests that need the control plane may be started: always if ok is true, otherwise only before the
+// time until.
+func (s *Selector) Reachable() (ok bool, until time.Duration) { return s.reachable, s.graceDeadline }
 
-// Followed returns the followed connection, or 0 if no member is followed.
+// Followed returns the ID of the followed connection, or 0 if no member is followed.
 func (s *Selector) Followed() ConnID {
 	if s.followed == nil {
 		return 0
@@ -78,13 +80,13 @@
 	})
 }
 
-// SetMembers replaces the members by those of a log index. A list of an earlier index and an empty one are ignored.
+// SetMembers replaces the members with the list as of a log index. It ignores an empty list and one of an earlier index.
 func (s *Selector) SetMembers(now time.Duration, index uint64, members []string) {
 	s.step(now, func() {
-		if index < s.memberView || len(members) == 0 {
+		if index < s.membersIndex || len(members) == 0 {
 			return
 		}
-		s.memberView, s.members = index, slices.Clone(members)
+		s.membersIndex, s.members = index, slices.Clone(members)
 		s.updateCandidates()
 	})
 }
@@ -103,16 +105,16 @@
 	})
 }
 
-// MessageReceived reports that a member sent any message, at a time that may lie before now.
+// MessageReceived reports a message of any kind from a member. at, the time of its arrival, may be earlier than now.
 func (s *Selector) MessageReceived(now time.Duration, id ConnID, at time.Duration) {
 	s.step(now, func() {
 		if s.followed != nil && s.followed.id == id {
-			s.lastHeard = max(s.lastHeard, at)
+			s.lastMessageAt = max(s.lastMessageAt, at)
 		}
 	})
 }
 
-// HeartbeatReceived reports a member's heartbeat. hasLeader says that the member has a leader that a quorum follows.
+// HeartbeatReceived reports a member's heartbeat. hasLeader means that the member has a leader that is backed by a quorum.
 func (s *Selector) HeartbeatReceived(now time.Duration, id ConnID, hasLeader bool) {
 	s.step(now, func() {
 		c := s.candidateByID(id)
@@ -122,10 +124,10 @@
 		c.hasLeader = hasLeader
 		switch {
 		case c == s.followed:
-			s.lastHeard = s.now
+			s.lastMessageAt = s.now
 			s.setReachable(hasLeader)
-		case hasLeader && s.followed != nil && s.isSeeking():
-			s.leaveFollowed(OtherMemberHasLeader)
+		case hasLeader && s.followed != nil && s.isSearching():
+			s.abandonFollowed(OtherMemberHasLeader)
 			s.follow(c)
 		}
 	})
@@ -143,12 +145,12 @@
 			return
 		}
 		s.confirmed = true
-		s.followed.hasLeader = true // a quorum has confirmed the leader that the read was served by
+		s.followed.hasLeader = true // a quorum has confirmed the leader that served the read
 		s.setReachable(true)
 	})
 }
 
-// SetRequestsWaiting reports whether requests wait for an answer of the followed member, which shortens its silence timeout.
+// SetRequestsWaiting reports whether requests wait for an answer from the followed member, which shortens its silence timeout.
 func (s *Selector) SetRequestsWaiting(now time.Duration, waiting bool) {
 	s.step(now, func() {
 		if waiting && !s.requestsWaiting {
@@ -174,5 +176,5 @@
 	})
 }
 
-// Tick advances the time without an event. The caller calls it at NextTick.
+// Tick advances the time without an event. The caller calls it at the time that NextTick returns.
 func (s *Selector) Tick(now time.Duration) { s.step(now, func() {}) }
--- a/internal/mesh/memberselection/selector_test.go
+++ b/internal/mesh/memberselection/selector_test.go
@@ -9,23 +9,23 @@
 )
 
 func TestFirstEstablishedMemberIsFollowed(t *testing.T) {
-	s := newShell(t, "a", "b", "c")
-	assert.Equal(t, len(s.open), 3, "all are dialed side by side")
+	s := newFakeSidecar(t, "a", "b", "c")
+	assert.Equal(t, len(s.open), 3, "all seeds are dialed in parallel")
 	assert.Assert(t, !s.isReachable())
 	s.advanceTo(5 * ms)
 	s.firstMessage("b")
 	s.assertFollowed("b")
-	assert.Equal(t, s.confirming, s.followed, "its table is asked for at once")
+	assert.Equal(t, s.confirming, s.followed, "the confirmation of its table is requested immediately")
 	s.firstMessage("a")
 	s.assertFollowed("b")
-	assert.Equal(t, len(s.open), 3, "the others are kept until it is known to have a leader")
+	assert.Equal(t, len(s.open), 3, "the other connections are kept until the followed member reports a leader")
 	s.heartbeat("b", true)
 	assert.Equal(t, len(s.open), 1)
 	assert.Assert(t, s.isReachable())
 }
 
 func TestMemberWithLeaderIsPreferred(t *testing.T) {
-	s := newShell(t, "a", "b", "c")
+	s := newFakeSidecar(t, "a", "b", "c")
 	s.firstMessage("a")
 	s.heartbeat("a", false)
 	s.firstMessage("b")
@@ -37,50 +37,50 @@
 	assert.Equal(t, len(s.open), 1)
 }
 
-// The silence after which a member is left is exact to the nanosecond, with and without waiting requests.
-func TestSilentMemberIsLeft(t *testing.T) {
+// A silent member is abandoned exactly at its silence deadline, to the nanosecond, with and without waiting requests.
+func TestSilentMemberIsAbandoned(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		set    func(s *shell)
-		leftAt time.Duration
+		name        string
+		set         func(s *fakeSidecar)
+		abandonedAt time.Duration
 	}{
-		{"nothing waits", func(*shell) {}, SilenceTimeout},
-		{"a message counts from when it came", func(s *shell) {
+		{"no request waits", func(*fakeSidecar) {}, SilenceTimeout},
+		{"a message restarts the timeout from its arrival", func(s *fakeSidecar) {
 			s.advanceTo(SilenceTimeout - 1)
 			s.message()
 		}, 2*SilenceTimeout - 1},
-		{"requests wait", func(s *shell) {
+		{"requests wait", func(s *fakeSidecar) {
 			s.advanceTo(100 * ms)
 			s.setRequestsWaiting(true)
 		}, WaitingSilenceTimeout},
-		{"requests begin to wait after a long silence", func(s *shell) {
+		{"requests begin to wait after a long silence", func(s *fakeSidecar) {
 			s.advanceTo(WaitingSilenceTimeout - 10*ms)
 			s.setRequestsWaiting(true)
 		}, WaitingSilenceTimeout - 10*ms + WaitingThreshold},
-		{"requests wait no more", func(s *shell) {
+		{"requests have stopped waiting", func(s *fakeSidecar) {
 			s.setRequestsWaiting(true)
 			s.setRequestsWaiting(false)
 		}, SilenceTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newFollowingShell(t)
+			s := newFollowingSidecar(t)
 			c.set(s)
-			s.advanceTo(c.leftAt - 1)
+			s.advanceTo(c.abandonedAt - 1)
 			s.assertFollowed("a")
-			s.advanceTo(c.leftAt)
+			s.advanceTo(c.abandonedAt)
 			assert.Equal(t, s.followed, ConnID(0))
 		})
 	}
 }
 
-// A member that was left is dialed again after the others.
-func TestLeftMemberIsDialedLast(t *testing.T) {
-	s := newFollowingShell(t)
+// An abandoned member is dialed again later than the others.
+func TestAbandonedMemberIsDialedLast(t *testing.T) {
+	s := newFollowingSidecar(t)
 	s.advanceTo(SilenceTimeout)
-	assert.Assert(t, s.connTo("b") != 0 && s.connTo("c") != 0 && s.connTo("a") == 0, "the others are dialed at once, and it is not")
+	assert.Assert(t, s.connTo("b") != 0 && s.connTo("c") != 0 && s.connTo("a") == 0, "the others are dialed immediately, the abandoned member is not")
 	s.closeConn("b")
 	s.closeConn("c")
-	s.advanceTo(s.now + LeftMemberBackoff - 1)
+	s.advanceTo(s.now + AbandonedMemberBackoff - 1)
 	assert.Equal(t, s.connTo("a"), ConnID(0))
 	s.advanceTo(s.now + 1)
 	assert.Assert(t, s.connTo("a") != 0)
@@ -88,7 +88,7 @@
 
 // A member that has lost its leader is kept until another one has a leader; requests are rejected after the grace period.
 func TestLeaderlessMemberIsKeptUntilReplaced(t *testing.T) {
-	s := newFollowingShell(t)
+	s := newFollowingSidecar(t)
 	s.advanceTo(100 * ms)
 	s.heartbeat("a", false)
 	assert.Assert(t, s.isReachable())
@@ -105,7 +105,7 @@
 	s.firstMessage("b")
 	s.heartbeat("b", false)
 	s.assertFollowed("a")
-	s.heartbeat("a", true) // an election that has ended
+	s.heartbeat("a", true) // its election has ended
 	assert.Assert(t, s.isReachable())
 	assert.Equal(t, len(s.open), 1)
 	s.heartbeat("a", false)
@@ -113,18 +113,18 @@
 	s.firstMessage("c")
 	s.heartbeat("c", true)
 	s.assertFollowed("c")
-	assert.Equal(t, s.confirming, s.followed, "what the new one tells is confirmed, too")
+	assert.Equal(t, s.confirming, s.followed, "the table of the new member is confirmed, too")
 	assert.Assert(t, s.isReachable())
 	assert.Equal(t, s.connTo("a"), ConnID(0))
 }
 
-// When the followed connection ends, the other addresses are dialed at once, and its own address again after a bounded exponential
+// When the followed connection ends, the other addresses are dialed immediately, and its own address after a bounded exponential
 // backoff.
 func TestFollowedConnectionCloses(t *testing.T) {
-	s := newFollowingShell(t)
+	s := newFollowingSidecar(t)
 	s.advanceTo(50 * ms)
 	s.closeConn("a")
-	assert.Assert(t, s.isReachable(), "requests wait for another member")
+	assert.Assert(t, s.isReachable(), "requests may be started during the grace period")
 	assert.Equal(t, s.lastDialed["b"], s.now)
 	assert.Equal(t, s.lastDialed["c"], s.now)
 	for _, backoff := range []time.Duration{MinDialBackoff, 2 * MinDialBackoff, 4 * MinDialBackoff, MaxDialBackoff, MaxDialBackoff} {
@@ -140,21 +140,21 @@
 }
 
 func TestSilentDialTimesOut(t *testing.T) {
-	s := newShell(t, "a")
+	s := newFakeSidecar(t, "a")
 	first := s.connTo("a")
 	s.advanceTo(DialTimeout - 1)
 	assert.Equal(t, s.connTo("a"), first)
 	s.advanceTo(DialTimeout)
 	assert.Assert(t, s.connTo("a") != 0 && s.connTo("a") != first)
-	s.selector.FirstMessageReceived(s.now, first) // late, of a dial that was given up
+	s.selector.FirstMessageReceived(s.now, first) // arrives late, after the dial was aborted
 	s.applyActions()
 	assert.Equal(t, s.followed, ConnID(0))
 }
 
-// The members of the latest list are dialed, even if no seed is valid any more. A followed member that is no longer a member is kept
-// until it is left for another reason.
-func TestMembersReplaceSeeds(t *testing.T) {
-	s := newFollowingShell(t)
+// The members of the latest list are dialed in addition to the current seeds. A followed member that is no longer in the list is kept
+// until its connection ends for another reason.
+func TestLatestMembersAndSeedsAreDialed(t *testing.T) {
+	s := newFollowingSidecar(t)
 	s.selector.SetMembers(s.now, 5, []string{"d", "e"})
 	s.selector.SetMembers(s.now, 4, []string{"x"})
 	s.selector.SetMembers(s.now, 6, nil)
@@ -172,7 +172,7 @@
 }
 
 func TestTableIsConfirmed(t *testing.T) {
-	s := newShell(t, "a", "b")
+	s := newFakeSidecar(t, "a", "b")
 	s.firstMessage("a")
 	s.answerConfirm(false)
 	assert.Assert(t, !s.isReachable())
@@ -183,17 +183,17 @@
 	late := s.confirming
 	s.closeConn("a")
 	s.firstMessage("b")
-	s.selector.ConfirmationReceived(s.now, late, true) // the answer of a member that was left counts for nothing
+	s.selector.ConfirmationReceived(s.now, late, true) // an answer on a connection that has ended is ignored
 	s.applyActions()
 	assert.Assert(t, !s.isReachable())
 	assert.Equal(t, s.confirming, s.followed)
 	s.answerConfirm(true)
-	assert.Assert(t, s.isReachable(), "a quorum stood behind it")
+	assert.Assert(t, s.isReachable(), "a quorum has confirmed the leader")
 	assert.Equal(t, len(s.open), 1)
 }
 
-// Random events never violate the invariants that shell.applyActions checks; while no member is followed every address is dialed again
-// soon; and the same events give the same actions.
+// Random events never violate the invariants that fakeSidecar.applyActions checks; while no member is followed, every address is dialed
+// again within AbandonedMemberBackoff; and the same events give the same actions.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(30) {
 		assert.DeepEqual(t, playRandomEvents(t, seed), playRandomEvents(t, seed))
@@ -203,7 +203,7 @@
 func playRandomEvents(t *testing.T, seed uint64) []string {
 	const events = 2000
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := newShell(t, "a", "b", "c")
+	s := newFakeSidecar(t, "a", "b", "c")
 	addrs := []string{"a", "b", "c", "d"}
 	for range events {
 		s.advanceTo(s.now + time.Duration(rng.Int64N(int64(200*ms))))
@@ -212,13 +212,13 @@
 			continue
 		}
 		for _, c := range s.selector.candidates {
-			assert.Assert(t, c.id != 0 || c.retryAt <= s.now+LeftMemberBackoff, "%s is not dialed again", c.addr)
+			assert.Assert(t, c.id != 0 || c.retryAt <= s.now+AbandonedMemberBackoff, "%s is not dialed again", c.addr)
 		}
 	}
 	return s.trace
 }
 
-func (s *shell) randomEvent(rng *rand.Rand, addrs []string) {
+func (s *fakeSidecar) randomEvent(rng *rand.Rand, addrs []string) {
 	addr := addrs[rng.IntN(len(addrs))]
 	switch rng.IntN(10) {
 	case 0, 1:
--- a/internal/mesh/memberselection/timing.go
+++ b/internal/mesh/memberselection/timing.go
@@ -4,25 +4,27 @@
 
 // Timing of a sidecar that follows a member.
 const (
-	// SilenceTimeout is the silence after which the followed member counts as gone. Members send a heartbeat every 300 ms.
+	// SilenceTimeout is how long the followed member may send nothing before it is abandoned. Members send a heartbeat every
+	// 300 ms.
 	SilenceTimeout = 1200 * time.Millisecond
-	// WaitingSilenceTimeout takes the place of SilenceTimeout while requests wait for an answer of the followed member, once they
-	// have waited for WaitingThreshold.
+	// WaitingSilenceTimeout replaces SilenceTimeout once requests have waited for an answer from the followed member for
+	// WaitingThreshold.
 	WaitingSilenceTimeout = 450 * time.Millisecond
 	WaitingThreshold      = 250 * time.Millisecond
-	// LeaderlessTimeout is how long the followed member may be without a leader before other members are dialed beside it.
+	// LeaderlessTimeout is how long the followed member may be without a leader before the other members are dialed too.
 	LeaderlessTimeout = 250 * time.Millisecond
-	// ReachableGrace is how long requests that need the control plane may still be started after the followed member was lost or
-	// lost its leader: another one is likely to be found within it.
+	// ReachableGrace is how long requests that need the control plane may still be started after the followed connection was
+	// closed or the followed member lost its leader. Another member with a leader is usually found within that time.
 	ReachableGrace = 400 * time.Millisecond
-	// DialTimeout bounds a dial, up to the member's first message.
+	// DialTimeout bounds the time from the start of a dial to the member's first message.
 	DialTimeout = 600 * time.Millisecond
-	// MinDialBackoff and MaxDialBackoff bound the backoff between dials of one address. It doubles with each dial that fails.
+	// MinDialBackoff and MaxDialBackoff bound the backoff between dials of one address. It doubles with each failed dial.
 	MinDialBackoff = 20 * time.Millisecond
 	MaxDialBackoff = 100 * time.Millisecond
-	// LeftMemberBackoff is the backoff of a member that was left, so that the others are found first.
-	LeftMemberBackoff = 400 * time.Millisecond
-	// ConfirmBackoff is the backoff after a table that could not be confirmed.
+	// AbandonedMemberBackoff is how long an abandoned member is not dialed again, so that the sidecar connects to another
+	// member first.
+	AbandonedMemberBackoff = 400 * time.Millisecond
+	// ConfirmBackoff is the time from a failed confirmation of the table to the next attempt.
 	ConfirmBackoff = 150 * time.Millisecond
 )
 
--- a/internal/mesh/retrybudget/budget.go
+++ b/internal/mesh/retrybudget/budget.go
@@ -1,24 +1,23 @@
-// Package retrybudget bounds how many retries a sidecar may send to a service, as a ratio of the requests that it sends there. It is
-// the retry budget of Finagle and Linkerd: unlike a maximum of attempts for each request, it keeps the load bounded when every
+// Package retrybudget limits the retries that a sidecar sends to a service to a ratio of the requests that it sends there. It follows
+// the retry budgets of Finagle and Linkerd: unlike a maximum number of attempts per request, a budget bounds the load even when every
 // request fails.
 //
-// Each sidecar keeps to the ratio for the requests that it sends itself, so that all sidecars together keep it without
-// coordination.
+// Each sidecar applies the ratio to its own requests, so that the total over all sidecars meets the ratio without coordination.
 //
-// The package is pure: callers pass the time. A Budget is not safe for concurrent use; its owner locks it.
+// The package reads no clock: callers pass the time. A Budget is not safe for concurrent use; callers must lock it.
 package retrybudget
 
 import "time"
 
-// bucketCount is the number of buckets of a window. Requests and retries leave the window by whole buckets, so more of them
-// make the ratio smoother.
+// bucketCount is the number of buckets of a window. Requests and retries expire one whole bucket at a time, so more buckets make the
+// ratio smoother.
 const bucketCount = 20
 
-// Limits bound the retries to one service.
+// Limits is the configuration of the budget for one service.
 type Limits struct {
 	Window     time.Duration // sliding window over which requests and retries are counted
-	Ratio      float64       // retries allowed for each request
-	MinRetries float64       // retries allowed in each window beyond the ratio, so that rarely called services can be retried
+	Ratio      float64       // retries allowed per request
+	MinRetries float64       // retries allowed per window in addition to the ratio, so that rarely called services can be retried
 }
 
 // Budget counts one service's requests and retries over the last window, in a ring of buckets.
@@ -26,7 +25,7 @@
 	limits   Limits
 	requests [bucketCount]float64
 	retries  [bucketCount]float64
-	current  int64 // number of the current bucket, counted from the clock's origin
+	current  int64 // number of the current bucket since time 0
 }
 
 // New returns an empty budget.
@@ -40,8 +39,8 @@
 	b.limits = limits
 }
 
-// advance empties the buckets that have left the window and returns the index of the current one. A time before the current bucket,
-// as when calls overtake each other, counts in the current one.
+// advance clears the buckets that have left the window and returns the index of the current one. A time before the current bucket,
+// which occurs when concurrent callers read the clock before they take the lock, counts as part of the current bucket.
 func (b *Budget) advance(now time.Duration) (index int) {
 	bucketLength := max(1, b.limits.Window/bucketCount)
 	bucket := int64(now / bucketLength)
@@ -56,13 +55,13 @@
 // RecordRequest counts the first attempt of a request.
 func (b *Budget) RecordRequest(now time.Duration) { b.requests[b.advance(now)]++ }
 
-// AllowRetry reports whether a retry may be sent, and counts it if so.
+// AllowRetry reports whether a retry may be sent. If so, the retry is counted.
 func (b *Budget) AllowRetry(now time.Duration) bool {
 	index := b.advance(now)
 	oldest := (index + 1) % bucketCount
 	var requests, retries float64
 	for n := range bucketCount {
-		if n != oldest { // it is about to leave the window, and its requests will not count any more
+		if n != oldest { // requests of the oldest bucket are excluded because they are about to leave the window
 			requests += b.requests[n]
 		}
 		retries += b.retries[n]
--- a/internal/mesh/retrybudget/budget_test.go
+++ b/internal/mesh/retrybudget/budget_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// event is a request or an allowed retry.
+// event is a request or an allowed retry that was sent.
 type event struct {
 	at    time.Duration
 	retry bool
 }
 
-// randomEvents passes random requests and retries to a budget, and returns those that were sent.
+// randomEvents passes random requests and retries to a budget and returns the requests and the retries that it allowed.
 func randomEvents(random *rand.Rand, budget *Budget) (events []event) {
 	const end, meanPause, maxLull = 60 * time.Second, 40 * time.Millisecond, 4 * time.Second
 	for now := time.Duration(0); now < end; {
@@ -33,7 +33,7 @@
 	return events
 }
 
-// countIn counts the requests or the retries between two times, both included.
+// countIn counts the requests or the retries between two times, both inclusive.
 func countIn(events []event, retry bool, from, to time.Duration) (count float64) {
 	for _, e := range events {
 		if e.retry == retry && e.at >= from && e.at <= to {
@@ -43,9 +43,10 @@
 	return count
 }
 
-// Whatever the times of requests and retries, a sidecar that is given half of the ratio keeps the whole ratio in every window, wherever
-// that begins. The requests are those of that window, of the one before it or of the one half a window before, whichever has most.
-func TestRatioHoldsInEveryWindow(t *testing.T) {
+// A sidecar that is configured with half of a ratio keeps the whole ratio in every window, whenever the window starts and requests and
+// retries occur. The retries of a window are compared with the requests of that window, of the one before it or of the one that starts
+// half a window earlier, whichever has the most.
+func TestRetriesStayWithinTwiceTheRatio(t *testing.T) {
 	for seed := range uint64(15) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		limits := Limits{Window: 10 * time.Second, Ratio: 0.1 + 0.2*random.Float64(), MinRetries: float64(random.IntN(5))}
@@ -72,10 +73,10 @@
 	}
 }
 
-// Retries at several levels multiply: if every attempt fails, with three services in a row and three attempts each, one request leads to
-// 27 calls of the last service. A budget at each level bounds the calls by a power of the ratio, apart from the minimum of retries. A
-// route's own ratio bounds them further.
-func TestRetriesOfRetriesAreBounded(t *testing.T) {
+// Retries at several levels multiply: if every attempt fails in a chain of three services with three attempts each, one request causes
+// 27 calls to the last service. A budget at each level bounds the calls to (1+ratio)^depth per request, apart from the minimum number
+// of retries.
+func TestRetriesThroughServiceChainAreBounded(t *testing.T) {
 	const depth, attempts, requests = 3, 3, 20_000
 	callsOfLast := func(ratio, minRetries float64) (calls int) {
 		var budgets [depth]*Budget
@@ -104,11 +105,11 @@
 		}
 		return calls
 	}
-	assert.Equal(t, callsOfLast(1000, 0), requests*27, "unbounded: the worst case")
+	assert.Equal(t, callsOfLast(1000, 0), requests*27, "without an effective budget: the worst case")
 	for _, ratio := range []float64{0.1, 0.2, 0} {
 		limit := requests * math.Pow(1+ratio, depth)
 		calls := float64(callsOfLast(ratio, 3))
-		// The minimum applies to each window, and is multiplied from level to level.
+		// The minimum number of retries applies to each window and multiplies from level to level.
 		margin := 3 * 2 * depth * math.Pow(1+ratio, depth) * (requests/10_000 + 1)
 		assert.Assert(t, calls <= limit+margin && calls >= requests, "%g: %g calls, limit %g and margin %g", ratio, calls, limit, margin)
 	}
