--- a/internal/mesh/directory/bench_test.go
+++ b/internal/mesh/directory/bench_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// tableOf returns a table of sidecars that are spread over three services.
+// tableOf returns a table with the given number of sidecars, spread over three services.
 func tableOf(sidecars int) Table {
 	records := make([]Record, sidecars)
 	for i := range records {
@@ -17,7 +17,7 @@
 	return table
 }
 
-// All allocates its result once, whatever the size: every sidecar calls it for each record that it receives.
+// All makes a single allocation, whatever the size of the table: every sidecar calls it for each record that it receives.
 func TestAllAllocatesOnce(t *testing.T) {
 	table := tableOf(300)
 	assert.Equal(t, testing.AllocsPerRun(10, func() { table.All() }), 1.0)
--- a/internal/mesh/directory/table.go
+++ b/internal/mesh/directory/table.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Table is the newest record of each sidecar, by the sidecar's address. The zero value is an empty table. A Table is immutable, so
-// that readers need no lock.
+// Table contains the newest record of each sidecar, by the address of the sidecar. The zero value is an empty table. A Table is
+// immutable, so that readers need no lock.
 type Table struct{ records map[string]Record }
 
 // Len returns the number of sidecars.
 func (t Table) Len() int { return len(t.records) }
 
-// Get returns the record of a sidecar.
+// Get returns the record of the sidecar with the given address.
 func (t Table) Get(addr string) (record Record, ok bool) {
 	record, ok = t.records[addr]
 	return record, ok
 }
 
-// All returns the records ordered by service, then by address. All processes use this order: it gives each sidecar its index among
-// those that call a service.
+// All returns the records ordered by service, then by address. All processes use this order to number the sidecars that call a
+// service.
 func (t Table) All() []Record {
 	records := slices.AppendSeq(make([]Record, 0, len(t.records)), maps.Values(t.records))
 	slices.SortFunc(records, func(a, b Record) int {
@@ -33,19 +33,20 @@
 	return records
 }
 
-// Merge returns a table with those records that are newer than the table's own, and these records as changed. now is the time of the
-// receiver's clock. The result does not depend on the order in which records are merged.
+// Merge returns a table that includes those of the given records that are newer than the existing ones, and returns these as changed.
+// now is the time of the receiver's clock. The resulting table does not depend on the order in which records are merged, except for
+// the times of that clock.
 func (t Table) Merge(now time.Duration, records []Record) (merged Table, changed []Record) {
 	current := t.records
 	for _, record := range records {
-		previous, known := current[record.Addr]
-		if record.Addr == "" || known && !record.isNewerThan(previous) {
+		previous, exists := current[record.Addr]
+		if record.Addr == "" || exists && !record.isNewerThan(previous) {
 			continue
 		}
 		record.ReceivedAt = now
 		switch {
-		case known && previous.ServerID == record.ServerID:
-			record.WarmAt = previous.WarmAt // fixed by the first record: the remaining warm-up of later ones would move it
+		case exists && previous.ServerID == record.ServerID:
+			record.WarmAt = previous.WarmAt // set by the first record; the remaining slow start in later records would shift it
 		case record.Warmup > 0:
 			record.WarmAt = now + record.Warmup
 		}
@@ -62,8 +63,8 @@
 	return Table{current}, changed
 }
 
-// Expire returns a table without the sidecars from which nothing has arrived for longer than timeout, and their records.
-func (t Table) Expire(now, timeout time.Duration) (left Table, expired []Record) {
+// Expire returns a table without the sidecars whose latest record was received more than timeout ago, and returns the removed records.
+func (t Table) Expire(now, timeout time.Duration) (remaining Table, expired []Record) {
 	for _, record := range t.records {
 		if now-record.ReceivedAt > timeout {
 			expired = append(expired, record)
--- a/internal/mesh/directory/table_test.go
+++ b/internal/mesh/directory/table_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Records of one sidecar are merged in every order, one of them twice: the newest one of the latest incarnation wins, and the end of a
-// server's slow start is that of its first record.
+// Records of one sidecar are merged in every order, one of them twice: the newest record of the latest incarnation wins, and the first
+// record of a server determines the end of its slow start.
 func TestMergeInEveryOrder(t *testing.T) {
 	const warmup = 3 * time.Second
 	draining := Record{Addr: "a", Incarnation: 1, Sequence: 2, ServerID: "s1", State: ServerDraining, Warmup: warmup}
@@ -20,24 +20,24 @@
 		draining,
 		{Addr: "", Incarnation: 9, Sequence: 9},
 	}
-	var try func(table Table, left []int, now time.Duration)
-	try = func(table Table, left []int, now time.Duration) {
-		if len(left) == 0 {
-			record, known := table.Get("a")
-			assert.Assert(t, known && table.Len() == 1)
+	var mergeRemaining func(table Table, remaining []int, now time.Duration)
+	mergeRemaining = func(table Table, remaining []int, now time.Duration) {
+		if len(remaining) == 0 {
+			record, exists := table.Get("a")
+			assert.Assert(t, exists && table.Len() == 1)
 			assert.Equal(t, record.ServerID, "s2")
 			assert.Equal(t, record.WarmAt, time.Duration(0))
 		}
-		for n, i := range left {
+		for n, i := range remaining {
 			next, _ := table.Merge(now, records[i:i+1])
-			if record, known := next.Get("a"); known && record.ServerID == "s1" {
-				before, knownBefore := table.Get("a")
-				assert.Assert(t, record.WarmAt == now+warmup || knownBefore && record.WarmAt == before.WarmAt)
+			if record, exists := next.Get("a"); exists && record.ServerID == "s1" {
+				before, existedBefore := table.Get("a")
+				assert.Assert(t, record.WarmAt == now+warmup || existedBefore && record.WarmAt == before.WarmAt)
 			}
-			try(next, slices.Delete(slices.Clone(left), n, n+1), now+time.Second)
+			mergeRemaining(next, slices.Delete(slices.Clone(remaining), n, n+1), now+time.Second)
 		}
 	}
-	try(Table{}, []int{0, 1, 2, 3, 4}, time.Second)
+	mergeRemaining(Table{}, []int{0, 1, 2, 3, 4}, time.Second)
 }
 
 func TestExpire(t *testing.T) {
--- a/internal/mesh/directory/wire.go
+++ b/internal/mesh/directory/wire.go
@@ -6,10 +6,10 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// leavingBit is the bit of an encoded state for Record.Leaving.
+// leavingBit is the bit of the encoded state that represents Record.Leaving.
 const leavingBit = 0x80
 
-// ToWire encodes records for the transport.
+// ToWire encodes records for the transport protocol.
 func ToWire(records []Record) *wire.RecordsT {
 	encoded := &wire.RecordsT{}
 	for _, record := range records {
--- a/internal/mesh/idempotency/golden_test.go
+++ b/internal/mesh/idempotency/golden_test.go
@@ -12,24 +12,25 @@
 	"cranegrade/internal/testkit/goldenrecord"
 )
 
-// Size of the golden record.
+// Extent of the golden record.
 const (
 	goldenSeeds    = 20
 	goldenRequests = 4000
 )
 
-// goldenRun is the result of the requests of one seed.
+// goldenRun is the result of applying the requests of one seed.
 type goldenRun struct {
 	Seed     uint64 `json:"seed"`
 	Granted  int    `json:"granted"`
 	Refused  int    `json:"refused"`
 	Released int    `json:"released"`
-	Held     int    `json:"held"` // at the end
-	Hash     string `json:"hash"` // over each result and, now and then, all leases
+	Held     int    `json:"held"` // leases at the end
+	Hash     string `json:"hash"` // of each result and, at random times, of all leases
 }
 
-// TestGolden applies random requests, by seed, and compares the results and the leases with the record under testdata. The hashes are
-// over values alone, so that renames do not change them. After an intended change: go test -run TestGolden -update.
+// TestGolden applies random requests for several seeds and compares the results and the leases with the record under testdata. The
+// hashes cover values only, so that renamed identifiers do not change them. To update the record after an intended change of behaviour,
+// run go test -run TestGolden -update.
 func TestGolden(t *testing.T) {
 	var runs []goldenRun
 	for seed := range uint64(goldenSeeds) {
@@ -38,7 +39,7 @@
 	goldenrecord.AssertFile(t, runs, " ")
 }
 
-// playGolden applies the requests of one seed. Sometimes it restores the store from its leases, as after a restart.
+// playGolden applies the requests of one seed. At random times it restores the store from its leases, as after a restart.
 func playGolden(seed uint64) goldenRun {
 	random := rand.New(rand.NewPCG(seed, 0x901d))
 	sum := sha256.New()
@@ -74,7 +75,7 @@
 	return run
 }
 
-// drawRequest returns a random request for one of a few keys by one of a few tokens.
+// drawRequest returns a random request with one of a few keys and one of a few tokens.
 func drawRequest(random *rand.Rand, keys, tokens int) LeaseRequest {
 	return LeaseRequest{
 		Key:     fmt.Sprint("key-", random.IntN(keys)),
--- a/internal/mesh/idempotency/store_test.go
+++ b/internal/mesh/idempotency/store_test.go
@@ -9,12 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAllOrdersOfRequests applies a few requests for one key, including duplicates, in all orders: a lease goes to another holder only
-// after the first holder released it, or as its request went on to the next server.
+// TestAllOrdersOfRequests applies a few requests for one key, including a duplicate, in all orders: the lease passes to another holder
+// only after it was released, or when a later attempt of the same request asks for it.
 func TestAllOrdersOfRequests(t *testing.T) {
 	requests := []LeaseRequest{
 		{Key: "k", Token: "a", Attempt: 0, Holder: "x", Window: time.Minute},
-		{Key: "k", Token: "a", Attempt: 0, Holder: "x", Window: time.Minute}, // asked again
+		{Key: "k", Token: "a", Attempt: 0, Holder: "x", Window: time.Minute}, // duplicate
 		{Key: "k", Token: "b", Attempt: 0, Holder: "x", Window: time.Minute},
 		{Key: "k", Token: "a", Attempt: 1, Holder: "y", Window: time.Minute},
 		{Key: "k", Token: "b", Attempt: 0, Holder: "x", Release: true},
@@ -22,7 +22,7 @@
 	steps := 0
 	for _, order := range permutations([]int{0, 1, 2, 3, 4}) {
 		store := New()
-		var holder *LeaseRequest // as this test has it
+		var holder *LeaseRequest // expected holder
 		for step, i := range order {
 			request := requests[i]
 			result := store.Apply(time.Duration(step)*time.Second, request)
@@ -60,7 +60,8 @@
 	return orders
 }
 
-func TestLeaseEndsWithItsWindow(t *testing.T) {
+// A lease expires after its window, also in a restored store, and expired leases are removed.
+func TestLeaseExpiresAfterItsWindow(t *testing.T) {
 	other := LeaseRequest{Key: "k", Token: "b", Holder: "y", Window: time.Minute}
 	store := New()
 	assert.Assert(t, store.Apply(0, LeaseRequest{Key: "k", Token: "a", Holder: "x", Window: time.Minute}).Granted)
@@ -75,17 +76,17 @@
 	assert.Equal(t, restored.Len(), 1, "expired leases are removed")
 }
 
-// TestAttemptsOfOneToken: a later attempt takes the lease over from an earlier one and never the other way round, whoever holds it; only
-// the attempt that holds the lease can release it.
+// TestAttemptsOfOneToken checks that a later attempt takes over the lease of an earlier one but not the reverse, whichever holder asks,
+// and that only the attempt that has the lease can release it.
 func TestAttemptsOfOneToken(t *testing.T) {
 	lease := LeaseRequest{Key: "k", Token: "a", Attempt: 1, Holder: "x", Window: time.Minute}
 	for _, test := range []struct {
 		name    string
 		request LeaseRequest
 		granted bool
-		free    bool // whether the key is free afterwards
+		free    bool // whether another request gets the key afterwards
 	}{
-		{"asked again", LeaseRequest{Attempt: 1, Holder: "x"}, true, false},
+		{"repeated by the holder", LeaseRequest{Attempt: 1, Holder: "x"}, true, false},
 		{"another holder", LeaseRequest{Attempt: 1, Holder: "y"}, false, false},
 		{"an earlier attempt", LeaseRequest{Attempt: 0, Holder: "x"}, false, false},
 		{"a later attempt", LeaseRequest{Attempt: 2, Holder: "y"}, true, false},
@@ -104,8 +105,8 @@
 	}
 }
 
-// TestDefaultWindow: a request without a window, as earlier versions send it, has its lease for defaultWindow, whether or not the store
-// is swept meanwhile.
+// TestDefaultWindow checks that a request without a window, as earlier versions send it, gets a lease of defaultWindow, whether or not
+// the store is swept in the meantime.
 func TestDefaultWindow(t *testing.T) {
 	store := New()
 	assert.Assert(t, store.Apply(time.Second, LeaseRequest{Key: "k", Token: "a", Holder: "x"}).Granted)
@@ -117,7 +118,7 @@
 	assert.Assert(t, store.Apply(defaultWindow+time.Second+1, other).Granted)
 }
 
-// TestFullStoreGrantsNothing: a full store names no holder in its refusal, and is swept before it refuses.
+// TestFullStoreGrantsNothing checks that a full store is swept before it refuses a request, and that the refusal names no lease.
 func TestFullStoreGrantsNothing(t *testing.T) {
 	store := New()
 	for n := range MaxLeases {
--- a/internal/mesh/routing/host.go
+++ b/internal/mesh/routing/host.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// withoutPort returns a request's host without the port, and for an IPv6 address with a port also without its brackets. Text that is
-// not host:port is returned unchanged. It reimplements net.SplitHostPort because a pure package must not import net.
+// withoutPort returns a request's host without the port, and for an IPv6 address with a port also without the brackets. A string that
+// is not of the form host:port is returned unchanged. It reimplements net.SplitHostPort because this package must not import net.
 func withoutPort(hostport string) string {
 	colon := strings.LastIndexByte(hostport, ':')
 	if colon < 0 {
--- a/internal/mesh/routing/host_test.go
+++ b/internal/mesh/routing/host_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// splitHostPort is the reference for withoutPort.
+// splitHostPort is the reference implementation of withoutPort.
 func splitHostPort(hostport string) string {
 	if host, _, err := net.SplitHostPort(hostport); err == nil {
 		return host
@@ -37,7 +37,7 @@
 	}
 }
 
-// Any text has the same result as with net.SplitHostPort.
+// FuzzWithoutPort checks that withoutPort returns the same host as net.SplitHostPort for any string.
 func FuzzWithoutPort(f *testing.F) {
 	for _, seed := range []string{"h.example:80", "[::1]:80", "[a]b]:c", "]:[", "a:b:c"} {
 		f.Add(seed)
--- a/internal/mesh/routing/route.go
+++ b/internal/mesh/routing/route.go
@@ -14,12 +14,12 @@
 // Kinds of routes.
 const (
 	AtMostOnce Kind = iota // each attempt runs at most once
-	Keyed                  // all requests with one idempotency key run at most once together
+	Keyed                  // of all requests with the same idempotency key at most one runs
 	Idempotent             // a request may run any number of times
 	Download               // like Idempotent, with large responses
 )
 
-// kindNames are the kinds as the configuration names them (config.RouteSpec.RouteType).
+// kindNames are the names of the kinds in the configuration (config.RouteSpec.RouteType).
 var kindNames = [...]string{
 	AtMostOnce: config.RouteTypeNonIdempotent,
 	Keyed:      config.RouteTypeKeyed,
@@ -27,10 +27,10 @@
 	Download:   config.RouteTypeDownload,
 }
 
-// String returns the kind as the configuration names it.
+// String returns the name of the kind in the configuration.
 func (k Kind) String() string { return kindNames[min(k, Download)] }
 
-// kindOf returns the kind of a route type. An unknown one is AtMostOnce, which is always safe.
+// kindOf returns the kind of a route type. An unknown route type is treated as AtMostOnce, which is always safe.
 func kindOf(routeType string) Kind {
 	return Kind(max(0, slices.Index(kindNames[:], routeType)))
 }
@@ -41,21 +41,21 @@
 // Route is one route of a table. It is immutable.
 type Route struct {
 	Name          string
-	Host          string // of requests, in any case of letters
-	Prefix        string // of requests' paths; begins and ends with a slash
+	Host          string // of requests; letter case is ignored
+	Prefix        string // of the paths of requests; begins and ends with a slash
 	Version       int64  // of the configuration item
 	Kind          Kind
 	Destinations  []config.WeightedService // their weights sum to more than 0
-	Timeout       time.Duration            // for a request with all its attempts
+	Timeout       time.Duration            // for a request including all its attempts
 	LatencyTarget time.Duration            // at most Timeout
-	MaxAttempts   int                      // servers that a request may be sent to, the first one included
+	MaxAttempts   int                      // servers that a request may be sent to, including the first one
 	Priority      int                      // 0 is the highest
 
 	totalWeight float64
-	policies    map[string]*policy.Decision // by destination
+	policies    map[string]*policy.Decision // by destination service
 }
 
-// newRoute returns the route of an item, without policies, or nil if the item's content can't be decoded.
+// newRoute returns the route that an item configures, without policies, or nil if the item cannot be decoded.
 func newRoute(item config.Item) *Route {
 	spec := item.RouteSpec()
 	if spec == nil {
@@ -82,47 +82,47 @@
 	return route
 }
 
-// PolicyDecision returns the merged policies for requests of this route to a destination. It is nil if no policy applies to them,
-// so that the route's own values apply.
+// PolicyDecision returns the merged policies for requests of this route to a destination. It returns nil if no policy applies, in
+// which case the values of the route apply.
 func (r *Route) PolicyDecision(service string) *policy.Decision { return r.policies[service] }
 
-// bindPolicies sets the policies that apply to the calls of one service, the caller.
+// bindPolicies sets the policies that apply to requests from the service caller.
 func (r *Route) bindPolicies(set *policy.Set, caller string) {
-	governed, known := set.Route(r.Name)
-	if !known {
+	policyRoute, found := set.Route(r.Name)
+	if !found {
 		return
 	}
 	for _, destination := range r.Destinations {
-		clauses, apply := set.ClausesFor(governed, destination.Service, caller)
+		clauses, apply := set.ClausesFor(policyRoute, destination.Service, caller)
 		if !apply {
 			continue
 		}
 		if r.policies == nil {
 			r.policies = map[string]*policy.Decision{}
 		}
-		r.policies[destination.Service] = clauses.Decide(governed, caller)
+		r.policies[destination.Service] = clauses.Decide(policyRoute, caller)
 	}
 }
 
-// HasDestination reports whether requests may go to a service. With a weight of 0 they may not.
+// HasDestination reports whether requests may be sent to a service, that is, whether it is a destination with a weight above 0.
 func (r *Route) HasDestination(service string) bool {
 	return slices.ContainsFunc(r.Destinations, func(destination config.WeightedService) bool {
 		return destination.Service == service && destination.Weight > 0
 	})
 }
 
-// PickService picks a destination by weight. draw is uniformly distributed in [0, 1).
+// PickService selects a destination by weight. draw is a random number, uniformly distributed in [0, 1).
 func (r *Route) PickService(draw float64) string {
-	left := draw * r.totalWeight
+	remaining := draw * r.totalWeight
 	picked := ""
 	for _, destination := range r.Destinations {
 		if destination.Weight <= 0 {
 			continue
 		}
-		if picked = destination.Service; left < destination.Weight {
+		if picked = destination.Service; remaining < destination.Weight {
 			return picked
 		}
-		left -= destination.Weight
+		remaining -= destination.Weight
 	}
 	return picked // rounding errors can exhaust the weights before the last service
 }
--- a/internal/mesh/routing/table.go
+++ b/internal/mesh/routing/table.go
@@ -1,9 +1,9 @@
-// Package routing decides where a request goes: the host and the longest matching prefix of the path select a route, and the weights
-// of the route's destinations select a service. It owns the routing table, which is built from configuration items and read by each
-// sidecar for every request.
+// Package routing selects the route and the service of a request: the host and the longest matching path prefix select a route, and
+// the weights of the route's destinations select a service. It contains the routing table, which is built from configuration items and
+// which each sidecar reads for every request.
 //
-// The package is pure. A Table is immutable, so that requests read it without a lock; it must never hold anything that changes between
-// two configurations, such as servers or their load.
+// The package does no I/O and reads no clock. A Table is immutable, so that requests read it without a lock. It must never contain
+// anything that changes while the configuration stays the same, such as servers or their load.
 package routing
 
 import (
@@ -14,11 +14,11 @@
 	"cranegrade/internal/mesh/config"
 )
 
-// Table is all routes, with the parts of the configuration that requests of any route need.
+// Table contains all routes, and the parts of the configuration that apply to requests of any route.
 type Table struct {
 	Services   map[string]config.ServiceSpec // by name
 	Limits     config.LimitsSpec
-	MaxTimeout time.Duration // longest Timeout of all routes
+	MaxTimeout time.Duration // the longest Timeout of all routes
 
 	byName map[string]*Route
 	byHost map[string][]*Route // by host in lower case; longer prefixes first
@@ -27,8 +27,8 @@
 // NewTable returns the routing table of a configuration, without policies.
 func NewTable(items config.Table) *Table { return NewTableWithPolicies(items, config.Table{}, "") }
 
-// NewTableWithPolicies returns the routing table of a configuration, with the policies of another one as they apply to the calls of
-// one service, caller. The two differ while a new policy set is committed but not active.
+// NewTableWithPolicies returns the routing table for the routes of one configuration and the policies of another, as they apply to
+// requests from the service caller. The two configurations differ while a new policy set is committed but not active yet.
 func NewTableWithPolicies(items, policies config.Table, caller string) *Table {
 	table := &Table{
 		Services: map[string]config.ServiceSpec{},
@@ -50,7 +50,7 @@
 	return table
 }
 
-// add adds what an item configures. Kinds that do not concern requests are left out.
+// add adds the route, service or limits that an item configures. It ignores the other kinds of items, which do not affect routing.
 func (t *Table) add(item config.Item) {
 	if item.Deleted {
 		return
@@ -74,7 +74,7 @@
 // Match returns the route for a request's host, with or without a port, and path, or nil if no route matches.
 func (t *Table) Match(host, path string) *Route {
 	host = withoutPort(host)
-	routes := t.byHost[host] // most hosts are in lower case already
+	routes := t.byHost[host] // fast path: most hosts are in lower case
 	if routes == nil {
 		routes = t.byHost[strings.ToLower(host)]
 	}
@@ -92,7 +92,7 @@
 // Routes returns all routes by their names. The caller must not change the map.
 func (t *Table) Routes() map[string]*Route { return t.byName }
 
-// RoutesByService returns the routes that name each service as a destination, in no order.
+// RoutesByService returns, for each service, the routes that have it as a destination, in no particular order.
 func (t *Table) RoutesByService() map[string][]*Route {
 	byService := map[string][]*Route{}
 	for _, route := range t.byName {
--- a/internal/mesh/routing/table_test.go
+++ b/internal/mesh/routing/table_test.go
@@ -8,7 +8,8 @@
 	"cranegrade/internal/mesh/config"
 )
 
-const request = `{"Upsert":{
+// configurationRequest is an operator's request with two routes and their services.
+const configurationRequest = `{"Upsert":{
 	"ListenerList":[{"HostName":"h.example","PolicyRules":[
 		{"Name":"all","RouteType":"download","ConfigVersion":1,"MatchCriteria":{"PathPrefix":"/"},
 			"ForwardAction":{"Service":"s","TimeoutS":2,"RetryCount":2}},
@@ -17,9 +18,9 @@
 				"TimeoutS":2,"RetryCount":1}}]}],
 	"UpstreamGroups":[{"Name":"s","ConfigVersion":1},{"Name":"t","ConfigVersion":1},{"Name":"none","ConfigVersion":1}]}}`
 
-func configuration(t *testing.T) config.Table {
+func newConfiguration(t *testing.T) config.Table {
 	t.Helper()
-	items, err := config.ParseItems([]byte(request))
+	items, err := config.ParseItems([]byte(configurationRequest))
 	assert.NilError(t, err)
 	table, _, err := config.Table{}.ApplyItems(items)
 	assert.NilError(t, err)
@@ -27,11 +28,11 @@
 }
 
 func TestMatch(t *testing.T) {
-	table := NewTable(configuration(t))
+	table := NewTable(newConfiguration(t))
 	for _, test := range []struct{ name, host, path, want string }{
 		{"longest prefix", "h.example", "/a/b/c", "deep"},
-		{"prefix without its slash", "h.example", "/a/b", "all"},
-		{"prefix of a name only", "h.example", "/a/bc/", "all"},
+		{"prefix without its trailing slash", "h.example", "/a/b", "all"},
+		{"prefix that ends within a path segment", "h.example", "/a/bc/", "all"},
 		{"root", "h.example", "/", "all"},
 		{"host in upper case and with a port", "H.example:80", "/x", "all"},
 		{"other host", "other.example", "/x", ""},
@@ -47,14 +48,14 @@
 }
 
 func TestRouteOfItem(t *testing.T) {
-	route := NewTable(configuration(t)).Route("deep")
+	route := NewTable(newConfiguration(t)).Route("deep")
 	assert.Equal(t, route.Kind, Keyed)
 	assert.Assert(t, !route.Kind.IsIdempotent())
 	assert.Equal(t, route.LatencyTarget, route.Timeout, "the latency target is at most the time-out")
 }
 
 func TestPickServiceByWeight(t *testing.T) {
-	route := NewTable(configuration(t)).Route("deep")
+	route := NewTable(newConfiguration(t)).Route("deep")
 	for draw, want := range map[float64]string{0: "s", 0.89: "s", 0.91: "t", 0.9999: "t"} {
 		assert.Equal(t, route.PickService(draw), want)
 	}
@@ -62,14 +63,14 @@
 
 func TestDeletedRouteMatchesNothing(t *testing.T) {
 	key := config.Key{Kind: config.KindRoute, Name: "deep"}
-	table, _ := configuration(t).Merge([]config.Item{{Key: key, Version: 2, Deleted: true}})
+	table, _ := newConfiguration(t).Merge([]config.Item{{Key: key, Version: 2, Deleted: true}})
 	assert.Equal(t, NewTable(table).Match("h.example", "/a/b/c").Name, "all")
 }
 
-// Each route type of the configuration is converted to its kind and back.
+// Each kind converts to its route type and back, and an unknown route type to AtMostOnce.
 func TestKindNames(t *testing.T) {
 	for kind := AtMostOnce; kind <= Download; kind++ {
 		assert.Equal(t, kindOf(kind.String()), kind)
 	}
-	assert.Equal(t, kindOf("unheard of"), AtMostOnce)
+	assert.Equal(t, kindOf("unknown route type"), AtMostOnce)
 }
