--- a/internal/mesh/config/bench_test.go
+++ b/internal/mesh/config/bench_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkUpdate is a first request of 10,000 routes, parsed from its text and applied from the log, and one change on top of it.
+// BenchmarkUpdate measures an initial request with 10,000 routes (parsing its text and applying it as decoded from the log) and a change
+// of one of these routes.
 func BenchmarkUpdate(b *testing.B) {
 	const routeCount = 10_000
 	var routes []string
--- a/internal/mesh/config/diff.go
+++ b/internal/mesh/config/diff.go
@@ -6,35 +6,35 @@
 	"slices"
 )
 
-// Action is what an update would do to an item. The values are part of the output of the operators' tool.
+// Action is the effect that an update would have on an item. The values are part of the output of the operators' tool.
 type Action string
 
-// Actions. Only the first four change anything. An update with a conflict is refused as a whole.
+// Actions. Only the first four change the table. An update with a conflict is refused as a whole.
 const (
 	ActionAdd          Action = "adds"
 	ActionChange       Action = "changes"
 	ActionRaiseVersion Action = "raises" // to a higher version with the same content
 	ActionDelete       Action = "drops"
-	ActionNone         Action = "leaves" // the item is the same already
-	ActionOutdated     Action = "late"   // a higher version is in the table
-	ActionConflict     Action = "conflicts"
+	ActionNone         Action = "leaves"    // the table has the same version and content already
+	ActionOutdated     Action = "late"      // the table has a higher version
+	ActionConflict     Action = "conflicts" // the table has the same version with another content
 )
 
-// ItemDiff is what an update would do to one item.
+// ItemDiff describes what an update would do to one item.
 type ItemDiff struct {
 	Action Action      `json:"verb"`
 	Kind   string      `json:"kind"`
 	Name   string      `json:"name"`
-	From   int64       `json:"from,omitempty"` // version in the table; 0 if it has none
+	From   int64       `json:"from,omitempty"` // version in the table; 0 if the table has none
 	To     int64       `json:"to"`
 	Fields []FieldDiff `json:"fields,omitempty"`
 }
 
-// FieldDiff is a field whose value differs.
+// FieldDiff is a field whose value an update would change.
 type FieldDiff struct {
 	Path   string `json:"path"`
-	Before any    `json:"was"` // nil if the field was absent
-	After  any    `json:"is"`  // nil if the field is absent now
+	Before any    `json:"was"` // nil if the field is absent in the table
+	After  any    `json:"is"`  // nil if the field is absent in the update
 }
 
 // Diff returns what an update would do to a table, item by item in the order of the update.
@@ -46,7 +46,7 @@
 }
 
 func diffItem(table Table, item Item) ItemDiff {
-	current, known := table.items[item.Key]
+	current, exists := table.items[item.Key]
 	diff := ItemDiff{
 		Kind: item.Kind.String(),
 		Name: item.Name,
@@ -54,18 +54,18 @@
 		To:   item.Version,
 	}
 	switch {
-	case known && current.Version == item.Version && current.hasSameContent(item):
+	case exists && current.Version == item.Version && current.hasSameContent(item):
 		diff.Action = ActionNone
-	case known && current.Version == item.Version:
+	case exists && current.Version == item.Version:
 		diff.Action = ActionConflict
 		if !item.Deleted && !current.Deleted {
 			diff.Fields = diffFields(current, item)
 		}
-	case known && current.Version > item.Version:
+	case exists && current.Version > item.Version:
 		diff.Action = ActionOutdated
 	case item.Deleted:
 		diff.Action = ActionDelete
-	case !known || current.Deleted:
+	case !exists || current.Deleted:
 		diff.Action = ActionAdd
 	default:
 		diff.Action = ActionRaiseVersion
@@ -76,29 +76,29 @@
 	return diff
 }
 
-// versionField is the path of the version in an item's content. It differs with every change and is left out of a diff.
+// versionField is the path of the version in an item's content. Diffs omit it because it differs in every change.
 const versionField = "ConfigVersion"
 
-// diffFields returns the fields in which two contents differ, ordered by path.
+// diffFields returns the fields that differ between two versions of an item, ordered by path.
 func diffFields(before, after Item) (diffs []FieldDiff) {
-	old, changed := flatten(before), flatten(after)
+	oldLeaves, newLeaves := flatten(before), flatten(after)
 	paths := map[string]bool{}
-	for path := range old {
+	for path := range oldLeaves {
 		paths[path] = true
 	}
-	for path := range changed {
+	for path := range newLeaves {
 		paths[path] = true
 	}
 	delete(paths, versionField)
 	for _, path := range slices.Sorted(maps.Keys(paths)) {
-		if fmt.Sprint(old[path]) != fmt.Sprint(changed[path]) {
-			diffs = append(diffs, FieldDiff{path, old[path], changed[path]})
+		if fmt.Sprint(oldLeaves[path]) != fmt.Sprint(newLeaves[path]) {
+			diffs = append(diffs, FieldDiff{path, oldLeaves[path], newLeaves[path]})
 		}
 	}
 	return diffs
 }
 
-// flatten returns the leaves of an item's content by their paths.
+// flatten returns the scalar values of an item's content, by path.
 func flatten(item Item) map[string]any {
 	leaves := map[string]any{}
 	if item.Host != "" {
--- a/internal/mesh/config/document.go
+++ b/internal/mesh/config/document.go
@@ -13,23 +13,23 @@
 	"cranegrade/internal/mesh/policy"
 )
 
-// Document is the configuration as the pages lay it out in JSON. It is what a request upserts, and what a read returns.
+// Document is the JSON representation of the configuration. Requests contain one to upsert items, and reads return one.
 type Document struct {
 	Limits         json.RawMessage   `json:"Limits,omitempty"`
 	ListenerList   []Listener        `json:"ListenerList"`
 	UpstreamGroups []json.RawMessage `json:"UpstreamGroups"`          // services
-	ContractList   []json.RawMessage `json:"ContractList,omitempty"`  // without any, no hours are approved for maintenance
-	NamespaceList  []json.RawMessage `json:"NamespaceList,omitempty"` // without any, everything is the mesh operator's
+	ContractList   []json.RawMessage `json:"ContractList,omitempty"`  // without contracts, no hours are approved for maintenance
+	NamespaceList  []json.RawMessage `json:"NamespaceList,omitempty"` // without namespaces, the mesh operator owns everything
 	RulingList     []json.RawMessage `json:"RulingList,omitempty"`    // policies
 }
 
-// Listener is a host and the routes of its requests.
+// Listener is a host and the routes for requests to it.
 type Listener struct {
 	HostName    string            `json:"HostName"`
 	PolicyRules []json.RawMessage `json:"PolicyRules"`
 }
 
-// Document lays out the items of a table that are not deleted.
+// Document returns the JSON representation of all items of the table that are not deleted.
 func (t Table) Document() Document {
 	document := Document{ListenerList: []Listener{}, UpstreamGroups: []json.RawMessage{}}
 	for _, item := range t.Items() {
@@ -47,16 +47,16 @@
 			document.NamespaceList = append(document.NamespaceList, item.Body)
 		case KindPolicy:
 			document.RulingList = append(document.RulingList, item.Body)
-		default: // routes, and kinds that a later build has added
-			listener := document.listener(item.Host)
+		default: // routes, and kinds that were added in a later version of the program
+			listener := document.listenerFor(item.Host)
 			listener.PolicyRules = append(listener.PolicyRules, item.Body)
 		}
 	}
 	return document
 }
 
-// listener returns the listener of a host, which it adds if there is none.
-func (d *Document) listener(host string) *Listener {
+// listenerFor returns the listener of a host, and adds one if the document has none.
+func (d *Document) listenerFor(host string) *Listener {
 	n := slices.IndexFunc(d.ListenerList, func(listener Listener) bool { return listener.HostName == host })
 	if n < 0 {
 		n = len(d.ListenerList)
@@ -65,7 +65,7 @@
 	return &d.ListenerList[n]
 }
 
-// items decodes and validates all items of a document.
+// items decodes and validates all items of the document.
 func (d *Document) items() (items []Item, err *FieldError) {
 	if items, err = d.routes(); err != nil {
 		return nil, err
@@ -106,10 +106,10 @@
 	return items, nil
 }
 
-// appendItems appends items of one kind.
-func appendItems[Spec any](items []Item, raws []json.RawMessage, unnamed string, check checkFunc[Spec]) ([]Item, *FieldError) {
-	for _, raw := range raws {
-		item, _, err := decodeItem(raw, unnamed, check)
+// appendItems decodes, validates and appends items of one kind. Errors use fallbackLabel for an item whose name is not decoded yet.
+func appendItems[Spec any](items []Item, rawItems []json.RawMessage, fallbackLabel string, check checkFunc[Spec]) ([]Item, *FieldError) {
+	for _, raw := range rawItems {
+		item, _, err := decodeItem(raw, fallbackLabel, check)
 		if err != nil {
 			return nil, err
 		}
@@ -118,14 +118,14 @@
 	return items, nil
 }
 
-// checkFunc validates the content of an item and returns what identifies the item.
+// checkFunc validates the content of an item and returns its key and version.
 type checkFunc[Spec any] func(*Spec) (Key, int64, *FieldError)
 
-// decodeItem decodes and validates one item. unnamed is what errors call it as long as its name is not known.
-func decodeItem[Spec any](raw json.RawMessage, unnamed string, check checkFunc[Spec]) (Item, *Spec, *FieldError) {
+// decodeItem decodes and validates one item. Errors use fallbackLabel for an item whose name is not decoded yet.
+func decodeItem[Spec any](raw json.RawMessage, fallbackLabel string, check checkFunc[Spec]) (Item, *Spec, *FieldError) {
 	spec := new(Spec)
 	if err := json.Unmarshal(raw, spec); err != nil {
-		return Item{}, nil, decodeError(unnamed, nil, err).withSource(raw)
+		return Item{}, nil, decodeError(fallbackLabel, nil, err).withSource(raw)
 	}
 	key, version, err := check(spec)
 	if err != nil {
@@ -158,14 +158,15 @@
 	return key, spec.ConfigVersion, fieldErrorOf(key.label(), spec.Validate())
 }
 
-// limitsLabel names the item of limits, which has no name of its own, in messages.
+// limitsLabel is the label of the limits item in messages, as this item has no name.
 const limitsLabel = "Limits"
 
 func checkLimits(spec *LimitsSpec) (Key, int64, *FieldError) {
 	return Key{Kind: KindLimits}, spec.ConfigVersion, checkTags(limitsLabel, spec)
 }
 
-// decodeJSON decodes one JSON value and refuses text behind it. Numbers keep their digits.
+// decodeJSON decodes one JSON value and returns an error if more data follows it. Numbers are decoded as json.Number to keep their
+// precision.
 func decodeJSON(text []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -178,7 +179,8 @@
 	return nil
 }
 
-// canonicalJSON returns equal bytes for equal contents: keys in order, without white space.
+// canonicalJSON returns a JSON value with sorted keys and without white space, so that equal values have equal bytes. A value that
+// cannot be decoded is returned unchanged.
 func canonicalJSON(raw json.RawMessage) []byte {
 	var value any
 	if decodeJSON(raw, &value) != nil {
--- a/internal/mesh/config/errors.go
+++ b/internal/mesh/config/errors.go
@@ -11,33 +11,33 @@
 	"cranegrade/internal/mesh/validation"
 )
 
-// Types of the errors of this package, for errors.Is.
+// Types of the errors of this package, for use with errors.Is.
 const (
-	// ErrInvalid is the type of errors that lie in the request itself. They are FieldErrors.
+	// ErrInvalid means that the request itself is invalid. Errors of this type are FieldErrors.
 	ErrInvalid = errors.ConstError("invalid")
-	// ErrConflict says that a version was accepted with another content, or that two policies contradict each other.
+	// ErrConflict means that a version was already accepted with another content, or that two policies contradict each other.
 	ErrConflict = errors.ConstError("conflict")
-	// ErrForbidden says that an item is another owner's to change, or that another owner has to consent.
+	// ErrForbidden means that only another owner may change an item, or that another owner must consent to the change.
 	ErrForbidden = errors.ConstError("forbidden")
-	// ErrUndetermined says that it can't be known any more whether the request was accepted before. The request is neither
-	// acknowledged nor refused.
-	ErrUndetermined = errors.ConstError("left open")
+	// ErrUndetermined means that the stored history does not reach back far enough to tell whether the request was accepted
+	// before. The request is neither acknowledged nor refused.
+	ErrUndetermined = errors.ConstError("undetermined")
 )
 
-// requestLabel names the request as a whole in messages.
+// requestLabel is the label of the request as a whole in messages.
 const requestLabel = "the call"
 
-// FieldError says what is wrong with an operator's request: the item, the field and what was wanted. Its type is ErrInvalid.
+// FieldError describes what is wrong with an operator's request: the item, the field and the reason. Its type is ErrInvalid.
 type FieldError struct {
-	Line   int    // of the request's text, from 1; 0 if not known
+	Line   int    // line of the request's text, from 1; 0 if not known
 	Item   string // kind and name, such as "route checkout"
-	Field  string // path of the field in the item; empty if the error is about the item as a whole
+	Field  string // path of the field in the item; empty if the error concerns the item as a whole
 	Reason string
 
-	source []byte // part of the request's text that the item was read from
+	source []byte // part of the request's text that the item was decoded from
 }
 
-// Error returns one line: line, item, field and reason.
+// Error returns a single line with the line number, the item, the field and the reason.
 func (e *FieldError) Error() string {
 	var text strings.Builder
 	if e.Line > 0 {
@@ -55,21 +55,21 @@
 	return text.String()
 }
 
-// Is reports that a FieldError is of type ErrInvalid.
+// Is makes errors.Is report that a FieldError is of type ErrInvalid.
 func (e *FieldError) Is(target error) bool { return target == ErrInvalid }
 
 func newFieldError(item, field, format string, args ...any) *FieldError {
 	return &FieldError{Item: item, Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// withSource notes which part of the request the error is about, for locate.
+// withSource records the part of the request's text in which setLine looks for the field.
 func (e *FieldError) withSource(source []byte) *FieldError {
 	e.source = source
 	return e
 }
 
-// locate sets the line of the field or, where the text does not have the field, of the item.
-func (e *FieldError) locate(text []byte) {
+// setLine sets Line to the line of the field or, if the text does not contain the field, to that of the item.
+func (e *FieldError) setLine(text []byte) {
 	offset := bytes.Index(text, e.source)
 	if len(e.source) == 0 || offset < 0 {
 		return
@@ -77,12 +77,12 @@
 	e.Line = max(1, validation.LineOf(e.source, e.Field)) + bytes.Count(text[:offset], []byte("\n"))
 }
 
-// checkTags validates an item by its struct tags. It returns nil if the item is valid.
+// checkTags validates the content of an item by its validate struct tags. It returns nil if the content is valid.
 func checkTags(item string, content any) *FieldError {
 	return fieldErrorOf(item, validation.Check(content))
 }
 
-// fieldErrorOf returns the error of an item in which a fault was found. It is nil for a nil fault.
+// fieldErrorOf converts a validation fault of an item into a FieldError. It returns nil for a nil fault.
 func fieldErrorOf(item string, fault *validation.Fault) *FieldError {
 	if fault == nil {
 		return nil
@@ -90,7 +90,7 @@
 	return newFieldError(item, fault.Field, "%s", fault.Text)
 }
 
-// decodeError turns an error of encoding/json into a FieldError. The line is known if the text is given.
+// decodeError converts an error of encoding/json into a FieldError. For a syntax error it sets the line if text is not nil.
 func decodeError(item string, text []byte, err error) *FieldError {
 	fieldError := newFieldError(item, "", "can't be read: %v", err)
 	var typeError *json.UnmarshalTypeError
--- a/internal/mesh/config/helpers_test.go
+++ b/internal/mesh/config/helpers_test.go
@@ -11,29 +11,30 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// serviceJSON is a service as a request carries it.
+// serviceJSON returns the JSON of a service in a request.
 func serviceJSON(name string, version int) string {
 	return fmt.Sprintf(`{"Name":%q,"HealthPath":"/health","MaxConnections":110,"Protocol":"h1","TlsEnabled":false,"DedupEnabled":false,`+
 		`"ConfigVersion":%d}`, name, version)
 }
 
-// routeJSON is a route to a service as a request carries it. extra is JSON behind its last field.
+// routeJSON returns the JSON of a route in a request, with the given service as its destination. extra is JSON that is inserted after
+// the last field of ForwardAction.
 func routeJSON(name, service string, version int, extra string) string {
 	return fmt.Sprintf(`{"Name":%q,"RouteType":"idempotent","TargetLatencyS":0.8,"Priority":2,"ConfigVersion":%d,`+
 		`"MatchCriteria":{"PathPrefix":"/p/"},"ForwardAction":{"Service":%q,"TimeoutS":2,"RetryCount":2%s}}`, name, version, service, extra)
 }
 
-// upsertRequest is a request with a list of routes of one host and a list of services.
+// upsertRequest returns a request that upserts a list of routes for one host and a list of services.
 func upsertRequest(routes, services string) string {
 	return fmt.Sprintf(`{"Upsert":{"ListenerList":[{"HostName":"h.example","PolicyRules":[%s]}],"UpstreamGroups":[%s]}}`, routes, services)
 }
 
-// routeRequest is a request with one route.
+// routeRequest returns a request that upserts one route.
 func routeRequest(name, service string, version int) string {
 	return upsertRequest(routeJSON(name, service, version, ""), "")
 }
 
-// serviceRequest is a request with services of version 1.
+// serviceRequest returns a request that upserts services with version 1.
 func serviceRequest(names ...string) string {
 	services := ""
 	for n, name := range names {
@@ -45,7 +46,7 @@
 	return upsertRequest("", services)
 }
 
-// removeRequest is a request that deletes an item of a list.
+// removeRequest returns a request that deletes one item. list is the JSON name of the list of removals of its kind.
 func removeRequest(list, name string, version int) string {
 	return fmt.Sprintf(`{"Remove":{%q:[{"Name":%q,"ConfigVersion":%d}]}}`, list, name, version)
 }
@@ -57,7 +58,7 @@
 	return items
 }
 
-// withRequests is a table to which requests were applied.
+// withRequests returns the table after the requests were applied to it.
 func withRequests(t *testing.T, table Table, texts ...string) Table {
 	t.Helper()
 	for _, text := range texts {
@@ -68,14 +69,14 @@
 	return table
 }
 
-// admissionError is why a table does not admit an update; nil if it does.
+// admissionError returns the error with which a table refuses to admit an update, or nil if it admits the update.
 func admissionError(table Table, update Update) error {
 	_, err := table.Admit(update)
 	return err
 }
 
-// restarted is a table as it is read back from a member's disk.
-func restarted(t *testing.T, table Table) Table {
+// reloaded returns a table after it was stored and read back, as when a member restarts.
+func reloaded(t *testing.T, table Table) Table {
 	t.Helper()
 	text := codec.EncodeTable(&wire.StateT{Items: TableToStorage(table)})
 	state, err := codec.DecodeTable(text, func(p []byte) *wire.StateT { return wire.GetRootAsState(p, 0).UnPack() })
@@ -83,8 +84,8 @@
 	return TableFromStorage(state.Items)
 }
 
-// without is a copy of a list without one element.
+// without returns a copy of a list without the element with index n.
 func without[E any](list []E, n int) []E { return slices.Delete(slices.Clone(list), n, n+1) }
 
-// with is a copy of a list with one more element.
+// with returns a copy of a list with an element appended.
 func with[E any](list []E, element E) []E { return append(slices.Clone(list), element) }
--- a/internal/mesh/config/item.go
+++ b/internal/mesh/config/item.go
@@ -9,25 +9,26 @@
 	"cranegrade/internal/mesh/operations"
 )
 
-// Kind says what an item configures. The values are part of the wire format and of what members store.
+// Kind is the kind of an item. The values are part of the wire format and of the stored format.
 type Kind uint8
 
 // Kinds of items.
 const (
-	KindRoute     Kind = iota // where requests of a host and a path prefix go
-	KindService               // a group of servers that routes send to
+	KindRoute     Kind = iota // the destinations of requests with a host and a path prefix
+	KindService               // a group of servers, the destination of routes
 	KindLimits                // limits of all listeners; there is one item of this kind, without a name
-	KindContract              // hours in which machines may be taken out for maintenance
-	KindNamespace             // what a team owns
-	KindPolicy                // what a namespace says of requests
+	KindContract              // the hours in which machines may be taken out of service for maintenance
+	KindNamespace             // the hosts, path prefixes and services that a team owns
+	KindPolicy                // requirements of a namespace for requests
 )
 
 var kindNames = [...]string{"route", "service", "limits", "contract", "namespace", "ruling"}
 
-// String returns the kind as the pages name it. A kind that a later build has added reads as the last one known.
+// String returns the name of the kind in the JSON format. A kind that was added in a later version of the program returns the name
+// of the last kind of this version.
 func (k Kind) String() string { return kindNames[min(k, KindPolicy)] }
 
-// InPolicySet reports whether items of this kind belong to the policy set, which is accepted first and becomes active in a second
+// InPolicySet reports whether items of this kind belong to the policy set, which is first committed and then activated in a second
 // step (package policy).
 func (k Kind) InPolicySet() bool { return k == KindNamespace || k == KindPolicy }
 
@@ -37,7 +38,7 @@
 	Name string
 }
 
-// label returns the key as error messages name it.
+// label returns the key in the form used in error messages.
 func (k Key) label() string { return k.Kind.String() + " " + k.Name }
 
 // compareKeys orders keys by kind, then by name.
@@ -45,22 +46,21 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 }
 
-// Item is one version of an item, or the tombstone of one that was deleted. An Item is never changed once it was made.
+// Item is one version of a configuration item, or the tombstone of a deleted one. An Item is immutable.
 type Item struct {
 	Key
 	Version int64
 	Deleted bool
-	Host    string // of a route; empty for all other kinds
+	Host    string // host of a route; empty for all other kinds
 	Body    []byte // canonical JSON: equal contents have equal bytes
-	// LogTime is the time of the log entry that carried the item. It decides which tombstones and operations are pruned first.
+	// LogTime is the time of the log entry that contained the item. Tombstones and operations are pruned in its order.
 	LogTime time.Duration
 
-	routeSpec *RouteSpec          // of a route that was not deleted, decoded once
-	history   *operations.History // earlier operations on this key; kept by control-plane members only
+	routeSpec *RouteSpec          // decoded content of a route that is not deleted; may be nil
+	history   *operations.History // earlier operations on this key; only on control-plane members
 }
 
-// RouteSpec returns the content of a route. It is nil if the item is no route, is a tombstone, or has a body that can't be
-// decoded.
+// RouteSpec returns the content of a route. It returns nil if the item is not a route, is a tombstone, or cannot be decoded.
 func (i Item) RouteSpec() *RouteSpec {
 	if i.routeSpec != nil || i.Kind != KindRoute || i.Deleted {
 		return i.routeSpec
@@ -78,8 +78,8 @@
 // LimitsSpec returns the content of the item of KindLimits.
 func (i Item) LimitsSpec() LimitsSpec { return decodeBody[LimitsSpec](i) }
 
-// decodeBody decodes the body of an item that was validated when it was accepted. An error can then only come from a body that
-// another build stored; the fields that could be decoded count.
+// decodeBody decodes the body of an item. Since items are validated before they are accepted, decoding can fail only for a body that
+// another version of the program stored. In that case the fields that could be decoded are used.
 func decodeBody[T any](item Item) (decoded T) {
 	_ = json.Unmarshal(item.Body, &decoded)
 	return decoded
@@ -89,7 +89,7 @@
 	return i.Deleted == other.Deleted && i.Host == other.Host && bytes.Equal(i.Body, other.Body)
 }
 
-// digest identifies the content of an item, without its version.
+// digest returns a digest of the content of an item, which does not cover its version.
 func (i Item) digest() operations.Digest {
 	deleted := []byte{0}
 	if i.Deleted {
@@ -98,7 +98,7 @@
 	return operations.DigestOf(deleted, []byte(i.Host), i.Body)
 }
 
-// operation returns the operation that made the item what it is.
+// operation returns the operation that set the item to its current version.
 func (i Item) operation() operations.Operation {
 	return operations.Operation{Version: i.Version, Digest: i.digest(), LogTime: i.LogTime}
 }
--- a/internal/mesh/config/operations.go
+++ b/internal/mesh/config/operations.go
@@ -9,11 +9,11 @@
 	"cranegrade/internal/mesh/operations"
 )
 
-// classifyItem compares an item of an update with the operations that were accepted for its key.
+// classifyItem classifies an item of an update by the operations that were accepted for its key.
 func (t Table) classifyItem(item Item) operations.Classification {
-	current, known := t.items[item.Key]
+	current, exists := t.items[item.Key]
 	switch {
-	case !known || item.Version > current.Version:
+	case !exists || item.Version > current.Version:
 		return operations.New
 	case item.Version < current.Version:
 		return current.history.Classify(item.Version, item.digest())
@@ -23,53 +23,54 @@
 	return operations.Conflict
 }
 
-// classifyUpdate compares an update with what was accepted before. It is Duplicate if all its items were accepted, Unknown if they
-// may have been, Conflict if another content was accepted under one of its versions, and otherwise New. The error says why the
-// update may not be acknowledged although it is valid, and is of type ErrConflict or ErrUndetermined; a New update has one if some
-// of its items are Unknown.
+// classifyUpdate classifies an update by the operations that were accepted before. The update is Conflict if one of its versions was
+// accepted with another content, Duplicate if all its items were accepted, Unknown if all of them may have been, and otherwise New.
+// The error is set if a valid update must not be acknowledged, and is of type ErrConflict or ErrUndetermined. A New update has an
+// error if some of its items are Unknown.
 func (t Table) classifyUpdate(update Update) (operations.Classification, error) {
-	var count [operations.Unknown + 1]int
-	var undetermined error
+	var counts [operations.Unknown + 1]int
+	var undeterminedErr error
 	for _, item := range update.Items {
 		class := t.classifyItem(item)
-		count[class]++
+		counts[class]++
 		switch class {
 		case operations.Conflict:
 			return class, versionConflict(item)
 		case operations.Unknown:
-			undetermined = errors.WithType(
+			undeterminedErr = errors.WithType(
 				errors.Errorf("%s: the content accepted as version %d is no longer stored", item.label(), item.Version), ErrUndetermined)
 		case operations.New, operations.Duplicate:
 		}
 	}
 	switch {
-	case len(update.Items) == 0 || count[operations.New] > 0:
-		return operations.New, undetermined
-	case undetermined != nil:
-		return operations.Unknown, undetermined
+	case len(update.Items) == 0 || counts[operations.New] > 0:
+		return operations.New, undeterminedErr
+	case undeterminedErr != nil:
+		return operations.Unknown, undeterminedErr
 	}
 	return operations.Duplicate, nil
 }
 
-// versionConflict is the error of an item whose version was accepted with another content.
+// versionConflict returns the error for an item whose version was accepted with another content.
 func versionConflict(item Item) error {
 	return errors.WithType(errors.Errorf("%s: version %d has another content already", item.label(), item.Version), ErrConflict)
 }
 
-// Admit says whether the leader may propose an update. The error is of type ErrConflict if another content was accepted under one
-// of its versions, and of type ErrUndetermined if that can't be known any more. An update that is Duplicate may be acknowledged
-// without being proposed. The table must hold everything that may have been committed before the update.
+// Admit decides whether the leader may propose an update. It may not if the error is set. The error is of type ErrConflict if one of
+// the versions was accepted with another content, and of type ErrUndetermined if the history does not reach back far enough to tell.
+// A Duplicate update may be acknowledged without being proposed. The table must include every update that may have been committed
+// before this one.
 func (t Table) Admit(update Update) (operations.Classification, error) {
 	return t.classifyUpdate(update)
 }
 
-// recordSuperseded adds to the next table, which an update has made of this one, the operations whose items it raised. The next
-// table must not be shared yet.
-func (t Table) recordSuperseded(next Table, raised []Item) Table {
-	for _, item := range raised {
-		before, known := t.items[item.Key]
-		after, kept := next.items[item.Key] // a tombstone may have been pruned
-		if known && kept {
+// recordSuperseded adds to the history of each updated item the operation that the update superseded. next is the table after the
+// update and must not be shared yet.
+func (t Table) recordSuperseded(next Table, updated []Item) Table {
+	for _, item := range updated {
+		before, exists := t.items[item.Key]
+		after, remains := next.items[item.Key] // a tombstone may have been pruned
+		if exists && remains {
 			after.history = before.history.With(supersededOperation(before, item))
 			next.operationCount += after.history.Len()
 			next.items[item.Key] = after
@@ -78,23 +79,23 @@
 	return next
 }
 
-// supersededOperation returns the operation that made an item, with the log time at which another superseded it.
+// supersededOperation returns the operation that set an item to its version, with the log time at which the item by superseded it.
 func supersededOperation(item, by Item) operations.Operation {
 	operation := item.operation()
 	operation.LogTime = by.LogTime
 	return operation
 }
 
-// recordOutdated adds to the next table the operations of an update that arrived too late to take effect and are acknowledged all
-// the same.
+// recordOutdated adds to the next table the new operations of an update whose versions are lower than those of this table. They have
+// no effect but are acknowledged, so they must be remembered.
 func (t Table) recordOutdated(next Table, update Update) Table {
 	cloned := false
 	for _, item := range update.Items {
-		current, known := t.items[item.Key]
-		if !known || item.Version >= current.Version || t.classifyItem(item) != operations.New {
+		current, exists := t.items[item.Key]
+		if !exists || item.Version >= current.Version || t.classifyItem(item) != operations.New {
 			continue
 		}
-		if !cloned { // an update that raises nothing leaves the next table with this table's map
+		if !cloned { // if the update changed no item, next still shares its map with this table
 			next.items = next.cloneItems(0)
 			cloned = true
 		}
@@ -106,8 +107,8 @@
 	return next
 }
 
-// pruneOperations forgets the n earliest operations. Equal log times are ordered by key and version, so that every member forgets
-// the same ones. The table must not be shared yet.
+// pruneOperations removes the n earliest operations from the histories. Operations with equal log times are ordered by key and
+// version, so that every member removes the same ones. The table must not be shared yet.
 func (t *Table) pruneOperations(n int) {
 	type keyedOperation struct {
 		key Key
--- a/internal/mesh/config/operations_search_test.go
+++ b/internal/mesh/config/operations_search_test.go
@@ -13,8 +13,8 @@
 	"cranegrade/internal/testkit"
 )
 
-// searchRequests are the requests of two operators in the search below. Some carry the same item, one is invalid, and after the
-// third the service that the first one needs is gone.
+// searchRequests are the requests of two operators in the search below. Some contain the same item, one is invalid, and the third
+// deletes the service that the first one depends on.
 var searchRequests = []string{
 	routeRequest("r", "old", 5),
 	upsertRequest(routeJSON("r", "new", 5, "")+","+routeJSON("q", "new", 5, ""), ""),
@@ -24,36 +24,36 @@
 	routeRequest("r", "nobody", 4),
 }
 
-// invalidRequest is which of them is invalid.
+// invalidRequest is the index of the invalid request in searchRequests.
 const invalidRequest = 4
 
-// requestSearch tries every order in which requests are sent, proposed, committed and answered, while leaders change and start from
-// disk. Its functions are the code under search, or a mutation of it.
+// requestSearch explores every order in which requests are sent, proposed, committed and answered, while leaders change and restart
+// from disk. Its functions are the code under test or a mutation of it.
 type requestSearch struct {
 	apply   func(Table, Update) (Table, []Item, error)
 	admit   func(Table, Update) error
 	restore func(Table) Table
-	overlap bool // updates are proposed while others of the same items are in flight
+	overlap bool // whether updates are proposed while others with the same items are in flight
 
 	updates []Update
 }
 
-// requestSet is a set of requests, a bit each.
+// requestSet is a set of requests, with one bit for each.
 type requestSet int
 
 func (s requestSet) has(request int) bool { return s&(1<<request) != 0 }
 func (s *requestSet) add(request int)     { *s |= 1 << request }
 
-// requestState is one state of the replicated table as operators see it.
+// requestState is one state of the replicated table and of the requests.
 type requestState struct {
-	table        Table // what the leader has applied, which is all that is committed
-	proposed     []int // requests that the leader has proposed and that are not committed yet
-	left         [5]int
+	table        Table  // table of the leader, which has applied everything that is committed
+	proposed     []int  // requests that the leader has proposed but that are not committed
+	remaining    [5]int // how often each request may still be sent
 	acknowledged requestSet
-	accepted     requestSet // committed and accepted, whether or not anybody was told
-	effective    requestSet // changed something
+	accepted     requestSet // committed and accepted, whether or not the operator received the answer
+	effective    requestSet // changed an item
 	refused      requestSet
-	trail        string
+	trace        string
 }
 
 func (s requestState) key() string {
@@ -63,19 +63,19 @@
 		key = append(append(strconv.AppendBool(key, item.Deleted), item.Body...), item.history.Encode()...)
 	}
 	sets := []int{int(s.acknowledged), int(s.accepted), int(s.effective), int(s.refused)}
-	for _, n := range slices.Concat(s.left[:], sets, s.proposed) {
+	for _, n := range slices.Concat(s.remaining[:], sets, s.proposed) {
 		key = strconv.AppendInt(append(key, ' '), int64(n), 10)
 	}
 	return string(key)
 }
 
-// answer notes the answer to a request and returns what it breaks; empty if nothing.
-func (s *requestState) answer(request int, err error, updates []Update) (breach string) {
+// answer records the answer to a request and returns the invariant that it violates, or an empty string.
+func (s *requestState) answer(request int, err error, updates []Update) (violation string) {
 	switch {
 	case err == nil:
 		s.acknowledged.add(request)
 		if request == invalidRequest {
-			return "an invalid order is acknowledged"
+			return "an invalid request is acknowledged"
 		}
 		for other := range updates {
 			if s.acknowledged.has(other) && contradict(updates[request], updates[other]) {
@@ -88,51 +88,52 @@
 	}
 	switch {
 	case s.refused&s.accepted != 0:
-		return "an order that was taken is refused"
+		return "an accepted request is refused"
 	case s.refused&s.effective != 0:
-		return "an order that was refused has an effect"
+		return "a refused request has an effect"
 	}
 	return ""
 }
 
-// contradict reports whether two updates have different contents under one version of an item.
+// contradict reports whether two updates have different contents for the same version of an item.
 func contradict(a, b Update) bool {
 	return anyPair(a, b, func(x, y Item) bool { return x.Key == y.Key && x.Version == y.Version && !x.hasSameContent(y) })
 }
 
-// shareItem reports whether two updates carry versions of the same item.
+// shareItem reports whether two updates contain versions of the same item.
 func shareItem(a, b Update) bool {
 	return anyPair(a, b, func(x, y Item) bool { return x.Key == y.Key })
 }
 
-func anyPair(a, b Update, holds func(x, y Item) bool) bool {
+// anyPair reports whether any item of a and any item of b match.
+func anyPair(a, b Update, match func(x, y Item) bool) bool {
 	return slices.ContainsFunc(a.Items, func(x Item) bool {
-		return slices.ContainsFunc(b.Items, func(y Item) bool { return holds(x, y) })
+		return slices.ContainsFunc(b.Items, func(y Item) bool { return match(x, y) })
 	})
 }
 
-// commit has the first proposal committed. answered: whoever sent it is told how it ended.
-func (s requestSearch) commit(state requestState, answered bool) (next requestState, breach string) {
+// commit commits the first proposal. answered reports whether its sender receives the result.
+func (s requestSearch) commit(state requestState, answered bool) (next requestState, violation string) {
 	request := state.proposed[0]
-	table, raised, err := s.apply(state.table, s.updates[request])
+	table, updated, err := s.apply(state.table, s.updates[request])
 	state.proposed, state.table = state.proposed[1:], table
 	if err == nil {
 		state.accepted.add(request)
 	}
-	if len(raised) > 0 {
+	if len(updated) > 0 {
 		state.effective.add(request)
 	}
 	if !answered {
 		err = ErrUndetermined
 	}
-	breach = state.answer(request, err, s.updates)
-	return state, breach
+	violation = state.answer(request, err, s.updates)
+	return state, violation
 }
 
-// send has a request, sent for the first time or again at any member, reach the leader. waits: it is not proposed yet.
-func (s requestSearch) send(state requestState, request int) (next requestState, waits bool, breach string) {
-	state.left[request]--
-	state.trail += fmt.Sprint(" send", request)
+// send delivers a request, which may be a repetition, to the leader. waits reports that the request is not proposed yet.
+func (s requestSearch) send(state requestState, request int) (next requestState, waits bool, violation string) {
+	state.remaining[request]--
+	state.trace += fmt.Sprint(" send", request)
 	if err := s.admit(state.table, s.updates[request]); err != nil {
 		return state, false, state.answer(request, err, s.updates)
 	}
@@ -144,66 +145,66 @@
 	return state, false, ""
 }
 
-// next returns the states that can follow, or the first promise that one of them breaks.
-func (s requestSearch) next(state requestState) (following []requestState, breach string) {
-	for request, left := range state.left {
-		if left == 0 {
+// next returns the possible next states, or the first violation in one of them.
+func (s requestSearch) next(state requestState) (following []requestState, violation string) {
+	for request, remaining := range state.remaining {
+		if remaining == 0 {
 			continue
 		}
-		next, waits, breach := s.send(state, request)
-		if breach != "" {
-			return nil, next.trail + ": " + breach
+		next, waits, violation := s.send(state, request)
+		if violation != "" {
+			return nil, next.trace + ": " + violation
 		}
 		if !waits {
 			following = append(following, next)
 		}
 	}
 	if len(state.proposed) > 0 {
-		next, breach := s.commit(state, true)
-		next.trail += fmt.Sprint(" commit", state.proposed[0])
-		if breach != "" {
-			return nil, next.trail + ": " + breach
+		next, violation := s.commit(state, true)
+		next.trace += fmt.Sprint(" commit", state.proposed[0])
+		if violation != "" {
+			return nil, next.trace + ": " + violation
 		}
 		following = append(following, next)
 	}
-	changed, breach := s.leaderChanges(state)
-	return append(following, changed...), breach
+	changed, violation := s.leaderChanges(state)
+	return append(following, changed...), violation
 }
 
-// leaderChanges returns the states after another leader took over, which has some of what was proposed and starts from its disk.
-func (s requestSearch) leaderChanges(state requestState) (following []requestState, breach string) {
-	for kept := range len(state.proposed) + 1 {
-		if kept > 0 {
-			if state, breach = s.commit(state, false); breach != "" {
-				return nil, state.trail + ": " + breach
+// leaderChanges returns the possible states after a leader change. The new leader has some of the proposals and starts from its disk.
+func (s requestSearch) leaderChanges(state requestState) (following []requestState, violation string) {
+	for committed := range len(state.proposed) + 1 {
+		if committed > 0 {
+			if state, violation = s.commit(state, false); violation != "" {
+				return nil, state.trace + ": " + violation
 			}
 		}
 		next := state
 		next.proposed, next.table = nil, s.restore(state.table)
-		next.trail += fmt.Sprint(" lead", kept)
+		next.trace += fmt.Sprint(" lead", committed)
 		following = append(following, next)
 	}
 	return following, ""
 }
 
-// run returns how many states there are and the first broken promise.
-func (s requestSearch) run(t *testing.T) (states int, breach string) {
+// run returns the number of states and the first violation.
+func (s requestSearch) run(t *testing.T) (states int, violation string) {
 	t.Helper()
 	for _, text := range searchRequests {
 		s.updates = append(s.updates, Update{Items: parse(t, text)})
 	}
 	table := withRequests(t, Table{}, upsertRequest(routeJSON("r", "old", 1, ""), serviceJSON("old", 1)+","+serviceJSON("new", 1)))
-	first := requestState{table: table, left: [5]int{2, 2, 1, 2, 1}}
-	if testkit.Race { // which takes many times as long, and looks for other things
-		first.left = [5]int{2, 2, 1, 1, 1}
+	first := requestState{table: table, remaining: [5]int{2, 2, 1, 2, 1}}
+	if testkit.Race { // the race detector makes the search many times slower, and finds races in a smaller search as well
+		first.remaining = [5]int{2, 2, 1, 1, 1}
 	}
 	seen, queue := map[string]bool{first.key(): true}, []requestState{first}
 	for len(queue) > 0 {
 		state := queue[0]
 		queue = queue[1:]
-		following, breach := s.next(state)
-		if breach != "" {
-			return len(seen), breach
+		following, violation := s.next(state)
+		if violation != "" {
+			return len(seen), violation
 		}
 		for _, next := range following {
 			if key := next.key(); !seen[key] {
@@ -215,18 +216,18 @@
 	return len(seen), ""
 }
 
-// Whenever requests are sent again, because an answer was lost or while the first is in flight, and whatever a new leader keeps of
-// what was proposed: each version has one acknowledged content, nothing that was accepted is refused, and nothing that was refused
-// has an effect. Each mutation is found.
+// Requests may be repeated because an answer was lost, or while the first one is in flight, and a new leader may have any part of the
+// proposals. In every case each version is acknowledged with at most one content, no accepted request is refused, and no refused request
+// has an effect. The search detects each mutation.
 func TestSearchRepeatedRequests(t *testing.T) {
 	apply := func(table Table, update Update) (Table, []Item, error) {
-		next, raised, _, err := table.ApplyUpdate(update)
-		return next, raised, err
+		next, updated, _, err := table.ApplyUpdate(update)
+		return next, updated, err
 	}
 	admitAll := func(Table, Update) error { return nil }
-	restart := func(table Table) Table { return restarted(t, table) }
+	restart := func(table Table) Table { return reloaded(t, table) }
 	withoutHistory := func(table Table) Table { return TableFromStorage(ItemsToWire(table.Items()).List) }
-	forgetting := func(table Table) Table {
+	loseHistory := func(table Table) Table {
 		fresh, _ := Table{}.Merge(ItemsFromWire(ItemsToWire(table.Items())))
 		return fresh
 	}
@@ -234,36 +235,36 @@
 		if err := table.validate(update); errors.Is(err, ErrInvalid) {
 			return table, nil, err
 		}
-		next, raised := table.Merge(update.Items)
-		return next, raised, nil
+		next, updated := table.Merge(update.Items)
+		return next, updated, nil
 	}
 	for _, test := range []struct {
-		name   string
-		search requestSearch
-		breach string // part of it; empty: none is found
+		name      string
+		search    requestSearch
+		violation string // part of the expected violation; empty if there must be none
 	}{
-		{"the code as it is", requestSearch{apply: apply, admit: admissionError, restore: restart}, ""},
-		{"disks of a build before histories", requestSearch{apply: apply, admit: admissionError, restore: withoutHistory}, ""},
-		{"mutation: an operation is forgotten too soon", requestSearch{apply: apply, admit: admissionError, restore: forgetting}, "is refused"},
+		{"unchanged code", requestSearch{apply: apply, admit: admissionError, restore: restart}, ""},
+		{"tables stored without histories", requestSearch{apply: apply, admit: admissionError, restore: withoutHistory}, ""},
+		{"mutation: histories are lost at a restart", requestSearch{apply: apply, admit: admissionError, restore: loseHistory}, "is refused"},
 		{
-			"mutation: an equal version is acknowledged twice",
+			"mutation: two contents of one version are acknowledged",
 			requestSearch{apply: mergeUnchecked, admit: admitAll, restore: restart},
 			"two contents",
 		},
 		{
-			"mutation: proposed beside another of the same item",
+			"mutation: proposed while another update of the same item is in flight",
 			requestSearch{apply: apply, admit: admissionError, restore: restart, overlap: true},
 			"has an effect",
 		},
-		{"mutation: not admitted by the leader", requestSearch{apply: apply, admit: admitAll, restore: restart}, "has an effect"},
+		{"mutation: proposed without admission by the leader", requestSearch{apply: apply, admit: admitAll, restore: restart}, "has an effect"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			states, breach := test.search.run(t)
-			t.Logf("%d states: %s", states, breach)
-			if test.breach == "" {
-				assert.Equal(t, breach, "")
+			states, violation := test.search.run(t)
+			t.Logf("%d states: %s", states, violation)
+			if test.violation == "" {
+				assert.Equal(t, violation, "")
 			}
-			assert.Assert(t, strings.Contains(breach, test.breach), breach)
+			assert.Assert(t, strings.Contains(violation, test.violation), violation)
 		})
 	}
 }
--- a/internal/mesh/config/operations_test.go
+++ b/internal/mesh/config/operations_test.go
@@ -15,22 +15,22 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// assertDuplicate shows that a request is known to have been accepted.
+// assertDuplicate checks that a table recognizes a request as accepted before.
 func assertDuplicate(t *testing.T, table Table, request string) {
 	t.Helper()
 	class, err := table.Admit(Update{Items: parse(t, request)})
 	assert.Assert(t, err == nil && class == operations.Duplicate, "%s: %v", request, err)
 }
 
-// assertNotAdmitted shows that a request is turned down with an error of a type.
+// assertNotAdmitted checks that a table does not admit a request, with an error of the given type.
 func assertNotAdmitted(t *testing.T, table Table, request string, errorType error) {
 	t.Helper()
 	err := admissionError(table, Update{Items: parse(t, request)})
 	assert.Assert(t, errors.Is(err, errorType), "%s: %v", request, err)
 }
 
-// A request that was accepted is acknowledged again whatever was accepted since, and another content under its version is not; the
-// same after a restart from disk.
+// A repeated request that was accepted before is acknowledged, whatever was accepted in the meantime, and the same version with another
+// content is not. This also holds after a member has restarted from its disk.
 func TestRepeatedRequestIsAcknowledged(t *testing.T) {
 	first := routeRequest("r", "old", 5)
 	both := upsertRequest(routeJSON("r", "old", 5, "")+","+routeJSON("q", "old", 5, ""), "")
@@ -52,46 +52,46 @@
 		table Table
 	}{
 		{"as applied", table},
-		{"after a restart", restarted(t, table)},
-		{"after two restarts", restarted(t, restarted(t, table))},
+		{"after a restart", reloaded(t, table)},
+		{"after two restarts", reloaded(t, reloaded(t, table))},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for _, request := range accepted {
 				assertDuplicate(t, test.table, request)
-				_, raised, _, err := test.table.ApplyUpdate(Update{Items: parse(t, request)})
+				_, updated, _, err := test.table.ApplyUpdate(Update{Items: parse(t, request)})
 				assert.NilError(t, err, request)
-				assert.Equal(t, len(raised), 0)
+				assert.Equal(t, len(updated), 0)
 			}
 			for _, request := range conflicting {
 				assertNotAdmitted(t, test.table, request, ErrConflict)
 			}
 			_, _, err := test.table.ApplyItems(parse(t, other))
 			assert.Assert(t, errors.Is(err, ErrConflict))
-			// An invalid request stays invalid, also with versions that are older than the table's.
+			// An invalid request is refused even if its versions are older than those of the table.
 			_, _, err = test.table.ApplyItems(parse(t, routeRequest("r", "nobody", 2)))
 			assert.Assert(t, errors.Is(err, ErrInvalid))
 		})
 	}
 }
 
-// Of items that were stored without a history no earlier version is known: a request with one is neither acknowledged nor refused.
-// What is accepted later is remembered.
+// For items that were stored without a history it is unknown which earlier versions were accepted: a request with such a version is
+// neither acknowledged nor refused. Operations that are accepted later are remembered.
 func TestTableStoredWithoutHistory(t *testing.T) {
 	items := parse(t, upsertRequest(routeJSON("r", "s", 5, "")+","+routeJSON("q", "s", 5, ""), serviceJSON("s", 1)))
-	table := TableFromStorage(ItemsToWire(items).List) // as builds before histories stored it
+	table := TableFromStorage(ItemsToWire(items).List) // as stored by versions of the program before histories
 	for _, request := range []string{routeRequest("r", "s", 3), routeRequest("r", "gone", 3)} {
-		_, raised, err := table.ApplyItems(parse(t, request))
-		assert.Assert(t, errors.Is(err, ErrUndetermined) && len(raised) == 0, "%v", err)
+		_, updated, err := table.ApplyItems(parse(t, request))
+		assert.Assert(t, errors.Is(err, ErrUndetermined) && len(updated) == 0, "%v", err)
 	}
 	_, _, err := table.ApplyItems(parse(t, routeRequest("r", "s", 5)))
 	assert.NilError(t, err)
 	table = withRequests(t, table, routeRequest("r", "s", 9), routeRequest("r", "s", 5), routeRequest("r", "s", 7))
 	assertNotAdmitted(t, table, upsertRequest(routeJSON("r", "s", 7, `,"X":1`), ""), ErrConflict)
-	// A new item beside one of an unknown version is not proposed.
+	// An update with a new item and an item of unknown version is not proposed.
 	assertNotAdmitted(t, table, upsertRequest(routeJSON("r", "s", 3, "")+","+routeJSON("new", "s", 1, ""), ""), ErrUndetermined)
 }
 
-// countOperations counts what a table remembers, item by item.
+// countOperations returns the number of operations in the histories of all items.
 func countOperations(table Table) (count int) {
 	for _, item := range table.Items() {
 		count += item.history.Len()
@@ -99,8 +99,8 @@
 	return count
 }
 
-// The operations of all items together are bounded. Past the bound the earliest are pruned, the same ones on a member that began
-// with a snapshot, and a request among them is undetermined.
+// The total number of operations of all items is bounded. Beyond the bound the earliest are pruned, the same ones on a member that
+// started from a snapshot, and repeating a request whose operation was pruned is undetermined.
 func TestOperationsAreBounded(t *testing.T) {
 	const itemCount = 512
 	const rounds = MaxOperations/itemCount + 10
@@ -108,7 +108,7 @@
 		body := fmt.Appendf(nil, `{"ForwardAction":{"Service":"s"},"N":%d}`, version)
 		return Item{Key: Key{KindRoute, fmt.Sprint(name)}, Version: int64(version), Host: "h", Body: body, LogTime: time.Duration(version)}
 	}
-	raiseAll := func(table Table, version int) Table {
+	updateAll := func(table Table, version int) Table {
 		var items []Item
 		for n := range itemCount {
 			items = append(items, route(n, version))
@@ -118,21 +118,21 @@
 		return next
 	}
 	table := withRequests(t, Table{}, serviceRequest("s"))
-	var joined Table // of a member that began with a snapshot half-way
+	var snapshotTable Table // table of a member that starts from a snapshot after half of the rounds
 	for version := 1; version <= rounds; version++ {
 		if version == rounds/2 {
-			joined = restarted(t, table)
+			snapshotTable = reloaded(t, table)
 		}
-		table = raiseAll(table, version)
+		table = updateAll(table, version)
 		if version >= rounds/2 {
-			joined = raiseAll(joined, version)
+			snapshotTable = updateAll(snapshotTable, version)
 		}
 		assert.Assert(t, table.operationCount <= MaxOperations)
 	}
 	assert.Equal(t, table.operationCount, countOperations(table))
-	assert.Equal(t, joined.operationCount, countOperations(joined))
+	assert.Equal(t, snapshotTable.operationCount, countOperations(snapshotTable))
 	stored := func(table Table) []byte { return codec.EncodeTable(&wire.StateT{Items: TableToStorage(table)}) }
-	assert.Assert(t, bytes.Equal(stored(joined), stored(table)))
+	assert.Assert(t, bytes.Equal(stored(snapshotTable), stored(table)))
 	assert.Assert(t, countOperations(table) >= operationsAfterPruning)
 	_, _, err := table.ApplyItems([]Item{route(3, 1)})
 	assert.Assert(t, errors.Is(err, ErrUndetermined), "%v", err)
@@ -140,21 +140,21 @@
 	assert.NilError(t, err)
 }
 
-// Over hundreds of changes of the same few routes every request stays known: one that comes again, however late, is acknowledged,
-// and another content under its version is not, also after a restart from disk.
-func TestHundredsOfChangesStayKnown(t *testing.T) {
+// After hundreds of changes of the same few routes, every earlier request is still recognized: a repeated request is acknowledged, and
+// the same version with another content is not. This also holds after a restart from disk.
+func TestHistoryCoversHundredsOfChanges(t *testing.T) {
 	const changes, routes = 600, 3
 	request := func(n int, extra string) string {
 		return upsertRequest(routeJSON(fmt.Sprint("r", n%routes), "s", n, extra), "")
 	}
 	table := withRequests(t, Table{}, serviceRequest("s"))
 	for n := 1; n <= changes; n++ {
-		if n%5 == 0 { // some overtake the next one
+		if n%5 == 0 { // some changes arrive before the previous one of the same route
 			table = withRequests(t, table, request(n+routes, ""))
 		}
 		table = withRequests(t, table, request(n, ""))
 	}
-	for _, table := range []Table{table, restarted(t, table)} {
+	for _, table := range []Table{table, reloaded(t, table)} {
 		for n := 1; n <= changes; n++ {
 			assertDuplicate(t, table, request(n, ""))
 			assertNotAdmitted(t, table, request(n, `,"X":1`), ErrConflict)
@@ -162,7 +162,7 @@
 	}
 }
 
-// applyWithoutHistory is ApplyUpdate of the builds before histories, which may have applied the same log on another member.
+// applyWithoutHistory is ApplyUpdate as it was in versions of the program before histories, which may run on other members.
 func applyWithoutHistory(table Table, update Update) Table {
 	if table.validate(update) != nil {
 		return table
@@ -171,7 +171,7 @@
 	return next
 }
 
-// randomItem draws an item of few names and versions, so that items of different updates meet.
+// randomItem returns a random item with one of a few names and versions, so that different updates often contain the same item.
 func randomItem(random *rand.Rand) Item {
 	n := random.IntN(4)
 	version := int64(1 + random.IntN(9))
@@ -186,7 +186,7 @@
 	return Item{Key: Key{KindRoute, fmt.Sprint("r", n)}, Version: version, Host: "h", Body: body}
 }
 
-// randomUpdate draws an update of up to three items; ok is false if it contradicts itself.
+// randomUpdate returns a random update of up to three items. ok is false if it contains two contents for one version.
 func randomUpdate(random *rand.Rand, logTime time.Duration) (update Update, ok bool) {
 	for range 1 + random.IntN(3) {
 		update.Items = append(update.Items, randomItem(random))
@@ -198,42 +198,42 @@
 	return Update{Items: items}, err == nil
 }
 
-// Which items a table holds does not depend on what it remembers of their operations: otherwise members of two builds, or one that
-// began with another's snapshot, would diverge.
+// The items of a table do not depend on the histories of their operations. Otherwise members that run different versions of the
+// program, or a member that started from the snapshot of another, would diverge.
 func TestItemsDoNotDependOnHistories(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 7))
-	raisedCount, refused, undetermined := 0, 0, 0
+	updatedCount, refused, undetermined := 0, 0, 0
 	for range 300 {
-		var remembering, forgetful, earlierBuild Table
+		var withHistory, withLostHistory, withoutHistory Table
 		for step := range 40 {
 			update, ok := randomUpdate(random, time.Duration(step))
 			if !ok {
 				continue
 			}
-			next, raised, _, err := remembering.ApplyUpdate(update)
-			remembering = next
-			forgetful, _, _, _ = forgetful.ApplyUpdate(update)
-			earlierBuild = applyWithoutHistory(earlierBuild, update)
+			next, updated, _, err := withHistory.ApplyUpdate(update)
+			withHistory = next
+			withLostHistory, _, _, _ = withLostHistory.ApplyUpdate(update)
+			withoutHistory = applyWithoutHistory(withoutHistory, update)
 			if random.IntN(5) == 0 {
-				forgetful = TableFromStorage(ItemsToWire(forgetful.Items()).List)
+				withLostHistory = TableFromStorage(ItemsToWire(withLostHistory.Items()).List)
 			}
-			raisedCount += len(raised)
+			updatedCount += len(updated)
 			switch {
 			case errors.Is(err, ErrUndetermined):
 				undetermined++
 			case err != nil:
 				refused++
 			}
-			want := codec.EncodeTable(ItemsToWire(earlierBuild.Items()))
-			assert.Assert(t, bytes.Equal(codec.EncodeTable(ItemsToWire(remembering.Items())), want))
-			assert.Assert(t, bytes.Equal(codec.EncodeTable(ItemsToWire(forgetful.Items())), want))
+			want := codec.EncodeTable(ItemsToWire(withoutHistory.Items()))
+			assert.Assert(t, bytes.Equal(codec.EncodeTable(ItemsToWire(withHistory.Items())), want))
+			assert.Assert(t, bytes.Equal(codec.EncodeTable(ItemsToWire(withLostHistory.Items())), want))
 		}
 	}
-	assert.Assert(t, raisedCount > 1000 && refused > 1000 && undetermined > 100,
-		"%d raised, %d refused, %d undetermined: the updates meet too rarely", raisedCount, refused, undetermined)
+	assert.Assert(t, updatedCount > 1000 && refused > 1000 && undetermined > 100,
+		"%d updated, %d refused, %d undetermined: too few updates have items in common", updatedCount, refused, undetermined)
 }
 
-// Whatever history a disk holds is read, and the table can be used.
+// FuzzTableFromStorage checks that a table with any stored history, valid or not, can be loaded and updated.
 func FuzzTableFromStorage(f *testing.F) {
 	f.Add(Item{Key: Key{KindRoute, "r"}, Version: 3}.history.Encode(), int64(3))
 	f.Fuzz(func(_ *testing.T, history []byte, version int64) {
--- a/internal/mesh/config/policyset.go
+++ b/internal/mesh/config/policyset.go
@@ -6,8 +6,8 @@
 	"cranegrade/internal/mesh/policy"
 )
 
-// NewPolicySet builds the policy set of the routes of one table and the namespaces and policies of another. The tables differ while
-// policies were accepted that are not active yet.
+// NewPolicySet builds a policy set from the routes of one table and the namespaces and policies of another. The tables differ while
+// policies are committed but not active yet.
 func NewPolicySet(routes, policies Table) *policy.Set {
 	var namespaces []policy.Namespace
 	var rules []policy.Policy
@@ -31,7 +31,7 @@
 	return policy.NewSet(namespaces, rules, governed)
 }
 
-// policyRoute returns what the policy set has to know of a route.
+// policyRoute returns the properties of a route that the policy set depends on.
 func policyRoute(item Item, spec *RouteSpec) policy.Route {
 	route := policy.Route{
 		Name:        spec.Name,
@@ -49,14 +49,14 @@
 	return route
 }
 
-// checkPolicies evaluates an update that raised items against the owners' rights and policies. It sets the policy set of the next
-// table. The error is of type ErrInvalid, ErrConflict or ErrForbidden.
-func checkPolicies(current, next *Table, raised []Item, update Update) ([]policy.Effect, error) {
+// checkPolicies checks whether the author of an update may change the updated items, and whether the resulting policies contradict each
+// other. It sets the policy set of the next table. The error is of type ErrInvalid, ErrConflict or ErrForbidden.
+func checkPolicies(current, next *Table, updated []Item, update Update) ([]policy.Effect, error) {
 	if current.policySet == nil {
 		current.policySet = NewPolicySet(*current, *current)
 	}
 	next.policySet = NewPolicySet(*next, *next)
-	effects, err := policy.Evaluate(current.policySet, next.policySet, policyChange(raised, update))
+	effects, err := policy.Evaluate(current.policySet, next.policySet, policyChange(updated, update))
 	switch {
 	case errors.Is(err, policy.ErrInvalidSet):
 		return nil, newFieldError(requestLabel, "", "%v", err)
@@ -68,10 +68,10 @@
 	return effects, nil
 }
 
-// policyChange sorts the items that an update raised by what they are to the policy set.
-func policyChange(raised []Item, update Update) policy.Change {
+// policyChange groups the items that an update changed by their kind for the evaluation of policies.
+func policyChange(updated []Item, update Update) policy.Change {
 	change := policy.Change{Author: update.Author, Consents: update.Consents}
-	for _, item := range raised {
+	for _, item := range updated {
 		switch item.Kind {
 		case KindNamespace:
 			change.Namespaces = append(change.Namespaces, item.Name)
@@ -86,7 +86,7 @@
 	return change
 }
 
-// PolicyItems returns a table of the namespaces and policies alone, without tombstones.
+// PolicyItems returns a table with only the namespaces and policies, without tombstones.
 func (t Table) PolicyItems() Table {
 	policies := Table{items: map[Key]Item{}, policyCount: t.policyCount}
 	if t.policyCount > 0 {
@@ -99,10 +99,10 @@
 	return policies
 }
 
-// HasPolicyItems reports whether the table has namespaces or policies.
+// HasPolicyItems reports whether the table has any namespace or policy that is not deleted.
 func (t Table) HasPolicyItems() bool { return t.policyCount > 0 }
 
-// PolicyFingerprint identifies the namespaces and policies of the table. It is empty if there are none.
+// PolicyFingerprint returns a fingerprint of the namespaces and policies of the table. It is empty if there are none.
 func (t Table) PolicyFingerprint() string {
 	if !t.HasPolicyItems() {
 		return ""
--- a/internal/mesh/config/policyset_test.go
+++ b/internal/mesh/config/policyset_test.go
@@ -11,17 +11,17 @@
 	"cranegrade/internal/mesh/policy"
 )
 
-// namespacesRequest has two namespaces: ana's owns a host, bo's a service.
+// namespacesRequest upserts two namespaces: shop with the owner ana and a host, and store with the owner bo and a service.
 const namespacesRequest = `{"Upsert":{"NamespaceList":[{"Name":"shop","ConfigVersion":1,"Owners":["ana"],"Hosts":["h.example"]},` +
 	`{"Name":"store","ConfigVersion":1,"Owners":["bo"],"Services":["s"]}]}}`
 
-// policyRequest is a request with one policy of a namespace. extra is JSON behind its last field.
+// policyRequest returns a request that upserts one policy of a namespace. extra is JSON that is inserted after its last field.
 func policyRequest(author, name, namespace string, version int, extra string) string {
 	return fmt.Sprintf(`{"By":%q,"Upsert":{"RulingList":[{"Name":%q,"Namespace":%q,"ConfigVersion":%d%s}]}}`,
 		author, name, namespace, version, extra)
 }
 
-// applyRequest applies a request of any author. A request that is refused must leave the table as it was.
+// applyRequest applies a request of any author, and checks that a refused request leaves the table unchanged.
 func applyRequest(t *testing.T, table Table, text string) (Table, error) {
 	t.Helper()
 	update, err := ParseUpdate([]byte(text))
@@ -43,19 +43,19 @@
 	return next
 }
 
-// Namespaces and policies are items as all others are: parsed, validated, merged, laid out. A request that is refused changes
-// nothing, and each error has its type.
-func TestPoliciesAreItems(t *testing.T) {
+// Namespaces and policies are parsed, validated, merged and returned like all other items. A refused request changes nothing, and its
+// error has the expected type.
+func TestNamespaceAndPolicyItems(t *testing.T) {
 	table := mustApplyRequest(t, Table{}, upsertRequest(routeJSON("r", "s", 1, ""), serviceJSON("s", 1)))
 	assert.Equal(t, table.PolicyFingerprint(), "")
 	table = mustApplyRequest(t, table, namespacesRequest)
 	fingerprint := table.PolicyFingerprint()
-	table = mustApplyRequest(t, table, namespacesRequest) // again
+	table = mustApplyRequest(t, table, namespacesRequest) // repeated
 	assert.Equal(t, table.PolicyFingerprint(), fingerprint)
 	looserPolicy := policyRequest("bo", "calm", "store", 2, `,"Tries":2,"TimeoutS":1.5`)
 	for _, test := range []struct {
 		name, request string
-		errorType     error // nil: it is accepted
+		errorType     error // nil if the request is accepted
 		want          string
 	}{
 		{
@@ -63,23 +63,23 @@
 			"namespace shop: Owners",
 		},
 		{
-			"policy that says nothing", policyRequest("bo", "calm", "store", 1, ""), ErrInvalid,
+			"policy without any requirement", policyRequest("bo", "calm", "store", 1, ""), ErrInvalid,
 			"ruling calm: Tries is not there, nor any other field",
 		},
 		{"unknown condition", policyRequest("bo", "calm", "store", 1, `,"RetryOn":["never"]`), ErrInvalid, "ruling calm: RetryOn[0] is never"},
 		{"unknown namespace", policyRequest("bo", "calm", "nobody", 1, `,"Tries":1`), ErrInvalid, "not known"},
 		{
-			"policy of another's namespace", policyRequest("ana", "calm", "store", 1, `,"Tries":1`), ErrForbidden,
+			"policy of a namespace of another owner", policyRequest("ana", "calm", "store", 1, `,"Tries":1`), ErrForbidden,
 			"policy calm is of store, and ana owns shop",
 		},
-		{"item of the mesh", `{"By":"bo","Upsert":{"UpstreamGroups":[` + serviceJSON("s", 2) + `]}}`, ErrForbidden, "service s is of mesh"},
+		{"item of the mesh operator", `{"By":"bo","Upsert":{"UpstreamGroups":[` + serviceJSON("s", 2) + `]}}`, ErrForbidden, "service s is of mesh"},
 		{"policy", policyRequest("bo", "calm", "store", 1, `,"Tries":1,"TimeoutS":1.5`), nil, ""},
 		{
-			"another content of one version", policyRequest("bo", "calm", "store", 1, `,"Tries":1,"TimeoutS":1.6`), ErrConflict,
+			"same version with another content", policyRequest("bo", "calm", "store", 1, `,"Tries":1,"TimeoutS":1.6`), ErrConflict,
 			"version 1 has another content already",
 		},
 		{
-			"policies that contradict", policyRequest("ana", "slow", "shop", 1, `,"NeedsS":1.8`), ErrConflict,
+			"policies that contradict each other", policyRequest("ana", "slow", "shop", 1, `,"NeedsS":1.8`), ErrConflict,
 			"ruling calm of store, version 1 (as service) says TimeoutS 1.5",
 		},
 		{"looser policy", looserPolicy, ErrForbidden, "shop has to consent"},
@@ -99,7 +99,7 @@
 		assert.Assert(t, errors.Is(err, test.errorType), "%s: %v", test.name, err)
 		assert.ErrorContains(t, err, test.want)
 	}
-	assertSetDoesNotDependOnOrder(t, table)
+	assertFingerprintIndependentOfOrder(t, table)
 	assert.Equal(t, len(table.Document().NamespaceList)+len(table.Document().RulingList), 3)
 	clauses, governed := NewPolicySet(table, table).ClausesFor(mustRoute(t, table), "s", "")
 	assert.Assert(t, governed && len(clauses) == 5, "%v", clauses)
@@ -109,8 +109,9 @@
 	assert.Assert(t, !table.HasPolicyItems())
 }
 
-// assertSetDoesNotDependOnOrder shows that items merged one by one make the same policy set, by themselves as well.
-func assertSetDoesNotDependOnOrder(t *testing.T, table Table) {
+// assertFingerprintIndependentOfOrder checks that items that are merged one by one in reverse order have the same policy fingerprint, and
+// that the policy items alone have it, too.
+func assertFingerprintIndependentOfOrder(t *testing.T, table Table) {
 	t.Helper()
 	items := table.Items()
 	reversed := Table{}
@@ -123,7 +124,7 @@
 
 func mustRoute(t *testing.T, table Table) policy.Route {
 	t.Helper()
-	route, known := NewPolicySet(table, table).Route("r")
-	assert.Assert(t, known)
+	route, exists := NewPolicySet(table, table).Route("r")
+	assert.Assert(t, exists)
 	return route
 }
--- a/internal/mesh/config/request.go
+++ b/internal/mesh/config/request.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// ModifyRequest is the JSON body with which an operator changes the configuration.
+// ModifyRequest is the JSON body of an operator's request to change the configuration.
 type ModifyRequest struct {
 	Upsert *Document `json:"Upsert"`
 	Remove *Removals `json:"Remove,omitempty"`
-	// By is the owner on whose behalf the request is made; empty for the operator of the mesh. Consents are those of other owners
-	// to what it loosens, as namespace:name. Neither is authenticated.
+	// By is the owner on whose behalf the request is made; it is empty for the operator of the mesh. Consents names, in the form
+	// namespace:owner, the other owners who consent to the policies that the request loosens. Neither is authenticated.
 	By       string   `json:"By,omitempty" validate:"max=128"`
 	Consents []string `json:"Consents,omitempty" validate:"max=64,dive,max=257"`
 }
 
-// Removals are the items that a request deletes, by kind.
+// Removals lists the items that a request deletes, by kind.
 type Removals struct {
 	RouteTable     []Removal `json:"RouteTable"`
 	ServiceTable   []Removal `json:"ServiceTable"`
-	UpstreamGroups []Removal `json:"UpstreamGroups"` // services as well
+	UpstreamGroups []Removal `json:"UpstreamGroups"` // also services
 	ContractTable  []Removal `json:"ContractTable"`
 	NamespaceTable []Removal `json:"NamespaceTable"`
 	RulingTable    []Removal `json:"RulingTable"`
 }
 
-// Removal names an item that is to be deleted.
+// Removal names an item to delete. It takes effect if its version is higher than that of the item.
 type Removal struct {
 	Name          string `json:"Name" validate:"required,max=512"`
 	ConfigVersion int64  `json:"ConfigVersion"`
@@ -38,13 +38,13 @@
 	return update.Items, err
 }
 
-// ParseUpdate parses a request and checks all that can be checked without knowing the configuration. The error is a *FieldError.
+// ParseUpdate parses a request and performs the checks that do not depend on the current configuration. The error is a *FieldError.
 func ParseUpdate(text []byte) (Update, error) {
 	var request ModifyRequest
 	items, err := request.parse(text)
 	if err != nil {
 		if err.Line == 0 && bytes.IndexByte(text, '\n') >= 0 {
-			err.locate(text)
+			err.setLine(text)
 		}
 		return Update{}, err
 	}
@@ -62,7 +62,7 @@
 	if m.Upsert == nil && m.Remove == nil {
 		return nil, newFieldError(requestLabel, "", "holds no items")
 	}
-	// The items' own fields are checked further on, where their errors can name the item.
+	// Only the request's own fields are checked here. The fields of the items are checked below, where errors can name the item.
 	if err := checkTags(requestLabel, *m); err != nil && (err.Field == "By" || strings.HasPrefix(err.Field, "Consents")) {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 	return deduplicate(items)
 }
 
-// items returns the tombstones of all that is to be deleted.
+// items returns a tombstone for each item to delete.
 func (r *Removals) items() (items []Item, err *FieldError) {
 	for _, list := range []struct {
 		kind     Kind
@@ -108,7 +108,7 @@
 	return items, nil
 }
 
-// deduplicate leaves each key once: of equal items one, of several versions the highest.
+// deduplicate returns the items with each key once, in its highest version. Two contents for one version are an error.
 func deduplicate(items []Item) ([]Item, *FieldError) {
 	position := map[Key]int{}
 	var unique []Item
--- a/internal/mesh/config/request_test.go
+++ b/internal/mesh/config/request_test.go
@@ -8,22 +8,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// An invalid request gives one line that names the item and the field.
+// The error of an invalid request names the item and the field.
 func TestInvalidRequestNamesItemAndField(t *testing.T) {
 	route := routeJSON("r", "s", 3, "")
 	request := upsertRequest(route, "")
 	replaced := func(old, replacement string) string { return strings.Replace(request, old, replacement, 1) }
 	for _, test := range []struct{ name, request, want string }{
-		{"cut off", request[:90], "read whole"},
+		{"truncated", request[:90], "read whole"},
 		{"time-out of zero", replaced(`"TimeoutS":2`, `"TimeoutS":0`), "route r: ForwardAction.TimeoutS"},
 		{"no attempt", replaced(`"RetryCount":2`, `"RetryCount":0`), "route r: ForwardAction.RetryCount"},
 		{"latency target far beyond the time-out", replaced(`"TargetLatencyS":0.8`, `"TargetLatencyS":62`), "route r: TargetLatencyS"},
 		{"weights of zero", replaced(`"Service":"s"`, `"TrafficSplit":[{"Service":"s","Weight":0}]`), "weights sum to 0"},
 		{"no host", replaced("h.example", ""), "HostName is empty"},
-		{"prefix that is no folder", replaced(`"/p/"`, `"p"`), "PathPrefix"},
+		{"prefix without slashes", replaced(`"/p/"`, `"p"`), "PathPrefix"},
 		{"two contents of one version", upsertRequest(route+","+routeJSON("r", "t", 3, ""), ""), "twice"},
 		{"no items", `{}`, "no items"},
-		{"text behind the request", request + "x", "after the end"},
+		{"data after the request", request + "x", "after the end"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := ParseItems([]byte(test.request))
@@ -33,7 +33,7 @@
 	}
 }
 
-// Where a request is written in lines, the error names that of the field.
+// If a request has several lines, the error names the line of the field.
 func TestInvalidRequestNamesLine(t *testing.T) {
 	request := "{\"Upsert\":{\"ListenerList\":[{\"HostName\":\"h\",\"PolicyRules\":[\n" + routeJSON("a", "s", 1, "") + ",\n" +
 		strings.ReplaceAll(routeJSON("b", "s", 1, ""), ",", ",\n") + "]}]}}"
@@ -44,7 +44,7 @@
 			"field of another type", "\n\"RetryCount\":2", "\n\"RetryCount\":\"two\"",
 			"line 11: a rule of host h: ForwardAction.RetryCount is a string",
 		},
-		{"no JSON", "\n\"Priority\":2,", "\n\"Priority\":2", "line 7: the call: can't be read whole"},
+		{"invalid JSON", "\n\"Priority\":2,", "\n\"Priority\":2", "line 7: the call: can't be read whole"},
 		{"removal", "]}]}}", "]}]},\n\"Remove\":{\"RouteTable\":[\n{\"Name\":\"\"}]}}", "line 13: Remove: route"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Whatever text parses can be applied.
+// FuzzParseItems checks that applying the items of any request that can be parsed does not panic.
 func FuzzParseItems(f *testing.F) {
 	f.Add(upsertRequest(routeJSON("r", "s", 1, ""), serviceJSON("s", 1)))
 	f.Fuzz(func(_ *testing.T, text string) {
--- a/internal/mesh/config/table_search_test.go
+++ b/internal/mesh/config/table_search_test.go
@@ -9,30 +9,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// tableSearch tries every order in which requests reach a member's table and what was committed reaches a sidecar's table: late,
-// twice, out of order, or through a member that is behind.
+// tableSearch explores every order in which requests reach a member's table and committed items reach a sidecar's table: late, twice,
+// out of order, or from a member that lags behind.
 type tableSearch struct {
-	key      Key // the item that all requests are about
+	key      Key // the item that all requests change
 	base     Table
 	requests [][]Item
-	removal  int // the request that deletes the item; its version is the highest
+	removal  int // index of the request that deletes the item; its version is the highest
 
 	apply        func(Table, []Item) (Table, error)
-	noTombstones bool // the sidecar's table forgets what was deleted
+	noTombstones bool // whether the sidecar's table discards tombstones
 }
 
 // tableState is one state of the search.
 type tableState struct {
 	member, sidecar Table
 	unsent          []int
-	undelivered     [][]Item // committed and not delivered to the sidecar; may be delivered once more at will
-	acknowledged    map[int64]int
-	trail           string
+	undelivered     [][]Item      // committed but not delivered to the sidecar; may be delivered repeatedly
+	acknowledged    map[int64]int // acknowledged request, by version
+	trace           string
 }
 
 func (s *tableSearch) itemText(table Table) string {
-	item, known := table.Get(s.key)
-	return fmt.Sprint(known, item.Version, item.Deleted, len(item.Body))
+	item, exists := table.Get(s.key)
+	return fmt.Sprint(exists, item.Version, item.Deleted, len(item.Body))
 }
 
 func (s *tableSearch) stateKey(state tableState) string {
@@ -43,8 +43,8 @@
 	return key
 }
 
-// run returns how many states there are and the first broken promise.
-func (s *tableSearch) run() (states int, breach string) {
+// run returns the number of states and the first violation.
+func (s *tableSearch) run() (states int, violation string) {
 	seen := map[string]bool{}
 	queue := []tableState{{member: s.base, sidecar: s.base, unsent: []int{0, 1, 2, 3, 4}, acknowledged: map[int64]int{}}}
 	for len(queue) > 0 {
@@ -56,16 +56,16 @@
 		}
 		seen[key] = true
 		for n := range state.unsent {
-			next, breach := s.send(state, n)
-			if breach != "" {
-				return len(seen), breach
+			next, violation := s.send(state, n)
+			if violation != "" {
+				return len(seen), violation
 			}
 			queue = append(queue, next)
 		}
 		for n := range state.undelivered {
-			next, breach := s.deliver(state, n)
-			if breach != "" {
-				return len(seen), breach
+			next, violation := s.deliver(state, n)
+			if violation != "" {
+				return len(seen), violation
 			}
 			again := next
 			again.undelivered = state.undelivered
@@ -75,33 +75,33 @@
 	return len(seen), ""
 }
 
-// send has a request reach the member.
-func (s *tableSearch) send(state tableState, n int) (next tableState, breach string) {
+// send delivers a request to the member.
+func (s *tableSearch) send(state tableState, n int) (next tableState, violation string) {
 	request := state.unsent[n]
 	items := s.requests[request]
 	table, err := s.apply(state.member, items)
 	next = state
-	next.member, next.unsent, next.trail = table, without(state.unsent, n), state.trail+fmt.Sprint(" call", request)
+	next.member, next.unsent, next.trace = table, without(state.unsent, n), state.trace+fmt.Sprint(" send", request)
 	if err == nil {
 		next.undelivered = with(state.undelivered, items)
-		version := items[0].Version // one that is lower than the table's is acknowledged as well
-		if before, known := state.acknowledged[version]; known && before != request {
-			return next, next.trail + ": two contents of one version are acknowledged"
+		version := items[0].Version // versions lower than that of the table are acknowledged, too
+		if before, exists := state.acknowledged[version]; exists && before != request {
+			return next, next.trace + ": two contents of one version are acknowledged"
 		}
 		next.acknowledged = map[int64]int{version: request}
 		maps.Copy(next.acknowledged, state.acknowledged)
 	}
 	removalVersion := s.requests[s.removal][0].Version
-	if acknowledged, known := state.acknowledged[removalVersion]; known && acknowledged == s.removal {
-		if item, known := table.Get(s.key); known && !item.Deleted {
-			return next, next.trail + ": what was dropped is there again"
+	if acknowledged, exists := state.acknowledged[removalVersion]; exists && acknowledged == s.removal {
+		if item, exists := table.Get(s.key); exists && !item.Deleted {
+			return next, next.trace + ": the deleted item exists again"
 		}
 	}
 	return next, ""
 }
 
-// deliver has committed items reach the sidecar.
-func (s *tableSearch) deliver(state tableState, n int) (next tableState, breach string) {
+// deliver delivers committed items to the sidecar.
+func (s *tableSearch) deliver(state tableState, n int) (next tableState, violation string) {
 	items := state.undelivered[n]
 	table, _ := state.sidecar.Merge(items)
 	if s.noTombstones {
@@ -109,33 +109,33 @@
 	}
 	next = state
 	next.sidecar, next.undelivered = table, without(state.undelivered, n)
-	next.trail += fmt.Sprint(" tell", items[0].Version)
+	next.trace += fmt.Sprint(" deliver", items[0].Version)
 	before, _ := state.sidecar.Get(s.key)
-	after, known := table.Get(s.key)
-	if known && after.Version < before.Version || !known && before.Version > 0 && !s.noTombstones {
-		return next, next.trail + ": the line goes back"
+	after, exists := table.Get(s.key)
+	if exists && after.Version < before.Version || !exists && before.Version > 0 && !s.noTombstones {
+		return next, next.trace + ": the version of the sidecar's item decreases"
 	}
 	removalVersion := s.requests[s.removal][0].Version
 	acknowledged := state.acknowledged[removalVersion] == s.removal
-	delivered := strings.Contains(state.trail, fmt.Sprint("tell", removalVersion))
-	if known && !after.Deleted && acknowledged && delivered {
-		return next, next.trail + ": what was dropped is there again"
+	delivered := strings.Contains(state.trace, fmt.Sprint("deliver", removalVersion))
+	if exists && !after.Deleted && acknowledged && delivered {
+		return next, next.trace + ": the deleted item exists again"
 	}
 	return next, ""
 }
 
 func withoutTombstones(table Table) Table {
-	left := map[Key]Item{}
+	remaining := map[Key]Item{}
 	for key, item := range table.items {
 		if !item.Deleted {
-			left[key] = item
+			remaining[key] = item
 		}
 	}
-	return Table{items: left}
+	return Table{items: remaining}
 }
 
-// In no order does the sidecar go back to a lower version, is a version acknowledged with two contents, or does a deleted item come
-// back. Two mutations show that the search would find it.
+// Whatever the order, the version of the sidecar's item never decreases, no version is acknowledged with two contents, and a deleted
+// item does not reappear. Two mutations show that the search detects violations.
 func TestSearchOrdersOfRequestsAndDeliveries(t *testing.T) {
 	apply := func(table Table, items []Item) (Table, error) {
 		next, _, err := table.ApplyItems(items)
@@ -149,9 +149,9 @@
 		name         string
 		apply        func(Table, []Item) (Table, error)
 		noTombstones bool
-		breach       string // part of it; empty: none is found
+		violation    string // part of the expected violation; empty if there must be none
 	}{
-		{"the code as it is", apply, false, ""},
+		{"unchanged code", apply, false, ""},
 		{"mutation: equal versions are not compared", mergeUnchecked, false, "two contents"},
 		{"mutation: no tombstones", apply, true, "again"},
 	} {
@@ -170,12 +170,12 @@
 				apply:        test.apply,
 				noTombstones: test.noTombstones,
 			}
-			states, breach := search.run()
-			t.Logf("%d states: %s", states, breach)
-			if test.breach == "" {
-				assert.Equal(t, breach, "")
+			states, violation := search.run()
+			t.Logf("%d states: %s", states, violation)
+			if test.violation == "" {
+				assert.Equal(t, violation, "")
 			}
-			assert.Assert(t, strings.Contains(breach, test.breach), breach)
+			assert.Assert(t, strings.Contains(violation, test.violation), violation)
 		})
 	}
 }
--- a/internal/mesh/config/wire.go
+++ b/internal/mesh/config/wire.go
@@ -7,7 +7,7 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// ItemsToWire encodes items for the transport, without the history of their operations.
+// ItemsToWire encodes items for the transport protocol, without the histories of their operations.
 func ItemsToWire(items []Item) *wire.ItemsT {
 	encoded := &wire.ItemsT{}
 	for _, item := range items {
@@ -52,7 +52,7 @@
 	return Update{Items: ItemsFromWire(encoded), Author: encoded.Author, Consents: encoded.Consents}
 }
 
-// TableToStorage encodes a table, with the history of each item's operations, for the disk of a control-plane member.
+// TableToStorage encodes a table, including the history of each item's operations, for storage on the disk of a control-plane member.
 func TableToStorage(table Table) []*wire.ItemT {
 	items := table.Items()
 	encoded := ItemsToWire(items).List
@@ -62,8 +62,8 @@
 	return encoded
 }
 
-// TableFromStorage decodes a stored table. Of an item that was stored without a history, or with one that can't be decoded, no
-// operation below its version is known; items of builds before histories are stored so.
+// TableFromStorage decodes a stored table. Items that were stored by a version of the program before histories have none. For an item
+// without a history, or with one that cannot be decoded, all operations below its version are unknown.
 func TableFromStorage(encoded []*wire.ItemT) Table {
 	items := ItemsFromWire(&wire.ItemsT{List: encoded})
 	for n, item := range encoded {
@@ -77,7 +77,7 @@
 	return table
 }
 
-// Versions returns the version of each item and tombstone, for reports of how far a process is.
+// Versions returns the version of each item and tombstone. Processes report these versions to show which updates they have applied.
 func (t Table) Versions() (versions []*wire.ItemVersionT) {
 	for _, item := range t.Items() {
 		versions = append(versions, &wire.ItemVersionT{
