--- a/internal/mesh/config/operations.go
+++ b/internal/mesh/config/operations.go
@@ -79,10 +79,10 @@
 	return next
 }
 
-// supersededOperation returns the operation that set an item to its version, with the log time at which the item by superseded it.
-func supersededOperation(item, by Item) operations.Operation {
+// supersededOperation returns the operation of a superseded item, with the log time of the item that superseded it.
+func supersededOperation(item, successor Item) operations.Operation {
 	operation := item.operation()
-	operation.LogTime = by.LogTime
+	operation.LogTime = successor.LogTime
 	return operation
 }
 
--- a/internal/mesh/config/policyset.go
+++ b/internal/mesh/config/policyset.go
@@ -22,13 +22,13 @@
 			}
 		}
 	}
-	var governed []policy.Route
+	var policyRoutes []policy.Route
 	for _, item := range routes.items {
 		if spec := item.RouteSpec(); spec != nil {
-			governed = append(governed, policyRoute(item, spec))
+			policyRoutes = append(policyRoutes, policyRoute(item, spec))
 		}
 	}
-	return policy.NewSet(namespaces, rules, governed)
+	return policy.NewSet(namespaces, rules, policyRoutes)
 }
 
 // policyRoute returns the properties of a route that the policy set depends on.
--- a/internal/mesh/config/policyset_test.go
+++ b/internal/mesh/config/policyset_test.go
@@ -101,8 +101,8 @@
 	}
 	assertFingerprintIndependentOfOrder(t, table)
 	assert.Equal(t, len(table.Document().NamespaceList)+len(table.Document().RulingList), 3)
-	clauses, governed := NewPolicySet(table, table).ClausesFor(mustRoute(t, table), "s", "")
-	assert.Assert(t, governed && len(clauses) == 5, "%v", clauses)
+	clauses, applies := NewPolicySet(table, table).ClausesFor(mustRoute(t, table), "s", "")
+	assert.Assert(t, applies && len(clauses) == 5, "%v", clauses)
 	table = mustApplyRequest(t, table, `{"Remove":{"NamespaceTable":[{"Name":"store","ConfigVersion":2},{"Name":"shop","ConfigVersion":2}],`+
 		`"RulingTable":[{"Name":"calm","ConfigVersion":9}]}}`)
 	assert.Equal(t, table.PolicyFingerprint(), "")
--- a/internal/mesh/config/spec.go
+++ b/internal/mesh/config/spec.go
@@ -91,7 +91,7 @@
 	MaxConnections int    `json:"MaxConnections" validate:"gte=0"` // that a server accepts from all callers in total; not used
 	Protocol       string `json:"Protocol"`                        // "h1"; not used
 	TLSEnabled     bool   `json:"TlsEnabled"`                      // not used
-	DedupEnabled   bool   `json:"DedupEnabled"`                    // whether its servers discard duplicates of an idempotency key themselves; not used
+	DedupEnabled   bool   `json:"DedupEnabled"`                    // whether its servers drop duplicates of an idempotency key; not used
 	ConfigVersion  int64  `json:"ConfigVersion"`
 }
 
--- a/internal/mesh/directory/table.go
+++ b/internal/mesh/directory/table.go
@@ -34,8 +34,8 @@
 }
 
 // Merge returns a table that includes those of the given records that are newer than the existing ones, and returns these as changed.
-// now is the time of the receiver's clock. The resulting table does not depend on the order in which records are merged, except for
-// the times of that clock.
+// now is the time of the receiver's clock. Apart from the times of that clock, the resulting table does not depend on the
+// order in which records are merged.
 func (t Table) Merge(now time.Duration, records []Record) (merged Table, changed []Record) {
 	current := t.records
 	for _, record := range records {
--- a/internal/mesh/memberselection/fake_sidecar_test.go
+++ b/internal/mesh/memberselection/fake_sidecar_test.go
@@ -45,7 +45,7 @@
 		switch a.Kind {
 		case Dial:
 			for _, addr := range s.open {
-				assert.Assert(s.t, addr != a.Addr, "a second dial of %s while it has one already", addr)
+				assert.Assert(s.t, addr != a.Addr, "%s is dialed although it has a connection already", addr)
 			}
 			s.open[a.ID], s.lastDialed[a.Addr] = a.Addr, s.now
 		case Follow:
--- a/internal/mesh/memberselection/golden_test.go
+++ b/internal/mesh/memberselection/golden_test.go
@@ -46,8 +46,8 @@
 func (g *goldenRun) record() {
 	for _, a := range g.selector.TakeActions() {
 		text := fmt.Sprint(a.Reason)
-		reason, seen := g.reasons[text]
-		if !seen {
+		reason, ok := g.reasons[text]
+		if !ok {
 			reason = len(g.reasons)
 			g.reasons[text] = reason
 		}
@@ -130,8 +130,8 @@
 	return l
 }
 
-// TestGoldenActions replays the events recorded in testdata/golden.json and expects the same actions. Update the record with -update
-// only for an intended change of behaviour.
+// TestGoldenActions checks that the random events of each seed give the same actions as when testdata/golden.json was recorded. Update
+// the record with -update only for an intended change of behaviour.
 func TestGoldenActions(t *testing.T) {
 	record := map[string]string{}
 	for seed := range uint64(goldenSeeds) {
--- a/internal/mesh/routing/route.go
+++ b/internal/mesh/routing/route.go
@@ -93,8 +93,8 @@
 		return
 	}
 	for _, destination := range r.Destinations {
-		clauses, apply := set.ClausesFor(policyRoute, destination.Service, caller)
-		if !apply {
+		clauses, applies := set.ClausesFor(policyRoute, destination.Service, caller)
+		if !applies {
 			continue
 		}
 		if r.policies == nil {
