--- a/internal/mesh/directory/record.go
+++ b/internal/mesh/directory/record.go
@@ -36,7 +36,7 @@
 	Node            string
 	Incarnation     uint64
 	Sequence        uint64
-	Addr            string // address on which the sidecar accepts connections from other sidecars; identifies the sidecar
+	Addr            string // address on which the sidecar accepts connections of the mesh; identifies the sidecar
 	Zone            string
 	Service         string
 	ServerID        string // instance ID of the server; empty if there is none
--- a/internal/mesh/idempotency/mutations_test.go
+++ b/internal/mesh/idempotency/mutations_test.go
@@ -6,8 +6,8 @@
 	"cranegrade/internal/testkit/mutation"
 )
 
-// TestMutations is a mutation test: each of these faults in granting leases must be detected by the named test of this package.
-func TestMutations(t *testing.T) {
+// TestLeaseMutations is a mutation test: each of these faults in granting leases must be detected by the named test of this package.
+func TestLeaseMutations(t *testing.T) {
 	mutation.Run(t, []mutation.Mutation{
 		{
 			Name: "a key granted to another request within the window of the lease", File: "store.go", KilledBy: "TestAllOrdersOfRequests",
