--- a/internal/mesh/controlplane/mesh_view.go
+++ b/internal/mesh/controlplane/mesh_view.go
@@ -79,7 +79,7 @@
 			Addr:         member.Addr,
 			Name:         member.Addr,
 			ControlPlane: true,
-			Ready:        c.replica.HearsFrom(member.ID),
+			Ready:        c.replica.IsRecentlyActive(member.ID),
 		}
 		if status := c.survey.status[member.Addr]; status != nil {
 			machine.Name, machine.Zone = status.Name, status.Zone
--- a/internal/mesh/operations/encoding.go
+++ b/internal/mesh/operations/encoding.go
@@ -7,17 +7,18 @@
 	"github.com/juju/errors"
 )
 
-// An encoded history is a header (the format, whether some operations were forgotten, and up to which version) and a record of
-// fixed size for each operation. Integers are big endian. Members store it on disk.
+// encodingVersion is the version of the encoding of a History, which members store on disk. An encoded history is a header and a
+// fixed-size record for each operation. The header contains the encoding version, whether operations were dropped, and the highest dropped
+// version. Integers are big-endian.
 const encodingVersion byte = 1
 
-// Layout of an encoded history: offsets and sizes in bytes.
+// Layout of an encoded history: offsets and sizes, in bytes.
 const (
-	incompleteOffset   = 1
-	maxForgottenOffset = 2
-	headerSize         = maxForgottenOffset + uint64Size
+	incompleteOffset = 1
+	maxDroppedOffset = 2
+	headerSize       = maxDroppedOffset + uint64Size
 
-	// Within a record, the version comes first.
+	// Offsets within a record, which begins with the version.
 	logTimeOffset = uint64Size
 	digestOffset  = logTimeOffset + uint64Size
 	recordSize    = digestOffset + len(Digest{})
@@ -25,12 +26,11 @@
 	uint64Size = 8
 )
 
-// ErrEncoding is the error of Decode for bytes that are not an encoded History. What holds them is corrupted: decoding them again is of
-// no use.
+// ErrEncoding is returned by Decode for bytes that are not an encoded History. They are corrupted, so a retry would fail again.
 const ErrEncoding = errors.ConstError("not an operation history")
 
-// Encode returns the history in its stored form. A history without operations has a header, too, so that an item with an empty history
-// differs from one that an earlier release stored without any.
+// Encode returns the encoding of the history. A history without operations is encoded as a header, so that an item with an empty history
+// can be distinguished from an item that an earlier release stored without a history.
 func (h *History) Encode() []byte {
 	if h == nil {
 		h = new(History)
@@ -41,7 +41,7 @@
 		incomplete = 1
 	}
 	encoded = append(encoded, encodingVersion, incomplete)
-	encoded = binary.BigEndian.AppendUint64(encoded, uint64(h.maxForgotten))
+	encoded = binary.BigEndian.AppendUint64(encoded, uint64(h.maxDropped))
 	for _, operation := range h.accepted {
 		encoded = binary.BigEndian.AppendUint64(encoded, uint64(operation.Version))
 		encoded = binary.BigEndian.AppendUint64(encoded, uint64(operation.LogTime))
@@ -50,32 +50,32 @@
 	return encoded
 }
 
-// Decode decodes the stored form of a history. Its errors are ErrEncoding.
+// Decode decodes an encoded history. Its errors wrap ErrEncoding.
 func Decode(encoded []byte) (*History, error) {
 	if !hasValidLayout(encoded) {
-		return nil, errors.Annotatef(ErrEncoding, "%d bytes", len(encoded))
+		return nil, errors.Annotatef(ErrEncoding, "invalid header or length (%d bytes)", len(encoded))
 	}
 	h := &History{
-		incomplete:   encoded[incompleteOffset] == 1,
-		maxForgotten: int64(binary.BigEndian.Uint64(encoded[maxForgottenOffset:])),
+		incomplete: encoded[incompleteOffset] == 1,
+		maxDropped: int64(binary.BigEndian.Uint64(encoded[maxDroppedOffset:])),
 	}
 	for records := encoded[headerSize:]; len(records) > 0; records = records[recordSize:] {
 		operation := decodeRecord(records)
 		if n := len(h.accepted); n > 0 && h.accepted[n-1].Version >= operation.Version {
-			return nil, errors.Annotatef(ErrEncoding, "version %d is out of order", operation.Version)
+			return nil, errors.Annotatef(ErrEncoding, "version %d does not follow version %d", operation.Version, h.accepted[n-1].Version)
 		}
 		h.accepted = append(h.accepted, operation)
 	}
 	return h, nil
 }
 
-// hasValidLayout reports whether bytes have the version and the length of an encoded history.
+// hasValidLayout reports whether encoded has a valid header and the length of an encoded history.
 func hasValidLayout(encoded []byte) bool {
 	return len(encoded) >= headerSize && encoded[0] == encodingVersion && encoded[incompleteOffset] <= 1 &&
 		(len(encoded)-headerSize)%recordSize == 0
 }
 
-// decodeRecord decodes the first of several records.
+// decodeRecord decodes the first record of records.
 func decodeRecord(records []byte) Operation {
 	operation := Operation{
 		Version: int64(binary.BigEndian.Uint64(records)),
--- a/internal/mesh/operations/history.go
+++ b/internal/mesh/operations/history.go
@@ -1,12 +1,12 @@
-// Package operations makes the operators' changes idempotent. An operation is one change of one configuration item: the version that
-// its operator gave it, and a digest of its content. A History remembers the operations that were accepted for one item and were
-// superseded since, so that a duplicate is recognised whenever it comes, and another content under a version that was accepted is
-// distinguished from it. How much is remembered is bounded by the owner (package config); a History knows up to which version it is
-// incomplete.
+// Package operations makes operators' configuration changes idempotent. An operation is one change of one configuration item: the version
+// that the operator assigned to it, and a digest of its content. A History records the operations that were accepted for one item and were
+// superseded since. It identifies duplicates of these operations, however late they arrive, and conflicts: operations with an accepted
+// version but different content. Its owner (package config) bounds its size by dropping operations; a History records the highest version
+// that was dropped.
 //
-// The package is pure: it must never read a clock, and the same operations make the same History on every control-plane member. Its values
-// are immutable, so any goroutine may use them. It does for items what client sessions do for commands in Ongaro's dissertation on Raft,
-// section 6.3.
+// The package must never read a clock, and the same operations must lead to the same History on every control-plane member. A History is
+// immutable and therefore safe for concurrent use. Its purpose is that of client sessions in Ongaro's dissertation on Raft, section 6.3,
+// for items in place of commands.
 package operations
 
 import (
@@ -17,10 +17,10 @@
 	"time"
 )
 
-// Digest identifies the content of an operation: the first bytes of its SHA-256.
+// Digest identifies the content of an operation: the first 16 bytes of its SHA-256 hash.
 type Digest [16]byte
 
-// DigestOf returns the digest of a content that is given in parts. Where one part ends and the next begins is part of the content.
+// DigestOf returns the digest of content that consists of several parts. The same bytes divided into other parts have another digest.
 func DigestOf(parts ...[]byte) Digest {
 	hash := sha256.New()
 	var length [8]byte
@@ -36,23 +36,23 @@
 type Operation struct {
 	Version int64
 	Digest  Digest
-	// LogTime is when the operation was accepted or, if it became active, when it was superseded.
+	// LogTime is the log time at which the operation was accepted or, if it became active, at which it was superseded.
 	LogTime time.Duration
 }
 
-// Classification says how an operation relates to a History.
+// Classification is the relation of an operation to a History.
 type Classification uint8
 
-// Classifications. The owner carries out a New operation, acknowledges a Duplicate without carrying it out again, and does neither with the
+// Classifications. The owner of the history applies a New operation, acknowledges a Duplicate without applying it again, and rejects the
 // others.
 const (
-	// New is an operation that was never accepted, and neither was another under its version.
+	// New is an operation for whose version no operation was accepted.
 	New Classification = iota
-	// Duplicate is an operation that was accepted.
+	// Duplicate is an operation that was accepted before: its version and its digest are recorded.
 	Duplicate
-	// Conflict is an operation under whose version another content was accepted.
+	// Conflict is an operation for whose version other content was accepted.
 	Conflict
-	// Unknown is an operation that may have been accepted: the history does not reach back to its version.
+	// Unknown is an operation that may have been accepted: it is not recorded, but operations of its version or higher were dropped.
 	Unknown
 )
 
@@ -61,22 +61,22 @@
 	return [...]string{"new", "duplicate", "conflict", "unknown"}[min(c, Unknown)]
 }
 
-// History is the accepted operations of one item that are still remembered. It is immutable. A nil History has none.
+// History is the recorded operations of one item. It is immutable. A nil History has no operations.
 type History struct {
-	accepted     []Operation // by rising version
-	incomplete   bool        // some operations were dropped
-	maxForgotten int64       // the highest version among those
+	accepted   []Operation // in ascending order of version
+	incomplete bool        // some operations were dropped
+	maxDropped int64       // highest dropped version; only meaningful if incomplete
 }
 
-// IncompleteThrough returns an empty History in which all versions up to the given one are Unknown.
+// IncompleteThrough returns an empty History that classifies all versions up to the given one as Unknown.
 func IncompleteThrough(version int64) *History {
-	return &History{incomplete: true, maxForgotten: version}
+	return &History{incomplete: true, maxDropped: version}
 }
 
-// Len returns how many operations are remembered.
+// Len returns the number of recorded operations.
 func (h *History) Len() int { return len(h.Operations()) }
 
-// Operations returns the remembered operations by rising version. The caller must not change them.
+// Operations returns the recorded operations in ascending order of version. The caller must not modify them.
 func (h *History) Operations() []Operation {
 	if h == nil {
 		return nil
@@ -84,7 +84,7 @@
 	return h.accepted
 }
 
-// Classify compares an operation, given by its version and digest, with the history.
+// Classify classifies the operation with the given version and digest.
 func (h *History) Classify(version int64, digest Digest) Classification {
 	if h == nil {
 		return New
@@ -95,13 +95,13 @@
 		return Duplicate
 	case found:
 		return Conflict
-	case h.incomplete && version <= h.maxForgotten:
+	case h.incomplete && version <= h.maxDropped:
 		return Unknown
 	}
 	return New
 }
 
-// With returns the history with one more operation. If its version is remembered already, that is the same history.
+// With returns a history that also contains operation. If an operation of its version is already recorded, it returns h unchanged.
 func (h *History) With(operation Operation) *History {
 	i, found := h.find(operation.Version)
 	if found {
@@ -118,7 +118,8 @@
 	return &next
 }
 
-// Without returns the history without the operation of a version, which is Unknown from then on.
+// Without returns a history without the operation of the given version, which it classifies as Unknown. If no operation of that version is
+// recorded, it returns h unchanged.
 func (h *History) Without(version int64) *History {
 	i, found := h.find(version)
 	if !found {
@@ -126,13 +127,13 @@
 	}
 	next := *h
 	next.accepted = slices.Delete(slices.Clone(h.accepted), i, i+1)
-	if !h.incomplete || version > h.maxForgotten {
-		next.incomplete, next.maxForgotten = true, version
+	if !h.incomplete || version > h.maxDropped {
+		next.incomplete, next.maxDropped = true, version
 	}
 	return &next
 }
 
-// find returns the index of the operation of a version, or the index at which it would be inserted.
+// find returns the index in accepted of the operation of a version, or the index at which to insert it.
 func (h *History) find(version int64) (i int, found bool) {
 	return slices.BinarySearchFunc(h.Operations(), version, func(o Operation, version int64) int {
 		return cmp.Compare(o.Version, version)
--- a/internal/mesh/operations/history_test.go
+++ b/internal/mesh/operations/history_test.go
@@ -9,19 +9,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// operation returns an operation of a version with a content.
+// operation returns an operation with the given version and content.
 func operation(version int64, content string) Operation {
 	return Operation{Version: version, Digest: DigestOf([]byte(content)), LogTime: time.Duration(version) * time.Second}
 }
 
-// TestClassify: a history classifies operations whatever the order in which they were accepted, and those that may have been forgotten
-// are Unknown, not New.
+// TestClassify checks that the classification does not depend on the order in which operations were accepted, and that operations that may
+// have been dropped are Unknown, not New.
 func TestClassify(t *testing.T) {
 	var h *History
 	for _, version := range []int64{5, 2, 9} {
 		h = h.With(operation(version, "x"))
 	}
-	h = h.With(operation(5, "y")) // a version is accepted once
+	h = h.With(operation(5, "y")) // has no effect: the version was accepted before
 	classify := func(version int64, content string) Classification {
 		return h.Classify(version, DigestOf([]byte(content)))
 	}
@@ -42,14 +42,15 @@
 	assert.Equal(t, classify(8, "x"), New)
 }
 
-// TestDigestOf: the same bytes in other parts have another digest.
+// TestDigestOf checks that the same bytes divided into other parts have another digest.
 func TestDigestOf(t *testing.T) {
 	assert.Assert(t, DigestOf([]byte("ab"), []byte("c")) != DigestOf([]byte("a"), []byte("bc")))
 	assert.Assert(t, DigestOf([]byte("abc")) != DigestOf([]byte("abc"), nil))
 	assert.Equal(t, DigestOf([]byte("abc")), DigestOf([]byte("abc")))
 }
 
-// TestEncode: decoding an encoded history gives the same history, and other bytes are refused.
+// TestEncode checks that decoding an encoded history results in an equivalent history, and that Decode rejects truncated encodings and
+// versions that are not ascending.
 func TestEncode(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -75,14 +76,14 @@
 			}
 		}
 	}
-	twice := operation(3, "x")
-	encoded := (&History{accepted: []Operation{twice, twice}}).Encode()
+	repeated := operation(3, "x")
+	encoded := (&History{accepted: []Operation{repeated, repeated}}).Encode()
 	_, err := Decode(encoded)
 	assert.Assert(t, errors.Is(err, ErrEncoding))
 }
 
-// TestForgettingInAnyOrder: no version up to the highest one that was forgotten is New, whichever was forgotten first.
-func TestForgettingInAnyOrder(t *testing.T) {
+// TestDroppedVersionsAreNeverNew checks that no version up to the highest dropped one is New, in whatever order versions were dropped.
+func TestDroppedVersionsAreNeverNew(t *testing.T) {
 	for _, order := range [][]int64{{2, 5}, {5, 2}} {
 		h := (*History)(nil).With(operation(2, "x")).With(operation(5, "x")).With(operation(9, "x"))
 		for _, version := range order {
--- a/internal/mesh/replica/bootstrap.go
+++ b/internal/mesh/replica/bootstrap.go
@@ -7,35 +7,36 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// Bootstrap decides the first state of a replica with an empty disk.
+// Bootstrap determines the initial state of a replica with an empty disk.
 type Bootstrap struct {
 	Address string   // of this replica
-	Seeds   []string // addresses of replicas; at the first start of the whole deployment they are its first members
-	// FirstStart says that the whole deployment starts for the first time.
+	Seeds   []string // addresses of replicas; at the first start of the deployment, those of its initial members
+	// FirstStart is set if the whole deployment starts for the first time.
 	FirstStart bool
-	// Damaged says that there was a store, but it was corrupted. The replica may then have voted and acknowledged before, so it must not
-	// come back under its former ID.
+	// Damaged is set if a corrupted store was discarded. The replica may have voted and acknowledged entries before, so it must not reuse
+	// its former ID.
 	Damaged bool
-	// NewID is an ID that was never used before. It is even, since the IDs of a bootstrap are odd.
+	// NewID is an ID that was never used before. It must be even, since the IDs of the initial members are odd.
 	NewID raft.ID
 }
 
-// InitialState returns the state to write to the empty disk. At the first start of the deployment each seed derives the same first members
-// from the addresses, without asking the others. Any other replica has a new ID, and has to join as a member: an ID stands for what was
-// once saved under it, so it must not be used again after the disk is lost.
+// InitialState returns the state to write to the empty disk. At the first start of the deployment each seed derives the same initial
+// members from the addresses, without communicating with the others. Any other replica gets the new ID and has to join the cluster: the
+// other members rely on the votes and entries that were saved under an ID, so an ID must not be reused after its disk is lost.
 func (b Bootstrap) InitialState() raft.StoredState {
 	if !b.FirstStart || b.Damaged || !slices.Contains(b.Seeds, b.Address) {
 		return raft.StoredState{Self: b.NewID}
 	}
 	var members []raft.Member
 	for _, seed := range b.Seeds {
-		members = append(members, raft.Member{ID: founderID(seed), Addr: seed})
+		members = append(members, raft.Member{ID: bootstrapID(seed), Addr: seed})
 	}
-	return raft.StoredState{Self: founderID(b.Address), Snapshot: raft.BootstrapSnapshot(members)}
+	return raft.StoredState{Self: bootstrapID(b.Address), Snapshot: raft.BootstrapSnapshot(members)}
 }
 
-// founderID returns the ID of a member of the bootstrap, which every one of them derives from the address in the same way. It is odd.
-func founderID(address string) raft.ID {
+// bootstrapID returns the ID of the initial member at address. It is a hash of the address, so that all initial members derive the same ID,
+// and it is odd.
+func bootstrapID(address string) raft.ID {
 	h := fnv.New64a()
 	h.Write([]byte("founder " + address))
 	return raft.ID(h.Sum64() | 1)
--- a/internal/mesh/replica/calls.go
+++ b/internal/mesh/replica/calls.go
@@ -11,17 +11,17 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// Origin is the kind of process that sent a call or records.
+// Origin is the kind of process that sent a call or sidecar records.
 type Origin uint8
 
 // Kinds of processes that send calls or records.
 const (
-	FromSidecar Origin = iota + 1 // or from an observer
+	FromSidecar Origin = iota + 1 // also used for observers
 	FromReplica
 )
 
-// HandleCall handles a call of a sidecar or of another replica. kind is one of the Call constants of package codec; an unknown one is
-// answered with 404. reply is called once, now or during a later call of the replica.
+// HandleCall handles a call from a sidecar or from another replica. kind is one of the Call constants of package codec; the reply to an
+// unknown kind has status 404. reply is called once, either before HandleCall returns or during a later method call of the replica.
 func (r *Replica) HandleCall(now time.Duration, kind byte, body []byte, from Origin, reply func(Reply)) {
 	r.advanceTime(now)
 	switch kind {
@@ -36,7 +36,7 @@
 		r.handleReadIndex(reply)
 	case codec.CallItems:
 		r.replyAfterRead(reply, func() Reply {
-			// The sidecar must know the machines in maintenance before it becomes ready.
+			// Pushed before the reply, because the sidecar must know the machines in maintenance before it becomes ready.
 			return Reply{Status: http.StatusOK, Body: codec.EncodeTable(r.itemsMessage()), Push: r.state.Maintenance.MachinesMessage()}
 		})
 	case codec.CallActivePolicy:
@@ -50,7 +50,7 @@
 	}
 }
 
-// handleReadIndex handles another replica's ReadIndex, at the leader.
+// handleReadIndex handles, at the leader, a ReadIndex that another replica forwarded.
 func (r *Replica) handleReadIndex(reply func(Reply)) {
 	if !r.raft.IsLeader() {
 		reply(Unavailable(""))
@@ -65,7 +65,7 @@
 	})
 }
 
-// replyAfterRead replies with the result of read, after a linearizable read.
+// replyAfterRead calls read once the state is current enough for a linearizable read, and replies with its result.
 func (r *Replica) replyAfterRead(reply func(Reply), read func() Reply) {
 	r.LinearizableRead(r.now, func(confirmed bool) {
 		if !confirmed {
@@ -76,8 +76,9 @@
 	})
 }
 
-// handleLeaseRequests commits requests for leases on idempotency keys, at the leader. Requests of a sidecar are forwarded to the leader.
-// Those of another replica are not, since two replicas that each take the other for the leader would forward them forever.
+// handleLeaseRequests proposes requests for leases on idempotency keys, if this replica leads. Otherwise it forwards the requests of a
+// sidecar to the leader. It does not forward those of another replica, since two replicas that each consider the other the leader would
+// forward them to each other forever.
 func (r *Replica) handleLeaseRequests(body []byte, from Origin, reply func(Reply)) {
 	if !r.raft.IsLeader() {
 		leader := r.remoteLeaderAddress()
@@ -88,7 +89,7 @@
 		r.forwardToLeader(leader, codec.CallLeaseKeys, body, reply)
 		return
 	}
-	// Checked before the proposal, since an entry that can't be decoded would be committed and answered as unavailable.
+	// Validated before the proposal: otherwise an undecodable entry would be committed, and the caller would retry after status 503.
 	if _, err := decodeLeaseRequests(body); err != nil {
 		reply(Reply{Status: http.StatusBadRequest})
 		return
@@ -106,7 +107,7 @@
 	}
 }
 
-// decodeLeaseRequests decodes the requests of a call or of an entry.
+// decodeLeaseRequests decodes the lease requests in the body of a call or of an entry.
 func decodeLeaseRequests(body []byte) ([]idempotency.LeaseRequest, error) {
 	table, err := codec.DecodeTable(body, func(p []byte) *wire.KeyLeaseRequestsT { return wire.GetRootAsKeyLeaseRequests(p, 0).UnPack() })
 	if err != nil {
@@ -126,7 +127,7 @@
 	return requests, nil
 }
 
-// encodeLeaseResults encodes the reply to the requests of a call, in their order.
+// encodeLeaseResults encodes the results of the lease requests of a call, in the order of the requests.
 func encodeLeaseResults(results []idempotency.LeaseResult) *wire.KeyLeaseResultsT {
 	table := &wire.KeyLeaseResultsT{}
 	for _, result := range results {
--- a/internal/mesh/replica/disk_test.go
+++ b/internal/mesh/replica/disk_test.go
@@ -61,7 +61,7 @@
 
 		members, _ := r.raft.Members()
 		assert.DeepEqual(t, members, []raft.Member{r.self})
-		assert.Equal(t, r.self.ID, founderID("10.0.0.1:7380"))
+		assert.Equal(t, r.self.ID, bootstrapID("10.0.0.1:7380"))
 		for _, key := range []string{"t\x00k1", "t\x00k2"} {
 			request := idempotency.LeaseRequest{Key: key, Token: "another", Holder: "10.1.0.9:7000/life", Window: time.Minute}
 			assert.Assert(t, !r.state.KeyLeases.Apply(20*time.Second, request).Granted, key)
--- a/internal/mesh/replica/environment.go
+++ b/internal/mesh/replica/environment.go
@@ -9,51 +9,52 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// Texts of replies with status 503, which operators see.
+// Texts of replies with status 503, which are shown to operators.
 const (
 	TextNoLeaderKnown  = "no leader is known"
 	TextLeadershipLost = "not the leader any more"
 	TextLeaderChanged  = "another leader took over; it may still be committed"
 )
 
-// Environment provides the effects of a replica. Its methods are called on the goroutine that calls the replica, and must not call the
-// replica before they return.
+// Environment performs the side effects of a replica: network and disk. The replica calls its methods on the goroutine that called the
+// replica; the methods must not call back into the replica.
 type Environment interface {
-	// Send sends a Raft message to the replica at an address. It may be lost, delayed, duplicated or reordered.
+	// Send sends a Raft message to the replica at address. The message may be lost, delayed, duplicated or reordered.
 	Send(address string, message raft.Message)
-	// Connect connects to the replica at an address, unless it is connected or being dialled.
+	// Connect opens a connection to the replica at address, unless one is open or being opened.
 	Connect(address string)
-	// CallReplica calls the replica at an address. done is called once, after CallReplica has returned and on the goroutine that owns the
-	// replica: with the reply, or with Unavailable if there is none within CallTimeout.
+	// CallReplica sends a call to the replica at address. The environment calls done once, on the goroutine that owns this replica and
+	// after CallReplica has returned: with the reply, or with Unavailable if there is none within CallTimeout.
 	CallReplica(address string, kind byte, body []byte, done func(Reply))
-	// Save writes and syncs what ready needs on disk. last is the index of the last entry on disk before. It returns false if that
-	// failed; the replica then does nothing until its owner calls ProcessReady again, which calls Save again.
-	Save(ready raft.Ready, last uint64) bool
-	// Compact replaces the log on disk up to the snapshot's index by the snapshot. Entries from kept on stay. It may fail without harm,
-	// since the longer log holds the same state.
-	Compact(snapshot raft.Snapshot, kept uint64)
-	// BroadcastToSidecars sends a message, of one of the types of codec.NewMessage, to each connected sidecar.
+	// Save writes the hard state, the snapshot and the entries of ready to disk and syncs them. lastSaved is the index of the last entry
+	// on disk before the call. It returns false if the save failed; the replica then does nothing until its owner calls ProcessReady again,
+	// which retries the save.
+	Save(ready raft.Ready, lastSaved uint64) bool
+	// Compact replaces the log on disk up to the snapshot's index by the snapshot, but retains entries from oldestRetained on. A failure
+	// is harmless, since the uncompacted log leads to the same state.
+	Compact(snapshot raft.Snapshot, oldestRetained uint64)
+	// BroadcastToSidecars sends a message to each connected sidecar. Its type must be one that codec.NewMessage returns.
 	BroadcastToSidecars(message any)
-	// BroadcastToReplicas sends a message, of one of the types of codec.NewMessage, to each connected replica.
+	// BroadcastToReplicas sends a message to each connected replica. Its type must be one that codec.NewMessage returns.
 	BroadcastToReplicas(message any)
 }
 
 // Reply is the answer to a call.
 type Reply struct {
-	Status int // of HTTP
+	Status int // HTTP status code
 	Body   []byte
-	Push   any // a message to send to the caller before the reply, or nil
+	Push   any // message to send to the caller before the reply, or nil
 }
 
-// Unavailable returns the reply of a replica that can't answer, with status 503. The caller should retry, here or at another replica.
-// It does not say that a change was not committed: that stays unknown to the caller.
+// Unavailable returns the reply of a replica that can't serve the call, with status 503. The caller should retry, here or at another
+// replica. If the call was a change, the caller can't tell whether it was committed.
 func Unavailable(text string) Reply {
 	return Reply{Status: http.StatusServiceUnavailable, Body: []byte(text)}
 }
 
 // ErrorReply returns the reply to an update that was rejected with an error of package config: 409 for a conflict, 403 if the author
-// may not change the item, 400 if the update is invalid, and 503 for any other error. Only after a 503 is the same update worth a
-// retry.
+// may not change the item, 400 if the update is invalid, and 503 for any other error. The caller should retry the same update only after
+// a 503.
 func ErrorReply(err error) Reply {
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/mesh/replica/environment_test.go
+++ b/internal/mesh/replica/environment_test.go
@@ -81,7 +81,7 @@
 // receiveAppend has a replica receive entries behind the one of an index and a term from the leader at an address.
 func receiveAppend(r *Replica, now time.Duration, leader string, term, index, logTerm, commit uint64, entries ...raft.Entry) {
 	r.Step(now, raft.Message{
-		Kind: raft.AppendEntries, From: founderID(leader), To: r.self.ID, Term: term, Index: index, LogTerm: logTerm,
+		Kind: raft.AppendEntries, From: bootstrapID(leader), To: r.self.ID, Term: term, Index: index, LogTerm: logTerm,
 		Entries: entries, Commit: commit,
 	})
 }
--- a/internal/mesh/replica/forward.go
+++ b/internal/mesh/replica/forward.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// forwardedCall is a call that was forwarded to the leader and has no reply yet.
+// forwardedCall is a call that was forwarded to the leader and was not answered yet.
 type forwardedCall struct {
 	done func(Reply)
 }
 
-// forwardToLeader forwards a call to the leader. done is called once: with the leader's reply, or with Unavailable if there is none in time
-// or the leader changes. In the latter cases the call may have taken effect all the same.
+// forwardToLeader forwards a call to the leader at address. done is called once: with the leader's reply, or with Unavailable if the reply
+// times out or the leader changes. In the latter two cases the call may still have taken effect.
 func (r *Replica) forwardToLeader(address string, kind byte, body []byte, done func(Reply)) {
 	call := &forwardedCall{done}
 	r.forwardedCalls = append(r.forwardedCalls, call)
@@ -20,8 +20,8 @@
 	})
 }
 
-// failForwardedCalls fails the calls that were forwarded to a former leader. That one may hang, and the callers can retry with the next
-// leader long before CallTimeout.
+// failForwardedCalls fails the calls that were forwarded to a former leader, without waiting for CallTimeout: the former leader may hang,
+// and the callers can retry with the new leader at once.
 func (r *Replica) failForwardedCalls() {
 	calls := r.forwardedCalls
 	r.forwardedCalls = nil
--- a/internal/mesh/replica/maintenance.go
+++ b/internal/mesh/replica/maintenance.go
@@ -8,39 +8,40 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// MaintenanceKind is what a change of the maintenance state does. Its values are stored in the log, so they must not change.
+// MaintenanceKind is the kind of a change of the maintenance state. Its values are stored in the log, so they must not change.
 type MaintenanceKind byte
 
-// Kinds of changes of the maintenance state, with the type whose JSON they carry.
+// Kinds of changes of the maintenance state, with the type whose JSON the change contains.
 const (
-	MaintenanceOrder  MaintenanceKind = 1 // a new order: maintenance.Order
-	MaintenanceUpdate MaintenanceKind = 2 // a change of one: maintenance.OrderChange
-	MaintenanceClock  MaintenanceKind = 3 // the agreed time of day: maintenance.Clock
+	MaintenanceOrder  MaintenanceKind = 1 // adds an order: maintenance.Order
+	MaintenanceUpdate MaintenanceKind = 2 // changes an order: maintenance.OrderChange
+	MaintenanceClock  MaintenanceKind = 3 // sets the agreed time of day: maintenance.Clock
 )
 
-// EncodeMaintenanceChange encodes a change of the maintenance state as the data of an entry. text is the JSON of the type that belongs
-// to the kind.
-func EncodeMaintenanceChange(kind MaintenanceKind, text []byte) []byte {
-	return EncodeChange(ChangeMaintenance, &wire.MaintenanceChangeT{Kind: byte(kind), Json: text})
+// EncodeMaintenanceChange encodes a change of the maintenance state as the data of an entry. changeJSON encodes the type that belongs to
+// the kind.
+func EncodeMaintenanceChange(kind MaintenanceKind, changeJSON []byte) []byte {
+	return EncodeChange(ChangeMaintenance, &wire.MaintenanceChangeT{Kind: byte(kind), Json: changeJSON})
 }
 
-// Maintenance is the replicated state of maintenance: the orders and the time of day. Its JSON is part of snapshots.
+// Maintenance is the replicated maintenance state: the orders, and the time of day that the members agreed on. Its JSON is part of
+// snapshots.
 type Maintenance struct {
 	Orders    maintenance.OrderTable `json:"book"`
 	Clock     maintenance.Clock      `json:"clock"`
-	ClockTerm uint64                 `json:"term"`  // of the entry that set the clock
-	Index     uint64                 `json:"index"` // of the latest entry that changed an order
+	ClockTerm uint64                 `json:"term"`  // term of the entry that set Clock
+	Index     uint64                 `json:"index"` // index of the latest entry that changed an order
 }
 
-// apply applies a committed change. The error says why it was rejected; the state is then as before, on every member alike.
-func (m *Maintenance) apply(entry raft.Entry, kind MaintenanceKind, text []byte) (err error) {
+// apply applies a committed change. It returns an error if the change was rejected; the state is then unchanged, on every member.
+func (m *Maintenance) apply(entry raft.Entry, kind MaintenanceKind, changeJSON []byte) (err error) {
 	switch kind {
 	case MaintenanceOrder:
-		err = m.placeOrder(entry, text)
+		err = m.placeOrder(entry, changeJSON)
 	case MaintenanceUpdate:
-		err = m.changeOrder(entry, text)
+		err = m.changeOrder(entry, changeJSON)
 	case MaintenanceClock:
-		return m.setClock(entry, text) // no order changes, so Index stays
+		return m.setClock(entry, changeJSON) // changes no order, so Index stays
 	}
 	if err != nil {
 		return err
@@ -50,9 +51,9 @@
 }
 
 // placeOrder adds an operator's order.
-func (m *Maintenance) placeOrder(entry raft.Entry, text []byte) error {
+func (m *Maintenance) placeOrder(entry raft.Entry, orderJSON []byte) error {
 	var order maintenance.Order
-	if err := json.Unmarshal(text, &order); err != nil {
+	if err := json.Unmarshal(orderJSON, &order); err != nil {
 		return err
 	}
 	orders, err := m.Orders.Place(order, m.Clock.Now(entry.LogTime))
@@ -63,10 +64,10 @@
 	return nil
 }
 
-// changeOrder changes an order: an operator's change, or the next step that the leader has decided.
-func (m *Maintenance) changeOrder(entry raft.Entry, text []byte) error {
+// changeOrder applies a change of an order: an operator's, or the next step that the leader decided on.
+func (m *Maintenance) changeOrder(entry raft.Entry, changeJSON []byte) error {
 	var change maintenance.OrderChange
-	if err := json.Unmarshal(text, &change); err != nil {
+	if err := json.Unmarshal(changeJSON, &change); err != nil {
 		return err
 	}
 	orders, err := m.Orders.Apply(change, m.Clock.Now(entry.LogTime))
@@ -77,17 +78,17 @@
 	return nil
 }
 
-// setClock sets the agreed time of day.
-func (m *Maintenance) setClock(entry raft.Entry, text []byte) error {
+// setClock sets the time of day that the members agreed on.
+func (m *Maintenance) setClock(entry raft.Entry, clockJSON []byte) error {
 	var clock maintenance.Clock
-	if err := json.Unmarshal(text, &clock); err != nil {
+	if err := json.Unmarshal(clockJSON, &clock); err != nil {
 		return err
 	}
 	m.Clock, m.ClockTerm = clock, entry.Term
 	return nil
 }
 
-// MachinesMessage returns the machines in maintenance, as a message for sidecars and replicas.
+// MachinesMessage returns a message for sidecars that lists the machines in maintenance.
 func (m *Maintenance) MachinesMessage() *wire.MachinesInMaintenanceT {
 	message := &wire.MachinesInMaintenanceT{Index: m.Index}
 	for _, order := range m.Orders.Open() {
--- a/internal/mesh/replica/peers.go
+++ b/internal/mesh/replica/peers.go
@@ -7,60 +7,61 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// maxRememberedAddresses is how many addresses of non-members are remembered, by ID.
+// maxRememberedAddresses is the number of addresses in peerAddresses.byID above which the map is cleared.
 const maxRememberedAddresses = 64
 
 // peerAddresses holds the known addresses of other replicas.
 type peerAddresses struct {
-	self  string
-	seeds []string
-	known map[string]bool    // a set
-	byID  map[raft.ID]string // of those that have connected
+	self      string
+	seeds     []string
+	addresses map[string]bool    // set of addresses to connect to
+	byID      map[raft.ID]string // addresses of replicas that have connected here
 }
 
-// newPeerAddresses returns the addresses of a replica that knows the seeds alone.
+// newPeerAddresses returns the addresses of a replica that knows only the seeds.
 func newPeerAddresses(self string, seeds []string) peerAddresses {
-	return peerAddresses{self: self, seeds: seeds, known: map[string]bool{}, byID: map[raft.ID]string{}}
+	return peerAddresses{self: self, seeds: seeds, addresses: map[string]bool{}, byID: map[raft.ID]string{}}
 }
 
-// setMembers replaces the known addresses by those of the members, and returns these in order. Removed members connect by themselves if
-// they have something to send.
+// setMembers replaces the known addresses by those of the members, and returns the latter in the order of members. Removed members are
+// dropped: they connect to this replica if they have something to send.
 func (p *peerAddresses) setMembers(members []raft.Member) []string {
-	clear(p.known)
+	clear(p.addresses)
 	addresses := make([]string, 0, len(members))
 	for _, m := range members {
-		p.known[m.Addr] = true
+		p.addresses[m.Addr] = true
 		addresses = append(addresses, m.Addr)
 	}
 	return addresses
 }
 
-// remember records the address of a replica.
+// remember records the address of the replica with the given ID.
 func (p *peerAddresses) remember(id raft.ID, address string) {
-	p.known[address] = true
+	p.addresses[address] = true
 	if len(p.byID) > maxRememberedAddresses {
 		clear(p.byID)
 	}
 	p.byID[id] = address
 }
 
-// all returns all known addresses and the seeds, without the replica's own, in a fixed order.
+// all returns all known addresses and the seeds, except the replica's own address, in sorted order.
 func (p *peerAddresses) all() []string {
 	for _, seed := range p.seeds {
-		p.known[seed] = true
+		p.addresses[seed] = true
 	}
-	delete(p.known, p.self)
-	return slices.Sorted(maps.Keys(p.known))
+	delete(p.addresses, p.self)
+	return slices.Sorted(maps.Keys(p.addresses))
 }
 
 // SetSeeds replaces the seeds, after a reload of the deploy file.
 func (r *Replica) SetSeeds(seeds []string) { r.peers.seeds = seeds }
 
-// RememberAddress records the address of a replica that has connected here. A non-member can only be answered there.
+// RememberAddress records the address of a replica that has connected here. Responses to a non-member can only be sent to this address,
+// since the membership does not list it.
 func (r *Replica) RememberAddress(id raft.ID, address string) { r.peers.remember(id, address) }
 
-// maintainConnections keeps connections to all known replicas, also while Raft has nothing to send, because they also carry the records of
-// sidecars. A non-member asks all of them to let it join, since it may know them only by address.
+// maintainConnections keeps connections to all known replicas open, also while Raft has nothing to send, because they also carry sidecar
+// records. A non-member sends a join request to all of them, since it may know only their addresses and not which one leads.
 func (r *Replica) maintainConnections() {
 	addresses := r.peers.all()
 	for _, address := range addresses {
@@ -79,7 +80,7 @@
 	}
 }
 
-// remoteLeaderAddress returns the address of the leader if it is another replica, or "" if none is known or this replica leads.
+// remoteLeaderAddress returns the address of the leader, or "" if no leader is known or this replica leads.
 func (r *Replica) remoteLeaderAddress() string {
 	if r.raft.IsLeader() {
 		return ""
@@ -90,7 +91,7 @@
 	return ""
 }
 
-// sendAll sends messages to the addresses of their receivers. Messages to unknown receivers are dropped.
+// sendAll sends Raft messages to their receivers. It drops messages to receivers whose address is not known.
 func (r *Replica) sendAll(messages []raft.Message) {
 	for _, message := range messages {
 		if address := r.addressFor(message); address != "" && address != r.self.Addr {
@@ -99,8 +100,8 @@
 	}
 }
 
-// addressFor returns the address of a message's receiver, or "" if it is not known. The receiver of a NotMember may only be known by the
-// address in its request.
+// addressFor returns the address of a message's receiver, or "" if it is not known. For the receiver of a NotMember message, the address
+// from its request, which the message repeats, may be the only one known.
 func (r *Replica) addressFor(message raft.Message) string {
 	if message.Kind == raft.NotMember && message.Addr != "" {
 		return message.Addr
--- a/internal/mesh/replica/policy.go
+++ b/internal/mesh/replica/policy.go
@@ -9,25 +9,25 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// maxNotices is how many notices are kept; older ones are dropped.
+// maxNotices is the number of latest notices to retain; older ones are dropped.
 const maxNotices = 256
 
-// Notice tells an owner what a change by another owner did to one of their policies. Its JSON is part of snapshots and of replies to
+// Notice records the effect that a change by one owner had on a policy of another owner. Its JSON is part of snapshots and of replies to
 // operators.
 type Notice struct {
-	Index  uint64        `json:"index"` // of the change
-	By     string        `json:"by"`    // the other owner, or "" for the mesh's operator
+	Index  uint64        `json:"index"` // index of the entry with the change
+	By     string        `json:"by"`    // author of the change, or "" for the operator of the mesh
 	Effect policy.Effect `json:"effect"`
 }
 
-// PolicyState is the replicated state of policies, besides the items themselves. Its JSON is part of snapshots.
+// PolicyState is the replicated state of policies, except for the items themselves. Its JSON is part of snapshots.
 type PolicyState struct {
 	Rollout policy.Rollout `json:"board"`
 	Notices []Notice       `json:"notices,omitempty"`
 }
 
-// recordChange records a committed update: items is the table after it, updated the items that it changed, and effects what it changed of
-// policies of other owners.
+// recordChange records a committed update. items is the table after the update, updated are the items that it changed, and effects are
+// its effects on policies of other owners.
 func (s *PolicyState) recordChange(
 	entry raft.Entry, update config.Update, items config.Table, updated []config.Item, effects []policy.Effect,
 ) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// ActiveMessage returns which policy set is active, as a message for sidecars.
+// ActiveMessage returns a message for sidecars that identifies the active and the committed policy set.
 func (s *PolicyState) ActiveMessage() *wire.ActivePolicyT {
 	return &wire.ActivePolicyT{
 		Fingerprint:          s.Rollout.Active,
--- a/internal/mesh/replica/reads.go
+++ b/internal/mesh/replica/reads.go
@@ -10,25 +10,25 @@
 	"cranegrade/internal/mesh/transport/codec"
 )
 
-// indexSize is the length of an entry's index in the reply to codec.CallReadIndex, in bytes.
-const indexSize = 8
+// readIndexReplySize is the size of the body of a reply to codec.CallReadIndex, in bytes: a big-endian uint64.
+const readIndexReplySize = 8
 
-// A linearizable read takes two steps (Ongaro's dissertation, section 6.4): find the commit index of a leader that a quorum has confirmed
-// since the read began, then wait until this replica has applied that entry. The first step shows that nothing acknowledged before the
-// read is missing, and works at any replica, which asks the leader for it.
+// A linearizable read takes two steps (Ongaro's dissertation, section 6.4): get the commit index of a leader that a quorum has confirmed
+// since the read began, then wait until this replica has applied the entry at that index. That state contains all changes that were
+// acknowledged before the read. A replica that does not lead gets the index from the leader.
 
-// readQueue holds the reads of a leader that are not confirmed yet.
+// readQueue holds the reads at a leader for which no quorum has confirmed the leader yet.
 type readQueue struct {
 	lastID uint64
-	done   map[uint64]func(ReadIndexResult) // by id
+	done   map[uint64]func(ReadIndexResult) // by request ID
 }
 
-// newReadQueue returns a queue without reads.
+// newReadQueue returns an empty queue.
 func newReadQueue() readQueue {
 	return readQueue{done: map[uint64]func(ReadIndexResult){}}
 }
 
-// complete ends a read. An unknown read is ignored.
+// complete completes the read of a ReadState. A ReadState of an unknown read is ignored.
 func (q *readQueue) complete(read raft.ReadState) {
 	done := q.done[read.RequestID]
 	if done == nil {
@@ -38,26 +38,26 @@
 	done(ReadIndexResult{Confirmed: read.Index > 0, Index: read.Index})
 }
 
-// waiter is a function to call once an entry is applied.
+// waiter is a function to call once the entry at index is applied.
 type waiter struct {
 	index  uint64
 	resume func()
 }
 
-// ReadIndexResult is how a ReadIndex ended. The zero value is that of one that was not confirmed.
+// ReadIndexResult is the result of ReadIndex. The zero value means that the leader was not confirmed.
 type ReadIndexResult struct {
 	Confirmed bool   // a quorum has confirmed the leader since the call
-	Index     uint64 // the entry up to which the state has to be applied before it is read; only meaningful if Confirmed
+	Index     uint64 // index of the entry that must be applied before the state is read; only meaningful if Confirmed
 }
 
-// FetchResult is how a Fetch ended. The zero value is that of one that was not confirmed.
+// FetchResult is the result of Fetch. The zero value means that the leader was not confirmed.
 type FetchResult struct {
 	Confirmed bool
 	Document  config.Document // only meaningful if Confirmed
 }
 
-// ReadIndex finds the index up to which entries must be applied so that nothing that was acknowledged before the call is missing. done
-// is called once.
+// ReadIndex determines the index up to which entries must be applied so that the state contains all changes that were acknowledged before
+// the call. done is called once.
 func (r *Replica) ReadIndex(now time.Duration, done func(ReadIndexResult)) {
 	r.advanceTime(now)
 	if r.raft.IsLeader() {
@@ -70,7 +70,7 @@
 		return
 	}
 	r.forwardToLeader(leader, codec.CallReadIndex, nil, func(reply Reply) {
-		if reply.Status != http.StatusOK || len(reply.Body) != indexSize {
+		if reply.Status != http.StatusOK || len(reply.Body) != readIndexReplySize {
 			done(ReadIndexResult{})
 			return
 		}
@@ -78,7 +78,7 @@
 	})
 }
 
-// readIndexAsLeader is ReadIndex at the leader.
+// readIndexAsLeader implements ReadIndex at the leader.
 func (r *Replica) readIndexAsLeader(done func(ReadIndexResult)) {
 	r.reads.lastID++
 	if !r.raft.ReadIndex(r.now, r.reads.lastID) {
@@ -88,8 +88,8 @@
 	r.reads.done[r.reads.lastID] = done
 }
 
-// LinearizableRead calls done once the state holds all that was acknowledged before the call, or with confirmed false if the leader can't
-// be confirmed by a quorum.
+// LinearizableRead calls done with confirmed true once the state contains all changes that were acknowledged before the call, or with
+// confirmed false if no leader could be confirmed by a quorum.
 func (r *Replica) LinearizableRead(now time.Duration, done func(confirmed bool)) {
 	r.ReadIndex(now, func(read ReadIndexResult) {
 		if !read.Confirmed {
@@ -103,7 +103,7 @@
 	})
 }
 
-// Fetch reads the configuration, which holds all that was acknowledged before the call. done is called once.
+// Fetch reads the configuration, with all changes that were acknowledged before the call. done is called once.
 func (r *Replica) Fetch(now time.Duration, done func(FetchResult)) {
 	r.LinearizableRead(now, func(confirmed bool) {
 		if !confirmed {
@@ -114,18 +114,18 @@
 	})
 }
 
-// resumeWaiters calls the waiters whose entry is applied, in the order in which they were added.
+// resumeWaiters removes the waiters whose entry is applied and calls them, in the order in which they were added.
 func (r *Replica) resumeWaiters() {
 	applied := r.raft.AppliedIndex()
-	var due, rest []waiter
+	var due, remaining []waiter
 	for _, w := range r.waiters {
 		if w.index <= applied {
 			due = append(due, w)
 		} else {
-			rest = append(rest, w)
+			remaining = append(remaining, w)
 		}
 	}
-	r.waiters = rest
+	r.waiters = remaining
 	for _, w := range due {
 		w.resume()
 	}
--- a/internal/mesh/replica/ready.go
+++ b/internal/mesh/replica/ready.go
@@ -5,12 +5,13 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// This file keeps the order of etcd's Ready (raft.Ready): send what depends on nothing unsaved, save and sync, send the rest, apply,
-// answer. A vote or an acknowledgement that was sent before its save could be lost with the disk's cache (Raft paper, section 5.6).
+// This file processes a raft.Ready in the same order as users of etcd's raft package: send the messages that depend on no unsaved state,
+// save and sync, send the other messages, apply the committed entries, and answer calls. If a vote or an acknowledgement were sent before
+// its save, a power loss could still erase the saved state from the disk's cache (Raft paper, section 5.6).
 
-// ProcessReady processes what Raft has ready, until there is nothing more. It has to be called after every other call, or after several. It
-// returns false if the state could not be saved; the owner must then call nothing but ProcessReady until it returns true. Meanwhile
-// nothing is sent, applied or acknowledged.
+// ProcessReady processes all pending output of Raft. It must be called after every other call of the replica, or after several. It returns
+// false if the state could not be saved; the owner must then call nothing but ProcessReady until it returns true. Meanwhile nothing is
+// sent, applied or acknowledged.
 func (r *Replica) ProcessReady() bool {
 	if r.unsavedReady != nil && !r.persistAndApply(*r.unsavedReady) {
 		return false
@@ -26,18 +27,18 @@
 		}
 		r.sendAll(ready.MessagesBeforeSave)
 		if !r.persistAndApply(ready) {
-			return false // nothing was sent that depends on the save
+			return false // no message was sent that depends on the save
 		}
 	}
 }
 
-// isEmpty reports whether there is nothing to do.
+// isEmpty reports whether a Ready contains no work.
 func isEmpty(ready raft.Ready) bool {
 	return len(ready.MessagesBeforeSave) == 0 && len(ready.MessagesAfterSave) == 0 && len(ready.CommittedEntries) == 0 &&
 		len(ready.ReadStates) == 0 && !ready.MustSync()
 }
 
-// persistAndApply does everything in a Ready after MessagesBeforeSave. It returns false if the state could not be saved.
+// persistAndApply processes everything in a Ready except MessagesBeforeSave. It returns false if the state could not be saved.
 func (r *Replica) persistAndApply(ready raft.Ready) bool {
 	if ready.MustSync() {
 		if !r.env.Save(ready, r.savedIndex) {
@@ -60,12 +61,12 @@
 	}
 	r.resumeWaiters()
 	if r.raft.EntriesSinceSnapshot() > r.compactionThreshold {
-		r.compact() // snapshot.go
+		r.compact()
 	}
 	return true
 }
 
-// recordSaved records up to which entry the log is on disk. A received snapshot without entries after it ends the log.
+// recordSaved updates savedIndex after a save. If a received snapshot was saved without entries, the log ends with the snapshot.
 func (r *Replica) recordSaved(ready raft.Ready) {
 	if n := len(ready.Entries); n > 0 {
 		r.savedIndex = ready.Entries[n-1].Index
@@ -74,7 +75,7 @@
 	}
 }
 
-// applyEntry applies a committed entry to the state, sends sidecars what it has changed, and answers the proposal at its index.
+// applyEntry applies a committed entry to the state, broadcasts the changes to sidecars, and completes the proposal at the entry's index.
 func (r *Replica) applyEntry(entry raft.Entry) {
 	clockBefore := r.state.Maintenance.Clock.LogTime
 	var outcome Outcome
@@ -86,13 +87,14 @@
 	r.completeProposal(entry.Index, entry.Term, outcome)
 }
 
-// broadcastOutcome sends sidecars what an entry has changed.
+// broadcastOutcome sends the changes that an entry has made to all connected sidecars.
 func (r *Replica) broadcastOutcome(outcome Outcome) {
 	if outcome.MaintenanceChanged && outcome.Err == nil {
 		r.env.BroadcastToSidecars(r.state.Maintenance.MachinesMessage())
 	}
 	if len(outcome.UpdatedItems) > 0 {
-		if r.raft.IsLeader() { // so that sidecars of other members do not have to wait for the next heartbeat
+		// Followers otherwise learn the commit index only with the next heartbeat, and their sidecars get the items later.
+		if r.raft.IsLeader() {
 			r.raft.BroadcastCommit(r.now)
 		}
 		r.env.BroadcastToSidecars(config.ItemsToWire(outcome.UpdatedItems))
--- a/internal/mesh/replica/replica.go
+++ b/internal/mesh/replica/replica.go
@@ -1,17 +1,23 @@
-// Package replica is the role logic of one control-plane member. A Replica drives the member's Raft, applies committed entries to the
-// replicated State, answers calls of operators, sidecars and other replicas, and decides what sidecars are sent.
+// Package replica implements the deterministic logic of one control-plane member. A Replica drives the member's Raft instance, applies
+// committed entries to the replicated State, handles calls from operators, sidecars and other replicas, and broadcasts state changes to
+// sidecars.
 //
-// It owns the replicated state and everything in flight: proposals, reads and forwarded calls. It is pure and belongs to one goroutine: the
-// time is an argument of each call, and all effects go through Environment. It must never start a goroutine, read a clock, open a socket
-// or draw a random number, and no result may depend on the iteration order of a map, so that the same calls always have the same
-// effects. Its shell in production is package controlplane, where the goroutine of Member.Run calls it; in tests it is package sim. After
-// one or several calls the owner has to call ProcessReady, which saves, sends and applies what they have led to.
+// A Replica owns the replicated state and all requests in flight: proposals, reads and forwarded calls. It is not safe for concurrent use:
+// a single goroutine, that of its owner, makes all calls. The owner passes the time to each call, and the replica causes all side effects
+// through Environment. The package must never start a goroutine, read a clock, open a socket or draw a random number, and no result may
+// depend on the iteration order of a map, so that the same sequence of calls always has the same effects. In production the owner is
+// package controlplane (the goroutine of Member.Run), in tests it is package sim. After one or several calls the owner must call
+// ProcessReady, which saves, sends and applies their results.
 //
-// A change is acknowledged once its entry is applied (proposals.go), and applied once a quorum has it on disk (package raft). Nothing
-// that depends on a save is sent before it (ready.go). Calls come in through calls.go, updates.go and reads.go, and are forwarded to
-// the leader by forward.go; state.go and maintenance.go apply entries; snapshot.go cuts snapshots; peers.go and sidecars.go are the
-// other processes; view.go is what the owner may read. Linearizable reads follow Ongaro's dissertation on Raft, section 6.4 (reads.go).
-// The calls and their bodies are defined by the operations pages.
+// A change is acknowledged once its entry is applied (proposals.go), and an entry is applied once a quorum has it on disk (package raft).
+// A message that depends on a save is sent only after that save (ready.go). The files of the package:
+//   - calls.go, updates.go and reads.go handle calls, and forward.go forwards them to the leader;
+//   - state.go, maintenance.go and policy.go apply entries, and snapshot.go encodes and restores snapshots;
+//   - peers.go and sidecars.go communicate with other replicas and with sidecars;
+//   - view.go has the read-only accessors for the owner.
+//
+// Linearizable reads follow Ongaro's dissertation on Raft, section 6.4 (reads.go). The project's documentation of operations defines
+// the calls and their bodies.
 package replica
 
 import (
@@ -29,50 +35,50 @@
 const (
 	// TickInterval is the time between two calls of Tick.
 	TickInterval = 50 * time.Millisecond
-	// CallTimeout bounds a call to the leader. It is less than the second after which callers give up.
+	// CallTimeout bounds a call to the leader. It is shorter than 1 s, the time after which callers give up.
 	CallTimeout = 900 * time.Millisecond
 
 	heartbeatInterval    = 100 * time.Millisecond
 	electionTimeout      = 500 * time.Millisecond
 	deadMemberTimeout    = 2 * time.Second
-	stallTimeout         = 300 * time.Millisecond // without a Tick, after which the replica claims no quorum contact
-	recordTTL            = 30 * time.Second       // after which a sidecar's record is removed unless it was sent again
-	recordExpiryInterval = 5 * time.Second        // between two removals of such records
+	stallTimeout         = 300 * time.Millisecond // without a Tick for this long, the replica reports no quorum contact
+	recordTTL            = 30 * time.Second       // a sidecar's record expires unless it is received again within this time
+	recordExpiryInterval = 5 * time.Second        // between two removals of expired records
 )
 
 const (
-	// DefaultCompactionThreshold is how many entries may follow the snapshot before the log is compacted, unless Config says otherwise.
+	// DefaultCompactionThreshold is the default of Config.CompactionThreshold.
 	DefaultCompactionThreshold = 4096
 
-	// maxProposals is how many proposals may be in flight. It also bounds the calls that wait for an entry to be applied.
+	// maxProposals bounds the proposals in flight and, separately, the calls that wait for an entry to be applied.
 	maxProposals = 4096
-	// minReplicas is the size of the smallest cluster that tolerates a fault.
+	// minReplicas is the size of the smallest cluster that tolerates the loss of one member.
 	minReplicas = 3
-	// replicasPerFault is the number of members beside the first that each tolerated fault takes: 2n+1 members tolerate n faults.
+	// replicasPerFault is the number of additional members for each tolerated fault: 2n+1 members tolerate n faults.
 	replicasPerFault = 2
 )
 
-// Config is what a replica is made of.
+// Config configures a Replica.
 type Config struct {
 	// Address is where other replicas and sidecars reach this one.
 	Address string
-	// Stored is what the disk holds.
+	// Stored is the state read from disk.
 	Stored raft.StoredState
-	// Seeds are addresses of replicas to connect to, besides those of the members.
+	// Seeds are addresses of replicas to connect to, in addition to those of the members.
 	Seeds []string
-	// FaultsTolerated is the number n of machines that may be lost. The cluster has 2n+1 members, at least 3.
+	// FaultsTolerated is the number n of machines whose loss the cluster tolerates. It has 2n+1 members, at least 3.
 	FaultsTolerated int
-	// RandomSeed is the seed of election timeouts. It has to differ between replicas.
+	// RandomSeed seeds the randomization of election timeouts. It must differ between replicas.
 	RandomSeed uint64
-	// CompactionThreshold is how many entries may follow the snapshot before the log is compacted. 0 stands for
+	// CompactionThreshold is the number of log entries after the snapshot above which the log is compacted. 0 selects
 	// DefaultCompactionThreshold.
 	CompactionThreshold int
-	// TailEntries is how many entries to keep before the snapshot for replicas that lag. It is not used yet.
+	// TailEntries is the number of entries before the snapshot to retain for lagging followers. It is not used yet.
 	TailEntries int
 	Log         zerolog.Logger
 }
 
-// Replica is the role logic of one control-plane member. It belongs to one goroutine.
+// Replica is the logic of one control-plane member. It is not safe for concurrent use.
 type Replica struct {
 	env  Environment
 	log  zerolog.Logger
@@ -85,10 +91,10 @@
 	leaderGap           leaderGap
 
 	savedIndex   uint64      // index of the last entry on disk
-	unsavedReady *raft.Ready // what could not be saved so far, or nil; nothing else may happen before it is saved
+	unsavedReady *raft.Ready // the Ready whose save failed, or nil; it must be saved before anything else is processed
 
-	proposals      map[uint64]proposal // by index
-	lastProposed   uint64              // index of the entry that this replica proposed last
+	proposals      map[uint64]proposal // by index of the proposed entry
+	lastProposed   uint64              // index of the latest entry that this replica proposed
 	pendingUpdates pendingUpdates
 	reads          readQueue
 	waiters        []waiter
@@ -96,16 +102,16 @@
 
 	peers                 peerAddresses
 	announcedLeader       raft.ID
-	announcedMembersIndex uint64        // index of the configuration that sidecars were sent
+	announcedMembersIndex uint64        // index of the membership configuration last sent to sidecars
 	quorumContact         time.Duration // see QuorumContact
-	inMaintenance         bool          // a maintenance order has taken this replica's machine out of service
+	inMaintenance         bool          // a maintenance order has taken this replica's machine out of service, as of the last Tick
 
 	records          directory.Table
 	lastRecordExpiry time.Duration
 }
 
-// New returns a replica in the state that its disk holds. The error says that the stored state can't be decoded, so that retrying is of no
-// use.
+// New returns a replica with the state that was read from its disk. It fails only if the stored state can't be decoded, so a retry would
+// fail again.
 func New(c Config, env Environment, now time.Duration) (*Replica, error) {
 	r := &Replica{
 		env:                 env,
@@ -135,20 +141,20 @@
 	return r, nil
 }
 
-// advanceTime sets the time, unless it would go back.
+// advanceTime sets the replica's time to now, unless that is before its present time.
 func (r *Replica) advanceTime(now time.Duration) { r.now = max(r.now, now) }
 
-// Step handles a Raft message.
+// Step handles a Raft message that was received from another replica.
 func (r *Replica) Step(now time.Duration, message raft.Message) {
 	r.advanceTime(now)
 	r.raft.Step(r.now, message)
 }
 
-// Tick does what is due by time. It has to be called every TickInterval, followed by ProcessReady.
+// Tick performs the periodic work. It must be called every TickInterval, followed by ProcessReady.
 func (r *Replica) Tick(now time.Duration) {
 	r.advanceTime(now)
 	r.raft.Tick(r.now)
-	r.observeMaintenance()
+	r.updateMaintenance()
 	r.updateQuorumContact()
 	r.announceLeader()
 	r.announceMembers()
@@ -156,18 +162,19 @@
 	r.expireRecords()
 }
 
-// BeginShutdown begins a planned departure, because the process is about to end: leadership is transferred, and the leader is asked to
-// report when the members that stay hold everything that this one holds.
+// BeginShutdown prepares for the planned end of the process: it transfers leadership, and asks the leader to report when the remaining
+// members have all entries that this replica has.
 func (r *Replica) BeginShutdown(now time.Duration) {
 	r.advanceTime(now)
 	r.raft.BeginLeave(r.now)
 }
 
-// CanShutDown reports whether the members that stay hold everything that this one holds, so that its process may end.
+// CanShutDown reports whether the remaining members have all entries that this replica has, so that its process may end.
 func (r *Replica) CanShutDown() bool { return r.raft.MayLeave() }
 
-// observeMaintenance transfers leadership while a maintenance order has taken this replica out.
-func (r *Replica) observeMaintenance() {
+// updateMaintenance records whether a maintenance order has taken this replica's machine out of service, and if so transfers its
+// leadership, if it leads.
+func (r *Replica) updateMaintenance() {
 	machines := r.state.Maintenance.MachinesMessage().List
 	r.inMaintenance = slices.ContainsFunc(machines, func(machine *wire.MachineInMaintenanceT) bool {
 		return machine.Addr == r.self.Addr
@@ -177,7 +184,7 @@
 	}
 }
 
-// updateQuorumContact records whether there is contact with a quorum now, and notifies sidecars if it has come back.
+// updateQuorumContact records whether this replica has contact with a quorum now, and notifies sidecars if it has regained contact.
 func (r *Replica) updateQuorumContact() {
 	before := r.quorumContact
 	r.quorumContact = 0
@@ -189,16 +196,17 @@
 	}
 }
 
-// QuorumContact returns when the replica last had contact with a quorum, as of the last Tick, or 0 if it has none now.
+// QuorumContact returns the time of the latest check that found contact with a quorum, or 0 if the latest check found none. Each Tick and
+// each change of the leader checks it.
 func (r *Replica) QuorumContact() time.Duration { return r.quorumContact }
 
-// HasQuorumContact reports whether a replica with a QuorumContact may claim contact with a quorum at a time. It may not if its owner has
-// stalled, for instance on its disk. Any goroutine may call it.
+// HasQuorumContact reports whether a replica may report contact with a quorum at the time now, given its QuorumContact. It may not if the
+// last check is too old because its owner has stalled, for instance on a slow disk. It is safe for concurrent use.
 func HasQuorumContact(quorumContact, now time.Duration) bool {
 	return quorumContact > 0 && now-quorumContact < stallTimeout
 }
 
-// announceLeader handles a change of the leader, and reports whether there was one.
+// announceLeader handles a change of the leader since the last call, and reports whether there was one.
 func (r *Replica) announceLeader() (changed bool) {
 	leader := r.raft.Leader()
 	if leader == r.announcedLeader {
@@ -212,7 +220,7 @@
 	return true
 }
 
-// announceMembers handles a change of the membership.
+// announceMembers handles a change of the membership since the last call: it updates the peers and notifies sidecars.
 func (r *Replica) announceMembers() {
 	members, index := r.raft.Members()
 	if index == r.announcedMembersIndex {
@@ -224,8 +232,8 @@
 	r.env.BroadcastToSidecars(r.membersMessage())
 }
 
-// PeerExited reports that the process of the replica at an address has ended, because its host refuses connections. If it was the leader,
-// isLeader is true, and the caller has to call Tick after wait, so that another leader is elected.
+// PeerExited tells the replica that the process of the replica at address has ended, which is inferred from refused connections. If that
+// was the leader, isLeader is true, and the caller must call Tick after wait, so that a new leader is elected.
 func (r *Replica) PeerExited(now time.Duration, address string) (wait time.Duration, isLeader bool) {
 	r.advanceTime(now)
 	if address == "" || address != r.remoteLeaderAddress() {
--- a/internal/mesh/replica/state.go
+++ b/internal/mesh/replica/state.go
@@ -11,22 +11,24 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// State is the replicated state machine: configuration items, leases on idempotency keys, maintenance and policy. It only changes by
-// committed entries, and the same entries lead to the same state on every member: Apply takes the time from the entry, and nothing else
-// from outside (Raft paper, section 2: state machine safety needs deterministic commands). Decode makes it ready for use.
+// State is the replicated state machine: configuration items, leases on idempotency keys, maintenance and policy. Only committed entries
+// change it, and the same entries lead to the same state on every member: Apply depends on nothing but the state and the entry, from which
+// it also takes the time (Raft paper, section 2: replicated state machines need deterministic commands). The zero value is not usable:
+// Decode initializes it.
 type State struct {
 	Items        config.Table
 	KeyLeases    *idempotency.Store
 	Maintenance  Maintenance
 	Policy       PolicyState
-	ActivePolicy config.Table // namespaces and policies in force; those of a pending rollout are only among Items
-	ItemsIndex   uint64       // index of the entry that changed Items last
+	ActivePolicy config.Table // active namespaces and policies; those of a pending rollout are only in Items
+	ItemsIndex   uint64       // index of the latest entry that changed Items
 }
 
-// ChangeKind is what an entry changes. It is the first byte of the entry's data, so its values are stored and must not change.
+// ChangeKind is the part of the state that an entry changes. It is stored as the first byte of the entry's data, so its values must not
+// change.
 type ChangeKind byte
 
-// Kinds of changes, with the table that follows the first byte.
+// Kinds of changes, with the FlatBuffers table that follows the first byte.
 const (
 	ChangeItems        ChangeKind = 1 // wire.Items
 	ChangeKeyLeases    ChangeKind = 2 // wire.KeyLeaseRequests
@@ -42,19 +44,19 @@
 // Outcome is the result of applying a change.
 type Outcome struct {
 	Err                error         // why an update of items or a maintenance change was rejected, or the entry can't be decoded
-	UpdatedItems       []config.Item // with their new versions
+	UpdatedItems       []config.Item // the items that the update changed, in their new versions
 	LeaseResults       []idempotency.LeaseResult
 	MaintenanceChanged bool // the maintenance state may have changed
 	PolicyActivated    bool // a policy set was activated
 }
 
-// Apply applies a committed entry. An entry without data, and one of an unknown kind, change nothing. An entry that can't be decoded, or a
-// change that is rejected, changes nothing on any member alike, and Outcome.Err says why.
+// Apply applies a committed entry. An entry without data or of an unknown kind has no effect. An entry that can't be decoded, or whose
+// change is rejected, has no effect on any member, and Outcome.Err gives the reason.
 func (s *State) Apply(entry raft.Entry) Outcome {
 	if len(entry.Data) == 0 {
 		return Outcome{}
 	}
-	// Cloned because FlatBuffers tables need the alignment that they were encoded with.
+	// Cloned because the first byte shifts the FlatBuffers table that follows it out of its alignment.
 	body := bytes.Clone(entry.Data[1:])
 	switch ChangeKind(entry.Data[0]) {
 	case ChangeItems:
@@ -69,7 +71,8 @@
 	return Outcome{}
 }
 
-// applyItems applies an operator's update. ApplyUpdate checks it again, since entries may have been applied after the leader admitted it.
+// applyItems applies an operator's update. ApplyUpdate checks it again, since other entries may have been applied after the leader admitted
+// the update.
 func (s *State) applyItems(entry raft.Entry, body []byte) (outcome Outcome) {
 	table, err := codec.DecodeTable(body, func(p []byte) *wire.ItemsT { return wire.GetRootAsItems(p, 0).UnPack() })
 	if err != nil {
@@ -86,7 +89,7 @@
 	return outcome
 }
 
-// applyLeaseRequests grants or releases leases on idempotency keys, at the entry's log time.
+// applyLeaseRequests grants or releases leases on idempotency keys as of the entry's log time.
 func (s *State) applyLeaseRequests(entry raft.Entry, body []byte) (outcome Outcome) {
 	requests, err := decodeLeaseRequests(body)
 	if err != nil {
@@ -109,7 +112,7 @@
 	return Outcome{Err: err, MaintenanceChanged: true}
 }
 
-// activatePolicy makes the agreed policy set the active one, unless another set was agreed on since the change was proposed.
+// activatePolicy activates the committed policy set, unless another set was committed after the activation was proposed.
 func (s *State) activatePolicy(entry raft.Entry, body []byte) (outcome Outcome) {
 	table, err := codec.DecodeTable(body, func(p []byte) *wire.ActivePolicyT { return wire.GetRootAsActivePolicy(p, 0).UnPack() })
 	if err != nil {
--- a/internal/mesh/replica/updates.go
+++ b/internal/mesh/replica/updates.go
@@ -9,16 +9,17 @@
 	"cranegrade/internal/mesh/transport/codec"
 )
 
-// pendingUpdates records which items are named by a leader's proposals that are not applied yet.
+// pendingUpdates records, at a leader, which items its unapplied proposals change.
 type pendingUpdates struct {
 	term   uint64
-	latest map[config.Key]uint64 // index of the latest proposed entry that names an item
+	latest map[config.Key]uint64 // index of the latest proposed entry that changes the item
 }
 
-// latestFor returns the index of the latest entry of a term that names an item of an update, or 0 if all are applied.
+// latestFor returns the index of the latest unapplied entry that was proposed in a term and changes an item of an update, or 0 if there is
+// none.
 func (p *pendingUpdates) latestFor(term uint64, update config.Update) (index uint64) {
 	if p.term != term {
-		return 0 // a proposal of another term is either applied already or will never be
+		return 0 // a proposal of an earlier term is either applied already or never will be
 	}
 	for _, item := range update.Items {
 		index = max(index, p.latest[item.Key])
@@ -26,7 +27,7 @@
 	return index
 }
 
-// add records a proposed entry.
+// add records an entry that was proposed for an update.
 func (p *pendingUpdates) add(term, index uint64, update config.Update) {
 	if p.term != term || p.latest == nil {
 		p.term, p.latest = term, map[config.Key]uint64{}
@@ -36,7 +37,7 @@
 	}
 }
 
-// remove removes an entry that was applied or lost.
+// remove removes the entry of an update after its proposal has completed, whether it was applied or lost.
 func (p *pendingUpdates) remove(term, index uint64, update config.Update) {
 	if p.term != term {
 		return
@@ -48,7 +49,8 @@
 	}
 }
 
-// Modify commits an operator's update, which it proposes here or forwards to the leader. done is called once.
+// Modify commits an operator's update: it proposes the update if this replica leads, and otherwise forwards it to the leader. done is
+// called once.
 func (r *Replica) Modify(now time.Duration, body []byte, done func(Reply)) {
 	update, err := config.ParseUpdate(body)
 	if err != nil {
@@ -58,8 +60,8 @@
 	r.ModifyParsed(now, update, body, done)
 }
 
-// ModifyParsed is Modify with an update that was already parsed from its body, since parsing a large one on the replica's goroutine
-// would delay heartbeats.
+// ModifyParsed is like Modify, for an update that the caller has parsed from body on another goroutine. Parsing a large update on the
+// replica's goroutine would delay heartbeats.
 func (r *Replica) ModifyParsed(now time.Duration, update config.Update, body []byte, done func(Reply)) {
 	r.advanceTime(now)
 	if r.raft.IsLeader() {
@@ -74,14 +76,14 @@
 	r.forwardToLeader(leader, codec.CallModify, body, done)
 }
 
-// HandleModify handles an update that another replica forwarded and that was already parsed.
+// HandleModify handles an update that another replica forwarded and that the caller has parsed.
 func (r *Replica) HandleModify(now time.Duration, update config.Update, reply func(Reply)) {
 	r.advanceTime(now)
 	r.admitUpdate(update, reply)
 }
 
-// admitUpdate commits an operator's update, at the leader. Whether the update is admitted depends on everything that may have been
-// committed before it, so it waits while an entry that names one of its items is not applied.
+// admitUpdate validates an operator's update against the state and proposes it, if this replica leads. The result of the validation depends
+// on all entries that may be committed before the update, so the update waits until those that change one of its items are applied.
 func (r *Replica) admitUpdate(update config.Update, done func(Reply)) {
 	if !r.raft.IsLeader() {
 		done(Unavailable("not the leader"))
@@ -106,8 +108,8 @@
 	}
 }
 
-// blockingIndex returns the index of the latest entry that has to be applied before an update can be admitted: the last one that an earlier
-// leader may have committed, or the latest that names one of the update's items.
+// blockingIndex returns the index of the entry that must be applied before an update can be admitted. Until this leader has applied all
+// entries of earlier leaders, that is the last entry of the log, and afterwards the latest entry that changes one of the update's items.
 func (r *Replica) blockingIndex(update config.Update) (index uint64) {
 	if !r.raft.IsCaughtUpLeader() {
 		return r.raft.LastIndex()
@@ -115,9 +117,9 @@
 	return r.pendingUpdates.latestFor(r.raft.Term(), update)
 }
 
-// confirmDuplicate acknowledges an update that was accepted before, once an empty entry after it is committed: a majority of the
-// present members then has the update on disk. A linearizable read would not be enough, because a majority may follow this leader
-// although another disk that held the update has just been lost.
+// confirmDuplicate acknowledges an update that was accepted before. It first commits an empty entry after the update, which shows that a
+// majority of the present members has the update on disk. A linearizable read would not be sufficient: it shows that a majority follows
+// this leader, but a member that had the update on disk may just have lost that disk.
 func (r *Replica) confirmDuplicate(done func(Reply)) {
 	ok := r.Propose(r.now, nil, func(result ProposalResult) {
 		if !result.Known {
@@ -131,7 +133,7 @@
 	}
 }
 
-// proposeUpdate proposes an admitted update.
+// proposeUpdate proposes an admitted update, and calls done with the result.
 func (r *Replica) proposeUpdate(update config.Update, done func(Reply)) {
 	term, index := r.raft.Term(), uint64(0)
 	ok := r.Propose(r.now, EncodeChange(ChangeItems, config.UpdateToWire(update)), func(result ProposalResult) {
