--- a/internal/mesh/replica/bootstrap_test.go
+++ b/internal/mesh/replica/bootstrap_test.go
@@ -8,8 +8,9 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// TestBootstrap shows that at the first start of a deployment the seeds bootstrap the control plane, each by itself and alike, in whatever
-// order their files name them. Nobody else does: neither a machine that is no seed, nor one whose disk was lost or can't be read.
+// TestBootstrap checks that at the first start of a deployment each seed derives the same initial state independently, whatever the order
+// of the seeds in its settings. Other replicas get a new ID and no members: a machine that is not a seed, and one whose disk was lost or is
+// damaged.
 func TestBootstrap(t *testing.T) {
 	const newID raft.ID = 4
 	seeds := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
--- a/internal/mesh/replica/cluster_test.go
+++ b/internal/mesh/replica/cluster_test.go
@@ -18,41 +18,41 @@
 	"cranegrade/internal/mesh/transport/codec"
 )
 
-// cluster is several replicas in one simulated time, over a network that delays, reorders and loses what it carries.
+// cluster simulates several replicas on one clock, over a network that delays, reorders, duplicates and loses messages.
 type cluster struct {
-	random *rand.Rand
-	now    time.Duration
-	nodes  []*clusterNode
-	events []clusterEvent
-	drawn  uint64
-	record actionRecord
+	random     *rand.Rand
+	now        time.Duration
+	nodes      []*clusterNode
+	events     []clusterEvent // in the order in which they are due
+	lastNumber uint64         // latest number used for an ID or an event
+	record     actionRecord
 }
 
-// clusterEvent is something that happens at a time.
+// clusterEvent is an action to run at a time.
 type clusterEvent struct {
-	at    time.Duration
-	order uint64 // among those at one time
-	do    func()
+	at     time.Duration
+	number uint64 // orders events that are due at the same time
+	run    func()
 }
 
 // clusterNode is one replica, its disk and its Environment.
 type clusterNode struct {
-	cluster   *cluster
-	address   string
-	seeds     []string
-	disk      raft.StoredState
-	replica   *Replica // nil while its process does not run
-	life      int
-	busy      bool // the disk does not take what must be on it
-	fullUntil time.Duration
-	frozen    time.Duration // until then
-	ticked    time.Duration
-	cut       map[string]bool // addresses that nothing is sent to
-	met       map[string]bool // addresses that connected in this incarnation
-	lastID    raft.ID
-}
-
-// actionRecord is a hash over actions in order, by values alone, and how many there were of each kind.
+	cluster       *cluster
+	address       string
+	seeds         []string
+	disk          raft.StoredState
+	replica       *Replica // nil while its process does not run
+	incarnation   int      // counts starts and stops of the process
+	saveFailed    bool     // the latest save failed and is retried
+	diskFullUntil time.Duration
+	frozenUntil   time.Duration
+	lastTick      time.Duration
+	blocked       map[string]bool // addresses to which no message is delivered
+	connected     map[string]bool // addresses that connected in this incarnation
+	id            raft.ID         // of the latest incarnation
+}
+
+// actionRecord is a hash of a sequence of actions, computed from their kinds and values, and the number of actions of each kind.
 type actionRecord struct {
 	sum   hash.Hash
 	Count map[string]int
@@ -76,7 +76,7 @@
 		case uint64, int, bool, byte:
 			fmt.Fprintf(a.sum, " %v", v)
 		default:
-			panic(fmt.Sprintf("a value of type %T has no fixed form", v))
+			panic(fmt.Sprintf("a value of type %T has no encoding for the hash", v))
 		}
 	}
 	fmt.Fprintln(a.sum)
@@ -84,12 +84,12 @@
 
 func (a *actionRecord) hash() string { return hex.EncodeToString(a.sum.Sum(nil)) }
 
-// newCluster bootstraps a cluster of three, beside a number of replicas that ask to join.
+// newCluster starts a cluster of three bootstrap members, and joiners more replicas that ask to join.
 func newCluster(seed uint64, joiners int) *cluster {
 	c := &cluster{random: rand.New(rand.NewPCG(seed, 0xc1)), record: newActionRecord()}
 	seeds := []string{"r0", "r1", "r2"}
 	for n := range len(seeds) + joiners {
-		node := &clusterNode{cluster: c, address: fmt.Sprint("r", n), seeds: seeds, cut: map[string]bool{}}
+		node := &clusterNode{cluster: c, address: fmt.Sprint("r", n), seeds: seeds, blocked: map[string]bool{}}
 		node.disk = Bootstrap{Address: node.address, Seeds: seeds, FirstStart: n < len(seeds), NewID: c.newID()}.InitialState()
 		c.nodes = append(c.nodes, node)
 		node.start()
@@ -97,70 +97,72 @@
 	return c
 }
 
-// newSettledCluster returns a cluster of three with a leader that has applied an entry of its own term, and that leader.
+// newSettledCluster returns a cluster of three members whose leader has applied an entry of its term, and that leader.
 func newSettledCluster(t *testing.T) (*cluster, *clusterNode) {
 	t.Helper()
 	c := newCluster(1, 0)
 	return c, c.awaitLeader(t, nil)
 }
 
-// awaitLeader lets time pass until a replica other than the one before leads, and may admit updates.
-func (c *cluster) awaitLeader(t *testing.T, before *clusterNode) *clusterNode {
+// awaitLeader advances time until a replica other than previous leads and may admit updates, and returns that replica.
+func (c *cluster) awaitLeader(t *testing.T, previous *clusterNode) *clusterNode {
 	t.Helper()
 	for end := c.now + time.Minute; c.now < end; c.step(time.Millisecond) {
-		if n := c.leader(); n != nil && n != before && n.replica.IsReadyLeader() {
+		if n := c.leader(); n != nil && n != previous && n.replica.IsReadyLeader() {
 			return n
 		}
 	}
-	t.Fatal("nobody leads")
+	t.Fatal("no new leader is ready within a minute")
 	return nil
 }
 
-// newID is an id that no replica had.
+// newID returns an ID that no replica has had.
 func (c *cluster) newID() raft.ID {
-	c.drawn++
-	return raft.ID(1_000_000 + 2*c.drawn)
+	c.lastNumber++
+	return raft.ID(1_000_000 + 2*c.lastNumber)
 }
 
-func (c *cluster) between(low, high time.Duration) time.Duration {
+// randomDuration returns a random duration in [low, high).
+func (c *cluster) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(c.random.Int64N(int64(high-low)))
 }
 
-func (c *cluster) after(d time.Duration, do func()) {
-	c.drawn++
-	e := clusterEvent{c.now + d, c.drawn, do}
+// schedule runs an action after a delay.
+func (c *cluster) schedule(delay time.Duration, action func()) {
+	c.lastNumber++
+	e := clusterEvent{c.now + delay, c.lastNumber, action}
 	at, _ := slices.BinarySearchFunc(c.events, e, func(a, b clusterEvent) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order))
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.number, b.number))
 	})
 	c.events = slices.Insert(c.events, at, e)
 }
 
-// step lets time pass, and does all that is due in it.
+// step advances time by d, runs the events that become due, and then the ticks that are due.
 func (c *cluster) step(d time.Duration) {
 	end := c.now + d
 	for len(c.events) > 0 && c.events[0].at <= end {
 		e := c.events[0]
 		c.events = c.events[1:]
 		c.now = max(c.now, e.at)
-		e.do()
+		e.run()
 	}
 	c.now = end
 	for _, n := range c.nodes {
-		if n.running() && c.now-n.ticked >= TickInterval {
-			n.ticked = c.now
+		if n.running() && c.now-n.lastTick >= TickInterval {
+			n.lastTick = c.now
 			n.call(func(r *Replica) { r.Tick(c.now) })
 		}
 	}
 }
 
-// run lets so much time pass.
+// run advances time by d, in small steps.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.step(5 * time.Millisecond)
 	}
 }
 
-// leader returns the replica that leads the latest term, or nil if none does.
+// leader returns the leader of the latest term, or nil if no replica leads.
 func (c *cluster) leader() (leader *clusterNode) {
 	for _, n := range c.nodes {
 		if n.replica != nil && n.replica.IsLeader() && (leader == nil || n.replica.Term() > leader.replica.Term()) {
@@ -170,6 +172,7 @@
 	return leader
 }
 
+// node returns the replica at address, or nil if there is none.
 func (c *cluster) node(address string) *clusterNode {
 	at := slices.IndexFunc(c.nodes, func(n *clusterNode) bool { return n.address == address })
 	if at < 0 {
@@ -178,28 +181,28 @@
 	return c.nodes[at]
 }
 
-// isolate cuts a replica off from all others, both ways.
+// isolate partitions a replica from all others, in both directions.
 func (c *cluster) isolate(n *clusterNode) {
 	for _, o := range c.nodes {
 		if o != n {
-			n.cut[o.address], o.cut[n.address] = true, true
+			n.blocked[o.address], o.blocked[n.address] = true, true
 		}
 	}
 }
 
-// heal undoes all cuts.
+// heal ends all partitions.
 func (c *cluster) heal() {
 	for _, n := range c.nodes {
-		clear(n.cut)
+		clear(n.blocked)
 	}
 }
 
-// running reports whether the process runs and waits for nothing.
+// running reports whether the process runs, and neither is frozen nor waits for its disk.
 func (n *clusterNode) running() bool {
-	return n.replica != nil && !n.busy && n.cluster.now >= n.frozen
+	return n.replica != nil && !n.saveFailed && n.cluster.now >= n.frozenUntil
 }
 
-// start starts an incarnation from the disk.
+// start starts the process with the state on its disk.
 func (n *clusterNode) start() {
 	c := n.cluster
 	r, err := New(Config{
@@ -215,46 +218,47 @@
 	if err != nil {
 		panic(err)
 	}
-	n.life++
-	n.replica, n.busy, n.met, n.lastID = r, false, map[string]bool{}, n.disk.Self
+	n.incarnation++
+	n.replica, n.saveFailed, n.connected, n.id = r, false, map[string]bool{}, n.disk.Self
 	c.record.add("start", n.address, n.disk.Self)
 }
 
-// stop ends the incarnation. Its disk stays.
+// stop ends the process. Its disk is retained.
 func (n *clusterNode) stop() {
 	n.replica = nil
-	n.life++
+	n.incarnation++
 	n.cluster.record.add("stop", n.address)
 }
 
-// call has the replica do something, and process what follows from it.
-func (n *clusterNode) call(do func(r *Replica)) {
+// call calls action with the replica and then ProcessReady, unless the replica is not running.
+func (n *clusterNode) call(action func(r *Replica)) {
 	if !n.running() {
 		return
 	}
-	do(n.replica)
+	action(n.replica)
 	n.processReady()
 }
 
+// processReady calls ProcessReady, and schedules a retry if the save failed.
 func (n *clusterNode) processReady() {
-	n.busy = !n.replica.ProcessReady()
-	if n.busy {
-		n.later(20*time.Millisecond, n.processReady)
+	n.saveFailed = !n.replica.ProcessReady()
+	if n.saveFailed {
+		n.schedule(20*time.Millisecond, n.processReady)
 	}
 	n.recordView()
 }
 
-// later does something, unless the incarnation has ended by then.
-func (n *clusterNode) later(d time.Duration, do func()) {
-	life := n.life
-	n.cluster.after(d, func() {
-		if n.life == life {
-			do()
+// schedule runs an action after a delay, unless the process has ended by then.
+func (n *clusterNode) schedule(delay time.Duration, action func()) {
+	incarnation := n.incarnation
+	n.cluster.schedule(delay, func() {
+		if n.incarnation == incarnation {
+			action()
 		}
 	})
 }
 
-// recordView records what the replica says of itself.
+// recordView records the results of the replica's accessors.
 func (n *clusterNode) recordView() {
 	r := n.replica
 	members, index := r.Members()
@@ -263,80 +267,81 @@
 		len(r.Records().All()), r.State().ItemsIndex)
 }
 
-// Send carries a message to another replica, now and then late, not at all or twice.
+// Send delivers a message to another replica after a random delay. Some messages are lost or duplicated.
 func (n *clusterNode) Send(address string, m raft.Message) {
 	c := n.cluster
-	text := codec.EncodeTable(raftwire.MessageToWire(m))
-	c.record.add("send", n.address, address, text)
-	if n.cut[address] || c.random.IntN(50) == 0 {
+	encoded := codec.EncodeTable(raftwire.MessageToWire(m))
+	c.record.add("send", n.address, address, encoded)
+	if n.blocked[address] || c.random.IntN(50) == 0 {
 		return
 	}
-	times := 1
+	copies := 1
 	if c.random.IntN(50) == 0 {
-		times = 2
+		copies = 2
 	}
-	for range times {
-		c.after(c.between(time.Millisecond, 12*time.Millisecond), func() { n.deliver(address, m) })
+	for range copies {
+		c.schedule(c.randomDuration(time.Millisecond, 12*time.Millisecond), func() { n.deliver(address, m) })
 	}
 }
 
+// deliver delivers a message to the replica at address, unless the connection is blocked by then.
 func (n *clusterNode) deliver(address string, m raft.Message) {
 	to := n.cluster.node(address)
-	if to == nil || n.cut[address] {
+	if to == nil || n.blocked[address] {
 		return
 	}
 	to.call(func(r *Replica) {
-		if !to.met[n.address] {
-			to.met[n.address] = true
-			r.RememberAddress(n.lastID, n.address)
+		if !to.connected[n.address] {
+			to.connected[n.address] = true
+			r.RememberAddress(n.id, n.address)
 		}
 		r.Step(n.cluster.now, m)
 	})
 }
 
-// Connect is recorded and no more.
+// Connect only records the action.
 func (n *clusterNode) Connect(address string) {
 	n.cluster.record.add("connect", n.address, address)
 }
 
-// CallReplica carries a call to another replica, and its answer back. done is called once.
+// CallReplica delivers a call to another replica and the reply back. done is called at most once, and never after the process has ended.
 func (n *clusterNode) CallReplica(address string, kind byte, body []byte, done func(Reply)) {
 	c := n.cluster
 	c.record.add("call", n.address, address, kind, body)
-	life, answered := n.life, false
+	incarnation, answered := n.incarnation, false
 	var once func(Reply)
 	once = func(reply Reply) {
 		switch {
-		case n.life != life || answered:
-		case !n.running(): // it gets the answer as soon as it runs again
-			n.later(TickInterval, func() { once(reply) })
+		case n.incarnation != incarnation || answered:
+		case !n.running(): // the reply is delivered when the process runs again
+			n.schedule(TickInterval, func() { once(reply) })
 		default:
 			answered = true
 			n.call(func(*Replica) { done(reply) })
 		}
 	}
-	c.after(CallTimeout, func() { once(Unavailable("")) })
+	c.schedule(CallTimeout, func() { once(Unavailable("")) })
 	to := c.node(address)
-	if to == nil || n.cut[address] {
+	if to == nil || n.blocked[address] {
 		return
 	}
-	c.after(c.between(time.Millisecond, 12*time.Millisecond), func() {
+	c.schedule(c.randomDuration(time.Millisecond, 12*time.Millisecond), func() {
 		to.call(func(r *Replica) {
 			r.HandleCall(c.now, kind, body, FromReplica, func(reply Reply) {
-				c.after(c.between(time.Millisecond, 12*time.Millisecond), func() { once(reply) })
+				c.schedule(c.randomDuration(time.Millisecond, 12*time.Millisecond), func() { once(reply) })
 			})
 		})
 	})
 }
 
-// Save writes to the disk, unless that is full.
-func (n *clusterNode) Save(ready raft.Ready, last uint64) bool {
+// Save writes to the disk, unless the disk is full.
+func (n *clusterNode) Save(ready raft.Ready, lastSaved uint64) bool {
 	c := n.cluster
-	if c.now < n.fullUntil {
+	if c.now < n.diskFullUntil {
 		c.record.add("unsaved", n.address)
 		return false
 	}
-	c.record.add("save", n.address, last)
+	c.record.add("save", n.address, lastSaved)
 	if ready.HardState != nil {
 		n.disk.HardState = *ready.HardState
 		c.record.add("hard state", ready.HardState.Term, ready.HardState.Vote)
@@ -353,27 +358,27 @@
 	return true
 }
 
-// Compact has a snapshot stand for the front of the log.
-func (n *clusterNode) Compact(snapshot raft.Snapshot, kept uint64) {
-	all := append(slices.Clone(n.disk.CatchUpEntries), n.disk.Entries...)
+// Compact replaces the log up to the snapshot's index by the snapshot.
+func (n *clusterNode) Compact(snapshot raft.Snapshot, oldestRetained uint64) {
+	entries := append(slices.Clone(n.disk.CatchUpEntries), n.disk.Entries...)
 	n.disk.Snapshot, n.disk.CatchUpEntries, n.disk.Entries = snapshot, nil, nil
-	for _, e := range all {
+	for _, e := range entries {
 		switch {
 		case e.Index > snapshot.Index:
 			n.disk.Entries = append(n.disk.Entries, e)
-		case e.Index >= kept:
+		case e.Index >= oldestRetained:
 			n.disk.CatchUpEntries = append(n.disk.CatchUpEntries, e)
 		}
 	}
-	n.cluster.record.add("compact", n.address, kept, codec.EncodeTable(raftwire.SnapshotToWire(&snapshot)))
+	n.cluster.record.add("compact", n.address, oldestRetained, codec.EncodeTable(raftwire.SnapshotToWire(&snapshot)))
 }
 
-// BroadcastToSidecars is recorded and no more.
+// BroadcastToSidecars only records the action.
 func (n *clusterNode) BroadcastToSidecars(message any) {
 	n.cluster.record.add("to sidecars", n.address, codec.Encode(message))
 }
 
-// BroadcastToReplicas is recorded and no more.
+// BroadcastToReplicas only records the action.
 func (n *clusterNode) BroadcastToReplicas(message any) {
 	n.cluster.record.add("to replicas", n.address, codec.Encode(message))
 }
--- a/internal/mesh/replica/disk_test.go
+++ b/internal/mesh/replica/disk_test.go
@@ -16,19 +16,19 @@
 	"cranegrade/internal/mesh/storage"
 )
 
-// diskEnvironment is the environment of a replica that is the only member and has a disk.
+// diskEnvironment is the environment of a replica that is the only member and saves to a store.
 type diskEnvironment struct {
 	soloEnvironment
 	t     *testing.T
 	store *storage.Store
 }
 
-func (d diskEnvironment) Save(ready raft.Ready, last uint64) bool {
-	assert.NilError(d.t, d.store.Save(ready, last))
+func (d diskEnvironment) Save(ready raft.Ready, lastSaved uint64) bool {
+	assert.NilError(d.t, d.store.Save(ready, lastSaved))
 	return true
 }
 
-// startFromDisk starts a replica from the disk in a folder and has it lead.
+// startFromDisk starts a replica from the store in dir, waits until it leads, and returns it with its store and the time.
 func startFromDisk(t *testing.T, dir string) (*Replica, *storage.Store, time.Duration) {
 	t.Helper()
 	store, stored, empty, err := storage.Open(dir)
@@ -39,21 +39,22 @@
 	return r, store, awaitReadyLeader(t, r)
 }
 
-// TestDiskOfEarlierBuild starts a replica from the disk under testdata/store-format-1, which a member of the build of commit 3361937
-// wrote: a first update, a change, a removal, a namespace with a policy and a key lease, all in a snapshot; behind it the members, two
-// updates and a key lease. The replica leads, has all that was committed, and does so again from what it wrote itself.
-func TestDiskOfEarlierBuild(t *testing.T) {
+// TestReplicaServesStoreOfEarlierBuild checks that a replica can start from the store under testdata/store-format-1, which a member of the
+// build of commit 3361937 wrote. The store contains a snapshot (with a first update, a change, a removal, a namespace with a policy, and a
+// key lease) and, after it, the members, two updates and a key lease. The replica must lead and have all committed changes, also when it is
+// started again from the store that it wrote itself.
+func TestReplicaServesStoreOfEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.CopyFS(dir, os.DirFS("testdata/store-format-1")))
 	for range 2 {
 		r, store, now := startFromDisk(t, dir)
-		var set config.Document
+		var document config.Document
 		r.Fetch(now, func(fetched FetchResult) {
 			assert.Assert(t, fetched.Confirmed)
-			set = fetched.Document
+			document = fetched.Document
 		})
 		r.ProcessReady()
-		text, err := json.Marshal(set)
+		text, err := json.Marshal(document)
 		assert.NilError(t, err)
 		want, err := os.ReadFile("testdata/store-format-1/fetched.json")
 		assert.NilError(t, err)
@@ -67,7 +68,7 @@
 			assert.Assert(t, !r.state.KeyLeases.Apply(20*time.Second, request).Granted, key)
 		}
 
-		// Of operations that were accepted it says what such a disk shows.
+		// Repeated operations are duplicates, conflicts or unknown, depending on what is recorded in such a store.
 		for _, x := range []struct {
 			body []byte
 			want int
@@ -88,7 +89,7 @@
 	}
 }
 
-// routeUpsert is an operator's update like those on the disk.
+// routeUpsert returns an operator's update that upserts a route, like the updates in the store.
 func routeUpsert(name, service string, version int) []byte {
 	rule := map[string]any{
 		"Name": name, "RouteType": "keyed", "TargetLatencyS": 0.8, "Priority": 2, "ConfigVersion": version,
--- a/internal/mesh/replica/environment_test.go
+++ b/internal/mesh/replica/environment_test.go
@@ -10,7 +10,7 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// soloEnvironment is the environment of a replica that is the only member: everything succeeds, and nothing is kept.
+// soloEnvironment is the environment of a replica that is the only member: saves succeed, and all effects are discarded.
 type soloEnvironment struct{}
 
 func (soloEnvironment) Send(string, raft.Message)                     {}
@@ -21,7 +21,7 @@
 func (soloEnvironment) BroadcastToSidecars(any)                       {}
 func (soloEnvironment) BroadcastToReplicas(any)                       {}
 
-// newSoloLeader returns a replica that leads by itself, and the time.
+// newSoloLeader returns a leader that is the only member, and the time.
 func newSoloLeader(t *testing.T) (*Replica, time.Duration) {
 	t.Helper()
 	self := raft.Member{ID: 7, Addr: "10.0.0.1:7000"}
@@ -31,22 +31,22 @@
 	return r, awaitReadyLeader(t, r)
 }
 
-// awaitReadyLeader lets time pass from 0 until a replica leads and may admit updates, and returns the time.
+// awaitReadyLeader advances time from 0 until a replica leads and may admit updates, and returns the time.
 func awaitReadyLeader(t *testing.T, r *Replica) (now time.Duration) {
 	t.Helper()
 	for ; !r.IsReadyLeader(); now += TickInterval {
-		assert.Assert(t, now < time.Minute, "it does not lead")
+		assert.Assert(t, now < time.Minute, "the replica is not a ready leader within a minute")
 		r.Tick(now)
 		r.ProcessReady()
 	}
 	return now
 }
 
-// recordingEnvironment is an Environment that records what was asked of it.
+// recordingEnvironment is an Environment that records calls, broadcasts and messages.
 type recordingEnvironment struct {
 	soloEnvironment
 	calledAddresses []string
-	callbacks       []func(Reply) // of the calls
+	callbacks       []func(Reply) // the done functions of the calls
 	broadcasts      []any         // to sidecars
 	sent            []raft.Message
 }
@@ -61,7 +61,7 @@
 	e.broadcasts = append(e.broadcasts, message)
 }
 
-// newReplicaA returns the replica a of the bootstrap members a, b and c.
+// newReplicaA returns the replica with address a of the bootstrap members a, b and c.
 func newReplicaA(t *testing.T, env Environment) *Replica {
 	t.Helper()
 	seeds := []string{"a", "b", "c"}
@@ -71,14 +71,14 @@
 	return r
 }
 
-// newRecordedReplicaA returns the replica a and what it asks of its environment.
+// newRecordedReplicaA returns the replica a and its recording environment.
 func newRecordedReplicaA(t *testing.T) (*Replica, *recordingEnvironment) {
 	t.Helper()
 	env := &recordingEnvironment{}
 	return newReplicaA(t, env), env
 }
 
-// receiveAppend has a replica receive entries behind the one of an index and a term from the leader at an address.
+// receiveAppend steps an AppendEntries message from the leader at an address, with entries that follow the entry of index and logTerm.
 func receiveAppend(r *Replica, now time.Duration, leader string, term, index, logTerm, commit uint64, entries ...raft.Entry) {
 	r.Step(now, raft.Message{
 		Kind: raft.AppendEntries, From: bootstrapID(leader), To: r.self.ID, Term: term, Index: index, LogTerm: logTerm,
@@ -86,7 +86,7 @@
 	})
 }
 
-// receiveHeartbeat has a replica hear that another leads a term.
+// receiveHeartbeat steps an empty AppendEntries message from the leader of a term.
 func receiveHeartbeat(r *Replica, now time.Duration, leader string, term uint64) {
 	receiveAppend(r, now, leader, term, 1, 1, 1)
 	r.ProcessReady()
--- a/internal/mesh/replica/forward_test.go
+++ b/internal/mesh/replica/forward_test.go
@@ -12,8 +12,8 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// TestForwardedCallsFailWhenTheLeaderChanges shows that a call which was forwarded to a leader that hangs is answered once, as soon as
-// another leads, and that the sidecars are sent at once that there is contact with a quorum again.
+// TestForwardedCallsFailWhenTheLeaderChanges checks that a call that was forwarded to a leader that hangs is answered exactly once, as soon
+// as another replica leads, and that sidecars are notified at once that the replica has regained contact with a quorum.
 func TestForwardedCallsFailWhenTheLeaderChanges(t *testing.T) {
 	r, env := newRecordedReplicaA(t)
 	receiveHeartbeat(r, 0, "b", 2)
@@ -35,7 +35,7 @@
 	receiveHeartbeat(r, 2*time.Second, "c", 9)
 	assert.Equal(t, len(replies), 2)
 	assert.Equal(t, replies[1].Status, http.StatusServiceUnavailable)
-	env.callbacks[1](Reply{Status: http.StatusOK}) // too late
+	env.callbacks[1](Reply{Status: http.StatusOK}) // a late reply is ignored
 	assert.Equal(t, len(replies), 2)
 	assert.Equal(t, len(env.broadcasts), 1)
 	assert.Assert(t, env.broadcasts[0].(*wire.HeartbeatT).QuorumContact)
@@ -43,7 +43,8 @@
 	assert.DeepEqual(t, env.calledAddresses, []string{"b", "b", "c"})
 }
 
-// TestPeerExited shows that only the leader's exit is a reason to elect another one, and that Tick is due soon then.
+// TestPeerExited checks that only the exit of the leader's process leads to an election, and that the election then begins with a Tick that
+// is due soon.
 func TestPeerExited(t *testing.T) {
 	r, env := newRecordedReplicaA(t)
 	receiveHeartbeat(r, 0, "b", 2)
--- a/internal/mesh/replica/golden_test.go
+++ b/internal/mesh/replica/golden_test.go
@@ -17,32 +17,33 @@
 	"cranegrade/internal/testkit/goldenrecord"
 )
 
-// Size of the golden record.
+// Number of seeds, and of steps for each seed.
 const (
 	goldenSeeds          = 12
 	goldenSeedsUnderRace = 2
 	goldenSteps          = 4000
 )
 
-// goldenRun is what one seed came to.
+// goldenRun is the recorded result of one seed.
 type goldenRun struct {
 	Seed  uint64         `json:"seed"`
-	Hash  string         `json:"hash"`  // over each action and answer, in order, and the states at the end
-	State string         `json:"state"` // over the states at the end alone
+	Hash  string         `json:"hash"`  // of all actions and replies, in order, and the final states
+	State string         `json:"state"` // of the final states only
 	Count map[string]int `json:"count"`
 }
 
-// TestGolden plays clusters by seed, with drawn calls, faults and changes of all kinds, and compares what each replica did, in
-// order, and its state at the end with the record under testdata. The hashes are over values and bytes alone, so that they outlast
-// any renaming; of answers other than OK only the status counts. After a change that is meant: go test -run TestGolden -update.
+// TestGolden runs simulated clusters from fixed seeds, with random calls, changes and faults of all kinds, and compares the sequence of all
+// actions of the replicas and their final states with the record under testdata. The hashes cover only values and bytes, so that renaming
+// identifiers does not change them; of replies other than OK they cover only the status. After an intended change of behaviour, update the
+// record with go test -run TestGolden -update.
 func TestGolden(t *testing.T) {
 	seeds := uint64(goldenSeeds)
-	if testkit.Race { // which takes ten times as long, and looks for other things
+	if testkit.Race { // the race detector takes ten times as long, and does not need the whole record
 		seeds = goldenSeedsUnderRace
 	}
 	var runs []goldenRun
 	for seed := range seeds {
-		runs = append(runs, playGolden(seed))
+		runs = append(runs, runGoldenSeed(seed))
 	}
 	if testkit.Race {
 		var recorded []goldenRun
@@ -53,11 +54,12 @@
 	goldenrecord.AssertFile(t, runs, " ")
 }
 
-func playGolden(seed uint64) goldenRun {
-	p := &goldenPlay{cluster: newCluster(seed, 1+int(seed%2))}
+// runGoldenSeed runs the scenario of one seed.
+func runGoldenSeed(seed uint64) goldenRun {
+	p := &goldenScenario{cluster: newCluster(seed, 1+int(seed%2))}
 	for range goldenSteps {
 		p.step(time.Duration(p.random.Int64N(int64(10 * time.Millisecond))))
-		p.draw()
+		p.runRandomAction()
 	}
 	states := newActionRecord()
 	for _, n := range p.nodes {
@@ -69,15 +71,15 @@
 	return goldenRun{Seed: seed, Hash: p.record.hash(), State: states.hash(), Count: p.record.Count}
 }
 
-// goldenPlay draws what befalls a cluster.
-type goldenPlay struct {
+// goldenScenario runs random actions on a cluster.
+type goldenScenario struct {
 	*cluster
-	version int
-	orders  int
+	version int // latest version of an update
+	orders  int // number of maintenance orders placed
 }
 
-// draw has something happen, or nothing.
-func (p *goldenPlay) draw() {
+// runRandomAction runs a random action, or none.
+func (p *goldenScenario) runRandomAction() {
 	n := p.nodes[p.random.IntN(len(p.nodes))]
 	switch x := p.random.IntN(1000); {
 	case x < 60:
@@ -89,18 +91,18 @@
 	case x < 180:
 		p.sendRecords(n)
 	case x < 200:
-		p.maintain()
+		p.proposeMaintenance()
 	case x < 215:
-		p.activate()
+		p.proposeActivation()
 	case x < 230:
 		p.readIndex(n)
 	case x < 245:
-		p.fault(n)
+		p.injectFault(n)
 	}
 }
 
-// reply returns what records an answer; of one that is not OK only the status.
-func (p *goldenPlay) reply(kind string) func(Reply) {
+// recordReply returns a function that records a reply to a call of the given kind: of a reply that is not OK only the status.
+func (p *goldenScenario) recordReply(kind string) func(Reply) {
 	return func(reply Reply) {
 		body, push := []byte(nil), []byte(nil)
 		if reply.Status == http.StatusOK {
@@ -113,8 +115,8 @@
 	}
 }
 
-// modify sends an operator's update, of few items in few versions.
-func (p *goldenPlay) modify(n *clusterNode) {
+// modify calls Modify with a random update. It uses few items and versions, so that updates often conflict.
+func (p *goldenScenario) modify(n *clusterNode) {
 	if p.random.IntN(3) == 0 {
 		p.version++
 	}
@@ -140,11 +142,11 @@
 	default:
 		body = "{"
 	}
-	n.call(func(r *Replica) { r.Modify(p.now, []byte(body), p.reply("modify")) })
+	n.call(func(r *Replica) { r.Modify(p.now, []byte(body), p.recordReply("modify")) })
 }
 
-// leaseKeys requests leases on few keys, as a sidecar does.
-func (p *goldenPlay) leaseKeys(n *clusterNode) {
+// leaseKeys requests random leases on few keys, as a sidecar does.
+func (p *goldenScenario) leaseKeys(n *clusterNode) {
 	t := &wire.KeyLeaseRequestsT{}
 	for range 1 + p.random.IntN(3) {
 		window := []time.Duration{0, 200 * time.Millisecond, 2 * time.Second}[p.random.IntN(3)]
@@ -161,14 +163,16 @@
 	if p.random.IntN(30) == 0 {
 		body = body[:3]
 	}
-	n.call(func(r *Replica) { r.HandleCall(p.now, codec.CallLeaseKeys, body, FromSidecar, p.reply("lease")) })
+	n.call(func(r *Replica) { r.HandleCall(p.now, codec.CallLeaseKeys, body, FromSidecar, p.recordReply("lease")) })
 }
 
-// read reads what is committed.
-func (p *goldenPlay) read(n *clusterNode) {
+// read makes a random read call.
+func (p *goldenScenario) read(n *clusterNode) {
 	kind := []byte{codec.CallItems, codec.CallActivePolicy, codec.CallReadIndex, codec.CallStatus, 0}[p.random.IntN(5)]
 	if kind != 0 {
-		n.call(func(r *Replica) { r.HandleCall(p.now, kind, nil, FromSidecar, p.reply(fmt.Sprint("read ", kind))) })
+		n.call(func(r *Replica) {
+			r.HandleCall(p.now, kind, nil, FromSidecar, p.recordReply(fmt.Sprint("read ", kind)))
+		})
 		return
 	}
 	n.call(func(r *Replica) {
@@ -182,8 +186,8 @@
 	})
 }
 
-// sendRecords sends records of few sidecars, some of earlier incarnations, or has one connect.
-func (p *goldenPlay) sendRecords(n *clusterNode) {
+// sendRecords merges a record of one of few sidecars, in a random incarnation, or records the messages sent to a connecting sidecar.
+func (p *goldenScenario) sendRecords(n *clusterNode) {
 	if p.random.IntN(4) == 0 {
 		n.call(func(r *Replica) {
 			for _, m := range r.InitialMessages() {
@@ -211,8 +215,8 @@
 	})
 }
 
-// maintain proposes a change of the maintenance state at the leader, in the form that is stored.
-func (p *goldenPlay) maintain() {
+// proposeMaintenance proposes a random change of the maintenance state at the leader, in its stored form.
+func (p *goldenScenario) proposeMaintenance() {
 	n := p.leader()
 	if n == nil {
 		return
@@ -236,8 +240,8 @@
 	p.propose(n, "maintenance", EncodeMaintenanceChange(kind, []byte(text)))
 }
 
-// activate proposes that the agreed policy set becomes active, or another one.
-func (p *goldenPlay) activate() {
+// proposeActivation proposes to activate the committed policy set, or one that does not exist.
+func (p *goldenScenario) proposeActivation() {
 	n := p.leader()
 	if n == nil {
 		return
@@ -249,21 +253,22 @@
 	p.propose(n, "activate", EncodeChange(ChangeActivePolicy, &wire.ActivePolicyT{Fingerprint: fingerprint}))
 }
 
-func (p *goldenPlay) propose(n *clusterNode, kind string, data []byte) {
+// propose proposes an entry at a replica, and records the result.
+func (p *goldenScenario) propose(n *clusterNode, kind string, data []byte) {
 	n.call(func(r *Replica) {
-		taken := r.Propose(p.now, data, func(result ProposalResult) {
+		accepted := r.Propose(p.now, data, func(result ProposalResult) {
 			o := result.Outcome
 			p.record.add(
 				kind+" agreed", result.Known, o.Err != nil, o.PolicyActivated, o.MaintenanceChanged,
 				len(o.UpdatedItems), len(o.LeaseResults),
 			)
 		})
-		p.record.add(kind+" proposed", taken)
+		p.record.add(kind+" proposed", accepted)
 	})
 }
 
-// readIndex finds out what has to be applied.
-func (p *goldenPlay) readIndex(n *clusterNode) {
+// readIndex calls ReadIndex and records the result.
+func (p *goldenScenario) readIndex(n *clusterNode) {
 	n.call(func(r *Replica) {
 		r.ReadIndex(p.now, func(read ReadIndexResult) {
 			p.record.add("read index", binary.BigEndian.AppendUint64(nil, read.Index), read.Confirmed)
@@ -271,65 +276,67 @@
 	})
 }
 
-// fault has a replica, its disk or its connections fail, or end as planned.
-func (p *goldenPlay) fault(n *clusterNode) {
-	rest := p.between(10*time.Millisecond, 3*time.Second)
+// injectFault injects a random fault of a replica, its disk or its connections, or shuts the replica down as planned.
+func (p *goldenScenario) injectFault(n *clusterNode) {
+	downtime := p.randomDuration(10*time.Millisecond, 3*time.Second)
 	switch p.random.IntN(8) {
 	case 0:
-		p.restart(n, rest)
+		p.restart(n, downtime)
 	case 1:
-		p.wipe(n, rest)
+		p.loseDisk(n, downtime)
 	case 2:
-		n.frozen = p.now + rest
+		n.frozenUntil = p.now + downtime
 	case 3:
-		n.fullUntil = p.now + rest/2
+		n.diskFullUntil = p.now + downtime/2
 	case 4:
 		p.isolate(n)
-		p.after(rest, p.heal)
+		p.schedule(downtime, p.heal)
 	case 5:
 		if leader := p.leader(); leader != nil {
 			p.isolate(leader)
-			p.after(rest, p.heal)
+			p.schedule(downtime, p.heal)
 		}
 	case 6:
-		p.exit(n)
+		p.exitProcess(n)
 	case 7:
 		n.call(func(r *Replica) { r.BeginShutdown(p.now) })
-		n.later(rest, func() { p.restart(n, time.Second) })
+		n.schedule(downtime, func() { p.restart(n, time.Second) })
 	}
 }
 
-func (p *goldenPlay) restart(n *clusterNode, rest time.Duration) {
+// restart stops a replica, and starts it again after a downtime.
+func (p *goldenScenario) restart(n *clusterNode, downtime time.Duration) {
 	if n.replica == nil {
 		return
 	}
 	n.stop()
-	p.after(rest, func() {
+	p.schedule(downtime, func() {
 		if n.replica == nil {
 			n.start()
 		}
 	})
 }
 
-// wipe has a replica lose its disk, so that it is a new one. All must be well otherwise: two at once would end the cluster.
-func (p *goldenPlay) wipe(n *clusterNode, rest time.Duration) {
+// loseDisk replaces the disk of a replica by an empty one, unless another replica has failed: a second simultaneous loss would exceed the
+// faults that the cluster tolerates.
+func (p *goldenScenario) loseDisk(n *clusterNode, downtime time.Duration) {
 	for _, o := range p.nodes {
 		if !o.running() || o.replica.QuorumContact() == 0 {
 			return
 		}
 	}
 	n.disk = Bootstrap{Address: n.address, Seeds: n.seeds, NewID: p.newID()}.InitialState()
-	p.restart(n, rest)
+	p.restart(n, downtime)
 }
 
-// exit ends a replica's process, which the others notice by its host.
-func (p *goldenPlay) exit(n *clusterNode) {
+// exitProcess restarts a replica, and reports the exit of its process to the others.
+func (p *goldenScenario) exitProcess(n *clusterNode) {
 	p.restart(n, time.Second)
 	for _, o := range p.nodes {
 		o.call(func(r *Replica) {
 			if wait, isLeader := r.PeerExited(p.now, n.address); isLeader {
 				p.record.add("leader exited", o.address, wait)
-				o.later(wait, func() { o.call(func(r *Replica) { r.Tick(p.now) }) })
+				o.schedule(wait, func() { o.call(func(r *Replica) { r.Tick(p.now) }) })
 			}
 		})
 	}
--- a/internal/mesh/replica/landed_disk_test.go
+++ b/internal/mesh/replica/landed_disk_test.go
@@ -21,13 +21,14 @@
 	"cranegrade/internal/mesh/storage"
 )
 
-// landedDisk is the data folder of a control-plane member of an earlier build; see its README.md.
-const landedDisk = "testdata/store-format-1-member"
+// earlierBuildDir is the data directory of a control-plane member of an earlier build; see its README.md.
+const earlierBuildDir = "testdata/store-format-1-member"
 
-// recordLanded has the contents of landedDisk written beside it. It is for a new fixture only, with the build that wrote it.
-var recordLanded = flag.Bool("record-landed-disk", false, "write contents.json of the recorded data folder, if there is none")
+// recordContentsFlag makes a test write contents.json. Use it only for a new fixture, and with the build that wrote the fixture.
+var recordContentsFlag = flag.Bool("record-landed-disk", false, "write contents.json of the recorded data folder, if there is none")
 
-// The recorded contents of a data folder. Their JSON is the tests' own: it names what a field means, whatever the code calls it.
+// The recorded contents of a data directory. Their JSON names are independent of the names in the code, so that renaming does not change
+// the record.
 type (
 	recordedContents struct {
 		Self     uint64           `json:"self"`
@@ -63,15 +64,15 @@
 		Outgoing    []recordedMember `json:"outgoing,omitempty"`
 		RaftVersion uint32           `json:"raftVersion,omitempty"`
 	}
-	// recordedState is the replicated state with all entries of the log applied. Maintenance and policy are JSON as the
-	// snapshot stores it.
+	// recordedState is the replicated state after all entries of the log are applied. Maintenance and policy are the JSON that a
+	// snapshot stores.
 	recordedState struct {
 		Items        []recordedItem  `json:"items"`
 		KeyLeases    []recordedLease `json:"keyLeases"`
 		Maintenance  json.RawMessage `json:"maintenance"`
 		ActivePolicy []recordedItem  `json:"activePolicy"`
 		Policy       json.RawMessage `json:"policy"`
-		SHA256       string          `json:"encodedSHA256"` // of the state as a snapshot stores it
+		SHA256       string          `json:"encodedSHA256"` // of the state's encoding in a snapshot
 	}
 	recordedItem struct {
 		Kind    uint8         `json:"kind"`
@@ -145,7 +146,7 @@
 	t.Helper()
 	var s State
 	assert.NilError(t, s.Decode(stored.Snapshot.Data))
-	assert.Assert(t, bytes.Equal(s.Encode(), stored.Snapshot.Data), "the state of the snapshot is stored as it was")
+	assert.Assert(t, bytes.Equal(s.Encode(), stored.Snapshot.Data), "encoding the decoded state does not reproduce the data of the snapshot")
 	for _, e := range stored.Entries {
 		if e.Kind == raft.EntryCommand {
 			s.Apply(e)
@@ -168,15 +169,15 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// copiedDisk is a copy of a data folder, which opening it may change.
-func copiedDisk(t *testing.T, from string) string {
+// copyDir returns a temporary copy of a data directory, since opening a store may modify it.
+func copyDir(t *testing.T, from string) string {
 	t.Helper()
 	dir := t.TempDir()
 	assert.NilError(t, os.CopyFS(dir, os.DirFS(from)))
 	return dir
 }
 
-// rawRecords are the keys and values of a data folder as goleveldb has them, without the storage's own reading of them.
+// rawRecords returns the keys and values of a data directory as goleveldb returns them, without the decoding of package storage.
 func rawRecords(t *testing.T, files ldbstorage.Storage) map[string]string {
 	t.Helper()
 	db, err := leveldb.Open(files, &opt.Options{ErrorIfMissing: true})
@@ -192,30 +193,30 @@
 	return records
 }
 
-// TestDiskOfLandedBuildIsReadInFull shows that everything which a member of an earlier build had on its disk is read: the log entry by
-// entry, and the state that its snapshot and the log make.
-func TestDiskOfLandedBuildIsReadInFull(t *testing.T) {
-	store, stored, empty, err := storage.Open(copiedDisk(t, landedDisk))
+// TestStoreOfEarlierBuildIsReadInFull checks that everything that a member of an earlier build stored can be read: each entry of the log,
+// and the state that results from the snapshot and the log.
+func TestStoreOfEarlierBuildIsReadInFull(t *testing.T) {
+	store, stored, empty, err := storage.Open(copyDir(t, earlierBuildDir))
 	assert.NilError(t, err)
 	defer store.Close()
 	assert.Assert(t, !empty)
 	got, err := json.MarshalIndent(recordContents(t, stored), "", " ")
 	assert.NilError(t, err)
-	path := landedDisk + "/contents.json"
-	if _, err := os.Stat(path); os.IsNotExist(err) && *recordLanded {
+	path := earlierBuildDir + "/contents.json"
+	if _, err := os.Stat(path); os.IsNotExist(err) && *recordContentsFlag {
 		assert.NilError(t, os.WriteFile(path, append(got, '\n'), 0o644))
 	}
 	want, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	assert.Equal(t, string(got)+"\n", string(want))
 	assert.Assert(t, len(stored.Entries) > 300 && stored.Snapshot.Index > 4000,
-		"%d entries behind the snapshot of entry %d", len(stored.Entries), stored.Snapshot.Index)
+		"%d entries after the snapshot of entry %d", len(stored.Entries), stored.Snapshot.Index)
 }
 
-// TestDiskOfLandedBuildIsWrittenTheSame shows that what was read is written as it was: a new data folder of the same contents has the
-// same keys with the same bytes.
-func TestDiskOfLandedBuildIsWrittenTheSame(t *testing.T) {
-	dir := copiedDisk(t, landedDisk)
+// TestStoreOfEarlierBuildIsWrittenIdentically checks that this build writes the same format as the earlier build: a new store with the same
+// contents has the same keys and values, byte for byte.
+func TestStoreOfEarlierBuildIsWrittenIdentically(t *testing.T) {
+	dir := copyDir(t, earlierBuildDir)
 	stored, _, err := storage.OpenReadOnly(dir)
 	assert.NilError(t, err)
 	files, err := storage.Directory(dir).Open(false)
@@ -234,9 +235,9 @@
 	assert.DeepEqual(t, rawRecords(t, again), want)
 }
 
-// TestMemberStartsFromDiskOfLandedBuild shows that a member starts from such a disk with its id, its term and the members.
-func TestMemberStartsFromDiskOfLandedBuild(t *testing.T) {
-	stored, _, err := storage.OpenReadOnly(copiedDisk(t, landedDisk))
+// TestReplicaStartsFromStoreOfEarlierBuild checks that a replica that starts from such a store has the stored ID, term, members and log.
+func TestReplicaStartsFromStoreOfEarlierBuild(t *testing.T) {
+	stored, _, err := storage.OpenReadOnly(copyDir(t, earlierBuildDir))
 	assert.NilError(t, err)
 	r, err := New(Config{Address: "127.0.0.1:7380", Stored: stored}, soloEnvironment{}, 0)
 	assert.NilError(t, err)
--- a/internal/mesh/replica/proposals_test.go
+++ b/internal/mesh/replica/proposals_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestOvertakenProposalIsUnknown shows that what a leader which is cut off has proposed is not known to be committed, also where another
-// leader's entry comes to stand at its index.
-func TestOvertakenProposalIsUnknown(t *testing.T) {
+// TestTruncatedProposalIsUnknown checks that a partitioned leader does not report its proposals as committed when the next leader's entries
+// have replaced them at the same indexes.
+func TestTruncatedProposalIsUnknown(t *testing.T) {
 	c, old := newSettledCluster(t)
 	c.isolate(old)
 	answers := 0
--- a/internal/mesh/replica/reads_test.go
+++ b/internal/mesh/replica/reads_test.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// TestIsolatedLeaderServesNoRead shows that a leader which is cut off confirms no read.
+// TestIsolatedLeaderServesNoRead checks that a leader that is partitioned from a majority confirms no read.
 func TestIsolatedLeaderServesNoRead(t *testing.T) {
 	c, old := newSettledCluster(t)
 	c.isolate(old)
@@ -28,7 +28,7 @@
 	assert.Equal(t, answers, 1)
 }
 
-// TestReadWaitsForItsIndex shows that a follower's read waits until the entry that the leader named is applied.
+// TestReadWaitsForItsIndex checks that a read at a follower waits until the entry at the index that the leader returned is applied.
 func TestReadWaitsForItsIndex(t *testing.T) {
 	r, env := newRecordedReplicaA(t)
 	receiveHeartbeat(r, 0, "b", 2)
--- a/internal/mesh/replica/ready_test.go
+++ b/internal/mesh/replica/ready_test.go
@@ -8,7 +8,7 @@
 	"cranegrade/internal/mesh/raft"
 )
 
-// fullDiskEnvironment is an Environment whose disk takes nothing while it is full.
+// fullDiskEnvironment is an Environment whose saves fail while the disk is full.
 type fullDiskEnvironment struct {
 	recordingEnvironment
 	full  bool
@@ -22,7 +22,7 @@
 	return !e.full
 }
 
-// TestUnsavedReadyIsSavedAgain shows that what the disk rejected is saved again, and that nothing which depends on it is sent before.
+// TestUnsavedReadyIsSavedAgain checks that a failed save is retried, and that no message that depends on it is sent before it succeeds.
 func TestUnsavedReadyIsSavedAgain(t *testing.T) {
 	env := &fullDiskEnvironment{full: true}
 	r := newReplicaA(t, env)
--- a/internal/mesh/replica/replica_test.go
+++ b/internal/mesh/replica/replica_test.go
@@ -8,15 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHasQuorumContact shows that a replica whose owner has stalled claims no contact with a quorum.
+// TestHasQuorumContact checks that a replica whose owner has stalled does not report contact with a quorum.
 func TestHasQuorumContact(t *testing.T) {
 	assert.Assert(t, !HasQuorumContact(0, 0))
 	assert.Assert(t, HasQuorumContact(time.Second, time.Second+stallTimeout-1))
 	assert.Assert(t, !HasQuorumContact(time.Second, time.Second+stallTimeout))
 }
 
-// TestMaintenanceEndsQuorumContact shows that a replica which a maintenance order has taken out of service transfers leadership and
-// claims no quorum contact, until it returns.
+// TestMaintenanceEndsQuorumContact checks that a replica whose machine a maintenance order has taken out of service transfers leadership
+// and reports no quorum contact, until the machine returns to service.
 func TestMaintenanceEndsQuorumContact(t *testing.T) {
 	c, leader := newSettledCluster(t)
 	commit := func(kind MaintenanceKind, text string) {
--- a/internal/mesh/replica/state_test.go
+++ b/internal/mesh/replica/state_test.go
@@ -18,23 +18,23 @@
 	"cranegrade/internal/mesh/transport/wire"
 )
 
-// leaseRequestsChange is a change of so many lease requests, each for a key of its own.
-func leaseRequestsChange(from, n int) []byte {
+// leaseRequestsChange returns a change with n lease requests, for keys with consecutive numbers from first on.
+func leaseRequestsChange(first, n int) []byte {
 	table := &wire.KeyLeaseRequestsT{}
 	for i := range n {
 		table.List = append(table.List, &wire.KeyLeaseRequestT{
-			Key: fmt.Sprint("key-", from+i), Token: "t", Holder: "10.1.0.1:7000/life",
+			Key: fmt.Sprint("key-", first+i), Token: "t", Holder: "10.1.0.1:7000/life",
 			WindowUs: (62 * time.Second).Microseconds(),
 		})
 	}
 	return EncodeChange(ChangeKeyLeases, table)
 }
 
-// servicesChange is a change of so many services, all in one version.
-func servicesChange(from, n int, version int64, deleted bool) []byte {
+// servicesChange returns a change of n services, with consecutive numbers from first on, all in the same version.
+func servicesChange(first, n int, version int64, deleted bool) []byte {
 	var items []config.Item
 	for i := range n {
-		name := fmt.Sprintf("service-%05d", from+i)
+		name := fmt.Sprintf("service-%05d", first+i)
 		items = append(items, config.Item{
 			Key: config.Key{Kind: config.KindService, Name: name}, Version: version, Deleted: deleted,
 			Body: fmt.Appendf(nil, `{"Name":%q,"HealthPath":"/health","MaxConnections":110,"ConfigVersion":%d}`, name, version),
@@ -43,7 +43,7 @@
 	return EncodeChange(ChangeItems, config.ItemsToWire(items))
 }
 
-// leaseRequestChange is a change of one lease request for the key k.
+// leaseRequestChange returns a change with one lease request for the key k.
 func leaseRequestChange(token string, window time.Duration) []byte {
 	request := &wire.KeyLeaseRequestT{Key: "k", Token: token, Holder: token, WindowUs: window.Microseconds()}
 	return EncodeChange(ChangeKeyLeases, &wire.KeyLeaseRequestsT{List: []*wire.KeyLeaseRequestT{request}})
@@ -57,7 +57,7 @@
 	return s
 }
 
-// restored returns a state that was decoded from the encoding of another.
+// restored returns a copy of a state that was encoded and decoded.
 func restored(t testing.TB, s *State) *State {
 	t.Helper()
 	again := &State{}
@@ -65,21 +65,21 @@
 	return again
 }
 
-// TestStateIsDeterminedByEntries shows that a state is what its entries make of it, whether it applied them all or began with a snapshot
-// between any two of them, and whenever its key leases were swept.
+// TestStateIsDeterminedByEntries checks that the same entries lead to the same state and results, whether a member applied all of them or
+// started with a snapshot between any two of them, and whenever it removed expired key leases.
 func TestStateIsDeterminedByEntries(t *testing.T) {
 	changes := [][]byte{
 		servicesChange(0, 3, 1, false), leaseRequestsChange(0, 5), servicesChange(1, 1, 2, true), leaseRequestsChange(3, 5),
 		servicesChange(0, 2, 3, true), servicesChange(1, 1, 1, false), leaseRequestsChange(0, 9),
 	}
-	logTimes := []time.Duration{1, 2, 3, 4, 30, 50, 70} // in seconds: the last is past the windows of the first
+	logTimes := []time.Duration{1, 2, 3, 4, 30, 50, 70} // in seconds; the windows of the first leases have ended at the last time
 	entry := func(i int) raft.Entry {
 		return raft.Entry{Index: uint64(i), LogTime: logTimes[i] * time.Second, Data: changes[i]}
 	}
-	whole := newState(t)
+	uninterrupted := newState(t)
 	var results [][]idempotency.LeaseResult
 	for i := range changes {
-		results = append(results, whole.Apply(entry(i)).LeaseResults)
+		results = append(results, uninterrupted.Apply(entry(i)).LeaseResults)
 	}
 	for cut := range changes {
 		first := newState(t)
@@ -90,13 +90,14 @@
 		for i := cut; i < len(changes); i++ {
 			assert.DeepEqual(t, second.Apply(entry(i)).LeaseResults, results[i])
 		}
-		assert.Assert(t, bytes.Equal(second.Encode(), whole.Encode()), "cut before entry %d", cut)
+		assert.Assert(t, bytes.Equal(second.Encode(), uninterrupted.Encode()), "cut before entry %d", cut)
 	}
-	item, found := whole.Items.Get(config.Key{Kind: config.KindService, Name: "service-00001"})
+	item, found := uninterrupted.Items.Get(config.Key{Kind: config.KindService, Name: "service-00001"})
 	assert.Assert(t, found && item.Deleted && item.Version == 3, "%v", item)
 }
 
-// TestFullLeaseStore shows that members whose full stores were swept at other times agree on when there is room again.
+// TestFullLeaseStore checks that members whose lease stores are full grant the same requests, even if they removed expired leases at
+// different times.
 func TestFullLeaseStore(t *testing.T) {
 	a := newState(t)
 	for n := 0; n < idempotency.MaxLeases; n += 1000 {
@@ -114,8 +115,8 @@
 	}
 }
 
-// TestKeysInSnapshot shows that a state which was decoded from a snapshot holds a key for the rest of its window.
-func TestKeysInSnapshot(t *testing.T) {
+// TestSnapshotContainsKeyLeases checks that a key lease is still in force after a snapshot is restored, until the end of its window.
+func TestSnapshotContainsKeyLeases(t *testing.T) {
 	const window = time.Minute
 	granted := func(s *State, at time.Duration, token string) bool {
 		return s.Apply(raft.Entry{LogTime: at, Data: leaseRequestChange(token, window)}).LeaseResults[0].Granted
@@ -129,8 +130,8 @@
 	}
 }
 
-// BenchmarkStart is a member's start from a disk with 10,000 items and 1,000,000 key leases that have expired, made by 5,000 changes:
-// time to its state, and bytes on disk.
+// BenchmarkStart measures how long a member takes to restore its state from a disk with 10,000 items and 1,000,000 expired key leases, made
+// by 5,000 changes, and the size of the store in bytes.
 func BenchmarkStart(b *testing.B) {
 	dir := b.TempDir()
 	store, _, _, err := storage.Open(dir)
@@ -179,9 +180,8 @@
 	b.ReportMetric(float64(size)/1e6, "MB")
 }
 
-// TestPolicyIsDeterminedByEntries shows that the policy state is the same whether a member applied every entry or began with a snapshot
-// between any two of them, between the two steps of a rollout among others, and that a set which is no longer the agreed one is not
-// activated.
+// TestPolicyIsDeterminedByEntries checks that the policy state is the same whether a member applied every entry or started with a snapshot
+// between any two of them, also between the two steps of a rollout, and that a policy set is not activated after another one was committed.
 func TestPolicyIsDeterminedByEntries(t *testing.T) {
 	update := func(text string) []byte {
 		return EncodeChange(ChangeItems, config.UpdateToWire(parseUpdate(t, []byte(text))))
@@ -196,7 +196,7 @@
 			if i == cut {
 				s = restored(t, s)
 			}
-			if change == nil { // the agreed set is activated
+			if change == nil { // stands for the activation of the committed policy set
 				change = EncodeChange(ChangeActivePolicy, &wire.ActivePolicyT{Fingerprint: s.Policy.Rollout.Agreed})
 			}
 			outcome := s.Apply(raft.Entry{Index: uint64(i + 1), Data: change})
@@ -205,13 +205,13 @@
 		}
 		return states
 	}
-	late := EncodeChange(ChangeActivePolicy, &wire.ActivePolicyT{Fingerprint: "of a set before"})
-	changes := [][]byte{space, nil, first, nil, foreign, second, late, nil, nil}
-	whole := run(changes, -1)
+	outdated := EncodeChange(ChangeActivePolicy, &wire.ActivePolicyT{Fingerprint: "of a set before"})
+	changes := [][]byte{space, nil, first, nil, foreign, second, outdated, nil, nil}
+	uninterrupted := run(changes, -1)
 	for cut := range changes {
-		assert.DeepEqual(t, run(changes, cut), whole)
+		assert.DeepEqual(t, run(changes, cut), uninterrupted)
 	}
 	for step, want := range map[int]string{4: "false true", 6: "false", 7: "true", 8: "false"} {
-		assert.Assert(t, strings.HasPrefix(whole[step], want), "after step %d: %q", step, whole)
+		assert.Assert(t, strings.HasPrefix(uninterrupted[step], want), "after step %d: %q", step, uninterrupted)
 	}
 }
--- a/internal/mesh/replica/updates_test.go
+++ b/internal/mesh/replica/updates_test.go
@@ -13,9 +13,9 @@
 	"cranegrade/internal/mesh/config"
 )
 
-// routesUpsert is an operator's update that upserts routes to a service, all in one version.
+// routesUpsert returns an operator's update that upserts routes to a service, all in the same version.
 func routesUpsert(version int, service string, routes ...string) []byte {
-	// The golden record has the calls' bytes: the line break is part of them.
+	// The line break must stay: the golden record has a hash of the bytes of forwarded updates.
 	const format = `{"Name":%q,"RouteType":"idempotent","TargetLatencyS":1,"ConfigVersion":%d,"MatchCriteria":{"PathPrefix":"/p/"},
 			"ForwardAction":{"Service":%q,"TimeoutS":2,"RetryCount":2}}`
 	var rules []string
@@ -25,9 +25,9 @@
 	return fmt.Appendf(nil, `{"Upsert":{"ListenerList":[{"HostName":"h","PolicyRules":[%s]}]}}`, strings.Join(rules, ","))
 }
 
-// TestUpdatesOfOneItemAreAdmittedInOrder shows that updates which come at once and name one item are admitted one after the other, each by
-// what those before it have done: what is refused has no effect, also where it conflicts with a version that was overtaken in between,
-// and what comes twice is acknowledged twice.
+// TestUpdatesOfOneItemAreAdmittedInOrder checks that concurrent updates of the same item are admitted one after the other, each against the
+// state that the updates before it have led to. A rejected update has no effect, also if it conflicts with a version that was superseded
+// in the meantime, and a duplicate is acknowledged like the original.
 func TestUpdatesOfOneItemAreAdmittedInOrder(t *testing.T) {
 	r, now := newSoloLeader(t)
 	send := func(body []byte) *Reply {
@@ -41,8 +41,8 @@
 	replies := []*Reply{
 		send(routesUpsert(5, "a", "r")),
 		send(routesUpsert(6, "a", "r")),
-		send(routesUpsert(5, "b", "r", "beside")), // the other operator's, with another item
-		send(routesUpsert(5, "a", "r")),           // the first again
+		send(routesUpsert(5, "b", "r", "beside")), // conflicts with the first; also names another item
+		send(routesUpsert(5, "a", "r")),           // duplicate of the first
 		send(routesUpsert(5, "b", "apart")),
 	}
 	for range 10 {
@@ -59,12 +59,12 @@
 	assert.NilError(t, err)
 	assert.Assert(t, !strings.Contains(string(text), "beside") && strings.Contains(string(text), "apart"), "%s", text)
 	assert.Equal(t, len(r.pendingUpdates.latest), 0)
-	// An update that was accepted is acknowledged again with an empty entry behind it, and not before that is committed.
+	// A duplicate is acknowledged only once an empty entry after the update is committed.
 	last := r.raft.LastIndex()
-	again := send(routesUpsert(5, "a", "r"))
-	assert.Equal(t, again.Status, 0)
+	duplicate := send(routesUpsert(5, "a", "r"))
+	assert.Equal(t, duplicate.Status, 0)
 	r.ProcessReady()
-	assert.Equal(t, again.Status, http.StatusOK)
+	assert.Equal(t, duplicate.Status, http.StatusOK)
 	assert.Equal(t, r.raft.LastIndex(), last+1)
 	assert.Equal(t, r.raft.AppliedIndex(), last+1)
 }
@@ -77,7 +77,7 @@
 	return update
 }
 
-// TestProposalsOfAnotherTermDoNotBlock shows that what was proposed in another term holds no update back.
+// TestProposalsOfAnotherTermDoNotBlock checks that no update waits for entries that were proposed in another term.
 func TestProposalsOfAnotherTermDoNotBlock(t *testing.T) {
 	r, now := newSoloLeader(t)
 	service := []byte(`{"Upsert":{"UpstreamGroups":[{"Name":"a","ConfigVersion":1}]}}`)
@@ -93,8 +93,8 @@
 	assert.Equal(t, status, http.StatusOK)
 }
 
-// TestNewLeaderWaitsForEarlierTerms shows that a new leader admits no update before it has applied all that earlier leaders may have
-// committed.
+// TestNewLeaderWaitsForEarlierTerms checks that a new leader admits no update before it has applied all entries that earlier leaders may
+// have committed.
 func TestNewLeaderWaitsForEarlierTerms(t *testing.T) {
 	c, old := newSettledCluster(t)
 	c.isolate(old)
