--- a/internal/mesh/operations/encoding.go
+++ b/internal/mesh/operations/encoding.go
@@ -62,7 +62,7 @@
 	for records := encoded[headerSize:]; len(records) > 0; records = records[recordSize:] {
 		operation := decodeRecord(records)
 		if n := len(h.accepted); n > 0 && h.accepted[n-1].Version >= operation.Version {
-			return nil, errors.Annotatef(ErrEncoding, "version %d does not follow version %d", operation.Version, h.accepted[n-1].Version)
+			return nil, errors.Annotatef(ErrEncoding, "version %d is not greater than the version before it", operation.Version)
 		}
 		h.accepted = append(h.accepted, operation)
 	}
--- a/internal/mesh/operations/history.go
+++ b/internal/mesh/operations/history.go
@@ -52,7 +52,7 @@
 	Duplicate
 	// Conflict is an operation for whose version other content was accepted.
 	Conflict
-	// Unknown is an operation that may have been accepted: it is not recorded, but operations of its version or higher were dropped.
+	// Unknown is an operation that may have been accepted: it is not recorded, and its version is not above the highest dropped one.
 	Unknown
 )
 
@@ -64,8 +64,8 @@
 // History is the recorded operations of one item. It is immutable. A nil History has no operations.
 type History struct {
 	accepted   []Operation // in ascending order of version
-	incomplete bool        // some operations were dropped
-	maxDropped int64       // highest dropped version; only meaningful if incomplete
+	incomplete bool        // operations up to maxDropped may be missing
+	maxDropped int64       // highest version that was dropped, or may be missing; only meaningful if incomplete
 }
 
 // IncompleteThrough returns an empty History that classifies all versions up to the given one as Unknown.
--- a/internal/mesh/replica/disk_test.go
+++ b/internal/mesh/replica/disk_test.go
@@ -69,7 +69,7 @@
 		}
 
 		// Repeated operations are duplicates, conflicts or unknown, depending on what is recorded in such a store.
-		for _, x := range []struct {
+		for _, test := range []struct {
 			body []byte
 			want int
 		}{
@@ -81,9 +81,9 @@
 			{[]byte(`{"Remove":{"RouteTable":[{"Name":"b","ConfigVersion":6}]}}`), http.StatusOK},
 		} {
 			var got Reply
-			r.Modify(now, x.body, func(reply Reply) { got = reply })
+			r.Modify(now, test.body, func(reply Reply) { got = reply })
 			r.ProcessReady()
-			assert.Equal(t, got.Status, x.want, "%s: %s", x.body, got.Body)
+			assert.Equal(t, got.Status, test.want, "%s: %s", test.body, got.Body)
 		}
 		store.Close()
 	}
--- a/internal/mesh/replica/peers.go
+++ b/internal/mesh/replica/peers.go
@@ -27,12 +27,12 @@
 // dropped: they connect to this replica if they have something to send.
 func (p *peerAddresses) setMembers(members []raft.Member) []string {
 	clear(p.addresses)
-	addresses := make([]string, 0, len(members))
+	memberAddresses := make([]string, 0, len(members))
 	for _, m := range members {
 		p.addresses[m.Addr] = true
-		addresses = append(addresses, m.Addr)
+		memberAddresses = append(memberAddresses, m.Addr)
 	}
-	return addresses
+	return memberAddresses
 }
 
 // remember records the address of the replica with the given ID.
--- a/internal/mesh/replica/state.go
+++ b/internal/mesh/replica/state.go
@@ -21,7 +21,8 @@
 	Maintenance  Maintenance
 	Policy       PolicyState
 	ActivePolicy config.Table // active namespaces and policies; those of a pending rollout are only in Items
-	ItemsIndex   uint64       // index of the latest entry that changed Items
+	// ItemsIndex is the index of the latest entry that changed Items. Decode increments it instead, so that it differs after each change.
+	ItemsIndex uint64
 }
 
 // ChangeKind is the part of the state that an entry changes. It is stored as the first byte of the entry's data, so its values must not
