--- a/internal/mesh/replica/disk_test.go
+++ b/internal/mesh/replica/disk_test.go
@@ -16,19 +16,19 @@
 	"cranegrade/internal/mesh/storage"
 )
 
-// diskEnvironment is the environment of a replica that is the only member and has a disk.
+// diskEnvironment is the environment of a replica that is the only member and saves to a store.
 type diskEnvironment struct {
 	soloEnvironment
 	t     *testing.T
 	store *storage.Store
 }
 
-func (d diskEnvironment) Save(ready raft.Ready, last uint64) bool {
-	assert.NilError(d.t, d.store.Save(ready, last))
+func (d diskEnvironment) Save(ready raft.Ready, lastSaved uint64) bool {
+	assert.NilError(d.t, d.store.Save(ready, lastSaved))
 	return true
 }
 
-// startFromDisk starts a replica from the disk in a folder and has it lead.
+// startFromDisk starts a replica from the store in dir, waits until it leads, and returns it with its store and the time.
 func startFromDisk(t *testing.T, dir string) (*Replica, *storage.Store, time.Duration) {
 	t.Helper()
 	store, stored, empty, err := storage.Open(dir)
@@ -39,21 +39,22 @@
 	return r, store, awaitReadyLeader(t, r)
 }
 
-// TestDiskOfEarlierBuild starts a replica from the disk under testdata/store-format-1, which a member of the build of commit 3361937
-// wrote: a first update, a change, a removal, a namespace with a policy and a key lease, all in a snapshot; behind it the members, two
-// updates and a key lease. The replica leads, has all that was committed, and does so again from what it wrote itself.
-func TestDiskOfEarlierBuild(t *testing.T) {
+// TestReplicaServesStoreOfEarlierBuild checks that a replica can start from the store under testdata/store-format-1, which a member of the
+// build of commit 3361937 wrote. The store contains a snapshot (with a first update, a change, a removal, a namespace with a policy, and a
+// key lease) and, after it, the members, two updates and a key lease. The replica must lead and have all committed changes, also when it is
+// started again from the store that it wrote itself.
+func TestReplicaServesStoreOfEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
 	assert.NilError(t, os.CopyFS(dir, os.DirFS("testdata/store-format-1")))
 	for range 2 {
 		r, store, now := startFromDisk(t, dir)
-		var set config.Document
+		var document config.Document
 		r.Fetch(now, func(fetched FetchResult) {
 			assert.Assert(t, fetched.Confirmed)
-			set = fetched.Document
+			document = fetched.Document
 		})
 		r.ProcessReady()
-		text, err := json.Marshal(set)
+		text, err := json.Marshal(document)
 		assert.NilError(t, err)
 		want, err := os.ReadFile("testdata/store-format-1/fetched.json")
 		assert.NilError(t, err)
@@ -61,14 +62,14 @@
 
 		members, _ := r.raft.Members()
 		assert.DeepEqual(t, members, []raft.Member{r.self})
-		assert.Equal(t, r.self.ID, founderID("10.0.0.1:7380"))
+		assert.Equal(t, r.self.ID, bootstrapID("10.0.0.1:7380"))
 		for _, key := range []string{"t\x00k1", "t\x00k2"} {
 			request := idempotency.LeaseRequest{Key: key, Token: "another", Holder: "10.1.0.9:7000/life", Window: time.Minute}
 			assert.Assert(t, !r.state.KeyLeases.Apply(20*time.Second, request).Granted, key)
 		}
 
-		// Of operations that were accepted it says what such a disk shows.
-		for _, x := range []struct {
+		// Repeated operations are duplicates, conflicts or unknown, depending on what is recorded in such a store.
+		for _, test := range []struct {
 			body []byte
 			want int
 		}{
@@ -80,15 +81,15 @@
 			{[]byte(`{"Remove":{"RouteTable":[{"Name":"b","ConfigVersion":6}]}}`), http.StatusOK},
 		} {
 			var got Reply
-			r.Modify(now, x.body, func(reply Reply) { got = reply })
+			r.Modify(now, test.body, func(reply Reply) { got = reply })
 			r.ProcessReady()
-			assert.Equal(t, got.Status, x.want, "%s: %s", x.body, got.Body)
+			assert.Equal(t, got.Status, test.want, "%s: %s", test.body, got.Body)
 		}
 		store.Close()
 	}
 }
 
-// routeUpsert is an operator's update like those on the disk.
+// routeUpsert returns an operator's update that upserts a route, like the updates in the store.
 func routeUpsert(name, service string, version int) []byte {
 	rule := map[string]any{
 		"Name": name, "RouteType": "keyed", "TargetLatencyS": 0.8, "Priority": 2, "ConfigVersion": version,
