--- a/internal/engine/arriving_test.go
+++ b/internal/engine/arriving_test.go
@@ -19,7 +19,7 @@
 	t.Parallel()
 	e, h := startWithServers(t, "a")
 	c, r := newCall(e, "1", "read", 50*time.Millisecond)
-	c.Arriving, c.Payload = true, spendable{true}
+	c.BodyIncomplete, c.Payload = true, spendable{true}
 	e.Submit(c)
 	a := testkit.Wait(t, h.started)
 	time.Sleep(150 * time.Millisecond) // three times its deadline
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -8,84 +8,85 @@
 	"cranegrade/balancer"
 )
 
-// Attempt is one balancer.Send: a request that is to be sent to one endpoint once.
+// Attempt is the execution of one balancer.Send: it sends a request to one endpoint, once.
 type Attempt struct {
 	Endpoint *Endpoint
-	Payload  any           // the call's
+	Payload  any           // Call.Payload
 	Timeout  time.Duration // how long to wait for the response
-	Spares   []*Endpoint   // alternatives that a Carrier may use in its place, in this order
+	Spares   []*Endpoint   // alternatives to Endpoint that a Carrier may use, in order of preference
 
-	host      host
+	owner     attemptOwner
 	call      *Call
 	index     int
 	serverID  string
 	startedAt time.Duration
 	cancel    context.CancelCauseFunc
-	timer     *time.Timer // cancels after Timeout
-	observer  Observer    // that observed the start; nil means none
+	timer     *time.Timer // cancels the attempt with ErrTimedOut; nil if not started
+	observer  Observer    // that was notified of the start; nil means none
 	ended     atomic.Bool
 	transfer  atomic.Pointer[transferRecord]
 }
 
-// transferRecord is what an attempt has sent and received, see RecordTransfer.
+// transferRecord holds the arguments of RecordTransfer.
 type transferRecord struct {
 	bytesSent, bytesReceived int64
-	servedBy                 string // address of the server that answered; "" means the one asked
+	servedBy                 string // address of the server that answered; "" means Attempt.Endpoint
 }
 
-// host is the owner of an attempt: an engine, or Hooks.
-type host interface {
+// attemptOwner handles the events of an attempt. It is an Engine, or Hooks.
+type attemptOwner interface {
 	mayWrite(a *Attempt) (balancer.Ending, bool)
 	responseStarted(a *Attempt, r Reply)
 	end(a *Attempt, ending balancer.Ending, r Reply)
 }
 
-// MayWrite reports whether the attempt may be written now: its call is not finished, and its endpoint is still usable. If
-// not, it returns the ending to report. A sender must ask after it has a connection, immediately before it writes.
+// MayWrite reports whether the request may be written now: the call is not finished, and the endpoint is still usable. If
+// not, it returns the ending to pass to End. A sender must call it once it has a connection, immediately before it writes.
 func (a *Attempt) MayWrite() (balancer.Ending, bool) {
-	if ending, ok := a.host.mayWrite(a); !ok {
+	if ending, ok := a.owner.mayWrite(a); !ok {
 		return ending, false
 	}
 	if !a.Endpoint.Usable() {
-		// It began to drain, or was removed or taken out of service, while the connection was being established.
+		// The server began to drain, or was removed or taken out of service, while the connection was being established.
 		return balancer.Unreachable, false
 	}
 	return 0, true
 }
 
 // RecordTransfer reports to the engine, before End, that the request was written completely, with a body of bytesSent
-// bytes. A Carrier also reports the bytes of the response body and, if known, the address of the server that answered. Others
-// leave both empty: the size is then that of the reply that is passed to End.
+// bytes. A Carrier also reports the size of the response body and, if known, the address of the server that answered. Other
+// senders leave both zero: the engine then uses the size of the reply that is passed to End (Sized).
 func (a *Attempt) RecordTransfer(bytesSent, bytesReceived int64, servedBy string) {
 	a.transfer.Store(&transferRecord{bytesSent, bytesReceived, servedBy})
 }
 
-// ResponseStarted passes on a streamed reply that has begun. It may be called once, before End; the engine releases r if the
-// call belongs to another attempt.
-func (a *Attempt) ResponseStarted(r Reply) { a.host.responseStarted(a, r) }
+// ResponseStarted passes on a streamed reply that has started. It may be called once, before End. The engine releases r if
+// the call is finished or another attempt's reply has started before.
+func (a *Attempt) ResponseStarted(r Reply) { a.owner.responseStarted(a, r) }
 
-// End says how the attempt ended; r is the reply of a Success and otherwise nil. Later calls have no effect but the
-// release of r.
+// End reports how the attempt ended. r is the reply of a balancer.Success, and nil for other endings. Later calls only
+// release r.
 func (a *Attempt) End(ending balancer.Ending, r Reply) {
 	if !a.ended.CompareAndSwap(false, true) {
 		release(r)
 		return
 	}
-	a.host.end(a, ending, r)
+	a.owner.end(a, ending, r)
 }
 
+// release releases a reply, which may be nil.
 func release(r Reply) {
 	if r != nil {
 		r.Release()
 	}
 }
 
-// send makes an attempt of a balancer.Send and starts it, or ends it at once if it may not start. Either way the module is
-// given exactly one balancer.Outcome.
+// send creates an attempt for a balancer.Send and starts it, or ends it at once if it may not start. In both cases the
+// module gets exactly one balancer.Outcome for it.
 func (e *Engine) send(send balancer.Send) {
 	call := e.calls[send.ID]
 	if call == nil {
-		e.logf("send for the unknown request %s", send.ID)
+		e.logf("attempt for unknown request %s ignored", send.ID)
 		return
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -100,14 +101,15 @@
 	e.start(ctx, attempt)
 }
 
-// newAttempt returns the next attempt of a call, which cancel withdraws. Its Endpoint is nil if the server is not listed.
+// newAttempt returns the next attempt of a call; cancel ends the attempt's context. The attempt's Endpoint is nil if the
+// server is not listed.
 func (e *Engine) newAttempt(call *Call, send balancer.Send, cancel context.CancelCauseFunc) *Attempt {
 	now := e.cfg.Clock.Now()
 	return &Attempt{
 		Endpoint:  e.endpoints[send.Server],
 		Payload:   call.Payload,
 		Timeout:   attemptTimeout(call, send, now),
-		host:      e,
+		owner:     e,
 		call:      call,
 		index:     len(call.attempts),
 		serverID:  send.Server,
@@ -116,21 +118,21 @@
 	}
 }
 
-// addAttempt counts an attempt as one of its call's, which is not pending any more.
+// addAttempt adds an attempt to its call, which is then no longer pending.
 func (e *Engine) addAttempt(call *Call, attempt *Attempt) {
 	call.attempts = append(call.attempts, attempt)
 	call.attemptsInFlight++
 	e.releasePending(call)
 }
 
-// mayStart reports whether an attempt may be passed to a sender: its call is open and has time and attempts left, and its
-// server is listed.
+// mayStart reports whether an attempt may be passed to a sender: its call is not finished and has time and attempts left,
+// and its server is listed.
 func (e *Engine) mayStart(attempt *Attempt) bool {
 	overLimit := e.cfg.MaxAttempts > 0 && attempt.index >= e.cfg.MaxAttempts
 	return !attempt.call.finished.Load() && attempt.Timeout > 0 && attempt.Endpoint != nil && !overLimit
 }
 
-// listedEndpoints returns the endpoints of those servers that are listed, in the same order.
+// listedEndpoints returns the endpoints of the given servers in the same order, without those that are not listed.
 func (e *Engine) listedEndpoints(ids []string) (endpoints []*Endpoint) {
 	for _, id := range ids {
 		if endpoint := e.endpoints[id]; endpoint != nil {
@@ -140,45 +142,47 @@
 	return endpoints
 }
 
-// start passes an attempt to the call's own Carrier, or else to the configured sender. ctx ends when the attempt is withdrawn.
+// start passes an attempt to its payload if that is a Carrier, and otherwise to the configured sender. ctx ends when the
+// attempt is withdrawn or times out.
 func (e *Engine) start(ctx context.Context, attempt *Attempt) {
-	// A timer and not the context's deadline: it must stop once a streamed reply has begun.
-	if !attempt.call.arriving {
-		attempt.expire(attempt.Timeout)
+	// A timer is used instead of a context deadline because it must be stopped once a streamed reply has started.
+	if !attempt.call.bodyIncomplete {
+		attempt.cancelAfter(attempt.Timeout)
 	}
 	if attempt.observer = e.observer; attempt.observer != nil {
 		attempt.observer.AttemptStarted(attempt.serverID)
 	}
-	if carrier, is := attempt.Payload.(Carrier); is {
+	if carrier, ok := attempt.Payload.(Carrier); ok {
 		carrier.Carry(ctx, attempt)
 		return
 	}
 	e.cfg.Sender.Start(ctx, attempt)
 }
 
-// attemptTimeout is how long an attempt may take: what the module says, but no longer than until the call's deadline.
+// attemptTimeout returns the module's timeout for an attempt, limited to the time until the call's deadline.
 func attemptTimeout(call *Call, send balancer.Send, now time.Duration) time.Duration {
 	untilDeadline := call.Deadline - now
 	switch {
-	case call.arriving:
-		return call.timeLeft // counts from the last byte of the request body
+	case call.bodyIncomplete:
+		return call.timeLeft // starts to run at the last byte of the request body
 	case send.Timeout == 0:
 		return untilDeadline
 	}
 	return min(untilDeadline, send.Timeout)
 }
 
-// expire cancels the attempt after that time.
-func (a *Attempt) expire(after time.Duration) {
-	a.timer = time.AfterFunc(after, func() { a.cancel(ErrTimedOut) })
+// cancelAfter starts the timer that cancels the attempt once timeout has elapsed.
+func (a *Attempt) cancelAfter(timeout time.Duration) {
+	a.timer = time.AfterFunc(timeout, func() { a.cancel(ErrTimedOut) })
 }
 
-// mayWrite implements host: the last check before a request is written.
+// mayWrite implements attemptOwner. It is the last check before a request is written.
 func (e *Engine) mayWrite(a *Attempt) (balancer.Ending, bool) {
 	return balancer.NeverSent, !a.call.finished.Load()
 }
 
-// responseStarted implements host: it gives the call the first streamed reply, and withdraws any other attempt that has one.
+// responseStarted implements attemptOwner. It passes the call's first streamed reply to the receiver, and withdraws any other
+// attempt whose reply starts later.
 func (e *Engine) responseStarted(attempt *Attempt, reply Reply) {
 	e.Do(func() {
 		call := attempt.call
@@ -191,19 +195,20 @@
 		if attempt.timer != nil {
 			attempt.timer.Stop()
 		}
-		call.fallbackTimer.Stop() // a stream that has begun has no deadline
+		call.fallbackTimer.Stop() // a streamed reply that has started has no deadline
 		call.Receiver.ResponseStarted(reply)
-		s, is := reply.(TransferReporter)
-		e.handle(balancer.Started{ID: call.id, Attempt: attempt.index, Transfer: is && s.Transfer()})
+		reporter, ok := reply.(TransferReporter)
+		e.handle(balancer.Started{ID: call.id, Attempt: attempt.index, Transfer: ok && reporter.Transfer()})
 	})
 }
 
+// end implements attemptOwner.
 func (e *Engine) end(a *Attempt, ending balancer.Ending, r Reply) {
 	e.Do(func() { e.handle(e.recordEnding(a, ending, r)) })
 }
 
-// recordEnding ends an attempt and returns the outcome for the module. The first success becomes the call's answer;
-// once a streamed reply has begun, the ending of its attempt does.
+// recordEnding ends an attempt and returns the outcome for the module. The call is answered by its first successful
+// attempt or, once a streamed reply has started, by the ending of that reply's attempt.
 func (e *Engine) recordEnding(attempt *Attempt, ending balancer.Ending, reply Reply) balancer.Outcome {
 	call := attempt.call
 	if attempt.timer != nil {
@@ -215,8 +220,8 @@
 		attempt.observer.AttemptEnded(attempt.serverID, ending)
 	}
 	outcome := balancer.Outcome{ID: call.id, Attempt: attempt.index, Server: attempt.serverID, Ending: ending}
-	if p, is := call.Payload.(Spendable); is {
-		outcome.Consumed = p.Spent()
+	if payload, ok := call.Payload.(Spendable); ok {
+		outcome.Consumed = payload.Spent()
 	}
 	e.addTransfer(&outcome, attempt, reply)
 	e.answerFrom(attempt, ending, reply)
@@ -226,22 +231,22 @@
 	return outcome
 }
 
-// addTransfer adds to an outcome what RecordTransfer noted, if the request was written.
+// addTransfer adds the data of RecordTransfer to an outcome, if the request was written completely.
 func (e *Engine) addTransfer(outcome *balancer.Outcome, attempt *Attempt, reply Reply) {
-	done := attempt.transfer.Load()
-	if done == nil {
+	transfer := attempt.transfer.Load()
+	if transfer == nil {
 		return
 	}
-	outcome.Wrote, outcome.Out, outcome.In = true, done.bytesSent, done.bytesReceived
-	if sized, is := reply.(Sized); is {
+	outcome.Wrote, outcome.Out, outcome.In = true, transfer.bytesSent, transfer.bytesReceived
+	if sized, ok := reply.(Sized); ok {
 		outcome.In += sized.Size()
 	}
-	if done.servedBy != "" {
-		outcome.Server = e.idByAddr[done.servedBy] // "" if it is not a listed one
+	if transfer.servedBy != "" {
+		outcome.Server = e.idByAddr[transfer.servedBy] // "" if no listed server has this address
 	}
 }
 
-// answerFrom answers the call if this ending decides it, and releases a reply that is not needed.
+// answerFrom answers the call if this ending is decisive for it (see recordEnding), and otherwise releases the reply.
 func (e *Engine) answerFrom(attempt *Attempt, ending balancer.Ending, reply Reply) {
 	call := attempt.call
 	answered := false
@@ -249,7 +254,7 @@
 	case ending == balancer.Success && (call.streaming == nil || call.streaming == attempt):
 		answered = e.finish(call.id, Answer{Verdict: Served, Reply: reply})
 	case call.streaming == attempt:
-		// The caller already has a part of this response, so no other attempt may take its place.
+		// The caller has received a part of this response, so no other attempt can replace it.
 		e.finish(call.id, Answer{Verdict: Failed})
 	}
 	if !answered {
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -11,8 +11,9 @@
 // Verdict is the kind of a final answer.
 type Verdict int
 
-// Verdicts. Rejected promises that a retry does no harm: no attempt can have run, or the request may run twice. Failed
-// promises nothing. Duplicate says that a call with this id is already open.
+// Verdicts. Served comes with a reply. Rejected guarantees that a retry is safe: either no attempt can have run on a
+// server, or the request may run twice. Failed guarantees nothing. Duplicate means that a call with the same Call.ID is
+// still open.
 const (
 	Served Verdict = iota
 	Rejected
@@ -20,119 +21,121 @@
 	Duplicate
 )
 
-// Reply is the response of an attempt, which the engine does not read. Its last owner calls Release, once.
+// Reply is the response of an attempt, opaque to the engine. Its last owner calls Release exactly once.
 type Reply interface{ Release() }
 
-// Sized is a reply that knows the size of its body, in bytes.
+// Sized is a Reply that reports the size of its body, in bytes.
 type Sized interface{ Size() int64 }
 
-// TransferReporter is a streamed reply that says whether its server has finished the work and only transfers the result.
+// TransferReporter is a streamed Reply. Transfer reports whether its server has finished processing the request and only
+// the transfer of the result remains.
 type TransferReporter interface{ Transfer() bool }
 
 // Answer is the final answer to a call.
 type Answer struct {
 	Verdict    Verdict
-	RetryAfter time.Duration // for the caller, with Rejected; 0 means no advice
+	RetryAfter time.Duration // retry advice for the caller, with Rejected; 0 means none
 	Reply      Reply         // with Served; the receiver releases it; may be nil after ResponseStarted
 }
 
 // Receiver is the downstream side of a call. The engine's goroutine calls it, so its methods must not block.
 type Receiver interface {
-	// ResponseStarted passes on a streamed reply that has begun: from now on the call belongs to that attempt. It is called
-	// at most once, before Ended. The receiver releases the reply.
+	// ResponseStarted passes on a streamed reply that has started: from now on only its attempt can answer the call. It is
+	// called at most once, before Ended. The receiver releases the reply.
 	ResponseStarted(Reply)
-	// Ended passes on the final answer. It is called exactly once, unless Engine.CallerGone comes first.
+	// Ended passes on the final answer. It is called exactly once, unless Engine.CallerGone is handled first.
 	Ended(Answer)
 }
 
-// Limits on the names that the module is given, in bytes; what is longer is cut off.
+// Maximum lengths of the names that are passed to the module, in bytes; longer names are truncated.
 const (
-	MaxTenant = 64 // of a tenant
-	MaxZone   = 64 // of a zone
+	MaxTenant = 64 // tenant name
+	MaxZone   = 64 // zone name
 )
 
 // Call is a request of a downstream caller. The front sets the exported fields before Submit and does not change
-// them afterwards; the unexported ones belong to the engine's goroutine, but for finished, which any may read.
+// them afterwards. The engine's goroutine owns the unexported fields; only finished may be read by other goroutines.
 type Call struct {
-	ID             string        // given by the caller; no two open calls of an engine share one; "" means none
-	Class          string        // one of the module's settings
-	Deadline       time.Duration // clock time by which the module is to answer
-	FallbackAt     time.Duration // clock time at which the engine answers in its place
-	ClientRetry    bool          // the caller marked it as a retry of its own
-	Cost           time.Duration // estimate of the work, given by the caller; 0 means none
-	Tenant         string        // on whose behalf, as far as the front knows; see MaxTenant
+	ID             string        // assigned by the caller, unique among the open calls of an engine; "" means none
+	Class          string        // name of a class in the module's settings
+	Deadline       time.Duration // clock time by which the module must answer
+	FallbackAt     time.Duration // clock time at which the engine fails the call if the module has not answered
+	ClientRetry    bool          // the caller marked it as a retry
+	Cost           time.Duration // processing time estimated by the caller; 0 means no estimate
+	Tenant         string        // tenant on whose behalf the call is made, if known; see MaxTenant
 	CandidateAddrs []string      // addresses of the endpoints that may serve it; nil means any
 	CallerZone     string        // zone of the caller, if known; see MaxZone
-	Size           int64         // of the body, in bytes
-	Payload        any           // what the sender sends
+	Size           int64         // size of the body, in bytes
+	Payload        any           // request that the sender sends; opaque to the engine
 	Receiver       Receiver
-	// Arriving says that the request body is not complete yet. Deadline and FallbackAt count from the call of BodyArrived;
-	// until then only the front may time the call out.
-	Arriving bool
+	// BodyIncomplete says that the request body is still being received. Deadline and FallbackAt are then moved by the time
+	// until Engine.BodyArrived is called; before that only the front may time the call out.
+	BodyIncomplete bool
 
-	id               string      // unique within the engine, unlike ID, which may be used again
-	finished         atomic.Bool // answered, or the caller has gone; set by the engine's goroutine alone
-	fallbackTimer    *time.Timer // answers at FallbackAt; nil before the call is registered
+	id               string      // unique for the life of the engine; ID may be reused by a later call
+	finished         atomic.Bool // answered, or the caller has gone; set by the engine's goroutine only
+	fallbackTimer    *time.Timer // fails the call at FallbackAt; nil before the call is registered
 	attempts         []*Attempt
-	streaming        *Attempt      // the attempt whose streamed reply has begun; nil means none
+	streaming        *Attempt      // the attempt whose streamed reply has started; nil means none
 	attemptsInFlight int           // attempts that have not ended yet
-	countedPending   bool          // counted in Config.Pending
-	arriving         bool          // Arriving, and BodyArrived has not been called
-	timeLeft         time.Duration // from the last byte of the body to Deadline
-	fallbackDelay    time.Duration // from Deadline to FallbackAt
+	countedPending   bool          // holds one unit of Config.Pending
+	bodyIncomplete   bool          // BodyIncomplete is set and BodyArrived has not been handled
+	timeLeft         time.Duration // from the last byte of the body to Deadline; set if bodyIncomplete
+	fallbackDelay    time.Duration // from Deadline to FallbackAt; set if bodyIncomplete
 }
 
-// maxOverheadDivisor bounds what SetTimeLeft reserves: at most the caller's time divided by this, a quarter.
+// maxOverheadDivisor limits the time that SetTimeLeft reserves to a quarter of the caller's remaining time.
 const maxOverheadDivisor = 4
 
-// SetTimeLeft sets Deadline and FallbackAt of a call whose caller waits for timeLeft from now on. Of that, overhead is kept for
-// the way back, but no more than a quarter, so that the answer is there before the caller times out: the module is to answer
-// before that part begins, and the engine in its place after half of it.
+// SetTimeLeft sets Deadline and FallbackAt of a call whose caller times out after timeLeft. So that the answer reaches the
+// caller before that, it reserves overhead, but at most a quarter of timeLeft, for the transfer of the answer. Deadline is
+// the start of the reserved time and FallbackAt the middle of it.
 func (call *Call) SetTimeLeft(now, timeLeft, overhead time.Duration) {
 	reserved := min(overhead, timeLeft/maxOverheadDivisor)
 	call.Deadline = now + timeLeft - reserved
 	call.FallbackAt = now + timeLeft - reserved/2
 }
 
-// Submit passes a call to the engine, which owns it from then on.
+// Submit passes a call to the engine, which owns it from now on.
 func (e *Engine) Submit(call *Call) { e.Do(func() { e.accept(call) }) }
 
-// CallerGone notifies the engine that the caller of a submitted call has gone: it needs no answer any more. An Ended that is
-// already on its way may still come; the front then releases its reply.
+// CallerGone notifies the engine that the caller of a submitted call has gone and needs no answer. Receiver.Ended may still
+// be called if the engine finishes the call before it handles the notification; the front then releases the reply.
 func (e *Engine) CallerGone(call *Call) { e.Do(func() { e.handleCallerGone(call) }) }
 
-// BodyArrived notifies the engine that the body of a call that was Arriving is complete: its deadline counts from now.
+// BodyArrived notifies the engine that the body of a call with BodyIncomplete is now complete. The time that the call had
+// left until its deadline starts to run now.
 func (e *Engine) BodyArrived(call *Call) { e.Do(func() { e.handleBodyArrived(call) }) }
 
 func (e *Engine) handleBodyArrived(call *Call) {
-	if !call.arriving || call.finished.Load() {
+	if !call.bodyIncomplete || call.finished.Load() {
 		return
 	}
-	call.arriving = false
+	call.bodyIncomplete = false
 	call.Deadline = e.cfg.Clock.Now() + call.timeLeft
 	call.FallbackAt = call.Deadline + call.fallbackDelay
 	if call.streaming != nil {
-		return // a streamed reply that has begun has no deadline
+		return // a streamed reply that has started has no deadline
 	}
 	e.armFallbackAnswer(call)
 	for _, attempt := range call.attempts {
 		if !attempt.ended.Load() {
-			attempt.expire(call.timeLeft)
+			attempt.cancelAfter(call.timeLeft)
 		}
 	}
 }
 
-// armFallbackAnswer has the engine fail the call at FallbackAt, in case the module never answers it.
+// armFallbackAnswer starts the timer that fails the call at FallbackAt, in case the module does not answer it.
 func (e *Engine) armFallbackAnswer(call *Call) {
-	call.fallbackTimer = e.after(call.FallbackAt-e.cfg.Clock.Now(), func() {
+	call.fallbackTimer = e.afterFunc(call.FallbackAt-e.cfg.Clock.Now(), func() {
 		if !call.finished.Load() && call.streaming == nil {
-			e.logf("request %s: no answer from the module by its deadline", call.id)
+			e.logf("request %s: failed, the module did not answer it in time", call.id)
 			e.abandon(call)
 		}
 	})
 }
 
-// EndCallAndAttempt is CallerGone and the attempt's End in one step, for a Sender that has answered the caller itself.
+// EndCallAndAttempt combines CallerGone and Attempt.End in one event, for a Carrier that has answered the caller itself.
 func (e *Engine) EndCallAndAttempt(call *Call, attempt *Attempt, ending balancer.Ending) {
 	if !attempt.ended.CompareAndSwap(false, true) {
 		e.CallerGone(call)
@@ -144,7 +147,8 @@
 	})
 }
 
-// AbandonAll fails every unanswered call, except those whose streamed reply has begun: these continue while they can.
+// AbandonAll fails all unanswered calls, except those whose streamed reply has started: these continue until their stream
+// ends.
 func (e *Engine) AbandonAll() {
 	e.Do(func() {
 		for _, call := range e.calls {
@@ -155,7 +159,7 @@
 	})
 }
 
-// AbandonWaiting fails every unanswered call that no server has at the moment: it waits for one, or for its next attempt.
+// AbandonWaiting fails all unanswered calls that have no attempt in flight: those that wait for a server or for a retry.
 func (e *Engine) AbandonWaiting() {
 	e.Do(func() {
 		for _, call := range e.calls {
@@ -166,10 +170,10 @@
 	})
 }
 
-// accept takes a submitted call: it rejects it, or registers it and passes it to the module.
+// accept handles a submitted call: it rejects the call, or registers it and passes it to the module.
 func (e *Engine) accept(call *Call) {
 	if call.ID != "" && e.callerIDs[call.ID] {
-		// Forwarding it would run the request that is already open a second time.
+		// Forwarding this call would run the request of the open one a second time.
 		call.finished.Store(true)
 		call.Receiver.Ended(Answer{Verdict: Duplicate})
 		return
@@ -201,13 +205,13 @@
 	e.limitPending(call)
 }
 
-// reject rejects a call that the module has not heard of. Retrying it is safe: no attempt was made.
+// reject rejects a call that was not passed to the module. A retry is safe, since no attempt was made.
 func reject(call *Call) {
 	call.finished.Store(true)
 	call.Receiver.Ended(Answer{Verdict: Rejected, RetryAfter: rejectionRetryAfter})
 }
 
-// register makes a call one of the engine's open calls, under an id of its own.
+// register adds a call to the open calls under a new internal id, and starts its fallback timer.
 func (e *Engine) register(call *Call) {
 	if call.ID != "" {
 		e.callerIDs[call.ID] = true
@@ -216,19 +220,19 @@
 	call.id = strconv.FormatUint(e.nextID, 10)
 	e.calls[call.id] = call
 	e.openCalls.Add(1)
-	call.arriving = call.Arriving
-	if !call.arriving {
+	call.bodyIncomplete = call.BodyIncomplete
+	if !call.bodyIncomplete {
 		e.armFallbackAnswer(call)
 		return
 	}
 	now := e.cfg.Clock.Now()
 	call.timeLeft, call.fallbackDelay = call.Deadline-now, call.FallbackAt-call.Deadline
-	// A stopped timer marks the call as registered (see markFinished) until BodyArrived arms the real one.
+	// The stopped timer marks the call as registered (see markFinished) until BodyArrived starts the real one.
 	call.fallbackTimer = time.AfterFunc(time.Hour, func() {})
 	call.fallbackTimer.Stop()
 }
 
-// limitPending counts a call that the module left without an attempt, and rejects it when the limit is reached.
+// limitPending counts a call that has no attempt yet against the limit of pending calls, and rejects it if that is reached.
 func (e *Engine) limitPending(call *Call) {
 	if e.cfg.Pending == nil || call.finished.Load() || len(call.attempts) > 0 {
 		return
@@ -238,13 +242,13 @@
 		return
 	}
 	e.rejectedOverLimit++
-	// Retrying is safe: no attempt was made. The module is notified, so that it forgets the call.
+	// A retry is safe, since no attempt was made. The module is notified so that it discards the call's state.
 	e.finish(call.id, Answer{Verdict: Rejected, RetryAfter: rejectionRetryAfter})
 	e.handle(balancer.ClientGone{ID: call.id})
 }
 
-// endpointIDs returns the ids of the listed endpoints at the given addresses. Nil addresses mean any endpoint; ok is
-// false when addresses are given and none of them is listed.
+// endpointIDs returns the ids of the listed endpoints at the given addresses. Nil addrs mean any endpoint; ok is false if
+// addrs is not nil and none of the addresses is listed.
 func (e *Engine) endpointIDs(addrs []string) (ids []string, ok bool) {
 	if addrs == nil {
 		return nil, true
@@ -257,10 +261,10 @@
 	return ids, ids != nil
 }
 
-// rejectionRetryAfter is the advice with a rejection by the engine itself.
+// rejectionRetryAfter is the retry advice for calls that the engine rejects without the module.
 const rejectionRetryAfter = time.Second
 
-// abandon fails a call without the module, which is then notified to forget it.
+// abandon fails a call without waiting for the module, and notifies the module so that it discards the call's state.
 func (e *Engine) abandon(call *Call) {
 	e.finish(call.id, Answer{Verdict: Failed})
 	e.handle(balancer.ClientGone{ID: call.id})
@@ -273,7 +277,7 @@
 	}
 }
 
-// finish gives a call its final answer; it returns false if the call is unknown or already finished.
+// finish gives a call its final answer. It returns false if the call is unknown or already finished.
 func (e *Engine) finish(id string, answer Answer) bool {
 	call := e.calls[id]
 	if call == nil || !e.markFinished(call) {
@@ -284,7 +288,8 @@
 	return true
 }
 
-// markFinished ends a call without an answer; it returns false if the call was never registered or is finished.
+// markFinished marks a call as finished, stops its fallback timer and releases its unit of the pending limit. It returns
+// false if the call was never registered or is already finished.
 func (e *Engine) markFinished(call *Call) bool {
 	if call.fallbackTimer == nil || !call.finished.CompareAndSwap(false, true) {
 		return false
@@ -294,6 +299,7 @@
 	return true
 }
 
+// releasePending releases the call's unit of the pending limit, if it holds one.
 func (e *Engine) releasePending(call *Call) {
 	if call.countedPending {
 		call.countedPending = false
@@ -301,7 +307,7 @@
 	}
 }
 
-// forgetIfDone removes a call that is finished and has no attempt in flight.
+// forgetIfDone removes a call from the open ones if it is finished and has no attempt in flight.
 func (e *Engine) forgetIfDone(call *Call) {
 	if call.finished.Load() && call.attemptsInFlight == 0 && e.calls[call.id] == call {
 		delete(e.calls, call.id)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,20 +1,21 @@
-// Package engine runs the life cycle of a request, independently of any protocol. It owns one decision module
-// (package balancer), passes it events and carries out its actions.
+// Package engine manages the life cycle of requests, independently of any protocol. An Engine owns one decision module
+// (package balancer), passes it events and performs the actions that it returns.
 //
-// The goroutine of Run owns the module and all state of the engine; fronts (downstream), senders (upstream) and
-// sources (lists of servers) post to it. The engine starts attempts through a Sender, watches the list of a Source,
-// and holds these invariants whatever the module says:
+// The goroutine of Run owns the module and all state of the engine. Fronts (downstream), senders (upstream) and sources
+// (lists of servers) communicate with it by posting functions to its queue. The engine starts attempts through a Sender,
+// watches the server list of a Source, and guarantees the following invariants whatever the module decides:
 //
-//   - each call gets exactly one final answer, at the latest at Call.FallbackAt;
-//   - no two open calls have the same caller's id;
+//   - each call whose caller stays gets exactly one final answer, at Call.FallbackAt at the latest unless a streamed reply
+//     has started;
+//   - no two open calls have the same non-empty Call.ID;
 //   - nothing is written for a finished call, or to an endpoint that is not usable (Attempt.MayWrite);
-//   - each attempt ends once.
+//   - each attempt ends exactly once.
 //
-// It must never decide what the module decides, and never read a payload or a reply: it knows no protocol.
+// The engine makes none of the module's decisions, and treats payloads and replies as opaque.
 //
-// Files: engine.go has the goroutine and its queue, call.go the calls, attempt.go the attempts, sender.go and source.go
-// what it needs of the two sides, servers.go the list in use, snapshot.go what a successor takes over, hooks.go attempts
-// without an engine.
+// Files: engine.go contains the goroutine and its queue, call.go the calls, attempt.go the attempts, sender.go and
+// source.go the interfaces of senders and sources, servers.go the current server list, snapshot.go the state that a
+// successor of the engine continues from, hooks.go attempts that belong to no engine.
 package engine
 
 import (
@@ -27,10 +28,10 @@
 	"cranegrade/balancer"
 )
 
-// Clock is monotonic Unix time: the wall clock's time at the start plus the time that has passed since.
+// Clock is a monotonic clock of Unix time: the wall clock's time when it was created plus the time elapsed since.
 type Clock struct{ start time.Time }
 
-// NewClock returns a clock that starts at the wall clock's present time.
+// NewClock returns a clock that starts at the wall clock's current time.
 func NewClock() Clock { return Clock{time.Now()} }
 
 // Now is the time since the Unix epoch.
@@ -38,13 +39,13 @@
 	return time.Duration(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// Module is the decision module; balancer.Balancer is the one in service. Only the engine's goroutine calls it.
+// Module is the decision module, implemented by balancer.Balancer. Only the engine's goroutine calls it.
 type Module interface {
 	Handle(now time.Duration, e balancer.Event) []balancer.Action
 }
 
-// SharedLimit is a counting limit that several owners share, like a semaphore. Take takes n or returns false without
-// blocking; Give returns what was taken. Both are called from many goroutines.
+// SharedLimit is a weighted semaphore that several owners share. Take acquires n units, or returns false without
+// blocking; Give releases n acquired units. Both may be called concurrently.
 type SharedLimit interface {
 	Take(n int64) bool
 	Give(n int64)
@@ -52,54 +53,54 @@
 
 // Config holds the parts and limits of an engine.
 type Config struct {
-	Name        string // the pool's, for log lines; may be empty
+	Name        string // name of the pool, for log lines; may be empty
 	Clock       Clock
 	Module      Module
 	Sender      Sender
-	Source      Source      // nil means the list comes through Apply only
-	MaxAttempts int         // per call; 0 means only the module limits them
-	Pushed      bool        // the source pushes the list: it is watched without a Subscribe of the module
-	Pending     SharedLimit // calls that wait for an endpoint; nil means no limit
+	Source      Source      // nil means that the server list is set through Apply only
+	MaxAttempts int         // per call; 0 means that only the module limits them
+	Pushed      bool        // the source pushes the list: it is watched without waiting for a balancer.Subscribe
+	Pending     SharedLimit // limit of calls that wait for an endpoint; nil means no limit
 	AdminStates AdminStates // set by operators; nil means none
 }
 
-// AdminStates are the administrative states of servers, set by operators. They override the list: a server that is out
-// of service drains, whatever the list says. The methods are called from many goroutines and never block.
+// AdminStates are the administrative states of servers, set by operators. They override the server list: a server that
+// is out of service drains, even if it is listed as ready. The methods may be called concurrently and must not block.
 type AdminStates interface {
-	// IsOutOfService reports whether a server is out of service. Attempts observe it at once (Endpoint.Usable).
+	// IsOutOfService reports whether a server is out of service. A change applies to attempts at once (Endpoint.Usable).
 	IsOutOfService(id string) bool
-	// StartTime returns the start time to assume for a server whose listed one is given.
+	// StartTime returns the start time to assume for a server, given the one in the list.
 	StartTime(id string, listed time.Duration) time.Duration
-	// ServerListed is called for each server that is now listed, and ServerRemoved for each that no longer is; alternately
-	// for an id.
+	// ServerListed is called when a server is added to the list, and ServerRemoved when it is removed. For one id the two
+	// calls alternate.
 	ServerListed(id string)
 	ServerRemoved(id string)
 }
 
-// Engine owns a module. Its exported methods may be called from any goroutine.
+// Engine manages the calls of one pool with one Module. Its exported methods may be called from any goroutine.
 type Engine struct {
 	cfg       Config
 	events    chan func()
 	done      chan struct{} // closed when Run has ended
 	openCalls atomic.Int64  // calls that are unanswered or have attempts in flight
 
-	// Owned by Run's goroutine.
-	pendingEvents     []balancer.Event // for the module, in order of arrival
-	calls             map[string]*Call
-	callerIDs         map[string]bool // the non-empty Call.ID of all calls
-	endpoints         map[string]*Endpoint
-	idByAddr          map[string]string // ids of endpoints
+	// The fields below are owned by Run's goroutine.
+	pendingEvents     []balancer.Event     // to pass to the module, in order of arrival
+	calls             map[string]*Call     // open calls by the engine's own id
+	callerIDs         map[string]bool      // the non-empty Call.ID of all open calls
+	endpoints         map[string]*Endpoint // listed servers by id
+	idByAddr          map[string]string    // endpoint ids by address
 	source            Source
 	observer          Observer // the source, if it is an Observer; otherwise nil
-	listVersion       string   // of the list in use; "" if the list is not of this source
-	dropShare         float64  // share of calls to reject, 0 to 1
+	listVersion       string   // version of the current list; "" if the list did not come from this source
+	dropShare         float64  // share of calls to reject, 0 to 1; set by the source
 	rng               *rand.Rand
 	nextID            uint64
 	stopWatch         context.CancelFunc
-	rejectedOverLimit int // calls over the limit of pending ones since it was last logged
+	rejectedOverLimit int // calls rejected by the limit of pending calls since the last log line about them
 }
 
-// New returns an engine that is idle until Run.
+// New returns an engine that handles nothing until Run is called.
 func New(cfg Config) *Engine {
 	e := &Engine{
 		cfg:       cfg,
@@ -118,11 +119,11 @@
 }
 
 const (
-	sweepInterval  = time.Second // between calls of Sender.Sweep
-	eventQueueSize = 256         // posted events that may wait before Do blocks
+	sweepInterval  = time.Second // interval between calls of Sender.Sweep
+	eventQueueSize = 256         // functions that may be queued before Do blocks
 )
 
-// Run handles events until ctx ends. It is called once; its goroutine owns the engine.
+// Run handles events until ctx ends. It must be called once; its goroutine owns the engine's state.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.done)
 	defer func() { e.stopWatch() }()
@@ -134,7 +135,7 @@
 			f()
 		case <-sweep.C:
 			if e.rejectedOverLimit > 0 {
-				e.logf("%d calls rejected: too many are pending", e.rejectedOverLimit)
+				e.logf("rejected %d calls: the limit of pending calls is reached", e.rejectedOverLimit)
 				e.rejectedOverLimit = 0
 			}
 			go e.cfg.Sender.Sweep()
@@ -148,8 +149,8 @@
 	}
 }
 
-// Do posts f to run on the engine's goroutine. It blocks while the queue is full, so the engine's goroutine must not
-// call it. After the end of Run it does nothing.
+// Do queues f to run on the engine's goroutine. It blocks while the queue is full, so the engine's goroutine must not
+// call it. After the end of Run it has no effect.
 func (e *Engine) Do(f func()) {
 	select {
 	case e.events <- f:
@@ -166,34 +167,36 @@
 // Now is the time of the engine's clock.
 func (e *Engine) Now() time.Duration { return e.cfg.Clock.Now() }
 
-// Learn gives the module the estimates of another one, if it is a Learner. It must come after Start.
-func (e *Engine) Learn(k *balancer.Knowledge) {
+// Learn loads another module's estimates into the engine's module, if that implements Learner. It must be called after
+// Start.
+func (e *Engine) Learn(estimates *balancer.Knowledge) {
 	e.Do(func() {
-		if l, is := e.cfg.Module.(Learner); is {
-			l.Learn(k)
+		if learner, ok := e.cfg.Module.(Learner); ok {
+			learner.Learn(estimates)
 		}
 	})
 }
 
-// Notify passes the module an event that comes from no call, attempt or list: of classes, or of the fleet.
+// Notify passes the module an event about classes or the fleet, which originates in no call, attempt or server list.
 func (e *Engine) Notify(ev balancer.Event) { e.Do(func() { e.handle(ev) }) }
 
-// Start applies the list that was known before, if any, and opens a watch of the source if it pushes lists.
-func (e *Engine) Start(known ListUpdate) {
+// Start applies an initial list, such as one saved before a restart; it may be empty. Then it starts to watch the source
+// if that pushes its list.
+func (e *Engine) Start(initial ListUpdate) {
 	e.Do(func() {
-		e.apply(known)
+		e.apply(initial)
 		if e.cfg.Pushed {
 			e.subscribe()
 		}
 	})
 }
 
-// after posts f when d has passed.
-func (e *Engine) after(d time.Duration, f func()) *time.Timer {
+// afterFunc runs f on the engine's goroutine once d has elapsed.
+func (e *Engine) afterFunc(d time.Duration, f func()) *time.Timer {
 	return time.AfterFunc(d, func() { e.Do(f) })
 }
 
-// logf writes a log line that names the pool.
+// logf writes a log line, prefixed with the pool's name if it has one.
 func (e *Engine) logf(format string, args ...any) {
 	if e.cfg.Name != "" {
 		format, args = "pool %s: "+format, append([]any{e.cfg.Name}, args...)
@@ -201,7 +204,7 @@
 	log.Printf(format, args...)
 }
 
-// handle passes the module an event, and then the events that its actions have caused.
+// handle passes the module an event, and then those events that performing the module's actions has queued.
 func (e *Engine) handle(ev balancer.Event) {
 	e.pendingEvents = append(e.pendingEvents, ev)
 	for len(e.pendingEvents) > 0 {
@@ -213,7 +216,7 @@
 	}
 }
 
-// perform carries out one action of the module.
+// perform performs one action of the module.
 func (e *Engine) perform(a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
@@ -227,7 +230,7 @@
 	case balancer.Fail:
 		e.finish(a.ID, Answer{Verdict: Failed})
 	case balancer.Wake:
-		e.after(a.At-e.cfg.Clock.Now(), func() { e.handle(balancer.Timer{Token: a.Token}) })
+		e.afterFunc(a.At-e.cfg.Clock.Now(), func() { e.handle(balancer.Timer{Token: a.Token}) })
 	case balancer.Subscribe:
 		e.subscribe()
 	}
--- a/internal/engine/servers.go
+++ b/internal/engine/servers.go
@@ -2,16 +2,16 @@
 
 import "cranegrade/balancer"
 
-// apply takes over an update of the list: first for the senders, then for the module.
+// apply applies an update of the server list: first to the endpoints that senders use, then to the module.
 func (e *Engine) apply(update ListUpdate) {
 	e.listVersion, e.dropShare = update.Version, update.DropShare
 	e.mergeServers(update, false)
 }
 
-// AdminStateChanged notifies the module of a server's new administrative state, which already applies to senders. It does not
-// block.
+// AdminStateChanged notifies the module of a server's new administrative state. Senders already observe that state, through
+// Endpoint.Usable. It does not block.
 func (e *Engine) AdminStateChanged(id string) {
-	// On a goroutine of its own: Do blocks while the queue of events is full, and an operator's call must not.
+	// A separate goroutine, because Do blocks while the queue is full and an operator's call must not block.
 	go e.Do(func() {
 		if ep := e.endpoints[id]; ep != nil {
 			e.mergeServers(ListUpdate{Servers: []Listed{ep.listed}}, true)
@@ -19,8 +19,8 @@
 	})
 }
 
-// mergeServers takes over entries of the list, overlaid with their administrative states. With fromOperator only such a
-// state has changed, and nothing came from the source.
+// mergeServers merges an update into the endpoints and passes it to the module, with the servers' administrative states
+// applied. fromOperator says that only such a state has changed and that the update did not come from the source.
 func (e *Engine) mergeServers(update ListUpdate, fromOperator bool) {
 	listed := make(map[string]bool, len(update.Servers))
 	list := balancer.ServerList{
@@ -54,7 +54,7 @@
 	e.handle(list)
 }
 
-// overlayAdminState applies what operators have set for a server to its entry of the list.
+// overlayAdminState overrides a server's entry in the list with the administrative state that operators have set.
 func (e *Engine) overlayAdminState(server *Listed) {
 	if e.cfg.AdminStates == nil {
 		return
@@ -65,8 +65,8 @@
 	}
 }
 
-// endpointOf returns the endpoint of a listed server. One of an earlier process or address is replaced, since its
-// connections are of no use.
+// endpointOf returns the endpoint of a listed server. It replaces an endpoint of an earlier process or another address,
+// whose connections must not be reused.
 func (e *Engine) endpointOf(server Listed) *Endpoint {
 	endpoint := e.endpoints[server.ID]
 	if endpoint != nil && endpoint.Addr == server.Addr && endpoint.startedAt == server.StartedAt {
@@ -87,7 +87,7 @@
 	return endpoint
 }
 
-// removeEndpoint ends an endpoint: it takes no more attempts and its idle connections are closed.
+// removeEndpoint removes an endpoint, if it exists: it gets no more attempts and its idle connections are closed.
 func (e *Engine) removeEndpoint(id string) {
 	if endpoint := e.endpoints[id]; endpoint != nil {
 		endpoint.usable.Store(false)
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -6,28 +6,28 @@
 	"cranegrade/balancer"
 )
 
-// Learner is a module that can start from the estimates of another one.
+// Learner is a Module that can export its estimates, and start from those of another module.
 type Learner interface {
-	Knowledge() *balancer.Knowledge
-	Learn(*balancer.Knowledge)
+	Knowledge() *balancer.Knowledge // exports the estimates
+	Learn(*balancer.Knowledge)      // imports estimates
 }
 
-// Export returns the list as the source reported it and the module's estimates, which are nil if it is no Learner. It
-// returns false if ctx or the engine ends first. It is called from any goroutine but the engine's.
+// Export returns the server list as the source reported it and the module's estimates. It returns false if ctx or the engine
+// ends first. It waits for the engine's goroutine, which therefore must not call it.
 func (e *Engine) Export(ctx context.Context) (s Snapshot, ok bool) {
-	got := make(chan Snapshot, 1)
+	exported := make(chan Snapshot, 1)
 	go e.Do(func() {
 		snapshot := Snapshot{Version: e.listVersion}
 		for _, ep := range e.endpoints {
 			snapshot.Servers = append(snapshot.Servers, ep.listed)
 		}
-		if l, is := e.cfg.Module.(Learner); is {
-			snapshot.Knowledge = l.Knowledge()
+		if learner, ok := e.cfg.Module.(Learner); ok {
+			snapshot.Knowledge = learner.Knowledge()
 		}
-		got <- snapshot
+		exported <- snapshot
 	})
 	select {
-	case s := <-got:
+	case s := <-exported:
 		return s, true
 	case <-ctx.Done():
 	case <-e.done:
@@ -35,9 +35,9 @@
 	return Snapshot{}, false
 }
 
-// Snapshot is what a new engine needs to continue in the place of this one.
+// Snapshot is the state from which another engine can continue in place of the one that exported it.
 type Snapshot struct {
-	Version   string // of the list
+	Version   string // version of the server list
 	Servers   []Listed
-	Knowledge *balancer.Knowledge // nil means no estimates
+	Knowledge *balancer.Knowledge // the module's estimates; nil if it is no Learner
 }
--- a/internal/engine/source.go
+++ b/internal/engine/source.go
@@ -8,79 +8,79 @@
 	"cranegrade/balancer"
 )
 
-// Listed is an entry of a list of servers, with the address at which senders reach the server.
+// Listed is an entry of a server list, with the address at which senders reach the server.
 type Listed struct {
 	balancer.Server
-	Addr string // host:port; may be empty for a server that is Gone
+	Addr string // host:port; may be empty for a server that is balancer.Gone
 }
 
-// ListUpdate is an update from a source: the complete list, or the entries that changed.
+// ListUpdate is an update of a server list: the complete list, or the entries that changed.
 type ListUpdate struct {
-	Full      bool
+	Full      bool   // Servers is the complete list
 	Cached    bool   // from before a restart, possibly out of date
-	Version   string // where Watch continues; "" means from the beginning
+	Version   string // version from which Watch continues; "" means from the beginning
 	Servers   []Listed
-	DropShare float64 // share of calls to reject before any attempt, as the source demands; 0 to 1
+	DropShare float64 // share of calls that the source wants rejected before any attempt; 0 to 1
 }
 
-// Observer is a source that is notified of the attempts at its servers. The engine's goroutine calls its methods, so they
-// must not block.
+// Observer is a Source that is notified of the attempts at its servers, and of the requests dropped because of
+// ListUpdate.DropShare. The engine's goroutine calls its methods, so they must not block.
 type Observer interface {
 	AttemptStarted(server string)
 	AttemptEnded(server string, ending balancer.Ending)
 	RequestDropped()
 }
 
-// ErrMalformedUpdate is the reason for a watch's end where the source answered with something that can't be decoded or
-// is not complete.
+// ErrMalformedUpdate is the error of a watch that ended because an update from the source can't be decoded or is
+// incomplete.
 var ErrMalformedUpdate = errors.New("malformed update of the list")
 
-// Source provides the list of servers.
+// Source provides a server list.
 type Source interface {
 	// Watch watches the list: it calls onUpdate with each update after version since, in order, until ctx ends or the
-	// source fails. After "" the first update is the complete list. An update that is not full and has no servers
-	// says that the list is still up to date. Watch returns the reason for its end, never nil.
+	// source fails. If since is "", the first update is the complete list. An update that is not full and has no servers
+	// confirms that the list is up to date. Watch returns the reason for its end, never nil.
 	Watch(ctx context.Context, since string, onUpdate func(ListUpdate)) error
-	// String names the source for the log.
+	// String returns the name of the source for log lines.
 	String() string
 }
 
-// Apply takes over an update that did not come from the configured source.
+// Apply applies an update that did not come from the configured source.
 func (e *Engine) Apply(update ListUpdate) { e.Do(func() { e.apply(update) }) }
 
 const (
-	// pushedListRetryDelay is the delay before a failed watch of a pushed list is opened again. Of other lists the
-	// module decides.
+	// pushedListRetryDelay is the delay before a failed watch of a pushed list is opened again. For lists that are not
+	// pushed, the module decides when to subscribe again.
 	pushedListRetryDelay = time.Second
-	// newSourceRetryDelay is the delay between attempts to reach a new source for the first time. Its list must
-	// be known 4 s after the reload, which leaves no time for the module's backoff.
+	// newSourceRetryDelay is the delay between attempts to get the first list of a new source. That list must be available
+	// within 4 s of the reload that sets the source, which leaves no time for the module's backoff.
 	newSourceRetryDelay = 500 * time.Millisecond
-	// watchRetryDelay comes after every failure, before the module's own backoff. That is zero for a module whose setting
-	// balancer.Settings.AskWithin is unset, and the source must not be asked in a tight loop.
+	// watchRetryDelay is the delay between the failure of a watch and the module's notification of it. The module's own
+	// backoff is zero if balancer.Settings.AskWithin is unset, and the source must not be polled in a tight loop.
 	watchRetryDelay = 50 * time.Millisecond
 )
 
-// SetSource switches to another source. Versions of different sources can't be compared, so the new one is asked for
-// the complete list; until that comes the former list stays in use.
+// SetSource switches to another source. Versions of different sources can't be compared, so the new source is watched from
+// the beginning; the previous list stays in use until the new source's complete list arrives.
 func (e *Engine) SetSource(s Source) {
 	e.Do(func() {
-		e.logf("the list comes from %s from now on", s)
+		e.logf("source of the server list changed to %s", s)
 		e.observe(s)
 		e.source, e.listVersion = s, ""
 		e.subscribe()
 	})
 }
 
-// observe makes a source the observer of attempts, if it wants to be.
+// observe makes a source the observer of attempts, if it implements Observer.
 func (e *Engine) observe(s Source) {
 	e.observer = nil
-	if o, is := s.(Observer); is {
-		e.observer = o
+	if observer, ok := s.(Observer); ok {
+		e.observer = observer
 	}
 }
 
-// subscribe opens a watch of the source, in place of the former one. The watch ends with its goroutine when stopWatch is
-// called, on the next subscribe or at the end of Run.
+// subscribe opens a watch of the source, which replaces the previous one. The watch and its goroutine end when stopWatch is
+// called: by the next subscribe, or at the end of Run.
 func (e *Engine) subscribe() {
 	e.stopWatch()
 	if e.source == nil {
@@ -92,8 +92,8 @@
 	go func() {
 		err := source.Watch(ctx, since, func(update ListUpdate) {
 			e.Do(func() {
-				if ctx.Err() == nil { // otherwise a newer watch brings the same
-					e.apply(update) //nolint:contextcheck // attempts belong to their calls, and not to the watch
+				if ctx.Err() == nil { // otherwise a newer watch delivers the same update
+					e.apply(update) //nolint:contextcheck // attempts belong to their calls, not to the watch
 				}
 			})
 		})
@@ -101,12 +101,13 @@
 	}()
 }
 
-// watchFailed has a failed watch opened again, or the module notified of the failure, after a delay. ctx is the watch's.
+// watchFailed handles the end of a watch with context ctx. After a delay it opens the watch again, or notifies the module
+// of the failure.
 func (e *Engine) watchFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
-		return // it was replaced or stopped
+		return // the watch was replaced or stopped
 	}
-	e.logf("watch: %v", err)
+	e.logf("watch of the server list failed: %v", err)
 	failed := balancer.ListFailed{Garbled: errors.Is(err, ErrMalformedUpdate)}
 	delay, next := watchRetryDelay, func() { e.handle(failed) } //nolint:contextcheck // attempts belong to their calls
 	switch {
@@ -116,8 +117,8 @@
 		delay, next = pushedListRetryDelay, e.subscribe
 		e.handle(failed) //nolint:contextcheck // attempts belong to their calls
 	}
-	e.after(delay, func() {
-		if ctx.Err() == nil { // otherwise another watch has been opened since
+	e.afterFunc(delay, func() {
+		if ctx.Err() == nil { // otherwise the watch was replaced or stopped during the delay
 			next()
 		}
 	})
--- a/internal/front/http1/body.go
+++ b/internal/front/http1/body.go
@@ -120,7 +120,7 @@
 func (c *call) startUpload(rc *http.ResponseController, hr *http.Request, in *pacedBody) error {
 	c.upload = newUpload(hr, in)
 	c.Payload.(*message.Request).BodyRest = c.upload.stream
-	c.Arriving = true
+	c.BodyIncomplete = true
 	if hr.ProtoMajor > 1 {
 		_ = rc.EnableFullDuplex() // HTTP/2 streams are full duplex, whatever it returns
 		return nil
--- a/internal/front/http1/body_test.go
+++ b/internal/front/http1/body_test.go
@@ -96,8 +96,8 @@
 			if (rejection == nil) != c.accepted || c.accepted && string(out.Body) != c.want {
 				t.Errorf("%+v, %d bytes", rejection, len(out.Body))
 			}
-			if (out.BodyRest != nil) != c.isLonger || received.Arriving != c.isLonger {
-				t.Errorf("the body continues: %v, the call is arriving: %v", out.BodyRest != nil, received.Arriving)
+			if (out.BodyRest != nil) != c.isLonger || received.BodyIncomplete != c.isLonger {
+				t.Errorf("the body continues: %v, the call is arriving: %v", out.BodyRest != nil, received.BodyIncomplete)
 			}
 		})
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,8 +1,8 @@
-// Package pool owns one service of a process: an engine with its decision module, list of servers, classes and limits.
+// Package pool provides the pools of a process. A Pool serves the requests to one service: it owns an engine with its
+// decision module, server list, classes and limits.
 //
-// Pools of one process share its resources through budgets (Budget over QuotaTable): each pool is guaranteed its minimum
-// and may borrow what no other is using. A pool must never decide about a request, except whether there is capacity
-// to accept it at all.
+// The pools of a process share its resources through budgets (Budget): each pool is guaranteed its minimum and may borrow
+// what the others do not use. The only decision that a pool makes about a request is whether there is capacity to accept it.
 package pool
 
 import (
@@ -15,13 +15,13 @@
 	"cranegrade/internal/engine"
 )
 
-// Shares are a pool's parts of the budgets of the process.
+// Shares are a pool's shares of the process's budgets.
 type Shares struct {
 	Calls           *Share // calls that are accepted and not yet answered
-	PendingCalls    *Share // of those, the ones that wait for a server
-	Connections     *Share // to servers, with idle ones and those being dialled
+	PendingCalls    *Share // accepted calls that wait for a server
+	Connections     *Share // connections to servers, including idle ones and those being dialled
 	RequestBodies   *Share // bytes of request bodies
-	ResponseBuffers *Share // bytes of response bodies over message.MaxBody
+	ResponseBuffers *Share // bytes of response bodies that are larger than message.MaxBody
 	DownstreamConns *Share // downstream connections whose last request was for this pool
 }
 
@@ -34,15 +34,15 @@
 	Sender      engine.Sender
 	Source      engine.Source
 	AdminStates engine.AdminStates  // set by operators; nil means none
-	InitialList engine.ListUpdate   // the list from before the start; may be empty
-	Pushed      bool                // the source pushes the list
-	Knowledge   *balancer.Knowledge // by the pool that this one takes over from; nil means none
+	InitialList engine.ListUpdate   // server list saved before the start; may be empty
+	Pushed      bool                // the source pushes the list; see engine.Config
+	Knowledge   *balancer.Knowledge // estimates of the pool that this one replaces; nil means none
 	Shares      Shares
 	Module      engine.Module // nil means a balancer.Balancer of Settings and Seed
-	GRPC        bool          // its servers accept gRPC requests only
+	GRPC        bool          // the servers accept gRPC requests only
 }
 
-// Pool is one service of the process. Its methods may be called from any goroutine, but for Run.
+// Pool serves the requests to one service. Its methods other than Run may be called from any goroutine.
 type Pool struct {
 	name        string
 	classes     map[string]balancer.Class
@@ -59,7 +59,7 @@
 	stop        context.CancelFunc
 }
 
-// New returns a pool that is idle until Run. It fails if the settings are invalid.
+// New returns a pool that does nothing until Run is called. It fails if the settings are invalid.
 func New(cfg Config) (*Pool, error) {
 	if cfg.Module == nil {
 		b, err := balancer.New(cfg.Settings, cfg.Seed)
@@ -96,7 +96,7 @@
 	return p, nil
 }
 
-// Run starts the pool's engine on a goroutine of its own, which Retire or Stop ends. It is called once, before all else.
+// Run starts the goroutine of the pool's engine, which Retire or Stop ends. It must be called once, before any other method.
 func (p *Pool) Run() {
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
@@ -107,16 +107,16 @@
 	}
 }
 
-// Name is the pool's name; it is empty for the only pool of a platform's node.
+// Name returns the pool's name. It is empty for the only pool of a platform's node.
 func (p *Pool) Name() string { return p.name }
 
 // Class returns the settings of a class, and whether there is such a class.
 func (p *Pool) Class(name string) (balancer.Class, bool) {
-	c, known := p.classes[name]
-	return c, known
+	class, ok := p.classes[name]
+	return class, ok
 }
 
-// LongestDeadline is the longest deadline of the pool's classes.
+// LongestDeadline returns the longest deadline of the pool's classes.
 func (p *Pool) LongestDeadline() (longest time.Duration) {
 	for _, c := range p.classes {
 		longest = max(longest, c.Deadline)
@@ -124,13 +124,13 @@
 	return longest
 }
 
-// GRPC reports whether its servers accept gRPC requests only.
+// GRPC reports whether the pool's servers accept gRPC requests only.
 func (p *Pool) GRPC() bool { return p.grpc }
 
-// Engine is the pool's engine, which ends with the pool.
+// Engine returns the pool's engine, which ends with the pool.
 func (p *Pool) Engine() *engine.Engine { return p.engine }
 
-// Shares are the pool's parts of the budgets.
+// Shares returns the pool's shares of the budgets.
 func (p *Pool) Shares() Shares { return p.shares }
 
 // Reasons why Enter rejects a call.
@@ -140,11 +140,11 @@
 	ErrBodies  = errors.New("no room for the body")
 )
 
-// Enter reserves capacity for a call whose body has that many bytes; Leave returns it. After ErrRetired the caller looks
-// up the pool that has replaced this one. After any other error a retry is safe, since no attempt was made.
-func (p *Pool) Enter(body int64) error {
+// Enter reserves capacity for a call with a body of bodyBytes; Leave releases it. After ErrRetired the caller looks up the
+// pool that has replaced this one. After any other error a retry is safe, since no attempt was made.
+func (p *Pool) Enter(bodyBytes int64) error {
 	p.activeCalls.Add(1)
-	// Count before the check: either Retire sees this call, or this call sees that Retire has begun.
+	// The call is counted before the check, so that either Retire observes it, or it observes that Retire has begun.
 	if p.retired.Load() {
 		p.activeCalls.Add(-1)
 		return ErrRetired
@@ -153,7 +153,7 @@
 		p.activeCalls.Add(-1)
 		return ErrCalls
 	}
-	if body > 0 && !p.shares.RequestBodies.Take(body) {
+	if bodyBytes > 0 && !p.shares.RequestBodies.Take(bodyBytes) {
 		p.shares.Calls.Give(1)
 		p.activeCalls.Add(-1)
 		return ErrBodies
@@ -161,53 +161,55 @@
 	return nil
 }
 
-// Leave returns what Enter reserved for a body of the same size.
-func (p *Pool) Leave(body int64) {
-	if body > 0 {
-		p.shares.RequestBodies.Give(body)
+// Leave releases the capacity that Enter has reserved for a body of the same size.
+func (p *Pool) Leave(bodyBytes int64) {
+	if bodyBytes > 0 {
+		p.shares.RequestBodies.Give(bodyBytes)
 	}
 	p.shares.Calls.Give(1)
 	p.activeCalls.Add(-1)
 }
 
-// retirePollInterval is the time between checks whether a retired pool is empty.
+// retirePollInterval is the interval between checks whether a retired pool has open calls left.
 const retirePollInterval = 20 * time.Millisecond
 
-// Retire drains the pool: it accepts no new calls, waits until all open calls are answered and all attempts have ended,
-// and then stops the pool. Calls that are still open when ctx ends are failed. It blocks until the pool has stopped.
+// Retire drains the pool: it rejects new calls, waits until all open calls are answered and all attempts have ended, and
+// then stops the pool. When ctx ends it fails the calls that are still open, except those whose streamed reply has started.
+// It blocks until the pool has stopped.
 func (p *Pool) Retire(ctx context.Context) {
 	p.retired.Store(true)
 	tick := time.NewTicker(retirePollInterval)
 	defer tick.Stop()
-	over := ctx.Done()
+	expired := ctx.Done()
 	for p.activeCalls.Load() > 0 || p.engine.OpenCalls() > 0 {
 		select {
 		case <-tick.C:
-		case <-over:
-			p.engine.AbandonAll() //nolint:contextcheck // what it leads to does not end with ctx
-			over = nil
+		case <-expired:
+			p.engine.AbandonAll() //nolint:contextcheck // the engine's work does not end with ctx
+			expired = nil         // AbandonAll is called once
 		}
 	}
 	p.Stop()
 }
 
-// Stop ends the pool immediately, without an answer to the calls that are open, and waits for its goroutine.
+// Stop ends the pool immediately, without answering its open calls, and waits for its goroutine.
 func (p *Pool) Stop() {
 	p.stop()
 	<-p.engine.Done()
 }
 
-// idleCloser is a sender that can close up to n idle connections, to release their share of the budget.
+// idleCloser is a sender that can close up to n idle connections, which returns them to the budget.
 type idleCloser interface{ CloseIdle(n int) int }
 
-// maxClosedAtOnce bounds the connections that one call of ReturnBorrowedConnections closes.
-const maxClosedAtOnce = 64
+// maxClosedPerCall limits the connections that one call of ReturnBorrowedConnections closes.
+const maxClosedPerCall = 64
 
-// ReturnBorrowedConnections closes idle connections that the pool has borrowed, if another pool was denied one.
+// ReturnBorrowedConnections closes idle connections, up to the number that the pool has borrowed, if another pool was denied
+// one.
 func (p *Pool) ReturnBorrowedConnections() {
 	if n := p.shares.Connections.Excess(); n > 0 {
-		if s, can := p.sender.(idleCloser); can {
-			s.CloseIdle(int(min(n, maxClosedAtOnce)))
+		if closer, ok := p.sender.(idleCloser); ok {
+			closer.CloseIdle(int(min(n, maxClosedPerCall)))
 		}
 	}
 }
--- a/internal/pool/quota_table.go
+++ b/internal/pool/quota_table.go
@@ -6,48 +6,48 @@
 	"math"
 )
 
-// Quota is what one holder may take.
+// Quota is the range of the amount that one holder may take.
 type Quota struct {
-	Min int64 // guaranteed, whatever the others take
-	Max int64 // never exceeded; 0 means the total of the table
+	Min int64 // guaranteed amount, whatever the other holders take
+	Max int64 // upper limit; 0 means the total of the table
 }
 
-// Holder is one party of a QuotaTable, the one whose Configure named it first.
+// Holder is a participant in a QuotaTable. It must not be used with a second table.
 type Holder struct {
 	Quota
-	used    int64
-	removed bool
+	used    int64 // taken and not returned
+	removed bool  // not in the latest Configure
 }
 
-// Used is how much the holder has taken and not returned.
+// Used returns the amount that the holder has taken and not returned.
 func (h *Holder) Used() int64 { return h.used }
 
-// Borrowed is how much of that is over its minimum.
+// Borrowed returns the part of Used that is over the holder's minimum.
 func (h *Holder) Borrowed() int64 { return max(0, h.used-h.Min) }
 
 // QuotaTable divides a total among holders: each is guaranteed its minimum, and the remainder is lent on a first come,
 // first served basis. It is pure (no lock, no clock, no I/O) and not safe for concurrent use; see Budget.
 //
-// It keeps two sums. used, the sum of what is taken, never exceeds the total. reserved, the sum over the holders of the
-// larger of used and minimum, decides on borrowing: while it is within the total, every holder can take up to its
-// minimum at once. A Configure that raises a minimum while the remainder is lent puts reserved over the total for a
-// while; nobody can borrow then until enough has been returned.
+// It maintains two sums: used, the amount that all holders have taken, and reserved, the sum of max(used, minimum) of each
+// holder. A Take never makes used exceed the total. A holder may borrow only if reserved stays within the total, because
+// every holder can then take its minimum immediately. A Configure that raises a minimum or lowers the total while the
+// remainder is lent may leave reserved over the total; no holder can borrow then until enough has been returned.
 type QuotaTable struct {
 	total, used, reserved int64
 	holders               map[*Holder]struct{}
 }
 
-// NewQuotaTable returns a table with that total and no holders.
+// NewQuotaTable returns a table that divides total and has no holders.
 func NewQuotaTable(total int64) *QuotaTable {
 	return &QuotaTable{total: total, holders: map[*Holder]struct{}{}}
 }
 
-// ErrOverTotal says that the minima of the holders exceed the total.
+// ErrOverTotal means that the sum of the holders' minima exceeds the total.
 var ErrOverTotal = errors.New("the minima together exceed the total")
 
 // Configure sets the total and the quotas of the given holders; a nil key is an error. Holders that are not given are
-// removed: they lose their minimum, keep what they have taken, may still borrow up to their former maximum, and are
-// forgotten when they have returned everything. After an error nothing has changed.
+// removed: they lose their minimum, keep what they have taken, may still borrow up to their previous maximum, and leave the
+// table when they have returned everything. An error changes nothing.
 func (t *QuotaTable) Configure(total int64, quotas map[*Holder]Quota) error {
 	if err := checkQuotas(total, quotas); err != nil {
 		return err
@@ -69,20 +69,20 @@
 	return nil
 }
 
-// checkQuotas returns what is wrong with a configuration, or nil.
+// checkQuotas returns the first fault of a configuration, or nil.
 func checkQuotas(total int64, quotas map[*Holder]Quota) error {
 	if total < 0 {
-		return fmt.Errorf("a total of %d", total)
+		return fmt.Errorf("total %d is negative", total)
 	}
 	var minima int64
 	for h, q := range quotas {
 		switch {
 		case h == nil:
-			return errors.New("a quota without a holder")
+			return errors.New("quota has no holder")
 		case q.Min < 0 || q.Max < 0:
-			return fmt.Errorf("a quota of %d to %d", q.Min, q.Max)
+			return fmt.Errorf("quota has a negative limit: min %d, max %d", q.Min, q.Max)
 		case q.Max > 0 && q.Min > q.Max:
-			return fmt.Errorf("a minimum of %d over the maximum of %d", q.Min, q.Max)
+			return fmt.Errorf("minimum %d exceeds the maximum %d", q.Min, q.Max)
 		case q.Min > total-minima:
 			return ErrOverTotal
 		}
@@ -91,17 +91,16 @@
 	return nil
 }
 
-// forgetIfEmpty drops a removed holder that has returned everything.
+// forgetIfEmpty deletes a holder from the table if it was removed and has returned everything.
 func (t *QuotaTable) forgetIfEmpty(h *Holder) {
 	if h.removed && h.used == 0 {
 		delete(t.holders, h)
 	}
 }
 
-// Take takes n for h, or takes nothing and returns false if h may not have that much now. A holder that is not in the
-// table gets nothing.
+// Take takes n for h. If the quotas do not allow that now, or h is not in the table, it takes nothing and returns false.
 func (t *QuotaTable) Take(h *Holder, n int64) bool {
-	if _, is := t.holders[h]; !is || n < 0 || n > math.MaxInt64-h.used {
+	if _, ok := t.holders[h]; !ok || n < 0 || n > math.MaxInt64-h.used {
 		return false
 	}
 	after := h.used + n
@@ -109,7 +108,7 @@
 	case h.Max > 0 && after > h.Max, n > t.total-t.used:
 		return false
 	case reserved > t.reserved && reserved > t.total:
-		return false // it would borrow what is another's guaranteed minimum
+		return false // it would borrow a part of another holder's guaranteed minimum
 	default:
 		t.reserved = reserved
 	}
@@ -118,8 +117,8 @@
 	return true
 }
 
-// Give returns n of what h has taken. Returning more than was taken is a programming error, and panics: the sums would
-// stay wrong for the rest of the process.
+// Give returns n of the amount that h has taken. It panics if n is more than that: this is a programming error, after which
+// the sums would stay wrong for the life of the process.
 func (t *QuotaTable) Give(h *Holder, n int64) {
 	if n < 0 || n > h.used {
 		panic(fmt.Sprintf("pool: %d returned of %d taken", n, h.used))
@@ -130,16 +129,16 @@
 	t.forgetIfEmpty(h)
 }
 
-// Transfer moves n of what one holder has taken to another. It returns false, and changes nothing, if that one may not
-// have it.
+// Transfer transfers n of the amount that one holder has taken to another. If the quotas do not allow that, it changes
+// nothing and returns false.
 func (t *QuotaTable) Transfer(from, to *Holder, n int64) bool {
 	if n < 0 || n > from.used {
 		return false
 	}
 	reserved := t.reserved + max(from.used-n, from.Min) - max(from.used, from.Min) +
 		max(to.used+n, to.Min) - max(to.used, to.Min)
-	_, is := t.holders[to]
-	if !is || to.Max > 0 && to.used+n > to.Max || reserved > t.reserved && reserved > t.total {
+	_, ok := t.holders[to]
+	if !ok || to.Max > 0 && to.used+n > to.Max || reserved > t.reserved && reserved > t.total {
 		return false
 	}
 	if from == to {
@@ -152,8 +151,8 @@
 	return true
 }
 
-// Total is the amount that the table divides.
+// Total returns the amount that the table divides.
 func (t *QuotaTable) Total() int64 { return t.total }
 
-// Used is how much all holders have taken.
+// Used returns the amount that all holders together have taken.
 func (t *QuotaTable) Used() int64 { return t.used }
