--- a/internal/pool/quota_table_test.go
+++ b/internal/pool/quota_table_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever the order of steps: the total is never exceeded, every holder can take its minimum at once unless a Configure has
-// raised a minimum while the remainder was lent, and no state remains once everything is returned.
-func TestQuotasHoldInAnyOrderOfSteps(t *testing.T) {
+// For random sequences of operations: no Take exceeds the total, every holder can take its minimum immediately unless a
+// Configure has put reserved over the total, and no state remains once everything is returned.
+func TestQuotaTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(0, 60).Draw(t, "total")
 		table := NewQuotaTable(total)
-		staying := map[*Holder]Quota{}
-		taken := map[*Holder]int64{} // the reference
-		var all []*Holder
+		configured := map[*Holder]Quota{} // holders of the latest Configure
+		taken := map[*Holder]int64{}      // reference model of what each holder has taken
+		var all []*Holder                 // with removed ones
 		sum := func() (n int64) {
 			for _, v := range taken {
 				n += v
@@ -29,7 +29,7 @@
 			}
 			err := table.Configure(total, quotas)
 			if (err == nil) != (minima <= total) {
-				t.Fatalf("minima of %d in %d: %v", minima, total, err)
+				t.Fatalf("Configure with minima of %d together and a total of %d: error %v", minima, total, err)
 			}
 			return err == nil
 		}
@@ -46,60 +46,60 @@
 			}
 			return all[rapid.IntRange(0, len(all)-1).Draw(t, "holder")]
 		}
-		copyOfStaying := func() map[*Holder]Quota {
+		copyOfConfigured := func() map[*Holder]Quota {
 			m := map[*Holder]Quota{}
-			for h, q := range staying {
+			for h, q := range configured {
 				m[h] = q
 			}
 			return m
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"join": func(t *rapid.T) {
-				h, m := &Holder{}, copyOfStaying()
+				h, m := &Holder{}, copyOfConfigured()
 				m[h] = quota(t)
 				if reconfigure(t, total, m) {
-					staying = m
+					configured = m
 					all = append(all, h)
 				}
 			},
 			"leave": func(t *rapid.T) {
-				h, m := pick(t), copyOfStaying()
+				h, m := pick(t), copyOfConfigured()
 				delete(m, h)
 				reconfigure(t, total, m)
-				staying = m
+				configured = m
 			},
 			"quota": func(t *rapid.T) {
-				h, m := pick(t), copyOfStaying()
-				if _, is := m[h]; !is {
-					t.Skip("was removed")
+				h, m := pick(t), copyOfConfigured()
+				if _, ok := m[h]; !ok {
+					t.Skip("the holder was removed")
 				}
 				m[h] = quota(t)
 				if reconfigure(t, total, m) {
-					staying = m
+					configured = m
 				}
 			},
 			"total": func(t *rapid.T) {
 				n := rapid.Int64Range(0, 60).Draw(t, "total")
-				if reconfigure(t, n, staying) {
+				if reconfigure(t, n, configured) {
 					total = n
 				}
 			},
 			"take": func(t *rapid.T) {
 				h, n := pick(t), rapid.Int64Range(0, 15).Draw(t, "n")
 				before, reserved := sum(), table.reserved
-				q, stays := staying[h]
+				q, isConfigured := configured[h]
 				got := table.Take(h, n)
 				if got {
 					taken[h] += n
 					if sum() > total && n > 0 {
-						t.Fatalf("%d taken of %d", sum(), total)
+						t.Fatalf("%d taken, over the total of %d", sum(), total)
 					}
-					if q.Max > 0 && stays && taken[h] > q.Max {
-						t.Fatalf("%d taken with a maximum of %d", taken[h], q.Max)
+					if q.Max > 0 && isConfigured && taken[h] > q.Max {
+						t.Fatalf("%d taken by a holder with a maximum of %d", taken[h], q.Max)
 					}
 				}
-				if stays && !got && taken[h]+n <= q.Min && reserved <= total {
-					t.Fatalf("%d more than %d denied, under the minimum of %d; %d of %d taken", n, taken[h], q.Min, before, total)
+				if isConfigured && !got && taken[h]+n <= q.Min && reserved <= total {
+					t.Fatalf("Take of %d denied to a holder of %d with a minimum of %d; %d of %d taken", n, taken[h], q.Min, before, total)
 				}
 			},
 			"move": func(t *rapid.T) {
@@ -107,12 +107,12 @@
 				n := rapid.Int64Range(0, 15).Draw(t, "n")
 				if table.Transfer(from, to, n) {
 					if taken[from] < n {
-						t.Fatalf("transferred %d of %d", n, taken[from])
+						t.Fatalf("transferred %d of %d taken", n, taken[from])
 					}
 					taken[from] -= n
 					taken[to] += n
-					if q, stays := staying[to]; stays && q.Max > 0 && n > 0 && from != to && taken[to] > q.Max {
-						t.Fatalf("%d after a transfer, over the maximum of %d", taken[to], q.Max)
+					if q, isConfigured := configured[to]; isConfigured && q.Max > 0 && n > 0 && from != to && taken[to] > q.Max {
+						t.Fatalf("the receiver of a transfer has %d, over its maximum of %d", taken[to], q.Max)
 					}
 				}
 			},
@@ -124,26 +124,26 @@
 			},
 			"": func(t *rapid.T) {
 				if table.Used() != sum() {
-					t.Fatalf("used %d, taken %d", table.Used(), sum())
+					t.Fatalf("the table has %d as used, want %d", table.Used(), sum())
 				}
 				var reserved int64
 				for h := range table.holders {
 					reserved += max(h.used, h.Min)
-					if _, stays := staying[h]; !stays && h.used == 0 {
-						t.Fatal("a holder that was removed and has nothing is kept")
+					if _, isConfigured := configured[h]; !isConfigured && h.used == 0 {
+						t.Fatal("a removed holder that has returned everything is still in the table")
 					}
 				}
 				if reserved != table.reserved {
-					t.Fatalf("reserved %d, the table has %d", table.reserved, reserved)
+					t.Fatalf("the table has %d as reserved, want %d", table.reserved, reserved)
 				}
 				// While reserved is within the total, all holders can take their minima at once.
 				if table.reserved <= total {
 					var missing int64
-					for h, q := range staying {
+					for h, q := range configured {
 						missing += max(0, q.Min-h.used)
 					}
 					if table.used+missing > total {
-						t.Fatalf("%d used and %d missing to the minima, of %d", table.used, missing, total)
+						t.Fatalf("%d used and %d missing to the minima exceed the total of %d", table.used, missing, total)
 					}
 				}
 			},
@@ -160,37 +160,38 @@
 	})
 }
 
-// A raised minimum is met once enough of what was lent is returned; until then nobody can borrow.
+// After a minimum was raised while the remainder is lent, no holder can borrow until enough is returned for the new
+// minimum.
 func TestQuotaTableBorrowing(t *testing.T) {
 	table, a, b := NewQuotaTable(0), &Holder{}, &Holder{}
 	if err := table.Configure(10, map[*Holder]Quota{a: {Min: 2}, b: {Min: 3}}); err != nil {
 		t.Fatal(err)
 	}
 	if !table.Take(a, 7) || table.Take(a, 1) {
-		t.Fatal("a can take its minimum of 2 and borrow 5, no more")
+		t.Fatal("a must be able to take its minimum of 2 and borrow 5, and no more")
 	}
 	if a.Borrowed() != 5 {
-		t.Errorf("borrowed %d", a.Borrowed())
+		t.Errorf("a has borrowed %d, want 5", a.Borrowed())
 	}
 	if !table.Take(b, 3) || table.Take(b, 1) {
-		t.Fatal("b can take its minimum of 3, no more")
+		t.Fatal("b must be able to take its minimum of 3, and no more")
 	}
 	if err := table.Configure(10, map[*Holder]Quota{a: {Min: 2}, b: {Min: 6}}); err != nil {
 		t.Fatal(err)
 	}
 	table.Give(a, 1)
 	if table.Take(a, 1) {
-		t.Error("a borrows while b waits for its minimum")
+		t.Error("a can borrow while b can't take its minimum")
 	}
 	if !table.Take(b, 1) || table.Take(b, 1) {
-		t.Error("b can take exactly what a has returned")
+		t.Error("b must be able to take exactly what a has returned")
 	}
 	table.Give(a, 6)
 	if !table.Take(b, 2) {
 		t.Error("b can't take its minimum")
 	}
 	if err := table.Configure(10, map[*Holder]Quota{a: {Min: 5}, b: {Min: 6}}); !errors.Is(err, ErrOverTotal) {
-		t.Errorf("minima over the total: %v", err)
+		t.Errorf("Configure with minima over the total: error %v, want ErrOverTotal", err)
 	}
 }
 
@@ -202,7 +203,7 @@
 	}
 	for _, q := range []Quota{{Min: -1}, {Max: -1}, {Min: 3, Max: 2}} {
 		if err := table.Configure(10, map[*Holder]Quota{a: q}); err == nil {
-			t.Errorf("%+v is accepted", q)
+			t.Errorf("Configure accepts the quota %+v", q)
 		}
 	}
 	if err := table.Configure(10, map[*Holder]Quota{a: {}}); err != nil {
@@ -213,47 +214,47 @@
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("no panic after the return of more than was taken")
+			t.Error("Give of more than was taken does not panic")
 		}
 	}()
 	table.Give(a, 1)
 }
 
-// A share has an excess only after another share was denied for lack of it.
-func TestExcess(t *testing.T) {
+// A share has an excess only after another share was denied within its own maximum.
+func TestShareExcess(t *testing.T) {
 	b := NewBudget(10)
-	lent, other := b.NewShare(), b.NewShare()
-	if err := b.Configure(10, map[*Share]Quota{lent: {Min: 2}, other: {Min: 2, Max: 4}}); err != nil {
+	borrower, other := b.NewShare(), b.NewShare()
+	if err := b.Configure(10, map[*Share]Quota{borrower: {Min: 2}, other: {Min: 2, Max: 4}}); err != nil {
 		t.Fatal(err)
 	}
-	lent.Take(8)
-	if lent.Excess() != 0 {
-		t.Error("excess though nobody was denied")
+	borrower.Take(8)
+	if borrower.Excess() != 0 {
+		t.Error("excess though no share was denied")
 	}
-	other.Take(5) // denied by its own maximum
-	lent.Take(9)  // denied, but nobody else was
-	if lent.Excess() != 0 || other.Excess() != 0 {
-		t.Error("excess though no other share was denied for lack of it")
+	other.Take(5)    // denied by its own maximum
+	borrower.Take(9) // denied, but no other share was
+	if borrower.Excess() != 0 || other.Excess() != 0 {
+		t.Error("excess though no other share was denied within its own maximum")
 	}
 	if !other.Take(2) || other.Take(1) {
-		t.Error("the other share can take its minimum, no more")
+		t.Error("the other share must be able to take its minimum, and no more")
 	}
-	if lent.Excess() != 6 {
-		t.Errorf("excess of %d, want 6", lent.Excess())
+	if borrower.Excess() != 6 {
+		t.Errorf("excess of %d, want 6", borrower.Excess())
 	}
 	b.ClearDenied()
-	if lent.Excess() != 0 {
+	if borrower.Excess() != 0 {
 		t.Error("excess after ClearDenied")
 	}
-	if used, borrowed := lent.Used(); used != 8 || borrowed != 6 {
-		t.Errorf("%d used, %d borrowed", used, borrowed)
+	if used, borrowed := borrower.Used(); used != 8 || borrowed != 6 {
+		t.Errorf("the share has used %d and borrowed %d, want 8 and 6", used, borrowed)
 	}
 	if used, total := b.Used(); used != 10 || total != 10 {
-		t.Errorf("%d of %d used", used, total)
+		t.Errorf("%d of %d of the budget used, want 10 of 10", used, total)
 	}
 }
 
-// BenchmarkShare measures Take and Give of one share among many.
+// BenchmarkShare measures Take and Give of a share of a budget with many shares.
 func BenchmarkShare(b *testing.B) {
 	budget := NewBudget(1000)
 	quotas := map[*Share]Quota{}
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// reportFunc notes a fault of the route at hand, by its key in the operator's file.
+// reportFunc records a fault of the route that is being compiled; key is the key at fault in the operator's file.
 type reportFunc func(key, format string, args ...any)
 
-// Compile makes a table. Requests that match no route go to the pool named by fallback; "" means they match nothing. It
-// returns all faults, in the order of the routes; if there is one, there is no table.
+// Compile compiles routes into a table. Requests that match no route go to the pool named fallback; "" means that Match
+// returns false for them. If any route is faulty, Compile returns no table and all faults, in the order of the routes.
 func Compile(routes []Route, fallback string) (*Table, []Fault) {
 	t := &Table{
 		hosts:    map[string]*hostRules{},
@@ -30,8 +30,8 @@
 		if host == nil || compiled == nil {
 			continue
 		}
-		key, same := host.add(compiled)
-		if key == "regexp" && same > MaxRegexps || key != "regexp" && same > MaxSamePath {
+		key, count := host.add(compiled)
+		if key == "regexp" && count > MaxRegexps || key != "regexp" && count > MaxSamePath {
 			fault(key, "too many routes for the same host and %s", key)
 		}
 	}
@@ -51,7 +51,7 @@
 	return t, nil
 }
 
-// forEachHost calls f with the rules of every host.
+// forEachHost calls f with the rules of every host pattern.
 func (t *Table) forEachHost(f func(*hostRules)) {
 	f(t.anyHost)
 	for _, h := range t.hosts {
@@ -66,73 +66,74 @@
 	return &hostRules{byPath: map[string][]*rule{}, byPrefix: map[string][]*rule{}}
 }
 
-// rulesForHost returns the rules of a host pattern, which it adds to the table if need be; nil after a fault.
+// rulesForHost returns the rules of a host pattern, and adds them to the table if they are new. It reports an invalid
+// pattern and returns nil for it.
 func (t *Table) rulesForHost(host string, fault reportFunc) *hostRules {
 	if host == "" || host == "*" {
 		return t.anyHost
 	}
-	in := t.hosts
-	name, wild := strings.CutPrefix(host, "*.")
-	if wild {
-		in = t.suffixes
+	byName := t.hosts
+	name, wildcard := strings.CutPrefix(host, "*.")
+	if wildcard {
+		byName = t.suffixes
 	}
-	normal, err := Host(name)
-	if err != nil || normal == "" || strings.Contains(name, ":") && name[0] != '[' {
+	normalised, err := Host(name)
+	if err != nil || normalised == "" || strings.Contains(name, ":") && name[0] != '[' {
 		fault("host", "%q is no host name, *.NAME or *, without a port", host)
 		return nil
 	}
-	if wild && name[0] == '[' {
+	if wildcard && name[0] == '[' {
 		fault("host", "%q: an address has no names below it", host)
 		return nil
 	}
-	if in[normal] == nil {
-		in[normal] = newHostRules()
+	if byName[normalised] == nil {
+		byName[normalised] = newHostRules()
 	}
-	return in[normal]
+	return byName[normalised]
 }
 
-// compile checks a route except for its host; nil after a fault.
+// compile compiles a route except for its host pattern. It reports the route's faults, and returns nil if there are any.
 func compile(r Route, index int, report reportFunc) *rule {
 	compiled := &rule{Route: r, index: index}
-	bad := false
+	faulty := false
 	fault := func(key, format string, args ...any) {
-		bad = true
+		faulty = true
 		report(key, format, args...)
 	}
 	compiled.compilePath(fault)
 	checkConditions(r, fault)
 	compiled.checkSplit(fault)
-	if bad {
+	if faulty {
 		return nil
 	}
-	// The salt comes from what the route matches, so that it is the same at every node and stays when
-	// other routes come and go.
+	// The salt is derived from the route's host and path conditions, so that it is the same at every node and does not
+	// change when other routes are added or removed.
 	compiled.salt = hash(strings.Join([]string{r.Host, r.Path, r.Prefix, r.Regexp}, "\x00"))
 	return compiled
 }
 
-// compilePath checks the condition on the path, and compiles its regular expression.
+// compilePath checks the condition on the path, and compiles the regular expression if it is one.
 func (c *rule) compilePath(fault reportFunc) {
-	kinds := 0
+	conditions := 0
 	for _, s := range []struct{ key, value string }{{"path", c.Path}, {"prefix", c.Prefix}} {
 		if s.value == "" {
 			continue
 		}
-		kinds++
-		if normal, err := Path(s.value); err != nil {
+		conditions++
+		if normalised, err := Path(s.value); err != nil {
 			fault(s.key, "%q: %v", s.value, err)
-		} else if normal != s.value {
-			fault(s.key, "%q would never match: paths are matched as %q", s.value, normal)
+		} else if normalised != s.value {
+			fault(s.key, "%q would never match: paths are matched as %q", s.value, normalised)
 		}
 	}
 	if c.Regexp != "" {
-		kinds++
+		conditions++
 		var err error
 		if c.regexp, err = regexp.Compile(`\A(?:` + c.Regexp + `)\z`); err != nil {
 			fault("regexp", "%v", err)
 		}
 	}
-	if kinds > 1 {
+	if conditions > 1 {
 		fault("path", "only one of path, prefix and regexp")
 	}
 }
@@ -151,7 +152,7 @@
 	}
 }
 
-// checkSplit checks the pools of a rule, and sums up their weights.
+// checkSplit checks the pools of a rule and their weights, and sets totalWeight.
 func (c *rule) checkSplit(fault reportFunc) {
 	if len(c.To) == 0 {
 		fault("to", "no pool")
@@ -177,8 +178,9 @@
 	}
 }
 
-// add stores a rule. It returns the kind of its path condition and how many rules of that kind would be tried with it.
-func (h *hostRules) add(c *rule) (key string, same int) {
+// add adds a rule. It returns the key of the rule's path condition, "host" if it has none, and the number of rules that a
+// match has to try in turn together with it, itself included.
+func (h *hostRules) add(c *rule) (key string, count int) {
 	switch {
 	case c.Path != "":
 		h.byPath[c.Path] = append(h.byPath[c.Path], c)
@@ -187,21 +189,22 @@
 		h.regexps = append(h.regexps, c)
 		return "regexp", len(h.regexps)
 	case c.Prefix != "":
-		at := strings.TrimSuffix(c.Prefix, "/")
-		h.byPrefix[at] = append(h.byPrefix[at], c)
-		h.maxPrefixDepth = max(h.maxPrefixDepth, strings.Count(at, "/"))
-		return "prefix", len(h.byPrefix[at])
+		prefix := strings.TrimSuffix(c.Prefix, "/")
+		h.byPrefix[prefix] = append(h.byPrefix[prefix], c)
+		h.maxPrefixDepth = max(h.maxPrefixDepth, strings.Count(prefix, "/"))
+		return "prefix", len(h.byPrefix[prefix])
 	}
 	h.anyPath = append(h.anyPath, c)
 	return "host", len(h.anyPath)
 }
 
-// sortBySpecificity puts the most specific rule first, as the package comment defines it.
+// sortBySpecificity sorts rules that differ in methods, headers and classes by the precedence of the package comment, the
+// most specific first.
 func sortBySpecificity(rules []*rule) {
-	named := func(n int) int { return min(n, 1) }
+	oneIfAny := func(n int) int { return min(n, 1) } // methods and classes count by presence, not by number
 	slices.SortFunc(rules, func(a, b *rule) int {
-		return cmp.Or(cmp.Compare(named(len(b.Methods)), named(len(a.Methods))),
+		return cmp.Or(cmp.Compare(oneIfAny(len(b.Methods)), oneIfAny(len(a.Methods))),
 			cmp.Compare(len(b.Headers), len(a.Headers)),
-			cmp.Compare(named(len(b.Classes)), named(len(a.Classes))), cmp.Compare(a.index, b.index))
+			cmp.Compare(oneIfAny(len(b.Classes)), oneIfAny(len(a.Classes))), cmp.Compare(a.index, b.index))
 	})
 }
--- a/internal/route/normalise.go
+++ b/internal/route/normalise.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Limits on what can be matched, in bytes.
+// Maximum lengths of hosts and paths, in bytes.
 const (
 	MaxHost = 253      // host name (RFC 1035, section 2.3.4)
 	MaxPath = 16 << 10 // path
 
-	maxAddressBytes = 64 // IPv6 address with its zone, without the closing bracket
+	maxAddressBytes = 64 // IPv6 address with its opening bracket, without the closing one
 	maxPortBytes    = 6  // a colon and the five digits of the largest port
 )
 
@@ -22,10 +22,10 @@
 	ErrAboveRoot = errors.New("the path leads above its root")
 )
 
-// Host normalises the value of a Host field or :authority (RFC 9110, section 7.2) for matching: lower case, without port
-// and without the one trailing dot of a fully qualified name (RFC 3986, sections 3.2.2 and 6.2.2.1). An empty host stays
-// empty and matches only routes for any host. IPv6 addresses keep their brackets and lose the port. Anything but letters,
-// digits, '-', '_' and single dots between labels is rejected: names beyond ASCII come as A-labels (RFC 5890).
+// Host normalises the value of a Host field or :authority (RFC 9110, section 7.2) for matching: to lower case, without the
+// port and without the one trailing dot of a fully qualified name (RFC 3986, sections 3.2.2 and 6.2.2.1). An empty host
+// stays empty and matches only routes for any host. IPv6 addresses keep their brackets. In names only ASCII letters,
+// digits, '-', '_' and single dots between labels are accepted: internationalised names must be A-labels (RFC 5890).
 func Host(s string) (string, error) {
 	if s == "" {
 		return "", nil
@@ -95,7 +95,7 @@
 //     since some servers treat it as a slash;
 //   - empty segments are merged: //a///b is /a/b; a trailing slash stays;
 //   - dot segments are removed (section 5.2.4), whether escaped or not; a path that leads above its
-//     root is rejected rather than cut there, for a server may interpret it in another way.
+//     root is rejected rather than cut there, because a server may interpret it differently.
 //
 // The result begins with a slash. Only matching uses it: servers get the path as the caller wrote it.
 func Path(s string) (string, error) {
@@ -144,7 +144,8 @@
 	return b.String(), nil
 }
 
-// isNormalised reports whether a path is already normal: the common case, which needs no allocation.
+// isNormalised reports whether Path would return the path unchanged. It allocates nothing, and most paths are normalised.
+// It returns false for some that are, for example for every path with an escape.
 func isNormalised(s string) bool {
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
@@ -160,9 +161,9 @@
 // removeDotSegments merges empty segments and removes dot segments.
 func removeDotSegments(s string) (string, error) {
 	out := make([]byte, 0, len(s))
-	last := "" // the last segment
+	last := "" // the segment of the latest iteration
 	for rest := s[1:]; ; {
-		segment, more, found := strings.Cut(rest, "/")
+		segment, remainder, found := strings.Cut(rest, "/")
 		last = segment
 		switch segment {
 		case "", ".":
@@ -180,15 +181,15 @@
 		if !found {
 			break
 		}
-		rest = more
+		rest = remainder
 	}
 	if last == "" || last == "." || last == ".." {
-		out = append(out, '/') // it names a directory
+		out = append(out, '/') // the path ended in a slash or a dot segment, so it names a directory
 	}
 	return string(out), nil
 }
 
-// isControl reports whether c is a control character of ASCII.
+// isControl reports whether c is an ASCII control character.
 func isControl(c byte) bool { return c < 0x20 || c == 0x7f }
 
 // isUnreserved reports whether c never needs an escape (RFC 3986, section 2.3).
@@ -196,14 +197,17 @@
 	return isAlnum(c) || c == '-' || c == '.' || c == '_' || c == '~'
 }
 
+// isAlnum reports whether c is an ASCII letter or digit.
 func isAlnum(c byte) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
 }
 
+// isHex reports whether c is a hexadecimal digit.
 func isHex(c byte) bool {
 	return '0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F'
 }
 
+// hexValue returns the value of a hexadecimal digit.
 func hexValue(c byte) byte {
 	switch {
 	case c <= '9':
@@ -214,6 +218,7 @@
 	return c - 'a' + 10
 }
 
+// upperHex returns a hexadecimal digit in upper case.
 func upperHex(c byte) byte {
 	if 'a' <= c && c <= 'f' {
 		return c - 'a' + 'A'
--- a/internal/route/normalise_test.go
+++ b/internal/route/normalise_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A host is normalised to lower case without its port, or rejected.
+// Host normalises to lower case and removes the port, or rejects the host.
 func TestHost(t *testing.T) {
 	for in, want := range map[string]string{
 		"":          "",
@@ -20,7 +20,7 @@
 		"a_b-c":     "a_b-c",
 	} {
 		if got, err := Host(in); err != nil || got != want {
-			t.Errorf("%q: %q, %v", in, got, err)
+			t.Errorf("%q is normalised to %q, %v; want %q", in, got, err, want)
 		}
 	}
 	for _, in := range []string{
@@ -28,12 +28,12 @@
 		"é", "a%41", "a?", "a#", "a\x00", strings.Repeat("a", MaxHost+1),
 	} {
 		if got, err := Host(in); err == nil {
-			t.Errorf("%q is accepted as %q", in, got)
+			t.Errorf("%q is normalised to %q, want an error", in, got)
 		}
 	}
 }
 
-// A path is normalised as the comment of Path says, or rejected.
+// Path normalises as its doc comment defines, or rejects the path.
 func TestPath(t *testing.T) {
 	for in, want := range map[string]string{
 		"/":           "/",
@@ -64,7 +64,7 @@
 		"/a;b=c":      "/a;b=c",
 	} {
 		if got, err := Path(in); err != nil || got != want {
-			t.Errorf("%q: %q, %v, not %q", in, got, err, want)
+			t.Errorf("%q is normalised to %q, %v; want %q", in, got, err, want)
 		}
 	}
 	for _, in := range []string{
@@ -72,12 +72,12 @@
 		"/a\x00", "/a\nb", "/a\\b", "/" + strings.Repeat("a", MaxPath),
 	} {
 		if got, err := Path(in); err == nil {
-			t.Errorf("%q is accepted as %q", in, got)
+			t.Errorf("%q is normalised to %q, want an error", in, got)
 		}
 	}
 }
 
-// A path that is accepted is normalised: normalising it again changes nothing, and it has no dot segment or empty segment.
+// The result of Path is normalised: Path does not change it, and it has no dot segments and no empty ones but the last.
 func FuzzPath(f *testing.F) {
 	for _, s := range []string{"/", "/a/../b", "/%2e%2e/x", "/a%2fb", "//..//", "/%zz", "/\\", "/a/./%2E/"} {
 		f.Add(s)
@@ -89,17 +89,17 @@
 		}
 		again, err := Path(p)
 		if err != nil || again != p {
-			t.Fatalf("%q is normalised to %q, and that to %q, %v", s, p, again, err)
+			t.Fatalf("%q is normalised to %q, and that to %q, %v; want no change the second time", s, p, again, err)
 		}
 		for i, seg := range strings.Split(p[1:], "/") {
 			if seg == "." || seg == ".." || seg == "" && i < strings.Count(p, "/")-1 {
-				t.Fatalf("%q is normalised to %q", s, p)
+				t.Fatalf("%q is normalised to %q, which has a dot segment or an empty one", s, p)
 			}
 		}
 	})
 }
 
-// A host that is accepted is normalised: normalising it again changes nothing.
+// The result of Host is normalised: Host does not change it, and it is in lower case without a trailing dot.
 func FuzzHost(f *testing.F) {
 	for _, s := range []string{"a", "A.b.:80", "[::1]:8", "a..b", ":", ".", "[", "a:1:2"} {
 		f.Add(s)
@@ -110,7 +110,7 @@
 			return
 		}
 		if again, err := Host(h); err != nil || again != h || strings.ToLower(h) != h || strings.HasSuffix(h, ".") {
-			t.Fatalf("%q is normalised to %q, and that to %q, %v", s, h, again, err)
+			t.Fatalf("%q is normalised to %q, and that to %q, %v; want no change the second time", s, h, again, err)
 		}
 	})
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,14 +1,14 @@
-// Package route selects the pool of a request. A Table is compiled once from the routes of the operator's file and is
-// read-only afterwards. The package is pure: it must never do I/O, read a clock or draw random numbers, so that every
-// node sends a request to the same pool.
+// Package route selects the pool for a request. A Table is compiled once from the routes of the operator's file and is
+// read-only afterwards. The package is pure: it must not do I/O, read a clock or draw random numbers, so that every node
+// selects the same pool for a request.
 //
 // # Precedence
 //
-// The most specific route wins, by these in order:
+// The most specific matching route wins. Routes are compared by these criteria, in order:
 //
 //  1. host: exact, then the longest suffix ("*.example.org", any number of labels), then any. Only the
 //     most specific host that has a matching route counts;
-//  2. path: exact, then regular expression, then the prefix of most bytes, then any;
+//  2. path: exact, then regular expression, then the longest prefix in bytes, then any;
 //  3. a route that names methods before one that does not;
 //  4. more headers before fewer;
 //  5. a route that names classes before one that does not;
@@ -19,10 +19,10 @@
 //
 // # Cost
 //
-// A match looks up the host, at most one suffix for each of its labels, and for each of these the path and at most one
-// prefix for each of its segments. All of them are maps, so the cost does not depend on the number of hosts and paths.
-// Only the routes of one host and one path, and the regular expressions of one host, are tried in turn; Compile limits
-// their number.
+// A match looks up the host and at most one suffix for each label of it. For each of these that has routes it looks up the
+// path and at most one prefix for each segment of it. All lookups are in maps, so the cost does not depend on the number
+// of hosts and paths. Only the routes of one host and one path, and the regular expressions of one host, are tried one
+// after another; Compile limits their number.
 package route
 
 import (
@@ -33,54 +33,55 @@
 	"strings"
 )
 
-// Limits on the routes that are tried in turn, and on the split of one route.
+// Limits on the routes that a match tries one after another, and on the split of one route.
 const (
 	MaxSamePath = 64  // routes of one host and one path
 	MaxRegexps  = 64  // regular expressions of one host
 	MaxSplit    = 64  // pools of one route
-	MaxWeight   = 1e6 // of one pool in a route
+	MaxWeight   = 1e6 // weight of one pool in a route
 )
 
-// Request is what a route is selected by. Host and Path are in the normal form that the functions of these names return.
+// Request holds the properties of a request by which its route is selected. Host and Path are as normalised by the functions
+// of the same names.
 type Request struct {
 	Host   string
 	Path   string
 	Method string
-	Header map[string][]string // by canonical name; as in net/http
-	Class  string              // as the caller names it; "" means none
-	ID     string              // decides a weighted split, at every node alike
+	Header map[string][]string // values by canonical field name, as in net/http
+	Class  string              // class that the caller has set; "" means none
+	ID     string              // request id, which decides a weighted split
 }
 
 // Header is a header field that a route requires.
 type Header struct {
-	Name    string // canonical
+	Name    string // canonical field name
 	Value   string // required value, unless Present is set
-	Present bool   // any value matches
+	Present bool   // the field is required with any value
 }
 
 // Split is a pool's weight in a route.
 type Split struct {
 	Pool   string
-	Weight int // 0 or more; at least one of a route is over 0
+	Weight int // at least 0, and over 0 for at least one pool of a route
 }
 
-// Route sends the requests that match all of its conditions to one of its pools.
+// Route is a rule of the operator's file: requests that match all of its conditions go to one of the pools in To.
 type Route struct {
-	Host    string // "" means any, and "*.example.org" every name below it
-	Path    string // exact
-	Prefix  string // by whole segments: "/a" matches /a, /a/ and /a/b, not /ab
-	Regexp  string // of the complete path, in RE2 syntax
-	Methods []string
+	Host    string   // "" or "*" means any; "*.example.org" means every name below example.org
+	Path    string   // exact
+	Prefix  string   // by whole segments: "/a" matches /a, /a/ and /a/b, not /ab
+	Regexp  string   // of the complete path, in RE2 syntax
+	Methods []string // one of them; nil means any
 	Headers []Header // all of them
-	Classes []string // any of them
+	Classes []string // one of them; nil means any
 	To      []Split
-	Class   string // that matching requests get; "" means they keep theirs
+	Class   string // class that matching requests get; "" means that they keep theirs
 }
 
 // Fault is a reason why a route can't be compiled.
 type Fault struct {
-	Route int    // its index
-	Key   string // of the operator's file: host, path, prefix, regexp, methods, headers, classes, to
+	Route int    // index of the route in the argument of Compile
+	Key   string // key in the operator's file: host, path, prefix, regexp, methods, headers, classes, to
 	Text  string
 }
 
@@ -89,45 +90,45 @@
 // rule is a compiled route.
 type rule struct {
 	Route
-	index       int
+	index       int // in the argument of Compile
 	regexp      *regexp.Regexp
 	totalWeight uint64 // sum of the weights
-	salt        uint64 // so that routes split the same ids differently
+	salt        uint64 // makes routes split the same ids differently
 }
 
-// hostRules are the rules of one host.
+// hostRules are the rules of one host pattern.
 type hostRules struct {
 	byPath         map[string][]*rule
 	regexps        []*rule
-	byPrefix       map[string][]*rule // without the trailing slash, so that "/" is ""
+	byPrefix       map[string][]*rule // keys have no trailing slash: that of the prefix "/" is ""
 	maxPrefixDepth int                // slashes in the longest prefix
-	anyPath        []*rule
+	anyPath        []*rule            // rules without a condition on the path
 }
 
-// Table is a compiled set of routes. It is immutable, so many goroutines may use it.
+// Table is a compiled set of routes. It is immutable, and so safe for concurrent use.
 type Table struct {
-	hosts    map[string]*hostRules
-	suffixes map[string]*hostRules // by what follows "*."
+	hosts    map[string]*hostRules // by exact host
+	suffixes map[string]*hostRules // by the part of the pattern after "*."
 	anyHost  *hostRules
-	fallback string
+	fallback string // pool of requests that match no route; "" means none
 }
 
 // Target is the result of a match.
 type Target struct {
 	Pool  string
-	Class string // "" means that of the request
-	Route int    // index of the route in Compile; -1 means the fallback
+	Class string // class to set; "" means that the request keeps its class
+	Route int    // index of the route in the argument of Compile; -1 means the fallback
 }
 
 // Match finds the route of a request. It returns false if none matches and there is no fallback.
 func (t *Table) Match(r *Request) (Target, bool) {
 	matched := t.hosts[r.Host].match(r)
 	for rest := r.Host; matched == nil; {
-		_, below, found := strings.Cut(rest, ".")
+		_, suffix, found := strings.Cut(rest, ".")
 		if !found {
 			break
 		}
-		matched, rest = t.suffixes[below].match(r), below
+		matched, rest = t.suffixes[suffix].match(r), suffix
 	}
 	if matched == nil {
 		matched = t.anyHost.match(r)
@@ -138,6 +139,7 @@
 	return Target{Pool: matched.splitPool(r.ID), Class: matched.Class, Route: matched.index}, true
 }
 
+// match returns the most specific rule that matches the request, or nil. h may be nil.
 func (h *hostRules) match(r *Request) *rule {
 	if h == nil {
 		return nil
@@ -145,9 +147,9 @@
 	if matched := firstMatch(h.byPath[r.Path], r); matched != nil {
 		return matched
 	}
-	for _, matched := range h.regexps {
-		if matched.matches(r) && matched.regexp.MatchString(r.Path) {
-			return matched
+	for _, candidate := range h.regexps {
+		if candidate.matches(r) && candidate.regexp.MatchString(r.Path) {
+			return candidate
 		}
 	}
 	if len(h.byPrefix) > 0 {
@@ -158,7 +160,8 @@
 	return firstMatch(h.anyPath, r)
 }
 
-// matchPrefix tries the prefixes of the path, from the longest one that any rule could have.
+// matchPrefix returns the most specific rule with a prefix of the path, or nil. It tries the prefixes from the longest one,
+// limited to maxPrefixDepth segments, to the empty one.
 func (h *hostRules) matchPrefix(r *Request) *rule {
 	end, depth := len(r.Path), 0
 	for i := 0; i < len(r.Path); i++ {
@@ -170,15 +173,15 @@
 			depth++
 		}
 	}
-	for at := r.Path[:end]; ; {
-		if c := firstMatch(h.byPrefix[at], r); c != nil {
-			return c
+	for prefix := r.Path[:end]; ; {
+		if matched := firstMatch(h.byPrefix[prefix], r); matched != nil {
+			return matched
 		}
-		i := strings.LastIndexByte(at, '/')
+		i := strings.LastIndexByte(prefix, '/')
 		if i < 0 {
 			return nil
 		}
-		at = at[:i]
+		prefix = prefix[:i]
 	}
 }
 
@@ -207,30 +210,30 @@
 	return true
 }
 
-// splitPool selects a pool by weight and by the id alone, so that every node sends a request, and every retry under the
-// same id, to the same pool.
+// splitPool selects a pool by the weights and the request id alone, so that every node selects the same pool for a request
+// and for its retries under the same id.
 func (c *rule) splitPool(id string) string {
 	if len(c.To) == 1 {
 		return c.To[0].Pool
 	}
-	at := mix(hash(id)^c.salt) % c.totalWeight
+	point := mix(hash(id)^c.salt) % c.totalWeight // in [0, totalWeight)
 	for _, s := range c.To {
-		if at < uint64(s.Weight) {
+		if point < uint64(s.Weight) {
 			return s.Pool
 		}
-		at -= uint64(s.Weight)
+		point -= uint64(s.Weight)
 	}
 	panic("route: weights do not add up")
 }
 
+// hash returns the 64-bit FNV-1a hash of s.
 func hash(s string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s))
 	return h.Sum64()
 }
 
-// mix spreads a hash over all bits (the finaliser of SplitMix64), because the low bits of FNV differ little for similar
-// ids.
+// mix is the finaliser of SplitMix64. It is needed because the low bits of FNV hashes of similar ids differ little.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// to is a route's only destination.
+// to returns a split with a single pool.
 func to(pool string) []Split { return []Split{{Pool: pool, Weight: 1}} }
 
-// mustCompile compiles routes; those without a destination go to the pool "p" and their index.
+// mustCompile compiles routes. A route without a pool gets the pool "p" followed by the route's index.
 func mustCompile(t testing.TB, fallback string, routes ...Route) *Table {
 	t.Helper()
 	for i := range routes {
@@ -43,7 +43,7 @@
 	return &Request{Host: h, Path: p, Method: "GET"}
 }
 
-// The most specific route wins, in the order that the package comment defines.
+// The most specific route wins, by the precedence that the package comment defines.
 func TestPrecedence(t *testing.T) {
 	table := mustCompile(t, "none", []Route{
 		0: {},
@@ -102,14 +102,14 @@
 		{"a.example.org", "/x/a", func(r *Request) { r.Header = map[string][]string{"X-A": {"1"}, "X-B": {""}} }, 10},
 		{"a.example.org", "/x/a", func(r *Request) {
 			r.Method, r.Header = "POST", map[string][]string{"X-A": {"1"}, "X-B": {""}}
-		}, 8}, // a method comes before any number of headers
+		}, 8}, // a route that names methods precedes one that names any number of headers
 		{"a.example.org", "/x/a", func(r *Request) { r.Class = "alert" }, 11},
 		{"", "/only/this", nil, 12},
 		{"c.example.org", "/only/this", nil, 13},
 		{"c.example.org", "/other", nil, 2}, // no route of the most specific host matches
 		{"q.example.org", "/exact", nil, 14},
 		{"[::1]:99", "/", nil, 16},
-		// Paths are normalised.
+		// Paths that have to be normalised.
 		{"a.example.org", "//x///y//z", nil, 6},
 		{"a.example.org", "/x/./y/q/../z", nil, 6},
 		{"a.example.org", "/%78/%79/z", nil, 6},
@@ -126,14 +126,14 @@
 	}
 }
 
-// A request that matches no route goes to the fallback, if there is one.
+// A request that matches no route goes to the fallback pool, if there is one.
 func TestFallback(t *testing.T) {
 	r := request(t, "b", "/")
 	if got, ok := mustCompile(t, "rest", Route{Host: "a"}).Match(r); !ok || got.Pool != "rest" || got.Route != -1 {
-		t.Errorf("got %+v", got)
+		t.Errorf("match %v, target %+v; want the pool rest and route -1", ok, got)
 	}
 	if _, ok := mustCompile(t, "", Route{Host: "a"}).Match(r); ok {
-		t.Error("a request matches without a route or fallback")
+		t.Error("a request matches though there is no route for it and no fallback")
 	}
 	// A table whose only route has a prefix matches no other path.
 	if _, ok := mustCompile(t, "", Route{Host: "b", Prefix: "/a/b"}).Match(r); ok {
@@ -141,7 +141,8 @@
 	}
 }
 
-// A split gives each pool its share, and sends the same id to the same pool at every node.
+// A split gives each pool its share, and every table sends the same id to the same pool. Different routes split the ids
+// differently.
 func TestSplit(t *testing.T) {
 	split := []Split{{"a", 70}, {"b", 30}, {"never", 0}}
 	one := mustCompile(t, "", Route{Host: "a", To: split})
@@ -154,7 +155,7 @@
 		target, _ := one.Match(r)
 		otherTarget, _ := two.Match(r)
 		if target.Pool != otherTarget.Pool {
-			t.Fatalf("%s goes to %s by one table and to %s by another", r.ID, target.Pool, otherTarget.Pool)
+			t.Fatalf("%s goes to %s in one table and to %s in another", r.ID, target.Pool, otherTarget.Pool)
 		}
 		counts[target.Pool]++
 		r.Host = "b"
@@ -163,24 +164,25 @@
 		}
 	}
 	if share := float64(counts["a"]) / n; math.Abs(share-0.7) > 0.02 || counts["never"] > 0 {
-		t.Errorf("counts %v", counts)
+		t.Errorf("requests by pool: %v, want 70 %% for a and none for never", counts)
 	}
 	if differ == 0 {
 		t.Error("two routes split the same ids in the same way")
 	}
 }
 
-// matchNaively is the precedence of the package comment, applied by trying every route.
+// matchNaively returns the index of the route that wins by the precedence of the package comment, or -1. It tries every
+// route.
 func matchNaively(routes []Route, r *Request) int {
 	best := -1
 	var bestKey []int
 	for i, c := range routes {
 		host := 0
-		switch name, wild := strings.CutPrefix(c.Host, "*."); {
+		switch name, wildcard := strings.CutPrefix(c.Host, "*."); {
 		case c.Host == "":
-		case wild && strings.HasSuffix(r.Host, "."+name):
+		case wildcard && strings.HasSuffix(r.Host, "."+name):
 			host = len(name)
-		case !wild && c.Host == r.Host:
+		case !wildcard && c.Host == r.Host:
 			host = 1000
 		default:
 			continue
@@ -207,8 +209,8 @@
 			continue
 		}
 		if slices.ContainsFunc(c.Headers, func(h Header) bool {
-			v := r.Header[h.Name]
-			return len(v) == 0 || !h.Present && !slices.Contains(v, h.Value)
+			values := r.Header[h.Name]
+			return len(values) == 0 || !h.Present && !slices.Contains(values, h.Value)
 		}) {
 			continue
 		}
@@ -220,21 +222,21 @@
 	return best
 }
 
-// The table matches as matchNaively does, for all routes and requests.
-func TestMatchProperty(t *testing.T) {
+// A table selects the same route as matchNaively, for random routes and requests.
+func TestMatchEqualsNaiveMatch(t *testing.T) {
 	hosts := []string{"", "a", "b.a", "c.b.a", "*.a", "*.b.a", "z"}
 	paths := []string{"/", "/x", "/x/", "/x/y", "/x/y/", "/x/y/z", "/xy"}
-	one := func(l []string) *rapid.Generator[string] { return rapid.SampledFrom(l) }
+	oneOf := func(values []string) *rapid.Generator[string] { return rapid.SampledFrom(values) }
 	rapid.Check(t, func(t *rapid.T) {
 		routes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Route {
-			r := Route{Host: one(hosts).Draw(t, "host"), To: to("p")}
-			switch p := one(paths).Draw(t, "path"); rapid.IntRange(0, 3).Draw(t, "kind") {
+			r := Route{Host: oneOf(hosts).Draw(t, "host"), To: to("p")}
+			switch p := oneOf(paths).Draw(t, "path"); rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
 				r.Path = p
 			case 1:
 				r.Prefix = p
 			case 2:
-				r.Regexp = one([]string{"/x.*", ".*y", "/x/y|/xy"}).Draw(t, "regexp")
+				r.Regexp = oneOf([]string{"/x.*", ".*y", "/x/y|/xy"}).Draw(t, "regexp")
 			}
 			if rapid.Bool().Draw(t, "method") {
 				r.Methods = []string{"POST"}
@@ -255,15 +257,15 @@
 		}
 		for range 20 {
 			r := &Request{
-				Host:   one([]string{"", "a", "b.a", "c.b.a", "d.c.b.a", "z", "y.z"}).Draw(t, "host"),
-				Path:   one(append(paths, "/q", "/x/y/z/w")).Draw(t, "path"),
-				Method: one([]string{"GET", "POST"}).Draw(t, "method"),
-				Class:  one([]string{"", "k", "m"}).Draw(t, "class"),
+				Host:   oneOf([]string{"", "a", "b.a", "c.b.a", "d.c.b.a", "z", "y.z"}).Draw(t, "host"),
+				Path:   oneOf(append(paths, "/q", "/x/y/z/w")).Draw(t, "path"),
+				Method: oneOf([]string{"GET", "POST"}).Draw(t, "method"),
+				Class:  oneOf([]string{"", "k", "m"}).Draw(t, "class"),
 				Header: map[string][]string{},
 			}
 			for _, h := range []string{"A", "B"} {
 				if rapid.Bool().Draw(t, h) {
-					r.Header[h] = []string{one([]string{"1", "2"}).Draw(t, "value")}
+					r.Header[h] = []string{oneOf([]string{"1", "2"}).Draw(t, "value")}
 				}
 			}
 			got, ok := table.Match(r)
@@ -275,7 +277,7 @@
 	})
 }
 
-// BenchmarkMatch measures a match by the number of routes, on which its cost does not depend.
+// BenchmarkMatch measures Match with different numbers of routes, on which its cost should not depend.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 100000} {
 		var routes []Route
