--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -8,20 +8,20 @@
 	"cranegrade/balancer"
 )
 
-// instantSender is a sender whose attempts succeed at once.
+// instantSender is a Sender whose attempts succeed immediately.
 type instantSender struct{ reply reply }
 
 func (s *instantSender) Start(_ context.Context, a *Attempt) { go a.End(balancer.Success, &s.reply) }
 func (s *instantSender) Drop(*Endpoint)                      {}
 func (s *instantSender) Sweep()                              {}
 
-// endSignal is a receiver that signals the end of a call.
+// endSignal is a Receiver that signals the end of a call.
 type endSignal chan struct{}
 
 func (s endSignal) ResponseStarted(Reply) {}
 func (s endSignal) Ended(Answer)          { s <- struct{}{} }
 
-// BenchmarkEngine measures calls through one engine, without the work of a sender.
+// BenchmarkEngine measures the throughput of calls through one engine with a sender that does no work.
 func BenchmarkEngine(b *testing.B) {
 	e := startEngine(b, Config{Sender: &instantSender{}})
 	e.Start(serverList("a", "b", "c", "d", "e", "f", "g", "h", "i", "j"))
