--- a/internal/engine/churn_test.go
+++ b/internal/engine/churn_test.go
@@ -28,7 +28,7 @@
 		first = append(first, fmt.Sprintf("s%06d", i))
 	}
 	e.Start(serverList(first...))
-	var reachable []int // elements reachable from the state, after each quarter
+	var reachable []int   // elements reachable from the state, after each quarter
 	for i := range 7200 { // two servers a second, for an hour
 		removed, added := fmt.Sprintf("s%06d", i), fmt.Sprintf("s%06d", i+60)
 		update := serverList(removed, added)
--- a/internal/engine/sender.go
+++ b/internal/engine/sender.go
@@ -74,4 +74,4 @@
 }
 
 // SetUsable sets whether the endpoint is listed as ready. It is meant for tests of senders.
-func (ep *Endpoint) SetUsable(usable bool) { ep.usable.Store(usable) }
+func (ep *Endpoint) SetUsable(isUsable bool) { ep.usable.Store(isUsable) }
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -21,7 +21,7 @@
 		for _, ep := range e.endpoints {
 			snapshot.Servers = append(snapshot.Servers, ep.listed)
 		}
-		if learner, ok := e.cfg.Module.(Learner); ok {
+		if learner, isLearner := e.cfg.Module.(Learner); isLearner {
 			snapshot.Knowledge = learner.Knowledge()
 		}
 		exported <- snapshot
