--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -17,14 +17,14 @@
 
 	owner     attemptOwner
 	call      *Call
-	index     int
-	serverID  string
-	startedAt time.Duration
+	index     int           // in Call.attempts; the module's number of the attempt
+	serverID  string        // the server that the module chose
+	startedAt time.Duration // clock time at which the attempt was created
 	cancel    context.CancelCauseFunc
 	timer     *time.Timer // cancels the attempt with ErrTimedOut; nil if not started
-	observer  Observer    // that was notified of the start; nil means none
+	observer  Observer    // source that was notified of the start; nil means none
 	ended     atomic.Bool
-	transfer  atomic.Pointer[transferRecord]
+	transfer  atomic.Pointer[transferRecord] // nil until RecordTransfer
 }
 
 // transferRecord holds the arguments of RecordTransfer.
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -72,10 +72,10 @@
 	// until Engine.BodyArrived is called; before that only the front may time the call out.
 	BodyIncomplete bool
 
-	id               string      // unique for the life of the engine; ID may be reused by a later call
-	finished         atomic.Bool // answered, or the caller has gone; set by the engine's goroutine only
-	fallbackTimer    *time.Timer // fails the call at FallbackAt; nil before the call is registered
-	attempts         []*Attempt
+	id               string        // unique for the life of the engine; ID may be reused by a later call
+	finished         atomic.Bool   // answered, or the caller has gone; set by the engine's goroutine only
+	fallbackTimer    *time.Timer   // fails the call at FallbackAt; nil before the call is registered
+	attempts         []*Attempt    // by Attempt.index
 	streaming        *Attempt      // the attempt whose streamed reply has started; nil means none
 	attemptsInFlight int           // attempts that have not ended yet
 	countedPending   bool          // holds one unit of Config.Pending
@@ -107,6 +107,8 @@
 // left until its deadline starts to run now.
 func (e *Engine) BodyArrived(call *Call) { e.Do(func() { e.handleBodyArrived(call) }) }
 
+// handleBodyArrived handles BodyArrived on the engine's goroutine: it sets the call's deadlines and starts the timers of the
+// call and its attempts.
 func (e *Engine) handleBodyArrived(call *Call) {
 	if !call.bodyIncomplete || call.finished.Load() {
 		return
@@ -270,6 +272,7 @@
 	e.handle(balancer.ClientGone{ID: call.id})
 }
 
+// handleCallerGone handles CallerGone on the engine's goroutine.
 func (e *Engine) handleCallerGone(call *Call) {
 	if e.markFinished(call) {
 		e.handle(balancer.ClientGone{ID: call.id})
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -175,7 +175,7 @@
 	first := &reply{}
 	a.End(balancer.Success, first)
 	if ans := testkit.Wait(t, r.ended); ans.Verdict != Served || ans.Reply != first {
-		t.Errorf("answer %+v", ans)
+		t.Errorf("answer %+v, want it served with the first reply", ans)
 	}
 	late := &reply{}
 	a.End(balancer.Success, late) // an attempt ends once: this only releases the reply
@@ -193,7 +193,7 @@
 
 // A call that is not idempotent is retried only after endings that prove that the server did not run it. All other endings
 // fail the call.
-func TestUnsafeCallIsRetriedOnlyIfNothingRan(t *testing.T) {
+func TestNonIdempotentCallIsRetriedOnlyIfNotExecuted(t *testing.T) {
 	for _, c := range []struct {
 		ending  balancer.Ending
 		retried bool
@@ -262,7 +262,7 @@
 
 // A call with the id of an open call is answered as a duplicate. The id can be used again once that call has ended. Calls
 // without an id are never duplicates.
-func TestOpenIDIsRejectedAsDuplicate(t *testing.T) {
+func TestDuplicateCallIDIsRejected(t *testing.T) {
 	e, sender := startWithServers(t, "a")
 	for range 2 {
 		first, r := newCall(e, "c-1", "read", testTimeout)
@@ -285,7 +285,7 @@
 }
 
 // The engine fails a call that the module does not answer, at Call.FallbackAt, and notifies the module.
-func TestSilentModuleGetsFallbackAnswer(t *testing.T) {
+func TestUnansweredCallFailsAtFallbackTime(t *testing.T) {
 	gone := make(chan balancer.ClientGone, 1)
 	e := startEngine(t, Config{Sender: newManualSender(), Module: moduleFunc(func(ev balancer.Event) []balancer.Action {
 		if clientGone, ok := ev.(balancer.ClientGone); ok {
@@ -296,7 +296,7 @@
 	c, r := newCall(e, "c-1", "read", 10*time.Millisecond)
 	e.Submit(c)
 	if a := testkit.Wait(t, r.ended); a.Verdict != Failed {
-		t.Errorf("answer %+v", a)
+		t.Errorf("answer %+v, want it failed", a)
 	}
 	testkit.Wait(t, gone)
 }
@@ -355,7 +355,7 @@
 	a := testkit.Wait(t, sender.started)
 	e.AbandonAll()
 	if ans := testkit.Wait(t, r.ended); ans.Verdict != Failed {
-		t.Errorf("answer %+v", ans)
+		t.Errorf("answer %+v, want it failed", ans)
 	}
 	late := &reply{}
 	a.End(balancer.Success, late)
--- a/internal/engine/source.go
+++ b/internal/engine/source.go
@@ -17,7 +17,7 @@
 // ListUpdate is an update of a server list: the complete list, or the entries that changed.
 type ListUpdate struct {
 	Full      bool   // Servers is the complete list
-	Cached    bool   // from before a restart, possibly out of date
+	Cached    bool   // saved before a restart, possibly outdated
 	Version   string // version from which Watch continues; "" means from the beginning
 	Servers   []Listed
 	DropShare float64 // share of calls that the source wants rejected before any attempt; 0 to 1
@@ -55,9 +55,10 @@
 	// newSourceRetryDelay is the delay between attempts to get the first list of a new source. That list must be available
 	// within 4 s of the reload that sets the source, which leaves no time for the module's backoff.
 	newSourceRetryDelay = 500 * time.Millisecond
-	// watchRetryDelay is the delay between the failure of a watch and the module's notification of it. The module's own
-	// backoff is zero if balancer.Settings.AskWithin is unset, and the source must not be polled in a tight loop.
-	watchRetryDelay = 50 * time.Millisecond
+	// watchFailureNoticeDelay is the delay before the module is notified that the watch of a list that is not pushed has
+	// failed. The module's own backoff is zero if balancer.Settings.AskWithin is unset, and the source must not be polled
+	// in a tight loop.
+	watchFailureNoticeDelay = 50 * time.Millisecond
 )
 
 // SetSource switches to another source. Versions of different sources can't be compared, so the new source is watched from
@@ -101,15 +102,16 @@
 	}()
 }
 
-// watchFailed handles the end of a watch with context ctx. After a delay it opens the watch again, or notifies the module
-// of the failure.
+// watchFailed handles the failure of a watch; ctx is the context of the watch. If there is no list of this source yet, it
+// opens the watch again after newSourceRetryDelay. If the list is pushed, it notifies the module and opens the watch again
+// after pushedListRetryDelay. Otherwise it only notifies the module, after watchFailureNoticeDelay.
 func (e *Engine) watchFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return // the watch was replaced or stopped
 	}
 	e.logf("watch of the server list failed: %v", err)
 	failed := balancer.ListFailed{Garbled: errors.Is(err, ErrMalformedUpdate)}
-	delay, next := watchRetryDelay, func() { e.handle(failed) } //nolint:contextcheck // attempts belong to their calls
+	delay, next := watchFailureNoticeDelay, func() { e.handle(failed) } //nolint:contextcheck // attempts belong to their calls
 	switch {
 	case e.listVersion == "":
 		delay, next = newSourceRetryDelay, e.subscribe
--- a/internal/engine/source_test.go
+++ b/internal/engine/source_test.go
@@ -105,7 +105,7 @@
 func (s *observingSource) RequestDropped()                      { s.dropped.Add(1) }
 
 // The engine rejects the share of calls that the source sets as DropShare, with retry advice and without an attempt.
-func TestDropShareOfSourceRejects(t *testing.T) {
+func TestDropShareRejectsCalls(t *testing.T) {
 	sender, source := newManualSender(), &observingSource{scriptedSource: newScriptedSource("drops")}
 	e := startEngine(t, Config{Sender: sender, Source: source})
 	update := serverList("a", "b", "c", "d")
@@ -120,11 +120,11 @@
 		case a := <-sender.started:
 			a.End(balancer.Success, nil)
 			if ans := testkit.Wait(t, r.ended); ans.Verdict != Served {
-				t.Fatalf("answer %+v", ans)
+				t.Fatalf("answer %+v after a successful attempt, want it served", ans)
 			}
 		case ans := <-r.ended:
 			if ans.Verdict != Rejected || ans.RetryAfter <= 0 {
-				t.Fatalf("answer %+v", ans)
+				t.Fatalf("answer %+v without an attempt, want it rejected with retry advice", ans)
 			}
 			rejected++
 		case <-time.After(testTimeout):
@@ -134,8 +134,8 @@
 	waitIdle(t, e)
 	if rejected < calls/4 || rejected > calls*3/4 || source.dropped.Load() != int64(rejected) ||
 		source.started.Load() != int64(calls-rejected) || source.ended.Load() != source.started.Load() || e.OpenCalls() != 0 {
-		t.Errorf("%d of %d calls rejected; the source observed %d calls dropped, %d attempts started and %d ended; %d calls open", rejected, calls,
-			source.dropped.Load(), source.started.Load(), source.ended.Load(), e.OpenCalls())
+		t.Errorf("%d of %d calls rejected; the source observed %d calls dropped, %d attempts started and %d ended; %d calls open",
+			rejected, calls, source.dropped.Load(), source.started.Load(), source.ended.Load(), e.OpenCalls())
 	}
 	update.DropShare = 0
 	e.Apply(update)
--- a/internal/front/http1/request.go
+++ b/internal/front/http1/request.go
@@ -189,7 +189,7 @@
 				Status:         http.StatusServiceUnavailable,
 				Text:           err.Error(),
 				MayRetry:       true,
-				KeepConnection: errors.Is(err, pool.ErrCalls) && size == 0,
+				KeepConnection: errors.Is(err, pool.ErrTooManyCalls) && size == 0,
 			}
 		}
 		if !from.assign(p.Shares().DownstreamConns) {
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -66,8 +66,8 @@
 ) (p *pool.Pool, class string, noRoute *NoRoute) {
 	r := route.Request{Method: method, Header: header, ID: id}
 	var err error
-	if r.Host, err = route.Host(authority); err == nil {
-		r.Path, err = route.Path(path)
+	if r.Host, err = route.NormaliseHost(authority); err == nil {
+		r.Path, err = route.NormalisePath(path)
 	}
 	if err != nil {
 		return nil, "", &NoRoute{Status: http.StatusBadRequest, Text: err.Error()}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -133,11 +133,11 @@
 // Shares returns the pool's shares of the budgets.
 func (p *Pool) Shares() Shares { return p.shares }
 
-// Reasons why Enter rejects a call.
+// Errors of Enter.
 var (
-	ErrRetired = errors.New("the pool has been removed")
-	ErrCalls   = errors.New("too many calls are open")
-	ErrBodies  = errors.New("no room for the body")
+	ErrRetired        = errors.New("the pool has been removed")
+	ErrTooManyCalls   = errors.New("too many calls are open")
+	ErrNoBodyCapacity = errors.New("no room for the body")
 )
 
 // Enter reserves capacity for a call with a body of bodyBytes; Leave releases it. After ErrRetired the caller looks up the
@@ -151,12 +151,12 @@
 	}
 	if !p.shares.Calls.Take(1) {
 		p.activeCalls.Add(-1)
-		return ErrCalls
+		return ErrTooManyCalls
 	}
 	if bodyBytes > 0 && !p.shares.RequestBodies.Take(bodyBytes) {
 		p.shares.Calls.Give(1)
 		p.activeCalls.Add(-1)
-		return ErrBodies
+		return ErrNoBodyCapacity
 	}
 	return nil
 }
--- a/internal/route/compile.go
+++ b/internal/route/compile.go
@@ -77,7 +77,7 @@
 	if wildcard {
 		byName = t.suffixes
 	}
-	normalised, err := Host(name)
+	normalised, err := NormaliseHost(name)
 	if err != nil || normalised == "" || strings.Contains(name, ":") && name[0] != '[' {
 		fault("host", "%q is no host name, *.NAME or *, without a port", host)
 		return nil
@@ -120,7 +120,7 @@
 			continue
 		}
 		conditions++
-		if normalised, err := Path(s.value); err != nil {
+		if normalised, err := NormalisePath(s.value); err != nil {
 			fault(s.key, "%q: %v", s.value, err)
 		} else if normalised != s.value {
 			fault(s.key, "%q would never match: paths are matched as %q", s.value, normalised)
--- a/internal/route/normalise.go
+++ b/internal/route/normalise.go
@@ -14,47 +14,48 @@
 	maxPortBytes    = 6  // a colon and the five digits of the largest port
 )
 
-// Reasons why a host or path can't be normalised.
+// Errors of NormaliseHost and NormalisePath.
 var (
-	ErrHost      = errors.New("the host is no name or address")
-	ErrPath      = errors.New("the path does not begin with a slash, or is too long")
-	ErrEscape    = errors.New("the path has a broken or forbidden escape")
-	ErrAboveRoot = errors.New("the path leads above its root")
+	ErrInvalidHost   = errors.New("the host is no name or address")
+	ErrInvalidPath   = errors.New("the path does not begin with a slash, or is too long")
+	ErrInvalidEscape = errors.New("the path has a broken or forbidden escape")
+	ErrAboveRoot     = errors.New("the path leads above its root")
 )
 
-// Host normalises the value of a Host field or :authority (RFC 9110, section 7.2) for matching: to lower case, without the
-// port and without the one trailing dot of a fully qualified name (RFC 3986, sections 3.2.2 and 6.2.2.1). An empty host
-// stays empty and matches only routes for any host. IPv6 addresses keep their brackets. In names only ASCII letters,
-// digits, '-', '_' and single dots between labels are accepted: internationalised names must be A-labels (RFC 5890).
-func Host(s string) (string, error) {
+// NormaliseHost normalises the value of a Host field or :authority (RFC 9110, section 7.2) for matching: to lower case,
+// without the port and without the one trailing dot of a fully qualified name (RFC 3986, sections 3.2.2 and 6.2.2.1). An
+// empty host stays empty and matches only routes for any host. IPv6 addresses keep their brackets. In names only ASCII
+// letters, digits, '-', '_' and single dots between labels are accepted: internationalised names must be A-labels
+// (RFC 5890).
+func NormaliseHost(s string) (string, error) {
 	if s == "" {
 		return "", nil
 	}
 	if s[0] == '[' {
 		end := strings.IndexByte(s, ']')
 		if end < 0 || !isPort(s[end+1:]) || end > maxAddressBytes {
-			return "", ErrHost
+			return "", ErrInvalidHost
 		}
 		for _, c := range []byte(s[1:end]) {
 			if !isHex(c) && c != ':' && c != '.' {
-				return "", ErrHost
+				return "", ErrInvalidHost
 			}
 		}
 		return lowerCase(s[:end+1]), nil
 	}
 	if i := strings.IndexByte(s, ':'); i >= 0 {
 		if !isPort(s[i:]) {
-			return "", ErrHost
+			return "", ErrInvalidHost
 		}
 		s = s[:i]
 	}
 	s = strings.TrimSuffix(s, ".")
 	if s == "" || len(s) > MaxHost || s[0] == '.' || s[len(s)-1] == '.' || strings.Contains(s, "..") {
-		return "", ErrHost
+		return "", ErrInvalidHost
 	}
 	for _, c := range []byte(s) {
 		if !isAlnum(c) && c != '-' && c != '_' && c != '.' {
-			return "", ErrHost
+			return "", ErrInvalidHost
 		}
 	}
 	return lowerCase(s), nil
@@ -86,7 +87,7 @@
 	return s
 }
 
-// Path normalises a path as the caller wrote it (escaped, without query) for matching. In this order:
+// NormalisePath normalises a path as the caller wrote it (escaped, without query) for matching. In this order:
 //
 //   - escapes of unreserved characters are decoded, the hexadecimal digits of all others made upper
 //     case (RFC 3986, sections 6.2.2.1 and 6.2.2.2); a malformed escape, %00 and control characters
@@ -98,9 +99,9 @@
 //     root is rejected rather than cut there, because a server may interpret it differently.
 //
 // The result begins with a slash. Only matching uses it: servers get the path as the caller wrote it.
-func Path(s string) (string, error) {
+func NormalisePath(s string) (string, error) {
 	if s == "" || s[0] != '/' || len(s) > MaxPath {
-		return "", ErrPath
+		return "", ErrInvalidPath
 	}
 	if isNormalised(s) {
 		return s, nil
@@ -112,8 +113,8 @@
 	return removeDotSegments(decoded)
 }
 
-// decodeEscapes decodes the escapes of unreserved characters, and writes all others in upper case. It returns ErrEscape for
-// what no path may contain: malformed escapes, control characters and backslashes.
+// decodeEscapes decodes the escapes of unreserved characters, and writes the digits of all others in upper case. It returns
+// ErrInvalidEscape if the path contains a malformed escape, a control character or a backslash.
 func decodeEscapes(s string) (string, error) {
 	var b strings.Builder
 	b.Grow(len(s))
@@ -121,17 +122,17 @@
 		c := s[i]
 		switch {
 		case isControl(c) || c == '\\':
-			return "", ErrEscape
+			return "", ErrInvalidEscape
 		case c != '%':
 			b.WriteByte(c)
 			continue
 		case i+2 >= len(s) || !isHex(s[i+1]) || !isHex(s[i+2]):
-			return "", ErrEscape
+			return "", ErrInvalidEscape
 		}
 		v := hexValue(s[i+1])<<4 | hexValue(s[i+2])
 		switch {
 		case isControl(v):
-			return "", ErrEscape
+			return "", ErrInvalidEscape
 		case isUnreserved(v):
 			b.WriteByte(v)
 		default:
@@ -144,8 +145,8 @@
 	return b.String(), nil
 }
 
-// isNormalised reports whether Path would return the path unchanged. It allocates nothing, and most paths are normalised.
-// It returns false for some that are, for example for every path with an escape.
+// isNormalised reports whether NormalisePath would return the path unchanged. It covers the common case without an
+// allocation; for some normalised paths, such as those with an escape, it returns false.
 func isNormalised(s string) bool {
 	for i := 0; i < len(s); i++ {
 		switch c := s[i]; {
--- a/internal/route/normalise_test.go
+++ b/internal/route/normalise_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Host normalises to lower case and removes the port, or rejects the host.
-func TestHost(t *testing.T) {
+// NormaliseHost converts a host to lower case and removes the port, or rejects the host.
+func TestNormaliseHost(t *testing.T) {
 	for in, want := range map[string]string{
 		"":          "",
 		"A.b":       "a.b",
@@ -19,7 +19,7 @@
 		"1.2.3.4":   "1.2.3.4",
 		"a_b-c":     "a_b-c",
 	} {
-		if got, err := Host(in); err != nil || got != want {
+		if got, err := NormaliseHost(in); err != nil || got != want {
 			t.Errorf("%q is normalised to %q, %v; want %q", in, got, err, want)
 		}
 	}
@@ -27,14 +27,14 @@
 		".", "a..b", ".a", "a..", "a b", "a/b", "u@a", "a:b", "a:1:2", "a:123456", "[::1", "[::1]x", "[zz]",
 		"é", "a%41", "a?", "a#", "a\x00", strings.Repeat("a", MaxHost+1),
 	} {
-		if got, err := Host(in); err == nil {
+		if got, err := NormaliseHost(in); err == nil {
 			t.Errorf("%q is normalised to %q, want an error", in, got)
 		}
 	}
 }
 
-// Path normalises as its doc comment defines, or rejects the path.
-func TestPath(t *testing.T) {
+// NormalisePath normalises as its doc comment defines, or rejects the path.
+func TestNormalisePath(t *testing.T) {
 	for in, want := range map[string]string{
 		"/":           "/",
 		"/a":          "/a",
@@ -63,7 +63,7 @@
 		"/%252f":      "/%252f",
 		"/a;b=c":      "/a;b=c",
 	} {
-		if got, err := Path(in); err != nil || got != want {
+		if got, err := NormalisePath(in); err != nil || got != want {
 			t.Errorf("%q is normalised to %q, %v; want %q", in, got, err, want)
 		}
 	}
@@ -71,23 +71,24 @@
 		"", "a", "*", "/..", "/a/../..", "/../a", "/%2e%2e/a", "/%", "/%4", "/%zz", "/%00", "/%0a",
 		"/a\x00", "/a\nb", "/a\\b", "/" + strings.Repeat("a", MaxPath),
 	} {
-		if got, err := Path(in); err == nil {
+		if got, err := NormalisePath(in); err == nil {
 			t.Errorf("%q is normalised to %q, want an error", in, got)
 		}
 	}
 }
 
-// The result of Path is normalised: Path does not change it, and it has no dot segments and no empty ones but the last.
+// The result of NormalisePath is normalised: NormalisePath does not change it, it has no dot segments, and only its last
+// segment may be empty.
 func FuzzPath(f *testing.F) {
 	for _, s := range []string{"/", "/a/../b", "/%2e%2e/x", "/a%2fb", "//..//", "/%zz", "/\\", "/a/./%2E/"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		p, err := Path(s)
+		p, err := NormalisePath(s)
 		if err != nil {
 			return
 		}
-		again, err := Path(p)
+		again, err := NormalisePath(p)
 		if err != nil || again != p {
 			t.Fatalf("%q is normalised to %q, and that to %q, %v; want no change the second time", s, p, again, err)
 		}
@@ -99,17 +100,17 @@
 	})
 }
 
-// The result of Host is normalised: Host does not change it, and it is in lower case without a trailing dot.
+// The result of NormaliseHost is normalised: NormaliseHost does not change it, and it is in lower case without a trailing dot.
 func FuzzHost(f *testing.F) {
 	for _, s := range []string{"a", "A.b.:80", "[::1]:8", "a..b", ":", ".", "[", "a:1:2"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		h, err := Host(s)
+		h, err := NormaliseHost(s)
 		if err != nil {
 			return
 		}
-		if again, err := Host(h); err != nil || again != h || strings.ToLower(h) != h || strings.HasSuffix(h, ".") {
+		if again, err := NormaliseHost(h); err != nil || again != h || strings.ToLower(h) != h || strings.HasSuffix(h, ".") {
 			t.Fatalf("%q is normalised to %q, and that to %q, %v; want no change the second time", s, h, again, err)
 		}
 	})
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -41,8 +41,8 @@
 	MaxWeight   = 1e6 // weight of one pool in a route
 )
 
-// Request holds the properties of a request by which its route is selected. Host and Path are as normalised by the functions
-// of the same names.
+// Request holds the properties of a request by which its route is selected. Host and Path are as returned by
+// NormaliseHost and NormalisePath.
 type Request struct {
 	Host   string
 	Path   string
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -32,11 +32,11 @@
 // request returns a GET request for a host and path as the caller wrote them.
 func request(t testing.TB, host, path string) *Request {
 	t.Helper()
-	h, err := Host(host)
+	h, err := NormaliseHost(host)
 	if err != nil {
 		t.Fatalf("host %q: %v", host, err)
 	}
-	p, err := Path(path)
+	p, err := NormalisePath(path)
 	if err != nil {
 		t.Fatalf("path %q: %v", path, err)
 	}
@@ -305,8 +305,8 @@
 				if host[0] == '*' {
 					host = "x.y" + host[1:]
 				}
-				h, _ := Host(host)
-				p, _ := Path("/a/b/c/d/e")
+				h, _ := NormaliseHost(host)
+				p, _ := NormalisePath("/a/b/c/d/e")
 				r := Request{Host: h, Path: p, Method: "GET"}
 				table.Match(&r)
 			}
