--- a/internal/front/http1/body_test.go
+++ b/internal/front/http1/body_test.go
@@ -97,7 +97,7 @@
 				t.Errorf("%+v, %d bytes", rejection, len(out.Body))
 			}
 			if (out.BodyRest != nil) != c.isLonger || received.BodyIncomplete != c.isLonger {
-				t.Errorf("the body continues: %v, the call is arriving: %v", out.BodyRest != nil, received.BodyIncomplete)
+				t.Errorf("the body continues: %v, the call has an incomplete body: %v", out.BodyRest != nil, received.BodyIncomplete)
 			}
 		})
 	}
