--- a/internal/route/normalise_test.go
+++ b/internal/route/normalise_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A host is normalised to lower case without its port, or rejected.
-func TestHost(t *testing.T) {
+// NormaliseHost converts a host to lower case and removes the port, or rejects the host.
+func TestNormaliseHost(t *testing.T) {
 	for in, want := range map[string]string{
 		"":          "",
 		"A.b":       "a.b",
@@ -19,22 +19,22 @@
 		"1.2.3.4":   "1.2.3.4",
 		"a_b-c":     "a_b-c",
 	} {
-		if got, err := Host(in); err != nil || got != want {
-			t.Errorf("%q: %q, %v", in, got, err)
+		if got, err := NormaliseHost(in); err != nil || got != want {
+			t.Errorf("%q is normalised to %q, %v; want %q", in, got, err, want)
 		}
 	}
 	for _, in := range []string{
 		".", "a..b", ".a", "a..", "a b", "a/b", "u@a", "a:b", "a:1:2", "a:123456", "[::1", "[::1]x", "[zz]",
 		"é", "a%41", "a?", "a#", "a\x00", strings.Repeat("a", MaxHost+1),
 	} {
-		if got, err := Host(in); err == nil {
-			t.Errorf("%q is accepted as %q", in, got)
+		if got, err := NormaliseHost(in); err == nil {
+			t.Errorf("%q is normalised to %q, want an error", in, got)
 		}
 	}
 }
 
-// A path is normalised as the comment of Path says, or rejected.
-func TestPath(t *testing.T) {
+// NormalisePath normalises as its doc comment defines, or rejects the path.
+func TestNormalisePath(t *testing.T) {
 	for in, want := range map[string]string{
 		"/":           "/",
 		"/a":          "/a",
@@ -63,54 +63,55 @@
 		"/%252f":      "/%252f",
 		"/a;b=c":      "/a;b=c",
 	} {
-		if got, err := Path(in); err != nil || got != want {
-			t.Errorf("%q: %q, %v, not %q", in, got, err, want)
+		if got, err := NormalisePath(in); err != nil || got != want {
+			t.Errorf("%q is normalised to %q, %v; want %q", in, got, err, want)
 		}
 	}
 	for _, in := range []string{
 		"", "a", "*", "/..", "/a/../..", "/../a", "/%2e%2e/a", "/%", "/%4", "/%zz", "/%00", "/%0a",
 		"/a\x00", "/a\nb", "/a\\b", "/" + strings.Repeat("a", MaxPath),
 	} {
-		if got, err := Path(in); err == nil {
-			t.Errorf("%q is accepted as %q", in, got)
+		if got, err := NormalisePath(in); err == nil {
+			t.Errorf("%q is normalised to %q, want an error", in, got)
 		}
 	}
 }
 
-// A path that is accepted is normalised: normalising it again changes nothing, and it has no dot segment or empty segment.
+// The result of NormalisePath is normalised: NormalisePath does not change it, it has no dot segments, and only its last
+// segment may be empty.
 func FuzzPath(f *testing.F) {
 	for _, s := range []string{"/", "/a/../b", "/%2e%2e/x", "/a%2fb", "//..//", "/%zz", "/\\", "/a/./%2E/"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		p, err := Path(s)
+		p, err := NormalisePath(s)
 		if err != nil {
 			return
 		}
-		again, err := Path(p)
+		again, err := NormalisePath(p)
 		if err != nil || again != p {
-			t.Fatalf("%q is normalised to %q, and that to %q, %v", s, p, again, err)
+			t.Fatalf("%q is normalised to %q, and that to %q, %v; want no change the second time", s, p, again, err)
 		}
 		for i, seg := range strings.Split(p[1:], "/") {
 			if seg == "." || seg == ".." || seg == "" && i < strings.Count(p, "/")-1 {
-				t.Fatalf("%q is normalised to %q", s, p)
+				t.Fatalf("%q is normalised to %q, which has a dot segment or an empty one", s, p)
 			}
 		}
 	})
 }
 
-// A host that is accepted is normalised: normalising it again changes nothing.
+// The result of NormaliseHost is normalised: NormaliseHost does not change it, and it is in lower case without a trailing dot.
 func FuzzHost(f *testing.F) {
 	for _, s := range []string{"a", "A.b.:80", "[::1]:8", "a..b", ":", ".", "[", "a:1:2"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		h, err := Host(s)
+		h, err := NormaliseHost(s)
 		if err != nil {
 			return
 		}
-		if again, err := Host(h); err != nil || again != h || strings.ToLower(h) != h || strings.HasSuffix(h, ".") {
-			t.Fatalf("%q is normalised to %q, and that to %q, %v", s, h, again, err)
+		if again, err := NormaliseHost(h); err != nil || again != h || strings.ToLower(h) != h || strings.HasSuffix(h, ".") {
+			t.Fatalf("%q is normalised to %q, and that to %q, %v; want no change the second time", s, h, again, err)
 		}
 	})
 }
