--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// mayRetry reports whether the class's effect and the limits allow one more attempt now.
+// mayRetry reports whether the class's Effect and MaxAttempts allow one more attempt now.
 func (b *Balancer) mayRetry(r *request) bool {
 	if r.answered || r.streaming || r.consumed || len(r.attempts) >= max(1, b.settings.MaxAttempts) {
 		return false
@@ -15,87 +15,87 @@
 		if a.neverRan {
 			continue
 		}
-		last := a.sent + r.class.Window - 2*b.settings.Tick
-		if r.class.Effect == NonIdempotent || r.class.Effect == IdempotentByKey && b.now >= last {
+		latest := a.sent + r.class.Window - 2*b.settings.Tick
+		if r.class.Effect == NonIdempotent || r.class.Effect == IdempotentByKey && b.now >= latest {
 			return false
 		}
 	}
 	return true
 }
 
-// retryOrAnswer decides what follows when no attempt is in flight: a retry, if the budget allows one and an
-// answer can still come in time, or the final answer. Without the budget, the retries of all tiers multiply.
+// retryOrAnswer retries a request without an attempt in flight if the retry budget allows that and an answer
+// can still come in time, else it gives the final answer. Without a budget the retries of all tiers multiply.
 func (b *Balancer) retryOrAnswer(r *request) {
 	left := float64(r.deadline - b.now)
 	cost := 1.0
 	if r.attempts[len(r.attempts)-1].neverRan {
-		cost = unsentRetryCost
+		cost = neverRanRetryCost
 	}
 	if !b.mayRetry(r) || b.retryTokens < cost || left < r.class.mean/2 {
-		b.answer(r)
+		b.rejectOrFail(r)
 		return
 	}
-	s := b.choose(r)
+	s := b.selectServer(r)
 	if s == nil {
-		b.answer(r)
+		b.rejectOrFail(r)
 		return
 	}
 	b.retryTokens -= cost
 	b.send(r, s)
 }
 
-// isFull reports whether as many calls are in flight as the tiers below answer in good time. Only the first
-// tier queues and sheds: a call that is rejected further down wastes the work done above it.
+// isFull reports whether as many calls are in flight as the servers can answer in good time. Only tier 0
+// queues and sheds requests: a call that a deeper tier rejects wastes the work done above it.
 func (b *Balancer) isFull() bool {
 	return len(b.ready) == 0 || b.settings.Tier == 0 &&
-		(b.admitted() >= max(b.limit(), minWindow) || b.now < b.pausedUntil())
+		(b.admittedCalls() >= max(b.usableWindow(), minWindow) || b.now < b.pausedUntil())
 }
 
-// admitted is how many own calls count against the window. Calls at draining servers are no load on the
-// others, nor are those that a server has beyond its share: a congested server would keep idle ones idle.
-// Calls at a hung server do count, because in overload every server answers slowly.
-func (b *Balancer) admitted() float64 {
-	b.countUsable()
-	return float64(b.inFlight-b.excessCalls) + b.abandoned(0, 1)
+// admittedCalls is the number of calls that count against the window. Calls at draining servers don't count,
+// nor those that a server has beyond its share: one congested server would prevent calls at idle ones. Calls
+// at an unresponsive server do count, because in overload every server answers slowly.
+func (b *Balancer) admittedCalls() float64 {
+	b.updateUsable()
+	return float64(b.inFlight-b.excessCalls) + b.updateAbandoned(0, 1)
 }
 
-// abandoned adds calls that were abandoned while their servers may go on with them, and returns how many such
-// calls there are: each fades over mean, the time that answers take now.
-func (b *Balancer) abandoned(more, mean float64) float64 {
+// updateAbandoned adds abandoned calls, on which the servers may still work, and returns the number of such
+// calls. It decays exponentially with the time constant mean, the current mean latency in ns.
+func (b *Balancer) updateAbandoned(more, mean float64) float64 {
 	if b.abandonedCalls > 0 {
-		b.abandonedCalls *= math.Exp(-float64(b.now-b.abandonedAt) / b.abandonedFade)
+		b.abandonedCalls *= math.Exp(-float64(b.now-b.abandonedAt) / b.abandonedTimeConstant)
 	}
 	b.abandonedAt = b.now
 	if more > 0 {
-		b.abandonedFade = mean
+		b.abandonedTimeConstant = mean
 		b.abandonedCalls += more
 	}
 	return b.abandonedCalls
 }
 
-// limit is the share of the window that belongs to servers which may take calls now: the others must not
-// carry the share of servers that are ejected, or that get few calls in slow start.
-func (b *Balancer) limit() float64 {
-	b.countUsable()
+// usableWindow is the share of the window for servers that may be sent calls now. The share of servers that
+// are ejected, or limited by slow start, must not go to the others.
+func (b *Balancer) usableWindow() float64 {
+	b.updateUsable()
 	return b.window * b.usableShare
 }
 
-// countUsable updates usableShare and excessCalls, once a tick.
-func (b *Balancer) countUsable() {
-	if b.usableCountedAt < 0 || b.now >= b.usableCountedAt+max(b.settings.Tick, 1) {
-		b.usableShare, b.usableCountedAt, b.excessCalls = 0, b.now, 0
+// updateUsable updates usableShare and excessCalls, at most once per tick.
+func (b *Balancer) updateUsable() {
+	if b.usableComputedAt < 0 || b.now >= b.usableComputedAt+max(b.settings.Tick, 1) {
+		b.usableShare, b.usableComputedAt, b.excessCalls = 0, b.now, 0
 		ejected := 0
-		part := b.window / max(1, float64(len(b.subset)))
+		perServer := b.window / max(1, float64(len(b.subset)))
 		for _, s := range b.ready {
-			b.excessCalls += max(0, s.calls-max(crowdedCalls, 1+int(part)))
+			b.excessCalls += max(0, s.calls-max(crowdedCalls, 1+int(perServer)))
 			if b.isEjected(s) {
 				ejected++
-			} else if w := b.warmth(s); w < 1 && b.wholeList {
+			} else if w := b.slowStartShare(s); w < 1 && b.wholeList {
 				b.usableShare += w
 			} else if w < 1 {
-				b.usableShare += b.slowStartLimit(w) / b.serverCalls
+				b.usableShare += b.slowStartLimit(w) / b.callsPerServer
 			} else {
-				b.usableShare += min(1, float64(b.refusalLimit(s))/max(1, part))
+				b.usableShare += min(1, float64(b.refusalLimit(s))/max(1, perServer))
 			}
 		}
 		if len(b.servers) > len(b.ready) {
@@ -105,24 +105,24 @@
 				}
 			}
 		}
-		// Ejected servers beyond maxExcluded are drawn nevertheless.
+		// Ejected servers in excess of maxExcluded are sent calls nevertheless.
 		b.usableShare += float64(max(0, ejected-b.maxExcluded()))
 		b.usableShare /= max(1, float64(len(b.ready)))
 	}
 }
 
-// addPacingDebt adds server time that a call is expected to use. A thousand copies with one or two calls each
-// are an overload already, so a window below minWindow is kept on average: a copy that has sent minWindow
-// calls pauses until its window would have admitted them for their mean duration.
-func (b *Balancer) addPacingDebt(c *class, d float64) {
-	b.pacingDebt = max(b.pacingDebt-b.window*float64(b.now-b.pacingDebtAt), -minWindow*c.mean) + d
+// addPacingDebt adds the server time that a call is expected to use, in ns. A thousand replicas with one or
+// two calls each are an overload already, so a window below minWindow limits the average: after minWindow
+// calls a replica pauses until its window would have admitted them for their mean duration.
+func (b *Balancer) addPacingDebt(c *class, work float64) {
+	b.pacingDebt = max(b.pacingDebt-b.window*float64(b.now-b.pacingDebtAt), -minWindow*c.mean) + work
 	b.pacingDebtAt = b.now
 	if b.window >= minWindow {
-		b.pacingDebt = 0 // the window is enforced by count; old debt must not stop the copy when it shrinks
+		b.pacingDebt = 0 // the window limits the number of calls; old debt must not cause a pause later
 	}
 }
 
-// pausedUntil is when the pacing debt is paid off.
+// pausedUntil is the time when the pacing debt falls to zero.
 func (b *Balancer) pausedUntil() time.Duration {
 	if b.window >= minWindow {
 		return 0
@@ -130,83 +130,83 @@
 	return b.pacingDebtAt + time.Duration(b.pacingDebt/b.window)
 }
 
-// fairServers is the number of ready servers for each copy of this tier.
+// fairServers is the number of ready servers divided by the number of replicas.
 func (b *Balancer) fairServers() float64 {
 	return float64(len(b.ready)) / float64(max(1, b.settings.Balancers))
 }
 
-// adjustWindow adapts the window so that the mean latency stays at a set share of the aim: overloaded servers
-// stay slow, so the excess has to be queued or rejected here. It grows slowly, because the effect of requests
-// admitted now shows only in their answers.
+// adjustWindow adapts the window to an answer so that the mean latency stays at an accepted share of the aim.
+// Overloaded servers stay slow, so excess requests have to be queued or rejected here. The window grows
+// slowly, because the effect of requests admitted now shows only in their answers.
 func (b *Balancer) adjustWindow(r *request, e Outcome) {
 	if b.settings.Tier > 0 || e.Ending == NeverSent || e.Ending == Failure {
 		return
 	}
-	use := float64(b.now-r.attempts[e.Attempt].sent) / float64(r.class.Aim)
+	ratio := float64(b.now-r.attempts[e.Attempt].sent) / float64(r.class.Aim)
 	switch {
-	case e.Ending == Canceled && use <= b.targetUse:
-		return // its latency is not known, only that it would have been higher
+	case e.Ending == Canceled && ratio <= b.meanLatencyRatio:
+		return // the latency would have been higher, by an unknown amount
 	case e.Ending != Success && e.Ending != Canceled:
-		use = max(use, 1)
+		ratio = max(ratio, 1)
 	}
-	b.learnUse(min(use, 1))
-	floor, overload := min(b.window, b.serverCalls*b.fairServers()), b.overload()
-	abandoned := e.Ending == TimedOut || e.Ending == Canceled && use > 1
+	b.recordLatencyRatio(min(ratio, 1))
+	floor, overload := min(b.window, b.callsPerServer*b.fairServers()), b.overload()
+	abandoned := e.Ending == TimedOut || e.Ending == Canceled && ratio > 1
 	if abandoned {
-		b.abandonedShare += pooledWeight * (1 - b.abandonedShare)
+		b.abandonedShare += pooledSampleWeight * (1 - b.abandonedShare)
 	} else {
-		b.abandonedShare -= pooledWeight * b.abandonedShare
+		b.abandonedShare -= pooledSampleWeight * b.abandonedShare
 	}
 	switch {
 	case abandoned && b.abandonedShare > maxAbandonedShare:
-		// The servers are busy with abandoned calls. They recover only if they get less than is always
-		// admitted otherwise, so each abandoned call shrinks the window, down to a few probes.
-		floor = min(b.window, windowProbeShare*b.serverCalls*b.fairServers())
-		b.window -= windowAbandonedDecrease * min(1, b.window)
+		// The servers are busy with abandoned calls. They recover only if they get fewer calls than the usual
+		// minimum, so each abandoned call shrinks the window, down to a few calls that probe for recovery.
+		floor = min(b.window, windowProbeShare*b.callsPerServer*b.fairServers())
+		b.window -= abandonedCallDecrease * min(1, b.window)
 	case overload > 1:
-		// Within a round of answers the window falls towards the size that would have met the target: a
-		// window that is ten times too large must not take ten times as long to correct.
-		b.window -= max(windowDown, min(windowMaxDecrease, (1-1/overload)/2)) * min(1, b.window)
-	case overload < windowGrowthCeiling && b.admitted()+1 >= windowUsedShare*b.limit():
-		b.window += windowUp * min(1, b.window)
-		if b.window >= minWindow { // one or two calls of a copy show too little of what all copies do
-			b.window += windowRoom * max(0, 1-overload)
+		// During one window of answers the window shrinks towards the size that would have met the target:
+		// the correction must not take ten times as long if the window is ten times too large.
+		b.window -= max(minWindowDecrease, min(maxWindowDecrease, (1-1/overload)/2)) * min(1, b.window)
+	case overload < maxGrowthOverload && b.admittedCalls()+1 >= minGrowthUsage*b.usableWindow():
+		b.window += windowIncrease * min(1, b.window)
+		if b.window >= minWindow { // one or two calls show too little of the load by all replicas
+			b.window += windowHeadroomGain * max(0, 1-overload)
 		}
 	}
-	if b.window = max(b.window, floor); e.Ending == Success && use <= 1 {
-		// After such a collapse the window doubles with each round of timely answers.
-		b.window = max(b.window, min(b.window+1, b.serverCalls*b.fairServers()))
+	if b.window = max(b.window, floor); e.Ending == Success && ratio <= 1 {
+		// After it has shrunk to probes, the window doubles with each window of timely answers.
+		b.window = max(b.window, min(b.window+1, b.callsPerServer*b.fairServers()))
 	}
 }
 
-// learnUse adds the share of the aim that an answer took, at most 1, to the means. The lowest mean shows how
-// much the work takes without queueing; a fixed share of the aim alone would starve slow work, or overload
-// the servers of quick work. It is a mean of logs, so that a few calls at a hung server do not look like an
-// overload of all. In the first rounds the quickest answers come first, so these do not set the lowest mean.
-func (b *Balancer) learnUse(use float64) {
+// recordLatencyRatio adds an answer's latency/aim, at most 1, to the means. The baseline, the lowest mean,
+// shows the latency without queueing: a fixed share of the aim alone would reject too much slow work, and
+// overload the servers of quick work. It is a mean of logs, so that a few calls at an unresponsive server do
+// not look like an overload of all. The first answers are the quickest ones, so they don't set the baseline.
+func (b *Balancer) recordLatencyRatio(ratio float64) {
 	weight := 2 / (b.window + 16)
-	b.targetUse += weight * (use - b.targetUse)
-	b.logUse += weight * (math.Log(max(use, 1e-6)) - b.logUse)
-	if b.samples++; b.samples > 2*windowStart*b.fairServers() {
-		rise := max(baselineWeight, weight*b.newShare)
-		b.leastLogUse = min(b.logUse, b.leastLogUse+rise*(b.logUse-b.leastLogUse))
-		b.newShare -= newServersWeight * weight * b.newShare
+	b.meanLatencyRatio += weight * (ratio - b.meanLatencyRatio)
+	b.meanLogRatio += weight * (math.Log(max(ratio, 1e-6)) - b.meanLogRatio)
+	if b.samples++; b.samples > 2*initialCallsPerServer*b.fairServers() {
+		rise := max(baselineWeight, weight*b.newServerShare)
+		b.baselineLogRatio = min(b.meanLogRatio, b.baselineLogRatio+rise*(b.meanLogRatio-b.baselineLogRatio))
+		b.newServerShare -= newServerShareDecay * weight * b.newServerShare
 	} else {
-		b.leastLogUse = b.logUse
+		b.baselineLogRatio = b.meanLogRatio
 	}
 }
 
-// overload is the mean latency over what is accepted, which is less the more is shed and the more the
-// servers' latencies differ: then some are probably overloaded, while servers that are evenly slow are
-// merely busy. The difference that chance explains does not count, or shedding would cause more shedding.
+// overload is the mean latency divided by the accepted one. The latter is lower the more is shed and the more
+// the servers' latencies differ: then some are probably overloaded, while servers that are equally slow are
+// merely busy. Differences explained by chance do not count, or shedding would cause more shedding.
 func (b *Balancer) overload() float64 {
-	tolerance := 1 - b.shedShare*min(1, shedding*max(0, b.unevenness()-b.chanceUnevenness()))
-	busy := busyRatio * (1 + calmRatio*math.Pow(1-b.shedShare, calmPower))
-	return max(b.targetUse/targetFill, math.Exp(b.logUse-b.leastLogUse)/busy) / tolerance
+	tolerance := 1 - b.shedShare*min(1, sheddingPenalty*max(0, b.slownessVariance()-b.chanceVariance()))
+	limit := baselineMultiple * (1 + noShedAllowance*math.Pow(1-b.shedShare, noShedPower))
+	return max(b.meanLatencyRatio/targetRatio, math.Exp(b.meanLogRatio-b.baselineLogRatio)/limit) / tolerance
 }
 
-// unevenness is the variance of the servers' mean log latencies, relative to their classes.
-func (b *Balancer) unevenness() float64 {
+// slownessVariance is the variance of the servers' slowness.
+func (b *Balancer) slownessVariance() float64 {
 	var n, sum, squares float64
 	for _, s := range b.ready {
 		if s.samples > 0 {
@@ -219,14 +219,14 @@
 	return squares/n - sum/n*sum/n
 }
 
-// chanceUnevenness is the unevenness that equal servers show: what the variance of single answers leaves in
-// an exponential mean of weight serverWeight.
-func (b *Balancer) chanceUnevenness() float64 {
-	return b.latencyVariance * serverWeight / (2 - serverWeight)
+// chanceVariance is the slowness variance of equal servers: that of an exponential moving average with weight
+// serverSampleWeight, over answers with variance latencyVariance.
+func (b *Balancer) chanceVariance() float64 {
+	return b.latencyVariance * serverSampleWeight / (2 - serverSampleWeight)
 }
 
-// value is what an answer is worth for the server time it takes: the queue is sent in this order, so that
-// shedding hits what is worth least. The class, quota and tenant served worst count extra.
+// value is the worth of an answer per server time. Queued requests are sent by decreasing value, so those of
+// the least value are shed. The class, the quota and the tenant with the least share served add to it.
 func (b *Balancer) value(r *request) float64 {
 	c := r.class
 	var total float64
@@ -246,10 +246,10 @@
 	} else if r.quota != nil && b.isWorstServed(r.quota) {
 		v += b.settings.WorstTenantWeight / max(r.quota.arrived, 1e-9)
 	}
-	if r.clientRetry { // its aim runs from the client's first try, so most of it has passed
+	if r.clientRetry { // the aim counts from the client's first try, so most of it has passed
 		v *= c.LateShare
 	}
-	return v / c.mean * (1 + b.settings.TenantWeight*tenantBoost*b.tenantDeficit(r.tenant))
+	return v / c.mean * (1 + b.settings.TenantWeight*tenantDeficitWeight*b.tenantDeficit(r.tenant))
 }
 
 // isWorstServed reports whether no other quota is served worse.
@@ -257,14 +257,14 @@
 	return !slices.ContainsFunc(b.quotaList, func(o *quota) bool { return o.isWorseThan(q.servedCounts) })
 }
 
-// countTenant counts a tenant's request. Beyond maxTenants the one with the fewest recent requests is
-// dropped, so that invented names cost a bounded search and bounded memory.
+// countTenant counts a tenant's request. Beyond maxTenants it drops the tenant with the fewest recent
+// requests, so that invented names cost bounded time and memory.
 func (b *Balancer) countTenant(name string) *tenant {
 	t := &b.tenants
 	if t.byName == nil {
 		*t = tenants{byName: map[string]*tenant{}, scale: 1}
 	}
-	if t.scale *= 1 + tenantFade; t.scale > 1e100 {
+	if t.scale *= 1 + tenantCountDecay; t.scale > 1e100 {
 		for _, other := range t.byName {
 			other.requested, other.served = other.requested/t.scale, other.served/t.scale
 		}
@@ -287,14 +287,14 @@
 		t.byName[name] = counted
 	}
 	counted.requested += t.scale
-	if t.since--; t.since <= 0 {
-		t.since, t.active = maxTenants/4, 0
+	if t.untilRecount--; t.untilRecount <= 0 {
+		t.untilRecount, t.active = maxTenants/4, 0
 		for _, other := range t.byName {
 			if other.requested > t.scale/2 {
 				t.active++
 			}
 		}
-		// The sum of served fades with scale; it is computed anew so that rounding does not accumulate.
+		// The sum of served is computed anew so that rounding errors do not accumulate.
 		t.served = 0
 		for _, other := range t.byName {
 			t.served += other.served
@@ -303,9 +303,9 @@
 	return counted
 }
 
-// tenantDeficit is how far a tenant is below an equal share of what was recently served: 0 not at all, 1 it
-// was served nothing. It does not use the share of the tenant's own requests: by that, one that floods is
-// served worst.
+// tenantDeficit is how far a tenant is below an equal share of the requests recently served: 0 for a full
+// share, 1 if none of its requests were served. It ignores how many requests the tenant sent, because by the
+// share of its requests that are served a tenant that floods would be served worst.
 func (b *Balancer) tenantDeficit(t *tenant) float64 {
 	if t == nil || b.tenants.served <= 0 {
 		return 0
@@ -313,34 +313,34 @@
 	return max(0, 1-t.served/b.tenants.served*max(1, b.tenants.active))
 }
 
-// answer gives the final answer of a request without a successful attempt: a rejection, which promises that a
-// retry is harmless, or where that can't be promised a failure.
-func (b *Balancer) answer(r *request) {
+// rejectOrFail gives a request without a successful attempt its final answer: a Reject if a retry by the
+// client is safe, otherwise a Fail.
+func (b *Balancer) rejectOrFail(r *request) {
 	if r.answered || r.streaming {
 		return
 	}
-	harmless := true
+	retryIsSafe := true
 	for _, a := range r.attempts {
 		effect, scope := r.class.Effect, r.class.Scope
 		if !a.neverRan && (effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll) {
-			harmless = false
+			retryIsSafe = false
 		}
 	}
 	if len(r.attempts) == 0 {
-		b.shedShare += pooledWeight / 4 * (1 - b.shedShare)
+		b.shedShare += pooledSampleWeight / 4 * (1 - b.shedShare)
 	}
-	if harmless {
-		// A client that waits long retries when most of its aim has passed, and its late answer takes the
-		// place of a timely one. The window limits the load, so the advice is short.
+	if retryIsSafe {
+		// After a long delay most of the client's aim has passed, and its late answer would use capacity that
+		// timely ones need. The window limits the load, so a short RetryAfter is harmless.
 		b.emit(Reject{ID: r.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
 		b.emit(Fail{ID: r.id})
 	}
-	b.close(r)
+	b.finish(r)
 }
 
-// close ends a request and cancels its attempts in flight.
-func (b *Balancer) close(r *request) {
+// finish marks a request as answered and cancels its attempts in flight.
+func (b *Balancer) finish(r *request) {
 	if r.answered {
 		return
 	}
@@ -349,11 +349,11 @@
 	for _, a := range r.attempts {
 		b.cancel(a)
 	}
-	b.forget(r)
+	b.deleteIfDone(r)
 }
 
-// forget deletes a request that is answered and has no attempt in flight.
-func (b *Balancer) forget(r *request) {
+// deleteIfDone deletes a request if it is answered and has no attempt in flight.
+func (b *Balancer) deleteIfDone(r *request) {
 	if r.answered && r.inFlight == 0 {
 		delete(b.requests, r.id)
 	}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -28,10 +28,10 @@
 				open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
 			}
 		}
-		if grew := b.window > start; grew != tc.grow && tc.grow || b.window < windowFloor*b.fairServers() {
+		if grew := b.window > start; grew != tc.grow && tc.grow || b.window < minCallsPerServer*b.fairServers() {
 			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.window, start)
 		}
-		if !tc.grow && b.window > windowFloor*b.fairServers()+1 {
+		if !tc.grow && b.window > minCallsPerServer*b.fairServers()+1 {
 			t.Errorf("late answers left the window at %.1f", b.window)
 		}
 	}
@@ -67,7 +67,7 @@
 	window := func(spread float64) float64 {
 		b := newBalancer(t, nil)
 		b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
-		b.window, b.targetUse = 100, 0.4
+		b.window, b.meanLatencyRatio = 100, 0.4
 		r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 		for i := range 50 {
 			b.shedShare = 0.8
@@ -75,8 +75,8 @@
 				s.samples, s.slowness = 5, spread*float64(k%2)
 			}
 			b.now, b.inFlight = 200*msec, int(b.window)
-			if b.adjustWindow(r, Outcome{Ending: Success}); b.targetUse < 0.39 {
-				t.Fatalf("fill fell to %.2f at answer %d", b.targetUse, i)
+			if b.adjustWindow(r, Outcome{Ending: Success}); b.meanLatencyRatio < 0.39 {
+				t.Fatalf("fill fell to %.2f at answer %d", b.meanLatencyRatio, i)
 			}
 		}
 		return b.window
--- a/balancer/estimates.go
+++ b/balancer/estimates.go
@@ -7,98 +7,98 @@
 	"time"
 )
 
-// Beliefs is a snapshot of a Balancer's estimates, for traces and reports. It shares no memory with the Balancer.
+// Estimates is a snapshot of a Balancer's estimates, for traces and reports. It shares no memory with the Balancer.
 // Shares and ratios are plain numbers, times are in milliseconds.
-type Beliefs struct {
-	InFlight   int             `json:"in_flight"` // own calls in flight
-	Held       int             `json:"held"`      // queued requests
-	Requests   int             `json:"requests"`  // unanswered, or with attempts in flight
-	Ready      int             `json:"ready"`     // ready servers
-	Window     float64         `json:"window"`    // own calls admitted at once
-	Fill       float64         `json:"fill"`      // mean latency over aim
-	Bare       float64         `json:"bare"`      // lowest geometric mean of latency over aim, which rises slowly
-	DebtMS     float64         `json:"debt_ms"`   // server time used beyond what the window allows
-	Shed       float64         `json:"shed"`      // share of requests answered without an attempt
-	Errors     float64         `json:"errors"`    // share of failed attempts
-	Tokens     float64         `json:"tokens"`    // balance of the retry budget
-	Unevenness float64         `json:"unevenness"`
-	Classes    []ClassBeliefs  `json:"classes"`
-	Servers    []ServerBeliefs `json:"servers,omitempty"` // ordered by id
+type Estimates struct {
+	InFlight         int               `json:"in_flight"` // this replica's calls in flight
+	Queued           int               `json:"held"`      // queued requests
+	Requests         int               `json:"requests"`  // unanswered, or with attempts in flight
+	Ready            int               `json:"ready"`     // ready servers
+	Window           float64           `json:"window"`    // calls that this replica may have in flight
+	LatencyRatio     float64           `json:"fill"`      // mean of latency/aim, at most 1 each
+	BaselineRatio    float64           `json:"bare"`      // lowest geometric mean of latency/aim, which rises slowly
+	PacingDebtMS     float64           `json:"debt_ms"`   // server time used beyond what the window allows
+	ShedShare        float64           `json:"shed"`      // share of requests answered without an attempt
+	ErrorShare       float64           `json:"errors"`    // share of failed attempts
+	RetryTokens      float64           `json:"tokens"`    // balance of the retry budget
+	SlownessVariance float64           `json:"unevenness"`
+	Classes          []ClassEstimates  `json:"classes"`
+	Servers          []ServerEstimates `json:"servers,omitempty"` // ordered by id
 }
 
-// ClassBeliefs is what was learned of a class.
-type ClassBeliefs struct {
-	Name   string  `json:"name"`
-	MeanMS float64 `json:"mean_ms"` // latency of successes
-	DevMS  float64 `json:"dev_ms"`
-	Arrive float64 `json:"arrive"` // decayed counts of requests
-	Serve  float64 `json:"serve"`  // the same of those answered within the aim
+// ClassEstimates are the estimates of a class.
+type ClassEstimates struct {
+	Name        string  `json:"name"`
+	MeanMS      float64 `json:"mean_ms"` // mean latency of successes
+	DeviationMS float64 `json:"dev_ms"`  // mean absolute deviation from it
+	Arrived     float64 `json:"arrive"`  // decaying count of requests
+	Served      float64 `json:"serve"`   // decaying count of those answered within the aim
 }
 
-// ServerBeliefs are the estimates of a server.
-type ServerBeliefs struct {
-	ID       string  `json:"id"`
-	State    string  `json:"state"` // ready, draining or gone
-	Calls    int     `json:"calls"` // own calls in flight
-	Slow     float64 `json:"slow"`  // mean of log(latency/expected latency)
-	Level    int     `json:"level"` // doublings of the next ejection
-	Out      bool    `json:"out"`   // ejected, or silent
-	Room     int     `json:"room"`  // limit on own calls after a refusal; -1 means none
-	Warmth   float64 `json:"warmth"`
-	OldestMS float64 `json:"oldest_ms"` // age of the oldest own call that waits for an answer
+// ServerEstimates are the estimates of a server.
+type ServerEstimates struct {
+	ID             string  `json:"id"`
+	State          string  `json:"state"` // ready, draining or gone
+	Calls          int     `json:"calls"` // this replica's calls in flight there
+	Slowness       float64 `json:"slow"`  // mean of log(latency/expected latency)
+	EjectionLevel  int     `json:"level"` // how often the next ejection's duration is doubled
+	Ejected        bool    `json:"out"`   // ejected, or unresponsive
+	CallLimit      int     `json:"room"`  // limit on this replica's calls after a refusal; -1 means none
+	SlowStartShare float64 `json:"warmth"`
+	OldestMS       float64 `json:"oldest_ms"` // age of this replica's oldest attempt that waits for an answer
 }
 
-// Beliefs returns the estimates as of the last event. It lists at most most servers, those with the most own calls;
-// 0 lists none.
-func (b *Balancer) Beliefs(most int) Beliefs {
-	v := Beliefs{
-		InFlight:   b.inFlight,
-		Held:       len(b.queue),
-		Requests:   len(b.requests),
-		Ready:      len(b.ready),
-		Window:     b.window,
-		Fill:       b.targetUse,
-		Bare:       math.Exp(b.leastLogUse),
-		DebtMS:     b.pacingDebt / 1e6,
-		Shed:       b.shedShare,
-		Errors:     b.errorShare,
-		Tokens:     b.retryTokens,
-		Unevenness: b.unevenness(),
+// Estimates returns the estimates as of the last event. It lists at most maxServers servers, those with the most calls
+// of this replica; 0 lists none.
+func (b *Balancer) Estimates(maxServers int) Estimates {
+	e := Estimates{
+		InFlight:         b.inFlight,
+		Queued:           len(b.queue),
+		Requests:         len(b.requests),
+		Ready:            len(b.ready),
+		Window:           b.window,
+		LatencyRatio:     b.meanLatencyRatio,
+		BaselineRatio:    math.Exp(b.baselineLogRatio),
+		PacingDebtMS:     b.pacingDebt / 1e6,
+		ShedShare:        b.shedShare,
+		ErrorShare:       b.errorShare,
+		RetryTokens:      b.retryTokens,
+		SlownessVariance: b.slownessVariance(),
 	}
 	for _, c := range b.classList {
-		v.Classes = append(v.Classes, ClassBeliefs{c.Name, c.mean / 1e6, c.deviation / 1e6, c.arrived, c.served})
+		e.Classes = append(e.Classes, ClassEstimates{c.Name, c.mean / 1e6, c.deviation / 1e6, c.arrived, c.served})
 	}
-	if most == 0 {
-		return v
+	if maxServers == 0 {
+		return e
 	}
 	for _, s := range b.servers {
-		w := ServerBeliefs{
-			ID:     s.ID,
-			State:  stateNames[s.State],
-			Calls:  s.calls,
-			Slow:   s.slowness,
-			Level:  s.ejectionLevel,
-			Out:    b.isEjected(s),
-			Room:   -1,
-			Warmth: b.warmth(s),
+		estimates := ServerEstimates{
+			ID:             s.ID,
+			State:          stateNames[s.State],
+			Calls:          s.calls,
+			Slowness:       s.slowness,
+			EjectionLevel:  s.ejectionLevel,
+			Ejected:        b.isEjected(s),
+			CallLimit:      -1,
+			SlowStartShare: b.slowStartShare(s),
 		}
-		if b.now < s.fullUntil {
-			w.Room = s.refusalRoom
+		if b.now < s.callLimitUntil {
+			estimates.CallLimit = s.callLimit
 		}
-		if len(s.openAttempts) > 0 {
-			w.OldestMS = float64(b.now-s.openAttempts[0].sent) / float64(time.Millisecond)
+		if len(s.waitingAttempts) > 0 {
+			estimates.OldestMS = float64(b.now-s.waitingAttempts[0].sent) / float64(time.Millisecond)
 		}
-		v.Servers = append(v.Servers, w)
+		e.Servers = append(e.Servers, estimates)
 	}
-	slices.SortFunc(v.Servers, func(x, y ServerBeliefs) int {
+	slices.SortFunc(e.Servers, func(x, y ServerEstimates) int {
 		if x.Calls != y.Calls {
 			return y.Calls - x.Calls
 		}
 		return strings.Compare(x.ID, y.ID)
 	})
-	v.Servers = v.Servers[:min(most, len(v.Servers))]
-	slices.SortFunc(v.Servers, func(x, y ServerBeliefs) int { return strings.Compare(x.ID, y.ID) })
-	return v
+	e.Servers = e.Servers[:min(maxServers, len(e.Servers))]
+	slices.SortFunc(e.Servers, func(x, y ServerEstimates) int { return strings.Compare(x.ID, y.ID) })
+	return e
 }
 
 var stateNames = map[ServerState]string{Ready: "ready", Draining: "draining", Gone: "gone"}
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -10,9 +10,9 @@
 // of ten.
 func (b *Balancer) Disturb(r *rand.Rand) {
 	wrong := func() float64 { return math.Pow(10, 2*r.Float64()-1) }
-	b.window = max(b.window*wrong(), b.serverCalls*b.fairServers())
-	b.targetUse = min(1, b.targetUse*wrong())
-	b.leastLogUse = min(b.targetUse, b.leastLogUse*wrong())
+	b.window = max(b.window*wrong(), b.callsPerServer*b.fairServers())
+	b.meanLatencyRatio = min(1, b.meanLatencyRatio*wrong())
+	b.baselineLogRatio = min(b.meanLatencyRatio, b.baselineLogRatio*wrong())
 	b.shedShare = r.Float64()
 	b.errorShare = 0.01 + 0.5*r.Float64()
 	b.retryTokens = r.Float64() * maxRetryTokens
@@ -31,9 +31,9 @@
 			s.ejectedUntil = b.now + time.Duration(r.Float64()*float64(3*time.Second))
 		}
 		if r.IntN(3) == 0 {
-			s.refusalRoom, s.refusals = r.IntN(4), r.IntN(maxEjectionLevel+1)
-			s.fullUntil = b.now + time.Duration(r.Float64()*float64(3*time.Second))
+			s.callLimit, s.refusals = r.IntN(4), r.IntN(maxEjectionLevel+1)
+			s.callLimitUntil = b.now + time.Duration(r.Float64()*float64(3*time.Second))
 		}
 	}
-	b.usableCountedAt = -1
+	b.usableComputedAt = -1
 }
--- a/balancer/first_test.go
+++ b/balancer/first_test.go
@@ -43,8 +43,8 @@
 		t.Fatalf("%d of 100 were sent: the window does not bound them", lows)
 	}
 	highs := sent("high", 100)
-	if highs == 0 || lows+highs > int(preadmittedFactor*b.limit())+1 {
-		t.Errorf("%d of the higher rank were sent beside %d, for a window of %.0f", highs, lows, b.limit())
+	if highs == 0 || lows+highs > int(preadmittedFactor*b.usableWindow())+1 {
+		t.Errorf("%d of the higher rank were sent beside %d, for a window of %.0f", highs, lows, b.usableWindow())
 	}
 	if len(b.classList) != 3 || b.classList[2].Name != "" {
 		t.Error("the unknown class is not the last")
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// isExcluded reports whether a server's health speaks against drawing it for a request.
+// isExcluded reports whether a server is too unhealthy for a request.
 func (b *Balancer) isExcluded(s *server, r *request) bool {
 	if b.isEjected(s) {
 		return true
 	}
-	// After an ejection one retryable request at a time probes the server: a request that can't be retried
-	// must not fail there, nor many at once.
+	// After an ejection one retryable request at a time probes the server, so that no request that can't be
+	// retried fails there, nor many requests at once.
 	return s.ejectionLevel > 0 && s.successStreak == 0 && (r.class.Effect == NonIdempotent || s.calls > 0)
 }
 
-// isEjected reports whether a server is ejected, excluded by peers' reports, or silent.
+// isEjected reports whether a server is ejected, excluded by peers' reports, or unresponsive.
 func (b *Balancer) isEjected(s *server) bool {
-	return b.now < max(s.ejectedUntil, s.reportedUntil) || b.isSilent(s)
+	return b.now < max(s.ejectedUntil, s.reportedUntil) || b.isUnresponsive(s)
 }
 
-// isSilent reports whether an old call at the server is unanswered while a newer one was answered elsewhere:
-// a hung or paused machine shows no other sign before its calls time out.
-func (b *Balancer) isSilent(s *server) bool {
-	if len(s.openAttempts) == 0 {
+// isUnresponsive reports whether an old call at the server is unanswered while another server has answered
+// since: a hung or paused machine shows no other sign before its calls time out.
+func (b *Balancer) isUnresponsive(s *server) bool {
+	if len(s.waitingAttempts) == 0 {
 		return false
 	}
-	a := s.openAttempts[0]
-	wait := b.overlong(a.request.class)
+	a := s.waitingAttempts[0]
+	wait := b.outlierWait(a.request.class)
 	return b.now-a.sent > wait && b.lastSuccess > a.sent+wait/2 && s.lastSuccess < a.sent+wait/2
 }
 
-// learn updates the class's latency and the server's health, relative to its peers, by how an attempt ended.
-func (b *Balancer) learn(a *attempt, e Outcome) {
+// recordOutcome updates the latency of the class and the health of the server, relative to its peers.
+func (b *Balancer) recordOutcome(a *attempt, e Outcome) {
 	s, c := a.server, a.request.class
 	latency := float64(a.latency(b.now))
 	if e.Ending == Success || e.Ending == Failure {
@@ -41,20 +41,20 @@
 	bad := 0.0
 	switch e.Ending {
 	case Success:
-		b.learnSuccess(a, latency)
+		b.recordSuccess(a, latency)
 	case Overloaded, Unreachable:
-		b.learnRefusal(a, e.Ending, latency)
+		b.recordRefusal(a, e.Ending, latency)
 		return
 	case Failure, Broken, TimedOut:
 		bad = 1
 		if e.Ending == TimedOut {
-			b.addPacingDebt(c, latency) // the server may go on with the abandoned work
-			b.abandoned(1, c.mean)
+			b.addPacingDebt(c, latency) // the server may continue the abandoned work
+			b.updateAbandoned(1, c.mean)
 		}
 	case Canceled:
-		if latency > c.mean+overlongDeviations*c.deviation {
-			b.abandoned(1, c.mean)
-			b.learnSpeed(s, a.request, latency)
+		if latency > c.mean+outlierDeviations*c.deviation {
+			b.updateAbandoned(1, c.mean)
+			b.recordLatency(s, a.request, latency)
 		}
 		return
 	default:
@@ -63,74 +63,74 @@
 	if bad > 0 {
 		s.failureStreak++
 		s.successStreak = 0
-		// Errors that occur at all servers come from the tier below, and ejecting for them would leave no
-		// server. So a run of errors counts only if it is unlikely at the overall error rate; and a single
-		// error that was answered is no run, because ejecting one of four servers costs a quarter of them.
+		// Errors at all servers come from a deeper tier, and ejecting servers for them would leave none. So a
+		// run of errors counts only if it is improbable at the overall error rate. One error answer is not a
+		// run, because ejecting one of four servers costs a quarter of the capacity.
 		isRun := s.failureStreak > 1 || e.Ending != Failure
-		if isRun && math.Pow(b.errorShare, float64(s.failureStreak)) < luckThreshold {
+		if isRun && math.Pow(b.errorShare, float64(s.failureStreak)) < errorRunSignificance {
 			b.eject(s, c)
 		}
 	}
-	b.errorShare = max(minErrorShare, b.errorShare+pooledWeight*(bad-b.errorShare))
+	b.errorShare = max(minErrorShare, b.errorShare+pooledSampleWeight*(bad-b.errorShare))
 }
 
-// learnSuccess records a successful answer: retry tokens, latency of class and server, health of the server.
-func (b *Balancer) learnSuccess(a *attempt, latency float64) {
+// recordSuccess records a success: retry tokens, latency of the class and the server, health of the server.
+func (b *Balancer) recordSuccess(a *attempt, latency float64) {
 	s, c := a.server, a.request.class
 	b.retryTokens = min(maxRetryTokens, b.retryTokens+retryTokenPerSuccess)
 	b.lastSuccess, s.lastSuccess = b.now, b.now
-	b.learnSpeed(s, a.request, latency)
+	b.recordLatency(s, a.request, latency)
 	if c.cost == 0 {
 		c.cost = a.request.cost
 	}
-	c.cost += pooledWeight * (a.request.cost - c.cost)
-	c.deviation += pooledWeight * (math.Abs(latency-c.mean) - c.deviation)
-	c.mean += pooledWeight * (latency - c.mean)
+	c.cost += pooledSampleWeight * (a.request.cost - c.cost)
+	c.deviation += pooledSampleWeight * (math.Abs(latency-c.mean) - c.deviation)
+	c.mean += pooledSampleWeight * (latency - c.mean)
 	s.failureStreak, s.refusals = 0, 0
-	if a.sent > s.refusedAt && s.calls+1 >= s.refusalRoom {
-		s.refusalRoom++ // it accepted a call at its assumed limit
+	if a.sent > s.refusedAt && s.calls+1 >= s.callLimit {
+		s.callLimit++ // it accepted a call at its limit
 	}
 	if s.successStreak++; s.successStreak >= minSamples && s.ejectionLevel > 0 {
 		s.ejectionLevel, s.successStreak = s.ejectionLevel-1, 1
 	}
 }
 
-// learnRefusal limits a server that refused a call, for a while, to the own calls that it had then.
-func (b *Balancer) learnRefusal(a *attempt, ending Ending, latency float64) {
+// recordRefusal limits a server that refused a call, for some time, to the number of calls that it had then.
+func (b *Balancer) recordRefusal(a *attempt, ending Ending, latency float64) {
 	s, c := a.server, a.request.class
 	if a.sent < s.refusedAt && ending == Overloaded {
-		return // sent before the last refusal was known: the same overload
+		return // sent before the last refusal came, so it shows the same overload
 	}
-	s.refusalRoom = s.calls
+	s.callLimit = s.calls
 	if ending == Overloaded && latency > c.mean/2 {
-		// A slow refusal does not attract picks, so one call at a time may probe the server.
-		s.refusalRoom = max(1, s.refusalRoom)
+		// A server that refuses slowly does not look idle, so one call at a time may probe it.
+		s.callLimit = max(1, s.callLimit)
 	}
-	s.fullUntil = b.now + time.Duration((0.5+b.rng.Float64())*ejectionLatencies*c.mean)<<s.refusals
+	s.callLimitUntil = b.now + time.Duration((0.5+b.rng.Float64())*ejectionLatencies*c.mean)<<s.refusals
 	s.refusedAt, s.refusals = b.now, min(s.refusals+1, maxEjectionLevel)
 }
 
-// learnSpeed compares a latency with the class's mean. A server that is slow over several answers is ejected,
-// so that others take its load and it can recover.
-func (b *Balancer) learnSpeed(s *server, r *request, latency float64) {
+// recordLatency compares a latency with the class's mean. A server that is slow over several answers is
+// ejected, so that others get its load and it can recover.
+func (b *Balancer) recordLatency(s *server, r *request, latency float64) {
 	c := r.class
 	expected := c.mean
 	if r.cost > 0 && c.cost > 0 {
-		expected *= math.Sqrt(r.cost / c.cost) // the queueing part of the latency does not grow with the work
+		expected *= math.Sqrt(r.cost / c.cost) // the queueing time in the latency does not depend on the work
 	}
 	if size := b.size(s); size < b.meanSize {
 		expected *= b.meanSize / size // a small machine is slower without being unhealthy
 	}
 	deviation := math.Log(max(latency, 1)/expected) - s.slowness
-	b.latencyVariance += pooledWeight / 4 * (deviation*deviation - b.latencyVariance)
-	s.slowness += serverWeight * deviation
-	if s.samples++; s.samples >= minSamples && s.slowness > math.Log(slowRatio) {
+	b.latencyVariance += pooledSampleWeight / 4 * (deviation*deviation - b.latencyVariance)
+	s.slowness += serverSampleWeight * deviation
+	if s.samples++; s.samples >= minSamples && s.slowness > math.Log(slowLatencyRatio) {
 		s.samples, s.slowness, s.successStreak = 0, 0, 0
 		b.eject(s, c)
 	}
 }
 
-// eject excludes a server for a time that doubles while its probes fail.
+// eject excludes a server for a time that doubles each time while its probes fail.
 func (b *Balancer) eject(s *server, c *class) {
 	if b.now < s.ejectedUntil {
 		return
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -74,13 +74,13 @@
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 	stuck := b.servers[sends(b.Handle(0, Request{ID: "old", Class: "get", Deadline: time.Minute}))[0].Server]
 	b.Handle(5*time.Second, Timer{Token: "x"})
-	if b.isSilent(stuck) {
+	if b.isUnresponsive(stuck) {
 		t.Error("silent although nothing was answered anywhere")
 	}
 	now := 5 * time.Second
 	s := sends(b.Handle(now, Request{ID: "new", Class: "get", Deadline: now + time.Minute}))[0]
 	settle(b, now+10*msec, "new", s, Success)
-	if s.Server != stuck.ID && !b.isExcluded(stuck, &request{class: b.classes["get"]}) || b.isSilent(b.servers[s.Server]) && s.Server != stuck.ID {
+	if s.Server != stuck.ID && !b.isExcluded(stuck, &request{class: b.classes["get"]}) || b.isUnresponsive(b.servers[s.Server]) && s.Server != stuck.ID {
 		t.Error("the wrong server is taken for silent")
 	}
 }
--- a/balancer/learned_state.go
+++ b/balancer/learned_state.go
@@ -2,79 +2,79 @@
 
 import "time"
 
-// Knowledge is what a Balancer has learned, for a successor. It has no requests: those in flight stay with the Balancer
-// that sent them. Times are clock times. At a hot restart it is handed over as JSON.
+// Knowledge is the learned state of a Balancer that a successor can start from. It has no requests: those in flight stay
+// with the Balancer that sent them. Times are clock times. At a hot restart it is passed to the new process as JSON.
 type Knowledge struct {
-	At      time.Duration     `json:"at"`      // when the snapshot was taken
-	Window  float64           `json:"window"`  // own calls admitted at once
-	Fill    float64           `json:"fill"`    // mean of latency/aim, 0 to 1
-	Pace    float64           `json:"pace"`    // mean of log(latency/aim)
-	Bare    float64           `json:"bare"`    // lowest Pace measured
-	Answers float64           `json:"answers"` // number of answers in Fill and Pace
-	Fresh   float64           `json:"fresh"`   // share of the list that came after Bare was measured
-	Spread  float64           `json:"spread"`  // variance of single answers' log latencies
-	Errors  float64           `json:"errors"`  // share of failed attempts
-	Tokens  float64           `json:"tokens"`  // balance of the retry budget
-	Shed    float64           `json:"shed"`    // share of requests answered without an attempt
-	Vain    float64           `json:"vain"`    // share of abandoned calls
-	Classes []ClassKnowledge  `json:"classes"`
-	Servers []ServerKnowledge `json:"servers"`
+	At               time.Duration     `json:"at"`      // when the snapshot was taken
+	Window           float64           `json:"window"`  // calls that this replica may have in flight
+	LatencyRatio     float64           `json:"fill"`    // mean of latency/aim, 0 to 1
+	LogLatencyRatio  float64           `json:"pace"`    // mean of log(latency/aim)
+	BaselineLogRatio float64           `json:"bare"`    // lowest LogLatencyRatio measured
+	Samples          float64           `json:"answers"` // number of answers in LatencyRatio and LogLatencyRatio
+	NewServerShare   float64           `json:"fresh"`   // share of the list that was added after BaselineLogRatio was measured
+	LatencyVariance  float64           `json:"spread"`  // variance of single answers' log latencies
+	ErrorShare       float64           `json:"errors"`  // share of failed attempts
+	RetryTokens      float64           `json:"tokens"`  // balance of the retry budget
+	ShedShare        float64           `json:"shed"`    // share of requests answered without an attempt
+	AbandonedShare   float64           `json:"vain"`    // share of calls that timed out, or were canceled late
+	Classes          []ClassKnowledge  `json:"classes"`
+	Servers          []ServerKnowledge `json:"servers"`
 }
 
-// ClassKnowledge is what was learned of a class, which Name identifies.
+// ClassKnowledge is the learned state of a class, identified by Name.
 type ClassKnowledge struct {
-	Name       string        `json:"name"`
-	Mean       float64       `json:"mean"`   // latency of successes, in ns
-	Dev        float64       `json:"dev"`    // mean deviation from Mean, in ns
-	Cost       float64       `json:"cost"`   // mean of the requests' cost hints, in ns
-	Arrive     float64       `json:"arrive"` // decayed count of requests
-	Serve      float64       `json:"serve"`  // the same of those served within the aim
-	LongestTry time.Duration `json:"longest_try"`
+	Name           string        `json:"name"`
+	Mean           float64       `json:"mean"`        // mean latency of successes, in ns
+	Deviation      float64       `json:"dev"`         // mean absolute deviation from Mean, in ns
+	Cost           float64       `json:"cost"`        // mean of the requests' cost hints, in ns
+	Arrived        float64       `json:"arrive"`      // decaying count of requests
+	Served         float64       `json:"serve"`       // decaying count of those answered within the aim
+	LongestTimeout time.Duration `json:"longest_try"` // longest timeout that a client gave one try
 }
 
-// ServerKnowledge is what was learned of a server. ID and Boot identify it: a server that was restarted is another one.
+// ServerKnowledge is the learned state of a server. ID and StartedAt identify it: after a restart it is another server.
 type ServerKnowledge struct {
-	ID       string        `json:"id"`
-	Boot     time.Duration `json:"boot"`
-	Streak   int           `json:"streak"`   // failed attempts in a row
-	Level    int           `json:"level"`    // doublings of the next ejection
-	Goods    int           `json:"goods"`    // successful attempts in a row
-	Until    time.Duration `json:"until"`    // end of its ejection
-	Slow     float64       `json:"slow"`     // mean of log(latency/expected latency)
-	Samples  int           `json:"samples"`  // number of answers in Slow
-	LastOK   time.Duration `json:"last_ok"`  // its last success
-	Took     time.Duration `json:"took"`     // when the newest call was sent that it accepted
-	Room     int           `json:"room"`     // limit on own calls until Full
-	Turned   time.Duration `json:"turned"`   // its last refusal
-	Full     time.Duration `json:"full"`     // until when Room applies
-	Refusals int           `json:"refusals"` // refusals in a row
+	ID             string        `json:"id"`
+	StartedAt      time.Duration `json:"boot"`
+	FailureStreak  int           `json:"streak"`   // failed attempts in a row
+	EjectionLevel  int           `json:"level"`    // how often the next ejection's duration is doubled
+	SuccessStreak  int           `json:"goods"`    // successful attempts in a row
+	EjectedUntil   time.Duration `json:"until"`    // end of its ejection
+	Slowness       float64       `json:"slow"`     // mean of log(latency/expected latency)
+	Samples        int           `json:"samples"`  // number of answers in Slowness
+	LastSuccess    time.Duration `json:"last_ok"`  // when it last answered successfully
+	AcceptedAt     time.Duration `json:"took"`     // when the newest call was sent that it is known to have accepted
+	CallLimit      int           `json:"room"`     // limit on this replica's calls until CallLimitUntil
+	RefusedAt      time.Duration `json:"turned"`   // when it last refused a call
+	CallLimitUntil time.Duration `json:"full"`     // end of CallLimit
+	Refusals       int           `json:"refusals"` // refusals in a row
 }
 
-// Knowledge returns what b has learned, as of its last event.
+// Knowledge returns the learned state of b as of its last event.
 func (b *Balancer) Knowledge() *Knowledge {
 	k := &Knowledge{
-		At:      b.now,
-		Window:  b.window,
-		Fill:    b.targetUse,
-		Pace:    b.logUse,
-		Bare:    b.leastLogUse,
-		Answers: b.samples,
-		Fresh:   b.newShare,
-		Spread:  b.latencyVariance,
-		Errors:  b.errorShare,
-		Tokens:  b.retryTokens,
-		Shed:    b.shedShare,
-		Vain:    b.abandonedShare,
+		At:               b.now,
+		Window:           b.window,
+		LatencyRatio:     b.meanLatencyRatio,
+		LogLatencyRatio:  b.meanLogRatio,
+		BaselineLogRatio: b.baselineLogRatio,
+		Samples:          b.samples,
+		NewServerShare:   b.newServerShare,
+		LatencyVariance:  b.latencyVariance,
+		ErrorShare:       b.errorShare,
+		RetryTokens:      b.retryTokens,
+		ShedShare:        b.shedShare,
+		AbandonedShare:   b.abandonedShare,
 	}
 	for _, c := range b.classList {
 		k.Classes = append(k.Classes, ClassKnowledge{
-			Name:       c.Name,
-			Mean:       c.mean,
-			Dev:        c.deviation,
-			Cost:       c.cost,
-			Arrive:     c.arrived,
-			Serve:      c.served,
-			LongestTry: c.longestTry,
+			Name:           c.Name,
+			Mean:           c.mean,
+			Deviation:      c.deviation,
+			Cost:           c.cost,
+			Arrived:        c.arrived,
+			Served:         c.served,
+			LongestTimeout: c.longestTimeout,
 		})
 	}
 	for _, s := range b.servers {
@@ -85,102 +85,103 @@
 	return k
 }
 
-// knowledge returns what was learned of the server.
+// knowledge returns the learned state of the server.
 func (s *server) knowledge() ServerKnowledge {
 	return ServerKnowledge{
-		ID:       s.ID,
-		Boot:     s.StartedAt,
-		Streak:   s.failureStreak,
-		Level:    s.ejectionLevel,
-		Goods:    s.successStreak,
-		Until:    s.ejectedUntil,
-		Slow:     s.slowness,
-		Samples:  s.samples,
-		LastOK:   s.lastSuccess,
-		Took:     s.acceptedAt,
-		Room:     s.refusalRoom,
-		Turned:   s.refusedAt,
-		Full:     s.fullUntil,
-		Refusals: s.refusals,
+		ID:             s.ID,
+		StartedAt:      s.StartedAt,
+		FailureStreak:  s.failureStreak,
+		EjectionLevel:  s.ejectionLevel,
+		SuccessStreak:  s.successStreak,
+		EjectedUntil:   s.ejectedUntil,
+		Slowness:       s.slowness,
+		Samples:        s.samples,
+		LastSuccess:    s.lastSuccess,
+		AcceptedAt:     s.acceptedAt,
+		CallLimit:      s.callLimit,
+		RefusedAt:      s.refusedAt,
+		CallLimitUntil: s.callLimitUntil,
+		Refusals:       s.refusals,
 	}
 }
 
 const (
-	// maxLearned bounds what is adopted: ns, ratios and counts alike.
-	maxLearned = 1e15
-	// maxLogRatio bounds the magnitude of a logarithm of two latencies' ratio.
+	// maxLearnedValue is the largest accepted value of times in ns, ratios and counts.
+	maxLearnedValue = 1e15
+	// maxLogRatio is the largest accepted magnitude of the logarithm of a ratio of latencies.
 	maxLogRatio = 50
-	// maxKnowledgeAhead bounds how far in the future the end of an ejection or refusal may be.
-	maxKnowledgeAhead = 10 * time.Minute
+	// maxExclusionAhead is how far in the future the end of an ejection or of a call limit may be.
+	maxExclusionAhead = 10 * time.Minute
 )
 
-// inRange reports whether v is a number from least to most. It is false for NaN.
-func inRange(v, least, most float64) bool { return v >= least && v <= most }
+// inRange reports whether lowest <= v <= highest. It is false for NaN.
+func inRange(v, lowest, highest float64) bool { return v >= lowest && v <= highest }
 
 // inRange reports whether all values are possible ones, and no time is after latest.
-func (l *ServerKnowledge) inRange(latest time.Duration) bool {
-	countsValid := l.Streak >= 0 && l.Goods >= 0 && l.Samples >= 0 && l.Room >= 0
-	levelsValid := l.Level >= 0 && l.Level <= maxEjectionLevel && l.Refusals >= 0 && l.Refusals <= maxEjectionLevel
-	timesValid := max(l.Until, l.Full, l.LastOK, l.Took, l.Turned) <= latest
-	return countsValid && levelsValid && timesValid && inRange(l.Slow, -maxLogRatio, maxLogRatio)
+func (k *ServerKnowledge) inRange(latest time.Duration) bool {
+	countsValid := k.FailureStreak >= 0 && k.SuccessStreak >= 0 && k.Samples >= 0 && k.CallLimit >= 0
+	levelsValid := k.EjectionLevel >= 0 && k.EjectionLevel <= maxEjectionLevel && k.Refusals >= 0 &&
+		k.Refusals <= maxEjectionLevel
+	timesValid := max(k.EjectedUntil, k.CallLimitUntil, k.LastSuccess, k.AcceptedAt, k.RefusedAt) <= latest
+	return countsValid && levelsValid && timesValid && inRange(k.Slowness, -maxLogRatio, maxLogRatio)
 }
 
-// adopt takes over what another Balancer had learned of the server.
-func (s *server) adopt(l ServerKnowledge) {
-	s.failureStreak = l.Streak
-	s.ejectionLevel = l.Level
-	s.successStreak = l.Goods
-	s.ejectedUntil = l.Until
-	s.slowness = l.Slow
-	s.samples = l.Samples
-	s.lastSuccess = l.LastOK
-	s.acceptedAt = l.Took
-	s.refusalRoom = l.Room
-	s.refusedAt = l.Turned
-	s.fullUntil = l.Full
-	s.refusals = l.Refusals
+// adopt takes over the learned state of the same server from another Balancer.
+func (s *server) adopt(k ServerKnowledge) {
+	s.failureStreak = k.FailureStreak
+	s.ejectionLevel = k.EjectionLevel
+	s.successStreak = k.SuccessStreak
+	s.ejectedUntil = k.EjectedUntil
+	s.slowness = k.Slowness
+	s.samples = k.Samples
+	s.lastSuccess = k.LastSuccess
+	s.acceptedAt = k.AcceptedAt
+	s.callLimit = k.CallLimit
+	s.refusedAt = k.RefusedAt
+	s.callLimitUntil = k.CallLimitUntil
+	s.refusals = k.Refusals
 }
 
-// Learn adopts what another Balancer for the same tier had learned. It may be called once, when the server list is known
-// and before the first request. Values out of range are skipped.
+// Learn adopts the learned state of another Balancer for the same tier. It may be called once, after the server list was
+// received and before the first request. It skips values out of range.
 func (b *Balancer) Learn(k *Knowledge) {
-	adopt := func(to *float64, v, least, most float64) {
-		if inRange(v, least, most) {
-			*to = v
+	adopt := func(field *float64, v, lowest, highest float64) {
+		if inRange(v, lowest, highest) {
+			*field = v
 		}
 	}
 	if len(b.ready) > 0 {
 		adopt(&b.window, k.Window, 1e-3, 1e6)
 	}
-	adopt(&b.targetUse, k.Fill, 0, 1)
-	adopt(&b.logUse, k.Pace, -maxLogRatio, 0)
-	adopt(&b.leastLogUse, k.Bare, -maxLogRatio, 0)
-	adopt(&b.samples, k.Answers, 0, maxLearned)
-	adopt(&b.newShare, k.Fresh, 0, 1)
-	adopt(&b.latencyVariance, k.Spread, 0, 1e3)
-	adopt(&b.errorShare, k.Errors, minErrorShare, 1)
-	adopt(&b.retryTokens, k.Tokens, 0, maxRetryTokens)
-	adopt(&b.shedShare, k.Shed, 0, 1)
-	adopt(&b.abandonedShare, k.Vain, 0, 1)
-	for _, l := range k.Classes {
-		c := b.classes[l.Name]
+	adopt(&b.meanLatencyRatio, k.LatencyRatio, 0, 1)
+	adopt(&b.meanLogRatio, k.LogLatencyRatio, -maxLogRatio, 0)
+	adopt(&b.baselineLogRatio, k.BaselineLogRatio, -maxLogRatio, 0)
+	adopt(&b.samples, k.Samples, 0, maxLearnedValue)
+	adopt(&b.newServerShare, k.NewServerShare, 0, 1)
+	adopt(&b.latencyVariance, k.LatencyVariance, 0, 1e3)
+	adopt(&b.errorShare, k.ErrorShare, minErrorShare, 1)
+	adopt(&b.retryTokens, k.RetryTokens, 0, maxRetryTokens)
+	adopt(&b.shedShare, k.ShedShare, 0, 1)
+	adopt(&b.abandonedShare, k.AbandonedShare, 0, 1)
+	for _, learned := range k.Classes {
+		c := b.classes[learned.Name]
 		if c == nil {
 			continue
 		}
-		adopt(&c.mean, l.Mean, 1, maxLearned)
-		adopt(&c.deviation, l.Dev, 0, maxLearned)
-		adopt(&c.cost, l.Cost, 0, maxLearned)
-		if inRange(l.Arrive, 0, maxLearned) && inRange(l.Serve, 0, l.Arrive) {
-			c.arrived, c.served = l.Arrive, l.Serve
+		adopt(&c.mean, learned.Mean, 1, maxLearnedValue)
+		adopt(&c.deviation, learned.Deviation, 0, maxLearnedValue)
+		adopt(&c.cost, learned.Cost, 0, maxLearnedValue)
+		if inRange(learned.Arrived, 0, maxLearnedValue) && inRange(learned.Served, 0, learned.Arrived) {
+			c.arrived, c.served = learned.Arrived, learned.Served
 		}
-		c.longestTry = max(0, min(l.LongestTry, c.Deadline))
+		c.longestTimeout = max(0, min(learned.LongestTimeout, c.Deadline))
 	}
-	for _, l := range k.Servers {
-		s := b.servers[l.ID]
-		if s == nil || s.StartedAt != l.Boot || !l.inRange(b.now+maxKnowledgeAhead) {
+	for _, learned := range k.Servers {
+		s := b.servers[learned.ID]
+		if s == nil || s.StartedAt != learned.StartedAt || !learned.inRange(b.now+maxExclusionAhead) {
 			continue
 		}
-		s.adopt(l)
+		s.adopt(learned)
 	}
-	b.usableCountedAt = -1
+	b.usableComputedAt = -1
 }
--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -62,8 +62,8 @@
 	list.Servers[2].StartedAt = 6 // it started anew
 	next.Handle(now, list)
 	next.Learn(&k)
-	x, y := old.Beliefs(10), next.Beliefs(10)
-	if x.Window != y.Window || x.Fill != y.Fill || x.Errors != y.Errors || !reflect.DeepEqual(x.Classes, y.Classes) {
+	x, y := old.Estimates(10), next.Estimates(10)
+	if x.Window != y.Window || x.LatencyRatio != y.LatencyRatio || x.ErrorShare != y.ErrorShare || !reflect.DeepEqual(x.Classes, y.Classes) {
 		t.Errorf("%+v\n%+v", x, y)
 	}
 	for i := range x.Servers { // calls stay with whoever sent them
@@ -72,7 +72,7 @@
 	if !reflect.DeepEqual(x.Servers[:2], y.Servers[:2]) {
 		t.Errorf("servers:\n%+v\n%+v", x.Servers, y.Servers)
 	}
-	if y.Servers[2].Slow != 0 {
+	if y.Servers[2].Slowness != 0 {
 		t.Error("a server that started anew is taken for the one before")
 	}
 }
@@ -100,47 +100,47 @@
 		c := func() int { return count.Draw(t, "c") }
 		class := func(name string) ClassKnowledge {
 			return ClassKnowledge{
-				Name:       name,
-				Mean:       n(),
-				Dev:        n(),
-				Cost:       n(),
-				Arrive:     n(),
-				Serve:      n(),
-				LongestTry: d(),
+				Name:           name,
+				Mean:           n(),
+				Deviation:      n(),
+				Cost:           n(),
+				Arrived:        n(),
+				Served:         n(),
+				LongestTimeout: d(),
 			}
 		}
 		server := func(id string) ServerKnowledge {
 			return ServerKnowledge{
-				ID:       id,
-				Streak:   c(),
-				Level:    c(),
-				Goods:    c(),
-				Until:    d(),
-				Slow:     n(),
-				Samples:  c(),
-				LastOK:   d(),
-				Took:     d(),
-				Room:     c(),
-				Turned:   d(),
-				Full:     d(),
-				Refusals: c(),
+				ID:             id,
+				FailureStreak:  c(),
+				EjectionLevel:  c(),
+				SuccessStreak:  c(),
+				EjectedUntil:   d(),
+				Slowness:       n(),
+				Samples:        c(),
+				LastSuccess:    d(),
+				AcceptedAt:     d(),
+				CallLimit:      c(),
+				RefusedAt:      d(),
+				CallLimitUntil: d(),
+				Refusals:       c(),
 			}
 		}
 		k := &Knowledge{
-			At:      d(),
-			Window:  n(),
-			Fill:    n(),
-			Pace:    n(),
-			Bare:    n(),
-			Answers: n(),
-			Fresh:   n(),
-			Spread:  n(),
-			Errors:  n(),
-			Tokens:  n(),
-			Shed:    n(),
-			Vain:    n(),
-			Classes: []ClassKnowledge{class("x"), class("y")},
-			Servers: []ServerKnowledge{server("a"), server("z")},
+			At:               d(),
+			Window:           n(),
+			LatencyRatio:     n(),
+			LogLatencyRatio:  n(),
+			BaselineLogRatio: n(),
+			Samples:          n(),
+			NewServerShare:   n(),
+			LatencyVariance:  n(),
+			ErrorShare:       n(),
+			RetryTokens:      n(),
+			ShedShare:        n(),
+			AbandonedShare:   n(),
+			Classes:          []ClassKnowledge{class("x"), class("y")},
+			Servers:          []ServerKnowledge{server("a"), server("z")},
 		}
 		b, _ := New(set, 1)
 		now := time.Hour
@@ -160,13 +160,13 @@
 				Ended:   true,
 			})
 		}
-		v := b.Beliefs(0)
+		v := b.Estimates(0)
 		for name, x := range map[string]float64{
 			"window": v.Window,
-			"fill":   v.Fill,
-			"bare":   v.Bare,
-			"errors": v.Errors,
-			"tokens": v.Tokens,
+			"fill":   v.LatencyRatio,
+			"bare":   v.BaselineRatio,
+			"errors": v.ErrorShare,
+			"tokens": v.RetryTokens,
 			"mean":   v.Classes[0].MeanMS,
 		} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -61,8 +61,8 @@
 				served++
 			}
 		}
-		v := b.Beliefs(2)
-		if transfer && (served != many || v.InFlight != 0 || v.Servers[0].Out || v.Servers[0].OldestMS > 0) {
+		v := b.Estimates(2)
+		if transfer && (served != many || v.InFlight != 0 || v.Servers[0].Ejected || v.Servers[0].OldestMS > 0) {
 			t.Errorf("%d of %d served, %+v", served, many, v)
 		}
 		if !transfer && v.InFlight != served {
@@ -72,7 +72,7 @@
 		for i := range many {
 			b.Handle(now+time.Minute, Outcome{ID: id(i), Ending: Success, Ended: true})
 		}
-		if v := b.Beliefs(2); transfer && (v.InFlight != 0 || v.Classes[0].MeanMS > max(mean, 10) || v.Requests != 0) {
+		if v := b.Estimates(2); transfer && (v.InFlight != 0 || v.Classes[0].MeanMS > max(mean, 10) || v.Requests != 0) {
 			t.Errorf("in the end %+v", v)
 		}
 	}
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -56,10 +56,10 @@
 	if s.refusals != 1 {
 		t.Errorf("three refusals of one moment count %d times", s.refusals)
 	}
-	if s.refusalRoom < 1 {
-		t.Errorf("room for %d after a slow refusal", s.refusalRoom)
+	if s.callLimit < 1 {
+		t.Errorf("room for %d after a slow refusal", s.callLimit)
 	}
-	s.refusalRoom, s.fullUntil = 1, now+time.Hour
+	s.callLimit, s.callLimitUntil = 1, now+time.Hour
 	for i := range 5 {
 		id := fmt.Sprint("ok", i)
 		for _, x := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
@@ -67,15 +67,15 @@
 			b.Handle(now, Outcome{ID: x.ID, Server: x.Server, Ending: Success, Ended: true})
 		}
 	}
-	if s.refusalRoom < 2 {
-		t.Errorf("room for %d after five calls that it took", s.refusalRoom)
+	if s.callLimit < 2 {
+		t.Errorf("room for %d after five calls that it took", s.callLimit)
 	}
 
 	b = newBalancer(t, func(s *Settings) { s.Balancers = 1; s.MaxAttempts = 1 })
 	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
 	turnAway(b, 1, msec)
-	if s := b.servers["s00"]; s.refusalRoom != 0 {
-		t.Errorf("room for %d at a server that is quick to refuse its only call, and wins picks by that", s.refusalRoom)
+	if s := b.servers["s00"]; s.callLimit != 0 {
+		t.Errorf("room for %d at a server that is quick to refuse its only call, and wins picks by that", s.callLimit)
 	}
 }
 
@@ -134,12 +134,12 @@
 		},
 		// It turned one away with two calls out, so the others get no more for it: three parts and two calls.
 		"one full": {
-			change: func(b *Balancer) { b.servers["s02"].refusalRoom, b.servers["s02"].fullUntil = 2, time.Hour },
+			change: func(b *Balancer) { b.servers["s02"].callLimit, b.servers["s02"].callLimitUntil = 2, time.Hour },
 			least:  17,
 			most:   17,
 		},
 		"one with no room": {
-			change: func(b *Balancer) { b.servers["s02"].refusalRoom, b.servers["s02"].fullUntil = 0, time.Hour },
+			change: func(b *Balancer) { b.servers["s02"].callLimit, b.servers["s02"].callLimitUntil = 0, time.Hour },
 			least:  15,
 			most:   15,
 		},
@@ -153,7 +153,7 @@
 		b := newBalancer(t, one)
 		b.Handle(0, full)
 		c.change(b)
-		b.usableCountedAt = -1
+		b.usableComputedAt = -1
 		if got := out(b, 60); got < c.least || got > c.most {
 			t.Errorf("%s: %d calls out, want %d to %d", name, got, c.least, c.most)
 		}
@@ -171,7 +171,7 @@
 	l[0].State = Draining
 	b.Handle(time.Second, ServerList{Servers: l[:1]})
 	at := b.servers["s00"].calls
-	if free := float64(b.inFlight) - b.admitted(); int(free) != at || at == 0 {
+	if free := float64(b.inFlight) - b.admittedCalls(); int(free) != at || at == 0 {
 		t.Errorf("%v calls left the window, %d are at the server that drains", free, at)
 	}
 }
@@ -198,13 +198,13 @@
 	bare := func(left int) float64 {
 		b := newBalancer(t, nil)
 		b.Handle(0, ServerList{Full: true, Servers: servers(8)})
-		b.now, b.logUse, b.leastLogUse, b.samples = 100*msec, math.Log(0.1), math.Log(0.1), 1000
+		b.now, b.meanLogRatio, b.baselineLogRatio, b.samples = 100*msec, math.Log(0.1), math.Log(0.1), 1000
 		b.Handle(b.now, ServerList{Full: true, Servers: servers(left)})
 		r := &request{class: b.classes["get"], attempts: []*attempt{{sent: b.now - b.classes["get"].Aim/5}}}
 		for range 200 {
 			b.adjustWindow(r, Outcome{Ending: Success})
 		}
-		return math.Exp(b.leastLogUse)
+		return math.Exp(b.baselineLogRatio)
 	}
 	if same, half := bare(8), bare(4); same > 0.12 || half < 0.17 {
 		t.Errorf("least latency of 0.1, now 0.2: %.3f with the list as it was, %.3f with half of it", same, half)
@@ -225,12 +225,12 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 	b.now = time.Second
-	b.abandoned(10, float64(time.Second))
-	if b.admitted() != 10 {
-		t.Errorf("%v admitted", b.admitted())
+	b.updateAbandoned(10, float64(time.Second))
+	if b.admittedCalls() != 10 {
+		t.Errorf("%v admitted", b.admittedCalls())
 	}
 	b.now += time.Second
-	if got := b.admitted(); got < 3 || got > 4 {
+	if got := b.admittedCalls(); got < 3 || got > 4 {
 		t.Errorf("%v admitted a mean answer later, want 3.7", got)
 	}
 }
@@ -249,11 +249,11 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(5)})
 	out(b, 3)
-	v := b.Beliefs(2)
+	v := b.Estimates(2)
 	if v.InFlight != 3 || v.Ready != 5 || len(v.Servers) != 2 || v.Servers[0].Calls == 0 || len(v.Classes) != 4 {
 		t.Errorf("%+v", v)
 	}
-	if b.Beliefs(0).Servers != nil {
+	if b.Estimates(0).Servers != nil {
 		t.Error("servers told unasked")
 	}
 }
@@ -289,7 +289,7 @@
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 		s, r := b.ready[0], &request{class: b.classes["get"]}
 		for range c.runs {
-			b.learn(&attempt{request: r, server: s}, Outcome{Ending: c.end})
+			b.recordOutcome(&attempt{request: r, server: s}, Outcome{Ending: c.end})
 		}
 		if got := b.now < s.ejectedUntil; got != c.out {
 			t.Errorf("%d endings of kind %v: out %v, want %v", c.runs, c.end, got, c.out)
--- a/balancer/pacing_test.go
+++ b/balancer/pacing_test.go
@@ -41,7 +41,7 @@
 			most = max(most, len(open))
 		}
 		mean := float64(out) / float64(n*gap)
-		if limit := windowFloor * b.fairServers(); mean > 0.9 || mean < 0.25*limit || most < 2 {
+		if limit := minCallsPerServer * b.fairServers(); mean > 0.9 || mean < 0.25*limit || most < 2 {
 			t.Errorf("ending %d: %.2f calls out on the average, %d at most, window floor %.2f", end, mean, most, limit)
 		}
 	}
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -1,6 +1,6 @@
 // The decisions of the balancer. This file dispatches events and follows a request from its arrival to its
-// final answer; server_list.go applies discovery updates, selection.go picks a server, health.go
-// ejects outliers, and admission.go holds the admission window, the retry budget and load shedding.
+// final answer; server_list.go applies discovery updates, selection.go selects servers, health.go ejects
+// unhealthy servers, and admission.go implements the admission window, the retry budget and load shedding.
 
 package balancer
 
@@ -10,55 +10,55 @@
 	"time"
 )
 
-// Constants are shares, ratios or counts: every duration is a setting or was measured.
+// The constants are shares, ratios or counts. Durations come from settings or from measured latencies.
 const (
-	leftShare               = 0.5   // share of the ready servers in the left group
-	pooledWeight            = 0.06  // weight of a new sample in pooled averages (about 16 samples)
-	serverWeight            = 0.25  // weight of a new sample in a single server's averages
-	luckThreshold           = 0.08  // a run of errors likelier than this at the overall error rate is chance
-	minErrorShare           = 0.01  // least error rate that is assumed
-	overlongDeviations      = 3.0   // deviations above the mean latency beyond which a wait is overlong
-	slowRatio               = 2.5   // multiple of the expected latency from which on a server is slow
-	slowThinningPower       = 2.0   // exponent of a server's slowness by which its draws are thinned
+	leftGroupShare          = 0.5   // share of the ready servers in the left group
+	pooledSampleWeight      = 0.06  // weight of a new sample in pooled averages (about 16 samples)
+	serverSampleWeight      = 0.25  // weight of a new sample in a single server's averages
+	errorRunSignificance    = 0.08  // a run of errors more probable than this by chance ejects no server
+	minErrorShare           = 0.01  // lower bound of the estimated error rate
+	outlierDeviations       = 3.0   // deviations above the mean latency beyond which a wait is an outlier
+	slowLatencyRatio        = 2.5   // multiple of the expected latency above which a server is slow
+	slowSamplingPower       = 2.0   // exponent with which slowness reduces how often a server is drawn
 	minSamples              = 3     // samples before a server can be called slow
-	maxExcludedShare        = 0.2   // share of the ready servers that health may exclude
-	ejectionLatencies       = 12    // mean latencies that a first ejection or refusal limit lasts
-	maxEjectionLevel        = 5     // doublings of an ejection, at most
-	windowFloor             = 5.0   // own calls for each server that are always admitted
+	maxExcludedShare        = 0.2   // largest share of the ready servers that is excluded for health
+	ejectionLatencies       = 12    // duration of a first ejection or call limit, in mean latencies
+	maxEjectionLevel        = 5     // largest number of times that this duration is doubled
+	minCallsPerServer       = 5.0   // calls for each server that are always admitted
 	retryTokenPerSuccess    = 0.15  // retry tokens earned by a success
-	unsentRetryCost         = 0.1   // cost of a retry whose previous attempt never ran; else 1
+	neverRanRetryCost       = 0.1   // retry tokens for a retry if the previous attempt never ran; else 1
 	maxRetryTokens          = 10    // capacity of the retry budget
-	targetFill              = 0.6   // highest mean latency that admission accepts, as a share of the aim
-	busyRatio               = 1.5   // and as a multiple of the lowest geometric mean measured
-	calmRatio               = 0.4   // increase of that multiple while nothing is shed: a node that
-	calmPower               = 16    // rejects nothing is not overloaded; exponent of its decrease
-	shedding                = 4.0   // decrease of the accepted latency by shedding, per unevenness
-	windowUp                = 0.02  // increase of the window by a timely answer
-	windowGrowthCeiling     = 0.9   // share of the accepted latency above which the window does not grow
-	windowUsedShare         = 0.8   // share of the window that must be in use for it to grow
-	windowRoom              = 0.1   // further increase, times the margin below the accepted latency
-	windowDown              = 0.1   // least decrease of the window by a late answer
-	windowStart             = 5.0   // own calls admitted for each server before anything is measured
-	windowMaxDecrease       = 0.3   // largest decrease by one late answer
-	windowAbandonedDecrease = 3.0   // decrease by each abandoned call, once most calls are abandoned
-	windowProbeShare        = 0.1   // share of windowFloor that remains then, to probe for recovery
-	maxAbandonedShare       = 0.5   // share of abandoned calls above which the window gives up its floor
-	minWindow               = 2.0   // own calls that may be in flight whatever the window
-	tenantBoost             = 10    // factor on the value of a request whose tenant has been served nothing
-	tenantFade              = 0.005 // decay of the tenants' counts with each request
-	maxTenants              = 256   // tenants that are counted; the least active is replaced
+	targetRatio             = 0.6   // highest accepted mean latency, as a share of the aim
+	baselineMultiple        = 1.5   // the same as a multiple of the baseline, the lowest geometric mean
+	noShedAllowance         = 0.4   // increase of that multiple while nothing is shed: a replica
+	noShedPower             = 16    // that rejects nothing is not overloaded. Exponent of its decrease
+	sheddingPenalty         = 4.0   // decrease of the accepted latency by shedding, per slowness variance
+	windowIncrease          = 0.02  // increase of the window by an answer within the accepted latency
+	maxGrowthOverload       = 0.9   // share of the accepted latency above which the window doesn't grow
+	minGrowthUsage          = 0.8   // share of the window that must be in use for it to grow
+	windowHeadroomGain      = 0.1   // further increase, times the margin to the accepted latency
+	minWindowDecrease       = 0.1   // smallest decrease of the window by one late answer
+	initialCallsPerServer   = 5.0   // calls admitted for each server before anything is measured
+	maxWindowDecrease       = 0.3   // largest decrease of the window by one late answer
+	abandonedCallDecrease   = 3.0   // decrease by one abandoned call, while most calls are abandoned
+	windowProbeShare        = 0.1   // share of minCallsPerServer admitted then, to probe for recovery
+	maxAbandonedShare       = 0.5   // share of abandoned calls above which only probes are guaranteed
+	minWindow               = 2.0   // calls that may be in flight however small the window is
+	tenantDeficitWeight     = 10    // increase of a request's value, times TenantWeight and tenantDeficit
+	tenantCountDecay        = 0.005 // share by which the tenants' counts decay with each request
+	maxTenants              = 256   // tenants with counts; a new one replaces the least active
 	quotaBurstSeconds       = 1.0   // burst of a quota, in seconds of its rate
-	preadmittedFactor       = 2.0   // multiple of the window up to which preadmitted classes are not queued
-	shortTryShare           = 0.95  // share of the longest client timeout seen below which one marks a retry
-	crowdedCalls            = 2     // least number of own calls at which a server is skipped as crowded
-	fullSpreadCopies        = 40    // copies whose Subscribe calls are spread over all of AskWithin
+	preadmittedFactor       = 2.0   // multiple of the window below which preadmitted classes don't queue
+	clientRetryTimeoutShare = 0.95  // a timeout below this share of the longest one marks a client's retry
+	crowdedCalls            = 2     // least number of calls at which a server is skipped as crowded
+	fullSpreadReplicas      = 40    // replicas whose Subscribe calls are spread over all of AskWithin
 	maxSubscribeBackoff     = 4     // longest backoff between failed Subscribe calls, in units of AskWithin
 
-	baselineWeight   = pooledWeight / 128 // weight of an answer in raising the lowest mean of busyRatio
-	newServersWeight = 0.25               // the same for the new share of the list, times its own weight
+	baselineWeight      = pooledSampleWeight / 128 // weight of an answer in raising the baseline
+	newServerShareDecay = 0.25                     // decay of newServerShare by an answer, times its weight
 )
 
-// Handle takes one event at the clock time now and returns what to do, in order.
+// Handle processes an event at the clock time now and returns the actions to carry out, in order.
 func (b *Balancer) Handle(now time.Duration, e Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = nil
@@ -82,7 +82,7 @@
 		b.handleStarted(e)
 	case ClientGone:
 		if r := b.requests[e.ID]; r != nil {
-			b.close(r)
+			b.finish(r)
 		}
 	case Timer:
 		b.handleTimer(e)
@@ -100,17 +100,17 @@
 		}
 		return
 	}
-	// A host may round times down, so a timer can fire slightly early. A review that finds nothing due
-	// schedules another one.
+	// A host may round times down, so a timer can fire slightly early. If nothing is due then, checkQueued
+	// schedules another Wake.
 	if r := b.requests[strings.TrimPrefix(e.Token, "r:")]; r != nil {
 		if b.now+b.settings.Tick >= r.wakeAt {
 			r.wakeAt = 0
 		}
-		b.review(r)
+		b.checkQueued(r)
 	}
 }
 
-// wakeAt schedules a review of a request, unless an earlier one is scheduled already.
+// wakeAt schedules a check of a queued request, unless an earlier one is scheduled already.
 func (b *Balancer) wakeAt(r *request, at time.Duration) {
 	at = max(at, b.now+1)
 	if r.wakeAt > b.now && r.wakeAt <= at {
@@ -143,12 +143,12 @@
 		r.tenant = b.countTenant(e.Tenant)
 	}
 	if e.Places != nil && len(e.Places) == 0 {
-		b.answer(r)
+		b.rejectOrFail(r)
 		return
 	}
-	b.backdate(r)
+	b.estimateFirstSend(r)
 	for _, k := range b.classList {
-		k.fade()
+		k.decay()
 	}
 	c.arrived++
 	if r.quota = b.quotas[e.Tenant]; r.quota != nil {
@@ -158,10 +158,10 @@
 }
 
 // chargeQuota records whether a request is within its tenant's quota, a token bucket. A client's retry was
-// charged when the client first sent it, so it takes no token.
+// charged when the client first sent the request, so it consumes no token.
 func (b *Balancer) chargeQuota(r *request) {
 	for _, q := range b.quotaList {
-		q.fade()
+		q.decay()
 	}
 	q := r.quota
 	q.refill(b.now)
@@ -174,13 +174,13 @@
 	q.arrived++
 }
 
-// backdate estimates when the client first sent a request. Clients give every try the same timeout, unless
-// the class's deadline, which covers all tries, ends sooner: a shorter timeout marks a client's retry and
-// shows how much of that deadline has passed.
-func (b *Balancer) backdate(r *request) {
+// estimateFirstSend estimates when the client first sent a request. Clients give each try the same timeout,
+// shortened only by the class's deadline for all tries together. So a shorter timeout marks a client's retry
+// and shows how much of that deadline has passed.
+func (b *Balancer) estimateFirstSend(r *request) {
 	left := r.deadline - b.now
-	r.class.longestTry = max(r.class.longestTry, left)
-	if b.settings.Tier == 0 && float64(left) < shortTryShare*float64(r.class.longestTry) {
+	r.class.longestTimeout = max(r.class.longestTimeout, left)
+	if b.settings.Tier == 0 && float64(left) < clientRetryTimeoutShare*float64(r.class.longestTimeout) {
 		r.arrived = min(b.now, r.deadline-r.class.Deadline)
 		r.clientRetry = true
 	}
@@ -188,12 +188,12 @@
 
 // dispatch sends a request, or queues it while no server may take it.
 func (b *Balancer) dispatch(r *request) {
-	preadmitted := r.class.First && b.admitted() < preadmittedFactor*b.limit()
+	preadmitted := r.class.First && b.admittedCalls() < preadmittedFactor*b.usableWindow()
 	if r.inFlight == 0 && len(r.attempts) == 0 && b.isFull() && !preadmitted {
 		b.enqueue(r)
 		return
 	}
-	s := b.choose(r)
+	s := b.selectServer(r)
 	if s == nil {
 		b.enqueue(r)
 		return
@@ -204,33 +204,33 @@
 func (b *Balancer) send(r *request, s *server) {
 	a := &attempt{request: r, server: s, number: len(r.attempts), sent: b.now, zone: s.Zone, cell: s.Cell}
 	if a.number == 0 {
-		b.shedShare -= pooledWeight / 4 * b.shedShare
+		b.shedShare -= pooledSampleWeight / 4 * b.shedShare
 	}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	b.dequeue(r)
 	s.calls++
-	s.openAttempts = append(s.openAttempts, a)
+	s.waitingAttempts = append(s.waitingAttempts, a)
 	b.inFlight++
 	b.addPacingDebt(r.class, r.class.mean)
 	timeout := max(r.deadline-b.now, b.settings.Tick)
 	b.emit(Send{ID: r.id, Server: s.ID, Timeout: timeout, Spares: b.alternates(r)})
 }
 
-// alternates returns further servers for a request that was just sent, each picked like the next attempt's.
-// Only warm ones: an attempt there is not counted before it has ended, so slow start could not bound it.
+// alternates returns further servers for a request that was just sent, each selected like that of a retry.
+// It omits servers in slow start: an attempt there is counted only when it has ended, too late to limit it.
 func (b *Balancer) alternates(r *request) (ids []string) {
 	if b.settings.Spares == 0 || r.class.Effect != Idempotent {
 		return nil
 	}
 	sent := len(r.attempts)
 	for range b.settings.Spares {
-		s := b.choose(r)
+		s := b.selectServer(r)
 		if s == nil {
 			break
 		}
-		r.attempts = append(r.attempts, &attempt{server: s, ended: true}) // so that it is not picked twice
-		if b.warmth(s) == 1 {
+		r.attempts = append(r.attempts, &attempt{server: s, ended: true}) // so that it is not selected twice
+		if b.slowStartShare(s) == 1 {
 			ids = append(ids, s.ID)
 		}
 	}
@@ -238,36 +238,36 @@
 	return ids
 }
 
-// overlong is the wait beyond which an attempt is slower than nearly all answers of its class.
-func (b *Balancer) overlong(c *class) time.Duration {
-	return time.Duration(c.mean + overlongDeviations*c.deviation)
+// outlierWait is the time after which an unanswered attempt is slower than nearly all answers of its class.
+func (b *Balancer) outlierWait(c *class) time.Duration {
+	return time.Duration(c.mean + outlierDeviations*c.deviation)
 }
 
-// review does what is due for a queued request: it sends it, or rejects it at the end of its queueing time.
-func (b *Balancer) review(r *request) {
+// checkQueued sends a queued request if possible, or rejects it when its queueing time has ended.
+func (b *Balancer) checkQueued(r *request) {
 	switch {
 	case r.answered || r.streaming:
 	case r.queued && b.now >= b.queueDeadline(r):
-		b.answer(r)
+		b.rejectOrFail(r)
 	case r.queued:
 		b.drainQueue()
 		if r.queued {
-			b.wakeAt(r, b.nextReview(r))
+			b.wakeAt(r, b.nextQueueCheck(r))
 		}
 	}
 }
 
-// enqueue queues a request, with a timer so that it is answered even if no other event comes.
+// enqueue queues a request, with a timer so that it is answered even without another event.
 func (b *Balancer) enqueue(r *request) {
 	if b.now >= b.queueDeadline(r) {
-		b.answer(r)
+		b.rejectOrFail(r)
 		return
 	}
 	if !r.queued {
 		r.queued = true
 		b.queue = append(b.queue, r)
 	}
-	b.wakeAt(r, b.nextReview(r))
+	b.wakeAt(r, b.nextQueueCheck(r))
 }
 
 func (b *Balancer) dequeue(r *request) {
@@ -278,17 +278,17 @@
 	b.queue = slices.DeleteFunc(b.queue, func(queued *request) bool { return queued == r })
 }
 
-// nextReview is when a queued request is reviewed next.
-func (b *Balancer) nextReview(r *request) time.Duration {
+// nextQueueCheck is the time of the next check of a queued request.
+func (b *Balancer) nextQueueCheck(r *request) time.Duration {
 	if resume := b.pausedUntil(); b.now < resume {
 		return min(resume, b.queueDeadline(r))
 	}
 	return b.queueDeadline(r)
 }
 
-// queueDeadline is until when a request is queued: while its answer is likely to meet the aim, because late
-// answers use capacity that timely ones need. Without any server a late answer is the best possible, so
-// the request then waits almost until its deadline.
+// queueDeadline is the latest time until which a request stays queued. After it an answer would probably miss
+// the aim, and late answers use capacity that timely ones need. While there is no server a late answer is the
+// best possible one, so the request waits almost until its deadline.
 func (b *Balancer) queueDeadline(r *request) time.Duration {
 	last := r.deadline - 2*b.settings.Tick
 	if len(b.ready) == 0 {
@@ -304,11 +304,11 @@
 	for left := len(b.queue); left > 0 && len(b.queue) > 0 && !b.isFull(); left-- {
 		best := b.queue[0]
 		for _, r := range b.queue[1:] {
-			if b.value(r) >= b.value(best) { // of equal ones the newest, which has the most time left
+			if b.value(r) >= b.value(best) { // of equal values the newest, which has the most time left
 				best = r
 			}
 		}
-		s := b.choose(best)
+		s := b.selectServer(best)
 		if s == nil {
 			return
 		}
@@ -327,17 +327,17 @@
 			b.cancel(a)
 		} else {
 			a.began = b.now
-			b.endWait(a, Outcome{Attempt: a.number, Ending: Success})
+			b.stopWaiting(a, Outcome{Attempt: a.number, Ending: Success})
 			if e.Transfer {
-				b.endCall(a)
+				b.releaseCall(a)
 				b.drainQueue()
 			}
 		}
 	}
 }
 
-// endCall uncounts an attempt's call, once: when it ends, or when its server only transfers the answer.
-func (b *Balancer) endCall(a *attempt) {
+// releaseCall ends an attempt's call, once: at its outcome, or when only the transfer of its answer remains.
+func (b *Balancer) releaseCall(a *attempt) {
 	if !a.callEnded {
 		a.callEnded = true
 		b.inFlight--
@@ -345,14 +345,14 @@
 	}
 }
 
-// endWait ends the wait for an attempt's answer, which has arrived or begun to stream.
-func (b *Balancer) endWait(a *attempt, e Outcome) {
-	if i := slices.Index(a.server.openAttempts, a); i >= 0 {
-		// The latency of a hung server says nothing about the load of the others.
-		if !b.isSilent(a.server) {
+// stopWaiting records that an attempt has ended, or that its answer has begun to stream.
+func (b *Balancer) stopWaiting(a *attempt, e Outcome) {
+	if i := slices.Index(a.server.waitingAttempts, a); i >= 0 {
+		// The latency of an unresponsive server shows nothing about the load of the others.
+		if !b.isUnresponsive(a.server) {
 			b.adjustWindow(a.request, e)
 		}
-		a.server.openAttempts = slices.Delete(a.server.openAttempts, i, i+1)
+		a.server.waitingAttempts = slices.Delete(a.server.waitingAttempts, i, i+1)
 	}
 }
 
@@ -371,10 +371,10 @@
 	a.ended = true
 	a.neverRan = e.Ending == Overloaded || e.Ending == Unreachable || e.Ending == NeverSent
 	r.inFlight--
-	b.endCall(a)
+	b.releaseCall(a)
 	r.consumed = r.consumed || e.Consumed
-	b.endWait(a, e)
-	b.learn(a, e)
+	b.stopWaiting(a, e)
+	b.recordOutcome(a, e)
 	if !a.server.listed && a.server.calls == 0 && b.servers[a.server.ID] == a.server {
 		delete(b.servers, a.server.ID)
 	}
@@ -390,10 +390,10 @@
 				b.tenants.served += b.tenants.scale
 			}
 		}
-		b.close(r)
+		b.finish(r)
 	case !r.answered && r.inFlight == 0:
 		b.retryOrAnswer(r)
 	}
-	b.forget(r)
+	b.deleteIfDone(r)
 	b.drainQueue()
 }
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -37,7 +37,7 @@
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
 	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, ClientRetry: true})
 	b.classes["get"].LateShare = 0.5
-	b.inFlight = int(windowFloor*b.fairServers()) + 2
+	b.inFlight = int(minCallsPerServer*b.fairServers()) + 2
 	b.window = float64(b.inFlight) // one comes free by the next answer
 	next := sends(settle(b, 10*msec, "a", first[0], Success))
 	if len(next) == 0 || next[0].ID != "new" {
--- a/balancer/quota_test.go
+++ b/balancer/quota_test.go
@@ -64,14 +64,14 @@
 	}
 }
 
-// While answers show no overload the window grows much faster than by windowUp alone; the window of a copy with one or
+// While answers show no overload the window grows much faster than by windowIncrease alone; the window of a copy with one or
 // two calls grows only by that.
 func TestWindowGrowsByHeadroom(t *testing.T) {
 	gain := func(copies int, window float64, n int) float64 {
 		b := newBalancer(t, func(s *Settings) { s.Balancers = copies })
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
-		b.window, b.samples, b.targetUse, b.now = window, 1000, 0.1, 50*msec // a tenth of the aim, as ever
-		b.logUse, b.leastLogUse = math.Log(0.1), math.Log(0.1)
+		b.window, b.samples, b.meanLatencyRatio, b.now = window, 1000, 0.1, 50*msec // a tenth of the aim, as ever
+		b.meanLogRatio, b.baselineLogRatio = math.Log(0.1), math.Log(0.1)
 		r := &request{class: b.classes["get"], attempts: []*attempt{{}}}
 		for range n {
 			b.inFlight = int(b.window) + 1
@@ -79,10 +79,10 @@
 		}
 		return b.window - window
 	}
-	if got := gain(1, 40, 100); got < 3*100*windowUp {
+	if got := gain(1, 40, 100); got < 3*100*windowIncrease {
 		t.Errorf("a window of 40 gained %.2f by 100 answers", got)
 	}
-	if got := gain(100, 1, 20); got > 1.5*20*windowUp {
+	if got := gain(100, 1, 20); got > 1.5*20*windowIncrease {
 		t.Errorf("a window of 1 gained %.2f by 20 answers", got)
 	}
 }
@@ -165,11 +165,11 @@
 	for i := range 20000 {
 		s := b.ready[i%10]
 		took := float64(100*msec) * math.Exp(0.8*b.rng.NormFloat64())
-		b.learnSpeed(s, &request{class: c}, took)
+		b.recordLatency(s, &request{class: c}, took)
 		c.mean = float64(100*msec) * math.Exp(0.32)
 		s.ejectedUntil, s.ejectionLevel = 0, 0
 		if i > 2000 {
-			worst += max(0, b.unevenness()-b.chanceUnevenness()) / 18000
+			worst += max(0, b.slownessVariance()-b.chanceVariance()) / 18000
 		}
 	}
 	if worst > 0.03 {
@@ -177,11 +177,11 @@
 	}
 	for range 40 {
 		for k, s := range b.ready {
-			b.learnSpeed(s, &request{class: c}, c.mean*(1+2*float64(k%2)))
+			b.recordLatency(s, &request{class: c}, c.mean*(1+2*float64(k%2)))
 			s.ejectedUntil, s.ejectionLevel = 0, 0
 		}
 	}
-	if got := b.unevenness() - b.chanceUnevenness(); got < 0.1 {
+	if got := b.slownessVariance() - b.chanceVariance(); got < 0.1 {
 		t.Errorf("half the servers three times as slow: %.3f more uneven than chance", got)
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -164,7 +164,7 @@
 				len(b.queue), b.inFlight)
 		}
 		for id, s := range b.servers {
-			if !s.listed || s.calls != 0 || len(s.openAttempts) != 0 {
+			if !s.listed || s.calls != 0 || len(s.waitingAttempts) != 0 {
 				t.Errorf("seed %d: server %s is left over", seed, id)
 			}
 		}
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -20,7 +20,7 @@
 	shareLeft := func(left, right []*server) float64 {
 		got := 0
 		for range n {
-			s := b.pick(left, right)
+			s := b.pickLessLoaded(left, right)
 			for _, l := range left {
 				if s == l {
 					got++
@@ -47,12 +47,12 @@
 			t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
 		}
 	}
-	if b.pick(nil, nil) != nil {
+	if b.pickLessLoaded(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
 	left, count := mk(0, 0, 0, 0), map[*server]int{}
 	for range n {
-		count[b.pick(left, nil)]++
+		count[b.pickLessLoaded(left, nil)]++
 	}
 	for _, s := range left {
 		if got := float64(count[s]) / n; math.Abs(got-0.25) > 0.02 {
--- a/balancer/server_list.go
+++ b/balancer/server_list.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// handleServerList applies a discovery update. A server that was restarted loses what was learned of it. The
-// ready servers stay sorted, so that an incremental update costs in proportion to its entries.
+// handleServerList applies a discovery update. The learned state of a server that was restarted is discarded.
+// The ready servers stay sorted, so that an incremental update costs in proportion to its entries.
 func (b *Balancer) handleServerList(e ServerList) {
 	if !e.Operator {
-		b.discoveryHeardAt = b.now
+		b.lastDiscoveryUpdate = b.now
 	}
 	if !e.Full && len(e.Servers) == 0 {
 		b.subscribeFailures = 0
@@ -34,7 +34,7 @@
 				b.removeReady(s)
 			}
 			if s.StartedAt != entry.StartedAt {
-				*s = server{calls: s.calls, openAttempts: s.openAttempts}
+				*s = server{calls: s.calls, waitingAttempts: s.waitingAttempts}
 			}
 		}
 		s.Server = entry
@@ -52,8 +52,8 @@
 	b.moveGroupBorder()
 	after := float64(len(b.ready))
 	if before > 0 && after > 0 {
-		// The lowest mean latency was measured on another list: new servers are cold, others may be slower.
-		b.newShare = min(1, b.newShare+math.Abs(after-before)/max(after, before))
+		// The baseline was measured on another list: new servers are in slow start, others may be slower.
+		b.newServerShare = min(1, b.newServerShare+math.Abs(after-before)/max(after, before))
 	}
 	b.resize(before, after)
 	if e.Cached {
@@ -64,16 +64,16 @@
 	b.drainQueue()
 }
 
-// resize adapts the window and the subset when the number of servers for this copy goes from before to after.
-// The window changes in proportion, because the capacity of one server is the same.
+// resize adapts the window and the subset when the number of servers for this replica changes from before to
+// after. The window changes in proportion, because the capacity of a server stays the same.
 func (b *Balancer) resize(before, after float64) {
 	if before > 0 && after > 0 {
 		b.window *= after / before
 	}
 	if b.window > 0 && b.abandonedShare <= maxAbandonedShare {
-		b.window = max(b.window, b.serverCalls*b.fairServers())
+		b.window = max(b.window, b.callsPerServer*b.fairServers())
 	}
-	b.usableCountedAt = -1
+	b.usableComputedAt = -1
 	b.subset = b.subsetOfReady()
 	b.largestSize, b.meanSize = 1, 1
 	if b.settings.Sizes == SizesNominal || b.settings.Sizes == SizesRough { // otherwise all sizes count as 1
@@ -84,12 +84,12 @@
 		}
 	}
 	if b.window == 0 {
-		b.window = max(windowStart, float64(b.settings.StartCalls)) * b.fairServers()
+		b.window = max(initialCallsPerServer, float64(b.settings.StartCalls)) * b.fairServers()
 	}
 }
 
-// before is the order of the ready servers. It is the same in every copy: it rests on what discovery sends.
-func (b *Balancer) before(x, y *server) bool {
+// sortsBefore is the order of the ready servers. It depends only on the list, so all replicas share it.
+func (b *Balancer) sortsBefore(x, y *server) bool {
 	if b.size(x) != b.size(y) {
 		return b.size(x) > b.size(y) // so that a subset has servers of each size, and ties go to the larger
 	}
@@ -104,7 +104,7 @@
 			b.ready = append(b.ready, s)
 		}
 	}
-	sort.Slice(b.ready, func(i, j int) bool { return b.before(b.ready[i], b.ready[j]) })
+	sort.Slice(b.ready, func(i, j int) bool { return b.sortsBefore(b.ready[i], b.ready[j]) })
 	for i, s := range b.ready {
 		s.inRightGroup = i >= b.groupBorder()
 	}
@@ -115,20 +115,20 @@
 	if !s.listed || s.State != Ready {
 		return
 	}
-	i := sort.Search(len(b.ready), func(i int) bool { return b.before(s, b.ready[i]) })
+	i := sort.Search(len(b.ready), func(i int) bool { return b.sortsBefore(s, b.ready[i]) })
 	s.inRightGroup = i > 0 && b.ready[i-1].inRightGroup // like its neighbour: each group is contiguous
 	b.ready = slices.Insert(b.ready, i, s)
 }
 
 func (b *Balancer) removeReady(s *server) {
 	if s.listed && s.State == Ready {
-		i := sort.Search(len(b.ready), func(i int) bool { return !b.before(b.ready[i], s) })
+		i := sort.Search(len(b.ready), func(i int) bool { return !b.sortsBefore(b.ready[i], s) })
 		b.ready = slices.Delete(b.ready, i, i+1)
 	}
 }
 
 // groupBorder is the index at which the right group begins.
-func (b *Balancer) groupBorder() int { return int(math.Ceil(leftShare * float64(len(b.ready)))) }
+func (b *Balancer) groupBorder() int { return int(math.Ceil(leftGroupShare * float64(len(b.ready)))) }
 
 // moveGroupBorder reassigns servers to groups so that the border between them is at groupBorder again.
 func (b *Balancer) moveGroupBorder() {
@@ -141,18 +141,18 @@
 	}
 }
 
-// scheduleSubscribe schedules a Subscribe, where the list has to be requested. Discovery serves calls one by
-// one and may go on with calls that timed out, so copies that start or lose their subscription together could
-// keep it overloaded. Calls are therefore spread at random over a time in proportion to the number of copies,
-// which doubles with each failure: all copies within AskWithin may be more than discovery can serve. alone
-// says that only this copy failed (a garbled answer), so that there is nobody to spread the calls among.
+// scheduleSubscribe schedules a Subscribe if the list has to be requested. Discovery serves calls one by one,
+// timed-out ones included, so replicas that start or lose their subscriptions together could keep it
+// overloaded. So the calls are spread at random over a time in proportion to the number of replicas. It
+// doubles with each failure, because discovery may not serve all replicas within AskWithin. alone means that
+// only this replica failed (a garbled answer), so its calls need no spreading.
 func (b *Balancer) scheduleSubscribe(alone bool) {
 	if !b.settings.AskDiscovery {
 		return
 	}
-	spread := b.settings.AskWithin / fullSpreadCopies
+	spread := b.settings.AskWithin / fullSpreadReplicas
 	if !alone {
-		spread *= time.Duration(min(fullSpreadCopies, max(1, b.settings.Balancers)))
+		spread *= time.Duration(min(fullSpreadReplicas, max(1, b.settings.Balancers)))
 	}
 	doublings := min(max(0, b.subscribeFailures-1), maxEjectionLevel)
 	wait := min(maxSubscribeBackoff*b.settings.AskWithin, spread<<doublings)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	minSubset    = 4   // least number of servers in a subset
-	subsetFactor = 3.0 // least size of a subset, as a multiple of the copy's fair share of the servers
+	minSubset    = 4   // minimum number of servers in a subset
+	subsetFactor = 3.0 // minimum size of a subset, as a multiple of the replica's fair share of the servers
 )
 
-// subsetOfReady returns the subset of the ready servers that this copy uses. Hundreds of copies that each use the
-// whole list learn too little: their own counts are mostly zero, each meets an unhealthy server once a minute, and
-// their connections exhaust the servers.
+// subsetOfReady returns the subset of the ready servers that this replica prefers. If hundreds of replicas all used the
+// whole list, each would have too few samples: its counts of calls would be mostly zero and it would notice an unhealthy
+// server once a minute. Their connections would also exhaust the servers.
 func (b *Balancer) subsetOfReady() []*server {
 	n := len(b.ready)
 	if b.subsetIDs != nil {
@@ -31,20 +31,20 @@
 		return b.ready
 	}
 	subset := make([]*server, 0, size)
-	for _, i := range Stripes(n, size, b.settings.Balancers, b.settings.Index) {
+	for _, i := range SubsetIndexes(n, size, b.settings.Balancers, b.settings.Index) {
 		subset = append(subset, b.ready[i])
 	}
 	return subset
 }
 
-// handleFleet applies a change of the fleet: the number of copies, this copy's index, and its shares of the limits that
-// all copies have together. What was learned stays.
+// handleFleet applies a change of the number of replicas, of this replica's index, and of its shares of the limits that
+// all replicas have together. The learned state is kept.
 func (b *Balancer) handleFleet(e Fleet) {
 	before := b.fairServers()
 	b.settings.Balancers, b.settings.Index, b.divisor = max(1, e.Balancers), e.Index, e.Divisor
 	b.wholeList = e.Whole
 	if e.ServerCalls > 0 {
-		b.serverCalls = e.ServerCalls
+		b.callsPerServer = e.ServerCalls
 	}
 	if b.subsetIDs = nil; e.Subset != nil {
 		b.subsetIDs = make(map[string]bool, len(e.Subset))
@@ -54,7 +54,7 @@
 	}
 	for name, q := range b.quotas {
 		share := 1 / b.divisor
-		if s, known := e.Quotas[name]; known && s >= 0 && s <= 1 {
+		if s, ok := e.Quotas[name]; ok && s >= 0 && s <= 1 {
 			share = s
 		}
 		q.refill(b.now)
@@ -64,7 +64,7 @@
 	b.drainQueue()
 }
 
-// handlePeerReports excludes servers that peers report. maxExcluded bounds them together with this copy's ejections.
+// handlePeerReports excludes servers that peers report. maxExcluded limits them together with this replica's ejections.
 func (b *Balancer) handlePeerReports(e PeerReports) {
 	for _, exclusion := range e.Exclusions {
 		s := b.servers[exclusion.ID]
@@ -75,21 +75,22 @@
 			s.ejectionLevel, s.successStreak = 1, 0
 		}
 	}
-	b.usableCountedAt = -1
+	b.usableComputedAt = -1
 }
 
-// Stripes returns the indexes of the subset of one of several copies: size of n servers, spread evenly over the
-// shared order, so that each server is in about equally many subsets. size is at most n.
-func Stripes(n, size, copies, index int) []int {
+// SubsetIndexes returns the indexes of the servers in the subset of the replica with this index: size of n servers,
+// spread evenly over the order that all replicas share, so that each server is in about equally many subsets. size is at
+// most n.
+func SubsetIndexes(n, size, replicas, index int) []int {
 	indexes := make([]int, 0, size)
 	step := 1
 	for i := range size {
-		// Each block of the order permutes the copies differently, so that no fixed group of copies shares all
-		// its servers. A step with a common divisor would give some servers more copies than others.
-		turn := (float64(index*step%copies) + 0.5) / float64(copies)
-		for step++; gcd(step, copies) > 1; step++ {
+		// Each block of the order permutes the replicas differently, so that no fixed group of replicas shares all
+		// its servers. A step with a common divisor would give some servers more replicas than others.
+		position := (float64(index*step%replicas) + 0.5) / float64(replicas)
+		for step++; gcd(step, replicas) > 1; step++ {
 		}
-		indexes = append(indexes, int((float64(i)+turn)*float64(n)/float64(size)))
+		indexes = append(indexes, int((float64(i)+position)*float64(n)/float64(size)))
 	}
 	return indexes
 }
--- a/internal/fleet/subset/methods_test.go
+++ b/internal/fleet/subset/methods_test.go
@@ -33,7 +33,7 @@
 
 func stripe(members []uint64, servers []Server) (chosen [][]int) {
 	for i := range members {
-		chosen = append(chosen, balancer.Stripes(len(servers), subsetSize(len(members), len(servers)), len(members), i))
+		chosen = append(chosen, balancer.SubsetIndexes(len(servers), subsetSize(len(members), len(servers)), len(members), i))
 	}
 	return chosen
 }
--- a/internal/trace/records.go
+++ b/internal/trace/records.go
@@ -22,11 +22,11 @@
 
 // Summary is a line of a trace about one interval.
 type Summary struct {
-	AtMS    float64           `json:"at_ms"` // clock time at its end
-	SpanMS  float64           `json:"span_ms"`
-	Counts  Counts            `json:"counts"`
-	Beliefs *balancer.Beliefs `json:"beliefs,omitempty"`
-	Dropped int64             `json:"dropped,omitempty"` // lines that did not fit, since the start
+	AtMS    float64             `json:"at_ms"` // clock time at its end
+	SpanMS  float64             `json:"span_ms"`
+	Counts  Counts              `json:"counts"`
+	Beliefs *balancer.Estimates `json:"beliefs,omitempty"`
+	Dropped int64               `json:"dropped,omitempty"` // lines that did not fit, since the start
 }
 
 // Detail is a line of a trace about one event or action.
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -20,7 +20,7 @@
 
 // Estimator is a decision module that can tell its estimates.
 type Estimator interface {
-	Beliefs(servers int) balancer.Beliefs
+	Estimates(servers int) balancer.Estimates
 }
 
 // Options say what is written.
@@ -111,8 +111,8 @@
 		s.Counts.MeanLatencyMS = milliseconds(m.successTime) / float64(successes)
 	}
 	if estimator, ok := m.next.(Estimator); ok {
-		beliefs := estimator.Beliefs(m.options.MaxServers)
-		s.Beliefs = &beliefs
+		estimates := estimator.Estimates(m.options.MaxServers)
+		s.Beliefs = &estimates
 	}
 	m.sink.enqueue(s)
 	m.lastSummary = now
--- a/internal/zone/module.go
+++ b/internal/zone/module.go
@@ -80,14 +80,14 @@
 // Localities is the state of the pool's localities as of a moment ago. It may be called from any goroutine.
 func (m *Module) Localities() []LocalityStatus { return *m.publishedStatus.Load() }
 
-// Beliefs returns the estimates of the wrapped decision module, for a trace around this one.
-func (m *Module) Beliefs(servers int) balancer.Beliefs {
+// Estimates returns the estimates of the wrapped decision module, for a trace around this one.
+func (m *Module) Estimates(servers int) balancer.Estimates {
 	if estimator, ok := m.next.(interface {
-		Beliefs(int) balancer.Beliefs
+		Estimates(int) balancer.Estimates
 	}); ok {
-		return estimator.Beliefs(servers)
+		return estimator.Estimates(servers)
 	}
-	return balancer.Beliefs{}
+	return balancer.Estimates{}
 }
 
 // Handle passes an event on to the decision module, a request with the localities that it may go to, and returns its actions.
