--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// In overload the window must shrink, but never below its floor.
+// While answers are late the window shrinks, but never below its minimum; while they are quick it grows.
 func TestWindowFollowsLatency(t *testing.T) {
 	for _, tc := range []struct {
 		took time.Duration
@@ -25,21 +25,21 @@
 			}))...)
 			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+tc.took <= now {
 				s := open[0]
-				open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
+				open = append(open[1:], sends(endAttempt(b, now, s.ID, s, Success))...)
 			}
 		}
 		if grew := b.window > start; grew != tc.grow && tc.grow || b.window < minCallsPerServer*b.fairServers() {
-			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.window, start)
+			t.Errorf("answers after %v changed the window from %.1f to %.1f", tc.took, start, b.window)
 		}
 		if !tc.grow && b.window > minCallsPerServer*b.fairServers()+1 {
-			t.Errorf("late answers left the window at %.1f", b.window)
+			t.Errorf("after late answers the window is %.1f, want its minimum", b.window)
 		}
 	}
 }
 
-// Overload is judged against the lowest mean latency: an answer at half the aim is normal if it always took that
-// long, and a sign of overload if it took an eighth before.
-func TestWindowJudgesLatencyByQuietTimes(t *testing.T) {
+// Overload is measured relative to the lowest mean latency: latencies of half the aim are normal if they were never
+// lower, and a sign of overload if they were an eighth of the aim before.
+func TestWindowComparesLatencyWithBaseline(t *testing.T) {
 	window := func(before, after time.Duration) float64 {
 		b := newBalancer(t, nil)
 		b.Handle(msec, ServerList{Full: true, Servers: servers(4)})
@@ -56,14 +56,14 @@
 		}
 		return b.window
 	}
-	if slow, crowded := window(250*msec, 250*msec), window(60*msec, 250*msec); slow <= 40 || crowded >= 40 {
-		t.Errorf("window from 40: slow work %.1f, want growth; crowded %.1f, want shrinking", slow, crowded)
+	if slow, overloaded := window(250*msec, 250*msec), window(60*msec, 250*msec); slow <= 40 || overloaded >= 40 {
+		t.Errorf("window of 40 changed to %.1f by slow work, want growth; to %.1f by overload, want shrinking", slow, overloaded)
 	}
 }
 
-// Servers that are far slower than others are overloaded, so the window gets smaller while much is shed. Equal
-// servers are merely busy, and a smaller window would leave them partly idle.
-func TestWindowIsLeanerWhenServersDiffer(t *testing.T) {
+// If some servers are far slower than others they are overloaded, so the window shrinks while much is shed. Servers that
+// are equally slow are merely busy, and a smaller window would leave them partly idle.
+func TestWindowShrinksWhenServersDifferUnderShedding(t *testing.T) {
 	window := func(spread float64) float64 {
 		b := newBalancer(t, nil)
 		b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
@@ -76,12 +76,13 @@
 			}
 			b.now, b.inFlight = 200*msec, int(b.window)
 			if b.adjustWindow(r, Outcome{Ending: Success}); b.meanLatencyRatio < 0.39 {
-				t.Fatalf("fill fell to %.2f at answer %d", b.meanLatencyRatio, i)
+				t.Fatalf("the mean latency ratio fell to %.2f at answer %d", b.meanLatencyRatio, i)
 			}
 		}
 		return b.window
 	}
-	if alike, apart := window(0), window(1); alike <= 100 || apart >= 100 {
-		t.Errorf("window from 100: alike %.1f, want growth; apart %.1f, want shrinking", alike, apart)
+	if equal, unequal := window(0), window(1); equal <= 100 || unequal >= 100 {
+		t.Errorf("window of 100 changed to %.1f with equal servers, want growth; to %.1f with unequal ones, want shrinking",
+			equal, unequal)
 	}
 }
--- a/balancer/checker_test.go
+++ b/balancer/checker_test.go
@@ -8,48 +8,52 @@
 )
 
 // checker observes the events passed to one Balancer and its actions, and records every violation of a rule. It
-// shares no code with the module.
+// shares no code with the Balancer. Rule 1: a request gets exactly one final answer, in time. Rule 2: a request that may
+// have run is retried, or its client told to retry, only if its class allows it. Rule 3: only ready servers get attempts.
 type checker struct {
-	set    Settings
-	slack  time.Duration
-	state  map[string]ServerState
-	cells  map[string]int
-	zones  map[string]string
-	reqs   map[string]*tracked
-	broken []string
+	settings   Settings
+	slack      time.Duration
+	state      map[string]ServerState
+	cells      map[string]int
+	zones      map[string]string
+	requests   map[string]*trackedRequest
+	violations []string
 }
 
-type tracked struct {
+// trackedRequest is a request that the checker has seen.
+type trackedRequest struct {
 	class    Class
 	deadline time.Duration
 	ended    bool
-	tries    []*tracking
+	attempts []*trackedAttempt
 }
 
-type tracking struct {
-	server string
-	at     time.Duration
-	over   bool
-	ending Ending
+// trackedAttempt is an attempt of a trackedRequest.
+type trackedAttempt struct {
+	server   string
+	sentAt   time.Duration
+	hasEnded bool
+	ending   Ending
 }
 
-func newChecker(set Settings) *checker {
+func newChecker(settings Settings) *checker {
 	return &checker{
-		set:   set,
-		slack: 20 * msec,
-		state: map[string]ServerState{},
-		cells: map[string]int{},
-		zones: map[string]string{},
-		reqs:  map[string]*tracked{},
+		settings: settings,
+		slack:    20 * msec,
+		state:    map[string]ServerState{},
+		cells:    map[string]int{},
+		zones:    map[string]string{},
+		requests: map[string]*trackedRequest{},
 	}
 }
 
-func (c *checker) fault(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+// violation records a violation.
+func (c *checker) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-func (t *tracking) mayHaveRun() bool {
-	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != NeverSent)
+func (t *trackedAttempt) mayHaveRun() bool {
+	return !t.hasEnded || (t.ending != Overloaded && t.ending != Unreachable && t.ending != NeverSent)
 }
 
 func (c *checker) event(now time.Duration, e Event) {
@@ -64,67 +68,67 @@
 			c.state[s.ID], c.cells[s.ID], c.zones[s.ID] = s.State, s.Cell, s.Zone
 		}
 	case Request:
-		if c.reqs[e.ID] == nil {
+		if c.requests[e.ID] == nil {
 			cl := Class{Effect: NonIdempotent}
-			for _, k := range c.set.Classes {
+			for _, k := range c.settings.Classes {
 				if k.Name == e.Class {
 					cl = k
 				}
 			}
-			c.reqs[e.ID] = &tracked{class: cl, deadline: e.Deadline}
+			c.requests[e.ID] = &trackedRequest{class: cl, deadline: e.Deadline}
 		}
 	case Outcome:
-		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.tries) {
-			t := r.tries[e.Attempt]
-			if !t.over {
-				t.over, t.ending = true, e.Ending
+		if r := c.requests[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
+			t := r.attempts[e.Attempt]
+			if !t.hasEnded {
+				t.hasEnded, t.ending = true, e.Ending
 				r.ended = r.ended || e.Ended
 			}
 		}
 	case ClientGone:
-		if r := c.reqs[e.ID]; r != nil {
+		if r := c.requests[e.ID]; r != nil {
 			r.ended = true
 		}
 	}
-	for id, r := range c.reqs {
+	for id, r := range c.requests {
 		if !r.ended && now > r.deadline+c.slack {
-			c.fault("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
+			c.violation("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
 			r.ended = true
 		}
 	}
 }
 
-func (c *checker) actions(now time.Duration, acts []Action) {
-	for _, a := range acts {
+func (c *checker) actions(now time.Duration, actions []Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			c.send(now, a)
 		case Reject:
 			if r := c.final(a.ID); r != nil {
-				for _, t := range r.tries {
-					loose := r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll
-					if t.mayHaveRun() && !loose {
-						c.fault("rule 2: %s refused though it may have run", a.ID)
+				for _, t := range r.attempts {
+					retryIsSafe := r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll
+					if t.mayHaveRun() && !retryIsSafe {
+						c.violation("rule 2: %s was rejected although it may have run", a.ID)
 					}
 				}
 			}
 		case Fail:
 			c.final(a.ID)
 		case Cancel:
-			if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.tries) {
-				c.fault("cancel of an attempt never made")
+			if r := c.requests[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
+				c.violation("cancel of an attempt that was never sent")
 			}
-			if !c.set.MayCancel {
-				c.fault("cancel is not allowed")
+			if !c.settings.MayCancel {
+				c.violation("cancel although the settings do not allow it")
 			}
 		}
 	}
 }
 
-func (c *checker) final(id string) *tracked {
-	r := c.reqs[id]
+func (c *checker) final(id string) *trackedRequest {
+	r := c.requests[id]
 	if r == nil || r.ended {
-		c.fault("rule 1: final answer for %s, which is over or unknown", id)
+		c.violation("rule 1: final answer for %s, which has ended or is unknown", id)
 		return nil
 	}
 	r.ended = true
@@ -132,48 +136,48 @@
 }
 
 func (c *checker) send(now time.Duration, a Send) {
-	r := c.reqs[a.ID]
+	r := c.requests[a.ID]
 	if r == nil || r.ended {
-		c.fault("rule 1: sent %s, which is over or unknown", a.ID)
+		c.violation("rule 1: sent %s, which has ended or is unknown", a.ID)
 		return
 	}
-	state, known := c.state[a.Server]
-	if !known || state != Ready {
-		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Server)
+	state, ok := c.state[a.Server]
+	if !ok || state != Ready {
+		c.violation("rule 3: sent to %s, which is draining, gone or unknown", a.Server)
 	}
-	if len(r.tries) >= c.set.MaxAttempts {
-		c.fault("more than %d attempts", c.set.MaxAttempts)
+	if len(r.attempts) >= c.settings.MaxAttempts {
+		c.violation("more than %d attempts", c.settings.MaxAttempts)
 	}
-	for _, t := range r.tries {
-		if !t.over && !c.set.SecondCopies {
-			c.fault("second copy of %s", a.ID)
+	for _, t := range r.attempts {
+		if !t.hasEnded && !c.settings.SecondCopies {
+			c.violation("second copy of %s", a.ID)
 		}
 		if !t.mayHaveRun() {
 			continue
 		}
 		switch r.class.Effect {
 		case NonIdempotent:
-			c.fault("rule 2: unsafe %s sent again", a.ID)
+			c.violation("rule 2: non-idempotent %s was retried", a.ID)
 		case IdempotentByKey:
-			if now > t.at+r.class.Window {
-				c.fault("rule 2: %s sent again outside its window", a.ID)
+			if now > t.sentAt+r.class.Window {
+				c.violation("rule 2: %s was retried after its window", a.ID)
 			}
 			if r.class.Scope != ScopeAll && c.zones[t.server] != c.zones[a.Server] ||
 				r.class.Scope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
-				c.fault("rule 2: %s sent again outside its scope", a.ID)
+				c.violation("rule 2: %s was retried outside its scope", a.ID)
 			}
 		case Idempotent: // may run any number of times
 		}
 	}
-	r.tries = append(r.tries, &tracking{server: a.Server, at: now})
+	r.attempts = append(r.attempts, &trackedAttempt{server: a.Server, sentAt: now})
 }
 
-// TestCheckerCanFail passes to the checker, for each rule, a trace that violates it.
-func TestCheckerCanFail(t *testing.T) {
+// For each rule the checker reports a sequence of events and actions that violates it.
+func TestCheckerDetectsViolations(t *testing.T) {
 	list := ServerList{Full: true, Servers: []Server{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
 	timedOut := Outcome{ID: "r", Attempt: 0, Ending: TimedOut}
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		want  string
 		steps []any
 	}{
@@ -186,19 +190,19 @@
 			steps: []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}},
 		},
 		{
-			want:  "rule 1: sent r, which is over",
+			want:  "rule 1: sent r, which has ended",
 			steps: []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}},
 		},
 		{
-			want:  "rule 2: unsafe",
+			want:  "rule 2: non-idempotent",
 			steps: []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}},
 		},
 		{
-			want:  "rule 2: r refused",
+			want:  "rule 2: r was rejected",
 			steps: []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Reject{ID: "r"}},
 		},
 		{
-			want: "outside its window",
+			want: "after its window",
 			steps: []any{
 				list, req("post"),
 				Send{ID: "r", Server: "a"},
@@ -215,13 +219,13 @@
 			steps: []any{list, req("get"), Send{ID: "r", Server: "c"}},
 		},
 		{
-			want:  "never made",
+			want:  "never sent",
 			steps: []any{list, req("get"), Cancel{ID: "r", Attempt: 0}},
 		},
 	} {
 		c := newChecker(testSettings())
 		var now time.Duration
-		for _, s := range tc.steps {
+		for _, s := range test.steps {
 			switch s := s.(type) {
 			case time.Duration:
 				now = s
@@ -231,8 +235,8 @@
 				c.actions(now, []Action{s})
 			}
 		}
-		if !strings.Contains(strings.Join(c.broken, "\n"), tc.want) {
-			t.Errorf("want %q among %q", tc.want, c.broken)
+		if !strings.Contains(strings.Join(c.violations, "\n"), test.want) {
+			t.Errorf("got violations %q, want one with %q", c.violations, test.want)
 		}
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -34,23 +34,23 @@
 	b.Handle(0, balancer.ServerList{Full: true, Servers: []balancer.Server{{ID: "a:80"}, {ID: "b:80"}}})
 
 	now := 5 * time.Millisecond
-	acts := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
-	first := acts[0].(balancer.Send)
+	actions := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
+	first := actions[0].(balancer.Send)
 	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
 
 	now += 3 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{
+	actions = b.Handle(now, balancer.Outcome{
 		ID:      "r1",
 		Attempt: 0,
 		Server:  first.Server,
 		Ending:  balancer.Unreachable,
 		Latency: 3 * time.Millisecond,
 	})
-	second := acts[0].(balancer.Send)
+	second := actions[0].(balancer.Send)
 	fmt.Println("sent again to another server:", second.Server != first.Server)
 
 	now += 20 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{
+	actions = b.Handle(now, balancer.Outcome{
 		ID:      "r1",
 		Attempt: 1,
 		Server:  second.Server,
@@ -58,7 +58,7 @@
 		Latency: 20 * time.Millisecond,
 		Ended:   true,
 	})
-	fmt.Println("left to do:", len(acts))
+	fmt.Println("left to do:", len(actions))
 	// Output:
 	// sent r1 with a time-out of 1s
 	// sent again to another server: true
--- a/balancer/export_test.go
+++ b/balancer/export_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Disturb gives a Balancer estimates that some course of events could have led to, each wrong by up to a factor
-// of ten.
-func (b *Balancer) Disturb(r *rand.Rand) {
-	wrong := func() float64 { return math.Pow(10, 2*r.Float64()-1) }
-	b.window = max(b.window*wrong(), b.callsPerServer*b.fairServers())
-	b.meanLatencyRatio = min(1, b.meanLatencyRatio*wrong())
-	b.baselineLogRatio = min(b.meanLatencyRatio, b.baselineLogRatio*wrong())
+// PerturbEstimates replaces the estimates of a Balancer by random ones that some sequence of events could lead to, each
+// wrong by up to a factor of ten.
+func (b *Balancer) PerturbEstimates(r *rand.Rand) {
+	factor := func() float64 { return math.Pow(10, 2*r.Float64()-1) }
+	b.window = max(b.window*factor(), b.callsPerServer*b.fairServers())
+	b.meanLatencyRatio = min(1, b.meanLatencyRatio*factor())
+	b.baselineLogRatio = min(b.meanLatencyRatio, b.baselineLogRatio*factor())
 	b.shedShare = r.Float64()
 	b.errorShare = 0.01 + 0.5*r.Float64()
 	b.retryTokens = r.Float64() * maxRetryTokens
 	b.pacingDebt = r.Float64() * float64(time.Second)
 	b.pacingDebtAt = b.now
 	for _, c := range b.classList {
-		c.mean, c.deviation = c.mean*wrong(), c.deviation*wrong()
+		c.mean, c.deviation = c.mean*factor(), c.deviation*factor()
 		c.arrived, c.served = 100*r.Float64(), 10*r.Float64()
 	}
 	for _, s := range b.ready {
--- a/balancer/first_test.go
+++ b/balancer/first_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Preadmitted classes are not queued when others fill the window, because admitted work may wait for them; their own calls
-// are bounded nevertheless. Classes that are added later behave like those of the settings.
-func TestFirst(t *testing.T) {
+// Preadmitted classes are not queued when other classes fill the window, because admitted work may wait for them, but the
+// number of their calls is limited, too. Classes that are added later behave like those of the settings.
+func TestPreadmittedClassIsNotQueued(t *testing.T) {
 	low := Class{
 		Name:     "low",
 		Effect:   Idempotent,
@@ -31,7 +31,7 @@
 				Class:    class,
 				Deadline: time.Second,
 			}) {
-				if _, is := a.(Send); is {
+				if _, ok := a.(Send); ok {
 					sends++
 				}
 			}
@@ -40,13 +40,13 @@
 	}
 	lows := sent("low", 100)
 	if lows == 0 || lows == 100 {
-		t.Fatalf("%d of 100 were sent: the window does not bound them", lows)
+		t.Fatalf("%d of 100 requests were sent, want some but not all", lows)
 	}
 	highs := sent("high", 100)
 	if highs == 0 || lows+highs > int(preadmittedFactor*b.usableWindow())+1 {
-		t.Errorf("%d of the higher rank were sent beside %d, for a window of %.0f", highs, lows, b.usableWindow())
+		t.Errorf("%d preadmitted and %d other requests were sent with a window of %.0f", highs, lows, b.usableWindow())
 	}
 	if len(b.classList) != 3 || b.classList[2].Name != "" {
-		t.Error("the unknown class is not the last")
+		t.Error("the class for unknown names is not the last one")
 	}
 }
--- a/balancer/fuzz_test.go
+++ b/balancer/fuzz_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// FuzzHandle checks that no sequence of events makes Handle panic.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
 	f.Add([]byte{1, 1, 1, 0, 2, 2, 2, 250, 3, 17, 5, 5})
@@ -15,13 +16,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, fleet := time.Duration(0), servers(4)
+		now, list := time.Duration(0), servers(4)
 		for i, x := range data {
 			id := fmt.Sprint("r", x%5)
 			switch x % 7 {
 			case 0:
-				fleet[int(x/7)%4].State = ServerState(x % 3)
-				b.Handle(now, ServerList{Full: x%2 == 0, Servers: fleet[:int(x)%5]})
+				list[int(x/7)%4].State = ServerState(x % 3)
+				b.Handle(now, ServerList{Full: x%2 == 0, Servers: list[:int(x)%5]})
 			case 1, 2:
 				b.Handle(now, Request{
 					ID:       id,
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-var updateGolden = flag.Bool("update", false, "write testdata/golden.json anew")
+var updateGolden = flag.Bool("update", false, "rewrite testdata/golden.json")
 
 const (
 	goldenFile   = "testdata/golden.json"
@@ -22,7 +22,7 @@
 )
 
 // goldenRun passes random events to one balancer and hashes its actions. Only values are hashed, so that renames in
-// the code do not change the record.
+// the code do not change the golden file.
 type goldenRun struct {
 	b       *Balancer
 	random  *rand.Rand
@@ -31,10 +31,10 @@
 	next    int
 	pending []goldenAttempt
 	wakes   []Wake
-	counts  [6]int // actions by kind, so that a run that does nothing shows
+	counts  [6]int // number of actions by kind, to detect runs that exercise nothing
 }
 
-// goldenAttempt is a Send without an Outcome yet.
+// goldenAttempt is an attempt without an Outcome so far.
 type goldenAttempt struct {
 	id, server string
 	number     int
@@ -128,7 +128,7 @@
 
 func (g *goldenRun) server() string { return fmt.Sprintf("s-%02d", g.random.IntN(24)) }
 
-// timers passes the Timers that are due.
+// timers passes the Timer events that are due.
 func (g *goldenRun) timers() {
 	left := g.wakes[:0:0]
 	due := g.wakes
@@ -217,8 +217,8 @@
 	g.handle(e)
 }
 
-// The decisions of a balancer are exactly the recorded ones: the actions, their order and the server of each draw.
-func TestDecisionsAreThoseOfTheRecord(t *testing.T) {
+// The decisions match the golden file exactly: the actions, their order and the selected servers.
+func TestDecisionsMatchGoldenFile(t *testing.T) {
 	got := map[string]string{}
 	var counts [6]int
 	for seed := range uint64(goldenSeeds) {
@@ -234,7 +234,7 @@
 	}
 	for kind, n := range counts {
 		if n < goldenSeeds {
-			t.Errorf("kind %d of actions came %d times in all runs, too few to show anything", kind, n)
+			t.Errorf("only %d actions of kind %d in all runs, want at least %d", n, kind, goldenSeeds)
 		}
 	}
 	if *updateGolden {
@@ -255,11 +255,11 @@
 		t.Fatal(err)
 	}
 	if len(want) != goldenSeeds {
-		t.Fatalf("the record has %d seeds, not %d", len(want), goldenSeeds)
+		t.Fatalf("the golden file has %d seeds, want %d", len(want), goldenSeeds)
 	}
 	for seed, h := range want {
 		if got[seed] != h {
-			t.Errorf("seed %s: %s, in the record %s", seed, got[seed], h)
+			t.Errorf("seed %s: hash %s, want %s", seed, got[seed], h)
 		}
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -54,6 +54,7 @@
 	}
 }
 
+// newBalancer returns a Balancer with testSettings after change, which may be nil.
 func newBalancer(t testing.TB, change func(*Settings)) *Balancer {
 	t.Helper()
 	s := testSettings()
@@ -67,6 +68,7 @@
 	return b
 }
 
+// servers returns n ready servers in two cells of one zone.
 func servers(n int) []Server {
 	var l []Server
 	for i := range n {
@@ -75,10 +77,10 @@
 	return l
 }
 
-// sends returns the Send actions among acts.
-func sends(acts []Action) []Send {
+// sends returns the Send actions among actions.
+func sends(actions []Action) []Send {
 	var l []Send
-	for _, a := range acts {
+	for _, a := range actions {
 		if s, ok := a.(Send); ok {
 			l = append(l, s)
 		}
@@ -86,37 +88,37 @@
 	return l
 }
 
-// settle answers the single attempt of a request.
-func settle(b *Balancer, now time.Duration, id string, s Send, e Ending) []Action {
+// endAttempt reports the outcome of the first attempt of a request.
+func endAttempt(b *Balancer, now time.Duration, id string, s Send, e Ending) []Action {
 	return b.Handle(now, Outcome{ID: id, Server: s.Server, Ending: e, Ended: e == Success})
 }
 
-// traffic sends n requests one after another; fate decides how attempts at a server end. It returns how many
-// first attempts each server got in the second half.
-func traffic(b *Balancer, n int, class string, fate func(server string) Ending) map[string]int {
-	got := map[string]int{}
+// sendTraffic sends n requests one after another; endingOf decides how attempts at a server end. It returns the number
+// of first attempts that each server got during the second half.
+func sendTraffic(b *Balancer, n int, class string, endingOf func(server string) Ending) map[string]int {
+	firstAttempts := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*msec
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second})) {
 			if i >= n/2 {
-				got[s.Server]++
+				firstAttempts[s.Server]++
 			}
 			for k := 0; k < 5; k++ {
-				e := fate(s.Server)
+				e := endingOf(s.Server)
 				now += 10 * msec
-				again := sends(b.Handle(now, Outcome{
+				retries := sends(b.Handle(now, Outcome{
 					ID:      id,
 					Attempt: k,
 					Server:  s.Server,
 					Ending:  e,
 					Ended:   e == Success,
 				}))
-				if len(again) == 0 {
+				if len(retries) == 0 {
 					break
 				}
-				s = again[0]
+				s = retries[0]
 			}
 		}
 	}
-	return got
+	return firstAttempts
 }
--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// A Balancer that learned from another one has the same estimates.
-func TestLearn(t *testing.T) {
+// After Learn a Balancer has the estimates of the one whose Knowledge it got.
+func TestLearnRestoresEstimates(t *testing.T) {
 	list := ServerList{Full: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c", StartedAt: 5}}}
 	set := Settings{
 		Classes: []Class{{
@@ -33,7 +33,7 @@
 	for i := range 200 {
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		for _, a := range old.Handle(now, Request{ID: id, Class: "x", Deadline: now + 3*time.Second}) {
-			if s, is := a.(Send); is {
+			if s, ok := a.(Send); ok {
 				took := 30 * time.Millisecond
 				ending := Success
 				if s.Server == "b" {
@@ -59,26 +59,26 @@
 		t.Fatal(err)
 	}
 	next, _ := New(set, 2)
-	list.Servers[2].StartedAt = 6 // it started anew
+	list.Servers[2].StartedAt = 6 // this server has been restarted
 	next.Handle(now, list)
 	next.Learn(&k)
 	x, y := old.Estimates(10), next.Estimates(10)
 	if x.Window != y.Window || x.LatencyRatio != y.LatencyRatio || x.ErrorShare != y.ErrorShare || !reflect.DeepEqual(x.Classes, y.Classes) {
-		t.Errorf("%+v\n%+v", x, y)
+		t.Errorf("estimates:\n%+v\nafter Learn:\n%+v", x, y)
 	}
-	for i := range x.Servers { // calls stay with whoever sent them
+	for i := range x.Servers { // calls are not transferred
 		x.Servers[i].Calls, x.Servers[i].OldestMS = 0, 0
 	}
 	if !reflect.DeepEqual(x.Servers[:2], y.Servers[:2]) {
-		t.Errorf("servers:\n%+v\n%+v", x.Servers, y.Servers)
+		t.Errorf("servers:\n%+v\nafter Learn:\n%+v", x.Servers, y.Servers)
 	}
 	if y.Servers[2].Slowness != 0 {
-		t.Error("a server that started anew is taken for the one before")
+		t.Error("a restarted server got the learned state of its former process")
 	}
 }
 
-// Whatever Knowledge has, a Balancer keeps its estimates in range and goes on serving.
-func TestLearnProperty(t *testing.T) {
+// Whatever values Knowledge has, the estimates stay in range and the Balancer handles requests.
+func TestLearnKeepsEstimatesInRange(t *testing.T) {
 	set := Settings{
 		Classes: []Class{{
 			Name:     "x",
@@ -150,7 +150,7 @@
 			now += 100 * time.Millisecond
 			id := strings.Repeat("r", i+1)
 			actions := b.Handle(now, Request{ID: id, Class: "x", Deadline: now + 3*time.Second})
-			if !slices.ContainsFunc(actions, func(a Action) bool { _, is := a.(Send); return is }) {
+			if !slices.ContainsFunc(actions, func(a Action) bool { _, ok := a.(Send); return ok }) {
 				continue
 			}
 			b.Handle(now+10*time.Millisecond, Outcome{
--- a/balancer/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -11,29 +11,29 @@
 	"cranegrade/internal/emulator"
 )
 
-// play runs a scenario at 0.9 of the capacity. disturb gives every node wrong estimates when the trigger begins;
-// calm runs it without the trigger.
-func play(t testing.TB, name string, seed uint64, servers int, disturb, calm bool) (emulator.Scenario, *emulator.World) {
+// runScenario runs an emulator scenario at 0.9 of the capacity. With perturb every Balancer gets wrong estimates when the
+// trigger of the overload begins; with calm there is no trigger.
+func runScenario(t testing.TB, name string, seed uint64, servers int, perturb, calm bool) (emulator.Scenario, *emulator.World) {
 	t.Helper()
 	s, err := emulator.NewScenario(name, seed, servers, 0.9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Config.Duration = s.TriggerEnd + recoversWithin*s.ServiceTime + 15*time.Second
+	s.Config.Duration = s.TriggerEnd + recoveryServiceTimes*s.ServiceTime + 15*time.Second
 	r := rand.New(rand.NewPCG(seed, 0xd15))
-	var all []*balancer.Balancer
+	var balancers []*balancer.Balancer
 	s.Config.NewModule = func(tier, index int, settings balancer.Settings) emulator.DecisionModule {
 		b, err := balancer.New(settings, seed+uint64(tier*100+index))
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, b)
+		balancers = append(balancers, b)
 		return b
 	}
-	if disturb {
+	if perturb {
 		s.Config.Changes = append(s.Config.Changes, emulator.Change{At: s.TriggerStart, Do: func(*emulator.World) {
-			for _, b := range all {
-				b.Disturb(r)
+			for _, b := range balancers {
+				b.PerturbEstimates(r)
 			}
 		}})
 	}
@@ -51,41 +51,41 @@
 	return s, w
 }
 
-// recoversWithin is how many mean service times an overload may last after its trigger. The offered load is 0.9 of
-// the capacity, so a queue of Q service times takes ten Q to drain; callers give up after 25 to 30 of them.
-const recoversWithin = 200
+// recoveryServiceTimes is the number of mean service times that an overload may last after its trigger. The offered load
+// is 0.9 of the capacity, so a queue of Q service times takes 10*Q to drain; callers give up after 25 to 30 service times.
+const recoveryServiceTimes = 200
 
-// TestRecovers holds that no overload outlives its trigger: recoversWithin service times after it, at 0.9 of
-// the capacity, goodput is at least 0.95 of what it is without any trigger, over all runs of a scenario, and in
-// none under 0.8: fifteen seconds near the capacity differ by so much from seed to seed. Every node's estimates
-// are wrong by up to a factor of ten as the trigger begins. RECOVERY_SEEDS asks for more runs.
-func TestRecovers(t *testing.T) {
+// No overload outlasts its trigger: recoveryServiceTimes after it, at 0.9 of the capacity, the goodput over all runs of a
+// scenario is at least 0.95 of that without a trigger, and at least 0.8 in each run, because goodput over fifteen seconds
+// near the capacity varies that much between seeds. When the trigger begins, the estimates of every Balancer are wrong by
+// up to a factor of ten. The environment variable RECOVERY_SEEDS sets the number of runs.
+func TestOverloadEndsAfterItsTrigger(t *testing.T) {
 	seeds := uint64(3)
 	if n, err := strconv.ParseUint(os.Getenv("RECOVERY_SEEDS"), 10, 16); err == nil && n > 0 {
 		seeds = n
 	}
 	for _, shape := range []string{"spike", "choke", "cliff", "proportional"} {
 		t.Run(shape, func(t *testing.T) {
-			var all, want float64
+			var total, calmTotal float64
 			for seed := range seeds {
-				s, w := play(t, shape, seed, 8, true, false)
-				_, calm := play(t, shape, seed, 8, false, true)
-				from := s.TriggerEnd + recoversWithin*s.ServiceTime
-				got, most := w.Goodput(from, s.Config.Duration), calm.Goodput(from, s.Config.Duration)
-				if got < 0.8*most {
-					t.Errorf("seed %d: goodput %.3f from %v on, %.3f without the trigger", seed, got, from, most)
+				s, w := runScenario(t, shape, seed, 8, true, false)
+				_, calm := runScenario(t, shape, seed, 8, false, true)
+				from := s.TriggerEnd + recoveryServiceTimes*s.ServiceTime
+				got, calmGoodput := w.Goodput(from, s.Config.Duration), calm.Goodput(from, s.Config.Duration)
+				if got < 0.8*calmGoodput {
+					t.Errorf("seed %d: goodput %.3f from %v on, %.3f without the trigger", seed, got, from, calmGoodput)
 				}
-				all, want = all+got, want+most
+				total, calmTotal = total+got, calmTotal+calmGoodput
 			}
-			if all < 0.95*want {
-				t.Errorf("goodput %.3f of what it is without the trigger, want 0.95", all/want)
+			if total < 0.95*calmTotal {
+				t.Errorf("goodput is %.3f of that without the trigger, want at least 0.95", total/calmTotal)
 			}
 		})
 	}
 }
 
-// The drawn states are no harmless ones: without the module's admission goodput does not come back.
-func TestReferenceDoesNotRecover(t *testing.T) {
+// The scenarios are severe enough to test recovery: without admission control the goodput does not recover.
+func TestOverloadLastsWithoutAdmission(t *testing.T) {
 	s, err := emulator.NewScenario("cliff", 1, 8, 0.9)
 	if err != nil {
 		t.Fatal(err)
@@ -95,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := w.Goodput(s.TriggerEnd+recoversWithin*s.ServiceTime, s.Config.Duration); got > 0.5 {
-		t.Errorf("goodput %.3f with no admission at all: the scenario is no trap", got)
+	if got := w.Goodput(s.TriggerEnd+recoveryServiceTimes*s.ServiceTime, s.Config.Duration); got > 0.5 {
+		t.Errorf("goodput %.3f without admission control: the scenario causes no lasting overload", got)
 	}
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -7,7 +7,7 @@
 )
 
 // pickLessLoaded is the power of two choices over two fixed groups: of one random server from each it returns
-// the one with fewer calls. Ties go to the left group (Vöcking's "always go left"); if both have no calls, to
+// the one with fewer calls. Ties go to the left group (Vöcking's "always go left"); if neither has calls, to
 // a random group in proportion to its size. If a group is empty, the server is from the other one.
 func (b *Balancer) pickLessLoaded(left, right []*server) *server {
 	if len(left) == 0 || len(right) == 0 {
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-func TestPickFollowsTheDesign(t *testing.T) {
-	mk := func(calls ...int) []*server {
+// pickLessLoaded prefers fewer calls, resolves ties as documented, and draws uniformly within a group.
+func TestPickLessLoaded(t *testing.T) {
+	group := func(calls ...int) []*server {
 		var l []*server
 		for i, c := range calls {
 			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, calls: c})
@@ -34,35 +35,35 @@
 		left, right []*server
 		want        float64
 	}{
-		{"fewer left", mk(1), mk(2), 1},
-		{"fewer right", mk(2), mk(1), 0},
-		{"zero beats one", mk(1), mk(0), 0},
-		{"zero left beats one", mk(0), mk(1), 1},
-		{"nonzero tie goes left", mk(3), mk(3), 1},
-		{"zero tie by shares", mk(0, 0, 0), mk(0), 0.75},
-		{"left empty", nil, mk(1), 0},
-		{"right empty", mk(5), nil, 1},
+		{"fewer left", group(1), group(2), 1},
+		{"fewer right", group(2), group(1), 0},
+		{"zero beats one", group(1), group(0), 0},
+		{"zero left beats one", group(0), group(1), 1},
+		{"nonzero tie goes left", group(3), group(3), 1},
+		{"zero tie by group sizes", group(0, 0, 0), group(0), 0.75},
+		{"left empty", nil, group(1), 0},
+		{"right empty", group(5), nil, 1},
 	} {
 		if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
 			t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
 		}
 	}
 	if b.pickLessLoaded(nil, nil) != nil {
-		t.Error("picked from nothing")
+		t.Error("got a server from empty groups")
 	}
-	left, count := mk(0, 0, 0, 0), map[*server]int{}
+	left, count := group(0, 0, 0, 0), map[*server]int{}
 	for range n {
 		count[b.pickLessLoaded(left, nil)]++
 	}
 	for _, s := range left {
 		if got := float64(count[s]) / n; math.Abs(got-0.25) > 0.02 {
-			t.Errorf("uniform draw gave a server %.3f", got)
+			t.Errorf("a server of four got a share of %.3f of uniform draws", got)
 		}
 	}
 }
 
-// Servers are drawn in proportion to their sizes if the list has capacities, and uniformly if it has none, or has
-// outdated loads.
+// Servers are drawn in proportion to their sizes if these are capacities, and uniformly if they mean nothing or depend on
+// an outdated load.
 func TestDrawsFollowRegisteredSizes(t *testing.T) {
 	for kind, want := range map[Sizes]float64{SizesNominal: 3, SizesRough: 3, SizesUnknown: 1, SizesLive: 1} {
 		b := newBalancer(t, func(s *Settings) { s.Sizes = kind })
@@ -71,7 +72,7 @@
 			list[i].Size = []float64{1, 3}[i%2]
 		}
 		b.Handle(0, ServerList{Full: true, Servers: list})
-		got, large, small := traffic(b, 8000, "get", func(string) Ending { return Success }), 0, 0
+		got, large, small := sendTraffic(b, 8000, "get", func(string) Ending { return Success }), 0, 0
 		for i, s := range list {
 			if i%2 == 1 {
 				large += got[s.ID]
@@ -80,22 +81,22 @@
 			}
 		}
 		if ratio := float64(large) / float64(small); ratio < 0.75*want || ratio > 1.25*want {
-			t.Errorf("sizes %d: large to small %.2f, want %.0f", kind, ratio, want)
+			t.Errorf("Sizes %d: ratio of attempts at large to small servers %.2f, want %.0f", kind, ratio, want)
 		}
 	}
 }
 
-// A server that is half as fast as its peers is drawn less often, but not ejected. One that got expensive requests,
-// according to their hints, does not count as slow.
+// A server that is half as fast as its peers is drawn less often, but not ejected. A server that was slow only with
+// requests that are expensive according to their cost hints does not count as slow.
 func TestDrawsFollowMeasuredSpeed(t *testing.T) {
-	for _, heavy := range []time.Duration{0, 16} {
+	for _, costFactor := range []time.Duration{0, 16} {
 		b := newBalancer(t, nil)
 		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
 		got, n, now := 0, 0, time.Duration(0)
 		for i := range 4000 {
 			id, cost := fmt.Sprint(i), 10*msec
-			if heavy > 0 && i%40 < 4 {
-				cost *= heavy
+			if costFactor > 0 && i%40 < 4 {
+				cost *= costFactor
 			}
 			now += time.Second
 			for _, s := range sends(b.Handle(now, Request{
@@ -105,24 +106,24 @@
 				Cost:     cost,
 			})) {
 				took := 100 * msec
-				if s.Server == "s03" && (heavy == 0 || cost > 10*msec) {
+				if s.Server == "s03" && (costFactor == 0 || cost > 10*msec) {
 					took *= 2
 				}
 				if n++; s.Server == "s03" {
 					got++
 				}
-				settle(b, now+took, id, s, Success)
+				endAttempt(b, now+took, id, s, Success)
 			}
 		}
 		share := float64(got) / float64(n)
-		if heavy == 0 && (share > 0.14 || share < 0.03) || heavy > 0 && share < 0.2 {
-			t.Errorf("heavy %d: the server got %.3f of the draws", heavy, share)
+		if costFactor == 0 && (share > 0.14 || share < 0.03) || costFactor > 0 && share < 0.2 {
+			t.Errorf("cost factor %d: the slow server got a share of %.3f of the attempts", costFactor, share)
 		}
 	}
 }
 
-// A small machine is slower without being unhealthy, and its draws must not be thinned twice.
-func TestSmallMachinesAreNotTakenForSlow(t *testing.T) {
+// A small server is slower without being unhealthy: its size already reduces its draws, so its slowness must not.
+func TestSmallServersDoNotCountAsSlow(t *testing.T) {
 	for kind, slow := range map[Sizes]bool{SizesNominal: false, SizesUnknown: true} {
 		b := newBalancer(t, func(s *Settings) { s.Sizes = kind })
 		list := servers(4)
@@ -137,18 +138,18 @@
 				Class:    "get",
 				Deadline: now + time.Second,
 			})) {
-				settle(b, now+time.Duration(120/b.servers[s.Server].Size)*msec, id, s, Success)
+				endAttempt(b, now+time.Duration(120/b.servers[s.Server].Size)*msec, id, s, Success)
 			}
 		}
 		if got := max(b.servers["s00"].slowness, b.servers["s01"].slowness); got > 0.3 != slow {
-			t.Errorf("sizes %d: slowness %.2f", kind, got)
+			t.Errorf("Sizes %d: slowness of the small servers %.2f", kind, got)
 		}
 	}
 }
 
-// A deployment can leave a copy with only cold servers in its subset. While there are warm ones in the list it must
-// use those, or all copies that share the cold ones overload them together.
-func TestWarmStrangersBeforeColdFriends(t *testing.T) {
+// During a deployment all servers of a replica's subset may be in slow start. While the list has other servers the replica
+// uses those, or all replicas with the same subset would overload it together.
+func TestWarmServersAreUsedBeforeColdSubset(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Balancers, s.ColdFrom = 100, 0 })
 	list := servers(40)
 	b.Handle(time.Minute, ServerList{Full: true, Servers: list})
@@ -175,38 +176,38 @@
 	}
 }
 
-// A server with more own calls than the subset's mean, and at least two, is skipped while there are others. A single
-// call never excludes a server, because pick compares the counts.
-func TestCrowdedServersArePassedOver(t *testing.T) {
+// A server with more calls than the subset's mean, and at least two, is skipped while there are others. A single call never
+// excludes a server, because pickLessLoaded compares the numbers of calls.
+func TestCrowdedServersAreSkipped(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
-	for _, tc := range []struct{ calls, ok [6]int }{
+	for _, test := range []struct{ calls, eligible [6]int }{
 		{[6]int{2, 1, 0, 0, 1, 0}, [6]int{0, 1, 1, 1, 1, 1}},
 		{[6]int{3, 2, 2, 1, 2, 3}, [6]int{0, 1, 1, 1, 1, 0}},
 		{[6]int{1, 1, 1, 1, 1, 1}, [6]int{1, 1, 1, 1, 1, 1}},
 	} {
 		b.inFlight = 0
 		for i, s := range b.ready {
-			s.calls = tc.calls[i]
+			s.calls = test.calls[i]
 			b.inFlight += s.calls
 		}
-		var ok [6]int
+		var eligible [6]int
 		for _, s := range b.eligible(&request{class: b.classes["get"]}) {
 			for i := range b.ready {
 				if b.ready[i] == s {
-					ok[i] = 1
+					eligible[i] = 1
 				}
 			}
 		}
-		if ok != tc.ok {
-			t.Errorf("own calls %v: may be drawn %v, want %v", tc.calls, ok, tc.ok)
+		if eligible != test.eligible {
+			t.Errorf("calls %v: eligible %v, want %v", test.calls, eligible, test.eligible)
 		}
 	}
 }
 
-// Servers whose connections other copies use up refuse quickly: a server that refused gets no more own calls than it
-// had, however many others refuse, too, and is probed again later.
-func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
+// Servers whose connections are used up by other replicas refuse quickly. A server that refused gets no more calls than it
+// had then, even if many others refuse, too, and is probed again later.
+func TestRefusingServerGetsNoMoreCalls(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
 	now, id := msec, 0
@@ -222,24 +223,24 @@
 		for range n {
 			now += 5 * msec
 			id++
-			todo := sends(b.Handle(now, Request{
+			attempts := sends(b.Handle(now, Request{
 				ID:       fmt.Sprint(id),
 				Class:    "get",
 				Deadline: now + time.Second,
 			}))
-			for try := 0; len(todo) > 0; try++ {
-				end := Success
-				if full[todo[0].Server] {
-					end = Unreachable
+			for number := 0; len(attempts) > 0; number++ {
+				ending := Success
+				if full[attempts[0].Server] {
+					ending = Unreachable
 					count++
 				}
 				now += 2 * msec
-				todo = sends(b.Handle(now, Outcome{
+				attempts = sends(b.Handle(now, Outcome{
 					ID:      fmt.Sprint(id),
-					Attempt: try,
-					Server:  todo[0].Server,
-					Ending:  end,
-					Ended:   end == Success,
+					Attempt: number,
+					Server:  attempts[0].Server,
+					Ending:  ending,
+					Ended:   ending == Success,
 				}))
 			}
 		}
@@ -247,13 +248,13 @@
 	}
 	first := refused(20)
 	if first < 5 {
-		t.Fatalf("only %d refusals, want the full servers found", first)
+		t.Fatalf("only %d refusals, want at least 5", first)
 	}
 	if got := refused(20); got > first/2 {
-		t.Errorf("%d refusals after %d: full servers are still drawn", got, first)
+		t.Errorf("%d refusals after the first %d: full servers still get calls", got, first)
 	}
 	now += time.Minute
 	if refused(20) == 0 {
-		t.Error("full servers were never tried again")
+		t.Error("full servers were not probed after a minute")
 	}
 }
--- a/balancer/server_list_test.go
+++ b/balancer/server_list_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestListNewsProperty: after any updates the ready servers, their groups and the subset are those of the complete
-// list, sorted again, and no state is kept of servers that have gone.
-func TestListNewsProperty(t *testing.T) {
+// After any sequence of updates the ready servers, their groups and the subset are the same as after one complete list, and
+// no state is kept of servers that are gone.
+func TestIncrementalUpdatesMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{
 			Classes: []Class{{
@@ -41,21 +41,21 @@
 				StartedAt: time.Duration(rapid.IntRange(0, 1).Draw(t, "boot")),
 			}
 		})
-		model := map[string]Server{}
+		want := map[string]Server{} // the complete list
 		now, requests := time.Duration(0), 0
 		var open []Send
 		t.Repeat(map[string]func(*rapid.T){
-			"news": func(t *rapid.T) {
+			"update": func(t *rapid.T) {
 				full := rapid.IntRange(0, 4).Draw(t, "full") == 0
 				l := rapid.SliceOfN(entry, 0, 6).Draw(t, "servers")
 				if full {
-					clear(model)
+					clear(want)
 				}
 				for _, s := range l {
 					if s.State == Gone {
-						delete(model, s.ID)
+						delete(want, s.ID)
 					} else {
-						model[s.ID] = s
+						want[s.ID] = s
 					}
 				}
 				b.Handle(now, ServerList{Full: full, Servers: l})
@@ -68,14 +68,14 @@
 					Class:    "read",
 					Deadline: now + time.Hour,
 				}) {
-					if s, is := a.(Send); is {
+					if s, ok := a.(Send); ok {
 						open = append(open, s)
 					}
 				}
 			},
 			"outcome": func(t *rapid.T) {
 				if len(open) == 0 {
-					t.Skip("nothing out")
+					t.Skip("no attempt is in flight")
 				}
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "which")
 				b.Handle(now, Outcome{ID: open[i].ID, Server: open[i].Server, Ending: Success, Ended: true})
@@ -87,7 +87,7 @@
 					t.Fatal(err)
 				}
 				var l []Server
-				for _, s := range model {
+				for _, s := range want {
 					l = append(l, s)
 				}
 				fresh.Handle(0, ServerList{Full: true, Servers: l})
@@ -98,17 +98,17 @@
 					return s
 				}
 				if x, y := describe(b.ready), describe(fresh.ready); x != y {
-					t.Fatalf("ready %s, sorted anew %s", x, y)
+					t.Fatalf("ready servers %s, after a complete list %s", x, y)
 				}
 				if x, y := describe(b.subset), describe(fresh.subset); x != y {
-					t.Fatalf("subset %s, taken anew %s", x, y)
+					t.Fatalf("subset %s, after a complete list %s", x, y)
 				}
 				if b.largestSize != fresh.largestSize && len(b.ready) > 0 || len(b.ready) > 0 && b.meanSize != fresh.meanSize {
-					t.Fatalf("sizes %v and %v, anew %v and %v", b.largestSize, b.meanSize, fresh.largestSize, fresh.meanSize)
+					t.Fatalf("largest and mean size %v and %v, after a complete list %v and %v", b.largestSize, b.meanSize, fresh.largestSize, fresh.meanSize)
 				}
 				for id, s := range b.servers {
-					if _, listed := model[id]; !listed && s.calls == 0 {
-						t.Fatalf("%s has gone and is kept", id)
+					if _, listed := want[id]; !listed && s.calls == 0 {
+						t.Fatalf("state of server %s is kept although it is gone", id)
 					}
 				}
 			},
@@ -116,8 +116,8 @@
 	})
 }
 
-// BenchmarkListNews measures an update of one server, whose cost grows far less than the list.
-func BenchmarkListNews(bench *testing.B) {
+// BenchmarkServerListUpdate measures an update of one server. Its cost grows far more slowly than the list.
+func BenchmarkServerListUpdate(bench *testing.B) {
 	for _, n := range []int{100, 10_000} {
 		bench.Run(fmt.Sprint(n), func(bench *testing.B) {
 			b, err := New(Settings{
@@ -151,7 +151,8 @@
 	}
 }
 
-func TestCopiesShareTheOrder(t *testing.T) {
+// Replicas have the same order of servers, whatever the order of the updates.
+func TestReplicasShareTheOrder(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	l := servers(7)
 	a.Handle(0, ServerList{Full: true, Servers: l})
@@ -165,8 +166,8 @@
 	}
 }
 
-// A server that returns with a new start time is another one: its failures are forgotten.
-func TestRestartForgetsTheServersRecord(t *testing.T) {
+// A server with a new start time was restarted: its learned state is discarded.
+func TestRestartDiscardsLearnedState(t *testing.T) {
 	b := newBalancer(t, nil)
 	list := servers(4)
 	b.Handle(0, ServerList{Full: true, Servers: list})
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// The error of New names the invalid setting.
 func TestSettingsErrorsNameTheField(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
 		"Classes":              func(s *Settings) { s.Classes = nil },
--- a/balancer/spares_test.go
+++ b/balancer/spares_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Spares are named only if the settings ask for them, and only for idempotent classes: other warm, ready servers, each
-// once. Naming them does not change the state of attempts.
+// A Send names spares only if the settings have any, and only for idempotent classes: other ready servers that are not in
+// slow start, each once. Naming them adds no attempts.
 func TestSpares(t *testing.T) {
 	class := func(name string, e Effect) Class {
 		return Class{
@@ -21,11 +21,11 @@
 			Worth:    1,
 		}
 	}
-	for _, want := range []int{0, 2, 9} {
+	for _, spares := range []int{0, 2, 9} {
 		b, err := New(Settings{
 			Classes:      []Class{class("read", Idempotent), class("order", NonIdempotent), class("send", IdempotentByKey)},
 			Balancers:    1,
-			Spares:       want,
+			Spares:       spares,
 			MaxAttempts:  3,
 			Tick:         time.Millisecond,
 			ColdFrom:     0.3,
@@ -43,27 +43,27 @@
 			{ID: "c"},
 			{ID: "d"},
 			{ID: "cold", StartedAt: now},
-			{ID: "drains", State: Draining},
+			{ID: "draining", State: Draining},
 		}})
 		for i, name := range []string{"read", "order", "send", "read"} {
 			id := fmt.Sprint(i)
 			s := b.Handle(now, Request{ID: id, Class: name, Deadline: now + time.Second})[0].(Send)
 			most := 0
 			if name == "read" {
-				most = min(want, 4)
+				most = min(spares, 4)
 			}
-			if len(s.Spares) > most || name == "read" && want == 2 && len(s.Spares) == 0 {
-				t.Errorf("%d wanted, %s: %v", want, name, s.Spares)
+			if len(s.Spares) > most || name == "read" && spares == 2 && len(s.Spares) == 0 {
+				t.Errorf("setting of %d spares, class %s: got %v", spares, name, s.Spares)
 			}
-			seen := []string{s.Server, "cold", "drains"}
+			excluded := []string{s.Server, "cold", "draining"}
 			for _, x := range s.Spares {
-				if slices.Contains(seen, x) {
-					t.Errorf("%s beside %s: %v", x, s.Server, s.Spares)
+				if slices.Contains(excluded, x) {
+					t.Errorf("spare %s of a request sent to %s: %v", x, s.Server, s.Spares)
 				}
-				seen = append(seen, x)
+				excluded = append(excluded, x)
 			}
 			if n := len(b.requests[id].attempts); n != 1 {
-				t.Errorf("%d attempts are known", n)
+				t.Errorf("the request has %d attempts, want 1", n)
 			}
 			b.Handle(now, Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true})
 		}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,7 @@
 // Command simadapter runs decision modules (balancer.Balancer) for the simulator: it reads batches of events from standard
-// input and writes one reply for each batch to standard output, in the format of internal/wire. A simulated node is an
-// instance, and has a module of its own. The program never reads a clock: the simulator says what time it is.
+// input and writes one reply for each batch to standard output, in the format of internal/wire. Each simulated load
+// balancer is an instance, with a decision module of its own. The program never reads the system clock: each batch has the
+// simulated time.
 package main
 
 import (
@@ -16,7 +17,7 @@
 	"cranegrade/internal/wire"
 )
 
-// usage is the help of the program.
+// usage is the help text.
 const usage = `usage: simadapter < EVENTS > REPLIES
 
 Runs decision modules for the simulator: it reads batches of events from standard input and writes one reply
@@ -41,7 +42,8 @@
 	}
 }
 
-// run replies to batches until the input ends. A reply is written as a whole, at the end of its batch, or not at all.
+// run replies to batches until the input ends. It writes a reply at the end of its batch, so after an error in the batch
+// nothing of it is written.
 func run(in io.Reader, out io.Writer) error {
 	decoder := wire.NewDecoder(in)
 	a := newAdapter(out)
@@ -59,11 +61,11 @@
 	}
 }
 
-// adapter holds the modules of the instances that run, and the reply to the batch that is being read.
+// adapter has the decision modules of the running instances, and the reply to the current batch.
 type adapter struct {
 	out     io.Writer
 	modules map[int]*balancer.Balancer // by instance
-	now     time.Duration              // as the simulator said last
+	now     time.Duration              // simulated time of the current batch
 	reply   bytes.Buffer
 	encoder *wire.Encoder // writes to reply
 }
@@ -92,12 +94,12 @@
 		return a.handleEvent(m)
 	case wire.BatchEnd:
 		return a.writeReply()
-	case wire.Ignored: // the module has no use for it
+	case wire.Ignored: // not for decision modules
 	}
 	return nil
 }
 
-// handleEvent gives an event to its module, and adds the module's actions to the reply.
+// handleEvent passes an event to the module of its instance, and adds the resulting actions to the reply.
 func (a *adapter) handleEvent(m wire.Message) error {
 	module := a.modules[m.Instance]
 	if module == nil {
@@ -109,7 +111,7 @@
 	return nil
 }
 
-// writeReply writes the reply to a batch, which is complete, and empties it.
+// writeReply writes the reply to a complete batch, and clears it for the next one.
 func (a *adapter) writeReply() error {
 	if err := a.encoder.Flush(); err != nil {
 		return err
