--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -267,11 +267,11 @@
 		Attempt  int
 		Server   string
 		Ending   Ending
-		Latency  time.Duration
+		Latency  time.Duration // as measured by the host; not used here
 		Ended    bool
-		Consumed bool // part of the request body was sent and was not buffered, so no retry is possible
-		Load     *Load
-		// Whether the request was written completely, and the bytes of the bodies; not used here.
+		Consumed bool  // part of the request body was sent and was not buffered, so no retry is possible
+		Load     *Load // report of the server, if any; not used here
+		// Whether the request was written completely, and the sizes of the bodies in bytes; not used here.
 		Wrote   bool
 		Out, In int64
 	}
--- a/balancer/discovery_test.go
+++ b/balancer/discovery_test.go
@@ -126,7 +126,7 @@
 		b.Handle(now, ServerList{})
 		s := request(now + 1900*msec)
 		if len(s) != 1 {
-			t.Fatalf("no server drawn at %v", now)
+			t.Fatalf("no server was selected at %v", now)
 		}
 		end(now+1910*msec, s[0], Success)
 	}
@@ -136,7 +136,7 @@
 	for now := last + 3*time.Second; now < last+toldAfter; now += 100 * msec {
 		s := request(now)
 		if len(s) == 0 {
-			t.Fatalf("no server drawn at %v", now)
+			t.Fatalf("no server was selected at %v", now)
 		}
 		for at := now + 10*msec; len(s) > 0; at += 10 * msec { // until no attempt is in flight
 			ending := Overloaded // two servers accept calls, the others refuse them as draining ones do
@@ -241,16 +241,16 @@
 	}
 	stuck := inFlight[len(inFlight)-1] // not answered until the end of the test
 	inFlight = inFlight[:len(inFlight)-1]
-	at := now
-	drawn := 0
-	for now < at+10*time.Second {
-		if s := step(); s.Server == stuck.Server && now > at+time.Second {
-			t.Fatalf("%s gets another call %v after one that it has not answered", s.Server, now-at)
+	stuckAt := now
+	otherCalls := 0 // at the server of the unanswered call
+	for now < stuckAt+10*time.Second {
+		if s := step(); s.Server == stuck.Server && now > stuckAt+time.Second {
+			t.Fatalf("%s gets another call %v after one that it has not answered", s.Server, now-stuckAt)
 		} else if s.Server == stuck.Server {
-			drawn++
+			otherCalls++
 		}
 	}
-	if drawn == 0 {
+	if otherCalls == 0 {
 		t.Error("the server got no other call soon after the unanswered one: the test proves nothing")
 	}
 	end(now, stuck) // the answer comes, so the server is used again
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -38,7 +38,7 @@
 	if e.Ending == Success || e.Ending == Failure {
 		s.acceptedAt = max(s.acceptedAt, a.sent)
 	}
-	bad := 0.0
+	failed := 0.0
 	switch e.Ending {
 	case Success:
 		b.recordSuccess(a, latency)
@@ -46,7 +46,7 @@
 		b.recordRefusal(a, e.Ending, latency)
 		return
 	case Failure, Broken, TimedOut:
-		bad = 1
+		failed = 1
 		if e.Ending == TimedOut {
 			b.addPacingDebt(c, latency) // the server may continue the abandoned work
 			b.updateAbandoned(1, c.mean)
@@ -60,7 +60,7 @@
 	default:
 		return
 	}
-	if bad > 0 {
+	if failed > 0 {
 		s.failureStreak++
 		s.successStreak = 0
 		// Errors at all servers come from a deeper tier, and ejecting servers for them would leave none. So a
@@ -71,7 +71,7 @@
 			b.eject(s, c)
 		}
 	}
-	b.errorShare = max(minErrorShare, b.errorShare+pooledSampleWeight*(bad-b.errorShare))
+	b.errorShare = max(minErrorShare, b.errorShare+pooledSampleWeight*(failed-b.errorShare))
 }
 
 // recordSuccess records a success: retry tokens, latency of the class and the server, health of the server.
--- a/balancer/policy.go
+++ b/balancer/policy.go
@@ -29,9 +29,9 @@
 	neverRanRetryCost       = 0.1   // retry tokens for a retry if the previous attempt never ran; else 1
 	maxRetryTokens          = 10    // capacity of the retry budget
 	targetRatio             = 0.6   // highest accepted mean latency, as a share of the aim
-	baselineMultiple        = 1.5   // the same as a multiple of the baseline, the lowest geometric mean
-	noShedAllowance         = 0.4   // increase of that multiple while nothing is shed: a replica
-	noShedPower             = 16    // that rejects nothing is not overloaded. Exponent of its decrease
+	baselineMultiple        = 1.5   // the same as a multiple of the baseline (lowest geometric mean)
+	noShedAllowance         = 0.4   // its relative increase while nothing is shed, so without overload
+	noShedPower             = 16    // exponent with which that increase falls as the share shed grows
 	sheddingPenalty         = 4.0   // decrease of the accepted latency by shedding, per slowness variance
 	windowIncrease          = 0.02  // increase of the window by an answer within the accepted latency
 	maxGrowthOverload       = 0.9   // share of the accepted latency above which the window doesn't grow
