--- a/balancer/learned_state_test.go
+++ b/balancer/learned_state_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// A Balancer that learned from another one has the same estimates.
-func TestLearn(t *testing.T) {
+// After Learn a Balancer has the estimates of the one whose Knowledge it got.
+func TestLearnRestoresEstimates(t *testing.T) {
 	list := ServerList{Full: true, Servers: []Server{{ID: "a"}, {ID: "b"}, {ID: "c", StartedAt: 5}}}
 	set := Settings{
 		Classes: []Class{{
@@ -33,7 +33,7 @@
 	for i := range 200 {
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		for _, a := range old.Handle(now, Request{ID: id, Class: "x", Deadline: now + 3*time.Second}) {
-			if s, is := a.(Send); is {
+			if s, ok := a.(Send); ok {
 				took := 30 * time.Millisecond
 				ending := Success
 				if s.Server == "b" {
@@ -59,26 +59,26 @@
 		t.Fatal(err)
 	}
 	next, _ := New(set, 2)
-	list.Servers[2].StartedAt = 6 // it started anew
+	list.Servers[2].StartedAt = 6 // this server has been restarted
 	next.Handle(now, list)
 	next.Learn(&k)
-	x, y := old.Beliefs(10), next.Beliefs(10)
-	if x.Window != y.Window || x.Fill != y.Fill || x.Errors != y.Errors || !reflect.DeepEqual(x.Classes, y.Classes) {
-		t.Errorf("%+v\n%+v", x, y)
+	x, y := old.Estimates(10), next.Estimates(10)
+	if x.Window != y.Window || x.LatencyRatio != y.LatencyRatio || x.ErrorShare != y.ErrorShare || !reflect.DeepEqual(x.Classes, y.Classes) {
+		t.Errorf("estimates:\n%+v\nafter Learn:\n%+v", x, y)
 	}
-	for i := range x.Servers { // calls stay with whoever sent them
+	for i := range x.Servers { // calls are not transferred
 		x.Servers[i].Calls, x.Servers[i].OldestMS = 0, 0
 	}
 	if !reflect.DeepEqual(x.Servers[:2], y.Servers[:2]) {
-		t.Errorf("servers:\n%+v\n%+v", x.Servers, y.Servers)
+		t.Errorf("servers:\n%+v\nafter Learn:\n%+v", x.Servers, y.Servers)
 	}
-	if y.Servers[2].Slow != 0 {
-		t.Error("a server that started anew is taken for the one before")
+	if y.Servers[2].Slowness != 0 {
+		t.Error("a restarted server got the learned state of its former process")
 	}
 }
 
-// Whatever Knowledge has, a Balancer keeps its estimates in range and goes on serving.
-func TestLearnProperty(t *testing.T) {
+// Whatever values Knowledge has, the estimates stay in range and the Balancer handles requests.
+func TestLearnKeepsEstimatesInRange(t *testing.T) {
 	set := Settings{
 		Classes: []Class{{
 			Name:     "x",
@@ -100,47 +100,47 @@
 		c := func() int { return count.Draw(t, "c") }
 		class := func(name string) ClassKnowledge {
 			return ClassKnowledge{
-				Name:       name,
-				Mean:       n(),
-				Dev:        n(),
-				Cost:       n(),
-				Arrive:     n(),
-				Serve:      n(),
-				LongestTry: d(),
+				Name:           name,
+				Mean:           n(),
+				Deviation:      n(),
+				Cost:           n(),
+				Arrived:        n(),
+				Served:         n(),
+				LongestTimeout: d(),
 			}
 		}
 		server := func(id string) ServerKnowledge {
 			return ServerKnowledge{
-				ID:       id,
-				Streak:   c(),
-				Level:    c(),
-				Goods:    c(),
-				Until:    d(),
-				Slow:     n(),
-				Samples:  c(),
-				LastOK:   d(),
-				Took:     d(),
-				Room:     c(),
-				Turned:   d(),
-				Full:     d(),
-				Refusals: c(),
+				ID:             id,
+				FailureStreak:  c(),
+				EjectionLevel:  c(),
+				SuccessStreak:  c(),
+				EjectedUntil:   d(),
+				Slowness:       n(),
+				Samples:        c(),
+				LastSuccess:    d(),
+				AcceptedAt:     d(),
+				CallLimit:      c(),
+				RefusedAt:      d(),
+				CallLimitUntil: d(),
+				Refusals:       c(),
 			}
 		}
 		k := &Knowledge{
-			At:      d(),
-			Window:  n(),
-			Fill:    n(),
-			Pace:    n(),
-			Bare:    n(),
-			Answers: n(),
-			Fresh:   n(),
-			Spread:  n(),
-			Errors:  n(),
-			Tokens:  n(),
-			Shed:    n(),
-			Vain:    n(),
-			Classes: []ClassKnowledge{class("x"), class("y")},
-			Servers: []ServerKnowledge{server("a"), server("z")},
+			At:               d(),
+			Window:           n(),
+			LatencyRatio:     n(),
+			LogLatencyRatio:  n(),
+			BaselineLogRatio: n(),
+			Samples:          n(),
+			NewServerShare:   n(),
+			LatencyVariance:  n(),
+			ErrorShare:       n(),
+			RetryTokens:      n(),
+			ShedShare:        n(),
+			AbandonedShare:   n(),
+			Classes:          []ClassKnowledge{class("x"), class("y")},
+			Servers:          []ServerKnowledge{server("a"), server("z")},
 		}
 		b, _ := New(set, 1)
 		now := time.Hour
@@ -150,7 +150,7 @@
 			now += 100 * time.Millisecond
 			id := strings.Repeat("r", i+1)
 			actions := b.Handle(now, Request{ID: id, Class: "x", Deadline: now + 3*time.Second})
-			if !slices.ContainsFunc(actions, func(a Action) bool { _, is := a.(Send); return is }) {
+			if !slices.ContainsFunc(actions, func(a Action) bool { _, ok := a.(Send); return ok }) {
 				continue
 			}
 			b.Handle(now+10*time.Millisecond, Outcome{
@@ -160,13 +160,13 @@
 				Ended:   true,
 			})
 		}
-		v := b.Beliefs(0)
+		v := b.Estimates(0)
 		for name, x := range map[string]float64{
 			"window": v.Window,
-			"fill":   v.Fill,
-			"bare":   v.Bare,
-			"errors": v.Errors,
-			"tokens": v.Tokens,
+			"fill":   v.LatencyRatio,
+			"bare":   v.BaselineRatio,
+			"errors": v.ErrorShare,
+			"tokens": v.RetryTokens,
 			"mean":   v.Classes[0].MeanMS,
 		} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x < 0 {
