--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// How long observations and reports hold.
+// How long observations and reports remain valid.
 const (
-	countingWindow  = 4 * time.Second  // after which the counts of a server are halved
-	reportLifetime  = 3 * time.Second  // an observation whose latest outcome is older does not count any more
-	distrustPeriod  = 20 * time.Second // for which a member is not believed about a server that it was wrong about
-	peerForgetAfter = 10 * reportLifetime
+	countHalvingInterval = 4 * time.Second     // halves the counts of a server, so that old outcomes fade
+	reportLifetime       = 3 * time.Second     // an observation is ignored once its latest outcome is older
+	distrustPeriod       = 20 * time.Second    // ignores a member's reports about a server that it was wrong about
+	peerExpiry           = 10 * reportLifetime // a silent member's digest may then be evicted
 )
 
-// MaxPeers bounds the members whose digests are kept.
+// MaxPeers is the maximum number of members whose digests are stored.
 const MaxPeers = 4096
 
-// server is what is known of a server.
+// server is the detector's state of one server.
 type server struct {
 	id        uint32
 	name      string
 	startedAt time.Duration
 
-	// Observed by this member.
+	// Outcomes of this member's own requests.
 	failures, successes, consecutiveFailures int
-	countedSince                             time.Duration
-	lastOutcomeAt, lastSuccessAt             time.Duration // zero before the first
-
-	// Decided from the reports of others, see ejections.go.
-	epoch          uint64        // counts ejections in a row
-	lastEvidenceAt time.Duration // the latest failure anywhere that an ejection rests on
-	ejectedUntil   time.Duration
-	reporters      []string // of the latest ejection, by name
-	loneEjections  int      // in a row that one member's report was enough for, without a request of this member there
+	countsHalvedAt                           time.Duration
+	lastOutcomeAt, lastSuccessAt             time.Duration // zero if there was none yet
+
+	// Ejections, which result from the reports of other members; see ejections.go.
+	epoch                   uint64        // number of consecutive ejections
+	lastEvidenceAt          time.Duration // time of the latest reported failure that caused an ejection
+	ejectedUntil            time.Duration
+	reporters               []string // names of the members whose reports caused the latest ejection
+	singleReporterEjections int      // consecutive ones on the report of one member, without a request by this member
 }
 
-// clearEjections forgets what others reported.
-func (s *server) clearEjections() {
+// resetEjections clears the ejection and its backoff.
+func (s *server) resetEjections() {
 	s.ejectedUntil = 0
 	s.epoch = 0
 	s.reporters = nil
-	s.loneEjections = 0
+	s.singleReporterEjections = 0
 }
 
-// peer is another member's latest digest.
+// peer is the latest digest of another member.
 type peer struct {
 	id           uint64 // hash of its name
 	seq          uint32
@@ -55,7 +55,7 @@
 	subsetSize   int
 }
 
-// observationOf returns what the peer observed of a server.
+// observationOf returns the peer's observation of a server. It reports false if its digest has none of that process of the server.
 func (p *peer) observationOf(s *server) (o Observation, ok bool) {
 	for _, o := range p.observations {
 		if o.Server == s.id && o.Start == StartID(s.startedAt) {
@@ -65,10 +65,10 @@
 	return Observation{}, false
 }
 
-// distrustKey is a member that was wrong about a server.
-type distrustKey struct{ peer, server uint64 }
+// distrustedReport identifies a member and a server that the member has wrongly reported as failing.
+type distrustedReport struct{ peer, server uint64 }
 
-// Detector holds what one member has observed itself and received from others about the servers of a pool.
+// Detector holds one member's own observations of the servers of a pool, and those that it received from other members.
 type Detector struct {
 	pool       uint32
 	self       uint64
@@ -77,14 +77,13 @@
 	peers      map[string]*peer
 	subsetSize int
 	seq        uint32
-	distrusted map[distrustKey]time.Duration // until when
+	distrusted map[distrustedReport]time.Duration // end of the distrust
 
-	// TrustUnbounded removes the bounds on what others' digests may do. It is false in service; only package fleet's
-	// mutations set it.
+	// TrustUnbounded disables all limits on the effect of other members' digests. Only package fleet's mutation tests set it.
 	TrustUnbounded bool
 }
 
-// NewDetector returns a detector for a pool that knows no servers. self is a hash of this member's name.
+// NewDetector returns a detector for a pool, without any servers yet. self is a hash of this member's name.
 func NewDetector(pool uint32, self uint64) *Detector {
 	return &Detector{
 		pool:       pool,
@@ -92,12 +91,12 @@
 		servers:    map[string]*server{},
 		byID:       map[uint32]*server{},
 		peers:      map[string]*peer{},
-		distrusted: map[distrustKey]time.Duration{},
+		distrusted: map[distrustedReport]time.Duration{},
 	}
 }
 
-// SetServers sets the servers of the pool, each with when it was started, and how many of them this member draws from. A server that was
-// restarted is a new one.
+// SetServers sets the servers of the pool with their start times, and the number of servers in this member's subset. The state of a server
+// that was restarted is reset.
 func (d *Detector) SetServers(startedAt map[string]time.Duration, subsetSize int) {
 	d.subsetSize = subsetSize
 	for name, s := range d.servers {
@@ -110,54 +109,54 @@
 		s := d.servers[name]
 		if s == nil || s.startedAt != at {
 			s = &server{id: ServerID(name), name: name, startedAt: at}
-			// Of two servers with one ID only one is found by it; StartID distinguishes them most of the time.
+			// If the IDs of two servers collide, byID has only one of them; StartID distinguishes them most of the time.
 			d.servers[name], d.byID[s.id] = s, s
 		}
 	}
 }
 
-// RecordSuccess records that a request at a server ended well.
+// RecordSuccess records a successful request to a server. It ends the server's ejection.
 func (d *Detector) RecordSuccess(now time.Duration, name string) {
 	s := d.servers[name]
 	if s == nil {
 		return
 	}
-	s.startOutcome(now)
+	s.recordOutcomeTime(now)
 	s.successes++
 	s.consecutiveFailures = 0
 	s.lastSuccessAt = now
 	s.ejectedUntil = min(s.ejectedUntil, now)
-	// Whoever reports the server as failing is wrong, or has a fault on its own way to it.
+	// A member that reports this server as failing is wrong, or has a fault on its own path to the server.
 	for _, p := range d.peers {
 		if o, ok := p.observationOf(s); ok && o.reportsFailure() && now-p.receivedAt < reportLifetime {
-			d.distrusted[distrustKey{peer: p.id, server: uint64(s.id)}] = now + distrustPeriod
+			d.distrusted[distrustedReport{peer: p.id, server: uint64(s.id)}] = now + distrustPeriod
 		}
 	}
 }
 
-// RecordFailure records that a request at a server ended in a way that speaks against the server.
+// RecordFailure records a request that failed because of the server.
 func (d *Detector) RecordFailure(now time.Duration, name string) {
 	s := d.servers[name]
 	if s == nil {
 		return
 	}
-	s.startOutcome(now)
+	s.recordOutcomeTime(now)
 	s.failures++
 	s.consecutiveFailures++
 }
 
-// startOutcome notes the time of an outcome, and halves the counts once their window has passed.
-func (s *server) startOutcome(now time.Duration) {
-	if now-s.countedSince > countingWindow {
-		s.countedSince = now
+// recordOutcomeTime records the time of an outcome, and halves the counts if countHalvingInterval has passed.
+func (s *server) recordOutcomeTime(now time.Duration) {
+	if now-s.countsHalvedAt > countHalvingInterval {
+		s.countsHalvedAt = now
 		s.failures = s.failures / 2
 		s.successes = s.successes / 2
 	}
 	s.lastOutcomeAt = now
 }
 
-// Digest returns the digest that this member sends to the others now. It reports false if there is nothing to report. Reports of failures
-// come first, then successes at servers that others report as failing.
+// Digest returns the digest to send to the other members now. It reports false if there is nothing to report. Failures come first, then
+// successes at servers that other members report as failing.
 func (d *Detector) Digest(now time.Duration) (digest Digest, ok bool) {
 	type ranked struct {
 		Observation
@@ -186,7 +185,7 @@
 	return digest, true
 }
 
-// observation is this member's own of a server.
+// observation returns this member's own observation of the server.
 func (s *server) observation(now time.Duration) Observation {
 	return Observation{
 		Server:              s.id,
@@ -198,36 +197,36 @@
 	}
 }
 
-// Priorities of observations in a digest. Those of failures grow with the number of failures.
+// Priorities of observations in a digest. That of a failing server grows with its consecutive failures.
 const (
-	priorityFailing  = 1000
-	priorityDefended = 500
+	priorityFailing       = 1000
+	priorityContradicting = 500 // successes at a server that other members report as failing
 )
 
-// priority is how useful this member's observation of a server is to others. 0 means not at all.
+// priority returns how useful this member's observation of the server is to other members; 0 omits it from the digest.
 func (s *server) priority() int {
 	switch {
 	case s.consecutiveFailures > 0 && s.failures > 0:
 		return priorityFailing + s.consecutiveFailures
 	case len(s.reporters) > 0 && s.successes > 0 && s.consecutiveFailures == 0:
-		return priorityDefended
+		return priorityContradicting
 	}
 	return s.failures
 }
 
-// Receive takes another member's digest. id is a hash of its name, and incarnation identifies its process: the sequence numbers of
-// another process begin anew.
+// Receive stores the digest of another member, and ignores it if it is older than the stored one. id is a hash of the member's name.
+// incarnation identifies its process: sequence numbers restart with a new process.
 func (d *Detector) Receive(now time.Duration, from string, id, incarnation uint64, digest Digest) {
 	p := d.peers[from]
 	if p == nil {
-		if len(d.peers) >= MaxPeers && !d.forgetSilentPeers(now) {
+		if len(d.peers) >= MaxPeers && !d.evictSilentPeers(now) {
 			return
 		}
 		p = &peer{}
 		d.peers[from] = p
 	}
 	if p.incarnation == incarnation && int32(digest.Seq-p.seq) <= 0 {
-		return // late, or received before
+		return // reordered or duplicated
 	}
 	*p = peer{
 		id:           id,
@@ -239,10 +238,10 @@
 	}
 }
 
-// forgetSilentPeers makes room for another member, and reports whether there is any.
-func (d *Detector) forgetSilentPeers(now time.Duration) bool {
+// evictSilentPeers removes members that have sent no digest for peerExpiry, and reports whether there is room for another member.
+func (d *Detector) evictSilentPeers(now time.Duration) bool {
 	for name, p := range d.peers {
-		if now-p.receivedAt > peerForgetAfter {
+		if now-p.receivedAt > peerExpiry {
 			delete(d.peers, name)
 		}
 	}
--- a/internal/fleet/outlier/digest.go
+++ b/internal/fleet/outlier/digest.go
@@ -8,53 +8,53 @@
 	"time"
 )
 
-// Bounds of an encoded digest. It has to fit into one datagram together with its sender's name.
+// Limits and sizes of an encoded digest, which has to fit into one datagram together with the name of its sender.
 const (
 	MaxDigestBytes  = 256
 	MaxObservations = 24
 
 	encodingVersion  = 1
-	headerBytes      = 12 // version, pool, sequence number, servers in use, number of observations
+	headerBytes      = 12 // version, pool, sequence number, subset size, number of observations
 	observationBytes = 9
 
-	// ageUnit is what Observation.Age is counted in.
+	// ageUnit is the unit of Observation.Age.
 	ageUnit = 100 * time.Millisecond
 )
 
-// Observation is what a member has recently observed itself of a server. Counts stay at 255 when they reach it.
+// Observation is a member's recent observation of one server, from its own requests. Counts saturate at 255.
 type Observation struct {
 	Server              uint32 // ServerID
-	Start               uint8  // StartID: a server that was restarted is another one
-	Failures, Successes uint8  // of the last seconds
+	Start               uint8  // StartID, which distinguishes the process from those before a restart
+	Failures, Successes uint8  // recent ones, see countHalvingInterval
 	ConsecutiveFailures uint8  // since the latest success
-	Age                 uint8  // of the latest outcome, in ageUnits
+	Age                 uint8  // time since the latest outcome, in units of ageUnit
 }
 
 // reportsFailure reports whether the observation says that the server is failing.
 func (o Observation) reportsFailure() bool { return o.ConsecutiveFailures > 0 && o.Failures > 0 }
 
-// Digest is the message by which a member reports to the others what it observed of the servers of a pool.
+// Digest is the message that reports a member's observations of the servers of a pool to the other members.
 type Digest struct {
 	Pool         uint32
-	Seq          uint32        // grows with each digest of a process and pool
-	SubsetSize   uint16        // servers that the member draws from
-	Observations []Observation // the most useful first
+	Seq          uint32        // increases with each digest that a process sends for the pool
+	SubsetSize   uint16        // number of servers in the member's subset
+	Observations []Observation // by descending priority
 }
 
-// ServerID is the hash by which digests name a server.
+// ServerID returns the hash that identifies a server in digests.
 func ServerID(server string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(server))
 	return h.Sum32()
 }
 
-// StartID is the hash by which digests name the start of a server's process.
+// StartID returns a hash of a server's start time, which distinguishes its processes in digests.
 func StartID(startedAt time.Duration) uint8 {
 	n := uint64(startedAt / time.Millisecond)
 	return uint8(n ^ n>>8 ^ n>>16 ^ n>>24)
 }
 
-// Encode encodes the digest, with its first MaxObservations observations, in at most MaxDigestBytes.
+// Encode returns the digest with its first MaxObservations observations, in at most MaxDigestBytes.
 func (d Digest) Encode() []byte {
 	order := binary.LittleEndian
 	observations := d.Observations[:min(len(d.Observations), MaxObservations)]
@@ -70,10 +70,10 @@
 	return b
 }
 
-// ErrDigest is the error for a message that can't be decoded as a digest.
+// ErrDigest is returned for bytes that can't be decoded as a digest.
 var ErrDigest = errors.New("invalid digest")
 
-// Decode decodes a digest. Bytes that follow it are ignored: a later version may add some. The error is ErrDigest.
+// Decode decodes a digest. It ignores trailing bytes, in which a later version may add fields. The error is ErrDigest.
 func Decode(b []byte) (Digest, error) {
 	if len(b) < headerBytes || b[0] != encodingVersion {
 		return Digest{}, ErrDigest
@@ -99,5 +99,5 @@
 	return d, nil
 }
 
-// saturate converts a count to what an Observation holds.
+// saturate converts a count to a byte, at most 255.
 func saturate(n int) uint8 { return uint8(min(n, math.MaxUint8)) }
--- a/internal/fleet/outlier/doc.go
+++ b/internal/fleet/outlier/doc.go
@@ -1,17 +1,17 @@
-// Package outlier is outlier detection (as in Envoy) by several members of a fleet: they share what they observe of servers, so that a
-// failing server costs each of them fewer requests than it would alone. Each member sends the others a small Digest of what it has
-// observed itself, and a Detector decides which servers a member avoids because of the others' digests.
+// Package outlier implements outlier detection (as in Envoy) across the members of a fleet. Members share their observations of servers, so
+// that a failing server costs each member fewer requests than if each had to detect the failure alone. Each member sends the others a
+// small Digest of its own observations, and a Detector decides from the received digests which servers this member avoids.
 //
-// A report of others is a reason to be careful, not a fact. It ejects a server for a bounded time, until it is this member's turn to try
-// it (package rotation), and is void as soon as this member's own requests there succeed. What a wrong member can do is
-// bounded:
+// A report by another member is evidence, not proof. It ejects a server for a bounded time, until it is this member's turn to retry the
+// server (package rotation), and it has no effect once this member's own requests to the server succeed. The effect of a member that
+// reports wrongly is bounded:
 //
-//   - A member that reports many of its servers as failing is not believed at all: it is more likely to be unhealthy itself.
-//   - A member that was wrong about a server is not believed about it for a while.
-//   - One member alone ejects only a few servers at a time, and one server only a few times in a row.
+//   - All reports of a member that reports many of its servers as failing are ignored: that member is more likely to be unhealthy itself.
+//   - Reports about a server are ignored for a while if they come from a member that was wrong about that server.
+//   - The reports of a single member eject only a few servers at a time, and each server only a few times in a row.
 //
-// The decision module bounds all ejections once more. What was received is never passed on as this member's own observation.
+// The decision module limits the number of ejections again. Received observations are never forwarded as this member's own.
 //
-// The package is pure: time is an argument, and a Detector is not safe for concurrent use. docs/design/subsets.md has the alternatives
-// and figures.
+// The package is pure: time is an argument, and a Detector is not safe for concurrent use. docs/design/subsets.md
+// describes the alternatives and has measurements.
 package outlier
--- a/internal/fleet/outlier/ejections.go
+++ b/internal/fleet/outlier/ejections.go
@@ -8,50 +8,53 @@
 	"cranegrade/internal/fleet/rotation"
 )
 
-// How long ejections last.
+// Durations of ejections.
 const (
-	// baseEjection is the length of a server's first ejection. It doubles with each ejection in a row, maxDoublings times at the most.
+	// baseEjection is the duration of a first ejection. It doubles with each consecutive ejection, at most maxDoublings times.
 	baseEjection = 500 * time.Millisecond
 	maxDoublings = 3
-	// turnInterval is the time between the attempts of two members at an ejected server: longer than a report takes to the members that
-	// draw from the same servers.
+	// turnInterval is the time between two members' turns to retry an ejected server. It is longer than a report takes to reach the
+	// members that use the same servers, so that the outcome of one retry is known before the next.
 	turnInterval = 300 * time.Millisecond
 	maxEjection  = baseEjection<<maxDoublings + rotation.MaxWaitSteps*turnInterval
-	// resetAfter is how long after its latest ejection a server's ejections begin anew.
+	// resetAfter is the time after the end of an ejection until the server's backoff is reset.
 	resetAfter = 2 * maxEjection
 )
 
-// Bounds on what reports may do.
+// Limits on the effect of reports.
 const (
-	// requiredFailures are the consecutive failures, over all members, that eject a server. No member counts for more than that.
+	// requiredFailures is the sum of consecutive failures over all members that ejects a server. The failures of each member count up to
+	// this number.
 	requiredFailures = 2
-	// maxLoneEjections is how often in a row one member's report is enough, unless this member has sent the server a request since.
-	maxLoneEjections = 2
-	// maxReportedFraction is the fraction of its servers that a member may report as failing, and one server at least. If it reports
-	// more it is not believed.
+	// maxSingleReporterEjections is how often in a row a server is ejected on the report of a single member. A request by this member to
+	// the server after the ejection restarts the count.
+	maxSingleReporterEjections = 2
+	// maxReportedFraction is the fraction of the servers in its subset, but at least one server, that a member may report as failing.
+	// If it reports more, all its reports are ignored.
 	maxReportedFraction = 0.4
-	// maxLoneFraction is the fraction of the pool's servers, and one at least, that may be ejected on the report of one member each.
-	maxLoneFraction = 0.1
+	// maxSingleReporterFraction is the fraction of the pool's servers, but at least one server, that may be ejected at a time on the
+	// report of a single member each.
+	maxSingleReporterFraction = 0.1
 )
 
-// Ejection is a server that this member avoids because others report it as failing.
+// Ejection is a server that this member avoids because other members report it as failing.
 type Ejection struct {
 	Server    string
-	StartedAt time.Duration // of the server
-	Until     time.Duration
-	Reporters []string // names of the members that reported it, sorted
+	StartedAt time.Duration // start time of the server
+	Until     time.Duration // when the ejection ends
+	Reporters []string      // names of the members that reported it, sorted
 }
 
-// evidence is what others report of one server.
+// evidence summarizes what other members report about one server.
 type evidence struct {
-	reporters []string      // that report it as failing, sorted
-	failures  int           // consecutive ones, over all reporters
-	latest    time.Duration // when the latest of them was
-	succeeded bool          // another member's requests there have succeeded since
+	reporters []string      // names of the members that report it as failing, sorted
+	failures  int           // sum of the consecutive failures of all reporters
+	latest    time.Duration // time of the latest reported failure
+	succeeded bool          // a member reports a success after the latest failure
 }
 
-// isTrustworthy reports whether a peer's reports are believed at all: one that reports many of its servers as failing is more likely to be
-// unhealthy itself, or cut off.
+// isTrustworthy reports whether a peer's reports of failures count. A peer that reports many of its servers as failing is more likely to be
+// unhealthy or disconnected itself.
 func (p *peer) isTrustworthy() bool {
 	reported := 0
 	for _, o := range p.observations {
@@ -62,9 +65,9 @@
 	return reported <= max(1, int(maxReportedFraction*float64(p.subsetSize)))
 }
 
-// Ejections returns the servers that are ejected now. drawnBy returns hashes of the names of the members that draw from a server, whose
-// turns decide who tries it first.
-func (d *Detector) Ejections(now time.Duration, drawnBy func(server string) []uint64) []Ejection {
+// Ejections updates the ejections from the received digests, and returns the servers that are ejected now. membersUsing returns hashes of
+// the names of the members that have a server in their subset. These members retry the server in turn, in the order of rotation.Rank.
+func (d *Detector) Ejections(now time.Duration, membersUsing func(server string) []uint64) []Ejection {
 	for key, until := range d.distrusted {
 		if now >= until {
 			delete(d.distrusted, key)
@@ -75,12 +78,12 @@
 		trusted[p] = p.isTrustworthy() || d.TrustUnbounded
 	}
 	for s := range d.observedByPeers(now) {
-		d.decide(now, s, d.weigh(now, s, trusted), drawnBy)
+		d.updateEjection(now, s, d.collectEvidence(now, s, trusted), membersUsing)
 	}
-	return d.boundLoneEjections(d.currentEjections(now))
+	return d.limitSingleReporterEjections(d.currentEjections(now))
 }
 
-// observedByPeers returns the servers that recent digests mention.
+// observedByPeers returns the servers of which recent digests have an observation.
 func (d *Detector) observedByPeers(now time.Duration) map[*server]bool {
 	observed := map[*server]bool{}
 	for _, p := range d.peers {
@@ -96,8 +99,8 @@
 	return observed
 }
 
-// weigh sums up what others report of a server.
-func (d *Detector) weigh(now time.Duration, s *server, trusted map[*peer]bool) (e evidence) {
+// collectEvidence combines the observations of a server that other members report.
+func (d *Detector) collectEvidence(now time.Duration, s *server, trusted map[*peer]bool) (e evidence) {
 	var latestSuccess time.Duration
 	for name, p := range d.peers {
 		o, ok := p.observationOf(s)
@@ -105,7 +108,7 @@
 			continue
 		}
 		at := p.receivedAt - time.Duration(o.Age)*ageUnit
-		_, distrusted := d.distrusted[distrustKey{peer: p.id, server: uint64(s.id)}]
+		_, distrusted := d.distrusted[distrustedReport{peer: p.id, server: uint64(s.id)}]
 		switch {
 		case now-at > reportLifetime:
 		case o.reportsFailure() && trusted[p] && (d.TrustUnbounded || !distrusted):
@@ -121,8 +124,8 @@
 	return e
 }
 
-// decide ejects a server, or ends its ejection, by what others report of it.
-func (d *Detector) decide(now time.Duration, s *server, e evidence, drawnBy func(server string) []uint64) {
+// updateEjection ejects a server, or ends its ejection, according to the evidence.
+func (d *Detector) updateEjection(now time.Duration, s *server, e evidence, membersUsing func(server string) []uint64) {
 	ownSuccess := s.consecutiveFailures == 0 && s.lastSuccessAt > e.latest
 	othersSuccess := s.consecutiveFailures == 0 && e.succeeded
 	switch {
@@ -132,33 +135,33 @@
 		s.ejectedUntil = now + maxEjection
 		s.reporters = e.reporters
 	case now < s.ejectedUntil:
-		// A failure during an ejection is not that of an attempt whose turn it was.
+		// A failure that is reported during the ejection is not that of a scheduled retry, so it doesn't prolong the ejection.
 	case len(e.reporters) == 0 || e.latest <= s.lastEvidenceAt:
-		// Nothing new.
+		// There is no new failure since the last ejection.
 	case e.failures+min(s.consecutiveFailures, requiredFailures) < requiredFailures:
-		// Not enough yet.
-	case len(e.reporters) == 1 && s.loneEjections >= maxLoneEjections && s.lastOutcomeAt <= s.ejectedUntil:
-		// One member's report has been enough often enough: this member tries the server itself.
+		// There are too few failures to eject the server.
+	case len(e.reporters) == 1 && s.singleReporterEjections >= maxSingleReporterEjections && s.lastOutcomeAt <= s.ejectedUntil:
+		// The limit for a single reporter is reached: this member has to try the server itself.
 	default:
-		d.eject(now, s, e, drawnBy(s.name))
+		d.eject(now, s, e, membersUsing(s.name))
 	}
 }
 
-// eject ejects a server until it is this member's turn to try it: for longer each time that an attempt there has failed.
-func (d *Detector) eject(now time.Duration, s *server, e evidence, drawnBy []uint64) {
+// eject ejects a server until it is this member's turn to retry it. The duration grows with each consecutive ejection.
+func (d *Detector) eject(now time.Duration, s *server, e evidence, membersUsing []uint64) {
 	s.epoch++
-	s.loneEjections++
+	s.singleReporterEjections++
 	if len(e.reporters) > 1 || s.lastOutcomeAt > s.ejectedUntil {
-		s.loneEjections = 1
+		s.singleReporterEjections = 1
 	}
-	rank := rotation.Rank(uint64(s.id), s.epoch, drawnBy, d.self)
+	rank := rotation.Rank(uint64(s.id), s.epoch, membersUsing, d.self)
 	s.lastEvidenceAt = e.latest
 	s.reporters = e.reporters
 	s.ejectedUntil = now + baseEjection<<min(s.epoch-1, maxDoublings) + rotation.Wait(rank, turnInterval)
 }
 
-// currentEjections returns the servers that are ejected now, those with the most reporters first, and has the ejections of others begin
-// anew that were tried again long ago.
+// currentEjections returns the servers that are ejected now, those with the most reporters first. It resets the backoff of servers whose
+// ejection ended more than resetAfter ago.
 func (d *Detector) currentEjections(now time.Duration) (ejections []Ejection) {
 	for _, s := range d.servers {
 		if now < s.ejectedUntil {
@@ -169,7 +172,7 @@
 				Reporters: s.reporters,
 			})
 		} else if s.epoch > 0 && now-s.ejectedUntil > resetAfter {
-			s.clearEjections()
+			s.resetEjections()
 		}
 	}
 	slices.SortFunc(ejections, func(a, b Ejection) int {
@@ -178,17 +181,17 @@
 	return ejections
 }
 
-// boundLoneEjections drops ejections that rest on one member's report, beyond maxLoneFraction of the servers.
-func (d *Detector) boundLoneEjections(ejections []Ejection) []Ejection {
+// limitSingleReporterEjections drops the ejections on the report of a single member that exceed maxSingleReporterFraction of the servers.
+func (d *Detector) limitSingleReporterEjections(ejections []Ejection) []Ejection {
 	if d.TrustUnbounded {
 		return ejections
 	}
-	lone, maxLone := 0, max(1, int(maxLoneFraction*float64(len(d.servers))))
+	singleReporter, maxSingleReporter := 0, max(1, int(maxSingleReporterFraction*float64(len(d.servers))))
 	return slices.DeleteFunc(ejections, func(e Ejection) bool {
 		if len(e.Reporters) != 1 {
 			return false
 		}
-		lone++
-		return lone > maxLone
+		singleReporter++
+		return singleReporter > maxSingleReporter
 	})
 }
--- a/internal/fleet/shares/codec.go
+++ b/internal/fleet/shares/codec.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// ErrEncoding is the error for bytes that can't be decoded as demands and loans.
+// ErrEncoding is returned for bytes that can't be decoded as demands and loans.
 var ErrEncoding = errors.New("invalid demands and loans")
 
 const (
 	encodingVersion = 1
 	headerBytes     = 3 // version, number of demands, number of loans
-	demandBytes     = 6 // quota, share in fractions of maxDemand
-	loanBytes       = 8 // quota, share in fractions of the whole, milliseconds
+	demandBytes     = 6 // quota, share in units of maxDemand/fullScale
+	loanBytes       = 8 // quota, share in units of 1/fullScale, duration in milliseconds
 
-	// fullScale is the encoding of the largest share and of the longest time.
+	// fullScale encodes the largest share and the longest duration.
 	fullScale = math.MaxUint16
 )
 
-// Encode encodes the first MaxDemands demands and the first MaxLoans loans. It rounds down, so that nobody takes a loan for more than it
-// is. Nothing is encoded as nothing.
+// Encode encodes the first MaxDemands demands and the first MaxLoans loans. It rounds down, so that a borrower never uses more than the
+// lender has lent. It returns nil if there are no demands and no loans.
 func Encode(demands []Demand, loans []Loan) []byte {
 	if len(demands)+len(loans) == 0 {
 		return nil
@@ -41,7 +41,7 @@
 	return b
 }
 
-// Decode decodes what Encode returned. The error is ErrEncoding.
+// Decode decodes the result of Encode. The error is ErrEncoding.
 func Decode(b []byte) (demands []Demand, loans []Loan, err error) {
 	if len(b) == 0 {
 		return nil, nil, nil
--- a/internal/fleet/shares/codec_test.go
+++ b/internal/fleet/shares/codec_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestEncodingStaysAsEarlierBuildsHaveIt pins bytes between nodes: members of two builds run side by side during an upgrade.
-func TestEncodingStaysAsEarlierBuildsHaveIt(t *testing.T) {
+// TestEncodingIsCompatibleWithEarlierBuilds checks the exact bytes: members of two builds exchange heartbeats during an upgrade.
+func TestEncodingIsCompatibleWithEarlierBuilds(t *testing.T) {
 	got := string(Encode([]Demand{{1, 0.5}}, []Loan{{2, 0.25, time.Second}}))
 	const want = "\x01\x01\x01" + "\x01\x00\x00\x00\xcc\x0c" + "\x02\x00\x00\x00\xff\x3f\xe8\x03"
 	if got != want {
@@ -14,7 +14,7 @@
 	}
 }
 
-// FuzzDecode: what is decoded survives another encoding, and a loan is never used for longer than it is lent for.
+// FuzzDecode checks that decoded demands and loans can be encoded and decoded again, and that a decoded loan is not used after its end.
 func FuzzDecode(f *testing.F) {
 	f.Add(Encode([]Demand{{1, 0.5}}, []Loan{{1, 0.25, time.Second}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -24,7 +24,7 @@
 		}
 		demandsAgain, loansAgain, err := Decode(Encode(demands, loans))
 		if err != nil || len(demandsAgain) != len(demands) || len(loansAgain) != len(loans) {
-			t.Fatalf("%x is decoded as %v %v, and that as %v %v, %v", b, demands, loans, demandsAgain, loansAgain, err)
+			t.Fatalf("%x is decoded as %v %v; encoded and decoded again it is %v %v, %v", b, demands, loans, demandsAgain, loansAgain, err)
 		}
 		const evenShare = 0.5
 		table := NewLoanTable(time.Second)
@@ -35,7 +35,7 @@
 				t.Errorf("%+v gives a share of %v until %v", loan, share, until)
 			}
 			if share, _ := table.Share(12*time.Second, loan.Quota, evenShare); share != evenShare {
-				t.Errorf("%+v: a loan of a second gives %v after two", loan, share)
+				t.Errorf("%+v: two seconds after the echoed heartbeat the share is %v, want the even share", loan, share)
 			}
 		}
 	})
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -1,12 +1,12 @@
-// Package shares divides quotas unevenly where demand is uneven: a member that uses little of its share of a quota lends of it to members
-// that want more.
+// Package shares adapts the division of quotas to uneven demand: a member that uses little of its share of a quota lends a part of it to
+// members with more demand.
 //
-// What a member may use of a quota is its even share (one part in the fleet's divisor, see package membership), less what it has lent,
-// plus what it has borrowed. A loan is carried by a heartbeat that echoes one of the borrower's. For the borrower it ends a fixed time
-// after the borrower sent the echoed heartbeat; the lender counts it as lent for the same time from when it sent the loan, which is later.
-// So a loan is never used by both, however late messages come, and it ends by itself once nothing more is heard. A loan never outlasts the
-// lender's own share (membership.Share.Until): whoever takes over the lender's share does so later. Therefore the shares of all members
-// stay within the whole as long as their even shares do. docs/design/subsets.md has the alternatives.
+// A member's share of a quota is its even share (1/divisor of the fleet, see package membership), minus what it has lent, plus what it has
+// borrowed. A heartbeat carries a loan and echoes an earlier heartbeat of the borrower. The borrower counts the loan's duration from when
+// it sent the echoed heartbeat. The lender counts the same duration from when it sent the loan, which is later. So both never use the same
+// share at the same time, however long messages are delayed, and the loan expires without further messages. A loan also ends no later than
+// the lender's own share (membership.Share.Until): other members take over the lender's share only after that. Therefore the shares of all
+// members add up to at most the whole quota as long as their even shares do. docs/design/subsets.md describes the alternatives.
 //
 // The package is pure: time is an argument, and a LoanTable is not safe for concurrent use.
 package shares
@@ -17,60 +17,60 @@
 	"time"
 )
 
-// QuotaID identifies a quota that members lend shares of.
+// QuotaID identifies a quota whose shares members lend to each other.
 type QuotaID uint32
 
-// Bounds of what one message carries.
+// Maximum numbers of demands and loans in one message.
 const (
 	MaxDemands = 16
 	MaxLoans   = 16
 )
 
-// maxDemand is the most that a member asks for, as a multiple of the whole quota.
+// maxDemand is the largest demand that a member reports, as a multiple of the whole quota.
 const maxDemand = 10
 
-// Demand is what a member would use of a quota, as a share of the whole: over 1 if the whole is not enough.
+// Demand is the share of a quota that a member would use if it could. It exceeds 1 if the whole quota is not enough.
 type Demand struct {
 	Quota QuotaID
 	Share float64
 }
 
-// Loan is a share of a quota that is lent for a time.
+// Loan is a share of a quota that one member lends to another for a limited time.
 type Loan struct {
 	Quota QuotaID
-	Share float64 // of the whole, 0 to 1
+	Share float64 // of the whole quota, 0 to 1
 	For   time.Duration
 }
 
 const (
-	reservedFraction = 0.1  // of its even share that a member never lends, so that new demand there can begin at once
-	headroom         = 1.25 // a member keeps this multiple of its own demand
-	minLoan          = 0.01 // the least share that is worth lending
-	demandLifetime   = 4    // how long a demand is remembered, as a multiple of the longest loan
-	clockDrift       = 0.05 // by which two clocks may differ over a loan
-	shortLoanDivisor = 4    // a loan of less than this part of the longest time is not worth its messages
+	reservedFraction       = 0.1  // fraction of its even share that a member never lends, so that it can serve new demand at once
+	headroom               = 1.25 // multiple of its own demand that a member keeps
+	minLoanShare           = 0.01 // smallest share of a quota that is lent
+	demandLifetime         = 4    // how long a peer's demands are kept, as a multiple of the maximum loan duration
+	clockDrift             = 0.05 // largest relative difference between the rates of two clocks
+	minLoanDurationDivisor = 4    // loans of up to 1/4 of the maximum duration are not worth their messages
 )
 
-// maxBorrowedQuotas bounds the quotas that loans are accepted of.
+// maxBorrowedQuotas is the maximum number of quotas of which shares are borrowed at the same time.
 const maxBorrowedQuotas = 64 * MaxLoans
 
-// LoanTable holds one member's demands and loans, and the demands of the others.
+// LoanTable holds the demands and loans of one member, and the demands of the other members.
 type LoanTable struct {
-	maxLoan  time.Duration
-	demands  map[QuotaID]float64
-	peers    map[string]*peerDemands
-	lent     map[QuotaID]map[string]loanTerm // by borrower
-	borrowed map[QuotaID]map[string]loanTerm // by lender
+	maxLoanDuration time.Duration
+	demands         map[QuotaID]float64
+	peers           map[string]*peerDemands
+	lent            map[QuotaID]map[string]loanTerm // by borrower
+	borrowed        map[QuotaID]map[string]loanTerm // by lender
 }
 
-// peerDemands is what another member demanded in its latest message.
+// peerDemands are the demands in another member's latest message.
 type peerDemands struct {
-	at      time.Duration
-	demands []Demand
+	receivedAt time.Duration
+	demands    []Demand
 }
 
-// of returns the demand for a quota, the last if the message has several. It returns 0 if it has none.
-func (p *peerDemands) of(quota QuotaID) (share float64) {
+// demandFor returns the demand for a quota, the last one if the message has several, or 0 if it has none.
+func (p *peerDemands) demandFor(quota QuotaID) (share float64) {
 	for _, d := range p.demands {
 		if d.Quota == quota {
 			share = d.Share
@@ -79,13 +79,13 @@
 	return share
 }
 
-// loanTerm is the share that is lent or borrowed, and when that ends.
+// loanTerm is a share that is lent or borrowed, and the time at which the loan ends.
 type loanTerm struct {
 	share float64
 	until time.Duration
 }
 
-// remaining returns what is lent at a time.
+// remaining returns the share while the loan lasts, and 0 afterwards.
 func (t loanTerm) remaining(now time.Duration) float64 {
 	if now < t.until {
 		return t.share
@@ -93,27 +93,27 @@
 	return 0
 }
 
-// NewLoanTable returns an empty table. maxLoan is the longest time of a loan; it must be the same at all members.
-func NewLoanTable(maxLoan time.Duration) *LoanTable {
+// NewLoanTable returns an empty table. maxLoanDuration must be the same at all members.
+func NewLoanTable(maxLoanDuration time.Duration) *LoanTable {
 	return &LoanTable{
-		maxLoan:  maxLoan,
-		demands:  map[QuotaID]float64{},
-		peers:    map[string]*peerDemands{},
-		lent:     map[QuotaID]map[string]loanTerm{},
-		borrowed: map[QuotaID]map[string]loanTerm{},
+		maxLoanDuration: maxLoanDuration,
+		demands:         map[QuotaID]float64{},
+		peers:           map[string]*peerDemands{},
+		lent:            map[QuotaID]map[string]loanTerm{},
+		borrowed:        map[QuotaID]map[string]loanTerm{},
 	}
 }
 
-// SetDemand sets what this member would use of a quota, as a share of the whole.
+// SetDemand sets the share of a quota that this member would use if it could. A share that is not positive removes the demand.
 func (t *LoanTable) SetDemand(quota QuotaID, share float64) {
-	if !(share > 0) { // also if it is no number
+	if !(share > 0) { // also true for NaN
 		delete(t.demands, quota)
 		return
 	}
 	t.demands[quota] = min(share, maxDemand)
 }
 
-// Demands returns this member's demands, for its heartbeats: the largest MaxDemands of them.
+// Demands returns the MaxDemands largest demands of this member, to be sent with its heartbeats.
 func (t *LoanTable) Demands() (demands []Demand) {
 	for quota, share := range t.demands {
 		demands = append(demands, Demand{Quota: quota, Share: share})
@@ -124,27 +124,27 @@
 	return demands[:min(len(demands), MaxDemands)]
 }
 
-// Receive records another member's demands, and what it lends to this one. echoedAt is when this member sent the heartbeat that the
-// message echoes. It is zero if the message echoes none, and then its loans do not count.
+// Receive records the demands of another member and its loans to this one. echoedAt is when this member sent the heartbeat that the message
+// echoes. It is zero if the message echoes none, and then the loans are ignored.
 func (t *LoanTable) Receive(now time.Duration, from string, demands []Demand, loans []Loan, echoedAt time.Duration) {
 	p := t.peers[from]
 	if p == nil {
 		p = &peerDemands{}
 		t.peers[from] = p
 	}
-	p.at = now
+	p.receivedAt = now
 	p.demands = demands
 	if echoedAt == 0 {
 		return
 	}
 	for _, loan := range loans {
-		if loan.Share > 0 && loan.Share <= 1 && loan.For > 0 && loan.For <= t.maxLoan {
+		if loan.Share > 0 && loan.Share <= 1 && loan.For > 0 && loan.For <= t.maxLoanDuration {
 			t.borrow(from, loan, echoedAt)
 		}
 	}
 }
 
-// borrow records a loan of a member, whose term begins at echoedAt.
+// borrow records a loan from a member. Its duration counts from echoedAt.
 func (t *LoanTable) borrow(from string, loan Loan, echoedAt time.Duration) {
 	lenders := t.borrowed[loan.Quota]
 	if lenders == nil {
@@ -157,35 +157,35 @@
 	lenders[from] = loanTerm{share: loan.Share, until: echoedAt + loan.For}
 }
 
-// Expire forgets loans that have ended, and the demands of members that are unknown or have been silent for long.
+// Expire removes loans that have ended, and the demands of members that are unknown or were last received too long ago.
 func (t *LoanTable) Expire(now time.Duration, isKnown func(name string) bool) {
 	for name, p := range t.peers {
-		if !isKnown(name) || now-p.at > demandLifetime*t.maxLoan {
+		if !isKnown(name) || now-p.receivedAt > demandLifetime*t.maxLoanDuration {
 			delete(t.peers, name)
 		}
 	}
-	for _, byQuota := range []map[QuotaID]map[string]loanTerm{t.lent, t.borrowed} {
-		for quota, terms := range byQuota {
+	for _, loansByQuota := range []map[QuotaID]map[string]loanTerm{t.lent, t.borrowed} {
+		for quota, terms := range loansByQuota {
 			for name, term := range terms {
 				if now >= term.until {
 					delete(terms, name)
 				}
 			}
 			if len(terms) == 0 {
-				delete(byQuota, quota)
+				delete(loansByQuota, quota)
 			}
 		}
 	}
 }
 
-// noEnd is the end of a share that does not change by itself.
-const noEnd = time.Duration(1 << 62)
+// noExpiry is the end of a share that is valid until a message changes it.
+const noExpiry = time.Duration(1 << 62)
 
-// Share returns the share of a quota that this member may use, and until when that holds if no message comes. evenShare is this member's
-// part in the divisor. It is 0 if its share is not valid, and then it may use nothing of what it has borrowed either.
+// Share returns the share of a quota that this member may use, and when that share changes if no message arrives. evenShare is 1/divisor,
+// or 0 if this member's own share is not valid. Without a valid share of its own it may not use borrowed shares either.
 func (t *LoanTable) Share(now time.Duration, quota QuotaID, evenShare float64) (share float64, until time.Duration) {
 	share = max(0, evenShare-t.Lent(now, quota))
-	until = noEnd
+	until = noExpiry
 	if evenShare > 0 {
 		for _, term := range t.borrowed[quota] {
 			if now < term.until {
@@ -197,14 +197,15 @@
 	return min(1, share), until
 }
 
-// Lend decides what this member lends to another one in its next heartbeat, and counts that as lent. evenShare is this member's part in
-// the divisor and until the end of its share; isCounted reports whether the divisor counts a member.
+// Lend returns the loans to send to another member with the next heartbeat, and records them as lent. evenShare is 1/divisor, or 0 if this
+// member's share is not valid, and until is the end of that share. isCounted reports whether the divisor includes a member.
 func (t *LoanTable) Lend(
 	now time.Duration, to string, evenShare float64, until time.Duration, isCounted func(name string) bool,
 ) (loans []Loan) {
 	borrower := t.peers[to]
-	duration := min(t.maxLoan, until-now)
-	if borrower == nil || evenShare <= 0 || duration <= t.maxLoan/shortLoanDivisor || now-borrower.at > t.maxLoan || !isCounted(to) {
+	duration := min(t.maxLoanDuration, until-now)
+	if borrower == nil || evenShare <= 0 || duration <= t.maxLoanDuration/minLoanDurationDivisor ||
+		now-borrower.receivedAt > t.maxLoanDuration || !isCounted(to) {
 		return nil
 	}
 	for _, demand := range borrower.demands {
@@ -213,7 +214,7 @@
 		}
 		share := t.loanShare(now, demand, evenShare, isCounted)
 		share = min(share, evenShare-(t.Lent(now, demand.Quota)-t.lent[demand.Quota][to].remaining(now)))
-		if share < minLoan {
+		if share < minLoanShare {
 			continue
 		}
 		t.recordLoan(now, to, demand.Quota, loanTerm{
@@ -225,26 +226,26 @@
 	return loans
 }
 
-// loanShare is what this member should lend to one that has a demand. All members that can spare something give as much of it as is
-// demanded, in proportion to what they can spare.
+// loanShare returns the share that this member should lend for a demand. The members with a spare share together cover the demands beyond
+// the even share as far as possible, each in proportion to its spare share.
 func (t *LoanTable) loanShare(now time.Duration, demand Demand, evenShare float64, isCounted func(name string) bool) float64 {
-	ownSpare := spareShare(evenShare, t.demands[demand.Quota])
-	lacking, spare := 0.0, ownSpare // of all members
+	ownSpareShare := spareShare(evenShare, t.demands[demand.Quota])
+	totalShortfall, totalSpareShare := 0.0, ownSpareShare
 	for name, p := range t.peers {
-		if now-p.at > t.maxLoan || !isCounted(name) {
+		if now-p.receivedAt > t.maxLoanDuration || !isCounted(name) {
 			continue
 		}
-		theirs := p.of(demand.Quota)
-		lacking += max(0, theirs-evenShare)
-		spare += spareShare(evenShare, theirs)
+		peerDemand := p.demandFor(demand.Quota)
+		totalShortfall += max(0, peerDemand-evenShare)
+		totalSpareShare += spareShare(evenShare, peerDemand)
 	}
-	if ownSpare <= 0 || lacking <= 0 {
+	if ownSpareShare <= 0 || totalShortfall <= 0 {
 		return 0
 	}
-	return ownSpare * min(1, lacking/spare) * (demand.Share - evenShare) / lacking
+	return ownSpareShare * min(1, totalShortfall/totalSpareShare) * (demand.Share - evenShare) / totalShortfall
 }
 
-// recordLoan counts a loan as lent. A smaller loan does not take back what a larger one before it gave: that one runs out first.
+// recordLoan records a loan as lent. A smaller loan does not reduce an earlier, larger one that the borrower may still use.
 func (t *LoanTable) recordLoan(now time.Duration, to string, quota QuotaID, term loanTerm) {
 	borrowers := t.lent[quota]
 	if borrowers == nil {
@@ -255,22 +256,22 @@
 	borrowers[to] = term
 }
 
-// spareShare is what a member with this even share and this demand can lend.
+// spareShare returns the share that a member with this even share and this demand can lend.
 func spareShare(evenShare, demand float64) float64 {
 	return max(0, evenShare-max(reservedFraction*evenShare, headroom*demand))
 }
 
-// Lent returns the share of a quota that this member has lent.
+// Lent returns the share of a quota that this member has lent to others now.
 func (t *LoanTable) Lent(now time.Duration, quota QuotaID) float64 {
 	return sumRemaining(now, t.lent[quota])
 }
 
-// Borrowed returns the share of a quota that this member has borrowed.
+// Borrowed returns the share of a quota that this member has borrowed from others now.
 func (t *LoanTable) Borrowed(now time.Duration, quota QuotaID) float64 {
 	return sumRemaining(now, t.borrowed[quota])
 }
 
-// sumRemaining adds up the shares of the terms that have not ended.
+// sumRemaining returns the sum of the shares of the loans that have not ended.
 func sumRemaining(now time.Duration, terms map[string]loanTerm) (sum float64) {
 	for _, term := range terms {
 		sum += term.remaining(now)
