--- a/internal/fleet/membership/bench_test.go
+++ b/internal/fleet/membership/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkRoster measures what a node does in every round of heartbeats: once its share, and a heartbeat for each other member.
+// BenchmarkRoster measures the work of a node in a round of heartbeats: computing its share once, and one heartbeat for each other member.
 func BenchmarkRoster(b *testing.B) {
 	for _, members := range []int{5, 50, 300} {
 		s := newSimulation(Lease{Duration: time.Second, Nodes: members})
--- a/internal/fleet/membership/codec_test.go
+++ b/internal/fleet/membership/codec_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestMetadataOfManyPoolsStandsForAll(t *testing.T) {
+func TestMetadataWithTooManyPoolsIsEncodedAsAllPools(t *testing.T) {
 	m := testMetadata(strings.Repeat("n", MaxName), 1)
 	m.Zone = strings.Repeat("z", MaxZone)
 	for i := range 200 {
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestEncodingsStayAsEarlierBuildsHaveThem pins bytes between nodes: members of two builds run side by side during an upgrade.
-func TestEncodingsStayAsEarlierBuildsHaveThem(t *testing.T) {
+// TestEncodingsAreCompatibleWithEarlierBuilds checks the exact bytes: members of two builds exchange messages during an upgrade.
+func TestEncodingsAreCompatibleWithEarlierBuilds(t *testing.T) {
 	metadata := Metadata{Name: "n1", Incarnation: 0x0102, Protocol: 1, Zone: "a", Pools: []PoolDigest{{ID: 3, Digest: 7}}}
 	heartbeat := Heartbeat{
 		From: "n1", Incarnation: 1, To: 2, Seq: 3, Epoch: 4, Leaving: true, VotersCommitted: true, RosterHash: 5, Echo: 6,
@@ -88,8 +88,9 @@
 	}
 }
 
-// TestRosterHashStaysAsEarlierBuildsHaveIt: members accept grants only of those with the same hash.
-func TestRosterHashStaysAsEarlierBuildsHaveIt(t *testing.T) {
+// TestRosterHashIsCompatibleWithEarlierBuilds checks the exact hash: members of two builds accept each other's grants only if their hashes
+// are the same.
+func TestRosterHashIsCompatibleWithEarlierBuilds(t *testing.T) {
 	r := NewRoster(0, "a", 1, Lease{Duration: time.Microsecond, Nodes: 3})
 	r.Merge(0, []Entry{{Name: "n1", Epoch: 1, Voter: true}, {Name: "n2", Epoch: 7, Removed: true}})
 	if got, want := r.Hash(), uint64(0xe44226d4ec369ec8); got != want {
@@ -97,7 +98,7 @@
 	}
 }
 
-// addEncodings adds a seed of each format: a decoder also meets bytes of the others.
+// addEncodings adds a seed of each format, so that each decoder is also tested with the formats of the others.
 func addEncodings(f *testing.F) {
 	f.Helper()
 	f.Add(testMetadata("n1", 3).Encode())
@@ -105,7 +106,7 @@
 	f.Add(EncodeEntries([]Entry{{"n1", 1, true, false}, {"n2", 7, false, true}}))
 }
 
-// FuzzDecodeMetadata: what is decoded is encoded as it was, and keeps its bounds.
+// FuzzDecodeMetadata checks that decoded metadata is within its limits and encodes to the bytes that were decoded.
 func FuzzDecodeMetadata(f *testing.F) {
 	addEncodings(f)
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -119,7 +120,8 @@
 	})
 }
 
-// FuzzDecodeHeartbeat: what is decoded survives another encoding, keeps its bounds, and alone gives nobody a valid share.
+// FuzzDecodeHeartbeat checks that a decoded heartbeat encodes to an equal one and is within its limits, and that a single heartbeat doesn't
+// give its receiver a valid share.
 func FuzzDecodeHeartbeat(f *testing.F) {
 	addEncodings(f)
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -128,18 +130,18 @@
 			return
 		}
 		if again, _, err := DecodeHeartbeat(h.Encode()); err != nil || !reflect.DeepEqual(h, again) || len(h.Failed) > MaxFailed {
-			t.Errorf("%x is decoded as %+v, and that as %+v, %v", b, h, again, err)
+			t.Errorf("%x is decoded as %+v; encoded and decoded again it is %+v, %v", b, h, again, err)
 		}
 		r := NewRoster(0, "self", 1, Lease{Duration: time.Second, Nodes: 3})
 		h.To = NameID("self")
 		r.Receive(time.Second, h)
 		if r.Share(time.Second).IsValid(time.Second) || len(r.members) > 2 {
-			t.Errorf("%+v alone gives a valid share, or more than one name", h)
+			t.Errorf("%+v alone gives a valid share, or adds more than one member", h)
 		}
 	})
 }
 
-// FuzzDecodeEntries: what is decoded survives another encoding.
+// FuzzDecodeEntries checks that decoded entries encode to equal ones.
 func FuzzDecodeEntries(f *testing.F) {
 	addEncodings(f)
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -148,7 +150,7 @@
 			return
 		}
 		if again, err := DecodeEntries(EncodeEntries(entries)); err != nil || !slices.Equal(entries, again) {
-			t.Errorf("%x is decoded as %+v, and that as %+v, %v", b, entries, again, err)
+			t.Errorf("%x is decoded as %+v; encoded and decoded again it is %+v, %v", b, entries, again, err)
 		}
 	})
 }
--- a/internal/fleet/membership/entry.go
+++ b/internal/fleet/membership/entry.go
@@ -6,16 +6,16 @@
 	"fmt"
 )
 
-// Entry is a name on the roster. Entries form a state-based CRDT: of two entries for one name the one of the higher epoch wins, and
-// within an epoch Voter and Removed only ever become true. So they may be merged in any order and any number of times.
+// Entry is the roster's record of one member. Entries form a state-based CRDT: of two entries with the same name the one with the higher
+// epoch wins, and within an epoch Voter and Removed only change from false to true. So entries may be merged in any order and repeatedly.
 type Entry struct {
 	Name    string
-	Epoch   uint32 // grows when a removed name comes back
-	Voter   bool   // the member counts in majorities
-	Removed bool   // it left, or an operator removed it
+	Epoch   uint32 // increases when a removed member rejoins
+	Voter   bool   // the member is included in majorities
+	Removed bool   // the member left, or an operator removed it
 }
 
-// merge returns the join of two entries of one name.
+// merge returns the merged state of two entries with the same name.
 func (e Entry) merge(other Entry) Entry {
 	switch {
 	case other.Epoch > e.Epoch:
@@ -38,7 +38,7 @@
 	return flags
 }
 
-// MaxEpoch bounds how often a name can come back; entries beyond it are invalid.
+// MaxEpoch is the highest valid epoch of an entry. It limits how often a removed member can rejoin.
 const MaxEpoch = 1 << 30
 
 // Flags of an encoded Entry.
@@ -47,11 +47,11 @@
 	flagRemoved
 )
 
-// minEntryBytes is the least that an encoded Entry takes: flags, length of the name, one byte of the name, epoch.
+// minEntryBytes is the size of the smallest encoded Entry: flags, length of the name, one byte of the name, epoch.
 const minEntryBytes = 7
 
-// ErrEntries is the error for a message that can't be decoded as roster entries.
-var ErrEntries = errors.New("invalid roster")
+// ErrEntries is returned for a message that can't be decoded as roster entries.
+var ErrEntries = errors.New("invalid roster entries")
 
 // EncodeEntries encodes the first MaxMembers entries of a roster.
 func EncodeEntries(entries []Entry) []byte {
@@ -65,7 +65,7 @@
 	return b
 }
 
-// DecodeEntries decodes what EncodeEntries returned. The error is an ErrEntries.
+// DecodeEntries decodes the result of EncodeEntries. Errors wrap ErrEntries.
 func DecodeEntries(b []byte) ([]Entry, error) {
 	d := decoder{rest: b}
 	if version := d.uint8(); version != wireVersion {
--- a/internal/fleet/membership/exchange.go
+++ b/internal/fleet/membership/exchange.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// StartRound begins a round of heartbeats and returns the names that one has to be sent to, see Heartbeat.
+// StartRound begins a round of heartbeats, and returns the names of the members to send one to. Roster.Heartbeat returns the heartbeats.
 func (r *Roster) StartRound(now time.Duration) (to []string) {
 	r.advance(now)
 	r.seq++
@@ -24,8 +24,8 @@
 	return to
 }
 
-// Heartbeat returns the current round's heartbeat for one member. It reports as failed those who had failed when the round began. A
-// member that is heard during the round is so reported for a round longer, which is safe: it is granted nothing for rejoinDelay.
+// Heartbeat returns the current round's heartbeat for one member. It reports the members that had failed when the round began. So a member
+// that sends a heartbeat during the round is still reported until the round ends, which is safe: it gets no grant for rejoinDelay.
 func (r *Roster) Heartbeat(to string) Heartbeat {
 	h := Heartbeat{
 		From:            r.self,
@@ -50,8 +50,8 @@
 	return p.incarnation != 0 && !p.failed && !p.Removed && r.now >= p.noGrantBefore && !r.leaving
 }
 
-// Receive processes a heartbeat. exchangeRosters says that the sender's roster is another than this node's, so that this node should send
-// it its own. echoedAt is when this node sent the heartbeat that is echoed. It is zero if this one is no grant.
+// Receive processes a heartbeat. exchangeRosters reports that the sender's roster differs from this node's, so that this node should send
+// its roster to the sender. echoedAt is when this node sent the heartbeat that h echoes, or zero if h is not a grant.
 func (r *Roster) Receive(now time.Duration, h Heartbeat) (exchangeRosters bool, echoedAt time.Duration) {
 	r.advance(now)
 	if h.To != NameID(r.self) {
@@ -69,24 +69,24 @@
 	r.Merge(now, []Entry{{Name: h.From, Epoch: h.Epoch, Removed: h.Leaving}})
 	p := r.members[h.From]
 	if p == nil || p.Removed || p.Epoch != h.Epoch {
-		return p != nil && !h.Leaving, 0 // the sender does not know that it was removed, or that it came back
+		return p != nil && !h.Leaving, 0 // the sender doesn't know that it was removed, or that it rejoined
 	}
-	if !r.accept(p, h) {
+	if !r.acceptHeartbeat(p, h) {
 		return false, 0
 	}
 	if h.RosterHash == 0 || !slices.Contains(r.recentHashes[:], h.RosterHash) {
-		return true, 0 // no grant: a member that knows less than those who admit it must not act
+		return true, 0 // no grant: this node must not act if it may know less than the members that grant
 	}
-	return h.RosterHash != r.hash, r.receiveGrant(p, h)
+	return h.RosterHash != r.hash, r.recordGrant(p, h)
 }
 
-// accept records that a peer was heard. It reports false if the heartbeat must be ignored: it is a replay, or it comes from
-// another process with the peer's name.
-func (r *Roster) accept(p *peer, h Heartbeat) bool {
+// acceptHeartbeat records a heartbeat of a peer. It reports false if the heartbeat must be ignored: it is a duplicate or out of order, or
+// it comes from another process with the peer's name.
+func (r *Roster) acceptHeartbeat(p *peer, h Heartbeat) bool {
 	if p.incarnation != h.Incarnation {
-		// While the process before may still act on what it was granted, the new one does not count. If the one before goes on
-		// sending, the new one never does.
-		if p.incarnation != 0 && r.now-p.heardAt < r.lease.Duration {
+		// The new process is not accepted while the previous one may still act on its grants. It is never accepted if the previous
+		// one continues to send heartbeats.
+		if p.incarnation != 0 && r.now-p.lastHeartbeatAt < r.lease.Duration {
 			r.duplicates[p.Name] = h.Incarnation
 			return false
 		}
@@ -100,7 +100,7 @@
 		return false
 	}
 	p.seq = h.Seq
-	p.heardAt = r.now
+	p.lastHeartbeatAt = r.now
 	p.rosterHash = h.RosterHash
 	p.votersCommitted = h.VotersCommitted
 	if p.failed {
@@ -110,9 +110,9 @@
 	return true
 }
 
-// receiveGrant records the grant and the failure reports of a heartbeat that echoes one of this node's, and returns when that one was
-// sent. It returns zero if the heartbeat echoes none of this process, or one of too long ago.
-func (r *Roster) receiveGrant(p *peer, h Heartbeat) (echoedAt time.Duration) {
+// recordGrant records the grant and the failure reports of a heartbeat, and returns when this node sent the heartbeat that it echoes. It
+// returns zero and records nothing if the heartbeat echoes none of this process, or one that is older than rememberedRounds.
+func (r *Roster) recordGrant(p *peer, h Heartbeat) (echoedAt time.Duration) {
 	if h.EchoIncarnation != r.incarnation || h.Echo == 0 || h.Echo > r.seq || r.seq-h.Echo >= rememberedRounds {
 		return 0
 	}
--- a/internal/fleet/membership/heartbeat.go
+++ b/internal/fleet/membership/heartbeat.go
@@ -7,29 +7,30 @@
 	"hash/fnv"
 )
 
-// Heartbeat is what each member sends to each other member in every round. It says that the sender is alive and which members it has
-// not heard from, and it is a grant: the receiver may act for a lease from when it sent the heartbeat that is echoed.
+// Heartbeat is the message that each member sends to each other member in every round. It shows that the sender is alive, and reports the
+// members that the sender considers failed. If it echoes a heartbeat of the receiver it is also a grant: the receiver may act for one lease
+// duration, counted from when it sent the echoed heartbeat.
 type Heartbeat struct {
 	From            string
-	Incarnation     uint64 // of the sender
-	To              uint64 // NameID of the receiver
-	Seq             uint64 // grows with each round of the sender
-	Epoch           uint32 // of the sender's own roster entry
-	Leaving         bool   // the sender acts no more
-	VotersCommitted bool   // all voters on the sender's roster are in its committed voters, see Roster
-	RosterHash      uint64 // Roster.Hash of the sender
-	Echo            uint64 // Seq of the receiver's latest heartbeat that was received; 0 for no grant
-	EchoIncarnation uint64 // of the receiver's process that sent it
-	Failed          []uint64
+	Incarnation     uint64   // of the sender
+	To              uint64   // NameID of the receiver
+	Seq             uint64   // increases with each round of the sender
+	Epoch           uint32   // of the sender's entry on its own roster
+	Leaving         bool     // the sender has stopped acting and leaves the fleet
+	VotersCommitted bool     // all voters on the sender's roster are committed voters there, see Roster
+	RosterHash      uint64   // Roster.Hash of the sender
+	Echo            uint64   // Seq of the latest heartbeat that the sender received from the receiver; 0 if this is not a grant
+	EchoIncarnation uint64   // of the receiver's process that sent the echoed heartbeat
+	Failed          []uint64 // NameIDs of the members that the sender considers failed
 }
 
-// MaxFailed bounds the failed members that a Heartbeat names. The others are not reported, and go on to count, which is safe.
+// MaxFailed is the maximum number of failed members in a Heartbeat. Further ones are not reported and stay in the divisor, which is safe.
 const MaxFailed = 100
 
-// heartbeatFixedBytes is an upper bound of an encoded Heartbeat without its names.
+// heartbeatFixedBytes is an upper bound for the size of an encoded Heartbeat without From and Failed.
 const heartbeatFixedBytes = 80
 
-// MaxHeartbeatBytes is the most bytes of an encoded Heartbeat.
+// MaxHeartbeatBytes is the maximum size of an encoded Heartbeat.
 const MaxHeartbeatBytes = heartbeatFixedBytes + MaxName + 8*MaxFailed
 
 // wireVersion is the version of the encodings of Heartbeat and of roster entries.
@@ -41,17 +42,17 @@
 	flagLeaving
 )
 
-// ErrHeartbeat is the error for a message that can't be decoded as a Heartbeat.
+// ErrHeartbeat is returned for a message that can't be decoded as a Heartbeat.
 var ErrHeartbeat = errors.New("invalid heartbeat")
 
-// NameID is the hash by which heartbeats name members.
+// NameID returns the hash that identifies a member in heartbeats.
 func NameID(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// Encode returns the heartbeat in at most MaxHeartbeatBytes; of Failed the first MaxFailed.
+// Encode returns the heartbeat with the first MaxFailed failed members, in at most MaxHeartbeatBytes.
 func (h Heartbeat) Encode() []byte {
 	var flags byte
 	if h.VotersCommitted {
@@ -76,7 +77,7 @@
 	return b
 }
 
-// DecodeHeartbeat decodes a heartbeat and returns the bytes that follow it. The error is an ErrHeartbeat.
+// DecodeHeartbeat decodes a heartbeat, and returns the bytes that follow it. Errors wrap ErrHeartbeat.
 func DecodeHeartbeat(b []byte) (h Heartbeat, rest []byte, err error) {
 	d := decoder{rest: b}
 	if version := d.uint8(); version != wireVersion {
--- a/internal/fleet/membership/majority.go
+++ b/internal/fleet/membership/majority.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// forever is the end of what this node grants itself.
+// forever is the end of this node's grant to itself.
 const forever = time.Duration(math.MaxInt64)
 
-// missingFounders returns how many of the founding members have not been met yet if so many are present. Removed members count as met.
+// missingFounders returns how many of the founding members this node doesn't know yet, given the number of known members that are not
+// removed. Removed members count as known.
 func (r *Roster) missingFounders(present int) int {
-	met := present
+	known := present
 	for _, p := range r.members {
 		if p.Removed {
-			met++
+			known++
 		}
 	}
-	return max(0, r.lease.Nodes-met)
+	return max(0, r.lease.Nodes-known)
 }
 
-// majorityEnd returns when a set of so many members loses its majority, given when each member's grant or report ends. It is zero if
-// there is no majority now.
+// majorityEnd returns when an electorate with size members loses its majority. ends has the times at which the members' grants or reports
+// end. The result is zero if there is no majority now.
 func majorityEnd(now time.Duration, size int, ends []time.Duration) time.Duration {
 	quorum := size/2 + 1
 	if len(ends) < quorum {
@@ -35,8 +36,8 @@
 	return ends[quorum-1]
 }
 
-// electorates returns the sets of members whose majorities must all agree: the voters, then the committed voters. While there are no
-// voters the fleet is being founded, by all members that were met.
+// electorates returns the sets of members that each have to reach a majority: the voters, then the committed voters. While there are no
+// voters the fleet is being founded, and all known members are the only electorate.
 func (r *Roster) electorates() (electorates [][]*peer, founding bool) {
 	var present, voters, committed []*peer
 	for _, p := range r.members {
@@ -60,12 +61,12 @@
 	return [][]*peer{voters, committed}, false
 }
 
-// majorityUntil returns until when every electorate has a majority of members that agree, where agreesUntil says that of one member.
-// It returns zero if one has none now.
+// majorityUntil returns until when every electorate has a majority of members that agree. agreesUntil returns until when one member agrees,
+// or zero if it doesn't. The result is zero if an electorate has no majority now.
 //
-// Founding members that were not met may be voters elsewhere, so each electorate is taken as larger by as many. Of the members that
-// were met only those of the first electorate and the removed ones are subtracted from their number. If there are others, for example a
-// committed voter that has come back and is no voter yet, missing is too large. That is safe: it only raises the quorum.
+// Founding members that this node doesn't know yet may be voters according to other members, so their number is added to the size of each
+// electorate. That number is computed only from the members of the first electorate and the removed ones. It is too large if there are
+// other known members, for example a committed voter that has rejoined and is not a voter yet. That is safe: it only raises the quorum.
 func (r *Roster) majorityUntil(electorates [][]*peer, agreesUntil func(*peer) time.Duration) time.Duration {
 	end := forever
 	missing := r.missingFounders(len(electorates[0]))
@@ -81,7 +82,8 @@
 	return end
 }
 
-// grantedUntil returns until when a member's grant to this node holds, or zero if it has given none. A node grants itself for ever.
+// grantedUntil returns until when a member's grant to this node is valid, or zero if it has given none. This node's grant to itself never
+// ends.
 func (r *Roster) grantedUntil(p *peer) time.Duration {
 	switch {
 	case p.Name == r.self:
@@ -92,17 +94,18 @@
 	return 0
 }
 
-// excludedUntil returns until when a member does not count, because this node and majorities report it as failed. It
-// returns 0 if the member counts.
+// excludedUntil returns until when the divisor excludes a member, because this node and a majority of each electorate report it as failed.
+// It returns 0 if the member is not excluded.
 //
-// This is safe, because the target can't have a majority's grants while it is excluded:
-//   - A member reports the target as failed after it has heard nothing from it for failureTimeout, which is longer than a lease.
-//   - The target acts on a grant for one lease, counted from when it sent the heartbeat that the grant echoes. It sent that before the
-//     member heard it. So the member's last grant has run out by the time of the report.
-//   - The member gives no new grant until rejoinDelay after it hears the target again. This node relies on the report for one lease from
-//     when it sent the heartbeat that came back with it, and rejoinDelay is longer, also by the round that a report may be old.
-//   - So no member that reports the target is one whose grant the target can use. Any two majorities of an electorate have a member in
-//     common, so the target has no majority.
+// This is safe, because the target can't have the grants of a majority while it is excluded:
+//   - A member reports the target as failed after it has received no heartbeat from it for failureTimeout, which is longer than a lease.
+//   - The target uses a grant for one lease, counted from when it sent the heartbeat that the grant echoes. It sent that heartbeat before
+//     the member received it. So the member's last grant has expired by the time of the report.
+//   - The member gives no new grant until rejoinDelay after the target's next heartbeat. This node relies on a report for one lease,
+//     counted from when it sent the heartbeat that the report echoes. rejoinDelay exceeds that by more than the one round that a report
+//     may be old.
+//   - So the target can't use the grant of any member that reports it. Any two majorities of an electorate have a member in common, so the
+//     target has no majority.
 func (r *Roster) excludedUntil(electorates [][]*peer, target *peer) time.Duration {
 	if target.Name == r.self || !target.failed {
 		return 0
--- a/internal/fleet/membership/metadata.go
+++ b/internal/fleet/membership/metadata.go
@@ -9,53 +9,53 @@
 	"slices"
 )
 
-// Bounds of a member's metadata. They are checked on everything that is received, so that a faulty member costs little.
+// Limits on members and their metadata. They are checked on all received metadata, to limit the cost of a faulty member.
 const (
 	MaxName          = 64   // bytes of a member's name
 	MaxZone          = 32   // bytes of a zone's name
-	MaxMembers       = 4096 // members that are remembered, whatever their state
-	MaxPools         = 48   // pools in a Metadata; a member with more counts as one that serves every pool
-	MaxMetadataBytes = 512  // bytes of an encoded Metadata: the gossip carries no more for each member
+	MaxMembers       = 4096 // members that are kept in memory, in any state
+	MaxPools         = 48   // pools in a Metadata; a member with more is treated as serving every pool
+	MaxMetadataBytes = 512  // bytes of an encoded Metadata: the limit of the gossip protocol for each member
 )
 
-// Versions of the protocol between members. A member with a version outside of this range does not count in any pool, but it may
-// act: it keeps its share of every quota.
+// Supported versions of the protocol between members. A member with a version outside of this range participates in no pool, but it keeps
+// its share of every quota.
 const (
 	Protocol    = 1
 	MinProtocol = 1
 )
 
-// PoolDigest is a pool as members compare it: by its name and its settings.
+// PoolDigest identifies a pool and its settings, so that members can compare them.
 type PoolDigest struct {
 	ID     uint32 // PoolID of its name
-	Digest uint32 // of its settings
+	Digest uint32 // hash of its settings
 }
 
-// Metadata describes a member. The gossip carries it to all others. While the process runs only Pools and AllPools change, at a reload.
+// Metadata describes a member. The gossip distributes it to all members. Only Pools and AllPools change while the process runs, on reloads.
 type Metadata struct {
 	Name        string
-	Incarnation uint64 // drawn at random at each start, to distinguish processes of one name
+	Incarnation uint64 // random number of each process, to distinguish processes with the same name
 	Protocol    uint8
 	Zone        string
-	AllPools    bool         // the member has more pools than MaxPools, and counts as one that serves every pool
+	AllPools    bool         // the member has more than MaxPools pools, and is treated as serving every pool
 	Pools       []PoolDigest // sorted by ID
 }
 
-// PoolID is the hash by which members name a pool.
+// PoolID returns the hash that identifies a pool among members.
 func PoolID(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return h.Sum32()
 }
 
-// SortPools sorts pools by ID, as Metadata has them, and drops duplicates. It changes the slice that it is given.
+// SortPools sorts pools by ID, as Metadata requires, and drops duplicates. It modifies the slice in place.
 func SortPools(pools []PoolDigest) []PoolDigest {
 	slices.SortFunc(pools, func(a, b PoolDigest) int { return cmp.Compare(a.ID, b.ID) })
 	return slices.CompactFunc(pools, func(a, b PoolDigest) bool { return a.ID == b.ID })
 }
 
-// serves reports whether the member has the pool, and the digest of its settings. The digest is 0 if the member has too many pools to
-// name them.
+// serves reports whether the member serves the pool, and returns the digest of its settings, which is 0 if the member has too many pools to
+// list them.
 func (m Metadata) serves(pool uint32) (digest uint32, ok bool) {
 	i, found := slices.BinarySearchFunc(m.Pools, pool, func(p PoolDigest, id uint32) int { return cmp.Compare(p.ID, id) })
 	if found {
@@ -64,13 +64,13 @@
 	return 0, m.AllPools
 }
 
-// ErrMetadata is the error for metadata that can't be decoded or that belongs to another member.
-var ErrMetadata = errors.New("invalid metadata of a member")
+// ErrMetadata is returned for metadata that can't be decoded or that belongs to another member.
+var ErrMetadata = errors.New("invalid member metadata")
 
-// allPoolsMarker stands in place of the number of pools if the member has more than MaxPools.
+// allPoolsMarker is encoded instead of the number of pools if the member has more than MaxPools.
 const allPoolsMarker = 0xff
 
-// Encode returns the metadata in at most MaxMetadataBytes. Name and Zone must keep their bounds.
+// Encode returns the metadata in at most MaxMetadataBytes. Name and Zone must not exceed MaxName and MaxZone.
 func (m Metadata) Encode() []byte {
 	pools := SortPools(slices.Clone(m.Pools))
 	all := m.AllPools || len(pools) > MaxPools
@@ -90,8 +90,7 @@
 	return b
 }
 
-// DecodeMetadata decodes what Encode returned. Bytes that follow it are ignored: a later version may add some. The error is an
-// ErrMetadata.
+// DecodeMetadata decodes the result of Encode. It ignores trailing bytes, in which a later version may add fields. Errors wrap ErrMetadata.
 func DecodeMetadata(b []byte) (Metadata, error) {
 	if len(b) > MaxMetadataBytes {
 		return Metadata{}, fmt.Errorf("%w: %d bytes, at most %d are allowed", ErrMetadata, len(b), MaxMetadataBytes)
@@ -113,7 +112,7 @@
 	return m, nil
 }
 
-// pools decodes so many pools, which must be in ascending order.
+// pools decodes count pools, which must be in ascending order of their IDs.
 func (d *decoder) pools(count int) (pools []PoolDigest) {
 	for range count {
 		pool := PoolDigest{ID: d.uint32(), Digest: d.uint32()}
@@ -125,10 +124,10 @@
 	return pools
 }
 
-// asciiDelete is the first ASCII character after the visible ones.
+// asciiDelete is the control character that follows the visible ASCII characters.
 const asciiDelete = 0x7f
 
-// IsValidName reports whether a name may be a member's: 1 to MaxName visible ASCII characters, so that it can be logged as it is.
+// IsValidName reports whether a member may have this name: 1 to MaxName visible ASCII characters, so that it can be logged unescaped.
 func IsValidName(name string) bool {
 	if name == "" || len(name) > MaxName {
 		return false
--- a/internal/fleet/membership/position.go
+++ b/internal/fleet/membership/position.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Compatibility is how a member compares with this node as far as one pool goes.
+// Compatibility is the result of comparing a member with this node with respect to one pool.
 type Compatibility int
 
 // The results of a comparison.
 const (
 	Compatible           Compatibility = iota
-	DifferentSettings                  // other settings of the pool. It counts, for both use the same quotas; operators are shown it
-	PoolNotServed                      // it does not serve the pool, and does not count in it
-	IncompatibleProtocol               // it speaks another protocol: it does not count, but it may act
+	DifferentSettings                  // other settings for the pool, shown to operators. It participates, as both use the same quotas
+	PoolNotServed                      // it doesn't serve the pool
+	IncompatibleProtocol               // unsupported protocol version. It participates in no pool, but keeps its quota shares
 )
 
-// String returns the text that operators read.
+// String returns the text that is shown to operators.
 func (c Compatibility) String() string {
 	return [...]string{"same", "other settings", "not in this pool", "another protocol"}[c]
 }
 
-// Compare compares a member with this node as far as a pool goes.
+// Compare compares a member with this node with respect to a pool.
 func (v *View) Compare(m *Member, pool uint32) Compatibility {
 	own, _ := v.self.serves(pool)
 	digest, served := m.serves(pool)
@@ -33,8 +33,8 @@
 	return Compatible
 }
 
-// takesPartIn reports whether a member shares in a pool's work, as soon as it is established.
-func (v *View) takesPartIn(m *Member, pool uint32) bool {
+// participatesIn reports whether a member takes a part of a pool's load once it is established.
+func (v *View) participatesIn(m *Member, pool uint32) bool {
 	if m.Name == v.self.Name {
 		return true
 	}
@@ -42,19 +42,19 @@
 	return c == Compatible || c == DifferentSettings
 }
 
-// Position is where this node stands among the members of a pool.
+// Position is the position of this node among the members of a pool.
 type Position struct {
-	Order       []string // names of the established members, sorted: the same at all nodes that have seen the same
+	Order       []string // names of the established members, sorted, so that nodes with the same view have the same order
 	Index       int      // of this node in Order
-	Seen        int      // members of the pool that are alive now, whether established or not
-	Established int      // established members: what capacity is divided by
+	Seen        int      // number of members of the pool that are alive now, established or not
+	Established int      // number of established members, by which capacity is divided
 }
 
 // Position returns this node's position in a pool.
 func (v *View) Position(pool uint32) Position {
 	var p Position
 	for name, m := range v.members {
-		if !v.takesPartIn(m, pool) {
+		if !v.participatesIn(m, pool) {
 			continue
 		}
 		if m.State == Alive {
--- a/internal/fleet/membership/random_faults_test.go
+++ b/internal/fleet/membership/random_faults_test.go
@@ -8,27 +8,28 @@
 	"pgregory.net/rapid"
 )
 
-// randomFaults draws the course of one simulation: members that start, die, leave and pause, and what the network does meanwhile.
+// randomFaults draws the events of one simulation: members that start, crash, leave and pause, and faults of the network.
 //
-// Either every name that ever appears is among the founders; or the fleet grows beyond them, by fewer members than could found
-// another fleet, and no process comes back after its death: it would have lost its roster.
+// If growsBeyondFounders is false, Lease.Nodes covers all members that ever start, and crashed members may restart. Otherwise Lease.Nodes
+// covers only the founders. Then fewer members join than could found a second fleet, and no member restarts after a crash, as it would
+// have lost its roster.
 type randomFaults struct {
-	t          *rapid.T
-	sim        *simulation
-	founders   int
-	more       int // members that may join later
-	grows      bool
-	names      int // that were started
-	delay      int // the longest of a message, in milliseconds
-	lossInA100 int // messages of a hundred that are lost
+	t                   *rapid.T
+	sim                 *simulation
+	founders            int
+	maxJoiners          int // members that may join after the initial ones
+	growsBeyondFounders bool
+	started             int // members that were started, by name
+	maxDelay            int // largest delay of a message, in milliseconds
+	lossPercent         int // percentage of messages that are lost
 }
 
 func drawFaults(t *rapid.T) *randomFaults {
-	founders := rapid.IntRange(1, 6).Draw(t, "members")
-	more := rapid.IntRange(0, (founders-1)/2).Draw(t, "more")
-	f := &randomFaults{t: t, founders: founders, more: more, grows: rapid.Bool().Draw(t, "grows")}
-	f.sim = newSimulation(Lease{Duration: time.Second, Nodes: founders + more})
-	if f.grows {
+	founders := rapid.IntRange(1, 6).Draw(t, "founders")
+	maxJoiners := rapid.IntRange(0, (founders-1)/2).Draw(t, "maxJoiners")
+	f := &randomFaults{t: t, founders: founders, maxJoiners: maxJoiners, growsBeyondFounders: rapid.Bool().Draw(t, "growsBeyondFounders")}
+	f.sim = newSimulation(Lease{Duration: time.Second, Nodes: founders + maxJoiners})
+	if f.growsBeyondFounders {
 		f.sim.lease.Nodes = founders
 	}
 	f.sim.delay = f.drawDelay
@@ -37,44 +38,44 @@
 }
 
 func (f *randomFaults) drawDelay() time.Duration {
-	if f.lossInA100 > 0 && rapid.IntRange(0, 99).Draw(f.t, "lost") < f.lossInA100 {
+	if f.lossPercent > 0 && rapid.IntRange(0, 99).Draw(f.t, "lost") < f.lossPercent {
 		return -1
 	}
-	return time.Duration(1+rapid.IntRange(0, f.delay).Draw(f.t, "delay")) * ms
+	return time.Duration(1+rapid.IntRange(0, f.maxDelay).Draw(f.t, "delay")) * ms
 }
 
 func (f *randomFaults) drawDemand() float64 {
-	return float64(rapid.IntRange(0, 3).Draw(f.t, "want")) / 3
+	return float64(rapid.IntRange(0, 3).Draw(f.t, "demand")) / 3
 }
 
-// start starts a process whose clock is up to 2 % fast or slow, and that meets some of the others.
+// start starts a process whose clock is up to 2 % fast or slow, and that exchanges rosters with some of the others.
 func (f *randomFaults) start(name string) {
-	p := f.sim.start(name, 1+float64(rapid.IntRange(-20, 20).Draw(f.t, "rate"))/1000)
+	p := f.sim.start(name, 1+float64(rapid.IntRange(-20, 20).Draw(f.t, "clock rate"))/1000)
 	for _, other := range f.sim.processes {
-		if !other.dead && other != p && rapid.IntRange(0, 2).Draw(f.t, "met") > 0 {
-			f.sim.meet(other, p)
+		if !other.dead && other != p && rapid.IntRange(0, 2).Draw(f.t, "introduced") > 0 {
+			f.sim.introduce(other, p)
 		}
 	}
 }
 
-// startFounders starts the founders. If the fleet grows later they come together first.
+// startFounders starts the initial members. If the fleet will grow beyond them, it also introduces them and lets them found the fleet.
 func (f *randomFaults) startFounders() {
-	for ; f.names < f.founders; f.names++ {
-		f.start(fmt.Sprintf("n%d", f.names))
+	for ; f.started < f.founders; f.started++ {
+		f.start(fmt.Sprintf("n%d", f.started))
 	}
-	if !f.grows {
-		f.sim.run(f.t, time.Duration(rapid.IntRange(0, 5000).Draw(f.t, "first"))*ms)
+	if !f.growsBeyondFounders {
+		f.sim.run(f.t, time.Duration(rapid.IntRange(0, 5000).Draw(f.t, "initial time"))*ms)
 		return
 	}
 	for _, p := range f.sim.processes {
-		f.sim.meet(f.sim.processes[0], p)
+		f.sim.introduce(f.sim.processes[0], p)
 	}
 	f.sim.run(f.t, 5*time.Second)
 }
 
-// injectOne draws a fault and the process that it happens to.
-func (f *randomFaults) injectOne() {
-	p := f.sim.processes[rapid.IntRange(0, len(f.sim.processes)-1).Draw(f.t, "who")]
+// injectFault draws an event and the process that it affects.
+func (f *randomFaults) injectFault() {
+	p := f.sim.processes[rapid.IntRange(0, len(f.sim.processes)-1).Draw(f.t, "process")]
 	switch rapid.IntRange(0, 9).Draw(f.t, "fault") {
 	case 0, 1:
 		f.cutLinks()
@@ -84,7 +85,7 @@
 		clear(f.sim.cut)
 		p.loans.SetDemand(quota, f.drawDemand())
 	case 4:
-		f.delay, f.lossInA100 = rapid.IntRange(0, 1500).Draw(f.t, "slow"), rapid.IntRange(0, 60).Draw(f.t, "loss")
+		f.maxDelay, f.lossPercent = rapid.IntRange(0, 1500).Draw(f.t, "max delay"), rapid.IntRange(0, 60).Draw(f.t, "loss")
 	case 5:
 		p.paused = !p.paused && !p.dead
 	case 6:
@@ -100,7 +101,7 @@
 	}
 }
 
-// cutLinks cuts each direction of each link, or mends it.
+// cutLinks cuts or restores each direction of each link.
 func (f *randomFaults) cutLinks() {
 	for _, a := range f.sim.processes {
 		for _, b := range f.sim.processes {
@@ -124,35 +125,36 @@
 
 func (f *randomFaults) kill(p *process) {
 	p.dead = true
-	if !f.grows && rapid.Bool().Draw(f.t, "again") && f.sim.find(p.name) == nil {
+	if !f.growsBeyondFounders && rapid.Bool().Draw(f.t, "restart") && f.sim.find(p.name) == nil {
 		f.start(p.name)
 	}
 }
 
 func (f *randomFaults) join() {
-	if f.names < f.founders+f.more {
-		f.start(fmt.Sprintf("n%d", f.names))
-		f.names++
+	if f.started < f.founders+f.maxJoiners {
+		f.start(fmt.Sprintf("n%d", f.started))
+		f.started++
 	}
 }
 
-// duplicateMessages has some of the messages in flight delivered once more, later.
+// duplicateMessages duplicates some of the messages in flight. The copies are delivered later.
 func (f *randomFaults) duplicateMessages() {
 	for _, m := range f.sim.inFlight {
-		m.deliverAt += time.Duration(rapid.IntRange(0, 5000).Draw(f.t, "copy")) * ms
-		if rapid.Bool().Draw(f.t, "twice") {
+		m.deliverAt += time.Duration(rapid.IntRange(0, 5000).Draw(f.t, "copy delay")) * ms
+		if rapid.Bool().Draw(f.t, "duplicated") {
 			f.sim.inFlight = append(f.sim.inFlight, m)
 		}
 	}
 }
 
-// mend ends all faults, and returns the processes that are there then, which have all met.
-func (f *randomFaults) mend() (live []*process) {
-	f.delay, f.lossInA100 = 0, 0
+// repairAll ends all faults, restarts crashed members that may restart, and introduces all live processes to the first one. It returns the
+// live processes.
+func (f *randomFaults) repairAll() (live []*process) {
+	f.maxDelay, f.lossPercent = 0, 0
 	clear(f.sim.cut)
 	for _, p := range f.sim.processes {
 		p.paused = false
-		if p.dead && f.sim.find(p.name) == nil && !f.grows {
+		if p.dead && f.sim.find(p.name) == nil && !f.growsBeyondFounders {
 			f.start(p.name)
 		}
 	}
@@ -162,12 +164,12 @@
 		}
 	}
 	for _, p := range live {
-		f.sim.meet(live[0], p)
+		f.sim.introduce(live[0], p)
 	}
 	return live
 }
 
-// hasMajority reports whether the live processes are a majority of all that were met, and of the voters. Without, none may have a share.
+// hasMajority reports whether the live processes are a majority of all known members and of the voters. Otherwise none may have a share.
 func (f *randomFaults) hasMajority(live []*process) bool {
 	present, removed := map[string]bool{}, map[string]bool{}
 	for _, p := range live {
@@ -176,12 +178,12 @@
 			removed[e.Name] = removed[e.Name] || e.Removed
 		}
 	}
-	here, left := 0, 0
+	presentCount, leftCount := 0, 0
 	for name, isPresent := range present {
 		if isPresent {
-			here++
+			presentCount++
 		} else if removed[name] {
-			left++
+			leftCount++
 		}
 	}
 	voters, liveVoters := 0, 0
@@ -193,28 +195,28 @@
 			}
 		}
 	}
-	nodes := f.sim.lease.Nodes - left
-	return 2*len(live) > max(here, nodes) && (voters == 0 || 2*liveVoters > max(voters, nodes))
+	nodes := f.sim.lease.Nodes - leftCount
+	return 2*len(live) > max(presentCount, nodes) && (voters == 0 || 2*liveVoters > max(voters, nodes))
 }
 
-// TestSharesNeverExceedWhole draws faults in any order. At every moment the shares must not add up to more than the whole; and once
-// everything is mended, all members must have their shares again.
+// TestSharesNeverExceedWhole injects random faults. At any time the shares must not add up to more than the whole. After all faults have
+// ended, all live members must have their shares again.
 func TestSharesNeverExceedWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFaults(t)
 		f.startFounders()
 		for range rapid.IntRange(1, 12).Draw(t, "faults") {
-			f.injectOne()
-			f.sim.run(t, time.Duration(rapid.IntRange(0, 4000).Draw(t, "then"))*ms)
+			f.injectFault()
+			f.sim.run(t, time.Duration(rapid.IntRange(0, 4000).Draw(t, "time after fault"))*ms)
 		}
-		live := f.mend()
+		live := f.repairAll()
 		f.sim.run(t, 12*time.Second)
 		if len(live) == 0 || !f.hasMajority(live) {
 			return
 		}
 		for _, p := range live {
 			if got := p.share.DivisorAt(p.clock(f.sim.now)); got != float64(len(live)) {
-				t.Fatalf("%d members are live and everything is mended, but %s has a share of 1/%v\n%s", len(live), p.name, got, f.sim.describe())
+				t.Fatalf("%d members are live and no fault is left, but %s has a share of 1/%v\n%s", len(live), p.name, got, f.sim.describe())
 			}
 		}
 	})
--- a/internal/fleet/membership/roster_test.go
+++ b/internal/fleet/membership/roster_test.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// settleTime is enough for a roster with a lease of a second to settle after any fault.
+// settleTime is long enough for rosters with a lease of one second to converge after any fault.
 const settleTime = 4 * time.Second
 
-// unable is the divisor of a process that may use nothing.
-var unable = math.Inf(1)
+// noShare is the divisor of a process without a valid share.
+var noShare = math.Inf(1)
 
-// repeat returns n divisors that are the same.
+// repeat returns n equal divisors.
 func repeat(n int, divisor float64) []float64 { return slices.Repeat([]float64{divisor}, n) }
 
-// TestSharesDuringAndAfterFaults plays known faults, and checks the divisors of all members during and after each.
+// TestSharesDuringAndAfterFaults checks the divisors of all members during and after single faults.
 func TestSharesDuringAndAfterFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		members, founders int
 		fault             func(*simulation)
-		during, after     []float64 // divisors, in the order of start
+		during, after     []float64 // divisors, by order of start
 	}{
 		"no fault": {
 			members: 5, founders: 5, fault: func(*simulation) {},
@@ -29,15 +29,15 @@
 		},
 		"partition of 1 and 4": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.partition([]int{0}, []int{1, 2, 3, 4}) },
-			during: []float64{unable, 4, 4, 4, 4}, after: repeat(5, 5),
+			during: []float64{noShare, 4, 4, 4, 4}, after: repeat(5, 5),
 		},
 		"partition of 3 and 3": {
 			members: 6, founders: 6, fault: func(s *simulation) { s.partition([]int{0, 1, 2}, []int{3, 4, 5}) },
-			during: repeat(6, unable), after: repeat(6, 6),
+			during: repeat(6, noShare), after: repeat(6, 6),
 		},
 		"partition of three sides": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.partition([]int{0, 1}, []int{2, 3}, []int{4}) },
-			during: repeat(5, unable), after: repeat(5, 5),
+			during: repeat(5, noShare), after: repeat(5, 5),
 		},
 		"one link cut": {
 			members: 3, founders: 3, fault: func(s *simulation) { s.cut[[2]string{"n0", "n2"}], s.cut[[2]string{"n2", "n0"}] = true, true },
@@ -45,11 +45,11 @@
 		},
 		"one member hears nobody": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.cutInbound("n0") },
-			during: []float64{unable, 5, 5, 5, 5}, after: repeat(5, 5),
+			during: []float64{noShare, 5, 5, 5, 5}, after: repeat(5, 5),
 		},
 		"nobody hears one member": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.cutOutbound("n0") },
-			during: []float64{unable, 4, 4, 4, 4}, after: repeat(5, 5),
+			during: []float64{noShare, 4, 4, 4, 4}, after: repeat(5, 5),
 		},
 		"two die": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.kill(0, 1) },
@@ -57,38 +57,38 @@
 		},
 		"all but one die": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.kill(1, 2, 3, 4) },
-			during: []float64{unable}, after: []float64{unable},
+			during: []float64{noShare}, after: []float64{noShare},
 		},
 		"restart at once": {
-			members: 5, founders: 5, fault: func(s *simulation) { s.kill(0); s.meet(s.processes[1], s.start("n0", 1)) },
+			members: 5, founders: 5, fault: func(s *simulation) { s.kill(0); s.introduce(s.processes[1], s.start("n0", 1)) },
 			during: repeat(5, 5), after: repeat(5, 5),
 		},
 		"two leave": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.processes[0].leave(s.now); s.processes[1].leave(s.now) },
-			during: []float64{unable, unable, 3, 3, 3}, after: []float64{unable, unable, 3, 3, 3},
+			during: []float64{noShare, noShare, 3, 3, 3}, after: []float64{noShare, noShare, 3, 3, 3},
 		},
 		"one paused": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.processes[4].paused = true },
-			during: []float64{4, 4, 4, 4, unable}, after: repeat(5, 5),
+			during: []float64{4, 4, 4, 4, noShare}, after: repeat(5, 5),
 		},
 		"two join": {
 			members: 3, founders: 3, fault: func(s *simulation) {
-				s.meet(s.processes[0], s.start("n8", 1))
-				s.meet(s.processes[1], s.start("n9", 1))
+				s.introduce(s.processes[0], s.start("n8", 1))
+				s.introduce(s.processes[1], s.start("n9", 1))
 			},
 			during: repeat(5, 5), after: repeat(5, 5),
 		},
 		"two of five founders met": {
 			members: 2, founders: 5, fault: func(*simulation) {},
-			during: repeat(2, unable), after: repeat(2, unable),
+			during: repeat(2, noShare), after: repeat(2, noShare),
 		},
 		"duplicate name": {
 			members: 3, founders: 3, fault: func(s *simulation) {
 				p := s.start("n0", 1)
-				p.name = "duplicate" // of its links in the simulation: its roster is n0's
-				s.meet(s.processes[1], p)
+				p.name = "duplicate" // names its links in the simulation; its roster has the name n0
+				s.introduce(s.processes[1], p)
 			},
-			during: []float64{3, 3, 3, unable}, after: []float64{3, 3, 3, unable},
+			during: []float64{3, 3, 3, noShare}, after: []float64{3, 3, 3, noShare},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestLoansFollowDemand: with demand at one of eight members only, and then at another, that one has nearly all of the whole within two
-// leases, also after a lender's death, and the shares never add up to more.
+// TestLoansFollowDemand checks that the only one of eight members with demand gets nearly the whole quota within two lease durations, also
+// after the demand has moved to another member and after a lender has crashed. The shares never add up to more than the whole.
 func TestLoansFollowDemand(t *testing.T) {
 	const nearlyAll = 0.88
 	s := newSimulation(Lease{Duration: time.Second, Nodes: 8})
@@ -131,9 +131,9 @@
 			t.Errorf("member %d, the only one with demand, has %v of the whole, want at least %v", demanding, share, nearlyAll)
 		}
 	}
-	s.processes[2].dead = true // with what it lent
+	s.processes[2].dead = true // its loans are lost with it
 	s.run(t, 4*time.Second)
 	if share := s.processes[5].quotaShare(s.now); share < nearlyAll {
-		t.Errorf("after a death the only member with demand has %v of the whole, want at least %v", share, nearlyAll)
+		t.Errorf("after a lender's crash the only member with demand has %v of the whole, want at least %v", share, nearlyAll)
 	}
 }
--- a/internal/fleet/membership/share.go
+++ b/internal/fleet/membership/share.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Share is this node's share of the fleet's quotas: one part in Divisor, until Until.
+// Share is this node's share of the fleet's quotas: the fraction 1/Divisor until the time Until.
 type Share struct {
-	Divisor int           // by which quotas are divided; what it would be if the share is not valid
-	Members []string      // that the divisor counts, sorted
-	Until   time.Duration // the share is valid before, unless it is renewed
-	Granted int           // members that grant this node something now, with itself
-	Wanted  int           // members that have to: a majority
+	Divisor int           // by which quotas are divided, or would be if the share were valid
+	Members []string      // names of the members that the divisor includes, sorted
+	Until   time.Duration // end of the share's validity, unless it is renewed
+	Granted int           // number of members with a valid grant to this node, including itself
+	Wanted  int           // number of grants that a majority needs
 	Voter   bool          // this node is a voter
-	Reason  string        // of a share that is not valid, for operators
+	Reason  string        // why the share is not valid, for operators
 }
 
 // IsValid reports whether this node may use its share at that time.
 func (s Share) IsValid(now time.Duration) bool { return now < s.Until }
 
-// Counts reports whether the divisor counts a member.
+// Counts reports whether the divisor includes a member.
 func (s Share) Counts(name string) bool {
 	_, found := slices.BinarySearch(s.Members, name)
 	return found
 }
 
-// DivisorAt returns what this node has to divide a quota by at that time. It is +Inf if it may use nothing.
+// DivisorAt returns the number by which this node has to divide quotas at that time. It is +Inf if the share is not valid.
 func (s Share) DivisorAt(now time.Duration) float64 {
 	if !s.IsValid(now) {
 		return math.Inf(1)
@@ -34,7 +34,7 @@
 	return float64(max(1, s.Divisor))
 }
 
-// Share returns the share that this node may use now. It may make this node a voter, or commit the voters.
+// Share returns the share that this node may use now. As a side effect it may make this node a voter, or commit the voters.
 func (r *Roster) Share(now time.Duration) Share {
 	r.advance(now)
 	if r.leaving {
@@ -43,37 +43,38 @@
 	self := r.members[r.self]
 	electorates, founding := r.electorates()
 	if !self.Voter && !founding {
-		// A new member is admitted by a majority with itself, and by one without.
+		// A new member needs a majority of the voters including itself, and a majority of the voters without it.
 		electorates = [][]*peer{append(slices.Clone(electorates[0]), self), electorates[0]}
 	}
 	share := Share{Until: r.majorityUntil(electorates, r.grantedUntil), Voter: self.Voter}
-	objector := r.countMembers(&share, electorates)
-	if founding && r.foundsTooEarly(len(electorates[0])) {
+	notAdmittedBy := r.countMembers(&share, electorates)
+	if founding && r.isTooEarlyToFound(len(electorates[0])) {
 		share.Until = 0
 	}
 	share.Wanted = (len(electorates[0])+r.missingFounders(len(electorates[0])))/2 + 1
 	share.Divisor = len(share.Members)
-	if r.now-r.startedAt < r.lease.failureTimeout() { // members that were not heard yet may act, as far as this node can know
+	if r.now-r.startedAt < r.lease.failureTimeout() { // members that this node doesn't know yet may be acting
 		share.Divisor += r.missingFounders(len(share.Members))
 	}
 	if self.Voter {
 		r.commitVoters(electorates)
-		r.withhold(&share)
+		r.applyAdmissionDelay(&share)
 	} else {
-		r.seekAdmission(&share, founding, objector)
+		r.tryAdmission(&share, founding, notAdmittedBy)
 	}
 	return share
 }
 
-// foundsTooEarly reports whether a fleet may exist already whose members have not had the time to answer this node.
-func (r *Roster) foundsTooEarly(met int) bool {
-	return r.now-r.startedAt < r.lease.Duration && (met < r.lease.Nodes || r.lease.Nodes == 1)
+// isTooEarlyToFound reports whether a fleet may exist already whose members have not had enough time to answer this node. present is the
+// number of known members that are not removed.
+func (r *Roster) isTooEarlyToFound(present int) bool {
+	return r.now-r.startedAt < r.lease.Duration && (present < r.lease.Nodes || r.lease.Nodes == 1)
 }
 
-// countMembers fills in the members that the share counts and how many grant this node something, and limits the share to
-// the end of each exclusion that it relies on. It returns the first counted member by name that has not admitted this node:
-// one without a valid grant, or with another roster.
-func (r *Roster) countMembers(share *Share, electorates [][]*peer) (objector string) {
+// countMembers fills in the members that the divisor includes and the number of valid grants, and limits the share to the end of each
+// exclusion that it relies on. It returns the first included member by name that has not admitted this node, because it has given no valid
+// grant or has a different roster.
+func (r *Roster) countMembers(share *Share, electorates [][]*peer) (notAdmittedBy string) {
 	for _, p := range r.sortedMembers() {
 		if p.Removed {
 			continue
@@ -87,22 +88,22 @@
 			continue
 		}
 		share.Members = append(share.Members, p.Name)
-		if objector == "" && (grantEnd <= r.now || !r.hasSameRoster(p)) {
-			objector = p.Name
+		if notAdmittedBy == "" && (grantEnd <= r.now || !r.hasSameRoster(p)) {
+			notAdmittedBy = p.Name
 		}
 	}
-	return objector
+	return notAdmittedBy
 }
 
-// Reasons why a share is not valid. They are part of the status that operators read.
+// Reasons why a share is not valid, shown to operators.
 const (
-	reasonNoMajority   = "no majority grants it anything"
-	reasonJustAdmitted = "it has just been let in"
-	reasonTooFew       = "it has met too few, or for too short a time, to found a fleet"
+	reasonNoMajority      = "no majority grants it anything"
+	reasonJustAdmitted    = "it has just been let in"
+	reasonTooEarlyToFound = "it has met too few, or for too short a time, to found a fleet"
 )
 
-// withhold gives the reason why a voter may not use its share, and withholds that of one that was admitted a moment ago.
-func (r *Roster) withhold(share *Share) {
+// applyAdmissionDelay sets the reason if a voter's share is not valid, and invalidates the share during the admission delay.
+func (r *Roster) applyAdmissionDelay(share *Share) {
 	switch {
 	case share.Until == 0:
 		share.Reason = reasonNoMajority
@@ -112,20 +113,20 @@
 	}
 }
 
-// seekAdmission makes this node a voter if every counted member agrees, and gives the reason if not.
-func (r *Roster) seekAdmission(share *Share, founding bool, objector string) {
+// tryAdmission makes this node a voter if all members that the divisor includes have admitted it. Otherwise it sets the reason.
+func (r *Roster) tryAdmission(share *Share, founding bool, notAdmittedBy string) {
 	switch {
 	case share.Until == 0 && founding:
-		share.Reason = reasonTooFew
+		share.Reason = reasonTooEarlyToFound
 	case share.Until == 0:
 		share.Reason = reasonNoMajority
-	case objector != "":
+	case notAdmittedBy != "":
 		share.Until = 0
-		share.Reason = "it is new, and " + objector + " has not let it in"
+		share.Reason = "it is new, and " + notAdmittedBy + " has not let it in"
 	default:
 		r.admitSelf(founding)
 		share.Voter = true
-		if !founding { // this node may act once the others are known to have heard that it is a voter
+		if !founding { // this node may act only after the admission delay, when the other members know that it is a voter
 			share.Until = 0
 			share.Reason = reasonJustAdmitted
 			r.admittedAt = r.now
--- a/internal/fleet/membership/simulation_test.go
+++ b/internal/fleet/membership/simulation_test.go
@@ -10,21 +10,21 @@
 	"cranegrade/internal/fleet/shares"
 )
 
-// The draws of rapid are the same in every run, so that a failure shows a change of the code and not another draw; -rapid.seed=0 draws
-// others.
+// A fixed seed makes the draws of rapid the same in every run, so that a new failure results from a change of the code; -rapid.seed=0
+// selects random draws.
 func init() { flag.Set("rapid.seed", "1") }
 
 const ms = time.Millisecond
 
-// simulation is a fleet of processes with rosters, in simulated time, and the network between them.
+// simulation simulates a fleet of processes with rosters and the network between them, in simulated time.
 type simulation struct {
 	now       time.Duration
 	lease     Lease
 	processes []*process
 	inFlight  []message
-	delay     func() time.Duration // of a message; negative: it is lost
-	cut       map[[2]string]bool   // links that deliver nothing, from one name to another
-	started   uint64               // processes, which are their incarnations
+	delay     func() time.Duration // of a message; negative if the message is lost
+	cut       map[[2]string]bool   // links that lose all messages, from one name to another
+	started   uint64               // number of started processes, also the incarnation of the latest one
 	demand    func() float64       // of a process that starts, as a share of quota
 }
 
@@ -39,11 +39,11 @@
 	dead         bool
 	nextRoundAt  time.Duration
 	rosterSentAt map[string]time.Duration // by receiver
-	share        Share                    // as of its latest round, checked against its clock
+	share        Share                    // as of its latest round; its validity is checked against the process's clock
 	loans        *shares.LoanTable
 }
 
-// message is a heartbeat with what it carries, or, if heartbeat is nil, a roster.
+// message is a heartbeat with demands and loans, or the entries of a roster if heartbeat is nil.
 type message struct {
 	deliverAt time.Duration
 	from, to  *process
@@ -53,13 +53,13 @@
 	loans     []shares.Loan
 }
 
-// quota is the one that all processes share.
+// quota is the only quota, which all processes share.
 const quota = shares.QuotaID(7)
 
 const (
 	stepLength        = 20 * ms  // of simulated time
-	rosterInterval    = 200 * ms // between two rosters to one member
-	shareSumTolerance = 1e-9     // for rounding
+	rosterInterval    = 200 * ms // shortest time between two rosters sent to the same member
+	shareSumTolerance = 1e-9     // for rounding errors
 )
 
 func newSimulation(lease Lease) *simulation {
@@ -74,10 +74,10 @@
 	return p.clockOffset + time.Duration(float64(now-p.startedAt)*p.clockRate)
 }
 
-// evenShare is the process's share of a quota without loans.
+// evenShare returns the process's share of any quota without loans.
 func (p *process) evenShare(clock time.Duration) float64 { return 1 / p.share.DivisorAt(clock) }
 
-// quotaShare is the process's share of quota with loans.
+// quotaShare returns the process's share of quota with loans.
 func (p *process) quotaShare(now time.Duration) float64 {
 	clock := p.clock(now)
 	share, _ := p.loans.Share(clock, quota, p.evenShare(clock))
@@ -89,7 +89,7 @@
 	p.share = p.roster.Share(p.clock(now))
 }
 
-// start starts a process whose clock runs at a rate.
+// start starts a process whose clock advances by clockRate per unit of simulated time.
 func (s *simulation) start(name string, clockRate float64) *process {
 	s.started++
 	p := &process{
@@ -102,17 +102,17 @@
 	return p
 }
 
-// startGroup starts n0, n1, ..., which all meet.
+// startGroup starts the members n0, n1, ..., and introduces each of them to n0.
 func (s *simulation) startGroup(n int) {
 	for i := range n {
 		p := s.start(fmt.Sprintf("n%d", i), 1)
 		if i > 0 {
-			s.meet(s.processes[0], p)
+			s.introduce(s.processes[0], p)
 		}
 	}
 }
 
-// find returns the process that runs under a name; nil if none does.
+// find returns the live process with a name, or nil if there is none.
 func (s *simulation) find(name string) *process {
 	for _, p := range s.processes {
 		if p.name == name && !p.dead {
@@ -132,13 +132,13 @@
 	}
 }
 
-// meet has two processes send each other their rosters, as the gossip does when one joins.
-func (s *simulation) meet(a, b *process) {
+// introduce makes two processes send each other their rosters, as the gossip does when a member joins.
+func (s *simulation) introduce(a, b *process) {
 	s.send(message{from: a, to: b, entries: a.roster.Entries()})
 	s.send(message{from: b, to: a, entries: b.roster.Entries()})
 }
 
-// step advances the time, delivers what is due, and has every process whose turn it is send a round of heartbeats.
+// step advances the time, delivers the messages that are due, and sends the heartbeats of all processes whose next round is due.
 func (s *simulation) step(d time.Duration) {
 	s.now += d
 	messages := s.inFlight
@@ -191,7 +191,7 @@
 	p.loans.Expire(p.clock(s.now), func(string) bool { return true })
 }
 
-// shareSum is the sum of the shares of quota that all processes may use now, each by its own clock.
+// shareSum returns the sum of the shares of quota that all processes may use now, each according to its own clock.
 func (s *simulation) shareSum() (sum float64) {
 	for _, p := range s.processes {
 		if !p.dead && !p.paused {
@@ -211,7 +211,7 @@
 	}
 }
 
-// describe returns the state of all processes, for a failed test.
+// describe returns the state of all processes, for failure messages of tests.
 func (s *simulation) describe() string {
 	var b strings.Builder
 	for _, p := range s.processes {
@@ -224,7 +224,7 @@
 	return b.String()
 }
 
-// partition cuts the links between members of different sides, given by the numbers of startGroup.
+// partition cuts the links between members on different sides. The sides contain the numbers of members of startGroup.
 func (s *simulation) partition(sides ...[]int) {
 	sideOf := map[string]int{}
 	for side, members := range sides {
@@ -242,7 +242,7 @@
 	}
 }
 
-// cutInbound has a member hear nobody, and cutOutbound has nobody hear it.
+// cutInbound cuts all links to a member.
 func (s *simulation) cutInbound(name string) {
 	for _, p := range s.processes {
 		if p.name != name {
@@ -251,6 +251,7 @@
 	}
 }
 
+// cutOutbound cuts all links from a member.
 func (s *simulation) cutOutbound(name string) {
 	for _, p := range s.processes {
 		if p.name != name {
@@ -259,14 +260,14 @@
 	}
 }
 
-// kill ends processes, given by their order of start.
+// kill crashes processes, given by their order of start.
 func (s *simulation) kill(processes ...int) {
 	for _, i := range processes {
 		s.processes[i].dead = true
 	}
 }
 
-// divisors are those of the live processes, in the order of their start; +Inf: it may use nothing.
+// divisors returns the divisors of the live processes by order of start. It is +Inf for a process without a valid share.
 func (s *simulation) divisors() (divisors []float64) {
 	for _, p := range s.processes {
 		if !p.dead {
--- a/internal/fleet/membership/view.go
+++ b/internal/fleet/membership/view.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Damping sets how slowly a View follows what the gossip reports, in the manner of route flap damping (RFC 2439).
+// Damping configures how slowly a View follows the gossip, similar to route flap damping (RFC 2439).
 type Damping struct {
-	// SettleTime is how long a member must be seen without a break until it is established, or missed until it is no longer.
+	// SettleTime is how long a member must be alive without interruption until it is established, or failed until it no longer is.
 	SettleTime time.Duration
-	// FlapDecay is how long a member must stay until one of its flaps is forgiven.
+	// FlapDecay is how long a member must stay alive until its number of flaps decreases by one.
 	FlapDecay time.Duration
 }
 
-// maxFlaps bounds how often flaps double the time that a member must stay until it is established: to 32 times SettleTime.
+// maxFlaps is the maximum of Member.Flaps. Each flap doubles the time until a member is established, up to 32 times SettleTime.
 const maxFlaps = 5
 
 // Liveness is the state of a member as the gossip reports it.
@@ -25,47 +25,47 @@
 const (
 	Alive  Liveness = iota
 	Failed          // the gossip reports it as dead
-	Left            // it announced that it leaves
+	Left            // it announced that it was leaving
 )
 
-// notSeenYet is the state of a new member until memberBack makes it Alive, within the same call. It is Left because a member that
-// left and one that was never seen are treated alike: neither is established, and that it comes is not counted as a flap.
+// notSeenYet is the state of a new member until memberReturned makes it Alive, within the same call. It is Left because members that left
+// and new members are treated alike: they are not established, and their arrival is not counted as a flap.
 const notSeenYet = Left
 
-// String returns the name of the state, as operators read it.
+// String returns the name of the state, as it is shown to operators.
 func (l Liveness) String() string { return [...]string{"alive", "failed", "left"}[l] }
 
-// Member is what is known of a member.
+// Member is the state of a member in a View.
 type Member struct {
 	Metadata
-	Addr                 string // host:port of its gossip
+	Addr                 string // host:port of its gossip transport
 	State                Liveness
 	Since                time.Duration // when State began
 	Established          bool          // capacity is divided among the established members, see Damping.SettleTime
-	Flaps                int           // how often it has failed and come back lately, up to maxFlaps
-	DuplicateIncarnation uint64        // of another process with the same name; 0 if none was met
-	flapForgivenAt       time.Duration // when the next flap is forgiven if it stays
+	Flaps                int           // number of recent failures after which it returned, up to maxFlaps
+	DuplicateIncarnation uint64        // of another process with the same name; 0 if there is none
+	nextFlapDecayAt      time.Duration // when Flaps decreases next if the member stays alive
 }
 
-// View holds the members as one node sees them through the gossip.
+// View is one node's view of the members, as reported by the gossip.
 type View struct {
 	damping   Damping
 	self      Metadata
-	members   map[string]*Member // by name, with this node
+	members   map[string]*Member // by name, including this node
 	history   history
-	ignored   int  // members that were not remembered, because of MaxMembers
+	ignored   int  // number of new members that were ignored because of MaxMembers
 	settled   bool // the first SettleTime has passed
 	startedAt time.Duration
 }
 
-// NewView returns the view of a node that has just started and sees only itself.
+// NewView returns the view of a node that has just started and knows only itself.
 func NewView(now time.Duration, self Metadata, damping Damping) *View {
 	v := &View{damping: damping, self: self, members: map[string]*Member{}, startedAt: now}
 	v.members[self.Name] = &Member{Metadata: self, State: Alive, Since: now, Established: true}
 	return v
 }
 
-// MemberAlive records that the gossip sees a member, for the first time, again or still, with this metadata and address.
+// MemberAlive records that the gossip reports a member as alive, with this metadata and address. The member may be new, known or back.
 func (v *View) MemberAlive(now time.Duration, metadata Metadata, addr string) {
 	if metadata.Name == v.self.Name {
 		if metadata.Incarnation != v.self.Incarnation {
@@ -79,12 +79,12 @@
 			v.ignored++
 			return
 		}
-		m = &Member{State: notSeenYet, Since: now, flapForgivenAt: now}
+		m = &Member{State: notSeenYet, Since: now, nextFlapDecayAt: now}
 		v.members[metadata.Name] = m
 	}
 	switch {
 	case m.State != Alive:
-		v.memberBack(now, m, metadata)
+		v.memberReturned(now, m, metadata)
 	case m.Incarnation != metadata.Incarnation:
 		v.history.add(Change{
 			At:     now,
@@ -97,22 +97,22 @@
 	m.Addr = addr
 }
 
-// memberBack records that a member is alive which was not before.
-func (v *View) memberBack(now time.Duration, m *Member, metadata Metadata) {
+// memberReturned records that a member is alive that was not before.
+func (v *View) memberReturned(now time.Duration, m *Member, metadata Metadata) {
 	reason := "it is seen"
 	if m.Incarnation != 0 && m.Incarnation != metadata.Incarnation {
 		reason = "a new process of that name is seen"
 	}
 	if m.State == Failed && !m.Established {
 		m.Flaps = min(m.Flaps+1, maxFlaps)
-		m.flapForgivenAt = now + v.damping.FlapDecay
+		m.nextFlapDecayAt = now + v.damping.FlapDecay
 	}
 	m.State = Alive
 	m.Since = now
 	v.history.add(Change{At: now, Name: metadata.Name, Kind: ChangeUp, Reason: reason})
 }
 
-// MemberFailed records that the gossip reports a member as dead. It stays established until it has been missed for SettleTime.
+// MemberFailed records that the gossip reports a member as dead. The member stays established until it has been failed for SettleTime.
 func (v *View) MemberFailed(now time.Duration, name string) {
 	m := v.members[name]
 	if m == nil || name == v.self.Name || m.State != Alive {
@@ -123,8 +123,8 @@
 	v.history.add(Change{At: now, Name: name, Kind: ChangeFailed, Reason: "nobody reaches it"})
 }
 
-// MemberLeft records that a member has announced that it leaves. It is not established any more from then on, without
-// a delay: the announcement is its own, and it takes no further work.
+// MemberLeft records that a member has announced that it is leaving. It is no longer established, without a delay: the announcement comes
+// from the member itself, which accepts no further work.
 func (v *View) MemberLeft(now time.Duration, name string) {
 	m := v.members[name]
 	if m == nil || name == v.self.Name || m.State == Left {
@@ -136,7 +136,7 @@
 	v.history.add(Change{At: now, Name: name, Kind: ChangeLeft, Reason: "it said so"})
 }
 
-// DuplicateName records that another process with the name of a member was met.
+// DuplicateName records that there is another process with the name of a member.
 func (v *View) DuplicateName(now time.Duration, name string, incarnation uint64) {
 	m := v.members[name]
 	if m == nil || m.DuplicateIncarnation == incarnation {
@@ -147,8 +147,8 @@
 	v.history.add(Change{At: now, Name: name, Kind: ChangeDuplicate, Reason: reason})
 }
 
-// establishedChangeDue returns when Established of a member changes if its state stays. It reports false if that does not change.
-func (v *View) establishedChangeDue(m *Member) (at time.Duration, ok bool) {
+// nextEstablishedChange returns when Established of a member changes if its State doesn't. It reports false if Established won't change.
+func (v *View) nextEstablishedChange(m *Member) (at time.Duration, ok bool) {
 	switch {
 	case m.Name == v.self.Name:
 		return 0, false
@@ -160,21 +160,21 @@
 	return 0, false
 }
 
-// Advance applies everything that is due by now.
+// Advance applies all changes that are due by now.
 func (v *View) Advance(now time.Duration) {
 	v.settled = v.settled || now >= v.startedAt+v.damping.SettleTime
 	for _, m := range v.members {
-		if at, ok := v.establishedChangeDue(m); ok && now >= at {
+		if at, ok := v.nextEstablishedChange(m); ok && now >= at {
 			v.toggleEstablished(now, m)
 		}
-		if m.Flaps > 0 && m.State == Alive && m.Established && now >= m.flapForgivenAt {
+		if m.Flaps > 0 && m.State == Alive && m.Established && now >= m.nextFlapDecayAt {
 			m.Flaps--
-			m.flapForgivenAt = now + v.damping.FlapDecay
+			m.nextFlapDecayAt = now + v.damping.FlapDecay
 		}
 	}
 }
 
-// toggleEstablished has a member become established that was not, or the other way round.
+// toggleEstablished inverts and records whether a member is established.
 func (v *View) toggleEstablished(now time.Duration, m *Member) {
 	m.Established = !m.Established
 	kind, reason := ChangeEstablished, fmt.Sprintf("seen for %v", now-m.Since)
@@ -184,10 +184,10 @@
 	v.history.add(Change{At: now, Name: m.Name, Kind: kind, Reason: reason})
 }
 
-// Next returns when Advance has something to do if nothing is recorded before. It reports false if it never has.
+// Next returns when the next change by Advance is due, unless new reports arrive before. It reports false if no change is pending.
 func (v *View) Next() (next time.Duration, ok bool) {
 	for _, m := range v.members {
-		if at, due := v.establishedChangeDue(m); due && (!ok || at < next) {
+		if at, due := v.nextEstablishedChange(m); due && (!ok || at < next) {
 			next, ok = at, true
 		}
 	}
@@ -197,10 +197,10 @@
 	return next, ok
 }
 
-// IsSettled reports whether the first SettleTime is over. Until then no other member is established, and positions are guesses.
+// IsSettled reports whether the first SettleTime has passed. Until then no other member is established, and positions are not reliable.
 func (v *View) IsSettled() bool { return v.settled }
 
-// evictOldest forgets the member that has been gone for longest. It reports false if none is gone.
+// evictOldest removes the member that has been failed or gone for longest and is not established. It reports false if there is none.
 func (v *View) evictOldest() bool {
 	var oldest *Member
 	for _, m := range v.members {
@@ -217,7 +217,7 @@
 	return oldest != nil
 }
 
-// Members returns copies of all known members, by name.
+// Members returns copies of all known members, sorted by name.
 func (v *View) Members() (members []Member) {
 	for _, m := range v.members {
 		members = append(members, *m)
@@ -226,10 +226,10 @@
 	return members
 }
 
-// Changes returns the latest changes, the oldest first, and how many members were not remembered because of MaxMembers.
+// Changes returns the latest changes, the oldest first, and the number of new members that were ignored because of MaxMembers.
 func (v *View) Changes() (changes []Change, ignored int) { return slices.Clone(v.history), v.ignored }
 
-// SetSelf replaces this node's own metadata, after a reload changed its pools. The name must stay.
+// SetSelf replaces this node's own metadata after a reload has changed its pools. The name must not change.
 func (v *View) SetSelf(metadata Metadata) {
 	v.self = metadata
 	v.members[metadata.Name].Metadata = metadata
--- a/internal/fleet/membership/view_test.go
+++ b/internal/fleet/membership/view_test.go
@@ -15,12 +15,12 @@
 	testPool    = PoolID("app")
 )
 
-// testMetadata is of a member that serves testPool.
+// testMetadata returns the metadata of a member that serves testPool.
 func testMetadata(name string, incarnation uint64) Metadata {
 	return Metadata{Name: name, Incarnation: incarnation, Protocol: Protocol, Zone: "a", Pools: []PoolDigest{{testPool, 7}}}
 }
 
-// memberName gives names that sort like the numbers.
+// memberName returns a name for a number. The names sort in the order of the numbers.
 func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
 
 // observe reports the state of a member to a view.
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestViewsConvergeInAnyOrder: views that observe the same of up to 300 members, in any order and with repetitions, come to the same
-// positions; and these are what a plain count of the live members gives.
+// TestViewsConvergeInAnyOrder checks that views that receive the same reports on up to 300 members, in any order and with duplicates, have
+// the same positions, and that these positions are those among the live members.
 func TestViewsConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -77,14 +77,14 @@
 	})
 }
 
-// TestMemberCountsOnceSettled follows one member as it joins, fails, flaps and leaves.
-func TestMemberCountsOnceSettled(t *testing.T) {
+// TestMemberIsEstablishedAfterSettleTime follows one member as it joins, fails, flaps and leaves.
+func TestMemberIsEstablishedAfterSettleTime(t *testing.T) {
 	v := NewView(0, testMetadata("a", 1), testDamping)
 	wantEstablished := func(now time.Duration, want int) {
 		t.Helper()
 		v.Advance(now)
 		if got := v.Position(testPool).Established; got != want {
-			t.Fatalf("at %v %d members count, want %d: %v", now, got, want, v.history)
+			t.Fatalf("at %v %d members are established, want %d: %v", now, got, want, v.history)
 		}
 	}
 	v.MemberAlive(0, testMetadata("b", 1), "x")
@@ -92,20 +92,20 @@
 	wantEstablished(time.Second, 2)
 	v.MemberFailed(2*time.Second, "b")
 	wantEstablished(2900*ms, 2)
-	v.MemberAlive(2950*ms, testMetadata("b", 2), "y") // back within the time, as another process: it never stopped counting
+	v.MemberAlive(2950*ms, testMetadata("b", 2), "y") // back within SettleTime, as another process: it stays established
 	wantEstablished(20*time.Second, 2)
 	v.MemberFailed(20*time.Second, "b")
 	if next, ok := v.Next(); !ok || next != 21*time.Second {
 		t.Errorf("the next change is due at %v, %v; want 21s", next, ok)
 	}
 	wantEstablished(21*time.Second, 1)
-	v.MemberAlive(22*time.Second, testMetadata("b", 2), "y") // given up and back: it must stay twice as long
+	v.MemberAlive(22*time.Second, testMetadata("b", 2), "y") // back after it was no longer established: this takes twice as long
 	wantEstablished(23900*ms, 1)
 	wantEstablished(24*time.Second, 2)
 	v.MemberLeft(25*time.Second, "b")
 	wantEstablished(25*time.Second, 1)
 	if _, ok := v.Next(); ok {
-		t.Error("a change is due though everything has settled")
+		t.Error("a change is due although no member's state is pending")
 	}
 }
 
@@ -114,19 +114,19 @@
 	v.MemberAlive(26*time.Second, testMetadata("a", 9), "z")
 	recorded := slices.ContainsFunc(v.history, func(c Change) bool { return c.Kind == "twins" }) // the text that operators read
 	if m := v.Members()[0]; m.DuplicateIncarnation != 9 || !recorded {
-		t.Errorf("a second process of one name is not recorded: %+v, %v", m, v.history)
+		t.Errorf("a second process with the same name is not recorded: %+v, %v", m, v.history)
 	}
 }
 
-// TestFlappingIsDamped: whatever a member does in a minute, it starts or stops counting ten times at the most; and if it flaps twice a
-// second it never does.
+// TestFlappingIsDamped checks that a member whose state changes at random becomes or stops being established at most ten times in a minute,
+// and that a member that flaps twice a second never becomes established.
 func TestFlappingIsDamped(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView(0, testMetadata("a", 1), testDamping)
-		changes, agreed, alive := 0, 1, false
-		quick := rapid.Bool().Draw(t, "quick")
+		changes, established, alive := 0, 1, false
+		fastFlapping := rapid.Bool().Draw(t, "fastFlapping")
 		for now := time.Duration(0); now < time.Minute; now += 50 * ms {
-			if quick && now%(250*ms) == 0 || !quick && rapid.IntRange(0, 25).Draw(t, "turn") == 0 {
+			if fastFlapping && now%(250*ms) == 0 || !fastFlapping && rapid.IntRange(0, 25).Draw(t, "flap") == 0 {
 				if alive = !alive; alive {
 					observe(v, now, "b", Alive)
 				} else {
@@ -134,19 +134,20 @@
 				}
 			}
 			v.Advance(now)
-			if p := v.Position(testPool); p.Established != agreed {
-				agreed = p.Established
+			if p := v.Position(testPool); p.Established != established {
+				established = p.Established
 				changes++
 			}
 		}
-		if changes > 10 || quick && changes > 0 {
-			t.Fatalf("the number of members that count changed %d times: %v", changes, v.history)
+		if changes > 10 || fastFlapping && changes > 0 {
+			t.Fatalf("the number of established members changed %d times: %v", changes, v.history)
 		}
 	})
 }
 
-// TestIncompatibleMembersDoNotCount: members that differ are classified, and only those count that serve the pool and speak this protocol.
-func TestIncompatibleMembersDoNotCount(t *testing.T) {
+// TestIncompatibleMembersHaveNoPosition checks the classification of members that differ from this node, and that a pool's positions
+// include only members that serve the pool and have a supported protocol version.
+func TestIncompatibleMembersHaveNoPosition(t *testing.T) {
 	v := NewView(0, testMetadata("a", 1), testDamping)
 	other, none, foreign, many := testMetadata("other", 1), testMetadata("none", 1), testMetadata("foreign", 1), testMetadata("many", 1)
 	other.Pools[0].Digest, none.Pools, foreign.Protocol, many.AllPools, many.Pools = 8, nil, Protocol+1, true, nil
@@ -166,11 +167,11 @@
 	}
 	v.Advance(time.Minute)
 	if p := v.Position(testPool); !slices.Equal(p.Order, []string{"a", "many", "other"}) {
-		t.Errorf("the members that count are %v", p.Order)
+		t.Errorf("the order of the pool's members is %v, want [a many other]", p.Order)
 	}
 }
 
-// TestRememberedMembersAreBounded: beyond MaxMembers new names are ignored unless a member has gone.
+// TestRememberedMembersAreBounded checks that new members beyond MaxMembers are ignored, unless one that has left can be evicted.
 func TestRememberedMembersAreBounded(t *testing.T) {
 	v := NewView(0, testMetadata("a", 1), testDamping)
 	const beyond = 100
@@ -183,9 +184,9 @@
 	v.MemberLeft(time.Minute, "x7")
 	v.MemberAlive(time.Minute, testMetadata("late", 1), "x")
 	if v.members["late"] == nil || v.members["x7"] != nil {
-		t.Error("a member that is gone does not make room for a new one")
+		t.Error("a member that has left is not evicted for a new one")
 	}
 	if len(v.history) > maxRecordedChanges {
-		t.Errorf("%d changes are kept", len(v.history))
+		t.Errorf("%d changes are kept, want at most %d", len(v.history), maxRecordedChanges)
 	}
 }
--- a/internal/fleet/membership/voters.go
+++ b/internal/fleet/membership/voters.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// admitSelf makes this node a voter; at the founding, together with all members that grant it something. The voters before stay an
-// electorate of their own until a majority of them is known to have heard of the change, see commitVoters.
+// admitSelf makes this node a voter. At the founding of the fleet it also makes all members with a valid grant to this node voters. The
+// previous voters remain a separate electorate until a majority of them is known to have received the change, see commitVoters.
 func (r *Roster) admitSelf(founding bool) {
 	clear(r.committedVoters)
 	for _, p := range r.members {
@@ -16,7 +16,7 @@
 	r.updateHash()
 }
 
-// hasSameRoster reports whether a member's latest heartbeat has the hash of this node's roster.
+// hasSameRoster reports whether a member's latest heartbeat has the same roster hash as this node.
 func (r *Roster) hasSameRoster(p *peer) bool { return p.Name == r.self || p.rosterHash == r.hash }
 
 // hasCommittedVoters reports whether this node is a voter and all voters are committed.
@@ -29,9 +29,9 @@
 	return r.members[r.self].Voter
 }
 
-// commitVoters makes the voters the committed ones, once majorities of both are known to have this node's roster.
+// commitVoters replaces the committed voters by the voters, once majorities of both are known to have this node's roster.
 func (r *Roster) commitVoters(electorates [][]*peer) {
-	if !r.votersAgreed(electorates) {
+	if !r.votersAreAgreed(electorates) {
 		return
 	}
 	clear(r.committedVoters)
@@ -42,9 +42,9 @@
 	}
 }
 
-// votersAgreed reports whether majorities of all electorates have this node's roster: by their own heartbeats, or because a member with
-// the same roster has committed its voters. The latter is needed where the committed voters have lost their majority since.
-func (r *Roster) votersAgreed(electorates [][]*peer) bool {
+// votersAreAgreed reports whether majorities of all electorates have this node's roster. That is known from their own heartbeats, or from a
+// member with the same roster that has committed its voters. The latter is needed if the committed voters have lost their majority since.
+func (r *Roster) votersAreAgreed(electorates [][]*peer) bool {
 	sameRosterUntil := func(p *peer) time.Duration {
 		if !r.hasSameRoster(p) {
 			return 0
