--- a/internal/fleet/membership/exchange.go
+++ b/internal/fleet/membership/exchange.go
@@ -111,7 +111,7 @@
 }
 
 // recordGrant records the grant and the failure reports of a heartbeat, and returns when this node sent the heartbeat that it echoes. It
-// returns zero and records nothing if the heartbeat echoes none of this process, or one that is older than rememberedRounds.
+// returns zero and records nothing if the heartbeat echoes none of this process, or one from before the last rememberedRounds rounds.
 func (r *Roster) recordGrant(p *peer, h Heartbeat) (echoedAt time.Duration) {
 	if h.EchoIncarnation != r.incarnation || h.Echo == 0 || h.Echo > r.seq || r.seq-h.Echo >= rememberedRounds {
 		return 0
--- a/internal/fleet/membership/roster.go
+++ b/internal/fleet/membership/roster.go
@@ -17,8 +17,8 @@
 // To act means to use a share. A member acts only while it has unexpired grants of a majority of the roster. A member that has received no
 // heartbeat from another one for longer than a lease considers it failed and gives it no grant. Members that know that a majority reports a
 // member as failed exclude it from the divisor. So the divisor decreases only on the side of a partition that has the majority, and only
-// after the excluded member can't act any more. Members stay on the roster until they leave, are removed by an operator, or come back,
-// because a crash can't be distinguished from a broken link. docs/design/membership.md has the complete safety argument.
+// after the excluded member can't act any more. A failed member stays on the roster until it leaves, is removed by an operator, or comes
+// back, because a crash can't be distinguished from a broken link. docs/design/membership.md has the complete safety argument.
 //
 // Majorities are those of the voters. While the set of voters changes, majorities of both the new voters and the committed voters are
 // required. The committed voters are the latest set of voters on which a majority is known to have agreed.
--- a/internal/fleet/membership/roster_test.go
+++ b/internal/fleet/membership/roster_test.go
@@ -43,19 +43,19 @@
 			members: 3, founders: 3, fault: func(s *simulation) { s.cut[[2]string{"n0", "n2"}], s.cut[[2]string{"n2", "n0"}] = true, true },
 			during: repeat(3, 3), after: repeat(3, 3),
 		},
-		"one member hears nobody": {
+		"inbound links of one member cut": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.cutInbound("n0") },
 			during: []float64{noShare, 5, 5, 5, 5}, after: repeat(5, 5),
 		},
-		"nobody hears one member": {
+		"outbound links of one member cut": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.cutOutbound("n0") },
 			during: []float64{noShare, 4, 4, 4, 4}, after: repeat(5, 5),
 		},
-		"two die": {
+		"two members crash": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.kill(0, 1) },
 			during: repeat(3, 3), after: repeat(3, 3),
 		},
-		"all but one die": {
+		"all but one member crash": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.kill(1, 2, 3, 4) },
 			during: []float64{noShare}, after: []float64{noShare},
 		},
@@ -63,22 +63,22 @@
 			members: 5, founders: 5, fault: func(s *simulation) { s.kill(0); s.introduce(s.processes[1], s.start("n0", 1)) },
 			during: repeat(5, 5), after: repeat(5, 5),
 		},
-		"two leave": {
+		"two members leave": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.processes[0].leave(s.now); s.processes[1].leave(s.now) },
 			during: []float64{noShare, noShare, 3, 3, 3}, after: []float64{noShare, noShare, 3, 3, 3},
 		},
-		"one paused": {
+		"one member paused": {
 			members: 5, founders: 5, fault: func(s *simulation) { s.processes[4].paused = true },
 			during: []float64{4, 4, 4, 4, noShare}, after: repeat(5, 5),
 		},
-		"two join": {
+		"two members join": {
 			members: 3, founders: 3, fault: func(s *simulation) {
 				s.introduce(s.processes[0], s.start("n8", 1))
 				s.introduce(s.processes[1], s.start("n9", 1))
 			},
 			during: repeat(5, 5), after: repeat(5, 5),
 		},
-		"two of five founders met": {
+		"two of five founders started": {
 			members: 2, founders: 5, fault: func(*simulation) {},
 			during: repeat(2, noShare), after: repeat(2, noShare),
 		},
--- a/internal/fleet/outlier/detector.go
+++ b/internal/fleet/outlier/detector.go
@@ -214,7 +214,7 @@
 	return s.failures
 }
 
-// Receive stores the digest of another member, and ignores it if it is older than the stored one. id is a hash of the member's name.
+// Receive stores the digest of another member, and ignores it unless it is newer than the stored one. id is a hash of the member's name.
 // incarnation identifies its process: sequence numbers restart with a new process.
 func (d *Detector) Receive(now time.Duration, from string, id, incarnation uint64, digest Digest) {
 	p := d.peers[from]
--- a/internal/fleet/outlier/doc.go
+++ b/internal/fleet/outlier/doc.go
@@ -6,8 +6,9 @@
 // server (package rotation), and it has no effect once this member's own requests to the server succeed. The effect of a member that
 // reports wrongly is bounded:
 //
-//   - All reports of a member that reports many of its servers as failing are ignored: that member is more likely to be unhealthy itself.
-//   - Reports about a server are ignored for a while if they come from a member that was wrong about that server.
+//   - Reports of failures are ignored if they come from a member that reports many of its servers as failing: that member is more likely
+//     to be unhealthy itself.
+//   - Reports of failures of a server are ignored for a while if they come from a member that was wrong about that server.
 //   - The reports of a single member eject only a few servers at a time, and each server only a few times in a row.
 //
 // The decision module limits the number of ejections again. Received observations are never forwarded as this member's own.
--- a/internal/fleet/outlier/ejections.go
+++ b/internal/fleet/outlier/ejections.go
@@ -30,7 +30,7 @@
 	// the server after the ejection restarts the count.
 	maxSingleReporterEjections = 2
 	// maxReportedFraction is the fraction of the servers in its subset, but at least one server, that a member may report as failing.
-	// If it reports more, all its reports are ignored.
+	// If it reports more, all its reports of failures are ignored.
 	maxReportedFraction = 0.4
 	// maxSingleReporterFraction is the fraction of the pool's servers, but at least one server, that may be ejected at a time on the
 	// report of a single member each.
--- a/internal/fleet/shares/shares.go
+++ b/internal/fleet/shares/shares.go
@@ -3,10 +3,11 @@
 //
 // A member's share of a quota is its even share (1/divisor of the fleet, see package membership), minus what it has lent, plus what it has
 // borrowed. A heartbeat carries a loan and echoes an earlier heartbeat of the borrower. The borrower counts the loan's duration from when
-// it sent the echoed heartbeat. The lender counts the same duration from when it sent the loan, which is later. So both never use the same
-// share at the same time, however long messages are delayed, and the loan expires without further messages. A loan also ends no later than
-// the lender's own share (membership.Share.Until): other members take over the lender's share only after that. Therefore the shares of all
-// members add up to at most the whole quota as long as their even shares do. docs/design/subsets.md describes the alternatives.
+// it sent the echoed heartbeat. The lender counts the same duration, plus a margin for clock drift, from when it sent the loan, which is
+// later. So they never use the same share at the same time, however long messages are delayed, and the loan expires without further
+// messages. A loan also ends no later than the lender's own share (membership.Share.Until): other members take over the lender's share only
+// after that. Therefore the shares of all members add up to at most the whole quota as long as their even shares do.
+// docs/design/subsets.md describes the alternatives.
 //
 // The package is pure: time is an argument, and a LoanTable is not safe for concurrent use.
 package shares
