--- a/internal/fleet/assignment.go
+++ b/internal/fleet/assignment.go
@@ -9,79 +9,80 @@
 	"cranegrade/internal/fleet/subset"
 )
 
-// assignment is how the servers of a pool are assigned to its members, as one member sees it.
+// assignment is the assignment of a pool's servers to its members, from the point of view of one member.
 type assignment struct {
-	own     []string            // servers that this member draws from, sorted; nil means all, for there is no other member
-	drawnBy map[string][]uint64 // by server: NameIDs of the members that draw from it
-	peers   []string            // other members that draw from any server of own
+	own             []string            // servers in this member's subset, sorted; nil for all, if there is no other member
+	membersByServer map[string][]uint64 // NameIDs of the members whose subsets contain a server
+	peers           []string            // other members whose subsets share a server with own
 }
 
-// maxInlinePairs is the most pairs of members and servers that are assigned on the engine's goroutine. More are assigned on another one.
+// maxInlinePairs is the largest number of pairs of a member and a server that is assigned on the engine's goroutine. Larger assignments are
+// computed on another goroutine, so that they do not delay requests.
 const maxInlinePairs = 20_000
 
-// assignSubsets assigns the servers to the members of a role. If there are many, the result is adopted later.
+// assignSubsets assigns the ready servers to the members of a role. With more than maxInlinePairs, adoptPending adopts the result later.
 func (m *Module) assignSubsets(role *Role) {
 	if m.pendingAssignment != nil {
-		return // the caller calls again once the pending assignment is adopted
+		return // listChanged and members stay, so the next update calls again
 	}
 	m.listChanged = false
-	m.order = role.Order
-	clear(m.startedAt)
-	servers := make([]balancer.Server, 0, len(m.listed))
-	for _, s := range m.listed {
+	m.members = role.Order
+	clear(m.startTimes)
+	servers := make([]balancer.Server, 0, len(m.listedServers))
+	for _, s := range m.listedServers {
 		if s.State == balancer.Ready {
 			servers = append(servers, s)
-			m.startedAt[s.ID] = s.StartedAt
+			m.startTimes[s.ID] = s.StartedAt
 		}
 	}
 	order := role.Order
 	self := role.Index
-	sized := m.sized
+	useSizes := m.useSizes
 	switch {
 	case len(order) < 2 || self >= len(order):
 		m.adoptAssignment(assignment{})
 	case len(order)*len(servers) <= m.maxInlinePairs:
-		m.adoptAssignment(assign(order, self, servers, sized))
+		m.adoptAssignment(assign(order, self, servers, useSizes))
 	default:
-		result := make(chan assignment, 1) // the goroutine ends also if nobody receives
+		result := make(chan assignment, 1) // buffered, so that the goroutine ends even if nobody receives
 		m.pendingAssignment = result
-		go func() { result <- assign(order, self, servers, sized) }()
+		go func() { result <- assign(order, self, servers, useSizes) }()
 	}
 }
 
-// adoptPending adopts an assignment that was computed meanwhile. It does not block.
+// adoptPending adopts the pending assignment if it is computed. It does not block.
 func (m *Module) adoptPending() {
 	select {
-	case a := <-m.pendingAssignment: // never ready if it is nil
+	case a := <-m.pendingAssignment: // a nil channel is never ready
 		m.adoptAssignment(a)
 	default:
 	}
 }
 
-// adoptAssignment makes an assignment the present one. Servers move into and out of this member's subset step by step (subset.Transition),
-// so that the servers' loads change gradually.
+// adoptAssignment makes an assignment the current one. Servers enter and leave this member's subset step by step (subset.Transition), so
+// that the load of the servers changes gradually.
 func (m *Module) adoptAssignment(a assignment) {
 	m.pendingAssignment = nil
-	m.drawnBy = a.drawnBy
+	m.membersByServer = a.membersByServer
 	m.peers = a.peers
 	if a.own == nil { // no subset: this member may use every server at once
 		m.transition = subset.NewTransition(moveInterval)
 	}
 	m.transition.SetTarget(a.own, func(server string) bool {
-		_, listed := m.startedAt[server]
+		_, listed := m.startTimes[server]
 		return listed
 	})
 	subsetSize := len(a.own)
 	if subsetSize == 0 {
-		subsetSize = len(m.startedAt)
+		subsetSize = len(m.startTimes)
 	}
-	m.detector.SetServers(m.startedAt, subsetSize)
+	m.detector.SetServers(m.startTimes, subsetSize)
 }
 
-// assign assigns servers to members, as the member with index self sees it. It reorders servers. sized reports whether the servers' sizes
-// are known.
-func assign(members []string, self int, servers []balancer.Server, sized bool) assignment {
-	sortLikeModule(servers, sized)
+// assign assigns servers to members, from the point of view of the member with index self. It sorts servers in place. useSizes says whether
+// to order them by size.
+func assign(members []string, self int, servers []balancer.Server, useSizes bool) assignment {
+	sortLikeModule(servers, useSizes)
 	candidates := make([]subset.Server, len(servers))
 	for i, s := range servers {
 		candidates[i] = subset.Server{ID: membership.NameID(s.ID), SecondGroup: i >= (len(servers)+1)/2}
@@ -94,16 +95,16 @@
 	if chosen[self] == nil {
 		return assignAll(members, ids, self, servers)
 	}
-	a := assignment{drawnBy: make(map[string][]uint64, len(servers))}
+	a := assignment{membersByServer: make(map[string][]uint64, len(servers))}
 	for member, own := range chosen {
 		for _, i := range own {
-			a.drawnBy[servers[i].ID] = append(a.drawnBy[servers[i].ID], ids[member])
+			a.membersByServer[servers[i].ID] = append(a.membersByServer[servers[i].ID], ids[member])
 		}
 	}
 	isPeer := map[uint64]bool{}
 	for _, i := range chosen[self] {
 		a.own = append(a.own, servers[i].ID)
-		for _, id := range a.drawnBy[servers[i].ID] {
+		for _, id := range a.membersByServer[servers[i].ID] {
 			isPeer[id] = true
 		}
 	}
@@ -116,11 +117,11 @@
 	return a
 }
 
-// assignAll has every member draw from every server.
+// assignAll assigns every server to every member.
 func assignAll(members []string, ids []uint64, self int, servers []balancer.Server) assignment {
-	a := assignment{drawnBy: make(map[string][]uint64, len(servers))}
+	a := assignment{membersByServer: make(map[string][]uint64, len(servers))}
 	for _, s := range servers {
-		a.drawnBy[s.ID] = ids
+		a.membersByServer[s.ID] = ids
 		a.own = append(a.own, s.ID)
 	}
 	slices.Sort(a.own)
@@ -128,10 +129,10 @@
 	return a
 }
 
-// sortLikeModule sorts servers as the decision module does, so that the two halves are the groups that it chooses from.
-func sortLikeModule(servers []balancer.Server, sized bool) {
+// sortLikeModule sorts servers in the decision module's order, so that the two halves are the two groups from which it picks candidates.
+func sortLikeModule(servers []balancer.Server, useSizes bool) {
 	size := func(s balancer.Server) float64 {
-		if sized && s.Size > 0 {
+		if useSizes && s.Size > 0 {
 			return s.Size
 		}
 		return 1
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -9,8 +9,8 @@
 	"cranegrade/balancer"
 )
 
-// BenchmarkDecision measures a request, its attempt and the attempt's end in a fleet of 50 nodes and 60 servers: through the decision module
-// alone, and through the Module in front of it.
+// BenchmarkDecision measures a request, its attempt and the attempt's end in a fleet of 50 nodes and 60 servers: through the decision
+// module alone, and through the Module in front of it.
 func BenchmarkDecision(b *testing.B) {
 	class := balancer.Class{
 		Name: "read", Effect: balancer.Idempotent, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1,
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// BootTime returns the time since the machine was started (CLOCK_BOOTTIME). It goes on while the process or the machine is suspended, and
-// setting the wall clock does not change it.
+// BootTime returns the time since the machine booted (CLOCK_BOOTTIME). It advances while the process or the machine is suspended, and
+// is not affected by changes of the wall clock.
 func BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // only on kernels that are older than the program can run on
+		panic(err) // only kernels that are too old for this program lack the clock
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/fleet/collect_status.go
+++ b/internal/fleet/collect_status.go
@@ -10,7 +10,7 @@
 	"cranegrade/internal/fleet/membership"
 )
 
-// Status returns what this node knows now.
+// Status returns this node's current view of the fleet.
 func (f *Fleet) Status() Status {
 	health := f.gossipHealth()
 	f.mu.Lock()
@@ -27,7 +27,7 @@
 		Health:  health,
 		Sent:    f.bytesSent.Load(),
 		Got:     f.bytesReceived.Load(),
-		Bad:     f.unreadableMessages,
+		Bad:     f.malformedMessages,
 	}
 	members := f.view.Members()
 	s.Members = f.memberStatuses(now, members)
@@ -46,9 +46,9 @@
 		})
 	}
 	for _, stall := range f.stalls {
-		reason := fmt.Sprintf("for %v", stall.For.Round(time.Millisecond))
+		reason := fmt.Sprintf("for %v", stall.Duration.Round(time.Millisecond))
 		s.Stalls = append(s.Stalls, ChangeStatus{
-			AgoMS: milliseconds(now - stall.At),
+			AgoMS: milliseconds(now - stall.EndedAt),
 			What:  "did not run",
 			Why:   reason,
 		})
@@ -56,7 +56,7 @@
 	return s
 }
 
-// gossipHealth returns the gossip's health score. It must not be asked for under f.mu.
+// gossipHealth returns memberlist's local health score, 0 while the gossip is not open. The caller must not hold f.mu.
 func (f *Fleet) gossipHealth() int {
 	f.mu.Lock()
 	gossip := f.gossip
@@ -67,7 +67,7 @@
 	return gossip.GetHealthScore()
 }
 
-// memberStatuses merges what the view and the roster know, by name. The caller holds f.mu.
+// memberStatuses merges the members of the view and the roster, sorted by name. The caller holds f.mu.
 func (f *Fleet) memberStatuses(now time.Duration, members []membership.Member) (statuses []MemberStatus) {
 	byName := map[string]*MemberStatus{}
 	status := func(name string) *MemberStatus {
@@ -109,10 +109,10 @@
 	return statuses
 }
 
-// maxShownTime bounds the time that a share holds as operators are shown it: a node alone grants itself its share for ever.
-const maxShownTime = 1000 * time.Hour
+// maxStatusValidity caps the remaining validity of a share in a status: the share of a fleet of one node never expires.
+const maxStatusValidity = 1000 * time.Hour
 
-// poolStatus returns the role that a pool's module applies now. The caller holds f.mu.
+// poolStatus returns the status of a pool: the role that its module currently applies. The caller holds f.mu.
 func (f *Fleet) poolStatus(now time.Duration, p *Pool, members []membership.Member) PoolStatus {
 	role, divisor := p.Role(now)
 	module := p.moduleState.Load()
@@ -136,7 +136,7 @@
 	}
 	s.Quotas = f.quotaStatuses(now, p, divisor)
 	if s.Standing {
-		s.UntilMS = milliseconds(min(role.Until-now, maxShownTime))
+		s.UntilMS = milliseconds(min(role.Until-now, maxStatusValidity))
 	} else if s.Why == "" {
 		s.Why = "what it stood on is too old"
 	}
@@ -151,7 +151,7 @@
 	return s
 }
 
-// quotaStatuses returns this node's shares of the quotas of a pool, by tenant. The caller holds f.mu.
+// quotaStatuses returns this node's shares of a pool's quotas, sorted by tenant. The caller holds f.mu.
 func (f *Fleet) quotaStatuses(now time.Duration, p *Pool, divisor float64) (statuses []QuotaStatus) {
 	shares := p.quotaShares(now)
 	for tenant, id := range p.quotaIDs() {
@@ -165,8 +165,8 @@
 	return statuses
 }
 
-// formatIncarnation returns an incarnation as operators are shown it, in hexadecimal digits.
+// formatIncarnation formats an incarnation in hexadecimal, as in a status.
 func formatIncarnation(incarnation uint64) string { return fmt.Sprintf("%x", incarnation) }
 
-// milliseconds converts a duration to the unit of a status.
+// milliseconds converts a duration to the milliseconds of a status.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -9,30 +9,30 @@
 	"cranegrade/internal/fleet/membership"
 )
 
-// Config configures a member at its start. Package operator has the defaults and bounds of the file's keys.
+// Config configures a member. Package operator defines the defaults and bounds of the keys of the settings file.
 type Config struct {
-	Name          string        // of this member; all members have different names
+	Name          string        // of this member; must be unique in the fleet
 	Zone          string        // of this member; may be empty
-	Listen        string        // IP:port, for TCP and UDP; the member dials from that IP, too
-	Advertise     string        // host:port that the others reach it at; default: Listen
-	Join          []string      // host:port of members to join
-	Key           []byte        // encrypts what members send, 16, 24 or 32 bytes; if nil, nothing is encrypted
-	Lease         time.Duration // see membership.Lease; the same at all members
-	Nodes         int           // the least number of members that found the fleet; the same at all members
+	Listen        string        // IP:port for TCP and UDP; also the source IP of outgoing connections
+	Advertise     string        // host:port at which other members reach this one; default: Listen
+	Join          []string      // host:port of members to contact at the start
+	Key           []byte        // encrypts the traffic between members: 16, 24 or 32 bytes; empty: no encryption
+	Lease         time.Duration // see membership.Lease; must be the same at all members
+	Nodes         int           // minimum number of members that form a new fleet; must be the same at all members
 	SettleTime    time.Duration // see membership.Damping
-	ProbeInterval time.Duration // between two health checks of the gossip
+	ProbeInterval time.Duration // time between two probes of the gossip
 	Pools         []membership.PoolDigest
 }
 
-// flapDecay is how long a member has to stay until one of its flaps is forgiven.
+// flapDecay is how long a member must stay alive until one of its flaps no longer counts.
 const flapDecay = 30 * time.Second
 
-// lease returns the settings of grants.
+// lease returns the lease settings of the roster's grants.
 func (c Config) lease() membership.Lease {
 	return membership.Lease{Duration: c.Lease, Nodes: c.Nodes}
 }
 
-// damping returns the settings by which the view follows the gossip.
+// damping returns the settings that delay the view's reaction to gossip events.
 func (c Config) damping() membership.Damping {
 	return membership.Damping{SettleTime: c.SettleTime, FlapDecay: flapDecay}
 }
--- a/internal/fleet/delegate.go
+++ b/internal/fleet/delegate.go
@@ -10,36 +10,36 @@
 	"cranegrade/internal/fleet/shares"
 )
 
-// Types of messages between members, in their first byte.
+// Message types: the first byte of each message between members.
 const (
 	heartbeatMessage = 1
 	rosterMessage    = 2
-	digestMessage    = 3 // in the name of the member that observed it, not of the one that sends it on
+	digestMessage    = 3 // names the member that made it, which may not be the one that forwards it
 )
 
-// delegate is what the gossip calls, from its own goroutines. It implements memberlist's Delegate, EventDelegate, ConflictDelegate and
-// AliveDelegate. The gossip holds a lock of its own in most of these calls, so none of them may call it.
+// delegate receives memberlist's callbacks, which come from its goroutines. It implements memberlist's Delegate, EventDelegate,
+// ConflictDelegate and AliveDelegate. memberlist holds its own lock during most callbacks, so they must not call memberlist.
 type delegate struct{ f *Fleet }
 
-// NotifyAlive rejects a member whose metadata can't be decoded or belongs to another name.
+// NotifyAlive rejects a member whose metadata can't be decoded or has another member's name.
 func (d delegate) NotifyAlive(node *memberlist.Node) error {
 	metadata, err := membership.DecodeMetadata(node.Meta)
 	if err != nil {
 		return err
 	}
 	if metadata.Name != node.Name {
-		return fmt.Errorf("%w: member %q sends that of %q", membership.ErrMetadata, node.Name, metadata.Name)
+		return fmt.Errorf("%w: member %q sent metadata with the name %q", membership.ErrMetadata, node.Name, metadata.Name)
 	}
 	return nil
 }
 
-// NotifyJoin records a member that is alive.
+// NotifyJoin records a member that has joined or come back.
 func (d delegate) NotifyJoin(node *memberlist.Node) { d.recordAlive(node) }
 
 // NotifyUpdate records a member whose metadata has changed.
 func (d delegate) NotifyUpdate(node *memberlist.Node) { d.recordAlive(node) }
 
-// recordAlive records that a member is alive, in the view and on the roster.
+// recordAlive records in the view and on the roster that a member is alive.
 func (d delegate) recordAlive(node *memberlist.Node) {
 	metadata, err := membership.DecodeMetadata(node.Meta)
 	if err != nil {
@@ -52,13 +52,13 @@
 	if metadata.Name != f.config.Name && (known || len(f.nodes) < membership.MaxMembers) {
 		f.nodes[metadata.Name] = memberlist.Node{Name: node.Name, Addr: node.Addr, Port: node.Port}
 		f.roster.Join(now, metadata.Name)
-		f.knownMembers.Store(int64(len(f.nodes)))
+		f.otherMemberCount.Store(int64(len(f.nodes)))
 	}
 	f.mu.Unlock()
 	f.wake()
 }
 
-// NotifyLeave records a member that has left or is dead.
+// NotifyLeave records a member that has left or that the gossip has declared dead.
 func (d delegate) NotifyLeave(node *memberlist.Node) {
 	f, now := d.f, BootTime()
 	f.mu.Lock()
@@ -72,7 +72,7 @@
 	f.wake()
 }
 
-// NotifyConflict records a second process with the name of a member.
+// NotifyConflict records that a second process uses a member's name.
 func (d delegate) NotifyConflict(_, other *memberlist.Node) {
 	metadata, err := membership.DecodeMetadata(other.Meta)
 	if err != nil {
@@ -83,7 +83,7 @@
 	d.f.mu.Unlock()
 }
 
-// NodeMeta returns this member's metadata, which the gossip carries to all.
+// NodeMeta returns this member's metadata, which the gossip spreads to all members.
 func (d delegate) NodeMeta(limit int) []byte {
 	d.f.mu.Lock()
 	defer d.f.mu.Unlock()
@@ -91,7 +91,7 @@
 	return b[:min(len(b), limit)]
 }
 
-// NotifyMsg processes a message of another member. Types of later versions are ignored.
+// NotifyMsg processes a message from another member. Unknown types, which later versions may send, are ignored.
 func (d delegate) NotifyMsg(message []byte) {
 	d.f.bytesReceived.Add(int64(len(message)))
 	if len(message) == 0 {
@@ -99,7 +99,7 @@
 	}
 	switch message[0] {
 	case heartbeatMessage:
-		d.f.decodeHeartbeat(message[1:])
+		d.f.handleHeartbeat(message[1:])
 	case rosterMessage:
 		d.MergeRemoteState(message[1:], false)
 	case digestMessage:
@@ -107,40 +107,40 @@
 	}
 }
 
-// decodeHeartbeat processes a message of type heartbeatMessage, without its first byte.
-func (f *Fleet) decodeHeartbeat(body []byte) {
+// handleHeartbeat processes a message of type heartbeatMessage, without its first byte.
+func (f *Fleet) handleHeartbeat(body []byte) {
 	heartbeat, rest, err := membership.DecodeHeartbeat(body)
 	if err != nil {
-		f.recordUnreadable(err)
+		f.recordMalformed(err)
 		return
 	}
 	demands, loans, err := shares.Decode(rest)
 	if err != nil {
-		f.recordUnreadable(err)
+		f.recordMalformed(err)
 		return
 	}
 	f.receiveHeartbeat(heartbeat, demands, loans)
 }
 
-// recordUnreadable counts a message that can't be decoded. It logs the first, and every unreadableLogInterval-th after it.
-func (f *Fleet) recordUnreadable(err error) {
+// recordMalformed counts a message that can't be decoded. It logs the first one, and then each malformedLogInterval-th.
+func (f *Fleet) recordMalformed(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unreadableMessages++
-	if f.unreadableMessages == 1 || f.unreadableMessages%unreadableLogInterval == 0 {
-		log.Printf("fleet: %d messages of members could not be decoded, the last one: %v", f.unreadableMessages, err)
+	f.malformedMessages++
+	if f.malformedMessages == 1 || f.malformedMessages%malformedLogInterval == 0 {
+		log.Printf("fleet: %d messages from members could not be decoded; the last error: %v", f.malformedMessages, err)
 	}
 }
 
-// unreadableLogInterval keeps a faulty member from filling the log.
-const unreadableLogInterval = 1000
+// malformedLogInterval is in messages. It keeps a faulty member from flooding the log.
+const malformedLogInterval = 1000
 
-// GetBroadcasts returns queued digests for the gossip to send on.
+// GetBroadcasts returns queued digests for the next gossip message.
 func (d delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.f.digestQueue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns this member's roster, which the gossip exchanges with others from time to time.
+// LocalState returns this member's encoded roster, which the gossip exchanges with other members periodically.
 func (d delegate) LocalState(bool) []byte {
 	d.f.mu.Lock()
 	defer d.f.mu.Unlock()
@@ -151,7 +151,7 @@
 func (d delegate) MergeRemoteState(state []byte, _ bool) {
 	entries, err := membership.DecodeEntries(state)
 	if err != nil {
-		d.f.recordUnreadable(err)
+		d.f.recordMalformed(err)
 		return
 	}
 	d.f.mu.Lock()
--- a/internal/fleet/digests.go
+++ b/internal/fleet/digests.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// maxDirectPeers bounds the members that a digest is sent to directly.
+	// maxDirectPeers is the maximum number of members to which a digest is sent directly.
 	maxDirectPeers = 64
-	// digestRetransmitMult is how often the gossip sends a digest on, times the logarithm of the members.
+	// digestRetransmitMult times the logarithm of the number of members is how often the gossip retransmits a digest.
 	digestRetransmitMult = 2
 	// incarnationBytes is the length of an incarnation in a digest message.
 	incarnationBytes = 8
 )
 
-// digestVersion is the latest digest of a member and pool that was received.
+// digestVersion identifies one digest among those of a member and pool.
 type digestVersion struct {
 	incarnation uint64
 	seq         uint32
 }
 
-// isNewer reports whether a digest is newer than this version. Sequence numbers wrap around.
+// isNewer reports whether next is newer than v. Sequence numbers wrap around.
 func (v digestVersion) isNewer(next digestVersion) bool {
 	return v.incarnation != next.incarnation || int32(next.seq-v.seq) > 0
 }
 
-// digestKey identifies the digests of a member and pool.
+// digestKey returns the key under which the digests of a member and pool supersede each other.
 func digestKey(member string, pool uint32) string {
 	return member + "\x00" + string(binary.LittleEndian.AppendUint32(nil, pool))
 }
 
-// digestBroadcast is a digest that the gossip sends to all members. It implements memberlist's NamedBroadcast: a later digest of the same
-// member and pool takes the place of one that is still queued.
+// digestBroadcast is a digest that the gossip spreads to all members. It implements memberlist's NamedBroadcast: a later digest of the same
+// member and pool replaces one that is still queued.
 type digestBroadcast struct {
 	key     string
 	message []byte
@@ -48,10 +48,10 @@
 // Message returns the encoded message.
 func (b digestBroadcast) Message() []byte { return b.message }
 
-// Finished does nothing: nobody waits for a digest.
+// Finished does nothing: no caller waits for a digest's delivery.
 func (b digestBroadcast) Finished() {}
 
-// Invalidates reports whether another broadcast is of the same member and pool.
+// Invalidates reports whether another broadcast has the same member and pool.
 func (b digestBroadcast) Invalidates(other memberlist.Broadcast) bool {
 	digest, ok := other.(digestBroadcast)
 	return ok && digest.key == b.key
@@ -64,7 +64,7 @@
 	return append(message, digest.Encode()...)
 }
 
-// decodeDigest decodes what encodeDigest returned. The error is an outlier.ErrDigest.
+// decodeDigest decodes a message of type digestMessage. Its error wraps outlier.ErrDigest.
 func decodeDigest(message []byte) (peerDigest, error) {
 	const nameAt = 2
 	if len(message) < nameAt {
@@ -85,7 +85,7 @@
 	}, nil
 }
 
-// broadcastDigest sends a digest at once to some members, those that draw from the same servers, and by the gossip to all.
+// broadcastDigest queues a digest for gossip to all members, and sends it directly to some: those whose subsets overlap with this node's.
 func (f *Fleet) broadcastDigest(digest outlier.Digest, directlyTo []string) {
 	message := encodeDigest(f.config.Name, f.incarnation, digest)
 	f.mu.Lock()
@@ -104,16 +104,16 @@
 	f.digestQueue.QueueBroadcast(digestBroadcast{key: digestKey(f.config.Name, digest.Pool), message: message})
 	for i := range nodes {
 		f.bytesSent.Add(int64(len(message)))
-		_ = gossip.SendBestEffort(&nodes[i], message) // the gossip brings it, too
+		_ = gossip.SendBestEffort(&nodes[i], message) // best effort: the gossip delivers it as well
 	}
 }
 
-// receiveDigest delivers a digest to its pool. If it is newer than those before, the gossip sends it on unchanged, in the name of the
-// member that it is of.
+// receiveDigest delivers a digest to its pool and queues it for further gossip, unchanged and still under its author's name. Digests that
+// are not newer than the author's latest, or that have an unknown author or pool, are dropped.
 func (f *Fleet) receiveDigest(message []byte) {
 	d, err := decodeDigest(message)
 	if err != nil {
-		f.recordUnreadable(err)
+		f.recordMalformed(err)
 		return
 	}
 	key := digestKey(d.from, d.digest.Pool)
@@ -121,12 +121,12 @@
 	f.mu.Lock()
 	_, known := f.nodes[d.from]
 	pool := f.pools[d.digest.Pool]
-	isNews := known && pool != nil && f.latestDigests[key].isNewer(version)
-	if isNews {
+	isNew := known && pool != nil && f.latestDigests[key].isNewer(version)
+	if isNew {
 		f.latestDigests[key] = version
 	}
 	f.mu.Unlock()
-	if !isNews {
+	if !isNew {
 		return
 	}
 	pool.deliver(d)
--- a/internal/fleet/emulated_test.go
+++ b/internal/fleet/emulated_test.go
@@ -210,8 +210,8 @@
 		without.served, with.served, without.least, without.most, with.least, with.most, with.digestBytes)
 }
 
-// TestReportsReduceFailedAttempts compares what a server that fails every request costs fleets of several sizes, without others' reports and
-// with them.
+// TestReportsReduceFailedAttempts compares what a server that fails every request costs fleets of several sizes, without others' reports
+// and with them.
 func TestReportsReduceFailedAttempts(t *testing.T) {
 	for _, size := range [][2]int{{5, 20}, {50, 60}, {100, 100}} {
 		t.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(t *testing.T) {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,49 +21,49 @@
 type Fleet struct {
 	config      Config // Pools is guarded by mu
 	incarnation uint64
-	wakeups     chan struct{}  // has run look what is due
+	wakeups     chan struct{}  // makes run check for due work at once
 	stop        chan struct{}  // closed by Close
 	tasks       sync.WaitGroup // all goroutines; Close waits for them
 
-	bytesSent, bytesReceived atomic.Int64                     // of heartbeats, rosters and digests, without the gossip's own messages
-	digestQueue              *memberlist.TransmitLimitedQueue // digests that the gossip sends to all
-	knownMembers             atomic.Int64                     // len(nodes), for digestQueue
-
-	// mu guards what follows. It must not be held during a call of the gossip, which calls the delegate under its own lock.
-	mu                 sync.Mutex
-	gossip             *memberlist.Memberlist // nil while its address is in use, or before it is opened
-	view               *membership.View
-	roster             *membership.Roster
-	share              membership.Share // as last published
-	loans              *shares.LoanTable
-	nodes              map[string]memberlist.Node // other members as last heard of, also those that have failed
-	pools              map[uint32]*Pool           // by membership.PoolID
-	rosterSentAt       map[string]time.Duration   // by member
-	latestDigests      map[string]digestVersion   // by digestKey
-	unreadableMessages int
-	stalls             []Stall // the latest
-	lastRoundAt        time.Duration
-	leaving            bool
-	closed             bool
-
-	// See reconnect.
+	bytesSent, bytesReceived atomic.Int64                     // heartbeats, rosters and digests; memberlist's own messages are not counted
+	digestQueue              *memberlist.TransmitLimitedQueue // digests that the gossip spreads to all members
+	otherMemberCount         atomic.Int64                     // len(nodes); digestQueue reads it without mu
+
+	// mu guards the fields below. It must not be held while calling memberlist, which calls the delegate under its own lock.
+	mu                sync.Mutex
+	gossip            *memberlist.Memberlist // nil until its address could be bound
+	view              *membership.View
+	roster            *membership.Roster
+	share             membership.Share // as of the last publish
+	loans             *shares.LoanTable
+	nodes             map[string]memberlist.Node // other members, including failed ones, with their last address
+	pools             map[uint32]*Pool           // by membership.PoolID
+	rosterSentAt      map[string]time.Duration   // when a roster was last sent, by member
+	latestDigests     map[string]digestVersion   // by digestKey
+	malformedMessages int
+	stalls            []Stall // the latest maxStalls
+	lastRoundAt       time.Duration
+	leaving           bool
+	closed            bool
+
+	// State of reconnect.
 	connecting     bool
 	connectBackoff time.Duration
 	connectAt      time.Duration
 	failedJoins    int
 }
 
-// Stall is a time in which this process did not run.
+// Stall is a period in which this process did not run.
 type Stall struct {
-	At  time.Duration // its end
-	For time.Duration
+	EndedAt  time.Duration
+	Duration time.Duration
 }
 
-// maxStalls bounds the stalls that are kept for operators.
+// maxStalls is how many stalls are kept for Status.
 const maxStalls = 20
 
-// Start has this node join a fleet, and returns at once: members that can't be reached, and an address that is in use, are tried again
-// until Close. An error says that the configuration can't be used, or that its address can't be listened on.
+// Start makes this node join a fleet. It returns without waiting for other members: unreachable members, and a listen address that is in
+// use, are retried until Close. It returns an error if the configuration is invalid or the address can't be listened on.
 func Start(config Config) (*Fleet, error) {
 	if len(config.Key) != 0 {
 		if err := memberlist.ValidateKey(config.Key); err != nil {
@@ -88,7 +88,7 @@
 	}
 	f.digestQueue = &memberlist.TransmitLimitedQueue{
 		RetransmitMult: digestRetransmitMult,
-		NumNodes:       func() int { return int(f.knownMembers.Load()) + 1 },
+		NumNodes:       func() int { return int(f.otherMemberCount.Load()) + 1 },
 	}
 	f.view = membership.NewView(now, f.metadata(), config.damping())
 	f.roster = membership.NewRoster(now, config.Name, f.incarnation, config.lease())
@@ -96,13 +96,13 @@
 		if !errors.Is(err, errAddressInUse) {
 			return nil, err
 		}
-		log.Printf("fleet: %v; it is tried again until it is free", err)
+		log.Printf("fleet: %v; retrying until it is free", err)
 	}
 	f.tasks.Go(f.run)
 	return f, nil
 }
 
-// metadata is this member's own. The caller holds f.mu, but for Start.
+// metadata returns this member's metadata. The caller holds f.mu, except in Start, before f is shared.
 func (f *Fleet) metadata() membership.Metadata {
 	return membership.Metadata{
 		Name:        f.config.Name,
@@ -113,7 +113,7 @@
 	}
 }
 
-// wake has run look what is due. It does not block.
+// wake makes run check for due work at once. It does not block.
 func (f *Fleet) wake() {
 	select {
 	case f.wakeups <- struct{}{}:
@@ -121,7 +121,7 @@
 	}
 }
 
-// Pool returns the pool of that name, whose role is kept up to date from now on.
+// Pool returns the pool of that name. The first call creates it; its role is kept up to date from then on.
 func (f *Fleet) Pool(name string) *Pool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,12 +133,12 @@
 		p.updateDemand = f.updateDemand
 		f.pools[id] = p
 		now := BootTime()
-		p.role.Store(f.role(now, id, f.roster.Share(now)))
+		p.role.Store(f.deriveRole(now, id, f.roster.Share(now)))
 	}
 	return p
 }
 
-// SetPools announces this node's pools to the other members, after a reload.
+// SetPools replaces this node's pools after a reload, and announces them to the other members.
 func (f *Fleet) SetPools(pools []membership.PoolDigest) {
 	f.mu.Lock()
 	same := slices.Equal(f.config.Pools, pools)
@@ -147,18 +147,18 @@
 	gossip := f.gossip
 	f.mu.Unlock()
 	if !same && gossip != nil {
-		_ = gossip.UpdateNode(updateTimeout) // members that it did not reach in time learn it by the gossip later
+		_ = gossip.UpdateNode(updateTimeout) // on a time-out the remaining members learn of it through later gossip
 	}
 	f.wake()
 }
 
-// updateTimeout bounds how long SetPools waits for the others.
+// updateTimeout bounds how long SetPools waits until the update has been gossiped.
 const updateTimeout = time.Second
 
-// ErrNoMember is the error of Forget for a name that is not on the roster, or is this node's own.
+// ErrNoMember is returned by Forget for a name that is not on the roster, or is this node's own.
 var ErrNoMember = errors.New("no such member")
 
-// Forget removes a member from the roster. The caller vouches that it is dead; if it is not, it comes back as a new member.
+// Forget removes a member from the roster. The caller must be sure that the member is dead; a live one rejoins as a new member.
 func (f *Fleet) Forget(name string) error {
 	f.mu.Lock()
 	removed := f.roster.Remove(BootTime(), name)
@@ -166,13 +166,13 @@
 	if !removed {
 		return fmt.Errorf("%w: %q", ErrNoMember, name)
 	}
-	log.Printf("fleet: an operator has removed member %s from the roster", name)
+	log.Printf("fleet: member %s was removed from the roster by an operator", name)
 	f.wake()
 	return nil
 }
 
-// Leave has this node stop acting, and announces that to the other members, who take over its share. It returns once that is sent, and at
-// ctx's deadline at the latest, or after leaveTimeout if ctx has none.
+// Leave makes this node stop using its share, and announces its departure to the other members, which take over the share. It returns once
+// the announcement is sent, or at ctx's deadline, or after leaveTimeout if ctx has no deadline.
 func (f *Fleet) Leave(ctx context.Context) {
 	f.mu.Lock()
 	now := BootTime()
@@ -190,15 +190,15 @@
 		timeout = time.Until(deadline)
 	}
 	if timeout > 0 {
-		_ = gossip.Leave(timeout) // members that it did not reach in time take over the share later
+		_ = gossip.Leave(timeout) // members that miss the announcement take over the share later, by the lease
 	}
-	f.sendHeartbeats(BootTime()) // once more: if a heartbeat is lost the others learn it only from a roster
+	f.sendHeartbeats(BootTime()) // again: a member that misses the heartbeat learns of the departure only from a roster
 }
 
 // leaveTimeout bounds a Leave whose context has no deadline.
 const leaveTimeout = time.Second
 
-// Close ends the membership and waits for its goroutines. Without a Leave before the others find that this node has failed.
+// Close ends the membership and waits for its goroutines. Without a preceding Leave the other members detect this node as failed.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	if f.closed {
@@ -215,7 +215,7 @@
 	f.mu.Unlock()
 	close(f.stop)
 	if gossip != nil {
-		_ = gossip.Shutdown() // there is nothing left to do about a failure
+		_ = gossip.Shutdown() // nothing can be done about an error here
 	}
 	f.tasks.Wait()
 }
--- a/internal/fleet/gossip.go
+++ b/internal/fleet/gossip.go
@@ -9,34 +9,36 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// errAddressInUse says that another process has the address that this member listens on.
+// errAddressInUse means that another process listens on this member's address.
 var errAddressInUse = errors.New("the address is in use")
 
-// gossipLabel keeps members of other clusters of memberlist apart. All members of a fleet must have the same.
+// gossipLabel makes memberlist reject the messages of other memberlist clusters. It must be the same at all members of a fleet.
 const gossipLabel = "cranegrade"
 
-// Settings of the gossip that differ from memberlist's defaults for a local network.
+// Settings of the gossip that differ from memberlist.DefaultLANConfig.
 const (
-	// probeTimeoutDivisor of the probe interval is how long a member may take to answer a probe.
+	// probeTimeoutDivisor: the probe interval divided by it is the time-out of a probe.
 	probeTimeoutDivisor = 2
-	// suspicionMult is the least time of a suspicion, times the probe interval and the logarithm of the members.
+	// suspicionMult times the probe interval and the logarithm of the number of members is the minimum suspicion time-out.
 	suspicionMult = 3
-	// maxSuspicionMult is the most time of a suspicion, times the least.
+	// maxSuspicionMult times the minimum suspicion time-out is the maximum.
 	maxSuspicionMult = 2
-	// streamTimeout bounds connecting to a member, and reading and writing there.
+	// streamTimeout bounds connecting to a member over TCP, and each read and write.
 	streamTimeout = 2 * time.Second
-	// maxGossipInterval is the time between two rounds of rumours. Rounds are not rarer than probes.
+	// maxGossipInterval bounds the time between two gossip rounds, which is the probe interval if that is shorter.
 	maxGossipInterval = 200 * time.Millisecond
-	// pushPullInterval is the time between two exchanges of the whole state with one other member.
+	// pushPullInterval is the time between two exchanges of the full state with a random other member.
 	pushPullInterval = 10 * time.Second
-	// gossipToTheDeadTime is how long failed members are still gossiped to, so that one that only seemed to have failed hears of it
-	// and refutes it.
+	// gossipToTheDeadTime is how long failed members still receive gossip, so that a live member that was declared dead by mistake
+	// learns of it and refutes it.
 	gossipToTheDeadTime = time.Minute
-	// nameReclaimTime lets the name of a failed member come back at another address at once. Zero would mean never.
+	// nameReclaimTime is how long the name of a failed member can't be used at another address: practically not at all. Zero would
+	// block it for ever.
 	nameReclaimTime = time.Millisecond
 )
 
-// openGossip opens the gossip. The error is errAddressInUse if that may succeed later.
+// openGossip binds the listen address and starts memberlist. It returns errAddressInUse if another process has the address, which may be
+// free later.
 func (f *Fleet) openGossip() error {
 	listenHost, listenPort, err := splitAddress(f.config.Listen)
 	if err != nil {
@@ -63,8 +65,8 @@
 	c.AdvertisePort = advertisePort
 	gossip, err := memberlist.Create(c)
 	if err != nil {
-		_ = t.Shutdown() // the error of Create is the one to report
-		return fmt.Errorf("fleet: opening the gossip: %w", err)
+		_ = t.Shutdown() // report the error of Create instead
+		return fmt.Errorf("fleet: starting memberlist: %w", err)
 	}
 	f.mu.Lock()
 	closed := f.closed
@@ -79,7 +81,7 @@
 	return nil
 }
 
-// memberlistConfig returns the gossip's configuration without its addresses.
+// memberlistConfig returns the configuration of memberlist without addresses and transport.
 func (f *Fleet) memberlistConfig(logger *log.Logger) *memberlist.Config {
 	c := memberlist.DefaultLANConfig()
 	c.Name = f.config.Name
--- a/internal/fleet/gossip_log.go
+++ b/internal/fleet/gossip_log.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// gossipLog passes the gossip's warnings and errors on to the program's log, a few in each period. memberlist calls it from any
-// goroutine.
+// gossipLog copies memberlist's warnings and errors to the program's log, at most maxLinesPerPeriod in each logPeriod. memberlist calls it
+// from any goroutine.
 type gossipLog struct {
 	mu          sync.Mutex // guards the fields below
 	periodStart time.Time
-	lines       int // passed on in the period
-	dropped     int
+	lines       int // that arrived in the period
+	dropped     int // of lines, those that were not logged
 }
 
 const (
@@ -22,7 +22,7 @@
 	maxLogLine        = 300 // bytes
 )
 
-// Write takes one line of memberlist's log.
+// Write processes one line of memberlist's log. It never returns an error.
 func (g *gossipLog) Write(line []byte) (int, error) {
 	if !bytes.HasPrefix(line, []byte("[WARN]")) && !bytes.HasPrefix(line, []byte("[ERR]")) {
 		return len(line), nil
@@ -31,7 +31,7 @@
 	defer g.mu.Unlock()
 	if time.Since(g.periodStart) > logPeriod {
 		if g.dropped > 0 {
-			log.Printf("fleet: %d more lines of the gossip were dropped", g.dropped)
+			log.Printf("fleet: %d more lines of memberlist's log were dropped", g.dropped)
 		}
 		g.periodStart = time.Now()
 		g.lines = 0
--- a/internal/fleet/heartbeats.go
+++ b/internal/fleet/heartbeats.go
@@ -11,7 +11,7 @@
 	"cranegrade/internal/fleet/shares"
 )
 
-// run sends heartbeats, publishes what is due, and reconnects, until Close.
+// run sends heartbeats, publishes roles and shares, and reconnects, until Close.
 func (f *Fleet) run() {
 	interval := f.config.lease().HeartbeatInterval()
 	timer := time.NewTimer(0)
@@ -29,14 +29,14 @@
 			f.sendHeartbeats(now)
 			nextRound = now + interval
 		} else {
-			f.publishDue(now)
+			f.lockAndPublish(now)
 		}
 		f.reconnect(now)
 		timer.Reset(max(time.Millisecond, min(nextRound, f.nextViewChange())-now))
 	}
 }
 
-// nextViewChange returns when the view changes if nothing happens before.
+// nextViewChange returns the time of the view's next time-driven change, if no event changes it before.
 func (f *Fleet) nextViewChange() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,53 +46,53 @@
 	return math.MaxInt64
 }
 
-// publishDue is publish for callers that do not hold f.mu.
-func (f *Fleet) publishDue(now time.Duration) {
+// lockAndPublish calls publish under f.mu.
+func (f *Fleet) lockAndPublish(now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.publish(now)
 }
 
-// outgoing is a heartbeat on its way, with demands and loans.
-type outgoing struct {
+// outgoingHeartbeat is an encoded heartbeat, with demands and loans, and its destination.
+type outgoingHeartbeat struct {
 	to      memberlist.Node
 	message []byte
 }
 
-// sendHeartbeats sends a round of heartbeats.
+// sendHeartbeats starts a round of heartbeats and sends one to each member.
 func (f *Fleet) sendHeartbeats(now time.Duration) {
 	f.mu.Lock()
 	f.recordStall(now)
 	gossip := f.gossip
-	var round []outgoing
+	var round []outgoingHeartbeat
 	if gossip != nil && !f.closed {
 		round = f.heartbeatRound(now)
 	}
-	f.publish(now) // before anything is sent: what is lent must not be used here any more once the borrower has it
+	f.publish(now) // before sending: a lent part must no longer be used here when the borrower receives it
 	f.mu.Unlock()
 	for _, heartbeat := range round {
 		f.bytesSent.Add(int64(len(heartbeat.message)))
-		_ = gossip.SendBestEffort(&heartbeat.to, heartbeat.message) // a heartbeat may be lost
+		_ = gossip.SendBestEffort(&heartbeat.to, heartbeat.message) // best effort: the next round repeats a lost heartbeat
 	}
 }
 
-// recordStall notes how long this process has not run, if it was for longer than two rounds. The caller holds f.mu.
+// recordStall records a stall if more than two heartbeat intervals have passed since the last round. The caller holds f.mu.
 func (f *Fleet) recordStall(now time.Duration) {
 	gap := now - f.lastRoundAt
 	f.lastRoundAt = now
 	if gap <= 2*f.config.lease().HeartbeatInterval() {
 		return
 	}
-	f.stalls = append(f.stalls, Stall{At: now, For: gap})
+	f.stalls = append(f.stalls, Stall{EndedAt: now, Duration: gap})
 	if len(f.stalls) > maxStalls {
 		f.stalls = f.stalls[1:]
 	}
-	log.Printf("fleet: this process did not run for %v; grants that are older than %v do not count until others are heard again",
+	log.Printf("fleet: this process did not run for %v; grants older than %v are invalid until new heartbeats arrive",
 		gap.Round(time.Millisecond), f.config.Lease)
 }
 
-// heartbeatRound returns the heartbeats of a new round. The caller holds f.mu.
-func (f *Fleet) heartbeatRound(now time.Duration) (round []outgoing) {
+// heartbeatRound starts a new round and returns its heartbeats. The caller holds f.mu.
+func (f *Fleet) heartbeatRound(now time.Duration) (round []outgoingHeartbeat) {
 	f.loans.Expire(now, func(name string) bool {
 		_, known := f.nodes[name]
 		return known
@@ -106,12 +106,12 @@
 		}
 		message := append([]byte{heartbeatMessage}, f.roster.Heartbeat(name).Encode()...)
 		lent := f.loans.Lend(now, name, evenShare, f.share.Until, f.share.Counts)
-		round = append(round, outgoing{to: node, message: append(message, shares.Encode(demands, lent)...)})
+		round = append(round, outgoingHeartbeat{to: node, message: append(message, shares.Encode(demands, lent)...)})
 	}
 	return round
 }
 
-// receiveHeartbeat processes a heartbeat with its demands and loans, and sends the sender this node's roster if it has another one.
+// receiveHeartbeat processes a heartbeat with its demands and loans. If the sender's roster differs, it sends the sender this node's.
 func (f *Fleet) receiveHeartbeat(heartbeat membership.Heartbeat, demands []shares.Demand, loans []shares.Loan) {
 	now := BootTime()
 	from := heartbeat.From
@@ -125,21 +125,21 @@
 			f.wake()
 		}
 	}
-	if exchangeRosters && known && f.gossip != nil && !f.closed && now-f.rosterSentAt[from] >= rosterInterval {
+	if exchangeRosters && known && f.gossip != nil && !f.closed && now-f.rosterSentAt[from] >= minRosterInterval {
 		f.rosterSentAt[from] = now
 		f.sendRoster(node)
 	}
 }
 
-// rosterInterval is the least time between two rosters to one member.
-const rosterInterval = time.Second
+// minRosterInterval is the minimum time between two rosters sent to the same member.
+const minRosterInterval = time.Second
 
-// sendRoster sends this node's roster to a member, from a goroutine: the gossip must not be called under f.mu, which the caller holds.
+// sendRoster sends this node's roster to a member. The caller holds f.mu, under which memberlist must not be called, so a goroutine sends.
 func (f *Fleet) sendRoster(to memberlist.Node) {
 	gossip := f.gossip
 	message := append([]byte{rosterMessage}, membership.EncodeEntries(f.roster.Entries())...)
 	f.tasks.Go(func() {
-		if gossip.SendReliable(&to, message) == nil { // if not, a later heartbeat has it sent again
+		if gossip.SendReliable(&to, message) == nil { // after an error, a later heartbeat triggers another attempt
 			f.bytesSent.Add(int64(len(message)))
 		}
 	})
--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -17,92 +17,92 @@
 	Handle(now time.Duration, event balancer.Event) []balancer.Action
 }
 
-// Module stands between an engine and its decision module. Before each event it notifies that module of what has changed in the fleet: this
-// node's position, the divisor of quotas, the servers that it draws from, and what other members report of servers. So a
-// process that was suspended applies the end of its share before it decides anything else. From the events that pass it learns
-// the outcomes of requests, for the other members.
+// Module wraps a decision module and handles the engine's events in its place. Before it passes on an event it notifies the decision module
+// of changes in the fleet: this node's position, the divisor of quotas, its subset of the servers, and other members' reports of failing
+// servers. A process that was suspended therefore applies the expiry of its share before it makes any other decision. The Module also
+// collects the outcomes of requests from the events, to report them to the other members.
 //
-// There are two times. Events carry the engine's; the fleet's is BootTime, which goes on while the process is suspended.
+// Two clocks are in use: events carry the engine's time; the fleet uses BootTime, which advances while the process is suspended.
 //
-// Like the decision module it belongs to one goroutine.
+// Like the decision module, a Module must be used by one goroutine only.
 type Module struct {
-	decider Decider
-	pool    *Pool
-	clock   func() time.Duration // BootTime
-	sized   bool                 // the list has sizes of servers, which decide their order
-	demands map[string]*tenantDemand
-
-	// The list of servers, and how it is assigned to the members.
-	listed            map[string]balancer.Server
-	startedAt         map[string]time.Duration // of those that are ready, as of the latest assignment
+	decider  Decider
+	pool     *Pool
+	clock    func() time.Duration     // BootTime
+	useSizes bool                     // servers are ordered by their sizes, as in the decision module
+	demands  map[string]*tenantDemand // by tenant
+
+	// The list of servers, and its assignment to the members.
+	listedServers     map[string]balancer.Server
+	startTimes        map[string]time.Duration // of the servers that were ready at the latest assignment
 	listChanged       bool                     // since the latest assignment
-	order             []string                 // members of the latest assignment
-	pendingAssignment chan assignment          // one that is being computed; nil if there is none
-	maxInlinePairs    int                      // see the constant
-	drawnBy           map[string][]uint64      // see assignment
+	members           []string                 // that the latest assignment was made for
+	pendingAssignment chan assignment          // receives one that another goroutine computes; nil if there is none
+	maxInlinePairs    int                      // the constant, except in tests
+	membersByServer   map[string][]uint64      // see assignment
 	peers             []string                 // see assignment
 	transition        *subset.Transition
 	detector          *outlier.Detector
 
-	// What the decision module was notified of last.
+	// The state of which the decision module was last notified.
 	divisor    float64
 	position   position
 	subset     []string
 	quotas     *QuotaShares
 	exclusions []balancer.Exclusion
 
-	checkedAt  time.Duration // when update was called last
-	sentAt     time.Duration // when a digest was last due
-	urgent     bool          // a request has failed since
-	measuredAt time.Duration // when demand was last measured
+	updatedAt         time.Duration // time of the last update
+	digestSentAt      time.Duration // time of the last digest
+	failedSinceDigest bool          // a request has failed since the last digest
+	demandMeasuredAt  time.Duration // time of the last measurement of demand
 }
 
 // position is the part of membership.Position that the decision module is notified of.
-type position struct{ agreed, index int }
+type position struct{ established, index int }
 
-// How often a module does what is due.
+// Intervals of a module's periodic work.
 const (
-	checkInterval  = 20 * time.Millisecond  // between two looks at the fleet if no event asks for one before
-	digestInterval = 250 * time.Millisecond // between digests while no request fails
-	moveInterval   = 200 * time.Millisecond // between the steps from one subset to another
+	checkInterval  = 20 * time.Millisecond  // between two updates, if no change in the fleet causes one earlier
+	digestInterval = 250 * time.Millisecond // between two digests while no request fails
+	moveInterval   = 200 * time.Millisecond // between two steps of a transition to another subset
 )
 
-// NewModule returns a module for a pool. name is this member's, and clock is BootTime, or simulated.
+// NewModule returns a module for a pool. name is this member's name; clock is BootTime or a simulated clock.
 func NewModule(decider Decider, pool *Pool, name string, settings balancer.Settings, clock func() time.Duration) *Module {
 	demands := tenantDemands(settings)
 	pool.setTenants(slices.Collect(maps.Keys(demands)))
 	detector := outlier.NewDetector(pool.id, membership.NameID(name))
-	detector.TrustUnbounded = mutations.trustUnbounded
+	detector.TrustUnbounded = mutationHooks.trustUnbounded
 	return &Module{
 		decider:        decider,
 		pool:           pool,
 		clock:          clock,
 		demands:        demands,
 		detector:       detector,
-		sized:          settings.Sizes == balancer.SizesNominal || settings.Sizes == balancer.SizesRough,
-		listed:         map[string]balancer.Server{},
-		startedAt:      map[string]time.Duration{},
+		useSizes:       settings.Sizes == balancer.SizesNominal || settings.Sizes == balancer.SizesRough,
+		listedServers:  map[string]balancer.Server{},
+		startTimes:     map[string]time.Duration{},
 		maxInlinePairs: maxInlinePairs,
 		transition:     subset.NewTransition(moveInterval),
 		quotas:         &QuotaShares{},
-		checkedAt:      math.MinInt64,
+		updatedAt:      math.MinInt64,
 	}
 }
 
-// Handle passes on to the decision module what has changed in the fleet, and then the event. It returns the actions of both.
+// Handle notifies the decision module of changes in the fleet, then passes on the event. It returns the actions of both.
 func (m *Module) Handle(now time.Duration, event balancer.Event) (actions []balancer.Action) {
 	bootTime := m.clock()
 	m.observe(bootTime, event)
 	role, divisor := m.pool.Role(bootTime)
 	quotas := m.pool.quotaShares(bootTime)
-	if divisor != m.divisor || quotas != m.quotas || m.listChanged || bootTime >= m.checkedAt+checkInterval {
-		m.checkedAt = bootTime
+	if divisor != m.divisor || quotas != m.quotas || m.listChanged || bootTime >= m.updatedAt+checkInterval {
+		m.updatedAt = bootTime
 		actions = m.update(now, bootTime, role, divisor, quotas)
 	}
 	return append(actions, m.decider.Handle(now, event)...)
 }
 
-// observe notes what the fleet has to know of an event.
+// observe records what the fleet needs from an event: servers, demand, and outcomes of requests.
 func (m *Module) observe(bootTime time.Duration, event balancer.Event) {
 	switch e := event.(type) {
 	case balancer.ServerList:
@@ -114,7 +114,7 @@
 	case balancer.Outcome:
 		switch e.Ending {
 		case balancer.Failure, balancer.TimedOut, balancer.Unreachable, balancer.Broken:
-			m.urgent = true
+			m.failedSinceDigest = true
 			m.detector.RecordFailure(bootTime, e.Server)
 		case balancer.Success:
 			m.detector.RecordSuccess(bootTime, e.Server)
@@ -123,28 +123,28 @@
 	}
 }
 
-// updateServers applies a list of servers or a change of it.
+// updateServers applies a full list of servers, or changes to the current one.
 func (m *Module) updateServers(list balancer.ServerList) {
 	if list.Full {
-		clear(m.listed)
+		clear(m.listedServers)
 	}
 	for _, s := range list.Servers {
 		if s.State == balancer.Gone {
-			delete(m.listed, s.ID)
+			delete(m.listedServers, s.ID)
 		} else {
-			m.listed[s.ID] = s
+			m.listedServers[s.ID] = s
 		}
 	}
 	m.listChanged = m.listChanged || list.Full || len(list.Servers) > 0
 }
 
-// update passes on to the decision module what has changed in the fleet, and to the fleet what this node observed.
+// update notifies the decision module of changes in the fleet, and sends this node's demand and observations to the fleet.
 func (m *Module) update(now, bootTime time.Duration, role *Role, divisor float64, quotas *QuotaShares) (actions []balancer.Action) {
-	if m.listChanged || !slices.Equal(m.order, role.Order) {
+	if m.listChanged || !slices.Equal(m.members, role.Order) {
 		m.assignSubsets(role)
 	}
 	m.adoptPending()
-	// Each result is copied before the next call: the decision module may use its buffer again.
+	// append copies each result before the next call, because the decision module may reuse its buffer.
 	actions = append(actions, m.updateRole(now, m.transition.Step(bootTime), role, divisor, quotas)...)
 	m.reportDemand(bootTime)
 	actions = append(actions, m.updateExclusions(now, bootTime)...)
@@ -154,7 +154,7 @@
 
 // updateRole notifies the decision module of its position, subset, divisor and quotas, if any has changed.
 func (m *Module) updateRole(now time.Duration, subset []string, role *Role, divisor float64, quotas *QuotaShares) []balancer.Action {
-	current := position{agreed: role.Established, index: role.Index}
+	current := position{established: role.Established, index: role.Index}
 	if divisor == m.divisor && current == m.position && quotas == m.quotas && slices.Equal(subset, m.subset) {
 		return nil
 	}
@@ -164,7 +164,7 @@
 	m.quotas = quotas
 	byTenant := quotas.ByTenant
 	if math.IsInf(divisor, 1) {
-		byTenant = nil // the share has expired, and with it what was borrowed
+		byTenant = nil // borrowed quota expires with the share
 	}
 	return m.decider.Handle(now, balancer.Fleet{
 		Balancers: role.Established,
@@ -175,30 +175,30 @@
 	})
 }
 
-// sendDigest sends the other members what this one observed of servers, if that is due: soon after a request has failed.
+// sendDigest sends a digest of this member's observations of servers to the others: each digestInterval, and soon after a failed request.
 func (m *Module) sendDigest(bootTime time.Duration) {
-	isDue := bootTime >= m.sentAt+digestInterval || m.urgent && bootTime >= m.sentAt+checkInterval
-	if !isDue || len(m.order) < 2 {
+	isDue := bootTime >= m.digestSentAt+digestInterval || m.failedSinceDigest && bootTime >= m.digestSentAt+checkInterval
+	if !isDue || len(m.members) < 2 {
 		return
 	}
-	m.sentAt = bootTime
-	m.urgent = false
+	m.digestSentAt = bootTime
+	m.failedSinceDigest = false
 	digest, ok := m.detector.Digest(bootTime)
-	if mutations.digest != nil {
-		digest, ok = mutations.digest(m), true
+	if mutationHooks.replaceDigest != nil {
+		digest, ok = mutationHooks.replaceDigest(m), true
 	}
 	if ok {
 		m.pool.send(digest, m.peers)
 	}
 }
 
-// learner is a decision module whose estimates another one can go on with.
+// learner is a decision module whose estimates can be handed over to its successor.
 type learner interface {
 	Knowledge() *balancer.Knowledge
 	Learn(*balancer.Knowledge)
 }
 
-// Knowledge returns what the decision module has learned. It returns nil if that module does not tell.
+// Knowledge returns the decision module's learned estimates, or nil if that module does not export them.
 func (m *Module) Knowledge() *balancer.Knowledge {
 	if l, ok := m.decider.(learner); ok {
 		return l.Knowledge()
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// Learn has the decision module go on with what another one has learned, if it can.
+// Learn loads another decision module's estimates into this one's, if it supports that.
 func (m *Module) Learn(knowledge *balancer.Knowledge) {
 	if l, ok := m.decider.(learner); ok {
 		l.Learn(knowledge)
--- a/internal/fleet/mutation.go
+++ b/internal/fleet/mutation.go
@@ -6,19 +6,18 @@
 	"cranegrade/internal/fleet/outlier"
 )
 
-// mutations is the seam by which tests and drills make a member misbehave on purpose, to show that the misbehaviour is
-// found. All fields are zero in service: nothing that ships sets them. Test files of this package may, and so does the
-// source that package testfleet adds when it builds a faulty program. They are set before the first member starts
-// and not changed while one runs.
-var mutations struct {
-	// role alters a member's role in a pool once it has been derived from its view and its share.
-	role func(*Role)
-	// publishedRole replaces the role that is about to be published; previous is nil before the first.
-	publishedRole func(now time.Duration, previous, next *Role) *Role
-	// ignoreExpiry keeps a role in force after the grants that it rests on have expired.
+// mutationHooks lets tests and drills inject faults into a member, to show that they are detected (mutation testing). In production all
+// fields are zero. Only test files of this package set them, and the source files that package testfleet adds when it builds a faulty
+// program. They must be set before the first member starts, and must not change while one runs.
+var mutationHooks struct {
+	// alterRole modifies a member's role in a pool after it was derived from the view and the share.
+	alterRole func(*Role)
+	// replaceRole returns the role to publish instead of next; previous is nil before the first.
+	replaceRole func(now time.Duration, previous, next *Role) *Role
+	// ignoreExpiry makes pools use a role after its grants have expired.
 	ignoreExpiry bool
-	// digest replaces the digests that a member sends to the others.
-	digest func(*Module) outlier.Digest
-	// trustUnbounded has others' digests believed without the bounds that protect servers from a wrong reporter.
+	// replaceDigest returns the digest to send instead of the member's own.
+	replaceDigest func(*Module) outlier.Digest
+	// trustUnbounded disables the bounds that protect servers against false reports of other members.
 	trustUnbounded bool
 }
--- a/internal/fleet/pool.go
+++ b/internal/fleet/pool.go
@@ -12,41 +12,41 @@
 	"cranegrade/internal/fleet/shares"
 )
 
-// Pool connects the fleet with the module of one pool. The fleet publishes this node's role and its shares of quotas, and delivers the
-// digests of other members; the module hands over its own digests and demands. Its methods may be called from any goroutine, and none of
-// them blocks on the network.
+// Pool exchanges data between the Fleet and the Module of one pool. The Fleet publishes this node's role and its shares of quotas, and
+// delivers the digests of other members; the Module passes its own digests and demands to the Fleet. Its methods may be called from any
+// goroutine, and none of them blocks on the network.
 type Pool struct {
 	name         string
 	id           uint32 // membership.PoolID of name
 	role         atomic.Pointer[Role]
 	quotas       atomic.Pointer[QuotaShares] // nil before the first publication
 	moduleState  atomic.Pointer[ModuleState]
-	broadcast    func(digest outlier.Digest, to []string) // nil if digests go nowhere
-	updateDemand func(p *Pool, demands map[string]float64)
+	broadcast    func(digest outlier.Digest, to []string)  // nil: digests are not sent
+	updateDemand func(p *Pool, demands map[string]float64) // nil: demands are not reported
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	inbox        []peerDigest
-	tenantQuotas map[string]shares.QuotaID // by tenant; replaced, never changed
+	tenantQuotas map[string]shares.QuotaID // by tenant; replaced as a whole, never modified
 }
 
-// ModuleState is what the module of a pool makes of the fleet, for operators.
+// ModuleState is the state of a pool's Module that a Status shows.
 type ModuleState struct {
 	Ejections    []outlier.Ejection
-	Subset       []string // servers that first attempts are drawn from; nil for all, or a part by number
-	SubsetMoving bool     // it is in transition to another subset
+	Subset       []string // servers for first attempts; nil: all, or a subset that the decision module computes from its index
+	SubsetMoving bool     // a transition to another subset is in progress
 }
 
-// newPool returns a pool without a role. Its role must be stored before a module uses it.
+// newPool returns a pool without a role. The caller must store a role before a module uses the pool.
 func newPool(name string) *Pool {
 	p := &Pool{name: name, id: membership.PoolID(name)}
 	p.moduleState.Store(&ModuleState{})
 	return p
 }
 
-// Role returns the latest role and the divisor of the pool's quotas at that time: +Inf if the share has expired.
+// Role returns the latest role, and the divisor of the pool's quotas at time now, which is +Inf if the share has expired.
 func (p *Pool) Role(now time.Duration) (role *Role, divisor float64) {
 	role = p.role.Load()
-	isUsable := role.IsValid(now) || mutations.ignoreExpiry && role.Until > 0
+	isUsable := role.IsValid(now) || mutationHooks.ignoreExpiry && role.Until > 0
 	if !isUsable {
 		return role, math.Inf(1)
 	}
@@ -60,21 +60,21 @@
 	digest      outlier.Digest
 }
 
-// maxInbox bounds the digests that wait for the module. Beyond it the oldest are dropped: newer ones tell more.
-const maxInbox = 1024
+// maxInboxDigests is the maximum number of digests that wait for the module. Beyond it the oldest are dropped, as the most outdated.
+const maxInboxDigests = 1024
 
 // deliver queues a digest of another member for the module.
 func (p *Pool) deliver(d peerDigest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.inbox = append(p.inbox, d)
-	if len(p.inbox) > maxInbox {
+	if len(p.inbox) > maxInboxDigests {
 		p.inbox = slices.Delete(p.inbox, 0, 1)
 	}
 }
 
-// takeInbox returns the queued digests and empties the queue.
-func (p *Pool) takeInbox() (digests []peerDigest) {
+// drainInbox returns the queued digests and clears the queue.
+func (p *Pool) drainInbox() (digests []peerDigest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	digests = p.inbox
@@ -82,14 +82,14 @@
 	return digests
 }
 
-// send has a digest of this member sent to all, and directly to some.
+// send sends a digest of this member to all members, to those in directlyTo without waiting for the gossip.
 func (p *Pool) send(digest outlier.Digest, directlyTo []string) {
 	if p.broadcast != nil {
 		p.broadcast(digest, directlyTo)
 	}
 }
 
-// reportDemand passes on to the fleet what tenants would use here, as shares of their quotas.
+// reportDemand reports the tenants' demands on this node to the fleet, as fractions of their quotas.
 func (p *Pool) reportDemand(demands map[string]float64) {
 	if p.updateDemand != nil {
 		p.updateDemand(p, demands)
--- a/internal/fleet/print_status.go
+++ b/internal/fleet/print_status.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Write writes the status as text, for operators. docs/fleet.md explains it.
+// Write writes the status as text for operators. docs/fleet.md explains the columns.
 func (s Status) Write(to io.Writer) error {
 	fmt.Fprintf(to, "%s, run %s: %d names, lease %v, fleet of %d at least",
 		s.Name, s.Run, len(s.Members), duration(s.LeaseMS), s.Nodes)
@@ -36,7 +36,7 @@
 	return t.Flush()
 }
 
-// writeRow writes the row of a member.
+// writeRow writes the member's row of the table.
 func (m MemberStatus) writeRow(to io.Writer) {
 	roster := "other"
 	if m.Same {
@@ -53,7 +53,7 @@
 		strings.Join(m.notes(), "; "))
 }
 
-// notes returns what an operator should know of a member beside its columns.
+// notes returns the remarks on a member that have no column of their own.
 func (m MemberStatus) notes() (notes []string) {
 	for _, n := range []struct {
 		applies bool
@@ -72,7 +72,7 @@
 	return notes
 }
 
-// writeRow writes the row of a pool.
+// writeRow writes the pool's row of the table.
 func (p PoolStatus) writeRow(to io.Writer) {
 	fmt.Fprintf(to, "%s\t%d\t%d\t%d\t%d\t%.4g\t%d of %d\t%v\t%s\n",
 		cmp.Or(p.Pool, "(only)"),
@@ -87,7 +87,7 @@
 		strings.Join(p.notes(), "; "))
 }
 
-// notes returns what an operator should know of a pool beside its columns.
+// notes returns the remarks on a pool that have no column of their own.
 func (p PoolStatus) notes() (notes []string) {
 	if p.Why != "" {
 		notes = append(notes, p.Why)
@@ -107,7 +107,7 @@
 	return notes
 }
 
-// duration converts milliseconds of a status.
+// duration converts milliseconds of a status to a duration.
 func duration(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond)).Round(time.Millisecond)
 }
--- a/internal/fleet/quotas.go
+++ b/internal/fleet/quotas.go
@@ -8,33 +8,33 @@
 	"cranegrade/internal/fleet/shares"
 )
 
-// QuotaShares are this node's shares of the quotas of a pool's tenants. They are not changed once they are published: the same pointer
-// means the same shares.
+// QuotaShares are this node's shares of the quotas of a pool's tenants. They are immutable once published, so equal pointers mean equal
+// shares.
 type QuotaShares struct {
-	ByTenant map[string]float64 // 0 to 1; if nil, every share is what the divisor says
-	Until    time.Duration      // when the first borrowed share ends if no message comes
-	Then     *QuotaShares       // the shares from Until on; if nil, these go on
+	ByTenant    map[string]float64 // 0 to 1; nil: every share is 1/divisor
+	Until       time.Duration      // when the first borrowed part expires unless its loan is renewed
+	AfterExpiry *QuotaShares       // the shares from Until on; nil: these stay in force
 }
 
-// noQuotaShares is in force until shares are published.
-var noQuotaShares = &QuotaShares{}
+// emptyQuotaShares are in force until shares are published.
+var emptyQuotaShares = &QuotaShares{}
 
-// noEnd is the Until of shares that do not end by themselves.
-const noEnd = time.Duration(1 << 62)
+// noExpiry is the Until of shares that do not expire.
+const noExpiry = time.Duration(1 << 62)
 
-// quotaShares returns the shares at a time.
+// quotaShares returns the shares that are in force at time now.
 func (p *Pool) quotaShares(now time.Duration) *QuotaShares {
 	published := p.quotas.Load()
 	switch {
 	case published == nil:
-		return noQuotaShares
-	case now >= published.Until && published.Then != nil:
-		return published.Then
+		return emptyQuotaShares
+	case now >= published.Until && published.AfterExpiry != nil:
+		return published.AfterExpiry
 	}
 	return published
 }
 
-// setTenants sets the tenants of the pool that have quotas.
+// setTenants replaces the list of the pool's tenants with quotas.
 func (p *Pool) setTenants(tenants []string) {
 	quotas := make(map[string]shares.QuotaID, len(tenants))
 	for _, tenant := range tenants {
@@ -45,7 +45,7 @@
 	p.tenantQuotas = quotas
 }
 
-// quotaID is the hash by which members name a tenant's quota in a pool.
+// quotaID returns the hash that identifies a tenant's quota in a pool in messages between members.
 func quotaID(pool uint32, tenant string) shares.QuotaID {
 	h := fnv.New32a()
 	h.Write(binary.LittleEndian.AppendUint32(nil, pool))
@@ -53,52 +53,53 @@
 	return shares.QuotaID(h.Sum32())
 }
 
-// quotaIDs returns the quotas by tenant. The caller must not change the map.
+// quotaIDs returns the IDs of the quotas by tenant. The caller must not modify the map.
 func (p *Pool) quotaIDs() map[string]shares.QuotaID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.tenantQuotas
 }
 
-// publishQuotas publishes the shares that a loan table gives. evenShare is this node's part in the pool's divisor, or 0 if its share is not
-// valid. Shares that are nearly the same are not published, so that not every renewed loan causes an event for the decision module.
+// publishQuotas publishes the shares that follow from a loan table. evenShare is 1/divisor of the pool, or 0 if this node's share is not
+// valid. Shares that are similar to those in force are not published, so that the decision module does not get an event for every
+// renewed loan.
 func (p *Pool) publishQuotas(now time.Duration, loans *shares.LoanTable, evenShare float64) {
 	quotaIDs := p.quotaIDs()
 	if len(quotaIDs) == 0 {
 		return
 	}
 	next := &QuotaShares{
-		ByTenant: map[string]float64{},
-		Until:    noEnd,
-		Then:     &QuotaShares{ByTenant: map[string]float64{}, Until: noEnd},
+		ByTenant:    map[string]float64{},
+		Until:       noExpiry,
+		AfterExpiry: &QuotaShares{ByTenant: map[string]float64{}, Until: noExpiry},
 	}
 	for tenant, id := range quotaIDs {
 		share, until := loans.Share(now, id, evenShare)
 		next.ByTenant[tenant] = share
 		next.Until = min(next.Until, until)
-		next.Then.ByTenant[tenant] = max(0, evenShare-loans.Lent(now, id))
+		next.AfterExpiry.ByTenant[tenant] = max(0, evenShare-loans.Lent(now, id))
 	}
 	current := p.quotaShares(now)
-	if current != noQuotaShares && now < next.Until && current.Until == next.Until && areSimilar(current.ByTenant, next.ByTenant) {
+	if current != emptyQuotaShares && now < next.Until && current.Until == next.Until && areSimilar(current.ByTenant, next.ByTenant) {
 		return
 	}
 	p.quotas.Store(next)
 }
 
-// Shares may be less than what is in force by roundingTolerance, and more by ignoredGain, without being published.
+// Changes of a share that are not published. The share in force must not exceed the actual one, so only increases have a margin.
 const (
-	roundingTolerance = 1e-9
-	ignoredGain       = 0.01
+	roundingTolerance = 1e-9 // of a decrease
+	ignoredIncrease   = 0.01 // in fractions of the quota
 )
 
-// areSimilar reports whether the shares in force may stay although the next ones are due.
+// areSimilar reports whether the shares in force can stay instead of being replaced by the next ones.
 func areSimilar(current, next map[string]float64) bool {
 	if len(current) != len(next) {
 		return false
 	}
 	for tenant, share := range next {
-		now, known := current[tenant]
-		if !known || share < now-roundingTolerance || share > now+ignoredGain {
+		inForce, known := current[tenant]
+		if !known || share < inForce-roundingTolerance || share > inForce+ignoredIncrease {
 			return false
 		}
 	}
--- a/internal/fleet/reconnect.go
+++ b/internal/fleet/reconnect.go
@@ -12,29 +12,29 @@
 	"cranegrade/internal/fleet/membership"
 )
 
-// Pauses between attempts to connect.
+// Limits of the attempts to reach other members.
 const (
-	minJoinBackoff = 500 * time.Millisecond
-	maxJoinBackoff = 30 * time.Second
-	reopenInterval = 100 * time.Millisecond // while this node's address is in use
-	joinAttempts   = 3                      // addresses that are tried at a time
+	minJoinBackoff   = 500 * time.Millisecond
+	maxJoinBackoff   = 30 * time.Second
+	reopenInterval   = 100 * time.Millisecond // between attempts to listen while the address is in use
+	maxJoinAddresses = 3                      // addresses tried in one attempt
 )
 
-// reconnect opens the gossip if that has failed, and looks for members that have failed: two halves of a fleet that have given each other
-// up meet again only if somebody asks.
+// reconnect starts an attempt to open the gossip if it is not open, and else to rejoin failed members, if the backoff has passed. After a
+// partition in which both sides have declared each other dead, the gossip alone does not merge them again.
 func (f *Fleet) reconnect(now time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.connecting || f.closed || f.leaving || now < f.connectAt {
 		return
 	}
-	addresses := f.lostAddresses()
+	addresses := f.joinCandidates()
 	if f.gossip != nil && len(addresses) == 0 {
 		f.connectBackoff = 0
 		f.connectAt = now + minJoinBackoff
 		return
 	}
-	if f.gossip == nil { // whoever has the address is about to give it up: a predecessor, or a process that has just died
+	if f.gossip == nil { // the address is soon free: its holder is a predecessor about to exit, or a process that has just died
 		f.connectBackoff = 0
 		f.connectAt = now + reopenInterval
 	} else {
@@ -46,9 +46,9 @@
 	f.tasks.Go(func() { f.connect(gossip, addresses) })
 }
 
-// lostAddresses returns the addresses of failed members, and those that the configuration names if members are missing or none was met.
-// The caller holds f.mu.
-func (f *Fleet) lostAddresses() (addresses []string) {
+// joinCandidates returns the addresses of failed members. If there are any, or no other member has been seen yet, it adds the configured
+// addresses. The caller holds f.mu.
+func (f *Fleet) joinCandidates() (addresses []string) {
 	for _, m := range f.view.Members() {
 		if node, known := f.nodes[m.Name]; known && m.State == membership.Failed {
 			addresses = append(addresses, node.Address())
@@ -60,7 +60,7 @@
 	return addresses
 }
 
-// connect opens the gossip if there is none, or else joins some of the addresses.
+// connect opens the gossip if it is not open, and else joins up to maxJoinAddresses of the addresses, chosen at random.
 func (f *Fleet) connect(gossip *memberlist.Memberlist, addresses []string) {
 	if gossip == nil {
 		if err := f.openGossip(); err != nil && !errors.Is(err, errAddressInUse) {
@@ -68,7 +68,7 @@
 		}
 	} else {
 		rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-		if reached, err := gossip.Join(addresses[:min(len(addresses), joinAttempts)]); reached == 0 && err != nil {
+		if reached, err := gossip.Join(addresses[:min(len(addresses), maxJoinAddresses)]); reached == 0 && err != nil {
 			f.logFailedJoin(err)
 		}
 	}
@@ -78,13 +78,13 @@
 	f.wake()
 }
 
-// logFailedJoin logs the first failure, and after it every one whose number is a power of two.
+// logFailedJoin counts a failed join, and logs it if the count is a power of two.
 func (f *Fleet) logFailedJoin(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failedJoins++
 	if f.failedJoins&(f.failedJoins-1) == 0 {
 		text := strings.Join(strings.Fields(err.Error()), " ")
-		log.Printf("fleet: no member was reached, in %d attempts, the last: %s", f.failedJoins, text[:min(len(text), maxLogLine)])
+		log.Printf("fleet: %d attempts to join other members have failed; the last error: %s", f.failedJoins, text[:min(len(text), maxLogLine)])
 	}
 }
--- a/internal/fleet/rotation/rotation_test.go
+++ b/internal/fleet/rotation/rotation_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestRanksAreFairPermutations: in every epoch each rank is held by one member, and each member is first about as often as any other.
+// TestRanksAreFairPermutations checks that in every epoch each rank belongs to exactly one member, and that over many epochs all members
+// are first about equally often.
 func TestRanksAreFairPermutations(t *testing.T) {
 	members := []uint64{1, 2, 3, 4, 5}
 	timesFirst := map[uint64]int{}
@@ -35,8 +36,9 @@
 	}
 }
 
-// TestScoreStaysAsEarlierBuildsHaveIt: members of two builds compute the same ranks.
-func TestScoreStaysAsEarlierBuildsHaveIt(t *testing.T) {
+// TestScoreIsStableAcrossVersions: members of different versions run side by side during an upgrade and must compute
+// the same ranks.
+func TestScoreIsStableAcrossVersions(t *testing.T) {
 	if got, want := score(7, 3, 5), uint64(0xf9b245f97ed4d649); got != want {
 		t.Errorf("the score is %x, want %x", got, want)
 	}
--- a/internal/fleet/subset/subset.go
+++ b/internal/fleet/subset/subset.go
@@ -1,17 +1,17 @@
-// Package subset assigns each member of a fleet the servers that it draws from, as deterministic subsetting does (Beyer et al., "Site
+// Package subset assigns each member of a fleet a subset of the servers, which is a form of deterministic subsetting (Beyer et al., "Site
 // Reliability Engineering", chapter 20), with these properties:
 //
-//   - All members that know the same members and servers compute the same assignment, without a message between them.
-//   - Every server is drawn from by as many members as any other.
-//   - When a member or a server comes or goes, hardly more pairs of both change than must.
+//   - All members that know the same members and servers compute the same assignment, without exchanging messages.
+//   - Every server is in the subsets of the same number of members.
+//   - When a member or a server is added or removed, the number of reassigned pairs of a member and a server is close to the minimum.
 //
-// The method is rendezvous hashing with bounds on both sides. Every pair of a member and a server has a score that depends on their two
-// names alone. Pairs are assigned in the order of their scores while the server needs another member and the member has room. So
-// what a member had is taken over by the next in the score at each of its servers, and little else moves. docs/design/subsets.md
-// compares it with other methods.
+// The method is rendezvous hashing with bounds on the load of servers and members. Every pair of a member and a server has a score, which
+// depends only on their names. Pairs are assigned in descending order of score as long as the server needs another member and the member
+// is below its maximum load. When a member leaves, each of its servers therefore goes to the member with the next score there, and little
+// else changes. docs/design/subsets.md compares this with other methods.
 //
-// The package is pure. Only a Transition keeps state; it is not safe for concurrent use. Health and load of servers must not matter here:
-// they are the decision module's.
+// The package is pure. Only a Transition keeps state; it is not safe for concurrent use. The assignment must not depend on health or load
+// of servers, which the decision module handles.
 package subset
 
 import (
@@ -21,24 +21,24 @@
 )
 
 const (
-	// MinServers is how many servers a member draws from at least, where there are as many.
+	// MinServers is the minimum size of a member's subset, if there are as many servers.
 	MinServers = 4
-	// MinReplicas is how many members draw from each server at least.
+	// MinReplicas is the minimum number of members that have a server in their subsets.
 	MinReplicas = 3
-	// minMeanServers is how many servers a member draws from at least, in the mean.
+	// minMeanServers is the minimum mean size of the subsets.
 	minMeanServers = 5.0
-	// loadFactor bounds the servers of one member, as a multiple of the mean and one more. With a tighter bound any change would run on
-	// through all members.
+	// loadFactor times the mean, rounded up, plus one is the maximum number of servers of one member. With a tighter bound a single change
+	// would cascade through all members.
 	loadFactor = 1.3
 )
 
-// Server is a server that may be drawn from.
+// Server is a server to assign.
 type Server struct {
 	ID          uint64 // hash of its name
-	SecondGroup bool   // in which of two groups it is: each member is assigned servers of both
+	SecondGroup bool   // which of two groups it is in: members are assigned servers of both
 }
 
-// Replicas returns how many of so many members draw from each of so many servers.
+// Replicas returns the number of members that each server is assigned to, for given numbers of members and servers.
 func Replicas(members, servers int) int {
 	if servers == 0 {
 		return 0
@@ -46,8 +46,8 @@
 	return min(members, max(MinReplicas, int(math.Ceil(minMeanServers*float64(members)/float64(servers)-0.5))))
 }
 
-// Choose returns for each member the indices of its servers, ascending. members are hashes of their names. A nil slice stands for all
-// servers, where there are too few of them to divide.
+// Choose returns for each member the indices of its servers, ascending. members are hashes of the members' names. All slices are nil, which
+// stands for all servers, if there are too few members or servers for subsets.
 func Choose(members []uint64, servers []Server) [][]int {
 	replicas := Replicas(len(members), len(servers))
 	if replicas >= len(members) || len(servers) <= MinServers {
@@ -73,8 +73,8 @@
 	return chosen
 }
 
-// Score is that of a member and a server, by hashes of their names: the finalizer of SplitMix64. All members must compute the same, so it
-// must not change.
+// Score returns the score of a pair, from the hashes of the member's and the server's name. It mixes them with the finalizer of SplitMix64.
+// It must not change: members of different versions must compute the same scores.
 func Score(member, server uint64) uint64 {
 	x := member ^ (server*0x9e3779b97f4a7c15 + 0x7f4a7c15)
 	x ^= x >> 30
@@ -84,16 +84,16 @@
 	return x ^ x>>31
 }
 
-// pair is a member and a server that it may draw from.
+// pair is a member, a server and the score of the two.
 type pair struct {
 	score          uint64
 	member, server int32 // indices
 }
 
-// spareCandidates is how many members are considered for each server beyond those that it needs: as many may be full.
-const spareCandidates = 16
+// extraCandidates is how many candidates each server has beyond its replicas, for the case that members reach their maximum load.
+const extraCandidates = 16
 
-// assignment assigns the servers of one group.
+// assignment is the state of the assignment of one group of servers.
 type assignment struct {
 	members  []uint64
 	servers  []Server
@@ -101,47 +101,47 @@
 	replicas int
 	chosen   [][]int // by member, as Choose returns it
 
-	maxLoad, minLoad int               // servers of this group that a member has
-	load             []int             // by member
-	missing          map[int]int       // members that a server still needs
+	maxLoad, minLoad int               // bounds of the number of this group's servers of a member
+	load             []int             // number of this group's servers, by member
+	missingReplicas  map[int]int       // how many more members a server needs, by server
 	assigned         map[[2]int32]bool // by member and server
 }
 
-// newAssignment returns an assignment of a group in which no server has a member yet.
+// newAssignment returns an assignment in which no server of the group has a member yet.
 func newAssignment(members []uint64, servers []Server, group []int, replicas int, chosen [][]int) *assignment {
 	mean := float64(replicas*len(group)) / float64(len(members))
 	a := &assignment{
-		members:  members,
-		servers:  servers,
-		group:    group,
-		replicas: replicas,
-		chosen:   chosen,
-		maxLoad:  int(math.Ceil(loadFactor*mean)) + 1,
-		minLoad:  min(MinServers/2, int(mean), len(group)),
-		load:     make([]int, len(members)),
-		missing:  make(map[int]int, len(group)),
-		assigned: make(map[[2]int32]bool, replicas*len(group)),
+		members:         members,
+		servers:         servers,
+		group:           group,
+		replicas:        replicas,
+		chosen:          chosen,
+		maxLoad:         int(math.Ceil(loadFactor*mean)) + 1,
+		minLoad:         min(MinServers/2, int(mean), len(group)),
+		load:            make([]int, len(members)),
+		missingReplicas: make(map[int]int, len(group)),
+		assigned:        make(map[[2]int32]bool, replicas*len(group)),
 	}
 	for _, server := range group {
-		a.missing[server] = replicas
+		a.missingReplicas[server] = replicas
 	}
 	return a
 }
 
-// run assigns every server of the group to as many members as it needs.
+// run assigns every server of the group to a.replicas members.
 func (a *assignment) run() {
 	for _, p := range a.rankedPairs() {
-		if a.missing[int(p.server)] > 0 && a.load[p.member] < a.maxLoad {
+		if a.missingReplicas[int(p.server)] > 0 && a.load[p.member] < a.maxLoad {
 			a.assign(int(p.member), int(p.server))
 		}
 	}
-	a.fillServers()
-	a.fillMembers()
+	a.completeServers()
+	a.raiseToMinLoad()
 }
 
-// rankedPairs returns each server's best candidates, the highest scores first.
+// rankedPairs returns the pairs of each server with its highest-scoring candidates, in descending order of score.
 func (a *assignment) rankedPairs() []pair {
-	candidates := min(len(a.members), a.replicas+spareCandidates)
+	candidates := min(len(a.members), a.replicas+extraCandidates)
 	pairs := make([]pair, 0, candidates*len(a.group))
 	best := make([]pair, 0, candidates+1)
 	for _, server := range a.group {
@@ -163,43 +163,43 @@
 	return pairs
 }
 
-// has reports whether a server is assigned to a member.
-func (a *assignment) has(member, server int) bool {
+// isAssigned reports whether a server is assigned to a member.
+func (a *assignment) isAssigned(member, server int) bool {
 	return a.assigned[[2]int32{int32(member), int32(server)}]
 }
 
 // assign assigns a server to a member that does not have it.
 func (a *assignment) assign(member, server int) {
 	a.load[member]++
-	a.missing[server]--
+	a.missingReplicas[server]--
 	a.assigned[[2]int32{int32(member), int32(server)}] = true
 	a.chosen[member] = append(a.chosen[member], server)
 }
 
-// unassign takes a server from a member that has it.
+// unassign removes a server from a member that has it.
 func (a *assignment) unassign(member, server int) {
 	a.load[member]--
-	a.missing[server]++
+	a.missingReplicas[server]++
 	delete(a.assigned, [2]int32{int32(member), int32(server)})
 	a.chosen[member] = slices.DeleteFunc(a.chosen[member], func(s int) bool { return s == server })
 }
 
-// fillServers gives each server that still needs members the least loaded ones, beyond maxLoad if no member has room.
-func (a *assignment) fillServers() {
+// completeServers assigns servers that still need members to the least loaded ones, even if those have reached maxLoad.
+func (a *assignment) completeServers() {
 	for _, server := range a.group {
-		for a.missing[server] > 0 {
+		for a.missingReplicas[server] > 0 {
 			a.assign(a.leastLoaded(server), server)
 		}
 	}
 }
 
-// leastLoaded returns the least loaded member that a server does not have, of several the one with the highest score.
+// leastLoaded returns the least loaded member that does not have a server. A tie goes to the highest score.
 func (a *assignment) leastLoaded(server int) int {
 	best := -1
 	bestLoad := math.MaxInt
 	bestScore := uint64(0)
 	for member, id := range a.members {
-		if a.has(member, server) {
+		if a.isAssigned(member, server) {
 			continue
 		}
 		score := Score(id, a.servers[server].ID)
@@ -212,8 +212,9 @@
 	return best
 }
 
-// fillMembers has each member with fewer than minLoad servers take the place of one with many, at the servers that it scores best at.
-func (a *assignment) fillMembers() {
+// raiseToMinLoad reassigns servers to each member that has fewer than minLoad: in descending order of its scores, it replaces the most
+// loaded member of a server.
+func (a *assignment) raiseToMinLoad() {
 	for member, id := range a.members {
 		if a.load[member] >= a.minLoad {
 			continue
@@ -224,7 +225,7 @@
 			if a.load[member] >= a.minLoad {
 				break
 			}
-			if a.has(member, server) {
+			if a.isAssigned(member, server) {
 				continue
 			}
 			if from := a.mostLoaded(server); from >= 0 {
@@ -235,14 +236,14 @@
 	}
 }
 
-// mostLoaded returns the most loaded member of a server, of several the one with the lowest score. It returns -1 if none has more
+// mostLoaded returns the most loaded member of a server. A tie goes to the lowest score. It returns -1 if no member of the server has more
 // than minLoad.
 func (a *assignment) mostLoaded(server int) int {
 	most := -1
 	mostLoad := a.minLoad
 	lowestScore := uint64(0)
 	for member, id := range a.members {
-		if !a.has(member, server) {
+		if !a.isAssigned(member, server) {
 			continue
 		}
 		score := Score(id, a.servers[server].ID)
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// TestScoreStaysAsEarlierBuildsHaveIt: members of two builds compute the same assignment.
-func TestScoreStaysAsEarlierBuildsHaveIt(t *testing.T) {
+// TestScoreIsStableAcrossVersions: members of two builds compute the same assignment.
+func TestScoreIsStableAcrossVersions(t *testing.T) {
 	if got, want := Score(1, 2), uint64(0xdb66176cb4bb833e); got != want {
 		t.Errorf("the score is %x, want %x", got, want)
 	}
--- a/internal/fleet/subset/transition.go
+++ b/internal/fleet/subset/transition.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Transition takes a member from one set of servers to another at a bounded rate: every new server is a connection to open and an
-// estimate to form, and all members move at the same time. It closes nothing; a server that leaves the set only gets no further first
-// attempts. It is not safe for concurrent use.
+// Transition replaces a member's set of servers by another at a bounded rate, because each new server requires a connection and a new load
+// estimate, and all members change their sets at the same time. It closes no connections: a server that leaves the set just gets no more
+// first attempts. It is not safe for concurrent use.
 type Transition struct {
-	interval time.Duration // between steps
-	current  []string      // sorted
-	target   []string      // sorted
-	nextStep time.Duration
-	started  bool // it has had a target that was not empty
+	stepInterval time.Duration
+	current      []string // sorted
+	target       []string // sorted
+	nextStep     time.Duration
+	hadTarget    bool // a non-empty target was set before
 }
 
-// stepFraction of the target, and one server at the least, is exchanged in a step: 1/stepFraction of it.
-const stepFraction = 8
+// stepDivisor: a step replaces 1/stepDivisor of the target's size, but at least one server.
+const stepDivisor = 8
 
-// NewTransition returns a transition without a set. The first target is reached at once.
-func NewTransition(interval time.Duration) *Transition { return &Transition{interval: interval} }
+// NewTransition returns a transition with an empty set. It reaches its first non-empty target at once.
+func NewTransition(interval time.Duration) *Transition { return &Transition{stepInterval: interval} }
 
-// SetTarget sets the set to reach, sorted. Servers that are not listed any more leave at once, and servers of the target take their places.
+// SetTarget sets the target set, which must be sorted. Servers that are no longer listed leave the set at once, and servers of the target
+// replace them.
 func (t *Transition) SetTarget(target []string, isListed func(server string) bool) {
 	t.target = target
-	if !t.started {
+	if !t.hadTarget {
 		t.current = slices.Clone(target)
-		t.started = len(target) > 0
+		t.hadTarget = len(target) > 0
 		return
 	}
 	before := len(t.current)
 	t.current = slices.DeleteFunc(slices.Clone(t.current), func(s string) bool { return !isListed(s) })
-	t.add(min(before, len(target)) - len(t.current))
+	t.addServers(min(before, len(target)) - len(t.current))
 }
 
-// add adds up to n servers of the target.
-func (t *Transition) add(n int) {
+// addServers adds up to n servers of the target that are not in the set, in sorted order.
+func (t *Transition) addServers(n int) {
 	added := 0
 	for _, s := range t.target {
 		if added >= n {
@@ -49,21 +50,21 @@
 	}
 }
 
-// Step returns the set for now, sorted. The caller must not change it. A step adds servers before it removes others, so that the set is
-// never smaller than both the one before and the target.
+// Step makes a step if one is due at time now, and returns the current set, sorted. The caller must not modify it. A step adds servers
+// before it removes others, so the set is never smaller than the smaller of the previous set and the target.
 func (t *Transition) Step(now time.Duration) []string {
 	if now < t.nextStep || !t.InProgress() {
 		return t.current
 	}
-	t.nextStep = now + t.interval
-	n := max(1, len(t.target)/stepFraction)
-	t.add(n)
-	t.remove(min(n, len(t.current)-len(t.target)))
+	t.nextStep = now + t.stepInterval
+	n := max(1, len(t.target)/stepDivisor)
+	t.addServers(n)
+	t.removeServers(min(n, len(t.current)-len(t.target)))
 	return t.current
 }
 
-// remove removes up to n servers that are not in the target, the last first.
-func (t *Transition) remove(n int) {
+// removeServers removes up to n servers that are not in the target, from the end of the set.
+func (t *Transition) removeServers(n int) {
 	for i := len(t.current) - 1; i >= 0 && n > 0; i-- {
 		if _, found := slices.BinarySearch(t.target, t.current[i]); !found {
 			t.current = slices.Delete(slices.Clone(t.current), i, i+1)
@@ -72,5 +73,5 @@
 	}
 }
 
-// InProgress reports whether the set is not the target yet.
+// InProgress reports whether the set differs from the target.
 func (t *Transition) InProgress() bool { return !slices.Equal(t.current, t.target) }
--- a/internal/fleet/subset/transition_test.go
+++ b/internal/fleet/subset/transition_test.go
@@ -57,7 +57,7 @@
 			added++
 		}
 	}
-	if added > max(1, len(target)/stepFraction) || len(current) < min(len(last), len(target)) || !slices.IsSorted(current) {
+	if added > max(1, len(target)/stepDivisor) || len(current) < min(len(last), len(target)) || !slices.IsSorted(current) {
 		t.Fatalf("a step from %v to %v, with target %v", last, current, target)
 	}
 }
