--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -29,7 +29,7 @@
 			f := newEmulatedFleet(50)
 			m := NewModule(policy, f.pools[7], f.names[7], settings, BootTime)
 			m.Handle(0, list)
-			m.Handle(time.Second, list) // it has its position and its subset
+			m.Handle(time.Second, list) // now it has its position and its subset
 			var decider Decider = policy
 			if name == "fleet" {
 				decider = m
--- a/internal/fleet/emulated_test.go
+++ b/internal/fleet/emulated_test.go
@@ -14,19 +14,20 @@
 	"cranegrade/internal/fleet/outlier"
 )
 
-// emulatedFleet makes the modules of an emulated fleet, whose nodes receive each other's digests after a delay.
+// emulatedFleet creates the modules of an emulated fleet, and delivers each node's digests to the others after a delay.
 type emulatedFleet struct {
 	world       *emulator.World
 	pools       []*Pool // by node
 	names       []string
 	digestBytes int
-	// lie makes the digests of node 0, which then sends one every 250 ms; nil: it is like the others.
-	lie     func(seq uint32) outlier.Digest
-	lieSeq  uint32
-	poolID  uint32
-	latency time.Duration // of a digest
+	// falseDigest returns the digests that node 0 sends every falseDigestInterval instead of its own; nil: node 0 behaves like the others.
+	falseDigest    func(seq uint32) outlier.Digest
+	falseDigestSeq uint32
+	poolID         uint32
+	latency        time.Duration // between sending and receiving a digest
 }
 
+// newEmulatedFleet returns a fleet in which all nodes are established and have a valid share.
 func newEmulatedFleet(nodes int) *emulatedFleet {
 	f := &emulatedFleet{poolID: membership.PoolID("app"), latency: 50 * time.Millisecond}
 	for i := range nodes {
@@ -44,9 +45,9 @@
 	return f
 }
 
-// broadcast has all other nodes receive a node's digest after the latency.
+// broadcast delivers a node's digest to all other nodes after the latency.
 func (f *emulatedFleet) broadcast(from int, digest outlier.Digest) {
-	if f.lie != nil && from == 0 {
+	if f.falseDigest != nil && from == 0 {
 		return
 	}
 	encoded := digest.Encode()
@@ -64,14 +65,17 @@
 	})
 }
 
-// sendLies has node 0 send a lie now and every 250 ms.
-func (f *emulatedFleet) sendLies() {
+// falseDigestInterval is the time between two false digests.
+const falseDigestInterval = 250 * time.Millisecond
+
+// sendFalseDigests sends a false digest of node 0 now, and one every falseDigestInterval until the arrivals end.
+func (f *emulatedFleet) sendFalseDigests() {
 	if f.world.ArrivalsEnded() {
 		return
 	}
-	f.lieSeq++
-	digest := f.lie(f.lieSeq)
-	digest.Pool, digest.Seq = f.poolID, f.lieSeq
+	f.falseDigestSeq++
+	digest := f.falseDigest(f.falseDigestSeq)
+	digest.Pool, digest.Seq = f.poolID, f.falseDigestSeq
 	decoded, err := outlier.Decode(digest.Encode())
 	if err != nil {
 		panic(err)
@@ -79,10 +83,10 @@
 	for _, p := range f.pools[1:] {
 		p.deliver(peerDigest{f.names[0], 0, decoded})
 	}
-	f.world.After(250*time.Millisecond, f.sendLies)
+	f.world.After(falseDigestInterval, f.sendFalseDigests)
 }
 
-// decider returns a constructor of the nodes' modules.
+// decider returns the constructor of the nodes' modules for the emulator.
 func (f *emulatedFleet) decider(seed uint64) func(int, int, balancer.Settings) emulator.DecisionModule {
 	return func(tier, index int, settings balancer.Settings) emulator.DecisionModule {
 		policy, err := balancer.New(settings, seed+uint64(index)*7919)
@@ -91,44 +95,49 @@
 		}
 		clock := func() time.Duration { return f.world.Now() + time.Hour }
 		m := NewModule(policy, f.pools[index], f.names[index], settings, clock)
-		m.maxInlinePairs = math.MaxInt // on another goroutine the result would depend on the machine's own time
+		m.maxInlinePairs = math.MaxInt // on another goroutine the result would depend on real time
 		return m
 	}
 }
 
-// emulation is one run of a fleet in front of servers of which some fail.
+// emulation describes a run of a fleet in front of servers, some of which fail.
 type emulation struct {
-	nodes, servers int
-	failing        []int // servers that fail every request from failuresBegin on
-	seed           uint64
-	sharesReports  bool // the nodes exchange digests
-	lie            func(seq uint32) outlier.Digest
+	nodes, servers   int
+	failing          []int // servers that fail every request from failuresBegin on
+	seed             uint64
+	exchangesDigests bool // the nodes exchange digests
+	falseDigest      func(seq uint32) outlier.Digest
 }
 
+// requestsPerServer is the rate of requests per second, divided by the number of servers.
+const requestsPerServer = 6
+
+// Times of an emulation.
 const (
 	failuresBegin   = 5 * time.Second
 	emulationLength = 25 * time.Second
 )
 
-// emulationResult is what a run measured, from failuresBegin on; of load over all of it.
+// emulationResult contains the measurements of a run: those of load cover the whole run, the others start at failuresBegin.
 type emulationResult struct {
-	failed      float64 // attempts at failing servers
-	served      float64 // fraction of requests that were served in time
-	least, most float64 // load of the other servers, as a multiple of the mean
-	digestBytes int
+	failedAttempts   float64 // at failing servers
+	servedFraction   float64 // requests that were served in time
+	minLoad, maxLoad float64 // of the other servers, relative to the mean
+	digestBytes      int
 }
 
+// run runs the emulation. Violations of the emulator's rules are test errors.
 func (e emulation) run(t testing.TB) emulationResult {
 	f := newEmulatedFleet(e.nodes)
-	f.lie = e.lie
+	f.falseDigest = e.falseDigest
 	config := e.config()
-	if e.sharesReports {
+	if e.exchangesDigests {
 		config.NewModule = f.decider(e.seed)
 	}
 	config.Setup = func(w *emulator.World) {
 		f.world = w
-		if f.lie != nil {
-			f.sendLies()
+		if f.falseDigest != nil {
+			f.sendFalseDigests()
 		}
 	}
 	w, err := emulator.Run(config)
@@ -136,13 +145,14 @@
 		t.Fatal(err)
 	}
 	if len(w.Violations) > 0 {
-		t.Errorf("%d rules broken, the first: %s", len(w.Violations), w.Violations[0])
+		t.Errorf("%d violations of the emulator's rules, the first: %s", len(w.Violations), w.Violations[0])
 	}
 	result := e.measure(w)
 	result.digestBytes = f.digestBytes
 	return result
 }
 
+// config returns the emulator's configuration of the run, without the modules.
 func (e emulation) config() emulator.Config {
 	class := balancer.Class{
 		Name: "read", Effect: balancer.Idempotent, Aim: 500 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.5, Worth: 1,
@@ -151,7 +161,7 @@
 		Classes: []balancer.Class{class}, WholeWeight: 0.6, ClassWeight: 0.3, MaxAttempts: 3, MayCancel: true, Tick: time.Millisecond,
 		MaxRetryAfter: time.Second, ColdFrom: 0.3, WarmAfter: 4 * time.Second, FallMultiple: 4, FallFor: 1500 * time.Millisecond,
 	}
-	rate := 6 * float64(e.servers)
+	rate := requestsPerServer * float64(e.servers)
 	return emulator.Config{
 		Seed: e.seed, Nodes: e.nodes, NetworkDelay: 300 * time.Microsecond, Duration: emulationLength,
 		Rate: func(time.Duration) float64 { return rate }, MaxRate: rate,
@@ -167,51 +177,52 @@
 	}
 }
 
+// measure returns the measurements of a finished run, without digestBytes.
 func (e emulation) measure(w *emulator.World) emulationResult {
-	result := emulationResult{served: w.Goodput(failuresBegin, emulationLength), least: math.Inf(1)}
-	arrived := 0
+	result := emulationResult{servedFraction: w.Goodput(failuresBegin, emulationLength), minLoad: math.Inf(1)}
+	received := 0
 	for _, s := range w.Servers(0)[:e.servers] {
-		arrived += s.Received
+		received += s.Received
 	}
-	mean := float64(arrived) / float64(e.servers)
+	mean := float64(received) / float64(e.servers)
 	for i, s := range w.Servers(0)[:e.servers] {
 		if slices.Contains(e.failing, i) {
-			result.failed += float64(s.ErrorResponses)
+			result.failedAttempts += float64(s.ErrorResponses)
 			continue
 		}
 		load := float64(s.Received) / mean
-		result.least, result.most = min(result.least, load), max(result.most, load)
+		result.minLoad, result.maxLoad = min(result.minLoad, load), max(result.maxLoad, load)
 	}
 	return result
 }
 
-// emulatedServer is the name that the emulator gives a server.
+// emulatedServer returns the emulator's name of a server.
 func emulatedServer(i int) string { return fmt.Sprintf("t0-%04d", i) }
 
-// meanResult runs an emulation with several seeds, each with another failing server.
+// meanResult returns the mean result of an emulation over several seeds, each with a different failing server.
 func meanResult(t *testing.T, e emulation, seeds int) (mean emulationResult) {
 	n := float64(seeds)
 	for seed := range seeds {
 		e.seed, e.failing = uint64(seed), []int{seed}
 		result := e.run(t)
-		mean.failed += result.failed / n
-		mean.served += result.served / n
+		mean.failedAttempts += result.failedAttempts / n
+		mean.servedFraction += result.servedFraction / n
 		mean.digestBytes += result.digestBytes / seeds
-		mean.least += result.least / n
-		mean.most += result.most / n
+		mean.minLoad += result.minLoad / n
+		mean.maxLoad += result.maxLoad / n
 	}
 	return mean
 }
 
-// logComparison logs what sharing reports changes.
+// logComparison logs the results without and with the exchange of digests.
 func logComparison(t *testing.T, e emulation, without, with emulationResult) {
 	t.Logf("%d nodes, %d servers: %.0f failed attempts in 20 s without reports, %.0f with; served %.3f and %.3f; "+
-		"load %.2f to %.2f and %.2f to %.2f of the mean; %d bytes of digests", e.nodes, e.servers, without.failed, with.failed,
-		without.served, with.served, without.least, without.most, with.least, with.most, with.digestBytes)
+		"load %.2f to %.2f and %.2f to %.2f of the mean; %d bytes of digests", e.nodes, e.servers, without.failedAttempts, with.failedAttempts,
+		without.servedFraction, with.servedFraction, without.minLoad, without.maxLoad, with.minLoad, with.maxLoad, with.digestBytes)
 }
 
-// TestReportsReduceFailedAttempts compares what a server that fails every request costs fleets of several sizes, without others' reports
-// and with them.
+// TestReportsReduceFailedAttempts compares the failed attempts at a server that fails every request, without and with reports of other
+// members, in fleets of several sizes.
 func TestReportsReduceFailedAttempts(t *testing.T) {
 	for _, size := range [][2]int{{5, 20}, {50, 60}, {100, 100}} {
 		t.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(t *testing.T) {
@@ -219,20 +230,21 @@
 			const seeds = 3
 			e := emulation{nodes: size[0], servers: size[1]}
 			without := meanResult(t, e, seeds)
-			e.sharesReports = true
+			e.exchangesDigests = true
 			with := meanResult(t, e, seeds)
 			logComparison(t, e, without, with)
-			if e.nodes >= 50 && with.failed > 0.6*without.failed || with.served < without.served-0.02 {
+			if e.nodes >= 50 && with.failedAttempts > 0.6*without.failedAttempts || with.servedFraction < without.servedFraction-0.02 {
 				t.Errorf("%+v without reports, %+v with", without, with)
 			}
 		})
 	}
 }
 
-// TestReportsInLargeFleet compares the same with one in eight servers failing and thin traffic.
+// TestReportsInLargeFleet makes the same comparison with every eighth server failing. In a large fleet, each member observes only a few
+// requests to a server.
 func TestReportsInLargeFleet(t *testing.T) {
 	if testing.Short() || raceEnabled {
-		t.Skip("a fleet of 300 takes half a minute")
+		t.Skip("the emulation of 300 nodes takes half a minute")
 	}
 	for _, size := range [][2]int{{50, 60}, {300, 300}} {
 		t.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(t *testing.T) {
@@ -241,25 +253,26 @@
 				e.failing = append(e.failing, i)
 			}
 			without := e.run(t)
-			e.sharesReports = true
+			e.exchangesDigests = true
 			with := e.run(t)
 			logComparison(t, e, without, with)
-			if with.failed > without.failed || with.served < without.served-0.02 {
+			if with.failedAttempts > without.failedAttempts || with.servedFraction < without.servedFraction-0.02 {
 				t.Errorf("%+v without reports, %+v with", without, with)
 			}
 		})
 	}
 }
 
-// TestFalseReportsDoLittleHarm: whatever one member reports, hardly less is served, and no healthy server goes without load.
-func TestFalseReportsDoLittleHarm(t *testing.T) {
+// TestFalseReportsHaveBoundedEffect checks that false reports by one member hardly reduce the requests that are served, and that every
+// healthy server still gets load.
+func TestFalseReportsHaveBoundedEffect(t *testing.T) {
 	const nodes, servers = 10, 20
-	honest := emulation{nodes: nodes, servers: servers, seed: 1, sharesReports: true}.run(t)
+	honest := emulation{nodes: nodes, servers: servers, seed: 1, exchangesDigests: true}.run(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	failing := func(i int) outlier.Observation {
 		return outlier.Observation{Server: outlier.ServerID(emulatedServer(i)), Failures: 255, ConsecutiveFailures: 255}
 	}
-	for name, lie := range map[string]func(uint32) outlier.Digest{
+	for name, falseDigest := range map[string]func(uint32) outlier.Digest{
 		"all servers fail": func(uint32) (digest outlier.Digest) {
 			digest.SubsetSize = servers
 			for i := range servers {
@@ -279,10 +292,10 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			result := emulation{nodes: nodes, servers: servers, seed: 1, sharesReports: true, lie: lie}.run(t)
-			t.Logf("served %.3f, load %.2f to %.2f of the mean; without false reports %.3f, %.2f to %.2f", result.served, result.least,
-				result.most, honest.served, honest.least, honest.most)
-			if result.served < honest.served-0.02 || result.least < 0.6*honest.least {
+			result := emulation{nodes: nodes, servers: servers, seed: 1, exchangesDigests: true, falseDigest: falseDigest}.run(t)
+			t.Logf("served %.3f, load %.2f to %.2f of the mean; without false reports %.3f, %.2f to %.2f", result.servedFraction, result.minLoad,
+				result.maxLoad, honest.servedFraction, honest.minLoad, honest.maxLoad)
+			if result.servedFraction < honest.servedFraction-0.02 || result.minLoad < 0.6*honest.minLoad {
 				t.Errorf("%+v, without false reports %+v", result, honest)
 			}
 		})
--- a/internal/fleet/gossipsim/gossipsim.go
+++ b/internal/fleet/gossipsim/gossipsim.go
@@ -1,11 +1,11 @@
-// Package gossipsim simulates the gossip of a large fleet, to measure how fast and how well the members' views follow it.
+// Package gossipsim simulates the gossip of a large fleet, to measure how quickly and accurately the members' views track its changes.
 //
-// It models SWIM with Lifeguard's suspicion as hashicorp/memberlist implements and package fleet configures them: direct probes, indirect
-// probes and a probe by stream, suspicions whose time-out shrinks with confirmations, and rumours that are sent to a few
-// members each round (Das, Gupta and Motivala, "SWIM"; Dadgar, Phillips and Currey, "Lifeguard"). On top run the views of package
-// membership that are in service.
+// It models SWIM with Lifeguard's suspicion mechanism, as hashicorp/memberlist implements and package fleet configures them: direct,
+// indirect and TCP probes, suspicions whose time-out shrinks with the number of confirmations, and rumours that are sent to a few random
+// members in each gossip round (Das, Gupta and Motivala, "SWIM"; Dadgar, Phillips and Currey, "Lifeguard"). The views that follow the
+// gossip are the production code of package membership.
 //
-// The package is pure: the time is simulated, and a simulation depends on its Config alone. Only drills use it.
+// The package is pure: time is simulated, and the result of a simulation depends only on its Config. Only drills use it.
 package gossipsim
 
 import (
@@ -20,47 +20,47 @@
 // Config describes a simulation.
 type Config struct {
 	Members       int           // at most 1000
-	Loss          float64       // fraction of datagrams that are lost, and of each direction of a stream
-	ProbeInterval time.Duration // between two probes by a member
+	Loss          float64       // probability that a datagram, or one direction of a TCP exchange, is lost
+	ProbeInterval time.Duration // between two probes sent by a member
 	SettleTime    time.Duration // of the views, see membership.Damping
 	Seed          uint64
-	Deaths        int           // members that die at once, at the beginning
-	Length        time.Duration // the simulation ends earlier once all views are right after deaths
+	Deaths        int           // members that die at the start, all at the same time
+	Length        time.Duration // of simulated time; with Deaths the simulation ends early once all views are correct
 }
 
 // Result is what a simulation measured.
 type Result struct {
-	ConvergedAfter  time.Duration // from the deaths until the views of all live members are right; 0 if they never were
-	FalseFailures   int           // times that a member's own suspicion gave up a live member
-	PositionChanges int           // times that a live member stopped counting in a view
-	RumoursSent     int           // by all members
+	ConvergedAfter  time.Duration // from the deaths until the views of all live members are correct; 0 if they never were
+	FalseFailures   int           // times that a member declared a live member dead because its own suspicion timed out
+	PositionChanges int           // times that a view stopped counting a live member
+	RumoursSent     int           // by all members together
 }
 
-// tick is the step of the simulated time.
-const tick = 50 * time.Millisecond
+// timeStep is the increment of the simulated time.
+const timeStep = 50 * time.Millisecond
 
-// Parameters of the gossip, as package fleet and memberlist's defaults set them.
+// Parameters of the gossip, as set by package fleet and memberlist's defaults.
 const (
 	gossipInterval   = 200 * time.Millisecond
 	gossipFanOut     = 3
 	indirectProbes   = 3
-	suspicionMult    = 3 // the least time of a suspicion, times the probe interval and the logarithm of the members
-	maxSuspicionMult = 2 // the most time of a suspicion, times the least
-	retransmitMult   = 4 // how often a rumour is sent, times the logarithm of the members
+	suspicionMult    = 3 // times the probe interval and the logarithm of the number of members: the minimum suspicion time-out
+	maxSuspicionMult = 2 // times the minimum suspicion time-out: the maximum
+	retransmitMult   = 4 // times the logarithm of the number of members: how often a rumour is sent
 	flapDecay        = 30 * time.Second
 )
 
-// Messages that must all arrive for a probe to succeed.
+// Numbers of messages that must all arrive for a probe to succeed.
 const (
 	directProbeMessages   = 2
 	indirectProbeMessages = 4
 	streamProbeMessages   = 3
 )
 
-// pool is the one that all members serve.
+// pool is the only pool; all members serve it.
 var pool = membership.PoolDigest{ID: 1, Digest: 1}
 
-// state is what a member believes of another one.
+// state is the state of a member according to another one.
 type state int
 
 const (
@@ -69,43 +69,43 @@
 	dead
 )
 
-// rumour is a change of a member's state on its way.
+// rumour is a gossip message about a member's state.
 type rumour struct {
 	state       state
-	of, from    int // indices of members
+	of, from    int // indices of the member in that state, and of the one that reported it
 	incarnation int
 }
 
-// belief is what a member knows of another one.
-type belief struct {
-	state          state
-	incarnation    int
-	suspectedAt    time.Duration
-	suspicionEnds  time.Duration
-	confirmedTimes int
+// peerState is the state of a member according to another one, with the suspicion if there is one.
+type peerState struct {
+	state         state
+	incarnation   int
+	suspectedAt   time.Duration
+	suspicionEnds time.Duration
+	confirmations int
 }
 
-// queuedRumour is a rumour that a member still has to send.
-type queuedRumour struct {
+// outgoingRumour is a rumour in a member's send queue.
+type outgoingRumour struct {
 	rumour
 	sendsLeft int
 }
 
 // member is one simulated member.
 type member struct {
-	index       int
-	view        *membership.View
-	dead        bool
-	probeOrder  []int
-	nextProbe   int // index in probeOrder
-	probeAt     time.Duration
-	incarnation int
-	beliefs     []belief
-	queue       []queuedRumour
-	seen        map[rumour]bool // suspicions that it has counted
+	index             int // in simulation.members
+	view              *membership.View
+	dead              bool
+	probeOrder        []int
+	nextProbe         int // index in probeOrder
+	probeAt           time.Duration
+	incarnation       int
+	peers             []peerState // by index; includes the member itself
+	queue             []outgoingRumour
+	countedSuspicions map[rumour]bool // suspicions that are already counted, as confirmations or as the first report
 }
 
-// simulation is a fleet at a moment of the simulated time.
+// simulation is the state of a simulated fleet.
 type simulation struct {
 	Config
 	rng     *rand.Rand
@@ -114,11 +114,11 @@
 	result  Result
 }
 
-// Run simulates a fleet that has settled at the beginning.
+// Run simulates a fleet whose views are settled at the start.
 func Run(c Config) Result {
 	s := newSimulation(c)
 	startedAt := s.now
-	for ; s.now < startedAt+c.Length; s.now += tick {
+	for ; s.now < startedAt+c.Length; s.now += timeStep {
 		for _, m := range s.members {
 			if !m.dead {
 				s.step(m)
@@ -133,17 +133,17 @@
 	return s.result
 }
 
-// newSimulation returns a fleet in which all members know each other, and some have just died.
+// newSimulation returns a fleet in which all members have each other in their views, and c.Deaths members have just died.
 func newSimulation(c Config) *simulation {
 	s := &simulation{Config: c, rng: rand.New(rand.NewPCG(c.Seed, 0x5717)), now: c.SettleTime}
 	damping := membership.Damping{SettleTime: c.SettleTime, FlapDecay: flapDecay}
 	for i := range c.Members {
 		m := &member{
-			index:   i,
-			view:    membership.NewView(0, metadata(i), damping),
-			dead:    i < c.Deaths,
-			beliefs: make([]belief, c.Members),
-			seen:    map[rumour]bool{},
+			index:             i,
+			view:              membership.NewView(0, metadata(i), damping),
+			dead:              i < c.Deaths,
+			peers:             make([]peerState, c.Members),
+			countedSuspicions: map[rumour]bool{},
 		}
 		for j := range c.Members {
 			m.view.MemberAlive(0, metadata(j), "")
@@ -156,7 +156,7 @@
 	return s
 }
 
-// memberName returns the name of a member, which has the same order as its index.
+// memberName returns the name of a member. Names sort in the order of the indices.
 func memberName(i int) string { return fmt.Sprintf("n%03d", i) }
 
 // metadata returns the metadata of a member.
@@ -169,15 +169,15 @@
 	}
 }
 
-// step lets a member do what is due.
+// step performs a member's probes, suspicion time-outs and gossip that are due at the current time.
 func (s *simulation) step(m *member) {
 	if s.now >= m.probeAt {
 		m.probeAt += s.ProbeInterval
 		s.probe(m)
 	}
-	for j := range m.beliefs {
-		if b := &m.beliefs[j]; b.state == suspect && s.now >= b.suspicionEnds {
-			s.receive(m, rumour{state: dead, of: j, from: m.index, incarnation: b.incarnation})
+	for j := range m.peers {
+		if peer := &m.peers[j]; peer.state == suspect && s.now >= peer.suspicionEnds {
+			s.receive(m, rumour{state: dead, of: j, from: m.index, incarnation: peer.incarnation})
 		}
 	}
 	if s.now%gossipInterval == 0 {
@@ -197,7 +197,7 @@
 	return true
 }
 
-// countPositionChanges counts how often a live member stopped counting in the view of another.
+// countPositionChanges counts how often the views of live members stopped counting another member.
 func (s *simulation) countPositionChanges() {
 	for _, m := range s.members[s.Deaths:] {
 		changes, _ := m.view.Changes()
@@ -209,12 +209,12 @@
 	}
 }
 
-// isLost draws whether at least one of so many messages is lost.
+// isLost draws at random whether at least one of a number of messages is lost.
 func (s *simulation) isLost(messages int) bool {
 	return s.rng.Float64() >= math.Pow(1-s.Loss, float64(messages))
 }
 
-// probe has a member probe the next one that it does not believe dead: directly, through others, and by a stream.
+// probe makes a member probe the next member that it does not consider dead, and suspect that one if it does not answer.
 func (s *simulation) probe(m *member) {
 	for range s.Members {
 		if m.nextProbe >= len(m.probeOrder) {
@@ -223,17 +223,17 @@
 		}
 		target := m.probeOrder[m.nextProbe]
 		m.nextProbe++
-		if target == m.index || m.beliefs[target].state == dead {
+		if target == m.index || m.peers[target].state == dead {
 			continue
 		}
 		if !s.answers(m, s.members[target]) {
-			s.receive(m, rumour{state: suspect, of: target, from: m.index, incarnation: m.beliefs[target].incarnation})
+			s.receive(m, rumour{state: suspect, of: target, from: m.index, incarnation: m.peers[target].incarnation})
 		}
 		return
 	}
 }
 
-// answers draws whether a target answers any of the probes.
+// answers draws at random whether a target answers a direct, indirect or TCP probe.
 func (s *simulation) answers(m, target *member) bool {
 	answered := !target.dead && !s.isLost(directProbeMessages)
 	for range indirectProbes {
@@ -243,47 +243,47 @@
 	return answered || !target.dead && !s.isLost(streamProbeMessages)
 }
 
-// suspicionTimeout returns how long a suspicion lasts that so many others have confirmed.
-func (s *simulation) suspicionTimeout(confirmed int) time.Duration {
-	least := suspicionMult * max(1, math.Log10(max(1, float64(s.Members)))) * float64(s.ProbeInterval)
-	const wanted = suspicionMult - 2
-	if s.Members-2 < wanted {
-		return time.Duration(least)
+// suspicionTimeout returns the time-out of a suspicion with a number of confirmations by other members.
+func (s *simulation) suspicionTimeout(confirmations int) time.Duration {
+	minimum := suspicionMult * max(1, math.Log10(max(1, float64(s.Members)))) * float64(s.ProbeInterval)
+	const expectedConfirmations = suspicionMult - 2 // with so many the time-out is the minimum
+	if s.Members-2 < expectedConfirmations {
+		return time.Duration(minimum)
 	}
-	most := maxSuspicionMult * least
-	return time.Duration(max(least, most-math.Log(float64(confirmed)+1)/math.Log(wanted+1)*(most-least)))
+	maximum := maxSuspicionMult * minimum
+	return time.Duration(max(minimum, maximum-math.Log(float64(confirmations)+1)/math.Log(expectedConfirmations+1)*(maximum-minimum)))
 }
 
-// receive has a member process a rumour, and pass it on if it is news.
+// receive makes a member process a rumour, and queue it for its own gossip if it changes the member's state of the peer.
 func (s *simulation) receive(m *member, r rumour) {
-	b := &m.beliefs[r.of]
+	peer := &m.peers[r.of]
 	switch {
 	case r.of == m.index:
 		s.refute(m, r)
 		return
 	case r.state == alive:
-		if r.incarnation <= b.incarnation {
+		if r.incarnation <= peer.incarnation {
 			return
 		}
-		if b.state == dead {
+		if peer.state == dead {
 			m.view.MemberAlive(s.now, metadata(r.of), "")
 		}
-		*b = belief{incarnation: r.incarnation}
-	case r.incarnation < b.incarnation || b.state == dead:
+		*peer = peerState{incarnation: r.incarnation}
+	case r.incarnation < peer.incarnation || peer.state == dead:
 		return
 	case r.state == suspect:
-		if m.seen[r] {
+		if m.countedSuspicions[r] {
 			return
 		}
-		m.seen[r] = true
-		if b.state == suspect {
-			b.confirmedTimes++
+		m.countedSuspicions[r] = true
+		if peer.state == suspect {
+			peer.confirmations++
 		} else {
-			*b = belief{state: suspect, incarnation: r.incarnation, suspectedAt: s.now}
+			*peer = peerState{state: suspect, incarnation: r.incarnation, suspectedAt: s.now}
 		}
-		b.suspicionEnds = b.suspectedAt + s.suspicionTimeout(b.confirmedTimes)
+		peer.suspicionEnds = peer.suspectedAt + s.suspicionTimeout(peer.confirmations)
 	default:
-		*b = belief{state: dead, incarnation: r.incarnation}
+		*peer = peerState{state: dead, incarnation: r.incarnation}
 		m.view.MemberFailed(s.now, memberName(r.of))
 		if !s.members[r.of].dead && r.from == m.index {
 			s.result.FalseFailures++
@@ -292,7 +292,7 @@
 	s.enqueue(m, r)
 }
 
-// refute has a member answer a suspicion of itself with a higher incarnation.
+// refute makes a member announce that it is alive, with a higher incarnation, in response to a rumour that it is suspect or dead.
 func (s *simulation) refute(m *member, r rumour) {
 	if r.state != alive && r.incarnation >= m.incarnation {
 		m.incarnation = r.incarnation + 1
@@ -300,15 +300,15 @@
 	}
 }
 
-// enqueue queues a rumour for as many sends as memberlist does.
+// enqueue queues a rumour for as many sends as memberlist would make.
 func (s *simulation) enqueue(m *member, r rumour) {
-	m.queue = append(m.queue, queuedRumour{
+	m.queue = append(m.queue, outgoingRumour{
 		rumour:    r,
 		sendsLeft: retransmitMult * int(math.Ceil(math.Log10(float64(s.Members+1)))),
 	})
 }
 
-// gossip sends what a member has queued to a few others.
+// gossip sends a member's queued rumours to gossipFanOut random members.
 func (s *simulation) gossip(m *member) {
 	for range gossipFanOut {
 		to := s.rng.IntN(s.Members)
@@ -327,11 +327,11 @@
 			}
 		}
 	}
-	kept := m.queue[:0]
+	remaining := m.queue[:0]
 	for _, q := range m.queue {
 		if q.sendsLeft > 0 {
-			kept = append(kept, q)
+			remaining = append(remaining, q)
 		}
 	}
-	m.queue = kept
+	m.queue = remaining
 }
--- a/internal/fleet/race_test.go
+++ b/internal/fleet/race_test.go
@@ -2,5 +2,5 @@
 
 package fleet
 
-// raceEnabled says that the race detector is on: emulations of large fleets take too long with it.
+// raceEnabled reports whether the race detector is on. Emulations of large fleets take too long with it, and are skipped.
 const raceEnabled = true
--- a/internal/fleet/subset/methods_test.go
+++ b/internal/fleet/subset/methods_test.go
@@ -9,13 +9,13 @@
 	"cranegrade/balancer"
 )
 
-// method assigns servers to members, as Choose does.
+// method is a method of subsetting. Its function has the signature of Choose.
 type method struct {
 	name   string
 	choose func(members []uint64, servers []Server) [][]int
 }
 
-// methods are those that docs/design/subsets.md compares; the last is the one in service.
+// methods are compared in docs/design/subsets.md. The last one is used in production.
 var methods = []method{
 	{"striping by number (as without a fleet)", stripe},
 	{"aperture on a ring", ringAperture},
@@ -26,11 +26,12 @@
 	{"rendezvous, bounded on both sides (in service)", chooseExplicit},
 }
 
-// subsetSize is the size that the decision module gives a subset without a fleet.
+// subsetSize returns the size of the subsets that the decision module computes without a fleet.
 func subsetSize(members, servers int) int {
 	return min(servers, max(MinServers, int(math.Ceil(3*float64(servers)/float64(members)))))
 }
 
+// stripe returns the subsets that the decision module computes without a fleet.
 func stripe(members []uint64, servers []Server) (chosen [][]int) {
 	for i := range members {
 		chosen = append(chosen, balancer.Stripes(len(servers), subsetSize(len(members), len(servers)), len(members), i))
@@ -38,19 +39,21 @@
 	return chosen
 }
 
+// ringAperture gives each member consecutive servers on a ring, starting at its own position.
 func ringAperture(members []uint64, servers []Server) (chosen [][]int) {
 	size := subsetSize(len(members), len(servers))
 	for i := range members {
 		var own []int
-		at := i * len(servers) / len(members)
+		first := i * len(servers) / len(members)
 		for j := range size {
-			own = append(own, (at+j)%len(servers))
+			own = append(own, (first+j)%len(servers))
 		}
 		chosen = append(chosen, own)
 	}
 	return chosen
 }
 
+// membersPick gives each member the servers with its highest scores.
 func membersPick(members []uint64, servers []Server) (chosen [][]int) {
 	size := subsetSize(len(members), len(servers))
 	for _, member := range members {
@@ -61,6 +64,7 @@
 	return chosen
 }
 
+// serversPick assigns each server to the members with its highest scores.
 func serversPick(members []uint64, servers []Server) [][]int {
 	chosen := make([][]int, len(members))
 	for i, s := range servers {
@@ -73,37 +77,39 @@
 	return chosen
 }
 
-// boundedConsistentHashing is that of Mirrokni, Thorup and Zadimoghaddam, with 40 points of each member on the ring.
+// boundedConsistentHashing is consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam), with 40 points per member on the
+// ring.
 func boundedConsistentHashing(members []uint64, servers []Server) [][]int {
-	const points = 40
+	const pointsPerMember = 40
 	chosen := make([][]int, len(members))
 	replicas := Replicas(len(members), len(servers))
 	maxLoad := int(math.Ceil(1.25 * float64(replicas*len(servers)) / float64(len(members))))
 	type point struct {
-		at     uint64
+		hash   uint64
 		member int
 	}
 	var ring []point
 	for j, member := range members {
-		for v := range points {
+		for v := range pointsPerMember {
 			ring = append(ring, point{Score(member, uint64(v)+99), j})
 		}
 	}
-	sort.Slice(ring, func(a, b int) bool { return ring[a].at < ring[b].at })
+	sort.Slice(ring, func(a, b int) bool { return ring[a].hash < ring[b].hash })
 	for i, s := range servers {
-		start := sort.Search(len(ring), func(x int) bool { return ring[x].at >= s.ID })
-		for got, n := 0, 0; got < replicas && n < len(ring); n++ {
+		start := sort.Search(len(ring), func(x int) bool { return ring[x].hash >= s.ID })
+		for assigned, n := 0, 0; assigned < replicas && n < len(ring); n++ {
 			j := ring[(start+n)%len(ring)].member
 			if len(chosen[j]) < maxLoad && !slices.Contains(chosen[j], i) {
 				chosen[j] = append(chosen[j], i)
-				got++
+				assigned++
 			}
 		}
 	}
 	return chosen
 }
 
-// permutedRounds is the deterministic subsetting of the SRE book: each round deals a permutation of the servers out to some members.
+// permutedRounds is the deterministic subsetting of the SRE book: in each round, a permutation of the servers is divided among some
+// members.
 func permutedRounds(members []uint64, servers []Server) [][]int {
 	chosen := make([][]int, len(members))
 	size := subsetSize(len(members), len(servers))
@@ -116,7 +122,7 @@
 	return chosen
 }
 
-// chooseExplicit is Choose with all servers listed where it returns nil.
+// chooseExplicit returns the result of Choose, with all servers listed in place of nil.
 func chooseExplicit(members []uint64, servers []Server) [][]int {
 	chosen := Choose(members, servers)
 	for j := range chosen {
@@ -127,6 +133,7 @@
 	return chosen
 }
 
+// indices returns the integers from 0 to n-1.
 func indices(n int) []int {
 	list := make([]int, n)
 	for i := range list {
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// hashes returns n hashes that stand for names.
+// hashes returns n distinct IDs, as hashes of names. Different salts give different lists.
 func hashes(n int, salt uint64) (ids []uint64) {
 	for i := range n {
 		ids = append(ids, Score(uint64(i)+1, salt))
@@ -15,7 +15,7 @@
 	return ids
 }
 
-// serverList returns servers in the order of their names, as members see them, split into two groups.
+// serverList returns servers sorted by ID and split into two groups of equal size.
 func serverList(ids []uint64) (servers []Server) {
 	ids = slices.Clone(ids)
 	slices.Sort(ids)
@@ -25,7 +25,7 @@
 	return servers
 }
 
-// pairSet is who draws from what, by member and server.
+// pairSet contains the assigned pairs of a member and a server.
 type pairSet map[[2]uint64]bool
 
 func pairsOf(members []uint64, servers []Server, chosen [][]int) pairSet {
@@ -38,7 +38,7 @@
 	return pairs
 }
 
-// movedFraction is the number of pairs that are new, as a fraction of those before.
+// movedFraction returns the number of new pairs as a fraction of the pairs before.
 func movedFraction(before, after pairSet) float64 {
 	added := 0
 	for p := range after {
@@ -49,14 +49,14 @@
 	return float64(added) / float64(len(before))
 }
 
-// span is the least and the most of something.
+// span is the range of a series of numbers.
 type span struct{ least, most int }
 
 func (s *span) add(n int) { s.least, s.most = min(s.least, n), max(s.most, n) }
 
 func newSpan() span { return span{least: 1 << 30} }
 
-// evaluation measures a method at one size of a fleet. Fractions of pairs are of those before a change.
+// evaluation contains the measurements of a method at one size of the fleet. Moved pairs are fractions of those before the change.
 type evaluation struct {
 	choose  func(members []uint64, servers []Server) [][]int
 	members []uint64
@@ -66,18 +66,18 @@
 	before  pairSet
 
 	replicas, sizes        span
-	movedByMember          float64 // when one leaves, mean of several
-	movedByServer          float64
-	movedByTenth           float64 // when a tenth of the members leaves
-	uncovered              float64 // servers without a live member, with a third of the members dead unnoticed
+	movedByMember          float64 // pairs that move when one member leaves, mean of departureSamples
+	movedByServer          float64 // the same for a server
+	movedByTenth           float64 // the same for a tenth of the members at once
+	uncovered              float64 // mean number of servers without a live member after a third of the members died, before the others detect it
 	bothGroups             bool    // every member has servers of both groups
-	alike                  int     // most members that have the same servers
-	overloadInMixedViews   float64 // most members of a server, as a multiple of the mean, while half of the members do not know of three
+	sameSubset             int     // maximum number of members with the same subset
+	overloadInMixedViews   float64 // maximum number of members of a server, relative to the mean, while half of the members do not know three new ones
 	numMembers, numServers int
 }
 
-// movedSamples is how many departures of one member or server are measured.
-const movedSamples = 4
+// departureSamples is the number of members and of servers whose departures are measured, each by itself.
+const departureSamples = 4
 
 func evaluate(choose func([]uint64, []Server) [][]int, numMembers, numServers int) *evaluation {
 	e := &evaluation{
@@ -89,14 +89,15 @@
 	e.before = pairsOf(e.members, e.servers, e.chosen)
 	e.measureBalance()
 	e.measureDepartures()
-	e.measureDeaths()
+	e.measureMemberLosses()
 	e.measureMixedViews()
 	return e
 }
 
+// measureBalance measures how evenly servers and members are assigned.
 func (e *evaluation) measureBalance() {
 	replicas := make([]int, e.numServers)
-	same := map[string]int{}
+	bySubset := map[string]int{}
 	for _, own := range e.chosen {
 		e.sizes.add(len(own))
 		first, second := false, false
@@ -106,38 +107,39 @@
 		}
 		e.bothGroups = e.bothGroups && first && second
 		slices.Sort(own)
-		same[fmt.Sprint(own)]++
+		bySubset[fmt.Sprint(own)]++
 	}
 	for _, n := range replicas {
 		e.replicas.add(n)
 	}
-	for _, n := range same {
-		e.alike = max(e.alike, n)
+	for _, n := range bySubset {
+		e.sameSubset = max(e.sameSubset, n)
 	}
 }
 
+// measureDepartures measures the pairs that move when one member or one server leaves.
 func (e *evaluation) measureDepartures() {
-	for sample := range movedSamples {
-		member := (sample*2 + 1) * e.numMembers / (2 * movedSamples)
+	for sample := range departureSamples {
+		member := (sample*2 + 1) * e.numMembers / (2 * departureSamples)
 		fewer := slices.Delete(slices.Clone(e.members), member, member+1)
-		e.movedByMember += movedFraction(e.before, pairsOf(fewer, e.servers, e.choose(fewer, e.servers))) / movedSamples
-		server := (sample*2 + 1) * e.numServers / (2 * movedSamples)
+		e.movedByMember += movedFraction(e.before, pairsOf(fewer, e.servers, e.choose(fewer, e.servers))) / departureSamples
+		server := (sample*2 + 1) * e.numServers / (2 * departureSamples)
 		rest := serverList(slices.Delete(slices.Clone(e.ids), server, server+1))
-		e.movedByServer += movedFraction(e.before, pairsOf(e.members, rest, e.choose(e.members, rest))) / movedSamples
+		e.movedByServer += movedFraction(e.before, pairsOf(e.members, rest, e.choose(e.members, rest))) / departureSamples
 	}
 }
 
-// measureDeaths measures a tenth of the members that leaves, and a third that dies unnoticed.
-func (e *evaluation) measureDeaths() {
+// measureMemberLosses measures the departure of a tenth of the members, and undetected deaths of a third.
+func (e *evaluation) measureMemberLosses() {
 	rng := rand.New(rand.NewPCG(5, 5))
-	gone := rng.Perm(e.numMembers)[:max(1, e.numMembers/10)]
-	var left []uint64
+	leaving := rng.Perm(e.numMembers)[:max(1, e.numMembers/10)]
+	var remaining []uint64
 	for j, member := range e.members {
-		if !slices.Contains(gone, j) {
-			left = append(left, member)
+		if !slices.Contains(leaving, j) {
+			remaining = append(remaining, member)
 		}
 	}
-	e.movedByTenth = movedFraction(e.before, pairsOf(left, e.servers, e.choose(left, e.servers)))
+	e.movedByTenth = movedFraction(e.before, pairsOf(remaining, e.servers, e.choose(remaining, e.servers)))
 	const samples = 20
 	for range samples {
 		live := make([]int, e.numServers)
@@ -154,34 +156,35 @@
 	}
 }
 
+// measureMixedViews measures the load of servers while half of the members do not know three new ones.
 func (e *evaluation) measureMixedViews() {
-	more := append(slices.Clone(e.members), hashes(3, 77)...)
-	slices.Sort(more)
-	chosenByMore := e.choose(more, e.servers)
-	drawnBy := make([]int, e.numServers)
+	allMembers := append(slices.Clone(e.members), hashes(3, 77)...)
+	slices.Sort(allMembers)
+	chosenFromAll := e.choose(allMembers, e.servers)
+	replicas := make([]int, e.numServers)
 	total := 0
-	for j, member := range more {
-		own := chosenByMore[j]
+	for j, member := range allMembers {
+		own := chosenFromAll[j]
 		if at := slices.Index(e.members, member); at >= 0 && j%2 == 0 {
 			own = e.chosen[at]
 		}
 		for _, i := range own {
-			drawnBy[i]++
+			replicas[i]++
 			total++
 		}
 	}
-	e.overloadInMixedViews = float64(slices.Max(drawnBy)) / (float64(total) / float64(e.numServers))
+	e.overloadInMixedViews = float64(slices.Max(replicas)) / (float64(total) / float64(e.numServers))
 }
 
 func (e *evaluation) String() string {
 	return fmt.Sprintf("replicas %d-%d sizes %d-%d; moved by a member %.1f/N, by a server %.1f/n, by a tenth %.2f; uncovered %.1f; "+
-		"both groups %v; alike %d; mixed views %.2f",
+		"both groups %v; same subset %d; mixed views %.2f",
 		e.replicas.least, e.replicas.most, e.sizes.least, e.sizes.most, e.movedByMember*float64(e.numMembers),
-		e.movedByServer*float64(e.numServers), e.movedByTenth, e.uncovered, e.bothGroups, e.alike, e.overloadInMixedViews)
+		e.movedByServer*float64(e.numServers), e.movedByTenth, e.uncovered, e.bothGroups, e.sameSubset, e.overloadInMixedViews)
 }
 
-// TestMethodsCompared logs the figures of all methods, and checks the properties that the one in service must have.
-func TestMethodsCompared(t *testing.T) {
+// TestCompareMethods logs the measurements of all methods, and checks the guaranteed properties of the one that is used in production.
+func TestCompareMethods(t *testing.T) {
 	for _, size := range [][2]int{{3, 20}, {10, 40}, {50, 60}, {50, 300}, {300, 300}, {1000, 300}} {
 		members, servers := size[0], size[1]
 		t.Run(fmt.Sprintf("%dx%d", members, servers), func(t *testing.T) {
@@ -193,21 +196,23 @@
 					continue
 				}
 				if e.replicas.most-e.replicas.least > 1 || e.movedByMember*float64(members) > 2.2 || !e.bothGroups || e.sizes.least < MinServers {
-					t.Errorf("the method in service has %v", e)
+					t.Errorf("the method used in production: %v; want replicas that differ by at most 1, at most 2.2/N moved by a member, "+
+						"servers of both groups, and subsets of at least %d", e, MinServers)
 				}
 			}
 		})
 	}
 }
 
-// TestScoreIsStableAcrossVersions: members of two builds compute the same assignment.
+// TestScoreIsStableAcrossVersions: members of different versions run side by side during an upgrade and must compute
+// the same assignment.
 func TestScoreIsStableAcrossVersions(t *testing.T) {
 	if got, want := Score(1, 2), uint64(0xdb66176cb4bb833e); got != want {
 		t.Errorf("the score is %x, want %x", got, want)
 	}
 }
 
-// BenchmarkChoose measures one assignment, by members and servers.
+// BenchmarkChoose measures one assignment, by numbers of members and servers.
 func BenchmarkChoose(b *testing.B) {
 	for _, size := range [][2]int{{10, 40}, {300, 300}, {1000, 10_000}} {
 		members, servers := hashes(size[0], 1), serverList(hashes(size[1], 2))
--- a/internal/fleet/subset/transition_test.go
+++ b/internal/fleet/subset/transition_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// drawSet draws a sorted set of servers.
 func drawSet(t *rapid.T, label string) (set []string) {
 	for i := range 40 {
 		if rapid.Bool().Draw(t, label) {
@@ -18,8 +19,8 @@
 	return set
 }
 
-// TestTransitionIsGradual: the set is never smaller than both the one before and its target, exchanges a bounded part in each step, loses
-// at once what is not listed any more, and reaches its target.
+// TestTransitionIsGradual checks that the set is never smaller than the smaller of its previous state and its target, that each step adds a
+// bounded number of servers, that unlisted servers leave at once, and that the set reaches its target.
 func TestTransitionIsGradual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const interval = 100 * time.Millisecond
@@ -36,7 +37,7 @@
 			target := slices.DeleteFunc(drawSet(t, "want"), func(server string) bool { return gone[server] })
 			transition.SetTarget(target, isListed)
 			if slices.ContainsFunc(transition.Step(now), func(server string) bool { return gone[server] }) {
-				t.Fatal("the set keeps servers that are not listed any more")
+				t.Fatal("the set still contains servers that are no longer listed")
 			}
 			for range 100 {
 				last := transition.Step(now)
@@ -44,12 +45,13 @@
 				checkStep(t, last, transition.Step(now), target)
 			}
 			if transition.InProgress() || !slices.Equal(transition.Step(now), target) {
-				t.Fatalf("from %v it came to %v, want %v", before, transition.Step(now), target)
+				t.Fatalf("the transition from %v reached %v, want %v", before, transition.Step(now), target)
 			}
 		}
 	})
 }
 
+// checkStep checks one step of a transition: the servers that it adds, the size of the set and its order.
 func checkStep(t *rapid.T, last, current, target []string) {
 	added := 0
 	for _, server := range current {
@@ -58,6 +60,6 @@
 		}
 	}
 	if added > max(1, len(target)/stepDivisor) || len(current) < min(len(last), len(target)) || !slices.IsSorted(current) {
-		t.Fatalf("a step from %v to %v, with target %v", last, current, target)
+		t.Fatalf("a step changed %v to %v with target %v: it adds too many servers, or the set is too small or not sorted", last, current, target)
 	}
 }
