--- a/internal/fleet/module.go
+++ b/internal/fleet/module.go
@@ -52,8 +52,8 @@
 	exclusions []balancer.Exclusion
 
 	updatedAt         time.Duration // time of the last update
-	digestSentAt      time.Duration // time of the last digest
-	failedSinceDigest bool          // a request has failed since the last digest
+	digestCheckedAt   time.Duration // when a digest was last due, even if there was nothing to send
+	failedSinceDigest bool          // a request has failed since digestCheckedAt
 	demandMeasuredAt  time.Duration // time of the last measurement of demand
 }
 
@@ -177,11 +177,11 @@
 
 // sendDigest sends a digest of this member's observations of servers to the others: each digestInterval, and soon after a failed request.
 func (m *Module) sendDigest(bootTime time.Duration) {
-	isDue := bootTime >= m.digestSentAt+digestInterval || m.failedSinceDigest && bootTime >= m.digestSentAt+checkInterval
+	isDue := bootTime >= m.digestCheckedAt+digestInterval || m.failedSinceDigest && bootTime >= m.digestCheckedAt+checkInterval
 	if !isDue || len(m.members) < 2 {
 		return
 	}
-	m.digestSentAt = bootTime
+	m.digestCheckedAt = bootTime
 	m.failedSinceDigest = false
 	digest, ok := m.detector.Digest(bootTime)
 	if mutationHooks.replaceDigest != nil {
