--- a/internal/fleet/assignment.go
+++ b/internal/fleet/assignment.go
@@ -82,7 +82,7 @@
 // assign assigns servers to members, from the point of view of the member with index self. It sorts servers in place. useSizes says whether
 // to order them by size.
 func assign(members []string, self int, servers []balancer.Server, useSizes bool) assignment {
-	sortLikeModule(servers, useSizes)
+	sortLikeDecisionModule(servers, useSizes)
 	candidates := make([]subset.Server, len(servers))
 	for i, s := range servers {
 		candidates[i] = subset.Server{ID: membership.NameID(s.ID), SecondGroup: i >= (len(servers)+1)/2}
@@ -129,8 +129,9 @@
 	return a
 }
 
-// sortLikeModule sorts servers in the decision module's order, so that the two halves are the two groups from which it picks candidates.
-func sortLikeModule(servers []balancer.Server, useSizes bool) {
+// sortLikeDecisionModule sorts servers in the decision module's order, so that the two halves are the two groups from which it picks
+// candidates.
+func sortLikeDecisionModule(servers []balancer.Server, useSizes bool) {
 	size := func(s balancer.Server) float64 {
 		if useSizes && s.Size > 0 {
 			return s.Size
--- a/internal/fleet/subset/subset_test.go
+++ b/internal/fleet/subset/subset_test.go
@@ -28,6 +28,7 @@
 // pairSet contains the assigned pairs of a member and a server.
 type pairSet map[[2]uint64]bool
 
+// pairsOf returns the pairs of an assignment that Choose or another method returned.
 func pairsOf(members []uint64, servers []Server, chosen [][]int) pairSet {
 	pairs := pairSet{}
 	for j, own := range chosen {
@@ -52,8 +53,10 @@
 // span is the range of a series of numbers.
 type span struct{ least, most int }
 
+// add extends the range to include n.
 func (s *span) add(n int) { s.least, s.most = min(s.least, n), max(s.most, n) }
 
+// newSpan returns a span to which no number was added. It is for numbers from 0 to 1<<30.
 func newSpan() span { return span{least: 1 << 30} }
 
 // evaluation contains the measurements of a method at one size of the fleet. Moved pairs are fractions of those before the change.
@@ -79,6 +82,7 @@
 // departureSamples is the number of members and of servers whose departures are measured, each by itself.
 const departureSamples = 4
 
+// evaluate takes all measurements of a method at one size of the fleet.
 func evaluate(choose func([]uint64, []Server) [][]int, numMembers, numServers int) *evaluation {
 	e := &evaluation{
 		choose: choose, members: hashes(numMembers, 1), ids: hashes(numServers, 2), replicas: newSpan(), sizes: newSpan(), bothGroups: true,
